--- /dev/null
+++ b/rpc/src/test/java/elmsail/rpc/PinnedWireTest.java
@@ -0,0 +1,123 @@
+package elmsail.rpc;
+
+import static org.hamcrest.MatcherAssert.assertThat;
+import static org.hamcrest.Matchers.contains;
+import static org.hamcrest.Matchers.equalTo;
+import static org.hamcrest.Matchers.is;
+
+import elmsail.rpc.messages.LoadReport;
+import elmsail.rpc.messages.VoteResponse;
+import elmsail.runtime.ErrorCode;
+import io.netty.buffer.Unpooled;
+import java.io.IOException;
+import java.lang.reflect.Field;
+import java.lang.reflect.Modifier;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import java.util.stream.IntStream;
+import org.junit.jupiter.api.Test;
+
+/** What goes over the wire stays as processes of earlier versions send and read it. */
+class PinnedWireTest {
+
+  private static final int LOAD_REPORT = 27;
+
+  @Test
+  void everyMessageTypeHasItsLine() throws IOException {
+    List<Integer> numbers =
+        PinnedWire.pinned(PinnedWire.MESSAGES).stream().map(PinnedWire.Line::number).toList();
+    assertThat(numbers, equalTo(IntStream.range(1, MessageTypes.size()).boxed().toList()));
+  }
+
+  @Test
+  void filledMessagesAreWrittenAsPinned() throws IOException, ReflectiveOperationException {
+    for (PinnedWire.Line line : PinnedWire.pinned(PinnedWire.MESSAGES)) {
+      Object message = FilledMessages.filled(MessageTypes.type(line.number()));
+      assertThat(line.name(), PinnedWire.encoded(line.number(), message), equalTo(line.bytes()));
+    }
+  }
+
+  @Test
+  void pinnedMessagesAreReadWhole() throws IOException {
+    Codec codec = new Codec();
+    for (PinnedWire.Line line : PinnedWire.pinned(PinnedWire.MESSAGES)) {
+      Object message = codec.read(line.number(), line.bytes(), 0, line.bytes().length);
+      assertThat(
+          line.name(), message.getClass(), equalTo((Object) MessageTypes.type(line.number())));
+      assertThat(line.name(), PinnedWire.encoded(line.number(), message), equalTo(line.bytes()));
+    }
+  }
+
+  @Test
+  void datagramsBeginWithTheNumberInOneByte() throws IOException, ReflectiveOperationException {
+    PinnedWire.Line line = PinnedWire.pinned(PinnedWire.MESSAGES).get(LOAD_REPORT - 1);
+    Object report = FilledMessages.filled(LoadReport.class);
+    byte[] datagram = new Codec().pack(report);
+    assertThat(line.number(), is(LOAD_REPORT));
+    assertThat(datagram[0], is((byte) LOAD_REPORT));
+    assertThat(Arrays.copyOfRange(datagram, 1, datagram.length), equalTo(line.bytes()));
+  }
+
+  @Test
+  void framesAreWrittenAsPinned() throws IOException {
+    List<String> pinned =
+        PinnedWire.pinned(PinnedWire.FRAMES).stream().map(PinnedWire.Line::format).toList();
+    assertThat(PinnedWire.frames().stream().map(PinnedWire.Line::format).toList(), is(pinned));
+  }
+
+  @Test
+  void pinnedFramesAreRead() throws IOException {
+    List<Integer> kinds = new ArrayList<>();
+    List<ErrorCode> codes = new ArrayList<>();
+    for (PinnedWire.Line line : PinnedWire.pinned(PinnedWire.FRAMES)) {
+      Frame frame = new FrameReader().next(Unpooled.wrappedBuffer(line.bytes()));
+      kinds.add(frame.kind());
+      if (frame.kind() == Frame.FAILURE) {
+        codes.add(frame.code());
+      }
+    }
+    assertThat(kinds.subList(0, 6), contains(1, 2, 4, 5, 6, 6));
+    assertThat(codes, contains(ErrorCode.values()));
+  }
+
+  @Test
+  void failuresCarryTheseNames() {
+    assertThat(
+        Arrays.stream(ErrorCode.values()).map(Enum::name).toList(),
+        contains(
+            "BAD_SETTINGS",
+            "BAD_CALL",
+            "UNSENT",
+            "BROKEN",
+            "SILENT",
+            "FULL",
+            "NOT_SEATED",
+            "NOT_REACHED",
+            "UNCLEAR",
+            "LOST_RACE",
+            "DISK",
+            "GARBLED",
+            "MISDIRECTED",
+            "UNSUPPORTED_VERSION",
+            "FAULT"));
+  }
+
+  @Test
+  void numbersWithAMeaningStandInThisOrder() throws IllegalAccessException {
+    assertThat(constants(VoteResponse.class), contains(0, 1, 2, 3, 4));
+    assertThat(constants(LoadReport.class), contains(0, 1, 2));
+    assertThat(List.of(Hello.VERSION, (int) Hello.ANY_INSTANCE), contains(1, 0));
+  }
+
+  /** The values of a message class's constants in the order of their declaration. */
+  private static List<Integer> constants(Class<?> type) throws IllegalAccessException {
+    List<Integer> values = new ArrayList<>();
+    for (Field field : type.getDeclaredFields()) {
+      if (Modifier.isStatic(field.getModifiers()) && field.getType() == int.class) {
+        values.add(field.getInt(null));
+      }
+    }
+    return values;
+  }
+}
