--- a/rpc/src/main/java/elmsail/rpc/messages/HelloResponse.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/HelloResponse.java
@@ -1,15 +1,28 @@
 package elmsail.rpc.messages;
 
+import io.protostuff.Tag;
+
 /** Who answers, and the voter slots of "head" as it knows them (none before the founding). */
 public final class HelloResponse {
+  @Tag(1)
   public String station = "";
+
+  @Tag(2)
   public String address = "";
+
+  @Tag(3)
   public long instanceId;
 
   /** Whether this instance began at the first start of the whole system, on an empty disk. */
+  @Tag(4)
   public boolean firstStart;
 
+  @Tag(5)
   public VoterSet voterSet = new VoterSet();
+
+  @Tag(6)
   public String zone = "";
+
+  @Tag(7)
   public boolean hasDisk;
 }
--- a/rpc/src/main/java/elmsail/rpc/messages/LoadReport.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/LoadReport.java
@@ -1,5 +1,6 @@
 package elmsail.rpc.messages;
 
+import io.protostuff.Tag;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -18,20 +19,26 @@
   public static final int TOTAL = 2;
 
   /** The sender's inner address. */
+  @Tag(1)
   public String sender = "";
 
   /** Of the sending process; another one behind the same address counts anew. */
+  @Tag(2)
   public long instanceId;
 
   /** Rises with each report of an instance. */
+  @Tag(3)
   public long sequence;
 
   /** The sender's zone. */
+  @Tag(4)
   public String zone = "";
 
   /** One of the constants above. */
+  @Tag(5)
   public int scope;
 
   /** Servers at which something is open. */
+  @Tag(6)
   public List<ServerLoadEntry> servers = new ArrayList<>();
 }
--- a/rpc/src/main/java/elmsail/rpc/messages/StateTransferResponse.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/StateTransferResponse.java
@@ -1,5 +1,6 @@
 package elmsail.rpc.messages;
 
+import io.protostuff.Tag;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -8,10 +9,16 @@
  * behind it.
  */
 public final class StateTransferResponse {
+  @Tag(1)
   public List<Blob> records = new ArrayList<>();
+
+  @Tag(2)
   public boolean end;
+
+  @Tag(3)
   public boolean voting;
 
   /** The instance that answers: another one than that which acknowledged the claim is no source. */
+  @Tag(4)
   public long instanceId;
 }
--- a/rpc/src/main/java/elmsail/rpc/messages/VoteResponse.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/VoteResponse.java
@@ -1,5 +1,7 @@
 package elmsail.rpc.messages;
 
+import io.protostuff.Tag;
+
 /** The answer to prepare, accept and read. */
 public final class VoteResponse {
   public static final int DONE = 0;
@@ -16,21 +18,30 @@
   /** The views refuse this value here (its waiting tokens are not on this count). */
   public static final int NOT_ADMITTED = 4;
 
+  @Tag(1)
   public int code;
+
+  @Tag(2)
   public Ballot promised = new Ballot();
+
+  @Tag(3)
   public Ballot accepted = new Ballot();
 
   /** Null: none, or the one accepted at {@code known}. */
+  @Tag(4)
   public byte[] value;
 
+  @Tag(5)
   public VoterSet voterSet = new VoterSet();
 
   /** What the keeper of the views has to tell with a promise (the count); null or its bytes. */
+  @Tag(6)
   public byte[] note;
 
   /**
    * What was accepted was copied from another voter slot and not voted for here: it counts as
    * found, but not towards a majority that took it.
    */
+  @Tag(7)
   public boolean copied;
 }
--- a/rpc/src/main/java/elmsail/rpc/messages/VoterSet.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/VoterSet.java
@@ -1,5 +1,6 @@
 package elmsail.rpc.messages;
 
+import io.protostuff.Tag;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -8,5 +9,6 @@
  * answered with the newer.
  */
 public final class VoterSet {
+  @Tag(1)
   public List<Voter> voters = new ArrayList<>();
 }
--- a/rpc/src/test/java/elmsail/rpc/PinnedWireTest.java
+++ b/rpc/src/test/java/elmsail/rpc/PinnedWireTest.java
@@ -4,11 +4,15 @@
 import static org.hamcrest.Matchers.contains;
 import static org.hamcrest.Matchers.equalTo;
 import static org.hamcrest.Matchers.is;
+import static org.hamcrest.Matchers.notNullValue;
 
 import elmsail.rpc.messages.LoadReport;
 import elmsail.rpc.messages.VoteResponse;
 import elmsail.runtime.ErrorCode;
 import io.netty.buffer.Unpooled;
+import io.protostuff.Schema;
+import io.protostuff.Tag;
+import io.protostuff.runtime.RuntimeSchema;
 import java.io.IOException;
 import java.lang.reflect.Field;
 import java.lang.reflect.Modifier;
@@ -30,6 +34,37 @@
     assertThat(numbers, equalTo(IntStream.range(1, MessageTypes.size()).boxed().toList()));
   }
 
+  @Test
+  void everyFieldSaysItsNumber() {
+    for (int number = 1; number < MessageTypes.size(); number++) {
+      Class<?> type = MessageTypes.type(number);
+      int fields = 0;
+      for (Field field : type.getDeclaredFields()) {
+        if (Modifier.isStatic(field.getModifiers())) {
+          continue;
+        }
+        fields++;
+        assertThat(field.toString(), field.getAnnotation(Tag.class), is(notNullValue()));
+      }
+      assertThat(
+          type.getSimpleName() + " numbers its fields from 1 on without a gap",
+          List.copyOf(FilledMessages.fieldsByNumber(type).keySet()),
+          equalTo(IntStream.rangeClosed(1, fields).boxed().toList()));
+    }
+  }
+
+  /** The schema that the codec uses gives each field the number that the fixture assumes. */
+  @Test
+  void schemaHasTheSameNumbers() {
+    for (int number = 1; number < MessageTypes.size(); number++) {
+      Schema<?> schema = RuntimeSchema.getSchema(MessageTypes.type(number));
+      FilledMessages.fieldsByNumber(MessageTypes.type(number))
+          .forEach(
+              (of, field) ->
+                  assertThat(field.toString(), schema.getFieldNumber(field.getName()), is(of)));
+    }
+  }
+
   @Test
   void filledMessagesAreWrittenAsPinned() throws IOException, ReflectiveOperationException {
     for (PinnedWire.Line line : PinnedWire.pinned(PinnedWire.MESSAGES)) {
