--- /dev/null
+++ b/storage/src/test/java/elmsail/storage/PinnedDirectory.java
@@ -0,0 +1,154 @@
+package elmsail.storage;
+
+import elmsail.storage.RecordStore.Change;
+import java.io.IOException;
+import java.nio.file.Path;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * A storage directory with one of each thing that the file format knows: small and big values,
+ * names beyond ASCII, an empty value, a value written anew, a removal, several records of one
+ * write, and a version that is void as its file could not be renamed.
+ *
+ * <p>{@link #main} wrote the directory that the tests' resources hold. That is never written anew:
+ * it stands for the disks of processes that ran before.
+ */
+final class PinnedDirectory {
+  static final long INSTANCE_ID = 0x1122334455667788L;
+  static final int SMALL_BYTES = 300;
+
+  /** More than a record that is kept in memory. */
+  static final int BIG_BYTES = RecordIndex.SMALL_BYTES + 500;
+
+  private static final long MOST_BYTES = 1 << 24;
+
+  private PinnedDirectory() {}
+
+  /** Writes the directory into the folder given. */
+  public static void main(String[] args) throws IOException {
+    write(Path.of(args[0]));
+  }
+
+  /** The records that the directory holds in the end. */
+  static Map<String, byte[]> records() {
+    Map<String, byte[]> records = new LinkedHashMap<>();
+    records.put("big", filled(BIG_BYTES, 3));
+    records.put("empty", new byte[0]);
+    records.put("set/k/n\u00e4me%2F1", filled(SMALL_BYTES, 1));
+    records.put("set/k/twice", filled(SMALL_BYTES, 5));
+    records.put("spoiled", filled(SMALL_BYTES, 9));
+    return records;
+  }
+
+  /** Writes the directory by the present code. */
+  static void write(Path folder) throws IOException {
+    FailingRenames files = new FailingRenames();
+    ArrayDeque<Runnable> completions = new ArrayDeque<>();
+    DirectoryRecordStore store =
+        DirectoryRecordStore.byHand(folder, MOST_BYTES, completions::add, files, INSTANCE_ID);
+    Map<String, byte[]> last = records();
+    write(store, completions, change(last, "set/k/n\u00e4me%2F1"), change(last, "empty"));
+    write(store, completions, change(last, "big"), new Change("gone", filled(SMALL_BYTES, 2)));
+    write(store, completions, new Change("set/k/twice", filled(SMALL_BYTES, 4)));
+    write(store, completions, change(last, "set/k/twice"), new Change("gone", null));
+    files.renamesFail = true;
+    write(store, completions, new Change("spoiled", filled(SMALL_BYTES, 8)));
+    files.renamesFail = false;
+    write(store, completions, change(last, "spoiled"));
+    store.close();
+  }
+
+  /** Opens a directory without a thread. */
+  static DirectoryRecordStore open(Path folder) {
+    return DirectoryRecordStore.byHand(
+        folder, MOST_BYTES, Runnable::run, new LocalFiles(), INSTANCE_ID + 1);
+  }
+
+  /** The names of the files of a folder, and their bytes. */
+  static Map<String, byte[]> files(Path folder) throws IOException {
+    LocalFiles local = new LocalFiles();
+    List<String> names = new ArrayList<>(local.list(folder));
+    names.sort(null);
+    Map<String, byte[]> files = new LinkedHashMap<>();
+    for (String name : names) {
+      files.put(name, java.nio.file.Files.readAllBytes(folder.resolve(name)));
+    }
+    return files;
+  }
+
+  private static Change change(Map<String, byte[]> records, String name) {
+    return new Change(name, records.get(name));
+  }
+
+  private static void write(
+      DirectoryRecordStore store, ArrayDeque<Runnable> completions, Change... changes) {
+    store.write(List.of(changes));
+    while (store.turn()) {
+      continue;
+    }
+    while (!completions.isEmpty()) {
+      completions.poll().run();
+    }
+  }
+
+  private static byte[] filled(int length, int seed) {
+    byte[] bytes = new byte[length];
+    for (int i = 0; i < length; i++) {
+      bytes[i] = (byte) (seed * 31 + i * 7);
+    }
+    return bytes;
+  }
+
+  /** The local files, whose renames can be made to fail. */
+  private static final class FailingRenames implements Files {
+    private final Files local = new LocalFiles();
+    private boolean renamesFail;
+
+    @Override
+    public void makeFolder(Path folder) throws IOException {
+      local.makeFolder(folder);
+    }
+
+    @Override
+    public List<String> list(Path folder) throws IOException {
+      return local.list(folder);
+    }
+
+    @Override
+    public Appender create(Path file) throws IOException {
+      return local.create(file);
+    }
+
+    @Override
+    public void rename(Path from, Path to) throws IOException {
+      if (renamesFail) {
+        throw new IOException("no renames");
+      }
+      local.rename(from, to);
+    }
+
+    @Override
+    public void remove(Path file) throws IOException {
+      local.remove(file);
+    }
+
+    @Override
+    public void syncFolder(Path folder) throws IOException {
+      local.syncFolder(folder);
+    }
+
+    @Override
+    public int read(Path file, long at, byte[] to, int from, int length) throws IOException {
+      return local.read(file, at, to, from, length);
+    }
+
+    @Override
+    public long size(Path file) throws IOException {
+      return local.size(file);
+    }
+  }
+}
