--- a/controlplane/src/main/java/elmsail/controlplane/ConfigOrderHandler.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ConfigOrderHandler.java
@@ -137,7 +137,7 @@
     if (failure.code() != ErrorCode.BAD_CALL && failure.code() != ErrorCode.GARBLED) {
       throw failure;
     }
-    return failure.getMessage();
+    return failure.code().wireName() + ": " + failure.detail();
   }
 
   private void attempt(Order order) {
--- a/rpc/src/main/java/elmsail/rpc/Frame.java
+++ b/rpc/src/main/java/elmsail/rpc/Frame.java
@@ -63,7 +63,7 @@
   static ByteBuf failure(long call, ErrorCode code) {
     ByteBuf out = ByteBufAllocator.DEFAULT.ioBuffer(FIRST_BYTES);
     head(out, FAILURE, call, MessageTypes.NONE);
-    out.writeBytes(code.name().getBytes(StandardCharsets.US_ASCII));
+    out.writeBytes(code.wireName().getBytes(StandardCharsets.US_ASCII));
     finish(out);
     return out;
   }
@@ -87,7 +87,7 @@
   ErrorCode code() {
     String name = new String(payload, StandardCharsets.US_ASCII);
     for (ErrorCode code : ErrorCode.values()) {
-      if (code.name().equals(name)) {
+      if (code.wireName().equals(name)) {
         return code;
       }
     }
--- a/rpc/src/test/java/elmsail/rpc/PinnedWireTest.java
+++ b/rpc/src/test/java/elmsail/rpc/PinnedWireTest.java
@@ -119,7 +119,7 @@
   @Test
   void failuresCarryTheseNames() {
     assertThat(
-        Arrays.stream(ErrorCode.values()).map(Enum::name).toList(),
+        Arrays.stream(ErrorCode.values()).map(ErrorCode::wireName).toList(),
         contains(
             "BAD_SETTINGS",
             "BAD_CALL",
--- a/runtime/src/main/java/elmsail/runtime/ElmsailException.java
+++ b/runtime/src/main/java/elmsail/runtime/ElmsailException.java
@@ -5,6 +5,7 @@
   private static final long serialVersionUID = 1;
 
   private final ErrorCode code;
+  private final String detail;
 
   /** A failure without a cause of its own; the message is the code, a colon and {@code detail}. */
   public ElmsailException(ErrorCode code, String detail) {
@@ -17,6 +18,7 @@
   public ElmsailException(ErrorCode code, String detail, Throwable cause) {
     super(code + ": " + detail, cause, true, code == ErrorCode.FAULT);
     this.code = code;
+    this.detail = detail;
   }
 
   /** What kind of failure it is; callers decide by this alone. */
@@ -24,6 +26,11 @@
     return code;
   }
 
+  /** What happened, without the code. */
+  public String detail() {
+    return detail;
+  }
+
   /** The code of whatever was thrown, wrapped by futures or not. */
   public static ErrorCode codeOf(Throwable thrown) {
     for (Throwable t = thrown; t != null; t = t.getCause()) {
--- a/runtime/src/main/java/elmsail/runtime/http/HttpServerConnection.java
+++ b/runtime/src/main/java/elmsail/runtime/http/HttpServerConnection.java
@@ -230,7 +230,7 @@
     HttpReply sent = answer;
     if (failure != null || answer == null) {
       ErrorCode code = failure == null ? ErrorCode.FAULT : ElmsailException.codeOf(failure);
-      sent = new HttpReply(503, Map.of("elmsail-fault", code.name()), NOTHING);
+      sent = new HttpReply(503, Map.of("elmsail-fault", code.wireName()), NOTHING);
     }
     write(ctx, sent, keep, bodiless);
     if (closing) {
