--- /dev/null
+++ b/controlplane/src/test/java/elmsail/controlplane/PinnedDataDirectories.java
@@ -0,0 +1,346 @@
+package elmsail.controlplane;
+
+import elmsail.batch.BatchItem;
+import elmsail.batch.messages.JobBody;
+import elmsail.batch.messages.JobDescription;
+import elmsail.batch.messages.JobRecord;
+import elmsail.consensus.Replica;
+import elmsail.consensus.ReplicaListener;
+import elmsail.rpc.Caller;
+import elmsail.rpc.HandlerTable;
+import elmsail.rpc.messages.AcceptRequest;
+import elmsail.rpc.messages.Ballot;
+import elmsail.rpc.messages.Blob;
+import elmsail.rpc.messages.PrepareRequest;
+import elmsail.rpc.messages.VoterSet;
+import elmsail.runtime.ManualTimers;
+import elmsail.runtime.ProcessMetrics;
+import elmsail.storage.DirectoryRecordStore;
+import elmsail.storage.RecordStore;
+import elmsail.storage.RecordStore.Change;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.HexFormat;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.concurrent.CompletableFuture;
+
+/**
+ * Whole data directories of a store, of a store that is joining and of a control-plane node,
+ * written by the real classes. A replica is asked as others would ask it, so what is in the records
+ * is what its own code puts there.
+ *
+ * <p>{@link #main} wrote the directories that the tests' resources hold. Those are never written
+ * anew: they stand for the disks of processes that ran before.
+ */
+final class PinnedDataDirectories {
+  static final String STORE = "store";
+  static final String JOINING_STORE = "joining-store";
+  static final String CONTROL_PLANE = "controlplane";
+
+  static final String OWN_ADDRESS = "10.0.0.1:7720";
+  static final String OWN_STATION = "n1";
+
+  /** A job with a listed result, one given up, and one that failed. */
+  static final String OPEN_JOB = "open-job";
+
+  static final String ENDED_JOB = "ended/50%";
+
+  /** Written in the first format of job records. */
+  static final String OLD_JOB = "old-job";
+
+  /** Refused: a promise is all that is left of it. */
+  static final String REFUSED_JOB = "refused-job";
+
+  /** Copied from another store when this one joined. */
+  static final String COPIED_JOB = "copied-job";
+
+  /** Dropped after its time. */
+  static final String DROPPED_JOB = "dropped-job";
+
+  static final String TEXT = "the text of a result";
+  static final List<String> CONFIGS = List.of("{\"edition\":3}", "{\"edition\":400}");
+
+  /** A configuration's value in the format before the present one, edition 7. */
+  static final byte[] OLD_CONFIG =
+      HexFormat.of()
+          .parseHex(
+              "000000000000000700000001"
+                  + "0000000000000005000102030405060708090a0b0c0d0e0f"
+                  + "7b7d");
+
+  private static final long MOST_BYTES = 1 << 24;
+  private static final long PROPOSER = 0x0a0b0c0d0e0fL;
+  private static final int COPIED_FLAGS = 3;
+
+  private PinnedDataDirectories() {}
+
+  /** Writes the directories into the folder given. */
+  public static void main(String[] args) {
+    Path folder = Path.of(args[0]);
+    writeStore(folder.resolve(STORE));
+    writeJoiningStore(folder.resolve(JOINING_STORE));
+    writeControlPlane(folder.resolve(CONTROL_PLANE));
+  }
+
+  static DirectoryRecordStore open(Path folder) {
+    return DirectoryRecordStore.open(folder, MOST_BYTES, Runnable::run);
+  }
+
+  /** A store with jobs in each of their states. */
+  static void writeStore(Path folder) {
+    try (DirectoryRecordStore disk = open(folder)) {
+      Member member = new Member(StoreNode.SET, disk);
+      member.replica.found(voterSet(disk.instanceId()));
+      Blob body = blob(JobBody.nameOf(body()), body());
+      member.decide(JobRecord.keyOf(OPEN_JOB), openJob().packed(), List.of(body, text()));
+      member.decide(JobRecord.keyOf(ENDED_JOB), endedJob().packed(), List.of(body));
+      member.decide(JobRecord.keyOf(OLD_JOB), oldJobBytes(), List.of());
+      member.prepare(JobRecord.keyOf(REFUSED_JOB), List.of());
+      member.decide(JobRecord.keyOf(DROPPED_JOB), endedJob().packed(), List.of(body));
+      member.replica.drop(JobRecord.keyOf(DROPPED_JOB));
+      disk.write(List.of(new Change("shelf/k/lot%2F" + COPIED_JOB, copiedState()))).join();
+    }
+  }
+
+  /** A store that has begun to take over the slot of another one. */
+  static void writeJoiningStore(Path folder) {
+    try (DirectoryRecordStore disk = open(folder)) {
+      Member member = new Member(StoreNode.SET, disk);
+      VoterSet others = voterSet(1);
+      others.voters.get(0).address = "10.0.0.4:7720";
+      others.voters.get(0).station = "n4";
+      member.replica.learn(others);
+      member.replica.join(0, 2);
+    }
+  }
+
+  /** A control-plane node that has voted on each of the keys there are. */
+  static void writeControlPlane(Path folder) {
+    try (DirectoryRecordStore disk = open(folder)) {
+      RecordStore records = new SynchronousRecords(disk);
+      records.write(List.of(new Change("notary/born", new byte[] {1})));
+      VoterSet voters = voterSet(disk.instanceId());
+      FoundingAcceptor founding = new FoundingAcceptor();
+      founding.prepare(5);
+      founding.accept(5, voters);
+      founding.prepare(9);
+      records.write(List.of(new Change("head-founding", founding.bytes())));
+      Member member = new Member(ControlPlaneVoters.SET, disk);
+      member.replica.found(voters);
+      member.decide(ConfigOrderHandler.KEY, config().value(), List.of());
+      member.decide(DecommissionList.KEY, decommissioned(), List.of());
+      member.decide(StoreFounding.KEY, VoterSetValue.bytes(voters), List.of());
+      member.decide(SingletonLease.KEY, leaseTerm(), List.of());
+      member.decide("timetable-of-old", OLD_CONFIG, List.of());
+    }
+  }
+
+  static VoterSet voterSet(long ownInstance) {
+    VoterSet voterSet = new VoterSet();
+    voterSet.voters.add(VoterSetValue.slot(OWN_ADDRESS, OWN_STATION, ownInstance, 1));
+    voterSet.voters.add(VoterSetValue.slot("10.0.0.2:7720", "n2", 22, 1));
+    voterSet.voters.add(VoterSetValue.slot("10.0.0.3:7720", "n3", -33, 1));
+    return voterSet;
+  }
+
+  static ConfigHistory config() {
+    ConfigHistory history = ConfigHistory.NONE;
+    byte[] first = CONFIGS.get(0).getBytes(StandardCharsets.UTF_8);
+    history = history.followedBy(3, first, ConfigHistory.digest(0, first));
+    byte[] second = CONFIGS.get(1).getBytes(StandardCharsets.UTF_8);
+    return history.followedBy(400, second, ConfigHistory.amendmentDigest(3, second));
+  }
+
+  static byte[] decommissioned() {
+    return DecommissionList.with(Set.of("n2"), "n5");
+  }
+
+  static byte[] leaseTerm() {
+    return ByteBuffer.allocate(2 * Long.BYTES).putLong(4).putLong(PROPOSER).array();
+  }
+
+  static byte[] body() {
+    return JobBody.packed(
+        List.of(
+            new BatchItem("a", "/p/1", Map.of("Content-Type", "t/p"), new byte[] {1, 2}, 940),
+            new BatchItem("b", "/p/2", Map.of(), new byte[0], 0),
+            new BatchItem("\u00fc", "/p/3", Map.of("X", "y z"), new byte[] {3}, 7)));
+  }
+
+  static Blob text() {
+    return blob(JobRecord.nameOf(1, 2), TEXT.getBytes(StandardCharsets.UTF_8));
+  }
+
+  static JobRecord openJob() {
+    return new JobRecord(
+        4,
+        description(),
+        List.of(
+            new JobRecord.Result(1, true, 2, TEXT.length()), new JobRecord.Result(0, false, 1, 0)),
+        false,
+        OWN_ADDRESS,
+        2,
+        1_234,
+        List.of(new JobRecord.FailureCount(2, 3)));
+  }
+
+  static JobRecord endedJob() {
+    return new JobRecord(2, description(), List.of(), true, OWN_ADDRESS, 1, 5);
+  }
+
+  /** The same as {@link #endedJob} in the first format, which kept no failures. */
+  private static byte[] oldJobBytes() {
+    byte[] present = endedJob().packed();
+    byte[] old = java.util.Arrays.copyOf(present, present.length - 1);
+    old[0] = 1;
+    return old;
+  }
+
+  /** As a replica keeps what it copied: promised, accepted, flags, value. */
+  private static byte[] copiedState() {
+    byte[] value = endedJob().packed();
+    return ByteBuffer.allocate(4 * Long.BYTES + 1 + value.length)
+        .putLong(6)
+        .putLong(PROPOSER)
+        .putLong(5)
+        .putLong(PROPOSER)
+        .put((byte) COPIED_FLAGS)
+        .put(value)
+        .array();
+  }
+
+  private static JobDescription description() {
+    return new JobDescription(
+        "route",
+        "h.example",
+        400,
+        10_000,
+        60_000,
+        JobBody.nameOf(body()),
+        List.of(
+            new JobRecord.Item("a", 940),
+            new JobRecord.Item("b", 0),
+            new JobRecord.Item("\u00fc", 7)));
+  }
+
+  private static Blob blob(String name, byte[] bytes) {
+    Blob blob = new Blob();
+    blob.name = name;
+    blob.bytes = bytes;
+    return blob;
+  }
+
+  /** A replica that hears the votes that are asked of it, and reaches nobody. */
+  private static final class Member {
+    private final String set;
+    private final HandlerTable handlers = new HandlerTable();
+    private final Replica replica;
+    private long round;
+
+    Member(String set, DirectoryRecordStore disk) {
+      this.set = set;
+      replica =
+          new Replica(
+              set,
+              new SynchronousRecords(disk),
+              new ReplicaListener() {},
+              handlers,
+              new NoCalls(),
+              new ManualTimers(),
+              OWN_ADDRESS,
+              OWN_STATION,
+              ProcessMetrics.strict());
+    }
+
+    /** Both rounds at a key; the blobs go with the first. */
+    void decide(String key, byte[] value, List<Blob> blobs) {
+      prepare(key, blobs);
+      AcceptRequest request = new AcceptRequest();
+      request.set = set;
+      request.key = key;
+      request.ballot = ballot(round);
+      request.next = ballot(round + 1);
+      request.value = value;
+      request.voterSet = replica.voterSet();
+      handle(request);
+    }
+
+    void prepare(String key, List<Blob> blobs) {
+      PrepareRequest request = new PrepareRequest();
+      request.set = set;
+      request.key = key;
+      request.ballot = ballot(++round);
+      request.voterSet = replica.voterSet();
+      request.blobs = new ArrayList<>(blobs);
+      handle(request);
+    }
+
+    private void handle(Object request) {
+      handlers.handle(request).toCompletableFuture().join();
+    }
+
+    private static Ballot ballot(long round) {
+      Ballot ballot = new Ballot();
+      ballot.round = round;
+      ballot.who = PROPOSER;
+      return ballot;
+    }
+  }
+
+  private static final class NoCalls implements Caller {
+    @Override
+    public <A> CompletableFuture<A> call(
+        String address, Object request, Class<A> answer, long timeoutMs) {
+      return new CompletableFuture<>();
+    }
+  }
+
+  /** Waits for each write, so that each is a file of its own. */
+  private record SynchronousRecords(DirectoryRecordStore disk) implements RecordStore {
+    @Override
+    public long instanceId() {
+      return disk.instanceId();
+    }
+
+    @Override
+    public boolean fresh() {
+      return disk.fresh();
+    }
+
+    @Override
+    public CompletableFuture<Void> write(List<Change> changes) {
+      CompletableFuture<Void> written = disk.write(changes);
+      written.join();
+      return written;
+    }
+
+    @Override
+    public byte[] read(String name) {
+      return disk.read(name);
+    }
+
+    @Override
+    public Map<String, byte[]> page(String after, int mostBytes) {
+      return disk.page(after, mostBytes);
+    }
+
+    @Override
+    public Iterable<String> names(String prefix) {
+      return disk.names(prefix);
+    }
+
+    @Override
+    public long bytesOnDisk() {
+      return disk.bytesOnDisk();
+    }
+
+    @Override
+    public void close() {
+      disk.close();
+    }
+  }
+}
