--- /dev/null
+++ b/controlplane/src/test/java/elmsail/controlplane/PinnedNamesTest.java
@@ -0,0 +1,129 @@
+package elmsail.controlplane;
+
+import static org.hamcrest.MatcherAssert.assertThat;
+import static org.hamcrest.Matchers.contains;
+import static org.hamcrest.Matchers.is;
+
+import elmsail.rpc.Caller;
+import elmsail.rpc.HandlerTable;
+import elmsail.runtime.ManualTimers;
+import elmsail.runtime.MetricsText;
+import elmsail.runtime.ProcessMetrics;
+import elmsail.runtime.SettingsFile;
+import elmsail.runtime.http.HttpCall;
+import elmsail.runtime.http.HttpHandler;
+import elmsail.runtime.http.HttpReply;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.CompletableFuture;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** Names that are known outside of the program: in dashboards, scripts, settings and clients. */
+class PinnedNamesTest {
+
+  private static final String SETTINGS =
+      "{\"station\":\"n1\",\"serves\":[\"head_office\"],\"ip\":\"10.0.0.1\",\"zone\":\"a\","
+          + "\"mail_slots\":{\"control\":\"10.0.0.1:8166\"},\"inner_ports\":[7720,7735],"
+          + "\"carrier_api\":{\"address\":\"10.9.0.1:8169\"}}";
+
+  private static final class NoCalls implements Caller {
+    @Override
+    public <A> CompletableFuture<A> call(
+        String address, Object request, Class<A> answer, long timeoutMs) {
+      return new CompletableFuture<>();
+    }
+  }
+
+  private static HttpHandler named(String name) {
+    return call -> Replies.now(Replies.json(200, name));
+  }
+
+  private static String body(HttpReply reply) {
+    return new String(reply.body(), StandardCharsets.UTF_8);
+  }
+
+  @ParameterizedTest
+  @CsvSource({
+    "POST, /Timetable.Replace, replace",
+    "POST, /Timetable.Amend, amend",
+    "GET, /Timetable.Read, read",
+    "POST, /Retire.Begin/n1, retire",
+    "GET, /Retire.Read/n1, retire"
+  })
+  void callsOfOperators(String method, String path, String handler) {
+    OperatorApi operators =
+        new OperatorApi(named("replace"), named("amend"), named("read"), named("retire"));
+    HttpCall call = new HttpCall(method, path, Map.of(), Map.of(), new byte[0]);
+    assertThat(body(operators.handle(call).join()), is(handler));
+    String other = method.equals("GET") ? "POST" : "GET";
+    HttpCall wrong = new HttpCall(other, path, Map.of(), Map.of(), new byte[0]);
+    assertThat(operators.handle(wrong).join().status(), is(405));
+  }
+
+  @Test
+  void repliesToOperators() {
+    HttpReply reply = Replies.why(409, "a \"reason\"");
+    assertThat(body(reply), is("{\"why\":\"a \\\"reason\\\"\"}"));
+    assertThat(reply.headers(), is(Map.of("content-type", "application/json")));
+  }
+
+  @Test
+  void setsKeysAndRoles() {
+    assertThat(
+        List.of(
+            ControlPlaneVoters.SET,
+            ControlPlaneVoters.ROLE,
+            StoreNode.SET,
+            HeartbeatTable.STORE_ROLE,
+            ConfigOrderHandler.KEY,
+            DecommissionList.KEY,
+            StoreFounding.KEY,
+            SingletonLease.KEY,
+            HeardStoresInquiry.KIND),
+        contains(
+            "head",
+            "controlplane",
+            "shelf",
+            "store",
+            "timetable",
+            "retire",
+            "shelf",
+            "duty",
+            "stores-heard"));
+  }
+
+  @Test
+  void metrics() {
+    ProcessMetrics metrics = ProcessMetrics.strict();
+    new ControlPlaneNode(
+        SettingsFile.parse(SETTINGS),
+        new ManualTimers(),
+        new NoCalls(),
+        new HandlerTable(),
+        null,
+        (address, path, limitMs) -> new CompletableFuture<>(),
+        1,
+        metrics);
+    assertThat(
+        MetricsText.of(metrics.counters())
+            .lines()
+            .filter(line -> line.startsWith("# TYPE elmsail_control_"))
+            .toList(),
+        contains(
+            "# TYPE elmsail_control_pulls_answered counter",
+            "# TYPE elmsail_control_pulls_no_contact counter",
+            "# TYPE elmsail_control_orders_acknowledged counter",
+            "# TYPE elmsail_control_orders_refused counter",
+            "# TYPE elmsail_control_orders_unclear counter",
+            "# TYPE elmsail_control_lists_read counter",
+            "# TYPE elmsail_control_lists_failed counter",
+            "# TYPE elmsail_control_joins_directed counter",
+            "# TYPE elmsail_control_lease_held gauge",
+            "# TYPE elmsail_control_in_contact gauge",
+            "# TYPE elmsail_control_store_voters_voting gauge",
+            "# TYPE elmsail_control_head_voters_voting gauge"));
+  }
+}
--- /dev/null
+++ b/storage/src/test/java/elmsail/storage/PinnedNamesTest.java
@@ -0,0 +1,35 @@
+package elmsail.storage;
+
+import static org.hamcrest.MatcherAssert.assertThat;
+import static org.hamcrest.Matchers.contains;
+
+import elmsail.runtime.Counters;
+import elmsail.runtime.MetricsText;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** Names that are known outside of the program: in dashboards, scripts, settings and clients. */
+class PinnedNamesTest {
+
+  /** The families as they are exported, each with its type. */
+  private static List<String> exported(Counters counters) {
+    return MetricsText.of(counters)
+        .lines()
+        .filter(line -> line.startsWith("# TYPE "))
+        .map(line -> line.substring("# TYPE ".length()))
+        .toList();
+  }
+
+  @Test
+  void metrics() {
+    Counters counters = new Counters();
+    new StorageCounters(counters);
+    assertThat(
+        exported(counters),
+        contains(
+            "elmsail_storage_syncs counter",
+            "elmsail_storage_bytes_written counter",
+            "elmsail_storage_write_failures counter",
+            "elmsail_storage_sync_ms histogram"));
+  }
+}
