--- a/front/src/main/java/willowdoor/benchlink/BenchLink.java
+++ b/front/src/main/java/willowdoor/benchlink/BenchLink.java
@@ -45,10 +45,24 @@
 /** Turns the bench's wire into the policy's events and its actions back into the wire; no more. */
 public final class BenchLink {
 
-  private static final Map<String, Status> STATUSES = Map.of("OK", Status.OK, "INTERNAL", Status.ERROR,
-      "RESOURCE_EXHAUSTED", Status.REJECTED, "DEADLINE_EXCEEDED", Status.TIMED_OUT,
-      "UNAVAILABLE", Status.UNREACHABLE, "ABORTED", Status.RESET, "CANCELLED", Status.CANCELLED,
-      "TOO_LATE", Status.NOT_SENT);
+  private static final Map<String, Status> STATUSES =
+      Map.of(
+          "OK",
+          Status.OK,
+          "INTERNAL",
+          Status.ERROR,
+          "RESOURCE_EXHAUSTED",
+          Status.REJECTED,
+          "DEADLINE_EXCEEDED",
+          Status.TIMED_OUT,
+          "UNAVAILABLE",
+          Status.UNREACHABLE,
+          "ABORTED",
+          Status.RESET,
+          "CANCELLED",
+          Status.CANCELLED,
+          "TOO_LATE",
+          Status.NOT_SENT);
 
   private final JsonParser in;
   private final JsonGenerator out;
@@ -90,7 +104,8 @@
     }
   }
 
-  private boolean deliver(int door, String name, Map<String, Object> message, double now) throws IOException {
+  private boolean deliver(int door, String name, Map<String, Object> message, double now)
+      throws IOException {
     try {
       for (Action action : actions(door, name, message, now)) {
         write(door, action);
@@ -122,23 +137,42 @@
 
   private Event event(String name, Map<String, Object> m) {
     return switch (name) {
-      case "Discovery" -> new Roster(switch (text(m, "Form")) {
-        case "changes" -> RosterForm.CHANGES;
-        case "all" -> RosterForm.COMPLETE;
-        case "remembered" -> RosterForm.REMEMBERED;
-        default -> RosterForm.FAILED;
-      }, lists.getOrDefault((int) number(m, "Bank"), List.of()));
-      case "Req" -> new Request(text(m, "Tid"), text(m, "Kind"), text(m, "Package"),
-          (long) number(m, "Customer"), (int) number(m, "EntryPoints"), number(m, "CostUnits"),
-          number(m, "GiveUpAtMs"));
+      case "Discovery" ->
+          new Roster(
+              switch (text(m, "Form")) {
+                case "changes" -> RosterForm.CHANGES;
+                case "all" -> RosterForm.COMPLETE;
+                case "remembered" -> RosterForm.REMEMBERED;
+                default -> RosterForm.FAILED;
+              },
+              lists.getOrDefault((int) number(m, "Bank"), List.of()));
+      case "Req" ->
+          new Request(
+              text(m, "Tid"),
+              text(m, "Kind"),
+              text(m, "Package"),
+              (long) number(m, "Customer"),
+              (int) number(m, "EntryPoints"),
+              number(m, "CostUnits"),
+              number(m, "GiveUpAtMs"));
       case "Accepted" -> new StreamBegan(text(m, "Tid"), (int) number(m, "SendNo"));
-      case "Result" -> new Outcome(text(m, "Tid"), (int) number(m, "SendNo"), (long) number(m, "Backend"),
-          STATUSES.getOrDefault(text(m, "StateCode"), Status.ERROR), number(m, "LatencyMs"), flag(m, "Last"),
-          number(m, "FinalUnits"), load(child(m, "Load")));
+      case "Result" ->
+          new Outcome(
+              text(m, "Tid"),
+              (int) number(m, "SendNo"),
+              (long) number(m, "Backend"),
+              STATUSES.getOrDefault(text(m, "StateCode"), Status.ERROR),
+              number(m, "LatencyMs"),
+              flag(m, "Last"),
+              number(m, "FinalUnits"),
+              load(child(m, "Load")));
       case "Gone" -> new ClientLeft(text(m, "Tid"));
-      case "Reckoned" -> new Counted(text(m, "Book"),
-          STATUSES.getOrDefault(text(m, "StateCode"), Status.ERROR), number(m, "Value"),
-          number(m, "LatencyMs"));
+      case "Reckoned" ->
+          new Counted(
+              text(m, "Book"),
+              STATUSES.getOrDefault(text(m, "StateCode"), Status.ERROR),
+              number(m, "Value"),
+              number(m, "LatencyMs"));
       case "Elapsed" -> new Woken(text(m, "Label"));
       default -> null;
     };
@@ -148,20 +182,26 @@
     if (values.isEmpty()) {
       return null;
     }
-    return new Load(number(values, "concurrent", Double.NaN) + number(values, "depth", 0),
+    return new Load(
+        number(values, "concurrent", Double.NaN) + number(values, "depth", 0),
         number(values, "mean_ms", Double.NaN));
   }
 
   private static List<BackendEntry> entries(Map<String, Object> message) {
     List<BackendEntry> entries = new ArrayList<>();
     for (Map<String, Object> e : children(message, "Items")) {
-      entries.add(new BackendEntry((long) number(e, "Backend"), text(e, "RegionPart"),
-          (int) number(e, "Stripe"),
-          switch (text(e, "Lifecycle")) {
-            case "DRAINING" -> Phase.DRAINING;
-            case "DELETED" -> Phase.REMOVED;
-            default -> Phase.SERVING;
-          }, number(e, "CapacityHint", 1), number(e, "LaunchedMs")));
+      entries.add(
+          new BackendEntry(
+              (long) number(e, "Backend"),
+              text(e, "RegionPart"),
+              (int) number(e, "Stripe"),
+              switch (text(e, "Lifecycle")) {
+                case "DRAINING" -> Phase.DRAINING;
+                case "DELETED" -> Phase.REMOVED;
+                default -> Phase.SERVING;
+              },
+              number(e, "CapacityHint", 1),
+              number(e, "LaunchedMs")));
     }
     return entries;
   }
--- a/front/src/main/java/willowdoor/discovery/ChangeLog.java
+++ b/front/src/main/java/willowdoor/discovery/ChangeLog.java
@@ -19,16 +19,21 @@
 import willowdoor.discovery.ListJson.Message;
 
 /**
- * The list on disk: a snapshot, and behind it each change, one line of text each: the checksum in eight
- * hexadecimal digits, a space, the message. A change is synced before it counts. A version that may have been
- * written is never given to anything else: after a line that was cut off, or a write that failed, it is
- * passed over, and a snapshot says so before any change follows. One process holds the folder at a time.
+ * The list on disk: a snapshot, and behind it each change, one line of text each: the checksum in
+ * eight hexadecimal digits, a space, the message. A change is synced before it counts. A version
+ * that may have been written is never given to anything else: after a line that was cut off, or a
+ * write that failed, it is passed over, and a snapshot says so before any change follows. One
+ * process holds the folder at a time.
  */
 class ChangeLog implements Closeable {
 
   private static final Logger LOG = Logger.getLogger(ChangeLog.class.getName());
   private static final int SUM = 8;
-  /** A snapshot is due once the log holds so many bytes, or as many as the snapshot where that is more. */
+
+  /**
+   * A snapshot is due once the log holds so many bytes, or as many as the snapshot where that is
+   * more.
+   */
   private static final long LEAST_BOUND = 1 << 20;
 
   private final Path dir;
@@ -40,6 +45,7 @@
   private final long leastBound;
   private long bound;
   private HostList list;
+
   /** A write failed: what is on disk behind the last good line is not known. */
   private boolean unsure;
 
@@ -55,7 +61,8 @@
     log = dir.resolve("log");
     snapshot = dir.resolve("snapshot");
     Files.createDirectories(dir);
-    lock = FileChannel.open(dir.resolve("lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+    lock =
+        FileChannel.open(dir.resolve("lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
     try {
       FileLock held = lock.tryLock();
       if (held == null) {
@@ -74,15 +81,16 @@
   }
 
   /**
-   * The list after these changes, which together are its next version and are on disk when this returns;
-   * where it throws, the list is as it was.
+   * The list after these changes, which together are its next version and are on disk when this
+   * returns; where it throws, the list is as it was.
    */
   HostList append(List<Entry> changes) throws IOException {
     if (unsure) {
       putSnapshot(passingNextVersion());
     }
     HostList next = list.with(list.version() + 1, changes);
-    byte[] line = line(new Message(next.version(), false, changes)).getBytes(StandardCharsets.UTF_8);
+    byte[] line =
+        line(new Message(next.version(), false, changes)).getBytes(StandardCharsets.UTF_8);
     unsure = true;
     step("append");
     write(out, ByteBuffer.wrap(line));
@@ -98,7 +106,10 @@
     return list;
   }
 
-  /** The changes are safe without a snapshot: where none can be put, the next change asks for it again. */
+  /**
+   * The changes are safe without a snapshot: where none can be put, the next change asks for it
+   * again.
+   */
   private void boundLog() {
     try {
       putSnapshot(list);
@@ -107,11 +118,14 @@
     }
   }
 
-  /** Puts a snapshot of the list in place, and begins the log anew; each by a rename, in this order. */
+  /**
+   * Puts a snapshot of the list in place, and begins the log anew; each by a rename, in this order.
+   */
   private void putSnapshot(HostList whole) throws IOException {
     unsure = true;
     Path next = dir.resolve("snapshot.new");
-    byte[] line = line(new Message(whole.version(), true, whole.present())).getBytes(StandardCharsets.UTF_8);
+    byte[] line =
+        line(new Message(whole.version(), true, whole.present())).getBytes(StandardCharsets.UTF_8);
     try (FileChannel file = create(next)) {
       step("snapshot");
       write(file, ByteBuffer.wrap(line));
@@ -141,14 +155,18 @@
     if (out != null) {
       out.close();
     }
-    out = FileChannel.open(log, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
-        StandardOpenOption.APPEND);
+    out =
+        FileChannel.open(
+            log, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.APPEND);
     syncFolder();
     length = out.size();
   }
 
   private static FileChannel create(Path file) throws IOException {
-    return FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING,
+    return FileChannel.open(
+        file,
+        StandardOpenOption.CREATE,
+        StandardOpenOption.TRUNCATE_EXISTING,
         StandardOpenOption.WRITE);
   }
 
@@ -165,8 +183,7 @@
   }
 
   /** Where the bytes go to the disk; a test ends the process, or fails, at any of these. */
-  void step(String name) throws IOException {
-  }
+  void step(String name) throws IOException {}
 
   private static void write(FileChannel file, ByteBuffer bytes) throws IOException {
     while (bytes.hasRemaining()) {
@@ -189,7 +206,8 @@
     int good = replay(lines);
     if (good < lines.length) {
       int cut = lines.length - good;
-      LOG.warning(() -> log + ": its last line was not written whole, and " + cut + " bytes are cut off");
+      LOG.warning(
+          () -> log + ": its last line was not written whole, and " + cut + " bytes are cut off");
       putSnapshot(passingNextVersion());
       return;
     }
@@ -209,7 +227,8 @@
         return from;
       }
       if (change == null || change.full() || change.version() > list.version() + 1) {
-        throw new IOException(log + " is damaged in line " + number + ": put a backup in its place");
+        throw new IOException(
+            log + " is damaged in line " + number + ": put a backup in its place");
       }
       // What a snapshot holds already: the process ended before the log was begun anew.
       if (change.version() > list.version()) {
--- a/front/src/main/java/willowdoor/discovery/HostList.java
+++ b/front/src/main/java/willowdoor/discovery/HostList.java
@@ -10,9 +10,9 @@
 import willowdoor.discovery.Entry.State;
 
 /**
- * The list of template servers at one version, and what changed on the way there. It does not change: each
- * change gives the next list. Entries that have left are kept as news for those who watch, a bounded number
- * of them; who knows less than that is told the whole list.
+ * The list of template servers at one version, and what changed on the way there. It does not
+ * change: each change gives the next list. Entries that have left are kept as news for those who
+ * watch, a bounded number of them; who knows less than that is told the whole list.
  */
 final class HostList {
 
@@ -20,11 +20,13 @@
   private static final int MOST_LEFT = 1_000;
 
   /** An entry, and the version that changed it last. */
-  private record Held(Entry entry, long version) { }
+  private record Held(Entry entry, long version) {}
 
   private final long version;
+
   /** What changed after this version is known. */
   private final long knownFrom;
+
   /** By id, those changed last at the end. */
   private final Map<String, Held> held;
 
@@ -77,8 +79,11 @@
 
   /** Drops those that left first; from which version on changes are known then. */
   private long forget(Map<String, Held> then) {
-    List<Held> left = then.values().stream().filter(h -> h.entry().state() == State.LEFT)
-        .sorted(Comparator.comparingLong(Held::version)).toList();
+    List<Held> left =
+        then.values().stream()
+            .filter(h -> h.entry().state() == State.LEFT)
+            .sorted(Comparator.comparingLong(Held::version))
+            .toList();
     long from = knownFrom;
     for (Held h : left.subList(0, Math.max(0, left.size() - MOST_LEFT))) {
       then.remove(h.entry().id());
@@ -87,7 +92,10 @@
     return from;
   }
 
-  /** What changed after the version, in order; empty where that is not known, and the whole list is owed. */
+  /**
+   * What changed after the version, in order; empty where that is not known, and the whole list is
+   * owed.
+   */
   Optional<List<Entry>> since(long since) {
     if (since < knownFrom || since > version) {
       return Optional.empty();
--- a/front/src/main/java/willowdoor/discovery/ListJson.java
+++ b/front/src/main/java/willowdoor/discovery/ListJson.java
@@ -20,7 +20,9 @@
 import willowdoor.wire.Address;
 import willowdoor.wire.JsonFields;
 
-/** The list as discovery words it, read strictly: what is missing or wrong is told in plain words. */
+/**
+ * The list as discovery words it, read strictly: what is missing or wrong is told in plain words.
+ */
 final class ListJson {
 
   private static final JsonFactory JSON =
@@ -39,10 +41,9 @@
   }
 
   /** A list or a change of one, with the version after it. */
-  record Message(long version, boolean full, List<Entry> servers) { }
+  record Message(long version, boolean full, List<Entry> servers) {}
 
-  private ListJson() {
-  }
+  private ListJson() {}
 
   /** As it is told; leases concern the service alone, and are written for its own log. */
   static byte[] write(Message message, boolean leases) {
@@ -107,7 +108,8 @@
       }
       return fields;
     } catch (IOException e) {
-      throw new BadList("it is not JSON: " + String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
+      throw new BadList(
+          "it is not JSON: " + String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
     }
   }
 
@@ -153,15 +155,25 @@
     if (!(weight instanceof Number n) || !(n.doubleValue() > 0 && n.doubleValue() <= 1e6)) {
       throw new BadList(where + "weight is not a number above nought");
     }
-    return new Entry(id, addr, text(server, where, "zone", ""), text(server, where, "kind", ""),
-        (int) whole(server, where, "cell", Integer.MAX_VALUE), state, n.doubleValue(),
-        whole(server, where, "started_ms", Long.MAX_VALUE), whole(server, where, "lease_ms", MOST_LEASE_MS));
+    return new Entry(
+        id,
+        addr,
+        text(server, where, "zone", ""),
+        text(server, where, "kind", ""),
+        (int) whole(server, where, "cell", Integer.MAX_VALUE),
+        state,
+        n.doubleValue(),
+        whole(server, where, "started_ms", Long.MAX_VALUE),
+        whole(server, where, "lease_ms", MOST_LEASE_MS));
   }
 
   /** Plain text of some length; null for absent makes it required. */
-  private static String text(Map<?, ?> server, String where, String name, String absent) throws BadList {
+  private static String text(Map<?, ?> server, String where, String name, String absent)
+      throws BadList {
     Object found = server.get(name) == null ? absent : server.get(name);
-    if (!(found instanceof String text) || absent == null && text.isEmpty() || text.length() > MOST_TEXT
+    if (!(found instanceof String text)
+        || absent == null && text.isEmpty()
+        || text.length() > MOST_TEXT
         || !text.chars().allMatch(c -> c > ' ' && c < 127)) {
       throw new BadList(where + name + " is not a short word");
     }
--- a/front/src/main/java/willowdoor/front/Config.java
+++ b/front/src/main/java/willowdoor/front/Config.java
@@ -20,14 +20,26 @@
 import willowdoor.wire.WireSettings;
 
 /** What a front door is told: the file that {@code GW_CONFIG} names. */
-record Config(String name, SocketAddress listen, InetSocketAddress management,
-    InetSocketAddress discovery, SocketAddress counter, long seed, Descriptors descriptors,
-    Settings settings, double connectLimitMs, double idleLimitMs, RosterNews known) {
+record Config(
+    String name,
+    SocketAddress listen,
+    InetSocketAddress management,
+    InetSocketAddress discovery,
+    SocketAddress counter,
+    long seed,
+    Descriptors descriptors,
+    Settings settings,
+    double connectLimitMs,
+    double idleLimitMs,
+    RosterNews known) {
 
   /** Where no limit is told: the platform's largest. */
   private static final int MOST_SOCKETS = 1_024;
 
-  /** Reads the file; anything that keeps the front door from serving is an IOException in plain words. */
+  /**
+   * Reads the file; anything that keeps the front door from serving is an IOException in plain
+   * words.
+   */
   static Config read(Path file) throws IOException {
     Map<String, Object> fields;
     try (JsonParser in = new JsonFactory().createParser(Files.readAllBytes(file))) {
@@ -42,7 +54,8 @@
   static ServerSocketChannel inherited() throws IOException {
     String descriptor = System.getenv("GW_ACCEPT_FD");
     try {
-      return descriptor == null || descriptor.isEmpty() ? null
+      return descriptor == null || descriptor.isEmpty()
+          ? null
           : Transport.adopt(Integer.parseInt(descriptor));
     } catch (NumberFormatException e) {
       throw new IOException("GW_ACCEPT_FD is not a number: '" + descriptor + "'", e);
@@ -58,31 +71,76 @@
     requireNames(settings, "Profiles");
     requireNames(settings, "Tariffs");
     Map<String, Object> bounds = JsonFields.child(settings, "Bounds");
-    InetSocketAddress counter = fields.get("counter") == null && !parsed.allowed().sharedCount() ? null
-        : address(fields, "counter");
-    InetSocketAddress management = fields.get("management") == null ? null
-        : address(fields, "management");
-    return new Config(JsonFields.text(fields, "name"), address(fields, "listen"), management,
-        address(fields, "discovery"), counter, seed(fields),
-        descriptors(JsonFields.child(fields, "limits")), parsed,
-        JsonFields.number(bounds, "DialTimeoutMs", 250), JsonFields.number(bounds, "ConnIdleMs", 15_000),
+    InetSocketAddress counter =
+        fields.get("counter") == null && !parsed.allowed().sharedCount()
+            ? null
+            : address(fields, "counter");
+    InetSocketAddress management =
+        fields.get("management") == null ? null : address(fields, "management");
+    return new Config(
+        JsonFields.text(fields, "name"),
+        address(fields, "listen"),
+        management,
+        address(fields, "discovery"),
+        counter,
+        seed(fields),
+        descriptors(JsonFields.child(fields, "limits")),
+        parsed,
+        JsonFields.number(bounds, "DialTimeoutMs", 250),
+        JsonFields.number(bounds, "ConnIdleMs", 15_000),
         known(JsonFields.child(fields, "known")));
   }
 
   /** The same front door among other peers, without operators and discovery. */
   Config among(SocketAddress listen, SocketAddress counter, RosterNews servers) {
-    return new Config(name, listen, null, null, counter, seed, descriptors, settings, connectLimitMs,
-        idleLimitMs, servers);
+    return new Config(
+        name,
+        listen,
+        null,
+        null,
+        counter,
+        seed,
+        descriptors,
+        settings,
+        connectLimitMs,
+        idleLimitMs,
+        servers);
   }
 
-  /** What the front door goes by, in a line; times in milliseconds, quotas in units a second and a burst. */
+  /**
+   * What the front door goes by, in a line; times in milliseconds, quotas in units a second and a
+   * burst.
+   */
   String describe() {
-    StringBuilder text = new StringBuilder("front door ").append(settings.self()).append(" of ")
-        .append(settings.gateways()).append(", calls ").append(settings.allowed().countLimitMs());
-    settings.classes().forEach(c -> text.append(", ").append(c.name()).append(' ').append(c.aimMs())
-        .append('/').append(c.deadlineMs()));
-    settings.plans().forEach(p -> text.append(", ").append(p.name()).append(' ').append(p.rate()).append('/')
-        .append(p.burst()).append(" open ").append(p.openLimit()));
+    StringBuilder text =
+        new StringBuilder("front door ")
+            .append(settings.self())
+            .append(" of ")
+            .append(settings.gateways())
+            .append(", calls ")
+            .append(settings.allowed().countLimitMs());
+    settings
+        .classes()
+        .forEach(
+            c ->
+                text.append(", ")
+                    .append(c.name())
+                    .append(' ')
+                    .append(c.aimMs())
+                    .append('/')
+                    .append(c.deadlineMs()));
+    settings
+        .plans()
+        .forEach(
+            p ->
+                text.append(", ")
+                    .append(p.name())
+                    .append(' ')
+                    .append(p.rate())
+                    .append('/')
+                    .append(p.burst())
+                    .append(" open ")
+                    .append(p.openLimit()));
     return text.toString();
   }
 
@@ -121,7 +179,8 @@
     }
   }
 
-  private static InetSocketAddress address(Map<String, Object> fields, String name) throws IOException {
+  private static InetSocketAddress address(Map<String, Object> fields, String name)
+      throws IOException {
     String text = JsonFields.text(fields, name);
     InetSocketAddress address = Address.parse(text);
     if (address == null) {
--- a/front/src/main/java/willowdoor/front/FrontDoor.java
+++ b/front/src/main/java/willowdoor/front/FrontDoor.java
@@ -37,19 +37,26 @@
 final class FrontDoor implements Management.Operator {
 
   private static final Logger LOG = Logger.getLogger(FrontDoor.class.getName());
+
   /**
-   * SIGKILL comes no sooner after SIGTERM than the longest deadline, counted as 3 s where it is longer, and
-   * 0.7 s: all is answered by then, and the answers are on their way.
+   * SIGKILL comes no sooner after SIGTERM than the longest deadline, counted as 3 s where it is
+   * longer, and 0.7 s: all is answered by then, and the answers are on their way.
    */
   private static final long MOST_DEADLINE_MS = 3_000;
+
   private static final double ANSWER_MS = 300;
   private static final double LEAVE_MS = 275;
+
   /** How often a drain goes on: idle connections are closed and the end is looked for. */
   private static final long DRAIN_STEP_MS = 10;
+
   private static final long TALLY_S = 10;
+
   /** Requests of a warm-up, and how long it may take on a busy core: a new process is given 6 s. */
   private static final int WARM_UP_REQUESTS = 80;
+
   private static final long WARM_UP_MS = 1_500;
+
   /** How often the operators' file is looked at, for what the other process was told. */
   private static final long LOOK_MS = 50;
 
@@ -65,17 +72,24 @@
   private DiscoveryClient discovery;
   private Channel listening;
   private Management management;
+
   /** Whether the process could serve, as the management's thread is told. */
   private volatile boolean canServe;
+
   /** What operators have asked for as it is in force, and where it is kept. */
   private OperatorFile.State operators = OperatorFile.State.NONE;
+
   private OperatorFile file;
+
   /** How long after the process is told to end all is answered. */
   private double endMs;
+
   /** The configuration that came with a SIGHUP before anything was wired. */
   private Config replacing;
+
   /** Whether clients can come, and whether the process was told to end. */
   private boolean listens;
+
   private boolean ending;
 
   private FrontDoor(Transport transport) {
@@ -84,7 +98,10 @@
     loop = group.next();
   }
 
-  /** Reads the configuration that the environment names, and serves until the process is told to end. */
+  /**
+   * Reads the configuration that the environment names, and serves until the process is told to
+   * end.
+   */
   static void serve() throws IOException, InterruptedException {
     String file = System.getenv("GW_CONFIG");
     if (file == null) {
@@ -92,30 +109,37 @@
     }
     Path path = Path.of(file);
     FrontDoor door = new FrontDoor(Transport.BEST);
-    // Either signal may come at any time: SIGHUP would end the process, SIGTERM with clients waiting.
+    // Either signal may come at any time: SIGHUP would end the process, SIGTERM with clients
+    // waiting.
     door.reloadOnHangUp(path);
     Runtime.getRuntime().addShutdownHook(new Thread(door::end, "end"));
     Config config = Config.read(path);
-    Path operators = Path.of(System.getProperty("java.io.tmpdir"), "willowdoor-" + config.name() + ".json");
-    door.begin(config, Config.inherited(), operators, () -> warmUp(config, WARM_UP_REQUESTS, WARM_UP_MS));
+    Path operators =
+        Path.of(System.getProperty("java.io.tmpdir"), "willowdoor-" + config.name() + ".json");
+    door.begin(
+        config, Config.inherited(), operators, () -> warmUp(config, WARM_UP_REQUESTS, WARM_UP_MS));
     door.open();
   }
 
-  /** Listens on the configured address where no socket is inherited; the file is what its processes share. */
+  /**
+   * Listens on the configured address where no socket is inherited; the file is what its processes
+   * share.
+   */
   static FrontDoor start(Config config, ServerSocketChannel inherited, Path operators)
       throws IOException, InterruptedException {
     FrontDoor door = new FrontDoor(Transport.BEST);
-    door.begin(config, inherited, operators, () -> { });
+    door.begin(config, inherited, operators, () -> {});
     door.open();
     return door;
   }
 
   /**
-   * Operators are answered from the first; clients, servers and discovery come once it is prepared. Nothing
-   * is sent by the configuration's list while the agent may have a newer one, which counts as told by now:
-   * clients that took the process before this one for alive would have it sent.
+   * Operators are answered from the first; clients, servers and discovery come once it is prepared.
+   * Nothing is sent by the configuration's list while the agent may have a newer one, which counts
+   * as told by now: clients that took the process before this one for alive would have it sent.
    */
-  private void begin(Config config, ServerSocketChannel inherited, Path operators, Runnable preparation)
+  private void begin(
+      Config config, ServerSocketChannel inherited, Path operators, Runnable preparation)
       throws IOException, InterruptedException {
     try {
       if (config.management() != null) {
@@ -142,7 +166,9 @@
       throw new IllegalStateException("told to end before it was ready");
     }
     listens = true;
-    return inherited == null ? clients.listen(group, config.listen()) : clients.adopt(group, inherited);
+    return inherited == null
+        ? clients.listen(group, config.listen())
+        : clients.adopt(group, inherited);
   }
 
   /** From here on it says that it is ready where it is. */
@@ -151,16 +177,16 @@
   }
 
   /**
-   * Serves made-up requests inside the process, so that the runtime has loaded and compiled the way of a
-   * request before the first one comes. What goes wrong costs time later, and nothing else. Tells how many
-   * were answered.
+   * Serves made-up requests inside the process, so that the runtime has loaded and compiled the way
+   * of a request before the first one comes. What goes wrong costs time later, and nothing else.
+   * Tells how many were answered.
    */
   static int warmUp(Config config, int requests, long limitMs) {
     FrontDoor door = new FrontDoor(Transport.INSIDE);
     try {
       WarmUp warmUp = new WarmUp(config.settings(), door.group);
       Config inside = config.among(warmUp.door(), warmUp.counter(), warmUp.servers());
-      door.begin(inside, null, Path.of(""), () -> { });
+      door.begin(inside, null, Path.of(""), () -> {});
       door.open();
       int answered = warmUp.play(requests, limitMs);
       LOG.info(() -> "warmed up with " + answered + " requests inside the process");
@@ -209,16 +235,17 @@
 
   /** Writes a change down, then puts it in force; false where it names no known template server. */
   private Future<Boolean> change(String host, UnaryOperator<OperatorFile.State> change) {
-    return loop.submit(() -> {
-      if (clients == null) {
-        throw new IllegalStateException("still starting");
-      }
-      if (host != null && !driver.knows(host)) {
-        return false;
-      }
-      follow(file.change(change));
-      return true;
-    });
+    return loop.submit(
+        () -> {
+          if (clients == null) {
+            throw new IllegalStateException("still starting");
+          }
+          if (host != null && !driver.knows(host)) {
+            return false;
+          }
+          follow(file.change(change));
+          return true;
+        });
   }
 
   /** Puts in force what is new in it: the other process may have been told. */
@@ -228,30 +255,65 @@
       return;
     }
     operators = told;
-    told.excluded().stream().filter(h -> !before.excluded().contains(h)).forEach(h -> driver.ban(h, true));
-    before.excluded().stream().filter(h -> !told.excluded().contains(h)).forEach(h -> driver.ban(h, false));
+    told.excluded().stream()
+        .filter(h -> !before.excluded().contains(h))
+        .forEach(h -> driver.ban(h, true));
+    before.excluded().stream()
+        .filter(h -> !told.excluded().contains(h))
+        .forEach(h -> driver.ban(h, false));
     if (told.drained() != before.drained()) {
       clients.evacuate(told.drained());
     }
-    LOG.info(() -> "operators' drain is " + (told.drained() ? "on" : "off") + ", taken out are "
-        + told.excluded());
+    LOG.info(
+        () ->
+            "operators' drain is "
+                + (told.drained() ? "on" : "off")
+                + ", taken out are "
+                + told.excluded());
   }
 
   private void wire(Config config) {
-    endMs = ANSWER_MS + config.settings().classes().stream().mapToDouble(RequestClass::deadlineMs)
-        .map(ms -> ms > 0 ? Math.min(ms, MOST_DEADLINE_MS) : MOST_DEADLINE_MS).max().orElse(MOST_DEADLINE_MS);
+    endMs =
+        ANSWER_MS
+            + config.settings().classes().stream()
+                .mapToDouble(RequestClass::deadlineMs)
+                .map(ms -> ms > 0 ? Math.min(ms, MOST_DEADLINE_MS) : MOST_DEADLINE_MS)
+                .max()
+                .orElse(MOST_DEADLINE_MS);
     Tally tally = new Tally();
     Descriptors descriptors = config.descriptors();
     QuotaPolicy policy = new QuotaPolicy(config.settings(), config.seed());
-    BackendPool backends = new BackendPool(loop, transport, clock, tally, policy::banned,
-        descriptors.backends(), config.connectLimitMs(), config.idleLimitMs());
+    BackendPool backends =
+        new BackendPool(
+            loop,
+            transport,
+            clock,
+            tally,
+            policy::banned,
+            descriptors.backends(),
+            config.connectLimitMs(),
+            config.idleLimitMs());
     driver = new ModuleDriver(loop, clock, policy, backends, tally);
-    clients = new ClientServer(transport, clock, looks, driver, new RequestReader(config.settings()),
-        descriptors, tally,
-        () -> (discovery == null || discovery.caughtUp().isDone()) && backends.knowsAny());
+    clients =
+        new ClientServer(
+            transport,
+            clock,
+            looks,
+            driver,
+            new RequestReader(config.settings()),
+            descriptors,
+            tally,
+            () -> (discovery == null || discovery.caughtUp().isDone()) && backends.knowsAny());
     Config newest = replacing == null ? config : replacing;
-    counter = new CounterClient(loop, transport, clock, newest.counter(),
-        config.settings().allowed().countLimitMs(), tally, driver::onCounted);
+    counter =
+        new CounterClient(
+            loop,
+            transport,
+            clock,
+            newest.counter(),
+            config.settings().allowed().countLimitMs(),
+            tally,
+            driver::onCounted);
     if (newest.counter() != null) {
       counter.start();
     }
@@ -261,19 +323,40 @@
     }
     if (management != null) {
       follow(file.look());
-      loop.scheduleWithFixedDelay(() -> follow(file.look()), LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
+      loop.scheduleWithFixedDelay(
+          () -> follow(file.look()), LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
     }
     if (newest.discovery() != null) {
-      discovery = new DiscoveryClient(loop, transport, clock, newest.discovery(), config.known().version(),
-          tally, driver::onRoster);
+      discovery =
+          new DiscoveryClient(
+              loop,
+              transport,
+              clock,
+              newest.discovery(),
+              config.known().version(),
+              tally,
+              driver::onRoster);
       discovery.start();
     }
-    loop.scheduleWithFixedDelay(() -> tally.log("clients=" + clients.open() + " backends="
-        + backends.connections() + " held=" + driver.held() + ' ' + driver.figures()), TALLY_S, TALLY_S,
+    loop.scheduleWithFixedDelay(
+        () ->
+            tally.log(
+                "clients="
+                    + clients.open()
+                    + " backends="
+                    + backends.connections()
+                    + " held="
+                    + driver.held()
+                    + ' '
+                    + driver.figures()),
+        TALLY_S,
+        TALLY_S,
         TimeUnit.SECONDS);
   }
 
-  /** SIGHUP tells that the configuration was replaced; without a handler it would end the process. */
+  /**
+   * SIGHUP tells that the configuration was replaced; without a handler it would end the process.
+   */
   void reloadOnHangUp(Path file) {
     HangUp.reload(file, config -> loop.execute(() -> moveTo(config)));
   }
@@ -287,7 +370,8 @@
     if (counter != null && config.counter() != null) {
       counter.moveTo(config.counter());
     }
-    LOG.info(() -> "discovery is at " + config.discovery() + " now, the counter at " + config.counter());
+    LOG.info(
+        () -> "discovery is at " + config.discovery() + " now, the counter at " + config.counter());
   }
 
   private void serving() {
@@ -306,7 +390,9 @@
     }
   }
 
-  /** The planned end: accept a little longer, answer all that was taken, then let the process go. */
+  /**
+   * The planned end: accept a little longer, answer all that was taken, then let the process go.
+   */
   void end() {
     try {
       Future<Double> begun = loop.submit(this::beginEnd);
--- a/front/src/main/java/willowdoor/front/Main.java
+++ b/front/src/main/java/willowdoor/front/Main.java
@@ -6,8 +6,7 @@
 /** Runs the module as a real front door, or on the bench's wire over standard input and output. */
 public final class Main {
 
-  private Main() {
-  }
+  private Main() {}
 
   public static void main(String[] args) throws InterruptedException {
     String mode = args.length == 1 ? args[0] : "";
@@ -22,7 +21,8 @@
       }
     } catch (IOException | RuntimeException e) {
       String reason = String.valueOf(e.getMessage()).lines().findFirst().orElse("");
-      System.err.println("willowdoor: " + (mode.equals("serve") ? "cannot serve: " : "bad input: ") + reason);
+      System.err.println(
+          "willowdoor: " + (mode.equals("serve") ? "cannot serve: " : "bad input: ") + reason);
       System.exit(1);
     }
   }
--- a/front/src/main/java/willowdoor/front/clients/AnswerWriter.java
+++ b/front/src/main/java/willowdoor/front/clients/AnswerWriter.java
@@ -55,14 +55,18 @@
   }
 
   void goOn() {
-    channel.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE,
-        Unpooled.EMPTY_BUFFER));
+    channel.writeAndFlush(
+        new DefaultFullHttpResponse(
+            HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
   }
 
   /** A template server's answer; both are only lent, and the body is null where it is empty. */
   void served(HttpResponse from, ByteBuf body) {
-    DefaultFullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK,
-        body == null ? Unpooled.EMPTY_BUFFER : body.retain());
+    DefaultFullHttpResponse answer =
+        new DefaultFullHttpResponse(
+            HttpVersion.HTTP_1_1,
+            HttpResponseStatus.OK,
+            body == null ? Unpooled.EMPTY_BUFFER : body.retain());
     copyType(from, answer);
     write(answer);
   }
@@ -75,10 +79,15 @@
   }
 
   void refused(double holdOffMs) {
-    FullHttpResponse answer = empty(holdOffMs > 0 ? HttpResponseStatus.TOO_MANY_REQUESTS
-        : HttpResponseStatus.SERVICE_UNAVAILABLE);
+    FullHttpResponse answer =
+        empty(
+            holdOffMs > 0
+                ? HttpResponseStatus.TOO_MANY_REQUESTS
+                : HttpResponseStatus.SERVICE_UNAVAILABLE);
     if (holdOffMs > 0) {
-      answer.headers().set(HttpHeaderNames.RETRY_AFTER, String.format(Locale.ROOT, "%.3f", holdOffMs / 1000));
+      answer
+          .headers()
+          .set(HttpHeaderNames.RETRY_AFTER, String.format(Locale.ROOT, "%.3f", holdOffMs / 1000));
     }
     write(answer);
   }
@@ -138,7 +147,8 @@
   }
 
   void finish() {
-    channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT)
+    channel
+        .writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT)
         .addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
   }
 
--- a/front/src/main/java/willowdoor/front/clients/Arrival.java
+++ b/front/src/main/java/willowdoor/front/clients/Arrival.java
@@ -3,16 +3,18 @@
 import willowdoor.front.loop.Looks;
 
 /**
- * When the bytes that were last read from a client can have come at the earliest, as far as it was seen.
- * Where the connection was looked at, that is the look before. Where it was not, as nothing was asked of it,
- * that is the moment at which it was last known to be empty: when it was read, or when the answer before was
- * written, as a client sends one request at a time.
+ * When the bytes that were last read from a client can have come at the earliest, as far as it was
+ * seen. Where the connection was looked at, that is the look before. Where it was not, as nothing
+ * was asked of it, that is the moment at which it was last known to be empty: when it was read, or
+ * when the answer before was written, as a client sends one request at a time.
  */
 final class Arrival {
 
   private final Looks looks;
+
   /** Nothing that is still unread came before this. */
   private double emptyAt;
+
   private double cameAt;
   private boolean asked;
   private long askedAt;
--- a/front/src/main/java/willowdoor/front/clients/ClientConnection.java
+++ b/front/src/main/java/willowdoor/front/clients/ClientConnection.java
@@ -17,9 +17,9 @@
 import willowdoor.front.loop.Tally;
 
 /**
- * One client's connection: a request at a time, each with the one final answer. Requests written behind the
- * present one wait. What it reads comes from {@link ReadAhead}, what it answers goes through
- * {@link AnswerWriter}, and it is ended by {@link LingeringClose} alone.
+ * One client's connection: a request at a time, each with the one final answer. Requests written
+ * behind the present one wait. What it reads comes from {@link ReadAhead}, what it answers goes
+ * through {@link AnswerWriter}, and it is ended by {@link LingeringClose} alone.
  */
 final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> {
 
@@ -35,12 +35,16 @@
   private AnswerWriter answers;
   private Exchange exchange;
   private double openedAt;
+
   /** One connection too many: its first request is refused, and it ends. */
   private boolean over;
+
   /** A part was asked for that has not come. */
   private boolean wanted;
+
   /** The next request waits until there is room for its answer. */
   private boolean full;
+
   /** How many requests have come to their turn. */
   private long heads;
 
@@ -53,8 +57,9 @@
 
   /** The bytes' way to this and back. */
   ChannelHandler[] handlers() {
-    return new ChannelHandler[] {input, receiveLimit, decoder, new HttpResponseEncoder(),
-        new FlowControlHandler(), this};
+    return new ChannelHandler[] {
+      input, receiveLimit, decoder, new HttpResponseEncoder(), new FlowControlHandler(), this
+    };
   }
 
   double openedAt() {
@@ -154,7 +159,8 @@
   void next(boolean kept) {
     if (kept && (!input.overflowed() || begunBehind())) {
       server.answered(this);
-      // Not at once: answers that come at once would nest as deep as the requests behind each other.
+      // Not at once: answers that come at once would nest as deep as the requests behind each
+      // other.
       channel.eventLoop().execute(this::readNext);
     } else {
       end();
@@ -182,7 +188,10 @@
     return decoder.heads() > heads || decoder.begun() || input.holds();
   }
 
-  /** Answers what cannot be read any further, and lets the client read that before the connection ends. */
+  /**
+   * Answers what cannot be read any further, and lets the client read that before the connection
+   * ends.
+   */
   void endWith(HttpResponseStatus status, String reason) {
     exchange.release();
     boolean begun = exchange.answering();
--- a/front/src/main/java/willowdoor/front/clients/ClientServer.java
+++ b/front/src/main/java/willowdoor/front/clients/ClientServer.java
@@ -35,21 +35,29 @@
 public final class ClientServer {
 
   private static final Logger LOG = Logger.getLogger(ClientServer.class.getName());
+
   /** A client's connection on which nothing moves for so long ends. */
   private static final int IDLE_S = 30;
+
   /** A new connection is opened for a request: one without any after this gives way first. */
   private static final double SILENT_MS = 500;
+
   /**
-   * For so long after the beginning of a drain clients that are at work get their answer with the news that
-   * it is the last; new connections go on coming for the first 0.4 s. What is idle then is closed.
+   * For so long after the beginning of a drain clients that are at work get their answer with the
+   * news that it is the last; new connections go on coming for the first 0.4 s. What is idle then
+   * is closed.
    */
   private static final double PARTING_MS = 550;
+
   /** A connection that was made shortly before the end gets so long for its request. */
   private static final double FIRST_MS = 100;
+
   /** Idle connections are closed a few at a time: what came meanwhile is read in between. */
   private static final int CLOSED_AT_ONCE = 8;
+
   /** So many of those that might make room for a new connection are tried. */
   private static final int MOST_TRIED = 8;
+
   private static final int MOST_HELD = 400;
   private static final int MOST_HELD_BYTES = 8 << 20;
 
@@ -63,28 +71,51 @@
   private final RequestReader reader;
   private final Descriptors descriptors;
   private final Tally tally;
+
   /** Whether the list of template servers is as new as can be had, and names any. */
   private final BooleanSupplier listed;
+
   private final Set<ClientConnection> connections = new HashSet<>();
-  /** Those that are being closed, the first of them first: they give way where descriptors run out. */
+
+  /**
+   * Those that are being closed, the first of them first: they give way where descriptors run out.
+   */
   private final LinkedHashSet<ClientConnection> lingering = new LinkedHashSet<>();
-  /** Those of them that no request is on, the longest idle first: without a request so far, and after one. */
+
+  /**
+   * Those of them that no request is on, the longest idle first: without a request so far, and
+   * after one.
+   */
   private final LinkedHashSet<ClientConnection> fresh = new LinkedHashSet<>();
+
   private final LinkedHashSet<ClientConnection> idle = new LinkedHashSet<>();
   private int kept;
   private Channel listening;
+
   /** Whether the listening socket is the platform's, and other processes accept on it too. */
   private boolean shared;
+
   private boolean accepting = true;
   private boolean ready;
-  /** The two reasons for a drain: the operators', who may take it back, and the end of the process. */
+
+  /**
+   * The two reasons for a drain: the operators', who may take it back, and the end of the process.
+   */
   private boolean evacuated;
+
   private boolean ending;
   private double drainingSince;
   private final Rounds rounds = new Rounds();
 
-  public ClientServer(Transport transport, Clock clock, Looks looks, ModuleDriver driver,
-      RequestReader reader, Descriptors descriptors, Tally tally, BooleanSupplier listed) {
+  public ClientServer(
+      Transport transport,
+      Clock clock,
+      Looks looks,
+      ModuleDriver driver,
+      RequestReader reader,
+      Descriptors descriptors,
+      Tally tally,
+      BooleanSupplier listed) {
     this.transport = transport;
     this.clock = clock;
     this.looks = looks;
@@ -106,21 +137,28 @@
     shared = true;
     accepting = false;
     listening = socket;
-    return bootstrap(group).channelFactory(() -> socket).option(ChannelOption.AUTO_READ, false).register();
+    return bootstrap(group)
+        .channelFactory(() -> socket)
+        .option(ChannelOption.AUTO_READ, false)
+        .register();
   }
 
   private ServerBootstrap bootstrap(EventLoopGroup group) {
-    return transport.server(group)
+    return transport
+        .server(group)
         .childOption(ChannelOption.AUTO_READ, false)
         .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, Transport.QUEUE)
         .childOption(ChannelOption.RECVBUF_ALLOCATOR, Transport.piece())
-        .childHandler(new ChannelInitializer<Channel>() {
-          @Override
-          protected void initChannel(Channel channel) {
-            channel.pipeline().addLast(new IdleStateHandler(true, 0, 0, IDLE_S, TimeUnit.SECONDS))
-                .addLast(new ClientConnection(ClientServer.this, looks).handlers());
-          }
-        });
+        .childHandler(
+            new ChannelInitializer<Channel>() {
+              @Override
+              protected void initChannel(Channel channel) {
+                channel
+                    .pipeline()
+                    .addLast(new IdleStateHandler(true, 0, 0, IDLE_S, TimeUnit.SECONDS))
+                    .addLast(new ClientConnection(ClientServer.this, looks).handlers());
+              }
+            });
   }
 
   public void serve() {
@@ -135,7 +173,10 @@
     }
   }
 
-  /** Another process may be accepting on a shared socket: this one only stops to, and leaves it open. */
+  /**
+   * Another process may be accepting on a shared socket: this one only stops to, and leaves it
+   * open.
+   */
   private void stopAccepting() {
     accepting = false;
     if (shared) {
@@ -189,15 +230,17 @@
     return driver.held() >= MOST_HELD || driver.heldBytes() + kept >= MOST_HELD_BYTES;
   }
 
-  /** Counts bytes of requests that are still coming, which are kept until those go to the module. */
+  /**
+   * Counts bytes of requests that are still coming, which are kept until those go to the module.
+   */
   void keeps(int bytes) {
     kept += bytes;
   }
 
   /**
-   * Makes room by ending a connection without a request. True when there is none and the new one is one too
-   * many; far beyond that it ends at once, as descriptors run out. Those that are being closed hold half of
-   * what is left beyond the bound.
+   * Makes room by ending a connection without a request. True when there is none and the new one is
+   * one too many; far beyond that it ends at once, as descriptors run out. Those that are being
+   * closed hold half of what is left beyond the bound.
    */
   boolean opened(ClientConnection connection) {
     if (connections.size() >= descriptors.clients()) {
@@ -220,7 +263,9 @@
     return over;
   }
 
-  /** Those on which something has come in this very moment go last, those with a whole request stay. */
+  /**
+   * Those on which something has come in this very moment go last, those with a whole request stay.
+   */
   private void evict() {
     ClientConnection begun = null;
     ClientConnection spare = spare();
@@ -239,7 +284,10 @@
     }
   }
 
-  /** One that has sent nothing though it had the time to, or else the longest idle, or the first to come. */
+  /**
+   * One that has sent nothing though it had the time to, or else the longest idle, or the first to
+   * come.
+   */
   private ClientConnection spare() {
     ClientConnection first = fresh.isEmpty() ? null : fresh.iterator().next();
     boolean silent = first != null && clock.now() - first.openedAt() > SILENT_MS;
@@ -290,9 +338,9 @@
   }
 
   /**
-   * The planned end: as a drain that begins now, also where the operators' has been on for long, and no new
-   * connections are taken: from now on where another process takes them, else once those on their way have
-   * come.
+   * The planned end: as a drain that begins now, also where the operators' has been on for long,
+   * and no new connections are taken: from now on where another process takes them, else once those
+   * on their way have come.
    */
   public void end() {
     if (ending) {
@@ -316,7 +364,9 @@
     }
     double silentBefore = now - (ending ? FIRST_MS : SILENT_MS);
     Stream.concat(idle.stream(), fresh.stream().takeWhile(c -> c.openedAt() < silentBefore))
-        .filter(ClientConnection::waits).limit(CLOSED_AT_ONCE).toList()
+        .filter(ClientConnection::waits)
+        .limit(CLOSED_AT_ONCE)
+        .toList()
         .forEach(ClientConnection::closeIfIdle);
   }
 
--- a/front/src/main/java/willowdoor/front/clients/Exchange.java
+++ b/front/src/main/java/willowdoor/front/clients/Exchange.java
@@ -23,14 +23,17 @@
 import willowdoor.front.requests.Outgoing;
 
 /**
- * The request that a client's connection is at, from its head on until it is read and answered: takes it to
- * the module and writes the one final answer. Owns what is kept of its body until that goes to the module.
+ * The request that a client's connection is at, from its head on until it is read and answered:
+ * takes it to the module and writes the one final answer. Owns what is kept of its body until that
+ * goes to the module.
  */
 final class Exchange implements ModuleDriver.Client {
 
   private static final Logger LOG = Logger.getLogger(Exchange.class.getName());
+
   /** So much of a body is kept until no further attempt may need it. */
   private static final int PREFIX = 64 * 1024;
+
   private static final long MOST_BODY = 48L << 20;
 
   private final ClientServer server;
@@ -38,21 +41,38 @@
   private final Channel channel;
   private final Arrival arrival;
   private final AnswerWriter answers;
-  /** The request that is being read or answered, null between requests, and its target in origin form. */
+
+  /**
+   * The request that is being read or answered, null between requests, and its target in origin
+   * form.
+   */
   private HttpRequest head;
+
   private String target;
   private Asked asked;
-  /** Its body has not ended; the bytes of it so far; those that are kept; and where the rest goes. */
+
+  /**
+   * Its body has not ended; the bytes of it so far; those that are kept; and where the rest goes.
+   */
   private boolean receiving;
+
   private long bodyBytes;
   private ByteBuf prefix = Unpooled.EMPTY_BUFFER;
   private Outgoing onward;
-  /** Its id while the module works on it, and whether its answer is under way, or written in whole. */
+
+  /**
+   * Its id while the module works on it, and whether its answer is under way, or written in whole.
+   */
   private String current;
+
   private Attempt.Carrier answering;
   private boolean answered;
 
-  Exchange(ClientServer server, ClientConnection connection, Channel channel, Arrival arrival,
+  Exchange(
+      ClientServer server,
+      ClientConnection connection,
+      Channel channel,
+      Arrival arrival,
       AnswerWriter answers) {
     this.server = server;
     this.connection = connection;
@@ -176,7 +196,10 @@
     return kept;
   }
 
-  /** A fault of ours costs this request, not the connection or the process; its cause goes to the log. */
+  /**
+   * A fault of ours costs this request, not the connection or the process; its cause goes to the
+   * log.
+   */
   void faulty(RuntimeException cause) {
     LOG.log(Level.SEVERE, "request failed", cause);
     if (current != null && answering == null) {
@@ -189,8 +212,10 @@
 
   private void up() {
     boolean get = head.method().equals(HttpMethod.GET);
-    answer(!get ? HttpResponseStatus.METHOD_NOT_ALLOWED
-        : server.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE);
+    answer(
+        !get
+            ? HttpResponseStatus.METHOD_NOT_ALLOWED
+            : server.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE);
   }
 
   /** Hands the request to the module: whole, or with as much of its body as can be kept. */
@@ -202,14 +227,24 @@
       return;
     }
     HttpHeaders headers = DefaultHttpHeadersFactory.headersFactory().newHeaders();
-    for (CharSequence name : new CharSequence[] {HttpHeaderNames.HOST, Headers.REQUEST_ID,
-        Headers.REQUEST_CLASS, Headers.IDEMPOTENCY_KEY, HttpHeaderNames.CONTENT_TYPE}) {
+    for (CharSequence name :
+        new CharSequence[] {
+          HttpHeaderNames.HOST,
+          Headers.REQUEST_ID,
+          Headers.REQUEST_CLASS,
+          Headers.IDEMPOTENCY_KEY,
+          HttpHeaderNames.CONTENT_TYPE
+        }) {
       String value = head.headers().get(name);
       if (value != null) {
         headers.set(name, value);
       }
     }
-    Outgoing.frame(headers, head.headers(), whole, prefix.readableBytes(),
+    Outgoing.frame(
+        headers,
+        head.headers(),
+        whole,
+        prefix.readableBytes(),
         head.method().equals(HttpMethod.POST));
     ByteBuf kept = takePrefix();
     onward = new Outgoing(head.method(), target, headers, kept, whole, this::more);
--- a/front/src/main/java/willowdoor/front/clients/LingeringClose.java
+++ b/front/src/main/java/willowdoor/front/clients/LingeringClose.java
@@ -9,13 +9,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Ends a client's connection so that the client gets all that was written: a close over bytes that are not
- * read resets the connection, which may take the last answer with it. So the sending ends first; what still
- * comes is read and dropped until the client has ended its side, too, or a bound passes.
+ * Ends a client's connection so that the client gets all that was written: a close over bytes that
+ * are not read resets the connection, which may take the last answer with it. So the sending ends
+ * first; what still comes is read and dropped until the client has ended its side, too, or a bound
+ * passes.
  */
 final class LingeringClose {
 
-  /** So long the client has to end its side: a peer that is there does so within some round trips. */
+  /**
+   * So long the client has to end its side: a peer that is there does so within some round trips.
+   */
   static final long LINGER_MS = 500;
 
   private final Channel channel;
@@ -40,7 +43,8 @@
     if (!begun) {
       begun = true;
       input.drop();
-      channel.writeAndFlush(Unpooled.EMPTY_BUFFER)
+      channel
+          .writeAndFlush(Unpooled.EMPTY_BUFFER)
           .addListener((ChannelFuture f) -> endSending(f.isSuccess()));
     }
   }
--- a/front/src/main/java/willowdoor/front/clients/ReadAhead.java
+++ b/front/src/main/java/willowdoor/front/clients/ReadAhead.java
@@ -12,10 +12,10 @@
 import willowdoor.front.loop.Looks;
 
 /**
- * Reads a client's connection, also while nobody asks for more: only what is read to its end shows that the
- * client has left. What comes behind a request is kept for its turn, as much as the next request may have.
- * Of more than that the rest is dropped, as clients send one request at a time: the connection ends once what
- * is kept is answered. A body that nobody takes is left unread.
+ * Reads a client's connection, also while nobody asks for more: only what is read to its end shows
+ * that the client has left. What comes behind a request is kept for its turn, as much as the next
+ * request may have. Of more than that the rest is dropped, as clients send one request at a time:
+ * the connection ends once what is kept is answered. A body that nobody takes is left unread.
  *
  * <p>Owns the bytes that it keeps, until they are asked for or the connection ends.
  */
@@ -23,16 +23,21 @@
 
   /** The longest body of the protocol, and the longest head that is read. */
   static final int MOST_AHEAD = 64 * 1024 + 24 * 1024;
+
   private static final int LAST_READ = 16 * 1024;
 
   private final Looks looks;
   private final Arrival arrival;
+
   /** Whether the rest of a body comes next, which waits in the socket until it is asked for. */
   private final BooleanSupplier insideBody;
+
   private final IntConsumer counts;
   private ChannelHandlerContext context;
+
   /** Whether the connection is asked for more, and whether this is. */
   private boolean asked;
+
   private boolean wanted;
   private boolean passing;
   private ByteBuf ahead = Unpooled.EMPTY_BUFFER;
@@ -109,13 +114,15 @@
   }
 
   /**
-   * A read that was not asked for, or a second one of the same look, comes from epoll alone: the client has
-   * ended its sending, or reset the connection. It has gone, and what is left is not read to find that out.
+   * A read that was not asked for, or a second one of the same look, comes from epoll alone: the
+   * client has ended its sending, or reset the connection. It has gone, and what is left is not
+   * read to find that out.
    */
   @Override
   public void channelRead(ChannelHandlerContext ctx, Object message) {
     ByteBuf bytes = (ByteBuf) message;
-    boolean ended = ctx.channel() instanceof EpollSocketChannel && (!asked || lastLook == looks.count());
+    boolean ended =
+        ctx.channel() instanceof EpollSocketChannel && (!asked || lastLook == looks.count());
     lastLook = looks.count();
     asked = false;
     if (dropping) {
@@ -164,8 +171,8 @@
   }
 
   /**
-   * Reads once more what came since the loop last looked; true when that was anything, or the end. Tells
-   * nothing where the transport has no way to.
+   * Reads once more what came since the loop last looked; true when that was anything, or the end.
+   * Tells nothing where the transport has no way to.
    */
   boolean lastRead() {
     if (holds()) {
--- a/front/src/main/java/willowdoor/front/clients/ReceiveLimit.java
+++ b/front/src/main/java/willowdoor/front/clients/ReceiveLimit.java
@@ -7,16 +7,22 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Bounds the time that a client takes to send a request. Its head: the first one from the connect on, so that
- * a silent peer does not hold a descriptor, each later one from its first bytes on; more bytes do not extend
- * it. Its body: the time in which the client is waited for, which grows with the bytes that come.
+ * Bounds the time that a client takes to send a request. Its head: the first one from the connect
+ * on, so that a silent peer does not hold a descriptor, each later one from its first bytes on;
+ * more bytes do not extend it. Its body: the time in which the client is waited for, which grows
+ * with the bytes that come.
  */
 final class ReceiveLimit extends ChannelInboundHandlerAdapter {
 
-  /** A peer without a proper request is owed an error or a close within 3 s; a proper one may take 2 s. */
+  /**
+   * A peer without a proper request is owed an error or a close within 3 s; a proper one may take 2
+   * s.
+   */
   private static final long LIMIT_MS = 2_500;
+
   /** Half the pace that is asked of clients. */
   private static final double LEAST_BYTES_PER_MS = 32;
+
   private static final long BODY_STEP_MS = 500;
 
   private final Runnable overdue;
@@ -24,8 +30,13 @@
   private Future<?> timer;
   private boolean insideBody;
   private boolean partial;
-  /** Of the body that is being read: its bytes, the time waited for them, and since when it is waited now. */
+
+  /**
+   * Of the body that is being read: its bytes, the time waited for them, and since when it is
+   * waited now.
+   */
   private long bytes;
+
   private double waitedMs;
   private double waitsSince = Double.NaN;
 
@@ -103,8 +114,9 @@
   }
 
   private boolean late() {
-    return !insideBody || !Double.isNaN(waitsSince)
-        && waitedMs + now() - waitsSince > LIMIT_MS + bytes / LEAST_BYTES_PER_MS;
+    return !insideBody
+        || !Double.isNaN(waitsSince)
+            && waitedMs + now() - waitsSince > LIMIT_MS + bytes / LEAST_BYTES_PER_MS;
   }
 
   private static double now() {
@@ -112,14 +124,20 @@
   }
 
   private void arm(long ms) {
-    timer = context.executor().schedule(() -> {
-      timer = null;
-      if (late()) {
-        overdue.run();
-      } else {
-        arm(BODY_STEP_MS);
-      }
-    }, ms, TimeUnit.MILLISECONDS);
+    timer =
+        context
+            .executor()
+            .schedule(
+                () -> {
+                  timer = null;
+                  if (late()) {
+                    overdue.run();
+                  } else {
+                    arm(BODY_STEP_MS);
+                  }
+                },
+                ms,
+                TimeUnit.MILLISECONDS);
   }
 
   private void disarm() {
--- a/front/src/main/java/willowdoor/front/clients/RequestDecoder.java
+++ b/front/src/main/java/willowdoor/front/clients/RequestDecoder.java
@@ -7,7 +7,9 @@
 import io.netty.handler.codec.http.HttpRequestDecoder;
 import java.util.List;
 
-/** Refuses requests whose end could be told in two ways, and tells what has come ahead of its turn. */
+/**
+ * Refuses requests whose end could be told in two ways, and tells what has come ahead of its turn.
+ */
 final class RequestDecoder extends HttpRequestDecoder {
 
   private static final int MOST_LINE = 8_192;
--- a/front/src/main/java/willowdoor/front/clients/RequestReader.java
+++ b/front/src/main/java/willowdoor/front/clients/RequestReader.java
@@ -12,10 +12,14 @@
 import willowdoor.policy.GatewayApi.RequestClass;
 import willowdoor.policy.GatewayApi.Settings;
 
-/** Reads a client's message as a request for the module; what is not one is refused here with its reason. */
+/**
+ * Reads a client's message as a request for the module; what is not one is refused here with its
+ * reason.
+ */
 public final class RequestReader {
 
   private static final int MOST_ID = 128;
+
   /** The longest time that a request may take where its class tells none. */
   private static final double MOST_TIMEOUT_MS = 3_600_000;
 
@@ -66,7 +70,9 @@
     return quota(text(headers, Headers.QUOTA), id, type.name(), plan, customer, timeout);
   }
 
-  /** How long the client will wait: no longer than any client of the class does over all its tries. */
+  /**
+   * How long the client will wait: no longer than any client of the class does over all its tries.
+   */
   private static double timeout(HttpHeaders headers, RequestClass type) throws BadRequest {
     Iterator<String> values = headers.valueStringIterator(Headers.TIMEOUT_MS);
     String text = values.hasNext() ? values.next() : "";
@@ -88,7 +94,8 @@
   }
 
   /** The field {@code units=2,spread=3,first=1}. */
-  private Asked quota(String field, String id, String type, String plan, long customer, double timeoutMs)
+  private Asked quota(
+      String field, String id, String type, String plan, long customer, double timeoutMs)
       throws BadRequest {
     long units = 0;
     long spread = gateways;
@@ -99,7 +106,7 @@
       switch (name) {
         case "units" -> units = number(value, 10, Headers.QUOTA);
         case "spread" -> spread = number(value, 10, Headers.QUOTA);
-        default -> { }
+        default -> {}
       }
     }
     if (units <= 0 || spread <= 0) {
@@ -108,7 +115,9 @@
     return new Asked(id, type, plan, customer, (int) Math.min(spread, gateways), units, timeoutMs);
   }
 
-  /** The target as a server is asked for it: clients may name the host in it as they do to a proxy. */
+  /**
+   * The target as a server is asked for it: clients may name the host in it as they do to a proxy.
+   */
   static String originForm(String target) {
     String scheme = "http://";
     if (!target.regionMatches(true, 0, scheme, 0, scheme.length())) {
--- a/front/src/main/java/willowdoor/front/clients/Rounds.java
+++ b/front/src/main/java/willowdoor/front/clients/Rounds.java
@@ -1,9 +1,10 @@
 package willowdoor.front.clients;
 
 /**
- * Which rounds of a drain act. A round closes what no request seems to be on, and after a pause of this
- * process requests have come that were not read: so the first round behind one leaves all as it is, and what
- * came is accepted and read before the next. Of two rounds in a row one acts, however busy the process is.
+ * Which rounds of a drain act. A round closes what no request seems to be on, and after a pause of
+ * this process requests have come that were not read: so the first round behind one leaves all as
+ * it is, and what came is accepted and read before the next. Of two rounds in a row one acts,
+ * however busy the process is.
  */
 final class Rounds {
 
--- a/front/src/main/java/willowdoor/front/counter/CounterClient.java
+++ b/front/src/main/java/willowdoor/front/counter/CounterClient.java
@@ -27,23 +27,31 @@
 import willowdoor.policy.GatewayApi.Status;
 
 /**
- * Calls to the counter, pipelined on a few kept connections. A call goes to the connection with the fewest
- * answers owed, so that one slow part of the counter holds up only what already waits behind it; calls for
- * one name keep their order.
+ * Calls to the counter, pipelined on a few kept connections. A call goes to the connection with the
+ * fewest answers owed, so that one slow part of the counter holds up only what already waits behind
+ * it; calls for one name keep their order.
  */
 public final class CounterClient implements ModuleDriver.Calls {
 
   private static final int CONNECTIONS = 12;
+
   /** Answers that one connection may owe; beyond that a call is turned away here. */
   private static final int MOST_OWED = 256;
+
   private static final int MOST_LINE = 256;
   private static final long SWEEP_MS = 100;
-  /** A connection silent for so many limits of a call, though it owes an answer, is taken for dead. */
+
+  /**
+   * A connection silent for so many limits of a call, though it owes an answer, is taken for dead.
+   */
   private static final double SILENT_LIMITS = 12;
+
   /** An idle connection is pinged this often: it stays open, and a dead one shows. */
   private static final double PING_MS = 3_000;
+
   /** A timer so much late shows that this process was held up. */
   private static final double HELD_UP_MS = 5;
+
   private static final double LEAST_BACKOFF_MS = 50;
   private static final double MOST_BACKOFF_MS = 400;
 
@@ -69,23 +77,34 @@
   private final Consumer<Counted> listener;
   private final Bootstrap bootstrap;
   private Link[] links = {};
-  /** Connections to the address before: they end once those to the new one are up and nothing is owed. */
+
+  /**
+   * Connections to the address before: they end once those to the new one are up and nothing is
+   * owed.
+   */
   private Link[] leaving = {};
+
   /** Calls in the order of their starts, and so of their limits. */
   private final ArrayDeque<Call> pending = new ArrayDeque<>();
+
   private final Map<String, Call> lastOfName = new HashMap<>();
   private boolean watching;
 
-  public CounterClient(EventLoop loop, Transport transport, Clock clock, SocketAddress counter,
-      double limitMs, Tally tally, Consumer<Counted> listener) {
+  public CounterClient(
+      EventLoop loop,
+      Transport transport,
+      Clock clock,
+      SocketAddress counter,
+      double limitMs,
+      Tally tally,
+      Consumer<Counted> listener) {
     this.loop = loop;
     this.counter = counter;
     this.clock = clock;
     this.limitMs = limitMs;
     this.tally = tally;
     this.listener = listener;
-    bootstrap = transport.client(loop)
-        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 250);
+    bootstrap = transport.client(loop).option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 250);
   }
 
   public void start() {
@@ -102,7 +121,10 @@
     return opened;
   }
 
-  /** From now on the counter is at another address. What is owed at the old one may still be answered. */
+  /**
+   * From now on the counter is at another address. What is owed at the old one may still be
+   * answered.
+   */
   public void moveTo(SocketAddress counter) {
     if (counter.equals(this.counter)) {
       return;
@@ -130,7 +152,8 @@
     }
     lastOfName.put(name, call);
     pending.add(call);
-    link.send(call, "incr " + name + ' ' + plain(amount) + ' ' + Math.max(1, (long) ttlMs) + "\r\n");
+    link.send(
+        call, "incr " + name + ' ' + plain(amount) + ' ' + Math.max(1, (long) ttlMs) + "\r\n");
     watchLimit();
   }
 
@@ -169,13 +192,14 @@
       watching = true;
       double dueAt = pending.peekFirst().startedAt + limitMs;
       double left = Math.max(0, dueAt - clock.now());
-      loop.schedule(() -> limitReached(dueAt), (long) Math.ceil(left * 1000), TimeUnit.MICROSECONDS);
+      loop.schedule(
+          () -> limitReached(dueAt), (long) Math.ceil(left * 1000), TimeUnit.MICROSECONDS);
     }
   }
 
   /**
-   * A process that was held up itself reads first what came meanwhile: a limit that passed unseen tells
-   * nothing of the counter.
+   * A process that was held up itself reads first what came meanwhile: a limit that passed unseen
+   * tells nothing of the counter.
    */
   private void limitReached(double dueAt) {
     if (clock.now() - dueAt > HELD_UP_MS) {
@@ -188,7 +212,8 @@
   private void giveUpOverdue() {
     watching = false;
     double now = clock.now();
-    for (Call c = pending.peekFirst(); c != null && (c.done || c.startedAt + limitMs <= now);
+    for (Call c = pending.peekFirst();
+        c != null && (c.done || c.startedAt + limitMs <= now);
         c = pending.peekFirst()) {
       finish(pending.pollFirst(), Status.TIMED_OUT, 0);
     }
@@ -215,9 +240,12 @@
     private final ArrayDeque<Call> owed = new ArrayDeque<>();
     private Channel channel;
     private double heardAt;
+
     /** Junk came: lines that were read with it are not answers to what is owed. */
     private boolean outOfStep;
+
     private double backoffMs = LEAST_BACKOFF_MS;
+
     /** The counter has moved: this connection is not opened again. */
     private boolean left;
 
@@ -235,16 +263,18 @@
       if (left) {
         return;
       }
-      Transport.whenConnected(bootstrap.clone().handler(this).connect(counter), f -> {
-        if (f.isSuccess() && left) {
-          f.channel().close();
-        } else if (f.isSuccess()) {
-          channel = f.channel();
-          heardAt = clock.now();
-        } else {
-          later();
-        }
-      });
+      Transport.whenConnected(
+          bootstrap.clone().handler(this).connect(counter),
+          f -> {
+            if (f.isSuccess() && left) {
+              f.channel().close();
+            } else if (f.isSuccess()) {
+              channel = f.channel();
+              heardAt = clock.now();
+            } else {
+              later();
+            }
+          });
     }
 
     private void later() {
@@ -277,22 +307,25 @@
 
     @Override
     protected void initChannel(Channel ch) {
-      ch.pipeline().addLast(new LineBasedFrameDecoder(MOST_LINE), new SimpleChannelInboundHandler<ByteBuf>() {
-        @Override
-        protected void channelRead0(ChannelHandlerContext ctx, ByteBuf line) {
-          answered(line.toString(StandardCharsets.US_ASCII));
-        }
+      ch.pipeline()
+          .addLast(
+              new LineBasedFrameDecoder(MOST_LINE),
+              new SimpleChannelInboundHandler<ByteBuf>() {
+                @Override
+                protected void channelRead0(ChannelHandlerContext ctx, ByteBuf line) {
+                  answered(line.toString(StandardCharsets.US_ASCII));
+                }
 
-        @Override
-        public void channelInactive(ChannelHandlerContext ctx) {
-          lost();
-        }
+                @Override
+                public void channelInactive(ChannelHandlerContext ctx) {
+                  lost();
+                }
 
-        @Override
-        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-          ctx.close();
-        }
-      });
+                @Override
+                public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+                  ctx.close();
+                }
+              });
     }
 
     private void answered(String line) {
--- a/front/src/main/java/willowdoor/front/discovery/DiscoveryClient.java
+++ b/front/src/main/java/willowdoor/front/discovery/DiscoveryClient.java
@@ -33,8 +33,8 @@
 import willowdoor.front.loop.Transport;
 
 /**
- * The sockets of the watch of the list, which {@link Watch} decides on; while there is none the last list
- * stays in use. All on the event loop's thread.
+ * The sockets of the watch of the list, which {@link Watch} decides on; while there is none the
+ * last list stays in use. All on the event loop's thread.
  */
 public final class DiscoveryClient {
 
@@ -49,11 +49,18 @@
   private final Watch watch;
   private final Promise<Void> caughtUp;
   private InetSocketAddress agent;
+
   /** The present try's; null between tries. */
   private Channel channel;
 
-  public DiscoveryClient(EventLoop loop, Transport transport, Clock clock, InetSocketAddress agent,
-      long version, Tally tally, Consumer<RosterNews> listener) {
+  public DiscoveryClient(
+      EventLoop loop,
+      Transport transport,
+      Clock clock,
+      InetSocketAddress agent,
+      long version,
+      Tally tally,
+      Consumer<RosterNews> listener) {
     this.loop = loop;
     this.clock = clock;
     this.agent = agent;
@@ -61,19 +68,22 @@
     this.listener = listener;
     caughtUp = loop.newPromise();
     watch = new Watch(version, () -> ThreadLocalRandom.current().nextDouble());
-    bootstrap = transport.client(loop)
-        .handler(new ChannelInitializer<Channel>() {
-          @Override
-          protected void initChannel(Channel opened) {
-            opened.pipeline().addLast(new HttpClientCodec(), new Answer());
-          }
-        });
+    bootstrap =
+        transport
+            .client(loop)
+            .handler(
+                new ChannelInitializer<Channel>() {
+                  @Override
+                  protected void initChannel(Channel opened) {
+                    opened.pipeline().addLast(new HttpClientCodec(), new Answer());
+                  }
+                });
   }
 
   public void start() {
     take(() -> watch.start(clock.now()));
-    loop.scheduleWithFixedDelay(() -> take(() -> watch.look(clock.now())), LOOK_MS, LOOK_MS,
-        TimeUnit.MILLISECONDS);
+    loop.scheduleWithFixedDelay(
+        () -> take(() -> watch.look(clock.now())), LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
   }
 
   /** Comes to pass once the list is as new as can be had. */
@@ -87,7 +97,10 @@
     take(() -> watch.moved(clock.now()));
   }
 
-  /** Carries out what the watch decides on; a fault in that costs the present try, and never the looks. */
+  /**
+   * Carries out what the watch decides on; a fault in that costs the present try, and never the
+   * looks.
+   */
   private void take(Supplier<List<Watch.Effect>> decision) {
     try {
       decision.get().forEach(this::execute);
@@ -122,21 +135,29 @@
     ChannelFuture connect = bootstrap.connect(agent);
     Channel opened = connect.channel();
     channel = opened;
-    Transport.whenConnected(connect, f -> {
-      if (opened != channel) {
-        opened.close();
-      } else if (!f.isSuccess()) {
-        take(() -> watch.ended(clock.now()));
-      } else {
-        opened.closeFuture().addListener(closed -> ended(opened));
-        DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
-            "/discovery/hosts?stream=1&index=" + version);
-        request.headers().set(HttpHeaderNames.HOST,
-            agent.getAddress().getHostAddress() + ":" + agent.getPort());
-        watch.connected(clock.now());
-        opened.writeAndFlush(request);
-      }
-    });
+    Transport.whenConnected(
+        connect,
+        f -> {
+          if (opened != channel) {
+            opened.close();
+          } else if (!f.isSuccess()) {
+            take(() -> watch.ended(clock.now()));
+          } else {
+            opened.closeFuture().addListener(closed -> ended(opened));
+            DefaultFullHttpRequest request =
+                new DefaultFullHttpRequest(
+                    HttpVersion.HTTP_1_1,
+                    HttpMethod.GET,
+                    "/discovery/hosts?stream=1&index=" + version);
+            request
+                .headers()
+                .set(
+                    HttpHeaderNames.HOST,
+                    agent.getAddress().getHostAddress() + ":" + agent.getPort());
+            watch.connected(clock.now());
+            opened.writeAndFlush(request);
+          }
+        });
   }
 
   /** A try that was given up ends without consequence. */
@@ -146,7 +167,10 @@
     }
   }
 
-  /** Passes on the bytes of the answer's body, in which lines, objects and chunks end where they like. */
+  /**
+   * Passes on the bytes of the answer's body, in which lines, objects and chunks end where they
+   * like.
+   */
   private final class Answer extends SimpleChannelInboundHandler<HttpObject> {
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
--- a/front/src/main/java/willowdoor/front/discovery/ListScanner.java
+++ b/front/src/main/java/willowdoor/front/discovery/ListScanner.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * Cuts what a watch brings into whole JSON objects, however they are laid out over lines and over reads. What
- * stands between them is white space: the empty lines that show that the watch lives.
+ * Cuts what a watch brings into whole JSON objects, however they are laid out over lines and over
+ * reads. What stands between them is white space: the empty lines that show that the watch lives.
  */
 final class ListScanner {
 
@@ -60,7 +60,10 @@
     return depth > 0;
   }
 
-  /** Whether something came that is neither an object nor white space, or an object beyond all bounds. */
+  /**
+   * Whether something came that is neither an object nor white space, or an object beyond all
+   * bounds.
+   */
   boolean junk() {
     return junk;
   }
--- a/front/src/main/java/willowdoor/front/discovery/RosterNews.java
+++ b/front/src/main/java/willowdoor/front/discovery/RosterNews.java
@@ -15,12 +15,16 @@
 import willowdoor.wire.Address;
 import willowdoor.wire.JsonFields;
 
-/** One message of discovery: the entries for the module, and where each backend listens, seen from here. */
-public record RosterNews(long version, boolean full, List<BackendEntry> entries,
-    Map<Long, SocketAddress> places) {
+/**
+ * One message of discovery: the entries for the module, and where each backend listens, seen from
+ * here.
+ */
+public record RosterNews(
+    long version, boolean full, List<BackendEntry> entries, Map<Long, SocketAddress> places) {
 
   private static final JsonFactory JSON = new JsonFactory();
   private static final int MOST_BACKENDS = 10_000;
+
   /** Every machine reads the same clock, and each a little differently. */
   private static final double MOST_AHEAD_MS = 60_000;
 
@@ -28,13 +32,15 @@
    * Reads what discovery has told.
    *
    * @param now Unix time in milliseconds: a backend cannot have started much later than that
-   * @throws IOException where it is not as the protocol has it in any part: then none of it is to be believed
+   * @throws IOException where it is not as the protocol has it in any part: then none of it is to
+   *     be believed
    */
   public static RosterNews parse(byte[] line, double now) throws IOException {
     try (JsonParser in = JSON.createParser(line)) {
       in.nextToken();
       Map<String, Object> message = JsonFields.object(in);
-      if (!(message.get("version") instanceof Long version) || version < 0
+      if (!(message.get("version") instanceof Long version)
+          || version < 0
           || !(message.get("servers") instanceof List)) {
         throw new IOException("a message without a version or a list of servers");
       }
@@ -71,8 +77,11 @@
       }
       entries.add(entry);
     }
-    return new RosterNews((long) JsonFields.number(message, "version"),
-        Boolean.TRUE.equals(message.get("full")), entries, places);
+    return new RosterNews(
+        (long) JsonFields.number(message, "version"),
+        Boolean.TRUE.equals(message.get("full")),
+        entries,
+        places);
   }
 
   private static BackendEntry entry(Map<String, Object> fields) throws IOException {
@@ -80,20 +89,27 @@
     if (id.isEmpty()) {
       throw new IOException("a backend without an id");
     }
-    Phase phase = switch (JsonFields.text(fields, "state")) {
-      case "active" -> Phase.SERVING;
-      case "left" -> Phase.REMOVED;
-      default -> Phase.DRAINING;
-    };
+    Phase phase =
+        switch (JsonFields.text(fields, "state")) {
+          case "active" -> Phase.SERVING;
+          case "left" -> Phase.REMOVED;
+          default -> Phase.DRAINING;
+        };
     double weight = amount(fields, "weight", 1);
     if (weight < 0) {
       throw new IOException("a backend with a weight below nothing: " + id);
     }
-    return new BackendEntry(number(id), JsonFields.text(fields, "zone"), (int) amount(fields, "cell", 0),
-        phase, weight, amount(fields, "started_ms", 0));
+    return new BackendEntry(
+        number(id),
+        JsonFields.text(fields, "zone"),
+        (int) amount(fields, "cell", 0),
+        phase,
+        weight,
+        amount(fields, "started_ms", 0));
   }
 
-  private static double amount(Map<String, Object> fields, String name, double absent) throws IOException {
+  private static double amount(Map<String, Object> fields, String name, double absent)
+      throws IOException {
     Object told = fields.get(name);
     double amount = JsonFields.number(fields, name, absent);
     if (told != null && !(told instanceof Number) || !Double.isFinite(amount)) {
@@ -102,7 +118,9 @@
     return amount;
   }
 
-  /** A backend's name as the number that the module knows it by: FNV-1a, alike at every front door. */
+  /**
+   * A backend's name as the number that the module knows it by: FNV-1a, alike at every front door.
+   */
   public static long number(String id) {
     long hash = 0xcbf29ce484222325L;
     for (byte b : id.getBytes(StandardCharsets.UTF_8)) {
--- a/front/src/main/java/willowdoor/front/discovery/Watch.java
+++ b/front/src/main/java/willowdoor/front/discovery/Watch.java
@@ -9,94 +9,129 @@
 import willowdoor.front.discovery.Watch.Effect.Open;
 
 /**
- * When the watch of the list is opened, taken for broken and opened anew: one try at a time. Times are
- * milliseconds on one clock that never goes back; it reads none, and does nothing but tell what to do, in
- * order.
+ * When the watch of the list is opened, taken for broken and opened anew: one try at a time. Times
+ * are milliseconds on one clock that never goes back; it reads none, and does nothing but tell what
+ * to do, in order.
  *
- * <p>The platform's terms: what a silent watch misses counts as told 6 s after it fell silent, what the agent
- * has counts at once otherwise, and 4 s after SIGHUP what the next address has. The table "The list's clock"
- * in docs/design.md adds up what is spent of that.
+ * <p>The platform's terms: what a silent watch misses counts as told 6 s after it fell silent, what
+ * the agent has counts at once otherwise, and 4 s after SIGHUP what the next address has. The table
+ * "The list's clock" in docs/design.md adds up what is spent of that.
  *
- * <p>A limit ends a try only at the second look in a row that finds it passed: between two looks all that has
- * come is read, so a pause of this process is not taken for the agent's silence.
+ * <p>A limit ends a try only at the second look in a row that finds it passed: between two looks
+ * all that has come is read, so a pause of this process is not taken for the agent's silence.
  */
 final class Watch {
 
   /**
-   * The agent is on this machine and answers at once: a connect, the answer's head, and each further part of
-   * an object that has begun or is owed follow within this.
+   * The agent is on this machine and answers at once: a connect, the answer's head, and each
+   * further part of an object that has begun or is owed follow within this.
    */
   static final double ANSWER_MS = 500;
+
   /** Empty lines come every 2 s: a watch on which nothing came for so long is broken. */
   static final double SILENT_MS = 2_500;
-  /** An object that drips in is waited for no longer than this after the last whole line of the watch. */
+
+  /**
+   * An object that drips in is waited for no longer than this after the last whole line of the
+   * watch.
+   */
   static final double WHOLE_MS = 4_200;
+
   /** An object that is owed is to be whole so long after its try began. */
   static final double OWED_MS = 1_500;
+
   /** The same where objects have dripped in for two tries in a row: this agent may be that slow. */
   static final double SLOW_MS = 3_500;
+
   /** A watch that broke is opened again after about this. */
   static final double AGAIN_MS = 50;
+
   /** Tries that fail follow each other at about this distance, from one opening to the next. */
   static final double APART_MS = 400;
+
   /**
-   * Before the first word the list may be as old as the configuration's. The agent tells what changed since
-   * right behind its answer's head, if anything did.
+   * Before the first word the list may be as old as the configuration's. The agent tells what
+   * changed since right behind its answer's head, if anything did.
    */
   static final double NEWS_MS = 75;
+
   /** Where nobody answers at the start, the configuration's list has to do after this. */
   static final double KNOWN_MS = 1_000;
 
   /**
-   * After so many tries in a row that owed an object and brought none behind the head, one does not owe any:
-   * this agent may have none for an old version. One only, so that an outage's end is seen all the same.
+   * After so many tries in a row that owed an object and brought none behind the head, one does not
+   * owe any: this agent may have none for an old version. One only, so that an outage's end is seen
+   * all the same.
    */
   private static final int MOST_BARE = 3;
+
   private static final int MOST_DRIPPED = 2;
 
   /** What is to be done. */
   sealed interface Effect {
 
     /**
-     * Connect to the agent, and ask for what changed after this version. On a further try that is the version
-     * before the last known one, so that an object is owed: a head with nothing behind it is then silence.
+     * Connect to the agent, and ask for what changed after this version. On a further try that is
+     * the version before the last known one, so that an object is owed: a head with nothing behind
+     * it is then silence.
      */
-    record Open(long version) implements Effect {
-    }
+    record Open(long version) implements Effect {}
 
     /** End the present try; an object that could not be read may be the reason. */
-    record Close(boolean unreadable) implements Effect {
-    }
+    record Close(boolean unreadable) implements Effect {}
 
     /** Act on these news. */
-    record Deliver(RosterNews news) implements Effect {
-    }
+    record Deliver(RosterNews news) implements Effect {}
   }
 
-  private enum Stage { BETWEEN, CONNECTING, ASKED, ANSWERED }
+  private enum Stage {
+    BETWEEN,
+    CONNECTING,
+    ASKED,
+    ANSWERED
+  }
 
   /** From nought to one, drawn anew each time. */
   private final DoubleSupplier chance;
+
   private long version;
   private Stage stage = Stage.BETWEEN;
+
   /** When the next try begins, between tries. */
   private double openAt = Double.POSITIVE_INFINITY;
+
   private double startedAt;
   private double openedAt;
   private double headAt;
+
   /** The present try's last sign of life, and its last whole object or line. */
   private double lifeAt;
+
   private double wholeAt;
-  /** Whether the agent owes an object right behind the present try's head, as it was asked for an old one. */
+
+  /**
+   * Whether the agent owes an object right behind the present try's head, as it was asked for an
+   * old one.
+   */
   private boolean owed;
-  /** Whether the present try has brought what it had to first: the object owed, or else any sign of life. */
+
+  /**
+   * Whether the present try has brought what it had to first: the object owed, or else any sign of
+   * life.
+   */
   private boolean proven;
-  /** Tries in a row on which an owed object did not begin, and on which one dripped in for too long. */
+
+  /**
+   * Tries in a row on which an owed object did not begin, and on which one dripped in for too long.
+   */
   private int bare;
+
   private int dripped;
   private ListScanner scanner = new ListScanner();
+
   /** What the look before found. */
   private boolean overdue;
+
   private boolean quiet;
   private boolean tried;
   private String caughtUp;
@@ -158,7 +193,8 @@
   }
 
   private void catchUp(double now) {
-    boolean nothing = stage == Stage.ANSWERED && !owed && !scanner.inside() && now >= headAt + NEWS_MS;
+    boolean nothing =
+        stage == Stage.ANSWERED && !owed && !scanner.inside() && now >= headAt + NEWS_MS;
     if (nothing && quiet) {
       caughtUp = "discovery has nothing new";
     } else if (tried && now >= startedAt + KNOWN_MS) {
@@ -182,8 +218,10 @@
   private Close end(double now, boolean unreadable) {
     stage = Stage.BETWEEN;
     tried = true;
-    openAt = Math.max(now + AGAIN_MS * (0.5 + chance.getAsDouble()),
-        openedAt + APART_MS * (0.75 + 0.5 * chance.getAsDouble()));
+    openAt =
+        Math.max(
+            now + AGAIN_MS * (0.5 + chance.getAsDouble()),
+            openedAt + APART_MS * (0.75 + 0.5 * chance.getAsDouble()));
     return new Close(unreadable);
   }
 
@@ -233,7 +271,10 @@
     return stage == Stage.BETWEEN ? List.of() : List.of(end(now, scanner.inside()));
   }
 
-  /** The agent is at another address from now on: what changed since the last version is asked there. */
+  /**
+   * The agent is at another address from now on: what changed since the last version is asked
+   * there.
+   */
   List<Effect> moved(double now) {
     List<Effect> effects = new ArrayList<>(ended(now));
     bare = 0;
--- a/front/src/main/java/willowdoor/front/loop/Clock.java
+++ b/front/src/main/java/willowdoor/front/loop/Clock.java
@@ -4,8 +4,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * Unix time in milliseconds that never goes back: the system's time once, and the monotonic clock since. The
- * names of the shared counts' windows come from it, so a step of the system's time must not reach them.
+ * Unix time in milliseconds that never goes back: the system's time once, and the monotonic clock
+ * since. The names of the shared counts' windows come from it, so a step of the system's time must
+ * not reach them.
  */
 public final class Clock {
 
--- a/front/src/main/java/willowdoor/front/loop/Looks.java
+++ b/front/src/main/java/willowdoor/front/loop/Looks.java
@@ -1,15 +1,18 @@
 package willowdoor.front.loop;
 
 /**
- * When the event loop looked at its sockets. What it reads now was not there at the look before: that one
- * would have found it. So however long the process stood still, what came meanwhile is no older than that.
+ * When the event loop looked at its sockets. What it reads now was not there at the look before:
+ * that one would have found it. So however long the process stood still, what came meanwhile is no
+ * older than that.
  */
 public final class Looks {
 
   private long count;
   private double begunAt;
+
   /** When the last look that found nothing ended. */
   private double quietAt;
+
   private double since;
 
   public Looks(double now) {
--- a/front/src/main/java/willowdoor/front/loop/Tally.java
+++ b/front/src/main/java/willowdoor/front/loop/Tally.java
@@ -3,8 +3,8 @@
 import java.util.logging.Logger;
 
 /**
- * Counts what is worth knowing on a bad day, and writes one line of it now and then: what did not happen
- * since the last line is left out. On the event loop's thread.
+ * Counts what is worth knowing on a bad day, and writes one line of it now and then: what did not
+ * happen since the last line is left out. On the event loop's thread.
  */
 public final class Tally {
 
@@ -13,15 +13,20 @@
   /** What is counted. */
   public enum Event {
     /** Answers of backends that do not parse, and that nobody asked for. */
-    ANSWER_UNREADABLE, ANSWER_UNASKED,
+    ANSWER_UNREADABLE,
+    ANSWER_UNASKED,
     /** Lines of discovery that do not parse: the list stays as it was. */
     DISCOVERY_UNREADABLE,
     /** Lines of the counter that answer nothing: their connection ends. */
     COUNTER_UNREADABLE,
     /** Attempts without a connection as all are in use. */
     BACKENDS_FULL,
-    /** Clients: idle ones that made room, refused as all are in use, and too slow with a request. */
-    CLIENT_EVICTED, CLIENT_REFUSED, CLIENT_SLOW,
+    /**
+     * Clients: idle ones that made room, refused as all are in use, and too slow with a request.
+     */
+    CLIENT_EVICTED,
+    CLIENT_REFUSED,
+    CLIENT_SLOW,
     /** Bodies and answers on their way on which nothing moved any more. */
     STREAM_IDLE,
     /** Requests failed at the last moment of their time, as no other answer had come. */
--- a/front/src/main/java/willowdoor/front/loop/Transport.java
+++ b/front/src/main/java/willowdoor/front/loop/Transport.java
@@ -27,20 +27,32 @@
 import java.util.function.Consumer;
 
 /**
- * The sockets that the event loop drives: native epoll, which took a quarter less CPU on a calm day, or NIO
- * where its library cannot be loaded.
+ * The sockets that the event loop drives: native epoll, which took a quarter less CPU on a calm
+ * day, or NIO where its library cannot be loaded.
  */
-public record Transport(IoHandlerFactory ioHandler, Class<? extends Channel> socket,
-    Class<? extends ServerChannel> serverSocket, boolean tcp) {
+public record Transport(
+    IoHandlerFactory ioHandler,
+    Class<? extends Channel> socket,
+    Class<? extends ServerChannel> serverSocket,
+    boolean tcp) {
 
-  public static final Transport BEST = Epoll.isAvailable()
-      ? new Transport(EpollIoHandler.newFactory(), EpollSocketChannel.class, EpollServerSocketChannel.class,
-          true)
-      : new Transport(NioIoHandler.newFactory(), NioSocketChannel.class, NioServerSocketChannel.class, true);
+  public static final Transport BEST =
+      Epoll.isAvailable()
+          ? new Transport(
+              EpollIoHandler.newFactory(),
+              EpollSocketChannel.class,
+              EpollServerSocketChannel.class,
+              true)
+          : new Transport(
+              NioIoHandler.newFactory(),
+              NioSocketChannel.class,
+              NioServerSocketChannel.class,
+              true);
 
   /** Channels within the process, for a warm-up: no socket is opened. */
   public static final Transport INSIDE =
-      new Transport(LocalIoHandler.newFactory(), LocalChannel.class, LocalServerChannel.class, false);
+      new Transport(
+          LocalIoHandler.newFactory(), LocalChannel.class, LocalServerChannel.class, false);
 
   private static final int BACKLOG = 512;
 
@@ -56,8 +68,12 @@
   /** For connections to here, likewise. */
   public ServerBootstrap server(EventLoopGroup group) {
     ServerBootstrap server = new ServerBootstrap().group(group);
-    return !tcp ? server : server.option(ChannelOption.SO_BACKLOG, BACKLOG)
-        .option(ChannelOption.SO_REUSEADDR, true).childOption(ChannelOption.TCP_NODELAY, true);
+    return !tcp
+        ? server
+        : server
+            .option(ChannelOption.SO_BACKLOG, BACKLOG)
+            .option(ChannelOption.SO_REUSEADDR, true)
+            .childOption(ChannelOption.TCP_NODELAY, true);
   }
 
   /** Reads 32 KiB at most at once. */
@@ -66,9 +82,10 @@
   }
 
   /**
-   * A channel on the listening socket that the process has inherited as the descriptor. A blocking one would
-   * hold the loop in accept whenever another process is quicker; the runtime's view of it is the only way to
-   * change that, and is kept open, since closing it would redirect the standard streams.
+   * A channel on the listening socket that the process has inherited as the descriptor. A blocking
+   * one would hold the loop in accept whenever another process is quicker; the runtime's view of it
+   * is the only way to change that, and is kept open, since closing it would redirect the standard
+   * streams.
    */
   public static ServerSocketChannel adopt(int descriptor) throws IOException {
     if (descriptor != 0
@@ -76,13 +93,15 @@
       throw new IOException("descriptor " + descriptor + " is no inherited listening socket");
     }
     view.configureBlocking(false);
-    return Epoll.isAvailable() ? new EpollServerSocketChannel(descriptor) : new NioServerSocketChannel(view);
+    return Epoll.isAvailable()
+        ? new EpollServerSocketChannel(descriptor)
+        : new NioServerSocketChannel(view);
   }
 
   /**
-   * Calls back on the event loop's thread, this one, once the connect has ended. Without a descriptor left no
-   * channel is made: the future has failed by now, its listeners would be called on a thread of the library's
-   * own, and its stand-in for a channel never closes.
+   * Calls back on the event loop's thread, this one, once the connect has ended. Without a
+   * descriptor left no channel is made: the future has failed by now, its listeners would be called
+   * on a thread of the library's own, and its stand-in for a channel never closes.
    */
   public static void whenConnected(ChannelFuture connect, Consumer<ChannelFuture> ended) {
     if (connect.isDone()) {
--- a/front/src/main/java/willowdoor/front/operators/Management.java
+++ b/front/src/main/java/willowdoor/front/operators/Management.java
@@ -42,17 +42,22 @@
 import willowdoor.wire.JsonFields;
 
 /**
- * The operators' address: one call a connection. It has an event loop of its own, so that calls are answered
- * in time whatever the clients' side does. All on that loop's thread.
+ * The operators' address: one call a connection. It has an event loop of its own, so that calls are
+ * answered in time whatever the clients' side does. All on that loop's thread.
  */
 public final class Management {
 
   /** Of its descriptors the rest is for one that is about to be turned away, and its own. */
   private static final int MOST_CALLERS = Descriptors.OPERATORS - 6;
-  /** A caller without a whole call loses its connection after this, or sooner where room is needed. */
+
+  /**
+   * A caller without a whole call loses its connection after this, or sooner where room is needed.
+   */
   private static final long CALL_MS = 4_500;
+
   /** An answer is due within 1 s. */
   private static final long ANSWER_MS = 850;
+
   private static final int MOST_LINE = 1_024;
   private static final int MOST_HEADERS = 4_096;
   private static final int MOST_BODY = 4_096;
@@ -72,11 +77,16 @@
     Future<Boolean> ban(String host, boolean out);
   }
 
-  private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, Transport.BEST.ioHandler());
+  private final EventLoopGroup group =
+      new MultiThreadIoEventLoopGroup(1, Transport.BEST.ioHandler());
   private final EventLoop loop = group.next();
   private final Operator operator;
-  /** Those without a whole call, the first to come ahead, and how many connections there are in all. */
+
+  /**
+   * Those without a whole call, the first to come ahead, and how many connections there are in all.
+   */
   private final LinkedHashSet<Caller> incomplete = new LinkedHashSet<>();
+
   private int callers;
   private Channel listening;
 
@@ -87,17 +97,27 @@
   public static Management listen(InetSocketAddress address, Operator operator) throws IOException {
     Management management = new Management(operator);
     try {
-      management.listening = new ServerBootstrap().group(management.loop)
-          .channel(Transport.BEST.serverSocket())
-          .option(ChannelOption.SO_BACKLOG, 128)
-          .option(ChannelOption.SO_REUSEADDR, true)
-          .childHandler(new ChannelInitializer<Channel>() {
-            @Override
-            protected void initChannel(Channel channel) {
-              channel.pipeline().addLast(new HttpServerCodec(MOST_LINE, MOST_HEADERS, MOST_BODY),
-                  new HttpObjectAggregator(MOST_BODY), management.new Caller());
-            }
-          }).bind(address).awaitUninterruptibly().channel();
+      management.listening =
+          new ServerBootstrap()
+              .group(management.loop)
+              .channel(Transport.BEST.serverSocket())
+              .option(ChannelOption.SO_BACKLOG, 128)
+              .option(ChannelOption.SO_REUSEADDR, true)
+              .childHandler(
+                  new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel channel) {
+                      channel
+                          .pipeline()
+                          .addLast(
+                              new HttpServerCodec(MOST_LINE, MOST_HEADERS, MOST_BODY),
+                              new HttpObjectAggregator(MOST_BODY),
+                              management.new Caller());
+                    }
+                  })
+              .bind(address)
+              .awaitUninterruptibly()
+              .channel();
       if (!management.listening.isActive()) {
         throw new IOException("cannot listen for operators on " + address);
       }
@@ -122,7 +142,9 @@
     private Channel channel;
     private boolean answered;
 
-    /** Callers that never finish their call give way to those that come, the first to come first. */
+    /**
+     * Callers that never finish their call give way to those that come, the first to come first.
+     */
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
       channel = ctx.channel();
@@ -133,8 +155,11 @@
       }
       if (channel.isOpen()) {
         incomplete.add(this);
-        Future<?> limit = loop.schedule(() -> incomplete(HttpResponseStatus.REQUEST_TIMEOUT), CALL_MS,
-            TimeUnit.MILLISECONDS);
+        Future<?> limit =
+            loop.schedule(
+                () -> incomplete(HttpResponseStatus.REQUEST_TIMEOUT),
+                CALL_MS,
+                TimeUnit.MILLISECONDS);
         channel.closeFuture().addListener(f -> limit.cancel(false));
       }
       ctx.fireChannelActive();
@@ -166,7 +191,8 @@
         case "/api/ready" -> {
           if (uses(HttpMethod.GET, call)) {
             boolean ready = operator.ready();
-            answer(ready ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
+            answer(
+                ready ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
                 ready ? "ready" : "not ready");
           }
         }
@@ -193,13 +219,18 @@
       return uses;
     }
 
-    /** The template server that the call names; anything but {@code {"host":"ID"}} is answered here. */
+    /**
+     * The template server that the call names; anything but {@code {"host":"ID"}} is answered here.
+     */
     private String host(FullHttpRequest call) {
-      try (JsonParser in = JSON.createParser((InputStream) new ByteBufInputStream(call.content()))) {
+      try (JsonParser in =
+          JSON.createParser((InputStream) new ByteBufInputStream(call.content()))) {
         in.nextToken();
         Map<String, Object> fields = JsonFields.object(in);
-        if (fields.keySet().equals(Set.of("host")) && fields.get("host") instanceof String host
-            && !host.isEmpty() && in.nextToken() == null) {
+        if (fields.keySet().equals(Set.of("host"))
+            && fields.get("host") instanceof String host
+            && !host.isEmpty()
+            && in.nextToken() == null) {
           return host;
         }
       } catch (IOException e) {
@@ -211,18 +242,23 @@
 
     /** Answers a change once it is in force, or in time that it is not yet. */
     private void changed(String name, Future<Boolean> change) {
-      loop.schedule(() -> answer(HttpResponseStatus.SERVICE_UNAVAILABLE, "not in force yet: call again"),
-          ANSWER_MS, TimeUnit.MILLISECONDS);
-      change.addListener(f -> loop.execute(() -> {
-        if (f.isSuccess() && !change.getNow()) {
-          answer(HttpResponseStatus.NOT_FOUND, "no such template server");
-        } else if (f.isSuccess()) {
-          answer(HttpResponseStatus.OK, "done");
-        } else {
-          LOG.log(Level.SEVERE, "could not do " + name, f.cause());
-          answer(HttpResponseStatus.INTERNAL_SERVER_ERROR, "failed: see the log");
-        }
-      }));
+      loop.schedule(
+          () -> answer(HttpResponseStatus.SERVICE_UNAVAILABLE, "not in force yet: call again"),
+          ANSWER_MS,
+          TimeUnit.MILLISECONDS);
+      change.addListener(
+          f ->
+              loop.execute(
+                  () -> {
+                    if (f.isSuccess() && !change.getNow()) {
+                      answer(HttpResponseStatus.NOT_FOUND, "no such template server");
+                    } else if (f.isSuccess()) {
+                      answer(HttpResponseStatus.OK, "done");
+                    } else {
+                      LOG.log(Level.SEVERE, "could not do " + name, f.cause());
+                      answer(HttpResponseStatus.INTERNAL_SERVER_ERROR, "failed: see the log");
+                    }
+                  }));
     }
 
     private void answer(HttpResponseStatus status, String text) {
@@ -231,9 +267,14 @@
         return;
       }
       answered = true;
-      FullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
-          Unpooled.copiedBuffer(text + "\n", StandardCharsets.US_ASCII));
-      answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, answer.content().readableBytes())
+      FullHttpResponse answer =
+          new DefaultFullHttpResponse(
+              HttpVersion.HTTP_1_1,
+              status,
+              Unpooled.copiedBuffer(text + "\n", StandardCharsets.US_ASCII));
+      answer
+          .headers()
+          .set(HttpHeaderNames.CONTENT_LENGTH, answer.content().readableBytes())
           .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
       channel.writeAndFlush(answer).addListener(ChannelFutureListener.CLOSE);
     }
--- a/front/src/main/java/willowdoor/front/operators/OperatorFile.java
+++ b/front/src/main/java/willowdoor/front/operators/OperatorFile.java
@@ -24,8 +24,9 @@
 import willowdoor.wire.JsonFields;
 
 /**
- * What operators have asked for, in a small file that a front door's processes share: the one that serves and
- * the one that replaces it. A file that cannot be read is logged, and leaves things as they are.
+ * What operators have asked for, in a small file that a front door's processes share: the one that
+ * serves and the one that replaces it. A file that cannot be read is logged, and leaves things as
+ * they are.
  */
 public final class OperatorFile {
 
@@ -53,8 +54,10 @@
   }
 
   private final Path file;
+
   /** What was last read or written, and what the file system said of the file then. */
   private State state = State.NONE;
+
   private Object version;
 
   public OperatorFile(Path file) {
@@ -73,12 +76,14 @@
 
   /** Changes the file, whole or not at all; what the other process wrote meanwhile is kept. */
   public State change(UnaryOperator<State> change) throws IOException {
-    try (FileChannel channel = FileChannel.open(beside(".lock"), StandardOpenOption.CREATE,
-        StandardOpenOption.WRITE); FileLock held = channel.lock()) {
+    try (FileChannel channel =
+            FileChannel.open(beside(".lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+        FileLock held = channel.lock()) {
       Objects.requireNonNull(held);
       State changed = change.apply(look());
       Path whole = beside(".new");
-      try (OutputStream out = Files.newOutputStream(whole); JsonGenerator json = JSON.createGenerator(out)) {
+      try (OutputStream out = Files.newOutputStream(whole);
+          JsonGenerator json = JSON.createGenerator(out)) {
         json.writeStartObject();
         json.writeBooleanField("drained", changed.drained());
         json.writeArrayFieldStart("excluded");
--- a/front/src/main/java/willowdoor/front/requests/Asked.java
+++ b/front/src/main/java/willowdoor/front/requests/Asked.java
@@ -2,8 +2,16 @@
 
 import willowdoor.policy.GatewayApi.Request;
 
-/** A request as its head tells it; what is left of its time is known once its last byte has come. */
-public record Asked(String id, String className, String plan, long customer, int entryPoints, double units,
+/**
+ * A request as its head tells it; what is left of its time is known once its last byte has come.
+ */
+public record Asked(
+    String id,
+    String className,
+    String plan,
+    long customer,
+    int entryPoints,
+    double units,
     double timeoutMs) {
 
   Request within(Budget budget) {
--- a/front/src/main/java/willowdoor/front/requests/Attempt.java
+++ b/front/src/main/java/willowdoor/front/requests/Attempt.java
@@ -14,20 +14,30 @@
     /** Reads on, or no more for now: what is not read holds back the backend. */
     void read(boolean on);
 
-    /** Gives the connection up: none of the request's bytes that have not left yet leaves any more. */
+    /**
+     * Gives the connection up: none of the request's bytes that have not left yet leaves any more.
+     */
     void abort();
   }
 
   private final Outgoing message;
-  /** When it is given up, and by when its last byte must be written, on the clock in milliseconds. */
+
+  /**
+   * When it is given up, and by when its last byte must be written, on the clock in milliseconds.
+   */
   private final double endsAt;
+
   private final double writtenBy;
+
   /** The connection that is being opened for it, and the one that it is on. */
   private Channel connecting;
+
   private Carrier carrier;
   private boolean written;
+
   /** Fires when the attempt's time is up. */
   private Future<?> timer;
+
   private boolean ended;
 
   protected Attempt(Outgoing message, double endsAt, double writtenBy) {
@@ -46,8 +56,8 @@
   }
 
   /**
-   * By when its last byte must be written or else never be, on the clock, in milliseconds; infinite where any
-   * time will do. A repeat has such a time (rule 2 of the wire).
+   * By when its last byte must be written or else never be, on the clock, in milliseconds; infinite
+   * where any time will do. A repeat has such a time (rule 2 of the wire).
    */
   public final double writtenBy() {
     return writtenBy;
@@ -68,7 +78,9 @@
     return carrier;
   }
 
-  /** True once the request's last byte went to the kernel: from then on the backend may have run it. */
+  /**
+   * True once the request's last byte went to the kernel: from then on the backend may have run it.
+   */
   public final boolean written() {
     return written;
   }
@@ -86,7 +98,9 @@
     timer = started;
   }
 
-  /** How a broken connection ends this attempt: whether it may have run is told by the write alone. */
+  /**
+   * How a broken connection ends this attempt: whether it may have run is told by the write alone.
+   */
   public final Status broken() {
     return written ? Status.RESET : Status.UNREACHABLE;
   }
@@ -116,8 +130,9 @@
   }
 
   /**
-   * Ends the attempt with its connection. That is closed before the module hears of the end, as it may send
-   * the request again at once, and a copy must not be out while this one is on an open connection.
+   * Ends the attempt with its connection. That is closed before the module hears of the end, as it
+   * may send the request again at once, and a copy must not be out while this one is on an open
+   * connection.
    */
   public final void endClosed(Status status, HttpResponse head, ByteBuf body) {
     if (!stop()) {
@@ -144,21 +159,31 @@
     return true;
   }
 
-  /** The first piece behind the message's prefix is being written: there can be no other attempt. */
+  /**
+   * The first piece behind the message's prefix is being written: there can be no other attempt.
+   */
   public abstract void onSpent();
 
   /** The last piece of a message that came in pieces is being written. */
   public abstract void onSent();
 
-  /** The answer's head has come; how long its body takes to come tells nothing of the backend's load. */
+  /**
+   * The answer's head has come; how long its body takes to come tells nothing of the backend's
+   * load.
+   */
   public abstract void onHead();
 
-  /** The head of an answer that is passed on as it comes; false where nobody waits for it any more. */
+  /**
+   * The head of an answer that is passed on as it comes; false where nobody waits for it any more.
+   */
   public abstract boolean onBegin(HttpResponse head);
 
   /** A piece of that answer, which is taken over. */
   public abstract void onPiece(ByteBuf piece);
 
-  /** The head and the body are only lent; they are null unless the status is OK, the body if it was begun. */
+  /**
+   * The head and the body are only lent; they are null unless the status is OK, the body if it was
+   * begun.
+   */
   protected abstract void onEnd(Status status, HttpResponse head, ByteBuf body);
 }
--- a/front/src/main/java/willowdoor/front/requests/Budget.java
+++ b/front/src/main/java/willowdoor/front/requests/Budget.java
@@ -1,13 +1,16 @@
 package willowdoor.front.requests;
 
 /**
- * The time that a client gives its request, on the monotonic clock: set once, when the request's last byte
- * came, and passed along. Every wait of the request takes its limit from here: the smaller of the wait's own
- * limit and of what is left.
+ * The time that a client gives its request, on the monotonic clock: set once, when the request's
+ * last byte came, and passed along. Every wait of the request takes its limit from here: the
+ * smaller of the wait's own limit and of what is left.
  */
 record Budget(double fromMs, double endMs) {
 
-  /** The last moment for a final answer, ahead of the client's own: later than any answer of the module. */
+  /**
+   * The last moment for a final answer, ahead of the client's own: later than any answer of the
+   * module.
+   */
   private static final double LAST_CALL_MS = 6;
 
   /** The time of a request that came at the moment, with so long to live. */
@@ -27,7 +30,9 @@
 
   /** The part of the whole time that is left, from 0 to 1. */
   double shareLeft(double now) {
-    return endMs > fromMs ? Math.min(1, limitMs(Double.POSITIVE_INFINITY, now) / (endMs - fromMs)) : 0;
+    return endMs > fromMs
+        ? Math.min(1, limitMs(Double.POSITIVE_INFINITY, now) / (endMs - fromMs))
+        : 0;
   }
 
   /** The same time, cut off where something else ends earlier. */
--- a/front/src/main/java/willowdoor/front/requests/Headers.java
+++ b/front/src/main/java/willowdoor/front/requests/Headers.java
@@ -17,8 +17,7 @@
   public static final AsciiString NOT_STARTED = AsciiString.cached("Not-Started");
   static final AsciiString UNITS_CHARGED = AsciiString.cached("X-Units-Charged");
 
-  private Headers() {
-  }
+  private Headers() {}
 
   /** The body's length in bytes as told, or -1: then its chunks or the connection's end tell it. */
   public static long bodyLength(HttpResponse head) {
--- a/front/src/main/java/willowdoor/front/requests/Inbox.java
+++ b/front/src/main/java/willowdoor/front/requests/Inbox.java
@@ -9,20 +9,26 @@
 import willowdoor.policy.GatewayApi.Roster;
 
 /**
- * Events on their way to the module, one at a time: what comes up while one is worked on waits for its turn,
- * as the module is not re-entered. Behind a pause of the process nothing is decided before all that came
- * meanwhile is read, and a list goes first: a drain that was told in the pause binds what is sent behind it.
+ * Events on their way to the module, one at a time: what comes up while one is worked on waits for
+ * its turn, as the module is not re-entered. Behind a pause of the process nothing is decided
+ * before all that came meanwhile is read, and a list goes first: a drain that was told in the pause
+ * binds what is sent behind it.
  */
 final class Inbox {
 
-  /** The module is woken every 250 ms at least: when it was not for so long, the process stood still. */
+  /**
+   * The module is woken every 250 ms at least: when it was not for so long, the process stood
+   * still.
+   */
   private static final double STOOD_STILL_MS = 500;
 
   private final EventLoop loop;
   private final Clock clock;
   private final Consumer<Event> module;
+
   /** Lists go before all else, in their order. */
   private final ArrayDeque<Event> lists = new ArrayDeque<>(1);
+
   private final ArrayDeque<Event> events = new ArrayDeque<>();
   private boolean delivering;
   private boolean holding;
@@ -62,10 +68,13 @@
     deliveredAt = now;
     if (holding) {
       // A timer's turn, also one set by another timer, comes behind the next look at the sockets.
-      loop.schedule(() -> {
-        holding = false;
-        drain();
-      }, 0, TimeUnit.MILLISECONDS);
+      loop.schedule(
+          () -> {
+            holding = false;
+            drain();
+          },
+          0,
+          TimeUnit.MILLISECONDS);
       return;
     }
     delivering = true;
--- a/front/src/main/java/willowdoor/front/requests/Live.java
+++ b/front/src/main/java/willowdoor/front/requests/Live.java
@@ -12,12 +12,15 @@
   final Outgoing message;
   final ModuleDriver.Client client;
   final List<Attempt> attempts = new ArrayList<>(1);
+
   /** From its last byte on; until that has come, from the moment it was taken. */
   Budget budget;
+
   Future<?> lastCall;
   final int held;
   boolean finished;
   int out;
+
   /** The attempt whose answer is being passed on as it comes. */
   Attempt begun;
 
@@ -44,8 +47,8 @@
   }
 
   /**
-   * Marks the final answer; true for the first caller only. What has not reached a backend whole by now
-   * never will, and nothing is kept to be sent again.
+   * Marks the final answer; true for the first caller only. What has not reached a backend whole by
+   * now never will, and nothing is kept to be sent again.
    */
   boolean finish() {
     if (finished) {
@@ -63,7 +66,9 @@
     return true;
   }
 
-  /** A request stays in the table while an attempt of it is out: the module still gets that outcome. */
+  /**
+   * A request stays in the table while an attempt of it is out: the module still gets that outcome.
+   */
   void forgetIfDone() {
     if (finished && out == 0) {
       driver.forget(this);
--- a/front/src/main/java/willowdoor/front/requests/ModuleDriver.java
+++ b/front/src/main/java/willowdoor/front/requests/ModuleDriver.java
@@ -33,12 +33,13 @@
 import willowdoor.policy.QuotaPolicy;
 
 /**
- * Takes events to the module and its actions to the sockets; the only caller of the module. Holds the table
- * of requests taken and attempts out. All on the event loop's thread.
+ * Takes events to the module and its actions to the sockets; the only caller of the module. Holds
+ * the table of requests taken and attempts out. All on the event loop's thread.
  */
 public final class ModuleDriver {
 
   private static final Logger LOG = Logger.getLogger(ModuleDriver.class.getName());
+
   /** A module that failed on its wake-up is woken again after this. */
   private static final long WAKE_AGAIN_MS = 100;
 
@@ -69,7 +70,10 @@
 
     void failed();
 
-    /** An answer that comes in pieces, each of which is taken over; from is held back where they pile up. */
+    /**
+     * An answer that comes in pieces, each of which is taken over; from is held back where they
+     * pile up.
+     */
     void begin(HttpResponse head, Attempt.Carrier from);
 
     void piece(ByteBuf piece);
@@ -91,7 +95,8 @@
   private int heldBytes;
   private double processEndsAt = Double.POSITIVE_INFINITY;
 
-  public ModuleDriver(EventLoop loop, Clock clock, QuotaPolicy policy, Servers backends, Tally tally) {
+  public ModuleDriver(
+      EventLoop loop, Clock clock, QuotaPolicy policy, Servers backends, Tally tally) {
     this.tally = tally;
     this.loop = loop;
     this.clock = clock;
@@ -172,11 +177,13 @@
   }
 
   /**
-   * The connections know the list first, as the module sends by it at once; the module knows it before it
-   * hears of the attempts that the list ends, or it would send them to the same places again.
+   * The connections know the list first, as the module sends by it at once; the module knows it
+   * before it hears of the attempts that the list ends, or it would send them to the same places
+   * again.
    */
   public void onRoster(RosterNews news) {
-    inbox.addList(new Roster(news.full() ? RosterForm.COMPLETE : RosterForm.CHANGES, news.entries()),
+    inbox.addList(
+        new Roster(news.full() ? RosterForm.COMPLETE : RosterForm.CHANGES, news.entries()),
         () -> backends.onRoster(news));
   }
 
@@ -194,7 +201,10 @@
     }
   }
 
-  /** The process is about to end: all that is unanswered by then fails, and so does what still comes. */
+  /**
+   * The process is about to end: all that is unanswered by then fails, and so does what still
+   * comes.
+   */
   public void endWithin(double ms) {
     processEndsAt = clock.now() + ms;
     live.values().forEach(Live::cut);
@@ -206,7 +216,10 @@
     fail(r);
   }
 
-  /** The net under the module: a request that it left unanswered fails while its client still listens. */
+  /**
+   * The net under the module: a request that it left unanswered fails while its client still
+   * listens.
+   */
   private void fail(Live r) {
     if (r.finish()) {
       if (r.begun == null) {
@@ -288,10 +301,15 @@
     // FollowRoster needs nothing: the list is watched from the start.
   }
 
-  /** Never early: the module lets a wake-up pass that comes before its time, and then none would follow. */
+  /**
+   * Never early: the module lets a wake-up pass that comes before its time, and then none would
+   * follow.
+   */
   private void wake(WakeAt a) {
     double wait = Math.max(0, a.atMs() - clock.now());
-    loop.schedule(() -> deliver(new Woken(a.label())), (long) Math.ceil(wait * 1000) + 1,
+    loop.schedule(
+        () -> deliver(new Woken(a.label())),
+        (long) Math.ceil(wait * 1000) + 1,
         TimeUnit.MICROSECONDS);
   }
 
--- a/front/src/main/java/willowdoor/front/requests/Outgoing.java
+++ b/front/src/main/java/willowdoor/front/requests/Outgoing.java
@@ -12,8 +12,9 @@
 import io.netty.handler.codec.http.HttpVersion;
 
 /**
- * A request on its way to a backend: its head and the first bytes of its body, which can be sent again, and
- * the rest, which passes by once, piece by piece as the backend takes it. Owned by the table of requests.
+ * A request on its way to a backend: its head and the first bytes of its body, which can be sent
+ * again, and the rest, which passes by once, piece by piece as the backend takes it. Owned by the
+ * table of requests.
  */
 public final class Outgoing {
 
@@ -33,12 +34,21 @@
   private final boolean whole;
   private final Runnable more;
   private Sink sink;
+
   /** A piece that was asked for by an attempt which ended before it came. */
   private HttpContent waiting;
+
   private boolean released;
 
-  /** Takes the prefix over; more asks the client for the next piece, where the prefix is not all. */
-  public Outgoing(HttpMethod method, String uri, HttpHeaders headers, ByteBuf prefix, boolean whole,
+  /**
+   * Takes the prefix over; more asks the client for the next piece, where the prefix is not all.
+   */
+  public Outgoing(
+      HttpMethod method,
+      String uri,
+      HttpHeaders headers,
+      ByteBuf prefix,
+      boolean whole,
       Runnable more) {
     this.method = method;
     this.uri = uri;
@@ -57,8 +67,9 @@
   }
 
   /**
-   * Whether TCP sends all of it at once on a connection on which nothing else is under way: that is ten
-   * segments (RFC 6928). More waits for the other side, and goes out behind a close too, whenever that reads.
+   * Whether TCP sends all of it at once on a connection on which nothing else is under way: that is
+   * ten segments (RFC 6928). More waits for the other side, and goes out behind a close too,
+   * whenever that reads.
    */
   public boolean leavesAtOnce() {
     return whole && prefix.readableBytes() <= FIRST_FLIGHT;
@@ -66,9 +77,17 @@
 
   /** The head alone, or with the body where that is whole; it tells no more time than there is. */
   public HttpRequest message(double leftMs) {
-    HttpHeaders copy = headers.copy().set(Headers.TIMEOUT_MS, Long.toString((long) Math.max(1, leftMs)));
-    return whole ? new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, uri, prefix.retainedDuplicate(),
-        copy, EmptyHttpHeaders.INSTANCE) : new DefaultHttpRequest(HttpVersion.HTTP_1_1, method, uri, copy);
+    HttpHeaders copy =
+        headers.copy().set(Headers.TIMEOUT_MS, Long.toString((long) Math.max(1, leftMs)));
+    return whole
+        ? new DefaultFullHttpRequest(
+            HttpVersion.HTTP_1_1,
+            method,
+            uri,
+            prefix.retainedDuplicate(),
+            copy,
+            EmptyHttpHeaders.INSTANCE)
+        : new DefaultHttpRequest(HttpVersion.HTTP_1_1, method, uri, copy);
   }
 
   public ByteBuf prefix() {
@@ -122,8 +141,8 @@
   }
 
   /** Tells how long the body is, as its client told. */
-  public static void frame(HttpHeaders onward, HttpHeaders told, boolean whole, int length,
-      boolean mayHaveBody) {
+  public static void frame(
+      HttpHeaders onward, HttpHeaders told, boolean whole, int length, boolean mayHaveBody) {
     if (whole) {
       if (length > 0 || mayHaveBody) {
         onward.set(HttpHeaderNames.CONTENT_LENGTH, length);
--- a/front/src/main/java/willowdoor/front/requests/Sent.java
+++ b/front/src/main/java/willowdoor/front/requests/Sent.java
@@ -13,8 +13,10 @@
   private final int number;
   private final long backend;
   private double sentAt;
+
   /** When its answer's head came. */
   private double headAt = Double.NaN;
+
   private boolean streams;
 
   Sent(Live r, int number, long backend, double endsAt, double writtenBy) {
@@ -27,8 +29,8 @@
   }
 
   /**
-   * From now on its last byte must not arrive any more. A short one that is with the kernel has arrived; of
-   * a long one only the answer tells.
+   * From now on its last byte must not arrive any more. A short one that is with the kernel has
+   * arrived; of a long one only the answer tells.
    */
   void lastByteDue() {
     if (!written() || !r.message.leavesAtOnce() && Double.isNaN(headAt)) {
@@ -53,7 +55,9 @@
     sentAt = driver.now();
     if (!r.finished && r.begun == null) {
       r.begins();
-      startTimer(driver.after(r.budget.limitMs(Double.POSITIVE_INFINITY, sentAt), () -> abandon(overdue())));
+      startTimer(
+          driver.after(
+              r.budget.limitMs(Double.POSITIVE_INFINITY, sentAt), () -> abandon(overdue())));
     }
   }
 
@@ -97,8 +101,16 @@
     }
     double units = status == Status.OK ? units(head.headers().get(Headers.UNITS_CHARGED)) : 0;
     double until = Double.isNaN(headAt) ? driver.now() : headAt;
-    driver.deliver(new Outcome(r.asked.id(), number, backend, status, Math.max(0, until - sentAt), r.finished,
-        units, null));
+    driver.deliver(
+        new Outcome(
+            r.asked.id(),
+            number,
+            backend,
+            status,
+            Math.max(0, until - sentAt),
+            r.finished,
+            units,
+            null));
     r.forgetIfDone();
   }
 
--- a/front/src/main/java/willowdoor/front/servers/AnswerDecoder.java
+++ b/front/src/main/java/willowdoor/front/servers/AnswerDecoder.java
@@ -42,9 +42,10 @@
     if (code.equals(HttpResponseStatus.OK)) {
       return Status.OK;
     }
-    boolean turnedAway = (code.equals(HttpResponseStatus.SERVICE_UNAVAILABLE)
-        || code.equals(HttpResponseStatus.GATEWAY_TIMEOUT))
-        && "1".equals(answer.headers().get(Headers.NOT_STARTED));
+    boolean turnedAway =
+        (code.equals(HttpResponseStatus.SERVICE_UNAVAILABLE)
+                || code.equals(HttpResponseStatus.GATEWAY_TIMEOUT))
+            && "1".equals(answer.headers().get(Headers.NOT_STARTED));
     return turnedAway ? Status.REJECTED : Status.ERROR;
   }
 }
--- a/front/src/main/java/willowdoor/front/servers/BackendConnection.java
+++ b/front/src/main/java/willowdoor/front/servers/BackendConnection.java
@@ -26,10 +26,15 @@
 import willowdoor.policy.GatewayApi.Status;
 
 /** One connection to a backend: at most one attempt at a time, and what its answer means. */
-final class BackendConnection extends SimpleChannelInboundHandler<HttpObject> implements Attempt.Carrier {
+final class BackendConnection extends SimpleChannelInboundHandler<HttpObject>
+    implements Attempt.Carrier {
 
-  /** Answers that tell a length up to this are passed on when whole, so that a cut one can be tried again. */
+  /**
+   * Answers that tell a length up to this are passed on when whole, so that a cut one can be tried
+   * again.
+   */
   private static final int MOST_HELD = 64 * 1024;
+
   /** So much of an answer that tells no length is held before it is passed on as it comes. */
   private static final int HELD_UNTOLD = 16 * 1024;
 
@@ -38,22 +43,33 @@
 
   private final BackendPool pool;
   final BackendPool.Backend backend;
+
   /** The backend's as this connection was begun. */
   final int generation;
+
   private final Tally tally;
   private final AnswerDecoder decoder = new AnswerDecoder();
   private Channel channel;
   private Attempt current;
+
   /** The one that was carried last, also when it has ended. */
   private Attempt latest;
-  /** The answer that is being read: its head, what is held of its body, whether it is passed on already. */
+
+  /**
+   * The answer that is being read: its head, what is held of its body, whether it is passed on
+   * already.
+   */
   private HttpResponse head;
+
   private ByteBuf held;
   private boolean begun;
+
   /** Answered in full, but what else the backend sent with that answer is not looked at yet. */
   private boolean answered;
+
   /** It has carried a request before the one that it carries. */
   private boolean used;
+
   double idleSince;
 
   BackendConnection(BackendPool pool, BackendPool.Backend backend, int generation, Tally tally) {
@@ -77,7 +93,10 @@
     return channel.isActive() && !decoder.holdsRest();
   }
 
-  /** Whether the kernel has neither bytes nor an end of it: the loop may not have looked since they came. */
+  /**
+   * Whether the kernel has neither bytes nor an end of it: the loop may not have looked since they
+   * came.
+   */
   boolean silent() {
     try {
       return !(channel instanceof UnixChannel u && u.fd() instanceof Socket socket)
@@ -91,7 +110,10 @@
     channel.close();
   }
 
-  /** What the kernel holds of a long request would leave behind an ordinary close, at any later time. */
+  /**
+   * What the kernel holds of a long request would leave behind an ordinary close, at any later
+   * time.
+   */
   @Override
   public void abort() {
     if (latest != null && latest.written() && !latest.message().leavesAtOnce()) {
@@ -124,14 +146,16 @@
       return;
     }
     channel.write(request);
-    written(attempt, channel.writeAndFlush(new DefaultHttpContent(attempt.message().prefix())), false);
+    written(
+        attempt, channel.writeAndFlush(new DefaultHttpContent(attempt.message().prefix())), false);
     if (!attempt.ended()) {
       attempt.message().passTo(this);
     }
   }
 
   private void written(Attempt attempt, ChannelFuture write, boolean last) {
-    if (write.isDone()) { // listeners may be called later, and what ends the attempt meanwhile must know
+    if (write
+        .isDone()) { // listeners may be called later, and what ends the attempt meanwhile must know
       writeEnded(attempt, write, last);
     } else {
       write.addListener((ChannelFuture f) -> writeEnded(attempt, f, last));
@@ -266,7 +290,8 @@
     forget();
     used = true;
     // An answer ahead of the request's end leaves the connection out of step.
-    answered = attempt.written() && !attempt.ended() && HttpUtil.isKeepAlive(answer) && framed(answer);
+    answered =
+        attempt.written() && !attempt.ended() && HttpUtil.isKeepAlive(answer) && framed(answer);
     Status status = AnswerDecoder.status(answer);
     HttpResponse told = status == Status.OK ? answer : null;
     try {
@@ -296,16 +321,16 @@
   }
 
   /**
-   * Whether a cut of the answer can be seen. Where the connection's end is the body's end, only a reset tells
-   * of one, so the backend must have said that it closes.
+   * Whether a cut of the answer can be seen. Where the connection's end is the body's end, only a
+   * reset tells of one, so the backend must have said that it closes.
    */
   private static boolean framed(HttpResponse head) {
     return HttpUtil.isContentLengthSet(head) || HttpUtil.isTransferEncodingChunked(head);
   }
 
   /**
-   * The connection is free only once all that came with the answer is read: whatever follows it was sent
-   * before the next request, and would be taken for that one's answer.
+   * The connection is free only once all that came with the answer is read: whatever follows it was
+   * sent before the next request, and would be taken for that one's answer.
    */
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
--- a/front/src/main/java/willowdoor/front/servers/BackendPool.java
+++ b/front/src/main/java/willowdoor/front/servers/BackendPool.java
@@ -27,20 +27,37 @@
 import willowdoor.policy.GatewayApi.Phase;
 import willowdoor.policy.GatewayApi.Status;
 
-/** The connections to the backends, and the attempts on them. It picks no backend and repeats nothing. */
+/**
+ * The connections to the backends, and the attempts on them. It picks no backend and repeats
+ * nothing.
+ */
 public final class BackendPool implements ModuleDriver.Servers {
 
-  /** An idle connection is retired at this share of the backends' own limit, well before they close it. */
+  /**
+   * An idle connection is retired at this share of the backends' own limit, well before they close
+   * it.
+   */
   private static final double RETIRE_AT = 0.6;
+
   private static final long SWEEP_MS = 500;
-  /** A connect that is told so long after its limit waited for this process: the list may be a new one. */
+
+  /**
+   * A connect that is told so long after its limit waited for this process: the list may be a new
+   * one.
+   */
   private static final double CONNECT_SLACK_MS = 50;
+
   /**
-   * A connection rests so long behind an answer before it carries another request, in milliseconds: nothing
-   * in the protocol ties an answer to its request, and a second one may come some milliseconds late.
+   * A connection rests so long behind an answer before it carries another request, in milliseconds:
+   * nothing in the protocol ties an answer to its request, and a second one may come some
+   * milliseconds late.
    */
   static final double REST_MS = 20;
-  /** What comes unasked on a connection that rested longer is no late answer, but word of its closing. */
+
+  /**
+   * What comes unasked on a connection that rested longer is no late answer, but word of its
+   * closing.
+   */
   private static final double LATE_MS = 200;
 
   /** One backend's place and connections. */
@@ -48,12 +65,19 @@
     private final long id;
     private SocketAddress place;
     private double startedMs;
-    /** Goes up whenever what is open ends its use: a connection of an earlier one carries nothing new. */
+
+    /**
+     * Goes up whenever what is open ends its use: a connection of an earlier one carries nothing
+     * new.
+     */
     private int generation;
+
     /** Twice as long as anything of it was late, if that was seen. */
     private double restMs;
+
     /** The last one in was used last, and is used next: the others grow old and are retired. */
     private final ArrayDeque<BackendConnection> idle = new ArrayDeque<>();
+
     private final Set<Attempt> connecting = new HashSet<>();
 
     Backend(long id, double restMs) {
@@ -64,20 +88,35 @@
 
   private final Clock clock;
   private final Bootstrap bootstrap;
+
   /** Within a process nothing is late. */
   private final double restMs;
+
   private final double connectLimitMs;
   private final double idleLimitMs;
   private final Map<Long, Backend> backends = new HashMap<>();
   private final Tally tally;
-  /** All connections to backends, idle ones too: their part of the descriptors that the process may hold. */
+
+  /**
+   * All connections to backends, idle ones too: their part of the descriptors that the process may
+   * hold.
+   */
   private final int most;
+
   private int connections;
+
   /** The module's word on backends that get nothing new. */
   private final LongPredicate banned;
 
-  public BackendPool(EventLoop loop, Transport transport, Clock clock, Tally tally,
-      LongPredicate banned, int most, double connectLimitMs, double idleLimitMs) {
+  public BackendPool(
+      EventLoop loop,
+      Transport transport,
+      Clock clock,
+      Tally tally,
+      LongPredicate banned,
+      int most,
+      double connectLimitMs,
+      double idleLimitMs) {
     this.clock = clock;
     this.tally = tally;
     this.banned = banned;
@@ -85,13 +124,18 @@
     restMs = transport.tcp() ? REST_MS : 0;
     this.connectLimitMs = connectLimitMs;
     this.idleLimitMs = idleLimitMs * RETIRE_AT;
-    bootstrap = transport.client(loop)
-        .option(ChannelOption.WRITE_BUFFER_WATER_MARK, Transport.QUEUE)
-        .option(ChannelOption.RECVBUF_ALLOCATOR, Transport.piece());
+    bootstrap =
+        transport
+            .client(loop)
+            .option(ChannelOption.WRITE_BUFFER_WATER_MARK, Transport.QUEUE)
+            .option(ChannelOption.RECVBUF_ALLOCATOR, Transport.piece());
     loop.scheduleWithFixedDelay(this::retireIdle, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
   }
 
-  /** Takes the places that discovery tells; backends that drain or are gone lose their unused connections. */
+  /**
+   * Takes the places that discovery tells; backends that drain or are gone lose their unused
+   * connections.
+   */
   @Override
   public void onRoster(RosterNews news) {
     Set<Long> named = new HashSet<>();
@@ -110,11 +154,16 @@
       }
     }
     if (news.full()) {
-      List.copyOf(backends.keySet()).stream().filter(id -> !named.contains(id)).forEach(this::remove);
+      List.copyOf(backends.keySet()).stream()
+          .filter(id -> !named.contains(id))
+          .forEach(this::remove);
     }
   }
 
-  /** Guards the rule on drains: an attempt that still waits for its connection is not written any more. */
+  /**
+   * Guards the rule on drains: an attempt that still waits for its connection is not written any
+   * more.
+   */
   private void remove(long id) {
     cut(id);
     backends.remove(id);
@@ -164,16 +213,24 @@
     return Math.max(0, attempt.endsAt() - clock.now());
   }
 
-  /** Whether it must not be written any more; one whose end has still to come from its client can be late. */
+  /**
+   * Whether it must not be written any more; one whose end has still to come from its client can be
+   * late.
+   */
   private boolean tooLate(Attempt attempt) {
     boolean bound = attempt.writtenBy() < Double.POSITIVE_INFINITY;
-    return leftMs(attempt) == 0 || clock.now() > attempt.writtenBy() || bound && !attempt.message().whole();
+    return leftMs(attempt) == 0
+        || clock.now() > attempt.writtenBy()
+        || bound && !attempt.message().whole();
   }
 
-  /** Of those that have rested the one used last, unless the backend may be closing it after so long. */
+  /**
+   * Of those that have rested the one used last, unless the backend may be closing it after so
+   * long.
+   */
   private BackendConnection idle(Backend b) {
     double now = clock.now();
-    for (Iterator<BackendConnection> all = b.idle.descendingIterator(); all.hasNext();) {
+    for (Iterator<BackendConnection> all = b.idle.descendingIterator(); all.hasNext(); ) {
       BackendConnection c = all.next();
       if (now - c.idleSince >= b.restMs) {
         all.remove();
@@ -201,28 +258,35 @@
     int limit = (int) Math.ceil(Math.min(connectLimitMs, Math.max(1, left)));
     double upBy = clock.now() + limit + CONNECT_SLACK_MS;
     Bootstrap limited = bootstrap.clone().option(ChannelOption.CONNECT_TIMEOUT_MILLIS, limit);
-    ChannelFuture connected = limited.handler(new ChannelInitializer<Channel>() {
-      @Override
-      protected void initChannel(Channel channel) {
-        connections++;
-        channel.closeFuture().addListener(f -> connections--);
-        channel.pipeline().addLast(c.decoder(), new HttpRequestEncoder(), c);
-      }
-    }).connect(b.place);
+    ChannelFuture connected =
+        limited
+            .handler(
+                new ChannelInitializer<Channel>() {
+                  @Override
+                  protected void initChannel(Channel channel) {
+                    connections++;
+                    channel.closeFuture().addListener(f -> connections--);
+                    channel.pipeline().addLast(c.decoder(), new HttpRequestEncoder(), c);
+                  }
+                })
+            .connect(b.place);
     attempt.connecting(connected.channel());
-    Transport.whenConnected(connected, f -> {
-      b.connecting.remove(attempt);
-      // Guards against writing what has timed out, was cancelled or must not reach a drained backend, also
-      // one of whose drain the loop has still to read behind a pause.
-      if (attempt.ended() || banned.test(b.id) || tooLate(attempt) || clock.now() > upBy) {
-        f.channel().close();
-        attempt.end(Status.UNREACHABLE, null, null);
-      } else if (f.isSuccess()) {
-        c.carry(attempt);
-      } else {
-        attempt.end(Status.UNREACHABLE, null, null);
-      }
-    });
+    Transport.whenConnected(
+        connected,
+        f -> {
+          b.connecting.remove(attempt);
+          // Guards against writing what has timed out, was cancelled or must not reach a drained
+          // backend, also
+          // one of whose drain the loop has still to read behind a pause.
+          if (attempt.ended() || banned.test(b.id) || tooLate(attempt) || clock.now() > upBy) {
+            f.channel().close();
+            attempt.end(Status.UNREACHABLE, null, null);
+          } else if (f.isSuccess()) {
+            c.carry(attempt);
+          } else {
+            attempt.end(Status.UNREACHABLE, null, null);
+          }
+        });
   }
 
   void release(BackendConnection c) {
--- a/front/src/main/java/willowdoor/front/start/WarmUp.java
+++ b/front/src/main/java/willowdoor/front/start/WarmUp.java
@@ -16,12 +16,17 @@
 import willowdoor.policy.GatewayApi.RequestClass;
 import willowdoor.policy.GatewayApi.Settings;
 
-/** What a front door serves within the process before it says ready: its peers there, and their requests. */
+/**
+ * What a front door serves within the process before it says ready: its peers there, and their
+ * requests.
+ */
 public final class WarmUp {
 
   private static final int SERVERS = 8;
+
   /** Few enough that some spend their quota, so that refusals are warmed up too. */
   private static final int CUSTOMERS = 24;
+
   private static final String BODY = "{\"template\":\"lease\",\"fields\":{\"name\":\"warm-up\"}}";
 
   private final Settings settings;
@@ -63,12 +68,32 @@
     RequestClass type = settings.classes().get(number % settings.classes().size());
     Plan plan = settings.plans().get(number / settings.classes().size() % settings.plans().size());
     boolean safe = type.repeat() == Repeat.SAFE;
-    return (safe ? "GET /" : "POST /") + type.name() + "/warm-up HTTP/1.1\r\nHost: warm-up\r\n"
-        + Headers.REQUEST_ID + ": warm-up-" + number + "\r\n" + Headers.REQUEST_CLASS + ": " + type.name()
-        + "\r\n" + Headers.PLAN + ": " + plan.name() + "\r\n" + Headers.CUSTOMER + ": "
-        + Integer.toHexString(number % CUSTOMERS) + "\r\n" + Headers.TIMEOUT_MS + ": 10000\r\n"
+    return (safe ? "GET /" : "POST /")
+        + type.name()
+        + "/warm-up HTTP/1.1\r\nHost: warm-up\r\n"
+        + Headers.REQUEST_ID
+        + ": warm-up-"
+        + number
+        + "\r\n"
+        + Headers.REQUEST_CLASS
+        + ": "
+        + type.name()
+        + "\r\n"
+        + Headers.PLAN
+        + ": "
+        + plan.name()
+        + "\r\n"
+        + Headers.CUSTOMER
+        + ": "
+        + Integer.toHexString(number % CUSTOMERS)
+        + "\r\n"
+        + Headers.TIMEOUT_MS
+        + ": 10000\r\n"
         + (type.repeat() == Repeat.KEYED ? Headers.IDEMPOTENCY_KEY + ": " + number + "\r\n" : "")
-        + Headers.QUOTA + ": units=1,spread=" + settings.gateways() + ",first=0\r\n"
+        + Headers.QUOTA
+        + ": units=1,spread="
+        + settings.gateways()
+        + ",first=0\r\n"
         + (safe ? "\r\n" : "Content-Length: " + BODY.length() + "\r\n\r\n" + BODY);
   }
 }
--- a/front/src/main/java/willowdoor/front/start/WarmUpPeers.java
+++ b/front/src/main/java/willowdoor/front/start/WarmUpPeers.java
@@ -36,14 +36,16 @@
 import java.util.function.Supplier;
 
 /**
- * The peers of a front door that warms up: one template server that answers at once, a counter and clients,
- * on channels within the process. They open no socket, and nothing that they are sent leaves the process.
+ * The peers of a front door that warms up: one template server that answers at once, a counter and
+ * clients, on channels within the process. They open no socket, and nothing that they are sent
+ * leaves the process.
  */
 final class WarmUpPeers {
 
   private static final int MOST_LINE = 256;
   private static final int MOST_BODY = 64 * 1024;
   private static final int CLIENTS = 3;
+
   /** As a rendered template: long enough that it is copied in pieces. */
   private static final byte[] ANSWER = new byte[2_000];
 
@@ -55,9 +57,14 @@
   /** The peers live on a loop for channels within the process, and end with it. */
   public WarmUpPeers(EventLoopGroup group) throws InterruptedException {
     this.group = group;
-    server = listen(() -> new ChannelHandler[] {new HttpServerCodec(), new HttpObjectAggregator(MOST_BODY),
-        new TemplateServer()});
-    counter = listen(() -> new ChannelHandler[] {new LineBasedFrameDecoder(MOST_LINE), new Counter()});
+    server =
+        listen(
+            () ->
+                new ChannelHandler[] {
+                  new HttpServerCodec(), new HttpObjectAggregator(MOST_BODY), new TemplateServer()
+                });
+    counter =
+        listen(() -> new ChannelHandler[] {new LineBasedFrameDecoder(MOST_LINE), new Counter()});
   }
 
   /** Where the template server listens. */
@@ -70,8 +77,14 @@
   }
 
   private SocketAddress listen(Supplier<ChannelHandler[]> handlers) throws InterruptedException {
-    return new ServerBootstrap().group(group).channel(LocalServerChannel.class).childHandler(piped(handlers))
-        .bind(new LocalAddress(WarmUpPeers.class)).sync().channel().localAddress();
+    return new ServerBootstrap()
+        .group(group)
+        .channel(LocalServerChannel.class)
+        .childHandler(piped(handlers))
+        .bind(new LocalAddress(WarmUpPeers.class))
+        .sync()
+        .channel()
+        .localAddress();
   }
 
   private static ChannelInitializer<Channel> piped(Supplier<ChannelHandler[]> handlers) {
@@ -84,7 +97,8 @@
   }
 
   /**
-   * Sends requests to a front door from a few clients, each the next once it has the answer to the last.
+   * Sends requests to a front door from a few clients, each the next once it has the answer to the
+   * last.
    *
    * @param request the n-th one, from 0, as it goes over the connection
    * @param limitMs after which no more is waited for, in milliseconds
@@ -96,12 +110,26 @@
     AtomicInteger answered = new AtomicInteger();
     CountDownLatch left = new CountDownLatch(requests);
     for (int i = 0; i < CLIENTS; i++) {
-      new Bootstrap().group(group).channel(LocalChannel.class).handler(piped(() -> new ChannelHandler[] {
-          new HttpResponseDecoder(), new HttpObjectAggregator(MOST_BODY),
-          new Client(() -> next.get() < requests ? request.apply(next.getAndIncrement()) : null, () -> {
-            answered.incrementAndGet();
-            left.countDown();
-          })})).connect(door);
+      new Bootstrap()
+          .group(group)
+          .channel(LocalChannel.class)
+          .handler(
+              piped(
+                  () ->
+                      new ChannelHandler[] {
+                        new HttpResponseDecoder(),
+                        new HttpObjectAggregator(MOST_BODY),
+                        new Client(
+                            () ->
+                                next.get() < requests
+                                    ? request.apply(next.getAndIncrement())
+                                    : null,
+                            () -> {
+                              answered.incrementAndGet();
+                              left.countDown();
+                            })
+                      }))
+          .connect(door);
     }
     left.await(limitMs, TimeUnit.MILLISECONDS);
     next.set(requests);
@@ -111,10 +139,14 @@
   private static final class TemplateServer extends SimpleChannelInboundHandler<FullHttpRequest> {
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-      FullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK,
-          Unpooled.wrappedBuffer(ANSWER));
-      answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, ANSWER.length)
-          .set(HttpHeaderNames.CONTENT_TYPE, "text/html").set("X-Units-Charged", "1");
+      FullHttpResponse answer =
+          new DefaultFullHttpResponse(
+              HttpVersion.HTTP_1_1, HttpResponseStatus.OK, Unpooled.wrappedBuffer(ANSWER));
+      answer
+          .headers()
+          .set(HttpHeaderNames.CONTENT_LENGTH, ANSWER.length)
+          .set(HttpHeaderNames.CONTENT_TYPE, "text/html")
+          .set("X-Units-Charged", "1");
       ctx.writeAndFlush(answer).addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
     }
   }
@@ -124,8 +156,10 @@
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf line) {
       String[] words = line.toString(StandardCharsets.US_ASCII).split(" ");
-      String answer = words.length < 3 ? "pong"
-          : "ok " + totals.merge(words[1], Double.parseDouble(words[2]), Double::sum);
+      String answer =
+          words.length < 3
+              ? "pong"
+              : "ok " + totals.merge(words[1], Double.parseDouble(words[2]), Double::sum);
       ByteBuf bytes = ByteBufUtil.writeAscii(ctx.alloc(), answer + "\r\n");
       ctx.writeAndFlush(bytes).addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
     }
--- a/front/src/main/java/willowdoor/wire/Address.java
+++ b/front/src/main/java/willowdoor/wire/Address.java
@@ -8,16 +8,18 @@
 /** Addresses as they are written in lists and configurations: numeric ones, as there is no DNS. */
 public final class Address {
 
-  private Address() {
-  }
+  private Address() {}
 
   /** A numeric address and port, or null. */
   public static InetSocketAddress parse(String text) {
     int colon = text.lastIndexOf(':');
-    byte[] ip = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
+    byte[] ip =
+        colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
     try {
       int port = ip == null ? -1 : Integer.parseInt(text.substring(colon + 1));
-      return port < 0 || port > 65_535 ? null : new InetSocketAddress(InetAddress.getByAddress(ip), port);
+      return port < 0 || port > 65_535
+          ? null
+          : new InetSocketAddress(InetAddress.getByAddress(ip), port);
     } catch (NumberFormatException | UnknownHostException e) {
       return null;
     }
--- a/front/src/main/java/willowdoor/wire/JsonFields.java
+++ b/front/src/main/java/willowdoor/wire/JsonFields.java
@@ -9,11 +9,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** JSON objects as plain maps, and lenient looks into them: what is missing or of another kind is absent. */
+/**
+ * JSON objects as plain maps, and lenient looks into them: what is missing or of another kind is
+ * absent.
+ */
 public final class JsonFields {
 
-  private JsonFields() {
-  }
+  private JsonFields() {}
 
   /**
    * Reads the one object that a text holds.
@@ -27,8 +29,12 @@
       fields = object(in);
     } catch (JacksonException e) {
       String at = in.getParsingContext().pathAsPointer().toString();
-      throw new IOException("malformed JSON at " + (at.isEmpty() ? "its beginning" : at) + ": "
-          + e.getOriginalMessage(), e);
+      throw new IOException(
+          "malformed JSON at "
+              + (at.isEmpty() ? "its beginning" : at)
+              + ": "
+              + e.getOriginalMessage(),
+          e);
     }
     if (hasMore(in)) {
       throw new IOException("there is more behind the object's end");
@@ -72,8 +78,10 @@
         yield items;
       }
       case VALUE_STRING -> in.getText();
-      case VALUE_NUMBER_INT -> in.getNumberType() == JsonParser.NumberType.BIG_INTEGER
-          ? (Object) in.getBigIntegerValue() : (Object) in.getLongValue();
+      case VALUE_NUMBER_INT ->
+          in.getNumberType() == JsonParser.NumberType.BIG_INTEGER
+              ? (Object) in.getBigIntegerValue()
+              : (Object) in.getLongValue();
       case VALUE_NUMBER_FLOAT -> in.getDoubleValue();
       case VALUE_TRUE -> Boolean.TRUE;
       case VALUE_FALSE -> Boolean.FALSE;
--- a/front/src/main/java/willowdoor/wire/WireSettings.java
+++ b/front/src/main/java/willowdoor/wire/WireSettings.java
@@ -17,11 +17,12 @@
 import willowdoor.policy.GatewayApi.Rules;
 import willowdoor.policy.GatewayApi.Settings;
 
-/** The settings object as the wire names it; the adapter and the real front door read the same one. */
+/**
+ * The settings object as the wire names it; the adapter and the real front door read the same one.
+ */
 public final class WireSettings {
 
-  private WireSettings() {
-  }
+  private WireSettings() {}
 
   public static Settings read(Map<String, Object> s) {
     Map<String, Object> bounds = child(s, "Bounds");
@@ -29,33 +30,66 @@
     Map<String, Object> rules = child(s, "Rules");
     List<RequestClass> classes = new ArrayList<>();
     for (Map<String, Object> c : children(s, "Profiles")) {
-      classes.add(new RequestClass(text(c, "Name"), number(c, "Value", 1), number(c, "LateValue"),
-          number(c, "AimMs"), number(c, "DeadlineMs"), switch (text(c, "Repeat")) {
-            case "pure" -> Repeat.SAFE;
-            case "token" -> Repeat.KEYED;
-            default -> Repeat.UNSAFE;
-          }, switch (text(c, "Group")) {
-            case "all" -> Group.ALL;
-            case "zone" -> Group.ZONE;
-            default -> Group.CELL;
-          }, number(c, "RepeatWindowMs"), flag(c, "Stream")));
+      classes.add(
+          new RequestClass(
+              text(c, "Name"),
+              number(c, "Value", 1),
+              number(c, "LateValue"),
+              number(c, "AimMs"),
+              number(c, "DeadlineMs"),
+              switch (text(c, "Repeat")) {
+                case "pure" -> Repeat.SAFE;
+                case "token" -> Repeat.KEYED;
+                default -> Repeat.UNSAFE;
+              },
+              switch (text(c, "Group")) {
+                case "all" -> Group.ALL;
+                case "zone" -> Group.ZONE;
+                default -> Group.CELL;
+              },
+              number(c, "RepeatWindowMs"),
+              flag(c, "Stream")));
     }
     List<Plan> plans = new ArrayList<>();
     for (Map<String, Object> p : children(s, "Tariffs")) {
-      plans.add(new Plan(text(p, "Name"), number(p, "Refill"), number(p, "PeakUnits"),
-          (int) number(p, "Open"), number(p, "WorthFactor", 1), number(p, "BeyondEarns"),
-          number(p, "OverrunCost"),
-          number(p, "CeilingRate"), number(p, "CeilingBurst"), number(p, "HardSlack")));
+      plans.add(
+          new Plan(
+              text(p, "Name"),
+              number(p, "Refill"),
+              number(p, "PeakUnits"),
+              (int) number(p, "Open"),
+              number(p, "WorthFactor", 1),
+              number(p, "BeyondEarns"),
+              number(p, "OverrunCost"),
+              number(p, "CeilingRate"),
+              number(p, "CeilingBurst"),
+              number(p, "HardSlack")));
     }
     String weights = text(s, "WeightKind");
-    return new Settings((int) number(s, "Balancers", 1), (int) number(s, "SelfIndex"), text(s, "MyZone"),
-        number(extra, "MaxUnits", 1), number(child(s, "Prices"), "CrossZone"),
-        weights.equals("nominal") || weights.equals("rough"), classes, plans,
-        new Allowed(flag(extra, "Counter"), number(extra, "CountLimitMs"), flag(bounds, "Cancel"),
-            flag(bounds, "MayDuplicate"), (int) number(bounds, "MaxAttempts", 1),
-            (int) number(bounds, "MaxOpen", Integer.MAX_VALUE), flag(bounds, "RetryAfter"),
-            number(bounds, "MaxRetryAfterMs"), text(s, "Discovery").equals("ask")),
-        new Rules(number(rules, "AnswerSlackMs"), number(rules, "ColdFrom", 1), number(rules, "ColdMs"),
-            number(rules, "TipMultiple", 1), number(rules, "TipAfterMs", 1)));
+    return new Settings(
+        (int) number(s, "Balancers", 1),
+        (int) number(s, "SelfIndex"),
+        text(s, "MyZone"),
+        number(extra, "MaxUnits", 1),
+        number(child(s, "Prices"), "CrossZone"),
+        weights.equals("nominal") || weights.equals("rough"),
+        classes,
+        plans,
+        new Allowed(
+            flag(extra, "Counter"),
+            number(extra, "CountLimitMs"),
+            flag(bounds, "Cancel"),
+            flag(bounds, "MayDuplicate"),
+            (int) number(bounds, "MaxAttempts", 1),
+            (int) number(bounds, "MaxOpen", Integer.MAX_VALUE),
+            flag(bounds, "RetryAfter"),
+            number(bounds, "MaxRetryAfterMs"),
+            text(s, "Discovery").equals("ask")),
+        new Rules(
+            number(rules, "AnswerSlackMs"),
+            number(rules, "ColdFrom", 1),
+            number(rules, "ColdMs"),
+            number(rules, "TipMultiple", 1),
+            number(rules, "TipAfterMs", 1)));
   }
 }
--- a/front/src/test/java/willowdoor/benchlink/BenchLinkTest.java
+++ b/front/src/test/java/willowdoor/benchlink/BenchLinkTest.java
@@ -13,7 +13,8 @@
 /** Plays short scripts of the wire and checks the exact replies. */
 class BenchLinkTest {
 
-  private static final String ATTACH = """
+  private static final String ATTACH =
+      """
       {"m":"Mark","ClockMs":1000,"n":1}
       {"m":"Attach","DoorId":3,"RandomSeed":5,"Setup":{"Balancers":2,"MyZone":"a","NewKey":[1,{"x":null}],
       "Bounds":{"MaxAttempts":3,"Cancel":true},"Extra":{"Counter":true,"CountLimitMs":30,"MaxUnits":4},
@@ -24,7 +25,8 @@
       {"m":"Discovery","DoorId":3,"Bank":0,"Form":"remembered","Revision":1}
       {"m":"Go"}
       """;
-  private static final String SERVED = """
+  private static final String SERVED =
+      """
       {"m":"Mark","ClockMs":2000.5,"n":2}
       {"m":"Req","DoorId":3,"Tid":"r1","GiveUpAtMs":6000.5,"Package":"p","Kind":"c","EntryPoints":2,\
       "CostUnits":2,"Customer":7}
@@ -40,7 +42,8 @@
       {"m":"Elapsed","DoorId":3,"Label":"tick"}
       {"m":"Go"}
       """;
-  private static final String REPLIES = """
+  private static final String REPLIES =
+      """
       {"m":"After","DoorId":3,"InstantMs":1025.0,"Label":"tick"}
       {"m":"Ack","n":1}
       {"m":"PostAmount","DoorId":3,"Book":"7:0","Qty":2.0,"TtlMs":60000.0}
--- a/front/src/test/java/willowdoor/discovery/ChangeLogTest.java
+++ b/front/src/test/java/willowdoor/discovery/ChangeLogTest.java
@@ -21,12 +21,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import willowdoor.discovery.Entry.State;
 
-/** The list on disk, with processes that end at each step, disks that fail, and files that are damaged. */
+/**
+ * The list on disk, with processes that end at each step, disks that fail, and files that are
+ * damaged.
+ */
 @Timeout(60)
 class ChangeLogTest {
 
-  @TempDir
-  private Path dir;
+  @TempDir private Path dir;
 
   private static Entry active(int n) {
     return HostListTest.entry("s-" + n, State.ACTIVE, n);
@@ -55,17 +57,39 @@
     assertEquals(List.of(active(2)), list.since(2).orElseThrow());
   }
 
-  /** Ended at every step, again and again on the same folder: nothing told is lost or told in two ways. */
+  /**
+   * Ended at every step, again and again on the same folder: nothing told is lost or told in two
+   * ways.
+   */
   @ParameterizedTest
-  @ValueSource(strings = {"append", "sync", "synced", "snapshot", "snapshot written", "snapshot synced",
-      "snapshot in place", "log begun", "log in place"})
+  @ValueSource(
+      strings = {
+        "append",
+        "sync",
+        "synced",
+        "snapshot",
+        "snapshot written",
+        "snapshot synced",
+        "snapshot in place",
+        "log begun",
+        "log in place"
+      })
   void aProcessThatEndsAtAStepLosesNothingItTold(String step) throws Exception {
     Map<String, String> contents = new HashMap<>();
     for (int passes : new int[] {0, 1, 3}) {
-      Process process = new ProcessBuilder(System.getProperty("java.home") + "/bin/java", "-Xshare:auto",
-          "-XX:TieredStopAtLevel=1", "-cp", System.getProperty("java.class.path"), LogWriter.class.getName(),
-          dir.toString(), step, Integer.toString(passes))
-          .redirectError(ProcessBuilder.Redirect.INHERIT).start();
+      Process process =
+          new ProcessBuilder(
+                  System.getProperty("java.home") + "/bin/java",
+                  "-Xshare:auto",
+                  "-XX:TieredStopAtLevel=1",
+                  "-cp",
+                  System.getProperty("java.class.path"),
+                  LogWriter.class.getName(),
+                  dir.toString(),
+                  step,
+                  Integer.toString(passes))
+              .redirectError(ProcessBuilder.Redirect.INHERIT)
+              .start();
       String last = "0";
       try {
         for (String line : process.inputReader().lines().toList()) {
@@ -85,7 +109,8 @@
 
   private static void compare(Map<String, String> contents, String told) {
     String[] parts = told.split(" ");
-    assertEquals(contents.computeIfAbsent(parts[0], v -> parts[1]), parts[1], "version " + parts[0]);
+    assertEquals(
+        contents.computeIfAbsent(parts[0], v -> parts[1]), parts[1], "version " + parts[0]);
   }
 
   /** Cut anywhere, the last line is dropped, and its version is not used for anything else. */
@@ -156,22 +181,34 @@
     assertEquals(1, reopened().version());
   }
 
-  /** A disk that fails at a step: the change is refused, later ones are taken, no version means two. */
+  /**
+   * A disk that fails at a step: the change is refused, later ones are taken, no version means two.
+   */
   @ParameterizedTest
-  @ValueSource(strings = {"append", "sync", "snapshot", "snapshot written", "snapshot synced",
-      "snapshot in place", "log begun", "log in place"})
+  @ValueSource(
+      strings = {
+        "append",
+        "sync",
+        "snapshot",
+        "snapshot written",
+        "snapshot synced",
+        "snapshot in place",
+        "log begun",
+        "log in place"
+      })
   void afterAWriteThatFailedTheListGoesOn(String failing) throws IOException {
     boolean[] fails = {false};
     HostList before;
     HostList after;
-    try (ChangeLog log = new ChangeLog(dir, 200) {
-      @Override
-      void step(String name) throws IOException {
-        if (fails[0] && name.equals(failing)) {
-          throw new IOException("No space left on device");
-        }
-      }
-    }) {
+    try (ChangeLog log =
+        new ChangeLog(dir, 200) {
+          @Override
+          void step(String name) throws IOException {
+            if (fails[0] && name.equals(failing)) {
+              throw new IOException("No space left on device");
+            }
+          }
+        }) {
       before = log.append(List.of(active(1)));
       fails[0] = true;
       boolean refused = false;
@@ -188,7 +225,8 @@
       fails[0] = false;
       after = log.append(List.of(active(9)));
     }
-    assertTrue(after.version() > before.version() + 1, "the version that failed may be on the disk");
+    assertTrue(
+        after.version() > before.version() + 1, "the version that failed may be on the disk");
     assertEquals(active(9), after.entry("s-9"));
     HostList found = reopened();
     assertEquals(after.version(), found.version());
@@ -202,10 +240,13 @@
     int changes = 100_000;
     Path many = Files.createDirectory(dir.resolve("many"));
     for (int i = 1; i <= changes; i++) {
-      lines.append(ChangeLog.line(new ListJson.Message(i, false, List.of(
-          HostListTest.entry("s-" + i % 200, State.ACTIVE, i)))));
+      lines.append(
+          ChangeLog.line(
+              new ListJson.Message(
+                  i, false, List.of(HostListTest.entry("s-" + i % 200, State.ACTIVE, i)))));
     }
-    Files.writeString(many.resolve("log"), lines, StandardCharsets.UTF_8, StandardOpenOption.CREATE);
+    Files.writeString(
+        many.resolve("log"), lines, StandardCharsets.UTF_8, StandardOpenOption.CREATE);
     long from = System.nanoTime();
     HostList byLog;
     try (ChangeLog log = new ChangeLog(many)) {
@@ -219,8 +260,9 @@
     try (ChangeLog log = new ChangeLog(many)) {
       bySnapshot = log.list();
     }
-    System.out.printf("recovery of %,d changes: %.0f ms by the log, %.1f ms by a snapshot%n", changes,
-        replayed / 1e6, (System.nanoTime() - from) / 1e6);
+    System.out.printf(
+        "recovery of %,d changes: %.0f ms by the log, %.1f ms by a snapshot%n",
+        changes, replayed / 1e6, (System.nanoTime() - from) / 1e6);
     assertEquals(changes, byLog.version());
     assertEquals(changes + 1, bySnapshot.version());
     assertEquals(200, bySnapshot.present().size());
--- a/front/src/test/java/willowdoor/discovery/HostListTest.java
+++ b/front/src/test/java/willowdoor/discovery/HostListTest.java
@@ -60,9 +60,12 @@
 
   @Test
   void changesAreJoinedToTheLastStateInTheOrderOfTheLastChanges() {
-    HostList list = list(3, "s-1", "s-2", "s-3").with(4, List.of(active("s-1").in(State.LEAVING)))
-        .with(5, List.of(active("s-1").in(State.LEFT)));
-    assertEquals(Optional.of(List.of(active("s-2"), active("s-3"), active("s-1").in(State.LEFT))),
+    HostList list =
+        list(3, "s-1", "s-2", "s-3")
+            .with(4, List.of(active("s-1").in(State.LEAVING)))
+            .with(5, List.of(active("s-1").in(State.LEFT)));
+    assertEquals(
+        Optional.of(List.of(active("s-2"), active("s-3"), active("s-1").in(State.LEFT))),
         list.since(1));
   }
 
@@ -95,7 +98,8 @@
     long at = 0;
     for (int version = 1; version < 3_000; version++) {
       State state = State.values()[random.nextInt(3)];
-      list = list.with(version, List.of(entry("s-" + random.nextInt(40), state, random.nextInt(5))));
+      list =
+          list.with(version, List.of(entry("s-" + random.nextInt(40), state, random.nextInt(5))));
       if (random.nextInt(4) == 0) {
         for (Entry e : list.since(at).orElseThrow()) {
           followed.remove(e.id());
@@ -112,41 +116,48 @@
   @Test
   void theListIsWordedAsThePlatformsIs() throws BadList {
     Entry e = new Entry("s-5be2a07c", "10.1.0.18:7070", "a", "m2", 3, State.ACTIVE, 1, 0, 9_000);
-    String text = "{\"version\":41,\"full\":true,\"servers\":[{\"id\":\"s-5be2a07c\","
-        + "\"addr\":\"10.1.0.18:7070\",\"zone\":\"a\",\"kind\":\"m2\",\"cell\":3,\"state\":\"active\","
-        + "\"weight\":1.0,\"started_ms\":0}]}";
+    String text =
+        "{\"version\":41,\"full\":true,\"servers\":[{\"id\":\"s-5be2a07c\","
+            + "\"addr\":\"10.1.0.18:7070\",\"zone\":\"a\",\"kind\":\"m2\",\"cell\":3,\"state\":\"active\","
+            + "\"weight\":1.0,\"started_ms\":0}]}";
     Message message = new Message(41, true, List.of(e));
     assertEquals(text, new String(ListJson.write(message, false), StandardCharsets.UTF_8));
     assertEquals(message, ListJson.read(ListJson.write(message, true)));
   }
 
   @ParameterizedTest
-  @CsvSource(delimiter = '|', value = {
-      "{\"servers\":[{\"id\":\"s\" | it is not JSON",
-      "[] | it is not a JSON object",
-      "{\"servers\":[]} x | it is not JSON",
-      "{\"servers\":[]}{} | something follows the object",
-      "{\"servers\":[],\"servers\":[]} | it is not JSON: Duplicate field 'servers'",
-      "{} | servers is not a list",
-      "{\"servers\":[7]} | servers[0] is not an object",
-      "{\"servers\":[{\"addr\":\"127.0.0.1:1\"}]} | servers[0].id is not a short word",
-      "{\"servers\":[{\"id\":\"a b\",\"addr\":\"127.0.0.1:1\"}]} | servers[0].id is not a short word",
-      "{\"servers\":[{\"id\":\"s\",\"addr\":\"host:1\"}]} | servers[0].addr is not a numeric address",
-      "{\"servers\":[{\"id\":\"s\",\"addr\":\"127.0.0.1:0\"}]} | servers[0].addr is not a numeric address",
-      "{\"servers\":[{\"id\":\"s\",\"addr\":\"127.0.0.1:70000\"}]} | servers[0].addr is not a numeric",
-      "{\"servers\":[{\"id\":\"s\",\"addr\":\"127.0.0.1:1\",\"state\":\"up\"}]}"
-          + " | servers[0].state is unknown: up",
-      "{\"servers\":[{\"id\":\"s\",\"addr\":\"127.0.0.1:1\",\"weight\":0}]}"
-          + " | servers[0].weight is not a number",
-      "{\"servers\":[{\"id\":\"s\",\"addr\":\"127.0.0.1:1\",\"cell\":1.5}]} | servers[0].cell is not a whole",
-      "{\"servers\":[{\"id\":\"s\",\"addr\":\"127.0.0.1:1\",\"started_ms\":-1}]}"
-          + " | servers[0].started_ms is not",
-      "{\"servers\":[{\"id\":\"s\",\"addr\":\"127.0.0.1:1\",\"lease_ms\":1e3}]} | servers[0].lease_ms is not",
-      "{\"servers\":[{\"id\":\"s\",\"addr\":\"127.0.0.1:1\"},{\"id\":\"s\",\"addr\":\"127.0.0.1:2\"}]}"
-          + " | servers[1].id is there twice: s"})
+  @CsvSource(
+      delimiter = '|',
+      value = {
+        "{\"servers\":[{\"id\":\"s\" | it is not JSON",
+        "[] | it is not a JSON object",
+        "{\"servers\":[]} x | it is not JSON",
+        "{\"servers\":[]}{} | something follows the object",
+        "{\"servers\":[],\"servers\":[]} | it is not JSON: Duplicate field 'servers'",
+        "{} | servers is not a list",
+        "{\"servers\":[7]} | servers[0] is not an object",
+        "{\"servers\":[{\"addr\":\"127.0.0.1:1\"}]} | servers[0].id is not a short word",
+        "{\"servers\":[{\"id\":\"a b\",\"addr\":\"127.0.0.1:1\"}]} | servers[0].id is not a short word",
+        "{\"servers\":[{\"id\":\"s\",\"addr\":\"host:1\"}]} | servers[0].addr is not a numeric address",
+        "{\"servers\":[{\"id\":\"s\",\"addr\":\"127.0.0.1:0\"}]} | servers[0].addr is not a numeric address",
+        "{\"servers\":[{\"id\":\"s\",\"addr\":\"127.0.0.1:70000\"}]} | servers[0].addr is not a numeric",
+        "{\"servers\":[{\"id\":\"s\",\"addr\":\"127.0.0.1:1\",\"state\":\"up\"}]}"
+            + " | servers[0].state is unknown: up",
+        "{\"servers\":[{\"id\":\"s\",\"addr\":\"127.0.0.1:1\",\"weight\":0}]}"
+            + " | servers[0].weight is not a number",
+        "{\"servers\":[{\"id\":\"s\",\"addr\":\"127.0.0.1:1\",\"cell\":1.5}]} | servers[0].cell is not a whole",
+        "{\"servers\":[{\"id\":\"s\",\"addr\":\"127.0.0.1:1\",\"started_ms\":-1}]}"
+            + " | servers[0].started_ms is not",
+        "{\"servers\":[{\"id\":\"s\",\"addr\":\"127.0.0.1:1\",\"lease_ms\":1e3}]} | servers[0].lease_ms is not",
+        "{\"servers\":[{\"id\":\"s\",\"addr\":\"127.0.0.1:1\"},{\"id\":\"s\",\"addr\":\"127.0.0.1:2\"}]}"
+            + " | servers[1].id is there twice: s"
+      })
   void whatIsNoListIsToldWhy(String text, String reason) {
-    BadList bad = assertThrows(BadList.class, () ->
-        ListJson.readServers(text.getBytes(StandardCharsets.UTF_8)));
-    assertEquals(reason, bad.getMessage().substring(0, Math.min(reason.length(), bad.getMessage().length())));
+    BadList bad =
+        assertThrows(
+            BadList.class, () -> ListJson.readServers(text.getBytes(StandardCharsets.UTF_8)));
+    assertEquals(
+        reason,
+        bad.getMessage().substring(0, Math.min(reason.length(), bad.getMessage().length())));
   }
 }
--- a/front/src/test/java/willowdoor/front/AnswerTimeTest.java
+++ b/front/src/test/java/willowdoor/front/AnswerTimeTest.java
@@ -20,19 +20,23 @@
     peers.close();
   }
 
-  /** A body that comes slowly is no sign of load: the expected wait stays that of the answers' heads. */
+  /**
+   * A body that comes slowly is no sign of load: the expected wait stays that of the answers'
+   * heads.
+   */
   @Test
   void bodiesThatComeSlowlyAreNoPressure() throws Exception {
     CountDownLatch never = new CountDownLatch(1);
-    peers.answer = (request, out) -> {
-      Peers.write(out, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfi");
-      try {
-        assertTrue(!never.await(700, TimeUnit.MILLISECONDS));
-      } catch (InterruptedException e) {
-        Thread.currentThread().interrupt();
-      }
-      return Peers.write(out, "ne");
-    };
+    peers.answer =
+        (request, out) -> {
+          Peers.write(out, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfi");
+          try {
+            assertTrue(!never.await(700, TimeUnit.MILLISECONDS));
+          } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+          }
+          return Peers.write(out, "ne");
+        };
     FrontDoor door = peers.start();
     Client client = peers.client();
     for (int i = 0; i < 3; i++) {
--- a/front/src/test/java/willowdoor/front/BadClientTest.java
+++ b/front/src/test/java/willowdoor/front/BadClientTest.java
@@ -22,7 +22,10 @@
 class BadClientTest {
 
   private static final int SOCKETS = 128;
-  /** Their answers are more than the sockets take, and they themselves fit in what is read ahead. */
+
+  /**
+   * Their answers are more than the sockets take, and they themselves fit in what is read ahead.
+   */
   private static final int UNREAD = 300;
 
   private final Peers peers = new Peers();
@@ -38,17 +41,20 @@
       case "no request" -> "\u0016\u0003\u0001 hello\r\n\r\n";
       case "no version" -> "GET /quote/17\r\n\r\n";
       case "long line" -> "GET /" + "x".repeat(9_000) + " HTTP/1.1\r\n\r\n";
-      case "long head" -> "GET /quote HTTP/1.1\r\n" + "X-Filler: 0123456789abcdef\r\n".repeat(700) + "\r\n";
-      case "two lengths" -> post.replace("Content-Length: 4\r\n",
-          "Content-Length: 4\r\nContent-Length: 5\r\n");
-      case "length and chunks" -> post.replace("Content-Length: 4\r\n",
-          "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n");
+      case "long head" ->
+          "GET /quote HTTP/1.1\r\n" + "X-Filler: 0123456789abcdef\r\n".repeat(700) + "\r\n";
+      case "two lengths" ->
+          post.replace("Content-Length: 4\r\n", "Content-Length: 4\r\nContent-Length: 5\r\n");
+      case "length and chunks" ->
+          post.replace(
+              "Content-Length: 4\r\n", "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n");
       case "negative length" -> post.replace("Content-Length: 4\r\n", "Content-Length: -4\r\n");
-      case "bad chunk" -> post.replace("Content-Length: 4\r\n", "Transfer-Encoding: chunked\r\n")
-          .replace("\r\n\r\nbody", "\r\n\r\nzz\r\nbody\r\n");
+      case "bad chunk" ->
+          post.replace("Content-Length: 4\r\n", "Transfer-Encoding: chunked\r\n")
+              .replace("\r\n\r\nbody", "\r\n\r\nzz\r\nbody\r\n");
       case "unknown coding" -> post.replace("Content-Length: 4\r\n", "Transfer-Encoding: gzip\r\n");
-      case "unknown expectation" -> post.replace("Content-Length: 4\r\n",
-          "Content-Length: 4\r\nExpect: magic\r\n");
+      case "unknown expectation" ->
+          post.replace("Content-Length: 4\r\n", "Content-Length: 4\r\nExpect: magic\r\n");
       case "too large" -> post.replace("Content-Length: 4\r\n", "Content-Length: 60000000\r\n");
       default -> throw new IllegalArgumentException(kind);
     };
@@ -56,15 +62,27 @@
 
   /** The error is in plain words, whole, and followed by the connection's end without a reset. */
   @ParameterizedTest
-  @CsvSource({"no request", "no version", "long line", "long head", "two lengths", "length and chunks",
-      "negative length", "bad chunk", "unknown coding", "unknown expectation", "too large"})
+  @CsvSource({
+    "no request",
+    "no version",
+    "long line",
+    "long head",
+    "two lengths",
+    "length and chunks",
+    "negative length",
+    "bad chunk",
+    "unknown coding",
+    "unknown expectation",
+    "too large"
+  })
   void whatIsNoRequestIsToldSoWhateverComesBehindIt(String kind) throws Exception {
     peers.start();
     CountDownLatch told = new CountDownLatch(1);
-    peers.answer = (request, out) -> {
-      ClientLeavesTest.await(told);
-      return Peers.write(out, Peers.OK);
-    };
+    peers.answer =
+        (request, out) -> {
+          ClientLeavesTest.await(told);
+          return Peers.write(out, Peers.OK);
+        };
     Client proper = peers.client();
     proper.send(Peers.get("proper", 9000));
     Peers.next(peers.atBackend);
@@ -96,11 +114,14 @@
   }
 
   private String withFewDescriptors() {
-    return peers.config(Peers.entry("s-1", peers.backend.getLocalPort(), "active"))
+    return peers
+        .config(Peers.entry("s-1", peers.backend.getLocalPort(), "active"))
         .replace("\"settings\"", "\"limits\":{\"sockets\":" + SOCKETS + "},\"settings\"");
   }
 
-  /** Heads that come byte by byte are requests as others are, and give way to those that come whole. */
+  /**
+   * Heads that come byte by byte are requests as others are, and give way to those that come whole.
+   */
   @Test
   void peersThatSendBytesOneByOneCostNobodyARequest() throws Exception {
     peers.start(withFewDescriptors());
@@ -129,7 +150,10 @@
     }
   }
 
-  /** Clients that rest on all connections there may be make room for one that works, again and again. */
+  /**
+   * Clients that rest on all connections there may be make room for one that works, again and
+   * again.
+   */
   @Test
   void restingClientsMakeRoomForThoseThatWork() throws Exception {
     peers.start(withFewDescriptors());
--- a/front/src/test/java/willowdoor/front/BodyWithoutLengthTest.java
+++ b/front/src/test/java/willowdoor/front/BodyWithoutLengthTest.java
@@ -37,18 +37,25 @@
     ended.countDown();
   }
 
-  /** The first answer is cut, and the request sent again; what was begun to be passed on is cut too. */
+  /**
+   * The first answer is cut, and the request sent again; what was begun to be passed on is cut too.
+   */
   @ParameterizedTest
   @ValueSource(ints = {0, 4, 10_000, 200_000})
   void aResetIsNoEnd(int length) throws Exception {
     for (int i = 0; i < 20; i++) {
       AtomicInteger asked = new AtomicInteger();
-      int port = peers.listen(50, (in, out, socket) -> {
-        Peers.read(in);
-        boolean first = asked.incrementAndGet() == 1;
-        Peers.write(out, HEAD + (first ? "x".repeat(length) : "whole"));
-        end(socket, first);
-      }).getLocalPort();
+      int port =
+          peers
+              .listen(
+                  50,
+                  (in, out, socket) -> {
+                    Peers.read(in);
+                    boolean first = asked.incrementAndGet() == 1;
+                    Peers.write(out, HEAD + (first ? "x".repeat(length) : "whole"));
+                    end(socket, first);
+                  })
+              .getLocalPort();
       peers.start(peers.config(Peers.entry("s-1", port, "active")));
       Client client = peers.client();
       client.send(Peers.get("r" + i, 3_000));
@@ -64,35 +71,42 @@
   @Test
   void aResetWhileTheAnswerIsHeldBackIsNoEnd() throws Exception {
     AtomicInteger sent = new AtomicInteger();
-    int port = peers.listen(50, (in, out, socket) -> {
-      Peers.read(in);
-      Peers.write(out, HEAD);
-      byte[] piece = new byte[64 * 1024];
-      Thread stop = new Thread(() -> awaitStill(sent, socket));
-      stop.start();
-      try {
-        while (true) {
-          out.write(piece);
-          sent.addAndGet(piece.length);
-        }
-      } catch (IOException e) {
-        return; // ended by the other thread
-      }
-    }).getLocalPort();
+    int port =
+        peers
+            .listen(
+                50,
+                (in, out, socket) -> {
+                  Peers.read(in);
+                  Peers.write(out, HEAD);
+                  byte[] piece = new byte[64 * 1024];
+                  Thread stop = new Thread(() -> awaitStill(sent, socket));
+                  stop.start();
+                  try {
+                    while (true) {
+                      out.write(piece);
+                      sent.addAndGet(piece.length);
+                    }
+                  } catch (IOException e) {
+                    return; // ended by the other thread
+                  }
+                })
+            .getLocalPort();
     peers.start(peers.config(Peers.entry("s-1", port, "active")));
     Client client = peers.client();
     client.send(Peers.get("r1", 3_000));
     assertTrue(ended.await(20, TimeUnit.SECONDS));
-    assertThrows(IOException.class, () -> {
-      client.receive();
-      throw new AssertionError("taken for whole");
-    });
+    assertThrows(
+        IOException.class,
+        () -> {
+          client.receive();
+          throw new AssertionError("taken for whole");
+        });
   }
 
   /** Ends the connection in the middle of a write that the other side holds back. */
   private void awaitStill(AtomicInteger sent, Socket socket) {
     try {
-      for (int before = -1; before != sent.get();) {
+      for (int before = -1; before != sent.get(); ) {
         before = sent.get();
         Thread.sleep(300);
       }
--- a/front/src/test/java/willowdoor/front/ClientEndTest.java
+++ b/front/src/test/java/willowdoor/front/ClientEndTest.java
@@ -22,6 +22,7 @@
 
   /** More than is read at once: some of it is still unread when the connection ends. */
   private static final String HALF_A_LINE = "GET /" + "x".repeat(10_000);
+
   private static final String UP = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
   private static final int SOCKETS = 128;
 
@@ -33,8 +34,10 @@
   }
 
   private FrontDoor startWithFewDescriptors() throws Exception {
-    return peers.start(peers.config(Peers.entry("s-1", peers.backend.getLocalPort(), "active"))
-        .replace("\"settings\"", "\"limits\":{\"sockets\":" + SOCKETS + "},\"settings\""));
+    return peers.start(
+        peers
+            .config(Peers.entry("s-1", peers.backend.getLocalPort(), "active"))
+            .replace("\"settings\"", "\"limits\":{\"sockets\":" + SOCKETS + "},\"settings\""));
   }
 
   private static String last(String id) {
@@ -55,14 +58,16 @@
   private static CountDownLatch hold(FrontDoor door) throws InterruptedException {
     CountDownLatch held = new CountDownLatch(1);
     CountDownLatch on = new CountDownLatch(1);
-    door.loop().execute(() -> {
-      held.countDown();
-      try {
-        on.await(10, TimeUnit.SECONDS);
-      } catch (InterruptedException e) {
-        Thread.currentThread().interrupt();
-      }
-    });
+    door.loop()
+        .execute(
+            () -> {
+              held.countDown();
+              try {
+                on.await(10, TimeUnit.SECONDS);
+              } catch (InterruptedException e) {
+                Thread.currentThread().interrupt();
+              }
+            });
     assertTrue(held.await(10, TimeUnit.SECONDS));
     return on;
   }
@@ -79,10 +84,11 @@
   @Test
   void bytesBehindARefusalDoNotResetTheConnection() throws Exception {
     CountDownLatch told = new CountDownLatch(1);
-    peers.answer = (request, out) -> {
-      ClientLeavesTest.await(told);
-      return Peers.write(out, Peers.OK);
-    };
+    peers.answer =
+        (request, out) -> {
+          ClientLeavesTest.await(told);
+          return Peers.write(out, Peers.OK);
+        };
     startWithFewDescriptors();
     for (int i = 0; i < Descriptors.of(SOCKETS).clients(); i++) {
       peers.client().send(Peers.get("r" + i, 9000));
@@ -94,7 +100,9 @@
     told.countDown();
   }
 
-  /** What is written behind the last answer is dropped; peers that keep their side open are cut off. */
+  /**
+   * What is written behind the last answer is dropped; peers that keep their side open are cut off.
+   */
   @Test
   void whatComesBehindTheLastAnswerIsNotSentOn() throws Exception {
     peers.start();
@@ -102,12 +110,14 @@
     assertEquals(200, client.ask(last("r1")).status());
     assertTrue(client.ended());
     assertEquals("r1", Peers.next(peers.atBackend).header("Request-Id"));
-    assertThrows(IOException.class, () -> {
-      for (int i = 0; ; i++) {
-        client.send(Peers.get("late" + i, 3000));
-        TimeUnit.MILLISECONDS.sleep(10);
-      }
-    });
+    assertThrows(
+        IOException.class,
+        () -> {
+          for (int i = 0; ; i++) {
+            client.send(Peers.get("late" + i, 3000));
+            TimeUnit.MILLISECONDS.sleep(10);
+          }
+        });
     assertEquals(200, peers.client().ask(Peers.get("r2", 3000)).status());
     assertEquals("r2", Peers.next(peers.atBackend).header("Request-Id"));
     assertNull(peers.atBackend.poll());
@@ -159,10 +169,11 @@
   void aRequestBehindAnotherIsAnsweredThoughTheFrontDoorDrains() throws Exception {
     FrontDoor door = peers.start();
     CountDownLatch told = new CountDownLatch(1);
-    peers.answer = (request, out) -> {
-      ClientLeavesTest.await(told);
-      return Peers.write(out, Peers.OK);
-    };
+    peers.answer =
+        (request, out) -> {
+          ClientLeavesTest.await(told);
+          return Peers.write(out, Peers.OK);
+        };
     Client client = peers.client();
     client.send(Peers.get("r1", 3000) + Peers.get("r2", 3000) + Peers.get("r3", 3000));
     Peers.next(peers.atBackend);
--- a/front/src/test/java/willowdoor/front/ClientLeavesTest.java
+++ b/front/src/test/java/willowdoor/front/ClientLeavesTest.java
@@ -34,7 +34,9 @@
 
   /** Ways of leaving. */
   enum Way {
-    CLOSES, RESETS, ENDS_SENDING;
+    CLOSES,
+    RESETS,
+    ENDS_SENDING;
 
     void leave(Client client) throws IOException {
       switch (this) {
@@ -64,7 +66,9 @@
     }
   }
 
-  /** What it sends is no request, and may be more than the sockets take: its end comes behind that. */
+  /**
+   * What it sends is no request, and may be more than the sockets take: its end comes behind that.
+   */
   private static void sendAndLeave(Client client, int bytes, Way way) throws IOException {
     client.socket.getOutputStream().write(new byte[bytes]);
     way.leave(client);
@@ -72,14 +76,27 @@
 
   /** Its attempt comes back as turned away, and would be followed by another. */
   @ParameterizedTest
-  @CsvSource({"CLOSES, 0", "CLOSES, 10000", "CLOSES, 100000", "CLOSES, 4000000", "RESETS, 0", "RESETS, 10000",
-      "RESETS, 100000", "RESETS, 4000000", "ENDS_SENDING, 0", "ENDS_SENDING, 10000", "ENDS_SENDING, 4000000"})
+  @CsvSource({
+    "CLOSES, 0",
+    "CLOSES, 10000",
+    "CLOSES, 100000",
+    "CLOSES, 4000000",
+    "RESETS, 0",
+    "RESETS, 10000",
+    "RESETS, 100000",
+    "RESETS, 4000000",
+    "ENDS_SENDING, 0",
+    "ENDS_SENDING, 10000",
+    "ENDS_SENDING, 4000000"
+  })
   void noFurtherAttemptBeginsForAClientThatLeft(Way way, int bytes) throws Exception {
     CountDownLatch left = new CountDownLatch(1);
-    peers.answer = (request, out) -> {
-      await(left);
-      return Peers.write(out, "r1".equals(request.header("Request-Id")) ? Peers.NOT_STARTED : Peers.OK);
-    };
+    peers.answer =
+        (request, out) -> {
+          await(left);
+          return Peers.write(
+              out, "r1".equals(request.header("Request-Id")) ? Peers.NOT_STARTED : Peers.OK);
+        };
     peers.start();
     Client client = peers.client();
     client.send(Peers.get("r1", 3000));
@@ -97,17 +114,31 @@
 
   /** Its connect comes up once it has left; a body is larger than what is kept of it. */
   @ParameterizedTest
-  @CsvSource({"CLOSES, false, 0", "CLOSES, false, 10000", "CLOSES, false, 4000000", "RESETS, false, 10000",
-      "RESETS, false, 4000000", "ENDS_SENDING, false, 4000000", "CLOSES, true, 20000", "CLOSES, true, 100000",
-      "RESETS, true, 100000", "ENDS_SENDING, true, 100000"})
-  void noAttemptBeginsForAClientThatLeftDuringAConnect(Way way, boolean body, int bytes) throws Exception {
+  @CsvSource({
+    "CLOSES, false, 0",
+    "CLOSES, false, 10000",
+    "CLOSES, false, 4000000",
+    "RESETS, false, 10000",
+    "RESETS, false, 4000000",
+    "ENDS_SENDING, false, 4000000",
+    "CLOSES, true, 20000",
+    "CLOSES, true, 100000",
+    "RESETS, true, 100000",
+    "ENDS_SENDING, true, 100000"
+  })
+  void noAttemptBeginsForAClientThatLeftDuringAConnect(Way way, boolean body, int bytes)
+      throws Exception {
     try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       List<SocketChannel> fill = Peers.fill(full);
-      peers.start(peers.config(Peers.entry("s-1", full.getLocalPort(), "active"))
-          .replace("\"DialTimeoutMs\":250", "\"DialTimeoutMs\":9000"));
+      peers.start(
+          peers
+              .config(Peers.entry("s-1", full.getLocalPort(), "active"))
+              .replace("\"DialTimeoutMs\":250", "\"DialTimeoutMs\":9000"));
       Client client = peers.client();
-      client.send(body ? Peers.post("r1", "").replace("Content-Length: 0", "Content-Length: 300000")
-          : Peers.get("r1", 3000));
+      client.send(
+          body
+              ? Peers.post("r1", "").replace("Content-Length: 0", "Content-Length: 300000")
+              : Peers.get("r1", 3000));
       sendAndLeave(client, bytes, way);
       goRound();
       // Its connect is tried again by the system after that of the one that left.
--- a/front/src/test/java/willowdoor/front/ConfigTest.java
+++ b/front/src/test/java/willowdoor/front/ConfigTest.java
@@ -20,8 +20,7 @@
 class ConfigTest {
 
   private final Peers peers = new Peers();
-  @TempDir
-  private Path folder;
+  @TempDir private Path folder;
   private String good;
 
   @BeforeEach
@@ -52,24 +51,28 @@
   }
 
   @ParameterizedTest
-  @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-      "\"listen\":\"127.0.0.1:0\" | \"listen\":7 | listen",
-      "\"listen\" | \"listens\" | listen",
-      "\"discovery\":\" | \"discovery\":\"somewhere: | discovery",
-      "\"counter\" | \"counters\" | counter",
-      "\"seed\":\"8c | \"seed\":\"no | seed",
-      "\"settings\":{ | \"management\":\"here\",\"settings\":{ | management",
-      "\"settings\":{ | \"limits\":{\"sockets\":\"many\"},\"settings\":{ | limits.sockets",
-      "\"settings\":{ | \"limits\":{\"sockets\":3},\"settings\":{ | limits.sockets",
-      "\"addr\":\"127 | \"addr\":\"x127 | known",
-      "\"settings\" | \"setting\" | settings",
-      "\"Profiles\" | \"Others\" | settings",
-      "\"Tariffs\" | \"Others\" | settings",
-      "\"Name\":\"buy\" | \"Nam\":\"buy\" | settings.Profiles[1].Name",
-      "\"Name\":\"basic\" | \"Name\":4 | settings.Tariffs[0].Name",
-      "\"Name\":\"buy\" | \"Name\":buy | /settings/Profiles/1/Name",
-      "\"DeadlineMs\":4000 | \"DeadlineMs\":4,000 | /settings/Profiles/0",
-      "\"CountLimitMs\":50 | \"CountLimitMs\":0x50 | /settings/Extra/CountLimitMs"})
+  @CsvSource(
+      delimiter = '|',
+      quoteCharacter = '`',
+      value = {
+        "\"listen\":\"127.0.0.1:0\" | \"listen\":7 | listen",
+        "\"listen\" | \"listens\" | listen",
+        "\"discovery\":\" | \"discovery\":\"somewhere: | discovery",
+        "\"counter\" | \"counters\" | counter",
+        "\"seed\":\"8c | \"seed\":\"no | seed",
+        "\"settings\":{ | \"management\":\"here\",\"settings\":{ | management",
+        "\"settings\":{ | \"limits\":{\"sockets\":\"many\"},\"settings\":{ | limits.sockets",
+        "\"settings\":{ | \"limits\":{\"sockets\":3},\"settings\":{ | limits.sockets",
+        "\"addr\":\"127 | \"addr\":\"x127 | known",
+        "\"settings\" | \"setting\" | settings",
+        "\"Profiles\" | \"Others\" | settings",
+        "\"Tariffs\" | \"Others\" | settings",
+        "\"Name\":\"buy\" | \"Nam\":\"buy\" | settings.Profiles[1].Name",
+        "\"Name\":\"basic\" | \"Name\":4 | settings.Tariffs[0].Name",
+        "\"Name\":\"buy\" | \"Name\":buy | /settings/Profiles/1/Name",
+        "\"DeadlineMs\":4000 | \"DeadlineMs\":4,000 | /settings/Profiles/0",
+        "\"CountLimitMs\":50 | \"CountLimitMs\":0x50 | /settings/Extra/CountLimitMs"
+      })
   void theKeyAtFaultIsNamed(String part, String bad, String key) {
     assertTrue(good.contains(part), part);
     String message = refused(good.replace(part, bad));
@@ -92,7 +95,10 @@
     assertTrue(refused("{\"name\":" + "[".repeat(100_000)).contains("/name"));
   }
 
-  /** Whatever a byte of it turns into, it is read or refused; anything else would be a crash at start. */
+  /**
+   * Whatever a byte of it turns into, it is read or refused; anything else would be a crash at
+   * start.
+   */
   @Test
   void garbledOnesAreReadOrRefused() throws IOException {
     Random random = new Random(28);
