--- a/front/src/test/java/willowdoor/front/DescriptorsTest.java
+++ b/front/src/test/java/willowdoor/front/DescriptorsTest.java
@@ -26,25 +26,38 @@
 import willowdoor.front.Peers.Client;
 
 /**
- * A process that may hold so many descriptors and no more, with more clients at once than it can hold while
- * discovery and the counter are down: it stays ready, serves who asks, and reaches both once they are back.
- * That the clients come at once is forced: they come while the process is stopped.
+ * A process that may hold so many descriptors and no more, with more clients at once than it can
+ * hold while discovery and the counter are down: it stays ready, serves who asks, and reaches both
+ * once they are back. That the clients come at once is forced: they come while the process is
+ * stopped.
  */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class DescriptorsTest {
 
   private static final int LIMIT = 256;
+
   /** More clients than the process may hold descriptors, and fewer than may wait to be accepted. */
   private static final int CROWD = 350;
+
   private static final String UP = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
   private static final String READY = "GET /api/ready HTTP/1.1\r\nHost: x\r\n\r\n";
+
   /** The shell sets the limit for itself, and goes on as the front door. */
-  private static final String LAUNCH = "ulimit -n " + LIMIT + " && exec \"$JAVA\" -cp \"$CLASSES\" "
-      + "-Xshare:auto -XX:TieredStopAtLevel=1 -Djava.io.tmpdir=\"$TMPDIR\" willowdoor.front.Main serve";
+  private static final String LAUNCH =
+      "ulimit -n "
+          + LIMIT
+          + " && exec \"$JAVA\" -cp \"$CLASSES\" "
+          + "-Xshare:auto -XX:TieredStopAtLevel=1 -Djava.io.tmpdir=\"$TMPDIR\" willowdoor.front.Main serve";
 
   /** What a client does that holds a connection and has no more to ask. */
   private enum Kind {
-    IDLE, SILENT, ONE_BYTE, HALF_OPEN, HALF_A_BODY, SENDS_MUCH_AND_GOES, MALFORMED
+    IDLE,
+    SILENT,
+    ONE_BYTE,
+    HALF_OPEN,
+    HALF_A_BODY,
+    SENDS_MUCH_AND_GOES,
+    MALFORMED
   }
 
   private final Peers peers = new Peers();
@@ -54,33 +67,45 @@
   private final ServerSocket old = server("old");
   private final ServerSocket replacing = server("new");
   private volatile boolean down;
-  private final ServerSocket agent = peers.listen(50, (in, out, socket) -> {
-    Peers.read(in);
-    if (!down) {
-      String list = watches.isEmpty() ? "\n"
-          : Peers.list(8, true, Peers.entry("s-2", replacing.getLocalPort(), "active")) + "\n";
-      watches.add(socket);
-      Peers.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-          + Integer.toHexString(list.length()) + "\r\n" + list + "\r\n");
-      told.add(true);
-    }
-    while (in.read() >= 0) {
-      continue;
-    }
-  });
-  @TempDir
-  private Path folder;
+  private final ServerSocket agent =
+      peers.listen(
+          50,
+          (in, out, socket) -> {
+            Peers.read(in);
+            if (!down) {
+              String list =
+                  watches.isEmpty()
+                      ? "\n"
+                      : Peers.list(8, true, Peers.entry("s-2", replacing.getLocalPort(), "active"))
+                          + "\n";
+              watches.add(socket);
+              Peers.write(
+                  out,
+                  "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                      + Integer.toHexString(list.length())
+                      + "\r\n"
+                      + list
+                      + "\r\n");
+              told.add(true);
+            }
+            while (in.read() >= 0) {
+              continue;
+            }
+          });
+  @TempDir private Path folder;
   private Process door;
   private InetSocketAddress address;
   private InetSocketAddress operators;
 
   private ServerSocket server(String name) {
-    return peers.listen(50, (in, out, socket) -> {
-      while (true) {
-        Peers.read(in);
-        Peers.write(out, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n" + name);
-      }
-    });
+    return peers.listen(
+        50,
+        (in, out, socket) -> {
+          while (true) {
+            Peers.read(in);
+            Peers.write(out, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n" + name);
+          }
+        });
   }
 
   @AfterEach
@@ -99,13 +124,25 @@
     address = free();
     operators = free();
     Path config = folder.resolve("config.json");
-    Files.writeString(config, peers.config(Peers.entry("s-1", old.getLocalPort(), "active"))
-        .replaceFirst("127.0.0.1:0", "127.0.0.1:" + address.getPort())
-        .replaceFirst("\"discovery\":\"[^\"]*\"", "\"discovery\":\"127.0.0.1:" + agent.getLocalPort() + "\"")
-        .replace("\"settings\"", "\"management\":\"127.0.0.1:" + operators.getPort()
-            + "\",\"limits\":{\"sockets\":" + LIMIT + "},\"settings\""));
+    Files.writeString(
+        config,
+        peers
+            .config(Peers.entry("s-1", old.getLocalPort(), "active"))
+            .replaceFirst("127.0.0.1:0", "127.0.0.1:" + address.getPort())
+            .replaceFirst(
+                "\"discovery\":\"[^\"]*\"",
+                "\"discovery\":\"127.0.0.1:" + agent.getLocalPort() + "\"")
+            .replace(
+                "\"settings\"",
+                "\"management\":\"127.0.0.1:"
+                    + operators.getPort()
+                    + "\",\"limits\":{\"sockets\":"
+                    + LIMIT
+                    + "},\"settings\""));
     ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", LAUNCH);
-    builder.environment().put("JAVA", Path.of(System.getProperty("java.home"), "bin", "java").toString());
+    builder
+        .environment()
+        .put("JAVA", Path.of(System.getProperty("java.home"), "bin", "java").toString());
     builder.environment().put("CLASSES", System.getProperty("java.class.path"));
     builder.environment().put("TMPDIR", folder.toString());
     builder.environment().put("GW_CONFIG", config.toString());
@@ -129,7 +166,10 @@
     }
   }
 
-  /** New clients' requests, until this server answers one: while the counter is down some are refused. */
+  /**
+   * New clients' requests, until this server answers one: while the counter is down some are
+   * refused.
+   */
   private void askUntilServedBy(String name) throws IOException {
     String text = "";
     for (int i = 0; !text.equals(name); i++) {
@@ -169,18 +209,24 @@
     Peers.next(told);
     askUntilServedBy("new");
     peers.counting = peers::count;
-    for (peers.atCounter.clear(); peers.atCounter.isEmpty();) {
+    for (peers.atCounter.clear(); peers.atCounter.isEmpty(); ) {
       askUntilServedBy("new");
     }
     assertTrue(most < LIMIT, "held " + most);
-    assertEquals(List.of(), Files.readAllLines(folder.resolve("log")).stream()
-        .filter(l -> l.startsWith("WARNING") || l.startsWith("SEVERE") || l.contains("Too many open files"))
-        .toList());
+    assertEquals(
+        List.of(),
+        Files.readAllLines(folder.resolve("log")).stream()
+            .filter(
+                l ->
+                    l.startsWith("WARNING")
+                        || l.startsWith("SEVERE")
+                        || l.contains("Too many open files"))
+            .toList());
   }
 
   /**
-   * A request that has begun gives way to nobody, until its client has taken too long over it: all of them
-   * are answered by then, or were closed as there was no room.
+   * A request that has begun gives way to nobody, until its client has taken too long over it: all
+   * of them are answered by then, or were closed as there was no room.
    */
   private void whileTheyAreWaitedFor() throws IOException {
     List<Client> crowd = clients.subList(clients.size() - CROWD, clients.size());
@@ -197,7 +243,8 @@
   }
 
   private void signal(String name) throws Exception {
-    assertEquals(0, new ProcessBuilder("kill", "-" + name, Long.toString(door.pid())).start().waitFor());
+    assertEquals(
+        0, new ProcessBuilder("kill", "-" + name, Long.toString(door.pid())).start().waitFor());
   }
 
   /** All that the process holds, its own files and pollers as well. */
@@ -225,7 +272,7 @@
           client.close();
         }
         case MALFORMED -> client.send("no request\r\n\r\n");
-        default -> { }
+        default -> {}
       }
     } catch (IOException e) {
       // It was told to go, or found no place: the others are what counts.
--- a/front/src/test/java/willowdoor/front/DiscoveryTest.java
+++ b/front/src/test/java/willowdoor/front/DiscoveryTest.java
@@ -41,8 +41,7 @@
   private static final String UP = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
 
   private final Peers peers = new Peers();
-  @TempDir
-  private Path folder;
+  @TempDir private Path folder;
 
   @AfterEach
   void close() throws Exception {
@@ -50,12 +49,14 @@
   }
 
   private ServerSocket namedBackend(String name) {
-    return peers.listen(50, (in, out, socket) -> {
-      while (true) {
-        Peers.read(in);
-        Peers.write(out, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n" + name);
-      }
-    });
+    return peers.listen(
+        50,
+        (in, out, socket) -> {
+          while (true) {
+            Peers.read(in);
+            Peers.write(out, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n" + name);
+          }
+        });
   }
 
   private void askUntil(String name) throws IOException {
@@ -73,8 +74,13 @@
     peers.start(peers.config(Peers.entry("s-1", first, "active")));
     assertEquals("GET /discovery/hosts?stream=1&index=7 HTTP/1.1", Peers.next(peers.watches));
     askUntil("1");
-    String line = Peers.list(8, false, Peers.entry("s-1", first, "leaving"),
-        Peers.entry("s-2", second, "active")) + "\n";
+    String line =
+        Peers.list(
+                8,
+                false,
+                Peers.entry("s-1", first, "leaving"),
+                Peers.entry("s-2", second, "active"))
+            + "\n";
     peers.tell("\n" + line.substring(0, 30));
     peers.tell(line.substring(30, 90));
     peers.tell(line.substring(90) + "\n");
@@ -89,20 +95,26 @@
   @Test
   void theSameChangeOnceMoreCostsNoConnection() throws Exception {
     AtomicInteger connections = new AtomicInteger();
-    int port = peers.listen(50, (in, out, socket) -> {
-      connections.incrementAndGet();
-      while (true) {
-        Peers.read(in);
-        Peers.write(out, Peers.OK);
-      }
-    }).getLocalPort();
+    int port =
+        peers
+            .listen(
+                50,
+                (in, out, socket) -> {
+                  connections.incrementAndGet();
+                  while (true) {
+                    Peers.read(in);
+                    Peers.write(out, Peers.OK);
+                  }
+                })
+            .getLocalPort();
     String known = Peers.entry("s-1", port, "active");
     FrontDoor door = peers.start(peers.config(known));
     Peers.next(peers.watches);
     Client client = peers.client();
     assertEquals(200, client.ask(Peers.get("r1", 3000)).status());
-    String change = Peers.list(8, false, known, Peers.entry("s-2", 1, "leaving"),
-        Peers.entry("s-3", 1, "left")) + "\n";
+    String change =
+        Peers.list(8, false, known, Peers.entry("s-2", 1, "leaving"), Peers.entry("s-3", 1, "left"))
+            + "\n";
     String all = Peers.list(9, true, known) + "\n";
     for (String list : List.of(change, change, all, all)) {
       peers.tell(list);
@@ -110,7 +122,7 @@
     peers.tell("junk");
     // The front door has read all that by the time at which it asks again.
     assertTrue(Peers.next(peers.watches).contains("index=8 "));
-    door.loop().submit(() -> { }).sync();
+    door.loop().submit(() -> {}).sync();
     for (int i = 2; i < 10; i++) {
       Thread.sleep(100); // the connection rests behind an answer, far shorter than this
       assertEquals(200, client.ask(Peers.get("r" + i, 3000)).status());
@@ -133,7 +145,9 @@
     assertEquals(0, peers.watches.size());
   }
 
-  /** An attempt whose connection is still coming up when its backend drains is not written any more. */
+  /**
+   * An attempt whose connection is still coming up when its backend drains is not written any more.
+   */
   @Test
   void whatWaitsForAConnectionIsNotWrittenToADrainedBackend() throws Exception {
     List<SocketChannel> filling = new ArrayList<>();
@@ -145,12 +159,15 @@
         channel.connect(full.getLocalSocketAddress());
       }
       String config = peers.config(Peers.entry("s-1", full.getLocalPort(), "active"));
-      peers.start(config.replace("\"DialTimeoutMs\":250", "\"DialTimeoutMs\":20000")
-          .replace("\"Cancel\":true", "\"Cancel\":false"));
+      peers.start(
+          config
+              .replace("\"DialTimeoutMs\":250", "\"DialTimeoutMs\":20000")
+              .replace("\"Cancel\":true", "\"Cancel\":false"));
       Peers.next(peers.watches);
       Client client = peers.client();
       long from = System.nanoTime();
-      client.send(Peers.post("r1", "b").replace("Request-Timeout-Ms: 3000", "Request-Timeout-Ms: 15000"));
+      client.send(
+          Peers.post("r1", "b").replace("Request-Timeout-Ms: 3000", "Request-Timeout-Ms: 15000"));
       Peers.next(peers.atCounter);
       // The next call follows the first one's answer, so the first attempt is under way.
       peers.client().send(Peers.post("r2", "b"));
@@ -176,29 +193,51 @@
   }
 
   /**
-   * The configuration's list may be old: clients, also those that hold on to the process before this one,
-   * come only once discovery has told what changed since.
+   * The configuration's list may be old: clients, also those that hold on to the process before
+   * this one, come only once discovery has told what changed since.
    */
   @Test
   void nothingIsSentByAnOldListWhileDiscoveryIsAboutToTellTheNews() throws Exception {
-    int agent = peers.listen(50, (in, out, socket) -> {
-      Peers.read(in);
-      pause(300);
-      String news = Peers.list(8, false, Peers.entry("s-1", peers.backend.getLocalPort(), "leaving")) + "\n";
-      Peers.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-          + Integer.toHexString(news.length()) + "\r\n" + news + "\r\n");
-      in.read();
-    }).getLocalPort();
+    int agent =
+        peers
+            .listen(
+                50,
+                (in, out, socket) -> {
+                  Peers.read(in);
+                  pause(300);
+                  String news =
+                      Peers.list(
+                              8, false, Peers.entry("s-1", peers.backend.getLocalPort(), "leaving"))
+                          + "\n";
+                  Peers.write(
+                      out,
+                      "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                          + Integer.toHexString(news.length())
+                          + "\r\n"
+                          + news
+                          + "\r\n");
+                  in.read();
+                })
+            .getLocalPort();
     AtomicInteger served = new AtomicInteger();
-    int other = peers.listen(50, (in, out, socket) -> {
-      while (true) {
-        Peers.read(in);
-        served.incrementAndGet();
-        Peers.write(out, Peers.OK);
-      }
-    }).getLocalPort();
-    peers.begin(withDiscovery(agent, Peers.entry("s-1", peers.backend.getLocalPort(), "active"),
-        Peers.entry("s-2", other, "active")), folder.resolve("operators.json"));
+    int other =
+        peers
+            .listen(
+                50,
+                (in, out, socket) -> {
+                  while (true) {
+                    Peers.read(in);
+                    served.incrementAndGet();
+                    Peers.write(out, Peers.OK);
+                  }
+                })
+            .getLocalPort();
+    peers.begin(
+        withDiscovery(
+            agent,
+            Peers.entry("s-1", peers.backend.getLocalPort(), "active"),
+            Peers.entry("s-2", other, "active")),
+        folder.resolve("operators.json"));
     Client client = peers.client();
     for (int i = 0; i < 20; i++) {
       assertEquals(200, client.ask(Peers.get("r" + i, 3000)).status());
@@ -211,11 +250,16 @@
   @ParameterizedTest
   @ValueSource(strings = {"", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"})
   void itIsUpWithoutNewsAfterAWhile(String answer) throws Exception {
-    int agent = peers.listen(50, (in, out, socket) -> {
-      Peers.read(in);
-      Peers.write(out, answer);
-      in.read();
-    }).getLocalPort();
+    int agent =
+        peers
+            .listen(
+                50,
+                (in, out, socket) -> {
+                  Peers.read(in);
+                  Peers.write(out, answer);
+                  in.read();
+                })
+            .getLocalPort();
     peers.start(withDiscovery(agent, Peers.entry("s-1", peers.backend.getLocalPort(), "active")));
     Client client = peers.client();
     assertEquals(200, client.ask(UP).status());
@@ -233,7 +277,8 @@
       full.close();
     }
     String config = withDiscovery(port, Peers.entry("s-1", peers.backend.getLocalPort(), "active"));
-    peers.start(config.replaceFirst("\"counter\":\"[^\"]*\"", "\"counter\":\"127.0.0.1:" + port + '"'));
+    peers.start(
+        config.replaceFirst("\"counter\":\"[^\"]*\"", "\"counter\":\"127.0.0.1:" + port + '"'));
     assertEquals(200, peers.client().ask(UP).status());
     for (SocketChannel channel : queued) {
       channel.close();
@@ -242,8 +287,9 @@
   }
 
   private String withDiscovery(int port, String... entries) {
-    return peers.config(entries).replaceFirst("\"discovery\":\"[^\"]*\"",
-        "\"discovery\":\"127.0.0.1:" + port + "\"");
+    return peers
+        .config(entries)
+        .replaceFirst("\"discovery\":\"[^\"]*\"", "\"discovery\":\"127.0.0.1:" + port + "\"");
   }
 
   private static void pause(long ms) throws IOException {
@@ -254,24 +300,35 @@
     }
   }
 
-  /** Junk is counted for the log, changes nothing, and is not what makes the next watch come sooner. */
+  /**
+   * Junk is counted for the log, changes nothing, and is not what makes the next watch come sooner.
+   */
   @Test
   void junkIsCounted() throws Exception {
-    MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, Transport.BEST.ioHandler());
+    MultiThreadIoEventLoopGroup group =
+        new MultiThreadIoEventLoopGroup(1, Transport.BEST.ioHandler());
     Logger logger = Logger.getLogger(Tally.class.getName());
     BlockingQueue<String> logged = new LinkedBlockingQueue<>();
-    Handler handler = new StreamHandler() {
-      @Override
-      public void publish(LogRecord entry) {
-        logged.add(entry.getMessage());
-      }
-    };
+    Handler handler =
+        new StreamHandler() {
+          @Override
+          public void publish(LogRecord entry) {
+            logged.add(entry.getMessage());
+          }
+        };
     logger.addHandler(handler);
     try {
       Tally tally = new Tally();
       BlockingQueue<RosterNews> told = new LinkedBlockingQueue<>();
-      DiscoveryClient client = new DiscoveryClient(group.next(), Transport.BEST, new Clock(),
-          (InetSocketAddress) peers.discovery.getLocalSocketAddress(), 7, tally, told::add);
+      DiscoveryClient client =
+          new DiscoveryClient(
+              group.next(),
+              Transport.BEST,
+              new Clock(),
+              (InetSocketAddress) peers.discovery.getLocalSocketAddress(),
+              7,
+              tally,
+              told::add);
       group.next().execute(client::start);
       Peers.next(peers.watches);
       peers.tell("{\"version\":8,\"servers\":[{\"id\":\n");
@@ -309,10 +366,15 @@
   void saysWhatIsWrongWithAConfiguration() throws IOException {
     String good = peers.config();
     assertEquals(50, Peers.parse(good).settings().allowed().countLimitMs());
-    for (String[] bad : new String[][] {{"127.0.0.1:0", "somewhere:80", "listen"},
-        {"8c1f30d27a5be964", "seed", "seed"}, {"\"Profiles\"", "\"Other\"", "classes"}}) {
-      String message = assertThrows(IOException.class, () -> Peers.parse(good.replace(bad[0], bad[1])))
-          .getMessage();
+    for (String[] bad :
+        new String[][] {
+          {"127.0.0.1:0", "somewhere:80", "listen"},
+          {"8c1f30d27a5be964", "seed", "seed"},
+          {"\"Profiles\"", "\"Other\"", "classes"}
+        }) {
+      String message =
+          assertThrows(IOException.class, () -> Peers.parse(good.replace(bad[0], bad[1])))
+              .getMessage();
       assertTrue(message.contains(bad[2]), message);
     }
   }
--- a/front/src/test/java/willowdoor/front/FrontDoorTest.java
+++ b/front/src/test/java/willowdoor/front/FrontDoorTest.java
@@ -39,8 +39,14 @@
   void passesRequestAndAnswerOnUnchanged() throws Exception {
     peers.start();
     String body = "x".repeat(60_000) + "\u00e9\0\r\n";
-    peers.answer = (request, out) -> Peers.write(out,
-        "HTTP/1.1 200 OK\r\nContent-Length: " + request.body().length + "\r\n\r\n" + request.text());
+    peers.answer =
+        (request, out) ->
+            Peers.write(
+                out,
+                "HTTP/1.1 200 OK\r\nContent-Length: "
+                    + request.body().length
+                    + "\r\n\r\n"
+                    + request.text());
     Message answer = peers.client().ask(Peers.post("r1", body));
     Message sent = Peers.next(peers.atBackend);
     assertEquals("POST /buy/9 HTTP/1.1", sent.firstLine());
@@ -55,13 +61,18 @@
   @Test
   void keepsClientAndBackendConnections() throws Exception {
     AtomicInteger connections = new AtomicInteger();
-    int port = peers.listen(50, (in, out, socket) -> {
-      connections.incrementAndGet();
-      while (true) {
-        peers.atBackend.add(Peers.read(in));
-        Peers.write(out, Peers.OK);
-      }
-    }).getLocalPort();
+    int port =
+        peers
+            .listen(
+                50,
+                (in, out, socket) -> {
+                  connections.incrementAndGet();
+                  while (true) {
+                    peers.atBackend.add(Peers.read(in));
+                    Peers.write(out, Peers.OK);
+                  }
+                })
+            .getLocalPort();
     peers.start(peers.config(Peers.entry("s-1", port, "active")));
     Client client = peers.client();
     for (int i = 0; i < 5; i++) {
@@ -75,8 +86,10 @@
   @Test
   void answersRequestsWrittenBehindEachOtherInTheirOrder() throws Exception {
     peers.start();
-    peers.answer = (request, out) -> Peers.write(out,
-        "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n" + request.header("Request-Id"));
+    peers.answer =
+        (request, out) ->
+            Peers.write(
+                out, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n" + request.header("Request-Id"));
     Client client = peers.client();
     client.send(Peers.get("r1", 3000) + Peers.get("r2", 3000) + Peers.get("r3", 3000));
     for (String id : new String[] {"r1", "r2", "r3"}) {
@@ -88,8 +101,9 @@
   void aRejectionHasNotRunAndIsTriedAgain() throws Exception {
     peers.start();
     AtomicInteger asked = new AtomicInteger();
-    peers.answer = (request, out) ->
-        Peers.write(out, asked.incrementAndGet() == 1 ? Peers.NOT_STARTED : Peers.OK);
+    peers.answer =
+        (request, out) ->
+            Peers.write(out, asked.incrementAndGet() == 1 ? Peers.NOT_STARTED : Peers.OK);
     assertEquals(200, peers.client().ask(Peers.post("r1", "b")).status());
     assertEquals(2, asked.get());
   }
@@ -108,10 +122,11 @@
   @Test
   void aCutAnswerIsNotServed() throws Exception {
     peers.start();
-    peers.answer = (request, out) -> {
-      Peers.write(out, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nonly a part");
-      return false;
-    };
+    peers.answer =
+        (request, out) -> {
+          Peers.write(out, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nonly a part");
+          return false;
+        };
     assertNotEquals(200, peers.client().ask(Peers.get("r1", 3000)).status());
   }
 
@@ -119,49 +134,66 @@
   void junkFromABackendEndsItsConnectionAndServingGoesOn() throws Exception {
     peers.start();
     AtomicInteger asked = new AtomicInteger();
-    peers.answer = (request, out) ->
-        Peers.write(out, asked.incrementAndGet() == 1 ? "no http at all\r\n\r\n" : Peers.OK);
+    peers.answer =
+        (request, out) ->
+            Peers.write(out, asked.incrementAndGet() == 1 ? "no http at all\r\n\r\n" : Peers.OK);
     assertEquals(200, peers.client().ask(Peers.get("r1", 3000)).status());
     assertEquals(200, peers.client().ask(Peers.get("r2", 3000)).status());
   }
 
-  /** A line without a colon is no header, and what follows it cannot be told apart from the body. */
+  /**
+   * A line without a colon is no header, and what follows it cannot be told apart from the body.
+   */
   @Test
   void anAnswerWithALineThatIsNoHeaderIsNotServed() throws Exception {
     peers.start();
-    peers.answer = (request, out) -> Peers.write(out,
-        "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 4\r\n\r\nfine");
+    peers.answer =
+        (request, out) ->
+            Peers.write(out, "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 4\r\n\r\nfine");
     assertNotEquals(200, peers.client().ask(Peers.get("r1", 3000)).status());
   }
 
-  /** Where the end of the connection ends the body, nobody can tell a whole answer from a cut one. */
+  /**
+   * Where the end of the connection ends the body, nobody can tell a whole answer from a cut one.
+   */
   @Test
   void anAnswerWithoutALengthIsNotServed() throws Exception {
     peers.start();
-    peers.answer = (request, out) -> {
-      Peers.write(out, "HTTP/1.1 200 OK\r\n\r\nonly a part");
-      return false;
-    };
+    peers.answer =
+        (request, out) -> {
+          Peers.write(out, "HTTP/1.1 200 OK\r\n\r\nonly a part");
+          return false;
+        };
     assertNotEquals(200, peers.client().ask(Peers.get("r1", 3000)).status());
   }
 
-  /** The module sends again at the moment of the first outcome, before the rest of the read is seen. */
+  /**
+   * The module sends again at the moment of the first outcome, before the rest of the read is seen.
+   */
   @Test
   void aSecondAnswerIsNotTakenForThatOfTheFurtherAttempt() throws Exception {
     peers.start();
     AtomicInteger asked = new AtomicInteger();
-    peers.answer = (request, out) -> Peers.write(out, asked.incrementAndGet() == 1
-        ? "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n" + answer("xx") : answer("ok"));
+    peers.answer =
+        (request, out) ->
+            Peers.write(
+                out,
+                asked.incrementAndGet() == 1
+                    ? "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n" + answer("xx")
+                    : answer("ok"));
     assertEquals("ok", peers.client().ask(Peers.get("r1", 3000)).text());
     assertEquals(2, asked.get());
   }
 
-  /** Bytes behind an answer that are no whole message yet would become the start of the next answer. */
+  /**
+   * Bytes behind an answer that are no whole message yet would become the start of the next answer.
+   */
   @Test
   void aConnectionWithBytesBehindItsAnswerIsNotUsedAgain() throws Exception {
     peers.start();
-    peers.answer = (request, out) -> Peers.write(out, answer("ok")
-        + "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nx");
+    peers.answer =
+        (request, out) ->
+            Peers.write(out, answer("ok") + "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nx");
     Client client = peers.client();
     assertEquals("ok", client.ask(Peers.get("r1", 3000)).text());
     assertEquals("ok", client.ask(Peers.get("r2", 3000)).text());
@@ -196,12 +228,17 @@
   @Test
   void aSilentBackendCostsTheAttemptItsConnectionAndTheClientHearsInTime() throws Exception {
     CountDownLatch closed = new CountDownLatch(1);
-    int port = peers.listen(50, (in, out, socket) -> {
-      Peers.read(in);
-      if (in.read() < 0) {
-        closed.countDown();
-      }
-    }).getLocalPort();
+    int port =
+        peers
+            .listen(
+                50,
+                (in, out, socket) -> {
+                  Peers.read(in);
+                  if (in.read() < 0) {
+                    closed.countDown();
+                  }
+                })
+            .getLocalPort();
     peers.start(peers.config(Peers.entry("s-1", port, "active")));
     long from = System.nanoTime();
     assertNotEquals(200, peers.client().ask(Peers.get("r1", 900)).status());
@@ -214,11 +251,19 @@
     peers.start();
     Client client = peers.client();
     String good = Peers.get("r1", 3000);
-    for (String bad : new String[] {good.replace("quote", "other"), good.replace("basic", "gold"),
-        good.replace("Request-Id: r1\r\n", ""), good.replace("units=2", "units=x"),
-        good.replace("units=2,", ""), good.replace("00000000b4d65521", "-1"), good.replace("3000", "0"),
-        good.replace("GET", "POST"), Peers.post("r1", "").replace("Idempotency-Key: key-r1\r\n", ""),
-        good.replace("/quote/17", "/\u00fcquote")}) {
+    for (String bad :
+        new String[] {
+          good.replace("quote", "other"),
+          good.replace("basic", "gold"),
+          good.replace("Request-Id: r1\r\n", ""),
+          good.replace("units=2", "units=x"),
+          good.replace("units=2,", ""),
+          good.replace("00000000b4d65521", "-1"),
+          good.replace("3000", "0"),
+          good.replace("GET", "POST"),
+          Peers.post("r1", "").replace("Idempotency-Key: key-r1\r\n", ""),
+          good.replace("/quote/17", "/\u00fcquote")
+        }) {
       assertEquals(400, client.ask(bad).status(), bad);
     }
     assertEquals(200, client.ask(good).status());
@@ -233,8 +278,11 @@
     assertEquals(400, malformed.ask("GET /quote HTTP/1.1\r\nbroken header\r\n\r\n").status());
     assertTrue(malformed.ended());
     Client large = peers.client();
-    assertEquals(413, large.ask(Peers.post("r1", "").replace("Content-Length: 0", "Content-Length: 70000000"))
-        .status());
+    assertEquals(
+        413,
+        large
+            .ask(Peers.post("r1", "").replace("Content-Length: 0", "Content-Length: 70000000"))
+            .status());
     large.socket.shutdownOutput();
     assertTrue(large.ended());
     assertEquals(200, peers.client().ask(Peers.get("r1", 3000)).status());
@@ -257,10 +305,11 @@
   @Test
   void oneConnectionTooManyIsRefusedAndTheOthersAreServed() throws Exception {
     CountDownLatch told = new CountDownLatch(1);
-    peers.answer = (request, out) -> {
-      await(told);
-      return Peers.write(out, Peers.OK);
-    };
+    peers.answer =
+        (request, out) -> {
+          await(told);
+          return Peers.write(out, Peers.OK);
+        };
     peers.start(withSockets(128));
     List<Client> busy = new ArrayList<>();
     for (int i = 0; i < Descriptors.of(128).clients(); i++) {
@@ -284,7 +333,8 @@
   }
 
   private String withSockets(int sockets) {
-    return peers.config(Peers.entry("s-1", peers.backend.getLocalPort(), "active"))
+    return peers
+        .config(Peers.entry("s-1", peers.backend.getLocalPort(), "active"))
         .replace("\"settings\"", "\"limits\":{\"sockets\":" + sockets + "},\"settings\"");
   }
 
@@ -303,21 +353,25 @@
     Client client = peers.client();
     assertEquals(503, client.ask(up).status());
     Peers.next(peers.watches);
-    peers.tell(Peers.list(8, true, Peers.entry("s-1", peers.backend.getLocalPort(), "active")) + "\n");
+    peers.tell(
+        Peers.list(8, true, Peers.entry("s-1", peers.backend.getLocalPort(), "active")) + "\n");
     while (client.ask(up).status() != 200) {
       Thread.onSpinWait();
     }
   }
 
-  /** A client that has gone gets nothing; its attempt still ends at the module, and serving goes on. */
+  /**
+   * A client that has gone gets nothing; its attempt still ends at the module, and serving goes on.
+   */
   @Test
   void aClientThatLeavesIsForgotten() throws Exception {
     peers.start();
     CountDownLatch left = new CountDownLatch(1);
-    peers.answer = (request, out) -> {
-      await(left);
-      return Peers.write(out, Peers.OK);
-    };
+    peers.answer =
+        (request, out) -> {
+          await(left);
+          return Peers.write(out, Peers.OK);
+        };
     Client client = peers.client();
     client.send(Peers.get("r1", 3000));
     Peers.next(peers.atBackend);
@@ -331,10 +385,11 @@
   void drainsWithoutLosingARequest() throws Exception {
     FrontDoor door = peers.start();
     CountDownLatch told = new CountDownLatch(1);
-    peers.answer = (request, out) -> {
-      await(told);
-      return Peers.write(out, Peers.OK);
-    };
+    peers.answer =
+        (request, out) -> {
+          await(told);
+          return Peers.write(out, Peers.OK);
+        };
     Client idle = peers.client();
     Client busy = peers.client();
     busy.send(Peers.get("r1", 3000));
--- a/front/src/test/java/willowdoor/front/ManagementTest.java
+++ b/front/src/test/java/willowdoor/front/ManagementTest.java
@@ -23,8 +23,7 @@
   private static final String UP = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
 
   private final Peers peers = new Peers();
-  @TempDir
-  private Path folder;
+  @TempDir private Path folder;
 
   @AfterEach
   void close() throws Exception {
@@ -32,7 +31,10 @@
   }
 
   private void start(String... entries) throws Exception {
-    peers.start(peers.config(entries).replace("\"settings\"", "\"management\":\"127.0.0.1:0\",\"settings\""));
+    peers.start(
+        peers
+            .config(entries)
+            .replace("\"settings\"", "\"management\":\"127.0.0.1:0\",\"settings\""));
   }
 
   private void start() throws Exception {
@@ -45,8 +47,13 @@
 
   private int call(String call, String body) throws IOException {
     try (Client operator = peers.operator()) {
-      Message answer = operator.ask(call + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length()
-          + "\r\n\r\n" + body);
+      Message answer =
+          operator.ask(
+              call
+                  + " HTTP/1.1\r\nHost: x\r\nContent-Length: "
+                  + body.length()
+                  + "\r\n\r\n"
+                  + body);
       assertTrue(operator.ended());
       return answer.status();
     }
@@ -57,7 +64,8 @@
     start(new String[0]);
     assertEquals(503, call("GET /api/ready"));
     Peers.next(peers.watches);
-    peers.tell(Peers.list(8, true, Peers.entry("s-1", peers.backend.getLocalPort(), "active")) + "\n");
+    peers.tell(
+        Peers.list(8, true, Peers.entry("s-1", peers.backend.getLocalPort(), "active")) + "\n");
     while (call("GET /api/ready") != 200) {
       Thread.onSpinWait();
     }
@@ -82,26 +90,45 @@
     start();
     assertEquals(404, call("PUT /api/exclude", "{\"host\":\"s-9\"}"));
     assertEquals(404, call("PUT /api/include", "{\"host\":\"s-9\"}"));
-    for (String bad : new String[] {"", "s-1", "{}", "{\"host\":1}", "{\"host\":\"s-1\"", "[]",
-        "{\"host\":\"s-1\",\"host\":\"s-1\"}", "{\"host\":\"s-1\",\"x\":1}", "{\"host\":\"s-1\"}}"}) {
+    for (String bad :
+        new String[] {
+          "",
+          "s-1",
+          "{}",
+          "{\"host\":1}",
+          "{\"host\":\"s-1\"",
+          "[]",
+          "{\"host\":\"s-1\",\"host\":\"s-1\"}",
+          "{\"host\":\"s-1\",\"x\":1}",
+          "{\"host\":\"s-1\"}}"
+        }) {
       assertEquals(400, call("PUT /api/exclude", bad), bad);
     }
     assertEquals(405, call("POST /api/exclude", "{\"host\":\"s-1\"}"));
     assertEquals(200, peers.client().ask(Peers.get("r1", 3000)).status());
   }
 
-  /** A ban holds for kept connections and for one that is still coming up, and ends with one call. */
+  /**
+   * A ban holds for kept connections and for one that is still coming up, and ends with one call.
+   */
   @Test
   void aTemplateServerThatIsTakenOutGetsNothingNew() throws Exception {
     AtomicInteger other = new AtomicInteger();
-    int port = peers.listen(50, (in, out, socket) -> {
-      while (true) {
-        Peers.read(in);
-        other.incrementAndGet();
-        Peers.write(out, Peers.OK);
-      }
-    }).getLocalPort();
-    start(Peers.entry("s-1", peers.backend.getLocalPort(), "active"), Peers.entry("s-2", port, "active"));
+    int port =
+        peers
+            .listen(
+                50,
+                (in, out, socket) -> {
+                  while (true) {
+                    Peers.read(in);
+                    other.incrementAndGet();
+                    Peers.write(out, Peers.OK);
+                  }
+                })
+            .getLocalPort();
+    start(
+        Peers.entry("s-1", peers.backend.getLocalPort(), "active"),
+        Peers.entry("s-2", port, "active"));
     Client client = peers.client();
     for (int i = 0; peers.atBackend.isEmpty() || other.get() == 0; i++) {
       assertEquals(200, client.ask(Peers.get("a" + i, 3000)).status());
@@ -110,8 +137,13 @@
     assertEquals(200, call("PUT /api/exclude", "{\"host\":\"s-1\"}"));
     peers.atBackend.clear();
     Peers.next(peers.watches);
-    peers.tell(Peers.list(8, true, Peers.entry("s-1", peers.backend.getLocalPort(), "active"),
-        Peers.entry("s-2", port, "active")) + "\n");
+    peers.tell(
+        Peers.list(
+                8,
+                true,
+                Peers.entry("s-1", peers.backend.getLocalPort(), "active"),
+                Peers.entry("s-2", port, "active"))
+            + "\n");
     for (int i = 0; i < 40; i++) {
       assertEquals(200, client.ask(Peers.get("b" + i, 3000)).status());
     }
@@ -126,8 +158,10 @@
   @Test
   void whatOneProcessIsToldBindsTheOther() throws Exception {
     Path file = folder.resolve("operators.json");
-    String config = peers.config(Peers.entry("s-1", peers.backend.getLocalPort(), "active"))
-        .replace("\"settings\"", "\"management\":\"127.0.0.1:0\",\"settings\"");
+    String config =
+        peers
+            .config(Peers.entry("s-1", peers.backend.getLocalPort(), "active"))
+            .replace("\"settings\"", "\"management\":\"127.0.0.1:0\",\"settings\"");
     peers.start(config, file);
     Client ofFirst = peers.client();
     assertEquals(200, call("PUT /api/evacuate"));
@@ -140,7 +174,10 @@
     assertEquals(200, peers.client().ask(UP).status());
   }
 
-  /** Neither silent callers nor those with half a call keep others from theirs; the first to come go. */
+  /**
+   * Neither silent callers nor those with half a call keep others from theirs; the first to come
+   * go.
+   */
   @Test
   void callersWithoutAWholeCallGiveWay() throws Exception {
     start();
--- a/front/src/test/java/willowdoor/front/PackagesTest.java
+++ b/front/src/test/java/willowdoor/front/PackagesTest.java
@@ -16,21 +16,38 @@
 /** Who may use whom, as {@code docs/design.md} lists it: arrows run one way. */
 class PackagesTest {
 
-  private static final JavaClasses CLASSES = new ClassFileImporter()
-      .withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("willowdoor");
+  private static final JavaClasses CLASSES =
+      new ClassFileImporter()
+          .withImportOption(new ImportOption.DoNotIncludeTests())
+          .importPackages("willowdoor");
 
   /** Beside these the decision module and {@code wire} are open to all. */
   @ParameterizedTest
-  @CsvSource({"wire, ''", "front.loop, ''", "front.discovery, front.loop",
-      "front.requests, front.loop front.discovery", "front.counter, front.loop front.requests",
-      "front.servers, front.loop front.discovery front.requests", "front.clients, front.loop front.requests",
-      "front.operators, front.loop", "front.start, front.discovery front.requests", "discovery, ''",
-      "benchlink, ''"})
+  @CsvSource({
+    "wire, ''",
+    "front.loop, ''",
+    "front.discovery, front.loop",
+    "front.requests, front.loop front.discovery",
+    "front.counter, front.loop front.requests",
+    "front.servers, front.loop front.discovery front.requests",
+    "front.clients, front.loop front.requests",
+    "front.operators, front.loop",
+    "front.start, front.discovery front.requests",
+    "discovery, ''",
+    "benchlink, ''"
+  })
   void aPackageUsesNoneButThoseListed(String name, String used) {
-    String[] may = Stream.concat(Stream.of("willowdoor.policy", "willowdoor.wire", "willowdoor." + name),
-        used.isEmpty() ? Stream.empty() : Stream.of(used.split(" ")).map(u -> "willowdoor." + u))
-        .toArray(String[]::new);
-    classes().that().resideInAPackage("willowdoor." + name).should()
+    String[] may =
+        Stream.concat(
+                Stream.of("willowdoor.policy", "willowdoor.wire", "willowdoor." + name),
+                used.isEmpty()
+                    ? Stream.empty()
+                    : Stream.of(used.split(" ")).map(u -> "willowdoor." + u))
+            .toArray(String[]::new);
+    classes()
+        .that()
+        .resideInAPackage("willowdoor." + name)
+        .should()
         .onlyDependOnClassesThat(resideOutsideOfPackage("willowdoor..").or(resideInAnyPackage(may)))
         .check(CLASSES);
   }
--- a/front/src/test/java/willowdoor/front/Peers.java
+++ b/front/src/test/java/willowdoor/front/Peers.java
@@ -29,14 +29,20 @@
 import java.util.function.UnaryOperator;
 import willowdoor.wire.JsonFields;
 
-/** Small peers of a front door on loopback, each with its script: backends, counter, discovery, clients. */
+/**
+ * Small peers of a front door on loopback, each with its script: backends, counter, discovery,
+ * clients.
+ */
 public final class Peers implements Closeable {
 
   static final String OK = "HTTP/1.1 200 OK\r\nX-Units-Charged: 2\r\nContent-Length: 4\r\n\r\nfine";
   static final String NOT_STARTED =
       "HTTP/1.1 503 Service Unavailable\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
 
-  /** The version of the configuration's list, and of discovery's: whoever asks from before is told so. */
+  /**
+   * The version of the configuration's list, and of discovery's: whoever asks from before is told
+   * so.
+   */
   private static final int KNOWN = 7;
 
   /** A message as it came: first line with headers, and body. */
@@ -51,8 +57,11 @@
 
     String header(String name) {
       String start = name.toLowerCase(Locale.ROOT) + ":";
-      return head.lines().filter(l -> l.toLowerCase(Locale.ROOT).startsWith(start))
-          .map(l -> l.substring(name.length() + 1).trim()).findFirst().orElse(null);
+      return head.lines()
+          .filter(l -> l.toLowerCase(Locale.ROOT).startsWith(start))
+          .map(l -> l.substring(name.length() + 1).trim())
+          .findFirst()
+          .orElse(null);
     }
 
     String text() {
@@ -76,14 +85,17 @@
   final List<OutputStream> watchers = new CopyOnWriteArrayList<>();
   volatile Answer answer = (request, out) -> write(out, OK);
   public volatile UnaryOperator<String> counting = this::count;
+
   /** Called for each connection to the counter that the front door ends. */
-  public volatile Runnable onCounterEnd = () -> { };
+  public volatile Runnable onCounterEnd = () -> {};
+
   private final Map<String, Double> counts = new ConcurrentHashMap<>();
   private final List<Closeable> open = new CopyOnWriteArrayList<>();
   public final ServerSocket backend = listen(50, this::serveBackend);
   public final ServerSocket counter = listen(50, this::serveCounter);
   public final ServerSocket discovery = listen(50, this::serveDiscovery);
   private final List<FrontDoor> doors = new ArrayList<>();
+
   /** The newest. */
   private FrontDoor door;
 
@@ -98,14 +110,19 @@
     try {
       ServerSocket server = new ServerSocket(0, backlog, InetAddress.getLoopbackAddress());
       open.add(server);
-      thread(() -> {
-        while (true) {
-          Socket socket = server.accept();
-          open.add(socket);
-          thread(() -> script.run(new BufferedInputStream(socket.getInputStream()), socket.getOutputStream(),
-              socket));
-        }
-      });
+      thread(
+          () -> {
+            while (true) {
+              Socket socket = server.accept();
+              open.add(socket);
+              thread(
+                  () ->
+                      script.run(
+                          new BufferedInputStream(socket.getInputStream()),
+                          socket.getOutputStream(),
+                          socket));
+            }
+          });
       return server;
     } catch (IOException e) {
       throw new IllegalStateException(e);
@@ -129,13 +146,15 @@
   }
 
   private static void thread(Work work) {
-    Thread thread = new Thread(() -> {
-      try {
-        work.run();
-      } catch (IOException e) {
-        // The other side, or the end of the test, closed the socket.
-      }
-    });
+    Thread thread =
+        new Thread(
+            () -> {
+              try {
+                work.run();
+              } catch (IOException e) {
+                // The other side, or the end of the test, closed the socket.
+              }
+            });
     thread.setDaemon(true);
     thread.start();
   }
@@ -197,13 +216,24 @@
   }
 
   public static String entry(String id, int port, String state) {
-    return "{\"id\":\"" + id + "\",\"addr\":\"127.0.0.1:" + port + "\",\"zone\":\"a\",\"kind\":\"k\","
-        + "\"cell\":0,\"state\":\"" + state + "\",\"weight\":1.0,\"started_ms\":0}";
+    return "{\"id\":\""
+        + id
+        + "\",\"addr\":\"127.0.0.1:"
+        + port
+        + "\",\"zone\":\"a\",\"kind\":\"k\","
+        + "\"cell\":0,\"state\":\""
+        + state
+        + "\",\"weight\":1.0,\"started_ms\":0}";
   }
 
   public static String list(int version, boolean full, String... entries) {
-    return "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":["
-        + String.join(",", entries) + "]}";
+    return "{\"version\":"
+        + version
+        + ",\"full\":"
+        + full
+        + ",\"servers\":["
+        + String.join(",", entries)
+        + "]}";
   }
 
   /** The configuration, with the given backends in its list. */
@@ -220,7 +250,8 @@
            {"Name":"buy","Repeat":"token","AimMs":1500,"DeadlineMs":4000,"Value":5,"Group":"all",
             "RepeatWindowMs":4000}],
           "Tariffs":[{"Name":"basic","Refill":400,"PeakUnits":4000,"WorthFactor":1,"OverrunCost":1}]}}
-        """.formatted(discovery.getLocalPort(), counter.getLocalPort(), list(KNOWN, true, entries));
+        """
+        .formatted(discovery.getLocalPort(), counter.getLocalPort(), list(KNOWN, true, entries));
   }
 
   /** Starts the front door with this test's one backend. */
@@ -279,17 +310,23 @@
   }
 
   static String get(String id, int timeoutMs) {
-    return "GET /quote/17?a=%20b&c HTTP/1.1\r\nHost: backend.local\r\nRequest-Id: " + id
+    return "GET /quote/17?a=%20b&c HTTP/1.1\r\nHost: backend.local\r\nRequest-Id: "
+        + id
         + "\r\nRequest-Class: quote\r\nX-Plan: basic\r\nX-Customer: 00000000b4d65521\r\nRequest-Timeout-Ms: "
-        + timeoutMs + "\r\nX-Quota: units=2,spread=2,first=1\r\n\r\n";
+        + timeoutMs
+        + "\r\nX-Quota: units=2,spread=2,first=1\r\n\r\n";
   }
 
   static String post(String id, String body) {
-    return "POST /buy/9 HTTP/1.1\r\nHost: backend.local\r\nRequest-Id: " + id
+    return "POST /buy/9 HTTP/1.1\r\nHost: backend.local\r\nRequest-Id: "
+        + id
         + "\r\nRequest-Class: buy\r\nX-Plan: basic\r\nX-Customer: 00000000b4d65521"
-        + "\r\nRequest-Timeout-Ms: 3000\r\nIdempotency-Key: key-" + id
-        + "\r\nContent-Length: " + body.length()
-        + "\r\nX-Quota: units=2,spread=2,first=1\r\n\r\n" + body;
+        + "\r\nRequest-Timeout-Ms: 3000\r\nIdempotency-Key: key-"
+        + id
+        + "\r\nContent-Length: "
+        + body.length()
+        + "\r\nX-Quota: units=2,spread=2,first=1\r\n\r\n"
+        + body;
   }
 
   static Message read(InputStream in) throws IOException {
--- a/front/src/test/java/willowdoor/front/ReloadTest.java
+++ b/front/src/test/java/willowdoor/front/ReloadTest.java
@@ -31,8 +31,7 @@
 
   private final Peers before = new Peers();
   private final Peers after = new Peers();
-  @TempDir
-  private Path folder;
+  @TempDir private Path folder;
 
   @AfterEach
   void close() throws Exception {
@@ -55,12 +54,10 @@
       }
 
       @Override
-      public void flush() {
-      }
+      public void flush() {}
 
       @Override
-      public void close() {
-      }
+      public void close() {}
     };
   }
 
@@ -77,13 +74,15 @@
     Handler handler = on(Level.SEVERE, line -> unread.countDown());
     log.addHandler(handler);
     hangUp();
-    // Else both signals may find the whole file, and the second moves away from the first one's watch.
+    // Else both signals may find the whole file, and the second moves away from the first one's
+    // watch.
     assertTrue(unread.await(10, TimeUnit.SECONDS));
     log.removeHandler(handler);
     Files.writeString(file, after.config());
     hangUp();
     assertTrue(Peers.next(after.watches).contains("index=6 "));
-    after.tell(Peers.list(8, true, Peers.entry("s-2", after.backend.getLocalPort(), "active")) + "\n");
+    after.tell(
+        Peers.list(8, true, Peers.entry("s-2", after.backend.getLocalPort(), "active")) + "\n");
     for (int i = 0; after.atCounter.isEmpty() || after.atBackend.isEmpty(); i++) {
       assertEquals(200, before.client().ask(Peers.get("r" + i, 3000)).status());
     }
@@ -91,8 +90,12 @@
 
   /** What was there stays in force, and the log says which key is wrong. */
   @ParameterizedTest
-  @CsvSource({"discovery, other", "counter, other", "'\"counter\":\"127.0.0.1:', '\"counter\":\"nowhere:'",
-      "'\"discovery\":\"127.0.0.1:', '\"discovery\":\"127.0.0.1:x'"})
+  @CsvSource({
+    "discovery, other",
+    "counter, other",
+    "'\"counter\":\"127.0.0.1:', '\"counter\":\"nowhere:'",
+    "'\"discovery\":\"127.0.0.1:', '\"discovery\":\"127.0.0.1:x'"
+  })
   void aConfigurationThatNamesNoAddressLeavesTheOldOneAndItsKeyIsLogged(String right, String wrong)
       throws Exception {
     Path file = folder.resolve("config.json");
@@ -117,7 +120,10 @@
     assertTrue(after.watches.isEmpty() && before.watches.isEmpty());
   }
 
-  /** The first signal's read is held up, the second one's file is there by then: the newer one holds. */
+  /**
+   * The first signal's read is held up, the second one's file is there by then: the newer one
+   * holds.
+   */
   @Test
   void theNewerOfTwoHangUpsWins() throws Exception {
     Path file = folder.resolve("config.json");
@@ -126,11 +132,14 @@
     Peers.next(before.watches);
     door.reloadOnHangUp(file);
     BlockingQueue<String> moves = new LinkedBlockingQueue<>();
-    Handler handler = on(Level.INFO, line -> {
-      if (line.startsWith("discovery is at")) {
-        moves.add(line);
-      }
-    });
+    Handler handler =
+        on(
+            Level.INFO,
+            line -> {
+              if (line.startsWith("discovery is at")) {
+                moves.add(line);
+              }
+            });
     Logger log = Logger.getLogger(FrontDoor.class.getName());
     log.addHandler(handler);
     hangUp();
@@ -140,7 +149,8 @@
       Files.move(newer, file, StandardCopyOption.REPLACE_EXISTING);
       hangUp();
       // The second signal is at work: it waits for the first, or has moved already.
-      while (after.watches.isEmpty() && handlers().noneMatch(t -> t.getState() == Thread.State.BLOCKED)) {
+      while (after.watches.isEmpty()
+          && handlers().noneMatch(t -> t.getState() == Thread.State.BLOCKED)) {
         Thread.onSpinWait();
       }
       older.write(before.config().getBytes(StandardCharsets.UTF_8));
@@ -157,6 +167,7 @@
 
   /** The runtime's threads that carry out a SIGHUP. */
   private static Stream<Thread> handlers() {
-    return Thread.getAllStackTraces().keySet().stream().filter(t -> t.getName().equals("SIGHUP handler"));
+    return Thread.getAllStackTraces().keySet().stream()
+        .filter(t -> t.getName().equals("SIGHUP handler"));
   }
 }
--- a/front/src/test/java/willowdoor/front/ReplaceTest.java
+++ b/front/src/test/java/willowdoor/front/ReplaceTest.java
@@ -35,8 +35,12 @@
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class ReplaceTest {
 
-  /** Holds a listening socket as descriptor 0, and goes on as the shell, which has its input elsewhere. */
-  private static final String HOLDER = """
+  /**
+   * Holds a listening socket as descriptor 0, and goes on as the shell, which has its input
+   * elsewhere.
+   */
+  private static final String HOLDER =
+      """
       $^F = 19; $| = 1;
       open(my $lines, "<&STDIN") or die;
       socket(my $socket, PF_INET, SOCK_STREAM, 0) or die;
@@ -46,8 +50,10 @@
       open(STDIN, "<&", $socket) or die;
       exec("/bin/sh", "-c", $ARGV[0], "sh", fileno($lines)) or die;
       """;
+
   /** Starts a front door for each configuration that it reads a line of. */
-  private static final String STARTER = """
+  private static final String STARTER =
+      """
       exec 9<&0
       while read -r config <&$1; do
         GW_CONFIG=$config GW_ACCEPT_FD=0 "$JAVA" -cp "$CLASSES" -Xshare:auto -XX:TieredStopAtLevel=1 \
@@ -60,8 +66,7 @@
   private final Peers peers = new Peers();
   private final BlockingQueue<String> said = new LinkedBlockingQueue<>();
   private final List<Long> processes = new ArrayList<>();
-  @TempDir
-  private Path folder;
+  @TempDir private Path folder;
   private Process holder;
   private InetSocketAddress clients;
 
@@ -76,7 +81,9 @@
 
   private void hold() throws Exception {
     ProcessBuilder builder = new ProcessBuilder("perl", "-MSocket", "-e", HOLDER, STARTER);
-    builder.environment().put("JAVA", Path.of(System.getProperty("java.home"), "bin", "java").toString());
+    builder
+        .environment()
+        .put("JAVA", Path.of(System.getProperty("java.home"), "bin", "java").toString());
     builder.environment().put("CLASSES", System.getProperty("java.class.path"));
     builder.environment().put("TMPDIR", folder.toString());
     holder = builder.redirectErrorStream(true).start();
@@ -101,7 +108,9 @@
     }
   }
 
-  /** Starts a process and waits until it says that it is ready; gives the address for its operators. */
+  /**
+   * Starts a process and waits until it says that it is ready; gives the address for its operators.
+   */
   private InetSocketAddress launch(String... entries) throws Exception {
     InetSocketAddress operators = begin(peers.config(entries));
     while (!ready(operators)) {
@@ -116,9 +125,11 @@
       port = free.getLocalPort();
     }
     Path config = Files.createTempFile(folder, "config", ".json");
-    Files.writeString(config, told.replace("\"settings\"",
-        "\"management\":\"127.0.0.1:" + port + "\",\"settings\"").replace("\"Refill\":400,\"PeakUnits\":4000",
-        "\"Refill\":4000000,\"PeakUnits\":40000000"));
+    Files.writeString(
+        config,
+        told.replace("\"settings\"", "\"management\":\"127.0.0.1:" + port + "\",\"settings\"")
+            .replace(
+                "\"Refill\":400,\"PeakUnits\":4000", "\"Refill\":4000000,\"PeakUnits\":40000000"));
     Writer to = holder.outputWriter();
     to.write(config + "\n");
     to.flush();
@@ -134,36 +145,42 @@
     }
   }
 
-  private static int call(InetSocketAddress operators, String call, String body) throws IOException {
+  private static int call(InetSocketAddress operators, String call, String body)
+      throws IOException {
     try (Client operator = new Client(operators)) {
-      return operator.ask(call + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length()
-          + "\r\n\r\n" + body).status();
+      return operator
+          .ask(
+              call + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
+          .status();
     }
   }
 
   /** Asks on one connection for as long as it is kept, then on the next, until told to stop. */
-  private Thread client(String name, AtomicBoolean enough, AtomicReference<String> wrong,
-      AtomicInteger served) {
-    Thread thread = new Thread(() -> {
-      try {
-        for (int i = 0; !enough.get();) {
-          try (Client client = new Client(clients)) {
-            boolean kept = true;
-            while (kept && !enough.get()) {
-              Message answer = client.ask(Peers.get(name + '-' + i++, 3000));
-              kept = !"close".equals(answer.header("Connection"));
-              served.addAndGet(answer.status() == 200 ? 1 : 0);
-              // Under pressure, as at the start, it may refuse; a request must not go unanswered.
-              if (answer.status() != 200 && answer.status() != 503) {
-                wrong.set(answer.head());
+  private Thread client(
+      String name, AtomicBoolean enough, AtomicReference<String> wrong, AtomicInteger served) {
+    Thread thread =
+        new Thread(
+            () -> {
+              try {
+                for (int i = 0; !enough.get(); ) {
+                  try (Client client = new Client(clients)) {
+                    boolean kept = true;
+                    while (kept && !enough.get()) {
+                      Message answer = client.ask(Peers.get(name + '-' + i++, 3000));
+                      kept = !"close".equals(answer.header("Connection"));
+                      served.addAndGet(answer.status() == 200 ? 1 : 0);
+                      // Under pressure, as at the start, it may refuse; a request must not go
+                      // unanswered.
+                      if (answer.status() != 200 && answer.status() != 503) {
+                        wrong.set(answer.head());
+                      }
+                    }
+                  }
+                }
+              } catch (IOException e) {
+                wrong.set(name + ": " + e);
               }
-            }
-          }
-        }
-      } catch (IOException e) {
-        wrong.set(name + ": " + e);
-      }
-    });
+            });
     thread.start();
     return thread;
   }
@@ -171,15 +188,23 @@
   @Test
   void noRequestIsLostAndOperatorsCallsHold() throws Exception {
     AtomicInteger banned = new AtomicInteger();
-    int port = peers.listen(50, (in, out, socket) -> {
-      while (true) {
-        Peers.read(in);
-        banned.incrementAndGet();
-        Peers.write(out, Peers.OK);
-      }
-    }).getLocalPort();
-    String[] entries = {Peers.entry("s-1", peers.backend.getLocalPort(), "active"),
-        Peers.entry("s-2", port, "active"), Peers.entry("s-3", port, "active")};
+    int port =
+        peers
+            .listen(
+                50,
+                (in, out, socket) -> {
+                  while (true) {
+                    Peers.read(in);
+                    banned.incrementAndGet();
+                    Peers.write(out, Peers.OK);
+                  }
+                })
+            .getLocalPort();
+    String[] entries = {
+      Peers.entry("s-1", peers.backend.getLocalPort(), "active"),
+      Peers.entry("s-2", port, "active"),
+      Peers.entry("s-3", port, "active")
+    };
     hold();
     InetSocketAddress old = launch(entries);
     assertEquals(200, call(old, "PUT /api/exclude", "{\"host\":\"s-2\"}"));
@@ -215,9 +240,9 @@
   }
 
   /**
-   * The next process knows no template server before discovery tells it of one: until then it takes nobody
-   * from the shared socket. What the old one has accepted by its SIGTERM it serves, and the socket stays
-   * open.
+   * The next process knows no template server before discovery tells it of one: until then it takes
+   * nobody from the shared socket. What the old one has accepted by its SIGTERM it serves, and the
+   * socket stays open.
    */
   @Test
   void theNextProcessTakesNobodyBeforeItCanServe() throws Exception {
@@ -226,17 +251,31 @@
     final InetSocketAddress old = launch(entry);
     CountDownLatch asking = new CountDownLatch(1);
     CountDownLatch go = new CountDownLatch(1);
-    int agent = peers.listen(50, (in, out, socket) -> {
-      Peers.read(in);
-      asking.countDown();
-      await(go);
-      String list = Peers.list(8, true, entry) + "\n";
-      Peers.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-          + Integer.toHexString(list.length()) + "\r\n" + list + "\r\n");
-      in.read();
-    }).getLocalPort();
-    InetSocketAddress replacing = begin(peers.config().replaceFirst("\"discovery\":\"[^\"]*\"",
-        "\"discovery\":\"127.0.0.1:" + agent + '"'));
+    int agent =
+        peers
+            .listen(
+                50,
+                (in, out, socket) -> {
+                  Peers.read(in);
+                  asking.countDown();
+                  await(go);
+                  String list = Peers.list(8, true, entry) + "\n";
+                  Peers.write(
+                      out,
+                      "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                          + Integer.toHexString(list.length())
+                          + "\r\n"
+                          + list
+                          + "\r\n");
+                  in.read();
+                })
+            .getLocalPort();
+    InetSocketAddress replacing =
+        begin(
+            peers
+                .config()
+                .replaceFirst(
+                    "\"discovery\":\"[^\"]*\"", "\"discovery\":\"127.0.0.1:" + agent + '"'));
     await(asking);
     Client asked = new Client(clients);
     assertEquals(200, asked.ask(Peers.get("a0", 3000)).status());
--- a/front/src/test/java/willowdoor/front/RequestTimeTest.java
+++ b/front/src/test/java/willowdoor/front/RequestTimeTest.java
@@ -33,16 +33,29 @@
     peers.close();
   }
 
-  /** The answer does not wait for a body that may never come, and nothing of the request is sent on. */
+  /**
+   * The answer does not wait for a body that may never come, and nothing of the request is sent on.
+   */
   @ParameterizedTest
-  @ValueSource(strings = {"", "Request-Timeout-Ms:\r\n", "Request-Timeout-Ms: 0\r\n",
-      "Request-Timeout-Ms: -5\r\n", "Request-Timeout-Ms: +5\r\n", "Request-Timeout-Ms: 12.5\r\n",
-      "Request-Timeout-Ms: 1e3\r\n", "Request-Timeout-Ms: soon\r\n", "Request-Timeout-Ms: 3000, 3000\r\n",
-      TIME + TIME, TIME + "request-timeout-ms: 9\r\n"})
+  @ValueSource(
+      strings = {
+        "",
+        "Request-Timeout-Ms:\r\n",
+        "Request-Timeout-Ms: 0\r\n",
+        "Request-Timeout-Ms: -5\r\n",
+        "Request-Timeout-Ms: +5\r\n",
+        "Request-Timeout-Ms: 12.5\r\n",
+        "Request-Timeout-Ms: 1e3\r\n",
+        "Request-Timeout-Ms: soon\r\n",
+        "Request-Timeout-Ms: 3000, 3000\r\n",
+        TIME + TIME,
+        TIME + "request-timeout-ms: 9\r\n"
+      })
   void aTimeThatIsNoneIsToldAtOnce(String time) throws Exception {
     peers.start();
     Client client = peers.client();
-    client.send(Peers.post("r1", "").replace(TIME, time).replace("Content-Length: 0", "Content-Length: 9"));
+    client.send(
+        Peers.post("r1", "").replace(TIME, time).replace("Content-Length: 0", "Content-Length: 9"));
     assertEquals(400, client.receive().status());
     client.send("the body.");
     assertEquals(200, client.ask(Peers.get("r2", 3000)).status());
@@ -52,12 +65,21 @@
 
   /** No client waits longer than its class allows, however much it asks for. */
   @ParameterizedTest
-  @ValueSource(strings = {"4001", "3600000", "9223372036854775807", "99999999999999999999999999999999999999"})
+  @ValueSource(
+      strings = {
+        "4001",
+        "3600000",
+        "9223372036854775807",
+        "99999999999999999999999999999999999999"
+      })
   void aTimeBeyondThatOfTheClassIsCutToIt(String time) throws Exception {
     peers.start();
     Client client = peers.client();
-    assertEquals(200, client.ask(Peers.get("r1", 3000).replace(TIME, "Request-Timeout-Ms: " + time + "\r\n"))
-        .status());
+    assertEquals(
+        200,
+        client
+            .ask(Peers.get("r1", 3000).replace(TIME, "Request-Timeout-Ms: " + time + "\r\n"))
+            .status());
     int told = Integer.parseInt(Peers.next(peers.atBackend).header("Request-Timeout-Ms"));
     assertTrue(told > 0 && told <= 4000, "told: " + told);
   }
@@ -67,10 +89,12 @@
   void aBackendIsToldWhatIsLeftWhenTheRequestIsWritten() throws Exception {
     try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       List<SocketChannel> fill = Peers.fill(full);
-      peers.start(peers.config(Peers.entry("s-1", full.getLocalPort(), "active"))
-          .replace("\"DialTimeoutMs\":250", "\"DialTimeoutMs\":9000")
-          .replace("\"AimMs\":1500", "\"AimMs\":9000")
-          .replace("\"DeadlineMs\":4000", "\"DeadlineMs\":20000"));
+      peers.start(
+          peers
+              .config(Peers.entry("s-1", full.getLocalPort(), "active"))
+              .replace("\"DialTimeoutMs\":250", "\"DialTimeoutMs\":9000")
+              .replace("\"AimMs\":1500", "\"AimMs\":9000")
+              .replace("\"DeadlineMs\":4000", "\"DeadlineMs\":20000"));
       peers.client().send(Peers.get("r1", 15_000));
       Peers.next(peers.atCounter);
       TimeUnit.MILLISECONDS.sleep(300);
@@ -87,7 +111,9 @@
     }
   }
 
-  /** A client's time runs while its request waits in the socket of a front door that stands still. */
+  /**
+   * A client's time runs while its request waits in the socket of a front door that stands still.
+   */
   @Test
   void theTimeInWhichTheLoopStoodStillIsNotGivenAgain() throws Exception {
     FrontDoor door = peers.start();
@@ -96,15 +122,17 @@
     Peers.next(peers.atBackend);
     CountDownLatch stands = new CountDownLatch(1);
     CountDownLatch sent = new CountDownLatch(1);
-    door.loop().execute(() -> {
-      stands.countDown();
-      try {
-        sent.await();
-        TimeUnit.MILLISECONDS.sleep(400);
-      } catch (InterruptedException e) {
-        Thread.currentThread().interrupt();
-      }
-    });
+    door.loop()
+        .execute(
+            () -> {
+              stands.countDown();
+              try {
+                sent.await();
+                TimeUnit.MILLISECONDS.sleep(400);
+              } catch (InterruptedException e) {
+                Thread.currentThread().interrupt();
+              }
+            });
     stands.await();
     Client fresh = peers.client();
     kept.send(Peers.get("r1", 400));
--- a/front/src/test/java/willowdoor/front/SettingsShapesTest.java
+++ b/front/src/test/java/willowdoor/front/SettingsShapesTest.java
@@ -30,20 +30,25 @@
 import willowdoor.wire.JsonFields;
 
 /**
- * The front door with settings as other customers may have them: it starts, serves each class on each plan,
- * answers what is malformed and what cannot be served, ends in time, and logs no failure. No shape fits one
- * customer: classes, plans, limits and times are what the settings say.
+ * The front door with settings as other customers may have them: it starts, serves each class on
+ * each plan, answers what is malformed and what cannot be served, ends in time, and logs no
+ * failure. No shape fits one customer: classes, plans, limits and times are what the settings say.
  */
 @Timeout(60)
 class SettingsShapesTest {
 
-  private static final String SAFE = "{'Name':'look','Repeat':'pure','AimMs':900,'DeadlineMs':3000,"
-      + "'Value':1,'Group':'all','RepeatWindowMs':5000}";
-  private static final String UNSAFE = "{'Name':'sign','Repeat':'side_effect','AimMs':900,'DeadlineMs':3000,"
-      + "'Value':5,'Group':'all','RepeatWindowMs':5000}";
+  private static final String SAFE =
+      "{'Name':'look','Repeat':'pure','AimMs':900,'DeadlineMs':3000,"
+          + "'Value':1,'Group':'all','RepeatWindowMs':5000}";
+  private static final String UNSAFE =
+      "{'Name':'sign','Repeat':'side_effect','AimMs':900,'DeadlineMs':3000,"
+          + "'Value':5,'Group':'all','RepeatWindowMs':5000}";
 
-  /** Requests of the warm-up, so that each class on each plan comes, and a limit for a slow machine. */
+  /**
+   * Requests of the warm-up, so that each class on each plan comes, and a limit for a slow machine.
+   */
   private static final int WARM_UP_REQUESTS = 16;
+
   private static final long WARM_UP_MS = 30_000;
 
   /** What a shape changes in the configuration of {@link Peers}; null takes a key away. */
@@ -60,22 +65,34 @@
     SHORT_WINDOW(profiles(keyed("all", "'RepeatWindowMs':40,"))),
     STREAMED_CLASS(profiles(SAFE.replace("'Value'", "'Stream':true,'Value'"))),
     STRETCHED_AIM(profiles(SAFE.replace("'Value'", "'AimStretch':2.5,'Value'"))),
-    SHORT_DEADLINES(profiles(SAFE.replace("900", "80").replace("3000", "200"),
-        UNSAFE.replace("900", "80").replace("3000", "200"))),
-    LONG_DEADLINES(profiles(SAFE.replace("900", "6000").replace("3000", "15000"),
-        UNSAFE.replace("900", "6000").replace("3000", "15000"))),
+    SHORT_DEADLINES(
+        profiles(
+            SAFE.replace("900", "80").replace("3000", "200"),
+            UNSAFE.replace("900", "80").replace("3000", "200"))),
+    LONG_DEADLINES(
+        profiles(
+            SAFE.replace("900", "6000").replace("3000", "15000"),
+            UNSAFE.replace("900", "6000").replace("3000", "15000"))),
     NO_AIM_AND_NO_DEADLINE(profiles("{'Name':'look','Repeat':'pure'}")),
     PLAN_WITHOUT_A_RATE(tariffs("{'Name':'free','WorthFactor':1}")),
-    PLAN_WITH_AN_OPEN_LIMIT_ALONE(tariffs("{'Name':'few','Open':3,'WorthFactor':1,'OverrunCost':1}")),
-    PLAN_WITH_BOTH_LIMITS(tariffs("{'Name':'both','Refill':400,'PeakUnits':4000,'Open':3,'OverrunCost':1}")),
-    PLAN_WITH_A_CEILING(tariffs("{'Name':'roof','Refill':400,'PeakUnits':4000,'CeilingRate':800,"
-        + "'CeilingBurst':8000,'HardSlack':80,'OverrunCost':1}")),
-    MANY_PLANS(tariffs("{'Name':'a','Open':3}", "{'Name':'b','Refill':400,'PeakUnits':4000}",
-        "{'Name':'c','Refill':400,'PeakUnits':4000,'CeilingRate':800,'CeilingBurst':8000,'HardSlack':80}",
-        "{'Name':'d','Refill':400,'PeakUnits':4000,'BeyondEarns':0.4,'WorthFactor':2}")),
+    PLAN_WITH_AN_OPEN_LIMIT_ALONE(
+        tariffs("{'Name':'few','Open':3,'WorthFactor':1,'OverrunCost':1}")),
+    PLAN_WITH_BOTH_LIMITS(
+        tariffs("{'Name':'both','Refill':400,'PeakUnits':4000,'Open':3,'OverrunCost':1}")),
+    PLAN_WITH_A_CEILING(
+        tariffs(
+            "{'Name':'roof','Refill':400,'PeakUnits':4000,'CeilingRate':800,"
+                + "'CeilingBurst':8000,'HardSlack':80,'OverrunCost':1}")),
+    MANY_PLANS(
+        tariffs(
+            "{'Name':'a','Open':3}",
+            "{'Name':'b','Refill':400,'PeakUnits':4000}",
+            "{'Name':'c','Refill':400,'PeakUnits':4000,'CeilingRate':800,'CeilingBurst':8000,'HardSlack':80}",
+            "{'Name':'d','Refill':400,'PeakUnits':4000,'BeyondEarns':0.4,'WorthFactor':2}")),
     NO_ZONES("'settings':{'Dcs':[],'MyZone':null}"),
     ONE_ZONE("'settings':{'Dcs':['a'],'MyZone':'a'}"),
-    ALL_SERVERS_IN_ANOTHER_ZONE("'settings':{'Dcs':['a','b'],'MyZone':'b','Prices':{'CrossZone':0.05}}"),
+    ALL_SERVERS_IN_ANOTHER_ZONE(
+        "'settings':{'Dcs':['a','b'],'MyZone':'b','Prices':{'CrossZone':0.05}}"),
     ALONE("'settings':{'Balancers':1,'SelfIndex':0}"),
     ONE_OF_A_HUNDRED("'settings':{'Balancers':100,'SelfIndex':99}"),
     ONE_ATTEMPT(bounds("'MaxAttempts':1")),
@@ -94,11 +111,13 @@
     NEVER_COLD("'settings':{'Rules':{'ColdMs':0}}"),
     WARM_FROM_THE_START("'settings':{'Rules':{'ColdFrom':1,'TipMultiple':1,'TipAfterMs':500}}"),
     ASKED_DISCOVERY("'settings':{'Discovery':'ask'}"),
-    NOTHING_THAT_MAY_BE_ABSENT("'limits':null,'name':null,'settings':{'Bounds':null,'Rules':null,"
-        + "'Balancers':null,'SelfIndex':null,'MyZone':null,'Discovery':null,'Extra':{'MaxUnits':null,"
-        + "'CostAfter':null}}"),
-    UNKNOWN_KEYS("'later':{'a':[1,{'b':null}]},'settings':{'Later':[[]],'Bounds':{'MaxLater':7},"
-        + "'Rules':{'LaterMs':1e9},'Extra':{'Later':'yes'},'Prices':{'Later':-1}}");
+    NOTHING_THAT_MAY_BE_ABSENT(
+        "'limits':null,'name':null,'settings':{'Bounds':null,'Rules':null,"
+            + "'Balancers':null,'SelfIndex':null,'MyZone':null,'Discovery':null,'Extra':{'MaxUnits':null,"
+            + "'CostAfter':null}}"),
+    UNKNOWN_KEYS(
+        "'later':{'a':[1,{'b':null}]},'settings':{'Later':[[]],'Bounds':{'MaxLater':7},"
+            + "'Rules':{'LaterMs':1e9},'Extra':{'Later':'yes'},'Prices':{'Later':-1}}");
 
     private final String change;
 
@@ -111,8 +130,11 @@
     }
 
     private static String keyed(String group, String window) {
-      return "{'Name':'book','Repeat':'token','AimMs':900,'DeadlineMs':3000,'Value':4," + window
-          + "'Group':'" + group + "'}";
+      return "{'Name':'book','Repeat':'token','AimMs':900,'DeadlineMs':3000,'Value':4,"
+          + window
+          + "'Group':'"
+          + group
+          + "'}";
     }
 
     private static String tariffs(String... plans) {
@@ -126,42 +148,48 @@
 
   private final Peers peers = new Peers();
   private volatile boolean away;
+
   /** What reached the template server. */
   private final List<Message> atServer = new CopyOnWriteArrayList<>();
+
   private final List<Closeable> serverSide = new CopyOnWriteArrayList<>();
-  private final ServerSocket server = peers.listen(50, (in, out, socket) -> {
-    serverSide.add(socket);
-    // A thread that is in accept or read while its socket is closed may still get what comes by then.
-    while (!away) {
-      atServer.add(Peers.read(in));
-      Peers.write(out, Peers.OK);
-    }
-    socket.close();
-  });
+  private final ServerSocket server =
+      peers.listen(
+          50,
+          (in, out, socket) -> {
+            serverSide.add(socket);
+            // A thread that is in accept or read while its socket is closed may still get what
+            // comes by then.
+            while (!away) {
+              atServer.add(Peers.read(in));
+              Peers.write(out, Peers.OK);
+            }
+            socket.close();
+          });
   private final List<String> failures = new CopyOnWriteArrayList<>();
-  private final Handler log = new Handler() {
-    @Override
-    public void publish(LogRecord line) {
-      if (line.getLevel().intValue() >= Level.WARNING.intValue()) {
-        failures.add(line.getLoggerName() + ": " + line.getMessage() + " " + line.getThrown());
-      }
-    }
+  private final Handler log =
+      new Handler() {
+        @Override
+        public void publish(LogRecord line) {
+          if (line.getLevel().intValue() >= Level.WARNING.intValue()) {
+            failures.add(line.getLoggerName() + ": " + line.getMessage() + " " + line.getThrown());
+          }
+        }
 
-    @Override
-    public void flush() {
-    }
+        @Override
+        public void flush() {}
 
-    @Override
-    public void close() {
-    }
-  };
+        @Override
+        public void close() {}
+      };
   private Map<String, Object> settings;
   private final List<FrontDoor> doors = new ArrayList<>();
+
   /** The newest. */
   private FrontDoor door;
+
   private int asked;
-  @TempDir
-  private Path folder;
+  @TempDir private Path folder;
 
   @BeforeEach
   void listen() {
@@ -179,10 +207,15 @@
   }
 
   private Config config(Shape shape) throws IOException {
-    String started = "\"started_ms\":" + (shape == Shape.NEVER_COLD ? System.currentTimeMillis() - 500 : 0);
-    Map<String, Object> all = Peers.fields(peers.config(Peers.entry("s-1", server.getLocalPort(), "active"))
-        .replace("\"started_ms\":0", started));
-    assertTrue(change(all, Peers.fields(shape.change.replace('\'', '"'))), "the shape changes nothing");
+    String started =
+        "\"started_ms\":" + (shape == Shape.NEVER_COLD ? System.currentTimeMillis() - 500 : 0);
+    Map<String, Object> all =
+        Peers.fields(
+            peers
+                .config(Peers.entry("s-1", server.getLocalPort(), "active"))
+                .replace("\"started_ms\":0", started));
+    assertTrue(
+        change(all, Peers.fields(shape.change.replace('\'', '"'))), "the shape changes nothing");
     settings = JsonFields.child(all, "settings");
     return Config.of(all);
   }
@@ -231,7 +264,8 @@
       Client client = new Client((InetSocketAddress) door.address());
       serverSide.add(client);
       Map<String, Object> type = JsonFields.children(settings, "Profiles").get(0);
-      isServed(client, type, JsonFields.text(JsonFields.children(settings, "Tariffs").get(0), "Name"));
+      isServed(
+          client, type, JsonFields.text(JsonFields.children(settings, "Tariffs").get(0), "Name"));
       idle.add(client);
       ends.add(new Thread(door::end, shape.name()));
     }
@@ -240,7 +274,8 @@
       assertTrue(idle.get(shape.ordinal()).ended(), shape.name());
       ends.get(shape.ordinal()).join(TimeUnit.SECONDS.toMillis(10));
       assertFalse(ends.get(shape.ordinal()).isAlive(), shape.name());
-      assertTrue(doors.get(shape.ordinal()).loop().awaitTermination(10, TimeUnit.SECONDS), shape.name());
+      assertTrue(
+          doors.get(shape.ordinal()).loop().awaitTermination(10, TimeUnit.SECONDS), shape.name());
     }
     assertEquals(List.of(), failures);
   }
@@ -253,7 +288,10 @@
     }
   }
 
-  /** A refusal is no fault, so a client comes again; a further one comes for as long as the test may take. */
+  /**
+   * A refusal is no fault, so a client comes again; a further one comes for as long as the test may
+   * take.
+   */
   private void isServed(Client client, Map<String, Object> type, String plan) throws Exception {
     String id;
     Message answer;
@@ -266,7 +304,8 @@
     List<Message> attempts = sent(id);
     Message sent = attempts.get(0);
     String effect = JsonFields.text(type, "Repeat");
-    assertEquals((effect.equals("pure") ? "GET /" : "POST /") + type.get("Name") + "/7?a=1 HTTP/1.1",
+    assertEquals(
+        (effect.equals("pure") ? "GET /" : "POST /") + type.get("Name") + "/7?a=1 HTTP/1.1",
         sent.firstLine());
     assertTrue(attempts.size() == 1 || !effect.equals("side_effect"), "sent again");
     assertEquals(effect.equals("token") ? "key-" + id : null, sent.header("Idempotency-Key"));
@@ -278,8 +317,14 @@
   private static String request(Map<String, Object> type, String plan, String id) {
     String effect = JsonFields.text(type, "Repeat");
     boolean safe = effect.equals("pure");
-    return (safe ? "GET /" : "POST /") + type.get("Name") + "/7?a=1 HTTP/1.1\r\nHost: x\r\nRequest-Id: " + id
-        + "\r\nRequest-Class: " + type.get("Name") + "\r\nX-Plan: " + plan
+    return (safe ? "GET /" : "POST /")
+        + type.get("Name")
+        + "/7?a=1 HTTP/1.1\r\nHost: x\r\nRequest-Id: "
+        + id
+        + "\r\nRequest-Class: "
+        + type.get("Name")
+        + "\r\nX-Plan: "
+        + plan
         + "\r\nX-Customer: 00000000b4d65521\r\nRequest-Timeout-Ms: 20000\r\n"
         + "X-Quota: units=1,spread=1,first=0\r\n"
         + (effect.equals("token") ? "Idempotency-Key: key-" + id + "\r\n" : "")
@@ -294,10 +339,14 @@
       throws Exception {
     String good = request(type, plan, id);
     String method = good.substring(0, good.indexOf(' '));
-    for (String bad : new String[] {good.replace("Request-Class: ", "Request-Class: not-"),
-        good.replace("X-Plan: ", "X-Plan: not-"), good.replace("units=1", "units=0"),
-        good.replaceFirst(method, method.equals("GET") ? "POST" : "GET"),
-        good.replaceFirst("Idempotency-Key: [^\r]*", "Idempotency-Key:")}) {
+    for (String bad :
+        new String[] {
+          good.replace("Request-Class: ", "Request-Class: not-"),
+          good.replace("X-Plan: ", "X-Plan: not-"),
+          good.replace("units=1", "units=0"),
+          good.replaceFirst(method, method.equals("GET") ? "POST" : "GET"),
+          good.replaceFirst("Idempotency-Key: [^\r]*", "Idempotency-Key:")
+        }) {
       if (!bad.equals(good)) {
         assertEquals(400, client.ask(bad).status(), bad);
       }
@@ -314,8 +363,9 @@
     }
     for (Map<String, Object> type : JsonFields.children(settings, "Profiles")) {
       Map<String, Object> plan = JsonFields.children(settings, "Tariffs").get(0);
-      String request = request(type, JsonFields.text(plan, "Name"), "a" + asked++)
-          .replace("Ms: 20000", "Ms: 200");
+      String request =
+          request(type, JsonFields.text(plan, "Name"), "a" + asked++)
+              .replace("Ms: 20000", "Ms: 200");
       int status = client.ask(request).status();
       assertTrue(List.of(429, 502, 503).contains(status), "answered " + status);
     }
--- a/front/src/test/java/willowdoor/front/SignalTest.java
+++ b/front/src/test/java/willowdoor/front/SignalTest.java
@@ -34,8 +34,7 @@
   private final Peers before = new Peers();
   private final Peers after = new Peers();
   private final BlockingQueue<String> said = new LinkedBlockingQueue<>();
-  @TempDir
-  private Path folder;
+  @TempDir private Path folder;
   private Process process;
 
   @AfterEach
@@ -49,9 +48,16 @@
 
   private void launch(Path config) throws IOException {
     String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
-    ProcessBuilder builder = new ProcessBuilder(java, "-cp",
-        System.getProperty("java.class.path"), "-Xshare:auto", "-XX:TieredStopAtLevel=1",
-        "-Djava.io.tmpdir=" + folder, "willowdoor.front.Main", "serve");
+    ProcessBuilder builder =
+        new ProcessBuilder(
+            java,
+            "-cp",
+            System.getProperty("java.class.path"),
+            "-Xshare:auto",
+            "-XX:TieredStopAtLevel=1",
+            "-Djava.io.tmpdir=" + folder,
+            "willowdoor.front.Main",
+            "serve");
     builder.environment().put("GW_CONFIG", config.toString());
     builder.environment().remove("GW_ACCEPT_FD");
     process = builder.redirectErrorStream(true).start();
@@ -62,7 +68,8 @@
   }
 
   private void signal(String name) throws Exception {
-    assertEquals(0, new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor());
+    assertEquals(
+        0, new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor());
   }
 
   private void awaitLog(String part) throws InterruptedException {
@@ -72,7 +79,8 @@
   }
 
   private static String at(InetSocketAddress clients, Peers peers) {
-    return peers.config(Peers.entry("s-1", peers.backend.getLocalPort(), "active"))
+    return peers
+        .config(Peers.entry("s-1", peers.backend.getLocalPort(), "active"))
         .replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"127.0.0.1:" + clients.getPort() + '"');
   }
 
@@ -96,7 +104,10 @@
     }
   }
 
-  /** It comes while the process is about to read the old file: the new one is in force from the start. */
+  /**
+   * It comes while the process is about to read the old file: the new one is in force from the
+   * start.
+   */
   @Test
   void aHangUpBeforeTheStartIsOverCounts() throws Exception {
     InetSocketAddress clients = free();
@@ -123,18 +134,26 @@
   @Test
   void aTermWhileTheListIsFirstAskedForEndsTheProcess() throws Exception {
     CountDownLatch asked = new CountDownLatch(1);
-    int agent = before.listen(50, (in, out, socket) -> {
-      Peers.read(in);
-      Peers.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n{\r\n");
-      asked.countDown();
-      while (true) {
-        Peers.write(out, "1\r\n \r\n");
-        Thread.onSpinWait();
-      }
-    }).getLocalPort();
+    int agent =
+        before
+            .listen(
+                50,
+                (in, out, socket) -> {
+                  Peers.read(in);
+                  Peers.write(
+                      out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n{\r\n");
+                  asked.countDown();
+                  while (true) {
+                    Peers.write(out, "1\r\n \r\n");
+                    Thread.onSpinWait();
+                  }
+                })
+            .getLocalPort();
     Path file = folder.resolve("config.json");
-    Files.writeString(file, at(free(), before).replaceFirst("\"discovery\":\"[^\"]*\"",
-        "\"discovery\":\"127.0.0.1:" + agent + "\""));
+    Files.writeString(
+        file,
+        at(free(), before)
+            .replaceFirst("\"discovery\":\"[^\"]*\"", "\"discovery\":\"127.0.0.1:" + agent + "\""));
     launch(file);
     assertTrue(asked.await(20, TimeUnit.SECONDS));
     signal("TERM");
@@ -146,14 +165,15 @@
   @Test
   void aRequestUnderWayIsAnsweredWhateverSignalsCome() throws Exception {
     CountDownLatch go = new CountDownLatch(1);
-    before.answer = (request, out) -> {
-      try {
-        assertTrue(go.await(20, TimeUnit.SECONDS));
-      } catch (InterruptedException e) {
-        throw new IOException(e);
-      }
-      return Peers.write(out, Peers.OK);
-    };
+    before.answer =
+        (request, out) -> {
+          try {
+            assertTrue(go.await(20, TimeUnit.SECONDS));
+          } catch (InterruptedException e) {
+            throw new IOException(e);
+          }
+          return Peers.write(out, Peers.OK);
+        };
     InetSocketAddress clients = free();
     Path file = folder.resolve("config.json");
     Files.writeString(file, at(clients, before));
--- a/front/src/test/java/willowdoor/front/SlowClientTest.java
+++ b/front/src/test/java/willowdoor/front/SlowClientTest.java
@@ -46,8 +46,10 @@
   /** A flood of silent peers does not cost proper clients their connections. */
   @Test
   void silentPeersGiveWayBeforeKeptConnections() throws Exception {
-    peers.start(peers.config(Peers.entry("s-1", peers.backend.getLocalPort(), "active"))
-        .replace("\"settings\"", "\"limits\":{\"sockets\":128},\"settings\""));
+    peers.start(
+        peers
+            .config(Peers.entry("s-1", peers.backend.getLocalPort(), "active"))
+            .replace("\"settings\"", "\"limits\":{\"sockets\":128},\"settings\""));
     Client kept = peers.client();
     assertEquals(200, kept.ask(Peers.get("r0", 3000)).status());
     Client silent = peers.client();
@@ -63,12 +65,15 @@
   /** The time to send a request is not the time to answer it, and ends with the request. */
   @Test
   void aRequestThatIsWholeMayTakeLongerThanItsSending() throws Exception {
-    peers.start(peers.config(Peers.entry("s-1", peers.backend.getLocalPort(), "active"))
-        .replace("\"AimMs\":1500", "\"AimMs\":9000"));
-    peers.answer = (request, out) -> {
-      pause(2_700);
-      return Peers.write(out, Peers.OK);
-    };
+    peers.start(
+        peers
+            .config(Peers.entry("s-1", peers.backend.getLocalPort(), "active"))
+            .replace("\"AimMs\":1500", "\"AimMs\":9000"));
+    peers.answer =
+        (request, out) -> {
+          pause(2_700);
+          return Peers.write(out, Peers.OK);
+        };
     Client client = peers.client();
     assertEquals(200, client.ask(Peers.get("r1", 9000)).status());
     pause(2_700);
--- a/front/src/test/java/willowdoor/front/SlowConnectTest.java
+++ b/front/src/test/java/willowdoor/front/SlowConnectTest.java
@@ -21,7 +21,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A connect comes up only when its request must not be sent any more, through the whole front door. */
+/**
+ * A connect comes up only when its request must not be sent any more, through the whole front door.
+ */
 @Timeout(value = 40, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class SlowConnectTest {
 
@@ -46,16 +48,28 @@
     return socket;
   }
 
-  /** The repeat's connect comes up only when its window is over: it is not written, and its client hears. */
+  /**
+   * The repeat's connect comes up only when its window is over: it is not written, and its client
+   * hears.
+   */
   @ParameterizedTest
-  @CsvSource({"all, 300, 3000", "cell, 300, 3000", "all, 200, 300", "all, 0, 3000", "zone, 0, 3000"})
-  void aRepeatThatItsConnectHoldsUpIsNotSent(String group, int window, int deadline) throws Exception {
+  @CsvSource({
+    "all, 300, 3000",
+    "cell, 300, 3000",
+    "all, 200, 300",
+    "all, 0, 3000",
+    "zone, 0, 3000"
+  })
+  void aRepeatThatItsConnectHoldsUpIsNotSent(String group, int window, int deadline)
+      throws Exception {
     try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       server.setSoTimeout(10_000);
-      peers.start(peers.config(Peers.entry("s-1", server.getLocalPort(), "active"))
-          .replace("\"Group\":\"all\",\n", "\"Group\":\"" + group + "\",\n")
-          .replace("\"RepeatWindowMs\":4000", "\"RepeatWindowMs\":" + window)
-          .replace("\"DialTimeoutMs\":250", "\"DialTimeoutMs\":2500"));
+      peers.start(
+          peers
+              .config(Peers.entry("s-1", server.getLocalPort(), "active"))
+              .replace("\"Group\":\"all\",\n", "\"Group\":\"" + group + "\",\n")
+              .replace("\"RepeatWindowMs\":4000", "\"RepeatWindowMs\":" + window)
+              .replace("\"DialTimeoutMs\":250", "\"DialTimeoutMs\":2500"));
       Peers.Client client = peers.client();
       long from = System.nanoTime();
       client.send(Peers.post("r1", "body").replace("Timeout-Ms: 3000", "Timeout-Ms: " + deadline));
@@ -65,8 +79,11 @@
       List<SocketChannel> queue = Peers.fill(server);
       Peers.write(first.getOutputStream(), FAILED);
       int status = client.receive().status();
-      // A refusal promises that another try is harmless: only the group of all and an open window bear that.
-      assertTrue(status == 502 || status == 503 && group.equals("all") && window > 0, "answered " + status);
+      // A refusal promises that another try is harmless: only the group of all and an open window
+      // bear that.
+      assertTrue(
+          status == 502 || status == 503 && group.equals("all") && window > 0,
+          "answered " + status);
       long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - from);
       assertTrue(tookMs < 1_000, "answered after " + tookMs + " ms");
       for (SocketChannel c : queue) {
@@ -82,8 +99,11 @@
   void nothingIsSentForAClientThatLeft(boolean further) throws Exception {
     try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       server.setSoTimeout(10_000);
-      FrontDoor door = peers.start(peers.config(Peers.entry("s-1", server.getLocalPort(), "active"))
-          .replace("\"DialTimeoutMs\":250", "\"DialTimeoutMs\":2500"));
+      FrontDoor door =
+          peers.start(
+              peers
+                  .config(Peers.entry("s-1", server.getLocalPort(), "active"))
+                  .replace("\"DialTimeoutMs\":250", "\"DialTimeoutMs\":2500"));
       List<SocketChannel> queue = further ? List.of() : Peers.fill(server);
       Peers.Client client = peers.client();
       client.send(Peers.post("r1", "body"));
@@ -93,9 +113,10 @@
         queue = Peers.fill(server);
         Peers.write(first.getOutputStream(), FAILED);
       }
-      Thread.sleep(200); // the connect is under way, and its first packet is sent again only after 1 s
+      Thread.sleep(
+          200); // the connect is under way, and its first packet is sent again only after 1 s
       client.close();
-      door.loop().submit(() -> { }).sync();
+      door.loop().submit(() -> {}).sync();
       for (SocketChannel c : queue) {
         c.close();
       }
--- a/front/src/test/java/willowdoor/front/StreamingTest.java
+++ b/front/src/test/java/willowdoor/front/StreamingTest.java
@@ -47,11 +47,13 @@
   void largeBodiesPassBothWaysUnchanged() throws Exception {
     peers.start();
     byte[] body = bytes(LARGE);
-    peers.answer = (request, out) -> {
-      Peers.write(out, "HTTP/1.1 200 OK\r\nContent-Length: " + request.body().length + "\r\n\r\n");
-      out.write(request.body());
-      return true;
-    };
+    peers.answer =
+        (request, out) -> {
+          Peers.write(
+              out, "HTTP/1.1 200 OK\r\nContent-Length: " + request.body().length + "\r\n\r\n");
+          out.write(request.body());
+          return true;
+        };
     Client client = peers.client();
     for (int i = 0; i < 2; i++) {
       client.send(Peers.post("r" + i, "").replace("Content-Length: 0", "Content-Length: " + LARGE));
@@ -61,20 +63,23 @@
     assertEquals(200, client.ask(Peers.get("small", 3000)).status());
   }
 
-  /** An answer is read no faster than its client takes it, so the backend's writes come to a stop. */
+  /**
+   * An answer is read no faster than its client takes it, so the backend's writes come to a stop.
+   */
   @Test
   void anAnswerThatItsClientDoesNotReadIsHeldBack() throws Exception {
     peers.start();
     AtomicLong written = new AtomicLong();
     byte[] part = bytes(1 << 20);
-    peers.answer = (request, out) -> {
-      Peers.write(out, "HTTP/1.1 200 OK\r\nContent-Length: " + (64L << 20) + "\r\n\r\n");
-      for (int i = 0; i < 64; i++) {
-        out.write(part);
-        written.addAndGet(part.length);
-      }
-      return true;
-    };
+    peers.answer =
+        (request, out) -> {
+          Peers.write(out, "HTTP/1.1 200 OK\r\nContent-Length: " + (64L << 20) + "\r\n\r\n");
+          for (int i = 0; i < 64; i++) {
+            out.write(part);
+            written.addAndGet(part.length);
+          }
+          return true;
+        };
     Client slow = peers.client();
     slow.send(Peers.get("r1", 3000));
     Peers.next(peers.atBackend);
@@ -91,12 +96,19 @@
   @Test
   void aLargeRequestThatNeverLeftIsTriedAgainElsewhere() throws Exception {
     AtomicInteger turnedAway = new AtomicInteger();
-    int port = peers.listen(50, (in, out, socket) -> {
-      turnedAway.incrementAndGet();
-      socket.close();
-    }).getLocalPort();
-    peers.start(peers.config(Peers.entry("s-1", peers.backend.getLocalPort(), "active"),
-        Peers.entry("s-2", port, "active")));
+    int port =
+        peers
+            .listen(
+                50,
+                (in, out, socket) -> {
+                  turnedAway.incrementAndGet();
+                  socket.close();
+                })
+            .getLocalPort();
+    peers.start(
+        peers.config(
+            Peers.entry("s-1", peers.backend.getLocalPort(), "active"),
+            Peers.entry("s-2", port, "active")));
     byte[] body = bytes(LARGE);
     Client client = peers.client();
     for (int i = 0; turnedAway.get() == 0; i++) {
@@ -107,14 +119,18 @@
     }
   }
 
-  /** Requests that do not come to their end count too: what all clients can have kept is bounded. */
+  /**
+   * Requests that do not come to their end count too: what all clients can have kept is bounded.
+   */
   @Test
   void bodiesThatAreStillComingAreBoundedOverAllConnections() throws Exception {
     peers.start();
     String part = "x".repeat(60_000);
     for (int i = 0; i < (8 << 20) / part.length() + 1; i++) {
-      peers.client().send(Peers.post("r" + i, "")
-          .replace("Content-Length: 0", "Content-Length: 64000") + part);
+      peers
+          .client()
+          .send(
+              Peers.post("r" + i, "").replace("Content-Length: 0", "Content-Length: 64000") + part);
     }
     int status = 200;
     for (int i = 0; status == 200 && i < 500; i++) {
@@ -127,8 +143,8 @@
   void chunksInPiecesWithTrailersAreOneBody() throws Exception {
     peers.start();
     Client client = peers.client();
-    String request = chunked(Peers.post("r1", ""))
-        + "3;x=y\r\nabc\r\n5\r\ndefgh\r\n0\r\nSum: 8\r\n\r\n";
+    String request =
+        chunked(Peers.post("r1", "")) + "3;x=y\r\nabc\r\n5\r\ndefgh\r\n0\r\nSum: 8\r\n\r\n";
     for (char c : request.toCharArray()) {
       client.send(String.valueOf(c));
     }
@@ -139,9 +155,13 @@
   @Test
   void aChunkedAnswerWithTrailersIsServed() throws Exception {
     peers.start();
-    peers.answer = (request, out) -> Peers.write(out, "HTTP/1.1 100 Continue\r\n\r\n"
-        + "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
-        + "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nfi\r\n2\r\nne\r\n0\r\nSum: 4\r\n\r\n");
+    peers.answer =
+        (request, out) ->
+            Peers.write(
+                out,
+                "HTTP/1.1 100 Continue\r\n\r\n"
+                    + "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
+                    + "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nfi\r\n2\r\nne\r\n0\r\nSum: 4\r\n\r\n");
     Client client = peers.client();
     for (int i = 0; i < 3; i++) {
       assertEquals("fine", client.ask(Peers.get("r" + i, 3000)).text());
@@ -152,10 +172,11 @@
   @Test
   void anAnswerThatEndsWithItsConnectionIsServed() throws Exception {
     peers.start();
-    peers.answer = (request, out) -> {
-      Peers.write(out, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nfine");
-      return false;
-    };
+    peers.answer =
+        (request, out) -> {
+          Peers.write(out, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nfine");
+          return false;
+        };
     assertEquals("fine", peers.client().ask(Peers.get("r1", 3000)).text());
   }
 
@@ -164,8 +185,10 @@
     peers.start();
     Client client = peers.client();
     String request = Peers.post("r1", "body");
-    client.send(request.replace("Host:", "Expect: 100-continue\r\nHost:")
-        .replace("\r\n\r\nbody", "\r\n\r\n"));
+    client.send(
+        request
+            .replace("Host:", "Expect: 100-continue\r\nHost:")
+            .replace("\r\n\r\nbody", "\r\n\r\n"));
     assertEquals(100, client.receive().status());
     assertEquals(200, client.ask("body").status());
     assertEquals("body", Peers.next(peers.atBackend).text());
@@ -177,8 +200,11 @@
   void theAbsoluteFormNamesTheSameTarget() throws Exception {
     peers.start();
     Client client = peers.client();
-    assertEquals(200, client.ask(Peers.get("r1", 3000)
-        .replace("GET /", "GET HTTP://backend.local:80/")).status());
+    assertEquals(
+        200,
+        client
+            .ask(Peers.get("r1", 3000).replace("GET /", "GET HTTP://backend.local:80/"))
+            .status());
     assertEquals("GET /quote/17?a=%20b&c HTTP/1.1", Peers.next(peers.atBackend).firstLine());
     assertEquals(200, client.ask("GET http://x/up HTTP/1.1\r\nHost: x\r\n\r\n").status());
   }
@@ -187,12 +213,14 @@
   void framingThatCanBeReadInTwoWaysIsRefused() throws Exception {
     peers.start();
     String post = Peers.post("r1", "abcd");
-    for (String bad : new String[] {
-        post.replace("Content-Length: 4", "Content-Length: 4\r\nTransfer-Encoding: chunked"),
-        post.replace("Content-Length: 4", "Content-Length: 4\r\nContent-Length: 2"),
-        post.replace("Content-Length: 4", "Content-Length: 4, 4"),
-        post.replace("Content-Length: 4", "Content-Length: -4"),
-        post.replace("Content-Length: 4", "Transfer-Encoding: gzip, chunked")}) {
+    for (String bad :
+        new String[] {
+          post.replace("Content-Length: 4", "Content-Length: 4\r\nTransfer-Encoding: chunked"),
+          post.replace("Content-Length: 4", "Content-Length: 4\r\nContent-Length: 2"),
+          post.replace("Content-Length: 4", "Content-Length: 4, 4"),
+          post.replace("Content-Length: 4", "Content-Length: -4"),
+          post.replace("Content-Length: 4", "Transfer-Encoding: gzip, chunked")
+        }) {
       Client client = peers.client();
       int status = client.ask(bad).status();
       assertTrue(status == 400 || status == 501, bad);
@@ -204,11 +232,16 @@
   /** An answer ahead of the request's end is the answer; the rest of the request is of no use. */
   @Test
   void anEarlyAnswerIsPassedOnAndTheRestOfTheRequestDropped() throws Exception {
-    int port = peers.listen(50, (in, out, socket) -> {
-      in.readNBytes(70_000);
-      Peers.write(out, Peers.OK);
-      in.transferTo(OutputStream.nullOutputStream());
-    }).getLocalPort();
+    int port =
+        peers
+            .listen(
+                50,
+                (in, out, socket) -> {
+                  in.readNBytes(70_000);
+                  Peers.write(out, Peers.OK);
+                  in.transferTo(OutputStream.nullOutputStream());
+                })
+            .getLocalPort();
     peers.start(peers.config(Peers.entry("s-1", port, "active")));
     Client client = peers.client();
     client.send(Peers.post("r1", "").replace("Content-Length: 0", "Content-Length: " + LARGE));
@@ -224,18 +257,27 @@
   void aCutLargeAnswerEndsTheConnection() throws Exception {
     peers.start();
     for (String framing : new String[] {"Content-Length: 200000", "Transfer-Encoding: chunked"}) {
-      peers.answer = (request, out) -> {
-        String piece = "x".repeat(100_000);
-        Peers.write(out, "HTTP/1.1 200 OK\r\n" + framing + "\r\n\r\n"
-            + (framing.startsWith("T") ? Integer.toHexString(100_000) + "\r\n" + piece + "\r\n" : piece));
-        return false;
-      };
+      peers.answer =
+          (request, out) -> {
+            String piece = "x".repeat(100_000);
+            Peers.write(
+                out,
+                "HTTP/1.1 200 OK\r\n"
+                    + framing
+                    + "\r\n\r\n"
+                    + (framing.startsWith("T")
+                        ? Integer.toHexString(100_000) + "\r\n" + piece + "\r\n"
+                        : piece));
+            return false;
+          };
       Client client = peers.client();
       client.send(Peers.get("r-" + framing.length(), 3000));
-      assertThrows(IOException.class, () -> {
-        client.receive();
-        throw new AssertionError("taken for whole");
-      });
+      assertThrows(
+          IOException.class,
+          () -> {
+            client.receive();
+            throw new AssertionError("taken for whole");
+          });
     }
     peers.answer = (request, out) -> Peers.write(out, Peers.OK);
     assertEquals(200, peers.client().ask(Peers.get("after", 3000)).status());
@@ -245,14 +287,19 @@
   @Test
   void aClientThatLeavesInsideItsBodyEndsTheAttempt() throws Exception {
     BlockingQueue<String> ends = new LinkedBlockingQueue<>();
-    int port = peers.listen(50, (in, out, socket) -> {
-      try {
-        Message request = Peers.read(in);
-        ends.add("whole " + request.body().length);
-      } catch (EOFException e) {
-        ends.add("cut");
-      }
-    }).getLocalPort();
+    int port =
+        peers
+            .listen(
+                50,
+                (in, out, socket) -> {
+                  try {
+                    Message request = Peers.read(in);
+                    ends.add("whole " + request.body().length);
+                  } catch (EOFException e) {
+                    ends.add("cut");
+                  }
+                })
+            .getLocalPort();
     peers.start(peers.config(Peers.entry("s-1", port, "active")));
     Client client = peers.client();
     client.send(Peers.post("r1", "").replace("Content-Length: 0", "Content-Length: " + LARGE));
--- a/front/src/test/java/willowdoor/front/TimeFiguresTest.java
+++ b/front/src/test/java/willowdoor/front/TimeFiguresTest.java
@@ -24,7 +24,10 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import willowdoor.front.Peers.Client;
 
-/** Figures of time limits over real sockets: what they come to is printed, what must not be is asserted. */
+/**
+ * Figures of time limits over real sockets: what they come to is printed, what must not be is
+ * asserted.
+ */
 @Timeout(60)
 class TimeFiguresTest {
 
@@ -33,7 +36,11 @@
   private static final int TIMEOUT_MS = 300;
 
   /** What a backend does with a request. */
-  private enum Server { SILENT, SLOW, DRIPPING }
+  private enum Server {
+    SILENT,
+    SLOW,
+    DRIPPING
+  }
 
   private final Peers peers = new Peers();
   private final ExecutorService threads = Executors.newCachedThreadPool();
@@ -65,14 +72,16 @@
   @EnumSource
   void everyRequestIsAnsweredOnceHoweverItsServerActs(Server server) throws Exception {
     FrontDoor door = peers.start();
-    peers.answer = switch (server) {
-      case SILENT -> (request, out) -> true;
-      case SLOW -> (request, out) -> {
-        pause(TIMEOUT_MS + 20);
-        return Peers.write(out, Peers.OK);
-      };
-      case DRIPPING -> (request, out) -> drip(out);
-    };
+    peers.answer =
+        switch (server) {
+          case SILENT -> (request, out) -> true;
+          case SLOW ->
+              (request, out) -> {
+                pause(TIMEOUT_MS + 20);
+                return Peers.write(out, Peers.OK);
+              };
+          case DRIPPING -> (request, out) -> drip(out);
+        };
     standStill(door.loop(), new Random(5));
     List<Callable<double[]>> clients = new ArrayList<>();
     for (int i = 0; i < CLIENTS; i++) {
@@ -85,20 +94,26 @@
       Arrays.stream(f.get()).forEach(late::add);
     }
     assertEquals(CLIENTS * REQUESTS, late.size());
-    System.out.printf("%s: %d of %d answered past their time, the latest by %.0f ms%n", server,
-        late.stream().filter(ms -> ms > 0).count(), late.size(),
+    System.out.printf(
+        "%s: %d of %d answered past their time, the latest by %.0f ms%n",
+        server,
+        late.stream().filter(ms -> ms > 0).count(),
+        late.size(),
         late.stream().mapToDouble(ms -> ms).max().orElse(0));
   }
 
   private static void standStill(EventLoop loop, Random random) {
-    loop.schedule(() -> {
-      try {
-        TimeUnit.MILLISECONDS.sleep(80);
-        standStill(loop, random);
-      } catch (InterruptedException e) {
-        Thread.currentThread().interrupt();
-      }
-    }, 50 + random.nextInt(600), TimeUnit.MILLISECONDS);
+    loop.schedule(
+        () -> {
+          try {
+            TimeUnit.MILLISECONDS.sleep(80);
+            standStill(loop, random);
+          } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+          }
+        },
+        50 + random.nextInt(600),
+        TimeUnit.MILLISECONDS);
   }
 
   private static double[] latePerRequest(Client client, String name) throws IOException {
--- a/front/src/test/java/willowdoor/front/WarmUpTest.java
+++ b/front/src/test/java/willowdoor/front/WarmUpTest.java
@@ -23,7 +23,8 @@
 
   @Test
   void isServedInsideAndReachesNobody() throws Exception {
-    Config config = Peers.parse(peers.config(Peers.entry("s-1", peers.backend.getLocalPort(), "active")));
+    Config config =
+        Peers.parse(peers.config(Peers.entry("s-1", peers.backend.getLocalPort(), "active")));
     assertEquals(100, FrontDoor.warmUp(config, 100, LIMIT_MS));
     assertTrue(peers.atBackend.isEmpty(), "a made-up request reached a template server");
     assertTrue(peers.atCounter.isEmpty(), "a made-up request was counted");
@@ -38,7 +39,8 @@
   /** Nothing of it is left in the way of the front door proper. */
   @Test
   void leavesTheFrontDoorAsItWouldBe() throws Exception {
-    Config config = Peers.parse(peers.config(Peers.entry("s-1", peers.backend.getLocalPort(), "active")));
+    Config config =
+        Peers.parse(peers.config(Peers.entry("s-1", peers.backend.getLocalPort(), "active")));
     FrontDoor.warmUp(config, 20, LIMIT_MS);
     peers.start();
     assertEquals(200, peers.client().ask(Peers.get("r1", 3000)).status());
--- a/front/src/test/java/willowdoor/front/clients/ClientCrossingTest.java
+++ b/front/src/test/java/willowdoor/front/clients/ClientCrossingTest.java
@@ -38,8 +38,8 @@
 import willowdoor.front.loop.Transport;
 
 /**
- * What comes from clients in the very moment in which a drain acts: it is sent on the loop's thread, which
- * does not look at its sockets meanwhile. The clock is moved by hand.
+ * What comes from clients in the very moment in which a drain acts: it is sent on the loop's
+ * thread, which does not look at its sockets meanwhile. The clock is moved by hand.
  */
 @Timeout(30)
 class ClientCrossingTest {
@@ -50,8 +50,10 @@
   private final Clock clock = new Clock(Instant.EPOCH, () -> nanos);
   private final Looks looks = new Looks(0);
   private EventLoopGroup group;
+
   /** Holds the listening socket that is adopted. */
   private EventLoopGroup platform;
+
   private EventLoop loop;
   private ClientServer server;
   private InetSocketAddress address;
@@ -67,8 +69,9 @@
   private void make(Transport transport) throws Exception {
     group = new LoopGroup(transport.ioHandler(), clock, looks);
     loop = group.next();
-    server = new ClientServer(transport, clock, looks, null, null, Descriptors.of(128), new Tally(),
-        () -> true);
+    server =
+        new ClientServer(
+            transport, clock, looks, null, null, Descriptors.of(128), new Tally(), () -> true);
   }
 
   private Channel listen(Transport transport) throws Exception {
@@ -76,10 +79,11 @@
     SocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     Channel listening = server.listen(group, any).sync().channel();
     address = (InetSocketAddress) listening.localAddress();
-    onLoop(() -> {
-      server.serve();
-      return null;
-    });
+    onLoop(
+        () -> {
+          server.serve();
+          return null;
+        });
     return listening;
   }
 
@@ -121,46 +125,53 @@
     }
   }
 
-  /** The first rounds that end idle connections have gone by, and the client has sent nothing yet. */
+  /**
+   * The first rounds that end idle connections have gone by, and the client has sent nothing yet.
+   */
   private Socket restingAtTheEnd() throws Exception {
     listen(Transport.BEST);
     Socket resting = connect();
     send(resting, UP);
     assertTrue(receive(resting).contains(" 200 "));
-    onLoop(() -> {
-      server.end();
-      rounds(540);
-      return null;
-    });
+    onLoop(
+        () -> {
+          server.end();
+          rounds(540);
+          return null;
+        });
     return resting;
   }
 
   @Test
   void aRequestInTheMomentOfTheDrainIsAnswered() throws Exception {
     Socket resting = restingAtTheEnd();
-    onLoop(() -> {
-      send(resting, UP);
-      rounds(50);
-      return null;
-    });
+    onLoop(
+        () -> {
+          send(resting, UP);
+          rounds(50);
+          return null;
+        });
     String answer = receive(resting);
-    assertTrue(answer.contains(" 503 ") && answer.toLowerCase().contains("connection: close"), answer);
+    assertTrue(
+        answer.contains(" 503 ") && answer.toLowerCase().contains("connection: close"), answer);
     assertTrue(ended(resting));
   }
 
   @Test
   void aRequestInPiecesInTheMomentOfTheDrainIsAnswered() throws Exception {
     Socket resting = restingAtTheEnd();
-    onLoop(() -> {
-      send(resting, UP.substring(0, 10));
-      rounds(50);
-      return null;
-    });
-    onLoop(() -> {
-      send(resting, UP.substring(10));
-      rounds(50);
-      return null;
-    });
+    onLoop(
+        () -> {
+          send(resting, UP.substring(0, 10));
+          rounds(50);
+          return null;
+        });
+    onLoop(
+        () -> {
+          send(resting, UP.substring(10));
+          rounds(50);
+          return null;
+        });
     assertTrue(receive(resting).contains(" 503 "));
     assertTrue(ended(resting));
   }
@@ -168,12 +179,13 @@
   @Test
   void aConnectionThatRestsIsEndedWithoutAReset() throws Exception {
     Socket resting = restingAtTheEnd();
-    onLoop(() -> {
-      rounds(50);
-      assertFalse(server.ended());
-      send(resting, UP);
-      return null;
-    });
+    onLoop(
+        () -> {
+          rounds(50);
+          assertFalse(server.ended());
+          send(resting, UP);
+          return null;
+        });
     assertTrue(ended(resting));
     resting.close();
     while (!onLoop(server::ended)) {
@@ -187,16 +199,17 @@
     Socket resting = connect();
     send(resting, UP);
     assertTrue(receive(resting).contains(" 200 "));
-    onLoop(() -> {
-      server.evacuate(true);
-      rounds(540);
-      server.evacuate(false);
-      rounds(500);
-      server.evacuate(true);
-      rounds(540);
-      server.evacuate(false);
-      return null;
-    });
+    onLoop(
+        () -> {
+          server.evacuate(true);
+          rounds(540);
+          server.evacuate(false);
+          rounds(500);
+          server.evacuate(true);
+          rounds(540);
+          server.evacuate(false);
+          return null;
+        });
     send(resting, UP);
     assertTrue(receive(resting).contains(" 200 "));
   }
@@ -205,14 +218,15 @@
   @Test
   void aSecondEndChangesNothing() throws Exception {
     listen(Transport.BEST);
-    onLoop(() -> {
-      server.end();
-      rounds(300);
-      server.end();
-      rounds(300);
-      assertTrue(server.ended());
-      return null;
-    });
+    onLoop(
+        () -> {
+          server.end();
+          rounds(300);
+          server.end();
+          rounds(300);
+          assertTrue(server.ended());
+          return null;
+        });
   }
 
   /** The system has accepted it; closing the listening socket would reset it. */
@@ -220,14 +234,16 @@
   void aConnectionThatWaitsToBeAcceptedWhenListeningEndsIsServed() throws Exception {
     assumeTrue(Epoll.isAvailable());
     listen(Transport.BEST);
-    Socket waiting = onLoop(() -> {
-      server.end();
-      rounds(540);
-      Socket socket = connect();
-      send(socket, UP);
-      rounds(50);
-      return socket;
-    });
+    Socket waiting =
+        onLoop(
+            () -> {
+              server.end();
+              rounds(540);
+              Socket socket = connect();
+              send(socket, UP);
+              rounds(50);
+              return socket;
+            });
     assertTrue(receive(waiting).contains(" 503 "));
     assertTrue(ended(waiting));
   }
@@ -235,13 +251,18 @@
   /** Small writes are not held back. */
   private void assertNoDelay(Channel listening) throws Exception {
     BlockingQueue<Channel> accepted = new LinkedBlockingQueue<>();
-    onLoop(() -> listening.pipeline().addFirst(new ChannelInboundHandlerAdapter() {
-      @Override
-      public void channelRead(ChannelHandlerContext ctx, Object child) {
-        accepted.add((Channel) child);
-        ctx.fireChannelRead(child);
-      }
-    }));
+    onLoop(
+        () ->
+            listening
+                .pipeline()
+                .addFirst(
+                    new ChannelInboundHandlerAdapter() {
+                      @Override
+                      public void channelRead(ChannelHandlerContext ctx, Object child) {
+                        accepted.add((Channel) child);
+                        ctx.fireChannelRead(child);
+                      }
+                    }));
     try (Socket client = connect()) {
       send(client, UP);
       assertTrue(receive(client).contains(" 200 "));
@@ -259,18 +280,25 @@
     assumeTrue(Epoll.isAvailable());
     make(Transport.BEST);
     platform = new MultiThreadIoEventLoopGroup(1, EpollIoHandler.newFactory());
-    EpollServerSocketChannel platforms = (EpollServerSocketChannel) new ServerBootstrap().group(platform)
-        .channel(EpollServerSocketChannel.class).option(ChannelOption.AUTO_READ, false)
-        .childHandler(new ChannelInboundHandlerAdapter())
-        .bind(InetAddress.getLoopbackAddress(), 0).sync().channel();
+    EpollServerSocketChannel platforms =
+        (EpollServerSocketChannel)
+            new ServerBootstrap()
+                .group(platform)
+                .channel(EpollServerSocketChannel.class)
+                .option(ChannelOption.AUTO_READ, false)
+                .childHandler(new ChannelInboundHandlerAdapter())
+                .bind(InetAddress.getLoopbackAddress(), 0)
+                .sync()
+                .channel();
     address = platforms.localAddress();
     EpollServerSocketChannel adopted = new EpollServerSocketChannel(platforms.fd().intValue());
     server.adopt(group, adopted).sync();
-    onLoop(() -> {
-      server.serve();
-      server.acceptIfReady();
-      return null;
-    });
+    onLoop(
+        () -> {
+          server.serve();
+          server.acceptIfReady();
+          return null;
+        });
     assertNoDelay(adopted);
   }
 }
--- a/front/src/test/java/willowdoor/front/clients/ClientDrainTest.java
+++ b/front/src/test/java/willowdoor/front/clients/ClientDrainTest.java
@@ -18,11 +18,12 @@
 /** How long a drain takes new connections, on a clock moved by hand. */
 class ClientDrainTest {
 
-  private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, Transport.INSIDE.ioHandler());
+  private final EventLoopGroup group =
+      new MultiThreadIoEventLoopGroup(1, Transport.INSIDE.ioHandler());
   private long nanos;
   private final Clock clock = new Clock(Instant.EPOCH, () -> nanos);
-  private final ClientServer server = new ClientServer(Transport.INSIDE, clock, new Looks(0), null,
-      null, null, null, () -> true);
+  private final ClientServer server =
+      new ClientServer(Transport.INSIDE, clock, new Looks(0), null, null, null, null, () -> true);
 
   @BeforeEach
   void listen() throws Exception {
--- a/front/src/test/java/willowdoor/front/clients/ReadAheadTest.java
+++ b/front/src/test/java/willowdoor/front/clients/ReadAheadTest.java
@@ -29,12 +29,15 @@
 import willowdoor.front.loop.LoopGroup;
 import willowdoor.front.loop.Transport;
 
-/** What is read while nobody asks for it, on both transports; the taker asks for nothing by itself. */
+/**
+ * What is read while nobody asks for it, on both transports; the taker asks for nothing by itself.
+ */
 @Timeout(30)
 class ReadAheadTest {
 
-  private static final Transport NIO = new Transport(NioIoHandler.newFactory(), NioSocketChannel.class,
-      NioServerSocketChannel.class, true);
+  private static final Transport NIO =
+      new Transport(
+          NioIoHandler.newFactory(), NioSocketChannel.class, NioServerSocketChannel.class, true);
 
   private final Looks looks = new Looks(0);
   private final CountDownLatch ended = new CountDownLatch(1);
@@ -49,16 +52,30 @@
 
   private void start(Transport transport) throws Exception {
     group = new LoopGroup(transport.ioHandler(), new Clock(), looks);
-    InetSocketAddress address = (InetSocketAddress) transport.server(group).channel(transport.serverSocket())
-        .childOption(ChannelOption.AUTO_READ, false)
-        .childHandler(new ChannelInitializer<Channel>() {
-          @Override
-          protected void initChannel(Channel channel) {
-            input = new ReadAhead(looks, new Arrival(looks), () -> insideBody, ReadAheadTest.this::count);
-            channel.pipeline().addLast(input, new Taker());
-            accepted = channel;
-          }
-        }).bind(InetAddress.getLoopbackAddress(), 0).sync().channel().localAddress();
+    InetSocketAddress address =
+        (InetSocketAddress)
+            transport
+                .server(group)
+                .channel(transport.serverSocket())
+                .childOption(ChannelOption.AUTO_READ, false)
+                .childHandler(
+                    new ChannelInitializer<Channel>() {
+                      @Override
+                      protected void initChannel(Channel channel) {
+                        input =
+                            new ReadAhead(
+                                looks,
+                                new Arrival(looks),
+                                () -> insideBody,
+                                ReadAheadTest.this::count);
+                        channel.pipeline().addLast(input, new Taker());
+                        accepted = channel;
+                      }
+                    })
+                .bind(InetAddress.getLoopbackAddress(), 0)
+                .sync()
+                .channel()
+                .localAddress();
     client = new Socket(address.getAddress(), address.getPort());
   }
 
@@ -98,7 +115,14 @@
   }
 
   @ParameterizedTest
-  @CsvSource({"false, 0", "false, 3000", "false, 4000000", "true, 0", "true, 3000", "true, 4000000"})
+  @CsvSource({
+    "false, 0",
+    "false, 3000",
+    "false, 4000000",
+    "true, 0",
+    "true, 3000",
+    "true, 4000000"
+  })
   void theClientsEndIsSeenBehindWhatItSentAhead(boolean best, int bytes) throws Exception {
     start(best ? Transport.BEST : NIO);
     send(10);
--- a/front/src/test/java/willowdoor/front/counter/CounterClientTest.java
+++ b/front/src/test/java/willowdoor/front/counter/CounterClientTest.java
@@ -27,7 +27,8 @@
 class CounterClientTest {
 
   private final Peers peers = new Peers();
-  private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, Transport.BEST.ioHandler());
+  private final EventLoopGroup group =
+      new MultiThreadIoEventLoopGroup(1, Transport.BEST.ioHandler());
   private final BlockingQueue<Counted> ends = new LinkedBlockingQueue<>();
   private volatile Consumer<Counted> listener = ends::add;
   private final Tally tally = new Tally();
@@ -41,9 +42,15 @@
 
   /** Calls until one gets through, as the connections come up on their own. */
   private void start(double limitMs) throws Exception {
-    client = new CounterClient(group.next(), Transport.BEST, new Clock(),
-        new InetSocketAddress("127.0.0.1", peers.counter.getLocalPort()), limitMs, tally,
-        c -> listener.accept(c));
+    client =
+        new CounterClient(
+            group.next(),
+            Transport.BEST,
+            new Clock(),
+            new InetSocketAddress("127.0.0.1", peers.counter.getLocalPort()),
+            limitMs,
+            tally,
+            c -> listener.accept(c));
     group.next().submit(client::start).sync();
     do {
       add("up", 0);
@@ -73,12 +80,13 @@
   @Test
   void oneSlowNameDoesNotHoldUpOthers() throws Exception {
     CountDownLatch go = new CountDownLatch(1);
-    peers.counting = line -> {
-      if (line.contains("slow")) {
-        await(go);
-      }
-      return peers.count(line);
-    };
+    peers.counting =
+        line -> {
+          if (line.contains("slow")) {
+            await(go);
+          }
+          return peers.count(line);
+        };
     start(5_000);
     add("slow", 1);
     add("fast", 1);
@@ -92,12 +100,13 @@
   void aCallGivenUpKeepsItsPlace() throws Exception {
     start(1_500);
     CountDownLatch go = new CountDownLatch(1);
-    peers.counting = line -> {
-      if (line.contains(" 5 ")) {
-        await(go);
-      }
-      return peers.count(line);
-    };
+    peers.counting =
+        line -> {
+          if (line.contains(" 5 ")) {
+            await(go);
+          }
+          return peers.count(line);
+        };
     for (int i = 0; i < 12; i++) {
       add("n" + i, 5);
     }
@@ -129,23 +138,28 @@
   void aPauseOfThisProcessIsNotTheCounters() throws Exception {
     start(500);
     CountDownLatch heldUp = new CountDownLatch(1);
-    listener = c -> {
-      ends.add(c);
-      if (c.name().equals("first")) {
-        heldUp.countDown();
-        pause(1_500);
-      }
-    };
-    peers.counting = line -> {
-      if (line.contains("second")) {
-        await(heldUp);
-      }
-      return peers.count(line);
-    };
-    group.next().execute(() -> {
-      client.add("first", 1, 4000);
-      client.add("second", 1, 4000);
-    });
+    listener =
+        c -> {
+          ends.add(c);
+          if (c.name().equals("first")) {
+            heldUp.countDown();
+            pause(1_500);
+          }
+        };
+    peers.counting =
+        line -> {
+          if (line.contains("second")) {
+            await(heldUp);
+          }
+          return peers.count(line);
+        };
+    group
+        .next()
+        .execute(
+            () -> {
+              client.add("first", 1, 4000);
+              client.add("second", 1, 4000);
+            });
     assertEquals("first", Peers.next(ends).name());
     assertEquals(Status.OK, Peers.next(ends).status());
   }
@@ -169,7 +183,9 @@
     assertEquals(Status.RESET, Peers.next(ends).status());
   }
 
-  /** A silent connection is replaced: calls get through again though no old one was ever answered. */
+  /**
+   * A silent connection is replaced: calls get through again though no old one was ever answered.
+   */
   @Test
   void silentConnectionsAreReplaced() throws Exception {
     start(50);
@@ -188,11 +204,17 @@
   @Test
   void halfALineAndThenTheEndIsNoAnswer() throws Exception {
     start(5_000);
-    InetSocketAddress cutting = (InetSocketAddress) peers.listen(50, (in, out, socket) -> {
-      in.read();
-      Peers.write(out, "ok 12");
-      socket.close();
-    }).getLocalSocketAddress();
+    InetSocketAddress cutting =
+        (InetSocketAddress)
+            peers
+                .listen(
+                    50,
+                    (in, out, socket) -> {
+                      in.read();
+                      Peers.write(out, "ok 12");
+                      socket.close();
+                    })
+                .getLocalSocketAddress();
     group.next().submit(() -> client.moveTo(cutting)).sync();
     do {
       add("a", 1);
@@ -206,12 +228,13 @@
   /** A call for "a" that is at the counter, and answered once the latch is open. */
   private CountDownLatch owesOneAnswer() throws InterruptedException {
     CountDownLatch go = new CountDownLatch(1);
-    peers.counting = line -> {
-      if (line.startsWith("incr a ")) {
-        await(go);
-      }
-      return peers.count(line);
-    };
+    peers.counting =
+        line -> {
+          if (line.startsWith("incr a ")) {
+            await(go);
+          }
+          return peers.count(line);
+        };
     add("a", 1);
     Peers.next(peers.atCounter);
     return go;
@@ -247,10 +270,14 @@
     start(5_000);
     CountDownLatch go = owesOneAnswer();
     InetSocketAddress same = (InetSocketAddress) peers.counter.getLocalSocketAddress();
-    group.next().submit(() -> {
-      client.moveTo(same);
-      client.moveTo(same);
-    }).sync();
+    group
+        .next()
+        .submit(
+            () -> {
+              client.moveTo(same);
+              client.moveTo(same);
+            })
+        .sync();
     go.countDown();
     assertEquals(Status.OK, Peers.next(ends).status());
   }
--- a/front/src/test/java/willowdoor/front/discovery/DiscoveryClientTest.java
+++ b/front/src/test/java/willowdoor/front/discovery/DiscoveryClientTest.java
@@ -53,18 +53,20 @@
       new Transport(NioIoHandler.newFactory(), Noted.class, NioServerSocketChannel.class, true);
 
   private final Peers peers = new Peers();
-  private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+  private final EventLoopGroup group =
+      new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final BlockingQueue<RosterNews> told = new LinkedBlockingQueue<>();
   private final BlockingQueue<String> severe = new LinkedBlockingQueue<>();
   private final Logger log = Logger.getLogger(DiscoveryClient.class.getName());
-  private final Handler handler = new StreamHandler() {
-    @Override
-    public void publish(LogRecord line) {
-      if (line.getLevel() == Level.SEVERE) {
-        severe.add(line.getMessage());
-      }
-    }
-  };
+  private final Handler handler =
+      new StreamHandler() {
+        @Override
+        public void publish(LogRecord line) {
+          if (line.getLevel() == Level.SEVERE) {
+            severe.add(line.getMessage());
+          }
+        }
+      };
 
   @BeforeEach
   void listen() {
@@ -87,7 +89,9 @@
     group.next().submit(client::start).sync();
   }
 
-  /** Where no descriptor is left each try ends as one that was refused, and no fault of the watch's. */
+  /**
+   * Where no descriptor is left each try ends as one that was refused, and no fault of the watch's.
+   */
   @Test
   void aTryWithoutADescriptorIsOneThatFailed() throws Exception {
     FAILING.set(3);
@@ -104,7 +108,10 @@
     assertTrue(Peers.next(MADE).config().isTcpNoDelay());
   }
 
-  /** A connect that never came up is closed once its try is given up: it cannot come up behind the next. */
+  /**
+   * A connect that never came up is closed once its try is given up: it cannot come up behind the
+   * next.
+   */
   @Test
   void aConnectThatDoesNotComeUpIsClosed() throws Exception {
     try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
--- a/front/src/test/java/willowdoor/front/discovery/ListScannerTest.java
+++ b/front/src/test/java/willowdoor/front/discovery/ListScannerTest.java
@@ -13,9 +13,10 @@
 
 class ListScannerTest {
 
-  private static final String INDENTED = "{\n  \"version\": 8,\n  \"full\": true,\n  \"servers\": [\n"
-      + "    {\n      \"id\": \"s-{\\\"}]\\\\\",\n      \"addr\": \"127.0.0.1:80\", \"state\": \"active\"\n"
-      + "    }\n  ]\n}";
+  private static final String INDENTED =
+      "{\n  \"version\": 8,\n  \"full\": true,\n  \"servers\": [\n"
+          + "    {\n      \"id\": \"s-{\\\"}]\\\\\",\n      \"addr\": \"127.0.0.1:80\", \"state\": \"active\"\n"
+          + "    }\n  ]\n}";
 
   private static byte[] bytes(String text) {
     return text.getBytes(StandardCharsets.UTF_8);
@@ -30,7 +31,8 @@
       List<byte[]> found = new ArrayList<>(scanner.read(Arrays.copyOf(all, cut)));
       found.addAll(scanner.read(Arrays.copyOfRange(all, cut, all.length)));
       assertEquals(2, found.size());
-      assertEquals(RosterNews.number("s-{\"}]\\"), RosterNews.parse(found.get(0), 0).entries().get(0).id());
+      assertEquals(
+          RosterNews.number("s-{\"}]\\"), RosterNews.parse(found.get(0), 0).entries().get(0).id());
       assertEquals(9, RosterNews.parse(found.get(1), 0).version());
       assertFalse(scanner.inside() || scanner.junk());
     }
--- a/front/src/test/java/willowdoor/front/discovery/ModelAgent.java
+++ b/front/src/test/java/willowdoor/front/discovery/ModelAgent.java
@@ -9,27 +9,36 @@
 import willowdoor.front.discovery.Watch.Effect;
 
 /**
- * An agent on a clock moved by hand, in milliseconds from the start of the process: it treats the first tries
- * as it is told to, and all that follow well, that is at once.
+ * An agent on a clock moved by hand, in milliseconds from the start of the process: it treats the
+ * first tries as it is told to, and all that follow well, that is at once.
  */
 final class ModelAgent {
 
   /** What becomes of a try, at some time after its head, or before. */
   enum Fault {
-    REFUSED, NO_CONNECT, NO_HEAD,
-    /** From then on nothing comes, or half an object and nothing more, or an object in drops for ever. */
-    SILENT, HALF, DRIPPING,
+    REFUSED,
+    NO_CONNECT,
+    NO_HEAD,
+    /**
+     * From then on nothing comes, or half an object and nothing more, or an object in drops for
+     * ever.
+     */
+    SILENT,
+    HALF,
+    DRIPPING,
     /** Empty lines for a try that asked for the last change once more: an object is owed. */
-    EMPTY_LINES, JUNK, RESET
+    EMPTY_LINES,
+    JUNK,
+    RESET
   }
 
   /**
    * @param connectMs how long the connect takes, and likewise the answer's head
-   * @param goodMs how long behind its head the try is as it should be: nought is a head without a body
+   * @param goodMs how long behind its head the try is as it should be: nought is a head without a
+   *     body
    * @param gapMs between that and the first byte of an object that never ends
    */
-  record Treatment(Fault fault, int connectMs, int headMs, int goodMs, int gapMs) {
-  }
+  record Treatment(Fault fault, int connectMs, int headMs, int goodMs, int gapMs) {}
 
   private static final double STEP_MS = 12.5;
   private static final double LOOK_MS = 25;
@@ -39,18 +48,28 @@
   private static final int CHANGED = 9;
 
   private final Queue<Treatment> treatments;
+
   /** The agent gets the change when so many tries have gone bad, or all that are to. */
   private int badBeforeChange;
+
   double changeAt = Double.POSITIVE_INFINITY;
+
   /** How long after the change SIGHUPs come. */
   private final Queue<Double> hangUps;
+
   private final Watch watch;
   private double now;
   private Try present;
-  /** What the watch has, and so asks for what changed since; or for that and the last change once more. */
+
+  /**
+   * What the watch has, and so asks for what changed since; or for that and the last change once
+   * more.
+   */
   private long had = 7;
+
   /** When the tries that were treated badly began, the earliest one first. */
   final List<Double> badly = new ArrayList<>();
+
   double toldAt = Double.POSITIVE_INFINITY;
   double caughtUpAt = Double.POSITIVE_INFINITY;
 
@@ -128,14 +147,17 @@
         execute(watch.ended(now));
         return;
       }
-      if (!connected && !before(Fault.NO_CONNECT) && now >= openedAt + (treatment == null ? 0
-          : treatment.connectMs)) {
+      if (!connected
+          && !before(Fault.NO_CONNECT)
+          && now >= openedAt + (treatment == null ? 0 : treatment.connectMs)) {
         connected = true;
         lastAt = now;
         watch.connected(now);
       }
-      if (connected && !answered && !before(Fault.NO_HEAD) && now >= lastAt + (treatment == null ? 0
-          : treatment.headMs)) {
+      if (connected
+          && !answered
+          && !before(Fault.NO_HEAD)
+          && now >= lastAt + (treatment == null ? 0 : treatment.headMs)) {
         answered = true;
         headAt = now;
         lastAt = now;
@@ -166,8 +188,9 @@
     private void bad() {
       switch (treatment.fault) {
         case HALF, DRIPPING -> {
-          boolean due = now >= headAt + treatment.goodMs + treatment.gapMs && !spoilt
-              || spoilt && treatment.fault == Fault.DRIPPING && now >= lastAt + DROP_MS;
+          boolean due =
+              now >= headAt + treatment.goodMs + treatment.gapMs && !spoilt
+                  || spoilt && treatment.fault == Fault.DRIPPING && now >= lastAt + DROP_MS;
           if (due) {
             say(spoilt ? " " : "{");
             spoilt = true;
@@ -180,7 +203,7 @@
         }
         case JUNK -> say("junk\n");
         case RESET -> execute(watch.ended(now));
-        default -> { }
+        default -> {}
       }
     }
 
--- a/front/src/test/java/willowdoor/front/discovery/RosterNewsTest.java
+++ b/front/src/test/java/willowdoor/front/discovery/RosterNewsTest.java
@@ -25,23 +25,33 @@
 
   /** Anything but this in a list costs the try, and changes nothing. */
   @ParameterizedTest
-  @ValueSource(strings = {
-      "{\"version\":9,\"full\":true,\"servers\":[\"x\",null]}",
-      "{\"version\":9,\"full\":true,\"servers\":[{\"addr\":\"127.0.0.1:80\",\"state\":\"active\"}]}",
-      "{\"version\":9,\"full\":true,\"servers\":[{\"id\":\"s-1\",\"addr\":\"x\",\"state\":\"active\"}]}",
-      "{\"version\":9,\"full\":\"no\",\"servers\":[]}",
-      "{\"version\":9,\"full\":true}",
-      "{\"full\":true,\"servers\":[]}",
-      "{\"version\":1e400,\"full\":true,\"servers\":[]}",
-      "{\"version\":99999999999999999999,\"full\":true,\"servers\":[]}",
-      "{\"version\":-1,\"full\":true,\"servers\":[]}"})
+  @ValueSource(
+      strings = {
+        "{\"version\":9,\"full\":true,\"servers\":[\"x\",null]}",
+        "{\"version\":9,\"full\":true,\"servers\":[{\"addr\":\"127.0.0.1:80\",\"state\":\"active\"}]}",
+        "{\"version\":9,\"full\":true,\"servers\":[{\"id\":\"s-1\",\"addr\":\"x\",\"state\":\"active\"}]}",
+        "{\"version\":9,\"full\":\"no\",\"servers\":[]}",
+        "{\"version\":9,\"full\":true}",
+        "{\"full\":true,\"servers\":[]}",
+        "{\"version\":1e400,\"full\":true,\"servers\":[]}",
+        "{\"version\":99999999999999999999,\"full\":true,\"servers\":[]}",
+        "{\"version\":-1,\"full\":true,\"servers\":[]}"
+      })
   void aMessageThatIsNotAsAgreedIsNotBelieved(String list) {
     assertThrows(IOException.class, () -> parse(list));
   }
 
   @ParameterizedTest
-  @ValueSource(strings = {"\"weight\":-1", "\"weight\":1e999", "\"weight\":\"much\"", "\"cell\":\"c\"",
-      "\"started_ms\":1e999", "\"started_ms\":1800000070000", "\"started_ms\":\"now\""})
+  @ValueSource(
+      strings = {
+        "\"weight\":-1",
+        "\"weight\":1e999",
+        "\"weight\":\"much\"",
+        "\"cell\":\"c\"",
+        "\"started_ms\":1e999",
+        "\"started_ms\":1800000070000",
+        "\"started_ms\":\"now\""
+      })
   void anEntryThatIsNotAsAgreedIsNotBelieved(String field) {
     String list = Peers.list(9, true, entry("," + field));
     assertThrows(IOException.class, () -> parse(list));
@@ -53,7 +63,11 @@
     assertEquals(2, news.entries().size());
     assertEquals(1, news.entries().get(0).size());
     assertEquals(0, news.entries().get(0).startedMs());
-    assertEquals(NOW + 5_000, parse(Peers.list(9, false, entry(",\"started_ms\":1800000005000")))
-        .entries().get(0).startedMs());
+    assertEquals(
+        NOW + 5_000,
+        parse(Peers.list(9, false, entry(",\"started_ms\":1800000005000")))
+            .entries()
+            .get(0)
+            .startedMs());
   }
 }
--- a/front/src/test/java/willowdoor/front/discovery/WatchTest.java
+++ b/front/src/test/java/willowdoor/front/discovery/WatchTest.java
@@ -20,15 +20,21 @@
 /** The rows of the table "The list's clock" in docs/design.md, on a clock moved by hand. */
 class WatchTest {
 
-  /** What a silent watch misses counts as told after this, what the next address has after a SIGHUP. */
+  /**
+   * What a silent watch misses counts as told after this, what the next address has after a SIGHUP.
+   */
   private static final double TOLD_MS = 6_000;
+
   private static final double TOLD_AFTER_HANG_UP_MS = 4_000;
+
   /** A drain is kept within this of its being told. */
   private static final double GRACE_MS = 1_000;
+
   private static final double LOOK_MS = 25;
 
   /** The longest waits that chance can bring. */
   private final Watch watch = new Watch(7, () -> 1.0);
+
   private final List<Effect> done = new ArrayList<>();
   private double now = 1e12;
 
@@ -49,7 +55,7 @@
   }
 
   private void pass(double ms) {
-    for (double end = now + ms; now < end;) {
+    for (double end = now + ms; now < end; ) {
       now = Math.min(end, now + LOOK_MS);
       does(watch.look(now));
     }
@@ -92,7 +98,9 @@
     assertEquals(List.of(new Close(false)), done);
   }
 
-  /** Open or cut by the far end, and though the next try falls silent as well, wherever that does. */
+  /**
+   * Open or cut by the far end, and though the next try falls silent as well, wherever that does.
+   */
   @ParameterizedTest
   @ValueSource(strings = {"connect", "request", "head", "half"})
   void aSilentWatchIsOpenAgainInTimeThoughOneTryIsSilentToo(String at) {
@@ -104,7 +112,9 @@
     assertTrue(taken <= TOLD_MS - 800, at + ": " + taken);
   }
 
-  /** A head with nothing behind it is silence where an object is owed; so two tries may be silent. */
+  /**
+   * A head with nothing behind it is silence where an object is owed; so two tries may be silent.
+   */
   @ParameterizedTest
   @ValueSource(strings = {"connect", "request", "head", "half"})
   void aSilentWatchIsOpenAgainInTimeThoughTwoTriesAreSilentToo(String at) {
@@ -117,7 +127,10 @@
     assertTrue(taken < TOLD_MS, at + ": " + taken);
   }
 
-  /** It breaks its word, but need not cost a connection each second: one try in a while owes nothing. */
+  /**
+   * It breaks its word, but need not cost a connection each second: one try in a while owes
+   * nothing.
+   */
   @Test
   void anAgentThatHasNothingForAnOldVersionIsWatchedAllTheSame() {
     living();
@@ -136,7 +149,10 @@
     assertEquals(List.of(), done);
   }
 
-  /** Nor does an agent that answers with heads in an outage hide its end: that one try is not made again. */
+  /**
+   * Nor does an agent that answers with heads in an outage hide its end: that one try is not made
+   * again.
+   */
   @Test
   void headsWithoutABodyInAnOutageHoldUpOneTryOnly() {
     living();
@@ -192,7 +208,9 @@
     assertEquals(3, tries);
   }
 
-  /** Discovery was put back to an older state, or another one took its place: its list is the list. */
+  /**
+   * Discovery was put back to an older state, or another one took its place: its list is the list.
+   */
   @Test
   void theListOfAnotherHistoryIsTakenAndGoneOnFrom() {
     living();
@@ -229,7 +247,8 @@
   @Test
   void aListThatComesIndentedAndCutAnywhereIsDelivered() {
     living();
-    for (char c : "\n{\n  \"version\": 9,\n  \"full\": true,\n  \"servers\": [\n  ]\n}\n".toCharArray()) {
+    for (char c :
+        "\n{\n  \"version\": 9,\n  \"full\": true,\n  \"servers\": [\n  ]\n}\n".toCharArray()) {
       pass(50);
       body(String.valueOf(c));
     }
@@ -237,7 +256,10 @@
     assertEquals(9, ((Deliver) done.get(0)).news().version());
   }
 
-  /** The outage is over longer than the watches are silent: what the agent is told then counts at once. */
+  /**
+   * The outage is over longer than the watches are silent: what the agent is told then counts at
+   * once.
+   */
   @ParameterizedTest
   @ValueSource(strings = {"connect", "request"})
   void inAnOutageItAsksSoOftenThatItsEndIsSeenWithinTheGrace(String at) {
@@ -251,7 +273,9 @@
     }
   }
 
-  /** Refused or answered with junk at once: all front doors may be, so tries keep their distance. */
+  /**
+   * Refused or answered with junk at once: all front doors may be, so tries keep their distance.
+   */
   @Test
   void triesThatFailAtOnceKeepTheirDistanceAndBeingUsefulSavesIt() {
     living();
@@ -277,7 +301,10 @@
     assertTrue(until(Open.class) <= GRACE_MS - 300);
   }
 
-  /** Nothing behind the head is nothing new, unless an object has begun, or this process stood still. */
+  /**
+   * Nothing behind the head is nothing new, unless an object has begun, or this process stood
+   * still.
+   */
   @Test
   void itIsCaughtUpOnceNothingFollowsTheHead() {
     does(watch.start(now));
--- a/front/src/test/java/willowdoor/front/operators/OperatorFileTest.java
+++ b/front/src/test/java/willowdoor/front/operators/OperatorFileTest.java
@@ -12,8 +12,7 @@
 /** What operators have asked for, as the processes of one front door share it. */
 class OperatorFileTest {
 
-  @TempDir
-  private Path folder;
+  @TempDir private Path folder;
 
   @Test
   void whatOneWroteTheOtherReadsAndAddsTo() throws Exception {
@@ -36,8 +35,16 @@
     Path file = folder.resolve("operators.json");
     OperatorFile one = new OperatorFile(file);
     State told = one.change(s -> s.excluded("s-1", true));
-    for (String damaged : new String[] {"", "{", "[]", "{\"drained\":true}", "\0\0",
-        "{\"drained\":true,\"excluded\":[1]}", "{\"drained\":1,\"excluded\":[]}"}) {
+    for (String damaged :
+        new String[] {
+          "",
+          "{",
+          "[]",
+          "{\"drained\":true}",
+          "\0\0",
+          "{\"drained\":true,\"excluded\":[1]}",
+          "{\"drained\":1,\"excluded\":[]}"
+        }) {
       Files.writeString(file, damaged);
       assertEquals(told, one.look(), damaged);
       assertEquals(State.NONE, new OperatorFile(file).look(), damaged);
--- a/front/src/test/java/willowdoor/front/requests/InboxTest.java
+++ b/front/src/test/java/willowdoor/front/requests/InboxTest.java
@@ -40,8 +40,8 @@
     nanos += TimeUnit.SECONDS.toNanos(1);
     Woken event = new Woken("tick");
     inbox.add(event);
-    inbox.addList(list(Phase.SERVING), () -> { });
-    inbox.addList(list(Phase.DRAINING), () -> { });
+    inbox.addList(list(Phase.SERVING), () -> {});
+    inbox.addList(list(Phase.DRAINING), () -> {});
     assertEquals(List.of(), heard);
     channel.runScheduledPendingTasks();
     assertEquals(List.of(list(Phase.SERVING), list(Phase.DRAINING), event), heard);
--- a/front/src/test/java/willowdoor/front/requests/WaitLimitsTest.java
+++ b/front/src/test/java/willowdoor/front/requests/WaitLimitsTest.java
@@ -38,18 +38,27 @@
 import willowdoor.wire.JsonFields;
 import willowdoor.wire.WireSettings;
 
-/** Every wait of a request ends within its time, with the clock moved by hand and the real module. */
+/**
+ * Every wait of a request ends within its time, with the clock moved by hand and the real module.
+ */
 class WaitLimitsTest {
 
   /** What the peers of the front door do with all that is asked of them. */
-  private enum Trouble { NO_SERVER, CONNECTING, UNREACHABLE, SILENT, TURNED_AWAY, FAILING }
+  private enum Trouble {
+    NO_SERVER,
+    CONNECTING,
+    UNREACHABLE,
+    SILENT,
+    TURNED_AWAY,
+    FAILING
+  }
 
   private final MockTicker ticker = Ticker.newMockTicker();
   private final Clock clock = new Clock(Instant.ofEpochSecond(1_800_000_000), ticker::nanoTime);
   private final EmbeddedChannel channel = EmbeddedChannel.builder().ticker(ticker).build();
   private final List<String> adds = new ArrayList<>();
   private final List<Attempt> started = new ArrayList<>();
-  private Consumer<Attempt> server = a -> { };
+  private Consumer<Attempt> server = a -> {};
   private boolean counterAnswers = true;
   private final Tally tally = new Tally();
   private QuotaPolicy policy;
@@ -118,8 +127,7 @@
     }
 
     @Override
-    public void cut(long backend) {
-    }
+    public void cut(long backend) {}
 
     @Override
     public void start(long backend, Attempt attempt) {
@@ -139,9 +147,14 @@
       entries[i] = Peers.entry("s-" + i, 7000 + i, "active");
     }
     try (Peers peers = new Peers()) {
-      Map<String, Object> config = Peers.fields(peers.config(entries).replace("\"Profiles\":[",
-          "\"Profiles\":[{\"Name\":\"seal\",\"Repeat\":\"side_effect\",\"AimMs\":1500,\"DeadlineMs\":4000,"
-          + "\"Value\":5},"));
+      Map<String, Object> config =
+          Peers.fields(
+              peers
+                  .config(entries)
+                  .replace(
+                      "\"Profiles\":[",
+                      "\"Profiles\":[{\"Name\":\"seal\",\"Repeat\":\"side_effect\",\"AimMs\":1500,\"DeadlineMs\":4000,"
+                          + "\"Value\":5},"));
       policy = new QuotaPolicy(WireSettings.read(JsonFields.child(config, "settings")), 7);
       driver = new ModuleDriver(channel.eventLoop(), clock, policy, new Servers(), tally);
       driver.start(this::count, RosterNews.of(JsonFields.child(config, "known")));
@@ -161,15 +174,21 @@
   }
 
   private void pass(double ms) {
-    for (double end = clock.now() + ms; clock.now() < end;) {
+    for (double end = clock.now() + ms; clock.now() < end; ) {
       ticker.advanceMillis(1);
       channel.runPendingTasks();
     }
   }
 
   private Heard take(String id, String type, double timeoutMs, double ageMs) {
-    Outgoing message = new Outgoing(HttpMethod.POST, "/" + type, new DefaultHttpHeaders(),
-        Unpooled.copiedBuffer(new byte[10]), true, () -> { });
+    Outgoing message =
+        new Outgoing(
+            HttpMethod.POST,
+            "/" + type,
+            new DefaultHttpHeaders(),
+            Unpooled.copiedBuffer(new byte[10]),
+            true,
+            () -> {});
     Heard heard = new Heard(clock.now() - ageMs);
     driver.take(new Asked(id, type, "basic", 42, 2, 2, timeoutMs), message, heard);
     return heard;
@@ -178,12 +197,12 @@
   private void set(Trouble trouble) throws Exception {
     switch (trouble) {
       case NO_SERVER -> begin(0);
-      case UNREACHABLE -> server = a -> channel.eventLoop().execute(() ->
-          a.end(Status.UNREACHABLE, null, null));
+      case UNREACHABLE ->
+          server = a -> channel.eventLoop().execute(() -> a.end(Status.UNREACHABLE, null, null));
       case SILENT -> server = a -> a.written(true);
       case TURNED_AWAY -> server = a -> answer(a, Status.REJECTED);
       case FAILING -> server = a -> answer(a, Status.ERROR);
-      default -> { }
+      default -> {}
     }
   }
 
@@ -211,7 +230,8 @@
             assertFalse(client.answers.contains("served"), what);
             boolean written = started.stream().anyMatch(Attempt::written);
             boolean mayHaveRun = written && trouble != Trouble.TURNED_AWAY;
-            assertFalse(mayHaveRun && type.equals("seal") && client.answers.contains("refused"), what);
+            assertFalse(
+                mayHaveRun && type.equals("seal") && client.answers.contains("refused"), what);
             assertTrue(started.stream().allMatch(a -> a.endsAt() <= endsAt), what);
             assertTrue(started.isEmpty() || age < timeout, what);
             pass(4_000);
@@ -225,10 +245,15 @@
 
   /** The log tells where requests were as their time ran out. */
   @ParameterizedTest
-  @CsvSource({"SILENT, true, 300, 290, ARRIVAL", "NO_SERVER, false, 80, 0, COUNTER",
-      "NO_SERVER, true, 300, 0, HELD", "CONNECTING, true, 300, 0, CONNECT", "SILENT, true, 300, 0, ANSWER"})
-  void theStageAtWhichTimeRanOutIsCounted(Trouble trouble, boolean counted, int timeout, int age,
-      String stage) throws Exception {
+  @CsvSource({
+    "SILENT, true, 300, 290, ARRIVAL",
+    "NO_SERVER, false, 80, 0, COUNTER",
+    "NO_SERVER, true, 300, 0, HELD",
+    "CONNECTING, true, 300, 0, CONNECT",
+    "SILENT, true, 300, 0, ANSWER"
+  })
+  void theStageAtWhichTimeRanOutIsCounted(
+      Trouble trouble, boolean counted, int timeout, int age, String stage) throws Exception {
     set(trouble);
     counterAnswers = counted;
     assertFalse(policy.figures().contains("expired " + stage));
@@ -252,14 +277,21 @@
   /** A body beyond what is kept has no end while it comes; its time begins with its last byte. */
   @Test
   void theTimeOfALargeBodyBeginsWithItsLastByte() {
-    Outgoing message = new Outgoing(HttpMethod.POST, "/buy", new DefaultHttpHeaders(),
-        Unpooled.copiedBuffer(new byte[10]), false, () -> { });
-    Heard client = new Heard(clock.now()) {
-      @Override
-      public double cameAt() {
-        return clock.now() - 100;
-      }
-    };
+    Outgoing message =
+        new Outgoing(
+            HttpMethod.POST,
+            "/buy",
+            new DefaultHttpHeaders(),
+            Unpooled.copiedBuffer(new byte[10]),
+            false,
+            () -> {});
+    Heard client =
+        new Heard(clock.now()) {
+          @Override
+          public double cameAt() {
+            return clock.now() - 100;
+          }
+        };
     driver.take(new Asked("r1", "buy", "basic", 42, 2, 2, 1_000), message, client);
     channel.runPendingTasks();
     started.get(0).onSpent();
@@ -292,7 +324,9 @@
     }
   }
 
-  /** Where a client leaves, nothing is begun for it any more; its answer still settles the count. */
+  /**
+   * Where a client leaves, nothing is begun for it any more; its answer still settles the count.
+   */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void aClientThatLeavesEndsWhatHasNotReachedAServer(boolean reached) {
@@ -305,15 +339,21 @@
       assertEquals(!reached, started.get(0).ended());
       assertEquals(0, driver.heldBytes());
       assertEquals(reached ? 1 : 0, driver.held());
-      started.get(0).end(Status.OK, new DefaultHttpResponse(
-          HttpVersion.HTTP_1_1,
-          HttpResponseStatus.OK), null);
+      started
+          .get(0)
+          .end(
+              Status.OK,
+              new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK),
+              null);
       assertEquals(0, driver.held());
       assertEquals(List.of(), client.answers);
     }
   }
 
-  /** A count that is told after its request's end is known: what it added is taken off with the next call. */
+  /**
+   * A count that is told after its request's end is known: what it added is taken off with the next
+   * call.
+   */
   @Test
   void anAnswerOfTheCounterAfterTheEndKeepsTheBooks() {
     counterAnswers = false;
@@ -340,7 +380,9 @@
     assertEquals(List.of("refused"), client.answers);
   }
 
-  /** Only the monotonic clock moves it: here that runs by hand, and far from the wall clock's time. */
+  /**
+   * Only the monotonic clock moves it: here that runs by hand, and far from the wall clock's time.
+   */
   @Test
   void theWallClockMovesNothing() {
     double before = clock.now();
--- a/front/src/test/java/willowdoor/front/servers/GivenUpTest.java
+++ b/front/src/test/java/willowdoor/front/servers/GivenUpTest.java
@@ -20,7 +20,10 @@
 import willowdoor.front.Peers;
 import willowdoor.policy.GatewayApi.Status;
 
-/** Attempts that are given up: their connection is closed on the wire first, and nothing follows on it. */
+/**
+ * Attempts that are given up: their connection is closed on the wire first, and nothing follows on
+ * it.
+ */
 @Timeout(value = 40, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class GivenUpTest {
 
@@ -50,7 +53,9 @@
     }
   }
 
-  /** As the module may send the request again at once, a copy would be out on an open connection. */
+  /**
+   * As the module may send the request again at once, a copy would be out on an open connection.
+   */
   @ParameterizedTest
   @ValueSource(strings = {"time", "junk", "chunk", "closing"})
   void theConnectionIsClosedBeforeTheModuleHears(String why) throws Exception {
@@ -69,16 +74,21 @@
         peers.run(() -> attempt.abandon(Status.TIMED_OUT));
       }
       case "junk" -> PoolPeers.write(socket, "what?\r\n\r\n");
-      case "chunk" -> PoolPeers.write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n");
+      case "chunk" ->
+          PoolPeers.write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n");
       default -> {
         expected = Status.ERROR;
-        PoolPeers.write(socket, "HTTP/1.1 500 Oops\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
+        PoolPeers.write(
+            socket, "HTTP/1.1 500 Oops\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
       }
     }
     assertEquals(expected + " ended", Peers.next(found));
   }
 
-  /** What the kernel holds of a long request would reach the server behind a close, whenever that reads. */
+  /**
+   * What the kernel holds of a long request would reach the server behind a close, whenever that
+   * reads.
+   */
   @Test
   void whatTheSystemStillHoldsOfARequestNeverArrives() throws Exception {
     ServerSocket server = peers.listen(50, 4_096);
@@ -92,22 +102,29 @@
     assertTrue(came < length, came + " bytes of a request given up");
   }
 
-  /** A connection that is being opened for it is closed too, and nothing is written should it come up. */
+  /**
+   * A connection that is being opened for it is closed too, and nothing is written should it come
+   * up.
+   */
   @Test
   void whatWaitsForItsConnectionIsNeverWritten() throws Exception {
     ServerSocket server = peers.listen(50, 0);
     long id = peers.tell(PoolPeers.entry(server, "active"));
     NotedAttempt attempt = peers.attempt(10);
     attempt.next = status -> attempt.ends.add("heard");
-    // The kernel has connected, and the loop looks for its word only after the attempt was given up.
-    peers.run(() -> {
-      peers.pool.start(id, attempt);
-      peers.behind(3, () -> {
-        Socket socket = accepted(server);
-        attempt.abandon(Status.NOT_SENT);
-        attempt.ends.add(seen(socket));
-      });
-    });
+    // The kernel has connected, and the loop looks for its word only after the attempt was given
+    // up.
+    peers.run(
+        () -> {
+          peers.pool.start(id, attempt);
+          peers.behind(
+              3,
+              () -> {
+                Socket socket = accepted(server);
+                attempt.abandon(Status.NOT_SENT);
+                attempt.ends.add(seen(socket));
+              });
+        });
     assertEquals("NOT_SENT", Peers.next(attempt.ends));
     assertEquals("heard", Peers.next(attempt.ends));
     assertEquals("ended", Peers.next(attempt.ends));
@@ -134,15 +151,16 @@
       Socket socket = peers.accept(server);
       PoolPeers.read(socket);
       String body = "x".repeat(length);
-      peers.run(() -> {
-        try {
-          PoolPeers.write(socket, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body);
-          socket.setSoLinger(reset, 0);
-          socket.close();
-        } catch (IOException e) {
-          throw new AssertionError(e);
-        }
-      });
+      peers.run(
+          () -> {
+            try {
+              PoolPeers.write(socket, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body);
+              socket.setSoLinger(reset, 0);
+              socket.close();
+            } catch (IOException e) {
+              throw new AssertionError(e);
+            }
+          });
       assertEquals(reset ? "RESET" : length > 0 ? "OK " + body : "OK", Peers.next(attempt.ends));
     }
   }
@@ -154,10 +172,11 @@
     ServerSocket server = peers.listen(50, 0);
     long id = peers.tell(PoolPeers.entry(server, "active"));
     NotedAttempt attempt = peers.attempt();
-    peers.run(() -> {
-      peers.pool.start(id, attempt);
-      peers.behind(3, () -> peers.pass(laterMs));
-    });
+    peers.run(
+        () -> {
+          peers.pool.start(id, attempt);
+          peers.behind(3, () -> peers.pass(laterMs));
+        });
     Socket socket = peers.accept(server);
     if (laterMs == PoolPeers.CONNECT_MS) {
       assertEquals("OK fine", PoolPeers.serve(socket, attempt));
--- a/front/src/test/java/willowdoor/front/servers/LateAnswerTest.java
+++ b/front/src/test/java/willowdoor/front/servers/LateAnswerTest.java
@@ -37,9 +37,12 @@
     rests();
   }
 
-  /** The connection is given back in the round that ends its attempt: the clock moves only behind that. */
+  /**
+   * The connection is given back in the round that ends its attempt: the clock moves only behind
+   * that.
+   */
   private void rests() throws InterruptedException {
-    peers.run(() -> { });
+    peers.run(() -> {});
   }
 
   @AfterEach
@@ -68,11 +71,12 @@
   @ValueSource(strings = {"answer", "half a line", "end", "reset"})
   void whatTheLoopHasNotReadYetIsSeenBeforeTheConnectionIsUsed(String what) throws Exception {
     NotedAttempt next = peers.attempt();
-    peers.run(() -> {
-      send(what);
-      peers.pass(REST_MS);
-      peers.pool.start(id, next);
-    });
+    peers.run(
+        () -> {
+          send(what);
+          peers.pass(REST_MS);
+          peers.pool.start(id, next);
+        });
     isServedOn(peers.accept(server), next);
   }
 
@@ -95,7 +99,8 @@
   /** A server whose second answer was late has its connections rest twice as long from then on. */
   @ParameterizedTest
   @CsvSource({"60, 120, answer", "60, 120, half a line", "1000, 20, answer"})
-  void aConnectionRestsLongerWhereSomethingWasLater(int lateMs, int restMs, String what) throws Exception {
+  void aConnectionRestsLongerWhereSomethingWasLater(int lateMs, int restMs, String what)
+      throws Exception {
     peers.pass(lateMs);
     send(what);
     assertEquals(0, PoolPeers.drain(used));
--- a/front/src/test/java/willowdoor/front/servers/MovedServerTest.java
+++ b/front/src/test/java/willowdoor/front/servers/MovedServerTest.java
@@ -18,7 +18,13 @@
 @Timeout(value = 40, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class MovedServerTest {
 
-  private enum News { MOVED, STARTED_ANEW, GONE_AND_BACK, DRAINED_AND_BACK, TAKEN_OUT_AND_BACK }
+  private enum News {
+    MOVED,
+    STARTED_ANEW,
+    GONE_AND_BACK,
+    DRAINED_AND_BACK,
+    TAKEN_OUT_AND_BACK
+  }
 
   private PoolPeers peers;
   private ServerSocket before;
@@ -47,14 +53,19 @@
         return new RosterNews[] {peers.news(false, PoolPeers.entry(after, "active"))};
       }
       case STARTED_ANEW -> {
-        return new RosterNews[] {peers.news(false, entry.replace("started_ms\":0", "started_ms\":5"))};
+        return new RosterNews[] {
+          peers.news(false, entry.replace("started_ms\":0", "started_ms\":5"))
+        };
       }
       case DRAINED_AND_BACK -> {
-        return new RosterNews[] {peers.news(false, PoolPeers.entry(before, "leaving")),
-            peers.news(false, entry)};
+        return new RosterNews[] {
+          peers.news(false, PoolPeers.entry(before, "leaving")), peers.news(false, entry)
+        };
       }
       default -> {
-        return new RosterNews[] {peers.news(true, entry.replace("s-1", "s-2")), peers.news(true, entry)};
+        return new RosterNews[] {
+          peers.news(true, entry.replace("s-1", "s-2")), peers.news(true, entry)
+        };
       }
     }
   }
@@ -111,10 +122,11 @@
   void aConnectionThatWasComingUpMeanwhileCarriesNothing(News news) throws Exception {
     RosterNews[] messages = told(news);
     NotedAttempt attempt = peers.attempt();
-    peers.run(() -> {
-      peers.pool.start(id, attempt);
-      peers.behind(3, () -> tell(news, messages));
-    });
+    peers.run(
+        () -> {
+          peers.pool.start(id, attempt);
+          peers.behind(3, () -> tell(news, messages));
+        });
     assertEquals(Status.UNREACHABLE.toString(), Peers.next(attempt.ends));
     assertEquals(0, PoolPeers.drain(peers.accept(before)));
     peers.run(() -> assertEquals(0, peers.pool.connections()));
--- a/front/src/test/java/willowdoor/front/servers/NotedAttempt.java
+++ b/front/src/test/java/willowdoor/front/servers/NotedAttempt.java
@@ -21,8 +21,9 @@
 
   /** Each end, with the answer's body behind it where there is one. */
   final BlockingQueue<String> ends = new LinkedBlockingQueue<>();
+
   /** What the module does on its end. */
-  Consumer<Status> next = status -> { };
+  Consumer<Status> next = status -> {};
 
   NotedAttempt(Outgoing message, double endsAt) {
     this(message, endsAt, Double.POSITIVE_INFINITY);
@@ -45,21 +46,18 @@
   private static Outgoing message(int length, boolean whole) {
     DefaultHttpHeaders headers = new DefaultHttpHeaders();
     Outgoing.frame(headers, headers, whole, length, true);
-    return new Outgoing(HttpMethod.POST, "/buy", headers, Unpooled.copiedBuffer(new byte[length]), whole,
-        () -> { });
+    return new Outgoing(
+        HttpMethod.POST, "/buy", headers, Unpooled.copiedBuffer(new byte[length]), whole, () -> {});
   }
 
   @Override
-  public void onSpent() {
-  }
+  public void onSpent() {}
 
   @Override
-  public void onSent() {
-  }
+  public void onSent() {}
 
   @Override
-  public void onHead() {
-  }
+  public void onHead() {}
 
   @Override
   public boolean onBegin(HttpResponse head) {
--- a/front/src/test/java/willowdoor/front/servers/PoolPeers.java
+++ b/front/src/test/java/willowdoor/front/servers/PoolPeers.java
@@ -27,7 +27,10 @@
 import willowdoor.front.loop.Transport;
 import willowdoor.front.requests.Attempt;
 
-/** A pool on a loop of its own with a clock moved by hand, and backends that the test plays by itself. */
+/**
+ * A pool on a loop of its own with a clock moved by hand, and backends that the test plays by
+ * itself.
+ */
 final class PoolPeers implements Closeable {
 
   static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine";
@@ -36,7 +39,8 @@
 
   private final AtomicLong nanos = new AtomicLong();
   final Clock clock = new Clock(Instant.ofEpochSecond(1_800_000_000), nanos::get);
-  private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, Transport.BEST.ioHandler());
+  private final EventLoopGroup group =
+      new MultiThreadIoEventLoopGroup(1, Transport.BEST.ioHandler());
   final EventLoop loop = group.next();
   final Set<Long> banned = new HashSet<>();
   final Tally tally = new Tally();
@@ -45,7 +49,9 @@
   private int version = 7;
 
   PoolPeers() throws Exception {
-    pool = new BackendPool(loop, Transport.BEST, clock, tally, banned::contains, 100, CONNECT_MS, 15_000);
+    pool =
+        new BackendPool(
+            loop, Transport.BEST, clock, tally, banned::contains, 100, CONNECT_MS, 15_000);
   }
 
   ServerSocket listen(int backlog, int receiveBuffer) throws IOException {
@@ -75,8 +81,8 @@
   }
 
   RosterNews news(boolean full, String... entries) throws IOException {
-    return RosterNews.parse(Peers.list(version++, full, entries).getBytes(StandardCharsets.UTF_8),
-        clock.now());
+    return RosterNews.parse(
+        Peers.list(version++, full, entries).getBytes(StandardCharsets.UTF_8), clock.now());
   }
 
   static String entry(ServerSocket server, String state) {
@@ -106,7 +112,8 @@
 
   /** A repeat, whose last byte must be written within so long. */
   NotedAttempt repeat(int length, double withinMs) {
-    return new NotedAttempt(NotedAttempt.message(length), clock.now() + 5_000, clock.now() + withinMs);
+    return new NotedAttempt(
+        NotedAttempt.message(length), clock.now() + 5_000, clock.now() + withinMs);
   }
 
   /** Runs on the loop behind so many rounds of its tasks, before it looks at its sockets. */
@@ -162,7 +169,9 @@
     int count = 0;
     byte[] piece = new byte[16 * 1024];
     try {
-      for (int n = socket.getInputStream().read(piece); n >= 0; n = socket.getInputStream().read(piece)) {
+      for (int n = socket.getInputStream().read(piece);
+          n >= 0;
+          n = socket.getInputStream().read(piece)) {
         count += n;
       }
     } catch (SocketException e) {
--- a/front/src/test/java/willowdoor/front/servers/RepeatWriteTest.java
+++ b/front/src/test/java/willowdoor/front/servers/RepeatWriteTest.java
@@ -41,10 +41,11 @@
   @ValueSource(ints = {0, WITHIN_MS, WITHIN_MS + 1, 1_500})
   void aSlowConnectDoesNotCarryItPastItsTime(int tookMs) throws Exception {
     NotedAttempt repeat = peers.repeat(10, WITHIN_MS);
-    peers.run(() -> {
-      peers.pool.start(id, repeat);
-      peers.behind(3, () -> peers.pass(tookMs));
-    });
+    peers.run(
+        () -> {
+          peers.pool.start(id, repeat);
+          peers.behind(3, () -> peers.pass(tookMs));
+        });
     Socket socket = peers.accept(server);
     if (tookMs <= WITHIN_MS) {
       PoolPeers.read(socket, 10);
@@ -90,8 +91,9 @@
   /** When its last byte comes is the client's to say. */
   @Test
   void aRepeatWhoseEndHasStillToComeIsNotBegun() throws Exception {
-    NotedAttempt repeat = new NotedAttempt(NotedAttempt.inPieces(), peers.clock.now() + 5_000,
-        peers.clock.now() + WITHIN_MS);
+    NotedAttempt repeat =
+        new NotedAttempt(
+            NotedAttempt.inPieces(), peers.clock.now() + 5_000, peers.clock.now() + WITHIN_MS);
     peers.start(id, repeat);
     assertEquals("UNREACHABLE", Peers.next(repeat.ends));
     peers.run(() -> assertEquals(0, peers.pool.connections()));
--- a/lab/src/main/java/willowdoor/lab/check/AnsweredInTime.java
+++ b/lab/src/main/java/willowdoor/lab/check/AnsweredInTime.java
@@ -8,9 +8,9 @@
 import willowdoor.lab.record.LabClock;
 
 /**
- * Every request that a front door has taken has its final answer within its time and the grace, unless the
- * front door was killed or otherwise disturbed meanwhile. A request that its client wrote once more, as a
- * close had crossed it, must not have been read before.
+ * Every request that a front door has taken has its final answer within its time and the grace,
+ * unless the front door was killed or otherwise disturbed meanwhile. A request that its client
+ * wrote once more, as a close had crossed it, must not have been read before.
  */
 public final class AnsweredInTime implements Checker {
 
@@ -46,19 +46,35 @@
     List<Finding> findings = new ArrayList<>();
     for (Entry.Asked asked : suspects) {
       long until = Math.max(asked.end(), due(asked));
-      boolean inTime = asked.how().equals("answered")
-          && asked.end() - disturbed.heldUpUs(asked.begin(), until) <= due(asked);
+      boolean inTime =
+          asked.how().equals("answered")
+              && asked.end() - disturbed.heldUpUs(asked.begin(), until) <= due(asked);
       if (!inTime && !disturbed.in(asked.door(), asked.begin(), until)) {
-        findings.add(new Finding(name(), asked.end(), String.format(
-            "request %s to %s was %s after %.0f ms of its %d", asked.id(), asked.door(), asked.how(),
-            (asked.end() - asked.begin()) / 1e3, asked.timeoutMs())));
+        findings.add(
+            new Finding(
+                name(),
+                asked.end(),
+                String.format(
+                    "request %s to %s was %s after %.0f ms of its %d",
+                    asked.id(),
+                    asked.door(),
+                    asked.how(),
+                    (asked.end() - asked.begin()) / 1e3,
+                    asked.timeoutMs())));
       }
     }
     for (Entry.Asked asked : resent) {
       if (firstBegun.getOrDefault(asked.id(), Long.MAX_VALUE) < asked.resent()
           && !disturbed.in(asked.door(), asked.begin(), asked.end())) {
-        findings.add(new Finding(name(), asked.end(), "request " + asked.id() + " to " + asked.door()
-            + " was at a server when its connection ended without an answer"));
+        findings.add(
+            new Finding(
+                name(),
+                asked.end(),
+                "request "
+                    + asked.id()
+                    + " to "
+                    + asked.door()
+                    + " was at a server when its connection ended without an answer"));
       }
     }
     return findings;
--- a/lab/src/main/java/willowdoor/lab/check/Checks.java
+++ b/lab/src/main/java/willowdoor/lab/check/Checks.java
@@ -10,12 +10,17 @@
 /** All checkers; a further one is added here. */
 public final class Checks {
 
-  private Checks() {
-  }
+  private Checks() {}
 
   public static List<Checker> all() {
-    return List.of(new AnsweredInTime(), new ServedByServer(), new RunOnce(), new Quota(), new Lives(),
-        new Drains(), new Served());
+    return List.of(
+        new AnsweredInTime(),
+        new ServedByServer(),
+        new RunOnce(),
+        new Quota(),
+        new Lives(),
+        new Drains(),
+        new Served());
   }
 
   /** What a run's records show, in the order of time. */
--- a/lab/src/main/java/willowdoor/lab/check/Disturbed.java
+++ b/lab/src/main/java/willowdoor/lab/check/Disturbed.java
@@ -8,14 +8,15 @@
 import willowdoor.lab.record.Entry;
 
 /**
- * When a front door could not be held to what it owes its clients: its process was killed, stopped or
- * starved, or the network between it and them was at fault. And when the lab itself stood still.
+ * When a front door could not be held to what it owes its clients: its process was killed, stopped
+ * or starved, or the network between it and them was at fault. And when the lab itself stood still.
  */
 final class Disturbed {
 
   private static final String CLIENTS = "clients";
   private static final Set<String> ON_PROCESSES = Set.of("stop", "starve");
-  private static final Set<String> ON_WAYS = Set.of("cut", "delay", "limit", "reset", "break_after");
+  private static final Set<String> ON_WAYS =
+      Set.of("cut", "delay", "limit", "reset", "break_after");
 
   /** How far from its end the end of a process may be seen, by the lab or by its clients. */
   private static final long SEEN_US = 100_000;
@@ -57,6 +58,10 @@
 
   /** How long the lab stood still in the span at most. */
   long heldUpUs(long from, long to) {
-    return lab.stream().filter(s -> s.meets(from, to)).mapToLong(s -> s.end() - s.begin()).max().orElse(0);
+    return lab.stream()
+        .filter(s -> s.meets(from, to))
+        .mapToLong(s -> s.end() - s.begin())
+        .max()
+        .orElse(0);
   }
 }
--- a/lab/src/main/java/willowdoor/lab/check/Drains.java
+++ b/lab/src/main/java/willowdoor/lab/check/Drains.java
@@ -9,8 +9,8 @@
 import willowdoor.lab.record.LabClock;
 
 /**
- * Nothing is sent to a template server later than the grace of the rules, and the 50 ms that sockets have
- * more, after discovery has told the front door that it leaves.
+ * Nothing is sent to a template server later than the grace of the rules, and the 50 ms that
+ * sockets have more, after discovery has told the front door that it leaves.
  */
 public final class Drains implements Checker {
 
@@ -18,8 +18,10 @@
 
   private final Map<String, Entry.Asked> asked = new HashMap<>();
   private final List<Entry.Attempt> attempts = new ArrayList<>();
+
   /** What each front door was told of each server, by time. */
   private final Map<String, TreeMap<Long, String>> told = new HashMap<>();
+
   private final Disturbed disturbed = new Disturbed();
   private double graceMs;
 
@@ -33,8 +35,11 @@
     } else if (entry instanceof Entry.Attempt attempt) {
       attempts.add(attempt);
     } else if (entry instanceof Entry.Told news) {
-      news.states().forEach((server, state) ->
-          told.computeIfAbsent(news.door() + ' ' + server, k -> new TreeMap<>()).put(news.begin(), state));
+      news.states()
+          .forEach(
+              (server, state) ->
+                  told.computeIfAbsent(news.door() + ' ' + server, k -> new TreeMap<>())
+                      .put(news.begin(), state));
     }
   }
 
@@ -46,14 +51,26 @@
       if (request == null) {
         continue;
       }
-      TreeMap<Long, String> of = told.getOrDefault(request.door() + ' ' + attempt.server(), new TreeMap<>());
+      TreeMap<Long, String> of =
+          told.getOrDefault(request.door() + ' ' + attempt.server(), new TreeMap<>());
       Map.Entry<Long, String> news = of.floorEntry(attempt.begin() - LabClock.us(graceMs));
-      if (news != null && !news.getValue().equals("active")
+      if (news != null
+          && !news.getValue().equals("active")
           && !of.floorEntry(attempt.begin()).getValue().equals("active")
           && !disturbed.in(request.door(), news.getKey(), attempt.begin())) {
-        findings.add(new Finding(name(), attempt.begin(), request.door() + " sent the request " + attempt.id()
-            + " to " + attempt.server() + " " + (attempt.begin() - news.getKey()) / 1_000
-            + " ms after it was told: " + news.getValue()));
+        findings.add(
+            new Finding(
+                name(),
+                attempt.begin(),
+                request.door()
+                    + " sent the request "
+                    + attempt.id()
+                    + " to "
+                    + attempt.server()
+                    + " "
+                    + (attempt.begin() - news.getKey()) / 1_000
+                    + " ms after it was told: "
+                    + news.getValue()));
       }
     }
     return findings;
--- a/lab/src/main/java/willowdoor/lab/check/Lives.java
+++ b/lab/src/main/java/willowdoor/lab/check/Lives.java
@@ -5,8 +5,8 @@
 import willowdoor.lab.record.Entry;
 
 /**
- * A front door's process ends only when it was told to, in order where it was asked by SIGTERM, and gets
- * ready where it is left the time.
+ * A front door's process ends only when it was told to, in order where it was asked by SIGTERM, and
+ * gets ready where it is left the time.
  */
 public final class Lives implements Checker {
 
@@ -21,12 +21,18 @@
     }
     String process = life.door() + "'s process " + life.pid();
     if (life.how().equals("itself")) {
-      findings.add(new Finding(name(), life.end(), process + " ended by itself with " + life.exit()));
+      findings.add(
+          new Finding(name(), life.end(), process + " ended by itself with " + life.exit()));
     } else if (life.how().equals("TERM, KILL")) {
-      findings.add(new Finding(name(), life.end(), process + " had to be killed, as SIGTERM did not end it"));
+      findings.add(
+          new Finding(
+              name(), life.end(), process + " had to be killed, as SIGTERM did not end it"));
     } else if (life.ready() == 0 && life.end() - life.begin() > READY_US) {
-      findings.add(new Finding(name(), life.end(), process + " was not ready in "
-          + (life.end() - life.begin()) / 1_000_000 + " s"));
+      findings.add(
+          new Finding(
+              name(),
+              life.end(),
+              process + " was not ready in " + (life.end() - life.begin()) / 1_000_000 + " s"));
     }
   }
 
--- a/lab/src/main/java/willowdoor/lab/check/RunOnce.java
+++ b/lab/src/main/java/willowdoor/lab/check/RunOnce.java
@@ -11,8 +11,8 @@
 import willowdoor.lab.record.Entry;
 
 /**
- * What is unsafe to repeat is begun by servers once at most, unless the one before said that it had not
- * started; and it is not refused as harmless once a server has begun it.
+ * What is unsafe to repeat is begun by servers once at most, unless the one before said that it had
+ * not started; and it is not refused as harmless once a server has begun it.
  */
 public final class RunOnce implements Checker {
 
@@ -38,19 +38,37 @@
   @Override
   public List<Finding> findings() {
     List<Finding> findings = new ArrayList<>();
-    asked.forEach((id, request) -> {
-      List<Entry.Attempt> of = begun.getOrDefault(id, List.of());
-      long first = of.stream().mapToLong(Entry.Attempt::began).min().orElse(Long.MAX_VALUE);
-      if (of.size() > 1) {
-        findings.add(new Finding(name(), first, type(request) + " was begun " + of.size() + " times, at "
-            + of.stream().sorted(Comparator.comparingLong(Entry.Attempt::began)).map(Entry.Attempt::server)
-                .toList()));
-      }
-      if ((request.status() == 429 || request.status() == 503) && first < request.end()) {
-        findings.add(new Finding(name(), request.end(), type(request) + " was refused by " + request.door()
-            + " after " + of.get(0).server() + " had begun it"));
-      }
-    });
+    asked.forEach(
+        (id, request) -> {
+          List<Entry.Attempt> of = begun.getOrDefault(id, List.of());
+          long first = of.stream().mapToLong(Entry.Attempt::began).min().orElse(Long.MAX_VALUE);
+          if (of.size() > 1) {
+            findings.add(
+                new Finding(
+                    name(),
+                    first,
+                    type(request)
+                        + " was begun "
+                        + of.size()
+                        + " times, at "
+                        + of.stream()
+                            .sorted(Comparator.comparingLong(Entry.Attempt::began))
+                            .map(Entry.Attempt::server)
+                            .toList()));
+          }
+          if ((request.status() == 429 || request.status() == 503) && first < request.end()) {
+            findings.add(
+                new Finding(
+                    name(),
+                    request.end(),
+                    type(request)
+                        + " was refused by "
+                        + request.door()
+                        + " after "
+                        + of.get(0).server()
+                        + " had begun it"));
+          }
+        });
     return findings;
   }
 
--- a/lab/src/main/java/willowdoor/lab/check/Served.java
+++ b/lab/src/main/java/willowdoor/lab/check/Served.java
@@ -4,8 +4,8 @@
 import willowdoor.lab.record.Entry;
 
 /**
- * A share of the requests was served at least: a run in which nothing was served would tell nothing of the
- * others' rules.
+ * A share of the requests was served at least: a run in which nothing was served would tell nothing
+ * of the others' rules.
  */
 public final class Served implements Checker {
 
@@ -27,7 +27,17 @@
 
   @Override
   public List<Finding> findings() {
-    return served >= least * requests ? List.of() : List.of(new Finding(name(), last,
-        served + " of " + requests + " requests were served, where " + least + " of them are due"));
+    return served >= least * requests
+        ? List.of()
+        : List.of(
+            new Finding(
+                name(),
+                last,
+                served
+                    + " of "
+                    + requests
+                    + " requests were served, where "
+                    + least
+                    + " of them are due"));
   }
 }
--- a/lab/src/main/java/willowdoor/lab/check/ServedByServer.java
+++ b/lab/src/main/java/willowdoor/lab/check/ServedByServer.java
@@ -9,8 +9,8 @@
 import willowdoor.lab.record.Entry;
 
 /**
- * No answer says 200 without a template server having begun and served that request, with that body; and
- * nothing reaches a server that no client asked for.
+ * No answer says 200 without a template server having begun and served that request, with that
+ * body; and nothing reaches a server that no client asked for.
  */
 public final class ServedByServer implements Checker {
 
@@ -36,21 +36,44 @@
   @Override
   public List<Finding> findings() {
     List<Finding> findings = new ArrayList<>();
-    served.forEach((id, request) -> {
-      boolean made = attempts.getOrDefault(id, List.of()).stream().anyMatch(a -> a.how().equals("served")
-          && a.body().equals(request.body()) && a.began() + SAME_US >= request.begin()
-          && a.began() <= request.end() + SAME_US);
-      if (!made) {
-        findings.add(new Finding(name(), request.end(), "request " + id + " to " + request.door()
-            + " was answered 200 with '" + request.body() + "', which no server made for it"));
-      }
-    });
-    attempts.forEach((id, of) -> {
-      if (!asked.contains(id)) {
-        findings.add(new Finding(name(), of.get(0).begin(), "server " + of.get(0).server()
-            + " was sent the request " + id + ", which no client made"));
-      }
-    });
+    served.forEach(
+        (id, request) -> {
+          boolean made =
+              attempts.getOrDefault(id, List.of()).stream()
+                  .anyMatch(
+                      a ->
+                          a.how().equals("served")
+                              && a.body().equals(request.body())
+                              && a.began() + SAME_US >= request.begin()
+                              && a.began() <= request.end() + SAME_US);
+          if (!made) {
+            findings.add(
+                new Finding(
+                    name(),
+                    request.end(),
+                    "request "
+                        + id
+                        + " to "
+                        + request.door()
+                        + " was answered 200 with '"
+                        + request.body()
+                        + "', which no server made for it"));
+          }
+        });
+    attempts.forEach(
+        (id, of) -> {
+          if (!asked.contains(id)) {
+            findings.add(
+                new Finding(
+                    name(),
+                    of.get(0).begin(),
+                    "server "
+                        + of.get(0).server()
+                        + " was sent the request "
+                        + id
+                        + ", which no client made"));
+          }
+        });
     return findings;
   }
 }
--- a/lab/src/main/java/willowdoor/lab/fleet/ConfigTemplate.java
+++ b/lab/src/main/java/willowdoor/lab/fleet/ConfigTemplate.java
@@ -11,10 +11,11 @@
 import java.util.regex.Pattern;
 
 /**
- * Further keys of a configuration, written once for all front doors: {@code ${NAME}} in a text stands for a
- * value of the front door, and an object with {@code each = "door"} in a list stands for one object for each
- * front door, in which the names that begin with {@code peer} are that one's, as the configured one sees it.
- * A text that is nothing but {@code ${...index}} becomes a number.
+ * Further keys of a configuration, written once for all front doors: {@code ${NAME}} in a text
+ * stands for a value of the front door, and an object with {@code each = "door"} in a list stands
+ * for one object for each front door, in which the names that begin with {@code peer} are that
+ * one's, as the configured one sees it. A text that is nothing but {@code ${...index}} becomes a
+ * number.
  */
 public final class ConfigTemplate {
 
@@ -65,13 +66,15 @@
 
   private static JsonNode text(String template, Function<String, String> values) {
     Matcher places = PLACE.matcher(template);
-    String filled = places.replaceAll(place -> {
-      String value = values.apply(place.group(1));
-      if (value == null) {
-        throw new IllegalArgumentException("there is no ${" + place.group(1) + "}");
-      }
-      return Matcher.quoteReplacement(value);
-    });
+    String filled =
+        places.replaceAll(
+            place -> {
+              String value = values.apply(place.group(1));
+              if (value == null) {
+                throw new IllegalArgumentException("there is no ${" + place.group(1) + "}");
+              }
+              return Matcher.quoteReplacement(value);
+            });
     boolean number = places.reset().matches() && places.group(1).endsWith("index");
     return number ? JSON.numberNode(Integer.parseInt(filled)) : JSON.textNode(filled);
   }
--- a/lab/src/main/java/willowdoor/lab/fleet/Door.java
+++ b/lab/src/main/java/willowdoor/lab/fleet/Door.java
@@ -61,8 +61,10 @@
     Path file = folder.resolve("config.json");
     Files.writeString(file, JSON.writeValueAsString(config));
     File log = folder.resolve("log.txt").toFile();
-    ProcessBuilder builder = new ProcessBuilder(launch.command(temporary, flags))
-        .redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.appendTo(log));
+    ProcessBuilder builder =
+        new ProcessBuilder(launch.command(temporary, flags))
+            .redirectErrorStream(true)
+            .redirectOutput(ProcessBuilder.Redirect.appendTo(log));
     builder.environment().keySet().removeIf(name -> name.startsWith("GW_"));
     builder.environment().putAll(environment);
     builder.environment().put("GW_CONFIG", file.toString());
@@ -77,8 +79,15 @@
   private void tell(Life over) {
     Entry.Life record;
     synchronized (this) {
-      record = new Entry.Life(over.begin, clock.nowUs(), id, over.process.pid(), over.ready, over.how,
-          over.process.exitValue());
+      record =
+          new Entry.Life(
+              over.begin,
+              clock.nowUs(),
+              id,
+              over.process.pid(),
+              over.ready,
+              over.how,
+              over.process.exitValue());
     }
     ended.accept(record);
   }
--- a/lab/src/main/java/willowdoor/lab/fleet/Fleet.java
+++ b/lab/src/main/java/willowdoor/lab/fleet/Fleet.java
@@ -22,8 +22,9 @@
 import willowdoor.lab.record.Recorder;
 
 /**
- * The real front doors of a run, as processes. All of them are ended by their ids when it is closed; when
- * this process ends in another way its shutdown hook does it, and where that does not run the undertaker.
+ * The real front doors of a run, as processes. All of them are ended by their ids when it is
+ * closed; when this process ends in another way its shutdown hook does it, and where that does not
+ * run the undertaker.
  */
 public final class Fleet implements Closeable {
 
@@ -32,7 +33,10 @@
   private static final long ASK_MS = 40;
   private static final long ANSWER_MS = 1_000;
 
-  /** Is told when a front door's process begins, when it is ready, and when it is gone. On any thread. */
+  /**
+   * Is told when a front door's process begins, when it is ready, and when it is gone. On any
+   * thread.
+   */
   public interface Listener {
     void begun(String door);
 
@@ -58,12 +62,19 @@
   /**
    * Starts nothing yet.
    *
-   * @param calls   where calls to front doors are made from
+   * @param calls where calls to front doors are made from
    * @param configs a front door's configuration as its next process is to find it
-   * @param flags   further flags of the runtime
+   * @param flags further flags of the runtime
    */
-  public Fleet(LaunchLine launch, Loopback net, Recorder records, Path folder, EventLoopGroup calls,
-      Function<String, ObjectNode> configs, List<String> flags) throws IOException {
+  public Fleet(
+      LaunchLine launch,
+      Loopback net,
+      Recorder records,
+      Path folder,
+      EventLoopGroup calls,
+      Function<String, ObjectNode> configs,
+      List<String> flags)
+      throws IOException {
     this.launch = launch;
     this.net = net;
     this.records = records;
@@ -91,9 +102,16 @@
   /** Starts a front door; the future is done once it is ready, and false where it never was. */
   public CompletableFuture<Boolean> start(String id) throws IOException {
     ObjectNode config = configs.apply(id);
-    Map<String, String> environment = Map.of("GW_NAME", config.path("name").asText(),
-        "GW_LISTEN", config.path("listen").asText(), "GW_DISCOVERY", config.path("discovery").asText(),
-        "GW_MANAGEMENT", config.path("management").asText());
+    Map<String, String> environment =
+        Map.of(
+            "GW_NAME",
+            config.path("name").asText(),
+            "GW_LISTEN",
+            config.path("listen").asText(),
+            "GW_DISCOVERY",
+            config.path("discovery").asText(),
+            "GW_MANAGEMENT",
+            config.path("management").asText());
     long pid = doors.get(id).start(config, environment, flags);
     undertaker.started(pid);
     if (closing) {
@@ -114,16 +132,18 @@
     }
     ask(id, Loopback.OPERATORS, "/api/ready")
         .thenCombine(ask(id, Loopback.CLIENTS, "/up"), (a, b) -> a == 200 && b == 200)
-        .thenAccept(yes -> {
-          if (!yes) {
-            calls.schedule(() -> askReady(id, pid, untilUs, ready), ASK_MS, TimeUnit.MILLISECONDS);
-          } else if (door.pid() == pid && door.ready()) {
-            listeners.forEach(l -> l.up(id));
-            ready.complete(true);
-          } else {
-            ready.complete(false);
-          }
-        });
+        .thenAccept(
+            yes -> {
+              if (!yes) {
+                calls.schedule(
+                    () -> askReady(id, pid, untilUs, ready), ASK_MS, TimeUnit.MILLISECONDS);
+              } else if (door.pid() == pid && door.ready()) {
+                listeners.forEach(l -> l.up(id));
+                ready.complete(true);
+              } else {
+                ready.complete(false);
+              }
+            });
   }
 
   private CompletableFuture<Integer> ask(String id, int port, String path) {
@@ -178,17 +198,21 @@
     }
   }
 
-  /** Ends all as at a planned restart, without telling listeners: SIGTERM, and a wait for their ends. */
+  /**
+   * Ends all as at a planned restart, without telling listeners: SIGTERM, and a wait for their
+   * ends.
+   */
   public void end(long limitMs) throws IOException, InterruptedException {
     closing = true;
     List<String> running = doors.keySet().stream().filter(this::alive).toList();
     List<Process> ending = new ArrayList<>();
-    running.forEach(id -> {
-      Process process = doors.get(id).process();
-      if (process != null) {
-        ending.add(process);
-      }
-    });
+    running.forEach(
+        id -> {
+          Process process = doors.get(id).process();
+          if (process != null) {
+            ending.add(process);
+          }
+        });
     try {
       signal(running, "CONT");
       signal(running, "TERM");
--- a/lab/src/main/java/willowdoor/lab/fleet/LaunchLine.java
+++ b/lab/src/main/java/willowdoor/lab/fleet/LaunchLine.java
@@ -40,7 +40,8 @@
     List<String> flags = new ArrayList<>(line.subList(java + 1, at));
     flags.removeIf(f -> f.startsWith(ARCHIVE) || f.startsWith(TEMPORARY));
     Path whole = jar.toAbsolutePath().normalize();
-    Path archive = whole.resolveSibling(whole.getFileName().toString().replaceAll("\\.jar$", ".jsa"));
+    Path archive =
+        whole.resolveSibling(whole.getFileName().toString().replaceAll("\\.jar$", ".jsa"));
     if (Files.isRegularFile(archive)) {
       flags.add(ARCHIVE + archive);
     }
--- a/lab/src/main/java/willowdoor/lab/fleet/Loopback.java
+++ b/lab/src/main/java/willowdoor/lab/fleet/Loopback.java
@@ -10,14 +10,16 @@
 import java.util.Map;
 
 /**
- * The addresses of one run: a net 127.x.0.0/16 that no other run uses as long as this one is open. Each party
- * has an address of its own in it, and each ordered pair a face: the address at which the one reaches the
- * other. All ports are below those that the kernel gives to connections, so nothing else comes upon them.
+ * The addresses of one run: a net 127.x.0.0/16 that no other run uses as long as this one is open.
+ * Each party has an address of its own in it, and each ordered pair a face: the address at which
+ * the one reaches the other. All ports are below those that the kernel gives to connections, so
+ * nothing else comes upon them.
  */
 public final class Loopback implements Closeable {
 
   /** Ports of a party's own address. */
   public static final int CLIENTS = 7_070;
+
   public static final int OPERATORS = 7_071;
   public static final int PEERS = 7_072;
   public static final int SERVICE = 7_073;
@@ -26,8 +28,10 @@
   private static final int FACES = 7_100;
   private static final int NETS = 250;
   private static final int PER_BLOCK = 250;
+
   /** Third bytes from here on are of faces, below of parties. */
   private static final int FIRST_CALLER = 100;
+
   private static final int MOST_CALLERS = 155;
   private static final int MOST_PARTIES = PER_BLOCK * FIRST_CALLER;
 
@@ -41,7 +45,9 @@
     this.net = net;
   }
 
-  /** Takes a net that is free; another run's stays its own until that process ends, however it ends. */
+  /**
+   * Takes a net that is free; another run's stays its own until that process ends, however it ends.
+   */
   public static Loopback claim() throws IOException {
     int start = (int) (ProcessHandle.current().pid() % NETS);
     IOException last = null;
@@ -76,7 +82,8 @@
   private static int number(Map<String, Integer> numbers, String name, int most) {
     int number = numbers.computeIfAbsent(name, n -> numbers.size());
     if (number >= most) {
-      throw new IllegalStateException("a run has no addresses for more than " + most + " parties of a kind");
+      throw new IllegalStateException(
+          "a run has no addresses for more than " + most + " parties of a kind");
     }
     return number;
   }
--- a/lab/src/main/java/willowdoor/lab/fleet/OneCall.java
+++ b/lab/src/main/java/willowdoor/lab/fleet/OneCall.java
@@ -33,40 +33,58 @@
     private static final Answer NONE = new Answer(0, "");
   }
 
-  private OneCall() {
-  }
+  private OneCall() {}
 
-  public static CompletableFuture<Answer> send(EventLoopGroup group, InetSocketAddress to, String method,
-      String path, String body, long limitMs) {
+  public static CompletableFuture<Answer> send(
+      EventLoopGroup group,
+      InetSocketAddress to,
+      String method,
+      String path,
+      String body,
+      long limitMs) {
     CompletableFuture<Answer> result = new CompletableFuture<>();
     byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
-    DefaultFullHttpRequest call = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
-        HttpMethod.valueOf(method), path, Unpooled.wrappedBuffer(bytes));
-    call.headers().set(HttpHeaderNames.HOST, Loopback.text(to))
+    DefaultFullHttpRequest call =
+        new DefaultFullHttpRequest(
+            HttpVersion.HTTP_1_1, HttpMethod.valueOf(method), path, Unpooled.wrappedBuffer(bytes));
+    call.headers()
+        .set(HttpHeaderNames.HOST, Loopback.text(to))
         .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE)
         .set(HttpHeaderNames.CONTENT_LENGTH, bytes.length);
-    ChannelFuture connect = new Bootstrap().group(group).channel(EpollSocketChannel.class)
-        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) limitMs)
-        .handler(new ChannelInitializer<Channel>() {
-          @Override
-          protected void initChannel(Channel made) {
-            made.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MOST_ANSWER),
-                new Reader(result));
-          }
-        }).connect(to);
+    ChannelFuture connect =
+        new Bootstrap()
+            .group(group)
+            .channel(EpollSocketChannel.class)
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) limitMs)
+            .handler(
+                new ChannelInitializer<Channel>() {
+                  @Override
+                  protected void initChannel(Channel made) {
+                    made.pipeline()
+                        .addLast(
+                            new HttpClientCodec(),
+                            new HttpObjectAggregator(MOST_ANSWER),
+                            new Reader(result));
+                  }
+                })
+            .connect(to);
     Channel channel = connect.channel();
-    connect.addListener(f -> {
-      if (f.isSuccess()) {
-        channel.writeAndFlush(call);
-      } else {
-        call.release();
-        result.complete(Answer.NONE);
-      }
-    });
-    group.schedule(() -> {
-      result.complete(Answer.NONE);
-      channel.close();
-    }, limitMs, TimeUnit.MILLISECONDS);
+    connect.addListener(
+        f -> {
+          if (f.isSuccess()) {
+            channel.writeAndFlush(call);
+          } else {
+            call.release();
+            result.complete(Answer.NONE);
+          }
+        });
+    group.schedule(
+        () -> {
+          result.complete(Answer.NONE);
+          channel.close();
+        },
+        limitMs,
+        TimeUnit.MILLISECONDS);
     channel.closeFuture().addListener(f -> result.complete(Answer.NONE));
     return result;
   }
@@ -81,8 +99,8 @@
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse answer) {
       if (answer.decoderResult().isSuccess()) {
-        result.complete(new Answer(answer.status().code(),
-            answer.content().toString(StandardCharsets.UTF_8)));
+        result.complete(
+            new Answer(answer.status().code(), answer.content().toString(StandardCharsets.UTF_8)));
       }
       ctx.close();
     }
--- a/lab/src/main/java/willowdoor/lab/fleet/Undertaker.java
+++ b/lab/src/main/java/willowdoor/lab/fleet/Undertaker.java
@@ -7,12 +7,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A small process that outlives this one, however this one ends: it is told the ids of the processes that
- * were started and of those that ended, and kills what is left once its input ends.
+ * A small process that outlives this one, however this one ends: it is told the ids of the
+ * processes that were started and of those that ended, and kills what is left once its input ends.
  */
 final class Undertaker implements Closeable {
 
-  private static final String SCRIPT = """
+  private static final String SCRIPT =
+      """
       trap '' INT TERM HUP
       pids=' '
       while read -r word pid; do
@@ -28,8 +29,11 @@
   private final OutputStream told;
 
   Undertaker() throws IOException {
-    process = new ProcessBuilder("/bin/sh", "-c", SCRIPT).redirectErrorStream(true)
-        .redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
+    process =
+        new ProcessBuilder("/bin/sh", "-c", SCRIPT)
+            .redirectErrorStream(true)
+            .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+            .start();
     told = process.getOutputStream();
   }
 
