--- a/lab/src/main/java/willowdoor/lab/load/Ask.java
+++ b/lab/src/main/java/willowdoor/lab/load/Ask.java
@@ -6,10 +6,10 @@
 final class Ask {
 
   /** A class as clients need to know it. */
-  record Type(String name, boolean safe, boolean keyed, int deadlineMs) { }
+  record Type(String name, boolean safe, boolean keyed, int deadlineMs) {}
 
   /** A customer, and which front doors in a row it comes in at. */
-  record Customer(String id, String plan, int first, int spread) { }
+  record Customer(String id, String plan, int first, int spread) {}
 
   final String id;
   final Type type;
@@ -17,10 +17,13 @@
   final int units;
   final int timeoutMs;
   final String door;
+
   /** How many requests of this client were for the same before it. */
   final int tries;
+
   long begin;
   boolean taken;
+
   /** When it was written once more, or 0. */
   long resent;
 
@@ -37,14 +40,27 @@
   /** The message as it is written. */
   byte[] message() {
     StringBuilder text = new StringBuilder(512);
-    text.append(type.safe() ? "GET /" : "POST /").append(type.name()).append('/')
-        .append(id, 0, 2).append(" HTTP/1.1\r\nHost: backend.local\r\nRequest-Id: ").append(id)
-        .append("\r\nRequest-Class: ").append(type.name())
-        .append("\r\nX-Plan: ").append(customer.plan())
-        .append("\r\nX-Customer: ").append(customer.id())
-        .append("\r\nRequest-Timeout-Ms: ").append(timeoutMs)
-        .append("\r\nX-Quota: units=").append(units).append(",spread=").append(customer.spread())
-        .append(",first=").append(customer.first()).append("\r\n");
+    text.append(type.safe() ? "GET /" : "POST /")
+        .append(type.name())
+        .append('/')
+        .append(id, 0, 2)
+        .append(" HTTP/1.1\r\nHost: backend.local\r\nRequest-Id: ")
+        .append(id)
+        .append("\r\nRequest-Class: ")
+        .append(type.name())
+        .append("\r\nX-Plan: ")
+        .append(customer.plan())
+        .append("\r\nX-Customer: ")
+        .append(customer.id())
+        .append("\r\nRequest-Timeout-Ms: ")
+        .append(timeoutMs)
+        .append("\r\nX-Quota: units=")
+        .append(units)
+        .append(",spread=")
+        .append(customer.spread())
+        .append(",first=")
+        .append(customer.first())
+        .append("\r\n");
     if (type.keyed()) {
       text.append("Idempotency-Key: key-").append(id).append("\r\n");
     }
--- a/lab/src/main/java/willowdoor/lab/load/Clients.java
+++ b/lab/src/main/java/willowdoor/lab/load/Clients.java
@@ -23,18 +23,22 @@
 import willowdoor.lab.record.Recorder;
 
 /**
- * The customers' clients: requests begin at times that are drawn, whatever became of those before. Each goes
- * to one of its customer's front doors that is known to be there; one that is gone is noticed late. All on
- * one loop.
+ * The customers' clients: requests begin at times that are drawn, whatever became of those before.
+ * Each goes to one of its customer's front doors that is known to be there; one that is gone is
+ * noticed late. All on one loop.
  */
 public final class Clients implements Fleet.Listener, Closeable {
 
   private static final int MOST_TRIES = 3;
+
   /** Latencies up to a minute are told apart. */
   private static final long MOST_US = 60_000_000;
 
-  /** How requests of a class went: latencies of those served in microseconds, and how many ended how. */
-  public record Figures(Histogram served, Map<String, Integer> ended) { }
+  /**
+   * How requests of a class went: latencies of those served in microseconds, and how many ended
+   * how.
+   */
+  public record Figures(Histogram served, Map<String, Integer> ended) {}
 
   private final OwnLoop own = new OwnLoop();
   private final EventLoop loop = own.loop();
@@ -59,31 +63,54 @@
   /**
    * Clients of these front doors, in the order that customers' sets count them; nothing begins yet.
    *
-   * @param unreached whether a connection from that address never got what was last written to it to its door
+   * @param unreached whether a connection from that address never got what was last written to it
+   *     to its door
    */
-  public Clients(LoadSpec spec, JsonNode settings, Map<String, InetSocketAddress> doors,
-      Predicate<SocketAddress> unreached, Recorder records, long seed) {
+  public Clients(
+      LoadSpec spec,
+      JsonNode settings,
+      Map<String, InetSocketAddress> doors,
+      Predicate<SocketAddress> unreached,
+      Recorder records,
+      long seed) {
     this.spec = spec;
     this.records = records;
     this.doors = List.copyOf(doors.keySet());
     ratePerS = spec.ratePerS();
     random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
-    settings.path("Profiles").forEach(p -> types.put(p.path("Name").asText(),
-        new Ask.Type(p.path("Name").asText(), p.path("Repeat").asText().equals("pure"),
-            p.path("Repeat").asText().equals("token"), p.path("DeadlineMs").asInt())));
+    settings
+        .path("Profiles")
+        .forEach(
+            p ->
+                types.put(
+                    p.path("Name").asText(),
+                    new Ask.Type(
+                        p.path("Name").asText(),
+                        p.path("Repeat").asText().equals("pure"),
+                        p.path("Repeat").asText().equals("token"),
+                        p.path("DeadlineMs").asInt())));
     mostUnits = settings.path("Extra").path("MaxUnits").asInt(1);
     plans = new Drawn(spec.plans());
     classes = new Drawn(spec.classes());
     int spread = Math.min(spec.spread(), doors.size());
     for (int i = 0; i < spec.customers(); i++) {
-      Ask.Customer customer = new Ask.Customer(String.format("%016x", random.nextLong(1L << 33)),
-          plans.next(random), random.nextInt(doors.size()), spread);
+      Ask.Customer customer =
+          new Ask.Customer(
+              String.format("%016x", random.nextLong(1L << 33)),
+              plans.next(random),
+              random.nextInt(doors.size()),
+              spread);
       customers.computeIfAbsent(customer.plan(), p -> new ArrayList<>()).add(customer);
     }
-    doors.forEach((id, address) -> connections.put(id,
-        new Connections(own, address, spec.connections(), records.clock(), unreached,
-            this::ended)));
-    types.keySet().forEach(t -> figures.put(t, new Figures(new Histogram(MOST_US, 3), new TreeMap<>())));
+    doors.forEach(
+        (id, address) ->
+            connections.put(
+                id,
+                new Connections(
+                    own, address, spec.connections(), records.clock(), unreached, this::ended)));
+    types
+        .keySet()
+        .forEach(t -> figures.put(t, new Figures(new Histogram(MOST_US, 3), new TreeMap<>())));
   }
 
   public EventLoop loop() {
@@ -98,46 +125,56 @@
 
   @Override
   public void up(String door) {
-    loop.execute(() -> {
-      running.add(door);
-      if (connections.containsKey(door)) {
-        there.add(door);
-      }
-    });
+    loop.execute(
+        () -> {
+          running.add(door);
+          if (connections.containsKey(door)) {
+            there.add(door);
+          }
+        });
   }
 
   @Override
   public void down(String door) {
-    loop.execute(() -> {
-      running.remove(door);
-      loop.schedule(() -> {
-        if (!running.contains(door)) {
-          there.remove(door);
-        }
-      }, spec.noticeMs(), TimeUnit.MILLISECONDS);
-    });
+    loop.execute(
+        () -> {
+          running.remove(door);
+          loop.schedule(
+              () -> {
+                if (!running.contains(door)) {
+                  there.remove(door);
+                }
+              },
+              spec.noticeMs(),
+              TimeUnit.MILLISECONDS);
+        });
   }
 
   public void begin() {
-    loop.execute(() -> {
-      nextUs = records.clock().nowUs();
-      later();
-    });
+    loop.execute(
+        () -> {
+          nextUs = records.clock().nowUs();
+          later();
+        });
   }
 
   /** Changes how many requests begin in a second. */
   public void rate(double perS) {
-    loop.execute(() -> {
-      boolean paused = ratePerS <= 0;
-      ratePerS = perS;
-      if (paused && !stopped) {
-        nextUs = records.clock().nowUs();
-        later();
-      }
-    });
+    loop.execute(
+        () -> {
+          boolean paused = ratePerS <= 0;
+          ratePerS = perS;
+          if (paused && !stopped) {
+            nextUs = records.clock().nowUs();
+            later();
+          }
+        });
   }
 
-  /** Begins nothing more; true once all that was begun has ended, false where it has not in the time. */
+  /**
+   * Begins nothing more; true once all that was begun has ended, false where it has not in the
+   * time.
+   */
   public boolean finish(long limitMs) throws InterruptedException {
     loop.execute(() -> stopped = true);
     long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(limitMs);
@@ -161,12 +198,15 @@
     }
     nextUs += -Math.log(1 - random.nextDouble()) * 1e6 / ratePerS;
     long wait = (long) nextUs - records.clock().nowUs();
-    loop.schedule(() -> {
-      if (!stopped) {
-        ask();
-        later();
-      }
-    }, Math.max(0, wait), TimeUnit.MICROSECONDS);
+    loop.schedule(
+        () -> {
+          if (!stopped) {
+            ask();
+            later();
+          }
+        },
+        Math.max(0, wait),
+        TimeUnit.MICROSECONDS);
   }
 
   private void ask() {
@@ -180,7 +220,8 @@
     }
   }
 
-  private void begin(String id, Ask.Type type, Ask.Customer customer, int units, int timeoutMs, int tries) {
+  private void begin(
+      String id, Ask.Type type, Ask.Customer customer, int units, int timeoutMs, int tries) {
     open++;
     List<String> set = new ArrayList<>();
     for (int i = 0; i < customer.spread(); i++) {
@@ -202,20 +243,39 @@
     open--;
     long now = records.clock().nowUs();
     long begin = ask.begin == 0 ? now : ask.begin;
-    records.write(new Entry.Asked(begin, now, ask.id, ask.type.name(), ask.customer.plan(),
-        ask.customer.id(), ask.units, ask.timeoutMs, ask.door, ask.taken, status, how, body, ask.resent));
+    records.write(
+        new Entry.Asked(
+            begin,
+            now,
+            ask.id,
+            ask.type.name(),
+            ask.customer.plan(),
+            ask.customer.id(),
+            ask.units,
+            ask.timeoutMs,
+            ask.door,
+            ask.taken,
+            status,
+            how,
+            body,
+            ask.resent));
     Figures of = figures.get(ask.type.name());
     of.ended().merge(status > 0 ? Integer.toString(status) : how, 1, Integer::sum);
     if (status == 200) {
       of.served().recordValue(Math.min(MOST_US, now - begin));
     }
-    if (spec.retry() && !stopped && ask.tries + 1 < MOST_TRIES && status != 200
+    if (spec.retry()
+        && !stopped
+        && ask.tries + 1 < MOST_TRIES
+        && status != 200
         && (ask.type.safe() || status == 429 || status == 503 || !ask.taken)) {
       int left = ask.timeoutMs - (int) ((now - begin) / 1_000);
       int wait = 100 + random.nextInt(200);
       if (left > wait + 50) {
         String id = String.format("%016x", random.nextLong());
-        loop.schedule(() -> begin(id, ask.type, ask.customer, ask.units, left - wait, ask.tries + 1), wait,
+        loop.schedule(
+            () -> begin(id, ask.type, ask.customer, ask.units, left - wait, ask.tries + 1),
+            wait,
             TimeUnit.MILLISECONDS);
       }
     }
--- a/lab/src/main/java/willowdoor/lab/load/Connections.java
+++ b/lab/src/main/java/willowdoor/lab/load/Connections.java
@@ -27,13 +27,18 @@
 import willowdoor.lab.net.OwnLoop;
 import willowdoor.lab.record.LabClock;
 
-/** Clients' connections to one front door: kept, one request at a time on each, more where all are busy. */
+/**
+ * Clients' connections to one front door: kept, one request at a time on each, more where all are
+ * busy.
+ */
 final class Connections {
 
   private static final int MOST_ANSWER = 1 << 20;
   private static final int CONNECT_MS = 2_000;
+
   /** A client stays so much longer than it said, to see answers that come late. */
   private static final long PATIENCE_MS = 1_500;
+
   /** A close that crosses a request is seen this soon. */
   private static final long CROSSING_US = 100_000;
 
@@ -52,8 +57,13 @@
   private final ArrayDeque<Kept> idle = new ArrayDeque<>();
   private final Set<Kept> open = new HashSet<>();
 
-  Connections(OwnLoop own, InetSocketAddress door, int most, LabClock clock,
-      Predicate<SocketAddress> unreached, Ended ended) {
+  Connections(
+      OwnLoop own,
+      InetSocketAddress door,
+      int most,
+      LabClock clock,
+      Predicate<SocketAddress> unreached,
+      Ended ended) {
     this.own = own;
     loop = own.loop();
     this.door = door;
@@ -76,32 +86,44 @@
 
   private void connect(Ask ask) {
     Kept kept = new Kept();
-    ChannelFuture connect = new Bootstrap().group(loop).channel(EpollSocketChannel.class)
-        .option(ChannelOption.TCP_NODELAY, true)
-        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
-        .handler(new ChannelInitializer<Channel>() {
-          @Override
-          protected void initChannel(Channel channel) {
-            channel.pipeline().addLast(new ChannelInboundHandlerAdapter() {
-              @Override
-              public void channelRead(ChannelHandlerContext ctx, Object bytes) {
-                kept.heard = true;
-                ctx.fireChannelRead(bytes);
-              }
-            }, new HttpResponseDecoder(), new HttpObjectAggregator(MOST_ANSWER), kept);
-          }
-        }).connect(door);
+    ChannelFuture connect =
+        new Bootstrap()
+            .group(loop)
+            .channel(EpollSocketChannel.class)
+            .option(ChannelOption.TCP_NODELAY, true)
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+            .handler(
+                new ChannelInitializer<Channel>() {
+                  @Override
+                  protected void initChannel(Channel channel) {
+                    channel
+                        .pipeline()
+                        .addLast(
+                            new ChannelInboundHandlerAdapter() {
+                              @Override
+                              public void channelRead(ChannelHandlerContext ctx, Object bytes) {
+                                kept.heard = true;
+                                ctx.fireChannelRead(bytes);
+                              }
+                            },
+                            new HttpResponseDecoder(),
+                            new HttpObjectAggregator(MOST_ANSWER),
+                            kept);
+                  }
+                })
+            .connect(door);
     kept.channel = own.keep(connect.channel());
     open.add(kept);
     kept.channel.closeFuture().addListener(closed -> open.remove(kept));
-    connect.addListener(done -> {
-      if (done.isSuccess()) {
-        kept.local = kept.channel.localAddress();
-        kept.write(ask);
-      } else {
-        ended.ended(ask, 0, ask.taken ? "broken" : "unreachable", "");
-      }
-    });
+    connect.addListener(
+        done -> {
+          if (done.isSuccess()) {
+            kept.local = kept.channel.localAddress();
+            kept.write(ask);
+          } else {
+            ended.ended(ask, 0, ask.taken ? "broken" : "unreachable", "");
+          }
+        });
   }
 
   private final class Kept extends SimpleChannelInboundHandler<FullHttpResponse> {
@@ -115,19 +137,26 @@
     void write(Ask ask) {
       asked = ask;
       heard = false;
-      limit = loop.schedule(() -> {
-        finish(0, "silent", "");
-        channel.close();
-      }, ask.timeoutMs + PATIENCE_MS, TimeUnit.MILLISECONDS);
+      limit =
+          loop.schedule(
+              () -> {
+                finish(0, "silent", "");
+                channel.close();
+              },
+              ask.timeoutMs + PATIENCE_MS,
+              TimeUnit.MILLISECONDS);
       if (ask.begin == 0) {
         ask.begin = clock.nowUs();
       }
-      channel.writeAndFlush(Unpooled.wrappedBuffer(ask.message())).addListener(written -> {
-        ask.taken |= written.isSuccess();
-        if (!written.isSuccess()) {
-          broken();
-        }
-      });
+      channel
+          .writeAndFlush(Unpooled.wrappedBuffer(ask.message()))
+          .addListener(
+              written -> {
+                ask.taken |= written.isSuccess();
+                if (!written.isSuccess()) {
+                  broken();
+                }
+              });
     }
 
     @Override
@@ -136,7 +165,9 @@
       String body = answer.content().toString(StandardCharsets.ISO_8859_1).stripTrailing();
       answered++;
       boolean keep = good && HttpUtil.isKeepAlive(answer) && asked != null;
-      finish(good ? answer.status().code() : 0, good ? "answered" : "broken",
+      finish(
+          good ? answer.status().code() : 0,
+          good ? "answered" : "broken",
           body.substring(0, Math.min(128, body.length())));
       if (keep) {
         idle.add(this);
@@ -152,8 +183,12 @@
       if (lost) {
         ask.taken = false;
       }
-      boolean crossed = ask != null && answered > 0 && !heard && ask.resent == 0
-          && (lost || clock.nowUs() - ask.begin < CROSSING_US);
+      boolean crossed =
+          ask != null
+              && answered > 0
+              && !heard
+              && ask.resent == 0
+              && (lost || clock.nowUs() - ask.begin < CROSSING_US);
       if (crossed) {
         asked = null;
         limit.cancel(false);
--- a/lab/src/main/java/willowdoor/lab/load/Drawn.java
+++ b/lab/src/main/java/willowdoor/lab/load/Drawn.java
@@ -13,11 +13,12 @@
   private double sum;
 
   Drawn(Map<String, Double> weights) {
-    weights.forEach((name, weight) -> {
-      sum += weight;
-      names.add(name);
-      upTo.add(sum);
-    });
+    weights.forEach(
+        (name, weight) -> {
+          sum += weight;
+          names.add(name);
+          upTo.add(sum);
+        });
   }
 
   String next(RandomGenerator random) {
--- a/lab/src/main/java/willowdoor/lab/load/Observer.java
+++ b/lab/src/main/java/willowdoor/lab/load/Observer.java
@@ -12,7 +12,10 @@
 import willowdoor.lab.record.Entry;
 import willowdoor.lab.record.Recorder;
 
-/** Asks one front door the same thing on its operators' address again and again, and records what it says. */
+/**
+ * Asks one front door the same thing on its operators' address again and again, and records what it
+ * says.
+ */
 public final class Observer {
 
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -25,8 +28,8 @@
   private final String path;
   private boolean waits;
 
-  public Observer(EventLoopGroup group, Recorder records, String door, InetSocketAddress address,
-      String path) {
+  public Observer(
+      EventLoopGroup group, Recorder records, String door, InetSocketAddress address, String path) {
     this.group = group;
     this.records = records;
     this.door = door;
@@ -45,11 +48,19 @@
     }
     waits = true;
     long begin = records.clock().nowUs();
-    OneCall.send(group, address, "GET", path, "", LIMIT_MS).thenAccept(answer -> {
-      records.write(new Entry.Seen(begin, records.clock().nowUs(), door, path, answer.status(),
-          parse(answer.body())));
-      over();
-    });
+    OneCall.send(group, address, "GET", path, "", LIMIT_MS)
+        .thenAccept(
+            answer -> {
+              records.write(
+                  new Entry.Seen(
+                      begin,
+                      records.clock().nowUs(),
+                      door,
+                      path,
+                      answer.status(),
+                      parse(answer.body())));
+              over();
+            });
   }
 
   private synchronized void over() {
--- a/lab/src/main/java/willowdoor/lab/net/OwnLoop.java
+++ b/lab/src/main/java/willowdoor/lab/net/OwnLoop.java
@@ -11,15 +11,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One event loop, of native epoll as a closed socket is gone at once there, and the channels on it. Closing
- * it closes these first: a loop that is shut down without a quiet time may end before it has looked for
- * channels that are open, and leaves those, listening ones too.
+ * One event loop, of native epoll as a closed socket is gone at once there, and the channels on it.
+ * Closing it closes these first: a loop that is shut down without a quiet time may end before it
+ * has looked for channels that are open, and leaves those, listening ones too.
  */
 public final class OwnLoop implements Closeable {
 
   private static final long LIMIT_MS = 3_000;
 
-  private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, EpollIoHandler.newFactory());
+  private final EventLoopGroup group =
+      new MultiThreadIoEventLoopGroup(1, EpollIoHandler.newFactory());
   private final EventLoop loop = group.next();
   private final ChannelGroup channels = new DefaultChannelGroup(loop, true);
 
--- a/lab/src/main/java/willowdoor/lab/peers/Counter.java
+++ b/lab/src/main/java/willowdoor/lab/peers/Counter.java
@@ -5,7 +5,10 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The numbers that the counter keeps, by name; each is forgotten when its time is over. Without sockets. */
+/**
+ * The numbers that the counter keeps, by name; each is forgotten when its time is over. Without
+ * sockets.
+ */
 final class Counter {
 
   private static final double MOST_AMOUNT = 1e9;
@@ -21,7 +24,9 @@
     static Call parse(String line) {
       String[] words = line.split(" ");
       try {
-        if (words.length == 4 && words[0].equals("incr") && !words[1].isEmpty()
+        if (words.length == 4
+            && words[0].equals("incr")
+            && !words[1].isEmpty()
             && words[1].length() <= MOST_NAME) {
           double amount = new BigDecimal(words[2]).doubleValue();
           long ttl = Long.parseLong(words[3]);
--- a/lab/src/main/java/willowdoor/lab/peers/CounterStandIn.java
+++ b/lab/src/main/java/willowdoor/lab/peers/CounterStandIn.java
@@ -20,8 +20,9 @@
 import willowdoor.lab.record.Recorder;
 
 /**
- * The counter service: serves calls in turn, so many a second, and turns them away once its line is full. It
- * listens at an address for each front door, so that it knows whose calls they are. All on its loop.
+ * The counter service: serves calls in turn, so many a second, and turns them away once its line is
+ * full. It listens at an address for each front door, so that it knows whose calls they are. All on
+ * its loop.
  */
 public final class CounterStandIn implements Closeable {
 
@@ -40,8 +41,8 @@
   private long freeUs;
 
   /**
-   * Serves callsPerS calls a second; whoever would wait for longer than queueMs is turned away, and so is
-   * everybody until it is begun.
+   * Serves callsPerS calls a second; whoever would wait for longer than queueMs is turned away, and
+   * so is everybody until it is begun.
    */
   public CounterStandIn(Recorder records, double callsPerS, double queueMs) {
     this.records = records;
@@ -51,9 +52,15 @@
 
   public void listen(String door, InetSocketAddress address) throws IOException {
     Map<String, Integer> open = new HashMap<>();
-    Sockets.listen(own, address, () -> new ChannelHandler[] {
-        new ReadTimeoutHandler(IDLE_S, TimeUnit.SECONDS), new LineBasedFrameDecoder(MOST_LINE),
-        new Caller(door, open)});
+    Sockets.listen(
+        own,
+        address,
+        () ->
+            new ChannelHandler[] {
+              new ReadTimeoutHandler(IDLE_S, TimeUnit.SECONDS),
+              new LineBasedFrameDecoder(MOST_LINE),
+              new Caller(door, open)
+            });
   }
 
   public void begin() {
@@ -110,13 +117,16 @@
       String text = line.toString(StandardCharsets.ISO_8859_1);
       Counter.Call call = Counter.Call.parse(text);
       if (call == null) {
-        answer(ctx, now, text.equals("ping") ? "pong" : "error", () -> { });
+        answer(ctx, now, text.equals("ping") ? "pong" : "error", () -> {});
       } else if (!begun || freeUs - now > LabClock.us(queueMs)) {
         answer(ctx, now, "busy", () -> record(now, call, 0, "busy"));
       } else {
         freeUs = Math.max(freeUs, now) + (long) (1e6 / callsPerS);
         double total = counter.add(call, now);
-        answer(ctx, freeUs + LabClock.us(delayMs), "ok " + Counter.text(total),
+        answer(
+            ctx,
+            freeUs + LabClock.us(delayMs),
+            "ok " + Counter.text(total),
             () -> record(now, call, total, ctx.channel().isActive() ? "ok" : "lost"));
       }
     }
@@ -125,12 +135,13 @@
     private void answer(ChannelHandlerContext ctx, long whenUs, String text, Runnable then) {
       long now = records.clock().nowUs();
       lastUs = Math.max(lastUs, whenUs);
-      Runnable write = () -> {
-        then.run();
-        if (!out) {
-          ctx.writeAndFlush(Unpooled.copiedBuffer(text + "\r\n", StandardCharsets.ISO_8859_1));
-        }
-      };
+      Runnable write =
+          () -> {
+            then.run();
+            if (!out) {
+              ctx.writeAndFlush(Unpooled.copiedBuffer(text + "\r\n", StandardCharsets.ISO_8859_1));
+            }
+          };
       if (lastUs <= now) {
         write.run();
       } else {
@@ -139,8 +150,9 @@
     }
 
     private void record(long begin, Counter.Call call, double total, String how) {
-      records.write(new Entry.Count(begin, records.clock().nowUs(), door, call.name(), call.amount(), total,
-          how));
+      records.write(
+          new Entry.Count(
+              begin, records.clock().nowUs(), door, call.name(), call.amount(), total, how));
     }
 
     @Override
--- a/lab/src/main/java/willowdoor/lab/peers/DiscoveryStandIn.java
+++ b/lab/src/main/java/willowdoor/lab/peers/DiscoveryStandIn.java
@@ -32,9 +32,9 @@
 import willowdoor.lab.record.Recorder;
 
 /**
- * Discovery, and its agent on each front door's machine, which listens at an address of its own and tells the
- * list with the addresses that this front door sees. An agent that is silent says nothing at all and hears
- * nothing new; it answers what it was asked once it is back. All on its loop.
+ * Discovery, and its agent on each front door's machine, which listens at an address of its own and
+ * tells the list with the addresses that this front door sees. An agent that is silent says nothing
+ * at all and hears nothing new; it answers what it was asked once it is back. All on its loop.
  */
 public final class DiscoveryStandIn implements Closeable {
 
@@ -49,8 +49,8 @@
 
   public DiscoveryStandIn(Recorder records) {
     this.records = records;
-    loop.scheduleAtFixedRate(() -> agents.values().forEach(Agent::line), LINE_MS, LINE_MS,
-        TimeUnit.MILLISECONDS);
+    loop.scheduleAtFixedRate(
+        () -> agents.values().forEach(Agent::line), LINE_MS, LINE_MS, TimeUnit.MILLISECONDS);
   }
 
   /** Opens a front door's agent; it tells each server's address as the function gives it. */
@@ -58,21 +58,29 @@
       throws IOException {
     Agent agent = new Agent(door, addressOf);
     loop.submit(() -> agents.put(door, agent)).awaitUninterruptibly();
-    Sockets.listen(own, address, () -> new ChannelHandler[] {new HttpServerCodec(),
-        new HttpObjectAggregator(MOST_REQUEST), new Caller(agent)});
+    Sockets.listen(
+        own,
+        address,
+        () ->
+            new ChannelHandler[] {
+              new HttpServerCodec(), new HttpObjectAggregator(MOST_REQUEST), new Caller(agent)
+            });
   }
 
   /** Puts a server into the list, or changes what it says of it. */
   public void put(String id, String zone, int cell, String state, long startedMs) {
-    loop.submit(() -> change(new HostBook.Host(id, zone, cell, state, startedMs))).awaitUninterruptibly();
+    loop.submit(() -> change(new HostBook.Host(id, zone, cell, state, startedMs)))
+        .awaitUninterruptibly();
   }
 
   /** Says of a server that it is in another state; a new start is told by its time. */
   public void state(String id, String state, long startedMs) {
-    loop.submit(() -> {
-      HostBook.Host host = book.get(id);
-      change(new HostBook.Host(id, host.zone(), host.cell(), state, startedMs));
-    }).awaitUninterruptibly();
+    loop.submit(
+            () -> {
+              HostBook.Host host = book.get(id);
+              change(new HostBook.Host(id, host.zone(), host.cell(), state, startedMs));
+            })
+        .awaitUninterruptibly();
   }
 
   /** Makes the agents of these front doors silent, or lets them speak again. */
@@ -82,7 +90,9 @@
 
   /** The list as the front door's agent has it: what a new process finds in its configuration. */
   public ObjectNode known(String door) {
-    return loop.submit(() -> book.whole().json(agents.get(door).addressOf)).awaitUninterruptibly().getNow();
+    return loop.submit(() -> book.whole().json(agents.get(door).addressOf))
+        .awaitUninterruptibly()
+        .getNow();
   }
 
   private void change(HostBook.Host host) {
@@ -135,9 +145,20 @@
 
     String text(HostBook.News news) {
       long now = records.clock().nowUs();
-      records.write(new Entry.Told(now, now, door, news.version(), news.full(), news.hosts().stream()
-          .collect(Collectors.toMap(HostBook.Host::id, HostBook.Host::state, (a, b) -> b,
-              LinkedHashMap::new))));
+      records.write(
+          new Entry.Told(
+              now,
+              now,
+              door,
+              news.version(),
+              news.full(),
+              news.hosts().stream()
+                  .collect(
+                      Collectors.toMap(
+                          HostBook.Host::id,
+                          HostBook.Host::state,
+                          (a, b) -> b,
+                          LinkedHashMap::new))));
       return news.json(addressOf).toString();
     }
   }
@@ -145,6 +166,7 @@
   private final class Caller extends SimpleChannelInboundHandler<FullHttpRequest> {
     private final Agent agent;
     private ChannelHandlerContext ctx;
+
     /** What was told on this watch. */
     private long version;
 
@@ -172,8 +194,9 @@
       } else if (watch) {
         agent.whenItSpeaks(() -> begin(index));
       } else {
-        agent.whenItSpeaks(() -> ctx.writeAndFlush(
-            Sockets.answer(HttpResponseStatus.OK, agent.text(book.whole()))));
+        agent.whenItSpeaks(
+            () ->
+                ctx.writeAndFlush(Sockets.answer(HttpResponseStatus.OK, agent.text(book.whole()))));
       }
     }
 
@@ -191,7 +214,8 @@
       if (!ctx.channel().isActive()) {
         return;
       }
-      DefaultHttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
+      DefaultHttpResponse head =
+          new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
       head.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
       ctx.writeAndFlush(head);
       version = index;
@@ -209,7 +233,8 @@
     }
 
     void write(String line) {
-      ctx.writeAndFlush(new DefaultHttpContent(Unpooled.copiedBuffer(line, StandardCharsets.UTF_8)));
+      ctx.writeAndFlush(
+          new DefaultHttpContent(Unpooled.copiedBuffer(line, StandardCharsets.UTF_8)));
     }
 
     @Override
--- a/lab/src/main/java/willowdoor/lab/peers/Sockets.java
+++ b/lab/src/main/java/willowdoor/lab/peers/Sockets.java
@@ -22,22 +22,27 @@
 /** What the stand-ins' listeners and answers have in common. */
 final class Sockets {
 
-  private Sockets() {
-  }
+  private Sockets() {}
 
   /** Listens at the address; each connection gets the handlers that are made for it. */
   static Channel listen(OwnLoop own, InetSocketAddress address, Supplier<ChannelHandler[]> handlers)
       throws IOException {
-    ChannelFuture bind = new ServerBootstrap().group(own.loop()).channel(EpollServerSocketChannel.class)
-        .option(ChannelOption.SO_REUSEADDR, true)
-        .option(ChannelOption.SO_BACKLOG, 1_024)
-        .childOption(ChannelOption.TCP_NODELAY, true)
-        .childHandler(new ChannelInitializer<Channel>() {
-          @Override
-          protected void initChannel(Channel channel) {
-            own.keep(channel).pipeline().addLast(handlers.get());
-          }
-        }).bind(address).awaitUninterruptibly();
+    ChannelFuture bind =
+        new ServerBootstrap()
+            .group(own.loop())
+            .channel(EpollServerSocketChannel.class)
+            .option(ChannelOption.SO_REUSEADDR, true)
+            .option(ChannelOption.SO_BACKLOG, 1_024)
+            .childOption(ChannelOption.TCP_NODELAY, true)
+            .childHandler(
+                new ChannelInitializer<Channel>() {
+                  @Override
+                  protected void initChannel(Channel channel) {
+                    own.keep(channel).pipeline().addLast(handlers.get());
+                  }
+                })
+            .bind(address)
+            .awaitUninterruptibly();
     if (!bind.isSuccess()) {
       throw new IOException("cannot listen at " + address, bind.cause());
     }
@@ -45,8 +50,9 @@
   }
 
   static FullHttpResponse answer(HttpResponseStatus status, String body) {
-    FullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
-        Unpooled.copiedBuffer(body, StandardCharsets.ISO_8859_1));
+    FullHttpResponse answer =
+        new DefaultFullHttpResponse(
+            HttpVersion.HTTP_1_1, status, Unpooled.copiedBuffer(body, StandardCharsets.ISO_8859_1));
     answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, answer.content().readableBytes());
     return answer;
   }
--- a/lab/src/main/java/willowdoor/lab/peers/TemplateServer.java
+++ b/lab/src/main/java/willowdoor/lab/peers/TemplateServer.java
@@ -66,12 +66,18 @@
     }
 
     void record(String how, String body) {
-      records.write(new Entry.Attempt(arrived, records.clock().nowUs(), request, id, began, how, body));
+      records.write(
+          new Entry.Attempt(arrived, records.clock().nowUs(), request, id, began, how, body));
     }
   }
 
-  TemplateServer(String id, InetSocketAddress address, ServerSpec spec, Recorder records,
-      RandomGenerator random, OwnLoop own) {
+  TemplateServer(
+      String id,
+      InetSocketAddress address,
+      ServerSpec spec,
+      Recorder records,
+      RandomGenerator random,
+      OwnLoop own) {
     this.id = id;
     this.address = address;
     this.spec = spec;
@@ -90,9 +96,15 @@
   void start(boolean cold) throws IOException {
     this.cold = cold;
     startedUs = records.clock().nowUs();
-    listening = Sockets.listen(own, address, () -> new ChannelHandler[] {
-        new HttpServerCodec(), new HttpObjectAggregator(MOST_BODY),
-        new IdleStateHandler(0, 0, spec.idleMs(), TimeUnit.MILLISECONDS), new Connection()});
+    listening =
+        Sockets.listen(
+            own,
+            address,
+            () ->
+                new ChannelHandler[] {
+                  new HttpServerCodec(), new HttpObjectAggregator(MOST_BODY),
+                  new IdleStateHandler(0, 0, spec.idleMs(), TimeUnit.MILLISECONDS), new Connection()
+                });
   }
 
   /** Dies: what it worked on is over, and its connections are reset. */
@@ -102,10 +114,12 @@
     }
     listening.close().awaitUninterruptibly();
     listening = null;
-    loop.submit(() -> {
-      waiting.clear();
-      connections.forEach(Sockets::reset);
-    }).awaitUninterruptibly();
+    loop.submit(
+            () -> {
+              waiting.clear();
+              connections.forEach(Sockets::reset);
+            })
+        .awaitUninterruptibly();
   }
 
   void mode(Mode mode) {
@@ -113,13 +127,16 @@
   }
 
   private double speed() {
-    double age = spec.coldMs() <= 0 || !cold ? 1
-        : Math.min(1, (records.clock().nowUs() - startedUs) / (1_000 * spec.coldMs()));
+    double age =
+        spec.coldMs() <= 0 || !cold
+            ? 1
+            : Math.min(1, (records.clock().nowUs() - startedUs) / (1_000 * spec.coldMs()));
     return (spec.coldFrom() + (1 - spec.coldFrom()) * age) / mode.slow();
   }
 
   private void take(Job job) {
-    if (mode.refusing() || connections.size() > spec.connections()
+    if (mode.refusing()
+        || connections.size() > spec.connections()
         || running >= spec.width() && waiting.size() >= spec.queue()) {
       turnAway(job, HttpResponseStatus.SERVICE_UNAVAILABLE);
     } else if (running < spec.width()) {
@@ -152,16 +169,22 @@
       job.connection.ctx.channel().closeFuture().addListener(closed -> job.record("hung", null));
     } else if (random.nextDouble() < mode.failing()) {
       job.record("error", null);
-      job.connection.answer(job, Sockets.answer(HttpResponseStatus.INTERNAL_SERVER_ERROR, "failed"));
+      job.connection.answer(
+          job, Sockets.answer(HttpResponseStatus.INTERNAL_SERVER_ERROR, "failed"));
     } else if (random.nextDouble() < mode.cutting()) {
       job.record("cut", null);
       FullHttpResponse answer = Sockets.answer(HttpResponseStatus.OK, "cut");
       answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, spec.bodyBytes() + 100);
-      job.connection.ctx.writeAndFlush(answer).addListener(f -> Sockets.reset(job.connection.ctx.channel()));
+      job.connection
+          .ctx
+          .writeAndFlush(answer)
+          .addListener(f -> Sockets.reset(job.connection.ctx.channel()));
     } else {
       String body = job.request + ' ' + id + ' ' + answers++;
-      FullHttpResponse answer = Sockets.answer(HttpResponseStatus.OK,
-          body + " ".repeat(Math.max(0, spec.bodyBytes() - body.length())));
+      FullHttpResponse answer =
+          Sockets.answer(
+              HttpResponseStatus.OK,
+              body + " ".repeat(Math.max(0, spec.bodyBytes() - body.length())));
       if (!spec.loadReport().isEmpty()) {
         answer.headers().set("Server-Load", spec.loadReport() + '=' + waiting.size());
       }
@@ -209,11 +232,13 @@
       if (!answered.keepAlive) {
         answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
       }
-      ctx.writeAndFlush(answer).addListener(written -> {
-        if (!answered.keepAlive) {
-          ctx.close();
-        }
-      });
+      ctx.writeAndFlush(answer)
+          .addListener(
+              written -> {
+                if (!answered.keepAlive) {
+                  ctx.close();
+                }
+              });
     }
 
     @Override
--- a/lab/src/main/java/willowdoor/lab/peers/TemplateServers.java
+++ b/lab/src/main/java/willowdoor/lab/peers/TemplateServers.java
@@ -27,8 +27,14 @@
 
   /** Starts a further one, warm. */
   public void add(String id, InetSocketAddress address) throws IOException {
-    TemplateServer server = new TemplateServer(id, address, spec, records,
-        RandomGeneratorFactory.of("L64X128MixRandom").create(seed ^ (long) id.hashCode() << 32), own);
+    TemplateServer server =
+        new TemplateServer(
+            id,
+            address,
+            spec,
+            records,
+            RandomGeneratorFactory.of("L64X128MixRandom").create(seed ^ (long) id.hashCode() << 32),
+            own);
     server.start(false);
     servers.put(id, server);
   }
--- a/lab/src/main/java/willowdoor/lab/record/LabClock.java
+++ b/lab/src/main/java/willowdoor/lab/record/LabClock.java
@@ -1,6 +1,9 @@
 package willowdoor.lab.record;
 
-/** The one monotonic clock that all records of a run go by: whole microseconds since the run was set up. */
+/**
+ * The one monotonic clock that all records of a run go by: whole microseconds since the run was set
+ * up.
+ */
 public final class LabClock {
 
   private final long origin = System.nanoTime();
--- a/lab/src/main/java/willowdoor/lab/record/RecordFile.java
+++ b/lab/src/main/java/willowdoor/lab/record/RecordFile.java
@@ -12,10 +12,12 @@
 /** Reads a run's records back, line by line. */
 public final class RecordFile {
 
-  private RecordFile() {
-  }
+  private RecordFile() {}
 
-  /** Gives each record in the order of the file; a line that is none is an IOException with its number. */
+  /**
+   * Gives each record in the order of the file; a line that is none is an IOException with its
+   * number.
+   */
   public static void read(Path directory, Consumer<Entry> to) throws IOException {
     ObjectReader json = new ObjectMapper().readerFor(Entry.class);
     Path file = directory.resolve(Recorder.FILE);
--- a/lab/src/main/java/willowdoor/lab/record/Recorder.java
+++ b/lab/src/main/java/willowdoor/lab/record/Recorder.java
@@ -14,8 +14,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes what is observed, a JSON object a line, from any thread. A run whose records cannot be written has
- * failed: the first error is kept and thrown by {@link #close}.
+ * Writes what is observed, a JSON object a line, from any thread. A run whose records cannot be
+ * written has failed: the first error is kept and thrown by {@link #close}.
  */
 public final class Recorder implements Closeable {
 
@@ -52,7 +52,9 @@
     }
   }
 
-  /** Puts what was written so far into the file, for whoever reads along or outlives this process. */
+  /**
+   * Puts what was written so far into the file, for whoever reads along or outlives this process.
+   */
   public synchronized void flush() {
     try {
       if (!closed) {
--- a/lab/src/main/java/willowdoor/lab/relay/Crossing.java
+++ b/lab/src/main/java/willowdoor/lab/relay/Crossing.java
@@ -14,9 +14,9 @@
 import willowdoor.lab.net.OwnLoop;
 
 /**
- * One connection through the relay: the caller's side, the side to the one that is called, and the ways
- * between. The far side is opened only while neither way is cut; until then the caller's connection is up and
- * silent.
+ * One connection through the relay: the caller's side, the side to the one that is called, and the
+ * ways between. The far side is opened only while neither way is cut; until then the caller's
+ * connection is up and silent.
  */
 final class Crossing {
 
@@ -31,12 +31,19 @@
   private final Runnable goOn = this::goOn;
   private StreamWay in;
   private Channel far;
+
   /** Whether the caller's bytes were the last that came, and whether the other side has ended. */
   private boolean owed;
+
   private boolean calledEnded;
   private boolean ended;
 
-  Crossing(Channel near, Pipe there, Pipe back, InetSocketAddress target, OwnLoop own,
+  Crossing(
+      Channel near,
+      Pipe there,
+      Pipe back,
+      InetSocketAddress target,
+      OwnLoop own,
       Unreached unreached) {
     this.near = near;
     this.there = there;
@@ -64,25 +71,29 @@
   }
 
   private void connect() {
-    ChannelFuture connects = new Bootstrap().group(near.eventLoop()).channel(EpollSocketChannel.class)
-        .option(ChannelOption.TCP_NODELAY, true)
-        .option(ChannelOption.ALLOW_HALF_CLOSURE, true)
-        .option(ChannelOption.AUTO_READ, false)
-        .handler(new ChannelInboundHandlerAdapter())
-        .connect(target);
+    ChannelFuture connects =
+        new Bootstrap()
+            .group(near.eventLoop())
+            .channel(EpollSocketChannel.class)
+            .option(ChannelOption.TCP_NODELAY, true)
+            .option(ChannelOption.ALLOW_HALF_CLOSURE, true)
+            .option(ChannelOption.AUTO_READ, false)
+            .handler(new ChannelInboundHandlerAdapter())
+            .connect(target);
     far = own.keep(connects.channel());
-    connects.addListener(done -> {
-      if (!done.isSuccess() || ended) {
-        unreached.add(caller);
-        reset();
-        return;
-      }
-      in = new StreamWay(back, far, this::reset, this::closeIfFinished);
-      far.pipeline().addLast(new Side(in));
-      far.closeFuture().addListener(closed -> end());
-      in.to(near);
-      out.to(far);
-    });
+    connects.addListener(
+        done -> {
+          if (!done.isSuccess() || ended) {
+            unreached.add(caller);
+            reset();
+            return;
+          }
+          in = new StreamWay(back, far, this::reset, this::closeIfFinished);
+          far.pipeline().addLast(new Side(in));
+          far.closeFuture().addListener(closed -> end());
+          in.to(near);
+          out.to(far);
+        });
   }
 
   /** Ends both sides at once, and says so to both. */
@@ -152,7 +163,10 @@
       }
     }
 
-    /** Broken, or gone altogether after its end was passed on: nobody takes what the other side sends. */
+    /**
+     * Broken, or gone altogether after its end was passed on: nobody takes what the other side
+     * sends.
+     */
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
       if (!ended) {
--- a/lab/src/main/java/willowdoor/lab/relay/DatagramWay.java
+++ b/lab/src/main/java/willowdoor/lab/relay/DatagramWay.java
@@ -14,16 +14,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What one party sends another in datagrams. It comes in at the face that the other has for its sender, and
- * goes out of the face that the sender has for the other, so that this one always sees it come from the same
- * address. Bounded in what is on the way; what would wait behind a limit for more than a second is lost, as
- * in a full queue.
+ * What one party sends another in datagrams. It comes in at the face that the other has for its
+ * sender, and goes out of the face that the sender has for the other, so that this one always sees
+ * it come from the same address. Bounded in what is on the way; what would wait behind a limit for
+ * more than a second is lost, as in a full queue.
  */
 final class DatagramWay extends SimpleChannelInboundHandler<DatagramPacket> {
 
   private static final int MOST_FIRST = 8;
   private static final int MOST_ON_THE_WAY = 8_192;
   private static final long MOST_BACKLOG_NS = 1_000_000_000L;
+
   /** One that is to be passed goes on after this even if none comes behind it. */
   private static final long HOLD_MS = 50;
 
@@ -31,13 +32,17 @@
   private final Pipe pipe;
   private final InetSocketAddress sender;
   private final InetSocketAddress receiver;
+
   /** The face that the sender has for the receiver; set before anything comes. */
   private Channel out;
+
   private ByteBuf held;
   private Future<?> release;
   private int onTheWay;
+
   /** The first that came, to be sent again much later. */
   private final List<byte[]> first = new ArrayList<>();
+
   private long strangers;
 
   DatagramWay(EventLoop loop, Pipe pipe, InetSocketAddress sender, InetSocketAddress receiver) {
@@ -122,10 +127,13 @@
       write(data);
     } else {
       onTheWay++;
-      loop.schedule(() -> {
-        onTheWay--;
-        write(data);
-      }, wait, TimeUnit.NANOSECONDS);
+      loop.schedule(
+          () -> {
+            onTheWay--;
+            write(data);
+          },
+          wait,
+          TimeUnit.NANOSECONDS);
     }
   }
 
--- a/lab/src/main/java/willowdoor/lab/relay/Pipe.java
+++ b/lab/src/main/java/willowdoor/lab/relay/Pipe.java
@@ -5,7 +5,10 @@
 import java.util.Set;
 import java.util.random.RandomGenerator;
 
-/** One way between two parties: its faults, its random source, and what went through. On the relay's loop. */
+/**
+ * One way between two parties: its faults, its random source, and what went through. On the relay's
+ * loop.
+ */
 final class Pipe {
 
   final RandomGenerator random;
@@ -13,8 +16,10 @@
   long datagrams;
   long datagramBytes;
   long streamBytes;
+
   /** Those that go on once the faults have changed. */
   private final Set<Runnable> waiting = new LinkedHashSet<>();
+
   private long freeNs;
 
   Pipe(RandomGenerator random) {
@@ -28,7 +33,8 @@
       freeNs = Math.max(freeNs, nowNs) + (long) (1e9 * bytes / faults.bytesPerS());
       through = freeNs;
     }
-    double delayMs = faults.delayMs() + (faults.jitterMs() > 0 ? faults.jitterMs() * random.nextDouble() : 0);
+    double delayMs =
+        faults.delayMs() + (faults.jitterMs() > 0 ? faults.jitterMs() * random.nextDouble() : 0);
     return through + (long) (1e6 * delayMs);
   }
 
--- a/lab/src/main/java/willowdoor/lab/relay/Relay.java
+++ b/lab/src/main/java/willowdoor/lab/relay/Relay.java
@@ -33,13 +33,14 @@
 import willowdoor.lab.net.OwnLoop;
 
 /**
- * All that parties say to each other, passed on with the faults of the moment. Each ordered pair has faces of
- * its own: the address at which one party reaches the other. So each connection and datagram is known by its
- * pair, and a party sees each other one come from one address that only this one has.
+ * All that parties say to each other, passed on with the faults of the moment. Each ordered pair
+ * has faces of its own: the address at which one party reaches the other. So each connection and
+ * datagram is known by its pair, and a party sees each other one come from one address that only
+ * this one has.
  *
- * <p>Its state belongs to one event loop; calls come from any other thread and return once they are in force.
- * A connection that is opened while its pair is cut comes up and stays silent, and goes on once the cut is
- * over.
+ * <p>Its state belongs to one event loop; calls come from any other thread and return once they are
+ * in force. A connection that is opened while its pair is cut comes up and stays silent, and goes
+ * on once the cut is over.
  */
 public final class Relay implements Closeable {
 
@@ -50,7 +51,9 @@
   public record Sent(long datagrams, long datagramBytes, long streamBytes) {
 
     Sent plus(Pipe pipe) {
-      return new Sent(datagrams + pipe.datagrams, datagramBytes + pipe.datagramBytes,
+      return new Sent(
+          datagrams + pipe.datagrams,
+          datagramBytes + pipe.datagramBytes,
           streamBytes + pipe.streamBytes);
     }
   }
@@ -74,8 +77,10 @@
   private final EventLoop loop = own.loop();
   private final Map<Pair, Pipe> pipes = new HashMap<>();
   private final Map<Pair, DatagramWay> datagrams = new HashMap<>();
+
   /** Opened and closed by the calling threads, one at a time. */
   private final List<Listener> listeners = new ArrayList<>();
+
   private final Map<Pair, Set<Crossing>> crossings = new HashMap<>();
   private final Unreached unreached = new Unreached();
   private int connections;
@@ -91,8 +96,9 @@
   }
 
   /** Opens the face at which the caller reaches the one that listens at the target. */
-  public synchronized void stream(String caller, String called, InetSocketAddress face,
-      InetSocketAddress target) throws IOException {
+  public synchronized void stream(
+      String caller, String called, InetSocketAddress face, InetSocketAddress target)
+      throws IOException {
     Listener listener = new Listener(new Pair(caller, called), face, target);
     listeners.add(listener);
     open(listener);
@@ -104,47 +110,61 @@
    * @param faceOfB where a sends what is for b, and from where it is sent what b says
    * @param faceOfA the same for b
    */
-  public void datagrams(String a, InetSocketAddress addressOfA, InetSocketAddress faceOfB, String b,
-      InetSocketAddress addressOfB, InetSocketAddress faceOfA) throws IOException {
+  public void datagrams(
+      String a,
+      InetSocketAddress addressOfA,
+      InetSocketAddress faceOfB,
+      String b,
+      InetSocketAddress addressOfB,
+      InetSocketAddress faceOfA)
+      throws IOException {
     Pair pair = new Pair(a, b);
     DatagramWay there = new DatagramWay(loop, call(() -> pipe(pair)), addressOfA, addressOfB);
     DatagramWay back = new DatagramWay(loop, call(() -> pipe(pair.back())), addressOfB, addressOfA);
     Channel atB = bind(faceOfB, there);
     Channel atA = bind(faceOfA, back);
-    call(() -> {
-      there.out(atA);
-      back.out(atB);
-      datagrams.put(pair, there);
-      datagrams.put(pair.back(), back);
-      return null;
-    });
+    call(
+        () -> {
+          there.out(atA);
+          back.out(atB);
+          datagrams.put(pair, there);
+          datagrams.put(pair.back(), back);
+          return null;
+        });
   }
 
   /** Changes what happens on each of the ways. */
   public void change(Collection<Pair> pairs, UnaryOperator<Faults> change) throws IOException {
-    call(() -> {
-      for (Pair pair : pairs) {
-        Pipe pipe = pipe(pair);
-        pipe.change(change.apply(pipe.faults));
-      }
-      return null;
-    });
+    call(
+        () -> {
+          for (Pair pair : pairs) {
+            Pipe pipe = pipe(pair);
+            pipe.change(change.apply(pipe.faults));
+          }
+          return null;
+        });
   }
 
   /** Resets each connection that the first of a pair has opened to the second. */
   public void reset(Collection<Pair> pairs) throws IOException {
-    call(() -> {
-      for (Pair pair : pairs) {
-        new ArrayList<>(crossings.getOrDefault(pair, Set.of())).forEach(Crossing::reset);
-      }
-      return null;
-    });
+    call(
+        () -> {
+          for (Pair pair : pairs) {
+            new ArrayList<>(crossings.getOrDefault(pair, Set.of())).forEach(Crossing::reset);
+          }
+          return null;
+        });
   }
 
-  /** While a party is down these callers cannot connect to it: its faces refuse as its own address does. */
-  public synchronized void refuse(String party, Predicate<String> callers, boolean down) throws IOException {
+  /**
+   * While a party is down these callers cannot connect to it: its faces refuse as its own address
+   * does.
+   */
+  public synchronized void refuse(String party, Predicate<String> callers, boolean down)
+      throws IOException {
     for (Listener listener : listeners) {
-      if (listener.pair.to().equals(party) && callers.test(listener.pair.from())
+      if (listener.pair.to().equals(party)
+          && callers.test(listener.pair.from())
           && down == (listener.channel != null)) {
         if (down) {
           listener.channel.close().awaitUninterruptibly();
@@ -156,36 +176,44 @@
     }
   }
 
-  /** Whether what this caller's connection last sent never got to the other side; to be asked for once. */
+  /**
+   * Whether what this caller's connection last sent never got to the other side; to be asked for
+   * once.
+   */
   public boolean unreached(SocketAddress caller) {
     return unreached.take(caller);
   }
 
   /** Sends the receiver a datagram as if it came from the sender; faults hold for it too. */
   public void forge(Pair pair, byte[] data) throws IOException {
-    call(() -> {
-      DatagramWay way = datagrams.get(pair);
-      if (way == null) {
-        throw new IOException("no datagrams pass from " + pair.from() + " to " + pair.to());
-      }
-      way.send(Unpooled.copiedBuffer(data));
-      return null;
-    });
+    call(
+        () -> {
+          DatagramWay way = datagrams.get(pair);
+          if (way == null) {
+            throw new IOException("no datagrams pass from " + pair.from() + " to " + pair.to());
+          }
+          way.send(Unpooled.copiedBuffer(data));
+          return null;
+        });
   }
 
   /** The first datagrams that the one of a pair sent the other, eight at most. */
   public List<byte[]> first(Pair pair) throws IOException {
-    return call(() -> datagrams.containsKey(pair) ? List.copyOf(datagrams.get(pair).first()) : List.of());
+    return call(
+        () -> datagrams.containsKey(pair) ? List.copyOf(datagrams.get(pair).first()) : List.of());
   }
 
   /** What each party has sent so far. */
   public Map<String, Sent> sent() throws IOException {
-    return call(() -> {
-      Map<String, Sent> sent = new HashMap<>();
-      pipes.forEach((pair, pipe) ->
-          sent.put(pair.from(), sent.getOrDefault(pair.from(), new Sent(0, 0, 0)).plus(pipe)));
-      return sent;
-    });
+    return call(
+        () -> {
+          Map<String, Sent> sent = new HashMap<>();
+          pipes.forEach(
+              (pair, pipe) ->
+                  sent.put(
+                      pair.from(), sent.getOrDefault(pair.from(), new Sent(0, 0, 0)).plus(pipe)));
+          return sent;
+        });
   }
 
   /** Datagrams that came to a face from another address than the one it is for. */
@@ -194,28 +222,38 @@
   }
 
   private Pipe pipe(Pair pair) {
-    return pipes.computeIfAbsent(pair, p -> {
-      RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom")
-          .create(seed ^ (long) p.from().hashCode() << 32 ^ p.to().hashCode());
-      return new Pipe(random);
-    });
+    return pipes.computeIfAbsent(
+        pair,
+        p -> {
+          RandomGenerator random =
+              RandomGeneratorFactory.of("L64X128MixRandom")
+                  .create(seed ^ (long) p.from().hashCode() << 32 ^ p.to().hashCode());
+          return new Pipe(random);
+        });
   }
 
   private void open(Listener listener) throws IOException {
     Pipe there = call(() -> pipe(listener.pair));
     Pipe back = call(() -> pipe(listener.pair.back()));
-    listener.channel = bound(new ServerBootstrap().group(loop).channel(EpollServerSocketChannel.class)
-        .option(ChannelOption.SO_REUSEADDR, true)
-        .option(ChannelOption.SO_BACKLOG, 1_024)
-        .childOption(ChannelOption.TCP_NODELAY, true)
-        .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
-        .childOption(ChannelOption.AUTO_READ, false)
-        .childHandler(new ChannelInitializer<Channel>() {
-          @Override
-          protected void initChannel(Channel near) {
-            accept(listener, near, there, back);
-          }
-        }).bind(listener.face), listener.face);
+    listener.channel =
+        bound(
+            new ServerBootstrap()
+                .group(loop)
+                .channel(EpollServerSocketChannel.class)
+                .option(ChannelOption.SO_REUSEADDR, true)
+                .option(ChannelOption.SO_BACKLOG, 1_024)
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
+                .childOption(ChannelOption.AUTO_READ, false)
+                .childHandler(
+                    new ChannelInitializer<Channel>() {
+                      @Override
+                      protected void initChannel(Channel near) {
+                        accept(listener, near, there, back);
+                      }
+                    })
+                .bind(listener.face),
+            listener.face);
   }
 
   private void accept(Listener listener, Channel near, Pipe there, Pipe back) {
@@ -229,16 +267,23 @@
     Crossing crossing = new Crossing(near, there, back, listener.target, own, unreached);
     Set<Crossing> open = crossings.computeIfAbsent(listener.pair, p -> new LinkedHashSet<>());
     open.add(crossing);
-    near.closeFuture().addListener(closed -> {
-      connections--;
-      open.remove(crossing);
-    });
+    near.closeFuture()
+        .addListener(
+            closed -> {
+              connections--;
+              open.remove(crossing);
+            });
   }
 
   private Channel bind(InetSocketAddress face, ChannelHandler handler) throws IOException {
-    return bound(new Bootstrap().group(loop).channel(EpollDatagramChannel.class)
-        .option(ChannelOption.SO_RCVBUF, RECEIVE_BUFFER)
-        .handler(handler).bind(face), face);
+    return bound(
+        new Bootstrap()
+            .group(loop)
+            .channel(EpollDatagramChannel.class)
+            .option(ChannelOption.SO_RCVBUF, RECEIVE_BUFFER)
+            .handler(handler)
+            .bind(face),
+        face);
   }
 
   private Channel bound(ChannelFuture bind, InetSocketAddress face) throws IOException {
--- a/lab/src/main/java/willowdoor/lab/relay/StreamWay.java
+++ b/lab/src/main/java/willowdoor/lab/relay/StreamWay.java
@@ -9,26 +9,32 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One way of one connection: bytes are kept until they are due, in their order, and no more is read from the
- * sender than is taken here. While the way is cut nothing is read at all, so neither bytes nor ends come
- * through.
+ * One way of one connection: bytes are kept until they are due, in their order, and no more is read
+ * from the sender than is taken here. While the way is cut nothing is read at all, so neither bytes
+ * nor ends come through.
  */
 final class StreamWay {
 
   private static final int MOST_KEPT = 256 * 1024;
 
-  private enum End { NONE, FINISHED, RESET }
+  private enum End {
+    NONE,
+    FINISHED,
+    RESET
+  }
 
   /** Bytes, or an end behind them. */
-  private record Piece(long dueNs, ByteBuf data, End end) { }
+  private record Piece(long dueNs, ByteBuf data, End end) {}
 
   private final Pipe pipe;
   private final Channel from;
   private final Runnable breakOff;
   private final Runnable whenFinished;
   private final ArrayDeque<Piece> kept = new ArrayDeque<>();
+
   /** The other side; null until it is connected. */
   private Channel to;
+
   private int keptBytes;
   private long lastDueNs = Long.MIN_VALUE;
   private long passed;
@@ -36,7 +42,9 @@
   private ChannelFuture written;
   private boolean finished;
 
-  /** Tells when the connection is to be broken off, and when the sender's end has been passed on. */
+  /**
+   * Tells when the connection is to be broken off, and when the sender's end has been passed on.
+   */
   StreamWay(Pipe pipe, Channel from, Runnable breakOff, Runnable whenFinished) {
     this.pipe = pipe;
     this.from = from;
@@ -88,8 +96,9 @@
       timer = null;
     }
     if (open && to != null && !kept.isEmpty() && to.isWritable()) {
-      timer = from.eventLoop().schedule(this::goOn, Math.max(0, kept.peek().dueNs() - now),
-          TimeUnit.NANOSECONDS);
+      timer =
+          from.eventLoop()
+              .schedule(this::goOn, Math.max(0, kept.peek().dueNs() - now), TimeUnit.NANOSECONDS);
     }
   }
 
@@ -106,7 +115,8 @@
       default -> {
         int bytes = piece.data().readableBytes();
         keptBytes -= bytes;
-        long left = pipe.faults.breakAfterBytes() < 0 ? bytes : pipe.faults.breakAfterBytes() - passed;
+        long left =
+            pipe.faults.breakAfterBytes() < 0 ? bytes : pipe.faults.breakAfterBytes() - passed;
         passed += bytes;
         if (left >= bytes) {
           written = to.writeAndFlush(piece.data());
@@ -120,21 +130,25 @@
 
   /** Not before all bytes are written: what waits to be written when a side is shut is lost. */
   private void passEnd() {
-    ((SocketChannel) to).shutdownOutput().addListener(done -> {
-      finished = true;
-      whenFinished.run();
-    });
+    ((SocketChannel) to)
+        .shutdownOutput()
+        .addListener(
+            done -> {
+              finished = true;
+              whenFinished.run();
+            });
   }
 
   void release() {
     if (timer != null) {
       timer.cancel(false);
     }
-    kept.forEach(p -> {
-      if (p.data() != null) {
-        p.data().release();
-      }
-    });
+    kept.forEach(
+        p -> {
+          if (p.data() != null) {
+            p.data().release();
+          }
+        });
     kept.clear();
     keptBytes = 0;
   }
--- a/lab/src/main/java/willowdoor/lab/run/Actions.java
+++ b/lab/src/main/java/willowdoor/lab/run/Actions.java
@@ -32,8 +32,16 @@
   private static final long CALL_MS = 2_000;
 
   /** All that a step may be done to. */
-  record Stage(Fleet fleet, Relay relay, TemplateServers servers, CounterStandIn counter,
-      DiscoveryStandIn discovery, Clients clients, Loopback net, EventLoopGroup calls, LabClock clock) { }
+  record Stage(
+      Fleet fleet,
+      Relay relay,
+      TemplateServers servers,
+      CounterStandIn counter,
+      DiscoveryStandIn discovery,
+      Clients clients,
+      Loopback net,
+      EventLoopGroup calls,
+      LabClock clock) {}
 
   private final Schedule schedule;
   private final Stage stage;
@@ -48,12 +56,24 @@
   /** Returns once it is in force; a start is when the process runs, not when it is ready. */
   void play(Step step) throws IOException {
     long begin = stage.clock().nowUs();
-    RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom")
-        .create(schedule.seed ^ 31 * step.atMs() ^ (long) step.action().ordinal() << 40);
+    RandomGenerator random =
+        RandomGeneratorFactory.of("L64X128MixRandom")
+            .create(schedule.seed ^ 31 * step.atMs() ^ (long) step.action().ordinal() << 40);
     List<String> targets = schedule.parties.resolve(step.targets(), List.of(), random);
     switch (step.action()) {
       case KILL, TERM, STOP, CONT, START, STARVE -> processes(step, targets, begin);
-      case CUT, HEAL, RESET, DELAY, LIMIT, DROP, DUPLICATE, REORDER, GARBLE, BREAK_AFTER, REPLAY, STRAY ->
+      case CUT,
+          HEAL,
+          RESET,
+          DELAY,
+          LIMIT,
+          DROP,
+          DUPLICATE,
+          REORDER,
+          GARBLE,
+          BREAK_AFTER,
+          REPLAY,
+          STRAY ->
           network(step, targets, random, begin);
       default -> {
         peers(step, targets);
@@ -82,16 +102,20 @@
     if (step.action() == Action.STOP) {
       log.stopped(begin, step, doors);
     } else {
-      long end = step.action() == Action.STARVE ? begin + LabClock.us(step.number("for_ms", 0))
-          : stage.clock().nowUs();
+      long end =
+          step.action() == Action.STARVE
+              ? begin + LabClock.us(step.number("for_ms", 0))
+              : stage.clock().nowUs();
       log.done(begin, end, step, doors);
     }
   }
 
   private void network(Step step, List<String> targets, RandomGenerator random, long begin)
       throws IOException {
-    List<String> to = step.to() == null ? schedule.parties.resolve(List.of("all"), targets, random)
-        : schedule.parties.resolve(step.to(), targets, random);
+    List<String> to =
+        step.to() == null
+            ? schedule.parties.resolve(List.of("all"), targets, random)
+            : schedule.parties.resolve(step.to(), targets, random);
     String way = step.text("way", "both");
     Set<Pair> ways = new LinkedHashSet<>();
     for (String target : targets) {
@@ -132,12 +156,16 @@
     log.done(begin, stage.clock().nowUs(), resolved, targets);
   }
 
-  /** What others had sent comes to the receivers' own addresses from one that is in nobody's roster. */
+  /**
+   * What others had sent comes to the receivers' own addresses from one that is in nobody's roster.
+   */
   private void stray(Set<Pair> ways) throws IOException {
-    try (DatagramSocket stranger = new DatagramSocket(stage.net().own("stranger", Loopback.PEERS))) {
+    try (DatagramSocket stranger =
+        new DatagramSocket(stage.net().own("stranger", Loopback.PEERS))) {
       for (Pair way : ways) {
         for (byte[] data : stage.relay().first(way)) {
-          stranger.send(new DatagramPacket(data, data.length, stage.net().own(way.to(), Loopback.PEERS)));
+          stranger.send(
+              new DatagramPacket(data, data.length, stage.net().own(way.to(), Loopback.PEERS)));
         }
       }
     }
@@ -160,9 +188,19 @@
 
   private void peers(Step step, List<String> targets) throws IOException {
     switch (step.action()) {
-      case SERVE -> targets.forEach(s -> stage.servers().mode(s, new Mode(step.number("slow", 1),
-          step.number("failing", 0), step.number("cutting", 0), step.number("hanging", 0),
-          step.number("refusing", 0) > 0)));
+      case SERVE ->
+          targets.forEach(
+              s ->
+                  stage
+                      .servers()
+                      .mode(
+                          s,
+                          new Mode(
+                              step.number("slow", 1),
+                              step.number("failing", 0),
+                              step.number("cutting", 0),
+                              step.number("hanging", 0),
+                              step.number("refusing", 0) > 0)));
       case SERVER_STOP -> {
         for (String server : targets) {
           stage.relay().refuse(server, c -> true, true);
@@ -195,8 +233,16 @@
   private void call(Step step, List<String> doors) throws IOException {
     List<String> wrong = new ArrayList<>();
     for (String door : doors) {
-      int status = OneCall.send(stage.calls(), stage.net().own(door, Loopback.OPERATORS),
-          step.text("method", "PUT"), step.text("path", "/"), step.text("body", ""), CALL_MS).join().status();
+      int status =
+          OneCall.send(
+                  stage.calls(),
+                  stage.net().own(door, Loopback.OPERATORS),
+                  step.text("method", "PUT"),
+                  step.text("path", "/"),
+                  step.text("body", ""),
+                  CALL_MS)
+              .join()
+              .status();
       if (status != 200) {
         wrong.add(door + " answered " + status);
       }
--- a/lab/src/main/java/willowdoor/lab/run/FaultLog.java
+++ b/lab/src/main/java/willowdoor/lab/run/FaultLog.java
@@ -17,7 +17,8 @@
   private final List<Open> open = new ArrayList<>();
 
   /** One that goes on: on ways of the network, or on processes. */
-  private record Open(long begin, Step step, List<String> targets, Set<Pair> ways, Set<String> stopped) { }
+  private record Open(
+      long begin, Step step, List<String> targets, Set<Pair> ways, Set<String> stopped) {}
 
   FaultLog(Recorder records) {
     this.records = records;
@@ -53,12 +54,13 @@
 
   private void close(boolean all) {
     long now = records.clock().nowUs();
-    for (Iterator<Open> i = open.iterator(); i.hasNext();) {
+    for (Iterator<Open> i = open.iterator(); i.hasNext(); ) {
       Open o = i.next();
       if (all || o.ways().isEmpty() && o.stopped().isEmpty()) {
         i.remove();
-        records.write(new Entry.Fault(o.begin(), now, o.step().action().word(), o.targets(),
-            o.step().args()));
+        records.write(
+            new Entry.Fault(
+                o.begin(), now, o.step().action().word(), o.targets(), o.step().args()));
       }
     }
   }
--- a/lab/src/main/java/willowdoor/lab/run/Keys.java
+++ b/lab/src/main/java/willowdoor/lab/run/Keys.java
@@ -11,7 +11,9 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A table of the schedule, read strictly: each key once, and none is left that nobody asked for. */
+/**
+ * A table of the schedule, read strictly: each key once, and none is left that nobody asked for.
+ */
 final class Keys {
 
   private final String path;
@@ -53,8 +55,8 @@
       return absent;
     }
     if (!found.isNumber() || !(found.asDouble() >= least && found.asDouble() <= most)) {
-      throw new BadSchedule(name(key) + " is not a number from " + text(least) + " to " + text(most) + ": "
-          + found);
+      throw new BadSchedule(
+          name(key) + " is not a number from " + text(least) + " to " + text(most) + ": " + found);
     }
     return found.asDouble();
   }
@@ -65,8 +67,8 @@
       return absent;
     }
     if (!found.isIntegralNumber() || found.asLong() < least || found.asLong() > most) {
-      throw new BadSchedule(name(key) + " is not a whole number from " + least + " to " + most + ": "
-          + found);
+      throw new BadSchedule(
+          name(key) + " is not a whole number from " + least + " to " + most + ": " + found);
     }
     return found.asLong();
   }
@@ -86,7 +88,8 @@
       return absent;
     }
     if (found == null || !found.isTextual() || found.asText().isEmpty()) {
-      throw new BadSchedule(name(key) + (found == null ? " is missing" : " is not a text: " + found));
+      throw new BadSchedule(
+          name(key) + (found == null ? " is missing" : " is not a text: " + found));
     }
     return found.asText();
   }
@@ -116,7 +119,7 @@
     }
     Keys inner = inner(key);
     Map<String, Double> weights = new LinkedHashMap<>();
-    for (Iterator<String> names = inner.table.fieldNames(); names.hasNext();) {
+    for (Iterator<String> names = inner.table.fieldNames(); names.hasNext(); ) {
       String name = names.next();
       weights.put(name, inner.number(name, 1e-6, 1e9, 0));
     }
@@ -126,7 +129,8 @@
   /** A table within this one; an empty one where there is none. */
   Keys inner(String key) throws BadSchedule {
     JsonNode found = get(key);
-    return found == null ? new Keys(name(key), JsonNodeFactory.instance.objectNode())
+    return found == null
+        ? new Keys(name(key), JsonNodeFactory.instance.objectNode())
         : table(name(key), found);
   }
 
@@ -156,7 +160,7 @@
 
   /** Ends the reading: a key that was not asked for is one that there is not. */
   void done() throws BadSchedule {
-    for (Iterator<String> names = table.fieldNames(); names.hasNext();) {
+    for (Iterator<String> names = table.fieldNames(); names.hasNext(); ) {
       String name = names.next();
       if (!known.contains(name)) {
         throw new BadSchedule(name(name) + ": there is no such key here");
@@ -165,7 +169,8 @@
   }
 
   private static String text(double bound) {
-    return bound == Math.rint(bound) && Math.abs(bound) < 1e15 ? Long.toString((long) bound)
+    return bound == Math.rint(bound) && Math.abs(bound) < 1e15
+        ? Long.toString((long) bound)
         : Double.toString(bound);
   }
 }
--- a/lab/src/main/java/willowdoor/lab/run/LabRun.java
+++ b/lab/src/main/java/willowdoor/lab/run/LabRun.java
@@ -23,24 +23,28 @@
 import willowdoor.lab.fleet.Loopback;
 import willowdoor.lab.load.Clients;
 import willowdoor.lab.load.Observer;
+import willowdoor.lab.net.OwnLoop;
 import willowdoor.lab.peers.CounterStandIn;
 import willowdoor.lab.peers.DiscoveryStandIn;
 import willowdoor.lab.peers.TemplateServers;
-import willowdoor.lab.net.OwnLoop;
 import willowdoor.lab.record.Entry;
 import willowdoor.lab.record.LabClock;
 import willowdoor.lab.record.Recorder;
 import willowdoor.lab.relay.Relay;
 
 /**
- * Plays a schedule: everything is opened in the order of the fields and closed in the reverse one, and no
- * process is left, whatever goes wrong on the way.
+ * Plays a schedule: everything is opened in the order of the fields and closed in the reverse one,
+ * and no process is left, whatever goes wrong on the way.
  */
 public final class LabRun implements Closeable {
 
   private static final Logger LOG = LoggerFactory.getLogger(LabRun.class);
-  /** The longest that a planned end may take beyond the longest deadline, as the platform has it. */
+
+  /**
+   * The longest that a planned end may take beyond the longest deadline, as the platform has it.
+   */
   private static final long END_MS = 700;
+
   private static final long LATE_MS = 2_500;
 
   private final Schedule schedule;
@@ -70,12 +74,24 @@
       calls = keep(new OwnLoop()).loop();
       relay = keep(new Relay(schedule.seed));
       faults = new FaultLog(records);
-      TemplateServers servers = keep(new TemplateServers(schedule.servers.spec(), records, schedule.seed));
-      counter = keep(new CounterStandIn(records, schedule.counter.callsPerS(), schedule.counter.queueMs()));
+      TemplateServers servers =
+          keep(new TemplateServers(schedule.servers.spec(), records, schedule.seed));
+      counter =
+          keep(
+              new CounterStandIn(
+                  records, schedule.counter.callsPerS(), schedule.counter.queueMs()));
       DiscoveryStandIn discovery = keep(new DiscoveryStandIn(records));
       Wiring wiring = new Wiring(schedule, net, relay, discovery);
-      fleet = keep(new Fleet(launch, net, records, folder.resolve("doors"), calls, wiring::config,
-          schedule.doors.flags()));
+      fleet =
+          keep(
+              new Fleet(
+                  launch,
+                  net,
+                  records,
+                  folder.resolve("doors"),
+                  calls,
+                  wiring::config,
+                  schedule.doors.flags()));
       wiring.servers(servers);
       List<String> doors = schedule.parties.doors();
       for (String door : doors) {
@@ -83,19 +99,37 @@
         fleet.add(door);
       }
       wiring.peers(doors);
-      clients = keep(new Clients(schedule.load, schedule.settings,
-          wiring.clientsSee(doors.subList(0, schedule.doors.count())), relay::unreached, records,
-          schedule.seed));
+      clients =
+          keep(
+              new Clients(
+                  schedule.load,
+                  schedule.settings,
+                  wiring.clientsSee(doors.subList(0, schedule.doors.count())),
+                  relay::unreached,
+                  records,
+                  schedule.seed));
       fleet.listen(clients);
       fleet.listen(new Faces());
-      actions = new Actions(schedule, new Actions.Stage(fleet, relay, servers, counter, discovery,
-          clients, net, calls, records.clock()), faults);
+      actions =
+          new Actions(
+              schedule,
+              new Actions.Stage(
+                  fleet, relay, servers, counter, discovery, clients, net, calls, records.clock()),
+              faults);
       Pulse.of(relay.loop(), records, "relay");
       Pulse.of(clients.loop(), records, "clients");
       long now = records.clock().nowUs();
       JsonNode settings = wiring.settings(0);
-      records.write(new Entry.Run(now, now, schedule.name, schedule.seed, System.currentTimeMillis(), doors,
-          settings, schedule.bounds));
+      records.write(
+          new Entry.Run(
+              now,
+              now,
+              schedule.name,
+              schedule.seed,
+              System.currentTimeMillis(),
+              doors,
+              settings,
+              schedule.bounds));
     } catch (IOException | RuntimeException e) {
       close();
       throw e;
@@ -108,8 +142,8 @@
   }
 
   /**
-   * A front door that is gone refuses connections, at its faces as at its own address; clients are refused
-   * until it is ready, as it does not listen to them before.
+   * A front door that is gone refuses connections, at its faces as at its own address; clients are
+   * refused until it is ready, as it does not listen to them before.
    */
   private final class Faces implements Fleet.Listener {
     @Override
@@ -144,8 +178,9 @@
     open.push(() -> repeated.forEach(f -> f.cancel(false)));
     for (Schedule.Observation o : schedule.observations) {
       for (String door : schedule.parties.doors()) {
-        repeated.add(new Observer(calls, records, door, net.own(door, Loopback.OPERATORS), o.path())
-            .every(o.everyMs()));
+        repeated.add(
+            new Observer(calls, records, door, net.own(door, Loopback.OPERATORS), o.path())
+                .every(o.everyMs()));
       }
     }
     traffic();
@@ -228,11 +263,18 @@
     try {
       long now = records.clock().nowUs();
       Map<String, Relay.Sent> all = relay.sent();
-      all.forEach((party, s) -> {
-        Relay.Sent before = sent.getOrDefault(party, new Relay.Sent(0, 0, 0));
-        records.write(new Entry.Traffic(sentUs, now, party, s.datagrams() - before.datagrams(),
-            s.datagramBytes() - before.datagramBytes(), s.streamBytes() - before.streamBytes()));
-      });
+      all.forEach(
+          (party, s) -> {
+            Relay.Sent before = sent.getOrDefault(party, new Relay.Sent(0, 0, 0));
+            records.write(
+                new Entry.Traffic(
+                    sentUs,
+                    now,
+                    party,
+                    s.datagrams() - before.datagrams(),
+                    s.datagramBytes() - before.datagramBytes(),
+                    s.streamBytes() - before.streamBytes()));
+          });
       sent = all;
       sentUs = now;
     } catch (IOException e) {
--- a/lab/src/main/java/willowdoor/lab/run/Parties.java
+++ b/lab/src/main/java/willowdoor/lab/run/Parties.java
@@ -11,9 +11,9 @@
 import java.util.regex.Pattern;
 
 /**
- * The parties of a run by name, and the ways to name some of them: a name, {@code doors}, {@code servers},
- * {@code all}, {@code doors:0-4} by number, {@code doors:30%} drawn from the seed (one at least), and {@code
- * rest} for the front doors that are not among the others.
+ * The parties of a run by name, and the ways to name some of them: a name, {@code doors}, {@code
+ * servers}, {@code all}, {@code doors:0-4} by number, {@code doors:30%} drawn from the seed (one at
+ * least), and {@code rest} for the front doors that are not among the others.
  */
 final class Parties {
 
@@ -70,7 +70,8 @@
       int to = Integer.parseInt(range.group(3));
       return from <= to && to < of(range.group(1)).size();
     }
-    return share.matches() ? Integer.parseInt(share.group(2)) <= 100
+    return share.matches()
+        ? Integer.parseInt(share.group(2)) <= 100
         : Set.of("doors", "servers", "all", "rest").contains(selector) || all().contains(selector);
   }
 
@@ -84,15 +85,19 @@
     };
   }
 
-  /** Those that the selectors name, in order; {@code rest} are the front doors that are not among others. */
+  /**
+   * Those that the selectors name, in order; {@code rest} are the front doors that are not among
+   * others.
+   */
   List<String> resolve(List<String> selectors, List<String> others, RandomGenerator random) {
     Set<String> named = new LinkedHashSet<>();
     for (String selector : selectors) {
       Matcher range = RANGE.matcher(selector);
       Matcher share = SHARE.matcher(selector);
       if (range.matches()) {
-        named.addAll(of(range.group(1)).subList(Integer.parseInt(range.group(2)),
-            Integer.parseInt(range.group(3)) + 1));
+        named.addAll(
+            of(range.group(1))
+                .subList(Integer.parseInt(range.group(2)), Integer.parseInt(range.group(3)) + 1));
       } else if (share.matches()) {
         List<String> shuffled = new ArrayList<>(of(share.group(1)));
         Collections.shuffle(shuffled, new Random(random.nextLong()));
--- a/lab/src/main/java/willowdoor/lab/run/RandomFaults.java
+++ b/lab/src/main/java/willowdoor/lab/run/RandomFaults.java
@@ -12,6 +12,7 @@
 
   /** Nothing happens before the load is there, and everything is over so long before the end. */
   private static final long FIRST_MS = 500;
+
   private static final long REST_MS = 3_000;
 
   private final Schedule schedule;
@@ -23,8 +24,10 @@
     random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
     lastMs = schedule.runMs - REST_MS;
     if (lastMs < FIRST_MS + 1_000) {
-      throw new BadSchedule("run_ms: faults are drawn only for runs of " + (FIRST_MS + 1_000 + REST_MS)
-          + " ms and more");
+      throw new BadSchedule(
+          "run_ms: faults are drawn only for runs of "
+              + (FIRST_MS + 1_000 + REST_MS)
+              + " ms and more");
     }
   }
 
@@ -44,21 +47,39 @@
     return switch (random.nextInt(15)) {
       case 0, 1 -> pair(begin, Action.KILL, door, Map.of(), end, Action.START, Map.of());
       case 2 -> pair(begin, Action.STOP, door, Map.of(), end, Action.CONT, Map.of());
-      case 3 -> List.of(new Step(begin, Action.STARVE, List.of(door),
-          Map.of("share", share(0.1, 0.6), "for_ms", (double) (end - begin))));
+      case 3 ->
+          List.of(
+              new Step(
+                  begin,
+                  Action.STARVE,
+                  List.of(door),
+                  Map.of("share", share(0.1, 0.6), "for_ms", (double) (end - begin))));
       case 4 -> way(begin, end, Action.CUT, Map.of("way", oneOf(List.of("both", "out", "in"))));
-      case 5 -> way(begin, end, Action.DELAY, Map.of("ms", share(1, 200), "jitter_ms", share(0, 100)));
+      case 5 ->
+          way(begin, end, Action.DELAY, Map.of("ms", share(1, 200), "jitter_ms", share(0, 100)));
       case 6 -> way(begin, end, Action.DROP, Map.of("share", share(0.05, 0.5)));
       case 7 -> way(begin, end, Action.DUPLICATE, Map.of("share", share(0.05, 0.5)));
       case 8 -> way(begin, end, Action.REORDER, Map.of("share", share(0.05, 0.5)));
       case 14 -> way(begin, end, Action.GARBLE, Map.of("share", share(0.05, 0.5)));
-      case 9 -> List.of(new Step(begin, Action.RESET, List.of(door),
-          Map.of("to", List.of("servers", "counter"))));
-      case 10 -> pair(begin, Action.SERVER_STOP, server, Map.of(), end, Action.SERVER_START, Map.of());
-      case 11 -> pair(begin, Action.SERVE, server, Map.of("slow", share(2, 10), "failing", share(0, 0.5),
-          "hanging", share(0, 0.3)), end, Action.SERVE, Map.of());
-      case 12 -> List.of(new Step(begin, Action.COUNTER, List.of(), Map.of("out", 1.0)),
-          new Step(end, Action.COUNTER, List.of(), Map.of()));
+      case 9 ->
+          List.of(
+              new Step(
+                  begin, Action.RESET, List.of(door), Map.of("to", List.of("servers", "counter"))));
+      case 10 ->
+          pair(begin, Action.SERVER_STOP, server, Map.of(), end, Action.SERVER_START, Map.of());
+      case 11 ->
+          pair(
+              begin,
+              Action.SERVE,
+              server,
+              Map.of("slow", share(2, 10), "failing", share(0, 0.5), "hanging", share(0, 0.3)),
+              end,
+              Action.SERVE,
+              Map.of());
+      case 12 ->
+          List.of(
+              new Step(begin, Action.COUNTER, List.of(), Map.of("out", 1.0)),
+              new Step(end, Action.COUNTER, List.of(), Map.of()));
       default -> pair(begin, Action.SILENCE, door, Map.of(), end, Action.SPEAK, Map.of());
     };
   }
@@ -71,12 +92,20 @@
     all.put("to", to);
     Step fault = new Step(begin, action, doors, all);
     // Healed from all sides, as a step that draws its targets anew would draw others.
-    return List.of(fault, new Step(end, Action.HEAL, List.of("doors"), Map.of("to", List.of("all"))));
+    return List.of(
+        fault, new Step(end, Action.HEAL, List.of("doors"), Map.of("to", List.of("all"))));
   }
 
-  private static List<Step> pair(long begin, Action action, String target, Map<String, Object> args, long end,
-      Action over, Map<String, Object> overArgs) {
-    return List.of(new Step(begin, action, List.of(target), args),
+  private static List<Step> pair(
+      long begin,
+      Action action,
+      String target,
+      Map<String, Object> args,
+      long end,
+      Action over,
+      Map<String, Object> overArgs) {
+    return List.of(
+        new Step(begin, action, List.of(target), args),
         new Step(end, over, List.of(target), overArgs));
   }
 
--- a/lab/src/main/java/willowdoor/lab/run/RandomRuns.java
+++ b/lab/src/main/java/willowdoor/lab/run/RandomRuns.java
@@ -15,7 +15,7 @@
 public final class RandomRuns {
 
   /** The schedule that failed, with what was found, in the folder of the play that showed it. */
-  public record Failure(Path folder, List<Finding> findings, int faults) { }
+  public record Failure(Path folder, List<Finding> findings, int faults) {}
 
   private final Schedule base;
   private final LaunchLine launch;
@@ -32,8 +32,8 @@
   }
 
   /** Plays the round of a seed; null where nothing was found. */
-  public Failure play(long seed, int faults, int mostTrials) throws IOException, InterruptedException,
-      BadSchedule {
+  public Failure play(long seed, int faults, int mostTrials)
+      throws IOException, InterruptedException, BadSchedule {
     List<List<Step>> drawn = new RandomFaults(base, seed).draw(faults);
     List<Failure> failures = new ArrayList<>();
     if (!fails(seed, drawn, failures)) {
@@ -41,7 +41,8 @@
     }
     Shrinker.shrink(drawn, mostTrials, left -> fails(seed, left, failures));
     Failure smallest = failures.get(failures.size() - 1);
-    Files.copy(smallest.folder().resolve("schedule.toml"), folder.resolve("failing-" + seed + ".toml"));
+    Files.copy(
+        smallest.folder().resolve("schedule.toml"), folder.resolve("failing-" + seed + ".toml"));
     return smallest;
   }
 
@@ -52,8 +53,14 @@
     steps.sort(Comparator.comparingLong(Step::atMs));
     Path own = folder.resolve("play-" + plays++);
     List<Finding> found = once(base.with(seed, steps), own);
-    say.accept(own.getFileName() + ": seed " + seed + ", " + faults.size() + " faults, "
-        + (found.isEmpty() ? "nothing found" : found.size() + " found, first " + found.get(0)));
+    say.accept(
+        own.getFileName()
+            + ": seed "
+            + seed
+            + ", "
+            + faults.size()
+            + " faults, "
+            + (found.isEmpty() ? "nothing found" : found.size() + " found, first " + found.get(0)));
     if (!found.isEmpty()) {
       failures.add(new Failure(own, found, faults.size()));
     }
--- a/lab/src/main/java/willowdoor/lab/run/Shrinker.java
+++ b/lab/src/main/java/willowdoor/lab/run/Shrinker.java
@@ -12,10 +12,12 @@
     boolean fails(List<T> left) throws IOException, InterruptedException, BadSchedule;
   }
 
-  private Shrinker() {
-  }
+  private Shrinker() {}
 
-  /** The smallest that was found in so many trials; if they sufficed, it needs each that is left to fail. */
+  /**
+   * The smallest that was found in so many trials; if they sufficed, it needs each that is left to
+   * fail.
+   */
   static <T> List<T> shrink(List<T> failing, int mostTrials, Trial<T> trial)
       throws IOException, InterruptedException, BadSchedule {
     List<T> smallest = new ArrayList<>(failing);
--- a/lab/src/main/java/willowdoor/lab/run/Step.java
+++ b/lab/src/main/java/willowdoor/lab/run/Step.java
@@ -16,7 +16,9 @@
 
   /** The parties that {@code to} names; null where it is not given. */
   List<String> to() {
-    return args.get("to") instanceof List<?> names ? names.stream().map(String.class::cast).toList() : null;
+    return args.get("to") instanceof List<?> names
+        ? names.stream().map(String.class::cast).toList()
+        : null;
   }
 
   @Override
--- a/lab/src/main/java/willowdoor/lab/run/StepJson.java
+++ b/lab/src/main/java/willowdoor/lab/run/StepJson.java
@@ -14,8 +14,7 @@
 
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  private StepJson() {
-  }
+  private StepJson() {}
 
   static Step read(Keys keys, Parties parties, long runMs) throws BadSchedule {
     long at = keys.whole("at_ms", 0, runMs, -1);
@@ -23,17 +22,27 @@
       throw new BadSchedule(keys.path() + ".at_ms is missing");
     }
     String word = keys.text("action", null);
-    Action action = Arrays.stream(Action.values()).filter(a -> a.word().equals(word)).findFirst()
-        .orElseThrow(() -> new BadSchedule(keys.path() + ".action: there is no '" + word + "', only "
-            + Arrays.stream(Action.values()).map(Action::word).toList()));
+    Action action =
+        Arrays.stream(Action.values())
+            .filter(a -> a.word().equals(word))
+            .findFirst()
+            .orElseThrow(
+                () ->
+                    new BadSchedule(
+                        keys.path()
+                            + ".action: there is no '"
+                            + word
+                            + "', only "
+                            + Arrays.stream(Action.values()).map(Action::word).toList()));
     List<String> targets = keys.texts("targets", List.of());
     if (targets.isEmpty() != (action.kind == Action.Kind.NONE)) {
-      throw new BadSchedule(keys.path() + ".targets: " + word
-          + (targets.isEmpty() ? " needs some" : " has none"));
+      throw new BadSchedule(
+          keys.path() + ".targets: " + word + (targets.isEmpty() ? " needs some" : " has none"));
     }
     for (String target : targets) {
       if (!parties.knows(target) || target.equals("rest") || !parties.fits(target, action.kind)) {
-        throw new BadSchedule(keys.path() + ".targets: " + word + " cannot be done to '" + target + "'");
+        throw new BadSchedule(
+            keys.path() + ".targets: " + word + " cannot be done to '" + target + "'");
       }
     }
     Map<String, Object> args = new LinkedHashMap<>();
@@ -75,7 +84,8 @@
   static ArrayNode write(List<Step> steps) {
     ArrayNode array = JSON.createArrayNode();
     for (Step step : steps) {
-      ObjectNode one = array.addObject().put("at_ms", step.atMs()).put("action", step.action().word());
+      ObjectNode one =
+          array.addObject().put("at_ms", step.atMs()).put("action", step.action().word());
       if (!step.targets().isEmpty()) {
         one.set("targets", JSON.valueToTree(step.targets()));
       }
--- a/lab/src/main/java/willowdoor/lab/run/Wiring.java
+++ b/lab/src/main/java/willowdoor/lab/run/Wiring.java
@@ -18,8 +18,8 @@
 import willowdoor.lab.relay.Relay;
 
 /**
- * Who reaches whom where: opens the relay's faces for the links that the schedule names, and writes each
- * front door's configuration with the addresses that it sees.
+ * Who reaches whom where: opens the relay's faces for the links that the schedule names, and writes
+ * each front door's configuration with the addresses that it sees.
  */
 final class Wiring {
 
@@ -56,12 +56,16 @@
     }
   }
 
-  /** Opens what a front door calls: its agent of discovery, its address of the counter, the servers. */
+  /**
+   * Opens what a front door calls: its agent of discovery, its address of the counter, the servers.
+   */
   void door(String id, CounterStandIn counter) throws IOException {
     InetSocketAddress agent = net.own(Parties.DISCOVERY + ' ' + id, Loopback.SERVICE);
     InetSocketAddress counts = net.own(Parties.COUNTER + ' ' + id, Loopback.SERVICE);
-    discovery.listen(id, agent, server -> Loopback.text(
-        at("servers", id, server, net.own(server, Loopback.SERVICE))));
+    discovery.listen(
+        id,
+        agent,
+        server -> Loopback.text(at("servers", id, server, net.own(server, Loopback.SERVICE))));
     counter.listen(id, counts);
     open("discovery", id, Parties.DISCOVERY, agent);
     open("counter", id, Parties.COUNTER, counts);
@@ -87,35 +91,51 @@
     }
   }
 
-  private void open(String link, String caller, String called, InetSocketAddress target) throws IOException {
+  private void open(String link, String caller, String called, InetSocketAddress target)
+      throws IOException {
     if (relayed(link)) {
       relay.stream(caller, called, net.face(caller, called), target);
     }
   }
 
   /** Where the caller reaches the other. */
-  private InetSocketAddress at(String link, String caller, String called, InetSocketAddress target) {
+  private InetSocketAddress at(
+      String link, String caller, String called, InetSocketAddress target) {
     return relayed(link) ? net.face(caller, called) : target;
   }
 
   /** Where clients reach each front door that they know of. */
   Map<String, InetSocketAddress> clientsSee(List<String> doors) {
     Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
-    doors.forEach(d -> addresses.put(d, at("clients", Parties.CLIENTS, d, net.own(d, Loopback.CLIENTS))));
+    doors.forEach(
+        d -> addresses.put(d, at("clients", Parties.CLIENTS, d, net.own(d, Loopback.CLIENTS))));
     return addresses;
   }
 
   /** What the front door's next process is told; its seed is new each time. */
   ObjectNode config(String id) {
     int index = index(id);
-    ObjectNode config = JSON.createObjectNode()
-        .put("name", name(id))
-        .put("listen", Loopback.text(net.own(id, Loopback.CLIENTS)))
-        .put("management", Loopback.text(net.own(id, Loopback.OPERATORS)))
-        .put("discovery", Loopback.text(at("discovery", id, Parties.DISCOVERY,
-            net.own(Parties.DISCOVERY + ' ' + id, Loopback.SERVICE))))
-        .put("counter", Loopback.text(at("counter", id, Parties.COUNTER,
-            net.own(Parties.COUNTER + ' ' + id, Loopback.SERVICE))));
+    ObjectNode config =
+        JSON.createObjectNode()
+            .put("name", name(id))
+            .put("listen", Loopback.text(net.own(id, Loopback.CLIENTS)))
+            .put("management", Loopback.text(net.own(id, Loopback.OPERATORS)))
+            .put(
+                "discovery",
+                Loopback.text(
+                    at(
+                        "discovery",
+                        id,
+                        Parties.DISCOVERY,
+                        net.own(Parties.DISCOVERY + ' ' + id, Loopback.SERVICE))))
+            .put(
+                "counter",
+                Loopback.text(
+                    at(
+                        "counter",
+                        id,
+                        Parties.COUNTER,
+                        net.own(Parties.COUNTER + ' ' + id, Loopback.SERVICE))));
     synchronized (seeds) {
       config.put("seed", String.format("%016x", seeds.nextLong()));
     }
@@ -129,12 +149,19 @@
   }
 
   ObjectNode settings(int index) {
-    return schedule.settings.deepCopy().put("Balancers", schedule.doors.count()).put("SelfIndex", index)
+    return schedule
+        .settings
+        .deepCopy()
+        .put("Balancers", schedule.doors.count())
+        .put("SelfIndex", index)
         .put("MyZone", zone(index, schedule.servers.zones()));
   }
 
   private String name(String id) {
-    return schedule.doors.twins().stream().filter(t -> t.id().equals(id)).map(Schedule.Twin::of).findFirst()
+    return schedule.doors.twins().stream()
+        .filter(t -> t.id().equals(id))
+        .map(Schedule.Twin::of)
+        .findFirst()
         .orElse(id);
   }
 
@@ -147,13 +174,30 @@
     for (int i = 0; i < schedule.doors.count(); i++) {
       String peer = "n" + i;
       boolean self = peer.equals(name(id));
-      peers.add(Map.of("peer", peer, "peer_index", Integer.toString(i),
-          "peer_address", Loopback.text(self ? net.own(id, Loopback.PEERS)
-              : at("peers", id, peer, net.own(peer, Loopback.PEERS)))));
+      peers.add(
+          Map.of(
+              "peer",
+              peer,
+              "peer_index",
+              Integer.toString(i),
+              "peer_address",
+              Loopback.text(
+                  self
+                      ? net.own(id, Loopback.PEERS)
+                      : at("peers", id, peer, net.own(peer, Loopback.PEERS)))));
     }
-    return new ConfigTemplate(Map.of("name", name(id), "index", Integer.toString(index(id)),
-        "address", Loopback.text(net.own(id, Loopback.PEERS)),
-        "listen_address", Loopback.text(net.own(id, Loopback.CLIENTS)),
-        "count", Integer.toString(schedule.doors.count())), peers);
+    return new ConfigTemplate(
+        Map.of(
+            "name",
+            name(id),
+            "index",
+            Integer.toString(index(id)),
+            "address",
+            Loopback.text(net.own(id, Loopback.PEERS)),
+            "listen_address",
+            Loopback.text(net.own(id, Loopback.CLIENTS)),
+            "count",
+            Integer.toString(schedule.doors.count())),
+        peers);
   }
 }
--- a/lab/src/test/java/willowdoor/lab/check/CheckersTest.java
+++ b/lab/src/test/java/willowdoor/lab/check/CheckersTest.java
@@ -19,32 +19,62 @@
 import willowdoor.lab.record.LabClock;
 import willowdoor.lab.record.Recorder;
 
-/** Each checker is quiet about a run as it should be, and tells each record that should not be there. */
+/**
+ * Each checker is quiet about a run as it should be, and tells each record that should not be
+ * there.
+ */
 class CheckersTest {
 
-  private static final String SETTINGS = """
+  private static final String SETTINGS =
+      """
       {"Profiles":[{"Name":"seal","Repeat":"side_effect"},{"Name":"preview","Repeat":"pure"}],
        "Rules":{"DrainGraceMs":1000},
        "Tariffs":[{"Name":"plain","Refill":2,"PeakUnits":10},
         {"Name":"hard","Refill":1000,"PeakUnits":1000,"CeilingRate":1,"CeilingBurst":5,"HardSlack":2}]}""";
 
-  @TempDir
-  private Path folder;
+  @TempDir private Path folder;
 
   private static Entry.Run run(double leastServed) throws IOException {
     JsonNode settings = new ObjectMapper().readTree(SETTINGS);
-    return new Entry.Run(0, 0, "made up", 1, 0, List.of("n0"), settings,
+    return new Entry.Run(
+        0,
+        0,
+        "made up",
+        1,
+        0,
+        List.of("n0"),
+        settings,
         Map.of("grace_ms", 500.0, "quota_beyond", 0.2, "least_served", leastServed));
   }
 
-  private static Entry.Asked asked(String id, String type, long beginMs, long endMs, int status, String how) {
-    return new Entry.Asked(1_000 * beginMs, 1_000 * endMs, id, type, "plain", "c", 1, 200, "n0", true, status,
-        how, status == 200 ? id + " s-1 0" : "", 0);
+  private static Entry.Asked asked(
+      String id, String type, long beginMs, long endMs, int status, String how) {
+    return new Entry.Asked(
+        1_000 * beginMs,
+        1_000 * endMs,
+        id,
+        type,
+        "plain",
+        "c",
+        1,
+        200,
+        "n0",
+        true,
+        status,
+        how,
+        status == 200 ? id + " s-1 0" : "",
+        0);
   }
 
   private static Entry.Attempt attempt(String id, String server, long beginMs, String how) {
-    return new Entry.Attempt(1_000 * beginMs, 1_000 * beginMs + 5_000, id, server,
-        how.equals("not_started") ? 0 : 1_000 * beginMs, how, how.equals("served") ? id + " s-1 0" : null);
+    return new Entry.Attempt(
+        1_000 * beginMs,
+        1_000 * beginMs + 5_000,
+        id,
+        server,
+        how.equals("not_started") ? 0 : 1_000 * beginMs,
+        how,
+        how.equals("served") ? id + " s-1 0" : null);
   }
 
   /** What is found in the records of a good run and these, written and read as a run does it. */
@@ -72,9 +102,13 @@
 
   @Test
   void aGoodRunIsLeftAlone() throws IOException {
-    assertEquals(List.of(), found(asked("r", "preview", 10, 700, 503, "answered"),
-        attempt("twice", "s-1", 20, "error"), attempt("twice", "s-2", 30, "error"),
-        asked("twice", "preview", 19, 40, 503, "answered")));
+    assertEquals(
+        List.of(),
+        found(
+            asked("r", "preview", 10, 700, 503, "answered"),
+            attempt("twice", "s-1", 20, "error"),
+            attempt("twice", "s-2", 30, "error"),
+            asked("twice", "preview", 19, 40, 503, "answered")));
   }
 
   @Test
@@ -91,15 +125,29 @@
     assertEquals(List.of(), found(late, held), "20 ms of it were the lab's own");
     Entry.Fault stopped = new Entry.Fault(90_000, 900_000, "stop", List.of("n0"), Map.of());
     assertEquals(List.of(), found(broken, stopped));
-    Entry.Fault cut = new Entry.Fault(90_000, 900_000, "cut", List.of("n0"),
-        Map.of("to", List.of("counter")));
+    Entry.Fault cut =
+        new Entry.Fault(90_000, 900_000, "cut", List.of("n0"), Map.of("to", List.of("counter")));
     finds("AnsweredInTime", broken, cut);
   }
 
   @Test
   void aRequestThatWasReadBeforeItsConnectionEndedIsLost() throws IOException {
-    Entry resent = new Entry.Asked(100_000, 150_000, "r", "preview", "plain", "c", 1, 200, "n0", true, 503,
-        "answered", "", 110_000);
+    Entry resent =
+        new Entry.Asked(
+            100_000,
+            150_000,
+            "r",
+            "preview",
+            "plain",
+            "c",
+            1,
+            200,
+            "n0",
+            true,
+            503,
+            "answered",
+            "",
+            110_000);
     assertEquals(List.of(), found(resent, attempt("r", "s-1", 120, "error")));
     finds("AnsweredInTime", resent, attempt("r", "s-1", 105, "error"));
   }
@@ -117,10 +165,12 @@
   @Test
   void whatMayNotBeRepeatedRunsOnce() throws IOException {
     Entry failed = asked("r", "seal", 100, 150, 500, "answered");
-    assertEquals(List.of(), found(failed, attempt("r", "s-1", 105, "not_started"),
-        attempt("r", "s-2", 110, "error")));
+    assertEquals(
+        List.of(),
+        found(failed, attempt("r", "s-1", 105, "not_started"), attempt("r", "s-2", 110, "error")));
     finds("RunOnce", failed, attempt("r", "s-1", 105, "gone"), attempt("r", "s-2", 110, "error"));
-    finds("RunOnce", asked("r", "seal", 100, 150, 503, "answered"), attempt("r", "s-1", 105, "hung"));
+    finds(
+        "RunOnce", asked("r", "seal", 100, 150, 503, "answered"), attempt("r", "s-1", 105, "hung"));
   }
 
   private static Entry[] tries(String plan, int count, double everyMs) {
@@ -128,8 +178,22 @@
     for (int i = 0; i < count; i++) {
       long at = (long) (100_000 + 1_000 * everyMs * i);
       entries[2 * i] = new Entry.Attempt(at, at + 1, plan + i, "s-1", at, "error", null);
-      entries[2 * i + 1] = new Entry.Asked(at, at + 2, plan + i, "preview", plan, "c", 1, 200,
-          "n" + i % 2, true, 500, "answered", "", 0);
+      entries[2 * i + 1] =
+          new Entry.Asked(
+              at,
+              at + 2,
+              plan + i,
+              "preview",
+              plan,
+              "c",
+              1,
+              200,
+              "n" + i % 2,
+              true,
+              500,
+              "answered",
+              "",
+              0);
     }
     return entries;
   }
@@ -155,13 +219,18 @@
   void sendsToAServerThatLeavesAreFound() throws IOException {
     Entry told = new Entry.Told(0, 0, "n0", 3, false, Map.of("s-2", "leaving"));
     Entry request = asked("r", "preview", 1_040, 1_080, 500, "answered");
-    assertEquals(List.of(), found(told, request, attempt("r", "s-2", 1_045, "error")), "within the grace");
+    assertEquals(
+        List.of(), found(told, request, attempt("r", "s-2", 1_045, "error")), "within the grace");
     Entry late = asked("r", "preview", 1_100, 1_180, 500, "answered");
     finds("Drains", told, late, attempt("r", "s-2", 1_110, "error"));
     assertEquals(List.of(), found(told, late, attempt("r", "s-1", 1_110, "error")));
-    assertEquals(List.of(), found(told, late,
-        new Entry.Told(900_000, 900_000, "n0", 4, false, Map.of("s-2", "active")),
-        attempt("r", "s-2", 1_110, "error")));
+    assertEquals(
+        List.of(),
+        found(
+            told,
+            late,
+            new Entry.Told(900_000, 900_000, "n0", 4, false, Map.of("s-2", "active")),
+            attempt("r", "s-2", 1_110, "error")));
   }
 
   @Test
@@ -176,7 +245,8 @@
     found();
     try (var runs = Files.list(folder)) {
       Path own = runs.findFirst().orElseThrow();
-      Files.writeString(own.resolve(Recorder.FILE), "{\"kind\":\"nonsense\"}\n", StandardOpenOption.APPEND);
+      Files.writeString(
+          own.resolve(Recorder.FILE), "{\"kind\":\"nonsense\"}\n", StandardOpenOption.APPEND);
       IOException told = assertThrows(IOException.class, () -> Checks.judge(own));
       assertTrue(told.getMessage().contains("line 5"), told.getMessage());
     }
--- a/lab/src/test/java/willowdoor/lab/peers/StandInsTest.java
+++ b/lab/src/test/java/willowdoor/lab/peers/StandInsTest.java
@@ -22,8 +22,16 @@
 
   @Test
   void whatIsNoCallIsNone() {
-    for (String line : List.of("incr a 1", "incr a x 1000", "incr a 1 0", "incr a 2e9 10", "decr a 1 10",
-        "incr " + "n".repeat(65) + " 1 10", "incr  1 10", "")) {
+    for (String line :
+        List.of(
+            "incr a 1",
+            "incr a x 1000",
+            "incr a 1 0",
+            "incr a 2e9 10",
+            "decr a 1 10",
+            "incr " + "n".repeat(65) + " 1 10",
+            "incr  1 10",
+            "")) {
       assertNull(Counter.Call.parse(line), line);
     }
   }
--- a/lab/src/test/java/willowdoor/lab/relay/RelayTest.java
+++ b/lab/src/test/java/willowdoor/lab/relay/RelayTest.java
@@ -47,8 +47,13 @@
     a = new DatagramSocket(net.own("a", Loopback.PEERS));
     b = new DatagramSocket(net.own("b", Loopback.PEERS));
     b.setSoTimeout(10_000);
-    relay.datagrams("a", net.own("a", Loopback.PEERS), net.face("a", "b"), "b",
-        net.own("b", Loopback.PEERS), net.face("b", "a"));
+    relay.datagrams(
+        "a",
+        net.own("a", Loopback.PEERS),
+        net.face("a", "b"),
+        "b",
+        net.own("b", Loopback.PEERS),
+        net.face("b", "a"));
   }
 
   @AfterEach
@@ -92,13 +97,16 @@
   }
 
   private void awaitSent(long datagrams) {
-    await().pollInterval(Duration.ofMillis(2)).pollDelay(Duration.ZERO)
+    await()
+        .pollInterval(Duration.ofMillis(2))
+        .pollDelay(Duration.ZERO)
         .until(() -> relay.sent().get("a").datagrams() == datagrams);
   }
 
   @Test
   void passesBytesAndEndsOnBothWays() throws IOException {
-    try (Socket caller = call(); Socket called = server.accept()) {
+    try (Socket caller = call();
+        Socket called = server.accept()) {
       write(caller, "question");
       caller.shutdownOutput();
       assertEquals("question", read(called, 100), "up to the end");
@@ -113,7 +121,8 @@
   @Test
   void delaysWithoutLosingTheOrder() throws IOException {
     faults(THERE, f -> f.delay(80, 60));
-    try (Socket caller = call(); Socket called = server.accept()) {
+    try (Socket caller = call();
+        Socket called = server.accept()) {
       long begin = System.nanoTime();
       for (char c = 'a'; c <= 'z'; c++) {
         write(caller, String.valueOf(c));
@@ -126,7 +135,8 @@
   @Test
   void limitsTheRate() throws IOException {
     faults(THERE, f -> f.rate(500_000));
-    try (Socket caller = call(); Socket called = server.accept()) {
+    try (Socket caller = call();
+        Socket called = server.accept()) {
       long begin = System.nanoTime();
       write(caller, "x".repeat(100_000));
       assertEquals(100_000, read(called, 100_000).length());
@@ -136,7 +146,8 @@
 
   @Test
   void cutOneWayIsSilentThereAndGoesOnWhenHealed() throws IOException {
-    try (Socket caller = call(); Socket called = server.accept()) {
+    try (Socket caller = call();
+        Socket called = server.accept()) {
       faults(THERE, f -> f.cut(true));
       write(caller, "held");
       write(called, "heard");
@@ -165,19 +176,22 @@
   @Test
   void breaksAfterSoManyBytes() throws IOException {
     faults(THERE, f -> f.breakAfter(10));
-    try (Socket caller = call(); Socket called = server.accept()) {
+    try (Socket caller = call();
+        Socket called = server.accept()) {
       write(caller, "0123456789abcdef");
       called.setSoTimeout(10_000);
       byte[] got = new byte[20];
       int size = called.getInputStream().read(got);
       assertEquals("0123456789", new String(got, 0, size, StandardCharsets.US_ASCII));
-      assertThrows(SocketException.class, () -> caller.getInputStream().read(), "reset, not closed");
+      assertThrows(
+          SocketException.class, () -> caller.getInputStream().read(), "reset, not closed");
     }
   }
 
   @Test
   void resetsWhatIsOpenAndRefusesForWhoeverIsDown() throws IOException {
-    try (Socket caller = call(); Socket called = server.accept()) {
+    try (Socket caller = call();
+        Socket called = server.accept()) {
       called.setSoTimeout(10_000);
       relay.reset(List.of(THERE));
       assertThrows(SocketException.class, () -> caller.getInputStream().read());
@@ -188,7 +202,8 @@
     relay.refuse("b", caller -> caller.equals("c"), false);
     assertThrows(ConnectException.class, this::call);
     relay.refuse("b", caller -> caller.equals("a"), false);
-    try (Socket caller = call(); Socket called = server.accept()) {
+    try (Socket caller = call();
+        Socket called = server.accept()) {
       write(called, "back");
       assertEquals("back", read(caller, 4));
     }
@@ -270,12 +285,18 @@
   void drawsHangOnTheSeedAndThePairAlone() throws IOException {
     faults(THERE, f -> f.drop(0.5));
     String first = through(relay, net, a, b);
-    try (Relay again = new Relay(5); Loopback other = Loopback.claim();
+    try (Relay again = new Relay(5);
+        Loopback other = Loopback.claim();
         DatagramSocket from = new DatagramSocket(other.own("a", Loopback.PEERS));
         DatagramSocket to = new DatagramSocket(other.own("b", Loopback.PEERS))) {
       to.setSoTimeout(10_000);
-      again.datagrams("a", other.own("a", Loopback.PEERS), other.face("a", "b"), "b",
-          other.own("b", Loopback.PEERS), other.face("b", "a"));
+      again.datagrams(
+          "a",
+          other.own("a", Loopback.PEERS),
+          other.face("a", "b"),
+          "b",
+          other.own("b", Loopback.PEERS),
+          other.face("b", "a"));
       again.change(List.of(THERE), f -> f.drop(0.5));
       assertEquals(first, through(again, other, from, to));
     }
@@ -288,7 +309,9 @@
     for (int i = 0; i < 40; i++) {
       from.send(new DatagramPacket(new byte[] {(byte) i}, 1, net.face("a", "b")));
       long sent = i + 1;
-      await().pollInterval(Duration.ofMillis(2)).pollDelay(Duration.ZERO)
+      await()
+          .pollInterval(Duration.ofMillis(2))
+          .pollDelay(Duration.ZERO)
           .until(() -> relay.sent().get("a").datagrams() == sent);
     }
     relay.change(List.of(THERE), f -> f.drop(0));
--- a/lab/src/test/java/willowdoor/lab/run/FleetRunTest.java
+++ b/lab/src/test/java/willowdoor/lab/run/FleetRunTest.java
@@ -21,7 +21,8 @@
 @Timeout(120)
 class FleetRunTest {
 
-  private static final String SCHEDULE = """
+  private static final String SCHEDULE =
+      """
       name = "one of three is killed"
       seed = 3
       run_ms = 2500
@@ -32,13 +33,13 @@
       steps = [{ at_ms = 800, action = "kill", targets = ["n1"] }]
       """;
 
-  @TempDir
-  private Path folder;
+  @TempDir private Path folder;
 
   @Test
   void theOthersGoOnAndLoseNothing() throws IOException, InterruptedException, BadSchedule {
-    LaunchLine launch = LaunchLine.read(Path.of("../deploy/balancer.toml"),
-        Path.of(System.getProperty("front.jar")));
+    LaunchLine launch =
+        LaunchLine.read(
+            Path.of("../deploy/balancer.toml"), Path.of(System.getProperty("front.jar")));
     try (LabRun run = new LabRun(Schedule.parse(SCHEDULE), launch, folder)) {
       run.play();
     }
@@ -46,21 +47,34 @@
     List<Entry> entries = new ArrayList<>();
     RecordFile.read(folder, entries::add);
     List<Entry.Life> lives = of(entries, Entry.Life.class);
-    Entry.Life killed = lives.stream().filter(l -> l.how().equals("KILL")).findFirst().orElseThrow();
+    Entry.Life killed =
+        lives.stream().filter(l -> l.how().equals("KILL")).findFirst().orElseThrow();
     assertEquals("n1", killed.door());
     assertEquals(3, lives.size());
     for (Entry.Life life : lives) {
-      assertTrue(ProcessHandle.of(life.pid()).filter(ProcessHandle::isAlive).isEmpty(), "none is left");
+      assertTrue(
+          ProcessHandle.of(life.pid()).filter(ProcessHandle::isAlive).isEmpty(), "none is left");
     }
-    List<Entry.Asked> served = of(entries, Entry.Asked.class).stream()
-        .filter(a -> a.status() == 200).toList();
-    assertEquals(Set.of("n0", "n1", "n2"),
+    List<Entry.Asked> served =
+        of(entries, Entry.Asked.class).stream().filter(a -> a.status() == 200).toList();
+    assertEquals(
+        Set.of("n0", "n1", "n2"),
         served.stream().map(Entry.Asked::door).collect(Collectors.toSet()));
     assertTrue(served.stream().noneMatch(a -> a.door().equals("n1") && a.begin() > killed.end()));
-    assertEquals(Set.of("n0", "n2"), served.stream().filter(a -> a.begin() > killed.end())
-        .map(Entry.Asked::door).collect(Collectors.toSet()), "the others go on");
-    assertEquals(Set.of(0, 200), of(entries, Entry.Seen.class).stream().filter(s -> s.door().equals("n1"))
-        .map(Entry.Seen::status).collect(Collectors.toSet()), "seen there, then gone");
+    assertEquals(
+        Set.of("n0", "n2"),
+        served.stream()
+            .filter(a -> a.begin() > killed.end())
+            .map(Entry.Asked::door)
+            .collect(Collectors.toSet()),
+        "the others go on");
+    assertEquals(
+        Set.of(0, 200),
+        of(entries, Entry.Seen.class).stream()
+            .filter(s -> s.door().equals("n1"))
+            .map(Entry.Seen::status)
+            .collect(Collectors.toSet()),
+        "seen there, then gone");
   }
 
   private static <T extends Entry> List<T> of(List<Entry> entries, Class<T> type) {
--- a/members/src/main/java/willowdoor/members/CborReader.java
+++ b/members/src/main/java/willowdoor/members/CborReader.java
@@ -15,6 +15,7 @@
   }
 
   private final JsonParser in;
+
   /** Looked at, and not yet taken. */
   private JsonToken next;
 
--- a/members/src/main/java/willowdoor/members/Codec.java
+++ b/members/src/main/java/willowdoor/members/Codec.java
@@ -10,9 +10,9 @@
 import java.util.zip.CRC32C;
 
 /**
- * Messages as datagrams: four bytes of CRC-32C over what follows, and one CBOR array. Strict in both
- * directions: what {@link #decode} lets through is whole, of this protocol and fleet, from who may say it
- * and to this member.
+ * Messages as datagrams: four bytes of CRC-32C over what follows, and one CBOR array. Strict in
+ * both directions: what {@link #decode} lets through is whole, of this protocol and fleet, from who
+ * may say it and to this member.
  */
 final class Codec {
 
@@ -21,7 +21,16 @@
   static final CBORFactory CBOR = new CBORFactory();
 
   /** The wire's number of what a message is about. */
-  enum Kind { PING, ACK, PING_REQUEST, NACK, NEWS, EXCHANGE, PAGES, BETTER }
+  enum Kind {
+    PING,
+    ACK,
+    PING_REQUEST,
+    NACK,
+    NEWS,
+    EXCHANGE,
+    PAGES,
+    BETTER
+  }
 
   /** Why a datagram was dropped. */
   static final class Dropped extends Exception {
@@ -122,7 +131,10 @@
     out.writeStartArray(null, fields);
   }
 
-  /** Name, generation, incarnation and state in one, and then accusers and tags where there are some. */
+  /**
+   * Name, generation, incarnation and state in one, and then accusers and tags where there are
+   * some.
+   */
   private void statement(JsonGenerator out, Statement s) throws IOException {
     Map<String, byte[]> tags = s.tags().values();
     int fields = !tags.isEmpty() ? 5 : !s.accusers().isEmpty() ? 4 : 3;
@@ -149,14 +161,15 @@
   }
 
   /**
-   * A datagram of so many bytes that came from the member at the place; its sender's address tells who that
-   * is.
+   * A datagram of so many bytes that came from the member at the place; its sender's address tells
+   * who that is.
    */
   Message decode(byte[] datagram, int length, int from) throws Dropped {
     if (length > Sizes.DATAGRAM) {
       throw new Dropped(Count.TOO_LONG);
     }
-    if (length <= CHECKSUM_BYTES || ByteBuffer.wrap(datagram).getInt() != checksum(datagram, length)) {
+    if (length <= CHECKSUM_BYTES
+        || ByteBuffer.wrap(datagram).getInt() != checksum(datagram, length)) {
       throw new Dropped(Count.CHECKSUM);
     }
     try (CborReader in = new CborReader(datagram, CHECKSUM_BYTES, length - CHECKSUM_BYTES)) {
@@ -173,8 +186,14 @@
       if (!in.text(Roster.MOST_NAME).equals(roster.name(self))) {
         throw new Dropped(Count.NOT_FOR_ME);
       }
-      Message.Header header = new Message.Header(from, self, in.number(1, Generation.MOST), in.number(),
-          in.whole(0), (int) in.number(Integer.MIN_VALUE, Integer.MAX_VALUE));
+      Message.Header header =
+          new Message.Header(
+              from,
+              self,
+              in.number(1, Generation.MOST),
+              in.number(),
+              in.whole(0),
+              (int) in.number(Integer.MIN_VALUE, Integer.MAX_VALUE));
       Message.Body body = body(in);
       List<Statement> news = in.list(Message.MOST_NEWS, this::statement);
       in.end();
@@ -189,17 +208,19 @@
     Kind kind = Kind.values()[(int) in.number(0, Kind.values().length - 1)];
     long seq = in.number(0, Long.MAX_VALUE);
     in.begin();
-    Message.Body body = switch (kind) {
-      case PING -> new Message.Ping(seq);
-      case ACK -> new Message.Ack(seq, subject(in));
-      case PING_REQUEST -> new Message.PingRequest(seq, subject(in),
-          (int) in.number(1, Message.PingRequest.MOST_WAIT_MS));
-      case NACK -> new Message.Nack(seq, subject(in));
-      case PAGES -> pages(seq, (int) in.number(0, 30), (int) in.number(1, 31), in.whole(0));
-      case EXCHANGE -> new Message.Exchange(seq, in.bytes(View.MOST_PAGES * View.PRINT_BYTES));
-      case BETTER -> new Message.Better(seq);
-      default -> new Message.News();
-    };
+    Message.Body body =
+        switch (kind) {
+          case PING -> new Message.Ping(seq);
+          case ACK -> new Message.Ack(seq, subject(in));
+          case PING_REQUEST ->
+              new Message.PingRequest(
+                  seq, subject(in), (int) in.number(1, Message.PingRequest.MOST_WAIT_MS));
+          case NACK -> new Message.Nack(seq, subject(in));
+          case PAGES -> pages(seq, (int) in.number(0, 30), (int) in.number(1, 31), in.whole(0));
+          case EXCHANGE -> new Message.Exchange(seq, in.bytes(View.MOST_PAGES * View.PRINT_BYTES));
+          case BETTER -> new Message.Better(seq);
+          default -> new Message.News();
+        };
     in.end();
     return body;
   }
@@ -227,18 +248,28 @@
     long life = in.number(0, (long) Statement.MOST_INCARNATION * MemberState.count());
     int incarnation = (int) (life / MemberState.count());
     MemberState state = MemberState.of((int) (life % MemberState.count()));
-    List<Integer> accusers = !in.more() ? List.of() : in.list(Statement.MOST_ACCUSERS, i -> {
-      int accuser = roster.place(i.text(Roster.MOST_NAME));
-      return accuser < 0 ? null : accuser;
-    });
+    List<Integer> accusers =
+        !in.more()
+            ? List.of()
+            : in.list(
+                Statement.MOST_ACCUSERS,
+                i -> {
+                  int accuser = roster.place(i.text(Roster.MOST_NAME));
+                  return accuser < 0 ? null : accuser;
+                });
     Tags tags = in.more() ? tags(in) : Tags.NONE;
     in.end();
     if (member < 0) {
       counts.add(Count.UNKNOWN_MEMBER);
       return null;
     }
-    return new Statement(member, generation, incarnation, state,
-        state == MemberState.SUSPECT ? accusers : List.of(), tags);
+    return new Statement(
+        member,
+        generation,
+        incarnation,
+        state,
+        state == MemberState.SUSPECT ? accusers : List.of(),
+        tags);
   }
 
   private static Tags tags(CborReader in) throws IOException {
--- a/members/src/main/java/willowdoor/members/Contact.java
+++ b/members/src/main/java/willowdoor/members/Contact.java
@@ -7,12 +7,10 @@
 final class Contact {
 
   /** A view that is not the own one, since when, and what was last told of it. */
-  private record Other(long since, long digest) {
-  }
+  private record Other(long since, long digest) {}
 
   /** Another roster than the own one. */
-  record OtherRoster(int version, int hash) {
-  }
+  record OtherRoster(int version, int hash) {}
 
   private final Roster roster;
   private final long noAnswerMs;
@@ -21,8 +19,10 @@
   private final Map<Integer, OtherRoster> rosters = new HashMap<>();
   private long answered;
   private long equal;
+
   /** When a majority was last alive and not even suspected. */
   private long sure;
+
   private boolean cutOff = true;
   private long cutOffSince;
 
@@ -103,11 +103,12 @@
   /** Whose view was last told to be another than this digest, and since when. */
   Map<Integer, Long> differing(long own) {
     Map<Integer, Long> found = new HashMap<>();
-    others.forEach((member, other) -> {
-      if (other.digest() != own) {
-        found.put(member, other.since());
-      }
-    });
+    others.forEach(
+        (member, other) -> {
+          if (other.digest() != own) {
+            found.put(member, other.since());
+          }
+        });
     return found;
   }
 
--- a/members/src/main/java/willowdoor/members/Core.java
+++ b/members/src/main/java/willowdoor/members/Core.java
@@ -5,7 +5,9 @@
 /** What the parts of a {@link Membership} ask of it. */
 interface Core {
 
-  /** Sends it with news: what the receiver should hear of itself first, then what was told least. */
+  /**
+   * Sends it with news: what the receiver should hear of itself first, then what was told least.
+   */
   void send(int to, Message.Body body);
 
   /** Sends it with these statements only, which fit. */
--- a/members/src/main/java/willowdoor/members/Exchanger.java
+++ b/members/src/main/java/willowdoor/members/Exchanger.java
@@ -7,17 +7,21 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Exchanges views: regularly with one random member, out of turn where views differ, and to join. The asker
- * sends prints of its pages, the other what it has on those that differ, the asker what it knows better.
+ * Exchanges views: regularly with one random member, out of turn where views differ, and to join.
+ * The asker sends prints of its pages, the other what it has on those that differ, the asker what
+ * it knows better.
  */
 final class Exchanger {
 
   /** Datagrams of one answer at most; what is left is asked for again. */
   private static final int MOST_PARTS = 4;
+
   /** Answers within one gap between exchanges at most, and members told of a dispute. */
   private static final int MOST_AT_ONCE = 4;
+
   /** Members asked at once to join. */
   private static final int JOIN_ASKS = 2;
+
   /** Answers to exchanges before these are not answered in turn. */
   private static final int RECENT = 8;
 
@@ -28,17 +32,28 @@
   private final Sizes sizes;
   private final RandomGenerator random;
   private final long aloneAt;
+
   /** Parts that have come of the answers that a join waits for, as bits. */
   private final Map<Long, Integer> parts = new HashMap<>();
+
   private long seq;
   private long nextJoin;
   private long nextExchange;
+
   /** From when an exchange out of turn may be. */
   private long free;
+
   private final Rate answers;
   private final Rate tells;
 
-  Exchanger(Core core, View view, int self, Timing timing, Sizes sizes, RandomGenerator random, long now) {
+  Exchanger(
+      Core core,
+      View view,
+      int self,
+      Timing timing,
+      Sizes sizes,
+      RandomGenerator random,
+      long now) {
     this.core = core;
     this.view = view;
     this.self = self;
@@ -91,7 +106,8 @@
 
   /** Another member by chance, of the present ones only or of all; -1 where none is present. */
   private int other(boolean present) {
-    int candidates = present ? view.present() - (view.get(self).state().present() ? 1 : 0) : view.size() - 1;
+    int candidates =
+        present ? view.present() - (view.get(self).state().present() ? 1 : 0) : view.size() - 1;
     int chosen = candidates <= 0 ? -1 : random.nextInt(candidates);
     for (int i = 0; chosen >= 0 && i < view.size(); i++) {
       if (i != self && (!present || view.get(i).state().present()) && chosen-- == 0) {
@@ -107,7 +123,10 @@
     core.send(other, new Message.Exchange(++seq, view.prints(seq)));
   }
 
-  /** A member was heard whose view differs: it was absent until now, or nobody has the own view any more. */
+  /**
+   * A member was heard whose view differs: it was absent until now, or nobody has the own view any
+   * more.
+   */
   void differs(int from, boolean absent, boolean outOfStep, long now) {
     if ((absent || outOfStep) && now >= free) {
       ask(from, now);
@@ -136,7 +155,9 @@
     core.count(Count.ANSWERS);
     List<Statement> all = new ArrayList<>();
     for (int page : view.differing(sameRoster ? exchange.prints() : new byte[0], exchange.seq())) {
-      view.page(page).stream().filter(s -> s.generation() > 0 && s.member() != from).forEach(all::add);
+      view.page(page).stream()
+          .filter(s -> s.generation() > 0 && s.member() != from)
+          .forEach(all::add);
     }
     int begin = all.isEmpty() ? 0 : random.nextInt(all.size());
     List<Statement> inOrder = new ArrayList<>();
@@ -149,7 +170,8 @@
     List<List<Statement>> filled = fill(inOrder);
     int sent = filled.stream().mapToInt(List::size).sum();
     for (int i = 0; i < filled.size(); i++) {
-      Message.Pages part = new Message.Pages(exchange.seq(), i, filled.size(), inOrder.size() - sent);
+      Message.Pages part =
+          new Message.Pages(exchange.seq(), i, filled.size(), inOrder.size() - sent);
       core.send(from, part, filled.get(i));
     }
   }
--- a/members/src/main/java/willowdoor/members/Fields.java
+++ b/members/src/main/java/willowdoor/members/Fields.java
@@ -9,8 +9,8 @@
 import java.util.regex.Pattern;
 
 /**
- * A strict look into an object of the configuration: keys are asked for by name, and one that nobody asked
- * for is an error. Messages name the key by its path.
+ * A strict look into an object of the configuration: keys are asked for by name, and one that
+ * nobody asked for is an error. Messages name the key by its path.
  */
 final class Fields {
 
@@ -48,8 +48,8 @@
   long whole(String key, long least, long most) throws IOException {
     Object value = ask(key);
     if (!(value instanceof Long number) || number < least || number > most) {
-      throw new IOException(path(key) + " is not a whole number from " + least + " to " + most
-          + shown(value));
+      throw new IOException(
+          path(key) + " is not a whole number from " + least + " to " + most + shown(value));
     }
     return number;
   }
@@ -65,7 +65,8 @@
     Object value = ask(key);
     if (!(value instanceof Number number)
         || !(number.doubleValue() >= least && number.doubleValue() <= most)) {
-      throw new IOException(path(key) + " is not a number from " + least + " to " + most + shown(value));
+      throw new IOException(
+          path(key) + " is not a number from " + least + " to " + most + shown(value));
     }
     return number.doubleValue();
   }
@@ -100,14 +101,16 @@
   /** All has been asked for. */
   void end() throws IOException {
     if (!unasked.isEmpty()) {
-      throw new IOException(path(unasked.stream().map(String::valueOf).sorted().findFirst().orElseThrow())
-          + " is not known");
+      throw new IOException(
+          path(unasked.stream().map(String::valueOf).sorted().findFirst().orElseThrow())
+              + " is not known");
     }
   }
 
   private static String shown(Object value) {
     String text = String.valueOf(value);
-    return value == null ? ": it is missing"
+    return value == null
+        ? ": it is missing"
         : ": '" + (text.length() > 40 ? text.substring(0, 40) + "..." : text) + '\'';
   }
 }
--- a/members/src/main/java/willowdoor/members/Generation.java
+++ b/members/src/main/java/willowdoor/members/Generation.java
@@ -3,18 +3,19 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A process's place among those of its name: 42 bits that count up, and 20 bits that the process draws once.
- * The count begins at the wall clock, and is raised above whatever is heard of the name.
+ * A process's place among those of its name: 42 bits that count up, and 20 bits that the process
+ * draws once. The count begins at the wall clock, and is raised above whatever is heard of the
+ * name.
  */
 final class Generation {
 
   private static final int DRAWN_BITS = 20;
   private static final long DRAWN = (1L << DRAWN_BITS) - 1;
+
   /** The largest that is accepted: there must be some above it. */
   static final long MOST = 1L << 61;
 
-  private Generation() {
-  }
+  private Generation() {}
 
   /** Of a process that starts; any wall clock in milliseconds will do. */
   static long first(long wallMs, RandomGenerator random) {
--- a/members/src/main/java/willowdoor/members/Gossip.java
+++ b/members/src/main/java/willowdoor/members/Gossip.java
@@ -11,12 +11,13 @@
 final class Gossip {
 
   /** One piece of news: how often it was told, and when it came. */
-  private record Piece(int member, int told, long order) {
-  }
+  private record Piece(int member, int told, long order) {}
 
   /** The least told first, and of those the newest. */
-  private static final Comparator<Piece> NEXT = Comparator.comparingInt(Piece::told)
-      .thenComparing(Comparator.comparingLong(Piece::order).reversed());
+  private static final Comparator<Piece> NEXT =
+      Comparator.comparingInt(Piece::told)
+          .thenComparing(Comparator.comparingLong(Piece::order).reversed());
+
   /** So many that do not fit are passed over. */
   private static final int LOOKS = 32;
 
@@ -51,8 +52,8 @@
   }
 
   /**
-   * Adds what fits into so many bytes, and counts it as told once; one piece where told is empty. Failures
-   * and suspicions may take more.
+   * Adds what fits into so many bytes, and counts it as told once; one piece where told is empty.
+   * Failures and suspicions may take more.
    */
   void take(int bytes, int urgentBytes, List<Statement> told) {
     if (pieces.isEmpty()) {
@@ -64,7 +65,8 @@
     for (Piece piece : order) {
       Statement statement = view.get(piece.member());
       int size = sizes.of(statement);
-      boolean urgent = statement.state() == MemberState.SUSPECT || statement.state() == MemberState.FAILED;
+      boolean urgent =
+          statement.state() == MemberState.SUSPECT || statement.state() == MemberState.FAILED;
       boolean fits = told.isEmpty() || used + size <= (urgent ? urgentBytes : bytes);
       if (fits && !told.contains(statement)) {
         used += size;
--- a/members/src/main/java/willowdoor/members/MemberState.java
+++ b/members/src/main/java/willowdoor/members/MemberState.java
@@ -1,8 +1,8 @@
 package willowdoor.members;
 
 /**
- * What a member is said to be. The order matters: of two statements of the same generation and incarnation
- * the one with the later state holds.
+ * What a member is said to be. The order matters: of two statements of the same generation and
+ * incarnation the one with the later state holds.
  */
 public enum MemberState {
   /** Its process has started, and has not yet been told what the others know. */
--- a/members/src/main/java/willowdoor/members/MembersConfig.java
+++ b/members/src/main/java/willowdoor/members/MembersConfig.java
@@ -6,15 +6,20 @@
  * What is configured under {@code members}.
  *
  * @param self this front door's place in the roster
- * @param holdMs after how long an absent member is left out of what routing goes by, see {@link Places}
+ * @param holdMs after how long an absent member is left out of what routing goes by, see {@link
+ *     Places}
  */
 record MembersConfig(Roster roster, int self, Timing timing, long holdMs) {
 
   static MembersConfig of(Object configured) throws IOException {
     Fields fields = new Fields(configured, "members");
     Roster roster = Roster.read(fields);
-    MembersConfig config = new MembersConfig(roster, roster.place(fields, "self"),
-        Timing.read(fields.child("timing")), fields.whole("hold_ms", 100, 3_600_000, 10_000));
+    MembersConfig config =
+        new MembersConfig(
+            roster,
+            roster.place(fields, "self"),
+            Timing.read(fields.child("timing")),
+            fields.whole("hold_ms", 100, 3_600_000, 10_000));
     fields.end();
     return config;
   }
--- a/members/src/main/java/willowdoor/members/Membership.java
+++ b/members/src/main/java/willowdoor/members/Membership.java
@@ -6,10 +6,10 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One member of the fleet: its view of the others, and what it says to them. A plain state machine: whoever
- * drives it tells the time, in milliseconds of a clock that never goes back, and hands it the datagrams that
- * came, decoded and from the address of whom they name. It answers through {@link Effects}, within the call.
- * Not thread-safe.
+ * One member of the fleet: its view of the others, and what it says to them. A plain state machine:
+ * whoever drives it tells the time, in milliseconds of a clock that never goes back, and hands it
+ * the datagrams that came, decoded and from the address of whom they name. It answers through
+ * {@link Effects}, within the call. Not thread-safe.
  */
 final class Membership implements Core {
 
@@ -38,8 +38,15 @@
    * @param place its own in the roster
    * @param wallMs where its generation begins; any will do
    */
-  Membership(Roster roster, int place, Timing timing, long wallMs, RandomGenerator random, Effects effects,
-      Counts counts, long now) {
+  Membership(
+      Roster roster,
+      int place,
+      Timing timing,
+      long wallMs,
+      RandomGenerator random,
+      Effects effects,
+      Counts counts,
+      long now) {
     this.place = place;
     this.timing = timing;
     this.random = random;
@@ -64,7 +71,8 @@
     if (quiet()) {
       return Long.MAX_VALUE;
     }
-    return Math.min(suspicions.next(), Math.min(prober.next(hasJoined()), exchanger.next(hasJoined())));
+    return Math.min(
+        suspicions.next(), Math.min(prober.next(hasJoined()), exchanger.next(hasJoined())));
   }
 
   void tick(long at) {
@@ -94,7 +102,8 @@
     if (header.generation() < known.generation()) {
       count(Count.OLD_GENERATION);
       // It may be new, with a clock that stepped back: then it must hear what its name has been.
-      boolean asks = message.body() instanceof Message.Exchange || message.body() instanceof Message.Ping;
+      boolean asks =
+          message.body() instanceof Message.Exchange || message.body() instanceof Message.Ping;
       if (asks && exchanger.mayAnswer(now)) {
         send(header.from(), new Message.News(), List.of(known));
       }
@@ -179,8 +188,12 @@
       return;
     }
     Statement mine = view.get(told.member());
-    if (exchanged && told.state() == MemberState.FAILED && told.sameLife(mine) && mine.state().present()) {
-      // Heard from the other side of a cut, for instance: it may answer that before anybody takes it over.
+    if (exchanged
+        && told.state() == MemberState.FAILED
+        && told.sameLife(mine)
+        && mine.state().present()) {
+      // Heard from the other side of a cut, for instance: it may answer that before anybody takes
+      // it over.
       if (speaker.owe(told) && exchanger.mayTell(now)) {
         send(told.member(), new Message.News(), List.of(told));
       }
@@ -195,7 +208,8 @@
   }
 
   private void confirm(Statement mine, List<Integer> accusers) {
-    boolean open = mine.state() == MemberState.SUSPECT && mine.accusers().size() <= timing.confirmations();
+    boolean open =
+        mine.state() == MemberState.SUSPECT && mine.accusers().size() <= timing.confirmations();
     Statement more = open ? mine.suspectedBy(accusers) : mine;
     if (more != mine) {
       count(Count.CONFIRMED);
--- a/members/src/main/java/willowdoor/members/Places.java
+++ b/members/src/main/java/willowdoor/members/Places.java
@@ -3,10 +3,10 @@
 import java.util.Arrays;
 
 /**
- * What routing and limits may go by: how many front doors share the work, and which of them this one is.
- * Members that are absent are left out late and at a limited rate, and taken back in at once; nobody is left
- * out by a front door that is cut off. A plain state machine; times in milliseconds of a clock that never
- * goes back.
+ * What routing and limits may go by: how many front doors share the work, and which of them this
+ * one is. Members that are absent are left out late and at a limited rate, and taken back in at
+ * once; nobody is left out by a front door that is cut off. A plain state machine; times in
+ * milliseconds of a clock that never goes back.
  */
 public final class Places {
 
@@ -15,16 +15,17 @@
    *
    * @param count front doors that spread the work among them, at least 1
    * @param place this one's among those, from 0, in the roster's order
-   * @param sharers among how many to cut what adds up over all front doors: none that may still take its
-   *     part is left out, so two sides of a cut together never take more than the whole
+   * @param sharers among how many to cut what adds up over all front doors: none that may still
+   *     take its part is left out, so two sides of a cut together never take more than the whole
    */
-  public record Place(int count, int place, int sharers) {
-  }
+  public record Place(int count, int place, int sharers) {}
 
   private final int self;
   private final long holdMs;
+
   /** Since when each member has been absent, and since when it has said that it left; or -1. */
   private final long[] absentSince;
+
   private final long[] leftSince;
   private long grownAt;
   private boolean cutOff = true;
@@ -33,8 +34,9 @@
   /**
    * Begins as the roster says.
    *
-   * @param holdMs a member is left out once it was absent for so long, and no sooner than this after others
-   *     were left out; longer than a front door goes on serving after it said that it leaves
+   * @param holdMs a member is left out once it was absent for so long, and no sooner than this
+   *     after others were left out; longer than a front door goes on serving after it said that it
+   *     leaves
    */
   Places(int size, int self, long holdMs) {
     this.self = self;
@@ -53,8 +55,10 @@
 
   /** A statement of the member holds now. */
   void changed(int member, MemberState state, long now) {
-    absentSince[member] = state.present() ? -1 : absentSince[member] < 0 ? now : absentSince[member];
-    leftSince[member] = state != MemberState.LEFT ? -1 : leftSince[member] < 0 ? now : leftSince[member];
+    absentSince[member] =
+        state.present() ? -1 : absentSince[member] < 0 ? now : absentSince[member];
+    leftSince[member] =
+        state != MemberState.LEFT ? -1 : leftSince[member] < 0 ? now : leftSince[member];
   }
 
   void cutOff(boolean is) {
@@ -62,8 +66,8 @@
   }
 
   /**
-   * Looks again; true where what to go by has changed. To be called after each change, and each second or
-   * so.
+   * Looks again; true where what to go by has changed. To be called after each change, and each
+   * second or so.
    */
   boolean look(long now) {
     Place before = place;
@@ -76,8 +80,10 @@
     if (grows) {
       grownAt = now;
     }
-    place = count == wanted.count() ? new Place(count, wanted.place(), sharers)
-        : new Place(count, before.place(), sharers);
+    place =
+        count == wanted.count()
+            ? new Place(count, wanted.place(), sharers)
+            : new Place(count, before.place(), sharers);
     return !place.equals(before);
   }
 
--- a/members/src/main/java/willowdoor/members/Prober.java
+++ b/members/src/main/java/willowdoor/members/Prober.java
@@ -8,20 +8,20 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Probes one member at a time, in an order shuffled anew for each round, lets others probe those that do not
- * answer, and probes on behalf of others. Absent ones are probed rarely, and nothing follows from their
- * silence.
+ * Probes one member at a time, in an order shuffled anew for each round, lets others probe those
+ * that do not answer, and probes on behalf of others. Absent ones are probed rarely, and nothing
+ * follows from their silence.
  */
 final class Prober {
 
   /** So many probes for others are out at most. */
   private static final int MOST_RELAYS = 64;
+
   /** A helper sends its nack after this share of the time in which it is of use. */
   private static final double NACK_AT = 0.7;
 
   /** A probe for another: whom to tell, and when there is no more to wait for. */
-  private record Relay(int asker, long askerSeq, int subject, long nackAt) {
-  }
+  private record Relay(int asker, long askerSeq, int subject, long nackAt) {}
 
   /** The own probe that is out. */
   private static final class Probe {
@@ -59,7 +59,13 @@
   private long nextNews;
   private final Map<Long, Relay> relays = new LinkedHashMap<>();
 
-  Prober(Core core, View view, int self, Timing timing, Health health, Contact contact,
+  Prober(
+      Core core,
+      View view,
+      int self,
+      Timing timing,
+      Health health,
+      Contact contact,
       RandomGenerator random) {
     this.core = core;
     this.view = view;
@@ -121,7 +127,10 @@
     }
   }
 
-  /** This process was held up: its probe begins anew, and those it was asked for are of no use any more. */
+  /**
+   * This process was held up: its probe begins anew, and those it was asked for are of no use any
+   * more.
+   */
   void heldUp(long ms, long now) {
     relays.clear();
     nextAbsent += ms;
@@ -221,7 +230,7 @@
   }
 
   private void giveUpRelays(long now) {
-    for (Iterator<Relay> i = relays.values().iterator(); i.hasNext();) {
+    for (Iterator<Relay> i = relays.values().iterator(); i.hasNext(); ) {
       Relay relay = i.next();
       if (now >= relay.nackAt()) {
         i.remove();
--- a/members/src/main/java/willowdoor/members/Roster.java
+++ b/members/src/main/java/willowdoor/members/Roster.java
@@ -18,9 +18,11 @@
 
   /** Bounds all that is kept of members. */
   static final int MOST = 10_000;
+
   static final int MOST_NAME = 32;
   private static final Pattern NAME = Pattern.compile("[A-Za-z0-9._-]{1," + MOST_NAME + "}");
-  private static final String NAMED = "a name of 1 to " + MOST_NAME + " letters, digits, '.', '_', '-'";
+  private static final String NAMED =
+      "a name of 1 to " + MOST_NAME + " letters, digits, '.', '_', '-'";
   private static final Pattern ADDRESS = Pattern.compile("(.+):(\\d{1,5})");
 
   /**
@@ -29,8 +31,7 @@
    * @param number its number in the fleet, from 0; the roster's order is by it
    * @param host a numeric address
    */
-  public record Peer(String name, int number, String host, int port) {
-  }
+  public record Peer(String name, int number, String host, int port) {}
 
   private final String fleet;
   private final int version;
@@ -57,8 +58,8 @@
     int version = (int) fields.whole("version", 0, Integer.MAX_VALUE);
     List<Fields> entries = fields.children("peers");
     if (entries.isEmpty() || entries.size() > MOST) {
-      throw new IOException(fields.path("peers") + " has " + entries.size() + " entries: 1 to " + MOST
-          + " may be");
+      throw new IOException(
+          fields.path("peers") + " has " + entries.size() + " entries: 1 to " + MOST + " may be");
     }
     List<Peer> peers = new ArrayList<>();
     Set<Object> taken = new HashSet<>();
@@ -81,13 +82,15 @@
     int port = Integer.parseInt(address.substring(colon + 1));
     boolean numeric = NetUtil.isValidIpV4Address(host) || NetUtil.isValidIpV6Address(host);
     if (!numeric || port == 0 || port > 65_535) {
-      throw new IOException(entry.path("addr") + " is not a numeric address and port: '" + address + "'");
+      throw new IOException(
+          entry.path("addr") + " is not a numeric address and port: '" + address + "'");
     }
     entry.end();
     return new Peer(name, number, host, port);
   }
 
-  private static void unique(Set<Object> taken, Object value, Fields entry, String key) throws IOException {
+  private static void unique(Set<Object> taken, Object value, Fields entry, String key)
+      throws IOException {
     if (!taken.add(value)) {
       throw new IOException(entry.path(key) + " is there twice: '" + value + "'");
     }
--- a/members/src/main/java/willowdoor/members/Self.java
+++ b/members/src/main/java/willowdoor/members/Self.java
@@ -8,10 +8,18 @@
 final class Self {
 
   /** What came of something that was said of this process. */
-  enum Answer { NOTHING, REFUTED, RAISED, TWIN, SUPERSEDED, RESUMED }
+  enum Answer {
+    NOTHING,
+    REFUTED,
+    RAISED,
+    TWIN,
+    SUPERSEDED,
+    RESUMED
+  }
 
   /**
-   * Generations above the own one in the time that a twin is looked for: more than one that was here before.
+   * Generations above the own one in the time that a twin is looked for: more than one that was
+   * here before.
    */
   private static final int TWIN_AT = 3;
 
@@ -22,6 +30,7 @@
   private MemberState state = MemberState.JOINING;
   private Tags tags = Tags.NONE;
   private boolean superseded;
+
   /** When a larger generation was heard of, the latest ones. */
   private final Deque<Long> raised = new ArrayDeque<>();
 
@@ -72,7 +81,10 @@
     return Answer.REFUTED;
   }
 
-  /** What it has never said of itself was said by another process, which may be over or still be there. */
+  /**
+   * What it has never said of itself was said by another process, which may be over or still be
+   * there.
+   */
   private Answer outbid(Statement said, long now) {
     while (!raised.isEmpty() && now - raised.peekFirst() > twinMs) {
       raised.removeFirst();
--- a/members/src/main/java/willowdoor/members/Sizes.java
+++ b/members/src/main/java/willowdoor/members/Sizes.java
@@ -1,11 +1,16 @@
 package willowdoor.members;
 
-/** What things take in a datagram at most, so that messages can be filled before they are encoded. */
+/**
+ * What things take in a datagram at most, so that messages can be filled before they are encoded.
+ */
 final class Sizes {
 
   /** No datagram is longer: it passes every usual network in one piece. */
   static final int DATAGRAM = 1_400;
-  /** All but the news, the pages' prints and the names: checksum, numbers, the arrays around them. */
+
+  /**
+   * All but the news, the pages' prints and the names: checksum, numbers, the arrays around them.
+   */
   private static final int FIXED = 96;
 
   private final Roster roster;
--- a/members/src/main/java/willowdoor/members/Speaker.java
+++ b/members/src/main/java/willowdoor/members/Speaker.java
@@ -5,7 +5,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Puts messages together: what the receiver should hear of itself first, then what was told least. */
+/**
+ * Puts messages together: what the receiver should hear of itself first, then what was told least.
+ */
 final class Speaker {
 
   private final Roster roster;
@@ -15,10 +17,21 @@
   private final Gossip gossip;
   private final Sizes sizes;
   private final Effects effects;
-  /** Failures that others told in an exchange of members that are present here; these are told of them. */
+
+  /**
+   * Failures that others told in an exchange of members that are present here; these are told of
+   * them.
+   */
   private final Map<Integer, Statement> owed = new HashMap<>();
 
-  Speaker(Roster roster, Timing timing, Self self, View view, Gossip gossip, Sizes sizes, Effects effects) {
+  Speaker(
+      Roster roster,
+      Timing timing,
+      Self self,
+      View view,
+      Gossip gossip,
+      Sizes sizes,
+      Effects effects) {
     this.roster = roster;
     this.timing = timing;
     this.self = self;
@@ -53,8 +66,9 @@
 
   void say(int to, Message.Body body, List<Statement> statements) {
     Statement own = self.statement();
-    Message.Header header = new Message.Header(own.member(), to, own.generation(), view.digest(),
-        roster.version(), roster.hash());
+    Message.Header header =
+        new Message.Header(
+            own.member(), to, own.generation(), view.digest(), roster.version(), roster.hash());
     effects.send(to, new Message(header, body, statements));
   }
 }
--- a/members/src/main/java/willowdoor/members/Statement.java
+++ b/members/src/main/java/willowdoor/members/Statement.java
@@ -4,21 +4,27 @@
 import java.util.List;
 
 /**
- * What is said of a member. Statements of one member are totally ordered by generation, incarnation and
- * state; who accuses and the tags are not part of that order.
+ * What is said of a member. Statements of one member are totally ordered by generation, incarnation
+ * and state; who accuses and the tags are not part of that order.
  *
  * @param member the member's place in the roster, from 0
  * @param generation of its process; 0 where none was ever heard of
  * @param incarnation raised by the process itself, from 0
- * @param accusers who found on their own that it did not answer, at most {@link #MOST_ACCUSERS}; only of a
- *     suspect
+ * @param accusers who found on their own that it did not answer, at most {@link #MOST_ACCUSERS};
+ *     only of a suspect
  * @param tags what it tells of itself in that incarnation
  */
-public record Statement(int member, long generation, int incarnation, MemberState state,
-    List<Integer> accusers, Tags tags) {
+public record Statement(
+    int member,
+    long generation,
+    int incarnation,
+    MemberState state,
+    List<Integer> accusers,
+    Tags tags) {
 
   /** More confirmations than any time-out goes by. */
   static final int MOST_ACCUSERS = 8;
+
   /** The largest that is accepted: there must be some above it. */
   static final int MOST_INCARNATION = 1 << 30;
 
@@ -32,7 +38,8 @@
     if (generation != other.generation) {
       return generation > other.generation;
     }
-    return incarnation != other.incarnation ? incarnation > other.incarnation
+    return incarnation != other.incarnation
+        ? incarnation > other.incarnation
         : state.compareTo(other.state) > 0;
   }
 
@@ -52,7 +59,9 @@
         all.add(other);
       }
     }
-    return state == MemberState.SUSPECT && all.size() == accusers.size() ? this
-        : new Statement(member, generation, incarnation, MemberState.SUSPECT, List.copyOf(all), tags);
+    return state == MemberState.SUSPECT && all.size() == accusers.size()
+        ? this
+        : new Statement(
+            member, generation, incarnation, MemberState.SUSPECT, List.copyOf(all), tags);
   }
 }
--- a/members/src/main/java/willowdoor/members/Suspicions.java
+++ b/members/src/main/java/willowdoor/members/Suspicions.java
@@ -10,11 +10,10 @@
 /** When those suspected have failed: the time shrinks with each member that accuses on its own. */
 final class Suspicions {
 
-  private record Timer(int member, long began, int members, int expected, long ends) {
-  }
+  private record Timer(int member, long began, int members, int expected, long ends) {}
 
-  private static final Comparator<Timer> NEXT = Comparator.comparingLong(Timer::ends)
-      .thenComparingInt(Timer::member);
+  private static final Comparator<Timer> NEXT =
+      Comparator.comparingLong(Timer::ends).thenComparingInt(Timer::member);
 
   private final Timing timing;
   private final Map<Integer, Timer> timers = new HashMap<>();
@@ -41,8 +40,13 @@
   private void put(Timer timer, int accusers) {
     end(timer.member());
     int confirmed = Math.min(timer.expected(), Math.max(0, accusers - 1));
-    add(new Timer(timer.member(), timer.began(), timer.members(), timer.expected(),
-        timer.began() + timing.suspicionFor(timer.members(), confirmed, timer.expected())));
+    add(
+        new Timer(
+            timer.member(),
+            timer.began(),
+            timer.members(),
+            timer.expected(),
+            timer.began() + timing.suspicionFor(timer.members(), confirmed, timer.expected())));
   }
 
   private void add(Timer timer) {
@@ -76,6 +80,7 @@
   void putOff(long ms) {
     List<Timer> all = new ArrayList<>(order);
     order.clear();
-    all.forEach(t -> add(new Timer(t.member(), t.began() + ms, t.members(), t.expected(), t.ends() + ms)));
+    all.forEach(
+        t -> add(new Timer(t.member(), t.began() + ms, t.members(), t.expected(), t.ends() + ms)));
   }
 }
--- a/members/src/main/java/willowdoor/members/Tags.java
+++ b/members/src/main/java/willowdoor/members/Tags.java
@@ -5,9 +5,9 @@
 import java.util.TreeMap;
 
 /**
- * What other parts let a member tell of itself: names with a few bytes each. Immutable, at most 8 names of 1
- * to 16 ASCII characters and 128 bytes in all, names included. They spread with the member's statement, a
- * change is a new incarnation.
+ * What other parts let a member tell of itself: names with a few bytes each. Immutable, at most 8
+ * names of 1 to 16 ASCII characters and 128 bytes in all, names included. They spread with the
+ * member's statement, a change is a new incarnation.
  */
 public final class Tags {
 
@@ -30,13 +30,15 @@
       String name = e.getKey();
       boolean ascii = StandardCharsets.US_ASCII.newEncoder().canEncode(name);
       if (name.isEmpty() || name.length() > MOST_NAME || !ascii) {
-        throw new IllegalArgumentException("a tag's name is not 1 to 16 ASCII characters: '" + name + "'");
+        throw new IllegalArgumentException(
+            "a tag's name is not 1 to 16 ASCII characters: '" + name + "'");
       }
       bytes += name.length() + e.getValue().length;
       copy.put(name, e.getValue().clone());
     }
     if (bytes > MOST_BYTES || copy.size() > MOST) {
-      throw new IllegalArgumentException("more than " + MOST + " tags or " + MOST_BYTES + " bytes of them");
+      throw new IllegalArgumentException(
+          "more than " + MOST + " tags or " + MOST_BYTES + " bytes of them");
     }
     return copy.isEmpty() ? NONE : new Tags(copy);
   }
--- a/members/src/main/java/willowdoor/members/View.java
+++ b/members/src/main/java/willowdoor/members/View.java
@@ -6,12 +6,13 @@
 import java.util.List;
 
 /**
- * The newest statement of each member of the roster, with digests of all of it and of its pages that are
- * kept up with each change.
+ * The newest statement of each member of the roster, with digests of all of it and of its pages
+ * that are kept up with each change.
  */
 final class View {
 
   static final int MOST_PAGES = 256;
+
   /** A page's print: enough to tell pages apart, as the next exchange salts it anew. */
   static final int PRINT_BYTES = 2;
 
@@ -112,8 +113,10 @@
   }
 
   private static long word(Statement s) {
-    return mix(mix(mix(s.member() + 1L) ^ s.generation())
-        + (long) s.incarnation() * MemberState.count() + s.state().ordinal());
+    return mix(
+        mix(mix(s.member() + 1L) ^ s.generation())
+            + (long) s.incarnation() * MemberState.count()
+            + s.state().ordinal());
   }
 
   /** The finaliser of MurmurHash3, 64 bit. */
--- a/members/src/test/java/willowdoor/members/CodecTest.java
+++ b/members/src/test/java/willowdoor/members/CodecTest.java
@@ -34,16 +34,30 @@
 
   private List<Message> one() {
     Statement plain = new Statement(2, 5L << 20, 1, MemberState.ALIVE, List.of(), Tags.NONE);
-    Statement tagged = new Statement(3, 7L << 20, 0, MemberState.SUSPECT, List.of(0, 4),
-        Tags.of(Map.of("a", new byte[3], "b", new byte[0])));
-    List<Message.Body> bodies = List.of(new Message.Ping(1), new Message.Ack(2, 1),
-        new Message.PingRequest(3, 4, 90), new Message.Nack(4, 2), new Message.News(),
-        new Message.Exchange(5, new byte[] {1, -2}), new Message.Pages(6, 1, 2, 3), new Message.Better(7));
+    Statement tagged =
+        new Statement(
+            3,
+            7L << 20,
+            0,
+            MemberState.SUSPECT,
+            List.of(0, 4),
+            Tags.of(Map.of("a", new byte[3], "b", new byte[0])));
+    List<Message.Body> bodies =
+        List.of(
+            new Message.Ping(1),
+            new Message.Ack(2, 1),
+            new Message.PingRequest(3, 4, 90),
+            new Message.Nack(4, 2),
+            new Message.News(),
+            new Message.Exchange(5, new byte[] {1, -2}),
+            new Message.Pages(6, 1, 2, 3),
+            new Message.Better(7));
     return bodies.stream().map(b -> new Message(header, b, List.of(plain, tagged))).toList();
   }
 
   private Count dropped(Codec by, byte[] datagram, int from) {
-    return assertThrows(Codec.Dropped.class, () -> by.decode(datagram, datagram.length, from)).reason;
+    return assertThrows(Codec.Dropped.class, () -> by.decode(datagram, datagram.length, from))
+        .reason;
   }
 
   @Test
@@ -74,7 +88,8 @@
 
   @Test
   void namesOfAnotherRosterAreLeftOut() throws Exception {
-    Roster smaller = new Roster("model", 2, List.of(roster.peer(0), roster.peer(1), roster.peer(3)));
+    Roster smaller =
+        new Roster("model", 2, List.of(roster.peer(0), roster.peer(1), roster.peer(3)));
     byte[] datagram = sender.encode(one().get(0));
     Message read = new Codec(smaller, 1, counts).decode(datagram, datagram.length, 0);
     assertEquals(List.of(2), read.news().stream().map(Statement::member).toList());
@@ -86,35 +101,44 @@
   void theLongestNamesTagsAndListsKeepToOneDatagram() throws Exception {
     List<Roster.Peer> peers = new ArrayList<>();
     for (int i = 0; i < 600; i++) {
-      peers.add(new Roster.Peer("m".repeat(28) + (1_000 + i), i, "10.1." + i / 250 + '.' + i % 250, 7_946));
+      peers.add(
+          new Roster.Peer(
+              "m".repeat(28) + (1_000 + i), i, "10.1." + i / 250 + '.' + i % 250, 7_946));
     }
     Roster long600 = new Roster("f".repeat(32), 1, peers);
     Tags tags = Tags.of(Map.of("n".repeat(16), new byte[112]));
     List<Integer> most = new ArrayList<>();
-    Effects effects = new Effects() {
-      @Override
-      public void send(int to, Message message) {
-        most.add(new Codec(long600, 0, counts).encode(message).length);
-      }
-
-      @Override
-      public void changed(Statement was, Statement is) {
-      }
-
-      @Override
-      public void cutOff(boolean cutOff) {
-      }
-
-      @Override
-      public void twin(boolean superseded) {
-      }
-    };
-    Membership member = new Membership(long600, 0, Timing.of(Map.of("urgent_bytes", 1_000L)), 1L << 40,
-        new SplittableRandom(1), effects, counts, 0);
+    Effects effects =
+        new Effects() {
+          @Override
+          public void send(int to, Message message) {
+            most.add(new Codec(long600, 0, counts).encode(message).length);
+          }
+
+          @Override
+          public void changed(Statement was, Statement is) {}
+
+          @Override
+          public void cutOff(boolean cutOff) {}
+
+          @Override
+          public void twin(boolean superseded) {}
+        };
+    Membership member =
+        new Membership(
+            long600,
+            0,
+            Timing.of(Map.of("urgent_bytes", 1_000L)),
+            1L << 40,
+            new SplittableRandom(1),
+            effects,
+            counts,
+            0);
     for (int i = 1; i < 600; i++) {
       Message.Header from = new Message.Header(i, 0, 1L << 60, 0, 1, long600.hash());
-      Statement s = new Statement(i, 1L << 60, 1 << 29, MemberState.SUSPECT,
-          List.of(1, 2, 3, 4, 5, 6, 7, 8), tags);
+      Statement s =
+          new Statement(
+              i, 1L << 60, 1 << 29, MemberState.SUSPECT, List.of(1, 2, 3, 4, 5, 6, 7, 8), tags);
       Message.Exchange all = new Message.Exchange(Long.MAX_VALUE, new byte[0]);
       member.receive(new Message(from, all, List.of(s)), i * 1_000L);
       member.tick(i * 1_000L);
@@ -142,11 +166,14 @@
   void garbageNeverThrowsAndChangesNoView() {
     SplittableRandom random = new SplittableRandom(11);
     long digest = fleet.node(1).member.digest();
-    assertEquals(0, fed(d -> {
-      byte[] noise = new byte[random.nextInt(1_500)];
-      random.nextBytes(noise);
-      return noise;
-    }));
+    assertEquals(
+        0,
+        fed(
+            d -> {
+              byte[] noise = new byte[random.nextInt(1_500)];
+              random.nextBytes(noise);
+              return noise;
+            }));
     assertEquals(0, fed(d -> Arrays.copyOf(d, random.nextInt(d.length))));
     assertEquals(0, fed(d -> mutated(d, random)));
     assertEquals(digest, fleet.node(1).member.digest());
--- a/members/src/test/java/willowdoor/members/Measure.java
+++ b/members/src/test/java/willowdoor/members/Measure.java
@@ -6,17 +6,23 @@
 import java.util.List;
 import java.util.Map;
 
-/** Measures a fleet of the model: {@code Measure members|cuts|loss SIZE [key=value...]}. Not a test. */
+/**
+ * Measures a fleet of the model: {@code Measure members|cuts|loss SIZE [key=value...]}. Not a test.
+ */
 final class Measure {
 
-  private Measure() {
-  }
+  private Measure() {}
 
   public static void main(String[] args) throws IOException {
     int size = Integer.parseInt(args[1]);
     Map<String, Object> timing = new java.util.HashMap<>();
-    Arrays.stream(args).skip(2).map(a -> a.split("=")).forEach(a -> timing.put(a[0],
-        a[1].contains(".") ? (Object) Double.valueOf(a[1]) : Long.valueOf(a[1])));
+    Arrays.stream(args)
+        .skip(2)
+        .map(a -> a.split("="))
+        .forEach(
+            a ->
+                timing.put(
+                    a[0], a[1].contains(".") ? (Object) Double.valueOf(a[1]) : Long.valueOf(a[1])));
     switch (args[0]) {
       case "members" -> members(size, timing);
       case "cuts" -> cuts(size, timing);
@@ -31,8 +37,9 @@
     fleet.bytes = 0;
     fleet.datagrams = 0;
     fleet.run(10_000);
-    System.out.printf("%d members, calm: %.0f bytes/s and %.1f datagrams/s a member%n", size,
-        fleet.bytes / 10.0 / size, fleet.datagrams / 10.0 / size);
+    System.out.printf(
+        "%d members, calm: %.0f bytes/s and %.1f datagrams/s a member%n",
+        size, fleet.bytes / 10.0 / size, fleet.datagrams / 10.0 / size);
     int kills = size <= 200 ? 200 : size <= 2_000 ? 60 : 20;
     long[] first = new long[kills];
     long[] all = new long[kills];
@@ -43,13 +50,14 @@
       fleet.kill(victim);
       long began = fleet.now;
       long[] seen = {0, 0};
-      fleet.watcher = (node, was, is) -> {
-        if (is.member() == victim && is.state() == MemberState.FAILED) {
-          seen[0] = seen[0] == 0 ? fleet.now - began : seen[0];
-          seen[1]++;
-          known[0] = fleet.now - began;
-        }
-      };
+      fleet.watcher =
+          (node, was, is) -> {
+            if (is.member() == victim && is.state() == MemberState.FAILED) {
+              seen[0] = seen[0] == 0 ? fleet.now - began : seen[0];
+              seen[1]++;
+              known[0] = fleet.now - began;
+            }
+          };
       while (seen[1] < left && fleet.now - began < 60_000) {
         fleet.run(100);
       }
@@ -58,8 +66,11 @@
       fleet.start(victim, 0);
       fleet.run(6_000);
     }
-    System.out.printf("killed, %d times: found in the middle after %d ms, all know: middle %d, p99 %d ms%n",
-        kills, ModelFleet.quantile(first, 0.5), ModelFleet.quantile(all, 0.5),
+    System.out.printf(
+        "killed, %d times: found in the middle after %d ms, all know: middle %d, p99 %d ms%n",
+        kills,
+        ModelFleet.quantile(first, 0.5),
+        ModelFleet.quantile(all, 0.5),
         ModelFleet.quantile(all, 0.99));
   }
 
@@ -75,15 +86,22 @@
     for (ModelFleet.Node node : fleet.nodes) {
       node.member.tick(fleet.now);
       int from = node.place == 0 ? 1 : 0;
-      node.member.receive(new Message(new Message.Header(from, node.place, all.get(from).generation(), 0, 1,
-          fleet.roster.hash()), new Message.Pages(1, 0, 1, 0), all), fleet.now);
+      node.member.receive(
+          new Message(
+              new Message.Header(
+                  from, node.place, all.get(from).generation(), 0, 1, fleet.roster.hash()),
+              new Message.Pages(1, 0, 1, 0),
+              all),
+          fleet.now);
       node.wake();
     }
     fleet.path = (from, to) -> true;
     return fleet;
   }
 
-  /** How long until all views are equal after a cut in two, and the bytes of that time against calm. */
+  /**
+   * How long until all views are equal after a cut in two, and the bytes of that time against calm.
+   */
   private static void cuts(int size, Map<String, Object> timing) throws IOException {
     for (int part : new int[] {size / 2, size * 49 / 100, 1}) {
       ModelFleet fleet = ModelFleet.calm(size, 2, timing);
@@ -100,7 +118,8 @@
         long began = fleet.now;
         while (fleet.now - began < 40_000) {
           fleet.run(100);
-          if (noticed[i] == 0 && fleet.nodes.stream().allMatch(n -> n.place >= part || n.member.cutOff())) {
+          if (noticed[i] == 0
+              && fleet.nodes.stream().allMatch(n -> n.place >= part || n.member.cutOff())) {
             noticed[i] = fleet.now - began;
           }
         }
@@ -112,10 +131,16 @@
         fleet.run(20_000);
       }
       Arrays.sort(ratio);
-      System.out.printf("%d|%d: the smaller side knows that it is cut off after %d ms at most; healed: middle"
-          + " %d, p99 %d ms; bytes/s against calm: middle %.1f, most %.1f%n", part, size - part,
-          ModelFleet.quantile(noticed, 1), ModelFleet.quantile(healed, 0.5),
-          ModelFleet.quantile(healed, 0.99), ratio[cuts / 2], ratio[cuts - 1]);
+      System.out.printf(
+          "%d|%d: the smaller side knows that it is cut off after %d ms at most; healed: middle"
+              + " %d, p99 %d ms; bytes/s against calm: middle %.1f, most %.1f%n",
+          part,
+          size - part,
+          ModelFleet.quantile(noticed, 1),
+          ModelFleet.quantile(healed, 0.5),
+          ModelFleet.quantile(healed, 0.99),
+          ratio[cuts / 2],
+          ratio[cuts - 1]);
     }
   }
 
@@ -128,8 +153,12 @@
         fleet.loss = loss;
         fleet.delayMs = loss > 0.1 ? 200 : 2;
         fleet.run(600_000);
-        System.out.printf("loss %.2f, Lifeguard %s, 10 min: accused %d, found failed %d, refuted %d%n", loss,
-            lifeguard ? "on" : "off", fleet.count(Count.ACCUSED), fleet.count(Count.FOUND_FAILED),
+        System.out.printf(
+            "loss %.2f, Lifeguard %s, 10 min: accused %d, found failed %d, refuted %d%n",
+            loss,
+            lifeguard ? "on" : "off",
+            fleet.count(Count.ACCUSED),
+            fleet.count(Count.FOUND_FAILED),
             fleet.count(Count.REFUTED));
       }
     }
--- a/members/src/test/java/willowdoor/members/ModelFleet.java
+++ b/members/src/test/java/willowdoor/members/ModelFleet.java
@@ -14,6 +14,7 @@
 final class ModelFleet {
 
   private static final long WALL_MS = 1_700_000_000_000L;
+
   /** Datagrams that a stopped process's socket holds. */
   private static final int SOCKET_HOLDS = 256;
 
@@ -22,8 +23,7 @@
     boolean open(int from, int to);
   }
 
-  private record Event(long at, long order, Node to, byte[] datagram, Message message) {
-  }
+  private record Event(long at, long order, Node to, byte[] datagram, Message message) {}
 
   /** One process. */
   final class Node implements Effects {
@@ -56,7 +56,8 @@
       }
       for (Node node : nodes) {
         if (node.place == to && !node.dead) {
-          events.add(new Event(now + 1 + random.nextInt(delayMs), order++, node, datagram, message));
+          events.add(
+              new Event(now + 1 + random.nextInt(delayMs), order++, node, datagram, message));
         }
       }
     }
@@ -67,12 +68,10 @@
     }
 
     @Override
-    public void cutOff(boolean cutOff) {
-    }
+    public void cutOff(boolean cutOff) {}
 
     @Override
-    public void twin(boolean superseded) {
-    }
+    public void twin(boolean superseded) {}
 
     void take(Event event) {
       if (dead) {
@@ -106,8 +105,12 @@
 
     private void receive(Event event) {
       try {
-        member.receive(event.datagram == null ? event.message
-            : codec.decode(event.datagram, event.datagram.length, event.message.header().from()), now);
+        member.receive(
+            event.datagram == null
+                ? event.message
+                : codec.decode(
+                    event.datagram, event.datagram.length, event.message.header().from()),
+            now);
       } catch (Codec.Dropped e) {
         counts.add(e.reason);
       }
@@ -134,16 +137,18 @@
   final Timing timing;
   final SplittableRandom random;
   final List<Node> nodes = new ArrayList<>();
-  private final PriorityQueue<Event> events = new PriorityQueue<>((a, b) ->
-      a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
+  private final PriorityQueue<Event> events =
+      new PriorityQueue<>(
+          (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
   private long order;
   long now = 1_000;
   double loss;
   int delayMs = 2;
   Path path = (from, to) -> true;
-  Watcher watcher = (node, was, is) -> { };
+  Watcher watcher = (node, was, is) -> {};
   long bytes;
   long datagrams;
+
   /** Off for thousands: messages are handed on as objects then, and bytes are not counted. */
   boolean encodes = true;
 
@@ -198,7 +203,10 @@
     now = end;
   }
 
-  /** Runs until all views are equal and all that live are alive there; the time, or -1 where it ran out. */
+  /**
+   * Runs until all views are equal and all that live are alive there; the time, or -1 where it ran
+   * out.
+   */
   long untilEqual(long mostMs) {
     for (long t = 0; t <= mostMs; t += 20) {
       if (equal()) {
@@ -211,8 +219,9 @@
 
   boolean equal() {
     long digest = nodes.get(0).member.digest();
-    return nodes.stream().allMatch(n -> n.member.digest() == digest
-        && nodes.get(0).of(n.place) == MemberState.ALIVE);
+    return nodes.stream()
+        .allMatch(
+            n -> n.member.digest() == digest && nodes.get(0).of(n.place) == MemberState.ALIVE);
   }
 
   /** Runs until every other one holds the member for such; the time, or -1 where it ran out. */
--- a/members/src/test/java/willowdoor/members/ModelTest.java
+++ b/members/src/test/java/willowdoor/members/ModelTest.java
@@ -26,7 +26,8 @@
     for (int i = 0; i < took.length; i++) {
       fleet.kill(i * 5);
       took[i] = fleet.untilAll(i * 5, MemberState.FAILED, 10_000);
-      assertTrue(took[i] >= fleet.timing.suspicionLeast(100), "it had no time to answer: " + took[i]);
+      assertTrue(
+          took[i] >= fleet.timing.suspicionLeast(100), "it had no time to answer: " + took[i]);
       fleet.start(i * 5, 0);
       assertTrue(fleet.untilEqual(10_000) >= 0);
     }
@@ -116,7 +117,8 @@
     fleet.bytes = 0;
     long healed = fleet.untilEqual(20_000);
     assertTrue(healed >= 0 && healed <= 5_000, "healed after " + healed);
-    assertTrue(fleet.bytes * 1_000 / healed <= 4 * calm, fleet.bytes * 1_000 / healed + " for " + calm);
+    assertTrue(
+        fleet.bytes * 1_000 / healed <= 4 * calm, fleet.bytes * 1_000 / healed + " for " + calm);
     assertTrue(fleet.nodes.stream().noneMatch(n -> n.member.cutOff()));
     fleet.run(60_000);
     assertTrue(fleet.nodes.stream().allMatch(n -> n.member.differing().isEmpty()));
@@ -177,12 +179,14 @@
     ModelFleet fleet = ModelFleet.calm(10, ANY);
     ModelFleet.Node old = fleet.node(5);
     List<Statement> news = List.of(old.member.statement(5).as(MemberState.LEFT));
-    Message.Header header = new Message.Header(5, 1, news.get(0).generation(), 0, 1, fleet.roster.hash());
+    Message.Header header =
+        new Message.Header(5, 1, news.get(0).generation(), 0, 1, fleet.roster.hash());
     fleet.kill(5);
     fleet.start(5, 1_000);
     assertTrue(fleet.untilEqual(5_000) >= 0);
     long digest = fleet.node(1).member.digest();
-    for (Message.Body body : List.of(new Message.Ping(1), new Message.News(), new Message.Better(1))) {
+    for (Message.Body body :
+        List.of(new Message.Ping(1), new Message.News(), new Message.Better(1))) {
       fleet.node(1).member.receive(new Message(header, body, news), fleet.now);
     }
     assertEquals(3, fleet.node(1).counts.get(Count.OLD_GENERATION));
@@ -214,7 +218,8 @@
     }
     fleet.run(15_000);
     for (ModelFleet.Node node : fleet.nodes) {
-      assertTrue(!node.member.cutOff() && node.of(5) == MemberState.LEFT && node.member.present() == 19);
+      assertTrue(
+          !node.member.cutOff() && node.of(5) == MemberState.LEFT && node.member.present() == 19);
     }
   }
 
@@ -223,7 +228,9 @@
     ModelFleet fleet = ModelFleet.calm(20, ANY);
     fleet.node(5).member.tags(Tags.NONE.with("zone", new byte[] {4, 2}), fleet.now);
     fleet.run(2_000);
-    assertTrue(fleet.nodes.stream().allMatch(n -> Arrays.equals(new byte[] {4, 2},
-        n.member.statement(5).tags().get("zone"))));
+    assertTrue(
+        fleet.nodes.stream()
+            .allMatch(
+                n -> Arrays.equals(new byte[] {4, 2}, n.member.statement(5).tags().get("zone"))));
   }
 }
--- a/members/src/test/java/willowdoor/members/PlacesTest.java
+++ b/members/src/test/java/willowdoor/members/PlacesTest.java
@@ -40,8 +40,8 @@
   }
 
   /**
-   * Members that leave, die and are cut off, each by its own view: what adds up is never more than the
-   * whole.
+   * Members that leave, die and are cut off, each by its own view: what adds up is never more than
+   * the whole.
    */
   @Test
   void twoSidesNeverTakeMoreThanTheWhole() {
--- a/members/src/test/java/willowdoor/members/RosterTest.java
+++ b/members/src/test/java/willowdoor/members/RosterTest.java
@@ -8,9 +8,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.junit.jupiter.api.Test;
 
 /** What may stand in a configuration. */
 class RosterTest {
@@ -20,8 +20,17 @@
   }
 
   private static Map<String, Object> fields() {
-    return new TreeMap<>(Map.of("fleet", "f", "version", 3L, "self", "b",
-        "peers", new ArrayList<>(List.of(peer("b", 2, "10.0.0.2:7000"), peer("a", 1, "10.0.0.1:7000")))));
+    return new TreeMap<>(
+        Map.of(
+            "fleet",
+            "f",
+            "version",
+            3L,
+            "self",
+            "b",
+            "peers",
+            new ArrayList<>(
+                List.of(peer("b", 2, "10.0.0.2:7000"), peer("a", 1, "10.0.0.1:7000")))));
   }
 
   @Test
@@ -34,30 +43,40 @@
   }
 
   @ParameterizedTest
-  @CsvSource(delimiter = '|', value = {
-      "fleet|a b|members.fleet is not a name of 1 to 32 letters, digits, '.', '_', '-': 'a b'",
-      "self|c|members.self is not among the peers: 'c'", "other|1|members.other is not known",
-      "version|x|members.version is not a whole number from 0 to 2147483647: 'x'",
-      "peers|x|members.peers is not a list", "timing|x|members.timing is not an object"})
+  @CsvSource(
+      delimiter = '|',
+      value = {
+        "fleet|a b|members.fleet is not a name of 1 to 32 letters, digits, '.', '_', '-': 'a b'",
+        "self|c|members.self is not among the peers: 'c'",
+        "other|1|members.other is not known",
+        "version|x|members.version is not a whole number from 0 to 2147483647: 'x'",
+        "peers|x|members.peers is not a list",
+        "timing|x|members.timing is not an object"
+      })
   void whatIsWrongIsToldByItsPath(String key, String value, String message) {
     Map<String, Object> fields = fields();
     fields.put(key, value);
-    assertEquals(message, assertThrows(IOException.class, () -> MembersConfig.of(fields)).getMessage());
+    assertEquals(
+        message, assertThrows(IOException.class, () -> MembersConfig.of(fields)).getMessage());
   }
 
   @ParameterizedTest
-  @CsvSource(delimiter = '|', value = {
-      "a|3|10.0.0.3:7000|members.peers[2].name is there twice: 'a'",
-      "c|1|10.0.0.3:7000|members.peers[2].number is there twice: '1'",
-      "c|3|10.0.0.1:7000|members.peers[2].addr is there twice: '10.0.0.1:7000'",
-      "c|3|host:7000|members.peers[2].addr is not a numeric address and port: 'host:7000'",
-      "c|3|10.0.0.3:0|members.peers[2].addr is not a numeric address and port: '10.0.0.3:0'"})
+  @CsvSource(
+      delimiter = '|',
+      value = {
+        "a|3|10.0.0.3:7000|members.peers[2].name is there twice: 'a'",
+        "c|1|10.0.0.3:7000|members.peers[2].number is there twice: '1'",
+        "c|3|10.0.0.1:7000|members.peers[2].addr is there twice: '10.0.0.1:7000'",
+        "c|3|host:7000|members.peers[2].addr is not a numeric address and port: 'host:7000'",
+        "c|3|10.0.0.3:0|members.peers[2].addr is not a numeric address and port: '10.0.0.3:0'"
+      })
   void soIsWhatIsWrongWithAPeer(String name, long number, String addr, String message) {
     Map<String, Object> fields = fields();
     List<Object> peers = new ArrayList<>((List<?>) fields.get("peers"));
     peers.add(peer(name, number, addr));
     fields.put("peers", peers);
-    assertEquals(message, assertThrows(IOException.class, () -> MembersConfig.of(fields)).getMessage());
+    assertEquals(
+        message, assertThrows(IOException.class, () -> MembersConfig.of(fields)).getMessage());
   }
 
   @Test
@@ -67,7 +86,8 @@
     assertEquals(1_000, MembersConfig.of(fields).timing().probe());
     assertEquals(400, MembersConfig.of(fields).timing().ackWithin());
     fields.put("timing", Map.of("probe_ms", 5L));
-    assertEquals("members.timing.probe_ms is not a whole number from 10 to 3600000: '5'",
+    assertEquals(
+        "members.timing.probe_ms is not a whole number from 10 to 3600000: '5'",
         assertThrows(IOException.class, () -> MembersConfig.of(fields)).getMessage());
   }
 }
--- a/notices/src/main/java/willowdoor/notices/Alone.java
+++ b/notices/src/main/java/willowdoor/notices/Alone.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * A reader that reads by itself: one that resumes, until it is where its group is, or a slow one. It holds
- * its position and at most one answer to a fetch.
+ * A reader that reads by itself: one that resumes, until it is where its group is, or a slow one.
+ * It holds its position and at most one answer to a fetch.
  */
 final class Alone {
   /** What a stream lacks for a reader. */
@@ -19,12 +19,16 @@
   private final ServerSentEvents events;
   private Position at;
   private long order;
+
   /** What this front door never had and another may have: up to the stream's base here. */
   private final Map<StreamId, Lack> elsewhere = new LinkedHashMap<>();
+
   private final ArrayDeque<Notice> fetched = new ArrayDeque<>();
   private Lack fetchedGap;
+
   /** When it last asked, and since when it has waited; -1 where it does not. */
   private long askedMs = -1;
+
   private long waitsMs = -1;
 
   /** One that goes on from a group, or begins now. */
@@ -85,13 +89,17 @@
       return null;
     }
     Entry entry = retained.get(order++);
-    return entry.notice() != null ? notice(entry.notice(), nowMs)
-        : gap(new Lack(entry.stream(), Math.max(entry.from(), at.of(entry.stream()) + 1), entry.to()), nowMs);
+    return entry.notice() != null
+        ? notice(entry.notice(), nowMs)
+        : gap(
+            new Lack(entry.stream(), Math.max(entry.from(), at.of(entry.stream()) + 1), entry.to()),
+            nowMs);
   }
 
   /** Goes over what the reader has had already. */
   void skip(Retained retained) {
-    while (order >= retained.first() && order < retained.end()
+    while (order >= retained.first()
+        && order < retained.end()
         && retained.get(order).to() <= at.of(retained.get(order).stream())) {
       order++;
     }
@@ -106,15 +114,20 @@
     if (lack.to() != Entry.OPEN) {
       at = at.with(lack.stream(), lack.to());
     }
-    return new Reader.Piece(events.gap(lack.stream(), lack.from(), lack.to(), at), at, null, order, nowMs);
+    return new Reader.Piece(
+        events.gap(lack.stream(), lack.from(), lack.to(), at), at, null, order, nowMs);
   }
 
-  /** What to ask another front door for now, null where nothing is lacking or an answer is awaited. */
+  /**
+   * What to ask another front door for now, null where nothing is lacking or an answer is awaited.
+   */
   Lack ask(long nowMs) {
     if (waitsMs >= 0 && nowMs - waitsMs >= Limits.FETCH_MS) {
       gone();
     }
-    if (elsewhere.isEmpty() || fetchedGap != null || !fetched.isEmpty()
+    if (elsewhere.isEmpty()
+        || fetchedGap != null
+        || !fetched.isEmpty()
         || askedMs >= 0 && nowMs - askedMs < ASK_AGAIN_MS) {
       return null;
     }
@@ -123,10 +136,14 @@
     return elsewhere.values().iterator().next();
   }
 
-  /** Another front door's answer; one to another question, or that brings nothing, is passed over. */
+  /**
+   * Another front door's answer; one to another question, or that brings nothing, is passed over.
+   */
   void fetched(PeerMessage.Fetched answer) {
     Lack lack = elsewhere.isEmpty() ? null : elsewhere.values().iterator().next();
-    if (waitsMs < 0 || lack == null || !lack.stream().equals(answer.stream())
+    if (waitsMs < 0
+        || lack == null
+        || !lack.stream().equals(answer.stream())
         || lack.from() != answer.after() + 1) {
       return;
     }
@@ -135,7 +152,9 @@
       fetchedGap = new Lack(lack.stream(), lack.from(), upTo);
     }
     for (Notice notice : answer.notices()) {
-      if (notice.seq() == upTo + 1 && notice.seq() <= lack.to() && notice.stream().equals(lack.stream())) {
+      if (notice.seq() == upTo + 1
+          && notice.seq() <= lack.to()
+          && notice.stream().equals(lack.stream())) {
         fetched.add(notice);
         upTo++;
       }
--- a/notices/src/main/java/willowdoor/notices/Assignment.java
+++ b/notices/src/main/java/willowdoor/notices/Assignment.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 
 /**
- * Who may be told to move, where to, and whether an order still counts. An order is good only under the
- * very view it was decided in, at a member that is not cut off, once that view has stood for a while, and
- * once for each reader.
+ * Who may be told to move, where to, and whether an order still counts. An order is good only under
+ * the very view it was decided in, at a member that is not cut off, once that view has stood for a
+ * while, and once for each reader.
  */
 class Assignment {
   private static final int REMEMBERED = 16_384;
@@ -19,6 +19,7 @@
   private long changedMs;
   private double room;
   private long roomMs;
+
   /** The highest count seen of each reader; whose is forgotten first came longest ago. */
   private final Map<Long, Long> counts = new LinkedHashMap<>();
 
@@ -28,7 +29,10 @@
     this.room = limits.movesPerSecond() / 2.0;
   }
 
-  /** Takes in the view of the members; anything that differs from the one before begins the wait anew. */
+  /**
+   * Takes in the view of the members; anything that differs from the one before begins the wait
+   * anew.
+   */
   void view(FleetView now, long nowMs) {
     if (!now.equals(view)) {
       changedMs = nowMs;
@@ -65,7 +69,14 @@
    * @param restedMs since its last move
    * @return the order; null where nobody may be moved now, or the reader stays
    */
-  MoveOrder decide(long key, long customer, PaceClass pace, boolean away, int home, long count, long restedMs,
+  MoveOrder decide(
+      long key,
+      long customer,
+      PaceClass pace,
+      boolean away,
+      int home,
+      long count,
+      long restedMs,
       long nowMs) {
     long rest = count == 0 ? 0 : limits.restMs() << Math.min(count - 1, MAX_DOUBLINGS);
     if (!settled(nowMs) || restedMs < rest) {
@@ -81,8 +92,10 @@
   private int elsewhere(long key) {
     int best = -1;
     for (FleetView.Member member : view.members()) {
-      if (member.number() != self && (best < 0 || Long.compareUnsigned(Places.score(member.number(), key),
-          Places.score(best, key)) > 0)) {
+      if (member.number() != self
+          && (best < 0
+              || Long.compareUnsigned(Places.score(member.number(), key), Places.score(best, key))
+                  > 0)) {
         best = member.number();
       }
     }
@@ -108,7 +121,9 @@
     if (!stands(order, nowMs)) {
       return false;
     }
-    room = Math.min(limits.movesPerSecond() / 2.0, room + (nowMs - roomMs) * limits.movesPerSecond() / 1e3);
+    room =
+        Math.min(
+            limits.movesPerSecond() / 2.0, room + (nowMs - roomMs) * limits.movesPerSecond() / 1e3);
     roomMs = nowMs;
     if (room < 1) {
       return false;
--- a/notices/src/main/java/willowdoor/notices/Effect.java
+++ b/notices/src/main/java/willowdoor/notices/Effect.java
@@ -8,12 +8,15 @@
   /** End the link to it. */
   record Disconnect(int peer) implements Effect {}
 
-  /** {@link PeerMessage.Back} goes on the link that the peer opened, all else on the one opened to it. */
+  /**
+   * {@link PeerMessage.Back} goes on the link that the peer opened, all else on the one opened to
+   * it.
+   */
   record Send(int peer, PeerMessage message) implements Effect {}
 
   /**
-   * Write to a reader; bytes shared with other readers. {@link NoticesDoor#taken} tells what its socket
-   * took.
+   * Write to a reader; bytes shared with other readers. {@link NoticesDoor#taken} tells what its
+   * socket took.
    */
   record Write(long reader, byte[] bytes) implements Effect {}
 
--- a/notices/src/main/java/willowdoor/notices/Group.java
+++ b/notices/src/main/java/willowdoor/notices/Group.java
@@ -6,9 +6,9 @@
 import java.util.function.Consumer;
 
 /**
- * Readers of one customer that share one encoded copy: a window of pieces that all but the slowest have
- * taken. It moves on when the last reader has taken its oldest piece, so one slow reader holds up all once
- * the window is full.
+ * Readers of one customer that share one encoded copy: a window of pieces that all but the slowest
+ * have taken. It moves on when the last reader has taken its oldest piece, so one slow reader holds
+ * up all once the window is full.
  */
 final class Group {
   private static final long HELD_MS = 500;
@@ -18,10 +18,13 @@
   private final Ring<Reader.Piece> window = new Ring<>(0);
   private final List<Reader> readers = new ArrayList<>();
   private long bytes;
+
   /** Since when the window is full, -1 while it is not. */
   private long fullMs = -1;
+
   /** The next event of the front door's order to encode, and the position before it. */
   private long order;
+
   private Position at;
 
   Group(Limits limits, ServerSentEvents events, long order, Position at) {
@@ -64,16 +67,19 @@
     while (bytes < limits.windowBytes() && order < retained.end()) {
       Entry entry = retained.get(order++);
       at = entry.after();
-      add(entry.notice() != null ? events.notice(entry.notice(), at)
-          : events.gap(entry.stream(), entry.from(), entry.to(), at), nowMs);
+      add(
+          entry.notice() != null
+              ? events.notice(entry.notice(), at)
+              : events.gap(entry.stream(), entry.from(), entry.to(), at),
+          nowMs);
     }
     fullMs = bytes < limits.windowBytes() ? -1 : fullMs < 0 ? nowMs : fullMs;
     return window.end() > before;
   }
 
   /**
-   * Tells what the front door had to let go of before the group came to it: one piece, since a reader
-   * between two of them would be neither before nor after what is gone.
+   * Tells what the front door had to let go of before the group came to it: one piece, since a
+   * reader between two of them would be neither before nor after what is gone.
    */
   private void skip(Retained retained, long nowMs) {
     ByteArrayOutputStream gaps = new ByteArrayOutputStream();
@@ -96,7 +102,9 @@
 
   /** Writes to a reader what it may have under way. */
   void feed(Reader reader, Consumer<Effect> effects) {
-    while (!reader.closing && reader.next < window.end() && reader.outBytes() < limits.inflightBytes()) {
+    while (!reader.closing
+        && reader.next < window.end()
+        && reader.outBytes() < limits.inflightBytes()) {
       reader.write(window.get(reader.next++), effects);
     }
   }
@@ -129,10 +137,13 @@
     while (place > window.first() && window.get(place - 1).order > readerOrder) {
       place--;
     }
-    // It is at the window where it has had all before it; what the window holds and it has had would come
+    // It is at the window where it has had all before it; what the window holds and it has had
+    // would come
     // twice.
-    boolean joins = window.isEmpty() ? order == readerOrder
-        : place > window.first() || readerOrder >= window.get(place).order - 1;
+    boolean joins =
+        window.isEmpty()
+            ? order == readerOrder
+            : place > window.first() || readerOrder >= window.get(place).order - 1;
     if (joins) {
       for (long n = place; n < window.end(); n++) {
         window.get(n).left++;
@@ -151,8 +162,10 @@
     for (long n = reader.done; n < window.end(); n++) {
       window.get(n).left--;
     }
-    long next = reader.next < window.end() && reader.next > window.first() ? window.get(reader.next - 1).order
-        : reader.next == window.end() ? order : orderBefore(reader.next);
+    long next =
+        reader.next < window.end() && reader.next > window.first()
+            ? window.get(reader.next - 1).order
+            : reader.next == window.end() ? order : orderBefore(reader.next);
     reader.group = null;
     trim();
     return next;
--- a/notices/src/main/java/willowdoor/notices/Interest.java
+++ b/notices/src/main/java/willowdoor/notices/Interest.java
@@ -11,19 +11,21 @@
 
 /**
  * Which member has readers of which customer. Each member says so of itself, in changes that carry
- * versions, so that they may go any way: with the members' exchange, twice, late. What does not join on to
- * what is known is asked for again from there.
+ * versions, so that they may go any way: with the members' exchange, twice, late. What does not
+ * join on to what is known is asked for again from there.
  */
 public final class Interest {
   /** In one message: about 1,000 bytes. */
   static final int MAX_CHANGES = 100;
 
   /**
-   * The changes of a member's interest after one version, up to another; from 0 they are all that holds.
+   * The changes of a member's interest after one version, up to another; from 0 they are all that
+   * holds.
    *
    * @param generation of the member's process; what an older one said is void
    */
-  public record Delta(int member, long generation, long from, long to, List<Long> added, List<Long> removed) {
+  public record Delta(
+      int member, long generation, long from, long to, List<Long> added, List<Long> removed) {
     public Delta {
       added = List.copyOf(added);
       removed = List.copyOf(removed);
@@ -42,12 +44,16 @@
   private final int self;
   private final long generation;
   private long version;
+
   /** The own changes by their versions, the last of each customer only. */
   private final TreeMap<Long, Long> changes = new TreeMap<>();
+
   private final Map<Long, Long> changedAt = new HashMap<>();
   private final TreeSet<Long> own = new TreeSet<>();
+
   /** Removals up to this version are forgotten: whoever is behind it begins anew. */
   private long forgotten;
+
   private final Map<Integer, Known> members = new HashMap<>();
 
   Interest(int self, long generation) {
@@ -90,8 +96,8 @@
   }
 
   /**
-   * What changed here after that version, as much as goes into one message; empty changes where nothing
-   * did.
+   * What changed here after that version, as much as goes into one message; empty changes where
+   * nothing did.
    */
   public Delta since(long known) {
     long from = known < forgotten || known > version ? 0 : known;
@@ -120,8 +126,8 @@
   /**
    * Takes in what a member says.
    *
-   * @return the customers that changed; empty where nothing did. Where the changes do not join on to what
-   *     is known, {@link #known} stays as it was, and the member is to be asked from there
+   * @return the customers that changed; empty where nothing did. Where the changes do not join on
+   *     to what is known, {@link #known} stays as it was, and the member is to be asked from there
    */
   public Set<Long> apply(Delta delta) {
     Set<Long> changed = new HashSet<>();
--- a/notices/src/main/java/willowdoor/notices/Keeper.java
+++ b/notices/src/main/java/willowdoor/notices/Keeper.java
@@ -1,7 +1,8 @@
 package willowdoor.notices;
 
 /**
- * The process that keeps a copy of a stream: one that was started anew under the same number keeps nothing.
+ * The process that keeps a copy of a stream: one that was started anew under the same number keeps
+ * nothing.
  *
  * @param member its number in the roster, -1 where nobody keeps one
  */
