--- a/notices/src/main/java/willowdoor/notices/NoticesApi.java
+++ b/notices/src/main/java/willowdoor/notices/NoticesApi.java
@@ -23,10 +23,14 @@
    */
   public record Read(long customer, String lastEventId, MoveOrder order) implements Call {}
 
-  /** @param body UTF-8, 1 to 16,384 bytes */
+  /**
+   * @param body UTF-8, 1 to 16,384 bytes
+   */
   public record Publish(long customer, byte[] body) implements Call {}
 
-  /** @param status 4xx */
+  /**
+   * @param status 4xx
+   */
   public record Refused(int status, String text) implements Call {}
 
   private NoticesApi() {}
@@ -37,8 +41,8 @@
    * @param target path and query, as sent
    * @param headers all values of a header by its name in lower case, empty where there is none
    */
-  public static Call parse(String method, String target, Function<String, List<String>> headers,
-      byte[] body) {
+  public static Call parse(
+      String method, String target, Function<String, List<String>> headers, byte[] body) {
     int query = target.indexOf('?');
     if (!(query < 0 ? target : target.substring(0, query)).equals(PATH)) {
       return new Refused(404, "there is no such call: notices are at " + PATH);
@@ -48,7 +52,8 @@
       return new Refused(405, "notices are read by GET and published by POST");
     }
     List<String> customers = headers.apply("x-customer");
-    if (customers.size() != 1 || !customers.get(0).matches("[0-9a-f]{16}")
+    if (customers.size() != 1
+        || !customers.get(0).matches("[0-9a-f]{16}")
         || Long.parseUnsignedLong(customers.get(0), 16) >>> 33 != 0) {
       return new Refused(400, "X-Customer must be given once, as 16 hex digits below 2^33");
     }
@@ -57,13 +62,17 @@
     return reads ? read(customer, rest, headers, body) : publish(customer, rest, headers, body);
   }
 
-  private static Call read(long customer, String query, Function<String, List<String>> headers, byte[] body) {
+  private static Call read(
+      long customer, String query, Function<String, List<String>> headers, byte[] body) {
     if (body.length > 0) {
       return new Refused(400, "a GET has no body");
     }
     List<String> accepted = headers.apply("accept");
-    if (!accepted.isEmpty() && accepted.stream().noneMatch(a -> a.contains("text/event-stream")
-        || a.contains("*/*") || a.contains("text/*"))) {
+    if (!accepted.isEmpty()
+        && accepted.stream()
+            .noneMatch(
+                a ->
+                    a.contains("text/event-stream") || a.contains("*/*") || a.contains("text/*"))) {
       return new Refused(406, "notices come as text/event-stream");
     }
     List<String> ids = headers.apply("last-event-id");
@@ -82,21 +91,25 @@
         return new Refused(400, "the only thing a query may hold is move=NUMBER");
       }
       MoveOrder order = MoveOrder.parse(query.substring(MOVE.length()));
-      return order.customer() == customer ? new Read(customer, id, order)
+      return order.customer() == customer
+          ? new Read(customer, id, order)
           : new Refused(400, "the move's number is another customer's");
     } catch (IllegalArgumentException e) {
       return new Refused(400, e.getMessage());
     }
   }
 
-  private static Call publish(long customer, String query, Function<String, List<String>> headers,
-      byte[] body) {
+  private static Call publish(
+      long customer, String query, Function<String, List<String>> headers, byte[] body) {
     if (!query.isEmpty()) {
       return new Refused(400, "a notice is published without a query");
     }
     List<String> types = headers.apply("content-type");
-    if (types.size() > 1 || types.size() == 1 && !types.get(0).matches("(?i)(text/plain|application/json)"
-        + "( *; *charset=\"?utf-8\"?)?")) {
+    if (types.size() > 1
+        || types.size() == 1
+            && !types
+                .get(0)
+                .matches("(?i)(text/plain|application/json)" + "( *; *charset=\"?utf-8\"?)?")) {
       return new Refused(415, "a notice is text/plain or application/json in UTF-8");
     }
     if (body.length == 0) {
--- a/notices/src/main/java/willowdoor/notices/NoticesDoor.java
+++ b/notices/src/main/java/willowdoor/notices/NoticesDoor.java
@@ -9,12 +9,15 @@
 import java.util.function.LongSupplier;
 
 /**
- * The notices of one front door: a state machine without sockets, threads or a clock. Times are ms of a
- * monotonic clock and never fall. Called by one thread; what it wants done is given to {@code effects}
- * during the call, which must not call back into it.
+ * The notices of one front door: a state machine without sockets, threads or a clock. Times are ms
+ * of a monotonic clock and never fall. Called by one thread; what it wants done is given to {@code
+ * effects} during the call, which must not call back into it.
  */
 public final class NoticesDoor {
-  /** The front door is slow while over half of its readers lag, of two customers at least, for so long. */
+  /**
+   * The front door is slow while over half of its readers lag, of two customers at least, for so
+   * long.
+   */
   private static final long DOOR_SLOW_MS = 2_000;
 
   private final Limits limits;
@@ -39,13 +42,26 @@
    * @param generation of this process
    * @param random 64 random bits at each call, for the readers' keys
    */
-  public NoticesDoor(int self, long generation, Limits limits, LongSupplier random,
-      Consumer<Effect> effects) {
-    this(self, generation, limits, random, effects, new Assignment(self, limits), new ServerSentEvents());
+  public NoticesDoor(
+      int self, long generation, Limits limits, LongSupplier random, Consumer<Effect> effects) {
+    this(
+        self,
+        generation,
+        limits,
+        random,
+        effects,
+        new Assignment(self, limits),
+        new ServerSentEvents());
   }
 
-  NoticesDoor(int self, long generation, Limits limits, LongSupplier random, Consumer<Effect> effects,
-      Assignment assignment, ServerSentEvents events) {
+  NoticesDoor(
+      int self,
+      long generation,
+      Limits limits,
+      LongSupplier random,
+      Consumer<Effect> effects,
+      Assignment assignment,
+      ServerSentEvents events) {
     this.self = self;
     this.limits = limits;
     this.random = random;
@@ -53,30 +69,34 @@
     this.events = events;
     this.assignment = assignment;
     this.interest = new Interest(self, generation);
-    Passing.Watcher watcher = new Passing.Watcher() {
-      @Override
-      public void appended(long customer, long bytes, long now) {
-        Readers of = customers.get(customer);
-        if (of != null) {
-          of.appended(bytes, now);
-        }
-      }
+    Passing.Watcher watcher =
+        new Passing.Watcher() {
+          @Override
+          public void appended(long customer, long bytes, long now) {
+            Readers of = customers.get(customer);
+            if (of != null) {
+              of.appended(bytes, now);
+            }
+          }
 
-      @Override
-      public void fetched(long customer, PeerMessage.Fetched answer, long now) {
-        Readers of = customers.get(customer);
-        if (of != null) {
-          of.fetched(answer, now);
-        }
-      }
-    };
+          @Override
+          public void fetched(long customer, PeerMessage.Fetched answer, long now) {
+            Readers of = customers.get(customer);
+            if (of != null) {
+              of.fetched(answer, now);
+            }
+          }
+        };
     Keeper keeper = new Keeper(self, generation);
     this.passing = new Passing(keeper, limits, interest, effects, watcher);
     this.publishing = new Publishing(self, generation, passing, effects, watcher);
     this.receiving = new Receiving(keeper, passing, publishing, effects, watcher);
   }
 
-  /** Which customers have readers here, for the members' exchange; to be changed by this class alone. */
+  /**
+   * Which customers have readers here, for the members' exchange; to be changed by this class
+   * alone.
+   */
   public Interest interest() {
     return interest;
   }
@@ -114,7 +134,10 @@
     receiving.message(peer, message, now);
   }
 
-  /** A customer publishes; {@link Effect.Answer} with this call's number answers it, at most 2 s later. */
+  /**
+   * A customer publishes; {@link Effect.Answer} with this call's number answers it, at most 2 s
+   * later.
+   */
   public void publish(long call, NoticesApi.Publish notice, long now) {
     nowMs = now;
     publishing.publish(call, notice.customer(), notice.body(), now);
@@ -133,17 +156,26 @@
     }
     Position resume = read.lastEventId() == null ? null : Position.parse(read.lastEventId());
     MoveOrder order = read.order();
-    // The order tells who the reader is; where it goes by it is another question, and the order's number
+    // The order tells who the reader is; where it goes by it is another question, and the order's
+    // number
     // answers that.
-    Reader reader = new Reader(id, read.customer(), order == null ? random.getAsLong() : order.key(),
-        order == null ? self : order.home(), order == null ? 0 : order.count(),
-        resume == null ? retained.seen() : resume, now);
+    Reader reader =
+        new Reader(
+            id,
+            read.customer(),
+            order == null ? random.getAsLong() : order.key(),
+            order == null ? self : order.home(),
+            order == null ? 0 : order.count(),
+            resume == null ? retained.seen() : resume,
+            now);
     if (order != null && assignment.arrive(order, now) && order.pace() != null) {
       reader.slow = order.pace();
       reader.guest = true;
     }
-    Readers of = customers.computeIfAbsent(read.customer(), c -> new Readers(retained, limits, events,
-        assignment, around, effects, now));
+    Readers of =
+        customers.computeIfAbsent(
+            read.customer(),
+            c -> new Readers(retained, limits, events, assignment, around, effects, now));
     readers.put(id, reader);
     of.add(reader, resume, now);
     retained.reader(resume, now);
@@ -218,20 +250,21 @@
     return new Figures(readers.size(), alone, held, publishing.pending());
   }
 
-  private final Readers.Around around = new Readers.Around() {
-    @Override
-    public boolean fetch(Alone.Lack lack) {
-      return passing.fetch(lack, nowMs);
-    }
+  private final Readers.Around around =
+      new Readers.Around() {
+        @Override
+        public boolean fetch(Alone.Lack lack) {
+          return passing.fetch(lack, nowMs);
+        }
 
-    @Override
-    public void close(Reader reader, String reason) {
-      reader.closing = true;
-      if (!reason.equals("moved")) {
-        byte[] bytes = events.closed(reason, reader.at);
-        reader.write(new Reader.Piece(bytes, reader.at, null, 0, nowMs), effects);
-      }
-      effects.accept(new Effect.Close(reader.id, reason));
-    }
-  };
+        @Override
+        public void close(Reader reader, String reason) {
+          reader.closing = true;
+          if (!reason.equals("moved")) {
+            byte[] bytes = events.closed(reason, reader.at);
+            reader.write(new Reader.Piece(bytes, reader.at, null, 0, nowMs), effects);
+          }
+          effects.accept(new Effect.Close(reader.id, reason));
+        }
+      };
 }
--- a/notices/src/main/java/willowdoor/notices/Pace.java
+++ b/notices/src/main/java/willowdoor/notices/Pace.java
@@ -3,16 +3,18 @@
 import java.util.Arrays;
 
 /**
- * How one reader keeps pace with its group. Slow is told relative to the group, with hysteresis, so a
- * burst, by which all lag, counts against nobody.
+ * How one reader keeps pace with its group. Slow is told relative to the group, with hysteresis, so
+ * a burst, by which all lag, counts against nobody.
  */
 final class Pace {
   private static final long HOLD_MS = 500;
   private static final long LAG_MS = 400;
   private static final long KEEPS_MS = 200;
   private static final long KEEPS_BYTES = 4_096;
+
   /** Bytes a second under which a reader is not worth its socket. */
   private static final double HOPELESS_RATE = 16;
+
   private static final double RATE_HALF_LIFE_MS = 1_000;
 
   /** What a group's readers are like in the middle; of two, what the better one is like. */
--- a/notices/src/main/java/willowdoor/notices/Passing.java
+++ b/notices/src/main/java/willowdoor/notices/Passing.java
@@ -8,7 +8,10 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
-/** The streams that a front door holds: its own, and what others pass it; and to whom it passes them on. */
+/**
+ * The streams that a front door holds: its own, and what others pass it; and to whom it passes them
+ * on.
+ */
 final class Passing {
   private static final int FETCH_BYTES = 64 * 1024;
 
@@ -29,7 +32,8 @@
   private final Map<Integer, PeerLink> links = new TreeMap<>();
   private FleetView view = FleetView.none();
 
-  Passing(Keeper self, Limits limits, Interest interest, Consumer<Effect> effects, Watcher watcher) {
+  Passing(
+      Keeper self, Limits limits, Interest interest, Consumer<Effect> effects, Watcher watcher) {
     this.self = self;
     this.limits = limits;
     this.interest = interest;
@@ -98,13 +102,18 @@
 
   /** Sees to it that a stream goes to those it concerns, and to nobody else. */
   void refresh(Stream stream, long nowMs) {
-    // Where its keeper is gone too, all that hold it pass it on: whoever comes anew may know nothing of it.
-    boolean keeping = stream.orphanMs >= 0 && (stream.keeper.equals(self) || !stream.keeper.there(view));
+    // Where its keeper is gone too, all that hold it pass it on: whoever comes anew may know
+    // nothing of it.
+    boolean keeping =
+        stream.orphanMs >= 0 && (stream.keeper.equals(self) || !stream.keeper.there(view));
     boolean renamed = stream.own && nameKeeper(stream);
     for (FleetView.Member member : view.members()) {
       int peer = member.number();
-      boolean gets = peer != self.member() && (stream.own || keeping)
-          && (interest.has(peer, stream.customer) || stream.own && stream.keeper.member() == peer);
+      boolean gets =
+          peer != self.member()
+              && (stream.own || keeping)
+              && (interest.has(peer, stream.customer)
+                  || stream.own && stream.keeper.member() == peer);
       PeerLink link = links.get(peer);
       if (gets && (link == null || !link.passes(stream.id) || renamed)) {
         link(peer, nowMs).offer(stream, nowMs);
@@ -126,7 +135,8 @@
     Keeper best = Keeper.NONE;
     for (FleetView.Member member : view.members()) {
       int number = member.number();
-      if (number != self.member() && (best.member() < 0 || better(number, best.member(), stream.customer))) {
+      if (number != self.member()
+          && (best.member() < 0 || better(number, best.member(), stream.customer))) {
         best = new Keeper(number, member.generation());
       }
     }
@@ -138,7 +148,8 @@
   private boolean better(int one, int other, long customer) {
     boolean oneReads = interest.has(one, customer);
     return oneReads == interest.has(other, customer)
-        ? Long.compareUnsigned(Places.score(one, customer), Places.score(other, customer)) > 0 : oneReads;
+        ? Long.compareUnsigned(Places.score(one, customer), Places.score(other, customer)) > 0
+        : oneReads;
   }
 
   private PeerLink link(int peer, long nowMs) {
@@ -179,8 +190,10 @@
    */
   boolean fetch(Alone.Lack lack, long nowMs) {
     Stream stream = streams.get(lack.stream());
-    int from = view.alive(lack.stream().member(), lack.stream().generation()) ? lack.stream().member()
-        : stream == null || !stream.keeper.there(view) ? -1 : stream.keeper.member();
+    int from =
+        view.alive(lack.stream().member(), lack.stream().generation())
+            ? lack.stream().member()
+            : stream == null || !stream.keeper.there(view) ? -1 : stream.keeper.member();
     if (from == self.member() || view.member(from) == null) {
       return false;
     }
@@ -194,7 +207,8 @@
 
   PeerMessage.Fetched answer(PeerMessage.Fetch fetch) {
     Stream stream = streams.get(fetch.stream());
-    long upTo = stream == null ? 0 : Math.min(fetch.upTo(), stream.own ? stream.committed : stream.last());
+    long upTo =
+        stream == null ? 0 : Math.min(fetch.upTo(), stream.own ? stream.committed : stream.last());
     if (stream == null || upTo <= fetch.after() || stream.first() > upTo) {
       return new PeerMessage.Fetched(fetch.stream(), fetch.after(), fetch.upTo(), List.of());
     }
@@ -213,14 +227,17 @@
     return links.get(peer);
   }
 
-  /** Peers that leave notices unconfirmed for over a second: the link to them is slow, or they are. */
+  /**
+   * Peers that leave notices unconfirmed for over a second: the link to them is slow, or they are.
+   */
   List<Integer> slowLinks(long nowMs) {
     List<Integer> slow = new ArrayList<>();
-    links.forEach((peer, link) -> {
-      if (link.slow(nowMs)) {
-        slow.add(peer);
-      }
-    });
+    links.forEach(
+        (peer, link) -> {
+          if (link.slow(nowMs)) {
+            slow.add(peer);
+          }
+        });
     return slow;
   }
 
@@ -238,7 +255,9 @@
     trim(bytes);
     for (Stream stream : new ArrayList<>(streams.values())) {
       Retained retained = kept.get(stream.customer);
-      if (stream.orphanMs >= 0 && !stream.ended && !stream.keeper.equals(self)
+      if (stream.orphanMs >= 0
+          && !stream.ended
+          && !stream.keeper.equals(self)
           && (nowMs - stream.orphanMs >= Limits.END_WAIT_MS || !stream.keeper.there(view))) {
         stream.ended = true;
         if (retained.hasReaders()) {
--- a/notices/src/main/java/willowdoor/notices/PeerChannel.java
+++ b/notices/src/main/java/willowdoor/notices/PeerChannel.java
@@ -11,16 +11,18 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One connection between two front doors. Each side says who it is first; whoever has not after 3 s, or
- * says nothing for 15 s later on, is cut off. An empty frame says that a side is there.
+ * One connection between two front doors. Each side says who it is first; whoever has not after 3
+ * s, or says nothing for 15 s later on, is cut off. An empty frame says that a side is there.
  */
 final class PeerChannel extends SimpleChannelInboundHandler<ByteBuf> {
   private static final long HELLO_MS = 3_000;
   private static final byte[] HERE = new byte[0];
 
   private final Peers peers;
+
   /** Whom this side has dialled, -1 where the other has. */
   private final int dialled;
+
   private int peer = -1;
   private boolean greeted;
   private Future<?> wait;
@@ -36,11 +38,17 @@
       context.close();
       return;
     }
-    wait = context.executor().schedule(() -> {
-      if (!greeted) {
-        context.close();
-      }
-    }, HELLO_MS, TimeUnit.MILLISECONDS);
+    wait =
+        context
+            .executor()
+            .schedule(
+                () -> {
+                  if (!greeted) {
+                    context.close();
+                  }
+                },
+                HELLO_MS,
+                TimeUnit.MILLISECONDS);
     if (dialled >= 0) {
       peers.write(context.channel(), PeerCodec.encode(peers.self()));
     }
@@ -89,7 +97,8 @@
 
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-    // A connection that breaks is an IOException as well; it is no message, so there is nothing to tell.
+    // A connection that breaks is an IOException as well; it is no message, so there is nothing to
+    // tell.
     if (!(cause instanceof java.net.SocketException)) {
       peers.listener().spoilt(peer, String.valueOf(cause.getMessage()));
     }
--- a/notices/src/main/java/willowdoor/notices/PeerCodec.java
+++ b/notices/src/main/java/willowdoor/notices/PeerCodec.java
@@ -10,12 +10,14 @@
 import java.util.List;
 
 /**
- * What front doors say to each other as CBOR (RFC 8949): one array for each message, its kind first.
- * Whatever is not exactly that is an {@link IOException}, and costs no more memory than the frame's bound.
+ * What front doors say to each other as CBOR (RFC 8949): one array for each message, its kind
+ * first. Whatever is not exactly that is an {@link IOException}, and costs no more memory than the
+ * frame's bound.
  */
 public final class PeerCodec {
   /** A frame's most bytes: the answer to a fetch, 64 KiB and a notice over it. */
   public static final int MAX_FRAME = 128 * 1024;
+
   private static final int MAX_FLEET = 64;
   private static final int MAX_NOTICES = 2_048;
   private static final CBORFactory FACTORY = new CBORFactory();
@@ -47,12 +49,14 @@
 
   /** A frame for the first message of a link. */
   public static byte[] encode(Hello hello) {
-    return array(4, out -> {
-      out.writeNumber(0);
-      out.writeString(hello.fleet());
-      out.writeNumber(hello.member());
-      out.writeNumber(hello.generation());
-    });
+    return array(
+        4,
+        out -> {
+          out.writeNumber(0);
+          out.writeString(hello.fleet());
+          out.writeNumber(hello.member());
+          out.writeNumber(hello.generation());
+        });
   }
 
   /** A frame for a message. */
@@ -62,12 +66,15 @@
     } else if (message instanceof PeerMessage.Want m) {
       return numbers(2, m.stream(), m.after(), m.ageMs());
     } else if (message instanceof PeerMessage.Begin m) {
-      return numbers(3, m.customer(), m.stream(), m.after(), m.keeper().member(), m.keeper().generation());
+      return numbers(
+          3, m.customer(), m.stream(), m.after(), m.keeper().member(), m.keeper().generation());
     } else if (message instanceof PeerMessage.Pass m) {
-      return array(6 + 1, out -> {
-        out.writeNumber(4);
-        notice(out, m.notice());
-      });
+      return array(
+          6 + 1,
+          out -> {
+            out.writeNumber(4);
+            notice(out, m.notice());
+          });
     } else if (message instanceof PeerMessage.Gap m) {
       return numbers(5, m.stream(), m.to());
     } else if (message instanceof PeerMessage.End m) {
@@ -78,15 +85,17 @@
       return numbers(8, m.stream(), m.after(), m.upTo());
     }
     PeerMessage.Fetched m = (PeerMessage.Fetched) message;
-    return array(6 + 6 * m.notices().size(), out -> {
-      out.writeNumber(9);
-      stream(out, m.stream());
-      out.writeNumber(m.after());
-      out.writeNumber(m.gapTo());
-      for (Notice notice : m.notices()) {
-        notice(out, notice);
-      }
-    });
+    return array(
+        6 + 6 * m.notices().size(),
+        out -> {
+          out.writeNumber(9);
+          stream(out, m.stream());
+          out.writeNumber(m.after());
+          out.writeNumber(m.gapTo());
+          for (Notice notice : m.notices()) {
+            notice(out, notice);
+          }
+        });
   }
 
   /** An array of numbers, in which a stream takes three. */
@@ -95,16 +104,18 @@
     for (Object value : values) {
       size += value instanceof StreamId ? 3 : 1;
     }
-    return array(size, out -> {
-      out.writeNumber(kind);
-      for (Object value : values) {
-        if (value instanceof StreamId id) {
-          stream(out, id);
-        } else {
-          out.writeNumber(((Number) value).longValue());
-        }
-      }
-    });
+    return array(
+        size,
+        out -> {
+          out.writeNumber(kind);
+          for (Object value : values) {
+            if (value instanceof StreamId id) {
+              stream(out, id);
+            } else {
+              out.writeNumber(((Number) value).longValue());
+            }
+          }
+        });
   }
 
   private static void stream(CBORGenerator out, StreamId id) throws IOException {
@@ -122,20 +133,22 @@
 
   /** A member's interest, for the members' exchange. */
   public static byte[] encode(Interest.Delta delta) {
-    return array(6 + delta.added().size() + delta.removed().size(), out -> {
-      out.writeNumber(delta.member());
-      out.writeNumber(delta.generation());
-      out.writeNumber(delta.from());
-      out.writeNumber(delta.to());
-      out.writeNumber(delta.added().size());
-      out.writeNumber(delta.removed().size());
-      for (long customer : delta.added()) {
-        out.writeNumber(customer);
-      }
-      for (long customer : delta.removed()) {
-        out.writeNumber(customer);
-      }
-    });
+    return array(
+        6 + delta.added().size() + delta.removed().size(),
+        out -> {
+          out.writeNumber(delta.member());
+          out.writeNumber(delta.generation());
+          out.writeNumber(delta.from());
+          out.writeNumber(delta.to());
+          out.writeNumber(delta.added().size());
+          out.writeNumber(delta.removed().size());
+          for (long customer : delta.added()) {
+            out.writeNumber(customer);
+          }
+          for (long customer : delta.removed()) {
+            out.writeNumber(customer);
+          }
+        });
   }
 
   /** Reads an array item by item, each within its bounds. */
@@ -172,7 +185,8 @@
     }
 
     StreamId stream() throws IOException {
-      return new StreamId((int) number(0, StreamId.MAX_MEMBER), count(), (int) number(1, Integer.MAX_VALUE));
+      return new StreamId(
+          (int) number(0, StreamId.MAX_MEMBER), count(), (int) number(1, Integer.MAX_VALUE));
     }
 
     Keeper keeper() throws IOException {
@@ -185,14 +199,17 @@
       long seq = number(1, StreamId.MAX_NUMBER);
       expect(in.nextToken() == JsonToken.VALUE_EMBEDDED_OBJECT, "bytes");
       byte[] body = in.getBinaryValue();
-      expect(body.length > 0 && body.length <= Limits.MAX_BODY, "1 to " + Limits.MAX_BODY + " bytes");
+      expect(
+          body.length > 0 && body.length <= Limits.MAX_BODY, "1 to " + Limits.MAX_BODY + " bytes");
       return new Notice(customer, stream, seq, body);
     }
 
     String text() throws IOException {
       expect(in.nextToken() == JsonToken.VALUE_STRING, "text");
       String text = in.getText();
-      expect(text.matches("[\\x21-\\x7e]{1," + MAX_FLEET + "}"), "1 to " + MAX_FLEET + " ASCII characters");
+      expect(
+          text.matches("[\\x21-\\x7e]{1," + MAX_FLEET + "}"),
+          "1 to " + MAX_FLEET + " ASCII characters");
       return text;
     }
 
@@ -233,53 +250,65 @@
 
   /** Reads the first message of a link. */
   public static Hello hello(byte[] frame) throws IOException {
-    return read(frame, in -> {
-      in.number(0, 0);
-      Hello hello = new Hello(in.text(), (int) in.number(0, StreamId.MAX_MEMBER), in.count());
-      in.end();
-      return hello;
-    });
+    return read(
+        frame,
+        in -> {
+          in.number(0, 0);
+          Hello hello = new Hello(in.text(), (int) in.number(0, StreamId.MAX_MEMBER), in.count());
+          in.end();
+          return hello;
+        });
   }
 
   /** Reads a member's interest. */
   public static Interest.Delta delta(byte[] frame) throws IOException {
-    return read(frame, in -> {
-      int member = (int) in.number(0, StreamId.MAX_MEMBER);
-      long generation = in.count();
-      long from = in.count();
-      long to = in.count();
-      long adds = in.number(0, Interest.MAX_CHANGES);
-      long removes = in.number(0, Interest.MAX_CHANGES);
-      List<Long> added = new ArrayList<>();
-      List<Long> removed = new ArrayList<>();
-      for (long n = 0; n < adds + removes; n++) {
-        (n < adds ? added : removed).add(in.customer());
-      }
-      in.end();
-      return new Interest.Delta(member, generation, from, to, added, removed);
-    });
+    return read(
+        frame,
+        in -> {
+          int member = (int) in.number(0, StreamId.MAX_MEMBER);
+          long generation = in.count();
+          long from = in.count();
+          long to = in.count();
+          long adds = in.number(0, Interest.MAX_CHANGES);
+          long removes = in.number(0, Interest.MAX_CHANGES);
+          List<Long> added = new ArrayList<>();
+          List<Long> removed = new ArrayList<>();
+          for (long n = 0; n < adds + removes; n++) {
+            (n < adds ? added : removed).add(in.customer());
+          }
+          in.end();
+          return new Interest.Delta(member, generation, from, to, added, removed);
+        });
   }
 
   /** Reads any message after the first. */
   public static PeerMessage decode(byte[] frame) throws IOException {
-    return read(frame, in -> {
-      int kind = (int) in.number(1, 9);
-      PeerMessage message = switch (kind) {
-        case 1 -> new PeerMessage.Offer(in.customer(), in.stream(), in.keeper());
-        case 2 -> new PeerMessage.Want(in.stream(), in.number(-1, StreamId.MAX_NUMBER),
-            in.number(-1, StreamId.MAX_NUMBER));
-        case 3 -> new PeerMessage.Begin(in.customer(), in.stream(), in.count(), in.keeper());
-        case 4 -> new PeerMessage.Pass(in.notice(in.customer()));
-        case 5 -> new PeerMessage.Gap(in.stream(), in.count());
-        case 6 -> new PeerMessage.End(in.stream(), in.count());
-        case 7 -> new PeerMessage.Have(in.stream(), in.count());
-        case 8 -> new PeerMessage.Fetch(in.stream(), in.count(), in.count());
-        default -> new PeerMessage.Fetched(in.stream(), in.count(), in.count(), in.notices());
-      };
-      if (kind < 9) {
-        in.end();
-      }
-      return message;
-    });
+    return read(
+        frame,
+        in -> {
+          int kind = (int) in.number(1, 9);
+          PeerMessage message =
+              switch (kind) {
+                case 1 -> new PeerMessage.Offer(in.customer(), in.stream(), in.keeper());
+                case 2 ->
+                    new PeerMessage.Want(
+                        in.stream(),
+                        in.number(-1, StreamId.MAX_NUMBER),
+                        in.number(-1, StreamId.MAX_NUMBER));
+                case 3 ->
+                    new PeerMessage.Begin(in.customer(), in.stream(), in.count(), in.keeper());
+                case 4 -> new PeerMessage.Pass(in.notice(in.customer()));
+                case 5 -> new PeerMessage.Gap(in.stream(), in.count());
+                case 6 -> new PeerMessage.End(in.stream(), in.count());
+                case 7 -> new PeerMessage.Have(in.stream(), in.count());
+                case 8 -> new PeerMessage.Fetch(in.stream(), in.count(), in.count());
+                default ->
+                    new PeerMessage.Fetched(in.stream(), in.count(), in.count(), in.notices());
+              };
+          if (kind < 9) {
+            in.end();
+          }
+          return message;
+        });
   }
 }
--- a/notices/src/main/java/willowdoor/notices/PeerLink.java
+++ b/notices/src/main/java/willowdoor/notices/PeerLink.java
@@ -8,9 +8,9 @@
 import java.util.function.Consumer;
 
 /**
- * What goes to one other front door: for each stream how far it is. Nothing is queued: notices are taken
- * from what is kept when the peer has confirmed enough of what is under way. A link that comes up anew
- * offers all its streams again.
+ * What goes to one other front door: for each stream how far it is. Nothing is queued: notices are
+ * taken from what is kept when the peer has confirmed enough of what is under way. A link that
+ * comes up anew offers all its streams again.
  */
 final class PeerLink {
   private static final long IDLE_MS = 30_000;
@@ -20,8 +20,10 @@
 
   private static final class Cursor {
     private final Stream stream;
+
     /** The next count to pass, -1 until the peer has said what it wants. */
     private long next = -1;
+
     private boolean endSaid;
     private long offeredMs;
     private final ArrayDeque<Sent> out = new ArrayDeque<>();
@@ -36,8 +38,10 @@
   private final Limits limits;
   private final Consumer<Effect> effects;
   private final Map<StreamId, Cursor> cursors = new LinkedHashMap<>();
+
   /** Streams that may have something to pass, in the order of their turns. */
   private final Set<Cursor> ready = new LinkedHashSet<>();
+
   private boolean up;
   private long unconfirmed;
   private long neededMs;
@@ -114,7 +118,8 @@
       // Its reader came at the earliest that long before the offer went out, whatever the way took.
       long since = cursor.offeredMs - want.ageMs();
       long after = Math.min(stream.before(since), stream.sendable(peer));
-      // Where what is kept no more may have come since then, the last of it is begun with, and told as a gap.
+      // Where what is kept no more may have come since then, the last of it is begun with, and told
+      // as a gap.
       boolean lacks = stream.droppedMs() >= since && after == stream.first() - 1;
       after = lacks ? after - 1 : after;
       after = want.after() == PeerMessage.Want.NO_MATTER ? after : Math.min(after, want.after());
@@ -162,7 +167,9 @@
         unconfirmed += notice.cost();
         cursor.out.add(new Sent(notice.seq(), notice.cost(), nowMs));
         ready.add(cursor);
-      } else if (!stream.own && !cursor.endSaid && (stream.keeper.equals(self) || stream.complete)) {
+      } else if (!stream.own
+          && !cursor.endSaid
+          && (stream.keeper.equals(self) || stream.complete)) {
         cursor.endSaid = true;
         send(new PeerMessage.End(stream.id, stream.last()));
       }
--- a/notices/src/main/java/willowdoor/notices/PeerMessage.java
+++ b/notices/src/main/java/willowdoor/notices/PeerMessage.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * What front doors say to each other about streams. Counts are of the stream, from 1; 0 means before the
- * first.
+ * What front doors say to each other about streams. Counts are of the stream, from 1; 0 means
+ * before the first.
  */
 public sealed interface PeerMessage {
   /** What goes back on the link that the other front door opened. */
@@ -14,8 +14,8 @@
   record Offer(long customer, StreamId stream, Keeper keeper) implements PeerMessage {}
 
   /**
-   * Pass me what comes after that count, and what you took in that many ms before you offered it; either
-   * may be {@link #NO_MATTER}. Where an age is given the answer is a {@code Begin}.
+   * Pass me what comes after that count, and what you took in that many ms before you offered it;
+   * either may be {@link #NO_MATTER}. Where an age is given the answer is a {@code Begin}.
    */
   record Want(StreamId stream, long after, long ageMs) implements Back {
     static final long NO_MATTER = -1;
@@ -39,8 +39,8 @@
   record Fetch(StreamId stream, long after, long upTo) implements PeerMessage {}
 
   /**
-   * Some of what was fetched: what lies up to {@code gapTo} is not kept any more, then these in their
-   * order.
+   * Some of what was fetched: what lies up to {@code gapTo} is not kept any more, then these in
+   * their order.
    */
   record Fetched(StreamId stream, long after, long gapTo, List<Notice> notices) implements Back {
     public Fetched {
--- a/notices/src/main/java/willowdoor/notices/Peers.java
+++ b/notices/src/main/java/willowdoor/notices/Peers.java
@@ -19,9 +19,9 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * The links between front doors over TCP, on one event loop, which is also the thread of what listens. Each
- * front door opens a link to those it has something for; answers come back on the same link. It owns its
- * channels and closes all of them in {@link #close}.
+ * The links between front doors over TCP, on one event loop, which is also the thread of what
+ * listens. Each front door opens a link to those it has something for; answers come back on the
+ * same link. It owns its channels and closes all of them in {@link #close}.
  */
 public final class Peers implements AutoCloseable {
   private static final int CONNECT_MS = 2_000;
@@ -29,11 +29,13 @@
   private static final int SILENT_S = 15;
   private static final long RETRY_MS = 100;
   private static final long MAX_RETRY_MS = 5_000;
+
   /**
-   * What may wait to be written to a peer; one that leaves more is cut off, and begins anew from what it
-   * has.
+   * What may wait to be written to a peer; one that leaves more is cut off, and begins anew from
+   * what it has.
    */
   private static final WriteBufferWaterMark WAITING = new WriteBufferWaterMark(1 << 19, 1 << 20);
+
   /** Front doors and whoever else connects. */
   private static final int MAX_INCOMING = 1_024;
 
@@ -45,7 +47,9 @@
 
     void message(int peer, PeerMessage message);
 
-    /** Something that no front door would send; {@code peer} is -1 where it did not say who it is. */
+    /**
+     * Something that no front door would send; {@code peer} is -1 where it did not say who it is.
+     */
     void spoilt(int peer, String why);
   }
 
@@ -66,19 +70,25 @@
       if (!wanted || closed || address == null) {
         return;
       }
-      new Bootstrap().group(loop).channel(client).option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
-          .option(ChannelOption.TCP_NODELAY, true).option(ChannelOption.WRITE_BUFFER_WATER_MARK, WAITING)
-          .handler(initializer(this)).connect(address)
-          .addListener(done -> {
-            if (!done.isSuccess()) {
-              ended();
-            }
-          });
+      new Bootstrap()
+          .group(loop)
+          .channel(client)
+          .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+          .option(ChannelOption.TCP_NODELAY, true)
+          .option(ChannelOption.WRITE_BUFFER_WATER_MARK, WAITING)
+          .handler(initializer(this))
+          .connect(address)
+          .addListener(
+              done -> {
+                if (!done.isSuccess()) {
+                  ended();
+                }
+              });
     }
 
     /**
-     * Waits twice as long after each failure, and a part of it by chance, so that peers do not come all at
-     * once.
+     * Waits twice as long after each failure, and a part of it by chance, so that peers do not come
+     * all at once.
      */
     private void ended() {
       boolean was = up;
@@ -90,7 +100,8 @@
       }
       if (wanted && !closed) {
         long most = Math.min(MAX_RETRY_MS, RETRY_MS << Math.min(failures++, 6));
-        loop.schedule(this::connect, (long) (most * (0.5 + random.getAsDouble() / 2)), TimeUnit.MILLISECONDS);
+        loop.schedule(
+            this::connect, (long) (most * (0.5 + random.getAsDouble() / 2)), TimeUnit.MILLISECONDS);
       }
     }
   }
@@ -115,8 +126,13 @@
    * @param roster where the others listen, by their numbers
    * @param random from 0 to 1 at each call
    */
-  public Peers(EventLoop loop, Class<? extends Channel> client, PeerCodec.Hello self,
-      Map<Integer, InetSocketAddress> roster, DoubleSupplier random, Listener listener) {
+  public Peers(
+      EventLoop loop,
+      Class<? extends Channel> client,
+      PeerCodec.Hello self,
+      Map<Integer, InetSocketAddress> roster,
+      DoubleSupplier random,
+      Listener listener) {
     this.loop = loop;
     this.client = client;
     this.self = self;
@@ -125,12 +141,21 @@
     this.listener = listener;
   }
 
-  /** Listens for the others. @return the port; @throws InterruptedException while it waits for that */
+  /**
+   * Listens for the others. @return the port; @throws InterruptedException while it waits for that
+   */
   public int listen(Class<? extends ServerChannel> kind, InetSocketAddress address)
       throws InterruptedException {
-    server = new ServerBootstrap().group(loop).channel(kind).childOption(ChannelOption.TCP_NODELAY, true)
-        .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WAITING)
-        .childHandler(initializer(null)).bind(address).sync().channel();
+    server =
+        new ServerBootstrap()
+            .group(loop)
+            .channel(kind)
+            .childOption(ChannelOption.TCP_NODELAY, true)
+            .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WAITING)
+            .childHandler(initializer(null))
+            .bind(address)
+            .sync()
+            .channel();
     return ((InetSocketAddress) server.localAddress()).getPort();
   }
 
@@ -138,9 +163,13 @@
     return new ChannelInitializer<>() {
       @Override
       protected void initChannel(Channel channel) {
-        channel.pipeline().addLast(new IdleStateHandler(SILENT_S, QUIET_S, 0),
-            new LengthFieldBasedFrameDecoder(PeerCodec.MAX_FRAME, 0, 4, 0, 4), new LengthFieldPrepender(4),
-            new PeerChannel(Peers.this, link == null ? -1 : link.peer));
+        channel
+            .pipeline()
+            .addLast(
+                new IdleStateHandler(SILENT_S, QUIET_S, 0),
+                new LengthFieldBasedFrameDecoder(PeerCodec.MAX_FRAME, 0, 4, 0, 4),
+                new LengthFieldPrepender(4),
+                new PeerChannel(Peers.this, link == null ? -1 : link.peer));
       }
     };
   }
@@ -160,8 +189,10 @@
       }
     } else if (effect instanceof Effect.Send send) {
       Outgoing link = outgoing.get(send.peer());
-      Channel channel = send.message() instanceof PeerMessage.Back ? incoming.get(send.peer())
-          : link != null && link.up ? link.channel : null;
+      Channel channel =
+          send.message() instanceof PeerMessage.Back
+              ? incoming.get(send.peer())
+              : link != null && link.up ? link.channel : null;
       if (channel != null) {
         write(channel, PeerCodec.encode(send.message()));
       }
@@ -200,8 +231,11 @@
 
   /** The other side has said who it is. @return whether it may stay */
   boolean greeted(Channel channel, int dialled, PeerCodec.Hello hello) {
-    boolean known = hello.fleet().equals(self.fleet()) && hello.member() != self.member()
-        && roster.containsKey(hello.member()) && (dialled < 0 || dialled == hello.member());
+    boolean known =
+        hello.fleet().equals(self.fleet())
+            && hello.member() != self.member()
+            && roster.containsKey(hello.member())
+            && (dialled < 0 || dialled == hello.member());
     if (!known) {
       listener.spoilt(hello.member(), "a front door of another fleet, or under another number");
       return false;
@@ -241,11 +275,14 @@
     if (server != null) {
       server.close();
     }
-    outgoing.values().forEach(link -> {
-      if (link.channel != null) {
-        link.channel.close();
-      }
-    });
+    outgoing
+        .values()
+        .forEach(
+            link -> {
+              if (link.channel != null) {
+                link.channel.close();
+              }
+            });
     incoming.values().forEach(Channel::close);
   }
 }
--- a/notices/src/main/java/willowdoor/notices/Places.java
+++ b/notices/src/main/java/willowdoor/notices/Places.java
@@ -3,9 +3,10 @@
 import java.util.List;
 
 /**
- * Which member slow readers go to: 256 places dealt out by rendezvous hashing with bounded load (each place
- * to the member with the highest score for it that has fewer than 1.25 times its part), so all members with
- * the same view name the same one, and a view without one member leaves most places where they were.
+ * Which member slow readers go to: 256 places dealt out by rendezvous hashing with bounded load
+ * (each place to the member with the highest score for it that has fewer than 1.25 times its part),
+ * so all members with the same view name the same one, and a view without one member leaves most
+ * places where they were.
  */
 final class Places {
   static final int COUNT = 256;
@@ -17,8 +18,12 @@
     for (int place = 0; place < COUNT; place++) {
       int best = -1;
       for (int i = 0; i < members.size(); i++) {
-        if (load[i] < bound && (best < 0 || Long.compareUnsigned(score(members.get(i).number(), place),
-            score(members.get(best).number(), place)) > 0)) {
+        if (load[i] < bound
+            && (best < 0
+                || Long.compareUnsigned(
+                        score(members.get(i).number(), place),
+                        score(members.get(best).number(), place))
+                    > 0)) {
           best = i;
         }
       }
@@ -43,7 +48,10 @@
     return hash(hash(thing) ^ (member + 1));
   }
 
-  /** The finisher of MurmurHash3 (Austin Appleby, public domain), after a step that takes 0 elsewhere. */
+  /**
+   * The finisher of MurmurHash3 (Austin Appleby, public domain), after a step that takes 0
+   * elsewhere.
+   */
   static long hash(long value) {
     long mixed = value + 0x9E3779B97F4A7C15L;
     mixed ^= mixed >>> 33;
--- a/notices/src/main/java/willowdoor/notices/Position.java
+++ b/notices/src/main/java/willowdoor/notices/Position.java
@@ -3,9 +3,9 @@
 import java.util.Arrays;
 
 /**
- * How far a reader is in each stream of its customer: a vector, never changed. As text it is an event's id:
- * {@code member.generation.serial.count} for each stream to the base 36, joined by {@code _}; the event's
- * own stream comes first, the others in order.
+ * How far a reader is in each stream of its customer: a vector, never changed. As text it is an
+ * event's id: {@code member.generation.serial.count} for each stream to the base 36, joined by
+ * {@code _}; the event's own stream comes first, the others in order.
  */
 final class Position {
   static final int MAX_STREAMS = 64;
@@ -78,8 +78,8 @@
   }
 
   /**
-   * The lesser count of each stream; a stream that one of the two lacks is left out, which means from its
-   * start.
+   * The lesser count of each stream; a stream that one of the two lacks is left out, which means
+   * from its start.
    */
   Position least(Position other) {
     Position both = NONE;
@@ -110,7 +110,8 @@
   /**
    * Reads an event's id, exactly as {@link #text} writes it.
    *
-   * @throws IllegalArgumentException where it is anything else; the message is fit for the one who sent it
+   * @throws IllegalArgumentException where it is anything else; the message is fit for the one who
+   *     sent it
    */
   static Position parse(String text) {
     if (text.length() > MAX_TEXT) {
@@ -118,7 +119,8 @@
     }
     String[] parts = text.split("_", MAX_STREAMS + 2);
     if (parts.length > MAX_STREAMS + 1) {
-      throw new IllegalArgumentException("the event id names more than " + MAX_STREAMS + " streams");
+      throw new IllegalArgumentException(
+          "the event id names more than " + MAX_STREAMS + " streams");
     }
     Position position = NONE;
     StreamId own = null;
@@ -131,8 +133,11 @@
         if (numbers.length != 4) {
           throw new IllegalArgumentException();
         }
-        StreamId id = new StreamId(Integer.parseInt(numbers[0], 36), Long.parseLong(numbers[1], 36),
-            Integer.parseInt(numbers[2], 36));
+        StreamId id =
+            new StreamId(
+                Integer.parseInt(numbers[0], 36),
+                Long.parseLong(numbers[1], 36),
+                Integer.parseInt(numbers[2], 36));
         long count = Long.parseLong(numbers[3], 36);
         if (count < 0 || count > StreamId.MAX_NUMBER || position.has(id)) {
           throw new IllegalArgumentException();
--- a/notices/src/main/java/willowdoor/notices/Publishing.java
+++ b/notices/src/main/java/willowdoor/notices/Publishing.java
@@ -19,7 +19,12 @@
   private final ArrayDeque<Pending> pending = new ArrayDeque<>();
   private int serial;
 
-  Publishing(int self, long generation, Passing passing, Consumer<Effect> effects, Passing.Watcher watcher) {
+  Publishing(
+      int self,
+      long generation,
+      Passing passing,
+      Consumer<Effect> effects,
+      Passing.Watcher watcher) {
     this.self = self;
     this.generation = generation;
     this.passing = passing;
@@ -78,7 +83,7 @@
       bytes += notice.cost();
       retained.list(notice, nowMs);
     }
-    for (Iterator<Pending> all = pending.iterator(); all.hasNext();) {
+    for (Iterator<Pending> all = pending.iterator(); all.hasNext(); ) {
       Pending call = all.next();
       if (call.stream().equals(stream.id) && call.seq() <= upTo) {
         all.remove();
@@ -96,8 +101,12 @@
   void tick(long nowMs) {
     while (!pending.isEmpty() && pending.peek().untilMs() <= nowMs) {
       Pending call = pending.remove();
-      effects.accept(new Effect.Answer(call.call(), 503, id(call),
-          "not confirmed by a second front door yet; it may still come, under this id"));
+      effects.accept(
+          new Effect.Answer(
+              call.call(),
+              503,
+              id(call),
+              "not confirmed by a second front door yet; it may still come, under this id"));
     }
     own.values().removeIf(id -> passing.stream(id) == null);
   }
--- a/notices/src/main/java/willowdoor/notices/Reader.java
+++ b/notices/src/main/java/willowdoor/notices/Reader.java
@@ -9,11 +9,15 @@
   static final class Piece {
     final byte[] bytes;
     final Position after;
+
     /** The group that shares it, null for a reader's own. */
     final Group group;
+
     final long atMs;
+
     /** The number of the next event in the front door's order. */
     final long order;
+
     /** Readers of the group that have not taken it. */
     int left;
 
@@ -28,34 +32,50 @@
 
   final long id;
   final long customer;
+
   /** The same at every front door. */
   final long key;
+
   /** The member it came to first. */
   final int home;
+
   /** Its orders to move so far. */
   final long moves;
+
   final long sinceMs;
   final Pace pace;
   Group group;
+
   /** In the group's window: the next piece to write, and the next that it has to take. */
   long next;
+
   long done;
   Alone alone;
+
   /** After all that was written. */
   Position at;
+
   /** The class it is among the slow as, null for one that is not. */
   PaceClass slow;
+
   /** Whether it was sent here as that. */
   boolean guest;
-  /** Streams it has had something of and this front door does not know, at the position it came with. */
+
+  /**
+   * Streams it has had something of and this front door does not know, at the position it came
+   * with.
+   */
   Position unproven = Position.NONE;
+
   MoveOrder order;
   long orderMs;
   boolean closing;
   private final ArrayDeque<Piece> out = new ArrayDeque<>();
   private long outBytes;
+
   /** Pieces under way that are a group's, perhaps of one it has left. */
   private int outShared;
+
   private long offset;
 
   Reader(long id, long customer, long key, int home, long moves, Position at, long nowMs) {
@@ -97,7 +117,8 @@
   }
 
   /**
-   * Whether it could be in a group: nothing of an earlier one is under way, which would count for this one.
+   * Whether it could be in a group: nothing of an earlier one is under way, which would count for
+   * this one.
    */
   boolean joinable() {
     return outShared == 0;
--- a/notices/src/main/java/willowdoor/notices/Readers.java
+++ b/notices/src/main/java/willowdoor/notices/Readers.java
@@ -9,13 +9,18 @@
 import java.util.function.Consumer;
 
 /**
- * A customer's readers at this front door: the group that keeps pace, the groups of slow ones, and those
- * alone.
+ * A customer's readers at this front door: the group that keeps pace, the groups of slow ones, and
+ * those alone.
  */
 final class Readers {
   private static final long ORDER_MS = 10_000;
-  /** Of a customer at a slow front door; those that are to go are not written to until they can be told. */
+
+  /**
+   * Of a customer at a slow front door; those that are to go are not written to until they can be
+   * told.
+   */
   private static final int MAX_LEAVING = 5;
+
   /** A customer's readers count as lagging alike above this median, ms. */
   private static final long ALIKE_MS = 1_000;
 
@@ -46,8 +51,14 @@
   private long lookedMs;
   private int leaving;
 
-  Readers(Retained retained, Limits limits, ServerSentEvents events, Assignment assignment, Around around,
-      Consumer<Effect> effects, long nowMs) {
+  Readers(
+      Retained retained,
+      Limits limits,
+      ServerSentEvents events,
+      Assignment assignment,
+      Around around,
+      Consumer<Effect> effects,
+      long nowMs) {
     this.retained = retained;
     this.limits = limits;
     this.events = events;
@@ -78,14 +89,17 @@
   void add(Reader reader, Position resume, long nowMs) {
     all.add(reader);
     alone.add(reader);
-    reader.alone = resume == null ? new Alone(events, retained.seen(), retained.end())
-        : Alone.resume(events, resume, retained);
+    reader.alone =
+        resume == null
+            ? new Alone(events, retained.seen(), retained.end())
+            : Alone.resume(events, resume, retained);
     for (int i = 0; resume != null && i < resume.size(); i++) {
       if (retained.stream(resume.id(i)) == null) {
         reader.unproven = reader.unproven.with(resume.id(i), resume.count(i));
       }
     }
-    reader.write(new Reader.Piece(events.open(reader.key, reader.at), reader.at, null, 0, nowMs), effects);
+    reader.write(
+        new Reader.Piece(events.open(reader.key, reader.at), reader.at, null, 0, nowMs), effects);
     pump(reader, nowMs);
   }
 
@@ -143,7 +157,10 @@
   private void pump(Reader reader, long nowMs) {
     // What is under way to a slow one is kept little, so it can be told soon that it is to move.
     int most = reader.slow == null ? limits.inflightBytes() : limits.inflightBytes() / 8;
-    while (reader.alone != null && reader.order == null && !reader.closing && reader.outBytes() < most) {
+    while (reader.alone != null
+        && reader.order == null
+        && !reader.closing
+        && reader.outBytes() < most) {
       Alone.Lack lack = reader.alone.ask(nowMs);
       if (lack != null && !around.fetch(lack)) {
         reader.alone.gone();
@@ -160,8 +177,12 @@
   }
 
   private boolean join(Reader reader, long nowMs) {
-    Group group = reader.slow == null ? main
-        : reader.guest || assignment.here(retained.customer, reader.slow) ? slow.get(reader.slow) : null;
+    Group group =
+        reader.slow == null
+            ? main
+            : reader.guest || assignment.here(retained.customer, reader.slow)
+                ? slow.get(reader.slow)
+                : null;
     reader.alone.skip(retained);
     long order = reader.alone.order();
     if (group == null || order < retained.first() || !group.join(reader, order)) {
@@ -219,7 +240,10 @@
     return new Look(all.size(), burst ? 0 : lagging);
   }
 
-  /** Tells a reader of streams that nobody has offered here: what came on them since is not to be had. */
+  /**
+   * Tells a reader of streams that nobody has offered here: what came on them since is not to be
+   * had.
+   */
   private void tellUnproven(Reader reader, long nowMs) {
     for (int i = 0; i < reader.unproven.size() && !reader.closing; i++) {
       StreamId id = reader.unproven.id(i);
@@ -232,11 +256,14 @@
   }
 
   private long lagMs(Reader reader, long nowMs) {
-    return reader.group != null ? reader.group.lagMs(reader, nowMs) : reader.alone.lagMs(retained, nowMs);
+    return reader.group != null
+        ? reader.group.lagMs(reader, nowMs)
+        : reader.alone.lagMs(retained, nowMs);
   }
 
   private void judge(Group group, long nowMs) {
-    // Beside its members, those that read alone without being slow: one that is ahead, as the group is held
+    // Beside its members, those that read alone without being slow: one that is ahead, as the group
+    // is held
     // up, tells what pace is possible; one that is behind is judged like a member.
     List<Reader> measured = new ArrayList<>(group.readers());
     int members = measured.size();
@@ -298,8 +325,16 @@
       // Little is kept under way to one that reads alone, and a piece may have gone over that.
       if (reader.outBytes() <= limits.inflightBytes() / 8 + Limits.MAX_BODY / 4
           || doorSlow && leaving < MAX_LEAVING) {
-        reader.order = assignment.decide(reader.key, retained.customer, back ? null : reader.slow, doorSlow,
-            reader.home, reader.moves, nowMs - reader.sinceMs, nowMs);
+        reader.order =
+            assignment.decide(
+                reader.key,
+                retained.customer,
+                back ? null : reader.slow,
+                doorSlow,
+                reader.home,
+                reader.moves,
+                nowMs - reader.sinceMs,
+                nowMs);
         reader.orderMs = nowMs;
         if (reader.order != null) {
           leaving++;
@@ -310,8 +345,8 @@
   }
 
   /**
-   * Tells a reader its order once it has taken what was under way; an order that does not hold any more is
-   * dropped.
+   * Tells a reader its order once it has taken what was under way; an order that does not hold any
+   * more is dropped.
    */
   private void tell(Reader reader, long nowMs) {
     MoveOrder order = reader.order;
--- a/notices/src/main/java/willowdoor/notices/Receiving.java
+++ b/notices/src/main/java/willowdoor/notices/Receiving.java
@@ -10,7 +10,11 @@
   private final Passing.Watcher watcher;
   private final Publishing publishing;
 
-  Receiving(Keeper self, Passing passing, Publishing publishing, Consumer<Effect> effects,
+  Receiving(
+      Keeper self,
+      Passing passing,
+      Publishing publishing,
+      Consumer<Effect> effects,
       Passing.Watcher watcher) {
     this.self = self;
     this.passing = passing;
@@ -34,7 +38,8 @@
       }
     } else if (message instanceof PeerMessage.End end) {
       Stream stream = others(end.stream());
-      if (stream != null && (stream.keeper.member() == peer || !stream.keeper.there(passing.view()))
+      if (stream != null
+          && (stream.keeper.member() == peer || !stream.keeper.there(passing.view()))
           && stream.last() >= end.last()) {
         stream.ended = true;
         stream.complete = true;
@@ -73,9 +78,12 @@
 
   private void offer(int peer, PeerMessage.Offer offer, long nowMs) {
     Stream stream = passing.stream(offer.stream());
-    Retained retained = stream != null || offer.keeper().equals(self) || readers(offer.customer())
-        ? passing.retained(offer.customer()) : null;
-    if (retained == null || own(offer.stream())
+    Retained retained =
+        stream != null || offer.keeper().equals(self) || readers(offer.customer())
+            ? passing.retained(offer.customer())
+            : null;
+    if (retained == null
+        || own(offer.stream())
         || stream != null && stream.customer != offer.customer()) {
       return;
     }
@@ -94,7 +102,10 @@
     }
   }
 
-  /** Whether a stream is this process's, whoever speaks of it; one of a process before it is another's. */
+  /**
+   * Whether a stream is this process's, whoever speaks of it; one of a process before it is
+   * another's.
+   */
   private boolean own(StreamId id) {
     return id.member() == self.member() && id.generation() == self.generation();
   }
@@ -106,7 +117,9 @@
 
   private void begin(int peer, PeerMessage.Begin begin, long nowMs) {
     Retained retained = passing.retained(begin.customer());
-    if (retained == null || own(begin.stream()) || passing.stream(begin.stream()) != null
+    if (retained == null
+        || own(begin.stream())
+        || passing.stream(begin.stream()) != null
         || !retained.hasReaders()) {
       return;
     }
--- a/notices/src/main/java/willowdoor/notices/Retained.java
+++ b/notices/src/main/java/willowdoor/notices/Retained.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * What a front door keeps of one customer's notices: the streams, and one order over them in which its
- * readers get them. Bounded in bytes and time; the oldest go first.
+ * What a front door keeps of one customer's notices: the streams, and one order over them in which
+ * its readers get them. Bounded in bytes and time; the oldest go first.
  */
 final class Retained {
   final long customer;
@@ -18,11 +18,13 @@
   private Position seen = Position.NONE;
   private Position dropped = Position.NONE;
   private long bytes;
+
   /**
-   * The least that readers which resumed here need of streams that are yet to be offered; null where none
-   * did.
+   * The least that readers which resumed here need of streams that are yet to be offered; null
+   * where none did.
    */
   private Position needed;
+
   /** Since when the customer has readers here, -1 while it has none. */
   private long readersMs = -1;
 
@@ -83,7 +85,8 @@
 
   void evict(long nowMs) {
     while (!order.isEmpty()
-        && (bytes > limits.retainBytes() || nowMs - order.get(order.first()).atMs() > limits.retainMs())) {
+        && (bytes > limits.retainBytes()
+            || nowMs - order.get(order.first()).atMs() > limits.retainMs())) {
       evictOldest();
     }
   }
--- a/notices/src/main/java/willowdoor/notices/ServerSentEvents.java
+++ b/notices/src/main/java/willowdoor/notices/ServerSentEvents.java
@@ -9,19 +9,33 @@
     return event(null, after.text(notice.stream()), body);
   }
 
-  /** @param to the last count that is lacking, or {@link Entry#OPEN} where nobody knows */
+  /**
+   * @param to the last count that is lacking, or {@link Entry#OPEN} where nobody knows
+   */
   byte[] gap(StreamId stream, long from, long to, Position after) {
-    return event("gap", after.text(null), "{\"stream\":\"" + stream.text() + "\",\"from\":" + from
-        + ",\"to\":" + (to == Entry.OPEN ? "null" : Long.toString(to)) + "}");
+    return event(
+        "gap",
+        after.text(null),
+        "{\"stream\":\""
+            + stream.text()
+            + "\",\"from\":"
+            + from
+            + ",\"to\":"
+            + (to == Entry.OPEN ? "null" : Long.toString(to))
+            + "}");
   }
 
-  /** The first event: what to say as {@code Last-Event-ID} when the answer ends before another comes. */
+  /**
+   * The first event: what to say as {@code Last-Event-ID} when the answer ends before another
+   * comes.
+   */
   byte[] open(long key, Position at) {
     return event("open", at.text(null), "{\"reader\":\"" + Long.toUnsignedString(key, 36) + "\"}");
   }
 
   byte[] move(String address, MoveOrder order, Position at) {
-    return event("move", at.text(null), "{\"to\":\"" + address + "\",\"order\":\"" + order.text() + "\"}");
+    return event(
+        "move", at.text(null), "{\"to\":\"" + address + "\",\"order\":\"" + order.text() + "\"}");
   }
 
   byte[] closed(String reason, Position at) {
@@ -34,7 +48,8 @@
       text.append("event: ").append(type).append('\n');
     }
     text.append("id: ").append(id).append('\n');
-    // A line break of any kind ends a field, so each line is a field of its own; readers join them by \n.
+    // A line break of any kind ends a field, so each line is a field of its own; readers join them
+    // by \n.
     int from = 0;
     for (int i = 0; i <= data.length(); i++) {
       char c = i < data.length() ? data.charAt(i) : '\n';
--- a/notices/src/main/java/willowdoor/notices/Stream.java
+++ b/notices/src/main/java/willowdoor/notices/Stream.java
@@ -1,24 +1,35 @@
 package willowdoor.notices;
 
-/** One stream as one front door holds it: the last stretch of its notices, and who else keeps it. */
+/**
+ * One stream as one front door holds it: the last stretch of its notices, and who else keeps it.
+ */
 final class Stream {
   final long customer;
   final StreamId id;
+
   /** What came up to this count was never here. */
   final long base;
+
   /** Whether this front door takes its notices. */
   final boolean own;
+
   /** Who keeps a copy. */
   Keeper keeper = Keeper.NONE;
+
   /** Of an own stream: the last that a second front door holds. */
   long committed;
+
   long lastMs;
+
   /** Since when its front door is gone, -1 while it is there. */
   long orphanMs = -1;
+
   /** Whether its keeper has said that this was the last. */
   boolean complete;
+
   /** Whether it is known here how it ended, or the readers were told that it is not. */
   boolean ended;
+
   private final Ring<Held> held;
   private long droppedMs = Long.MIN_VALUE;
 
@@ -63,8 +74,8 @@
   }
 
   /**
-   * When the last notice came that is held no more: the least number where all are, the greatest where
-   * unknown.
+   * When the last notice came that is held no more: the least number where all are, the greatest
+   * where unknown.
    */
   long droppedMs() {
     return droppedMs;
--- a/notices/src/test/java/willowdoor/notices/AssignmentModelTest.java
+++ b/notices/src/test/java/willowdoor/notices/AssignmentModelTest.java
@@ -15,24 +15,34 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Every interleaving, to a stated depth, of what three members and a reader can do while the view changes,
- * over the real {@link Assignment}: views arrive at each member when they will, one of them cut off; orders
- * are decided, told later, followed late or twice; time passes.
+ * Every interleaving, to a stated depth, of what three members and a reader can do while the view
+ * changes, over the real {@link Assignment}: views arrive at each member when they will, one of
+ * them cut off; orders are decided, told later, followed late or twice; time passes.
  */
 class AssignmentModelTest {
   private static final int DEPTH = 9;
   private static final Limits LIMITS = Limits.standard();
   private static final FleetView ALL = view(1, false, 0, 1, 2);
+
   /**
-   * What each member sees later: 2 is cut off; or 1 and 2 are, and 0 goes on with others that play no part.
+   * What each member sees later: 2 is cut off; or 1 and 2 are, and 0 goes on with others that play
+   * no part.
    */
   private static final FleetView[][] LATER = {
-      {view(2, false, 0, 1), view(2, false, 0, 1), view(2, true, 2)},
-      {view(2, false, 0), view(2, true, 1, 2), view(2, true, 1, 2)}};
+    {view(2, false, 0, 1), view(2, false, 0, 1), view(2, true, 2)},
+    {view(2, false, 0), view(2, true, 1, 2), view(2, true, 1, 2)}
+  };
+
   private static final long KEY = 99;
+
   /** One whose slow readers go to 2, but to 1 where 0 and 1 are left. */
-  private static final long CUSTOMER = LongStream.range(1, 1_000).filter(c -> target(ALL, c) == 2
-      && target(LATER[0][0], c) == 1 && target(LATER[1][1], c) == 2).findFirst().orElseThrow();
+  private static final long CUSTOMER =
+      LongStream.range(1, 1_000)
+          .filter(
+              c ->
+                  target(ALL, c) == 2 && target(LATER[0][0], c) == 1 && target(LATER[1][1], c) == 2)
+          .findFirst()
+          .orElseThrow();
 
   private static int target(FleetView view, long customer) {
     return new Places(view.members()).of(customer, PaceClass.SLOW);
@@ -40,7 +50,10 @@
 
   private static FleetView view(long epoch, boolean cutOff, int... members) {
     long digest = epoch * 1_000 + Arrays.hashCode(members);
-    return new FleetView(epoch, digest, cutOff,
+    return new FleetView(
+        epoch,
+        digest,
+        cutOff,
         Arrays.stream(members).mapToObj(i -> new FleetView.Member(i, 1, "d" + i)).toList());
   }
 
@@ -51,13 +64,17 @@
     final FleetView[] view = {ALL, ALL, ALL};
     final long[] changedMs = new long[3];
     long nowMs = LIMITS.settleMs();
+
     /** Where the reader is; -1 while it is under way. */
     int at;
+
     long count;
     boolean guest;
     MoveOrder pending;
+
     /** What it was told, newest last: it may follow any of them, also an old one again. */
     final List<MoveOrder> told = new ArrayList<>();
+
     final List<Long> accepted = new ArrayList<>();
     String broken;
 
@@ -120,7 +137,10 @@
       return true;
     }
 
-    /** The reader goes where it was told; it may be late, or do so again though it is somewhere by now. */
+    /**
+     * The reader goes where it was told; it may be late, or do so again though it is somewhere by
+     * now.
+     */
     private boolean follow(int which) {
       if (which < 0 || which >= told.size() || told.size() > 3) {
         return false;
@@ -163,9 +183,18 @@
 
     String state() {
       StringBuilder told = new StringBuilder();
-      this.told.forEach(order -> told.append(order.epoch()).append(order.count()).append(order.target()));
-      return nowMs + "," + at + count + guest + (pending == null ? "" : pending.epoch()) + told + accepted
-          + Arrays.stream(view).map(FleetView::digest).toList() + Arrays.toString(changedMs);
+      this.told.forEach(
+          order -> told.append(order.epoch()).append(order.count()).append(order.target()));
+      return nowMs
+          + ","
+          + at
+          + count
+          + guest
+          + (pending == null ? "" : pending.epoch())
+          + told
+          + accepted
+          + Arrays.stream(view).map(FleetView::digest).toList()
+          + Arrays.toString(changedMs);
     }
   }
 
@@ -205,49 +234,62 @@
   @Test
   void noOrderIsActedOnOutOfItsView() {
     Found found = search(i -> new Assignment(i, LIMITS));
-    System.out.println("assignments: " + found.states() + " states, every interleaving to depth " + DEPTH);
+    System.out.println(
+        "assignments: " + found.states() + " states, every interleaving to depth " + DEPTH);
     assertEquals(null, found.broken(), () -> "by " + found.trace());
     assertTrue(found.states() > 1_000, "states " + found.states());
   }
 
   @Test
   void findsThatTheNumberIsIgnored() {
-    caught(search(i -> new Assignment(i, LIMITS) {
-      @Override
-      boolean current(MoveOrder order) {
-        return true;
-      }
-    }));
+    caught(
+        search(
+            i ->
+                new Assignment(i, LIMITS) {
+                  @Override
+                  boolean current(MoveOrder order) {
+                    return true;
+                  }
+                }));
   }
 
   @Test
   void findsThatACutOffSideMovesReaders() {
-    caught(search(i -> new Assignment(i, LIMITS) {
-      @Override
-      boolean allowed() {
-        return true;
-      }
-    }));
+    caught(
+        search(
+            i ->
+                new Assignment(i, LIMITS) {
+                  @Override
+                  boolean allowed() {
+                    return true;
+                  }
+                }));
   }
 
   @Test
   void findsThatAnOrderIsTakenTwice() {
-    caught(search(i -> new Assignment(i, LIMITS) {
-      @Override
-      boolean fresh(MoveOrder order) {
-        return true;
-      }
-    }));
+    caught(
+        search(
+            i ->
+                new Assignment(i, LIMITS) {
+                  @Override
+                  boolean fresh(MoveOrder order) {
+                    return true;
+                  }
+                }));
   }
 
   @Test
   void findsThatTheViewHasNotSettled() {
-    caught(search(i -> new Assignment(i, LIMITS) {
-      @Override
-      boolean settled(long nowMs) {
-        return allowed();
-      }
-    }));
+    caught(
+        search(
+            i ->
+                new Assignment(i, LIMITS) {
+                  @Override
+                  boolean settled(long nowMs) {
+                    return allowed();
+                  }
+                }));
   }
 
   private static void caught(Found found) {
--- a/notices/src/test/java/willowdoor/notices/NoticesDoorTest.java
+++ b/notices/src/test/java/willowdoor/notices/NoticesDoorTest.java
@@ -20,12 +20,14 @@
 
   private static void publishFor(Sim sim, long forMs, long everyMs, int bytes) {
     for (long ms = 1; ms < forMs; ms += everyMs) {
-      sim.at(sim.nowMs + ms, () -> {
-        int to = sim.random.nextInt(sim.doors);
-        if (sim.door[to] != null) {
-          sim.publish(to, CUSTOMER, bytes);
-        }
-      });
+      sim.at(
+          sim.nowMs + ms,
+          () -> {
+            int to = sim.random.nextInt(sim.doors);
+            if (sim.door[to] != null) {
+              sim.publish(to, CUSTOMER, bytes);
+            }
+          });
     }
   }
 
@@ -43,7 +45,9 @@
     nothingWrong(regrouped);
     assertEquals(List.of(), not.wrong(r -> false));
     assertTrue(regrouped.quantile(0.99) <= 1.2 * calm.quantile(0.99));
-    assertTrue(not.quantile(0.99) > 5 * calm.quantile(0.99), not.quantile(0.99) + " " + calm.quantile(0.99));
+    assertTrue(
+        not.quantile(0.99) > 5 * calm.quantile(0.99),
+        not.quantile(0.99) + " " + calm.quantile(0.99));
     assertTrue(regrouped.readers.stream().anyMatch(r -> r.moves > 0));
   }
 
@@ -75,11 +79,13 @@
     sim.unhealthy.addAll(slow);
     publishFor(sim, 80_000, 50, 500);
     sim.run(25_000);
-    assertEquals(1, slow.stream().mapToInt(r -> r.door).distinct().count(), "all at one front door");
+    assertEquals(
+        1, slow.stream().mapToInt(r -> r.door).distinct().count(), "all at one front door");
     assertTrue(slow.stream().mapToInt(r -> r.moves).sum() >= 4);
     slow.forEach(r -> r.bytesPerMs = 200);
     sim.run(60_000);
-    assertTrue(slow.stream().mapToInt(r -> r.door).distinct().count() > 1, "back where they came first");
+    assertTrue(
+        slow.stream().mapToInt(r -> r.door).distinct().count() > 1, "back where they came first");
     assertEquals(List.of(), sim.wrong(r -> true).stream().limit(5).toList());
   }
 
@@ -113,16 +119,23 @@
     }
     java.util.Arrays.fill(sim.linkMs[3], 2_000);
     sim.run(5_000);
-    assertEquals(0, sim.readers.stream().mapToInt(r -> r.moves).sum(), "a burst and a slow link move nobody");
-    assertTrue(sim.door[3].slowLinks(sim.nowMs).size() > 0 && sim.door[1].slowLinks(sim.nowMs).contains(3));
+    assertEquals(
+        0,
+        sim.readers.stream().mapToInt(r -> r.moves).sum(),
+        "a burst and a slow link move nobody");
+    assertTrue(
+        sim.door[3].slowLinks(sim.nowMs).size() > 0
+            && sim.door[1].slowLinks(sim.nowMs).contains(3));
     java.util.Arrays.fill(sim.linkMs[3], 1);
     List<SimReader> there = sim.readers.stream().filter(r -> r.door == 0).toList();
     for (int ms = 0; ms < 30_000; ms++) {
       there.forEach(r -> r.bytesPerMs = r.door == 0 ? 4 : 200);
       sim.run(1);
     }
-    assertTrue(there.stream().filter(r -> r.moves > 0).count() > there.size() / 4, "moved away from it");
-    assertEquals(0, sim.readers.stream().filter(r -> !there.contains(r)).mapToInt(r -> r.moves).sum());
+    assertTrue(
+        there.stream().filter(r -> r.moves > 0).count() > there.size() / 4, "moved away from it");
+    assertEquals(
+        0, sim.readers.stream().filter(r -> !there.contains(r)).mapToInt(r -> r.moves).sum());
     there.forEach(r -> r.bytesPerMs = 200);
     sim.run(20_000);
     nothingWrong(sim);
@@ -135,8 +148,9 @@
       sim.reader(CUSTOMER, i < 8 ? 1.5 : 200);
     }
     publishFor(sim, 40_000, 50, 500);
-    int target = new Places(IntStream.range(0, 5).mapToObj(i -> new FleetView.Member(i, 1, "d")).toList())
-        .of(CUSTOMER, PaceClass.SLOW);
+    int target =
+        new Places(IntStream.range(0, 5).mapToObj(i -> new FleetView.Member(i, 1, "d")).toList())
+            .of(CUSTOMER, PaceClass.SLOW);
     while (sim.readers.stream().noneMatch(r -> r.order != null)) {
       sim.run(1);
     }
@@ -169,7 +183,8 @@
       sim.run(10_000);
       nothingWrong(sim);
     }
-    assertTrue(acknowledged > 0 && acknowledged < 80, "some died before, some after: " + acknowledged);
+    assertTrue(
+        acknowledged > 0 && acknowledged < 80, "some died before, some after: " + acknowledged);
   }
 
   @Test
@@ -235,12 +250,13 @@
   @Test
   void findsThatAGapIsNotTold() {
     Sim sim = new Sim(5, Limits.standard().withRetained(200_000, 20_000), 2);
-    sim.events = new ServerSentEvents() {
-      @Override
-      byte[] gap(StreamId stream, long from, long to, Position after) {
-        return new byte[0];
-      }
-    };
+    sim.events =
+        new ServerSentEvents() {
+          @Override
+          byte[] gap(StreamId stream, long from, long to, Position after) {
+            return new byte[0];
+          }
+        };
     List<String> wrong = history(sim).wrong(r -> true);
     System.out.println("found: " + wrong.get(0));
     assertTrue(wrong.get(0).contains(" lost "));
@@ -249,17 +265,21 @@
   private static void fault(Sim sim, int kind, int one, int other) {
     if (kind == 0 && sim.door[one] != null) {
       sim.kill(one, 600);
-      sim.at(sim.nowMs + 1_000 + sim.random.nextInt(4_000), () -> {
-        sim.restart(one);
-        sim.views(100);
-      });
+      sim.at(
+          sim.nowMs + 1_000 + sim.random.nextInt(4_000),
+          () -> {
+            sim.restart(one);
+            sim.views(100);
+          });
     } else if (kind == 1) {
       sim.cut(one, other, true);
       sim.views(800);
-      sim.at(sim.nowMs + 3_000, () -> {
-        sim.cut(one, other, false);
-        sim.views(100);
-      });
+      sim.at(
+          sim.nowMs + 3_000,
+          () -> {
+            sim.cut(one, other, false);
+            sim.views(100);
+          });
     } else if (kind == 2) {
       sim.linkMs[one][other] = 300;
       sim.at(sim.nowMs + 4_000, () -> sim.linkMs[one][other] = 1);
--- a/notices/src/test/java/willowdoor/notices/PeersTest.java
+++ b/notices/src/test/java/willowdoor/notices/PeersTest.java
@@ -29,7 +29,12 @@
 
   private Peers peers(int self, String fleet) {
     PeerCodec.Hello hello = new PeerCodec.Hello(fleet, self, 1);
-    return new Peers(loop.next(), NioSocketChannel.class, hello, roster, () -> 0.5,
+    return new Peers(
+        loop.next(),
+        NioSocketChannel.class,
+        hello,
+        roster,
+        () -> 0.5,
         new Peers.Listener() {
           @Override
           public void linkUp(int peer) {
@@ -58,7 +63,8 @@
   }
 
   private int listens(Peers peers, int port) throws InterruptedException {
-    return peers.listen(NioServerSocketChannel.class,
+    return peers.listen(
+        NioServerSocketChannel.class,
         new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
   }
 
@@ -101,8 +107,12 @@
     Peers one = peers(1, "f");
     int port = listens(one, 0);
     roster.put(2, new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
-    byte[][] bad = {{1, 2, 3}, PeerCodec.encode(new PeerCodec.Hello("other", 2, 1)),
-        PeerCodec.encode(new PeerCodec.Hello("f", 9, 1)), PeerCodec.encode(THERE)};
+    byte[][] bad = {
+      {1, 2, 3},
+      PeerCodec.encode(new PeerCodec.Hello("other", 2, 1)),
+      PeerCodec.encode(new PeerCodec.Hello("f", 9, 1)),
+      PeerCodec.encode(THERE)
+    };
     for (byte[] frame : bad) {
       try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
         DataOutputStream out = new DataOutputStream(socket.getOutputStream());
--- a/notices/src/test/java/willowdoor/notices/Sim.java
+++ b/notices/src/test/java/willowdoor/notices/Sim.java
@@ -12,7 +12,10 @@
 import java.util.Set;
 import java.util.WeakHashMap;
 
-/** Front doors, what lies between them, publishers and readers, on a hand-moved clock with steps of 1 ms. */
+/**
+ * Front doors, what lies between them, publishers and readers, on a hand-moved clock with steps of
+ * 1 ms.
+ */
 final class Sim extends SimRecords {
   private record Due(long atMs, long order, Runnable what) {}
 
@@ -27,8 +30,10 @@
   private final Map<Long, Long> customerOf = new HashMap<>();
   int refused;
   long mostHeld;
+
   /** Another kind of assignment or rendering, for deliberate defects. */
   java.util.function.IntFunction<Assignment> assignments;
+
   ServerSentEvents events = new ServerSentEvents();
   private final FleetView[] views;
   private final long[][] session;
@@ -37,12 +42,18 @@
   private long calls;
   private long connections;
   private long orders;
-  private final PriorityQueue<Due> due = new PriorityQueue<>((a, b) -> a.atMs() != b.atMs()
-      ? Long.compare(a.atMs(), b.atMs()) : Long.compare(a.order(), b.order()));
+  private final PriorityQueue<Due> due =
+      new PriorityQueue<>(
+          (a, b) ->
+              a.atMs() != b.atMs()
+                  ? Long.compare(a.atMs(), b.atMs())
+                  : Long.compare(a.order(), b.order()));
   private final Map<Long, SimReader> byConnection = new HashMap<>();
   private final Set<SimReader> active = new LinkedHashSet<>();
+
   /** By identity: arrays have no other equality. */
   private final Map<byte[], List<SimReader.Seen>> parsed = new WeakHashMap<>();
+
   private final ArrayDeque<Runnable> effects = new ArrayDeque<>();
 
   Sim(int doors, Limits limits, long seed) {
@@ -71,8 +82,15 @@
   void restart(int i) {
     generation[i]++;
     views[i] = null;
-    door[i] = new NoticesDoor(i, generation[i], limits, random::nextLong,
-        e -> effects.add(() -> effect(i, e)), assignments.apply(i), events);
+    door[i] =
+        new NoticesDoor(
+            i,
+            generation[i],
+            limits,
+            random::nextLong,
+            e -> effects.add(() -> effect(i, e)),
+            assignments.apply(i),
+            events);
   }
 
   void at(long ms, Runnable what) {
@@ -111,13 +129,15 @@
       }
       FleetView view = new FleetView(epoch, digest, members.size() * 2 <= doors, members);
       int self = i;
-      at(nowMs + inMs + (inMs == 0 ? 0 : random.nextInt(200)), () -> {
-        if (door[self] != null && (views[self] == null || views[self].epoch() < view.epoch())) {
-          views[self] = view;
-          door[self].view(view, nowMs);
-          drain();
-        }
-      });
+      at(
+          nowMs + inMs + (inMs == 0 ? 0 : random.nextInt(200)),
+          () -> {
+            if (door[self] != null && (views[self] == null || views[self].epoch() < view.epoch())) {
+              views[self] = view;
+              door[self].view(view, nowMs);
+              drain();
+            }
+          });
     }
   }
 
@@ -132,18 +152,20 @@
   }
 
   private void connect(int from, int to) {
-    at(nowMs + 20 + random.nextInt(20), () -> {
-      if (!wanted[from][to] || door[from] == null || session[from][to] != 0) {
-        return;
-      }
-      if (door[to] == null || cut[from][to] || cut[to][from]) {
-        connect(from, to);
-      } else {
-        session[from][to] = ++orders;
-        door[from].linkUp(to, nowMs);
-        drain();
-      }
-    });
+    at(
+        nowMs + 20 + random.nextInt(20),
+        () -> {
+          if (!wanted[from][to] || door[from] == null || session[from][to] != 0) {
+            return;
+          }
+          if (door[to] == null || cut[from][to] || cut[to][from]) {
+            connect(from, to);
+          } else {
+            session[from][to] = ++orders;
+            door[from].linkUp(to, nowMs);
+            drain();
+          }
+        });
   }
 
   /** Cuts or mends the way between two doors, both ways. */
@@ -174,8 +196,13 @@
     } else if (effect instanceof Effect.Answer answer) {
       int dot = answer.id() == null ? -1 : answer.id().lastIndexOf('.');
       if (answer.status() == 200) {
-        taken.put(answer.call(), new Taken(customerOf.get(answer.call()), answer.id().substring(0, dot),
-            Long.parseLong(answer.id().substring(dot + 1), 36), begun.get(answer.call())));
+        taken.put(
+            answer.call(),
+            new Taken(
+                customerOf.get(answer.call()),
+                answer.id().substring(0, dot),
+                Long.parseLong(answer.id().substring(dot + 1), 36),
+                begun.get(answer.call())));
       } else {
         refused++;
       }
@@ -188,12 +215,14 @@
     int other = back ? from : to;
     long sent = session[opener][other];
     if (sent != 0) {
-      at(nowMs + linkMs[from][to], () -> {
-        if (session[opener][other] == sent && door[to] != null) {
-          door[to].message(from, message, nowMs);
-          drain();
-        }
-      });
+      at(
+          nowMs + linkMs[from][to],
+          () -> {
+            if (session[opener][other] == sent && door[to] != null) {
+              door[to].message(from, message, nowMs);
+              drain();
+            }
+          });
     }
   }
 
@@ -203,11 +232,13 @@
       return;
     }
     reader.closing = true;
-    at(nowMs + 2_000, () -> {
-      if (reader.connection == connection && reader.closing) {
-        end(reader, i);
-      }
-    });
+    at(
+        nowMs + 2_000,
+        () -> {
+          if (reader.connection == connection && reader.closing) {
+            end(reader, i);
+          }
+        });
   }
 
   private void end(SimReader reader, int i) {
@@ -274,7 +305,7 @@
   }
 
   void run(long forMs) {
-    for (long until = nowMs + forMs; nowMs < until;) {
+    for (long until = nowMs + forMs; nowMs < until; ) {
       nowMs++;
       while (!due.isEmpty() && due.peek().atMs() <= nowMs) {
         due.remove().what().run();
@@ -300,7 +331,8 @@
     for (int i = 0; i < doors; i++) {
       for (int j = 0; j < doors; j++) {
         if (i != j && door[i] != null && door[j] != null && !cut[i][j]) {
-          door[j].interest(door[i].interest().since(door[j].interest().known(i, generation[i])), nowMs);
+          door[j].interest(
+              door[i].interest().since(door[j].interest().known(i, generation[i])), nowMs);
           drain();
         }
       }
@@ -332,7 +364,8 @@
   private void see(SimReader reader, SimReader.Seen event) {
     reader.see(event, nowMs);
     if (event.type().equals("notice") && !unhealthy.contains(reader)) {
-      delivered[(int) Math.min(delivered.length - 1, nowMs + reader.latencyMs - event.publishedMs())]++;
+      delivered[
+          (int) Math.min(delivered.length - 1, nowMs + reader.latencyMs - event.publishedMs())]++;
     }
     if (event.order() != null) {
       reader.moves++;
--- a/notices/src/test/java/willowdoor/notices/SimReader.java
+++ b/notices/src/test/java/willowdoor/notices/SimReader.java
@@ -9,12 +9,19 @@
 import java.util.Map;
 
 /**
- * A customer's system that reads: takes bytes at its rate, follows moves, comes back, and checks what it
- * gets.
+ * A customer's system that reads: takes bytes at its rate, follows moves, comes back, and checks
+ * what it gets.
  */
 final class SimReader {
   /** An event as a reader sees it; of those that many share one is made. */
-  record Seen(String type, String id, String stream, long from, long to, long publishedMs, int target,
+  record Seen(
+      String type,
+      String id,
+      String stream,
+      long from,
+      long to,
+      long publishedMs,
+      int target,
       MoveOrder order) {
     static List<Seen> all(byte[] bytes) {
       String[] events = new String(bytes, StandardCharsets.UTF_8).split("\n\n");
@@ -40,15 +47,34 @@
       String[] quoted = data.split("\"");
       if (type.equals("gap")) {
         String to = data.replaceAll(".*\"to\":|}", "");
-        return new Seen(type, id, quoted[3], Long.parseLong(data.replaceAll(".*\"from\":|,.*", "")),
-            to.equals("null") ? Entry.OPEN : Long.parseLong(to), 0, -1, null);
+        return new Seen(
+            type,
+            id,
+            quoted[3],
+            Long.parseLong(data.replaceAll(".*\"from\":|,.*", "")),
+            to.equals("null") ? Entry.OPEN : Long.parseLong(to),
+            0,
+            -1,
+            null);
       }
-      return type.equals("move") ? new Seen(type, id, null, 0, 0, 0, Integer.parseInt(quoted[3].substring(1)),
-          MoveOrder.parse(quoted[7])) : new Seen(type, id, null, 0, 0, 0, -1, null);
+      return type.equals("move")
+          ? new Seen(
+              type,
+              id,
+              null,
+              0,
+              0,
+              0,
+              Integer.parseInt(quoted[3].substring(1)),
+              MoveOrder.parse(quoted[7]))
+          : new Seen(type, id, null, 0, 0, 0, -1, null);
     }
   }
 
-  /** What a reader knows of one stream: it has, or was told that it lacks, all from the first to the last. */
+  /**
+   * What a reader knows of one stream: it has, or was told that it lacks, all from the first to the
+   * last.
+   */
   static final class Known {
     long first;
     long last;
@@ -127,16 +153,26 @@
     if (event.stream() == null) {
       return;
     }
-    Known known = streams.computeIfAbsent(event.stream(), s -> {
-      Known begun = new Known();
-      begun.first = event.from();
-      begun.last = event.from() - 1;
-      return begun;
-    });
+    Known known =
+        streams.computeIfAbsent(
+            event.stream(),
+            s -> {
+              Known begun = new Known();
+              begun.first = event.from();
+              begun.last = event.from() - 1;
+              return begun;
+            });
     boolean gap = event.type().equals("gap");
     gaps += gap ? 1 : 0;
     if (event.from() > known.last + 1) {
-      wrong.add(index + " lost " + (known.last + 1) + " to " + (event.from() - 1) + " of " + event.stream());
+      wrong.add(
+          index
+              + " lost "
+              + (known.last + 1)
+              + " to "
+              + (event.from() - 1)
+              + " of "
+              + event.stream());
     }
     if (gap && event.to() == Entry.OPEN) {
       known.openEnd = true;
--- a/notices/src/test/java/willowdoor/notices/SimRecords.java
+++ b/notices/src/test/java/willowdoor/notices/SimRecords.java
@@ -16,8 +16,10 @@
   final List<SimReader> readers = new ArrayList<>();
   final Map<Long, Taken> taken = new LinkedHashMap<>();
   long nowMs;
+
   /** Deliveries to readers that are not slow, by ms. */
   final long[] delivered = new long[200_001];
+
   final Set<SimReader> unhealthy = new LinkedHashSet<>();
 
   /** Counts what healthy readers are still owed as if it came now. */
@@ -25,8 +27,11 @@
     for (Taken notice : taken.values()) {
       for (SimReader reader : readers) {
         SimReader.Known known = reader.streams.get(notice.stream());
-        if (reader.customer == notice.customer() && !unhealthy.contains(reader) && reader.openedMs >= 0
-            && notice.begunMs() >= reader.openedMs && (known == null || known.last < notice.seq())) {
+        if (reader.customer == notice.customer()
+            && !unhealthy.contains(reader)
+            && reader.openedMs >= 0
+            && notice.begunMs() >= reader.openedMs
+            && (known == null || known.last < notice.seq())) {
           delivered[(int) Math.min(delivered.length - 1, nowMs - notice.begunMs())]++;
         }
       }
@@ -56,14 +61,19 @@
   List<String> wrong(java.util.function.Predicate<SimReader> complete) {
     List<String> wrong = new ArrayList<>();
     Map<Long, List<Taken>> byCustomer = new HashMap<>();
-    taken.values().forEach(t -> byCustomer.computeIfAbsent(t.customer(), c -> new ArrayList<>()).add(t));
+    taken
+        .values()
+        .forEach(t -> byCustomer.computeIfAbsent(t.customer(), c -> new ArrayList<>()).add(t));
     for (SimReader reader : readers) {
       wrong.addAll(reader.wrong);
       for (Taken notice : byCustomer.getOrDefault(reader.customer, List.of())) {
         SimReader.Known known = reader.streams.get(notice.stream());
         boolean owed = reader.openedMs >= 0 && notice.begunMs() >= reader.openedMs;
-        if (owed && complete.test(reader) && (known == null || known.first > notice.seq()
-            || known.last < notice.seq() && !known.openEnd)) {
+        if (owed
+            && complete.test(reader)
+            && (known == null
+                || known.first > notice.seq()
+                || known.last < notice.seq() && !known.openEnd)) {
           wrong.add(reader.index + " never got " + notice);
         }
       }
--- a/notices/src/test/java/willowdoor/notices/WordsTest.java
+++ b/notices/src/test/java/willowdoor/notices/WordsTest.java
@@ -28,22 +28,44 @@
     assertEquals("14.7.1.1_3.10fq8.c.2r", position.text(TWO));
     assertEquals(99, Position.parse(position.text(TWO)).of(ONE));
     assertEquals(0, Position.parse("-").size());
-    for (String bad : List.of("", "_", "3.1.1", "3.1.1.1.1", "03.1.1.1", "3.1.1.A", "3.1.1.-1", "+3.1.1.1",
-        "3.1.0.1", "-_4.1.1.1_3.1.1.1", "3.1.1.1_3.1.1.2", "-_", "3.1.1.1 ", "a".repeat(5_000))) {
+    for (String bad :
+        List.of(
+            "",
+            "_",
+            "3.1.1",
+            "3.1.1.1.1",
+            "03.1.1.1",
+            "3.1.1.A",
+            "3.1.1.-1",
+            "+3.1.1.1",
+            "3.1.0.1",
+            "-_4.1.1.1_3.1.1.1",
+            "3.1.1.1_3.1.1.2",
+            "-_",
+            "3.1.1.1 ",
+            "a".repeat(5_000))) {
       assertThrows(IllegalArgumentException.class, () -> Position.parse(bad), bad);
     }
     MoveOrder order = new MoveOrder(4, -5, 1, -77, 5, 2, 0, PaceClass.SLOW);
     assertEquals(order, MoveOrder.parse(order.text()));
-    for (String bad : List.of("", "1.2.3", order.text() + "x", "S" + order.text(), "0" + order.text())) {
+    for (String bad :
+        List.of("", "1.2.3", order.text() + "x", "S" + order.text(), "0" + order.text())) {
       assertThrows(IllegalArgumentException.class, () -> MoveOrder.parse(bad), bad);
     }
   }
 
-  private static String status(String method, String target, Map<String, String> headers, int bytes) {
+  private static String status(
+      String method, String target, Map<String, String> headers, int bytes) {
     byte[] body = "x".repeat(bytes).getBytes(StandardCharsets.UTF_8);
-    NoticesApi.Call call = NoticesApi.parse(method, target, name -> headers.containsKey(name)
-        ? List.of(headers.get(name).split("\\|")) : List.of(), body);
-    return call instanceof NoticesApi.Refused no ? "" + no.status() : call.getClass().getSimpleName();
+    NoticesApi.Call call =
+        NoticesApi.parse(
+            method,
+            target,
+            name -> headers.containsKey(name) ? List.of(headers.get(name).split("\\|")) : List.of(),
+            body);
+    return call instanceof NoticesApi.Refused no
+        ? "" + no.status()
+        : call.getClass().getSimpleName();
   }
 
   @Test
@@ -75,8 +97,11 @@
   @Test
   void rendersEachLineOfANoticeAsAField() {
     Notice lines = new Notice(5, TWO, 1, "a\r\nb\rc\n".getBytes(StandardCharsets.UTF_8));
-    assertEquals("id: 14.7.1.1\ndata: a\ndata: b\ndata: c\ndata: \n\n", new String(
-        new ServerSentEvents().notice(lines, Position.NONE.with(TWO, 1)), StandardCharsets.UTF_8));
+    assertEquals(
+        "id: 14.7.1.1\ndata: a\ndata: b\ndata: c\ndata: \n\n",
+        new String(
+            new ServerSentEvents().notice(lines, Position.NONE.with(TWO, 1)),
+            StandardCharsets.UTF_8));
   }
 
   @Test
@@ -119,11 +144,17 @@
     assertTrue(moved < 64, "moved without need " + moved);
   }
 
-  private static final List<PeerMessage> MESSAGES = List.of(new PeerMessage.Offer(5, ONE, new Keeper(2, 3)),
-      new PeerMessage.Want(ONE, -1, 17), new PeerMessage.Begin(5, ONE, 4, Keeper.NONE),
-      new PeerMessage.Gap(ONE, 8),
-      new PeerMessage.End(TWO, 8), new PeerMessage.Have(ONE, 9), new PeerMessage.Fetch(ONE, 1, 9),
-      new PeerMessage.Pass(NOTICE), new PeerMessage.Fetched(ONE, 7, 8, List.of(NOTICE, NOTICE)));
+  private static final List<PeerMessage> MESSAGES =
+      List.of(
+          new PeerMessage.Offer(5, ONE, new Keeper(2, 3)),
+          new PeerMessage.Want(ONE, -1, 17),
+          new PeerMessage.Begin(5, ONE, 4, Keeper.NONE),
+          new PeerMessage.Gap(ONE, 8),
+          new PeerMessage.End(TWO, 8),
+          new PeerMessage.Have(ONE, 9),
+          new PeerMessage.Fetch(ONE, 1, 9),
+          new PeerMessage.Pass(NOTICE),
+          new PeerMessage.Fetched(ONE, 7, 8, List.of(NOTICE, NOTICE)));
 
   @Test
   void readsBackMessagesAndSurvivesSpoiltOnes() throws IOException {
--- a/policy/src/main/java/willowdoor/policy/Admission.java
+++ b/policy/src/main/java/willowdoor/policy/Admission.java
@@ -3,9 +3,14 @@
 import willowdoor.policy.Figures.*;
 import willowdoor.policy.GatewayApi.*;
 
-/** Which requests are let in: by the fleet's wait, the customer's open limit, its quota and its ceiling. */
+/**
+ * Which requests are let in: by the fleet's wait, the customer's open limit, its quota and its
+ * ceiling.
+ */
 record Admission(Context ctx, SharedCount count, Attempts attempts) {
-  /** A request waits for the counter at most this share of its aim; the rest is for the backends. */
+  /**
+   * A request waits for the counter at most this share of its aim; the rest is for the backends.
+   */
   private static final double COUNT_WAIT_OF_AIM = 0.06;
 
   void onRequest(Request r) {
@@ -32,7 +37,8 @@
       attempts.dispatch(job);
     } else if (!a.shared()) {
       decide(job, false);
-    } else if (a.surelySpent(job.request.units()) || a.byTotal && ctx.random.nextDouble() >= a.hopeful()) {
+    } else if (a.surelySpent(job.request.units())
+        || a.byTotal && ctx.random.nextDouble() >= a.hopeful()) {
       beyondQuota(job, Refusal.SPENT);
     } else if (count.pace.mayCall()) {
       count.call(job);
@@ -43,16 +49,24 @@
 
   void onCounted(Counted e) {
     Job job = count.onCounted(e);
-    if (job != null) { decide(job, e.status() == Status.OK); }
+    if (job != null) {
+      decide(job, e.status() == Status.OK);
+    }
   }
 
-  /** By the answered total, or else by the replica with the share of the refill this gateway is used to. */
+  /**
+   * By the answered total, or else by the replica with the share of the refill this gateway is used
+   * to.
+   */
   private void decide(Job job, boolean answered) {
     Account a = job.account;
     double units = job.request.units();
     boolean within = a.within(units, answered, job.called ? job.asked : 0);
-    boolean barred = a.plan.rate() > 0 && !within
-        || a.shared() && !answered && ctx.pressure.pressed(job.worth(), Pressure.UNCONFIRMED, ctx.now);
+    boolean barred =
+        a.plan.rate() > 0 && !within
+            || a.shared()
+                && !answered
+                && ctx.pressure.pressed(job.worth(), Pressure.UNCONFIRMED, ctx.now);
     boolean openFull = a.openFull();
     if (barred || openFull || !a.holdsCeiling(units, answered)) {
       if (job.added && answered && a.byTotal) {
@@ -61,8 +75,11 @@
         a.owed -= units;
       }
       job.added = false;
-      beyondQuota(job, !barred && openFull ? Refusal.OPEN_LIMIT : answered ? Refusal.BEYOND
-          : Refusal.UNCONFIRMED);
+      beyondQuota(
+          job,
+          !barred && openFull
+              ? Refusal.OPEN_LIMIT
+              : answered ? Refusal.BEYOND : Refusal.UNCONFIRMED);
       return;
     }
     a.take(units);
@@ -71,7 +88,10 @@
     attempts.dispatch(job);
   }
 
-  /** Beyond its quota a request goes on only where the plan earns by it, under no ceiling, fleet idle. */
+  /**
+   * Beyond its quota a request goes on only where the plan earns by it, under no ceiling, fleet
+   * idle.
+   */
   private void beyondQuota(Job job, Refusal why) {
     double rate = job.account.plan.rate(), wait = ctx.pressure.expectedOfAim(ctx.now);
     if (job.account.earnsBeyond() && wait < Pressure.LOW - Pressure.UNCONFIRMED) {
--- a/policy/src/main/java/willowdoor/policy/Attempts.java
+++ b/policy/src/main/java/willowdoor/policy/Attempts.java
@@ -7,10 +7,18 @@
 
 /** The open requests that were let in: their attempts, repeats, and final answers. */
 final class Attempts {
-  /** Further attempts for each request, earned by first attempts, and how many the fleet may save up. */
+  /**
+   * Further attempts for each request, earned by first attempts, and how many the fleet may save
+   * up.
+   */
   private static final double RETRY_EARNED = 0.15, FLEET_RETRIES_SAVED = 30;
-  /** A first attempt that can be repeated is given up after this share of the aim, so that a second fits. */
+
+  /**
+   * A first attempt that can be repeated is given up after this share of the aim, so that a second
+   * fits.
+   */
   private static final double FIRST_TRY_OF_AIM = 0.65;
+
   /** Wait for any usable backend this share of the aim before refusing. */
   private static final double HOLD_OF_AIM = 0.4;
 
@@ -26,7 +34,8 @@
     this.ctx = ctx;
     this.fleet = fleet;
     choice = new Choice(ctx, fleet);
-    retryTokens = retriesSaved = Math.max(1, FLEET_RETRIES_SAVED / Math.max(1, ctx.settings.gateways()));
+    retryTokens =
+        retriesSaved = Math.max(1, FLEET_RETRIES_SAVED / Math.max(1, ctx.settings.gateways()));
   }
 
   void dispatch(Job job) {
@@ -60,7 +69,9 @@
     ctx.out.add(new Send(job.request.id(), b.id, left, job.keyedUntil - Job.GUARD_MS));
   }
 
-  /** A request that ended while it waited for the counter must not be sent when the answer comes. */
+  /**
+   * A request that ended while it waited for the counter must not be sent when the answer comes.
+   */
   void onClientLeft(String id) {
     Job job = open.remove(id);
     if (job != null) {
@@ -71,7 +82,9 @@
 
   void onOutcome(Outcome e) {
     Attempt attempt = attempts.remove(e.request() + "#" + e.attempt());
-    if (attempt == null) { return; }
+    if (attempt == null) {
+      return;
+    }
     Job job = attempt.job();
     Backend backend = attempt.backend();
     backend.out.remove(attempt);
@@ -79,7 +92,9 @@
     double heldUp = ctx.stalls.heldUp(attempt.sentAt(), ctx.now);
     ctx.pressure.ended(e, attempt.sentAt(), job.aim(), heldUp, ctx.now);
     job.live = job.live == attempt ? null : job.live;
-    if (!fleet.banned(backend.id)) { backend.learn(e, attempt.sentAt(), heldUp); }
+    if (!fleet.banned(backend.id)) {
+      backend.learn(e, attempt.sentAt(), heldUp);
+    }
     if (e.status() == Status.OK && job.inQuota && e.trueUnits() > 0) {
       job.account.settle(e.trueUnits() - job.request.units());
     }
@@ -106,9 +121,12 @@
   }
 
   private void again(Job job) {
-    boolean allowed = !job.mayHaveRun || job.type.repeat() == Repeat.SAFE
-        || job.type.repeat() == Repeat.KEYED && ctx.now < job.keyedUntil - Job.GUARD_MS;
-    double left = job.request.giveUpMs() - ctx.now, needed = ctx.pressure.service / 2 + Job.GUARD_MS;
+    boolean allowed =
+        !job.mayHaveRun
+            || job.type.repeat() == Repeat.SAFE
+            || job.type.repeat() == Repeat.KEYED && ctx.now < job.keyedUntil - Job.GUARD_MS;
+    double left = job.request.giveUpMs() - ctx.now,
+        needed = ctx.pressure.service / 2 + Job.GUARD_MS;
     if (job.streaming || !allowed || retryTokens < 1 && !job.unreached || left < needed) {
       giveUp(job);
     } else {
@@ -116,15 +134,24 @@
     }
   }
 
-  /** The final answer when no attempt will follow: a refusal where that promise holds, else a failure. */
+  /**
+   * The final answer when no attempt will follow: a refusal where that promise holds, else a
+   * failure.
+   */
   private void giveUp(Job job) {
     if (job.late(ctx.now)) {
-      Stage stage = job.attempts == 0 ? job.called ? Stage.COUNTER : Stage.HELD
-          : job.unreached ? Stage.CONNECT : Stage.ANSWER;
+      Stage stage =
+          job.attempts == 0
+              ? job.called ? Stage.COUNTER : Stage.HELD
+              : job.unreached ? Stage.CONNECT : Stage.ANSWER;
       ctx.figures.expired[stage.ordinal()]++;
     }
-    boolean harmless = !job.mayHaveRun || job.type.repeat() == Repeat.SAFE
-        || job.type.repeat() == Repeat.KEYED && job.type.group() == Group.ALL && ctx.now < job.keyedUntil;
+    boolean harmless =
+        !job.mayHaveRun
+            || job.type.repeat() == Repeat.SAFE
+            || job.type.repeat() == Repeat.KEYED
+                && job.type.group() == Group.ALL
+                && ctx.now < job.keyedUntil;
     if (harmless) {
       refuse(job, job.attempts == 0 ? Refusal.NO_BACKEND : Refusal.GIVEN_UP, 0);
     } else {
@@ -138,7 +165,8 @@
     job.takeBack();
     open.remove(job.request.id());
     Allowed a = ctx.settings.allowed();
-    ctx.out.add(new Refuse(job.request.id(), a.holdOff() ? Math.min(holdOffMs, a.maxHoldOffMs()) : 0));
+    ctx.out.add(
+        new Refuse(job.request.id(), a.holdOff() ? Math.min(holdOffMs, a.maxHoldOffMs()) : 0));
   }
 
   void look(Job job) {
@@ -151,13 +179,20 @@
     }
   }
 
-  /** Takes an attempt back from a backend that has answered nothing since it was sent, if a second fits.
-   * Guards against dead, cut off and stalled backends. Harm: one slow request looks the same; budgeted. */
+  /**
+   * Takes an attempt back from a backend that has answered nothing since it was sent, if a second
+   * fits. Guards against dead, cut off and stalled backends. Harm: one slow request looks the same;
+   * budgeted.
+   */
   private void abandonSilent(Job job) {
     Attempt a = job.live;
-    if (a.backend().answeredAt <= a.sentAt() && ctx.now - a.sentAt() > job.aim() * FIRST_TRY_OF_AIM
-        && !job.abandoned && !job.streaming && ctx.settings.allowed().cancel()
-        && job.type.repeat() != Repeat.UNSAFE && retryTokens >= 1) {
+    if (a.backend().answeredAt <= a.sentAt()
+        && ctx.now - a.sentAt() > job.aim() * FIRST_TRY_OF_AIM
+        && !job.abandoned
+        && !job.streaming
+        && ctx.settings.allowed().cancel()
+        && job.type.repeat() != Repeat.UNSAFE
+        && retryTokens >= 1) {
       job.abandoned = true;
       ctx.out.add(new Cancel(job.request.id(), a.number()));
     }
--- a/policy/src/main/java/willowdoor/policy/Context.java
+++ b/policy/src/main/java/willowdoor/policy/Context.java
@@ -3,7 +3,10 @@
 import java.util.*;
 import willowdoor.policy.GatewayApi.*;
 
-/** What all parts of one gateway's module share: settings, chance, the time, what to do, and what it sees. */
+/**
+ * What all parts of one gateway's module share: settings, chance, the time, what to do, and what it
+ * sees.
+ */
 final class Context {
   final Settings settings;
   final SplittableRandom random;
@@ -26,7 +29,9 @@
   RequestClass type(Request r) {
     RequestClass known = classes.get(r.className());
     double left = r.giveUpMs() - now;
-    return known != null ? known
-        : new RequestClass(r.className(), 1, 0, left / 2, left, Repeat.UNSAFE, Group.CELL, 0, false);
+    return known != null
+        ? known
+        : new RequestClass(
+            r.className(), 1, 0, left / 2, left, Repeat.UNSAFE, Group.CELL, 0, false);
   }
 }
--- a/policy/src/main/java/willowdoor/policy/Fleet.java
+++ b/policy/src/main/java/willowdoor/policy/Fleet.java
@@ -3,15 +3,22 @@
 import java.util.*;
 import willowdoor.policy.GatewayApi.*;
 
-/** The backends: those of the roster, less those that operators took out, and those this gateway keeps to. */
+/**
+ * The backends: those of the roster, less those that operators took out, and those this gateway
+ * keeps to.
+ */
 final class Fleet {
-  /** Backends that a gateway keeps to (subsetting), so as to meet each often enough to know it, on few
-   * connections; and gateways that keep to each at least, so that it does not idle when one of them does. */
+  /**
+   * Backends that a gateway keeps to (subsetting), so as to meet each often enough to know it, on
+   * few connections; and gateways that keep to each at least, so that it does not idle when one of
+   * them does.
+   */
   private static final int SUBSET = 12, SHARED_BY = 4;
 
   private final Context ctx;
   private final TreeMap<Long, Backend> backends = new TreeMap<>();
-  private final Set<Long> banned = new HashSet<>(); // by operators, whatever the roster says of them
+  private final Set<Long> banned =
+      new HashSet<>(); // by operators, whatever the roster says of them
   private final Map<String, Mean> failing = new HashMap<>();
   final List<Backend> serving = new ArrayList<>(), usual = new ArrayList<>();
   final ColdRoom coldRoom;
@@ -26,7 +33,9 @@
       ctx.out.add(new WakeAt(ctx.now + 1000, "follow"));
       return;
     }
-    if (e.form() != RosterForm.CHANGES) { backends.values().forEach(b -> b.phase = Phase.REMOVED); }
+    if (e.form() != RosterForm.CHANGES) {
+      backends.values().forEach(b -> b.phase = Phase.REMOVED);
+    }
     for (BackendEntry x : e.entries()) {
       Backend b = backends.computeIfAbsent(x.id(), id -> new Backend(ctx, id));
       if (b.entry != null && b.entry.startedMs() != x.startedMs()) {
@@ -47,12 +56,15 @@
   }
 
   private Mean failingIn(String group) {
-    return failing.computeIfAbsent(group, g -> new Mean(Backend.NEWEST, Pressure.LIFE_MS, ctx.now, 0));
+    return failing.computeIfAbsent(
+        group, g -> new Mean(Backend.NEWEST, Pressure.LIFE_MS, ctx.now, 0));
   }
 
   private void listServing() {
     serving.clear();
-    backends.values().stream().filter(b -> b.phase == Phase.SERVING && !banned(b.id)).forEach(serving::add);
+    backends.values().stream()
+        .filter(b -> b.phase == Phase.SERVING && !banned(b.id))
+        .forEach(serving::add);
     double mean = serving.stream().mapToDouble(Backend::toldSize).average().orElse(1);
     serving.forEach(b -> b.size = b.toldSize() / mean);
     ctx.pressure.serving = serving.size();
@@ -60,8 +72,10 @@
     coldRoom.listed();
   }
 
-  /** Deterministic subsetting: all gateways put the backends in the same order, and each keeps to the stretch
-   * that begins at its own place, so that every backend is kept to by equally many. */
+  /**
+   * Deterministic subsetting: all gateways put the backends in the same order, and each keeps to
+   * the stretch that begins at its own place, so that every backend is kept to by equally many.
+   */
   private void listUsual() {
     int n = serving.size();
     int gateways = Math.max(1, ctx.settings.gateways());
@@ -72,16 +86,25 @@
       Backend b = ring.get((from + i) % n);
       b.coldAt = b.kept ? b.coldAt : ctx.now;
       b.kept = i < Math.max(SUBSET, SHARED_BY * n / gateways);
-      if (b.kept) { usual.add(b); }
+      if (b.kept) {
+        usual.add(b);
+      }
     }
   }
 
-  boolean banned(long backend) { return banned.contains(backend); }
+  boolean banned(long backend) {
+    return banned.contains(backend);
+  }
 
-  boolean knows(long backend) { return banned(backend) || backends.containsKey(backend); }
+  boolean knows(long backend) {
+    return banned(backend) || backends.containsKey(backend);
+  }
 
-  /** What is put back was restarted meanwhile, or may have been: cold, and nothing is known of it, so it is
-   * tried soon. Harm: where it is not well yet, one request that can be repeated finds out. */
+  /**
+   * What is put back was restarted meanwhile, or may have been: cold, and nothing is known of it,
+   * so it is tried soon. Harm: where it is not well yet, one request that can be repeated finds
+   * out.
+   */
   void onBan(Ban e) {
     Backend before = backends.get(e.backend());
     if (e.out()) {
--- a/policy/src/main/java/willowdoor/policy/GatewayApi.java
+++ b/policy/src/main/java/willowdoor/policy/GatewayApi.java
@@ -3,23 +3,42 @@
 import java.util.List;
 
 /**
- * What passes between a gateway and its decision module, {@link QuotaPolicy}: the settings at the start, then
- * events in, actions out. Times are milliseconds on a clock that only moves forward. Nothing is decided here.
+ * What passes between a gateway and its decision module, {@link QuotaPolicy}: the settings at the
+ * start, then events in, actions out. Times are milliseconds on a clock that only moves forward.
+ * Nothing is decided here.
  */
 public final class GatewayApi {
 
-  private GatewayApi() {
-  }
+  private GatewayApi() {}
 
-  /** May a request run again: freely, within a group of backends that drops its repeats, or never. */
-  public enum Repeat { SAFE, KEYED, UNSAFE }
+  /**
+   * May a request run again: freely, within a group of backends that drops its repeats, or never.
+   */
+  public enum Repeat {
+    SAFE,
+    KEYED,
+    UNSAFE
+  }
 
-  /** The backends that drop a keyed request's repeats: all, those of one zone, or those of one cell. */
-  public enum Group { ALL, ZONE, CELL }
+  /**
+   * The backends that drop a keyed request's repeats: all, those of one zone, or those of one cell.
+   */
+  public enum Group {
+    ALL,
+    ZONE,
+    CELL
+  }
 
   /** How an attempt or a call ended. */
   public enum Status {
-    OK, ERROR, REJECTED, TIMED_OUT, UNREACHABLE, RESET, CANCELLED, NOT_SENT;
+    OK,
+    ERROR,
+    REJECTED,
+    TIMED_OUT,
+    UNREACHABLE,
+    RESET,
+    CANCELLED,
+    NOT_SENT;
 
     /** True when this ending shows that the attempt never ran, or the call added nothing. */
     public boolean provesNotRun() {
@@ -27,82 +46,153 @@
     }
   }
 
-  public enum Phase { SERVING, DRAINING, REMOVED }
+  public enum Phase {
+    SERVING,
+    DRAINING,
+    REMOVED
+  }
 
-  /** A roster holds only what changed, all backends, all as seen in an earlier life, or is a failure. */
-  public enum RosterForm { CHANGES, COMPLETE, REMEMBERED, FAILED }
+  /**
+   * A roster holds only what changed, all backends, all as seen in an earlier life, or is a
+   * failure.
+   */
+  public enum RosterForm {
+    CHANGES,
+    COMPLETE,
+    REMEMBERED,
+    FAILED
+  }
 
   /** One class of requests: worth, time wanted, time allowed, and whether it may run again. */
-  public record RequestClass(String name, double value, double lateValue, double aimMs, double deadlineMs,
-      Repeat repeat, Group group, double repeatWindowMs, boolean stream) { }
+  public record RequestClass(
+      String name,
+      double value,
+      double lateValue,
+      double aimMs,
+      double deadlineMs,
+      Repeat repeat,
+      Group group,
+      double repeatWindowMs,
+      boolean stream) {}
 
   /** One plan; a rate, open limit or ceiling rate of 0 means that there is none. */
-  public record Plan(String name, double rate, double burst, int openLimit, double worthFactor,
-      double beyondEarns, double beyondCost, double ceilingRate, double ceilingBurst, double ceilingSlack) { }
+  public record Plan(
+      String name,
+      double rate,
+      double burst,
+      int openLimit,
+      double worthFactor,
+      double beyondEarns,
+      double beyondCost,
+      double ceilingRate,
+      double ceilingBurst,
+      double ceilingSlack) {}
 
   /** What a gateway may use and do. */
-  public record Allowed(boolean sharedCount, double countLimitMs, boolean cancel, boolean duplicates,
-      int attempts, int open, boolean holdOff, double maxHoldOffMs, boolean rosterOnRequest) { }
+  public record Allowed(
+      boolean sharedCount,
+      double countLimitMs,
+      boolean cancel,
+      boolean duplicates,
+      int attempts,
+      int open,
+      boolean holdOff,
+      double maxHoldOffMs,
+      boolean rosterOnRequest) {}
 
   /** Figures of the rules. */
-  public record Rules(double answerSlackMs, double coldFrom, double coldMs, double tipMultiple,
-      double tipAfterMs) { }
-
-  public record Settings(int gateways, int self, String zone, double maxUnits, double crossZonePrice,
-      boolean sizesTold, List<RequestClass> classes, List<Plan> plans, Allowed allowed, Rules rules) { }
+  public record Rules(
+      double answerSlackMs,
+      double coldFrom,
+      double coldMs,
+      double tipMultiple,
+      double tipAfterMs) {}
+
+  public record Settings(
+      int gateways,
+      int self,
+      String zone,
+      double maxUnits,
+      double crossZonePrice,
+      boolean sizesTold,
+      List<RequestClass> classes,
+      List<Plan> plans,
+      Allowed allowed,
+      Rules rules) {}
 
   /** One backend of a roster; startedMs is 0 when it started long ago. */
-  public record BackendEntry(long id, String zone, int cell, Phase phase, double size, double startedMs) { }
+  public record BackendEntry(
+      long id, String zone, int cell, Phase phase, double size, double startedMs) {}
 
   /** A load report; a value that was not reported is NaN. */
-  public record Load(double inFlight, double serviceMs) { }
+  public record Load(double inFlight, double serviceMs) {}
 
   /** What a gateway tells its module. */
-  public sealed interface Event { }
+  public sealed interface Event {}
 
-  public record Roster(RosterForm form, List<BackendEntry> entries) implements Event { }
+  public record Roster(RosterForm form, List<BackendEntry> entries) implements Event {}
 
   /** Operators take a backend out, whatever the roster says, until they put it back. */
-  public record Ban(long backend, boolean out) implements Event { }
-
-  public record Request(String id, String className, String planName, long customer, int entryPoints,
-      double units, double giveUpMs) implements Event { }
+  public record Ban(long backend, boolean out) implements Event {}
+
+  public record Request(
+      String id,
+      String className,
+      String planName,
+      long customer,
+      int entryPoints,
+      double units,
+      double giveUpMs)
+      implements Event {}
 
   /** A streamed answer has begun. */
-  public record StreamBegan(String request, int attempt) implements Event { }
+  public record StreamBegan(String request, int attempt) implements Event {}
 
   /** How an attempt ended; trueUnits is 0 when unknown, load is null when no report came. */
-  public record Outcome(String request, int attempt, long backend, Status status, double latencyMs,
-      boolean over, double trueUnits, Load load) implements Event { }
+  public record Outcome(
+      String request,
+      int attempt,
+      long backend,
+      Status status,
+      double latencyMs,
+      boolean over,
+      double trueUnits,
+      Load load)
+      implements Event {}
 
   /** The request is over: its client has left. */
-  public record ClientLeft(String request) implements Event { }
+  public record ClientLeft(String request) implements Event {}
 
   /** The end of a call to the counter; total is valid with OK. */
-  public record Counted(String name, Status status, double total, double latencyMs) implements Event { }
+  public record Counted(String name, Status status, double total, double latencyMs)
+      implements Event {}
 
-  public record Woken(String label) implements Event { }
+  public record Woken(String label) implements Event {}
 
   /** What a module has its gateway do. */
-  public sealed interface Action { }
+  public sealed interface Action {}
 
-  /** Start an attempt; the n-th Send of a request, from 0, is its attempt n. Its last byte must be with the
-   * network by then on the clock (endless where any time will do), or else it must never be. */
-  public record Send(String request, long backend, double timeoutMs, double writtenByMs) implements Action { }
+  /**
+   * Start an attempt; the n-th Send of a request, from 0, is its attempt n. Its last byte must be
+   * with the network by then on the clock (endless where any time will do), or else it must never
+   * be.
+   */
+  public record Send(String request, long backend, double timeoutMs, double writtenByMs)
+      implements Action {}
 
   /** Final answer: refused, trying again is harmless; holdOffMs of 0 gives no advice. */
-  public record Refuse(String request, double holdOffMs) implements Action { }
+  public record Refuse(String request, double holdOffMs) implements Action {}
 
   /** Final answer: failed, nothing promised. */
-  public record Fail(String request) implements Action { }
+  public record Fail(String request) implements Action {}
 
-  public record Cancel(String request, int attempt) implements Action { }
+  public record Cancel(String request, int attempt) implements Action {}
 
   /** Add to a named count; a new name starts at 0 and is forgotten after ttlMs. */
-  public record Add(String name, double amount, double ttlMs) implements Action { }
+  public record Add(String name, double amount, double ttlMs) implements Action {}
 
-  public record WakeAt(double atMs, String label) implements Action { }
+  public record WakeAt(double atMs, String label) implements Action {}
 
   /** Ask for changes of the roster from now on. */
-  public record FollowRoster() implements Action { }
+  public record FollowRoster() implements Action {}
 }
--- a/policy/src/main/java/willowdoor/policy/Mean.java
+++ b/policy/src/main/java/willowdoor/policy/Mean.java
@@ -6,7 +6,11 @@
   private double at;
   double value;
 
-  Mean(double weight, double lifeMs, double now, double value) { // where now is infinity, value is a sample
+  Mean(
+      double weight,
+      double lifeMs,
+      double now,
+      double value) { // where now is infinity, value is a sample
     this.weight = weight;
     this.lifeMs = lifeMs;
     this.at = now;
@@ -20,5 +24,7 @@
   }
 
   /** The mean, less as it ages without samples. */
-  double fresh(double now) { return value * Math.exp((at - now) / lifeMs); }
+  double fresh(double now) {
+    return value * Math.exp((at - now) / lifeMs);
+  }
 }
--- a/policy/src/main/java/willowdoor/policy/QuotaPolicy.java
+++ b/policy/src/main/java/willowdoor/policy/QuotaPolicy.java
@@ -3,10 +3,13 @@
 import java.util.*;
 import willowdoor.policy.GatewayApi.*;
 
-/** All decisions of one gateway. Its interface (settings, events, actions) is GatewayApi.java in this folder.
- * The ordinary path: each request's estimate is added to its customer's shared count, refused if the answer
- * shows that it passes the plan's quota, and settled by the true units (docs/design.md tells the departures).
- * One instance a gateway, one thread; time comes with the events. */
+/**
+ * All decisions of one gateway. Its interface (settings, events, actions) is GatewayApi.java in
+ * this folder. The ordinary path: each request's estimate is added to its customer's shared count,
+ * refused if the answer shows that it passes the plan's quota, and settled by the true units
+ * (docs/design.md tells the departures). One instance a gateway, one thread; time comes with the
+ * events.
+ */
 public final class QuotaPolicy {
   /** Without open requests a slow pulse is enough: it shows when this gateway stood still. */
   private static final double PULSE_MS = 250;
@@ -29,7 +32,9 @@
   public List<Action> start(double nowMs) {
     ctx.now = ctx.startedAt = nowMs;
     arm(Job.TICK_MS);
-    if (ctx.settings.allowed().rosterOnRequest()) { ctx.out.add(new FollowRoster()); }
+    if (ctx.settings.allowed().rosterOnRequest()) {
+      ctx.out.add(new FollowRoster());
+    }
     return ctx.out;
   }
 
@@ -40,7 +45,9 @@
     ctx.stalls.note(nowMs);
     if (event instanceof Request e) {
       admission.onRequest(e);
-      if (ctx.stalls.wakeAt > nowMs + Job.TICK_MS && !attempts.open.isEmpty()) { arm(Job.TICK_MS); }
+      if (ctx.stalls.wakeAt > nowMs + Job.TICK_MS && !attempts.open.isEmpty()) {
+        arm(Job.TICK_MS);
+      }
     } else if (event instanceof Outcome e) {
       attempts.onOutcome(e);
     } else if (event instanceof Counted e) {
@@ -64,7 +71,9 @@
       ctx.out.add(new FollowRoster());
     } else if (ctx.now >= ctx.stalls.wakeAt) {
       boolean stalled = ctx.stalls.stalled(ctx.now);
-      for (Job job : stalled ? List.<Job>of() : List.copyOf(attempts.open.values())) { admission.look(job); }
+      for (Job job : stalled ? List.<Job>of() : List.copyOf(attempts.open.values())) {
+        admission.look(job);
+      }
       arm(stalled ? 1 : attempts.open.isEmpty() ? PULSE_MS : Job.TICK_MS);
     }
   }
@@ -75,14 +84,22 @@
   }
 
   /** Whether operators have taken it out. */
-  public boolean banned(long backend) { return fleet.banned(backend); }
+  public boolean banned(long backend) {
+    return fleet.banned(backend);
+  }
 
   /** Whether operators may name it: one of the roster, or one that they have taken out. */
-  public boolean knows(long backend) { return fleet.knows(backend); }
+  public boolean knows(long backend) {
+    return fleet.knows(backend);
+  }
 
   /** For the log: what the guards see, and how calls and requests ended since last asked. */
   public String figures() {
-    return ctx.figures.text(ctx.pressure.expectedOfAim(ctx.now), ctx.pressure.service, count.pace.pace,
-        ctx.pressure.serving, ctx.stalls.heldUpInAll);
+    return ctx.figures.text(
+        ctx.pressure.expectedOfAim(ctx.now),
+        ctx.pressure.service,
+        count.pace.pace,
+        ctx.pressure.serving,
+        ctx.stalls.heldUpInAll);
   }
 }
--- a/policy/src/test/java/willowdoor/policy/CeilingTest.java
+++ b/policy/src/test/java/willowdoor/policy/CeilingTest.java
@@ -29,7 +29,8 @@
   void holdsWithFailingCallsRestartsAndEmptiedCounts() {
     for (int seed = 0; seed < 40; seed++) {
       play(seed);
-      assertTrue(lowest >= -Fixtures.CEILED.ceilingSlack(), "seed " + seed + ": store at " + lowest);
+      assertTrue(
+          lowest >= -Fixtures.CEILED.ceilingSlack(), "seed " + seed + ": store at " + lowest);
       assertTrue(sent > 50, "seed " + seed + ": only " + sent + " sent");
     }
   }
@@ -59,7 +60,8 @@
     }
   }
 
-  private void answer(Fixtures gateway, List<Action> actions, SplittableRandom random, double trouble) {
+  private void answer(
+      Fixtures gateway, List<Action> actions, SplittableRandom random, double trouble) {
     for (Action action : actions) {
       if (action instanceof Add a) {
         boolean fails = random.nextDouble() < trouble;
--- a/policy/src/test/java/willowdoor/policy/ColdFleetModel.java
+++ b/policy/src/test/java/willowdoor/policy/ColdFleetModel.java
@@ -30,12 +30,14 @@
 import willowdoor.policy.GatewayApi.WakeAt;
 import willowdoor.policy.GatewayApi.Woken;
 
-/** All processes of a fleet before the same backends, on a clock moved by hand, with seeded chance; what each
- * backend is sent is kept with its time, whoever sent it. */
+/**
+ * All processes of a fleet before the same backends, on a clock moved by hand, with seeded chance;
+ * what each backend is sent is kept with its time, whoever sent it.
+ */
 final class ColdFleetModel {
   static final double SERVICE_MS = 100;
 
-  private record Due(double at, long order, Runnable what) { }
+  private record Due(double at, long order, Runnable what) {}
 
   final Rules rules;
   final SplittableRandom random;
@@ -78,7 +80,9 @@
   }
 
   void put(long id, double startedMs) {
-    list.put(id, new BackendEntry(id, id % 2 == 0 ? "a" : "b", (int) (id % 4), Phase.SERVING, 1, startedMs));
+    list.put(
+        id,
+        new BackendEntry(id, id % 2 == 0 ? "a" : "b", (int) (id % 4), Phase.SERVING, 1, startedMs));
     if (startedMs > 0) {
       startedAt.put(id, startedMs);
     }
@@ -87,12 +91,23 @@
   /** Starts the process, anew if it runs: what it knew and had out is gone. */
   void start(int i) {
     life[i]++;
-    List<RequestClass> classes = List.of(
-        new RequestClass("safe", 1, 0, 1000, 4000, Repeat.SAFE, Group.ALL, 0, false),
-        new RequestClass("unsafe", 1, 0, 1000, 4000, Repeat.UNSAFE, Group.ALL, 0, false),
-        new RequestClass("cell", 1, 0, 1000, 4000, Repeat.KEYED, Group.CELL, 3000, false));
-    Settings s = new Settings(fleet.length, i, "a", 4, 0, false, classes, List.of(Fixtures.FREE),
-        new Allowed(false, 30, true, false, 4, 1000, true, 2000, false), rules);
+    List<RequestClass> classes =
+        List.of(
+            new RequestClass("safe", 1, 0, 1000, 4000, Repeat.SAFE, Group.ALL, 0, false),
+            new RequestClass("unsafe", 1, 0, 1000, 4000, Repeat.UNSAFE, Group.ALL, 0, false),
+            new RequestClass("cell", 1, 0, 1000, 4000, Repeat.KEYED, Group.CELL, 3000, false));
+    Settings s =
+        new Settings(
+            fleet.length,
+            i,
+            "a",
+            4,
+            0,
+            false,
+            classes,
+            List.of(Fixtures.FREE),
+            new Allowed(false, 30, true, false, 4, 1000, true, 2000, false),
+            rules);
     fleet[i] = new QuotaPolicy(s, seed * 1000 + i + 7919L * life[i]);
     act(i, fleet[i].start(now));
     on(i, new Roster(RosterForm.REMEMBERED, List.copyOf(list.values())));
@@ -133,17 +148,27 @@
   }
 
   private void arrive() {
-    in(-Math.log(1 - random.nextDouble()) * 1000 / perSecond, () -> {
-      double draw = random.nextDouble();
-      int at = 0;
-      while (at < share.length - 1 && draw >= share[at]) {
-        draw -= share[at++];
-      }
-      double kind = random.nextDouble();
-      on(at, new Request("m" + next++, kind < 0.5 ? "safe" : kind < 0.8 ? "cell" : "unsafe", "free", 42,
-          fleet.length, 1, now + 4000));
-      arrive();
-    });
+    in(
+        -Math.log(1 - random.nextDouble()) * 1000 / perSecond,
+        () -> {
+          double draw = random.nextDouble();
+          int at = 0;
+          while (at < share.length - 1 && draw >= share[at]) {
+            draw -= share[at++];
+          }
+          double kind = random.nextDouble();
+          on(
+              at,
+              new Request(
+                  "m" + next++,
+                  kind < 0.5 ? "safe" : kind < 0.8 ? "cell" : "unsafe",
+                  "free",
+                  42,
+                  fleet.length,
+                  1,
+                  now + 4000));
+          arrive();
+        });
   }
 
   private void on(int i, Event event) {
@@ -159,10 +184,15 @@
         sends.computeIfAbsent(s.backend(), b -> new ArrayList<>()).add(now);
         int number = numbers.merge(s.request(), 1, Integer::sum) - 1;
         boolean fails = random.nextDouble() < failing;
-        Status status = down.contains(s.backend()) ? Status.UNREACHABLE : fails ? Status.ERROR : Status.OK;
+        Status status =
+            down.contains(s.backend()) ? Status.UNREACHABLE : fails ? Status.ERROR : Status.OK;
         double took = status == Status.OK ? SERVICE_MS * (0.7 + 0.6 * random.nextDouble()) : 5;
-        later(i, lives, took, new Outcome(s.request(), number, s.backend(), status, took,
-            status == Status.OK, 0, null));
+        later(
+            i,
+            lives,
+            took,
+            new Outcome(
+                s.request(), number, s.backend(), status, took, status == Status.OK, 0, null));
       } else if (action instanceof Cancel) {
         throw new AssertionError("nothing is that slow here");
       }
@@ -172,32 +202,42 @@
   private final TreeMap<String, Integer> numbers = new TreeMap<>();
 
   private void later(int i, int lives, double ms, Event event) {
-    in(ms, () -> {
-      if (life[i] == lives) {
-        on(i, event);
-      }
-    });
+    in(
+        ms,
+        () -> {
+          if (life[i] == lives) {
+            on(i, event);
+          }
+        });
   }
 
   /** The part of its capacity that the rules promise of a backend that started then. */
   private double warmShare(double started, double at) {
-    return Math.min(1, rules.coldFrom()
-        + (1 - rules.coldFrom()) * Math.max(0, at - started) / rules.coldMs());
+    return Math.min(
+        1, rules.coldFrom() + (1 - rules.coldFrom()) * Math.max(0, at - started) / rules.coldMs());
   }
 
   int sent(long backend, double from, double to) {
-    return (int) sends.getOrDefault(backend, List.of()).stream().filter(t -> t > from && t <= to).count();
+    return (int)
+        sends.getOrDefault(backend, List.of()).stream().filter(t -> t > from && t <= to).count();
   }
 
   /** What a backend that is warm got a second in the time, in the mean. */
   double carried(double from, double to) {
-    return list.keySet().stream().filter(id -> !startedAt.containsKey(id))
-        .mapToInt(id -> sent(id, from, to)).average().orElse(0) * 1000 / (to - from);
+    return list.keySet().stream()
+            .filter(id -> !startedAt.containsKey(id))
+            .mapToInt(id -> sent(id, from, to))
+            .average()
+            .orElse(0)
+        * 1000
+        / (to - from);
   }
 
   /** The most that one got a second in the time. */
   double mostCarried(double from, double to) {
-    return list.keySet().stream().mapToInt(id -> sent(id, from, to)).max().orElse(0) * 1000 / (to - from);
+    return list.keySet().stream().mapToInt(id -> sent(id, from, to)).max().orElse(0)
+        * 1000
+        / (to - from);
   }
 
   /** What it would have got if it had been held to its share of the capacity at each moment. */
@@ -209,14 +249,19 @@
     return sum;
   }
 
-  /** The most, over all windows of the rules that end while a backend is cold, by which what all processes
-   * sent to it passes N + 2 x root of N + 2, N being the budget by a warm one's capacity a second. */
+  /**
+   * The most, over all windows of the rules that end while a backend is cold, by which what all
+   * processes sent to it passes N + 2 x root of N + 2, N being the budget by a warm one's capacity
+   * a second.
+   */
   double worstExcess(double capacity) {
     double worst = Double.NEGATIVE_INFINITY;
     for (long id : startedAt.keySet()) {
       double began = startedAt.get(id);
-      List<Double> times = sends.getOrDefault(id, List.of()).stream()
-          .filter(t -> t >= began && t < began + rules.coldMs()).toList();
+      List<Double> times =
+          sends.getOrDefault(id, List.of()).stream()
+              .filter(t -> t >= began && t < began + rules.coldMs())
+              .toList();
       for (int last = 0, first = 0; last < times.size(); last++) {
         double end = times.get(last);
         while (times.get(first) <= end - rules.tipAfterMs()) {
--- a/policy/src/test/java/willowdoor/policy/ColdFleetTest.java
+++ b/policy/src/test/java/willowdoor/policy/ColdFleetTest.java
@@ -13,15 +13,25 @@
 import willowdoor.policy.GatewayApi.Rules;
 import willowdoor.policy.GatewayApi.Settings;
 
-/** WIRE rule 4 for the sum of all processes: what they send to a cold backend in any window of TipAfterMs. */
+/**
+ * WIRE rule 4 for the sum of all processes: what they send to a cold backend in any window of
+ * TipAfterMs.
+ */
 class ColdFleetTest {
   private static final int BACKENDS = 24;
+
   /** A backend bears one request at a time at least, so this much a second. */
   private static final double LEAST_CAPACITY = 1000 / ColdFleetModel.SERVICE_MS;
+
   private static final Rules USUAL = new Rules(8, 0.2, 10_000, 3, 2000);
-  private static final List<Rules> SHAPES = List.of(USUAL, new Rules(8, 0.1, 20_000, 2, 1000),
-      new Rules(8, 0.1, 3_000, 4, 4000), new Rules(8, 0.49, 5_000, 3, 2000),
-      new Rules(8, 1, 8_000, 2, 4000), new Rules(8, 0.18, 18_000, 2, 2000));
+  private static final List<Rules> SHAPES =
+      List.of(
+          USUAL,
+          new Rules(8, 0.1, 20_000, 2, 1000),
+          new Rules(8, 0.1, 3_000, 4, 4000),
+          new Rules(8, 0.49, 5_000, 3, 2000),
+          new Rules(8, 1, 8_000, 2, 4000),
+          new Rules(8, 0.18, 18_000, 2, 2000));
 
   private static ColdFleetModel fleet(int processes) {
     return new ColdFleetModel(processes, BACKENDS, 10.0 * BACKENDS, USUAL, 17 + processes);
@@ -29,8 +39,17 @@
 
   private static Executable holds(String what, ColdFleetModel m, double capacity) {
     double excess = m.worstExcess(capacity);
-    return () -> assertTrue(excess <= 0, what + ", " + m.share.length + " processes, " + m.rules + ": "
-        + Math.round(excess * 10) / 10.0 + " over the budget and its chance");
+    return () ->
+        assertTrue(
+            excess <= 0,
+            what
+                + ", "
+                + m.share.length
+                + " processes, "
+                + m.rules
+                + ": "
+                + Math.round(excess * 10) / 10.0
+                + " over the budget and its chance");
   }
 
   /** Some start at once while all processes run. */
@@ -41,7 +60,8 @@
     m.tellAll();
   }
 
-  // Every process saves what it may send while it sends nothing there, then all send as much as they may.
+  // Every process saves what it may send while it sends nothing there, then all send as much as
+  // they may.
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 3, 4, 14, 20, 30, 100, 300})
   void whatAllSavedUpStaysInTheBudget(int processes) {
@@ -51,9 +71,20 @@
         for (boolean uneven : new boolean[] {false, true}) {
           for (boolean restarted : new boolean[] {false, true}) {
             double excess = excessOfSaved(processes, rules, perSecond, uneven, restarted);
-            checks.add(() -> assertTrue(excess <= 0, perSecond + " a second, uneven " + uneven
-                + ", restarted " + restarted + ", " + rules + ": "
-                + Math.round(excess * 10) / 10.0 + " over"));
+            checks.add(
+                () ->
+                    assertTrue(
+                        excess <= 0,
+                        perSecond
+                            + " a second, uneven "
+                            + uneven
+                            + ", restarted "
+                            + restarted
+                            + ", "
+                            + rules
+                            + ": "
+                            + Math.round(excess * 10) / 10.0
+                            + " over"));
           }
         }
       }
@@ -61,10 +92,12 @@
     assertAll(checks);
   }
 
-  /** Twelve backends, of which one starts; the others are sent to throughout. All processes save for a while,
-   * then for a window they send to the cold one whenever they may. */
-  private static double excessOfSaved(int processes, Rules rules, double perSecond, boolean uneven,
-      boolean restarted) {
+  /**
+   * Twelve backends, of which one starts; the others are sent to throughout. All processes save for
+   * a while, then for a window they send to the cold one whenever they may.
+   */
+  private static double excessOfSaved(
+      int processes, Rules rules, double perSecond, boolean uneven, boolean restarted) {
     SplittableRandom random = new SplittableRandom(5);
     double[] share = new ColdFleetModel(processes, 12, 1, rules, 1).share;
     if (uneven) {
@@ -100,9 +133,14 @@
       }
       double n = 0;
       for (double at = now - window; at < now; at += 10) {
-        n += rules.tipMultiple() * 0.01 * perSecond
-            * Math.min(1, rules.coldFrom()
-            + (1 - rules.coldFrom()) * Math.max(0, at - began) / rules.coldMs());
+        n +=
+            rules.tipMultiple()
+                * 0.01
+                * perSecond
+                * Math.min(
+                    1,
+                    rules.coldFrom()
+                        + (1 - rules.coldFrom()) * Math.max(0, at - began) / rules.coldMs());
       }
       long in = sent.stream().filter(at -> at > now - window).count();
       worst = Math.max(worst, in - (n + 2 * Math.sqrt(n) + 2));
@@ -120,8 +158,11 @@
 
     Process(int processes, int self, Rules rules, double now, double began) {
       Settings s = Fixtures.settings(false, processes, false, self);
-      ctx = new Context(new Settings(processes, self, "a", 4, 0, false, s.classes(), s.plans(), s.allowed(),
-          rules), 31 + self);
+      ctx =
+          new Context(
+              new Settings(
+                  processes, self, "a", 4, 0, false, s.classes(), s.plans(), s.allowed(), rules),
+              31 + self);
       ctx.now = now;
       ctx.pressure.serving = 12;
       for (int i = 0; i < 12; i++) {
@@ -166,68 +207,118 @@
       scenario(checks, "six in ten start", processes, rules, m -> replace(m, BACKENDS * 6 / 10));
     }
     scenario(checks, "the whole fleet starts", processes, USUAL, m -> replace(m, BACKENDS));
-    scenario(checks, "one after another", processes, USUAL, m -> {
-      for (int i = 0; i < 14; i++) {
-        long id = 1000 + i;
-        int gone = i;
-        m.in(400 * i, () -> {
-          m.put(id, m.now);
-          m.tellAll();
+    scenario(
+        checks,
+        "one after another",
+        processes,
+        USUAL,
+        m -> {
+          for (int i = 0; i < 14; i++) {
+            long id = 1000 + i;
+            int gone = i;
+            m.in(
+                400 * i,
+                () -> {
+                  m.put(id, m.now);
+                  m.tellAll();
+                });
+            m.in(400 * i + 300, () -> m.list.remove((long) gone));
+          }
         });
-        m.in(400 * i + 300, () -> m.list.remove((long) gone));
-      }
-    });
-    scenario(checks, "processes restart", processes, USUAL, m -> {
-      replace(m, 6);
-      for (int i = 0; i < 3 * processes; i++) {
-        int which = i % processes;
-        m.in(2500 * (i / processes) + m.random.nextInt(2500), () -> m.start(which));
-      }
-    });
-    scenario(checks, "further attempts", processes, USUAL, m -> {
-      m.failing = 0.15;
-      replace(m, 6);
-    });
-    scenario(checks, "out of reach when told of", processes, USUAL, m -> {
-      replace(m, 12);
-      m.down.addAll(m.startedAt.keySet());
-      m.in(3000, m.down::clear);
-    });
-    for (Rules rules : SHAPES) {
-      scenario(checks, "the warm ones go", processes, rules, m -> {
-        replace(m, 2);
-        m.in(3000, () -> m.down.addAll(m.list.keySet().stream().filter(id -> id > 1).toList()));
-      });
-      scenario(checks, "few before many", processes, rules, m -> {
-        m.perSecond /= 6;
-        m.run(10_000);
-        replace(m, 2);
-        m.in(2500, () -> {
-          m.perSecond *= 6;
-          m.down.addAll(m.list.keySet().stream().filter(id -> id > 1).toList());
+    scenario(
+        checks,
+        "processes restart",
+        processes,
+        USUAL,
+        m -> {
+          replace(m, 6);
+          for (int i = 0; i < 3 * processes; i++) {
+            int which = i % processes;
+            m.in(2500 * (i / processes) + m.random.nextInt(2500), () -> m.start(which));
+          }
+        });
+    scenario(
+        checks,
+        "further attempts",
+        processes,
+        USUAL,
+        m -> {
+          m.failing = 0.15;
+          replace(m, 6);
+        });
+    scenario(
+        checks,
+        "out of reach when told of",
+        processes,
+        USUAL,
+        m -> {
+          replace(m, 12);
+          m.down.addAll(m.startedAt.keySet());
+          m.in(3000, m.down::clear);
         });
-      });
+    for (Rules rules : SHAPES) {
+      scenario(
+          checks,
+          "the warm ones go",
+          processes,
+          rules,
+          m -> {
+            replace(m, 2);
+            m.in(3000, () -> m.down.addAll(m.list.keySet().stream().filter(id -> id > 1).toList()));
+          });
+      scenario(
+          checks,
+          "few before many",
+          processes,
+          rules,
+          m -> {
+            m.perSecond /= 6;
+            m.run(10_000);
+            replace(m, 2);
+            m.in(
+                2500,
+                () -> {
+                  m.perSecond *= 6;
+                  m.down.addAll(m.list.keySet().stream().filter(id -> id > 1).toList());
+                });
+          });
     }
-    scenario(checks, "a ban ends", processes, USUAL, m -> {
-      m.banAll(3, true);
-      m.in(3000, () -> {
-        m.startedAt.put(3L, m.now);
-        m.banAll(3, false);
-      });
-    });
+    scenario(
+        checks,
+        "a ban ends",
+        processes,
+        USUAL,
+        m -> {
+          m.banAll(3, true);
+          m.in(
+              3000,
+              () -> {
+                m.startedAt.put(3L, m.now);
+                m.banAll(3, false);
+              });
+        });
     assertAll(checks);
   }
 
-  /** Evenly used processes are held to what a warm one got in the mean, others to the most that one got. */
-  private static void scenario(List<Executable> checks, String what, int processes, Rules rules,
+  /**
+   * Evenly used processes are held to what a warm one got in the mean, others to the most that one
+   * got.
+   */
+  private static void scenario(
+      List<Executable> checks,
+      String what,
+      int processes,
+      Rules rules,
       Consumer<ColdFleetModel> change) {
     for (boolean uneven : new boolean[] {false, true}) {
-      ColdFleetModel m = new ColdFleetModel(processes, BACKENDS, 3.0 * BACKENDS, rules, 17 + processes);
+      ColdFleetModel m =
+          new ColdFleetModel(processes, BACKENDS, 3.0 * BACKENDS, rules, 17 + processes);
       if (uneven) {
         m.uneven();
       }
       m.startAll().run(18_000);
-      double capacity = uneven ? m.mostCarried(m.now - 16_000, m.now) : m.carried(m.now - 16_000, m.now);
+      double capacity =
+          uneven ? m.mostCarried(m.now - 16_000, m.now) : m.carried(m.now - 16_000, m.now);
       change.accept(m);
       m.run(8_000);
       checks.add(holds(what + (uneven ? ", uneven" : ", even"), m, capacity));
@@ -270,7 +361,8 @@
     }
   }
 
-  // Few or many processes, evenly used or not: those that start get their share as they warm up, by what the
+  // Few or many processes, evenly used or not: those that start get their share as they warm up, by
+  // what the
   // same ones got before. A hundred processes get to use what they earn later, and lose some of it.
   @ParameterizedTest
   @ValueSource(ints = {2, 3, 14, 30, 100})
@@ -286,8 +378,18 @@
           }
           double share = shareOfDue(m, several);
           double least = processes > 30 ? 0.38 : 0.72;
-          checks.add(() -> assertTrue(share > least && share < 1.2, several + " cold, "
-              + perSecond + " a second, uneven " + uneven + ": " + share + " of their share"));
+          checks.add(
+              () ->
+                  assertTrue(
+                      share > least && share < 1.2,
+                      several
+                          + " cold, "
+                          + perSecond
+                          + " a second, uneven "
+                          + uneven
+                          + ": "
+                          + share
+                          + " of their share"));
         }
       }
     }
--- a/policy/src/test/java/willowdoor/policy/ColdRoomTest.java
+++ b/policy/src/test/java/willowdoor/policy/ColdRoomTest.java
@@ -40,11 +40,13 @@
       ctx.pressure.served(100, ctx.now);
       sent += has ? 1 : 0;
     }
-    // 500 sends for ten, of which one bears 0.2 to 0.6 of a warm one: an even part is 50, the promise 21.
+    // 500 sends for ten, of which one bears 0.2 to 0.6 of a warm one: an even part is 50, the
+    // promise 21.
     assertTrue(sent >= 17 && sent <= 25, sent + " sent to the cold one");
   }
 
-  // It starts after the last connect that failed, not after the first: it may have been away for long.
+  // It starts after the last connect that failed, not after the first: it may have been away for
+  // long.
   @Test
   void aBackendIsColdFromTheLastConnectThatFailed() {
     Context ctx = new Context(Fixtures.settings(true, 100, false), 5);
--- a/policy/src/test/java/willowdoor/policy/EmbedExampleTest.java
+++ b/policy/src/test/java/willowdoor/policy/EmbedExampleTest.java
@@ -42,14 +42,25 @@
     RequestClass read = new RequestClass("read", 1, 0, 500, 2000, Repeat.SAFE, Group.ALL, 0, false);
     Plan basic = new Plan("basic", 2, 10, 0, 1, 0, 1, 0, 0, 0);
     Allowed allowed = new Allowed(true, 30, true, false, 3, 1000, false, 0, false);
-    Settings settings = new Settings(1, 0, "a", 4, 0, false, List.of(read), List.of(basic), allowed,
-        new Rules(8, 0.2, 10_000, 3, 2000));
+    Settings settings =
+        new Settings(
+            1,
+            0,
+            "a",
+            4,
+            0,
+            false,
+            List.of(read),
+            List.of(basic),
+            allowed,
+            new Rules(8, 0.2, 10_000, 3, 2000));
     QuotaPolicy policy = new QuotaPolicy(settings, 1);
 
     ArrayDeque<Event> events = new ArrayDeque<>();
     double now = 5_000;
     policy.start(now);
-    events.add(new Roster(RosterForm.COMPLETE, List.of(new BackendEntry(7, "a", 0, Phase.SERVING, 1, 0))));
+    events.add(
+        new Roster(RosterForm.COMPLETE, List.of(new BackendEntry(7, "a", 0, Phase.SERVING, 1, 0))));
     for (int i = 0; i < 20; i++) {
       events.add(new Request("r" + i, "read", "basic", 42, 1, 1, now + 2000));
     }
@@ -72,7 +83,8 @@
     } else if (action instanceof Refuse || action instanceof Fail) {
       refused++;
     } else if (action instanceof WakeAt w) {
-      assertEquals("tick", w.label(), "a real gateway sets a timer here and sends Woken when it is due");
+      assertEquals(
+          "tick", w.label(), "a real gateway sets a timer here and sends Woken when it is due");
     }
   }
 }
--- a/policy/src/test/java/willowdoor/policy/Fixtures.java
+++ b/policy/src/test/java/willowdoor/policy/Fixtures.java
@@ -57,15 +57,24 @@
   }
 
   static Settings settings(boolean counter, int gateways, boolean ask, int self) {
-    List<RequestClass> classes = List.of(
-        new RequestClass("safe", 1, 0, 1000, 4000, Repeat.SAFE, Group.ALL, 0, false),
-        new RequestClass("unsafe", 1, 0, 1000, 4000, Repeat.UNSAFE, Group.ALL, 0, false),
-        new RequestClass("cell", 1, 0, 1000, 4000, Repeat.KEYED, Group.CELL, 3000, false),
-        new RequestClass("zone", 1, 0, 1000, 4000, Repeat.KEYED, Group.ZONE, 3000, false),
-        new RequestClass("stream", 1, 0, 1000, 4000, Repeat.SAFE, Group.ALL, 0, true));
-    return new Settings(gateways, self, "a", 4, 0, false, classes,
+    List<RequestClass> classes =
+        List.of(
+            new RequestClass("safe", 1, 0, 1000, 4000, Repeat.SAFE, Group.ALL, 0, false),
+            new RequestClass("unsafe", 1, 0, 1000, 4000, Repeat.UNSAFE, Group.ALL, 0, false),
+            new RequestClass("cell", 1, 0, 1000, 4000, Repeat.KEYED, Group.CELL, 3000, false),
+            new RequestClass("zone", 1, 0, 1000, 4000, Repeat.KEYED, Group.ZONE, 3000, false),
+            new RequestClass("stream", 1, 0, 1000, 4000, Repeat.SAFE, Group.ALL, 0, true));
+    return new Settings(
+        gateways,
+        self,
+        "a",
+        4,
+        0,
+        false,
+        classes,
         List.of(RATED, CEILED, FREE, NARROW, CAPPED, WIDE, BROAD),
-        new Allowed(counter, 30, true, false, 4, 1000, true, 2000, ask), new Rules(8, 0.2, 10_000, 3, 2000));
+        new Allowed(counter, 30, true, false, 4, 1000, true, 2000, ask),
+        new Rules(8, 0.2, 10_000, 3, 2000));
   }
 
   static Fixtures counted() {
@@ -98,7 +107,7 @@
   /** Lets time go by with the module's own timer running. */
   Fixtures run(double ms) {
     List<Action> seen = new ArrayList<>();
-    for (double end = now + ms; now < end;) {
+    for (double end = now + ms; now < end; ) {
       now = Math.min(end, now + 25);
       on(new Woken("tick"));
       seen.addAll(last);
@@ -127,8 +136,16 @@
   }
 
   Fixtures report(Send send, int attempt, double inFlight) {
-    return on(new Outcome(send.request(), attempt, send.backend(), Status.OK, 50, true, 0,
-        new Load(inFlight, 50)));
+    return on(
+        new Outcome(
+            send.request(),
+            attempt,
+            send.backend(),
+            Status.OK,
+            50,
+            true,
+            0,
+            new Load(inFlight, 50)));
   }
 
   Add lastAdd() {
--- a/policy/src/test/java/willowdoor/policy/FleetTest.java
+++ b/policy/src/test/java/willowdoor/policy/FleetTest.java
@@ -30,7 +30,10 @@
 import willowdoor.policy.GatewayApi.Status;
 import willowdoor.policy.GatewayApi.Woken;
 
-/** Many gateways at once, with fixed seeds: what one may do alone is multiplied by all, so the sums count. */
+/**
+ * Many gateways at once, with fixed seeds: what one may do alone is multiplied by all, so the sums
+ * count.
+ */
 class FleetTest {
 
   private final List<Fixtures> fleet = new ArrayList<>();
@@ -44,8 +47,12 @@
     }
   }
 
-  /** Lets the fleet take so many requests a second, evenly drawn, and hands each action to the world. */
-  private void run(double seconds, double perSecond, String plan, BiConsumer<Fixtures, Action> world) {
+  /**
+   * Lets the fleet take so many requests a second, evenly drawn, and hands each action to the
+   * world.
+   */
+  private void run(
+      double seconds, double perSecond, String plan, BiConsumer<Fixtures, Action> world) {
     double begin = fleet.get(0).now;
     int total = (int) (seconds * perSecond);
     for (int k = 0; k < total; k++) {
@@ -80,24 +87,26 @@
     hand(f, world);
   }
 
-  // Guards against every gateway trying a silent counter at its own pace: hundreds of calls a second.
+  // Guards against every gateway trying a silent counter at its own pace: hundreds of calls a
+  // second.
   @Test
   void callsToASilentCounterAreBoundedForTheFleetAndComeBack() {
     fleet(300, 12);
     int[] calls = new int[1];
     boolean[] silent = {true};
-    BiConsumer<Fixtures, Action> world = new BiConsumer<>() {
-      @Override
-      public void accept(Fixtures f, Action a) {
-        if (a instanceof Add add) {
-          calls[0]++;
-          f.on(new Counted(add.name(), silent[0] ? Status.TIMED_OUT : Status.OK, 1, 2));
-          hand(f, this);
-        } else if (a instanceof Send s) {
-          answer(f, s, Status.OK, this);
-        }
-      }
-    };
+    BiConsumer<Fixtures, Action> world =
+        new BiConsumer<>() {
+          @Override
+          public void accept(Fixtures f, Action a) {
+            if (a instanceof Add add) {
+              calls[0]++;
+              f.on(new Counted(add.name(), silent[0] ? Status.TIMED_OUT : Status.OK, 1, 2));
+              hand(f, this);
+            } else if (a instanceof Send s) {
+              answer(f, s, Status.OK, this);
+            }
+          }
+        };
     run(20, 900, "rated", world);
     calls[0] = 0;
     run(5, 900, "rated", world);
@@ -109,28 +118,35 @@
     assertTrue(calls[0] > 2 * 200, "calls are back within 3 s: " + calls[0] + " in 2 s");
   }
 
-  // Guards against the first token of a cold backend at every gateway: hundreds of first requests at once.
+  // Guards against the first token of a cold backend at every gateway: hundreds of first requests
+  // at once.
   @Test
   void aColdBackendIsNotPushedOverByTheFleet() {
     fleet(300, 60);
     int[] cold = new int[1];
-    BiConsumer<Fixtures, Action> world = new BiConsumer<>() {
-      @Override
-      public void accept(Fixtures f, Action a) {
-        if (a instanceof Send s) {
-          cold[0] += s.backend() == 7 ? 1 : 0;
-          answer(f, s, Status.OK, this);
-        }
-      }
-    };
+    BiConsumer<Fixtures, Action> world =
+        new BiConsumer<>() {
+          @Override
+          public void accept(Fixtures f, Action a) {
+            if (a instanceof Send s) {
+              cold[0] += s.backend() == 7 ? 1 : 0;
+              answer(f, s, Status.OK, this);
+            }
+          }
+        };
     run(10, 600, "free", world);
     int warm = cold[0];
     cold[0] = 0;
-    fleet.forEach(f -> f.on(new Roster(RosterForm.CHANGES,
-        List.of(new BackendEntry(7, "b", 7, Phase.SERVING, 1, f.now)))));
+    fleet.forEach(
+        f ->
+            f.on(
+                new Roster(
+                    RosterForm.CHANGES,
+                    List.of(new BackendEntry(7, "b", 7, Phase.SERVING, 1, f.now)))));
     run(2, 600, "free", world);
     double share = 0.2 + 0.8 * 2 / 10;
-    assertTrue(cold[0] <= 1.5 * share * warm / 5, cold[0] + " sent to a cold backend, warm " + warm / 5);
+    assertTrue(
+        cold[0] <= 1.5 * share * warm / 5, cold[0] + " sent to a cold backend, warm " + warm / 5);
   }
 
   // Guards against saved retries that are few for a gateway and thousands for the fleet.
@@ -139,39 +155,42 @@
     fleet(300, 60);
     int[] sent = new int[2];
     Map<String, Integer> attempts = new HashMap<>();
-    BiConsumer<Fixtures, Action> world = new BiConsumer<>() {
-      @Override
-      public void accept(Fixtures f, Action a) {
-        if (a instanceof Send s) {
-          int number = attempts.merge(s.request(), 1, Integer::sum) - 1;
-          sent[number == 0 ? 0 : 1]++;
-          f.on(new Outcome(s.request(), number, s.backend(), Status.ERROR, 5, false, 0, null));
-          hand(f, this);
-        }
-      }
-    };
+    BiConsumer<Fixtures, Action> world =
+        new BiConsumer<>() {
+          @Override
+          public void accept(Fixtures f, Action a) {
+            if (a instanceof Send s) {
+              int number = attempts.merge(s.request(), 1, Integer::sum) - 1;
+              sent[number == 0 ? 0 : 1]++;
+              f.on(new Outcome(s.request(), number, s.backend(), Status.ERROR, 5, false, 0, null));
+              hand(f, this);
+            }
+          }
+        };
     run(10, 600, "free", world);
     assertTrue(sent[1] < 300 + 0.2 * sent[0], sent[1] + " further attempts for " + sent[0]);
     assertTrue(sent[1] > 0);
   }
 
-  // Guards against sends that nobody counted, each harmless alone, adding up to far more than the quota.
+  // Guards against sends that nobody counted, each harmless alone, adding up to far more than the
+  // quota.
   @Test
   void withoutACounterTheFleetKeepsToTheQuota() {
     fleet(100, 12);
     double[] units = new double[1];
-    BiConsumer<Fixtures, Action> world = new BiConsumer<>() {
-      @Override
-      public void accept(Fixtures f, Action a) {
-        if (a instanceof Add add) {
-          f.on(new Counted(add.name(), Status.REJECTED, 0, 2));
-          hand(f, this);
-        } else if (a instanceof Send s) {
-          units[0] += asked.get(s.request());
-          answer(f, s, Status.OK, this);
-        }
-      }
-    };
+    BiConsumer<Fixtures, Action> world =
+        new BiConsumer<>() {
+          @Override
+          public void accept(Fixtures f, Action a) {
+            if (a instanceof Add add) {
+              f.on(new Counted(add.name(), Status.REJECTED, 0, 2));
+              hand(f, this);
+            } else if (a instanceof Send s) {
+              units[0] += asked.get(s.request());
+              answer(f, s, Status.OK, this);
+            }
+          }
+        };
     run(20, 100, "broad", world);
     units[0] = 0;
     run(20, 100, "broad", world);
@@ -190,30 +209,32 @@
     fleet(gateways, 12);
     Map<String, Double> counts = new HashMap<>();
     double[] store = {Fixtures.WIDE.ceilingBurst(), fleet.get(0).now, Double.MAX_VALUE, 0};
-    BiConsumer<Fixtures, Action> world = new BiConsumer<>() {
-      @Override
-      public void accept(Fixtures f, Action a) {
-        if (a instanceof Add add) {
-          boolean fails = random.nextDouble() < 0.2;
-          double total = counts.merge(add.name(), add.amount(), Double::sum);
-          f.on(new Counted(add.name(), fails ? Status.TIMED_OUT : Status.OK, total, 2));
-          hand(f, this);
-        } else if (a instanceof Send s) {
-          double full = store[0] + Fixtures.WIDE.ceilingRate() * (f.now - store[1]) / 1000;
-          store[0] = Math.min(Fixtures.WIDE.ceilingBurst(), full) - asked.get(s.request());
-          store[1] = f.now;
-          store[2] = Math.min(store[2], store[0]);
-          store[3]++;
-          answer(f, s, Status.OK, this);
-        }
-      }
-    };
+    BiConsumer<Fixtures, Action> world =
+        new BiConsumer<>() {
+          @Override
+          public void accept(Fixtures f, Action a) {
+            if (a instanceof Add add) {
+              boolean fails = random.nextDouble() < 0.2;
+              double total = counts.merge(add.name(), add.amount(), Double::sum);
+              f.on(new Counted(add.name(), fails ? Status.TIMED_OUT : Status.OK, total, 2));
+              hand(f, this);
+            } else if (a instanceof Send s) {
+              double full = store[0] + Fixtures.WIDE.ceilingRate() * (f.now - store[1]) / 1000;
+              store[0] = Math.min(Fixtures.WIDE.ceilingBurst(), full) - asked.get(s.request());
+              store[1] = f.now;
+              store[2] = Math.min(store[2], store[0]);
+              store[3]++;
+              answer(f, s, Status.OK, this);
+            }
+          }
+        };
     run(30, 200, "wide", world);
     assertTrue(store[3] > 30, "only " + store[3] + " sent through " + gateways);
     return store[2];
   }
 
-  // Guards against work and connections that grow with the fleet: of a thousand backends few are used.
+  // Guards against work and connections that grow with the fleet: of a thousand backends few are
+  // used.
   @Test
   void aGatewayKeepsToFewOfManyBackendsAndToAllOfFew() {
     assertTrue(used(300, 1000) <= 40, "of a thousand: " + used(300, 1000));
@@ -233,25 +254,29 @@
     return seen.size();
   }
 
-  // Guards against cold backends left idle, as each is kept to by a few gateways only, and against too much.
+  // Guards against cold backends left idle, as each is kept to by a few gateways only, and against
+  // too much.
   @Test
   void replacedBackendsTakeTheirPartOfTheLoadAsTheyWarm() {
     fleet(14, 60);
     int[] sent = new int[2];
-    BiConsumer<Fixtures, Action> world = new BiConsumer<>() {
-      @Override
-      public void accept(Fixtures f, Action a) {
-        if (a instanceof Send s) {
-          sent[s.backend() < 24 ? 0 : 1]++;
-          answer(f, s, Status.OK, this);
-        }
-      }
-    };
+    BiConsumer<Fixtures, Action> world =
+        new BiConsumer<>() {
+          @Override
+          public void accept(Fixtures f, Action a) {
+            if (a instanceof Send s) {
+              sent[s.backend() < 24 ? 0 : 1]++;
+              answer(f, s, Status.OK, this);
+            }
+          }
+        };
     run(10, 600, "free", world);
     List<BackendEntry> entries = new ArrayList<>();
     for (int i = 0; i < 60; i++) {
       boolean old = i < 24;
-      entries.add(new BackendEntry(old ? i : 1000 + i, "a", i, Phase.SERVING, 1, old ? 0 : fleet.get(0).now));
+      entries.add(
+          new BackendEntry(
+              old ? i : 1000 + i, "a", i, Phase.SERVING, 1, old ? 0 : fleet.get(0).now));
     }
     fleet.forEach(f -> f.on(new Roster(RosterForm.COMPLETE, entries)));
     sent[0] = sent[1] = 0;
@@ -259,32 +284,36 @@
     double bears = 36 * (0.2 + 0.8 * 2 / 10);
     double part = bears / (24 + bears);
     double cold = sent[1] / (double) (sent[0] + sent[1]);
-    assertTrue(cold > 0.65 * part && cold < 1.2 * part, "cold ones got " + cold + ", fair is " + part);
+    assertTrue(
+        cold > 0.65 * part && cold < 1.2 * part, "cold ones got " + cold + ", fair is " + part);
   }
 
-  // Guards against subsets drawn by each gateway alone: some backends kept to by many, and some by none.
+  // Guards against subsets drawn by each gateway alone: some backends kept to by many, and some by
+  // none.
   @Test
   void everyBackendIsKeptToByEquallyManyGateways() {
     fleet(14, 60);
     Map<Long, Set<Fixtures>> usedBy = new HashMap<>();
     Map<Fixtures, Set<Long>> uses = new HashMap<>();
-    BiConsumer<Fixtures, Action> world = new BiConsumer<>() {
-      @Override
-      public void accept(Fixtures f, Action a) {
-        if (a instanceof Send s) {
-          usedBy.computeIfAbsent(s.backend(), b -> new HashSet<>()).add(f);
-          uses.computeIfAbsent(f, g -> new HashSet<>()).add(s.backend());
-          answer(f, s, Status.OK, this);
-        }
-      }
-    };
+    BiConsumer<Fixtures, Action> world =
+        new BiConsumer<>() {
+          @Override
+          public void accept(Fixtures f, Action a) {
+            if (a instanceof Send s) {
+              usedBy.computeIfAbsent(s.backend(), b -> new HashSet<>()).add(f);
+              uses.computeIfAbsent(f, g -> new HashSet<>()).add(s.backend());
+              answer(f, s, Status.OK, this);
+            }
+          }
+        };
     run(20, 600, "free", world);
     assertEquals(60, usedBy.size());
     usedBy.forEach((b, by) -> assertTrue(by.size() >= 3 && by.size() <= 5, b + " by " + by.size()));
     uses.forEach((f, u) -> assertTrue(u.size() <= 20, "one gateway keeps to " + u.size()));
   }
 
-  // Guards against booking this gateway's own stand-still to the fleet, and acting before all was read.
+  // Guards against booking this gateway's own stand-still to the fleet, and acting before all was
+  // read.
   @Test
   void aGatewayThatStoodStillReadsFirstAndRefusesNobodyForIt() {
     Fixtures f = new Fixtures(Fixtures.settings(true, 300, false)).backends(12);
@@ -301,7 +330,8 @@
     assertTrue(f.did(Send.class));
   }
 
-  // Guards against taking lost answers for a full fleet. A few slow backends look the same and stay unseen.
+  // Guards against taking lost answers for a full fleet. A few slow backends look the same and stay
+  // unseen.
   @Test
   void lostAnswersAreNoFullFleet() {
     Fixtures f = new Fixtures(Fixtures.settings(true, 300, false)).backends(12);
@@ -323,25 +353,29 @@
       for (int entryPoints : new int[] {-1, 0, 1, 1000}) {
         Fixtures f = new Fixtures(Fixtures.settings(true, gateways, false)).backends(1000);
         int[] answers = new int[1];
-        assertDoesNotThrow(() -> {
-          f.on(new Request("x", "safe", "rated", 5, entryPoints, 1, f.now + 4000));
-          for (int i = 0; i < 500; i++) {
-            answers[0] += f.did(Refuse.class) || f.did(Fail.class) ? 1 : 0;
-            if (f.did(Send.class)) {
-              f.on(new Outcome("x", 0, f.only(Send.class).backend(), Status.OK, 1e9, true, 0, null));
-              answers[0]++;
-            }
-            f.run(10);
-          }
-          f.on(new Counted("never asked", Status.OK, 3, 1));
-          f.on(new Outcome("never sent", 3, 1, Status.OK, 1, true, 0, null));
-        });
+        assertDoesNotThrow(
+            () -> {
+              f.on(new Request("x", "safe", "rated", 5, entryPoints, 1, f.now + 4000));
+              for (int i = 0; i < 500; i++) {
+                answers[0] += f.did(Refuse.class) || f.did(Fail.class) ? 1 : 0;
+                if (f.did(Send.class)) {
+                  f.on(
+                      new Outcome(
+                          "x", 0, f.only(Send.class).backend(), Status.OK, 1e9, true, 0, null));
+                  answers[0]++;
+                }
+                f.run(10);
+              }
+              f.on(new Counted("never asked", Status.OK, 3, 1));
+              f.on(new Outcome("never sent", 3, 1, Status.OK, 1, true, 0, null));
+            });
         assertEquals(1, answers[0], gateways + " gateways, " + entryPoints + " entry points");
       }
     }
   }
 
-  // Guards a restarted backend of which the roster does not know yet: refused connections mean a cold start.
+  // Guards a restarted backend of which the roster does not know yet: refused connections mean a
+  // cold start.
   @Test
   void aBackendThatTookNoConnectionIsTakenToBeCold() {
     Fixtures f = new Fixtures(Fixtures.settings(true, 300, false)).backends(1);
@@ -359,7 +393,8 @@
     assertTrue(sent < 20, sent + " of 40 sent at once");
   }
 
-  // Guards against meeting each dead backend of a lost zone by oneself: its failures count for all of them.
+  // Guards against meeting each dead backend of a lost zone by oneself: its failures count for all
+  // of them.
   @Test
   void aLostZoneIsLeftAfterAFewFailures() {
     Fixtures f = new Fixtures(Fixtures.settings(true, 300, false)).backends(200);
--- a/policy/src/test/java/willowdoor/policy/PolicySizeTest.java
+++ b/policy/src/test/java/willowdoor/policy/PolicySizeTest.java
@@ -21,7 +21,9 @@
   private static final Path ROOT = Path.of("..");
   private static final Path SOURCES = ROOT.resolve("policy/src/main/java/willowdoor/policy");
 
-  /** 1,200 lines at the 11,991 tokens in 1,193 lines that the files held before they were formatted. */
+  /**
+   * 1,200 lines at the 11,991 tokens in 1,193 lines that the files held before they were formatted.
+   */
   private static final long MAX_TOKENS = 12_061;
 
   /** 350 lines of a file, blank ones too, at the 11,991 tokens in 1,355 lines of before. */
@@ -30,9 +32,12 @@
   @Test
   void theDecisionCodeIsSmallAndNamedWhole() throws IOException {
     Set<Path> named = new TreeSet<>();
-    String policy = Files.readAllLines(ROOT.resolve("deploy/balancer.toml")).stream()
-        .filter(line -> line.startsWith("policy =")).findFirst().orElseThrow();
-    for (Matcher m = Pattern.compile("\"([^\"]+)\"").matcher(policy); m.find();) {
+    String policy =
+        Files.readAllLines(ROOT.resolve("deploy/balancer.toml")).stream()
+            .filter(line -> line.startsWith("policy ="))
+            .findFirst()
+            .orElseThrow();
+    for (Matcher m = Pattern.compile("\"([^\"]+)\"").matcher(policy); m.find(); ) {
       named.add(ROOT.resolve(m.group(1)));
     }
     Set<Path> all = new TreeSet<>();
--- a/policy/src/test/java/willowdoor/policy/QuotaPolicyTest.java
+++ b/policy/src/test/java/willowdoor/policy/QuotaPolicyTest.java
@@ -126,7 +126,9 @@
     for (int i = 0; i < 60; i++) {
       f.pass(100).on(new Woken("tick"));
       String id = f.request("safe", "capped", 1);
-      Send s = f.total(totals.merge(f.lastAdd().name(), f.lastAdd().amount(), Double::sum)).only(Send.class);
+      Send s =
+          f.total(totals.merge(f.lastAdd().name(), f.lastAdd().amount(), Double::sum))
+              .only(Send.class);
       assertEquals(id, s.request());
       if (i < 57) {
         f.outcome(s, 0, Status.OK, true);
@@ -134,7 +136,10 @@
     }
   }
 
-  /** Of many gateways, one may have more than its part open while the count shows that others are idle. */
+  /**
+   * Of many gateways, one may have more than its part open while the count shows that others are
+   * idle.
+   */
   @Test
   void whatOthersLeaveOfAnOpenLimitMayBeUsedHere() {
     Fixtures idle = new Fixtures(Fixtures.settings(true, 14, false)).backends(60);
@@ -143,7 +148,10 @@
     assertEquals(1, openAtOnce(busy, 5), "the others use it");
   }
 
-  /** How many of three requests that come at once are sent, after a second in which others added as much. */
+  /**
+   * How many of three requests that come at once are sent, after a second in which others added as
+   * much.
+   */
   private static int openAtOnce(Fixtures f, double totalPerAdd) {
     int sent = 0;
     double total = 0;
@@ -194,7 +202,10 @@
     assertTrue(f.did(Send.class));
   }
 
-  /** What cannot be read was answered all the same: the counter is not full, so no request goes unasked. */
+  /**
+   * What cannot be read was answered all the same: the counter is not full, so no request goes
+   * unasked.
+   */
   @Test
   void unreadableAnswersDoNotSlowTheCalls() {
     Fixtures f = Fixtures.counted();
@@ -379,8 +390,12 @@
   @Test
   void drainingAndGoneBackendsGetNothingNew() {
     Fixtures f = Fixtures.counted();
-    f.on(new Roster(RosterForm.CHANGES, List.of(new BackendEntry(0, "a", 0, Phase.DRAINING, 1, 0),
-        new BackendEntry(1, "b", 1, Phase.REMOVED, 1, 0))));
+    f.on(
+        new Roster(
+            RosterForm.CHANGES,
+            List.of(
+                new BackendEntry(0, "a", 0, Phase.DRAINING, 1, 0),
+                new BackendEntry(1, "b", 1, Phase.REMOVED, 1, 0))));
     Set<Long> met = new HashSet<>();
     for (int i = 0; i < 400; i++) {
       f.run(25).request("safe", "free", 1);
@@ -399,15 +414,20 @@
     assertTrue(f.policy.knows(0));
     assertFalse(f.policy.knows(7));
     for (RosterForm form : RosterForm.values()) {
-      f.on(new Roster(form, List.of(new BackendEntry(0, "a", 0, Phase.SERVING, 1, f.now),
-          new BackendEntry(1, "b", 1, Phase.SERVING, 1, 0))));
+      f.on(
+          new Roster(
+              form,
+              List.of(
+                  new BackendEntry(0, "a", 0, Phase.SERVING, 1, f.now),
+                  new BackendEntry(1, "b", 1, Phase.SERVING, 1, 0))));
       f.request("safe", "free", 1);
       assertEquals(1, f.only(Send.class).backend());
       f.outcome(f.only(Send.class), 0, Status.ERROR, false);
       assertTrue(f.all.stream().allMatch(a -> !(a instanceof Send s) || s.backend() == 1));
       f.run(4000);
     }
-    f.on(new Roster(RosterForm.COMPLETE, List.of(new BackendEntry(1, "b", 1, Phase.SERVING, 1, 0))));
+    f.on(
+        new Roster(RosterForm.COMPLETE, List.of(new BackendEntry(1, "b", 1, Phase.SERVING, 1, 0))));
     assertTrue(f.policy.knows(0), "one that left the list can still be put back");
     f.on(new Ban(0, false));
     assertFalse(f.policy.knows(0));
@@ -437,7 +457,9 @@
   @Test
   void aColdBackendGetsLittle() {
     Fixtures f = Fixtures.counted();
-    f.on(new Roster(RosterForm.CHANGES, List.of(new BackendEntry(0, "a", 0, Phase.SERVING, 1, f.now))));
+    f.on(
+        new Roster(
+            RosterForm.CHANGES, List.of(new BackendEntry(0, "a", 0, Phase.SERVING, 1, f.now))));
     int cold = 0;
     int all = 0;
     for (int i = 0; i < 200; i++) {
@@ -453,7 +475,10 @@
     assertTrue(cold < all / 8, "under half of a warm backend's quarter: " + cold + " of " + all);
   }
 
-  /** One connect that fails is no restart: the backend answers on, and is not held to a cold one's part. */
+  /**
+   * One connect that fails is no restart: the backend answers on, and is not held to a cold one's
+   * part.
+   */
   @Test
   void aLostConnectDoesNotMakeABackendCold() {
     Fixtures f = new Fixtures(Fixtures.settings(true, 2, false)).backends(1);
--- a/policy/src/test/java/willowdoor/policy/RepeatRulesTest.java
+++ b/policy/src/test/java/willowdoor/policy/RepeatRulesTest.java
@@ -47,7 +47,9 @@
     for (int i = 0; i < 50; i++) {
       List<Send> sends = play("unsafe", status);
       assertEquals(1, count(Refuse.class) + count(Fail.class));
-      assertTrue(status.provesNotRun() || sends.size() == 1 && count(Refuse.class) == 0, status.toString());
+      assertTrue(
+          status.provesNotRun() || sends.size() == 1 && count(Refuse.class) == 0,
+          status.toString());
       assertTrue(sends.size() <= 4, "MaxAttempts");
     }
   }
@@ -65,8 +67,11 @@
       repeats += sends.size() - 1;
       for (Send s : sends.subList(1, sends.size())) {
         assertEquals(first + WINDOW_MS - Job.GUARD_MS, s.writtenByMs(), 1e-6);
-        assertTrue(type.equals("cell") ? s.backend() == sends.get(0).backend()
-            : s.backend() % 2 == sends.get(0).backend() % 2, "left its group");
+        assertTrue(
+            type.equals("cell")
+                ? s.backend() == sends.get(0).backend()
+                : s.backend() % 2 == sends.get(0).backend() % 2,
+            "left its group");
       }
     }
     assertTrue(repeats > 0);
--- a/policy/src/test/java/willowdoor/policy/StallsTest.java
+++ b/policy/src/test/java/willowdoor/policy/StallsTest.java
@@ -21,7 +21,8 @@
     assertFalse(stalls.stalled(1070));
     assertEquals(70, stalls.heldUp(900, 1080), "sent before the pause");
     assertEquals(40, stalls.heldUp(1030, 1080), "sent within it");
-    assertEquals(0, stalls.heldUp(900, 1101), "an answer that comes long after it did not wait for it");
+    assertEquals(
+        0, stalls.heldUp(900, 1101), "an answer that comes long after it did not wait for it");
     stalls.wakeAt = 1100;
     stalls.note(1201);
     assertTrue(stalls.stalled(1201));
--- a/policy/src/test/java/willowdoor/policy/StoreErrorTest.java
+++ b/policy/src/test/java/willowdoor/policy/StoreErrorTest.java
@@ -15,7 +15,8 @@
 /** What the module's estimate of each customer's store is worth, against the store itself. */
 class StoreErrorTest {
 
-  // Guards a wait that swings with two or three requests of one's own, as one of many gateways has out.
+  // Guards a wait that swings with two or three requests of one's own, as one of many gateways has
+  // out.
   @Test
   void aFewRequestsOutAreNoPressure() {
     Fixtures f = new Fixtures(Fixtures.settings(true, 100, false)).backends(60);
@@ -23,27 +24,32 @@
     ArrayDeque<String> out = new ArrayDeque<>();
     int refused = 0;
     for (int i = 0; i < 400; i++) {
-      for (int most = 1 + random.nextInt(7); out.size() < most;) {
+      for (int most = 1 + random.nextInt(7); out.size() < most; ) {
         String id = f.request("safe", "free", 1);
         refused += f.did(Refuse.class) ? 1 : 0;
         out.add(id);
       }
       f.pass(100);
-      for (int left = random.nextInt(2); out.size() > left;) {
+      for (int left = random.nextInt(2); out.size() > left; ) {
         f.on(new Outcome(out.poll(), 0, 0, Status.OK, 230, true, 0, null));
       }
     }
-    assertTrue(refused < 10, refused + " requests refused by a fleet that answers in a quarter of the aim");
+    assertTrue(
+        refused < 10,
+        refused + " requests refused by a fleet that answers in a quarter of the aim");
   }
 
   /**
-   * Gain and served are the least, the other shares the most. With windows of one burst, before, 0.52 of
-   * the tries were refused with room and 0.86 served at 100 gateways, 0.37 and 0.87 at 14. Guessed costs
-   * reach the count late where a gateway meets a customer rarely. What is left where the counter bears half
-   * of the calls stands in the open list of README.md.
+   * Gain and served are the least, the other shares the most. With windows of one burst, before,
+   * 0.52 of the tries were refused with room and 0.86 served at 100 gateways, 0.37 and 0.87 at 14.
+   * Guessed costs reach the count late where a gateway meets a customer rarely. What is left where
+   * the counter bears half of the calls stands in the open list of README.md.
    */
   @ParameterizedTest
-  @CsvSource(useHeadersInDisplayName = true, textBlock = """
+  @CsvSource(
+      useHeadersInDisplayName = true,
+      textBlock =
+          """
       gateways, guessSpread, callsPerSecond, gain, served, beyond, halfFull, calls
       100, 0,   20000, 0.88, 0.92, 0.062, 0.16, 1.2
       14,  0,   20000, 0.93, 0.92, 0.04,  0.25, 0.9
@@ -51,8 +57,15 @@
       100, 0.4, 20000, 0.88, 0.9,  0.076, 0.2,  1.2
       100, 0,   550,   0.83, 0.89, 0.105, 0.36, 0.8
       """)
-  void gatewaysKeepNearTheStore(int gateways, double guessSpread, double callsPerSecond, double gain,
-      double served, double beyond, double halfFull, double calls) {
+  void gatewaysKeepNearTheStore(
+      int gateways,
+      double guessSpread,
+      double callsPerSecond,
+      double gain,
+      double served,
+      double beyond,
+      double halfFull,
+      double calls) {
     Result r = new StoreModel(gateways, 60, guessSpread, callsPerSecond, 7).run(1, 40);
     assertTrue(r.gainShare() > gain, "gain " + r);
     assertTrue(r.servedShare() > served, "served " + r);
--- a/policy/src/test/java/willowdoor/policy/StoreModel.java
+++ b/policy/src/test/java/willowdoor/policy/StoreModel.java
@@ -35,8 +35,9 @@
 import willowdoor.policy.GatewayApi.Woken;
 
 /**
- * Customers of several habits before many gateways, a counter that answers a little late, servers with cores
- * and a waiting room, and beside them the true store of each customer, which no gateway sees.
+ * Customers of several habits before many gateways, a counter that answers a little late, servers
+ * with cores and a waiting room, and beside them the true store of each customer, which no gateway
+ * sees.
  */
 final class StoreModel {
 
@@ -55,7 +56,10 @@
     long answered;
     double waits;
 
-    /** Of the units sent on, those that the true store did not hold, where the plan has a price for that. */
+    /**
+     * Of the units sent on, those that the true store did not hold, where the plan has a price for
+     * that.
+     */
     double beyondShare() {
       return sentBeyond / Math.max(1, sent);
     }
@@ -65,14 +69,17 @@
       return triesHalfFull / (double) Math.max(1, tries);
     }
 
-    /** Worth answered in its aim and inside the store, over what one gateway that saw all would let in. */
+    /**
+     * Worth answered in its aim and inside the store, over what one gateway that saw all would let
+     * in.
+     */
     double servedShare() {
       return inTime / Math.max(1, offeredInside);
     }
 
     /**
-     * What inside the store and, at its plan's part, beyond it was answered in its aim, less the price of
-     * what was sent on beyond, over what one gateway that saw all would earn.
+     * What inside the store and, at its plan's part, beyond it was answered in its aim, less the
+     * price of what was sent on beyond, over what one gateway that saw all would earn.
      */
     double gainShare() {
       return gain / Math.max(1, offered);
@@ -84,25 +91,41 @@
 
     @Override
     public String toString() {
-      return String.format(Locale.ROOT,
+      return String.format(
+          Locale.ROOT,
           "gain %.3f served %.3f beyond %.3f (open %.3f) refused-half-full %.3f calls/try %.2f tries %d"
-              + " wait %.0f", gainShare(), servedShare(), beyondShare(), sentOverOpen / Math.max(1, sent),
-          halfFullShare(), callsPerTry(), tries, waits / Math.max(1, answered));
+              + " wait %.0f",
+          gainShare(),
+          servedShare(),
+          beyondShare(),
+          sentOverOpen / Math.max(1, sent),
+          halfFullShare(),
+          callsPerTry(),
+          tries,
+          waits / Math.max(1, answered));
     }
   }
 
-  /** Plans, and how many customers each has, as on a day of the whole fleet; one earns beyond its quota. */
-  private static final List<Plan> PLANS = List.of(new Plan("starter", 1.1, 8, 0, 0.88, 0, 0.6, 0, 0, 0),
-      new Plan("business", 5, 8, 0, 1.1, 0.1, 0, 0, 0, 0),
-      new Plan("enterprise", 20, 57, 11, 1.6, 0, 0.5, 0, 0, 0));
+  /**
+   * Plans, and how many customers each has, as on a day of the whole fleet; one earns beyond its
+   * quota.
+   */
+  private static final List<Plan> PLANS =
+      List.of(
+          new Plan("starter", 1.1, 8, 0, 0.88, 0, 0.6, 0, 0, 0),
+          new Plan("business", 5, 8, 0, 1.1, 0.1, 0, 0, 0, 0),
+          new Plan("enterprise", 20, 57, 11, 1.6, 0, 0.5, 0, 0, 0));
+
   private static final int[] CUSTOMERS = {450, 65, 26};
   private static final double SERVICE_MS = 420;
   private static final int CORES = 3;
   private static final int WAITING_ROOM = 24;
 
   private static final double CALL_MS = 12;
+
   /** Parts of the counter, and how long a part's line may be before it turns calls away. */
   private static final int PARTS = 2;
+
   private static final double MOST_LINE_MS = 40;
   private static final RequestClass PREVIEW =
       new RequestClass("preview", 1, 0, 3872, 9680, Repeat.SAFE, Group.ALL, 0, false);
@@ -163,11 +186,12 @@
       this.plan = plan;
       double kind = random.nextDouble();
       habit = kind < 0.16 ? "full" : kind < 0.25 ? "heavy" : kind < 0.44 ? "spiky" : "calm";
-      use = switch (habit) {
-        case "full" -> 0.9 + 0.1 * random.nextDouble();
-        case "heavy" -> 1.6 + 3 * random.nextDouble();
-        default -> 0.15 + 0.35 * random.nextDouble();
-      };
+      use =
+          switch (habit) {
+            case "full" -> 0.9 + 0.1 * random.nextDouble();
+            case "heavy" -> 1.6 + 3 * random.nextDouble();
+            default -> 0.15 + 0.35 * random.nextDouble();
+          };
       store = new Store(plan, now);
       ideal = new Store(plan, now);
       spikeEveryMs = 10_000 + 15_000 * random.nextDouble();
@@ -184,9 +208,14 @@
     }
   }
 
-  private record Due(double at, long order, Runnable what) { }
+  private record Due(double at, long order, Runnable what) {}
 
-  private record Try(Customer customer, double units, double trueUnits, int number, RequestClass type,
+  private record Try(
+      Customer customer,
+      double units,
+      double trueUnits,
+      int number,
+      RequestClass type,
       double since) {
     double worth() {
       return units * type.value() * customer.plan.worthFactor();
@@ -204,15 +233,18 @@
   private final Result result = new Result();
   private final double guessSpread;
   private final double callMs;
+
   /** When each part of the counter has done what waits in its line. */
   private final double[] partFreeAt = new double[PARTS];
+
   private final List<Server> servers = new ArrayList<>();
   private double now = 1_000_000;
   private double measureFrom;
   private long next;
 
   /** The counter bears so many calls a second, on all its parts. */
-  StoreModel(int gateways, int howManyServers, double guessSpread, double callsPerSecond, long seed) {
+  StoreModel(
+      int gateways, int howManyServers, double guessSpread, double callsPerSecond, long seed) {
     callMs = 1000 * PARTS / callsPerSecond;
     random = new SplittableRandom(seed);
     this.guessSpread = guessSpread;
@@ -221,8 +253,18 @@
     }
     List<RequestClass> classes = List.of(PREVIEW, SIGN, SEAL);
     for (int i = 0; i < gateways; i++) {
-      Settings s = new Settings(gateways, i, "a", 4, 0, false, classes, PLANS,
-          new Allowed(true, 50, true, false, 4, 1000, true, 2000, false), new Rules(8, 0.2, 10_000, 3, 2000));
+      Settings s =
+          new Settings(
+              gateways,
+              i,
+              "a",
+              4,
+              0,
+              false,
+              classes,
+              PLANS,
+              new Allowed(true, 50, true, false, 4, 1000, true, 2000, false),
+              new Rules(8, 0.2, 10_000, 3, 2000));
       fleet.add(new QuotaPolicy(s, seed * 1000 + i));
     }
     for (int p = 0; p < PLANS.size(); p++) {
@@ -257,26 +299,30 @@
 
   private void arrive(Customer c) {
     double most = 5 * c.plan.rate();
-    in(-Math.log(1 - random.nextDouble()) * 1000 / (most / 2.5), () -> {
-      if (random.nextDouble() < c.rate(now) / most) {
-        double draw = random.nextDouble();
-        RequestClass type = draw < 0.49 ? PREVIEW : draw < 0.77 ? SIGN : SEAL;
-        double truth = 1 + random.nextInt(4);
-        double guess = Math.min(4, Math.max(1, Math.rint(truth * Math.exp(guessSpread * gauss()))));
-        Try first = new Try(c, guess, truth, 0, type, now);
-        if (c.ideal.take(guess, now)) {
-          c.ideal.level -= truth - guess;
-          tell(r -> {
-            r.offeredInside += first.worth();
-            r.offered += first.worth();
-          });
-        } else {
-          tell(r -> r.offered += first.worth() * c.plan.beyondEarns());
-        }
-        ask(first);
-      }
-      arrive(c);
-    });
+    in(
+        -Math.log(1 - random.nextDouble()) * 1000 / (most / 2.5),
+        () -> {
+          if (random.nextDouble() < c.rate(now) / most) {
+            double draw = random.nextDouble();
+            RequestClass type = draw < 0.49 ? PREVIEW : draw < 0.77 ? SIGN : SEAL;
+            double truth = 1 + random.nextInt(4);
+            double guess =
+                Math.min(4, Math.max(1, Math.rint(truth * Math.exp(guessSpread * gauss()))));
+            Try first = new Try(c, guess, truth, 0, type, now);
+            if (c.ideal.take(guess, now)) {
+              c.ideal.level -= truth - guess;
+              tell(
+                  r -> {
+                    r.offeredInside += first.worth();
+                    r.offered += first.worth();
+                  });
+            } else {
+              tell(r -> r.offered += first.worth() * c.plan.beyondEarns());
+            }
+            ask(first);
+          }
+          arrive(c);
+        });
   }
 
   private double gauss() {
@@ -299,8 +345,10 @@
     String id = "m" + next++;
     open.put(id, t);
     tell(r -> r.tries++);
-    on(at, new Request(id, t.type.name(), c.plan.name(), c.id, c.spread, t.units,
-        now + t.type.deadlineMs()));
+    on(
+        at,
+        new Request(
+            id, t.type.name(), c.plan.name(), c.id, c.spread, t.units, now + t.type.deadlineMs()));
   }
 
   private void on(int gateway, Event event) {
@@ -333,7 +381,9 @@
     }
     partFreeAt[part] = doneAt;
     double total = counts.merge(a.name(), a.amount(), Double::sum);
-    in(doneAt - now + CALL_MS / 2, () -> on(gateway, new Counted(a.name(), Status.OK, total, CALL_MS)));
+    in(
+        doneAt - now + CALL_MS / 2,
+        () -> on(gateway, new Counted(a.name(), Status.OK, total, CALL_MS)));
   }
 
   private void sent(int gateway, Send s) {
@@ -343,41 +393,56 @@
     boolean inside = number == 0 && room && t.customer.store.take(t.units, now);
     t.customer.out++;
     if (number == 0) {
-      tell(r -> {
-        r.sent += t.units;
-        double cost = inside ? 0 : t.customer.plan.beyondCost();
-        r.sentBeyond += cost > 0 ? t.units : 0;
-        r.gain -= t.worth() * cost;
-        r.sentOverOpen += room ? 0 : t.units;
-      });
+      tell(
+          r -> {
+            r.sent += t.units;
+            double cost = inside ? 0 : t.customer.plan.beyondCost();
+            r.sentBeyond += cost > 0 ? t.units : 0;
+            r.gain -= t.worth() * cost;
+            r.sentOverOpen += room ? 0 : t.units;
+          });
     }
     double sentAt = now;
     Server server = servers.get((int) s.backend());
     double needs = (t.type == SIGN ? 0.6 : 1) * SERVICE_MS * (0.73 + 0.54 * random.nextDouble());
-    Runnable work = () -> in(needs, () -> {
-      server.busy--;
-      if (!server.waiting.isEmpty()) {
-        server.busy++;
-        server.waiting.poll().run();
-      }
-      t.customer.out--;
-      boolean first = open.remove(s.request()) != null;
-      if (inside) {
-        t.customer.store.level(now);
-        t.customer.store.level -= t.trueUnits - t.units;
-      }
-      if (first) {
-        double earned = now - t.since <= t.type.aimMs() ? t.worth() : 0;
-        tell(r -> {
-          r.inTime += inside ? earned : 0;
-          r.gain += earned * (inside ? 1 : t.customer.plan.beyondEarns());
-          r.answered++;
-          r.waits += now - sentAt;
-        });
-      }
-      on(gateway, new Outcome(s.request(), number, s.backend(), Status.OK, now - sentAt, true, t.trueUnits,
-          null));
-    });
+    Runnable work =
+        () ->
+            in(
+                needs,
+                () -> {
+                  server.busy--;
+                  if (!server.waiting.isEmpty()) {
+                    server.busy++;
+                    server.waiting.poll().run();
+                  }
+                  t.customer.out--;
+                  boolean first = open.remove(s.request()) != null;
+                  if (inside) {
+                    t.customer.store.level(now);
+                    t.customer.store.level -= t.trueUnits - t.units;
+                  }
+                  if (first) {
+                    double earned = now - t.since <= t.type.aimMs() ? t.worth() : 0;
+                    tell(
+                        r -> {
+                          r.inTime += inside ? earned : 0;
+                          r.gain += earned * (inside ? 1 : t.customer.plan.beyondEarns());
+                          r.answered++;
+                          r.waits += now - sentAt;
+                        });
+                  }
+                  on(
+                      gateway,
+                      new Outcome(
+                          s.request(),
+                          number,
+                          s.backend(),
+                          Status.OK,
+                          now - sentAt,
+                          true,
+                          t.trueUnits,
+                          null));
+                });
     if (server.busy < CORES) {
       server.busy++;
       work.run();
@@ -385,8 +450,13 @@
       server.waiting.add(work);
     } else {
       t.customer.out--;
-      in(2, () -> on(gateway,
-          new Outcome(s.request(), number, s.backend(), Status.REJECTED, 2, false, 0, null)));
+      in(
+          2,
+          () ->
+              on(
+                  gateway,
+                  new Outcome(
+                      s.request(), number, s.backend(), Status.REJECTED, 2, false, 0, null)));
     }
   }
 
@@ -399,8 +469,9 @@
     double level = t.customer.store.level(now);
     tell(r -> r.triesHalfFull += level >= t.customer.plan.burst() / 2 ? 1 : 0);
     if (t.number < 3) {
-      in(400 + 800 * random.nextDouble() * (1 << t.number), () -> ask(new Try(t.customer, t.units,
-          t.trueUnits, t.number + 1, t.type, t.since)));
+      in(
+          400 + 800 * random.nextDouble() * (1 << t.number),
+          () -> ask(new Try(t.customer, t.units, t.trueUnits, t.number + 1, t.type, t.since)));
     }
   }
 }
--- a/purge/src/main/java/willowdoor/purge/Callers.java
+++ b/purge/src/main/java/willowdoor/purge/Callers.java
@@ -10,13 +10,14 @@
   static final int MOST = 4_096;
 
   /** {@code asks}: it only asks how the purge goes. */
-  record Caller(long caller, String customer, boolean asks, long deadline) { }
+  record Caller(long caller, String customer, boolean asks, long deadline) {}
 
   /** The lists are never changed. */
   private final LinkedHashMap<PurgeId, List<Caller>> byId = new LinkedHashMap<>();
+
   private int size;
 
-  Callers() { }
+  Callers() {}
 
   Callers(Callers other) {
     byId.putAll(other.byId);
@@ -61,11 +62,12 @@
   /** The ids for which somebody waits whose time is over. */
   List<PurgeId> late(long now) {
     List<PurgeId> ids = new ArrayList<>();
-    byId.forEach((id, list) -> {
-      if (list.stream().anyMatch(one -> one.deadline <= now)) {
-        ids.add(id);
-      }
-    });
+    byId.forEach(
+        (id, list) -> {
+          if (list.stream().anyMatch(one -> one.deadline <= now)) {
+            ids.add(id);
+          }
+        });
     return ids;
   }
 }
--- a/purge/src/main/java/willowdoor/purge/Codec.java
+++ b/purge/src/main/java/willowdoor/purge/Codec.java
@@ -25,15 +25,20 @@
 
 /**
  * Messages as datagrams of CBOR (RFC 8949): one array of the version, the digest of the fleet's
- * configuration, the kind and its fields in order, without names. Read strictly: another kind of value, one
- * out of its range or anything behind the end makes the datagram unreadable.
+ * configuration, the kind and its fields in order, without names. Read strictly: another kind of
+ * value, one out of its range or anything behind the end makes the datagram unreadable.
  */
 final class Codec {
   /** What fits in a datagram that no network cuts up. */
   static final int MOST_BYTES = 1_400;
+
   private static final int VERSION = 1;
 
-  enum Fault { UNREADABLE, OTHER_VERSION, OTHER_CONFIGURATION }
+  enum Fault {
+    UNREADABLE,
+    OTHER_VERSION,
+    OTHER_CONFIGURATION
+  }
 
   /** Why a datagram is dropped. */
   static final class Dropped extends Exception {
@@ -51,7 +56,9 @@
 
   /** Keepers and times of other front doors must be the same, or neither understands the other. */
   Codec(String name, Fleet fleet) {
-    digest = ByteBuffer.wrap(PurgeId.sha256(name + ' ' + fleet.keepers() + ' ' + fleet.timing())).getLong();
+    digest =
+        ByteBuffer.wrap(PurgeId.sha256(name + ' ' + fleet.keepers() + ' ' + fleet.timing()))
+            .getLong();
   }
 
   byte[] encode(Message message) {
