--- a/purge/src/main/java/willowdoor/purge/Coordinator.java
+++ b/purge/src/main/java/willowdoor/purge/Coordinator.java
@@ -17,8 +17,8 @@
 import willowdoor.purge.Message.Told;
 
 /**
- * Carries out the purges that one front door is called for. Times are this process's monotonic ms, read after
- * the call or message at hand was read and before anything is sent.
+ * Carries out the purges that one front door is called for. Times are this process's monotonic ms,
+ * read after the call or message at hand was read and before anything is sent.
  */
 final class Coordinator {
   private static final int MAX_QUESTIONS = 256;
@@ -26,7 +26,7 @@
   private static final int TELL_TIMES = 5;
   private static final long GIVE_UP_MS = 60_000;
 
-  private record Ended(Claim claim, String customer, Result result) { }
+  private record Ended(Claim claim, String customer, Result result) {}
 
   private final Fleet fleet;
   private long numbers;
@@ -34,6 +34,7 @@
   private final Callers callers;
   private final Memory<Ended> ended;
   private final LinkedHashMap<PurgeId, Repeat> questions;
+
   /** By run, the word to the keepers that it is done. */
   private final LinkedHashMap<Long, Repeat> telling;
 
@@ -42,7 +43,11 @@
   }
 
   Coordinator(Coordinator other) {
-    this(other.fleet, new Rounds(other.rounds), new Callers(other.callers), new Memory<>(other.ended));
+    this(
+        other.fleet,
+        new Rounds(other.rounds),
+        new Callers(other.callers),
+        new Memory<>(other.ended));
     numbers = other.numbers;
     other.questions.forEach((id, question) -> questions.put(id, new Repeat(question)));
     other.telling.forEach((run, word) -> telling.put(run, new Repeat(word)));
@@ -74,8 +79,12 @@
     Ended before = ended.get(id);
     Round round = rounds.find(id);
     if (before != null) {
-      effects.add(new Effect.Answer(caller, before.claim.equals(claim)
-          ? complete(before) : new Outcome.Rejected(id, Outcome.Why.KEY_USED)));
+      effects.add(
+          new Effect.Answer(
+              caller,
+              before.claim.equals(claim)
+                  ? complete(before)
+                  : new Outcome.Rejected(id, Outcome.Why.KEY_USED)));
     } else if (round != null && !round.claims().containsValue(claim)) {
       effects.add(new Effect.Answer(caller, new Outcome.Rejected(id, Outcome.Why.KEY_USED)));
     } else if (callers.full()) {
@@ -94,14 +103,16 @@
   }
 
   /**
-   * A customer's question how a purge goes; an unfinished one that this front door does not know is taken up.
+   * A customer's question how a purge goes; an unfinished one that this front door does not know is
+   * taken up.
    */
   List<Effect> ask(long now, long caller, PurgeId id, String customer, long deadline) {
     List<Effect> effects = new ArrayList<>();
     Ended before = ended.get(id);
     Round round = rounds.find(id);
-    boolean others = before != null && !before.customer.equals(customer)
-        || round != null && !round.purge().scope().customer().equals(customer);
+    boolean others =
+        before != null && !before.customer.equals(customer)
+            || round != null && !round.purge().scope().customer().equals(customer);
     if (others) {
       effects.add(new Effect.Answer(caller, new Outcome.Unknown(id)));
     } else if (before != null) {
@@ -200,7 +211,8 @@
     questions.remove(claim.id());
     for (Caller one : callers.take(claim.id())) {
       boolean owns = one.customer().equals(scope.customer());
-      effects.add(new Effect.Answer(one.caller(), owns ? complete(end) : new Outcome.Unknown(claim.id())));
+      effects.add(
+          new Effect.Answer(one.caller(), owns ? complete(end) : new Outcome.Unknown(claim.id())));
     }
   }
 
@@ -222,24 +234,32 @@
   }
 
   /**
-   * A caller's time is over. Where it called for a purge that is not committed, all that wait for the id are
-   * told that it is not taken; any other goes alone.
+   * A caller's time is over. Where it called for a purge that is not committed, all that wait for
+   * the id are told that it is not taken; any other goes alone.
    */
   private void late(long now, PurgeId id, List<Effect> effects) {
     Round round = rounds.find(id);
     boolean committed = round != null && round.committed();
     List<Caller> list = callers.take(id);
-    if (round == null || !committed && list.stream().anyMatch(one -> !one.asks() && one.deadline() <= now)) {
+    if (round == null
+        || !committed && list.stream().anyMatch(one -> !one.asks() && one.deadline() <= now)) {
       list.forEach(one -> callers.add(id, one));
-      fail(id, round != null && !round.started() ? Outcome.Why.BUSY : Outcome.Why.NO_MAJORITY, effects);
+      fail(
+          id,
+          round != null && !round.started() ? Outcome.Why.BUSY : Outcome.Why.NO_MAJORITY,
+          effects);
       return;
     }
     for (Caller one : list) {
       if (one.deadline() > now) {
         callers.add(id, one);
       } else {
-        effects.add(new Effect.Answer(one.caller(), committed
-            ? new Outcome.Pending(id) : new Outcome.Unavailable(id, Outcome.Why.NO_MAJORITY)));
+        effects.add(
+            new Effect.Answer(
+                one.caller(),
+                committed
+                    ? new Outcome.Pending(id)
+                    : new Outcome.Unavailable(id, Outcome.Why.NO_MAJORITY)));
       }
     }
   }
@@ -247,7 +267,8 @@
   private void refused(long now, Round round, Refused refused, List<Effect> effects) {
     if (refused.reason() == Reason.FULL) {
       round.refusedForRoom();
-    } else if (refused.reason() == Reason.KEY_USED && !round.committed()
+    } else if (refused.reason() == Reason.KEY_USED
+        && !round.committed()
         && round.claims().containsKey(refused.id())) {
       rounds.drop(refused.id());
       answer(refused.id(), new Outcome.Rejected(refused.id(), Outcome.Why.KEY_USED), effects);
@@ -260,7 +281,8 @@
     Round round = rounds.find(told.id());
     Repeat question = questions.get(told.id());
     boolean asked = question != null && question.message.equals(new Ask(told.number(), told.id()));
-    if (told.state() == State.DONE && (asked || round != null && round.claims().containsValue(claim))) {
+    if (told.state() == State.DONE
+        && (asked || round != null && round.claims().containsValue(claim))) {
       rounds.drop(told.id());
       end(now, claim, told.scope(), told.result(), effects);
       effects.addAll(rounds.start(now));
--- a/purge/src/main/java/willowdoor/purge/Fields.java
+++ b/purge/src/main/java/willowdoor/purge/Fields.java
@@ -26,8 +26,8 @@
 import willowdoor.purge.Message.Told;
 
 /**
- * The fields of one datagram, one behind the other; {@link IllegalArgumentException} for any that is not
- * right.
+ * The fields of one datagram, one behind the other; {@link IllegalArgumentException} for any that
+ * is not right.
  */
 final class Fields {
   private static final long MAX_BOOT = 0xffff_ffffL;
@@ -56,8 +56,9 @@
   }
 
   long number(long least, long most) throws IOException {
-    expect(token == JsonToken.VALUE_NUMBER_INT
-        && parser.getNumberType() != JsonParser.NumberType.BIG_INTEGER);
+    expect(
+        token == JsonToken.VALUE_NUMBER_INT
+            && parser.getNumberType() != JsonParser.NumberType.BIG_INTEGER);
     long number = parser.getLongValue();
     expect(number >= least && number <= most);
     token = parser.nextToken();
@@ -100,10 +101,16 @@
     int number = count();
     long acceptance = whole();
     int page = (int) number(0, Fleet.MAX_MEMBER / Fleet.PAGE);
-    return new Accepted(run, number, acceptance, page, list(() -> {
-      int member = page * Fleet.PAGE + (int) number(0, Fleet.PAGE - 1);
-      return new Outstanding(new HolderId(member, boot()), number(0, MAX_LEFT_MS));
-    }));
+    return new Accepted(
+        run,
+        number,
+        acceptance,
+        page,
+        list(
+            () -> {
+              int member = page * Fleet.PAGE + (int) number(0, Fleet.PAGE - 1);
+              return new Outstanding(new HolderId(member, boot()), number(0, MAX_LEFT_MS));
+            }));
   }
 
   private Told told() throws IOException {
@@ -143,7 +150,8 @@
   }
 
   private PurgeId id() throws IOException {
-    return new PurgeId(number(Long.MIN_VALUE, Long.MAX_VALUE), number(Long.MIN_VALUE, Long.MAX_VALUE));
+    return new PurgeId(
+        number(Long.MIN_VALUE, Long.MAX_VALUE), number(Long.MIN_VALUE, Long.MAX_VALUE));
   }
 
   private Result result() throws IOException {
--- a/purge/src/main/java/willowdoor/purge/Fleet.java
+++ b/purge/src/main/java/willowdoor/purge/Fleet.java
@@ -11,6 +11,7 @@
  */
 public record Fleet(List<Integer> members, List<Integer> keepers, Timing timing) {
   static final int MAX_MEMBER = 4_095;
+
   /** Members whose leases are told in one datagram. */
   static final int PAGE = 64;
 
--- a/purge/src/main/java/willowdoor/purge/Holder.java
+++ b/purge/src/main/java/willowdoor/purge/Holder.java
@@ -4,19 +4,21 @@
 import java.util.Arrays;
 import java.util.LinkedHashSet;
 import java.util.List;
-import willowdoor.purge.Message.Apply;
 import willowdoor.purge.Message.Applied;
+import willowdoor.purge.Message.Apply;
 import willowdoor.purge.Message.Grant;
 import willowdoor.purge.Message.Purge;
 import willowdoor.purge.Message.Renew;
 
 /**
- * Tells at one front door whether what it kept may be served. Every method takes that process's monotonic
- * time in ms, not negative, read after the message or request at hand was read and before anything is sent.
+ * Tells at one front door whether what it kept may be served. Every method takes that process's
+ * monotonic time in ms, not negative, read after the message or request at hand was read and before
+ * anything is sent.
  */
 final class Holder {
   /** Renewals whose time of sending is remembered; grants for older ones are of no use. */
   private static final int RENEWALS = 16;
+
   private static final int MAX_REMEMBERED = 4_096;
 
   /**
@@ -26,22 +28,26 @@
    * @param count of purges carried out
    * @param beganMs that moment
    */
-  public record Point(long term, long count, long beganMs) { }
+  public record Point(long term, long count, long beganMs) {}
 
   private final Fleet fleet;
   private final long boot;
   private final Rules rules;
   private long number;
   private final long[] sentAt;
+
   /**
-   * By the keeper's place: until when its last grant counts, the runs that came with its last word, and the
-   * number of its latest.
+   * By the keeper's place: until when its last grant counts, the runs that came with its last word,
+   * and the number of its latest.
    */
   private final long[] until;
+
   private final List<List<Long>> carried;
   private final long[] heard;
+
   /** Until when a majority of grants counts. */
   private long end;
+
   private long term;
   private final PurgeLog log;
   private final LinkedHashSet<Long> applied;
@@ -82,7 +88,9 @@
     sentAt[(int) (number % RENEWALS)] = now;
     List<Effect> effects = new ArrayList<>();
     for (int i = 0; i < until.length; i++) {
-      effects.add(new Effect.Send(fleet.keepers().get(i), new Renew(boot, number, heard[i], carried.get(i))));
+      effects.add(
+          new Effect.Send(
+              fleet.keepers().get(i), new Renew(boot, number, heard[i], carried.get(i))));
     }
     return effects;
   }
@@ -91,7 +99,9 @@
     List<Effect> effects = new ArrayList<>();
     if (message instanceof Apply apply) {
       apply(apply.purge(), effects);
-    } else if (message instanceof Grant grant && grant.boot() == boot && fleet.keepers().contains(from)) {
+    } else if (message instanceof Grant grant
+        && grant.boot() == boot
+        && fleet.keepers().contains(from)) {
       granted(now, from, grant, effects);
     }
     return effects;
@@ -136,14 +146,17 @@
     effects.add(new Effect.Send(purge.from(), new Applied(purge.run(), boot)));
   }
 
-  /** To be taken before a server is asked; null where there is no lease, and then the answer is not kept. */
+  /**
+   * To be taken before a server is asked; null where there is no lease, and then the answer is not
+   * kept.
+   */
   Point begin(long now) {
     return now < end ? new Point(term, log.count(), now) : null;
   }
 
   /**
-   * Whether an answer that was begun at a point may be served now. The one check that all serving goes
-   * through.
+   * Whether an answer that was begun at a point may be served now. The one check that all serving
+   * goes through.
    */
   boolean mayServe(long now, String customer, String target, Point point) {
     long seen = rules.lookedAt(now, sentAt[(int) (number % RENEWALS)]);
--- a/purge/src/main/java/willowdoor/purge/Keeper.java
+++ b/purge/src/main/java/willowdoor/purge/Keeper.java
@@ -24,20 +24,26 @@
 import willowdoor.purge.Message.Told;
 
 /**
- * One of the few front doors that grant leases and hold purges, in memory only. Times are this process's
- * monotonic ms, read after the message at hand was read.
+ * One of the few front doors that grant leases and hold purges, in memory only. Times are this
+ * process's monotonic ms, read after the message at hand was read.
  */
 final class Keeper {
   private static final int MAX_LIVE = 256;
   private static final int MAX_LIVE_OF_CUSTOMER = 32;
   private static final int MAX_BOOTS = 2;
+
   /** Whoever has missed more answers than this gets no lease until it hears one: it may be deaf. */
   private static final int MAX_MISSED = 3;
+
   /** What the runs of one grant may take of a datagram, and what each takes beside its text. */
   private static final int GRANT_ROOM = 1_300;
+
   private static final int RUN_ROOM = 24;
 
-  /** A run that is held. {@code bare}: until when the leases run that were granted before it was accepted. */
+  /**
+   * A run that is held. {@code bare}: until when the leases run that were granted before it was
+   * accepted.
+   */
   private static final class Live {
     final Purge purge;
     final long acceptance;
@@ -62,7 +68,7 @@
   }
 
   /** What is known of an id; no result while it is open. */
-  private record Known(Scope scope, int mark, Result result) { }
+  private record Known(Scope scope, int mark, Result result) {}
 
   private final Fleet fleet;
   private final long boot;
@@ -139,7 +145,8 @@
       if (!rules.carries() || held.applied.contains(holder)) {
         continue;
       }
-      room -= RUN_ROOM + held.purge.scope().customer().length() + held.purge.scope().prefix().length();
+      room -=
+          RUN_ROOM + held.purge.scope().customer().length() + held.purge.scope().prefix().length();
       if (room < 0) {
         more = true;
         break;
@@ -186,8 +193,11 @@
       }
     }
     for (int page = 0; page < fleet.pages(); page++) {
-      effects.add(new Effect.Send(from,
-          new Accepted(run, accept.number(), held.acceptance, page, outstanding(now, held, page))));
+      effects.add(
+          new Effect.Send(
+              from,
+              new Accepted(
+                  run, accept.number(), held.acceptance, page, outstanding(now, held, page))));
     }
   }
 
--- a/purge/src/main/java/willowdoor/purge/KeptAnswers.java
+++ b/purge/src/main/java/willowdoor/purge/KeptAnswers.java
@@ -14,9 +14,9 @@
 import java.util.function.ToIntFunction;
 
 /**
- * Answers of template servers by customer and target, served only where the {@link Holder} lets it, and one
- * request to a server for many that ask the same at once. Of one thread; times are its process's monotonic
- * ms, not negative.
+ * Answers of template servers by customer and target, served only where the {@link Holder} lets it,
+ * and one request to a server for many that ask the same at once. Of one thread; times are its
+ * process's monotonic ms, not negative.
  *
  * @param <A> an answer, which is not changed any more
  */
@@ -24,38 +24,39 @@
   static final int MAX_FILLS = 4_096;
   static final int MAX_WAITING = 4_096;
   static final int MAX_WAITING_OF_ONE = 64;
+
   /** What an entry takes beside its answer and its text, about. */
   private static final int ENTRY_BYTES = 300;
 
-  private record Key(String customer, String target) { }
+  private record Key(String customer, String target) {}
 
-  private record Entry<A>(A answer, Holder.Point point) { }
+  private record Entry<A>(A answer, Holder.Point point) {}
 
   /** What is to be done with a request. */
-  public sealed interface Found<A> { }
+  public sealed interface Found<A> {}
 
   /** Answer it so. */
-  public record Hit<A>(A answer) implements Found<A> { }
+  public record Hit<A>(A answer) implements Found<A> {}
 
   /** Ask a server, and tell the fill how that ended, whatever happens. */
-  public record Lead<A>(Fill<A> fill) implements Found<A> { }
+  public record Lead<A>(Fill<A> fill) implements Found<A> {}
 
   /** Its {@link Waiter} will be called, unless {@link KeptAnswers#leave} comes first. */
-  public record Waits<A>() implements Found<A> { }
+  public record Waits<A>() implements Found<A> {}
 
   /** Ask a server and tell nobody. */
-  public record Alone<A>() implements Found<A> { }
+  public record Alone<A>() implements Found<A> {}
 
   /**
-   * A request that waits for what another one is asking. One of the two is called, once, and none after its
-   * time.
+   * A request that waits for what another one is asking. One of the two is called, once, and none
+   * after its time.
    */
   public interface Waiter<A> {
     /** {@code Hit} or {@code Lead}. */
     void found(Found<A> found);
   }
 
-  private record Waiting<A>(Waiter<A> waiter, long endMs) { }
+  private record Waiting<A>(Waiter<A> waiter, long endMs) {}
 
   /** A request to a server whose answer may be kept. */
   public static final class Fill<A> {
@@ -65,7 +66,11 @@
     private final long endMs;
     private final ArrayDeque<Waiting<A>> waiting;
 
-    private Fill(KeptAnswers<A> owner, Key key, Holder.Point point, long endMs,
+    private Fill(
+        KeptAnswers<A> owner,
+        Key key,
+        Holder.Point point,
+        long endMs,
         ArrayDeque<Waiting<A>> waiting) {
       this.owner = owner;
       this.key = key;
@@ -89,8 +94,10 @@
   private final long liveMs;
   private final Cache<Key, Entry<A>> entries;
   private final Map<Key, Fill<A>> fills = new HashMap<>();
+
   /** By customer, what is kept. */
   private final Map<String, TreeSet<String>> targets = new HashMap<>();
+
   private int waiting;
   private long clock;
 
@@ -102,23 +109,28 @@
   KeptAnswers(Holder holder, long mostBytes, long liveMs, ToIntFunction<A> bytes) {
     this.holder = holder;
     this.liveMs = liveMs;
-    entries = Caffeine.newBuilder()
-        .maximumWeight(mostBytes)
-        .weigher((Key key, Entry<A> entry) ->
-            ENTRY_BYTES + key.customer.length() + 2 * key.target.length() + bytes.applyAsInt(entry.answer))
-        .expireAfterWrite(Duration.ofMillis(liveMs))
-        .ticker(() -> TimeUnit.MILLISECONDS.toNanos(clock))
-        .executor(Runnable::run)
-        .removalListener((Key key, Entry<A> entry, RemovalCause cause) -> removed(key, cause))
-        .build();
+    entries =
+        Caffeine.newBuilder()
+            .maximumWeight(mostBytes)
+            .weigher(
+                (Key key, Entry<A> entry) ->
+                    ENTRY_BYTES
+                        + key.customer.length()
+                        + 2 * key.target.length()
+                        + bytes.applyAsInt(entry.answer))
+            .expireAfterWrite(Duration.ofMillis(liveMs))
+            .ticker(() -> TimeUnit.MILLISECONDS.toNanos(clock))
+            .executor(Runnable::run)
+            .removalListener((Key key, Entry<A> entry, RemovalCause cause) -> removed(key, cause))
+            .build();
   }
 
   /**
    * A request of a kind that may be kept.
    *
    * @param endMs when its client stops waiting
-   * @param waiter used where the answer is {@link Waits}; {@link #leave} is due when the request ends
-   *     otherwise
+   * @param waiter used where the answer is {@link Waits}; {@link #leave} is due when the request
+   *     ends otherwise
    */
   public Found<A> find(long now, String customer, String target, long endMs, Waiter<A> waiter) {
     clock = now;
@@ -157,7 +169,8 @@
   /** Lets go of what a purge covers. */
   void drop(Scope scope) {
     List<Key> covered = new ArrayList<>();
-    for (String target : targets.getOrDefault(scope.customer(), new TreeSet<>()).tailSet(scope.prefix())) {
+    for (String target :
+        targets.getOrDefault(scope.customer(), new TreeSet<>()).tailSet(scope.prefix())) {
       if (!target.startsWith(scope.prefix())) {
         break;
       }
@@ -236,7 +249,10 @@
 
   private void removed(Key key, RemovalCause cause) {
     TreeSet<String> kept = targets.get(key.customer);
-    if (cause != RemovalCause.REPLACED && kept != null && kept.remove(key.target) && kept.isEmpty()) {
+    if (cause != RemovalCause.REPLACED
+        && kept != null
+        && kept.remove(key.target)
+        && kept.isEmpty()) {
       targets.remove(key.customer);
     }
   }
--- a/purge/src/main/java/willowdoor/purge/Memory.java
+++ b/purge/src/main/java/willowdoor/purge/Memory.java
@@ -8,12 +8,12 @@
   private static final int MOST = 8_192;
   private static final long REMEMBER_MS = 600_000;
 
-  private record Fact<V>(V value, long since) { }
+  private record Fact<V>(V value, long since) {}
 
   /** The oldest first. */
   private final LinkedHashMap<PurgeId, Fact<V>> facts = new LinkedHashMap<>();
 
-  Memory() { }
+  Memory() {}
 
   Memory(Memory<V> other) {
     facts.putAll(other.facts);
--- a/purge/src/main/java/willowdoor/purge/Message.java
+++ b/purge/src/main/java/willowdoor/purge/Message.java
@@ -9,21 +9,24 @@
   record HolderId(int member, long boot) implements Comparable<HolderId> {
     @Override
     public int compareTo(HolderId other) {
-      return member != other.member ? Integer.compare(member, other.member) : Long.compare(boot, other.boot);
+      return member != other.member
+          ? Integer.compare(member, other.member)
+          : Long.compare(boot, other.boot);
     }
   }
 
   /** A run of a purge; {@code from} is the member that coordinates it. */
-  record Purge(long run, int from, Scope scope) { }
+  record Purge(long run, int from, Scope scope) {}
 
   /** An id that a run serves, with {@link Scope#mark} of what was asked under it. */
-  record Claim(PurgeId id, int mark) { }
+  record Claim(PurgeId id, int mark) {}
 
   /**
    * How a purge ended.
    *
    * @param confirmed how many holders carried it out
-   * @param ranOut members of which a lease had to run out, in order; the first {@value #TOLD} of them
+   * @param ranOut members of which a lease had to run out, in order; the first {@value #TOLD} of
+   *     them
    */
   record Result(int confirmed, List<Integer> ranOut) {
     static final int TOLD = 64;
@@ -33,16 +36,28 @@
     }
   }
 
-  /** A lease that a keeper granted before it accepted a run, and how long its record of it still runs. */
-  record Outstanding(HolderId holder, long leftMs) { }
+  /**
+   * A lease that a keeper granted before it accepted a run, and how long its record of it still
+   * runs.
+   */
+  record Outstanding(HolderId holder, long leftMs) {}
 
-  enum Reason { NOT_READY, FULL, KEY_USED }
+  enum Reason {
+    NOT_READY,
+    FULL,
+    KEY_USED
+  }
 
-  enum State { DONE, OPEN, UNKNOWN, NOT_READY }
+  enum State {
+    DONE,
+    OPEN,
+    UNKNOWN,
+    NOT_READY
+  }
 
   /**
-   * Holder to keeper. {@code heard}: the number of this keeper's latest answer, 0 before any; {@code
-   * applied}: the runs of its last grant, which are carried out.
+   * Holder to keeper. {@code heard}: the number of this keeper's latest answer, 0 before any;
+   * {@code applied}: the runs of its last grant, which are carried out.
    */
   record Renew(long boot, long number, long heard, List<Long> applied) implements Message {
     public Renew {
@@ -50,7 +65,10 @@
     }
   }
 
-  /** Keeper to holder. With {@code more} it is no lease yet: further runs are to be carried out first. */
+  /**
+   * Keeper to holder. With {@code more} it is no lease yet: further runs are to be carried out
+   * first.
+   */
   record Grant(long boot, long number, boolean more, List<Purge> purges) implements Message {
     public Grant {
       purges = List.copyOf(purges);
@@ -65,8 +83,8 @@
   }
 
   /**
-   * Keeper to coordinator: it holds the run since {@code acceptance}, a number used once, and of the members
-   * of {@code page} these have leases that do not carry it.
+   * Keeper to coordinator: it holds the run since {@code acceptance}, a number used once, and of
+   * the members of {@code page} these have leases that do not carry it.
    */
   record Accepted(long run, int number, long acceptance, int page, List<Outstanding> outstanding)
       implements Message {
@@ -75,14 +93,16 @@
     }
   }
 
-  /** Keeper to coordinator; {@code id} is null except for a key that was used with another prefix. */
-  record Refused(long run, Reason reason, PurgeId id) implements Message { }
+  /**
+   * Keeper to coordinator; {@code id} is null except for a key that was used with another prefix.
+   */
+  record Refused(long run, Reason reason, PurgeId id) implements Message {}
 
   /** Coordinator to front door. */
-  record Apply(Purge purge) implements Message { }
+  record Apply(Purge purge) implements Message {}
 
   /** Holder to coordinator: nothing that it kept before and the run covers is served any more. */
-  record Applied(long run, long boot) implements Message { }
+  record Applied(long run, long boot) implements Message {}
 
   /** Coordinator to keeper: the run is complete. */
   record Done(Purge purge, List<Claim> claims, Result result) implements Message {
@@ -92,15 +112,15 @@
   }
 
   /** Keeper to coordinator: it has noted that the run is done. */
-  record Noted(long run) implements Message { }
+  record Noted(long run) implements Message {}
 
   /** Any front door to keeper: what is known of an id? */
-  record Ask(long number, PurgeId id) implements Message { }
+  record Ask(long number, PurgeId id) implements Message {}
 
   /**
-   * The answer; scope and mark come with {@code DONE} and {@code OPEN}, the result with {@code DONE}, else
-   * null.
+   * The answer; scope and mark come with {@code DONE} and {@code OPEN}, the result with {@code
+   * DONE}, else null.
    */
   record Told(long number, PurgeId id, State state, Scope scope, int mark, Result result)
-      implements Message { }
+      implements Message {}
 }
--- a/purge/src/main/java/willowdoor/purge/Outcome.java
+++ b/purge/src/main/java/willowdoor/purge/Outcome.java
@@ -4,20 +4,28 @@
 
 /** How a call about a purge ends. */
 public sealed interface Outcome {
-  enum Why { NO_MAJORITY, TOO_MANY, BUSY, KEY_USED }
+  enum Why {
+    NO_MAJORITY,
+    TOO_MANY,
+    BUSY,
+    KEY_USED
+  }
 
-  /** The promise holds from now on. {@code ranOut}: members of which a lease had to run out, the first 64. */
-  record Complete(PurgeId id, int confirmed, List<Integer> ranOut) implements Outcome { }
+  /**
+   * The promise holds from now on. {@code ranOut}: members of which a lease had to run out, the
+   * first 64.
+   */
+  record Complete(PurgeId id, int confirmed, List<Integer> ranOut) implements Outcome {}
 
   /** A majority of keepers holds it and it goes on; the caller's time is over. */
-  record Pending(PurgeId id) implements Outcome { }
+  record Pending(PurgeId id) implements Outcome {}
 
   /** It was not taken; {@code NO_MAJORITY} or {@code BUSY}. */
-  record Unavailable(PurgeId id, Why why) implements Outcome { }
+  record Unavailable(PurgeId id, Why why) implements Outcome {}
 
   /** It is not begun; {@code KEY_USED} or {@code TOO_MANY}. */
-  record Rejected(PurgeId id, Why why) implements Outcome { }
+  record Rejected(PurgeId id, Why why) implements Outcome {}
 
   /** A majority of keepers does not know this id of this customer. */
-  record Unknown(PurgeId id) implements Outcome { }
+  record Unknown(PurgeId id) implements Outcome {}
 }
--- a/purge/src/main/java/willowdoor/purge/PurgeApi.java
+++ b/purge/src/main/java/willowdoor/purge/PurgeApi.java
@@ -14,8 +14,8 @@
 import java.util.function.UnaryOperator;
 
 /**
- * {@code POST /-/purge} and {@code GET /-/purge/ID} as plain values: a request to a call or to an answer that
- * says in words what is wrong with it, and an outcome to an answer.
+ * {@code POST /-/purge} and {@code GET /-/purge/ID} as plain values: a request to a call or to an
+ * answer that says in words what is wrong with it, and an outcome to an answer.
  */
 public final class PurgeApi {
   public static final String PATH = "/-/purge";
@@ -26,14 +26,14 @@
       JsonFactory.builder().enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION).build();
 
   /** What a request asks for. */
-  public sealed interface Call { }
+  public sealed interface Call {}
 
-  public record Take(PurgeId id, Scope scope, long timeoutMs) implements Call { }
+  public record Take(PurgeId id, Scope scope, long timeoutMs) implements Call {}
 
-  public record Ask(PurgeId id, String customer, long timeoutMs) implements Call { }
+  public record Ask(PurgeId id, String customer, long timeoutMs) implements Call {}
 
   /** An answer whole; the body is JSON in UTF-8. */
-  public record Answer(int status, Map<String, String> headers, byte[] body) implements Call { }
+  public record Answer(int status, Map<String, String> headers, byte[] body) implements Call {}
 
   private static final class Wrong extends Exception {
     private static final long serialVersionUID = 1;
@@ -45,7 +45,7 @@
     }
   }
 
-  private PurgeApi() { }
+  private PurgeApi() {}
 
   /** Whether a path is this part's to answer. */
   public static boolean serves(String path) {
@@ -55,32 +55,41 @@
   /**
    * @param path without the query
    * @param header gives a header's value by its name in lower case, or null
-   * @param body up to {@value #MOST_BODY_BYTES} bytes are read; of a longer one at least one byte more is
-   *     given
+   * @param body up to {@value #MOST_BODY_BYTES} bytes are read; of a longer one at least one byte
+   *     more is given
    */
   public static Call read(String method, String path, UnaryOperator<String> header, byte[] body) {
     try {
       return path.equals(PATH) ? take(method, header, body) : ask(method, path, header);
     } catch (Wrong wrong) {
-      return error(wrong.status, wrong.getMessage(),
+      return error(
+          wrong.status,
+          wrong.getMessage(),
           wrong.status == 405 ? Map.of("Allow", path.equals(PATH) ? "POST" : "GET") : Map.of());
     }
   }
 
   private static Call take(String method, UnaryOperator<String> header, byte[] body) throws Wrong {
-    require(method.equals("POST"), 405,
+    require(
+        method.equals("POST"),
+        405,
         "a purge is called for with POST; ask how one goes with GET " + PATH + "/ID");
     String customer = customer(header);
     long timeoutMs = timeoutMs(header);
     String key = header.apply("idempotency-key");
-    require(key != null && Scope.visible(key, MOST_KEY), 400,
-        "Idempotency-Key must name this purge: 1 to " + MOST_KEY + " visible characters, new for each purge");
+    require(
+        key != null && Scope.visible(key, MOST_KEY),
+        400,
+        "Idempotency-Key must name this purge: 1 to "
+            + MOST_KEY
+            + " visible characters, new for each purge");
     require(body.length <= MOST_BODY_BYTES, 413, "the body is over " + MOST_BODY_BYTES + " bytes");
     return new Take(PurgeId.of(customer, key), new Scope(customer, prefix(body)), timeoutMs);
   }
 
   private static Call ask(String method, String path, UnaryOperator<String> header) throws Wrong {
-    PurgeId id = path.startsWith(PATH + "/") ? PurgeId.parse(path.substring(PATH.length() + 1)) : null;
+    PurgeId id =
+        path.startsWith(PATH + "/") ? PurgeId.parse(path.substring(PATH.length() + 1)) : null;
     require(id != null, 404, "a purge is named by 32 hex digits: " + PATH + "/ID");
     require(method.equals("GET"), 405, "ask how a purge goes with GET");
     return new Ask(id, customer(header), timeoutMs(header));
@@ -88,36 +97,56 @@
 
   private static String customer(UnaryOperator<String> header) throws Wrong {
     String customer = header.apply("x-customer");
-    require(customer != null && customer.matches("[0-9a-f]{16}"), 400, "X-Customer must be 16 hex digits");
+    require(
+        customer != null && customer.matches("[0-9a-f]{16}"),
+        400,
+        "X-Customer must be 16 hex digits");
     return customer;
   }
 
   private static long timeoutMs(UnaryOperator<String> header) throws Wrong {
     String timeout = header.apply("request-timeout-ms");
-    require(timeout != null && timeout.matches("0*[1-9][0-9]{0,8}"), 400,
+    require(
+        timeout != null && timeout.matches("0*[1-9][0-9]{0,8}"),
+        400,
         "Request-Timeout-Ms must be a whole number above nought");
     return Math.min(Long.parseLong(timeout), MOST_TIMEOUT_MS);
   }
 
-  /** {@code {"all":true}} or {@code {"prefix":"/preview/"}}, nothing else: all is never purged by a slip. */
+  /**
+   * {@code {"all":true}} or {@code {"prefix":"/preview/"}}, nothing else: all is never purged by a
+   * slip.
+   */
   private static String prefix(byte[] body) throws Wrong {
     String form = "the body must be {\"all\":true} or {\"prefix\":\"/...\"}";
     String prefix;
     try (JsonParser parser = JSON.createParser(body)) {
-      require(parser.nextToken() == JsonToken.START_OBJECT && parser.nextToken() == JsonToken.FIELD_NAME, 400,
+      require(
+          parser.nextToken() == JsonToken.START_OBJECT
+              && parser.nextToken() == JsonToken.FIELD_NAME,
+          400,
           form);
       String name = parser.currentName();
       JsonToken value = parser.nextToken();
-      require(name.equals("all") && value == JsonToken.VALUE_TRUE
-          || name.equals("prefix") && value == JsonToken.VALUE_STRING, 400, form);
+      require(
+          name.equals("all") && value == JsonToken.VALUE_TRUE
+              || name.equals("prefix") && value == JsonToken.VALUE_STRING,
+          400,
+          form);
       prefix = name.equals("all") ? "/" : parser.getText();
       require(parser.nextToken() == JsonToken.END_OBJECT && parser.nextToken() == null, 400, form);
     } catch (IOException e) {
       throw new Wrong(400, form);
     }
-    require(Scope.visible(prefix, Scope.MAX_PREFIX) && prefix.charAt(0) == '/', 400,
-        "the prefix must begin with / and have up to " + Scope.MAX_PREFIX + " visible ASCII characters");
-    require(Targets.kept(prefix), 400,
+    require(
+        Scope.visible(prefix, Scope.MAX_PREFIX) && prefix.charAt(0) == '/',
+        400,
+        "the prefix must begin with / and have up to "
+            + Scope.MAX_PREFIX
+            + " visible ASCII characters");
+    require(
+        Targets.kept(prefix),
+        400,
         "no answer is kept of paths with %, \\ or #, or with empty, . or .. parts: it purges nothing");
     return prefix;
   }
@@ -130,27 +159,35 @@
 
   public static Answer answer(Outcome outcome) {
     if (outcome instanceof Outcome.Complete complete) {
-      return json(200, Map.of(), out -> {
-        out.writeStringField("id", complete.id().toString());
-        out.writeStringField("state", "complete");
-        out.writeNumberField("confirmed", complete.confirmed());
-        out.writeArrayFieldStart("ran_out");
-        for (int member : complete.ranOut()) {
-          out.writeNumber(member);
-        }
-        out.writeEndArray();
-      });
+      return json(
+          200,
+          Map.of(),
+          out -> {
+            out.writeStringField("id", complete.id().toString());
+            out.writeStringField("state", "complete");
+            out.writeNumberField("confirmed", complete.confirmed());
+            out.writeArrayFieldStart("ran_out");
+            for (int member : complete.ranOut()) {
+              out.writeNumber(member);
+            }
+            out.writeEndArray();
+          });
     }
     if (outcome instanceof Outcome.Pending pending) {
-      return json(202, Map.of("Location", PATH + "/" + pending.id()), out -> {
-        out.writeStringField("id", pending.id().toString());
-        out.writeStringField("state", "pending");
-      });
+      return json(
+          202,
+          Map.of("Location", PATH + "/" + pending.id()),
+          out -> {
+            out.writeStringField("id", pending.id().toString());
+            out.writeStringField("state", "pending");
+          });
     }
     if (outcome instanceof Outcome.Unavailable unavailable) {
-      return error(503, unavailable.why() == Outcome.Why.BUSY
-          ? "nothing is promised: too many purges are out; try again with the same key"
-          : "nothing is promised: too few keepers answered; try again with the same key",
+      return error(
+          503,
+          unavailable.why() == Outcome.Why.BUSY
+              ? "nothing is promised: too many purges are out; try again with the same key"
+              : "nothing is promised: too few keepers answered; try again with the same key",
           Map.of("Retry-After", "1"));
     }
     if (outcome instanceof Outcome.Rejected rejected) {
--- a/purge/src/main/java/willowdoor/purge/PurgeId.java
+++ b/purge/src/main/java/willowdoor/purge/PurgeId.java
@@ -6,7 +6,10 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
 
-/** The name of a purge, which every front door works out alike from its customer and the caller's key. */
+/**
+ * The name of a purge, which every front door works out alike from its customer and the caller's
+ * key.
+ */
 public record PurgeId(long high, long low) {
 
   public static PurgeId of(String customer, String key) {
@@ -16,11 +19,12 @@
 
   /** Reads what {@link #toString} writes; null where it is anything else. */
   static PurgeId parse(String text) {
-    if (text.length() != 32 || !text.chars().allMatch(c -> c >= '0' && c <= '9' || c >= 'a' && c <= 'f')) {
+    if (text.length() != 32
+        || !text.chars().allMatch(c -> c >= '0' && c <= '9' || c >= 'a' && c <= 'f')) {
       return null;
     }
-    return new PurgeId(HexFormat.fromHexDigitsToLong(text, 0, 16),
-        HexFormat.fromHexDigitsToLong(text, 16, 32));
+    return new PurgeId(
+        HexFormat.fromHexDigitsToLong(text, 0, 16), HexFormat.fromHexDigitsToLong(text, 16, 32));
   }
 
   static byte[] sha256(String text) {
--- a/purge/src/main/java/willowdoor/purge/PurgeLog.java
+++ b/purge/src/main/java/willowdoor/purge/PurgeLog.java
@@ -5,17 +5,18 @@
 import java.util.List;
 
 /**
- * The purges that a holder has carried out, counted from 1. Bounded: what it forgets it takes to be covered,
- * so it may call clean things unclean and never the other way round.
+ * The purges that a holder has carried out, counted from 1. Bounded: what it forgets it takes to be
+ * covered, so it may call clean things unclean and never the other way round.
  */
 final class PurgeLog {
   private static final int MAX_PREFIXES = 16;
   private static final int MAX_CUSTOMERS = 4_096;
 
-  private record Line(String prefix, long count) { }
+  private record Line(String prefix, long count) {}
 
   private long count;
   private long forgotten;
+
   /** By customer, the one purged last at the end. The lists are never changed. */
   private final LinkedHashMap<String, List<Line>> lines;
 
--- a/purge/src/main/java/willowdoor/purge/PurgeNode.java
+++ b/purge/src/main/java/willowdoor/purge/PurgeNode.java
@@ -12,8 +12,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One front door's part in keeping answers and purging them. All methods are called on one thread, on which
- * answers are written too, so that nothing comes between a check and its write.
+ * One front door's part in keeping answers and purging them. All methods are called on one thread,
+ * on which answers are written too, so that nothing comes between a check and its write.
  *
  * @param <A> an answer that may be kept
  */
@@ -31,7 +31,8 @@
   public record Settings(Fleet fleet, String name, int self, long keptBytes, long keptMs) {
     public Settings {
       if (!fleet.members().contains(self) || keptBytes < 1 || keptMs < 1) {
-        throw new IllegalArgumentException("a member of the fleet, and something to keep for some time");
+        throw new IllegalArgumentException(
+            "a member of the fleet, and something to keep for some time");
       }
     }
   }
@@ -42,8 +43,10 @@
   private final Datagrams datagrams;
   private final Codec codec;
   private final Holder holder;
+
   /** Null where this front door is none. */
   private final Keeper keeper;
+
   private final Coordinator coordinator;
   private final KeptAnswers<A> kept;
   private final Map<Long, Consumer<Outcome>> callers = new HashMap<>();
@@ -57,7 +60,11 @@
    * @param clock monotonic ms of this process, not negative, that go on while it is stopped
    * @param bytes how many an answer takes
    */
-  public PurgeNode(Settings settings, RandomGenerator random, LongSupplier clock, Datagrams datagrams,
+  public PurgeNode(
+      Settings settings,
+      RandomGenerator random,
+      LongSupplier clock,
+      Datagrams datagrams,
       ToIntFunction<A> bytes) {
     self = settings.self;
     timing = settings.fleet.timing();
@@ -67,8 +74,10 @@
     long boot = random.nextLong(1, 1L << 32);
     renewAt = clock.getAsLong();
     holder = new Holder(settings.fleet, boot, Rules.NORMAL);
-    keeper = settings.fleet.keepers().contains(self)
-        ? new Keeper(settings.fleet, boot, renewAt, Rules.NORMAL) : null;
+    keeper =
+        settings.fleet.keepers().contains(self)
+            ? new Keeper(settings.fleet, boot, renewAt, Rules.NORMAL)
+            : null;
     coordinator = new Coordinator(settings.fleet, self, boot, Rules.NORMAL);
     kept = new KeptAnswers<>(holder, settings.keptBytes, settings.keptMs, bytes);
   }
--- a/purge/src/main/java/willowdoor/purge/Round.java
+++ b/purge/src/main/java/willowdoor/purge/Round.java
@@ -23,14 +23,16 @@
   private static final int MAX_GAP = 8;
 
   /**
-   * What one keeper said of one acceptance. {@code waits}: by the coordinator's clock, until when a lease may
-   * run.
+   * What one keeper said of one acceptance. {@code waits}: by the coordinator's clock, until when a
+   * lease may run.
    */
   private static final class Witness {
     final long acceptance;
     int number;
+
     /** By page: when the latest sending that it answers was sent, -1 before any. */
     final long[] sentAt;
+
     final TreeMap<HolderId, Long> waits;
 
     Witness(long acceptance, int pages) {
@@ -61,14 +63,17 @@
   private final Rules rules;
   private Purge purge;
   private final LinkedHashMap<PurgeId, Claim> claims;
+
   /** When each sending was made; empty while it waits for a place. */
   private final List<Long> sentAt;
+
   private long resendAt;
   private long gap;
   private boolean committed;
   private boolean full;
   private final TreeMap<Integer, Witness> witnesses;
   private final TreeSet<HolderId> applied;
+
   /** Holders that a keeper has named and that have not confirmed. */
   private final TreeSet<HolderId> pending;
 
@@ -178,19 +183,24 @@
 
   void on(long now, int from, Accepted message) {
     int page = message.page();
-    if (message.number() < 0 || message.number() >= sentAt.size() || page < 0 || page >= fleet.pages()
+    if (message.number() < 0
+        || message.number() >= sentAt.size()
+        || page < 0
+        || page >= fleet.pages()
         || !fleet.keepers().contains(from)) {
       return;
     }
     Witness witness = witnesses.get(from);
-    if (witness == null || witness.acceptance != message.acceptance() && message.number() >= witness.number) {
+    if (witness == null
+        || witness.acceptance != message.acceptance() && message.number() >= witness.number) {
       witness = new Witness(message.acceptance(), fleet.pages());
       witnesses.put(from, witness);
     } else if (witness.acceptance != message.acceptance()) {
       return;
     }
     witness.number = Math.max(witness.number, message.number());
-    // What one answer of an acceptance does not name any more is settled for good, whatever order they come
+    // What one answer of an acceptance does not name any more is settled for good, whatever order
+    // they come
     // in.
     boolean first = witness.sentAt[page] < 0;
     witness.sentAt[page] = Math.max(witness.sentAt[page], sentAt.get(message.number()));
@@ -200,8 +210,10 @@
     }
     if (!first) {
       named.keySet().retainAll(witness.waits.keySet());
-      witness.waits.keySet().removeIf(
-          holder -> holder.member() / Fleet.PAGE == page && !named.containsKey(holder));
+      witness
+          .waits
+          .keySet()
+          .removeIf(holder -> holder.member() / Fleet.PAGE == page && !named.containsKey(holder));
     }
     named.forEach((holder, wait) -> witnesses.get(from).waits.merge(holder, wait, Math::min));
     for (HolderId holder : named.keySet()) {
@@ -211,7 +223,9 @@
     }
   }
 
-  /** Whether no front door serves what was begun before: the rule that {@code docs/purge.md} proves. */
+  /**
+   * Whether no front door serves what was begun before: the rule that {@code docs/purge.md} proves.
+   */
   boolean complete(long now) {
     List<Witness> counted = new ArrayList<>();
     for (Witness witness : witnesses.values()) {
--- a/purge/src/main/java/willowdoor/purge/Rounds.java
+++ b/purge/src/main/java/willowdoor/purge/Rounds.java
@@ -81,7 +81,8 @@
     if (same >= MAX_WAITING_OF_CUSTOMER) {
       return new Outcome.Rejected(claim.id(), Outcome.Why.TOO_MANY);
     }
-    // 12 bits, 32 and 19: used once, unless one process makes half a million runs while the first is known.
+    // 12 bits, 32 and 19: used once, unless one process makes half a million runs while the first
+    // is known.
     long run = (long) self << 51 | boot << 19 | ++runs & 0x7ffff;
     waiting.add(new Round(fleet, rules, new Purge(run, self, scope), claim));
     return null;
--- a/purge/src/main/java/willowdoor/purge/Rules.java
+++ b/purge/src/main/java/willowdoor/purge/Rules.java
@@ -1,14 +1,15 @@
 package willowdoor.purge;
 
 /**
- * The rules that the promise stands on, each in one place. The model checker shows that each of them is
- * needed.
+ * The rules that the promise stands on, each in one place. The model checker shows that each of
+ * them is needed.
  */
 class Rules {
   static final Rules NORMAL = new Rules();
 
   /**
-   * A keeper that starts remembers nothing: it is silent until what it may have granted and accepted is over.
+   * A keeper that starts remembers nothing: it is silent until what it may have granted and
+   * accepted is over.
    */
   long silenceMs(Timing timing) {
     return timing.keepMs();
@@ -49,7 +50,10 @@
     return timing.boundMs();
   }
 
-  /** A keeper takes a grant to be counted until that is over on any clock, also on those of coordinators. */
+  /**
+   * A keeper takes a grant to be counted until that is over on any clock, also on those of
+   * coordinators.
+   */
   long recordMs(Timing timing) {
     return timing.stretch(timing.leaseMs());
   }
--- a/purge/src/main/java/willowdoor/purge/Scope.java
+++ b/purge/src/main/java/willowdoor/purge/Scope.java
@@ -4,15 +4,17 @@
  * What a purge covers.
  *
  * @param customer 1 to {@value #MAX_CUSTOMER} characters of ASCII
- * @param prefix of a target, that is path and query as text: begins with {@code /}, which alone is all; up to
- *     {@value #MAX_PREFIX} characters of ASCII
+ * @param prefix of a target, that is path and query as text: begins with {@code /}, which alone is
+ *     all; up to {@value #MAX_PREFIX} characters of ASCII
  */
 public record Scope(String customer, String prefix) {
   static final int MAX_CUSTOMER = 64;
   static final int MAX_PREFIX = 256;
 
   public Scope {
-    if (!visible(customer, MAX_CUSTOMER) || !visible(prefix, MAX_PREFIX) || prefix.charAt(0) != '/') {
+    if (!visible(customer, MAX_CUSTOMER)
+        || !visible(prefix, MAX_PREFIX)
+        || prefix.charAt(0) != '/') {
       throw new IllegalArgumentException("a customer, and a prefix that begins with /");
     }
   }
@@ -32,6 +34,8 @@
 
   /** Whether it is 1 to {@code most} characters that ASCII shows, without spaces. */
   static boolean visible(String text, int most) {
-    return !text.isEmpty() && text.length() <= most && text.chars().allMatch(c -> c > ' ' && c < 127);
+    return !text.isEmpty()
+        && text.length() <= most
+        && text.chars().allMatch(c -> c > ' ' && c < 127);
   }
 }
--- a/purge/src/main/java/willowdoor/purge/Timing.java
+++ b/purge/src/main/java/willowdoor/purge/Timing.java
@@ -1,32 +1,42 @@
 package willowdoor.purge;
 
 /**
- * The times of one fleet in whole milliseconds, the same at each front door. Every one is counted on the
- * monotonic clock of the process that counts it; {@link #stretch} covers the difference between two such
- * clocks.
+ * The times of one fleet in whole milliseconds, the same at each front door. Every one is counted
+ * on the monotonic clock of the process that counts it; {@link #stretch} covers the difference
+ * between two such clocks.
  *
- * @param boundMs L: within which a purge is complete while a majority of keepers is there; above {@code
- *     stretch(leaseMs)}
- * @param leaseMs how long a holder counts a grant, from the sending of its request; above {@code guardMs}
- * @param guardMs how long a lease must still run at a use, so that a short pause behind the check does no
- *     harm
+ * @param boundMs L: within which a purge is complete while a majority of keepers is there; above
+ *     {@code stretch(leaseMs)}
+ * @param leaseMs how long a holder counts a grant, from the sending of its request; above {@code
+ *     guardMs}
+ * @param guardMs how long a lease must still run at a use, so that a short pause behind the check
+ *     does no harm
  * @param renewMs between two renewals
  * @param resendMs before a message without an answer is sent again the first time
  * @param driftPercent each clock's rate is within so many hundredths of the true one; 0 to 50
  * @param roundMs what whole milliseconds can hide; 1, or 0 where clocks move in whole milliseconds
  */
-public record Timing(long boundMs, long leaseMs, long guardMs, long renewMs, long resendMs, int driftPercent,
+public record Timing(
+    long boundMs,
+    long leaseMs,
+    long guardMs,
+    long renewMs,
+    long resendMs,
+    int driftPercent,
     long roundMs) {
 
   public Timing {
     if (driftPercent < 0 || driftPercent > 50 || roundMs < 0 || guardMs < 0) {
-      throw new IllegalArgumentException("drift is 0 to 50 percent, round and guard are not negative");
+      throw new IllegalArgumentException(
+          "drift is 0 to 50 percent, round and guard are not negative");
     }
     if (renewMs < 1 || resendMs < 1 || leaseMs <= guardMs) {
-      throw new IllegalArgumentException("renewals and resends need 1 ms, a lease more than its guard");
+      throw new IllegalArgumentException(
+          "renewals and resends need 1 ms, a lease more than its guard");
     }
     if (boundMs > 60_000 || boundMs <= stretch(leaseMs, driftPercent, roundMs) + roundMs) {
-      throw new IllegalArgumentException("the bound is up to 60,000 ms and above a stretched lease");
+      throw new IllegalArgumentException(
+          "the bound is up to 60,000 ms and above a stretched lease");
     }
   }
 
@@ -35,8 +45,8 @@
     if (boundMs < 300) {
       throw new IllegalArgumentException("the bound is 300 to 60,000 ms");
     }
-    return new Timing(boundMs, boundMs * 4 / 5, boundMs / 15, boundMs * 2 / 15,
-        Math.min(50, boundMs / 10), 1, 1);
+    return new Timing(
+        boundMs, boundMs * 4 / 5, boundMs / 15, boundMs * 2 / 15, Math.min(50, boundMs / 10), 1, 1);
   }
 
   /** So long that another process's {@code ms} are over by its clock too. */
--- a/purge/src/main/java/willowdoor/purge/UdpDatagrams.java
+++ b/purge/src/main/java/willowdoor/purge/UdpDatagrams.java
@@ -16,7 +16,8 @@
 import java.util.function.BiConsumer;
 
 /**
- * UDP between the addresses of a roster, on one event loop; all methods are called on it, but for the start.
+ * UDP between the addresses of a roster, on one event loop; all methods are called on it, but for
+ * the start.
  */
 public final class UdpDatagrams implements Datagrams, AutoCloseable {
   private final Map<Integer, InetSocketAddress> addresses;
@@ -32,26 +33,35 @@
   }
 
   /** Listens at its own address; {@code receiver} gets the member and the bytes, on the loop. */
-  public ChannelFuture listen(EventLoop loop, Class<? extends DatagramChannel> type, int self,
+  public ChannelFuture listen(
+      EventLoop loop,
+      Class<? extends DatagramChannel> type,
+      int self,
       BiConsumer<Integer, byte[]> receiver) {
-    Bootstrap bootstrap = new Bootstrap().group(loop).channel(type)
-        .handler(new SimpleChannelInboundHandler<DatagramPacket>() {
-          @Override
-          protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
-            Integer member = members.get(packet.sender());
-            if (member == null) {
-              strangers++;
-            } else {
-              receiver.accept(member, ByteBufUtil.getBytes(packet.content()));
-            }
-          }
+    Bootstrap bootstrap =
+        new Bootstrap()
+            .group(loop)
+            .channel(type)
+            .handler(
+                new SimpleChannelInboundHandler<DatagramPacket>() {
+                  @Override
+                  protected void channelRead0(
+                      ChannelHandlerContext context, DatagramPacket packet) {
+                    Integer member = members.get(packet.sender());
+                    if (member == null) {
+                      strangers++;
+                    } else {
+                      receiver.accept(member, ByteBufUtil.getBytes(packet.content()));
+                    }
+                  }
 
-          @Override
-          public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            // A port that nobody listens at any more is told here: no more than a datagram that is lost.
-            unsent++;
-          }
-        });
+                  @Override
+                  public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+                    // A port that nobody listens at any more is told here: no more than a datagram
+                    // that is lost.
+                    unsent++;
+                  }
+                });
     ChannelFuture bound = bootstrap.bind(addresses.get(self));
     channel = bound.channel();
     return bound;
@@ -64,7 +74,8 @@
       unsent++;
       return;
     }
-    channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(datagram), to), channel.voidPromise());
+    channel.writeAndFlush(
+        new DatagramPacket(Unpooled.wrappedBuffer(datagram), to), channel.voidPromise());
   }
 
   /** Datagrams from addresses that are not in the roster, which are dropped. */
--- a/purge/src/test/java/willowdoor/purge/CodecTest.java
+++ b/purge/src/test/java/willowdoor/purge/CodecTest.java
@@ -19,7 +19,8 @@
 import willowdoor.purge.Message.State;
 
 class CodecTest {
-  private static final Fleet FLEET = new Fleet(List.of(0, 1, 2), List.of(0, 1, 2), Timing.of(3_000));
+  private static final Fleet FLEET =
+      new Fleet(List.of(0, 1, 2), List.of(0, 1, 2), Timing.of(3_000));
   private final Codec codec = new Codec("one", FLEET);
   private final Random random = new Random(7);
 
@@ -29,7 +30,8 @@
       boolean most = i % 2 == 0;
       for (Message message : messages(most)) {
         byte[] datagram = codec.encode(message);
-        assertTrue(datagram.length <= Codec.MOST_BYTES, message.getClass() + " of " + datagram.length);
+        assertTrue(
+            datagram.length <= Codec.MOST_BYTES, message.getClass() + " of " + datagram.length);
         assertEquals(message, codec.decode(datagram));
       }
     }
@@ -43,7 +45,8 @@
         byte[] datagram = codec.encode(message);
         byte[] cut = Arrays.copyOf(datagram, random.nextInt(datagram.length));
         assertThrows(Codec.Dropped.class, () -> codec.decode(cut));
-        assertThrows(Codec.Dropped.class, () -> codec.decode(Arrays.copyOf(datagram, datagram.length + 1)));
+        assertThrows(
+            Codec.Dropped.class, () -> codec.decode(Arrays.copyOf(datagram, datagram.length + 1)));
         for (int flips = 0; flips < 3; flips++) {
           datagram[random.nextInt(datagram.length)] = (byte) random.nextInt();
           unreadable += read(datagram) ? 0 : 1;
@@ -56,8 +59,8 @@
     assertTrue(unreadable > 5_000, "unreadable " + unreadable);
     Fleet others = new Fleet(List.of(0, 1, 2), List.of(0, 1), FLEET.timing());
     for (Codec other : List.of(new Codec("two", FLEET), new Codec("one", others))) {
-      Codec.Dropped dropped = assertThrows(Codec.Dropped.class,
-          () -> codec.decode(other.encode(new Message.Noted(1))));
+      Codec.Dropped dropped =
+          assertThrows(Codec.Dropped.class, () -> codec.decode(other.encode(new Message.Noted(1))));
       assertEquals(Codec.Fault.OTHER_CONFIGURATION, dropped.fault);
     }
   }
@@ -73,21 +76,32 @@
   }
 
   private List<Message> messages(boolean most) {
-    Scope scope = new Scope("c".repeat(most ? 64 : 1), "/" + "p".repeat(most ? 255 : random.nextInt(9)));
+    Scope scope =
+        new Scope("c".repeat(most ? 64 : 1), "/" + "p".repeat(most ? 255 : random.nextInt(9)));
     Purge purge = new Purge(number(), random.nextInt(4_096), scope);
     List<Claim> claims = list(32, most, () -> new Claim(id(), random.nextInt()));
-    Result result = new Result(random.nextInt(5_000), list(64, most, () -> 4_095 - random.nextInt(9)));
+    Result result =
+        new Result(random.nextInt(5_000), list(64, most, () -> 4_095 - random.nextInt(9)));
     int page = random.nextInt(64);
-    List<Outstanding> leases = list(128, most, () ->
-        new Outstanding(new HolderId(page * 64 + random.nextInt(64), boot()), random.nextInt(65_536)));
-    return List.of(new Message.Renew(boot(), number(), number(), list(50, most, this::number)),
+    List<Outstanding> leases =
+        list(
+            128,
+            most,
+            () ->
+                new Outstanding(
+                    new HolderId(page * 64 + random.nextInt(64), boot()), random.nextInt(65_536)));
+    return List.of(
+        new Message.Renew(boot(), number(), number(), list(50, most, this::number)),
         new Message.Grant(boot(), number(), most, list(most ? 3 : 50, most, () -> purge)),
         new Message.Accept(purge, random.nextInt(999), claims),
         new Message.Accepted(number(), random.nextInt(99), number(), page, leases),
         new Message.Refused(number(), Reason.KEY_USED, id()),
         new Message.Refused(number(), Reason.FULL, null),
-        new Message.Apply(purge), new Message.Applied(number(), boot()),
-        new Message.Done(purge, claims, result), new Message.Noted(number()), new Message.Ask(number(), id()),
+        new Message.Apply(purge),
+        new Message.Applied(number(), boot()),
+        new Message.Done(purge, claims, result),
+        new Message.Noted(number()),
+        new Message.Ask(number(), id()),
         new Message.Told(number(), id(), State.DONE, scope, random.nextInt(), result),
         new Message.Told(number(), id(), State.OPEN, scope, random.nextInt(), null),
         new Message.Told(number(), id(), State.UNKNOWN, null, 0, null));
--- a/purge/src/test/java/willowdoor/purge/DeepModel.java
+++ b/purge/src/test/java/willowdoor/purge/DeepModel.java
@@ -7,14 +7,15 @@
  * purge/target/classes:purge/target/test-classes willowdoor.purge.DeepModel STATES [PLAY]...}.
  */
 final class DeepModel {
-  private DeepModel() { }
+  private DeepModel() {}
 
   public static void main(String[] args) {
     for (Plays play : Plays.values()) {
       if (args.length == 1 || List.of(args).contains(play.name())) {
         long began = System.nanoTime();
         Explorer.Report report = play.explorer(Rules.NORMAL).run(99, Integer.parseInt(args[0]));
-        System.out.println(play + " " + report + " in " + (System.nanoTime() - began) / 1_000_000 + " ms");
+        System.out.println(
+            play + " " + report + " in " + (System.nanoTime() - began) / 1_000_000 + " ms");
       }
     }
   }
--- a/purge/src/test/java/willowdoor/purge/Doors.java
+++ b/purge/src/test/java/willowdoor/purge/Doors.java
@@ -6,9 +6,12 @@
 import java.util.Random;
 import java.util.stream.IntStream;
 
-/** Front doors on a hand-moved clock, with a network between them that can delay, lose, double and cut. */
+/**
+ * Front doors on a hand-moved clock, with a network between them that can delay, lose, double and
+ * cut.
+ */
 final class Doors {
-  private record Flying(long at, long order, int from, int to, byte[] datagram) { }
+  private record Flying(long at, long order, int from, int to, byte[] datagram) {}
 
   interface Cut {
     boolean between(int from, int to);
@@ -17,11 +20,14 @@
   final Fleet fleet;
   final List<PurgeNode<Object>> nodes = new ArrayList<>();
   final Random random;
+
   /** By door: until when it is stopped, and how fast its clock goes, in thousandths. */
   final long[] stoppedUntil;
+
   final int[] rates;
-  private final PriorityQueue<Flying> net = new PriorityQueue<>(
-      java.util.Comparator.comparingLong(Flying::at).thenComparingLong(Flying::order));
+  private final PriorityQueue<Flying> net =
+      new PriorityQueue<>(
+          java.util.Comparator.comparingLong(Flying::at).thenComparingLong(Flying::order));
   Cut cut = (from, to) -> false;
   double loss;
   int jitterMs = 1;
@@ -44,8 +50,14 @@
 
   void restart(int door) {
     PurgeNode.Settings settings = new PurgeNode.Settings(fleet, "test", door, 1_000_000, 60_000);
-    nodes.set(door, new PurgeNode<>(settings, random, () -> now * rates[door] / 1_000,
-        (to, datagram) -> send(door, to, datagram), answer -> 100));
+    nodes.set(
+        door,
+        new PurgeNode<>(
+            settings,
+            random,
+            () -> now * rates[door] / 1_000,
+            (to, datagram) -> send(door, to, datagram),
+            answer -> 100));
   }
 
   private void send(int from, int to, byte[] datagram) {
--- a/purge/src/test/java/willowdoor/purge/DoorsTest.java
+++ b/purge/src/test/java/willowdoor/purge/DoorsTest.java
@@ -30,8 +30,9 @@
 
   @Test
   void waitsForTheLeasesOfThoseThatAreCutOff() {
-    for (Doors.Cut cut : List.<Doors.Cut>of(
-        (from, to) -> from == 6 || to == 6, (from, to) -> from == 6, (from, to) -> to == 6)) {
+    for (Doors.Cut cut :
+        List.<Doors.Cut>of(
+            (from, to) -> from == 6 || to == 6, (from, to) -> from == 6, (from, to) -> to == 6)) {
       Doors doors = new Doors(8, 5, L, 2).warm();
       doors.cut = cut;
       Call call = doors.purge(7, "k", "/", 2 * L);
@@ -48,12 +49,14 @@
     Doors doors = new Doors(8, 5, L, 3).warm();
     doors.cut = (from, to) -> to < 3;
     Call call = doors.purge(7, "k", "/", L);
-    assertEquals(new Outcome.Unavailable(PurgeId.of("c", "k"), Outcome.Why.NO_MAJORITY), call.outcome);
+    assertEquals(
+        new Outcome.Unavailable(PurgeId.of("c", "k"), Outcome.Why.NO_MAJORITY), call.outcome);
     Call other = doors.start(7, "k3", "/", L);
     List<Outcome> told = new ArrayList<>();
     doors.nodes.get(7).ask(PurgeId.of("c", "k3"), "c", 50, told::add);
     doors.run(100);
-    assertEquals(new Outcome.Unavailable(PurgeId.of("c", "k3"), Outcome.Why.NO_MAJORITY), told.get(0));
+    assertEquals(
+        new Outcome.Unavailable(PurgeId.of("c", "k3"), Outcome.Why.NO_MAJORITY), told.get(0));
     assertEquals(null, other.outcome, "who asks and goes ends nothing");
     doors.cut = (from, to) -> to < 2;
     doors.run(L);
@@ -64,7 +67,8 @@
       doors.restart(keeper);
     }
     call = doors.purge(7, "k2", "/", 300);
-    assertInstanceOf(Outcome.Unavailable.class, call.outcome, "three of five keepers know nothing yet");
+    assertInstanceOf(
+        Outcome.Unavailable.class, call.outcome, "three of five keepers know nothing yet");
     assertTrue(call.ms >= 300);
   }
 
@@ -80,9 +84,11 @@
     doors.nodes.get(4).ask(id, "another", 2 * L, told::add);
     doors.nodes.get(4).ask(PurgeId.of("c", "no such"), "c", 2 * L, told::add);
     doors.run(100);
-    assertEquals(Set.of(new Outcome.Unknown(id), new Outcome.Unknown(PurgeId.of("c", "no such"))),
+    assertEquals(
+        Set.of(new Outcome.Unknown(id), new Outcome.Unknown(PurgeId.of("c", "no such"))),
         Set.copyOf(told));
-    assertEquals(new Outcome.Rejected(id, Outcome.Why.KEY_USED), doors.purge(3, "k", "/other", L).outcome);
+    assertEquals(
+        new Outcome.Rejected(id, Outcome.Why.KEY_USED), doors.purge(3, "k", "/other", L).outcome);
     doors.run(L);
     assertInstanceOf(Outcome.Complete.class, told.get(2));
     Call again = doors.purge(2, "k", "/a", L);
@@ -96,14 +102,18 @@
     assertEquals(Map.of(Outcome.Complete.class, 1_000), thousand(doors, 20, "calm"));
     doors.cut = (from, to) -> to == 6;
     Map<Class<?>, Integer> ends = thousand(doors, 2 * L, "cut");
-    assertEquals(1_000, ends.get(Outcome.Complete.class) + ends.get(Outcome.Rejected.class), ends::toString);
+    assertEquals(
+        1_000, ends.get(Outcome.Complete.class) + ends.get(Outcome.Rejected.class), ends::toString);
     assertTrue(ends.get(Outcome.Complete.class) >= 600, ends::toString);
     doors.cut = (from, to) -> false;
     doors.run(L);
     assertTrue(doors.purge(7, "after", "/", L).ms <= 4, "nothing is left behind");
   }
 
-  /** A thousand purges of one customer in a second, of fifty prefixes, and how they have ended later. */
+  /**
+   * A thousand purges of one customer in a second, of fifty prefixes, and how they have ended
+   * later.
+   */
   private static Map<Class<?>, Integer> thousand(Doors doors, long later, String key) {
     List<Call> calls = new ArrayList<>();
     for (int i = 0; i < 1_000; i++) {
@@ -153,7 +163,9 @@
       if (doors.now >= doors.stoppedUntil[door]) {
         request(doors, door, calls, servers, step, counts);
         if (doors.random.nextInt(40) == 0) {
-          calls.add(doors.start(door, "k" + step, doors.random.nextBoolean() ? "/" : "/p" + step % 3, 900));
+          calls.add(
+              doors.start(
+                  door, "k" + step, doors.random.nextBoolean() ? "/" : "/p" + step % 3, 900));
         }
       }
       doors.run(1);
@@ -176,23 +188,31 @@
     }
   }
 
-  private static void request(Doors doors, int door, List<Call> calls, Map<Integer, List<Runnable>> servers,
-      int step, long[] counts) {
+  private static void request(
+      Doors doors,
+      int door,
+      List<Call> calls,
+      Map<Integer, List<Runnable>> servers,
+      int step,
+      long[] counts) {
     PurgeNode<Object> node = doors.nodes.get(door);
     String target = "/p" + doors.random.nextInt(3) + "/x";
     long asked = doors.now;
-    KeptAnswers.Waiter<Object> waiter = found -> { };
-    KeptAnswers.Found<Object> found = node.kept().find(node.now(), "c", target, node.now() + 500, waiter);
+    KeptAnswers.Waiter<Object> waiter = found -> {};
+    KeptAnswers.Found<Object> found =
+        node.kept().find(node.now(), "c", target, node.now() + 500, waiter);
     if (found instanceof KeptAnswers.Hit<Object> hit) {
       counts[0]++;
       for (Call call : calls) {
         boolean before = call.outcome instanceof Outcome.Complete && call.taken + call.ms <= asked;
-        assertTrue(!before || (long) hit.answer() >= call.taken || !call.covers(target),
+        assertTrue(
+            !before || (long) hit.answer() >= call.taken || !call.covers(target),
             () -> "begun " + hit.answer() + ", purge taken " + call.taken + ", served " + asked);
       }
     } else if (found instanceof KeptAnswers.Lead<Object> lead) {
       int end = step + 1 + doors.random.nextInt(300);
-      servers.computeIfAbsent(end, at -> new ArrayList<>())
+      servers
+          .computeIfAbsent(end, at -> new ArrayList<>())
           .add(() -> lead.fill().done(node.now(), asked));
     }
   }
--- a/purge/src/test/java/willowdoor/purge/Explorer.java
+++ b/purge/src/test/java/willowdoor/purge/Explorer.java
@@ -7,8 +7,11 @@
 
 /** Looks at every state of a {@link World} that so many actions lead to, the nearest first. */
 final class Explorer {
-  /** A state of a level that was not gone on from, by its number: the trace goes back over these. */
+  /**
+   * A state of a level that was not gone on from, by its number: the trace goes back over these.
+   */
   private int[] cameFrom = new int[1 << 16];
+
   private int[] by = new int[1 << 16];
   private final LongMap seen = new LongMap();
   private final World world;
@@ -20,19 +23,28 @@
   private int depth;
 
   /** Every state to {@code depth}; {@code exhausted}: there is none beyond these at all. */
-  record Report(int states, int depth, boolean exhausted, int parts, long completes, long lateWrites,
-      String broken, List<String> trace) { }
+  record Report(
+      int states,
+      int depth,
+      boolean exhausted,
+      int parts,
+      long completes,
+      long lateWrites,
+      String broken,
+      List<String> trace) {}
 
   Explorer(World world, List<String> script) {
     this.world = world;
     int[] state = world.start();
     for (String words : script) {
       int[][] found = new int[1][];
-      world.next(state, (after, action) -> {
-        if (found[0] == null && world.words(action).startsWith(words)) {
-          found[0] = after;
-        }
-      });
+      world.next(
+          state,
+          (after, action) -> {
+            if (found[0] == null && world.words(action).startsWith(words)) {
+              found[0] = after;
+            }
+          });
       if (found[0] == null) {
         throw new IllegalArgumentException("nothing like \"" + words + "\" can happen now");
       }
@@ -63,8 +75,15 @@
   }
 
   private Report report(int whole, boolean exhausted) {
-    return new Report(seen.size(), whole, exhausted, world.parts.size(), world.completes, world.lateWrites,
-        world.broken, trace());
+    return new Report(
+        seen.size(),
+        whole,
+        exhausted,
+        world.parts.size(),
+        world.completes,
+        world.lateWrites,
+        world.broken,
+        trace());
   }
 
   private void visit(int[] state, int action) {
--- a/purge/src/test/java/willowdoor/purge/Image.java
+++ b/purge/src/test/java/willowdoor/purge/Image.java
@@ -11,9 +11,10 @@
 import willowdoor.purge.Message.Result;
 
 /**
- * All that a state machine holds as plain values, so that two of them can be told to be the same. What can
- * make no difference any more is alike: times that are over, when a fact was noted, who is told to have
- * confirmed. Keepers can be given other numbers, as it makes none which of them is which.
+ * All that a state machine holds as plain values, so that two of them can be told to be the same.
+ * What can make no difference any more is alike: times that are over, when a fact was noted, who is
+ * told to have confirmed. Keepers can be given other numbers, as it makes none which of them is
+ * which.
  */
 final class Image {
   private final long now;
@@ -28,21 +29,26 @@
   Object of(Object value) {
     if (value instanceof Map<?, ?> map) {
       List<Object> image = new ArrayList<>();
-      map.forEach((key, held) -> {
-        image.add(of(key));
-        image.add(of(held));
-      });
+      map.forEach(
+          (key, held) -> {
+            image.add(of(key));
+            image.add(of(held));
+          });
       return image;
     }
     if (value instanceof Collection<?> collection) {
       return collection.stream().map(this::of).toList();
     }
     Class<?> type = value == null ? Object.class : value.getClass();
-    if (value == null || value instanceof Result || value instanceof Rules || value instanceof Repeat
+    if (value == null
+        || value instanceof Result
+        || value instanceof Rules
+        || value instanceof Repeat
         || value instanceof Fleet) {
       return type;
     }
-    if (type.isRecord() && !type.getName().endsWith("Fact") || !type.getName().startsWith("willowdoor.")) {
+    if (type.isRecord() && !type.getName().endsWith("Fact")
+        || !type.getName().startsWith("willowdoor.")) {
       return value;
     }
     List<Object> image = new ArrayList<>(List.of(type));
@@ -77,12 +83,16 @@
         return Arrays.asList(runs);
       case "witnesses":
         TreeMap<Integer, Object> witnesses = new TreeMap<>();
-        ((Map<?, ?>) value).forEach((keeper, witness) -> witnesses.put(keepers[(Integer) keeper], witness));
+        ((Map<?, ?>) value)
+            .forEach((keeper, witness) -> witnesses.put(keepers[(Integer) keeper], witness));
         return of(witnesses);
       case "waits":
       case "bare":
-        return ((Map<?, ?>) value).entrySet().stream().filter(wait -> (Long) wait.getValue() > now)
-            .map(Object::toString).toList();
+        return ((Map<?, ?>) value)
+            .entrySet().stream()
+                .filter(wait -> (Long) wait.getValue() > now)
+                .map(Object::toString)
+                .toList();
       case "end":
         return (Long) value <= now ? 0 : value;
       case "renewedAt":
--- a/purge/src/test/java/willowdoor/purge/KeptAnswersTest.java
+++ b/purge/src/test/java/willowdoor/purge/KeptAnswersTest.java
@@ -17,8 +17,11 @@
 import willowdoor.purge.Message.Purge;
 
 class KeptAnswersTest {
-  private final Holder holder = new Holder(
-      new Fleet(List.of(0), List.of(0), new Timing(60_000, 50_000, 10, 100, 50, 1, 1)), 5, Rules.NORMAL);
+  private final Holder holder =
+      new Holder(
+          new Fleet(List.of(0), List.of(0), new Timing(60_000, 50_000, 10, 100, 50, 1, 1)),
+          5,
+          Rules.NORMAL);
   private final KeptAnswers<byte[]> kept =
       new KeptAnswers<>(holder, 100_000, 10_000, answer -> answer.length);
   private final List<Found<byte[]>> waited = new ArrayList<>();
@@ -38,11 +41,14 @@
   }
 
   private void purge(long now, String prefix) {
-    holder.on(now, 0, new Apply(new Purge(++runs, 0, new Scope("c", prefix)))).forEach(effect -> {
-      if (effect instanceof Effect.Drop drop) {
-        kept.drop(drop.scope());
-      }
-    });
+    holder
+        .on(now, 0, new Apply(new Purge(++runs, 0, new Scope("c", prefix))))
+        .forEach(
+            effect -> {
+              if (effect instanceof Effect.Drop drop) {
+                kept.drop(drop.scope());
+              }
+            });
   }
 
   @Test
@@ -60,7 +66,8 @@
     assertEquals(1, kept.size());
     assertInstanceOf(Lead.class, find(8, "/a/2?q=%20", 99));
     assertInstanceOf(Hit.class, find(9_999, "/b/1", 99_999));
-    assertInstanceOf(Lead.class, find(10_000, "/b/1", 99_999), "counted from when the server was asked");
+    assertInstanceOf(
+        Lead.class, find(10_000, "/b/1", 99_999), "counted from when the server was asked");
   }
 
   @Test
--- a/purge/src/test/java/willowdoor/purge/LongMap.java
+++ b/purge/src/test/java/willowdoor/purge/LongMap.java
@@ -1,6 +1,9 @@
 package willowdoor.purge;
 
-/** Numbers by numbers, without boxes: the model checker holds tens of millions. Values are not negative. */
+/**
+ * Numbers by numbers, without boxes: the model checker holds tens of millions. Values are not
+ * negative.
+ */
 final class LongMap {
   private long[] keys = new long[1 << 16];
   private int[] values = new int[1 << 16];
--- a/purge/src/test/java/willowdoor/purge/ModelTest.java
+++ b/purge/src/test/java/willowdoor/purge/ModelTest.java
@@ -10,7 +10,8 @@
 import willowdoor.purge.Explorer.Report;
 
 /**
- * The promise of {@code docs/purge.md} in every interleaving, and that each of its rules is needed for it.
+ * The promise of {@code docs/purge.md} in every interleaving, and that each of its rules is needed
+ * for it.
  */
 class ModelTest {
 
@@ -18,10 +19,13 @@
   @EnumSource
   void keepsThePromiseInEveryInterleaving(Plays play) {
     Report report = play.explorer(Rules.NORMAL).run(99, 400_000);
-    System.out.println("model " + play + ": " + report.states() + " states, all to depth " + report.depth());
+    System.out.println(
+        "model " + play + ": " + report.states() + " states, all to depth " + report.depth());
     assertNull(report.broken(), () -> report.trace().toString());
     assertTrue(report.depth() >= 6 && report.completes() > 100, report::toString);
-    assertEquals(play == Plays.STOPPED_BEFORE_THE_WRITE, report.lateWrites() > 0,
+    assertEquals(
+        play == Plays.STOPPED_BEFORE_THE_WRITE,
+        report.lateWrites() > 0,
         "only a door stopped behind its check for longer than the guard writes late");
   }
 
--- a/purge/src/test/java/willowdoor/purge/Parts.java
+++ b/purge/src/test/java/willowdoor/purge/Parts.java
@@ -15,37 +15,55 @@
 import willowdoor.purge.World.Setup;
 
 /**
- * The states of keepers, doors and coordinators, each numbered once, and their steps, each worked out once.
+ * The states of keepers, doors and coordinators, each numbered once, and their steps, each worked
+ * out once.
  */
 final class Parts {
   static final int KEEPERS = 3;
   static final int DOORS = 2;
+
   /** Places: 0 is the time, then the keepers, the doors and their coordinators. */
   static final int DOOR = 1 + KEEPERS;
+
   static final int COORDINATOR = DOOR + DOORS;
   static final int PLACES = COORDINATOR + DOORS;
   static final Scope[] SCOPES = {new Scope("c", "/a"), new Scope("c", "/")};
   private static final String TARGET = "/a/x";
+
   /** Ways to number the keepers, the first of which leaves them as they are. */
   static final int[][] ORDERS = {{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}};
 
   enum Act {
-    TIME, DELIVER, AGAIN, RENEW, CHECK, WRITE, TAKE, TICK, RESTART, SERVES;
+    TIME,
+    DELIVER,
+    AGAIN,
+    RENEW,
+    CHECK,
+    WRITE,
+    TAKE,
+    TICK,
+    RESTART,
+    SERVES;
 
     static final Act[] ALL = values();
   }
 
-  /** Answers may have begun at this point; bits of the purges that were not taken when the first could. */
-  private record Kept(Holder.Point point, int before) { }
+  /**
+   * Answers may have begun at this point; bits of the purges that were not taken when the first
+   * could.
+   */
+  private record Kept(Holder.Point point, int before) {}
 
   static final class Door {
     final Holder holder;
     final List<Kept> kept = new ArrayList<>();
+
     /**
-     * Between a check and its write: bits of the purges that the answer is older than, else -1; and since
-     * when.
+     * Between a check and its write: bits of the purges that the answer is older than, else -1; and
+     * since when.
      */
     int checked = -1;
+
     long checkedAt;
     boolean wasChecked;
     long renewedAt = -1;
@@ -77,8 +95,10 @@
     /** Notes what may begin now, and lets go of what will never be served again. */
     void note(long now, int taken) {
       Holder.Point point = holder.begin(now);
-      if (point != null && kept.stream().noneMatch(one -> one.point.term() == point.term()
-          && one.point.count() == point.count())) {
+      if (point != null
+          && kept.stream()
+              .noneMatch(
+                  one -> one.point.term() == point.term() && one.point.count() == point.count())) {
         kept.add(new Kept(new Holder.Point(point.term(), point.count(), 0), ~taken & 3));
       }
       kept.removeIf(one -> !holder.mayServe(Integer.MIN_VALUE, "c", TARGET, one.point));
@@ -100,9 +120,10 @@
   }
 
   /**
-   * A part's next state, what it sends, the purges that it tells complete, and whether it broke the promise.
+   * A part's next state, what it sends, the purges that it tells complete, and whether it broke the
+   * promise.
    */
-  record Step(int part, int[] sent, int complete, boolean broken, boolean late) { }
+  record Step(int part, int[] sent, int complete, boolean broken, boolean late) {}
 
   static final Step NONE = new Step(-1, new int[0], 0, false, false);
 
@@ -112,8 +133,10 @@
   private final Map<Object, Integer> partIds = new HashMap<>();
   private final List<Sent> sents = new ArrayList<>();
   private final Map<Sent, Integer> sentIds = new HashMap<>();
+
   /** By part and by message, a number that stands for it in each order of keepers. */
   private final List<long[]> partPrints = new ArrayList<>();
+
   private final List<long[]> sentPrints = new ArrayList<>();
   private final LongMap known = new LongMap();
   private final List<Step> steps = new ArrayList<>();
@@ -146,15 +169,19 @@
   /** What stands at a place after a start, the so manyth. */
   int started(int place, long now, int boot) {
     if (place < DOOR) {
-      return part(new Keeper(fleet, boot, boot == 1 ? -setup.timing().keepMs() : now, setup.rules()), now);
+      return part(
+          new Keeper(fleet, boot, boot == 1 ? -setup.timing().keepMs() : now, setup.rules()), now);
     }
-    return place < COORDINATOR ? part(new Door(new Holder(fleet, boot, setup.rules())), now)
+    return place < COORDINATOR
+        ? part(new Door(new Holder(fleet, boot, setup.rules())), now)
         : part(new Coordinator(fleet, place - COORDINATOR, boot, setup.rules()), now);
   }
 
   Step step(int part, int place, Act act, int argument, long now, int taken, int budget) {
-    long key = (((((long) part << 4 | place) << 4 | act.ordinal()) << 20 | argument) << 6 | now) << 4
-        | taken << 2 | budget;
+    long key =
+        (((((long) part << 4 | place) << 4 | act.ordinal()) << 20 | argument) << 6 | now) << 4
+            | taken << 2
+            | budget;
     int before = known.get(key);
     if (before >= 0) {
       return steps.get(before);
@@ -171,7 +198,9 @@
       step = door(new Door((Door) parts.get(part)), place - DOOR, act, argument, now, taken);
     } else {
       Coordinator coordinator = new Coordinator((Coordinator) parts.get(part));
-      step = after(coordinator, place - COORDINATOR, coordinator(coordinator, act, argument, now), now);
+      step =
+          after(
+              coordinator, place - COORDINATOR, coordinator(coordinator, act, argument, now), now);
     }
     known.add(key, steps.size());
     steps.add(step);
@@ -183,9 +212,11 @@
       return List.of();
     }
     if (act == Act.TAKE) {
-      return coordinator.take(now, argument, new PurgeId(0, argument), SCOPES[argument], Long.MAX_VALUE);
+      return coordinator.take(
+          now, argument, new PurgeId(0, argument), SCOPES[argument], Long.MAX_VALUE);
     }
-    return act == Act.TICK ? coordinator.tick(now)
+    return act == Act.TICK
+        ? coordinator.tick(now)
         : coordinator.on(now, sents.get(argument).from, sents.get(argument).message);
   }
 
@@ -220,7 +251,8 @@
         door.checked = -1;
         return new Step(part(door, now), new int[0], 0, stale && within, stale);
       default:
-        List<Effect> effects = door.holder.on(now, sents.get(argument).from, sents.get(argument).message);
+        List<Effect> effects =
+            door.holder.on(now, sents.get(argument).from, sents.get(argument).message);
         door.note(now, taken);
         return after(door, self, effects, now);
     }
@@ -231,8 +263,11 @@
     List<Integer> sent = new ArrayList<>();
     for (Effect effect : effects) {
       if (effect instanceof Effect.Send send && heard(send)) {
-        sent.add(sentIds.computeIfAbsent(new Sent(self, send.to(), plain(send.message())), this::number));
-      } else if (effect instanceof Effect.Answer answer && answer.outcome() instanceof Outcome.Complete) {
+        sent.add(
+            sentIds.computeIfAbsent(
+                new Sent(self, send.to(), plain(send.message())), this::number));
+      } else if (effect instanceof Effect.Answer answer
+          && answer.outcome() instanceof Outcome.Complete) {
         complete |= 1 << answer.caller();
       }
     }
@@ -241,8 +276,8 @@
   }
 
   /**
-   * Some messages concern nothing that is modelled: to a member that keeps nothing, and the word that done is
-   * noted.
+   * Some messages concern nothing that is modelled: to a member that keeps nothing, and the word
+   * that done is noted.
    */
   private boolean heard(Effect.Send send) {
     return !(send.message() instanceof Message.Noted)
@@ -252,7 +287,8 @@
   /** Who is told to have confirmed makes no difference. */
   private static Message plain(Message message) {
     return message instanceof Done done
-        ? new Done(done.purge(), done.claims(), new Message.Result(0, List.of())) : message;
+        ? new Done(done.purge(), done.claims(), new Message.Result(0, List.of()))
+        : message;
   }
 
   private int number(Sent sent) {
@@ -270,15 +306,17 @@
   private int part(Object part, long now) {
     // Rules that are bent may look at what is over.
     long over = setup.rules() == Rules.NORMAL ? now : -1;
-    return partIds.computeIfAbsent(new Image(over, ORDERS[0]).of(part), image -> {
-      long[] prints = new long[ORDERS.length];
-      for (int i = 0; i < prints.length; i++) {
-        prints[i] = print(new Image(over, ORDERS[i]).of(part).toString());
-      }
-      partPrints.add(prints);
-      parts.add(part);
-      return parts.size() - 1;
-    });
+    return partIds.computeIfAbsent(
+        new Image(over, ORDERS[0]).of(part),
+        image -> {
+          long[] prints = new long[ORDERS.length];
+          for (int i = 0; i < prints.length; i++) {
+            prints[i] = print(new Image(over, ORDERS[i]).of(part).toString());
+          }
+          partPrints.add(prints);
+          parts.add(part);
+          return parts.size() - 1;
+        });
   }
 
   private static long print(String text) {
@@ -289,12 +327,19 @@
     return LongMap.mix(hash);
   }
 
-  /** An action in words, such as {@code Accept 1>0}, {@code take purge 0 door 1} or {@code time}. */
+  /**
+   * An action in words, such as {@code Accept 1>0}, {@code take purge 0 door 1} or {@code time}.
+   */
   String words(Act act, int place, int argument) {
     if (act == Act.DELIVER || act == Act.AGAIN) {
       Sent sent = sents.get(argument);
-      return (act == Act.AGAIN ? "once more " : "") + sent.message.getClass().getSimpleName()
-          + " " + sent.from + ">" + sent.to + number(sent.message);
+      return (act == Act.AGAIN ? "once more " : "")
+          + sent.message.getClass().getSimpleName()
+          + " "
+          + sent.from
+          + ">"
+          + sent.to
+          + number(sent.message);
     }
     String whose = place < DOOR ? " keeper " + (place - 1) : " door " + (place - DOOR) % DOORS;
     return act.name().toLowerCase(Locale.ROOT)
@@ -306,7 +351,9 @@
       return " #" + renew.number();
     }
     if (message instanceof Grant grant) {
-      return " #" + grant.number() + (grant.purges().isEmpty() ? " bare" : " with " + grant.purges().size());
+      return " #"
+          + grant.number()
+          + (grant.purges().isEmpty() ? " bare" : " with " + grant.purges().size());
     }
     return message instanceof Accepted accepted ? " naming " + accepted.outstanding().size() : "";
   }
--- a/purge/src/test/java/willowdoor/purge/Plays.java
+++ b/purge/src/test/java/willowdoor/purge/Plays.java
@@ -7,7 +7,9 @@
 
 /** The beginnings and the bounds of what the model checker plays. */
 enum Plays {
-  /** One front door serves, the other purges: leases run out, are renewed before, during and after. */
+  /**
+   * One front door serves, the other purges: leases run out, are renewed before, during and after.
+   */
   ONE_PURGE(Timings.SHORT, 4, 1, 1, 0b0100, 0, 0, 0, false, true),
   KEEPER_RESTARTS(Timings.SHORT, 5, 1, 1, 0b0100, 1, 0, 0, false, true),
   TWO_KEEPERS_RESTART(Timings.SHORT, 5, 1, 1, 0b0100, 2, 0, 0, false, true),
@@ -20,8 +22,8 @@
   /** Answers to the coordinator too are late, lost or doubled. */
   LATE_WORDS(Timings.SHORT, 5, 1, 1, 0b1100, 1, 0, 2, false, false),
   /**
-   * A keeper has accepted and restarted; the other one accepts when its lease would outlast the first's
-   * silence.
+   * A keeper has accepted and restarted; the other one accepts when its lease would outlast the
+   * first's silence.
    */
   OLD_ACCEPTANCE(Timings.SHORT, 5, 1, 3, 0b0100, 1, 0, 0, false, true),
   STOPPED_BEFORE_THE_WRITE(Timings.GUARDED, 5, 1, 1, 0b0100, 0, 0, 0, true, true),
@@ -32,23 +34,48 @@
   private static final class Timings {
     /** Leases of two steps, a bound of three. */
     static final Timing SHORT = new Timing(3, 2, 0, 1, 100, 0, 0);
+
     /** Leases of three, of which one is the guard. */
     static final Timing GUARDED = new Timing(4, 3, 1, 1, 100, 0, 0);
+
     /** Clocks that differ by half: slow ones go 2 in a step and fast ones 3. */
     static final Timing DRIFTING = new Timing(10, 5, 0, 1, 100, 20, 0);
   }
 
   private final Setup setup;
 
-  Plays(Timing timing, int steps, int doors, int renews, int takes, int keeperRestarts, int doorRestarts,
-      int again, boolean checks, boolean prompt, int... rates) {
+  Plays(
+      Timing timing,
+      int steps,
+      int doors,
+      int renews,
+      int takes,
+      int keeperRestarts,
+      int doorRestarts,
+      int again,
+      boolean checks,
+      boolean prompt,
+      int... rates) {
     int[] clocks = rates.length == 0 ? new int[] {1, 1, 1, 1, 1} : rates;
-    setup = new Setup(timing, clocks, steps, doors, 1 + renews, takes, keeperRestarts, doorRestarts, again,
-        checks, prompt, Rules.NORMAL);
+    setup =
+        new Setup(
+            timing,
+            clocks,
+            steps,
+            doors,
+            1 + renews,
+            takes,
+            keeperRestarts,
+            doorRestarts,
+            again,
+            checks,
+            prompt,
+            Rules.NORMAL);
   }
 
   /**
-   * From leases of two keepers at each door, the request to the third being on the way, unless it says more.
+   * From leases of two keepers at each door, the request to the third being on the way, unless it
+   * says more.
    */
   Explorer explorer(Rules rules) {
     List<String> script = new ArrayList<>(warm(0, 0, 1));
@@ -56,9 +83,22 @@
       script.addAll(warm(1, 0, 1));
     }
     if (this == OLD_ACCEPTANCE) {
-      script.addAll(List.of("take", "Accept 1>1", "restart keeper 1", "time",
-          "renew", "Renew 0>0 #2", "Renew 0>2 #2", "Grant 0>0 #2", "Grant 2>0 #2", "time",
-          "renew", "Renew 0>0 #3", "Renew 0>2 #3", "Grant 0>0 #3"));
+      script.addAll(
+          List.of(
+              "take",
+              "Accept 1>1",
+              "restart keeper 1",
+              "time",
+              "renew",
+              "Renew 0>0 #2",
+              "Renew 0>2 #2",
+              "Grant 0>0 #2",
+              "Grant 2>0 #2",
+              "time",
+              "renew",
+              "Renew 0>0 #3",
+              "Renew 0>2 #3",
+              "Grant 0>0 #3"));
     }
     return new Explorer(new World(setup.with(rules)), script);
   }
--- a/purge/src/test/java/willowdoor/purge/PurgeApiTest.java
+++ b/purge/src/test/java/willowdoor/purge/PurgeApiTest.java
@@ -15,8 +15,15 @@
   private static final PurgeId ID = PurgeId.of("00000000b4d65521", "k-1");
 
   private static PurgeApi.Call read(String method, String path, String body, String... headers) {
-    Map<String, String> all = new HashMap<>(Map.of("x-customer", "00000000b4d65521", "idempotency-key", "k-1",
-        "request-timeout-ms", "480"));
+    Map<String, String> all =
+        new HashMap<>(
+            Map.of(
+                "x-customer",
+                "00000000b4d65521",
+                "idempotency-key",
+                "k-1",
+                "request-timeout-ms",
+                "480"));
     for (int i = 0; i < headers.length; i += 2) {
       all.put(headers[i], headers[i + 1]);
     }
@@ -25,23 +32,39 @@
 
   @Test
   void readsCalls() {
-    assertEquals(new PurgeApi.Take(ID, new Scope("00000000b4d65521", "/"), 480),
+    assertEquals(
+        new PurgeApi.Take(ID, new Scope("00000000b4d65521", "/"), 480),
         read("POST", "/-/purge", " {\"all\":true} "));
-    assertEquals(new PurgeApi.Take(ID, new Scope("00000000b4d65521", "/preview/a?x=%20"), 60_000),
-        read("POST", "/-/purge", "{\"prefix\":\"/preview/a?x=%20\"}", "request-timeout-ms", "900000"));
+    assertEquals(
+        new PurgeApi.Take(ID, new Scope("00000000b4d65521", "/preview/a?x=%20"), 60_000),
+        read(
+            "POST",
+            "/-/purge",
+            "{\"prefix\":\"/preview/a?x=%20\"}",
+            "request-timeout-ms",
+            "900000"));
     assertEquals(new PurgeApi.Ask(ID, "00000000b4d65521", 480), read("GET", "/-/purge/" + ID, ""));
   }
 
   @ParameterizedTest
-  @CsvSource(quoteCharacter = '`', value = {
-      "400, POST, `{}`, all", "400, POST, `{\"all\":false}`, all", "400, POST, `{\"all\":true} x`, all",
-      "400, POST, `{\"all\":true,\"prefix\":\"/\"}`, all", "400, POST, `[]`, all",
-      "400, POST, `{\"all\":tru`, all",
-      "400, POST, ``, all", "400, POST, `{\"prefix\":\"preview\"}`, begin with /", "405, PUT, ``, POST",
-      "400, POST, `{\"prefix\":\"/a/../b\"}`, it purges nothing",
-      "400, POST, `{\"prefix\":\"/%61\"}`, purges nothing"})
+  @CsvSource(
+      quoteCharacter = '`',
+      value = {
+        "400, POST, `{}`, all",
+        "400, POST, `{\"all\":false}`, all",
+        "400, POST, `{\"all\":true} x`, all",
+        "400, POST, `{\"all\":true,\"prefix\":\"/\"}`, all",
+        "400, POST, `[]`, all",
+        "400, POST, `{\"all\":tru`, all",
+        "400, POST, ``, all",
+        "400, POST, `{\"prefix\":\"preview\"}`, begin with /",
+        "405, PUT, ``, POST",
+        "400, POST, `{\"prefix\":\"/a/../b\"}`, it purges nothing",
+        "400, POST, `{\"prefix\":\"/%61\"}`, purges nothing"
+      })
   void saysWhatIsWrong(int status, String method, String body, String words) {
-    PurgeApi.Answer answer = assertInstanceOf(PurgeApi.Answer.class, read(method, "/-/purge", body));
+    PurgeApi.Answer answer =
+        assertInstanceOf(PurgeApi.Answer.class, read(method, "/-/purge", body));
     String text = new String(answer.body(), StandardCharsets.UTF_8);
     assertEquals(status + " true", answer.status() + " " + text.contains(words), text);
   }
@@ -49,11 +72,13 @@
   @Test
   void refusesHeadersAndPathsThatAreNotRight() {
     String all = "{\"all\":true}";
-    for (PurgeApi.Call call : List.of(read("POST", "/-/purge", all, "x-customer", "B4D6"),
-        read("POST", "/-/purge", all, "idempotency-key", null),
-        read("POST", "/-/purge", all, "idempotency-key", "a b"),
-        read("POST", "/-/purge", all, "request-timeout-ms", "0"),
-        read("GET", "/-/purge/" + ID, "", "request-timeout-ms", "-1"))) {
+    for (PurgeApi.Call call :
+        List.of(
+            read("POST", "/-/purge", all, "x-customer", "B4D6"),
+            read("POST", "/-/purge", all, "idempotency-key", null),
+            read("POST", "/-/purge", all, "idempotency-key", "a b"),
+            read("POST", "/-/purge", all, "request-timeout-ms", "0"),
+            read("GET", "/-/purge/" + ID, "", "request-timeout-ms", "-1"))) {
       assertEquals(400, assertInstanceOf(PurgeApi.Answer.class, call).status());
     }
     assertEquals(413, ((PurgeApi.Answer) read("POST", "/-/purge", " ".repeat(5_000))).status());
@@ -63,21 +88,28 @@
 
   @Test
   void writesOutcomes() {
-    Map<Outcome, String> answers = Map.of(
-        new Outcome.Complete(ID, 97, List.of(3, 17)),
-        "200 {\"id\":\"" + ID + "\",\"state\":\"complete\",\"confirmed\":97,\"ran_out\":[3,17]}",
-        new Outcome.Pending(ID), "202 {\"id\":\"" + ID + "\",\"state\":\"pending\"}",
-        new Outcome.Unavailable(ID, Outcome.Why.NO_MAJORITY),
-        "503 {\"error\":\"nothing is promised: too few keepers answered; try again with the same key\"}",
-        new Outcome.Rejected(ID, Outcome.Why.KEY_USED),
-        "409 {\"error\":\"this Idempotency-Key was used for another purge\"}",
-        new Outcome.Rejected(ID, Outcome.Why.TOO_MANY),
-        "429 {\"error\":\"too many purges of this customer are waiting\"}");
-    answers.forEach((outcome, expected) -> {
-      PurgeApi.Answer answer = PurgeApi.answer(outcome);
-      assertEquals(expected, answer.status() + " " + new String(answer.body(), StandardCharsets.UTF_8));
-    });
-    assertEquals("/-/purge/" + ID, PurgeApi.answer(new Outcome.Pending(ID)).headers().get("Location"));
+    Map<Outcome, String> answers =
+        Map.of(
+            new Outcome.Complete(ID, 97, List.of(3, 17)),
+            "200 {\"id\":\""
+                + ID
+                + "\",\"state\":\"complete\",\"confirmed\":97,\"ran_out\":[3,17]}",
+            new Outcome.Pending(ID),
+            "202 {\"id\":\"" + ID + "\",\"state\":\"pending\"}",
+            new Outcome.Unavailable(ID, Outcome.Why.NO_MAJORITY),
+            "503 {\"error\":\"nothing is promised: too few keepers answered; try again with the same key\"}",
+            new Outcome.Rejected(ID, Outcome.Why.KEY_USED),
+            "409 {\"error\":\"this Idempotency-Key was used for another purge\"}",
+            new Outcome.Rejected(ID, Outcome.Why.TOO_MANY),
+            "429 {\"error\":\"too many purges of this customer are waiting\"}");
+    answers.forEach(
+        (outcome, expected) -> {
+          PurgeApi.Answer answer = PurgeApi.answer(outcome);
+          assertEquals(
+              expected, answer.status() + " " + new String(answer.body(), StandardCharsets.UTF_8));
+        });
+    assertEquals(
+        "/-/purge/" + ID, PurgeApi.answer(new Outcome.Pending(ID)).headers().get("Location"));
     assertEquals(404, PurgeApi.answer(new Outcome.Unknown(ID)).status());
   }
 }
--- a/purge/src/test/java/willowdoor/purge/UdpDatagramsTest.java
+++ b/purge/src/test/java/willowdoor/purge/UdpDatagramsTest.java
@@ -30,7 +30,8 @@
         addresses.put(member, new InetSocketAddress("127.0.0.1", free.getLocalPort()));
       }
     }
-    MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    MultiThreadIoEventLoopGroup group =
+        new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     EventLoop loop = group.next();
     CompletableFuture<Outcome> outcome = new CompletableFuture<>();
     Map<Integer, UdpDatagrams> sockets = new HashMap<>();
@@ -39,8 +40,13 @@
       for (int member : fleet.members()) {
         UdpDatagrams udp = new UdpDatagrams(addresses);
         sockets.put(member, udp);
-        PurgeNode<byte[]> node = new PurgeNode<>(new PurgeNode.Settings(fleet, "test", member, 1_000, 1_000),
-            new SecureRandom(), () -> (System.nanoTime() - start) / 1_000_000, udp, answer -> answer.length);
+        PurgeNode<byte[]> node =
+            new PurgeNode<>(
+                new PurgeNode.Settings(fleet, "test", member, 1_000, 1_000),
+                new SecureRandom(),
+                () -> (System.nanoTime() - start) / 1_000_000,
+                udp,
+                answer -> answer.length);
         udp.listen(loop, NioDatagramChannel.class, member, node::onDatagram).sync();
         loop.scheduleAtFixedRate(node::tick, 0, PurgeNode.TICK_MS, TimeUnit.MILLISECONDS);
         if (member == 2) {
@@ -62,12 +68,16 @@
 
   /** Keepers are silent at first: 503, and again. */
   private static void again(PurgeNode<byte[]> node, CompletableFuture<Outcome> outcome) {
-    node.take(PurgeId.of("c", "k"), new Scope("c", "/"), 5_000, end -> {
-      if (end instanceof Outcome.Unavailable) {
-        again(node, outcome);
-      } else {
-        outcome.complete(end);
-      }
-    });
+    node.take(
+        PurgeId.of("c", "k"),
+        new Scope("c", "/"),
+        5_000,
+        end -> {
+          if (end instanceof Outcome.Unavailable) {
+            again(node, outcome);
+          } else {
+            outcome.complete(end);
+          }
+        });
   }
 }
--- a/purge/src/test/java/willowdoor/purge/World.java
+++ b/purge/src/test/java/willowdoor/purge/World.java
@@ -7,13 +7,14 @@
 import willowdoor.purge.Parts.Step;
 
 /**
- * Three keepers and two front doors (holder and coordinator) of the real classes, and all that may happen to
- * them next. Whoever is not asked to act while time passes is stopped; what is sent may be delivered at any
- * time, in any order, again, or never. A door may begin an answer at any moment and keep it at any later one:
- * of each point that it had a lease at, the purges that were not taken yet are remembered, and an answer of
- * that point must not be served after such a purge is complete, nor may a check that a guard's time ago said
- * yes. A state of the whole is a few numbers: the time, the number of each part's state, the purges taken and
- * complete, what was used of the budgets, the net.
+ * Three keepers and two front doors (holder and coordinator) of the real classes, and all that may
+ * happen to them next. Whoever is not asked to act while time passes is stopped; what is sent may
+ * be delivered at any time, in any order, again, or never. A door may begin an answer at any moment
+ * and keep it at any later one: of each point that it had a lease at, the purges that were not
+ * taken yet are remembered, and an answer of that point must not be served after such a purge is
+ * complete, nor may a check that a guard's time ago said yes. A state of the whole is a few
+ * numbers: the time, the number of each part's state, the purges taken and complete, what was used
+ * of the budgets, the net.
  */
 final class World {
   private static final int TAKEN = Parts.PLACES;
@@ -32,14 +33,37 @@
    * @param takes bits of purge + 2 * door: which purge may be called for where
    * @param again how many messages are delivered twice
    * @param checks whether a door may be stopped between its check and its write
-   * @param prompt whether a coordinator hears at once what is sent to it, and looks at once whether a purge
-   *     is complete: the sooner it does the worse for the promise, as long as each message is sent once
+   * @param prompt whether a coordinator hears at once what is sent to it, and looks at once whether
+   *     a purge is complete: the sooner it does the worse for the promise, as long as each message
+   *     is sent once
    */
-  record Setup(Timing timing, int[] rates, int steps, int doors, int renews, int takes, int keeperRestarts,
-      int doorRestarts, int again, boolean checks, boolean prompt, Rules rules) {
+  record Setup(
+      Timing timing,
+      int[] rates,
+      int steps,
+      int doors,
+      int renews,
+      int takes,
+      int keeperRestarts,
+      int doorRestarts,
+      int again,
+      boolean checks,
+      boolean prompt,
+      Rules rules) {
     Setup with(Rules others) {
-      return new Setup(timing, rates, steps, doors, renews, takes, keeperRestarts, doorRestarts, again,
-          checks, prompt, others);
+      return new Setup(
+          timing,
+          rates,
+          steps,
+          doors,
+          renews,
+          takes,
+          keeperRestarts,
+          doorRestarts,
+          again,
+          checks,
+          prompt,
+          others);
     }
   }
 
@@ -49,9 +73,15 @@
 
   private final Setup setup;
   final Parts parts;
-  /** How often a coordinator told that a purge is complete, and a door wrote a purged answer after that. */
+
+  /**
+   * How often a coordinator told that a purge is complete, and a door wrote a purged answer after
+   * that.
+   */
   long completes;
+
   long lateWrites;
+
   /** How the promise was broken, if it was. */
   String broken;
 
@@ -69,8 +99,8 @@
   }
 
   /**
-   * All next states with the action that leads there; {@link #broken} is set before one that breaks the
-   * promise.
+   * All next states with the action that leads there; {@link #broken} is set before one that breaks
+   * the promise.
    */
   void next(int[] state, Next next) {
     if (state[0] < setup.steps) {
@@ -126,11 +156,15 @@
       return;
     }
     // A door that stands between its check and its write does nothing else.
-    if (atDoor && act != Act.WRITE && act != Act.RESTART && parts.checked(state[Parts.DOOR + door])) {
+    if (atDoor
+        && act != Act.WRITE
+        && act != Act.RESTART
+        && parts.checked(state[Parts.DOOR + door])) {
       return;
     }
     Act does = act == Act.AGAIN ? Act.DELIVER : act;
-    Step step = parts.step(state[place], place, does, argument, clock(state, place), state[TAKEN], budget);
+    Step step =
+        parts.step(state[place], place, does, argument, clock(state, place), state[TAKEN], budget);
     boolean same = step.part() == state[place] && step.sent().length == 0 && step.complete() == 0;
     if (step == Parts.NONE || same && act != Act.DELIVER) {
       return;
@@ -163,7 +197,9 @@
 
   private void check(int[] after) {
     for (int place = Parts.DOOR; place < Parts.COORDINATOR && broken == null; place++) {
-      if (parts.step(after[place], place, Act.SERVES, after[COMPLETE], clock(after, place), 0, 0).broken()) {
+      if (parts
+          .step(after[place], place, Act.SERVES, after[COMPLETE], clock(after, place), 0, 0)
+          .broken()) {
         broken = "door " + (place - Parts.DOOR) + " would serve a purged answer after \"complete\"";
       }
     }
@@ -201,8 +237,8 @@
   }
 
   /**
-   * 64 bits that stand for a state, and for all those that differ from it in the keepers' numbers only. Among
-   * 10^7 states two are alike by chance once in 300,000 runs.
+   * 64 bits that stand for a state, and for all those that differ from it in the keepers' numbers
+   * only. Among 10^7 states two are alike by chance once in 300,000 runs.
    */
   long print(int[] state) {
     long least = Long.MAX_VALUE;
