--- a/runtime/src/test/java/elmsail/runtime/PinnedNamesTest.java
+++ b/runtime/src/test/java/elmsail/runtime/PinnedNamesTest.java
@@ -9,11 +9,15 @@
 import com.typesafe.config.Config;
 import com.typesafe.config.ConfigFactory;
 import com.typesafe.config.ConfigRenderOptions;
+import elmsail.runtime.http.HttpReply;
+import elmsail.runtime.http.HttpServer;
 import elmsail.runtime.http.MetricsEndpoint;
+import elmsail.runtime.http.NettyHttpClient;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
+import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
 /** Names that are known outside of the program: in dashboards, scripts, settings and clients. */
@@ -98,6 +102,28 @@
     assertThat(MetricsText.CONTENT_TYPE, is("text/plain; version=0.0.4; charset=utf-8"));
   }
 
+  /** Of a call whose handler fails: the code of the failure, for whoever reads the answer. */
+  @Test
+  void headerOfAFailedCall() throws Exception {
+    NettyLoop loop = new NettyLoop();
+    try {
+      HttpServer server =
+          HttpServer.listen(
+                  loop,
+                  "127.0.0.1:0",
+                  call ->
+                      CompletableFuture.failedFuture(
+                          new ElmsailException(ErrorCode.NOT_REACHED, "nobody")),
+                  1)
+              .join();
+      HttpReply reply = new NettyHttpClient(loop).get(server.address(), "/", 20_000).join();
+      assertThat(reply.status(), is(503));
+      assertThat(reply.headers().get("elmsail-fault"), is("NOT_REACHED"));
+    } finally {
+      loop.stop().get();
+    }
+  }
+
   @Test
   void metrics() {
     Counters counters = new Counters();
