--- a/front/src/test/java/willowdoor/discovery/HostListTest.java
+++ b/front/src/test/java/willowdoor/discovery/HostListTest.java
@@ -145,10 +145,12 @@
             + " | servers[0].state is unknown: up",
         "{\"servers\":[{\"id\":\"s\",\"addr\":\"127.0.0.1:1\",\"weight\":0}]}"
             + " | servers[0].weight is not a number",
-        "{\"servers\":[{\"id\":\"s\",\"addr\":\"127.0.0.1:1\",\"cell\":1.5}]} | servers[0].cell is not a whole",
+        "{\"servers\":[{\"id\":\"s\",\"addr\":\"127.0.0.1:1\",\"cell\":1.5}]}"
+            + " | servers[0].cell is not a whole",
         "{\"servers\":[{\"id\":\"s\",\"addr\":\"127.0.0.1:1\",\"started_ms\":-1}]}"
             + " | servers[0].started_ms is not",
-        "{\"servers\":[{\"id\":\"s\",\"addr\":\"127.0.0.1:1\",\"lease_ms\":1e3}]} | servers[0].lease_ms is not",
+        "{\"servers\":[{\"id\":\"s\",\"addr\":\"127.0.0.1:1\",\"lease_ms\":1e3}]}"
+            + " | servers[0].lease_ms is not",
         "{\"servers\":[{\"id\":\"s\",\"addr\":\"127.0.0.1:1\"},{\"id\":\"s\",\"addr\":\"127.0.0.1:2\"}]}"
             + " | servers[1].id is there twice: s"
       })
--- a/front/src/test/java/willowdoor/front/StreamingTest.java
+++ b/front/src/test/java/willowdoor/front/StreamingTest.java
@@ -161,7 +161,8 @@
                 out,
                 "HTTP/1.1 100 Continue\r\n\r\n"
                     + "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
-                    + "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nfi\r\n2\r\nne\r\n0\r\nSum: 4\r\n\r\n");
+                    + "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                    + "2\r\nfi\r\n2\r\nne\r\n0\r\nSum: 4\r\n\r\n");
     Client client = peers.client();
     for (int i = 0; i < 3; i++) {
       assertEquals("fine", client.ask(Peers.get("r" + i, 3000)).text());
--- a/front/src/test/java/willowdoor/front/discovery/ListScannerTest.java
+++ b/front/src/test/java/willowdoor/front/discovery/ListScannerTest.java
@@ -15,7 +15,8 @@
 
   private static final String INDENTED =
       "{\n  \"version\": 8,\n  \"full\": true,\n  \"servers\": [\n"
-          + "    {\n      \"id\": \"s-{\\\"}]\\\\\",\n      \"addr\": \"127.0.0.1:80\", \"state\": \"active\"\n"
+          + "    {\n      \"id\": \"s-{\\\"}]\\\\\",\n      \"addr\": \"127.0.0.1:80\","
+          + " \"state\": \"active\"\n"
           + "    }\n  ]\n}";
 
   private static byte[] bytes(String text) {
--- a/front/src/test/java/willowdoor/front/requests/WaitLimitsTest.java
+++ b/front/src/test/java/willowdoor/front/requests/WaitLimitsTest.java
@@ -153,7 +153,8 @@
                   .config(entries)
                   .replace(
                       "\"Profiles\":[",
-                      "\"Profiles\":[{\"Name\":\"seal\",\"Repeat\":\"side_effect\",\"AimMs\":1500,\"DeadlineMs\":4000,"
+                      "\"Profiles\":[{\"Name\":\"seal\",\"Repeat\":\"side_effect\","
+                          + "\"AimMs\":1500,\"DeadlineMs\":4000,"
                           + "\"Value\":5},"));
       policy = new QuotaPolicy(WireSettings.read(JsonFields.child(config, "settings")), 7);
       driver = new ModuleDriver(channel.eventLoop(), clock, policy, new Servers(), tally);
--- a/lab/src/test/java/willowdoor/lab/run/ScheduleTest.java
+++ b/lab/src/test/java/willowdoor/lab/run/ScheduleTest.java
@@ -35,7 +35,8 @@
         "name = 'x';observe = 3                 | observe is not a list of tables",
         "name = 'x';servers = 3                 | servers is not a table",
         "name = 'x';name = 'y'                  | the schedule is not TOML",
-        "name = 'x';doors.only = [{id = 'n5'}]  | doors.only: there are no other front doors than [n0, n1, n2]",
+        "name = 'x';doors.only = [{id = 'n5'}]  | "
+            + "doors.only: there are no other front doors than [n0, n1, n2]",
         "name = 'x';doors.twins = [{id='n1', of='n0'}]   | doors.twins[0].id is not a short word",
         "name = 'x';doors.twins = [{id='t', of='n7'}] | doors.twins[0].of is not the name of a front door: n7"
       })
@@ -53,7 +54,8 @@
         "action = 'kil';targets = ['n0']                  | steps[0].action: there is no 'kil'",
         "action = 'kill'                                  | steps[0].targets: kill needs some",
         "action = 'kill';targets = ['n3']                 | steps[0].targets: kill cannot be done to 'n3'",
-        "action = 'kill';targets = ['counter']            | steps[0].targets: kill cannot be done to 'counter'",
+        "action = 'kill';targets = ['counter']            | "
+            + "steps[0].targets: kill cannot be done to 'counter'",
         "action = 'kill';targets = ['doors:2-9'] | steps[0].targets: kill cannot be done to 'doors:2-9'",
         "action = 'counter_forget';targets = ['counter']  | steps[0].targets: counter_forget has none",
         "action = 'drop';targets = ['n0']                 | steps[0].share is missing",
