--- a/app/src/main/java/elmsail/app/ControlPlaneMain.java
+++ b/app/src/main/java/elmsail/app/ControlPlaneMain.java
@@ -1,6 +1,6 @@
 package elmsail.app;
 
-import elmsail.runtime.NettyLoop;
+import elmsail.runtime.NettyEventLoop;
 import elmsail.runtime.Settings;
 
 /** The control plane's program: serves {@code head_office}, or keeps jobs at a {@code vault}. */
@@ -20,7 +20,7 @@
 
   /** Listens, and joins the others. */
   @Override
-  public Running start(Settings settings, NettyLoop loop) {
+  public Running start(Settings settings, NettyEventLoop loop) {
     return new ControlPlaneProcess(settings, loop);
   }
 }
--- a/app/src/main/java/elmsail/app/ControlPlaneProcess.java
+++ b/app/src/main/java/elmsail/app/ControlPlaneProcess.java
@@ -2,7 +2,7 @@
 
 import elmsail.controlplane.ControlPlane;
 import elmsail.rpc.RpcEndpoint;
-import elmsail.runtime.NettyLoop;
+import elmsail.runtime.NettyEventLoop;
 import elmsail.runtime.ProcessMetrics;
 import elmsail.runtime.Settings;
 import elmsail.storage.DirectoryRecordStore;
@@ -23,11 +23,11 @@
   private final RecordStore records;
   private ControlPlane controlPlane;
 
-  ControlPlaneProcess(Settings settings, NettyLoop loop) {
-    links = new RpcEndpoint(loop.events(), loop, settings.innerAddress());
+  ControlPlaneProcess(Settings settings, NettyEventLoop loop) {
+    links = new RpcEndpoint(loop.eventLoop(), loop, settings.rpcAddress());
     ProcessMetrics metrics = ProcessFigures.start(loop, links);
     records = settings.dataDir() == null ? null : records(settings, loop, metrics);
-    if (settings.serves().contains("head_office")) {
+    if (settings.services().contains("head_office")) {
       links.listen().exceptionally(Launch::fatal);
       ControlPlane.startHeadOffice(settings, loop, links, records, metrics)
           .thenAccept(
@@ -35,25 +35,25 @@
                 controlPlane = started;
                 LOG.info(
                     "listening at {} and {}",
-                    settings.slots().get("control"),
-                    settings.innerAddress());
+                    settings.listenAddresses().get("control"),
+                    settings.rpcAddress());
               })
           .exceptionally(Launch::fatal);
     } else {
       controlPlane = ControlPlane.startVault(settings, loop, links, records, metrics);
       links
           .listen()
-          .thenRun(() -> LOG.info("listening at {}", settings.innerAddress()))
+          .thenRun(() -> LOG.info("listening at {}", settings.rpcAddress()))
           .exceptionally(Launch::fatal);
     }
   }
 
-  private static RecordStore records(Settings settings, NettyLoop loop, ProcessMetrics metrics) {
+  private static RecordStore records(Settings settings, NettyEventLoop loop, ProcessMetrics metrics) {
     long mostBytes = (long) settings.limits().diskMb() << 20;
     DirectoryRecordStore records =
-        DirectoryRecordStore.open(Path.of(settings.dataDir()), mostBytes, loop::soon);
+        DirectoryRecordStore.open(Path.of(settings.dataDir()), mostBytes, loop::execute);
     records.countIn(new StorageCounters(metrics.counters()));
-    metrics.counters().readGauge("storage_bytes_on_disk", records::bytesOnDisk);
+    metrics.counters().registerGauge("storage_bytes_on_disk", records::bytesOnDisk);
     return records;
   }
 
--- a/app/src/main/java/elmsail/app/DataDirectoryReport.java
+++ b/app/src/main/java/elmsail/app/DataDirectoryReport.java
@@ -40,7 +40,7 @@
       return copied(folder, copy);
     } catch (IOException e) {
       throw new ElmsailException(
-          ErrorCode.DISK, "the folder cannot be copied (is its process running?): " + e, e);
+          ErrorCode.STORAGE_FAILURE, "the folder cannot be copied (is its process running?): " + e, e);
     } finally {
       remove(copy);
     }
@@ -60,7 +60,7 @@
       }
     }
     if (files == 0) {
-      throw new ElmsailException(ErrorCode.DISK, "no records in " + folder);
+      throw new ElmsailException(ErrorCode.STORAGE_FAILURE, "no records in " + folder);
     }
     try (DirectoryRecordStore records =
         DirectoryRecordStore.open(copy, MOST_BYTES, Runnable::run)) {
@@ -118,7 +118,7 @@
                 + ": "
                 + slot.address
                 + " "
-                + slot.station
+                + slot.machine
                 + ", instance "
                 + Long.toHexString(slot.instanceId)
                 + ", epoch "
@@ -159,7 +159,7 @@
       for (Voter slot : set.voterSet().voters) {
         json.writeStartObject();
         json.writeStringField("address", slot.address);
-        json.writeStringField("station", slot.station);
+        json.writeStringField("station", slot.machine);
         json.writeStringField("instance_id", Long.toHexString(slot.instanceId));
         json.writeNumberField("epoch", slot.epoch);
         json.writeEndObject();
@@ -184,6 +184,6 @@
   }
 
   private static String of(Ballot ballot) {
-    return ballot.round + "." + Long.toHexString(ballot.who);
+    return ballot.round + "." + Long.toHexString(ballot.proposerId);
   }
 }
--- a/app/src/main/java/elmsail/app/GatewayMain.java
+++ b/app/src/main/java/elmsail/app/GatewayMain.java
@@ -1,6 +1,6 @@
 package elmsail.app;
 
-import elmsail.runtime.NettyLoop;
+import elmsail.runtime.NettyEventLoop;
 import elmsail.runtime.Settings;
 
 /** The data plane's program: serves {@code counter}. */
@@ -20,7 +20,7 @@
 
   /** Listens, and joins the others. */
   @Override
-  public Running start(Settings settings, NettyLoop loop) {
+  public Running start(Settings settings, NettyEventLoop loop) {
     return new GatewayProcess(settings, loop);
   }
 }
--- a/app/src/main/java/elmsail/app/GatewayProcess.java
+++ b/app/src/main/java/elmsail/app/GatewayProcess.java
@@ -10,7 +10,7 @@
 import elmsail.gateway.Gateway;
 import elmsail.rpc.RpcEndpoint;
 import elmsail.rpc.messages.VoterSet;
-import elmsail.runtime.NettyLoop;
+import elmsail.runtime.NettyEventLoop;
 import elmsail.runtime.ProcessMetrics;
 import elmsail.runtime.Settings;
 import elmsail.runtime.http.NettyHttpClient;
@@ -29,10 +29,10 @@
   private boolean ending;
   private Runnable whenEnded;
 
-  GatewayProcess(Settings settings, NettyLoop loop) {
+  GatewayProcess(Settings settings, NettyEventLoop loop) {
     long who = new SecureRandom().nextLong();
-    String own = settings.innerAddress();
-    links = new RpcEndpoint(loop.events(), loop, own);
+    String own = settings.rpcAddress();
+    links = new RpcEndpoint(loop.eventLoop(), loop, own);
     ProcessMetrics metrics = ProcessFigures.start(loop, links);
     PlatformClient platform =
         settings.platform() == null
@@ -55,7 +55,7 @@
               gateway = started;
               jobs.setServers(started.itemServers());
               jobs.start();
-              LOG.info("listening at {} and {}", settings.slots().get("front"), own);
+              LOG.info("listening at {} and {}", settings.listenAddresses().get("front"), own);
               if (ending) {
                 finish();
               }
@@ -119,7 +119,7 @@
 
     @Override
     public VoterSet current() {
-      learned = VoterSets.merge(learned, known.view().storeSet);
+      learned = VoterSets.merge(learned, known.view().jobStoreVoters);
       return learned;
     }
 
--- a/app/src/main/java/elmsail/app/Launch.java
+++ b/app/src/main/java/elmsail/app/Launch.java
@@ -2,7 +2,7 @@
 
 import elmsail.runtime.ElmsailException;
 import elmsail.runtime.ErrorCode;
-import elmsail.runtime.NettyLoop;
+import elmsail.runtime.NettyEventLoop;
 import elmsail.runtime.ProcessSignals;
 import elmsail.runtime.Settings;
 import elmsail.runtime.SettingsFile;
@@ -69,7 +69,7 @@
                 .argName("FILE")
                 .desc(
                     "the settings, JSON; by default the file that "
-                        + SettingsFile.VARIABLE
+                        + SettingsFile.ENVIRONMENT_VARIABLE
                         + " names")
                 .build())
         .addOption(
@@ -99,7 +99,7 @@
       help();
       return DONE;
     }
-    String file = line.getOptionValue(SETTINGS, System.getenv(SettingsFile.VARIABLE));
+    String file = line.getOptionValue(SETTINGS, System.getenv(SettingsFile.ENVIRONMENT_VARIABLE));
     if (rehearse) {
       return StartupRehearsal.run(program, err);
     }
@@ -109,7 +109,7 @@
               + ": no settings: give --"
               + SETTINGS
               + " or set "
-              + SettingsFile.VARIABLE);
+              + SettingsFile.ENVIRONMENT_VARIABLE);
       return UNUSABLE;
     }
     Settings settings;
@@ -135,19 +135,19 @@
    */
   @FunctionalInterface
   interface Started {
-    void with(Runnable end, NettyLoop loop);
+    void with(Runnable end, NettyEventLoop loop);
   }
 
   static int live(Program program, Path file, Settings settings, Started started) {
     Logger log = LoggerFactory.getLogger("elmsail." + program.name());
-    NettyLoop loop = new NettyLoop();
+    NettyEventLoop loop = new NettyEventLoop();
     CompletableFuture<Void> ended = new CompletableFuture<>();
-    loop.soon(
+    loop.execute(
         () -> {
           try {
             // The signals first: SIGHUP would end the process until a handler is set.
             Held held = new Held(ended);
-            new ProcessSignals(loop, file, settings, held::end, held::changed).listen();
+            new ProcessSignals(loop, file, settings, held::end, held::changed).start();
             held.running = program.start(settings, loop);
             log.info(
                 "started, {} ms after its main began", (System.nanoTime() - BEGAN) / 1_000_000);
@@ -162,9 +162,9 @@
       return DONE;
     } catch (CompletionException e) {
       log.error("could not start", e.getCause());
-      return ElmsailException.codeOf(e) == ErrorCode.BAD_SETTINGS ? UNUSABLE : FAILED;
+      return ElmsailException.codeOf(e) == ErrorCode.INVALID_SETTINGS ? UNUSABLE : FAILED;
     } finally {
-      loop.stop().awaitUninterruptibly(1_000);
+      loop.shutdown().awaitUninterruptibly(1_000);
     }
   }
 
@@ -192,7 +192,7 @@
    */
   static Void fatal(Throwable fault) {
     LoggerFactory.getLogger(Launch.class).error("could not start", fault);
-    int code = ElmsailException.codeOf(fault) == ErrorCode.BAD_SETTINGS ? UNUSABLE : FAILED;
+    int code = ElmsailException.codeOf(fault) == ErrorCode.INVALID_SETTINGS ? UNUSABLE : FAILED;
     new Thread(() -> System.exit(code), "exit").start();
     return null;
   }
--- a/app/src/main/java/elmsail/app/ProcessFigures.java
+++ b/app/src/main/java/elmsail/app/ProcessFigures.java
@@ -3,7 +3,7 @@
 import elmsail.rpc.RpcEndpoint;
 import elmsail.runtime.Counters;
 import elmsail.runtime.LoopDelay;
-import elmsail.runtime.NettyLoop;
+import elmsail.runtime.NettyEventLoop;
 import elmsail.runtime.ProcessMetrics;
 
 /** The figures that every process tells, whatever its role. */
@@ -13,15 +13,15 @@
   private ProcessFigures() {}
 
   /** Makes the process's metrics; called once, on the loop. */
-  static ProcessMetrics start(NettyLoop loop, RpcEndpoint links) {
+  static ProcessMetrics start(NettyEventLoop loop, RpcEndpoint links) {
     ProcessMetrics metrics = ProcessMetrics.logged(loop);
     Counters counters = metrics.counters();
     long startedAt = loop.now();
-    counters.readGauge("process_uptime_s", () -> (loop.now() - startedAt) / 1_000);
-    counters.readGauge("process_heap_used_mb", ProcessFigures::heapUsedMb);
-    counters.read("loop_faults", loop::faults);
+    counters.registerGauge("process_uptime_s", () -> (loop.now() - startedAt) / 1_000);
+    counters.registerGauge("process_heap_used_mb", ProcessFigures::heapUsedMb);
+    counters.registerCounter("loop_faults", loop::faultCount);
     LoopDelay.start(loop, counters);
-    links.counts().tellIn(counters);
+    links.counters().registerWith(counters);
     return metrics;
   }
 
--- a/app/src/main/java/elmsail/app/Program.java
+++ b/app/src/main/java/elmsail/app/Program.java
@@ -1,6 +1,6 @@
 package elmsail.app;
 
-import elmsail.runtime.NettyLoop;
+import elmsail.runtime.NettyEventLoop;
 import elmsail.runtime.Settings;
 
 /** What one of the programs does between its start and its end. */
@@ -13,7 +13,7 @@
    * Listens and joins the others; called on the loop. What it throws, with BAD_SETTINGS or not,
    * ends the process.
    */
-  Running start(Settings settings, NettyLoop loop);
+  Running start(Settings settings, NettyEventLoop loop);
 
   /** A program under way; called on the loop. */
   interface Running {
--- a/app/src/main/java/elmsail/app/StartupRehearsal.java
+++ b/app/src/main/java/elmsail/app/StartupRehearsal.java
@@ -1,6 +1,6 @@
 package elmsail.app;
 
-import elmsail.runtime.NettyLoop;
+import elmsail.runtime.NettyEventLoop;
 import elmsail.runtime.Settings;
 import elmsail.runtime.SettingsFile;
 import elmsail.runtime.http.NettyHttpClient;
@@ -46,8 +46,8 @@
           file,
           settings,
           (end, loop) -> {
-            loop.after(LIMIT_MS, () -> Runtime.getRuntime().halt(Launch.FAILED));
-            loop.after(BEFORE_MS, () -> request(end, loop, settings));
+            loop.schedule(LIMIT_MS, () -> Runtime.getRuntime().halt(Launch.FAILED));
+            loop.schedule(BEFORE_MS, () -> request(end, loop, settings));
           });
     } catch (IOException e) {
       e.printStackTrace(err);
@@ -58,10 +58,10 @@
   }
 
   /** Asks at each address, then has the program end. */
-  private static void request(Runnable end, NettyLoop loop, Settings settings) {
+  private static void request(Runnable end, NettyEventLoop loop, Settings settings) {
     NettyHttpClient client = new NettyHttpClient(loop);
     List<CompletableFuture<?>> asked = new ArrayList<>();
-    for (String address : settings.slots().values()) {
+    for (String address : settings.listenAddresses().values()) {
       for (String path : PATHS) {
         // What is answered, or whether, is the tests' business.
         asked.add(client.get(address, path, ASK_MS).exceptionally(failure -> null));
--- a/app/src/test/java/elmsail/app/CheckMainTest.java
+++ b/app/src/test/java/elmsail/app/CheckMainTest.java
@@ -10,7 +10,7 @@
 import elmsail.consensus.Replica;
 import elmsail.consensus.ReplicaListener;
 import elmsail.consensus.RestoredReplica;
-import elmsail.rpc.Caller;
+import elmsail.rpc.RpcClient;
 import elmsail.rpc.RequestHandlers;
 import elmsail.rpc.messages.Voter;
 import elmsail.rpc.messages.VoterSet;
@@ -201,7 +201,7 @@
   private static Voter slot(String address, String station, long instanceId) {
     Voter slot = new Voter();
     slot.address = address;
-    slot.station = station;
+    slot.machine = station;
     slot.instanceId = instanceId;
     slot.epoch = 1;
     return slot;
@@ -209,12 +209,12 @@
 
   private static final class NoAnswers implements RequestHandlers {
     @Override
-    public <Q, A> void on(Class<Q> request, Function<Q, ? extends CompletionStage<A>> handler) {
+    public <Q, A> void register(Class<Q> request, Function<Q, ? extends CompletionStage<A>> handler) {
       // Nobody asks.
     }
   }
 
-  private static final class NoCalls implements Caller {
+  private static final class NoCalls implements RpcClient {
     @Override
     public <A> CompletableFuture<A> call(
         String address, Object request, Class<A> answer, long timeoutMs) {
--- a/app/src/test/java/elmsail/app/LaunchTest.java
+++ b/app/src/test/java/elmsail/app/LaunchTest.java
@@ -6,7 +6,7 @@
 
 import elmsail.runtime.ElmsailException;
 import elmsail.runtime.ErrorCode;
-import elmsail.runtime.NettyLoop;
+import elmsail.runtime.NettyEventLoop;
 import elmsail.runtime.Settings;
 import elmsail.runtime.SettingsFile;
 import java.io.ByteArrayOutputStream;
@@ -44,7 +44,7 @@
     }
 
     @Override
-    public Running start(Settings settings, NettyLoop loop) {
+    public Running start(Settings settings, NettyEventLoop loop) {
       if (fault != null) {
         throw fault;
       }
@@ -129,14 +129,14 @@
     Settings settings = SettingsFile.read(file);
     assertThat(
         Launch.live(
-            new Brief(new ElmsailException(ErrorCode.BAD_SETTINGS, "no such slot")),
+            new Brief(new ElmsailException(ErrorCode.INVALID_SETTINGS, "no such slot")),
             file,
             settings,
             (end, loop) -> end.run()),
         is(Launch.UNUSABLE));
     assertThat(
         Launch.live(
-            new Brief(new ElmsailException(ErrorCode.DISK, "full")),
+            new Brief(new ElmsailException(ErrorCode.STORAGE_FAILURE, "full")),
             file,
             settings,
             (end, loop) -> end.run()),
--- a/app/src/test/java/elmsail/app/PinnedNamesTest.java
+++ b/app/src/test/java/elmsail/app/PinnedNamesTest.java
@@ -8,8 +8,8 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
 import elmsail.rpc.RpcEndpoint;
-import elmsail.runtime.MetricsText;
-import elmsail.runtime.NettyLoop;
+import elmsail.runtime.PrometheusText;
+import elmsail.runtime.NettyEventLoop;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -93,15 +93,15 @@
 
   @Test
   void metricsOfEveryProcess() throws Exception {
-    NettyLoop loop = new NettyLoop();
+    NettyEventLoop loop = new NettyEventLoop();
     try {
       CompletableFuture<String> text = new CompletableFuture<>();
-      loop.soon(
+      loop.execute(
           () ->
               text.complete(
-                  MetricsText.of(
+                  PrometheusText.format(
                       ProcessFigures.start(
-                              loop, new RpcEndpoint(loop.events(), loop, "127.0.0.1:1"))
+                              loop, new RpcEndpoint(loop.eventLoop(), loop, "127.0.0.1:1"))
                           .counters())));
       assertThat(
           text.get()
@@ -115,7 +115,7 @@
               "# TYPE elmsail_loop_faults counter",
               "# TYPE elmsail_loop_delay_ms histogram"));
     } finally {
-      loop.stop().get();
+      loop.shutdown().get();
     }
   }
 }
--- a/batch/src/main/java/elmsail/batch/api/BatchApi.java
+++ b/batch/src/main/java/elmsail/batch/api/BatchApi.java
@@ -17,7 +17,7 @@
 import elmsail.config.Route;
 import elmsail.config.RoutingConfig;
 import elmsail.consensus.Register;
-import elmsail.rpc.Caller;
+import elmsail.rpc.RpcClient;
 import elmsail.rpc.RequestHandlers;
 import elmsail.rpc.messages.OpaqueMessage;
 import elmsail.runtime.ElmsailException;
@@ -64,7 +64,7 @@
    */
   public BatchApi(
       Register register,
-      Caller caller,
+      RpcClient caller,
       Timers timers,
       ClusterState known,
       String innerAddress,
@@ -103,7 +103,7 @@
    * Answers the messages about jobs; use this, or {@code answer} from a handler shared with others.
    */
   public void listen(RequestHandlers answering) {
-    answering.on(OpaqueMessage.class, this::answer);
+    answering.register(OpaqueMessage.class, this::answer);
   }
 
   /**
@@ -113,7 +113,7 @@
   public CompletionStage<OpaqueMessage> answer(OpaqueMessage request) {
     if (!request.kind.equals(BatchMessageTypes.ENDED)) {
       return CompletableFuture.failedFuture(
-          new ElmsailException(ErrorCode.GARBLED, "a message of kind " + request.kind));
+          new ElmsailException(ErrorCode.MALFORMED, "a message of kind " + request.kind));
     }
     ended(new ByteReader(request.bytes).text());
     return CompletableFuture.completedFuture(
--- a/batch/src/main/java/elmsail/batch/api/ReadHandler.java
+++ b/batch/src/main/java/elmsail/batch/api/ReadHandler.java
@@ -90,7 +90,7 @@
       poll =
           context
               .timers()
-              .after(Math.min(left, POLL_MS / 2 + context.about(POLL_MS / 2)), this::look);
+              .schedule(Math.min(left, POLL_MS / 2 + context.about(POLL_MS / 2)), this::look);
     }
   }
 
--- a/batch/src/main/java/elmsail/batch/api/Replies.java
+++ b/batch/src/main/java/elmsail/batch/api/Replies.java
@@ -43,9 +43,9 @@
   /** Where nothing was to be changed, any failure is a 503. */
   static boolean mayHold(Throwable failed) {
     ErrorCode code = ElmsailException.codeOf(failed);
-    return code != ErrorCode.NOT_REACHED
-        && code != ErrorCode.UNSENT
-        && code != ErrorCode.FULL
-        && code != ErrorCode.NOT_SEATED;
+    return code != ErrorCode.NO_QUORUM
+        && code != ErrorCode.NOT_SENT
+        && code != ErrorCode.RESOURCE_EXHAUSTED
+        && code != ErrorCode.NOT_A_VOTER;
   }
 }
--- a/batch/src/main/java/elmsail/batch/api/SubmitHandler.java
+++ b/batch/src/main/java/elmsail/batch/api/SubmitHandler.java
@@ -261,7 +261,7 @@
   private void later(long aboutMs, Round round) {
     seen = new TokenCount();
     verdict = null;
-    context.timers().after(context.about(aboutMs), () -> round(round));
+    context.timers().schedule(context.about(aboutMs), () -> round(round));
   }
 
   /**
@@ -298,7 +298,7 @@
             silent.add(store);
           }
           if (--left[0] == 0 && !silent.isEmpty() && tries > 1) {
-            context.timers().after(WITHDRAW_AGAIN_MS, () -> withdraw(of, silent, tries - 1));
+            context.timers().schedule(WITHDRAW_AGAIN_MS, () -> withdraw(of, silent, tries - 1));
           }
         });
   }
--- a/batch/src/main/java/elmsail/batch/client/BatchContext.java
+++ b/batch/src/main/java/elmsail/batch/client/BatchContext.java
@@ -2,7 +2,7 @@
 
 import elmsail.config.ClusterState;
 import elmsail.consensus.Register;
-import elmsail.rpc.Caller;
+import elmsail.rpc.RpcClient;
 import elmsail.rpc.messages.OpaqueMessage;
 import elmsail.rpc.messages.Voter;
 import elmsail.runtime.Invariants;
@@ -21,7 +21,7 @@
  */
 public record BatchContext(
     Register register,
-    Caller caller,
+    RpcClient caller,
     Timers timers,
     ClusterState known,
     String self,
@@ -32,7 +32,7 @@
 
   /** The voters of the store set that is known at present; empty before there is one. */
   public List<Voter> stores() {
-    return known.view().storeSet.voters;
+    return known.view().jobStoreVoters.voters;
   }
 
   /** How many stores are a majority; 1 where there are none, so that nothing is ever agreed. */
--- a/batch/src/main/java/elmsail/batch/client/BatchCounters.java
+++ b/batch/src/main/java/elmsail/batch/client/BatchCounters.java
@@ -19,9 +19,9 @@
 
   /** Takes its counters from those of the process. */
   public BatchCounters(Counters counters) {
-    submitAccepted = counters.of("batch_submit_accepted");
-    submitRefused = counters.of("batch_submit_refused");
-    submitFull = counters.of("batch_submit_full");
-    submitFullByPending = counters.of("batch_submit_full_by_pending");
+    submitAccepted = counters.counter("batch_submit_accepted");
+    submitRefused = counters.counter("batch_submit_refused");
+    submitFull = counters.counter("batch_submit_full");
+    submitFullByPending = counters.counter("batch_submit_full_by_pending");
   }
 }
--- a/batch/src/main/java/elmsail/batch/client/BatchJobClient.java
+++ b/batch/src/main/java/elmsail/batch/client/BatchJobClient.java
@@ -69,7 +69,7 @@
   }
 
   private static boolean same(Ballot one, Ballot other) {
-    return one != null && other != null && one.round == other.round && one.who == other.who;
+    return one != null && other != null && one.round == other.round && one.proposerId == other.proposerId;
   }
 
   /** The batchItems of a job that is there; fails if nobody who has them answers. */
@@ -110,7 +110,7 @@
                   () -> name + ": " + bytes.length + " of " + result.textBytes() + " bytes");
               if (!whole) {
                 throw new ElmsailException(
-                    ErrorCode.GARBLED, "a text of " + bytes.length + " bytes");
+                    ErrorCode.MALFORMED, "a text of " + bytes.length + " bytes");
               }
               texts.put(name, bytes);
               return bytes;
@@ -134,7 +134,7 @@
             .thenApply(
                 bytes -> {
                   if (bytes == null) {
-                    throw new ElmsailException(ErrorCode.NOT_REACHED, "no store has " + name);
+                    throw new ElmsailException(ErrorCode.NO_QUORUM, "no store has " + name);
                   }
                   return bytes;
                 });
--- a/batch/src/main/java/elmsail/batch/messages/ByteReader.java
+++ b/batch/src/main/java/elmsail/batch/messages/ByteReader.java
@@ -25,14 +25,14 @@
         return value;
       }
     }
-    throw new ElmsailException(ErrorCode.GARBLED, "a number without an end");
+    throw new ElmsailException(ErrorCode.MALFORMED, "a number without an end");
   }
 
   /** A number of things still to come, each of a byte at least. */
   public int count() {
     long value = number();
     if (value < 0 || value > bytes.length - at) {
-      throw new ElmsailException(ErrorCode.GARBLED, "a count beyond the bytes");
+      throw new ElmsailException(ErrorCode.MALFORMED, "a count beyond the bytes");
     }
     return (int) value;
   }
@@ -62,7 +62,7 @@
 
   private int need(int length) {
     if (bytes.length - at < length) {
-      throw new ElmsailException(ErrorCode.GARBLED, "cut off at " + bytes.length);
+      throw new ElmsailException(ErrorCode.MALFORMED, "cut off at " + bytes.length);
     }
     int from = at;
     at += length;
--- a/batch/src/main/java/elmsail/batch/messages/JobRecord.java
+++ b/batch/src/main/java/elmsail/batch/messages/JobRecord.java
@@ -278,7 +278,7 @@
     ByteReader from = new ByteReader(bytes);
     long format = from.number();
     if (format < 1 || format > FORMAT) {
-      throw new ElmsailException(ErrorCode.GARBLED, "a record of format " + format);
+      throw new ElmsailException(ErrorCode.MALFORMED, "a record of format " + format);
     }
     long version = from.number();
     String route = from.text();
--- a/batch/src/main/java/elmsail/batch/messages/JobRequestReader.java
+++ b/batch/src/main/java/elmsail/batch/messages/JobRequestReader.java
@@ -49,7 +49,7 @@
       expect(batchItems != null && !batchItems.isEmpty(), "pieces");
       return batchItems;
     } catch (IOException | IllegalArgumentException malformed) {
-      throw new ElmsailException(ErrorCode.BAD_CALL, "a job that cannot be read", malformed);
+      throw new ElmsailException(ErrorCode.INVALID_ARGUMENT, "a job that cannot be read", malformed);
     }
   }
 
@@ -139,7 +139,7 @@
 
   private static void expect(boolean met, String what) {
     if (!met) {
-      throw new ElmsailException(ErrorCode.BAD_CALL, "a job needs " + what);
+      throw new ElmsailException(ErrorCode.INVALID_ARGUMENT, "a job needs " + what);
     }
   }
 }
--- a/batch/src/main/java/elmsail/batch/run/BodyLoader.java
+++ b/batch/src/main/java/elmsail/batch/run/BodyLoader.java
@@ -40,7 +40,7 @@
                 job.timeline.bodyReady(context.timers().now());
                 free(job);
               } else {
-                context.timers().after(context.about(BACKOFF_MS), () -> free(job));
+                context.timers().schedule(context.about(BACKOFF_MS), () -> free(job));
               }
             });
   }
--- a/batch/src/main/java/elmsail/batch/run/FailoverMonitor.java
+++ b/batch/src/main/java/elmsail/batch/run/FailoverMonitor.java
@@ -55,12 +55,12 @@
    * step.
    */
   public void start() {
-    context.timers().after(context.about(HEARTBEAT_MS), this::heartbeat);
-    context.timers().after(context.about(LOOK_MS), this::look);
+    context.timers().schedule(context.about(HEARTBEAT_MS), this::heartbeat);
+    context.timers().schedule(context.about(LOOK_MS), this::look);
   }
 
   private void heartbeat() {
-    context.timers().after(HEARTBEAT_MS, this::heartbeat);
+    context.timers().schedule(HEARTBEAT_MS, this::heartbeat);
     List<RunningJob> jobs = runner.running();
     if (jobs.isEmpty()) {
       return;
@@ -119,7 +119,7 @@
   }
 
   private void look() {
-    context.timers().after(context.about(LOOK_MS), this::look);
+    context.timers().schedule(context.about(LOOK_MS), this::look);
     int stores = context.stores().size();
     if (stores == 0) {
       return;
--- a/batch/src/main/java/elmsail/batch/run/JobRunner.java
+++ b/batch/src/main/java/elmsail/batch/run/JobRunner.java
@@ -140,7 +140,7 @@
       pumpSet = true;
       context
           .timers()
-          .after(
+          .schedule(
               ms,
               () -> {
                 pumpSet = false;
@@ -331,7 +331,7 @@
     long backoff = Math.min(MOST_BACKOFF_MS, AGAIN_MS << Math.min(item.vain, 5));
     context
         .timers()
-        .after(
+        .schedule(
             context.about(backoff),
             () -> {
               if (!job.stopped && !item.done && !item.underWay) {
--- a/batch/src/main/java/elmsail/batch/run/ResultRecorder.java
+++ b/batch/src/main/java/elmsail/batch/run/ResultRecorder.java
@@ -46,12 +46,12 @@
     }
     long wait = job.listedAt + GATHER_MS - context.timers().now();
     if (job.allDone()) {
-      context.timers().soon(() -> list(job));
+      context.timers().execute(() -> list(job));
     } else if (!job.listingSet) {
       job.listingSet = true;
       context
           .timers()
-          .after(
+          .schedule(
               wait,
               () -> {
                 job.listingSet = false;
@@ -85,7 +85,7 @@
               if (failed == null) {
                 listed(job, batch, held.now(), began);
               } else {
-                context.timers().after(context.about(BACKOFF_MS), () -> list(job));
+                context.timers().schedule(context.about(BACKOFF_MS), () -> list(job));
               }
             });
   }
--- a/batch/src/main/java/elmsail/batch/store/JobRetention.java
+++ b/batch/src/main/java/elmsail/batch/store/JobRetention.java
@@ -57,20 +57,20 @@
     this.drop = drop;
     this.statusMs = statusMs;
     counters = new StoreCounters(metrics.counters());
-    metrics.counters().readGauge("store_batch_jobs_kept", jobs::size);
+    metrics.counters().registerGauge("store_batch_jobs_kept", jobs::size);
     invariants = metrics.invariants();
   }
 
   /** Starts the looking for jobs to drop. */
   public void start() {
-    timers.after(LOOK_MS, this::look);
+    timers.schedule(LOOK_MS, this::look);
   }
 
   /**
    * Answers the messages about jobs; use this, or {@code answer} from a handler shared with others.
    */
   public void listen(RequestHandlers answering) {
-    answering.on(OpaqueMessage.class, this::answer);
+    answering.register(OpaqueMessage.class, this::answer);
   }
 
   /** Answers a batch message of a gateway; NOT_SEATED while this replica has no vote. */
@@ -90,7 +90,7 @@
                         new ByteReader(request.bytes).number(), MOST_ABANDONED, timers.now()));
             case BatchMessageTypes.WITHDRAW -> withdraw(TokenCount.Add.unpacked(request.bytes));
             default ->
-                throw new ElmsailException(ErrorCode.GARBLED, "a message of kind " + request.kind);
+                throw new ElmsailException(ErrorCode.MALFORMED, "a message of kind " + request.kind);
           };
       counters.messagesAnswered.add(1);
       return CompletableFuture.completedFuture(BatchMessageTypes.message(request.kind, response));
@@ -158,6 +158,6 @@
       drop.accept(PREFIX + job);
       jobs.dropped(job);
     }
-    timers.after(LOOK_MS, this::look);
+    timers.schedule(LOOK_MS, this::look);
   }
 }
--- a/batch/src/main/java/elmsail/batch/store/StoreCounters.java
+++ b/batch/src/main/java/elmsail/batch/store/StoreCounters.java
@@ -16,8 +16,8 @@
 
   /** Takes its counters from those of the process. */
   public StoreCounters(Counters counters) {
-    messagesAnswered = counters.of("store_batch_messages_answered");
-    messagesNotSeated = counters.of("store_batch_messages_not_seated");
-    messagesGarbled = counters.of("store_batch_messages_garbled");
+    messagesAnswered = counters.counter("store_batch_messages_answered");
+    messagesNotSeated = counters.counter("store_batch_messages_not_seated");
+    messagesGarbled = counters.counter("store_batch_messages_garbled");
   }
 }
--- a/batch/src/test/java/elmsail/batch/BatchOnRegisterTest.java
+++ b/batch/src/test/java/elmsail/batch/BatchOnRegisterTest.java
@@ -144,7 +144,7 @@
         case 3 -> store.disk.stall(1_500);
         case 4 -> gateway.kill();
         case 5 -> world.net.isolate(gateway.address);
-        default -> world.net.breakOnce(gateway.address, store.address);
+        default -> world.net.breakOpenCallsOnce(gateway.address, store.address);
       }
     }
 
@@ -180,14 +180,14 @@
         if (step % 6 == 2 && world.calm()) {
           trouble();
         }
-        world.timers.pass(250 + world.chance.nextInt(300));
+        world.timers.advance(250 + world.chance.nextInt(300));
         if (step % 6 == 5) {
           heal();
-          world.timers.pass(1_500);
+          world.timers.advance(1_500);
         }
       }
       heal();
-      world.timers.pass(20_000);
+      world.timers.advance(20_000);
     }
   }
 
@@ -245,7 +245,7 @@
     for (int seed = 0; seed < 16; seed++) {
       Day day = new Day(seed);
       day.play();
-      assertThat("faults, seed " + seed, day.world.net.faults(), is(empty()));
+      assertThat("faults, seed " + seed, day.world.net.handlerFaults(), is(empty()));
       assertThat("seed " + seed, day.broken, is(empty()));
       checkEnd(day);
       for (Seen seen : day.jobs.values()) {
@@ -268,9 +268,9 @@
       assertThat(world.await(reply).status(), is(202));
       gateway.kill();
       world.stores.get(seed % 3).kill(true);
-      world.timers.pass(200);
+      world.timers.advance(200);
       world.stores.get(seed % 3).start();
-      world.timers.pass(9_000);
+      world.timers.advance(9_000);
       String body =
           new String(
               world.await(world.gateways.get(1).calls.read("a", 0, 0)).body(),
--- a/batch/src/test/java/elmsail/batch/BurstAdmissionTest.java
+++ b/batch/src/test/java/elmsail/batch/BurstAdmissionTest.java
@@ -25,7 +25,7 @@
       long own = 60 + world.chance.nextInt(140);
       tokens.add(own);
       replies.add(world.hand(i % GATEWAYS, "job" + i, 1, own));
-      world.timers.pass(world.chance.nextInt(1 + 2 * spreadMs / JOBS));
+      world.timers.advance(world.chance.nextInt(1 + 2 * spreadMs / JOBS));
     }
     long accepted = 0;
     for (int i = 0; i < JOBS; i++) {
--- a/batch/src/test/java/elmsail/batch/DoubleSubmissionTest.java
+++ b/batch/src/test/java/elmsail/batch/DoubleSubmissionTest.java
@@ -51,18 +51,18 @@
       world = new JobStoreWorld(seed, GATEWAYS, LIMIT);
       this.storesDie = storesDie;
       world.gateways.forEach(gateway -> gateway.servers.room = 0);
-      world.timers.pass(500);
+      world.timers.advance(500);
       for (int i = 0; i < JOBS; i++) {
         Submitted job = new Submitted("s" + seed + "-" + i, 250 + world.chance.nextInt(400));
         jobs.add(job);
         int first = world.chance.nextInt(GATEWAYS);
-        world.timers.after(world.chance.nextInt(60), () -> submit(job, first));
-        world.timers.after(
+        world.timers.schedule(world.chance.nextInt(60), () -> submit(job, first));
+        world.timers.schedule(
             60 + world.chance.nextInt(1_500),
             () -> submit(job, (first + 1 + world.chance.nextInt(GATEWAYS - 1)) % GATEWAYS));
       }
       trouble(world.timers.now() + 4_000);
-      world.timers.pass(9_000);
+      world.timers.advance(9_000);
     }
 
     private void submit(Submitted job, int gateway) {
@@ -78,15 +78,15 @@
       String gateway = world.gateways.get(world.chance.nextInt(GATEWAYS)).address;
       if (storesDie && world.chance.nextInt(6) == 0 && world.calm()) {
         store.kill(false);
-        world.timers.after(20 + world.chance.nextInt(200), store::start);
+        world.timers.schedule(20 + world.chance.nextInt(200), store::start);
       } else {
         boolean toStore = world.chance.nextBoolean();
         String from = toStore ? gateway : store.address;
         String to = toStore ? store.address : gateway;
         world.net.cut(from, to);
-        world.timers.after(10 + world.chance.nextInt(800), () -> world.net.heal(from, to));
+        world.timers.schedule(10 + world.chance.nextInt(800), () -> world.net.heal(from, to));
       }
-      world.timers.after(10 + world.chance.nextInt(120), () -> trouble(until));
+      world.timers.schedule(10 + world.chance.nextInt(120), () -> trouble(until));
     }
 
     long accepted() {
@@ -95,7 +95,7 @@
 
     List<String> refusedAndRun() {
       world.gateways.forEach(gateway -> gateway.servers.room = JOBS);
-      world.timers.pass(12_000);
+      world.timers.advance(12_000);
       List<String> found = new ArrayList<>();
       for (Submitted job : jobs) {
         if (job.surelyRefused() && world.served.contains(job.id + "-0")) {
--- a/batch/src/test/java/elmsail/batch/FailingItemsTest.java
+++ b/batch/src/test/java/elmsail/batch/FailingItemsTest.java
@@ -19,7 +19,7 @@
   private static SimWorld accepted(long seed, int gateways, int batchItems) {
     SimWorld world = new SimWorld(seed, gateways, 1_000);
     assertThat(world.status(world.hand(0, "a", batchItems, 10)), is(202));
-    world.timers.pass(30);
+    world.timers.advance(30);
     return world;
   }
 
@@ -43,12 +43,12 @@
     for (int seed = 0; seed < 20; seed++) {
       SimWorld world = accepted(seed, 3, 1);
       world.gateways.get(0).servers.last().end(Ended.FAILED);
-      world.timers.pass(300);
+      world.timers.advance(300);
       assertThat(world.read(1, "a", 0), containsString(NONE));
       kill(world.gateways.get(0));
-      world.timers.pass(6_000);
+      world.timers.advance(6_000);
       runner(world).servers.last().end(Ended.FAILED);
-      world.timers.pass(500);
+      world.timers.advance(500);
       assertThat("two answers, seed " + seed, world.read(1, "a", 0), containsString(GIVEN_UP));
     }
   }
@@ -60,13 +60,13 @@
     SimWorld.Gateway gateway = world.gateways.get(0);
     world.stores.forEach(store -> world.cut(gateway.address, store.address, true));
     gateway.servers.last().end(Ended.FAILED);
-    world.timers.pass(1_000);
+    world.timers.advance(1_000);
     assertThat(gateway.servers.runs, hasSize(1));
     world.cut.clear();
-    world.timers.pass(5_000);
+    world.timers.advance(5_000);
     assertThat(gateway.servers.runs, hasSize(2));
     gateway.servers.last().end(Ended.FAILED);
-    world.timers.pass(500);
+    world.timers.advance(500);
     assertThat(world.read(0, "a", 0), containsString(GIVEN_UP));
   }
 
@@ -75,17 +75,17 @@
   void onlyAnswersOf500AreCountedOn() {
     SimWorld world = accepted(32, 2, 1);
     world.gateways.get(0).servers.last().end(Ended.BROKEN);
-    world.timers.pass(500);
+    world.timers.advance(500);
     world.gateways.get(0).servers.last().end(Ended.NOT_RUN);
-    world.timers.pass(500);
+    world.timers.advance(500);
     kill(world.gateways.get(0));
-    world.timers.pass(6_000);
+    world.timers.advance(6_000);
     SimWorld.Gateway next = runner(world);
     next.servers.last().end(Ended.FAILED);
-    world.timers.pass(500);
+    world.timers.advance(500);
     assertThat(world.read(1, "a", 0), containsString(NONE));
     next.servers.last().end(Ended.FAILED);
-    world.timers.pass(500);
+    world.timers.advance(500);
     assertThat(world.read(1, "a", 0), containsString(GIVEN_UP));
   }
 
@@ -97,9 +97,9 @@
     assertThat(world.status(world.hand(0, "a", 2, 10)), is(202));
     world.stores.forEach(store -> store.cells.get("lot/a").blobs.clear());
     kill(world.gateways.get(0));
-    world.timers.pass(58_000);
+    world.timers.advance(58_000);
     assertThat(world.read(1, "a", 0), containsString(NONE));
-    world.timers.pass(6_000);
+    world.timers.advance(6_000);
     assertThat(world.read(1, "a", 0), containsString("\"next_token\":2"));
   }
 
@@ -110,12 +110,12 @@
     SimServers servers = world.gateways.get(0).servers;
     for (int i = 0; i < 120; i++) {
       servers.last().end(Ended.BROKEN);
-      world.timers.pass(500);
+      world.timers.advance(500);
     }
     assertThat(servers.runs.size(), greaterThan(50));
-    world.timers.pass(2_000);
+    world.timers.advance(2_000);
     servers.last().end(Ended.BROKEN);
-    world.timers.pass(1_000);
+    world.timers.advance(1_000);
     assertThat(world.read(0, "a", 0), containsString(GIVEN_UP));
   }
 
@@ -142,9 +142,9 @@
     assertThat(world.status(world.hand(0, "a", 10, 10)), is(202));
     assertThat("full", world.status(world.hand(1, "b", 1, 10)), is(429));
     assertThat("while it is full", world.status(world.hand(1, "a", 10, 10)), is(202));
-    world.timers.pass(100);
+    world.timers.advance(100);
     List.copyOf(world.gateways.get(0).servers.runs).forEach(SimServers.Run::serve);
-    world.timers.pass(500);
+    world.timers.advance(500);
     assertThat(world.read(1, "a", 9), containsString("\"next_token\":10"));
     assertThat("when it is done", world.status(world.hand(1, "a", 10, 10)), is(202));
     assertThat(world.status(world.gateways.get(1).calls.end("a")), is(200));
--- a/batch/src/test/java/elmsail/batch/JobLeftoversTest.java
+++ b/batch/src/test/java/elmsail/batch/JobLeftoversTest.java
@@ -28,10 +28,10 @@
 
   private static void restart(JobStoreWorld world, JobStoreWorld.Vault store, boolean wipe) {
     store.kill(wipe);
-    world.timers.pass(500);
+    world.timers.advance(500);
     store.start();
     for (int i = 0; i < 10_000 && !world.calm(); i++) {
-      world.timers.pass(1);
+      world.timers.advance(1);
     }
     assertThat("voting again", world.calm(), is(true));
   }
@@ -51,7 +51,7 @@
         most = Math.max(most, records(store));
         restart(world, store, wipe);
       }
-      world.timers.pass(600_000);
+      world.timers.advance(600_000);
       for (JobStoreWorld.Vault store : world.stores) {
         System.out.printf(
             "%s: %d jobs, %d accepted: %d records at most, %d in the end%n",
--- a/batch/src/test/java/elmsail/batch/JobRetentionTest.java
+++ b/batch/src/test/java/elmsail/batch/JobRetentionTest.java
@@ -85,7 +85,7 @@
     request(BatchMessageTypes.WITHDRAW, add.packed());
     assertThat(others("r"), is(0L));
     retention.noted("lot/a", add.packed());
-    timers.pass(5_001);
+    timers.advance(5_001);
     assertThat(others("r"), is(0L));
   }
 
@@ -100,10 +100,10 @@
     assertThat(retention.admits("lot/a", value), is(true));
     assertThat("fewer tokens were added", retention.admits("lot/c", value), is(false));
     assertThat("added on another route", retention.admits("lot/d", value), is(false));
-    timers.pass(5_001);
+    timers.advance(5_001);
     assertThat("admitted before", retention.admits("lot/a", value), is(true));
     assertThat("run out unused", retention.admits("lot/b", value), is(false));
-    timers.pass(30_001);
+    timers.advance(30_001);
     assertThat("never written", retention.admits("lot/a", value), is(false));
     assertThat(retention.admits("lot/a", record(10).again().packed()), is(true));
   }
@@ -112,10 +112,10 @@
   void aJobThatIsBeingWrittenIsCountedHoweverLongTheDiskTakes() {
     TokenCount.Add add = new TokenCount.Add("r", "a", 20, 7);
     retention.noted("lot/a", add.packed());
-    timers.pass(4_900);
+    timers.advance(4_900);
     assertThat(retention.admits("lot/a", record(10).packed()), is(true));
     request(BatchMessageTypes.WITHDRAW, add.packed());
-    timers.pass(10_000);
+    timers.advance(10_000);
     assertThat(others("r"), is(20L));
     retention.taken("lot/a", record(10).packed());
     assertThat(others("r"), is(20L));
@@ -155,15 +155,15 @@
                 "door", List.of(new HeartbeatMessage.Run("a", 1), new HeartbeatMessage.Run("b", 1)))
             .packed();
     for (int i = 0; i < 10; i++) {
-      timers.pass(1_000);
+      timers.advance(1_000);
       ByteReader response = new ByteReader(request(BatchMessageTypes.HEARTBEAT, heartbeat).bytes);
       assertThat(
           List.of(response.number(), response.number()),
           contains((long) HeartbeatMessage.YOURS, (long) HeartbeatMessage.UNKNOWN));
     }
-    timers.pass(1_999);
+    timers.advance(1_999);
     assertThat(abandoned(), hasSize(0));
-    timers.pass(1);
+    timers.advance(1);
     assertThat(abandoned(), contains(new AbandonedJob("a", 1, 2_000)));
     retention.taken("lot/a", record(10).runBy("other", 0).packed());
     assertThat(
@@ -186,9 +186,9 @@
     retention.noted("lot/a", new TokenCount.Add("r", "a", 30, 7).packed());
     retention.noted("lot/b", new TokenCount.Add("r", "b", 20, 7).packed());
     retention.taken("lot/b", record(10).packed());
-    timers.pass(59_000);
+    timers.advance(59_000);
     assertThat(dropped, hasSize(0));
-    timers.pass(10_000);
+    timers.advance(10_000);
     assertThat(dropped, contains("lot/a"));
   }
 
@@ -197,11 +197,11 @@
     retention.promised("lot/a");
     retention.promised("lot/b");
     retention.start();
-    timers.pass(30_000);
+    timers.advance(30_000);
     retention.taken("lot/b", record(10).packed());
-    timers.pass(25_000);
+    timers.advance(25_000);
     assertThat(dropped, hasSize(0));
-    timers.pass(15_000);
+    timers.advance(15_000);
     assertThat(dropped, contains("lot/a"));
   }
 
@@ -215,11 +215,11 @@
                 0);
     retention.taken("lot/a", whole.packed());
     retention.taken("lot/b", record(10).packed());
-    timers.pass(150_000);
+    timers.advance(150_000);
     assertThat(dropped, hasSize(0));
-    timers.pass(5_000);
+    timers.advance(5_000);
     assertThat(dropped, contains("lot/a"));
-    timers.pass(60_000);
+    timers.advance(60_000);
     assertThat(dropped, contains("lot/a", "lot/b"));
     assertThat(retention.size(), is(0));
   }
--- a/batch/src/test/java/elmsail/batch/JobStoreWorld.java
+++ b/batch/src/test/java/elmsail/batch/JobStoreWorld.java
@@ -14,9 +14,9 @@
 import elmsail.rpc.messages.VoterSet;
 import elmsail.runtime.ManualTimers;
 import elmsail.runtime.ProcessMetrics;
-import elmsail.simulation.Node;
+import elmsail.simulation.SimNode;
 import elmsail.simulation.SimDisk;
-import elmsail.simulation.SimNet;
+import elmsail.simulation.SimNetwork;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -32,7 +32,7 @@
   final class Vault {
     final String address;
     final SimDisk disk;
-    Node node;
+    SimNode node;
     Replica store;
     JobRetention jobs;
     boolean up;
@@ -44,7 +44,7 @@
 
     void start() {
       up = true;
-      node = net.node(address);
+      node = net.startNode(address);
       jobs =
           new JobRetention(
               node.timers(),
@@ -57,13 +57,13 @@
               SET,
               disk.open(node.timers()),
               jobs,
-              node.answering(),
-              node.caller(),
+              node.requestHandlers(),
+              node.rpcClient(),
               node.timers(),
               address,
               "st-" + address,
               ProcessMetrics.strict());
-      jobs.listen(node.answering());
+      jobs.listen(node.requestHandlers());
       jobs.start();
     }
 
@@ -79,7 +79,7 @@
   /** A gateway; each start is a new life with servers of its own. */
   final class Gateway {
     final String address;
-    Node node;
+    SimNode node;
     BatchApi calls;
     SimServers servers;
     boolean up;
@@ -90,12 +90,12 @@
 
     void start() {
       up = true;
-      node = net.node(address);
+      node = net.startNode(address);
       VoterSet[] known = {voterSet()};
       RegisterClient register =
           new RegisterClient(
               SET,
-              node.caller(),
+              node.rpcClient(),
               node.timers(),
               new VoterSetSource() {
                 @Override
@@ -114,7 +114,7 @@
       calls =
           new BatchApi(
               register,
-              node.caller(),
+              node.rpcClient(),
               node.timers(),
               known(known),
               address,
@@ -127,7 +127,7 @@
       servers.served = served;
       all.add(servers);
       calls.setServers(servers);
-      calls.listen(node.answering());
+      calls.listen(node.requestHandlers());
       calls.start();
     }
 
@@ -142,7 +142,7 @@
   final long seed;
   final ManualTimers timers = new ManualTimers();
   final Random chance;
-  final SimNet net;
+  final SimNetwork net;
   final List<Vault> stores = new ArrayList<>();
   final List<Gateway> gateways = new ArrayList<>();
 
@@ -162,7 +162,7 @@
   JobStoreWorld(long seed, int doorCount, long mostWaiting, int storeCount) {
     this.seed = seed;
     chance = new Random(seed);
-    net = new SimNet(seed, timers);
+    net = new SimNetwork(seed, timers);
     config = new SimConfig(1, List.of(SimWorld.route(mostWaiting)));
     VoterSet founding = new VoterSet();
     for (int i = 0; i < storeCount; i++) {
@@ -171,14 +171,14 @@
       store.start();
       Voter slot = new Voter();
       slot.address = store.address;
-      slot.station = "st-" + store.address;
+      slot.machine = "st-" + store.address;
       slot.instanceId = store.disk.instanceId();
       slot.epoch = 1;
       founding.voters.add(slot);
     }
-    view.storeSet = founding;
+    view.jobStoreVoters = founding;
     stores.forEach(store -> store.store.found(founding));
-    timers.pass(100);
+    timers.advance(100);
     for (int i = 0; i < doorCount; i++) {
       gateways.add(new Gateway(i));
       view.gateways.add(gateways.get(i).address);
@@ -190,17 +190,17 @@
   /** What the pulls do: stores and gateways hear of the newest voter set. */
   private void gossip() {
     VoterSet newest = voterSet();
-    view.storeSet = newest;
+    view.jobStoreVoters = newest;
     for (Vault store : stores) {
       if (store.up) {
         store.store.learn(newest);
       }
     }
-    timers.after(300, this::gossip);
+    timers.schedule(300, this::gossip);
   }
 
   private VoterSet voterSet() {
-    VoterSet newest = view.storeSet;
+    VoterSet newest = view.jobStoreVoters;
     int best = sum(newest);
     for (Vault store : stores) {
       if (store.up && sum(store.store.voterSet()) > best) {
@@ -238,7 +238,7 @@
 
       @Override
       public ClusterView view() {
-        voterSet[0] = sum(view.storeSet) > sum(voterSet[0]) ? view.storeSet : voterSet[0];
+        voterSet[0] = sum(view.jobStoreVoters) > sum(voterSet[0]) ? view.jobStoreVoters : voterSet[0];
         return view;
       }
 
@@ -268,7 +268,7 @@
   /** Null where no answer comes within 6 s, as the gateway has died. */
   BatchCalls.Reply await(CompletableFuture<BatchCalls.Reply> reply) {
     for (int i = 0; i < 6_000 && !reply.isDone(); i++) {
-      timers.pass(1);
+      timers.advance(1);
     }
     return reply.isDone() ? reply.join() : null;
   }
--- a/batch/src/test/java/elmsail/batch/MessageCodecTest.java
+++ b/batch/src/test/java/elmsail/batch/MessageCodecTest.java
@@ -79,7 +79,7 @@
             with("\"id\":\"x\"", "\"id\":\"x\",\"id\":\"y\""));
     for (String json : malformed) {
       ElmsailException thrown = assertThrows(ElmsailException.class, () -> read(json), json);
-      assertThat(json, thrown.code(), is(ErrorCode.BAD_CALL));
+      assertThat(json, thrown.code(), is(ErrorCode.INVALID_ARGUMENT));
     }
   }
 
@@ -111,7 +111,7 @@
       byte[] part = Arrays.copyOf(packed, cut);
       assertThat(
           assertThrows(ElmsailException.class, () -> JobRecord.unpacked(part)).code(),
-          is(ErrorCode.GARBLED));
+          is(ErrorCode.MALFORMED));
     }
   }
 
@@ -163,7 +163,7 @@
     later[0] = 3;
     assertThat(
         assertThrows(ElmsailException.class, () -> JobRecord.unpacked(later)).code(),
-        is(ErrorCode.GARBLED));
+        is(ErrorCode.MALFORMED));
   }
 
   @Test
--- a/batch/src/test/java/elmsail/batch/NarrowUplinkTest.java
+++ b/batch/src/test/java/elmsail/batch/NarrowUplinkTest.java
@@ -59,7 +59,7 @@
   private static JobStoreWorld world(long seed) {
     JobStoreWorld world = new JobStoreWorld(seed, 1, 1_000_000, STORES);
     world.net.uplink(world.gateways.get(0).address, BYTES_PER_MS);
-    world.timers.pass(1_000);
+    world.timers.advance(1_000);
     return world;
   }
 
@@ -89,7 +89,7 @@
     servers.padding = "y".repeat(TEXT_BYTES / 2);
     acceptMs(world, "large");
     world.net.countBytes(world.gateways.get(0).address);
-    world.timers.pass(1_000 + (ITEMS + 10) * STAGGER_MS);
+    world.timers.advance(1_000 + (ITEMS + 10) * STAGGER_MS);
     assertThat(servers.served.size(), is(ITEMS));
     long texts = (long) ITEMS * TEXT_BYTES;
     System.out.println(
@@ -106,7 +106,7 @@
     for (int down = 0; down < STORES; down++) {
       JobStoreWorld world = world(20 + down);
       world.stores.get(down).kill(false);
-      world.timers.pass(200);
+      world.timers.advance(200);
       acceptMs(world, "large");
     }
   }
--- a/batch/src/test/java/elmsail/batch/RefusedJobTest.java
+++ b/batch/src/test/java/elmsail/batch/RefusedJobTest.java
@@ -17,26 +17,26 @@
    */
   private static int statusThenRun(int cutAfter, String rival) {
     JobStoreWorld world = new JobStoreWorld(cutAfter, 3, LIMIT);
-    world.timers.pass(1_000);
+    world.timers.advance(1_000);
     String first = world.gateways.get(0).address;
     String second = world.gateways.get(1).address;
     String alone = world.stores.get(0).address;
     CompletableFuture<BatchCalls.Reply> reply =
         world.hand(world.gateways.get(0), "refused", 1, TOKENS);
-    world.timers.pass(cutAfter);
+    world.timers.advance(cutAfter);
     for (int i = 1; i < 3; i++) {
       world.net.cut(first, world.stores.get(i).address);
     }
-    world.timers.pass(1_470 - cutAfter);
+    world.timers.advance(1_470 - cutAfter);
     world.net.healAll();
     world.net.cutBoth(first, alone);
     world.net.cutBoth(second, alone);
-    world.timers.pass(25);
+    world.timers.advance(25);
     CompletableFuture<BatchCalls.Reply> other = world.hand(world.gateways.get(1), rival, 1, TOKENS);
     BatchCalls.Reply answered = world.await(reply);
     BatchCalls.Reply otherAnswered = world.await(other);
     world.net.healAll();
-    world.timers.pass(15_000);
+    world.timers.advance(15_000);
     boolean ran = world.served.contains("refused-0");
     System.out.println(
         "cut after "
--- a/batch/src/test/java/elmsail/batch/RelayTroubleTest.java
+++ b/batch/src/test/java/elmsail/batch/RelayTroubleTest.java
@@ -41,7 +41,7 @@
   private static JobStoreWorld world(long seed, int gateways, long limit) {
     JobStoreWorld world = new JobStoreWorld(seed, gateways, limit, STORES);
     world.net.uplink(world.gateways.get(0).address, BYTES_PER_MS);
-    world.timers.pass(1_000);
+    world.timers.advance(1_000);
     return world;
   }
 
@@ -54,7 +54,7 @@
     JobStoreWorld world = world(1, 1, 1_000_000);
     String relay = world.stores.get(0).address;
     for (int i = 1; i < STORES; i++) {
-      world.net.refuse(relay, world.stores.get(i).address);
+      world.net.refuseCalls(relay, world.stores.get(i).address);
     }
     long began = world.timers.now();
     int status = world.await(submit(world, "job")).status();
@@ -91,7 +91,7 @@
       accepted += world.await(reply).status() == 202 ? 1 : 0;
     }
     long ms = world.timers.now() - began;
-    world.timers.pass(2_000);
+    world.timers.advance(2_000);
     double sent = (double) world.net.countedBytes() / BODY_BYTES;
     System.out.println(
         jobs + " jobs at once: " + accepted + " accepted in " + ms + " ms, bodies sent " + sent);
@@ -125,7 +125,7 @@
         String id = "contends" + seed + "-" + i;
         replies.add(
             world.gateways.get(i % 4).calls.submit(world.route(), id, job(id, ITEMS, 10), 3_000));
-        world.timers.pass(world.chance.nextInt(20));
+        world.timers.advance(world.chance.nextInt(20));
       }
       int accepted = 0;
       long began = world.timers.now();
@@ -164,7 +164,7 @@
     world.net.delay(slow, world.gateways.get(0).address, 60, 70);
     world.net.countBytes(world.gateways.get(0).address);
     world.await(submit(world, "job"));
-    world.timers.pass(1_000);
+    world.timers.advance(1_000);
     double sent = (double) world.net.countedBytes() / BODY_BYTES;
     System.out.println("one slow store: bodies sent " + sent);
     assertThat(sent, lessThanOrEqualTo(1.5));
@@ -179,11 +179,11 @@
       world.net.delay(world.stores.get(0).address, behind.address, 900, 900);
       CompletableFuture<BatchCalls.Reply> large =
           world.gateways.get(0).calls.submit(world.route(), "a", job("a", ITEMS, 3), 3_000);
-      world.timers.pass(offset);
+      world.timers.advance(offset);
       world.hand(world.gateways.get(1), "c" + offset, 1, 600);
       int status = world.await(large).status();
       if (status == 429) {
-        world.timers.pass(1_300);
+        world.timers.advance(1_300);
         String key = JobRecord.keyOf("probe");
         byte[] probe = new TokenCount.Add("r-lots", "probe", 0, 1).packed();
         TokenCount count = new TokenCount();
@@ -206,7 +206,7 @@
       assertThat(status, is(202));
       longest = Math.max(longest, ms);
       late += ms > mostMs ? 1 : 0;
-      world.timers.pass(Math.max(0, 600 - ms));
+      world.timers.advance(Math.max(0, 600 - ms));
     }
     System.out.println(what + ": late " + late + " of 20 jobs, the longest " + longest + " ms");
     return late;
@@ -224,7 +224,7 @@
     JobStoreWorld world = world(91, 1, 1_000_000);
     String relay = world.stores.get(0).address;
     for (int i = 1; i < STORES; i++) {
-      world.net.refuse(relay, world.stores.get(i).address);
+      world.net.refuseCalls(relay, world.stores.get(i).address);
     }
     assertThat(late(world, "lonely relay", DIRECT_MS), lessThanOrEqualTo(5));
   }
--- a/batch/src/test/java/elmsail/batch/RunsTest.java
+++ b/batch/src/test/java/elmsail/batch/RunsTest.java
@@ -21,7 +21,7 @@
   private static SimWorld accepted(long seed, int gateways, int batchItems) {
     SimWorld world = new SimWorld(seed, gateways, 1_000);
     assertThat(world.status(world.hand(0, "a", batchItems, 10)), is(202));
-    world.timers.pass(30);
+    world.timers.advance(30);
     return world;
   }
 
@@ -29,7 +29,7 @@
   void aWholeRunIsListedWithItsTextAtEveryGateway() {
     SimWorld world = accepted(1, 2, 1);
     world.gateways.get(0).servers.last().serve();
-    world.timers.pass(100);
+    world.timers.advance(100);
     assertThat(
         world.read(0, "a", 0),
         is(
@@ -44,11 +44,11 @@
     SimWorld world = accepted(2, 1, 1);
     world.gateways.get(0).servers.last().event(0, "one");
     world.gateways.get(0).servers.last().end(Ended.BROKEN);
-    world.timers.pass(400);
+    world.timers.advance(400);
     assertThat(world.gateways.get(0).servers.last().last, is(0L));
     world.gateways.get(0).servers.last().event(1, "two");
     world.gateways.get(0).servers.last().end(Ended.WHOLE);
-    world.timers.pass(100);
+    world.timers.advance(100);
     assertThat(world.read(0, "a", 0), containsString("\"message\":\"one\\u000atwo\""));
   }
 
@@ -61,11 +61,11 @@
       servers.last().event(wrong, "wrong");
       assertThat(servers.last().cancelled, is(true));
       servers.last().end(Ended.WHOLE);
-      world.timers.pass(400);
+      world.timers.advance(400);
       assertThat(servers.runs, hasSize(2));
       assertThat(servers.last().last, is(-1L));
       servers.last().serve();
-      world.timers.pass(100);
+      world.timers.advance(100);
       assertThat(world.read(0, "a", 0), containsString("\"message\":\"a-0/0\\u000aa-0/1\""));
     }
   }
@@ -78,12 +78,12 @@
       servers.last().event(0, "one");
       servers.last().event(1, "two");
       servers.last().end(Ended.BROKEN);
-      world.timers.pass(400);
+      world.timers.advance(400);
       servers.last().event(wrong, "else");
       servers.last().end(Ended.WHOLE);
-      world.timers.pass(400);
+      world.timers.advance(400);
       servers.last().serve();
-      world.timers.pass(100);
+      world.timers.advance(100);
       assertThat(world.read(0, "a", 0), containsString("\"message\":\"a-0/0\\u000aa-0/1\""));
     }
   }
@@ -94,7 +94,7 @@
     SimServers servers = world.gateways.get(0).servers;
     for (int i = 0; i < 10; i++) {
       servers.last().end(Ended.NOT_RUN);
-      world.timers.pass(400);
+      world.timers.advance(400);
     }
     assertThat(servers.runs, hasSize(11));
     assertThat(world.read(0, "a", 0), containsString(NONE));
@@ -105,13 +105,13 @@
     SimWorld world = accepted(6, 1, 1);
     SimServers servers = world.gateways.get(0).servers;
     servers.last().end(Ended.FAILED);
-    world.timers.pass(400);
+    world.timers.advance(400);
     assertThat(world.read(0, "a", 0), containsString(NONE));
     servers.last().end(Ended.BROKEN);
-    world.timers.pass(400);
+    world.timers.advance(400);
     assertThat(world.read(0, "a", 0), containsString(NONE));
     servers.last().end(Ended.FAILED);
-    world.timers.pass(100);
+    world.timers.advance(100);
     assertThat(
         world.read(0, "a", 0), containsString("\"state\":\"undeliverable\",\"message\":\"\""));
   }
@@ -120,7 +120,7 @@
   void whatCanNeverBeDoneIsUndeliverableAtOnce() {
     SimWorld world = accepted(7, 1, 1);
     world.gateways.get(0).servers.last().end(Ended.NEVER);
-    world.timers.pass(100);
+    world.timers.advance(100);
     assertThat(world.read(0, "a", 0), containsString("\"state\":\"undeliverable\""));
   }
 
@@ -129,9 +129,9 @@
     SimWorld world = new SimWorld(8, 1, 1_000);
     world.gateways.get(0).servers.room = 0;
     assertThat(world.status(world.hand(0, "a", 2, 10)), is(202));
-    world.timers.pass(59_000);
+    world.timers.advance(59_000);
     assertThat(world.read(0, "a", 0), containsString(NONE));
-    world.timers.pass(2_000);
+    world.timers.advance(2_000);
     assertThat(world.read(0, "a", 0), containsString("\"next_token\":2"));
   }
 
@@ -142,10 +142,10 @@
     servers.room = 0;
     assertThat(world.status(world.hand(0, "a", 1, 10)), is(202));
     world.gateways.get(0).config = new SimConfig(1, List.of());
-    world.timers.pass(1_000);
+    world.timers.advance(1_000);
     assertThat(world.read(0, "a", 0), containsString(NONE));
     world.gateways.get(0).config = new SimConfig(2, List.of());
-    world.timers.pass(1_000);
+    world.timers.advance(1_000);
     assertThat(world.read(0, "a", 0), containsString("\"state\":\"undeliverable\""));
     assertThat(servers.runs, hasSize(0));
   }
@@ -154,15 +154,15 @@
   void aHeldReadIsAnsweredAsSoonAsSomethingIsListed() {
     SimWorld world = accepted(15, 1, 2);
     CompletableFuture<Reply> held = world.gateways.get(0).calls.read("a", 0, 1_000);
-    world.timers.pass(300);
+    world.timers.advance(300);
     assertThat(held.isDone(), is(false));
     world.gateways.get(0).servers.last().serve();
-    world.timers.pass(90);
+    world.timers.advance(90);
     assertThat(held.isDone(), is(true));
     assertThat(
         new String(held.join().body(), StandardCharsets.UTF_8), containsString("\"next_token\":1"));
     CompletableFuture<Reply> empty = world.gateways.get(0).calls.read("a", 1, 5_000);
-    world.timers.pass(1_100);
+    world.timers.advance(1_100);
     assertThat(
         new String(empty.join().body(), StandardCharsets.UTF_8),
         containsString("\"next_token\":1"));
@@ -198,7 +198,7 @@
       run.event(0, big);
       run.end(Ended.WHOLE);
     }
-    world.timers.pass(300);
+    world.timers.advance(300);
     Reply reply = world.await(world.gateways.get(0).calls.read("a", 0, 0));
     assertThat(reply.body().length, lessThanOrEqualTo(1 << 20));
     assertThat(
--- a/batch/src/test/java/elmsail/batch/SimJobStore.java
+++ b/batch/src/test/java/elmsail/batch/SimJobStore.java
@@ -80,6 +80,6 @@
   }
 
   static boolean less(Ballot one, Ballot other) {
-    return one.round != other.round ? one.round < other.round : one.who < other.who;
+    return one.round != other.round ? one.round < other.round : one.proposerId < other.proposerId;
   }
 }
--- a/batch/src/test/java/elmsail/batch/SimRegister.java
+++ b/batch/src/test/java/elmsail/batch/SimRegister.java
@@ -41,16 +41,16 @@
       this.change = change;
       this.blobs = blobs;
       this.note = note;
-      world.timers.after(timeoutMs, this::fail);
+      world.timers.schedule(timeoutMs, this::fail);
     }
 
     void fail() {
       held.completeExceptionally(
-          new ElmsailException(sent ? ErrorCode.UNCLEAR : ErrorCode.NOT_REACHED, key));
+          new ElmsailException(sent ? ErrorCode.OUTCOME_UNKNOWN : ErrorCode.NO_QUORUM, key));
     }
 
     void again() {
-      world.timers.after(1 + world.chance.nextInt(20), this::begin);
+      world.timers.schedule(1 + world.chance.nextInt(20), this::begin);
     }
 
     void begin() {
@@ -59,7 +59,7 @@
       }
       Ballot ballot = new Ballot();
       ballot.round = ++round;
-      ballot.who = who;
+      ballot.proposerId = who;
       List<SimJobStore.Told> promises = new ArrayList<>();
       boolean[] over = new boolean[1];
       for (SimJobStore store : world.stores) {
@@ -98,7 +98,7 @@
         }
       }
       for (SimJobStore.Told one : promises) {
-        same += one.accepted().round == newest.round && one.accepted().who == newest.who ? 1 : 0;
+        same += one.accepted().round == newest.round && one.accepted().proposerId == newest.proposerId ? 1 : 0;
       }
       Wanted wanted = change.apply(new Found(value, notes));
       if (wanted.value() != null) {
@@ -148,10 +148,10 @@
         .whenComplete(
             (held, failed) -> {
               if (failed != null) {
-                read.completeExceptionally(new ElmsailException(ErrorCode.NOT_REACHED, key));
+                read.completeExceptionally(new ElmsailException(ErrorCode.NO_QUORUM, key));
               } else if (known != null
                   && known.round == held.now().ballot().round
-                  && known.who == held.now().ballot().who) {
+                  && known.proposerId == held.now().ballot().proposerId) {
                 read.complete(new Versioned(known, null));
               } else {
                 read.complete(held.now());
@@ -164,16 +164,16 @@
   public CompletableFuture<Held> change(
       String key, Function<Found, Wanted> change, List<Blob> blobs, byte[] note, long timeoutMs) {
     Change one = new Change(key, change, blobs, note, timeoutMs);
-    world.timers.soon(one::begin);
+    world.timers.execute(one::begin);
     return one.held;
   }
 
   @Override
   public CompletableFuture<byte[]> blob(String key, String name, long timeoutMs) {
     CompletableFuture<byte[]> blob = new CompletableFuture<>();
-    world.timers.after(
+    world.timers.schedule(
         timeoutMs,
-        () -> blob.completeExceptionally(new ElmsailException(ErrorCode.NOT_REACHED, name)));
+        () -> blob.completeExceptionally(new ElmsailException(ErrorCode.NO_QUORUM, name)));
     int[] none = new int[1];
     for (SimJobStore store : world.stores) {
       send(
--- a/batch/src/test/java/elmsail/batch/SimServers.java
+++ b/batch/src/test/java/elmsail/batch/SimServers.java
@@ -98,7 +98,7 @@
     Run run = new Run(batchItem, lastEventId, heard, timers.now());
     runs.add(run);
     if (serveMs >= 0) {
-      timers.after(serveMs + staggerMs * runs.size(), run::serve);
+      timers.schedule(serveMs + staggerMs * runs.size(), run::serve);
     }
     return run;
   }
--- a/batch/src/test/java/elmsail/batch/SimWorld.java
+++ b/batch/src/test/java/elmsail/batch/SimWorld.java
@@ -9,7 +9,7 @@
 import elmsail.config.Route;
 import elmsail.config.RoutingConfig;
 import elmsail.config.ServerEntry;
-import elmsail.rpc.Caller;
+import elmsail.rpc.RpcClient;
 import elmsail.rpc.messages.ClusterView;
 import elmsail.rpc.messages.OpaqueMessage;
 import elmsail.rpc.messages.Voter;
@@ -70,7 +70,7 @@
       stores.add(store);
       Voter slot = new Voter();
       slot.address = store.address;
-      view.storeSet.voters.add(slot);
+      view.jobStoreVoters.voters.add(slot);
     }
     for (int i = 0; i < doorCount; i++) {
       view.gateways.add("10.0.2." + i + ":7000");
@@ -150,8 +150,8 @@
   private Timers own(Gateway gateway) {
     return new Timers() {
       @Override
-      public Timer after(long ms, Runnable then) {
-        return timers.after(
+      public Timer schedule(long ms, Runnable then) {
+        return timers.schedule(
             ms,
             () -> {
               if (gateway.up) {
@@ -161,8 +161,8 @@
       }
 
       @Override
-      public void soon(Runnable then) {
-        after(0, then);
+      public void execute(Runnable then) {
+        schedule(0, then);
       }
 
       @Override
@@ -196,7 +196,7 @@
       return;
     }
     long delay = delays.getOrDefault(from + ">" + to, 1L + chance.nextInt(5));
-    timers.after(
+    timers.schedule(
         delay,
         () -> {
           if (up(to) && !cut.contains(from + ">" + to)) {
@@ -226,18 +226,18 @@
         return gateway.calls.answer(request);
       }
     }
-    return CompletableFuture.failedFuture(new ElmsailException(ErrorCode.UNSENT, peer));
+    return CompletableFuture.failedFuture(new ElmsailException(ErrorCode.NOT_SENT, peer));
   }
 
-  private Caller caller(String from) {
-    return new Caller() {
+  private RpcClient caller(String from) {
+    return new RpcClient() {
       @Override
       public <A> CompletableFuture<A> call(
           String peer, Object request, Class<A> answer, long timeoutMs) {
         CompletableFuture<A> response = new CompletableFuture<>();
-        timers.after(
+        timers.schedule(
             timeoutMs,
-            () -> response.completeExceptionally(new ElmsailException(ErrorCode.SILENT, peer)));
+            () -> response.completeExceptionally(new ElmsailException(ErrorCode.TIMEOUT, peer)));
         carry(
             from,
             peer,
@@ -290,7 +290,7 @@
   /** Moves the clock until the reply is there, for 10 s at most. */
   BatchCalls.Reply await(CompletableFuture<BatchCalls.Reply> reply) {
     for (int i = 0; i < 10_000 && !reply.isDone(); i++) {
-      timers.pass(1);
+      timers.advance(1);
     }
     assertThat("answered within 10 s", reply.isDone(), is(true));
     return reply.join();
--- a/batch/src/test/java/elmsail/batch/SteadyContentionTest.java
+++ b/batch/src/test/java/elmsail/batch/SteadyContentionTest.java
@@ -23,7 +23,7 @@
       long own = 60 + world.chance.nextInt(140);
       tokens.add(own);
       replies.add(world.hand(i % GATEWAYS, "job" + seed + "-" + i, 1, own));
-      world.timers.pass(everyMs);
+      world.timers.advance(everyMs);
     }
     long accepted = 0;
     for (int i = 0; i < replies.size(); i++) {
--- a/batch/src/test/java/elmsail/batch/SubmitHandlerTest.java
+++ b/batch/src/test/java/elmsail/batch/SubmitHandlerTest.java
@@ -37,7 +37,7 @@
       CompletableFuture<Reply> other = world.hand(1, "a", 3, 20);
       assertThat(world.status(one), is(202));
       assertThat(world.status(other), is(202));
-      world.timers.pass(500);
+      world.timers.advance(500);
       assertThat("runs with seed " + seed, runsOf(world, "a"), is(3));
       assertThat(world.read(1, "a", 0), containsString("\"total\":3,\"next_token\":3"));
     }
@@ -61,7 +61,7 @@
     Reply refused = world.await(world.hand(1, "b", 3, 10));
     assertThat(refused.status(), is(429));
     assertThat(refused.retryAfterS(), greaterThan(0.0));
-    world.timers.pass(20_000);
+    world.timers.advance(20_000);
     assertThat(runsOf(world, "b"), is(0));
     assertThat(world.read(0, "b", 0), containsString("404"));
   }
@@ -78,11 +78,11 @@
     SimWorld world = new SimWorld(4, 2, 100);
     assertThat(world.status(world.hand(0, "a", 10, 10)), is(202));
     assertThat(world.status(world.hand(1, "b", 5, 10)), is(429));
-    world.timers.pass(50);
+    world.timers.advance(50);
     for (int i = 0; i < 5; i++) {
       world.gateways.get(0).servers.runs.get(i).serve();
     }
-    world.timers.pass(200);
+    world.timers.advance(200);
     assertThat(world.status(world.hand(1, "b", 5, 10)), is(202));
     assertThat(world.status(world.hand(1, "c", 1, 1)), is(429));
   }
@@ -134,7 +134,7 @@
         long each = 5 + world.chance.nextInt(60);
         tokens.add(each);
         replies.add(world.hand(i % 6, "lot" + i, 1, each));
-        world.timers.pass(world.chance.nextInt(6));
+        world.timers.advance(world.chance.nextInt(6));
       }
       long waiting = 0;
       for (int i = 0; i < 40; i++) {
@@ -164,7 +164,7 @@
     assertThat(refused.retryAfterS(), greaterThan(0.0));
     world.stores.get(0).up = true;
     world.stores.get(1).up = true;
-    world.timers.pass(20_000);
+    world.timers.advance(20_000);
     assertThat(runsOf(world, "a"), is(0));
     assertThat(world.read(1, "a", 0), containsString("404"));
   }
@@ -175,12 +175,12 @@
     for (int seed = 0; seed < 300; seed++) {
       SimWorld world = new SimWorld(seed, 2, seed % 2 == 0 ? 0 : 100);
       CompletableFuture<Reply> reply = world.hand(0, "a", 3, 10);
-      world.timers.pass(2 + seed % 25);
+      world.timers.advance(2 + seed % 25);
       String gateway = world.gateways.get(0).address;
       world.stores.forEach(store -> world.cut.add(store.address + ">" + gateway));
       int status = world.status(reply);
       world.cut.clear();
-      world.timers.pass(8_000);
+      world.timers.advance(8_000);
       boolean ran = runsOf(world, "a") > 0;
       unclear += status == 504 ? 1 : 0;
       if (status == 503 || status == 429) {
@@ -204,7 +204,7 @@
       List<Integer> statuses = new ArrayList<>();
       tries.forEach(one -> statuses.add(world.status(one)));
       assertThat(statuses, everyItem(is(429)));
-      world.timers.pass(10_000);
+      world.timers.advance(10_000);
       assertThat(runsOf(world, "b"), is(0));
     }
   }
@@ -216,7 +216,7 @@
       world.gateways.get(0).servers.serveMs = 5;
       world.hand(0, "a", 3, 10);
       for (int ms = 0; ms < 200; ms++) {
-        world.timers.pass(1);
+        world.timers.advance(1);
         for (SimJobStore store : world.stores) {
           SimJobStore.Cell cell = store.cells.get("lot/a");
           if (cell != null && cell.value != null) {
--- a/batch/src/test/java/elmsail/batch/api/PinnedNamesTest.java
+++ b/batch/src/test/java/elmsail/batch/api/PinnedNamesTest.java
@@ -10,7 +10,7 @@
 import elmsail.batch.store.JobRetention;
 import elmsail.runtime.Counters;
 import elmsail.runtime.ManualTimers;
-import elmsail.runtime.MetricsText;
+import elmsail.runtime.PrometheusText;
 import elmsail.runtime.ProcessMetrics;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -21,7 +21,7 @@
 
   /** The families as they are exported, each with its type. */
   private static List<String> exported(Counters counters) {
-    return MetricsText.of(counters)
+    return PrometheusText.format(counters)
         .lines()
         .filter(line -> line.startsWith("# TYPE "))
         .map(line -> line.substring("# TYPE ".length()))
--- a/config/src/main/java/elmsail/config/ConfigDocument.java
+++ b/config/src/main/java/elmsail/config/ConfigDocument.java
@@ -42,12 +42,12 @@
     String text = new String(bytes, StandardCharsets.UTF_8);
     try (JsonParser in = JSON.createParser(text)) {
       if (in.nextToken() != JsonToken.START_OBJECT) {
-        throw new ElmsailException(ErrorCode.BAD_CALL, "the configuration is not a JSON object");
+        throw new ElmsailException(ErrorCode.INVALID_ARGUMENT, "the configuration is not a JSON object");
       }
       return new ConfigDocument(fields(in, text));
     } catch (IOException e) {
       throw new ElmsailException(
-          ErrorCode.BAD_CALL, "the configuration is not whole JSON: " + e.getMessage(), e);
+          ErrorCode.INVALID_ARGUMENT, "the configuration is not whole JSON: " + e.getMessage(), e);
     }
   }
 
--- a/config/src/main/java/elmsail/config/Fields.java
+++ b/config/src/main/java/elmsail/config/Fields.java
@@ -26,7 +26,7 @@
   }
 
   ElmsailException fault(String key, String words) {
-    return new ElmsailException(ErrorCode.BAD_CALL, at(key) + ": " + words);
+    return new ElmsailException(ErrorCode.INVALID_ARGUMENT, at(key) + ": " + words);
   }
 
   boolean has(String key) {
--- a/config/src/main/java/elmsail/config/PlatformClient.java
+++ b/config/src/main/java/elmsail/config/PlatformClient.java
@@ -4,7 +4,7 @@
 import elmsail.runtime.ErrorCode;
 import elmsail.runtime.Timers;
 import elmsail.runtime.http.HttpClient;
-import elmsail.runtime.http.HttpReply;
+import elmsail.runtime.http.SimpleHttpResponse;
 import java.net.URLEncoder;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -71,7 +71,7 @@
     client.get(address, path, PAGE_MS).whenComplete(this::answered);
   }
 
-  private void answered(HttpReply reply, Throwable thrown) {
+  private void answered(SimpleHttpResponse reply, Throwable thrown) {
     ServerList.Page page = null;
     Throwable fault = thrown;
     if (fault == null) {
@@ -97,18 +97,18 @@
       end()
           .completeExceptionally(
               new ElmsailException(
-                  ErrorCode.GARBLED, "the list of servers has more than " + MOST_PAGES + " pages"));
+                  ErrorCode.MALFORMED, "the list of servers has more than " + MOST_PAGES + " pages"));
     } else {
       request(page.nextToken());
     }
   }
 
-  private static ServerList.Page page(HttpReply reply) {
+  private static ServerList.Page page(SimpleHttpResponse reply) {
     if (reply.status() == 429) {
-      throw new ElmsailException(ErrorCode.FULL, "the platform has had too many calls");
+      throw new ElmsailException(ErrorCode.RESOURCE_EXHAUSTED, "the platform has had too many calls");
     }
     if (reply.status() != 200) {
-      throw new ElmsailException(ErrorCode.GARBLED, "the platform answered " + reply.status());
+      throw new ElmsailException(ErrorCode.MALFORMED, "the platform answered " + reply.status());
     }
     return ServerList.page(reply.body());
   }
--- a/config/src/main/java/elmsail/config/ServerList.java
+++ b/config/src/main/java/elmsail/config/ServerList.java
@@ -53,7 +53,7 @@
       return new Page(List.copyOf(servers), next);
     } catch (IOException e) {
       throw new ElmsailException(
-          ErrorCode.GARBLED, "the list of servers is no JSON: " + e.getMessage(), e);
+          ErrorCode.MALFORMED, "the list of servers is no JSON: " + e.getMessage(), e);
     }
   }
 
@@ -77,7 +77,7 @@
       out.writeEndArray();
       out.writeEndObject();
     } catch (IOException e) {
-      throw new ElmsailException(ErrorCode.FAULT, "writing to memory failed", e);
+      throw new ElmsailException(ErrorCode.INTERNAL, "writing to memory failed", e);
     }
     return bytes.toByteArray();
   }
@@ -183,7 +183,7 @@
 
   private static void need(boolean holds, String words) {
     if (!holds) {
-      throw new ElmsailException(ErrorCode.GARBLED, "the list of servers: " + words);
+      throw new ElmsailException(ErrorCode.MALFORMED, "the list of servers: " + words);
     }
   }
 }
--- a/config/src/main/java/elmsail/config/StrictJson.java
+++ b/config/src/main/java/elmsail/config/StrictJson.java
@@ -44,7 +44,7 @@
       return ConfigFactory.parseString(text, AS_JSON).root();
     } catch (ConfigException e) {
       throw new ElmsailException(
-          ErrorCode.BAD_CALL, "the configuration cannot be read: " + e.getMessage(), e);
+          ErrorCode.INVALID_ARGUMENT, "the configuration cannot be read: " + e.getMessage(), e);
     }
   }
 
@@ -52,20 +52,20 @@
     try {
       return StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes)).toString();
     } catch (CharacterCodingException e) {
-      throw new ElmsailException(ErrorCode.BAD_CALL, "the configuration is not UTF-8", e);
+      throw new ElmsailException(ErrorCode.INVALID_ARGUMENT, "the configuration is not UTF-8", e);
     }
   }
 
   private static void check(String text) {
     try (JsonParser in = JSON.createParser(text)) {
       if (in.nextToken() != JsonToken.START_OBJECT) {
-        throw new ElmsailException(ErrorCode.BAD_CALL, "the configuration is not a JSON object");
+        throw new ElmsailException(ErrorCode.INVALID_ARGUMENT, "the configuration is not a JSON object");
       }
       int open = 1;
       while (open > 0) {
         JsonToken token = in.nextToken();
         if (token == null) {
-          throw new ElmsailException(ErrorCode.BAD_CALL, "the configuration is cut short");
+          throw new ElmsailException(ErrorCode.INVALID_ARGUMENT, "the configuration is cut short");
         }
         if (token.isStructStart()) {
           open++;
@@ -76,11 +76,11 @@
         }
       }
       if (in.nextToken() != null) {
-        throw new ElmsailException(ErrorCode.BAD_CALL, "the configuration has more behind its end");
+        throw new ElmsailException(ErrorCode.INVALID_ARGUMENT, "the configuration has more behind its end");
       }
     } catch (IOException e) {
       throw new ElmsailException(
-          ErrorCode.BAD_CALL, "the configuration is not whole JSON: " + e.getMessage(), e);
+          ErrorCode.INVALID_ARGUMENT, "the configuration is not whole JSON: " + e.getMessage(), e);
     }
   }
 }
--- a/config/src/main/java/elmsail/config/watch/ConfigWatcher.java
+++ b/config/src/main/java/elmsail/config/watch/ConfigWatcher.java
@@ -6,7 +6,7 @@
 import elmsail.config.RoutingConfigReader;
 import elmsail.config.ServerEntry;
 import elmsail.consensus.VoterSets;
-import elmsail.rpc.Caller;
+import elmsail.rpc.RpcClient;
 import elmsail.rpc.messages.ClusterView;
 import elmsail.rpc.messages.PullRequest;
 import elmsail.rpc.messages.PullResponse;
@@ -64,7 +64,7 @@
    * @param platform for a gateway that hears no list in time; null: never asked
    */
   public ConfigWatcher(
-      Caller caller,
+      RpcClient caller,
       Timers timers,
       Settings settings,
       String role,
@@ -85,7 +85,7 @@
             : new DirectDiscovery(
                 timers,
                 platform,
-                settings.platform().perSecond(),
+                settings.platform().maxCallsPerSecond(),
                 new Random(instanceId),
                 this::listAgeMs,
                 () -> view.gateways.size(),
@@ -94,8 +94,8 @@
 
   /** Begins to ask, once. */
   public void start() {
-    streams.choose(view.head);
-    review = timers.after(REVIEW_MS, this::review);
+    streams.choose(view.controlPlaneVoters);
+    review = timers.schedule(REVIEW_MS, this::review);
     if (fallback != null) {
       fallback.start();
     }
@@ -104,7 +104,7 @@
   /** Takes the seeds of the changed settings; all else stays as it was. */
   public void changed(Settings changed) {
     streams.seeds(changed);
-    streams.choose(view.head);
+    streams.choose(view.controlPlaneVoters);
   }
 
   /** Asks nothing more; what is known stays. */
@@ -213,29 +213,29 @@
   }
 
   private void review() {
-    streams.choose(view.head);
-    if (take(view.head, view.storeSet)) {
+    streams.choose(view.controlPlaneVoters);
+    if (take(view.controlPlaneVoters, view.jobStoreVoters)) {
       tell();
     }
-    review = timers.after(REVIEW_MS, this::review);
+    review = timers.schedule(REVIEW_MS, this::review);
   }
 
   private PullRequest request(WatchStream stream) {
     PullRequest request = new PullRequest();
     StoreStatus part = store.get();
-    request.station = settings.station();
-    request.address = settings.innerAddress();
+    request.machine = settings.machine();
+    request.address = settings.rpcAddress();
     request.zone = settings.zone();
     request.role = role;
     request.instanceId = instanceId;
     request.voting = part.voting();
-    request.emptied = part.emptied();
-    request.storeSet = part.storeSet();
-    request.edition = edition();
-    request.listEpoch = wantsList(stream) ? servers.epoch() : NO_LIST;
-    request.listVersion = servers.version();
+    request.drained = part.emptied();
+    request.jobStoreVoters = part.storeSet();
+    request.configVersion = edition();
+    request.serverListEpoch = wantsList(stream) ? servers.epoch() : NO_LIST;
+    request.serverListVersion = servers.version();
     request.viewVersion = stream.viewVersion;
-    request.waitMs = WAIT_MS;
+    request.maxWaitMs = WAIT_MS;
     request.hasDisk = settings.dataDir() != null;
     return request;
   }
@@ -259,21 +259,21 @@
     long now = timers.now();
     boolean whole = true;
     boolean changed = false;
-    if (response.config != null && response.edition > edition()) {
+    if (response.config != null && response.configVersion > edition()) {
       try {
-        changed = takeConfig(response.config, readAs(response.edition, response.config));
+        changed = takeConfig(response.config, readAs(response.configVersion, response.config));
       } catch (ElmsailException e) {
         whole = false;
       }
     }
-    if (response.listAgeMs >= 0) {
+    if (response.serverListAgeMs >= 0) {
       try {
         changed |=
             servers.response(
-                response.listEpoch,
-                response.listVersion,
+                response.serverListEpoch,
+                response.serverListVersion,
                 response.servers,
-                now - response.listAgeMs);
+                now - response.serverListAgeMs);
       } catch (ElmsailException e) {
         whole = false;
       }
@@ -299,7 +299,7 @@
     RoutingConfig read = RoutingConfigReader.read(bytes);
     if (read.edition() != edition) {
       throw new ElmsailException(
-          ErrorCode.GARBLED, "told edition " + edition + ", came " + read.edition());
+          ErrorCode.MALFORMED, "told edition " + edition + ", came " + read.edition());
     }
     return read;
   }
@@ -315,22 +315,22 @@
 
   private boolean merge(ClusterView response) {
     return take(
-        VoterSets.merge(view.head, response.head),
-        VoterSets.merge(view.storeSet, response.storeSet));
+        VoterSets.merge(view.controlPlaneVoters, response.controlPlaneVoters),
+        VoterSets.merge(view.jobStoreVoters, response.jobStoreVoters));
   }
 
   /** Whether anything of the view is another now. */
   private boolean take(VoterSet head, VoterSet storeSet) {
     ClusterView merged = new ClusterView();
-    merged.head = head;
-    merged.storeSet = storeSet;
+    merged.controlPlaneVoters = head;
+    merged.jobStoreVoters = storeSet;
     List<List<String>> lists = streams.gateways();
     merged.gateways = lists.isEmpty() ? view.gateways : ClusterViews.union(lists);
     if (ClusterViews.same(view, merged)) {
       return false;
     }
-    if (!VoterSets.same(view.head, head)) {
-      timers.soon(() -> streams.choose(view.head));
+    if (!VoterSets.same(view.controlPlaneVoters, head)) {
+      timers.execute(() -> streams.choose(view.controlPlaneVoters));
     }
     view = merged;
     return true;
--- a/config/src/main/java/elmsail/config/watch/DirectDiscovery.java
+++ b/config/src/main/java/elmsail/config/watch/DirectDiscovery.java
@@ -55,7 +55,7 @@
   void start() {
     startedAt = timers.now();
     notBefore = startedAt;
-    next = timers.after(LOOK_MS, this::look);
+    next = timers.schedule(LOOK_MS, this::look);
   }
 
   void close() {
@@ -72,11 +72,11 @@
 
   private void look() {
     if (!needed()) {
-      next = timers.after(LOOK_MS, this::look);
+      next = timers.schedule(LOOK_MS, this::look);
       return;
     }
     long pause = Math.max(chance.nextLong(SPREAD_MS + 1), notBefore - timers.now());
-    next = timers.after(pause, this::request);
+    next = timers.schedule(pause, this::request);
   }
 
   private void request() {
@@ -95,7 +95,7 @@
               if (thrown == null) {
                 taker.take(servers, platform.takenAt());
               }
-              next = timers.after(LOOK_MS, this::look);
+              next = timers.schedule(LOOK_MS, this::look);
             });
   }
 
--- a/config/src/main/java/elmsail/config/watch/UpdateSources.java
+++ b/config/src/main/java/elmsail/config/watch/UpdateSources.java
@@ -110,12 +110,12 @@
     if (older != null) {
       answer(older);
     }
-    if (newer(request) || request.waitMs <= 0 || held.size() >= MOST_HELD) {
+    if (newer(request) || request.maxWaitMs <= 0 || held.size() >= MOST_HELD) {
       return CompletableFuture.completedFuture(response(request));
     }
     CompletableFuture<PullResponse> answer = new CompletableFuture<>();
     Timers.Timer timer =
-        timers.after(Math.min(request.waitMs, LONGEST_WAIT_MS), () -> waited(who, answer));
+        timers.schedule(Math.min(request.maxWaitMs, LONGEST_WAIT_MS), () -> waited(who, answer));
     held.put(who, new Held(request, answer, timer));
     return answer;
   }
@@ -138,20 +138,20 @@
   }
 
   private static String who(PullRequest request) {
-    return request.role + '@' + request.station;
+    return request.role + '@' + request.machine;
   }
 
   private void hear(String who, PullRequest request) {
     PeerReport now =
         new PeerReport(
-            request.station,
+            request.machine,
             request.address,
             request.zone,
             request.role,
             request.instanceId,
             request.voting,
-            request.emptied,
-            request.storeSet,
+            request.drained,
+            request.jobStoreVoters,
             timers.now());
     PeerReport before = heard.remove(who);
     if (before == null && heard.size() >= MOST_HEARD) {
@@ -159,30 +159,30 @@
     }
     heard.put(who, now);
     if (before == null || !before.saysTheSame(now)) {
-      timers.soon(whenHeard);
+      timers.execute(whenHeard);
     }
   }
 
   private boolean newer(PullRequest request) {
-    return config != null && edition > request.edition
+    return config != null && edition > request.configVersion
         || newerList(request)
         || viewVersion != request.viewVersion;
   }
 
   private boolean newerList(PullRequest request) {
     return servers != null
-        && (listEpoch > request.listEpoch
-            || listEpoch == request.listEpoch && listVersion > request.listVersion);
+        && (listEpoch > request.serverListEpoch
+            || listEpoch == request.serverListEpoch && listVersion > request.serverListVersion);
   }
 
   private PullResponse response(PullRequest request) {
     PullResponse response = new PullResponse();
-    response.edition = edition;
-    response.config = edition > request.edition ? config : null;
-    response.listEpoch = listEpoch;
-    response.listVersion = listVersion;
+    response.configVersion = edition;
+    response.config = edition > request.configVersion ? config : null;
+    response.serverListEpoch = listEpoch;
+    response.serverListVersion = listVersion;
     response.servers = newerList(request) ? servers : null;
-    response.listAgeMs = servers == null ? -1 : Math.max(0, timers.now() - listTakenAt);
+    response.serverListAgeMs = servers == null ? -1 : Math.max(0, timers.now() - listTakenAt);
     response.viewVersion = viewVersion;
     response.view = viewVersion != request.viewVersion ? views.apply(request) : null;
     return response;
@@ -200,7 +200,7 @@
   private void changed() {
     if (!releasing) {
       releasing = true;
-      timers.soon(this::release);
+      timers.execute(this::release);
     }
   }
 
--- a/config/src/main/java/elmsail/config/watch/WatchStreams.java
+++ b/config/src/main/java/elmsail/config/watch/WatchStreams.java
@@ -1,6 +1,6 @@
 package elmsail.config.watch;
 
-import elmsail.rpc.Caller;
+import elmsail.rpc.RpcClient;
 import elmsail.rpc.messages.PullRequest;
 import elmsail.rpc.messages.PullResponse;
 import elmsail.rpc.messages.Voter;
@@ -40,7 +40,7 @@
     boolean take(WatchStream stream, PullResponse response);
   }
 
-  private final Caller caller;
+  private final RpcClient caller;
   private final Timers timers;
   private final String station;
   private final String self;
@@ -56,7 +56,7 @@
   private long failures;
 
   WatchStreams(
-      Caller caller,
+      RpcClient caller,
       Timers timers,
       Settings settings,
       Function<WatchStream, PullRequest> asks,
@@ -65,9 +65,9 @@
     this.timers = timers;
     this.asks = asks;
     this.taker = taker;
-    station = settings.station();
-    self = settings.innerAddress();
-    most = settings.serves().contains("counter") ? MOST_OF_GATEWAY : Integer.MAX_VALUE;
+    station = settings.machine();
+    self = settings.rpcAddress();
+    most = settings.services().contains("counter") ? MOST_OF_GATEWAY : Integer.MAX_VALUE;
     seeds(settings);
     lastHeardAt = timers.now();
   }
@@ -76,7 +76,7 @@
   void seeds(Settings settings) {
     seeds.clear();
     for (String seed : settings.seeds()) {
-      seeds.add(settings.headInner(seed));
+      seeds.add(settings.controlPlaneRpcAddress(seed));
     }
   }
 
@@ -226,7 +226,7 @@
               }
               if (!closed && stream.open) {
                 stream.next =
-                    timers.after(
+                    timers.schedule(
                         used ? stream.afterAnswer(timers.now()) : stream.afterFailure(),
                         () -> request(stream));
               }
--- a/config/src/test/java/elmsail/config/ConfigAmendmentTest.java
+++ b/config/src/test/java/elmsail/config/ConfigAmendmentTest.java
@@ -35,7 +35,7 @@
   private static String refused(String before, String amendment) {
     ElmsailException failure =
         assertThrows(ElmsailException.class, () -> amended(before, amendment));
-    assertThat(failure.code(), is(ErrorCode.BAD_CALL));
+    assertThat(failure.code(), is(ErrorCode.INVALID_ARGUMENT));
     return failure.getMessage();
   }
 
--- a/config/src/test/java/elmsail/config/PlatformClientTest.java
+++ b/config/src/test/java/elmsail/config/PlatformClientTest.java
@@ -10,7 +10,7 @@
 import elmsail.runtime.ErrorCode;
 import elmsail.runtime.ManualTimers;
 import elmsail.runtime.http.HttpClient;
-import elmsail.runtime.http.HttpReply;
+import elmsail.runtime.http.SimpleHttpResponse;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -21,7 +21,7 @@
 class PlatformClientTest {
   private final ManualTimers timers = new ManualTimers();
   private final List<String> asked = new ArrayList<>();
-  private final List<CompletableFuture<HttpReply>> open = new ArrayList<>();
+  private final List<CompletableFuture<SimpleHttpResponse>> open = new ArrayList<>();
   private final HttpClient asker =
       (address, path, timeoutMs) -> {
         assertThat(address, equalTo("10.200.0.79:8169"));
@@ -33,7 +33,7 @@
   private final PlatformClient call = new PlatformClient(asker, "10.200.0.79:8169", timers);
 
   private void answer(int status, String body) {
-    open.get(open.size() - 1).complete(new HttpReply(status, Map.of(), Examples.bytes(body)));
+    open.get(open.size() - 1).complete(new SimpleHttpResponse(status, Map.of(), Examples.bytes(body)));
   }
 
   private static String page(String next, String... ids) {
@@ -73,9 +73,9 @@
   @Test
   void followsThePagesToTheLast() {
     CompletableFuture<List<ServerEntry>> all = call.fetch();
-    timers.pass(100);
+    timers.advance(100);
     answer(200, page("p 50&=", "i-1", "i-2"));
-    timers.pass(100);
+    timers.advance(100);
     answer(200, page("", "i-3", "i-1"));
     assertThat(asked, contains("/servers", "/servers?page_token=p+50%26%3D"));
     assertThat(ids(all), contains("i-1", "i-2", "i-3"));
@@ -99,7 +99,7 @@
     CompletableFuture<List<ServerEntry>> all = call.fetch();
     answer(200, page("p", "i-1"));
     answer(429, "");
-    assertThat(code(all), equalTo(ErrorCode.FULL));
+    assertThat(code(all), equalTo(ErrorCode.RESOURCE_EXHAUSTED));
     CompletableFuture<List<ServerEntry>> again = call.fetch();
     answer(200, page(null, "i-2"));
     assertThat(ids(again), contains("i-2"));
@@ -109,13 +109,13 @@
   void otherAnswersAndSilenceFail() {
     CompletableFuture<List<ServerEntry>> all = call.fetch();
     answer(500, page(null));
-    assertThat(code(all), equalTo(ErrorCode.GARBLED));
+    assertThat(code(all), equalTo(ErrorCode.MALFORMED));
     all = call.fetch();
     answer(200, "{\"servers\":[");
-    assertThat(code(all), equalTo(ErrorCode.GARBLED));
+    assertThat(code(all), equalTo(ErrorCode.MALFORMED));
     all = call.fetch();
-    open.get(2).completeExceptionally(new ElmsailException(ErrorCode.SILENT, "no answer"));
-    assertThat(code(all), equalTo(ErrorCode.SILENT));
+    open.get(2).completeExceptionally(new ElmsailException(ErrorCode.TIMEOUT, "no answer"));
+    assertThat(code(all), equalTo(ErrorCode.TIMEOUT));
   }
 
   @Test
@@ -125,7 +125,7 @@
       assertThat(all.isDone(), equalTo(false));
       answer(200, page("p", "i-" + i));
     }
-    assertThat(code(all), equalTo(ErrorCode.GARBLED));
+    assertThat(code(all), equalTo(ErrorCode.MALFORMED));
     assertThat(asked, hasSize(500));
   }
 }
--- a/config/src/test/java/elmsail/config/RoutingConfigReaderTest.java
+++ b/config/src/test/java/elmsail/config/RoutingConfigReaderTest.java
@@ -27,7 +27,7 @@
   private static String refusal(byte[] bytes) {
     ElmsailException thrown =
         assertThrows(ElmsailException.class, () -> RoutingConfigReader.read(bytes));
-    assertThat(thrown.code(), equalTo(ErrorCode.BAD_CALL));
+    assertThat(thrown.code(), equalTo(ErrorCode.INVALID_ARGUMENT));
     return thrown.getMessage();
   }
 
--- a/config/src/test/java/elmsail/config/ServerListTest.java
+++ b/config/src/test/java/elmsail/config/ServerListTest.java
@@ -24,7 +24,7 @@
   private static void garbled(byte[] bytes) {
     assertThat(
         assertThrows(ElmsailException.class, () -> ServerList.page(bytes)).code(),
-        equalTo(ErrorCode.GARBLED));
+        equalTo(ErrorCode.MALFORMED));
   }
 
   @Test
--- a/config/src/test/java/elmsail/config/watch/ChangedSeedsTest.java
+++ b/config/src/test/java/elmsail/config/watch/ChangedSeedsTest.java
@@ -18,10 +18,10 @@
   private static Settings changed() {
     Settings before = settings(Set.of("counter"));
     return new Settings(
-        before.station(),
+        before.machine(),
         before.role(),
         before.machineClass(),
-        before.serves(),
+        before.services(),
         before.ip(),
         before.zone(),
         before.region(),
@@ -43,13 +43,13 @@
   @Test
   void seedsOfChangedSettingsAreAskedOnceNobodyElseAnswers() {
     watcher.start();
-    timers.pass(500);
+    timers.advance(500);
     List.of(A, B, C).forEach(links.notaries::remove);
     UpdateSources d = links.controlPlane(D);
     links.controlPlane(E);
     d.setConfig(8, config(8));
     watcher.changed(changed());
-    timers.pass(12_000);
+    timers.advance(12_000);
     assertThat(watcher.asked(), hasItems(D, E));
     assertThat(watcher.config().edition(), equalTo(8L));
   }
--- a/config/src/test/java/elmsail/config/watch/ConfigWatcherRig.java
+++ b/config/src/test/java/elmsail/config/watch/ConfigWatcherRig.java
@@ -87,8 +87,8 @@
 
   static ClusterView view(VoterSet head, VoterSet storeSet, String... gateways) {
     ClusterView view = new ClusterView();
-    view.head = head;
-    view.storeSet = storeSet;
+    view.controlPlaneVoters = head;
+    view.jobStoreVoters = storeSet;
     view.gateways.addAll(List.of(gateways));
     return view;
   }
--- a/config/src/test/java/elmsail/config/watch/ConfigWatcherServersTest.java
+++ b/config/src/test/java/elmsail/config/watch/ConfigWatcherServersTest.java
@@ -36,7 +36,7 @@
     for (UpdateSources controlPlane : notaries) {
       controlPlane.setServers(1, version, list("i-" + version), timers.now());
     }
-    timers.pass(1_000);
+    timers.advance(1_000);
     return lists;
   }
 
@@ -51,14 +51,14 @@
   void theListsAgeIsKeptFromWhatIsTold() {
     a.setServers(1, 1, list("i-1"), timers.now() - 400);
     watcher.start();
-    timers.pass(10);
+    timers.advance(10);
     assertThat(watcher.listAgeMs(), equalTo(405L));
     assertThat(watcher.listTakenAt(), equalTo(605L));
-    timers.pass(600);
+    timers.advance(600);
     assertThat(watcher.listAgeMs(), equalTo(1_005L));
     int before = changes;
     a.setServers(1, 1, list("i-1"), timers.now());
-    timers.pass(900);
+    timers.advance(900);
     assertThat(watcher.listAgeMs(), lessThanOrEqualTo(1_000L));
     assertThat(changes, equalTo(before));
   }
@@ -68,7 +68,7 @@
     a.setServers(2, 1, list("i-2"), timers.now());
     b.setServers(1, 50, list("i-1"), timers.now());
     watcher.start();
-    timers.pass(2_000);
+    timers.advance(2_000);
     assertThat(watcher.servers(), equalTo(ServerList.decode(list("i-2"))));
     assertThat(watcher.listEpoch(), equalTo(2L));
     assertThat(watcher.listVersion(), equalTo(1L));
@@ -86,9 +86,9 @@
     for (int version = 4; version <= 9; version++) {
       assertThat(listsTold(version, a, b, c), equalTo(1));
       assertThat(watcher.listVersion(), equalTo((long) version));
-      assertThat(links.last(A).listEpoch, equalTo(1L));
-      assertThat(links.last(B).listEpoch, equalTo(Long.MAX_VALUE));
-      assertThat(links.last(C).listEpoch, equalTo(Long.MAX_VALUE));
+      assertThat(links.last(A).serverListEpoch, equalTo(1L));
+      assertThat(links.last(B).serverListEpoch, equalTo(Long.MAX_VALUE));
+      assertThat(links.last(C).serverListEpoch, equalTo(Long.MAX_VALUE));
     }
   }
 
@@ -116,17 +116,17 @@
     a.setServers(1, 1, list("i-1"), timers.now());
     ConfigWatcher store = watcher("store", Set.of("vault"), () -> StoreStatus.NONE);
     store.start();
-    timers.pass(1_500);
+    timers.advance(1_500);
     assertThat(store.servers(), empty());
     ConfigWatcher controlPlane =
         watcher("controlplane", Set.of("head_office"), () -> StoreStatus.NONE);
     controlPlane.start();
-    timers.pass(1_500);
+    timers.advance(1_500);
     b.setServers(1, 1, list("i-1"), timers.now());
-    timers.pass(10);
+    timers.advance(10);
     assertThat(controlPlane.servers(), hasSize(1));
     c.setServers(1, 2, list("i-2"), timers.now());
-    timers.pass(10);
+    timers.advance(10);
     assertThat(controlPlane.listVersion(), equalTo(2L));
   }
 }
--- a/config/src/test/java/elmsail/config/watch/ConfigWatcherViewTest.java
+++ b/config/src/test/java/elmsail/config/watch/ConfigWatcherViewTest.java
@@ -26,14 +26,14 @@
     b.setView(request -> view(head, voterSet("v4:1", 2, "v2:1", 1, "v3:1", 1), "c2:1", "c3:1"));
     c.setView(request -> view(head, new VoterSet(), "c4:1"));
     watcher.start();
-    timers.pass(100);
-    assertThat(addresses(watcher.view().storeSet), contains("v4:1#2", "v2:1#3", "v3:1#1"));
-    assertThat(addresses(watcher.view().head), contains(A + "#1", B + "#1", C + "#1"));
+    timers.advance(100);
+    assertThat(addresses(watcher.view().jobStoreVoters), contains("v4:1#2", "v2:1#3", "v3:1#1"));
+    assertThat(addresses(watcher.view().controlPlaneVoters), contains(A + "#1", B + "#1", C + "#1"));
     assertThat(watcher.view().gateways, contains("c1:1", "c2:1", "c3:1", "c4:1"));
     a.setView(request -> view(head, voterSet("v1:1", 1, "v2:1", 1, "v3:1", 1), "c1:1"));
     b.setView(request -> view(head, new VoterSet()));
-    timers.pass(100);
-    assertThat(addresses(watcher.view().storeSet), contains("v4:1#2", "v2:1#3", "v3:1#1"));
+    timers.advance(100);
+    assertThat(addresses(watcher.view().jobStoreVoters), contains("v4:1#2", "v2:1#3", "v3:1#1"));
     assertThat(watcher.view().gateways, contains("c1:1", "c4:1"));
   }
 
@@ -42,13 +42,13 @@
     a.setView(request -> view(new VoterSet(), new VoterSet(), "c1:1"));
     b.setView(request -> view(new VoterSet(), new VoterSet(), "c2:1"));
     watcher.start();
-    timers.pass(100);
+    timers.advance(100);
     assertThat(watcher.view().gateways, contains("c1:1", "c2:1"));
     links.notaries.remove(A);
-    timers.pass(8_000);
+    timers.advance(8_000);
     assertThat(watcher.view().gateways, contains("c2:1"));
     links.notaries.clear();
-    timers.pass(10_000);
+    timers.advance(10_000);
     assertThat(watcher.view().gateways, contains("c2:1"));
   }
 
@@ -66,15 +66,15 @@
                   ? null
                   : view(new VoterSet(), new VoterSet(), gateway);
           CompletableFuture<PullResponse> answer = new CompletableFuture<>();
-          timers.after(response.view == null ? request.waitMs : 0, () -> answer.complete(response));
+          timers.schedule(response.view == null ? request.maxWaitMs : 0, () -> answer.complete(response));
           return answer;
         });
     watcher.start();
-    timers.pass(100);
+    timers.advance(100);
     assertThat(links.last(A).viewVersion, equalTo(500L));
     version[0] = 1;
     gateway[0] = "c9:1";
-    timers.pass(2_200);
+    timers.advance(2_200);
     assertThat(watcher.view().gateways, contains("c9:1"));
     assertThat(links.last(A).viewVersion, equalTo(1L));
   }
@@ -92,13 +92,13 @@
                   ? null
                   : view(new VoterSet(), new VoterSet(), "v" + version[0]);
           CompletableFuture<PullResponse> answer = new CompletableFuture<>();
-          timers.after(response.view == null ? request.waitMs : 0, () -> answer.complete(response));
+          timers.schedule(response.view == null ? request.maxWaitMs : 0, () -> answer.complete(response));
           return answer;
         });
     watcher.start();
-    timers.pass(100);
+    timers.advance(100);
     version[0] = 1;
-    timers.pass(2_500);
+    timers.advance(2_500);
     assertThat(watcher.view().gateways, contains("v1"));
   }
 
@@ -107,7 +107,7 @@
     List<String> joins = new ArrayList<>();
     watcher.whenJoinOrdered((slot, epoch) -> joins.add(slot + "#" + epoch));
     watcher.start();
-    timers.pass(100);
+    timers.advance(100);
     assertThat(joins, empty());
     b.setView(
         request -> {
@@ -116,7 +116,7 @@
           view.joinEpoch = 3;
           return view;
         });
-    timers.pass(10);
+    timers.advance(10);
     assertThat(joins, contains("0#3"));
   }
 
@@ -126,13 +126,13 @@
     UpdateSources other = links.controlPlane(moved);
     a.setView(request -> view(voterSet(A, 1, B, 1, moved, 2), new VoterSet()));
     watcher.start();
-    timers.pass(50);
+    timers.advance(50);
     assertThat(watcher.asked(), containsInAnyOrder(A, B, moved));
     other.setConfig(7, config(7));
-    timers.pass(50);
+    timers.advance(50);
     assertThat(watcher.config().edition(), equalTo(7L));
     int asksOfC = links.times(C).size();
-    timers.pass(3_000);
+    timers.advance(3_000);
     assertThat(links.times(C), hasSize(asksOfC));
   }
 
@@ -142,10 +142,10 @@
         request ->
             view(voterSet("10.9.0.1:1", 1, "10.9.0.2:1", 1, "10.9.0.3:1", 1), new VoterSet()));
     watcher.start();
-    timers.pass(50);
+    timers.advance(50);
     assertThat(watcher.asked(), not(hasItem(A)));
     a.setView(request -> view(voterSet(A, 2, B, 2, C, 2), new VoterSet()));
-    timers.pass(40_000);
+    timers.advance(40_000);
     assertThat(watcher.asked(), containsInAnyOrder(A, B, C));
   }
 
@@ -157,19 +157,19 @@
     links.controlPlane(e);
     a.setView(request -> view(voterSet(A, 1, B, 1, C, 1, d, 1, e, 1), new VoterSet()));
     watcher.start();
-    timers.pass(2_000);
+    timers.advance(2_000);
     List<String> first = watcher.asked();
     assertThat(first, hasSize(3));
     String gone = first.get(0);
     links.cutThere.add(gone);
-    timers.pass(9_000);
+    timers.advance(9_000);
     assertThat(watcher.asked(), hasSize(3));
     assertThat(watcher.asked(), not(hasItem(gone)));
     for (String stays : first.subList(1, 3)) {
       assertThat(watcher.asked(), hasItem(stays));
     }
     links.cutThere.clear();
-    timers.pass(32_000);
+    timers.advance(32_000);
     assertThat(watcher.asked(), containsInAnyOrder(first.toArray()));
   }
 
@@ -184,11 +184,11 @@
     ConfigWatcher store = watcher("store", Set.of("vault"), () -> StoreStatus.NONE);
     store.start();
     watcher.start();
-    timers.pass(2_000);
+    timers.advance(2_000);
     assertThat(store.asked(), containsInAnyOrder(A, B, C, d, e));
     assertThat(watcher.asked(), hasSize(3));
     links.cutThere.add(d);
-    timers.pass(20_000);
+    timers.advance(20_000);
     assertThat("silent or not", store.asked(), containsInAnyOrder(A, B, C, d, e));
   }
 }
--- a/config/src/test/java/elmsail/config/watch/DirectDiscoveryTest.java
+++ b/config/src/test/java/elmsail/config/watch/DirectDiscoveryTest.java
@@ -16,7 +16,7 @@
 import elmsail.rpc.messages.ClusterView;
 import elmsail.runtime.ManualTimers;
 import elmsail.runtime.http.HttpClient;
-import elmsail.runtime.http.HttpReply;
+import elmsail.runtime.http.SimpleHttpResponse;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -39,9 +39,9 @@
     HttpClient asker =
         (address, path, timeoutMs) -> {
           asked.add(timers.now());
-          CompletableFuture<HttpReply> reply = new CompletableFuture<>();
-          timers.after(
-              10, () -> reply.complete(new HttpReply(status, Map.of(), ServerList.encode(OWN))));
+          CompletableFuture<SimpleHttpResponse> reply = new CompletableFuture<>();
+          timers.schedule(
+              10, () -> reply.complete(new SimpleHttpResponse(status, Map.of(), ServerList.encode(OWN))));
           return reply;
         };
     PlatformClient call = new PlatformClient(asker, "10.200.0.79:8169", timers);
@@ -59,9 +59,9 @@
   void withoutAnyListTheCarrierIsAskedThreeSecondsAfterTheStart() {
     ConfigWatcher watcher = watcher("gateway", 77);
     watcher.start();
-    timers.pass(2_999);
+    timers.advance(2_999);
     assertThat(asked, empty());
-    timers.pass(1_300);
+    timers.advance(1_300);
     assertThat(asked, hasSize(1));
     assertThat(watcher.servers(), equalTo(OWN));
     assertThat(watcher.listEpoch(), equalTo(0L));
@@ -74,7 +74,7 @@
     for (String role : List.of("store", "controlplane")) {
       watcher(role, 77).start();
     }
-    timers.pass(20_000);
+    timers.advance(20_000);
     assertThat(asked, empty());
   }
 
@@ -85,7 +85,7 @@
     watcher.start();
     for (int i = 0; i < 20; i++) {
       a.setServers(1, 1, ServerList.encode(TOLD), timers.now());
-      timers.pass(1_000);
+      timers.advance(1_000);
     }
     assertThat(asked, empty());
     assertThat(watcher.servers(), equalTo(TOLD));
@@ -97,14 +97,14 @@
     a.setServers(1, 1, ServerList.encode(TOLD), timers.now());
     ConfigWatcher watcher = watcher("gateway", 77);
     watcher.start();
-    timers.pass(2_500);
+    timers.advance(2_500);
     assertThat(asked, empty());
-    timers.pass(1_500);
+    timers.advance(1_500);
     assertThat(asked, hasSize(1));
     assertThat(watcher.servers(), equalTo(OWN));
     assertThat(watcher.listVersion(), equalTo(1L));
     a.setServers(1, 1, ServerList.encode(TOLD), timers.now());
-    timers.pass(1_100);
+    timers.advance(1_100);
     assertThat(watcher.servers(), equalTo(TOLD));
   }
 
@@ -120,7 +120,7 @@
           return view;
         });
     watcher("gateway", 77).start();
-    timers.pass(60_000);
+    timers.advance(60_000);
     assertThat(asked.size(), greaterThan(6));
     for (int i = 1; i < asked.size(); i++) {
       assertThat(asked.get(i) - asked.get(i - 1), greaterThanOrEqualTo(6_000L));
@@ -131,9 +131,9 @@
   void aloneItAsksAsSoonAsTheListIsOldAgain() {
     ConfigWatcher watcher = watcher("gateway", 77);
     watcher.start();
-    timers.pass(4_300);
+    timers.advance(4_300);
     for (int i = 0; i < 100; i++) {
-      timers.pass(100);
+      timers.advance(100);
       assertThat(watcher.listAgeMs(), lessThanOrEqualTo(4_000L));
     }
   }
@@ -142,7 +142,7 @@
   void refusalsAreNotAnsweredInHaste() {
     status = 429;
     watcher("gateway", 77).start();
-    timers.pass(13_000);
+    timers.advance(13_000);
     assertThat(asked.size(), lessThanOrEqualTo(10));
     assertThat(asked.size(), greaterThan(3));
     for (int i = 1; i < asked.size(); i++) {
@@ -156,7 +156,7 @@
     for (int instanceId = 0; instanceId < 50; instanceId++) {
       watcher("gateway", instanceId * 7_919L).start();
     }
-    timers.pass(4_300);
+    timers.advance(4_300);
     times.addAll(asked);
     assertThat(asked, hasSize(50));
     assertThat(times.size(), greaterThan(35));
@@ -167,10 +167,10 @@
   void afterTheCloseNothingIsAsked() {
     ConfigWatcher watcher = watcher("gateway", 77);
     watcher.start();
-    timers.pass(3_100);
+    timers.advance(3_100);
     watcher.close();
     int before = asked.size();
-    timers.pass(20_000);
+    timers.advance(20_000);
     assertThat(asked, hasSize(before));
   }
 }
--- a/config/src/test/java/elmsail/config/watch/Links.java
+++ b/config/src/test/java/elmsail/config/watch/Links.java
@@ -1,6 +1,6 @@
 package elmsail.config.watch;
 
-import elmsail.rpc.Caller;
+import elmsail.rpc.RpcClient;
 import elmsail.rpc.messages.PullRequest;
 import elmsail.rpc.messages.PullResponse;
 import elmsail.runtime.ElmsailException;
@@ -18,7 +18,7 @@
 /**
  * Links of 5 ms each way between a watcher and control-plane nodes that tests cut, end and replace.
  */
-final class Links implements Caller {
+final class Links implements RpcClient {
   private static final long ONE_WAY_MS = 5;
 
   /** One ask that left the watcher. */
@@ -64,25 +64,25 @@
       String peer, Object request, Class<A> answer, long timeoutMs) {
     CompletableFuture<A> future = new CompletableFuture<>();
     sent.add(new Sent(peer, timers.now(), (PullRequest) request));
-    timers.after(
+    timers.schedule(
         timeoutMs,
-        () -> future.completeExceptionally(new ElmsailException(ErrorCode.SILENT, peer)));
+        () -> future.completeExceptionally(new ElmsailException(ErrorCode.TIMEOUT, peer)));
     if (cutThere.contains(peer)) {
       return future;
     }
-    timers.after(
+    timers.schedule(
         ONE_WAY_MS,
         () -> {
           Function<PullRequest, CompletableFuture<PullResponse>> controlPlane = notaries.get(peer);
           if (controlPlane == null) {
-            future.completeExceptionally(new ElmsailException(ErrorCode.UNSENT, peer));
+            future.completeExceptionally(new ElmsailException(ErrorCode.NOT_SENT, peer));
             return;
           }
           controlPlane
               .apply((PullRequest) request)
               .thenAccept(
                   response ->
-                      timers.after(
+                      timers.schedule(
                           ONE_WAY_MS,
                           () -> {
                             if (!cutBack.contains(peer)) {
--- a/config/src/test/java/elmsail/config/watch/UpdateSourcesTest.java
+++ b/config/src/test/java/elmsail/config/watch/UpdateSourcesTest.java
@@ -25,9 +25,9 @@
 
   private static PullRequest request(String station, long waitMs) {
     PullRequest request = new PullRequest();
-    request.station = station;
+    request.machine = station;
     request.role = "gateway";
-    request.waitMs = waitMs;
+    request.maxWaitMs = waitMs;
     return request;
   }
 
@@ -35,9 +35,9 @@
   private PullRequest upToDate(String station, long waitMs) {
     PullResponse all = sources.request(request(station, 0)).join();
     PullRequest request = request(station, waitMs);
-    request.edition = all.edition;
-    request.listEpoch = all.listEpoch;
-    request.listVersion = all.listVersion;
+    request.configVersion = all.configVersion;
+    request.serverListEpoch = all.serverListEpoch;
+    request.serverListVersion = all.serverListVersion;
     request.viewVersion = all.viewVersion;
     return request;
   }
@@ -49,10 +49,10 @@
     CompletableFuture<PullResponse> answer = sources.request(request("c-1", 1_000));
     assertThat(answer.isDone(), equalTo(true));
     PullResponse response = answer.join();
-    assertThat(response.edition, equalTo(5L));
+    assertThat(response.configVersion, equalTo(5L));
     assertThat(response.config, equalTo(FIVE));
     assertThat(response.servers, equalTo(SEVEN));
-    assertThat(response.listAgeMs, equalTo(300L));
+    assertThat(response.serverListAgeMs, equalTo(300L));
     assertThat(response.view, notNullValue());
   }
 
@@ -61,15 +61,15 @@
     sources.setConfig(5, FIVE);
     sources.setServers(1, 1, SEVEN, timers.now());
     CompletableFuture<PullResponse> answer = sources.request(upToDate("c-1", 1_000));
-    timers.pass(999);
+    timers.advance(999);
     assertThat(answer.isDone(), equalTo(false));
-    timers.pass(1);
+    timers.advance(1);
     PullResponse response = answer.join();
     assertThat(response.config, nullValue());
     assertThat(response.servers, nullValue());
     assertThat(response.view, nullValue());
-    assertThat(response.edition, equalTo(5L));
-    assertThat(response.listAgeMs, equalTo(1_000L));
+    assertThat(response.configVersion, equalTo(5L));
+    assertThat(response.serverListAgeMs, equalTo(1_000L));
     assertThat(sources.held(), equalTo(0));
   }
 
@@ -77,17 +77,17 @@
   void aChangeReleasesThoseItIsNewTo() {
     CompletableFuture<PullResponse> lacks = sources.request(upToDate("c-1", 1_000));
     PullRequest ahead = upToDate("c-2", 1_000);
-    ahead.edition = 6;
+    ahead.configVersion = 6;
     CompletableFuture<PullResponse> has = sources.request(ahead);
-    timers.pass(400);
+    timers.advance(400);
     sources.setConfig(5, FIVE);
-    timers.pass(0);
+    timers.advance(0);
     assertThat(lacks.join().config, equalTo(FIVE));
     assertThat(has.isDone(), equalTo(false));
     sources.setConfig(7, SEVEN);
-    timers.pass(0);
+    timers.advance(0);
     assertThat(has.join().config, equalTo(SEVEN));
-    assertThat(timers.step(), equalTo(false));
+    assertThat(timers.runNext(), equalTo(false));
   }
 
   @Test
@@ -95,7 +95,7 @@
     CompletableFuture<PullResponse> answer = sources.request(upToDate("c-1", 1_000));
     sources.setConfig(5, FIVE);
     sources.setServers(1, 1, SEVEN, timers.now());
-    timers.pass(0);
+    timers.advance(0);
     assertThat(answer.join().config, equalTo(FIVE));
     assertThat(answer.join().servers, equalTo(SEVEN));
   }
@@ -110,19 +110,19 @@
     PullResponse response = sources.request(request("c-1", 0)).join();
     assertThat(response.config, equalTo(SEVEN));
     assertThat(response.servers, equalTo(SEVEN));
-    assertThat(response.listEpoch, equalTo(2L));
+    assertThat(response.serverListEpoch, equalTo(2L));
   }
 
   @Test
   void theSameListAgainOnlyMakesItYounger() {
     sources.setServers(1, 1, SEVEN, timers.now());
     CompletableFuture<PullResponse> answer = sources.request(upToDate("c-1", 1_000));
-    timers.pass(600);
+    timers.advance(600);
     sources.setServers(1, 1, SEVEN, timers.now());
-    timers.pass(0);
+    timers.advance(0);
     assertThat(answer.isDone(), equalTo(false));
-    timers.pass(400);
-    assertThat(answer.join().listAgeMs, equalTo(400L));
+    timers.advance(400);
+    assertThat(answer.join().serverListAgeMs, equalTo(400L));
   }
 
   @Test
@@ -130,12 +130,12 @@
     sources.setConfig(5, FIVE);
     sources.setServers(1, 8, SEVEN, timers.now());
     PullRequest ahead = upToDate("c-1", 1_000);
-    ahead.edition = 9;
-    ahead.listEpoch = 2;
-    ahead.listVersion = 1;
+    ahead.configVersion = 9;
+    ahead.serverListEpoch = 2;
+    ahead.serverListVersion = 1;
     CompletableFuture<PullResponse> answer = sources.request(ahead);
     assertThat(answer.isDone(), equalTo(false));
-    timers.pass(1_000);
+    timers.advance(1_000);
     assertThat(answer.join().config, nullValue());
     assertThat(answer.join().servers, nullValue());
   }
@@ -145,16 +145,16 @@
     sources.setView(
         request -> {
           ClusterView view = new ClusterView();
-          view.joinSlot = request.station.equals("v-2") ? 1 : -1;
+          view.joinSlot = request.machine.equals("v-2") ? 1 : -1;
           return view;
         });
-    timers.pass(0);
+    timers.advance(0);
     CompletableFuture<PullResponse> one = sources.request(upToDate("v-1", 1_000));
     CompletableFuture<PullResponse> two = sources.request(upToDate("v-2", 1_000));
-    timers.pass(10);
+    timers.advance(10);
     assertThat(one.isDone(), equalTo(false));
     sources.viewChanged();
-    timers.pass(0);
+    timers.advance(0);
     assertThat(one.join().view.joinSlot, equalTo(-1));
     assertThat(two.join().view.joinSlot, equalTo(1));
   }
@@ -164,7 +164,7 @@
     PullRequest other = upToDate("c-1", 1_000);
     other.viewVersion += 100_000;
     assertThat(sources.request(other).join().view, notNullValue());
-    timers.pass(5);
+    timers.advance(5);
     assertThat(
         new UpdateSources(timers).request(request("c-1", 0)).join().viewVersion,
         not(equalTo(sources.request(request("c-1", 0)).join().viewVersion)));
@@ -177,7 +177,7 @@
     assertThat(first.isDone(), equalTo(true));
     assertThat(second.isDone(), equalTo(false));
     assertThat(sources.held(), equalTo(1));
-    timers.pass(1_000);
+    timers.advance(1_000);
     assertThat(second.isDone(), equalTo(true));
   }
 
@@ -195,7 +195,7 @@
   @Test
   void aWaitIsNeverLongerThanTenSeconds() {
     CompletableFuture<PullResponse> answer = sources.request(upToDate("c-1", Long.MAX_VALUE));
-    timers.pass(10_000);
+    timers.advance(10_000);
     assertThat(answer.isDone(), equalTo(true));
   }
 
@@ -208,11 +208,11 @@
     store.instanceId = 9;
     store.address = "10.0.0.1:7720";
     sources.request(store);
-    timers.pass(500);
+    timers.advance(500);
     sources.request(request("c-1", 0));
-    timers.pass(500);
+    timers.advance(500);
     sources.request(store);
-    timers.pass(100);
+    timers.advance(100);
     assertThat(calls, hasSize(2));
     assertThat(
         sources.heardWithin(100),
@@ -225,12 +225,12 @@
                 9,
                 false,
                 false,
-                store.storeSet,
+                store.jobStoreVoters,
                 timers.now() - 100)));
     assertThat(sources.heardWithin(600), hasSize(2));
     store.instanceId = 10;
     sources.request(store);
-    timers.pass(0);
+    timers.advance(0);
     assertThat(calls, hasSize(3));
     assertThat(sources.heardWithin(0).get(0).instanceId(), equalTo(10L));
   }
--- a/consensus/src/main/java/elmsail/consensus/Ballots.java
+++ b/consensus/src/main/java/elmsail/consensus/Ballots.java
@@ -9,18 +9,18 @@
   static Ballot of(long round, long who) {
     Ballot ballot = new Ballot();
     ballot.round = round;
-    ballot.who = who;
+    ballot.proposerId = who;
     return ballot;
   }
 
   static int compare(Ballot one, Ballot other) {
     return one.round != other.round
         ? Long.compare(one.round, other.round)
-        : Long.compare(one.who, other.who);
+        : Long.compare(one.proposerId, other.proposerId);
   }
 
   static boolean same(Ballot one, Ballot other) {
-    return one.round == other.round && one.who == other.who;
+    return one.round == other.round && one.proposerId == other.proposerId;
   }
 
   static Ballot higher(Ballot one, Ballot other) {
--- a/consensus/src/main/java/elmsail/consensus/BlobRead.java
+++ b/consensus/src/main/java/elmsail/consensus/BlobRead.java
@@ -22,7 +22,7 @@
 
   @Override
   ErrorCode codeIfOver() {
-    return ErrorCode.NOT_REACHED;
+    return ErrorCode.NO_QUORUM;
   }
 
   @Override
@@ -62,7 +62,7 @@
           .caller
           .call(voterSet.voters.get(slot).address, request, BlobResponse.class, callMs())
           .whenComplete((response, failure) -> answered(response));
-      client.timers.after(
+      client.timers.schedule(
           NEXT_AFTER_MS,
           () -> {
             if (asked == atMost) {
@@ -79,7 +79,7 @@
         return;
       }
       answered++;
-      if (response != null && response.known) {
+      if (response != null && response.found) {
         done(response.bytes);
         return;
       }
--- a/consensus/src/main/java/elmsail/consensus/DurableRecords.java
+++ b/consensus/src/main/java/elmsail/consensus/DurableRecords.java
@@ -96,7 +96,7 @@
     return safe.thenApply(
         none -> {
           if (failedWrites != failed) {
-            throw new ElmsailException(ErrorCode.DISK, "what this relies on could not be written");
+            throw new ElmsailException(ErrorCode.STORAGE_FAILURE, "what this relies on could not be written");
           }
           return answer.get();
         });
--- a/consensus/src/main/java/elmsail/consensus/JoinQuorum.java
+++ b/consensus/src/main/java/elmsail/consensus/JoinQuorum.java
@@ -104,11 +104,11 @@
       return;
     }
     Voter there = response.voterSet.voters.get(slot);
-    if (response.held) {
+    if (response.accepted) {
       acknowledged[slot] = response.voterSet;
     } else {
       noted[slot] =
-          response.noted
+          response.recorded
               && response.instanceId == there.instanceId
               && VoterSets.same(there, asked.voters.get(slot));
     }
@@ -127,10 +127,10 @@
     }
     Voter there = response.voterSet.voters.get(slot);
     boolean voting =
-        response.held
+        response.accepted
             && there.instanceId == holder.previousInstanceId
             && there.epoch == holder.previousEpoch;
-    kept[slot] = voting || response.noted && response.replaced && VoterSets.same(there, holder);
+    kept[slot] = voting || response.recorded && response.replaced && VoterSets.same(there, holder);
   }
 
   /** Null as long as too few acknowledged. */
--- a/consensus/src/main/java/elmsail/consensus/KeyState.java
+++ b/consensus/src/main/java/elmsail/consensus/KeyState.java
@@ -20,7 +20,7 @@
 
   byte[] bytes() {
     ByteBuffer out = ByteBuffer.allocate(HEAD + (value == null ? 0 : value.length));
-    out.putLong(promised.round).putLong(promised.who).putLong(accepted.round).putLong(accepted.who);
+    out.putLong(promised.round).putLong(promised.proposerId).putLong(accepted.round).putLong(accepted.proposerId);
     out.put((byte) ((value == null ? 0 : 1) | (copied ? 2 : 0)));
     if (value != null) {
       out.put(value);
@@ -33,7 +33,7 @@
       return EMPTY;
     }
     if (bytes.length < HEAD) {
-      throw new ElmsailException(ErrorCode.DISK, "a key's record of " + bytes.length + " bytes");
+      throw new ElmsailException(ErrorCode.STORAGE_FAILURE, "a key's record of " + bytes.length + " bytes");
     }
     ByteBuffer in = ByteBuffer.wrap(bytes);
     Ballot promised = Ballots.of(in.getLong(), in.getLong());
--- a/consensus/src/main/java/elmsail/consensus/Membership.java
+++ b/consensus/src/main/java/elmsail/consensus/Membership.java
@@ -73,7 +73,7 @@
     Voter known = voterSet.voters.get(slot);
     Voter holder = new Voter();
     holder.address = known.address;
-    holder.station = known.station;
+    holder.machine = known.machine;
     holder.instanceId = known.instanceId;
     holder.epoch = known.epoch;
     holder.previousAddress = known.previousAddress;
@@ -134,9 +134,9 @@
   /** VoteResponse.DONE if an ask under that voter set, which was learnt before, may be voted on. */
   int vote(VoterSet asked) {
     if (VoterSets.newer(voterSet, asked) || asked.voters.size() != voterSet.voters.size()) {
-      return VoteResponse.OLD_SEATING;
+      return VoteResponse.STALE_VOTER_SET;
     }
-    return voting() ? VoteResponse.DONE : VoteResponse.NOT_SEATED;
+    return voting() ? VoteResponse.OK : VoteResponse.NOT_A_VOTER;
   }
 
   /** What becomes of another's claim. */
@@ -157,9 +157,9 @@
     JoinResponse response = new JoinResponse();
     response.instanceId = instanceId;
     response.voting = voting();
-    response.held = joined == Claimed.ADOPTED || joined == Claimed.KNOWN;
-    response.noted = joined == Claimed.NOTED;
-    response.replaced = response.noted && replaced();
+    response.accepted = joined == Claimed.ADOPTED || joined == Claimed.KNOWN;
+    response.recorded = joined == Claimed.NOTED;
+    response.replaced = response.recorded && replaced();
     return response;
   }
 
@@ -167,7 +167,7 @@
    * Whether a newcomer may copy from here, where a vote is answered so; a replaced holder may do.
    */
   boolean serves(int code, boolean ofReplaced) {
-    return code == VoteResponse.DONE || code == VoteResponse.NOT_SEATED && ofReplaced && replaced();
+    return code == VoteResponse.OK || code == VoteResponse.NOT_A_VOTER && ofReplaced && replaced();
   }
 
   /**
@@ -184,17 +184,17 @@
       return Claimed.REFUSED;
     }
     Voter known = voterSet.voters.get(request.slot);
-    if (VoterSets.same(known, request.holder)) {
-      return request.holder.instanceId == instanceId
+    if (VoterSets.same(known, request.voter)) {
+      return request.voter.instanceId == instanceId
           ? Claimed.REFUSED
           : votes ? Claimed.KNOWN : Claimed.NOTED;
     }
-    int other = VoterSets.ofInstance(voterSet, request.holder.instanceId);
-    if (request.holder.epoch <= known.epoch || other >= 0 && other != request.slot) {
+    int other = VoterSets.ofInstance(voterSet, request.voter.instanceId);
+    if (request.voter.epoch <= known.epoch || other >= 0 && other != request.slot) {
       return Claimed.REFUSED;
     }
     boolean own = request.slot == ownSlot();
-    voterSet = VoterSets.with(voterSet, request.slot, request.holder);
+    voterSet = VoterSets.with(voterSet, request.slot, request.voter);
     return own ? Claimed.REFUSED : votes ? Claimed.ADOPTED : Claimed.NOTED;
   }
 
@@ -202,7 +202,7 @@
   Voter take(int slot, int epoch) {
     Voter holder = new Voter();
     holder.address = address;
-    holder.station = station;
+    holder.machine = station;
     holder.instanceId = instanceId;
     holder.epoch = epoch;
     Voter known = voterSet.voters.get(slot);
--- a/consensus/src/main/java/elmsail/consensus/PrepareRelay.java
+++ b/consensus/src/main/java/elmsail/consensus/PrepareRelay.java
@@ -1,6 +1,6 @@
 package elmsail.consensus;
 
-import elmsail.rpc.Caller;
+import elmsail.rpc.RpcClient;
 import elmsail.rpc.RequestHandlers;
 import elmsail.rpc.messages.PrepareRequest;
 import elmsail.rpc.messages.RelayedPrepareRequest;
@@ -26,24 +26,24 @@
   /** Bytes of blobs that are being passed on at a time, at most. */
   private static final long MOST_BYTES = 32L << 20;
 
-  private final Caller caller;
+  private final RpcClient caller;
   private final Timers timers;
   private long bytes;
 
-  PrepareRelay(Caller caller, Timers timers) {
+  PrepareRelay(RpcClient caller, Timers timers) {
     this.caller = caller;
     this.timers = timers;
   }
 
   void register(RequestHandlers handlers) {
-    handlers.on(RelayedPrepareRequest.class, this::relay);
+    handlers.register(RelayedPrepareRequest.class, this::relay);
   }
 
   private CompletableFuture<RelayedPrepareResponse> relay(RelayedPrepareRequest request) {
     Round round = new Round(request.prepare);
     if (bytes > 0 && bytes + round.bytes > MOST_BYTES) {
       return CompletableFuture.failedFuture(
-          new ElmsailException(ErrorCode.FULL, "too many first rounds are being relayed"));
+          new ElmsailException(ErrorCode.RESOURCE_EXHAUSTED, "too many first rounds are being relayed"));
     }
     round.begin(Math.max(1, Math.min(request.timeoutMs, RegisterClient.CALL_MS)));
     return round.response;
@@ -101,13 +101,13 @@
         votes.slots.add(slot);
         votes.votes.add(vote);
       }
-      boolean promised = vote != null && vote.code == VoteResponse.DONE;
+      boolean promised = vote != null && vote.code == VoteResponse.OK;
       promises += promised ? 1 : 0;
       refusals += promised ? 0 : 1;
       if (pending == 0 || refusals > voterSet.voters.size() - majority) {
         answer();
       } else if (promised && promises == majority) {
-        timers.after(GRACE_MS, this::answer);
+        timers.schedule(GRACE_MS, this::answer);
       }
     }
 
--- a/consensus/src/main/java/elmsail/consensus/PrepareRound.java
+++ b/consensus/src/main/java/elmsail/consensus/PrepareRound.java
@@ -81,7 +81,7 @@
     relayed.timeoutMs = Math.max(1, callMs - RELAY_MARGIN_MS);
     long bytes = RelayChoice.bytes(request.blobs);
     long patience = RELAY_MS + client.relays.begun(bytes) / SLOWEST_BYTES_PER_MS;
-    overdue = client.timers.after(patience, () -> relayFailed(relay));
+    overdue = client.timers.schedule(patience, () -> relayFailed(relay));
     client
         .caller
         .call(relay.address, relayed, RelayedPrepareResponse.class, relayMs)
--- a/consensus/src/main/java/elmsail/consensus/Proposer.java
+++ b/consensus/src/main/java/elmsail/consensus/Proposer.java
@@ -42,7 +42,7 @@
 
   @Override
   ErrorCode codeIfOver() {
-    return acceptSent ? ErrorCode.UNCLEAR : ErrorCode.NOT_REACHED;
+    return acceptSent ? ErrorCode.OUTCOME_UNKNOWN : ErrorCode.NO_QUORUM;
   }
 
   @Override
@@ -119,7 +119,7 @@
       request.ballot = ballot;
       request.voterSet = voterSet;
       request.blobs = blobs;
-      request.note = note;
+      request.sideEffect = note;
       new PrepareRound(
               client,
               voterSet,
@@ -143,7 +143,7 @@
 
     private void prepared(int slot, VoteResponse response) {
       answered[slot] = true;
-      boolean yes = response != null && response.code == VoteResponse.DONE;
+      boolean yes = response != null && response.code == VoteResponse.OK;
       if (response != null) {
         client.seen(response.promised);
         client.seen(response.accepted);
@@ -182,7 +182,7 @@
     }
 
     private void retry(VoteResponse last) {
-      if (last != null && last.code == VoteResponse.OUTBID && outbid++ == 0) {
+      if (last != null && last.code == VoteResponse.BALLOT_TOO_LOW && outbid++ == 0) {
         again();
       } else {
         backOff();
@@ -199,8 +199,8 @@
         if (highest == null || Ballots.compare(response.accepted, highest.accepted) > 0) {
           highest = response;
         }
-        if (response.note != null) {
-          notes.add(response.note);
+        if (response.sideEffect != null) {
+          notes.add(response.sideEffect);
         }
       }
       Wanted wanted = wanted(new Found(highest.value, notes));
@@ -219,7 +219,7 @@
     private boolean takenByMajority(Ballot accepted) {
       int same = 0;
       for (VoteResponse response : promises) {
-        if (response != null && !response.copied && Ballots.same(response.accepted, accepted)) {
+        if (response != null && !response.fromStateTransfer && Ballots.same(response.accepted, accepted)) {
           same++;
         }
       }
@@ -240,7 +240,7 @@
       accept.voterSet = voterSet;
       accept.value = value;
       if (repeated) {
-        accept.next = client.promiseAfter(ballot);
+        accept.nextBallot = client.promiseAfter(ballot);
       }
       acceptBlobs = more == null ? List.of() : more;
       for (int i = 0; i < voters; i++) {
@@ -268,7 +268,7 @@
         request.set = accept.set;
         request.key = accept.key;
         request.ballot = accept.ballot;
-        request.next = accept.next;
+        request.nextBallot = accept.nextBallot;
         request.value = accept.value;
         request.voterSet = accept.voterSet;
         request.blobs = sent;
@@ -281,11 +281,11 @@
     }
 
     private void accepted(VoteResponse response) {
-      boolean yes = response != null && response.code == VoteResponse.DONE;
+      boolean yes = response != null && response.code == VoteResponse.OK;
       if (response != null) {
         client.seen(response.promised);
       }
-      if (yes && !Ballots.none(accept.next) && Ballots.same(response.promised, accept.next)) {
+      if (yes && !Ballots.none(accept.nextBallot) && Ballots.same(response.promised, accept.nextBallot)) {
         promisedNext++;
       }
       if (!current(number)) {
@@ -294,7 +294,7 @@
       }
       if (yes) {
         if (++done >= majority) {
-          Ballot next = promisedNext >= majority ? accept.next : null;
+          Ballot next = promisedNext >= majority ? accept.nextBallot : null;
           client.keep(key, new RegisterClient.Kept(next, ballot, accept.value, voterSet));
           done(new Held(new Versioned(ballot, accept.value), changed));
         }
@@ -311,7 +311,7 @@
         return;
       }
       if (refusedAdmission > 0 && notAdmitted++ >= MOST_NOT_ADMITTED) {
-        failed(RegisterClient.failure(ErrorCode.UNCLEAR, client.set(), key));
+        failed(RegisterClient.failure(ErrorCode.OUTCOME_UNKNOWN, client.set(), key));
       } else {
         retry(response);
       }
--- a/consensus/src/main/java/elmsail/consensus/QuorumOperation.java
+++ b/consensus/src/main/java/elmsail/consensus/QuorumOperation.java
@@ -29,9 +29,9 @@
   }
 
   final void start() {
-    overdue = client.timers.after(deadline - client.timers.now(), this::giveUp);
+    overdue = client.timers.schedule(deadline - client.timers.now(), this::giveUp);
     // Futures must not complete inside the call that makes them.
-    client.timers.soon(this::again);
+    client.timers.execute(this::again);
   }
 
   /** A fresh attempt under that voter set, which has voter slots. */
@@ -77,7 +77,7 @@
   /** After a random wait, which grows. */
   final void backOff() {
     attempt++;
-    client.timers.after(client.backoff(tries++), this::again);
+    client.timers.schedule(client.backoff(tries++), this::again);
   }
 
   /**
@@ -98,7 +98,7 @@
 
   final boolean renewed(VoterSet under, VoteResponse response) {
     return response != null
-        && (response.code == VoteResponse.OLD_SEATING || response.code == VoteResponse.NOT_SEATED)
+        && (response.code == VoteResponse.STALE_VOTER_SET || response.code == VoteResponse.NOT_A_VOTER)
         && renewed(under, response.voterSet);
   }
 
@@ -107,8 +107,8 @@
    */
   final void late(VoteResponse response) {
     if (response != null
-        && (response.code == VoteResponse.OLD_SEATING
-            || response.code == VoteResponse.NOT_SEATED)) {
+        && (response.code == VoteResponse.STALE_VOTER_SET
+            || response.code == VoteResponse.NOT_A_VOTER)) {
       late(response.voterSet);
     }
   }
--- a/consensus/src/main/java/elmsail/consensus/QuorumRead.java
+++ b/consensus/src/main/java/elmsail/consensus/QuorumRead.java
@@ -31,7 +31,7 @@
 
   @Override
   ErrorCode codeIfOver() {
-    return ErrorCode.NOT_REACHED;
+    return ErrorCode.NO_QUORUM;
   }
 
   @Override
@@ -52,7 +52,7 @@
           if (held != null) {
             tell(held.now().ballot(), held.now().value());
           } else {
-            failed(new ElmsailException(ErrorCode.NOT_REACHED, client.set() + " " + key, failure));
+            failed(new ElmsailException(ErrorCode.NO_QUORUM, client.set() + " " + key, failure));
           }
         });
   }
@@ -98,9 +98,9 @@
       ReadRequest request = new ReadRequest();
       request.set = client.set();
       request.key = key;
-      request.known = known;
+      request.knownBallot = known;
       request.voterSet = voterSet;
-      request.bare = bare;
+      request.ballotOnly = bare;
       return request;
     }
 
@@ -112,7 +112,7 @@
       if (settled || renewed(voterSet, vote)) {
         return;
       }
-      if (vote == null || vote.code != VoteResponse.DONE) {
+      if (vote == null || vote.code != VoteResponse.OK) {
         if (++refused > voters - majority) {
           backOff();
         }
@@ -133,7 +133,7 @@
 
     /** Gives the last ones a moment: an accept may be on its way to those that answered first. */
     private void finishSoon() {
-      client.timers.after(
+      client.timers.schedule(
           FINISH_AFTER_MS,
           () -> {
             if (current(number) && !settled) {
@@ -170,7 +170,7 @@
       for (VoteResponse one : response) {
         if (one != null
             && Ballots.same(one.accepted, accepted)
-            && (!one.copied || Ballots.none(accepted))) {
+            && (!one.fromStateTransfer || Ballots.none(accepted))) {
           same++;
         }
       }
@@ -202,7 +202,7 @@
                 }
                 boolean same =
                     vote != null
-                        && vote.code == VoteResponse.DONE
+                        && vote.code == VoteResponse.OK
                         && Ballots.same(vote.accepted, accepted)
                         && vote.value != null;
                 if (same) {
--- a/consensus/src/main/java/elmsail/consensus/RecordNames.java
+++ b/consensus/src/main/java/elmsail/consensus/RecordNames.java
@@ -95,10 +95,10 @@
       return;
     }
     Map<String, byte[]> page = records.page(after, mostBytes);
-    response.end = page.isEmpty();
+    response.lastPage = page.isEmpty();
     for (Map.Entry<String, byte[]> record : page.entrySet()) {
       if (!record.getKey().startsWith(kind)) {
-        response.end = true;
+        response.lastPage = true;
         return;
       }
       Blob one = new Blob();
@@ -110,7 +110,7 @@
 
   /** Names of the blobs behind {@code after}, so many at most. */
   void barePage(RecordStore records, String after, StateTransferResponse response) {
-    response.end = true;
+    response.lastPage = true;
     if (!after.startsWith(allBlobs)) {
       return;
     }
@@ -119,7 +119,7 @@
         continue;
       }
       if (response.records.size() == MOST_NAMES) {
-        response.end = false;
+        response.lastPage = false;
         return;
       }
       Blob one = new Blob();
--- a/consensus/src/main/java/elmsail/consensus/RegisterClient.java
+++ b/consensus/src/main/java/elmsail/consensus/RegisterClient.java
@@ -1,6 +1,6 @@
 package elmsail.consensus;
 
-import elmsail.rpc.Caller;
+import elmsail.rpc.RpcClient;
 import elmsail.rpc.messages.Ballot;
 import elmsail.rpc.messages.Blob;
 import elmsail.rpc.messages.Voter;
@@ -36,7 +36,7 @@
   record Kept(Ballot next, Ballot accepted, byte[] value, VoterSet voterSet) {}
 
   private final String set;
-  final Caller caller;
+  final RpcClient caller;
   final Timers timers;
   final VoterSetSource voterSets;
   private final long who;
@@ -61,7 +61,7 @@
    */
   public RegisterClient(
       String set,
-      Caller caller,
+      RpcClient caller,
       Timers timers,
       VoterSetSource voterSets,
       long who,
--- a/consensus/src/main/java/elmsail/consensus/Replica.java
+++ b/consensus/src/main/java/elmsail/consensus/Replica.java
@@ -1,6 +1,6 @@
 package elmsail.consensus;
 
-import elmsail.rpc.Caller;
+import elmsail.rpc.RpcClient;
 import elmsail.rpc.RequestHandlers;
 import elmsail.rpc.messages.VoterSet;
 import elmsail.runtime.Counters;
@@ -59,7 +59,7 @@
       RecordStore records,
       ReplicaListener views,
       RequestHandlers answering,
-      Caller caller,
+      RpcClient caller,
       Timers timers,
       String ownAddress,
       String station,
@@ -89,14 +89,14 @@
         .register(answering);
     new PrepareRelay(caller, timers).register(answering);
     gauges(metrics.counters());
-    timers.soon(newcomer::consider);
+    timers.execute(newcomer::consider);
   }
 
   private void gauges(Counters counters) {
-    counters.readGauge("replica_voting", () -> voting() ? 1 : 0);
-    counters.readGauge("replica_join_under_way", () -> membership.joining() ? 1 : 0);
-    counters.readGauge("replica_keys_kept", () -> records.count(names.keys()));
-    counters.readGauge("replica_blobs_kept", () -> records.count(names.blobs()));
+    counters.registerGauge("replica_voting", () -> voting() ? 1 : 0);
+    counters.registerGauge("replica_join_under_way", () -> membership.joining() ? 1 : 0);
+    counters.registerGauge("replica_keys_kept", () -> records.count(names.keys()));
+    counters.registerGauge("replica_blobs_kept", () -> records.count(names.blobs()));
   }
 
   /**
@@ -225,7 +225,7 @@
             publishVoting();
           } else {
             membershipGiven = false;
-            timers.after(REWRITE_MS, this::rewriteMembership);
+            timers.schedule(REWRITE_MS, this::rewriteMembership);
             LOG.warn(
                 "{}: the voter set could not be written: {}",
                 set,
--- a/consensus/src/main/java/elmsail/consensus/ReplicaCounters.java
+++ b/consensus/src/main/java/elmsail/consensus/ReplicaCounters.java
@@ -34,9 +34,9 @@
   private final Counters.Counter refusedDisk;
 
   ReplicaCounters(Counters counters) {
-    preparesAnswered = counters.of("replica_prepares_answered");
-    acceptsAnswered = counters.of("replica_accepts_answered");
-    readsAnswered = counters.of("replica_reads_answered");
+    preparesAnswered = counters.counter("replica_prepares_answered");
+    acceptsAnswered = counters.counter("replica_accepts_answered");
+    readsAnswered = counters.counter("replica_reads_answered");
     refusedOutbid = refused(counters, "outbid");
     refusedOldVoterSet = refused(counters, "old_voter_set");
     refusedNotVoting = refused(counters, "not_voting");
@@ -45,15 +45,15 @@
   }
 
   private static Counters.Counter refused(Counters counters, String reason) {
-    return counters.of(new MetricName(REFUSED + "_" + reason, REFUSED, REASON, reason));
+    return counters.counter(new MetricName(REFUSED + "_" + reason, REFUSED, REASON, reason));
   }
 
   /** Counts a refusal by the code of the answer. */
   void refused(int code) {
     switch (code) {
-      case VoteResponse.OUTBID -> refusedOutbid.add(1);
-      case VoteResponse.OLD_SEATING -> refusedOldVoterSet.add(1);
-      case VoteResponse.NOT_SEATED -> refusedNotVoting.add(1);
+      case VoteResponse.BALLOT_TOO_LOW -> refusedOutbid.add(1);
+      case VoteResponse.STALE_VOTER_SET -> refusedOldVoterSet.add(1);
+      case VoteResponse.NOT_A_VOTER -> refusedNotVoting.add(1);
       case VoteResponse.NOT_ADMITTED -> refusedNotAdmitted.add(1);
       default -> throw new IllegalArgumentException("not a refusal: " + code);
     }
--- a/consensus/src/main/java/elmsail/consensus/ReplicaJoin.java
+++ b/consensus/src/main/java/elmsail/consensus/ReplicaJoin.java
@@ -1,6 +1,6 @@
 package elmsail.consensus;
 
-import elmsail.rpc.Caller;
+import elmsail.rpc.RpcClient;
 import elmsail.rpc.messages.JoinRequest;
 import elmsail.rpc.messages.JoinResponse;
 import elmsail.rpc.messages.ReadRequest;
@@ -64,7 +64,7 @@
   private final Replica replica;
   private final Membership membership;
   private final RecordStore records;
-  private final Caller caller;
+  private final RpcClient caller;
   private final Timers timers;
   private final RecordNames names;
   private final SplittableRandom chance;
@@ -76,7 +76,7 @@
       Replica replica,
       Membership membership,
       RecordStore records,
-      Caller caller,
+      RpcClient caller,
       Timers timers) {
     this.set = set;
     this.replica = replica;
@@ -146,12 +146,12 @@
     ReadRequest request = new ReadRequest();
     request.set = set;
     request.voterSet = under;
-    request.bare = true;
+    request.ballotOnly = true;
     caller
         .call(holder.address, request, VoteResponse.class, CLAIM_CALL_MS)
         .whenComplete(
             (response, failure) ->
-                then.accept(response != null && response.code == VoteResponse.DONE));
+                then.accept(response != null && response.code == VoteResponse.OK));
   }
 
   private void begin(int slot, int epoch) {
@@ -177,7 +177,7 @@
     }
     long wait = waitMs / 2 + chance.nextLong(waitMs / 2 + 1);
     waitMs = Math.min(MOST_WAIT_MS, waitMs * 2);
-    timers.after(
+    timers.schedule(
         wait,
         () -> {
           if (round == from) {
@@ -209,7 +209,7 @@
       JoinRequest request = new JoinRequest();
       request.set = set;
       request.slot = slot;
-      request.holder = holder;
+      request.voter = holder;
       for (int i = 0; i < known.voters.size(); i++) {
         int other = i;
         Voter one = known.voters.get(i);
--- a/consensus/src/main/java/elmsail/consensus/ReplicaRequests.java
+++ b/consensus/src/main/java/elmsail/consensus/ReplicaRequests.java
@@ -64,12 +64,12 @@
   }
 
   void register(RequestHandlers answering) {
-    answering.on(PrepareRequest.class, this::prepare);
-    answering.on(AcceptRequest.class, this::accept);
-    answering.on(ReadRequest.class, this::read);
-    answering.on(BlobRequest.class, this::blob);
-    answering.on(JoinRequest.class, this::joined);
-    answering.on(StateTransferRequest.class, this::copied);
+    answering.register(PrepareRequest.class, this::prepare);
+    answering.register(AcceptRequest.class, this::accept);
+    answering.register(ReadRequest.class, this::read);
+    answering.register(BlobRequest.class, this::blob);
+    answering.register(JoinRequest.class, this::joined);
+    answering.register(StateTransferRequest.class, this::copied);
   }
 
   private CompletableFuture<VoteResponse> prepare(PrepareRequest request) {
@@ -78,15 +78,15 @@
       return CompletableFuture.completedFuture(refused);
     }
     Acceptor.Decision decision = Acceptor.prepare(state(request.key), request.ballot);
-    if (decision.answer().code != VoteResponse.DONE) {
+    if (decision.answer().code != VoteResponse.OK) {
       counters.refused(decision.answer().code);
       return CompletableFuture.completedFuture(decision.answer());
     }
     return safely(
         safe.changes(request.key, decision, request.blobs),
         () -> {
-          if (request.note != null) {
-            decision.answer().note = views.noted(request.key, request.note);
+          if (request.sideEffect != null) {
+            decision.answer().sideEffect = views.noted(request.key, request.sideEffect);
           }
           counters.preparesAnswered.add(1);
           return decision.answer();
@@ -99,8 +99,8 @@
       return CompletableFuture.completedFuture(refused);
     }
     Acceptor.Decision decision =
-        Acceptor.accept(state(request.key), request.ballot, request.next, request.value);
-    if (decision.answer().code == VoteResponse.DONE
+        Acceptor.accept(state(request.key), request.ballot, request.nextBallot, request.value);
+    if (decision.answer().code == VoteResponse.OK
         && decision.write() != null
         && !views.admits(request.key, request.value)) {
       VoteResponse response = new VoteResponse();
@@ -108,7 +108,7 @@
       counters.refused(response.code);
       return CompletableFuture.completedFuture(response);
     }
-    if (decision.answer().code != VoteResponse.DONE) {
+    if (decision.answer().code != VoteResponse.OK) {
       counters.refused(decision.answer().code);
       return CompletableFuture.completedFuture(decision.answer());
     }
@@ -128,7 +128,7 @@
     if (refused != null) {
       return CompletableFuture.completedFuture(refused);
     }
-    VoteResponse response = Acceptor.read(state(request.key), request.known, request.bare);
+    VoteResponse response = Acceptor.read(state(request.key), request.knownBallot, request.ballotOnly);
     return safely(
         List.of(),
         () -> {
@@ -154,13 +154,13 @@
   private CompletableFuture<BlobResponse> blob(BlobRequest request) {
     VoteResponse refused = refusal(request.set, request.voterSet);
     BlobResponse response = new BlobResponse();
-    response.voting = refused == null || membership.serves(refused.code, request.ofReplaced);
+    response.voting = refused == null || membership.serves(refused.code, request.allowReplaced);
     response.voterSet = refused == null ? response.voterSet : refused.voterSet;
-    if (response.voting || refused.code == VoteResponse.OLD_SEATING && membership.voting()) {
+    if (response.voting || refused.code == VoteResponse.STALE_VOTER_SET && membership.voting()) {
       response.bytes = replica.blob(request.key, request.name);
-      response.known = response.bytes != null;
+      response.found = response.bytes != null;
     }
-    return response.known
+    return response.found
         ? safely(List.of(), () -> response)
         : CompletableFuture.completedFuture(response);
   }
@@ -168,7 +168,7 @@
   private CompletableFuture<JoinResponse> joined(JoinRequest request) {
     if (!set.equals(request.set)) {
       return CompletableFuture.failedFuture(
-          new ElmsailException(ErrorCode.NOT_SEATED, request.set));
+          new ElmsailException(ErrorCode.NOT_A_VOTER, request.set));
     }
     replica.rewriteMembership();
     VoterSet before = membership.voterSet();
@@ -178,8 +178,8 @@
           "{}: slot {} taken by {}, epoch {}",
           set,
           request.slot,
-          request.holder.address,
-          request.holder.epoch);
+          request.voter.address,
+          request.voter.epoch);
       replica.voterSetChanged();
     }
     return safely(
@@ -193,20 +193,20 @@
   private CompletableFuture<StateTransferResponse> copied(StateTransferRequest request) {
     StateTransferResponse response = new StateTransferResponse();
     response.instanceId = membership.instanceId();
-    response.end = true;
+    response.lastPage = true;
     VoteResponse refused =
         set.equals(request.set) ? refusal(request.set, request.voterSet) : new VoteResponse();
-    if (refused != null && !membership.serves(refused.code, request.ofReplaced)) {
+    if (refused != null && !membership.serves(refused.code, request.allowReplaced)) {
       return CompletableFuture.completedFuture(response);
     }
     response.voting = true;
-    if (request.bare) {
+    if (request.blobNamesOnly) {
       names.barePage(records, request.after, response);
     } else {
       names.page(
           records,
           request.after,
-          Math.min(Math.max(request.mostBytes, 1), MOST_PAGE_BYTES),
+          Math.min(Math.max(request.maxBytes, 1), MOST_PAGE_BYTES),
           response);
     }
     return safely(List.of(), () -> response);
@@ -218,15 +218,15 @@
    */
   private VoteResponse refusal(String askedSet, VoterSet asked) {
     if (!set.equals(askedSet)) {
-      throw new ElmsailException(ErrorCode.NOT_SEATED, askedSet);
+      throw new ElmsailException(ErrorCode.NOT_A_VOTER, askedSet);
     }
     int code = membership.vote(asked);
-    if (code != VoteResponse.OLD_SEATING && VoterSets.newer(asked, membership.voterSet())) {
+    if (code != VoteResponse.STALE_VOTER_SET && VoterSets.newer(asked, membership.voterSet())) {
       replica.learn(asked);
       code = membership.vote(asked);
     }
     replica.rewriteMembership();
-    if (code == VoteResponse.DONE) {
+    if (code == VoteResponse.OK) {
       return null;
     }
     counters.refused(code);
@@ -240,7 +240,7 @@
     if (!replica.membershipWritten()) {
       counters.refusedByDisk();
       return CompletableFuture.failedFuture(
-          new ElmsailException(ErrorCode.DISK, "the voter set is not on disk"));
+          new ElmsailException(ErrorCode.STORAGE_FAILURE, "the voter set is not on disk"));
     }
     return safe.safely(changes, answer)
         .whenComplete(
--- a/consensus/src/main/java/elmsail/consensus/StateTransfer.java
+++ b/consensus/src/main/java/elmsail/consensus/StateTransfer.java
@@ -1,6 +1,6 @@
 package elmsail.consensus;
 
-import elmsail.rpc.Caller;
+import elmsail.rpc.RpcClient;
 import elmsail.rpc.messages.Blob;
 import elmsail.rpc.messages.BlobRequest;
 import elmsail.rpc.messages.BlobResponse;
@@ -36,7 +36,7 @@
   private final RecordNames names;
   private final Replica replica;
   private final RecordStore records;
-  private final Caller caller;
+  private final RpcClient caller;
   private final Timers timers;
   private final List<Voter> holders;
   private final Voter replaced;
@@ -60,7 +60,7 @@
       RecordNames names,
       Replica replica,
       RecordStore records,
-      Caller caller,
+      RpcClient caller,
       Timers timers,
       List<Voter> holders,
       Voter replaced,
@@ -94,9 +94,9 @@
     StateTransferRequest request = new StateTransferRequest();
     request.set = set;
     request.after = after;
-    request.mostBytes = PAGE_BYTES;
-    request.bare = bare;
-    request.ofReplaced = holder == replaced;
+    request.maxBytes = PAGE_BYTES;
+    request.blobNamesOnly = bare;
+    request.allowReplaced = holder == replaced;
     request.voterSet = replica.membership.voterSet();
     caller
         .call(holder.address, request, StateTransferResponse.class, PAGE_CALL_MS)
@@ -108,7 +108,7 @@
                 if (++failures > MOST_FAILURES) {
                   end(false);
                 } else {
-                  timers.after(AGAIN_MS, () -> request(holder, after, bare, written));
+                  timers.schedule(AGAIN_MS, () -> request(holder, after, bare, written));
                 }
               } else if (!response.voting || response.instanceId != holder.instanceId) {
                 end(false);
@@ -136,7 +136,7 @@
     } else {
       written = keep(response.records);
     }
-    if (!response.end && !response.records.isEmpty()) {
+    if (!response.lastPage && !response.records.isEmpty()) {
       request(holder, response.records.get(response.records.size() - 1).name, bare, written);
       return;
     }
@@ -178,7 +178,7 @@
     request.key = names.keyOfBlob(name);
     request.name = names.nameOfBlob(name);
     request.voterSet = replica.membership.voterSet();
-    request.ofReplaced = holder == replaced;
+    request.allowReplaced = holder == replaced;
     caller
         .call(holder.address, request, BlobResponse.class, PAGE_CALL_MS)
         .whenComplete(
@@ -186,10 +186,10 @@
               if (over || !wanted.getAsBoolean()) {
                 over = true;
               } else if (failure != null && ++failures <= MOST_FAILURES) {
-                timers.after(AGAIN_MS, () -> fetch(name, holder));
+                timers.schedule(AGAIN_MS, () -> fetch(name, holder));
               } else if (failure != null || !response.voting) {
                 end(false);
-              } else if (!response.known) {
+              } else if (!response.found) {
                 // Dropped there meanwhile.
                 fetched(null);
               } else {
--- a/consensus/src/main/java/elmsail/consensus/VoterSetCodec.java
+++ b/consensus/src/main/java/elmsail/consensus/VoterSetCodec.java
@@ -21,7 +21,7 @@
       out.writeShort(voterSet.voters.size());
       for (Voter slot : voterSet.voters) {
         out.writeUTF(slot.address);
-        out.writeUTF(slot.station);
+        out.writeUTF(slot.machine);
         out.writeLong(slot.instanceId);
         out.writeInt(slot.epoch);
       }
@@ -31,7 +31,7 @@
         out.writeInt(slot.previousEpoch);
       }
     } catch (IOException e) {
-      throw new ElmsailException(ErrorCode.FAULT, "a voter set that cannot be written", e);
+      throw new ElmsailException(ErrorCode.INTERNAL, "a voter set that cannot be written", e);
     }
     return bytes.toByteArray();
   }
@@ -47,7 +47,7 @@
       for (int i = 0; i < voters; i++) {
         Voter slot = new Voter();
         slot.address = in.readUTF();
-        slot.station = in.readUTF();
+        slot.machine = in.readUTF();
         slot.instanceId = in.readLong();
         slot.epoch = in.readInt();
         voterSet.voters.add(slot);
@@ -59,7 +59,7 @@
         slot.previousEpoch = in.readInt();
       }
     } catch (IOException e) {
-      throw new ElmsailException(ErrorCode.DISK, "a voter set that cannot be read", e);
+      throw new ElmsailException(ErrorCode.STORAGE_FAILURE, "a voter set that cannot be read", e);
     }
     return voterSet;
   }
--- a/consensus/src/main/java/elmsail/consensus/VoterSets.java
+++ b/consensus/src/main/java/elmsail/consensus/VoterSets.java
@@ -54,7 +54,7 @@
     return one.epoch == other.epoch
         && one.instanceId == other.instanceId
         && one.address.equals(other.address)
-        && one.station.equals(other.station);
+        && one.machine.equals(other.machine);
   }
 
   /**
@@ -125,6 +125,6 @@
 
   /** Whether the holder is, or was, at this address or of this station. */
   static boolean isOf(Voter holder, String address, String station) {
-    return holder.address.equals(address) || !station.isEmpty() && holder.station.equals(station);
+    return holder.address.equals(address) || !station.isEmpty() && holder.machine.equals(station);
   }
 }
--- a/consensus/src/test/java/elmsail/consensus/BlobSecondLossTest.java
+++ b/consensus/src/test/java/elmsail/consensus/BlobSecondLossTest.java
@@ -84,7 +84,7 @@
             .change(
                 "key", found -> new Wanted(new byte[] {1}, List.of()), List.of(blob), null, 3_000));
     set.start(without);
-    set.timers.pass(50);
+    set.timers.advance(50);
     assertThat(set.replicas[without].blob("key", "body") == null, is(true));
   }
 
@@ -131,7 +131,7 @@
             byte[] read = set.await(set.client(set.founding).blob("key", "body", 5_000));
             String about = without + " without, " + first + ", then " + second + ", kind " + kind;
             assertThat(about, read != null && read.length == 20_000, is(true));
-            assertThat(about, set.net.faults(), empty());
+            assertThat(about, set.net.handlerFaults(), empty());
             played++;
           }
         }
--- a/consensus/src/test/java/elmsail/consensus/Defects.java
+++ b/consensus/src/test/java/elmsail/consensus/Defects.java
@@ -1,6 +1,6 @@
 package elmsail.consensus;
 
-import elmsail.rpc.Caller;
+import elmsail.rpc.RpcClient;
 import elmsail.rpc.messages.JoinRequest;
 import elmsail.rpc.messages.JoinResponse;
 import elmsail.rpc.messages.StateTransferRequest;
@@ -41,7 +41,7 @@
     World world = history.world;
     world.keepersCaller =
         caller ->
-            new Caller() {
+            new RpcClient() {
               @Override
               public <A> CompletableFuture<A> call(
                   String peer, Object request, Class<A> answer, long timeoutMs) {
@@ -59,17 +59,17 @@
                   CompletableFuture<A> response = new CompletableFuture<>();
                   if (request instanceof JoinRequest join) {
                     JoinResponse held = new JoinResponse();
-                    held.held = true;
-                    held.voterSet = VoterSets.with(newest, join.slot, join.holder);
-                    world.timers.after(1, () -> response.complete(answer.cast(held)));
+                    held.accepted = true;
+                    held.voterSet = VoterSets.with(newest, join.slot, join.voter);
+                    world.timers.schedule(1, () -> response.complete(answer.cast(held)));
                     return response;
                   }
                   if (request instanceof StateTransferRequest) {
                     StateTransferResponse empty = new StateTransferResponse();
                     empty.voting = true;
-                    empty.end = true;
+                    empty.lastPage = true;
                     empty.instanceId = newest.voters.get(last).instanceId;
-                    world.timers.after(1, () -> response.complete(answer.cast(empty)));
+                    world.timers.schedule(1, () -> response.complete(answer.cast(empty)));
                     return response;
                   }
                 }
--- a/consensus/src/test/java/elmsail/consensus/History.java
+++ b/consensus/src/test/java/elmsail/consensus/History.java
@@ -3,7 +3,7 @@
 import elmsail.consensus.Register.Held;
 import elmsail.consensus.Register.Versioned;
 import elmsail.consensus.Register.Wanted;
-import elmsail.rpc.Caller;
+import elmsail.rpc.RpcClient;
 import elmsail.rpc.messages.Blob;
 import elmsail.rpc.messages.VoterSet;
 import elmsail.runtime.ElmsailException;
@@ -31,7 +31,7 @@
   final RegisterClient[] clients = new RegisterClient[CLIENTS];
   Consumer<World.Node> whenMade = node -> {};
   BiConsumer<World.Node, LossyRecords.Platter> afterWipe = (node, before) -> {};
-  UnaryOperator<Caller> clientsCaller = caller -> caller;
+  UnaryOperator<RpcClient> clientsCaller = caller -> caller;
   int changed;
   int read;
   int failed;
@@ -80,7 +80,7 @@
     for (World.Node node : world.nodes.values()) {
       whenMade.accept(node);
     }
-    world.timers.pass(100);
+    world.timers.advance(100);
     world.loss = world.chance.nextInt(3) * 0.03;
     world.repeats = world.chance.nextInt(3) * 0.05;
     world.mostDelayMs = 2 + world.chance.nextInt(30);
@@ -91,7 +91,7 @@
     }
     trouble();
     gossip();
-    world.timers.pass(TROUBLE_MS);
+    world.timers.advance(TROUBLE_MS);
     world.loss = 0;
     world.repeats = 0;
     world.cut.clear();
@@ -100,7 +100,7 @@
         node.start();
       }
     }
-    world.timers.pass(12_000);
+    world.timers.advance(12_000);
     if (world.twice) {
       chain.faults.add("a life in two seats");
     }
@@ -142,7 +142,7 @@
 
   private void gossip() {
     world.gossip();
-    world.timers.after(100, this::gossip);
+    world.timers.schedule(100, this::gossip);
   }
 
   private void work(int client) {
@@ -170,7 +170,7 @@
               .whenComplete((held, failure) -> response(mark, from, held, failure));
     }
     done.whenComplete(
-        (response, failure) -> world.timers.after(world.chance.nextInt(60), () -> work(client)));
+        (response, failure) -> world.timers.schedule(world.chance.nextInt(60), () -> work(client)));
   }
 
   private static Wanted append(byte[] value, String mark) {
@@ -193,9 +193,9 @@
       return;
     }
     failed++;
-    if (ElmsailException.codeOf(failure) == ErrorCode.NOT_REACHED) {
+    if (ElmsailException.codeOf(failure) == ErrorCode.NO_QUORUM) {
       chain.denied(mark);
-    } else if (ElmsailException.codeOf(failure) != ErrorCode.UNCLEAR) {
+    } else if (ElmsailException.codeOf(failure) != ErrorCode.OUTCOME_UNKNOWN) {
       chain.faults.add("failed with " + failure);
     }
   }
@@ -212,7 +212,7 @@
       case 1 -> crash(node, whole);
       case 2 -> {
         world.cutOff(node.address, true);
-        world.timers.after(world.chance.nextInt(1_500), () -> world.cutOff(node.address, false));
+        world.timers.schedule(world.chance.nextInt(1_500), () -> world.cutOff(node.address, false));
       }
       case 3 -> replace(whole);
       case 5, 6, 7 -> claimWithoutEnd(whole);
@@ -222,7 +222,7 @@
         }
       }
     }
-    world.timers.after(world.chance.nextInt(700), this::trouble);
+    world.timers.schedule(world.chance.nextInt(700), this::trouble);
   }
 
   /**
@@ -246,7 +246,7 @@
     }
     unfinished++;
     spare.replica.join(slot, known.voters.get(slot).epoch + 1);
-    world.timers.after(
+    world.timers.schedule(
         50 + world.chance.nextInt(400),
         () -> {
           World.Node lost = cut.get(world.chance.nextInt(cut.size()));
@@ -258,9 +258,9 @@
     if (world.chance.nextInt(3) == 0) {
       World.Node one =
           world.chance.nextBoolean() ? spare : world.nodes.get(known.voters.get(slot).address);
-      world.timers.after(50 + world.chance.nextInt(800), () -> crash(one, false));
+      world.timers.schedule(50 + world.chance.nextInt(800), () -> crash(one, false));
     }
-    world.timers.after(
+    world.timers.schedule(
         200 + world.chance.nextInt(1_000),
         () -> {
           for (World.Node one : cut) {
@@ -282,7 +282,7 @@
       afterWipe.accept(node, before);
     }
     crashes++;
-    world.timers.after(
+    world.timers.schedule(
         20 + world.chance.nextInt(600),
         () -> {
           if (!node.up) {
@@ -304,10 +304,10 @@
     World.Node old = world.nodes.get(idle.replica.voterSet().voters.get(slot).address);
     if (world.chance.nextBoolean()) {
       world.cutOff(old.address, true);
-      world.timers.after(1_000, () -> world.cutOff(old.address, false));
+      world.timers.schedule(1_000, () -> world.cutOff(old.address, false));
     } else if (old.up) {
       old.crash();
-      world.timers.after(
+      world.timers.schedule(
           1_000,
           () -> {
             if (!old.up) {
--- a/consensus/src/test/java/elmsail/consensus/JoinInVainTest.java
+++ b/consensus/src/test/java/elmsail/consensus/JoinInVainTest.java
@@ -42,7 +42,7 @@
     set.awaitSeated(3, 5_000);
     set.net.healAll();
     set.replicas[2].learn(set.replicas[1].voterSet());
-    set.timers.pass(50);
+    set.timers.advance(50);
     set.net.isolate(SimSet.AT[0]);
     set.replicas[2].join(0, 2);
     set.awaitSeated(2, 5_000);
@@ -63,11 +63,11 @@
     if (!successorIsLate) {
       set.start(3);
     }
-    set.timers.pass(20);
+    set.timers.advance(20);
     set.start(2);
     set.replicas[2].learn(set.founding);
     if (successorIsLate) {
-      set.timers.pass(LATE_MS);
+      set.timers.advance(LATE_MS);
       set.start(3);
     }
   }
@@ -97,7 +97,7 @@
         assertThat(about, set.replicas[2].voterSet().voters.get(0).address, is(SimSet.AT[2]));
         set.kill(1);
         assertThat(about, read(), is("new"));
-        assertThat(about, set.net.faults(), empty());
+        assertThat(about, set.net.handlerFaults(), empty());
         played++;
       }
     }
@@ -126,9 +126,9 @@
         set.start(1);
         set.start(2);
         set.replicas[2].learn(set.founding);
-        set.timers.pass(kind == 0 ? 0 : LATE_MS);
+        set.timers.advance(kind == 0 ? 0 : LATE_MS);
         set.start(3);
-        set.timers.pass(6_000);
+        set.timers.advance(6_000);
         assertThat(about, set.replicas[1].voting() && set.replicas[3].voting(), is(true));
         assertThat(about, read(), is("new"));
         set.replicas[2].join(0, 2);
@@ -173,7 +173,7 @@
     }
     set.replicas[3].learn(set.founding);
     set.replicas[3].join(2, 2);
-    set.timers.pass(1_500);
+    set.timers.advance(1_500);
     assertThat(about, set.replicas[3].voting(), is(false));
     if (gone) {
       set.kill(3);
@@ -194,26 +194,26 @@
     set.net.healAll();
     long end = set.timers.now() + LONGEST_MS;
     int least = gone && wiped == 3 ? 2 : 3;
-    while (voting() < least && set.timers.now() < end && set.timers.step()) {
+    while (voting() < least && set.timers.now() < end && set.timers.runNext()) {
       continue;
     }
     assertThat(about, voting() >= least, is(true));
     assertThat(about, read(), is("new"));
-    assertThat(about, set.net.faults(), empty());
+    assertThat(about, set.net.handlerFaults(), empty());
   }
 
   /** Slots of the newest voter set whose holders vote. */
   private int voting() {
     VoterSet newest = set.founding;
     for (int i = 0; i < SimSet.AT.length; i++) {
-      if (set.net.at(SimSet.AT[i]) != null) {
+      if (set.net.nodeAt(SimSet.AT[i]) != null) {
         newest = VoterSets.merge(newest, set.replicas[i].voterSet());
       }
     }
     int voting = 0;
     for (int i = 0; i < SimSet.AT.length; i++) {
       int slot = VoterSets.ofInstance(newest, set.disks[i].instanceId());
-      if (slot >= 0 && set.net.at(SimSet.AT[i]) != null && set.replicas[i].voting()) {
+      if (slot >= 0 && set.net.nodeAt(SimSet.AT[i]) != null && set.replicas[i].voting()) {
         voting++;
       }
     }
--- a/consensus/src/test/java/elmsail/consensus/JoinModel.java
+++ b/consensus/src/test/java/elmsail/consensus/JoinModel.java
@@ -162,7 +162,7 @@
   /** How a voter answers an ask under that voter set, which it may learn on the way. */
   private int vote(int[] state, int process, int asked) {
     Membership membership = membership(state, process);
-    if (membership.vote(voterSets[asked]) != VoteResponse.OLD_SEATING
+    if (membership.vote(voterSets[asked]) != VoteResponse.STALE_VOTER_SET
         && membership.learn(voterSets[asked])) {
       learn(state, process, asked);
     }
@@ -170,7 +170,7 @@
   }
 
   private boolean votes(int[] state, int process, int asked) {
-    return !absent(state, process) && vote(state, process, asked) == VoteResponse.DONE;
+    return !absent(state, process) && vote(state, process, asked) == VoteResponse.OK;
   }
 
   private void newcomer(int[] state, int join) {
@@ -270,8 +270,8 @@
   private JoinResponse response(int by, boolean held, int known) {
     JoinResponse response = new JoinResponse();
     response.instanceId = by + 1;
-    response.held = held;
-    response.noted = !held;
+    response.accepted = held;
+    response.recorded = !held;
     response.replaced = !held && by < S;
     response.voterSet = voterSets[known];
     return response;
@@ -287,22 +287,22 @@
     }
     JoinRequest request = new JoinRequest();
     request.slot = slotOf(join);
-    request.holder = voterSets[bit(join)].voters.get(request.slot);
+    request.voter = voterSets[bit(join)].voters.get(request.slot);
     Membership membership = membership(state, process);
     JoinResponse response = membership.answer(request);
     int[] next = state.clone();
-    if (!(defect == Defect.SUCCESSOR_NOTES_NOTHING && response.noted && !response.replaced)) {
+    if (!(defect == Defect.SUCCESSOR_NOTES_NOTHING && response.recorded && !response.replaced)) {
       learn(next, process, known(membership.voterSet()));
     }
     push(next.clone());
     learn(next, join, known(membership.voterSet()));
-    if (response.held && field == OF_B) {
+    if (response.accepted && field == OF_B) {
       next[at + field] = known(membership.voterSet()) == 3 ? 2 : 1;
-    } else if (response.held) {
+    } else if (response.accepted) {
       next[at + field] = 1;
     } else if (field == OF_BEFORE
-        ? response.noted && response.replaced
-        : response.noted && !response.replaced) {
+        ? response.recorded && response.replaced
+        : response.recorded && !response.replaced) {
       next[at + field] = 2;
     }
     push(next);
@@ -357,7 +357,7 @@
       if (decision.write() != null) {
         put(next, process, decision.write());
       }
-      if (decision.answer().code == VoteResponse.DONE
+      if (decision.answer().code == VoteResponse.OK
           && state[at] == 1
           && (state[at + 2] >> slot & 1) == 0) {
         int[] response = next.clone();
@@ -382,7 +382,7 @@
       if (decision.write() != null) {
         put(next, process, decision.write());
       }
-      if (decision.answer().code == VoteResponse.DONE) {
+      if (decision.answer().code == VoteResponse.OK) {
         next[at + 5] |= 1 << slot;
       }
     }
--- a/consensus/src/test/java/elmsail/consensus/LossyRecords.java
+++ b/consensus/src/test/java/elmsail/consensus/LossyRecords.java
@@ -72,7 +72,7 @@
     PendingWrite waiting = new PendingWrite(List.copyOf(changes), new CompletableFuture<>());
     queue.add(waiting);
     if (platter.tellsEarly) {
-      timers.soon(() -> waiting.done.complete(null));
+      timers.execute(() -> waiting.done.complete(null));
     }
     next();
     return waiting.done;
@@ -83,7 +83,7 @@
       return;
     }
     busy = true;
-    timers.after(
+    timers.schedule(
         1 + chance.nextInt(12),
         () -> {
           busy = false;
@@ -112,7 +112,7 @@
     seen.clear();
     seen.putAll(platter.safe);
     for (PendingWrite one : failed) {
-      one.done.completeExceptionally(new ElmsailException(ErrorCode.DISK, "refused"));
+      one.done.completeExceptionally(new ElmsailException(ErrorCode.STORAGE_FAILURE, "refused"));
     }
   }
 
--- a/consensus/src/test/java/elmsail/consensus/Model.java
+++ b/consensus/src/test/java/elmsail/consensus/Model.java
@@ -104,10 +104,10 @@
   private boolean votes(int[] state, int process, boolean joined) {
     Membership membership = membership(state, process);
     VoterSet asked = joined ? after : before;
-    if (membership.vote(asked) != VoteResponse.OLD_SEATING && membership.learn(asked)) {
+    if (membership.vote(asked) != VoteResponse.STALE_VOTER_SET && membership.learn(asked)) {
       state[process * FIELDS + KNOWS] = 1;
     }
-    return membership.vote(asked) == VoteResponse.DONE;
+    return membership.vote(asked) == VoteResponse.OK;
   }
 
   private void newcomer(int[] state) {
@@ -174,7 +174,7 @@
   private void acknowledge(int[] state, int other, int bit) {
     JoinRequest request = new JoinRequest();
     request.slot = A;
-    request.holder = after.voters.get(A);
+    request.voter = after.voters.get(A);
     if ((state[ACKED] & bit) == 0
         && membership(state, other).join(request) != Membership.Claimed.REFUSED) {
       int[] next = state.clone();
@@ -244,7 +244,7 @@
       if (decision.write() != null) {
         put(next, holder, decision.write());
       }
-      if (decision.answer().code == VoteResponse.DONE
+      if (decision.answer().code == VoteResponse.OK
           && state[at] == 1
           && (state[at + 2] >> slot & 1) == 0) {
         int[] response = next.clone();
@@ -271,7 +271,7 @@
       if (decision.write() != null) {
         put(next, holder, decision.write());
       }
-      if (decision.answer().code == VoteResponse.DONE) {
+      if (decision.answer().code == VoteResponse.OK) {
         next[at + 5] |= 1 << slot;
         if (sticky && b == 0 && decision.answer().promised.round == 2) {
           next[at + 6] |= 1 << slot;
--- a/consensus/src/test/java/elmsail/consensus/PinnedNamesTest.java
+++ b/consensus/src/test/java/elmsail/consensus/PinnedNamesTest.java
@@ -3,7 +3,7 @@
 import static org.hamcrest.MatcherAssert.assertThat;
 import static org.hamcrest.Matchers.contains;
 
-import elmsail.runtime.MetricsText;
+import elmsail.runtime.PrometheusText;
 import org.junit.jupiter.api.Test;
 
 /** Names that are known outside of the program: in dashboards, scripts, settings and clients. */
@@ -13,7 +13,7 @@
   void metrics() {
     SimSet set = new SimSet();
     assertThat(
-        MetricsText.of(set.metrics[0].counters())
+        PrometheusText.format(set.metrics[0].counters())
             .lines()
             .filter(line -> line.contains("_replica_"))
             .toList(),
--- a/consensus/src/test/java/elmsail/consensus/PinnedRecordsTest.java
+++ b/consensus/src/test/java/elmsail/consensus/PinnedRecordsTest.java
@@ -43,7 +43,7 @@
     VoterSet voterSet = new VoterSet();
     Voter first = new Voter();
     first.address = "10.0.0.1:7720";
-    first.station = "n1";
+    first.machine = "n1";
     first.instanceId = 0x1122334455667788L;
     first.epoch = 3;
     first.previousAddress = "10.0.0.9:7720";
@@ -52,7 +52,7 @@
     first.confirmed = true;
     Voter second = new Voter();
     second.address = "10.0.0.2:7720";
-    second.station = "n2";
+    second.machine = "n2";
     second.instanceId = 6;
     second.epoch = 1;
     voterSet.voters.addAll(List.of(first, second));
@@ -102,14 +102,14 @@
     VoterSet read = VoterSetCodec.voterSet(bytes(TWO_VOTERS + THEIR_PREDECESSORS));
     assertThat(VoterSets.same(read, twoVoters()), is(true));
     assertThat(read.voters.get(0).address, is("10.0.0.1:7720"));
-    assertThat(read.voters.get(0).station, is("n1"));
+    assertThat(read.voters.get(0).machine, is("n1"));
     assertThat(read.voters.get(0).instanceId, is(0x1122334455667788L));
     assertThat(read.voters.get(0).epoch, is(3));
     assertThat(read.voters.get(0).previousAddress, is("10.0.0.9:7720"));
     assertThat(read.voters.get(0).previousInstanceId, is(-5L));
     assertThat(read.voters.get(0).previousEpoch, is(2));
     assertThat(read.voters.get(0).confirmed, is(false));
-    assertThat(read.voters.get(1).station, is("n2"));
+    assertThat(read.voters.get(1).machine, is("n2"));
   }
 
   /** The layout before predecessors were kept. */
@@ -151,7 +151,7 @@
         set.client(set.founding)
             .change(
                 "a/b", found -> new Register.Wanted(VALUE, List.of()), List.of(blob), null, 1_000));
-    set.timers.pass(100);
+    set.timers.advance(100);
     List<String> names = new ArrayList<>();
     set.records[0].names("").forEach(names::add);
     assertThat(names, contains("set/b/a%2Fb/body", "set/k/a%2Fb", "set/seated", "set/seating"));
--- a/consensus/src/test/java/elmsail/consensus/RegisterTest.java
+++ b/consensus/src/test/java/elmsail/consensus/RegisterTest.java
@@ -19,7 +19,7 @@
 import elmsail.rpc.messages.VoteResponse;
 import elmsail.runtime.ElmsailException;
 import elmsail.runtime.ErrorCode;
-import elmsail.simulation.Node;
+import elmsail.simulation.SimNode;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
@@ -73,7 +73,7 @@
     set.disks[0].wipe();
     set.start(0);
     set.replicas[0].found(set.founding);
-    set.timers.pass(20);
+    set.timers.advance(20);
     assertThat(set.replicas[0].voting(), is(false));
   }
 
@@ -115,13 +115,13 @@
   void theOnlySeatIsNeverTakenWithoutMemory() {
     set.founding.voters.subList(1, 3).clear();
     set.replicas[0].found(set.founding);
-    set.timers.pass(30);
+    set.timers.advance(30);
     set.await(put(set.client(set.founding), "key", "1"));
     set.kill(0);
     set.disks[0].wipe();
     set.start(0);
     set.replicas[0].learn(set.founding);
-    set.timers.pass(10_000);
+    set.timers.advance(10_000);
     assertThat(set.replicas[0].voting(), is(false));
   }
 
@@ -140,7 +140,7 @@
   @Test
   void aValueThatOneHolderTookIsFinishedByAReader() {
     set.founded();
-    Node asker = set.net.node("10.0.2.1:7");
+    SimNode asker = set.net.startNode("10.0.2.1:7");
     PrepareRequest prepare = new PrepareRequest();
     prepare.set = "set";
     prepare.key = "key";
@@ -159,7 +159,7 @@
     assertThat(read(set.client(set.founding), "key"), is("half"));
     set.kill(0);
     set.start(2);
-    set.timers.pass(100);
+    set.timers.advance(100);
     assertThat(read(set.client(set.founding), "key"), is("half"));
   }
 
@@ -168,11 +168,11 @@
     set.founded();
     set.kill(0);
     set.kill(1);
-    assertThat(failure(put(set.client(set.founding), "key", "1")), is(ErrorCode.NOT_REACHED));
-    assertThat(failure(set.client(set.founding).read("key", null, 700)), is(ErrorCode.NOT_REACHED));
+    assertThat(failure(put(set.client(set.founding), "key", "1")), is(ErrorCode.NO_QUORUM));
+    assertThat(failure(set.client(set.founding).read("key", null, 700)), is(ErrorCode.NO_QUORUM));
     set.start(0);
     set.start(1);
-    set.timers.pass(100);
+    set.timers.advance(100);
     Register client = set.client(set.founding);
     CompletableFuture<Held> change =
         client.change(
@@ -185,7 +185,7 @@
             List.of(),
             null,
             1_000);
-    assertThat(failure(change), is(ErrorCode.UNCLEAR));
+    assertThat(failure(change), is(ErrorCode.OUTCOME_UNKNOWN));
   }
 
   @Test
@@ -225,7 +225,7 @@
     assertThat(set.await(client.blob("lot/1", "one", 3_000)).length, is(5_000));
     assertThat(set.await(client.blob("lot/1", "none", 3_000)), nullValue());
     set.kill(1);
-    assertThat(failure(client.blob("lot/1", "none", 1_000)), is(ErrorCode.NOT_REACHED));
+    assertThat(failure(client.blob("lot/1", "none", 1_000)), is(ErrorCode.NO_QUORUM));
     List<String> keys = new ArrayList<>();
     set.replicas[0].keys().forEach(keys::add);
     assertThat(keys, contains("lot/1"));
@@ -247,7 +247,7 @@
               null,
               3_000));
     }
-    set.timers.pass(500);
+    set.timers.advance(500);
     set.kill(1);
     set.disks[1].wipe();
     set.start(1);
@@ -277,7 +277,7 @@
     set.start(1);
     set.net.cutBoth(SimSet.AT[1], SimSet.AT[2]);
     set.replicas[1].learn(set.replicas[0].voterSet());
-    set.timers.pass(1_500);
+    set.timers.advance(1_500);
     assertThat(set.replicas[1].voting(), is(false));
     long instanceId = set.disks[1].instanceId();
     set.kill(1);
@@ -302,13 +302,13 @@
     set.awaitSeated(3, 3_000);
     assertThat(response, contains(true));
     set.start(0);
-    set.timers.pass(20);
+    set.timers.advance(20);
     assertThat(set.replicas[0].voting(), is(true));
     set.kill(1);
     assertThat(append(client, "2"), is("12"));
     set.replicas[0].learn(set.replicas[2].voterSet());
     assertThat(set.replicas[0].voting(), is(false));
-    set.timers.pass(20);
+    set.timers.advance(20);
     assertThat(set.replicas[0].voterSet().voters.get(0).address, is(SimSet.AT[3]));
   }
 
@@ -319,7 +319,7 @@
     set.kill(1);
     set.replicas[3].learn(set.replicas[2].voterSet());
     set.replicas[3].join(0, 2);
-    set.timers.pass(10_000);
+    set.timers.advance(10_000);
     assertThat(set.replicas[3].voting(), is(false));
     set.start(1);
     set.awaitSeated(3, 3_000);
@@ -344,7 +344,7 @@
           };
       set.start(i);
     }
-    set.timers.pass(20);
+    set.timers.advance(20);
     List<Integer> notes = new ArrayList<>();
     CompletableFuture<Held> change =
         set.client(set.founding)
@@ -359,22 +359,22 @@
                 List.of(),
                 new byte[] {4},
                 10_000);
-    assertThat(failure(change), is(ErrorCode.UNCLEAR));
+    assertThat(failure(change), is(ErrorCode.OUTCOME_UNKNOWN));
     assertThat(notes, equalTo(List.of(5, 5, 5, 5, 5, 5)));
   }
 
   @Test
   void aDiskThatRefusesGivesNoVote() {
     set.founded();
-    set.disks[0].refuse();
-    set.disks[1].refuse();
+    set.disks[0].failWrites();
+    set.disks[1].failWrites();
     Register client = set.client(set.founding);
-    assertThat(failure(put(client, "key", "1")), is(ErrorCode.NOT_REACHED));
-    set.disks[0].accept();
-    set.disks[1].accept();
-    set.timers.pass(400);
+    assertThat(failure(put(client, "key", "1")), is(ErrorCode.NO_QUORUM));
+    set.disks[0].allowWrites();
+    set.disks[1].allowWrites();
+    set.timers.advance(400);
     assertThat(set.await(put(client, "key", "2")).changed(), is(true));
-    assertThat(set.net.faults(), empty());
+    assertThat(set.net.handlerFaults(), empty());
   }
 
   @Test
--- a/consensus/src/test/java/elmsail/consensus/ReplacedVoterTest.java
+++ b/consensus/src/test/java/elmsail/consensus/ReplacedVoterTest.java
@@ -47,11 +47,11 @@
     set.kill(1);
     put("new");
     set.start(1);
-    set.timers.pass(20);
+    set.timers.advance(20);
     set.net.cutBoth(SimSet.AT[3], SimSet.AT[2]);
     set.replicas[3].learn(set.founding);
     set.replicas[3].join(0, 2);
-    set.timers.pass(1_500);
+    set.timers.advance(1_500);
     assertThat(set.replicas[1].voterSet().voters.get(0).address, is(SimSet.AT[3]));
     assertThat(set.replicas[3].voting(), is(false));
   }
@@ -73,7 +73,7 @@
     assertThat(read(), is("new"));
     assertThat(set.replicas[2].blob("key", "blob new").length, is(9));
     assertThat(set.replicas[3].blob("key", "blob new").length, is(9));
-    assertThat(set.net.faults(), empty());
+    assertThat(set.net.handlerFaults(), empty());
   }
 
   @Test
@@ -88,7 +88,7 @@
   void alsoIfItKnowsAlreadyThatItIsReplaced() {
     claimOfTheSpareAtOneHolder();
     set.replicas[0].learn(set.replicas[1].voterSet());
-    set.timers.pass(20);
+    set.timers.advance(20);
     assertThat(set.replicas[0].voting(), is(false));
     set.kill(0);
     set.start(0);
@@ -102,10 +102,10 @@
     claimOfTheSpareAtOneHolder();
     wipe(2);
     set.kill(3);
-    set.timers.pass(700);
+    set.timers.advance(700);
     set.start(3);
     set.net.healAll();
-    set.timers.pass(8);
+    set.timers.advance(8);
     set.kill(2);
     set.start(2);
     allSeatedAgainAndNothingLost();
@@ -120,7 +120,7 @@
     set.start(0);
     wipe(2);
     set.net.healAll();
-    set.timers.pass(10_000);
+    set.timers.advance(10_000);
     assertThat(set.replicas[2].voting() || set.replicas[3].voting(), is(false));
   }
 
@@ -130,7 +130,7 @@
     set.kill(3);
     wipe(2);
     set.net.healAll();
-    set.timers.pass(10_000);
+    set.timers.advance(10_000);
     assertThat(set.replicas[2].voting(), is(false));
     set.start(3);
     allSeatedAgainAndNothingLost();
@@ -141,7 +141,7 @@
     claimOfTheSpareAtOneHolder();
     set.replicas[0].learn(set.replicas[1].voterSet());
     set.replicas[0].join(1, 2);
-    set.timers.pass(1_000);
+    set.timers.advance(1_000);
     assertThat(set.replicas[0].membership.ownSlot(), is(-1));
     assertThat(set.replicas[0].value("key"), is("new".getBytes()));
     set.net.healAll();
@@ -166,7 +166,7 @@
     set.kill(1);
     put("new");
     set.start(1);
-    set.timers.pass(20);
+    set.timers.advance(20);
     set.kill(2);
     set.disks[2].wipe();
     set.start(2);
@@ -186,14 +186,14 @@
     set.net.cutBoth(SimSet.AT[3], SimSet.AT[2]);
     set.replicas[3].learn(set.founding);
     set.replicas[3].join(0, 2);
-    set.timers.pass(500);
+    set.timers.advance(500);
     wipe(0);
     set.awaitSeated(0, 5_000);
     assertThat(set.replicas[0].voting(), is(true));
     set.kill(3);
     set.start(3);
     set.net.healAll();
-    set.timers.pass(10_000);
+    set.timers.advance(10_000);
     assertThat(set.replicas[0].voting(), is(true));
     assertThat(set.replicas[0].voterSet().voters.get(0).epoch, is(2));
     assertThat(set.replicas[3].voterSet().voters.get(0).address, is(SimSet.AT[0]));
@@ -228,8 +228,8 @@
     JoinResponse response = new JoinResponse();
     response.instanceId = by.instanceId;
     response.voterSet = knows;
-    response.held = held;
-    response.noted = !held;
+    response.accepted = held;
+    response.recorded = !held;
     response.replaced = replaced;
     return response;
   }
--- a/consensus/src/test/java/elmsail/consensus/ReplicaFiguresTest.java
+++ b/consensus/src/test/java/elmsail/consensus/ReplicaFiguresTest.java
@@ -25,13 +25,13 @@
   private final SimSet set = new SimSet();
 
   private long figure(int replica, String name) {
-    return set.metrics[replica].counters().of(name).value();
+    return set.metrics[replica].counters().counter(name).value();
   }
 
   private long refused(int replica, String reason) {
     MetricName name =
         new MetricName("replica_refused_" + reason, "replica_refused", "reason", reason);
-    return set.metrics[replica].counters().of(name).value();
+    return set.metrics[replica].counters().counter(name).value();
   }
 
   private void put(String value) {
@@ -55,13 +55,13 @@
     assertThat("a spare", figure(3, "replica_voting"), is(0L));
     put("one");
     put("two");
-    set.timers.pass(50);
+    set.timers.advance(50);
     assertThat(figure(0, "replica_prepares_answered"), greaterThan(0L));
     assertThat(figure(0, "replica_accepts_answered"), greaterThan(0L));
     assertThat(figure(0, "replica_keys_kept"), is(1L));
     assertThat(figure(0, "replica_blobs_kept"), is(2L));
     set.await(set.client(set.founding).read("key", null, 3_000));
-    set.timers.pass(50);
+    set.timers.advance(50);
     long reads = 0;
     for (int i = 0; i < 3; i++) {
       reads += figure(i, "replica_reads_answered");
@@ -77,7 +77,7 @@
     set.net.cutBoth(SimSet.AT[3], SimSet.AT[2]);
     set.replicas[3].learn(set.founding);
     set.replicas[3].join(0, 2);
-    set.timers.pass(500);
+    set.timers.advance(500);
     assertThat(figure(3, "replica_join_under_way"), is(1L));
     assertThat(figure(3, "replica_voting"), is(0L));
     set.net.healAll();
@@ -92,17 +92,17 @@
   void refusalsAreCountedByTheCodeOfTheAnswer() {
     Counters counters = new Counters();
     ReplicaCounters own = new ReplicaCounters(counters);
-    own.refused(VoteResponse.OUTBID);
-    own.refused(VoteResponse.OLD_SEATING);
-    own.refused(VoteResponse.NOT_SEATED);
+    own.refused(VoteResponse.BALLOT_TOO_LOW);
+    own.refused(VoteResponse.STALE_VOTER_SET);
+    own.refused(VoteResponse.NOT_A_VOTER);
     own.refused(VoteResponse.NOT_ADMITTED);
     own.refusedByDisk();
     for (String reason : List.of("outbid", "old_voter_set", "not_voting", "not_admitted", "disk")) {
       MetricName name =
           new MetricName("replica_refused_" + reason, "replica_refused", "reason", reason);
-      assertThat(reason, counters.of(name).value(), is(1L));
+      assertThat(reason, counters.counter(name).value(), is(1L));
     }
-    assertThrows(IllegalArgumentException.class, () -> own.refused(VoteResponse.DONE));
+    assertThrows(IllegalArgumentException.class, () -> own.refused(VoteResponse.OK));
   }
 
   @Test
@@ -123,9 +123,9 @@
     set.founded();
     KeyState spoiled = new KeyState(Ballots.of(3, 1), Ballots.of(4, 1), false, "value".getBytes());
     set.records[0].write(List.of(new Change("set/k/key", spoiled.bytes())));
-    set.timers.pass(50);
+    set.timers.advance(50);
     set.client(set.founding).read("key", null, 500);
-    InvariantViolation thrown = assertThrows(InvariantViolation.class, () -> set.timers.pass(700));
+    InvariantViolation thrown = assertThrows(InvariantViolation.class, () -> set.timers.advance(700));
     assertThat(thrown.getMessage(), containsString("set: key key"));
     assertThat(set.metrics[0].invariants().violations(), greaterThan(0L));
     assertThat(set.metrics[1].invariants().violations(), is(0L));
--- a/consensus/src/test/java/elmsail/consensus/RivalClaimsTest.java
+++ b/consensus/src/test/java/elmsail/consensus/RivalClaimsTest.java
@@ -14,7 +14,7 @@
   private static Voter voter(String station, long instanceId, int epoch) {
     Voter voter = new Voter();
     voter.address = station + ":7720";
-    voter.station = station;
+    voter.machine = station;
     voter.instanceId = instanceId;
     voter.epoch = epoch;
     return voter;
@@ -29,7 +29,7 @@
   }
 
   private static Membership of(Voter itself, VoterSet known, int caughtUp) {
-    return new Membership(itself.address, itself.station, itself.instanceId, known, caughtUp);
+    return new Membership(itself.address, itself.machine, itself.instanceId, known, caughtUp);
   }
 
   @Test
@@ -60,7 +60,7 @@
     Membership third = of(voter("c", 3, 1), set(voter("b", 2, 1)), 1);
     JoinRequest lost = new JoinRequest();
     lost.slot = 1;
-    lost.holder = voter("d", 4, 2);
+    lost.voter = voter("d", 4, 2);
     assertThat(third.join(lost), is(Membership.Claimed.ADOPTED));
     assertThat(third.learn(of(winner, set(winner), 2).voterSet()), is(true));
     assertThat(third.voterSet().voters.get(1).instanceId, is(22L));
--- a/consensus/src/test/java/elmsail/consensus/SimSet.java
+++ b/consensus/src/test/java/elmsail/consensus/SimSet.java
@@ -1,13 +1,13 @@
 package elmsail.consensus;
 
-import elmsail.rpc.Caller;
+import elmsail.rpc.RpcClient;
 import elmsail.rpc.messages.Voter;
 import elmsail.rpc.messages.VoterSet;
 import elmsail.runtime.ManualTimers;
 import elmsail.runtime.ProcessMetrics;
-import elmsail.simulation.Node;
+import elmsail.simulation.SimNode;
 import elmsail.simulation.SimDisk;
-import elmsail.simulation.SimNet;
+import elmsail.simulation.SimNetwork;
 import elmsail.storage.RecordStore;
 import java.util.concurrent.CompletableFuture;
 
@@ -16,7 +16,7 @@
   static final String[] AT = {"10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7", "10.0.0.4:7"};
 
   final ManualTimers timers = new ManualTimers();
-  final SimNet net = new SimNet(11, timers);
+  final SimNetwork net = new SimNetwork(11, timers);
   final SimDisk[] disks = new SimDisk[AT.length];
   final Replica[] replicas = new Replica[AT.length];
   final RecordStore[] records = new RecordStore[AT.length];
@@ -35,7 +35,7 @@
     for (int i = 0; i < 3; i++) {
       Voter slot = new Voter();
       slot.address = AT[i];
-      slot.station = "s" + i;
+      slot.machine = "s" + i;
       slot.instanceId = disks[i].instanceId();
       slot.epoch = 1;
       founding.voters.add(slot);
@@ -46,12 +46,12 @@
     for (int i = 0; i < 3; i++) {
       replicas[i].found(founding);
     }
-    timers.pass(30);
+    timers.advance(30);
     return this;
   }
 
   void start(int i) {
-    Node node = net.node(AT[i]);
+    SimNode node = net.startNode(AT[i]);
     metrics[i] = ProcessMetrics.strict();
     records[i] = disks[i].open(node.timers());
     replicas[i] =
@@ -59,8 +59,8 @@
             "set",
             records[i],
             views[i],
-            node.answering(),
-            node.caller(),
+            node.requestHandlers(),
+            node.rpcClient(),
             node.timers(),
             AT[i],
             "s" + i,
@@ -75,11 +75,11 @@
   /** A client at an address of its own; the counts are of its calls by kind of ask. */
   RegisterClient client(VoterSet known) {
     String address = "10.0.1." + ++clients + ":7";
-    Node node = net.node(address);
+    SimNode node = net.startNode(address);
     VoterSet[] held = {known};
     return new RegisterClient(
         "set",
-        new Counting(node.caller()),
+        new Counting(node.rpcClient()),
         node.timers(),
         new VoterSetSource() {
           @Override
@@ -99,10 +99,10 @@
 
   final java.util.Map<String, Integer> asked = new java.util.TreeMap<>();
 
-  private final class Counting implements Caller {
-    private final Caller caller;
+  private final class Counting implements RpcClient {
+    private final RpcClient caller;
 
-    Counting(Caller caller) {
+    Counting(RpcClient caller) {
       this.caller = caller;
     }
 
@@ -116,7 +116,7 @@
 
   <T> T await(CompletableFuture<T> future) {
     long end = timers.now() + 20_000;
-    while (!future.isDone() && timers.now() < end && timers.step()) {
+    while (!future.isDone() && timers.now() < end && timers.runNext()) {
       continue;
     }
     return future.join();
@@ -124,7 +124,7 @@
 
   void awaitSeated(int i, long mostMs) {
     long end = timers.now() + mostMs;
-    while (!replicas[i].voting() && timers.now() < end && timers.step()) {
+    while (!replicas[i].voting() && timers.now() < end && timers.runNext()) {
       continue;
     }
   }
--- a/consensus/src/test/java/elmsail/consensus/StateSearch.java
+++ b/consensus/src/test/java/elmsail/consensus/StateSearch.java
@@ -104,7 +104,7 @@
   static Voter voter(String name, int process, int epoch) {
     Voter voter = new Voter();
     voter.address = name;
-    voter.station = name;
+    voter.machine = name;
     voter.instanceId = process + 1;
     voter.epoch = epoch;
     return voter;
--- a/consensus/src/test/java/elmsail/consensus/VoterSetCodecTest.java
+++ b/consensus/src/test/java/elmsail/consensus/VoterSetCodecTest.java
@@ -12,7 +12,7 @@
   private static VoterSet voterSet() {
     Voter slot = new Voter();
     slot.address = "10.0.0.1:7";
-    slot.station = "s";
+    slot.machine = "s";
     slot.instanceId = 5;
     slot.epoch = 3;
     slot.previousAddress = "10.0.0.2:7";
--- a/consensus/src/test/java/elmsail/consensus/VoterSetsTest.java
+++ b/consensus/src/test/java/elmsail/consensus/VoterSetsTest.java
@@ -20,7 +20,7 @@
   private static Voter voter(String name, int epoch) {
     Voter voter = new Voter();
     voter.address = name + ":1";
-    voter.station = name;
+    voter.machine = name;
     voter.instanceId = name.hashCode();
     voter.epoch = epoch;
     return voter;
