--- a/consensus/src/test/java/elmsail/consensus/World.java
+++ b/consensus/src/test/java/elmsail/consensus/World.java
@@ -1,6 +1,6 @@
 package elmsail.consensus;
 
-import elmsail.rpc.Caller;
+import elmsail.rpc.RpcClient;
 import elmsail.rpc.RequestHandlers;
 import elmsail.rpc.messages.Voter;
 import elmsail.rpc.messages.VoterSet;
@@ -37,7 +37,7 @@
   /** Whether one life was ever known in two voter slots. */
   boolean twice;
 
-  UnaryOperator<Caller> keepersCaller = caller -> caller;
+  UnaryOperator<RpcClient> keepersCaller = caller -> caller;
 
   World(long seed) {
     chance = new Random(seed);
@@ -64,7 +64,7 @@
       handlers = new HashMap<>();
       Timers own = timers(this);
       records = new LossyRecords(platter, own, chance);
-      Caller caller = keepersCaller.apply(caller(address, own));
+      RpcClient caller = keepersCaller.apply(caller(address, own));
       replica =
           new Replica(
               "set",
@@ -89,7 +89,7 @@
     }
 
     @Override
-    public <Q, A> void on(Class<Q> request, Function<Q, ? extends CompletionStage<A>> handler) {
+    public <Q, A> void register(Class<Q> request, Function<Q, ? extends CompletionStage<A>> handler) {
       handlers.put(request, q -> handler.apply(request.cast(q)));
     }
   }
@@ -104,8 +104,8 @@
       }
 
       @Override
-      public Timer after(long ms, Runnable then) {
-        return timers.after(
+      public Timer schedule(long ms, Runnable then) {
+        return timers.schedule(
             ms,
             () -> {
               if (node.starts == start) {
@@ -115,8 +115,8 @@
       }
 
       @Override
-      public void soon(Runnable then) {
-        after(0, then);
+      public void execute(Runnable then) {
+        schedule(0, then);
       }
     };
   }
@@ -158,19 +158,19 @@
     return idle;
   }
 
-  Caller caller(String from, Timers own) {
-    return new Caller() {
+  RpcClient caller(String from, Timers own) {
+    return new RpcClient() {
       @Override
       public <A> CompletableFuture<A> call(
           String peer, Object request, Class<A> answer, long timeoutMs) {
         calls++;
         CompletableFuture<A> result = new CompletableFuture<>();
-        own.after(
+        own.schedule(
             timeoutMs,
-            () -> result.completeExceptionally(new ElmsailException(ErrorCode.SILENT, peer)));
+            () -> result.completeExceptionally(new ElmsailException(ErrorCode.TIMEOUT, peer)));
         int copies = chance.nextDouble() < repeats ? 2 : 1;
         for (int i = 0; i < copies; i++) {
-          timers.after(delay(), () -> deliver(from, peer, request, own, answer, result));
+          timers.schedule(delay(), () -> deliver(from, peer, request, own, answer, result));
         }
         return result;
       }
@@ -194,8 +194,8 @@
       return;
     }
     if (node == null || !node.up) {
-      own.after(
-          1, () -> result.completeExceptionally(new ElmsailException(ErrorCode.UNSENT, peer)));
+      own.schedule(
+          1, () -> result.completeExceptionally(new ElmsailException(ErrorCode.NOT_SENT, peer)));
       return;
     }
     CompletionStage<?> stage;
@@ -210,7 +210,7 @@
           if (node.starts != start || chance.nextDouble() < loss || !reaches(peer, from)) {
             return;
           }
-          own.after(
+          own.schedule(
               delay(),
               () -> {
                 if (failure != null) {
@@ -230,7 +230,7 @@
       node.start();
       Voter slot = new Voter();
       slot.address = address;
-      slot.station = "st-" + address;
+      slot.machine = "st-" + address;
       slot.instanceId = node.platter.instanceId;
       slot.epoch = 1;
       voterSet.voters.add(slot);
@@ -238,12 +238,12 @@
     for (String address : addresses) {
       nodes.get(address).replica.found(voterSet);
     }
-    timers.pass(50);
+    timers.advance(50);
     return voterSet;
   }
 
   /** A client that knows this voter set, and lasts. */
-  RegisterClient client(String name, long who, VoterSet known, UnaryOperator<Caller> wrapped) {
+  RegisterClient client(String name, long who, VoterSet known, UnaryOperator<RpcClient> wrapped) {
     VoterSet[] held = {known};
     return new RegisterClient(
         "set",
@@ -381,7 +381,7 @@
   /** Runs until that future is done, at most so long. */
   <T> T await(CompletableFuture<T> future, long mostMs) {
     long end = timers.now() + mostMs;
-    while (!future.isDone() && timers.now() < end && timers.step()) {
+    while (!future.isDone() && timers.now() < end && timers.runNext()) {
       continue;
     }
     return future.join();
--- a/controlplane/src/main/java/elmsail/controlplane/AnswerAgeLimit.java
+++ b/controlplane/src/main/java/elmsail/controlplane/AnswerAgeLimit.java
@@ -1,9 +1,9 @@
 package elmsail.controlplane;
 
 import elmsail.runtime.Timers;
-import elmsail.runtime.http.HttpCall;
+import elmsail.runtime.http.SimpleHttpRequest;
 import elmsail.runtime.http.HttpHandler;
-import elmsail.runtime.http.HttpReply;
+import elmsail.runtime.http.SimpleHttpResponse;
 import java.util.concurrent.CompletableFuture;
 
 /**
@@ -14,12 +14,12 @@
 record AnswerAgeLimit(Timers timers, HttpHandler handler) implements HttpHandler {
 
   @Override
-  public CompletableFuture<HttpReply> handle(HttpCall call) {
+  public CompletableFuture<SimpleHttpResponse> handle(SimpleHttpRequest call) {
     long arrivedAt = timers.now();
     return handler.handle(call).thenApply(reply -> limited(call, reply, arrivedAt));
   }
 
-  private HttpReply limited(HttpCall call, HttpReply reply, long arrivedAt) {
+  private SimpleHttpResponse limited(SimpleHttpRequest call, SimpleHttpResponse reply, long arrivedAt) {
     boolean acknowledged = reply.status() == 200 && "POST".equals(call.method());
     boolean late = timers.now() - arrivedAt > QuorumContact.BOUND_MS;
     return late && !acknowledged ? Replies.why(503, "answered too late") : reply;
--- a/controlplane/src/main/java/elmsail/controlplane/ClusterBootstrap.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ClusterBootstrap.java
@@ -1,6 +1,6 @@
 package elmsail.controlplane;
 
-import elmsail.rpc.Caller;
+import elmsail.rpc.RpcClient;
 import elmsail.rpc.RequestHandlers;
 import elmsail.rpc.messages.HelloRequest;
 import elmsail.rpc.messages.HelloResponse;
@@ -35,7 +35,7 @@
   /** A process is told of so many seeds, or of fewer where there are no more. */
   private static final int MOST_SEEDS = 3;
 
-  private final Caller caller;
+  private final RpcClient caller;
   private final Timers timers;
   private final HelloRequest own;
   private final List<String> seeds;
@@ -62,7 +62,7 @@
    * @param learn takes the first voter set, or one that another knows
    */
   ClusterBootstrap(
-      Caller caller,
+      RpcClient caller,
       Timers timers,
       HelloRequest own,
       RecordStore records,
@@ -83,7 +83,7 @@
   }
 
   void start(RequestHandlers answering) {
-    answering.on(
+    answering.register(
         HelloRequest.class,
         request -> {
           candidates.heard(request, timers.now());
@@ -95,7 +95,7 @@
 
   private HelloResponse response() {
     HelloResponse response = new HelloResponse();
-    response.station = own.station;
+    response.machine = own.machine;
     response.address = own.address;
     response.zone = own.zone;
     response.instanceId = own.instanceId;
@@ -127,7 +127,7 @@
     if (!own.firstStart) {
       pause = Math.min(SLOWEST_MS, pause * 3 / 2);
     }
-    timers.after(pause, this::request);
+    timers.schedule(pause, this::request);
   }
 
   private void heard(String seed, HelloResponse response) {
@@ -159,7 +159,7 @@
     } else if (seedInstances.size() == seeds.size()) {
       VoterSet first = new VoterSet();
       for (HelloResponse one : seedInstances.values()) {
-        first.voters.add(VoterSetValue.slot(one.address, one.station, one.instanceId, 1));
+        first.voters.add(VoterSetValue.slot(one.address, one.machine, one.instanceId, 1));
       }
       learn.accept(first);
     }
--- a/controlplane/src/main/java/elmsail/controlplane/CommittedValue.java
+++ b/controlplane/src/main/java/elmsail/controlplane/CommittedValue.java
@@ -78,7 +78,7 @@
       again = false;
       refresh();
     } else {
-      timer = timers.after(failed == null ? everyMs : Math.min(everyMs, RETRY_MS), this::refresh);
+      timer = timers.schedule(failed == null ? everyMs : Math.min(everyMs, RETRY_MS), this::refresh);
     }
   }
 
@@ -139,6 +139,6 @@
   private static int compare(Ballot one, Ballot other) {
     return one.round != other.round
         ? Long.compare(one.round, other.round)
-        : Long.compare(one.who, other.who);
+        : Long.compare(one.proposerId, other.proposerId);
   }
 }
--- a/controlplane/src/main/java/elmsail/controlplane/ConfigHistory.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ConfigHistory.java
@@ -140,7 +140,7 @@
       sha.update(ByteBuffer.allocate(Long.BYTES).putLong(base).array());
       return Arrays.copyOf(sha.digest(sent), DIGEST_BYTES);
     } catch (NoSuchAlgorithmException e) {
-      throw new ElmsailException(ErrorCode.FAULT, "SHA-256", e);
+      throw new ElmsailException(ErrorCode.INTERNAL, "SHA-256", e);
     }
   }
 
@@ -160,7 +160,7 @@
       }
       out.write(bytes);
     } catch (IOException e) {
-      throw new ElmsailException(ErrorCode.FAULT, "configuration history", e);
+      throw new ElmsailException(ErrorCode.INTERNAL, "configuration history", e);
     }
     return value.toByteArray();
   }
@@ -183,7 +183,7 @@
       }
       return read(in);
     } catch (IOException e) {
-      throw new ElmsailException(ErrorCode.GARBLED, "configuration history", e);
+      throw new ElmsailException(ErrorCode.MALFORMED, "configuration history", e);
     }
   }
 
@@ -243,6 +243,6 @@
   }
 
   private static ElmsailException garbled(String what) {
-    return new ElmsailException(ErrorCode.GARBLED, "configuration history: " + what);
+    return new ElmsailException(ErrorCode.MALFORMED, "configuration history: " + what);
   }
 }
--- a/controlplane/src/main/java/elmsail/controlplane/ConfigOrderHandler.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ConfigOrderHandler.java
@@ -4,9 +4,9 @@
 import elmsail.runtime.ElmsailException;
 import elmsail.runtime.ErrorCode;
 import elmsail.runtime.Timers;
-import elmsail.runtime.http.HttpCall;
+import elmsail.runtime.http.SimpleHttpRequest;
 import elmsail.runtime.http.HttpHandler;
-import elmsail.runtime.http.HttpReply;
+import elmsail.runtime.http.SimpleHttpResponse;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.LongConsumer;
@@ -84,7 +84,7 @@
     final ConfigOrder change;
 
     final String invalid;
-    final CompletableFuture<HttpReply> reply = new CompletableFuture<>();
+    final CompletableFuture<SimpleHttpResponse> reply = new CompletableFuture<>();
     int status;
     String why = "";
     boolean unclear;
@@ -105,7 +105,7 @@
   }
 
   @Override
-  public CompletableFuture<HttpReply> handle(HttpCall call) {
+  public CompletableFuture<SimpleHttpResponse> handle(SimpleHttpRequest call) {
     long basedOn = number(call.headers().get("elmsail-based-on"));
     if (basedOn < 0) {
       counters.orderEnded(400);
@@ -134,7 +134,7 @@
 
   /** Why the operator's body is refused; other failures are not the operator's and go on. */
   private static String reasonInvalid(ElmsailException failure) {
-    if (failure.code() != ErrorCode.BAD_CALL && failure.code() != ErrorCode.GARBLED) {
+    if (failure.code() != ErrorCode.INVALID_ARGUMENT && failure.code() != ErrorCode.MALFORMED) {
       throw failure;
     }
     return failure.code().wireName() + ": " + failure.detail();
@@ -186,8 +186,8 @@
     if (failed != null) {
       ErrorCode code = ElmsailException.codeOf(failed);
       order.unclear |=
-          code != ErrorCode.NOT_REACHED && code != ErrorCode.UNSENT && code != ErrorCode.NOT_SEATED;
-      timers.after(BETWEEN_TRIES_MS, () -> attempt(order));
+          code != ErrorCode.NO_QUORUM && code != ErrorCode.NOT_SENT && code != ErrorCode.NOT_A_VOTER;
+      timers.schedule(BETWEEN_TRIES_MS, () -> attempt(order));
       return;
     }
     decided.take(held.now());
--- a/controlplane/src/main/java/elmsail/controlplane/ControlPlane.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ControlPlane.java
@@ -4,12 +4,12 @@
 import elmsail.config.ClusterState;
 import elmsail.consensus.Replica;
 import elmsail.rpc.RpcEndpoint;
-import elmsail.runtime.NettyLoop;
+import elmsail.runtime.NettyEventLoop;
 import elmsail.runtime.ProcessMetrics;
 import elmsail.runtime.Settings;
-import elmsail.runtime.http.HttpCall;
+import elmsail.runtime.http.SimpleHttpRequest;
 import elmsail.runtime.http.HttpHandler;
-import elmsail.runtime.http.HttpReply;
+import elmsail.runtime.http.SimpleHttpResponse;
 import elmsail.runtime.http.HttpServer;
 import elmsail.runtime.http.MetricsEndpoint;
 import elmsail.runtime.http.NettyHttpClient;
@@ -31,14 +31,14 @@
   private static final long END_WITHIN_MS = 800;
   private static final long LOOK_MS = 10;
 
-  private final NettyLoop loop;
+  private final NettyEventLoop loop;
   private final ControlPlaneNode office;
   private final StoreNode house;
   private HttpServer serving;
   private boolean ending;
   private int inHand;
 
-  private ControlPlane(NettyLoop loop, ControlPlaneNode office, StoreNode house) {
+  private ControlPlane(NettyEventLoop loop, ControlPlaneNode office, StoreNode house) {
     this.loop = loop;
     this.office = office;
     this.house = house;
@@ -54,7 +54,7 @@
    */
   public static CompletableFuture<ControlPlane> startHeadOffice(
       Settings settings,
-      NettyLoop loop,
+      NettyEventLoop loop,
       RpcEndpoint links,
       RecordStore records,
       ProcessMetrics metrics) {
@@ -73,7 +73,7 @@
     MetricsEndpoint figures = new MetricsEndpoint(metrics.counters(), loop);
     return HttpServer.listen(
             loop,
-            settings.slots().get("control"),
+            settings.listenAddresses().get("control"),
             call ->
                 MetricsEndpoint.PATH.equals(call.path())
                     ? figures.handle(call)
@@ -96,7 +96,7 @@
    */
   public static ControlPlane startVault(
       Settings settings,
-      NettyLoop loop,
+      NettyEventLoop loop,
       RpcEndpoint links,
       RecordStore records,
       ProcessMetrics metrics) {
@@ -143,8 +143,8 @@
     return house == null ? null : house.watcher();
   }
 
-  private CompletableFuture<HttpReply> counted(HttpHandler handler, HttpCall call) {
-    CompletableFuture<HttpReply> reply = handler.handle(call);
+  private CompletableFuture<SimpleHttpResponse> counted(HttpHandler handler, SimpleHttpRequest call) {
+    CompletableFuture<SimpleHttpResponse> reply = handler.handle(call);
     inHand++;
     reply.whenComplete((done, failed) -> inHand--);
     return reply;
@@ -173,9 +173,9 @@
   private void look(CompletableFuture<Void> ended, long until) {
     if (inHand == 0 || loop.now() >= until) {
       // One turn later, so that the last answer has left.
-      loop.after(LOOK_MS, () -> ended.complete(null));
+      loop.schedule(LOOK_MS, () -> ended.complete(null));
     } else {
-      loop.after(LOOK_MS, () -> look(ended, until));
+      loop.schedule(LOOK_MS, () -> look(ended, until));
     }
   }
 }
--- a/controlplane/src/main/java/elmsail/controlplane/ControlPlaneCounters.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ControlPlaneCounters.java
@@ -31,14 +31,14 @@
 
   /** Takes its counters from those of the process. */
   ControlPlaneCounters(Counters counters) {
-    pullsAnswered = counters.of("control_pulls_answered");
-    pullsNoContact = counters.of("control_pulls_no_contact");
-    ordersAcknowledged = counters.of("control_orders_acknowledged");
-    ordersRefused = counters.of("control_orders_refused");
-    ordersUnclear = counters.of("control_orders_unclear");
-    listsRead = counters.of("control_lists_read");
-    listsFailed = counters.of("control_lists_failed");
-    joinsDirected = counters.of("control_joins_directed");
+    pullsAnswered = counters.counter("control_pulls_answered");
+    pullsNoContact = counters.counter("control_pulls_no_contact");
+    ordersAcknowledged = counters.counter("control_orders_acknowledged");
+    ordersRefused = counters.counter("control_orders_refused");
+    ordersUnclear = counters.counter("control_orders_unclear");
+    listsRead = counters.counter("control_lists_read");
+    listsFailed = counters.counter("control_lists_failed");
+    joinsDirected = counters.counter("control_joins_directed");
   }
 
   /** Counts how an operator's order ended, by the status of its answer. */
--- a/controlplane/src/main/java/elmsail/controlplane/ControlPlaneNode.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ControlPlaneNode.java
@@ -7,7 +7,7 @@
 import elmsail.consensus.Register;
 import elmsail.consensus.RegisterClient;
 import elmsail.consensus.VoterSets;
-import elmsail.rpc.Caller;
+import elmsail.rpc.RpcClient;
 import elmsail.rpc.RequestHandlers;
 import elmsail.rpc.messages.ClusterView;
 import elmsail.rpc.messages.OpaqueMessage;
@@ -81,7 +81,7 @@
   ControlPlaneNode(
       Settings settings,
       Timers timers,
-      Caller caller,
+      RpcClient caller,
       RequestHandlers answering,
       RecordStore records,
       HttpClient platform,
@@ -91,7 +91,7 @@
     counters = new ControlPlaneCounters(metrics.counters());
     this.timers = timers;
     this.answering = answering;
-    String own = settings.innerAddress();
+    String own = settings.rpcAddress();
     voters = new ControlPlaneVoters(settings, timers, caller, answering, records, who, metrics);
     register =
         new RegisterClient(ControlPlaneVoters.SET, caller, timers, voters, who, own, address -> 1);
@@ -111,7 +111,7 @@
             null);
     lease = new SingletonLease(caller, timers, register, voters::current, own, who);
     list = settings.platform() == null ? null : discovery(platform);
-    int slots = 2 * settings.bearMachines() + 1;
+    int slots = 2 * settings.toleratedMachineLosses() + 1;
     PlacementController storeController = new PlacementController(slots, timers.now());
     founding = new StoreFounding(register, founded, storeController, heard);
     storePlacement = new VoterPlacement(StoreNode.SET, heard, storeController);
@@ -145,7 +145,7 @@
   private ServerDiscovery discovery(HttpClient platform) {
     return new ServerDiscovery(
         new PlatformClient(platform, settings.platform().address(), timers),
-        settings.platform().perSecond(),
+        settings.platform().maxCallsPerSecond(),
         timers,
         sources,
         lease::term,
@@ -153,10 +153,10 @@
   }
 
   private void gauges(Counters figures) {
-    figures.readGauge("control_lease_held", () -> lease.term() > 0 ? 1 : 0);
-    figures.readGauge("control_in_contact", () -> config.contact().current() ? 1 : 0);
-    figures.readGauge("control_store_voters_voting", storePlacement.redundancy()::voting);
-    figures.readGauge("control_head_voters_voting", headPlacement.redundancy()::voting);
+    figures.registerGauge("control_lease_held", () -> lease.term() > 0 ? 1 : 0);
+    figures.registerGauge("control_in_contact", () -> config.contact().current() ? 1 : 0);
+    figures.registerGauge("control_store_voters_voting", storePlacement.redundancy()::voting);
+    figures.registerGauge("control_head_voters_voting", headPlacement.redundancy()::voting);
   }
 
   void start() {
@@ -164,8 +164,8 @@
     retiring.whenNewer(value -> notices.tell("retire"));
     founded.whenNewer(value -> learnStores(VoterSetValue.of(value)));
     sources.setView(this::view);
-    answering.on(PullRequest.class, this::pulled);
-    answering.on(OpaqueMessage.class, notices::handle);
+    answering.register(PullRequest.class, this::pulled);
+    answering.register(OpaqueMessage.class, notices::handle);
     notices.on("decided", config::refresh);
     notices.on("retire", retiring::refresh);
     notices.answer(HeardStoresInquiry.KIND, inquiry::answer);
@@ -207,16 +207,16 @@
   private CompletableFuture<PullResponse> pulled(PullRequest request) {
     heard.note(request, timers.now());
     headHeard.note(request, timers.now());
-    if (HeartbeatTable.STORE_ROLE.equals(request.role) && request.storeSet != null) {
-      learnStores(request.storeSet);
+    if (HeartbeatTable.STORE_ROLE.equals(request.role) && request.jobStoreVoters != null) {
+      learnStores(request.jobStoreVoters);
     }
     if (closed || !config.contact().current()) {
       counters.pullsNoContact.add(1);
       return CompletableFuture.failedFuture(
-          new ElmsailException(ErrorCode.NOT_SEATED, "no contact with a majority"));
+          new ElmsailException(ErrorCode.NOT_A_VOTER, "no contact with a majority"));
     }
     if (HeartbeatTable.STORE_ROLE.equals(request.role)) {
-      request.waitMs = Math.min(request.waitMs, STORE_WAIT_MS);
+      request.maxWaitMs = Math.min(request.maxWaitMs, STORE_WAIT_MS);
     }
     return sources
         .request(request)
@@ -250,9 +250,9 @@
       sources.setServers(
           watcher.listEpoch(), watcher.listVersion(), watcher.listBytes(), watcher.listTakenAt());
     }
-    learnStores(watcher.view().storeSet);
-    if (!watcher.view().head.voters.isEmpty()) {
-      voters.learn(watcher.view().head);
+    learnStores(watcher.view().jobStoreVoters);
+    if (!watcher.view().controlPlaneVoters.voters.isEmpty()) {
+      voters.learn(watcher.view().controlPlaneVoters);
     }
   }
 
@@ -266,8 +266,8 @@
 
   private ClusterView view(PullRequest request) {
     ClusterView view = new ClusterView();
-    view.head = voters.current();
-    view.storeSet = storeSet;
+    view.controlPlaneVoters = voters.current();
+    view.jobStoreVoters = storeSet;
     view.gateways = gateways;
     if (mayDirect()) {
       storePlacement.tell(request, view);
@@ -287,7 +287,7 @@
     if (closed) {
       return;
     }
-    timers.after(TICK_MS, this::tick);
+    timers.schedule(TICK_MS, this::tick);
     long now = timers.now();
     boolean reads = config.contact().current();
     boolean directs = mayDirect();
--- a/controlplane/src/main/java/elmsail/controlplane/ControlPlaneVoters.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ControlPlaneVoters.java
@@ -4,7 +4,7 @@
 import elmsail.consensus.ReplicaListener;
 import elmsail.consensus.VoterSetSource;
 import elmsail.consensus.VoterSets;
-import elmsail.rpc.Caller;
+import elmsail.rpc.RpcClient;
 import elmsail.rpc.RequestHandlers;
 import elmsail.rpc.messages.HelloRequest;
 import elmsail.rpc.messages.PullRequest;
@@ -32,7 +32,7 @@
 
   private final Settings settings;
   private final Timers timers;
-  private final Caller caller;
+  private final RpcClient caller;
   private final RecordStore records;
   private final Replica replica;
   private final PullRequest heartbeat = new PullRequest();
@@ -50,7 +50,7 @@
   ControlPlaneVoters(
       Settings settings,
       Timers timers,
-      Caller caller,
+      RpcClient caller,
       RequestHandlers answering,
       RecordStore records,
       long processId,
@@ -69,13 +69,13 @@
                 answering,
                 caller,
                 timers,
-                settings.innerAddress(),
-                settings.station(),
+                settings.rpcAddress(),
+                settings.machine(),
                 metrics);
     this.born = records != null && (settings.firstStart() || records.read(BORN) != null);
     heartbeat.role = ROLE;
-    heartbeat.station = settings.station();
-    heartbeat.address = settings.innerAddress();
+    heartbeat.machine = settings.machine();
+    heartbeat.address = settings.rpcAddress();
     heartbeat.zone = settings.zone();
     heartbeat.instanceId = records == null ? processId : records.instanceId();
     heartbeat.hasDisk = settings.dataDir() != null;
@@ -92,15 +92,15 @@
 
   private void begin(RequestHandlers answering) {
     HelloRequest own = new HelloRequest();
-    own.station = settings.station();
-    own.address = settings.innerAddress();
+    own.machine = settings.machine();
+    own.address = settings.rpcAddress();
     own.zone = settings.zone();
     own.instanceId = records == null ? 0 : records.instanceId();
     own.hasDisk = records != null;
     own.firstStart = records == null ? settings.firstStart() : born;
     List<String> seeds = new ArrayList<>();
     for (String seed : settings.seeds()) {
-      seeds.add(settings.headInner(seed));
+      seeds.add(settings.controlPlaneRpcAddress(seed));
     }
     founding =
         new ClusterBootstrap(
@@ -109,7 +109,7 @@
             own,
             records,
             seeds,
-            2 * settings.bearMachines() + 1,
+            2 * settings.toleratedMachineLosses() + 1,
             this::current,
             this::learn);
     founding.start(answering);
@@ -133,7 +133,7 @@
 
   /** Whether it holds a voter slot, voting or not yet. */
   boolean holdsSlot() {
-    return replica != null && VoterSetValue.slotOf(current(), settings.innerAddress()) >= 0;
+    return replica != null && VoterSetValue.slotOf(current(), settings.rpcAddress()) >= 0;
   }
 
   @Override
@@ -155,7 +155,7 @@
     if (replica != null) {
       replica.whenVotingChanges(
           () -> {
-            int slot = VoterSetValue.slotOf(current(), settings.innerAddress());
+            int slot = VoterSetValue.slotOf(current(), settings.rpcAddress());
             if (replica.voting() && slot >= 0 && current().voters.get(slot).epoch > 1) {
               then.run();
             }
--- a/controlplane/src/main/java/elmsail/controlplane/DecommissionHandler.java
+++ b/controlplane/src/main/java/elmsail/controlplane/DecommissionHandler.java
@@ -5,9 +5,9 @@
 import elmsail.rpc.messages.Voter;
 import elmsail.rpc.messages.VoterSet;
 import elmsail.runtime.Timers;
-import elmsail.runtime.http.HttpCall;
+import elmsail.runtime.http.SimpleHttpRequest;
 import elmsail.runtime.http.HttpHandler;
-import elmsail.runtime.http.HttpReply;
+import elmsail.runtime.http.SimpleHttpResponse;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -106,7 +106,7 @@
   }
 
   @Override
-  public CompletableFuture<HttpReply> handle(HttpCall call) {
+  public CompletableFuture<SimpleHttpResponse> handle(SimpleHttpRequest call) {
     boolean begin = call.path().startsWith(BEGIN);
     String node = call.path().substring(begin ? BEGIN.length() : READ.length());
     if (known(node)) {
@@ -122,7 +122,7 @@
         .exceptionally(failed -> Replies.why(503, "not sure who is there"));
   }
 
-  private CompletableFuture<HttpReply> answer(boolean begin, String node) {
+  private CompletableFuture<SimpleHttpResponse> answer(boolean begin, String node) {
     return begin ? begin(node) : Replies.now(read(node));
   }
 
@@ -136,7 +136,7 @@
     return holdsSlot(node);
   }
 
-  private CompletableFuture<HttpReply> begin(String node) {
+  private CompletableFuture<SimpleHttpResponse> begin(String node) {
     List<Set<String>> listed = new ArrayList<>(List.of(Set.of()));
     boolean[] refused = {false};
     return register
@@ -174,7 +174,7 @@
   }
 
   /** 409 if a majority of the control-plane nodes is sure that too few would remain, else 503. */
-  private CompletableFuture<HttpReply> refusal(String node, Set<String> listed) {
+  private CompletableFuture<SimpleHttpResponse> refusal(String node, Set<String> listed) {
     return inquiry
         .ask()
         .thenApply(
@@ -194,7 +194,7 @@
     return storeSet.get().voters.isEmpty() ? voters : storeSet.get().voters.size();
   }
 
-  private HttpReply read(String node) {
+  private SimpleHttpResponse read(String node) {
     if (!contact.current() || !retiring.contact().within(LIST_KNOWN_WITHIN_MS)) {
       return Replies.why(503, "no contact with a majority");
     }
@@ -208,7 +208,7 @@
 
   private boolean holdsSlot(String node) {
     for (Voter slot : storeSet.get().voters) {
-      if (slot.station.equals(node)) {
+      if (slot.machine.equals(node)) {
         return true;
       }
     }
--- a/controlplane/src/main/java/elmsail/controlplane/DecommissionList.java
+++ b/controlplane/src/main/java/elmsail/controlplane/DecommissionList.java
@@ -33,13 +33,13 @@
     try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(value))) {
       int count = in.readInt();
       if (count < 0 || count > MOST) {
-        throw new ElmsailException(ErrorCode.GARBLED, "stations: " + count);
+        throw new ElmsailException(ErrorCode.MALFORMED, "stations: " + count);
       }
       for (int i = 0; i < count; i++) {
         names.add(in.readUTF());
       }
     } catch (IOException e) {
-      throw new ElmsailException(ErrorCode.GARBLED, "stations", e);
+      throw new ElmsailException(ErrorCode.MALFORMED, "stations", e);
     }
     return Collections.unmodifiableSet(names);
   }
@@ -51,7 +51,7 @@
    */
   static byte[] with(Set<String> names, String one) {
     if (names.size() >= MOST) {
-      throw new ElmsailException(ErrorCode.FULL, "stations to be emptied: " + names.size());
+      throw new ElmsailException(ErrorCode.RESOURCE_EXHAUSTED, "stations to be emptied: " + names.size());
     }
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (DataOutputStream out = new DataOutputStream(bytes)) {
@@ -61,7 +61,7 @@
       }
       out.writeUTF(one);
     } catch (IOException e) {
-      throw new ElmsailException(ErrorCode.FAULT, "stations", e);
+      throw new ElmsailException(ErrorCode.INTERNAL, "stations", e);
     }
     return bytes.toByteArray();
   }
--- a/controlplane/src/main/java/elmsail/controlplane/FoundingAcceptor.java
+++ b/controlplane/src/main/java/elmsail/controlplane/FoundingAcceptor.java
@@ -34,9 +34,9 @@
   private FoundingResponse response(boolean granted) {
     FoundingResponse response = new FoundingResponse();
     response.granted = granted;
-    response.promised = promised;
+    response.promisedBallot = promised;
     response.acceptedBallot = acceptedBallot;
-    response.accepted = accepted;
+    response.acceptedVoterSet = accepted;
     return response;
   }
 
--- a/controlplane/src/main/java/elmsail/controlplane/FoundingAgreement.java
+++ b/controlplane/src/main/java/elmsail/controlplane/FoundingAgreement.java
@@ -1,6 +1,6 @@
 package elmsail.controlplane;
 
-import elmsail.rpc.Caller;
+import elmsail.rpc.RpcClient;
 import elmsail.rpc.RequestHandlers;
 import elmsail.rpc.messages.FoundingRequest;
 import elmsail.rpc.messages.FoundingResponse;
@@ -27,7 +27,7 @@
   /** Later seeds begin and repeat later, so that rounds don't outbid each other for long. */
   private static final long LATER_MS = 170;
 
-  private final Caller caller;
+  private final RpcClient caller;
   private final Timers timers;
   private final RecordStore records;
   private final List<String> seeds;
@@ -44,7 +44,7 @@
    * @param decided told what this seed saw decided
    */
   FoundingAgreement(
-      Caller caller,
+      RpcClient caller,
       Timers timers,
       RecordStore records,
       List<String> seeds,
@@ -62,13 +62,13 @@
 
   /** Votes from now on, if this instance is a seed's of the first start. */
   void vote(RequestHandlers answering, boolean ofFirstStart) {
-    answering.on(
+    answering.register(
         FoundingRequest.class,
         request ->
             ofFirstStart && ownSeed >= 0
                 ? answer(request)
                 : CompletableFuture.failedFuture(
-                    new ElmsailException(ErrorCode.NOT_SEATED, "no vote on the founding")));
+                    new ElmsailException(ErrorCode.NOT_A_VOTER, "no vote on the founding")));
   }
 
   private CompletableFuture<FoundingResponse> answer(FoundingRequest request) {
--- a/controlplane/src/main/java/elmsail/controlplane/FoundingCandidates.java
+++ b/controlplane/src/main/java/elmsail/controlplane/FoundingCandidates.java
@@ -78,7 +78,7 @@
       }
       left.remove(next);
       ofZone.merge(next.zone, 1, Integer::sum);
-      chosen.put(next.address, VoterSetValue.slot(next.address, next.station, next.instanceId, 1));
+      chosen.put(next.address, VoterSetValue.slot(next.address, next.machine, next.instanceId, 1));
     }
     VoterSet first = new VoterSet();
     first.voters.addAll(chosen.values());
--- a/controlplane/src/main/java/elmsail/controlplane/FoundingProposer.java
+++ b/controlplane/src/main/java/elmsail/controlplane/FoundingProposer.java
@@ -42,13 +42,13 @@
    * promised: what was accepted in the highest ballot, or else this round's own proposal.
    */
   VoterSet promised(int seed, long inBallot, FoundingResponse response) {
-    highest = Math.max(highest, response.promised);
+    highest = Math.max(highest, response.promisedBallot);
     if (inBallot != ballot || accepting || !response.granted) {
       return null;
     }
     if (response.acceptedBallot > bestAccepted) {
       bestAccepted = response.acceptedBallot;
-      proposal = response.accepted;
+      proposal = response.acceptedVoterSet;
     }
     granted.add(seed);
     if (granted.size() < VoterSets.majority(seeds)) {
@@ -61,7 +61,7 @@
 
   /** A seed's answer to an acceptance; the decision, once a majority has accepted. */
   VoterSet accepted(int seed, long inBallot, FoundingResponse response) {
-    highest = Math.max(highest, response.promised);
+    highest = Math.max(highest, response.promisedBallot);
     if (inBallot != ballot || !accepting || !response.granted) {
       return null;
     }
--- a/controlplane/src/main/java/elmsail/controlplane/HeardStores.java
+++ b/controlplane/src/main/java/elmsail/controlplane/HeardStores.java
@@ -26,7 +26,7 @@
       boolean sure = in.readBoolean();
       int count = in.readInt();
       if (count < 0 || count > MOST) {
-        throw new ElmsailException(ErrorCode.GARBLED, "stores heard: " + count);
+        throw new ElmsailException(ErrorCode.MALFORMED, "stores heard: " + count);
       }
       Map<String, Long> agoMs = new TreeMap<>();
       for (int i = 0; i < count; i++) {
@@ -34,7 +34,7 @@
       }
       return new HeardStores(sure, agoMs);
     } catch (IOException e) {
-      throw new ElmsailException(ErrorCode.GARBLED, "stores heard", e);
+      throw new ElmsailException(ErrorCode.MALFORMED, "stores heard", e);
     }
   }
 
@@ -48,7 +48,7 @@
         out.writeLong(store.getValue());
       }
     } catch (IOException e) {
-      throw new ElmsailException(ErrorCode.FAULT, "stores heard", e);
+      throw new ElmsailException(ErrorCode.INTERNAL, "stores heard", e);
     }
     return bytes.toByteArray();
   }
--- a/controlplane/src/main/java/elmsail/controlplane/HeardStoresInquiry.java
+++ b/controlplane/src/main/java/elmsail/controlplane/HeardStoresInquiry.java
@@ -1,7 +1,7 @@
 package elmsail.controlplane;
 
 import elmsail.consensus.VoterSets;
-import elmsail.rpc.Caller;
+import elmsail.rpc.RpcClient;
 import elmsail.rpc.messages.OpaqueMessage;
 import elmsail.rpc.messages.Voter;
 import elmsail.rpc.messages.VoterSet;
@@ -22,12 +22,12 @@
 
   private static final long ANSWER_WITHIN_MS = 300;
 
-  private final Caller caller;
+  private final RpcClient caller;
   private final Supplier<VoterSet> voters;
   private final String ownAddress;
   private Supplier<HeardStores> own = () -> new HeardStores(false, Map.of());
 
-  HeardStoresInquiry(Caller caller, Supplier<VoterSet> voters, String ownAddress) {
+  HeardStoresInquiry(RpcClient caller, Supplier<VoterSet> voters, String ownAddress) {
     this.caller = caller;
     this.voters = voters;
     this.ownAddress = ownAddress;
@@ -106,7 +106,7 @@
     void fail() {
       result.completeExceptionally(
           new ElmsailException(
-              ErrorCode.NOT_REACHED, "no majority is sure which stores are there"));
+              ErrorCode.NO_QUORUM, "no majority is sure which stores are there"));
     }
   }
 }
--- a/controlplane/src/main/java/elmsail/controlplane/HeartbeatTable.java
+++ b/controlplane/src/main/java/elmsail/controlplane/HeartbeatTable.java
@@ -52,13 +52,13 @@
   void note(PullRequest request, long now) {
     if (role.equals(request.role) && (request.hasDisk || role.equals(STORE_ROLE))) {
       Member before = stores.get(request.address);
-      VoterSet storeSet = request.storeSet == null ? new VoterSet() : request.storeSet;
+      VoterSet storeSet = request.jobStoreVoters == null ? new VoterSet() : request.jobStoreVoters;
       long first = before == null || before.instanceId != request.instanceId ? now : before.firstAt;
       stores.put(
           request.address,
           new Member(
               request.address,
-              request.station,
+              request.machine,
               request.zone,
               request.instanceId,
               request.voting,
--- a/controlplane/src/main/java/elmsail/controlplane/OperatorApi.java
+++ b/controlplane/src/main/java/elmsail/controlplane/OperatorApi.java
@@ -1,8 +1,8 @@
 package elmsail.controlplane;
 
-import elmsail.runtime.http.HttpCall;
+import elmsail.runtime.http.SimpleHttpRequest;
 import elmsail.runtime.http.HttpHandler;
-import elmsail.runtime.http.HttpReply;
+import elmsail.runtime.http.SimpleHttpResponse;
 import java.util.concurrent.CompletableFuture;
 
 /** The control address: which handler a call goes to. */
@@ -10,7 +10,7 @@
     implements HttpHandler {
 
   @Override
-  public CompletableFuture<HttpReply> handle(HttpCall call) {
+  public CompletableFuture<SimpleHttpResponse> handle(SimpleHttpRequest call) {
     boolean post = "POST".equals(call.method());
     boolean get = "GET".equals(call.method());
     String path = call.path();
--- a/controlplane/src/main/java/elmsail/controlplane/PeerNotices.java
+++ b/controlplane/src/main/java/elmsail/controlplane/PeerNotices.java
@@ -1,6 +1,6 @@
 package elmsail.controlplane;
 
-import elmsail.rpc.Caller;
+import elmsail.rpc.RpcClient;
 import elmsail.rpc.messages.OpaqueMessage;
 import elmsail.rpc.messages.Voter;
 import elmsail.rpc.messages.VoterSet;
@@ -15,12 +15,12 @@
 final class PeerNotices {
   private static final long ANSWER_WITHIN_MS = 300;
 
-  private final Caller caller;
+  private final RpcClient caller;
   private final Supplier<VoterSet> voters;
   private final String ownAddress;
   private final Map<String, Supplier<OpaqueMessage>> handlers = new HashMap<>();
 
-  PeerNotices(Caller caller, Supplier<VoterSet> voters, String ownAddress) {
+  PeerNotices(RpcClient caller, Supplier<VoterSet> voters, String ownAddress) {
     this.caller = caller;
     this.voters = voters;
     this.ownAddress = ownAddress;
@@ -54,7 +54,7 @@
     Supplier<OpaqueMessage> handler = handlers.get(message.kind);
     if (handler == null) {
       return CompletableFuture.failedFuture(
-          new ElmsailException(ErrorCode.GARBLED, "a note of another kind"));
+          new ElmsailException(ErrorCode.MALFORMED, "a note of another kind"));
     }
     return CompletableFuture.completedFuture(handler.get());
   }
--- a/controlplane/src/main/java/elmsail/controlplane/PlacementController.java
+++ b/controlplane/src/main/java/elmsail/controlplane/PlacementController.java
@@ -170,7 +170,7 @@
       HeartbeatTable heard, VoterSet storeSet, Set<String> retiring, int slot, long now) {
     Voter holder = storeSet.voters.get(slot);
     boolean gone = gone(heard, holder, now);
-    if (!gone && !retiring.contains(holder.station)) {
+    if (!gone && !retiring.contains(holder.machine)) {
       return false;
     }
     int voting = 0;
--- a/controlplane/src/main/java/elmsail/controlplane/QuorumContact.java
+++ b/controlplane/src/main/java/elmsail/controlplane/QuorumContact.java
@@ -60,7 +60,7 @@
    */
   <A> A checked(A answer) {
     if (!current()) {
-      throw new ElmsailException(ErrorCode.NOT_SEATED, "no contact with a majority");
+      throw new ElmsailException(ErrorCode.NOT_A_VOTER, "no contact with a majority");
     }
     return answer;
   }
--- a/controlplane/src/main/java/elmsail/controlplane/ReadConfigHandler.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ReadConfigHandler.java
@@ -1,9 +1,9 @@
 package elmsail.controlplane;
 
 import elmsail.consensus.Register;
-import elmsail.runtime.http.HttpCall;
+import elmsail.runtime.http.SimpleHttpRequest;
 import elmsail.runtime.http.HttpHandler;
-import elmsail.runtime.http.HttpReply;
+import elmsail.runtime.http.SimpleHttpResponse;
 import java.util.concurrent.CompletableFuture;
 
 /** {@code GET /RoutingConfig.Read}: read at a majority, or 503; never a local guess. */
@@ -19,7 +19,7 @@
   }
 
   @Override
-  public CompletableFuture<HttpReply> handle(HttpCall call) {
+  public CompletableFuture<SimpleHttpResponse> handle(SimpleHttpRequest call) {
     return register
         .read(ConfigOrderHandler.KEY, decided.known(), ANSWER_WITHIN_MS)
         .handle(
--- a/controlplane/src/main/java/elmsail/controlplane/Replies.java
+++ b/controlplane/src/main/java/elmsail/controlplane/Replies.java
@@ -1,6 +1,6 @@
 package elmsail.controlplane;
 
-import elmsail.runtime.http.HttpReply;
+import elmsail.runtime.http.SimpleHttpResponse;
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
@@ -11,16 +11,16 @@
 
   private Replies() {}
 
-  static HttpReply json(int status, byte[] body) {
-    return new HttpReply(status, JSON, body);
+  static SimpleHttpResponse json(int status, byte[] body) {
+    return new SimpleHttpResponse(status, JSON, body);
   }
 
-  static HttpReply json(int status, String body) {
+  static SimpleHttpResponse json(int status, String body) {
     return json(status, body.getBytes(StandardCharsets.UTF_8));
   }
 
   /** With why, for whoever reads the operator's log. */
-  static HttpReply why(int status, String detail) {
+  static SimpleHttpResponse why(int status, String detail) {
     StringBuilder text = new StringBuilder("{\"why\":\"");
     for (int i = 0; i < detail.length(); i++) {
       char letter = detail.charAt(i);
@@ -33,7 +33,7 @@
     return json(status, text.append("\"}").toString());
   }
 
-  static CompletableFuture<HttpReply> now(HttpReply reply) {
+  static CompletableFuture<SimpleHttpResponse> now(SimpleHttpResponse reply) {
     return CompletableFuture.completedFuture(reply);
   }
 }
--- a/controlplane/src/main/java/elmsail/controlplane/ServerDiscovery.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ServerDiscovery.java
@@ -69,7 +69,7 @@
   }
 
   void start() {
-    timers.after(FIRST_MS, this::first);
+    timers.schedule(FIRST_MS, this::first);
     look();
   }
 
@@ -98,7 +98,7 @@
     long inTerm = term.getAsLong();
     if (inTerm == 0) {
       pause = EVERY_MS;
-      timers.after(EVERY_MS / 5, this::look);
+      timers.schedule(EVERY_MS / 5, this::look);
       return;
     }
     platform
@@ -110,14 +110,14 @@
                 pause = EVERY_MS;
                 take(inTerm, servers);
               } else {
-                boolean full = ElmsailException.codeOf(failed) == ErrorCode.FULL;
+                boolean full = ElmsailException.codeOf(failed) == ErrorCode.RESOURCE_EXHAUSTED;
                 pause = Math.min(MOST_MS, full ? pause * 2 : Math.max(EVERY_MS, pause * 3 / 2));
               }
               long least =
                   perSecond > 0
                       ? (long) (platform.lastPages() * 1_000 / (perSecond * SHARE))
                       : MOST_MS;
-              timers.after(Math.max(pause, least), this::look);
+              timers.schedule(Math.max(pause, least), this::look);
             });
   }
 
--- a/controlplane/src/main/java/elmsail/controlplane/SingletonLease.java
+++ b/controlplane/src/main/java/elmsail/controlplane/SingletonLease.java
@@ -1,7 +1,7 @@
 package elmsail.controlplane;
 
 import elmsail.consensus.Register;
-import elmsail.rpc.Caller;
+import elmsail.rpc.RpcClient;
 import elmsail.rpc.RequestHandlers;
 import elmsail.rpc.messages.LeaseRequest;
 import elmsail.rpc.messages.LeaseResponse;
@@ -31,7 +31,7 @@
   private static final long ASK_TIMEOUT_MS = 500;
   private static final long TERM_TIMEOUT_MS = 800;
 
-  private final Caller caller;
+  private final RpcClient caller;
   private final Timers timers;
   private final Register register;
   private final Supplier<VoterSet> head;
@@ -52,7 +52,7 @@
    * @param who drawn anew at each start
    */
   SingletonLease(
-      Caller caller,
+      RpcClient caller,
       Timers timers,
       Register register,
       Supplier<VoterSet> head,
@@ -69,19 +69,19 @@
   /** Answers the requests for the lease, while this process votes. */
   static void vote(
       RequestHandlers answering, Timers timers, LeaseVoter voter, BooleanSupplier voting) {
-    answering.on(
+    answering.register(
         LeaseRequest.class,
         request -> {
           if (!voting.getAsBoolean()) {
             return CompletableFuture.failedFuture(
-                new ElmsailException(ErrorCode.NOT_SEATED, "no vote"));
+                new ElmsailException(ErrorCode.NOT_A_VOTER, "no vote"));
           }
           LeaseResponse response = new LeaseResponse();
-          if (request.forMs <= 0) {
-            voter.release(request.who, request.round, timers.now());
+          if (request.durationMs <= 0) {
+            voter.release(request.instanceId, request.round, timers.now());
           } else {
-            response.leftMs = voter.request(request.who, request.round, timers.now());
-            response.granted = response.leftMs == 0;
+            response.remainingMs = voter.request(request.instanceId, request.round, timers.now());
+            response.granted = response.remainingMs == 0;
           }
           return CompletableFuture.completedFuture(response);
         });
@@ -91,7 +91,7 @@
     if (closed) {
       return;
     }
-    timers.after(LOOK_MS, this::start);
+    timers.schedule(LOOK_MS, this::start);
     VoterSet voterSet = head.get();
     int place = VoterSetValue.slotOf(voterSet, ownAddress);
     if (place < 0) {
@@ -115,8 +115,8 @@
   private void request(long round, VoterSet voterSet) {
     LeaseRequest request = new LeaseRequest();
     request.lease = KEY;
-    request.who = who;
-    request.forMs = round > 0 ? LeaseVoter.LEASE_MS : 0;
+    request.instanceId = who;
+    request.durationMs = round > 0 ? LeaseVoter.LEASE_MS : 0;
     request.round = Math.abs(round);
     for (int i = 0; i < voterSet.voters.size(); i++) {
       int voter = i;
@@ -130,7 +130,7 @@
                 }
                 long now = timers.now();
                 if (!response.granted) {
-                  lease.refused(round, response.leftMs);
+                  lease.refused(round, response.remainingMs);
                 } else if (lease.granted(round, voter, now)) {
                   term = 0;
                   won++;
@@ -165,7 +165,7 @@
                 term = next[0];
                 LOG.info("holds the singleton lease, term {}", term);
               } else {
-                timers.after(LOOK_MS, this::takeTerm);
+                timers.schedule(LOOK_MS, this::takeTerm);
               }
             });
   }
--- a/controlplane/src/main/java/elmsail/controlplane/StoreNode.java
+++ b/controlplane/src/main/java/elmsail/controlplane/StoreNode.java
@@ -4,7 +4,7 @@
 import elmsail.config.watch.StoreStatus;
 import elmsail.consensus.Replica;
 import elmsail.consensus.ReplicaListener;
-import elmsail.rpc.Caller;
+import elmsail.rpc.RpcClient;
 import elmsail.rpc.RequestHandlers;
 import elmsail.rpc.messages.VoterSet;
 import elmsail.runtime.ProcessMetrics;
@@ -25,7 +25,7 @@
   StoreNode(
       Settings settings,
       Timers timers,
-      Caller caller,
+      RpcClient caller,
       RequestHandlers answering,
       RecordStore records,
       ReplicaListener views,
@@ -38,8 +38,8 @@
             answering,
             caller,
             timers,
-            settings.innerAddress(),
-            settings.station(),
+            settings.rpcAddress(),
+            settings.machine(),
             metrics);
     watcher =
         new ConfigWatcher(
@@ -59,7 +59,7 @@
   }
 
   private void learn() {
-    VoterSet storeSet = watcher.view().storeSet;
+    VoterSet storeSet = watcher.view().jobStoreVoters;
     if (storeSet.voters.isEmpty()) {
       return;
     }
--- a/controlplane/src/main/java/elmsail/controlplane/VoterRedirect.java
+++ b/controlplane/src/main/java/elmsail/controlplane/VoterRedirect.java
@@ -3,9 +3,9 @@
 import elmsail.config.watch.ConfigWatcher;
 import elmsail.rpc.messages.Voter;
 import elmsail.runtime.Settings;
-import elmsail.runtime.http.HttpCall;
+import elmsail.runtime.http.SimpleHttpRequest;
 import elmsail.runtime.http.HttpHandler;
-import elmsail.runtime.http.HttpReply;
+import elmsail.runtime.http.SimpleHttpResponse;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 
@@ -19,7 +19,7 @@
   private static final long LATELY_MS = 2_500;
 
   @Override
-  public CompletableFuture<HttpReply> handle(HttpCall call) {
+  public CompletableFuture<SimpleHttpResponse> handle(SimpleHttpRequest call) {
     if (voters.holdsSlot()) {
       return handler.handle(call);
     }
@@ -32,7 +32,7 @@
         nearest = slot.address;
       }
     }
-    String control = settings.slots().get("control");
+    String control = settings.listenAddresses().get("control");
     if (nearest == null || control == null) {
       return Replies.now(Replies.why(503, "no other control-plane node is in touch"));
     }
@@ -40,6 +40,6 @@
         nearest.substring(0, nearest.lastIndexOf(':'))
             + control.substring(control.lastIndexOf(':'));
     return Replies.now(
-        new HttpReply(307, Map.of("location", "http://" + to + call.path()), new byte[0]));
+        new SimpleHttpResponse(307, Map.of("location", "http://" + to + call.path()), new byte[0]));
   }
 }
--- a/controlplane/src/main/java/elmsail/controlplane/VoterSetValue.java
+++ b/controlplane/src/main/java/elmsail/controlplane/VoterSetValue.java
@@ -22,12 +22,12 @@
       out.writeInt(voterSet.voters.size());
       for (Voter slot : voterSet.voters) {
         out.writeUTF(slot.address);
-        out.writeUTF(slot.station);
+        out.writeUTF(slot.machine);
         out.writeLong(slot.instanceId);
         out.writeInt(slot.epoch);
       }
     } catch (IOException e) {
-      throw new ElmsailException(ErrorCode.FAULT, "a voter set", e);
+      throw new ElmsailException(ErrorCode.INTERNAL, "a voter set", e);
     }
     return bytes.toByteArray();
   }
@@ -41,14 +41,14 @@
     try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
       int count = in.readInt();
       if (count < 0 || count > MOST_SLOTS) {
-        throw new ElmsailException(ErrorCode.GARBLED, "voter slots: " + count);
+        throw new ElmsailException(ErrorCode.MALFORMED, "voter slots: " + count);
       }
       for (int i = 0; i < count; i++) {
         String address = in.readUTF();
         voterSet.voters.add(slot(address, in.readUTF(), in.readLong(), in.readInt()));
       }
     } catch (IOException e) {
-      throw new ElmsailException(ErrorCode.GARBLED, "a voter set", e);
+      throw new ElmsailException(ErrorCode.MALFORMED, "a voter set", e);
     }
     return voterSet;
   }
@@ -56,7 +56,7 @@
   static Voter slot(String address, String station, long instanceId, int epoch) {
     Voter slot = new Voter();
     slot.address = address;
-    slot.station = station;
+    slot.machine = station;
     slot.instanceId = instanceId;
     slot.epoch = epoch;
     return slot;
--- a/controlplane/src/test/java/elmsail/controlplane/AmendOrdersTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/AmendOrdersTest.java
@@ -156,7 +156,7 @@
   @Test
   void beforeTheFirstConfigurationAnAmendmentThatIsNotWholeIsRefused() {
     OrderStory story = new OrderStory("before the first", 9, NODES);
-    story.world.timers.pass(3_000);
+    story.world.timers.advance(3_000);
     Order order = OrderStory.amendment(0, 1, "x", null);
     assertThat(story.repeat(order, SETTLE_MS), is(400));
   }
--- a/controlplane/src/test/java/elmsail/controlplane/BoundedListsTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/BoundedListsTest.java
@@ -30,14 +30,14 @@
     assertThat(read, hasSize(DecommissionList.MOST));
     ElmsailException thrown =
         assertThrows(ElmsailException.class, () -> DecommissionList.with(read, "one more"));
-    assertThat(thrown.code(), is(ErrorCode.FULL));
+    assertThat(thrown.code(), is(ErrorCode.RESOURCE_EXHAUSTED));
   }
 
   private static PullRequest pull(String role, int number) {
     PullRequest request = new PullRequest();
     request.role = role;
     request.address = "10.2." + number / 250 + "." + number % 250 + ":7720";
-    request.station = "s" + number;
+    request.machine = "s" + number;
     request.zone = "z";
     request.instanceId = number;
     return request;
--- a/controlplane/src/test/java/elmsail/controlplane/ConfigHistoryTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ConfigHistoryTest.java
@@ -162,7 +162,7 @@
     for (byte[] each : damaged) {
       ElmsailException thrown =
           assertThrows(ElmsailException.class, () -> ConfigHistory.of(each), Arrays.toString(each));
-      assertThat(thrown.code(), is(ErrorCode.GARBLED));
+      assertThat(thrown.code(), is(ErrorCode.MALFORMED));
     }
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/ConfigOrdersTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ConfigOrdersTest.java
@@ -142,7 +142,7 @@
         } else {
           story.world.kill(node);
         }
-        story.world.timers.pass(1_500);
+        story.world.timers.advance(1_500);
         story.world.controlPlane(node, false);
         assertThat(
             story.world.until(10_000, () -> story.world.read(node).startsWith("{")), is(true));
--- a/controlplane/src/test/java/elmsail/controlplane/ConfigStoryTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ConfigStoryTest.java
@@ -6,7 +6,7 @@
 import static org.hamcrest.Matchers.not;
 
 import elmsail.config.watch.ConfigWatcher;
-import elmsail.runtime.http.HttpReply;
+import elmsail.runtime.http.SimpleHttpResponse;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -28,7 +28,7 @@
   private static final int STORIES = 12;
 
   /** One call of an operator. */
-  private record Sent(long basedOn, long edition, CompletableFuture<HttpReply> reply) {}
+  private record Sent(long basedOn, long edition, CompletableFuture<SimpleHttpResponse> reply) {}
 
   private World world;
   private Random chance;
@@ -76,14 +76,14 @@
     world.net.delay(1, 15);
     for (int i = 1; i <= 3; i++) {
       world.controlPlane("n" + i, true);
-      world.timers.pass(chance.nextInt(150));
+      world.timers.advance(chance.nextInt(150));
     }
     world.gateway("c1");
     world.gateway("c2");
     String trouble = null;
     long troubleEnds = 0;
     for (int step = 0; step < 800; step++) {
-      world.timers.pass(1 + chance.nextInt(60));
+      world.timers.advance(1 + chance.nextInt(60));
       if (trouble == null && chance.nextInt(80) == 0) {
         trouble = "n" + (1 + chance.nextInt(3));
         begin(trouble);
@@ -101,7 +101,7 @@
     if (trouble != null) {
       end(trouble);
     }
-    world.timers.pass(6_000);
+    world.timers.advance(6_000);
     hear(seed);
     look(seed);
     finish(seed);
@@ -137,9 +137,9 @@
 
   private void send() {
     String to = "n" + (1 + chance.nextInt(3));
-    if (world.net.at(world.address(to)) == null
-        || !world.net.at(world.address(to)).alive()
-        || world.net.at(world.address(to)).frozen()) {
+    if (world.net.nodeAt(world.address(to)) == null
+        || !world.net.nodeAt(world.address(to)).isAlive()
+        || world.net.nodeAt(world.address(to)).isFrozen()) {
       return;
     }
     numbers += 1 + chance.nextInt(3);
@@ -147,9 +147,9 @@
     open.add(new Sent(current, numbers, world.sent(to, String.valueOf(current), numbers)));
     if (chance.nextBoolean()) {
       String other = "n" + (1 + chance.nextInt(3));
-      if (world.net.at(world.address(other)) != null
-          && !world.net.at(world.address(other)).frozen()
-          && world.net.at(world.address(other)).alive()) {
+      if (world.net.nodeAt(world.address(other)) != null
+          && !world.net.nodeAt(world.address(other)).isFrozen()
+          && world.net.nodeAt(world.address(other)).isAlive()) {
         numbers += 1 + chance.nextInt(3);
         bases.put(numbers, current);
         open.add(new Sent(current, numbers, world.sent(other, String.valueOf(current), numbers)));
--- a/controlplane/src/test/java/elmsail/controlplane/ControlPlaneFiguresTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ControlPlaneFiguresTest.java
@@ -18,8 +18,8 @@
     }
     own.orderEnded(504);
     own.orderEnded(504);
-    assertThat(counters.of("control_orders_acknowledged").value(), is(1L));
-    assertThat(counters.of("control_orders_refused").value(), is(3L));
-    assertThat(counters.of("control_orders_unclear").value(), is(2L));
+    assertThat(counters.counter("control_orders_acknowledged").value(), is(1L));
+    assertThat(counters.counter("control_orders_refused").value(), is(3L));
+    assertThat(counters.counter("control_orders_unclear").value(), is(2L));
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/ControlPlaneNodeTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ControlPlaneNodeTest.java
@@ -8,7 +8,7 @@
 import static org.hamcrest.Matchers.is;
 import static org.hamcrest.Matchers.lessThan;
 
-import elmsail.runtime.http.HttpReply;
+import elmsail.runtime.http.SimpleHttpResponse;
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
@@ -54,9 +54,9 @@
       int first = order % 3 + 1;
       int second = order < 3 ? first % 3 + 1 : (first + 1) % 3 + 1;
       one.controlPlane("n" + first, true);
-      one.timers.pass(100);
+      one.timers.advance(100);
       one.controlPlane("n" + second, true);
-      one.timers.pass(200);
+      one.timers.advance(200);
       one.controlPlane("n" + (6 - first - second), true);
       assertThat("order " + order, one.replaceAnywhere(0, 3), is(200));
     }
@@ -79,9 +79,9 @@
       String base = String.valueOf(current);
       long a = current + 1;
       long b = current + 2;
-      CompletableFuture<HttpReply> one = world.sent("n1", base, a);
-      world.timers.pass(i % 4);
-      CompletableFuture<HttpReply> two = world.sent("n2", base, b);
+      CompletableFuture<SimpleHttpResponse> one = world.sent("n1", base, a);
+      world.timers.advance(i % 4);
+      CompletableFuture<SimpleHttpResponse> two = world.sent("n2", base, b);
       int statusOne = world.status(one);
       int statusTwo = world.status(two);
       assertThat(statusOne + " " + statusTwo, anyOf(equalTo("200 412"), equalTo("412 200")));
@@ -115,8 +115,8 @@
     }
     world.controlPlane("n1", false);
     world.gateway("c1");
-    world.timers.pass(3_000);
-    assertThat(world.gateways.get("c1").view().head.voters.isEmpty(), is(true));
+    world.timers.advance(3_000);
+    assertThat(world.gateways.get("c1").view().controlPlaneVoters.voters.isEmpty(), is(true));
     assertThat(world.gateways.get("c1").config() == null, is(true));
     world.controlPlane("n2", false);
     assertThat(world.until(2_000, () -> world.gateways.get("c1").config() != null), is(true));
@@ -127,7 +127,7 @@
     head();
     world.gateway("c1");
     assertThat(world.replaceAnywhere(0, 1), is(200));
-    world.timers.pass(1_000);
+    world.timers.advance(1_000);
     world.net.cutBoth(world.address("n1"), world.address("n2"));
     world.net.cutBoth(world.address("n1"), world.address("n3"));
     assertThat(world.replace("n1", 1, 2), anyOf(is(503), is(504)));
@@ -164,9 +164,9 @@
     for (int i = 1; i <= 3; i++) {
       String name = "n" + i;
       world.wipe(name);
-      world.timers.pass(500);
+      world.timers.advance(500);
       world.controlPlane(name, false);
-      world.timers.pass(5_000);
+      world.timers.advance(5_000);
       assertThat("after " + name, world.read(name), equalTo(World.config(1)));
     }
     assertThat(world.replaceAnywhere(1, 2), is(200));
@@ -179,7 +179,7 @@
     assertThat(world.replaceAnywhere(0, 1), is(200));
     assertThat(world.until(2_000, () -> world.replace("n4", 1, 2) == 200), is(true));
     assertThat(world.read("n4"), equalTo(World.config(2)));
-    CompletableFuture<HttpReply> sentOn = world.begin("n4", "GET", "/Retire.Read/v1", null, "");
+    CompletableFuture<SimpleHttpResponse> sentOn = world.begin("n4", "GET", "/Retire.Read/v1", null, "");
     assertThat(world.status(sentOn), is(307));
     assertThat(sentOn.join().headers().get("location"), containsString(":8166/Retire.Read/v1"));
   }
@@ -194,9 +194,9 @@
             + "\"cold_left_ms\":0,\"id\":\"i-1\"}],"
             + "\"next_token\":null}";
     assertThat(world.until(3_000, () -> world.gateways.get("c1").servers().size() == 1), is(true));
-    world.timers.pass(5_000);
+    world.timers.advance(5_000);
     int before = world.carrierCalls;
-    world.timers.pass(10_000);
+    world.timers.advance(10_000);
     assertThat(world.carrierCalls - before, lessThan(22));
     assertThat(world.carrierCalls - before, greaterThan(17));
     assertThat(world.gateways.get("c1").listAgeMs(), lessThan(2_200L));
@@ -209,11 +209,11 @@
   void anotherAsksTheCarrierOnceTheHolderIsGone() {
     head();
     world.gateway("c1");
-    world.timers.pass(3_000);
+    world.timers.advance(3_000);
     world.net.kill(world.address("n1"), false);
-    world.timers.pass(5_000);
+    world.timers.advance(5_000);
     int before = world.carrierCalls;
-    world.timers.pass(5_000);
+    world.timers.advance(5_000);
     assertThat(world.carrierCalls - before, greaterThan(7));
     assertThat(world.gateways.get("c1").listAgeMs(), lessThan(2_200L));
   }
@@ -234,7 +234,7 @@
     for (int i = 1; i <= 4; i++) {
       world.store("v" + i, false);
     }
-    world.timers.pass(6_000);
+    world.timers.advance(6_000);
     assertThat(world.storeSet("v1"), equalTo("v1/1 v2/1 v3/1"));
   }
 
@@ -248,11 +248,11 @@
   @Test
   void aSpareTakesTheSeatOfAVaultThatIsGone() {
     founded(4);
-    world.timers.pass(2_000);
+    world.timers.advance(2_000);
     world.net.kill(world.address("v2"), false);
     assertThat(world.until(6_000, () -> world.storeSet("v1").equals("v1/1 v4/2 v3/1")), is(true));
     world.store("v2", false);
-    world.timers.pass(4_000);
+    world.timers.advance(4_000);
     assertThat(world.storeSet("v1"), equalTo("v1/1 v4/2 v3/1"));
     assertThat(world.stores.get("v2").replica().voting(), is(false));
   }
@@ -260,7 +260,7 @@
   @Test
   void aWipedVaultTakesItsOwnSeatAgain() {
     founded(3);
-    world.timers.pass(1_000);
+    world.timers.advance(1_000);
     world.wipe("v2");
     world.store("v2", false);
     assertThat(world.until(3_000, () -> world.storeSet("v1").equals("v1/1 v2/2 v3/1")), is(true));
@@ -269,7 +269,7 @@
   @Test
   void retiringOneOfFourMovesItsSeatAndSaysSo() {
     founded(4);
-    world.timers.pass(3_000);
+    world.timers.advance(3_000);
     assertThat(world.retire("n2", "v9"), is(404));
     assertThat(world.retire("n2", "v2"), is(200));
     assertThat(world.retire("n3", "v2"), is(200));
@@ -283,7 +283,7 @@
   @Test
   void retiringOneOfThreeIsRefused() {
     founded(3);
-    world.timers.pass(3_500);
+    world.timers.advance(3_500);
     assertThat(world.retire("n1", "v2"), is(409));
     assertThat(world.retired("n1", "v2"), equalTo("{\"state\":\"in_service\"}"));
   }
@@ -291,13 +291,13 @@
   @Test
   void deliveredIsNotSaidBeforeTheTakerHasCopiedAll() {
     founded(4);
-    world.timers.pass(3_000);
+    world.timers.advance(3_000);
     world.disks.get("v4").stall(5_000);
     assertThat(world.retire("n1", "v2"), is(200));
     long end = world.timers.now() + 4_500;
     while (world.timers.now() < end) {
       assertThat(world.retired("n1", "v2"), equalTo("{\"state\":\"in_service\"}"));
-      world.timers.pass(100);
+      world.timers.advance(100);
     }
     String delivered = "{\"state\":\"delivered\"}";
     assertThat(world.until(8_000, () -> world.retired("n1", "v2").equals(delivered)), is(true));
--- a/controlplane/src/test/java/elmsail/controlplane/ControlPlaneTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ControlPlaneTest.java
@@ -6,7 +6,7 @@
 import static org.hamcrest.Matchers.is;
 
 import elmsail.rpc.RpcEndpoint;
-import elmsail.runtime.NettyLoop;
+import elmsail.runtime.NettyEventLoop;
 import elmsail.runtime.ProcessMetrics;
 import elmsail.runtime.Settings;
 import elmsail.storage.DirectoryRecordStore;
@@ -94,12 +94,12 @@
   }
 
   private static void running(Settings settings, Calls calls) throws Exception {
-    NettyLoop loop = new NettyLoop();
-    RpcEndpoint links = new RpcEndpoint(loop.events(), loop, settings.innerAddress());
+    NettyEventLoop loop = new NettyEventLoop();
+    RpcEndpoint links = new RpcEndpoint(loop.eventLoop(), loop, settings.rpcAddress());
     DirectoryRecordStore records =
-        DirectoryRecordStore.open(Path.of(settings.dataDir()), 64 << 20, loop::soon);
+        DirectoryRecordStore.open(Path.of(settings.dataDir()), 64 << 20, loop::execute);
     CompletableFuture<ControlPlane> started = new CompletableFuture<>();
-    loop.soon(
+    loop.execute(
         () ->
             links
                 .listen()
@@ -117,14 +117,14 @@
                     }));
     try {
       ControlPlane controlPlane = started.get(10, TimeUnit.SECONDS);
-      calls.to(settings.slots().get("control"));
+      calls.to(settings.listenAddresses().get("control"));
       CompletableFuture<Void> ended = new CompletableFuture<>();
-      loop.soon(() -> controlPlane.end().thenRun(() -> ended.complete(null)));
+      loop.execute(() -> controlPlane.end().thenRun(() -> ended.complete(null)));
       ended.get(1, TimeUnit.SECONDS);
     } finally {
-      loop.soon(links::close);
+      loop.execute(links::close);
       records.close();
-      loop.stop().get(5, TimeUnit.SECONDS);
+      loop.shutdown().get(5, TimeUnit.SECONDS);
     }
   }
 
@@ -162,17 +162,17 @@
   @Timeout(60)
   void aStoreTellsItsFiguresAtItsThirdInnerPort() throws Exception {
     Settings settings = settings(dir, true, freePort(), portBeforeFreeOne());
-    NettyLoop loop = new NettyLoop();
-    RpcEndpoint links = new RpcEndpoint(loop.events(), loop, "127.0.0.1:0");
+    NettyEventLoop loop = new NettyEventLoop();
+    RpcEndpoint links = new RpcEndpoint(loop.eventLoop(), loop, "127.0.0.1:0");
     DirectoryRecordStore records =
-        DirectoryRecordStore.open(Path.of(settings.dataDir()), 64 << 20, loop::soon);
+        DirectoryRecordStore.open(Path.of(settings.dataDir()), 64 << 20, loop::execute);
     CompletableFuture<ControlPlane> started = new CompletableFuture<>();
-    loop.soon(
+    loop.execute(
         () -> {
           ControlPlane store =
               ControlPlane.startVault(settings, loop, links, records, ProcessMetrics.strict());
           // The address is bound behind what the loop is doing now.
-          loop.soon(() -> loop.soon(() -> started.complete(store)));
+          loop.execute(() -> loop.execute(() -> started.complete(store)));
         });
     try {
       ControlPlane store = started.get(10, TimeUnit.SECONDS);
@@ -181,12 +181,12 @@
       assertThat(figures, containsString("elmsail_store_batch_jobs_kept 0\n"));
       assertThat(call(settings.metricsAddress(), "GET", "/ready", null), equalTo("404"));
       CompletableFuture<Void> ended = new CompletableFuture<>();
-      loop.soon(() -> store.end().thenRun(() -> ended.complete(null)));
+      loop.execute(() -> store.end().thenRun(() -> ended.complete(null)));
       ended.get(1, TimeUnit.SECONDS);
     } finally {
-      loop.soon(links::close);
+      loop.execute(links::close);
       records.close();
-      loop.stop().get(5, TimeUnit.SECONDS);
+      loop.shutdown().get(5, TimeUnit.SECONDS);
     }
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/CoreSplitStory.java
+++ b/controlplane/src/test/java/elmsail/controlplane/CoreSplitStory.java
@@ -8,8 +8,8 @@
 import static org.hamcrest.Matchers.not;
 
 import elmsail.rpc.messages.Voter;
-import elmsail.runtime.http.HttpReply;
-import elmsail.simulation.Node;
+import elmsail.runtime.http.SimpleHttpResponse;
+import elmsail.simulation.SimNode;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -74,7 +74,7 @@
   private final Set<String> retired = new HashSet<>();
   private final Set<String> delivered = new HashSet<>();
   private final Map<String, Long> holderOf = new HashMap<>();
-  private final Map<String, CompletableFuture<HttpReply>> asked = new LinkedHashMap<>();
+  private final Map<String, CompletableFuture<SimpleHttpResponse>> asked = new LinkedHashMap<>();
   private final Map<OrderStory.Order, Long> again = new LinkedHashMap<>();
   private long number = 1;
   private final Set<String> unasked = new LinkedHashSet<>();
@@ -229,7 +229,7 @@
   private void heal() {
     world.net.healAll();
     for (int i = 1; i <= nodes; i++) {
-      if (world.net.at(world.address("n" + i)) != null) {
+      if (world.net.nodeAt(world.address("n" + i)) != null) {
         world.net.thaw(world.address("n" + i));
       }
     }
@@ -255,8 +255,8 @@
     nextRetire = world.timers.now() + RACE_EVERY_MS;
     for (String store : List.copyOf(unasked)) {
       String node = "n" + (1 + chance.nextInt(nodes));
-      Node there = world.net.at(world.address(node));
-      if (gone.contains(node) || there == null || there.frozen()) {
+      SimNode there = world.net.nodeAt(world.address(node));
+      if (gone.contains(node) || there == null || there.isFrozen()) {
         continue;
       }
       world
@@ -326,7 +326,7 @@
     for (String node : world.offices.keySet()) {
       for (String store : retired) {
         String key = node + " " + store;
-        if (world.net.at(world.address(node)) != null && !asked.containsKey(key)) {
+        if (world.net.nodeAt(world.address(node)) != null && !asked.containsKey(key)) {
           asked.put(key, world.begin(node, "GET", "/Retire.Read/" + store, null, ""));
         }
       }
@@ -338,7 +338,7 @@
               if (!one.getValue().isDone()) {
                 return false;
               }
-              HttpReply reply = one.getValue().join();
+              SimpleHttpResponse reply = one.getValue().join();
               String store = one.getKey().split(" ")[1];
               assertThat(name + ": unknown: " + store, reply.status(), not(is(404)));
               if (DELIVERED.equals(new String(reply.body(), StandardCharsets.UTF_8))) {
@@ -350,11 +350,11 @@
 
   private void check() {
     for (Voter slot : jobs.newest().voters) {
-      assertThat(name + ": delivered", delivered, not(hasItem(slot.station)));
+      assertThat(name + ": delivered", delivered, not(hasItem(slot.machine)));
     }
     int leases = 0;
     for (Map.Entry<String, ControlPlaneNode> office : world.offices.entrySet()) {
-      boolean up = world.net.at(world.address(office.getKey())) != null;
+      boolean up = world.net.nodeAt(world.address(office.getKey())) != null;
       leases += up && office.getValue().lease.term() > 0 ? 1 : 0;
     }
     assertThat(name + ": leases", leases, lessThanOrEqualTo(1));
@@ -365,7 +365,7 @@
       List<Voter> slots = store.getValue().replica().voterSet().voters;
       for (int i = 0; i < slots.size(); i++) {
         Voter slot = slots.get(i);
-        boolean itself = slot.station.equals(store.getKey());
+        boolean itself = slot.machine.equals(store.getKey());
         if (itself) {
           Long before = holderOf.putIfAbsent(i + "/" + slot.epoch, slot.instanceId);
           assertThat(
@@ -378,7 +378,7 @@
   private List<String> holders() {
     List<String> holders = new ArrayList<>();
     for (Voter slot : jobs.newest().voters) {
-      holders.add(slot.station);
+      holders.add(slot.machine);
     }
     return holders;
   }
@@ -389,9 +389,9 @@
     }
     int voting = 0;
     for (Voter slot : jobs.newest().voters) {
-      StoreNode store = world.stores.get(slot.station);
-      boolean there = world.net.at(slot.address) != null && !gone.contains(slot.station);
-      boolean same = world.disks.get(slot.station).instanceId() == slot.instanceId;
+      StoreNode store = world.stores.get(slot.machine);
+      boolean there = world.net.nodeAt(slot.address) != null && !gone.contains(slot.machine);
+      boolean same = world.disks.get(slot.machine).instanceId() == slot.instanceId;
       voting += there && same && store.replica().voting() ? 1 : 0;
     }
     for (String node : world.offices.keySet()) {
@@ -407,7 +407,7 @@
     for (String node : world.offices.keySet()) {
       state.append("; ").append(node).append(' ');
       for (Voter slot : world.head(node).voters) {
-        state.append(slot.station).append('/').append(slot.epoch).append(' ');
+        state.append(slot.machine).append('/').append(slot.epoch).append(' ');
       }
       state.append(world.offices.get(node).voters().voting() ? "votes" : "");
     }
@@ -428,6 +428,6 @@
     assertThat(name, wrong, is(empty()));
     jobs.readAll();
     orders.finish();
-    assertThat(name, world.net.faults().isEmpty(), is(true));
+    assertThat(name, world.net.handlerFaults().isEmpty(), is(true));
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/CutOffRig.java
+++ b/controlplane/src/test/java/elmsail/controlplane/CutOffRig.java
@@ -5,7 +5,7 @@
 
 import elmsail.rpc.messages.PullRequest;
 import elmsail.rpc.messages.PullResponse;
-import elmsail.simulation.Node;
+import elmsail.simulation.SimNode;
 import java.util.concurrent.CompletableFuture;
 
 /** Three control-plane nodes, of which n1 is cut off, and a process that asks it. */
@@ -20,7 +20,7 @@
   World world = new World(11, 3);
 
   /** A process that asks n1 what it gives out; made with the first question. */
-  private Node probe;
+  private SimNode probe;
 
   /** What keeps n1 from the two other voters. */
   enum Cut {
@@ -38,8 +38,8 @@
           case REQUESTS_LOST -> world.net.cut(there, here);
           case ANSWERS_LOST -> world.net.cut(here, there);
           case RESET -> {
-            world.net.reset(there, here);
-            world.net.reset(here, there);
+            world.net.resetCalls(there, here);
+            world.net.resetCalls(here, there);
           }
           default -> throw new AssertionError(this);
         }
@@ -58,22 +58,22 @@
       world.controlPlane("n" + i, true);
     }
     assertThat(world.replaceAnywhere(0, 1), is(200));
-    world.timers.pass(1_000);
+    world.timers.advance(1_000);
   }
 
   CompletableFuture<PullResponse> pull(PullRequest request, long timeoutMs) {
     if (probe == null) {
-      probe = world.net.node(PROBE);
+      probe = world.net.startNode(PROBE);
     }
-    return probe.caller().call(world.address("n1"), request, PullResponse.class, timeoutMs);
+    return probe.rpcClient().call(world.address("n1"), request, PullResponse.class, timeoutMs);
   }
 
   PullRequest request(String role, String station) {
     PullRequest request = new PullRequest();
     request.role = role;
-    request.station = station;
+    request.machine = station;
     request.address = world.address(station);
-    request.waitMs = 400;
+    request.maxWaitMs = 400;
     return request;
   }
 
--- a/controlplane/src/test/java/elmsail/controlplane/CutOffStoresTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/CutOffStoresTest.java
@@ -29,7 +29,7 @@
     for (int i = 4; i <= count; i++) {
       world.store("v" + i, true);
     }
-    world.timers.pass(4_000);
+    world.timers.advance(4_000);
   }
 
   @Test
@@ -38,16 +38,16 @@
     stores(4);
     world.net.cut(world.address("n1"), world.address("v4"));
     world.net.kill(world.address("v2"), false);
-    world.timers.pass(3_200);
+    world.timers.advance(3_200);
     CompletableFuture<PullResponse> before = pull(request("store", "v4"), 1_000);
     assertThat(world.until(1_000, before::isDone), is(true));
     assertThat("n1 directs", before.join().view.joinSlot, is(1));
     world.net.freeze(world.address("n1"));
     CompletableFuture<PullResponse> early = pull(request("store", "v4"), 60_000);
-    world.timers.pass(CUT_MS);
+    world.timers.advance(CUT_MS);
     world.net.thaw(world.address("n1"));
     for (int ms = 0; ms < 100; ms++) {
-      world.timers.pass(1);
+      world.timers.advance(1);
       CompletableFuture<PullResponse> one = pull(request("store", "v4"), 1_000);
       ordersNothing(early);
       ordersNothing(one);
@@ -66,7 +66,7 @@
     heads();
     stores(4);
     Cut.BOTH_WAYS.begin(world);
-    world.timers.pass(BOUND_MS);
+    world.timers.advance(BOUND_MS);
     for (int i = 1; i <= 4; i++) {
       world.net.cutBoth(world.address("v" + i), world.address("n2"));
       world.net.cutBoth(world.address("v" + i), world.address("n3"));
@@ -74,7 +74,7 @@
     world.net.kill(world.address("v2"), false);
     long end = world.timers.now() + CUT_MS;
     while (world.timers.now() < end) {
-      world.timers.pass(50);
+      world.timers.advance(50);
       assertThat(world.storeSet("v1"), equalTo("v1/1 v2/1 v3/1"));
     }
     world.net.healAll();
@@ -88,9 +88,9 @@
     assertThat(world.retire("n2", "v4"), is(200));
     assertThat(world.until(6_000, () -> world.retired("n1", "v4").equals(DELIVERED)), is(true));
     Cut.BOTH_WAYS.begin(world);
-    world.timers.pass(BOUND_MS);
+    world.timers.advance(BOUND_MS);
     for (int i = 0; i < 40; i++) {
-      world.timers.pass(500);
+      world.timers.advance(500);
       assertThat(world.retired("n1", "v4"), equalTo("503"));
     }
     world.net.healAll();
@@ -102,11 +102,11 @@
     heads();
     stores(5);
     assertThat(world.retire("n2", "v4"), is(200));
-    world.timers.pass(100);
+    world.timers.advance(100);
     Cut.BOTH_WAYS.begin(world);
-    world.timers.pass(BOUND_MS);
+    world.timers.advance(BOUND_MS);
     for (int i = 0; i < 40; i++) {
-      world.timers.pass(500);
+      world.timers.advance(500);
       assertThat(world.retired("n1", "v4"), not(equalTo(DELIVERED)));
     }
   }
@@ -118,16 +118,16 @@
     world.net.isolate(world.address("n1"));
     world.net.cutBoth(world.address("n1"), world.address("v5"));
     world.store("v5", true);
-    world.timers.pass(BOUND_MS);
+    world.timers.advance(BOUND_MS);
     for (int i = 0; i < 20; i++) {
-      world.timers.pass(1_000);
+      world.timers.advance(1_000);
       assertThat(world.retire("n1", "v5"), is(503));
       assertThat(world.retired("n1", "v5"), is("503"));
     }
     world.net.healAll();
     for (int ms = 0; ms < 3_000; ms += 100) {
       assertThat(world.retire("n1", "v5"), anyOf(is(503), is(200)));
-      world.timers.pass(100);
+      world.timers.advance(100);
     }
     assertThat(world.retire("n1", "v5"), is(200));
     assertThat(world.retire("n1", "v9"), is(404));
@@ -148,10 +148,10 @@
     heads();
     stores(4);
     world.net.freeze(world.address("n1"));
-    world.timers.pass(1_000);
+    world.timers.advance(1_000);
     world.store("v5", true);
     world.net.cutBoth(world.address("n1"), world.address("v5"));
-    world.timers.pass(CUT_MS);
+    world.timers.advance(CUT_MS);
     world.net.thaw(world.address("n1"));
     assertThat(world.retire("n1", "v5"), anyOf(is(503), is(200)));
     assertThat("all others are sure", world.retire("n1", "v9"), is(404));
@@ -171,14 +171,14 @@
       stores(5);
       world.net.delay(world.address("n1"), world.address("v4"), 300, 350);
       assertThat(world.retire("n2", "v2"), is(200));
-      world.timers.pass(apart);
+      world.timers.advance(apart);
       assertThat(world.retire("n3", "v4"), is(200));
       if (world.until(8_000, () -> world.retired("n3", "v4").equals(DELIVERED))) {
         said++;
         long end = world.timers.now() + 2_000;
         while (world.timers.now() < end) {
           assertThat(apart + " ms apart", world.storeSet("v1"), not(containsString("v4")));
-          world.timers.pass(20);
+          world.timers.advance(20);
         }
       }
     }
@@ -194,10 +194,10 @@
         world.controlPlane("n" + i, true);
       }
       stores(4);
-      world.timers.pass(10_000);
+      world.timers.advance(10_000);
       assertThat(world.storeSet("v1"), equalTo("v1/1 v2/1 v3/1"));
       assertThat(world.retire("n" + seed, "v4"), is(200));
-      world.timers.pass(5_000);
+      world.timers.advance(5_000);
       for (int i = 1; i <= 5; i++) {
         assertThat(world.retired("n" + i, "v4"), equalTo(DELIVERED));
       }
--- a/controlplane/src/test/java/elmsail/controlplane/CutOffTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/CutOffTest.java
@@ -11,8 +11,8 @@
 
 import elmsail.rpc.messages.PullRequest;
 import elmsail.rpc.messages.PullResponse;
-import elmsail.runtime.http.HttpReply;
-import elmsail.simulation.Node;
+import elmsail.runtime.http.SimpleHttpResponse;
+import elmsail.simulation.SimNode;
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -39,11 +39,11 @@
     heads();
     cut.begin(world);
     assertThat(world.replace("n2", 1, 3), is(200));
-    world.timers.pass(BOUND_MS);
+    world.timers.advance(BOUND_MS);
     gatewayAtN1("c1");
     long end = world.timers.now() + CUT_MS;
     while (world.timers.now() < end) {
-      world.timers.pass(50);
+      world.timers.advance(50);
       assertThat(world.gateways.get("c1").config(), nullValue());
     }
     for (String other : new String[] {"n2", "n3"}) {
@@ -60,13 +60,13 @@
     heads();
     world.gateway("c1");
     gatewayAtN1("c2");
-    world.timers.pass(1_000);
+    world.timers.advance(1_000);
     Cut.BOTH_WAYS.begin(world);
     assertThat(world.replace("n2", 1, 3), is(200));
     assertThat(
         world.until(IN_FORCE_MS, () -> world.gateways.get("c1").config().edition() == 3), is(true));
     for (int i = 0; i < 200; i++) {
-      world.timers.pass(100);
+      world.timers.advance(100);
       assertThat(world.gateways.get("c1").listAgeMs(), lessThan(2_500L));
       assertThat(world.gateways.get("c2").config().edition(), is(1L));
     }
@@ -76,19 +76,19 @@
   void aPullHeldOpenIsNotAnsweredOnceContactHasLapsed() {
     heads();
     pull(request("gateway", "c9"), 1_000);
-    world.timers.pass(500);
+    world.timers.advance(500);
     CompletableFuture<PullResponse> first = pull(request("gateway", "c9"), 1_000);
     assertThat(world.until(1_000, first::isDone), is(true));
     PullRequest held = request("gateway", "c9");
-    held.edition = first.join().edition;
-    held.listEpoch = Long.MAX_VALUE;
+    held.configVersion = first.join().configVersion;
+    held.serverListEpoch = Long.MAX_VALUE;
     held.viewVersion = first.join().viewVersion;
-    held.waitMs = 5_000;
+    held.maxWaitMs = 5_000;
     CompletableFuture<PullResponse> answer = pull(held, 30_000);
-    world.timers.pass(100);
+    world.timers.advance(100);
     assertThat(answer.isDone(), is(false));
     Cut.BOTH_WAYS.begin(world);
-    world.timers.pass(6_000);
+    world.timers.advance(6_000);
     assertThat(answer.isDone(), is(true));
     assertThat(failed(answer), is(true));
   }
@@ -99,34 +99,34 @@
     for (int early = 0; early < 300; early += 4) {
       begin(early);
       heads();
-      world.timers.pass(early);
+      world.timers.advance(early);
       frozenAndThawed();
     }
   }
 
   private void frozenAndThawed() {
     world.net.freeze(world.address("n1"));
-    world.timers.pass(10);
+    world.timers.advance(10);
     CompletableFuture<PullResponse> early = pull(request("gateway", "c9"), 60_000);
-    world.timers.pass(10);
+    world.timers.advance(10);
     assertThat(world.replace("n2", 1, 3), is(200));
-    world.timers.pass(CUT_MS);
+    world.timers.advance(CUT_MS);
     world.net.thaw(world.address("n1"));
-    world.timers.pass(0);
+    world.timers.advance(0);
     for (int ms = 0; ms < 100; ms++) {
       CompletableFuture<PullResponse> one = pull(request("gateway", "c8"), 1_000);
-      world.timers.pass(1);
+      world.timers.advance(1);
       givesNothingOlderThan(3, early);
       givesNothingOlderThan(3, one);
     }
     CompletableFuture<PullResponse> later = pull(request("gateway", "c9"), 1_000);
     assertThat(world.until(1_000, later::isDone), is(true));
-    assertThat(later.join().edition, is(3L));
+    assertThat(later.join().configVersion, is(3L));
   }
 
   private static void givesNothingOlderThan(long edition, CompletableFuture<PullResponse> answer) {
     if (answer.isDone() && !failed(answer) && answer.join().config != null) {
-      assertThat(answer.join().edition, greaterThanOrEqualTo(edition));
+      assertThat(answer.join().configVersion, greaterThanOrEqualTo(edition));
     }
   }
 
@@ -139,11 +139,11 @@
             + "\"id\":\"i-1\"}],\"next_token\":null}";
     world.gateway("c1");
     assertThat(world.until(3_000, () -> world.gateways.get("c1").servers().size() == 1), is(true));
-    world.timers.pass(100);
+    world.timers.advance(100);
     world.net.freeze(world.address("c1"));
-    world.timers.pass(CUT_MS);
+    world.timers.advance(CUT_MS);
     world.net.thaw(world.address("c1"));
-    world.timers.pass(0);
+    world.timers.advance(0);
     assertThat(world.gateways.get("c1").listAgeMs(), greaterThanOrEqualTo(CUT_MS));
     assertThat(world.until(700, () -> world.gateways.get("c1").listAgeMs() < 2_500), is(true));
   }
@@ -170,12 +170,12 @@
       }
       assertThat(one.replaceAnywhere(0, 1), is(200));
       Cut.BOTH_WAYS.begin(one);
-      one.timers.pass(CUT_MS);
-      CompletableFuture<HttpReply> waiting = one.sent("n1", "1", 4);
-      one.timers.pass(early);
+      one.timers.advance(CUT_MS);
+      CompletableFuture<SimpleHttpResponse> waiting = one.sent("n1", "1", 4);
+      one.timers.advance(early);
       one.net.healAll();
-      CompletableFuture<HttpReply> race = one.sent("n2", "1", 3);
-      CompletableFuture<HttpReply> late = one.sent("n1", "1", 6);
+      CompletableFuture<SimpleHttpResponse> race = one.sent("n2", "1", 3);
+      CompletableFuture<SimpleHttpResponse> late = one.sent("n1", "1", 6);
       int waited = one.status(waiting);
       int raced = one.status(race);
       int came = one.status(late);
@@ -192,12 +192,12 @@
   @Test
   void aReadThatWasUnderWayInAFreezeIsNotAnsweredAsCurrent() {
     heads();
-    CompletableFuture<HttpReply> read = world.begin("n1", "GET", "/Timetable.Read", null, "");
-    world.timers.pass(1);
+    CompletableFuture<SimpleHttpResponse> read = world.begin("n1", "GET", "/Timetable.Read", null, "");
+    world.timers.advance(1);
     assertThat(read.isDone(), is(false));
     world.net.freeze(world.address("n1"));
     assertThat(world.replace("n2", 1, 3), is(200));
-    world.timers.pass(CUT_MS);
+    world.timers.advance(CUT_MS);
     world.net.thaw(world.address("n1"));
     assertThat(world.status(read), is(503));
   }
@@ -213,7 +213,7 @@
       for (int i = 1; i <= 3; i++) {
         one.net.kill(one.address("n" + i), false);
       }
-      one.timers.pass(2_000);
+      one.timers.advance(2_000);
       long begun = one.timers.now();
       for (int i = 1; i <= 3 - lost; i++) {
         one.controlPlane("n" + i, false);
@@ -232,11 +232,11 @@
     int refused = 0;
     for (int i = 0; i < 600; i++) {
       PullRequest request = request("gateway", "c9");
-      request.waitMs = 0;
+      request.maxWaitMs = 0;
       CompletableFuture<PullResponse> answer = pull(request, 1_000);
       world.net.loss(PROBE, world.address("n1"), 0);
       world.net.loss(world.address("n1"), PROBE, 0);
-      world.timers.pass(100);
+      world.timers.advance(100);
       refused += answer.isDone() && !failed(answer) ? 0 : 1;
     }
     System.out.println("pulls refused with one voter lost and 2 % of messages: " + refused);
@@ -247,20 +247,20 @@
   void aNodeWithoutAVoteThatIsCutOffGivesNothingOutEither() {
     heads();
     world.controlPlane("n4", true, false);
-    world.timers.pass(2_000);
+    world.timers.advance(2_000);
     for (int i = 1; i <= 3; i++) {
       world.net.cutBoth(world.address("n4"), world.address("n" + i));
       world.net.cutBoth(world.address("c1"), world.address("n" + i));
     }
     assertThat(world.replace("n2", 1, 3), is(200));
-    world.timers.pass(BOUND_MS);
-    Node asker = world.net.node(PROBE);
+    world.timers.advance(BOUND_MS);
+    SimNode asker = world.net.startNode(PROBE);
     for (int i = 0; i < 20; i++) {
       CompletableFuture<PullResponse> answer =
           asker
-              .caller()
+              .rpcClient()
               .call(world.address("n4"), request("gateway", "c9"), PullResponse.class, 900);
-      world.timers.pass(1_000);
+      world.timers.advance(1_000);
       assertThat(failed(answer), is(true));
       assertThat(world.read("n4"), equalTo("503"));
       assertThat(world.replace("n4", 1, 4), anyOf(is(503), is(504)));
@@ -279,13 +279,13 @@
     assertThat(world.until(3_000, () -> world.gateways.get("c1").servers().size() == 1), is(true));
     Cut.BOTH_WAYS.begin(world);
     world.net.cutBoth(world.address("n2"), world.address("n3"));
-    world.timers.pass(3_000);
+    world.timers.advance(3_000);
     world.carrierSays = world.carrierSays.replace("open_for_post", "closing");
     assertThat(
         world.until(4_000, () -> world.gateways.get("c1").servers().get(0).closing()), is(true));
     long oldest = 0;
     for (int ms = 0; ms < CUT_MS; ms += 50) {
-      world.timers.pass(50);
+      world.timers.advance(50);
       oldest = Math.max(oldest, world.gateways.get("c1").listAgeMs());
       assertThat(world.gateways.get("c1").config().edition(), is(1L));
     }
--- a/controlplane/src/test/java/elmsail/controlplane/FakeRegister.java
+++ b/controlplane/src/test/java/elmsail/controlplane/FakeRegister.java
@@ -57,10 +57,10 @@
     reads++;
     CompletableFuture<Versioned> future = new CompletableFuture<>();
     if (unreachable) {
-      timers.after(timeoutMs, () -> fail(future, ErrorCode.NOT_REACHED));
+      timers.schedule(timeoutMs, () -> fail(future, ErrorCode.NO_QUORUM));
       return future;
     }
-    timers.after(
+    timers.schedule(
         readMs,
         () -> {
           Versioned now = values.getOrDefault(key, new Versioned(new Ballot(), null));
@@ -70,7 +70,7 @@
           if (answerMs == 0) {
             future.complete(told);
           } else {
-            timers.after(answerMs, () -> future.complete(told));
+            timers.schedule(answerMs, () -> future.complete(told));
           }
         });
     return future;
@@ -82,10 +82,10 @@
     CompletableFuture<Held> future = new CompletableFuture<>();
     Fate fate = fates.isEmpty() ? Fate.DONE : fates.poll();
     if (unreachable || fate == Fate.NOT_REACHED) {
-      timers.after(Math.min(300, timeoutMs), () -> fail(future, ErrorCode.NOT_REACHED));
+      timers.schedule(Math.min(300, timeoutMs), () -> fail(future, ErrorCode.NO_QUORUM));
       return future;
     }
-    timers.after(
+    timers.schedule(
         5,
         () -> {
           if (fate == Fate.OVERTAKEN) {
@@ -99,9 +99,9 @@
           Versioned now = values.getOrDefault(key, new Versioned(new Ballot(), null));
           Held held = new Held(now, wanted.value() != null);
           if (fate == Fate.UNCLEAR_TAKEN || fate == Fate.UNCLEAR_LOST) {
-            timers.after(Math.min(300, timeoutMs), () -> fail(future, ErrorCode.UNCLEAR));
+            timers.schedule(Math.min(300, timeoutMs), () -> fail(future, ErrorCode.OUTCOME_UNKNOWN));
           } else {
-            timers.after(5, () -> future.complete(held));
+            timers.schedule(5, () -> future.complete(held));
           }
         });
     return future;
--- a/controlplane/src/test/java/elmsail/controlplane/FoundingCandidatesTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/FoundingCandidatesTest.java
@@ -16,7 +16,7 @@
 
   private static HelloRequest hello(String name, String zone) {
     HelloRequest hello = new HelloRequest();
-    hello.station = name;
+    hello.machine = name;
     hello.address = name + ":1";
     hello.zone = zone;
     hello.instanceId = name.hashCode();
@@ -38,7 +38,7 @@
     }
     StringJoiner names = new StringJoiner(" ");
     for (Voter voter : set.voters) {
-      names.add(voter.station);
+      names.add(voter.machine);
     }
     return names.toString();
   }
--- a/controlplane/src/test/java/elmsail/controlplane/HeadFoundingTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/HeadFoundingTest.java
@@ -27,7 +27,7 @@
   private static TreeSet<String> voters(World world, String name) {
     TreeSet<String> stations = new TreeSet<>();
     for (Voter voter : world.head(name).voters) {
-      stations.add(voter.station);
+      stations.add(voter.machine);
     }
     return stations;
   }
@@ -43,7 +43,7 @@
   private static void sixNodes(World world, Random chance) {
     for (int i = 1; i <= 6; i++) {
       world.controlPlane("n" + i, true);
-      world.timers.pass(chance.nextInt(50));
+      world.timers.advance(chance.nextInt(50));
     }
   }
 
@@ -102,7 +102,7 @@
     for (int i = 1; i <= 4; i++) {
       world.controlPlane("n" + i, true);
     }
-    world.timers.pass(2_500);
+    world.timers.advance(2_500);
     assertThat(voters(world, "n1"), hasSize(0));
     assertThat(world.until(2_000, () -> knownByAll(world, 3)), is(true));
   }
@@ -113,7 +113,7 @@
     for (int i = 1; i <= 6; i++) {
       world.controlPlane("n" + i, false);
     }
-    world.timers.pass(10_000);
+    world.timers.advance(10_000);
     assertThat(voters(world, "n1"), hasSize(0));
   }
 
@@ -130,7 +130,7 @@
       boolean diskless = chance.nextInt(3) == 0;
       for (int i = 1; i <= 7; i++) {
         world.controlPlane("n" + i, true, !(diskless && i <= 2));
-        world.timers.pass(chance.nextInt(50));
+        world.timers.advance(chance.nextInt(50));
       }
       boolean ends = chance.nextBoolean();
       long endsAt = world.timers.now() + chance.nextInt(900);
@@ -142,7 +142,7 @@
       long end = world.timers.now() + LONGEST_MS;
       boolean wiped = disk && chance.nextBoolean();
       while (world.timers.now() < end) {
-        world.timers.pass(5);
+        world.timers.advance(5);
         if (ends && endsAt <= world.timers.now()) {
           endsAt = Long.MAX_VALUE;
           ended++;
--- a/controlplane/src/test/java/elmsail/controlplane/HeadReplacementTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/HeadReplacementTest.java
@@ -32,7 +32,7 @@
   private String holders(String name) {
     StringBuilder holders = new StringBuilder();
     for (Voter slot : world.head(name).voters) {
-      holders.append(holders.isEmpty() ? "" : " ").append(slot.station).append('/');
+      holders.append(holders.isEmpty() ? "" : " ").append(slot.machine).append('/');
       holders.append(slot.epoch);
     }
     return holders.toString();
@@ -51,14 +51,14 @@
         founded(1, 3, 3);
         String about = "n" + gone + ", " + later;
         gone("n" + gone);
-        world.timers.pass(later);
+        world.timers.advance(later);
         long start = world.timers.now();
         world.controlPlane("n4", false);
         String asked = gone == 1 ? "n2" : "n1";
         assertThat(about, world.until(CATCH_UP_MS, () -> world.wholeHead(asked)), is(true));
         long whole = world.timers.now() - start;
         System.out.println("replaced " + about + " ms later: whole after " + whole + " ms");
-        world.timers.pass(CATCH_UP_MS - whole);
+        world.timers.advance(CATCH_UP_MS - whole);
         // The oldest goes first: what was acknowledged before it joined is at the successor.
         String oldest = gone == 1 ? "n2" : "n1";
         gone(oldest);
@@ -75,9 +75,9 @@
     String before = holders("n1");
     world.net.kill(world.address("n2"), false);
     world.disks.get("n2").powerLoss();
-    world.timers.pass(SHORT_LOSS_MS);
+    world.timers.advance(SHORT_LOSS_MS);
     world.controlPlane("n2", false);
-    world.timers.pass(5_000);
+    world.timers.advance(5_000);
     assertThat(holders("n1"), equalTo(before));
     assertThat(world.wholeHead("n1"), is(true));
   }
@@ -108,8 +108,8 @@
     int version = 1;
     int next = 7;
     for (int round = 0; round < 3; round++) {
-      String first = world.head("n" + (next - 1)).voters.get(0).station;
-      String second = world.head("n" + (next - 1)).voters.get(1).station;
+      String first = world.head("n" + (next - 1)).voters.get(0).machine;
+      String second = world.head("n" + (next - 1)).voters.get(1).machine;
       gone(first);
       gone(second);
       world.controlPlane("n" + next++, false);
@@ -137,12 +137,12 @@
   void whoDirectsSaysWhenTheNextLossMayCome() {
     for (String victim : new String[] {"n1", "n2", "n3"}) {
       founded(1, 3, 3);
-      world.timers.pass(2_000);
+      world.timers.advance(2_000);
       gone(victim);
       assertThat(victim, world.until(4_500, () -> directing() != null), is(true));
       RedundancyMonitor monitor = directing().headRedundancy();
       int repairs = monitor.repairs();
-      world.timers.pass(5_000);
+      world.timers.advance(5_000);
       assertThat("no spare, no repair", monitor.missing(), is(true));
       world.controlPlane("n4", false);
       assertThat(world.until(CATCH_UP_MS, () -> !monitor.missing()), is(true));
--- a/controlplane/src/test/java/elmsail/controlplane/JobWriter.java
+++ b/controlplane/src/test/java/elmsail/controlplane/JobWriter.java
@@ -11,7 +11,7 @@
 import elmsail.consensus.VoterSets;
 import elmsail.rpc.messages.Blob;
 import elmsail.rpc.messages.VoterSet;
-import elmsail.simulation.Node;
+import elmsail.simulation.SimNode;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -43,7 +43,7 @@
     this.name = name;
     this.world = world;
     this.chance = chance;
-    Node node = world.net.node("10.3.0.9:7720");
+    SimNode node = world.net.startNode("10.3.0.9:7720");
     VoterSetSource voterSets =
         new VoterSetSource() {
           @Override
@@ -57,7 +57,7 @@
           }
         };
     register =
-        new RegisterClient("shelf", node.caller(), node.timers(), voterSets, 77, "", address -> 1);
+        new RegisterClient("shelf", node.rpcClient(), node.timers(), voterSets, 77, "", address -> 1);
   }
 
   /** That store is gone for good. */
@@ -67,7 +67,7 @@
 
   VoterSet newest() {
     for (String store : world.stores.keySet()) {
-      boolean there = world.net.at(world.address(store)) != null;
+      boolean there = world.net.nodeAt(world.address(store)) != null;
       if (there && !forgotten.contains(store) && world.stores.get(store).replica().voting()) {
         known = VoterSets.merge(known, world.stores.get(store).replica().voterSet());
       }
--- a/controlplane/src/test/java/elmsail/controlplane/LeaseTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/LeaseTest.java
@@ -40,13 +40,13 @@
       }
       long there = chance.nextInt(chance.nextInt(20) == 0 ? 3_000 : 20);
       long back = chance.nextInt(chance.nextInt(20) == 0 ? 3_000 : 20);
-      timers.after(there, () -> arrive(voter, asker, lease, whose, round, back));
+      timers.schedule(there, () -> arrive(voter, asker, lease, whose, round, back));
     }
   }
 
   private void arrive(int voter, int asker, Lease lease, long whose, long round, long back) {
     if (timers.now() < frozenUntil[voter]) {
-      timers.after(
+      timers.schedule(
           frozenUntil[voter] - timers.now(), () -> arrive(voter, asker, lease, whose, round, back));
       return;
     }
@@ -55,12 +55,12 @@
       return;
     }
     long left = voters[voter].request(whose, round, timers.now());
-    timers.after(back, () -> answered(voter, asker, lease, round, left));
+    timers.schedule(back, () -> answered(voter, asker, lease, round, left));
   }
 
   private void answered(int voter, int asker, Lease lease, long round, long left) {
     if (timers.now() < frozenUntil[asker]) {
-      timers.after(
+      timers.schedule(
           frozenUntil[asker] - timers.now(), () -> answered(voter, asker, lease, round, left));
     } else if (left == 0) {
       lease.granted(round, voter, timers.now());
@@ -71,7 +71,7 @@
 
   /** Moves on by 10 ms; returns how many hold the lease at that moment. */
   private int step() {
-    timers.pass(10);
+    timers.advance(10);
     int holders = 0;
     for (int i = 0; i < N; i++) {
       if (timers.now() >= frozenUntil[i]) {
@@ -136,7 +136,7 @@
       }
       lost = seed % 3 * 0.15;
       // The messages of the seed before are let go by.
-      timers.pass(10_000);
+      timers.advance(10_000);
       begin(seed, true);
       for (int i = 0; i < 4_000; i++) {
         int holders = step();
--- a/controlplane/src/test/java/elmsail/controlplane/ManyChangesTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ManyChangesTest.java
@@ -64,7 +64,7 @@
     assertThat(world.until(CATCH_UP_MS, () -> current(world, node)), is(true));
     long ms = world.timers.now() - begun;
     // A wiped one copies the records, which its own reads do not wait for.
-    world.timers.pass(CATCH_UP_MS - ms);
+    world.timers.advance(CATCH_UP_MS - ms);
     long bytes = world.net.countedBytes();
     assertThat(world.read(node), is(World.config(edition)));
     return new CaughtUp(ms, bytes);
@@ -132,7 +132,7 @@
         "%d changes, %d restarts, %d of them without their disk: current after %d ms at most%n",
         edition, restarts, wipes, worst);
     assertThat(wipes, greaterThan(2));
-    assertThat(world.net.faults().size(), is(0));
+    assertThat(world.net.handlerFaults().size(), is(0));
   }
 
   @Test
@@ -250,6 +250,6 @@
   }
 
   private static boolean alive(World world, String node) {
-    return world.net.at(world.address(node)) != null;
+    return world.net.nodeAt(world.address(node)) != null;
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/ManyLossesTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ManyLossesTest.java
@@ -112,7 +112,7 @@
     }
     Collections.shuffle(machines, chance);
     for (String machine : machines) {
-      world.timers.pass(apartMs == 0 ? 0 : chance.nextInt(apartMs));
+      world.timers.advance(apartMs == 0 ? 0 : chance.nextInt(apartMs));
       if (machine.startsWith("n")) {
         world.controlPlane(machine, false);
       } else {
@@ -139,8 +139,8 @@
 
   private long voting(JobWriter jobs) {
     return jobs.newest().voters.stream()
-        .filter(slot -> world.stores.get(slot.station).replica().voting())
-        .filter(slot -> world.disks.get(slot.station).instanceId() == slot.instanceId)
+        .filter(slot -> world.stores.get(slot.machine).replica().voting())
+        .filter(slot -> world.disks.get(slot.machine).instanceId() == slot.instanceId)
         .count();
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/OperatorCallsTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/OperatorCallsTest.java
@@ -9,8 +9,8 @@
 import elmsail.runtime.ElmsailException;
 import elmsail.runtime.ErrorCode;
 import elmsail.runtime.ManualTimers;
-import elmsail.runtime.http.HttpCall;
-import elmsail.runtime.http.HttpReply;
+import elmsail.runtime.http.SimpleHttpRequest;
+import elmsail.runtime.http.SimpleHttpResponse;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
@@ -41,25 +41,25 @@
   private static ConfigOrder reader(byte[] bytes) {
     String text = new String(bytes, StandardCharsets.UTF_8);
     if (text.startsWith("bad")) {
-      throw new ElmsailException(ErrorCode.BAD_CALL, "routes[0].depot");
+      throw new ElmsailException(ErrorCode.INVALID_ARGUMENT, "routes[0].depot");
     }
     return new ConfigOrder.Replacement(Long.parseLong(text.split(" ")[0]), bytes);
   }
 
-  private static HttpCall call(String basedOn, String body) {
+  private static SimpleHttpRequest call(String basedOn, String body) {
     Map<String, String> headers = basedOn == null ? Map.of() : Map.of("elmsail-based-on", basedOn);
     byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
-    return new HttpCall("POST", "/Timetable.Replace", Map.of(), headers, bytes);
+    return new SimpleHttpRequest("POST", "/Timetable.Replace", Map.of(), headers, bytes);
   }
 
   private int put(String basedOn, String body) {
     return answer(replace.handle(call(basedOn, body))).status();
   }
 
-  private HttpReply answer(CompletableFuture<HttpReply> reply) {
+  private SimpleHttpResponse answer(CompletableFuture<SimpleHttpResponse> reply) {
     long begun = timers.now();
     while (!reply.isDone() && timers.now() - begun < 5_000) {
-      timers.pass(1);
+      timers.advance(1);
     }
     assertThat(reply.isDone(), is(true));
     assertThat(timers.now() - begun, lessThanOrEqualTo(930L));
@@ -67,8 +67,8 @@
   }
 
   private String readBack() {
-    HttpCall call = new HttpCall("GET", "/Timetable.Read", Map.of(), Map.of(), new byte[0]);
-    HttpReply reply = answer(read.handle(call));
+    SimpleHttpRequest call = new SimpleHttpRequest("GET", "/Timetable.Read", Map.of(), Map.of(), new byte[0]);
+    SimpleHttpResponse reply = answer(read.handle(call));
     String body = reply.status() == 200 ? new String(reply.body(), StandardCharsets.UTF_8) : "";
     return reply.status() + " " + body;
   }
@@ -208,12 +208,12 @@
   void aReadThatAChangeOvertakesIsAnsweredWithAConfiguration() {
     assertThat(put("0", "3 a"), is(200));
     register.answerMs = 50;
-    HttpCall call = new HttpCall("GET", "/Timetable.Read", Map.of(), Map.of(), new byte[0]);
-    CompletableFuture<HttpReply> reading = read.handle(call);
-    timers.pass(3);
+    SimpleHttpRequest call = new SimpleHttpRequest("GET", "/Timetable.Read", Map.of(), Map.of(), new byte[0]);
+    CompletableFuture<SimpleHttpResponse> reading = read.handle(call);
+    timers.advance(3);
     assertThat(put("3", "5 b"), is(200));
     assertThat(reading.isDone(), is(false));
-    HttpReply reply = answer(reading);
+    SimpleHttpResponse reply = answer(reading);
     assertThat(reply.status(), is(200));
     assertThat(new String(reply.body(), StandardCharsets.UTF_8), equalTo("5 b"));
   }
@@ -222,10 +222,10 @@
   void readingOftenCostsNoBytes() {
     assertThat(put("0", "3 a"), is(200));
     decided.refresh();
-    timers.pass(10);
+    timers.advance(10);
     int bytes = register.bytesRead;
     int reads = register.reads;
-    timers.pass(3_000);
+    timers.advance(3_000);
     assertThat(register.reads - reads, is(9));
     assertThat(register.bytesRead, is(bytes));
     assertThat(readBack(), equalTo("200 3 a"));
@@ -237,12 +237,12 @@
     decided.refresh();
     assertThat(decided.read(), is(false));
     assertThat(decided.contact().current(), is(false));
-    timers.pass(10);
+    timers.advance(10);
     assertThat(decided.read(), is(true));
-    timers.pass(1_000);
+    timers.advance(1_000);
     assertThat(decided.contact().unbrokenMs(), is(1_008L));
     register.unreachable = true;
-    timers.pass(2_000);
+    timers.advance(2_000);
     assertThat(decided.contact().current(), is(false));
     assertThat(decided.contact().unbrokenMs(), is(-1L));
   }
@@ -251,11 +251,11 @@
   void aReadThatWasAnsweredLateProvesNoContact() {
     register.readMs = QuorumContact.BOUND_MS + 1;
     decided.refresh();
-    timers.pass(QuorumContact.BOUND_MS + 1);
+    timers.advance(QuorumContact.BOUND_MS + 1);
     assertThat(decided.read(), is(true));
     assertThat(decided.contact().current(), is(false));
     register.readMs = 2;
-    timers.pass(QuorumContact.BOUND_MS + 500);
+    timers.advance(QuorumContact.BOUND_MS + 500);
     assertThat(decided.contact().current(), is(true));
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/OrderStory.java
+++ b/controlplane/src/test/java/elmsail/controlplane/OrderStory.java
@@ -5,8 +5,8 @@
 import static org.hamcrest.Matchers.notNullValue;
 
 import elmsail.controlplane.ConfigOrderHandler.Call;
-import elmsail.runtime.http.HttpReply;
-import elmsail.simulation.Node;
+import elmsail.runtime.http.SimpleHttpResponse;
+import elmsail.simulation.SimNode;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -46,7 +46,7 @@
   private static final Pattern EDITION = Pattern.compile("\"edition\":(\\d+)");
 
   private record SentOrder(
-      Order order, CompletableFuture<HttpReply> reply, long end, boolean lost) {}
+      Order order, CompletableFuture<SimpleHttpResponse> reply, long end, boolean lost) {}
 
   final World world;
   final Random chance;
@@ -129,8 +129,8 @@
   }
 
   private boolean serves(String node) {
-    Node there = world.net.at(world.address(node));
-    return there != null && there.alive() && !there.frozen();
+    SimNode there = world.net.nodeAt(world.address(node));
+    return there != null && there.isAlive() && !there.isFrozen();
   }
 
   private String anyNode() {
@@ -147,7 +147,7 @@
 
   void send(Order order, String node) {
     sent.add(order);
-    CompletableFuture<HttpReply> reply =
+    CompletableFuture<SimpleHttpResponse> reply =
         world.begin(node, "POST", order.path(), String.valueOf(order.base), order.body);
     calls.add(
         new SentOrder(
@@ -156,7 +156,7 @@
 
   /** Some ms pass, and the answers that came are heard; returns orders without a clear answer. */
   List<Order> hear(int ms) {
-    world.timers.pass(ms);
+    world.timers.advance(ms);
     List<Order> open = new ArrayList<>();
     for (SentOrder call : List.copyOf(calls)) {
       if (!call.reply.isDone() && world.timers.now() < call.end) {
@@ -244,7 +244,7 @@
   int repeat(Order order, long withinMs) {
     long end = world.timers.now() + withinMs;
     while (world.timers.now() < end) {
-      CompletableFuture<HttpReply> reply =
+      CompletableFuture<SimpleHttpResponse> reply =
           world.begin(anyNode(), "POST", order.path(), String.valueOf(order.base), order.body);
       int status = world.status(reply);
       if (status == 200) {
@@ -266,7 +266,7 @@
     long end = world.timers.now() + withinMs;
     String read = world.read(anyNode());
     while (!read.startsWith("{") && world.timers.now() < end) {
-      world.timers.pass(PAUSE_MS);
+      world.timers.advance(PAUSE_MS);
       read = world.read(anyNode());
     }
     assertThat(name + ": read back: " + read, read.startsWith("{"), is(true));
--- a/controlplane/src/test/java/elmsail/controlplane/PinnedDataDirectories.java
+++ b/controlplane/src/test/java/elmsail/controlplane/PinnedDataDirectories.java
@@ -6,8 +6,8 @@
 import elmsail.batch.messages.JobRecord;
 import elmsail.consensus.Replica;
 import elmsail.consensus.ReplicaListener;
-import elmsail.rpc.Caller;
-import elmsail.rpc.HandlerTable;
+import elmsail.rpc.RpcClient;
+import elmsail.rpc.HandlerRegistry;
 import elmsail.rpc.messages.AcceptRequest;
 import elmsail.rpc.messages.Ballot;
 import elmsail.rpc.messages.Blob;
@@ -112,7 +112,7 @@
       Member member = new Member(StoreNode.SET, disk);
       VoterSet others = voterSet(1);
       others.voters.get(0).address = "10.0.0.4:7720";
-      others.voters.get(0).station = "n4";
+      others.voters.get(0).machine = "n4";
       member.replica.learn(others);
       member.replica.join(0, 2);
     }
@@ -237,7 +237,7 @@
   /** A replica that hears the votes that are asked of it, and reaches nobody. */
   private static final class Member {
     private final String set;
-    private final HandlerTable handlers = new HandlerTable();
+    private final HandlerRegistry handlers = new HandlerRegistry();
     private final Replica replica;
     private long round;
 
@@ -263,7 +263,7 @@
       request.set = set;
       request.key = key;
       request.ballot = ballot(round);
-      request.next = ballot(round + 1);
+      request.nextBallot = ballot(round + 1);
       request.value = value;
       request.voterSet = replica.voterSet();
       handle(request);
@@ -286,12 +286,12 @@
     private static Ballot ballot(long round) {
       Ballot ballot = new Ballot();
       ballot.round = round;
-      ballot.who = PROPOSER;
+      ballot.proposerId = PROPOSER;
       return ballot;
     }
   }
 
-  private static final class NoCalls implements Caller {
+  private static final class NoCalls implements RpcClient {
     @Override
     public <A> CompletableFuture<A> call(
         String address, Object request, Class<A> answer, long timeoutMs) {
--- a/controlplane/src/test/java/elmsail/controlplane/PinnedDataDirectoriesTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/PinnedDataDirectoriesTest.java
@@ -227,9 +227,9 @@
           VoterSets.same(VoterSetValue.of(value(records, "head/k/shelf")), voters), is(true));
       assertThat(value(records, "head/k/duty"), equalTo(PinnedDataDirectories.leaseTerm()));
       FoundingAcceptor founding = FoundingAcceptor.of(records.read("head-founding"));
-      assertThat(founding.prepare(1).promised, is(9L));
+      assertThat(founding.prepare(1).promisedBallot, is(9L));
       assertThat(founding.prepare(1).acceptedBallot, is(5L));
-      assertThat(VoterSets.same(founding.prepare(1).accepted, voters), is(true));
+      assertThat(VoterSets.same(founding.prepare(1).acceptedVoterSet, voters), is(true));
       assertThat(records.read("notary/born"), equalTo(new byte[] {1}));
       RestoredReplica head =
           RestoredReplica.of(records).stream()
--- a/controlplane/src/test/java/elmsail/controlplane/PinnedNamesTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/PinnedNamesTest.java
@@ -4,15 +4,15 @@
 import static org.hamcrest.Matchers.contains;
 import static org.hamcrest.Matchers.is;
 
-import elmsail.rpc.Caller;
-import elmsail.rpc.HandlerTable;
+import elmsail.rpc.RpcClient;
+import elmsail.rpc.HandlerRegistry;
 import elmsail.runtime.ManualTimers;
-import elmsail.runtime.MetricsText;
+import elmsail.runtime.PrometheusText;
 import elmsail.runtime.ProcessMetrics;
 import elmsail.runtime.SettingsFile;
-import elmsail.runtime.http.HttpCall;
+import elmsail.runtime.http.SimpleHttpRequest;
 import elmsail.runtime.http.HttpHandler;
-import elmsail.runtime.http.HttpReply;
+import elmsail.runtime.http.SimpleHttpResponse;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Map;
@@ -29,7 +29,7 @@
           + "\"mail_slots\":{\"control\":\"10.0.0.1:8166\"},\"inner_ports\":[7720,7735],"
           + "\"carrier_api\":{\"address\":\"10.9.0.1:8169\"}}";
 
-  private static final class NoCalls implements Caller {
+  private static final class NoCalls implements RpcClient {
     @Override
     public <A> CompletableFuture<A> call(
         String address, Object request, Class<A> answer, long timeoutMs) {
@@ -41,7 +41,7 @@
     return call -> Replies.now(Replies.json(200, name));
   }
 
-  private static String body(HttpReply reply) {
+  private static String body(SimpleHttpResponse reply) {
     return new String(reply.body(), StandardCharsets.UTF_8);
   }
 
@@ -56,16 +56,16 @@
   void callsOfOperators(String method, String path, String handler) {
     OperatorApi operators =
         new OperatorApi(named("replace"), named("amend"), named("read"), named("retire"));
-    HttpCall call = new HttpCall(method, path, Map.of(), Map.of(), new byte[0]);
+    SimpleHttpRequest call = new SimpleHttpRequest(method, path, Map.of(), Map.of(), new byte[0]);
     assertThat(body(operators.handle(call).join()), is(handler));
     String other = method.equals("GET") ? "POST" : "GET";
-    HttpCall wrong = new HttpCall(other, path, Map.of(), Map.of(), new byte[0]);
+    SimpleHttpRequest wrong = new SimpleHttpRequest(other, path, Map.of(), Map.of(), new byte[0]);
     assertThat(operators.handle(wrong).join().status(), is(405));
   }
 
   @Test
   void repliesToOperators() {
-    HttpReply reply = Replies.why(409, "a \"reason\"");
+    SimpleHttpResponse reply = Replies.why(409, "a \"reason\"");
     assertThat(body(reply), is("{\"why\":\"a \\\"reason\\\"\"}"));
     assertThat(reply.headers(), is(Map.of("content-type", "application/json")));
   }
@@ -102,13 +102,13 @@
         SettingsFile.parse(SETTINGS),
         new ManualTimers(),
         new NoCalls(),
-        new HandlerTable(),
+        new HandlerRegistry(),
         null,
         (address, path, limitMs) -> new CompletableFuture<>(),
         1,
         metrics);
     assertThat(
-        MetricsText.of(metrics.counters())
+        PrometheusText.format(metrics.counters())
             .lines()
             .filter(line -> line.startsWith("# TYPE elmsail_control_"))
             .toList(),
--- a/controlplane/src/test/java/elmsail/controlplane/PlacementControllerTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/PlacementControllerTest.java
@@ -27,19 +27,19 @@
   static PullRequest request(String name, String zone, boolean voting, VoterSet storeSet) {
     PullRequest request = new PullRequest();
     request.role = "store";
-    request.station = name;
+    request.machine = name;
     request.address = name + ":1";
     request.zone = zone;
     request.instanceId = name.hashCode();
     request.voting = voting;
-    request.storeSet = storeSet;
+    request.jobStoreVoters = storeSet;
     return request;
   }
 
   private static String names(VoterSet voterSet) {
     StringJoiner names = new StringJoiner(" ");
     for (Voter slot : voterSet.voters) {
-      names.add(slot.station + slot.epoch);
+      names.add(slot.machine + slot.epoch);
     }
     return names.toString();
   }
--- a/controlplane/src/test/java/elmsail/controlplane/QuorumContactTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/QuorumContactTest.java
@@ -23,18 +23,18 @@
   @Test
   void itCountsFromWhenTheRoundWasSentAndEndsAtTheBound() {
     long sentAt = timers.now();
-    timers.pass(400);
+    timers.advance(400);
     contact.answered(sentAt);
-    timers.pass(QuorumContact.BOUND_MS - 400);
+    timers.advance(QuorumContact.BOUND_MS - 400);
     assertThat(contact.current(), is(true));
-    timers.pass(1);
+    timers.advance(1);
     assertThat(contact.current(), is(false));
   }
 
   @Test
   void anAnswerFoundAfterAFreezeProvesNothing() {
     long sentAt = timers.now();
-    timers.pass(20_000);
+    timers.advance(20_000);
     contact.answered(sentAt);
     assertThat(contact.current(), is(false));
     assertThat(contact.unbrokenMs(), is(-1L));
@@ -43,20 +43,20 @@
   @Test
   void anOlderRoundThatIsAnsweredLaterChangesNothing() {
     long first = timers.now();
-    timers.pass(100);
+    timers.advance(100);
     contact.answered(timers.now());
     contact.answered(first);
-    timers.pass(QuorumContact.BOUND_MS);
+    timers.advance(QuorumContact.BOUND_MS);
     assertThat(contact.current(), is(true));
   }
 
   @Test
   void itIsUnbrokenOnlySinceTheLastLapse() {
     contact.answered(timers.now());
-    timers.pass(1_000);
+    timers.advance(1_000);
     contact.answered(timers.now());
     assertThat(contact.unbrokenMs(), is(1_000L));
-    timers.pass(QuorumContact.BOUND_MS + 1);
+    timers.advance(QuorumContact.BOUND_MS + 1);
     contact.answered(timers.now());
     assertThat(contact.unbrokenMs(), is(0L));
   }
@@ -65,7 +65,7 @@
   void anAnswerPassesOnlyInContact() {
     ElmsailException refused =
         assertThrows(ElmsailException.class, () -> contact.checked("the configuration"));
-    assertThat(refused.code(), is(ErrorCode.NOT_SEATED));
+    assertThat(refused.code(), is(ErrorCode.NOT_A_VOTER));
     contact.answered(timers.now());
     assertThat(contact.checked("the configuration"), is("the configuration"));
   }
--- a/controlplane/src/test/java/elmsail/controlplane/ReadWatch.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ReadWatch.java
@@ -4,9 +4,9 @@
 import static org.hamcrest.Matchers.greaterThanOrEqualTo;
 import static org.hamcrest.Matchers.is;
 
-import elmsail.runtime.http.HttpCall;
-import elmsail.runtime.http.HttpReply;
-import elmsail.simulation.Node;
+import elmsail.runtime.http.SimpleHttpRequest;
+import elmsail.runtime.http.SimpleHttpResponse;
+import elmsail.simulation.SimNode;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
@@ -23,7 +23,7 @@
   private static final Pattern EDITION = Pattern.compile("\"edition\":(\\d+)");
   private static final int MOST_OPEN = 4_000;
 
-  private record Read(String node, long sentAt, long least, CompletableFuture<HttpReply> reply) {}
+  private record Read(String node, long sentAt, long least, CompletableFuture<SimpleHttpResponse> reply) {}
 
   private final String name;
   private final OrderStory orders;
@@ -58,14 +58,14 @@
   void ask(String name) {
     World world = orders.world;
     ControlPlaneNode office = world.offices.get(name);
-    Node node = world.net.at(world.address(name));
+    SimNode node = world.net.nodeAt(world.address(name));
     if (office == null || node == null || open.size() >= MOST_OPEN) {
       return;
     }
-    CompletableFuture<HttpReply> reply = new CompletableFuture<>();
+    CompletableFuture<SimpleHttpResponse> reply = new CompletableFuture<>();
     open.add(new Read(name, world.timers.now(), newest(), reply));
-    HttpCall call = new HttpCall("GET", "/Timetable.Read", Map.of(), Map.of(), new byte[0]);
-    node.timers().soon(() -> office.operators().handle(call).thenAccept(reply::complete));
+    SimpleHttpRequest call = new SimpleHttpRequest("GET", "/Timetable.Read", Map.of(), Map.of(), new byte[0]);
+    node.timers().execute(() -> office.operators().handle(call).thenAccept(reply::complete));
   }
 
   /** Checks what has been answered. */
--- a/controlplane/src/test/java/elmsail/controlplane/SecondLossTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/SecondLossTest.java
@@ -11,7 +11,7 @@
 import elmsail.rpc.messages.Blob;
 import elmsail.rpc.messages.Voter;
 import elmsail.rpc.messages.VoterSet;
-import elmsail.simulation.Node;
+import elmsail.simulation.SimNode;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -89,7 +89,7 @@
   }
 
   private void writer() {
-    Node node = world.net.node("10.3.0.9:7720");
+    SimNode node = world.net.startNode("10.3.0.9:7720");
     VoterSetSource voterSets =
         new VoterSetSource() {
           @Override
@@ -106,7 +106,7 @@
           }
         };
     writer =
-        new RegisterClient("shelf", node.caller(), node.timers(), voterSets, 77, "", address -> 1);
+        new RegisterClient("shelf", node.rpcClient(), node.timers(), voterSets, 77, "", address -> 1);
   }
 
   /** Three jobs with a body each. */
@@ -134,7 +134,7 @@
     for (String name : victims) {
       lose(name, wiped);
     }
-    world.timers.pass(100 + chance.nextInt(1_500));
+    world.timers.advance(100 + chance.nextInt(1_500));
     for (String name : victims) {
       if (stores) {
         world.store(name, false);
@@ -158,7 +158,7 @@
   /** One is emptied and removed as soon as it is said to be; two others lose their disks then. */
   private void retireThenLose(String about) {
     add(false);
-    world.timers.pass(1_500);
+    world.timers.advance(1_500);
     String leaving = oldestFirst.get(0);
     assertThat(about, world.until(4_000, () -> world.retire("n1", leaving) == 200), is(true));
     String delivered = "{\"state\":\"delivered\"}";
@@ -176,10 +176,10 @@
     }
     TreeSet<String> voting = new TreeSet<>();
     for (Voter slot : newest.voters) {
-      if (oldestFirst.contains(slot.station)
-          && world.stores.get(slot.station).replica().voting()
-          && world.disks.get(slot.station).instanceId() == slot.instanceId) {
-        voting.add(slot.station);
+      if (oldestFirst.contains(slot.machine)
+          && world.stores.get(slot.machine).replica().voting()
+          && world.disks.get(slot.machine).instanceId() == slot.instanceId) {
+        voting.add(slot.machine);
       }
     }
     return voting.size() == 5 && world.wholeHead(oldestHeads.get(oldestHeads.size() - 1));
--- a/controlplane/src/test/java/elmsail/controlplane/StoreSetStoryTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/StoreSetStoryTest.java
@@ -11,7 +11,7 @@
 import elmsail.consensus.VoterSets;
 import elmsail.rpc.messages.Voter;
 import elmsail.rpc.messages.VoterSet;
-import elmsail.simulation.Node;
+import elmsail.simulation.SimNode;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -76,7 +76,7 @@
       boolean voting = world.until(15_000, this::allSeated);
       assertThat("seed " + seed + " round " + round + " " + storeSet(), voting, is(true));
     }
-    world.timers.pass(2_000);
+    world.timers.advance(2_000);
     for (int i = 0; i < KEYS; i++) {
       CompletableFuture<Register.Versioned> read = writer.read("lot/" + i, null, 2_000);
       assertThat("seed " + seed, world.until(3_000, read::isDone), is(true));
@@ -93,7 +93,7 @@
   }
 
   private void writer() {
-    Node node = world.net.node("10.3.0.9:7720");
+    SimNode node = world.net.startNode("10.3.0.9:7720");
     VoterSetSource voterSets =
         new VoterSetSource() {
           @Override
@@ -110,7 +110,7 @@
           }
         };
     writer =
-        new RegisterClient("shelf", node.caller(), node.timers(), voterSets, 77, "", address -> 1);
+        new RegisterClient("shelf", node.rpcClient(), node.timers(), voterSets, 77, "", address -> 1);
   }
 
   private void write(long ms) {
@@ -140,7 +140,7 @@
                   }
                 });
       }
-      world.timers.pass(20 + chance.nextInt(60));
+      world.timers.advance(20 + chance.nextInt(60));
     }
   }
 
@@ -208,7 +208,7 @@
       newest = VoterSets.merge(newest, world.stores.get(name).replica().voterSet());
     }
     for (Voter slot : newest.voters) {
-      if (!running.contains(slot.station) || !world.stores.get(slot.station).replica().voting()) {
+      if (!running.contains(slot.machine) || !world.stores.get(slot.machine).replica().voting()) {
         return false;
       }
     }
--- a/controlplane/src/test/java/elmsail/controlplane/World.java
+++ b/controlplane/src/test/java/elmsail/controlplane/World.java
@@ -9,11 +9,11 @@
 import elmsail.runtime.ManualTimers;
 import elmsail.runtime.ProcessMetrics;
 import elmsail.runtime.Settings;
-import elmsail.runtime.http.HttpCall;
-import elmsail.runtime.http.HttpReply;
-import elmsail.simulation.Node;
+import elmsail.runtime.http.SimpleHttpRequest;
+import elmsail.runtime.http.SimpleHttpResponse;
+import elmsail.simulation.SimNode;
 import elmsail.simulation.SimDisk;
-import elmsail.simulation.SimNet;
+import elmsail.simulation.SimNetwork;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
@@ -31,12 +31,12 @@
   static final String EMPTY = "{\"servers\":[],\"next_token\":null}";
 
   final ManualTimers timers = new ManualTimers();
-  final SimNet net;
+  final SimNetwork net;
   final Map<String, SimDisk> disks = new TreeMap<>();
   final Map<String, ControlPlaneNode> offices = new TreeMap<>();
   final Map<String, StoreNode> stores = new TreeMap<>();
   final Map<String, ConfigWatcher> gateways = new TreeMap<>();
-  final Map<String, Node> nodes = new TreeMap<>();
+  final Map<String, SimNode> nodes = new TreeMap<>();
   String carrierSays = EMPTY;
   int carrierCalls;
 
@@ -56,7 +56,7 @@
   World(long seed, int seedCount, int bearMachines) {
     this.seed = seed;
     this.bearMachines = bearMachines;
-    net = new SimNet(seed, timers);
+    net = new SimNetwork(seed, timers);
     for (int i = 1; i <= seedCount; i++) {
       seeds.add(ip("n" + i) + ":8166");
     }
@@ -99,12 +99,12 @@
         new Settings.Platform("10.9.0.1:8169", 40, 800));
   }
 
-  private SimDisk disk(String name, Node node) {
+  private SimDisk disk(String name, SimNode node) {
     SimDisk disk = disks.get(name);
     if (disk == null) {
       disk = new SimDisk(seed * 31 + name.hashCode(), timers);
       if (syncMs > 0) {
-        disk.syncTime(syncMs, syncMs);
+        disk.syncDelay(syncMs, syncMs);
       }
       disks.put(name, disk);
     }
@@ -115,8 +115,8 @@
     return ip(name) + (name.startsWith("n") ? ":7721" : ":7720");
   }
 
-  private Node node(String name) {
-    Node node = net.node(address(name));
+  private SimNode node(String name) {
+    SimNode node = net.startNode(address(name));
     nodes.put(name, node);
     return node;
   }
@@ -126,13 +126,13 @@
   }
 
   void controlPlane(String name, boolean firstStart, boolean disk) {
-    Node node = node(name);
+    SimNode node = node(name);
     ControlPlaneNode office =
         new ControlPlaneNode(
             settings(name, firstStart, disk),
             node.timers(),
-            node.caller(),
-            node.answering(),
+            node.rpcClient(),
+            node.requestHandlers(),
             disk ? disk(name, node) : null,
             this::platform,
             whos++,
@@ -149,33 +149,33 @@
   /** Whether all slots of "head", as that node knows it, are held by running nodes that vote. */
   boolean wholeHead(String controlPlane) {
     for (Voter slot : head(controlPlane).voters) {
-      ControlPlaneNode office = offices.get(slot.station);
-      if (net.at(slot.address) == null
+      ControlPlaneNode office = offices.get(slot.machine);
+      if (net.nodeAt(slot.address) == null
           || office == null
           || !office.voters().voting()
-          || disks.get(slot.station).instanceId() != slot.instanceId) {
+          || disks.get(slot.machine).instanceId() != slot.instanceId) {
         return false;
       }
     }
     return !head(controlPlane).voters.isEmpty();
   }
 
-  private CompletableFuture<HttpReply> platform(String address, String path, long timeoutMs) {
+  private CompletableFuture<SimpleHttpResponse> platform(String address, String path, long timeoutMs) {
     carrierCalls++;
-    CompletableFuture<HttpReply> reply = new CompletableFuture<>();
+    CompletableFuture<SimpleHttpResponse> reply = new CompletableFuture<>();
     byte[] body = carrierSays.getBytes(StandardCharsets.UTF_8);
-    timers.after(5, () -> reply.complete(new HttpReply(200, Map.of(), body)));
+    timers.schedule(5, () -> reply.complete(new SimpleHttpResponse(200, Map.of(), body)));
     return reply;
   }
 
   void store(String name, boolean firstStart) {
-    Node node = node(name);
+    SimNode node = node(name);
     StoreNode house =
         new StoreNode(
             settings(name, firstStart, true),
             node.timers(),
-            node.caller(),
-            node.answering(),
+            node.rpcClient(),
+            node.requestHandlers(),
             disk(name, node),
             new ReplicaListener() {},
             ProcessMetrics.strict());
@@ -189,14 +189,14 @@
 
   /** One that may ask the platform itself. */
   void gatewayWithPlatform(String name) {
-    Node node = node(name);
+    SimNode node = node(name);
     gateway(name, node, new PlatformClient(this::platform, "10.9.0.1:8169", node.timers()));
   }
 
-  private void gateway(String name, Node node, PlatformClient platform) {
+  private void gateway(String name, SimNode node, PlatformClient platform) {
     ConfigWatcher watcher =
         new ConfigWatcher(
-            node.caller(),
+            node.rpcClient(),
             node.timers(),
             settings(name, true, false),
             "gateway",
@@ -220,27 +220,27 @@
   boolean until(long ms, BooleanSupplier holds) {
     long end = timers.now() + ms;
     while (!holds.getAsBoolean() && timers.now() < end) {
-      timers.pass(1);
+      timers.advance(1);
     }
     return holds.getAsBoolean();
   }
 
-  CompletableFuture<HttpReply> begin(
+  CompletableFuture<SimpleHttpResponse> begin(
       String controlPlane, String method, String path, String basedOn, String body) {
     Map<String, String> headers = basedOn == null ? Map.of() : Map.of("elmsail-based-on", basedOn);
     return offices
         .get(controlPlane)
         .operators()
         .handle(
-            new HttpCall(method, path, Map.of(), headers, body.getBytes(StandardCharsets.UTF_8)));
+            new SimpleHttpRequest(method, path, Map.of(), headers, body.getBytes(StandardCharsets.UTF_8)));
   }
 
-  CompletableFuture<HttpReply> sent(String controlPlane, String basedOn, long edition) {
+  CompletableFuture<SimpleHttpResponse> sent(String controlPlane, String basedOn, long edition) {
     return begin(controlPlane, "POST", "/Timetable.Replace", basedOn, config(edition));
   }
 
   /** Status, or -1 if there was no answer within a second. */
-  int status(CompletableFuture<HttpReply> reply) {
+  int status(CompletableFuture<SimpleHttpResponse> reply) {
     return until(1_000, reply::isDone) ? reply.join().status() : -1;
   }
 
@@ -257,13 +257,13 @@
       if (status == 200 || status == 400 || status == 412) {
         return status;
       }
-      timers.pass(100);
+      timers.advance(100);
     }
     return -1;
   }
 
   String read(String controlPlane) {
-    CompletableFuture<HttpReply> reply = begin(controlPlane, "GET", "/Timetable.Read", null, "");
+    CompletableFuture<SimpleHttpResponse> reply = begin(controlPlane, "GET", "/Timetable.Read", null, "");
     int status = status(reply);
     return status == 200
         ? new String(reply.join().body(), StandardCharsets.UTF_8)
@@ -275,7 +275,7 @@
   }
 
   String retired(String controlPlane, String store) {
-    CompletableFuture<HttpReply> reply =
+    CompletableFuture<SimpleHttpResponse> reply =
         begin(controlPlane, "GET", "/Retire.Read/" + store, null, "");
     int status = status(reply);
     return status == 200
@@ -290,10 +290,10 @@
   String storeSet(String store) {
     StringBuilder voters = new StringBuilder();
     for (Voter slot : stores.get(store).replica().voterSet().voters) {
-      StoreNode house = stores.get(slot.station);
+      StoreNode house = stores.get(slot.machine);
       voters
           .append(voters.isEmpty() ? "" : " ")
-          .append(slot.station)
+          .append(slot.machine)
           .append('/')
           .append(slot.epoch);
       voters.append(house != null && house.replica().voting() ? "" : "*");
--- a/gateway/src/main/java/elmsail/gateway/Gateway.java
+++ b/gateway/src/main/java/elmsail/gateway/Gateway.java
@@ -12,12 +12,12 @@
 import elmsail.gateway.requests.RequestProgress;
 import elmsail.gateway.servers.Servers;
 import elmsail.rpc.messages.LoadReport;
-import elmsail.runtime.NettyLoop;
+import elmsail.runtime.NettyEventLoop;
 import elmsail.runtime.ProcessMetrics;
 import elmsail.runtime.Settings;
 import elmsail.runtime.Timers;
-import elmsail.runtime.http.HttpCall;
-import elmsail.runtime.http.HttpReply;
+import elmsail.runtime.http.SimpleHttpRequest;
+import elmsail.runtime.http.SimpleHttpResponse;
 import elmsail.runtime.http.HttpServer;
 import elmsail.runtime.http.MetricsEndpoint;
 import java.util.Map;
@@ -51,7 +51,7 @@
   /** The process needs the rest of a short grace time to end by itself. */
   private static final int MOST_LAST_ANSWERS_PART = 24;
 
-  private final NettyLoop loop;
+  private final NettyEventLoop loop;
   private final Timers timers;
   private final ClusterState known;
   private final Settings settings;
@@ -68,7 +68,7 @@
 
   private Gateway(
       Settings settings,
-      NettyLoop loop,
+      NettyEventLoop loop,
       Timers timers,
       ClusterState known,
       BatchCalls jobs,
@@ -80,14 +80,14 @@
     counters = new RequestCounters(metrics.counters());
     figures = new MetricsEndpoint(metrics.counters(), timers);
     SplittableRandom chance = new SplittableRandom();
-    servers = new Servers(timers, loop.events(), known, settings.zone(), counters, chance);
+    servers = new Servers(timers, loop.eventLoop(), known, settings.zone(), counters, chance);
     RequestProgress course = new RequestProgress(timers, known, servers, counters, chance);
     loadChannel = new LoadChannel(this::loadHeard);
     loads =
         new LoadExchange(
             timers,
             known,
-            settings.innerAddress(),
+            settings.rpcAddress(),
             settings.zone(),
             chance.nextLong(),
             servers::ownLoads,
@@ -105,7 +105,7 @@
    */
   public static CompletableFuture<Gateway> start(
       Settings settings,
-      NettyLoop loop,
+      NettyEventLoop loop,
       ClusterState known,
       BatchCalls jobs,
       ProcessMetrics metrics) {
@@ -115,7 +115,7 @@
   /** Likewise by another clock. */
   static CompletableFuture<Gateway> start(
       Settings settings,
-      NettyLoop loop,
+      NettyEventLoop loop,
       Timers timers,
       ClusterState known,
       BatchCalls jobs,
@@ -128,19 +128,19 @@
   }
 
   private CompletableFuture<Gateway> listen() {
-    loadChannel.open(loop.events(), settings.innerAddress());
+    loadChannel.open(loop.eventLoop(), settings.rpcAddress());
     loads.start();
     CompletableFuture<ClientListener> fronted =
         ClientListener.listen(
             timers,
-            loop.events(),
-            settings.slots().get("front"),
+            loop.eventLoop(),
+            settings.listenAddresses().get("front"),
             known,
             desk,
             counters,
-            settings.limits().fds());
+            settings.limits().maxFileDescriptors());
     CompletableFuture<HttpServer> looked =
-        HttpServer.listen(loop, settings.slots().get("ready"), this::lookedAt, MOST_READY_BODY);
+        HttpServer.listen(loop, settings.listenAddresses().get("ready"), this::lookedAt, MOST_READY_BODY);
     return fronted.thenCombine(
         looked,
         (f, r) -> {
@@ -151,12 +151,12 @@
   }
 
   /** Answers at the slot "ready": whether the platform is to send, and the process's figures. */
-  private CompletableFuture<HttpReply> lookedAt(HttpCall call) {
+  private CompletableFuture<SimpleHttpResponse> lookedAt(SimpleHttpRequest call) {
     if (!call.path().equals("/ready")) {
       return figures.handle(call);
     }
     return CompletableFuture.completedFuture(
-        new HttpReply(isReady() ? 200 : 503, Map.of(), NOTHING));
+        new SimpleHttpResponse(isReady() ? 200 : 503, Map.of(), NOTHING));
   }
 
   /** Whether the platform is to send clients here. */
@@ -201,7 +201,7 @@
     front.beginEnd();
     long grace = settings.bounds().graceMs();
     long end = timers.now() + servedForMs(grace);
-    timers.after(
+    timers.schedule(
         Math.min(STILL_SENT_MS, grace * 3 / 8),
         () -> {
           front.closeIdle();
@@ -218,7 +218,7 @@
 
   private void whenEmpty(long end, CompletableFuture<Void> done) {
     if (front.connections() > 0 && timers.now() < end) {
-      timers.after(STOP_LOOK_MS, () -> whenEmpty(end, done));
+      timers.schedule(STOP_LOOK_MS, () -> whenEmpty(end, done));
       return;
     }
     front.closeAll();
--- a/gateway/src/main/java/elmsail/gateway/GatewayWarmUp.java
+++ b/gateway/src/main/java/elmsail/gateway/GatewayWarmUp.java
@@ -8,10 +8,10 @@
 import elmsail.config.Service;
 import elmsail.rpc.messages.ClusterView;
 import elmsail.runtime.Addresses;
-import elmsail.runtime.NettyLoop;
+import elmsail.runtime.NettyEventLoop;
 import elmsail.runtime.ProcessMetrics;
 import elmsail.runtime.Settings;
-import elmsail.runtime.http.HttpReply;
+import elmsail.runtime.http.SimpleHttpResponse;
 import elmsail.runtime.http.HttpServer;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -42,14 +42,14 @@
    *
    * @return completes on the loop with what the client got, at its connection's end
    */
-  public static CompletableFuture<String> run(NettyLoop loop) {
+  public static CompletableFuture<String> run(NettyEventLoop loop) {
     CompletableFuture<String> got = new CompletableFuture<>();
     HttpServer.listen(
             loop,
             LOOPBACK,
             call ->
                 CompletableFuture.completedFuture(
-                    new HttpReply(
+                    new SimpleHttpResponse(
                         200,
                         Map.of(
                             "Elmsail-Request-Id",
@@ -81,10 +81,10 @@
     return got;
   }
 
-  private static void request(NettyLoop loop, Gateway gateway, CompletableFuture<String> got) {
+  private static void request(NettyEventLoop loop, Gateway gateway, CompletableFuture<String> got) {
     StringBuilder all = new StringBuilder();
     new Bootstrap()
-        .group(loop.events())
+        .group(loop.eventLoop())
         .channel(NioSocketChannel.class)
         .handler(
             new SimpleChannelInboundHandler<ByteBuf>() {
@@ -111,7 +111,7 @@
                 got.complete(all.toString());
               }
             })
-        .connect(Addresses.of(gateway.frontAddress()))
+        .connect(Addresses.parse(gateway.frontAddress()))
         .addListener(
             f -> {
               if (!f.isSuccess()) {
--- a/gateway/src/main/java/elmsail/gateway/frontend/ClientConnection.java
+++ b/gateway/src/main/java/elmsail/gateway/frontend/ClientConnection.java
@@ -92,7 +92,7 @@
   @Override
   public void channelActive(ChannelHandlerContext ctx) {
     idleSince = front.timers().now();
-    look = front.timers().after(limits.headMs(), this::look);
+    look = front.timers().schedule(limits.headMs(), this::look);
     ctx.fireChannelActive();
   }
 
@@ -125,7 +125,7 @@
     }
     // A head may begin to come right behind this look.
     look =
-        front.timers().after(Math.max(LEAST_LOOK_MS, Math.min(left, limits.headMs())), this::look);
+        front.timers().schedule(Math.max(LEAST_LOOK_MS, Math.min(left, limits.headMs())), this::look);
   }
 
   /** Whole seconds that the client is told it may leave the connection idle. */
@@ -254,7 +254,7 @@
       behind.release();
       return;
     }
-    if (!behind.isEmpty() || decoder.inside()) {
+    if (!behind.isEmpty() || decoder.isInsideMessage()) {
       arrived();
       // Not at once: answers that come at once would nest as deep as the requests behind each
       // other.
@@ -294,7 +294,7 @@
 
   /** Ends it if no request is on it, nor a part of one. */
   void closeIfIdle() {
-    if (answer == null && !decoder.inside()) {
+    if (answer == null && !decoder.isInsideMessage()) {
       close();
     }
   }
--- a/gateway/src/main/java/elmsail/gateway/frontend/ClientListener.java
+++ b/gateway/src/main/java/elmsail/gateway/frontend/ClientListener.java
@@ -92,7 +92,7 @@
                     front.opened(channel);
                   }
                 })
-            .bind(Addresses.of(address));
+            .bind(Addresses.parse(address));
     binding.addListener(
         done -> {
           if (done.isSuccess()) {
@@ -101,7 +101,7 @@
           } else {
             bound.completeExceptionally(
                 new ElmsailException(
-                    ErrorCode.BAD_SETTINGS, "cannot listen on " + address, done.cause()));
+                    ErrorCode.INVALID_SETTINGS, "cannot listen on " + address, done.cause()));
           }
         });
     return bound;
--- a/gateway/src/main/java/elmsail/gateway/frontend/ClientResponse.java
+++ b/gateway/src/main/java/elmsail/gateway/frontend/ClientResponse.java
@@ -152,7 +152,7 @@
   private void endSending() {
     if (channel instanceof SocketChannel socket && channel.isActive()) {
       socket.shutdownOutput();
-      front.timers().after(LINGER_MS, channel::close);
+      front.timers().schedule(LINGER_MS, channel::close);
     } else {
       channel.close();
     }
--- a/gateway/src/main/java/elmsail/gateway/http/RequestCounters.java
+++ b/gateway/src/main/java/elmsail/gateway/http/RequestCounters.java
@@ -51,7 +51,7 @@
   /** Takes its counters from those of the process. */
   public RequestCounters(Counters counters) {
     for (Event event : ALL) {
-      counts[event.ordinal()] = counters.of(PREFIX + event.name().toLowerCase(Locale.ROOT));
+      counts[event.ordinal()] = counters.counter(PREFIX + event.name().toLowerCase(Locale.ROOT));
     }
   }
 
--- a/gateway/src/main/java/elmsail/gateway/load/LoadChannel.java
+++ b/gateway/src/main/java/elmsail/gateway/load/LoadChannel.java
@@ -1,6 +1,6 @@
 package elmsail.gateway.load;
 
-import elmsail.rpc.Codec;
+import elmsail.rpc.MessageCodec;
 import elmsail.rpc.messages.LoadReport;
 import elmsail.runtime.Addresses;
 import elmsail.runtime.ElmsailException;
@@ -32,7 +32,7 @@
   private static final int MOST_BYTES = 8_192;
   private static final int MOST_ADDRESSES = 4_096;
 
-  private final Codec codec = new Codec();
+  private final MessageCodec codec = new MessageCodec();
   private final Consumer<LoadReport> heard;
   private final Map<String, InetSocketAddress> addresses = new HashMap<>();
   private Channel channel;
@@ -53,7 +53,7 @@
             .channel(NioDatagramChannel.class)
             .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MOST_BYTES))
             .handler(new Receiver())
-            .bind(Addresses.of(address));
+            .bind(Addresses.parse(address));
     bound.addListener(
         (ChannelFuture done) -> {
           if (done.isSuccess()) {
@@ -72,10 +72,10 @@
     if (addresses.size() > MOST_ADDRESSES) {
       addresses.clear();
     }
-    InetSocketAddress address = addresses.computeIfAbsent(to, Addresses::of);
+    InetSocketAddress address = addresses.computeIfAbsent(to, Addresses::parse);
     if (report != packed) {
       packed = report;
-      packedBytes = codec.pack(report);
+      packedBytes = codec.toDatagram(report);
     }
     channel.writeAndFlush(
         new DatagramPacket(Unpooled.wrappedBuffer(packedBytes), address), channel.voidPromise());
@@ -98,7 +98,7 @@
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
       try {
-        heard.accept(codec.unpack(ByteBufUtil.getBytes(packet.content()), LoadReport.class));
+        heard.accept(codec.fromDatagram(ByteBufUtil.getBytes(packet.content()), LoadReport.class));
       } catch (ElmsailException e) {
         garbled++;
       }
--- a/gateway/src/main/java/elmsail/gateway/load/LoadExchange.java
+++ b/gateway/src/main/java/elmsail/gateway/load/LoadExchange.java
@@ -103,9 +103,9 @@
 
   /** Begins to tell. */
   public void start() {
-    timers.after(REPEAT_MS, this::repeat);
-    timers.after(TOTAL_MS, this::aggregate);
-    timers.after(REPORT_MS, this::introduce);
+    timers.schedule(REPEAT_MS, this::repeat);
+    timers.schedule(TOTAL_MS, this::aggregate);
+    timers.schedule(REPORT_MS, this::introduce);
   }
 
   /** Tells nothing more. */
@@ -121,7 +121,7 @@
       return;
     }
     reportSet = true;
-    timers.after(Math.max(0, reportedAt + REPORT_MS - timers.now()), this::report);
+    timers.schedule(Math.max(0, reportedAt + REPORT_MS - timers.now()), this::report);
   }
 
   /** A report came; one of this gateway itself, or with no sender, is passed over. */
@@ -180,7 +180,7 @@
     if (closed) {
       return;
     }
-    timers.after(REPEAT_MS, this::repeat);
+    timers.schedule(REPEAT_MS, this::repeat);
     if (active() && timers.now() - reportedAt >= REPEAT_MS / 2) {
       report();
     }
@@ -191,7 +191,7 @@
       return;
     }
     aggregating = active() && members.aggregator().equals(own);
-    timers.after(aggregating ? TOTAL_MS : LOOK_MS, this::aggregate);
+    timers.schedule(aggregating ? TOTAL_MS : LOOK_MS, this::aggregate);
     if (!aggregating) {
       return;
     }
@@ -231,7 +231,7 @@
     if (closed) {
       return;
     }
-    timers.after(INTRODUCE_UNHEARD_MS, this::introduce);
+    timers.schedule(INTRODUCE_UNHEARD_MS, this::introduce);
     List<String> listed = known.view().gateways;
     members.keep(listed);
     introducedAt.keySet().retainAll(listed);
--- a/gateway/src/main/java/elmsail/gateway/load/LoadTable.java
+++ b/gateway/src/main/java/elmsail/gateway/load/LoadTable.java
@@ -2,7 +2,7 @@
 
 import elmsail.rpc.messages.LoadReport;
 import elmsail.rpc.messages.ServerLoadEntry;
-import elmsail.runtime.SteadyClock;
+import elmsail.runtime.MonotonicClock;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -24,7 +24,7 @@
   private record Report(long instanceId, long sequence, long at, List<ServerLoadEntry> entries) {}
 
   private final String zone;
-  private final SteadyClock clock;
+  private final MonotonicClock clock;
   private final Map<String, Report> bySender = new HashMap<>();
 
   /** By the zone of the gateways that each is the sum of. */
@@ -38,7 +38,7 @@
    *
    * @param zone this gateway's
    */
-  LoadTable(String zone, SteadyClock clock) {
+  LoadTable(String zone, MonotonicClock clock) {
     this.zone = zone;
     this.clock = clock;
   }
--- a/gateway/src/main/java/elmsail/gateway/load/ServerLoad.java
+++ b/gateway/src/main/java/elmsail/gateway/load/ServerLoad.java
@@ -39,7 +39,7 @@
 
   static ServerLoad of(ServerLoadEntry entry) {
     return new ServerLoad(
-        bounded(entry.requests), bounded(entry.items), bounded(entry.unreadTokens));
+        bounded(entry.requests), bounded(entry.items), bounded(entry.prefillTokens));
   }
 
   ServerLoadEntry entry(String server) {
@@ -47,7 +47,7 @@
     entry.server = server;
     entry.requests = requests;
     entry.items = items;
-    entry.unreadTokens = unreadTokens;
+    entry.prefillTokens = unreadTokens;
     return entry;
   }
 
--- a/gateway/src/main/java/elmsail/gateway/load/ZoneMembers.java
+++ b/gateway/src/main/java/elmsail/gateway/load/ZoneMembers.java
@@ -1,7 +1,7 @@
 package elmsail.gateway.load;
 
 import elmsail.config.watch.RendezvousHash;
-import elmsail.runtime.SteadyClock;
+import elmsail.runtime.MonotonicClock;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -36,12 +36,12 @@
 
   private final String own;
   private final String zone;
-  private final SteadyClock clock;
+  private final MonotonicClock clock;
   private final Map<String, Member> members = new LinkedHashMap<>();
   private String aggregator;
   private long totalExpectedBy;
 
-  ZoneMembers(String own, String zone, SteadyClock clock) {
+  ZoneMembers(String own, String zone, MonotonicClock clock) {
     this.own = own;
     this.zone = zone;
     this.clock = clock;
--- a/gateway/src/main/java/elmsail/gateway/requests/ClientRequest.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/ClientRequest.java
@@ -3,7 +3,7 @@
 import elmsail.gateway.http.Headers;
 import elmsail.gateway.servers.OutgoingRequest;
 import elmsail.gateway.servers.Prompt;
-import elmsail.runtime.SteadyClock;
+import elmsail.runtime.MonotonicClock;
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.FullHttpRequest;
@@ -23,7 +23,7 @@
   private final Prompt prompt;
   private int priority;
   private final boolean item;
-  private final SteadyClock clock;
+  private final MonotonicClock clock;
 
   /** On the loop's clock; Long.MAX_VALUE: none is told. */
   private final long endsAt;
@@ -38,7 +38,7 @@
       byte[] body,
       int priority,
       boolean item,
-      SteadyClock clock,
+      MonotonicClock clock,
       long endsAt) {
     this.id = id;
     this.method = HttpMethod.valueOf(method);
--- a/gateway/src/main/java/elmsail/gateway/requests/ItemRun.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/ItemRun.java
@@ -55,7 +55,7 @@
 
   private void look(long lastLook) {
     look =
-        timers.after(
+        timers.schedule(
             LOOK_MS,
             () -> {
               long now = timers.now();
--- a/gateway/src/main/java/elmsail/gateway/requests/RequestForwarder.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/RequestForwarder.java
@@ -81,7 +81,7 @@
       refuse(RequestCounters.Event.REFUSED_NOT_RUN);
       return;
     }
-    end = course.timers().after(left, this::timeOver);
+    end = course.timers().schedule(left, this::timeOver);
     next();
     if (!over && route.repeatable()) {
       watch(course.timers().now());
@@ -93,7 +93,7 @@
     watch =
         course
             .timers()
-            .after(
+            .schedule(
                 WATCH_MS,
                 () -> {
                   long at = course.timers().now();
--- a/gateway/src/main/java/elmsail/gateway/servers/ConnectionPool.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ConnectionPool.java
@@ -133,11 +133,11 @@
                     connection.into(channel.pipeline());
                   }
                 })
-            .connect(Addresses.of(server.entry().address()));
+            .connect(Addresses.parse(server.entry().address()));
     attempt.on(connect.channel());
     connect.channel().closeFuture().addListener(f -> server.connections--);
     if (connect.isDone()) {
-      timers.soon(
+      timers.execute(
           () ->
               connected(
                   connect,
--- a/gateway/src/main/java/elmsail/gateway/servers/ServerConnection.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ServerConnection.java
@@ -3,7 +3,7 @@
 import elmsail.gateway.http.Headers;
 import elmsail.gateway.http.RequestCounters;
 import elmsail.runtime.Timers;
-import elmsail.runtime.http.StrictAnswerDecoder;
+import elmsail.runtime.http.StrictResponseDecoder;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandlerContext;
@@ -46,8 +46,8 @@
 
   private final ConnectionPool pool;
   private final Server server;
-  private final StrictAnswerDecoder decoder =
-      new StrictAnswerDecoder(MOST_LINE, MOST_HEAD, MOST_PIECE) {
+  private final StrictResponseDecoder decoder =
+      new StrictResponseDecoder(MOST_LINE, MOST_HEAD, MOST_PIECE) {
         @Override
         protected boolean isContentAlwaysEmpty(HttpMessage message) {
           return headOnly || super.isContentAlwaysEmpty(message);
@@ -117,7 +117,7 @@
 
   boolean usable(long now) {
     return channel.isActive()
-        && !decoder.inside()
+        && !decoder.isInsideMessage()
         && fresh(now)
         && (!(channel instanceof QuietSocketChannel quiet) || quiet.quiet());
   }
@@ -139,7 +139,7 @@
     headOnly = message.method().equals(HttpMethod.HEAD);
     ChannelFuture write = channel.writeAndFlush(message);
     if (write.isDone() && !write.isSuccess()) {
-      pool.timers().soon(() -> unwritten(attempt)); // not within the call that begins the attempt
+      pool.timers().execute(() -> unwritten(attempt)); // not within the call that begins the attempt
     } else {
       write.addListener(
           f -> {
@@ -273,10 +273,10 @@
   /** The connection is free only once all that came with the answer is read. */
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
-    if (answered && !decoder.inside()) {
+    if (answered && !decoder.isInsideMessage()) {
       answered = false;
       free();
-    } else if (current == null && decoder.inside()) {
+    } else if (current == null && decoder.isInsideMessage()) {
       broken(RequestCounters.Event.FOREIGN_ANSWER);
     }
     ctx.fireChannelReadComplete();
@@ -291,14 +291,14 @@
       server.idle.addLast(this);
     } else {
       long unwritten = unwrittenBytes();
-      finishing = pool.timers().after(STUCK_BODY_MS, () -> goOnOrClose(unwritten));
+      finishing = pool.timers().schedule(STUCK_BODY_MS, () -> goOnOrClose(unwritten));
     }
   }
 
   private void goOnOrClose(long unwrittenBefore) {
     long unwritten = unwrittenBytes();
     if (unwritten < unwrittenBefore) {
-      finishing = pool.timers().after(STUCK_BODY_MS, () -> goOnOrClose(unwritten));
+      finishing = pool.timers().schedule(STUCK_BODY_MS, () -> goOnOrClose(unwritten));
     } else {
       channel.close();
     }
--- a/gateway/src/main/java/elmsail/gateway/servers/Servers.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/Servers.java
@@ -59,7 +59,7 @@
     pool = new ConnectionPool(timers, loop, known, counters);
     known.whenChanged(this::refresh);
     refresh();
-    timers.after(SWEEP_MS, this::sweep);
+    timers.schedule(SWEEP_MS, this::sweep);
   }
 
   /**
@@ -311,7 +311,7 @@
       }
     }
     if (!pool.stopped()) {
-      timers.after(SWEEP_MS, this::sweep);
+      timers.schedule(SWEEP_MS, this::sweep);
     }
   }
 
--- a/gateway/src/test/java/elmsail/gateway/GatewayWarmUpTest.java
+++ b/gateway/src/test/java/elmsail/gateway/GatewayWarmUpTest.java
@@ -5,7 +5,7 @@
 import static org.hamcrest.Matchers.containsString;
 import static org.hamcrest.Matchers.startsWith;
 
-import elmsail.runtime.NettyLoop;
+import elmsail.runtime.NettyEventLoop;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
@@ -14,10 +14,10 @@
 
   @Test
   void aStreamIsServed() throws Exception {
-    NettyLoop loop = new NettyLoop();
+    NettyEventLoop loop = new NettyEventLoop();
     try {
       CompletableFuture<String> got = new CompletableFuture<>();
-      loop.soon(
+      loop.execute(
           () ->
               GatewayWarmUp.run(loop)
                   .whenComplete(
@@ -36,7 +36,7 @@
               containsString("data: b"),
               containsString("\r\n0\r\n\r\n")));
     } finally {
-      loop.stop().awaitUninterruptibly(5, TimeUnit.SECONDS);
+      loop.shutdown().awaitUninterruptibly(5, TimeUnit.SECONDS);
     }
   }
 }
--- a/gateway/src/test/java/elmsail/gateway/PassedTimers.java
+++ b/gateway/src/test/java/elmsail/gateway/PassedTimers.java
@@ -53,16 +53,16 @@
   }
 
   @Override
-  public Timer after(long ms, Runnable then) {
+  public Timer schedule(long ms, Runnable then) {
     One one = new One(now() + ms, then);
     waiting.add(one);
-    one.real = timers.after(ms, one::run);
+    one.real = timers.schedule(ms, one::run);
     return one;
   }
 
   @Override
-  public void soon(Runnable then) {
-    timers.soon(then);
+  public void execute(Runnable then) {
+    timers.execute(then);
   }
 
   /**
@@ -71,7 +71,7 @@
    */
   public void pass(long ms) {
     CountDownLatch done = new CountDownLatch(1);
-    soon(
+    execute(
         () -> {
           try {
             moveAhead(ms);
--- a/gateway/src/test/java/elmsail/gateway/Rig.java
+++ b/gateway/src/test/java/elmsail/gateway/Rig.java
@@ -3,7 +3,7 @@
 import elmsail.batch.BatchCalls;
 import elmsail.config.Route;
 import elmsail.config.ServerEntry;
-import elmsail.runtime.NettyLoop;
+import elmsail.runtime.NettyEventLoop;
 import elmsail.runtime.ProcessMetrics;
 import elmsail.runtime.Settings;
 import java.util.ArrayList;
@@ -16,7 +16,7 @@
 
 /** A gateway over loopback with two stand-in servers that the test speaks for. */
 public final class Rig implements AutoCloseable {
-  public final NettyLoop loop = new NettyLoop();
+  public final NettyEventLoop loop = new NettyEventLoop();
 
   /** The loop's, ahead by what the test has passed. */
   public final PassedTimers timers = new PassedTimers(loop);
@@ -101,7 +101,7 @@
   /** Runs on the loop and waits for it. */
   public <T> T onLoop(Callable<T> what) throws Exception {
     CompletableFuture<T> done = new CompletableFuture<>();
-    loop.soon(
+    loop.execute(
         () -> {
           try {
             done.complete(what.call());
@@ -201,6 +201,6 @@
     clients.forEach(Wire::close);
     first.close();
     second.close();
-    loop.stop().awaitUninterruptibly(5, TimeUnit.SECONDS);
+    loop.shutdown().awaitUninterruptibly(5, TimeUnit.SECONDS);
   }
 }
--- a/gateway/src/test/java/elmsail/gateway/load/LoadExchangeTest.java
+++ b/gateway/src/test/java/elmsail/gateway/load/LoadExchangeTest.java
@@ -6,7 +6,7 @@
 import static org.hamcrest.Matchers.lessThanOrEqualTo;
 
 import elmsail.gateway.FakeKnown;
-import elmsail.rpc.Codec;
+import elmsail.rpc.MessageCodec;
 import elmsail.rpc.messages.LoadReport;
 import elmsail.runtime.ManualTimers;
 import java.util.ArrayList;
@@ -26,7 +26,7 @@
 
   private final ManualTimers timers = new ManualTimers();
   private final FakeKnown known = new FakeKnown();
-  private final Codec codec = new Codec();
+  private final MessageCodec codec = new MessageCodec();
   private final Random chance = new Random(7);
   private final Map<String, Member> members = new LinkedHashMap<>();
   private final Set<String> cutOff = new HashSet<>();
@@ -54,18 +54,18 @@
     }
 
     private void carry(String to, LoadReport report) {
-      byte[] datagram = codec.pack(report);
+      byte[] datagram = codec.toDatagram(report);
       largestBytes = Math.max(largestBytes, datagram.length);
       boolean cut = cutOff.contains(address) != cutOff.contains(to);
       if (cut || chance.nextDouble() < lost) {
         return;
       }
-      timers.after(
+      timers.schedule(
           chance.nextInt(3),
           () -> {
             Member receiver = members.get(to);
             receiver.received++;
-            receiver.exchange.heard(codec.unpack(datagram, LoadReport.class));
+            receiver.exchange.heard(codec.fromDatagram(datagram, LoadReport.class));
           });
     }
 
@@ -86,7 +86,7 @@
         members.put(zone + "-" + i + ":1", new Member(zone + "-" + i + ":1", zone));
       }
     }
-    timers.pass(3_000);
+    timers.advance(3_000);
   }
 
   private int seen(Member member, String server) {
@@ -116,7 +116,7 @@
     for (Member member : members.values()) {
       member.open(opened % 2 == 0 ? "a" : "b", ++opened);
     }
-    timers.pass(300);
+    timers.advance(300);
     assertAllSeeAll();
   }
 
@@ -125,10 +125,10 @@
     start();
     Member first = members.get("z1-0:1");
     first.open("a", 3);
-    timers.pass(250);
+    timers.advance(250);
     assertThat(seen(members.get("z1-4:1"), "a"), is(3));
     first.open("a", 0);
-    timers.pass(70);
+    timers.advance(70);
     assertThat(seen(members.get("z1-4:1"), "a"), is(0));
   }
 
@@ -139,10 +139,10 @@
     for (int i = 0; i < 200; i++) {
       List<Member> all = new ArrayList<>(members.values());
       all.get(chance.nextInt(all.size())).open(chance.nextBoolean() ? "a" : "b", chance.nextInt(9));
-      timers.pass(10);
+      timers.advance(10);
     }
     lost = 0;
-    timers.pass(1_000);
+    timers.advance(1_000);
     assertAllSeeAll();
   }
 
@@ -152,15 +152,15 @@
     Member gone = members.get("z1-2:1");
     gone.open("a", 50);
     members.get("z1-1:1").open("a", 2);
-    timers.pass(400);
+    timers.advance(400);
     assertThat(seen(members.get("z1-0:1"), "a"), is(52));
     cutOff.add(gone.address);
-    timers.pass(LoadTable.VALID_MS + 600);
+    timers.advance(LoadTable.VALID_MS + 600);
     assertThat(seen(members.get("z1-0:1"), "a"), is(2));
     assertThat(seen(members.get("z3-0:1"), "a"), is(2));
     assertThat("goes by its own sight", seen(gone, "a"), lessThanOrEqualTo(50));
     cutOff.clear();
-    timers.pass(9_000);
+    timers.advance(9_000);
     assertAllSeeAll();
   }
 
@@ -173,7 +173,7 @@
       cutOff.add(gone.address);
       Member other = members.get(gone.zone.equals("z1") ? "z2-1:1" : "z1-1:1");
       other.open("a", 1 + chance.nextInt(90));
-      timers.pass(2_500);
+      timers.advance(2_500);
       Member far = members.get(gone.zone.equals("z3") ? "z2-4:1" : "z3-4:1");
       if (far != gone && other != gone && far != other) {
         assertThat("without " + gone.address, seen(far, "a"), is(open("a")));
@@ -188,12 +188,12 @@
     members.get("z1-0:1").open("a", 4);
     Member restarted = members.get("z1-3:1");
     restarted.exchange.close();
-    timers.pass(2_000);
+    timers.advance(2_000);
     restarted.restart();
-    timers.pass(200);
+    timers.advance(200);
     assertThat(seen(restarted, "a"), is(4));
     restarted.open("b", 6);
-    timers.pass(200);
+    timers.advance(200);
     assertThat(seen(members.get("z1-1:1"), "b"), is(6));
   }
 
@@ -203,7 +203,7 @@
     members.values().forEach(member -> member.received = 0);
     for (int ms = 0; ms < 1_000; ms++) {
       members.values().forEach(member -> member.open("a", chance.nextInt(9)));
-      timers.pass(1);
+      timers.advance(1);
     }
     for (Member member : members.values()) {
       assertThat(member.address, member.received, lessThanOrEqualTo(600));
@@ -214,16 +214,16 @@
   void whereNothingIsOpenNextToNothingIsTold() {
     start();
     members.values().forEach(member -> member.open("a", 2));
-    timers.pass(500);
+    timers.advance(500);
     members.values().forEach(member -> member.open.clear());
-    timers.pass(3_000);
+    timers.advance(3_000);
     members.values().forEach(member -> member.received = 0);
-    timers.pass(8_000);
+    timers.advance(8_000);
     for (Member member : members.values()) {
       assertThat(member.address, member.received, lessThanOrEqualTo(2 * members.size()));
     }
     members.get("z2-3:1").open("a", 5);
-    timers.pass(900);
+    timers.advance(900);
     assertThat(seen(members.get("z2-0:1"), "a"), is(5));
     assertThat(seen(members.get("z2-4:1"), "a"), is(5));
   }
@@ -236,7 +236,7 @@
       first.open.put("i-12345678-" + i, new ServerLoad(900, 900, 999_999));
     }
     first.exchange.changed();
-    timers.pass(500);
+    timers.advance(500);
     assertThat(largestBytes, lessThan(2_200));
   }
 }
--- a/gateway/src/test/java/elmsail/gateway/load/LoadTableTest.java
+++ b/gateway/src/test/java/elmsail/gateway/load/LoadTableTest.java
@@ -90,9 +90,9 @@
     table.take(report("a", "z1", LoadReport.OWN, 1, 2));
     table.take(report("b", "z2", LoadReport.ZONE, 1, 4));
     table.take(report("c", "z1", LoadReport.TOTAL, 1, 9));
-    timers.pass(LoadTable.VALID_MS);
+    timers.advance(LoadTable.VALID_MS);
     assertThat(peers() + otherZones() + told(), is(15));
-    timers.pass(1);
+    timers.advance(1);
     assertThat(table.zonePeers(), is(anEmptyMap()));
     assertThat(table.otherZones(), is(anEmptyMap()));
     assertThat(told(), is(0));
--- a/gateway/src/test/java/elmsail/gateway/load/ZoneMembersTest.java
+++ b/gateway/src/test/java/elmsail/gateway/load/ZoneMembersTest.java
@@ -30,7 +30,7 @@
   /** All are heard, and the aggregator tells totals, for so long. */
   private void pass(long ms, String telling) {
     for (long passed = 0; passed < ms; passed += 100) {
-      timers.pass(100);
+      timers.advance(100);
       allHeard();
       members.heardTotal(telling);
       members.aggregator();
@@ -77,7 +77,7 @@
     allHeard();
     for (int i = 0; i < 20; i++) {
       members.aggregator();
-      timers.pass(100);
+      timers.advance(100);
     }
     assertThat(members.aggregator(), is(ORDER.get(3)));
   }
@@ -88,7 +88,7 @@
     assertThat(members.aggregator(), is(ORDER.get(3)));
     assertThat(members.ofOtherZones().get("z2"), contains("far"));
     assertThat(members.zoneOf("far"), is("z2"));
-    timers.pass(ZoneMembers.ZONE_KNOWN_MS + 1);
+    timers.advance(ZoneMembers.ZONE_KNOWN_MS + 1);
     assertThat(members.zoneOf("far"), nullValue());
     assertThat(members.ofOtherZones().size(), is(0));
   }
@@ -101,7 +101,7 @@
     assertThat(members.heard(other, "z1", 2), is(true));
     allHeard();
     assertThat(members.ofZone(), containsInAnyOrder(ORDER.subList(0, 3).toArray()));
-    timers.pass(ZoneMembers.MEMBER_MS + 1);
+    timers.advance(ZoneMembers.MEMBER_MS + 1);
     assertThat(members.ofZone(), is(empty()));
     assertThat(members.aggregator(), is(ORDER.get(3)));
     members.keep(List.of());
--- a/gateway/src/test/java/elmsail/gateway/servers/ChoiceModelTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/ChoiceModelTest.java
@@ -11,7 +11,7 @@
 import elmsail.rpc.messages.LoadReport;
 import elmsail.runtime.Counters;
 import elmsail.runtime.ManualTimers;
-import elmsail.runtime.NettyLoop;
+import elmsail.runtime.NettyEventLoop;
 import io.netty.handler.codec.http.DefaultHttpResponse;
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpResponseStatus;
@@ -60,18 +60,18 @@
   private static final int MEAN_HOLD_MS = 160;
 
   private final SplittableRandom chance = new SplittableRandom(5);
-  private final List<NettyLoop> loops = new ArrayList<>();
+  private final List<NettyEventLoop> loops = new ArrayList<>();
 
   @AfterEach
   void close() {
-    loops.forEach(NettyLoop::stop);
+    loops.forEach(NettyEventLoop::shutdown);
   }
 
   /** One run: its own clock, servers and gateways. */
   private final class World {
     final ManualTimers timers = new ManualTimers();
     final FakeKnown known = new FakeKnown();
-    final NettyLoop loop = new NettyLoop();
+    final NettyEventLoop loop = new NettyEventLoop();
     final Map<String, ModelServer> models = new HashMap<>();
     final Map<String, LoadExchange> exchanges = new HashMap<>();
     final List<Servers> gateways = new ArrayList<>();
@@ -97,12 +97,12 @@
       for (int g = 0; g < ZONES * GATEWAYS_PER_ZONE; g++) {
         gateways.add(gateway("g" + g + ":1", "z" + g % ZONES));
       }
-      timers.pass(2_000);
+      timers.advance(2_000);
     }
 
     private Servers gateway(String address, String zone) {
       RequestCounters counters = new RequestCounters(new Counters());
-      Servers servers = new Servers(timers, loop.events(), known, zone, counters, draws.split());
+      Servers servers = new Servers(timers, loop.eventLoop(), known, zone, counters, draws.split());
       if (choice == Choice.SHARED_LOADS || choice == Choice.SHARED_WITH_ADMISSION) {
         LoadExchange exchange =
             new LoadExchange(
@@ -115,7 +115,7 @@
     }
 
     private void carry(String to, LoadReport report) {
-      timers.after(DATAGRAM_MS, () -> exchanges.get(to).heard(report));
+      timers.schedule(DATAGRAM_MS, () -> exchanges.get(to).heard(report));
     }
 
     /** The share of requests whose first token came in time, at that share of capacity. */
@@ -125,10 +125,10 @@
       while (at < DURATION_MS) {
         at += -Math.log(1 - draws.nextDouble()) * 1_000 * CLUMP / perSecond;
         for (int i = 0; i < CLUMP; i++) {
-          timers.after((long) at, () -> new Request(this).send());
+          timers.schedule((long) at, () -> new Request(this).send());
         }
       }
-      timers.pass(DURATION_MS + 5_000);
+      timers.advance(DURATION_MS + 5_000);
       return (double) inAim / requests;
     }
 
--- a/gateway/src/test/java/elmsail/gateway/servers/ErringServersModelTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/ErringServersModelTest.java
@@ -12,7 +12,7 @@
 import elmsail.gateway.http.RequestCounters;
 import elmsail.runtime.Counters;
 import elmsail.runtime.ManualTimers;
-import elmsail.runtime.NettyLoop;
+import elmsail.runtime.NettyEventLoop;
 import io.netty.handler.codec.http.DefaultHttpResponse;
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpResponseStatus;
@@ -50,7 +50,7 @@
 
   private static final double MOST_OF_BEFORE = 0.6;
 
-  private final NettyLoop loop = new NettyLoop();
+  private final NettyEventLoop loop = new NettyEventLoop();
   private final ManualTimers timers = new ManualTimers();
   private final FakeKnown known = new FakeKnown();
   private final SplittableRandom chance = new SplittableRandom(11);
@@ -61,7 +61,7 @@
 
   @AfterEach
   void close() {
-    loop.stop();
+    loop.shutdown();
   }
 
   /** What differs between runs. */
@@ -83,7 +83,7 @@
       Servers servers =
           new Servers(
               timers,
-              loop.events(),
+              loop.eventLoop(),
               known,
               "z",
               new RequestCounters(new Counters()),
@@ -92,10 +92,10 @@
       for (long at = offset; at < CALM_MS + DURATION_MS; at += intervalMs) {
         boolean repeatable = chance.nextDouble() < scenario.repeatableShare();
         boolean calm = at < CALM_MS;
-        timers.after(at, () -> new Request(servers, scenario, repeatable, calm).send());
+        timers.schedule(at, () -> new Request(servers, scenario, repeatable, calm).send());
       }
     }
-    timers.pass(CALM_MS + DURATION_MS + 10 * SERVED_MS);
+    timers.advance(CALM_MS + DURATION_MS + 10 * SERVED_MS);
     return (double) errors / requests;
   }
 
@@ -129,7 +129,7 @@
           !calm && index < scenario.erring() && chance.nextDouble() < scenario.errorShare();
       running[index]++;
       servedByErring += !calm && index < scenario.erring() ? 1 : 0;
-      timers.after(errs ? ERROR_MS : SERVED_MS, () -> answer(attempt, index, errs ? 500 : 200));
+      timers.schedule(errs ? ERROR_MS : SERVED_MS, () -> answer(attempt, index, errs ? 500 : 200));
     }
 
     private void answer(Attempt attempt, int index, int status) {
--- a/gateway/src/test/java/elmsail/gateway/servers/ModelServer.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/ModelServer.java
@@ -58,7 +58,7 @@
       queue.add(new Waiting(readMs, holdMs, client));
     } else {
       refusals++;
-      timers.soon(client::refused);
+      timers.execute(client::refused);
     }
   }
 
@@ -66,8 +66,8 @@
     running++;
     readUntil = Math.max(readUntil, timers.now()) + one.readMs * slowness;
     long first = Math.round(readUntil - timers.now());
-    timers.after(first, one.client::firstToken);
-    timers.after(first + Math.round(one.holdMs * slowness), () -> end(one));
+    timers.schedule(first, one.client::firstToken);
+    timers.schedule(first + Math.round(one.holdMs * slowness), () -> end(one));
   }
 
   private void end(Waiting one) {
--- a/gateway/src/test/java/elmsail/gateway/servers/SelectionModeTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/SelectionModeTest.java
@@ -11,7 +11,7 @@
 import elmsail.gateway.http.RequestCounters;
 import elmsail.runtime.Counters;
 import elmsail.runtime.ManualTimers;
-import elmsail.runtime.NettyLoop;
+import elmsail.runtime.NettyEventLoop;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -39,7 +39,7 @@
           0,
           0);
 
-  private final NettyLoop loop = new NettyLoop();
+  private final NettyEventLoop loop = new NettyEventLoop();
   private final ManualTimers timers = new ManualTimers();
   private final FakeKnown known = new FakeKnown();
   private Servers servers;
@@ -53,13 +53,13 @@
     }
     known.servers = entries;
     RequestCounters counters = new RequestCounters(new Counters());
-    servers = new Servers(timers, loop.events(), known, "z", counters, new SplittableRandom(3));
+    servers = new Servers(timers, loop.eventLoop(), known, "z", counters, new SplittableRandom(3));
     all = servers.of("s");
   }
 
   @AfterEach
   void close() {
-    loop.stop();
+    loop.shutdown();
   }
 
   private Server choose(SelectionMode mode, Server... attempted) {
@@ -97,12 +97,12 @@
   @Test
   void aHalfOpenServerIsProbedFirstByWhatPrefersIt() {
     all.get(0).errored(timers.now());
-    timers.pass(ErrorBackoff.FIRST_MS);
+    timers.advance(ErrorBackoff.FIRST_MS);
     for (int i = 0; i < 8; i++) {
       assertThat(choose(SelectionMode.SINGLE), is(not(sameInstance(all.get(0)))));
       assertThat(choose(SelectionMode.PROBE_PREFERRED), is(sameInstance(all.get(0))));
     }
-    timers.pass(ErrorBackoff.LATE_PROBE_MS);
+    timers.advance(ErrorBackoff.LATE_PROBE_MS);
     boolean tried = false;
     for (int i = 0; i < 8; i++) {
       tried |= choose(SelectionMode.SINGLE) == all.get(0);
@@ -113,7 +113,7 @@
   @Test
   void aServerThatCannotBeReachedIsNotProbed() {
     all.get(0).errored(timers.now());
-    timers.pass(ErrorBackoff.FIRST_MS);
+    timers.advance(ErrorBackoff.FIRST_MS);
     all.get(0).failed(timers.now());
     assertThat(choose(SelectionMode.PROBE_PREFERRED), is(not(sameInstance(all.get(0)))));
   }
--- a/gateway/src/test/java/elmsail/gateway/servers/ServerConnectionTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/ServerConnectionTest.java
@@ -7,7 +7,7 @@
 import elmsail.gateway.FakeKnown;
 import elmsail.gateway.http.RequestCounters;
 import elmsail.runtime.Counters;
-import elmsail.runtime.NettyLoop;
+import elmsail.runtime.NettyEventLoop;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.embedded.EmbeddedChannel;
@@ -88,20 +88,20 @@
     }
   }
 
-  private final NettyLoop loop = new NettyLoop();
+  private final NettyEventLoop loop = new NettyEventLoop();
   private final Server server =
       new Server(
           new ServerEntry("i-1", "s", "127.0.0.1:1", "z", 24, false, 0),
           1_000,
           new OutlierDetector());
   private final ConnectionPool pool =
-      new ConnectionPool(loop, loop.events(), new FakeKnown(), new RequestCounters(new Counters()));
+      new ConnectionPool(loop, loop.eventLoop(), new FakeKnown(), new RequestCounters(new Counters()));
   private EmbeddedChannel channel;
   private ServerConnection connection;
 
   @AfterEach
   void close() {
-    loop.stop();
+    loop.shutdown();
   }
 
   private Heard carry(String id) {
--- a/gateway/src/test/java/elmsail/gateway/servers/ServersTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/ServersTest.java
@@ -14,7 +14,7 @@
 import elmsail.gateway.http.RequestCounters;
 import elmsail.runtime.Counters;
 import elmsail.runtime.ManualTimers;
-import elmsail.runtime.NettyLoop;
+import elmsail.runtime.NettyEventLoop;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -29,7 +29,7 @@
 
 /** Which server is chosen, with nothing sent. */
 class ServersTest {
-  private final NettyLoop loop = new NettyLoop();
+  private final NettyEventLoop loop = new NettyEventLoop();
   private final ManualTimers timers = new ManualTimers();
   private final FakeKnown known = new FakeKnown();
   private final Servers servers = door("z1");
@@ -40,12 +40,12 @@
 
   private Servers door(String zone, SplittableRandom chance) {
     return new Servers(
-        timers, loop.events(), known, zone, new RequestCounters(new Counters()), chance);
+        timers, loop.eventLoop(), known, zone, new RequestCounters(new Counters()), chance);
   }
 
   @AfterEach
   void close() {
-    loop.stop();
+    loop.shutdown();
   }
 
   private static ServerEntry entry(String id, String service, String zone, boolean closing) {
--- a/rpc/src/main/java/elmsail/rpc/CallTable.java
+++ b/rpc/src/main/java/elmsail/rpc/CallTable.java
@@ -15,39 +15,39 @@
  */
 final class CallTable<C> {
 
-  static final int MOST_CALLS = 4_096;
+  static final int MAX_CALLS = 4_096;
 
-  private final Map<Long, C> open = new LinkedHashMap<>();
+  private final Map<Long, C> pending = new LinkedHashMap<>();
   private boolean closed;
 
   /** Adds a call that is about to be sent; false if the connection is closed or too many wait. */
-  boolean add(long number, C call) {
-    if (closed || open.size() >= MOST_CALLS) {
+  boolean add(long callId, C call) {
+    if (closed || pending.size() >= MAX_CALLS) {
       return false;
     }
-    open.put(number, call);
+    pending.put(callId, call);
     return true;
   }
 
   /** The open call with that number, or null. */
-  C find(long number) {
-    return open.get(number);
+  C find(long callId) {
+    return pending.get(callId);
   }
 
   /** Ends the call: it is returned once; null if it has ended before or never went out here. */
-  C remove(long number) {
-    return open.remove(number);
+  C remove(long callId) {
+    return pending.remove(callId);
   }
 
   boolean isEmpty() {
-    return open.isEmpty();
+    return pending.isEmpty();
   }
 
   /** Ends them all, in the order in which they were added; nothing can be added any more. */
   List<C> close() {
     closed = true;
-    List<C> all = new ArrayList<>(open.values());
-    open.clear();
+    List<C> all = new ArrayList<>(pending.values());
+    pending.clear();
     return all;
   }
 }
--- a/rpc/src/main/java/elmsail/rpc/ConnectionSweeper.java
+++ b/rpc/src/main/java/elmsail/rpc/ConnectionSweeper.java
@@ -9,12 +9,12 @@
 final class ConnectionSweeper {
 
   /** All in ms. */
-  static final long SWEEP_SOON = 200;
+  static final long BUSY_INTERVAL_MS = 200;
 
-  static final long SWEEP_LATER = 1_000;
+  static final long IDLE_INTERVAL_MS = 1_000;
 
   /** A timer that is later than that tells of a process that was held up. */
-  static final long HELD_UP = 100;
+  static final long STALL_THRESHOLD_MS = 100;
 
   private final Timers timers;
   private final Supplier<List<RpcConnection>> connections;
@@ -31,10 +31,10 @@
   }
 
   /** Sees to it that the connections are looked after before long. */
-  void soon() {
-    long at = timers.now() + SWEEP_SOON;
-    if (!closed && (timer == null || dueAt > at)) {
-      schedule(at);
+  void sweepSoon() {
+    long dueAt = timers.now() + BUSY_INTERVAL_MS;
+    if (!closed && (timer == null || this.dueAt > dueAt)) {
+      schedule(dueAt);
     }
   }
 
@@ -45,28 +45,28 @@
     }
   }
 
-  private void schedule(long at) {
+  private void schedule(long dueAt) {
     if (timer != null) {
       timer.cancel();
     }
-    dueAt = at;
-    timer = timers.after(at - timers.now(), this::sweep);
+    this.dueAt = dueAt;
+    timer = timers.schedule(dueAt - timers.now(), this::sweep);
   }
 
   private void sweep() {
     timer = null;
     long now = timers.now();
-    long late = now - dueAt;
+    long lateMs = now - dueAt;
     List<RpcConnection> all = connections.get();
     boolean busy = false;
     for (RpcConnection connection : all) {
-      if (late > HELD_UP) {
-        connection.liveness().forgive(late);
+      if (lateMs > STALL_THRESHOLD_MS) {
+        connection.keepalive().extendAfterStall(lateMs);
       }
-      busy |= connection.liveness().sweep();
+      busy |= connection.keepalive().sweep();
     }
     if (!closed && (!all.isEmpty() || !noPeers.getAsBoolean())) {
-      schedule(now + (busy ? SWEEP_SOON : SWEEP_LATER));
+      schedule(now + (busy ? BUSY_INTERVAL_MS : IDLE_INTERVAL_MS));
     }
   }
 }
--- a/rpc/src/main/java/elmsail/rpc/Connector.java
+++ b/rpc/src/main/java/elmsail/rpc/Connector.java
@@ -15,32 +15,32 @@
 final class Connector {
 
   /** Ms. */
-  static final long CONNECT_WITHIN = 700;
+  static final long CONNECT_TIMEOUT_MS = 700;
 
   private final EventLoop loop;
   private final Timers timers;
-  private final Codec codec;
-  private final RpcCounters counts;
-  private final RpcConnection.Owner owner;
+  private final MessageCodec codec;
+  private final RpcCounters counters;
+  private final RpcConnection.Listener listener;
 
   /** Run when there is something to look after. */
-  private final Runnable watch;
+  private final Runnable sweepSoon;
 
   private boolean closed;
 
   Connector(
       EventLoop loop,
       Timers timers,
-      Codec codec,
-      RpcCounters counts,
-      RpcConnection.Owner owner,
+      MessageCodec codec,
+      RpcCounters counters,
+      RpcConnection.Listener owner,
       Runnable watch) {
     this.loop = loop;
     this.timers = timers;
     this.codec = codec;
-    this.counts = counts;
-    this.owner = owner;
-    this.watch = watch;
+    this.counters = counters;
+    this.listener = owner;
+    this.sweepSoon = watch;
   }
 
   /** No connection is opened any more. */
@@ -51,74 +51,74 @@
   /** Opens the peer's connection; the calls that wait for it go out, or fail UNSENT. */
   void connect(Peer peer) {
     if (closed) {
-      unreachable(peer, "closed");
+      onUnreachable(peer, "closed");
       return;
     }
     InetSocketAddress address;
     try {
       address = RpcAddress.parse(peer.address);
     } catch (ElmsailException e) {
-      unreachable(peer, "no address");
+      onUnreachable(peer, "no address");
       return;
     }
-    Hello meant = new Hello(Hello.VERSION, peer.address, Hello.ANY_INSTANCE);
+    HandshakeHello intended = new HandshakeHello(HandshakeHello.VERSION, peer.address, HandshakeHello.ANY_INSTANCE);
     RpcConnection connection =
-        new RpcConnection(peer, Handshake.ofCaller(meant), owner, timers, codec, counts);
+        new RpcConnection(peer, Handshake.forClient(intended), listener, timers, codec, counters);
     ChannelFuture opening =
         new Bootstrap()
             .group(loop)
             .channel(NioSocketChannel.class)
             .disableResolver()
             .option(ChannelOption.TCP_NODELAY, true)
-            .option(ChannelOption.SO_SNDBUF, RpcConnection.SEND_BYTES)
+            .option(ChannelOption.SO_SNDBUF, RpcConnection.SEND_BUFFER_BYTES)
             .handler(connection)
             .connect(address);
     Channel channel = opening.channel();
     peer.channel = channel;
-    peer.looked = false;
-    peer.connectDueAt = timers.now() + CONNECT_WITHIN;
-    peer.connectTimer = timers.after(CONNECT_WITHIN, () -> connectDue(peer, channel));
-    opening.addListener((ChannelFuture f) -> connected(peer, connection, f));
+    peer.connectDeadlineExtended = false;
+    peer.connectDeadline = timers.now() + CONNECT_TIMEOUT_MS;
+    peer.connectTimer = timers.schedule(CONNECT_TIMEOUT_MS, () -> onConnectTimeout(peer, channel));
+    opening.addListener((ChannelFuture f) -> onConnectDone(peer, connection, f));
   }
 
-  private void connectDue(Peer peer, Channel channel) {
-    if (!peer.looked && timers.now() - peer.connectDueAt > ConnectionSweeper.HELD_UP) {
-      peer.looked = true;
-      peer.connectTimer = timers.after(Liveness.LOOK_FOR, () -> connectDue(peer, channel));
+  private void onConnectTimeout(Peer peer, Channel channel) {
+    if (!peer.connectDeadlineExtended && timers.now() - peer.connectDeadline > ConnectionSweeper.STALL_THRESHOLD_MS) {
+      peer.connectDeadlineExtended = true;
+      peer.connectTimer = timers.schedule(KeepaliveMonitor.RECHECK_DELAY_MS, () -> onConnectTimeout(peer, channel));
     } else {
       channel.close();
     }
   }
 
-  private void connected(Peer peer, RpcConnection connection, ChannelFuture opening) {
+  private void onConnectDone(Peer peer, RpcConnection connection, ChannelFuture opening) {
     peer.connectTimer.cancel();
     peer.channel = null;
     if (closed || !opening.isSuccess() || !opening.channel().isActive()) {
       opening.channel().close();
-      counts.refusedConnects++;
-      unreachable(peer, "no connection");
+      counters.failedConnects++;
+      onUnreachable(peer, "no connection");
       return;
     }
-    counts.links++;
+    counters.connectionsOpened++;
     peer.connecting = false;
     peer.connection = connection;
-    connection.sayHello();
-    for (PendingCall call : peer.takeWaiting()) {
+    connection.sendHello();
+    for (PendingCall call : peer.drainQueue()) {
       if (connection.send(call, call.frame)) {
         call.frame = null;
       } else {
-        call.fail(ErrorCode.FULL, "too much on its way to the peer");
+        call.fail(ErrorCode.RESOURCE_EXHAUSTED, "too much on its way to the peer");
       }
     }
-    watch.run();
+    sweepSoon.run();
   }
 
-  private void unreachable(Peer peer, String detail) {
+  private void onUnreachable(Peer peer, String detail) {
     peer.connecting = false;
-    peer.rest(timers.now());
-    watch.run();
-    for (PendingCall call : peer.takeWaiting()) {
-      call.fail(ErrorCode.UNSENT, detail);
+    peer.backOff(timers.now());
+    sweepSoon.run();
+    for (PendingCall call : peer.drainQueue()) {
+      call.fail(ErrorCode.NOT_SENT, detail);
     }
   }
 }
--- a/rpc/src/main/java/elmsail/rpc/HandlerTable.java
+++ b/rpc/src/main/java/elmsail/rpc/HandlerRegistry.java
@@ -11,16 +11,16 @@
 import org.slf4j.LoggerFactory;
 
 /** The handlers of a process, by the class of the ask. */
-public final class HandlerTable implements RequestHandlers {
+public final class HandlerRegistry implements RequestHandlers {
 
-  private static final Logger LOG = LoggerFactory.getLogger(HandlerTable.class);
-  private static final int MOST_LOGGED = 20;
+  private static final Logger LOG = LoggerFactory.getLogger(HandlerRegistry.class);
+  private static final int MAX_LOGGED_FAULTS = 20;
 
   private final Map<Class<?>, Function<?, ?>> handlers = new HashMap<>();
-  private int logged;
+  private int loggedFaults;
 
   @Override
-  public <Q, A> void on(Class<Q> request, Function<Q, ? extends CompletionStage<A>> handler) {
+  public <Q, A> void register(Class<Q> request, Function<Q, ? extends CompletionStage<A>> handler) {
     handlers.put(request, handler);
   }
 
@@ -33,14 +33,14 @@
     if (handler == null) {
       return failed(
           new ElmsailException(
-              ErrorCode.FAULT, "no handler of " + request.getClass().getSimpleName()));
+              ErrorCode.INTERNAL, "no handler of " + request.getClass().getSimpleName()));
     }
     try {
-      CompletionStage<Object> answer = handler.apply(request);
-      return answer != null ? answer : failed(new ElmsailException(ErrorCode.FAULT, "no answer"));
+      CompletionStage<Object> response = handler.apply(request);
+      return response != null ? response : failed(new ElmsailException(ErrorCode.INTERNAL, "no answer"));
     } catch (RuntimeException e) {
-      if (ElmsailException.codeOf(e) == ErrorCode.FAULT && logged < MOST_LOGGED) {
-        logged++;
+      if (ElmsailException.codeOf(e) == ErrorCode.INTERNAL && loggedFaults < MAX_LOGGED_FAULTS) {
+        loggedFaults++;
         LOG.error("Handler of {} failed", request.getClass().getSimpleName(), e);
       }
       return failed(e);
--- a/rpc/src/main/java/elmsail/rpc/Handshake.java
+++ b/rpc/src/main/java/elmsail/rpc/Handshake.java
@@ -13,37 +13,37 @@
  */
 final class Handshake {
 
-  private final boolean caller;
+  private final boolean client;
 
   /** On the caller's side the process that it means to call, otherwise this process. */
-  private final Hello called;
+  private final HandshakeHello localHello;
 
-  private boolean complete;
+  private boolean isComplete;
   private long peerInstanceId;
 
-  private Handshake(boolean caller, Hello called) {
-    this.caller = caller;
-    this.called = called;
+  private Handshake(boolean caller, HandshakeHello called) {
+    this.client = caller;
+    this.localHello = called;
   }
 
   /** For the side that opened the connection to {@code meant}. */
-  static Handshake ofCaller(Hello meant) {
-    return new Handshake(true, meant);
+  static Handshake forClient(HandshakeHello intended) {
+    return new Handshake(true, intended);
   }
 
   /** For the side that accepted it and is {@code self}. */
-  static Handshake ofAccepting(Hello self) {
-    return new Handshake(false, self);
+  static Handshake forServer(HandshakeHello localHello) {
+    return new Handshake(false, localHello);
   }
 
   /** What this side says first. */
-  Hello own() {
-    return called;
+  HandshakeHello localHello() {
+    return localHello;
   }
 
   /** Whether the other side's hello has come and was right. */
-  boolean complete() {
-    return complete;
+  boolean isComplete() {
+    return isComplete;
   }
 
   /** The instance that answers, known to the caller once the handshake is complete. */
@@ -58,33 +58,33 @@
    *     UNSUPPORTED_VERSION if it speaks another protocol version, GARBLED for a frame that is out
    *     of place
    */
-  void admit(Frame frame) {
-    if (!complete) {
+  void onFrame(Frame frame) {
+    if (!isComplete) {
       if (frame.kind() != Frame.HELLO) {
         throw new ElmsailException(
-            ErrorCode.GARBLED, "frame of kind " + frame.kind() + " before the hello");
+            ErrorCode.MALFORMED, "frame of kind " + frame.kind() + " before the hello");
       }
-      check(Hello.read(frame.payload()));
-      complete = true;
-    } else if (!carries(frame.kind())) {
+      checkHello(HandshakeHello.fromPayload(frame.payload()));
+      isComplete = true;
+    } else if (!isAllowedKind(frame.kind())) {
       throw new ElmsailException(
-          ErrorCode.GARBLED, "frame of kind " + frame.kind() + " in the wrong direction");
+          ErrorCode.MALFORMED, "frame of kind " + frame.kind() + " in the wrong direction");
     }
   }
 
-  private void check(Hello other) {
-    Hello meant = caller ? called : other;
-    Hello answering = caller ? other : called;
-    if (!answering.isMeantBy(meant)) {
+  private void checkHello(HandshakeHello remoteHello) {
+    HandshakeHello intended = client ? localHello : remoteHello;
+    HandshakeHello actual = client ? remoteHello : localHello;
+    if (!actual.matches(intended)) {
       throw new ElmsailException(
-          ErrorCode.MISDIRECTED, "called " + meant.address() + ", reached " + answering.address());
+          ErrorCode.MISDIRECTED, "called " + intended.address() + ", reached " + actual.address());
     }
-    peerInstanceId = answering.instanceId();
+    peerInstanceId = actual.instanceId();
   }
 
-  private boolean carries(int kind) {
-    return caller
-        ? kind == Frame.ANSWER || kind == Frame.FAILURE || kind == Frame.PONG
-        : kind == Frame.ASK || kind == Frame.PING;
+  private boolean isAllowedKind(int kind) {
+    return client
+        ? kind == Frame.RESPONSE || kind == Frame.FAILURE || kind == Frame.PONG
+        : kind == Frame.REQUEST || kind == Frame.PING;
   }
 }
--- a/rpc/src/main/java/elmsail/rpc/Hello.java
+++ b/rpc/src/main/java/elmsail/rpc/HandshakeHello.java
@@ -14,16 +14,16 @@
  * @param instanceId of the called process, drawn at each of its starts; {@link #ANY_INSTANCE} where
  *     the caller does not mind which one answers
  */
-record Hello(int version, String address, long instanceId) {
+record HandshakeHello(int version, String address, long instanceId) {
 
   static final int VERSION = 1;
   static final long ANY_INSTANCE = 0;
 
   private static final int FIXED_BYTES = 1 + Long.BYTES;
-  private static final int MOST_ADDRESS_BYTES = 64;
+  private static final int MAX_ADDRESS_BYTES = 64;
 
   /** The frame's payload: the version's byte, the instance id, and the address in ASCII. */
-  byte[] payload() {
+  byte[] toPayload() {
     byte[] name = address.getBytes(StandardCharsets.US_ASCII);
     return ByteBuffer.allocate(FIXED_BYTES + name.length)
         .put((byte) version)
@@ -38,26 +38,26 @@
    * @throws ElmsailException with UNSUPPORTED_VERSION where the first byte is another version's,
    *     whatever follows it; GARBLED where the rest is not a hello
    */
-  static Hello read(byte[] payload) {
+  static HandshakeHello fromPayload(byte[] payload) {
     if (payload.length == 0) {
-      throw new ElmsailException(ErrorCode.GARBLED, "empty hello");
+      throw new ElmsailException(ErrorCode.MALFORMED, "empty hello");
     }
     if (payload[0] != VERSION) {
       throw new ElmsailException(ErrorCode.UNSUPPORTED_VERSION, "protocol version " + payload[0]);
     }
     int addressBytes = payload.length - FIXED_BYTES;
-    if (addressBytes < 1 || addressBytes > MOST_ADDRESS_BYTES) {
-      throw new ElmsailException(ErrorCode.GARBLED, "hello of " + payload.length + " bytes");
+    if (addressBytes < 1 || addressBytes > MAX_ADDRESS_BYTES) {
+      throw new ElmsailException(ErrorCode.MALFORMED, "hello of " + payload.length + " bytes");
     }
     ByteBuffer fields = ByteBuffer.wrap(payload, 1, Long.BYTES);
     long instanceId = fields.getLong();
     String address = new String(payload, FIXED_BYTES, addressBytes, StandardCharsets.US_ASCII);
-    return new Hello(VERSION, address, instanceId);
+    return new HandshakeHello(VERSION, address, instanceId);
   }
 
   /** Whether a process that says this of itself is the one that {@code meant} names. */
-  boolean isMeantBy(Hello meant) {
-    return address.equals(meant.address)
-        && (meant.instanceId == ANY_INSTANCE || meant.instanceId == instanceId);
+  boolean matches(HandshakeHello intended) {
+    return address.equals(intended.address)
+        && (intended.instanceId == ANY_INSTANCE || intended.instanceId == instanceId);
   }
 }
--- a/rpc/src/main/java/elmsail/rpc/SelfCalls.java
+++ b/rpc/src/main/java/elmsail/rpc/LoopbackCalls.java
@@ -5,19 +5,19 @@
 import elmsail.runtime.Timers;
 
 /** Calls of a process to itself: no connection, but messages are copied and answered later. */
-final class SelfCalls {
+final class LoopbackCalls {
 
   private final Timers timers;
-  private final Codec codec;
-  private final RpcCounters counts;
-  private final HandlerTable handlers;
-  private int open;
+  private final MessageCodec codec;
+  private final RpcCounters counters;
+  private final HandlerRegistry handlers;
+  private int openCalls;
   private boolean closed;
 
-  SelfCalls(Timers timers, Codec codec, RpcCounters counts, HandlerTable handlers) {
+  LoopbackCalls(Timers timers, MessageCodec codec, RpcCounters counters, HandlerRegistry handlers) {
     this.timers = timers;
     this.codec = codec;
-    this.counts = counts;
+    this.counters = counters;
     this.handlers = handlers;
   }
 
@@ -28,37 +28,37 @@
 
   /** False if too many are open: the call is not taken then. */
   boolean start(PendingCall call, Object request) {
-    if (open >= RpcConnection.MOST_ASKS) {
+    if (openCalls >= RpcConnection.MAX_OPEN_REQUESTS) {
       return false;
     }
     Object copy = codec.copy(request);
-    open++;
-    timers.soon(() -> handle(call, copy));
+    openCalls++;
+    timers.execute(() -> handle(call, copy));
     return true;
   }
 
   private void handle(PendingCall call, Object request) {
     if (closed) {
-      open--;
-      call.fail(ErrorCode.BROKEN, "closed");
+      openCalls--;
+      call.fail(ErrorCode.CONNECTION_LOST, "closed");
       return;
     }
-    counts.asks++;
+    counters.requestsReceived++;
     handlers
         .handle(request)
-        .whenComplete((answer, thrown) -> timers.soon(() -> end(call, answer, thrown)));
+        .whenComplete((response, thrown) -> timers.execute(() -> finish(call, response, thrown)));
   }
 
-  private void end(PendingCall call, Object answer, Throwable thrown) {
-    open--;
+  private void finish(PendingCall call, Object response, Throwable thrown) {
+    openCalls--;
     if (thrown != null) {
-      call.refused(ElmsailException.codeOf(thrown));
+      call.onPeerFailure(ElmsailException.codeOf(thrown));
       return;
     }
     try {
-      call.answered(codec.copy(answer));
+      call.onResponse(codec.copy(response));
     } catch (ElmsailException e) {
-      call.refused(e.code());
+      call.onPeerFailure(e.code());
     }
   }
 }
--- a/rpc/src/main/java/elmsail/rpc/MessageTypes.java
+++ b/rpc/src/main/java/elmsail/rpc/MessageTypes.java
@@ -75,12 +75,12 @@
   }
 
   /** Null if no type has that number. */
-  static Class<?> type(int number) {
+  static Class<?> typeOf(int number) {
     return number > NONE && number < TABLE.length ? TABLE[number] : null;
   }
 
   /** NONE if the type has no number. */
-  static int number(Class<?> type) {
+  static int numberOf(Class<?> type) {
     for (int i = 1; i < TABLE.length; i++) {
       if (TABLE[i] == type) {
         return i;
