--- a/rpc/src/main/java/elmsail/rpc/OutboundQueue.java
+++ b/rpc/src/main/java/elmsail/rpc/OutboundQueue.java
@@ -8,26 +8,26 @@
 /** The frames that were written to one connection and that its socket has not taken yet. */
 final class OutboundQueue {
 
-  static final long MOST_QUEUED_BYTES = 8 << 20;
+  static final long MAX_QUEUED_BYTES = 8 << 20;
 
-  private final RpcCounters counts;
+  private final RpcCounters counters;
 
   /** Run when a write fails. */
-  private final Runnable failed;
+  private final Runnable onWriteFailure;
 
   private Channel channel;
-  private boolean flushing;
+  private boolean flushScheduled;
 
   /** Bytes of frames that the socket has not taken whole. */
-  private long queued;
+  private long queuedBytes;
 
-  private long accepted;
-  private long taken;
-  private boolean backlog;
+  private long acceptedBytes;
+  private long writtenBytes;
+  private boolean hadBacklog;
 
-  OutboundQueue(RpcCounters counts, Runnable failed) {
-    this.counts = counts;
-    this.failed = failed;
+  OutboundQueue(RpcCounters counters, Runnable failed) {
+    this.counters = counters;
+    this.onWriteFailure = failed;
   }
 
   /** Set before anything else is called. */
@@ -36,42 +36,42 @@
   }
 
   boolean isEmpty() {
-    return queued == 0;
+    return queuedBytes == 0;
   }
 
   /** Whether a frame of so many bytes may be added; any one may where nothing waits. */
-  boolean fits(int bytes) {
-    return queued == 0 || queued + bytes <= MOST_QUEUED_BYTES;
+  boolean hasCapacityFor(int bytes) {
+    return queuedBytes == 0 || queuedBytes + bytes <= MAX_QUEUED_BYTES;
   }
 
   /** Whether even frames that are never refused have piled up. */
-  boolean overflows() {
-    return queued > 2 * MOST_QUEUED_BYTES + Frame.MOST_BYTES;
+  boolean isOverflowing() {
+    return queuedBytes > 2 * MAX_QUEUED_BYTES + Frame.MAX_BYTES;
   }
 
   /** Writes the frame, which is flushed with all others of this turn of the loop. */
   void write(ByteBuf frame) {
     int bytes = frame.readableBytes();
-    queued += bytes;
-    accepted += bytes;
-    counts.bytesOut += bytes;
+    queuedBytes += bytes;
+    acceptedBytes += bytes;
+    counters.bytesSent += bytes;
     channel
         .write(frame)
         .addListener(
             (ChannelFuture f) -> {
-              queued -= bytes;
+              queuedBytes -= bytes;
               if (!f.isSuccess()) {
-                failed.run();
+                onWriteFailure.run();
               }
             });
-    if (!flushing) {
-      flushing = true;
+    if (!flushScheduled) {
+      flushScheduled = true;
       channel.eventLoop().execute(this::flush);
     }
   }
 
   private void flush() {
-    flushing = false;
+    flushScheduled = false;
     channel.flush();
   }
 
@@ -79,13 +79,13 @@
    * Whether the socket has taken bytes since the last look although it was full then: these were
    * acknowledged by the peer's machine.
    */
-  boolean progressed() {
+  boolean hasProgressed() {
     ChannelOutboundBuffer out = channel.unsafe().outboundBuffer();
     long part = out == null ? 0 : Math.max(0, out.currentProgress());
-    long gone = accepted - queued + part;
-    boolean moved = backlog && gone > taken;
-    taken = gone;
-    backlog = queued - part > 0;
+    long gone = acceptedBytes - queuedBytes + part;
+    boolean moved = hadBacklog && gone > writtenBytes;
+    writtenBytes = gone;
+    hadBacklog = queuedBytes - part > 0;
     return moved;
   }
 }
--- a/rpc/src/main/java/elmsail/rpc/Peer.java
+++ b/rpc/src/main/java/elmsail/rpc/Peer.java
@@ -10,70 +10,70 @@
 final class Peer {
 
   /** Ms between attempts at a connection. */
-  static final long FIRST_PAUSE = 150;
+  static final long INITIAL_BACKOFF_MS = 150;
 
-  static final long LONGEST_PAUSE = 1_000;
-  static final int MOST_WAITING = 256;
+  static final long MAX_BACKOFF_MS = 1_000;
+  static final int MAX_QUEUED_CALLS = 256;
 
   final String address;
   RpcConnection connection;
   boolean connecting;
   Channel channel;
   Timers.Timer connectTimer;
-  long connectDueAt;
-  boolean looked;
-  final ArrayDeque<PendingCall> waiting = new ArrayDeque<>();
-  private long waitingBytes;
-  private long pause;
+  long connectDeadline;
+  boolean connectDeadlineExtended;
+  final ArrayDeque<PendingCall> queuedCalls = new ArrayDeque<>();
+  private long queuedBytes;
+  private long backoffMs;
 
-  /** The instance that answered last at the address; {@link Hello#ANY_INSTANCE} before any did. */
-  long instanceId = Hello.ANY_INSTANCE;
+  /** The instance that answered last at the address; {@link HandshakeHello#ANY_INSTANCE} before any did. */
+  long instanceId = HandshakeHello.ANY_INSTANCE;
 
   /** No attempt before that time. */
-  long retryAt;
+  long nextAttemptAt;
 
   Peer(String address, long now) {
     this.address = address;
-    retryAt = now;
+    nextAttemptAt = now;
   }
 
   /** False if too much waits already. */
-  boolean queue(PendingCall call) {
+  boolean enqueue(PendingCall call) {
     int bytes = call.frame.readableBytes();
-    if (waiting.size() >= MOST_WAITING
-        || !waiting.isEmpty() && waitingBytes + bytes > OutboundQueue.MOST_QUEUED_BYTES) {
+    if (queuedCalls.size() >= MAX_QUEUED_CALLS
+        || !queuedCalls.isEmpty() && queuedBytes + bytes > OutboundQueue.MAX_QUEUED_BYTES) {
       return false;
     }
-    waitingBytes += bytes;
-    waiting.add(call);
+    queuedBytes += bytes;
+    queuedCalls.add(call);
     return true;
   }
 
-  void unqueue(PendingCall call) {
-    if (waiting.remove(call)) {
-      waitingBytes -= call.frame.readableBytes();
+  void dequeue(PendingCall call) {
+    if (queuedCalls.remove(call)) {
+      queuedBytes -= call.frame.readableBytes();
     }
   }
 
-  PendingCall[] takeWaiting() {
-    PendingCall[] all = waiting.toArray(new PendingCall[0]);
-    waiting.clear();
-    waitingBytes = 0;
+  PendingCall[] drainQueue() {
+    PendingCall[] all = queuedCalls.toArray(new PendingCall[0]);
+    queuedCalls.clear();
+    queuedBytes = 0;
     return all;
   }
 
   /** An attempt brought nothing. */
-  void rest(long now) {
-    pause = pause == 0 ? FIRST_PAUSE : Math.min(2 * pause, LONGEST_PAUSE);
-    retryAt = now + pause;
+  void backOff(long now) {
+    backoffMs = backoffMs == 0 ? INITIAL_BACKOFF_MS : Math.min(2 * backoffMs, MAX_BACKOFF_MS);
+    nextAttemptAt = now + backoffMs;
   }
 
   /** The peer was heard. */
-  void welcome() {
-    pause = 0;
+  void resetBackoff() {
+    backoffMs = 0;
   }
 
-  boolean unused(long now) {
-    return connection == null && !connecting && now - retryAt >= Liveness.IDLE_FOR;
+  boolean isExpired(long now) {
+    return connection == null && !connecting && now - nextAttemptAt >= KeepaliveMonitor.IDLE_TIMEOUT_MS;
   }
 }
--- a/rpc/src/main/java/elmsail/rpc/PendingCall.java
+++ b/rpc/src/main/java/elmsail/rpc/PendingCall.java
@@ -8,53 +8,53 @@
 
 /** A call that has neither failed nor been answered. */
 final class PendingCall {
-  final long number;
-  final long dueAt;
+  final long callId;
+  final long deadline;
   final CompletableFuture<Object> future = new CompletableFuture<>();
-  private final Class<?> answer;
-  private final RpcCounters counts;
+  private final Class<?> responseType;
+  private final RpcCounters counters;
   Timers.Timer timer;
 
   /** The connection that it was sent over; null before, and for calls to oneself. */
   RpcConnection connection;
 
   /** Whether the sockets were looked at since it fell due, the process having been held up. */
-  boolean looked;
+  boolean deadlineExtended;
 
   /** The frame while the connection is not there yet; owned by this call. */
   ByteBuf frame;
 
-  PendingCall(long number, Class<?> answer, long dueAt, RpcCounters counts) {
-    this.number = number;
-    this.answer = answer;
-    this.dueAt = dueAt;
-    this.counts = counts;
+  PendingCall(long number, Class<?> responseType, long dueAt, RpcCounters counters) {
+    this.callId = number;
+    this.responseType = responseType;
+    this.deadline = dueAt;
+    this.counters = counters;
   }
 
-  void answered(Object message) {
+  void onResponse(Object message) {
     if (future.isDone()) {
-      counts.late++;
+      counters.lateResponses++;
       return;
     }
     timer.cancel();
-    if (answer.isInstance(message)) {
-      counts.answers++;
+    if (responseType.isInstance(message)) {
+      counters.responses++;
       future.complete(message);
     } else {
-      counts.otherTypes++;
+      counters.unexpectedResponseTypes++;
       future.completeExceptionally(
-          new ElmsailException(ErrorCode.GARBLED, "answer of another type"));
+          new ElmsailException(ErrorCode.MALFORMED, "answer of another type"));
     }
   }
 
   /** The peer said that it failed. */
-  void refused(ErrorCode code) {
+  void onPeerFailure(ErrorCode code) {
     if (future.isDone()) {
-      counts.late++;
+      counters.lateResponses++;
       return;
     }
     timer.cancel();
-    counts.failures++;
+    counters.failures++;
     future.completeExceptionally(new ElmsailException(code, "told by the peer"));
   }
 
@@ -68,11 +68,11 @@
       frame = null;
     }
     switch (code) {
-      case UNSENT -> counts.unsent++;
-      case BROKEN -> counts.broken++;
-      case SILENT -> counts.silent++;
-      case FULL -> counts.full++;
-      default -> counts.failures++;
+      case NOT_SENT -> counters.notSent++;
+      case CONNECTION_LOST -> counters.connectionLost++;
+      case TIMEOUT -> counters.timeouts++;
+      case RESOURCE_EXHAUSTED -> counters.resourceExhausted++;
+      default -> counters.failures++;
     }
     future.completeExceptionally(new ElmsailException(code, detail));
   }
--- a/rpc/src/main/java/elmsail/rpc/RequestHandlers.java
+++ b/rpc/src/main/java/elmsail/rpc/RequestHandlers.java
@@ -9,5 +9,5 @@
    * The handler runs on the loop; its future may complete later, on the loop, and may fail with a
    * code.
    */
-  <Q, A> void on(Class<Q> request, Function<Q, ? extends CompletionStage<A>> handler);
+  <Q, A> void register(Class<Q> request, Function<Q, ? extends CompletionStage<A>> handler);
 }
--- a/rpc/src/main/java/elmsail/rpc/RpcAddress.java
+++ b/rpc/src/main/java/elmsail/rpc/RpcAddress.java
@@ -23,8 +23,8 @@
             InetAddress.getByAddress(ip), Integer.parseInt(address.substring(colon + 1)));
       }
     } catch (UnknownHostException | IllegalArgumentException e) {
-      throw new ElmsailException(ErrorCode.BAD_SETTINGS, "no address: " + address, e);
+      throw new ElmsailException(ErrorCode.INVALID_SETTINGS, "no address: " + address, e);
     }
-    throw new ElmsailException(ErrorCode.BAD_SETTINGS, "no address: " + address);
+    throw new ElmsailException(ErrorCode.INVALID_SETTINGS, "no address: " + address);
   }
 }
--- a/rpc/src/main/java/elmsail/rpc/Caller.java
+++ b/rpc/src/main/java/elmsail/rpc/RpcClient.java
@@ -9,7 +9,7 @@
  * and no layer below sends it again: whether to repeat it is for who called, by what the message's
  * keys make of a repeat.
  */
-public interface Caller {
+public interface RpcClient {
   /** Calls the process whose inner address is {@code peer} ("ip:port"). */
-  <A> CompletableFuture<A> call(String peer, Object request, Class<A> answer, long timeoutMs);
+  <A> CompletableFuture<A> call(String peer, Object request, Class<A> responseType, long timeoutMs);
 }
--- a/rpc/src/main/java/elmsail/rpc/RpcConnection.java
+++ b/rpc/src/main/java/elmsail/rpc/RpcConnection.java
@@ -15,65 +15,65 @@
 final class RpcConnection extends ChannelInboundHandlerAdapter {
 
   /** Who the connections belong to. */
-  interface Owner {
+  interface Listener {
     /** Fails with GARBLED if the ask cannot be read. */
-    void asked(RpcConnection connection, Frame request);
+    void onRequest(RpcConnection connection, Frame request);
 
     /** The other side has said hello, and the process called is the one that was meant. */
-    void introduced(RpcConnection connection);
+    void onHandshakeComplete(RpcConnection connection);
 
-    void closed(RpcConnection connection);
+    void onClosed(RpcConnection connection);
   }
 
   /** Small, so that what a slow peer has taken shows soon. */
-  static final int SEND_BYTES = 256 << 10;
+  static final int SEND_BUFFER_BYTES = 256 << 10;
 
-  static final int MOST_ASKS = 1_024;
+  static final int MAX_OPEN_REQUESTS = 1_024;
 
   /** Null on the side that accepted. */
   final Peer peer;
 
-  private final Owner owner;
-  private final Codec codec;
-  private final RpcCounters counts;
-  private final FrameReader reader = new FrameReader();
+  private final Listener listener;
+  private final MessageCodec codec;
+  private final RpcCounters counters;
+  private final FrameDecoder frameDecoder = new FrameDecoder();
   private final CallTable<PendingCall> calls = new CallTable<>();
-  private final OutboundQueue out;
+  private final OutboundQueue outbound;
   private final Handshake handshake;
-  private final Liveness liveness;
+  private final KeepaliveMonitor keepalive;
   private Channel channel;
   private boolean closed;
 
   /** What open calls fail with once the connection has ended. */
-  private ErrorCode endedBy = ErrorCode.BROKEN;
+  private ErrorCode closeReason = ErrorCode.CONNECTION_LOST;
 
-  private int asks;
+  private int openRequests;
 
   RpcConnection(
-      Peer peer, Handshake handshake, Owner owner, Timers timers, Codec codec, RpcCounters counts) {
+      Peer peer, Handshake handshake, Listener owner, Timers timers, MessageCodec codec, RpcCounters counters) {
     this.peer = peer;
     this.handshake = handshake;
-    this.out = new OutboundQueue(counts, this::close);
-    this.owner = owner;
+    this.outbound = new OutboundQueue(counters, this::close);
+    this.listener = owner;
     this.codec = codec;
-    this.counts = counts;
-    liveness = new Liveness(timers, counts, out, calls, peer != null, this::close);
+    this.counters = counters;
+    keepalive = new KeepaliveMonitor(timers, counters, outbound, calls, peer != null, this::close);
   }
 
   @Override
   public void handlerAdded(ChannelHandlerContext ctx) {
     channel = ctx.channel();
-    out.channel(channel);
+    outbound.channel(channel);
   }
 
-  /** Looks after the connection, see {@link Liveness}. */
-  Liveness liveness() {
-    return liveness;
+  /** Looks after the connection, see {@link KeepaliveMonitor}. */
+  KeepaliveMonitor keepalive() {
+    return keepalive;
   }
 
   /** Whether the process meant has answered as such. */
-  boolean introduced() {
-    return handshake.complete();
+  boolean isHandshakeComplete() {
+    return handshake.isComplete();
   }
 
   /** The instance that answers; known once it has introduced itself. */
@@ -82,68 +82,68 @@
   }
 
   /** Says which process is meant, or which this one is. */
-  void sayHello() {
-    out.write(Frame.hello(handshake.own()));
+  void sendHello() {
+    outbound.write(Frame.hello(handshake.localHello()));
   }
 
   /** Whether the call could be queued; the frame is taken over if so. */
   boolean send(PendingCall call, ByteBuf frame) {
-    if (closed || !out.fits(frame.readableBytes()) || !calls.add(call.number, call)) {
+    if (closed || !outbound.hasCapacityFor(frame.readableBytes()) || !calls.add(call.callId, call)) {
       return false;
     }
     call.connection = this;
-    liveness.called();
-    out.write(frame);
+    keepalive.onRequestSent();
+    outbound.write(frame);
     return true;
   }
 
   /** The call has failed: its answer is not waited for. */
-  void forget(PendingCall call) {
-    calls.remove(call.number);
+  void abandon(PendingCall call) {
+    calls.remove(call.callId);
   }
 
   /** Whether there is room for one more ask to be answered. */
-  boolean beginAsk() {
-    if (asks >= MOST_ASKS) {
+  boolean tryBeginRequest() {
+    if (openRequests >= MAX_OPEN_REQUESTS) {
       return false;
     }
-    asks++;
+    openRequests++;
     return true;
   }
 
-  void answer(long call, Object answer) {
-    asks--;
+  void respond(long callId, Object response) {
+    openRequests--;
     if (closed) {
-      counts.unheard++;
+      counters.undeliveredResponses++;
       return;
     }
     ByteBuf frame;
     try {
-      frame = Frame.message(codec, Frame.ANSWER, call, answer);
+      frame = Frame.message(codec, Frame.RESPONSE, callId, response);
     } catch (ElmsailException e) {
-      writeSmall(Frame.failure(call, e.code()));
+      writeUnbounded(Frame.failure(callId, e.code()));
       return;
     }
-    if (out.fits(frame.readableBytes())) {
-      out.write(frame);
+    if (outbound.hasCapacityFor(frame.readableBytes())) {
+      outbound.write(frame);
     } else {
       frame.release();
-      writeSmall(Frame.failure(call, ErrorCode.FULL));
+      writeUnbounded(Frame.failure(callId, ErrorCode.RESOURCE_EXHAUSTED));
     }
   }
 
-  void fail(long call, ErrorCode code) {
-    asks--;
+  void respondFailure(long callId, ErrorCode code) {
+    openRequests--;
     if (closed) {
-      counts.unheard++;
+      counters.undeliveredResponses++;
     } else {
-      writeSmall(Frame.failure(call, code));
+      writeUnbounded(Frame.failure(callId, code));
     }
   }
 
   /** An ask that there was no room for. */
-  void refuse(long call) {
-    writeSmall(Frame.failure(call, ErrorCode.FULL));
+  void rejectRequest(long callId) {
+    writeUnbounded(Frame.failure(callId, ErrorCode.RESOURCE_EXHAUSTED));
   }
 
   void close() {
@@ -154,15 +154,15 @@
   private void markClosed() {
     if (!closed) {
       closed = true;
-      liveness.end();
-      owner.closed(this);
+      keepalive.onClosed();
+      listener.onClosed(this);
     }
   }
 
   /** A frame that is not refused: if even these pile up, nobody reads. */
-  private void writeSmall(ByteBuf frame) {
-    out.write(frame);
-    if (out.overflows()) {
+  private void writeUnbounded(ByteBuf frame) {
+    outbound.write(frame);
+    if (outbound.isOverflowing()) {
       close();
     }
   }
@@ -175,64 +175,64 @@
       return;
     }
     try {
-      counts.bytesIn += in.readableBytes();
-      liveness.heard();
-      Frame frame = reader.next(in);
+      counters.bytesReceived += in.readableBytes();
+      keepalive.onBytesReceived();
+      Frame frame = frameDecoder.next(in);
       while (frame != null && !closed) {
-        take(frame);
-        frame = reader.next(in);
+        onFrame(frame);
+        frame = frameDecoder.next(in);
       }
     } catch (ElmsailException e) {
-      refuseConnection(e.code());
+      onProtocolError(e.code());
     } finally {
       in.release();
     }
   }
 
-  private void take(Frame frame) {
-    handshake.admit(frame);
+  private void onFrame(Frame frame) {
+    handshake.onFrame(frame);
     switch (frame.kind()) {
-      case Frame.HELLO -> owner.introduced(this);
-      case Frame.ASK -> {
-        liveness.asked();
-        owner.asked(this, frame);
+      case Frame.HELLO -> listener.onHandshakeComplete(this);
+      case Frame.REQUEST -> {
+        keepalive.onRequestReceived();
+        listener.onRequest(this, frame);
       }
-      case Frame.ANSWER -> answered(frame);
+      case Frame.RESPONSE -> onResponse(frame);
       case Frame.FAILURE -> {
-        PendingCall call = calls.remove(frame.call());
+        PendingCall call = calls.remove(frame.callId());
         if (call == null) {
-          counts.late++;
+          counters.lateResponses++;
         } else {
-          call.refused(frame.code());
+          call.onPeerFailure(frame.errorCode());
         }
       }
-      case Frame.PING -> writeSmall(Frame.bare(Frame.PONG, 0));
+      case Frame.PING -> writeUnbounded(Frame.withoutPayload(Frame.PONG, 0));
       default -> {
         // A pong was heard, which is all that it is for.
       }
     }
   }
 
-  private void answered(Frame frame) {
-    if (calls.find(frame.call()) == null) {
-      counts.late++;
+  private void onResponse(Frame frame) {
+    if (calls.find(frame.callId()) == null) {
+      counters.lateResponses++;
       return;
     }
-    Object answer = codec.read(frame.type(), frame.payload(), 0, frame.payload().length);
-    calls.remove(frame.call()).answered(answer);
+    Object response = codec.read(frame.type(), frame.payload(), 0, frame.payload().length);
+    calls.remove(frame.callId()).onResponse(response);
   }
 
   /** Ends this connection, and nothing else, for what came over it. */
-  private void refuseConnection(ErrorCode code) {
+  private void onProtocolError(ErrorCode code) {
     switch (code) {
-      case MISDIRECTED -> counts.misdirected++;
-      case UNSUPPORTED_VERSION -> counts.unsupportedVersions++;
-      default -> counts.garbled++;
+      case MISDIRECTED -> counters.misdirectedConnections++;
+      case UNSUPPORTED_VERSION -> counters.unsupportedVersions++;
+      default -> counters.malformedConnections++;
     }
     if (code == ErrorCode.MISDIRECTED || code == ErrorCode.UNSUPPORTED_VERSION) {
-      endedBy = code;
+      closeReason = code;
       if (peer == null) {
-        sayWhoThisIsAndClose();
+        sendHelloAndClose();
         return;
       }
     }
@@ -240,10 +240,10 @@
   }
 
   /** So that the caller learns why: nothing that it sent has been looked at. */
-  private void sayWhoThisIsAndClose() {
+  private void sendHelloAndClose() {
     markClosed();
     channel
-        .writeAndFlush(Frame.hello(handshake.own()))
+        .writeAndFlush(Frame.hello(handshake.localHello()))
         .addListener((ChannelFuture f) -> channel.close());
   }
 
@@ -251,7 +251,7 @@
   public void channelInactive(ChannelHandlerContext ctx) {
     close();
     for (PendingCall call : calls.close()) {
-      call.fail(endedBy, "connection closed");
+      call.fail(closeReason, "connection closed");
     }
   }
 
--- a/rpc/src/main/java/elmsail/rpc/RpcEndpoint.java
+++ b/rpc/src/main/java/elmsail/rpc/RpcEndpoint.java
@@ -27,30 +27,30 @@
  * Everything, the constructor and {@code on} apart, is called on the loop, and all futures complete
  * there.
  */
-public final class RpcEndpoint implements Caller, RequestHandlers, AutoCloseable {
+public final class RpcEndpoint implements RpcClient, RequestHandlers, AutoCloseable {
 
-  static final int MOST_ACCEPTED = 4_096;
-  private static final int BACKLOG = 512;
+  static final int MAX_ACCEPTED_CONNECTIONS = 4_096;
+  private static final int LISTEN_BACKLOG = 512;
 
   private final EventLoop loop;
   private final Timers timers;
-  private final Codec codec = new Codec();
-  private final RpcCounters counts = new RpcCounters();
-  private final HandlerTable answers = new HandlerTable();
+  private final MessageCodec codec = new MessageCodec();
+  private final RpcCounters counters = new RpcCounters();
+  private final HandlerRegistry handlers = new HandlerRegistry();
   private final Map<String, Peer> peers = new HashMap<>();
   private final Set<RpcConnection> accepted = new LinkedHashSet<>();
-  private final RpcConnection.Owner owner = new Hub();
+  private final RpcConnection.Listener connectionListener = new ConnectionListener();
   private final ConnectionSweeper sweeper;
   private final Connector connector;
-  private final SelfCalls selfCalls;
+  private final LoopbackCalls loopbackCalls;
 
   /** Drawn at each start: tells the instances of a process at one address apart. */
   private final long instanceId;
 
-  private String ownAddress;
+  private String localAddress;
   private Channel listener;
   private boolean closed;
-  private long numbers;
+  private long lastCallId;
 
   /**
    * @param ownAddress "ip:port" to listen at; port 0 lets the system choose, see {@connection
@@ -59,16 +59,16 @@
   public RpcEndpoint(EventLoop loop, Timers timers, String ownAddress) {
     this.loop = loop;
     this.timers = timers;
-    this.ownAddress = ownAddress;
+    this.localAddress = ownAddress;
     this.instanceId = drawInstanceId();
-    this.selfCalls = new SelfCalls(timers, codec, counts, answers);
+    this.loopbackCalls = new LoopbackCalls(timers, codec, counters, handlers);
     this.sweeper = new ConnectionSweeper(timers, this::connectionsInUse, () -> peers.isEmpty());
-    this.connector = new Connector(loop, timers, codec, counts, owner, sweeper::soon);
+    this.connector = new Connector(loop, timers, codec, counters, connectionListener, sweeper::sweepSoon);
   }
 
   private static long drawInstanceId() {
     long drawn = new SecureRandom().nextLong();
-    return drawn == Hello.ANY_INSTANCE ? 1 : drawn;
+    return drawn == HandshakeHello.ANY_INSTANCE ? 1 : drawn;
   }
 
   /** Drawn at each start; each connection's hello bears it. */
@@ -77,18 +77,18 @@
   }
 
   /** What has happened on the connections of this endpoint since its start. */
-  public RpcCounters counts() {
-    return counts;
+  public RpcCounters counters() {
+    return counters;
   }
 
   /** Where this process answers. */
   public String address() {
-    return ownAddress;
+    return localAddress;
   }
 
   @Override
-  public <Q, A> void on(Class<Q> request, Function<Q, ? extends CompletionStage<A>> handler) {
-    answers.on(request, handler);
+  public <Q, A> void register(Class<Q> request, Function<Q, ? extends CompletionStage<A>> handler) {
+    handlers.register(request, handler);
   }
 
   /** Done once others can connect; fails with BAD_SETTINGS if the address cannot be listened at. */
@@ -98,14 +98,14 @@
         new ServerBootstrap()
             .group(loop)
             .channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_BACKLOG, BACKLOG)
+            .option(ChannelOption.SO_BACKLOG, LISTEN_BACKLOG)
             .option(ChannelOption.SO_REUSEADDR, true)
             .childOption(ChannelOption.TCP_NODELAY, true)
-            .childOption(ChannelOption.SO_SNDBUF, RpcConnection.SEND_BYTES)
-            .childHandler(new Accepting());
+            .childOption(ChannelOption.SO_SNDBUF, RpcConnection.SEND_BUFFER_BYTES)
+            .childHandler(new AcceptedConnectionInitializer());
     ChannelFuture bound;
     try {
-      bound = server.bind(RpcAddress.parse(ownAddress));
+      bound = server.bind(RpcAddress.parse(localAddress));
     } catch (ElmsailException e) {
       done.completeExceptionally(e);
       return done;
@@ -115,12 +115,12 @@
         (ChannelFuture f) -> {
           if (f.isSuccess()) {
             int port = ((InetSocketAddress) f.channel().localAddress()).getPort();
-            ownAddress = ownAddress.substring(0, ownAddress.lastIndexOf(':') + 1) + port;
+            localAddress = localAddress.substring(0, localAddress.lastIndexOf(':') + 1) + port;
             done.complete(null);
           } else {
             done.completeExceptionally(
                 new ElmsailException(
-                    ErrorCode.BAD_SETTINGS, "cannot listen at " + ownAddress, f.cause()));
+                    ErrorCode.INVALID_SETTINGS, "cannot listen at " + localAddress, f.cause()));
           }
         });
     return done;
@@ -128,25 +128,25 @@
 
   @Override
   public <A> CompletableFuture<A> call(
-      String peer, Object request, Class<A> answer, long timeoutMs) {
-    counts.calls++;
+      String peer, Object request, Class<A> response, long timeoutMs) {
+    counters.calls++;
     long wait = Math.max(0, timeoutMs);
-    PendingCall call = new PendingCall(++numbers, answer, timers.now() + wait, counts);
-    call.timer = timers.after(wait, () -> due(peer, call));
+    PendingCall call = new PendingCall(++lastCallId, response, timers.now() + wait, counters);
+    call.timer = timers.schedule(wait, () -> onDeadline(peer, call));
     if (closed) {
-      failSoon(call, ErrorCode.UNSENT, "closed");
+      failAsync(call, ErrorCode.NOT_SENT, "closed");
     } else {
       try {
-        if (peer.equals(ownAddress)) {
-          if (!selfCalls.start(call, request)) {
-            failSoon(call, ErrorCode.FULL, "too many calls to oneself");
+        if (peer.equals(localAddress)) {
+          if (!loopbackCalls.start(call, request)) {
+            failAsync(call, ErrorCode.RESOURCE_EXHAUSTED, "too many calls to oneself");
           }
         } else {
-          call.frame = Frame.message(codec, Frame.ASK, call.number, request);
+          call.frame = Frame.message(codec, Frame.REQUEST, call.callId, request);
           send(peer, call);
         }
       } catch (ElmsailException e) {
-        failSoon(call, e.code(), "not a message that can be sent");
+        failAsync(call, e.code(), "not a message that can be sent");
       }
     }
     // The future is completed with objects of the class asked for alone: PendingCall checks it.
@@ -165,14 +165,14 @@
     if (peer.connection != null) {
       if (peer.connection.send(call, call.frame)) {
         call.frame = null;
-        sweeper.soon();
+        sweeper.sweepSoon();
       } else {
-        failSoon(call, ErrorCode.FULL, "too much on its way to the peer");
+        failAsync(call, ErrorCode.RESOURCE_EXHAUSTED, "too much on its way to the peer");
       }
-    } else if (!peer.connecting && now < peer.retryAt) {
-      failSoon(call, ErrorCode.UNSENT, "peer could not be reached a moment ago");
-    } else if (!peer.queue(call)) {
-      failSoon(call, ErrorCode.FULL, "too much waits for the connection");
+    } else if (!peer.connecting && now < peer.nextAttemptAt) {
+      failAsync(call, ErrorCode.NOT_SENT, "peer could not be reached a moment ago");
+    } else if (!peer.enqueue(call)) {
+      failAsync(call, ErrorCode.RESOURCE_EXHAUSTED, "too much waits for the connection");
     } else if (!peer.connecting) {
       peer.connecting = true;
       Peer found = peer;
@@ -180,34 +180,34 @@
     }
   }
 
-  private void failSoon(PendingCall call, ErrorCode code, String detail) {
+  private void failAsync(PendingCall call, ErrorCode code, String detail) {
     call.timer.cancel();
-    timers.soon(() -> call.fail(code, detail));
+    timers.execute(() -> call.fail(code, detail));
   }
 
-  private void due(String address, PendingCall call) {
-    if (!call.looked && timers.now() - call.dueAt > ConnectionSweeper.HELD_UP) {
-      call.looked = true;
-      call.timer = timers.after(Liveness.LOOK_FOR, () -> due(address, call));
+  private void onDeadline(String address, PendingCall call) {
+    if (!call.deadlineExtended && timers.now() - call.deadline > ConnectionSweeper.STALL_THRESHOLD_MS) {
+      call.deadlineExtended = true;
+      call.timer = timers.schedule(KeepaliveMonitor.RECHECK_DELAY_MS, () -> onDeadline(address, call));
       return;
     }
     if (call.connection != null) {
-      call.connection.forget(call);
+      call.connection.abandon(call);
     } else if (call.frame != null) {
       Peer peer = peers.get(address);
       if (peer != null) {
-        peer.unqueue(call);
+        peer.dequeue(call);
       }
-      call.fail(ErrorCode.UNSENT, "no connection in time");
+      call.fail(ErrorCode.NOT_SENT, "no connection in time");
       return;
     }
-    call.fail(ErrorCode.SILENT, "no answer in time");
+    call.fail(ErrorCode.TIMEOUT, "no answer in time");
   }
 
   private List<RpcConnection> connectionsInUse() {
     List<RpcConnection> connections = new ArrayList<>(accepted);
     long now = timers.now();
-    peers.values().removeIf(peer -> peer.unused(now));
+    peers.values().removeIf(peer -> peer.isExpired(now));
     for (Peer peer : peers.values()) {
       if (peer.connection != null) {
         connections.add(peer.connection);
@@ -222,7 +222,7 @@
   @Override
   public void close() {
     closed = true;
-    selfCalls.close();
+    loopbackCalls.close();
     connector.close();
     sweeper.close();
     if (listener != null) {
@@ -241,77 +241,77 @@
     }
   }
 
-  private final class Hub implements RpcConnection.Owner {
+  private final class ConnectionListener implements RpcConnection.Listener {
     @Override
-    public void asked(RpcConnection connection, Frame frame) {
+    public void onRequest(RpcConnection connection, Frame frame) {
       Object request = codec.read(frame.type(), frame.payload(), 0, frame.payload().length);
-      counts.asks++;
-      if (!connection.beginAsk()) {
-        connection.refuse(frame.call());
+      counters.requestsReceived++;
+      if (!connection.tryBeginRequest()) {
+        connection.rejectRequest(frame.callId());
         return;
       }
-      answers
+      handlers
           .handle(request)
           .whenComplete(
-              (answer, thrown) -> {
+              (response, thrown) -> {
                 if (loop.inEventLoop()) {
-                  answer(connection, frame.call(), answer, thrown);
+                  respond(connection, frame.callId(), response, thrown);
                 } else {
-                  loop.execute(() -> answer(connection, frame.call(), answer, thrown));
+                  loop.execute(() -> respond(connection, frame.callId(), response, thrown));
                 }
               });
     }
 
-    private void answer(RpcConnection connection, long call, Object answer, Throwable thrown) {
+    private void respond(RpcConnection connection, long callId, Object response, Throwable thrown) {
       if (thrown == null) {
-        connection.answer(call, answer);
+        connection.respond(callId, response);
       } else {
-        connection.fail(call, ElmsailException.codeOf(thrown));
+        connection.respondFailure(callId, ElmsailException.codeOf(thrown));
       }
     }
 
     @Override
-    public void introduced(RpcConnection connection) {
+    public void onHandshakeComplete(RpcConnection connection) {
       if (connection.peer == null) {
-        connection.sayHello();
+        connection.sendHello();
         return;
       }
       Peer peer = connection.peer;
-      if (peer.instanceId != Hello.ANY_INSTANCE && peer.instanceId != connection.peerInstanceId()) {
-        counts.newInstances++;
+      if (peer.instanceId != HandshakeHello.ANY_INSTANCE && peer.instanceId != connection.peerInstanceId()) {
+        counters.newInstances++;
       }
       peer.instanceId = connection.peerInstanceId();
     }
 
     @Override
-    public void closed(RpcConnection connection) {
+    public void onClosed(RpcConnection connection) {
       if (connection.peer == null) {
         accepted.remove(connection);
       } else if (connection.peer.connection == connection) {
         connection.peer.connection = null;
-        if (connection.introduced()) {
-          connection.peer.welcome();
-          connection.peer.retryAt = timers.now();
+        if (connection.isHandshakeComplete()) {
+          connection.peer.resetBackoff();
+          connection.peer.nextAttemptAt = timers.now();
         } else {
-          connection.peer.rest(timers.now());
+          connection.peer.backOff(timers.now());
         }
       }
     }
   }
 
-  private final class Accepting extends ChannelInitializer<Channel> {
+  private final class AcceptedConnectionInitializer extends ChannelInitializer<Channel> {
     @Override
     protected void initChannel(Channel channel) {
-      if (closed || accepted.size() >= MOST_ACCEPTED) {
+      if (closed || accepted.size() >= MAX_ACCEPTED_CONNECTIONS) {
         channel.close();
         return;
       }
-      Hello self = new Hello(Hello.VERSION, ownAddress, instanceId);
+      HandshakeHello localHello = new HandshakeHello(HandshakeHello.VERSION, localAddress, instanceId);
       RpcConnection connection =
-          new RpcConnection(null, Handshake.ofAccepting(self), owner, timers, codec, counts);
+          new RpcConnection(null, Handshake.forServer(localHello), connectionListener, timers, codec, counters);
       accepted.add(connection);
       channel.pipeline().addLast(connection);
-      sweeper.soon();
+      sweeper.sweepSoon();
     }
   }
 }
--- a/rpc/src/main/java/elmsail/rpc/messages/AcceptRequest.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/AcceptRequest.java
@@ -16,7 +16,7 @@
   public Ballot ballot = new Ballot();
 
   @Tag(4)
-  public Ballot next = new Ballot();
+  public Ballot nextBallot = new Ballot();
 
   @Tag(5)
   public byte[] value = {};
--- a/rpc/src/main/java/elmsail/rpc/messages/Ballot.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/Ballot.java
@@ -8,5 +8,5 @@
   public long round;
 
   @Tag(2)
-  public long who;
+  public long proposerId;
 }
--- a/rpc/src/main/java/elmsail/rpc/messages/BlobRequest.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/BlobRequest.java
@@ -18,5 +18,5 @@
 
   /** Also from one that knows to be replaced: its successor in the voter slot isn't voting. */
   @Tag(5)
-  public boolean ofReplaced;
+  public boolean allowReplaced;
 }
--- a/rpc/src/main/java/elmsail/rpc/messages/BlobResponse.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/BlobResponse.java
@@ -8,7 +8,7 @@
  */
 public final class BlobResponse {
   @Tag(1)
-  public boolean known;
+  public boolean found;
 
   @Tag(2)
   public byte[] bytes;
--- a/rpc/src/main/java/elmsail/rpc/messages/ClusterView.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/ClusterView.java
@@ -8,11 +8,11 @@
 public final class ClusterView {
   /** The control-plane nodes (voters on the configuration), the voter slots of set "head". */
   @Tag(1)
-  public VoterSet head = new VoterSet();
+  public VoterSet controlPlaneVoters = new VoterSet();
 
   /** The stores' voter slots, set "shelf"; empty before there are any. */
   @Tag(2)
-  public VoterSet storeSet = new VoterSet();
+  public VoterSet jobStoreVoters = new VoterSet();
 
   /** Inner addresses of the gateways heard of lately. */
   @Tag(3)
--- a/rpc/src/main/java/elmsail/rpc/messages/FoundingResponse.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/FoundingResponse.java
@@ -9,12 +9,12 @@
 
   /** The highest ballot promised. */
   @Tag(2)
-  public long promised;
+  public long promisedBallot;
 
   /** The ballot of the proposal accepted last; 0 if none was. */
   @Tag(3)
   public long acceptedBallot;
 
   @Tag(4)
-  public VoterSet accepted = new VoterSet();
+  public VoterSet acceptedVoterSet = new VoterSet();
 }
--- a/rpc/src/main/java/elmsail/rpc/messages/HelloRequest.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/HelloRequest.java
@@ -5,7 +5,7 @@
 /** One control-plane node to another before there is a set: who asks. */
 public final class HelloRequest {
   @Tag(1)
-  public String station = "";
+  public String machine = "";
 
   @Tag(2)
   public String address = "";
--- a/rpc/src/main/java/elmsail/rpc/messages/HelloResponse.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/HelloResponse.java
@@ -5,7 +5,7 @@
 /** Who answers, and the voter slots of "head" as it knows them (none before the founding). */
 public final class HelloResponse {
   @Tag(1)
-  public String station = "";
+  public String machine = "";
 
   @Tag(2)
   public String address = "";
--- a/rpc/src/main/java/elmsail/rpc/messages/JoinRequest.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/JoinRequest.java
@@ -14,5 +14,5 @@
   public int slot;
 
   @Tag(3)
-  public Voter holder = new Voter();
+  public Voter voter = new Voter();
 }
--- a/rpc/src/main/java/elmsail/rpc/messages/JoinResponse.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/JoinResponse.java
@@ -5,7 +5,7 @@
 /** Whether the claim holds here, and the voter set as it now is here. */
 public final class JoinResponse {
   @Tag(1)
-  public boolean held;
+  public boolean accepted;
 
   /** The instance that answers. */
   @Tag(2)
@@ -13,7 +13,7 @@
 
   /** Holds no voter slot, but has the claim on its disk, and will vote under no older voter set. */
   @Tag(3)
-  public boolean noted;
+  public boolean recorded;
 
   /**
    * With {@code noted}: has all its votes in the voter slot whose present holder names it as the
--- a/rpc/src/main/java/elmsail/rpc/messages/LeaseRequest.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/LeaseRequest.java
@@ -9,11 +9,11 @@
 
   /** The process that asks, drawn anew at each start. */
   @Tag(2)
-  public long who;
+  public long instanceId;
 
   /** 0 gives up what was granted in this round and before. */
   @Tag(3)
-  public long forMs;
+  public long durationMs;
 
   /** Of the asker, rising. */
   @Tag(4)
--- a/rpc/src/main/java/elmsail/rpc/messages/LeaseResponse.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/LeaseResponse.java
@@ -8,5 +8,5 @@
   public boolean granted;
 
   @Tag(2)
-  public long leftMs;
+  public long remainingMs;
 }
--- a/rpc/src/main/java/elmsail/rpc/messages/PrepareRequest.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/PrepareRequest.java
@@ -26,5 +26,5 @@
    * bytes.
    */
   @Tag(6)
-  public byte[] note;
+  public byte[] sideEffect;
 }
--- a/rpc/src/main/java/elmsail/rpc/messages/PullRequest.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/PullRequest.java
@@ -5,7 +5,7 @@
 /** Who asks, and what it has: held open until something is newer, or the wait is over. */
 public final class PullRequest {
   @Tag(1)
-  public String station = "";
+  public String machine = "";
 
   @Tag(2)
   public String address = "";
@@ -28,26 +28,26 @@
   public boolean voting;
 
   @Tag(7)
-  public boolean emptied;
+  public boolean drained;
 
   @Tag(8)
-  public VoterSet storeSet = new VoterSet();
+  public VoterSet jobStoreVoters = new VoterSet();
 
   /** Versions known, one for each source. */
   @Tag(9)
-  public long edition;
+  public long configVersion;
 
   @Tag(10)
-  public long listEpoch;
+  public long serverListEpoch;
 
   @Tag(11)
-  public long listVersion;
+  public long serverListVersion;
 
   @Tag(12)
   public long viewVersion;
 
   @Tag(13)
-  public long waitMs;
+  public long maxWaitMs;
 
   /** Whether the asker has a disk, without which it can hold no voter slot. */
   @Tag(14)
--- a/rpc/src/main/java/elmsail/rpc/messages/PullResponse.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/PullResponse.java
@@ -5,17 +5,17 @@
 /** What is newer; a null part has not changed. */
 public final class PullResponse {
   @Tag(1)
-  public long edition;
+  public long configVersion;
 
   /** The configuration as the operator sent it, decided; null if not newer. */
   @Tag(2)
   public byte[] config;
 
   @Tag(3)
-  public long listEpoch;
+  public long serverListEpoch;
 
   @Tag(4)
-  public long listVersion;
+  public long serverListVersion;
 
   /** The servers' list, whole, as JSON entries of the platform; null if not newer. */
   @Tag(5)
@@ -23,7 +23,7 @@
 
   /** How old that list is, in ms; -1: there is none. */
   @Tag(6)
-  public long listAgeMs = -1;
+  public long serverListAgeMs = -1;
 
   @Tag(7)
   public long viewVersion;
--- a/rpc/src/main/java/elmsail/rpc/messages/ReadRequest.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/ReadRequest.java
@@ -11,12 +11,12 @@
   public String key = "";
 
   @Tag(3)
-  public Ballot known = new Ballot();
+  public Ballot knownBallot = new Ballot();
 
   @Tag(4)
   public VoterSet voterSet = new VoterSet();
 
   /** Only the ballot is wanted, never the value. */
   @Tag(5)
-  public boolean bare;
+  public boolean ballotOnly;
 }
--- a/rpc/src/main/java/elmsail/rpc/messages/ServerLoadEntry.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/ServerLoadEntry.java
@@ -18,5 +18,5 @@
 
   /** Prompt tokens of what is open there and has no first byte of an answer. */
   @Tag(4)
-  public int unreadTokens;
+  public int prefillTokens;
 }
--- a/rpc/src/main/java/elmsail/rpc/messages/StateTransferRequest.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/StateTransferRequest.java
@@ -11,16 +11,16 @@
   public String after = "";
 
   @Tag(3)
-  public int mostBytes;
+  public int maxBytes;
 
   @Tag(4)
   public VoterSet voterSet = new VoterSet();
 
   /** Blobs' names without their bytes. */
   @Tag(5)
-  public boolean bare;
+  public boolean blobNamesOnly;
 
   /** Also from one that knows to be replaced: its successor in the voter slot isn't voting. */
   @Tag(6)
-  public boolean ofReplaced;
+  public boolean allowReplaced;
 }
--- a/rpc/src/main/java/elmsail/rpc/messages/StateTransferResponse.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/StateTransferResponse.java
@@ -13,7 +13,7 @@
   public List<Blob> records = new ArrayList<>();
 
   @Tag(2)
-  public boolean end;
+  public boolean lastPage;
 
   @Tag(3)
   public boolean voting;
--- a/rpc/src/main/java/elmsail/rpc/messages/VoteResponse.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/VoteResponse.java
@@ -4,16 +4,16 @@
 
 /** The answer to prepare, accept and read. */
 public final class VoteResponse {
-  public static final int DONE = 0;
+  public static final int OK = 0;
 
   /** A higher ballot was promised: {@code promised}. */
-  public static final int OUTBID = 1;
+  public static final int BALLOT_TOO_LOW = 1;
 
   /** The ask's voter set is old: {@code seating} is newer. */
-  public static final int OLD_SEATING = 2;
+  public static final int STALE_VOTER_SET = 2;
 
   /** Lost its memory, or holds no voter slot. */
-  public static final int NOT_SEATED = 3;
+  public static final int NOT_A_VOTER = 3;
 
   /** The views refuse this value here (its waiting tokens are not on this count). */
   public static final int NOT_ADMITTED = 4;
@@ -36,12 +36,12 @@
 
   /** What the keeper of the views has to tell with a promise (the count); null or its bytes. */
   @Tag(6)
-  public byte[] note;
+  public byte[] sideEffect;
 
   /**
    * What was accepted was copied from another voter slot and not voted for here: it counts as
    * found, but not towards a majority that took it.
    */
   @Tag(7)
-  public boolean copied;
+  public boolean fromStateTransfer;
 }
--- a/rpc/src/main/java/elmsail/rpc/messages/Voter.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/Voter.java
@@ -8,7 +8,7 @@
   public String address = "";
 
   @Tag(2)
-  public String station = "";
+  public String machine = "";
 
   @Tag(3)
   public long instanceId;
--- a/rpc/src/test/java/elmsail/rpc/CallInterleavingsTest.java
+++ b/rpc/src/test/java/elmsail/rpc/CallInterleavingsTest.java
@@ -24,9 +24,9 @@
 class CallInterleavingsTest {
 
   /** A smaller scope than this would not have seen the long orders. */
-  private static final int LEAST_STATES = 10_000;
+  private static final int MIN_STATES = 10_000;
 
-  private record Found(String fault, List<String> path, int states, int deepest) {}
+  private record SearchResult(String fault, List<String> path, int states, int deepest) {}
 
   private static CallModel replay(Defect defect, List<String> path) {
     CallModel model = new CallModel(defect);
@@ -35,7 +35,7 @@
   }
 
   /** Breadth first, so that the path to a fault is a shortest one. */
-  private static Found explore(Defect defect) {
+  private static SearchResult explore(Defect defect) {
     Set<String> seen = new HashSet<>();
     ArrayDeque<List<String>> paths = new ArrayDeque<>();
     paths.add(List.of());
@@ -48,15 +48,15 @@
         List<String> next = new ArrayList<>(path);
         next.add(action);
         CallModel model = replay(defect, next);
-        if (model.broken() != null) {
-          return new Found(model.broken(), next, seen.size(), deepest);
+        if (model.violation() != null) {
+          return new SearchResult(model.violation(), next, seen.size(), deepest);
         }
         if (seen.add(model.key())) {
           paths.add(next);
         }
       }
     }
-    return new Found(null, List.of(), seen.size(), deepest);
+    return new SearchResult(null, List.of(), seen.size(), deepest);
   }
 
   /** Also where a process that holds the address by mistake runs whatever reaches it. */
@@ -64,15 +64,15 @@
   @EnumSource(
       value = Defect.class,
       names = {"NONE", "FOREIGN_PROCESS_CHECKS_NOTHING"})
-  void noOrderBreaksARule(Defect none) {
+  void noInterleavingViolatesAnInvariant(Defect none) {
     long before = System.nanoTime();
-    Found found = explore(none);
+    SearchResult found = explore(none);
     long ms = (System.nanoTime() - before) / 1_000_000;
     System.out.printf(
         "call interleavings, %s: %d states, longest shortest path %d, %d ms%n",
         none, found.states(), found.deepest(), ms);
     assertThat(found.toString(), found.fault(), is(nullValue()));
-    assertThat(found.states(), is(greaterThan(LEAST_STATES)));
+    assertThat(found.states(), is(greaterThan(MIN_STATES)));
   }
 
   @ParameterizedTest
@@ -81,7 +81,7 @@
       mode = EnumSource.Mode.EXCLUDE,
       names = {"NONE", "FOREIGN_PROCESS_CHECKS_NOTHING"})
   void eachDefectIsFound(Defect defect) {
-    Found found = explore(defect);
+    SearchResult found = explore(defect);
     System.out.printf("%s: %s by %s%n", defect, found.fault(), found.path());
     assertThat(defect.name(), found.fault(), is(notNullValue()));
   }
--- a/rpc/src/test/java/elmsail/rpc/CallModel.java
+++ b/rpc/src/test/java/elmsail/rpc/CallModel.java
@@ -21,24 +21,24 @@
     FOREIGN_PROCESS_CHECKS_NOTHING,
 
     /** The same foreign process, and a caller that does not look at who answers. */
-    HELLO_NOT_CHECKED_BY_CALLER,
-    HELLO_NOT_CHECKED_BY_ACCEPTING_SIDE,
-    ANSWERS_TAKEN_IN_ORDER,
-    SECOND_ANSWER_TAKEN,
+    HELLO_NOT_CHECKED_BY_CLIENT,
+    HELLO_NOT_CHECKED_BY_SERVER,
+    RESPONSES_MATCHED_BY_ORDER,
+    DUPLICATE_RESPONSE_ACCEPTED,
     ONE_TABLE_AND_FRAMES_OF_CLOSED_CONNECTIONS,
-    CALL_SENT_AGAIN_AFTER_A_RESET
+    CALL_RESENT_AFTER_A_RESET
   }
 
   private static final String ADDRESS = "10.0.0.1:7720";
   private static final int CALLS = 2;
-  private static final int MOST_REPLACEMENTS = 2;
-  private static final Hello MEANT = new Hello(Hello.VERSION, ADDRESS, Hello.ANY_INSTANCE);
+  private static final int MAX_REPLACEMENTS = 2;
+  private static final HandshakeHello MEANT = new HandshakeHello(HandshakeHello.VERSION, ADDRESS, HandshakeHello.ANY_INSTANCE);
 
   /** The processes that may hold the address: two instances of the one meant, and a foreign one. */
-  private static final Hello[] PROCESSES = {
-    new Hello(Hello.VERSION, ADDRESS, 1),
-    new Hello(Hello.VERSION, ADDRESS, 2),
-    new Hello(Hello.VERSION, "10.0.0.1:7721", 3)
+  private static final HandshakeHello[] PROCESSES = {
+    new HandshakeHello(HandshakeHello.VERSION, ADDRESS, 1),
+    new HandshakeHello(HandshakeHello.VERSION, ADDRESS, 2),
+    new HandshakeHello(HandshakeHello.VERSION, "10.0.0.1:7721", 3)
   };
 
   private static final int FOREIGN = 2;
@@ -54,7 +54,7 @@
   private boolean duplicated;
   private boolean spliced;
   private long numbers;
-  private String broken;
+  private String violation;
 
   CallModel(Defect defect) {
     this.defect = defect;
@@ -64,8 +64,8 @@
   }
 
   /** What is wrong in this state, or null. */
-  String broken() {
-    return broken;
+  String violation() {
+    return violation;
   }
 
   /** The names of all that may happen next. */
@@ -81,7 +81,7 @@
     for (int i = 0; i < connections.size(); i++) {
       connectionActions(connections.get(i), i, all);
     }
-    for (int i = 0; replacements < MOST_REPLACEMENTS && i < PROCESSES.length; i++) {
+    for (int i = 0; replacements < MAX_REPLACEMENTS && i < PROCESSES.length; i++) {
       if (i > 0 && i != process) {
         all.add("replace " + i);
       }
@@ -100,13 +100,13 @@
     if (one.callerOpen && (!one.processOpen || resets == 0)) {
       all.add("reset " + i);
     }
-    for (int h = 0; h < one.held.size() && one.processOpen; h++) {
+    for (int h = 0; h < one.unansweredRequests.size() && one.processOpen; h++) {
       all.add("answer " + i + " " + h);
       if (!duplicated) {
         all.add("answer-twice " + i + " " + h);
       }
     }
-    if (!spliced && one.processOpen && one.accepting.complete()) {
+    if (!spliced && one.processOpen && one.server.isComplete()) {
       all.add("splice " + i);
     }
   }
@@ -118,28 +118,28 @@
     switch (words[0]) {
       case "send" -> send(calls[i]);
       case "timeout" -> {
-        calls[i].sentOver.table.remove(calls[i].number);
+        calls[i].connection.table.remove(calls[i].number);
         end(calls[i], "silent");
       }
-      case "reach" -> reach(connections.get(i));
-      case "return" -> comeBack(connections.get(i));
+      case "reach" -> deliverToProcess(connections.get(i));
+      case "return" -> deliverToCaller(connections.get(i));
       case "reset" -> {
         resets += connections.get(i).processOpen ? 1 : 0;
         reset(connections.get(i), "broken");
       }
       case "answer", "answer-twice" -> {
         ModelConnection one = connections.get(i);
-        Frame request = one.held.remove(Integer.parseInt(words[2]));
-        one.toCaller.add(answer(one, request.call()));
+        Frame request = one.unansweredRequests.remove(Integer.parseInt(words[2]));
+        one.toCaller.add(response(one, request.callId()));
         if (words[0].equals("answer-twice")) {
           duplicated = true;
-          one.toCaller.add(answer(one, request.call()));
+          one.toCaller.add(response(one, request.callId()));
         }
       }
       case "splice" -> {
         // An answer to a call of that number which was never made on this connection.
         spliced = true;
-        connections.get(i).toCaller.add(answer(connections.get(i), 9));
+        connections.get(i).toCaller.add(response(connections.get(i), 9));
       }
       default -> {
         process = i;
@@ -157,38 +157,38 @@
               process, MEANT, PROCESSES[process], anew ? shared : new CallTable<>());
       numbers = anew ? 0 : numbers;
       connections.add(current);
-      current.toProcess.add(hello(current.caller.own()));
+      current.toProcess.add(hello(current.client.localHello()));
     }
     call.sent = true;
     call.number = ++numbers;
-    call.sentOver = current;
+    call.connection = current;
     current.table.add(call.number, call);
     byte[] which = {(byte) call.index};
-    current.toProcess.add(new Frame(Frame.ASK, call.number, MessageTypes.NONE, which));
+    current.toProcess.add(new Frame(Frame.REQUEST, call.number, MessageTypes.NONE, which));
   }
 
-  private void reach(ModelConnection one) {
+  private void deliverToProcess(ModelConnection one) {
     Frame frame = one.toProcess.poll();
     if (!one.processOpen) {
       return;
     }
     boolean unchecked =
-        defect == Defect.HELLO_NOT_CHECKED_BY_ACCEPTING_SIDE || foreignChecksNothing();
+        defect == Defect.HELLO_NOT_CHECKED_BY_SERVER || foreignChecksNothing();
     try {
-      boolean wasComplete = one.accepting.complete();
-      one.accepting.admit(frame);
+      boolean wasComplete = one.server.isComplete();
+      one.server.onFrame(frame);
       if (!wasComplete) {
-        one.toCaller.add(hello(one.accepting.own()));
+        one.toCaller.add(hello(one.server.localHello()));
         return;
       }
     } catch (ElmsailException e) {
       if (!unchecked) {
-        one.toCaller.add(hello(one.accepting.own()));
+        one.toCaller.add(hello(one.server.localHello()));
         one.processOpen = false;
         return;
       }
       if (frame.kind() == Frame.HELLO) {
-        one.toCaller.add(hello(one.accepting.own()));
+        one.toCaller.add(hello(one.server.localHello()));
         return;
       }
     }
@@ -197,43 +197,43 @@
 
   private boolean foreignChecksNothing() {
     return defect == Defect.FOREIGN_PROCESS_CHECKS_NOTHING
-        || defect == Defect.HELLO_NOT_CHECKED_BY_CALLER;
+        || defect == Defect.HELLO_NOT_CHECKED_BY_CLIENT;
   }
 
   private void run(ModelConnection one, Frame request) {
     ModelCall call = calls[request.payload()[0]];
     call.runs++;
     if (one.process == FOREIGN && !foreignChecksNothing()) {
-      broken = "call " + call.index + " ran at a process that was not meant";
+      violation = "call " + call.index + " ran at a process that was not meant";
     } else if (call.runs > 1) {
-      broken = "call " + call.index + " ran twice";
+      violation = "call " + call.index + " ran twice";
     }
-    one.held.add(request);
+    one.unansweredRequests.add(request);
   }
 
-  private void comeBack(ModelConnection one) {
+  private void deliverToCaller(ModelConnection one) {
     Frame frame = one.toCaller.poll();
     try {
-      one.caller.admit(frame);
+      one.client.onFrame(frame);
     } catch (ElmsailException e) {
-      if (defect != Defect.HELLO_NOT_CHECKED_BY_CALLER) {
+      if (defect != Defect.HELLO_NOT_CHECKED_BY_CLIENT) {
         reset(one, e.code().name());
         return;
       }
     }
-    if (frame.kind() == Frame.ANSWER) {
-      answered(one, frame);
+    if (frame.kind() == Frame.RESPONSE) {
+      onResponse(one, frame);
     }
   }
 
-  private void answered(ModelConnection one, Frame frame) {
+  private void onResponse(ModelConnection one, Frame frame) {
     ModelCall call;
-    if (defect == Defect.ANSWERS_TAKEN_IN_ORDER) {
+    if (defect == Defect.RESPONSES_MATCHED_BY_ORDER) {
       call = firstOpen(one);
-    } else if (defect == Defect.SECOND_ANSWER_TAKEN) {
-      call = callOf(one, frame.call());
+    } else if (defect == Defect.DUPLICATE_RESPONSE_ACCEPTED) {
+      call = callOf(one, frame.callId());
     } else {
-      call = one.table.remove(frame.call());
+      call = one.table.remove(frame.callId());
     }
     if (call == null) {
       return;
@@ -241,16 +241,16 @@
     ByteBuffer made = ByteBuffer.wrap(frame.payload());
     int by = made.getInt();
     int over = made.getInt();
-    boolean own = made.getLong() == call.number && connections.get(over) == call.sentOver;
+    boolean own = made.getLong() == call.number && connections.get(over) == call.connection;
     if (!own || by == FOREIGN) {
-      broken = "call " + call.index + " took an answer that is not its own";
+      violation = "call " + call.index + " took an answer that is not its own";
     }
     end(call, "answered by " + by);
   }
 
   private ModelCall firstOpen(ModelConnection one) {
     for (ModelCall call : calls) {
-      if (call.sentOver == one && call.ends == 0) {
+      if (call.connection == one && call.ends == 0) {
         one.table.remove(call.number);
         return call;
       }
@@ -260,7 +260,7 @@
 
   private ModelCall callOf(ModelConnection one, long number) {
     for (ModelCall call : calls) {
-      if (call.sentOver == one && call.number == number) {
+      if (call.connection == one && call.number == number) {
         return call;
       }
     }
@@ -274,7 +274,7 @@
       return; // the calls stay in the one table until their time is over
     }
     for (ModelCall call : one.table.close()) {
-      if (defect == Defect.CALL_SENT_AGAIN_AFTER_A_RESET) {
+      if (defect == Defect.CALL_RESENT_AFTER_A_RESET) {
         send(call);
       } else {
         end(call, outcome);
@@ -286,22 +286,22 @@
     call.ends++;
     call.outcome = outcome;
     if (call.ends > 1) {
-      broken = "call " + call.index + " ended twice";
+      violation = "call " + call.index + " ended twice";
     }
   }
 
-  private Frame answer(ModelConnection one, long number) {
+  private Frame response(ModelConnection one, long number) {
     byte[] made =
         ByteBuffer.allocate(16)
             .putInt(one.process)
             .putInt(connections.indexOf(one))
             .putLong(number)
             .array();
-    return new Frame(Frame.ANSWER, number, MessageTypes.NONE, made);
+    return new Frame(Frame.RESPONSE, number, MessageTypes.NONE, made);
   }
 
-  private static Frame hello(Hello hello) {
-    return new Frame(Frame.HELLO, 0, MessageTypes.NONE, hello.payload());
+  private static Frame hello(HandshakeHello hello) {
+    return new Frame(Frame.HELLO, 0, MessageTypes.NONE, hello.toPayload());
   }
 
   /** Equal for two states from which the same may follow. */
@@ -309,16 +309,16 @@
     StringBuilder key = new StringBuilder();
     key.append(process).append(replacements).append(resets).append(duplicated).append(spliced);
     for (ModelCall call : calls) {
-      int over = call.sentOver == null ? -1 : connections.indexOf(call.sentOver);
+      int over = call.connection == null ? -1 : connections.indexOf(call.connection);
       key.append('|').append(call.sent).append(call.number).append(',').append(over);
       key.append(',').append(call.ends).append(call.runs).append(call.outcome);
     }
     for (ModelConnection one : connections) {
       key.append('/').append(one.process).append(one.callerOpen).append(one.processOpen);
-      key.append(one.caller.complete()).append(one.accepting.complete());
+      key.append(one.client.isComplete()).append(one.server.isComplete());
       append(key, one.toProcess);
       append(key, one.toCaller);
-      append(key, one.held);
+      append(key, one.unansweredRequests);
     }
     return key.append(current == null ? -1 : connections.indexOf(current)).toString();
   }
@@ -326,7 +326,7 @@
   private static void append(StringBuilder key, Iterable<Frame> frames) {
     key.append('[');
     for (Frame frame : frames) {
-      key.append(frame.kind()).append('.').append(frame.call()).append(' ');
+      key.append(frame.kind()).append('.').append(frame.callId()).append(' ');
     }
     key.append(']');
   }
--- a/rpc/src/test/java/elmsail/rpc/ForeignFrameTest.java
+++ b/rpc/src/test/java/elmsail/rpc/ForeignFrameTest.java
@@ -15,35 +15,35 @@
 class ForeignFrameTest extends RawPeerFixture {
 
   @Test
-  void garbledAnswerClosesTheLinkAndIsCounted() throws IOException {
+  void malformedResponseClosesTheConnectionAndIsCounted() throws IOException {
     CompletableFuture<OpaqueMessage> call = call(5_000);
-    take();
-    say(Unpooled.copiedBuffer(new byte[Frame.LENGTH_BYTES + Frame.HEAD_BYTES]));
-    world.turnUntil(call::isDone);
-    assertThat(codeOf(call), is(ErrorCode.BROKEN));
-    assertThat(a.counts().garbled, is(1L));
-    world.turnUntil(this::closedByA);
+    readFrame();
+    send(Unpooled.copiedBuffer(new byte[Frame.LENGTH_BYTES + Frame.HEADER_BYTES]));
+    world.runLoopUntil(call::isDone);
+    assertThat(codeOf(call), is(ErrorCode.CONNECTION_LOST));
+    assertThat(a.counters().malformedConnections, is(1L));
+    world.runLoopUntil(this::closedByA);
   }
 
   @Test
-  void garbledAsksCloseTheirLinkAndOthersGoOn() throws IOException {
-    a.on(OpaqueMessage.class, request -> CompletableFuture.completedFuture(request));
-    OpaqueMessage note = new OpaqueMessage();
-    ByteBuf unknown = Frame.bare(Frame.ASK, 1);
-    ByteBuf bent = Frame.message(codec, Frame.ASK, 1, note);
-    bent.setByte(bent.writerIndex() - 1, bent.getByte(bent.writerIndex() - 1) + 1);
-    long garbled = 0;
-    for (ByteBuf bad : new ByteBuf[] {unknown, bent, Unpooled.copiedBuffer(new byte[64])}) {
+  void malformedRequestsCloseTheirConnectionAndOthersGoOn() throws IOException {
+    a.register(OpaqueMessage.class, request -> CompletableFuture.completedFuture(request));
+    OpaqueMessage message = new OpaqueMessage();
+    ByteBuf unknown = Frame.withoutPayload(Frame.REQUEST, 1);
+    ByteBuf corrupt = Frame.message(codec, Frame.REQUEST, 1, message);
+    corrupt.setByte(corrupt.writerIndex() - 1, corrupt.getByte(corrupt.writerIndex() - 1) + 1);
+    long malformed = 0;
+    for (ByteBuf bad : new ByteBuf[] {unknown, corrupt, Unpooled.copiedBuffer(new byte[64])}) {
       connectToA();
-      say(bad);
-      long expected = ++garbled;
-      world.turnUntil(() -> a.counts().garbled == expected);
-      world.turnUntil(this::closedByA);
+      send(bad);
+      long expected = ++malformed;
+      world.runLoopUntil(() -> a.counters().malformedConnections == expected);
+      world.runLoopUntil(this::closedByA);
       peer.close();
     }
-    RpcEndpoint b = world.links();
-    CompletableFuture<OpaqueMessage> call = b.call(a.address(), note, OpaqueMessage.class, 1_000);
-    world.turnUntil(call::isDone);
+    RpcEndpoint b = world.startEndpoint();
+    CompletableFuture<OpaqueMessage> call = b.call(a.address(), message, OpaqueMessage.class, 1_000);
+    world.runLoopUntil(call::isDone);
     call.join();
     b.close();
   }
@@ -52,110 +52,110 @@
   void frameThatComesBeforeTheHelloClosesTheConnection() throws IOException {
     CompletableFuture<OpaqueMessage> call =
         a.call(address, new OpaqueMessage(), OpaqueMessage.class, 5_000);
-    world.turnUntil(this::accepted);
-    assertThat(take().kind(), is(Frame.HELLO));
-    say(Frame.message(codec, Frame.ANSWER, take().call(), new OpaqueMessage()));
-    world.turnUntil(call::isDone);
-    assertThat(codeOf(call), is(ErrorCode.BROKEN));
-    assertThat(a.counts().garbled, is(1L));
-    world.turnUntil(this::closedByA);
+    world.runLoopUntil(this::accepted);
+    assertThat(readFrame().kind(), is(Frame.HELLO));
+    send(Frame.message(codec, Frame.RESPONSE, readFrame().callId(), new OpaqueMessage()));
+    world.runLoopUntil(call::isDone);
+    assertThat(codeOf(call), is(ErrorCode.CONNECTION_LOST));
+    assertThat(a.counters().malformedConnections, is(1L));
+    world.runLoopUntil(this::closedByA);
   }
 
   @Test
-  void answerOfAnotherProcessIsNotTaken() throws IOException {
+  void responseOfAnotherProcessIsRejected() throws IOException {
     CompletableFuture<OpaqueMessage> call =
         a.call(address, new OpaqueMessage(), OpaqueMessage.class, 5_000);
-    world.turnUntil(this::accepted);
-    assertThat(take().kind(), is(Frame.HELLO));
-    ByteBuf both = Frame.hello(new Hello(Hello.VERSION, "127.0.0.1:1", 1));
-    ByteBuf answer = Frame.message(codec, Frame.ANSWER, take().call(), new OpaqueMessage());
-    say(Unpooled.wrappedBuffer(both, answer));
-    world.turnUntil(call::isDone);
+    world.runLoopUntil(this::accepted);
+    assertThat(readFrame().kind(), is(Frame.HELLO));
+    ByteBuf both = Frame.hello(new HandshakeHello(HandshakeHello.VERSION, "127.0.0.1:1", 1));
+    ByteBuf response = Frame.message(codec, Frame.RESPONSE, readFrame().callId(), new OpaqueMessage());
+    send(Unpooled.wrappedBuffer(both, response));
+    world.runLoopUntil(call::isDone);
     assertThat(codeOf(call), is(ErrorCode.MISDIRECTED));
-    assertThat(a.counts().misdirected, is(1L));
-    assertThat(a.counts().answers, is(0L));
-    world.turnUntil(this::closedByA);
+    assertThat(a.counters().misdirectedConnections, is(1L));
+    assertThat(a.counters().responses, is(0L));
+    world.runLoopUntil(this::closedByA);
   }
 
   @Test
-  void answerOfAnotherVersionIsNotTaken() throws IOException {
+  void responseOfAnotherProtocolVersionIsRejected() throws IOException {
     CompletableFuture<OpaqueMessage> call =
         a.call(address, new OpaqueMessage(), OpaqueMessage.class, 5_000);
-    world.turnUntil(this::accepted);
-    say(Frame.hello(new Hello(Hello.VERSION + 1, address, 1)));
-    world.turnUntil(call::isDone);
+    world.runLoopUntil(this::accepted);
+    send(Frame.hello(new HandshakeHello(HandshakeHello.VERSION + 1, address, 1)));
+    world.runLoopUntil(call::isDone);
     assertThat(codeOf(call), is(ErrorCode.UNSUPPORTED_VERSION));
-    assertThat(a.counts().unsupportedVersions, is(1L));
-    world.turnUntil(this::closedByA);
+    assertThat(a.counters().unsupportedVersions, is(1L));
+    world.runLoopUntil(this::closedByA);
   }
 
   @Test
-  void requestOfAnotherVersionIsNotRun() throws IOException {
-    a.on(OpaqueMessage.class, request -> CompletableFuture.completedFuture(request));
+  void requestOfAnotherProtocolVersionIsNotRun() throws IOException {
+    a.register(OpaqueMessage.class, request -> CompletableFuture.completedFuture(request));
     openSocketToA();
-    ByteBuf hello = Frame.hello(new Hello(Hello.VERSION + 1, a.address(), Hello.ANY_INSTANCE));
-    ByteBuf request = Frame.message(codec, Frame.ASK, 1, new OpaqueMessage());
-    say(Unpooled.wrappedBuffer(hello, request));
-    assertThat("it says its own version", take().kind(), is(Frame.HELLO));
-    world.turnUntil(this::closedByA);
-    assertThat(a.counts().unsupportedVersions, is(1L));
-    assertThat(a.counts().asks, is(0L));
+    ByteBuf hello = Frame.hello(new HandshakeHello(HandshakeHello.VERSION + 1, a.address(), HandshakeHello.ANY_INSTANCE));
+    ByteBuf request = Frame.message(codec, Frame.REQUEST, 1, new OpaqueMessage());
+    send(Unpooled.wrappedBuffer(hello, request));
+    assertThat("it says its own version", readFrame().kind(), is(Frame.HELLO));
+    world.runLoopUntil(this::closedByA);
+    assertThat(a.counters().unsupportedVersions, is(1L));
+    assertThat(a.counters().requestsReceived, is(0L));
   }
 
   @Test
-  void secondAndLateAndForeignAnswersEndNoOtherCall() throws IOException {
+  void duplicateLateAndForeignResponsesCompleteNoOtherCall() throws IOException {
     CompletableFuture<OpaqueMessage> first = call(60_000);
-    long number = take().call();
+    long number = readFrame().callId();
     CompletableFuture<OpaqueMessage> second = call(60_000);
-    long other = take().call();
-    OpaqueMessage answer = new OpaqueMessage();
-    answer.kind = "first";
-    say(Frame.message(codec, Frame.ANSWER, number, answer));
-    say(Frame.message(codec, Frame.ANSWER, number, answer));
-    say(Frame.message(codec, Frame.ANSWER, other + 1, answer));
-    say(Frame.failure(number, ErrorCode.DISK));
-    world.turnUntil(() -> a.counts().late == 3);
+    long other = readFrame().callId();
+    OpaqueMessage response = new OpaqueMessage();
+    response.kind = "first";
+    send(Frame.message(codec, Frame.RESPONSE, number, response));
+    send(Frame.message(codec, Frame.RESPONSE, number, response));
+    send(Frame.message(codec, Frame.RESPONSE, other + 1, response));
+    send(Frame.failure(number, ErrorCode.STORAGE_FAILURE));
+    world.runLoopUntil(() -> a.counters().lateResponses == 3);
     assertThat(first.join().kind, is("first"));
     assertThat(second.isDone(), is(false));
-    answer.kind = "second";
-    say(Frame.message(codec, Frame.ANSWER, other, answer));
-    world.turnUntil(second::isDone);
+    response.kind = "second";
+    send(Frame.message(codec, Frame.RESPONSE, other, response));
+    world.runLoopUntil(second::isDone);
     assertThat(second.join().kind, is("second"));
   }
 
   @Test
-  void connectionCutAtEveryByteOfAnAnswerBreaksTheCallOrAnswersIt() throws IOException {
-    OpaqueMessage answer = new OpaqueMessage();
-    answer.kind = "whole";
-    int bytes = Frame.message(codec, Frame.ANSWER, 1, answer).readableBytes();
+  void connectionClosedAtEachByteOfAResponseFailsOrCompletesTheCall() throws IOException {
+    OpaqueMessage response = new OpaqueMessage();
+    response.kind = "whole";
+    int bytes = Frame.message(codec, Frame.RESPONSE, 1, response).readableBytes();
     for (int cut = 0; cut <= bytes; cut++) {
       CompletableFuture<OpaqueMessage> call = call(60_000);
-      ByteBuf frame = Frame.message(codec, Frame.ANSWER, take().call(), answer);
-      say(frame.readRetainedSlice(cut));
+      ByteBuf frame = Frame.message(codec, Frame.RESPONSE, readFrame().callId(), response);
+      send(frame.readRetainedSlice(cut));
       frame.release();
       peer.close();
-      world.turnUntil(call::isDone);
+      world.runLoopUntil(call::isDone);
       if (cut < bytes) {
-        assertThat("cut at " + cut, codeOf(call), is(ErrorCode.BROKEN));
+        assertThat("cut at " + cut, codeOf(call), is(ErrorCode.CONNECTION_LOST));
       } else {
         assertThat(call.join().kind, is("whole"));
       }
-      world.pass(Peer.LONGEST_PAUSE);
+      world.advance(Peer.MAX_BACKOFF_MS);
     }
   }
 
   @Test
-  void requestCutAtEveryByteRunsOnceWholeOrNotAtAll() throws IOException {
-    a.on(OpaqueMessage.class, request -> CompletableFuture.completedFuture(request));
-    ByteBuf request = Frame.message(codec, Frame.ASK, 1, new OpaqueMessage());
+  void requestTruncatedAtEachByteRunsOnceOrNotAtAll() throws IOException {
+    a.register(OpaqueMessage.class, request -> CompletableFuture.completedFuture(request));
+    ByteBuf request = Frame.message(codec, Frame.REQUEST, 1, new OpaqueMessage());
     int bytes = request.readableBytes();
     for (int cut = 0; cut <= bytes; cut++) {
-      long before = a.counts().asks;
+      long before = a.counters().requestsReceived;
       connectToA();
-      say(request.retainedSlice(0, cut));
+      send(request.retainedSlice(0, cut));
       peer.close();
-      world.turn();
-      assertThat("cut at " + cut, a.counts().asks - before, is(cut < bytes ? 0L : 1L));
+      world.runLoop();
+      assertThat("cut at " + cut, a.counters().requestsReceived - before, is(cut < bytes ? 0L : 1L));
     }
     request.release();
   }
--- a/rpc/src/test/java/elmsail/rpc/FrameTest.java
+++ b/rpc/src/test/java/elmsail/rpc/FrameTest.java
@@ -20,13 +20,13 @@
 /** Frames come whole out of any pieces, and a bent one is never taken for one. */
 class FrameTest {
 
-  private final Codec codec = new Codec();
+  private final MessageCodec codec = new MessageCodec();
 
   private byte[] request(long call, int bytes) {
-    OpaqueMessage note = new OpaqueMessage();
-    note.kind = "k";
-    note.bytes = new byte[bytes];
-    return bytes(Frame.message(codec, Frame.ASK, call, note));
+    OpaqueMessage message = new OpaqueMessage();
+    message.kind = "k";
+    message.bytes = new byte[bytes];
+    return bytes(Frame.message(codec, Frame.REQUEST, call, message));
   }
 
   private static byte[] bytes(ByteBuf frame) {
@@ -39,27 +39,27 @@
   private static ErrorCode codeOf(byte[] bytes) {
     ElmsailException e =
         assertThrows(
-            ElmsailException.class, () -> new FrameReader().next(Unpooled.wrappedBuffer(bytes)));
+            ElmsailException.class, () -> new FrameDecoder().next(Unpooled.wrappedBuffer(bytes)));
     return e.code();
   }
 
   @Test
-  void framesComeOutOfAnyPieces() {
+  void framesAreDecodedFromAnyFragments() {
     Random random = new Random(4);
     for (int round = 0; round < 200; round++) {
       ByteBuf all = Unpooled.buffer();
       int many = 1 + random.nextInt(6);
       for (int i = 0; i < many; i++) {
         boolean ping = random.nextInt(4) == 0;
-        all.writeBytes(ping ? bytes(Frame.bare(Frame.PING, i)) : request(i, random.nextInt(99)));
+        all.writeBytes(ping ? bytes(Frame.withoutPayload(Frame.PING, i)) : request(i, random.nextInt(99)));
       }
-      FrameReader reader = new FrameReader();
+      FrameDecoder reader = new FrameDecoder();
       List<Long> calls = new ArrayList<>();
       while (all.isReadable()) {
         ByteBuf piece = all.readSlice(Math.min(all.readableBytes(), 1 + random.nextInt(60)));
         Frame frame = reader.next(piece);
         while (frame != null) {
-          calls.add(frame.call());
+          calls.add(frame.callId());
           frame = reader.next(piece);
         }
       }
@@ -71,16 +71,16 @@
   }
 
   @Test
-  void everyBitOfAFrameIsGuarded() {
+  void everyFlippedBitIsDetected() {
     byte[] good = request(77, 20);
     for (int bit = 0; bit < 8 * good.length; bit++) {
-      byte[] bent = good.clone();
-      bent[bit / 8] ^= (byte) (1 << bit % 8);
+      byte[] corrupt = good.clone();
+      corrupt[bit / 8] ^= (byte) (1 << bit % 8);
       Frame frame;
       try {
-        frame = new FrameReader().next(Unpooled.wrappedBuffer(bent));
+        frame = new FrameDecoder().next(Unpooled.wrappedBuffer(corrupt));
       } catch (ElmsailException e) {
-        assertThat(e.code(), is(ErrorCode.GARBLED));
+        assertThat(e.code(), is(ErrorCode.MALFORMED));
         continue;
       }
       assertThat("bit " + bit + ": a longer one still waits", frame, is(nullValue()));
@@ -89,43 +89,43 @@
   }
 
   @Test
-  void lengthsOutOfBoundsAreGarbledBeforeAnythingIsKept() {
+  void lengthsOutOfBoundsAreMalformedBeforeAnythingIsAllocated() {
     for (int length :
-        new int[] {-1, 0, Frame.HEAD_BYTES - 1, Frame.MOST_BYTES + 1, Integer.MAX_VALUE}) {
-      ByteBuf bent = Unpooled.wrappedBuffer(request(1, 3));
-      bent.setInt(0, length);
-      assertThat(codeOf(bytes(bent)), is(ErrorCode.GARBLED));
+        new int[] {-1, 0, Frame.HEADER_BYTES - 1, Frame.MAX_BYTES + 1, Integer.MAX_VALUE}) {
+      ByteBuf corrupt = Unpooled.wrappedBuffer(request(1, 3));
+      corrupt.setInt(0, length);
+      assertThat(codeOf(bytes(corrupt)), is(ErrorCode.MALFORMED));
     }
   }
 
   @Test
-  void unknownKindsOfFrameAreGarbled() {
+  void unknownFrameKindsAreMalformed() {
     for (int kind : new int[] {0, 7, -1}) {
-      assertThat(codeOf(bytes(Frame.bare(kind, 1))), is(ErrorCode.GARBLED));
+      assertThat(codeOf(bytes(Frame.withoutPayload(kind, 1))), is(ErrorCode.MALFORMED));
     }
   }
 
   @Test
-  void longestMessageFitsAndALongerOneIsFull() {
+  void longestMessageFitsAndALongerOneIsResourceExhausted() {
     int over = request(1, 1 << 20).length - (1 << 20);
-    int most = Frame.LENGTH_BYTES + Frame.MOST_BYTES - over;
+    int most = Frame.LENGTH_BYTES + Frame.MAX_BYTES - over;
     byte[] longest = request(1, most - 8);
-    Frame frame = new FrameReader().next(Unpooled.wrappedBuffer(longest));
-    OpaqueMessage note =
+    Frame frame = new FrameDecoder().next(Unpooled.wrappedBuffer(longest));
+    OpaqueMessage message =
         (OpaqueMessage) codec.read(frame.type(), frame.payload(), 0, frame.payload().length);
-    assertThat(note.bytes.length, is(most - 8));
+    assertThat(message.bytes.length, is(most - 8));
     ElmsailException e = assertThrows(ElmsailException.class, () -> request(1, most + 8));
-    assertThat(e.code(), is(ErrorCode.FULL));
+    assertThat(e.code(), is(ErrorCode.RESOURCE_EXHAUSTED));
   }
 
   @Test
-  void failuresCarryTheirCodeAndUnknownOnesAreFaults() {
+  void failuresCarryTheirCodeAndUnknownOnesAreInternal() {
     for (ErrorCode code : ErrorCode.values()) {
-      Frame frame = new FrameReader().next(Unpooled.wrappedBuffer(bytes(Frame.failure(9, code))));
+      Frame frame = new FrameDecoder().next(Unpooled.wrappedBuffer(bytes(Frame.failure(9, code))));
       assertThat(frame.kind(), is(Frame.FAILURE));
-      assertThat(frame.call(), is(9L));
-      assertThat(frame.code(), is(code));
+      assertThat(frame.callId(), is(9L));
+      assertThat(frame.errorCode(), is(code));
     }
-    assertThat(new Frame(Frame.FAILURE, 1, 0, new byte[] {'?'}).code(), equalTo(ErrorCode.FAULT));
+    assertThat(new Frame(Frame.FAILURE, 1, 0, new byte[] {'?'}).errorCode(), equalTo(ErrorCode.INTERNAL));
   }
 }
--- a/rpc/src/test/java/elmsail/rpc/HandshakeTest.java
+++ b/rpc/src/test/java/elmsail/rpc/HandshakeTest.java
@@ -17,27 +17,27 @@
 class HandshakeTest {
 
   private static final String ADDRESS = "10.0.0.1:7720";
-  private static final Hello ANY = new Hello(Hello.VERSION, ADDRESS, Hello.ANY_INSTANCE);
-  private static final Hello SELF = new Hello(Hello.VERSION, ADDRESS, 7);
-  private static final Hello OTHER_ADDRESS = new Hello(Hello.VERSION, "10.0.0.1:7721", 7);
-  private static final Hello OTHER_INSTANCE = new Hello(Hello.VERSION, ADDRESS, 8);
+  private static final HandshakeHello ANY = new HandshakeHello(HandshakeHello.VERSION, ADDRESS, HandshakeHello.ANY_INSTANCE);
+  private static final HandshakeHello SELF = new HandshakeHello(HandshakeHello.VERSION, ADDRESS, 7);
+  private static final HandshakeHello OTHER_ADDRESS = new HandshakeHello(HandshakeHello.VERSION, "10.0.0.1:7721", 7);
+  private static final HandshakeHello OTHER_INSTANCE = new HandshakeHello(HandshakeHello.VERSION, ADDRESS, 8);
 
   private static Frame frame(int kind) {
     return new Frame(kind, 1, MessageTypes.NONE, new byte[0]);
   }
 
-  private static Frame frame(Hello hello) {
-    return new Frame(Frame.HELLO, 0, MessageTypes.NONE, hello.payload());
+  private static Frame frame(HandshakeHello hello) {
+    return new Frame(Frame.HELLO, 0, MessageTypes.NONE, hello.toPayload());
   }
 
   private static ErrorCode refusal(Handshake handshake, Frame frame) {
-    return assertThrows(ElmsailException.class, () -> handshake.admit(frame)).code();
+    return assertThrows(ElmsailException.class, () -> handshake.onFrame(frame)).code();
   }
 
   @Test
   void helloIsReadAsItWasWritten() {
-    assertThat(Hello.read(SELF.payload()), is(SELF));
-    assertThat(Hello.read(ANY.payload()), is(ANY));
+    assertThat(HandshakeHello.fromPayload(SELF.toPayload()), is(SELF));
+    assertThat(HandshakeHello.fromPayload(ANY.toPayload()), is(ANY));
   }
 
   @Test
@@ -48,61 +48,61 @@
   }
 
   @Test
-  void nothingIsTakenBeforeTheHello() {
-    for (int kind : List.of(Frame.ASK, Frame.ANSWER, Frame.FAILURE, Frame.PING, Frame.PONG)) {
-      assertThat(refusal(Handshake.ofCaller(ANY), frame(kind)), is(ErrorCode.GARBLED));
-      assertThat(refusal(Handshake.ofAccepting(SELF), frame(kind)), is(ErrorCode.GARBLED));
+  void noFrameIsAcceptedBeforeTheHello() {
+    for (int kind : List.of(Frame.REQUEST, Frame.RESPONSE, Frame.FAILURE, Frame.PING, Frame.PONG)) {
+      assertThat(refusal(Handshake.forClient(ANY), frame(kind)), is(ErrorCode.MALFORMED));
+      assertThat(refusal(Handshake.forServer(SELF), frame(kind)), is(ErrorCode.MALFORMED));
     }
   }
 
   @Test
-  void eachSideTakesOnlyItsKindsBehindTheHello() {
-    Handshake caller = Handshake.ofCaller(ANY);
-    caller.admit(frame(SELF));
-    Handshake accepting = Handshake.ofAccepting(SELF);
-    accepting.admit(frame(ANY));
-    assertThat(caller.complete() && accepting.complete(), is(true));
+  void eachSideAcceptsOnlyItsOwnKindsAfterTheHello() {
+    Handshake caller = Handshake.forClient(ANY);
+    caller.onFrame(frame(SELF));
+    Handshake accepting = Handshake.forServer(SELF);
+    accepting.onFrame(frame(ANY));
+    assertThat(caller.isComplete() && accepting.isComplete(), is(true));
     assertThat(caller.peerInstanceId(), is(SELF.instanceId()));
-    Set<Integer> toCaller = Set.of(Frame.ANSWER, Frame.FAILURE, Frame.PONG);
-    for (int kind = Frame.ASK; kind <= Frame.PONG; kind++) {
+    Set<Integer> toCaller = Set.of(Frame.RESPONSE, Frame.FAILURE, Frame.PONG);
+    for (int kind = Frame.REQUEST; kind <= Frame.PONG; kind++) {
       Handshake takes = toCaller.contains(kind) ? caller : accepting;
       Handshake refuses = toCaller.contains(kind) ? accepting : caller;
-      takes.admit(frame(kind));
-      assertThat(refusal(refuses, frame(kind)), is(ErrorCode.GARBLED));
+      takes.onFrame(frame(kind));
+      assertThat(refusal(refuses, frame(kind)), is(ErrorCode.MALFORMED));
     }
-    assertThat("a second one", refusal(caller, frame(SELF)), is(ErrorCode.GARBLED));
-    assertThat("a second one", refusal(accepting, frame(ANY)), is(ErrorCode.GARBLED));
+    assertThat("a second one", refusal(caller, frame(SELF)), is(ErrorCode.MALFORMED));
+    assertThat("a second one", refusal(accepting, frame(ANY)), is(ErrorCode.MALFORMED));
   }
 
   @Test
-  void anotherProcessOrInstanceThanTheOneMeantIsRefusedByBothSides() {
-    assertThat(refusal(Handshake.ofCaller(ANY), frame(OTHER_ADDRESS)), is(ErrorCode.MISDIRECTED));
-    assertThat(refusal(Handshake.ofCaller(SELF), frame(OTHER_INSTANCE)), is(ErrorCode.MISDIRECTED));
+  void anotherProcessOrInstanceThanIntendedIsRejectedByBothSides() {
+    assertThat(refusal(Handshake.forClient(ANY), frame(OTHER_ADDRESS)), is(ErrorCode.MISDIRECTED));
+    assertThat(refusal(Handshake.forClient(SELF), frame(OTHER_INSTANCE)), is(ErrorCode.MISDIRECTED));
     assertThat(
-        refusal(Handshake.ofAccepting(SELF), frame(OTHER_ADDRESS)), is(ErrorCode.MISDIRECTED));
+        refusal(Handshake.forServer(SELF), frame(OTHER_ADDRESS)), is(ErrorCode.MISDIRECTED));
     assertThat(
-        refusal(Handshake.ofAccepting(SELF), frame(OTHER_INSTANCE)), is(ErrorCode.MISDIRECTED));
+        refusal(Handshake.forServer(SELF), frame(OTHER_INSTANCE)), is(ErrorCode.MISDIRECTED));
   }
 
   @ParameterizedTest
   @ValueSource(ints = {0, 2, 127, -1})
-  void unknownVersionIsToldByItsOwnError(int version) {
-    byte[] payload = SELF.payload();
+  void unknownVersionHasItsOwnErrorCode(int version) {
+    byte[] payload = SELF.toPayload();
     payload[0] = (byte) version;
     Frame hello = new Frame(Frame.HELLO, 0, MessageTypes.NONE, payload);
-    assertThat(refusal(Handshake.ofCaller(ANY), hello), is(ErrorCode.UNSUPPORTED_VERSION));
-    assertThat(refusal(Handshake.ofAccepting(SELF), hello), is(ErrorCode.UNSUPPORTED_VERSION));
+    assertThat(refusal(Handshake.forClient(ANY), hello), is(ErrorCode.UNSUPPORTED_VERSION));
+    assertThat(refusal(Handshake.forServer(SELF), hello), is(ErrorCode.UNSUPPORTED_VERSION));
   }
 
   @Test
-  void hellosOfAnyOtherLengthAreGarbled() {
+  void hellosOfAnyOtherLengthAreMalformed() {
     for (int length : new int[] {0, 1, 9, 10 + 64, 300}) {
       byte[] payload = new byte[length];
       if (length > 0) {
-        payload[0] = Hello.VERSION;
+        payload[0] = HandshakeHello.VERSION;
       }
       Frame hello = new Frame(Frame.HELLO, 0, MessageTypes.NONE, payload);
-      assertThat("" + length, refusal(Handshake.ofCaller(ANY), hello), is(ErrorCode.GARBLED));
+      assertThat("" + length, refusal(Handshake.forClient(ANY), hello), is(ErrorCode.MALFORMED));
     }
   }
 }
--- a/rpc/src/test/java/elmsail/rpc/World.java
+++ b/rpc/src/test/java/elmsail/rpc/LoopbackFixture.java
@@ -9,7 +9,7 @@
 import java.util.function.BooleanSupplier;
 
 /** A loop turned by the test's own thread over real loopback sockets, and a clock moved by hand. */
-final class World implements AutoCloseable {
+final class LoopbackFixture implements AutoCloseable {
 
   private static final long GIVE_UP_NANOS = 10_000_000_000L;
 
@@ -17,37 +17,37 @@
       new ManualIoEventLoop(Thread.currentThread(), NioIoHandler.newFactory());
   final ManualTimers timers = new ManualTimers();
 
-  RpcEndpoint links() {
+  RpcEndpoint startEndpoint() {
     RpcEndpoint links = new RpcEndpoint(loop, timers, "127.0.0.1:0");
-    turnUntil(links.listen()::isDone);
+    runLoopUntil(links.listen()::isDone);
     return links;
   }
 
   /** Turns the loop, the clock standing still, until it is so. */
-  void turnUntil(BooleanSupplier so) {
+  void runLoopUntil(BooleanSupplier so) {
     long start = System.nanoTime();
     while (!so.getAsBoolean()) {
       if (System.nanoTime() - start > GIVE_UP_NANOS) {
         fail("did not come to pass");
       }
       loop.run(1_000_000);
-      timers.pass(0);
+      timers.advance(0);
     }
   }
 
   /** Turns the loop a few times, for what would show at once if it came at all. */
-  void turn() {
+  void runLoop() {
     for (int i = 0; i < 20; i++) {
       loop.runNow();
-      timers.pass(0);
+      timers.advance(0);
     }
   }
 
   /** Moves the clock in steps, turning the loop at each. */
-  void pass(long ms) {
+  void advance(long ms) {
     for (long left = ms; left > 0; left -= 10) {
-      timers.pass(Math.min(left, 10));
-      turn();
+      timers.advance(Math.min(left, 10));
+      runLoop();
     }
   }
 
--- a/rpc/src/test/java/elmsail/rpc/CodecTest.java
+++ b/rpc/src/test/java/elmsail/rpc/MessageCodecTest.java
@@ -38,56 +38,56 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /** Every word survives the wire, filled, bare, and with fields that are null. */
-class CodecTest {
+class MessageCodecTest {
 
-  private final Codec codec = new Codec();
+  private final MessageCodec codec = new MessageCodec();
 
-  static Stream<Class<?>> words() {
-    return IntStream.range(1, MessageTypes.size()).mapToObj(MessageTypes::type);
+  static Stream<Class<?>> messageTypes() {
+    return IntStream.range(1, MessageTypes.size()).mapToObj(MessageTypes::typeOf);
   }
 
   @ParameterizedTest
   @MethodSource("words")
-  void filledWordComesBackTheSame(Class<?> type) throws ReflectiveOperationException {
+  void filledMessageRoundTrips(Class<?> type) throws ReflectiveOperationException {
     Random random = new Random(type.getName().hashCode());
     for (int i = 0; i < 50; i++) {
-      Object word = filled(type, random, 0);
-      Object copy = codec.copy(word);
-      assertThat(copy, is(not(sameInstance(word))));
-      assertSame(type.getSimpleName(), word, copy);
+      Object message = filled(type, random, 0);
+      Object copy = codec.copy(message);
+      assertThat(copy, is(not(sameInstance(message))));
+      assertSame(type.getSimpleName(), message, copy);
     }
   }
 
   @ParameterizedTest
   @MethodSource("words")
-  void newWordComesBackTheSame(Class<?> type) throws ReflectiveOperationException {
-    Object word = type.getDeclaredConstructor().newInstance();
-    assertSame(type.getSimpleName(), word, codec.copy(word));
+  void newMessageRoundTrips(Class<?> type) throws ReflectiveOperationException {
+    Object message = type.getDeclaredConstructor().newInstance();
+    assertSame(type.getSimpleName(), message, codec.copy(message));
   }
 
   @ParameterizedTest
   @MethodSource("words")
-  void nullFieldComesBackAsTheDefaultOfItsClass(Class<?> type) throws ReflectiveOperationException {
-    Object word = type.getDeclaredConstructor().newInstance();
+  void nullFieldDecodesToItsDefault(Class<?> type) throws ReflectiveOperationException {
+    Object message = type.getDeclaredConstructor().newInstance();
     for (Field field : fields(type)) {
       if (!field.getType().isPrimitive()) {
-        field.set(word, null);
+        field.set(message, null);
       }
     }
-    assertSame(type.getSimpleName(), type.getDeclaredConstructor().newInstance(), codec.copy(word));
+    assertSame(type.getSimpleName(), type.getDeclaredConstructor().newInstance(), codec.copy(message));
   }
 
   @ParameterizedTest
   @MethodSource("words")
-  void numberIsThatOfTheTable(Class<?> type) throws ReflectiveOperationException {
-    int number = codec.number(type.getDeclaredConstructor().newInstance());
-    assertThat(MessageTypes.type(number), equalTo((Object) type));
+  void typeNumberIsThatOfTheTable(Class<?> type) throws ReflectiveOperationException {
+    int number = codec.typeNumber(type.getDeclaredConstructor().newInstance());
+    assertThat(MessageTypes.typeOf(number), equalTo((Object) type));
   }
 
   @Test
-  void numbersStayAsTheyWereGiven() {
+  void typeNumbersAreStable() {
     List<String> names = new ArrayList<>();
-    words().forEach(type -> names.add(type.getSimpleName()));
+    messageTypes().forEach(type -> names.add(type.getSimpleName()));
     assertThat(
         names.subList(0, 16),
         contains(
@@ -110,7 +110,7 @@
   }
 
   @Test
-  void everyClassOfTheWordsHasANumber() throws Exception {
+  void everyMessageClassHasATypeNumber() throws Exception {
     File folder = new File(Ballot.class.getResource("Ballot.class").toURI()).getParentFile();
     int found = 0;
     for (String file : folder.list()) {
@@ -118,26 +118,26 @@
         continue;
       }
       String name = Ballot.class.getPackageName() + "." + file.substring(0, file.length() - 6);
-      assertThat(name, MessageTypes.number(Class.forName(name)), is(not(MessageTypes.NONE)));
+      assertThat(name, MessageTypes.numberOf(Class.forName(name)), is(not(MessageTypes.NONE)));
       found++;
     }
     assertThat(found, is(MessageTypes.size() - 1));
   }
 
   @Test
-  void nullAndEmptyBytesAreToldApartWhereNoDefaultStands() {
+  void nullAndEmptyBytesDifferWhereThereIsNoDefault() {
     VoteResponse vote = new VoteResponse();
     assertThat(codec.copy(vote).value, is(nullValue()));
     vote.value = new byte[0];
     assertThat(codec.copy(vote).value, is(notNullValue()));
     PrepareRequest request = new PrepareRequest();
-    assertThat(codec.copy(request).note, is(nullValue()));
-    request.note = new byte[0];
-    assertThat(codec.copy(request).note, equalTo(new byte[0]));
+    assertThat(codec.copy(request).sideEffect, is(nullValue()));
+    request.sideEffect = new byte[0];
+    assertThat(codec.copy(request).sideEffect, equalTo(new byte[0]));
   }
 
   @Test
-  void emptyListsComeBackEmpty() {
+  void emptyListsRoundTrip() {
     assertThat(codec.copy(new AcceptRequest()).blobs, is(empty()));
     assertThat(codec.copy(new VoterSet()).voters, is(empty()));
     assertThat(codec.copy(new ClusterView()).gateways, is(empty()));
@@ -159,37 +159,37 @@
   }
 
   @Test
-  void bigArraysSurvive() {
-    OpaqueMessage note = new OpaqueMessage();
-    note.bytes = new byte[5 << 20];
-    new Random(3).nextBytes(note.bytes);
-    assertThat(codec.copy(note).bytes, equalTo(note.bytes));
+  void largeArraysRoundTrip() {
+    OpaqueMessage message = new OpaqueMessage();
+    message.bytes = new byte[5 << 20];
+    new Random(3).nextBytes(message.bytes);
+    assertThat(codec.copy(message).bytes, equalTo(message.bytes));
   }
 
   @Test
-  void whatHasNoNumberIsAFault() {
+  void objectWithoutATypeNumberIsAnInternalError() {
     assertThat(
-        assertThrows(ElmsailException.class, () -> codec.copy("word")).code(), is(ErrorCode.FAULT));
+        assertThrows(ElmsailException.class, () -> codec.copy("word")).code(), is(ErrorCode.INTERNAL));
     assertThat(
-        assertThrows(ElmsailException.class, () -> codec.copy(null)).code(), is(ErrorCode.FAULT));
+        assertThrows(ElmsailException.class, () -> codec.copy(null)).code(), is(ErrorCode.INTERNAL));
   }
 
   @Test
-  void unknownNumbersAreGarbled() {
+  void unknownTypeNumbersAreMalformed() {
     for (int number : new int[] {-1, 0, MessageTypes.size(), 0x7fff}) {
       assertThat(
           assertThrows(ElmsailException.class, () -> codec.read(number, new byte[0], 0, 0)).code(),
-          is(ErrorCode.GARBLED));
+          is(ErrorCode.MALFORMED));
     }
   }
 
   @Test
-  void bentBytesAreReadOrGarbledAndLeaveTheCodecWhole() throws ReflectiveOperationException {
+  void corruptBytesAreReadOrMalformedAndTheCodecStaysUsable() throws ReflectiveOperationException {
     Random random = new Random(11);
     for (int i = 0; i < 3_000; i++) {
       int number = 1 + random.nextInt(MessageTypes.size() - 1);
       ByteArrayOutputStream out = new ByteArrayOutputStream();
-      codec.write(number, filled(MessageTypes.type(number), random, 0), out);
+      codec.write(number, filled(MessageTypes.typeOf(number), random, 0), out);
       byte[] bytes = out.toByteArray();
       for (int j = 0; j < 3 && bytes.length > 0; j++) {
         bytes[random.nextInt(bytes.length)] = (byte) random.nextInt();
@@ -197,38 +197,38 @@
       try {
         codec.read(number, bytes, 0, random.nextInt(bytes.length + 1));
       } catch (ElmsailException e) {
-        assertThat(e.code(), is(ErrorCode.GARBLED));
+        assertThat(e.code(), is(ErrorCode.MALFORMED));
       }
     }
-    PullResponse word = new PullResponse();
-    word.edition = 5;
-    assertThat(codec.copy(word).edition, is(5L));
+    PullResponse message = new PullResponse();
+    message.configVersion = 5;
+    assertThat(codec.copy(message).configVersion, is(5L));
   }
 
   private static Object filled(Class<?> type, Random random, int depth)
       throws ReflectiveOperationException {
-    Object word = type.getDeclaredConstructor().newInstance();
+    Object message = type.getDeclaredConstructor().newInstance();
     for (Field field : fields(type)) {
       Class<?> of = field.getType();
       if (of == long.class) {
-        field.setLong(word, random.nextLong());
+        field.setLong(message, random.nextLong());
       } else if (of == int.class) {
-        field.setInt(word, random.nextInt());
+        field.setInt(message, random.nextInt());
       } else if (of == boolean.class) {
-        field.setBoolean(word, random.nextBoolean());
+        field.setBoolean(message, random.nextBoolean());
       } else if (of == String.class) {
-        field.set(word, "\u00e4" + Long.toString(random.nextLong(), 36));
+        field.set(message, "\u00e4" + Long.toString(random.nextLong(), 36));
       } else if (of == byte[].class) {
         byte[] bytes = new byte[random.nextInt(3_000)];
         random.nextBytes(bytes);
-        field.set(word, bytes);
+        field.set(message, bytes);
       } else if (of == List.class) {
-        field.set(word, list(field.getName(), random, depth));
+        field.set(message, list(field.getName(), random, depth));
       } else {
-        field.set(word, filled(of, random, depth + 1));
+        field.set(message, filled(of, random, depth + 1));
       }
     }
-    return word;
+    return message;
   }
 
   private static List<Object> list(String name, Random random, int depth)
--- a/rpc/src/test/java/elmsail/rpc/MisdirectedCallTest.java
+++ b/rpc/src/test/java/elmsail/rpc/MisdirectedCallTest.java
@@ -16,8 +16,8 @@
 /** Calls to an address at which another process answers than the one that was meant. */
 class MisdirectedCallTest {
 
-  private final World world = new World();
-  private final RpcEndpoint caller = world.links();
+  private final LoopbackFixture world = new LoopbackFixture();
+  private final RpcEndpoint caller = world.startEndpoint();
 
   /** Listens at all addresses and knows itself by another one than it is called at. */
   private final RpcEndpoint other = new RpcEndpoint(world.loop, world.timers, "0.0.0.0:0");
@@ -31,7 +31,7 @@
 
   private String addressOfOther() {
     CompletableFuture<Void> up = other.listen();
-    world.turnUntil(up::isDone);
+    world.runLoopUntil(up::isDone);
     return other.address().replace("0.0.0.0", "127.0.0.1");
   }
 
@@ -47,14 +47,14 @@
   @Test
   void callThatReachesAnotherProcessFailsAndIsNotRun() {
     AtomicInteger runs = new AtomicInteger();
-    other.on(
+    other.register(
         OpaqueMessage.class,
         request -> {
           runs.incrementAndGet();
           return CompletableFuture.completedFuture(request);
         });
     CompletableFuture<OpaqueMessage> call = call(addressOfOther());
-    world.turnUntil(call::isDone);
+    world.runLoopUntil(call::isDone);
     assertThat(call.isCompletedExceptionally(), is(true));
     assertThat("run by a process that was not meant", runs.get(), is(0));
   }
@@ -63,24 +63,24 @@
   void misdirectedCallHasItsOwnErrorAndCountersAndTheNextOneWaits() {
     String address = addressOfOther();
     CompletableFuture<OpaqueMessage> call = call(address);
-    world.turnUntil(call::isDone);
+    world.runLoopUntil(call::isDone);
     assertThat(codeOf(call), is(ErrorCode.MISDIRECTED));
-    assertThat(caller.counts().misdirected, is(1L));
-    assertThat(other.counts().misdirected, is(1L));
-    assertThat(other.counts().asks, is(0L));
+    assertThat(caller.counters().misdirectedConnections, is(1L));
+    assertThat(other.counters().misdirectedConnections, is(1L));
+    assertThat(other.counters().requestsReceived, is(0L));
     CompletableFuture<OpaqueMessage> soon = call(address);
-    world.turnUntil(soon::isDone);
-    assertThat("no new connection at once", codeOf(soon), is(ErrorCode.UNSENT));
-    assertThat(caller.counts().links, is(1L));
+    world.runLoopUntil(soon::isDone);
+    assertThat("no new connection at once", codeOf(soon), is(ErrorCode.NOT_SENT));
+    assertThat(caller.counters().connectionsOpened, is(1L));
   }
 
   @Test
   void othersAreNotAffected() {
-    RpcEndpoint third = world.links();
-    third.on(OpaqueMessage.class, request -> CompletableFuture.completedFuture(request));
+    RpcEndpoint third = world.startEndpoint();
+    third.register(OpaqueMessage.class, request -> CompletableFuture.completedFuture(request));
     CompletableFuture<OpaqueMessage> wrong = call(addressOfOther());
     CompletableFuture<OpaqueMessage> right = call(third.address());
-    world.turnUntil(() -> wrong.isDone() && right.isDone());
+    world.runLoopUntil(() -> wrong.isDone() && right.isDone());
     right.join();
     assertThat(codeOf(wrong), is(ErrorCode.MISDIRECTED));
     third.close();
@@ -88,22 +88,22 @@
 
   @Test
   void newInstanceAtTheAddressIsNoticed() {
-    RpcEndpoint first = world.links();
+    RpcEndpoint first = world.startEndpoint();
     String address = first.address();
-    first.on(OpaqueMessage.class, request -> CompletableFuture.completedFuture(request));
+    first.register(OpaqueMessage.class, request -> CompletableFuture.completedFuture(request));
     CompletableFuture<OpaqueMessage> one = call(address);
-    world.turnUntil(one::isDone);
+    world.runLoopUntil(one::isDone);
     one.join();
     first.close();
-    world.turn();
+    world.runLoop();
     RpcEndpoint second = new RpcEndpoint(world.loop, world.timers, address);
-    second.on(OpaqueMessage.class, request -> CompletableFuture.completedFuture(request));
-    world.turnUntil(second.listen()::isDone);
-    world.pass(Peer.LONGEST_PAUSE);
+    second.register(OpaqueMessage.class, request -> CompletableFuture.completedFuture(request));
+    world.runLoopUntil(second.listen()::isDone);
+    world.advance(Peer.MAX_BACKOFF_MS);
     CompletableFuture<OpaqueMessage> two = call(address);
-    world.turnUntil(two::isDone);
+    world.runLoopUntil(two::isDone);
     two.join();
-    assertThat(caller.counts().newInstances, is(1L));
+    assertThat(caller.counters().newInstances, is(1L));
     second.close();
   }
 }
--- a/rpc/src/test/java/elmsail/rpc/ModelCall.java
+++ b/rpc/src/test/java/elmsail/rpc/ModelCall.java
@@ -4,7 +4,7 @@
 final class ModelCall {
   final int index;
   long number;
-  ModelConnection sentOver;
+  ModelConnection connection;
   boolean sent;
   int ends;
   int runs;
--- a/rpc/src/test/java/elmsail/rpc/PinnedNamesTest.java
+++ b/rpc/src/test/java/elmsail/rpc/PinnedNamesTest.java
@@ -4,7 +4,7 @@
 import static org.hamcrest.Matchers.contains;
 
 import elmsail.runtime.Counters;
-import elmsail.runtime.MetricsText;
+import elmsail.runtime.PrometheusText;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -13,7 +13,7 @@
 
   /** The families as they are exported, each with its type. */
   private static List<String> exported(Counters counters) {
-    return MetricsText.of(counters)
+    return PrometheusText.format(counters)
         .lines()
         .filter(line -> line.startsWith("# TYPE "))
         .map(line -> line.substring("# TYPE ".length()))
@@ -23,7 +23,7 @@
   @Test
   void metrics() {
     Counters counters = new Counters();
-    new RpcCounters().tellIn(counters);
+    new RpcCounters().registerWith(counters);
     assertThat(
         exported(counters),
         contains(
--- a/rpc/src/test/java/elmsail/rpc/PinnedWire.java
+++ b/rpc/src/test/java/elmsail/rpc/PinnedWire.java
@@ -69,7 +69,7 @@
   static List<Line> messages() throws ReflectiveOperationException {
     List<Line> lines = new ArrayList<>();
     for (int number = 1; number < MessageTypes.size(); number++) {
-      Class<?> type = MessageTypes.type(number);
+      Class<?> type = MessageTypes.typeOf(number);
       lines.add(
           new Line(number, type.getSimpleName(), encoded(number, FilledMessages.filled(type))));
     }
@@ -78,20 +78,20 @@
 
   /** A frame of each kind, as the present code writes it. */
   static List<Line> frames() {
-    Codec codec = new Codec();
+    MessageCodec codec = new MessageCodec();
     OpaqueMessage message = new OpaqueMessage();
     message.kind = "kind";
     message.bytes = new byte[] {1, 2, 3};
     List<Line> lines = new ArrayList<>();
-    lines.add(frame("request", Frame.message(codec, Frame.ASK, CALL, message)));
-    lines.add(frame("response", Frame.message(codec, Frame.ANSWER, CALL, message)));
-    lines.add(frame("ping", Frame.bare(Frame.PING, 0)));
-    lines.add(frame("pong", Frame.bare(Frame.PONG, 0)));
-    lines.add(frame("hello", Frame.hello(new Hello(Hello.VERSION, ADDRESS, CALL))));
+    lines.add(frame("request", Frame.message(codec, Frame.REQUEST, CALL, message)));
+    lines.add(frame("response", Frame.message(codec, Frame.RESPONSE, CALL, message)));
+    lines.add(frame("ping", Frame.withoutPayload(Frame.PING, 0)));
+    lines.add(frame("pong", Frame.withoutPayload(Frame.PONG, 0)));
+    lines.add(frame("hello", Frame.hello(new HandshakeHello(HandshakeHello.VERSION, ADDRESS, CALL))));
     lines.add(
         frame(
             "hello-to-any-instance",
-            Frame.hello(new Hello(Hello.VERSION, ADDRESS, Hello.ANY_INSTANCE))));
+            Frame.hello(new HandshakeHello(HandshakeHello.VERSION, ADDRESS, HandshakeHello.ANY_INSTANCE))));
     for (int i = 0; i < ErrorCode.values().length; i++) {
       lines.add(frame("failure-" + i, Frame.failure(CALL, ErrorCode.values()[i])));
     }
@@ -101,7 +101,7 @@
   /** The message's bytes without its frame. */
   static byte[] encoded(int number, Object message) {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    new Codec().write(number, message, out);
+    new MessageCodec().write(number, message, out);
     return out.toByteArray();
   }
 
--- a/rpc/src/test/java/elmsail/rpc/PinnedWireTest.java
+++ b/rpc/src/test/java/elmsail/rpc/PinnedWireTest.java
@@ -37,7 +37,7 @@
   @Test
   void everyFieldSaysItsNumber() {
     for (int number = 1; number < MessageTypes.size(); number++) {
-      Class<?> type = MessageTypes.type(number);
+      Class<?> type = MessageTypes.typeOf(number);
       int fields = 0;
       for (Field field : type.getDeclaredFields()) {
         if (Modifier.isStatic(field.getModifiers())) {
@@ -57,8 +57,8 @@
   @Test
   void schemaHasTheSameNumbers() {
     for (int number = 1; number < MessageTypes.size(); number++) {
-      Schema<?> schema = RuntimeSchema.getSchema(MessageTypes.type(number));
-      FilledMessages.fieldsByNumber(MessageTypes.type(number))
+      Schema<?> schema = RuntimeSchema.getSchema(MessageTypes.typeOf(number));
+      FilledMessages.fieldsByNumber(MessageTypes.typeOf(number))
           .forEach(
               (of, field) ->
                   assertThat(field.toString(), schema.getFieldNumber(field.getName()), is(of)));
@@ -68,18 +68,18 @@
   @Test
   void filledMessagesAreWrittenAsPinned() throws IOException, ReflectiveOperationException {
     for (PinnedWire.Line line : PinnedWire.pinned(PinnedWire.MESSAGES)) {
-      Object message = FilledMessages.filled(MessageTypes.type(line.number()));
+      Object message = FilledMessages.filled(MessageTypes.typeOf(line.number()));
       assertThat(line.name(), PinnedWire.encoded(line.number(), message), equalTo(line.bytes()));
     }
   }
 
   @Test
   void pinnedMessagesAreReadWhole() throws IOException {
-    Codec codec = new Codec();
+    MessageCodec codec = new MessageCodec();
     for (PinnedWire.Line line : PinnedWire.pinned(PinnedWire.MESSAGES)) {
       Object message = codec.read(line.number(), line.bytes(), 0, line.bytes().length);
       assertThat(
-          line.name(), message.getClass(), equalTo((Object) MessageTypes.type(line.number())));
+          line.name(), message.getClass(), equalTo((Object) MessageTypes.typeOf(line.number())));
       assertThat(line.name(), PinnedWire.encoded(line.number(), message), equalTo(line.bytes()));
     }
   }
@@ -88,7 +88,7 @@
   void datagramsBeginWithTheNumberInOneByte() throws IOException, ReflectiveOperationException {
     PinnedWire.Line line = PinnedWire.pinned(PinnedWire.MESSAGES).get(LOAD_REPORT - 1);
     Object report = FilledMessages.filled(LoadReport.class);
-    byte[] datagram = new Codec().pack(report);
+    byte[] datagram = new MessageCodec().toDatagram(report);
     assertThat(line.number(), is(LOAD_REPORT));
     assertThat(datagram[0], is((byte) LOAD_REPORT));
     assertThat(Arrays.copyOfRange(datagram, 1, datagram.length), equalTo(line.bytes()));
@@ -106,10 +106,10 @@
     List<Integer> kinds = new ArrayList<>();
     List<ErrorCode> codes = new ArrayList<>();
     for (PinnedWire.Line line : PinnedWire.pinned(PinnedWire.FRAMES)) {
-      Frame frame = new FrameReader().next(Unpooled.wrappedBuffer(line.bytes()));
+      Frame frame = new FrameDecoder().next(Unpooled.wrappedBuffer(line.bytes()));
       kinds.add(frame.kind());
       if (frame.kind() == Frame.FAILURE) {
-        codes.add(frame.code());
+        codes.add(frame.errorCode());
       }
     }
     assertThat(kinds.subList(0, 6), contains(1, 2, 4, 5, 6, 6));
@@ -142,7 +142,7 @@
   void numbersWithAMeaningStandInThisOrder() throws IllegalAccessException {
     assertThat(constants(VoteResponse.class), contains(0, 1, 2, 3, 4));
     assertThat(constants(LoadReport.class), contains(0, 1, 2));
-    assertThat(List.of(Hello.VERSION, (int) Hello.ANY_INSTANCE), contains(1, 0));
+    assertThat(List.of(HandshakeHello.VERSION, (int) HandshakeHello.ANY_INSTANCE), contains(1, 0));
   }
 
   /** The values of a message class's constants in the order of their declaration. */
--- a/rpc/src/test/java/elmsail/rpc/RawPeerFixture.java
+++ b/rpc/src/test/java/elmsail/rpc/RawPeerFixture.java
@@ -23,13 +23,13 @@
 /** A process under test, and a bare socket that plays the other side byte by byte. */
 abstract class RawPeerFixture {
 
-  final World world = new World();
-  final Codec codec = new Codec();
-  final RpcEndpoint a = world.links();
+  final LoopbackFixture world = new LoopbackFixture();
+  final MessageCodec codec = new MessageCodec();
+  final RpcEndpoint a = world.startEndpoint();
   ServerSocketChannel server;
   String address;
   SocketChannel peer;
-  final ByteBuffer heard = ByteBuffer.allocate(1 << 16);
+  final ByteBuffer readBuffer = ByteBuffer.allocate(1 << 16);
 
   @BeforeEach
   void open() throws IOException {
@@ -53,20 +53,20 @@
     CompletableFuture<OpaqueMessage> call =
         a.call(address, new OpaqueMessage(), OpaqueMessage.class, timeoutMs);
     if (peer == null || !peer.isOpen()) {
-      world.turnUntil(this::accepted);
-      introducePeer();
+      world.runLoopUntil(this::accepted);
+      completeHandshakeAsPeer();
     }
-    world.turn();
+    world.runLoop();
     return call;
   }
 
   /** The peer hears which process is meant, and says that it is that one. */
-  void introducePeer() {
-    Frame hello = take();
+  void completeHandshakeAsPeer() {
+    Frame hello = readFrame();
     assertThat(hello.kind(), is(Frame.HELLO));
-    assertThat(Hello.read(hello.payload()).address(), is(address));
+    assertThat(HandshakeHello.fromPayload(hello.payload()).address(), is(address));
     try {
-      say(Frame.hello(new Hello(Hello.VERSION, address, 1)));
+      send(Frame.hello(new HandshakeHello(HandshakeHello.VERSION, address, 1)));
     } catch (IOException e) {
       throw new AssertionError(e);
     }
@@ -75,11 +75,11 @@
   /** A bare socket opens a connection to {@code a} and names it as the process that it means. */
   void connectToA() throws IOException {
     openSocketToA();
-    say(Frame.hello(new Hello(Hello.VERSION, a.address(), Hello.ANY_INSTANCE)));
-    Frame hello = take();
+    send(Frame.hello(new HandshakeHello(HandshakeHello.VERSION, a.address(), HandshakeHello.ANY_INSTANCE)));
+    Frame hello = readFrame();
     assertThat(hello.kind(), is(Frame.HELLO));
     assertThat(
-        Hello.read(hello.payload()), is(new Hello(Hello.VERSION, a.address(), a.instanceId())));
+        HandshakeHello.fromPayload(hello.payload()), is(new HandshakeHello(HandshakeHello.VERSION, a.address(), a.instanceId())));
   }
 
   boolean accepted() {
@@ -102,11 +102,11 @@
   }
 
   /** The next frame that came to the peer. */
-  Frame take() {
-    FrameReader reader = new FrameReader();
+  Frame readFrame() {
+    FrameDecoder reader = new FrameDecoder();
     Frame[] found = new Frame[1];
     ByteBuffer one = ByteBuffer.allocate(1);
-    world.turnUntil(
+    world.runLoopUntil(
         () -> {
           try {
             one.clear();
@@ -124,11 +124,11 @@
   }
 
   /** Says it, and lets it be heard. */
-  void say(ByteBuf bytes) throws IOException {
-    long before = a.counts().bytesIn;
+  void send(ByteBuf bytes) throws IOException {
+    long before = a.counters().bytesReceived;
     int many = bytes.readableBytes();
     write(bytes);
-    world.turnUntil(() -> a.counts().bytesIn == before + many);
+    world.runLoopUntil(() -> a.counters().bytesReceived == before + many);
   }
 
   void write(ByteBuf bytes) throws IOException {
@@ -141,8 +141,8 @@
 
   boolean closedByA() {
     try {
-      heard.clear();
-      return peer.read(heard) < 0;
+      readBuffer.clear();
+      return peer.read(readBuffer) < 0;
     } catch (IOException e) {
       return true;
     }
--- a/rpc/src/test/java/elmsail/rpc/RpcCountersTest.java
+++ b/rpc/src/test/java/elmsail/rpc/RpcCountersTest.java
@@ -4,22 +4,22 @@
 import static org.hamcrest.Matchers.is;
 
 import elmsail.runtime.Counters;
-import elmsail.runtime.MetricsText;
+import elmsail.runtime.PrometheusText;
 import java.lang.reflect.Field;
 import org.junit.jupiter.api.Test;
 
 class RpcCountersTest {
 
   @Test
-  void eachIsPartOfTheFiguresOfTheProcess() throws IllegalAccessException {
+  void everyCounterIsRegisteredWithTheProcessMetrics() throws IllegalAccessException {
     RpcCounters own = new RpcCounters();
     Counters counters = new Counters();
-    own.tellIn(counters);
+    own.registerWith(counters);
     long next = 101;
     for (Field field : RpcCounters.class.getFields()) {
       field.setLong(own, next++);
     }
-    String text = MetricsText.of(counters);
+    String text = PrometheusText.format(counters);
     for (long value = 101; value < next; value++) {
       long told = value;
       assertThat(
--- a/rpc/src/test/java/elmsail/rpc/RpcEndpointTest.java
+++ b/rpc/src/test/java/elmsail/rpc/RpcEndpointTest.java
@@ -22,9 +22,9 @@
 /** Two processes' links over loopback, the clock moved by hand. */
 class RpcEndpointTest {
 
-  private final World world = new World();
-  private final RpcEndpoint a = world.links();
-  private final RpcEndpoint b = world.links();
+  private final LoopbackFixture world = new LoopbackFixture();
+  private final RpcEndpoint a = world.startEndpoint();
+  private final RpcEndpoint b = world.startEndpoint();
 
   @AfterEach
   void close() {
@@ -33,11 +33,11 @@
     world.close();
   }
 
-  private static OpaqueMessage note(String kind, int bytes) {
-    OpaqueMessage note = new OpaqueMessage();
-    note.kind = kind;
-    note.bytes = new byte[bytes];
-    return note;
+  private static OpaqueMessage message(String kind, int bytes) {
+    OpaqueMessage message = new OpaqueMessage();
+    message.kind = kind;
+    message.bytes = new byte[bytes];
+    return message;
   }
 
   private static ErrorCode codeOf(CompletableFuture<?> call) {
@@ -46,16 +46,16 @@
   }
 
   private CompletableFuture<OpaqueMessage> request(String kind) {
-    return a.call(b.address(), note(kind, 10), OpaqueMessage.class, 2_000);
+    return a.call(b.address(), message(kind, 10), OpaqueMessage.class, 2_000);
   }
 
   private void echo() {
-    b.on(OpaqueMessage.class, request -> CompletableFuture.completedFuture(request));
+    b.register(OpaqueMessage.class, request -> CompletableFuture.completedFuture(request));
   }
 
   @Test
   void callIsAnswered() {
-    b.on(
+    b.register(
         ReadRequest.class,
         request -> {
           VoteResponse response = new VoteResponse();
@@ -65,14 +65,14 @@
     ReadRequest request = new ReadRequest();
     request.key = "lot/5";
     CompletableFuture<VoteResponse> call = a.call(b.address(), request, VoteResponse.class, 500);
-    world.turnUntil(call::isDone);
+    world.runLoopUntil(call::isDone);
     assertThat(call.join().value, equalTo("lot/5".getBytes()));
   }
 
   @Test
   void manyCallsShareOneConnectionAndAreAnsweredInAnyOrder() {
     List<CompletableFuture<OpaqueMessage>> held = new ArrayList<>();
-    b.on(
+    b.register(
         OpaqueMessage.class,
         request -> {
           held.add(new CompletableFuture<>());
@@ -82,31 +82,31 @@
     for (int i = 0; i < 100; i++) {
       calls.add(request("n" + i));
     }
-    world.turnUntil(() -> held.size() == 100);
+    world.runLoopUntil(() -> held.size() == 100);
     for (int i = 99; i >= 0; i--) {
-      held.get(i).complete(note("a" + i, 0));
+      held.get(i).complete(message("a" + i, 0));
     }
     for (int i = 0; i < 100; i++) {
-      world.turnUntil(calls.get(i)::isDone);
+      world.runLoopUntil(calls.get(i)::isDone);
       assertThat(calls.get(i).join().kind, is("a" + i));
     }
-    assertThat(a.counts().links, is(1L));
+    assertThat(a.counters().connectionsOpened, is(1L));
   }
 
   @Test
-  void bigAnswersComeWhole() {
-    b.on(OpaqueMessage.class, request -> CompletableFuture.completedFuture(note("big", 5 << 20)));
+  void largeResponsesArriveComplete() {
+    b.register(OpaqueMessage.class, request -> CompletableFuture.completedFuture(message("big", 5 << 20)));
     CompletableFuture<OpaqueMessage> call = request("x");
-    world.turnUntil(call::isDone);
+    world.runLoopUntil(call::isDone);
     assertThat(call.join().bytes.length, is(5 << 20));
   }
 
   @Test
   void failedHandlerSendsItsCode() {
-    b.on(
+    b.register(
         OpaqueMessage.class,
-        request -> CompletableFuture.failedFuture(new ElmsailException(ErrorCode.NOT_SEATED, "x")));
-    b.on(
+        request -> CompletableFuture.failedFuture(new ElmsailException(ErrorCode.NOT_A_VOTER, "x")));
+    b.register(
         ReadRequest.class,
         request -> {
           throw new IllegalStateException("a fault");
@@ -114,213 +114,213 @@
     CompletableFuture<OpaqueMessage> call = request("x");
     CompletableFuture<VoteResponse> faulty =
         a.call(b.address(), new ReadRequest(), VoteResponse.class, 500);
-    world.turnUntil(() -> call.isDone() && faulty.isDone());
-    assertThat(codeOf(call), is(ErrorCode.NOT_SEATED));
-    assertThat(codeOf(faulty), is(ErrorCode.FAULT));
-    assertThat(a.counts().failures, is(2L));
+    world.runLoopUntil(() -> call.isDone() && faulty.isDone());
+    assertThat(codeOf(call), is(ErrorCode.NOT_A_VOTER));
+    assertThat(codeOf(faulty), is(ErrorCode.INTERNAL));
+    assertThat(a.counters().failures, is(2L));
   }
 
   @Test
-  void askThatNobodyHandlesIsAFault() {
+  void requestWithoutAHandlerIsAnInternalError() {
     CompletableFuture<OpaqueMessage> call = request("x");
-    world.turnUntil(call::isDone);
-    assertThat(codeOf(call), is(ErrorCode.FAULT));
+    world.runLoopUntil(call::isDone);
+    assertThat(codeOf(call), is(ErrorCode.INTERNAL));
   }
 
   @Test
-  void answerOfAnotherTypeIsGarbled() {
-    b.on(OpaqueMessage.class, request -> CompletableFuture.completedFuture(new VoteResponse()));
+  void responseOfAnotherTypeIsMalformed() {
+    b.register(OpaqueMessage.class, request -> CompletableFuture.completedFuture(new VoteResponse()));
     CompletableFuture<OpaqueMessage> call = request("x");
-    world.turnUntil(call::isDone);
-    assertThat(codeOf(call), is(ErrorCode.GARBLED));
+    world.runLoopUntil(call::isDone);
+    assertThat(codeOf(call), is(ErrorCode.MALFORMED));
   }
 
   @Test
-  void silentHandlerFailsTheCallInTimeAndItsLateAnswerIsDropped() {
+  void slowHandlerTimesOutTheCallAndItsLateResponseIsDropped() {
     CompletableFuture<OpaqueMessage> held = new CompletableFuture<>();
-    b.on(OpaqueMessage.class, request -> held);
+    b.register(OpaqueMessage.class, request -> held);
     CompletableFuture<OpaqueMessage> call =
-        a.call(b.address(), note("x", 1), OpaqueMessage.class, 300);
-    world.turnUntil(() -> b.counts().asks == 1);
-    world.pass(299);
+        a.call(b.address(), message("x", 1), OpaqueMessage.class, 300);
+    world.runLoopUntil(() -> b.counters().requestsReceived == 1);
+    world.advance(299);
     assertThat(call.isDone(), is(false));
-    world.pass(1);
-    assertThat(codeOf(call), is(ErrorCode.SILENT));
-    held.complete(note("late", 1));
-    world.turnUntil(() -> a.counts().late == 1);
-    assertThat(a.counts().answers, is(0L));
+    world.advance(1);
+    assertThat(codeOf(call), is(ErrorCode.TIMEOUT));
+    held.complete(message("late", 1));
+    world.runLoopUntil(() -> a.counters().lateResponses == 1);
+    assertThat(a.counters().responses, is(0L));
   }
 
   @Test
-  void deadPortFailsUnsentAndIsLeftAloneForAWhile() {
+  void closedPortFailsAsNotSentAndIsRetriedWithBackoff() {
     String gone = b.address();
     b.close();
-    world.turn();
-    CompletableFuture<OpaqueMessage> first = a.call(gone, note("x", 1), OpaqueMessage.class, 5_000);
-    world.turnUntil(first::isDone);
-    assertThat(codeOf(first), is(ErrorCode.UNSENT));
-    assertThat(a.counts().refusedConnects, is(1L));
+    world.runLoop();
+    CompletableFuture<OpaqueMessage> first = a.call(gone, message("x", 1), OpaqueMessage.class, 5_000);
+    world.runLoopUntil(first::isDone);
+    assertThat(codeOf(first), is(ErrorCode.NOT_SENT));
+    assertThat(a.counters().failedConnects, is(1L));
     CompletableFuture<OpaqueMessage> second =
-        a.call(gone, note("x", 1), OpaqueMessage.class, 5_000);
+        a.call(gone, message("x", 1), OpaqueMessage.class, 5_000);
     assertThat(second.isDone(), is(false));
-    world.turnUntil(second::isDone);
-    assertThat(codeOf(second), is(ErrorCode.UNSENT));
-    assertThat(a.counts().refusedConnects, is(1L));
-    world.pass(Peer.FIRST_PAUSE);
-    CompletableFuture<OpaqueMessage> third = a.call(gone, note("x", 1), OpaqueMessage.class, 5_000);
-    world.turnUntil(third::isDone);
-    assertThat(a.counts().refusedConnects, is(2L));
-    world.pass(Peer.FIRST_PAUSE);
+    world.runLoopUntil(second::isDone);
+    assertThat(codeOf(second), is(ErrorCode.NOT_SENT));
+    assertThat(a.counters().failedConnects, is(1L));
+    world.advance(Peer.INITIAL_BACKOFF_MS);
+    CompletableFuture<OpaqueMessage> third = a.call(gone, message("x", 1), OpaqueMessage.class, 5_000);
+    world.runLoopUntil(third::isDone);
+    assertThat(a.counters().failedConnects, is(2L));
+    world.advance(Peer.INITIAL_BACKOFF_MS);
     CompletableFuture<OpaqueMessage> fourth =
-        a.call(gone, note("x", 1), OpaqueMessage.class, 5_000);
-    world.turnUntil(fourth::isDone);
-    assertThat("the pause grows", a.counts().refusedConnects, is(2L));
+        a.call(gone, message("x", 1), OpaqueMessage.class, 5_000);
+    world.runLoopUntil(fourth::isDone);
+    assertThat("the pause grows", a.counters().failedConnects, is(2L));
   }
 
   @Test
-  void whatIsNoAddressIsUnsent() {
+  void invalidAddressFailsAsNotSent() {
     for (String bad : List.of("", "nowhere", "host.example:80", "127.0.0.1:x", "127.0.0.1:70000")) {
-      CompletableFuture<OpaqueMessage> call = a.call(bad, note("x", 1), OpaqueMessage.class, 5_000);
+      CompletableFuture<OpaqueMessage> call = a.call(bad, message("x", 1), OpaqueMessage.class, 5_000);
       assertThat(call.isDone(), is(false));
-      world.turnUntil(call::isDone);
-      assertThat(bad, codeOf(call), is(ErrorCode.UNSENT));
+      world.runLoopUntil(call::isDone);
+      assertThat(bad, codeOf(call), is(ErrorCode.NOT_SENT));
     }
   }
 
   @Test
-  void closedPeerBreaksOpenCallsAndTheNextOneConnectsAnew() {
-    b.on(OpaqueMessage.class, request -> new CompletableFuture<>());
+  void closedPeerFailsOpenCallsAndTheNextCallReconnects() {
+    b.register(OpaqueMessage.class, request -> new CompletableFuture<>());
     CompletableFuture<OpaqueMessage> call = request("x");
-    world.turnUntil(() -> b.counts().asks == 1);
+    world.runLoopUntil(() -> b.counters().requestsReceived == 1);
     String address = b.address();
     b.close();
-    world.turnUntil(call::isDone);
-    assertThat(codeOf(call), is(ErrorCode.BROKEN));
+    world.runLoopUntil(call::isDone);
+    assertThat(codeOf(call), is(ErrorCode.CONNECTION_LOST));
     RpcEndpoint again = new RpcEndpoint(world.loop, world.timers, address);
-    again.on(OpaqueMessage.class, request -> CompletableFuture.completedFuture(request));
+    again.register(OpaqueMessage.class, request -> CompletableFuture.completedFuture(request));
     CompletableFuture<Void> up = again.listen();
-    world.turnUntil(up::isDone);
+    world.runLoopUntil(up::isDone);
     up.join();
-    world.pass(Peer.LONGEST_PAUSE);
+    world.advance(Peer.MAX_BACKOFF_MS);
     CompletableFuture<OpaqueMessage> next =
-        a.call(address, note("y", 1), OpaqueMessage.class, 2_000);
-    world.turnUntil(next::isDone);
+        a.call(address, message("y", 1), OpaqueMessage.class, 2_000);
+    world.runLoopUntil(next::isDone);
     assertThat(next.join().kind, is("y"));
     again.close();
   }
 
   @Test
-  void callsThatWaitForTheConnectionAreBounded() {
+  void callsQueuedForAConnectionAreBounded() {
     echo();
     List<CompletableFuture<OpaqueMessage>> calls = new ArrayList<>();
-    for (int i = 0; i < Peer.MOST_WAITING; i++) {
+    for (int i = 0; i < Peer.MAX_QUEUED_CALLS; i++) {
       calls.add(request("x"));
     }
     CompletableFuture<OpaqueMessage> over = request("over");
     assertThat("never inside the call", over.isDone(), is(false));
-    world.turnUntil(over::isDone);
-    assertThat(codeOf(over), is(ErrorCode.FULL));
+    world.runLoopUntil(over::isDone);
+    assertThat(codeOf(over), is(ErrorCode.RESOURCE_EXHAUSTED));
     for (CompletableFuture<OpaqueMessage> call : calls) {
-      world.turnUntil(call::isDone);
+      world.runLoopUntil(call::isDone);
       assertThat(call.join().kind, is("x"));
     }
   }
 
   @Test
-  void bytesOnTheirWayToAPeerAreBounded() {
+  void bytesQueuedForAPeerAreBounded() {
     echo();
     CompletableFuture<OpaqueMessage> first = request("x");
-    world.turnUntil(first::isDone);
+    world.runLoopUntil(first::isDone);
     CompletableFuture<OpaqueMessage> big =
-        a.call(b.address(), note("big", 5 << 20), OpaqueMessage.class, 2_000);
+        a.call(b.address(), message("big", 5 << 20), OpaqueMessage.class, 2_000);
     CompletableFuture<OpaqueMessage> over =
-        a.call(b.address(), note("over", 5 << 20), OpaqueMessage.class, 2_000);
+        a.call(b.address(), message("over", 5 << 20), OpaqueMessage.class, 2_000);
     CompletableFuture<OpaqueMessage> small =
-        a.call(b.address(), note("small", 1 << 20), OpaqueMessage.class, 2_000);
-    world.turnUntil(() -> big.isDone() && over.isDone() && small.isDone());
+        a.call(b.address(), message("small", 1 << 20), OpaqueMessage.class, 2_000);
+    world.runLoopUntil(() -> big.isDone() && over.isDone() && small.isDone());
     assertThat(big.join().kind, is("big"));
-    assertThat(codeOf(over), is(ErrorCode.FULL));
+    assertThat(codeOf(over), is(ErrorCode.RESOURCE_EXHAUSTED));
     assertThat(small.join().kind, is("small"));
   }
 
   @Test
-  void messageThatIsTooLongIsFullAndTheLinkStays() {
-    b.on(
+  void tooLongMessageIsResourceExhaustedAndTheConnectionStays() {
+    b.register(
         OpaqueMessage.class,
-        request -> CompletableFuture.completedFuture(note("x", request.bytes.length << 20)));
+        request -> CompletableFuture.completedFuture(message("x", request.bytes.length << 20)));
     CompletableFuture<OpaqueMessage> sent =
-        a.call(b.address(), note("x", 17 << 20), OpaqueMessage.class, 2_000);
+        a.call(b.address(), message("x", 17 << 20), OpaqueMessage.class, 2_000);
     CompletableFuture<OpaqueMessage> answered =
-        a.call(b.address(), note("x", 17), OpaqueMessage.class, 2_000);
+        a.call(b.address(), message("x", 17), OpaqueMessage.class, 2_000);
     CompletableFuture<OpaqueMessage> fine =
-        a.call(b.address(), note("x", 2), OpaqueMessage.class, 2_000);
-    world.turnUntil(() -> sent.isDone() && answered.isDone() && fine.isDone());
-    assertThat(codeOf(sent), is(ErrorCode.FULL));
-    assertThat(codeOf(answered), is(ErrorCode.FULL));
+        a.call(b.address(), message("x", 2), OpaqueMessage.class, 2_000);
+    world.runLoopUntil(() -> sent.isDone() && answered.isDone() && fine.isDone());
+    assertThat(codeOf(sent), is(ErrorCode.RESOURCE_EXHAUSTED));
+    assertThat(codeOf(answered), is(ErrorCode.RESOURCE_EXHAUSTED));
     assertThat(fine.join().bytes.length, is(2 << 20));
-    assertThat(a.counts().links, is(1L));
+    assertThat(a.counters().connectionsOpened, is(1L));
   }
 
   @Test
-  void ownCallsAreAnsweredLaterAndShareNothing() {
+  void loopbackCallsCompleteLaterAndShareNothing() {
     List<OpaqueMessage> seen = new ArrayList<>();
-    a.on(
+    a.register(
         OpaqueMessage.class,
         request -> {
           seen.add(request);
           return CompletableFuture.completedFuture(request);
         });
-    OpaqueMessage asked = note("own", 3);
-    CompletableFuture<OpaqueMessage> call = a.call(a.address(), asked, OpaqueMessage.class, 100);
+    OpaqueMessage request = message("own", 3);
+    CompletableFuture<OpaqueMessage> call = a.call(a.address(), request, OpaqueMessage.class, 100);
     assertThat(call.isDone(), is(false));
     assertThat(seen.size(), is(0));
-    world.timers.pass(0);
+    world.timers.advance(0);
     assertThat(call.join().kind, is("own"));
-    assertThat(seen.get(0), is(not(sameInstance(asked))));
+    assertThat(seen.get(0), is(not(sameInstance(request))));
     assertThat(call.join(), is(not(sameInstance(seen.get(0)))));
-    assertThat(a.counts().links, is(0L));
+    assertThat(a.counters().connectionsOpened, is(0L));
   }
 
   @Test
-  void ownCallsFailWithTheCodeOrInTime() {
+  void loopbackCallsFailWithTheHandlersCodeOrTimeOut() {
     CompletableFuture<OpaqueMessage> held = new CompletableFuture<>();
-    a.on(
+    a.register(
         OpaqueMessage.class,
         request ->
             request.kind.equals("held")
                 ? held
-                : CompletableFuture.failedFuture(new ElmsailException(ErrorCode.DISK, "x")));
+                : CompletableFuture.failedFuture(new ElmsailException(ErrorCode.STORAGE_FAILURE, "x")));
     CompletableFuture<OpaqueMessage> failed =
-        a.call(a.address(), note("x", 1), OpaqueMessage.class, 100);
+        a.call(a.address(), message("x", 1), OpaqueMessage.class, 100);
     CompletableFuture<OpaqueMessage> silent =
-        a.call(a.address(), note("held", 1), OpaqueMessage.class, 100);
-    world.timers.pass(99);
-    assertThat(codeOf(failed), is(ErrorCode.DISK));
+        a.call(a.address(), message("held", 1), OpaqueMessage.class, 100);
+    world.timers.advance(99);
+    assertThat(codeOf(failed), is(ErrorCode.STORAGE_FAILURE));
     assertThat(silent.isDone(), is(false));
-    world.timers.pass(1);
-    assertThat(codeOf(silent), is(ErrorCode.SILENT));
-    held.complete(note("late", 1));
-    world.timers.pass(0);
-    assertThat(a.counts().late, is(1L));
+    world.timers.advance(1);
+    assertThat(codeOf(silent), is(ErrorCode.TIMEOUT));
+    held.complete(message("late", 1));
+    world.timers.advance(0);
+    assertThat(a.counters().lateResponses, is(1L));
   }
 
   @Test
-  void closedLinksFailTheirCalls() {
-    b.on(OpaqueMessage.class, request -> new CompletableFuture<>());
+  void closedEndpointFailsItsCalls() {
+    b.register(OpaqueMessage.class, request -> new CompletableFuture<>());
     CompletableFuture<OpaqueMessage> open = request("open");
-    world.turnUntil(() -> b.counts().asks == 1);
+    world.runLoopUntil(() -> b.counters().requestsReceived == 1);
     a.close();
     CompletableFuture<OpaqueMessage> after = request("after");
-    world.turnUntil(() -> open.isDone() && after.isDone());
-    assertThat(codeOf(open), is(ErrorCode.BROKEN));
-    assertThat(codeOf(after), is(ErrorCode.UNSENT));
+    world.runLoopUntil(() -> open.isDone() && after.isDone());
+    assertThat(codeOf(open), is(ErrorCode.CONNECTION_LOST));
+    assertThat(codeOf(after), is(ErrorCode.NOT_SENT));
   }
 
   @Test
-  void addressInUseIsToldByTheFuture() {
+  void addressInUseFailsTheListenFuture() {
     RpcEndpoint c = new RpcEndpoint(world.loop, world.timers, b.address());
     CompletableFuture<Void> up = c.listen();
-    world.turnUntil(up::isDone);
-    assertThat(codeOf(up), is(ErrorCode.BAD_SETTINGS));
+    world.runLoopUntil(up::isDone);
+    assertThat(codeOf(up), is(ErrorCode.INVALID_SETTINGS));
   }
 }
--- a/runtime/src/main/java/elmsail/runtime/Addresses.java
+++ b/runtime/src/main/java/elmsail/runtime/Addresses.java
@@ -10,34 +10,34 @@
   private Addresses() {}
 
   /** Whether it is four numbers of 0 to 255 with dots between them. */
-  public static boolean isIp(String text) {
-    return ip(text) != null;
+  public static boolean isIpv4(String text) {
+    return parseIpv4(text) != null;
   }
 
   /** Whether the text is {@code ip:port} with a port of 0 to 65535. */
   public static boolean isAddress(String text) {
     int colon = text.indexOf(':');
-    return colon > 0 && isIp(text.substring(0, colon)) && port(text, colon + 1) >= 0;
+    return colon > 0 && isIpv4(text.substring(0, colon)) && parsePort(text, colon + 1) >= 0;
   }
 
   /**
    * @throws ElmsailException BAD_CALL if it is not {@code ip:port}
    */
-  public static InetSocketAddress of(String address) {
+  public static InetSocketAddress parse(String address) {
     int colon = address.indexOf(':');
-    byte[] ip = colon < 0 ? null : ip(address.substring(0, colon));
-    int port = ip == null ? -1 : port(address, colon + 1);
+    byte[] ip = colon < 0 ? null : parseIpv4(address.substring(0, colon));
+    int port = ip == null ? -1 : parsePort(address, colon + 1);
     if (port < 0) {
-      throw new ElmsailException(ErrorCode.BAD_CALL, "not an address ip:port: " + address);
+      throw new ElmsailException(ErrorCode.INVALID_ARGUMENT, "not an address ip:port: " + address);
     }
     try {
       return new InetSocketAddress(InetAddress.getByAddress(ip), port);
     } catch (UnknownHostException e) {
-      throw new ElmsailException(ErrorCode.FAULT, "four bytes are no address", e);
+      throw new ElmsailException(ErrorCode.INTERNAL, "four bytes are no address", e);
     }
   }
 
-  private static byte[] ip(String text) {
+  private static byte[] parseIpv4(String text) {
     byte[] ip = new byte[4];
     int part = 0;
     int value = -1;
@@ -62,7 +62,7 @@
   }
 
   /** The port from there to the end; -1 if it is none. */
-  private static int port(String text, int from) {
+  private static int parsePort(String text, int from) {
     int port = from < text.length() ? 0 : -1;
     for (int i = from; i < text.length(); i++) {
       char digit = text.charAt(i);
--- a/runtime/src/main/java/elmsail/runtime/ElmsailException.java
+++ b/runtime/src/main/java/elmsail/runtime/ElmsailException.java
@@ -16,7 +16,7 @@
    * A failure with its cause. Only a FAULT has a stack trace: the other codes are ordinary events.
    */
   public ElmsailException(ErrorCode code, String detail, Throwable cause) {
-    super(code + ": " + detail, cause, true, code == ErrorCode.FAULT);
+    super(code + ": " + detail, cause, true, code == ErrorCode.INTERNAL);
     this.code = code;
     this.detail = detail;
   }
@@ -38,6 +38,6 @@
         return failure.code;
       }
     }
-    return ErrorCode.FAULT;
+    return ErrorCode.INTERNAL;
   }
 }
--- a/runtime/src/main/java/elmsail/runtime/Histogram.java
+++ b/runtime/src/main/java/elmsail/runtime/Histogram.java
@@ -9,7 +9,7 @@
 public final class Histogram {
 
   /** Bounds that suit a disk's sync and the delay of a loop. */
-  private static final long[] USUAL_BOUNDS_MS = {
+  private static final long[] DEFAULT_BOUNDS_MS = {
     1, 2, 5, 10, 20, 50, 100, 200, 500, 1_000, 2_000, 5_000
   };
 
@@ -19,11 +19,11 @@
   private final long[] counts;
 
   /** The counts as they stood at the last {@link #takeRecent()}. */
-  private final long[] countsBefore;
+  private final long[] countsAtLastTake;
 
-  private long sum;
+  private long sumMs;
   private long count;
-  private long recentMax;
+  private long recentMaxMs;
 
   /**
    * An empty histogram.
@@ -38,11 +38,11 @@
       }
     }
     counts = new long[boundsMs.length + 1];
-    countsBefore = new long[counts.length];
+    countsAtLastTake = new long[counts.length];
   }
 
-  static Histogram withUsualBounds() {
-    return new Histogram(USUAL_BOUNDS_MS);
+  static Histogram withDefaultBounds() {
+    return new Histogram(DEFAULT_BOUNDS_MS);
   }
 
   /** Counts one duration; a negative one counts as 0. */
@@ -54,8 +54,8 @@
     }
     counts[bucket]++;
     count++;
-    sum += duration;
-    recentMax = Math.max(recentMax, duration);
+    sumMs += duration;
+    recentMaxMs = Math.max(recentMaxMs, duration);
   }
 
   /** How many durations were observed since the start. */
@@ -64,12 +64,12 @@
   }
 
   /** The sum of all durations in ms. */
-  public long sum() {
-    return sum;
+  public long sumMs() {
+    return sumMs;
   }
 
   /** How many bounds there are. */
-  int bounds() {
+  int boundCount() {
     return boundsMs.length;
   }
 
@@ -79,7 +79,7 @@
   }
 
   /** How many durations were not above the bound of that bucket. */
-  long cumulative(int bucket) {
+  long cumulativeCount(int bucket) {
     long below = 0;
     for (int i = 0; i <= bucket; i++) {
       below += counts[i];
@@ -100,12 +100,12 @@
     long[] recent = new long[counts.length];
     long total = 0;
     for (int i = 0; i < counts.length; i++) {
-      recent[i] = counts[i] - countsBefore[i];
+      recent[i] = counts[i] - countsAtLastTake[i];
       total += recent[i];
     }
-    System.arraycopy(counts, 0, countsBefore, 0, counts.length);
-    long max = recentMax;
-    recentMax = 0;
+    System.arraycopy(counts, 0, countsAtLastTake, 0, counts.length);
+    long max = recentMaxMs;
+    recentMaxMs = 0;
     return new Recent(
         total, quantile(recent, total, 50, max), quantile(recent, total, 99, max), max);
   }
--- a/runtime/src/main/java/elmsail/runtime/Invariants.java
+++ b/runtime/src/main/java/elmsail/runtime/Invariants.java
@@ -17,10 +17,10 @@
 public final class Invariants {
 
   /** How many violations of one invariant are logged with their detail. */
-  static final int LOGGED = 5;
+  static final int MAX_LOGGED = 5;
 
   /** Longest detail that is logged. */
-  static final int LONGEST_DETAIL = 500;
+  static final int MAX_DETAIL_CHARS = 500;
 
   private static final Logger LOG = LoggerFactory.getLogger(Invariants.class);
   private static final String LOG_PREFIX = "invariant_";
@@ -34,7 +34,7 @@
     this.strict = strict;
     for (Invariant invariant : Invariant.values()) {
       MetricName name = new MetricName(LOG_PREFIX + invariant, FAMILY, LABEL, invariant.name());
-      counts.put(invariant, counters.of(name));
+      counts.put(invariant, counters.counter(name));
     }
   }
 
@@ -56,7 +56,7 @@
    */
   public void check(Invariant invariant, boolean holds, Supplier<String> detail) {
     if (!holds) {
-      violated(invariant, detail);
+      onViolation(invariant, detail);
     }
   }
 
@@ -74,25 +74,25 @@
     return sum;
   }
 
-  private void violated(Invariant invariant, Supplier<String> detail) {
+  private void onViolation(Invariant invariant, Supplier<String> detail) {
     Counters.Counter count = counts.get(invariant);
     count.add(1);
     if (strict) {
-      throw new InvariantViolation(invariant, described(detail));
+      throw new InvariantViolation(invariant, describe(detail));
     }
-    if (count.value() <= LOGGED) {
-      LOG.error("invariant {} violated ({}): {}", invariant, count.value(), described(detail));
+    if (count.value() <= MAX_LOGGED) {
+      LOG.error("invariant {} violated ({}): {}", invariant, count.value(), describe(detail));
     }
   }
 
   /** The detail, cut; a fault in making it must not become a fault of the process. */
-  private static String described(Supplier<String> detail) {
+  private static String describe(Supplier<String> detail) {
     String text;
     try {
       text = String.valueOf(detail.get());
     } catch (RuntimeException fault) {
       text = "no detail: " + fault;
     }
-    return text.length() <= LONGEST_DETAIL ? text : text.substring(0, LONGEST_DETAIL);
+    return text.length() <= MAX_DETAIL_CHARS ? text : text.substring(0, MAX_DETAIL_CHARS);
   }
 }
--- a/runtime/src/main/java/elmsail/runtime/LoopDelay.java
+++ b/runtime/src/main/java/elmsail/runtime/LoopDelay.java
@@ -6,7 +6,7 @@
  * long task shows in it.
  */
 public final class LoopDelay {
-  static final long EVERY_MS = 500;
+  static final long SAMPLE_INTERVAL_MS = 500;
 
   private final Timers timers;
   private final Histogram delay;
@@ -19,16 +19,16 @@
 
   /** Starts to measure; called on the loop, once for each process. */
   public static void start(Timers timers, Counters counters) {
-    new LoopDelay(timers, counters.histogram("loop_delay_ms")).next();
+    new LoopDelay(timers, counters.histogram("loop_delay_ms")).scheduleNext();
   }
 
-  private void next() {
-    dueAt = timers.now() + EVERY_MS;
-    timers.after(EVERY_MS, this::measure);
+  private void scheduleNext() {
+    dueAt = timers.now() + SAMPLE_INTERVAL_MS;
+    timers.schedule(SAMPLE_INTERVAL_MS, this::measure);
   }
 
   private void measure() {
     delay.observe(timers.now() - dueAt);
-    next();
+    scheduleNext();
   }
 }
--- a/runtime/src/main/java/elmsail/runtime/NettyLoop.java
+++ b/runtime/src/main/java/elmsail/runtime/NettyEventLoop.java
@@ -14,35 +14,35 @@
 /**
  * The process's one event loop. What a task throws is counted and logged, and never ends the loop.
  */
-public final class NettyLoop implements Timers {
+public final class NettyEventLoop implements Timers {
 
-  private static final Logger LOG = LoggerFactory.getLogger(NettyLoop.class);
+  private static final Logger LOG = LoggerFactory.getLogger(NettyEventLoop.class);
 
   /**
    * Beyond this many only every so-manyth fault is logged, so that a log does not fill with one.
    */
-  private static final int LOGGED_FAULTS = 20;
+  private static final int MAX_LOGGED_FAULTS = 20;
 
   private final MultiThreadIoEventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-  private final EventLoop events = group.next();
-  private final AtomicLong faults = new AtomicLong();
+  private final EventLoop eventLoop = group.next();
+  private final AtomicLong faultCount = new AtomicLong();
 
   /** For the channels: everything runs on it. */
-  public EventLoop events() {
-    return events;
+  public EventLoop eventLoop() {
+    return eventLoop;
   }
 
   @Override
   public long now() {
-    return SteadyClock.SYSTEM.now();
+    return MonotonicClock.SYSTEM.now();
   }
 
   @Override
-  public Timer after(long ms, Runnable then) {
+  public Timer schedule(long delayMs, Runnable task) {
     try {
       ScheduledFuture<?> set =
-          events.schedule(new Guarded(then), Math.max(0, ms), TimeUnit.MILLISECONDS);
+          eventLoop.schedule(new GuardedTask(task), Math.max(0, delayMs), TimeUnit.MILLISECONDS);
       return () -> set.cancel(false);
     } catch (RejectedExecutionException e) {
       return () -> {};
@@ -50,45 +50,45 @@
   }
 
   @Override
-  public void soon(Runnable then) {
+  public void execute(Runnable task) {
     try {
-      events.execute(new Guarded(then));
+      eventLoop.execute(new GuardedTask(task));
     } catch (RejectedExecutionException e) {
       LOG.debug("the loop has ended");
     }
   }
 
   /** How many tasks have thrown something. */
-  public long faults() {
-    return faults.get();
+  public long faultCount() {
+    return faultCount.get();
   }
 
   /** Counts and logs what a task or a handler of a channel threw. */
-  public void fault(Throwable thrown) {
-    long number = faults.incrementAndGet();
-    if (number <= LOGGED_FAULTS || number % 1_000 == 0) {
+  public void reportFault(Throwable thrown) {
+    long number = faultCount.incrementAndGet();
+    if (number <= MAX_LOGGED_FAULTS || number % 1_000 == 0) {
       LOG.error("fault {} on the loop", number, thrown);
     }
   }
 
   /** Ends the loop: nothing set or sent afterwards is run. */
-  public Future<?> stop() {
+  public Future<?> shutdown() {
     return group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
   }
 
-  private final class Guarded implements Runnable {
-    private final Runnable then;
+  private final class GuardedTask implements Runnable {
+    private final Runnable task;
 
-    Guarded(Runnable then) {
-      this.then = then;
+    GuardedTask(Runnable task) {
+      this.task = task;
     }
 
     @Override
     public void run() {
       try {
-        then.run();
+        task.run();
       } catch (Exception | LinkageError | AssertionError | StackOverflowError e) {
-        fault(e);
+        reportFault(e);
       }
     }
   }
--- a/runtime/src/main/java/elmsail/runtime/ProcessSignals.java
+++ b/runtime/src/main/java/elmsail/runtime/ProcessSignals.java
@@ -16,15 +16,15 @@
 public final class ProcessSignals {
 
   private static final Logger LOG = LoggerFactory.getLogger(ProcessSignals.class);
-  private static final long LOOK_MS = 2_000;
+  private static final long FILE_CHECK_INTERVAL_MS = 2_000;
 
   private final Timers timers;
   private final Path file;
-  private final Runnable term;
-  private final Consumer<Settings> changed;
+  private final Runnable onTerminate;
+  private final Consumer<Settings> onSettingsChanged;
   private Settings current;
-  private FileTime seen;
-  private boolean ending;
+  private FileTime lastModified;
+  private boolean terminating;
 
   /**
    * @param current as they were read at the start
@@ -36,56 +36,56 @@
     this.timers = timers;
     this.file = file;
     this.current = current;
-    this.term = term;
-    this.changed = changed;
-    seen = modified();
+    this.onTerminate = term;
+    this.onSettingsChanged = changed;
+    lastModified = readLastModified();
   }
 
   /** Listens for the signals, and looks at the file's time now and then. */
-  public ProcessSignals listen() {
-    Signals.handle("TERM", () -> timers.soon(this::term));
-    Signals.handle("HUP", () -> timers.soon(this::read));
-    timers.after(LOOK_MS, this::look);
+  public ProcessSignals start() {
+    Signals.handle("TERM", () -> timers.execute(this::onTerminate));
+    Signals.handle("HUP", () -> timers.execute(this::reload));
+    timers.schedule(FILE_CHECK_INTERVAL_MS, this::checkFile);
     return this;
   }
 
   /** As on SIGTERM; on the loop. */
-  public void term() {
-    if (!ending) {
-      ending = true;
+  public void onTerminate() {
+    if (!terminating) {
+      terminating = true;
       LOG.info("asked to end");
-      term.run();
+      onTerminate.run();
     }
   }
 
-  private void look() {
-    timers.after(LOOK_MS, this::look);
-    FileTime now = modified();
-    if (now != null && !now.equals(seen)) {
-      read();
+  private void checkFile() {
+    timers.schedule(FILE_CHECK_INTERVAL_MS, this::checkFile);
+    FileTime now = readLastModified();
+    if (now != null && !now.equals(lastModified)) {
+      reload();
     }
   }
 
   /** As on SIGHUP; on the loop. */
-  public void read() {
-    seen = modified();
+  public void reload() {
+    lastModified = readLastModified();
     Settings next;
     try {
       next = SettingsFile.read(file);
     } catch (ElmsailException e) {
       // It may have been half written: looked at again, whatever its time says.
-      seen = null;
+      lastModified = null;
       LOG.warn("keeping the settings as they were: {}", e.getMessage());
       return;
     }
     if (!next.equals(current)) {
       current = next;
       LOG.info("settings have changed");
-      changed.accept(next);
+      onSettingsChanged.accept(next);
     }
   }
 
-  private FileTime modified() {
+  private FileTime readLastModified() {
     try {
       return Files.getLastModifiedTime(file);
     } catch (IOException e) {
--- a/runtime/src/main/java/elmsail/runtime/MetricsText.java
+++ b/runtime/src/main/java/elmsail/runtime/PrometheusText.java
@@ -7,23 +7,23 @@
  * All figures of a process in the Prometheus text format: a {@code # TYPE} line for each family,
  * then a line for each figure. The size is bounded: families that no longer fit are left out.
  */
-public final class MetricsText {
+public final class PrometheusText {
 
   /** The media type of the format. */
   public static final String CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8";
 
   /** Longest text in characters, all of which are ASCII. */
-  static final int MOST_CHARS = 64 * 1024;
+  static final int MAX_CHARS = 64 * 1024;
 
   private static final String PREFIX = "elmsail_";
 
-  private MetricsText() {}
+  private PrometheusText() {}
 
   /** The present figures. */
-  public static String of(Counters counters) {
+  public static String format(Counters counters) {
     StringBuilder text = new StringBuilder();
     for (Map.Entry<String, StringBuilder> family : families(counters).entrySet()) {
-      if (text.length() + family.getValue().length() <= MOST_CHARS) {
+      if (text.length() + family.getValue().length() <= MAX_CHARS) {
         text.append(family.getValue());
       }
     }
@@ -34,14 +34,14 @@
     Map<String, StringBuilder> families = new LinkedHashMap<>();
     for (Map.Entry<MetricName, Counters.Counter> entry : counters.counters().entrySet()) {
       Counters.Counter counter = entry.getValue();
-      String family = sanitized(entry.getKey().family());
+      String family = familyName(entry.getKey().family());
       String type = counter.kind() == Counters.Kind.GAUGE ? "gauge" : "counter";
       StringBuilder lines = families.computeIfAbsent(family, name -> typeLine(name, type));
       lines.append(family).append(labels(entry.getKey()));
       lines.append(' ').append(counter.value()).append('\n');
     }
     for (Map.Entry<MetricName, Histogram> entry : counters.histograms().entrySet()) {
-      String family = sanitized(entry.getKey().family());
+      String family = familyName(entry.getKey().family());
       StringBuilder lines = families.computeIfAbsent(family, name -> typeLine(name, "histogram"));
       append(lines, family, entry.getValue());
     }
@@ -53,12 +53,12 @@
   }
 
   private static void append(StringBuilder lines, String family, Histogram histogram) {
-    for (int bucket = 0; bucket < histogram.bounds(); bucket++) {
+    for (int bucket = 0; bucket < histogram.boundCount(); bucket++) {
       bucketLine(
-          lines, family, Long.toString(histogram.boundMs(bucket)), histogram.cumulative(bucket));
+          lines, family, Long.toString(histogram.boundMs(bucket)), histogram.cumulativeCount(bucket));
     }
     bucketLine(lines, family, "+Inf", histogram.count());
-    lines.append(family).append("_sum ").append(histogram.sum()).append('\n');
+    lines.append(family).append("_sum ").append(histogram.sumMs()).append('\n');
     lines.append(family).append("_count ").append(histogram.count()).append('\n');
   }
 
@@ -70,15 +70,15 @@
   private static String labels(MetricName name) {
     return name.label() == null
         ? ""
-        : "{" + legal(name.label()) + "=\"" + escaped(name.labelValue()) + "\"}";
+        : "{" + sanitize(name.label()) + "=\"" + escape(name.labelValue()) + "\"}";
   }
 
-  private static String sanitized(String family) {
-    return PREFIX + legal(family);
+  private static String familyName(String family) {
+    return PREFIX + sanitize(family);
   }
 
   /** Names are of letters, digits and underscores; every other character becomes an underscore. */
-  private static String legal(String name) {
+  private static String sanitize(String name) {
     StringBuilder legal = new StringBuilder(name.length());
     for (int i = 0; i < name.length(); i++) {
       char letter = name.charAt(i);
@@ -91,7 +91,7 @@
     return legal.toString();
   }
 
-  private static String escaped(String value) {
+  private static String escape(String value) {
     return value.replace("\\", "\\\\").replace("\"", "\\\"").replace("\n", "\\n");
   }
 }
--- a/runtime/src/main/java/elmsail/runtime/SettingsFile.java
+++ b/runtime/src/main/java/elmsail/runtime/SettingsFile.java
@@ -23,10 +23,10 @@
 public final class SettingsFile {
 
   /** The variable that names the file. */
-  public static final String VARIABLE = "ELMSAIL_SETTINGS";
+  public static final String ENVIRONMENT_VARIABLE = "ELMSAIL_SETTINGS";
 
   /** Settings are a few kilobytes; what is much larger is no settings file. */
-  private static final long MOST_BYTES = 4 * 1024 * 1024;
+  private static final long MAX_BYTES = 4 * 1024 * 1024;
 
   private SettingsFile() {}
 
@@ -36,12 +36,12 @@
   public static Settings read(Path file) {
     String text;
     try {
-      if (Files.size(file) > MOST_BYTES) {
-        throw new ElmsailException(ErrorCode.BAD_SETTINGS, file + " is too large");
+      if (Files.size(file) > MAX_BYTES) {
+        throw new ElmsailException(ErrorCode.INVALID_SETTINGS, file + " is too large");
       }
       text = Files.readString(file, StandardCharsets.UTF_8);
     } catch (IOException e) {
-      throw new ElmsailException(ErrorCode.BAD_SETTINGS, "cannot read " + file + ": " + e, e);
+      throw new ElmsailException(ErrorCode.INVALID_SETTINGS, "cannot read " + file + ": " + e, e);
     }
     return parse(text);
   }
@@ -59,123 +59,123 @@
               .root()
               .unwrapped();
     } catch (ConfigException e) {
-      throw new ElmsailException(ErrorCode.BAD_SETTINGS, "not JSON: " + e.getMessage(), e);
+      throw new ElmsailException(ErrorCode.INVALID_SETTINGS, "not JSON: " + e.getMessage(), e);
     }
-    return settings(new Fields("", root));
+    return settings(new SettingsObject("", root));
   }
 
-  private static Settings settings(Fields root) {
-    String zone = root.text("zone");
-    Map<String, String> zones = root.texts("zones");
+  private static Settings settings(SettingsObject root) {
+    String zone = root.string("zone");
+    Map<String, String> zones = root.stringMap("zones");
     List<Object> ports = root.list("inner_ports");
     if (ports.size() != 2) {
-      throw Fields.fault("inner_ports", "expected the first and the last port");
+      throw SettingsObject.invalid("inner_ports", "expected the first and the last port");
     }
-    int first = (int) Fields.whole("inner_ports.0", ports.get(0), 1, 65_535);
-    int last = (int) Fields.whole("inner_ports.1", ports.get(1), 1, 65_535);
+    int first = (int) SettingsObject.integer("inner_ports.0", ports.get(0), 1, 65_535);
+    int last = (int) SettingsObject.integer("inner_ports.1", ports.get(1), 1, 65_535);
     if (last < first + 1) {
-      throw Fields.fault("inner_ports", "expected two ports or more");
+      throw SettingsObject.invalid("inner_ports", "expected two ports or more");
     }
-    String region = root.textOr("region", zones.getOrDefault(zone, zone));
+    String region = root.stringOr("region", zones.getOrDefault(zone, zone));
     return new Settings(
-        root.text("station"),
-        root.textOr("role", ""),
-        root.textOr("machine_class", ""),
-        names(root.path("serves"), root.list("serves")),
+        root.string("station"),
+        root.stringOr("role", ""),
+        root.stringOr("machine_class", ""),
+        names(root.pathOf("serves"), root.list("serves")),
         ip(root),
         zone,
         region,
         zones,
-        slots(root.child("mail_slots")),
+        listenAddresses(root.child("mail_slots")),
         first,
         last,
         seeds(root),
-        root.yes("first_start", false),
-        root.yes("counted", true),
+        root.booleanOr("first_start", false),
+        root.booleanOr("counted", true),
         limits(root.child("limits")),
-        root.textOr("data_dir", null),
-        names(root.path("clauses"), root.listOrEmpty("clauses")),
-        (int) root.child("bear_losses").wholeOr("machines", 1, 0, 1_000),
+        root.stringOr("data_dir", null),
+        names(root.pathOf("clauses"), root.listOrEmpty("clauses")),
+        (int) root.child("bear_losses").integerOr("machines", 1, 0, 1_000),
         bounds(root.child("bounds")),
         platform(root.childOrNull("carrier_api")));
   }
 
-  private static String ip(Fields root) {
-    String ip = root.text("ip");
-    if (!Addresses.isIp(ip)) {
-      throw Fields.fault("ip", "not an IPv4 number: " + ip);
+  private static String ip(SettingsObject root) {
+    String ip = root.string("ip");
+    if (!Addresses.isIpv4(ip)) {
+      throw SettingsObject.invalid("ip", "not an IPv4 number: " + ip);
     }
     return ip;
   }
 
-  private static Map<String, String> slots(Fields fields) {
+  private static Map<String, String> listenAddresses(SettingsObject fields) {
     Map<String, String> slots = new LinkedHashMap<>();
     for (String name : fields.names()) {
-      String address = fields.textOr(name, null);
+      String address = fields.stringOr(name, null);
       if (address != null) {
-        slots.put(name, address(fields.path(name), address));
+        slots.put(name, address(fields.pathOf(name), address));
       }
     }
     return Map.copyOf(slots);
   }
 
-  private static List<String> seeds(Fields root) {
+  private static List<String> seeds(SettingsObject root) {
     List<String> seeds = new ArrayList<>();
     List<Object> given = root.listOrEmpty("seed_stations");
     for (int i = 0; i < given.size(); i++) {
       String path = "seed_stations." + i;
-      seeds.add(address(path, Fields.text(path, given.get(i))));
+      seeds.add(address(path, SettingsObject.string(path, given.get(i))));
     }
     return List.copyOf(seeds);
   }
 
-  private static Settings.Limits limits(Fields limits) {
+  private static Settings.Limits limits(SettingsObject limits) {
     return new Settings.Limits(
         limits.numberOr("cpu_share", 0.5, 0.001, 1_000),
-        (int) limits.wholeOr("memory_mb", 256, 1, 1 << 30),
-        (int) limits.wholeOr("fds", 1_024, 1, 1 << 30),
+        (int) limits.integerOr("memory_mb", 256, 1, 1 << 30),
+        (int) limits.integerOr("fds", 1_024, 1, 1 << 30),
         limits.numberOr("link_mbps", 1_000, 0.001, 1e9),
-        (int) limits.wholeOr("disk_mb", 64, 0, 1 << 30));
+        (int) limits.integerOr("disk_mb", 64, 0, 1 << 30));
   }
 
-  private static Settings.Bounds bounds(Fields bounds) {
+  private static Settings.Bounds bounds(SettingsObject bounds) {
     return new Settings.Bounds(
-        bounds.ms("in_touch_ms", 3_000),
-        bounds.ms("ack_ms", 4_000),
-        bounds.seconds("catch_up_s", 5),
-        bounds.ms("drain_ms", 3_000),
-        bounds.seconds("grace_s", 8),
-        bounds.ms("lost_slack_ms", 200),
-        bounds.ms("in_force_ms", 2_000),
-        bounds.ms("pass_ms", 120),
-        bounds.seconds("status_s", 120),
-        bounds.ms("cancel_ms", 3_000),
-        bounds.ms("settle_ms", 1_000),
+        bounds.millisOr("in_touch_ms", 3_000),
+        bounds.millisOr("ack_ms", 4_000),
+        bounds.secondsAsMillisOr("catch_up_s", 5),
+        bounds.millisOr("drain_ms", 3_000),
+        bounds.secondsAsMillisOr("grace_s", 8),
+        bounds.millisOr("lost_slack_ms", 200),
+        bounds.millisOr("in_force_ms", 2_000),
+        bounds.millisOr("pass_ms", 120),
+        bounds.secondsAsMillisOr("status_s", 120),
+        bounds.millisOr("cancel_ms", 3_000),
+        bounds.millisOr("settle_ms", 1_000),
         bounds.numberOr("quota_over", 0.1, 0, 1_000),
-        bounds.seconds("reuse_after_s", 2));
+        bounds.secondsAsMillisOr("reuse_after_s", 2));
   }
 
-  private static Settings.Platform platform(Fields platform) {
+  private static Settings.Platform platform(SettingsObject platform) {
     if (platform == null) {
       return null;
     }
     return new Settings.Platform(
-        address(platform.path("address"), platform.text("address")),
+        address(platform.pathOf("address"), platform.string("address")),
         platform.numberOr("per_s", 10, 0.001, 1e9),
-        platform.ms("lag_ms", 1_000));
+        platform.millisOr("lag_ms", 1_000));
   }
 
   private static Set<String> names(String path, List<Object> given) {
     Set<String> names = new LinkedHashSet<>();
     for (int i = 0; i < given.size(); i++) {
-      names.add(Fields.text(path + "." + i, given.get(i)));
+      names.add(SettingsObject.string(path + "." + i, given.get(i)));
     }
     return Set.copyOf(names);
   }
 
   private static String address(String path, String address) {
     if (!Addresses.isAddress(address)) {
-      throw Fields.fault(path, "not an address ip:port: " + address);
+      throw SettingsObject.invalid(path, "not an address ip:port: " + address);
     }
     return address;
   }
--- /dev/null
+++ b/runtime/src/main/java/elmsail/runtime/SettingsObject.java
@@ -0,0 +1,149 @@
+package elmsail.runtime;
+
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+/** One object of the settings, and the path to it. A field that is null counts as missing. */
+final class SettingsObject {
+  /** The longest time that settings may name: some 30 years. */
+  private static final double MAX_MS = 1e12;
+
+  private final String path;
+  private final Map<?, ?> fields;
+
+  SettingsObject(String at, Map<?, ?> fields) {
+    this.path = at;
+    this.fields = fields;
+  }
+
+  String pathOf(String name) {
+    return path.isEmpty() ? name : path + "." + name;
+  }
+
+  Set<String> names() {
+    Map<String, Object> names = new LinkedHashMap<>();
+    for (Object name : fields.keySet()) {
+      names.put(name.toString(), name);
+    }
+    return names.keySet();
+  }
+
+  /** The object of this name; one without fields where it is missing. */
+  SettingsObject child(String name) {
+    SettingsObject child = childOrNull(name);
+    return child == null ? new SettingsObject(pathOf(name), Map.of()) : child;
+  }
+
+  SettingsObject childOrNull(String name) {
+    Object value = fields.get(name);
+    if (value == null) {
+      return null;
+    }
+    if (value instanceof Map<?, ?> map) {
+      return new SettingsObject(pathOf(name), map);
+    }
+    throw invalid(pathOf(name), "expected an object");
+  }
+
+  String string(String name) {
+    return string(pathOf(name), required(name));
+  }
+
+  String stringOr(String name, String defaultValue) {
+    Object value = fields.get(name);
+    return value == null ? defaultValue : string(pathOf(name), value);
+  }
+
+  Map<String, String> stringMap(String name) {
+    SettingsObject child = child(name);
+    Map<String, String> texts = new LinkedHashMap<>();
+    for (String key : child.names()) {
+      texts.put(key, child.string(key));
+    }
+    return Map.copyOf(texts);
+  }
+
+  List<Object> list(String name) {
+    return list(pathOf(name), required(name));
+  }
+
+  List<Object> listOrEmpty(String name) {
+    Object value = fields.get(name);
+    return value == null ? List.of() : list(pathOf(name), value);
+  }
+
+  boolean booleanOr(String name, boolean defaultValue) {
+    Object value = fields.get(name);
+    if (value == null) {
+      return defaultValue;
+    }
+    if (value instanceof Boolean yes) {
+      return yes;
+    }
+    throw invalid(pathOf(name), "expected true or false");
+  }
+
+  long integerOr(String name, long defaultValue, long min, long max) {
+    Object value = fields.get(name);
+    return value == null ? defaultValue : integer(pathOf(name), value, min, max);
+  }
+
+  double numberOr(String name, double defaultValue, double min, double max) {
+    Object value = fields.get(name);
+    return value == null ? defaultValue : number(pathOf(name), value, min, max);
+  }
+
+  /** Milliseconds, rounded up from a fraction. */
+  long millisOr(String name, long defaultValue) {
+    return (long) Math.ceil(numberOr(name, defaultValue, 0, MAX_MS));
+  }
+
+  /** Milliseconds, of a field in seconds. */
+  long secondsAsMillisOr(String name, long defaultValue) {
+    return Math.round(numberOr(name, defaultValue, 0, MAX_MS / 1_000) * 1_000);
+  }
+
+  private Object required(String name) {
+    Object value = fields.get(name);
+    if (value == null) {
+      throw invalid(pathOf(name), "is missing");
+    }
+    return value;
+  }
+
+  static String string(String path, Object value) {
+    if (value instanceof String text) {
+      return text;
+    }
+    throw invalid(path, "expected a text");
+  }
+
+  /** A whole number; one written as a fraction is rounded down. */
+  static long integer(String path, Object value, long min, long max) {
+    return (long) Math.floor(number(path, value, min, max));
+  }
+
+  private static double number(String path, Object value, double min, double max) {
+    if (!(value instanceof Number)) {
+      throw invalid(path, "expected a number");
+    }
+    double number = ((Number) value).doubleValue();
+    if (number >= min && number <= max) {
+      return number;
+    }
+    throw invalid(path, "expected " + min + " to " + max + ", not " + value);
+  }
+
+  private static List<Object> list(String path, Object value) {
+    if (value instanceof List<?> list) {
+      return List.copyOf(list);
+    }
+    throw invalid(path, "expected a list");
+  }
+
+  static ElmsailException invalid(String path, String detail) {
+    return new ElmsailException(ErrorCode.INVALID_SETTINGS, path + ": " + detail);
+  }
+}
--- a/runtime/src/main/java/elmsail/runtime/Signals.java
+++ b/runtime/src/main/java/elmsail/runtime/Signals.java
@@ -25,16 +25,16 @@
       Method handled = handler.getMethod("handle", signal);
       Object run =
           Proxy.newProxyInstance(
-              Signals.class.getClassLoader(), new Class<?>[] {handler}, new Heard(handled, action));
+              Signals.class.getClassLoader(), new Class<?>[] {handler}, new SignalInvocationHandler(handled, action));
       signal
           .getMethod("handle", signal, handler)
           .invoke(null, signal.getConstructor(String.class).newInstance(name), run);
     } catch (ReflectiveOperationException e) {
-      throw new ElmsailException(ErrorCode.FAULT, "this runtime does not report SIG" + name, e);
+      throw new ElmsailException(ErrorCode.INTERNAL, "this runtime does not report SIG" + name, e);
     }
   }
 
-  private record Heard(Method handled, Runnable action) implements InvocationHandler {
+  private record SignalInvocationHandler(Method handled, Runnable action) implements InvocationHandler {
     @Override
     public Object invoke(Object proxy, Method method, Object[] args)
         throws ReflectiveOperationException {
--- a/runtime/src/main/java/elmsail/runtime/http/HttpClient.java
+++ b/runtime/src/main/java/elmsail/runtime/http/HttpClient.java
@@ -5,5 +5,5 @@
 /** Small calls to others' addresses. */
 public interface HttpClient {
   /** Fails with UNSENT, BROKEN, SILENT or GARBLED. The connection is closed afterwards. */
-  CompletableFuture<HttpReply> get(String address, String pathAndQuery, long timeoutMs);
+  CompletableFuture<SimpleHttpResponse> get(String address, String pathAndQuery, long timeoutMs);
 }
--- a/runtime/src/main/java/elmsail/runtime/http/HttpFraming.java
+++ b/runtime/src/main/java/elmsail/runtime/http/HttpFramingValidator.java
@@ -16,56 +16,56 @@
  * What both decoders refuse beyond the codec's own checks: heads with folded lines, and messages
  * whose end could be told in two ways. Follows where the decoder stands, from what it has put out.
  */
-final class HttpFraming {
+final class HttpFramingValidator {
 
-  private final Supplier<HttpMessage> invalid;
-  private boolean inHead = true;
-  private boolean lineSeen;
-  private boolean refused;
+  private final Supplier<HttpMessage> invalidMessage;
+  private boolean inHeaders = true;
+  private boolean sawHeaderLine;
+  private boolean rejected;
 
   /**
    * @param invalid makes the message that stands for one refused
    */
-  HttpFraming(Supplier<HttpMessage> invalid) {
-    this.invalid = invalid;
+  HttpFramingValidator(Supplier<HttpMessage> invalid) {
+    this.invalidMessage = invalid;
   }
 
-  static HttpDecoderConfig config(int mostLine, int mostHead, int mostPiece) {
+  static HttpDecoderConfig decoderConfig(int maxLineBytes, int maxHeaderBytes, int maxChunkBytes) {
     return new HttpDecoderConfig()
-        .setMaxInitialLineLength(mostLine)
-        .setMaxHeaderSize(mostHead)
-        .setMaxChunkSize(mostPiece)
+        .setMaxInitialLineLength(maxLineBytes)
+        .setMaxHeaderSize(maxHeaderBytes)
+        .setMaxChunkSize(maxChunkBytes)
         .setStrictLineParsing(true)
         .setUseRfc9112TransferEncoding(true)
         .setAllowDuplicateContentLengths(false);
   }
 
-  static void colon(byte[] line, int end) {
+  static void requireColon(byte[] line, int end) {
     if (end >= line.length || line[end] != ':') {
       throw new IllegalArgumentException("no colon behind a header's name");
     }
   }
 
-  static IllegalArgumentException lengthAndChunks() {
+  static IllegalArgumentException lengthWithChunksError() {
     return new IllegalArgumentException("both a length and chunks");
   }
 
   /** Whether a message has begun to come and is not whole yet. */
-  boolean inside() {
-    return !inHead || lineSeen;
+  boolean isInsideMessage() {
+    return !inHeaders || sawHeaderLine;
   }
 
   /**
    * Whether the decoder may go on with these bytes; else they are dropped, and the first time a
    * refused message is put out.
    */
-  boolean admits(ByteBuf in, List<Object> out) {
-    if (refused) {
+  boolean beforeDecode(ByteBuf in, List<Object> out) {
+    if (rejected) {
       in.skipBytes(in.readableBytes());
       return false;
     }
-    if (folded(in)) {
-      refuse("a folded line", in, out);
+    if (hasFoldedLine(in)) {
+      reject("a folded line", in, out);
       return false;
     }
     return true;
@@ -74,27 +74,27 @@
   /**
    * Looks at what the decoder has put out; where a head is wrong, a refused message replaces it.
    */
-  void check(ByteBuf in, List<Object> out, int from) {
-    String fault = passed(out, from);
+  void afterDecode(ByteBuf in, List<Object> out, int from) {
+    String fault = trackDecoded(out, from);
     if (fault != null) {
       while (out.size() > from) {
         ReferenceCountUtil.release(out.remove(out.size() - 1));
       }
-      refuse(fault, in, out);
+      reject(fault, in, out);
     }
   }
 
-  private void refuse(String fault, ByteBuf in, List<Object> out) {
-    refused = true;
-    HttpMessage none = invalid.get();
+  private void reject(String fault, ByteBuf in, List<Object> out) {
+    rejected = true;
+    HttpMessage none = invalidMessage.get();
     none.setDecoderResult(DecoderResult.failure(new IllegalArgumentException(fault)));
     out.add(none);
     in.skipBytes(in.readableBytes());
   }
 
   /** Whether a line of the head begins with a space: one folded, or ahead of the message. */
-  private boolean folded(ByteBuf in) {
-    if (!inHead) {
+  private boolean hasFoldedLine(ByteBuf in) {
+    if (!inHeaders) {
       return false;
     }
     int at = in.readerIndex();
@@ -109,37 +109,37 @@
         return false;
       }
       boolean blank = feed == at || feed == at + 1 && first == '\r';
-      if (blank && lineSeen) {
+      if (blank && sawHeaderLine) {
         return false;
       }
-      lineSeen |= !blank;
+      sawHeaderLine |= !blank;
       at = feed + 1;
     }
     return false;
   }
 
   /** Takes in what the decoder has put out since; null, or what is wrong with a head among it. */
-  private String passed(List<Object> out, int from) {
+  private String trackDecoded(List<Object> out, int from) {
     String fault = null;
     for (int i = from; i < out.size(); i++) {
       Object one = out.get(i);
       // The codec drops the rest by itself then.
-      refused |= one instanceof HttpObject object && object.decoderResult().isFailure();
+      rejected |= one instanceof HttpObject object && object.decoderResult().isFailure();
       if (one instanceof HttpMessage message) {
-        inHead = false;
-        lineSeen = false;
+        inHeaders = false;
+        sawHeaderLine = false;
         if (message.decoderResult().isSuccess() && fault == null) {
-          fault = fault(message);
+          fault = findFramingError(message);
         }
       }
       if (one instanceof LastHttpContent) {
-        inHead = true;
+        inHeaders = true;
       }
     }
     return fault;
   }
 
-  private static String fault(HttpMessage message) {
+  private static String findFramingError(HttpMessage message) {
     List<String> codings = message.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
     if (codings.isEmpty()) {
       return null;
--- a/runtime/src/main/java/elmsail/runtime/http/HttpHandler.java
+++ b/runtime/src/main/java/elmsail/runtime/http/HttpHandler.java
@@ -6,5 +6,5 @@
 @FunctionalInterface
 public interface HttpHandler {
   /** Completes on the loop; a future that fails is answered 503. */
-  CompletableFuture<HttpReply> handle(HttpCall call);
+  CompletableFuture<SimpleHttpResponse> handle(SimpleHttpRequest request);
 }
--- a/runtime/src/main/java/elmsail/runtime/http/HttpServer.java
+++ b/runtime/src/main/java/elmsail/runtime/http/HttpServer.java
@@ -3,7 +3,7 @@
 import elmsail.runtime.Addresses;
 import elmsail.runtime.ElmsailException;
 import elmsail.runtime.ErrorCode;
-import elmsail.runtime.NettyLoop;
+import elmsail.runtime.NettyEventLoop;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -19,51 +19,51 @@
  */
 public final class HttpServer {
 
-  static final int MOST_CONNECTIONS = 256;
-  private static final int BACKLOG = 512;
+  static final int MAX_CONNECTIONS = 256;
+  private static final int LISTEN_BACKLOG = 512;
 
-  private final NettyLoop loop;
+  private final NettyEventLoop loop;
   private final HttpHandler handler;
-  private final int mostBody;
-  private Channel listening;
-  private int open;
-  private long turnedAway;
+  private final int maxBodyBytes;
+  private Channel listener;
+  private int openConnections;
+  private long rejectedConnections;
 
-  private HttpServer(NettyLoop loop, HttpHandler handler, int mostBody) {
+  private HttpServer(NettyEventLoop loop, HttpHandler handler, int maxBodyBytes) {
     this.loop = loop;
     this.handler = handler;
-    this.mostBody = mostBody;
+    this.maxBodyBytes = maxBodyBytes;
   }
 
   /**
    * Completes on the loop once the address is bound; may be called from any thread.
    *
    * @param address ip:port; port 0 for a free one
-   * @param mostBodyBytes beyond which a call is answered 413
+   * @param maxBodyBytes beyond which a call is answered 413
    * @return fails with BAD_SETTINGS if the address cannot be bound
    */
   public static CompletableFuture<HttpServer> listen(
-      NettyLoop loop, String address, HttpHandler handler, int mostBodyBytes) {
-    HttpServer serving = new HttpServer(loop, handler, mostBodyBytes);
+      NettyEventLoop loop, String address, HttpHandler handler, int maxBodyBytes) {
+    HttpServer serving = new HttpServer(loop, handler, maxBodyBytes);
     CompletableFuture<HttpServer> bound = new CompletableFuture<>();
     ChannelFuture binding =
         new ServerBootstrap()
-            .group(loop.events())
+            .group(loop.eventLoop())
             .channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_BACKLOG, BACKLOG)
+            .option(ChannelOption.SO_BACKLOG, LISTEN_BACKLOG)
             .option(ChannelOption.SO_REUSEADDR, true)
             .childOption(ChannelOption.TCP_NODELAY, true)
-            .childHandler(serving.new Opening())
-            .bind(Addresses.of(address));
+            .childHandler(serving.new ConnectionInitializer())
+            .bind(Addresses.parse(address));
     binding.addListener(
         done -> {
           if (done.isSuccess()) {
-            serving.listening = binding.channel();
+            serving.listener = binding.channel();
             bound.complete(serving);
           } else {
             bound.completeExceptionally(
                 new ElmsailException(
-                    ErrorCode.BAD_SETTINGS, "cannot listen on " + address, done.cause()));
+                    ErrorCode.INVALID_SETTINGS, "cannot listen on " + address, done.cause()));
           }
         });
     return bound;
@@ -71,36 +71,36 @@
 
   /** Where it listens, ip:port. */
   public String address() {
-    InetSocketAddress local = (InetSocketAddress) listening.localAddress();
+    InetSocketAddress local = (InetSocketAddress) listener.localAddress();
     return local.getAddress().getHostAddress() + ":" + local.getPort();
   }
 
   /** How many connections are open. */
-  public int connections() {
-    return open;
+  public int openConnections() {
+    return openConnections;
   }
 
   /** How many connections were closed at once, as there were too many. */
-  public long turnedAway() {
-    return turnedAway;
+  public long rejectedConnections() {
+    return rejectedConnections;
   }
 
   /** Takes no new connections; those that are open go on. */
   public void close() {
-    listening.close();
+    listener.close();
   }
 
-  private final class Opening extends ChannelInitializer<Channel> {
+  private final class ConnectionInitializer extends ChannelInitializer<Channel> {
     @Override
     protected void initChannel(Channel channel) {
-      if (open >= MOST_CONNECTIONS) {
-        turnedAway++;
+      if (openConnections >= MAX_CONNECTIONS) {
+        rejectedConnections++;
         channel.close();
         return;
       }
-      open++;
-      channel.closeFuture().addListener(closed -> open--);
-      HttpServerConnection.pipeline(channel, loop, handler, mostBody);
+      openConnections++;
+      channel.closeFuture().addListener(closed -> openConnections--);
+      HttpServerConnection.initPipeline(channel, loop, handler, maxBodyBytes);
     }
   }
 }
--- a/runtime/src/main/java/elmsail/runtime/http/HttpServerConnection.java
+++ b/runtime/src/main/java/elmsail/runtime/http/HttpServerConnection.java
@@ -35,54 +35,54 @@
  */
 final class HttpServerConnection extends ChannelInboundHandlerAdapter {
 
-  static final long IDLE_MS = 15_000;
-  static final int MOST_LINE = 8_192;
-  static final int MOST_HEAD = 16_384;
-  private static final int MOST_PIECE = 64 * 1024;
-  private static final byte[] NOTHING = new byte[0];
+  static final long IDLE_TIMEOUT_MS = 15_000;
+  static final int MAX_LINE_BYTES = 8_192;
+  static final int MAX_HEADER_BYTES = 16_384;
+  private static final int MAX_CHUNK_BYTES = 64 * 1024;
+  private static final byte[] EMPTY_BODY = new byte[0];
 
   private final Timers timers;
   private final HttpHandler handler;
-  private final int mostBody;
+  private final int maxBodyBytes;
 
   /** Parts of the messages behind the one being answered: of what one read has brought. */
-  private final ArrayDeque<Object> waiting = new ArrayDeque<>();
+  private final ArrayDeque<Object> pipelinedParts = new ArrayDeque<>();
 
   private HttpRequest head;
   private ByteBuf body;
-  private boolean answering;
+  private boolean responding;
   private boolean closing;
-  private long limit;
+  private long deadline;
   private Timers.Timer idle;
 
-  private HttpServerConnection(Timers timers, HttpHandler handler, int mostBody) {
+  private HttpServerConnection(Timers timers, HttpHandler handler, int maxBodyBytes) {
     this.timers = timers;
     this.handler = handler;
-    this.mostBody = mostBody;
+    this.maxBodyBytes = maxBodyBytes;
   }
 
-  static void pipeline(Channel channel, Timers timers, HttpHandler handler, int mostBody) {
+  static void initPipeline(Channel channel, Timers timers, HttpHandler handler, int maxBodyBytes) {
     channel
         .pipeline()
         .addLast(
-            new StrictRequestDecoder(MOST_LINE, MOST_HEAD, MOST_PIECE),
+            new StrictRequestDecoder(MAX_LINE_BYTES, MAX_HEADER_BYTES, MAX_CHUNK_BYTES),
             new HttpResponseEncoder(),
-            new HttpServerConnection(timers, handler, mostBody));
+            new HttpServerConnection(timers, handler, maxBodyBytes));
   }
 
   @Override
   public void channelActive(ChannelHandlerContext ctx) {
-    limit = timers.now() + IDLE_MS;
-    idle = timers.after(IDLE_MS, () -> idle(ctx));
+    deadline = timers.now() + IDLE_TIMEOUT_MS;
+    idle = timers.schedule(IDLE_TIMEOUT_MS, () -> idle(ctx));
   }
 
   /** A call has so long to come whole from its head on, and a connection so long to bring one. */
   private void idle(ChannelHandlerContext ctx) {
-    long left = answering ? IDLE_MS : limit - timers.now();
+    long left = responding ? IDLE_TIMEOUT_MS : deadline - timers.now();
     if (left <= 0) {
       ctx.close();
     } else {
-      idle = timers.after(left, () -> idle(ctx));
+      idle = timers.schedule(left, () -> idle(ctx));
     }
   }
 
@@ -91,9 +91,9 @@
     if (idle != null) {
       idle.cancel();
     }
-    forget();
-    while (!waiting.isEmpty()) {
-      ReferenceCountUtil.release(waiting.poll());
+    releaseRequest();
+    while (!pipelinedParts.isEmpty()) {
+      ReferenceCountUtil.release(pipelinedParts.poll());
     }
   }
 
@@ -101,39 +101,39 @@
   public void channelRead(ChannelHandlerContext ctx, Object part) {
     if (closing) {
       ReferenceCountUtil.release(part);
-    } else if (answering) {
-      waiting.add(part);
+    } else if (responding) {
+      pipelinedParts.add(part);
     } else {
-      take(ctx, part);
+      onPart(ctx, part);
     }
   }
 
-  private void take(ChannelHandlerContext ctx, Object part) {
+  private void onPart(ChannelHandlerContext ctx, Object part) {
     try {
       if (part instanceof HttpRequest request) {
-        begin(ctx, request);
+        onHead(ctx, request);
       }
       if (!closing && part instanceof HttpContent content) {
-        more(ctx, content);
+        onContent(ctx, content);
       }
     } finally {
       ReferenceCountUtil.release(part);
     }
   }
 
-  private void begin(ChannelHandlerContext ctx, HttpRequest request) {
+  private void onHead(ChannelHandlerContext ctx, HttpRequest request) {
     if (request.decoderResult().isFailure()) {
-      refuse(
+      rejectAndClose(
           ctx,
           request.decoderResult().cause() instanceof TooLongFrameException
               ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
               : HttpResponseStatus.BAD_REQUEST);
     } else if (request.headers().getAll(HttpHeaderNames.HOST).size() > 1) {
-      refuse(ctx, HttpResponseStatus.BAD_REQUEST);
-    } else if (HttpUtil.getContentLength(request, 0L) > mostBody) {
-      refuse(ctx, HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
+      rejectAndClose(ctx, HttpResponseStatus.BAD_REQUEST);
+    } else if (HttpUtil.getContentLength(request, 0L) > maxBodyBytes) {
+      rejectAndClose(ctx, HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
     } else {
-      limit = timers.now() + IDLE_MS;
+      deadline = timers.now() + IDLE_TIMEOUT_MS;
       head = request;
       if (HttpUtil.is100ContinueExpected(request)) {
         ctx.writeAndFlush(
@@ -143,15 +143,15 @@
     }
   }
 
-  private void more(ChannelHandlerContext ctx, HttpContent content) {
+  private void onContent(ChannelHandlerContext ctx, HttpContent content) {
     if (content.decoderResult().isFailure()) {
-      refuse(ctx, HttpResponseStatus.BAD_REQUEST);
+      rejectAndClose(ctx, HttpResponseStatus.BAD_REQUEST);
       return;
     }
     int bytes = content.content().readableBytes();
     int before = body == null ? 0 : body.readableBytes();
-    if (before + bytes > mostBody) {
-      refuse(ctx, HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
+    if (before + bytes > maxBodyBytes) {
+      rejectAndClose(ctx, HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
       return;
     }
     if (bytes > 0) {
@@ -161,40 +161,40 @@
       body.writeBytes(content.content());
     }
     if (content instanceof LastHttpContent) {
-      whole(ctx);
+      onRequestComplete(ctx);
     }
   }
 
-  private void whole(ChannelHandlerContext ctx) {
+  private void onRequestComplete(ChannelHandlerContext ctx) {
     boolean keep = HttpUtil.isKeepAlive(head);
-    HttpCall call;
+    SimpleHttpRequest request;
     try {
-      call = call();
+      request = toRequest();
     } catch (IllegalArgumentException e) {
-      refuse(ctx, HttpResponseStatus.BAD_REQUEST);
+      rejectAndClose(ctx, HttpResponseStatus.BAD_REQUEST);
       return;
     }
     boolean bodiless = head.method().name().equals("HEAD");
-    forget();
-    answering = true;
+    releaseRequest();
+    responding = true;
     ctx.channel().config().setAutoRead(false);
-    CompletableFuture<HttpReply> reply;
+    CompletableFuture<SimpleHttpResponse> reply;
     try {
-      reply = handler.handle(call);
+      reply = handler.handle(request);
     } catch (RuntimeException e) {
       reply = CompletableFuture.failedFuture(e);
     }
     reply.whenComplete(
-        (answer, failure) -> {
+        (response, failure) -> {
           if (ctx.channel().eventLoop().inEventLoop()) {
-            answer(ctx, answer, failure, keep, bodiless);
+            respond(ctx, response, failure, keep, bodiless);
           } else {
-            timers.soon(() -> answer(ctx, answer, failure, keep, bodiless));
+            timers.execute(() -> respond(ctx, response, failure, keep, bodiless));
           }
         });
   }
 
-  private HttpCall call() {
+  private SimpleHttpRequest toRequest() {
     String uri = head.uri();
     QueryStringDecoder split = new QueryStringDecoder(uri);
     int mark = uri.indexOf('?');
@@ -204,67 +204,67 @@
         query.put(entry.getKey(), entry.getValue().get(0));
       }
     }
-    byte[] bytes = NOTHING;
+    byte[] bytes = EMPTY_BODY;
     if (body != null) {
       bytes = new byte[body.readableBytes()];
       body.readBytes(bytes);
     }
-    return new HttpCall(
+    return new SimpleHttpRequest(
         head.method().name(),
         mark < 0 ? uri : uri.substring(0, mark),
         query,
-        NettyHttpClient.headers(head.headers()),
+        NettyHttpClient.toHeaderMap(head.headers()),
         bytes);
   }
 
-  private void answer(
+  private void respond(
       ChannelHandlerContext ctx,
-      HttpReply answer,
+      SimpleHttpResponse response,
       Throwable failure,
       boolean keep,
       boolean bodiless) {
-    if (!answering || !ctx.channel().isActive()) {
+    if (!responding || !ctx.channel().isActive()) {
       return;
     }
-    answering = false;
-    HttpReply sent = answer;
-    if (failure != null || answer == null) {
-      ErrorCode code = failure == null ? ErrorCode.FAULT : ElmsailException.codeOf(failure);
-      sent = new HttpReply(503, Map.of("elmsail-fault", code.wireName()), NOTHING);
+    responding = false;
+    SimpleHttpResponse sent = response;
+    if (failure != null || response == null) {
+      ErrorCode code = failure == null ? ErrorCode.INTERNAL : ElmsailException.codeOf(failure);
+      sent = new SimpleHttpResponse(503, Map.of("elmsail-fault", code.wireName()), EMPTY_BODY);
     }
     write(ctx, sent, keep, bodiless);
     if (closing) {
       return;
     }
-    limit = timers.now() + IDLE_MS;
-    while (!answering && !closing && !waiting.isEmpty()) {
-      take(ctx, waiting.poll());
+    deadline = timers.now() + IDLE_TIMEOUT_MS;
+    while (!responding && !closing && !pipelinedParts.isEmpty()) {
+      onPart(ctx, pipelinedParts.poll());
     }
-    if (!answering && !closing) {
+    if (!responding && !closing) {
       ctx.channel().config().setAutoRead(true);
     }
   }
 
   /** Answers what is no call, and closes: nothing behind it can be told apart. */
-  private void refuse(ChannelHandlerContext ctx, HttpResponseStatus status) {
-    forget();
-    write(ctx, new HttpReply(status.code(), Map.of(), NOTHING), false, false);
+  private void rejectAndClose(ChannelHandlerContext ctx, HttpResponseStatus status) {
+    releaseRequest();
+    write(ctx, new SimpleHttpResponse(status.code(), Map.of(), EMPTY_BODY), false, false);
   }
 
-  private void write(ChannelHandlerContext ctx, HttpReply reply, boolean keep, boolean bodiless) {
+  private void write(ChannelHandlerContext ctx, SimpleHttpResponse response, boolean keep, boolean bodiless) {
     FullHttpResponse out =
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1,
-            HttpResponseStatus.valueOf(reply.status()),
-            bodiless ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(reply.body()));
+            HttpResponseStatus.valueOf(response.status()),
+            bodiless ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(response.body()));
     boolean kept = keep;
-    for (Map.Entry<String, String> header : reply.headers().entrySet()) {
+    for (Map.Entry<String, String> header : response.headers().entrySet()) {
       out.headers().set(header.getKey(), header.getValue());
       kept &=
           !header.getKey().equalsIgnoreCase("connection")
               || !header.getValue().equalsIgnoreCase("close");
     }
-    out.headers().set(HttpHeaderNames.CONTENT_LENGTH, reply.body().length);
+    out.headers().set(HttpHeaderNames.CONTENT_LENGTH, response.body().length);
     if (kept) {
       ctx.writeAndFlush(out);
     } else {
@@ -274,7 +274,7 @@
     }
   }
 
-  private void forget() {
+  private void releaseRequest() {
     head = null;
     if (body != null) {
       body.release();
--- a/runtime/src/main/java/elmsail/runtime/http/MetricsEndpoint.java
+++ b/runtime/src/main/java/elmsail/runtime/http/MetricsEndpoint.java
@@ -1,8 +1,8 @@
 package elmsail.runtime.http;
 
 import elmsail.runtime.Counters;
-import elmsail.runtime.MetricsText;
-import elmsail.runtime.SteadyClock;
+import elmsail.runtime.PrometheusText;
+import elmsail.runtime.MonotonicClock;
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
@@ -10,52 +10,52 @@
 /**
  * {@code GET /metrics}: the figures of the process as text. What was written is answered again for
  * a second, so that however often it is asked for, it costs next to nothing; the size is bounded by
- * {@link MetricsText}.
+ * {@link PrometheusText}.
  */
 public final class MetricsEndpoint implements HttpHandler {
 
   /** Where it is found. */
   public static final String PATH = "/metrics";
 
-  static final long KEPT_MS = 1_000;
+  static final long CACHE_MS = 1_000;
 
-  private static final byte[] NOTHING = {};
+  private static final byte[] EMPTY_BODY = {};
 
   private final Counters counters;
-  private final SteadyClock clock;
+  private final MonotonicClock clock;
   private final Counters.Counter requests;
-  private byte[] text;
-  private long writtenAt;
+  private byte[] cachedText;
+  private long cachedAt;
 
   /** Tells these figures; used on their loop alone. */
-  public MetricsEndpoint(Counters counters, SteadyClock clock) {
+  public MetricsEndpoint(Counters counters, MonotonicClock clock) {
     this.counters = counters;
     this.clock = clock;
-    requests = counters.of("metrics_requests");
+    requests = counters.counter("metrics_requests");
   }
 
   @Override
-  public CompletableFuture<HttpReply> handle(HttpCall call) {
-    return CompletableFuture.completedFuture(reply(call));
+  public CompletableFuture<SimpleHttpResponse> handle(SimpleHttpRequest request) {
+    return CompletableFuture.completedFuture(respond(request));
   }
 
-  private HttpReply reply(HttpCall call) {
-    if (!PATH.equals(call.path())) {
-      return new HttpReply(404, Map.of(), NOTHING);
+  private SimpleHttpResponse respond(SimpleHttpRequest request) {
+    if (!PATH.equals(request.path())) {
+      return new SimpleHttpResponse(404, Map.of(), EMPTY_BODY);
     }
-    if (!"GET".equals(call.method())) {
-      return new HttpReply(405, Map.of("Allow", "GET"), NOTHING);
+    if (!"GET".equals(request.method())) {
+      return new SimpleHttpResponse(405, Map.of("Allow", "GET"), EMPTY_BODY);
     }
     requests.add(1);
-    return new HttpReply(200, Map.of("Content-Type", MetricsText.CONTENT_TYPE), text());
+    return new SimpleHttpResponse(200, Map.of("Content-Type", PrometheusText.CONTENT_TYPE), cachedText());
   }
 
-  private byte[] text() {
+  private byte[] cachedText() {
     long now = clock.now();
-    if (text == null || now - writtenAt >= KEPT_MS) {
-      text = MetricsText.of(counters).getBytes(StandardCharsets.US_ASCII);
-      writtenAt = now;
+    if (cachedText == null || now - cachedAt >= CACHE_MS) {
+      cachedText = PrometheusText.format(counters).getBytes(StandardCharsets.US_ASCII);
+      cachedAt = now;
     }
-    return text;
+    return cachedText;
   }
 }
