--- a/app/src/main/java/elmsail/app/ControlPlaneProcess.java
+++ b/app/src/main/java/elmsail/app/ControlPlaneProcess.java
@@ -52,7 +52,7 @@
     long mostBytes = (long) settings.limits().diskMb() << 20;
     DirectoryRecordStore records =
         DirectoryRecordStore.open(Path.of(settings.dataDir()), mostBytes, loop::execute);
-    records.countIn(new StorageCounters(metrics.counters()));
+    records.setCounters(new StorageCounters(metrics.counters()));
     metrics.counters().registerGauge("storage_bytes_on_disk", records::bytesOnDisk);
     return records;
   }
--- a/app/src/main/java/elmsail/app/DataDirectoryReport.java
+++ b/app/src/main/java/elmsail/app/DataDirectoryReport.java
@@ -42,7 +42,7 @@
       throw new ElmsailException(
           ErrorCode.STORAGE_FAILURE, "the folder cannot be copied (is its process running?): " + e, e);
     } finally {
-      remove(copy);
+      delete(copy);
     }
   }
 
@@ -73,7 +73,7 @@
     }
   }
 
-  private static void remove(Path copy) {
+  private static void delete(Path copy) {
     if (copy == null) {
       return;
     }
@@ -109,7 +109,7 @@
               + ": "
               + (set.ownSlot() < 0
                   ? "holds no slot"
-                  : "slot " + set.ownSlot() + (set.votes() ? ", votes" : ", does not vote")));
+                  : "slot " + set.ownSlot() + (set.voting() ? ", votes" : ", does not vote")));
       for (int i = 0; i < set.voterSet().voters.size(); i++) {
         Voter slot = set.voterSet().voters.get(i);
         out.println(
@@ -124,7 +124,7 @@
                 + ", epoch "
                 + slot.epoch);
       }
-      for (RestoredReplica.Key key : set.keys()) {
+      for (RestoredReplica.StoredKey key : set.keys()) {
         out.println(
             "  key "
                 + key.name()
@@ -132,7 +132,7 @@
                 + of(key.promised())
                 + ", accepted "
                 + of(key.accepted())
-                + (key.copied() ? " (copied)" : "")
+                + (key.fromStateTransfer() ? " (copied)" : "")
                 + ", "
                 + (key.valueBytes() < 0 ? "no value" : "value of " + key.valueBytes() + " bytes")
                 + ", "
@@ -153,8 +153,8 @@
       json.writeStartObject();
       json.writeStringField("set", set.set());
       json.writeNumberField("own_slot", set.ownSlot());
-      json.writeNumberField("caught_up", set.caughtUp());
-      json.writeBooleanField("votes", set.votes());
+      json.writeNumberField("caught_up", set.caughtUpEpoch());
+      json.writeBooleanField("votes", set.voting());
       json.writeArrayFieldStart("voters");
       for (Voter slot : set.voterSet().voters) {
         json.writeStartObject();
@@ -166,12 +166,12 @@
       }
       json.writeEndArray();
       json.writeArrayFieldStart("keys");
-      for (RestoredReplica.Key key : set.keys()) {
+      for (RestoredReplica.StoredKey key : set.keys()) {
         json.writeStartObject();
         json.writeStringField("key", key.name());
         json.writeStringField("promised", of(key.promised()));
         json.writeStringField("accepted", of(key.accepted()));
-        json.writeBooleanField("copied", key.copied());
+        json.writeBooleanField("copied", key.fromStateTransfer());
         json.writeNumberField("value_bytes", key.valueBytes());
         json.writeNumberField("blobs", key.blobs());
         json.writeEndObject();
--- a/app/src/main/java/elmsail/app/StartupRehearsal.java
+++ b/app/src/main/java/elmsail/app/StartupRehearsal.java
@@ -53,7 +53,7 @@
       e.printStackTrace(err);
       return Launch.FAILED;
     } finally {
-      remove(folder);
+      delete(folder);
     }
   }
 
@@ -124,7 +124,7 @@
     return ports;
   }
 
-  private static void remove(Path folder) {
+  private static void delete(Path folder) {
     if (folder == null) {
       return;
     }
--- a/app/src/test/java/elmsail/app/CheckMainTest.java
+++ b/app/src/test/java/elmsail/app/CheckMainTest.java
@@ -175,7 +175,7 @@
       voterSet.voters.add(slot("127.0.0.1:7721", "n1", records.instanceId()));
       voterSet.voters.add(slot("127.0.0.2:7721", "n2", 5));
       voterSet.voters.add(slot("127.0.0.3:7721", "n3", 6));
-      replica.found(voterSet);
+      replica.bootstrap(voterSet);
       byte[] state =
           ByteBuffer.allocate(35)
               .putLong(3)
--- a/batch/src/main/java/elmsail/batch/api/BatchApi.java
+++ b/batch/src/main/java/elmsail/batch/api/BatchApi.java
@@ -243,7 +243,7 @@
             JobRecord.keyOf(jobId),
             found -> {
               JobRecord record = JobRecord.ofValue(found.value());
-              return new Register.Wanted(
+              return new Register.ProposedValue(
                   record == null || record.ended() ? null : record.endedNow().packed(), List.of());
             },
             List.of(),
@@ -271,8 +271,8 @@
     return reply;
   }
 
-  private Reply ended(String jobId, Register.Held now) {
-    JobRecord record = store.decided(jobId, now.now());
+  private Reply ended(String jobId, Register.CommittedState now) {
+    JobRecord record = store.decided(jobId, now.current());
     if (record == null) {
       return Replies.NONE;
     }
--- a/batch/src/main/java/elmsail/batch/api/SubmitHandler.java
+++ b/batch/src/main/java/elmsail/batch/api/SubmitHandler.java
@@ -189,21 +189,21 @@
   }
 
   /** May be called again after a lost race. */
-  private Register.Wanted decide(Register.Found found, Round round) {
+  private Register.ProposedValue decide(Register.ObservedState found, Round round) {
     if (found.value() != null) {
       verdict = Verdict.THERE;
-      return new Register.Wanted(null, List.of());
+      return new Register.ProposedValue(null, List.of());
     }
-    if (found.notes().size() < context.majority()) {
+    if (found.sideEffects().size() < context.majority()) {
       // A store that answers no count has no room for the add either.
       verdict = Verdict.UNCOUNTED;
-      return new Register.Wanted(null, List.of());
+      return new Register.ProposedValue(null, List.of());
     }
-    seen.putAll(found.notes());
+    seen.putAll(found.sideEffects());
     verdict = judge(round);
     boolean take = round == Round.TAKE && verdict == Verdict.FITS;
     proposed |= take;
-    return new Register.Wanted(take ? wanted.packed() : null, List.of());
+    return new Register.ProposedValue(take ? wanted.packed() : null, List.of());
   }
 
   private Verdict judge(Round round) {
@@ -224,9 +224,9 @@
     return now == null ? route.mostWaiting() : now.mostWaiting();
   }
 
-  private void held(Register.Held held, Round round) {
-    if (held.now().value() != null) {
-      JobRecord record = store.decided(job, held.now());
+  private void held(Register.CommittedState held, Round round) {
+    if (held.current().value() != null) {
+      JobRecord record = store.decided(job, held.current());
       boolean own = record.version() == 1 && record.runner().equals(context.self()) && proposed;
       if (own) {
         store.cache(job, batchItems, bytes());
--- a/batch/src/main/java/elmsail/batch/client/BatchJobClient.java
+++ b/batch/src/main/java/elmsail/batch/client/BatchJobClient.java
@@ -48,11 +48,11 @@
   }
 
   /** Takes what a read or a change said is decided; null if there is none. */
-  public JobRecord decided(String job, Register.Versioned now) {
+  public JobRecord decided(String job, Register.VersionedValue now) {
     return taken(job, records.get(job), now);
   }
 
-  private JobRecord taken(String job, Seen seen, Register.Versioned now) {
+  private JobRecord taken(String job, Seen seen, Register.VersionedValue now) {
     if (now.value() == null) {
       return seen != null && same(seen.ballot(), now.ballot()) ? seen.record() : null;
     }
@@ -130,7 +130,7 @@
     }
     CompletableFuture<byte[]> fetched =
         register
-            .blob(JobRecord.keyOf(job), name, timeoutMs)
+            .readBlob(JobRecord.keyOf(job), name, timeoutMs)
             .thenApply(
                 bytes -> {
                   if (bytes == null) {
--- a/batch/src/main/java/elmsail/batch/run/FailoverMonitor.java
+++ b/batch/src/main/java/elmsail/batch/run/FailoverMonitor.java
@@ -189,10 +189,10 @@
             found -> {
               JobRecord record = JobRecord.ofValue(found.value());
               if (record == null || !record.open() || record.term() != term) {
-                return new Register.Wanted(null, List.of());
+                return new Register.ProposedValue(null, List.of());
               }
               proposed[0] = true;
-              return new Register.Wanted(
+              return new Register.ProposedValue(
                   record.runBy(context.self(), record.ageMs() + silentMs).packed(), List.of());
             },
             List.of(),
@@ -201,7 +201,7 @@
         .whenComplete(
             (held, failed) -> {
               taking.remove(job);
-              JobRecord record = failed == null ? store.decided(job, held.now()) : null;
+              JobRecord record = failed == null ? store.decided(job, held.current()) : null;
               if (proposed[0]
                   && record != null
                   && record.term() == term + 1
@@ -221,8 +221,8 @@
             found -> {
               JobRecord record = JobRecord.ofValue(found.value());
               return record == null
-                  ? new Register.Wanted(null, List.of())
-                  : new Register.Wanted(record.again().packed(), List.of());
+                  ? new Register.ProposedValue(null, List.of())
+                  : new Register.ProposedValue(record.again().packed(), List.of());
             },
             List.of(),
             null,
@@ -231,7 +231,7 @@
             (held, failed) -> {
               taking.remove(job);
               if (failed == null) {
-                store.decided(job, held.now());
+                store.decided(job, held.current());
               }
             });
   }
--- a/batch/src/main/java/elmsail/batch/run/ResultRecorder.java
+++ b/batch/src/main/java/elmsail/batch/run/ResultRecorder.java
@@ -83,7 +83,7 @@
                 return;
               }
               if (failed == null) {
-                listed(job, batch, held.now(), began);
+                listed(job, batch, held.current(), began);
               } else {
                 context.timers().schedule(context.about(BACKOFF_MS), () -> list(job));
               }
@@ -113,14 +113,14 @@
     return ours && !record.ended() ? record : null;
   }
 
-  private Register.Wanted wanted(
+  private Register.ProposedValue wanted(
       RunningJob job,
       List<RunningJob.Finished> batch,
       List<JobRecord.FailureCount> failed,
-      Register.Found found) {
+      Register.ObservedState found) {
     JobRecord record = ours(job, found.value());
     if (record == null || job.stopped) {
-      return new Register.Wanted(null, List.of());
+      return new Register.ProposedValue(null, List.of());
     }
     BitSet listed = record.listed();
     List<JobRecord.Result> more = new ArrayList<>();
@@ -132,14 +132,14 @@
     boolean counted =
         failed.stream().allMatch(one -> record.failuresOf(one.index()) >= one.count());
     if (more.isEmpty() && counted) {
-      return new Register.Wanted(null, List.of());
+      return new Register.ProposedValue(null, List.of());
     }
-    return new Register.Wanted(
+    return new Register.ProposedValue(
         record.listing(more, failed, job.ageMs(context.timers().now())).packed(), List.of());
   }
 
   private void listed(
-      RunningJob job, List<RunningJob.Finished> batch, Register.Versioned now, long began) {
+      RunningJob job, List<RunningJob.Finished> batch, Register.VersionedValue now, long began) {
     store.decided(job.id, now);
     JobRecord record = ours(job, now.value());
     if (record == null) {
--- a/batch/src/main/java/elmsail/batch/store/JobRetention.java
+++ b/batch/src/main/java/elmsail/batch/store/JobRetention.java
@@ -101,7 +101,7 @@
   }
 
   @Override
-  public byte[] noted(String key, byte[] note) {
+  public byte[] onSideEffect(String key, byte[] note) {
     if (!key.startsWith(PREFIX) || note == null || note.length == 0) {
       return null;
     }
@@ -115,23 +115,23 @@
   }
 
   @Override
-  public void taken(String key, byte[] value) {
+  public void onAccepted(String key, byte[] value) {
     if (key.startsWith(PREFIX) && value != null) {
       jobs.taken(key.substring(PREFIX.length()), JobRecord.unpacked(value), timers.now());
     }
   }
 
   @Override
-  public void promised(String key) {
+  public void onPromised(String key) {
     if (key.startsWith(PREFIX)) {
       jobs.promised(key.substring(PREFIX.length()), timers.now());
     }
   }
 
   @Override
-  public void dropped(String key) {
+  public void onDropped(String key) {
     if (key.startsWith(PREFIX)) {
-      jobs.dropped(key.substring(PREFIX.length()));
+      jobs.onDropped(key.substring(PREFIX.length()));
     }
   }
 
@@ -156,7 +156,7 @@
   private void look() {
     for (String job : jobs.outlived(statusMs, DROP_SLACK_MS, timers.now())) {
       drop.accept(PREFIX + job);
-      jobs.dropped(job);
+      jobs.onDropped(job);
     }
     timers.schedule(LOOK_MS, this::look);
   }
--- a/batch/src/main/java/elmsail/batch/store/JobStore.java
+++ b/batch/src/main/java/elmsail/batch/store/JobStore.java
@@ -166,7 +166,7 @@
     untaken.putIfAbsent(id, now);
   }
 
-  void dropped(String id) {
+  void onDropped(String id) {
     jobs.remove(id);
     forgetAdds(id);
     untaken.remove(id);
--- a/batch/src/test/java/elmsail/batch/JobRetentionTest.java
+++ b/batch/src/test/java/elmsail/batch/JobRetentionTest.java
@@ -49,7 +49,7 @@
   private long others(String route) {
     TokenCount count = new TokenCount();
     count.putAll(
-        List.of(retention.noted("lot/probe", new TokenCount.Add(route, "probe", 0, 1).packed())));
+        List.of(retention.onSideEffect("lot/probe", new TokenCount.Add(route, "probe", 0, 1).packed())));
     return count.without("probe");
   }
 
@@ -66,25 +66,25 @@
   void anAddThatComesBehindItsWithdrawalDoesNotCount() {
     TokenCount.Add add = new TokenCount.Add("r", "a", 30, 7);
     request(BatchMessageTypes.WITHDRAW, add.packed());
-    retention.noted("lot/a", add.packed());
+    retention.onSideEffect("lot/a", add.packed());
     assertThat(others("r"), is(0L));
     assertThat("not admitted", retention.admits("lot/a", record(10).packed()), is(false));
-    retention.noted("lot/a", new TokenCount.Add("r", "a", 30, 8).packed());
+    retention.onSideEffect("lot/a", new TokenCount.Add("r", "a", 30, 8).packed());
     assertThat("the client's next try", others("r"), is(30L));
   }
 
   @Test
   void addsCountUntilTheyRunOutOrAreWithdrawn() {
     TokenCount.Add add = new TokenCount.Add("r", "a", 30, 7);
-    retention.noted("lot/a", add.packed());
-    retention.noted("lot/a", add.packed());
+    retention.onSideEffect("lot/a", add.packed());
+    retention.onSideEffect("lot/a", add.packed());
     assertThat(others("r"), is(30L));
     assertThat(others("else"), is(0L));
     request(BatchMessageTypes.WITHDRAW, new TokenCount.Add("r", "a", 30, 8).packed());
     assertThat("another try's add", others("r"), is(30L));
     request(BatchMessageTypes.WITHDRAW, add.packed());
     assertThat(others("r"), is(0L));
-    retention.noted("lot/a", add.packed());
+    retention.onSideEffect("lot/a", add.packed());
     timers.advance(5_001);
     assertThat(others("r"), is(0L));
   }
@@ -93,10 +93,10 @@
   void aFirstRecordIsTakenOnlyWithItsAdd() {
     byte[] value = record(10).packed();
     assertThat(retention.admits("lot/a", value), is(false));
-    retention.noted("lot/a", new TokenCount.Add("r", "a", 20, 7).packed());
-    retention.noted("lot/b", new TokenCount.Add("r", "b", 20, 7).packed());
-    retention.noted("lot/c", new TokenCount.Add("r", "c", 19, 7).packed());
-    retention.noted("lot/d", new TokenCount.Add("else", "d", 20, 7).packed());
+    retention.onSideEffect("lot/a", new TokenCount.Add("r", "a", 20, 7).packed());
+    retention.onSideEffect("lot/b", new TokenCount.Add("r", "b", 20, 7).packed());
+    retention.onSideEffect("lot/c", new TokenCount.Add("r", "c", 19, 7).packed());
+    retention.onSideEffect("lot/d", new TokenCount.Add("else", "d", 20, 7).packed());
     assertThat(retention.admits("lot/a", value), is(true));
     assertThat("fewer tokens were added", retention.admits("lot/c", value), is(false));
     assertThat("added on another route", retention.admits("lot/d", value), is(false));
@@ -111,13 +111,13 @@
   @Test
   void aJobThatIsBeingWrittenIsCountedHoweverLongTheDiskTakes() {
     TokenCount.Add add = new TokenCount.Add("r", "a", 20, 7);
-    retention.noted("lot/a", add.packed());
+    retention.onSideEffect("lot/a", add.packed());
     timers.advance(4_900);
     assertThat(retention.admits("lot/a", record(10).packed()), is(true));
     request(BatchMessageTypes.WITHDRAW, add.packed());
     timers.advance(10_000);
     assertThat(others("r"), is(20L));
-    retention.taken("lot/a", record(10).packed());
+    retention.onAccepted("lot/a", record(10).packed());
     assertThat(others("r"), is(20L));
   }
 
@@ -125,12 +125,12 @@
   void theCountFollowsTheNewestRecord() {
     JobRecord first = record(10);
     JobRecord listed = first.listing(List.of(new JobRecord.Result(1, true, 1, 5)), 0);
-    retention.taken("lot/a", first.packed());
+    retention.onAccepted("lot/a", first.packed());
     assertThat(others("r"), is(20L));
-    retention.taken("lot/a", listed.packed());
-    retention.taken("lot/a", first.packed());
+    retention.onAccepted("lot/a", listed.packed());
+    retention.onAccepted("lot/a", first.packed());
     assertThat(others("r"), is(10L));
-    retention.taken("lot/a", listed.endedNow().packed());
+    retention.onAccepted("lot/a", listed.endedNow().packed());
     assertThat(others("r"), is(0L));
     assertThat(abandoned(), hasSize(0));
   }
@@ -149,7 +149,7 @@
 
   @Test
   void aRunnerThatIsHeardKeepsItsJobs() {
-    retention.taken("lot/a", record(10).packed());
+    retention.onAccepted("lot/a", record(10).packed());
     byte[] heartbeat =
         new HeartbeatMessage(
                 "door", List.of(new HeartbeatMessage.Run("a", 1), new HeartbeatMessage.Run("b", 1)))
@@ -165,7 +165,7 @@
     assertThat(abandoned(), hasSize(0));
     timers.advance(1);
     assertThat(abandoned(), contains(new AbandonedJob("a", 1, 2_000)));
-    retention.taken("lot/a", record(10).runBy("other", 0).packed());
+    retention.onAccepted("lot/a", record(10).runBy("other", 0).packed());
     assertThat(
         new ByteReader(request(BatchMessageTypes.HEARTBEAT, heartbeat).bytes).number(),
         is((long) HeartbeatMessage.GONE));
@@ -173,7 +173,7 @@
 
   @Test
   void withoutASeatItSaysNothing() {
-    retention.taken("lot/a", record(10).packed());
+    retention.onAccepted("lot/a", record(10).packed());
     voting = false;
     assertThat(
         request(BatchMessageTypes.ABANDONED, new ByteWriter().number(0).packed()).kind,
@@ -183,9 +183,9 @@
   @Test
   void whatCameWithAJobThatWasRefusedIsDropped() {
     retention.start();
-    retention.noted("lot/a", new TokenCount.Add("r", "a", 30, 7).packed());
-    retention.noted("lot/b", new TokenCount.Add("r", "b", 20, 7).packed());
-    retention.taken("lot/b", record(10).packed());
+    retention.onSideEffect("lot/a", new TokenCount.Add("r", "a", 30, 7).packed());
+    retention.onSideEffect("lot/b", new TokenCount.Add("r", "b", 20, 7).packed());
+    retention.onAccepted("lot/b", record(10).packed());
     timers.advance(59_000);
     assertThat(dropped, hasSize(0));
     timers.advance(10_000);
@@ -194,11 +194,11 @@
 
   @Test
   void whatAnEarlierProcessOnlyPromisedIsDropped() {
-    retention.promised("lot/a");
-    retention.promised("lot/b");
+    retention.onPromised("lot/a");
+    retention.onPromised("lot/b");
     retention.start();
     timers.advance(30_000);
-    retention.taken("lot/b", record(10).packed());
+    retention.onAccepted("lot/b", record(10).packed());
     timers.advance(25_000);
     assertThat(dropped, hasSize(0));
     timers.advance(15_000);
@@ -213,8 +213,8 @@
             .listing(
                 List.of(new JobRecord.Result(0, false, 1, 0), new JobRecord.Result(1, false, 1, 0)),
                 0);
-    retention.taken("lot/a", whole.packed());
-    retention.taken("lot/b", record(10).packed());
+    retention.onAccepted("lot/a", whole.packed());
+    retention.onAccepted("lot/b", record(10).packed());
     timers.advance(150_000);
     assertThat(dropped, hasSize(0));
     timers.advance(5_000);
--- a/batch/src/test/java/elmsail/batch/JobStoreWorld.java
+++ b/batch/src/test/java/elmsail/batch/JobStoreWorld.java
@@ -48,8 +48,8 @@
       jobs =
           new JobRetention(
               node.timers(),
-              () -> store != null && store.voting(),
-              key -> store.drop(key),
+              () -> store != null && store.isVoting(),
+              key -> store.dropKey(key),
               120_000,
               ProcessMetrics.strict());
       store =
@@ -177,7 +177,7 @@
       founding.voters.add(slot);
     }
     view.jobStoreVoters = founding;
-    stores.forEach(store -> store.store.found(founding));
+    stores.forEach(store -> store.store.bootstrap(founding));
     timers.advance(100);
     for (int i = 0; i < doorCount; i++) {
       gateways.add(new Gateway(i));
@@ -249,7 +249,7 @@
 
   boolean calm() {
     for (Vault store : stores) {
-      if (!store.up || !store.store.voting()) {
+      if (!store.up || !store.store.isVoting()) {
         return false;
       }
     }
--- a/batch/src/test/java/elmsail/batch/RelayTroubleTest.java
+++ b/batch/src/test/java/elmsail/batch/RelayTroubleTest.java
@@ -187,7 +187,7 @@
         String key = JobRecord.keyOf("probe");
         byte[] probe = new TokenCount.Add("r-lots", "probe", 0, 1).packed();
         TokenCount count = new TokenCount();
-        count.putAll(List.of(behind.jobs.noted(key, probe)));
+        count.putAll(List.of(behind.jobs.onSideEffect(key, probe)));
         assertThat("offset " + offset, count.pendingWithout("probe"), is(0L));
       }
     }
--- a/batch/src/test/java/elmsail/batch/ReusedJobIdTest.java
+++ b/batch/src/test/java/elmsail/batch/ReusedJobIdTest.java
@@ -25,10 +25,10 @@
         0);
   }
 
-  private static Register.Versioned at(long round, JobRecord record) {
+  private static Register.VersionedValue at(long round, JobRecord record) {
     Ballot ballot = new Ballot();
     ballot.round = round;
-    return new Register.Versioned(ballot, record.packed());
+    return new Register.VersionedValue(ballot, record.packed());
   }
 
   @Test
--- a/batch/src/test/java/elmsail/batch/SimJobStore.java
+++ b/batch/src/test/java/elmsail/batch/SimJobStore.java
@@ -44,7 +44,7 @@
     views.start();
     for (Map.Entry<String, Cell> one : cells.entrySet()) {
       if (one.getValue().value != null) {
-        views.taken(one.getKey(), one.getValue().value);
+        views.onAccepted(one.getKey(), one.getValue().value);
       }
     }
   }
@@ -57,7 +57,7 @@
     cell.promised = ballot;
     keep(cell, blobs);
     return new Told(
-        true, ballot, cell.accepted, cell.value, note == null ? null : views.noted(key, note));
+        true, ballot, cell.accepted, cell.value, note == null ? null : views.onSideEffect(key, note));
   }
 
   Told accept(String key, Ballot ballot, byte[] value, List<Blob> blobs) {
@@ -69,7 +69,7 @@
     cell.accepted = ballot;
     cell.value = value;
     keep(cell, blobs);
-    views.taken(key, value);
+    views.onAccepted(key, value);
     return new Told(true, ballot, ballot, value, null);
   }
 
--- a/batch/src/test/java/elmsail/batch/SimRegister.java
+++ b/batch/src/test/java/elmsail/batch/SimRegister.java
@@ -29,14 +29,14 @@
 
   private final class Change {
     final String key;
-    final Function<Found, Wanted> change;
+    final Function<ObservedState, ProposedValue> change;
     final List<Blob> blobs;
     final byte[] note;
-    final CompletableFuture<Held> held = new CompletableFuture<>();
+    final CompletableFuture<CommittedState> held = new CompletableFuture<>();
     boolean sent;
 
     Change(
-        String key, Function<Found, Wanted> change, List<Blob> blobs, byte[] note, long timeoutMs) {
+        String key, Function<ObservedState, ProposedValue> change, List<Blob> blobs, byte[] note, long timeoutMs) {
       this.key = key;
       this.change = change;
       this.blobs = blobs;
@@ -100,13 +100,13 @@
       for (SimJobStore.Told one : promises) {
         same += one.accepted().round == newest.round && one.accepted().proposerId == newest.proposerId ? 1 : 0;
       }
-      Wanted wanted = change.apply(new Found(value, notes));
+      ProposedValue wanted = change.apply(new ObservedState(value, notes));
       if (wanted.value() != null) {
         accept(ballot, wanted.value(), wanted.blobs(), true);
       } else if (same < world.majority() && value != null) {
         accept(ballot, value, List.of(), false);
       } else {
-        held.complete(new Held(new Versioned(newest, value), false));
+        held.complete(new CommittedState(new VersionedValue(newest, value), false));
       }
     }
 
@@ -120,7 +120,7 @@
             response -> {
               round = Math.max(round, response.promised().round);
               if (response.done() && ++counts[0] == world.majority()) {
-                held.complete(new Held(new Versioned(ballot, value), changed));
+                held.complete(new CommittedState(new VersionedValue(ballot, value), changed));
               } else if (!response.done()
                   && ++counts[1] == world.stores.size() - world.majority() + 1) {
                 again();
@@ -142,34 +142,34 @@
   }
 
   @Override
-  public CompletableFuture<Versioned> read(String key, Ballot known, long timeoutMs) {
-    CompletableFuture<Versioned> read = new CompletableFuture<>();
-    change(key, found -> new Wanted(null, List.of()), List.of(), null, timeoutMs)
+  public CompletableFuture<VersionedValue> read(String key, Ballot known, long timeoutMs) {
+    CompletableFuture<VersionedValue> read = new CompletableFuture<>();
+    change(key, found -> new ProposedValue(null, List.of()), List.of(), null, timeoutMs)
         .whenComplete(
             (held, failed) -> {
               if (failed != null) {
                 read.completeExceptionally(new ElmsailException(ErrorCode.NO_QUORUM, key));
               } else if (known != null
-                  && known.round == held.now().ballot().round
-                  && known.proposerId == held.now().ballot().proposerId) {
-                read.complete(new Versioned(known, null));
+                  && known.round == held.current().ballot().round
+                  && known.proposerId == held.current().ballot().proposerId) {
+                read.complete(new VersionedValue(known, null));
               } else {
-                read.complete(held.now());
+                read.complete(held.current());
               }
             });
     return read;
   }
 
   @Override
-  public CompletableFuture<Held> change(
-      String key, Function<Found, Wanted> change, List<Blob> blobs, byte[] note, long timeoutMs) {
+  public CompletableFuture<CommittedState> change(
+      String key, Function<ObservedState, ProposedValue> change, List<Blob> blobs, byte[] note, long timeoutMs) {
     Change one = new Change(key, change, blobs, note, timeoutMs);
     world.timers.execute(one::begin);
     return one.held;
   }
 
   @Override
-  public CompletableFuture<byte[]> blob(String key, String name, long timeoutMs) {
+  public CompletableFuture<byte[]> readBlob(String key, String name, long timeoutMs) {
     CompletableFuture<byte[]> blob = new CompletableFuture<>();
     world.timers.schedule(
         timeoutMs,
--- a/batch/src/test/java/elmsail/batch/SimWorld.java
+++ b/batch/src/test/java/elmsail/batch/SimWorld.java
@@ -301,7 +301,7 @@
     TokenCount count = new TokenCount();
     count.putAll(
         List.of(
-            store.views.noted("lot/probe", new TokenCount.Add("r-lots", "probe", 0, 1).packed())));
+            store.views.onSideEffect("lot/probe", new TokenCount.Add("r-lots", "probe", 0, 1).packed())));
     return count.without("probe");
   }
 
--- a/batch/src/test/java/elmsail/batch/WithdrawnAddTest.java
+++ b/batch/src/test/java/elmsail/batch/WithdrawnAddTest.java
@@ -17,7 +17,7 @@
   private final SimJobStore store = world.stores.get(0);
 
   private void add(TokenCount.Add add) {
-    store.views.noted(JobRecord.keyOf(add.job()), add.packed());
+    store.views.onSideEffect(JobRecord.keyOf(add.job()), add.packed());
   }
 
   private void withdraw(TokenCount.Add add) {
--- a/config/src/main/java/elmsail/config/watch/ClusterViews.java
+++ b/config/src/main/java/elmsail/config/watch/ClusterViews.java
@@ -22,8 +22,8 @@
 
   /** Whether both tell the same of both sets' voter slots and of the gateways. */
   static boolean same(ClusterView one, ClusterView other) {
-    return VoterSets.same(one.controlPlaneVoters, other.controlPlaneVoters)
-        && VoterSets.same(one.jobStoreVoters, other.jobStoreVoters)
+    return VoterSets.areEqual(one.controlPlaneVoters, other.controlPlaneVoters)
+        && VoterSets.areEqual(one.jobStoreVoters, other.jobStoreVoters)
         && one.gateways.equals(other.gateways);
   }
 }
--- a/config/src/main/java/elmsail/config/watch/ConfigWatcher.java
+++ b/config/src/main/java/elmsail/config/watch/ConfigWatcher.java
@@ -329,7 +329,7 @@
     if (ClusterViews.same(view, merged)) {
       return false;
     }
-    if (!VoterSets.same(view.controlPlaneVoters, head)) {
+    if (!VoterSets.areEqual(view.controlPlaneVoters, head)) {
       timers.execute(() -> streams.choose(view.controlPlaneVoters));
     }
     view = merged;
--- a/config/src/main/java/elmsail/config/watch/PeerReport.java
+++ b/config/src/main/java/elmsail/config/watch/PeerReport.java
@@ -29,6 +29,6 @@
         && instanceId == other.instanceId
         && voting == other.voting
         && emptied == other.emptied
-        && VoterSets.same(storeSet, other.storeSet);
+        && VoterSets.areEqual(storeSet, other.storeSet);
   }
 }
--- a/consensus/src/main/java/elmsail/consensus/Acceptor.java
+++ b/consensus/src/main/java/elmsail/consensus/Acceptor.java
@@ -14,49 +14,49 @@
    * {@code write} null: nothing changes, but what was written before must be safe when this is
    * told.
    */
-  record Decision(VoteResponse answer, KeyState write) {}
+  record Decision(VoteResponse response, AcceptorState newState) {}
 
-  static Decision prepare(KeyState state, Ballot ballot) {
-    int order = Ballots.compare(ballot, state.promised());
-    if (order < 0 || Ballots.none(ballot)) {
-      return new Decision(response(VoteResponse.BALLOT_TOO_LOW, state), null);
+  static Decision prepare(AcceptorState state, Ballot ballot) {
+    int comparison = Ballots.compare(ballot, state.promised());
+    if (comparison < 0 || Ballots.isNone(ballot)) {
+      return new Decision(responseWithValue(VoteResponse.BALLOT_TOO_LOW, state), null);
     }
-    if (order == 0) {
-      return new Decision(response(VoteResponse.OK, state), null);
+    if (comparison == 0) {
+      return new Decision(responseWithValue(VoteResponse.OK, state), null);
     }
-    KeyState then = new KeyState(ballot, state.accepted(), state.copied(), state.value());
-    return new Decision(response(VoteResponse.OK, then), then);
+    AcceptorState newState = new AcceptorState(ballot, state.accepted(), state.fromStateTransfer(), state.value());
+    return new Decision(responseWithValue(VoteResponse.OK, newState), newState);
   }
 
   /** A repeated accept is answered as the first was, also where more has been promised since. */
-  static Decision accept(KeyState state, Ballot ballot, Ballot next, byte[] value) {
-    if (Ballots.same(ballot, state.accepted()) && !state.copied() && !Ballots.none(ballot)) {
-      return new Decision(bare(VoteResponse.OK, state), null);
+  static Decision accept(AcceptorState state, Ballot ballot, Ballot nextBallot, byte[] value) {
+    if (Ballots.areEqual(ballot, state.accepted()) && !state.fromStateTransfer() && !Ballots.isNone(ballot)) {
+      return new Decision(responseWithoutValue(VoteResponse.OK, state), null);
     }
-    if (Ballots.compare(ballot, state.promised()) < 0 || Ballots.none(ballot)) {
-      return new Decision(bare(VoteResponse.BALLOT_TOO_LOW, state), null);
+    if (Ballots.compare(ballot, state.promised()) < 0 || Ballots.isNone(ballot)) {
+      return new Decision(responseWithoutValue(VoteResponse.BALLOT_TOO_LOW, state), null);
     }
-    KeyState then = new KeyState(Ballots.higher(ballot, next), ballot, false, value);
-    return new Decision(bare(VoteResponse.OK, then), then);
+    AcceptorState newState = new AcceptorState(Ballots.max(ballot, nextBallot), ballot, false, value);
+    return new Decision(responseWithoutValue(VoteResponse.OK, newState), newState);
   }
 
-  static VoteResponse read(KeyState state, Ballot known, boolean bare) {
-    boolean spared = bare || !Ballots.none(known) && Ballots.same(known, state.accepted());
-    return spared ? bare(VoteResponse.OK, state) : response(VoteResponse.OK, state);
+  static VoteResponse read(AcceptorState state, Ballot knownBallot, boolean ballotOnly) {
+    boolean omitValue = ballotOnly || !Ballots.isNone(knownBallot) && Ballots.areEqual(knownBallot, state.accepted());
+    return omitValue ? responseWithoutValue(VoteResponse.OK, state) : responseWithValue(VoteResponse.OK, state);
   }
 
-  private static VoteResponse response(int code, KeyState state) {
-    VoteResponse response = bare(code, state);
+  private static VoteResponse responseWithValue(int code, AcceptorState state) {
+    VoteResponse response = responseWithoutValue(code, state);
     response.value = code == VoteResponse.OK ? state.value() : null;
     return response;
   }
 
-  private static VoteResponse bare(int code, KeyState state) {
+  private static VoteResponse responseWithoutValue(int code, AcceptorState state) {
     VoteResponse response = new VoteResponse();
     response.code = code;
     response.promised = state.promised();
     response.accepted = state.accepted();
-    response.fromStateTransfer = state.copied();
+    response.fromStateTransfer = state.fromStateTransfer();
     return response;
   }
 }
--- a/consensus/src/main/java/elmsail/consensus/KeyState.java
+++ b/consensus/src/main/java/elmsail/consensus/AcceptorState.java
@@ -9,30 +9,30 @@
  * What one voter holds of one key.
  *
  * @param promised never below {@code accepted}
- * @param copied {@code accepted} came from another voter slot's record when this voter slot was
+ * @param fromStateTransfer {@code accepted} came from another voter slot's record when this voter slot was
  *     claimed
  * @param value null if nothing was accepted
  */
-record KeyState(Ballot promised, Ballot accepted, boolean copied, byte[] value) {
-  private static final int HEAD = 4 * Long.BYTES + 1;
+record AcceptorState(Ballot promised, Ballot accepted, boolean fromStateTransfer, byte[] value) {
+  private static final int HEADER_BYTES = 4 * Long.BYTES + 1;
 
-  static final KeyState EMPTY = new KeyState(new Ballot(), new Ballot(), false, null);
+  static final AcceptorState EMPTY = new AcceptorState(new Ballot(), new Ballot(), false, null);
 
-  byte[] bytes() {
-    ByteBuffer out = ByteBuffer.allocate(HEAD + (value == null ? 0 : value.length));
+  byte[] toBytes() {
+    ByteBuffer out = ByteBuffer.allocate(HEADER_BYTES + (value == null ? 0 : value.length));
     out.putLong(promised.round).putLong(promised.proposerId).putLong(accepted.round).putLong(accepted.proposerId);
-    out.put((byte) ((value == null ? 0 : 1) | (copied ? 2 : 0)));
+    out.put((byte) ((value == null ? 0 : 1) | (fromStateTransfer ? 2 : 0)));
     if (value != null) {
       out.put(value);
     }
     return out.array();
   }
 
-  static KeyState of(byte[] bytes) {
+  static AcceptorState fromBytes(byte[] bytes) {
     if (bytes == null) {
       return EMPTY;
     }
-    if (bytes.length < HEAD) {
+    if (bytes.length < HEADER_BYTES) {
       throw new ElmsailException(ErrorCode.STORAGE_FAILURE, "a key's record of " + bytes.length + " bytes");
     }
     ByteBuffer in = ByteBuffer.wrap(bytes);
@@ -44,19 +44,19 @@
       value = new byte[in.remaining()];
       in.get(value);
     }
-    return new KeyState(promised, accepted, (flags & 2) != 0, value);
+    return new AcceptorState(promised, accepted, (flags & 2) != 0, value);
   }
 
   /**
    * This, and what another voter slot holds of the same key: the highest promise, the highest
    * accepted.
    */
-  KeyState withCopyOf(KeyState other) {
-    boolean theirs = Ballots.compare(other.accepted, accepted) > 0;
-    return new KeyState(
-        Ballots.higher(promised, other.promised),
-        theirs ? other.accepted : accepted,
-        theirs || copied,
-        theirs ? other.value : value);
+  AcceptorState mergeTransferred(AcceptorState other) {
+    boolean otherIsNewer = Ballots.compare(other.accepted, accepted) > 0;
+    return new AcceptorState(
+        Ballots.max(promised, other.promised),
+        otherIsNewer ? other.accepted : accepted,
+        otherIsNewer || fromStateTransfer,
+        otherIsNewer ? other.value : value);
   }
 }
--- a/consensus/src/main/java/elmsail/consensus/Ballots.java
+++ b/consensus/src/main/java/elmsail/consensus/Ballots.java
@@ -6,10 +6,10 @@
 final class Ballots {
   private Ballots() {}
 
-  static Ballot of(long round, long who) {
+  static Ballot of(long round, long proposerId) {
     Ballot ballot = new Ballot();
     ballot.round = round;
-    ballot.proposerId = who;
+    ballot.proposerId = proposerId;
     return ballot;
   }
 
@@ -19,15 +19,15 @@
         : Long.compare(one.proposerId, other.proposerId);
   }
 
-  static boolean same(Ballot one, Ballot other) {
+  static boolean areEqual(Ballot one, Ballot other) {
     return one.round == other.round && one.proposerId == other.proposerId;
   }
 
-  static Ballot higher(Ballot one, Ballot other) {
+  static Ballot max(Ballot one, Ballot other) {
     return compare(one, other) >= 0 ? one : other;
   }
 
-  static boolean none(Ballot ballot) {
+  static boolean isNone(Ballot ballot) {
     return ballot == null || ballot.round == 0;
   }
 }
--- a/consensus/src/main/java/elmsail/consensus/BlobRead.java
+++ b/consensus/src/main/java/elmsail/consensus/BlobRead.java
@@ -11,7 +11,7 @@
  */
 final class BlobRead extends QuorumOperation<byte[]> {
   /** A voter slot that is silent for so long is passed over, and its answer still taken. */
-  private static final long NEXT_AFTER_MS = 250;
+  private static final long HEDGE_DELAY_MS = 250;
 
   private final String name;
 
@@ -21,30 +21,30 @@
   }
 
   @Override
-  ErrorCode codeIfOver() {
+  ErrorCode timeoutErrorCode() {
     return ErrorCode.NO_QUORUM;
   }
 
   @Override
   void attempt(VoterSet voterSet) {
-    new Attempt(voterSet).next();
+    new Attempt(voterSet).requestNext();
   }
 
   private final class Attempt {
-    private final int number = number();
+    private final int attemptNumber = attemptNumber();
     private final VoterSet voterSet;
-    private final int[] order;
-    private int asked;
+    private final int[] nearestFirst;
+    private int requested;
     private int answered;
-    private int without;
+    private int missing;
 
     Attempt(VoterSet voterSet) {
       this.voterSet = voterSet;
-      order = client.nearestFirst(voterSet);
+      nearestFirst = client.slotsNearestFirst(voterSet);
     }
 
-    void next() {
-      if (!current(number) || asked == order.length) {
+    void requestNext() {
+      if (!isCurrent(attemptNumber) || requested == nearestFirst.length) {
         return;
       }
       BlobRequest request = new BlobRequest();
@@ -52,46 +52,46 @@
       request.key = key;
       request.name = name;
       request.voterSet = voterSet;
-      int slot = order[asked++];
-      if (!VoterSets.counts(voterSet, slot)) {
+      int slot = nearestFirst[requested++];
+      if (!VoterSets.isCounted(voterSet, slot)) {
         answered(null);
         return;
       }
-      int atMost = asked;
+      int requestedSoFar = requested;
       client
           .caller
-          .call(voterSet.voters.get(slot).address, request, BlobResponse.class, callMs())
+          .call(voterSet.voters.get(slot).address, request, BlobResponse.class, callTimeoutMs())
           .whenComplete((response, failure) -> answered(response));
       client.timers.schedule(
-          NEXT_AFTER_MS,
+          HEDGE_DELAY_MS,
           () -> {
-            if (asked == atMost) {
-              next();
+            if (requested == requestedSoFar) {
+              requestNext();
             }
           });
     }
 
     private void answered(BlobResponse response) {
-      if (!current(number)) {
+      if (!isCurrent(attemptNumber)) {
         if (response != null) {
-          late(response.voterSet);
+          learnFromLateResponse(response.voterSet);
         }
         return;
       }
       answered++;
       if (response != null && response.found) {
-        done(response.bytes);
+        complete(response.bytes);
         return;
       }
-      if (response != null && renewed(voterSet, response.voterSet)) {
+      if (response != null && retryUnderNewerVoterSet(voterSet, response.voterSet)) {
         return;
       }
-      if (response != null && response.voting && ++without >= VoterSets.blocking(order.length)) {
-        done(null);
-      } else if (answered == order.length) {
-        backOff();
+      if (response != null && response.voting && ++missing >= VoterSets.blockingSize(nearestFirst.length)) {
+        complete(null);
+      } else if (answered == nearestFirst.length) {
+        retryAfterBackoff();
       } else {
-        next();
+        requestNext();
       }
     }
   }
--- a/consensus/src/main/java/elmsail/consensus/DurableRecords.java
+++ b/consensus/src/main/java/elmsail/consensus/DurableRecords.java
@@ -22,8 +22,8 @@
     this.names = names;
   }
 
-  KeyState state(String key) {
-    return KeyState.of(records.read(names.key(key)));
+  AcceptorState state(String key) {
+    return AcceptorState.fromBytes(records.read(names.key(key)));
   }
 
   /**
@@ -53,18 +53,18 @@
     List<Change> changes = new ArrayList<>();
     for (Blob blob : blobs) {
       String name = names.blob(key, blob.name);
-      if (!names.has(records, name)) {
+      if (!names.isStored(records, name)) {
         changes.add(new Change(name, blob.bytes));
       }
     }
-    if (decision.write() != null) {
-      changes.add(new Change(names.key(key), decision.write().bytes()));
+    if (decision.newState() != null) {
+      changes.add(new Change(names.key(key), decision.newState().toBytes()));
     }
     return changes;
   }
 
   /** Removes the key's state and its blobs. */
-  void drop(String key) {
+  void removeKey(String key) {
     List<Change> changes = new ArrayList<>();
     changes.add(new Change(names.key(key), null));
     for (String name : records.names(names.blobs(key))) {
@@ -74,7 +74,7 @@
   }
 
   /** Removes all keys and blobs. */
-  void forget() {
+  void removeAll() {
     List<Change> changes = new ArrayList<>();
     for (String prefix : new String[] {names.keys(), names.blobs()}) {
       for (String name : records.names(prefix)) {
@@ -90,15 +90,15 @@
    * Answers once the changes, and all before them, are safe; never if one of those failed
    * meanwhile.
    */
-  <A> CompletableFuture<A> safely(List<Change> changes, Supplier<A> answer) {
-    long failed = failedWrites;
-    CompletableFuture<Void> safe = changes.isEmpty() ? lastWrite : write(changes);
-    return safe.thenApply(
+  <A> CompletableFuture<A> respondOnceDurable(List<Change> changes, Supplier<A> response) {
+    long failedBefore = failedWrites;
+    CompletableFuture<Void> durable = changes.isEmpty() ? lastWrite : write(changes);
+    return durable.thenApply(
         none -> {
-          if (failedWrites != failed) {
+          if (failedWrites != failedBefore) {
             throw new ElmsailException(ErrorCode.STORAGE_FAILURE, "what this relies on could not be written");
           }
-          return answer.get();
+          return response.get();
         });
   }
 }
--- a/consensus/src/main/java/elmsail/consensus/JoinQuorum.java
+++ b/consensus/src/main/java/elmsail/consensus/JoinQuorum.java
@@ -46,39 +46,39 @@
  * If S is gone for good, this doesn't help: that it didn't vote is known to it alone.
  */
 final class JoinQuorum {
-  private final VoterSet asked;
-  private final int need;
+  private final VoterSet knownVoterSet;
+  private final int required;
 
   /** As told by voting ones that hold the claim. */
   private final VoterSet[] acknowledged;
 
   /** Voter slots whose holder isn't voting, and has the claim on its disk. */
-  private final boolean[] noted;
+  private final boolean[] recordedByHolder;
 
   /** Voter slots whose replaced holder has the claim on its disk, and its records. */
-  private final boolean[] kept;
+  private final boolean[] recordedByPredecessor;
 
-  private final boolean[] open;
-  private final boolean[] openBefore;
-  private Voter replaced;
+  private final boolean[] awaitingHolder;
+  private final boolean[] awaitingPredecessor;
+  private Voter replacedSource;
 
   /**
-   * @param asked as known when the claim is sent
+   * @param knownVoterSet as known when the claim is sent
    */
-  JoinQuorum(VoterSet asked, int slot, long ownInstanceId) {
-    this.asked = asked;
-    int voters = asked.voters.size();
-    need = VoterSets.blocking(voters);
+  JoinQuorum(VoterSet knownVoterSet, int slot, long ownInstanceId) {
+    this.knownVoterSet = knownVoterSet;
+    int voters = knownVoterSet.voters.size();
+    required = VoterSets.blockingSize(voters);
     acknowledged = new VoterSet[voters];
-    noted = new boolean[voters];
-    kept = new boolean[voters];
-    open = new boolean[voters];
-    openBefore = new boolean[voters];
+    recordedByHolder = new boolean[voters];
+    recordedByPredecessor = new boolean[voters];
+    awaitingHolder = new boolean[voters];
+    awaitingPredecessor = new boolean[voters];
     for (int i = 0; i < voters; i++) {
-      Voter one = asked.voters.get(i);
-      open[i] = i != slot && VoterSets.counts(asked, i);
-      openBefore[i] =
-          open[i]
+      Voter one = knownVoterSet.voters.get(i);
+      awaitingHolder[i] = i != slot && VoterSets.isCounted(knownVoterSet, i);
+      awaitingPredecessor[i] =
+          awaitingHolder[i]
               && one.previousInstanceId != 0
               && one.previousInstanceId != ownInstanceId
               && !one.previousAddress.equals(one.address);
@@ -86,51 +86,51 @@
   }
 
   /** Whether the voter slot's holder is to be asked, and hasn't answered. */
-  boolean asks(int slot) {
-    return open[slot];
+  boolean awaitsHolder(int slot) {
+    return awaitingHolder[slot];
   }
 
   /** Whether the one before the voter slot's holder is to be asked, and hasn't answered. */
-  boolean asksBefore(int slot) {
-    return openBefore[slot];
+  boolean awaitsPredecessor(int slot) {
+    return awaitingPredecessor[slot];
   }
 
   /**
    * @param response by the voter slot's holder; null: it didn't answer
    */
-  void response(int slot, JoinResponse response) {
-    open[slot] = false;
-    if (response == null || response.voterSet.voters.size() != asked.voters.size()) {
+  void onHolderResponse(int slot, JoinResponse response) {
+    awaitingHolder[slot] = false;
+    if (response == null || response.voterSet.voters.size() != knownVoterSet.voters.size()) {
       return;
     }
-    Voter there = response.voterSet.voters.get(slot);
+    Voter holderAtResponder = response.voterSet.voters.get(slot);
     if (response.accepted) {
       acknowledged[slot] = response.voterSet;
     } else {
-      noted[slot] =
+      recordedByHolder[slot] =
           response.recorded
-              && response.instanceId == there.instanceId
-              && VoterSets.same(there, asked.voters.get(slot));
+              && response.instanceId == holderAtResponder.instanceId
+              && VoterSets.areEqual(holderAtResponder, knownVoterSet.voters.get(slot));
     }
   }
 
   /**
    * @param response by the one before; null: it didn't answer
    */
-  void toldBefore(int slot, JoinResponse response) {
-    openBefore[slot] = false;
-    Voter holder = asked.voters.get(slot);
+  void onPredecessorResponse(int slot, JoinResponse response) {
+    awaitingPredecessor[slot] = false;
+    Voter holder = knownVoterSet.voters.get(slot);
     if (response == null
-        || response.voterSet.voters.size() != asked.voters.size()
+        || response.voterSet.voters.size() != knownVoterSet.voters.size()
         || response.instanceId != holder.previousInstanceId) {
       return;
     }
-    Voter there = response.voterSet.voters.get(slot);
+    Voter holderAtResponder = response.voterSet.voters.get(slot);
     boolean voting =
         response.accepted
-            && there.instanceId == holder.previousInstanceId
-            && there.epoch == holder.previousEpoch;
-    kept[slot] = voting || response.recorded && response.replaced && VoterSets.same(there, holder);
+            && holderAtResponder.instanceId == holder.previousInstanceId
+            && holderAtResponder.epoch == holder.previousEpoch;
+    recordedByPredecessor[slot] = voting || response.recorded && response.replaced && VoterSets.areEqual(holderAtResponder, holder);
   }
 
   /** Null as long as too few acknowledged. */
@@ -141,47 +141,47 @@
         sources.add(acknowledged[i].voters.get(i));
       }
     }
-    for (int i = 0; i < acknowledged.length && sources.size() == need - 1; i++) {
-      if (noted[i] && kept[i] && agreed(i)) {
-        Voter holder = asked.voters.get(i);
-        Voter before = new Voter();
-        before.address = holder.previousAddress;
-        before.instanceId = holder.previousInstanceId;
-        before.epoch = holder.previousEpoch;
-        sources.add(before);
-        replaced = before;
+    for (int i = 0; i < acknowledged.length && sources.size() == required - 1; i++) {
+      if (recordedByHolder[i] && recordedByPredecessor[i] && acknowledgersAgreeOn(i)) {
+        Voter holder = knownVoterSet.voters.get(i);
+        Voter predecessor = new Voter();
+        predecessor.address = holder.previousAddress;
+        predecessor.instanceId = holder.previousInstanceId;
+        predecessor.epoch = holder.previousEpoch;
+        sources.add(predecessor);
+        replacedSource = predecessor;
       }
     }
-    return sources.size() >= need ? sources : null;
+    return sources.size() >= required ? sources : null;
   }
 
   /**
    * Which of the {@link #sources()} is a replaced holder, or null; the others must be voting still.
    */
-  Voter replaced() {
-    return replaced;
+  Voter replacedSource() {
+    return replacedSource;
   }
 
   /** Whether the answers that are still open can't be enough. */
-  boolean hopeless() {
+  boolean isUnattainable() {
     int possible = 0;
     boolean pair = false;
-    boolean anyOpen = false;
-    for (int i = 0; i < open.length; i++) {
-      anyOpen |= open[i] || openBefore[i];
-      if (open[i] || acknowledged[i] != null) {
+    boolean awaitingAny = false;
+    for (int i = 0; i < awaitingHolder.length; i++) {
+      awaitingAny |= awaitingHolder[i] || awaitingPredecessor[i];
+      if (awaitingHolder[i] || acknowledged[i] != null) {
         possible++;
-      } else if (noted[i] && (openBefore[i] || kept[i])) {
+      } else if (recordedByHolder[i] && (awaitingPredecessor[i] || recordedByPredecessor[i])) {
         pair = true;
       }
     }
-    return !anyOpen || possible + (pair ? 1 : 0) < need;
+    return !awaitingAny || possible + (pair ? 1 : 0) < required;
   }
 
   /** Whether all who acknowledged know just that claim of the voter slot. */
-  private boolean agreed(int slot) {
+  private boolean acknowledgersAgreeOn(int slot) {
     for (VoterSet known : acknowledged) {
-      if (known != null && !VoterSets.same(known.voters.get(slot), asked.voters.get(slot))) {
+      if (known != null && !VoterSets.areEqual(known.voters.get(slot), knownVoterSet.voters.get(slot))) {
         return false;
       }
     }
--- a/consensus/src/main/java/elmsail/consensus/PrepareRelay.java
+++ b/consensus/src/main/java/elmsail/consensus/PrepareRelay.java
@@ -24,11 +24,11 @@
   private static final long GRACE_MS = 30;
 
   /** Bytes of blobs that are being passed on at a time, at most. */
-  private static final long MOST_BYTES = 32L << 20;
+  private static final long MAX_BYTES_IN_FLIGHT = 32L << 20;
 
   private final RpcClient caller;
   private final Timers timers;
-  private long bytes;
+  private long bytesInFlight;
 
   PrepareRelay(RpcClient caller, Timers timers) {
     this.caller = caller;
@@ -40,17 +40,17 @@
   }
 
   private CompletableFuture<RelayedPrepareResponse> relay(RelayedPrepareRequest request) {
-    Round round = new Round(request.prepare);
-    if (bytes > 0 && bytes + round.bytes > MOST_BYTES) {
+    RelayedPrepare round = new RelayedPrepare(request.prepare);
+    if (bytesInFlight > 0 && bytesInFlight + round.bytes > MAX_BYTES_IN_FLIGHT) {
       return CompletableFuture.failedFuture(
           new ElmsailException(ErrorCode.RESOURCE_EXHAUSTED, "too many first rounds are being relayed"));
     }
-    round.begin(Math.max(1, Math.min(request.timeoutMs, RegisterClient.CALL_MS)));
+    round.start(Math.max(1, Math.min(request.timeoutMs, RegisterClient.CALL_TIMEOUT_MS)));
     return round.response;
   }
 
   /** One first round on its way to the voters. */
-  private final class Round {
+  private final class RelayedPrepare {
     private final PrepareRequest prepare;
     private final VoterSet voterSet;
     private final long bytes;
@@ -61,38 +61,38 @@
     private int promises;
     private int refusals;
 
-    Round(PrepareRequest prepare) {
+    RelayedPrepare(PrepareRequest prepare) {
       this.prepare = prepare;
       voterSet = prepare.voterSet;
-      majority = VoterSets.majority(voterSet.voters.size());
-      refusals = VoterSets.vacant(voterSet);
-      bytes = RelayChoice.bytes(prepare.blobs) * voterSet.voters.size();
+      majority = VoterSets.majoritySize(voterSet.voters.size());
+      refusals = VoterSets.uncountedSlots(voterSet);
+      bytes = RelaySelector.totalBytes(prepare.blobs) * voterSet.voters.size();
     }
 
-    void begin(long timeoutMs) {
-      PrepareRelay.this.bytes += bytes;
+    void start(long timeoutMs) {
+      PrepareRelay.this.bytesInFlight += bytes;
       for (int slot = 0; slot < voterSet.voters.size(); slot++) {
-        if (VoterSets.counts(voterSet, slot)) {
+        if (VoterSets.isCounted(voterSet, slot)) {
           pending++;
-          ask(slot, timeoutMs);
+          send(slot, timeoutMs);
         }
       }
       if (pending == 0) {
-        PrepareRelay.this.bytes -= bytes;
-        answer();
+        PrepareRelay.this.bytesInFlight -= bytes;
+        respond();
       }
     }
 
-    private void ask(int slot, long timeoutMs) {
+    private void send(int slot, long timeoutMs) {
       caller
           .call(voterSet.voters.get(slot).address, prepare, VoteResponse.class, timeoutMs)
-          .whenComplete((vote, failure) -> voted(slot, vote));
+          .whenComplete((vote, failure) -> onVote(slot, vote));
     }
 
-    private void voted(int slot, VoteResponse vote) {
+    private void onVote(int slot, VoteResponse vote) {
       pending--;
       if (pending == 0) {
-        PrepareRelay.this.bytes -= bytes;
+        PrepareRelay.this.bytesInFlight -= bytes;
       }
       if (response.isDone()) {
         return;
@@ -105,13 +105,13 @@
       promises += promised ? 1 : 0;
       refusals += promised ? 0 : 1;
       if (pending == 0 || refusals > voterSet.voters.size() - majority) {
-        answer();
+        respond();
       } else if (promised && promises == majority) {
-        timers.schedule(GRACE_MS, this::answer);
+        timers.schedule(GRACE_MS, this::respond);
       }
     }
 
-    private void answer() {
+    private void respond() {
       response.complete(votes);
     }
   }
--- a/consensus/src/main/java/elmsail/consensus/Proposer.java
+++ b/consensus/src/main/java/elmsail/consensus/Proposer.java
@@ -1,9 +1,9 @@
 package elmsail.consensus;
 
-import elmsail.consensus.Register.Found;
-import elmsail.consensus.Register.Held;
-import elmsail.consensus.Register.Versioned;
-import elmsail.consensus.Register.Wanted;
+import elmsail.consensus.Register.ObservedState;
+import elmsail.consensus.Register.CommittedState;
+import elmsail.consensus.Register.VersionedValue;
+import elmsail.consensus.Register.ProposedValue;
 import elmsail.rpc.messages.AcceptRequest;
 import elmsail.rpc.messages.Ballot;
 import elmsail.rpc.messages.Blob;
@@ -17,98 +17,98 @@
 import java.util.function.Function;
 
 /** One change of a key: prepare and accept at a majority, again until one attempt decides. */
-final class Proposer extends QuorumOperation<Held> {
-  private static final int MOST_NOT_ADMITTED = 2;
+final class Proposer extends QuorumOperation<CommittedState> {
+  private static final int MAX_ADMISSION_REFUSALS = 2;
 
-  private final Function<Found, Wanted> change;
+  private final Function<ObservedState, ProposedValue> change;
   private final List<Blob> blobs;
-  private final byte[] note;
+  private final byte[] sideEffect;
   private boolean acceptSent;
-  private int notAdmitted;
-  private int outbid;
+  private int admissionRefusals;
+  private int outbidAttempts;
 
   Proposer(
       RegisterClient client,
       String key,
-      Function<Found, Wanted> change,
+      Function<ObservedState, ProposedValue> change,
       List<Blob> blobs,
-      byte[] note,
+      byte[] sideEffect,
       long timeoutMs) {
     super(client, key, timeoutMs);
     this.change = change;
     this.blobs = blobs;
-    this.note = note;
+    this.sideEffect = sideEffect;
   }
 
   @Override
-  ErrorCode codeIfOver() {
+  ErrorCode timeoutErrorCode() {
     return acceptSent ? ErrorCode.OUTCOME_UNKNOWN : ErrorCode.NO_QUORUM;
   }
 
   @Override
   void attempt(VoterSet voterSet) {
-    RegisterClient.Kept kept = note == null ? client.takeKept(key) : null;
-    if (kept != null && kept.next() != null && VoterSets.same(kept.voterSet(), voterSet)) {
-      Wanted wanted = wanted(new Found(kept.value(), List.of()));
-      if (over()) {
+    RegisterClient.CachedPromise cachedPromise = sideEffect == null ? client.takeCachedPromise(key) : null;
+    if (cachedPromise != null && cachedPromise.nextBallot() != null && VoterSets.areEqual(cachedPromise.voterSet(), voterSet)) {
+      ProposedValue proposed = propose(new ObservedState(cachedPromise.value(), List.of()));
+      if (isDone()) {
         return;
       }
-      if (wanted.value() != null) {
-        new Attempt(voterSet, kept.next(), true).accept(wanted.value(), true, wanted.blobs());
+      if (proposed.value() != null) {
+        new Attempt(voterSet, cachedPromise.nextBallot(), true).accept(proposed.value(), true, proposed.blobs());
         return;
       }
       // What was kept may be old: a change is declined only on what a majority tells.
-      client.keep(key, new RegisterClient.Kept(null, new Ballot(), null, voterSet));
+      client.cachePromise(key, new RegisterClient.CachedPromise(null, new Ballot(), null, voterSet));
     }
-    new Attempt(voterSet, client.nextBallot(), kept != null).prepare();
+    new Attempt(voterSet, client.nextBallot(), cachedPromise != null).prepare();
   }
 
-  private Wanted wanted(Found found) {
+  private ProposedValue propose(ObservedState observed) {
     try {
-      return change.apply(found);
+      return change.apply(observed);
     } catch (RuntimeException e) {
-      failed(e);
+      fail(e);
       return null;
     }
   }
 
   /** One ballot: both its rounds are under one voter set. */
   private final class Attempt {
-    private final int number = number();
+    private final int attemptNumber = attemptNumber();
     private final VoterSet voterSet;
     private final int voters;
     private final int majority;
     private final Ballot ballot;
 
     /** Whether this client changed the key before, so that it may well do so again. */
-    private final boolean repeated;
+    private final boolean promiseAhead;
 
     private final VoteResponse[] promises;
-    private final boolean[] answered;
+    private final boolean[] responded;
     private final boolean[] acceptSentTo;
     private boolean prepared;
     private boolean accepting;
     private AcceptRequest accept;
     private List<Blob> acceptBlobs = List.of();
-    private boolean changed;
-    private int done;
-    private int refused;
-    private int refusedAdmission;
-    private int promisedNext;
+    private boolean isChange;
+    private int acknowledgements;
+    private int refusals;
+    private int notAdmitted;
+    private int nextBallotPromises;
 
     Attempt(VoterSet voterSet, Ballot ballot, boolean repeated) {
       this.voterSet = voterSet;
       this.ballot = ballot;
-      this.repeated = repeated;
+      this.promiseAhead = repeated;
       voters = voterSet.voters.size();
-      majority = VoterSets.majority(voters);
+      majority = VoterSets.majoritySize(voters);
       promises = new VoteResponse[voters];
-      answered = new boolean[voters];
+      responded = new boolean[voters];
       acceptSentTo = new boolean[voters];
       for (int i = 0; i < voters; i++) {
-        acceptSentTo[i] = !VoterSets.counts(voterSet, i);
+        acceptSentTo[i] = !VoterSets.isCounted(voterSet, i);
       }
-      refused = VoterSets.vacant(voterSet);
+      refusals = VoterSets.uncountedSlots(voterSet);
     }
 
     void prepare() {
@@ -119,62 +119,62 @@
       request.ballot = ballot;
       request.voterSet = voterSet;
       request.blobs = blobs;
-      request.sideEffect = note;
-      new PrepareRound(
+      request.sideEffect = sideEffect;
+      new PreparePhase(
               client,
               voterSet,
               request,
-              callMs(),
-              Math.max(1, leftMs()),
-              () -> current(number) && !accepting,
-              new PrepareRound.VoteListener() {
+              callTimeoutMs(),
+              Math.max(1, remainingMs()),
+              () -> isCurrent(attemptNumber) && !accepting,
+              new PreparePhase.VoteListener() {
                 @Override
-                public void voted(int slot, VoteResponse vote) {
+                public void onVote(int slot, VoteResponse vote) {
                   prepared(slot, vote);
                 }
 
                 @Override
-                public void underWay(int slot) {
-                  preparing(slot);
+                public void onPending(int slot) {
+                  onPreparePending(slot);
                 }
               })
           .send();
     }
 
     private void prepared(int slot, VoteResponse response) {
-      answered[slot] = true;
-      boolean yes = response != null && response.code == VoteResponse.OK;
+      responded[slot] = true;
+      boolean granted = response != null && response.code == VoteResponse.OK;
       if (response != null) {
-        client.seen(response.promised);
-        client.seen(response.accepted);
+        client.observe(response.promised);
+        client.observe(response.accepted);
       }
-      if (accepting && number == number()) {
+      if (accepting && attemptNumber == attemptNumber()) {
         // It is behind the majority's promises: its accept waited for this, so as not to send blobs
         // twice.
-        sendAccept(slot, yes);
+        sendAccept(slot, granted);
         return;
       }
-      if (!current(number)) {
-        late(response);
+      if (!isCurrent(attemptNumber)) {
+        learnFromLateResponse(response);
         return;
       }
-      if (accepting || renewed(voterSet, response)) {
+      if (accepting || retryUnderNewerVoterSet(voterSet, response)) {
         return;
       }
-      if (yes) {
+      if (granted) {
         promises[slot] = response;
-        if (++done >= majority) {
-          choose();
+        if (++acknowledgements >= majority) {
+          chooseValue();
         }
-      } else if (++refused > voters - majority) {
+      } else if (++refusals > voters - majority) {
         retry(response);
       }
     }
 
     /** The blobs are on their way to it: its accept needn't bring them. */
-    private void preparing(int slot) {
-      if (accepting && number == number()) {
-        answered[slot] = true;
+    private void onPreparePending(int slot) {
+      if (accepting && attemptNumber == attemptNumber()) {
+        responded[slot] = true;
         sendAccept(slot, true);
       } else {
         prepared(slot, null);
@@ -182,16 +182,16 @@
     }
 
     private void retry(VoteResponse last) {
-      if (last != null && last.code == VoteResponse.BALLOT_TOO_LOW && outbid++ == 0) {
-        again();
+      if (last != null && last.code == VoteResponse.BALLOT_TOO_LOW && outbidAttempts++ == 0) {
+        retryNow();
       } else {
-        backOff();
+        retryAfterBackoff();
       }
     }
 
-    private void choose() {
+    private void chooseValue() {
       VoteResponse highest = null;
-      List<byte[]> notes = new ArrayList<>();
+      List<byte[]> sideEffects = new ArrayList<>();
       for (VoteResponse response : promises) {
         if (response == null) {
           continue;
@@ -200,26 +200,26 @@
           highest = response;
         }
         if (response.sideEffect != null) {
-          notes.add(response.sideEffect);
+          sideEffects.add(response.sideEffect);
         }
       }
-      Wanted wanted = wanted(new Found(highest.value, notes));
-      if (over()) {
+      ProposedValue proposed = propose(new ObservedState(highest.value, sideEffects));
+      if (isDone()) {
         return;
       }
-      if (wanted.value() != null) {
-        accept(wanted.value(), true, wanted.blobs());
-      } else if (Ballots.none(highest.accepted) || takenByMajority(highest.accepted)) {
-        done(new Held(new Versioned(highest.accepted, highest.value), false));
+      if (proposed.value() != null) {
+        accept(proposed.value(), true, proposed.blobs());
+      } else if (Ballots.isNone(highest.accepted) || isAcceptedByMajority(highest.accepted)) {
+        complete(new CommittedState(new VersionedValue(highest.accepted, highest.value), false));
       } else {
         accept(highest.value, false, List.of());
       }
     }
 
-    private boolean takenByMajority(Ballot accepted) {
+    private boolean isAcceptedByMajority(Ballot accepted) {
       int same = 0;
       for (VoteResponse response : promises) {
-        if (response != null && !response.fromStateTransfer && Ballots.same(response.accepted, accepted)) {
+        if (response != null && !response.fromStateTransfer && Ballots.areEqual(response.accepted, accepted)) {
           same++;
         }
       }
@@ -227,39 +227,39 @@
     }
 
     /** Second round. What was prepared with blobs is taken only where these are kept as well. */
-    void accept(byte[] value, boolean changing, List<Blob> more) {
+    void accept(byte[] value, boolean isChange, List<Blob> extraBlobs) {
       accepting = true;
       acceptSent = true;
-      changed = changing;
-      done = 0;
-      refused = VoterSets.vacant(voterSet);
+      this.isChange = isChange;
+      acknowledgements = 0;
+      refusals = VoterSets.uncountedSlots(voterSet);
       accept = new AcceptRequest();
       accept.set = client.set();
       accept.key = key;
       accept.ballot = ballot;
       accept.voterSet = voterSet;
       accept.value = value;
-      if (repeated) {
-        accept.nextBallot = client.promiseAfter(ballot);
+      if (promiseAhead) {
+        accept.nextBallot = client.nextBallotAfter(ballot);
       }
-      acceptBlobs = more == null ? List.of() : more;
+      acceptBlobs = extraBlobs == null ? List.of() : extraBlobs;
       for (int i = 0; i < voters; i++) {
         if (promises[i] != null) {
           sendAccept(i, true);
-        } else if (blobs.isEmpty() || answered[i] || !prepared) {
+        } else if (blobs.isEmpty() || responded[i] || !prepared) {
           sendAccept(i, false);
         }
       }
     }
 
-    private void sendAccept(int slot, boolean hasBlobs) {
+    private void sendAccept(int slot, boolean blobsDelivered) {
       if (acceptSentTo[slot]) {
         return;
       }
       acceptSentTo[slot] = true;
       AcceptRequest request = accept;
       List<Blob> sent = acceptBlobs;
-      if (!hasBlobs && !blobs.isEmpty()) {
+      if (!blobsDelivered && !blobs.isEmpty()) {
         sent = new ArrayList<>(blobs);
         sent.addAll(acceptBlobs);
       }
@@ -273,45 +273,45 @@
         request.voterSet = accept.voterSet;
         request.blobs = sent;
       }
-      Voter to = voterSet.voters.get(slot);
+      Voter voter = voterSet.voters.get(slot);
       client
           .caller
-          .call(to.address, request, VoteResponse.class, callMs())
-          .whenComplete((response, failure) -> accepted(response));
+          .call(voter.address, request, VoteResponse.class, callTimeoutMs())
+          .whenComplete((response, failure) -> onAcceptResponse(response));
     }
 
-    private void accepted(VoteResponse response) {
-      boolean yes = response != null && response.code == VoteResponse.OK;
+    private void onAcceptResponse(VoteResponse response) {
+      boolean granted = response != null && response.code == VoteResponse.OK;
       if (response != null) {
-        client.seen(response.promised);
+        client.observe(response.promised);
       }
-      if (yes && !Ballots.none(accept.nextBallot) && Ballots.same(response.promised, accept.nextBallot)) {
-        promisedNext++;
+      if (granted && !Ballots.isNone(accept.nextBallot) && Ballots.areEqual(response.promised, accept.nextBallot)) {
+        nextBallotPromises++;
       }
-      if (!current(number)) {
-        late(response);
+      if (!isCurrent(attemptNumber)) {
+        learnFromLateResponse(response);
         return;
       }
-      if (yes) {
-        if (++done >= majority) {
-          Ballot next = promisedNext >= majority ? accept.nextBallot : null;
-          client.keep(key, new RegisterClient.Kept(next, ballot, accept.value, voterSet));
-          done(new Held(new Versioned(ballot, accept.value), changed));
+      if (granted) {
+        if (++acknowledgements >= majority) {
+          Ballot next = nextBallotPromises >= majority ? accept.nextBallot : null;
+          client.cachePromise(key, new RegisterClient.CachedPromise(next, ballot, accept.value, voterSet));
+          complete(new CommittedState(new VersionedValue(ballot, accept.value), isChange));
         }
         return;
       }
-      if (renewed(voterSet, response)) {
+      if (retryUnderNewerVoterSet(voterSet, response)) {
         return;
       }
-      refused++;
+      refusals++;
       if (response != null && response.code == VoteResponse.NOT_ADMITTED) {
-        refusedAdmission++;
+        notAdmitted++;
       }
-      if (refused <= voters - majority) {
+      if (refusals <= voters - majority) {
         return;
       }
-      if (refusedAdmission > 0 && notAdmitted++ >= MOST_NOT_ADMITTED) {
-        failed(RegisterClient.failure(ErrorCode.OUTCOME_UNKNOWN, client.set(), key));
+      if (notAdmitted > 0 && admissionRefusals++ >= MAX_ADMISSION_REFUSALS) {
+        fail(RegisterClient.failure(ErrorCode.OUTCOME_UNKNOWN, client.set(), key));
       } else {
         retry(response);
       }
--- a/consensus/src/main/java/elmsail/consensus/QuorumOperation.java
+++ b/consensus/src/main/java/elmsail/consensus/QuorumOperation.java
@@ -12,8 +12,8 @@
   final String key;
   private final CompletableFuture<R> result = new CompletableFuture<>();
   private final long deadline;
-  private Timers.Timer overdue;
-  private int tries;
+  private Timers.Timer deadlineTimer;
+  private int retries;
 
   /** Answers to earlier attempts carry an earlier number, and are passed over. */
   private int attempt;
@@ -29,107 +29,107 @@
   }
 
   final void start() {
-    overdue = client.timers.schedule(deadline - client.timers.now(), this::giveUp);
+    deadlineTimer = client.timers.schedule(deadline - client.timers.now(), this::onDeadline);
     // Futures must not complete inside the call that makes them.
-    client.timers.execute(this::again);
+    client.timers.execute(this::retryNow);
   }
 
   /** A fresh attempt under that voter set, which has voter slots. */
   abstract void attempt(VoterSet voterSet);
 
   /** How it ends if the time is over. */
-  abstract ErrorCode codeIfOver();
+  abstract ErrorCode timeoutErrorCode();
 
-  final int number() {
+  final int attemptNumber() {
     return attempt;
   }
 
-  final boolean current(int number) {
+  final boolean isCurrent(int number) {
     return number == attempt && !result.isDone();
   }
 
-  final boolean over() {
+  final boolean isDone() {
     return result.isDone();
   }
 
-  final long callMs() {
-    return Math.max(1, Math.min(RegisterClient.CALL_MS, deadline - client.timers.now()));
+  final long callTimeoutMs() {
+    return Math.max(1, Math.min(RegisterClient.CALL_TIMEOUT_MS, deadline - client.timers.now()));
   }
 
-  final long leftMs() {
+  final long remainingMs() {
     return Math.max(0, deadline - client.timers.now());
   }
 
   /** At once. */
-  final void again() {
+  final void retryNow() {
     if (result.isDone()) {
       return;
     }
     attempt++;
     VoterSet voterSet = client.voterSets.current();
     if (voterSet.voters.isEmpty()) {
-      backOff();
+      retryAfterBackoff();
     } else {
       attempt(voterSet);
     }
   }
 
   /** After a random wait, which grows. */
-  final void backOff() {
+  final void retryAfterBackoff() {
     attempt++;
-    client.timers.schedule(client.backoff(tries++), this::again);
+    client.timers.schedule(client.backoffMs(retries++), this::retryNow);
   }
 
   /**
    * Takes a newer voter set; true if there was one, and the attempt under the older has been ended.
    */
-  final boolean renewed(VoterSet under, VoterSet response) {
-    if (!VoterSets.newer(response, under)) {
+  final boolean retryUnderNewerVoterSet(VoterSet under, VoterSet received) {
+    if (!VoterSets.isNewer(received, under)) {
       return false;
     }
-    client.voterSets.learn(response);
-    if (VoterSets.newer(client.voterSets.current(), under)) {
-      again();
+    client.voterSets.learn(received);
+    if (VoterSets.isNewer(client.voterSets.current(), under)) {
+      retryNow();
     } else {
-      backOff();
+      retryAfterBackoff();
     }
     return true;
   }
 
-  final boolean renewed(VoterSet under, VoteResponse response) {
+  final boolean retryUnderNewerVoterSet(VoterSet under, VoteResponse response) {
     return response != null
         && (response.code == VoteResponse.STALE_VOTER_SET || response.code == VoteResponse.NOT_A_VOTER)
-        && renewed(under, response.voterSet);
+        && retryUnderNewerVoterSet(under, response.voterSet);
   }
 
   /**
    * Of an answer that is too late for its attempt: silent voter slots may have ended that before.
    */
-  final void late(VoteResponse response) {
+  final void learnFromLateResponse(VoteResponse response) {
     if (response != null
         && (response.code == VoteResponse.STALE_VOTER_SET
             || response.code == VoteResponse.NOT_A_VOTER)) {
-      late(response.voterSet);
+      learnFromLateResponse(response.voterSet);
     }
   }
 
-  final void late(VoterSet response) {
-    if (VoterSets.newer(response, client.voterSets.current())) {
-      client.voterSets.learn(response);
+  final void learnFromLateResponse(VoterSet received) {
+    if (VoterSets.isNewer(received, client.voterSets.current())) {
+      client.voterSets.learn(received);
     }
   }
 
-  final void done(R value) {
-    overdue.cancel();
+  final void complete(R value) {
+    deadlineTimer.cancel();
     result.complete(value);
   }
 
-  final void failed(Throwable failure) {
-    overdue.cancel();
+  final void fail(Throwable failure) {
+    deadlineTimer.cancel();
     result.completeExceptionally(failure);
   }
 
-  private void giveUp() {
-    failed(RegisterClient.failure(codeIfOver(), client.set(), key));
+  private void onDeadline() {
+    fail(RegisterClient.failure(timeoutErrorCode(), client.set(), key));
   }
 }
--- a/consensus/src/main/java/elmsail/consensus/QuorumRead.java
+++ b/consensus/src/main/java/elmsail/consensus/QuorumRead.java
@@ -1,8 +1,8 @@
 package elmsail.consensus;
 
-import elmsail.consensus.Register.Held;
-import elmsail.consensus.Register.Versioned;
-import elmsail.consensus.Register.Wanted;
+import elmsail.consensus.Register.CommittedState;
+import elmsail.consensus.Register.VersionedValue;
+import elmsail.consensus.Register.ProposedValue;
 import elmsail.rpc.messages.Ballot;
 import elmsail.rpc.messages.ReadRequest;
 import elmsail.rpc.messages.VoteResponse;
@@ -17,20 +17,20 @@
  * what was found is finished by a change that changes nothing. Only the nearest voter slot is asked
  * for the value.
  */
-final class QuorumRead extends QuorumOperation<Versioned> {
-  private static final long FINISH_AFTER_MS = 15;
-  private final Ballot known;
+final class QuorumRead extends QuorumOperation<VersionedValue> {
+  private static final long DISAGREEMENT_GRACE_MS = 15;
+  private final Ballot knownBallot;
 
   /** The highest ballot that some voters had accepted when an attempt saw no majority agree. */
-  private Ballot unfinished = new Ballot();
+  private Ballot undecidedBallot = new Ballot();
 
-  QuorumRead(RegisterClient client, String key, Ballot known, long timeoutMs) {
+  QuorumRead(RegisterClient client, String key, Ballot knownBallot, long timeoutMs) {
     super(client, key, timeoutMs);
-    this.known = known;
+    this.knownBallot = knownBallot;
   }
 
   @Override
-  ErrorCode codeIfOver() {
+  ErrorCode timeoutErrorCode() {
     return ErrorCode.NO_QUORUM;
   }
 
@@ -39,105 +39,105 @@
     new Attempt(voterSet).request();
   }
 
-  private void finish() {
-    int number = number();
-    CompletableFuture<Held> finished =
+  private void repair() {
+    int number = attemptNumber();
+    CompletableFuture<CommittedState> finished =
         client.change(
-            key, found -> new Wanted(null, List.of()), List.of(), null, Math.max(1, leftMs()));
+            key, observed -> new ProposedValue(null, List.of()), List.of(), null, Math.max(1, remainingMs()));
     finished.whenComplete(
-        (held, failure) -> {
-          if (!current(number)) {
+        (committed, failure) -> {
+          if (!isCurrent(number)) {
             return;
           }
-          if (held != null) {
-            tell(held.now().ballot(), held.now().value());
+          if (committed != null) {
+            completeWith(committed.current().ballot(), committed.current().value());
           } else {
-            failed(new ElmsailException(ErrorCode.NO_QUORUM, client.set() + " " + key, failure));
+            fail(new ElmsailException(ErrorCode.NO_QUORUM, client.set() + " " + key, failure));
           }
         });
   }
 
-  private void tell(Ballot ballot, byte[] value) {
-    boolean spared = !Ballots.none(known) && Ballots.same(ballot, known);
-    done(new Versioned(ballot, spared ? null : value));
+  private void completeWith(Ballot ballot, byte[] value) {
+    boolean omitValue = !Ballots.isNone(knownBallot) && Ballots.areEqual(ballot, knownBallot);
+    complete(new VersionedValue(ballot, omitValue ? null : value));
   }
 
   private final class Attempt {
-    private final int number = number();
+    private final int attemptNumber = attemptNumber();
     private final VoterSet voterSet;
     private final int voters;
     private final int majority;
-    private final VoteResponse[] response;
+    private final VoteResponse[] responses;
     private int answered;
-    private int refused;
-    private boolean settled;
+    private int refusals;
+    private boolean concluded;
 
     Attempt(VoterSet voterSet) {
       this.voterSet = voterSet;
       voters = voterSet.voters.size();
-      majority = VoterSets.majority(voters);
-      response = new VoteResponse[voters];
-      refused = VoterSets.vacant(voterSet);
+      majority = VoterSets.majoritySize(voters);
+      responses = new VoteResponse[voters];
+      refusals = VoterSets.uncountedSlots(voterSet);
     }
 
     void request() {
-      int[] order = client.nearestFirst(voterSet);
+      int[] order = client.slotsNearestFirst(voterSet);
       for (int at = 0; at < voters; at++) {
         int slot = order[at];
-        if (!VoterSets.counts(voterSet, slot)) {
+        if (!VoterSets.isCounted(voterSet, slot)) {
           continue;
         }
         client
             .caller
-            .call(voterSet.voters.get(slot).address, request(at > 0), VoteResponse.class, callMs())
+            .call(voterSet.voters.get(slot).address, request(at > 0), VoteResponse.class, callTimeoutMs())
             .whenComplete((vote, failure) -> answered(slot, vote));
       }
     }
 
-    private ReadRequest request(boolean bare) {
+    private ReadRequest request(boolean ballotOnly) {
       ReadRequest request = new ReadRequest();
       request.set = client.set();
       request.key = key;
-      request.knownBallot = known;
+      request.knownBallot = knownBallot;
       request.voterSet = voterSet;
-      request.ballotOnly = bare;
+      request.ballotOnly = ballotOnly;
       return request;
     }
 
     private void answered(int slot, VoteResponse vote) {
-      if (!current(number)) {
-        late(vote);
+      if (!isCurrent(attemptNumber)) {
+        learnFromLateResponse(vote);
         return;
       }
-      if (settled || renewed(voterSet, vote)) {
+      if (concluded || retryUnderNewerVoterSet(voterSet, vote)) {
         return;
       }
       if (vote == null || vote.code != VoteResponse.OK) {
-        if (++refused > voters - majority) {
-          backOff();
+        if (++refusals > voters - majority) {
+          retryAfterBackoff();
         }
         return;
       }
-      client.seen(vote.promised);
-      response[slot] = vote;
+      client.observe(vote.promised);
+      responses[slot] = vote;
       answered++;
-      if (agreed(vote.accepted)) {
-        settled = true;
-        settle(vote.accepted);
-      } else if (answered + refused == voters) {
-        disagreed();
+      if (isAcceptedByMajority(vote.accepted)) {
+        concluded = true;
+        completeAt(vote.accepted);
+      } else if (answered + refusals == voters) {
+        onDisagreement();
       } else if (answered >= majority) {
-        finishSoon();
+        scheduleDisagreement();
       }
     }
 
     /** Gives the last ones a moment: an accept may be on its way to those that answered first. */
-    private void finishSoon() {
+    private void scheduleDisagreement() {
       client.timers.schedule(
-          FINISH_AFTER_MS,
+          DISAGREEMENT_GRACE_MS,
           () -> {
-            if (current(number) && !settled) {
-              disagreed();
+            if (isCurrent(attemptNumber) && !concluded) {
+              onDisagreement();
             }
           });
     }
@@ -146,69 +146,69 @@
      * Finishes only what an earlier attempt had found unfinished as well: its writer is most likely
      * still at it, and a finish would outbid it. Many readers would keep all writers from success.
      */
-    private void disagreed() {
-      settled = true;
+    private void onDisagreement() {
+      concluded = true;
       Ballot highest = highestAccepted();
-      if (Ballots.same(highest, unfinished)) {
-        finish();
+      if (Ballots.areEqual(highest, undecidedBallot)) {
+        repair();
       } else {
-        unfinished = highest;
-        backOff();
+        undecidedBallot = highest;
+        retryAfterBackoff();
       }
     }
 
     private Ballot highestAccepted() {
       Ballot highest = new Ballot();
-      for (VoteResponse one : response) {
-        highest = one == null ? highest : Ballots.higher(highest, one.accepted);
+      for (VoteResponse vote : responses) {
+        highest = vote == null ? highest : Ballots.max(highest, vote.accepted);
       }
       return highest;
     }
 
-    private boolean agreed(Ballot accepted) {
+    private boolean isAcceptedByMajority(Ballot accepted) {
       int same = 0;
-      for (VoteResponse one : response) {
-        if (one != null
-            && Ballots.same(one.accepted, accepted)
-            && (!one.fromStateTransfer || Ballots.none(accepted))) {
+      for (VoteResponse vote : responses) {
+        if (vote != null
+            && Ballots.areEqual(vote.accepted, accepted)
+            && (!vote.fromStateTransfer || Ballots.isNone(accepted))) {
           same++;
         }
       }
       return same >= majority;
     }
 
-    private void settle(Ballot accepted) {
-      if (Ballots.none(accepted) || Ballots.same(accepted, known)) {
-        tell(accepted, null);
+    private void completeAt(Ballot accepted) {
+      if (Ballots.isNone(accepted) || Ballots.areEqual(accepted, knownBallot)) {
+        completeWith(accepted, null);
         return;
       }
-      int holder = -1;
+      int acceptedSlot = -1;
       for (int i = 0; i < voters; i++) {
-        if (response[i] != null && Ballots.same(response[i].accepted, accepted)) {
-          if (response[i].value != null) {
-            tell(accepted, response[i].value);
+        if (responses[i] != null && Ballots.areEqual(responses[i].accepted, accepted)) {
+          if (responses[i].value != null) {
+            completeWith(accepted, responses[i].value);
             return;
           }
-          holder = i;
+          acceptedSlot = i;
         }
       }
       client
           .caller
-          .call(voterSet.voters.get(holder).address, request(false), VoteResponse.class, callMs())
+          .call(voterSet.voters.get(acceptedSlot).address, request(false), VoteResponse.class, callTimeoutMs())
           .whenComplete(
               (vote, failure) -> {
-                if (!current(number)) {
+                if (!isCurrent(attemptNumber)) {
                   return;
                 }
                 boolean same =
                     vote != null
                         && vote.code == VoteResponse.OK
-                        && Ballots.same(vote.accepted, accepted)
+                        && Ballots.areEqual(vote.accepted, accepted)
                         && vote.value != null;
                 if (same) {
-                  tell(accepted, vote.value);
+                  completeWith(accepted, vote.value);
                 } else {
-                  again();
+                  retryNow();
                 }
               });
     }
--- a/consensus/src/main/java/elmsail/consensus/RecordNames.java
+++ b/consensus/src/main/java/elmsail/consensus/RecordNames.java
@@ -15,7 +15,7 @@
  * that no key's blobs are another's.
  */
 final class RecordNames {
-  private static final int MOST_NAMES = 5_000;
+  private static final int MAX_NAMES_PER_PAGE = 5_000;
 
   private final String voting;
   private final String voterSet;
@@ -55,19 +55,19 @@
   }
 
   String key(String key) {
-    return keys + plain(key);
+    return keys + escape(key);
   }
 
   String blobs(String key) {
-    return allBlobs + plain(key) + "/";
+    return allBlobs + escape(key) + "/";
   }
 
   String blob(String key, String name) {
-    return allBlobs + plain(key) + "/" + name;
+    return allBlobs + escape(key) + "/" + name;
   }
 
   String keyOf(String record) {
-    return written(record.substring(keys.length()));
+    return unescape(record.substring(keys.length()));
   }
 
   /** The keys that have a record. */
@@ -79,22 +79,22 @@
     return found;
   }
 
-  boolean holdsKey(String record) {
+  boolean isKeyRecord(String record) {
     return record.startsWith(keys);
   }
 
-  boolean has(RecordStore records, String name) {
+  boolean isStored(RecordStore records, String name) {
     Iterator<String> found = records.names(name).iterator();
     return found.hasNext() && found.next().equals(name);
   }
 
   /** The records behind {@code after} among those of its kind, keys or blobs. */
-  void page(RecordStore records, String after, int mostBytes, StateTransferResponse response) {
+  void page(RecordStore records, String after, int maxBytes, StateTransferResponse response) {
     String kind = after.startsWith(keys) ? keys : after.startsWith(allBlobs) ? allBlobs : null;
     if (kind == null) {
       return;
     }
-    Map<String, byte[]> page = records.page(after, mostBytes);
+    Map<String, byte[]> page = records.page(after, maxBytes);
     response.lastPage = page.isEmpty();
     for (Map.Entry<String, byte[]> record : page.entrySet()) {
       if (!record.getKey().startsWith(kind)) {
@@ -109,7 +109,7 @@
   }
 
   /** Names of the blobs behind {@code after}, so many at most. */
-  void barePage(RecordStore records, String after, StateTransferResponse response) {
+  void blobNamePage(RecordStore records, String after, StateTransferResponse response) {
     response.lastPage = true;
     if (!after.startsWith(allBlobs)) {
       return;
@@ -118,7 +118,7 @@
       if (name.compareTo(after) <= 0) {
         continue;
       }
-      if (response.records.size() == MOST_NAMES) {
+      if (response.records.size() == MAX_NAMES_PER_PAGE) {
         response.lastPage = false;
         return;
       }
@@ -130,7 +130,7 @@
 
   /** The key of a blob's record. */
   String keyOfBlob(String record) {
-    return written(record.substring(allBlobs.length(), record.indexOf('/', allBlobs.length())));
+    return unescape(record.substring(allBlobs.length(), record.indexOf('/', allBlobs.length())));
   }
 
   /** The name that a blob's record has beside its key. */
@@ -138,19 +138,19 @@
     return record.substring(record.indexOf('/', allBlobs.length()) + 1);
   }
 
-  static byte[] bytes(int epoch) {
+  static byte[] epochToBytes(int epoch) {
     return ByteBuffer.allocate(Integer.BYTES).putInt(epoch).array();
   }
 
-  static int epoch(byte[] bytes) {
+  static int epochFromBytes(byte[] bytes) {
     return bytes == null || bytes.length != Integer.BYTES ? 0 : ByteBuffer.wrap(bytes).getInt();
   }
 
-  private static String written(String plain) {
+  private static String unescape(String plain) {
     return plain.indexOf('%') < 0 ? plain : plain.replace("%2F", "/").replace("%25", "%");
   }
 
-  private static String plain(String key) {
+  private static String escape(String key) {
     return key.indexOf('/') < 0 && key.indexOf('%') < 0
         ? key
         : key.replace("%", "%25").replace("/", "%2F");
--- a/consensus/src/main/java/elmsail/consensus/Register.java
+++ b/consensus/src/main/java/elmsail/consensus/Register.java
@@ -10,28 +10,28 @@
 public interface Register {
 
   /** A decided value: null bytes where the key was never set. */
-  record Versioned(Ballot ballot, byte[] value) {}
+  record VersionedValue(Ballot ballot, byte[] value) {}
 
   /**
    * What a change wants: {@code value} null leaves the key as it is ("declined"), and the future
    * gives that.
    */
-  record Wanted(byte[] value, List<Blob> blobs) {}
+  record ProposedValue(byte[] value, List<Blob> blobs) {}
 
   /**
    * What the change came upon: the current value (null: none) and the notes told with the promises.
    */
-  record Found(byte[] value, List<byte[]> notes) {}
+  record ObservedState(byte[] value, List<byte[]> sideEffects) {}
 
   /** What holds now; {@code changed} false where the change was declined. */
-  record Held(Versioned now, boolean changed) {}
+  record CommittedState(VersionedValue current, boolean changed) {}
 
   /**
    * The value that a majority holds, newer than or equal to all that was decided when this was
    * called. Fails with NOT_REACHED or SILENT. {@code known} spares the bytes (value null, same
    * ballot) if nothing is newer; may be null.
    */
-  CompletableFuture<Versioned> read(String key, Ballot known, long timeoutMs);
+  CompletableFuture<VersionedValue> read(String key, Ballot knownBallot, long timeoutMs);
 
   /**
    * Changes the key: the function may be called again after a lost race, always with what is
@@ -39,14 +39,14 @@
    * A value found half taken is finished first, as the function's {@code Found}.
    *
    * @param blobs sent with the first round, kept wherever it is promised
-   * @param note told to the replicas' views with the first round, or null
+   * @param sideEffect told to the replicas' views with the first round, or null
    */
-  CompletableFuture<Held> change(
-      String key, Function<Found, Wanted> change, List<Blob> blobs, byte[] note, long timeoutMs);
+  CompletableFuture<CommittedState> change(
+      String key, Function<ObservedState, ProposedValue> change, List<Blob> blobs, byte[] sideEffect, long timeoutMs);
 
   /**
    * A blob from whoever has it, the nearest first; null only if a majority with memory say that
    * there is none.
    */
-  CompletableFuture<byte[]> blob(String key, String name, long timeoutMs);
+  CompletableFuture<byte[]> readBlob(String key, String name, long timeoutMs);
 }
--- a/consensus/src/main/java/elmsail/consensus/RegisterClient.java
+++ b/consensus/src/main/java/elmsail/consensus/RegisterClient.java
@@ -21,41 +21,41 @@
  */
 public final class RegisterClient implements Register {
   /** No single call of an attempt waits longer. */
-  static final long CALL_MS = 1_200;
+  static final long CALL_TIMEOUT_MS = 1_200;
 
-  private static final int MOST_KEPT = 512;
-  private static final int BIGGEST_KEPT = 8 << 10;
-  private static final long FIRST_WAIT_MS = 40;
-  private static final long MOST_WAIT_MS = 150;
-  private static final long LEAST_WAIT_MS = 5;
+  private static final int MAX_CACHED_PROMISES = 512;
+  private static final int MAX_CACHED_VALUE_BYTES = 8 << 10;
+  private static final long INITIAL_BACKOFF_MS = 40;
+  private static final long MAX_BACKOFF_MS = 150;
+  private static final long MIN_BACKOFF_MS = 5;
 
   /**
    * What this client's last change of a key left behind; {@code next} null: no promise to go on
    * with.
    */
-  record Kept(Ballot next, Ballot accepted, byte[] value, VoterSet voterSet) {}
+  record CachedPromise(Ballot nextBallot, Ballot accepted, byte[] value, VoterSet voterSet) {}
 
   private final String set;
   final RpcClient caller;
   final Timers timers;
   final VoterSetSource voterSets;
-  private final long who;
+  private final long proposerId;
   private final ToIntFunction<String> distance;
-  private final Map<String, Kept> kept =
+  private final Map<String, CachedPromise> cachedPromises =
       new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Kept> eldest) {
-          return size() > MOST_KEPT;
+        protected boolean removeEldestEntry(Map.Entry<String, CachedPromise> eldest) {
+          return size() > MAX_CACHED_PROMISES;
         }
       };
-  private final SplittableRandom chance;
-  final RelayChoice relays;
+  private final SplittableRandom random;
+  final RelaySelector relaySelector;
   private long highestRound;
 
   /**
-   * @param who of this client alone, in all processes and instances: drawn at random
+   * @param proposerId of this client alone, in all processes and instances: drawn at random
    * @param ownAddress a replica there is asked first
    * @param distance of an inner address: the lower, the earlier it is asked for bytes
    */
@@ -64,41 +64,41 @@
       RpcClient caller,
       Timers timers,
       VoterSetSource voterSets,
-      long who,
+      long proposerId,
       String ownAddress,
       ToIntFunction<String> distance) {
     this.set = set;
     this.caller = caller;
     this.timers = timers;
     this.voterSets = voterSets;
-    this.who = who;
-    chance = new SplittableRandom(who);
-    relays = new RelayChoice(timers);
+    this.proposerId = proposerId;
+    random = new SplittableRandom(proposerId);
+    relaySelector = new RelaySelector(timers);
     this.distance =
         address -> address.equals(ownAddress) ? Integer.MIN_VALUE : distance.applyAsInt(address);
   }
 
   @Override
-  public CompletableFuture<Versioned> read(String key, Ballot known, long timeoutMs) {
-    QuorumRead reading = new QuorumRead(this, key, known == null ? new Ballot() : known, timeoutMs);
-    reading.start();
-    return reading.result();
+  public CompletableFuture<VersionedValue> read(String key, Ballot knownBallot, long timeoutMs) {
+    QuorumRead read = new QuorumRead(this, key, knownBallot == null ? new Ballot() : knownBallot, timeoutMs);
+    read.start();
+    return read.result();
   }
 
   @Override
-  public CompletableFuture<Held> change(
-      String key, Function<Found, Wanted> change, List<Blob> blobs, byte[] note, long timeoutMs) {
-    Proposer changing =
-        new Proposer(this, key, change, blobs == null ? List.of() : blobs, note, timeoutMs);
-    changing.start();
-    return changing.result();
+  public CompletableFuture<CommittedState> change(
+      String key, Function<ObservedState, ProposedValue> change, List<Blob> blobs, byte[] sideEffect, long timeoutMs) {
+    Proposer proposer =
+        new Proposer(this, key, change, blobs == null ? List.of() : blobs, sideEffect, timeoutMs);
+    proposer.start();
+    return proposer.result();
   }
 
   @Override
-  public CompletableFuture<byte[]> blob(String key, String name, long timeoutMs) {
-    BlobRead search = new BlobRead(this, key, name, timeoutMs);
-    search.start();
-    return search.result();
+  public CompletableFuture<byte[]> readBlob(String key, String name, long timeoutMs) {
+    BlobRead read = new BlobRead(this, key, name, timeoutMs);
+    read.start();
+    return read.result();
   }
 
   String set() {
@@ -107,44 +107,44 @@
 
   Ballot nextBallot() {
     highestRound++;
-    return Ballots.of(highestRound, who);
+    return Ballots.of(highestRound, proposerId);
   }
 
   /** The ballot to ask the promise of, behind the one that is being accepted. */
-  Ballot promiseAfter(Ballot ballot) {
-    Ballot next = Ballots.of(Math.max(highestRound, ballot.round) + 1, who);
+  Ballot nextBallotAfter(Ballot ballot) {
+    Ballot next = Ballots.of(Math.max(highestRound, ballot.round) + 1, proposerId);
     highestRound = next.round;
     return next;
   }
 
-  void seen(Ballot ballot) {
+  void observe(Ballot ballot) {
     if (ballot != null) {
       highestRound = Math.max(highestRound, ballot.round);
     }
   }
 
-  Kept kept(String key) {
-    return kept.get(key);
+  CachedPromise cachedPromises(String key) {
+    return cachedPromises.get(key);
   }
 
   /** Each promise is good for one accept. */
-  Kept takeKept(String key) {
-    return kept.remove(key);
+  CachedPromise takeCachedPromise(String key) {
+    return cachedPromises.remove(key);
   }
 
-  void keep(String key, Kept one) {
-    boolean big = one.value != null && one.value.length > BIGGEST_KEPT;
-    kept.put(key, big ? new Kept(null, new Ballot(), null, one.voterSet) : one);
+  void cachePromise(String key, CachedPromise promise) {
+    boolean tooLarge = promise.value != null && promise.value.length > MAX_CACHED_VALUE_BYTES;
+    cachedPromises.put(key, tooLarge ? new CachedPromise(null, new Ballot(), null, promise.voterSet) : promise);
   }
 
   /** Positions of the voter slots, the nearest first. */
-  int[] nearestFirst(VoterSet voterSet) {
+  int[] slotsNearestFirst(VoterSet voterSet) {
     List<Voter> voters = voterSet.voters;
     int[] order = new int[voters.size()];
     for (int i = 0; i < order.length; i++) {
       int at = i;
-      int far = distance.applyAsInt(voters.get(i).address);
-      while (at > 0 && distance.applyAsInt(voters.get(order[at - 1]).address) > far) {
+      int distanceOfSlot = distance.applyAsInt(voters.get(i).address);
+      while (at > 0 && distance.applyAsInt(voters.get(order[at - 1]).address) > distanceOfSlot) {
         order[at] = order[at - 1];
         at--;
       }
@@ -154,9 +154,9 @@
   }
 
   /** A random wait before try number {@code tries}, growing from 5 to 40 up to 150 ms. */
-  long backoff(int tries) {
-    long most = Math.min(MOST_WAIT_MS, FIRST_WAIT_MS << Math.min(tries, 4));
-    return chance.nextLong(LEAST_WAIT_MS, most + 1);
+  long backoffMs(int retries) {
+    long maxMs = Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS << Math.min(retries, 4));
+    return random.nextLong(MIN_BACKOFF_MS, maxMs + 1);
   }
 
   static ElmsailException failure(ErrorCode code, String set, String key) {
--- a/consensus/src/main/java/elmsail/consensus/RelayChoice.java
+++ b/consensus/src/main/java/elmsail/consensus/RelaySelector.java
@@ -9,9 +9,9 @@
 import java.util.Map;
 
 /** Which voter passes a client's first rounds on to the others. */
-final class RelayChoice {
+final class RelaySelector {
   /** Rounds with fewer bytes of blobs go to each voter directly. */
-  static final int LEAST_BYTES = 16 << 10;
+  static final int MIN_RELAYED_BYTES = 16 << 10;
 
   /** A voter that did not pass a round on is not asked to for so long. */
   private static final long AVOID_MS = 3_000;
@@ -19,47 +19,47 @@
   private final Timers timers;
 
   /** Until when each voter is avoided, by its address; few, as only voters come in. */
-  private final Map<String, Long> avoidedUntil = new HashMap<>();
+  private final Map<String, Long> avoidedUntilMs = new HashMap<>();
 
   /** Bytes of this client's relayed rounds that share its link now. */
-  private long underWay;
+  private long bytesInFlight;
 
-  RelayChoice(Timers timers) {
+  RelaySelector(Timers timers) {
     this.timers = timers;
   }
 
   /** The nearest voter that may be asked, or null where the round is to go directly. */
-  Voter choose(VoterSet voterSet, int[] nearestFirst, List<Blob> blobs) {
-    if (bytes(blobs) < LEAST_BYTES) {
+  Voter select(VoterSet voterSet, int[] nearestFirst, List<Blob> blobs) {
+    if (totalBytes(blobs) < MIN_RELAYED_BYTES) {
       return null;
     }
     long now = timers.now();
-    avoidedUntil.values().removeIf(until -> until <= now);
+    avoidedUntilMs.values().removeIf(until -> until <= now);
     for (int slot : nearestFirst) {
       Voter voter = voterSet.voters.get(slot);
-      if (VoterSets.counts(voterSet, slot) && !avoidedUntil.containsKey(voter.address)) {
+      if (VoterSets.isCounted(voterSet, slot) && !avoidedUntilMs.containsKey(voter.address)) {
         return voter;
       }
     }
     return null;
   }
 
-  void failed(Voter voter) {
-    avoidedUntil.put(voter.address, timers.now() + AVOID_MS);
+  void onRelayFailed(Voter voter) {
+    avoidedUntilMs.put(voter.address, timers.now() + AVOID_MS);
   }
 
   /** A relayed round of so many bytes begins; gives the bytes of all that are under way. */
-  long begun(long bytes) {
-    underWay += bytes;
-    return underWay;
+  long onRelayStarted(long bytes) {
+    bytesInFlight += bytes;
+    return bytesInFlight;
   }
 
   /** It has ended, one way or another. */
-  void ended(long bytes) {
-    underWay -= bytes;
+  void onRelayEnded(long bytes) {
+    bytesInFlight -= bytes;
   }
 
-  static long bytes(List<Blob> blobs) {
+  static long totalBytes(List<Blob> blobs) {
     long sum = 0;
     for (Blob blob : blobs) {
       sum += blob.bytes.length;
--- a/consensus/src/main/java/elmsail/consensus/Replica.java
+++ b/consensus/src/main/java/elmsail/consensus/Replica.java
@@ -23,23 +23,23 @@
 public final class Replica {
   private static final Logger LOG = LoggerFactory.getLogger(Replica.class);
 
-  private static final long REWRITE_MS = 300;
+  private static final long REWRITE_DELAY_MS = 300;
 
   private final String set;
   private final RecordStore records;
-  private final ReplicaListener views;
+  private final ReplicaListener listener;
   private final Timers timers;
-  final Membership membership;
+  final ReplicaMembership membership;
   private final RecordNames names;
-  private final DurableRecords safe;
-  private final ReplicaJoin newcomer;
-  private final List<Runnable> watchers = new ArrayList<>();
+  private final DurableRecords durableRecords;
+  private final ReplicaJoin join;
+  private final List<Runnable> votingListeners = new ArrayList<>();
 
   /**
    * Whether the disk has, or is being given, the voter set and {@code seated} as they are in
    * memory.
    */
-  private boolean membershipGiven = true;
+  private boolean membershipWritten = true;
 
   private boolean publishedVoting;
 
@@ -57,44 +57,44 @@
   public Replica(
       String set,
       RecordStore records,
-      ReplicaListener views,
-      RequestHandlers answering,
+      ReplicaListener listener,
+      RequestHandlers handlers,
       RpcClient caller,
       Timers timers,
       String ownAddress,
-      String station,
+      String machine,
       ProcessMetrics metrics) {
     this.set = set;
     this.records = records;
-    this.views = views;
+    this.listener = listener;
     this.timers = timers;
     names = new RecordNames(set);
-    safe = new DurableRecords(records, names);
+    durableRecords = new DurableRecords(records, names);
     byte[] voting = records.read(names.voting());
     membership =
-        new Membership(
+        new ReplicaMembership(
             ownAddress,
-            station,
+            machine,
             records.instanceId(),
-            VoterSetCodec.voterSet(records.read(names.voterSet())),
-            RecordNames.epoch(voting));
-    membership.spare(records.read(names.spare()) != null);
-    newcomer = new ReplicaJoin(set, this, membership, records, caller, timers);
-    publishedVoting = membership.voting();
+            VoterSetCodec.decode(records.read(names.voterSet())),
+            RecordNames.epochFromBytes(voting));
+    membership.joiningAsSpare(records.read(names.spare()) != null);
+    join = new ReplicaJoin(set, this, membership, records, caller, timers);
+    publishedVoting = membership.isVoting();
     publishedVoterSet = membership.voterSet();
     if (publishedVoting) {
-      tellValues();
+      notifyAcceptedValues();
     }
-    new ReplicaRequests(set, records, names, safe, views, membership, this, metrics)
-        .register(answering);
-    new PrepareRelay(caller, timers).register(answering);
-    gauges(metrics.counters());
-    timers.execute(newcomer::consider);
+    new ReplicaRequestHandler(set, records, names, durableRecords, listener, membership, this, metrics)
+        .register(handlers);
+    new PrepareRelay(caller, timers).register(handlers);
+    registerGauges(metrics.counters());
+    timers.execute(join::onMembershipChanged);
   }
 
-  private void gauges(Counters counters) {
-    counters.registerGauge("replica_voting", () -> voting() ? 1 : 0);
-    counters.registerGauge("replica_join_under_way", () -> membership.joining() ? 1 : 0);
+  private void registerGauges(Counters counters) {
+    counters.registerGauge("replica_voting", () -> isVoting() ? 1 : 0);
+    counters.registerGauge("replica_join_under_way", () -> membership.isJoining() ? 1 : 0);
     counters.registerGauge("replica_keys_kept", () -> records.count(names.keys()));
     counters.registerGauge("replica_blobs_kept", () -> records.count(names.blobs()));
   }
@@ -104,18 +104,18 @@
    * instance at epoch 1. An instance ends with its disk's content, so one that is named so never
    * voted before; it votes as soon as this is on disk.
    */
-  public void found(VoterSet founding) {
-    int slot = VoterSets.ofInstance(founding, membership.instanceId());
+  public void bootstrap(VoterSet initial) {
+    int slot = VoterSets.slotOfInstance(initial, membership.instanceId());
     if (membership.voterSet().voters.isEmpty()
         && slot >= 0
-        && founding.voters.get(slot).epoch == 1) {
-      learn(founding);
+        && initial.voters.get(slot).epoch == 1) {
+      learn(initial);
     }
   }
 
   /** Whether it votes, and its disk says so. */
-  public boolean voting() {
-    return publishedVoting && membership.voting();
+  public boolean isVoting() {
+    return publishedVoting && membership.isVoting();
   }
 
   /** As known here and safe; without voter slots if nothing is known. */
@@ -128,11 +128,11 @@
    * another instance of this address or station holds a voter slot, that is claimed; where this
    * instance's voter slot is another's now, it votes no more.
    */
-  public void learn(VoterSet response) {
-    if (membership.learn(response)) {
-      voterSetChanged();
+  public void learn(VoterSet received) {
+    if (membership.learn(received)) {
+      onVoterSetChanged();
     }
-    newcomer.consider();
+    join.onMembershipChanged();
   }
 
   /**
@@ -140,13 +140,13 @@
    * knows of more.
    */
   public void join(int slot, int epoch) {
-    newcomer.join(slot, epoch);
+    join.join(slot, epoch);
   }
 
   /** Forgets the key and its blobs: only for keys that nobody changes or reads any more. */
-  public void drop(String key) {
-    safe.drop(key);
-    views.dropped(key);
+  public void dropKey(String key) {
+    durableRecords.removeKey(key);
+    listener.onDropped(key);
   }
 
   /** Keys that have a record, also those that were only promised. */
@@ -155,8 +155,8 @@
   }
 
   /** The value accepted here last, decided or not; null if there is none. */
-  public byte[] value(String key) {
-    return safe.state(key).value();
+  public byte[] acceptedValue(String key) {
+    return durableRecords.state(key).value();
   }
 
   /** Null if it isn't kept here. */
@@ -165,42 +165,42 @@
   }
 
   /** Called on the loop after {@link #seated()} became another. */
-  public void whenVotingChanges(Runnable then) {
-    watchers.add(then);
+  public void addVotingListener(Runnable listener) {
+    votingListeners.add(listener);
   }
 
   /** Before copying: what an earlier voter slot left, and what was copied by an earlier try. */
-  void forget() {
+  void dropAllKeys() {
     for (String key : keys()) {
-      views.dropped(key);
+      listener.onDropped(key);
     }
-    safe.forget();
+    durableRecords.removeAll();
   }
 
   CompletableFuture<Void> write(List<Change> changes) {
-    return safe.write(changes);
+    return durableRecords.write(changes);
   }
 
   /**
    * Writes the voter set as it is now; the watchers hear at once if this process stopped voting by
    * it.
    */
-  CompletableFuture<Void> voterSetChanged() {
-    if (membership.founded()) {
-      membership.caughtUp(1);
+  CompletableFuture<Void> onVoterSetChanged() {
+    if (membership.isInitialVoter()) {
+      membership.caughtUpEpoch(1);
     }
-    CompletableFuture<Void> written = writeMembership();
-    if (!membership.voting()) {
+    CompletableFuture<Void> write = writeMembership();
+    if (!membership.isVoting()) {
       publishVoting();
     }
-    return written;
+    return write;
   }
 
   /** All that had to be copied is on disk. */
-  void caughtUp(int epoch) {
-    tellValues();
-    membership.caughtUp(epoch);
-    membership.spare(false);
+  void onTransferCompleted(int epoch) {
+    notifyAcceptedValues();
+    membership.caughtUpEpoch(epoch);
+    membership.joiningAsSpare(false);
     writeMembership();
   }
 
@@ -209,62 +209,62 @@
    * for new.
    */
   private CompletableFuture<Void> writeMembership() {
-    int caughtUp = membership.caughtUp();
-    VoterSet given = membership.voterSet();
-    CompletableFuture<Void> written =
+    int caughtUpEpoch = membership.caughtUpEpoch();
+    VoterSet written = membership.voterSet();
+    CompletableFuture<Void> write =
         write(
             List.of(
-                new Change(names.voterSet(), VoterSetCodec.of(given)),
-                new Change(names.voting(), caughtUp == 0 ? null : RecordNames.bytes(caughtUp)),
-                new Change(names.spare(), membership.spare() ? RecordNames.bytes(1) : null)));
-    membershipGiven = true;
-    written.whenComplete(
+                new Change(names.voterSet(), VoterSetCodec.encode(written)),
+                new Change(names.voting(), caughtUpEpoch == 0 ? null : RecordNames.epochToBytes(caughtUpEpoch)),
+                new Change(names.spare(), membership.joiningAsSpare() ? RecordNames.epochToBytes(1) : null)));
+    membershipWritten = true;
+    write.whenComplete(
         (none, failure) -> {
           if (failure == null) {
-            publishedVoterSet = given;
+            publishedVoterSet = written;
             publishVoting();
           } else {
-            membershipGiven = false;
-            timers.schedule(REWRITE_MS, this::rewriteMembership);
+            membershipWritten = false;
+            timers.schedule(REWRITE_DELAY_MS, this::rewriteMembership);
             LOG.warn(
                 "{}: the voter set could not be written: {}",
                 set,
                 ElmsailException.codeOf(failure));
           }
         });
-    return written;
+    return write;
   }
 
   /** Whether the disk has, or is being given, the voter set as it is in memory. */
-  boolean membershipWritten() {
-    return membershipGiven;
+  boolean isMembershipWritten() {
+    return membershipWritten;
   }
 
   /** After a failed write, in time or before what relies on it. */
   void rewriteMembership() {
-    if (!membershipGiven) {
+    if (!membershipWritten) {
       writeMembership();
     }
   }
 
   private void publishVoting() {
-    boolean voting = membership.voting();
+    boolean voting = membership.isVoting();
     if (voting != publishedVoting) {
       publishedVoting = voting;
       LOG.info("{}: {}", set, voting ? "voting" : "not voting");
-      for (Runnable watcher : watchers) {
-        watcher.run();
+      for (Runnable votingListener : votingListeners) {
+        votingListener.run();
       }
     }
   }
 
-  private void tellValues() {
+  private void notifyAcceptedValues() {
     for (String key : keys()) {
-      byte[] value = value(key);
+      byte[] value = acceptedValue(key);
       if (value != null) {
-        views.taken(key, value);
+        listener.onAccepted(key, value);
       } else {
-        views.promised(key);
+        listener.onPromised(key);
       }
     }
   }
--- a/consensus/src/main/java/elmsail/consensus/ReplicaJoin.java
+++ b/consensus/src/main/java/elmsail/consensus/ReplicaJoin.java
@@ -56,25 +56,25 @@
  */
 final class ReplicaJoin {
   private static final Logger LOG = LoggerFactory.getLogger(ReplicaJoin.class);
-  private static final long CLAIM_CALL_MS = 1_000;
-  private static final long FIRST_WAIT_MS = 200;
-  private static final long MOST_WAIT_MS = 1_000;
+  private static final long CALL_TIMEOUT_MS = 1_000;
+  private static final long INITIAL_BACKOFF_MS = 200;
+  private static final long MAX_BACKOFF_MS = 1_000;
 
   private final String set;
   private final Replica replica;
-  private final Membership membership;
+  private final ReplicaMembership membership;
   private final RecordStore records;
   private final RpcClient caller;
   private final Timers timers;
   private final RecordNames names;
-  private final SplittableRandom chance;
-  private Round round;
-  private long waitMs = FIRST_WAIT_MS;
+  private final SplittableRandom random;
+  private Attempt attempt;
+  private long backoffMs = INITIAL_BACKOFF_MS;
 
   ReplicaJoin(
       String set,
       Replica replica,
-      Membership membership,
+      ReplicaMembership membership,
       RecordStore records,
       RpcClient caller,
       Timers timers) {
@@ -85,28 +85,28 @@
     this.caller = caller;
     this.timers = timers;
     names = new RecordNames(set);
-    chance = new SplittableRandom(membership.instanceId());
+    random = new SplittableRandom(membership.instanceId());
   }
 
   /**
    * Goes on with a claim of this instance, or claims the voter slot of an earlier instance of this
    * place.
    */
-  void consider() {
-    int own = membership.ownSlot();
-    if (membership.voting()) {
-      round = null;
-    } else if (own >= 0) {
-      int epoch = membership.voterSet().voters.get(own).epoch;
-      if (round == null || round.slot != own || round.holder.epoch != epoch) {
-        begin(own, epoch);
+  void onMembershipChanged() {
+    int ownSlot = membership.ownSlot();
+    if (membership.isVoting()) {
+      attempt = null;
+    } else if (ownSlot >= 0) {
+      int epoch = membership.voterSet().voters.get(ownSlot).epoch;
+      if (attempt == null || attempt.slot != ownSlot || attempt.holder.epoch != epoch) {
+        startAttempt(ownSlot, epoch);
       }
     } else {
-      round = null;
-      int lost = membership.lostSlot();
-      if (lost >= 0) {
-        membership.spare(false);
-        begin(lost, membership.voterSet().voters.get(lost).epoch + 1);
+      attempt = null;
+      int formerSlot = membership.formerSlot();
+      if (formerSlot >= 0) {
+        membership.joiningAsSpare(false);
+        startAttempt(formerSlot, membership.voterSet().voters.get(formerSlot).epoch + 1);
       }
     }
   }
@@ -120,129 +120,129 @@
         || epoch <= known.voters.get(slot).epoch) {
       return;
     }
-    int replaced = membership.replacedSlot();
-    if (replaced < 0 || replaced == slot) {
-      membership.spare(true);
-      begin(slot, epoch);
+    int replacedSlot = membership.replacedSlot();
+    if (replacedSlot < 0 || replacedSlot == slot) {
+      membership.joiningAsSpare(true);
+      startAttempt(slot, epoch);
       return;
     }
     // Its records may be the only ones of the voter slot it left, until its successor votes there.
-    whenVotes(
-        known.voters.get(replaced),
+    checkVoting(
+        known.voters.get(replacedSlot),
         known,
         votes -> {
           if (votes
               && membership.ownSlot() < 0
-              && membership.replacedSlot() == replaced
+              && membership.replacedSlot() == replacedSlot
               && epoch > membership.voterSet().voters.get(slot).epoch) {
-            membership.spare(true);
-            begin(slot, epoch);
+            membership.joiningAsSpare(true);
+            startAttempt(slot, epoch);
           }
         });
   }
 
   /** Tells whether that holder answers as one that votes under that voter set. */
-  private void whenVotes(Voter holder, VoterSet under, Consumer<Boolean> then) {
+  private void checkVoting(Voter holder, VoterSet voterSet, Consumer<Boolean> listener) {
     ReadRequest request = new ReadRequest();
     request.set = set;
-    request.voterSet = under;
+    request.voterSet = voterSet;
     request.ballotOnly = true;
     caller
-        .call(holder.address, request, VoteResponse.class, CLAIM_CALL_MS)
+        .call(holder.address, request, VoteResponse.class, CALL_TIMEOUT_MS)
         .whenComplete(
             (response, failure) ->
-                then.accept(response != null && response.code == VoteResponse.OK));
+                listener.accept(response != null && response.code == VoteResponse.OK));
   }
 
-  private void begin(int slot, int epoch) {
+  private void startAttempt(int slot, int epoch) {
     LOG.info("{}: joins slot {}, epoch {}", set, slot, epoch);
-    Round next = new Round(slot, membership.take(slot, epoch));
-    round = next;
+    Attempt next = new Attempt(slot, membership.claim(slot, epoch));
+    attempt = next;
     replica
-        .voterSetChanged()
+        .onVoterSetChanged()
         .whenComplete(
             (none, failure) -> {
               if (failure == null) {
-                next.request();
+                next.sendRequests();
               } else {
-                later(next);
+                retryAfterBackoff(next);
               }
             });
   }
 
   /** Starts over after a while, with the same claim or as what was heard meanwhile demands. */
-  private void later(Round from) {
-    if (round != from) {
+  private void retryAfterBackoff(Attempt from) {
+    if (attempt != from) {
       return;
     }
-    long wait = waitMs / 2 + chance.nextLong(waitMs / 2 + 1);
-    waitMs = Math.min(MOST_WAIT_MS, waitMs * 2);
+    long delayMs = backoffMs / 2 + random.nextLong(backoffMs / 2 + 1);
+    backoffMs = Math.min(MAX_BACKOFF_MS, backoffMs * 2);
     timers.schedule(
-        wait,
+        delayMs,
         () -> {
-          if (round == from) {
-            from.again();
+          if (attempt == from) {
+            from.retry();
           }
         });
   }
 
   /** One try at one claim. */
-  private final class Round {
+  private final class Attempt {
     private final int slot;
     private final Voter holder;
-    private JoinQuorum answers;
+    private JoinQuorum quorum;
     private Voter rival;
-    private final Map<Integer, Long> voting = new HashMap<>();
-    private boolean settled;
+    private final Map<Integer, Long> votingInstances = new HashMap<>();
+    private boolean concluded;
 
-    Round(int slot, Voter holder) {
+    Attempt(int slot, Voter holder) {
       this.slot = slot;
       this.holder = holder;
     }
 
-    void request() {
-      if (round != this) {
+    void sendRequests() {
+      if (attempt != this) {
         return;
       }
       VoterSet known = membership.voterSet();
-      answers = new JoinQuorum(known, slot, membership.instanceId());
+      quorum = new JoinQuorum(known, slot, membership.instanceId());
       JoinRequest request = new JoinRequest();
       request.set = set;
       request.slot = slot;
       request.voter = holder;
       for (int i = 0; i < known.voters.size(); i++) {
-        int other = i;
+        int otherSlot = i;
         Voter one = known.voters.get(i);
-        if (answers.asks(i)) {
+        if (quorum.awaitsHolder(i)) {
           caller
-              .call(one.address, request, JoinResponse.class, CLAIM_CALL_MS)
-              .whenComplete((response, failure) -> answered(other, false, response));
+              .call(one.address, request, JoinResponse.class, CALL_TIMEOUT_MS)
+              .whenComplete((response, failure) -> onResponse(otherSlot, false, response));
         }
-        if (answers.asksBefore(i)) {
+        if (quorum.awaitsPredecessor(i)) {
           caller
-              .call(one.previousAddress, request, JoinResponse.class, CLAIM_CALL_MS)
-              .whenComplete((response, failure) -> answered(other, true, response));
+              .call(one.previousAddress, request, JoinResponse.class, CALL_TIMEOUT_MS)
+              .whenComplete((response, failure) -> onResponse(otherSlot, true, response));
         }
       }
-      if (answers.hopeless()) {
-        later(this); // The only voter slot: there is nobody to have it from.
+      if (quorum.isUnattainable()) {
+        retryAfterBackoff(this); // The only voter slot: there is nobody to have it from.
       }
     }
 
-    private void answered(int other, boolean before, JoinResponse response) {
-      if (round != this) {
+    private void onResponse(int otherSlot, boolean fromPredecessor, JoinResponse response) {
+      if (attempt != this) {
         return;
       }
-      if (!settled) {
-        if (before) {
-          answers.toldBefore(other, response);
+      if (!concluded) {
+        if (fromPredecessor) {
+          quorum.onPredecessorResponse(otherSlot, response);
         } else {
-          answers.response(other, response);
+          quorum.onHolderResponse(otherSlot, response);
         }
       }
       // Also what comes once the claim is hopeless: the first answer may be a failure.
-      if (response != null && !before && response.voting) {
-        voting.put(other, response.instanceId);
+      if (response != null && !fromPredecessor && response.voting) {
+        votingInstances.put(otherSlot, response.instanceId);
       }
       if (response != null
           && response.voterSet.voters.size() == membership.voterSet().voters.size()) {
@@ -252,31 +252,31 @@
         }
         replica.learn(response.voterSet);
       }
-      if (round == this && !settled) {
-        settle();
+      if (attempt == this && !concluded) {
+        concludeIfPossible();
       }
     }
 
-    private void settle() {
-      List<Voter> sources = answers.sources();
+    private void concludeIfPossible() {
+      List<Voter> sources = quorum.sources();
       if (sources != null) {
-        copy(sources);
-      } else if (answers.hopeless()) {
-        settled = true;
-        if (rival != null && membership.spare()) {
-          giveWay();
+        startTransfer(sources);
+      } else if (quorum.isUnattainable()) {
+        concluded = true;
+        if (rival != null && membership.joiningAsSpare()) {
+          yieldToRival();
         } else {
-          later(this);
+          retryAfterBackoff(this);
         }
       }
     }
 
     /** Leaves the slot to the rival; another that this place held is claimed instead. */
-    private void giveWay() {
-      round = null;
-      membership.yield(slot, rival);
-      replica.voterSetChanged();
-      consider();
+    private void yieldToRival() {
+      attempt = null;
+      membership.yieldTo(slot, rival);
+      replica.onVoterSetChanged();
+      onMembershipChanged();
     }
 
     /**
@@ -284,40 +284,40 @@
      * others vote for this claim to be completed: a claim that is known and can't be completed
      * would take the rival's vote from the set, and give none.
      */
-    private void again() {
+    private void retry() {
       if (rival == null) {
-        begin(slot, holder.epoch);
-      } else if (membership.spare() || membership.placeHoldsOther(slot)) {
-        giveWay();
-      } else if (othersVoting() >= VoterSets.blocking(membership.voterSet().voters.size())) {
-        begin(slot, holder.epoch + 1);
+        startAttempt(slot, holder.epoch);
+      } else if (membership.joiningAsSpare() || membership.hostHoldsOtherSlot(slot)) {
+        yieldToRival();
+      } else if (countVotingHolders() >= VoterSets.blockingSize(membership.voterSet().voters.size())) {
+        startAttempt(slot, holder.epoch + 1);
       } else {
-        VoterSet theirs = VoterSets.with(membership.voterSet(), slot, rival);
-        whenVotes(rival, theirs, this::rivalAnswered);
+        VoterSet theirs = VoterSets.withVoter(membership.voterSet(), slot, rival);
+        checkVoting(rival, theirs, this::onRivalChecked);
       }
     }
 
-    private void rivalAnswered(boolean votes) {
-      if (round == this && votes) {
-        giveWay();
-      } else if (round == this) {
-        begin(slot, holder.epoch);
+    private void onRivalChecked(boolean isVoting) {
+      if (attempt == this && isVoting) {
+        yieldToRival();
+      } else if (attempt == this) {
+        startAttempt(slot, holder.epoch);
       }
     }
 
     /** How many answered as voting whom the newest voter set names as holders. */
-    private int othersVoting() {
+    private int countVotingHolders() {
       int count = 0;
-      for (Map.Entry<Integer, Long> one : voting.entrySet()) {
+      for (Map.Entry<Integer, Long> one : votingInstances.entrySet()) {
         Voter holder = membership.voterSet().voters.get(one.getKey());
         count += holder.instanceId == one.getValue() ? 1 : 0;
       }
       return count;
     }
 
-    private void copy(List<Voter> sources) {
-      settled = true;
-      replica.forget();
+    private void startTransfer(List<Voter> sources) {
+      concluded = true;
+      replica.dropAllKeys();
       new StateTransfer(
               set,
               names,
@@ -326,22 +326,22 @@
               caller,
               timers,
               sources,
-              answers.replaced(),
-              () -> round == this,
-              this::copied)
+              quorum.replacedSource(),
+              () -> attempt == this,
+              this::onTransferEnded)
           .start();
     }
 
-    private void copied(boolean whole) {
-      if (round != this) {
+    private void onTransferEnded(boolean complete) {
+      if (attempt != this) {
         return;
       }
-      if (whole) {
-        waitMs = FIRST_WAIT_MS;
-        round = null;
-        replica.caughtUp(holder.epoch);
+      if (complete) {
+        backoffMs = INITIAL_BACKOFF_MS;
+        attempt = null;
+        replica.onTransferCompleted(holder.epoch);
       } else {
-        later(this);
+        retryAfterBackoff(this);
       }
     }
   }
--- a/consensus/src/main/java/elmsail/consensus/ReplicaListener.java
+++ b/consensus/src/main/java/elmsail/consensus/ReplicaListener.java
@@ -9,7 +9,7 @@
    * With a first round: takes what the asker says of the change to come, and tells what it has to
    * tell.
    */
-  default byte[] noted(String key, byte[] note) {
+  default byte[] onSideEffect(String key, byte[] sideEffect) {
     return null;
   }
 
@@ -22,11 +22,11 @@
    * The value was taken and is on disk, or was read from the disk at the start or copied from
    * another.
    */
-  default void taken(String key, byte[] value) {}
+  default void onAccepted(String key, byte[] value) {}
 
   /** The key was found at the start, or copied, with a promise and no value. */
-  default void promised(String key) {}
+  default void onPromised(String key) {}
 
   /** The key was dropped. */
-  default void dropped(String key) {}
+  default void onDropped(String key) {}
 }
--- a/consensus/src/main/java/elmsail/consensus/Membership.java
+++ b/consensus/src/main/java/elmsail/consensus/ReplicaMembership.java
@@ -11,24 +11,24 @@
  * time, network or disk. Whatever is adopted here must be on disk before any answer that relies on
  * it leaves.
  */
-final class Membership {
+final class ReplicaMembership {
   private final String address;
-  private final String station;
+  private final String machine;
   private final long instanceId;
   private VoterSet voterSet;
 
   /** The epoch with which this instance was founded, or has copied all that it had to; 0: none. */
-  private int caughtUp;
+  private int caughtUpEpoch;
 
-  private boolean spare;
+  private boolean joiningAsSpare;
 
-  Membership(String address, String station, long instanceId, VoterSet voterSet, int caughtUp) {
+  ReplicaMembership(String address, String machine, long instanceId, VoterSet voterSet, int caughtUpEpoch) {
     this.address = address;
-    this.station = station;
+    this.machine = machine;
     this.instanceId = instanceId;
     this.voterSet = voterSet;
-    this.caughtUp = caughtUp;
-    confirm();
+    this.caughtUpEpoch = caughtUpEpoch;
+    confirmOwnVoter();
   }
 
   VoterSet voterSet() {
@@ -40,33 +40,33 @@
   }
 
   /** Votes: its own instance holds a voter slot, and has caught up under just that epoch. */
-  boolean voting() {
+  boolean isVoting() {
     int slot = ownSlot();
-    return slot >= 0 && caughtUp > 0 && voterSet.voters.get(slot).epoch == caughtUp;
+    return slot >= 0 && caughtUpEpoch > 0 && voterSet.voters.get(slot).epoch == caughtUpEpoch;
   }
 
   /** Whether this instance claims a voter slot, and has not caught up yet. */
-  boolean joining() {
-    return !voting() && ownSlot() >= 0;
+  boolean isJoining() {
+    return !isVoting() && ownSlot() >= 0;
   }
 
   /** The voter slot that this instance holds or is claiming, or -1. */
   int ownSlot() {
-    return VoterSets.ofInstance(voterSet, instanceId);
+    return VoterSets.slotOfInstance(voterSet, instanceId);
   }
 
-  int caughtUp() {
-    return caughtUp;
+  int caughtUpEpoch() {
+    return caughtUpEpoch;
   }
 
-  void caughtUp(int epoch) {
-    caughtUp = epoch;
-    confirm();
+  void caughtUpEpoch(int epoch) {
+    caughtUpEpoch = epoch;
+    confirmOwnVoter();
   }
 
   /** Tells that this life votes, so that no other claim of the same epoch is taken for right. */
-  private void confirm() {
-    if (!voting()) {
+  private void confirmOwnVoter() {
+    if (!isVoting()) {
       return;
     }
     int slot = ownSlot();
@@ -80,19 +80,19 @@
     holder.previousInstanceId = known.previousInstanceId;
     holder.previousEpoch = known.previousEpoch;
     holder.confirmed = true;
-    voterSet = VoterSets.with(voterSet, slot, holder);
+    voterSet = VoterSets.withVoter(voterSet, slot, holder);
   }
 
   /**
    * Whether the claim under way is of another's voter slot: it leaves that to a rival of the same
    * epoch.
    */
-  boolean spare() {
-    return spare;
+  boolean joiningAsSpare() {
+    return joiningAsSpare;
   }
 
-  void spare(boolean is) {
-    spare = is;
+  void joiningAsSpare(boolean joiningAsSpare) {
+    this.joiningAsSpare = joiningAsSpare;
   }
 
   /**
@@ -100,12 +100,12 @@
    * before; or -1.
    */
   int replacedSlot() {
-    if (caughtUp == 0 || ownSlot() >= 0) {
+    if (caughtUpEpoch == 0 || ownSlot() >= 0) {
       return -1;
     }
     for (int i = 0; i < voterSet.voters.size(); i++) {
-      Voter slot = voterSet.voters.get(i);
-      if (slot.previousInstanceId == instanceId && slot.previousEpoch == caughtUp) {
+      Voter voter = voterSet.voters.get(i);
+      if (voter.previousInstanceId == instanceId && voter.previousEpoch == caughtUpEpoch) {
         return i;
       }
     }
@@ -113,96 +113,96 @@
   }
 
   /** Has whole records of votes that count, but casts none any more. */
-  boolean replaced() {
+  boolean isReplaced() {
     return replacedSlot() >= 0;
   }
 
   /** True if something was newer: it is to be written. */
-  boolean learn(VoterSet response) {
-    VoterSet merged = VoterSets.merge(voterSet, response);
+  boolean learn(VoterSet received) {
+    VoterSet merged = VoterSets.merge(voterSet, received);
     boolean changed = merged != voterSet;
     voterSet = merged;
     return changed;
   }
 
   /** Whether this instance sits by the founding: never voted, so nothing to catch up with. */
-  boolean founded() {
+  boolean isInitialVoter() {
     int slot = ownSlot();
-    return slot >= 0 && voterSet.voters.get(slot).epoch == 1 && caughtUp == 0;
+    return slot >= 0 && voterSet.voters.get(slot).epoch == 1 && caughtUpEpoch == 0;
   }
 
   /** VoteResponse.DONE if an ask under that voter set, which was learnt before, may be voted on. */
-  int vote(VoterSet asked) {
-    if (VoterSets.newer(voterSet, asked) || asked.voters.size() != voterSet.voters.size()) {
+  int voteCode(VoterSet requestVoterSet) {
+    if (VoterSets.isNewer(voterSet, requestVoterSet) || requestVoterSet.voters.size() != voterSet.voters.size()) {
       return VoteResponse.STALE_VOTER_SET;
     }
-    return voting() ? VoteResponse.OK : VoteResponse.NOT_A_VOTER;
+    return isVoting() ? VoteResponse.OK : VoteResponse.NOT_A_VOTER;
   }
 
   /** What becomes of another's claim. */
-  enum Claimed {
+  enum ClaimDecision {
     /** Adopted: acknowledged once it is written. */
     ADOPTED,
     /** The very same claim is known already. */
-    KNOWN,
+    ALREADY_ADOPTED,
     /** ClusterState here from now on, but this instance isn't voting: see {@link ReplicaJoin}. */
-    NOTED,
+    RECORDED,
     /** Outbid, or this one is in no position to acknowledge. */
     REFUSED
   }
 
   /** To be told, with the voter set, once what it changed here is on disk. */
-  JoinResponse answer(JoinRequest request) {
-    Claimed joined = join(request);
+  JoinResponse respond(JoinRequest request) {
+    ClaimDecision decision = recordClaim(request);
     JoinResponse response = new JoinResponse();
     response.instanceId = instanceId;
-    response.voting = voting();
-    response.accepted = joined == Claimed.ADOPTED || joined == Claimed.KNOWN;
-    response.recorded = joined == Claimed.NOTED;
-    response.replaced = response.recorded && replaced();
+    response.voting = isVoting();
+    response.accepted = decision == ClaimDecision.ADOPTED || decision == ClaimDecision.ALREADY_ADOPTED;
+    response.recorded = decision == ClaimDecision.RECORDED;
+    response.replaced = response.recorded && isReplaced();
     return response;
   }
 
   /**
    * Whether a newcomer may copy from here, where a vote is answered so; a replaced holder may do.
    */
-  boolean serves(int code, boolean ofReplaced) {
-    return code == VoteResponse.OK || code == VoteResponse.NOT_A_VOTER && ofReplaced && replaced();
+  boolean servesTransfer(int code, boolean allowReplaced) {
+    return code == VoteResponse.OK || code == VoteResponse.NOT_A_VOTER && allowReplaced && isReplaced();
   }
 
   /**
    * A claim counts only from a voting holder, whose records are whole, and only above the epoch
    * known: of two claims of one epoch just one can be acknowledged by enough.
    */
-  Claimed join(JoinRequest request) {
-    boolean votes = voting();
-    boolean joining = !votes && ownSlot() >= 0;
+  ClaimDecision recordClaim(JoinRequest request) {
+    boolean voting = isVoting();
+    boolean joining = !voting && ownSlot() >= 0;
     if (request.slot < 0
         || request.slot >= voterSet.voters.size()
         || joining && request.slot == ownSlot()
-        || !votes && !joining && !replaced()) {
-      return Claimed.REFUSED;
+        || !voting && !joining && !isReplaced()) {
+      return ClaimDecision.REFUSED;
     }
     Voter known = voterSet.voters.get(request.slot);
-    if (VoterSets.same(known, request.voter)) {
+    if (VoterSets.areEqual(known, request.voter)) {
       return request.voter.instanceId == instanceId
-          ? Claimed.REFUSED
-          : votes ? Claimed.KNOWN : Claimed.NOTED;
+          ? ClaimDecision.REFUSED
+          : voting ? ClaimDecision.ALREADY_ADOPTED : ClaimDecision.RECORDED;
     }
-    int other = VoterSets.ofInstance(voterSet, request.voter.instanceId);
-    if (request.voter.epoch <= known.epoch || other >= 0 && other != request.slot) {
-      return Claimed.REFUSED;
+    int slotOfClaimant = VoterSets.slotOfInstance(voterSet, request.voter.instanceId);
+    if (request.voter.epoch <= known.epoch || slotOfClaimant >= 0 && slotOfClaimant != request.slot) {
+      return ClaimDecision.REFUSED;
     }
-    boolean own = request.slot == ownSlot();
-    voterSet = VoterSets.with(voterSet, request.slot, request.voter);
-    return own ? Claimed.REFUSED : votes ? Claimed.ADOPTED : Claimed.NOTED;
+    boolean ownSlotTaken = request.slot == ownSlot();
+    voterSet = VoterSets.withVoter(voterSet, request.slot, request.voter);
+    return ownSlotTaken ? ClaimDecision.REFUSED : voting ? ClaimDecision.ADOPTED : ClaimDecision.RECORDED;
   }
 
   /** This instance's own claim of a voter slot: taken over here first, and not voting. */
-  Voter take(int slot, int epoch) {
+  Voter claim(int slot, int epoch) {
     Voter holder = new Voter();
     holder.address = address;
-    holder.machine = station;
+    holder.machine = machine;
     holder.instanceId = instanceId;
     holder.epoch = epoch;
     Voter known = voterSet.voters.get(slot);
@@ -215,18 +215,18 @@
       holder.previousInstanceId = known.instanceId;
       holder.previousEpoch = known.epoch;
     }
-    voterSet = VoterSets.with(voterSet, slot, holder);
-    caughtUp = 0;
+    voterSet = VoterSets.withVoter(voterSet, slot, holder);
+    caughtUpEpoch = 0;
     return holder;
   }
 
   /** Whether an earlier instance of this place holds another voter slot than the claimed one. */
-  boolean placeHoldsOther(int slot) {
+  boolean hostHoldsOtherSlot(int slot) {
     for (int i = 0; i < voterSet.voters.size(); i++) {
       Voter holder = voterSet.voters.get(i);
       if (i != slot
           && holder.instanceId != instanceId
-          && VoterSets.isOf(holder, address, station)) {
+          && VoterSets.isOnHost(holder, address, machine)) {
         return true;
       }
     }
@@ -234,13 +234,13 @@
   }
 
   /** Gives up a claim for another's of the same epoch. */
-  void yield(int slot, Voter rival) {
-    voterSet = VoterSets.with(voterSet, slot, rival);
-    spare = false;
+  void yieldTo(int slot, Voter rival) {
+    voterSet = VoterSets.withVoter(voterSet, slot, rival);
+    joiningAsSpare = false;
   }
 
   /** A voter slot of this place that another instance of it held, or -1. */
-  int lostSlot() {
-    return ownSlot() >= 0 ? -1 : VoterSets.ofPlace(voterSet, address, station);
+  int formerSlot() {
+    return ownSlot() >= 0 ? -1 : VoterSets.slotOfHost(voterSet, address, machine);
   }
 }
--- a/consensus/src/main/java/elmsail/consensus/ReplicaRequests.java
+++ b/consensus/src/main/java/elmsail/consensus/ReplicaRequestHandler.java
@@ -29,107 +29,107 @@
  * The requests that a replica answers: votes, reads, blobs, joins of others and state transfer. An
  * answer leaves only once all that it relies on is safe on disk.
  */
-final class ReplicaRequests {
-  private static final Logger LOG = LoggerFactory.getLogger(ReplicaRequests.class);
-  private static final int MOST_PAGE_BYTES = 1 << 20;
+final class ReplicaRequestHandler {
+  private static final Logger LOG = LoggerFactory.getLogger(ReplicaRequestHandler.class);
+  private static final int MAX_PAGE_BYTES = 1 << 20;
 
   private final String set;
   private final RecordStore records;
   private final RecordNames names;
-  private final DurableRecords safe;
-  private final ReplicaListener views;
-  private final Membership membership;
+  private final DurableRecords durableRecords;
+  private final ReplicaListener listener;
+  private final ReplicaMembership membership;
   private final Replica replica;
   private final ReplicaCounters counters;
   private final Invariants invariants;
 
-  ReplicaRequests(
+  ReplicaRequestHandler(
       String set,
       RecordStore records,
       RecordNames names,
-      DurableRecords safe,
-      ReplicaListener views,
-      Membership membership,
+      DurableRecords durableRecords,
+      ReplicaListener listener,
+      ReplicaMembership membership,
       Replica replica,
       ProcessMetrics metrics) {
     this.set = set;
     this.records = records;
     this.names = names;
-    this.safe = safe;
-    this.views = views;
+    this.durableRecords = durableRecords;
+    this.listener = listener;
     this.membership = membership;
     this.replica = replica;
     counters = new ReplicaCounters(metrics.counters());
     invariants = metrics.invariants();
   }
 
-  void register(RequestHandlers answering) {
-    answering.register(PrepareRequest.class, this::prepare);
-    answering.register(AcceptRequest.class, this::accept);
-    answering.register(ReadRequest.class, this::read);
-    answering.register(BlobRequest.class, this::blob);
-    answering.register(JoinRequest.class, this::joined);
-    answering.register(StateTransferRequest.class, this::copied);
+  void register(RequestHandlers handlers) {
+    handlers.register(PrepareRequest.class, this::prepare);
+    handlers.register(AcceptRequest.class, this::accept);
+    handlers.register(ReadRequest.class, this::read);
+    handlers.register(BlobRequest.class, this::readBlob);
+    handlers.register(JoinRequest.class, this::join);
+    handlers.register(StateTransferRequest.class, this::transferState);
   }
 
   private CompletableFuture<VoteResponse> prepare(PrepareRequest request) {
-    VoteResponse refused = refusal(request.set, request.voterSet);
-    if (refused != null) {
-      return CompletableFuture.completedFuture(refused);
+    VoteResponse refusal = refusal(request.set, request.voterSet);
+    if (refusal != null) {
+      return CompletableFuture.completedFuture(refusal);
     }
-    Acceptor.Decision decision = Acceptor.prepare(state(request.key), request.ballot);
-    if (decision.answer().code != VoteResponse.OK) {
-      counters.refused(decision.answer().code);
-      return CompletableFuture.completedFuture(decision.answer());
+    Acceptor.Decision decision = Acceptor.prepare(checkedState(request.key), request.ballot);
+    if (decision.response().code != VoteResponse.OK) {
+      counters.refused(decision.response().code);
+      return CompletableFuture.completedFuture(decision.response());
     }
-    return safely(
-        safe.changes(request.key, decision, request.blobs),
+    return respondOnceDurable(
+        durableRecords.changes(request.key, decision, request.blobs),
         () -> {
           if (request.sideEffect != null) {
-            decision.answer().sideEffect = views.noted(request.key, request.sideEffect);
+            decision.response().sideEffect = listener.onSideEffect(request.key, request.sideEffect);
           }
           counters.preparesAnswered.add(1);
-          return decision.answer();
+          return decision.response();
         });
   }
 
   private CompletableFuture<VoteResponse> accept(AcceptRequest request) {
-    VoteResponse refused = refusal(request.set, request.voterSet);
-    if (refused != null) {
-      return CompletableFuture.completedFuture(refused);
+    VoteResponse refusal = refusal(request.set, request.voterSet);
+    if (refusal != null) {
+      return CompletableFuture.completedFuture(refusal);
     }
     Acceptor.Decision decision =
-        Acceptor.accept(state(request.key), request.ballot, request.nextBallot, request.value);
-    if (decision.answer().code == VoteResponse.OK
-        && decision.write() != null
-        && !views.admits(request.key, request.value)) {
+        Acceptor.accept(checkedState(request.key), request.ballot, request.nextBallot, request.value);
+    if (decision.response().code == VoteResponse.OK
+        && decision.newState() != null
+        && !listener.admits(request.key, request.value)) {
       VoteResponse response = new VoteResponse();
       response.code = VoteResponse.NOT_ADMITTED;
       counters.refused(response.code);
       return CompletableFuture.completedFuture(response);
     }
-    if (decision.answer().code != VoteResponse.OK) {
-      counters.refused(decision.answer().code);
-      return CompletableFuture.completedFuture(decision.answer());
+    if (decision.response().code != VoteResponse.OK) {
+      counters.refused(decision.response().code);
+      return CompletableFuture.completedFuture(decision.response());
     }
-    return safely(
-        safe.changes(request.key, decision, request.blobs),
+    return respondOnceDurable(
+        durableRecords.changes(request.key, decision, request.blobs),
         () -> {
-          if (decision.write() != null) {
-            views.taken(request.key, request.value);
+          if (decision.newState() != null) {
+            listener.onAccepted(request.key, request.value);
           }
           counters.acceptsAnswered.add(1);
-          return decision.answer();
+          return decision.response();
         });
   }
 
   private CompletableFuture<VoteResponse> read(ReadRequest request) {
-    VoteResponse refused = refusal(request.set, request.voterSet);
-    if (refused != null) {
-      return CompletableFuture.completedFuture(refused);
+    VoteResponse refusal = refusal(request.set, request.voterSet);
+    if (refusal != null) {
+      return CompletableFuture.completedFuture(refusal);
     }
-    VoteResponse response = Acceptor.read(state(request.key), request.knownBallot, request.ballotOnly);
-    return safely(
+    VoteResponse response = Acceptor.read(checkedState(request.key), request.knownBallot, request.ballotOnly);
+    return respondOnceDurable(
         List.of(),
         () -> {
           counters.readsAnswered.add(1);
@@ -138,41 +138,41 @@
   }
 
   /** What is held of a key, checked. */
-  private KeyState state(String key) {
-    KeyState state = safe.state(key);
-    check(invariants, set, key, state);
+  private AcceptorState checkedState(String key) {
+    AcceptorState state = durableRecords.state(key);
+    checkInvariant(invariants, set, key, state);
     return state;
   }
 
-  static void check(Invariants invariants, String set, String key, KeyState state) {
+  static void checkInvariant(Invariants invariants, String set, String key, AcceptorState state) {
     invariants.check(
         Invariant.ACCEPTED_BALLOT_PROMISED,
         Ballots.compare(state.accepted(), state.promised()) <= 0,
         () -> set + ": key " + key);
   }
 
-  private CompletableFuture<BlobResponse> blob(BlobRequest request) {
-    VoteResponse refused = refusal(request.set, request.voterSet);
+  private CompletableFuture<BlobResponse> readBlob(BlobRequest request) {
+    VoteResponse refusal = refusal(request.set, request.voterSet);
     BlobResponse response = new BlobResponse();
-    response.voting = refused == null || membership.serves(refused.code, request.allowReplaced);
-    response.voterSet = refused == null ? response.voterSet : refused.voterSet;
-    if (response.voting || refused.code == VoteResponse.STALE_VOTER_SET && membership.voting()) {
+    response.voting = refusal == null || membership.servesTransfer(refusal.code, request.allowReplaced);
+    response.voterSet = refusal == null ? response.voterSet : refusal.voterSet;
+    if (response.voting || refusal.code == VoteResponse.STALE_VOTER_SET && membership.isVoting()) {
       response.bytes = replica.blob(request.key, request.name);
       response.found = response.bytes != null;
     }
     return response.found
-        ? safely(List.of(), () -> response)
+        ? respondOnceDurable(List.of(), () -> response)
         : CompletableFuture.completedFuture(response);
   }
 
-  private CompletableFuture<JoinResponse> joined(JoinRequest request) {
+  private CompletableFuture<JoinResponse> join(JoinRequest request) {
     if (!set.equals(request.set)) {
       return CompletableFuture.failedFuture(
           new ElmsailException(ErrorCode.NOT_A_VOTER, request.set));
     }
     replica.rewriteMembership();
     VoterSet before = membership.voterSet();
-    JoinResponse response = membership.answer(request);
+    JoinResponse response = membership.respond(request);
     if (membership.voterSet() != before) {
       LOG.info(
           "{}: slot {} taken by {}, epoch {}",
@@ -180,9 +180,9 @@
           request.slot,
           request.voter.address,
           request.voter.epoch);
-      replica.voterSetChanged();
+      replica.onVoterSetChanged();
     }
-    return safely(
+    return respondOnceDurable(
         List.of(),
         () -> {
           response.voterSet = replica.voterSet();
@@ -190,40 +190,40 @@
         });
   }
 
-  private CompletableFuture<StateTransferResponse> copied(StateTransferRequest request) {
+  private CompletableFuture<StateTransferResponse> transferState(StateTransferRequest request) {
     StateTransferResponse response = new StateTransferResponse();
     response.instanceId = membership.instanceId();
     response.lastPage = true;
-    VoteResponse refused =
+    VoteResponse refusal =
         set.equals(request.set) ? refusal(request.set, request.voterSet) : new VoteResponse();
-    if (refused != null && !membership.serves(refused.code, request.allowReplaced)) {
+    if (refusal != null && !membership.servesTransfer(refusal.code, request.allowReplaced)) {
       return CompletableFuture.completedFuture(response);
     }
     response.voting = true;
     if (request.blobNamesOnly) {
-      names.barePage(records, request.after, response);
+      names.blobNamePage(records, request.after, response);
     } else {
       names.page(
           records,
           request.after,
-          Math.min(Math.max(request.maxBytes, 1), MOST_PAGE_BYTES),
+          Math.min(Math.max(request.maxBytes, 1), MAX_PAGE_BYTES),
           response);
     }
-    return safely(List.of(), () -> response);
+    return respondOnceDurable(List.of(), () -> response);
   }
 
   /**
    * Null if an ask under that voter set may be voted on; what it knows that is newer is taken
    * first.
    */
-  private VoteResponse refusal(String askedSet, VoterSet asked) {
-    if (!set.equals(askedSet)) {
-      throw new ElmsailException(ErrorCode.NOT_A_VOTER, askedSet);
+  private VoteResponse refusal(String requestSet, VoterSet requestVoterSet) {
+    if (!set.equals(requestSet)) {
+      throw new ElmsailException(ErrorCode.NOT_A_VOTER, requestSet);
     }
-    int code = membership.vote(asked);
-    if (code != VoteResponse.STALE_VOTER_SET && VoterSets.newer(asked, membership.voterSet())) {
-      replica.learn(asked);
-      code = membership.vote(asked);
+    int code = membership.voteCode(requestVoterSet);
+    if (code != VoteResponse.STALE_VOTER_SET && VoterSets.isNewer(requestVoterSet, membership.voterSet())) {
+      replica.learn(requestVoterSet);
+      code = membership.voteCode(requestVoterSet);
     }
     replica.rewriteMembership();
     if (code == VoteResponse.OK) {
@@ -236,13 +236,13 @@
     return response;
   }
 
-  private <A> CompletableFuture<A> safely(List<Change> changes, Supplier<A> answer) {
-    if (!replica.membershipWritten()) {
+  private <A> CompletableFuture<A> respondOnceDurable(List<Change> changes, Supplier<A> response) {
+    if (!replica.isMembershipWritten()) {
       counters.refusedByDisk();
       return CompletableFuture.failedFuture(
           new ElmsailException(ErrorCode.STORAGE_FAILURE, "the voter set is not on disk"));
     }
-    return safe.safely(changes, answer)
+    return durableRecords.respondOnceDurable(changes, response)
         .whenComplete(
             (given, failed) -> {
               if (failed != null) {
--- a/consensus/src/main/java/elmsail/consensus/RestoredReplica.java
+++ b/consensus/src/main/java/elmsail/consensus/RestoredReplica.java
@@ -12,23 +12,23 @@
  *
  * @param voterSet as known there; without voter slots if nothing is known
  * @param ownSeat the voter slot that this instance holds or is claiming, or -1
- * @param caughtUp the epoch with which this instance was founded or has copied all; 0: none
- * @param votes whether a process started on the folder votes at once
+ * @param caughtUpEpoch the epoch with which this instance was founded or has copied all; 0: none
+ * @param voting whether a process started on the folder votes at once
  * @param keys in order of their names
  */
 public record RestoredReplica(
-    String set, VoterSet voterSet, int ownSlot, int caughtUp, boolean votes, List<Key> keys) {
-  private static final String[] PARTS = {"seating", "seated", "k/", "b/"};
+    String set, VoterSet voterSet, int ownSlot, int caughtUpEpoch, boolean voting, List<StoredKey> keys) {
+  private static final String[] RECORD_KINDS = {"seating", "seated", "k/", "b/"};
 
   /**
    * One key; one without a value and a ballot has blobs alone.
    *
-   * @param copied the value came from another voter slot when this voter slot was claimed, and
+   * @param fromStateTransfer the value came from another voter slot when this voter slot was claimed, and
    *     counts as no vote
    * @param valueBytes -1 if nothing was accepted
    */
-  public record Key(
-      String name, Ballot promised, Ballot accepted, boolean copied, int valueBytes, int blobs) {}
+  public record StoredKey(
+      String name, Ballot promised, Ballot accepted, boolean fromStateTransfer, int valueBytes, int blobs) {}
 
   /**
    * All sets that the records tell of.
@@ -39,7 +39,7 @@
     TreeSet<String> names = new TreeSet<>();
     for (String record : records.names("")) {
       int slash = record.indexOf('/');
-      for (String part : PARTS) {
+      for (String part : RECORD_KINDS) {
         if (slash > 0 && record.startsWith(part, slash + 1)) {
           names.add(record.substring(0, slash));
         }
@@ -47,37 +47,37 @@
     }
     List<RestoredReplica> sets = new ArrayList<>(names.size());
     for (String name : names) {
-      sets.add(one(name, records));
+      sets.add(readSet(name, records));
     }
     return sets;
   }
 
-  private static RestoredReplica one(String set, RecordStore records) {
+  private static RestoredReplica readSet(String set, RecordStore records) {
     RecordNames names = new RecordNames(set);
-    int caughtUp = RecordNames.epoch(records.read(names.voting()));
-    VoterSet voterSet = VoterSetCodec.voterSet(records.read(names.voterSet()));
-    Membership membership = new Membership("", "", records.instanceId(), voterSet, caughtUp);
+    int caughtUp = RecordNames.epochFromBytes(records.read(names.voting()));
+    VoterSet voterSet = VoterSetCodec.decode(records.read(names.voterSet()));
+    ReplicaMembership membership = new ReplicaMembership("", "", records.instanceId(), voterSet, caughtUp);
     TreeSet<String> all = new TreeSet<>(names.keys(records));
     for (String blob : records.names(names.blobs())) {
       all.add(names.keyOfBlob(blob));
     }
-    List<Key> keys = new ArrayList<>(all.size());
+    List<StoredKey> keys = new ArrayList<>(all.size());
     for (String key : all) {
-      KeyState state = KeyState.of(records.read(names.key(key)));
+      AcceptorState state = AcceptorState.fromBytes(records.read(names.key(key)));
       int blobs = 0;
       for (String blob : records.names(names.blobs(key))) {
         blobs += blob.isEmpty() ? 0 : 1;
       }
       keys.add(
-          new Key(
+          new StoredKey(
               key,
               state.promised(),
               state.accepted(),
-              state.copied(),
+              state.fromStateTransfer(),
               state.value() == null ? -1 : state.value().length,
               blobs));
     }
     return new RestoredReplica(
-        set, voterSet, membership.ownSlot(), caughtUp, membership.voting(), List.copyOf(keys));
+        set, voterSet, membership.ownSlot(), caughtUp, membership.isVoting(), List.copyOf(keys));
   }
 }
--- a/consensus/src/main/java/elmsail/consensus/StateTransfer.java
+++ b/consensus/src/main/java/elmsail/consensus/StateTransfer.java
@@ -27,10 +27,10 @@
  */
 final class StateTransfer {
   private static final int PAGE_BYTES = 1 << 20;
-  private static final long PAGE_CALL_MS = 2_000;
-  private static final long AGAIN_MS = 50;
-  private static final int MOST_FAILURES = 5;
-  private static final int MOST_BLOB_CALLS = 6;
+  private static final long CALL_TIMEOUT_MS = 2_000;
+  private static final long RETRY_DELAY_MS = 50;
+  private static final int MAX_FAILURES = 5;
+  private static final int MAX_BLOB_CALLS_IN_FLIGHT = 6;
 
   private final String set;
   private final RecordNames names;
@@ -38,22 +38,22 @@
   private final RecordStore records;
   private final RpcClient caller;
   private final Timers timers;
-  private final List<Voter> holders;
-  private final Voter replaced;
-  private final BooleanSupplier wanted;
-  private final Consumer<Boolean> then;
+  private final List<Voter> sources;
+  private final Voter replacedSource;
+  private final BooleanSupplier isCurrent;
+  private final Consumer<Boolean> listener;
 
   /** Blobs' records that a holder told of, and who did. */
-  private final Map<String, Voter> listed = new LinkedHashMap<>();
+  private final Map<String, Voter> listedBlobs = new LinkedHashMap<>();
 
-  private int open;
+  private int pending;
   private int failures;
-  private boolean over;
+  private boolean ended;
 
   /**
-   * @param replaced the one of the holders that needn't be voting, or null
-   * @param wanted asked before each step: false ends it, without a word
-   * @param then told once: whether all is copied and on disk
+   * @param replacedSource the one of the holders that needn't be voting, or null
+   * @param isCurrent asked before each step: false ends it, without a word
+   * @param listener told once: whether all is copied and on disk
    */
   StateTransfer(
       String set,
@@ -62,181 +62,181 @@
       RecordStore records,
       RpcClient caller,
       Timers timers,
-      List<Voter> holders,
-      Voter replaced,
-      BooleanSupplier wanted,
-      Consumer<Boolean> then) {
+      List<Voter> sources,
+      Voter replacedSource,
+      BooleanSupplier isCurrent,
+      Consumer<Boolean> listener) {
     this.set = set;
     this.names = names;
     this.replica = replica;
     this.records = records;
     this.caller = caller;
     this.timers = timers;
-    this.holders = holders;
-    this.replaced = replaced;
-    this.wanted = wanted;
-    this.then = then;
+    this.sources = sources;
+    this.replacedSource = replacedSource;
+    this.isCurrent = isCurrent;
+    this.listener = listener;
   }
 
   void start() {
-    open = 2 * holders.size();
-    if (open == 0) {
+    pending = 2 * sources.size();
+    if (pending == 0) {
       end(true);
     }
-    for (Voter holder : holders) {
-      request(holder, names.keys(), false, CompletableFuture.completedFuture(null));
-      request(
-          holder, names.blobs(), holder != holders.get(0), CompletableFuture.completedFuture(null));
+    for (Voter source : sources) {
+      requestPage(source, names.keys(), false, CompletableFuture.completedFuture(null));
+      requestPage(
+          source, names.blobs(), source != sources.get(0), CompletableFuture.completedFuture(null));
     }
   }
 
-  private void request(Voter holder, String after, boolean bare, CompletableFuture<Void> written) {
+  private void requestPage(Voter source, String after, boolean blobNamesOnly, CompletableFuture<Void> written) {
     StateTransferRequest request = new StateTransferRequest();
     request.set = set;
     request.after = after;
     request.maxBytes = PAGE_BYTES;
-    request.blobNamesOnly = bare;
-    request.allowReplaced = holder == replaced;
+    request.blobNamesOnly = blobNamesOnly;
+    request.allowReplaced = source == replacedSource;
     request.voterSet = replica.membership.voterSet();
     caller
-        .call(holder.address, request, StateTransferResponse.class, PAGE_CALL_MS)
+        .call(source.address, request, StateTransferResponse.class, CALL_TIMEOUT_MS)
         .whenComplete(
             (response, failure) -> {
-              if (over || !wanted.getAsBoolean()) {
-                over = true;
+              if (ended || !isCurrent.getAsBoolean()) {
+                ended = true;
               } else if (failure != null) {
-                if (++failures > MOST_FAILURES) {
+                if (++failures > MAX_FAILURES) {
                   end(false);
                 } else {
-                  timers.schedule(AGAIN_MS, () -> request(holder, after, bare, written));
+                  timers.schedule(RETRY_DELAY_MS, () -> requestPage(source, after, blobNamesOnly, written));
                 }
-              } else if (!response.voting || response.instanceId != holder.instanceId) {
+              } else if (!response.voting || response.instanceId != source.instanceId) {
                 end(false);
               } else {
                 // No more than one page of each is being written while the next is on its way.
-                written.whenComplete((none, fault) -> took(holder, bare, response, fault));
+                written.whenComplete((none, writeFailure) -> onPage(source, blobNamesOnly, response, writeFailure));
               }
             });
   }
 
-  private void took(Voter holder, boolean bare, StateTransferResponse response, Throwable fault) {
-    if (over || !wanted.getAsBoolean()) {
-      over = true;
+  private void onPage(Voter source, boolean blobNamesOnly, StateTransferResponse response, Throwable writeFailure) {
+    if (ended || !isCurrent.getAsBoolean()) {
+      ended = true;
       return;
     }
-    if (fault != null) {
+    if (writeFailure != null) {
       end(false);
       return;
     }
     CompletableFuture<Void> written = CompletableFuture.completedFuture(null);
-    if (bare) {
-      for (Blob one : response.records) {
-        listed.put(one.name, holder);
+    if (blobNamesOnly) {
+      for (Blob record : response.records) {
+        listedBlobs.put(record.name, source);
       }
     } else {
-      written = keep(response.records);
+      written = storePage(response.records);
     }
     if (!response.lastPage && !response.records.isEmpty()) {
-      request(holder, response.records.get(response.records.size() - 1).name, bare, written);
+      requestPage(source, response.records.get(response.records.size() - 1).name, blobNamesOnly, written);
       return;
     }
     written.whenComplete(
         (none, failure) -> {
           if (failure != null) {
             end(false);
-          } else if (--open == 0) {
-            fetchMissing();
+          } else if (--pending == 0) {
+            fetchMissingBlobs();
           }
         });
   }
 
-  private void fetchMissing() {
-    listed.keySet().removeIf(name -> names.has(records, name));
-    for (int i = 0; i < MOST_BLOB_CALLS; i++) {
-      fetchNext();
+  private void fetchMissingBlobs() {
+    listedBlobs.keySet().removeIf(name -> names.isStored(records, name));
+    for (int i = 0; i < MAX_BLOB_CALLS_IN_FLIGHT; i++) {
+      fetchNextBlob();
     }
   }
 
-  private void fetchNext() {
-    if (over || !wanted.getAsBoolean()) {
-      over = true;
-    } else if (listed.isEmpty()) {
-      if (open == 0) {
+  private void fetchNextBlob() {
+    if (ended || !isCurrent.getAsBoolean()) {
+      ended = true;
+    } else if (listedBlobs.isEmpty()) {
+      if (pending == 0) {
         end(true);
       }
     } else {
-      Map.Entry<String, Voter> next = listed.entrySet().iterator().next();
-      listed.remove(next.getKey());
-      open++;
-      fetch(next.getKey(), next.getValue());
+      Map.Entry<String, Voter> next = listedBlobs.entrySet().iterator().next();
+      listedBlobs.remove(next.getKey());
+      pending++;
+      fetchBlob(next.getKey(), next.getValue());
     }
   }
 
-  private void fetch(String name, Voter holder) {
+  private void fetchBlob(String name, Voter source) {
     BlobRequest request = new BlobRequest();
     request.set = set;
     request.key = names.keyOfBlob(name);
     request.name = names.nameOfBlob(name);
     request.voterSet = replica.membership.voterSet();
-    request.allowReplaced = holder == replaced;
+    request.allowReplaced = source == replacedSource;
     caller
-        .call(holder.address, request, BlobResponse.class, PAGE_CALL_MS)
+        .call(source.address, request, BlobResponse.class, CALL_TIMEOUT_MS)
         .whenComplete(
             (response, failure) -> {
-              if (over || !wanted.getAsBoolean()) {
-                over = true;
-              } else if (failure != null && ++failures <= MOST_FAILURES) {
-                timers.schedule(AGAIN_MS, () -> fetch(name, holder));
+              if (ended || !isCurrent.getAsBoolean()) {
+                ended = true;
+              } else if (failure != null && ++failures <= MAX_FAILURES) {
+                timers.schedule(RETRY_DELAY_MS, () -> fetchBlob(name, source));
               } else if (failure != null || !response.voting) {
                 end(false);
               } else if (!response.found) {
                 // Dropped there meanwhile.
-                fetched(null);
+                onBlobStored(null);
               } else {
                 replica
                     .write(List.of(new Change(name, response.bytes)))
-                    .whenComplete((none, fault) -> fetched(fault));
+                    .whenComplete((none, writeFailure) -> onBlobStored(writeFailure));
               }
             });
   }
 
-  private void fetched(Throwable fault) {
-    open--;
-    if (fault != null) {
+  private void onBlobStored(Throwable writeFailure) {
+    pending--;
+    if (writeFailure != null) {
       end(false);
     } else {
-      fetchNext();
+      fetchNextBlob();
     }
   }
 
-  private CompletableFuture<Void> keep(List<Blob> page) {
+  private CompletableFuture<Void> storePage(List<Blob> page) {
     List<Change> changes = new ArrayList<>();
-    for (Blob one : page) {
-      if (!names.holdsKey(one.name)) {
-        if (!names.has(records, one.name)) {
-          changes.add(new Change(one.name, one.bytes));
+    for (Blob record : page) {
+      if (!names.isKeyRecord(record.name)) {
+        if (!names.isStored(records, record.name)) {
+          changes.add(new Change(record.name, record.bytes));
         }
         continue;
       }
-      byte[] ours = records.read(one.name);
-      if (ours == null) {
-        KeyState theirs = KeyState.of(one.bytes);
-        changes.add(new Change(one.name, KeyState.EMPTY.withCopyOf(theirs).bytes()));
+      byte[] ownBytes = records.read(record.name);
+      if (ownBytes == null) {
+        AcceptorState received = AcceptorState.fromBytes(record.bytes);
+        changes.add(new Change(record.name, AcceptorState.EMPTY.mergeTransferred(received).toBytes()));
         continue;
       }
-      KeyState before = KeyState.of(ours);
-      KeyState merged = before.withCopyOf(KeyState.of(one.bytes));
-      if (merged.accepted() != before.accepted() || merged.promised() != before.promised()) {
-        changes.add(new Change(one.name, merged.bytes()));
+      AcceptorState own = AcceptorState.fromBytes(ownBytes);
+      AcceptorState merged = own.mergeTransferred(AcceptorState.fromBytes(record.bytes));
+      if (merged.accepted() != own.accepted() || merged.promised() != own.promised()) {
+        changes.add(new Change(record.name, merged.toBytes()));
       }
     }
     return changes.isEmpty() ? CompletableFuture.completedFuture(null) : replica.write(changes);
   }
 
-  private void end(boolean whole) {
-    if (!over) {
-      over = true;
-      then.accept(whole);
+  private void end(boolean complete) {
+    if (!ended) {
+      ended = true;
+      listener.accept(complete);
     }
   }
 }
--- a/consensus/src/main/java/elmsail/consensus/VoterSetCodec.java
+++ b/consensus/src/main/java/elmsail/consensus/VoterSetCodec.java
@@ -14,21 +14,21 @@
 final class VoterSetCodec {
   private VoterSetCodec() {}
 
-  static byte[] of(VoterSet voterSet) {
+  static byte[] encode(VoterSet voterSet) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream(256);
     DataOutputStream out = new DataOutputStream(bytes);
     try {
       out.writeShort(voterSet.voters.size());
-      for (Voter slot : voterSet.voters) {
-        out.writeUTF(slot.address);
-        out.writeUTF(slot.machine);
-        out.writeLong(slot.instanceId);
-        out.writeInt(slot.epoch);
+      for (Voter voter : voterSet.voters) {
+        out.writeUTF(voter.address);
+        out.writeUTF(voter.machine);
+        out.writeLong(voter.instanceId);
+        out.writeInt(voter.epoch);
       }
-      for (Voter slot : voterSet.voters) {
-        out.writeUTF(slot.previousAddress);
-        out.writeLong(slot.previousInstanceId);
-        out.writeInt(slot.previousEpoch);
+      for (Voter voter : voterSet.voters) {
+        out.writeUTF(voter.previousAddress);
+        out.writeLong(voter.previousInstanceId);
+        out.writeInt(voter.previousEpoch);
       }
     } catch (IOException e) {
       throw new ElmsailException(ErrorCode.INTERNAL, "a voter set that cannot be written", e);
@@ -36,7 +36,7 @@
     return bytes.toByteArray();
   }
 
-  static VoterSet voterSet(byte[] bytes) {
+  static VoterSet decode(byte[] bytes) {
     VoterSet voterSet = new VoterSet();
     if (bytes == null) {
       return voterSet;
@@ -45,18 +45,18 @@
     try {
       int voters = in.readUnsignedShort();
       for (int i = 0; i < voters; i++) {
-        Voter slot = new Voter();
-        slot.address = in.readUTF();
-        slot.machine = in.readUTF();
-        slot.instanceId = in.readLong();
-        slot.epoch = in.readInt();
-        voterSet.voters.add(slot);
+        Voter voter = new Voter();
+        voter.address = in.readUTF();
+        voter.machine = in.readUTF();
+        voter.instanceId = in.readLong();
+        voter.epoch = in.readInt();
+        voterSet.voters.add(voter);
       }
       for (int i = 0; i < voters && in.available() > 0; i++) {
-        Voter slot = voterSet.voters.get(i);
-        slot.previousAddress = in.readUTF();
-        slot.previousInstanceId = in.readLong();
-        slot.previousEpoch = in.readInt();
+        Voter voter = voterSet.voters.get(i);
+        voter.previousAddress = in.readUTF();
+        voter.previousInstanceId = in.readLong();
+        voter.previousEpoch = in.readInt();
       }
     } catch (IOException e) {
       throw new ElmsailException(ErrorCode.STORAGE_FAILURE, "a voter set that cannot be read", e);
--- a/consensus/src/test/java/elmsail/consensus/BlobSecondLossTest.java
+++ b/consensus/src/test/java/elmsail/consensus/BlobSecondLossTest.java
@@ -5,7 +5,7 @@
 import static org.hamcrest.Matchers.greaterThan;
 import static org.hamcrest.Matchers.is;
 
-import elmsail.consensus.Register.Wanted;
+import elmsail.consensus.Register.ProposedValue;
 import elmsail.rpc.messages.Blob;
 import java.util.HashSet;
 import java.util.List;
@@ -21,18 +21,18 @@
   private int states;
 
   @Test
-  void eachJoinLeavesEachBlobAtAMajority() {
+  void joinFromBlockingSetLeavesEachBlobAtAMajority() {
     for (int voters : new int[] {1, 3, 5, 7}) {
       states = 0;
-      assertThat(voters + " voters", joinsLose(voters, VoterSets.blocking(voters)), is(false));
+      assertThat(voters + " voters", joinsLose(voters, VoterSets.blockingSize(voters)), is(false));
       System.out.println(voters + " voters: " + states + " joins, each blob at a majority");
     }
   }
 
   @Test
-  void withOneSourceLessABlobIsLost() {
+  void joinFromOneSourceLessLosesABlob() {
     for (int voters : new int[] {3, 5, 7}) {
-      assertThat(joinsLose(voters, VoterSets.blocking(voters) - 1), is(true));
+      assertThat(joinsLose(voters, VoterSets.blockingSize(voters) - 1), is(true));
     }
   }
 
@@ -40,7 +40,7 @@
   private boolean joinsLose(int voters, int sources) {
     Set<Integer> seen = new HashSet<>();
     for (int holders = 0; holders < 1 << voters; holders++) {
-      if (Integer.bitCount(holders) == VoterSets.majority(voters)
+      if (Integer.bitCount(holders) == VoterSets.majoritySize(voters)
           && loses(holders, voters, sources, seen)) {
         return true;
       }
@@ -49,7 +49,7 @@
   }
 
   private boolean loses(int holders, int voters, int sources, Set<Integer> seen) {
-    if (Integer.bitCount(holders) < VoterSets.majority(voters)) {
+    if (Integer.bitCount(holders) < VoterSets.majoritySize(voters)) {
       return true;
     }
     if (!seen.add(holders)) {
@@ -71,18 +71,18 @@
     return false;
   }
 
-  private SimSet set;
+  private SimCluster set;
 
   private void putWithout(int without) {
-    set = new SimSet().founded();
+    set = new SimCluster().bootstrapped();
     set.kill(without);
     Blob blob = new Blob();
     blob.name = "body";
     blob.bytes = new byte[20_000];
     set.await(
-        set.client(set.founding)
+        set.client(set.initialVoters)
             .change(
-                "key", found -> new Wanted(new byte[] {1}, List.of()), List.of(blob), null, 3_000));
+                "key", observed -> new ProposedValue(new byte[] {1}, List.of()), List.of(blob), null, 3_000));
     set.start(without);
     set.timers.advance(50);
     assertThat(set.replicas[without].blob("key", "body") == null, is(true));
@@ -92,9 +92,9 @@
     set.kill(lost);
     set.disks[lost].wipe();
     set.start(lost);
-    set.replicas[lost].learn(set.founding);
-    set.awaitSeated(lost, 5_000);
-    assertThat(set.replicas[lost].voting(), is(true));
+    set.replicas[lost].learn(set.initialVoters);
+    set.awaitVoting(lost, 5_000);
+    assertThat(set.replicas[lost].isVoting(), is(true));
   }
 
   /** The spare takes the slot of one that is gone, or that is there and retires. */
@@ -102,16 +102,16 @@
     if (!there) {
       set.kill(lost);
     }
-    set.replicas[3].learn(set.founding);
+    set.replicas[3].learn(set.initialVoters);
     set.replicas[3].join(lost, 2);
-    set.awaitSeated(3, 5_000);
-    assertThat(set.replicas[3].voting(), is(true));
+    set.awaitVoting(3, 5_000);
+    assertThat(set.replicas[3].isVoting(), is(true));
     set.kill(lost);
   }
 
   /** One member lacks the blob; one is lost and made whole; right after it another is lost. */
   @Test
-  void aBlobOutlivesALossRightBehindEachKindOfRepair() {
+  void blobSurvivesALossRightAfterAJoin() {
     int played = 0;
     for (int without = 0; without < 3; without++) {
       for (int first = 0; first < 3; first++) {
@@ -128,10 +128,10 @@
             }
             set.kill(second);
             set.disks[second].wipe();
-            byte[] read = set.await(set.client(set.founding).blob("key", "body", 5_000));
-            String about = without + " without, " + first + ", then " + second + ", kind " + kind;
-            assertThat(about, read != null && read.length == 20_000, is(true));
-            assertThat(about, set.net.handlerFaults(), empty());
+            byte[] read = set.await(set.client(set.initialVoters).readBlob("key", "body", 5_000));
+            String scenario = without + " without, " + first + ", then " + second + ", kind " + kind;
+            assertThat(scenario, read != null && read.length == 20_000, is(true));
+            assertThat(scenario, set.net.handlerFaults(), empty());
             played++;
           }
         }
--- a/consensus/src/test/java/elmsail/consensus/JoinModel.java
+++ b/consensus/src/test/java/elmsail/consensus/ConcurrentJoinModel.java
@@ -14,62 +14,62 @@
  * from any moment on, which is what the loss of their memory is. Decisions on claims, sources and
  * votes are the production classes'.
  */
-final class JoinModel extends StateSearch {
-  private static final int SEATS = 3;
+final class ConcurrentJoinModel extends StateSearch {
+  private static final int VOTERS = 3;
   private static final int S = 3;
   private static final int X = 4;
   private static final int PROCESSES = 5;
 
-  private static final int ROUNDS = PROCESSES * FIELDS;
-  private static final int BEGUN = 0;
-  private static final int SEATED = 1;
+  private static final int JOINS = PROCESSES * FIELDS;
+  private static final int STARTED = 0;
+  private static final int VOTING = 1;
 
   /** Whether the other claim was known when this one was sent. */
-  private static final int ASKED = 2;
+  private static final int SENT_KNOWING_OTHER = 2;
 
   /** 1: B acknowledged; 2: and knew the other claim. */
-  private static final int OF_B = 3;
+  private static final int RESPONSE_OF_B = 3;
 
   /** 1: the other voter slot's holder acknowledged; 2: it isn't voting, and noted it. */
-  private static final int OF_OTHER = 4;
+  private static final int RESPONSE_OF_OTHER = 4;
 
   /** 1: the one before in the other voter slot acknowledged; 2: it is replaced, and noted it. */
-  private static final int OF_BEFORE = 5;
+  private static final int RESPONSE_OF_PREDECESSOR = 5;
 
   private static final int COPIED_B = 6;
   private static final int COPIED_OTHER = 7;
   private static final int RESTARTED = 8;
-  private static final int ROUND = 9;
-  private static final int ASKERS = ROUNDS + 2 * ROUND;
+  private static final int JOIN_FIELDS = 9;
+  private static final int PROPOSERS = JOINS + 2 * JOIN_FIELDS;
 
   /** Fields of a ballot: phase, voter set, promises, best ballot, best marks, accepts. */
-  private static final int ASKER = 6;
+  private static final int PROPOSER_FIELDS = 6;
 
   private static final int BALLOTS = 2;
-  private static final int SIZE = ASKERS + BALLOTS * ASKER;
+  private static final int SIZE = PROPOSERS + BALLOTS * PROPOSER_FIELDS;
   private static final int[] BITS = new int[SIZE];
   private static final String[] NAMES = {"a", "b", "c", "s", "x"};
 
   /** What is done otherwise than it ought to be. */
   enum Defect {
     NONE,
-    SUCCESSOR_NOT_ASKED,
-    SUCCESSOR_NOTES_NOTHING,
+    SUCCESSOR_NOT_QUERIED,
+    SUCCESSOR_RECORDS_NOTHING,
     RECORDS_DROPPED,
-    REPLACED_NOT_ASKED,
+    REPLACED_NOT_QUERIED,
     STALE_SOURCE,
-    COPY_UNDER_OLD_SEATING
+    COPY_UNDER_STALE_VOTER_SET
   }
 
   static {
-    for (int i = 0; i < ROUNDS; i++) {
+    for (int i = 0; i < JOINS; i++) {
       BITS[i] = new int[] {2, 2, 2, 1, 2}[i % FIELDS];
     }
-    for (int i = ROUNDS; i < ASKERS; i++) {
-      BITS[i] = new int[] {1, 1, 1, 2, 2, 2, 1, 1, 1}[(i - ROUNDS) % ROUND];
+    for (int i = JOINS; i < PROPOSERS; i++) {
+      BITS[i] = new int[] {1, 1, 1, 2, 2, 2, 1, 1, 1}[(i - JOINS) % JOIN_FIELDS];
     }
-    for (int i = ASKERS; i < SIZE; i++) {
-      BITS[i] = new int[] {2, 2, 3, 2, 2, 3}[(i - ASKERS) % ASKER];
+    for (int i = PROPOSERS; i < SIZE; i++) {
+      BITS[i] = new int[] {2, 2, 3, 2, 2, 3}[(i - PROPOSERS) % PROPOSER_FIELDS];
     }
   }
 
@@ -81,13 +81,13 @@
   /**
    * @param restarts each newcomer may end once in the middle of its claim, and begin it again
    */
-  JoinModel(Defect defect, int ballots, boolean restarts) {
+  ConcurrentJoinModel(Defect defect, int ballots, boolean restarts) {
     super(BITS);
     this.defect = defect;
     this.ballots = ballots;
     this.restarts = restarts;
     VoterSet founding = new VoterSet();
-    for (int i = 0; i < SEATS; i++) {
+    for (int i = 0; i < VOTERS; i++) {
       founding.voters.add(voter(NAMES[i], i, 1));
     }
     for (int known = 0; known < 4; known++) {
@@ -99,7 +99,7 @@
           holder.previousAddress = before.address;
           holder.previousInstanceId = before.instanceId;
           holder.previousEpoch = before.epoch;
-          voterSets[known] = VoterSets.with(voterSets[known], slotOf(join), holder);
+          voterSets[known] = VoterSets.withVoter(voterSets[known], slotOf(join), holder);
         }
       }
     }
@@ -107,11 +107,11 @@
 
   @Override
   void visit(int[] state) {
-    judge(state);
-    newcomer(state, S);
-    newcomer(state, X);
+    checkInvariants(state);
+    joiner(state, S);
+    joiner(state, X);
     for (int b = 0; b < ballots; b++) {
-      asker(state, b);
+      proposer(state, b);
     }
   }
 
@@ -128,19 +128,19 @@
   }
 
   private static int at(int join) {
-    return ROUNDS + (join - S) * ROUND;
+    return JOINS + (join - S) * JOIN_FIELDS;
   }
 
   /** Which claims a process knows: 1 is that of S, 2 is that of X. */
-  private static int knows(int[] state, int process) {
-    return state[process * FIELDS + KNOWS];
+  private static int knownClaims(int[] state, int process) {
+    return state[process * FIELDS + KNOWN_CLAIMS];
   }
 
   private void learn(int[] state, int process, int known) {
-    state[process * FIELDS + KNOWS] |= known;
+    state[process * FIELDS + KNOWN_CLAIMS] |= known;
     boolean replaced = process == 0 && (known & 1) != 0 || process == 2 && (known & 2) != 0;
     if (replaced && defect == Defect.RECORDS_DROPPED) {
-      put(state, process, KeyState.EMPTY);
+      put(state, process, AcceptorState.EMPTY);
     }
   }
 
@@ -149,50 +149,50 @@
         | (voterSet.voters.get(2).instanceId == X + 1 ? 2 : 0);
   }
 
-  private Membership membership(int[] state, int process) {
-    int caughtUp = process < S ? 1 : 2 * state[at(process) + SEATED];
-    return new Membership(
-        NAMES[process], NAMES[process], process + 1, voterSets[knows(state, process)], caughtUp);
+  private ReplicaMembership membership(int[] state, int process) {
+    int caughtUp = process < S ? 1 : 2 * state[at(process) + VOTING];
+    return new ReplicaMembership(
+        NAMES[process], NAMES[process], process + 1, voterSets[knownClaims(state, process)], caughtUp);
   }
 
   private static boolean absent(int[] state, int process) {
-    return process >= S && state[at(process) + BEGUN] == 0;
+    return process >= S && state[at(process) + STARTED] == 0;
   }
 
   /** How a voter answers an ask under that voter set, which it may learn on the way. */
   private int vote(int[] state, int process, int asked) {
-    Membership membership = membership(state, process);
-    if (membership.vote(voterSets[asked]) != VoteResponse.STALE_VOTER_SET
+    ReplicaMembership membership = membership(state, process);
+    if (membership.voteCode(voterSets[asked]) != VoteResponse.STALE_VOTER_SET
         && membership.learn(voterSets[asked])) {
       learn(state, process, asked);
     }
-    return membership.vote(voterSets[asked]);
+    return membership.voteCode(voterSets[asked]);
   }
 
   private boolean votes(int[] state, int process, int asked) {
     return !absent(state, process) && vote(state, process, asked) == VoteResponse.OK;
   }
 
-  private void newcomer(int[] state, int join) {
+  private void joiner(int[] state, int join) {
     int at = at(join);
-    if (state[at + BEGUN] == 0) {
+    if (state[at + STARTED] == 0) {
       int other = join == S ? X : S;
-      for (int knowing = 0; knowing <= state[at(other) + BEGUN]; knowing++) {
+      for (int knowing = 0; knowing <= state[at(other) + STARTED]; knowing++) {
         int[] next = state.clone();
-        next[at + BEGUN] = 1;
-        next[at + ASKED] = knowing;
+        next[at + STARTED] = 1;
+        next[at + SENT_KNOWING_OTHER] = knowing;
         learn(next, join, bit(join) | knowing * bit(other));
         push(next);
       }
       return;
     }
-    if (state[at + SEATED] == 1) {
+    if (state[at + VOTING] == 1) {
       return;
     }
-    JoinQuorum answers = answers(state, join);
-    List<Voter> sources = answers.sources();
+    JoinQuorum quorum = quorum(state, join);
+    List<Voter> sources = quorum.sources();
     if (sources == null) {
-      for (int field = OF_B; field <= OF_BEFORE; field++) {
+      for (int field = RESPONSE_OF_B; field <= RESPONSE_OF_PREDECESSOR; field++) {
         request(state, join, field);
       }
     } else {
@@ -201,31 +201,31 @@
             state,
             join,
             (int) source.instanceId - 1,
-            source == answers.replaced(),
-            knows(state, join));
-        if (defect == Defect.COPY_UNDER_OLD_SEATING) {
-          copy(state, join, (int) source.instanceId - 1, source == answers.replaced(), bit(join));
+            source == quorum.replacedSource(),
+            knownClaims(state, join));
+        if (defect == Defect.COPY_UNDER_STALE_VOTER_SET) {
+          copy(state, join, (int) source.instanceId - 1, source == quorum.replacedSource(), bit(join));
         }
       }
       if (state[at + COPIED_B] == 1 && state[at + COPIED_OTHER] == 1) {
         int[] next = state.clone();
-        ended(next, at);
-        next[at + SEATED] = 1;
+        clearAttempt(next, at);
+        next[at + VOTING] = 1;
         push(next);
       }
     }
     if (restarts && state[at + RESTARTED] == 0) {
       int[] next = state.clone();
-      ended(next, at);
+      clearAttempt(next, at);
       next[at + RESTARTED] = 1;
-      next[at + ASKED] = (knows(state, join) & ~bit(join)) == 0 ? 0 : 1;
-      put(next, join, KeyState.EMPTY);
+      next[at + SENT_KNOWING_OTHER] = (knownClaims(state, join) & ~bit(join)) == 0 ? 0 : 1;
+      put(next, join, AcceptorState.EMPTY);
       push(next);
     }
   }
 
-  private static void ended(int[] next, int at) {
-    for (int field = ASKED; field <= COPIED_OTHER; field++) {
+  private static void clearAttempt(int[] next, int at) {
+    for (int field = SENT_KNOWING_OTHER; field <= COPIED_OTHER; field++) {
       next[at + field] = 0;
     }
   }
@@ -234,37 +234,37 @@
    * Whom a claim asks: the voter slot of B, the other claimed voter slot's holder, or the one
    * before in that.
    */
-  private static int asked(int[] state, int join, int field) {
+  private static int recipient(int[] state, int join, int field) {
     int other = join == S ? X : S;
-    if (field == OF_B) {
+    if (field == RESPONSE_OF_B) {
       return 1;
     }
-    return field == OF_OTHER && state[at(join) + ASKED] == 1 ? other : slotOf(other);
+    return field == RESPONSE_OF_OTHER && state[at(join) + SENT_KNOWING_OTHER] == 1 ? other : slotOf(other);
   }
 
-  private JoinQuorum answers(int[] state, int join) {
+  private JoinQuorum quorum(int[] state, int join) {
     int at = at(join);
     int other = join == S ? X : S;
     int all = bit(join) | bit(other);
-    int known = bit(join) | state[at + ASKED] * bit(other);
-    JoinQuorum answers = new JoinQuorum(voterSets[known], slotOf(join), join + 1);
-    if (state[at + OF_B] != 0) {
-      answers.response(1, response(1, true, state[at + OF_B] == 2 ? all : bit(join)));
+    int known = bit(join) | state[at + SENT_KNOWING_OTHER] * bit(other);
+    JoinQuorum quorum = new JoinQuorum(voterSets[known], slotOf(join), join + 1);
+    if (state[at + RESPONSE_OF_B] != 0) {
+      quorum.onHolderResponse(1, response(1, true, state[at + RESPONSE_OF_B] == 2 ? all : bit(join)));
     }
-    if (state[at + OF_OTHER] != 0) {
-      answers.response(
-          slotOf(other), response(asked(state, join, OF_OTHER), state[at + OF_OTHER] == 1, known));
-    } else if (defect == Defect.SUCCESSOR_NOT_ASKED && state[at + ASKED] == 1) {
-      answers.response(slotOf(other), response(other, false, known));
+    if (state[at + RESPONSE_OF_OTHER] != 0) {
+      quorum.onHolderResponse(
+          slotOf(other), response(recipient(state, join, RESPONSE_OF_OTHER), state[at + RESPONSE_OF_OTHER] == 1, known));
+    } else if (defect == Defect.SUCCESSOR_NOT_QUERIED && state[at + SENT_KNOWING_OTHER] == 1) {
+      quorum.onHolderResponse(slotOf(other), response(other, false, known));
     }
     int before = slotOf(other);
-    if (state[at + OF_BEFORE] != 0) {
-      answers.toldBefore(
+    if (state[at + RESPONSE_OF_PREDECESSOR] != 0) {
+      quorum.onPredecessorResponse(
           before,
           response(
-              before, state[at + OF_BEFORE] == 1, state[at + OF_BEFORE] == 1 ? bit(join) : all));
+              before, state[at + RESPONSE_OF_PREDECESSOR] == 1, state[at + RESPONSE_OF_PREDECESSOR] == 1 ? bit(join) : all));
     }
-    return answers;
+    return quorum;
   }
 
   private JoinResponse response(int by, boolean held, int known) {
@@ -279,28 +279,28 @@
 
   private void request(int[] state, int join, int field) {
     int at = at(join);
-    int process = asked(state, join, field);
+    int process = recipient(state, join, field);
     if (state[at + field] != 0
-        || field == OF_BEFORE && state[at + ASKED] == 0
+        || field == RESPONSE_OF_PREDECESSOR && state[at + SENT_KNOWING_OTHER] == 0
         || absent(state, process)) {
       return;
     }
     JoinRequest request = new JoinRequest();
     request.slot = slotOf(join);
     request.voter = voterSets[bit(join)].voters.get(request.slot);
-    Membership membership = membership(state, process);
-    JoinResponse response = membership.answer(request);
+    ReplicaMembership membership = membership(state, process);
+    JoinResponse response = membership.respond(request);
     int[] next = state.clone();
-    if (!(defect == Defect.SUCCESSOR_NOTES_NOTHING && response.recorded && !response.replaced)) {
+    if (!(defect == Defect.SUCCESSOR_RECORDS_NOTHING && response.recorded && !response.replaced)) {
       learn(next, process, known(membership.voterSet()));
     }
     push(next.clone());
     learn(next, join, known(membership.voterSet()));
-    if (response.accepted && field == OF_B) {
+    if (response.accepted && field == RESPONSE_OF_B) {
       next[at + field] = known(membership.voterSet()) == 3 ? 2 : 1;
     } else if (response.accepted) {
       next[at + field] = 1;
-    } else if (field == OF_BEFORE
+    } else if (field == RESPONSE_OF_PREDECESSOR
         ? response.recorded && response.replaced
         : response.recorded && !response.replaced) {
       next[at + field] = 2;
@@ -311,21 +311,21 @@
   private void copy(int[] state, int join, int process, boolean ofReplaced, int voterSet) {
     int[] next = state.clone();
     int code = vote(next, process, voterSet);
-    if (membership(next, process).serves(code, ofReplaced || defect == Defect.STALE_SOURCE)) {
-      put(next, join, key(next, join).withCopyOf(key(next, process)));
+    if (membership(next, process).servesTransfer(code, ofReplaced || defect == Defect.STALE_SOURCE)) {
+      put(next, join, key(next, join).mergeTransferred(key(next, process)));
       next[at(join) + (process == 1 ? COPIED_B : COPIED_OTHER)] = 1;
     }
-    if (defect == Defect.REPLACED_NOT_ASKED && process < S && process != 1) {
+    if (defect == Defect.REPLACED_NOT_QUERIED && process < S && process != 1) {
       next[at(join) + COPIED_OTHER] = 1;
     }
     push(next);
   }
 
-  private void asker(int[] state, int b) {
-    int at = ASKERS + b * ASKER;
+  private void proposer(int[] state, int b) {
+    int at = PROPOSERS + b * PROPOSER_FIELDS;
     if (state[at] == 0) {
       for (int voterSet = 0; voterSet < 4; voterSet++) {
-        if ((voterSet & ~(state[at(S) + BEGUN] | 2 * state[at(X) + BEGUN])) == 0) {
+        if ((voterSet & ~(state[at(S) + STARTED] | 2 * state[at(X) + STARTED])) == 0) {
           int[] next = state.clone();
           next[at] = 1;
           next[at + 1] = voterSet;
@@ -334,14 +334,14 @@
       }
       return;
     }
-    if (state[at] == 1 && Integer.bitCount(state[at + 2]) >= VoterSets.majority(SEATS)) {
+    if (state[at] == 1 && Integer.bitCount(state[at + 2]) >= VoterSets.majoritySize(VOTERS)) {
       int[] next = state.clone();
       next[at] = 2;
       next[at + 2] = 0;
       next[at + 4] |= 1 << b;
       push(next);
     }
-    for (int slot = 0; slot < SEATS; slot++) {
+    for (int slot = 0; slot < VOTERS; slot++) {
       prepare(state, b, at, slot);
       if (state[at] == 2) {
         accept(state, b, at, slot);
@@ -354,17 +354,17 @@
     int process = holder(slot, state[at + 1]);
     if (votes(next, process, state[at + 1])) {
       Acceptor.Decision decision = Acceptor.prepare(key(next, process), ballot(b + 1));
-      if (decision.write() != null) {
-        put(next, process, decision.write());
+      if (decision.newState() != null) {
+        put(next, process, decision.newState());
       }
-      if (decision.answer().code == VoteResponse.OK
+      if (decision.response().code == VoteResponse.OK
           && state[at] == 1
           && (state[at + 2] >> slot & 1) == 0) {
         int[] response = next.clone();
         response[at + 2] |= 1 << slot;
-        if (decision.answer().accepted.round > response[at + 3]) {
-          response[at + 3] = (int) decision.answer().accepted.round;
-          response[at + 4] = decision.answer().value[0];
+        if (decision.response().accepted.round > response[at + 3]) {
+          response[at + 3] = (int) decision.response().accepted.round;
+          response[at + 4] = decision.response().value[0];
         }
         push(response);
       }
@@ -379,26 +379,26 @@
       Acceptor.Decision decision =
           Acceptor.accept(
               key(next, process), ballot(b + 1), new Ballot(), new byte[] {(byte) state[at + 4]});
-      if (decision.write() != null) {
-        put(next, process, decision.write());
+      if (decision.newState() != null) {
+        put(next, process, decision.newState());
       }
-      if (decision.answer().code == VoteResponse.OK) {
+      if (decision.response().code == VoteResponse.OK) {
         next[at + 5] |= 1 << slot;
       }
     }
     push(next);
   }
 
-  private void judge(int[] state) {
+  private void checkInvariants(int[] state) {
     int newest = 0;
     for (int b = 0; b < ballots; b++) {
       newest = decided(state, b) ? b + 1 : newest;
     }
-    if (newest == 2 && decided(state, 0) && (state[ASKERS + ASKER + 4] & 1) == 0) {
-      fault = "ballot 2 was decided without what ballot 1 decided";
+    if (newest == 2 && decided(state, 0) && (state[PROPOSERS + PROPOSER_FIELDS + 4] & 1) == 0) {
+      violation = "ballot 2 was decided without what ballot 1 decided";
     }
     for (int voterSet = 0; voterSet < 4; voterSet++) {
-      for (int without = 0; without < SEATS; without++) {
+      for (int without = 0; without < VOTERS; without++) {
         read(state, voterSet, without, newest);
       }
     }
@@ -407,28 +407,28 @@
   /** A read by two voter slots at once. */
   private void read(int[] state, int voterSet, int without, int newest) {
     int found = -1;
-    for (int slot = 0; slot < SEATS; slot++) {
+    for (int slot = 0; slot < VOTERS; slot++) {
       if (slot == without) {
         continue;
       }
       int process = holder(slot, voterSet);
-      KeyState key = key(state, process);
+      AcceptorState key = key(state, process);
       int response = (int) key.accepted().round;
       if (!votes(state.clone(), process, voterSet)
-          || key.copied()
+          || key.fromStateTransfer()
           || found >= 0 && response != found) {
         return;
       }
       found = response;
     }
     if (found < newest) {
-      fault = "a majority tells of ballot " + found + " where " + newest + " is decided";
+      violation = "a majority tells of ballot " + found + " where " + newest + " is decided";
     } else if (found > 0 && !decided(state, found - 1)) {
-      fault = "a majority tells of ballot " + found + ", which isn't decided";
+      violation = "a majority tells of ballot " + found + ", which isn't decided";
     }
   }
 
   private static boolean decided(int[] state, int b) {
-    return Integer.bitCount(state[ASKERS + b * ASKER + 5]) >= VoterSets.majority(SEATS);
+    return Integer.bitCount(state[PROPOSERS + b * PROPOSER_FIELDS + 5]) >= VoterSets.majoritySize(VOTERS);
   }
 }
--- a/consensus/src/test/java/elmsail/consensus/DefectsTest.java
+++ b/consensus/src/test/java/elmsail/consensus/DefectsTest.java
@@ -12,34 +12,34 @@
   private static final int SEEDS = Integer.getInteger("register.defectSeeds", 400);
 
   @Test
-  void answersBeforeTheSync() {
-    caught("answers before the sync");
+  void responseBeforeSyncIsDetected() {
+    assertDetected("answers before the sync");
   }
 
   @Test
-  void relayedRoundsAnsweredBeforeTheSync() {
-    caught("relayed rounds are answered before the sync");
+  void relayedResponseBeforeSyncIsDetected() {
+    assertDetected("relayed rounds are answered before the sync");
   }
 
   @Test
-  void votesAfterAmnesia() {
-    caught("votes after amnesia");
+  void voteAfterLostDiskIsDetected() {
+    assertDetected("votes after amnesia");
   }
 
   @Test
-  void claimAcknowledgedByOne() {
-    caught("a claim acknowledged by one");
+  void joinAcknowledgedByOneIsDetected() {
+    assertDetected("a claim acknowledged by one");
   }
 
-  private static void caught(String name) {
-    Map<String, LongFunction<History>> all = Defects.all();
+  private static void assertDetected(String name) {
+    Map<String, LongFunction<RandomHistory>> all = InjectedDefects.all();
     int caught = 0;
     int first = -1;
     String fault = "";
     int seed = 0;
     for (; seed < SEEDS && caught < 1; seed++) {
-      History history = all.get(name).apply(seed).run();
-      for (String found : history.chain.faults) {
+      RandomHistory history = all.get(name).apply(seed).run();
+      for (String found : history.checker.faults) {
         if (!found.startsWith("not seated") && !found.startsWith("no last")) {
           caught++;
           first = first < 0 ? seed : first;
