--- a/consensus/src/test/java/elmsail/consensus/World.java
+++ b/consensus/src/test/java/elmsail/consensus/FaultyCluster.java
@@ -24,30 +24,30 @@
 /**
  * Keepers and clients of one set on one clock, over a network that loses, repeats, delays and cuts.
  */
-final class World {
+final class FaultyCluster {
   final ManualTimers timers = new ManualTimers();
-  final Random chance;
+  final Random random;
   final Map<String, Node> nodes = new HashMap<>();
-  final Set<String> cut = new HashSet<>();
-  double loss;
-  double repeats;
-  int mostDelayMs = 6;
+  final Set<String> cutLinks = new HashSet<>();
+  double lossRate;
+  double duplicateRate;
+  int maxDelayMs = 6;
   long calls;
 
   /** Whether one life was ever known in two voter slots. */
-  boolean twice;
+  boolean instanceInTwoSlots;
 
-  UnaryOperator<RpcClient> keepersCaller = caller -> caller;
+  UnaryOperator<RpcClient> replicaCaller = caller -> caller;
 
-  World(long seed) {
-    chance = new Random(seed);
+  FaultyCluster(long seed) {
+    random = new Random(seed);
   }
 
   /** A process with a disk. */
   final class Node implements RequestHandlers {
     final String address;
-    LossyRecords.Platter platter = new LossyRecords.Platter();
-    LossyRecords records;
+    LossyRecordStore.DiskImage disk = new LossyRecordStore.DiskImage();
+    LossyRecordStore records;
     Replica replica;
     Map<Class<?>, Function<Object, CompletionStage<?>>> handlers = new HashMap<>();
     int starts;
@@ -63,8 +63,8 @@
       starts++;
       handlers = new HashMap<>();
       Timers own = timers(this);
-      records = new LossyRecords(platter, own, chance);
-      RpcClient caller = keepersCaller.apply(caller(address, own));
+      records = new LossyRecordStore(disk, own, random);
+      RpcClient caller = replicaCaller.apply(caller(address, own));
       replica =
           new Replica(
               "set",
@@ -85,7 +85,7 @@
     }
 
     void wipe() {
-      platter = new LossyRecords.Platter();
+      disk = new LossyRecordStore.DiskImage();
     }
 
     @Override
@@ -122,16 +122,16 @@
   }
 
   private boolean reaches(String from, String to) {
-    return !cut.contains(from + ">" + to);
+    return !cutLinks.contains(from + ">" + to);
   }
 
   void cutOff(String one, boolean off) {
     for (String other : nodes.keySet()) {
       for (String way : new String[] {one + ">" + other, other + ">" + one}) {
         if (off) {
-          cut.add(way);
+          cutLinks.add(way);
         } else {
-          cut.remove(way);
+          cutLinks.remove(way);
         }
       }
     }
@@ -140,9 +140,9 @@
   void cutOff(String one, String other, boolean off) {
     for (String way : new String[] {one + ">" + other, other + ">" + one}) {
       if (off) {
-        cut.add(way);
+        cutLinks.add(way);
       } else {
-        cut.remove(way);
+        cutLinks.remove(way);
       }
     }
   }
@@ -151,7 +151,7 @@
   Node idle() {
     Node idle = null;
     for (Node node : nodes.values()) {
-      if (node.up && !node.replica.voting()) {
+      if (node.up && !node.replica.isVoting()) {
         idle = node;
       }
     }
@@ -168,7 +168,7 @@
         own.schedule(
             timeoutMs,
             () -> result.completeExceptionally(new ElmsailException(ErrorCode.TIMEOUT, peer)));
-        int copies = chance.nextDouble() < repeats ? 2 : 1;
+        int copies = random.nextDouble() < duplicateRate ? 2 : 1;
         for (int i = 0; i < copies; i++) {
           timers.schedule(delay(), () -> deliver(from, peer, request, own, answer, result));
         }
@@ -179,7 +179,7 @@
 
   private int delay() {
     // Some stay long on their way.
-    return 1 + chance.nextInt(mostDelayMs) + (chance.nextInt(40) == 0 ? chance.nextInt(2_500) : 0);
+    return 1 + random.nextInt(maxDelayMs) + (random.nextInt(40) == 0 ? random.nextInt(2_500) : 0);
   }
 
   private <A> void deliver(
@@ -190,7 +190,7 @@
       Class<A> answer,
       CompletableFuture<A> result) {
     Node node = nodes.get(peer);
-    if (chance.nextDouble() < loss || !reaches(from, peer)) {
+    if (random.nextDouble() < lossRate || !reaches(from, peer)) {
       return;
     }
     if (node == null || !node.up) {
@@ -207,7 +207,7 @@
     int start = node.starts;
     stage.whenComplete(
         (response, failure) -> {
-          if (node.starts != start || chance.nextDouble() < loss || !reaches(peer, from)) {
+          if (node.starts != start || random.nextDouble() < lossRate || !reaches(peer, from)) {
             return;
           }
           own.schedule(
@@ -223,20 +223,20 @@
   }
 
   /** Founds the set on these addresses and lets it settle. */
-  VoterSet found(String... addresses) {
+  VoterSet bootstrap(String... addresses) {
     VoterSet voterSet = new VoterSet();
     for (String address : addresses) {
       Node node = new Node(address);
       node.start();
-      Voter slot = new Voter();
-      slot.address = address;
-      slot.machine = "st-" + address;
-      slot.instanceId = node.platter.instanceId;
-      slot.epoch = 1;
-      voterSet.voters.add(slot);
+      Voter voter = new Voter();
+      voter.address = address;
+      voter.machine = "st-" + address;
+      voter.instanceId = node.disk.instanceId;
+      voter.epoch = 1;
+      voterSet.voters.add(voter);
     }
     for (String address : addresses) {
-      nodes.get(address).replica.found(voterSet);
+      nodes.get(address).replica.bootstrap(voterSet);
     }
     timers.advance(50);
     return voterSet;
@@ -244,7 +244,7 @@
 
   /** A client that knows this voter set, and lasts. */
   RegisterClient client(String name, long who, VoterSet known, UnaryOperator<RpcClient> wrapped) {
-    VoterSet[] held = {known};
+    VoterSet[] current = {known};
     return new RegisterClient(
         "set",
         wrapped.apply(caller(name, timers)),
@@ -252,12 +252,12 @@
         new VoterSetSource() {
           @Override
           public VoterSet current() {
-            return held[0];
+            return current[0];
           }
 
           @Override
           public void learn(VoterSet newer) {
-            held[0] = VoterSets.merge(held[0], newer);
+            current[0] = VoterSets.merge(current[0], newer);
           }
         },
         who,
@@ -278,8 +278,8 @@
       }
     }
     for (Node node : up) {
-      Node other = up.get(chance.nextInt(up.size()));
-      if (reaches(other.address, node.address) && chance.nextDouble() >= loss) {
+      Node other = up.get(random.nextInt(up.size()));
+      if (reaches(other.address, node.address) && random.nextDouble() >= lossRate) {
         node.replica.learn(other.replica.voterSet());
       }
     }
@@ -290,13 +290,13 @@
     VoterSet newest = new VoterSet();
     for (Node node : nodes.values()) {
       newest =
-          VoterSets.merge(newest, VoterSetCodec.voterSet(node.platter.safe.get("set/seating")));
+          VoterSets.merge(newest, VoterSetCodec.decode(node.disk.durable.get("set/seating")));
       if (node.up && node.replica != null) {
         newest = VoterSets.merge(newest, node.replica.membership.voterSet());
       }
     }
-    if (VoterSets.vacant(newest) > 0) {
-      twice = true;
+    if (VoterSets.uncountedSlots(newest) > 0) {
+      instanceInTwoSlots = true;
     }
     return newest;
   }
@@ -305,13 +305,13 @@
    * Whether each voter slot but so many, as the newest that any knows, has a holder that is up and
    * votes.
    */
-  boolean whole(int butFor) {
+  boolean isRedundant(int butFor) {
     int missing = 0;
-    for (Voter slot : newest().voters) {
-      Node node = nodes.get(slot.address);
+    for (Voter voter : newest().voters) {
+      Node node = nodes.get(voter.address);
       if (!node.up
-          || node.platter.instanceId != slot.instanceId
-          || !node.replica.voting()
+          || node.disk.instanceId != voter.instanceId
+          || !node.replica.isVoting()
           || node.records.read("set/seated") == null
           || !node.records.idle()) {
         missing++;
@@ -325,21 +325,21 @@
    * may have a holder that isn't voting, and there the one before has its records, claims nothing,
    * and its successor lives.
    */
-  boolean covered(Node lost) {
+  boolean toleratesLossOf(Node lost) {
     VoterSet newest = newest();
     int missing = 0;
-    for (Voter slot : newest.voters) {
-      Node node = nodes.get(slot.address);
-      if (node == lost || safelySeated(node, slot)) {
+    for (Voter voter : newest.voters) {
+      Node node = nodes.get(voter.address);
+      if (node == lost || isVoterOnDisk(node, voter)) {
         continue;
       }
-      Node before = nodes.get(slot.previousAddress);
+      Node before = nodes.get(voter.previousAddress);
       if (before == null
           || before == lost
-          || before.platter.instanceId != slot.previousInstanceId
-          || node.platter.instanceId != slot.instanceId
-          || RecordNames.epoch(before.platter.safe.get("set/seated")) != slot.previousEpoch
-          || VoterSets.ofInstance(newest, before.platter.instanceId) >= 0) {
+          || before.disk.instanceId != voter.previousInstanceId
+          || node.disk.instanceId != voter.instanceId
+          || RecordNames.epochFromBytes(before.disk.durable.get("set/seated")) != voter.previousEpoch
+          || VoterSets.slotOfInstance(newest, before.disk.instanceId) >= 0) {
         return false;
       }
       missing++;
@@ -348,13 +348,13 @@
   }
 
   /** As its disk has it, whether it is up or not. */
-  private static boolean safelySeated(Node node, Voter slot) {
-    VoterSet known = VoterSetCodec.voterSet(node.platter.safe.get("set/seating"));
-    int own = VoterSets.ofInstance(known, node.platter.instanceId);
-    return node.platter.instanceId == slot.instanceId
+  private static boolean isVoterOnDisk(Node node, Voter voter) {
+    VoterSet known = VoterSetCodec.decode(node.disk.durable.get("set/seating"));
+    int own = VoterSets.slotOfInstance(known, node.disk.instanceId);
+    return node.disk.instanceId == voter.instanceId
         && own >= 0
-        && known.voters.get(own).epoch == slot.epoch
-        && RecordNames.epoch(node.platter.safe.get("set/seated")) == slot.epoch;
+        && known.voters.get(own).epoch == voter.epoch
+        && RecordNames.epochFromBytes(node.disk.durable.get("set/seated")) == voter.epoch;
   }
 
   String state() {
@@ -362,25 +362,25 @@
     for (Node node : nodes.values()) {
       state.append('\n').append(node.address).append(node.up ? " up" : " down");
       if (node.up) {
-        state.append(node.replica.voting() ? " seated, knows" : " knows");
-        for (Voter slot : node.replica.voterSet().voters) {
+        state.append(node.replica.isVoting() ? " seated, knows" : " knows");
+        for (Voter voter : node.replica.voterSet().voters) {
           state
               .append(' ')
-              .append(slot.address)
+              .append(voter.address)
               .append('#')
-              .append(slot.epoch)
+              .append(voter.epoch)
               .append('/')
-              .append(slot.instanceId & 0xff);
+              .append(voter.instanceId & 0xff);
         }
-        state.append(", is ").append(node.platter.instanceId & 0xff);
+        state.append(", is ").append(node.disk.instanceId & 0xff);
       }
     }
     return state.toString();
   }
 
   /** Runs until that future is done, at most so long. */
-  <T> T await(CompletableFuture<T> future, long mostMs) {
-    long end = timers.now() + mostMs;
+  <T> T await(CompletableFuture<T> future, long maxMs) {
+    long end = timers.now() + maxMs;
     while (!future.isDone() && timers.now() < end && timers.runNext()) {
       continue;
     }
--- a/consensus/src/test/java/elmsail/consensus/HistoriesTest.java
+++ b/consensus/src/test/java/elmsail/consensus/HistoriesTest.java
@@ -12,32 +12,32 @@
   private static final int SEEDS = Integer.getInteger("register.seeds", 160);
 
   @Test
-  void everyHistoryOfThreeSeatsIsLinearizable() {
+  void historiesOfThreeVotersAreLinearizable() {
     play(SEEDS, 3);
   }
 
   @Test
-  void everyHistoryOfFiveSeatsIsLinearizable() {
+  void historiesOfFiveVotersAreLinearizable() {
     play(SEEDS / 4, 5);
   }
 
   @Test
-  void norDoesAnUnfinishedClaimOfASpareLoseAThing() {
+  void historiesOfThreeVotersWithUnfinishedJoinsAreLinearizable() {
     play(SEEDS, 3, true);
   }
 
   @Test
-  void norOneAtFiveSeats() {
+  void historiesOfFiveVotersWithUnfinishedJoinsAreLinearizable() {
     play(SEEDS / 4, 5, true);
   }
 
   @Test
-  void relayedRoundsOfThreeSeatsAreLinearizableAndKeepTheirBlobs() {
+  void relayedPreparesOfThreeVotersAreLinearizableAndKeepTheirBlobs() {
     play(SEEDS / 4, 3, false, true);
   }
 
   @Test
-  void relayedRoundsOfFiveSeatsAreLinearizableAndKeepTheirBlobs() {
+  void relayedPreparesOfFiveVotersAreLinearizableAndKeepTheirBlobs() {
     play(SEEDS / 8, 5, false, true);
   }
 
@@ -53,7 +53,7 @@
     List<String> faults = new ArrayList<>();
     int[] sums = new int[8];
     for (int seed = 0; seed < seeds; seed++) {
-      History history = new History(seed, voters);
+      RandomHistory history = new RandomHistory(seed, voters);
       if (unfinished) {
         history.withUnfinishedClaims();
       }
@@ -61,7 +61,7 @@
         history.withLargeBlobs();
       }
       history.run();
-      for (String fault : history.chain.faults) {
+      for (String fault : history.checker.faults) {
         faults.add("seed " + seed + ": " + fault);
       }
       sums[0] += history.changed;
@@ -70,8 +70,8 @@
       sums[3] += history.crashes;
       sums[4] += history.wipes;
       sums[5] += history.replacements;
-      sums[6] += history.unfinished;
-      sums[7] += history.wipedMeanwhile;
+      sums[6] += history.unfinishedClaims;
+      sums[7] += history.wipesDuringClaims;
     }
     System.out.println(
         seeds
--- a/consensus/src/test/java/elmsail/consensus/Defects.java
+++ b/consensus/src/test/java/elmsail/consensus/InjectedDefects.java
@@ -11,35 +11,35 @@
 import java.util.function.LongFunction;
 
 /** Faults put into a history on purpose, each of which its checker has to find. */
-final class Defects {
-  private Defects() {}
+final class InjectedDefects {
+  private InjectedDefects() {}
 
   /** Each answer leaves before its write is safe. */
-  static History answersBeforeSync(long seed) {
-    History history = new History(seed);
-    history.whenMade = node -> node.platter.tellsEarly = true;
+  static RandomHistory respondsBeforeSync(long seed) {
+    RandomHistory history = new RandomHistory(seed);
+    history.onNodeCreated = node -> node.disk.completesBeforeSync = true;
     return history;
   }
 
   /** One whose disk lost the keys goes on voting as who it was. */
-  static History votesAfterAmnesia(long seed) {
-    History history = new History(seed);
-    history.afterWipe =
+  static RandomHistory votesAfterLostDisk(long seed) {
+    RandomHistory history = new RandomHistory(seed);
+    history.onDiskWiped =
         (node, before) -> {
-          node.platter.instanceId = before.instanceId;
-          node.platter.everOpened = true;
+          node.disk.instanceId = before.instanceId;
+          node.disk.everOpened = true;
           for (String kept : new String[] {"set/seating", "set/seated"}) {
-            node.platter.safe.put(kept, before.safe.get(kept));
+            node.disk.durable.put(kept, before.durable.get(kept));
           }
         };
     return history;
   }
 
   /** A claim that one holder acknowledged counts as if both had. */
-  static History claimOfOneHolder(long seed) {
-    History history = new History(seed);
-    World world = history.world;
-    world.keepersCaller =
+  static RandomHistory joinAcknowledgedByOne(long seed) {
+    RandomHistory history = new RandomHistory(seed);
+    FaultyCluster world = history.world;
+    world.replicaCaller =
         caller ->
             new RpcClient() {
               @Override
@@ -60,7 +60,7 @@
                   if (request instanceof JoinRequest join) {
                     JoinResponse held = new JoinResponse();
                     held.accepted = true;
-                    held.voterSet = VoterSets.with(newest, join.slot, join.voter);
+                    held.voterSet = VoterSets.withVoter(newest, join.slot, join.voter);
                     world.timers.schedule(1, () -> response.complete(answer.cast(held)));
                     return response;
                   }
@@ -80,15 +80,15 @@
   }
 
   /** Each kind by its name. */
-  static Map<String, LongFunction<History>> all() {
+  static Map<String, LongFunction<RandomHistory>> all() {
     return Map.of(
         "answers before the sync",
-        Defects::answersBeforeSync,
+        InjectedDefects::respondsBeforeSync,
         "relayed rounds are answered before the sync",
-        seed -> answersBeforeSync(seed).withLargeBlobs(),
+        seed -> respondsBeforeSync(seed).withLargeBlobs(),
         "votes after amnesia",
-        Defects::votesAfterAmnesia,
+        InjectedDefects::votesAfterLostDisk,
         "a claim acknowledged by one",
-        Defects::claimOfOneHolder);
+        InjectedDefects::joinAcknowledgedByOne);
   }
 }
--- a/consensus/src/test/java/elmsail/consensus/JoinInVainTest.java
+++ b/consensus/src/test/java/elmsail/consensus/JoinInVainTest.java
@@ -4,7 +4,7 @@
 import static org.hamcrest.Matchers.empty;
 import static org.hamcrest.Matchers.is;
 
-import elmsail.consensus.Register.Wanted;
+import elmsail.consensus.Register.ProposedValue;
 import elmsail.rpc.messages.VoterSet;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -16,42 +16,42 @@
  */
 class JoinInVainTest {
   private static final long LATE_MS = 1_500;
-  private static final long LONGEST_MS = 20_000;
+  private static final long MAX_JOIN_MS = 20_000;
 
-  private SimSet set;
-  private String about;
+  private SimCluster set;
+  private String scenario;
 
   private void put(String value) {
     set.await(
-        set.client(set.founding)
+        set.client(set.initialVoters)
             .change(
-                "key", found -> new Wanted(value.getBytes(), List.of()), List.of(), null, 3_000));
+                "key", observed -> new ProposedValue(value.getBytes(), List.of()), List.of(), null, 3_000));
   }
 
   private String read() {
-    return new String(set.await(set.client(set.founding).read("key", null, 5_000)).value());
+    return new String(set.await(set.client(set.initialVoters).read("key", null, 5_000)).value());
   }
 
   /** Slots 0 to 2 are held by 2, 1 and 3; 0 doesn't know that it was replaced. */
-  private void movedOnce() {
-    set = new SimSet().founded();
+  private void clusterWithMovedSlots() {
+    set = new SimCluster().bootstrapped();
     put("old");
-    set.net.isolate(SimSet.AT[2]);
-    set.replicas[3].learn(set.founding);
+    set.net.isolate(SimCluster.ADDRESSES[2]);
+    set.replicas[3].learn(set.initialVoters);
     set.replicas[3].join(2, 2);
-    set.awaitSeated(3, 5_000);
+    set.awaitVoting(3, 5_000);
     set.net.healAll();
     set.replicas[2].learn(set.replicas[1].voterSet());
     set.timers.advance(50);
-    set.net.isolate(SimSet.AT[0]);
+    set.net.isolate(SimCluster.ADDRESSES[0]);
     set.replicas[2].join(0, 2);
-    set.awaitSeated(2, 5_000);
-    assertThat(set.replicas[2].voting() && set.replicas[3].voting(), is(true));
+    set.awaitVoting(2, 5_000);
+    assertThat(set.replicas[2].isVoting() && set.replicas[3].isVoting(), is(true));
     put("new");
   }
 
-  private void allLosePowerAndOneItsDisk(boolean formerIsUp, boolean successorIsLate) {
-    for (int i = 0; i < SimSet.AT.length; i++) {
+  private void restartAllWithOneWiped(boolean formerIsUp, boolean successorIsLate) {
+    for (int i = 0; i < SimCluster.ADDRESSES.length; i++) {
       set.kill(i);
     }
     set.disks[2].wipe();
@@ -65,7 +65,7 @@
     }
     set.timers.advance(20);
     set.start(2);
-    set.replicas[2].learn(set.founding);
+    set.replicas[2].learn(set.initialVoters);
     if (successorIsLate) {
       set.timers.advance(LATE_MS);
       set.start(3);
@@ -73,31 +73,31 @@
   }
 
   /** The wiped member's calls to 0, 1 and 3 are fast or slow. */
-  private void delays(int slow) {
+  private void delayResponses(int slow) {
     int[] others = {0, 1, 3};
     for (int i = 0; i < others.length; i++) {
       long ms = (slow >> i & 1) == 1 ? 30 : 1;
-      set.net.delay(SimSet.AT[2], SimSet.AT[others[i]], ms, ms);
-      set.net.delay(SimSet.AT[others[i]], SimSet.AT[2], ms, ms);
+      set.net.delay(SimCluster.ADDRESSES[2], SimCluster.ADDRESSES[others[i]], ms, ms);
+      set.net.delay(SimCluster.ADDRESSES[others[i]], SimCluster.ADDRESSES[2], ms, ms);
     }
   }
 
   @Test
-  void oneThatHeldTwoSlotsTakesTheLastOneBack() {
+  void wipedMemberOfTwoSlotsRejoinsItsLastSlot() {
     int played = 0;
     for (int slow = 0; slow < 8; slow++) {
       for (int kind = 0; kind < 4; kind++) {
-        about = "slow " + slow + ", kind " + kind;
-        movedOnce();
-        delays(slow);
-        allLosePowerAndOneItsDisk((kind & 1) == 1, (kind & 2) == 2);
-        set.awaitSeated(2, LONGEST_MS);
-        assertThat(about, set.replicas[2].voting(), is(true));
-        assertThat(about, set.replicas[3].voting(), is(true));
-        assertThat(about, set.replicas[2].voterSet().voters.get(0).address, is(SimSet.AT[2]));
+        scenario = "slow " + slow + ", kind " + kind;
+        clusterWithMovedSlots();
+        delayResponses(slow);
+        restartAllWithOneWiped((kind & 1) == 1, (kind & 2) == 2);
+        set.awaitVoting(2, MAX_JOIN_MS);
+        assertThat(scenario, set.replicas[2].isVoting(), is(true));
+        assertThat(scenario, set.replicas[3].isVoting(), is(true));
+        assertThat(scenario, set.replicas[2].voterSet().voters.get(0).address, is(SimCluster.ADDRESSES[2]));
         set.kill(1);
-        assertThat(about, read(), is("new"));
-        assertThat(about, set.net.handlerFaults(), empty());
+        assertThat(scenario, read(), is("new"));
+        assertThat(scenario, set.net.handlerFaults(), empty());
         played++;
       }
     }
@@ -106,36 +106,36 @@
 
   /** Its slot is another's for good: the other two vote on, and it is a spare that can be sent. */
   @Test
-  void oneWhoseSlotWasTakenLeavesItAndIsASpare() {
+  void wipedMemberWhoseSlotWasTakenYieldsAndIsASpare() {
     for (int slow = 0; slow < 8; slow++) {
       for (int kind = 0; kind < 2; kind++) {
-        about = "slow " + slow + ", kind " + kind;
-        set = new SimSet().founded();
+        scenario = "slow " + slow + ", kind " + kind;
+        set = new SimCluster().bootstrapped();
         put("old");
-        set.net.isolate(SimSet.AT[2]);
-        set.replicas[3].learn(set.founding);
+        set.net.isolate(SimCluster.ADDRESSES[2]);
+        set.replicas[3].learn(set.initialVoters);
         set.replicas[3].join(2, 2);
-        set.awaitSeated(3, 5_000);
+        set.awaitVoting(3, 5_000);
         put("new");
-        delays(slow);
-        for (int i = 0; i < SimSet.AT.length; i++) {
+        delayResponses(slow);
+        for (int i = 0; i < SimCluster.ADDRESSES.length; i++) {
           set.kill(i);
         }
         set.disks[2].wipe();
         set.net.healAll();
         set.start(1);
         set.start(2);
-        set.replicas[2].learn(set.founding);
+        set.replicas[2].learn(set.initialVoters);
         set.timers.advance(kind == 0 ? 0 : LATE_MS);
         set.start(3);
         set.timers.advance(6_000);
-        assertThat(about, set.replicas[1].voting() && set.replicas[3].voting(), is(true));
-        assertThat(about, read(), is("new"));
+        assertThat(scenario, set.replicas[1].isVoting() && set.replicas[3].isVoting(), is(true));
+        assertThat(scenario, read(), is("new"));
         set.replicas[2].join(0, 2);
-        set.awaitSeated(2, 5_000);
-        assertThat(about, set.replicas[2].voting(), is(true));
+        set.awaitVoting(2, 5_000);
+        assertThat(scenario, set.replicas[2].isVoting(), is(true));
         set.kill(1);
-        assertThat(about, read(), is("new"));
+        assertThat(scenario, read(), is("new"));
       }
     }
   }
@@ -146,15 +146,15 @@
    * that; each order of the answers to the wiped member.
    */
   @Test
-  void oneUnfinishedTakeOverAndOneLossInAllOrders() {
+  void unfinishedTakeOverAndOneLossRecoverInAllOrders() {
     int played = 0;
     for (int knows = 0; knows < 3; knows++) {
       for (int wiped = 0; wiped < 4; wiped++) {
         for (int gone = 0; gone < 2; gone++) {
           boolean borne = gone == 0 || wiped >= 2 || knows == 2;
           for (int slow = 0; slow < 8 && borne; slow++) {
-            about = knows + " knows, " + wiped + " wiped, gone " + gone + ", slow " + slow;
-            unfinished(knows, wiped, gone == 1, slow);
+            scenario = knows + " knows, " + wiped + " wiped, gone " + gone + ", slow " + slow;
+            playUnfinishedTakeOver(knows, wiped, gone == 1, slow);
             played++;
           }
         }
@@ -163,18 +163,18 @@
     System.out.println("one unfinished take-over and one loss: " + played + " orders");
   }
 
-  private void unfinished(int knows, int wiped, boolean gone, int slow) {
-    set = new SimSet().founded();
+  private void playUnfinishedTakeOver(int knows, int wiped, boolean gone, int slow) {
+    set = new SimCluster().bootstrapped();
     put("new");
     for (int i = 0; i < 2; i++) {
       if (i != knows) {
-        set.net.cutBoth(SimSet.AT[3], SimSet.AT[i]);
+        set.net.cutBoth(SimCluster.ADDRESSES[3], SimCluster.ADDRESSES[i]);
       }
     }
-    set.replicas[3].learn(set.founding);
+    set.replicas[3].learn(set.initialVoters);
     set.replicas[3].join(2, 2);
     set.timers.advance(1_500);
-    assertThat(about, set.replicas[3].voting(), is(false));
+    assertThat(scenario, set.replicas[3].isVoting(), is(false));
     if (gone) {
       set.kill(3);
     }
@@ -182,38 +182,38 @@
       for (int i = 0; i < 4; i++) {
         if (i != wiped) {
           long ms = (slow >> Math.min(i, 2) & 1) == 1 ? 30 : 1;
-          set.net.delay(SimSet.AT[wiped], SimSet.AT[i], ms, ms);
-          set.net.delay(SimSet.AT[i], SimSet.AT[wiped], ms, ms);
+          set.net.delay(SimCluster.ADDRESSES[wiped], SimCluster.ADDRESSES[i], ms, ms);
+          set.net.delay(SimCluster.ADDRESSES[i], SimCluster.ADDRESSES[wiped], ms, ms);
         }
       }
       set.kill(wiped);
       set.disks[wiped].wipe();
       set.start(wiped);
-      set.replicas[wiped].learn(set.founding);
+      set.replicas[wiped].learn(set.initialVoters);
     }
     set.net.healAll();
-    long end = set.timers.now() + LONGEST_MS;
+    long end = set.timers.now() + MAX_JOIN_MS;
     int least = gone && wiped == 3 ? 2 : 3;
-    while (voting() < least && set.timers.now() < end && set.timers.runNext()) {
+    while (votingSlots() < least && set.timers.now() < end && set.timers.runNext()) {
       continue;
     }
-    assertThat(about, voting() >= least, is(true));
-    assertThat(about, read(), is("new"));
-    assertThat(about, set.net.handlerFaults(), empty());
+    assertThat(scenario, votingSlots() >= least, is(true));
+    assertThat(scenario, read(), is("new"));
+    assertThat(scenario, set.net.handlerFaults(), empty());
   }
 
   /** Slots of the newest voter set whose holders vote. */
-  private int voting() {
-    VoterSet newest = set.founding;
-    for (int i = 0; i < SimSet.AT.length; i++) {
-      if (set.net.nodeAt(SimSet.AT[i]) != null) {
+  private int votingSlots() {
+    VoterSet newest = set.initialVoters;
+    for (int i = 0; i < SimCluster.ADDRESSES.length; i++) {
+      if (set.net.nodeAt(SimCluster.ADDRESSES[i]) != null) {
         newest = VoterSets.merge(newest, set.replicas[i].voterSet());
       }
     }
     int voting = 0;
-    for (int i = 0; i < SimSet.AT.length; i++) {
-      int slot = VoterSets.ofInstance(newest, set.disks[i].instanceId());
-      if (slot >= 0 && set.net.nodeAt(SimSet.AT[i]) != null && set.replicas[i].voting()) {
+    for (int i = 0; i < SimCluster.ADDRESSES.length; i++) {
+      int slot = VoterSets.slotOfInstance(newest, set.disks[i].instanceId());
+      if (slot >= 0 && set.net.nodeAt(SimCluster.ADDRESSES[i]) != null && set.replicas[i].isVoting()) {
         voting++;
       }
     }
--- a/consensus/src/test/java/elmsail/consensus/JoinModelTest.java
+++ b/consensus/src/test/java/elmsail/consensus/JoinModelTest.java
@@ -13,27 +13,27 @@
  * ballots.
  */
 class JoinModelTest {
-  private static final int MOST = 20_000_000;
+  private static final int MAX_STATES = 20_000_000;
   private static final int BALLOTS = Integer.getInteger("register.claimBallots", 1);
 
   @Test
-  void twoNewcomersAtOnceLoseNothing() {
-    assertThat(run(JoinModel.Defect.NONE, BALLOTS, false), nullValue());
+  void twoJoinsAtOnceLoseNothing() {
+    assertThat(run(ConcurrentJoinModel.Defect.NONE, BALLOTS, false), nullValue());
   }
 
   @Test
-  void norIfTheyAreRestartedInTheMiddle() {
-    assertThat(run(JoinModel.Defect.NONE, 1, true), nullValue());
+  void twoRestartedJoinsLoseNothing() {
+    assertThat(run(ConcurrentJoinModel.Defect.NONE, 1, true), nullValue());
   }
 
   @ParameterizedTest
-  @EnumSource(value = JoinModel.Defect.class, mode = EnumSource.Mode.EXCLUDE, names = "NONE")
-  void aDefectIsFound(JoinModel.Defect defect) {
+  @EnumSource(value = ConcurrentJoinModel.Defect.class, mode = EnumSource.Mode.EXCLUDE, names = "NONE")
+  void defectIsDetected(ConcurrentJoinModel.Defect defect) {
     assertThat(run(defect, 1, false), notNullValue());
   }
 
-  private static String run(JoinModel.Defect defect, int ballots, boolean restarts) {
+  private static String run(ConcurrentJoinModel.Defect defect, int ballots, boolean restarts) {
     String name = defect + ", two claims, " + ballots + " ballots" + (restarts ? ", restarts" : "");
-    return new JoinModel(defect, ballots, restarts).checkAndPrint(name, MOST);
+    return new ConcurrentJoinModel(defect, ballots, restarts).checkAndPrint(name, MAX_STATES);
   }
 }
--- a/consensus/src/test/java/elmsail/consensus/Chain.java
+++ b/consensus/src/test/java/elmsail/consensus/LinearizabilityChecker.java
@@ -11,13 +11,13 @@
  * if all values seen are beginnings of one list, and each holds all that was told before it was
  * asked for.
  */
-final class Chain {
+final class LinearizabilityChecker {
   private String longest = "";
 
   /** What had been told as held by which time: of the longest value, at each time. */
-  private final TreeMap<Long, String> toldBy = new TreeMap<>();
+  private final TreeMap<Long, String> longestReportedBy = new TreeMap<>();
 
-  private final Map<String, String> denied = new TreeMap<>();
+  private final Map<String, String> onNotApplied = new TreeMap<>();
   final List<String> faults = new ArrayList<>();
 
   static String text(byte[] value) {
@@ -25,12 +25,12 @@
   }
 
   /** A value was told at the end of a call that began at {@code from}. */
-  void seen(long from, long now, byte[] bytes) {
+  void onValueRead(long startedAt, long now, byte[] bytes) {
     String value = text(bytes);
     if (!value.startsWith(longest) && !longest.startsWith(value)) {
       faults.add("two lists: " + longest + " and " + value);
     }
-    Map.Entry<Long, String> before = toldBy.lowerEntry(from);
+    Map.Entry<Long, String> before = longestReportedBy.lowerEntry(startedAt);
     if (before != null && value.length() < before.getValue().length()) {
       faults.add(
           "old at "
@@ -40,28 +40,28 @@
               + " where "
               + before.getValue()
               + " was told before "
-              + from);
+              + startedAt);
     }
     if (value.length() > longest.length()) {
       longest = value;
     }
-    Map.Entry<Long, String> last = toldBy.floorEntry(now);
+    Map.Entry<Long, String> last = longestReportedBy.floorEntry(now);
     if (last == null || last.getValue().length() < value.length()) {
-      toldBy.put(now, value);
+      longestReportedBy.put(now, value);
     }
   }
 
   /** This mark's change was told not to have been sent at all. */
-  void denied(String mark) {
-    denied.put(mark, mark);
+  void onNotApplied(String mark) {
+    onNotApplied.put(mark, mark);
   }
 
-  void end(byte[] last) {
+  void onFinalValue(byte[] last) {
     String value = text(last);
     if (!value.startsWith(longest)) {
       faults.add("at the end " + value + " is without " + longest);
     }
-    for (String mark : denied.keySet()) {
+    for (String mark : onNotApplied.keySet()) {
       if (value.contains(mark)) {
         faults.add("denied, and there: " + mark);
       }
--- a/consensus/src/test/java/elmsail/consensus/LossyRecords.java
+++ b/consensus/src/test/java/elmsail/consensus/LossyRecordStore.java
@@ -16,40 +16,40 @@
 /**
  * A disk whose writes take a while; a crash loses those not told to be safe, from some point on.
  */
-final class LossyRecords implements RecordStore {
+final class LossyRecordStore implements RecordStore {
   private record PendingWrite(List<Change> changes, CompletableFuture<Void> done) {}
 
   /** What is on the disk itself. */
-  static final class Platter {
+  static final class DiskImage {
     long instanceId;
     boolean everOpened;
-    TreeMap<String, byte[]> safe = new TreeMap<>();
+    TreeMap<String, byte[]> durable = new TreeMap<>();
 
     /** The defect: futures complete before anything is safe. */
-    boolean tellsEarly;
+    boolean completesBeforeSync;
   }
 
-  private final Platter platter;
+  private final DiskImage disk;
   private final Timers timers;
-  private final Random chance;
+  private final Random random;
   private final boolean fresh;
-  private final TreeMap<String, byte[]> seen;
+  private final TreeMap<String, byte[]> visible;
   private final ArrayDeque<PendingWrite> queue = new ArrayDeque<>();
   private boolean busy;
 
   /** So many of the next writes fail, with all that waits behind them. */
-  int failing;
+  int writesToFail;
 
-  LossyRecords(Platter platter, Timers timers, Random chance) {
-    this.platter = platter;
+  LossyRecordStore(DiskImage disk, Timers timers, Random random) {
+    this.disk = disk;
     this.timers = timers;
-    this.chance = chance;
-    fresh = !platter.everOpened;
+    this.random = random;
+    fresh = !disk.everOpened;
     if (fresh) {
-      platter.instanceId = chance.nextLong() | 1;
-      platter.everOpened = true;
+      disk.instanceId = random.nextLong() | 1;
+      disk.everOpened = true;
     }
-    seen = new TreeMap<>(platter.safe);
+    visible = new TreeMap<>(disk.durable);
   }
 
   boolean idle() {
@@ -58,24 +58,24 @@
 
   @Override
   public long instanceId() {
-    return platter.instanceId;
+    return disk.instanceId;
   }
 
   @Override
-  public boolean fresh() {
+  public boolean isNew() {
     return fresh;
   }
 
   @Override
   public CompletableFuture<Void> write(List<Change> changes) {
-    apply(seen, changes);
-    PendingWrite waiting = new PendingWrite(List.copyOf(changes), new CompletableFuture<>());
-    queue.add(waiting);
-    if (platter.tellsEarly) {
-      timers.execute(() -> waiting.done.complete(null));
+    apply(visible, changes);
+    PendingWrite pending = new PendingWrite(List.copyOf(changes), new CompletableFuture<>());
+    queue.add(pending);
+    if (disk.completesBeforeSync) {
+      timers.execute(() -> pending.done.complete(null));
     }
     next();
-    return waiting.done;
+    return pending.done;
   }
 
   private void next() {
@@ -84,24 +84,24 @@
     }
     busy = true;
     timers.schedule(
-        1 + chance.nextInt(12),
+        1 + random.nextInt(12),
         () -> {
           busy = false;
-          if (failing > 0) {
-            failing--;
+          if (writesToFail > 0) {
+            writesToFail--;
             fail();
             return;
           }
-          int batch = 1 + chance.nextInt(queue.size());
+          int batch = 1 + random.nextInt(queue.size());
           List<PendingWrite> written = new ArrayList<>();
           for (int i = 0; i < batch; i++) {
-            PendingWrite one = queue.poll();
-            apply(platter.safe, one.changes);
-            written.add(one);
+            PendingWrite write = queue.poll();
+            apply(disk.durable, write.changes);
+            written.add(write);
           }
           next();
-          for (PendingWrite one : written) {
-            one.done.complete(null);
+          for (PendingWrite write : written) {
+            write.done.complete(null);
           }
         });
   }
@@ -109,18 +109,18 @@
   private void fail() {
     List<PendingWrite> failed = new ArrayList<>(queue);
     queue.clear();
-    seen.clear();
-    seen.putAll(platter.safe);
-    for (PendingWrite one : failed) {
-      one.done.completeExceptionally(new ElmsailException(ErrorCode.STORAGE_FAILURE, "refused"));
+    visible.clear();
+    visible.putAll(disk.durable);
+    for (PendingWrite write : failed) {
+      write.done.completeExceptionally(new ElmsailException(ErrorCode.STORAGE_FAILURE, "refused"));
     }
   }
 
   /** The power goes: some of what was under way may be on the disk all the same, in order. */
   void crash() {
-    int kept = platter.tellsEarly ? 0 : chance.nextInt(queue.size() + 1);
+    int kept = disk.completesBeforeSync ? 0 : random.nextInt(queue.size() + 1);
     for (int i = 0; i < kept; i++) {
-      apply(platter.safe, queue.poll().changes);
+      apply(disk.durable, queue.poll().changes);
     }
     queue.clear();
   }
@@ -137,15 +137,15 @@
 
   @Override
   public byte[] read(String name) {
-    return seen.get(name);
+    return visible.get(name);
   }
 
   @Override
-  public Map<String, byte[]> page(String after, int mostBytes) {
+  public Map<String, byte[]> page(String after, int maxBytes) {
     Map<String, byte[]> page = new LinkedHashMap<>();
     int bytes = 0;
-    for (Map.Entry<String, byte[]> one : seen.tailMap(after, false).entrySet()) {
-      if (bytes >= mostBytes) {
+    for (Map.Entry<String, byte[]> one : visible.tailMap(after, false).entrySet()) {
+      if (bytes >= maxBytes) {
         break;
       }
       page.put(one.getKey(), one.getValue());
@@ -157,7 +157,7 @@
   @Override
   public Iterable<String> names(String prefix) {
     List<String> names = new ArrayList<>();
-    for (String name : seen.tailMap(prefix, true).keySet()) {
+    for (String name : visible.tailMap(prefix, true).keySet()) {
       if (!name.startsWith(prefix)) {
         break;
       }
--- a/consensus/src/test/java/elmsail/consensus/ModelTest.java
+++ b/consensus/src/test/java/elmsail/consensus/ModelTest.java
@@ -13,38 +13,38 @@
  * rounds.
  */
 class ModelTest {
-  private static final int MOST = 20_000_000;
+  private static final int MAX_STATES = 20_000_000;
   private static final int BALLOTS = Integer.getInteger("register.ballots", 2);
 
   @Test
-  void askersAndANewcomerNeverDisagree() {
-    assertThat(run(Model.Defect.NONE, BALLOTS, false), nullValue());
+  void proposersAndAJoinNeverDisagree() {
+    assertThat(run(SingleJoinModel.Defect.NONE, BALLOTS, false), nullValue());
   }
 
   @Test
-  void norWithABallotPromisedAhead() {
-    assertThat(run(Model.Defect.NONE, 3, true), nullValue());
+  void proposersNeverDisagreeWithABallotPromisedAhead() {
+    assertThat(run(SingleJoinModel.Defect.NONE, 3, true), nullValue());
   }
 
   @ParameterizedTest
   @EnumSource(
-      value = Model.Defect.class,
+      value = SingleJoinModel.Defect.class,
       names = {"AMNESIA", "ONE_ACKNOWLEDGER", "COPY_BEFORE_CLAIM", "PROMISE_OUTLIVES_INCARNATION"})
-  void aDefectIsFound(Model.Defect defect) {
+  void defectIsDetected(SingleJoinModel.Defect defect) {
     assertThat(run(defect, 2, false), notNullValue());
   }
 
   /** Either of these alone is made good by the other; both are kept. */
   @ParameterizedTest
   @EnumSource(
-      value = Model.Defect.class,
+      value = SingleJoinModel.Defect.class,
       names = {"SEATING_CHANGES_BETWEEN_ROUNDS", "PROMISES_NOT_COPIED"})
-  void oneOfTwoGuardsIsEnoughAtThreeSeats(Model.Defect defect) {
+  void oneOfTwoGuardsIsEnoughForThreeVoters(SingleJoinModel.Defect defect) {
     assertThat(run(defect, 2, false), nullValue());
   }
 
-  private static String run(Model.Defect defect, int ballots, boolean sticky) {
+  private static String run(SingleJoinModel.Defect defect, int ballots, boolean sticky) {
     String name = defect + ", " + ballots + " ballots" + (sticky ? ", one promised ahead" : "");
-    return new Model(defect, ballots, sticky).checkAndPrint(name, MOST);
+    return new SingleJoinModel(defect, ballots, sticky).checkAndPrint(name, MAX_STATES);
   }
 }
--- a/consensus/src/test/java/elmsail/consensus/PinnedNamesTest.java
+++ b/consensus/src/test/java/elmsail/consensus/PinnedNamesTest.java
@@ -11,7 +11,7 @@
 
   @Test
   void metrics() {
-    SimSet set = new SimSet();
+    SimCluster set = new SimCluster();
     assertThat(
         PrometheusText.format(set.metrics[0].counters())
             .lines()
--- a/consensus/src/test/java/elmsail/consensus/PinnedRecordsTest.java
+++ b/consensus/src/test/java/elmsail/consensus/PinnedRecordsTest.java
@@ -90,17 +90,17 @@
 
   @Test
   void anEpochIsFourBytes() {
-    assertThat(RecordNames.bytes(0x01020304), equalTo(bytes("01020304")));
-    assertThat(RecordNames.epoch(bytes("01020304")), is(0x01020304));
-    assertThat(RecordNames.epoch(null), is(0));
+    assertThat(RecordNames.epochToBytes(0x01020304), equalTo(bytes("01020304")));
+    assertThat(RecordNames.epochFromBytes(bytes("01020304")), is(0x01020304));
+    assertThat(RecordNames.epochFromBytes(null), is(0));
   }
 
   /** That a holder was confirmed is not kept. */
   @Test
   void aVoterSetIsTheVotersAndThenTheirPredecessors() {
-    assertThat(VoterSetCodec.of(twoVoters()), equalTo(bytes(TWO_VOTERS + THEIR_PREDECESSORS)));
-    VoterSet read = VoterSetCodec.voterSet(bytes(TWO_VOTERS + THEIR_PREDECESSORS));
-    assertThat(VoterSets.same(read, twoVoters()), is(true));
+    assertThat(VoterSetCodec.encode(twoVoters()), equalTo(bytes(TWO_VOTERS + THEIR_PREDECESSORS)));
+    VoterSet read = VoterSetCodec.decode(bytes(TWO_VOTERS + THEIR_PREDECESSORS));
+    assertThat(VoterSets.areEqual(read, twoVoters()), is(true));
     assertThat(read.voters.get(0).address, is("10.0.0.1:7720"));
     assertThat(read.voters.get(0).machine, is("n1"));
     assertThat(read.voters.get(0).instanceId, is(0x1122334455667788L));
@@ -115,8 +115,8 @@
   /** The layout before predecessors were kept. */
   @Test
   void aVoterSetWithoutPredecessorsIsReadToo() {
-    VoterSet read = VoterSetCodec.voterSet(bytes(TWO_VOTERS));
-    assertThat(VoterSets.same(read, twoVoters()), is(true));
+    VoterSet read = VoterSetCodec.decode(bytes(TWO_VOTERS));
+    assertThat(VoterSets.areEqual(read, twoVoters()), is(true));
     assertThat(read.voters.get(0).previousAddress, is(""));
     assertThat(read.voters.get(0).previousInstanceId, is(0L));
     assertThat(read.voters.get(0).previousEpoch, is(0));
@@ -132,32 +132,32 @@
 
   private static void assertState(Ballot accepted, boolean copied, byte[] value, String rest) {
     byte[] pinned = bytes(PROMISED + rest);
-    assertThat(new KeyState(Ballots.of(7, -2), accepted, copied, value).bytes(), equalTo(pinned));
-    KeyState read = KeyState.of(pinned);
-    assertThat(Ballots.same(read.promised(), Ballots.of(7, -2)), is(true));
-    assertThat(Ballots.same(read.accepted(), accepted), is(true));
-    assertThat(read.copied(), is(copied));
+    assertThat(new AcceptorState(Ballots.of(7, -2), accepted, copied, value).toBytes(), equalTo(pinned));
+    AcceptorState read = AcceptorState.fromBytes(pinned);
+    assertThat(Ballots.areEqual(read.promised(), Ballots.of(7, -2)), is(true));
+    assertThat(Ballots.areEqual(read.accepted(), accepted), is(true));
+    assertThat(read.fromStateTransfer(), is(copied));
     assertThat(read.value(), value == null ? is(nullValue()) : equalTo(value));
   }
 
   /** The records of a founded replica after one change with a blob. */
   @Test
   void aReplicaKeepsTheseRecords() {
-    SimSet set = new SimSet().founded();
+    SimCluster set = new SimCluster().bootstrapped();
     Blob blob = new Blob();
     blob.name = "body";
     blob.bytes = "blob".getBytes(StandardCharsets.US_ASCII);
     set.await(
-        set.client(set.founding)
+        set.client(set.initialVoters)
             .change(
-                "a/b", found -> new Register.Wanted(VALUE, List.of()), List.of(blob), null, 1_000));
+                "a/b", observed -> new Register.ProposedValue(VALUE, List.of()), List.of(blob), null, 1_000));
     set.timers.advance(100);
     List<String> names = new ArrayList<>();
     set.records[0].names("").forEach(names::add);
     assertThat(names, contains("set/b/a%2Fb/body", "set/k/a%2Fb", "set/seated", "set/seating"));
     assertThat(set.records[0].read("set/b/a%2Fb/body"), equalTo(blob.bytes));
     assertThat(set.records[0].read("set/seated"), equalTo(bytes("00000001")));
-    assertThat(set.records[0].read("set/seating"), equalTo(VoterSetCodec.of(set.founding)));
-    assertThat(KeyState.of(set.records[0].read("set/k/a%2Fb")).value(), equalTo(VALUE));
+    assertThat(set.records[0].read("set/seating"), equalTo(VoterSetCodec.encode(set.initialVoters)));
+    assertThat(AcceptorState.fromBytes(set.records[0].read("set/k/a%2Fb")).value(), equalTo(VALUE));
   }
 }
--- a/consensus/src/test/java/elmsail/consensus/RegisterTest.java
+++ b/consensus/src/test/java/elmsail/consensus/RegisterTest.java
@@ -10,9 +10,9 @@
 import static org.hamcrest.Matchers.nullValue;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import elmsail.consensus.Register.Held;
-import elmsail.consensus.Register.Versioned;
-import elmsail.consensus.Register.Wanted;
+import elmsail.consensus.Register.CommittedState;
+import elmsail.consensus.Register.VersionedValue;
+import elmsail.consensus.Register.ProposedValue;
 import elmsail.rpc.messages.AcceptRequest;
 import elmsail.rpc.messages.Blob;
 import elmsail.rpc.messages.PrepareRequest;
@@ -27,11 +27,11 @@
 import org.junit.jupiter.api.Test;
 
 class RegisterTest {
-  private final SimSet set = new SimSet();
+  private final SimCluster set = new SimCluster();
 
-  private CompletableFuture<Held> put(Register client, String key, String value) {
+  private CompletableFuture<CommittedState> put(Register client, String key, String value) {
     return client.change(
-        key, found -> new Wanted(value.getBytes(), List.of()), List.of(), null, 3_000);
+        key, observed -> new ProposedValue(value.getBytes(), List.of()), List.of(), null, 3_000);
   }
 
   private String read(Register client, String key) {
@@ -40,15 +40,15 @@
   }
 
   private String append(Register client, String mark) {
-    Held held =
+    CommittedState committed =
         set.await(
             client.change(
                 "key",
-                found -> new Wanted((new String(found.value()) + mark).getBytes(), List.of()),
+                observed -> new ProposedValue((new String(observed.value()) + mark).getBytes(), List.of()),
                 List.of(),
                 null,
                 3_000));
-    return new String(held.now().value());
+    return new String(committed.current().value());
   }
 
   private ErrorCode failure(CompletableFuture<?> future) {
@@ -64,123 +64,123 @@
   }
 
   @Test
-  void aFoundingSeatsAtOnceAndOnlyOnce() {
-    assertThat(set.replicas[0].voting(), is(false));
-    set.founded();
+  void bootstrapMakesVotersAtOnceAndOnlyOnce() {
+    assertThat(set.replicas[0].isVoting(), is(false));
+    set.bootstrapped();
     assertThat(
-        set.replicas[0].voting() && set.replicas[1].voting() && set.replicas[2].voting(), is(true));
-    assertThat(set.replicas[3].voting(), is(false));
+        set.replicas[0].isVoting() && set.replicas[1].isVoting() && set.replicas[2].isVoting(), is(true));
+    assertThat(set.replicas[3].isVoting(), is(false));
     set.disks[0].wipe();
     set.start(0);
-    set.replicas[0].found(set.founding);
+    set.replicas[0].bootstrap(set.initialVoters);
     set.timers.advance(20);
-    assertThat(set.replicas[0].voting(), is(false));
+    assertThat(set.replicas[0].isVoting(), is(false));
   }
 
   @Test
-  void whatIsChangedIsReadByOthers() {
-    set.founded();
-    assertThat(read(set.client(set.founding), "key"), nullValue());
-    assertThat(set.await(put(set.client(set.founding), "key", "one")).changed(), is(true));
-    Register other = set.client(set.founding);
+  void committedChangeIsReadByOtherClients() {
+    set.bootstrapped();
+    assertThat(read(set.client(set.initialVoters), "key"), nullValue());
+    assertThat(set.await(put(set.client(set.initialVoters), "key", "one")).changed(), is(true));
+    Register other = set.client(set.initialVoters);
     assertThat(read(other, "key"), is("one"));
-    Versioned now = set.await(other.read("key", null, 1_000));
+    VersionedValue now = set.await(other.read("key", null, 1_000));
     assertThat(set.await(other.read("key", now.ballot(), 1_000)).value(), nullValue());
   }
 
   @Test
-  void aRepeatedChangerNeedsOneRound() {
-    set.founded();
-    Register client = set.client(set.founding);
+  void repeatedChangesSkipThePreparePhase() {
+    set.bootstrapped();
+    Register client = set.client(set.initialVoters);
     set.await(put(client, "key", "1"));
     set.await(put(client, "key", "2"));
-    assertThat(set.asked.get("PrepareRequest"), is(6));
+    assertThat(set.requestCounts.get("PrepareRequest"), is(6));
     set.await(put(client, "key", "3"));
     set.await(put(client, "key", "4"));
-    assertThat(set.asked.get("PrepareRequest"), is(6));
-    Register other = set.client(set.founding);
+    assertThat(set.requestCounts.get("PrepareRequest"), is(6));
+    Register other = set.client(set.initialVoters);
     set.await(put(other, "key", "5"));
     assertThat(append(client, "6"), is("56"));
   }
 
   @Test
-  void anEmptyValueIsNotNone() {
-    set.founded();
-    set.await(put(set.client(set.founding), "key", ""));
-    assertThat(read(set.client(set.founding), "key"), is(""));
-    assertThat(read(set.client(set.founding), "other"), nullValue());
+  void emptyValueIsNotAbsent() {
+    set.bootstrapped();
+    set.await(put(set.client(set.initialVoters), "key", ""));
+    assertThat(read(set.client(set.initialVoters), "key"), is(""));
+    assertThat(read(set.client(set.initialVoters), "other"), nullValue());
   }
 
   @Test
-  void theOnlySeatIsNeverTakenWithoutMemory() {
-    set.founding.voters.subList(1, 3).clear();
-    set.replicas[0].found(set.founding);
+  void onlyVoterThatLostItsDiskNeverVotes() {
+    set.initialVoters.voters.subList(1, 3).clear();
+    set.replicas[0].bootstrap(set.initialVoters);
     set.timers.advance(30);
-    set.await(put(set.client(set.founding), "key", "1"));
+    set.await(put(set.client(set.initialVoters), "key", "1"));
     set.kill(0);
     set.disks[0].wipe();
     set.start(0);
-    set.replicas[0].learn(set.founding);
+    set.replicas[0].learn(set.initialVoters);
     set.timers.advance(10_000);
-    assertThat(set.replicas[0].voting(), is(false));
+    assertThat(set.replicas[0].isVoting(), is(false));
   }
 
   @Test
-  void aDeclinedChangeTellsWhatHolds() {
-    set.founded();
-    Register client = set.client(set.founding);
+  void declinedChangeReturnsTheCommittedValue() {
+    set.bootstrapped();
+    Register client = set.client(set.initialVoters);
     set.await(put(client, "key", "1"));
-    Held held =
+    CommittedState committed =
         set.await(
-            client.change("key", found -> new Wanted(null, List.of()), List.of(), null, 1_000));
-    assertThat(held.changed(), is(false));
-    assertThat(new String(held.now().value()), is("1"));
+            client.change("key", observed -> new ProposedValue(null, List.of()), List.of(), null, 1_000));
+    assertThat(committed.changed(), is(false));
+    assertThat(new String(committed.current().value()), is("1"));
   }
 
   @Test
-  void aValueThatOneHolderTookIsFinishedByAReader() {
-    set.founded();
+  void readRepairsAValueThatOneVoterAccepted() {
+    set.bootstrapped();
     SimNode asker = set.net.startNode("10.0.2.1:7");
     PrepareRequest prepare = new PrepareRequest();
     prepare.set = "set";
     prepare.key = "key";
     prepare.ballot = Ballots.of(1, 5);
-    prepare.voterSet = set.founding;
+    prepare.voterSet = set.initialVoters;
     AcceptRequest accept = new AcceptRequest();
     accept.set = "set";
     accept.key = "key";
     accept.ballot = Ballots.of(1, 5);
-    accept.voterSet = set.founding;
+    accept.voterSet = set.initialVoters;
     accept.value = "half".getBytes();
-    set.await(asker.call(SimSet.AT[0], prepare, VoteResponse.class, 500));
-    set.await(asker.call(SimSet.AT[1], prepare, VoteResponse.class, 500));
-    set.await(asker.call(SimSet.AT[0], accept, VoteResponse.class, 500));
+    set.await(asker.call(SimCluster.ADDRESSES[0], prepare, VoteResponse.class, 500));
+    set.await(asker.call(SimCluster.ADDRESSES[1], prepare, VoteResponse.class, 500));
+    set.await(asker.call(SimCluster.ADDRESSES[0], accept, VoteResponse.class, 500));
     set.kill(2);
-    assertThat(read(set.client(set.founding), "key"), is("half"));
+    assertThat(read(set.client(set.initialVoters), "key"), is("half"));
     set.kill(0);
     set.start(2);
     set.timers.advance(100);
-    assertThat(read(set.client(set.founding), "key"), is("half"));
+    assertThat(read(set.client(set.initialVoters), "key"), is("half"));
   }
 
   @Test
-  void withoutAMajorityNothingWasSentOrItIsUnclear() {
-    set.founded();
+  void withoutAMajorityTheOutcomeIsNoQuorumOrUnknown() {
+    set.bootstrapped();
     set.kill(0);
     set.kill(1);
-    assertThat(failure(put(set.client(set.founding), "key", "1")), is(ErrorCode.NO_QUORUM));
-    assertThat(failure(set.client(set.founding).read("key", null, 700)), is(ErrorCode.NO_QUORUM));
+    assertThat(failure(put(set.client(set.initialVoters), "key", "1")), is(ErrorCode.NO_QUORUM));
+    assertThat(failure(set.client(set.initialVoters).read("key", null, 700)), is(ErrorCode.NO_QUORUM));
     set.start(0);
     set.start(1);
     set.timers.advance(100);
-    Register client = set.client(set.founding);
-    CompletableFuture<Held> change =
+    Register client = set.client(set.initialVoters);
+    CompletableFuture<CommittedState> change =
         client.change(
             "key",
-            found -> {
+            observed -> {
               set.kill(0);
               set.kill(1);
-              return new Wanted("2".getBytes(), List.of());
+              return new ProposedValue("2".getBytes(), List.of());
             },
             List.of(),
             null,
@@ -189,60 +189,60 @@
   }
 
   @Test
-  void aClientLearnsOfANewerSeating() {
-    set.founded();
-    Register client = set.client(set.founding);
+  void clientLearnsOfANewerVoterSet() {
+    set.bootstrapped();
+    Register client = set.client(set.initialVoters);
     set.await(put(client, "key", "1"));
     set.kill(0);
     set.disks[0].wipe();
     set.start(0);
     set.replicas[0].learn(set.replicas[1].voterSet());
-    set.awaitSeated(0, 2_000);
+    set.awaitVoting(0, 2_000);
     assertThat(set.replicas[0].voterSet().voters.get(0).epoch, is(2));
-    assertThat(new String(set.replicas[0].value("key")), is("1"));
+    assertThat(new String(set.replicas[0].acceptedValue("key")), is("1"));
     set.await(put(client, "key", "2"));
     assertThat(read(client, "key"), is("2"));
   }
 
   @Test
-  void blobsGoWithTheFirstRoundAndAreKeptWhereItIsTaken() {
-    set.founded();
-    Register client = set.client(set.founding);
+  void blobsAreStoredWhereThePrepareIsPromised() {
+    set.bootstrapped();
+    Register client = set.client(set.initialVoters);
     set.kill(2);
-    Held held =
+    CommittedState committed =
         set.await(
             client.change(
                 "lot/1",
-                found -> new Wanted("v".getBytes(), List.of(blob("two", 9))),
+                observed -> new ProposedValue("v".getBytes(), List.of(blob("two", 9))),
                 List.of(blob("one", 5_000)),
                 null,
                 3_000));
-    assertThat(held.changed(), is(true));
+    assertThat(committed.changed(), is(true));
     for (int i = 0; i < 2; i++) {
       assertThat(set.replicas[i].blob("lot/1", "one").length, is(5_000));
       assertThat(set.replicas[i].blob("lot/1", "two").length, is(9));
     }
-    assertThat(set.await(client.blob("lot/1", "one", 3_000)).length, is(5_000));
-    assertThat(set.await(client.blob("lot/1", "none", 3_000)), nullValue());
+    assertThat(set.await(client.readBlob("lot/1", "one", 3_000)).length, is(5_000));
+    assertThat(set.await(client.readBlob("lot/1", "none", 3_000)), nullValue());
     set.kill(1);
-    assertThat(failure(client.blob("lot/1", "none", 1_000)), is(ErrorCode.NO_QUORUM));
+    assertThat(failure(client.readBlob("lot/1", "none", 1_000)), is(ErrorCode.NO_QUORUM));
     List<String> keys = new ArrayList<>();
     set.replicas[0].keys().forEach(keys::add);
     assertThat(keys, contains("lot/1"));
-    set.replicas[0].drop("lot/1");
+    set.replicas[0].dropKey("lot/1");
     assertThat(set.replicas[0].blob("lot/1", "one"), nullValue());
     assertThat(set.replicas[0].keys().iterator().hasNext(), is(false));
   }
 
   @Test
-  void tenMegabytesAreRejoinedWellWithinTwoSeconds() {
-    set.founded();
-    Register client = set.client(set.founding);
+  void joinOfTenMegabytesTakesLessThanOneSecond() {
+    set.bootstrapped();
+    Register client = set.client(set.initialVoters);
     for (int i = 0; i < 100; i++) {
       set.await(
           client.change(
               "lot/" + i,
-              found -> new Wanted(new byte[200], List.of()),
+              observed -> new ProposedValue(new byte[200], List.of()),
               List.of(blob("body", 100_000)),
               null,
               3_000));
@@ -253,88 +253,88 @@
     set.start(1);
     long from = set.timers.now();
     set.replicas[1].learn(set.replicas[0].voterSet());
-    set.awaitSeated(1, 10_000);
+    set.awaitVoting(1, 10_000);
     assertThat(set.timers.now() - from, lessThan(1_000L));
     for (int i = 0; i < 100; i++) {
-      assertThat(set.replicas[1].value("lot/" + i).length, is(200));
+      assertThat(set.replicas[1].acceptedValue("lot/" + i).length, is(200));
       assertThat(set.replicas[1].blob("lot/" + i, "body").length, is(100_000));
     }
   }
 
   @Test
-  void aNewcomerThatLosesPowerGoesOnAfterwards() {
-    set.founded();
-    Register client = set.client(set.founding);
+  void joinContinuesAfterAPowerLoss() {
+    set.bootstrapped();
+    Register client = set.client(set.initialVoters);
     set.await(
         client.change(
             "key",
-            found -> new Wanted("1".getBytes(), List.of()),
+            observed -> new ProposedValue("1".getBytes(), List.of()),
             List.of(blob("b", 50)),
             null,
             3_000));
     set.kill(1);
     set.disks[1].wipe();
     set.start(1);
-    set.net.cutBoth(SimSet.AT[1], SimSet.AT[2]);
+    set.net.cutBoth(SimCluster.ADDRESSES[1], SimCluster.ADDRESSES[2]);
     set.replicas[1].learn(set.replicas[0].voterSet());
     set.timers.advance(1_500);
-    assertThat(set.replicas[1].voting(), is(false));
+    assertThat(set.replicas[1].isVoting(), is(false));
     long instanceId = set.disks[1].instanceId();
     set.kill(1);
     set.net.healAll();
     set.start(1);
-    set.awaitSeated(1, 3_000);
+    set.awaitVoting(1, 3_000);
     assertThat(set.disks[1].instanceId(), is(instanceId));
-    assertThat(set.replicas[1].voting(), is(true));
-    assertThat(new String(set.replicas[1].value("key")), is("1"));
+    assertThat(set.replicas[1].isVoting(), is(true));
+    assertThat(new String(set.replicas[1].acceptedValue("key")), is("1"));
   }
 
   @Test
-  void aSpareTakesASeatAndTheOldHolderVotesNoMore() {
-    set.founded();
-    Register client = set.client(set.founding);
+  void spareTakesOverASlotAndItsFormerVoterStopsVoting() {
+    set.bootstrapped();
+    Register client = set.client(set.initialVoters);
     set.await(put(client, "key", "1"));
     List<Boolean> response = new ArrayList<>();
-    set.replicas[3].whenVotingChanges(() -> response.add(set.replicas[3].voting()));
+    set.replicas[3].addVotingListener(() -> response.add(set.replicas[3].isVoting()));
     set.kill(0);
     set.replicas[3].learn(set.replicas[1].voterSet());
     set.replicas[3].join(0, 2);
-    set.awaitSeated(3, 3_000);
+    set.awaitVoting(3, 3_000);
     assertThat(response, contains(true));
     set.start(0);
     set.timers.advance(20);
-    assertThat(set.replicas[0].voting(), is(true));
+    assertThat(set.replicas[0].isVoting(), is(true));
     set.kill(1);
     assertThat(append(client, "2"), is("12"));
     set.replicas[0].learn(set.replicas[2].voterSet());
-    assertThat(set.replicas[0].voting(), is(false));
+    assertThat(set.replicas[0].isVoting(), is(false));
     set.timers.advance(20);
-    assertThat(set.replicas[0].voterSet().voters.get(0).address, is(SimSet.AT[3]));
+    assertThat(set.replicas[0].voterSet().voters.get(0).address, is(SimCluster.ADDRESSES[3]));
   }
 
   @Test
-  void aSpareIsNotSeatedByOneAcknowledgement() {
-    set.founded();
+  void spareDoesNotVoteAfterOneAcknowledgement() {
+    set.bootstrapped();
     set.kill(0);
     set.kill(1);
     set.replicas[3].learn(set.replicas[2].voterSet());
     set.replicas[3].join(0, 2);
     set.timers.advance(10_000);
-    assertThat(set.replicas[3].voting(), is(false));
+    assertThat(set.replicas[3].isVoting(), is(false));
     set.start(1);
-    set.awaitSeated(3, 3_000);
-    assertThat(set.replicas[3].voting(), is(true));
+    set.awaitVoting(3, 3_000);
+    assertThat(set.replicas[3].isVoting(), is(true));
   }
 
   @Test
-  void valuesThatTheViewsRefuseAreTriedThriceAndNoMore() {
-    set.founded();
+  void valuesThatAreNotAdmittedAreProposedThreeTimes() {
+    set.bootstrapped();
     for (int i = 0; i < 3; i++) {
-      set.views[i] =
+      set.listeners[i] =
           new ReplicaListener() {
             @Override
-            public byte[] noted(String key, byte[] note) {
-              return new byte[] {(byte) (note[0] + 1)};
+            public byte[] onSideEffect(String key, byte[] sideEffect) {
+              return new byte[] {(byte) (sideEffect[0] + 1)};
             }
 
             @Override
@@ -346,15 +346,15 @@
     }
     set.timers.advance(20);
     List<Integer> notes = new ArrayList<>();
-    CompletableFuture<Held> change =
-        set.client(set.founding)
+    CompletableFuture<CommittedState> change =
+        set.client(set.initialVoters)
             .change(
                 "key",
-                found -> {
-                  for (byte[] note : found.notes()) {
-                    notes.add((int) note[0]);
+                observed -> {
+                  for (byte[] sideEffect : observed.sideEffects()) {
+                    notes.add((int) sideEffect[0]);
                   }
-                  return new Wanted("x".getBytes(), List.of());
+                  return new ProposedValue("x".getBytes(), List.of());
                 },
                 List.of(),
                 new byte[] {4},
@@ -364,11 +364,11 @@
   }
 
   @Test
-  void aDiskThatRefusesGivesNoVote() {
-    set.founded();
+  void failingDiskCastsNoVote() {
+    set.bootstrapped();
     set.disks[0].failWrites();
     set.disks[1].failWrites();
-    Register client = set.client(set.founding);
+    Register client = set.client(set.initialVoters);
     assertThat(failure(put(client, "key", "1")), is(ErrorCode.NO_QUORUM));
     set.disks[0].allowWrites();
     set.disks[1].allowWrites();
@@ -378,32 +378,32 @@
   }
 
   @Test
-  void manyChangersAtOnceAllHold() {
-    set.founded();
-    List<CompletableFuture<Held>> all = new ArrayList<>();
+  void concurrentChangesAllCommit() {
+    set.bootstrapped();
+    List<CompletableFuture<CommittedState>> all = new ArrayList<>();
     for (int i = 0; i < 5; i++) {
       char mark = (char) ('a' + i);
       all.add(
-          set.client(set.founding)
+          set.client(set.initialVoters)
               .change(
                   "key",
-                  found -> {
-                    String now = found.value() == null ? "" : new String(found.value());
+                  observed -> {
+                    String now = observed.value() == null ? "" : new String(observed.value());
                     return now.indexOf(mark) >= 0
-                        ? new Wanted(null, List.of())
-                        : new Wanted((now + mark).getBytes(), List.of());
+                        ? new ProposedValue(null, List.of())
+                        : new ProposedValue((now + mark).getBytes(), List.of());
                   },
                   List.of(),
                   null,
                   10_000));
     }
     long from = set.timers.now();
-    for (CompletableFuture<Held> one : all) {
+    for (CompletableFuture<CommittedState> one : all) {
       set.await(one);
     }
     System.out.println("five changers of one key: " + (set.timers.now() - from) + " ms");
-    assertThat(read(set.client(set.founding), "key").length(), is(5));
+    assertThat(read(set.client(set.initialVoters), "key").length(), is(5));
     assertThat(set.timers.now() - from, lessThan(2_000L));
-    assertThat(set.asked.get("AcceptRequest"), greaterThanOrEqualTo(15));
+    assertThat(set.requestCounts.get("AcceptRequest"), greaterThanOrEqualTo(15));
   }
 }
--- a/consensus/src/test/java/elmsail/consensus/ReplicaFiguresTest.java
+++ b/consensus/src/test/java/elmsail/consensus/ReplicaMetricsTest.java
@@ -6,7 +6,7 @@
 import static org.hamcrest.Matchers.is;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import elmsail.consensus.Register.Wanted;
+import elmsail.consensus.Register.ProposedValue;
 import elmsail.rpc.messages.Ballot;
 import elmsail.rpc.messages.Blob;
 import elmsail.rpc.messages.VoteResponse;
@@ -21,10 +21,10 @@
 import org.junit.jupiter.api.Test;
 
 /** What a replica tells of itself, and the invariant that it checks. */
-class ReplicaFiguresTest {
-  private final SimSet set = new SimSet();
+class ReplicaMetricsTest {
+  private final SimCluster set = new SimCluster();
 
-  private long figure(int replica, String name) {
+  private long metric(int replica, String name) {
     return set.metrics[replica].counters().counter(name).value();
   }
 
@@ -39,57 +39,57 @@
     blob.name = "blob " + value;
     blob.bytes = new byte[9];
     set.await(
-        set.client(set.founding)
+        set.client(set.initialVoters)
             .change(
                 "key",
-                found -> new Wanted(value.getBytes(), List.of()),
+                observed -> new ProposedValue(value.getBytes(), List.of()),
                 List.of(blob),
                 null,
                 3_000));
   }
 
   @Test
-  void countsWhatItAnswersAndKeeps() {
-    set.founded();
-    assertThat(figure(0, "replica_voting"), is(1L));
-    assertThat("a spare", figure(3, "replica_voting"), is(0L));
+  void countsRequestsAndRecords() {
+    set.bootstrapped();
+    assertThat(metric(0, "replica_voting"), is(1L));
+    assertThat("a spare", metric(3, "replica_voting"), is(0L));
     put("one");
     put("two");
     set.timers.advance(50);
-    assertThat(figure(0, "replica_prepares_answered"), greaterThan(0L));
-    assertThat(figure(0, "replica_accepts_answered"), greaterThan(0L));
-    assertThat(figure(0, "replica_keys_kept"), is(1L));
-    assertThat(figure(0, "replica_blobs_kept"), is(2L));
-    set.await(set.client(set.founding).read("key", null, 3_000));
+    assertThat(metric(0, "replica_prepares_answered"), greaterThan(0L));
+    assertThat(metric(0, "replica_accepts_answered"), greaterThan(0L));
+    assertThat(metric(0, "replica_keys_kept"), is(1L));
+    assertThat(metric(0, "replica_blobs_kept"), is(2L));
+    set.await(set.client(set.initialVoters).read("key", null, 3_000));
     set.timers.advance(50);
     long reads = 0;
     for (int i = 0; i < 3; i++) {
-      reads += figure(i, "replica_reads_answered");
+      reads += metric(i, "replica_reads_answered");
     }
     assertThat(reads, greaterThan(1L));
   }
 
   @Test
-  void tellsOfAJoinAndOfRefusalsByReason() {
-    set.founded();
-    set.net.cutBoth(SimSet.AT[3], SimSet.AT[0]);
-    set.net.cutBoth(SimSet.AT[3], SimSet.AT[1]);
-    set.net.cutBoth(SimSet.AT[3], SimSet.AT[2]);
-    set.replicas[3].learn(set.founding);
+  void countsJoinsAndRefusalsByReason() {
+    set.bootstrapped();
+    set.net.cutBoth(SimCluster.ADDRESSES[3], SimCluster.ADDRESSES[0]);
+    set.net.cutBoth(SimCluster.ADDRESSES[3], SimCluster.ADDRESSES[1]);
+    set.net.cutBoth(SimCluster.ADDRESSES[3], SimCluster.ADDRESSES[2]);
+    set.replicas[3].learn(set.initialVoters);
     set.replicas[3].join(0, 2);
     set.timers.advance(500);
-    assertThat(figure(3, "replica_join_under_way"), is(1L));
-    assertThat(figure(3, "replica_voting"), is(0L));
+    assertThat(metric(3, "replica_join_under_way"), is(1L));
+    assertThat(metric(3, "replica_voting"), is(0L));
     set.net.healAll();
-    set.awaitSeated(3, 5_000);
-    assertThat(figure(3, "replica_join_under_way"), is(0L));
-    assertThat(figure(3, "replica_voting"), is(1L));
+    set.awaitVoting(3, 5_000);
+    assertThat(metric(3, "replica_join_under_way"), is(0L));
+    assertThat(metric(3, "replica_voting"), is(1L));
     put("under the old voter set");
     assertThat(refused(1, "old_voter_set"), greaterThan(0L));
   }
 
   @Test
-  void refusalsAreCountedByTheCodeOfTheAnswer() {
+  void refusalsAreCountedByResponseCode() {
     Counters counters = new Counters();
     ReplicaCounters own = new ReplicaCounters(counters);
     own.refused(VoteResponse.BALLOT_TOO_LOW);
@@ -106,25 +106,25 @@
   }
 
   @Test
-  void aRecordWithAnAcceptedBallotAboveItsPromiseIsAViolation() {
-    KeyState spoiled = new KeyState(Ballots.of(3, 1), Ballots.of(4, 1), false, "value".getBytes());
+  void acceptedBallotAboveThePromisedOneIsAViolation() {
+    AcceptorState corrupt = new AcceptorState(Ballots.of(3, 1), Ballots.of(4, 1), false, "value".getBytes());
     Invariants strict = ProcessMetrics.strict().invariants();
     InvariantViolation thrown =
         assertThrows(
-            InvariantViolation.class, () -> ReplicaRequests.check(strict, "set", "key", spoiled));
+            InvariantViolation.class, () -> ReplicaRequestHandler.checkInvariant(strict, "set", "key", corrupt));
     assertThat(thrown.invariant(), is(Invariant.ACCEPTED_BALLOT_PROMISED));
     Ballot promised = Ballots.of(4, 1);
-    ReplicaRequests.check(
-        strict, "set", "key", new KeyState(promised, Ballots.of(4, 1), false, null));
+    ReplicaRequestHandler.checkInvariant(
+        strict, "set", "key", new AcceptorState(promised, Ballots.of(4, 1), false, null));
   }
 
   @Test
-  void aSpoiledRecordIsNoticedWhenAVoterReadsIt() {
-    set.founded();
-    KeyState spoiled = new KeyState(Ballots.of(3, 1), Ballots.of(4, 1), false, "value".getBytes());
-    set.records[0].write(List.of(new Change("set/k/key", spoiled.bytes())));
+  void corruptRecordIsDetectedWhenAVoterReadsIt() {
+    set.bootstrapped();
+    AcceptorState corrupt = new AcceptorState(Ballots.of(3, 1), Ballots.of(4, 1), false, "value".getBytes());
+    set.records[0].write(List.of(new Change("set/k/key", corrupt.toBytes())));
     set.timers.advance(50);
-    set.client(set.founding).read("key", null, 500);
+    set.client(set.initialVoters).read("key", null, 500);
     InvariantViolation thrown = assertThrows(InvariantViolation.class, () -> set.timers.advance(700));
     assertThat(thrown.getMessage(), containsString("set: key key"));
     assertThat(set.metrics[0].invariants().violations(), greaterThan(0L));
--- a/consensus/src/test/java/elmsail/consensus/RivalClaimsTest.java
+++ b/consensus/src/test/java/elmsail/consensus/RivalClaimsTest.java
@@ -28,51 +28,51 @@
     return set;
   }
 
-  private static Membership of(Voter itself, VoterSet known, int caughtUp) {
-    return new Membership(itself.address, itself.machine, itself.instanceId, known, caughtUp);
+  private static ReplicaMembership of(Voter itself, VoterSet known, int caughtUp) {
+    return new ReplicaMembership(itself.address, itself.machine, itself.instanceId, known, caughtUp);
   }
 
   @Test
-  void theHolderThatVotesTakesTheLosersPlace() {
+  void votingClaimantSupersedesTheOther() {
     Voter winner = voter("b", 22, 2);
     Voter loser = voter("d", 4, 2);
-    Membership winning = of(winner, set(winner), 0);
+    ReplicaMembership winning = of(winner, set(winner), 0);
     assertThat(VoterSets.merge(set(loser), winning.voterSet()).voters.get(1).instanceId, is(4L));
-    winning.caughtUp(2);
-    VoterSet told = winning.voterSet();
-    assertThat(VoterSets.merge(set(loser), told).voters.get(1).instanceId, is(22L));
-    assertThat("and keeps it", VoterSets.merge(told, set(loser)), is(sameInstance(told)));
+    winning.caughtUpEpoch(2);
+    VoterSet published = winning.voterSet();
+    assertThat(VoterSets.merge(set(loser), published).voters.get(1).instanceId, is(22L));
+    assertThat("and keeps it", VoterSets.merge(published, set(loser)), is(sameInstance(published)));
     VoterSet next = set(voter("d", 4, 3));
-    assertThat("until the next epoch", VoterSets.merge(told, next).voters.get(1).epoch, is(3));
+    assertThat("until the next epoch", VoterSets.merge(published, next).voters.get(1).epoch, is(3));
   }
 
   /** Its disk tells that it votes, so it says so after a restart as well. */
   @Test
-  void oneThatStartsAgainIsTakenForRightAgain() {
+  void restartedVoterStillSupersedesTheOther() {
     Voter winner = voter("b", 22, 2);
-    VoterSet told = of(winner, set(winner), 2).voterSet();
-    assertThat(VoterSets.merge(set(voter("d", 4, 2)), told).voters.get(1).instanceId, is(22L));
+    VoterSet published = of(winner, set(winner), 2).voterSet();
+    assertThat(VoterSets.merge(set(voter("d", 4, 2)), published).voters.get(1).instanceId, is(22L));
   }
 
   @Test
-  void aVoterThatAcknowledgedTheLoserLearnsToo() {
+  void acknowledgerOfTheLoserLearnsTheWinner() {
     Voter winner = voter("b", 22, 2);
-    Membership third = of(voter("c", 3, 1), set(voter("b", 2, 1)), 1);
+    ReplicaMembership third = of(voter("c", 3, 1), set(voter("b", 2, 1)), 1);
     JoinRequest lost = new JoinRequest();
     lost.slot = 1;
     lost.voter = voter("d", 4, 2);
-    assertThat(third.join(lost), is(Membership.Claimed.ADOPTED));
+    assertThat(third.recordClaim(lost), is(ReplicaMembership.ClaimDecision.ADOPTED));
     assertThat(third.learn(of(winner, set(winner), 2).voterSet()), is(true));
     assertThat(third.voterSet().voters.get(1).instanceId, is(22L));
-    assertThat(third.voting(), is(true));
+    assertThat(third.isVoting(), is(true));
   }
 
   /** The loser's own process gives its claim up. */
   @Test
-  void theLoserHoldsNothingAnyMore() {
+  void loserHoldsNoSlot() {
     Voter winner = voter("b", 22, 2);
-    Membership losing = of(voter("d", 4, 2), set(voter("b", 2, 1)), 0);
-    losing.take(1, 2);
+    ReplicaMembership losing = of(voter("d", 4, 2), set(voter("b", 2, 1)), 0);
+    losing.claim(1, 2);
     assertThat(losing.ownSlot(), is(1));
     assertThat(losing.learn(of(winner, set(winner), 2).voterSet()), is(true));
     assertThat(losing.ownSlot(), is(-1));
--- a/consensus/src/test/java/elmsail/consensus/SimSet.java
+++ b/consensus/src/test/java/elmsail/consensus/SimCluster.java
@@ -12,63 +12,63 @@
 import java.util.concurrent.CompletableFuture;
 
 /** Three replicas and a spare on the simulated network and disks. */
-final class SimSet {
-  static final String[] AT = {"10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7", "10.0.0.4:7"};
+final class SimCluster {
+  static final String[] ADDRESSES = {"10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7", "10.0.0.4:7"};
 
   final ManualTimers timers = new ManualTimers();
   final SimNetwork net = new SimNetwork(11, timers);
-  final SimDisk[] disks = new SimDisk[AT.length];
-  final Replica[] replicas = new Replica[AT.length];
-  final RecordStore[] records = new RecordStore[AT.length];
-  final ProcessMetrics[] metrics = new ProcessMetrics[AT.length];
-  final ReplicaListener[] views = new ReplicaListener[AT.length];
-  final VoterSet founding = new VoterSet();
+  final SimDisk[] disks = new SimDisk[ADDRESSES.length];
+  final Replica[] replicas = new Replica[ADDRESSES.length];
+  final RecordStore[] records = new RecordStore[ADDRESSES.length];
+  final ProcessMetrics[] metrics = new ProcessMetrics[ADDRESSES.length];
+  final ReplicaListener[] listeners = new ReplicaListener[ADDRESSES.length];
+  final VoterSet initialVoters = new VoterSet();
   private int clients;
 
-  SimSet() {
+  SimCluster() {
     net.delay(1, 3);
-    for (int i = 0; i < AT.length; i++) {
+    for (int i = 0; i < ADDRESSES.length; i++) {
       disks[i] = new SimDisk(i + 1, timers);
-      views[i] = new ReplicaListener() {};
+      listeners[i] = new ReplicaListener() {};
       start(i);
     }
     for (int i = 0; i < 3; i++) {
-      Voter slot = new Voter();
-      slot.address = AT[i];
-      slot.machine = "s" + i;
-      slot.instanceId = disks[i].instanceId();
-      slot.epoch = 1;
-      founding.voters.add(slot);
+      Voter voter = new Voter();
+      voter.address = ADDRESSES[i];
+      voter.machine = "s" + i;
+      voter.instanceId = disks[i].instanceId();
+      voter.epoch = 1;
+      initialVoters.voters.add(voter);
     }
   }
 
-  SimSet founded() {
+  SimCluster bootstrapped() {
     for (int i = 0; i < 3; i++) {
-      replicas[i].found(founding);
+      replicas[i].bootstrap(initialVoters);
     }
     timers.advance(30);
     return this;
   }
 
   void start(int i) {
-    SimNode node = net.startNode(AT[i]);
+    SimNode node = net.startNode(ADDRESSES[i]);
     metrics[i] = ProcessMetrics.strict();
     records[i] = disks[i].open(node.timers());
     replicas[i] =
         new Replica(
             "set",
             records[i],
-            views[i],
+            listeners[i],
             node.requestHandlers(),
             node.rpcClient(),
             node.timers(),
-            AT[i],
+            ADDRESSES[i],
             "s" + i,
             metrics[i]);
   }
 
   void kill(int i) {
-    net.kill(AT[i], true);
+    net.kill(ADDRESSES[i], true);
     disks[i].powerLoss();
   }
 
@@ -76,20 +76,20 @@
   RegisterClient client(VoterSet known) {
     String address = "10.0.1." + ++clients + ":7";
     SimNode node = net.startNode(address);
-    VoterSet[] held = {known};
+    VoterSet[] current = {known};
     return new RegisterClient(
         "set",
-        new Counting(node.rpcClient()),
+        new CountingClient(node.rpcClient()),
         node.timers(),
         new VoterSetSource() {
           @Override
           public VoterSet current() {
-            return held[0];
+            return current[0];
           }
 
           @Override
           public void learn(VoterSet newer) {
-            held[0] = VoterSets.merge(held[0], newer);
+            current[0] = VoterSets.merge(current[0], newer);
           }
         },
         1_000 + clients,
@@ -97,19 +97,19 @@
         to -> to.charAt(7) - '0');
   }
 
-  final java.util.Map<String, Integer> asked = new java.util.TreeMap<>();
+  final java.util.Map<String, Integer> requestCounts = new java.util.TreeMap<>();
 
-  private final class Counting implements RpcClient {
+  private final class CountingClient implements RpcClient {
     private final RpcClient caller;
 
-    Counting(RpcClient caller) {
+    CountingClient(RpcClient caller) {
       this.caller = caller;
     }
 
     @Override
     public <A> CompletableFuture<A> call(
         String peer, Object request, Class<A> answer, long timeoutMs) {
-      asked.merge(request.getClass().getSimpleName(), 1, Integer::sum);
+      requestCounts.merge(request.getClass().getSimpleName(), 1, Integer::sum);
       return caller.call(peer, request, answer, timeoutMs);
     }
   }
@@ -122,9 +122,9 @@
     return future.join();
   }
 
-  void awaitSeated(int i, long mostMs) {
-    long end = timers.now() + mostMs;
-    while (!replicas[i].voting() && timers.now() < end && timers.runNext()) {
+  void awaitVoting(int i, long maxMs) {
+    long end = timers.now() + maxMs;
+    while (!replicas[i].isVoting() && timers.now() < end && timers.runNext()) {
       continue;
     }
   }
--- a/consensus/src/test/java/elmsail/consensus/Model.java
+++ b/consensus/src/test/java/elmsail/consensus/SingleJoinModel.java
@@ -12,27 +12,27 @@
  * the production classes'. The second ballot may be the first's {@code next}. Each ballot's value
  * is what was found with a mark added, so that of two decided values the later holds the earlier.
  */
-final class Model extends StateSearch {
+final class SingleJoinModel extends StateSearch {
   private static final int A = 0;
   private static final int N = 3;
   private static final int BALLOTS = 3;
 
-  private static final int NEWCOMER = 4 * FIELDS;
-  private static final int BEGUN = NEWCOMER;
-  private static final int ACKED = NEWCOMER + 1;
-  private static final int COPIED = NEWCOMER + 2;
-  private static final int SEATED = NEWCOMER + 3;
-  private static final int RESTARTED = NEWCOMER + 4;
-  private static final int FORGOT = NEWCOMER + 5;
-  private static final int ASKERS = NEWCOMER + 6;
+  private static final int JOIN = 4 * FIELDS;
+  private static final int STARTED = JOIN;
+  private static final int ACKED = JOIN + 1;
+  private static final int COPIED = JOIN + 2;
+  private static final int VOTING = JOIN + 3;
+  private static final int RESTARTED = JOIN + 4;
+  private static final int FORGOT = JOIN + 5;
+  private static final int PROPOSERS = JOIN + 6;
 
   /**
    * Fields of a ballot: phase, voter set, promises, best ballot, best marks, accepts, next
    * promised.
    */
-  private static final int ASKER = 7;
+  private static final int PROPOSER_FIELDS = 7;
 
-  private static final int SIZE = ASKERS + BALLOTS * ASKER;
+  private static final int SIZE = PROPOSERS + BALLOTS * PROPOSER_FIELDS;
   private static final int[] BITS = bits();
   private static final String[] NAMES = {"a", "b", "c", "n"};
 
@@ -43,14 +43,14 @@
     ONE_ACKNOWLEDGER,
     COPY_BEFORE_CLAIM,
     PROMISES_NOT_COPIED,
-    SEATING_CHANGES_BETWEEN_ROUNDS,
+    VOTER_SET_CHANGES_BETWEEN_PHASES,
     PROMISE_OUTLIVES_INCARNATION,
     COPIES_COUNT_AS_VOTES
   }
 
   private final Defect defect;
   private final int ballots;
-  private final boolean sticky;
+  private final boolean promisedAhead;
   private final VoterSet before = new VoterSet();
   private final VoterSet after;
 
@@ -58,42 +58,42 @@
    * @param sticky the second ballot is promised with the first one's accepts, and has no first
    *     round
    */
-  Model(Defect defect, int ballots, boolean sticky) {
+  SingleJoinModel(Defect defect, int ballots, boolean sticky) {
     super(BITS);
     this.defect = defect;
     this.ballots = ballots;
-    this.sticky = sticky;
+    this.promisedAhead = sticky;
     for (int i = 0; i < N; i++) {
       before.voters.add(voter(NAMES[i], i, 1));
     }
-    after = VoterSets.with(before, A, voter(NAMES[N], N, 2));
+    after = VoterSets.withVoter(before, A, voter(NAMES[N], N, 2));
   }
 
   private static int[] bits() {
     int[] bits = new int[SIZE];
-    for (int i = 0; i < NEWCOMER; i++) {
+    for (int i = 0; i < JOIN; i++) {
       bits[i] = new int[] {2, 2, 3, 1, 1}[i % FIELDS];
     }
-    System.arraycopy(new int[] {1, 2, 2, 1, 1, 1}, 0, bits, NEWCOMER, 6);
-    for (int i = ASKERS; i < SIZE; i++) {
-      bits[i] = new int[] {2, 1, 3, 2, 3, 3, 3}[(i - ASKERS) % ASKER];
+    System.arraycopy(new int[] {1, 2, 2, 1, 1, 1}, 0, bits, JOIN, 6);
+    for (int i = PROPOSERS; i < SIZE; i++) {
+      bits[i] = new int[] {2, 1, 3, 2, 3, 3, 3}[(i - PROPOSERS) % PROPOSER_FIELDS];
     }
     return bits;
   }
 
   @Override
   void visit(int[] state) {
-    judge(state);
-    newcomer(state);
+    checkInvariants(state);
+    joiner(state);
     for (int b = 0; b < ballots; b++) {
-      asker(state, b);
+      proposer(state, b);
     }
   }
 
-  private Membership membership(int[] state, int process) {
-    boolean knows = state[process * FIELDS + KNOWS] == 1;
-    int caughtUp = process < N ? 1 : 2 * state[SEATED];
-    return new Membership(
+  private ReplicaMembership membership(int[] state, int process) {
+    boolean knows = state[process * FIELDS + KNOWN_CLAIMS] == 1;
+    int caughtUp = process < N ? 1 : 2 * state[VOTING];
+    return new ReplicaMembership(
         NAMES[process], NAMES[process], process + 1, knows ? after : before, caughtUp);
   }
 
@@ -102,39 +102,39 @@
    * the way.
    */
   private boolean votes(int[] state, int process, boolean joined) {
-    Membership membership = membership(state, process);
+    ReplicaMembership membership = membership(state, process);
     VoterSet asked = joined ? after : before;
-    if (membership.vote(asked) != VoteResponse.STALE_VOTER_SET && membership.learn(asked)) {
-      state[process * FIELDS + KNOWS] = 1;
+    if (membership.voteCode(asked) != VoteResponse.STALE_VOTER_SET && membership.learn(asked)) {
+      state[process * FIELDS + KNOWN_CLAIMS] = 1;
     }
-    return membership.vote(asked) == VoteResponse.OK;
+    return membership.voteCode(asked) == VoteResponse.OK;
   }
 
-  private void newcomer(int[] state) {
+  private void joiner(int[] state) {
     if (defect == Defect.AMNESIA) {
       if (state[FORGOT] == 0) {
         int[] next = state.clone();
         next[FORGOT] = 1;
-        put(next, A, KeyState.EMPTY);
+        put(next, A, AcceptorState.EMPTY);
         push(next);
       }
       return;
     }
-    if (state[BEGUN] == 0) {
+    if (state[STARTED] == 0) {
       int[] next = state.clone();
-      next[BEGUN] = 1;
-      next[N * FIELDS + KNOWS] = 1;
+      next[STARTED] = 1;
+      next[N * FIELDS + KNOWN_CLAIMS] = 1;
       push(next);
       return;
     }
-    int need = defect == Defect.ONE_ACKNOWLEDGER ? 1 : VoterSets.blocking(N);
+    int need = defect == Defect.ONE_ACKNOWLEDGER ? 1 : VoterSets.blockingSize(N);
     for (int other = 0; other < N; other++) {
-      if (state[other * FIELDS + KNOWS] == 0) {
+      if (state[other * FIELDS + KNOWN_CLAIMS] == 0) {
         int[] next = state.clone();
-        next[other * FIELDS + KNOWS] = 1;
+        next[other * FIELDS + KNOWN_CLAIMS] = 1;
         push(next);
       }
-      if (other == A || state[SEATED] == 1) {
+      if (other == A || state[VOTING] == 1) {
         continue;
       }
       int bit = 1 << other - 1;
@@ -142,31 +142,31 @@
       boolean joined = Integer.bitCount(state[ACKED]) >= need && (state[ACKED] & bit) != 0;
       if (joined || defect == Defect.COPY_BEFORE_CLAIM) {
         int[] next = state.clone();
-        KeyState theirs = key(state, other);
+        AcceptorState theirs = key(state, other);
         if (defect == Defect.PROMISES_NOT_COPIED || defect == Defect.PROMISE_OUTLIVES_INCARNATION) {
           theirs =
-              new KeyState(theirs.accepted(), theirs.accepted(), theirs.copied(), theirs.value());
+              new AcceptorState(theirs.accepted(), theirs.accepted(), theirs.fromStateTransfer(), theirs.value());
         }
-        put(next, N, key(state, N).withCopyOf(theirs));
+        put(next, N, key(state, N).mergeTransferred(theirs));
         next[COPIED] |= bit;
         push(next);
       }
     }
-    if (state[SEATED] == 0
+    if (state[VOTING] == 0
         && Integer.bitCount(state[ACKED]) >= need
         && (state[COPIED] & state[ACKED]) == state[ACKED]) {
       int[] next = state.clone();
-      next[SEATED] = 1;
+      next[VOTING] = 1;
       next[ACKED] = 0;
       next[COPIED] = 0;
       push(next);
     }
-    if (state[SEATED] == 0 && state[RESTARTED] == 0) {
+    if (state[VOTING] == 0 && state[RESTARTED] == 0) {
       int[] next = state.clone();
       next[RESTARTED] = 1;
       next[ACKED] = 0;
       next[COPIED] = 0;
-      put(next, N, KeyState.EMPTY);
+      put(next, N, AcceptorState.EMPTY);
       push(next);
     }
   }
@@ -176,21 +176,21 @@
     request.slot = A;
     request.voter = after.voters.get(A);
     if ((state[ACKED] & bit) == 0
-        && membership(state, other).join(request) != Membership.Claimed.REFUSED) {
+        && membership(state, other).recordClaim(request) != ReplicaMembership.ClaimDecision.REFUSED) {
       int[] next = state.clone();
-      next[other * FIELDS + KNOWS] = 1;
+      next[other * FIELDS + KNOWN_CLAIMS] = 1;
       next[ACKED] |= bit;
       push(next);
     }
   }
 
-  private void asker(int[] state, int b) {
-    int at = ASKERS + b * ASKER;
+  private void proposer(int[] state, int b) {
+    int at = PROPOSERS + b * PROPOSER_FIELDS;
     if (state[at] == 0) {
       start(state, b, at);
       return;
     }
-    if (state[at] == 1 && Integer.bitCount(state[at + 2]) >= VoterSets.majority(N)) {
+    if (state[at] == 1 && Integer.bitCount(state[at + 2]) >= VoterSets.majoritySize(N)) {
       int[] next = state.clone();
       next[at] = 2;
       next[at + 2] = 0;
@@ -198,9 +198,9 @@
       push(next);
     }
     boolean moves =
-        defect == Defect.SEATING_CHANGES_BETWEEN_ROUNDS
+        defect == Defect.VOTER_SET_CHANGES_BETWEEN_PHASES
             || defect == Defect.PROMISE_OUTLIVES_INCARNATION;
-    if (moves && !decided(state, b) && state[BEGUN] == 1 && state[at + 1] == 0 && state[at] == 2) {
+    if (moves && !decided(state, b) && state[STARTED] == 1 && state[at + 1] == 0 && state[at] == 2) {
       int[] next = state.clone();
       next[at + 1] = 1;
       next[at + 5] &= ~1;
@@ -208,7 +208,7 @@
     }
     for (int slot = 0; slot < N; slot++) {
       int holder = slot == A && state[at + 1] == 1 ? N : slot;
-      if (!(sticky && b == 1)) {
+      if (!(promisedAhead && b == 1)) {
         prepare(state, b, at, slot, holder);
       }
       if (state[at] == 2) {
@@ -218,9 +218,9 @@
   }
 
   private void start(int[] state, int b, int at) {
-    if (sticky && b == 1) {
-      int first = ASKERS;
-      if (Integer.bitCount(state[first + 6]) >= VoterSets.majority(N)) {
+    if (promisedAhead && b == 1) {
+      int first = PROPOSERS;
+      if (Integer.bitCount(state[first + 6]) >= VoterSets.majoritySize(N)) {
         int[] next = state.clone();
         next[at] = 2;
         next[at + 1] = state[first + 1];
@@ -229,7 +229,7 @@
       }
       return;
     }
-    for (int voterSet = 0; voterSet <= state[BEGUN]; voterSet++) {
+    for (int voterSet = 0; voterSet <= state[STARTED]; voterSet++) {
       int[] next = state.clone();
       next[at] = 1;
       next[at + 1] = voterSet;
@@ -241,15 +241,15 @@
     int[] next = state.clone();
     if (votes(next, holder, state[at + 1] == 1)) {
       Acceptor.Decision decision = Acceptor.prepare(key(next, holder), ballot(b + 1));
-      if (decision.write() != null) {
-        put(next, holder, decision.write());
+      if (decision.newState() != null) {
+        put(next, holder, decision.newState());
       }
-      if (decision.answer().code == VoteResponse.OK
+      if (decision.response().code == VoteResponse.OK
           && state[at] == 1
           && (state[at + 2] >> slot & 1) == 0) {
         int[] response = next.clone();
         response[at + 2] |= 1 << slot;
-        VoteResponse answer = decision.answer();
+        VoteResponse answer = decision.response();
         if (answer.accepted.round > response[at + 3]) {
           response[at + 3] = (int) answer.accepted.round;
           response[at + 4] = answer.value[0];
@@ -264,16 +264,16 @@
   private void accept(int[] state, int b, int at, int slot, int holder) {
     int[] next = state.clone();
     if (votes(next, holder, state[at + 1] == 1)) {
-      Ballot after1 = sticky && b == 0 ? ballot(2) : new Ballot();
+      Ballot after1 = promisedAhead && b == 0 ? ballot(2) : new Ballot();
       Acceptor.Decision decision =
           Acceptor.accept(
               key(next, holder), ballot(b + 1), after1, new byte[] {(byte) state[at + 4]});
-      if (decision.write() != null) {
-        put(next, holder, decision.write());
+      if (decision.newState() != null) {
+        put(next, holder, decision.newState());
       }
-      if (decision.answer().code == VoteResponse.OK) {
+      if (decision.response().code == VoteResponse.OK) {
         next[at + 5] |= 1 << slot;
-        if (sticky && b == 0 && decision.answer().promised.round == 2) {
+        if (promisedAhead && b == 0 && decision.response().promised.round == 2) {
           next[at + 6] |= 1 << slot;
         }
       }
@@ -281,7 +281,7 @@
     push(next);
   }
 
-  private void judge(int[] state) {
+  private void checkInvariants(int[] state) {
     int newest = 0;
     for (int b = 0; b < ballots; b++) {
       if (!decided(state, b)) {
@@ -289,14 +289,14 @@
       }
       newest = b + 1;
       for (int later = b + 1; later < ballots; later++) {
-        int marks = state[ASKERS + later * ASKER + 4];
-        if (decided(state, later) && (marks & (1 << b + 1) - 1) != state[ASKERS + b * ASKER + 4]) {
-          fault =
+        int marks = state[PROPOSERS + later * PROPOSER_FIELDS + 4];
+        if (decided(state, later) && (marks & (1 << b + 1) - 1) != state[PROPOSERS + b * PROPOSER_FIELDS + 4]) {
+          violation =
               "ballot " + (later + 1) + " was decided without what ballot " + (b + 1) + " decided";
         }
       }
     }
-    for (int voterSet = 0; voterSet <= state[BEGUN]; voterSet++) {
+    for (int voterSet = 0; voterSet <= state[STARTED]; voterSet++) {
       for (int without = 0; without < N; without++) {
         read(state, voterSet, without, newest);
       }
@@ -311,8 +311,8 @@
       if (slot == without) {
         continue;
       }
-      KeyState key = key(state, holder);
-      boolean counts = !key.copied() || defect == Defect.COPIES_COUNT_AS_VOTES;
+      AcceptorState key = key(state, holder);
+      boolean counts = !key.fromStateTransfer() || defect == Defect.COPIES_COUNT_AS_VOTES;
       int response = (int) key.accepted().round;
       if (!votes(state.clone(), holder, voterSet == 1)
           || !counts
@@ -322,13 +322,13 @@
       found = response;
     }
     if (found < newest) {
-      fault = "a majority tells of ballot " + found + " where " + newest + " is decided";
+      violation = "a majority tells of ballot " + found + " where " + newest + " is decided";
     } else if (defect != Defect.COPIES_COUNT_AS_VOTES && found > 0 && !decided(state, found - 1)) {
-      fault = "a majority tells of ballot " + found + ", which isn't decided";
+      violation = "a majority tells of ballot " + found + ", which isn't decided";
     }
   }
 
   private static boolean decided(int[] state, int b) {
-    return Integer.bitCount(state[ASKERS + b * ASKER + 5]) >= VoterSets.majority(N);
+    return Integer.bitCount(state[PROPOSERS + b * PROPOSER_FIELDS + 5]) >= VoterSets.majoritySize(N);
   }
 }
--- a/consensus/src/test/java/elmsail/consensus/StateSearch.java
+++ b/consensus/src/test/java/elmsail/consensus/StateSearch.java
@@ -13,14 +13,14 @@
   static final int FIELDS = 5;
 
   /** The field of the claims that a process knows. */
-  static final int KNOWS = 4;
+  static final int KNOWN_CLAIMS = 4;
 
   private final int[] bits;
   private final LongPairs seen = new LongPairs();
-  private final ArrayDeque<long[]> open = new ArrayDeque<>();
+  private final ArrayDeque<long[]> unvisited = new ArrayDeque<>();
 
   /** What broke a rule; null as long as nothing did. */
-  String fault;
+  String violation;
 
   /** Makes one whose states have fields of so many bits each, at most two words in all. */
   StateSearch(int[] bits) {
@@ -31,21 +31,21 @@
   abstract void visit(int[] state);
 
   /** Goes through all states, at most so many; null if none breaks a rule. */
-  final String check(int most) {
+  final String check(int maxStates) {
     push(new int[bits.length]);
-    while (!open.isEmpty() && fault == null) {
-      if (seen.size() > most) {
-        throw new IllegalStateException("more than " + most + " states");
+    while (!unvisited.isEmpty() && violation == null) {
+      if (seen.size() > maxStates) {
+        throw new IllegalStateException("more than " + maxStates + " states");
       }
-      visit(unpacked(open.pollLast()));
+      visit(unpacked(unvisited.pollLast()));
     }
-    return fault;
+    return violation;
   }
 
   /** As {@link #check}, and prints what was gone through. */
-  final String checkAndPrint(String name, int most) {
+  final String checkAndPrint(String name, int maxStates) {
     long from = System.nanoTime();
-    String found = check(most);
+    String found = check(maxStates);
     System.out.println(
         name
             + ": "
@@ -67,7 +67,7 @@
       at += bits[i];
     }
     if (seen.add(packed[0], packed[1])) {
-      open.addLast(packed);
+      unvisited.addLast(packed);
     }
   }
 
@@ -86,18 +86,18 @@
     return Ballots.of(round, round == 0 ? 0 : 7);
   }
 
-  static KeyState key(int[] state, int process) {
+  static AcceptorState key(int[] state, int process) {
     int at = process * FIELDS;
     byte[] value = state[at + 1] == 0 ? null : new byte[] {(byte) state[at + 2]};
-    return new KeyState(ballot(state[at]), ballot(state[at + 1]), state[at + 3] == 1, value);
+    return new AcceptorState(ballot(state[at]), ballot(state[at + 1]), state[at + 3] == 1, value);
   }
 
-  static void put(int[] state, int process, KeyState key) {
+  static void put(int[] state, int process, AcceptorState key) {
     int at = process * FIELDS;
     state[at] = (int) key.promised().round;
     state[at + 1] = (int) key.accepted().round;
     state[at + 2] = key.value() == null ? 0 : key.value()[0];
-    state[at + 3] = key.copied() ? 1 : 0;
+    state[at + 3] = key.fromStateTransfer() ? 1 : 0;
   }
 
   /** The process of that number as a voter. */
--- a/consensus/src/test/java/elmsail/consensus/VoterSetCodecTest.java
+++ b/consensus/src/test/java/elmsail/consensus/VoterSetCodecTest.java
@@ -10,34 +10,34 @@
 
 class VoterSetCodecTest {
   private static VoterSet voterSet() {
-    Voter slot = new Voter();
-    slot.address = "10.0.0.1:7";
-    slot.machine = "s";
-    slot.instanceId = 5;
-    slot.epoch = 3;
-    slot.previousAddress = "10.0.0.2:7";
-    slot.previousInstanceId = -4;
-    slot.previousEpoch = 2;
+    Voter voter = new Voter();
+    voter.address = "10.0.0.1:7";
+    voter.machine = "s";
+    voter.instanceId = 5;
+    voter.epoch = 3;
+    voter.previousAddress = "10.0.0.2:7";
+    voter.previousInstanceId = -4;
+    voter.previousEpoch = 2;
     VoterSet voterSet = new VoterSet();
-    voterSet.voters.add(slot);
+    voterSet.voters.add(voter);
     return voterSet;
   }
 
   @Test
-  void theOneBeforeIsKept() {
-    VoterSet read = VoterSetCodec.voterSet(VoterSetCodec.of(voterSet()));
-    assertThat(VoterSets.same(read, voterSet()), is(true));
+  void previousVoterIsDecoded() {
+    VoterSet read = VoterSetCodec.decode(VoterSetCodec.encode(voterSet()));
+    assertThat(VoterSets.areEqual(read, voterSet()), is(true));
     assertThat(read.voters.get(0).previousAddress, is("10.0.0.2:7"));
     assertThat(read.voters.get(0).previousInstanceId, is(-4L));
     assertThat(read.voters.get(0).previousEpoch, is(2));
   }
 
   @Test
-  void aRecordWithoutItIsReadToo() {
-    byte[] bytes = VoterSetCodec.of(voterSet());
+  void recordWithoutPreviousVoterIsDecoded() {
+    byte[] bytes = VoterSetCodec.encode(voterSet());
     int before = 2 + "10.0.0.2:7".length() + Long.BYTES + Integer.BYTES;
-    VoterSet read = VoterSetCodec.voterSet(Arrays.copyOf(bytes, bytes.length - before));
-    assertThat(VoterSets.same(read, voterSet()), is(true));
+    VoterSet read = VoterSetCodec.decode(Arrays.copyOf(bytes, bytes.length - before));
+    assertThat(VoterSets.areEqual(read, voterSet()), is(true));
     assertThat(read.voters.get(0).previousInstanceId, is(0L));
   }
 }
--- a/consensus/src/test/java/elmsail/consensus/VoterSetsTest.java
+++ b/consensus/src/test/java/elmsail/consensus/VoterSetsTest.java
@@ -27,39 +27,39 @@
   }
 
   @Test
-  void eachSlotHasTheHigherEpochOfTheTwo() {
+  void mergeTakesTheHigherEpochOfEachSlot() {
     VoterSet merged =
         VoterSets.merge(
             set(voter("a", 1), voter("e", 3), voter("c", 1)),
             set(voter("d", 2), voter("b", 1), voter("c", 1)));
-    assertThat(VoterSets.same(merged, set(voter("d", 2), voter("e", 3), voter("c", 1))), is(true));
+    assertThat(VoterSets.areEqual(merged, set(voter("d", 2), voter("e", 3), voter("c", 1))), is(true));
   }
 
   @Test
-  void theFirstOfTwoEqualEpochsStays() {
+  void mergeKeepsTheKnownVoterOfEqualEpochs() {
     VoterSet known = set(voter("a", 2));
     assertThat(VoterSets.merge(known, set(voter("b", 2))), is(sameInstance(known)));
   }
 
   @Test
-  void anEmptySetTakesTheOtherAndGivesNothing() {
+  void mergeWithAnEmptySetGivesTheOther() {
     VoterSet known = set(voter("a", 1), voter("b", 1));
-    assertThat(VoterSets.same(VoterSets.merge(set(), known), known), is(true));
+    assertThat(VoterSets.areEqual(VoterSets.merge(set(), known), known), is(true));
     assertThat(VoterSets.merge(known, set()), is(sameInstance(known)));
   }
 
   @Test
-  void aSetOfAnotherCountOfSlotsChangesNothing() {
+  void mergeIgnoresASetOfAnotherSize() {
     VoterSet known = set(voter("a", 1));
     assertThat(VoterSets.merge(known, set(voter("b", 2), voter("c", 1))), is(sameInstance(known)));
   }
 
   @Test
-  void setsAreTheSameIfHoldersAndEpochsAre() {
+  void setsAreEqualIfVotersAndEpochsAre() {
     VoterSet known = set(voter("a", 1), voter("b", 1));
-    assertThat(VoterSets.same(known, set(voter("a", 1), voter("b", 1))), is(true));
-    assertThat(VoterSets.same(known, set(voter("a", 1), voter("b", 2))), is(false));
-    assertThat(VoterSets.same(known, set(voter("a", 1), voter("c", 1))), is(false));
-    assertThat(VoterSets.same(known, set(voter("a", 1))), is(false));
+    assertThat(VoterSets.areEqual(known, set(voter("a", 1), voter("b", 1))), is(true));
+    assertThat(VoterSets.areEqual(known, set(voter("a", 1), voter("b", 2))), is(false));
+    assertThat(VoterSets.areEqual(known, set(voter("a", 1), voter("c", 1))), is(false));
+    assertThat(VoterSets.areEqual(known, set(voter("a", 1))), is(false));
   }
 }
--- a/controlplane/src/main/java/elmsail/controlplane/CommittedValue.java
+++ b/controlplane/src/main/java/elmsail/controlplane/CommittedValue.java
@@ -64,7 +64,7 @@
         .whenComplete((now, failed) -> done(now, failed, sentAt));
   }
 
-  private void done(Register.Versioned now, Throwable failed, long sentAt) {
+  private void done(Register.VersionedValue now, Throwable failed, long sentAt) {
     reading = false;
     if (closed) {
       return;
@@ -83,7 +83,7 @@
   }
 
   /** Takes what a read or a change gave; older ones are passed over. */
-  void take(Register.Versioned now) {
+  void take(Register.VersionedValue now) {
     if (now == null || now.value() == null || now.ballot() == null) {
       return;
     }
@@ -102,7 +102,7 @@
    * newer may have been taken here while that read's answers were on their way; it was decided
    * since, so it is given instead.
    */
-  byte[] valueOf(Register.Versioned now) {
+  byte[] valueOf(Register.VersionedValue now) {
     boolean spared =
         now.value() == null
             && ballot != null
--- a/controlplane/src/main/java/elmsail/controlplane/ConfigOrderHandler.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ConfigOrderHandler.java
@@ -97,10 +97,10 @@
       this.end = end;
     }
 
-    Register.Wanted declined(int status, String why) {
+    Register.ProposedValue declined(int status, String why) {
       this.status = status;
       this.why = why;
-      return new Register.Wanted(null, List.of());
+      return new Register.ProposedValue(null, List.of());
     }
   }
 
@@ -152,7 +152,7 @@
         .whenComplete((held, failed) -> done(order, held, failed));
   }
 
-  private static Register.Wanted wanted(Order order, Register.Found found) {
+  private static Register.ProposedValue wanted(Order order, Register.ObservedState found) {
     ConfigHistory current = ConfigHistory.of(found.value());
     return switch (current.standing(order.basedOn, order.digest)) {
       case TAKEN -> order.declined(200, "");
@@ -163,7 +163,7 @@
     };
   }
 
-  private static Register.Wanted next(Order order, ConfigHistory current) {
+  private static Register.ProposedValue next(Order order, ConfigHistory current) {
     if (order.invalid != null) {
       return order.declined(400, order.invalid);
     }
@@ -178,11 +178,11 @@
       return order.declined(400, reasonInvalid(e));
     }
     order.status = 200;
-    return new Register.Wanted(
+    return new Register.ProposedValue(
         current.followedBy(edition, changed, order.digest).value(), List.of());
   }
 
-  private void done(Order order, Register.Held held, Throwable failed) {
+  private void done(Order order, Register.CommittedState held, Throwable failed) {
     if (failed != null) {
       ErrorCode code = ElmsailException.codeOf(failed);
       order.unclear |=
@@ -190,7 +190,7 @@
       timers.schedule(BETWEEN_TRIES_MS, () -> attempt(order));
       return;
     }
-    decided.take(held.now());
+    decided.take(held.current());
     if (held.changed()) {
       tell.accept(order.change.edition());
     }
--- a/controlplane/src/main/java/elmsail/controlplane/ControlPlane.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ControlPlane.java
@@ -104,8 +104,8 @@
     JobRetention jobs =
         new JobRetention(
             loop,
-            () -> house[0] != null && house[0].replica().voting(),
-            key -> house[0].replica().drop(key),
+            () -> house[0] != null && house[0].replica().isVoting(),
+            key -> house[0].replica().dropKey(key),
             settings.bounds().statusMs(),
             metrics);
     house[0] = new StoreNode(settings, loop, links, links, records, jobs, metrics);
--- a/controlplane/src/main/java/elmsail/controlplane/ControlPlaneNode.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ControlPlaneNode.java
@@ -120,7 +120,7 @@
             ControlPlaneVoters.SET,
             headHeard,
             new PlacementController(slots, PlacementController.HEAD_GONE_MS, timers.now()));
-    boolean firstProcess = records != null && settings.firstStart() && records.fresh();
+    boolean firstProcess = records != null && settings.firstStart() && records.isNew();
     voter = new LeaseVoter(timers.now(), firstProcess);
     inquiry = new HeardStoresInquiry(caller, voters::current, own);
     DecommissionHandler retire =
@@ -300,7 +300,7 @@
     boolean headOrdered =
         headPlacement.look(voters.current(), Set.of(), reads && voters.voting(), directs, now);
     List<String> gatewaysNow = heard.gateways(now, GATEWAY_LISTED_MS);
-    boolean headMoved = !VoterSets.same(headKnown, voters.current());
+    boolean headMoved = !VoterSets.areEqual(headKnown, voters.current());
     counters.joinsDirected.add(storeOrdered && storePlacement.directs() ? 1 : 0);
     counters.joinsDirected.add(headOrdered && headPlacement.directs() ? 1 : 0);
     if (storeOrdered || headMoved || headOrdered || !gatewaysNow.equals(gateways)) {
--- a/controlplane/src/main/java/elmsail/controlplane/ControlPlaneVoters.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ControlPlaneVoters.java
@@ -122,7 +122,7 @@
 
   /** Whether this process votes now. */
   boolean voting() {
-    return replica != null && replica.voting();
+    return replica != null && replica.isVoting();
   }
 
   /** What this node would pull with at itself: it is a candidate as the others are. */
@@ -153,10 +153,10 @@
   /** Called each time that this process begins to vote in a slot that another instance held. */
   void whenTakenOver(Runnable then) {
     if (replica != null) {
-      replica.whenVotingChanges(
+      replica.addVotingListener(
           () -> {
             int slot = VoterSetValue.slotOf(current(), settings.rpcAddress());
-            if (replica.voting() && slot >= 0 && current().voters.get(slot).epoch > 1) {
+            if (replica.isVoting() && slot >= 0 && current().voters.get(slot).epoch > 1) {
               then.run();
             }
           });
--- a/controlplane/src/main/java/elmsail/controlplane/DecommissionHandler.java
+++ b/controlplane/src/main/java/elmsail/controlplane/DecommissionHandler.java
@@ -147,7 +147,7 @@
               listed.set(0, names);
               refused[0] = !names.contains(node) && !roomWithout(node, names);
               boolean add = !refused[0] && !names.contains(node);
-              return new Register.Wanted(
+              return new Register.ProposedValue(
                   add ? DecommissionList.with(names, node) : null, List.of());
             },
             List.of(),
@@ -155,7 +155,7 @@
             ANSWER_WITHIN_MS)
         .thenCompose(
             held -> {
-              retiring.take(held.now());
+              retiring.take(held.current());
               return refused[0]
                   ? refusal(node, listed.get(0))
                   : Replies.now(Replies.json(200, "{}"));
@@ -225,7 +225,7 @@
           || holder.lastAt() - listedAt.get(node) < SETTLE_MS
           || !holder.voting()
           || holder.instanceId() != slot.instanceId
-          || !VoterSets.same(holder.storeSet(), voterSet)) {
+          || !VoterSets.areEqual(holder.storeSet(), voterSet)) {
         return false;
       }
     }
--- a/controlplane/src/main/java/elmsail/controlplane/FoundingProposer.java
+++ b/controlplane/src/main/java/elmsail/controlplane/FoundingProposer.java
@@ -51,7 +51,7 @@
       proposal = response.acceptedVoterSet;
     }
     granted.add(seed);
-    if (granted.size() < VoterSets.majority(seeds)) {
+    if (granted.size() < VoterSets.majoritySize(seeds)) {
       return null;
     }
     accepting = true;
@@ -66,6 +66,6 @@
       return null;
     }
     granted.add(seed);
-    return granted.size() >= VoterSets.majority(seeds) ? proposal : null;
+    return granted.size() >= VoterSets.majoritySize(seeds) ? proposal : null;
   }
 }
--- a/controlplane/src/main/java/elmsail/controlplane/HeardStoresInquiry.java
+++ b/controlplane/src/main/java/elmsail/controlplane/HeardStoresInquiry.java
@@ -96,9 +96,9 @@
       } else {
         unsure++;
       }
-      if (sure >= VoterSets.majority(voters)) {
+      if (sure >= VoterSets.majoritySize(voters)) {
         result.complete(new HeardStores(true, agoMs));
-      } else if (unsure > voters - VoterSets.majority(voters)) {
+      } else if (unsure > voters - VoterSets.majoritySize(voters)) {
         fail();
       }
     }
--- a/controlplane/src/main/java/elmsail/controlplane/PlacementController.java
+++ b/controlplane/src/main/java/elmsail/controlplane/PlacementController.java
@@ -189,7 +189,7 @@
         return false;
       }
     }
-    return voting >= VoterSets.blocking(storeSet.voters.size()) && (gone || away == 0);
+    return voting >= VoterSets.blockingSize(storeSet.voters.size()) && (gone || away == 0);
   }
 
   private boolean gone(HeartbeatTable heard, Voter holder, long now) {
--- a/controlplane/src/main/java/elmsail/controlplane/SingletonLease.java
+++ b/controlplane/src/main/java/elmsail/controlplane/SingletonLease.java
@@ -152,7 +152,7 @@
             KEY,
             found -> {
               next[0] = termOf(found.value()) + 1;
-              return new Register.Wanted(
+              return new Register.ProposedValue(
                   ByteBuffer.allocate(16).putLong(next[0]).putLong(who).array(), List.of());
             },
             List.of(),
--- a/controlplane/src/main/java/elmsail/controlplane/StoreFounding.java
+++ b/controlplane/src/main/java/elmsail/controlplane/StoreFounding.java
@@ -53,7 +53,7 @@
         .change(
             KEY,
             found ->
-                new Register.Wanted(
+                new Register.ProposedValue(
                     found.value() != null ? null : VoterSetValue.bytes(first), List.of()),
             List.of(),
             null,
@@ -61,11 +61,11 @@
         .whenComplete(this::done);
   }
 
-  private void done(Register.Held held, Throwable failed) {
+  private void done(Register.CommittedState held, Throwable failed) {
     underWay = false;
     if (failed == null) {
       LOG.info("the store set is founded");
-      founded.take(held.now());
+      founded.take(held.current());
     }
   }
 }
--- a/controlplane/src/main/java/elmsail/controlplane/StoreNode.java
+++ b/controlplane/src/main/java/elmsail/controlplane/StoreNode.java
@@ -48,7 +48,7 @@
             settings,
             "store",
             records.instanceId(),
-            () -> new StoreStatus(replica.voting(), false, replica.voterSet()),
+            () -> new StoreStatus(replica.isVoting(), false, replica.voterSet()),
             null);
   }
 
@@ -64,7 +64,7 @@
       return;
     }
     if (replica.voterSet().voters.isEmpty()) {
-      replica.found(storeSet);
+      replica.bootstrap(storeSet);
     }
     replica.learn(storeSet);
   }
--- a/controlplane/src/test/java/elmsail/controlplane/ControlPlaneNodeTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ControlPlaneNodeTest.java
@@ -221,7 +221,7 @@
   @Test
   void theVaultsAreFoundedOnceAndStaySeatedOverARestartOfAll() {
     founded(4);
-    assertThat(world.stores.get("v4").replica().voting(), is(false));
+    assertThat(world.stores.get("v4").replica().isVoting(), is(false));
     for (int i = 1; i <= 3; i++) {
       world.kill("n" + i);
     }
@@ -254,7 +254,7 @@
     world.store("v2", false);
     world.timers.advance(4_000);
     assertThat(world.storeSet("v1"), equalTo("v1/1 v4/2 v3/1"));
-    assertThat(world.stores.get("v2").replica().voting(), is(false));
+    assertThat(world.stores.get("v2").replica().isVoting(), is(false));
   }
 
   @Test
@@ -301,6 +301,6 @@
     }
     String delivered = "{\"state\":\"delivered\"}";
     assertThat(world.until(8_000, () -> world.retired("n1", "v2").equals(delivered)), is(true));
-    assertThat(world.stores.get("v4").replica().voting(), is(true));
+    assertThat(world.stores.get("v4").replica().isVoting(), is(true));
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/CoreSplitStory.java
+++ b/controlplane/src/test/java/elmsail/controlplane/CoreSplitStory.java
@@ -359,7 +359,7 @@
     }
     assertThat(name + ": leases", leases, lessThanOrEqualTo(1));
     for (Map.Entry<String, StoreNode> store : world.stores.entrySet()) {
-      if (!store.getValue().replica().voting()) {
+      if (!store.getValue().replica().isVoting()) {
         continue;
       }
       List<Voter> slots = store.getValue().replica().voterSet().voters;
@@ -392,7 +392,7 @@
       StoreNode store = world.stores.get(slot.machine);
       boolean there = world.net.nodeAt(slot.address) != null && !gone.contains(slot.machine);
       boolean same = world.disks.get(slot.machine).instanceId() == slot.instanceId;
-      voting += there && same && store.replica().voting() ? 1 : 0;
+      voting += there && same && store.replica().isVoting() ? 1 : 0;
     }
     for (String node : world.offices.keySet()) {
       if (!gone.contains(node) && !world.wholeHead(node)) {
--- a/controlplane/src/test/java/elmsail/controlplane/FakeRegister.java
+++ b/controlplane/src/test/java/elmsail/controlplane/FakeRegister.java
@@ -32,7 +32,7 @@
     OVERTAKEN
   }
 
-  final Map<String, Versioned> values = new HashMap<>();
+  final Map<String, VersionedValue> values = new HashMap<>();
   final Deque<Fate> fates = new ArrayDeque<>();
   boolean unreachable;
 
@@ -53,9 +53,9 @@
   }
 
   @Override
-  public CompletableFuture<Versioned> read(String key, Ballot known, long timeoutMs) {
+  public CompletableFuture<VersionedValue> read(String key, Ballot known, long timeoutMs) {
     reads++;
-    CompletableFuture<Versioned> future = new CompletableFuture<>();
+    CompletableFuture<VersionedValue> future = new CompletableFuture<>();
     if (unreachable) {
       timers.schedule(timeoutMs, () -> fail(future, ErrorCode.NO_QUORUM));
       return future;
@@ -63,10 +63,10 @@
     timers.schedule(
         readMs,
         () -> {
-          Versioned now = values.getOrDefault(key, new Versioned(new Ballot(), null));
+          VersionedValue now = values.getOrDefault(key, new VersionedValue(new Ballot(), null));
           boolean spared = known != null && known.round == now.ballot().round;
           bytesRead += spared || now.value() == null ? 0 : now.value().length;
-          Versioned told = spared ? new Versioned(now.ballot(), null) : now;
+          VersionedValue told = spared ? new VersionedValue(now.ballot(), null) : now;
           if (answerMs == 0) {
             future.complete(told);
           } else {
@@ -77,9 +77,9 @@
   }
 
   @Override
-  public CompletableFuture<Held> change(
-      String key, Function<Found, Wanted> change, List<Blob> blobs, byte[] note, long timeoutMs) {
-    CompletableFuture<Held> future = new CompletableFuture<>();
+  public CompletableFuture<CommittedState> change(
+      String key, Function<ObservedState, ProposedValue> change, List<Blob> blobs, byte[] note, long timeoutMs) {
+    CompletableFuture<CommittedState> future = new CompletableFuture<>();
     Fate fate = fates.isEmpty() ? Fate.DONE : fates.poll();
     if (unreachable || fate == Fate.NOT_REACHED) {
       timers.schedule(Math.min(300, timeoutMs), () -> fail(future, ErrorCode.NO_QUORUM));
@@ -92,12 +92,12 @@
             change.apply(found(key));
             put(key, overtakes);
           }
-          Wanted wanted = change.apply(found(key));
+          ProposedValue wanted = change.apply(found(key));
           if (wanted.value() != null && fate != Fate.UNCLEAR_LOST) {
             put(key, wanted.value());
           }
-          Versioned now = values.getOrDefault(key, new Versioned(new Ballot(), null));
-          Held held = new Held(now, wanted.value() != null);
+          VersionedValue now = values.getOrDefault(key, new VersionedValue(new Ballot(), null));
+          CommittedState held = new CommittedState(now, wanted.value() != null);
           if (fate == Fate.UNCLEAR_TAKEN || fate == Fate.UNCLEAR_LOST) {
             timers.schedule(Math.min(300, timeoutMs), () -> fail(future, ErrorCode.OUTCOME_UNKNOWN));
           } else {
@@ -108,19 +108,19 @@
   }
 
   @Override
-  public CompletableFuture<byte[]> blob(String key, String name, long timeoutMs) {
+  public CompletableFuture<byte[]> readBlob(String key, String name, long timeoutMs) {
     return CompletableFuture.completedFuture(null);
   }
 
-  private Found found(String key) {
-    Versioned now = values.get(key);
-    return new Found(now == null ? null : now.value(), List.of());
+  private ObservedState found(String key) {
+    VersionedValue now = values.get(key);
+    return new ObservedState(now == null ? null : now.value(), List.of());
   }
 
   private void put(String key, byte[] value) {
     Ballot ballot = new Ballot();
     ballot.round = ++rounds;
-    values.put(key, new Versioned(ballot, value));
+    values.put(key, new VersionedValue(ballot, value));
   }
 
   private static void fail(CompletableFuture<?> future, ErrorCode code) {
--- a/controlplane/src/test/java/elmsail/controlplane/JobWriter.java
+++ b/controlplane/src/test/java/elmsail/controlplane/JobWriter.java
@@ -68,7 +68,7 @@
   VoterSet newest() {
     for (String store : world.stores.keySet()) {
       boolean there = world.net.nodeAt(world.address(store)) != null;
-      if (there && !forgotten.contains(store) && world.stores.get(store).replica().voting()) {
+      if (there && !forgotten.contains(store) && world.stores.get(store).replica().isVoting()) {
         known = VoterSets.merge(known, world.stores.get(store).replica().voterSet());
       }
     }
@@ -99,7 +99,7 @@
     register
         .change(
             "lot/" + job,
-            found -> new Register.Wanted(RECORD, List.of()),
+            found -> new Register.ProposedValue(RECORD, List.of()),
             List.of(body),
             null,
             CALL_MS)
@@ -132,10 +132,10 @@
     assertThat(name + ": said not to be there", lost, equalTo(List.of()));
     for (int job : List.copyOf(written)) {
       String about = name + ": job " + job;
-      CompletableFuture<Register.Versioned> value = register.read("lot/" + job, null, CALL_MS);
+      CompletableFuture<Register.VersionedValue> value = register.read("lot/" + job, null, CALL_MS);
       assertThat(about, world.until(2 * CALL_MS, value::isDone), is(true));
       assertThat(about, value.join().value(), equalTo(RECORD));
-      CompletableFuture<byte[]> body = register.blob("lot/" + job, "body", CALL_MS);
+      CompletableFuture<byte[]> body = register.readBlob("lot/" + job, "body", CALL_MS);
       assertThat(about, world.until(2 * CALL_MS, body::isDone), is(true));
       assertThat(about, body.join(), notNullValue());
       assertThat(about, body.join().length, is(BODY.length));
--- a/controlplane/src/test/java/elmsail/controlplane/ManyLossesTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ManyLossesTest.java
@@ -139,7 +139,7 @@
 
   private long voting(JobWriter jobs) {
     return jobs.newest().voters.stream()
-        .filter(slot -> world.stores.get(slot.machine).replica().voting())
+        .filter(slot -> world.stores.get(slot.machine).replica().isVoting())
         .filter(slot -> world.disks.get(slot.machine).instanceId() == slot.instanceId)
         .count();
   }
--- a/controlplane/src/test/java/elmsail/controlplane/PinnedDataDirectories.java
+++ b/controlplane/src/test/java/elmsail/controlplane/PinnedDataDirectories.java
@@ -94,14 +94,14 @@
   static void writeStore(Path folder) {
     try (DirectoryRecordStore disk = open(folder)) {
       Member member = new Member(StoreNode.SET, disk);
-      member.replica.found(voterSet(disk.instanceId()));
+      member.replica.bootstrap(voterSet(disk.instanceId()));
       Blob body = blob(JobBody.nameOf(body()), body());
       member.decide(JobRecord.keyOf(OPEN_JOB), openJob().packed(), List.of(body, text()));
       member.decide(JobRecord.keyOf(ENDED_JOB), endedJob().packed(), List.of(body));
       member.decide(JobRecord.keyOf(OLD_JOB), oldJobBytes(), List.of());
       member.prepare(JobRecord.keyOf(REFUSED_JOB), List.of());
       member.decide(JobRecord.keyOf(DROPPED_JOB), endedJob().packed(), List.of(body));
-      member.replica.drop(JobRecord.keyOf(DROPPED_JOB));
+      member.replica.dropKey(JobRecord.keyOf(DROPPED_JOB));
       disk.write(List.of(new Change("shelf/k/lot%2F" + COPIED_JOB, copiedState()))).join();
     }
   }
@@ -130,7 +130,7 @@
       founding.prepare(9);
       records.write(List.of(new Change("head-founding", founding.bytes())));
       Member member = new Member(ControlPlaneVoters.SET, disk);
-      member.replica.found(voters);
+      member.replica.bootstrap(voters);
       member.decide(ConfigOrderHandler.KEY, config().value(), List.of());
       member.decide(DecommissionList.KEY, decommissioned(), List.of());
       member.decide(StoreFounding.KEY, VoterSetValue.bytes(voters), List.of());
@@ -307,8 +307,8 @@
     }
 
     @Override
-    public boolean fresh() {
-      return disk.fresh();
+    public boolean isNew() {
+      return disk.isNew();
     }
 
     @Override
--- a/controlplane/src/test/java/elmsail/controlplane/PinnedDataDirectoriesTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/PinnedDataDirectoriesTest.java
@@ -150,13 +150,13 @@
     }
   }
 
-  private static String described(RestoredReplica.Key key) {
+  private static String described(RestoredReplica.StoredKey key) {
     return "%s %d %d %s blobs=%d"
         .formatted(
             key.name(),
             key.promised().round,
             key.accepted().round,
-            key.copied() ? "copied" : "voted",
+            key.fromStateTransfer() ? "copied" : "voted",
             key.blobs());
   }
 
@@ -166,10 +166,10 @@
 
   private static void assertVotes(RestoredReplica replica, long instanceId) {
     VoterSet expected = PinnedDataDirectories.voterSet(instanceId);
-    assertThat(VoterSets.same(replica.voterSet(), expected), is(true));
+    assertThat(VoterSets.areEqual(replica.voterSet(), expected), is(true));
     assertThat(replica.ownSlot(), is(0));
-    assertThat(replica.caughtUp(), is(1));
-    assertThat(replica.votes(), is(true));
+    assertThat(replica.caughtUpEpoch(), is(1));
+    assertThat(replica.voting(), is(true));
   }
 
   @Test
@@ -178,8 +178,8 @@
       assertThat(names(records), contains("shelf/seating", "shelf/spare"));
       RestoredReplica store = RestoredReplica.of(records).get(0);
       assertThat(store.ownSlot(), is(0));
-      assertThat(store.caughtUp(), is(0));
-      assertThat(store.votes(), is(false));
+      assertThat(store.caughtUpEpoch(), is(0));
+      assertThat(store.voting(), is(false));
       Voter own = store.voterSet().voters.get(0);
       assertThat(own.address, is(PinnedDataDirectories.OWN_ADDRESS));
       assertThat(own.epoch, is(2));
@@ -224,12 +224,12 @@
           equalTo(java.util.Set.of("n2", "n5")));
       VoterSet voters = PinnedDataDirectories.voterSet(records.instanceId());
       assertThat(
-          VoterSets.same(VoterSetValue.of(value(records, "head/k/shelf")), voters), is(true));
+          VoterSets.areEqual(VoterSetValue.of(value(records, "head/k/shelf")), voters), is(true));
       assertThat(value(records, "head/k/duty"), equalTo(PinnedDataDirectories.leaseTerm()));
       FoundingAcceptor founding = FoundingAcceptor.of(records.read("head-founding"));
       assertThat(founding.prepare(1).promisedBallot, is(9L));
       assertThat(founding.prepare(1).acceptedBallot, is(5L));
-      assertThat(VoterSets.same(founding.prepare(1).acceptedVoterSet, voters), is(true));
+      assertThat(VoterSets.areEqual(founding.prepare(1).acceptedVoterSet, voters), is(true));
       assertThat(records.read("notary/born"), equalTo(new byte[] {1}));
       RestoredReplica head =
           RestoredReplica.of(records).stream()
--- a/controlplane/src/test/java/elmsail/controlplane/SecondLossTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/SecondLossTest.java
@@ -118,7 +118,7 @@
       CompletableFuture<?> change =
           writer.change(
               "lot/" + written,
-              found -> new Register.Wanted(new byte[] {1}, List.of()),
+              found -> new Register.ProposedValue(new byte[] {1}, List.of()),
               List.of(body),
               null,
               3_000);
@@ -177,7 +177,7 @@
     TreeSet<String> voting = new TreeSet<>();
     for (Voter slot : newest.voters) {
       if (oldestFirst.contains(slot.machine)
-          && world.stores.get(slot.machine).replica().voting()
+          && world.stores.get(slot.machine).replica().isVoting()
           && world.disks.get(slot.machine).instanceId() == slot.instanceId) {
         voting.add(slot.machine);
       }
@@ -191,10 +191,10 @@
 
   private void readAll(String about) {
     for (int i = 0; i < written; i++) {
-      CompletableFuture<Register.Versioned> value = writer.read("lot/" + i, null, 2_000);
+      CompletableFuture<Register.VersionedValue> value = writer.read("lot/" + i, null, 2_000);
       assertThat(about, world.until(3_000, value::isDone), is(true));
       assertThat(about + " job " + i, value.join().value(), equalTo(new byte[] {1}));
-      CompletableFuture<byte[]> body = writer.blob("lot/" + i, "body", 2_000);
+      CompletableFuture<byte[]> body = writer.readBlob("lot/" + i, "body", 2_000);
       assertThat(about, world.until(3_000, body::isDone), is(true));
       assertThat(about + " body " + i, body.join().length, is(BODY.length));
     }
--- a/controlplane/src/test/java/elmsail/controlplane/StoreSetStoryTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/StoreSetStoryTest.java
@@ -78,7 +78,7 @@
     }
     world.timers.advance(2_000);
     for (int i = 0; i < KEYS; i++) {
-      CompletableFuture<Register.Versioned> read = writer.read("lot/" + i, null, 2_000);
+      CompletableFuture<Register.VersionedValue> read = writer.read("lot/" + i, null, 2_000);
       assertThat("seed " + seed, world.until(3_000, read::isDone), is(true));
       assertThat(
           "seed " + seed + " key " + i, number(read.join().value()) >= acknowledged[i], is(true));
@@ -125,7 +125,7 @@
                 "lot/" + key,
                 found -> {
                   wanted[0] = number(found.value()) + 1;
-                  return new Register.Wanted(
+                  return new Register.ProposedValue(
                       ByteBuffer.allocate(8).putLong(wanted[0]).array(), List.of());
                 },
                 List.of(),
@@ -208,7 +208,7 @@
       newest = VoterSets.merge(newest, world.stores.get(name).replica().voterSet());
     }
     for (Voter slot : newest.voters) {
-      if (!running.contains(slot.machine) || !world.stores.get(slot.machine).replica().voting()) {
+      if (!running.contains(slot.machine) || !world.stores.get(slot.machine).replica().isVoting()) {
         return false;
       }
     }
--- a/controlplane/src/test/java/elmsail/controlplane/World.java
+++ b/controlplane/src/test/java/elmsail/controlplane/World.java
@@ -296,7 +296,7 @@
           .append(slot.machine)
           .append('/')
           .append(slot.epoch);
-      voters.append(house != null && house.replica().voting() ? "" : "*");
+      voters.append(house != null && house.replica().isVoting() ? "" : "*");
     }
     return voters.toString();
   }
--- a/simulation/src/main/java/elmsail/simulation/SimDisk.java
+++ b/simulation/src/main/java/elmsail/simulation/SimDisk.java
@@ -137,7 +137,7 @@
   }
 
   @Override
-  public boolean fresh() {
+  public boolean isNew() {
     return fresh;
   }
 
--- a/simulation/src/test/java/elmsail/simulation/SimDiskTest.java
+++ b/simulation/src/test/java/elmsail/simulation/SimDiskTest.java
@@ -102,24 +102,24 @@
   @Test
   void instanceIdIsStableUntilTheDiskIsWiped() {
     long instanceId = disk.instanceId();
-    assertThat(disk.open(timers).fresh(), is(true));
+    assertThat(disk.open(timers).isNew(), is(true));
     disk.write(List.of(put("a", 1)));
     timers.advance(10);
-    assertThat(disk.open(timers).fresh(), is(false));
+    assertThat(disk.open(timers).isNew(), is(false));
     disk.powerLoss();
     assertThat(disk.instanceId(), is(instanceId));
-    assertThat(disk.fresh(), is(false));
+    assertThat(disk.isNew(), is(false));
     disk.wipe();
-    assertThat(disk.open(timers).fresh(), is(true));
+    assertThat(disk.open(timers).isNew(), is(true));
     assertThat(disk.instanceId(), is(not(instanceId)));
     assertThat(disk.names(""), is(emptyIterable()));
-    assertThat(disk.open(timers).fresh(), is(false));
+    assertThat(disk.open(timers).isNew(), is(false));
   }
 
   @Test
   void openedOnceButEmptyIsNotFreshAgain() {
-    assertThat(disk.open(timers).fresh(), is(true));
-    assertThat(disk.open(timers).fresh(), is(false));
+    assertThat(disk.open(timers).isNew(), is(true));
+    assertThat(disk.open(timers).isNew(), is(false));
   }
 
   @Test
--- a/storage/src/main/java/elmsail/storage/ByteCache.java
+++ b/storage/src/main/java/elmsail/storage/ByteCache.java
@@ -8,7 +8,7 @@
  * The bytes of big values used last, by their sequence number. Guarded by the lock of the records.
  */
 final class ByteCache {
-  static final int MOST_BYTES = 4 * 1024 * 1024;
+  static final int MAX_BYTES = 4 * 1024 * 1024;
 
   private final LinkedHashMap<Long, byte[]> values = new LinkedHashMap<>(16, 0.75f, true);
   private int bytes;
@@ -18,14 +18,14 @@
   }
 
   void put(long seq, byte[] value) {
-    if (value.length > MOST_BYTES / 2) {
+    if (value.length > MAX_BYTES / 2) {
       return;
     }
     remove(seq);
     values.put(seq, value);
     bytes += value.length;
     Iterator<Map.Entry<Long, byte[]>> oldest = values.entrySet().iterator();
-    while (bytes > MOST_BYTES) {
+    while (bytes > MAX_BYTES) {
       bytes -= oldest.next().getValue().length;
       oldest.remove();
     }
--- a/storage/src/main/java/elmsail/storage/Compaction.java
+++ b/storage/src/main/java/elmsail/storage/Compaction.java
@@ -6,10 +6,10 @@
 
 /** Chooses which files to rewrite next, and how much of them; looks only. */
 final class Compaction {
-  static final int FILES = 48;
-  private static final int STEP_BYTES = 2 * 1024 * 1024;
-  private static final int DEAD_BYTES = 1024 * 1024;
-  private static final long FILE_BYTES = 1024 * 1024;
+  static final int BASE_FILES = 48;
+  private static final int MAX_STEP_BYTES = 2 * 1024 * 1024;
+  private static final int MAX_DEAD_BYTES = 1024 * 1024;
+  private static final long LIVE_BYTES_PER_FILE = 1024 * 1024;
 
   /** Head and end of a file, which a rewritten one has too. */
   private static final int FRAME_BYTES = 128;
@@ -17,9 +17,9 @@
   private final long stepBytes;
   private final long deadBytes;
 
-  Compaction(long mostBytes) {
-    stepBytes = Math.min(STEP_BYTES, mostBytes / 20);
-    deadBytes = Math.min(DEAD_BYTES, mostBytes / 20);
+  Compaction(long maxBytes) {
+    stepBytes = Math.min(MAX_STEP_BYTES, maxBytes / 20);
+    deadBytes = Math.min(MAX_DEAD_BYTES, maxBytes / 20);
   }
 
   /**
@@ -28,19 +28,19 @@
   record Step(List<IndexEntry> moved, long movedBytes) {}
 
   /** Null if nothing is to be gained. {@code pressed}: the room is needed by what waits. */
-  Step next(RecordIndex index, boolean pressed) {
+  Step nextStep(RecordIndex index, boolean spaceNeeded) {
     long dead = index.diskBytes() - index.liveBytes();
-    if (pressed || dead > index.liveBytes() + deadBytes) {
-      Step step = emptiest(index);
+    if (spaceNeeded || dead > index.liveBytes() + deadBytes) {
+      Step step = stepOfEmptiestFiles(index);
       if (step != null) {
         return step;
       }
     }
-    return index.files.size() > FILES + index.liveBytes() / FILE_BYTES ? smallest(index) : null;
+    return index.files.size() > BASE_FILES + index.liveBytes() / LIVE_BYTES_PER_FILE ? stepOfSmallestFiles(index) : null;
   }
 
   /** From the file with the smallest live part, and all others that fit into the step. */
-  private Step emptiest(RecordIndex index) {
+  private Step stepOfEmptiestFiles(RecordIndex index) {
     List<VersionFile> files = candidates(index);
     files.removeIf(f -> f.deadBytes() - FRAME_BYTES <= f.bytes / 20);
     files.sort(
@@ -55,12 +55,12 @@
       if (bytes > 0 && bytes + file.liveBytes > stepBytes) {
         break;
       }
-      for (IndexEntry named : index.live(file)) {
-        int length = named.safe.length();
+      for (IndexEntry entry : index.liveRecords(file)) {
+        int length = entry.durable.length();
         if (bytes > 0 && bytes + length > stepBytes) {
           return new Step(moved, bytes);
         }
-        moved.add(named);
+        moved.add(entry);
         bytes += length;
       }
     }
@@ -70,24 +70,24 @@
   /**
    * The smallest whole files that fit into the step, if they are at least two or hold nothing live.
    */
-  private Step smallest(RecordIndex index) {
+  private Step stepOfSmallestFiles(RecordIndex index) {
     List<VersionFile> files = candidates(index);
     files.sort(
         Comparator.comparingLong((VersionFile f) -> f.liveBytes).thenComparingLong(f -> f.version));
     List<IndexEntry> moved = new ArrayList<>();
     long bytes = 0;
-    int whole = 0;
+    int completeFiles = 0;
     boolean empty = false;
     for (VersionFile file : files) {
       if (bytes + file.liveBytes > stepBytes) {
         break;
       }
-      whole++;
+      completeFiles++;
       empty |= file.liveBytes == 0;
-      moved.addAll(index.live(file));
+      moved.addAll(index.liveRecords(file));
       bytes += file.liveBytes;
     }
-    return whole >= 2 || empty ? new Step(moved, bytes) : null;
+    return completeFiles >= 2 || empty ? new Step(moved, bytes) : null;
   }
 
   /** The newest stays: it tells the numbers that were used, and what is void. */
--- a/storage/src/main/java/elmsail/storage/DirectoryRecordStore.java
+++ b/storage/src/main/java/elmsail/storage/DirectoryRecordStore.java
@@ -29,17 +29,17 @@
 public final class DirectoryRecordStore implements RecordStore {
   private static final Logger LOG = LoggerFactory.getLogger(DirectoryRecordStore.class);
 
-  private static final int NAME_BYTES = 1024;
-  private static final int CLOSE_MS = 2_000;
-  private static final int READS = 4;
+  private static final int MAX_NAME_BYTES = 1024;
+  private static final int CLOSE_TIMEOUT_MS = 2_000;
+  private static final int MAX_READ_ATTEMPTS = 4;
 
   private final Object lock = new Object();
   private final RecordIndex index = new RecordIndex();
   private final WriteQueue queue = new WriteQueue();
   private final Executor completions;
-  private final StorageDirectory folder;
-  private final long mostBytes;
-  private final DiskWorker work;
+  private final StorageDirectory directory;
+  private final long maxBytes;
+  private final DiskWorker worker;
   private volatile StorageCounters counters = new StorageCounters(new Counters());
   private Thread thread;
 
@@ -47,155 +47,155 @@
   private boolean closed;
 
   private DirectoryRecordStore(
-      Path dir, long mostBytes, Executor completions, Files files, long newLife) {
+      Path dir, long maxBytes, Executor completions, FileSystem fileSystem, long newInstanceId) {
     this.completions = completions;
-    this.mostBytes = mostBytes;
-    folder = new StorageDirectory(dir, files);
-    folder.open(index, newLife);
-    nextSeq = folder.nextSeq();
-    work = new DiskWorker(this, folder, index, lock, mostBytes, MonotonicClock.SYSTEM);
+    this.maxBytes = maxBytes;
+    directory = new StorageDirectory(dir, fileSystem);
+    directory.open(index, newInstanceId);
+    nextSeq = directory.nextSeq();
+    worker = new DiskWorker(this, directory, index, lock, maxBytes, MonotonicClock.SYSTEM);
   }
 
   /**
    * Opens a folder, which is made if it is not there; waits for the disk.
    *
-   * @param mostBytes of the disk, in bytes; a tenth of it is kept free for compaction
+   * @param maxBytes of the disk, in bytes; a tenth of it is kept free for compaction
    * @param completions runs what completes the futures, in order: the caller's loop
    * @throws ElmsailException of code DISK: the disk refuses, or a file is not as it was written
    */
-  public static DirectoryRecordStore open(Path dir, long mostBytes, Executor completions) {
-    return open(dir, mostBytes, completions, new LocalFiles());
+  public static DirectoryRecordStore open(Path dir, long maxBytes, Executor completions) {
+    return open(dir, maxBytes, completions, new LocalFileSystem());
   }
 
   /** With another file system in the place of the real one. */
   public static DirectoryRecordStore open(
-      Path dir, long mostBytes, Executor completions, Files files) {
+      Path dir, long maxBytes, Executor completions, FileSystem fileSystem) {
     DirectoryRecordStore records =
-        byHand(dir, mostBytes, completions, files, new SecureRandom().nextLong() | 1);
+        openWithoutThread(dir, maxBytes, completions, fileSystem, new SecureRandom().nextLong() | 1);
     records.thread = new Thread(records::run, "disk");
     records.thread.setDaemon(true);
     records.thread.start();
     return records;
   }
 
-  /** Without a thread: {@link #turn} does its work. */
-  static DirectoryRecordStore byHand(
-      Path dir, long mostBytes, Executor completions, Files files, long newLife) {
-    return new DirectoryRecordStore(dir, mostBytes, completions, files, newLife);
+  /** Without a thread: {@link #runOnce} does its work. */
+  static DirectoryRecordStore openWithoutThread(
+      Path dir, long maxBytes, Executor completions, FileSystem fileSystem, long newInstanceId) {
+    return new DirectoryRecordStore(dir, maxBytes, completions, fileSystem, newInstanceId);
   }
 
   /** One turn of the disk's thread; false if there was nothing to do. */
-  boolean turn() {
-    return work.turn();
+  boolean runOnce() {
+    return worker.runOnce();
   }
 
   /** Counts from now on; the counters are touched by the executor of the completions alone. */
-  public void countIn(StorageCounters counters) {
+  public void setCounters(StorageCounters counters) {
     this.counters = counters;
   }
 
   @Override
   public long instanceId() {
-    return folder.instanceId();
+    return directory.instanceId();
   }
 
   @Override
-  public boolean fresh() {
-    return folder.fresh();
+  public boolean isNew() {
+    return directory.isNew();
   }
 
   @Override
   public CompletableFuture<Void> write(List<Change> changes) {
-    PendingWrite waiting = new PendingWrite();
+    PendingWrite pending = new PendingWrite();
     byte[][] utf = new byte[changes.size()][];
-    boolean values = false;
+    boolean hasValues = false;
     for (int i = 0; i < utf.length; i++) {
       Change change = changes.get(i);
-      utf[i] = VersionWriter.utf(change.name());
-      if (utf[i].length == 0 || utf[i].length > NAME_BYTES) {
+      utf[i] = VersionWriter.toUtf8(change.name());
+      if (utf[i].length == 0 || utf[i].length > MAX_NAME_BYTES) {
         throw new ElmsailException(
             ErrorCode.INTERNAL, "a record's name of " + utf[i].length + " bytes");
       }
-      values |= change.bytes() != null;
-      waiting.bytes += VersionWriter.recordBytes(utf[i], change.bytes());
+      hasValues |= change.bytes() != null;
+      pending.bytes += VersionWriter.recordBytes(utf[i], change.bytes());
     }
     synchronized (lock) {
       if (closed) {
         return CompletableFuture.failedFuture(
             new ElmsailException(ErrorCode.STORAGE_FAILURE, "the records are closed"));
       }
-      if (queue.failing()) {
-        queue.failWithTheOthers(waiting);
-        return waiting.done;
+      if (queue.isFailing()) {
+        queue.addToFailed(pending);
+        return pending.completion;
       }
-      if (!queue.hasRoom(waiting, values)
-          || values && index.liveBytes() + queue.bytesWith(waiting) > mostBytes / 10 * 9) {
+      if (!queue.hasCapacity(pending, hasValues)
+          || hasValues && index.liveBytes() + queue.pendingBytesWith(pending) > maxBytes / 10 * 9) {
         return CompletableFuture.failedFuture(
             new ElmsailException(ErrorCode.RESOURCE_EXHAUSTED, "no room on the disk"));
       }
       for (int i = 0; i < utf.length; i++) {
-        IndexEntry named = index.named(changes.get(i).name());
-        named.waitingSeq = nextSeq++;
-        named.waiting = changes.get(i).bytes();
-        waiting.items.add(new PendingWrite.Item(named, utf[i], named.waitingSeq, named.waiting));
+        IndexEntry entry = index.entryFor(changes.get(i).name());
+        entry.pendingSeq = nextSeq++;
+        entry.pendingBytes = changes.get(i).bytes();
+        pending.records.add(new PendingWrite.Item(entry, utf[i], entry.pendingSeq, entry.pendingBytes));
       }
-      queue.add(waiting);
+      queue.add(pending);
       lock.notifyAll();
     }
-    return waiting.done;
+    return pending.completion;
   }
 
   /** Its array is not to be changed, as those given to {@link #write}. */
   @Override
   public byte[] read(String name) {
-    for (int tries = 1; ; tries++) {
-      RecordLocation place;
+    for (int attempt = 1; ; attempt++) {
+      RecordLocation location;
       synchronized (lock) {
-        IndexEntry named = index.names.get(name);
-        if (named == null || !named.there()) {
+        IndexEntry entry = index.entries.get(name);
+        if (entry == null || !entry.exists()) {
           return null;
         }
-        if (named.waitingSeq != 0) {
-          return named.waiting;
+        if (entry.pendingSeq != 0) {
+          return entry.pendingBytes;
         }
-        place = named.safe;
-        byte[] bytes = place.bytes() != null ? place.bytes() : index.cache.get(place.seq());
+        location = entry.durable;
+        byte[] bytes = location.bytes() != null ? location.bytes() : index.cache.get(location.seq());
         if (bytes != null) {
           return bytes;
         }
       }
       try {
-        byte[] bytes = folder.read(name, place);
+        byte[] bytes = directory.read(name, location);
         synchronized (lock) {
-          IndexEntry named = index.names.get(name);
-          if (named != null && named.safe != null && named.safe.seq() == place.seq()) {
-            index.cache.put(place.seq(), bytes);
+          IndexEntry entry = index.entries.get(name);
+          if (entry != null && entry.durable != null && entry.durable.seq() == location.seq()) {
+            index.cache.put(location.seq(), bytes);
           }
         }
         return bytes;
       } catch (IOException e) {
-        if (tries == READS || !movedFrom(name, place)) {
+        if (attempt == MAX_READ_ATTEMPTS || !hasMoved(name, location)) {
           throw new ElmsailException(ErrorCode.STORAGE_FAILURE, "a record cannot be read: " + e, e);
         }
       }
     }
   }
 
-  private boolean movedFrom(String name, RecordLocation place) {
+  private boolean hasMoved(String name, RecordLocation location) {
     synchronized (lock) {
-      IndexEntry named = index.names.get(name);
-      return named == null || named.safe != place;
+      IndexEntry entry = index.entries.get(name);
+      return entry == null || entry.durable != location;
     }
   }
 
   @Override
-  public Map<String, byte[]> page(String after, int mostBytes) {
+  public Map<String, byte[]> page(String after, int maxBytes) {
     Map<String, byte[]> page = new LinkedHashMap<>();
     String name = after == null ? "" : after;
     long bytes = 0;
-    while (bytes < mostBytes) {
+    while (bytes < maxBytes) {
       synchronized (lock) {
-        name = index.names.higherKey(name);
+        name = index.entries.higherKey(name);
       }
       if (name == null) {
         break;
@@ -214,12 +214,12 @@
   public Iterable<String> names(String prefix) {
     List<String> found = new ArrayList<>();
     synchronized (lock) {
-      for (IndexEntry named : index.names.tailMap(prefix, true).values()) {
-        if (!named.name.startsWith(prefix)) {
+      for (IndexEntry entry : index.entries.tailMap(prefix, true).values()) {
+        if (!entry.name.startsWith(prefix)) {
           break;
         }
-        if (named.there()) {
-          found.add(named.name);
+        if (entry.exists()) {
+          found.add(entry.name);
         }
       }
     }
@@ -242,7 +242,7 @@
     }
     if (thread != null) {
       try {
-        thread.join(CLOSE_MS);
+        thread.join(CLOSE_TIMEOUT_MS);
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
@@ -251,18 +251,18 @@
 
   private void run() {
     try {
-      turns();
+      runUntilClosed();
     } catch (RejectedExecutionException e) {
       LOG.info("the disk's thread ends with the loop");
     } catch (Error e) {
-      failed(List.of(), new ElmsailException(ErrorCode.INTERNAL, "the disk's thread ended", e));
+      onBatchFailed(List.of(), new ElmsailException(ErrorCode.INTERNAL, "the disk's thread ended", e));
       throw e;
     }
   }
 
-  private void turns() {
+  private void runUntilClosed() {
     while (true) {
-      if (!work.turn()) {
+      if (!worker.runOnce()) {
         synchronized (lock) {
           while (queue.isEmpty()) {
             if (closed) {
@@ -279,14 +279,14 @@
     }
   }
 
-  int compactions() {
-    return work.steps();
+  int compactionSteps() {
+    return worker.compactionSteps();
   }
 
   /** Names in memory, those of removals that are still needed included. */
-  int indexed() {
+  int indexedNames() {
     synchronized (lock) {
-      return index.names.size();
+      return index.entries.size();
     }
   }
 
@@ -297,47 +297,47 @@
   }
 
   /** The next batch for the disk's thread; empty if nothing waits. */
-  List<PendingWrite> take() {
+  List<PendingWrite> nextBatch() {
     synchronized (lock) {
-      return queue.batch();
+      return queue.pollBatch();
     }
   }
 
-  void written(List<PendingWrite> batch, long ms) {
+  void onBatchWritten(List<PendingWrite> batch, long ms) {
     synchronized (lock) {
-      queue.written(batch);
+      queue.onBatchWritten(batch);
     }
     completions.execute(
         () -> {
           counters.written(batch, ms);
-          for (PendingWrite waiting : batch) {
-            waiting.done.complete(null);
+          for (PendingWrite pending : batch) {
+            pending.completion.complete(null);
           }
         });
   }
 
-  void failed(List<PendingWrite> batch, ElmsailException why) {
+  void onBatchFailed(List<PendingWrite> batch, ElmsailException cause) {
     List<PendingWrite> all;
     synchronized (lock) {
-      all = queue.fail(batch);
-      for (PendingWrite waiting : all) {
-        for (PendingWrite.Item item : waiting.items) {
-          item.named().waitingSeq = 0;
-          item.named().waiting = null;
-          index.tidy(item.named());
+      all = queue.failBatch(batch);
+      for (PendingWrite pending : all) {
+        for (PendingWrite.Item item : pending.records) {
+          item.entry().pendingSeq = 0;
+          item.entry().pendingBytes = null;
+          index.prune(item.entry());
         }
       }
     }
-    completions.execute(() -> tellFailed(all, why));
+    completions.execute(() -> completeFailed(all, cause));
   }
 
-  private void tellFailed(List<PendingWrite> all, ElmsailException why) {
+  private void completeFailed(List<PendingWrite> all, ElmsailException cause) {
     counters.failed();
     synchronized (lock) {
-      all.addAll(queue.failureIsTold());
+      all.addAll(queue.endFailure());
     }
-    for (PendingWrite waiting : all) {
-      waiting.done.completeExceptionally(why);
+    for (PendingWrite pending : all) {
+      pending.completion.completeExceptionally(cause);
     }
   }
 }
--- a/storage/src/main/java/elmsail/storage/DiskWorker.java
+++ b/storage/src/main/java/elmsail/storage/DiskWorker.java
@@ -17,133 +17,133 @@
  */
 final class DiskWorker {
   private static final Logger LOG = LoggerFactory.getLogger(DiskWorker.class);
-  private static final int MOST_STEPS = 64;
+  private static final int MAX_STEPS_PER_BATCH = 64;
 
-  private final DirectoryRecordStore records;
-  private final StorageDirectory folder;
+  private final DirectoryRecordStore store;
+  private final StorageDirectory directory;
   private final RecordIndex index;
   private final Object lock;
   private final Compaction compaction;
-  private final long mostBytes;
+  private final long maxBytes;
   private final MonotonicClock clock;
 
   /** After a failed step, until a batch was written again. */
-  private boolean held;
+  private boolean compactionSuspended;
 
-  private int steps;
-  private boolean refused;
+  private int compactionSteps;
+  private boolean diskFailing;
 
   DiskWorker(
-      DirectoryRecordStore records,
-      StorageDirectory folder,
+      DirectoryRecordStore store,
+      StorageDirectory directory,
       RecordIndex index,
       Object lock,
-      long mostBytes,
+      long maxBytes,
       MonotonicClock clock) {
-    this.records = records;
-    this.folder = folder;
+    this.store = store;
+    this.directory = directory;
     this.index = index;
     this.lock = lock;
-    this.mostBytes = mostBytes;
+    this.maxBytes = maxBytes;
     this.clock = clock;
-    compaction = new Compaction(mostBytes);
+    compaction = new Compaction(maxBytes);
   }
 
   /** Whether there was anything to do. */
-  boolean turn() {
-    List<PendingWrite> batch = records.take();
+  boolean runOnce() {
+    List<PendingWrite> batch = store.nextBatch();
     if (batch.isEmpty()) {
-      return step(false);
+      return compact(false);
     }
-    long began = clock.now();
+    long startedAt = clock.now();
     try {
       write(batch);
-      held = false;
-      response(null);
+      compactionSuspended = false;
+      logDiskState(null);
     } catch (IOException e) {
-      response(e);
-      records.failed(batch, new ElmsailException(ErrorCode.STORAGE_FAILURE, "the disk refused: " + e, e));
+      logDiskState(e);
+      store.onBatchFailed(batch, new ElmsailException(ErrorCode.STORAGE_FAILURE, "the disk refused: " + e, e));
       return true;
     } catch (ElmsailException e) {
-      records.failed(batch, e);
+      store.onBatchFailed(batch, e);
       return true;
     } catch (RuntimeException e) {
       LOG.error("a batch could not be written", e);
-      records.failed(
+      store.onBatchFailed(
           batch, new ElmsailException(ErrorCode.INTERNAL, "a batch could not be written: " + e, e));
       return true;
     }
-    records.written(batch, clock.now() - began);
-    step(false);
+    store.onBatchWritten(batch, clock.now() - startedAt);
+    compact(false);
     return true;
   }
 
   private void write(List<PendingWrite> batch) throws IOException {
     Map<String, PendingWrite.Item> newest = new LinkedHashMap<>();
     long bytes = 0;
-    boolean values = false;
-    for (PendingWrite waiting : batch) {
-      for (PendingWrite.Item item : waiting.items) {
-        newest.put(item.named().name, item);
-        values |= item.bytes() != null;
+    boolean hasValues = false;
+    for (PendingWrite pending : batch) {
+      for (PendingWrite.Item item : pending.records) {
+        newest.put(item.entry().name, item);
+        hasValues |= item.bytes() != null;
       }
-      bytes += waiting.bytes;
+      bytes += pending.bytes;
     }
     if (newest.isEmpty()) {
       return;
     }
-    makeRoom(bytes, values);
+    reclaimSpace(bytes, hasValues);
     long[] at = new long[newest.size()];
     VersionFile file =
-        folder.write(
-            records.nextSeq(),
-            to -> {
+        directory.write(
+            store.nextSeq(),
+            writer -> {
               int next = 0;
               for (PendingWrite.Item item : newest.values()) {
-                at[next++] = to.record(item.utf(), item.seq(), item.bytes());
+                at[next++] = writer.writeRecord(item.nameUtf8(), item.seq(), item.bytes());
               }
             });
     synchronized (lock) {
-      index.fileIsSafe(file);
+      index.addFile(file);
       int next = 0;
       for (PendingWrite.Item item : newest.values()) {
-        land(item, file, at[next++]);
+        addToIndex(item, file, at[next++]);
       }
-      index.folderIsSynced();
+      index.onDirectorySynced();
       for (PendingWrite.Item item : newest.values()) {
-        index.tidy(item.named());
+        index.prune(item.entry());
       }
     }
   }
 
-  private void land(PendingWrite.Item item, VersionFile file, long at) {
+  private void addToIndex(PendingWrite.Item item, VersionFile file, long offset) {
     byte[] bytes = item.bytes();
-    boolean big = bytes != null && bytes.length > RecordIndex.SMALL_BYTES;
-    if (item.named().waitingSeq == item.seq()) {
-      item.named().waitingSeq = 0;
-      item.named().waiting = null;
+    boolean big = bytes != null && bytes.length > RecordIndex.MAX_IN_MEMORY_BYTES;
+    if (item.entry().pendingSeq == item.seq()) {
+      item.entry().pendingSeq = 0;
+      item.entry().pendingBytes = null;
     }
-    index.recordIsSafe(
-        item.named(),
+    index.addRecord(
+        item.entry(),
         new RecordLocation(
             item.seq(),
             bytes != null,
             big ? null : bytes,
             file,
-            at,
-            VersionWriter.recordBytes(item.utf(), bytes)));
+            offset,
+            VersionWriter.recordBytes(item.nameUtf8(), bytes)));
     if (big) {
       index.cache.put(item.seq(), bytes);
     }
   }
 
-  private void makeRoom(long bytes, boolean values) {
-    int mostSteps = steps + MOST_STEPS;
-    held = false;
-    while (diskBytes() + bytes > mostBytes / 10 * 9 && steps < mostSteps && step(true)) {
-      held = false;
+  private void reclaimSpace(long bytes, boolean hasValues) {
+    int maxCompactionSteps = compactionSteps + MAX_STEPS_PER_BATCH;
+    compactionSuspended = false;
+    while (diskBytes() + bytes > maxBytes / 10 * 9 && compactionSteps < maxCompactionSteps && compact(true)) {
+      compactionSuspended = false;
     }
-    if (values && diskBytes() + bytes > mostBytes) {
+    if (hasValues && diskBytes() + bytes > maxBytes) {
       throw new ElmsailException(ErrorCode.RESOURCE_EXHAUSTED, "the disk's share is used up");
     }
   }
@@ -155,80 +155,80 @@
   }
 
   /** One step of compaction; false if there is none to do now. */
-  private boolean step(boolean pressed) {
-    if (held) {
+  private boolean compact(boolean spaceNeeded) {
+    if (compactionSuspended) {
       return false;
     }
     Compaction.Step step;
     synchronized (lock) {
-      step = compaction.next(index, pressed);
+      step = compaction.nextStep(index, spaceNeeded);
       if (step == null
-          || step.movedBytes() > 0 && index.diskBytes() + step.movedBytes() > mostBytes) {
+          || step.movedBytes() > 0 && index.diskBytes() + step.movedBytes() > maxBytes) {
         return false;
       }
     }
     // Held until it is known to have gone well.
-    held = true;
+    compactionSuspended = true;
     try {
       if (!step.moved().isEmpty()) {
-        move(step.moved());
+        rewrite(step.moved());
       }
-      removeEmpty();
-      held = false;
-      steps++;
+      deleteEmptyFiles();
+      compactionSuspended = false;
+      compactionSteps++;
     } catch (IOException e) {
-      response(e);
+      logDiskState(e);
     }
-    return !held;
+    return !compactionSuspended;
   }
 
-  private void move(List<IndexEntry> moved) throws IOException {
+  private void rewrite(List<IndexEntry> moved) throws IOException {
     long[] at = new long[moved.size()];
     VersionFile file =
-        folder.write(
-            records.nextSeq(),
-            to -> {
+        directory.write(
+            store.nextSeq(),
+            writer -> {
               for (int i = 0; i < at.length; i++) {
-                IndexEntry named = moved.get(i);
-                at[i] = to.record(VersionWriter.utf(named.name), named.safe.seq(), bytes(named));
+                IndexEntry entry = moved.get(i);
+                at[i] = writer.writeRecord(VersionWriter.toUtf8(entry.name), entry.durable.seq(), bytes(entry));
               }
             });
     synchronized (lock) {
-      index.fileIsSafe(file);
+      index.addFile(file);
       for (int i = 0; i < at.length; i++) {
-        RecordLocation old = moved.get(i).safe;
-        index.recordIsSafe(
+        RecordLocation old = moved.get(i).durable;
+        index.addRecord(
             moved.get(i),
-            new RecordLocation(old.seq(), old.value(), old.bytes(), file, at[i], old.length()));
+            new RecordLocation(old.seq(), old.isValue(), old.bytes(), file, at[i], old.length()));
       }
-      index.folderIsSynced();
+      index.onDirectorySynced();
     }
   }
 
-  private byte[] bytes(IndexEntry named) throws IOException {
-    RecordLocation place = named.safe;
-    if (!place.value()) {
+  private byte[] bytes(IndexEntry entry) throws IOException {
+    RecordLocation location = entry.durable;
+    if (!location.isValue()) {
       return null;
     }
-    if (place.bytes() != null) {
-      return place.bytes();
+    if (location.bytes() != null) {
+      return location.bytes();
     }
     synchronized (lock) {
-      byte[] cached = index.cache.get(place.seq());
+      byte[] cached = index.cache.get(location.seq());
       if (cached != null) {
         return cached;
       }
     }
     try {
-      return folder.read(named.name, place);
+      return directory.read(entry.name, location);
     } catch (ElmsailException e) {
-      LOG.error("version {} cannot be rewritten: {}", place.file().version, e.getMessage());
-      place.file().unreadable = true;
+      LOG.error("version {} cannot be rewritten: {}", location.file().version, e.getMessage());
+      location.file().unreadable = true;
       throw new IOException(e);
     }
   }
 
-  private void removeEmpty() throws IOException {
+  private void deleteEmptyFiles() throws IOException {
     List<VersionFile> empty = new ArrayList<>();
     synchronized (lock) {
       for (VersionFile file : index.files.headMap(index.files.lastKey()).values()) {
@@ -238,24 +238,24 @@
       }
     }
     for (VersionFile file : empty) {
-      folder.remove(file);
+      directory.delete(file);
       synchronized (lock) {
-        index.fileIsRemoved(file);
+        index.removeFile(file);
       }
     }
   }
 
   /** Steps of compaction done. */
-  int steps() {
-    return steps;
+  int compactionSteps() {
+    return compactionSteps;
   }
 
-  private void response(IOException refusal) {
-    if (refusal != null && !refused) {
-      LOG.warn("the disk refuses: {}", refusal.toString());
-    } else if (refusal == null && refused) {
+  private void logDiskState(IOException failure) {
+    if (failure != null && !diskFailing) {
+      LOG.warn("the disk refuses: {}", failure.toString());
+    } else if (failure == null && diskFailing) {
       LOG.info("the disk takes writes again");
     }
-    refused = refusal != null;
+    diskFailing = failure != null;
   }
 }
--- a/storage/src/main/java/elmsail/storage/Files.java
+++ b/storage/src/main/java/elmsail/storage/FileSystem.java
@@ -6,13 +6,13 @@
 import java.util.List;
 
 /** What the records ask of a file system; tests put a simulated one in its place. */
-public interface Files {
+public interface FileSystem {
 
   /** Makes the folder where it does not stand yet. */
-  void makeFolder(Path folder) throws IOException;
+  void createDirectories(Path directory) throws IOException;
 
   /** The plain names in a folder, in any order. */
-  List<String> list(Path folder) throws IOException;
+  List<String> list(Path directory) throws IOException;
 
   /** An empty file, open for appending; one of that name is emptied. */
   Appender create(Path file) throws IOException;
@@ -21,16 +21,16 @@
   void rename(Path from, Path to) throws IOException;
 
   /** Also when there is no such file. */
-  void remove(Path file) throws IOException;
+  void delete(Path file) throws IOException;
 
   /** Makes renamed and removed names last. */
-  void syncFolder(Path folder) throws IOException;
+  void syncDirectory(Path directory) throws IOException;
 
   /**
    * Reads until {@code length} bytes are there or the file ends; returns how many. Called by two
    * threads.
    */
-  int read(Path file, long at, byte[] to, int from, int length) throws IOException;
+  int read(Path file, long offset, byte[] to, int from, int length) throws IOException;
 
   /** The bytes of the file. */
   long size(Path file) throws IOException;
--- a/storage/src/main/java/elmsail/storage/IndexEntry.java
+++ b/storage/src/main/java/elmsail/storage/IndexEntry.java
@@ -7,22 +7,22 @@
   final String name;
 
   /** Null if there is none. */
-  RecordLocation safe;
+  RecordLocation durable;
 
   /** 0 when nothing waits. */
-  long waitingSeq;
+  long pendingSeq;
 
   /** Null for a removal that waits. */
-  byte[] waiting;
+  byte[] pendingBytes;
 
   /** Values of this name, old ones too, in files that may still be there after a loss of power. */
-  int copies;
+  int valuesOnDisk;
 
   IndexEntry(String name) {
     this.name = name;
   }
 
-  boolean there() {
-    return waitingSeq != 0 ? waiting != null : safe != null && safe.value();
+  boolean exists() {
+    return pendingSeq != 0 ? pendingBytes != null : durable != null && durable.isValue();
   }
 }
--- a/storage/src/main/java/elmsail/storage/LocalFiles.java
+++ b/storage/src/main/java/elmsail/storage/LocalFileSystem.java
@@ -18,8 +18,8 @@
  * The file system itself, without locks, links or mappings; bytes pass through small direct
  * buffers.
  */
-final class LocalFiles implements Files {
-  private static final Logger LOG = LoggerFactory.getLogger(LocalFiles.class);
+final class LocalFileSystem implements FileSystem {
+  private static final Logger LOG = LoggerFactory.getLogger(LocalFileSystem.class);
   private static final int CHUNK_BYTES = 64 * 1024;
 
   private final ThreadLocal<ByteBuffer> chunks = new ThreadLocal<>();
@@ -35,9 +35,9 @@
   }
 
   @Override
-  public void makeFolder(Path folder) throws IOException {
+  public void createDirectories(Path directory) throws IOException {
     Deque<Path> missing = new ArrayDeque<>();
-    Path at = folder.toAbsolutePath();
+    Path at = directory.toAbsolutePath();
     while (at != null && !java.nio.file.Files.isDirectory(at)) {
       missing.push(at);
       at = at.getParent();
@@ -45,7 +45,7 @@
     for (Path p : missing) {
       java.nio.file.Files.createDirectories(p);
       try {
-        syncFolder(p.getParent());
+        syncDirectory(p.getParent());
       } catch (IOException e) {
         // The folder above the data is not ours: it may not be opened. A lost folder is a lost
         // disk.
@@ -55,9 +55,9 @@
   }
 
   @Override
-  public List<String> list(Path folder) throws IOException {
+  public List<String> list(Path directory) throws IOException {
     List<String> names = new ArrayList<>();
-    try (DirectoryStream<Path> files = java.nio.file.Files.newDirectoryStream(folder)) {
+    try (DirectoryStream<Path> files = java.nio.file.Files.newDirectoryStream(directory)) {
       for (Path file : files) {
         names.add(file.getFileName().toString());
       }
@@ -84,25 +84,25 @@
   }
 
   @Override
-  public void remove(Path file) throws IOException {
+  public void delete(Path file) throws IOException {
     java.nio.file.Files.deleteIfExists(file);
   }
 
   @Override
-  public void syncFolder(Path folder) throws IOException {
-    try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
+  public void syncDirectory(Path directory) throws IOException {
+    try (FileChannel channel = FileChannel.open(directory, StandardOpenOption.READ)) {
       channel.force(true);
     }
   }
 
   @Override
-  public int read(Path file, long at, byte[] to, int from, int length) throws IOException {
+  public int read(Path file, long offset, byte[] to, int from, int length) throws IOException {
     int done = 0;
     try (FileChannel channel = FileChannel.open(file, StandardOpenOption.READ)) {
       while (done < length) {
         ByteBuffer chunk = chunk();
         chunk.limit(Math.min(CHUNK_BYTES, length - done));
-        int got = channel.read(chunk, at + done);
+        int got = channel.read(chunk, offset + done);
         if (got <= 0) {
           break;
         }
--- a/storage/src/main/java/elmsail/storage/PendingWrite.java
+++ b/storage/src/main/java/elmsail/storage/PendingWrite.java
@@ -6,12 +6,12 @@
 
 /** Changes of one call that wait for the disk. */
 final class PendingWrite {
-  final List<Item> items = new ArrayList<>();
-  final CompletableFuture<Void> done = new CompletableFuture<>();
+  final List<Item> records = new ArrayList<>();
+  final CompletableFuture<Void> completion = new CompletableFuture<>();
 
   /** As records in a file. */
   long bytes;
 
   /** {@code bytes} is null for a removal. */
-  record Item(IndexEntry named, byte[] utf, long seq, byte[] bytes) {}
+  record Item(IndexEntry entry, byte[] nameUtf8, long seq, byte[] bytes) {}
 }
--- a/storage/src/main/java/elmsail/storage/RecordIndex.java
+++ b/storage/src/main/java/elmsail/storage/RecordIndex.java
@@ -13,9 +13,9 @@
  */
 final class RecordIndex {
   /** Values up to this are kept in memory. */
-  static final int SMALL_BYTES = 4 * 1024;
+  static final int MAX_IN_MEMORY_BYTES = 4 * 1024;
 
-  final TreeMap<String, IndexEntry> names = new TreeMap<>();
+  final TreeMap<String, IndexEntry> entries = new TreeMap<>();
   final TreeMap<Long, VersionFile> files = new TreeMap<>();
   final ByteCache cache = new ByteCache();
   private final List<VersionFile> removedUnsynced = new ArrayList<>();
@@ -30,16 +30,16 @@
     return liveBytes;
   }
 
-  IndexEntry named(String name) {
-    IndexEntry known = names.get(name);
+  IndexEntry entryFor(String name) {
+    IndexEntry known = entries.get(name);
     if (known == null) {
       known = new IndexEntry(name);
-      names.put(name, known);
+      entries.put(name, known);
     }
     return known;
   }
 
-  void fileIsSafe(VersionFile file) {
+  void addFile(VersionFile file) {
     files.put(file.version, file);
     diskBytes += file.bytes;
   }
@@ -47,87 +47,87 @@
   /**
    * A record that lies in a safe file; it is the newest of its name if none has a higher number.
    */
-  void recordIsSafe(IndexEntry named, RecordLocation place) {
-    VersionFile file = place.file();
-    if (place.value()) {
-      named.copies++;
-      file.values.add(named);
+  void addRecord(IndexEntry entry, RecordLocation location) {
+    VersionFile file = location.file();
+    if (location.isValue()) {
+      entry.valuesOnDisk++;
+      file.values.add(entry);
     } else {
-      file.removals.add(named);
+      file.removals.add(entry);
     }
-    RecordLocation before = named.safe;
-    if (before != null && before.seq() > place.seq()) {
+    RecordLocation before = entry.durable;
+    if (before != null && before.seq() > location.seq()) {
       return;
     }
     if (before != null) {
-      unsettle(before);
-      if (before.seq() != place.seq()) {
+      subtractLiveBytes(before);
+      if (before.seq() != location.seq()) {
         cache.remove(before.seq());
       }
     }
-    named.safe = place;
-    file.liveBytes += place.length();
-    liveBytes += place.length();
+    entry.durable = location;
+    file.liveBytes += location.length();
+    liveBytes += location.length();
   }
 
   /** The file's name was removed from the folder, which was not synced yet. */
-  void fileIsRemoved(VersionFile file) {
+  void removeFile(VersionFile file) {
     files.remove(file.version);
     diskBytes -= file.bytes;
     removedUnsynced.add(file);
   }
 
   /** What was removed from the folder cannot come back from here on. */
-  void folderIsSynced() {
+  void onDirectorySynced() {
     for (VersionFile file : removedUnsynced) {
-      for (IndexEntry named : file.values) {
-        named.copies--;
-        tidy(named);
+      for (IndexEntry entry : file.values) {
+        entry.valuesOnDisk--;
+        prune(entry);
       }
     }
     removedUnsynced.clear();
   }
 
   /** Forgets a removal that nothing needs any more, and a name of which nothing is left. */
-  void tidy(IndexEntry named) {
-    if (named.copies > 0) {
+  void prune(IndexEntry entry) {
+    if (entry.valuesOnDisk > 0) {
       return;
     }
-    if (named.safe != null && !named.safe.value()) {
-      unsettle(named.safe);
-      named.safe = null;
+    if (entry.durable != null && !entry.durable.isValue()) {
+      subtractLiveBytes(entry.durable);
+      entry.durable = null;
     }
-    if (named.safe == null && named.waitingSeq == 0) {
-      names.remove(named.name, named);
+    if (entry.durable == null && entry.pendingSeq == 0) {
+      entries.remove(entry.name, entry);
     }
   }
 
   /** After the folder was read: drops what is needed no more. */
-  void tidyAll() {
-    Iterator<IndexEntry> all = new ArrayList<>(names.values()).iterator();
+  void pruneAll() {
+    Iterator<IndexEntry> all = new ArrayList<>(entries.values()).iterator();
     while (all.hasNext()) {
-      tidy(all.next());
+      prune(all.next());
     }
   }
 
   /** The live records of a file, in the order written; values first. */
-  List<IndexEntry> live(VersionFile file) {
+  List<IndexEntry> liveRecords(VersionFile file) {
     List<IndexEntry> live = new ArrayList<>();
-    for (IndexEntry named : file.values) {
-      if (named.safe != null && named.safe.file() == file) {
-        live.add(named);
+    for (IndexEntry entry : file.values) {
+      if (entry.durable != null && entry.durable.file() == file) {
+        live.add(entry);
       }
     }
-    for (IndexEntry named : file.removals) {
-      if (named.safe != null && named.safe.file() == file) {
-        live.add(named);
+    for (IndexEntry entry : file.removals) {
+      if (entry.durable != null && entry.durable.file() == file) {
+        live.add(entry);
       }
     }
     return live;
   }
 
-  private void unsettle(RecordLocation place) {
-    place.file().liveBytes -= place.length();
-    liveBytes -= place.length();
+  private void subtractLiveBytes(RecordLocation location) {
+    location.file().liveBytes -= location.length();
+    liveBytes -= location.length();
   }
 }
--- a/storage/src/main/java/elmsail/storage/RecordStore.java
+++ b/storage/src/main/java/elmsail/storage/RecordStore.java
@@ -22,7 +22,7 @@
   long instanceId();
 
   /** Whether the folder was empty when it was opened. */
-  boolean fresh();
+  boolean isNew();
 
   /**
    * Done once all of them are safe, together with every earlier change; fails with code DISK, or
@@ -39,7 +39,7 @@
   /**
    * Names and bytes of the records behind {@code after}, in order, until about {@code mostBytes}.
    */
-  Map<String, byte[]> page(String after, int mostBytes);
+  Map<String, byte[]> page(String after, int maxBytes);
 
   /** Names that begin so, in order. */
   Iterable<String> names(String prefix);
--- a/storage/src/main/java/elmsail/storage/StorageDirectory.java
+++ b/storage/src/main/java/elmsail/storage/StorageDirectory.java
@@ -23,34 +23,34 @@
  * there later; until its removal is safe, every later version calls it void.
  */
 final class StorageDirectory {
-  private static final String PREFIX = "v-";
-  private static final String PART = ".part";
-  private static final int DIGITS = 16;
+  private static final String NAME_PREFIX = "v-";
+  private static final String PARTIAL_SUFFIX = ".part";
+  private static final int VERSION_DIGITS = 16;
 
-  private final Path folder;
-  private final Files files;
+  private final Path directory;
+  private final FileSystem fileSystem;
 
   /** Gathers small records, so that they cost one call of the system. */
-  private final ByteBuffer chunk = ByteBuffer.allocate(VersionWriter.CHUNK_BYTES);
+  private final ByteBuffer writeBuffer = ByteBuffer.allocate(VersionWriter.CHUNK_BYTES);
 
   private final TreeSet<Long> voids = new TreeSet<>();
-  private final List<Long> voidsRemoved = new ArrayList<>();
+  private final List<Long> deletedVoidVersions = new ArrayList<>();
   private long instanceId;
-  private boolean fresh;
+  private boolean isNew;
   private long nextVersion = 1;
   private long nextSeq = 1;
 
-  StorageDirectory(Path folder, Files files) {
-    this.folder = folder;
-    this.files = files;
+  StorageDirectory(Path directory, FileSystem fileSystem) {
+    this.directory = directory;
+    this.fileSystem = fileSystem;
   }
 
   long instanceId() {
     return instanceId;
   }
 
-  boolean fresh() {
-    return fresh;
+  boolean isNew() {
+    return isNew;
   }
 
   /** Above every sequence number that was ever acknowledged here. */
@@ -59,8 +59,8 @@
   }
 
   /** Writes the records of one file. */
-  interface Filler {
-    void fill(VersionWriter to) throws IOException;
+  interface RecordSource {
+    void writeTo(VersionWriter writer) throws IOException;
   }
 
   /**
@@ -68,79 +68,79 @@
    *
    * @throws ElmsailException of code DISK: a file is torn, or the disk refuses
    */
-  void open(RecordIndex into, long newLife) {
+  void open(RecordIndex index, long newInstanceId) {
     try {
-      files.makeFolder(folder);
-      List<Long> versions = versions();
+      fileSystem.createDirectories(directory);
+      List<Long> versions = listVersions();
       // What is there, or gone, stays so from here on: what is told from now on may build on it.
       if (versions.isEmpty()) {
-        files.syncFolder(folder);
-        fresh = true;
-        instanceId = newLife;
-        into.fileIsSafe(write(nextSeq, to -> {}));
+        fileSystem.syncDirectory(directory);
+        isNew = true;
+        instanceId = newInstanceId;
+        index.addFile(write(nextSeq, writer -> {}));
         return;
       }
       Collections.sort(versions, Collections.reverseOrder());
       nextVersion = versions.get(0) + 1;
       instanceId = 0;
-      Set<Long> isVoid = new HashSet<>();
+      Set<Long> voidVersions = new HashSet<>();
       for (long version : versions) {
-        if (isVoid.contains(version)) {
-          files.remove(path(version));
+        if (voidVersions.contains(version)) {
+          fileSystem.delete(pathOf(version));
         } else {
-          read(version, into, isVoid);
+          read(version, index, voidVersions);
         }
       }
-      files.syncFolder(folder);
+      fileSystem.syncDirectory(directory);
     } catch (IOException e) {
       throw new ElmsailException(ErrorCode.STORAGE_FAILURE, "the folder of records cannot be opened: " + e, e);
     }
-    into.tidyAll();
+    index.pruneAll();
   }
 
   /** A safe file of the next version; throws if it may not be safe, and calls the version void. */
-  VersionFile write(long seqAfter, Filler filler) throws IOException {
+  VersionFile write(long seqAfter, RecordSource source) throws IOException {
     long version = nextVersion++;
-    removeVoids();
-    Path part = folder.resolve(name(version) + PART);
+    deleteVoidVersions();
+    Path partial = directory.resolve(fileName(version) + PARTIAL_SUFFIX);
     long bytes;
-    boolean safe = false;
+    boolean durable = false;
     try {
-      try (Files.Appender out = files.create(part)) {
-        VersionWriter to =
-            new VersionWriter(out, chunk, version, instanceId, seqAfter, voidVersions());
-        filler.fill(to);
-        bytes = to.finish();
+      try (FileSystem.Appender out = fileSystem.create(partial)) {
+        VersionWriter writer =
+            new VersionWriter(out, writeBuffer, version, instanceId, seqAfter, voidVersions());
+        source.writeTo(writer);
+        bytes = writer.finish();
       }
-      files.rename(part, path(version));
-      files.syncFolder(folder);
-      safe = true;
+      fileSystem.rename(partial, pathOf(version));
+      fileSystem.syncDirectory(directory);
+      durable = true;
     } finally {
-      if (!safe) {
+      if (!durable) {
         voids.add(version);
       }
     }
-    voids.removeAll(voidsRemoved);
+    voids.removeAll(deletedVoidVersions);
     return new VersionFile(version, bytes);
   }
 
-  void remove(VersionFile file) throws IOException {
-    files.remove(path(file.version));
+  void delete(VersionFile file) throws IOException {
+    fileSystem.delete(pathOf(file.version));
   }
 
   /** Reads a big value; called by the thread of the caller as well. */
-  byte[] read(String name, RecordLocation place) throws IOException {
-    return VersionReader.one(
-        files, path(place.file().version), place.at(), place.length(), name, place.seq());
+  byte[] read(String name, RecordLocation location) throws IOException {
+    return VersionReader.readRecord(
+        fileSystem, pathOf(location.file().version), location.offset(), location.length(), name, location.seq());
   }
 
-  private void removeVoids() {
-    voidsRemoved.clear();
+  private void deleteVoidVersions() {
+    deletedVoidVersions.clear();
     for (long version : voids) {
       try {
-        files.remove(folder.resolve(name(version) + PART));
-        files.remove(path(version));
-        voidsRemoved.add(version);
+        fileSystem.delete(directory.resolve(fileName(version) + PARTIAL_SUFFIX));
+        fileSystem.delete(pathOf(version));
+        deletedVoidVersions.add(version);
       } catch (IOException e) {
         // It stays void, and is tried again before the next file.
         return;
@@ -157,17 +157,17 @@
     return all;
   }
 
-  private List<Long> versions() throws IOException {
+  private List<Long> listVersions() throws IOException {
     List<Long> versions = new ArrayList<>();
-    for (String name : files.list(folder)) {
-      if (!name.startsWith(PREFIX)) {
+    for (String name : fileSystem.list(directory)) {
+      if (!name.startsWith(NAME_PREFIX)) {
         continue;
       }
-      if (name.endsWith(PART)) {
-        files.remove(folder.resolve(name));
-      } else if (name.length() == PREFIX.length() + DIGITS) {
+      if (name.endsWith(PARTIAL_SUFFIX)) {
+        fileSystem.delete(directory.resolve(name));
+      } else if (name.length() == NAME_PREFIX.length() + VERSION_DIGITS) {
         try {
-          versions.add(Long.parseLong(name.substring(PREFIX.length())));
+          versions.add(Long.parseLong(name.substring(NAME_PREFIX.length())));
         } catch (NumberFormatException e) {
           throw new ElmsailException(ErrorCode.STORAGE_FAILURE, "a file that is none of ours: " + name, e);
         }
@@ -176,31 +176,31 @@
     return versions;
   }
 
-  private void read(long version, RecordIndex into, Set<Long> isVoid) throws IOException {
-    VersionReader reader = new VersionReader(files, path(version));
+  private void read(long version, RecordIndex index, Set<Long> voidVersions) throws IOException {
+    VersionReader reader = new VersionReader(fileSystem, pathOf(version));
     if (reader.version != version || instanceId != 0 && reader.instanceId != instanceId) {
-      throw new ElmsailException(ErrorCode.STORAGE_FAILURE, name(version) + " is not of this folder");
+      throw new ElmsailException(ErrorCode.STORAGE_FAILURE, fileName(version) + " is not of this folder");
     }
     instanceId = reader.instanceId;
     nextSeq = Math.max(nextSeq, reader.nextSeq);
     for (long v : reader.voids) {
-      isVoid.add(v);
+      voidVersions.add(v);
     }
     VersionFile file = new VersionFile(version, reader.size());
-    into.fileIsSafe(file);
-    reader.records(
-        RecordIndex.SMALL_BYTES,
-        (name, seq, value, bytes, at, length) ->
-            into.recordIsSafe(
-                into.named(name), new RecordLocation(seq, value, bytes, file, at, length)));
+    index.addFile(file);
+    reader.readRecords(
+        RecordIndex.MAX_IN_MEMORY_BYTES,
+        (name, seq, value, bytes, offset, length) ->
+            index.addRecord(
+                index.entryFor(name), new RecordLocation(seq, value, bytes, file, offset, length)));
   }
 
-  private Path path(long version) {
-    return folder.resolve(name(version));
+  private Path pathOf(long version) {
+    return directory.resolve(fileName(version));
   }
 
-  private static String name(long version) {
+  private static String fileName(long version) {
     String digits = Long.toString(version);
-    return PREFIX + "0".repeat(DIGITS - digits.length()) + digits;
+    return NAME_PREFIX + "0".repeat(VERSION_DIGITS - digits.length()) + digits;
   }
 }
--- a/storage/src/main/java/elmsail/storage/VersionWriter.java
+++ b/storage/src/main/java/elmsail/storage/VersionWriter.java
@@ -18,23 +18,23 @@
   static final byte REMOVAL = 2;
 
   /** Magic, format, version, life, next sequence number, number of void versions. */
-  static final int HEAD_BYTES = 4 + 4 + 8 + 8 + 8 + 4;
+  static final int HEADER_BYTES = 4 + 4 + 8 + 8 + 8 + 4;
 
   /** Kind, sequence number, length of the name, length of the bytes. */
-  static final int RECORD_HEAD_BYTES = 1 + 8 + 2 + 4;
+  static final int RECORD_HEADER_BYTES = 1 + 8 + 2 + 4;
 
   static final int END_BYTES = 1 + 4 + 4;
   static final int CHUNK_BYTES = 64 * 1024;
 
-  private final Files.Appender out;
+  private final FileSystem.Appender out;
   private final ByteBuffer chunk;
-  private final CRC32C crc = new CRC32C();
-  private final CRC32C overAll = new CRC32C();
+  private final CRC32C recordCrc = new CRC32C();
+  private final CRC32C fileCrc = new CRC32C();
   private long appended;
   private int records;
 
   VersionWriter(
-      Files.Appender out,
+      FileSystem.Appender out,
       ByteBuffer chunk,
       long version,
       long instanceId,
@@ -43,68 +43,68 @@
       throws IOException {
     this.out = out;
     this.chunk = chunk.clear();
-    ByteBuffer head = ByteBuffer.allocate(HEAD_BYTES + 8 * voids.length);
-    head.putInt(MAGIC)
+    ByteBuffer header = ByteBuffer.allocate(HEADER_BYTES + 8 * voids.length);
+    header.putInt(MAGIC)
         .putInt(FORMAT)
         .putLong(version)
         .putLong(instanceId)
         .putLong(nextSeq)
         .putInt(voids.length);
     for (long v : voids) {
-      head.putLong(v);
+      header.putLong(v);
     }
-    checked(head.array());
-    sum();
+    putChecked(header.array());
+    putChecksum();
   }
 
   /** Bytes that a record takes in a file. */
   static int recordBytes(byte[] name, byte[] bytes) {
-    return RECORD_HEAD_BYTES + name.length + (bytes == null ? 0 : bytes.length) + 4;
+    return RECORD_HEADER_BYTES + name.length + (bytes == null ? 0 : bytes.length) + 4;
   }
 
-  static byte[] utf(String name) {
+  static byte[] toUtf8(String name) {
     return name.getBytes(StandardCharsets.UTF_8);
   }
 
   /** Returns where the record begins. */
-  long record(byte[] name, long seq, byte[] bytes) throws IOException {
-    long at = appended + chunk.position();
-    ByteBuffer head = ByteBuffer.allocate(RECORD_HEAD_BYTES);
-    head.put(bytes == null ? REMOVAL : VALUE)
+  long writeRecord(byte[] name, long seq, byte[] bytes) throws IOException {
+    long offset = appended + chunk.position();
+    ByteBuffer header = ByteBuffer.allocate(RECORD_HEADER_BYTES);
+    header.put(bytes == null ? REMOVAL : VALUE)
         .putLong(seq)
         .putShort((short) name.length)
         .putInt(bytes == null ? 0 : bytes.length);
-    checked(head.array());
-    checked(name);
+    putChecked(header.array());
+    putChecked(name);
     if (bytes != null) {
-      checked(bytes);
+      putChecked(bytes);
     }
-    sum();
+    putChecksum();
     records++;
-    return at;
+    return offset;
   }
 
   /** Writes the end and syncs; returns the file's length. */
   long finish() throws IOException {
     ByteBuffer end = ByteBuffer.allocate(END_BYTES);
     end.put(END).putInt(records);
-    overAll.update(end.array(), 0, 5);
-    end.putInt((int) overAll.getValue());
+    fileCrc.update(end.array(), 0, 5);
+    end.putInt((int) fileCrc.getValue());
     put(end.array());
     flush();
     out.sync();
     return appended;
   }
 
-  private void checked(byte[] bytes) throws IOException {
-    crc.update(bytes, 0, bytes.length);
+  private void putChecked(byte[] bytes) throws IOException {
+    recordCrc.update(bytes, 0, bytes.length);
     put(bytes);
   }
 
-  private void sum() throws IOException {
-    byte[] sum = ByteBuffer.allocate(4).putInt((int) crc.getValue()).array();
-    crc.reset();
-    overAll.update(sum, 0, 4);
+  private void putChecksum() throws IOException {
+    byte[] sum = ByteBuffer.allocate(4).putInt((int) recordCrc.getValue()).array();
+    recordCrc.reset();
+    fileCrc.update(sum, 0, 4);
     put(sum);
   }
 
--- a/storage/src/main/java/elmsail/storage/WriteQueue.java
+++ b/storage/src/main/java/elmsail/storage/WriteQueue.java
@@ -10,79 +10,79 @@
  */
 final class WriteQueue {
   /** Bytes that may wait for a disk that hangs. */
-  static final long WAITING_BYTES = 64L * 1024 * 1024;
+  static final long MAX_PENDING_BYTES = 64L * 1024 * 1024;
 
-  private static final long BATCH_BYTES = 4L * 1024 * 1024;
+  private static final long MAX_BATCH_BYTES = 4L * 1024 * 1024;
 
   private final ArrayDeque<PendingWrite> queue = new ArrayDeque<>();
 
   /** Of what waits, that being written included. */
-  private long waitingBytes;
+  private long pendingBytes;
 
-  private boolean failing;
-  private List<PendingWrite> failedSince = new ArrayList<>();
+  private boolean isFailing;
+  private List<PendingWrite> failedSinceBatch = new ArrayList<>();
 
   boolean isEmpty() {
     return queue.isEmpty();
   }
 
   /** How many bytes would wait with this one. */
-  long bytesWith(PendingWrite one) {
-    return waitingBytes + one.bytes;
+  long pendingBytesWith(PendingWrite pending) {
+    return pendingBytes + pending.bytes;
   }
 
   /** Removals find room where values don't, as they are what makes room again. */
-  boolean hasRoom(PendingWrite one, boolean values) {
-    return bytesWith(one) <= (values ? WAITING_BYTES : WAITING_BYTES + BATCH_BYTES);
+  boolean hasCapacity(PendingWrite pending, boolean hasValues) {
+    return pendingBytesWith(pending) <= (hasValues ? MAX_PENDING_BYTES : MAX_PENDING_BYTES + MAX_BATCH_BYTES);
   }
 
-  void add(PendingWrite one) {
-    waitingBytes += one.bytes;
-    queue.add(one);
+  void add(PendingWrite pending) {
+    pendingBytes += pending.bytes;
+    queue.add(pending);
   }
 
   /** The next batch, taken off the queue; empty if nothing waits. */
-  List<PendingWrite> batch() {
+  List<PendingWrite> pollBatch() {
     List<PendingWrite> batch = new ArrayList<>();
     long bytes = 0;
-    while (!queue.isEmpty() && (batch.isEmpty() || bytes + queue.peek().bytes <= BATCH_BYTES)) {
+    while (!queue.isEmpty() && (batch.isEmpty() || bytes + queue.peek().bytes <= MAX_BATCH_BYTES)) {
       bytes += queue.peek().bytes;
       batch.add(queue.poll());
     }
     return batch;
   }
 
-  void written(List<PendingWrite> batch) {
-    for (PendingWrite one : batch) {
-      waitingBytes -= one.bytes;
+  void onBatchWritten(List<PendingWrite> batch) {
+    for (PendingWrite pending : batch) {
+      pendingBytes -= pending.bytes;
     }
   }
 
   /** Fails the batch and all that waits behind it; returns them. */
-  List<PendingWrite> fail(List<PendingWrite> batch) {
-    failing = true;
+  List<PendingWrite> failBatch(List<PendingWrite> batch) {
+    isFailing = true;
     List<PendingWrite> all = new ArrayList<>(batch);
     all.addAll(queue);
     queue.clear();
-    waitingBytes = 0;
+    pendingBytes = 0;
     return all;
   }
 
   /** Whether a failure has not been told yet. */
-  boolean failing() {
-    return failing;
+  boolean isFailing() {
+    return isFailing;
   }
 
   /** May have been made from what was read as being written. */
-  void failWithTheOthers(PendingWrite one) {
-    failedSince.add(one);
+  void addToFailed(PendingWrite pending) {
+    failedSinceBatch.add(pending);
   }
 
   /** Returns what was written since the failure; later writes are taken again. */
-  List<PendingWrite> failureIsTold() {
-    failing = false;
-    List<PendingWrite> since = failedSince;
-    failedSince = new ArrayList<>();
+  List<PendingWrite> endFailure() {
+    isFailing = false;
+    List<PendingWrite> since = failedSinceBatch;
+    failedSinceBatch = new ArrayList<>();
     return since;
   }
 }
--- a/storage/src/test/java/elmsail/storage/DirectoryRecordStoreTest.java
+++ b/storage/src/test/java/elmsail/storage/DirectoryRecordStoreTest.java
@@ -24,12 +24,12 @@
   }
 
   @Test
-  void whatWasWrittenIsThereAfterwards() throws Exception {
+  void recordsAreReadAfterReopening() throws Exception {
     Path dir = temp.resolve("data/records");
     long instanceId;
     try (DirectoryRecordStore records = DirectoryRecordStore.open(dir, 64 << 20, Runnable::run)) {
       instanceId = records.instanceId();
-      assertThat(records.fresh(), is(true));
+      assertThat(records.isNew(), is(true));
       records.write(
           List.of(new Change("a/1", filled(10, 1)), new Change("a/2", filled(300_000, 2))));
       records.write(List.of(new Change("b", new byte[0])));
@@ -37,7 +37,7 @@
       assertThat(records.read("a/2"), is(filled(300_000, 2)));
     }
     try (DirectoryRecordStore records = DirectoryRecordStore.open(dir, 64 << 20, Runnable::run)) {
-      assertThat(records.fresh(), is(false));
+      assertThat(records.isNew(), is(false));
       assertThat(records.instanceId(), is(instanceId));
       assertThat(records.read("a/1"), nullValue());
       assertThat(records.read("a/2"), is(filled(300_000, 2)));
--- a/storage/src/test/java/elmsail/storage/LevelStorageTest.java
+++ b/storage/src/test/java/elmsail/storage/LevelStorageTest.java
@@ -22,19 +22,19 @@
  * were made: found by reading the directory, as one file a version is written.
  */
 class LevelStorageTest {
-  private static final long MOST_BYTES = 64L << 20;
+  private static final long MAX_BYTES = 64L << 20;
   private static final int CONFIG_BYTES = 24_000;
 
   /** Beside the live records: as much again, this, and the file that is being written. */
   private static final long DEAD_BYTES = 1L << 20;
 
-  private static final int MOST_FILES = Compaction.FILES + 4;
+  private static final int MAX_FILES = Compaction.BASE_FILES + 4;
 
   @TempDir Path temp;
   private final ArrayDeque<Runnable> completions = new ArrayDeque<>();
 
   /** The largest that the directory and the index were within a stretch of changes. */
-  private static final class Peak {
+  private static final class PeakUsage {
     long bytes;
     int files;
     int indexed;
@@ -43,7 +43,7 @@
       long[] found = found(dir);
       files = Math.max(files, (int) found[0]);
       bytes = Math.max(bytes, found[1]);
-      indexed = Math.max(indexed, records.indexed());
+      indexed = Math.max(indexed, records.indexedNames());
     }
 
     @Override
@@ -65,12 +65,12 @@
   }
 
   private DirectoryRecordStore open(Path dir) {
-    return DirectoryRecordStore.byHand(dir, MOST_BYTES, completions::add, new LocalFiles(), 7);
+    return DirectoryRecordStore.openWithoutThread(dir, MAX_BYTES, completions::add, new LocalFileSystem(), 7);
   }
 
   private void write(DirectoryRecordStore records, List<Change> changes) {
     records.write(changes);
-    while (records.turn()) {
+    while (records.runOnce()) {
       continue;
     }
     while (!completions.isEmpty()) {
@@ -85,9 +85,9 @@
   }
 
   /** As a voter writes them: each change of the configuration is a promise and an accept. */
-  private Peak configurations(DirectoryRecordStore records, Path dir, int from, int to)
+  private PeakUsage configurations(DirectoryRecordStore records, Path dir, int from, int to)
       throws IOException {
-    Peak peak = new Peak();
+    PeakUsage peak = new PeakUsage();
     for (int i = from; i < to; i++) {
       write(records, List.of(new Change("head/k/timetable", filled(CONFIG_BYTES, i))));
       write(records, List.of(new Change("head/k/timetable", filled(CONFIG_BYTES, i))));
@@ -100,18 +100,18 @@
   }
 
   @Test
-  void changesOfFewKeysLeaveALevelDirectory() throws IOException {
+  void repeatedChangesKeepTheDirectorySizeLevel() throws IOException {
     Path dir = temp.resolve("keys");
     DirectoryRecordStore records = open(dir);
-    Peak early = configurations(records, dir, 0, 200);
-    Peak late = configurations(records, dir, 200, 1_200);
+    PeakUsage early = configurations(records, dir, 0, 200);
+    PeakUsage late = configurations(records, dir, 200, 1_200);
     System.out.println("changes 1 to 200: " + early);
     System.out.println("changes 201 to 1,200: " + late);
     long live = CONFIG_BYTES + 1_000;
     assertThat(late.bytes, lessThan(2 * live + DEAD_BYTES + CONFIG_BYTES + 1_000));
-    assertThat(late.files, lessThanOrEqualTo(MOST_FILES));
+    assertThat(late.files, lessThanOrEqualTo(MAX_FILES));
     assertThat(late.indexed, is(early.indexed));
-    assertThat(records.compactions(), greaterThan(10));
+    assertThat(records.compactionSteps(), greaterThan(10));
     reopened(dir, records, "head/k/timetable", filled(CONFIG_BYTES, 1_199));
   }
 
@@ -122,19 +122,19 @@
     long[] there = found(dir);
     DirectoryRecordStore records = open(dir);
     System.out.println("read at a start: " + there[0] + " files of " + there[1] + " bytes");
-    assertThat(there[0], lessThanOrEqualTo((long) MOST_FILES));
-    assertThat(records.indexed(), lessThanOrEqualTo(before.indexed()));
+    assertThat(there[0], lessThanOrEqualTo((long) MAX_FILES));
+    assertThat(records.indexedNames(), lessThanOrEqualTo(before.indexedNames()));
     assertThat(records.read(name), is(newest));
   }
 
   /** Batch jobs come and are dropped: the keys and blobs that ended leave nothing. */
   @Test
-  void keysThatComeAndGoLeaveNothing() throws IOException {
+  void removedKeysLeaveNothingBehind() throws IOException {
     Path dir = temp.resolve("jobs");
     DirectoryRecordStore records = open(dir);
     int open = 40;
-    List<Peak> peaks = new ArrayList<>();
-    Peak peak = new Peak();
+    List<PeakUsage> peaks = new ArrayList<>();
+    PeakUsage peak = new PeakUsage();
     for (int job = 0; job < 1_200; job++) {
       write(
           records,
@@ -153,13 +153,13 @@
       if (job % 300 == 299) {
         System.out.println("jobs to " + (job + 1) + ": " + peak);
         peaks.add(peak);
-        peak = new Peak();
+        peak = new PeakUsage();
       }
     }
     long live = open * 6_500L;
-    for (Peak each : peaks) {
+    for (PeakUsage each : peaks) {
       assertThat(each.bytes, lessThan(2 * live + DEAD_BYTES + 20_000));
-      assertThat(each.files, lessThanOrEqualTo(MOST_FILES));
+      assertThat(each.files, lessThanOrEqualTo(MAX_FILES));
     }
     // Names of removals are kept while an old value lies in a file: as many as these files hold.
     assertThat(peaks.get(3).indexed, lessThanOrEqualTo(peaks.get(1).indexed + open));
