--- a/storage/src/test/java/elmsail/storage/PendingWriteTest.java
+++ b/storage/src/test/java/elmsail/storage/PendingWriteTest.java
@@ -24,16 +24,16 @@
 class PendingWriteTest {
   private static final Path DIR = Path.of("records");
 
-  private final TornFiles files = new TornFiles(1);
-  private final ArrayDeque<Runnable> response = new ArrayDeque<>();
+  private final PowerLossFileSystem fileSystem = new PowerLossFileSystem(1);
+  private final ArrayDeque<Runnable> completions = new ArrayDeque<>();
 
-  private DirectoryRecordStore open(long mostBytes) {
-    return DirectoryRecordStore.byHand(DIR, mostBytes, response::add, files, 7);
+  private DirectoryRecordStore open(long maxBytes) {
+    return DirectoryRecordStore.openWithoutThread(DIR, maxBytes, completions::add, fileSystem, 7);
   }
 
-  private void tell() {
-    while (!response.isEmpty()) {
-      response.poll().run();
+  private void runCompletions() {
+    while (!completions.isEmpty()) {
+      completions.poll().run();
     }
   }
 
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void whileTheDiskHangsWritesWaitAndAreBounded() {
+  void writesToAHangingDiskArePendingAndBounded() {
     DirectoryRecordStore records = open(1L << 40);
     byte[] big = new byte[8 << 20];
     List<CompletableFuture<Void>> waiting = new ArrayList<>();
@@ -61,62 +61,62 @@
     for (CompletableFuture<Void> each : waiting) {
       assertThat(each.isDone(), is(false));
     }
-    while (records.turn()) {
+    while (records.runOnce()) {
       assertThat(waiting.get(6).isDone(), is(false));
     }
-    tell();
+    runCompletions();
     for (CompletableFuture<Void> each : waiting) {
       assertThat(code(each), nullValue());
     }
     CompletableFuture<Void> after = records.write(put("after", 10));
-    records.turn();
-    tell();
+    records.runOnce();
+    runCompletions();
     assertThat(code(after), nullValue());
   }
 
   @Test
-  void whatMayBuildOnAFailedWriteFailsToo() {
+  void writeBeforeTheFailureIsReportedFailsToo() {
     DirectoryRecordStore records = open(1 << 20);
     CompletableFuture<Void> before = records.write(put("a", 1));
-    records.turn();
+    records.runOnce();
     CompletableFuture<Void> first = records.write(put("a", 2));
-    files.refusing = 1;
+    fileSystem.refusalRate = 1;
     // Taken by the turn, in one batch, with nothing behind it.
-    records.turn();
-    CompletableFuture<Void> untold = records.write(put("b", 3));
-    files.refusing = 0;
-    assertThat(records.turn(), is(false));
+    records.runOnce();
+    CompletableFuture<Void> duringFailure = records.write(put("b", 3));
+    fileSystem.refusalRate = 0;
+    assertThat(records.runOnce(), is(false));
     assertThat(records.read("a").length, is(1));
     assertThat(records.read("b"), nullValue());
-    tell();
+    runCompletions();
     assertThat(code(before), nullValue());
     assertThat(code(first), is(ErrorCode.STORAGE_FAILURE));
-    assertThat(code(untold), is(ErrorCode.STORAGE_FAILURE));
+    assertThat(code(duringFailure), is(ErrorCode.STORAGE_FAILURE));
     CompletableFuture<Void> later = records.write(put("b", 4));
-    records.turn();
-    tell();
+    records.runOnce();
+    runCompletions();
     assertThat(code(later), nullValue());
     assertThat(records.read("a").length, is(1));
     assertThat(open(1 << 20).read("a").length, is(1));
   }
 
   @Test
-  void whatWaitsBehindAFailedBatchFailsWithIt() {
+  void writesQueuedBehindAFailedBatchFailWithIt() {
     DirectoryRecordStore records = open(1L << 30);
     CompletableFuture<Void> first = records.write(put("a", 3 << 20));
     CompletableFuture<Void> behind = records.write(put("b", 3 << 20));
-    files.refusing = 1;
-    records.turn();
-    files.refusing = 0;
-    assertThat(records.turn(), is(false));
-    tell();
+    fileSystem.refusalRate = 1;
+    records.runOnce();
+    fileSystem.refusalRate = 0;
+    assertThat(records.runOnce(), is(false));
+    runCompletions();
     assertThat(code(first), is(ErrorCode.STORAGE_FAILURE));
     assertThat(code(behind), is(ErrorCode.STORAGE_FAILURE));
     assertThat(records.read("b"), nullValue());
   }
 
   @Test
-  void aFullDiskRefusesAtOnceAndTakesRemovals() {
+  void fullDiskRejectsValuesAndAcceptsRemovals() {
     long most = 1 << 20;
     DirectoryRecordStore records = open(most);
     int kept = 0;
@@ -127,22 +127,22 @@
         break;
       }
       kept++;
-      records.turn();
-      tell();
+      records.runOnce();
+      runCompletions();
       assertThat(code(done), nullValue());
       assertThat(records.bytesOnDisk(), lessThanOrEqualTo(most));
     }
     assertThat(kept, greaterThan(85));
     List<Change> gone = List.of(new Change("r/0", null), new Change("r/1", null));
     CompletableFuture<Void> removal = records.write(gone);
-    records.turn();
-    tell();
+    records.runOnce();
+    runCompletions();
     assertThat(code(removal), nullValue());
     // Rewritten over and over, the room is found again by compaction.
     for (int i = 0; i < 300; i++) {
       CompletableFuture<Void> again = records.write(put("r/2", 10_000));
-      records.turn();
-      tell();
+      records.runOnce();
+      runCompletions();
       assertThat(code(again), nullValue());
       assertThat(records.bytesOnDisk(), lessThanOrEqualTo(most));
     }
@@ -153,18 +153,18 @@
     DirectoryRecordStore records = open(1 << 20);
     for (int i = 0; i < 2_000; i++) {
       records.write(put("lot/" + i, 500));
-      records.turn();
+      records.runOnce();
       records.write(List.of(new Change("lot/" + i, null)));
-      records.turn();
+      records.runOnce();
     }
-    while (records.turn()) {
-      tell();
+    while (records.runOnce()) {
+      runCompletions();
     }
-    tell();
+    runCompletions();
     assertThat(records.names("").iterator().hasNext(), is(false));
     assertThat(records.bytesOnDisk(), lessThan(200_000L));
-    assertThat(files.contents().size(), lessThanOrEqualTo(Compaction.FILES + 1));
-    assertThat(records.indexed(), lessThan(100));
+    assertThat(fileSystem.contents().size(), lessThanOrEqualTo(Compaction.BASE_FILES + 1));
+    assertThat(records.indexedNames(), lessThan(100));
   }
 
   /**
@@ -172,13 +172,13 @@
    * moment.
    */
   @Test
-  void theCallerReadsItsOwnWritesWhileTheDiskWorks() throws Exception {
-    TornFiles own = new TornFiles(3);
+  void callerReadsItsOwnWritesDuringCompaction() throws Exception {
+    PowerLossFileSystem fileSystem = new PowerLossFileSystem(3);
     Random random = new Random(11);
     TreeMap<String, byte[]> model = new TreeMap<>();
     CompletableFuture<Void> last = null;
     try (DirectoryRecordStore records =
-        DirectoryRecordStore.open(DIR, 2 << 20, Runnable::run, own)) {
+        DirectoryRecordStore.open(DIR, 2 << 20, Runnable::run, fileSystem)) {
       for (int i = 0; i < 20_000; i++) {
         String name = "n/" + random.nextInt(40);
         if (random.nextBoolean()) {
@@ -200,10 +200,10 @@
         }
       }
       last.get(10, TimeUnit.SECONDS);
-      assertThat(records.compactions(), greaterThan(10));
+      assertThat(records.compactionSteps(), greaterThan(10));
       assertThat(records.page(null, Integer.MAX_VALUE).keySet(), is(model.keySet()));
     }
-    DirectoryRecordStore again = DirectoryRecordStore.byHand(DIR, 2 << 20, Runnable::run, own, 5);
+    DirectoryRecordStore again = DirectoryRecordStore.openWithoutThread(DIR, 2 << 20, Runnable::run, fileSystem, 5);
     for (String name : model.keySet()) {
       assertThat(again.read(name), is(model.get(name)));
     }
--- a/storage/src/test/java/elmsail/storage/PinnedDirectory.java
+++ b/storage/src/test/java/elmsail/storage/PinnedDirectory.java
@@ -22,7 +22,7 @@
   static final int SMALL_BYTES = 300;
 
   /** More than a record that is kept in memory. */
-  static final int BIG_BYTES = RecordIndex.SMALL_BYTES + 500;
+  static final int BIG_BYTES = RecordIndex.MAX_IN_MEMORY_BYTES + 500;
 
   private static final long MOST_BYTES = 1 << 24;
 
@@ -45,11 +45,11 @@
   }
 
   /** Writes the directory by the present code. */
-  static void write(Path folder) throws IOException {
+  static void write(Path directory) throws IOException {
     FailingRenames files = new FailingRenames();
     ArrayDeque<Runnable> completions = new ArrayDeque<>();
     DirectoryRecordStore store =
-        DirectoryRecordStore.byHand(folder, MOST_BYTES, completions::add, files, INSTANCE_ID);
+        DirectoryRecordStore.openWithoutThread(directory, MOST_BYTES, completions::add, files, INSTANCE_ID);
     Map<String, byte[]> last = records();
     write(store, completions, change(last, "set/k/n\u00e4me%2F1"), change(last, "empty"));
     write(store, completions, change(last, "big"), new Change("gone", filled(SMALL_BYTES, 2)));
@@ -63,19 +63,19 @@
   }
 
   /** Opens a directory without a thread. */
-  static DirectoryRecordStore open(Path folder) {
-    return DirectoryRecordStore.byHand(
-        folder, MOST_BYTES, Runnable::run, new LocalFiles(), INSTANCE_ID + 1);
+  static DirectoryRecordStore open(Path directory) {
+    return DirectoryRecordStore.openWithoutThread(
+        directory, MOST_BYTES, Runnable::run, new LocalFileSystem(), INSTANCE_ID + 1);
   }
 
   /** The names of the files of a folder, and their bytes. */
-  static Map<String, byte[]> files(Path folder) throws IOException {
-    LocalFiles local = new LocalFiles();
-    List<String> names = new ArrayList<>(local.list(folder));
+  static Map<String, byte[]> files(Path directory) throws IOException {
+    LocalFileSystem local = new LocalFileSystem();
+    List<String> names = new ArrayList<>(local.list(directory));
     names.sort(null);
     Map<String, byte[]> files = new LinkedHashMap<>();
     for (String name : names) {
-      files.put(name, java.nio.file.Files.readAllBytes(folder.resolve(name)));
+      files.put(name, java.nio.file.Files.readAllBytes(directory.resolve(name)));
     }
     return files;
   }
@@ -87,7 +87,7 @@
   private static void write(
       DirectoryRecordStore store, ArrayDeque<Runnable> completions, Change... changes) {
     store.write(List.of(changes));
-    while (store.turn()) {
+    while (store.runOnce()) {
       continue;
     }
     while (!completions.isEmpty()) {
@@ -104,18 +104,18 @@
   }
 
   /** The local files, whose renames can be made to fail. */
-  private static final class FailingRenames implements Files {
-    private final Files local = new LocalFiles();
+  private static final class FailingRenames implements FileSystem {
+    private final FileSystem local = new LocalFileSystem();
     private boolean renamesFail;
 
     @Override
-    public void makeFolder(Path folder) throws IOException {
-      local.makeFolder(folder);
+    public void createDirectories(Path directory) throws IOException {
+      local.createDirectories(directory);
     }
 
     @Override
-    public List<String> list(Path folder) throws IOException {
-      return local.list(folder);
+    public List<String> list(Path directory) throws IOException {
+      return local.list(directory);
     }
 
     @Override
@@ -132,18 +132,18 @@
     }
 
     @Override
-    public void remove(Path file) throws IOException {
-      local.remove(file);
+    public void delete(Path file) throws IOException {
+      local.delete(file);
     }
 
     @Override
-    public void syncFolder(Path folder) throws IOException {
-      local.syncFolder(folder);
+    public void syncDirectory(Path directory) throws IOException {
+      local.syncDirectory(directory);
     }
 
     @Override
-    public int read(Path file, long at, byte[] to, int from, int length) throws IOException {
-      return local.read(file, at, to, from, length);
+    public int read(Path file, long offset, byte[] to, int from, int length) throws IOException {
+      return local.read(file, offset, to, from, length);
     }
 
     @Override
--- a/storage/src/test/java/elmsail/storage/PinnedDirectoryTest.java
+++ b/storage/src/test/java/elmsail/storage/PinnedDirectoryTest.java
@@ -42,7 +42,7 @@
       java.nio.file.Files.write(temp.resolve(file.getKey()), file.getValue());
     }
     try (DirectoryRecordStore store = PinnedDirectory.open(temp)) {
-      assertThat(store.fresh(), is(false));
+      assertThat(store.isNew(), is(false));
       assertThat(store.instanceId(), is(PinnedDirectory.INSTANCE_ID));
       List<String> names = new ArrayList<>();
       store.names("").forEach(names::add);
@@ -69,7 +69,7 @@
   @Test
   void theLastFileCallsTheFailedVersionVoid() throws IOException, URISyntaxException {
     VersionReader reader =
-        new VersionReader(new LocalFiles(), pinned().resolve("v-0000000000000007"));
+        new VersionReader(new LocalFileSystem(), pinned().resolve("v-0000000000000007"));
     assertThat(reader.voids, equalTo(new long[] {6}));
   }
 }
--- a/storage/src/test/java/elmsail/storage/TornFiles.java
+++ b/storage/src/test/java/elmsail/storage/PowerLossFileSystem.java
@@ -16,7 +16,7 @@
  * operations, with or without having done them, and leave out its syncs (a defect that tests have
  * to notice).
  */
-final class TornFiles implements Files {
+final class PowerLossFileSystem implements FileSystem {
   /** The machine has no power from here on. */
   static final class PowerLost extends Error {
     private static final long serialVersionUID = 1;
@@ -27,7 +27,7 @@
   }
 
   /** What becomes of that which was not synced. */
-  enum Rest {
+  enum UnsyncedFate {
     KEPT,
     LOST,
     TORN
@@ -42,43 +42,43 @@
   private record NameChange(String from, String to, Inode created) {}
 
   private Map<String, Inode> names = new TreeMap<>();
-  private Map<String, Inode> lasting = new TreeMap<>();
-  private final List<NameChange> changes = new ArrayList<>();
+  private Map<String, Inode> durableNames = new TreeMap<>();
+  private final List<NameChange> unsyncedChanges = new ArrayList<>();
   private final Random random;
   int operations;
-  int lossAt = Integer.MAX_VALUE;
+  int powerLossAt = Integer.MAX_VALUE;
 
   /** Chance that an operation is refused. */
-  double refusing;
+  double refusalRate;
 
-  boolean fileSyncsLeftOut;
-  boolean folderSyncsLeftOut;
-  boolean made;
+  boolean skipFileSyncs;
+  boolean skipDirectorySyncs;
+  boolean directoryExists;
 
-  TornFiles(long seed) {
+  PowerLossFileSystem(long seed) {
     random = new Random(seed);
   }
 
   private synchronized void begin() throws IOException {
-    if (++operations >= lossAt) {
+    if (++operations >= powerLossAt) {
       throw new PowerLost();
     }
-    if (refusing > 0 && random.nextDouble() < refusing) {
+    if (refusalRate > 0 && random.nextDouble() < refusalRate) {
       throw new IOException("refused");
     }
   }
 
   private void end() throws IOException {
-    if (refusing > 0 && random.nextDouble() < refusing) {
+    if (refusalRate > 0 && random.nextDouble() < refusalRate) {
       throw new IOException("refused after it was done");
     }
   }
 
   /** The power goes and returns. */
-  synchronized void losePower(Rest rest) {
-    Map<String, Inode> left = new TreeMap<>(lasting);
-    for (NameChange change : changes) {
-      if (rest == Rest.LOST || rest == Rest.TORN && random.nextBoolean()) {
+  synchronized void losePower(UnsyncedFate unsynced) {
+    Map<String, Inode> left = new TreeMap<>(durableNames);
+    for (NameChange change : unsyncedChanges) {
+      if (unsynced == UnsyncedFate.LOST || unsynced == UnsyncedFate.TORN && random.nextBoolean()) {
         continue;
       }
       if (change.created != null) {
@@ -90,19 +90,19 @@
         }
       }
     }
-    changes.clear();
+    unsyncedChanges.clear();
     for (Inode inode : left.values()) {
-      if (rest == Rest.LOST) {
+      if (unsynced == UnsyncedFate.LOST) {
         inode.bytes = Arrays.copyOf(inode.bytes, inode.synced);
-      } else if (rest == Rest.TORN) {
+      } else if (unsynced == UnsyncedFate.TORN) {
         tear(inode);
       }
       inode.synced = inode.bytes.length;
       inode.unsynced.clear();
     }
     names = left;
-    lasting = new TreeMap<>(left);
-    lossAt = Integer.MAX_VALUE;
+    durableNames = new TreeMap<>(left);
+    powerLossAt = Integer.MAX_VALUE;
     operations = 0;
   }
 
@@ -135,8 +135,8 @@
     inode.bytes = bytes;
     inode.synced = bytes.length;
     names.put(name, inode);
-    lasting.put(name, inode);
-    made = true;
+    durableNames.put(name, inode);
+    directoryExists = true;
   }
 
   private static String plain(Path file) {
@@ -152,16 +152,16 @@
   }
 
   @Override
-  public synchronized void makeFolder(Path folder) throws IOException {
+  public synchronized void createDirectories(Path directory) throws IOException {
     begin();
-    made = true;
+    directoryExists = true;
   }
 
   @Override
-  public synchronized List<String> list(Path folder) throws IOException {
+  public synchronized List<String> list(Path directory) throws IOException {
     begin();
-    if (!made) {
-      throw new NoSuchFileException(folder.toString());
+    if (!directoryExists) {
+      throw new NoSuchFileException(directory.toString());
     }
     return new ArrayList<>(names.keySet());
   }
@@ -171,7 +171,7 @@
     begin();
     Inode inode = new Inode();
     names.put(plain(file), inode);
-    changes.add(new NameChange(null, plain(file), inode));
+    unsyncedChanges.add(new NameChange(null, plain(file), inode));
     end();
     return new InodeAppender(inode);
   }
@@ -182,35 +182,35 @@
     Inode inode = inode(from);
     names.remove(plain(from));
     names.put(plain(to), inode);
-    changes.add(new NameChange(plain(from), plain(to), null));
+    unsyncedChanges.add(new NameChange(plain(from), plain(to), null));
     end();
   }
 
   @Override
-  public synchronized void remove(Path file) throws IOException {
+  public synchronized void delete(Path file) throws IOException {
     begin();
     if (names.remove(plain(file)) != null) {
-      changes.add(new NameChange(plain(file), null, null));
+      unsyncedChanges.add(new NameChange(plain(file), null, null));
     }
     end();
   }
 
   @Override
-  public synchronized void syncFolder(Path folder) throws IOException {
+  public synchronized void syncDirectory(Path directory) throws IOException {
     begin();
-    if (!folderSyncsLeftOut) {
-      changes.clear();
-      lasting = new TreeMap<>(names);
+    if (!skipDirectorySyncs) {
+      unsyncedChanges.clear();
+      durableNames = new TreeMap<>(names);
     }
     end();
   }
 
   @Override
-  public synchronized int read(Path file, long at, byte[] to, int from, int length)
+  public synchronized int read(Path file, long offset, byte[] to, int from, int length)
       throws IOException {
     Inode inode = inode(file);
-    int part = (int) Math.max(0, Math.min(length, inode.bytes.length - at));
-    System.arraycopy(inode.bytes, (int) at, to, from, part);
+    int part = (int) Math.max(0, Math.min(length, inode.bytes.length - offset));
+    System.arraycopy(inode.bytes, (int) offset, to, from, part);
     return part;
   }
 
@@ -228,7 +228,7 @@
 
     @Override
     public void append(byte[] bytes, int from, int length) throws IOException {
-      synchronized (TornFiles.this) {
+      synchronized (PowerLossFileSystem.this) {
         begin();
         int at = inode.bytes.length;
         inode.bytes = Arrays.copyOf(inode.bytes, at + length);
@@ -240,18 +240,18 @@
 
     @Override
     public void sync() throws IOException {
-      synchronized (TornFiles.this) {
+      synchronized (PowerLossFileSystem.this) {
         begin();
-        if (!fileSyncsLeftOut) {
+        if (!skipFileSyncs) {
           inode.synced = inode.bytes.length;
           inode.unsynced.clear();
           // A new file lasts with its own sync.
-          for (NameChange change : changes) {
+          for (NameChange change : unsyncedChanges) {
             if (change.created == inode) {
-              lasting.put(change.to, inode);
+              durableNames.put(change.to, inode);
             }
           }
-          changes.removeIf(c -> c.created == inode);
+          unsyncedChanges.removeIf(c -> c.created == inode);
         }
         end();
       }
--- a/storage/src/test/java/elmsail/storage/Story.java
+++ b/storage/src/test/java/elmsail/storage/RandomWrites.java
@@ -16,44 +16,44 @@
  * afterwards against what was acknowledged: exactly that, or with it the first few of the writes
  * under way, or of those of one failed batch that nothing was acknowledged after.
  */
-final class Story {
+final class RandomWrites {
   private static final int[] SIZES = {
-    0, 8, 300, RecordIndex.SMALL_BYTES, RecordIndex.SMALL_BYTES + 1, 9_000
+    0, 8, 300, RecordIndex.MAX_IN_MEMORY_BYTES, RecordIndex.MAX_IN_MEMORY_BYTES + 1, 9_000
   };
 
-  final TornFiles files;
+  final PowerLossFileSystem fileSystem;
   private final Random random;
-  private final long mostBytes;
+  private final long maxBytes;
   private final int names;
   private final int sizes;
-  private final ArrayDeque<Runnable> response = new ArrayDeque<>();
-  private final List<Write> underWay = new ArrayList<>();
+  private final ArrayDeque<Runnable> completions = new ArrayDeque<>();
+  private final List<Write> pending = new ArrayList<>();
 
   /** Failed since something was acknowledged last, by the failure that took them. */
   private final List<List<Write>> failed = new ArrayList<>();
 
   private Map<String, byte[]> acknowledged = new TreeMap<>();
-  private DirectoryRecordStore records;
+  private DirectoryRecordStore store;
   private long instanceId;
-  private int number;
+  private int nextNumber;
   int acknowledgements;
   int failures;
 
-  private record Write(List<Change> changes, CompletableFuture<Void> done) {}
+  private record Write(List<Change> changes, CompletableFuture<Void> completion) {}
 
-  Story(TornFiles files, long seed, long mostBytes, int names, int sizes) {
+  RandomWrites(PowerLossFileSystem fileSystem, long seed, long maxBytes, int names, int sizes) {
     this.sizes = sizes;
-    this.files = files;
-    this.mostBytes = mostBytes;
+    this.fileSystem = fileSystem;
+    this.maxBytes = maxBytes;
     this.names = names;
     random = new Random(seed);
   }
 
   void open() {
-    response.clear();
-    records =
-        DirectoryRecordStore.byHand(
-            Path.of("records"), mostBytes, response::add, files, random.nextLong() | 1);
+    completions.clear();
+    store =
+        DirectoryRecordStore.openWithoutThread(
+            Path.of("records"), maxBytes, completions::add, fileSystem, random.nextLong() | 1);
   }
 
   /** One write by chance, and some turns of the disk. */
@@ -63,43 +63,43 @@
       String name = "n/" + random.nextInt(names);
       changes.add(new Change(name, random.nextInt(4) == 0 ? null : bytes()));
     }
-    Write write = new Write(changes, records.write(changes));
-    underWay.add(write);
-    if (!write.done.isDone()) {
-      same(seen(write), records, "read at once");
+    Write write = new Write(changes, store.write(changes));
+    pending.add(write);
+    if (!write.completion.isDone()) {
+      assertReads(written(write), store, "read at once");
     }
-    turns(random.nextInt(3));
-    tell();
+    runWorker(random.nextInt(3));
+    runCompletions();
   }
 
-  private Map<String, byte[]> seen(Write write) {
+  private Map<String, byte[]> written(Write write) {
     Map<String, byte[]> seen = new TreeMap<>();
     apply(seen, write);
     return seen;
   }
 
-  void turns(int count) {
+  void runWorker(int count) {
     int i = 0;
-    while (i < count && records.turn()) {
+    while (i < count && store.runOnce()) {
       i++;
     }
   }
 
   private byte[] bytes() {
     byte[] bytes = new byte[8 + SIZES[random.nextInt(sizes)]];
-    Arrays.fill(bytes, (byte) number);
-    java.nio.ByteBuffer.wrap(bytes).putInt(number++);
+    Arrays.fill(bytes, (byte) nextNumber);
+    java.nio.ByteBuffer.wrap(bytes).putInt(nextNumber++);
     return bytes;
   }
 
-  void tell() {
-    while (!response.isEmpty()) {
-      response.poll().run();
+  void runCompletions() {
+    while (!completions.isEmpty()) {
+      completions.poll().run();
     }
     List<Write> fell = new ArrayList<>();
-    while (!underWay.isEmpty() && underWay.get(0).done.isDone()) {
-      Write write = underWay.remove(0);
-      if (write.done.isCompletedExceptionally()) {
+    while (!pending.isEmpty() && pending.get(0).completion.isDone()) {
+      Write write = pending.remove(0);
+      if (write.completion.isCompletedExceptionally()) {
         fell.add(write);
         failures++;
       } else {
@@ -127,16 +127,16 @@
   }
 
   /** What reads show now, with nothing waiting. */
-  void checkRead() {
-    same(acknowledged, records, "read");
+  void checkReads() {
+    assertReads(acknowledged, store, "read");
     Map<String, byte[]> paged = new TreeMap<>();
-    records.page(null, Integer.MAX_VALUE).forEach(paged::put);
+    store.page(null, Integer.MAX_VALUE).forEach(paged::put);
     if (!equal(acknowledged, paged)) {
       throw new AssertionError("pages show other records");
     }
   }
 
-  private static void same(Map<String, byte[]> wanted, DirectoryRecordStore records, String when) {
+  private static void assertReads(Map<String, byte[]> wanted, DirectoryRecordStore records, String when) {
     for (Map.Entry<String, byte[]> e : wanted.entrySet()) {
       if (!Arrays.equals(e.getValue(), records.read(e.getKey()))) {
         throw new AssertionError(when + ": " + e.getKey() + " is not as it was written");
@@ -148,15 +148,15 @@
   void reopen() {
     long before = instanceId;
     open();
-    instanceId = records.instanceId();
+    instanceId = store.instanceId();
     if (before != 0 && before != instanceId) {
       throw new AssertionError("another life");
     }
     Map<String, byte[]> found = new TreeMap<>();
-    for (String name : records.names("")) {
-      found.put(name, records.read(name));
+    for (String name : store.names("")) {
+      found.put(name, store.read(name));
     }
-    boolean good = matches(found, underWay);
+    boolean good = matches(found, pending);
     for (List<Write> fell : failed) {
       good |= matches(found, fell);
     }
@@ -164,7 +164,7 @@
       throw new AssertionError("found " + shown(found) + ", acknowledged " + shown(acknowledged));
     }
     acknowledged = found;
-    underWay.clear();
+    pending.clear();
     failed.clear();
   }
 
@@ -206,6 +206,6 @@
   }
 
   int compactions() {
-    return records == null ? 0 : records.compactions();
+    return store == null ? 0 : store.compactionSteps();
   }
 }
--- a/storage/src/test/java/elmsail/storage/StorageCountersTest.java
+++ b/storage/src/test/java/elmsail/storage/StorageCountersTest.java
@@ -19,7 +19,7 @@
   void countsBatchesBytesAndSyncs() throws Exception {
     Counters counters = new Counters();
     try (DirectoryRecordStore records = DirectoryRecordStore.open(temp, 64 << 20, Runnable::run)) {
-      records.countIn(new StorageCounters(counters));
+      records.setCounters(new StorageCounters(counters));
       records.write(List.of(new Change("a/1", new byte[5_000]))).get(10, TimeUnit.SECONDS);
       records.write(List.of(new Change("a/2", new byte[1]))).get(10, TimeUnit.SECONDS);
       assertThat(records.count("a/"), is(2));
