--- a/app/src/main/java/elmsail/app/GatewayProcess.java
+++ b/app/src/main/java/elmsail/app/GatewayProcess.java
@@ -45,7 +45,7 @@
             "shelf", links, loop, new StoreVoters(known), who, own, address -> near(own, address));
     BatchApi jobs =
         new BatchApi(storeSet, links, loop, known, own, who, settings.bounds().cancelMs(), metrics);
-    jobs.listen(links);
+    jobs.registerHandlers(links);
     CompletableFuture<Void> listening = links.listen();
     known.start();
     Gateway.start(settings, loop, known, jobs, metrics)
--- a/batch/src/main/java/elmsail/batch/BatchItem.java
+++ b/batch/src/main/java/elmsail/batch/BatchItem.java
@@ -4,4 +4,4 @@
 
 /** One item of a job: its id, path, headers, decoded body and tokens (prompt and most out). */
 public record BatchItem(
-    String id, String lane, Map<String, String> envelope, byte[] contents, long tokens) {}
+    String id, String path, Map<String, String> headers, byte[] body, long tokens) {}
--- a/batch/src/main/java/elmsail/batch/BatchCalls.java
+++ b/batch/src/main/java/elmsail/batch/BatchService.java
@@ -7,7 +7,7 @@
  * The calls of clients about jobs, as a gateway serves them; futures complete on the loop and never
  * fail.
  */
-public interface BatchCalls {
+public interface BatchService {
 
   /**
    * An answer. Status 0: the outcome is unclear, so the connection is to be closed without an
@@ -22,10 +22,10 @@
   CompletableFuture<Reply> submit(Route route, String jobId, byte[] body, long deadlineMs);
 
   /** {@code GET /lots/ID?after=N}. */
-  CompletableFuture<Reply> read(String jobId, long after, long waitMs);
+  CompletableFuture<Reply> readResults(String jobId, long after, long waitMs);
 
   /** {@code GET /items/LOT?id=ITEM}. */
-  CompletableFuture<Reply> item(String jobId, String itemId);
+  CompletableFuture<Reply> readItemBody(String jobId, String itemId);
 
   /** {@code DELETE /lots/ID}. */
   CompletableFuture<Reply> end(String jobId);
--- a/batch/src/main/java/elmsail/batch/ItemServers.java
+++ b/batch/src/main/java/elmsail/batch/ItemServers.java
@@ -5,7 +5,7 @@
 /** The servers, as the runner of jobs' items sees them: given by the gateway. All on the loop. */
 public interface ItemServers {
   /** How many items of the route may be started now without harm to plain requests. */
-  int room(Route route);
+  int availableCapacity(Route route);
 
   /**
    * Sends one item to a server of the route's service, with {@code Elmsail-Expect-Server}.
@@ -13,10 +13,10 @@
    * @param lastEventId the last event that the caller has, or -1 to run from the start
    * @return null if nothing was sent, as there is no room
    */
-  Running start(Route route, BatchItem batchItem, long lastEventId, RunListener listener);
+  RunHandle start(Route route, BatchItem item, long lastEventId, RunListener listener);
 
   /** A run under way. */
-  interface Running {
+  interface RunHandle {
     /** Closes the connection, so the server drops it; nothing more is reported. */
     void cancel();
   }
@@ -24,14 +24,14 @@
   /** What becomes of a run, in order; {@code ended} once. */
   interface RunListener {
     /** One event of the answer, with its number and its data, in order. */
-    void event(long id, byte[] data);
+    void onEvent(long id, byte[] data);
 
     /** The run is over; nothing is called after it. */
-    void ended(Ended how);
+    void onEnded(RunOutcome outcome);
   }
 
   /** How a run ended. */
-  enum Ended {
+  enum RunOutcome {
     /** The whole answer came (2xx, framing complete, right ids). */
     WHOLE,
     /** The server did not run it. */
--- a/batch/src/main/java/elmsail/batch/api/BatchApi.java
+++ b/batch/src/main/java/elmsail/batch/api/BatchApi.java
@@ -1,6 +1,6 @@
 package elmsail.batch.api;
 
-import elmsail.batch.BatchCalls;
+import elmsail.batch.BatchService;
 import elmsail.batch.BatchItem;
 import elmsail.batch.ItemServers;
 import elmsail.batch.client.BatchContext;
@@ -10,7 +10,7 @@
 import elmsail.batch.messages.ByteReader;
 import elmsail.batch.messages.ByteWriter;
 import elmsail.batch.messages.JobRecord;
-import elmsail.batch.messages.JobRequestReader;
+import elmsail.batch.messages.JobRequestParser;
 import elmsail.batch.run.FailoverMonitor;
 import elmsail.batch.run.JobRunner;
 import elmsail.config.ClusterState;
@@ -36,29 +36,29 @@
  * The calls about jobs at one gateway, and the running of those that are this gateway's. All on the
  * loop.
  */
-public final class BatchApi implements BatchCalls {
-  private static final long MOST_SUBMIT_MS = 3_000;
-  private static final long MOST_WAIT_MS = 1_000;
-  private static final long CALL_MS = 1_500;
-  private static final int MOST_ID = 200;
+public final class BatchApi implements BatchService {
+  private static final long MAX_SUBMIT_MS = 3_000;
+  private static final long MAX_READ_WAIT_MS = 1_000;
+  private static final long CALL_TIMEOUT_MS = 1_500;
+  private static final int MAX_JOB_ID_LENGTH = 200;
 
   /** Bytes of bodies that are being handed in, and calls held, at most. */
-  private static final long MOST_BYTES = 24L << 20;
+  private static final long MAX_PENDING_SUBMIT_BYTES = 24L << 20;
 
-  private static final int MOST_READS = 2_000;
+  private static final int MAX_PENDING_READS = 2_000;
 
   private final BatchContext context;
-  private final Replies replies;
-  private final BatchJobClient store;
+  private final BatchReplies replies;
+  private final BatchJobClient jobClient;
   private final JobRunner runner;
-  private final FailoverMonitor watch;
-  private final Map<String, List<ReadHandler>> reads = new HashMap<>();
-  private int held;
-  private long bytes;
+  private final FailoverMonitor failoverMonitor;
+  private final Map<String, List<ReadHandler>> pendingReads = new HashMap<>();
+  private int pendingReadCount;
+  private long pendingSubmitBytes;
 
   /**
    * @param register of the set "shelf"
-   * @param innerAddress this gateway's own, as it stands in the roster
+   * @param localAddress this gateway's own, as it stands in the roster
    * @param cancelMs the bound {@code cancel_ms}
    * @param metrics the process's figures and invariants
    */
@@ -66,27 +66,27 @@
       Register register,
       RpcClient caller,
       Timers timers,
-      ClusterState known,
-      String innerAddress,
+      ClusterState clusterState,
+      String localAddress,
       long seed,
       long cancelMs,
       ProcessMetrics metrics) {
-    Random chance = new Random(seed);
+    Random random = new Random(seed);
     context =
         new BatchContext(
             register,
             caller,
             timers,
-            known,
-            innerAddress,
-            chance,
+            clusterState,
+            localAddress,
+            random,
             cancelMs,
             new BatchCounters(metrics.counters()),
             metrics.invariants());
-    replies = new Replies(chance);
-    store = new BatchJobClient(register, metrics.invariants());
-    runner = new JobRunner(context, store, this::changed);
-    watch = new FailoverMonitor(context, store, runner);
+    replies = new BatchReplies(random);
+    jobClient = new BatchJobClient(register, metrics.invariants());
+    runner = new JobRunner(context, jobClient, this::onJobChanged);
+    failoverMonitor = new FailoverMonitor(context, jobClient, runner);
   }
 
   /** Before it nothing runs. */
@@ -96,221 +96,221 @@
 
   /** Starts the heartbeats to the stores and the looking for jobs that nobody runs. */
   public void start() {
-    watch.start();
+    failoverMonitor.start();
   }
 
   /**
    * Answers the messages about jobs; use this, or {@code answer} from a handler shared with others.
    */
-  public void listen(RequestHandlers answering) {
-    answering.register(OpaqueMessage.class, this::answer);
+  public void registerHandlers(RequestHandlers handlers) {
+    handlers.register(OpaqueMessage.class, this::handle);
   }
 
   /**
    * Answers a message of another gateway: that a job was ended. Fails with GARBLED for any other
    * kind.
    */
-  public CompletionStage<OpaqueMessage> answer(OpaqueMessage request) {
-    if (!request.kind.equals(BatchMessageTypes.ENDED)) {
+  public CompletionStage<OpaqueMessage> handle(OpaqueMessage request) {
+    if (!request.kind.equals(BatchMessageTypes.CANCELLED)) {
       return CompletableFuture.failedFuture(
           new ElmsailException(ErrorCode.MALFORMED, "a message of kind " + request.kind));
     }
-    ended(new ByteReader(request.bytes).text());
+    onCancelled(new ByteReader(request.bytes).readString());
     return CompletableFuture.completedFuture(
-        BatchMessageTypes.message(BatchMessageTypes.ENDED, Replies.EMPTY));
+        BatchMessageTypes.message(BatchMessageTypes.CANCELLED, BatchReplies.EMPTY_BODY));
   }
 
   /** How many jobs this gateway runs. */
-  public int running() {
+  public int runningJobs() {
     return runner.size();
   }
 
   @Override
   public CompletableFuture<Reply> submit(Route route, String jobId, byte[] body, long deadlineMs) {
-    RoutingConfig config = context.known().config();
-    if (config == null || bytes + body.length > MOST_BYTES) {
-      return CompletableFuture.completedFuture(replies.unable());
+    RoutingConfig config = context.clusterState().config();
+    if (config == null || pendingSubmitBytes + body.length > MAX_PENDING_SUBMIT_BYTES) {
+      return CompletableFuture.completedFuture(replies.unavailable());
     }
-    if (!proper(jobId)) {
-      return CompletableFuture.completedFuture(Replies.MALFORMED);
+    if (!isValidJobId(jobId)) {
+      return CompletableFuture.completedFuture(BatchReplies.BAD_REQUEST);
     }
-    List<BatchItem> batchItems;
+    List<BatchItem> items;
     try {
-      batchItems = JobRequestReader.read(body);
+      items = JobRequestParser.parse(body);
     } catch (ElmsailException malformed) {
-      return CompletableFuture.completedFuture(Replies.MALFORMED);
+      return CompletableFuture.completedFuture(BatchReplies.BAD_REQUEST);
     }
-    for (BatchItem batchItem : batchItems) {
-      if (config.find(route.host(), batchItem.lane()) == null) {
-        return knownOr(jobId, Replies.MALFORMED);
+    for (BatchItem item : items) {
+      if (config.find(route.host(), item.path()) == null) {
+        return acceptedOrElse(jobId, BatchReplies.BAD_REQUEST);
       }
     }
-    SubmitHandler call =
+    SubmitHandler handler =
         new SubmitHandler(
             context,
-            store,
+            jobClient,
             runner,
             replies,
             jobId,
             route,
-            batchItems,
-            Math.min(deadlineMs, MOST_SUBMIT_MS));
-    int held = call.bytes();
-    bytes += held;
-    return call.begin().whenComplete((reply, failed) -> bytes -= held);
+            items,
+            Math.min(deadlineMs, MAX_SUBMIT_MS));
+    int held = handler.bodyBytes();
+    pendingSubmitBytes += held;
+    return handler.start().whenComplete((reply, failure) -> pendingSubmitBytes -= held);
   }
 
   /** A job that was taken stays taken, whatever the routes of its items have become since. */
-  private CompletableFuture<Reply> knownOr(String jobId, Reply otherwise) {
-    return store
-        .read(jobId, CALL_MS)
-        .thenApply(record -> record == null ? otherwise : Replies.ACCEPTED)
-        .exceptionally(failed -> replies.unable());
+  private CompletableFuture<Reply> acceptedOrElse(String jobId, Reply fallback) {
+    return jobClient
+        .read(jobId, CALL_TIMEOUT_MS)
+        .thenApply(record -> record == null ? fallback : BatchReplies.ACCEPTED)
+        .exceptionally(failure -> replies.unavailable());
   }
 
   @Override
-  public CompletableFuture<Reply> read(String jobId, long after, long waitMs) {
-    if (!proper(jobId)) {
-      return CompletableFuture.completedFuture(Replies.NONE);
+  public CompletableFuture<Reply> readResults(String jobId, long after, long waitMs) {
+    if (!isValidJobId(jobId)) {
+      return CompletableFuture.completedFuture(BatchReplies.NOT_FOUND);
     }
-    if (held >= MOST_READS) {
-      return CompletableFuture.completedFuture(replies.unable());
+    if (pendingReadCount >= MAX_PENDING_READS) {
+      return CompletableFuture.completedFuture(replies.unavailable());
     }
-    ReadHandler reading =
+    ReadHandler handler =
         new ReadHandler(
             context,
-            store,
+            jobClient,
             replies,
             jobId,
             Math.max(0, after),
-            Math.max(0, Math.min(waitMs, MOST_WAIT_MS)));
-    reads.computeIfAbsent(jobId, id -> new ArrayList<>()).add(reading);
-    held++;
-    return reading
-        .begin()
+            Math.max(0, Math.min(waitMs, MAX_READ_WAIT_MS)));
+    pendingReads.computeIfAbsent(jobId, id -> new ArrayList<>()).add(handler);
+    pendingReadCount++;
+    return handler
+        .start()
         .whenComplete(
-            (reply, failed) -> {
-              held--;
-              List<ReadHandler> of = reads.get(jobId);
-              of.remove(reading);
-              if (of.isEmpty()) {
-                reads.remove(jobId);
+            (reply, failure) -> {
+              pendingReadCount--;
+              List<ReadHandler> readsOfJob = pendingReads.get(jobId);
+              readsOfJob.remove(handler);
+              if (readsOfJob.isEmpty()) {
+                pendingReads.remove(jobId);
               }
             });
   }
 
   @Override
-  public CompletableFuture<Reply> item(String jobId, String itemId) {
-    if (!proper(jobId) || itemId == null) {
-      return CompletableFuture.completedFuture(Replies.NONE);
+  public CompletableFuture<Reply> readItemBody(String jobId, String itemId) {
+    if (!isValidJobId(jobId) || itemId == null) {
+      return CompletableFuture.completedFuture(BatchReplies.NOT_FOUND);
     }
-    return store
-        .read(jobId, CALL_MS)
+    return jobClient
+        .read(jobId, CALL_TIMEOUT_MS)
         .thenCompose(
             record -> {
               if (record == null) {
-                return CompletableFuture.completedFuture(Replies.NONE);
+                return CompletableFuture.completedFuture(BatchReplies.NOT_FOUND);
               }
-              return store
-                  .batchItems(jobId, record, CALL_MS)
+              return jobClient
+                  .readItems(jobId, record, CALL_TIMEOUT_MS)
                   .thenApply(
-                      batchItems -> {
-                        for (BatchItem batchItem : batchItems) {
-                          if (batchItem.id().equals(itemId)) {
-                            return new Reply(200, batchItem.contents(), 0);
+                      items -> {
+                        for (BatchItem item : items) {
+                          if (item.id().equals(itemId)) {
+                            return new Reply(200, item.body(), 0);
                           }
                         }
-                        return Replies.NONE;
+                        return BatchReplies.NOT_FOUND;
                       });
             })
-        .exceptionally(failed -> replies.unable());
+        .exceptionally(failure -> replies.unavailable());
   }
 
   @Override
   public CompletableFuture<Reply> end(String jobId) {
-    if (!proper(jobId)) {
-      return CompletableFuture.completedFuture(Replies.NONE);
+    if (!isValidJobId(jobId)) {
+      return CompletableFuture.completedFuture(BatchReplies.NOT_FOUND);
     }
     return end(jobId, 2)
-        .exceptionally(failed -> Replies.mayHold(failed) ? Replies.UNCLEAR : replies.unable());
+        .exceptionally(failure -> BatchReplies.mayHaveTakenEffect(failure) ? BatchReplies.OUTCOME_UNKNOWN : replies.unavailable());
   }
 
-  private CompletableFuture<Reply> end(String jobId, int tries) {
-    CompletableFuture<Reply> reply = new CompletableFuture<>();
+  private CompletableFuture<Reply> end(String jobId, int attemptsLeft) {
+    CompletableFuture<Reply> replyFuture = new CompletableFuture<>();
     context
         .register()
         .change(
-            JobRecord.keyOf(jobId),
+            JobRecord.registerKey(jobId),
             found -> {
-              JobRecord record = JobRecord.ofValue(found.value());
+              JobRecord record = JobRecord.decodeNullable(found.value());
               return new Register.ProposedValue(
-                  record == null || record.ended() ? null : record.endedNow().packed(), List.of());
+                  record == null || record.cancelled() ? null : record.withCancellation().encode(), List.of());
             },
             List.of(),
             null,
-            CALL_MS)
+            CALL_TIMEOUT_MS)
         .whenComplete(
-            (now, failed) -> {
-              if (failed == null) {
-                reply.complete(ended(jobId, now));
-              } else if (tries > 1) {
-                end(jobId, tries - 1)
+            (result, failure) -> {
+              if (failure == null) {
+                replyFuture.complete(onCancelled(jobId, result));
+              } else if (attemptsLeft > 1) {
+                end(jobId, attemptsLeft - 1)
                     .whenComplete(
-                        (later, failedToo) -> {
-                          if (failedToo == null) {
-                            reply.complete(later);
+                        (retried, retryFailure) -> {
+                          if (retryFailure == null) {
+                            replyFuture.complete(retried);
                           } else {
-                            reply.completeExceptionally(
-                                Replies.mayHold(failed) ? failed : failedToo);
+                            replyFuture.completeExceptionally(
+                                BatchReplies.mayHaveTakenEffect(failure) ? failure : retryFailure);
                           }
                         });
               } else {
-                reply.completeExceptionally(failed);
+                replyFuture.completeExceptionally(failure);
               }
             });
-    return reply;
+    return replyFuture;
   }
 
-  private Reply ended(String jobId, Register.CommittedState now) {
-    JobRecord record = store.decided(jobId, now.current());
+  private Reply onCancelled(String jobId, Register.CommittedState result) {
+    JobRecord record = jobClient.onCommitted(jobId, result.current());
     if (record == null) {
-      return Replies.NONE;
+      return BatchReplies.NOT_FOUND;
     }
-    ended(jobId);
-    if (!record.runner().equals(context.self())) {
+    onCancelled(jobId);
+    if (!record.runner().equals(context.localAddress())) {
       context
           .caller()
           .call(
               record.runner(),
               BatchMessageTypes.message(
-                  BatchMessageTypes.ENDED, new ByteWriter().text(jobId).packed()),
+                  BatchMessageTypes.CANCELLED, new ByteWriter().writeString(jobId).toByteArray()),
               OpaqueMessage.class,
-              CALL_MS);
+              CALL_TIMEOUT_MS);
     }
-    return Replies.DONE;
+    return BatchReplies.OK;
   }
 
-  private void ended(String jobId) {
+  private void onCancelled(String jobId) {
     runner.stop(jobId);
-    changed(jobId);
+    onJobChanged(jobId);
   }
 
-  private void changed(String jobId) {
-    List<ReadHandler> of = reads.get(jobId);
-    if (of != null) {
-      for (ReadHandler reading : List.copyOf(of)) {
-        reading.wake();
+  private void onJobChanged(String jobId) {
+    List<ReadHandler> readsOfJob = pendingReads.get(jobId);
+    if (readsOfJob != null) {
+      for (ReadHandler handler : List.copyOf(readsOfJob)) {
+        handler.wake();
       }
     }
   }
 
-  private static boolean proper(String jobId) {
-    if (jobId == null || jobId.isEmpty() || jobId.length() > MOST_ID) {
+  private static boolean isValidJobId(String jobId) {
+    if (jobId == null || jobId.isEmpty() || jobId.length() > MAX_JOB_ID_LENGTH) {
       return false;
     }
     for (int i = 0; i < jobId.length(); i++) {
-      char one = jobId.charAt(i);
-      if (one <= ' ' || one > '~' || one == '/') {
+      char c = jobId.charAt(i);
+      if (c <= ' ' || c > '~' || c == '/') {
         return false;
       }
     }
--- a/batch/src/main/java/elmsail/batch/api/ReadHandler.java
+++ b/batch/src/main/java/elmsail/batch/api/ReadHandler.java
@@ -1,6 +1,6 @@
 package elmsail.batch.api;
 
-import elmsail.batch.BatchCalls.Reply;
+import elmsail.batch.BatchService.Reply;
 import elmsail.batch.client.BatchContext;
 import elmsail.batch.client.BatchJobClient;
 import elmsail.batch.messages.JobRecord;
@@ -11,121 +11,121 @@
 
 /** One read of a job's results from a position on, held for a while where there is none yet. */
 final class ReadHandler {
-  private static final long READ_MS = 1_200;
-  private static final long POLL_MS = 250;
-  private static final int MOST_BYTES = 900_000;
-  private static final int MOST_RESULTS = 64;
+  private static final long READ_TIMEOUT_MS = 1_200;
+  private static final long POLL_INTERVAL_MS = 250;
+  private static final int MAX_PAGE_BYTES = 900_000;
+  private static final int MAX_PAGE_RESULTS = 64;
   private static final byte[] NO_TEXT = {};
 
   private final BatchContext context;
-  private final BatchJobClient store;
-  private final Replies replies;
-  private final String job;
-  private final long after;
-  private final long until;
-  private final CompletableFuture<Reply> reply = new CompletableFuture<>();
-  private Timers.Timer poll;
-  private boolean under;
-  private boolean again;
+  private final BatchJobClient jobClient;
+  private final BatchReplies replies;
+  private final String jobId;
+  private final long afterPosition;
+  private final long deadline;
+  private final CompletableFuture<Reply> replyFuture = new CompletableFuture<>();
+  private Timers.Timer pollTimer;
+  private boolean readInFlight;
+  private boolean rereadRequested;
 
   ReadHandler(
       BatchContext context,
-      BatchJobClient store,
-      Replies replies,
-      String job,
-      long after,
+      BatchJobClient jobClient,
+      BatchReplies replies,
+      String jobId,
+      long afterPosition,
       long waitMs) {
     this.context = context;
-    this.store = store;
+    this.jobClient = jobClient;
     this.replies = replies;
-    this.job = job;
-    this.after = after;
-    this.until = context.timers().now() + waitMs;
+    this.jobId = jobId;
+    this.afterPosition = afterPosition;
+    this.deadline = context.timers().now() + waitMs;
   }
 
-  CompletableFuture<Reply> begin() {
-    look();
-    return reply;
+  CompletableFuture<Reply> start() {
+    readRecord();
+    return replyFuture;
   }
 
   /** The job has changed: looks at once. */
   void wake() {
-    if (reply.isDone()) {
+    if (replyFuture.isDone()) {
       return;
     }
-    if (under) {
-      again = true;
-    } else if (poll != null) {
-      poll.cancel();
-      look();
+    if (readInFlight) {
+      rereadRequested = true;
+    } else if (pollTimer != null) {
+      pollTimer.cancel();
+      readRecord();
     }
   }
 
-  private void look() {
-    poll = null;
-    under = true;
-    again = false;
-    store
-        .read(job, READ_MS)
+  private void readRecord() {
+    pollTimer = null;
+    readInFlight = true;
+    rereadRequested = false;
+    jobClient
+        .read(jobId, READ_TIMEOUT_MS)
         .whenComplete(
-            (record, failed) -> {
-              under = false;
-              if (failed != null) {
-                reply.complete(replies.unable());
+            (record, failure) -> {
+              readInFlight = false;
+              if (failure != null) {
+                replyFuture.complete(replies.unavailable());
               } else if (record == null) {
-                reply.complete(Replies.NONE);
+                replyFuture.complete(BatchReplies.NOT_FOUND);
               } else {
-                found(record);
+                onRecord(record);
               }
             });
   }
 
-  private void found(JobRecord record) {
-    long left = until - context.timers().now();
-    if (record.results().size() > after || !record.open() || left <= 0) {
-      give(record);
-    } else if (again) {
-      look();
+  private void onRecord(JobRecord record) {
+    long remainingMs = deadline - context.timers().now();
+    if (record.results().size() > afterPosition || !record.isOpen() || remainingMs <= 0) {
+      respondWith(record);
+    } else if (rereadRequested) {
+      readRecord();
     } else {
-      poll =
+      pollTimer =
           context
               .timers()
-              .schedule(Math.min(left, POLL_MS / 2 + context.about(POLL_MS / 2)), this::look);
+              .schedule(Math.min(remainingMs, POLL_INTERVAL_MS / 2 + context.jittered(POLL_INTERVAL_MS / 2)), this::readRecord);
     }
   }
 
-  private void give(JobRecord record) {
+  private void respondWith(JobRecord record) {
     List<JobRecord.Result> results = record.results();
-    List<JobRecord.Result> given = new ArrayList<>();
-    long bytes = 0;
-    for (long i = after; i < results.size() && given.size() < MOST_RESULTS; i++) {
-      JobRecord.Result one = results.get((int) i);
-      bytes += one.textBytes();
-      if (!given.isEmpty() && bytes > MOST_BYTES) {
+    List<JobRecord.Result> page = new ArrayList<>();
+    long pageBytes = 0;
+    for (long i = afterPosition; i < results.size() && page.size() < MAX_PAGE_RESULTS; i++) {
+      JobRecord.Result result = results.get((int) i);
+      pageBytes += result.textBytes();
+      if (!page.isEmpty() && pageBytes > MAX_PAGE_BYTES) {
         break;
       }
-      given.add(one);
+      page.add(result);
     }
-    byte[][] texts = new byte[given.size()][];
-    int[] missing = {given.size()};
-    if (given.isEmpty()) {
-      reply.complete(new Reply(200, ResultPage.json(record, after, given, texts), 0));
+    byte[][] texts = new byte[page.size()][];
+    int[] missing = {page.size()};
+    if (page.isEmpty()) {
+      replyFuture.complete(new Reply(200, ResultPage.toJson(record, afterPosition, page, texts), 0));
     }
     for (int i = 0; i < texts.length; i++) {
-      int place = i;
-      CompletableFuture<byte[]> text =
-          given.get(i).delivered()
-              ? store.text(job, given.get(i), READ_MS)
+      int index = i;
+      CompletableFuture<byte[]> textFuture =
+          page.get(i).succeeded()
+              ? jobClient.readText(jobId, page.get(i), READ_TIMEOUT_MS)
               : CompletableFuture.completedFuture(NO_TEXT);
-      text.whenComplete(
-          (there, failed) -> {
-            if (failed != null) {
-              reply.complete(replies.unable());
+      textFuture.whenComplete(
+          (text, failure) -> {
+            if (failure != null) {
+              replyFuture.complete(replies.unavailable());
               return;
             }
-            texts[place] = there;
+            texts[index] = text;
             if (--missing[0] == 0) {
-              reply.complete(new Reply(200, ResultPage.json(record, after, given, texts), 0));
+              replyFuture.complete(new Reply(200, ResultPage.toJson(record, afterPosition, page, texts), 0));
             }
           });
     }
--- a/batch/src/main/java/elmsail/batch/api/ResultPage.java
+++ b/batch/src/main/java/elmsail/batch/api/ResultPage.java
@@ -7,69 +7,69 @@
 
 /** The JSON of a read: as many of the results as stay below 1 MB, and one at least. */
 final class ResultPage {
-  private static final int MOST_BYTES = 1_000_000;
+  private static final int MAX_PAGE_BYTES = 1_000_000;
   private static final byte[] HEX = "0123456789abcdef".getBytes(StandardCharsets.US_ASCII);
 
   private ResultPage() {}
 
-  static byte[] json(JobRecord record, long after, List<JobRecord.Result> given, byte[][] texts) {
-    ByteArrayOutputStream all = new ByteArrayOutputStream();
+  static byte[] toJson(JobRecord record, long afterPosition, List<JobRecord.Result> results, byte[][] texts) {
+    ByteArrayOutputStream entries = new ByteArrayOutputStream();
     int count = 0;
     for (int i = 0; i < texts.length; i++) {
-      byte[] one =
-          one(record.items().get(given.get(i).index()).id(), given.get(i).delivered(), texts[i]);
-      if (count > 0 && all.size() + one.length + 100 > MOST_BYTES) {
+      byte[] entry =
+          entry(record.items().get(results.get(i).itemIndex()).id(), results.get(i).succeeded(), texts[i]);
+      if (count > 0 && entries.size() + entry.length + 100 > MAX_PAGE_BYTES) {
         break;
       }
       if (count++ > 0) {
-        all.write(',');
+        entries.write(',');
       }
-      all.writeBytes(one);
+      entries.writeBytes(entry);
     }
-    ByteArrayOutputStream whole = new ByteArrayOutputStream(all.size() + 100);
-    plain(
-        whole,
+    ByteArrayOutputStream page = new ByteArrayOutputStream(entries.size() + 100);
+    append(
+        page,
         "{\"total\":"
             + record.items().size()
             + ",\"next_token\":"
-            + (after + count)
+            + (afterPosition + count)
             + ",\"deliveries\":[");
-    whole.writeBytes(all.toByteArray());
-    plain(whole, "]}");
-    return whole.toByteArray();
+    page.writeBytes(entries.toByteArray());
+    append(page, "]}");
+    return page.toByteArray();
   }
 
-  private static byte[] one(String id, boolean delivered, byte[] text) {
-    ByteArrayOutputStream to = new ByteArrayOutputStream(text.length + 100);
-    plain(to, "{\"id\":\"");
-    escaped(to, id.getBytes(StandardCharsets.UTF_8));
-    plain(
-        to,
-        delivered
+  private static byte[] entry(String id, boolean succeeded, byte[] text) {
+    ByteArrayOutputStream out = new ByteArrayOutputStream(text.length + 100);
+    append(out, "{\"id\":\"");
+    appendEscaped(out, id.getBytes(StandardCharsets.UTF_8));
+    append(
+        out,
+        succeeded
             ? "\",\"state\":\"delivered\",\"message\":\""
             : "\",\"state\":\"undeliverable\",\"message\":\"");
-    escaped(to, text);
-    plain(to, "\"}");
-    return to.toByteArray();
+    appendEscaped(out, text);
+    append(out, "\"}");
+    return out.toByteArray();
   }
 
   /** UTF-8 stays as it is. */
-  private static void escaped(ByteArrayOutputStream to, byte[] text) {
-    for (byte one : text) {
-      if (one == '"' || one == '\\') {
-        to.write('\\');
-        to.write(one);
-      } else if (one >= 0 && one < ' ') {
-        plain(to, "\\u00");
-        to.write(HEX[one >> 4]);
-        to.write(HEX[one & 15]);
+  private static void appendEscaped(ByteArrayOutputStream out, byte[] text) {
+    for (byte c : text) {
+      if (c == '"' || c == '\\') {
+        out.write('\\');
+        out.write(c);
+      } else if (c >= 0 && c < ' ') {
+        append(out, "\\u00");
+        out.write(HEX[c >> 4]);
+        out.write(HEX[c & 15]);
       } else {
-        to.write(one);
+        out.write(c);
       }
     }
   }
 
-  private static void plain(ByteArrayOutputStream to, String text) {
-    to.writeBytes(text.getBytes(StandardCharsets.UTF_8));
+  private static void append(ByteArrayOutputStream out, String text) {
+    out.writeBytes(text.getBytes(StandardCharsets.UTF_8));
   }
 }
--- a/batch/src/main/java/elmsail/batch/api/SubmitHandler.java
+++ b/batch/src/main/java/elmsail/batch/api/SubmitHandler.java
@@ -1,15 +1,15 @@
 package elmsail.batch.api;
 
-import elmsail.batch.BatchCalls.Reply;
+import elmsail.batch.BatchService.Reply;
 import elmsail.batch.BatchItem;
 import elmsail.batch.client.BatchContext;
 import elmsail.batch.client.BatchCounters;
 import elmsail.batch.client.BatchJobClient;
 import elmsail.batch.messages.BatchMessageTypes;
-import elmsail.batch.messages.JobBody;
+import elmsail.batch.messages.JobBodyCodec;
 import elmsail.batch.messages.JobDescription;
 import elmsail.batch.messages.JobRecord;
-import elmsail.batch.messages.TokenCount;
+import elmsail.batch.messages.WaitingTokens;
 import elmsail.batch.run.JobRunner;
 import elmsail.config.Route;
 import elmsail.consensus.Register;
@@ -30,321 +30,321 @@
  * body, so that it is at a majority before anyone is asked to take the job.
  *
  * <p>Jobs that are being accepted count against each other, so that of several that would fit one
- * by one each may find the route full. Of these the ones that go first in {@link TokenCount#before}
+ * by one each may find the route full. Of these the ones that go first in {@link WaitingTokens#totalAheadOf}
  * leave their add and look again; the others withdraw, and begin anew once the first are through.
  */
 final class SubmitHandler {
   private static final Logger LOG = LoggerFactory.getLogger(SubmitHandler.class);
-  private static final long CHANGE_MS = 1_500;
-  private static final long LEAST_MS = 150;
-  private static final long AGAIN_MS = 60;
+  private static final long CHANGE_TIMEOUT_MS = 1_500;
+  private static final long MIN_ROUND_MS = 150;
+  private static final long RETRY_DELAY_MS = 60;
 
   /** How soon a job that waits for others being accepted looks again, where it goes first. */
-  private static final long FIRST_LOOK_MS = 25;
+  private static final long CONTENDED_FIRST_RETRY_MS = 25;
 
   /** And where it goes behind them. */
-  private static final long BEHIND_LOOK_MS = 60;
+  private static final long CONTENDED_RETRY_MS = 60;
 
   /** For how long a job waits for others being accepted. */
-  private static final long MOST_WAIT_MS = 600;
+  private static final long MAX_CONTENTION_WAIT_MS = 600;
 
   /** Stores that did not answer a withdrawal are told again, so often and so much later. */
-  private static final int WITHDRAWALS = 4;
+  private static final int MAX_WITHDRAWAL_ATTEMPTS = 4;
 
-  private static final long WITHDRAW_AGAIN_MS = 400;
+  private static final long WITHDRAWAL_RETRY_MS = 400;
 
   private enum Round {
-    LOOK,
-    ADD,
-    TAKE
+    READ,
+    RESERVE,
+    COMMIT
   }
 
   private enum Verdict {
-    THERE,
+    ALREADY_ACCEPTED,
     FITS,
     /** Full only by jobs that are being accepted too and go behind this one. */
-    FIRST,
+    CONTENDED_FIRST,
     /** Full only by jobs that are being accepted too. */
-    BEHIND,
+    CONTENDED,
     /** Full by accepted jobs. */
-    FULL,
-    UNCOUNTED
+    OVER_QUOTA,
+    UNKNOWN
   }
 
   private final BatchContext context;
-  private final BatchJobClient store;
+  private final BatchJobClient jobClient;
   private final JobRunner runner;
-  private final Replies replies;
-  private final String job;
+  private final BatchReplies replies;
+  private final String jobId;
   private final Route route;
-  private final List<BatchItem> batchItems;
-  private final JobRecord wanted;
-  private final Blob body = new Blob();
-  private final long until;
-  private final CompletableFuture<Reply> reply = new CompletableFuture<>();
+  private final List<BatchItem> items;
+  private final JobRecord proposedRecord;
+  private final Blob bodyBlob = new Blob();
+  private final long deadline;
+  private final CompletableFuture<Reply> replyFuture = new CompletableFuture<>();
   private Verdict verdict;
-  private TokenCount.Add add;
+  private WaitingTokens.Reservation reservation;
 
   /** Whether the add may stand at a store. */
-  private boolean added;
+  private boolean mayBeReserved;
 
   /** The count of both rounds: what either round brought. */
-  private TokenCount seen = new TokenCount();
+  private WaitingTokens waitingTokens = new WaitingTokens();
 
-  private boolean maySent;
+  private boolean mayBeCommitted;
 
   /**
    * Whether the function has asked for the job to be taken: then one that is found may be this
    * try's.
    */
-  private boolean proposed;
+  private boolean commitProposed;
 
-  private final long submittedAt;
-  private long began;
+  private final long startedAt;
+  private long roundStartedAt;
   private int rounds;
 
   SubmitHandler(
       BatchContext context,
-      BatchJobClient store,
+      BatchJobClient jobClient,
       JobRunner runner,
-      Replies replies,
-      String job,
+      BatchReplies replies,
+      String jobId,
       Route route,
-      List<BatchItem> batchItems,
+      List<BatchItem> items,
       long deadlineMs) {
     this.context = context;
-    this.store = store;
+    this.jobClient = jobClient;
     this.runner = runner;
     this.replies = replies;
-    this.job = job;
+    this.jobId = jobId;
     this.route = route;
-    this.batchItems = batchItems;
-    this.submittedAt = context.timers().now();
-    this.until = submittedAt + deadlineMs;
+    this.items = items;
+    this.startedAt = context.timers().now();
+    this.deadline = startedAt + deadlineMs;
     long tokens = 0;
-    List<JobRecord.Item> items = new ArrayList<>(batchItems.size());
-    for (BatchItem batchItem : batchItems) {
-      items.add(new JobRecord.Item(batchItem.id(), batchItem.tokens()));
-      tokens += batchItem.tokens();
+    List<JobRecord.Item> recordItems = new ArrayList<>(items.size());
+    for (BatchItem item : items) {
+      recordItems.add(new JobRecord.Item(item.id(), item.tokens()));
+      tokens += item.tokens();
     }
-    add = new TokenCount.Add(route.name(), job, tokens, context.chance().nextLong());
-    body.bytes = JobBody.packed(batchItems);
-    body.name = JobBody.nameOf(body.bytes);
-    wanted =
+    reservation = new WaitingTokens.Reservation(route.name(), jobId, tokens, context.random().nextLong());
+    bodyBlob.bytes = JobBodyCodec.encode(items);
+    bodyBlob.name = JobBodyCodec.blobName(bodyBlob.bytes);
+    proposedRecord =
         new JobRecord(
             1,
             new JobDescription(
                 route.name(),
                 route.host(),
-                context.known().config().edition(),
+                context.clusterState().config().edition(),
                 route.runDueMs(),
                 route.shelfMs(),
-                body.name,
-                items),
+                bodyBlob.name,
+                recordItems),
             List.of(),
             false,
-            context.self(),
+            context.localAddress(),
             1,
             0);
   }
 
-  int bytes() {
-    return body.bytes.length;
+  int bodyBytes() {
+    return bodyBlob.bytes.length;
   }
 
-  CompletableFuture<Reply> begin() {
-    round(firstRound());
-    return reply;
+  CompletableFuture<Reply> start() {
+    startRound(firstRound());
+    return replyFuture;
   }
 
   private Round firstRound() {
-    return limit() == 0 ? Round.TAKE : Round.LOOK;
+    return limit() == 0 ? Round.COMMIT : Round.READ;
   }
 
-  private void round(Round round) {
-    long left = until - context.timers().now();
-    if (left < LEAST_MS) {
-      refuse(replies.unable());
+  private void startRound(Round round) {
+    long remainingMs = deadline - context.timers().now();
+    if (remainingMs < MIN_ROUND_MS) {
+      refuse(replies.unavailable());
       return;
     }
-    began = context.timers().now();
+    roundStartedAt = context.timers().now();
     rounds++;
-    added |= round != Round.LOOK;
+    mayBeReserved |= round != Round.READ;
     context
         .register()
         .change(
-            JobRecord.keyOf(job),
-            found -> decide(found, round),
-            round == Round.TAKE ? List.of(body) : List.of(),
-            (round == Round.LOOK ? add.looking() : add).packed(),
-            Math.min(CHANGE_MS, left))
+            JobRecord.registerKey(jobId),
+            found -> propose(found, round),
+            round == Round.COMMIT ? List.of(bodyBlob) : List.of(),
+            (round == Round.READ ? reservation.withoutTokens() : reservation).encode(),
+            Math.min(CHANGE_TIMEOUT_MS, remainingMs))
         .whenComplete(
-            (held, failed) -> {
-              if (failed != null) {
-                failed(failed);
+            (result, failure) -> {
+              if (failure != null) {
+                onRoundFailed(failure);
               } else {
-                held(held, round);
+                onRoundCompleted(result, round);
               }
             });
   }
 
   /** May be called again after a lost race. */
-  private Register.ProposedValue decide(Register.ObservedState found, Round round) {
+  private Register.ProposedValue propose(Register.ObservedState found, Round round) {
     if (found.value() != null) {
-      verdict = Verdict.THERE;
+      verdict = Verdict.ALREADY_ACCEPTED;
       return new Register.ProposedValue(null, List.of());
     }
     if (found.sideEffects().size() < context.majority()) {
       // A store that answers no count has no room for the add either.
-      verdict = Verdict.UNCOUNTED;
+      verdict = Verdict.UNKNOWN;
       return new Register.ProposedValue(null, List.of());
     }
-    seen.putAll(found.sideEffects());
+    waitingTokens.mergeAll(found.sideEffects());
     verdict = judge(round);
-    boolean take = round == Round.TAKE && verdict == Verdict.FITS;
-    proposed |= take;
-    return new Register.ProposedValue(take ? wanted.packed() : null, List.of());
+    boolean commit = round == Round.COMMIT && verdict == Verdict.FITS;
+    commitProposed |= commit;
+    return new Register.ProposedValue(commit ? proposedRecord.encode() : null, List.of());
   }
 
   private Verdict judge(Round round) {
     long limit = limit();
-    if (limit == 0 || seen.without(job) + add.tokens() <= limit) {
+    if (limit == 0 || waitingTokens.totalExcept(jobId) + reservation.tokens() <= limit) {
       return Verdict.FITS;
     }
-    if (seen.accepted(job) + add.tokens() > limit) {
-      return Verdict.FULL;
+    if (waitingTokens.acceptedExcept(jobId) + reservation.tokens() > limit) {
+      return Verdict.OVER_QUOTA;
     }
-    boolean first = seen.before(job) + add.tokens() <= limit;
-    return first && round != Round.LOOK ? Verdict.FIRST : Verdict.BEHIND;
+    boolean goesFirst = waitingTokens.totalAheadOf(jobId) + reservation.tokens() <= limit;
+    return goesFirst && round != Round.READ ? Verdict.CONTENDED_FIRST : Verdict.CONTENDED;
   }
 
   /** Of the newest configuration here; a route that is gone takes nothing more than it did. */
   private long limit() {
-    Route now = context.known().config().named(route.name());
-    return now == null ? route.mostWaiting() : now.mostWaiting();
+    Route current = context.clusterState().config().named(route.name());
+    return current == null ? route.mostWaiting() : current.mostWaiting();
   }
 
-  private void held(Register.CommittedState held, Round round) {
-    if (held.current().value() != null) {
-      JobRecord record = store.decided(job, held.current());
-      boolean own = record.version() == 1 && record.runner().equals(context.self()) && proposed;
-      if (own) {
-        store.cache(job, batchItems, bytes());
-        runner.adopt(job, record, 0, began);
+  private void onRoundCompleted(Register.CommittedState result, Round round) {
+    if (result.current().value() != null) {
+      JobRecord record = jobClient.onCommitted(jobId, result.current());
+      boolean committedHere = record.version() == 1 && record.runner().equals(context.localAddress()) && commitProposed;
+      if (committedHere) {
+        jobClient.cacheItems(jobId, items, bodyBytes());
+        runner.adopt(jobId, record, 0, roundStartedAt);
       }
-      answer(Replies.ACCEPTED);
+      respond(BatchReplies.ACCEPTED);
       return;
     }
-    boolean mayWait = context.timers().now() - submittedAt < MOST_WAIT_MS;
+    boolean mayWait = context.timers().now() - startedAt < MAX_CONTENTION_WAIT_MS;
     if (verdict == Verdict.FITS) {
-      round(round == Round.LOOK ? Round.ADD : Round.TAKE);
-    } else if (verdict == Verdict.FIRST && mayWait) {
-      later(FIRST_LOOK_MS, Round.ADD);
-    } else if (verdict == Verdict.BEHIND && mayWait) {
+      startRound(round == Round.READ ? Round.RESERVE : Round.COMMIT);
+    } else if (verdict == Verdict.CONTENDED_FIRST && mayWait) {
+      scheduleRound(CONTENDED_FIRST_RETRY_MS, Round.RESERVE);
+    } else if (verdict == Verdict.CONTENDED && mayWait) {
       withdraw();
-      later(BEHIND_LOOK_MS, Round.LOOK);
+      scheduleRound(CONTENDED_RETRY_MS, Round.READ);
     } else {
-      refuse(verdict == Verdict.UNCOUNTED ? replies.unable() : replies.full());
+      refuse(verdict == Verdict.UNKNOWN ? replies.unavailable() : replies.overQuota());
     }
   }
 
-  private void failed(Throwable failed) {
-    maySent |= Replies.mayHold(failed);
-    if (until - context.timers().now() < 2 * LEAST_MS) {
-      refuse(replies.unable());
+  private void onRoundFailed(Throwable failure) {
+    mayBeCommitted |= BatchReplies.mayHaveTakenEffect(failure);
+    if (deadline - context.timers().now() < 2 * MIN_ROUND_MS) {
+      refuse(replies.unavailable());
     } else {
-      later(AGAIN_MS, firstRound());
+      scheduleRound(RETRY_DELAY_MS, firstRound());
     }
   }
 
   /** What was seen is forgotten: others may have withdrawn since. */
-  private void later(long aboutMs, Round round) {
-    seen = new TokenCount();
+  private void scheduleRound(long delayMs, Round round) {
+    waitingTokens = new WaitingTokens();
     verdict = null;
-    context.timers().schedule(context.about(aboutMs), () -> round(round));
+    context.timers().schedule(context.jittered(delayMs), () -> startRound(round));
   }
 
   /**
    * Ends the try with a promise that nothing of it runs; but once an acceptance was sent, a store
    * may have taken it alone, and whoever comes upon that finishes it.
    */
-  private void refuse(Reply how) {
-    if (maySent) {
-      answer(Replies.UNCLEAR);
+  private void refuse(Reply reply) {
+    if (mayBeCommitted) {
+      respond(BatchReplies.OUTCOME_UNKNOWN);
       return;
     }
     withdraw();
-    answer(how);
+    respond(reply);
   }
 
   /** Takes the add back; the next one is told apart from it. */
   private void withdraw() {
-    if (added) {
-      withdraw(add, context.stores(), WITHDRAWALS);
-      added = false;
-      add = new TokenCount.Add(add.route(), job, add.tokens(), context.chance().nextLong());
+    if (mayBeReserved) {
+      withdraw(reservation, context.stores(), MAX_WITHDRAWAL_ATTEMPTS);
+      mayBeReserved = false;
+      reservation = new WaitingTokens.Reservation(reservation.routeName(), jobId, reservation.tokens(), context.random().nextLong());
     }
   }
 
-  private void withdraw(TokenCount.Add of, List<Voter> stores, int tries) {
-    List<Voter> silent = new ArrayList<>();
+  private void withdraw(WaitingTokens.Reservation withdrawn, List<Voter> stores, int attemptsLeft) {
+    List<Voter> unanswered = new ArrayList<>();
     int[] left = {stores.size()};
-    context.ask(
+    context.callEach(
         stores,
-        BatchMessageTypes.message(BatchMessageTypes.WITHDRAW, of.packed()),
-        WITHDRAW_AGAIN_MS,
-        (store, answer) -> {
-          if (answer == null) {
-            silent.add(store);
+        BatchMessageTypes.message(BatchMessageTypes.WITHDRAW, withdrawn.encode()),
+        WITHDRAWAL_RETRY_MS,
+        (store, response) -> {
+          if (response == null) {
+            unanswered.add(store);
           }
-          if (--left[0] == 0 && !silent.isEmpty() && tries > 1) {
-            context.timers().schedule(WITHDRAW_AGAIN_MS, () -> withdraw(of, silent, tries - 1));
+          if (--left[0] == 0 && !unanswered.isEmpty() && attemptsLeft > 1) {
+            context.timers().schedule(WITHDRAWAL_RETRY_MS, () -> withdraw(withdrawn, unanswered, attemptsLeft - 1));
           }
         });
   }
 
-  private void answer(Reply how) {
+  private void respond(Reply reply) {
     if (LOG.isDebugEnabled()) {
       LOG.debug(
           "submit {} {}: own={} waiting={} of these pending={} limit={} verdict={} rounds={} ms={}"
               + " bytes={}",
-          job,
-          how.status(),
-          add.tokens(),
-          seen.without(job),
-          seen.pendingWithout(job),
+          jobId,
+          reply.status(),
+          reservation.tokens(),
+          waitingTokens.totalExcept(jobId),
+          waitingTokens.pendingExcept(jobId),
           limit(),
           verdict,
           rounds,
-          context.timers().now() - submittedAt,
-          body.bytes.length);
+          context.timers().now() - startedAt,
+          bodyBlob.bytes.length);
     }
-    count(how);
-    reply.complete(how);
+    countReply(reply);
+    replyFuture.complete(reply);
   }
 
-  private void count(Reply how) {
+  private void countReply(Reply reply) {
     BatchCounters counters = context.counters();
-    if (how.status() == Replies.ACCEPTED.status()) {
+    if (reply.status() == BatchReplies.ACCEPTED.status()) {
       counters.submitAccepted.add(1);
     } else {
-      counters.submitRefused.add(1);
+      counters.submitRejected.add(1);
     }
-    if (verdict == Verdict.FULL || verdict == Verdict.FIRST || verdict == Verdict.BEHIND) {
+    if (verdict == Verdict.OVER_QUOTA || verdict == Verdict.CONTENDED_FIRST || verdict == Verdict.CONTENDED) {
       checkRefusal();
-      boolean due = seen.accepted(job) + add.tokens() > limit();
-      (due ? counters.submitFull : counters.submitFullByPending).add(1);
+      boolean overQuota = waitingTokens.acceptedExcept(jobId) + reservation.tokens() > limit();
+      (overQuota ? counters.submitOverQuota : counters.submitContended).add(1);
     }
   }
 
   private void checkRefusal() {
-    boolean waited = context.timers().now() - submittedAt >= MOST_WAIT_MS;
-    boolean room = seen.before(job) + add.tokens() <= limit();
+    boolean waited = context.timers().now() - startedAt >= MAX_CONTENTION_WAIT_MS;
+    boolean fits = waitingTokens.totalAheadOf(jobId) + reservation.tokens() <= limit();
     context
         .invariants()
         .check(
             Invariant.FITTING_JOB_IS_NOT_REFUSED_AT_ONCE,
-            waited || !room,
-            () -> job + ": " + add.tokens() + " behind " + seen.before(job) + " of " + limit());
+            waited || !fits,
+            () -> jobId + ": " + reservation.tokens() + " behind " + waitingTokens.totalAheadOf(jobId) + " of " + limit());
   }
 }
--- a/batch/src/main/java/elmsail/batch/client/BatchContext.java
+++ b/batch/src/main/java/elmsail/batch/client/BatchContext.java
@@ -14,7 +14,7 @@
 /**
  * What a gateway's parts work with, all on the loop.
  *
- * @param self this gateway's inner address
+ * @param localAddress this gateway's inner address
  * @param cancelMs within which no item of an ended job may be sent any more
  * @param counters what is counted of jobs here
  * @param invariants what must hold of them
@@ -23,16 +23,16 @@
     Register register,
     RpcClient caller,
     Timers timers,
-    ClusterState known,
-    String self,
-    Random chance,
+    ClusterState clusterState,
+    String localAddress,
+    Random random,
     long cancelMs,
     BatchCounters counters,
     Invariants invariants) {
 
   /** The voters of the store set that is known at present; empty before there is one. */
   public List<Voter> stores() {
-    return known.view().jobStoreVoters.voters;
+    return clusterState.view().jobStoreVoters.voters;
   }
 
   /** How many stores are a majority; 1 where there are none, so that nothing is ever agreed. */
@@ -44,29 +44,29 @@
    * Asks every store; {@code listener} gets a null for each that gave no answer, so as many as
    * there are.
    */
-  public void askStores(
+  public void callStores(
       OpaqueMessage request, long timeoutMs, BiConsumer<Voter, OpaqueMessage> listener) {
-    ask(stores(), request, timeoutMs, listener);
+    callEach(stores(), request, timeoutMs, listener);
   }
 
   /** Asks these stores likewise. */
-  public void ask(
+  public void callEach(
       List<Voter> stores,
       OpaqueMessage request,
       long timeoutMs,
       BiConsumer<Voter, OpaqueMessage> listener) {
-    for (Voter slot : stores) {
+    for (Voter store : stores) {
       caller
-          .call(slot.address, request, OpaqueMessage.class, timeoutMs)
+          .call(store.address, request, OpaqueMessage.class, timeoutMs)
           .whenComplete(
-              (answer, failed) ->
+              (response, failure) ->
                   listener.accept(
-                      slot, failed == null && request.kind.equals(answer.kind) ? answer : null));
+                      store, failure == null && request.kind.equals(response.kind) ? response : null));
     }
   }
 
   /** Between half as long and half again. */
-  public long about(long ms) {
-    return ms / 2 + (long) (chance.nextDouble() * ms);
+  public long jittered(long ms) {
+    return ms / 2 + (long) (random.nextDouble() * ms);
   }
 }
--- a/batch/src/main/java/elmsail/batch/messages/BatchMessageTypes.java
+++ b/batch/src/main/java/elmsail/batch/messages/BatchMessageTypes.java
@@ -16,10 +16,10 @@
   public static final String WITHDRAW = "lots/withdraw";
 
   /** Gateway to gateway: a job that the other runs was ended. */
-  public static final String ENDED = "lots/ended";
+  public static final String CANCELLED = "lots/ended";
 
   /** The answer of a store that has no say at present. */
-  public static final String NOT_SEATED = "lots/not-seated";
+  public static final String NOT_A_VOTER = "lots/not-seated";
 
   private BatchMessageTypes() {}
 
--- a/batch/src/main/java/elmsail/batch/messages/ByteReader.java
+++ b/batch/src/main/java/elmsail/batch/messages/ByteReader.java
@@ -7,19 +7,19 @@
 
 /** Reads what a {@code ByteWriter} wrote; anything else fails with GARBLED. */
 public final class ByteReader {
-  private final byte[] bytes;
-  private int at;
+  private final byte[] buffer;
+  private int position;
 
   /** Reads from the beginning of these bytes, which are not copied. */
-  public ByteReader(byte[] bytes) {
-    this.bytes = bytes;
+  public ByteReader(byte[] buffer) {
+    this.buffer = buffer;
   }
 
   /** The next number; GARBLED where it takes over ten bytes. */
-  public long number() {
+  public long readVarint() {
     long value = 0;
     for (int shift = 0; shift < 64; shift += 7) {
-      byte one = bytes[need(1)];
+      byte one = buffer[advance(1)];
       value |= (long) (one & 0x7F) << shift;
       if (one >= 0) {
         return value;
@@ -29,43 +29,43 @@
   }
 
   /** A number of things still to come, each of a byte at least. */
-  public int count() {
-    long value = number();
-    if (value < 0 || value > bytes.length - at) {
+  public int readCount() {
+    long value = readVarint();
+    if (value < 0 || value > buffer.length - position) {
       throw new ElmsailException(ErrorCode.MALFORMED, "a count beyond the bytes");
     }
     return (int) value;
   }
 
   /** The next number as a flag: 0 is false. */
-  public boolean flag() {
-    return number() != 0;
+  public boolean readBoolean() {
+    return readVarint() != 0;
   }
 
   /** The next text. */
-  public String text() {
-    int length = count();
-    return new String(bytes, need(length), length, StandardCharsets.UTF_8);
+  public String readString() {
+    int length = readCount();
+    return new String(buffer, advance(length), length, StandardCharsets.UTF_8);
   }
 
   /** The next bytes, in an array of their own. */
   public byte[] bytes() {
-    int length = count();
-    int from = need(length);
-    return Arrays.copyOfRange(bytes, from, from + length);
+    int length = readCount();
+    int from = advance(length);
+    return Arrays.copyOfRange(buffer, from, from + length);
   }
 
   /** Whether bytes are left. */
-  public boolean more() {
-    return at < bytes.length;
+  public boolean hasRemaining() {
+    return position < buffer.length;
   }
 
-  private int need(int length) {
-    if (bytes.length - at < length) {
-      throw new ElmsailException(ErrorCode.MALFORMED, "cut off at " + bytes.length);
+  private int advance(int length) {
+    if (buffer.length - position < length) {
+      throw new ElmsailException(ErrorCode.MALFORMED, "cut off at " + buffer.length);
     }
-    int from = at;
-    at += length;
+    int from = position;
+    position += length;
     return from;
   }
 }
--- a/batch/src/main/java/elmsail/batch/messages/ByteWriter.java
+++ b/batch/src/main/java/elmsail/batch/messages/ByteWriter.java
@@ -8,48 +8,48 @@
  * before it.
  */
 public final class ByteWriter {
-  private byte[] bytes = new byte[256];
+  private byte[] buffer = new byte[256];
   private int size;
 
   /** A number that is not negative is short; others take ten bytes. */
-  public ByteWriter number(long value) {
-    room(10);
+  public ByteWriter writeVarint(long value) {
+    ensureCapacity(10);
     long left = value;
     while ((left & ~0x7FL) != 0) {
-      bytes[size++] = (byte) (left & 0x7F | 0x80);
+      buffer[size++] = (byte) (left & 0x7F | 0x80);
       left >>>= 7;
     }
-    bytes[size++] = (byte) left;
+    buffer[size++] = (byte) left;
     return this;
   }
 
   /** A number: 1 for true, 0 for false. */
-  public ByteWriter flag(boolean value) {
-    return number(value ? 1 : 0);
+  public ByteWriter writeBoolean(boolean value) {
+    return writeVarint(value ? 1 : 0);
   }
 
   /** The length in bytes and the text in UTF-8. */
-  public ByteWriter text(String value) {
+  public ByteWriter writeString(String value) {
     return bytes(value.getBytes(StandardCharsets.UTF_8));
   }
 
   /** The length and the bytes. */
   public ByteWriter bytes(byte[] value) {
-    number(value.length);
-    room(value.length);
-    System.arraycopy(value, 0, bytes, size, value.length);
+    writeVarint(value.length);
+    ensureCapacity(value.length);
+    System.arraycopy(value, 0, buffer, size, value.length);
     size += value.length;
     return this;
   }
 
   /** All that was written so far, in an array of its own. */
-  public byte[] packed() {
-    return Arrays.copyOf(bytes, size);
+  public byte[] toByteArray() {
+    return Arrays.copyOf(buffer, size);
   }
 
-  private void room(int more) {
-    if (size + more > bytes.length) {
-      bytes = Arrays.copyOf(bytes, Math.max(bytes.length * 2, size + more));
+  private void ensureCapacity(int more) {
+    if (size + more > buffer.length) {
+      buffer = Arrays.copyOf(buffer, Math.max(buffer.length * 2, size + more));
     }
   }
 }
--- a/batch/src/main/java/elmsail/batch/messages/HeartbeatMessage.java
+++ b/batch/src/main/java/elmsail/batch/messages/HeartbeatMessage.java
@@ -7,37 +7,37 @@
  * What a gateway says to a store of the jobs it runs, twice a second, and what is answered for
  * each.
  */
-public record HeartbeatMessage(String gateway, List<Run> runs) {
+public record HeartbeatMessage(String gateway, List<JobLease> leases) {
   /** The store holds the job as open and run by this gateway in this term. */
-  public static final int YOURS = 1;
+  public static final int LEASE_HELD = 1;
 
   /** The job is ended, or another gateway runs it. */
-  public static final int GONE = 2;
+  public static final int LEASE_LOST = 2;
 
   /** This store does not know it, or only older terms: it decides nothing. */
   public static final int UNKNOWN = 0;
 
   /** One job that the gateway runs. */
-  public record Run(String job, long term) {}
+  public record JobLease(String jobId, long term) {}
 
-  /** The bytes that {@link #unpacked} reads. */
-  public byte[] packed() {
-    ByteWriter to = new ByteWriter().text(gateway).number(runs.size());
-    for (Run run : runs) {
-      to.text(run.job()).number(run.term());
+  /** The bytes that {@link #decode} reads. */
+  public byte[] encode() {
+    ByteWriter writer = new ByteWriter().writeString(gateway).writeVarint(leases.size());
+    for (JobLease lease : leases) {
+      writer.writeString(lease.jobId()).writeVarint(lease.term());
     }
-    return to.packed();
+    return writer.toByteArray();
   }
 
-  /** Fails with GARBLED where the bytes are not those of {@link #packed}. */
-  public static HeartbeatMessage unpacked(byte[] bytes) {
-    ByteReader from = new ByteReader(bytes);
-    String gateway = from.text();
-    int count = from.count();
-    List<Run> runs = new ArrayList<>(count);
+  /** Fails with GARBLED where the bytes are not those of {@link #encode}. */
+  public static HeartbeatMessage decode(byte[] bytes) {
+    ByteReader reader = new ByteReader(bytes);
+    String gateway = reader.readString();
+    int count = reader.readCount();
+    List<JobLease> leases = new ArrayList<>(count);
     for (int i = 0; i < count; i++) {
-      runs.add(new Run(from.text(), from.number()));
+      leases.add(new JobLease(reader.readString(), reader.readVarint()));
     }
-    return new HeartbeatMessage(gateway, runs);
+    return new HeartbeatMessage(gateway, leases);
   }
 }
--- a/batch/src/main/java/elmsail/batch/messages/JobRecord.java
+++ b/batch/src/main/java/elmsail/batch/messages/JobRecord.java
@@ -14,22 +14,22 @@
  * @param version 1 at the acceptance, up by one with each change
  * @param description what stays as it was accepted
  * @param results in the order of their positions, for ever
- * @param ended whether its client has ended it
+ * @param cancelled whether its client has ended it
  * @param runner the inner address of the gateway that runs it
  * @param term up by one with each runner
  * @param ageMs how old the job was, at the least, at this change
- * @param failures of items that are not listed yet, one entry an item: each runner counts on from
+ * @param failedAttempts of items that are not listed yet, one entry an item: each runner counts on from
  *     these
  */
 public record JobRecord(
     long version,
     JobDescription description,
     List<Result> results,
-    boolean ended,
+    boolean cancelled,
     String runner,
     long term,
     long ageMs,
-    List<FailureCount> failures) {
+    List<FailedAttempts> failedAttempts) {
 
   /** The layout of a packed record. */
   private static final int FORMAT = 2;
@@ -39,11 +39,11 @@
       long version,
       JobDescription description,
       List<Result> results,
-      boolean ended,
+      boolean cancelled,
       String runner,
       long term,
       long ageMs) {
-    this(version, description, results, ended, runner, term, ageMs, List.of());
+    this(version, description, results, cancelled, runner, term, ageMs, List.of());
   }
 
   /** An item's id and the tokens it waits with. */
@@ -52,37 +52,37 @@
   /**
    * A listed result.
    *
-   * @param index the item's place in the job
+   * @param itemIndex the item's place in the job
    * @param term of the runner that listed it; its text is the blob {@code textName}
    * @param textBytes length of the text, 0 where undeliverable
    */
-  public record Result(int index, boolean delivered, long term, int textBytes) {
+  public record Result(int itemIndex, boolean succeeded, long term, int textBytes) {
     /** The name under which the stores keep the text of this result. */
-    public String textName() {
-      return nameOf(index, term);
+    public String textBlobName() {
+      return textBlobNameOf(itemIndex, term);
     }
   }
 
   /**
    * How often servers have answered 500 for an item.
    *
-   * @param index the item's place in the job
+   * @param itemIndex the item's place in the job
    */
-  public record FailureCount(int index, int count) {}
+  public record FailedAttempts(int itemIndex, int count) {}
 
   /** The name of an item's text, as the runner of that term had it. */
-  public static String nameOf(int index, long term) {
-    return "r-" + index + "-" + term;
+  public static String textBlobNameOf(int itemIndex, long term) {
+    return "r-" + itemIndex + "-" + term;
   }
 
   /** The key of the record of that job in the register. */
-  public static String keyOf(String jobId) {
+  public static String registerKey(String jobId) {
     return "lot/" + jobId;
   }
 
   /** The name of the route that it was handed in on. */
-  public String route() {
-    return description.route();
+  public String routeName() {
+    return description.routeName();
   }
 
   /** The host of that route. */
@@ -91,23 +91,23 @@
   }
 
   /** The configuration's version at the acceptance. */
-  public long edition() {
-    return description.edition();
+  public long configVersion() {
+    return description.configVersion();
   }
 
   /** In so many ms after the acceptance results are due. */
-  public long runDueMs() {
-    return description.runDueMs();
+  public long completionTargetMs() {
+    return description.completionTargetMs();
   }
 
   /** So many ms after the acceptance items may be given up. */
-  public long shelfMs() {
-    return description.shelfMs();
+  public long itemTtlMs() {
+    return description.itemTtlMs();
   }
 
   /** The name of the blob that holds its items' requests. */
-  public String body() {
-    return description.body();
+  public String bodyBlobName() {
+    return description.bodyBlobName();
   }
 
   /** Its items, in the order of the client's. */
@@ -116,42 +116,42 @@
   }
 
   /** Whether every item has a result. */
-  public boolean complete() {
+  public boolean isComplete() {
     return results.size() >= items().size();
   }
 
   /** How many items were given up. */
-  public int undeliverable() {
+  public int failedItemCount() {
     int sum = 0;
-    for (Result one : results) {
-      sum += one.delivered() ? 0 : 1;
+    for (Result result : results) {
+      sum += result.succeeded() ? 0 : 1;
     }
     return sum;
   }
 
   /** Whether items of it are to be run. */
-  public boolean open() {
-    return !ended && !complete();
+  public boolean isOpen() {
+    return !cancelled && !isComplete();
   }
 
   /** The indexes of the items that have a result. */
-  public BitSet listed() {
-    BitSet listed = new BitSet(items().size());
-    for (Result one : results) {
-      listed.set(one.index());
+  public BitSet recordedItems() {
+    BitSet recorded = new BitSet(items().size());
+    for (Result result : results) {
+      recorded.set(result.itemIndex());
     }
-    return listed;
+    return recorded;
   }
 
   /** The tokens of items that wait. */
-  public long waiting() {
-    if (ended) {
+  public long waitingTokens() {
+    if (cancelled) {
       return 0;
     }
-    BitSet listed = listed();
+    BitSet recorded = recordedItems();
     long sum = 0;
     for (int i = 0; i < items().size(); i++) {
-      sum += listed.get(i) ? 0 : items().get(i).tokens();
+      sum += recorded.get(i) ? 0 : items().get(i).tokens();
     }
     return sum;
   }
@@ -159,166 +159,166 @@
   /**
    * Lists those of the results whose items are not listed yet: the first listed stays.
    *
-   * @param failed counts of items that are not listed, which replace lower ones
+   * @param newFailedAttempts counts of items that are not listed, which replace lower ones
    */
-  public JobRecord listing(List<Result> more, List<FailureCount> failed, long age) {
-    BitSet listed = listed();
-    List<Result> all = new ArrayList<>(results);
-    for (Result one : more) {
-      if (one.index() >= 0 && one.index() < items().size() && !listed.get(one.index())) {
-        listed.set(one.index());
-        all.add(one);
+  public JobRecord withResults(List<Result> newResults, List<FailedAttempts> newFailedAttempts, long newAgeMs) {
+    BitSet recorded = recordedItems();
+    List<Result> allResults = new ArrayList<>(results);
+    for (Result result : newResults) {
+      if (result.itemIndex() >= 0 && result.itemIndex() < items().size() && !recorded.get(result.itemIndex())) {
+        recorded.set(result.itemIndex());
+        allResults.add(result);
       }
     }
     TreeMap<Integer, Integer> counts = new TreeMap<>();
-    failures.forEach(one -> counts.merge(one.index(), one.count(), Math::max));
-    failed.forEach(one -> counts.merge(one.index(), one.count(), Math::max));
-    List<FailureCount> left = new ArrayList<>();
+    failedAttempts.forEach(attempts -> counts.merge(attempts.itemIndex(), attempts.count(), Math::max));
+    newFailedAttempts.forEach(attempts -> counts.merge(attempts.itemIndex(), attempts.count(), Math::max));
+    List<FailedAttempts> remaining = new ArrayList<>();
     counts.forEach(
-        (index, count) -> {
-          if (!listed.get(index)) {
-            left.add(new FailureCount(index, count));
+        (itemIndex, count) -> {
+          if (!recorded.get(itemIndex)) {
+            remaining.add(new FailedAttempts(itemIndex, count));
           }
         });
-    return changed(all, ended, runner, term, Math.max(ageMs, age), left);
+    return nextVersion(allResults, cancelled, runner, term, Math.max(ageMs, newAgeMs), remaining);
   }
 
   /** Likewise where no item has failed. */
-  public JobRecord listing(List<Result> more, long age) {
-    return listing(more, List.of(), age);
+  public JobRecord withResults(List<Result> newResults, long newAgeMs) {
+    return withResults(newResults, List.of(), newAgeMs);
   }
 
   /** How often servers have answered 500 for the item, by all its runners' counts. */
-  public int failuresOf(int index) {
-    for (FailureCount one : failures) {
-      if (one.index() == index) {
-        return one.count();
+  public int failedAttemptsOf(int itemIndex) {
+    for (FailedAttempts attempts : failedAttempts) {
+      if (attempts.itemIndex() == itemIndex) {
+        return attempts.count();
       }
     }
     return 0;
   }
 
   /** The next version, in which the job was ended by its client. */
-  public JobRecord endedNow() {
-    return changed(results, true, runner, term, ageMs, failures);
+  public JobRecord withCancellation() {
+    return nextVersion(results, true, runner, term, ageMs, failedAttempts);
   }
 
   /** The next version, run by that gateway under the next term. */
-  public JobRecord runBy(String gateway, long age) {
-    return changed(results, ended, gateway, term + 1, Math.max(ageMs, age), failures);
+  public JobRecord withRunner(String newRunner, long newAgeMs) {
+    return nextVersion(results, cancelled, newRunner, term + 1, Math.max(ageMs, newAgeMs), failedAttempts);
   }
 
   /** The same, written once more so that stores that missed a change get it. */
-  public JobRecord again() {
-    return changed(results, ended, runner, term, ageMs, failures);
+  public JobRecord rewritten() {
+    return nextVersion(results, cancelled, runner, term, ageMs, failedAttempts);
   }
 
-  private JobRecord changed(
+  private JobRecord nextVersion(
       List<Result> results,
-      boolean ended,
+      boolean cancelled,
       String runner,
       long term,
       long ageMs,
-      List<FailureCount> failures) {
-    return new JobRecord(version + 1, description, results, ended, runner, term, ageMs, failures);
+      List<FailedAttempts> failedAttempts) {
+    return new JobRecord(version + 1, description, results, cancelled, runner, term, ageMs, failedAttempts);
   }
 
   /**
    * Whether this may be a later record of the same job, by the invariant
    * DECIDED_JOB_KEEPS_ITS_RESULTS; or is one of another job, of a client that uses an id again.
    */
-  public boolean keeps(JobRecord older) {
-    boolean another = !description.equals(older.description);
-    boolean grown =
-        (ended || !older.ended)
+  public boolean isSuccessorOf(JobRecord older) {
+    boolean otherJob = !description.equals(older.description);
+    boolean consistent =
+        (cancelled || !older.cancelled)
             && term >= older.term
             && results.size() >= older.results.size()
             && results.subList(0, older.results.size()).equals(older.results);
-    return another || grown;
+    return otherJob || consistent;
   }
 
-  /** The bytes that {@link #unpacked} reads; the first number is the version of this format. */
-  public byte[] packed() {
-    ByteWriter to =
+  /** The bytes that {@link #decode} reads; the first number is the version of this format. */
+  public byte[] encode() {
+    ByteWriter writer =
         new ByteWriter()
-            .number(FORMAT)
-            .number(version)
-            .text(route())
-            .text(host())
-            .number(edition())
-            .number(runDueMs())
-            .number(shelfMs())
-            .text(body())
-            .flag(ended)
-            .text(runner)
-            .number(term)
-            .number(ageMs);
-    to.number(items().size());
+            .writeVarint(FORMAT)
+            .writeVarint(version)
+            .writeString(routeName())
+            .writeString(host())
+            .writeVarint(configVersion())
+            .writeVarint(completionTargetMs())
+            .writeVarint(itemTtlMs())
+            .writeString(bodyBlobName())
+            .writeBoolean(cancelled)
+            .writeString(runner)
+            .writeVarint(term)
+            .writeVarint(ageMs);
+    writer.writeVarint(items().size());
     for (Item item : items()) {
-      to.text(item.id()).number(item.tokens());
+      writer.writeString(item.id()).writeVarint(item.tokens());
     }
-    to.number(results.size());
-    for (Result one : results) {
-      to.number(one.index()).flag(one.delivered()).number(one.term()).number(one.textBytes());
+    writer.writeVarint(results.size());
+    for (Result result : results) {
+      writer.writeVarint(result.itemIndex()).writeBoolean(result.succeeded()).writeVarint(result.term()).writeVarint(result.textBytes());
     }
-    to.number(failures.size());
-    for (FailureCount one : failures) {
-      to.number(one.index()).number(one.count());
+    writer.writeVarint(failedAttempts.size());
+    for (FailedAttempts attempts : failedAttempts) {
+      writer.writeVarint(attempts.itemIndex()).writeVarint(attempts.count());
     }
-    return to.packed();
+    return writer.toByteArray();
   }
 
   /** The record of a key's value; null where the key has none. */
-  public static JobRecord ofValue(byte[] value) {
-    return value == null ? null : unpacked(value);
+  public static JobRecord decodeNullable(byte[] value) {
+    return value == null ? null : decode(value);
   }
 
   /** Fails with GARBLED. */
-  public static JobRecord unpacked(byte[] bytes) {
-    ByteReader from = new ByteReader(bytes);
-    long format = from.number();
+  public static JobRecord decode(byte[] bytes) {
+    ByteReader reader = new ByteReader(bytes);
+    long format = reader.readVarint();
     if (format < 1 || format > FORMAT) {
       throw new ElmsailException(ErrorCode.MALFORMED, "a record of format " + format);
     }
-    long version = from.number();
-    String route = from.text();
-    String host = from.text();
-    long edition = from.number();
-    long runDueMs = from.number();
-    long shelfMs = from.number();
-    String body = from.text();
-    boolean ended = from.flag();
-    String runner = from.text();
-    long term = from.number();
-    long ageMs = from.number();
-    int count = from.count();
+    long version = reader.readVarint();
+    String routeName = reader.readString();
+    String host = reader.readString();
+    long configVersion = reader.readVarint();
+    long completionTargetMs = reader.readVarint();
+    long itemTtlMs = reader.readVarint();
+    String bodyBlobName = reader.readString();
+    boolean cancelled = reader.readBoolean();
+    String runner = reader.readString();
+    long term = reader.readVarint();
+    long ageMs = reader.readVarint();
+    int count = reader.readCount();
     List<Item> items = new ArrayList<>(count);
     for (int i = 0; i < count; i++) {
-      items.add(new Item(from.text(), from.number()));
+      items.add(new Item(reader.readString(), reader.readVarint()));
     }
-    count = from.count();
+    count = reader.readCount();
     List<Result> results = new ArrayList<>(count);
     for (int i = 0; i < count; i++) {
-      results.add(new Result((int) from.number(), from.flag(), from.number(), (int) from.number()));
+      results.add(new Result((int) reader.readVarint(), reader.readBoolean(), reader.readVarint(), (int) reader.readVarint()));
     }
     return new JobRecord(
         version,
-        new JobDescription(route, host, edition, runDueMs, shelfMs, body, List.copyOf(items)),
+        new JobDescription(routeName, host, configVersion, completionTargetMs, itemTtlMs, bodyBlobName, List.copyOf(items)),
         List.copyOf(results),
-        ended,
+        cancelled,
         runner,
         term,
         ageMs,
-        format == 1 ? List.of() : failures(from));
+        format == 1 ? List.of() : failedAttempts(reader));
   }
 
   /** The first format had none. */
-  private static List<FailureCount> failures(ByteReader from) {
-    int count = from.count();
-    List<FailureCount> failures = new ArrayList<>(count);
+  private static List<FailedAttempts> failedAttempts(ByteReader reader) {
+    int count = reader.readCount();
+    List<FailedAttempts> failedAttempts = new ArrayList<>(count);
     for (int i = 0; i < count; i++) {
-      failures.add(new FailureCount((int) from.number(), (int) from.number()));
+      failedAttempts.add(new FailedAttempts((int) reader.readVarint(), (int) reader.readVarint()));
     }
-    return List.copyOf(failures);
+    return List.copyOf(failedAttempts);
   }
 }
--- /dev/null
+++ b/batch/src/main/java/elmsail/batch/messages/JobRequestParser.java
@@ -0,0 +1,145 @@
+package elmsail.batch.messages;
+
+import com.fasterxml.jackson.core.JsonFactory;
+import com.fasterxml.jackson.core.JsonParser;
+import com.fasterxml.jackson.core.JsonToken;
+import elmsail.batch.BatchItem;
+import elmsail.runtime.ElmsailException;
+import elmsail.runtime.ErrorCode;
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.Base64;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+/**
+ * Reads the JSON of a job that a client hands in; whatever is not as the protocol says fails with
+ * BAD_CALL.
+ */
+public final class JobRequestParser {
+  public static final int MAX_ITEMS = 200;
+  private static final JsonFactory JSON =
+      JsonFactory.builder()
+          .enable(com.fasterxml.jackson.core.StreamReadFeature.STRICT_DUPLICATE_DETECTION)
+          .build();
+
+  private JobRequestParser() {}
+
+  /**
+   * The items of a submitted body. Fails with BAD_CALL, and the reason, where it is not as the
+   * protocol says.
+   */
+  public static List<BatchItem> parse(byte[] body) {
+    try (JsonParser parser = JSON.createParser(body)) {
+      require(parser.nextToken() == JsonToken.START_OBJECT, "an object");
+      List<BatchItem> items = null;
+      while (parser.nextToken() != JsonToken.END_OBJECT) {
+        String name = fieldName(parser);
+        parser.nextToken();
+        if (name.equals("pieces")) {
+          items = parseItems(parser);
+        } else {
+          parser.skipChildren();
+        }
+      }
+      require(parser.nextToken() == null, "nothing behind the object");
+      require(items != null && !items.isEmpty(), "pieces");
+      return items;
+    } catch (IOException | IllegalArgumentException malformed) {
+      throw new ElmsailException(ErrorCode.INVALID_ARGUMENT, "a job that cannot be read", malformed);
+    }
+  }
+
+  private static List<BatchItem> parseItems(JsonParser parser) throws IOException {
+    require(parser.currentToken() == JsonToken.START_ARRAY, "a list of pieces");
+    List<BatchItem> items = new ArrayList<>();
+    Set<String> ids = new HashSet<>();
+    while (parser.nextToken() != JsonToken.END_ARRAY) {
+      BatchItem item = parseItem(parser);
+      require(ids.add(item.id()), "ids that differ");
+      items.add(item);
+      require(items.size() <= MAX_ITEMS, "at most " + MAX_ITEMS + " pieces");
+    }
+    return items;
+  }
+
+  private static BatchItem parseItem(JsonParser parser) throws IOException {
+    require(parser.currentToken() == JsonToken.START_OBJECT, "a piece");
+    String id = null;
+    String path = null;
+    Map<String, String> headers = null;
+    byte[] itemBody = null;
+    long tokens = -1;
+    while (parser.nextToken() != JsonToken.END_OBJECT) {
+      String name = fieldName(parser);
+      JsonToken value = parser.nextToken();
+      switch (name) {
+        case "id" -> id = stringValue(parser);
+        case "lane" -> path = stringValue(parser);
+        case "envelope" -> headers = parseHeaders(parser);
+        case "contents" -> itemBody = Base64.getDecoder().decode(stringValue(parser));
+        case "tokens" -> {
+          require(value == JsonToken.VALUE_NUMBER_INT, "a whole number of tokens");
+          tokens = parser.getLongValue();
+          require(tokens >= 0 && tokens <= 1L << 40, "tokens of at least 0");
+        }
+        default -> parser.skipChildren();
+      }
+    }
+    require(id != null && !id.isEmpty() && id.length() <= 256 && isPrintable(id, false), "an id");
+    require(path != null && path.startsWith("/") && isPrintable(path, false), "a lane");
+    require(headers != null && itemBody != null && tokens >= 0, "all fields of a piece");
+    return new BatchItem(id, path, headers, itemBody, tokens);
+  }
+
+  private static Map<String, String> parseHeaders(JsonParser parser) throws IOException {
+    require(parser.currentToken() == JsonToken.START_OBJECT, "an envelope");
+    Map<String, String> headers = new LinkedHashMap<>();
+    while (parser.nextToken() != JsonToken.END_OBJECT) {
+      String name = fieldName(parser);
+      parser.nextToken();
+      String value = stringValue(parser);
+      require(
+          !name.isEmpty() && name.indexOf(':') < 0 && isPrintable(name, false) && isPrintable(value, true),
+          "headers");
+      headers.put(name, value);
+    }
+    return headers;
+  }
+
+  /**
+   * No control characters, so nothing can end a line of a request; spaces only where they may
+   * stand.
+   */
+  private static boolean isPrintable(String text, boolean spacesAllowed) {
+    for (int i = 0; i < text.length(); i++) {
+      char c = text.charAt(i);
+      if (c < ' ' && c != '\t'
+          || c == '\t' && !spacesAllowed
+          || c == 127
+          || c == ' ' && !spacesAllowed) {
+        return false;
+      }
+    }
+    return true;
+  }
+
+  private static String fieldName(JsonParser parser) throws IOException {
+    require(parser.currentToken() == JsonToken.FIELD_NAME, "a field");
+    return parser.currentName();
+  }
+
+  private static String stringValue(JsonParser parser) throws IOException {
+    require(parser.currentToken() == JsonToken.VALUE_STRING, "a text");
+    return parser.getText();
+  }
+
+  private static void require(boolean condition, String expected) {
+    if (!condition) {
+      throw new ElmsailException(ErrorCode.INVALID_ARGUMENT, "a job needs " + expected);
+    }
+  }
+}
--- a/batch/src/main/java/elmsail/batch/run/FailoverMonitor.java
+++ b/batch/src/main/java/elmsail/batch/run/FailoverMonitor.java
@@ -23,30 +23,30 @@
  * takes over jobs whose runner sends no heartbeats any more.
  */
 public final class FailoverMonitor {
-  private static final long HEARTBEAT_MS = 500;
-  private static final long LOOK_MS = 700;
-  private static final long ANSWER_MS = 600;
-  private static final long SILENT_MS = 2_000;
-  private static final long RANK_MS = 400;
+  private static final long HEARTBEAT_INTERVAL_MS = 500;
+  private static final long SCAN_INTERVAL_MS = 700;
+  private static final long RESPONSE_TIMEOUT_MS = 600;
+  private static final long HEARTBEAT_TIMEOUT_MS = 2_000;
+  private static final long RANK_DELAY_MS = 400;
 
   /** A store alone in having had no heartbeat of a job for so long has missed a change of it. */
-  private static final long STALE_MS = 6_000;
+  private static final long STALE_STORE_MS = 6_000;
 
-  private static final long CHANGE_MS = 1_500;
-  private static final int MOST_TAKING = 8;
+  private static final long CHANGE_TIMEOUT_MS = 1_500;
+  private static final int MAX_CONCURRENT_TAKEOVERS = 8;
 
   /** Jobs of one heartbeat; the rest are confirmed by reads. */
-  private static final int MOST_RUNS = 1_000;
+  private static final int MAX_HEARTBEAT_JOBS = 1_000;
 
   private final BatchContext context;
-  private final BatchJobClient store;
+  private final BatchJobClient jobClient;
   private final JobRunner runner;
-  private final Set<String> taking = new HashSet<>();
+  private final Set<String> takeoversInFlight = new HashSet<>();
 
   /** A monitor that does nothing before {@link #start}. */
-  public FailoverMonitor(BatchContext context, BatchJobClient store, JobRunner runner) {
+  public FailoverMonitor(BatchContext context, BatchJobClient jobClient, JobRunner runner) {
     this.context = context;
-    this.store = store;
+    this.jobClient = jobClient;
     this.runner = runner;
   }
 
@@ -55,183 +55,183 @@
    * step.
    */
   public void start() {
-    context.timers().schedule(context.about(HEARTBEAT_MS), this::heartbeat);
-    context.timers().schedule(context.about(LOOK_MS), this::look);
+    context.timers().schedule(context.jittered(HEARTBEAT_INTERVAL_MS), this::sendHeartbeat);
+    context.timers().schedule(context.jittered(SCAN_INTERVAL_MS), this::scanForAbandonedJobs);
   }
 
-  private void heartbeat() {
-    context.timers().schedule(HEARTBEAT_MS, this::heartbeat);
-    List<RunningJob> jobs = runner.running();
+  private void sendHeartbeat() {
+    context.timers().schedule(HEARTBEAT_INTERVAL_MS, this::sendHeartbeat);
+    List<RunningJob> jobs = runner.jobsByDueTime();
     if (jobs.isEmpty()) {
       return;
     }
-    long sent = context.timers().now();
-    List<RunningJob> reported = jobs.size() > MOST_RUNS ? jobs.subList(0, MOST_RUNS) : jobs;
-    List<HeartbeatMessage.Run> runs = new ArrayList<>(reported.size());
-    for (RunningJob job : reported) {
-      runs.add(new HeartbeatMessage.Run(job.id, job.term));
+    long sentAt = context.timers().now();
+    List<RunningJob> reportedJobs = jobs.size() > MAX_HEARTBEAT_JOBS ? jobs.subList(0, MAX_HEARTBEAT_JOBS) : jobs;
+    List<HeartbeatMessage.JobLease> leases = new ArrayList<>(reportedJobs.size());
+    for (RunningJob job : reportedJobs) {
+      leases.add(new HeartbeatMessage.JobLease(job.id, job.term));
     }
-    int[] yours = new int[reported.size()];
+    int[] yours = new int[reportedJobs.size()];
     int majority = context.majority();
     OpaqueMessage heartbeat =
         BatchMessageTypes.message(
-            BatchMessageTypes.HEARTBEAT, new HeartbeatMessage(context.self(), runs).packed());
-    context.askStores(
+            BatchMessageTypes.HEARTBEAT, new HeartbeatMessage(context.localAddress(), leases).encode());
+    context.callStores(
         heartbeat,
-        ANSWER_MS,
-        (slot, answer) -> {
-          if (answer != null) {
-            ByteReader from = new ByteReader(answer.bytes);
-            for (int i = 0; i < yours.length && from.more(); i++) {
-              long one = from.number();
-              RunningJob job = reported.get(i);
-              if (one == HeartbeatMessage.YOURS && ++yours[i] == majority) {
-                job.confirmed(sent);
-              } else if (one == HeartbeatMessage.GONE) {
-                read(job);
+        RESPONSE_TIMEOUT_MS,
+        (store, response) -> {
+          if (response != null) {
+            ByteReader reader = new ByteReader(response.bytes);
+            for (int i = 0; i < yours.length && reader.hasRemaining(); i++) {
+              long status = reader.readVarint();
+              RunningJob job = reportedJobs.get(i);
+              if (status == HeartbeatMessage.LEASE_HELD && ++yours[i] == majority) {
+                job.confirm(sentAt);
+              } else if (status == HeartbeatMessage.LEASE_LOST) {
+                confirmByRead(job);
               }
             }
           }
         });
     for (RunningJob job : jobs) {
-      runner.letGo(job);
-      if (sent - job.confirmedAt > 2 * HEARTBEAT_MS) {
-        read(job);
+      runner.cancelUnansweredRuns(job);
+      if (sentAt - job.confirmedAt > 2 * HEARTBEAT_INTERVAL_MS) {
+        confirmByRead(job);
       }
     }
   }
 
-  private void read(RunningJob job) {
-    if (job.reading || job.stopped) {
+  private void confirmByRead(RunningJob job) {
+    if (job.confirmingRead || job.stopped) {
       return;
     }
-    job.reading = true;
-    long began = context.timers().now();
-    store
-        .read(job.id, ANSWER_MS)
+    job.confirmingRead = true;
+    long startedAt = context.timers().now();
+    jobClient
+        .read(job.id, RESPONSE_TIMEOUT_MS)
         .whenComplete(
-            (record, failed) -> {
-              job.reading = false;
-              if (failed == null && !job.stopped) {
-                runner.recordRead(job.id, record, began);
+            (record, failure) -> {
+              job.confirmingRead = false;
+              if (failure == null && !job.stopped) {
+                runner.onRecordRead(job.id, record, startedAt);
               }
             });
   }
 
-  private void look() {
-    context.timers().schedule(context.about(LOOK_MS), this::look);
-    int stores = context.stores().size();
-    if (stores == 0) {
+  private void scanForAbandonedJobs() {
+    context.timers().schedule(context.jittered(SCAN_INTERVAL_MS), this::scanForAbandonedJobs);
+    int storeCount = context.stores().size();
+    if (storeCount == 0) {
       return;
     }
-    Map<String, List<AbandonedJob>> reported = new HashMap<>();
+    Map<String, List<AbandonedJob>> reportsByJob = new HashMap<>();
     int[] answers = new int[1];
     OpaqueMessage request =
         BatchMessageTypes.message(
-            BatchMessageTypes.ABANDONED, new ByteWriter().number(SILENT_MS).packed());
-    context.askStores(
+            BatchMessageTypes.ABANDONED, new ByteWriter().writeVarint(HEARTBEAT_TIMEOUT_MS).toByteArray());
+    context.callStores(
         request,
-        ANSWER_MS,
-        (slot, answer) -> {
-          if (answer != null) {
-            for (AbandonedJob one : AbandonedJob.unpacked(answer.bytes)) {
-              reported.computeIfAbsent(one.job(), job -> new ArrayList<>()).add(one);
+        RESPONSE_TIMEOUT_MS,
+        (store, response) -> {
+          if (response != null) {
+            for (AbandonedJob report : AbandonedJob.decode(response.bytes)) {
+              reportsByJob.computeIfAbsent(report.jobId(), jobId -> new ArrayList<>()).add(report);
             }
           }
-          if (++answers[0] == stores) {
-            reported.forEach(this::judge);
+          if (++answers[0] == storeCount) {
+            reportsByJob.forEach(this::evaluate);
           }
         });
   }
 
-  private void judge(String job, List<AbandonedJob> reports) {
-    int rank = rank(job);
-    long silent = Long.MAX_VALUE;
+  private void evaluate(String jobId, List<AbandonedJob> reports) {
+    int rank = rank(jobId);
+    long sinceHeartbeatMs = Long.MAX_VALUE;
     long term = 0;
-    int ripe = 0;
-    for (AbandonedJob one : reports) {
-      term = Math.max(term, one.term());
-      if (one.silentMs() >= SILENT_MS + rank * RANK_MS) {
-        ripe++;
-        silent = Math.min(silent, one.silentMs());
+    int overdueReports = 0;
+    for (AbandonedJob report : reports) {
+      term = Math.max(term, report.term());
+      if (report.sinceHeartbeatMs() >= HEARTBEAT_TIMEOUT_MS + rank * RANK_DELAY_MS) {
+        overdueReports++;
+        sinceHeartbeatMs = Math.min(sinceHeartbeatMs, report.sinceHeartbeatMs());
       }
     }
-    if (taking.size() >= MOST_TAKING || taking.contains(job) || runner.runs(job)) {
+    if (takeoversInFlight.size() >= MAX_CONCURRENT_TAKEOVERS || takeoversInFlight.contains(jobId) || runner.isRunning(jobId)) {
       return;
     }
-    if (ripe >= context.majority()) {
-      take(job, term, silent);
-    } else if (ripe > 0 && silent > STALE_MS + rank * LOOK_MS) {
-      mend(job);
+    if (overdueReports >= context.majority()) {
+      takeOver(jobId, term, sinceHeartbeatMs);
+    } else if (overdueReports > 0 && sinceHeartbeatMs > STALE_STORE_MS + rank * SCAN_INTERVAL_MS) {
+      rewriteRecord(jobId);
     }
   }
 
   /** How many gateways come before this one in the job's own order of gateways. */
-  private int rank(String job) {
-    long own = ContentDigest.of(context.self() + "|" + job);
-    int before = 0;
-    for (String gateway : context.known().view().gateways) {
-      if (!gateway.equals(context.self()) && ContentDigest.of(gateway + "|" + job) > own) {
-        before++;
+  private int rank(String jobId) {
+    long ownDigest = ContentDigest.of(context.localAddress() + "|" + jobId);
+    int gatewaysAhead = 0;
+    for (String gateway : context.clusterState().view().gateways) {
+      if (!gateway.equals(context.localAddress()) && ContentDigest.of(gateway + "|" + jobId) > ownDigest) {
+        gatewaysAhead++;
       }
     }
-    return before;
+    return gatewaysAhead;
   }
 
-  private void take(String job, long term, long silentMs) {
-    taking.add(job);
-    long began = context.timers().now();
+  private void takeOver(String jobId, long term, long sinceHeartbeatMs) {
+    takeoversInFlight.add(jobId);
+    long startedAt = context.timers().now();
     boolean[] proposed = new boolean[1];
     context
         .register()
         .change(
-            JobRecord.keyOf(job),
+            JobRecord.registerKey(jobId),
             found -> {
-              JobRecord record = JobRecord.ofValue(found.value());
-              if (record == null || !record.open() || record.term() != term) {
+              JobRecord record = JobRecord.decodeNullable(found.value());
+              if (record == null || !record.isOpen() || record.term() != term) {
                 return new Register.ProposedValue(null, List.of());
               }
               proposed[0] = true;
               return new Register.ProposedValue(
-                  record.runBy(context.self(), record.ageMs() + silentMs).packed(), List.of());
+                  record.withRunner(context.localAddress(), record.ageMs() + sinceHeartbeatMs).encode(), List.of());
             },
             List.of(),
             null,
-            CHANGE_MS)
+            CHANGE_TIMEOUT_MS)
         .whenComplete(
-            (held, failed) -> {
-              taking.remove(job);
-              JobRecord record = failed == null ? store.decided(job, held.current()) : null;
+            (result, failure) -> {
+              takeoversInFlight.remove(jobId);
+              JobRecord record = failure == null ? jobClient.onCommitted(jobId, result.current()) : null;
               if (proposed[0]
                   && record != null
                   && record.term() == term + 1
-                  && record.runner().equals(context.self())) {
-                runner.adopt(job, record, record.ageMs(), began);
+                  && record.runner().equals(context.localAddress())) {
+                runner.adopt(jobId, record, record.ageMs(), startedAt);
               }
             });
   }
 
   /** Writes a job's record once more, for a store that missed it. */
-  private void mend(String job) {
-    taking.add(job);
+  private void rewriteRecord(String jobId) {
+    takeoversInFlight.add(jobId);
     context
         .register()
         .change(
-            JobRecord.keyOf(job),
+            JobRecord.registerKey(jobId),
             found -> {
-              JobRecord record = JobRecord.ofValue(found.value());
+              JobRecord record = JobRecord.decodeNullable(found.value());
               return record == null
                   ? new Register.ProposedValue(null, List.of())
-                  : new Register.ProposedValue(record.again().packed(), List.of());
+                  : new Register.ProposedValue(record.rewritten().encode(), List.of());
             },
             List.of(),
             null,
-            CHANGE_MS)
+            CHANGE_TIMEOUT_MS)
         .whenComplete(
-            (held, failed) -> {
-              taking.remove(job);
-              if (failed == null) {
-                store.decided(job, held.current());
+            (result, failure) -> {
+              takeoversInFlight.remove(jobId);
+              if (failure == null) {
+                jobClient.onCommitted(jobId, result.current());
               }
             });
   }
--- a/batch/src/main/java/elmsail/batch/run/ItemRun.java
+++ b/batch/src/main/java/elmsail/batch/run/ItemRun.java
@@ -6,45 +6,45 @@
 
 /** One item on its way to a result: the text of the events kept so far, and the run under way. */
 final class ItemRun {
-  private static final int MOST_TEXT = 4 << 20;
+  private static final int MAX_TEXT_BYTES = 4 << 20;
 
-  final int index;
+  final int itemIndex;
 
   /** The last event kept, -1: none. */
-  long last = -1;
+  long lastEventId = -1;
 
   /** Answers of 500, those that former runners recorded too. */
-  int failures;
+  int failedAttempts;
 
   /** How many of them stand in the job's record. */
-  int recordedFailures;
+  int recordedFailedAttempts;
 
   /** Tries that led nowhere in a row, for the backoff. */
-  int vain;
+  int runsWithoutEvents;
 
-  ItemServers.Running running;
+  ItemServers.RunHandle handle;
 
   /** Goes up with each run and each cancel, so that what a former run brings is not taken. */
-  int run;
+  int runNumber;
 
-  boolean underWay;
+  boolean inFlight;
 
   /** When the run under way was sent, by the steady clock. */
   long sentAt;
 
   /** Whether an event of this run came. */
-  boolean answered;
+  boolean eventReceived;
 
   boolean done;
   private ByteArrayOutputStream text;
 
   ItemRun(int index) {
-    this.index = index;
+    this.itemIndex = index;
   }
 
   /** Keeps an event if it is the next one; false for a gap or a repeat, which spoils the run. */
-  boolean event(long id, byte[] data) {
-    if (id < 0 || last >= 0 && id != last + 1 || bytes() + data.length >= MOST_TEXT) {
+  boolean onEvent(long id, byte[] data) {
+    if (id < 0 || lastEventId >= 0 && id != lastEventId + 1 || textBytes() + data.length >= MAX_TEXT_BYTES) {
       return false;
     }
     if (text == null) {
@@ -53,16 +53,16 @@
       text.write('\n');
     }
     text.write(data, 0, data.length);
-    last = id;
-    answered = true;
+    lastEventId = id;
+    eventReceived = true;
     return true;
   }
 
-  boolean any() {
+  boolean hasText() {
     return text != null;
   }
 
-  int bytes() {
+  int textBytes() {
     return text == null ? 0 : text.size();
   }
 
@@ -72,18 +72,18 @@
     return new String(bytes, StandardCharsets.UTF_8).getBytes(StandardCharsets.UTF_8);
   }
 
-  void forgetText() {
+  void discardText() {
     text = null;
-    last = -1;
+    lastEventId = -1;
   }
 
   /** Ends the run under way; nothing of it is taken any more. */
   void cancel() {
-    run++;
-    underWay = false;
-    if (running != null) {
-      running.cancel();
-      running = null;
+    runNumber++;
+    inFlight = false;
+    if (handle != null) {
+      handle.cancel();
+      handle = null;
     }
   }
 }
--- a/batch/src/main/java/elmsail/batch/run/JobEndLog.java
+++ b/batch/src/main/java/elmsail/batch/run/JobEndLog.java
@@ -13,8 +13,8 @@
 
   private JobEndLog() {}
 
-  static void report(RunningJob job, long now) {
-    boolean late = now > job.dueAt() && !job.record.ended();
+  static void log(RunningJob job, long now) {
+    boolean late = now > job.dueAt() && !job.record.cancelled();
     LOG.atLevel(late ? Level.INFO : Level.DEBUG)
         .log(
             "job {} term {} {}: listed {} of {}, undeliverable {}, {}",
@@ -22,8 +22,8 @@
             job.term,
             late ? "late" : "over",
             job.record.results().size(),
-            job.items.length,
-            job.record.undeliverable(),
+            job.itemRuns.length,
+            job.record.failedItemCount(),
             late || LOG.isDebugEnabled() ? job.timeline.describe(now) : "");
   }
 }
--- a/batch/src/main/java/elmsail/batch/run/JobRunner.java
+++ b/batch/src/main/java/elmsail/batch/run/JobRunner.java
@@ -20,38 +20,38 @@
  */
 public final class JobRunner {
   /** How soon places are looked for again, where there were none; a run that ends looks at once. */
-  private static final long LOOK_MS = 40;
+  private static final long CAPACITY_POLL_INTERVAL_MS = 40;
 
-  private static final long AGAIN_MS = 20;
-  private static final long MOST_BACKOFF_MS = 200;
+  private static final long MIN_BACKOFF_MS = 20;
+  private static final long MAX_BACKOFF_MS = 200;
 
   private final BatchContext context;
   private final BodyLoader bodies;
-  private final HeldBytes held;
-  private final ResultRecorder listing;
+  private final UnrecordedBytes unrecordedBytes;
+  private final ResultRecorder recorder;
   private final Map<String, RunningJob> jobs = new HashMap<>();
-  private final TreeMap<RunningJob, RunningJob> byDue = new TreeMap<>();
-  private final long startMs;
-  private final long letMs;
+  private final TreeMap<RunningJob, RunningJob> jobsByDueTime = new TreeMap<>();
+  private final long startLeaseMs;
+  private final long cancelLeaseMs;
   private ItemServers servers;
-  private boolean pumpSet;
+  private boolean dispatchScheduled;
 
   /**
-   * @param changed hears the id of each job in which something was listed or that was stopped
+   * @param onJobChanged hears the id of each job in which something was listed or that was stopped
    */
-  public JobRunner(BatchContext context, BatchJobClient store, Consumer<String> changed) {
+  public JobRunner(BatchContext context, BatchJobClient jobClient, Consumer<String> onJobChanged) {
     this.context = context;
-    this.held = new HeldBytes(context.invariants());
-    this.bodies = new BodyLoader(context, store, () -> pumpSoon(0));
-    this.listing = new ResultRecorder(context, store, this, changed);
-    this.startMs = context.cancelMs() * 6 / 10;
-    this.letMs = context.cancelMs() * 8 / 10;
+    this.unrecordedBytes = new UnrecordedBytes(context.invariants());
+    this.bodies = new BodyLoader(context, jobClient, () -> scheduleDispatch(0));
+    this.recorder = new ResultRecorder(context, jobClient, this, onJobChanged);
+    this.startLeaseMs = context.cancelMs() * 6 / 10;
+    this.cancelLeaseMs = context.cancelMs() * 8 / 10;
   }
 
   /** Sets where items are sent from now on; before this none is started. */
-  public void setServers(ItemServers given) {
-    servers = given;
-    pumpSoon(0);
+  public void setServers(ItemServers servers) {
+    this.servers = servers;
+    scheduleDispatch(0);
   }
 
   /**
@@ -60,51 +60,51 @@
    * @param ageMs the job's, at the least
    * @param confirmedAt when it surely was open and this gateway's, by the steady clock
    */
-  public void adopt(String id, JobRecord record, long ageMs, long confirmedAt) {
-    RunningJob before = jobs.get(id);
-    if (before != null && before.term >= record.term() || !record.open()) {
+  public void adopt(String jobId, JobRecord record, long ageMs, long confirmedAt) {
+    RunningJob previous = jobs.get(jobId);
+    if (previous != null && previous.term >= record.term() || !record.isOpen()) {
       return;
     }
-    stop(id);
+    stop(jobId);
     long now = context.timers().now();
-    RunningJob job = new RunningJob(id, record, now - ageMs, confirmedAt, now);
-    jobs.put(id, job);
-    byDue.put(job, job);
-    pumpSoon(0);
+    RunningJob job = new RunningJob(jobId, record, now - ageMs, confirmedAt, now);
+    jobs.put(jobId, job);
+    jobsByDueTime.put(job, job);
+    scheduleDispatch(0);
   }
 
   /** Stops running it: its runs are cut off, and what is not listed yet is left. */
-  public void stop(String id) {
-    RunningJob job = jobs.remove(id);
+  public void stop(String jobId) {
+    RunningJob job = jobs.remove(jobId);
     if (job == null) {
       return;
     }
-    byDue.remove(job);
-    JobEndLog.report(job, context.timers().now());
+    jobsByDueTime.remove(job);
+    JobEndLog.log(job, context.timers().now());
     job.stopped = true;
-    held.add(-job.release());
-    held.check(jobs.size());
+    unrecordedBytes.add(-job.cancelRuns());
+    unrecordedBytes.check(jobs.size());
   }
 
   /**
    * Takes a decided record read after the moment given: goes on if the job is still open and ours.
    */
-  public void recordRead(String id, JobRecord record, long readAt) {
-    RunningJob job = jobs.get(id);
+  public void onRecordRead(String jobId, JobRecord record, long readAt) {
+    RunningJob job = jobs.get(jobId);
     if (job == null) {
       return;
     }
-    if (record == null || !record.open() || record.term() != job.term) {
-      stop(id);
+    if (record == null || !record.isOpen() || record.term() != job.term) {
+      stop(jobId);
       return;
     }
-    job.confirmed(readAt);
-    pumpSoon(0);
+    job.confirm(readAt);
+    scheduleDispatch(0);
   }
 
   /** Whether this gateway runs the job at present. */
-  public boolean runs(String id) {
-    return jobs.containsKey(id);
+  public boolean isRunning(String jobId) {
+    return jobs.containsKey(jobId);
   }
 
   /** How many jobs this gateway runs at present. */
@@ -112,200 +112,200 @@
     return jobs.size();
   }
 
-  List<RunningJob> running() {
-    return new ArrayList<>(byDue.keySet());
+  List<RunningJob> jobsByDueTime() {
+    return new ArrayList<>(jobsByDueTime.keySet());
   }
 
   /** Cuts runs that may not have reached a server yet, of jobs long not known to be ours. */
-  void letGo(RunningJob job) {
-    if (context.timers().now() - job.confirmedAt <= letMs) {
+  void cancelUnansweredRuns(RunningJob job) {
+    if (context.timers().now() - job.confirmedAt <= cancelLeaseMs) {
       return;
     }
-    for (ItemRun item : job.items) {
-      if (item.underWay && !item.answered) {
-        item.cancel();
+    for (ItemRun itemRun : job.itemRuns) {
+      if (itemRun.inFlight && !itemRun.eventReceived) {
+        itemRun.cancel();
         job.timeline.cut();
-        job.underWay--;
-        job.ready.add(item.index);
+        job.itemsInFlight--;
+        job.ready.add(itemRun.itemIndex);
       }
     }
   }
 
-  void unheld(long bytes) {
-    held.add(-bytes);
+  void releaseBytes(long bytes) {
+    unrecordedBytes.add(-bytes);
   }
 
-  void pumpSoon(long ms) {
-    if (!pumpSet) {
-      pumpSet = true;
+  void scheduleDispatch(long delayMs) {
+    if (!dispatchScheduled) {
+      dispatchScheduled = true;
       context
           .timers()
           .schedule(
-              ms,
+              delayMs,
               () -> {
-                pumpSet = false;
-                pump();
+                dispatchScheduled = false;
+                dispatch();
               });
     }
   }
 
-  private void pump() {
-    RoutingConfig config = context.known().config();
+  private void dispatch() {
+    RoutingConfig config = context.clusterState().config();
     if (servers == null || config == null || jobs.isEmpty()) {
       return;
     }
-    Map<String, Integer> room = new HashMap<>();
-    boolean left = false;
-    for (RunningJob job : running()) {
+    Map<String, Integer> capacityByRoute = new HashMap<>();
+    boolean itemsLeft = false;
+    for (RunningJob job : jobsByDueTime()) {
       if (!job.stopped && !job.ready.isEmpty()) {
-        if (job.batchItems == null && job.outlived(context.timers().now())) {
-          giveUp(job);
-        } else if (job.batchItems == null) {
-          job.timeline.stalled(JobTimeline.Stall.BODY);
+        if (job.items == null && job.isExpired(context.timers().now())) {
+          failReadyItems(job);
+        } else if (job.items == null) {
+          job.timeline.onStalled(JobTimeline.Stall.BODY);
           bodies.fetch(job);
         } else {
-          startSome(job, config, room);
+          startItems(job, config, capacityByRoute);
         }
-        left |= !job.stopped && !job.ready.isEmpty();
+        itemsLeft |= !job.stopped && !job.ready.isEmpty();
       }
     }
-    if (left) {
-      pumpSoon(LOOK_MS);
+    if (itemsLeft) {
+      scheduleDispatch(CAPACITY_POLL_INTERVAL_MS);
     }
   }
 
   /** Nobody gave its body in all its time: what is not listed yet is undeliverable. */
-  private void giveUp(RunningJob job) {
+  private void failReadyItems(RunningJob job) {
     while (!job.ready.isEmpty()) {
-      ItemRun item = job.items[job.ready.poll()];
-      if (!item.done) {
-        finish(job, item, false);
+      ItemRun itemRun = job.itemRuns[job.ready.poll()];
+      if (!itemRun.done) {
+        finishItem(job, itemRun, false);
       }
     }
   }
 
-  private void startSome(RunningJob job, RoutingConfig config, Map<String, Integer> room) {
+  private void startItems(RunningJob job, RoutingConfig config, Map<String, Integer> capacityByRoute) {
     long now = context.timers().now();
-    boolean confirmed = now - job.confirmedAt <= startMs;
+    boolean confirmed = now - job.confirmedAt <= startLeaseMs;
     while (!job.stopped && !job.ready.isEmpty()) {
-      ItemRun item = job.items[job.ready.peek()];
-      if (item.done || item.underWay) {
+      ItemRun itemRun = job.itemRuns[job.ready.peek()];
+      if (itemRun.done || itemRun.inFlight) {
         job.ready.poll();
         continue;
       }
-      BatchItem batchItem = job.batchItems.get(item.index);
-      Route route = config.find(job.record.host(), batchItem.lane());
-      if (route == null && config.edition() <= job.record.edition()) {
+      BatchItem item = job.items.get(itemRun.itemIndex);
+      Route route = config.find(job.record.host(), item.path());
+      if (route == null && config.edition() <= job.record.configVersion()) {
         return;
       }
-      if (route == null || job.outlived(now)) {
+      if (route == null || job.isExpired(now)) {
         job.ready.poll();
-        finish(job, item, false);
+        finishItem(job, itemRun, false);
         continue;
       }
-      Integer places = room.get(route.name());
-      if (places == null) {
-        places = servers.room(route);
+      Integer capacity = capacityByRoute.get(route.name());
+      if (capacity == null) {
+        capacity = servers.availableCapacity(route);
       }
-      if (!confirmed || places <= 0 || held.full()) {
-        room.put(route.name(), places);
-        job.timeline.stalled(JobTimeline.Stall.of(confirmed, places));
+      if (!confirmed || capacity <= 0 || unrecordedBytes.isFull()) {
+        capacityByRoute.put(route.name(), capacity);
+        job.timeline.onStalled(JobTimeline.Stall.of(confirmed, capacity));
         return;
       }
       job.ready.poll();
-      if (start(job, item, route, batchItem)) {
-        room.put(route.name(), places - 1);
+      if (start(job, itemRun, route, item)) {
+        capacityByRoute.put(route.name(), capacity - 1);
       } else {
-        job.ready.add(item.index);
-        room.put(route.name(), 0);
+        job.ready.add(itemRun.itemIndex);
+        capacityByRoute.put(route.name(), 0);
         return;
       }
     }
   }
 
-  private boolean start(RunningJob job, ItemRun item, Route route, BatchItem batchItem) {
-    int run = ++item.run;
-    item.underWay = true;
-    item.answered = false;
-    item.sentAt = context.timers().now();
-    job.underWay++;
-    ItemServers.Running running =
+  private boolean start(RunningJob job, ItemRun itemRun, Route route, BatchItem item) {
+    int runNumber = ++itemRun.runNumber;
+    itemRun.inFlight = true;
+    itemRun.eventReceived = false;
+    itemRun.sentAt = context.timers().now();
+    job.itemsInFlight++;
+    ItemServers.RunHandle handle =
         servers.start(
             route,
-            batchItem,
-            item.last,
+            item,
+            itemRun.lastEventId,
             new ItemServers.RunListener() {
               @Override
-              public void event(long id, byte[] data) {
-                if (item.run == run) {
-                  kept(job, item, id, data);
+              public void onEvent(long eventId, byte[] data) {
+                if (itemRun.runNumber == runNumber) {
+                  keepEvent(job, itemRun, eventId, data);
                 }
               }
 
               @Override
-              public void ended(ItemServers.Ended how) {
-                if (item.run == run) {
-                  item.running = null;
-                  item.cancel();
-                  job.underWay--;
-                  job.timeline.ended(how, item.sentAt, context.timers().now());
-                  over(job, item, how, route);
+              public void onEnded(ItemServers.RunOutcome outcome) {
+                if (itemRun.runNumber == runNumber) {
+                  itemRun.handle = null;
+                  itemRun.cancel();
+                  job.itemsInFlight--;
+                  job.timeline.onEnded(outcome, itemRun.sentAt, context.timers().now());
+                  onRunEnded(job, itemRun, outcome, route);
                 }
               }
             });
-    if (running == null) {
-      if (item.run == run) {
-        item.run++;
-        item.underWay = false;
-        job.underWay--;
+    if (handle == null) {
+      if (itemRun.runNumber == runNumber) {
+        itemRun.runNumber++;
+        itemRun.inFlight = false;
+        job.itemsInFlight--;
       }
       return false;
     }
-    job.timeline.sent(item.sentAt);
-    if (item.run == run && item.underWay) {
-      item.running = running;
-    } else if (item.run > run) {
-      running.cancel();
+    job.timeline.sent(itemRun.sentAt);
+    if (itemRun.runNumber == runNumber && itemRun.inFlight) {
+      itemRun.handle = handle;
+    } else if (itemRun.runNumber > runNumber) {
+      handle.cancel();
     }
     return true;
   }
 
-  private void kept(RunningJob of, ItemRun to, long id, byte[] data) {
-    int before = to.bytes();
-    boolean next = to.event(id, data);
-    of.timeline.event(context.timers().now());
-    held.add(to.bytes() - before);
-    if (!next) {
-      to.cancel();
-      of.timeline.cut();
-      of.underWay--;
-      held.add(-to.bytes());
-      to.forgetText();
-      again(of, to);
+  private void keepEvent(RunningJob job, ItemRun itemRun, long eventId, byte[] data) {
+    int bytesBefore = itemRun.textBytes();
+    boolean inSequence = itemRun.onEvent(eventId, data);
+    job.timeline.onEvent(context.timers().now());
+    unrecordedBytes.add(itemRun.textBytes() - bytesBefore);
+    if (!inSequence) {
+      itemRun.cancel();
+      job.timeline.cut();
+      job.itemsInFlight--;
+      unrecordedBytes.add(-itemRun.textBytes());
+      itemRun.discardText();
+      retryLater(job, itemRun);
     }
   }
 
-  private void over(RunningJob job, ItemRun item, ItemServers.Ended how, Route route) {
-    switch (how) {
+  private void onRunEnded(RunningJob job, ItemRun itemRun, ItemServers.RunOutcome outcome, Route route) {
+    switch (outcome) {
       case WHOLE -> {
-        if (item.any()) {
-          finish(job, item, true);
+        if (itemRun.hasText()) {
+          finishItem(job, itemRun, true);
         } else {
-          again(job, item);
+          retryLater(job, itemRun);
         }
       }
-      case NEVER -> finish(job, item, false);
+      case NEVER -> finishItem(job, itemRun, false);
       case FAILED -> {
-        item.failures++;
-        if (item.failures >= Math.max(1, route.tries())) {
-          finish(job, item, false);
+        itemRun.failedAttempts++;
+        if (itemRun.failedAttempts >= Math.max(1, route.tries())) {
+          finishItem(job, itemRun, false);
         } else {
-          listing.soon(job); // it runs again once that is recorded
+          recorder.scheduleRecording(job); // it runs again once that is recorded
         }
       }
-      default -> again(job, item);
+      default -> retryLater(job, itemRun);
     }
-    pumpSoon(0);
+    scheduleDispatch(0);
   }
 
   /**
@@ -313,30 +313,30 @@
    * whoever runs the job next counts on from the record, so each change of hands hides one failure
    * at most.
    */
-  void recordedFailures(RunningJob job) {
-    for (ItemRun item : job.takeRecordedFailures()) {
-      again(job, item);
+  void onFailuresRecorded(RunningJob job) {
+    for (ItemRun itemRun : job.applyRecordedFailedAttempts()) {
+      retryLater(job, itemRun);
     }
   }
 
-  private void finish(RunningJob job, ItemRun item, boolean delivered) {
-    held.add(-item.bytes());
-    job.finish(item, delivered);
-    held.add(job.finished.get(item.index).text().length);
-    listing.soon(job);
+  private void finishItem(RunningJob job, ItemRun itemRun, boolean succeeded) {
+    unrecordedBytes.add(-itemRun.textBytes());
+    job.finish(itemRun, succeeded);
+    unrecordedBytes.add(job.finished.get(itemRun.itemIndex).text().length);
+    recorder.scheduleRecording(job);
   }
 
-  private void again(RunningJob job, ItemRun item) {
-    item.vain = item.answered ? 0 : item.vain + 1;
-    long backoff = Math.min(MOST_BACKOFF_MS, AGAIN_MS << Math.min(item.vain, 5));
+  private void retryLater(RunningJob job, ItemRun itemRun) {
+    itemRun.runsWithoutEvents = itemRun.eventReceived ? 0 : itemRun.runsWithoutEvents + 1;
+    long backoff = Math.min(MAX_BACKOFF_MS, MIN_BACKOFF_MS << Math.min(itemRun.runsWithoutEvents, 5));
     context
         .timers()
         .schedule(
-            context.about(backoff),
+            context.jittered(backoff),
             () -> {
-              if (!job.stopped && !item.done && !item.underWay) {
-                job.ready.add(item.index);
-                pumpSoon(0);
+              if (!job.stopped && !itemRun.done && !itemRun.inFlight) {
+                job.ready.add(itemRun.itemIndex);
+                scheduleDispatch(0);
               }
             });
   }
--- a/batch/src/main/java/elmsail/batch/run/JobTimeline.java
+++ b/batch/src/main/java/elmsail/batch/run/JobTimeline.java
@@ -25,30 +25,30 @@
      * Why the items of a job whose body is there are not sent.
      *
      * @param confirmed whether a majority of the stores confirmed lately who runs the job
-     * @param places how many items the servers may be given now
+     * @param capacity how many items the servers may be given now
      */
-    static Stall of(boolean confirmed, int places) {
+    static Stall of(boolean confirmed, int capacity) {
       if (!confirmed) {
         return UNCONFIRMED;
       }
-      return places <= 0 ? NO_ROOM : MEMORY;
+      return capacity <= 0 ? NO_ROOM : MEMORY;
     }
   }
 
-  private static final long NEVER = -1;
+  private static final long NOT_YET = -1;
 
   private final long acceptedAt;
   private final long adoptedAt;
   private final Map<Stall, Integer> stalls = new EnumMap<>(Stall.class);
-  private final Map<ItemServers.Ended, Integer> ends = new EnumMap<>(ItemServers.Ended.class);
-  private long bodyAt = NEVER;
-  private long firstSentAt = NEVER;
-  private long lastSentAt = NEVER;
-  private long firstEventAt = NEVER;
-  private long lastEndAt = NEVER;
+  private final Map<ItemServers.RunOutcome, Integer> outcomes = new EnumMap<>(ItemServers.RunOutcome.class);
+  private long bodyAt = NOT_YET;
+  private long firstSentAt = NOT_YET;
+  private long lastSentAt = NOT_YET;
+  private long firstEventAt = NOT_YET;
+  private long lastEndAt = NOT_YET;
   private long longestRunMs;
-  private int sent;
-  private int cut;
+  private int runsSent;
+  private int runsCancelled;
 
   /**
    * @param acceptedAt when the job was accepted, or later
@@ -59,34 +59,34 @@
     this.adoptedAt = adoptedAt;
   }
 
-  void bodyReady(long now) {
-    bodyAt = bodyAt == NEVER ? now : bodyAt;
+  void onBodyLoaded(long now) {
+    bodyAt = bodyAt == NOT_YET ? now : bodyAt;
   }
 
-  void stalled(Stall why) {
-    stalls.merge(why, 1, Integer::sum);
+  void onStalled(Stall stall) {
+    stalls.merge(stall, 1, Integer::sum);
   }
 
   void sent(long now) {
-    firstSentAt = firstSentAt == NEVER ? now : firstSentAt;
+    firstSentAt = firstSentAt == NOT_YET ? now : firstSentAt;
     lastSentAt = now;
-    sent++;
+    runsSent++;
   }
 
-  void event(long now) {
-    firstEventAt = firstEventAt == NEVER ? now : firstEventAt;
+  void onEvent(long now) {
+    firstEventAt = firstEventAt == NOT_YET ? now : firstEventAt;
   }
 
   /** A run ended by itself that began at {@code sentAt}. */
-  void ended(ItemServers.Ended how, long sentAt, long now) {
-    ends.merge(how, 1, Integer::sum);
+  void onEnded(ItemServers.RunOutcome outcome, long sentAt, long now) {
+    outcomes.merge(outcome, 1, Integer::sum);
     longestRunMs = Math.max(longestRunMs, now - sentAt);
     lastEndAt = now;
   }
 
   /** A run was ended by this gateway. */
   void cut() {
-    cut++;
+    runsCancelled++;
   }
 
   /** One line of the stages reached so far. */
@@ -108,16 +108,16 @@
         + " longest-run="
         + longestRunMs
         + " sent="
-        + sent
+        + runsSent
         + " cut="
-        + cut
+        + runsCancelled
         + " ends="
-        + ends
+        + outcomes
         + " stalls="
         + stalls;
   }
 
   private String since(long at) {
-    return at == NEVER ? "never" : Long.toString(at - acceptedAt);
+    return at == NOT_YET ? "never" : Long.toString(at - acceptedAt);
   }
 }
--- a/batch/src/main/java/elmsail/batch/run/ResultRecorder.java
+++ b/batch/src/main/java/elmsail/batch/run/ResultRecorder.java
@@ -16,155 +16,155 @@
  * take the listing: whoever finishes it finds them there.
  */
 final class ResultRecorder {
-  private static final long GATHER_MS = 150;
-  private static final long CHANGE_MS = 2_000;
+  private static final long BATCH_DELAY_MS = 150;
+  private static final long CHANGE_TIMEOUT_MS = 2_000;
   private static final long BACKOFF_MS = 150;
-  private static final int MOST_BYTES = 1 << 20;
+  private static final int MAX_BATCH_BYTES = 1 << 20;
 
   /** With a note there is always a first round. */
   private static final byte[] NO_NOTE = {};
 
   private final BatchContext context;
-  private final BatchJobClient store;
+  private final BatchJobClient jobClient;
   private final JobRunner runner;
-  private final Consumer<String> changed;
+  private final Consumer<String> onJobChanged;
 
   ResultRecorder(
-      BatchContext context, BatchJobClient store, JobRunner runner, Consumer<String> changed) {
+      BatchContext context, BatchJobClient jobClient, JobRunner runner, Consumer<String> onJobChanged) {
     this.context = context;
-    this.store = store;
+    this.jobClient = jobClient;
     this.runner = runner;
-    this.changed = changed;
+    this.onJobChanged = onJobChanged;
   }
 
   /**
    * Lists what is finished and counts what failed, with what else is finished in the next moments.
    */
-  void soon(RunningJob job) {
-    if (job.listing || job.stopped || !job.hasNews()) {
+  void scheduleRecording(RunningJob job) {
+    if (job.recording || job.stopped || !job.hasUnrecorded()) {
       return;
     }
-    long wait = job.listedAt + GATHER_MS - context.timers().now();
-    if (job.allDone()) {
-      context.timers().execute(() -> list(job));
-    } else if (!job.listingSet) {
-      job.listingSet = true;
+    long delayMs = job.recordedAt + BATCH_DELAY_MS - context.timers().now();
+    if (job.allItemsDone()) {
+      context.timers().execute(() -> recordResults(job));
+    } else if (!job.recordingScheduled) {
+      job.recordingScheduled = true;
       context
           .timers()
           .schedule(
-              wait,
+              delayMs,
               () -> {
-                job.listingSet = false;
-                list(job);
+                job.recordingScheduled = false;
+                recordResults(job);
               });
     }
   }
 
-  private void list(RunningJob job) {
-    if (job.listing || job.stopped || !job.hasNews()) {
+  private void recordResults(RunningJob job) {
+    if (job.recording || job.stopped || !job.hasUnrecorded()) {
       return;
     }
-    job.listing = true;
-    long began = context.timers().now();
-    List<RunningJob.Finished> batch = job.batch(MOST_BYTES);
-    List<JobRecord.FailureCount> counts = job.unrecordedFailures();
+    job.recording = true;
+    long startedAt = context.timers().now();
+    List<RunningJob.FinishedItem> batch = job.nextBatch(MAX_BATCH_BYTES);
+    List<JobRecord.FailedAttempts> failedAttempts = job.unrecordedFailedAttempts();
     context
         .register()
         .change(
-            JobRecord.keyOf(job.id),
-            found -> wanted(job, batch, counts, found),
-            texts(batch),
+            JobRecord.registerKey(job.id),
+            found -> proposeResults(job, batch, failedAttempts, found),
+            textBlobs(batch),
             NO_NOTE,
-            CHANGE_MS)
+            CHANGE_TIMEOUT_MS)
         .whenComplete(
-            (held, failed) -> {
-              job.listing = false;
+            (result, failure) -> {
+              job.recording = false;
               if (job.stopped) {
                 return;
               }
-              if (failed == null) {
-                listed(job, batch, held.current(), began);
+              if (failure == null) {
+                onRecorded(job, batch, result.current(), startedAt);
               } else {
-                context.timers().schedule(context.about(BACKOFF_MS), () -> list(job));
+                context.timers().schedule(context.jittered(BACKOFF_MS), () -> recordResults(job));
               }
             });
   }
 
-  private static List<Blob> texts(List<RunningJob.Finished> batch) {
-    List<Blob> texts = new ArrayList<>();
-    for (RunningJob.Finished one : batch) {
-      if (one.result().delivered()) {
+  private static List<Blob> textBlobs(List<RunningJob.FinishedItem> batch) {
+    List<Blob> blobs = new ArrayList<>();
+    for (RunningJob.FinishedItem finishedItem : batch) {
+      if (finishedItem.result().succeeded()) {
         Blob text = new Blob();
-        text.name = one.result().textName();
-        text.bytes = one.text();
-        texts.add(text);
+        text.name = finishedItem.result().textBlobName();
+        text.bytes = finishedItem.text();
+        blobs.add(text);
       }
     }
-    return texts;
+    return blobs;
   }
 
   /** Null where the job is no more this gateway's in this term. */
-  private JobRecord ours(RunningJob job, byte[] value) {
+  private JobRecord recordIfOwned(RunningJob job, byte[] value) {
     if (value == null) {
       return null;
     }
-    JobRecord record = JobRecord.unpacked(value);
-    boolean ours = record.term() == job.term && record.runner().equals(context.self());
-    return ours && !record.ended() ? record : null;
+    JobRecord record = JobRecord.decode(value);
+    boolean owned = record.term() == job.term && record.runner().equals(context.localAddress());
+    return owned && !record.cancelled() ? record : null;
   }
 
-  private Register.ProposedValue wanted(
+  private Register.ProposedValue proposeResults(
       RunningJob job,
-      List<RunningJob.Finished> batch,
-      List<JobRecord.FailureCount> failed,
+      List<RunningJob.FinishedItem> batch,
+      List<JobRecord.FailedAttempts> failedAttempts,
       Register.ObservedState found) {
-    JobRecord record = ours(job, found.value());
+    JobRecord record = recordIfOwned(job, found.value());
     if (record == null || job.stopped) {
       return new Register.ProposedValue(null, List.of());
     }
-    BitSet listed = record.listed();
-    List<JobRecord.Result> more = new ArrayList<>();
-    for (RunningJob.Finished one : batch) {
-      if (!listed.get(one.result().index())) {
-        more.add(one.result());
+    BitSet recorded = record.recordedItems();
+    List<JobRecord.Result> newResults = new ArrayList<>();
+    for (RunningJob.FinishedItem finishedItem : batch) {
+      if (!recorded.get(finishedItem.result().itemIndex())) {
+        newResults.add(finishedItem.result());
       }
     }
-    boolean counted =
-        failed.stream().allMatch(one -> record.failuresOf(one.index()) >= one.count());
-    if (more.isEmpty() && counted) {
+    boolean failuresRecorded =
+        failedAttempts.stream().allMatch(attempts -> record.failedAttemptsOf(attempts.itemIndex()) >= attempts.count());
+    if (newResults.isEmpty() && failuresRecorded) {
       return new Register.ProposedValue(null, List.of());
     }
     return new Register.ProposedValue(
-        record.listing(more, failed, job.ageMs(context.timers().now())).packed(), List.of());
+        record.withResults(newResults, failedAttempts, job.ageMs(context.timers().now())).encode(), List.of());
   }
 
-  private void listed(
-      RunningJob job, List<RunningJob.Finished> batch, Register.VersionedValue now, long began) {
-    store.decided(job.id, now);
-    JobRecord record = ours(job, now.value());
+  private void onRecorded(
+      RunningJob job, List<RunningJob.FinishedItem> batch, Register.VersionedValue committed, long startedAt) {
+    jobClient.onCommitted(job.id, committed);
+    JobRecord record = recordIfOwned(job, committed.value());
     if (record == null) {
       runner.stop(job.id);
-      changed.accept(job.id);
+      onJobChanged.accept(job.id);
       return;
     }
     job.record = record;
-    job.listedAt = context.timers().now();
-    job.confirmed(began);
-    BitSet listed = record.listed();
-    for (RunningJob.Finished one : batch) {
-      if (listed.get(one.result().index()) && job.finished.remove(one.result().index()) != null) {
-        runner.unheld(one.text().length);
-        if (one.result().delivered()) {
-          store.cacheText(job.id, one.result(), one.text());
+    job.recordedAt = context.timers().now();
+    job.confirm(startedAt);
+    BitSet recorded = record.recordedItems();
+    for (RunningJob.FinishedItem finishedItem : batch) {
+      if (recorded.get(finishedItem.result().itemIndex()) && job.finished.remove(finishedItem.result().itemIndex()) != null) {
+        runner.releaseBytes(finishedItem.text().length);
+        if (finishedItem.result().succeeded()) {
+          jobClient.cacheText(job.id, finishedItem.result(), finishedItem.text());
         }
       }
     }
-    runner.recordedFailures(job);
-    if (record.complete()) {
+    runner.onFailuresRecorded(job);
+    if (record.isComplete()) {
       runner.stop(job.id);
     } else {
-      soon(job);
+      scheduleRecording(job);
     }
-    changed.accept(job.id);
+    onJobChanged.accept(job.id);
   }
 }
--- a/batch/src/main/java/elmsail/batch/run/RunningJob.java
+++ b/batch/src/main/java/elmsail/batch/run/RunningJob.java
@@ -12,7 +12,7 @@
 /** One job that this gateway runs, in one term. */
 final class RunningJob implements Comparable<RunningJob> {
   /** An item that is done and not listed yet; the text is empty where it is undeliverable. */
-  record Finished(JobRecord.Result result, byte[] text) {}
+  record FinishedItem(JobRecord.Result result, byte[] text) {}
 
   final String id;
   final long term;
@@ -23,24 +23,24 @@
   JobRecord record;
 
   /** Null until they are fetched. */
-  List<BatchItem> batchItems;
+  List<BatchItem> items;
 
   boolean fetching;
-  final ItemRun[] items;
+  final ItemRun[] itemRuns;
 
   /** ItemDispatcher to be started, the first of the job first. */
   final PriorityQueue<Integer> ready = new PriorityQueue<>();
 
-  final Map<Integer, Finished> finished = new LinkedHashMap<>();
-  int underWay;
-  boolean listing;
-  boolean listingSet;
-  long listedAt;
+  final Map<Integer, FinishedItem> finished = new LinkedHashMap<>();
+  int itemsInFlight;
+  boolean recording;
+  boolean recordingScheduled;
+  long recordedAt;
 
   /** Of the steady clock: at this moment the job surely was open and ours. */
   long confirmedAt;
 
-  boolean reading;
+  boolean confirmingRead;
   boolean stopped;
 
   /** What an operator needs to tell why the job was late. */
@@ -52,16 +52,16 @@
     this.term = record.term();
     this.acceptedAt = acceptedAt;
     this.confirmedAt = confirmedAt;
-    this.listedAt = acceptedAt;
+    this.recordedAt = acceptedAt;
     this.timeline = new JobTimeline(acceptedAt, now);
-    this.items = new ItemRun[record.items().size()];
-    BitSet listed = record.listed();
-    for (int i = 0; i < items.length; i++) {
-      items[i] = new ItemRun(i);
-      items[i].failures = record.failuresOf(i);
-      items[i].recordedFailures = items[i].failures;
-      if (listed.get(i)) {
-        items[i].done = true;
+    this.itemRuns = new ItemRun[record.items().size()];
+    BitSet recorded = record.recordedItems();
+    for (int i = 0; i < itemRuns.length; i++) {
+      itemRuns[i] = new ItemRun(i);
+      itemRuns[i].failedAttempts = record.failedAttemptsOf(i);
+      itemRuns[i].recordedFailedAttempts = itemRuns[i].failedAttempts;
+      if (recorded.get(i)) {
+        itemRuns[i].done = true;
       } else {
         ready.add(i);
       }
@@ -69,7 +69,7 @@
   }
 
   long dueAt() {
-    return acceptedAt + record.runDueMs();
+    return acceptedAt + record.completionTargetMs();
   }
 
   /** At the least. */
@@ -78,74 +78,74 @@
   }
 
   /** Whether its items may be given up. */
-  boolean outlived(long now) {
-    return record.shelfMs() > 0 && ageMs(now) > record.shelfMs();
+  boolean isExpired(long now) {
+    return record.itemTtlMs() > 0 && ageMs(now) > record.itemTtlMs();
   }
 
-  void confirmed(long at) {
+  void confirm(long at) {
     confirmedAt = Math.max(confirmedAt, at);
   }
 
   /** Puts the item's result to those to be listed. */
-  void finish(ItemRun item, boolean delivered) {
-    byte[] text = delivered ? item.text() : new byte[0];
-    item.forgetText();
-    item.done = true;
+  void finish(ItemRun itemRun, boolean succeeded) {
+    byte[] text = succeeded ? itemRun.text() : new byte[0];
+    itemRun.discardText();
+    itemRun.done = true;
     finished.put(
-        item.index,
-        new Finished(new JobRecord.Result(item.index, delivered, term, text.length), text));
+        itemRun.itemIndex,
+        new FinishedItem(new JobRecord.Result(itemRun.itemIndex, succeeded, term, text.length), text));
   }
 
   /** Cuts all runs and forgets all texts; gives how many bytes these had. */
-  long release() {
+  long cancelRuns() {
     long bytes = 0;
-    for (ItemRun item : items) {
-      bytes += item.bytes();
-      item.forgetText();
-      item.cancel();
+    for (ItemRun itemRun : itemRuns) {
+      bytes += itemRun.textBytes();
+      itemRun.discardText();
+      itemRun.cancel();
     }
-    for (Finished one : finished.values()) {
-      bytes += one.text().length;
+    for (FinishedItem finishedItem : finished.values()) {
+      bytes += finishedItem.text().length;
     }
     finished.clear();
     return bytes;
   }
 
   /** Whether there is anything that is to stand in the record and doesn't yet. */
-  boolean hasNews() {
-    return !finished.isEmpty() || !unrecordedFailures().isEmpty();
+  boolean hasUnrecorded() {
+    return !finished.isEmpty() || !unrecordedFailedAttempts().isEmpty();
   }
 
   /** The counts that the record lacks, of items that are not finished. */
-  List<JobRecord.FailureCount> unrecordedFailures() {
-    List<JobRecord.FailureCount> counts = new ArrayList<>();
-    for (ItemRun item : items) {
-      if (!item.done && item.failures > item.recordedFailures) {
-        counts.add(new JobRecord.FailureCount(item.index, item.failures));
+  List<JobRecord.FailedAttempts> unrecordedFailedAttempts() {
+    List<JobRecord.FailedAttempts> failedAttempts = new ArrayList<>();
+    for (ItemRun itemRun : itemRuns) {
+      if (!itemRun.done && itemRun.failedAttempts > itemRun.recordedFailedAttempts) {
+        failedAttempts.add(new JobRecord.FailedAttempts(itemRun.itemIndex, itemRun.failedAttempts));
       }
     }
-    return counts;
+    return failedAttempts;
   }
 
   /** Takes what the record says of failures; gives the items that are free to run again by it. */
-  List<ItemRun> takeRecordedFailures() {
-    List<ItemRun> free = new ArrayList<>();
-    for (ItemRun item : items) {
-      int recorded = record.failuresOf(item.index);
-      if (recorded > item.recordedFailures) {
-        item.recordedFailures = recorded;
-        if (!item.done && !item.underWay && recorded == item.failures) {
-          free.add(item);
+  List<ItemRun> applyRecordedFailedAttempts() {
+    List<ItemRun> retryable = new ArrayList<>();
+    for (ItemRun itemRun : itemRuns) {
+      int recorded = record.failedAttemptsOf(itemRun.itemIndex);
+      if (recorded > itemRun.recordedFailedAttempts) {
+        itemRun.recordedFailedAttempts = recorded;
+        if (!itemRun.done && !itemRun.inFlight && recorded == itemRun.failedAttempts) {
+          retryable.add(itemRun);
         }
       }
     }
-    return free;
+    return retryable;
   }
 
   /** Nothing runs, nothing is ready, nothing waits for its next try: only the listing is left. */
-  boolean allDone() {
-    for (ItemRun item : items) {
-      if (!item.done) {
+  boolean allItemsDone() {
+    for (ItemRun itemRun : itemRuns) {
+      if (!itemRun.done) {
         return false;
       }
     }
@@ -153,15 +153,15 @@
   }
 
   /** The next ones to be listed, of so many bytes in all, and one at least. */
-  List<Finished> batch(int mostBytes) {
-    List<Finished> batch = new ArrayList<>();
+  List<FinishedItem> nextBatch(int maxBytes) {
+    List<FinishedItem> batch = new ArrayList<>();
     int bytes = 0;
-    for (Finished one : finished.values()) {
-      bytes += one.text().length;
-      if (!batch.isEmpty() && bytes > mostBytes) {
+    for (FinishedItem finishedItem : finished.values()) {
+      bytes += finishedItem.text().length;
+      if (!batch.isEmpty() && bytes > maxBytes) {
         break;
       }
-      batch.add(one);
+      batch.add(finishedItem);
     }
     return batch;
   }
--- a/batch/src/main/java/elmsail/batch/run/HeldBytes.java
+++ b/batch/src/main/java/elmsail/batch/run/UnrecordedBytes.java
@@ -4,19 +4,19 @@
 import elmsail.runtime.Invariants;
 
 /** Bytes of texts that are not listed yet, of all jobs that a gateway runs; bounded. */
-final class HeldBytes {
-  private static final long MOST = 16L << 20;
+final class UnrecordedBytes {
+  private static final long MAX_BYTES = 16L << 20;
 
   private final Invariants invariants;
   private long bytes;
 
-  HeldBytes(Invariants invariants) {
+  UnrecordedBytes(Invariants invariants) {
     this.invariants = invariants;
   }
 
   /** Whether no further item may be started. */
-  boolean full() {
-    return bytes > MOST;
+  boolean isFull() {
+    return bytes > MAX_BYTES;
   }
 
   /** Counts so many more; negative where some are given up or listed. */
--- a/batch/src/main/java/elmsail/batch/store/JobStore.java
+++ b/batch/src/main/java/elmsail/batch/store/JobStore.java
@@ -4,7 +4,7 @@
 import elmsail.batch.messages.ContentDigest;
 import elmsail.batch.messages.HeartbeatMessage;
 import elmsail.batch.messages.JobRecord;
-import elmsail.batch.messages.TokenCount;
+import elmsail.batch.messages.WaitingTokens;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.Iterator;
@@ -18,230 +18,230 @@
  */
 final class JobStore {
   /** Adds that are not followed by their job are forgotten after so long, in ms. */
-  static final long ADD_MS = 5_000;
+  static final long RESERVATION_TTL_MS = 5_000;
 
   /**
    * Jobs that no longer wait are reported for so long, in ms, to overrule stores that missed it.
    */
-  private static final long TELL_ENDED_MS = 120_000;
+  private static final long REPORT_CLOSED_MS = 120_000;
 
   /** Adds whose job is being written stay for so long, in ms: a disk may stall. */
-  private static final long WRITE_MS = 30_000;
+  private static final long ADMITTED_RESERVATION_TTL_MS = 30_000;
 
-  private static final long UNTAKEN_MS = 60_000;
-  private static final int MOST_ADDS = 4_096;
+  private static final long NEVER_ACCEPTED_TTL_MS = 60_000;
+  private static final int MAX_RESERVATIONS = 4_096;
 
   /** The fold of one job's records. */
-  private static final class Lot {
+  private static final class JobState {
     final long digest;
-    final long firstSeen;
+    final long firstSeenAt;
     long version;
-    String route = "";
-    long waiting;
+    String routeName = "";
+    long waitingTokens;
     boolean open;
     String runner = "";
     long term;
-    long shelfMs;
-    long changed;
-    long lastHeartbeat;
+    long itemTtlMs;
+    long changedAt;
+    long lastHeartbeatAt;
 
-    Lot(long digest, long now) {
+    JobState(long digest, long now) {
       this.digest = digest;
-      this.firstSeen = now;
+      this.firstSeenAt = now;
     }
   }
 
   /**
    * @param admitted whether its job is being written, so that only the time takes it off
    */
-  private record Pending(TokenCount.Add add, long until, boolean admitted) {}
+  private record PendingReservation(WaitingTokens.Reservation reservation, long expiresAt, boolean admitted) {}
 
   /** One try to submit a job. */
-  private record TryId(String job, long who) {
-    static TryId of(TokenCount.Add add) {
-      return new TryId(add.job(), add.who());
+  private record AttemptKey(String jobId, long attemptId) {
+    static AttemptKey of(WaitingTokens.Reservation reservation) {
+      return new AttemptKey(reservation.jobId(), reservation.attemptId());
     }
   }
 
-  private final Map<String, Lot> jobs = new HashMap<>();
+  private final Map<String, JobState> jobs = new HashMap<>();
 
   /** Adds of tries whose job is not taken yet, by try. */
-  private final Map<TryId, Pending> adds = new LinkedHashMap<>();
+  private final Map<AttemptKey, PendingReservation> reservations = new LinkedHashMap<>();
 
   /**
-   * Until when adds of withdrawn tries are passed over, by {@link TokenCount.Add#who}: a first
+   * Until when adds of withdrawn tries are passed over, by {@link WaitingTokens.Reservation#attemptId}: a first
    * round may come late, behind its withdrawal.
    */
-  private final Map<TryId, Long> withdrawn = new LinkedHashMap<>();
+  private final Map<AttemptKey, Long> withdrawals = new LinkedHashMap<>();
 
   /**
    * When jobs that were never taken here were added last: what came with their first rounds is
    * litter.
    */
-  private final Map<String, Long> untaken = new HashMap<>();
+  private final Map<String, Long> neverAccepted = new HashMap<>();
 
   /** Keeps the add and answers the count of its route; null if there are too many adds. */
-  byte[] added(TokenCount.Add add, long now) {
-    expire(now);
-    if (!jobs.containsKey(add.job()) && !withdrawn.containsKey(TryId.of(add))) {
-      if (adds.size() >= MOST_ADDS && !adds.containsKey(TryId.of(add))) {
+  byte[] reserve(WaitingTokens.Reservation reservation, long now) {
+    expireReservations(now);
+    if (!jobs.containsKey(reservation.jobId()) && !withdrawals.containsKey(AttemptKey.of(reservation))) {
+      if (reservations.size() >= MAX_RESERVATIONS && !reservations.containsKey(AttemptKey.of(reservation))) {
         return null;
       }
-      Pending before = adds.remove(TryId.of(add));
-      boolean admitted = before != null && before.admitted();
-      adds.put(TryId.of(add), new Pending(add, now + (admitted ? WRITE_MS : ADD_MS), admitted));
-      untaken.put(add.job(), now);
-    }
-    TokenCount count = new TokenCount();
-    for (Lot job : jobs.values()) {
-      if (job.route.equals(add.route()) && (job.waiting > 0 || now - job.changed < TELL_ENDED_MS)) {
-        count.put(job.digest, job.version, job.waiting);
+      PendingReservation previous = reservations.remove(AttemptKey.of(reservation));
+      boolean admitted = previous != null && previous.admitted();
+      reservations.put(AttemptKey.of(reservation), new PendingReservation(reservation, now + (admitted ? ADMITTED_RESERVATION_TTL_MS : RESERVATION_TTL_MS), admitted));
+      neverAccepted.put(reservation.jobId(), now);
+    }
+    WaitingTokens waitingTokens = new WaitingTokens();
+    for (JobState state : jobs.values()) {
+      if (state.routeName.equals(reservation.routeName()) && (state.waitingTokens > 0 || now - state.changedAt < REPORT_CLOSED_MS)) {
+        waitingTokens.put(state.digest, state.version, state.waitingTokens);
       }
     }
-    for (Pending one : adds.values()) {
-      if (one.add().route().equals(add.route())) {
-        count.put(ContentDigest.of(one.add().job()), 0, one.add().tokens());
+    for (PendingReservation pending : reservations.values()) {
+      if (pending.reservation().routeName().equals(reservation.routeName())) {
+        waitingTokens.put(ContentDigest.of(pending.reservation().jobId()), 0, pending.reservation().tokens());
       }
     }
-    return count.packed();
+    return waitingTokens.encode();
   }
 
-  void withdrawn(TokenCount.Add add, long now) {
-    expire(now);
-    if (withdrawn.size() < MOST_ADDS) {
-      withdrawn.put(TryId.of(add), now + ADD_MS);
+  void withdrawn(WaitingTokens.Reservation reservation, long now) {
+    expireReservations(now);
+    if (withdrawals.size() < MAX_RESERVATIONS) {
+      withdrawals.put(AttemptKey.of(reservation), now + RESERVATION_TTL_MS);
     }
-    Pending there = adds.get(TryId.of(add));
-    if (there != null && !there.admitted()) {
-      adds.remove(TryId.of(add));
+    PendingReservation existing = reservations.get(AttemptKey.of(reservation));
+    if (existing != null && !existing.admitted()) {
+      reservations.remove(AttemptKey.of(reservation));
     }
   }
 
   /**
    * A job's first record needs its add to be on this count; later ones follow from a decided one.
    */
-  boolean admits(String job, JobRecord record, long now) {
-    expire(now);
-    if (record.version() > 1 || jobs.containsKey(job)) {
+  boolean admits(String jobId, JobRecord record, long now) {
+    expireReservations(now);
+    if (record.version() > 1 || jobs.containsKey(jobId)) {
       return true;
     }
-    for (Pending one : adds.values()) {
-      TokenCount.Add add = one.add();
-      if (add.job().equals(job)
-          && add.route().equals(record.route())
-          && add.tokens() >= record.waiting()) {
-        adds.put(TryId.of(add), new Pending(add, now + WRITE_MS, true));
+    for (PendingReservation pending : reservations.values()) {
+      WaitingTokens.Reservation reservation = pending.reservation();
+      if (reservation.jobId().equals(jobId)
+          && reservation.routeName().equals(record.routeName())
+          && reservation.tokens() >= record.waitingTokens()) {
+        reservations.put(AttemptKey.of(reservation), new PendingReservation(reservation, now + ADMITTED_RESERVATION_TTL_MS, true));
         return true;
       }
     }
     return false;
   }
 
-  void taken(String id, JobRecord record, long now) {
-    Lot job = jobs.get(id);
-    if (job == null) {
-      job = new Lot(ContentDigest.of(id), now);
-      jobs.put(id, job);
-    } else if (record.version() < job.version) {
+  void onAccepted(String jobId, JobRecord record, long now) {
+    JobState state = jobs.get(jobId);
+    if (state == null) {
+      state = new JobState(ContentDigest.of(jobId), now);
+      jobs.put(jobId, state);
+    } else if (record.version() < state.version) {
       return;
     }
-    job.version = record.version();
-    job.route = record.route();
-    job.waiting = record.waiting();
-    job.open = record.open();
-    job.runner = record.runner();
-    job.term = record.term();
-    job.shelfMs = record.shelfMs();
-    job.changed = now;
-    job.lastHeartbeat = now;
-    forgetAdds(id);
-    untaken.remove(id);
+    state.version = record.version();
+    state.routeName = record.routeName();
+    state.waitingTokens = record.waitingTokens();
+    state.open = record.isOpen();
+    state.runner = record.runner();
+    state.term = record.term();
+    state.itemTtlMs = record.itemTtlMs();
+    state.changedAt = now;
+    state.lastHeartbeatAt = now;
+    removeReservations(jobId);
+    neverAccepted.remove(jobId);
   }
 
   /**
    * A job of which only a promise is there, left by the process before this one or copied: dropped
    * like one that was added and never taken.
    */
-  void promised(String id, long now) {
-    untaken.putIfAbsent(id, now);
+  void onPromised(String jobId, long now) {
+    neverAccepted.putIfAbsent(jobId, now);
   }
 
-  void onDropped(String id) {
-    jobs.remove(id);
-    forgetAdds(id);
-    untaken.remove(id);
+  void onDropped(String jobId) {
+    jobs.remove(jobId);
+    removeReservations(jobId);
+    neverAccepted.remove(jobId);
   }
 
   /** Hears a runner; the answers stand in the order of its jobs. */
-  int[] answer(HeartbeatMessage heartbeat, long now) {
-    int[] answers = new int[heartbeat.runs().size()];
+  int[] onHeartbeat(HeartbeatMessage heartbeat, long now) {
+    int[] answers = new int[heartbeat.leases().size()];
     for (int i = 0; i < answers.length; i++) {
-      HeartbeatMessage.Run run = heartbeat.runs().get(i);
-      Lot job = jobs.get(run.job());
-      if (job == null || job.term < run.term()) {
+      HeartbeatMessage.JobLease lease = heartbeat.leases().get(i);
+      JobState state = jobs.get(lease.jobId());
+      if (state == null || state.term < lease.term()) {
         answers[i] = HeartbeatMessage.UNKNOWN;
-      } else if (job.term == run.term() && job.runner.equals(heartbeat.gateway()) && job.open) {
-        job.lastHeartbeat = now;
-        answers[i] = HeartbeatMessage.YOURS;
+      } else if (state.term == lease.term() && state.runner.equals(heartbeat.gateway()) && state.open) {
+        state.lastHeartbeatAt = now;
+        answers[i] = HeartbeatMessage.LEASE_HELD;
       } else {
-        answers[i] = HeartbeatMessage.GONE;
+        answers[i] = HeartbeatMessage.LEASE_LOST;
       }
     }
     return answers;
   }
 
-  List<AbandonedJob> abandoned(long silentMs, int most, long now) {
+  List<AbandonedJob> abandoned(long heartbeatTimeoutMs, int maxCount, long now) {
     List<AbandonedJob> abandoned = new ArrayList<>();
-    for (Map.Entry<String, Lot> one : jobs.entrySet()) {
-      Lot job = one.getValue();
-      if (job.open && now - job.lastHeartbeat >= silentMs && abandoned.size() < most) {
-        abandoned.add(new AbandonedJob(one.getKey(), job.term, now - job.lastHeartbeat));
+    for (Map.Entry<String, JobState> entry : jobs.entrySet()) {
+      JobState state = entry.getValue();
+      if (state.open && now - state.lastHeartbeatAt >= heartbeatTimeoutMs && abandoned.size() < maxCount) {
+        abandoned.add(new AbandonedJob(entry.getKey(), state.term, now - state.lastHeartbeatAt));
       }
     }
     return abandoned;
   }
 
   /** Jobs that nobody needs any more: the caller drops them. */
-  List<String> outlived(long statusMs, long slackMs, long now) {
-    expire(now);
-    List<String> outlived = new ArrayList<>();
-    for (Map.Entry<String, Lot> one : jobs.entrySet()) {
-      Lot job = one.getValue();
-      long kept = (job.open ? Math.max(job.shelfMs, 0) : 0) + statusMs + slackMs;
-      if (now - job.firstSeen > kept && (!job.open || now - job.lastHeartbeat > statusMs)) {
-        outlived.add(one.getKey());
+  List<String> expired(long statusMs, long slackMs, long now) {
+    expireReservations(now);
+    List<String> expired = new ArrayList<>();
+    for (Map.Entry<String, JobState> entry : jobs.entrySet()) {
+      JobState state = entry.getValue();
+      long keptMs = (state.open ? Math.max(state.itemTtlMs, 0) : 0) + statusMs + slackMs;
+      if (now - state.firstSeenAt > keptMs && (!state.open || now - state.lastHeartbeatAt > statusMs)) {
+        expired.add(entry.getKey());
       }
     }
-    for (Map.Entry<String, Long> one : untaken.entrySet()) {
+    for (Map.Entry<String, Long> entry : neverAccepted.entrySet()) {
       // Without its add a first record is not admitted, so no promise is needed against it.
-      if (now - one.getValue() > UNTAKEN_MS && !hasAdd(one.getKey())) {
-        outlived.add(one.getKey());
+      if (now - entry.getValue() > NEVER_ACCEPTED_TTL_MS && !hasReservation(entry.getKey())) {
+        expired.add(entry.getKey());
       }
     }
-    return outlived;
+    return expired;
   }
 
-  private void forgetAdds(String job) {
-    adds.values().removeIf(one -> one.add().job().equals(job));
+  private void removeReservations(String jobId) {
+    reservations.values().removeIf(pending -> pending.reservation().jobId().equals(jobId));
   }
 
-  private boolean hasAdd(String job) {
-    return adds.values().stream().anyMatch(one -> one.add().job().equals(job));
+  private boolean hasReservation(String jobId) {
+    return reservations.values().stream().anyMatch(pending -> pending.reservation().jobId().equals(jobId));
   }
 
   int size() {
     return jobs.size();
   }
 
-  private void expire(long now) {
+  private void expireReservations(long now) {
     // In the order of their times: all stand for equally long.
-    Iterator<Long> oldest = withdrawn.values().iterator();
+    Iterator<Long> oldest = withdrawals.values().iterator();
     while (oldest.hasNext() && oldest.next() <= now) {
       oldest.remove();
     }
-    Iterator<Pending> each = adds.values().iterator();
+    Iterator<PendingReservation> each = reservations.values().iterator();
     while (each.hasNext()) {
-      if (each.next().until() <= now) {
+      if (each.next().expiresAt() <= now) {
         each.remove();
       }
     }
--- a/batch/src/main/java/elmsail/batch/store/JobRetention.java
+++ b/batch/src/main/java/elmsail/batch/store/JobStoreService.java
@@ -6,7 +6,7 @@
 import elmsail.batch.messages.ByteWriter;
 import elmsail.batch.messages.HeartbeatMessage;
 import elmsail.batch.messages.JobRecord;
-import elmsail.batch.messages.TokenCount;
+import elmsail.batch.messages.WaitingTokens;
 import elmsail.consensus.ReplicaListener;
 import elmsail.rpc.RequestHandlers;
 import elmsail.rpc.messages.OpaqueMessage;
@@ -24,16 +24,16 @@
  * The views of a process that keeps jobs: the count of waiting tokens, and when each open job's
  * runner was heard last. On the loop.
  */
-public final class JobRetention implements ReplicaListener {
-  private static final String PREFIX = "lot/";
-  private static final long LOOK_MS = 5_000;
-  private static final long DROP_SLACK_MS = 30_000;
-  private static final int MOST_ABANDONED = 64;
-  private static final byte[] NOTHING = {};
+public final class JobStoreService implements ReplicaListener {
+  private static final String KEY_PREFIX = "lot/";
+  private static final long EXPIRY_SCAN_INTERVAL_MS = 5_000;
+  private static final long EXPIRY_SLACK_MS = 30_000;
+  private static final int MAX_ABANDONED = 64;
+  private static final byte[] EMPTY = {};
 
   private final Timers timers;
   private final BooleanSupplier voting;
-  private final Consumer<String> drop;
+  private final Consumer<String> dropKey;
   private final long statusMs;
   private final StoreCounters counters;
   private final Invariants invariants;
@@ -42,19 +42,19 @@
   /**
    * @param voting whether this process holds a voter slot and has its memory; else it answers
    *     NOT_SEATED
-   * @param drop drops a key and its blobs here ({@code Replica.drop}); may call {@code dropped}
+   * @param dropKey drops a key and its blobs here ({@code Replica.drop}); may call {@code dropped}
    * @param statusMs for how long a job may be read after it was sent
    * @param metrics the process's figures and invariants
    */
-  public JobRetention(
+  public JobStoreService(
       Timers timers,
       BooleanSupplier voting,
-      Consumer<String> drop,
+      Consumer<String> dropKey,
       long statusMs,
       ProcessMetrics metrics) {
     this.timers = timers;
     this.voting = voting;
-    this.drop = drop;
+    this.dropKey = dropKey;
     this.statusMs = statusMs;
     counters = new StoreCounters(metrics.counters());
     metrics.counters().registerGauge("store_batch_jobs_kept", jobs::size);
@@ -63,75 +63,75 @@
 
   /** Starts the looking for jobs to drop. */
   public void start() {
-    timers.schedule(LOOK_MS, this::look);
+    timers.schedule(EXPIRY_SCAN_INTERVAL_MS, this::dropExpiredJobs);
   }
 
   /**
    * Answers the messages about jobs; use this, or {@code answer} from a handler shared with others.
    */
-  public void listen(RequestHandlers answering) {
-    answering.register(OpaqueMessage.class, this::answer);
+  public void registerHandlers(RequestHandlers handlers) {
+    handlers.register(OpaqueMessage.class, this::handle);
   }
 
   /** Answers a batch message of a gateway; NOT_SEATED while this replica has no vote. */
-  public CompletionStage<OpaqueMessage> answer(OpaqueMessage request) {
+  public CompletionStage<OpaqueMessage> handle(OpaqueMessage request) {
     if (!voting.getAsBoolean()) {
-      counters.messagesNotSeated.add(1);
+      counters.messagesNotAVoter.add(1);
       return CompletableFuture.completedFuture(
-          BatchMessageTypes.message(BatchMessageTypes.NOT_SEATED, NOTHING));
+          BatchMessageTypes.message(BatchMessageTypes.NOT_A_VOTER, EMPTY));
     }
     try {
       byte[] response =
           switch (request.kind) {
-            case BatchMessageTypes.HEARTBEAT -> heartbeat(HeartbeatMessage.unpacked(request.bytes));
+            case BatchMessageTypes.HEARTBEAT -> onHeartbeat(HeartbeatMessage.decode(request.bytes));
             case BatchMessageTypes.ABANDONED ->
-                AbandonedJob.packed(
+                AbandonedJob.encode(
                     jobs.abandoned(
-                        new ByteReader(request.bytes).number(), MOST_ABANDONED, timers.now()));
-            case BatchMessageTypes.WITHDRAW -> withdraw(TokenCount.Add.unpacked(request.bytes));
+                        new ByteReader(request.bytes).readVarint(), MAX_ABANDONED, timers.now()));
+            case BatchMessageTypes.WITHDRAW -> onWithdraw(WaitingTokens.Reservation.decode(request.bytes));
             default ->
                 throw new ElmsailException(ErrorCode.MALFORMED, "a message of kind " + request.kind);
           };
       counters.messagesAnswered.add(1);
       return CompletableFuture.completedFuture(BatchMessageTypes.message(request.kind, response));
-    } catch (ElmsailException garbled) {
-      counters.messagesGarbled.add(1);
-      return CompletableFuture.failedFuture(garbled);
+    } catch (ElmsailException malformed) {
+      counters.messagesMalformed.add(1);
+      return CompletableFuture.failedFuture(malformed);
     }
   }
 
   @Override
-  public byte[] onSideEffect(String key, byte[] note) {
-    if (!key.startsWith(PREFIX) || note == null || note.length == 0) {
+  public byte[] onSideEffect(String key, byte[] sideEffect) {
+    if (!key.startsWith(KEY_PREFIX) || sideEffect == null || sideEffect.length == 0) {
       return null;
     }
-    return jobs.added(TokenCount.Add.unpacked(note), timers.now());
+    return jobs.reserve(WaitingTokens.Reservation.decode(sideEffect), timers.now());
   }
 
   @Override
   public boolean admits(String key, byte[] value) {
-    return !key.startsWith(PREFIX)
-        || jobs.admits(key.substring(PREFIX.length()), JobRecord.unpacked(value), timers.now());
+    return !key.startsWith(KEY_PREFIX)
+        || jobs.admits(key.substring(KEY_PREFIX.length()), JobRecord.decode(value), timers.now());
   }
 
   @Override
   public void onAccepted(String key, byte[] value) {
-    if (key.startsWith(PREFIX) && value != null) {
-      jobs.taken(key.substring(PREFIX.length()), JobRecord.unpacked(value), timers.now());
+    if (key.startsWith(KEY_PREFIX) && value != null) {
+      jobs.onAccepted(key.substring(KEY_PREFIX.length()), JobRecord.decode(value), timers.now());
     }
   }
 
   @Override
   public void onPromised(String key) {
-    if (key.startsWith(PREFIX)) {
-      jobs.promised(key.substring(PREFIX.length()), timers.now());
+    if (key.startsWith(KEY_PREFIX)) {
+      jobs.onPromised(key.substring(KEY_PREFIX.length()), timers.now());
     }
   }
 
   @Override
   public void onDropped(String key) {
-    if (key.startsWith(PREFIX)) {
-      jobs.onDropped(key.substring(PREFIX.length()));
+    if (key.startsWith(KEY_PREFIX)) {
+      jobs.onDropped(key.substring(KEY_PREFIX.length()));
     }
   }
 
@@ -140,24 +140,24 @@
     return jobs.size();
   }
 
-  private byte[] heartbeat(HeartbeatMessage heartbeat) {
+  private byte[] onHeartbeat(HeartbeatMessage heartbeat) {
     ByteWriter response = new ByteWriter();
-    for (int one : jobs.answer(heartbeat, timers.now())) {
-      response.number(one);
+    for (int status : jobs.onHeartbeat(heartbeat, timers.now())) {
+      response.writeVarint(status);
     }
-    return response.packed();
+    return response.toByteArray();
   }
 
-  private byte[] withdraw(TokenCount.Add add) {
-    jobs.withdrawn(add, timers.now());
-    return NOTHING;
+  private byte[] onWithdraw(WaitingTokens.Reservation reservation) {
+    jobs.withdrawn(reservation, timers.now());
+    return EMPTY;
   }
 
-  private void look() {
-    for (String job : jobs.outlived(statusMs, DROP_SLACK_MS, timers.now())) {
-      drop.accept(PREFIX + job);
-      jobs.onDropped(job);
+  private void dropExpiredJobs() {
+    for (String jobId : jobs.expired(statusMs, EXPIRY_SLACK_MS, timers.now())) {
+      dropKey.accept(KEY_PREFIX + jobId);
+      jobs.onDropped(jobId);
     }
-    timers.schedule(LOOK_MS, this::look);
+    timers.schedule(EXPIRY_SCAN_INTERVAL_MS, this::dropExpiredJobs);
   }
 }
--- a/batch/src/main/java/elmsail/batch/store/StoreCounters.java
+++ b/batch/src/main/java/elmsail/batch/store/StoreCounters.java
@@ -9,15 +9,15 @@
   public final Counters.Counter messagesAnswered;
 
   /** Gateways' messages about jobs that were refused, as this process holds no vote. */
-  public final Counters.Counter messagesNotSeated;
+  public final Counters.Counter messagesNotAVoter;
 
   /** Gateways' messages about jobs that could not be read. */
-  public final Counters.Counter messagesGarbled;
+  public final Counters.Counter messagesMalformed;
 
   /** Takes its counters from those of the process. */
   public StoreCounters(Counters counters) {
     messagesAnswered = counters.counter("store_batch_messages_answered");
-    messagesNotSeated = counters.counter("store_batch_messages_not_seated");
-    messagesGarbled = counters.counter("store_batch_messages_garbled");
+    messagesNotAVoter = counters.counter("store_batch_messages_not_seated");
+    messagesMalformed = counters.counter("store_batch_messages_garbled");
   }
 }
--- a/batch/src/test/java/elmsail/batch/RelayTroubleTest.java
+++ b/batch/src/test/java/elmsail/batch/BodyRelayFaultTest.java
@@ -6,7 +6,7 @@
 import static org.hamcrest.Matchers.lessThanOrEqualTo;
 
 import elmsail.batch.messages.JobRecord;
-import elmsail.batch.messages.TokenCount;
+import elmsail.batch.messages.WaitingTokens;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Base64;
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Large jobs whose bodies are relayed, while the relay, its links or the uplink are in trouble. */
-class RelayTroubleTest {
+class BodyRelayFaultTest {
   private static final double BYTES_PER_MS = 21_000_000 / 8.0 / 1_000;
   private static final int STORES = 5;
   private static final int ITEMS = 200;
@@ -38,27 +38,27 @@
     return json.append("]}").toString().getBytes(StandardCharsets.UTF_8);
   }
 
-  private static JobStoreWorld world(long seed, int gateways, long limit) {
-    JobStoreWorld world = new JobStoreWorld(seed, gateways, limit, STORES);
+  private static ReplicatedBatchCluster world(long seed, int gateways, long limit) {
+    ReplicatedBatchCluster world = new ReplicatedBatchCluster(seed, gateways, limit, STORES);
     world.net.uplink(world.gateways.get(0).address, BYTES_PER_MS);
     world.timers.advance(1_000);
     return world;
   }
 
-  private static CompletableFuture<BatchCalls.Reply> submit(JobStoreWorld world, String id) {
-    return world.gateways.get(0).calls.submit(world.route(), id, job(id, ITEMS, 10), 3_000);
+  private static CompletableFuture<BatchService.Reply> submit(ReplicatedBatchCluster world, String id) {
+    return world.gateways.get(0).batchApi.submit(world.route(), id, job(id, ITEMS, 10), 3_000);
   }
 
   @Test
   void aRelayThatFailsAtOnceToReachTheOthersDoesNotHoldAJobUp() {
-    JobStoreWorld world = world(1, 1, 1_000_000);
+    ReplicatedBatchCluster world = world(1, 1, 1_000_000);
     String relay = world.stores.get(0).address;
     for (int i = 1; i < STORES; i++) {
       world.net.refuseCalls(relay, world.stores.get(i).address);
     }
-    long began = world.timers.now();
+    long startedAt = world.timers.now();
     int status = world.await(submit(world, "job")).status();
-    long ms = world.timers.now() - began;
+    long ms = world.timers.now() - startedAt;
     System.out.println("relay alone: " + status + " in " + ms + " ms");
     assertThat(status, is(202));
     assertThat("ms", ms, lessThanOrEqualTo(DIRECT_MS));
@@ -66,31 +66,31 @@
 
   @Test
   void aRelayThatIsCutOffFromTheOthersDoesNotHoldAJobUp() {
-    JobStoreWorld world = world(2, 1, 1_000_000);
+    ReplicatedBatchCluster world = world(2, 1, 1_000_000);
     String relay = world.stores.get(0).address;
     for (int i = 1; i < STORES; i++) {
       world.net.cut(relay, world.stores.get(i).address);
     }
-    long began = world.timers.now();
+    long startedAt = world.timers.now();
     int status = world.await(submit(world, "job")).status();
-    System.out.println("relay cut: " + status + " in " + (world.timers.now() - began) + " ms");
+    System.out.println("relay cut: " + status + " in " + (world.timers.now() - startedAt) + " ms");
     assertThat(status, is(202));
   }
 
   /** Gives the bytes on the gateway's link by the body's size, of so many jobs at once. */
   private static double bodiesSent(int jobs) {
-    JobStoreWorld world = world(3, 1, 1_000_000);
+    ReplicatedBatchCluster world = world(3, 1, 1_000_000);
     world.net.countBytes(world.gateways.get(0).address);
-    long began = world.timers.now();
-    List<CompletableFuture<BatchCalls.Reply>> replies = new ArrayList<>();
+    long startedAt = world.timers.now();
+    List<CompletableFuture<BatchService.Reply>> replies = new ArrayList<>();
     for (int i = 0; i < jobs; i++) {
       replies.add(submit(world, "job" + i));
     }
     int accepted = 0;
-    for (CompletableFuture<BatchCalls.Reply> reply : replies) {
+    for (CompletableFuture<BatchService.Reply> reply : replies) {
       accepted += world.await(reply).status() == 202 ? 1 : 0;
     }
-    long ms = world.timers.now() - began;
+    long ms = world.timers.now() - startedAt;
     world.timers.advance(2_000);
     double sent = (double) world.net.countedBytes() / BODY_BYTES;
     System.out.println(
@@ -110,26 +110,26 @@
 
   /** Twelve large jobs at four gateways, of which five fit; each gateway has three of them. */
   @Test
-  void ofLargeJobsThatContendMostThatFitAreAccepted() {
+  void mostContendingLargeJobsThatFitAreAccepted() {
     int sum = 0;
     double bodies = 0;
     int fewest = 5;
     for (int seed = 70; seed < 80; seed++) {
-      JobStoreWorld world = world(seed, 4, 10_000);
-      for (JobStoreWorld.Gateway gateway : world.gateways) {
+      ReplicatedBatchCluster world = world(seed, 4, 10_000);
+      for (ReplicatedBatchCluster.Gateway gateway : world.gateways) {
         world.net.uplink(gateway.address, BYTES_PER_MS);
       }
       world.net.countBytes(world.gateways.get(0).address);
-      List<CompletableFuture<BatchCalls.Reply>> replies = new ArrayList<>();
+      List<CompletableFuture<BatchService.Reply>> replies = new ArrayList<>();
       for (int i = 0; i < 12; i++) {
         String id = "contends" + seed + "-" + i;
         replies.add(
-            world.gateways.get(i % 4).calls.submit(world.route(), id, job(id, ITEMS, 10), 3_000));
-        world.timers.advance(world.chance.nextInt(20));
+            world.gateways.get(i % 4).batchApi.submit(world.route(), id, job(id, ITEMS, 10), 3_000));
+        world.timers.advance(world.random.nextInt(20));
       }
       int accepted = 0;
-      long began = world.timers.now();
-      for (CompletableFuture<BatchCalls.Reply> reply : replies) {
+      long startedAt = world.timers.now();
+      for (CompletableFuture<BatchService.Reply> reply : replies) {
         accepted += world.await(reply).status() == 202 ? 1 : 0;
       }
       double sent = (double) world.net.countedBytes() / BODY_BYTES;
@@ -139,7 +139,7 @@
               + ": "
               + accepted
               + " accepted in "
-              + (world.timers.now() - began)
+              + (world.timers.now() - startedAt)
               + " ms, bodies sent by the first gateway "
               + sent);
       assertThat(accepted, lessThanOrEqualTo(5));
@@ -156,7 +156,7 @@
   /** One store of five is a slow machine: its answers come 60 ms after those of the others. */
   @Test
   void aSlowStoreIsNotSentTheBodyByTheGatewayAgain() {
-    JobStoreWorld world = world(4, 1, 1_000_000);
+    ReplicatedBatchCluster world = world(4, 1, 1_000_000);
     String slow = world.stores.get(4).address;
     for (int i = 0; i < 4; i++) {
       world.net.delay(slow, world.stores.get(i).address, 60, 70);
@@ -172,23 +172,23 @@
 
   /** The relay's message to one store is slow, so that the job's withdrawal overtakes it. */
   @Test
-  void aRefusedJobIsNotCountedWhenItsRelayedRoundComesLate() {
+  void aRejectedJobIsNotCountedWhenItsRelayedRoundArrivesLate() {
     for (int offset = 0; offset < 130; offset += 5) {
-      JobStoreWorld world = world(50 + offset, 2, 1_000);
-      JobStoreWorld.Vault behind = world.stores.get(4);
+      ReplicatedBatchCluster world = world(50 + offset, 2, 1_000);
+      ReplicatedBatchCluster.StoreNode behind = world.stores.get(4);
       world.net.delay(world.stores.get(0).address, behind.address, 900, 900);
-      CompletableFuture<BatchCalls.Reply> large =
-          world.gateways.get(0).calls.submit(world.route(), "a", job("a", ITEMS, 3), 3_000);
+      CompletableFuture<BatchService.Reply> large =
+          world.gateways.get(0).batchApi.submit(world.route(), "a", job("a", ITEMS, 3), 3_000);
       world.timers.advance(offset);
-      world.hand(world.gateways.get(1), "c" + offset, 1, 600);
+      world.submit(world.gateways.get(1), "c" + offset, 1, 600);
       int status = world.await(large).status();
       if (status == 429) {
         world.timers.advance(1_300);
-        String key = JobRecord.keyOf("probe");
-        byte[] probe = new TokenCount.Add("r-lots", "probe", 0, 1).packed();
-        TokenCount count = new TokenCount();
-        count.putAll(List.of(behind.jobs.onSideEffect(key, probe)));
-        assertThat("offset " + offset, count.pendingWithout("probe"), is(0L));
+        String key = JobRecord.registerKey("probe");
+        byte[] probe = new WaitingTokens.Reservation("r-lots", "probe", 0, 1).encode();
+        WaitingTokens count = new WaitingTokens();
+        count.mergeAll(List.of(behind.service.onSideEffect(key, probe)));
+        assertThat("offset " + offset, count.pendingExcept("probe"), is(0L));
       }
     }
   }
@@ -196,13 +196,13 @@
   /**
    * Gives how many of twenty large jobs, one each 600 ms, were accepted later than {@code mostMs}.
    */
-  private static int late(JobStoreWorld world, String what, long mostMs) {
+  private static int late(ReplicatedBatchCluster world, String what, long mostMs) {
     int late = 0;
     long longest = 0;
     for (int i = 0; i < 20; i++) {
-      long began = world.timers.now();
+      long startedAt = world.timers.now();
       int status = world.await(submit(world, "job" + i)).status();
-      long ms = world.timers.now() - began;
+      long ms = world.timers.now() - startedAt;
       assertThat(status, is(202));
       longest = Math.max(longest, ms);
       late += ms > mostMs ? 1 : 0;
@@ -214,14 +214,14 @@
 
   @Test
   void whileARelayIsFrozenFewJobsAreLate() {
-    JobStoreWorld world = world(90, 1, 1_000_000);
+    ReplicatedBatchCluster world = world(90, 1, 1_000_000);
     world.net.freeze(world.stores.get(0).address);
     assertThat(late(world, "frozen relay", DIRECT_MS), lessThanOrEqualTo(5));
   }
 
   @Test
   void whileARelayReachesNobodyFewJobsAreLate() {
-    JobStoreWorld world = world(91, 1, 1_000_000);
+    ReplicatedBatchCluster world = world(91, 1, 1_000_000);
     String relay = world.stores.get(0).address;
     for (int i = 1; i < STORES; i++) {
       world.net.refuseCalls(relay, world.stores.get(i).address);
--- a/batch/src/test/java/elmsail/batch/BurstAdmissionTest.java
+++ b/batch/src/test/java/elmsail/batch/BurstAdmissionTest.java
@@ -18,14 +18,14 @@
 
   /** The tokens that were accepted of jobs submitted within {@code spreadMs}, none of them run. */
   private static long acceptedTokens(long seed, int spreadMs) {
-    SimWorld world = new SimWorld(seed, GATEWAYS, LIMIT);
-    List<CompletableFuture<BatchCalls.Reply>> replies = new ArrayList<>();
+    SimBatchCluster world = new SimBatchCluster(seed, GATEWAYS, LIMIT);
+    List<CompletableFuture<BatchService.Reply>> replies = new ArrayList<>();
     List<Long> tokens = new ArrayList<>();
     for (int i = 0; i < JOBS; i++) {
-      long own = 60 + world.chance.nextInt(140);
+      long own = 60 + world.random.nextInt(140);
       tokens.add(own);
-      replies.add(world.hand(i % GATEWAYS, "job" + i, 1, own));
-      world.timers.advance(world.chance.nextInt(1 + 2 * spreadMs / JOBS));
+      replies.add(world.submit(i % GATEWAYS, "job" + i, 1, own));
+      world.timers.advance(world.random.nextInt(1 + 2 * spreadMs / JOBS));
     }
     long accepted = 0;
     for (int i = 0; i < JOBS; i++) {
@@ -57,12 +57,12 @@
   }
 
   @Test
-  void ofJobsAtOnceAsManyAreAcceptedAsFit() {
+  void simultaneousJobsFillTheQuota() {
     measure(0, LIMIT * 7 / 10);
   }
 
   @Test
-  void ofJobsInAShortBurstAsManyAreAcceptedAsFit() {
+  void jobsOfAShortBurstFillTheQuota() {
     measure(100, LIMIT * 7 / 10);
   }
 }
--- a/batch/src/test/java/elmsail/batch/DoubleSubmissionTest.java
+++ b/batch/src/test/java/elmsail/batch/DoubleSubmissionTest.java
@@ -23,7 +23,7 @@
   private static final class Submitted {
     final String id;
     final long tokens;
-    final List<CompletableFuture<BatchCalls.Reply>> replies = new ArrayList<>();
+    final List<CompletableFuture<BatchService.Reply>> replies = new ArrayList<>();
 
     Submitted(String id, long tokens) {
       this.id = id;
@@ -34,7 +34,7 @@
       return replies.stream().anyMatch(one -> one.isDone() && one.join().status() == status);
     }
 
-    boolean surelyRefused() {
+    boolean allRejected() {
       return replies.stream()
           .allMatch(
               one -> one.isDone() && (one.join().status() == 429 || one.join().status() == 503));
@@ -43,62 +43,62 @@
 
   /** One run from one seed. */
   private static final class Run {
-    final JobStoreWorld world;
+    final ReplicatedBatchCluster world;
     final List<Submitted> jobs = new ArrayList<>();
     private final boolean storesDie;
 
     Run(long seed, boolean storesDie) {
-      world = new JobStoreWorld(seed, GATEWAYS, LIMIT);
+      world = new ReplicatedBatchCluster(seed, GATEWAYS, LIMIT);
       this.storesDie = storesDie;
-      world.gateways.forEach(gateway -> gateway.servers.room = 0);
+      world.gateways.forEach(gateway -> gateway.servers.capacity = 0);
       world.timers.advance(500);
       for (int i = 0; i < JOBS; i++) {
-        Submitted job = new Submitted("s" + seed + "-" + i, 250 + world.chance.nextInt(400));
+        Submitted job = new Submitted("s" + seed + "-" + i, 250 + world.random.nextInt(400));
         jobs.add(job);
-        int first = world.chance.nextInt(GATEWAYS);
-        world.timers.schedule(world.chance.nextInt(60), () -> submit(job, first));
+        int first = world.random.nextInt(GATEWAYS);
+        world.timers.schedule(world.random.nextInt(60), () -> submit(job, first));
         world.timers.schedule(
-            60 + world.chance.nextInt(1_500),
-            () -> submit(job, (first + 1 + world.chance.nextInt(GATEWAYS - 1)) % GATEWAYS));
+            60 + world.random.nextInt(1_500),
+            () -> submit(job, (first + 1 + world.random.nextInt(GATEWAYS - 1)) % GATEWAYS));
       }
-      trouble(world.timers.now() + 4_000);
+      injectFaults(world.timers.now() + 4_000);
       world.timers.advance(9_000);
     }
 
     private void submit(Submitted job, int gateway) {
-      job.replies.add(world.hand(world.gateways.get(gateway), job.id, 1, job.tokens));
+      job.replies.add(world.submit(world.gateways.get(gateway), job.id, 1, job.tokens));
     }
 
-    private void trouble(long until) {
-      if (world.timers.now() >= until) {
+    private void injectFaults(long deadline) {
+      if (world.timers.now() >= deadline) {
         world.net.healAll();
         return;
       }
-      JobStoreWorld.Vault store = world.stores.get(world.chance.nextInt(3));
-      String gateway = world.gateways.get(world.chance.nextInt(GATEWAYS)).address;
-      if (storesDie && world.chance.nextInt(6) == 0 && world.calm()) {
+      ReplicatedBatchCluster.StoreNode store = world.stores.get(world.random.nextInt(3));
+      String gateway = world.gateways.get(world.random.nextInt(GATEWAYS)).address;
+      if (storesDie && world.random.nextInt(6) == 0 && world.allStoresVoting()) {
         store.kill(false);
-        world.timers.schedule(20 + world.chance.nextInt(200), store::start);
+        world.timers.schedule(20 + world.random.nextInt(200), store::start);
       } else {
-        boolean toStore = world.chance.nextBoolean();
+        boolean toStore = world.random.nextBoolean();
         String from = toStore ? gateway : store.address;
         String to = toStore ? store.address : gateway;
         world.net.cut(from, to);
-        world.timers.schedule(10 + world.chance.nextInt(800), () -> world.net.heal(from, to));
+        world.timers.schedule(10 + world.random.nextInt(800), () -> world.net.heal(from, to));
       }
-      world.timers.schedule(10 + world.chance.nextInt(120), () -> trouble(until));
+      world.timers.schedule(10 + world.random.nextInt(120), () -> injectFaults(deadline));
     }
 
     long accepted() {
       return jobs.stream().filter(job -> job.any(202)).mapToLong(job -> job.tokens).sum();
     }
 
-    List<String> refusedAndRun() {
-      world.gateways.forEach(gateway -> gateway.servers.room = JOBS);
+    List<String> rejectedAndRun() {
+      world.gateways.forEach(gateway -> gateway.servers.capacity = JOBS);
       world.timers.advance(12_000);
       List<String> found = new ArrayList<>();
       for (Submitted job : jobs) {
-        if (job.surelyRefused() && world.served.contains(job.id + "-0")) {
+        if (job.allRejected() && world.served.contains(job.id + "-0")) {
           found.add(job.id);
         }
       }
@@ -106,17 +106,17 @@
     }
   }
 
-  private static void play(boolean storesDie) {
+  private static void run(boolean storesDie) {
     long most = 0;
     long sum = 0;
     int over = 0;
-    List<String> refusedAndRun = new ArrayList<>();
+    List<String> rejectedAndRun = new ArrayList<>();
     for (int seed = 0; seed < SEEDS; seed++) {
       Run run = new Run(seed, storesDie);
       most = Math.max(most, run.accepted());
       sum += run.accepted();
       over += run.accepted() > LIMIT ? 1 : 0;
-      refusedAndRun.addAll(run.refusedAndRun());
+      rejectedAndRun.addAll(run.rejectedAndRun());
     }
     System.out.println(
         (storesDie ? "stores die" : "links cut")
@@ -127,18 +127,18 @@
             + ", over the limit "
             + over
             + " times; refused and run: "
-            + refusedAndRun);
+            + rejectedAndRun);
     assertThat("accepted", most, lessThanOrEqualTo(LIMIT));
-    assertThat("refused and run", refusedAndRun, empty());
+    assertThat("refused and run", rejectedAndRun, empty());
   }
 
   @Test
-  void withLinksThatAreCutTheLimitHoldsAndRefusedJobsAreNotRun() {
-    play(false);
+  void withCutLinksTheLimitHoldsAndRejectedJobsAreNotRun() {
+    run(false);
   }
 
   @Test
-  void withStoresThatDieTheLimitHoldsAndRefusedJobsAreNotRun() {
-    play(true);
+  void withCrashingStoresTheLimitHoldsAndRejectedJobsAreNotRun() {
+    run(true);
   }
 }
--- a/batch/src/test/java/elmsail/batch/JobLeftoversTest.java
+++ b/batch/src/test/java/elmsail/batch/JobCleanupTest.java
@@ -11,14 +11,14 @@
  * Batch jobs that end or are refused, at stores that restart with their disk or without: in the end
  * nothing of them is on any disk.
  */
-class JobLeftoversTest {
+class JobCleanupTest {
   private static final int JOBS = 60;
   private static final long MOST_WAITING = 1_500;
 
   /** Voter set, voting and the like. */
   private static final int OWN_RECORDS = 4;
 
-  private static int records(JobStoreWorld.Vault store) {
+  private static int records(ReplicatedBatchCluster.StoreNode store) {
     int count = 0;
     for (String name : store.disk.names("")) {
       count += name.isEmpty() ? 0 : 1;
@@ -26,33 +26,33 @@
     return count;
   }
 
-  private static void restart(JobStoreWorld world, JobStoreWorld.Vault store, boolean wipe) {
+  private static void restart(ReplicatedBatchCluster world, ReplicatedBatchCluster.StoreNode store, boolean wipe) {
     store.kill(wipe);
     world.timers.advance(500);
     store.start();
-    for (int i = 0; i < 10_000 && !world.calm(); i++) {
+    for (int i = 0; i < 10_000 && !world.allStoresVoting(); i++) {
       world.timers.advance(1);
     }
-    assertThat("voting again", world.calm(), is(true));
+    assertThat("voting again", world.allStoresVoting(), is(true));
   }
 
   @Test
-  void endedAndRefusedJobsLeaveNothingAtStoresThatRestarted() {
+  void cancelledAndRejectedJobsLeaveNothingAtRestartedStores() {
     for (boolean wipe : new boolean[] {false, true}) {
-      JobStoreWorld world = new JobStoreWorld(wipe ? 2 : 1, 2, MOST_WAITING);
+      ReplicatedBatchCluster world = new ReplicatedBatchCluster(wipe ? 2 : 1, 2, MOST_WAITING);
       int accepted = 0;
       for (int i = 0; i < JOBS; i++) {
-        BatchCalls.Reply reply =
-            world.await(world.hand(world.gateways.get(i % 2), "job" + i, 4, 60));
+        BatchService.Reply reply =
+            world.await(world.submit(world.gateways.get(i % 2), "job" + i, 4, 60));
         accepted += reply != null && reply.status() == 202 ? 1 : 0;
       }
       int most = 0;
-      for (JobStoreWorld.Vault store : world.stores) {
+      for (ReplicatedBatchCluster.StoreNode store : world.stores) {
         most = Math.max(most, records(store));
         restart(world, store, wipe);
       }
       world.timers.advance(600_000);
-      for (JobStoreWorld.Vault store : world.stores) {
+      for (ReplicatedBatchCluster.StoreNode store : world.stores) {
         System.out.printf(
             "%s: %d jobs, %d accepted: %d records at most, %d in the end%n",
             wipe ? "disks lost" : "old disks", JOBS, accepted, most, records(store));
--- a/batch/src/test/java/elmsail/batch/RunsTest.java
+++ b/batch/src/test/java/elmsail/batch/JobRunnerTest.java
@@ -8,27 +8,27 @@
 import static org.hamcrest.Matchers.not;
 import static org.hamcrest.Matchers.startsWith;
 
-import elmsail.batch.BatchCalls.Reply;
-import elmsail.batch.ItemServers.Ended;
+import elmsail.batch.BatchService.Reply;
+import elmsail.batch.ItemServers.RunOutcome;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-class RunsTest {
+class JobRunnerTest {
   private static final String NONE = "\"next_token\":0,\"deliveries\":[]";
 
-  private static SimWorld accepted(long seed, int gateways, int batchItems) {
-    SimWorld world = new SimWorld(seed, gateways, 1_000);
-    assertThat(world.status(world.hand(0, "a", batchItems, 10)), is(202));
+  private static SimBatchCluster accepted(long seed, int gateways, int items) {
+    SimBatchCluster world = new SimBatchCluster(seed, gateways, 1_000);
+    assertThat(world.status(world.submit(0, "a", items, 10)), is(202));
     world.timers.advance(30);
     return world;
   }
 
   @Test
-  void aWholeRunIsListedWithItsTextAtEveryGateway() {
-    SimWorld world = accepted(1, 2, 1);
-    world.gateways.get(0).servers.last().serve();
+  void aCompletedRunIsReadableAtEveryGateway() {
+    SimBatchCluster world = accepted(1, 2, 1);
+    world.gateways.get(0).servers.lastRun().serve();
     world.timers.advance(100);
     assertThat(
         world.read(0, "a", 0),
@@ -40,60 +40,60 @@
   }
 
   @Test
-  void aCutRunGoesOnBehindTheLastEvent() {
-    SimWorld world = accepted(2, 1, 1);
-    world.gateways.get(0).servers.last().event(0, "one");
-    world.gateways.get(0).servers.last().end(Ended.BROKEN);
+  void aBrokenRunResumesAfterTheLastEvent() {
+    SimBatchCluster world = accepted(2, 1, 1);
+    world.gateways.get(0).servers.lastRun().event(0, "one");
+    world.gateways.get(0).servers.lastRun().end(RunOutcome.BROKEN);
     world.timers.advance(400);
-    assertThat(world.gateways.get(0).servers.last().last, is(0L));
-    world.gateways.get(0).servers.last().event(1, "two");
-    world.gateways.get(0).servers.last().end(Ended.WHOLE);
+    assertThat(world.gateways.get(0).servers.lastRun().lastEventId, is(0L));
+    world.gateways.get(0).servers.lastRun().event(1, "two");
+    world.gateways.get(0).servers.lastRun().end(RunOutcome.WHOLE);
     world.timers.advance(100);
     assertThat(world.read(0, "a", 0), containsString("\"message\":\"one\\u000atwo\""));
   }
 
   @Test
-  void aGapOrARepeatSpoilsTheRunAndNothingOfItIsKept() {
+  void aGapOrARepeatedEventCancelsTheRunAndDiscardsItsText() {
     for (long wrong : new long[] {0, 2, 7}) {
-      SimWorld world = accepted(3, 1, 1);
+      SimBatchCluster world = accepted(3, 1, 1);
       SimServers servers = world.gateways.get(0).servers;
-      servers.last().event(0, "one");
-      servers.last().event(wrong, "wrong");
-      assertThat(servers.last().cancelled, is(true));
-      servers.last().end(Ended.WHOLE);
+      servers.lastRun().event(0, "one");
+      servers.lastRun().event(wrong, "wrong");
+      assertThat(servers.lastRun().cancelled, is(true));
+      servers.lastRun().end(RunOutcome.WHOLE);
       world.timers.advance(400);
       assertThat(servers.runs, hasSize(2));
-      assertThat(servers.last().last, is(-1L));
-      servers.last().serve();
+      assertThat(servers.lastRun().lastEventId, is(-1L));
+      servers.lastRun().serve();
       world.timers.advance(100);
       assertThat(world.read(0, "a", 0), containsString("\"message\":\"a-0/0\\u000aa-0/1\""));
     }
   }
 
   @Test
-  void aRunThatGoesOnAtTheWrongPlaceIsNotJoined() {
+  void aRunThatResumesAtTheWrongEventIsNotJoined() {
     for (long wrong : new long[] {0, 1, 3}) {
-      SimWorld world = accepted(4, 1, 1);
+      SimBatchCluster world = accepted(4, 1, 1);
       SimServers servers = world.gateways.get(0).servers;
-      servers.last().event(0, "one");
-      servers.last().event(1, "two");
-      servers.last().end(Ended.BROKEN);
+      servers.lastRun().event(0, "one");
+      servers.lastRun().event(1, "two");
+      servers.lastRun().end(RunOutcome.BROKEN);
       world.timers.advance(400);
-      servers.last().event(wrong, "else");
-      servers.last().end(Ended.WHOLE);
+      servers.lastRun().event(wrong, "else");
+      servers.lastRun().end(RunOutcome.WHOLE);
       world.timers.advance(400);
-      servers.last().serve();
+      servers.lastRun().serve();
       world.timers.advance(100);
       assertThat(world.read(0, "a", 0), containsString("\"message\":\"a-0/0\\u000aa-0/1\""));
     }
   }
 
   @Test
-  void aServerThatDidNotRunItCostsNoAttempt() {
-    SimWorld world = accepted(5, 1, 1);
+  void aRunThatNeverStartedIsNoFailedAttempt() {
+    SimBatchCluster world = accepted(5, 1, 1);
     SimServers servers = world.gateways.get(0).servers;
     for (int i = 0; i < 10; i++) {
-      servers.last().end(Ended.NOT_RUN);
+      servers.lastRun().end(RunOutcome.NOT_RUN);
       world.timers.advance(400);
     }
     assertThat(servers.runs, hasSize(11));
@@ -101,34 +101,34 @@
   }
 
   @Test
-  void onlySoManyFailuresMakeAnItemUndeliverable() {
-    SimWorld world = accepted(6, 1, 1);
+  void anItemFailsAfterTheLimitOfFailedAttempts() {
+    SimBatchCluster world = accepted(6, 1, 1);
     SimServers servers = world.gateways.get(0).servers;
-    servers.last().end(Ended.FAILED);
+    servers.lastRun().end(RunOutcome.FAILED);
     world.timers.advance(400);
     assertThat(world.read(0, "a", 0), containsString(NONE));
-    servers.last().end(Ended.BROKEN);
+    servers.lastRun().end(RunOutcome.BROKEN);
     world.timers.advance(400);
     assertThat(world.read(0, "a", 0), containsString(NONE));
-    servers.last().end(Ended.FAILED);
+    servers.lastRun().end(RunOutcome.FAILED);
     world.timers.advance(100);
     assertThat(
         world.read(0, "a", 0), containsString("\"state\":\"undeliverable\",\"message\":\"\""));
   }
 
   @Test
-  void whatCanNeverBeDoneIsUndeliverableAtOnce() {
-    SimWorld world = accepted(7, 1, 1);
-    world.gateways.get(0).servers.last().end(Ended.NEVER);
+  void anItemRejectedByItsServerFailsAtOnce() {
+    SimBatchCluster world = accepted(7, 1, 1);
+    world.gateways.get(0).servers.lastRun().end(RunOutcome.NEVER);
     world.timers.advance(100);
     assertThat(world.read(0, "a", 0), containsString("\"state\":\"undeliverable\""));
   }
 
   @Test
-  void anItemIsGivenUpBehindItsShelfLifeAndNotBefore() {
-    SimWorld world = new SimWorld(8, 1, 1_000);
-    world.gateways.get(0).servers.room = 0;
-    assertThat(world.status(world.hand(0, "a", 2, 10)), is(202));
+  void anItemFailsAfterItsShelfLifeAndNotBefore() {
+    SimBatchCluster world = new SimBatchCluster(8, 1, 1_000);
+    world.gateways.get(0).servers.capacity = 0;
+    assertThat(world.status(world.submit(0, "a", 2, 10)), is(202));
     world.timers.advance(59_000);
     assertThat(world.read(0, "a", 0), containsString(NONE));
     world.timers.advance(2_000);
@@ -136,11 +136,11 @@
   }
 
   @Test
-  void withoutItsRouteAnItemIsUndeliverableButNotByAnOlderConfiguration() {
-    SimWorld world = new SimWorld(9, 1, 1_000);
+  void anItemWithoutARouteFailsButNotByAnOlderConfiguration() {
+    SimBatchCluster world = new SimBatchCluster(9, 1, 1_000);
     SimServers servers = world.gateways.get(0).servers;
-    servers.room = 0;
-    assertThat(world.status(world.hand(0, "a", 1, 10)), is(202));
+    servers.capacity = 0;
+    assertThat(world.status(world.submit(0, "a", 1, 10)), is(202));
     world.gateways.get(0).config = new SimConfig(1, List.of());
     world.timers.advance(1_000);
     assertThat(world.read(0, "a", 0), containsString(NONE));
@@ -151,17 +151,17 @@
   }
 
   @Test
-  void aHeldReadIsAnsweredAsSoonAsSomethingIsListed() {
-    SimWorld world = accepted(15, 1, 2);
-    CompletableFuture<Reply> held = world.gateways.get(0).calls.read("a", 0, 1_000);
+  void aWaitingReadIsAnsweredAsSoonAsAResultIsRecorded() {
+    SimBatchCluster world = accepted(15, 1, 2);
+    CompletableFuture<Reply> held = world.gateways.get(0).batchApi.readResults("a", 0, 1_000);
     world.timers.advance(300);
     assertThat(held.isDone(), is(false));
-    world.gateways.get(0).servers.last().serve();
+    world.gateways.get(0).servers.lastRun().serve();
     world.timers.advance(90);
     assertThat(held.isDone(), is(true));
     assertThat(
         new String(held.join().body(), StandardCharsets.UTF_8), containsString("\"next_token\":1"));
-    CompletableFuture<Reply> empty = world.gateways.get(0).calls.read("a", 1, 5_000);
+    CompletableFuture<Reply> empty = world.gateways.get(0).batchApi.readResults("a", 1, 5_000);
     world.timers.advance(1_100);
     assertThat(
         new String(empty.join().body(), StandardCharsets.UTF_8),
@@ -169,37 +169,37 @@
   }
 
   @Test
-  void withoutAMajorityAReadIsUnsureAndOnlyASureGatewaySaysThereIsNone() {
-    SimWorld world = accepted(16, 2, 1);
+  void withoutAQuorumAReadIsUnavailableNotNotFound() {
+    SimBatchCluster world = accepted(16, 2, 1);
     assertThat(world.read(1, "b", 0), startsWith("404"));
     world.stores.get(0).up = false;
     world.stores.get(1).up = false;
     assertThat(world.read(1, "a", 0), startsWith("503"));
     assertThat(world.read(1, "b", 0), startsWith("503"));
-    assertThat(world.status(world.gateways.get(1).calls.item("b", "b-0")), is(503));
+    assertThat(world.status(world.gateways.get(1).batchApi.readItemBody("b", "b-0")), is(503));
   }
 
   @Test
-  void aBodyIsGivenByteForByteAtEveryGateway() {
-    SimWorld world = accepted(17, 2, 3);
-    for (SimWorld.Gateway gateway : world.gateways) {
-      Reply reply = world.await(gateway.calls.item("a", "a-2"));
+  void anItemBodyIsReadUnchangedAtEveryGateway() {
+    SimBatchCluster world = accepted(17, 2, 3);
+    for (SimBatchCluster.Gateway gateway : world.gateways) {
+      Reply reply = world.await(gateway.batchApi.readItemBody("a", "a-2"));
       assertThat(new String(reply.body(), StandardCharsets.UTF_8), is("body a2"));
-      assertThat(world.status(gateway.calls.item("a", "b-2")), is(404));
+      assertThat(world.status(gateway.batchApi.readItemBody("a", "b-2")), is(404));
     }
-    assertThat(world.status(world.gateways.get(1).calls.item("b", "b-2")), is(404));
+    assertThat(world.status(world.gateways.get(1).batchApi.readItemBody("b", "b-2")), is(404));
   }
 
   @Test
-  void aLongJobIsReadInPartsBelowTheLargestAnswer() {
-    SimWorld world = accepted(18, 1, 3);
+  void aLongJobIsReadInPagesBelowTheLargestResponse() {
+    SimBatchCluster world = accepted(18, 1, 3);
     String big = "\"".repeat(300_000);
     for (SimServers.Run run : List.copyOf(world.gateways.get(0).servers.runs)) {
       run.event(0, big);
-      run.end(Ended.WHOLE);
+      run.end(RunOutcome.WHOLE);
     }
     world.timers.advance(300);
-    Reply reply = world.await(world.gateways.get(0).calls.read("a", 0, 0));
+    Reply reply = world.await(world.gateways.get(0).batchApi.readResults("a", 0, 0));
     assertThat(reply.body().length, lessThanOrEqualTo(1 << 20));
     assertThat(
         new String(reply.body(), StandardCharsets.UTF_8), not(containsString("\"next_token\":3")));
