--- a/batch/src/test/java/elmsail/batch/MessageCodecTest.java
+++ b/batch/src/test/java/elmsail/batch/MessageCodecTest.java
@@ -8,10 +8,10 @@
 
 import elmsail.batch.messages.ByteReader;
 import elmsail.batch.messages.ByteWriter;
-import elmsail.batch.messages.JobBody;
+import elmsail.batch.messages.JobBodyCodec;
 import elmsail.batch.messages.JobDescription;
 import elmsail.batch.messages.JobRecord;
-import elmsail.batch.messages.JobRequestReader;
+import elmsail.batch.messages.JobRequestParser;
 import elmsail.runtime.ElmsailException;
 import elmsail.runtime.ErrorCode;
 import java.nio.charset.StandardCharsets;
@@ -22,33 +22,33 @@
 import org.junit.jupiter.api.Test;
 
 class MessageCodecTest {
-  private static final String PIECE =
+  private static final String ITEM =
       "{\"id\":\"x\",\"lane\":\"/p/1\",\"envelope\":{\"A\":\"b c\"},"
           + "\"contents\":\"q83vEjRWeJA=\",\"tokens\":940}";
 
-  private static List<BatchItem> read(String json) {
-    return JobRequestReader.read(json.getBytes(StandardCharsets.UTF_8));
+  private static List<BatchItem> parse(String json) {
+    return JobRequestParser.parse(json.getBytes(StandardCharsets.UTF_8));
   }
 
   private static String with(String part, String other) {
-    return "{\"pieces\":[" + PIECE.replace(part, other) + "]}";
+    return "{\"pieces\":[" + ITEM.replace(part, other) + "]}";
   }
 
   @Test
-  void aJobIsReadAsItStands() {
-    List<BatchItem> batchItems = read("{\"more\":[1,{}],\"pieces\":[" + PIECE + "]}");
-    assertThat(batchItems, hasSize(1));
-    assertThat(batchItems.get(0).envelope().get("A"), is("b c"));
-    assertThat(batchItems.get(0).contents().length, is(8));
-    assertThat(batchItems.get(0).tokens(), is(940L));
-    BatchItem back = JobBody.unpacked(JobBody.packed(batchItems)).get(0);
-    assertThat(back.lane(), is("/p/1"));
-    assertThat(back.envelope(), is(batchItems.get(0).envelope()));
-    assertThat(Arrays.equals(back.contents(), batchItems.get(0).contents()), is(true));
+  void aValidJobRequestIsParsedAndItsItemsSurviveTheCodec() {
+    List<BatchItem> items = parse("{\"more\":[1,{}],\"pieces\":[" + ITEM + "]}");
+    assertThat(items, hasSize(1));
+    assertThat(items.get(0).headers().get("A"), is("b c"));
+    assertThat(items.get(0).body().length, is(8));
+    assertThat(items.get(0).tokens(), is(940L));
+    BatchItem back = JobBodyCodec.decode(JobBodyCodec.encode(items)).get(0);
+    assertThat(back.path(), is("/p/1"));
+    assertThat(back.headers(), is(items.get(0).headers()));
+    assertThat(Arrays.equals(back.body(), items.get(0).body()), is(true));
   }
 
   @Test
-  void whatIsNotAJobIsNotRead() {
+  void malformedJobRequestsAreRejected() {
     List<String> malformed =
         List.of(
             "",
@@ -57,10 +57,10 @@
             "{\"pieces\":[]}",
             "{\"pieces\":{}}",
             "{\"pieces\":[1]}",
-            "{\"pieces\":[" + PIECE + "," + PIECE + "]}",
-            "{\"pieces\":[" + PIECE + "]",
+            "{\"pieces\":[" + ITEM + "," + ITEM + "]}",
+            "{\"pieces\":[" + ITEM + "]",
             with("\"x\"", "7"),
-            "{\"pieces\":[" + PIECE + "]} {}",
+            "{\"pieces\":[" + ITEM + "]} {}",
             with("/p/1", "p/1"),
             with("/p/1", "/p 1"),
             with("/p/1", "/p\\r\\n"),
@@ -78,12 +78,12 @@
             with("\"envelope\":{\"A\":\"b c\"},", ""),
             with("\"id\":\"x\"", "\"id\":\"x\",\"id\":\"y\""));
     for (String json : malformed) {
-      ElmsailException thrown = assertThrows(ElmsailException.class, () -> read(json), json);
+      ElmsailException thrown = assertThrows(ElmsailException.class, () -> parse(json), json);
       assertThat(json, thrown.code(), is(ErrorCode.INVALID_ARGUMENT));
     }
   }
 
-  private static JobRecord wholeRecord(List<JobRecord.FailureCount> failures) {
+  private static JobRecord recordWithAllFields(List<JobRecord.FailedAttempts> failures) {
     return new JobRecord(
         3,
         new JobDescription(
@@ -103,29 +103,29 @@
   }
 
   @Test
-  void aRecordIsTheSameOncePackedAndUnpacked() {
-    JobRecord record = wholeRecord(List.of());
-    assertThat(JobRecord.unpacked(record.packed()), is(record));
-    byte[] packed = record.packed();
+  void aRecordSurvivesTheCodecAndATruncatedOneIsRejected() {
+    JobRecord record = recordWithAllFields(List.of());
+    assertThat(JobRecord.decode(record.encode()), is(record));
+    byte[] packed = record.encode();
     for (int cut = 0; cut < packed.length; cut++) {
       byte[] part = Arrays.copyOf(packed, cut);
       assertThat(
-          assertThrows(ElmsailException.class, () -> JobRecord.unpacked(part)).code(),
+          assertThrows(ElmsailException.class, () -> JobRecord.decode(part)).code(),
           is(ErrorCode.MALFORMED));
     }
   }
 
   /** What stores have on disk is read by later programs: a record's bytes stay as they are. */
   @Test
-  void aRecordsBytesAreThoseOfItsFormat() {
-    JobRecord record = wholeRecord(List.of(new JobRecord.FailureCount(0, 2)));
+  void theEncodingOfARecordIsPinned() {
+    JobRecord record = recordWithAllFields(List.of(new JobRecord.FailedAttempts(0, 2)));
     byte[] bytes =
         HexFormat.of()
             .parseHex(
                 "0203017209682e6578616d706c6505904ee0d40306626f64792d37010a31302e302e302e313a37"
                     + "02d20902016180808080801002c3bc00010101024d010002");
-    assertThat(record.packed(), is(bytes));
-    assertThat(JobRecord.unpacked(bytes), is(record));
+    assertThat(record.encode(), is(bytes));
+    assertThat(JobRecord.decode(bytes), is(record));
   }
 
   private static JobRecord threeItems() {
@@ -138,36 +138,36 @@
   }
 
   @Test
-  void failuresStayWithARecordUntilTheirItemIsListed() {
-    JobRecord.FailureCount ofA = new JobRecord.FailureCount(0, 2);
-    JobRecord.FailureCount ofC = new JobRecord.FailureCount(2, 1);
-    JobRecord failed = threeItems().listing(List.of(), List.of(ofC, ofA), 0);
-    JobRecord next = failed.runBy("e", 10).again();
-    assertThat(JobRecord.unpacked(next.packed()), is(next));
-    assertThat(next.failures(), contains(ofA, ofC));
-    JobRecord lower = next.listing(List.of(), List.of(new JobRecord.FailureCount(0, 1)), 0);
-    assertThat("a lower count does not replace one", lower.failuresOf(0), is(2));
-    JobRecord listed = lower.listing(List.of(new JobRecord.Result(0, false, 2, 0)), 0);
-    assertThat(listed.failures(), contains(ofC));
-    assertThat(listed.failuresOf(0), is(0));
-    assertThat(listed.endedNow().failures(), contains(ofC));
+  void failedAttemptsStayInARecordUntilTheirItemHasAResult() {
+    JobRecord.FailedAttempts ofA = new JobRecord.FailedAttempts(0, 2);
+    JobRecord.FailedAttempts ofC = new JobRecord.FailedAttempts(2, 1);
+    JobRecord failed = threeItems().withResults(List.of(), List.of(ofC, ofA), 0);
+    JobRecord next = failed.withRunner("e", 10).rewritten();
+    assertThat(JobRecord.decode(next.encode()), is(next));
+    assertThat(next.failedAttempts(), contains(ofA, ofC));
+    JobRecord lower = next.withResults(List.of(), List.of(new JobRecord.FailedAttempts(0, 1)), 0);
+    assertThat("a lower count does not replace one", lower.failedAttemptsOf(0), is(2));
+    JobRecord listed = lower.withResults(List.of(new JobRecord.Result(0, false, 2, 0)), 0);
+    assertThat(listed.failedAttempts(), contains(ofC));
+    assertThat(listed.failedAttemptsOf(0), is(0));
+    assertThat(listed.withCancellation().failedAttempts(), contains(ofC));
   }
 
   @Test
-  void aRecordOfTheFirstFormatIsReadAndOneOfALaterFormatIsNot() {
+  void formatOneIsDecodedAndALaterFormatIsRejected() {
     JobRecord record = threeItems();
-    byte[] first = Arrays.copyOf(record.packed(), record.packed().length - 1);
+    byte[] first = Arrays.copyOf(record.encode(), record.encode().length - 1);
     first[0] = 1;
-    assertThat(JobRecord.unpacked(first), is(record));
-    byte[] later = record.packed();
+    assertThat(JobRecord.decode(first), is(record));
+    byte[] later = record.encode();
     later[0] = 3;
     assertThat(
-        assertThrows(ElmsailException.class, () -> JobRecord.unpacked(later)).code(),
+        assertThrows(ElmsailException.class, () -> JobRecord.decode(later)).code(),
         is(ErrorCode.MALFORMED));
   }
 
   @Test
-  void whatIsListedFirstStays() {
+  void theFirstResultOfAnItemStays() {
     JobRecord record =
         new JobRecord(
             1,
@@ -186,24 +186,24 @@
             0);
     JobRecord.Result first = new JobRecord.Result(1, true, 1, 3);
     JobRecord.Result again = new JobRecord.Result(1, false, 2, 0);
-    JobRecord listed = record.listing(List.of(first), 10).listing(List.of(again, again), 5);
+    JobRecord listed = record.withResults(List.of(first), 10).withResults(List.of(again, again), 5);
     assertThat(listed.results(), contains(first));
-    assertThat(listed.waiting(), is(5L));
+    assertThat(listed.waitingTokens(), is(5L));
     assertThat(listed.ageMs(), is(10L));
-    assertThat(listed.endedNow().waiting(), is(0L));
+    assertThat(listed.withCancellation().waitingTokens(), is(0L));
   }
 
   @Test
-  void numbersAreReadAsTheyWereWritten() {
+  void varintsSurviveTheCodec() {
     long[] numbers = {0, 1, 127, 128, 300, Long.MAX_VALUE, -1, Long.MIN_VALUE};
     ByteWriter to = new ByteWriter();
     for (long one : numbers) {
-      to.number(one);
+      to.writeVarint(one);
     }
-    ByteReader from = new ByteReader(to.packed());
+    ByteReader from = new ByteReader(to.toByteArray());
     for (long one : numbers) {
-      assertThat(from.number(), is(one));
+      assertThat(from.readVarint(), is(one));
     }
-    assertThat(from.more(), is(false));
+    assertThat(from.hasRemaining(), is(false));
   }
 }
--- a/batch/src/test/java/elmsail/batch/NarrowUplinkTest.java
+++ b/batch/src/test/java/elmsail/batch/NarrowUplinkTest.java
@@ -47,17 +47,17 @@
     return json.append("]}").toString().getBytes(StandardCharsets.UTF_8);
   }
 
-  private static long acceptMs(JobStoreWorld world, String id) {
-    JobStoreWorld.Gateway gateway = world.gateways.get(0);
-    long began = world.timers.now();
-    CompletableFuture<BatchCalls.Reply> reply =
-        gateway.calls.submit(world.route(), id, job(id), 3_000);
+  private static long acceptMs(ReplicatedBatchCluster world, String id) {
+    ReplicatedBatchCluster.Gateway gateway = world.gateways.get(0);
+    long startedAt = world.timers.now();
+    CompletableFuture<BatchService.Reply> reply =
+        gateway.batchApi.submit(world.route(), id, job(id), 3_000);
     assertThat(world.await(reply).status(), is(202));
-    return world.timers.now() - began;
+    return world.timers.now() - startedAt;
   }
 
-  private static JobStoreWorld world(long seed) {
-    JobStoreWorld world = new JobStoreWorld(seed, 1, 1_000_000, STORES);
+  private static ReplicatedBatchCluster world(long seed) {
+    ReplicatedBatchCluster world = new ReplicatedBatchCluster(seed, 1, 1_000_000, STORES);
     world.net.uplink(world.gateways.get(0).address, BYTES_PER_MS);
     world.timers.advance(1_000);
     return world;
@@ -72,7 +72,7 @@
 
   @Test
   void theBodyLeavesTheGatewayOnce() {
-    JobStoreWorld world = world(7);
+    ReplicatedBatchCluster world = world(7);
     world.net.countBytes(world.gateways.get(0).address);
     acceptMs(world, "large");
     long body = (long) ITEMS * ITEM_BYTES;
@@ -81,12 +81,12 @@
 
   @Test
   void resultsLeaveTheGatewayFewTimes() {
-    JobStoreWorld world = world(8);
+    ReplicatedBatchCluster world = world(8);
     SimServers servers = world.gateways.get(0).servers;
-    servers.room = ITEMS;
-    servers.serveMs = 1_000;
+    servers.capacity = ITEMS;
+    servers.serviceTimeMs = 1_000;
     servers.staggerMs = STAGGER_MS;
-    servers.padding = "y".repeat(TEXT_BYTES / 2);
+    servers.eventPadding = "y".repeat(TEXT_BYTES / 2);
     acceptMs(world, "large");
     world.net.countBytes(world.gateways.get(0).address);
     world.timers.advance(1_000 + (ITEMS + 10) * STAGGER_MS);
@@ -104,7 +104,7 @@
   @Test
   void withTheNearestStoreDownALargeJobIsAcceptedNonetheless() {
     for (int down = 0; down < STORES; down++) {
-      JobStoreWorld world = world(20 + down);
+      ReplicatedBatchCluster world = world(20 + down);
       world.stores.get(down).kill(false);
       world.timers.advance(200);
       acceptMs(world, "large");
@@ -114,7 +114,7 @@
   @Test
   void withAStoreFrozenALargeJobIsAcceptedNonetheless() {
     for (int frozen = 0; frozen < STORES; frozen++) {
-      JobStoreWorld world = world(30 + frozen);
+      ReplicatedBatchCluster world = world(30 + frozen);
       world.net.freeze(world.stores.get(frozen).address);
       acceptMs(world, "first");
       assertThat("behind the first", acceptMs(world, "second"), lessThan(DUE_MS));
--- a/batch/src/test/java/elmsail/batch/PinnedJobBytesTest.java
+++ b/batch/src/test/java/elmsail/batch/PinnedJobBytesTest.java
@@ -9,10 +9,10 @@
 import elmsail.batch.messages.BatchMessageTypes;
 import elmsail.batch.messages.ContentDigest;
 import elmsail.batch.messages.HeartbeatMessage;
-import elmsail.batch.messages.JobBody;
+import elmsail.batch.messages.JobBodyCodec;
 import elmsail.batch.messages.JobDescription;
 import elmsail.batch.messages.JobRecord;
-import elmsail.batch.messages.TokenCount;
+import elmsail.batch.messages.WaitingTokens;
 import java.util.HexFormat;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -42,7 +42,7 @@
     return HexFormat.of().parseHex(hex);
   }
 
-  private static JobRecord job(List<JobRecord.FailureCount> failures) {
+  private static JobRecord job(List<JobRecord.FailedAttempts> failures) {
     return new JobRecord(
         3,
         new JobDescription(
@@ -63,15 +63,15 @@
 
   @Test
   void aJobsRecordHasTheseBytes() {
-    JobRecord record = job(List.of(new JobRecord.FailureCount(0, 2)));
-    assertThat(record.packed(), equalTo(bytes(RECORD_OF_FORMAT_2)));
-    assertThat(JobRecord.unpacked(bytes(RECORD_OF_FORMAT_2)), is(record));
+    JobRecord record = job(List.of(new JobRecord.FailedAttempts(0, 2)));
+    assertThat(record.encode(), equalTo(bytes(RECORD_OF_FORMAT_2)));
+    assertThat(JobRecord.decode(bytes(RECORD_OF_FORMAT_2)), is(record));
   }
 
   /** The layout before failures were kept. */
   @Test
   void aRecordOfTheFirstFormatIsReadToo() {
-    assertThat(JobRecord.unpacked(bytes(RECORD_OF_FORMAT_1)), is(job(List.of())));
+    assertThat(JobRecord.decode(bytes(RECORD_OF_FORMAT_1)), is(job(List.of())));
   }
 
   @Test
@@ -80,23 +80,23 @@
     headers.put("A", "b c");
     headers.put("Content-Type", "text/plain");
     byte[] contents = {(byte) 0xab, 0, -1};
-    byte[] packed = JobBody.packed(List.of(new BatchItem("x", "/p/1", headers, contents, 940)));
+    byte[] packed = JobBodyCodec.encode(List.of(new BatchItem("x", "/p/1", headers, contents, 940)));
     assertThat(packed, equalTo(bytes(BODY)));
-    assertThat(JobBody.nameOf(packed), is("body-3111b8e4b20b43fb"));
-    BatchItem read = JobBody.unpacked(bytes(BODY)).get(0);
+    assertThat(JobBodyCodec.blobName(packed), is("body-3111b8e4b20b43fb"));
+    BatchItem read = JobBodyCodec.decode(bytes(BODY)).get(0);
     assertThat(read.id(), is("x"));
-    assertThat(read.lane(), is("/p/1"));
-    assertThat(List.copyOf(read.envelope().keySet()), contains("A", "Content-Type"));
-    assertThat(read.envelope(), is(headers));
-    assertThat(read.contents(), equalTo(contents));
+    assertThat(read.path(), is("/p/1"));
+    assertThat(List.copyOf(read.headers().keySet()), contains("A", "Content-Type"));
+    assertThat(read.headers(), is(headers));
+    assertThat(read.body(), equalTo(contents));
     assertThat(read.tokens(), is(940L));
   }
 
   @Test
   void jobsAndTextsAreKeptUnderTheseNames() {
-    assertThat(JobRecord.keyOf("j1"), is("lot/j1"));
-    assertThat(JobRecord.nameOf(7, 2), is("r-7-2"));
-    assertThat(new JobRecord.Result(7, true, 2, 77).textName(), is("r-7-2"));
+    assertThat(JobRecord.registerKey("j1"), is("lot/j1"));
+    assertThat(JobRecord.textBlobNameOf(7, 2), is("r-7-2"));
+    assertThat(new JobRecord.Result(7, true, 2, 77).textBlobName(), is("r-7-2"));
   }
 
   @Test
@@ -112,11 +112,11 @@
             BatchMessageTypes.HEARTBEAT,
             BatchMessageTypes.ABANDONED,
             BatchMessageTypes.WITHDRAW,
-            BatchMessageTypes.ENDED,
-            BatchMessageTypes.NOT_SEATED),
+            BatchMessageTypes.CANCELLED,
+            BatchMessageTypes.NOT_A_VOTER),
         contains("lots/beat", "lots/orphans", "lots/withdraw", "lots/ended", "lots/not-seated"));
     assertThat(
-        List.of(HeartbeatMessage.UNKNOWN, HeartbeatMessage.YOURS, HeartbeatMessage.GONE),
+        List.of(HeartbeatMessage.UNKNOWN, HeartbeatMessage.LEASE_HELD, HeartbeatMessage.LEASE_LOST),
         contains(0, 1, 2));
   }
 
@@ -125,30 +125,30 @@
     HeartbeatMessage heartbeat =
         new HeartbeatMessage(
             "10.0.0.1:7720",
-            List.of(new HeartbeatMessage.Run("j1", 3), new HeartbeatMessage.Run("j2", 1)));
-    assertThat(heartbeat.packed(), equalTo(bytes(HEARTBEAT)));
-    assertThat(HeartbeatMessage.unpacked(bytes(HEARTBEAT)), is(heartbeat));
+            List.of(new HeartbeatMessage.JobLease("j1", 3), new HeartbeatMessage.JobLease("j2", 1)));
+    assertThat(heartbeat.encode(), equalTo(bytes(HEARTBEAT)));
+    assertThat(HeartbeatMessage.decode(bytes(HEARTBEAT)), is(heartbeat));
   }
 
   @Test
   void abandonedJobsHaveTheseBytes() {
     List<AbandonedJob> abandoned =
         List.of(new AbandonedJob("j1", 3, 4_500), new AbandonedJob("j2", 1, 0));
-    assertThat(AbandonedJob.packed(abandoned), equalTo(bytes(ABANDONED)));
-    assertThat(AbandonedJob.unpacked(bytes(ABANDONED)), is(abandoned));
+    assertThat(AbandonedJob.encode(abandoned), equalTo(bytes(ABANDONED)));
+    assertThat(AbandonedJob.decode(bytes(ABANDONED)), is(abandoned));
   }
 
   @Test
   void countsOfWaitingTokensHaveTheseBytes() {
-    TokenCount.Add add = new TokenCount.Add("r", "j1", 940, -7);
-    assertThat(add.packed(), equalTo(bytes(ADD)));
-    assertThat(TokenCount.Add.unpacked(bytes(ADD)), is(add));
-    TokenCount count = new TokenCount();
+    WaitingTokens.Reservation add = new WaitingTokens.Reservation("r", "j1", 940, -7);
+    assertThat(add.encode(), equalTo(bytes(ADD)));
+    assertThat(WaitingTokens.Reservation.decode(bytes(ADD)), is(add));
+    WaitingTokens count = new WaitingTokens();
     count.put(ContentDigest.of("j1"), 2, 940);
-    assertThat(count.packed(), equalTo(bytes(COUNT)));
-    TokenCount read = new TokenCount();
-    read.putAll(List.of(bytes(COUNT)));
-    assertThat(read.without("j2"), is(940L));
-    assertThat(read.accepted("j2"), is(940L));
+    assertThat(count.encode(), equalTo(bytes(COUNT)));
+    WaitingTokens read = new WaitingTokens();
+    read.mergeAll(List.of(bytes(COUNT)));
+    assertThat(read.totalExcept("j2"), is(940L));
+    assertThat(read.acceptedExcept("j2"), is(940L));
   }
 }
--- a/batch/src/test/java/elmsail/batch/RefusedJobTest.java
+++ b/batch/src/test/java/elmsail/batch/RejectedJobTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A job that was refused for the limit is not run, even if one store had taken it. */
-class RefusedJobTest {
+class RejectedJobTest {
   private static final long LIMIT = 1_000;
   private static final long TOKENS = 600;
 
@@ -16,13 +16,13 @@
    * is being accepted.
    */
   private static int statusThenRun(int cutAfter, String rival) {
-    JobStoreWorld world = new JobStoreWorld(cutAfter, 3, LIMIT);
+    ReplicatedBatchCluster world = new ReplicatedBatchCluster(cutAfter, 3, LIMIT);
     world.timers.advance(1_000);
     String first = world.gateways.get(0).address;
     String second = world.gateways.get(1).address;
     String alone = world.stores.get(0).address;
-    CompletableFuture<BatchCalls.Reply> reply =
-        world.hand(world.gateways.get(0), "refused", 1, TOKENS);
+    CompletableFuture<BatchService.Reply> reply =
+        world.submit(world.gateways.get(0), "refused", 1, TOKENS);
     world.timers.advance(cutAfter);
     for (int i = 1; i < 3; i++) {
       world.net.cut(first, world.stores.get(i).address);
@@ -32,9 +32,9 @@
     world.net.cutBoth(first, alone);
     world.net.cutBoth(second, alone);
     world.timers.advance(25);
-    CompletableFuture<BatchCalls.Reply> other = world.hand(world.gateways.get(1), rival, 1, TOKENS);
-    BatchCalls.Reply answered = world.await(reply);
-    BatchCalls.Reply otherAnswered = world.await(other);
+    CompletableFuture<BatchService.Reply> other = world.submit(world.gateways.get(1), rival, 1, TOKENS);
+    BatchService.Reply answered = world.await(reply);
+    BatchService.Reply otherAnswered = world.await(other);
     world.net.healAll();
     world.timers.advance(15_000);
     boolean ran = world.served.contains("refused-0");
@@ -53,13 +53,13 @@
   }
 
   @Test
-  void aJobThatWasRefusedForTheLimitIsNotRun() {
-    int refusedAndRun = 0;
+  void aJobRejectedOverQuotaIsNotRun() {
+    int rejectedAndRun = 0;
     for (int cutAfter = 4; cutAfter < 48; cutAfter++) {
       for (String rival : new String[] {"rival", "other", "third"}) {
-        refusedAndRun += statusThenRun(cutAfter, rival) == 429 ? 1 : 0;
+        rejectedAndRun += statusThenRun(cutAfter, rival) == 429 ? 1 : 0;
       }
     }
-    assertThat(refusedAndRun, is(0));
+    assertThat(rejectedAndRun, is(0));
   }
 }
--- a/batch/src/test/java/elmsail/batch/JobStoreWorld.java
+++ b/batch/src/test/java/elmsail/batch/ReplicatedBatchCluster.java
@@ -1,7 +1,7 @@
 package elmsail.batch;
 
 import elmsail.batch.api.BatchApi;
-import elmsail.batch.store.JobRetention;
+import elmsail.batch.store.JobStoreService;
 import elmsail.config.ClusterState;
 import elmsail.config.Route;
 import elmsail.config.RoutingConfig;
@@ -25,19 +25,19 @@
 import java.util.concurrent.CompletableFuture;
 
 /** Doors and stores as they are, over simulated links and disks, on one clock and one seed. */
-final class JobStoreWorld {
-  static final String SET = "shelf";
+final class ReplicatedBatchCluster {
+  static final String VOTER_SET_NAME = "shelf";
 
   /** A store's machine: the disk stays. */
-  final class Vault {
+  final class StoreNode {
     final String address;
     final SimDisk disk;
     SimNode node;
-    Replica store;
-    JobRetention jobs;
+    Replica replica;
+    JobStoreService service;
     boolean up;
 
-    Vault(int number) {
+    StoreNode(int number) {
       address = "10.0.1." + number + ":7720";
       disk = new SimDisk(seed * 31 + number, timers);
     }
@@ -45,26 +45,26 @@
     void start() {
       up = true;
       node = net.startNode(address);
-      jobs =
-          new JobRetention(
+      service =
+          new JobStoreService(
               node.timers(),
-              () -> store != null && store.isVoting(),
-              key -> store.dropKey(key),
+              () -> replica != null && replica.isVoting(),
+              key -> replica.dropKey(key),
               120_000,
               ProcessMetrics.strict());
-      store =
+      replica =
           new Replica(
-              SET,
+              VOTER_SET_NAME,
               disk.open(node.timers()),
-              jobs,
+              service,
               node.requestHandlers(),
               node.rpcClient(),
               node.timers(),
               address,
               "st-" + address,
               ProcessMetrics.strict());
-      jobs.listen(node.requestHandlers());
-      jobs.start();
+      service.registerHandlers(node.requestHandlers());
+      service.start();
     }
 
     void kill(boolean wipe) {
@@ -80,7 +80,7 @@
   final class Gateway {
     final String address;
     SimNode node;
-    BatchApi calls;
+    BatchApi batchApi;
     SimServers servers;
     boolean up;
 
@@ -94,7 +94,7 @@
       VoterSet[] known = {voterSet()};
       RegisterClient register =
           new RegisterClient(
-              SET,
+              VOTER_SET_NAME,
               node.rpcClient(),
               node.timers(),
               new VoterSetSource() {
@@ -108,46 +108,46 @@
                   known[0] = newer;
                 }
               },
-              chance.nextLong(),
+              random.nextLong(),
               address,
               other -> other.hashCode());
-      calls =
+      batchApi =
           new BatchApi(
               register,
               node.rpcClient(),
               node.timers(),
               known(known),
               address,
-              chance.nextLong(),
+              random.nextLong(),
               3_000,
               ProcessMetrics.strict());
       servers = new SimServers(timers);
-      servers.room = 3;
-      servers.serveMs = 700;
+      servers.capacity = 3;
+      servers.serviceTimeMs = 700;
       servers.served = served;
-      all.add(servers);
-      calls.setServers(servers);
-      calls.listen(node.requestHandlers());
-      calls.start();
+      allServers.add(servers);
+      batchApi.setServers(servers);
+      batchApi.registerHandlers(node.requestHandlers());
+      batchApi.start();
     }
 
     /** Its servers drop what it had sent them. */
     void kill() {
       up = false;
       net.kill(address);
-      servers.drop();
+      servers.closeConnections();
     }
   }
 
   final long seed;
   final ManualTimers timers = new ManualTimers();
-  final Random chance;
+  final Random random;
   final SimNetwork net;
-  final List<Vault> stores = new ArrayList<>();
+  final List<StoreNode> stores = new ArrayList<>();
   final List<Gateway> gateways = new ArrayList<>();
 
   /** Of all gateways' lives. */
-  final List<SimServers> all = new ArrayList<>();
+  final List<SimServers> allServers = new ArrayList<>();
 
   /** ItemDispatcher that a server has finished. */
   final Set<String> served = new HashSet<>();
@@ -155,66 +155,66 @@
   final ClusterView view = new ClusterView();
   final SimConfig config;
 
-  JobStoreWorld(long seed, int doorCount, long mostWaiting) {
-    this(seed, doorCount, mostWaiting, 3);
+  ReplicatedBatchCluster(long seed, int gatewayCount, long mostWaiting) {
+    this(seed, gatewayCount, mostWaiting, 3);
   }
 
-  JobStoreWorld(long seed, int doorCount, long mostWaiting, int storeCount) {
+  ReplicatedBatchCluster(long seed, int gatewayCount, long mostWaiting, int storeCount) {
     this.seed = seed;
-    chance = new Random(seed);
+    random = new Random(seed);
     net = new SimNetwork(seed, timers);
-    config = new SimConfig(1, List.of(SimWorld.route(mostWaiting)));
+    config = new SimConfig(1, List.of(SimBatchCluster.route(mostWaiting)));
     VoterSet founding = new VoterSet();
     for (int i = 0; i < storeCount; i++) {
-      Vault store = new Vault(i);
+      StoreNode store = new StoreNode(i);
       stores.add(store);
       store.start();
-      Voter slot = new Voter();
-      slot.address = store.address;
-      slot.machine = "st-" + store.address;
-      slot.instanceId = store.disk.instanceId();
-      slot.epoch = 1;
-      founding.voters.add(slot);
+      Voter voter = new Voter();
+      voter.address = store.address;
+      voter.machine = "st-" + store.address;
+      voter.instanceId = store.disk.instanceId();
+      voter.epoch = 1;
+      founding.voters.add(voter);
     }
     view.jobStoreVoters = founding;
-    stores.forEach(store -> store.store.bootstrap(founding));
+    stores.forEach(store -> store.replica.bootstrap(founding));
     timers.advance(100);
-    for (int i = 0; i < doorCount; i++) {
+    for (int i = 0; i < gatewayCount; i++) {
       gateways.add(new Gateway(i));
       view.gateways.add(gateways.get(i).address);
     }
     gateways.forEach(Gateway::start);
-    gossip();
+    distributeVoterSet();
   }
 
   /** What the pulls do: stores and gateways hear of the newest voter set. */
-  private void gossip() {
+  private void distributeVoterSet() {
     VoterSet newest = voterSet();
     view.jobStoreVoters = newest;
-    for (Vault store : stores) {
+    for (StoreNode store : stores) {
       if (store.up) {
-        store.store.learn(newest);
+        store.replica.learn(newest);
       }
     }
-    timers.schedule(300, this::gossip);
+    timers.schedule(300, this::distributeVoterSet);
   }
 
   private VoterSet voterSet() {
     VoterSet newest = view.jobStoreVoters;
-    int best = sum(newest);
-    for (Vault store : stores) {
-      if (store.up && sum(store.store.voterSet()) > best) {
-        newest = store.store.voterSet();
-        best = sum(newest);
+    int best = epochSum(newest);
+    for (StoreNode store : stores) {
+      if (store.up && epochSum(store.replica.voterSet()) > best) {
+        newest = store.replica.voterSet();
+        best = epochSum(newest);
       }
     }
     return newest;
   }
 
-  private static int sum(VoterSet voterSet) {
+  private static int epochSum(VoterSet voterSet) {
     int sum = 0;
-    for (Voter slot : voterSet.voters) {
-      sum += slot.epoch;
+    for (Voter voter : voterSet.voters) {
+      sum += voter.epoch;
     }
     return sum;
   }
@@ -238,7 +238,7 @@
 
       @Override
       public ClusterView view() {
-        voterSet[0] = sum(view.jobStoreVoters) > sum(voterSet[0]) ? view.jobStoreVoters : voterSet[0];
+        voterSet[0] = epochSum(view.jobStoreVoters) > epochSum(voterSet[0]) ? view.jobStoreVoters : voterSet[0];
         return view;
       }
 
@@ -247,9 +247,9 @@
     };
   }
 
-  boolean calm() {
-    for (Vault store : stores) {
-      if (!store.up || !store.store.isVoting()) {
+  boolean allStoresVoting() {
+    for (StoreNode store : stores) {
+      if (!store.up || !store.replica.isVoting()) {
         return false;
       }
     }
@@ -260,13 +260,13 @@
     return config.named("r-lots");
   }
 
-  CompletableFuture<BatchCalls.Reply> hand(
-      Gateway gateway, String id, int batchItems, long tokens) {
-    return gateway.calls.submit(route(), id, SimWorld.job(id, batchItems, tokens), 3_000);
+  CompletableFuture<BatchService.Reply> submit(
+      Gateway gateway, String id, int items, long tokens) {
+    return gateway.batchApi.submit(route(), id, SimBatchCluster.job(id, items, tokens), 3_000);
   }
 
   /** Null where no answer comes within 6 s, as the gateway has died. */
-  BatchCalls.Reply await(CompletableFuture<BatchCalls.Reply> reply) {
+  BatchService.Reply await(CompletableFuture<BatchService.Reply> reply) {
     for (int i = 0; i < 6_000 && !reply.isDone(); i++) {
       timers.advance(1);
     }
--- a/batch/src/test/java/elmsail/batch/ReusedJobIdTest.java
+++ b/batch/src/test/java/elmsail/batch/ReusedJobIdTest.java
@@ -28,17 +28,17 @@
   private static Register.VersionedValue at(long round, JobRecord record) {
     Ballot ballot = new Ballot();
     ballot.round = round;
-    return new Register.VersionedValue(ballot, record.packed());
+    return new Register.VersionedValue(ballot, record.encode());
   }
 
   @Test
-  void theSecondJobViolatesNothing() {
+  void aSecondJobWithTheSameIdViolatesNoInvariant() {
     BatchJobClient client = new BatchJobClient(null, ProcessMetrics.strict().invariants());
     JobRecord first = accepted(1);
-    client.decided("job", at(1, first));
-    client.decided("job", at(2, first.endedNow()));
+    client.onCommitted("job", at(1, first));
+    client.onCommitted("job", at(2, first.withCancellation()));
     JobRecord second = accepted(2);
-    assertThat(client.decided("job", at(3, second)).version(), is(1L));
-    assertThat(client.decided("job", at(4, second.runBy("other", 0))).version(), is(2L));
+    assertThat(client.onCommitted("job", at(3, second)).version(), is(1L));
+    assertThat(client.onCommitted("job", at(4, second.withRunner("other", 0))).version(), is(2L));
   }
 }
--- a/batch/src/test/java/elmsail/batch/SimWorld.java
+++ b/batch/src/test/java/elmsail/batch/SimBatchCluster.java
@@ -4,7 +4,7 @@
 import static org.hamcrest.Matchers.is;
 
 import elmsail.batch.api.BatchApi;
-import elmsail.batch.messages.TokenCount;
+import elmsail.batch.messages.WaitingTokens;
 import elmsail.config.ClusterState;
 import elmsail.config.Route;
 import elmsail.config.RoutingConfig;
@@ -31,14 +31,14 @@
 import java.util.concurrent.CompletionStage;
 
 /** Doors, stores and the links between them, all moved by one hand clock and one seed. */
-final class SimWorld {
-  static final long STATUS_MS = 120_000;
+final class SimBatchCluster {
+  static final long STATUS_RETENTION_MS = 120_000;
   static final String HOST = "h.example";
 
   /** A gateway with its servers; a killed one hears and says nothing more. */
   static final class Gateway {
     final String address;
-    BatchApi calls;
+    BatchApi batchApi;
     SimServers servers;
     SimConfig config;
     boolean up = true;
@@ -49,7 +49,7 @@
   }
 
   final ManualTimers timers = new ManualTimers();
-  final Random chance;
+  final Random random;
   final List<SimJobStore> stores = new ArrayList<>();
   final List<Gateway> gateways = new ArrayList<>();
   final ClusterView view = new ClusterView();
@@ -62,21 +62,21 @@
 
   final SimConfig config;
 
-  SimWorld(long seed, int doorCount, long mostWaiting) {
-    chance = new Random(seed);
+  SimBatchCluster(long seed, int gatewayCount, long mostWaiting) {
+    random = new Random(seed);
     config = new SimConfig(1, List.of(route(mostWaiting)));
     for (int i = 0; i < 3; i++) {
       SimJobStore store = new SimJobStore("10.0.1." + i + ":7000", this);
       stores.add(store);
-      Voter slot = new Voter();
-      slot.address = store.address;
-      view.jobStoreVoters.voters.add(slot);
+      Voter voter = new Voter();
+      voter.address = store.address;
+      view.jobStoreVoters.voters.add(voter);
     }
-    for (int i = 0; i < doorCount; i++) {
+    for (int i = 0; i < gatewayCount; i++) {
       view.gateways.add("10.0.2." + i + ":7000");
     }
-    for (int i = 0; i < doorCount; i++) {
-      gateways.add(open(new Gateway(view.gateways.get(i)), i));
+    for (int i = 0; i < gatewayCount; i++) {
+      gateways.add(startGateway(new Gateway(view.gateways.get(i)), i));
     }
   }
 
@@ -102,7 +102,7 @@
     return config.named("r-lots");
   }
 
-  private Gateway open(Gateway gateway, int number) {
+  private Gateway startGateway(Gateway gateway, int number) {
     ClusterState known =
         new ClusterState() {
           @Override
@@ -130,24 +130,24 @@
         };
     gateway.config = config;
     gateway.servers = new SimServers(timers);
-    Timers own = own(gateway);
-    gateway.calls =
+    Timers own = timersOf(gateway);
+    gateway.batchApi =
         new BatchApi(
             new SimRegister(this, gateway.address, number + 1),
             caller(gateway.address),
             own,
             known,
             gateway.address,
-            chance.nextLong(),
+            random.nextLong(),
             3_000,
             ProcessMetrics.strict());
-    gateway.calls.setServers(gateway.servers);
-    gateway.calls.start();
+    gateway.batchApi.setServers(gateway.servers);
+    gateway.batchApi.start();
     return gateway;
   }
 
   /** Timers that go off only while the gateway is up. */
-  private Timers own(Gateway gateway) {
+  private Timers timersOf(Gateway gateway) {
     return new Timers() {
       @Override
       public Timer schedule(long ms, Runnable then) {
@@ -191,11 +191,11 @@
   }
 
   /** Carries a message, unless the link is cut or the receiver is down when it comes. */
-  void carry(String from, String to, Runnable message) {
+  void deliver(String from, String to, Runnable message) {
     if (!up(from)) {
       return;
     }
-    long delay = delays.getOrDefault(from + ">" + to, 1L + chance.nextInt(5));
+    long delay = delays.getOrDefault(from + ">" + to, 1L + random.nextInt(5));
     timers.schedule(
         delay,
         () -> {
@@ -215,15 +215,15 @@
     }
   }
 
-  private CompletionStage<OpaqueMessage> answer(String peer, OpaqueMessage request) {
+  private CompletionStage<OpaqueMessage> handle(String peer, OpaqueMessage request) {
     for (SimJobStore store : stores) {
       if (store.address.equals(peer)) {
-        return store.views.answer(request);
+        return store.service.handle(request);
       }
     }
     for (Gateway gateway : gateways) {
       if (gateway.address.equals(peer)) {
-        return gateway.calls.answer(request);
+        return gateway.batchApi.handle(request);
       }
     }
     return CompletableFuture.failedFuture(new ElmsailException(ErrorCode.NOT_SENT, peer));
@@ -233,26 +233,26 @@
     return new RpcClient() {
       @Override
       public <A> CompletableFuture<A> call(
-          String peer, Object request, Class<A> answer, long timeoutMs) {
+          String peer, Object request, Class<A> responseType, long timeoutMs) {
         CompletableFuture<A> response = new CompletableFuture<>();
         timers.schedule(
             timeoutMs,
             () -> response.completeExceptionally(new ElmsailException(ErrorCode.TIMEOUT, peer)));
-        carry(
+        deliver(
             from,
             peer,
             () ->
-                answer(peer, (OpaqueMessage) request)
+                handle(peer, (OpaqueMessage) request)
                     .whenComplete(
-                        (note, failed) ->
-                            carry(
+                        (reply, failure) ->
+                            deliver(
                                 peer,
                                 from,
                                 () -> {
-                                  if (failed == null) {
-                                    response.complete(answer.cast(note));
+                                  if (failure == null) {
+                                    response.complete(responseType.cast(reply));
                                   } else {
-                                    response.completeExceptionally(failed);
+                                    response.completeExceptionally(failure);
                                   }
                                 })));
         return response;
@@ -261,9 +261,9 @@
   }
 
   /** The JSON of a job whose batchItems have the ids LOT-0, LOT-1 and so on. */
-  static byte[] job(String id, int batchItems, long tokens) {
+  static byte[] job(String id, int items, long tokens) {
     StringBuilder json = new StringBuilder("{\"pieces\":[");
-    for (int i = 0; i < batchItems; i++) {
+    for (int i = 0; i < items; i++) {
       json.append(i == 0 ? "" : ",")
           .append("{\"id\":\"")
           .append(id)
@@ -283,12 +283,12 @@
     return json.append("]}").toString().getBytes(StandardCharsets.UTF_8);
   }
 
-  CompletableFuture<BatchCalls.Reply> hand(int gateway, String id, int batchItems, long tokens) {
-    return gateways.get(gateway).calls.submit(route(), id, job(id, batchItems, tokens), 3_000);
+  CompletableFuture<BatchService.Reply> submit(int gateway, String id, int items, long tokens) {
+    return gateways.get(gateway).batchApi.submit(route(), id, job(id, items, tokens), 3_000);
   }
 
   /** Moves the clock until the reply is there, for 10 s at most. */
-  BatchCalls.Reply await(CompletableFuture<BatchCalls.Reply> reply) {
+  BatchService.Reply await(CompletableFuture<BatchService.Reply> reply) {
     for (int i = 0; i < 10_000 && !reply.isDone(); i++) {
       timers.advance(1);
     }
@@ -297,30 +297,30 @@
   }
 
   /** The tokens that wait on the jobs' route by this store's count. */
-  static long waiting(SimJobStore store) {
-    TokenCount count = new TokenCount();
-    count.putAll(
+  static long waitingTokens(SimJobStore store) {
+    WaitingTokens count = new WaitingTokens();
+    count.mergeAll(
         List.of(
-            store.views.onSideEffect("lot/probe", new TokenCount.Add("r-lots", "probe", 0, 1).packed())));
-    return count.without("probe");
+            store.service.onSideEffect("lot/probe", new WaitingTokens.Reservation("r-lots", "probe", 0, 1).encode())));
+    return count.totalExcept("probe");
   }
 
   /** How many stores have the blob. */
-  int having(String key, String blob) {
+  int storesWithBlob(String key, String blob) {
     int having = 0;
     for (SimJobStore store : stores) {
-      SimJobStore.Cell cell = store.cells.get(key);
+      SimJobStore.StoredKey cell = store.keys.get(key);
       having += cell != null && cell.blobs.containsKey(blob) ? 1 : 0;
     }
     return having;
   }
 
-  int status(CompletableFuture<BatchCalls.Reply> reply) {
+  int status(CompletableFuture<BatchService.Reply> reply) {
     return await(reply).status();
   }
 
   String read(int gateway, String id, long after) {
-    BatchCalls.Reply reply = await(gateways.get(gateway).calls.read(id, after, 0));
+    BatchService.Reply reply = await(gateways.get(gateway).batchApi.readResults(id, after, 0));
     return reply.status() + " " + new String(reply.body(), StandardCharsets.UTF_8);
   }
 }
--- a/batch/src/test/java/elmsail/batch/SimJobStore.java
+++ b/batch/src/test/java/elmsail/batch/SimJobStore.java
@@ -1,6 +1,6 @@
 package elmsail.batch;
 
-import elmsail.batch.store.JobRetention;
+import elmsail.batch.store.JobStoreService;
 import elmsail.rpc.messages.Ballot;
 import elmsail.rpc.messages.Blob;
 import elmsail.runtime.ProcessMetrics;
@@ -15,22 +15,22 @@
 final class SimJobStore {
 
   /** What it holds of one key. */
-  static final class Cell {
+  static final class StoredKey {
     Ballot promised = new Ballot();
     Ballot accepted = new Ballot();
     byte[] value;
     final Map<String, byte[]> blobs = new HashMap<>();
   }
 
-  record Told(boolean done, Ballot promised, Ballot accepted, byte[] value, byte[] note) {}
+  record Response(boolean granted, Ballot promised, Ballot accepted, byte[] value, byte[] sideEffect) {}
 
   final String address;
-  final Map<String, Cell> cells = new HashMap<>();
-  final SimWorld world;
-  JobRetention views;
+  final Map<String, StoredKey> keys = new HashMap<>();
+  final SimBatchCluster world;
+  JobStoreService service;
   boolean up = true;
 
-  SimJobStore(String address, SimWorld world) {
+  SimJobStore(String address, SimBatchCluster world) {
     this.address = address;
     this.world = world;
     restart();
@@ -38,48 +38,48 @@
 
   /** A new process on the same disk. */
   void restart() {
-    views =
-        new JobRetention(
-            world.timers, () -> up, cells::remove, SimWorld.STATUS_MS, ProcessMetrics.strict());
-    views.start();
-    for (Map.Entry<String, Cell> one : cells.entrySet()) {
+    service =
+        new JobStoreService(
+            world.timers, () -> up, keys::remove, SimBatchCluster.STATUS_RETENTION_MS, ProcessMetrics.strict());
+    service.start();
+    for (Map.Entry<String, StoredKey> one : keys.entrySet()) {
       if (one.getValue().value != null) {
-        views.onAccepted(one.getKey(), one.getValue().value);
+        service.onAccepted(one.getKey(), one.getValue().value);
       }
     }
   }
 
-  Told prepare(String key, Ballot ballot, List<Blob> blobs, byte[] note) {
-    Cell cell = cells.computeIfAbsent(key, k -> new Cell());
-    if (less(ballot, cell.promised)) {
-      return new Told(false, cell.promised, null, null, null);
+  Response prepare(String key, Ballot ballot, List<Blob> blobs, byte[] sideEffect) {
+    StoredKey cell = keys.computeIfAbsent(key, k -> new StoredKey());
+    if (isLower(ballot, cell.promised)) {
+      return new Response(false, cell.promised, null, null, null);
     }
     cell.promised = ballot;
-    keep(cell, blobs);
-    return new Told(
-        true, ballot, cell.accepted, cell.value, note == null ? null : views.onSideEffect(key, note));
+    storeBlobs(cell, blobs);
+    return new Response(
+        true, ballot, cell.accepted, cell.value, sideEffect == null ? null : service.onSideEffect(key, sideEffect));
   }
 
-  Told accept(String key, Ballot ballot, byte[] value, List<Blob> blobs) {
-    Cell cell = cells.computeIfAbsent(key, k -> new Cell());
-    if (less(ballot, cell.promised) || !views.admits(key, value)) {
-      return new Told(false, cell.promised, null, null, null);
+  Response accept(String key, Ballot ballot, byte[] value, List<Blob> blobs) {
+    StoredKey cell = keys.computeIfAbsent(key, k -> new StoredKey());
+    if (isLower(ballot, cell.promised) || !service.admits(key, value)) {
+      return new Response(false, cell.promised, null, null, null);
     }
     cell.promised = ballot;
     cell.accepted = ballot;
     cell.value = value;
-    keep(cell, blobs);
-    views.onAccepted(key, value);
-    return new Told(true, ballot, ballot, value, null);
+    storeBlobs(cell, blobs);
+    service.onAccepted(key, value);
+    return new Response(true, ballot, ballot, value, null);
   }
 
-  private static void keep(Cell cell, List<Blob> blobs) {
-    for (Blob one : blobs) {
-      cell.blobs.putIfAbsent(one.name, one.bytes);
+  private static void storeBlobs(StoredKey cell, List<Blob> blobs) {
+    for (Blob blob : blobs) {
+      cell.blobs.putIfAbsent(blob.name, blob.bytes);
     }
   }
 
-  static boolean less(Ballot one, Ballot other) {
+  static boolean isLower(Ballot one, Ballot other) {
     return one.round != other.round ? one.round < other.round : one.proposerId < other.proposerId;
   }
 }
--- a/batch/src/test/java/elmsail/batch/SimRegister.java
+++ b/batch/src/test/java/elmsail/batch/SimRegister.java
@@ -16,102 +16,102 @@
  * CASPaxos.
  */
 final class SimRegister implements Register {
-  private final SimWorld world;
+  private final SimBatchCluster world;
   private final String gateway;
-  private final long who;
+  private final long proposerId;
   private long round;
 
-  SimRegister(SimWorld world, String gateway, long who) {
+  SimRegister(SimBatchCluster world, String gateway, long proposerId) {
     this.world = world;
     this.gateway = gateway;
-    this.who = who;
+    this.proposerId = proposerId;
   }
 
-  private final class Change {
+  private final class Proposal {
     final String key;
     final Function<ObservedState, ProposedValue> change;
     final List<Blob> blobs;
-    final byte[] note;
-    final CompletableFuture<CommittedState> held = new CompletableFuture<>();
-    boolean sent;
+    final byte[] sideEffect;
+    final CompletableFuture<CommittedState> result = new CompletableFuture<>();
+    boolean acceptSent;
 
-    Change(
-        String key, Function<ObservedState, ProposedValue> change, List<Blob> blobs, byte[] note, long timeoutMs) {
+    Proposal(
+        String key, Function<ObservedState, ProposedValue> change, List<Blob> blobs, byte[] sideEffect, long timeoutMs) {
       this.key = key;
       this.change = change;
       this.blobs = blobs;
-      this.note = note;
-      world.timers.schedule(timeoutMs, this::fail);
+      this.sideEffect = sideEffect;
+      world.timers.schedule(timeoutMs, this::timeOut);
     }
 
-    void fail() {
-      held.completeExceptionally(
-          new ElmsailException(sent ? ErrorCode.OUTCOME_UNKNOWN : ErrorCode.NO_QUORUM, key));
+    void timeOut() {
+      result.completeExceptionally(
+          new ElmsailException(acceptSent ? ErrorCode.OUTCOME_UNKNOWN : ErrorCode.NO_QUORUM, key));
     }
 
-    void again() {
-      world.timers.schedule(1 + world.chance.nextInt(20), this::begin);
+    void retry() {
+      world.timers.schedule(1 + world.random.nextInt(20), this::start);
     }
 
-    void begin() {
-      if (held.isDone()) {
+    void start() {
+      if (result.isDone()) {
         return;
       }
       Ballot ballot = new Ballot();
       ballot.round = ++round;
-      ballot.proposerId = who;
-      List<SimJobStore.Told> promises = new ArrayList<>();
+      ballot.proposerId = proposerId;
+      List<SimJobStore.Response> promises = new ArrayList<>();
       boolean[] over = new boolean[1];
       for (SimJobStore store : world.stores) {
         send(
             store,
-            () -> store.prepare(key, ballot, blobs, note),
+            () -> store.prepare(key, ballot, blobs, sideEffect),
             response -> {
               round = Math.max(round, response.promised().round);
-              if (!response.done() && !over[0]) {
+              if (!response.granted() && !over[0]) {
                 over[0] = true;
-                again();
-              } else if (response.done()
+                retry();
+              } else if (response.granted()
                   && promises.add(response)
                   && promises.size() == world.majority()
                   && !over[0]) {
                 over[0] = true;
-                promised(ballot, promises);
+                onPromised(ballot, promises);
               }
             });
       }
     }
 
-    void promised(Ballot ballot, List<SimJobStore.Told> promises) {
-      if (held.isDone()) {
+    void onPromised(Ballot ballot, List<SimJobStore.Response> promises) {
+      if (result.isDone()) {
         return;
       }
       Ballot newest = new Ballot();
       byte[] value = null;
-      List<byte[]> notes = new ArrayList<>();
+      List<byte[]> sideEffects = new ArrayList<>();
       int same = 0;
-      for (SimJobStore.Told one : promises) {
-        notes.add(one.note());
-        if (SimJobStore.less(newest, one.accepted())) {
-          newest = one.accepted();
-          value = one.value();
+      for (SimJobStore.Response promise : promises) {
+        sideEffects.add(promise.sideEffect());
+        if (SimJobStore.isLower(newest, promise.accepted())) {
+          newest = promise.accepted();
+          value = promise.value();
         }
       }
-      for (SimJobStore.Told one : promises) {
-        same += one.accepted().round == newest.round && one.accepted().proposerId == newest.proposerId ? 1 : 0;
+      for (SimJobStore.Response promise : promises) {
+        same += promise.accepted().round == newest.round && promise.accepted().proposerId == newest.proposerId ? 1 : 0;
       }
-      ProposedValue wanted = change.apply(new ObservedState(value, notes));
-      if (wanted.value() != null) {
-        accept(ballot, wanted.value(), wanted.blobs(), true);
+      ProposedValue proposed = change.apply(new ObservedState(value, sideEffects));
+      if (proposed.value() != null) {
+        accept(ballot, proposed.value(), proposed.blobs(), true);
       } else if (same < world.majority() && value != null) {
         accept(ballot, value, List.of(), false);
       } else {
-        held.complete(new CommittedState(new VersionedValue(newest, value), false));
+        result.complete(new CommittedState(new VersionedValue(newest, value), false));
       }
     }
 
     void accept(Ballot ballot, byte[] value, List<Blob> with, boolean changed) {
-      sent = true;
+      acceptSent = true;
       int[] counts = new int[2];
       for (SimJobStore store : world.stores) {
         send(
@@ -119,11 +119,11 @@
             () -> store.accept(key, ballot, value, with),
             response -> {
               round = Math.max(round, response.promised().round);
-              if (response.done() && ++counts[0] == world.majority()) {
-                held.complete(new CommittedState(new VersionedValue(ballot, value), changed));
-              } else if (!response.done()
+              if (response.granted() && ++counts[0] == world.majority()) {
+                result.complete(new CommittedState(new VersionedValue(ballot, value), changed));
+              } else if (!response.granted()
                   && ++counts[1] == world.stores.size() - world.majority() + 1) {
-                again();
+                retry();
               }
             });
       }
@@ -131,13 +131,13 @@
   }
 
   private <T> void send(
-      SimJobStore store, java.util.function.Supplier<T> handle, Consumer<T> heard) {
-    world.carry(
+      SimJobStore store, java.util.function.Supplier<T> handle, Consumer<T> onResponse) {
+    world.deliver(
         gateway,
         store.address,
         () -> {
           T response = handle.get();
-          world.carry(store.address, gateway, () -> heard.accept(response));
+          world.deliver(store.address, gateway, () -> onResponse.accept(response));
         });
   }
 
@@ -146,15 +146,15 @@
     CompletableFuture<VersionedValue> read = new CompletableFuture<>();
     change(key, found -> new ProposedValue(null, List.of()), List.of(), null, timeoutMs)
         .whenComplete(
-            (held, failed) -> {
+            (result, failed) -> {
               if (failed != null) {
                 read.completeExceptionally(new ElmsailException(ErrorCode.NO_QUORUM, key));
               } else if (known != null
-                  && known.round == held.current().ballot().round
-                  && known.proposerId == held.current().ballot().proposerId) {
+                  && known.round == result.current().ballot().round
+                  && known.proposerId == result.current().ballot().proposerId) {
                 read.complete(new VersionedValue(known, null));
               } else {
-                read.complete(held.current());
+                read.complete(result.current());
               }
             });
     return read;
@@ -162,10 +162,10 @@
 
   @Override
   public CompletableFuture<CommittedState> change(
-      String key, Function<ObservedState, ProposedValue> change, List<Blob> blobs, byte[] note, long timeoutMs) {
-    Change one = new Change(key, change, blobs, note, timeoutMs);
-    world.timers.execute(one::begin);
-    return one.held;
+      String key, Function<ObservedState, ProposedValue> change, List<Blob> blobs, byte[] sideEffect, long timeoutMs) {
+    Proposal proposal = new Proposal(key, change, blobs, sideEffect, timeoutMs);
+    world.timers.execute(proposal::start);
+    return proposal.result;
   }
 
   @Override
@@ -179,7 +179,7 @@
       send(
           store,
           () -> {
-            SimJobStore.Cell cell = store.cells.get(key);
+            SimJobStore.StoredKey cell = store.keys.get(key);
             byte[] bytes = cell == null ? null : cell.blobs.get(name);
             return java.util.Optional.ofNullable(bytes);
           },
--- a/batch/src/test/java/elmsail/batch/SimServers.java
+++ b/batch/src/test/java/elmsail/batch/SimServers.java
@@ -12,103 +12,103 @@
 final class SimServers implements ItemServers {
 
   /** One start. */
-  final class Run implements Running {
-    final BatchItem batchItem;
-    final long last;
-    final RunListener heard;
-    final long at;
-    boolean over;
+  final class Run implements RunHandle {
+    final BatchItem item;
+    final long lastEventId;
+    final RunListener listener;
+    final long startedAt;
+    boolean ended;
     boolean cancelled;
 
-    Run(BatchItem batchItem, long last, RunListener heard, long at) {
-      this.batchItem = batchItem;
-      this.last = last;
-      this.heard = heard;
-      this.at = at;
+    Run(BatchItem item, long lastEventId, RunListener listener, long startedAt) {
+      this.item = item;
+      this.lastEventId = lastEventId;
+      this.listener = listener;
+      this.startedAt = startedAt;
     }
 
     void event(long id, String data) {
       if (!cancelled) {
-        heard.event(id, data.getBytes(StandardCharsets.UTF_8));
+        listener.onEvent(id, data.getBytes(StandardCharsets.UTF_8));
       }
     }
 
-    void end(Ended how) {
-      if (!cancelled && !over) {
-        over = true;
-        if (how == Ended.WHOLE) {
-          served.add(batchItem.id());
+    void end(RunOutcome outcome) {
+      if (!cancelled && !ended) {
+        ended = true;
+        if (outcome == RunOutcome.WHOLE) {
+          served.add(item.id());
         }
-        heard.ended(how);
+        listener.onEnded(outcome);
       }
     }
 
     /** The whole output: two events, by the item's id. */
     void serve() {
-      for (long id = last + 1; id < 2; id++) {
-        event(id, batchItem.id() + "/" + id + padding);
+      for (long id = lastEventId + 1; id < 2; id++) {
+        event(id, item.id() + "/" + id + eventPadding);
       }
-      end(Ended.WHOLE);
+      end(RunOutcome.WHOLE);
     }
 
     @Override
     public void cancel() {
-      cancelled |= !over;
+      cancelled |= !ended;
     }
   }
 
   final List<Run> runs = new ArrayList<>();
   private final ManualTimers timers;
-  int room = 1_000;
+  int capacity = 1_000;
 
   /** ItemDispatcher that were finished. */
   Set<String> served = new HashSet<>();
 
   /** Put behind the data of each event, where long texts matter. */
-  String padding = "";
+  String eventPadding = "";
 
-  /** The next run is served so many ms later than the one before it, beyond {@link #serveMs}. */
+  /** The next run is served so many ms later than the one before it, beyond {@link #serviceTimeMs}. */
   long staggerMs;
 
   /** After so many ms a run is served; -1: by the test alone. */
-  long serveMs = -1;
+  long serviceTimeMs = -1;
 
   SimServers(ManualTimers timers) {
     this.timers = timers;
   }
 
   @Override
-  public int room(Route route) {
-    return room - open();
+  public int availableCapacity(Route route) {
+    return capacity - openRuns();
   }
 
-  int open() {
+  int openRuns() {
     int open = 0;
     for (Run run : runs) {
-      open += run.over || run.cancelled ? 0 : 1;
+      open += run.ended || run.cancelled ? 0 : 1;
     }
     return open;
   }
 
   @Override
-  public Running start(Route route, BatchItem batchItem, long lastEventId, RunListener heard) {
-    if (room(route) <= 0) {
+  public RunHandle start(Route route, BatchItem item, long lastEventId, RunListener listener) {
+    if (availableCapacity(route) <= 0) {
       return null;
     }
-    Run run = new Run(batchItem, lastEventId, heard, timers.now());
+    Run run = new Run(item, lastEventId, listener, timers.now());
     runs.add(run);
-    if (serveMs >= 0) {
-      timers.schedule(serveMs + staggerMs * runs.size(), run::serve);
+    if (serviceTimeMs >= 0) {
+      timers.schedule(serviceTimeMs + staggerMs * runs.size(), run::serve);
     }
     return run;
   }
 
   /** The gateway has died: its connections close, and nothing is heard. */
-  void drop() {
+  void closeConnections() {
     runs.forEach(Run::cancel);
   }
 
-  Run last() {
+  Run lastRun() {
     return runs.get(runs.size() - 1);
   }
 }
--- a/batch/src/test/java/elmsail/batch/SteadyContentionTest.java
+++ b/batch/src/test/java/elmsail/batch/SteadyContentionTest.java
@@ -16,13 +16,13 @@
   private static final long BURST_MS = 1_500;
 
   private static long acceptedTokens(long seed, int everyMs) {
-    SimWorld world = new SimWorld(seed, GATEWAYS, LIMIT);
-    List<CompletableFuture<BatchCalls.Reply>> replies = new ArrayList<>();
+    SimBatchCluster world = new SimBatchCluster(seed, GATEWAYS, LIMIT);
+    List<CompletableFuture<BatchService.Reply>> replies = new ArrayList<>();
     List<Long> tokens = new ArrayList<>();
     for (int i = 0; i * everyMs < BURST_MS; i++) {
-      long own = 60 + world.chance.nextInt(140);
+      long own = 60 + world.random.nextInt(140);
       tokens.add(own);
-      replies.add(world.hand(i % GATEWAYS, "job" + seed + "-" + i, 1, own));
+      replies.add(world.submit(i % GATEWAYS, "job" + seed + "-" + i, 1, own));
       world.timers.advance(everyMs);
     }
     long accepted = 0;
@@ -46,17 +46,17 @@
   }
 
   @Test
-  void aJobEach20Ms() {
+  void aJobEvery20MsFillsTheQuota() {
     measure(20);
   }
 
   @Test
-  void aJobEach5Ms() {
+  void aJobEvery5MsFillsTheQuota() {
     measure(5);
   }
 
   @Test
-  void aJobEach2Ms() {
+  void aJobEvery2MsFillsTheQuota() {
     measure(2);
   }
 }
--- a/batch/src/test/java/elmsail/batch/SubmitHandlerTest.java
+++ b/batch/src/test/java/elmsail/batch/SubmitHandlerTest.java
@@ -9,7 +9,7 @@
 import static org.hamcrest.Matchers.is;
 import static org.hamcrest.Matchers.lessThanOrEqualTo;
 
-import elmsail.batch.BatchCalls.Reply;
+import elmsail.batch.BatchService.Reply;
 import elmsail.batch.messages.JobRecord;
 import java.util.ArrayList;
 import java.util.List;
@@ -18,11 +18,11 @@
 
 class SubmitHandlerTest {
 
-  private static int runsOf(SimWorld world, String job) {
+  private static int runsOf(SimBatchCluster world, String job) {
     int runs = 0;
-    for (SimWorld.Gateway gateway : world.gateways) {
+    for (SimBatchCluster.Gateway gateway : world.gateways) {
       for (SimServers.Run run : gateway.servers.runs) {
-        runs += run.batchItem.id().startsWith(job + "-") ? 1 : 0;
+        runs += run.item.id().startsWith(job + "-") ? 1 : 0;
       }
     }
     return runs;
@@ -31,10 +31,10 @@
   @Test
   void aJobIsAcceptedOnceFromTwoGatewaysAtOnce() {
     for (int seed = 0; seed < 40; seed++) {
-      SimWorld world = new SimWorld(seed, 2, 100);
-      world.gateways.forEach(gateway -> gateway.servers.serveMs = 30);
-      CompletableFuture<Reply> one = world.hand(0, "a", 3, 20);
-      CompletableFuture<Reply> other = world.hand(1, "a", 3, 20);
+      SimBatchCluster world = new SimBatchCluster(seed, 2, 100);
+      world.gateways.forEach(gateway -> gateway.servers.serviceTimeMs = 30);
+      CompletableFuture<Reply> one = world.submit(0, "a", 3, 20);
+      CompletableFuture<Reply> other = world.submit(1, "a", 3, 20);
       assertThat(world.status(one), is(202));
       assertThat(world.status(other), is(202));
       world.timers.advance(500);
@@ -45,20 +45,20 @@
 
   @Test
   void aJobSentAgainIsAcceptedAgainAndCountedOnce() {
-    SimWorld world = new SimWorld(1, 3, 100);
-    assertThat(world.status(world.hand(0, "a", 6, 10)), is(202));
-    assertThat(world.status(world.hand(1, "a", 6, 10)), is(202));
-    assertThat(world.status(world.hand(2, "a", 6, 10)), is(202));
-    assertThat(world.status(world.hand(1, "b", 4, 10)), is(202));
-    assertThat(world.status(world.hand(2, "c", 1, 1)), is(429));
+    SimBatchCluster world = new SimBatchCluster(1, 3, 100);
+    assertThat(world.status(world.submit(0, "a", 6, 10)), is(202));
+    assertThat(world.status(world.submit(1, "a", 6, 10)), is(202));
+    assertThat(world.status(world.submit(2, "a", 6, 10)), is(202));
+    assertThat(world.status(world.submit(1, "b", 4, 10)), is(202));
+    assertThat(world.status(world.submit(2, "c", 1, 1)), is(429));
   }
 
   @Test
-  void beyondTheLimitAJobIsRefusedAndNeverRuns() {
-    SimWorld world = new SimWorld(2, 2, 100);
-    world.gateways.forEach(gateway -> gateway.servers.serveMs = 400);
-    assertThat(world.status(world.hand(0, "a", 8, 10)), is(202));
-    Reply refused = world.await(world.hand(1, "b", 3, 10));
+  void aJobBeyondTheLimitIsRejectedAndNeverRuns() {
+    SimBatchCluster world = new SimBatchCluster(2, 2, 100);
+    world.gateways.forEach(gateway -> gateway.servers.serviceTimeMs = 400);
+    assertThat(world.status(world.submit(0, "a", 8, 10)), is(202));
+    Reply refused = world.await(world.submit(1, "b", 3, 10));
     assertThat(refused.status(), is(429));
     assertThat(refused.retryAfterS(), greaterThan(0.0));
     world.timers.advance(20_000);
@@ -67,40 +67,40 @@
   }
 
   @Test
-  void withoutALimitAllFit() {
-    SimWorld world = new SimWorld(3, 2, 0);
-    assertThat(world.status(world.hand(0, "a", 8, 1_000_000)), is(202));
-    assertThat(world.status(world.hand(1, "b", 8, 1_000_000)), is(202));
+  void withoutALimitEveryJobIsAccepted() {
+    SimBatchCluster world = new SimBatchCluster(3, 2, 0);
+    assertThat(world.status(world.submit(0, "a", 8, 1_000_000)), is(202));
+    assertThat(world.status(world.submit(1, "b", 8, 1_000_000)), is(202));
   }
 
   @Test
-  void theCountFallsAsItemsAreListed() {
-    SimWorld world = new SimWorld(4, 2, 100);
-    assertThat(world.status(world.hand(0, "a", 10, 10)), is(202));
-    assertThat(world.status(world.hand(1, "b", 5, 10)), is(429));
+  void waitingTokensFallAsResultsAreRecorded() {
+    SimBatchCluster world = new SimBatchCluster(4, 2, 100);
+    assertThat(world.status(world.submit(0, "a", 10, 10)), is(202));
+    assertThat(world.status(world.submit(1, "b", 5, 10)), is(429));
     world.timers.advance(50);
     for (int i = 0; i < 5; i++) {
       world.gateways.get(0).servers.runs.get(i).serve();
     }
     world.timers.advance(200);
-    assertThat(world.status(world.hand(1, "b", 5, 10)), is(202));
-    assertThat(world.status(world.hand(1, "c", 1, 1)), is(429));
+    assertThat(world.status(world.submit(1, "b", 5, 10)), is(202));
+    assertThat(world.status(world.submit(1, "c", 1, 1)), is(429));
   }
 
   @Test
-  void theCountFallsAsAJobIsEnded() {
-    SimWorld world = new SimWorld(5, 2, 100);
-    assertThat(world.status(world.hand(0, "a", 10, 10)), is(202));
-    assertThat(world.status(world.hand(1, "b", 5, 10)), is(429));
-    assertThat(world.status(world.gateways.get(1).calls.end("a")), is(200));
-    assertThat(world.status(world.hand(1, "b", 10, 10)), is(202));
+  void waitingTokensFallAsAJobIsCancelled() {
+    SimBatchCluster world = new SimBatchCluster(5, 2, 100);
+    assertThat(world.status(world.submit(0, "a", 10, 10)), is(202));
+    assertThat(world.status(world.submit(1, "b", 5, 10)), is(429));
+    assertThat(world.status(world.gateways.get(1).batchApi.end("a")), is(200));
+    assertThat(world.status(world.submit(1, "b", 10, 10)), is(202));
   }
 
   @Test
-  void threeJobsWhichEachMissAnotherDoNotPassTheLimitTogether() {
+  void threeJobsThatEachMissAnotherDoNotExceedTheLimitTogether() {
     int refused = 0;
     for (int seed = 0; seed < 200; seed++) {
-      SimWorld world = new SimWorld(seed, 3, 100);
+      SimBatchCluster world = new SimBatchCluster(seed, 3, 100);
       for (int i = 0; i < 3; i++) {
         String gateway = world.gateways.get(i).address;
         world.delays.put(gateway + ">" + world.stores.get(i).address, 2L);
@@ -109,7 +109,7 @@
       }
       List<CompletableFuture<Reply>> replies = new ArrayList<>();
       for (int i = 0; i < 3; i++) {
-        replies.add(world.hand(i, "lot" + i, 4, 10));
+        replies.add(world.submit(i, "lot" + i, 4, 10));
       }
       int accepted = 0;
       for (CompletableFuture<Reply> reply : replies) {
@@ -127,14 +127,14 @@
   @Test
   void manyGatewaysAtOnceStayWithinTheLimitAndItsSlack() {
     for (int seed = 0; seed < 60; seed++) {
-      SimWorld world = new SimWorld(seed, 6, 1_000);
+      SimBatchCluster world = new SimBatchCluster(seed, 6, 1_000);
       List<CompletableFuture<Reply>> replies = new ArrayList<>();
       List<Long> tokens = new ArrayList<>();
       for (int i = 0; i < 40; i++) {
-        long each = 5 + world.chance.nextInt(60);
+        long each = 5 + world.random.nextInt(60);
         tokens.add(each);
-        replies.add(world.hand(i % 6, "lot" + i, 1, each));
-        world.timers.advance(world.chance.nextInt(6));
+        replies.add(world.submit(i % 6, "lot" + i, 1, each));
+        world.timers.advance(world.random.nextInt(6));
       }
       long waiting = 0;
       for (int i = 0; i < 40; i++) {
@@ -146,20 +146,20 @@
   }
 
   @Test
-  void aStoreThatComesBackCountsWhatItHas() {
-    SimWorld world = new SimWorld(6, 2, 100);
-    assertThat(world.status(world.hand(0, "a", 8, 10)), is(202));
+  void aRestartedStoreCountsTheJobsOnItsDisk() {
+    SimBatchCluster world = new SimBatchCluster(6, 2, 100);
+    assertThat(world.status(world.submit(0, "a", 8, 10)), is(202));
     world.stores.get(0).restart();
     world.stores.get(1).up = false;
-    assertThat(world.status(world.hand(1, "b", 3, 10)), is(429));
+    assertThat(world.status(world.submit(1, "b", 3, 10)), is(429));
   }
 
   @Test
-  void withoutAMajorityAJobIsRefusedWithAPromiseThatHolds() {
-    SimWorld world = new SimWorld(7, 2, 100);
+  void withoutAQuorumAJobIsRejectedAndNeverRuns() {
+    SimBatchCluster world = new SimBatchCluster(7, 2, 100);
     world.stores.get(0).up = false;
     world.stores.get(1).up = false;
-    Reply refused = world.await(world.hand(0, "a", 3, 10));
+    Reply refused = world.await(world.submit(0, "a", 3, 10));
     assertThat(refused.status(), is(503));
     assertThat(refused.retryAfterS(), greaterThan(0.0));
     world.stores.get(0).up = true;
@@ -170,11 +170,11 @@
   }
 
   @Test
-  void whatMayHaveBeenTakenIsNeverRefusedWithAPromise() {
+  void aJobThatMayHaveBeenCommittedIsNeverRejected() {
     int unclear = 0;
     for (int seed = 0; seed < 300; seed++) {
-      SimWorld world = new SimWorld(seed, 2, seed % 2 == 0 ? 0 : 100);
-      CompletableFuture<Reply> reply = world.hand(0, "a", 3, 10);
+      SimBatchCluster world = new SimBatchCluster(seed, 2, seed % 2 == 0 ? 0 : 100);
+      CompletableFuture<Reply> reply = world.submit(0, "a", 3, 10);
       world.timers.advance(2 + seed % 25);
       String gateway = world.gateways.get(0).address;
       world.stores.forEach(store -> world.cut.add(store.address + ">" + gateway));
@@ -193,13 +193,13 @@
   }
 
   @Test
-  void ofAJobThatIsRefusedEverywhereNothingRunsLater() {
+  void aJobRejectedByEveryGatewayNeverRuns() {
     for (int seed = 0; seed < 60; seed++) {
-      SimWorld world = new SimWorld(seed, 3, 100);
-      assertThat(world.status(world.hand(0, "a", 9, 10)), is(202));
+      SimBatchCluster world = new SimBatchCluster(seed, 3, 100);
+      assertThat(world.status(world.submit(0, "a", 9, 10)), is(202));
       List<CompletableFuture<Reply>> tries = new ArrayList<>();
       for (int gateway = 0; gateway < 3; gateway++) {
-        tries.add(world.hand(gateway, "b", 2, 10));
+        tries.add(world.submit(gateway, "b", 2, 10));
       }
       List<Integer> statuses = new ArrayList<>();
       tries.forEach(one -> statuses.add(world.status(one)));
@@ -210,22 +210,22 @@
   }
 
   @Test
-  void whereAJobOrAListingIsTakenItsBytesAreAtAMajorityBefore() {
+  void blobsAreAtAQuorumBeforeTheRecordThatNamesThem() {
     for (int seed = 0; seed < 120; seed++) {
-      SimWorld world = new SimWorld(seed, 2, seed % 2 == 0 ? 0 : 100);
-      world.gateways.get(0).servers.serveMs = 5;
-      world.hand(0, "a", 3, 10);
+      SimBatchCluster world = new SimBatchCluster(seed, 2, seed % 2 == 0 ? 0 : 100);
+      world.gateways.get(0).servers.serviceTimeMs = 5;
+      world.submit(0, "a", 3, 10);
       for (int ms = 0; ms < 200; ms++) {
         world.timers.advance(1);
         for (SimJobStore store : world.stores) {
-          SimJobStore.Cell cell = store.cells.get("lot/a");
+          SimJobStore.StoredKey cell = store.keys.get("lot/a");
           if (cell != null && cell.value != null) {
-            JobRecord record = JobRecord.unpacked(cell.value);
+            JobRecord record = JobRecord.decode(cell.value);
             assertThat(
-                "seed " + seed, world.having("lot/a", record.body()), greaterThanOrEqualTo(2));
+                "seed " + seed, world.storesWithBlob("lot/a", record.bodyBlobName()), greaterThanOrEqualTo(2));
             for (JobRecord.Result one : record.results()) {
               assertThat(
-                  "seed " + seed, world.having("lot/a", one.textName()), greaterThanOrEqualTo(2));
+                  "seed " + seed, world.storesWithBlob("lot/a", one.textBlobName()), greaterThanOrEqualTo(2));
             }
           }
         }
@@ -235,33 +235,33 @@
   }
 
   @Test
-  void aGatewayThatIsCutOffRefuses() {
-    SimWorld world = new SimWorld(8, 2, 100);
+  void aPartitionedGatewayRejects() {
+    SimBatchCluster world = new SimBatchCluster(8, 2, 100);
     world.stores.forEach(store -> world.cut(world.gateways.get(0).address, store.address, true));
-    assertThat(world.status(world.hand(0, "a", 1, 1)), is(503));
-    assertThat(world.status(world.hand(1, "a", 1, 1)), is(202));
+    assertThat(world.status(world.submit(0, "a", 1, 1)), is(503));
+    assertThat(world.status(world.submit(1, "a", 1, 1)), is(202));
   }
 
   @Test
-  void malformedJobsAreRefusedForGood() {
-    SimWorld world = new SimWorld(9, 1, 100);
-    BatchCalls calls = world.gateways.get(0).calls;
+  void malformedJobsAreRejectedAsBadRequests() {
+    SimBatchCluster world = new SimBatchCluster(9, 1, 100);
+    BatchService calls = world.gateways.get(0).batchApi;
     assertThat(world.status(calls.submit(world.route(), "a", "{".getBytes(), 1_000)), is(400));
-    byte[] elsewhere = new String(SimWorld.job("a", 1, 1)).replace("/lots1/", "/other/").getBytes();
+    byte[] elsewhere = new String(SimBatchCluster.job("a", 1, 1)).replace("/lots1/", "/other/").getBytes();
     assertThat(world.status(calls.submit(world.route(), "a", elsewhere, 1_000)), is(400));
     assertThat(
-        world.status(calls.submit(world.route(), "a", SimWorld.job("a", 201, 1), 1_000)), is(400));
+        world.status(calls.submit(world.route(), "a", SimBatchCluster.job("a", 201, 1), 1_000)), is(400));
     assertThat(
-        world.status(calls.submit(world.route(), "a/b", SimWorld.job("a", 1, 1), 1_000)), is(400));
+        world.status(calls.submit(world.route(), "a/b", SimBatchCluster.job("a", 1, 1), 1_000)), is(400));
     assertThat(world.gateways.get(0).servers.runs, is(empty()));
   }
 
   @Test
   void theLimitIsThatOfTheNewestConfiguration() {
-    SimWorld world = new SimWorld(10, 2, 100);
-    world.gateways.get(1).config = new SimConfig(2, List.of(SimWorld.route(200)));
-    assertThat(world.status(world.hand(0, "a", 10, 10)), is(202));
-    assertThat(world.status(world.hand(0, "b", 1, 10)), is(429));
-    assertThat(world.status(world.hand(1, "b", 1, 10)), is(202));
+    SimBatchCluster world = new SimBatchCluster(10, 2, 100);
+    world.gateways.get(1).config = new SimConfig(2, List.of(SimBatchCluster.route(200)));
+    assertThat(world.status(world.submit(0, "a", 10, 10)), is(202));
+    assertThat(world.status(world.submit(0, "b", 1, 10)), is(429));
+    assertThat(world.status(world.submit(1, "b", 1, 10)), is(202));
   }
 }
--- /dev/null
+++ b/batch/src/test/java/elmsail/batch/WithdrawnReservationTest.java
@@ -0,0 +1,50 @@
+package elmsail.batch;
+
+import static org.hamcrest.MatcherAssert.assertThat;
+import static org.hamcrest.Matchers.is;
+
+import elmsail.batch.messages.BatchMessageTypes;
+import elmsail.batch.messages.JobRecord;
+import elmsail.batch.messages.WaitingTokens;
+import org.junit.jupiter.api.Test;
+
+/** Adds of several tries at one store, in the orders that a network may bring them in. */
+class WithdrawnReservationTest {
+  private static final WaitingTokens.Reservation FIRST = new WaitingTokens.Reservation("r-lots", "job", 600, 1);
+  private static final WaitingTokens.Reservation SECOND = new WaitingTokens.Reservation("r-lots", "job", 600, 2);
+
+  private final SimBatchCluster world = new SimBatchCluster(1, 1, 1_000);
+  private final SimJobStore store = world.stores.get(0);
+
+  private void reserve(WaitingTokens.Reservation reservation) {
+    store.service.onSideEffect(JobRecord.registerKey(reservation.jobId()), reservation.encode());
+  }
+
+  private void withdraw(WaitingTokens.Reservation reservation) {
+    store.service.handle(BatchMessageTypes.message(BatchMessageTypes.WITHDRAW, reservation.encode()));
+  }
+
+  @Test
+  void aWithdrawnReservationDoesNotCount() {
+    reserve(FIRST);
+    withdraw(FIRST);
+    assertThat(SimBatchCluster.waitingTokens(store), is(0L));
+  }
+
+  @Test
+  void aReservationThatArrivesAfterItsWithdrawalDoesNotCount() {
+    reserve(FIRST);
+    withdraw(FIRST);
+    reserve(FIRST);
+    assertThat(SimBatchCluster.waitingTokens(store), is(0L));
+  }
+
+  @Test
+  void aWithdrawalLeavesTheReservationOfAnotherAttempt() {
+    reserve(FIRST);
+    reserve(SECOND);
+    reserve(FIRST);
+    withdraw(FIRST);
+    assertThat(SimBatchCluster.waitingTokens(store), is(600L));
+  }
+}
--- a/batch/src/test/java/elmsail/batch/api/PinnedNamesTest.java
+++ b/batch/src/test/java/elmsail/batch/api/PinnedNamesTest.java
@@ -7,7 +7,7 @@
 import elmsail.batch.client.BatchCounters;
 import elmsail.batch.messages.JobDescription;
 import elmsail.batch.messages.JobRecord;
-import elmsail.batch.store.JobRetention;
+import elmsail.batch.store.JobStoreService;
 import elmsail.runtime.Counters;
 import elmsail.runtime.ManualTimers;
 import elmsail.runtime.PrometheusText;
@@ -40,7 +40,7 @@
             "elmsail_batch_submit_full counter",
             "elmsail_batch_submit_full_by_pending counter"));
     ProcessMetrics ofStore = ProcessMetrics.strict();
-    new JobRetention(new ManualTimers(), () -> true, key -> {}, 1, ofStore);
+    new JobStoreService(new ManualTimers(), () -> true, key -> {}, 1, ofStore);
     assertThat(
         exported(ofStore.counters()).stream().filter(name -> name.contains("_store_")).toList(),
         contains(
@@ -69,7 +69,7 @@
     JobRecord record = new JobRecord(2, description, results, false, "g", 1, 0);
     byte[][] texts = {"t\"x".getBytes(StandardCharsets.UTF_8), {}};
     assertThat(
-        new String(ResultPage.json(record, 0, results, texts), StandardCharsets.UTF_8),
+        new String(ResultPage.toJson(record, 0, results, texts), StandardCharsets.UTF_8),
         is(
             "{\"total\":3,\"next_token\":2,\"deliveries\":["
                 + "{\"id\":\"b\",\"state\":\"delivered\",\"message\":\"t\\\"x\"},"
--- a/controlplane/src/main/java/elmsail/controlplane/ControlPlane.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ControlPlane.java
@@ -1,6 +1,6 @@
 package elmsail.controlplane;
 
-import elmsail.batch.store.JobRetention;
+import elmsail.batch.store.JobStoreService;
 import elmsail.config.ClusterState;
 import elmsail.consensus.Replica;
 import elmsail.rpc.RpcEndpoint;
@@ -101,15 +101,15 @@
       RecordStore records,
       ProcessMetrics metrics) {
     StoreNode[] house = {null};
-    JobRetention jobs =
-        new JobRetention(
+    JobStoreService jobs =
+        new JobStoreService(
             loop,
             () -> house[0] != null && house[0].replica().isVoting(),
             key -> house[0].replica().dropKey(key),
             settings.bounds().statusMs(),
             metrics);
     house[0] = new StoreNode(settings, loop, links, links, records, jobs, metrics);
-    jobs.listen(links);
+    jobs.registerHandlers(links);
     jobs.start();
     house[0].start();
     ControlPlane controlPlane = new ControlPlane(loop, null, house[0]);
--- a/controlplane/src/test/java/elmsail/controlplane/PinnedDataDirectories.java
+++ b/controlplane/src/test/java/elmsail/controlplane/PinnedDataDirectories.java
@@ -1,7 +1,7 @@
 package elmsail.controlplane;
 
 import elmsail.batch.BatchItem;
-import elmsail.batch.messages.JobBody;
+import elmsail.batch.messages.JobBodyCodec;
 import elmsail.batch.messages.JobDescription;
 import elmsail.batch.messages.JobRecord;
 import elmsail.consensus.Replica;
@@ -95,13 +95,13 @@
     try (DirectoryRecordStore disk = open(folder)) {
       Member member = new Member(StoreNode.SET, disk);
       member.replica.bootstrap(voterSet(disk.instanceId()));
-      Blob body = blob(JobBody.nameOf(body()), body());
-      member.decide(JobRecord.keyOf(OPEN_JOB), openJob().packed(), List.of(body, text()));
-      member.decide(JobRecord.keyOf(ENDED_JOB), endedJob().packed(), List.of(body));
-      member.decide(JobRecord.keyOf(OLD_JOB), oldJobBytes(), List.of());
-      member.prepare(JobRecord.keyOf(REFUSED_JOB), List.of());
-      member.decide(JobRecord.keyOf(DROPPED_JOB), endedJob().packed(), List.of(body));
-      member.replica.dropKey(JobRecord.keyOf(DROPPED_JOB));
+      Blob body = blob(JobBodyCodec.blobName(body()), body());
+      member.decide(JobRecord.registerKey(OPEN_JOB), openJob().encode(), List.of(body, text()));
+      member.decide(JobRecord.registerKey(ENDED_JOB), endedJob().encode(), List.of(body));
+      member.decide(JobRecord.registerKey(OLD_JOB), oldJobBytes(), List.of());
+      member.prepare(JobRecord.registerKey(REFUSED_JOB), List.of());
+      member.decide(JobRecord.registerKey(DROPPED_JOB), endedJob().encode(), List.of(body));
+      member.replica.dropKey(JobRecord.registerKey(DROPPED_JOB));
       disk.write(List.of(new Change("shelf/k/lot%2F" + COPIED_JOB, copiedState()))).join();
     }
   }
@@ -164,7 +164,7 @@
   }
 
   static byte[] body() {
-    return JobBody.packed(
+    return JobBodyCodec.encode(
         List.of(
             new BatchItem("a", "/p/1", Map.of("Content-Type", "t/p"), new byte[] {1, 2}, 940),
             new BatchItem("b", "/p/2", Map.of(), new byte[0], 0),
@@ -172,7 +172,7 @@
   }
 
   static Blob text() {
-    return blob(JobRecord.nameOf(1, 2), TEXT.getBytes(StandardCharsets.UTF_8));
+    return blob(JobRecord.textBlobNameOf(1, 2), TEXT.getBytes(StandardCharsets.UTF_8));
   }
 
   static JobRecord openJob() {
@@ -185,7 +185,7 @@
         OWN_ADDRESS,
         2,
         1_234,
-        List.of(new JobRecord.FailureCount(2, 3)));
+        List.of(new JobRecord.FailedAttempts(2, 3)));
   }
 
   static JobRecord endedJob() {
@@ -194,7 +194,7 @@
 
   /** The same as {@link #endedJob} in the first format, which kept no failures. */
   private static byte[] oldJobBytes() {
-    byte[] present = endedJob().packed();
+    byte[] present = endedJob().encode();
     byte[] old = java.util.Arrays.copyOf(present, present.length - 1);
     old[0] = 1;
     return old;
@@ -202,7 +202,7 @@
 
   /** As a replica keeps what it copied: promised, accepted, flags, value. */
   private static byte[] copiedState() {
-    byte[] value = endedJob().packed();
+    byte[] value = endedJob().encode();
     return ByteBuffer.allocate(4 * Long.BYTES + 1 + value.length)
         .putLong(6)
         .putLong(PROPOSER)
@@ -220,7 +220,7 @@
         400,
         10_000,
         60_000,
-        JobBody.nameOf(body()),
+        JobBodyCodec.blobName(body()),
         List.of(
             new JobRecord.Item("a", 940),
             new JobRecord.Item("b", 0),
--- a/controlplane/src/test/java/elmsail/controlplane/PinnedDataDirectoriesTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/PinnedDataDirectoriesTest.java
@@ -5,7 +5,7 @@
 import static org.hamcrest.Matchers.equalTo;
 import static org.hamcrest.Matchers.is;
 
-import elmsail.batch.messages.JobBody;
+import elmsail.batch.messages.JobBodyCodec;
 import elmsail.batch.messages.JobRecord;
 import elmsail.consensus.RestoredReplica;
 import elmsail.consensus.VoterSets;
@@ -122,11 +122,11 @@
               "shelf/seated",
               "shelf/seating"));
       assertThat(
-          JobRecord.unpacked(value(records, "shelf/k/lot%2Fopen-job")),
+          JobRecord.decode(value(records, "shelf/k/lot%2Fopen-job")),
           is(PinnedDataDirectories.openJob()));
       for (String ended : List.of("ended%2F50%25", "old-job", "copied-job")) {
         assertThat(
-            JobRecord.unpacked(value(records, "shelf/k/lot%2F" + ended)),
+            JobRecord.decode(value(records, "shelf/k/lot%2F" + ended)),
             is(PinnedDataDirectories.endedJob()));
       }
       assertThat(value(records, "shelf/k/lot%2Frefused-job").length, is(0));
@@ -135,7 +135,7 @@
           is(PinnedDataDirectories.TEXT));
       byte[] body = records.read("shelf/b/lot%2Fopen-job/" + bodyName());
       assertThat(body, equalTo(PinnedDataDirectories.body()));
-      assertThat(JobBody.unpacked(body).get(2).lane(), is("/p/3"));
+      assertThat(JobBodyCodec.decode(body).get(2).path(), is("/p/3"));
       RestoredReplica store = RestoredReplica.of(records).get(0);
       assertThat(store.set(), is("shelf"));
       assertVotes(store, records.instanceId());
@@ -161,7 +161,7 @@
   }
 
   private static String bodyName() {
-    return JobBody.nameOf(PinnedDataDirectories.body());
+    return JobBodyCodec.blobName(PinnedDataDirectories.body());
   }
 
   private static void assertVotes(RestoredReplica replica, long instanceId) {
--- a/gateway/src/main/java/elmsail/gateway/Gateway.java
+++ b/gateway/src/main/java/elmsail/gateway/Gateway.java
@@ -1,6 +1,6 @@
 package elmsail.gateway;
 
-import elmsail.batch.BatchCalls;
+import elmsail.batch.BatchService;
 import elmsail.batch.ItemServers;
 import elmsail.config.ClusterState;
 import elmsail.gateway.frontend.ClientListener;
@@ -71,7 +71,7 @@
       NettyEventLoop loop,
       Timers timers,
       ClusterState known,
-      BatchCalls jobs,
+      BatchService jobs,
       ProcessMetrics metrics) {
     this.loop = loop;
     this.timers = timers;
@@ -107,7 +107,7 @@
       Settings settings,
       NettyEventLoop loop,
       ClusterState known,
-      BatchCalls jobs,
+      BatchService jobs,
       ProcessMetrics metrics) {
     return start(settings, loop, loop, known, jobs, metrics);
   }
@@ -118,7 +118,7 @@
       NettyEventLoop loop,
       Timers timers,
       ClusterState known,
-      BatchCalls jobs,
+      BatchService jobs,
       ProcessMetrics metrics) {
     return new Gateway(settings, loop, timers, known, jobs, metrics).listen();
   }
--- a/gateway/src/main/java/elmsail/gateway/GatewayWarmUp.java
+++ b/gateway/src/main/java/elmsail/gateway/GatewayWarmUp.java
@@ -1,6 +1,6 @@
 package elmsail.gateway;
 
-import elmsail.batch.BatchCalls;
+import elmsail.batch.BatchService;
 import elmsail.config.ClusterState;
 import elmsail.config.Route;
 import elmsail.config.RoutingConfig;
@@ -218,7 +218,7 @@
   }
 
   /** Knows of none. */
-  private static final class NoLots implements BatchCalls {
+  private static final class NoLots implements BatchService {
     private static CompletableFuture<Reply> none() {
       return CompletableFuture.completedFuture(new Reply(503, new byte[0], 1));
     }
@@ -230,12 +230,12 @@
     }
 
     @Override
-    public CompletableFuture<Reply> read(String jobId, long after, long waitMs) {
+    public CompletableFuture<Reply> readResults(String jobId, long after, long waitMs) {
       return none();
     }
 
     @Override
-    public CompletableFuture<Reply> item(String jobId, String itemId) {
+    public CompletableFuture<Reply> readItemBody(String jobId, String itemId) {
       return none();
     }
 
--- a/gateway/src/main/java/elmsail/gateway/requests/ItemDispatcher.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/ItemDispatcher.java
@@ -28,7 +28,7 @@
   }
 
   @Override
-  public int room(Route route) {
+  public int availableCapacity(Route route) {
     long now = course.timers().now();
     int sum = 0;
     for (Server s : course.servers().of(route)) {
@@ -38,7 +38,7 @@
   }
 
   @Override
-  public Running start(Route route, BatchItem piece, long lastEventId, RunListener heard) {
+  public RunHandle start(Route route, BatchItem piece, long lastEventId, RunListener heard) {
     long now = course.timers().now();
     List<Server> open = course.servers().of(route);
     Set<Server> excluded = serversThatFailed(piece.id(), open);
@@ -48,7 +48,7 @@
       }
     }
     HttpHeaders headers = new DefaultHttpHeaders();
-    for (Map.Entry<String, String> e : piece.envelope().entrySet()) {
+    for (Map.Entry<String, String> e : piece.headers().entrySet()) {
       headers.set(e.getKey(), e.getValue());
     }
     headers.set("Host", route.host());
@@ -70,9 +70,9 @@
         new ClientRequest(
             piece.id(),
             "POST",
-            piece.lane(),
+            piece.path(),
             headers,
-            piece.contents(),
+            piece.body(),
             PRIORITY,
             true,
             course.timers(),
@@ -114,18 +114,18 @@
     }
 
     @Override
-    public void event(long id, byte[] data) {
-      listener.event(id, data);
+    public void onEvent(long id, byte[] data) {
+      listener.onEvent(id, data);
     }
 
     @Override
-    public void ended(Ended how) {
+    public void onEnded(RunOutcome how) {
       switch (how) {
         case FAILED -> failures.add(itemId, serverId);
         case WHOLE, NEVER -> failures.remove(itemId);
         default -> {}
       }
-      listener.ended(how);
+      listener.onEnded(how);
     }
   }
 }
--- a/gateway/src/main/java/elmsail/gateway/requests/ItemRun.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/ItemRun.java
@@ -1,8 +1,8 @@
 package elmsail.gateway.requests;
 
-import elmsail.batch.ItemServers.Ended;
+import elmsail.batch.ItemServers.RunOutcome;
 import elmsail.batch.ItemServers.RunListener;
-import elmsail.batch.ItemServers.Running;
+import elmsail.batch.ItemServers.RunHandle;
 import elmsail.gateway.http.Headers;
 import elmsail.gateway.servers.Attempt;
 import elmsail.gateway.servers.AttemptListener;
@@ -17,7 +17,7 @@
  * deadline, so it looks by itself whether anything more is to be expected: a server that went dark
  * or left never closes the connection, and the item would be stuck there.
  */
-final class ItemRun implements Running, AttemptListener {
+final class ItemRun implements RunHandle, AttemptListener {
   private static final long LOOK_MS = 250;
 
   /** A look that comes so late says more of this process than of the server. */
@@ -128,39 +128,39 @@
       return false;
     }
     last = id;
-    heard.event(id, data == null ? new byte[0] : data);
+    heard.onEvent(id, data == null ? new byte[0] : data);
     return !over;
   }
 
   private void broken() {
     one.cancel();
-    end(Ended.BROKEN);
+    end(RunOutcome.BROKEN);
   }
 
   @Override
   public void whole() {
     if (stream) {
-      end(events.partial() ? Ended.BROKEN : Ended.WHOLE);
+      end(events.partial() ? RunOutcome.BROKEN : RunOutcome.WHOLE);
     } else if (outcome == Outcome.NOT_RUN) {
-      end(Ended.NOT_RUN);
+      end(RunOutcome.NOT_RUN);
     } else if (outcome == Outcome.ANSWERED && status == 500) {
-      end(Ended.FAILED);
+      end(RunOutcome.FAILED);
     } else if (outcome == Outcome.ANSWERED && status == 422) {
-      end(Ended.NEVER);
+      end(RunOutcome.NEVER);
     } else {
-      end(Ended.BROKEN);
+      end(RunOutcome.BROKEN);
     }
   }
 
   @Override
   public void failed(boolean sent) {
-    end(sent ? Ended.BROKEN : Ended.NOT_RUN);
+    end(sent ? RunOutcome.BROKEN : RunOutcome.NOT_RUN);
   }
 
-  private void end(Ended how) {
+  private void end(RunOutcome how) {
     if (!over) {
       finish();
-      heard.ended(how);
+      heard.onEnded(how);
     }
   }
 }
--- a/gateway/src/main/java/elmsail/gateway/requests/Replies.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/Replies.java
@@ -1,6 +1,6 @@
 package elmsail.gateway.requests;
 
-import elmsail.batch.BatchCalls;
+import elmsail.batch.BatchService;
 import elmsail.gateway.http.Headers;
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.DefaultHttpHeaders;
@@ -39,7 +39,7 @@
   }
 
   /** One about a job; a body that begins like JSON is told as such. */
-  static void job(ResponseSink client, BatchCalls.Reply reply) {
+  static void job(ResponseSink client, BatchService.Reply reply) {
     if (reply.status() == 0) {
       client.breakOff();
       return;
--- a/gateway/src/main/java/elmsail/gateway/requests/RequestDispatcher.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/RequestDispatcher.java
@@ -1,6 +1,6 @@
 package elmsail.gateway.requests;
 
-import elmsail.batch.BatchCalls;
+import elmsail.batch.BatchService;
 import elmsail.config.Route;
 import elmsail.config.RoutingConfig;
 import elmsail.gateway.http.Headers;
@@ -22,10 +22,10 @@
   private static final long MOST_MS = 600_000;
 
   private final RequestProgress context;
-  private final BatchCalls jobs;
+  private final BatchService jobs;
 
   /** Passes batch calls to {@code jobs} and forwards all others. */
-  public RequestDispatcher(RequestProgress context, BatchCalls jobs) {
+  public RequestDispatcher(RequestProgress context, BatchService jobs) {
     this.context = context;
     this.jobs = jobs;
   }
@@ -51,7 +51,7 @@
     if (path.startsWith(ITEMS_PATH) && request.method().equals("GET")) {
       context.counters().count(RequestCounters.Event.LOT_CALL);
       return response(
-          jobs.item(path.substring(ITEMS_PATH.length()), parameter(request, "id")), client);
+          jobs.readItemBody(path.substring(ITEMS_PATH.length()), parameter(request, "id")), client);
     }
     Route route = now.find(host, path);
     String id = request.headers().get(Headers.REQUEST_ID);
@@ -92,7 +92,7 @@
         long after = Headers.number(parameter(request, "after"), 0);
         long wait =
             Math.min(MOST_WAIT_MS, Headers.number(request.headers().get(Headers.WAIT_MS), 0));
-        return response(jobs.read(job, after, wait), client);
+        return response(jobs.readResults(job, after, wait), client);
       }
       case "DELETE" -> {
         return response(jobs.end(job), client);
@@ -109,7 +109,7 @@
   }
 
   private static RequestHandle response(
-      CompletableFuture<BatchCalls.Reply> reply, ResponseSink client) {
+      CompletableFuture<BatchService.Reply> reply, ResponseSink client) {
     reply.whenComplete(
         (r, fault) -> {
           if (fault == null) {
--- a/gateway/src/test/java/elmsail/gateway/ErringServersTest.java
+++ b/gateway/src/test/java/elmsail/gateway/ErringServersTest.java
@@ -6,7 +6,7 @@
 import static org.hamcrest.Matchers.notNullValue;
 
 import elmsail.batch.BatchItem;
-import elmsail.batch.ItemServers.Ended;
+import elmsail.batch.ItemServers.RunOutcome;
 import elmsail.batch.ItemServers.RunListener;
 import elmsail.config.Route;
 import elmsail.gateway.Wire.Message;
@@ -204,12 +204,12 @@
   /** One erring server does not use up the tries of an item. */
   @Test
   void anItemIsNotSentAgainToTheServerThatFailedIt() throws Exception {
-    BlockingQueue<Ended> ends = new LinkedBlockingQueue<>();
+    BlockingQueue<RunOutcome> ends = new LinkedBlockingQueue<>();
     start(ends);
     Wire server = rig.first.accept();
     server.message();
     server.write(error(500, "e5"));
-    assertThat(ends.poll(5, TimeUnit.SECONDS), is(Ended.FAILED));
+    assertThat(ends.poll(5, TimeUnit.SECONDS), is(RunOutcome.FAILED));
     rig.timers.pass(10_000); // the avoidance of the server is over as well
     start(ends);
     Wire other = rig.second.accept();
@@ -217,14 +217,14 @@
     assertThat(other.message().header("Elmsail-Expect-Server"), is("i-1"));
   }
 
-  private void start(BlockingQueue<Ended> ends) throws Exception {
+  private void start(BlockingQueue<RunOutcome> ends) throws Exception {
     RunListener listener =
         new RunListener() {
           @Override
-          public void event(long id, byte[] data) {}
+          public void onEvent(long id, byte[] data) {}
 
           @Override
-          public void ended(Ended how) {
+          public void onEnded(RunOutcome how) {
             ends.add(how);
           }
         };
--- a/gateway/src/test/java/elmsail/gateway/GatewayHttpTest.java
+++ b/gateway/src/test/java/elmsail/gateway/GatewayHttpTest.java
@@ -6,7 +6,7 @@
 import static org.hamcrest.Matchers.notNullValue;
 import static org.hamcrest.Matchers.nullValue;
 
-import elmsail.batch.BatchCalls.Reply;
+import elmsail.batch.BatchService.Reply;
 import elmsail.gateway.Wire.Message;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
--- a/gateway/src/test/java/elmsail/gateway/ItemsTest.java
+++ b/gateway/src/test/java/elmsail/gateway/ItemsTest.java
@@ -6,9 +6,9 @@
 import static org.hamcrest.Matchers.nullValue;
 
 import elmsail.batch.BatchItem;
-import elmsail.batch.ItemServers.Ended;
+import elmsail.batch.ItemServers.RunOutcome;
 import elmsail.batch.ItemServers.RunListener;
-import elmsail.batch.ItemServers.Running;
+import elmsail.batch.ItemServers.RunHandle;
 import elmsail.gateway.Wire.Message;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -32,12 +32,12 @@
   private final RunListener heard =
       new RunListener() {
         @Override
-        public void event(long id, byte[] data) {
+        public void onEvent(long id, byte[] data) {
           response.add(id + ":" + new String(data, StandardCharsets.ISO_8859_1));
         }
 
         @Override
-        public void ended(Ended how) {
+        public void onEnded(RunOutcome how) {
           response.add(how.name());
         }
       };
@@ -53,7 +53,7 @@
     rig.close();
   }
 
-  private Running start(long behind) throws Exception {
+  private RunHandle start(long behind) throws Exception {
     return rig.onLoop(
         () -> rig.gateway.itemServers().start(rig.known.named("sack"), PIECE, behind, heard));
   }
@@ -159,7 +159,7 @@
 
   @Test
   void aCancelledOneIsDroppedAndSilent() throws Exception {
-    Running run = start(-1);
+    RunHandle run = start(-1);
     Wire server = rig.first.accept();
     server.message();
     rig.onLoop(
@@ -173,12 +173,12 @@
 
   @Test
   void thereIsRoomOnlyForSome() throws Exception {
-    int room = rig.onLoop(() -> rig.gateway.itemServers().room(rig.known.named("sack")));
+    int room = rig.onLoop(() -> rig.gateway.itemServers().availableCapacity(rig.known.named("sack")));
     assertThat(room, is(12));
     for (int left = room; left > room - 4; left--) {
       int now = left;
       assertThat(
-          rig.onLoop(() -> rig.gateway.itemServers().room(rig.known.named("sack"))), is(now));
+          rig.onLoop(() -> rig.gateway.itemServers().availableCapacity(rig.known.named("sack"))), is(now));
       assertThat(start(-1), is(notNullValue()));
       assertThat("prompts are not begun together", start(-1), is(nullValue()));
       rig.timers.pass(80);
@@ -192,7 +192,7 @@
     server.message();
     server.write(Rig.answer(200, "a1", "x", "Elmsail-Postmark: p", "Elmsail-Server-Load: 24,3,24"));
     client.message();
-    assertThat(rig.onLoop(() -> rig.gateway.itemServers().room(rig.known.named("sack"))), is(0));
+    assertThat(rig.onLoop(() -> rig.gateway.itemServers().availableCapacity(rig.known.named("sack"))), is(0));
     rig.list(List.of());
     assertThat(start(-1), is(nullValue()));
   }
--- a/gateway/src/test/java/elmsail/gateway/Rig.java
+++ b/gateway/src/test/java/elmsail/gateway/Rig.java
@@ -1,6 +1,6 @@
 package elmsail.gateway;
 
-import elmsail.batch.BatchCalls;
+import elmsail.batch.BatchService;
 import elmsail.config.Route;
 import elmsail.config.ServerEntry;
 import elmsail.runtime.NettyEventLoop;
@@ -29,7 +29,7 @@
   private final List<Wire> clients = new ArrayList<>();
 
   /** Answers calls about jobs with what the test has set. */
-  public static final class FakeLots implements BatchCalls {
+  public static final class FakeLots implements BatchService {
     public volatile Reply reply = new Reply(202, new byte[0], 0);
     public volatile String asked = "";
 
@@ -45,12 +45,12 @@
     }
 
     @Override
-    public CompletableFuture<Reply> read(String jobId, long after, long waitMs) {
+    public CompletableFuture<Reply> readResults(String jobId, long after, long waitMs) {
       return response("read " + jobId + " " + after + " " + waitMs);
     }
 
     @Override
-    public CompletableFuture<Reply> item(String jobId, String itemId) {
+    public CompletableFuture<Reply> readItemBody(String jobId, String itemId) {
       return response("item " + jobId + " " + itemId);
     }
 
