--- a/gateway/src/main/java/elmsail/gateway/Gateway.java
+++ b/gateway/src/main/java/elmsail/gateway/Gateway.java
@@ -9,7 +9,7 @@
 import elmsail.gateway.load.LoadExchange;
 import elmsail.gateway.requests.ItemDispatcher;
 import elmsail.gateway.requests.RequestDispatcher;
-import elmsail.gateway.requests.RequestProgress;
+import elmsail.gateway.requests.RequestContext;
 import elmsail.gateway.servers.Servers;
 import elmsail.rpc.messages.LoadReport;
 import elmsail.runtime.NettyEventLoop;
@@ -29,15 +29,15 @@
 /** The data plane of one process, as a whole. All on the loop. */
 public final class Gateway {
   private static final Logger LOG = LoggerFactory.getLogger(Gateway.class);
-  private static final int MOST_READY_BODY = 1_024;
-  private static final byte[] NOTHING = new byte[0];
+  private static final int MAX_READINESS_BODY_BYTES = 1_024;
+  private static final byte[] EMPTY_BODY = new byte[0];
 
   /**
    * The platform stops sending after two looks a second apart; from then on idle connections end.
    */
-  private static final long STILL_SENT_MS = 2_500;
+  private static final long READINESS_PROPAGATION_MS = 2_500;
 
-  private static final long STOP_LOOK_MS = 20;
+  private static final long DRAIN_CHECK_INTERVAL_MS = 20;
 
   /**
    * Requests are served until the last sixth of the grace time begins: one whose server has
@@ -46,55 +46,55 @@
   private static final int GRACE_PARTS = 6;
 
   /** Until an answer that was whole at its server just then has passed. */
-  private static final long LAST_ANSWERS_MS = 250;
+  private static final long MAX_FINAL_RESPONSES_MS = 250;
 
   /** The process needs the rest of a short grace time to end by itself. */
-  private static final int MOST_LAST_ANSWERS_PART = 24;
+  private static final int FINAL_RESPONSES_GRACE_DIVISOR = 24;
 
   private final NettyEventLoop loop;
   private final Timers timers;
-  private final ClusterState known;
+  private final ClusterState clusterState;
   private final Settings settings;
   private final RequestCounters counters;
-  private final MetricsEndpoint figures;
+  private final MetricsEndpoint metricsEndpoint;
   private final Servers servers;
-  private final ItemDispatcher items;
-  private final RequestDispatcher desk;
-  private final LoadExchange loads;
+  private final ItemDispatcher itemDispatcher;
+  private final RequestDispatcher dispatcher;
+  private final LoadExchange loadExchange;
   private final LoadChannel loadChannel;
-  private ClientListener front;
-  private HttpServer ready;
+  private ClientListener clientListener;
+  private HttpServer readinessServer;
   private boolean stopping;
 
   private Gateway(
       Settings settings,
       NettyEventLoop loop,
       Timers timers,
-      ClusterState known,
+      ClusterState clusterState,
       BatchService jobs,
       ProcessMetrics metrics) {
     this.loop = loop;
     this.timers = timers;
-    this.known = known;
+    this.clusterState = clusterState;
     this.settings = settings;
     counters = new RequestCounters(metrics.counters());
-    figures = new MetricsEndpoint(metrics.counters(), timers);
-    SplittableRandom chance = new SplittableRandom();
-    servers = new Servers(timers, loop.eventLoop(), known, settings.zone(), counters, chance);
-    RequestProgress course = new RequestProgress(timers, known, servers, counters, chance);
-    loadChannel = new LoadChannel(this::loadHeard);
-    loads =
+    metricsEndpoint = new MetricsEndpoint(metrics.counters(), timers);
+    SplittableRandom random = new SplittableRandom();
+    servers = new Servers(timers, loop.eventLoop(), clusterState, settings.zone(), counters, random);
+    RequestContext context = new RequestContext(timers, clusterState, servers, counters, random);
+    loadChannel = new LoadChannel(this::onLoadReport);
+    loadExchange =
         new LoadExchange(
             timers,
-            known,
+            clusterState,
             settings.rpcAddress(),
             settings.zone(),
-            chance.nextLong(),
+            random.nextLong(),
             servers::ownLoads,
             loadChannel::send);
-    servers.share(loads, loads::changed);
-    items = new ItemDispatcher(course);
-    desk = new RequestDispatcher(course, jobs);
+    servers.setPeerLoads(loadExchange, loadExchange::onLoadChanged);
+    itemDispatcher = new ItemDispatcher(context);
+    dispatcher = new RequestDispatcher(context, jobs);
   }
 
   /**
@@ -106,10 +106,10 @@
   public static CompletableFuture<Gateway> start(
       Settings settings,
       NettyEventLoop loop,
-      ClusterState known,
+      ClusterState clusterState,
       BatchService jobs,
       ProcessMetrics metrics) {
-    return start(settings, loop, loop, known, jobs, metrics);
+    return start(settings, loop, loop, clusterState, jobs, metrics);
   }
 
   /** Likewise by another clock. */
@@ -117,56 +117,56 @@
       Settings settings,
       NettyEventLoop loop,
       Timers timers,
-      ClusterState known,
+      ClusterState clusterState,
       BatchService jobs,
       ProcessMetrics metrics) {
-    return new Gateway(settings, loop, timers, known, jobs, metrics).listen();
+    return new Gateway(settings, loop, timers, clusterState, jobs, metrics).listen();
   }
 
-  private void loadHeard(LoadReport report) {
-    loads.heard(report);
+  private void onLoadReport(LoadReport report) {
+    loadExchange.heard(report);
   }
 
   private CompletableFuture<Gateway> listen() {
     loadChannel.open(loop.eventLoop(), settings.rpcAddress());
-    loads.start();
-    CompletableFuture<ClientListener> fronted =
+    loadExchange.start();
+    CompletableFuture<ClientListener> clientsBound =
         ClientListener.listen(
             timers,
             loop.eventLoop(),
             settings.listenAddresses().get("front"),
-            known,
-            desk,
+            clusterState,
+            dispatcher,
             counters,
             settings.limits().maxFileDescriptors());
-    CompletableFuture<HttpServer> looked =
-        HttpServer.listen(loop, settings.listenAddresses().get("ready"), this::lookedAt, MOST_READY_BODY);
-    return fronted.thenCombine(
-        looked,
+    CompletableFuture<HttpServer> readinessBound =
+        HttpServer.listen(loop, settings.listenAddresses().get("ready"), this::handleReadinessCall, MAX_READINESS_BODY_BYTES);
+    return clientsBound.thenCombine(
+        readinessBound,
         (f, r) -> {
-          front = f;
-          ready = r;
+          clientListener = f;
+          readinessServer = r;
           return this;
         });
   }
 
   /** Answers at the slot "ready": whether the platform is to send, and the process's figures. */
-  private CompletableFuture<SimpleHttpResponse> lookedAt(SimpleHttpRequest call) {
+  private CompletableFuture<SimpleHttpResponse> handleReadinessCall(SimpleHttpRequest call) {
     if (!call.path().equals("/ready")) {
-      return figures.handle(call);
+      return metricsEndpoint.handle(call);
     }
     return CompletableFuture.completedFuture(
-        new SimpleHttpResponse(isReady() ? 200 : 503, Map.of(), NOTHING));
+        new SimpleHttpResponse(isReady() ? 200 : 503, Map.of(), EMPTY_BODY));
   }
 
   /** Whether the platform is to send clients here. */
   public boolean isReady() {
-    return !stopping && known.config() != null && servers.any();
+    return !stopping && clusterState.config() != null && servers.hasAny();
   }
 
   /** For the runner of jobs' items. */
   public ItemServers itemServers() {
-    return items;
+    return itemDispatcher;
   }
 
   /** What has happened to requests since the start. */
@@ -175,13 +175,13 @@
   }
 
   /** Where clients connect to, ip:port. */
-  public String frontAddress() {
-    return front.address();
+  public String clientAddress() {
+    return clientListener.address();
   }
 
   /** Where the platform asks whether to send, ip:port. */
-  public String readyAddress() {
-    return ready.address();
+  public String readinessAddress() {
+    return readinessServer.address();
   }
 
   /**
@@ -197,34 +197,34 @@
       return done;
     }
     stopping = true;
-    LOG.info("stopping; {} connections of clients are open", front.connections());
-    front.beginEnd();
-    long grace = settings.bounds().graceMs();
-    long end = timers.now() + servedForMs(grace);
+    LOG.info("stopping; {} connections of clients are open", clientListener.connectionCount());
+    clientListener.startDrain();
+    long graceMs = settings.bounds().graceMs();
+    long drainUntil = timers.now() + drainMs(graceMs);
     timers.schedule(
-        Math.min(STILL_SENT_MS, grace * 3 / 8),
+        Math.min(READINESS_PROPAGATION_MS, graceMs * 3 / 8),
         () -> {
-          front.closeIdle();
-          whenEmpty(end, done);
+          clientListener.closeIdle();
+          awaitDrained(drainUntil, done);
         });
     return done;
   }
 
   /** For how long after the order to stop open requests are served on. */
-  private static long servedForMs(long graceMs) {
+  private static long drainMs(long graceMs) {
     return graceMs * (GRACE_PARTS - 1) / GRACE_PARTS
-        + Math.min(LAST_ANSWERS_MS, graceMs / MOST_LAST_ANSWERS_PART);
+        + Math.min(MAX_FINAL_RESPONSES_MS, graceMs / FINAL_RESPONSES_GRACE_DIVISOR);
   }
 
-  private void whenEmpty(long end, CompletableFuture<Void> done) {
-    if (front.connections() > 0 && timers.now() < end) {
-      timers.schedule(STOP_LOOK_MS, () -> whenEmpty(end, done));
+  private void awaitDrained(long drainUntil, CompletableFuture<Void> done) {
+    if (clientListener.connectionCount() > 0 && timers.now() < drainUntil) {
+      timers.schedule(DRAIN_CHECK_INTERVAL_MS, () -> awaitDrained(drainUntil, done));
       return;
     }
-    front.closeAll();
+    clientListener.closeAll();
     servers.stop();
-    ready.close();
-    loads.close();
+    readinessServer.close();
+    loadExchange.close();
     loadChannel.close();
     LOG.info("stopped: {}", counters);
     done.complete(null);
--- a/gateway/src/main/java/elmsail/gateway/GatewayWarmUp.java
+++ b/gateway/src/main/java/elmsail/gateway/GatewayWarmUp.java
@@ -32,7 +32,7 @@
 public final class GatewayWarmUp {
   private static final String LOOPBACK = "127.0.0.1:0";
   private static final String HOST = "drill.example";
-  private static final byte[] EVENTS =
+  private static final byte[] RESPONSE_EVENTS =
       "id: 0\ndata: a\n\nid: 1\ndata: b\n\n".getBytes(StandardCharsets.US_ASCII);
 
   private GatewayWarmUp() {}
@@ -60,15 +60,15 @@
                             "text/event-stream",
                             "Elmsail-Server-Load",
                             "1,0,24"),
-                        EVENTS)),
+                        RESPONSE_EVENTS)),
             1 << 16)
         .thenCompose(
             server ->
                 Gateway.start(
                     settings(),
                     loop,
-                    new OneServer(server.address()),
-                    new NoLots(),
+                    new SingleServerState(server.address()),
+                    new NoBatchJobs(),
                     ProcessMetrics.unlogged()))
         .whenComplete(
             (gateway, fault) -> {
@@ -111,7 +111,7 @@
                 got.complete(all.toString());
               }
             })
-        .connect(Addresses.parse(gateway.frontAddress()))
+        .connect(Addresses.parse(gateway.clientAddress()))
         .addListener(
             f -> {
               if (!f.isSuccess()) {
@@ -145,7 +145,7 @@
   }
 
   /** A configuration of one route, and a list of one server. */
-  private static final class OneServer implements ClusterState, RoutingConfig {
+  private static final class SingleServerState implements ClusterState, RoutingConfig {
     private final List<ServerEntry> servers;
     private final Route route =
         new Route(
@@ -164,7 +164,7 @@
             0,
             0);
 
-    OneServer(String address) {
+    SingleServerState(String address) {
       servers = List.of(new ServerEntry("i-drill", "drill", address, "z", 24, false, 0));
     }
 
@@ -218,7 +218,7 @@
   }
 
   /** Knows of none. */
-  private static final class NoLots implements BatchService {
+  private static final class NoBatchJobs implements BatchService {
     private static CompletableFuture<Reply> none() {
       return CompletableFuture.completedFuture(new Reply(503, new byte[0], 1));
     }
--- a/gateway/src/main/java/elmsail/gateway/frontend/ClientConnection.java
+++ b/gateway/src/main/java/elmsail/gateway/frontend/ClientConnection.java
@@ -2,9 +2,9 @@
 
 import elmsail.config.RoutingConfig.ClientLimits;
 import elmsail.gateway.http.RequestCounters;
-import elmsail.gateway.requests.Replies;
+import elmsail.gateway.requests.LocalReplies;
 import elmsail.gateway.requests.RequestHandle;
-import elmsail.gateway.requests.RequestLine;
+import elmsail.gateway.requests.ReceivedRequest;
 import elmsail.runtime.Timers.Timer;
 import elmsail.runtime.http.StrictRequestDecoder;
 import io.netty.buffer.ByteBuf;
@@ -32,48 +32,48 @@
  * the client left.
  */
 final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> {
-  private static final int MOST_LINE = 8_192;
-  private static final int MOST_PIECE = 32 * 1024;
-  private static final byte[] NOTHING = new byte[0];
+  private static final int MAX_LINE_BYTES = 8_192;
+  private static final int MAX_CHUNK_BYTES = 32 * 1024;
+  private static final byte[] EMPTY_BODY = new byte[0];
 
   /** A body may take as long as a head, and for each such piece a second more. */
-  private static final int BYTES_PER_SECOND = 64 * 1024;
+  private static final int MIN_BODY_BYTES_PER_SECOND = 64 * 1024;
 
   /** A connection is closed so much later than its client was told. */
-  private static final long TOLD_EARLIER_MS = 1_000;
+  private static final long KEEP_ALIVE_GRACE_MS = 1_000;
 
-  private static final long LEAST_LOOK_MS = 50;
+  private static final long MIN_TIMEOUT_CHECK_MS = 50;
 
-  private final ClientListener front;
+  private final ClientListener listener;
   private final ClientLimits limits;
   private final StrictRequestDecoder decoder;
-  private final WaitingParts behind = new WaitingParts();
+  private final PipelinedRequestQueue pipelined = new PipelinedRequestQueue();
   private Channel channel;
   private HttpRequest head;
   private ByteBuf body;
-  private int keptBytes;
-  private ClientResponse answer;
-  private RequestHandle taken = RequestHandle.NONE;
-  private long arrivedMs;
+  private int reservedBodyBytes;
+  private ClientResponse response;
+  private RequestHandle activeRequest = RequestHandle.NONE;
+  private long arrivedAt;
   private long idleSince;
   private boolean inRequest;
   private boolean closing;
-  private Timer look;
+  private Timer checkTimeouts;
 
-  ClientConnection(ClientListener front) {
+  ClientConnection(ClientListener listener) {
     super(false);
-    this.front = front;
-    limits = front.limits();
-    decoder = new StrictRequestDecoder(MOST_LINE, limits.maxHeaderBytes(), MOST_PIECE);
+    this.listener = listener;
+    limits = listener.limits();
+    decoder = new StrictRequestDecoder(MAX_LINE_BYTES, limits.maxHeaderBytes(), MAX_CHUNK_BYTES);
   }
 
-  void into(ChannelPipeline pipeline) {
+  void addTo(ChannelPipeline pipeline) {
     channel = pipeline.channel();
     pipeline.addLast(
         new ChannelInboundHandlerAdapter() {
           @Override
           public void channelRead(ChannelHandlerContext ctx, Object bytes) {
-            arrived();
+            onFirstByte();
             ctx.fireChannelRead(bytes);
           }
         },
@@ -82,94 +82,94 @@
         this);
   }
 
-  private void arrived() {
+  private void onFirstByte() {
     if (!inRequest) {
       inRequest = true;
-      arrivedMs = front.timers().now();
+      arrivedAt = listener.timers().now();
     }
   }
 
   @Override
   public void channelActive(ChannelHandlerContext ctx) {
-    idleSince = front.timers().now();
-    look = front.timers().schedule(limits.headerTimeoutMs(), this::look);
+    idleSince = listener.timers().now();
+    checkTimeouts = listener.timers().schedule(limits.headerTimeoutMs(), this::checkTimeouts);
     ctx.fireChannelActive();
   }
 
   /** Ends the connection of a client that is too slow, or sends nothing for long. */
-  private void look() {
+  private void checkTimeouts() {
     if (closing) {
       return;
     }
-    long now = front.timers().now();
-    long left = limits.headerTimeoutMs();
-    if (answer == null && inRequest && behind.isEmpty()) {
+    long now = listener.timers().now();
+    long remainingMs = limits.headerTimeoutMs();
+    if (response == null && inRequest && pipelined.isEmpty()) {
       int bytes = body == null ? 0 : body.readableBytes();
-      left =
-          arrivedMs
+      remainingMs =
+          arrivedAt
               + limits.headerTimeoutMs()
-              + bytes * 1_000L / BYTES_PER_SECOND
+              + bytes * 1_000L / MIN_BODY_BYTES_PER_SECOND
               + (head == null ? 0 : limits.headerTimeoutMs())
               - now;
-      if (left <= 0) {
-        front.counters().count(RequestCounters.Event.CLIENT_SLOW);
-        refuse(408);
+      if (remainingMs <= 0) {
+        listener.counters().count(RequestCounters.Event.CLIENT_SLOW);
+        reject(408);
         return;
       }
-    } else if (answer == null && !inRequest) {
-      left = idleSince + limits.idleTimeoutMs() + TOLD_EARLIER_MS - now;
-      if (left <= 0) {
+    } else if (response == null && !inRequest) {
+      remainingMs = idleSince + limits.idleTimeoutMs() + KEEP_ALIVE_GRACE_MS - now;
+      if (remainingMs <= 0) {
         close();
         return;
       }
     }
     // A head may begin to come right behind this look.
-    look =
-        front.timers().schedule(Math.max(LEAST_LOOK_MS, Math.min(left, limits.headerTimeoutMs())), this::look);
+    checkTimeouts =
+        listener.timers().schedule(Math.max(MIN_TIMEOUT_CHECK_MS, Math.min(remainingMs, limits.headerTimeoutMs())), this::checkTimeouts);
   }
 
   /** Whole seconds that the client is told it may leave the connection idle. */
-  long toldSeconds() {
+  long keepAliveTimeoutSeconds() {
     return Math.max(1, limits.idleTimeoutMs() / 1_000 - 1);
   }
 
   @Override
-  protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
+  protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
     if (closing) {
-      ReferenceCountUtil.release(part);
-    } else if (answer != null) {
-      behind.add(part, front.timers().now());
-      if (behind.full()) {
+      ReferenceCountUtil.release(message);
+    } else if (response != null) {
+      pipelined.add(message, listener.timers().now());
+      if (pipelined.isFull()) {
         channel.config().setAutoRead(false);
       }
     } else {
-      take(part);
+      onMessage(message);
     }
   }
 
-  private void take(HttpObject part) {
+  private void onMessage(HttpObject message) {
     try {
-      if (part.decoderResult().isFailure()) {
-        front.counters().count(RequestCounters.Event.BAD_REQUEST);
-        refuse(part.decoderResult().cause() instanceof TooLongFrameException ? 431 : 400);
+      if (message.decoderResult().isFailure()) {
+        listener.counters().count(RequestCounters.Event.BAD_REQUEST);
+        reject(message.decoderResult().cause() instanceof TooLongFrameException ? 431 : 400);
         return;
       }
-      if (part instanceof HttpRequest request) {
-        begin(request);
+      if (message instanceof HttpRequest request) {
+        onHead(request);
       }
-      if (!closing && part instanceof HttpContent piece) {
-        more(piece);
+      if (!closing && message instanceof HttpContent content) {
+        onContent(content);
       }
     } finally {
-      ReferenceCountUtil.release(part);
+      ReferenceCountUtil.release(message);
     }
   }
 
-  private void begin(HttpRequest request) {
+  private void onHead(HttpRequest request) {
     head = request;
     if (HttpUtil.getContentLength(request, 0L) > limits.maxBodyBytes()) {
-      front.counters().count(RequestCounters.Event.TOO_LARGE);
-      refuse(413);
+      listener.counters().count(RequestCounters.Event.TOO_LARGE);
+      reject(413);
     } else if (HttpUtil.is100ContinueExpected(request)) {
       channel.writeAndFlush(
           new DefaultFullHttpResponse(
@@ -177,59 +177,59 @@
     }
   }
 
-  private void more(HttpContent piece) {
-    int bytes = piece.content().readableBytes();
+  private void onContent(HttpContent content) {
+    int bytes = content.content().readableBytes();
     int before = body == null ? 0 : body.readableBytes();
     if (before + bytes > limits.maxBodyBytes()) {
-      front.counters().count(RequestCounters.Event.TOO_LARGE);
-      refuse(413);
+      listener.counters().count(RequestCounters.Event.TOO_LARGE);
+      reject(413);
       return;
     }
     if (bytes > 0) {
-      if (!front.takesBody(bytes)) {
-        front.counters().count(RequestCounters.Event.REFUSED_NO_SERVER);
-        refuse(503);
+      if (!listener.tryReserveBodyBytes(bytes)) {
+        listener.counters().count(RequestCounters.Event.REFUSED_NO_SERVER);
+        reject(503);
         return;
       }
-      keptBytes += bytes;
+      reservedBodyBytes += bytes;
       if (body == null) {
         body = Unpooled.buffer((int) Math.max(bytes, HttpUtil.getContentLength(head, 0L)));
       }
-      body.writeBytes(piece.content());
+      body.writeBytes(content.content());
     }
-    if (piece instanceof LastHttpContent) {
-      whole();
+    if (content instanceof LastHttpContent) {
+      onRequestComplete();
     }
   }
 
-  private void whole() {
-    if (front.closedToNew()) {
-      front.counters().count(RequestCounters.Event.REFUSED_ENDING);
-      refuse(503);
+  private void onRequestComplete() {
+    if (listener.rejectsNewRequests()) {
+      listener.counters().count(RequestCounters.Event.REFUSED_ENDING);
+      reject(503);
       return;
     }
-    byte[] bytes = NOTHING;
+    byte[] bytes = EMPTY_BODY;
     if (body != null) {
       bytes = body.array().length == body.readableBytes() ? body.array() : readBytes();
     }
-    RequestLine asked =
-        new RequestLine(head.method().name(), head.uri(), head.headers(), bytes, arrivedMs);
-    boolean keep =
+    ReceivedRequest received =
+        new ReceivedRequest(head.method().name(), head.uri(), head.headers(), bytes, arrivedAt);
+    boolean keepAlive =
         HttpUtil.isKeepAlive(head) && head.protocolVersion().equals(HttpVersion.HTTP_1_1);
-    ClientResponse one =
+    ClientResponse newResponse =
         new ClientResponse(
             this,
-            front,
+            listener,
             channel,
-            keep,
+            keepAlive,
             head.protocolVersion().equals(HttpVersion.HTTP_1_1),
             head.method().name().equals("HEAD"));
-    answer = one;
+    response = newResponse;
     head = null;
     body = null;
-    RequestHandle begun = front.desk().take(asked, one);
-    if (answer == one) {
-      taken = begun;
+    RequestHandle handle = listener.dispatcher().dispatch(received, newResponse);
+    if (response == newResponse) {
+      activeRequest = handle;
     }
   }
 
@@ -240,37 +240,37 @@
   }
 
   /** The answer is written: the connection ends with it, or waits for the next request. */
-  void answered(ClientResponse one, boolean kept) {
-    if (answer != one) {
+  void onResponseWritten(ClientResponse newResponse, boolean keepAlive) {
+    if (response != newResponse) {
       return;
     }
-    answer = null;
-    taken = RequestHandle.NONE;
-    freeBody();
-    idleSince = front.timers().now();
+    response = null;
+    activeRequest = RequestHandle.NONE;
+    releaseBody();
+    idleSince = listener.timers().now();
     inRequest = false;
-    if (!kept) {
+    if (!keepAlive) {
       closing = true;
-      behind.release();
+      pipelined.releaseAll();
       return;
     }
-    if (!behind.isEmpty() || decoder.isInsideMessage()) {
-      arrived();
+    if (!pipelined.isEmpty() || decoder.isInsideMessage()) {
+      onFirstByte();
       // Not at once: answers that come at once would nest as deep as the requests behind each
       // other.
-      channel.eventLoop().execute(this::takeBehind);
+      channel.eventLoop().execute(this::processPipelined);
     }
   }
 
-  private void takeBehind() {
-    while (answer == null && !closing && !behind.isEmpty()) {
-      WaitingParts.Part next = behind.poll();
-      if (next.part() instanceof HttpRequest) {
-        arrivedMs = next.arrivedMs();
+  private void processPipelined() {
+    while (response == null && !closing && !pipelined.isEmpty()) {
+      PipelinedRequestQueue.Entry next = pipelined.poll();
+      if (next.message() instanceof HttpRequest) {
+        arrivedAt = next.arrivedAt();
       }
-      take(next.part());
+      onMessage(next.message());
     }
-    if (!behind.full()) {
+    if (!pipelined.isFull()) {
       channel.config().setAutoRead(true);
     }
   }
@@ -278,23 +278,23 @@
   /**
    * Answers what is no request that can be taken; it has not been read whole, so it has not run.
    */
-  private void refuse(int status) {
-    ClientResponse one = new ClientResponse(this, front, channel, false, true, false);
-    one.linger();
-    answer = one;
+  private void reject(int status) {
+    ClientResponse newResponse = new ClientResponse(this, listener, channel, false, true, false);
+    newResponse.linger();
+    response = newResponse;
     head = null;
     body = null;
-    Replies.own(one, status, null, status == 503 ? 0.2 : 0);
+    LocalReplies.send(newResponse, status, null, status == 503 ? 0.2 : 0);
   }
 
-  private void freeBody() {
-    front.gaveBody(keptBytes);
-    keptBytes = 0;
+  private void releaseBody() {
+    listener.releaseBodyBytes(reservedBodyBytes);
+    reservedBodyBytes = 0;
   }
 
   /** Ends it if no request is on it, nor a part of one. */
   void closeIfIdle() {
-    if (answer == null && !decoder.isInsideMessage()) {
+    if (response == null && !decoder.isInsideMessage()) {
       close();
     }
   }
@@ -306,27 +306,27 @@
 
   @Override
   public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-    taken.writable(channel.isWritable());
+    activeRequest.writable(channel.isWritable());
     ctx.fireChannelWritabilityChanged();
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
     closing = true;
-    if (look != null) {
-      look.cancel();
+    if (checkTimeouts != null) {
+      checkTimeouts.cancel();
     }
-    behind.release();
-    freeBody();
+    pipelined.releaseAll();
+    releaseBody();
     body = null;
-    RequestHandle leaving = taken;
-    taken = RequestHandle.NONE;
-    if (answer != null) {
-      answer.gone();
-      answer = null;
+    RequestHandle disconnected = activeRequest;
+    activeRequest = RequestHandle.NONE;
+    if (response != null) {
+      response.onClientDisconnect();
+      response = null;
     }
-    leaving.left();
-    front.closed(this);
+    disconnected.left();
+    listener.onClosed(this);
     ctx.fireChannelInactive();
   }
 
@@ -334,7 +334,7 @@
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
     if (!(cause instanceof java.io.IOException)) {
-      front.counters().count(RequestCounters.Event.FAULT);
+      listener.counters().count(RequestCounters.Event.FAULT);
     }
     close();
   }
--- a/gateway/src/main/java/elmsail/gateway/frontend/ClientListener.java
+++ b/gateway/src/main/java/elmsail/gateway/frontend/ClientListener.java
@@ -26,54 +26,54 @@
 /** The address that clients connect to, and their connections. All on the loop. */
 public final class ClientListener {
   private static final int BACKLOG = 1_024;
-  private static final ClientLimits BEFORE_ANY = new ClientLimits(16_384, 4 << 20, 3_000, 15_000);
+  private static final ClientLimits DEFAULT_LIMITS = new ClientLimits(16_384, 4 << 20, 3_000, 15_000);
 
   /** Descriptors that are kept for all but clients. */
-  private static final int KEPT_DESCRIPTORS = 600;
+  private static final int RESERVED_DESCRIPTORS = 600;
 
-  private static final int LEAST_CONNECTIONS = 200;
+  private static final int MIN_CONNECTIONS = 200;
 
   /** Bodies of requests under way, all together. */
-  private static final long MOST_BODY_BYTES = 48L << 20;
+  private static final long MAX_BODY_BYTES = 48L << 20;
 
   private final Timers timers;
-  private final ClusterState known;
-  private final RequestDispatcher desk;
+  private final ClusterState clusterState;
+  private final RequestDispatcher dispatcher;
   private final RequestCounters counters;
-  private final int most;
-  private final Set<ClientConnection> open = new LinkedHashSet<>();
-  private Channel listening;
+  private final int maxConnections;
+  private final Set<ClientConnection> openConnections = new LinkedHashSet<>();
+  private Channel serverChannel;
   private long bodyBytes;
-  private boolean ending;
-  private boolean closedToNew;
+  private boolean isDraining;
+  private boolean rejectsNewRequests;
 
   private ClientListener(
       Timers timers,
-      ClusterState known,
-      RequestDispatcher desk,
+      ClusterState clusterState,
+      RequestDispatcher dispatcher,
       RequestCounters counters,
-      int fds) {
+      int maxDescriptors) {
     this.timers = timers;
-    this.known = known;
-    this.desk = desk;
+    this.clusterState = clusterState;
+    this.dispatcher = dispatcher;
     this.counters = counters;
-    most = Math.max(LEAST_CONNECTIONS, fds - KEPT_DESCRIPTORS);
+    maxConnections = Math.max(MIN_CONNECTIONS, maxDescriptors - RESERVED_DESCRIPTORS);
   }
 
   /**
    * Completes on the loop once the address is bound; fails with BAD_SETTINGS.
    *
-   * @param fds descriptors that the process may hold
+   * @param maxDescriptors descriptors that the process may hold
    */
   public static CompletableFuture<ClientListener> listen(
       Timers timers,
       EventLoop loop,
       String address,
-      ClusterState known,
-      RequestDispatcher desk,
+      ClusterState clusterState,
+      RequestDispatcher dispatcher,
       RequestCounters counters,
-      int fds) {
-    ClientListener front = new ClientListener(timers, known, desk, counters, fds);
+      int maxDescriptors) {
+    ClientListener listener = new ClientListener(timers, clusterState, dispatcher, counters, maxDescriptors);
     CompletableFuture<ClientListener> bound = new CompletableFuture<>();
     ChannelFuture binding =
         new ServerBootstrap()
@@ -89,15 +89,15 @@
                 new ChannelInitializer<Channel>() {
                   @Override
                   protected void initChannel(Channel channel) {
-                    front.opened(channel);
+                    listener.onConnected(channel);
                   }
                 })
             .bind(Addresses.parse(address));
     binding.addListener(
         done -> {
           if (done.isSuccess()) {
-            front.listening = binding.channel();
-            bound.complete(front);
+            listener.serverChannel = binding.channel();
+            bound.complete(listener);
           } else {
             bound.completeExceptionally(
                 new ElmsailException(
@@ -107,26 +107,26 @@
     return bound;
   }
 
-  private void opened(Channel channel) {
-    if (open.size() >= most) {
+  private void onConnected(Channel channel) {
+    if (openConnections.size() >= maxConnections) {
       channel.close();
       return;
     }
     ClientConnection connection = new ClientConnection(this);
-    open.add(connection);
-    connection.into(channel.pipeline());
+    openConnections.add(connection);
+    connection.addTo(channel.pipeline());
   }
 
-  void closed(ClientConnection connection) {
-    open.remove(connection);
+  void onClosed(ClientConnection connection) {
+    openConnections.remove(connection);
   }
 
   Timers timers() {
     return timers;
   }
 
-  RequestDispatcher desk() {
-    return desk;
+  RequestDispatcher dispatcher() {
+    return dispatcher;
   }
 
   RequestCounters counters() {
@@ -134,63 +134,63 @@
   }
 
   ClientLimits limits() {
-    RoutingConfig now = known.config();
-    return now == null || now.limits() == null ? BEFORE_ANY : now.limits();
+    RoutingConfig now = clusterState.config();
+    return now == null || now.limits() == null ? DEFAULT_LIMITS : now.limits();
   }
 
   /** Whether answers are to say that the connection ends. */
-  boolean ending() {
-    return ending;
+  boolean isDraining() {
+    return isDraining;
   }
 
   /**
    * Whether what is read whole from here on comes too late to be served before the process ends.
    */
-  boolean closedToNew() {
-    return closedToNew;
+  boolean rejectsNewRequests() {
+    return rejectsNewRequests;
   }
 
   /** Whether a body of so many bytes more can be kept. */
-  boolean takesBody(int bytes) {
-    if (bodyBytes + bytes > MOST_BODY_BYTES) {
+  boolean tryReserveBodyBytes(int bytes) {
+    if (bodyBytes + bytes > MAX_BODY_BYTES) {
       return false;
     }
     bodyBytes += bytes;
     return true;
   }
 
-  void gaveBody(int bytes) {
+  void releaseBodyBytes(int bytes) {
     bodyBytes -= bytes;
   }
 
   /** Where it listens, ip:port. */
   public String address() {
-    InetSocketAddress local = (InetSocketAddress) listening.localAddress();
+    InetSocketAddress local = (InetSocketAddress) serverChannel.localAddress();
     return local.getAddress().getHostAddress() + ":" + local.getPort();
   }
 
   /** How many connections are open. */
-  public int connections() {
-    return open.size();
+  public int connectionCount() {
+    return openConnections.size();
   }
 
   /** From here on each answer ends its connection. */
-  public void beginEnd() {
-    ending = true;
+  public void startDrain() {
+    isDraining = true;
   }
 
   /** Takes no new connections, and ends those that no request is on. */
   public void closeIdle() {
-    listening.close();
-    closedToNew = true;
-    for (ClientConnection c : new ArrayList<>(open)) {
+    serverChannel.close();
+    rejectsNewRequests = true;
+    for (ClientConnection c : new ArrayList<>(openConnections)) {
       c.closeIfIdle();
     }
   }
 
   /** Ends what is left. */
   public void closeAll() {
-    for (ClientConnection c : new ArrayList<>(open)) {
+    for (ClientConnection c : new ArrayList<>(openConnections)) {
       c.close();
     }
   }
--- a/gateway/src/main/java/elmsail/gateway/frontend/ClientResponse.java
+++ b/gateway/src/main/java/elmsail/gateway/frontend/ClientResponse.java
@@ -24,29 +24,29 @@
   private static final long LINGER_MS = 500;
 
   private final ClientConnection connection;
-  private final ClientListener front;
+  private final ClientListener listener;
   private final Channel channel;
-  private final boolean keep;
-  private final boolean chunks;
-  private final boolean headOnly;
+  private final boolean clientKeepsAlive;
+  private final boolean supportsChunks;
+  private final boolean isHeadRequest;
   private boolean lingers;
-  private boolean over;
-  private boolean kept;
-  private boolean flushing;
+  private boolean finished;
+  private boolean keepAlive;
+  private boolean flushScheduled;
 
   ClientResponse(
       ClientConnection connection,
-      ClientListener front,
+      ClientListener listener,
       Channel channel,
-      boolean keep,
-      boolean chunks,
-      boolean headOnly) {
+      boolean clientKeepsAlive,
+      boolean supportsChunks,
+      boolean isHeadRequest) {
     this.connection = connection;
-    this.front = front;
+    this.listener = listener;
     this.channel = channel;
-    this.keep = keep;
-    this.chunks = chunks;
-    this.headOnly = headOnly;
+    this.clientKeepsAlive = clientKeepsAlive;
+    this.supportsChunks = supportsChunks;
+    this.isHeadRequest = isHeadRequest;
   }
 
   /**
@@ -58,101 +58,101 @@
   }
 
   /** The client has left. */
-  void gone() {
-    over = true;
+  void onClientDisconnect() {
+    finished = true;
   }
 
   @Override
   public void whole(int status, HttpHeaders headers, ByteBuf body) {
-    if (over) {
+    if (finished) {
       body.release();
       return;
     }
-    boolean empty = status == 204 || status == 304 || headOnly;
-    if (empty) {
+    boolean bodiless = status == 204 || status == 304 || isHeadRequest;
+    if (bodiless) {
       body.release();
     }
     DefaultFullHttpResponse out =
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1,
             HttpResponseStatus.valueOf(status),
-            empty ? Unpooled.EMPTY_BUFFER : body,
+            bodiless ? Unpooled.EMPTY_BUFFER : body,
             headers,
             DefaultHttpHeadersFactory.trailersFactory().newHeaders());
-    if (!empty) {
+    if (!bodiless) {
       headers.set("Content-Length", Integer.toString(body.readableBytes()));
     }
-    connectionOf(headers);
-    ended(channel.writeAndFlush(out));
+    setConnectionHeaders(headers);
+    finish(channel.writeAndFlush(out));
   }
 
   @Override
   public void head(int status, HttpHeaders headers, long length) {
-    if (over) {
+    if (finished) {
       return;
     }
     HttpResponse out =
         new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), headers);
     if (length >= 0) {
       headers.set("Content-Length", Long.toString(length));
-    } else if (chunks) {
+    } else if (supportsChunks) {
       headers.set("Transfer-Encoding", "chunked");
     }
-    connectionOf(headers);
+    setConnectionHeaders(headers);
     channel.write(out);
   }
 
   /**
    * Its end is told in the head, or this is not kept: a client that knows no chunks sees the close.
    */
-  private void connectionOf(HttpHeaders headers) {
-    kept = keep && !front.ending();
-    if (kept) {
-      headers.set("Keep-Alive", "timeout=" + connection.toldSeconds());
+  private void setConnectionHeaders(HttpHeaders headers) {
+    keepAlive = clientKeepsAlive && !listener.isDraining();
+    if (keepAlive) {
+      headers.set("Keep-Alive", "timeout=" + connection.keepAliveTimeoutSeconds());
     } else {
       headers.set("Connection", "close");
     }
   }
 
   @Override
-  public void data(ByteBuf piece) {
-    if (over) {
-      piece.release();
+  public void data(ByteBuf bytes) {
+    if (finished) {
+      bytes.release();
       return;
     }
-    channel.write(new DefaultHttpContent(piece));
-    if (!flushing) {
-      flushing = true;
+    channel.write(new DefaultHttpContent(bytes));
+    if (!flushScheduled) {
+      flushScheduled = true;
       channel.eventLoop().execute(this::flush);
     }
   }
 
   private void flush() {
-    flushing = false;
+    flushScheduled = false;
     channel.flush();
   }
 
   @Override
   public void end() {
-    if (!over) {
-      ended(channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT));
+    if (!finished) {
+      finish(channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT));
     }
   }
 
-  private void ended(ChannelFuture written) {
-    over = true;
-    if (!kept && lingers) {
-      written.addListener((ChannelFuture f) -> endSending());
-    } else if (!kept) {
+  private void finish(ChannelFuture written) {
+    finished = true;
+    if (!keepAlive && lingers) {
+      written.addListener((ChannelFuture f) -> shutdownOutput());
+    } else if (!keepAlive) {
       written.addListener(ChannelFutureListener.CLOSE);
     }
-    connection.answered(this, kept);
+    connection.onResponseWritten(this, keepAlive);
   }
 
-  private void endSending() {
+  private void shutdownOutput() {
     if (channel instanceof SocketChannel socket && channel.isActive()) {
       socket.shutdownOutput();
-      front.timers().schedule(LINGER_MS, channel::close);
+      listener.timers().schedule(LINGER_MS, channel::close);
     } else {
       channel.close();
     }
@@ -160,22 +160,22 @@
 
   @Override
   public void breakOff() {
-    if (over) {
+    if (finished) {
       return;
     }
-    over = true;
-    if (!chunks) {
+    finished = true;
+    if (!supportsChunks) {
       channel
           .config()
           .setOption(ChannelOption.SO_LINGER, 0); // else the close would be the answer's end
     }
     channel.flush();
-    connection.answered(this, false);
+    connection.onResponseWritten(this, false);
     channel.close();
   }
 
   @Override
   public boolean writable() {
-    return !over && channel.isWritable();
+    return !finished && channel.isWritable();
   }
 }
--- a/gateway/src/main/java/elmsail/gateway/http/Headers.java
+++ b/gateway/src/main/java/elmsail/gateway/http/Headers.java
@@ -29,21 +29,21 @@
    * body.
    */
   public static HttpHeaders endToEnd(HttpHeaders headers) {
-    HttpHeaders kept = new DefaultHttpHeaders();
-    String named = "";
+    HttpHeaders endToEnd = new DefaultHttpHeaders();
+    String connectionTokens = "";
     for (String value : headers.getAll("Connection")) {
-      named += "," + value.toLowerCase(Locale.ROOT);
+      connectionTokens += "," + value.toLowerCase(Locale.ROOT);
     }
     for (Iterator<Map.Entry<String, String>> all = headers.iteratorAsString(); all.hasNext(); ) {
       Map.Entry<String, String> one = all.next();
-      if (!ofConnection(one.getKey().toLowerCase(Locale.ROOT), named)) {
-        kept.add(one.getKey(), one.getValue());
+      if (!isHopByHop(one.getKey().toLowerCase(Locale.ROOT), connectionTokens)) {
+        endToEnd.add(one.getKey(), one.getValue());
       }
     }
-    return kept;
+    return endToEnd;
   }
 
-  private static boolean ofConnection(String name, String named) {
+  private static boolean isHopByHop(String name, String connectionTokens) {
     switch (name) {
       case "connection",
           "keep-alive",
@@ -56,12 +56,12 @@
         return true;
       }
       default -> {
-        return name.startsWith("proxy-") || !named.isEmpty() && names(named, name);
+        return name.startsWith("proxy-") || !connectionTokens.isEmpty() && containsToken(connectionTokens, name);
       }
     }
   }
 
-  private static boolean names(String list, String name) {
+  private static boolean containsToken(String list, String name) {
     for (String one : list.split(",")) {
       if (one.trim().equals(name)) {
         return true;
@@ -71,15 +71,15 @@
   }
 
   /** A whole number of 0 or more, or what to take where there is none. */
-  public static long number(String text, long otherwise) {
+  public static long parseNonNegative(String text, long defaultValue) {
     if (text == null || text.isEmpty() || text.length() > 18) {
-      return otherwise;
+      return defaultValue;
     }
     long value = 0;
     for (int i = 0; i < text.length(); i++) {
       int digit = text.charAt(i) - '0';
       if (digit < 0 || digit > 9) {
-        return otherwise;
+        return defaultValue;
       }
       value = 10 * value + digit;
     }
--- a/gateway/src/main/java/elmsail/gateway/http/RequestCounters.java
+++ b/gateway/src/main/java/elmsail/gateway/http/RequestCounters.java
@@ -56,13 +56,13 @@
   }
 
   /** Counts one more of these. */
-  public void count(Event what) {
-    counts[what.ordinal()].add(1);
+  public void count(Event event) {
+    counts[event.ordinal()].add(1);
   }
 
   /** How many of these were counted since the start. */
-  public long of(Event what) {
-    return counts[what.ordinal()].value();
+  public long of(Event event) {
+    return counts[event.ordinal()].value();
   }
 
   /** All that has happened at least once. */
--- a/gateway/src/main/java/elmsail/gateway/load/LoadChannel.java
+++ b/gateway/src/main/java/elmsail/gateway/load/LoadChannel.java
@@ -29,20 +29,20 @@
  */
 public final class LoadChannel {
   private static final Logger LOG = LoggerFactory.getLogger(LoadChannel.class);
-  private static final int MOST_BYTES = 8_192;
-  private static final int MOST_ADDRESSES = 4_096;
+  private static final int MAX_DATAGRAM_BYTES = 8_192;
+  private static final int MAX_ADDRESSES = 4_096;
 
   private final MessageCodec codec = new MessageCodec();
-  private final Consumer<LoadReport> heard;
+  private final Consumer<LoadReport> onReport;
   private final Map<String, InetSocketAddress> addresses = new HashMap<>();
   private Channel channel;
-  private LoadReport packed;
-  private byte[] packedBytes;
-  private long garbled;
+  private LoadReport lastSent;
+  private byte[] lastSentBytes;
+  private long malformedCount;
 
   /** Opened by {@link #open}; each report that comes goes to {@code heard}. */
-  public LoadChannel(Consumer<LoadReport> heard) {
-    this.heard = heard;
+  public LoadChannel(Consumer<LoadReport> onReport) {
+    this.onReport = onReport;
   }
 
   /** Binds; a failure is logged. */
@@ -51,7 +51,7 @@
         new Bootstrap()
             .group(loop)
             .channel(NioDatagramChannel.class)
-            .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MOST_BYTES))
+            .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MAX_DATAGRAM_BYTES))
             .handler(new Receiver())
             .bind(Addresses.parse(address));
     bound.addListener(
@@ -69,21 +69,21 @@
     if (channel == null || !channel.isWritable()) {
       return;
     }
-    if (addresses.size() > MOST_ADDRESSES) {
+    if (addresses.size() > MAX_ADDRESSES) {
       addresses.clear();
     }
     InetSocketAddress address = addresses.computeIfAbsent(to, Addresses::parse);
-    if (report != packed) {
-      packed = report;
-      packedBytes = codec.toDatagram(report);
+    if (report != lastSent) {
+      lastSent = report;
+      lastSentBytes = codec.toDatagram(report);
     }
     channel.writeAndFlush(
-        new DatagramPacket(Unpooled.wrappedBuffer(packedBytes), address), channel.voidPromise());
+        new DatagramPacket(Unpooled.wrappedBuffer(lastSentBytes), address), channel.voidPromise());
   }
 
   /** Datagrams that were no reports. */
-  public long garbled() {
-    return garbled;
+  public long malformedCount() {
+    return malformedCount;
   }
 
   /** Neither sends nor hears any more. */
@@ -98,9 +98,9 @@
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
       try {
-        heard.accept(codec.fromDatagram(ByteBufUtil.getBytes(packet.content()), LoadReport.class));
+        onReport.accept(codec.fromDatagram(ByteBufUtil.getBytes(packet.content()), LoadReport.class));
       } catch (ElmsailException e) {
-        garbled++;
+        malformedCount++;
       }
     }
 
--- a/gateway/src/main/java/elmsail/gateway/load/LoadExchange.java
+++ b/gateway/src/main/java/elmsail/gateway/load/LoadExchange.java
@@ -20,92 +20,92 @@
  */
 public final class LoadExchange implements PeerLoads {
   /** Between two reports to the aggregator at the least. */
-  private static final long REPORT_MS = 10;
+  private static final long MIN_REPORT_INTERVAL_MS = 10;
 
   /** Between two totals to the zone at the least. */
-  private static final long TOTAL_MS = 25;
+  private static final long MIN_TOTAL_INTERVAL_MS = 25;
 
   /** How often a gateway looks whether it is to sum up; each look of an idle process costs. */
-  private static final long LOOK_MS = 130;
+  private static final long AGGREGATOR_CHECK_INTERVAL_MS = 130;
 
   /** Without a change a report is repeated after so long, and a total too. */
-  private static final long REPEAT_MS = 350;
+  private static final long REPORT_REPEAT_INTERVAL_MS = 350;
 
-  private static final long REPEAT_TOTAL_MS = 130;
+  private static final long TOTAL_REPEAT_INTERVAL_MS = 130;
 
   /** Between the sums from zone to zone. */
-  private static final long ZONE_MS = 90;
+  private static final long ZONE_SUM_INTERVAL_MS = 90;
 
   /** How often gateways hear that this one is there: those not heard, of the zone, and others. */
-  private static final long INTRODUCE_UNHEARD_MS = 500;
+  private static final long UNKNOWN_PEER_INTRODUCTION_INTERVAL_MS = 500;
 
-  private static final long INTRODUCE_ZONE_MS = 3_000;
-  private static final long INTRODUCE_OTHERS_MS = 8_000;
+  private static final long ZONE_PEER_INTRODUCTION_INTERVAL_MS = 3_000;
+  private static final long OTHER_ZONE_INTRODUCTION_INTERVAL_MS = 8_000;
 
   /**
    * The sum of a zone goes to so many gateways of each other one: the first of them may be gone.
    */
-  private static final int ZONE_RECEIVERS = 2;
+  private static final int RECEIVERS_PER_ZONE = 2;
 
   /** Where nothing was open anywhere for so long, nothing is told but that this one is there. */
-  private static final long ACTIVE_MS = 2_000;
+  private static final long ACTIVITY_TIMEOUT_MS = 2_000;
 
   /** Servers in one report: those with the most open. A datagram stays within a few packets. */
-  private static final int MOST_SERVERS = 64;
+  private static final int MAX_SERVERS_PER_REPORT = 64;
 
   private final Timers timers;
-  private final ClusterState known;
-  private final String own;
+  private final ClusterState clusterState;
+  private final String ownAddress;
   private final String zone;
   private final long instanceId;
-  private final Supplier<Map<String, ServerLoad>> openHere;
+  private final Supplier<Map<String, ServerLoad>> ownLoads;
   private final BiConsumer<String, LoadReport> send;
   private final ZoneMembers members;
   private final LoadTable table;
-  private final Map<String, Long> introducedAt = new HashMap<>();
+  private final Map<String, Long> lastIntroducedAt = new HashMap<>();
   private Map<String, ServerLoad> total = Map.of();
   private boolean aggregating;
-  private boolean aggregatesOthers;
+  private boolean hasZonePeers;
   private boolean totalChanged;
-  private long totalAt = Long.MIN_VALUE / 2;
-  private long zoneAt = Long.MIN_VALUE / 2;
+  private long lastTotalAt = Long.MIN_VALUE / 2;
+  private long lastZoneSumAt = Long.MIN_VALUE / 2;
   private long sequence;
-  private long reportedAt = Long.MIN_VALUE / 2;
-  private boolean reportSet;
-  private long activeAt = Long.MIN_VALUE / 2;
+  private long lastReportAt = Long.MIN_VALUE / 2;
+  private boolean reportScheduled;
+  private long lastActiveAt = Long.MIN_VALUE / 2;
   private boolean closed;
 
   /**
    * Tells nothing before {@link #start}.
    *
-   * @param own this gateway's inner address
-   * @param openHere what this gateway has open, by server id
+   * @param ownAddress this gateway's inner address
+   * @param ownLoads what this gateway has open, by server id
    * @param send sends a report to an inner address; it may be lost
    */
   public LoadExchange(
       Timers timers,
-      ClusterState known,
-      String own,
+      ClusterState clusterState,
+      String ownAddress,
       String zone,
       long instanceId,
-      Supplier<Map<String, ServerLoad>> openHere,
+      Supplier<Map<String, ServerLoad>> ownLoads,
       BiConsumer<String, LoadReport> send) {
     this.timers = timers;
-    this.known = known;
-    this.own = own;
+    this.clusterState = clusterState;
+    this.ownAddress = ownAddress;
     this.zone = zone;
     this.instanceId = instanceId;
-    this.openHere = openHere;
+    this.ownLoads = ownLoads;
     this.send = send;
-    members = new ZoneMembers(own, zone, timers);
+    members = new ZoneMembers(ownAddress, zone, timers);
     table = new LoadTable(zone, timers);
   }
 
   /** Begins to tell. */
   public void start() {
-    timers.schedule(REPEAT_MS, this::repeat);
-    timers.schedule(TOTAL_MS, this::aggregate);
-    timers.schedule(REPORT_MS, this::introduce);
+    timers.schedule(REPORT_REPEAT_INTERVAL_MS, this::repeatReport);
+    timers.schedule(MIN_TOTAL_INTERVAL_MS, this::aggregate);
+    timers.schedule(MIN_REPORT_INTERVAL_MS, this::introduceToListed);
   }
 
   /** Tells nothing more. */
@@ -114,74 +114,74 @@
   }
 
   /** Something was opened, or ended, or is being answered: the zone hears of it soon. */
-  public void changed() {
+  public void onLoadChanged() {
     totalChanged = true;
-    activate();
-    if (reportSet || closed) {
+    markActive();
+    if (reportScheduled || closed) {
       return;
     }
-    reportSet = true;
-    timers.schedule(Math.max(0, reportedAt + REPORT_MS - timers.now()), this::report);
+    reportScheduled = true;
+    timers.schedule(Math.max(0, lastReportAt + MIN_REPORT_INTERVAL_MS - timers.now()), this::report);
   }
 
   /** A report came; one of this gateway itself, or with no sender, is passed over. */
   public void heard(LoadReport report) {
-    if (closed || report.sender.isEmpty() || report.sender.equals(own)) {
+    if (closed || report.sender.isEmpty() || report.sender.equals(ownAddress)) {
       return;
     }
-    boolean unknown = members.heard(report.sender, report.zone, report.instanceId);
-    table.take(report);
+    boolean isNewInstance = members.onReport(report.sender, report.zone, report.instanceId);
+    table.onReport(report);
     if (!report.servers.isEmpty()) {
-      activate();
+      markActive();
     }
     if (report.scope == LoadReport.TOTAL) {
-      members.heardTotal(report.sender);
+      members.onTotal(report.sender);
     }
     totalChanged = true;
-    if (unknown) {
+    if (isNewInstance) {
       introduceTo(report.sender);
     }
   }
 
   @Override
   public boolean heard() {
-    return aggregating ? aggregatesOthers : table.toldLately();
+    return aggregating ? hasZonePeers : table.hasRecentTotal();
   }
 
   @Override
   public ServerLoad at(String serverId) {
-    return aggregating ? total.getOrDefault(serverId, ServerLoad.NONE) : table.told(serverId);
+    return aggregating ? total.getOrDefault(serverId, ServerLoad.NONE) : table.totalOf(serverId);
   }
 
-  private boolean active() {
-    return timers.now() - activeAt <= ACTIVE_MS;
+  private boolean isActive() {
+    return timers.now() - lastActiveAt <= ACTIVITY_TIMEOUT_MS;
   }
 
-  private void activate() {
-    if (!active()) {
+  private void markActive() {
+    if (!isActive()) {
       members.expectTotal();
     }
-    activeAt = timers.now();
+    lastActiveAt = timers.now();
   }
 
   private void report() {
-    reportSet = false;
+    reportScheduled = false;
     if (closed) {
       return;
     }
-    reportedAt = timers.now();
+    lastReportAt = timers.now();
     String aggregator = members.aggregator();
-    if (!aggregator.equals(own)) {
-      send.accept(aggregator, message(LoadReport.OWN, openHere.get()));
+    if (!aggregator.equals(ownAddress)) {
+      send.accept(aggregator, createReport(LoadReport.OWN, ownLoads.get()));
     }
   }
 
-  private void repeat() {
+  private void repeatReport() {
     if (closed) {
       return;
     }
-    timers.schedule(REPEAT_MS, this::repeat);
-    if (active() && timers.now() - reportedAt >= REPEAT_MS / 2) {
+    timers.schedule(REPORT_REPEAT_INTERVAL_MS, this::repeatReport);
+    if (isActive() && timers.now() - lastReportAt >= REPORT_REPEAT_INTERVAL_MS / 2) {
       report();
     }
   }
@@ -190,75 +190,75 @@
     if (closed) {
       return;
     }
-    aggregating = active() && members.aggregator().equals(own);
-    timers.schedule(aggregating ? TOTAL_MS : LOOK_MS, this::aggregate);
+    aggregating = isActive() && members.aggregator().equals(ownAddress);
+    timers.schedule(aggregating ? MIN_TOTAL_INTERVAL_MS : AGGREGATOR_CHECK_INTERVAL_MS, this::aggregate);
     if (!aggregating) {
       return;
     }
     long now = timers.now();
-    boolean zoneDue = now - zoneAt >= ZONE_MS;
-    boolean totalDue = totalChanged || now - totalAt >= REPEAT_TOTAL_MS;
+    boolean zoneDue = now - lastZoneSumAt >= ZONE_SUM_INTERVAL_MS;
+    boolean totalDue = totalChanged || now - lastTotalAt >= TOTAL_REPEAT_INTERVAL_MS;
     if (!zoneDue && !totalDue) {
       return;
     }
-    Map<String, ServerLoad> sum = table.zonePeers();
-    LoadTable.merge(sum, openHere.get());
+    Map<String, ServerLoad> sum = table.sumOfZonePeers();
+    LoadTable.addLoads(sum, ownLoads.get());
     if (zoneDue) {
-      zoneAt = now;
-      tellZones(message(LoadReport.ZONE, sum));
+      lastZoneSumAt = now;
+      sendToOtherZones(createReport(LoadReport.ZONE, sum));
     }
     if (totalDue) {
-      totalAt = now;
+      lastTotalAt = now;
       totalChanged = false;
-      LoadTable.merge(sum, table.otherZones());
+      LoadTable.addLoads(sum, table.sumOfOtherZones());
       total = sum;
-      List<String> receivers = members.ofZone();
-      aggregatesOthers = !receivers.isEmpty();
-      sendAll(receivers, message(LoadReport.TOTAL, sum));
+      List<String> receivers = members.zonePeers();
+      hasZonePeers = !receivers.isEmpty();
+      sendAll(receivers, createReport(LoadReport.TOTAL, sum));
     }
   }
 
-  private void tellZones(LoadReport report) {
+  private void sendToOtherZones(LoadReport report) {
     members
-        .ofOtherZones()
+        .peersByOtherZone()
         .forEach(
             (name, gateways) ->
-                sendAll(RendezvousHash.choose(name, gateways, ZONE_RECEIVERS), report));
+                sendAll(RendezvousHash.choose(name, gateways, RECEIVERS_PER_ZONE), report));
   }
 
   /** So that each gateway listed learns this one's zone, and tells its own. */
-  private void introduce() {
+  private void introduceToListed() {
     if (closed) {
       return;
     }
-    timers.schedule(INTRODUCE_UNHEARD_MS, this::introduce);
-    List<String> listed = known.view().gateways;
-    members.keep(listed);
-    introducedAt.keySet().retainAll(listed);
+    timers.schedule(UNKNOWN_PEER_INTRODUCTION_INTERVAL_MS, this::introduceToListed);
+    List<String> listed = clusterState.view().gateways;
+    members.expireUnlisted(listed);
+    lastIntroducedAt.keySet().retainAll(listed);
     long now = timers.now();
     for (String gateway : listed) {
       boolean due =
-          now - introducedAt.getOrDefault(gateway, Long.MIN_VALUE / 2) >= introduceEvery(gateway);
-      if (due && !gateway.equals(own)) {
+          now - lastIntroducedAt.getOrDefault(gateway, Long.MIN_VALUE / 2) >= introductionIntervalMs(gateway);
+      if (due && !gateway.equals(ownAddress)) {
         introduceTo(gateway);
       }
     }
   }
 
-  private long introduceEvery(String gateway) {
-    String where = members.zoneOf(gateway);
-    if (!active()) {
-      return INTRODUCE_OTHERS_MS;
+  private long introductionIntervalMs(String gateway) {
+    String peerZone = members.zoneOf(gateway);
+    if (!isActive()) {
+      return OTHER_ZONE_INTRODUCTION_INTERVAL_MS;
     }
-    if (where == null) {
-      return INTRODUCE_UNHEARD_MS;
+    if (peerZone == null) {
+      return UNKNOWN_PEER_INTRODUCTION_INTERVAL_MS;
     }
-    return where.equals(zone) ? INTRODUCE_ZONE_MS : INTRODUCE_OTHERS_MS;
+    return peerZone.equals(zone) ? ZONE_PEER_INTRODUCTION_INTERVAL_MS : OTHER_ZONE_INTRODUCTION_INTERVAL_MS;
   }
 
   private void introduceTo(String gateway) {
-    introducedAt.put(gateway, timers.now());
-    send.accept(gateway, message(LoadReport.OWN, openHere.get()));
+    lastIntroducedAt.put(gateway, timers.now());
+    send.accept(gateway, createReport(LoadReport.OWN, ownLoads.get()));
   }
 
   private void sendAll(List<String> gateways, LoadReport report) {
@@ -267,9 +267,9 @@
     }
   }
 
-  private LoadReport message(int scope, Map<String, ServerLoad> loads) {
+  private LoadReport createReport(int scope, Map<String, ServerLoad> loads) {
     LoadReport report = new LoadReport();
-    report.sender = own;
+    report.sender = ownAddress;
     report.instanceId = instanceId;
     report.sequence = ++sequence;
     report.zone = zone;
@@ -277,8 +277,8 @@
     loads.entrySet().stream()
         .filter(entry -> !entry.getValue().equals(ServerLoad.NONE))
         .sorted(Comparator.comparingInt(entry -> -entry.getValue().open()))
-        .limit(MOST_SERVERS)
-        .forEach(entry -> report.servers.add(entry.getValue().entry(entry.getKey())));
+        .limit(MAX_SERVERS_PER_REPORT)
+        .forEach(entry -> report.servers.add(entry.getValue().toEntry(entry.getKey())));
     return report;
   }
 }
--- a/gateway/src/main/java/elmsail/gateway/load/LoadTable.java
+++ b/gateway/src/main/java/elmsail/gateway/load/LoadTable.java
@@ -17,18 +17,18 @@
   static final long VALID_MS = 1_000;
 
   /** Bounds what a faulty peer can make this process remember. */
-  private static final int MOST_SENDERS = 2_048;
+  private static final int MAX_SENDERS = 2_048;
 
-  private static final int MOST_ENTRIES = 4_096;
+  private static final int MAX_ENTRIES = 4_096;
 
-  private record Report(long instanceId, long sequence, long at, List<ServerLoadEntry> entries) {}
+  private record Report(long instanceId, long sequence, long receivedAt, List<ServerLoadEntry> entries) {}
 
   private final String zone;
   private final MonotonicClock clock;
   private final Map<String, Report> bySender = new HashMap<>();
 
   /** By the zone of the gateways that each is the sum of. */
-  private final Map<String, Report> zones = new TreeMap<>();
+  private final Map<String, Report> byOtherZone = new TreeMap<>();
 
   private Report total;
   private Map<String, ServerLoad> totalLoads = Map.of();
@@ -44,74 +44,74 @@
   }
 
   /** Takes a report unless a newer one of its sender and scope is known. */
-  void take(LoadReport report) {
-    if (report.servers.size() > MOST_ENTRIES) {
+  void onReport(LoadReport report) {
+    if (report.servers.size() > MAX_ENTRIES) {
       return;
     }
-    Report taken = new Report(report.instanceId, report.sequence, clock.now(), report.servers);
-    boolean here = report.zone.equals(zone);
-    if (report.scope == LoadReport.OWN && here) {
-      put(bySender, report.sender, taken);
-    } else if (report.scope == LoadReport.ZONE && !here) {
-      put(zones, report.zone, taken);
-    } else if (report.scope == LoadReport.TOTAL && here && !overtaken(total, taken)) {
-      total = taken;
+    Report received = new Report(report.instanceId, report.sequence, clock.now(), report.servers);
+    boolean ofThisZone = report.zone.equals(zone);
+    if (report.scope == LoadReport.OWN && ofThisZone) {
+      put(bySender, report.sender, received);
+    } else if (report.scope == LoadReport.ZONE && !ofThisZone) {
+      put(byOtherZone, report.zone, received);
+    } else if (report.scope == LoadReport.TOTAL && ofThisZone && !isStale(total, received)) {
+      total = received;
       totalLoads = new HashMap<>();
-      add(totalLoads, taken.entries);
+      addEntries(totalLoads, received.entries);
     }
   }
 
-  private static void put(Map<String, Report> to, String key, Report taken) {
-    if (!overtaken(to.get(key), taken) && (to.containsKey(key) || to.size() < MOST_SENDERS)) {
-      to.put(key, taken);
+  private static void put(Map<String, Report> to, String key, Report received) {
+    if (!isStale(to.get(key), received) && (to.containsKey(key) || to.size() < MAX_SENDERS)) {
+      to.put(key, received);
     }
   }
 
   /** Datagrams may pass each other. */
-  private static boolean overtaken(Report known, Report taken) {
-    return known != null
-        && known.instanceId == taken.instanceId
-        && known.sequence >= taken.sequence;
+  private static boolean isStale(Report current, Report received) {
+    return current != null
+        && current.instanceId == received.instanceId
+        && current.sequence >= received.sequence;
   }
 
   /** Whether a total was told lately. */
-  boolean toldLately() {
-    return valid(total);
+  boolean hasRecentTotal() {
+    return isValid(total);
   }
 
   /** The total that was told last, or nothing where that is long ago. */
-  ServerLoad told(String serverId) {
-    return valid(total) ? totalLoads.getOrDefault(serverId, ServerLoad.NONE) : ServerLoad.NONE;
+  ServerLoad totalOf(String serverId) {
+    return isValid(total) ? totalLoads.getOrDefault(serverId, ServerLoad.NONE) : ServerLoad.NONE;
   }
 
   /** What the other gateways of this zone have open, as each told. */
-  Map<String, ServerLoad> zonePeers() {
+  Map<String, ServerLoad> sumOfZonePeers() {
     return sum(bySender);
   }
 
   /** What the gateways of all other zones have open. */
-  Map<String, ServerLoad> otherZones() {
-    return sum(zones);
+  Map<String, ServerLoad> sumOfOtherZones() {
+    return sum(byOtherZone);
   }
 
   private Map<String, ServerLoad> sum(Map<String, Report> reports) {
     Map<String, ServerLoad> all = new HashMap<>();
-    reports.values().removeIf(report -> !valid(report));
-    reports.values().forEach(report -> add(all, report.entries));
+    reports.values().removeIf(report -> !isValid(report));
+    reports.values().forEach(report -> addEntries(all, report.entries));
     return all;
   }
 
-  private boolean valid(Report report) {
-    return report != null && clock.now() - report.at <= VALID_MS;
+  private boolean isValid(Report report) {
+    return report != null && clock.now() - report.receivedAt <= VALID_MS;
   }
 
-  private static void add(Map<String, ServerLoad> to, List<ServerLoadEntry> more) {
-    for (ServerLoadEntry entry : more) {
+  private static void addEntries(Map<String, ServerLoad> to, List<ServerLoadEntry> entries) {
+    for (ServerLoadEntry entry : entries) {
       to.merge(entry.server, ServerLoad.of(entry), ServerLoad::plus);
     }
   }
 
-  static void merge(Map<String, ServerLoad> to, Map<String, ServerLoad> more) {
-    more.forEach((server, load) -> to.merge(server, load, ServerLoad::plus));
+  static void addLoads(Map<String, ServerLoad> to, Map<String, ServerLoad> loads) {
+    loads.forEach((server, load) -> to.merge(server, load, ServerLoad::plus));
   }
 }
--- a/gateway/src/main/java/elmsail/gateway/load/ServerLoad.java
+++ b/gateway/src/main/java/elmsail/gateway/load/ServerLoad.java
@@ -7,14 +7,14 @@
  *
  * @param requests clients' requests without a whole answer
  * @param items batch items under way
- * @param unreadTokens prompt tokens of those without the first byte of an answer
+ * @param pendingPrefillTokens prompt tokens of those without the first byte of an answer
  */
-public record ServerLoad(int requests, int items, int unreadTokens) {
+public record ServerLoad(int requests, int items, int pendingPrefillTokens) {
   /** Nothing is open. */
   public static final ServerLoad NONE = new ServerLoad(0, 0, 0);
 
   /** A garbled or hostile number must not shut a server out for good, nor overflow a sum. */
-  private static final int MOST = 1_000_000;
+  private static final int MAX_VALUE = 1_000_000;
 
   /** Requests and items together. */
   public int open() {
@@ -24,34 +24,34 @@
   /** The sum of both. */
   public ServerLoad plus(ServerLoad other) {
     return new ServerLoad(
-        bounded(requests + other.requests),
-        bounded(items + other.items),
-        bounded(unreadTokens + other.unreadTokens));
+        clamp(requests + other.requests),
+        clamp(items + other.items),
+        clamp(pendingPrefillTokens + other.pendingPrefillTokens));
   }
 
   /** Of each number the larger one. */
-  public ServerLoad atLeast(ServerLoad other) {
+  public ServerLoad max(ServerLoad other) {
     return new ServerLoad(
         Math.max(requests, other.requests),
         Math.max(items, other.items),
-        Math.max(unreadTokens, other.unreadTokens));
+        Math.max(pendingPrefillTokens, other.pendingPrefillTokens));
   }
 
   static ServerLoad of(ServerLoadEntry entry) {
     return new ServerLoad(
-        bounded(entry.requests), bounded(entry.items), bounded(entry.prefillTokens));
+        clamp(entry.requests), clamp(entry.items), clamp(entry.prefillTokens));
   }
 
-  ServerLoadEntry entry(String server) {
+  ServerLoadEntry toEntry(String server) {
     ServerLoadEntry entry = new ServerLoadEntry();
     entry.server = server;
     entry.requests = requests;
     entry.items = items;
-    entry.prefillTokens = unreadTokens;
+    entry.prefillTokens = pendingPrefillTokens;
     return entry;
   }
 
-  private static int bounded(int told) {
-    return Math.max(0, Math.min(MOST, told));
+  private static int clamp(int value) {
+    return Math.max(0, Math.min(MAX_VALUE, value));
   }
 }
--- a/gateway/src/main/java/elmsail/gateway/load/ZoneMembers.java
+++ b/gateway/src/main/java/elmsail/gateway/load/ZoneMembers.java
@@ -14,101 +14,101 @@
  */
 final class ZoneMembers {
   /** A gateway of the zone is a member for so long after it was last heard. */
-  static final long MEMBER_MS = 8_000;
+  static final long MEMBER_EXPIRY_MS = 8_000;
 
   /** The zone of a silent gateway is remembered for so long. */
-  static final long ZONE_KNOWN_MS = 30_000;
+  static final long ZONE_EXPIRY_MS = 30_000;
 
   /** Whoever sums up and tells no total for so long is passed over. */
-  static final long SILENT_MS = 300;
+  static final long TOTAL_TIMEOUT_MS = 300;
 
   /** One that is passed over is tried again after so long, or once it tells a total. */
-  static final long PASSED_OVER_MS = 4_000;
+  static final long AGGREGATOR_SUSPENSION_MS = 4_000;
 
-  private static final int MOST = 4_096;
+  private static final int MAX_MEMBERS = 4_096;
 
   private static final class Member {
     String zone;
     long instanceId;
-    long heardAt;
-    long passedOverUntil = Long.MIN_VALUE;
+    long lastReceivedAt;
+    long suspendedUntil = Long.MIN_VALUE;
   }
 
-  private final String own;
+  private final String ownAddress;
   private final String zone;
   private final MonotonicClock clock;
   private final Map<String, Member> members = new LinkedHashMap<>();
   private String aggregator;
   private long totalExpectedBy;
 
-  ZoneMembers(String own, String zone, MonotonicClock clock) {
-    this.own = own;
+  ZoneMembers(String ownAddress, String zone, MonotonicClock clock) {
+    this.ownAddress = ownAddress;
     this.zone = zone;
     this.clock = clock;
-    aggregator = own;
+    aggregator = ownAddress;
   }
 
   /** A report of that gateway came: whether its instance was not known. */
-  boolean heard(String address, String where, long instanceId) {
+  boolean onReport(String address, String peerZone, long instanceId) {
     Member member = members.get(address);
     if (member == null) {
-      if (members.size() >= MOST) {
+      if (members.size() >= MAX_MEMBERS) {
         return false;
       }
       member = new Member();
       members.put(address, member);
     }
-    boolean unknown = member.instanceId != instanceId || member.zone == null;
-    member.zone = where;
+    boolean isNew = member.instanceId != instanceId || member.zone == null;
+    member.zone = peerZone;
     member.instanceId = instanceId;
-    member.heardAt = clock.now();
-    return unknown;
+    member.lastReceivedAt = clock.now();
+    return isNew;
   }
 
   /** That gateway told the total of the zone. */
-  void heardTotal(String address) {
+  void onTotal(String address) {
     Member member = members.get(address);
     if (member != null) {
-      member.passedOverUntil = Long.MIN_VALUE;
+      member.suspendedUntil = Long.MIN_VALUE;
     }
     if (address.equals(aggregator)) {
-      totalExpectedBy = clock.now() + SILENT_MS;
+      totalExpectedBy = clock.now() + TOTAL_TIMEOUT_MS;
     }
   }
 
   /** From now on totals are told again, after a time in which there was nothing to tell. */
   void expectTotal() {
-    totalExpectedBy = clock.now() + SILENT_MS;
+    totalExpectedBy = clock.now() + TOTAL_TIMEOUT_MS;
   }
 
   /** Who sums up now; this gateway itself where no other is before it. */
   String aggregator() {
     long now = clock.now();
-    if (!aggregator.equals(own) && now > totalExpectedBy) {
-      members.get(aggregator).passedOverUntil = now + PASSED_OVER_MS;
+    if (!aggregator.equals(ownAddress) && now > totalExpectedBy) {
+      members.get(aggregator).suspendedUntil = now + AGGREGATOR_SUSPENSION_MS;
     }
     List<String> candidates = new ArrayList<>();
-    candidates.add(own);
+    candidates.add(ownAddress);
     members.forEach(
         (address, member) -> {
-          if (isMember(member, now) && now >= member.passedOverUntil) {
+          if (isMember(member, now) && now >= member.suspendedUntil) {
             candidates.add(address);
           }
         });
     String first = RendezvousHash.choose(zone, candidates, 1).get(0);
     if (!first.equals(aggregator)) {
       aggregator = first;
-      totalExpectedBy = now + SILENT_MS;
+      totalExpectedBy = now + TOTAL_TIMEOUT_MS;
     }
     return aggregator;
   }
 
   private boolean isMember(Member member, long now) {
-    return member.zone.equals(zone) && now - member.heardAt <= MEMBER_MS;
+    return member.zone.equals(zone) && now - member.lastReceivedAt <= MEMBER_EXPIRY_MS;
   }
 
   /** The other gateways of this zone. */
-  List<String> ofZone() {
+  List<String> zonePeers() {
     long now = clock.now();
     List<String> found = new ArrayList<>();
     members.forEach(
@@ -121,12 +121,12 @@
   }
 
   /** The gateways of each other zone. */
-  Map<String, List<String>> ofOtherZones() {
+  Map<String, List<String>> peersByOtherZone() {
     long now = clock.now();
     Map<String, List<String>> found = new TreeMap<>();
     members.forEach(
         (address, member) -> {
-          if (!member.zone.equals(zone) && now - member.heardAt <= ZONE_KNOWN_MS) {
+          if (!member.zone.equals(zone) && now - member.lastReceivedAt <= ZONE_EXPIRY_MS) {
             found.computeIfAbsent(member.zone, name -> new ArrayList<>()).add(address);
           }
         });
@@ -140,18 +140,18 @@
       return null;
     }
     long now = clock.now();
-    long known = member.zone.equals(zone) ? MEMBER_MS : ZONE_KNOWN_MS;
-    return now - member.heardAt > known ? null : member.zone;
+    long validMs = member.zone.equals(zone) ? MEMBER_EXPIRY_MS : ZONE_EXPIRY_MS;
+    return now - member.lastReceivedAt > validMs ? null : member.zone;
   }
 
   /** Forgets gateways that are not listed and silent. */
-  void keep(List<String> listed) {
+  void expireUnlisted(List<String> listed) {
     long now = clock.now();
     members
         .entrySet()
         .removeIf(
             entry ->
-                now - entry.getValue().heardAt > ZONE_KNOWN_MS
+                now - entry.getValue().lastReceivedAt > ZONE_EXPIRY_MS
                     && !entry.getKey().equals(aggregator)
                     && !listed.contains(entry.getKey()));
   }
--- a/gateway/src/main/java/elmsail/gateway/requests/ClientRequest.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/ClientRequest.java
@@ -22,11 +22,11 @@
   private final byte[] body;
   private final Prompt prompt;
   private int priority;
-  private final boolean item;
+  private final boolean isBatchItem;
   private final MonotonicClock clock;
 
   /** On the loop's clock; Long.MAX_VALUE: none is told. */
-  private final long endsAt;
+  private final long deadlineAt;
 
   private long lastEventId = -1;
 
@@ -37,25 +37,25 @@
       HttpHeaders headers,
       byte[] body,
       int priority,
-      boolean item,
+      boolean isBatchItem,
       MonotonicClock clock,
-      long endsAt) {
+      long deadlineAt) {
     this.id = id;
     this.method = HttpMethod.valueOf(method);
     this.uri = uri;
     this.headers = Headers.endToEnd(headers);
     this.body = body;
-    this.prompt = Prompt.read(headers.get(Headers.PROMPT_PREFIX), headers.get(Headers.TOKENS));
+    this.prompt = Prompt.parse(headers.get(Headers.PROMPT_PREFIX), headers.get(Headers.TOKENS));
     this.priority = priority;
-    this.item = item;
+    this.isBatchItem = isBatchItem;
     this.clock = clock;
-    this.endsAt = endsAt;
+    this.deadlineAt = deadlineAt;
   }
 
   /** The run goes on behind this event; what a client has begun to get is the most urgent. */
-  void goOnBehind(long eventId) {
+  void resumeAfter(long eventId) {
     lastEventId = eventId;
-    if (!item) {
+    if (!isBatchItem) {
       priority = 0;
     }
   }
@@ -72,31 +72,31 @@
 
   @Override
   public boolean item() {
-    return item;
+    return isBatchItem;
   }
 
   @Override
   public long endsAt() {
-    return endsAt;
+    return deadlineAt;
   }
 
   @Override
   public FullHttpRequest message(String serverId) {
     FullHttpRequest message =
         new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, uri, Unpooled.wrappedBuffer(body));
-    HttpHeaders to = message.headers();
-    to.set(headers);
-    to.set(Headers.REQUEST_ID, id);
-    to.set(Headers.EXPECT_SERVER, serverId);
-    to.set(Headers.PRIORITY, Integer.toString(priority));
-    if (endsAt != Long.MAX_VALUE) {
-      to.set(Headers.DEADLINE_MS, Long.toString(Math.max(1, endsAt - clock.now())));
+    HttpHeaders requestHeaders = message.headers();
+    requestHeaders.set(headers);
+    requestHeaders.set(Headers.REQUEST_ID, id);
+    requestHeaders.set(Headers.EXPECT_SERVER, serverId);
+    requestHeaders.set(Headers.PRIORITY, Integer.toString(priority));
+    if (deadlineAt != Long.MAX_VALUE) {
+      requestHeaders.set(Headers.DEADLINE_MS, Long.toString(Math.max(1, deadlineAt - clock.now())));
     }
     if (lastEventId >= 0) {
-      to.set(Headers.LAST_EVENT_ID, Long.toString(lastEventId));
+      requestHeaders.set(Headers.LAST_EVENT_ID, Long.toString(lastEventId));
     }
     if (body.length > 0 || !method.equals(HttpMethod.GET) && !method.equals(HttpMethod.HEAD)) {
-      to.set("Content-Length", Integer.toString(body.length));
+      requestHeaders.set("Content-Length", Integer.toString(body.length));
     }
     return message;
   }
--- a/gateway/src/main/java/elmsail/gateway/requests/ItemDispatcher.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/ItemDispatcher.java
@@ -17,88 +17,88 @@
 
 /** Runs jobs' items in the places that plain requests leave. */
 public final class ItemDispatcher implements ItemServers {
-  private static final int PRIORITY = 8;
+  private static final int ITEM_PRIORITY = 8;
 
-  private final RequestProgress course;
+  private final RequestContext context;
   private final ItemFailures failures = new ItemFailures();
 
   /** Sends items by the same servers and counters as plain requests. */
-  public ItemDispatcher(RequestProgress course) {
-    this.course = course;
+  public ItemDispatcher(RequestContext context) {
+    this.context = context;
   }
 
   @Override
   public int availableCapacity(Route route) {
-    long now = course.timers().now();
+    long now = context.timers().now();
     int sum = 0;
-    for (Server s : course.servers().of(route)) {
-      sum += s.itemRoom(now);
+    for (Server server : context.servers().serversOf(route)) {
+      sum += server.availableItemCapacity(now);
     }
     return sum;
   }
 
   @Override
-  public RunHandle start(Route route, BatchItem piece, long lastEventId, RunListener heard) {
-    long now = course.timers().now();
-    List<Server> open = course.servers().of(route);
-    Set<Server> excluded = serversThatFailed(piece.id(), open);
-    for (Server s : open) {
-      if (s.itemRoom(now) <= 0) {
-        excluded.add(s);
+  public RunHandle start(Route route, BatchItem item, long resumeAfterEventId, RunListener listener) {
+    long now = context.timers().now();
+    List<Server> openServers = context.servers().serversOf(route);
+    Set<Server> excluded = serversThatFailed(item.id(), openServers);
+    for (Server server : openServers) {
+      if (server.availableItemCapacity(now) <= 0) {
+        excluded.add(server);
       }
     }
     HttpHeaders headers = new DefaultHttpHeaders();
-    for (Map.Entry<String, String> e : piece.headers().entrySet()) {
+    for (Map.Entry<String, String> e : item.headers().entrySet()) {
       headers.set(e.getKey(), e.getValue());
     }
     headers.set("Host", route.host());
-    Prompt prompt = Prompt.read(headers.get(Headers.PROMPT_PREFIX), headers.get(Headers.TOKENS));
-    boolean mayProbe = route.maxAttempts() > 1 && !failures.any(piece.id());
+    Prompt prompt = Prompt.parse(headers.get(Headers.PROMPT_PREFIX), headers.get(Headers.TOKENS));
+    boolean mayProbe = route.maxAttempts() > 1 && !failures.hasFailed(item.id());
     Server server =
-        course
+        context
             .servers()
-            .choose(
+            .pick(
                 route,
                 prompt,
                 excluded,
-                mayProbe ? SelectionMode.PROBE_ALLOWED : SelectionMode.SINGLE);
-    if (server == null || !mayProbe && course.servers().avoided(server)) {
+                mayProbe ? SelectionMode.PROBE_ALLOWED : SelectionMode.NOT_RETRYABLE);
+    if (server == null || !mayProbe && context.servers().isUnhealthy(server)) {
       return null;
     }
-    course.counters().count(RequestCounters.Event.ITEM);
-    ClientRequest letter =
+    context.counters().count(RequestCounters.Event.ITEM);
+    ClientRequest request =
         new ClientRequest(
-            piece.id(),
+            item.id(),
             "POST",
-            piece.path(),
+            item.path(),
             headers,
-            piece.body(),
-            PRIORITY,
+            item.body(),
+            ITEM_PRIORITY,
             true,
-            course.timers(),
+            context.timers(),
             Long.MAX_VALUE);
-    if (lastEventId >= 0) {
-      letter.goOnBehind(lastEventId);
+    if (resumeAfterEventId >= 0) {
+      request.resumeAfter(resumeAfterEventId);
     }
     ItemRun run =
         new ItemRun(
-            course.timers(), lastEventId, new FailureRecorder(piece.id(), server.id(), heard));
-    run.on(course.servers().start(server, letter, run));
+            context.timers(), resumeAfterEventId, new FailureRecorder(item.id(), server.id(), listener));
+    run.onStarted(context.servers().start(server, request, run));
     return run;
   }
 
   /** The servers that failed the item, as long as there are others that can be chosen. */
-  private Set<Server> serversThatFailed(String itemId, List<Server> open) {
+  private Set<Server> serversThatFailed(String itemId, List<Server> openServers) {
     Set<Server> failed = new HashSet<>();
-    boolean others = false;
-    for (Server server : open) {
-      if (failures.failed(itemId, server.id())) {
+    boolean hasOthers = false;
+    for (Server server : openServers) {
+      if (failures.hasFailedAt(itemId, server.id())) {
         failed.add(server);
       } else {
-        others |= course.servers().available(server);
+        hasOthers |= context.servers().isAvailable(server);
       }
     }
-    return others ? failed : new HashSet<>();
+    return hasOthers ? failed : new HashSet<>();
   }
 
   /** Keeps which server failed the item, and passes all on. */
@@ -119,13 +119,13 @@
     }
 
     @Override
-    public void onEnded(RunOutcome how) {
-      switch (how) {
+    public void onEnded(RunOutcome result) {
+      switch (result) {
         case FAILED -> failures.add(itemId, serverId);
         case WHOLE, NEVER -> failures.remove(itemId);
         default -> {}
       }
-      listener.onEnded(how);
+      listener.onEnded(result);
     }
   }
 }
--- a/gateway/src/main/java/elmsail/gateway/requests/ItemFailures.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/ItemFailures.java
@@ -10,7 +10,7 @@
  * failures only.
  */
 final class ItemFailures {
-  private static final int MOST_ITEMS = 4_096;
+  private static final int MAX_ITEMS = 4_096;
 
   private final Map<String, Set<String>> serversByItem =
       new LinkedHashMap<>() {
@@ -18,7 +18,7 @@
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Set<String>> eldest) {
-          return size() > MOST_ITEMS;
+          return size() > MAX_ITEMS;
         }
       };
 
@@ -33,12 +33,12 @@
   }
 
   /** Whether any server failed the item. */
-  boolean any(String itemId) {
+  boolean hasFailed(String itemId) {
     return serversByItem.containsKey(itemId);
   }
 
   /** Whether that server failed the item. */
-  boolean failed(String itemId, String serverId) {
+  boolean hasFailedAt(String itemId, String serverId) {
     return serversByItem.getOrDefault(itemId, Set.of()).contains(serverId);
   }
 }
--- a/gateway/src/main/java/elmsail/gateway/requests/ItemRun.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/ItemRun.java
@@ -18,134 +18,134 @@
  * or left never closes the connection, and the item would be stuck there.
  */
 final class ItemRun implements RunHandle, AttemptListener {
-  private static final long LOOK_MS = 250;
+  private static final long CHECK_INTERVAL_MS = 250;
 
   /** A look that comes so late says more of this process than of the server. */
-  private static final long LATE_MS = 150;
+  private static final long MAX_CHECK_DELAY_MS = 150;
 
   /** A run that told nothing for so long is cut where its server is dark or gone. */
-  private static final long SILENT_MS = 3_000;
+  private static final long UNRESPONSIVE_SERVER_TIMEOUT_MS = 3_000;
 
   /** And after so long where its server says that places are free: it waits for none. */
-  private static final long IDLE_SERVER_MS = 4_000;
+  private static final long IDLE_SERVER_TIMEOUT_MS = 4_000;
 
   private final Timers timers;
-  private final RunListener heard;
-  private final EventSplitter events = new EventSplitter(this::event);
-  private Attempt one;
-  private Outcome outcome;
+  private final RunListener listener;
+  private final ServerSentEventSplitter events = new ServerSentEventSplitter(this::onEvent);
+  private Attempt attempt;
+  private AttemptOutcome outcome;
   private int status;
-  private boolean stream;
-  private long last;
-  private boolean over;
-  private long heardAt;
-  private Timer look;
+  private boolean isEventStream;
+  private long lastEventId;
+  private boolean finished;
+  private long lastReceivedAt;
+  private Timer checkTimer;
 
-  ItemRun(Timers timers, long lastEventId, RunListener heard) {
+  ItemRun(Timers timers, long lastEventId, RunListener listener) {
     this.timers = timers;
-    this.last = lastEventId;
-    this.heard = heard;
+    this.lastEventId = lastEventId;
+    this.listener = listener;
   }
 
-  void on(Attempt begun) {
-    one = begun;
-    heardAt = timers.now();
-    look(heardAt);
+  void onStarted(Attempt started) {
+    attempt = started;
+    lastReceivedAt = timers.now();
+    checkTimer(lastReceivedAt);
   }
 
-  private void look(long lastLook) {
-    look =
+  private void checkTimer(long lastCheckAt) {
+    checkTimer =
         timers.schedule(
-            LOOK_MS,
+            CHECK_INTERVAL_MS,
             () -> {
               long now = timers.now();
-              if (now - lastLook <= LOOK_MS + LATE_MS && stuck(now)) {
+              if (now - lastCheckAt <= CHECK_INTERVAL_MS + MAX_CHECK_DELAY_MS && isStuck(now)) {
                 broken();
               } else {
-                look(now);
+                checkTimer(now);
               }
             });
   }
 
-  private boolean stuck(long now) {
-    long silence = now - heardAt;
-    Server server = one.server();
-    return silence >= SILENT_MS && (server.gone() || server.dark(now))
-        || silence >= IDLE_SERVER_MS && server.toldIdle(now);
+  private boolean isStuck(long now) {
+    long silenceMs = now - lastReceivedAt;
+    Server server = attempt.server();
+    return silenceMs >= UNRESPONSIVE_SERVER_TIMEOUT_MS && (server.isRemoved() || server.isUnresponsive(now))
+        || silenceMs >= IDLE_SERVER_TIMEOUT_MS && server.reportsIdle(now);
   }
 
   @Override
   public void cancel() {
-    if (!over) {
+    if (!finished) {
       finish();
-      one.cancel();
+      attempt.cancel();
     }
   }
 
   private void finish() {
-    over = true;
-    events.clear();
-    look.cancel();
+    finished = true;
+    events.discard();
+    checkTimer.cancel();
   }
 
   @Override
   public void head(HttpResponse head) {
-    heardAt = timers.now();
+    lastReceivedAt = timers.now();
     status = head.status().code();
     outcome =
-        Outcome.answered(
+        AttemptOutcome.ofResponse(
             status,
             head.headers().contains(Headers.NOT_RUN),
             head.headers().contains(Headers.POSTMARK));
     boolean success = status >= 200 && status < 300;
-    stream = success && outcome == Outcome.ANSWERED;
-    if (success && !stream) {
+    isEventStream = success && outcome == AttemptOutcome.RESPONDED;
+    if (success && !isEventStream) {
       broken();
     }
   }
 
   @Override
-  public void data(ByteBuf piece) {
-    heardAt = timers.now();
-    if (!stream) {
-      piece.release();
-    } else if (!events.feed(piece) && !over) {
+  public void data(ByteBuf bytes) {
+    lastReceivedAt = timers.now();
+    if (!isEventStream) {
+      bytes.release();
+    } else if (!events.feed(bytes) && !finished) {
       broken();
     }
   }
 
   /** Each event follows the one before it; the first of all may bear any number. */
-  private boolean event(long id, ByteBuf raw) {
-    byte[] data = EventSplitter.data(raw);
+  private boolean onEvent(long id, ByteBuf raw) {
+    byte[] data = ServerSentEventSplitter.data(raw);
     raw.release();
-    if (over) {
+    if (finished) {
       return false;
     }
     if (id < 0) {
       return data == null; // a comment; data that stands nowhere cannot be joined
     }
-    if (last >= 0 && id != last + 1) {
+    if (lastEventId >= 0 && id != lastEventId + 1) {
       return false;
     }
-    last = id;
-    heard.onEvent(id, data == null ? new byte[0] : data);
-    return !over;
+    lastEventId = id;
+    listener.onEvent(id, data == null ? new byte[0] : data);
+    return !finished;
   }
 
   private void broken() {
-    one.cancel();
+    attempt.cancel();
     end(RunOutcome.BROKEN);
   }
 
   @Override
   public void whole() {
-    if (stream) {
-      end(events.partial() ? RunOutcome.BROKEN : RunOutcome.WHOLE);
-    } else if (outcome == Outcome.NOT_RUN) {
+    if (isEventStream) {
+      end(events.hasPartialEvent() ? RunOutcome.BROKEN : RunOutcome.WHOLE);
+    } else if (outcome == AttemptOutcome.NOT_RUN) {
       end(RunOutcome.NOT_RUN);
-    } else if (outcome == Outcome.ANSWERED && status == 500) {
+    } else if (outcome == AttemptOutcome.RESPONDED && status == 500) {
       end(RunOutcome.FAILED);
-    } else if (outcome == Outcome.ANSWERED && status == 422) {
+    } else if (outcome == AttemptOutcome.RESPONDED && status == 422) {
       end(RunOutcome.NEVER);
     } else {
       end(RunOutcome.BROKEN);
@@ -157,10 +157,10 @@
     end(sent ? RunOutcome.BROKEN : RunOutcome.NOT_RUN);
   }
 
-  private void end(RunOutcome how) {
-    if (!over) {
+  private void end(RunOutcome result) {
+    if (!finished) {
       finish();
-      heard.onEnded(how);
+      listener.onEnded(result);
     }
   }
 }
--- a/gateway/src/main/java/elmsail/gateway/requests/Replies.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/LocalReplies.java
@@ -8,38 +8,38 @@
 import java.util.random.RandomGenerator;
 
 /** Answers of our own. */
-public final class Replies {
-  private static final double LEAST_RETRY_S = 0.05;
-  private static final double SPREAD_S = 0.15;
-  private static final double STARTING_S = 0.6;
+public final class LocalReplies {
+  private static final double MIN_RETRY_AFTER_S = 0.05;
+  private static final double RETRY_AFTER_JITTER_S = 0.15;
+  private static final double STARTUP_RETRY_AFTER_S = 0.6;
 
-  private Replies() {}
+  private LocalReplies() {}
 
   /** When a client that was refused is to come back, in seconds. */
-  static double soon(RandomGenerator chance) {
-    return LEAST_RETRY_S + SPREAD_S * chance.nextDouble();
+  static double retryAfterSeconds(RandomGenerator random) {
+    return MIN_RETRY_AFTER_S + RETRY_AFTER_JITTER_S * random.nextDouble();
   }
 
   /**
    * Likewise from a gateway that hasn't heard yet what it needs: a client waits a third of its time
    * at most.
    */
-  static double starting(RandomGenerator chance) {
-    return STARTING_S + 2 * SPREAD_S * chance.nextDouble();
+  static double startupRetryAfterSeconds(RandomGenerator random) {
+    return STARTUP_RETRY_AFTER_S + 2 * RETRY_AFTER_JITTER_S * random.nextDouble();
   }
 
   /** An empty answer. */
-  public static void own(ResponseSink client, int status, String id, double retryAfterS) {
+  public static void send(ResponseSink client, int status, String id, double retryAfterS) {
     HttpHeaders headers = new DefaultHttpHeaders();
     if (id != null) {
       headers.set(Headers.REQUEST_ID, id);
     }
-    retry(headers, retryAfterS);
+    setRetryAfter(headers, retryAfterS);
     client.whole(status, headers, Unpooled.EMPTY_BUFFER);
   }
 
   /** One about a job; a body that begins like JSON is told as such. */
-  static void job(ResponseSink client, BatchService.Reply reply) {
+  static void sendBatchReply(ResponseSink client, BatchService.Reply reply) {
     if (reply.status() == 0) {
       client.breakOff();
       return;
@@ -49,11 +49,11 @@
     if (body.length > 0) {
       headers.set("Content-Type", body[0] == '{' ? "application/json" : "application/octet-stream");
     }
-    retry(headers, reply.retryAfterS());
+    setRetryAfter(headers, reply.retryAfterS());
     client.whole(reply.status(), headers, Unpooled.wrappedBuffer(body));
   }
 
-  private static void retry(HttpHeaders headers, double seconds) {
+  private static void setRetryAfter(HttpHeaders headers, double seconds) {
     if (seconds > 0) {
       headers.set(
           Headers.RETRY_AFTER, Double.toString(Math.max(1, Math.round(seconds * 1_000)) / 1_000.0));
--- a/gateway/src/main/java/elmsail/gateway/requests/RequestLine.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/ReceivedRequest.java
@@ -6,10 +6,10 @@
  * A client's request, whole.
  *
  * @param uri path and query as they came
- * @param arrivedMs when its first byte was read, on the loop's clock
+ * @param arrivedAt when its first byte was read, on the loop's clock
  */
-public record RequestLine(
-    String method, String uri, HttpHeaders headers, byte[] body, long arrivedMs) {
+public record ReceivedRequest(
+    String method, String uri, HttpHeaders headers, byte[] body, long arrivedAt) {
 
   /** The path as it came, without the query. */
   public String path() {
--- a/gateway/src/main/java/elmsail/gateway/requests/RequestProgress.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/RequestContext.java
@@ -7,9 +7,9 @@
 import java.util.random.RandomGenerator;
 
 /** What every request needs on its way. */
-public record RequestProgress(
+public record RequestContext(
     Timers timers,
-    ClusterState known,
+    ClusterState clusterState,
     Servers servers,
     RequestCounters counters,
-    RandomGenerator chance) {}
+    RandomGenerator random) {}
--- a/gateway/src/main/java/elmsail/gateway/requests/RequestDispatcher.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/RequestDispatcher.java
@@ -16,29 +16,29 @@
 public final class RequestDispatcher {
   private static final String JOBS_PATH = "/lots/";
   private static final String ITEMS_PATH = "/items/";
-  private static final long MOST_WAIT_MS = 5_000;
+  private static final long MAX_WAIT_MS = 5_000;
 
   /** Where neither the client nor the route tells a time. */
-  private static final long MOST_MS = 600_000;
+  private static final long MAX_REQUEST_MS = 600_000;
 
-  private final RequestProgress context;
+  private final RequestContext context;
   private final BatchService jobs;
 
   /** Passes batch calls to {@code jobs} and forwards all others. */
-  public RequestDispatcher(RequestProgress context, BatchService jobs) {
+  public RequestDispatcher(RequestContext context, BatchService jobs) {
     this.context = context;
     this.jobs = jobs;
   }
 
   /** Takes the request; it is answered once, now or later. */
-  public RequestHandle take(RequestLine request, ResponseSink client) {
-    RoutingConfig now = context.known().config();
+  public RequestHandle dispatch(ReceivedRequest request, ResponseSink client) {
+    RoutingConfig config = context.clusterState().config();
     String host = request.headers().get("Host");
     if (host == null || host.isEmpty() || request.headers().getAll("Host").size() > 1) {
-      return answer(client, 400, null, RequestCounters.Event.BAD_REQUEST);
+      return sendLocalReply(client, 400, null, RequestCounters.Event.BAD_REQUEST);
     }
-    if (now == null) {
-      return answer(
+    if (config == null) {
+      return sendLocalReply(
           client,
           503,
           request.headers().get(Headers.REQUEST_ID),
@@ -46,74 +46,74 @@
     }
     String path = request.path();
     if (path.startsWith(JOBS_PATH)) {
-      return jobCall(request, path.substring(JOBS_PATH.length()), client);
+      return handleJobCall(request, path.substring(JOBS_PATH.length()), client);
     }
     if (path.startsWith(ITEMS_PATH) && request.method().equals("GET")) {
       context.counters().count(RequestCounters.Event.LOT_CALL);
-      return response(
+      return relayBatchReply(
           jobs.readItemBody(path.substring(ITEMS_PATH.length()), parameter(request, "id")), client);
     }
-    Route route = now.match(host, path);
+    Route route = config.match(host, path);
     String id = request.headers().get(Headers.REQUEST_ID);
     if (route == null) {
-      return answer(client, 404, id, RequestCounters.Event.NO_ROUTE);
+      return sendLocalReply(client, 404, id, RequestCounters.Event.NO_ROUTE);
     }
     if (id == null || id.isEmpty() || request.headers().getAll(Headers.REQUEST_ID).size() > 1) {
-      return answer(client, 400, null, RequestCounters.Event.BAD_REQUEST);
+      return sendLocalReply(client, 400, null, RequestCounters.Event.BAD_REQUEST);
     }
-    long endsAt = request.arrivedMs() + time(request, route);
+    long deadlineAt = request.arrivedAt() + timeoutMs(request, route);
     if (route.kind() == Route.Kind.BATCH) {
-      return submit(request, route, id, endsAt, client);
+      return submitJob(request, route, id, deadlineAt, client);
     }
-    RequestForwarder forwarder = new RequestForwarder(context, route, request, id, endsAt, client);
+    RequestForwarder forwarder = new RequestForwarder(context, route, request, id, deadlineAt, client);
     forwarder.start();
     return forwarder;
   }
 
-  private static long time(RequestLine request, Route route) {
-    long most = route.timeoutMs() > 0 ? route.timeoutMs() : MOST_MS;
-    return Math.min(most, Headers.number(request.headers().get(Headers.DEADLINE_MS), most));
+  private static long timeoutMs(ReceivedRequest request, Route route) {
+    long maxMs = route.timeoutMs() > 0 ? route.timeoutMs() : MAX_REQUEST_MS;
+    return Math.min(maxMs, Headers.parseNonNegative(request.headers().get(Headers.DEADLINE_MS), maxMs));
   }
 
-  private RequestHandle submit(
-      RequestLine request, Route route, String id, long endsAt, ResponseSink client) {
+  private RequestHandle submitJob(
+      ReceivedRequest request, Route route, String id, long deadlineAt, ResponseSink client) {
     if (!request.method().equals("POST")) {
-      return answer(client, 405, id, RequestCounters.Event.BAD_REQUEST);
+      return sendLocalReply(client, 405, id, RequestCounters.Event.BAD_REQUEST);
     }
     context.counters().count(RequestCounters.Event.LOT_CALL);
-    long left = Math.max(1, endsAt - context.timers().now());
-    return response(jobs.submit(route, id, request.body(), left), client);
+    long remainingMs = Math.max(1, deadlineAt - context.timers().now());
+    return relayBatchReply(jobs.submit(route, id, request.body(), remainingMs), client);
   }
 
-  private RequestHandle jobCall(RequestLine request, String job, ResponseSink client) {
+  private RequestHandle handleJobCall(ReceivedRequest request, String jobId, ResponseSink client) {
     context.counters().count(RequestCounters.Event.LOT_CALL);
     switch (request.method()) {
       case "GET" -> {
-        long after = Headers.number(parameter(request, "after"), 0);
+        long after = Headers.parseNonNegative(parameter(request, "after"), 0);
         long wait =
-            Math.min(MOST_WAIT_MS, Headers.number(request.headers().get(Headers.WAIT_MS), 0));
-        return response(jobs.readResults(job, after, wait), client);
+            Math.min(MAX_WAIT_MS, Headers.parseNonNegative(request.headers().get(Headers.WAIT_MS), 0));
+        return relayBatchReply(jobs.readResults(jobId, after, wait), client);
       }
       case "DELETE" -> {
-        return response(jobs.end(job), client);
+        return relayBatchReply(jobs.end(jobId), client);
       }
       default -> {
-        return answer(client, 405, null, RequestCounters.Event.BAD_REQUEST);
+        return sendLocalReply(client, 405, null, RequestCounters.Event.BAD_REQUEST);
       }
     }
   }
 
-  private static String parameter(RequestLine request, String name) {
+  private static String parameter(ReceivedRequest request, String name) {
     List<String> values = new QueryStringDecoder(request.uri()).parameters().get(name);
     return values == null || values.isEmpty() ? "" : values.get(0);
   }
 
-  private static RequestHandle response(
+  private static RequestHandle relayBatchReply(
       CompletableFuture<BatchService.Reply> reply, ResponseSink client) {
     reply.whenComplete(
         (r, fault) -> {
           if (fault == null) {
-            Replies.job(client, r);
+            LocalReplies.sendBatchReply(client, r);
           } else {
             client.breakOff(); // nothing is sure
           }
@@ -121,10 +121,10 @@
     return RequestHandle.NONE;
   }
 
-  private RequestHandle answer(
-      ResponseSink client, int status, String id, RequestCounters.Event why) {
-    context.counters().count(why);
-    Replies.own(client, status, id, status == 503 ? Replies.starting(context.chance()) : 0);
+  private RequestHandle sendLocalReply(
+      ResponseSink client, int status, String id, RequestCounters.Event reason) {
+    context.counters().count(reason);
+    LocalReplies.send(client, status, id, status == 503 ? LocalReplies.startupRetryAfterSeconds(context.random()) : 0);
     return RequestHandle.NONE;
   }
 }
--- a/gateway/src/main/java/elmsail/gateway/requests/RequestForwarder.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/RequestForwarder.java
@@ -19,172 +19,172 @@
  */
 final class RequestForwarder implements RequestHandle, AttemptListener {
   /** Tries that never left and do not count for the route's own bound. */
-  private static final int MOST_UNSENT = 6;
+  private static final int MAX_NOT_SENT_ATTEMPTS = 6;
 
   /** With less time left nothing more is sent. */
-  private static final long LEAST_MS = 5;
+  private static final long MIN_REMAINING_MS = 5;
 
   /** Of requests; behind it stand jobs' items. */
-  private static final int LEAST_URGENT = 7;
+  private static final int MAX_REQUEST_PRIORITY = 7;
 
-  private static final long WATCH_MS = 200;
+  private static final long CHECK_INTERVAL_MS = 200;
 
   /** A look that comes so late says more of this process than of any server. */
-  private static final long LATE_MS = 150;
+  private static final long MAX_CHECK_DELAY_MS = 150;
 
-  private final RequestProgress course;
+  private final RequestContext context;
   private final Route route;
-  private final ClientRequest letter;
-  private final ResponseRelay passing;
-  private final Set<Server> been = new HashSet<>();
-  private final long endsAt;
-  private Timer end;
-  private Timer watch;
-  private Attempt now;
-  private int sentTo;
-  private int unsent;
+  private final ClientRequest request;
+  private final ResponseRelay relay;
+  private final Set<Server> attemptedServers = new HashSet<>();
+  private final long deadlineAt;
+  private Timer deadlineTimer;
+  private Timer checkTimer;
+  private Attempt attempt;
+  private int sentAttempts;
+  private int notSentAttempts;
   private boolean mayHaveRun;
 
   /** The first server's error, while the request is retried, or null. */
-  private HeldFailure failure;
+  private RetainedErrorResponse firstError;
 
-  private boolean over;
+  private boolean finished;
 
   RequestForwarder(
-      RequestProgress course,
+      RequestContext context,
       Route route,
-      RequestLine asked,
+      ReceivedRequest received,
       String id,
-      long endsAt,
+      long deadlineAt,
       ResponseSink client) {
-    this.course = course;
+    this.context = context;
     this.route = route;
-    this.endsAt = endsAt;
-    letter =
+    this.deadlineAt = deadlineAt;
+    request =
         new ClientRequest(
             id,
-            asked.method(),
-            asked.uri(),
-            asked.headers(),
-            asked.body(),
-            Math.min(LEAST_URGENT, 1 + Math.max(0, route.priority())),
+            received.method(),
+            received.uri(),
+            received.headers(),
+            received.body(),
+            Math.min(MAX_REQUEST_PRIORITY, 1 + Math.max(0, route.priority())),
             false,
-            course.timers(),
-            endsAt);
+            context.timers(),
+            deadlineAt);
     boolean stream = route.kind() == Route.Kind.STREAM;
-    passing = new ResponseRelay(client, stream, stream && route.resumable());
+    relay = new ResponseRelay(client, stream, stream && route.resumable());
   }
 
   void start() {
-    long left = endsAt - course.timers().now();
-    if (left <= 0) {
-      refuse(RequestCounters.Event.REFUSED_NOT_RUN);
+    long remainingMs = deadlineAt - context.timers().now();
+    if (remainingMs <= 0) {
+      reject(RequestCounters.Event.REFUSED_NOT_RUN);
       return;
     }
-    end = course.timers().schedule(left, this::timeOver);
-    next();
-    if (!over && route.isIdempotent()) {
-      watch(course.timers().now());
+    deadlineTimer = context.timers().schedule(remainingMs, this::onDeadline);
+    startAttempt();
+    if (!finished && route.isIdempotent()) {
+      checkTimer(context.timers().now());
     }
   }
 
   /** Looks now and then whether the server has gone dark, so that the rest may be had elsewhere. */
-  private void watch(long lastLook) {
-    watch =
-        course
+  private void checkTimer(long lastCheckAt) {
+    checkTimer =
+        context
             .timers()
             .schedule(
-                WATCH_MS,
+                CHECK_INTERVAL_MS,
                 () -> {
-                  long at = course.timers().now();
-                  boolean late = at - lastLook > WATCH_MS + LATE_MS;
-                  if (!late && now != null && now.sent() && now.server().dark(at) && mayGoOn()) {
-                    course.counters().count(RequestCounters.Event.GONE_DARK);
-                    now.timedOut(at);
+                  long now = context.timers().now();
+                  boolean late = now - lastCheckAt > CHECK_INTERVAL_MS + MAX_CHECK_DELAY_MS;
+                  if (!late && attempt != null && attempt.isSent() && attempt.server().isUnresponsive(now) && hasRetryTarget()) {
+                    context.counters().count(RequestCounters.Event.GONE_DARK);
+                    attempt.timedOut(now);
                     failed(true);
                   }
-                  if (!over) {
-                    watch(at);
+                  if (!finished) {
+                    checkTimer(now);
                   }
                 });
   }
 
   /** Whether one more server is allowed and there. */
-  private boolean mayGoOn() {
-    Server other = oneMoreAllowed() ? course.servers().choose(route, letter.prompt(), been) : null;
-    return other != null && !course.servers().avoided(other);
+  private boolean hasRetryTarget() {
+    Server other = retryAllowed() ? context.servers().pick(route, request.prompt(), attemptedServers) : null;
+    return other != null && !context.servers().isUnhealthy(other);
   }
 
-  private boolean oneMoreAllowed() {
-    return sentTo + 1 < route.maxAttempts();
+  private boolean retryAllowed() {
+    return sentAttempts + 1 < route.maxAttempts();
   }
 
   /** An error of the server that gets the request next is made up for if it may be retried. */
   private SelectionMode selectionMode() {
-    if (failure != null) {
+    if (firstError != null) {
       return SelectionMode.AFTER_ERROR;
     }
-    boolean retried = route.isIdempotent() && oneMoreAllowed() && passing.lastEvent() < 0;
-    return retried ? SelectionMode.PROBE_PREFERRED : SelectionMode.SINGLE;
+    boolean retried = route.isIdempotent() && retryAllowed() && relay.lastEventId() < 0;
+    return retried ? SelectionMode.PROBE_PREFERRED : SelectionMode.NOT_RETRYABLE;
   }
 
-  private void next() {
-    boolean spent =
-        sentTo >= Math.max(1, route.maxAttempts())
-            || unsent >= MOST_UNSENT
+  private void startAttempt() {
+    boolean exhausted =
+        sentAttempts >= Math.max(1, route.maxAttempts())
+            || notSentAttempts >= MAX_NOT_SENT_ATTEMPTS
             || mayHaveRun && !route.isIdempotent()
-            || endsAt - course.timers().now() < LEAST_MS;
+            || deadlineAt - context.timers().now() < MIN_REMAINING_MS;
     Server server =
-        spent ? null : course.servers().choose(route, letter.prompt(), been, selectionMode());
+        exhausted ? null : context.servers().pick(route, request.prompt(), attemptedServers, selectionMode());
     if (server == null) {
       giveUp();
       return;
     }
-    if (been.isEmpty() && course.servers().refuses(server, letter.prompt(), route.latencyTargetMs())) {
-      refuse(RequestCounters.Event.REFUSED_FULL);
+    if (attemptedServers.isEmpty() && context.servers().rejects(server, request.prompt(), route.latencyTargetMs())) {
+      reject(RequestCounters.Event.REFUSED_FULL);
       return;
     }
-    been.add(server);
-    if (passing.lastEvent() >= 0) {
-      letter.goOnBehind(passing.lastEvent());
-      course.counters().count(RequestCounters.Event.RESUMED);
+    attemptedServers.add(server);
+    if (relay.lastEventId() >= 0) {
+      request.resumeAfter(relay.lastEventId());
+      context.counters().count(RequestCounters.Event.RESUMED);
     }
-    passing.nextTry();
-    now = course.servers().start(server, letter, this);
-    now.pause(!passing.wanted());
+    relay.prepareNextAttempt();
+    attempt = context.servers().start(server, request, this);
+    attempt.setReadPaused(!relay.clientAcceptsData());
   }
 
   private void giveUp() {
-    if (passing.begun()) {
-      breakOff();
-    } else if (failure != null) {
-      passOnFailure();
+    if (relay.hasStarted()) {
+      abort();
+    } else if (firstError != null) {
+      relayFirstError();
     } else if (mayHaveRun) {
-      own(Outcome.ownStatus(true, false), RequestCounters.Event.BAD_GATEWAY);
+      sendLocalReply(AttemptOutcome.localReplyStatus(true, false), RequestCounters.Event.BAD_GATEWAY);
     } else {
-      refuse(
-          sentTo > 0
+      reject(
+          sentAttempts > 0
               ? RequestCounters.Event.REFUSED_NOT_RUN
               : RequestCounters.Event.REFUSED_NO_SERVER);
     }
   }
 
-  private void timeOver() {
-    if (over) {
+  private void onDeadline() {
+    if (finished) {
       return;
     }
-    boolean sent = now != null && now.sent();
-    if (now != null) {
-      now.timedOut(course.timers().now());
+    boolean sent = attempt != null && attempt.isSent();
+    if (attempt != null) {
+      attempt.timedOut(context.timers().now());
     }
-    course.counters().count(RequestCounters.Event.TIMED_OUT);
-    if (passing.begun()) {
-      breakOff();
-    } else if (failure != null) {
-      passOnFailure();
+    context.counters().count(RequestCounters.Event.TIMED_OUT);
+    if (relay.hasStarted()) {
+      abort();
+    } else if (firstError != null) {
+      relayFirstError();
     } else {
-      int status = Outcome.ownStatus(mayHaveRun || sent, true);
-      own(
+      int status = AttemptOutcome.localReplyStatus(mayHaveRun || sent, true);
+      sendLocalReply(
           status,
           status == 503
               ? RequestCounters.Event.REFUSED_NOT_RUN
@@ -193,84 +193,84 @@
   }
 
   /** The retry came to nothing: the first server's answer stands. */
-  private void passOnFailure() {
-    HeldFailure answer = failure;
-    failure = null;
+  private void relayFirstError() {
+    RetainedErrorResponse error = firstError;
+    firstError = null;
     finish();
-    course.counters().count(RequestCounters.Event.SERVED);
-    answer.passOn(passing.client());
+    context.counters().count(RequestCounters.Event.SERVED);
+    error.sendTo(relay.client());
   }
 
-  private void refuse(RequestCounters.Event why) {
-    own(503, why);
+  private void reject(RequestCounters.Event reason) {
+    sendLocalReply(503, reason);
   }
 
-  private void own(int status, RequestCounters.Event why) {
+  private void sendLocalReply(int status, RequestCounters.Event reason) {
     finish();
-    course.counters().count(why);
-    double back =
-        course.servers().any() ? Replies.soon(course.chance()) : Replies.starting(course.chance());
-    Replies.own(passing.client(), status, letter.id(), status == 503 ? back : 0);
+    context.counters().count(reason);
+    double retryAfterSeconds =
+        context.servers().hasAny() ? LocalReplies.retryAfterSeconds(context.random()) : LocalReplies.startupRetryAfterSeconds(context.random());
+    LocalReplies.send(relay.client(), status, request.id(), status == 503 ? retryAfterSeconds : 0);
   }
 
-  private void breakOff() {
+  private void abort() {
     finish();
-    course.counters().count(RequestCounters.Event.BROKEN_OFF);
-    passing.client().breakOff();
+    context.counters().count(RequestCounters.Event.BROKEN_OFF);
+    relay.client().breakOff();
   }
 
   private void finish() {
-    over = true;
-    now = null;
-    passing.drop();
-    if (failure != null) {
-      failure.release();
-      failure = null;
+    finished = true;
+    attempt = null;
+    relay.discard();
+    if (firstError != null) {
+      firstError.release();
+      firstError = null;
     }
-    if (end != null) {
-      end.cancel();
+    if (deadlineTimer != null) {
+      deadlineTimer.cancel();
     }
-    if (watch != null) {
-      watch.cancel();
+    if (checkTimer != null) {
+      checkTimer.cancel();
     }
   }
 
   @Override
   public void left() {
-    if (!over) {
-      course.counters().count(RequestCounters.Event.CLIENT_LEFT);
-      if (now != null) {
-        now.cancel();
+    if (!finished) {
+      context.counters().count(RequestCounters.Event.CLIENT_LEFT);
+      if (attempt != null) {
+        attempt.cancel();
       }
       finish();
     }
   }
 
   @Override
-  public void writable(boolean on) {
-    if (now != null && !over) {
-      now.pause(!on);
+  public void writable(boolean writable) {
+    if (attempt != null && !finished) {
+      attempt.setReadPaused(!writable);
     }
   }
 
   @Override
   public void head(HttpResponse head) {
-    if (!passing.head(head)) {
-      fault();
+    if (!relay.onHead(head)) {
+      onUnusableResponse();
     }
   }
 
   @Override
-  public void data(ByteBuf piece) {
-    if (!passing.data(piece)) {
-      fault();
+  public void data(ByteBuf bytes) {
+    if (!relay.onData(bytes)) {
+      onUnusableResponse();
     }
   }
 
   /** What came is not to be passed on: the try is as good as broken. */
-  private void fault() {
-    if (now != null) {
-      now.cancel();
+  private void onUnusableResponse() {
+    if (attempt != null) {
+      attempt.cancel();
     }
     failed(true);
   }
@@ -280,15 +280,15 @@
     if (retryAfterError()) {
       return;
     }
-    switch (passing.whole()) {
-      case ANSWERED -> {
+    switch (relay.onComplete()) {
+      case RESPONDED -> {
         finish();
-        course.counters().count(RequestCounters.Event.SERVED);
+        context.counters().count(RequestCounters.Event.SERVED);
       }
       case NOT_RUN -> {
-        course.counters().count(RequestCounters.Event.TRY_NOT_RUN);
-        sentTo++;
-        next();
+        context.counters().count(RequestCounters.Event.TRY_NOT_RUN);
+        sentAttempts++;
+        startAttempt();
       }
       default -> failed(true);
     }
@@ -296,36 +296,36 @@
 
   /** Retries the request elsewhere if the answer is a server's error and that may mend it. */
   private boolean retryAfterError() {
-    boolean timeLeft = endsAt - course.timers().now() >= LEAST_MS;
-    boolean mayRetry = failure == null && route.isIdempotent() && timeLeft;
-    if (!mayRetry || !passing.holdsFailure() || !mayGoOn()) {
+    boolean timeLeft = deadlineAt - context.timers().now() >= MIN_REMAINING_MS;
+    boolean mayRetry = firstError == null && route.isIdempotent() && timeLeft;
+    if (!mayRetry || !relay.hasRetryableError() || !hasRetryTarget()) {
       return false;
     }
-    failure = passing.takeFailure();
-    course.counters().count(RequestCounters.Event.RETRIED_AFTER_ERROR);
-    now = null;
+    firstError = relay.takeError();
+    context.counters().count(RequestCounters.Event.RETRIED_AFTER_ERROR);
+    attempt = null;
     mayHaveRun = true;
-    sentTo++;
-    next();
+    sentAttempts++;
+    startAttempt();
     return true;
   }
 
   @Override
   public void failed(boolean sent) {
-    if (over) {
+    if (finished) {
       return;
     }
-    now = null;
-    course
+    attempt = null;
+    context
         .counters()
         .count(sent ? RequestCounters.Event.TRY_SENT_FAILED : RequestCounters.Event.TRY_UNSENT);
     mayHaveRun |= sent;
-    sentTo += sent ? 1 : 0;
-    unsent += sent ? 0 : 1;
-    if (passing.outOfOrder()) {
-      breakOff();
+    sentAttempts += sent ? 1 : 0;
+    notSentAttempts += sent ? 0 : 1;
+    if (relay.isOutOfOrder()) {
+      abort();
     } else {
-      next();
+      startAttempt();
     }
   }
 }
--- a/gateway/src/main/java/elmsail/gateway/requests/RequestHandle.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/RequestHandle.java
@@ -6,7 +6,7 @@
   void left();
 
   /** The client reads on, or does not for now. */
-  void writable(boolean now);
+  void writable(boolean writable);
 
   /** One that needs neither. */
   RequestHandle NONE =
@@ -15,6 +15,6 @@
         public void left() {}
 
         @Override
-        public void writable(boolean now) {}
+        public void writable(boolean writable) {}
       };
 }
--- a/gateway/src/main/java/elmsail/gateway/requests/ResponseRelay.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/ResponseRelay.java
@@ -16,11 +16,11 @@
  */
 final class ResponseRelay {
   /** Up to so many bytes an answer that is no stream is held. */
-  static final int MOST_HELD = 64 * 1024;
+  static final int MAX_BUFFERED_BYTES = 64 * 1024;
 
   private enum Mode {
     NONE,
-    HOLD,
+    BUFFER,
     RAW,
     EVENTS
   }
@@ -28,15 +28,15 @@
   private final ResponseSink client;
   private final boolean stream;
   private final boolean resumable;
-  private EventSplitter events = new EventSplitter(this::event);
-  private HttpResponse head;
-  private Outcome outcome;
-  private CompositeByteBuf held;
+  private ServerSentEventSplitter events = new ServerSentEventSplitter(this::onEvent);
+  private HttpResponse onHead;
+  private AttemptOutcome outcome;
+  private CompositeByteBuf buffered;
   private Mode mode = Mode.NONE;
-  private boolean begun;
-  private long lastEvent = -1;
-  private boolean joins;
-  private boolean outOfOrder;
+  private boolean hasStarted;
+  private long lastEventId = -1;
+  private boolean resuming;
+  private boolean isOutOfOrder;
 
   /**
    * For one request.
@@ -54,52 +54,52 @@
   }
 
   /** Whether the client has the head of an answer. */
-  boolean begun() {
-    return begun;
+  boolean hasStarted() {
+    return hasStarted;
   }
 
   /** The last event that the client has, or -1. */
-  long lastEvent() {
-    return lastEvent;
+  long lastEventId() {
+    return lastEventId;
   }
 
   /** Whether a run that was to go on behind an event did not: nothing can mend the answer. */
-  boolean outOfOrder() {
-    return outOfOrder;
+  boolean isOutOfOrder() {
+    return isOutOfOrder;
   }
 
   /** Whether the client takes more for now. */
-  boolean wanted() {
-    return !begun || client.writable();
+  boolean clientAcceptsData() {
+    return !hasStarted || client.writable();
   }
 
-  void nextTry() {
-    drop();
-    joins = lastEvent >= 0;
+  void prepareNextAttempt() {
+    discard();
+    resuming = lastEventId >= 0;
   }
 
   /** Frees what is held of an answer. */
-  void drop() {
-    if (held != null) {
-      held.release();
-      held = null;
+  void discard() {
+    if (buffered != null) {
+      buffered.release();
+      buffered = null;
     }
-    events.clear();
-    events = new EventSplitter(this::event);
+    events.discard();
+    events = new ServerSentEventSplitter(this::onEvent);
     mode = Mode.NONE;
-    head = null;
+    onHead = null;
   }
 
   /** False where the answer is none that may be passed on. */
-  boolean head(HttpResponse answer) {
-    head = answer;
-    int status = answer.status().code();
-    HttpHeaders headers = answer.headers();
+  boolean onHead(HttpResponse responseHead) {
+    onHead = responseHead;
+    int status = responseHead.status().code();
+    HttpHeaders headers = responseHead.headers();
     outcome =
-        Outcome.answered(
+        AttemptOutcome.ofResponse(
             status, headers.contains(Headers.NOT_RUN), headers.contains(Headers.POSTMARK));
     boolean success = status >= 200 && status < 300;
-    if (success && outcome != Outcome.ANSWERED) {
+    if (success && outcome != AttemptOutcome.RESPONDED) {
       return false;
     }
     String type = headers.get("Content-Type");
@@ -107,103 +107,103 @@
     if (success && (events || stream)) {
       mode = events && resumable ? Mode.EVENTS : Mode.RAW;
     } else {
-      mode = Mode.HOLD;
+      mode = Mode.BUFFER;
     }
-    return !begun || !success || mode == Mode.EVENTS;
+    return !hasStarted || !success || mode == Mode.EVENTS;
   }
 
   /** False where the answer must not go on. */
-  boolean data(ByteBuf bytes) {
+  boolean onData(ByteBuf bytes) {
     switch (mode) {
       case RAW -> {
-        begin();
+        sendHeadOnce();
         client.data(bytes);
       }
       case EVENTS -> {
         return events.feed(bytes);
       }
-      case HOLD -> hold(bytes);
+      case BUFFER -> buffer(bytes);
       default -> bytes.release();
     }
     return true;
   }
 
-  private void hold(ByteBuf bytes) {
-    if (held == null) {
-      held = Unpooled.compositeBuffer(Integer.MAX_VALUE);
+  private void buffer(ByteBuf bytes) {
+    if (buffered == null) {
+      buffered = Unpooled.compositeBuffer(Integer.MAX_VALUE);
     }
-    held.addComponent(true, bytes);
-    if (held.readableBytes() > MOST_HELD) {
-      if (outcome == Outcome.ANSWERED && !begun) {
-        ByteBuf all = held;
-        held = null;
-        begin();
+    buffered.addComponent(true, bytes);
+    if (buffered.readableBytes() > MAX_BUFFERED_BYTES) {
+      if (outcome == AttemptOutcome.RESPONDED && !hasStarted) {
+        ByteBuf all = buffered;
+        buffered = null;
+        sendHeadOnce();
         client.data(all);
         mode = Mode.RAW;
       } else {
-        held.release(); // of no use to anybody
-        held = null;
+        buffered.release(); // of no use to anybody
+        buffered = null;
       }
     }
   }
 
-  private boolean event(long id, ByteBuf raw) {
+  private boolean onEvent(long id, ByteBuf raw) {
     if (id >= 0) {
-      if (joins && id != lastEvent + 1) {
+      if (resuming && id != lastEventId + 1) {
         raw.release();
-        outOfOrder = true;
+        isOutOfOrder = true;
         return false;
       }
-      joins = false;
-      lastEvent = id;
+      resuming = false;
+      lastEventId = id;
     }
-    begin();
+    sendHeadOnce();
     client.data(raw);
     return true;
   }
 
-  private void begin() {
-    if (!begun) {
-      begun = true;
-      long length = mode == Mode.EVENTS ? -1 : HttpUtil.getContentLength(head, -1L);
-      client.head(head.status().code(), Headers.endToEnd(head.headers()), length);
+  private void sendHeadOnce() {
+    if (!hasStarted) {
+      hasStarted = true;
+      long length = mode == Mode.EVENTS ? -1 : HttpUtil.getContentLength(onHead, -1L);
+      client.head(onHead.status().code(), Headers.endToEnd(onHead.headers()), length);
     }
   }
 
   /** Whether the answer is an error that another server may mend, and the client has none of it. */
-  boolean holdsFailure() {
-    return !begun
-        && mode == Mode.HOLD
-        && outcome == Outcome.ANSWERED
-        && HeldFailure.retryable(head.status().code());
+  boolean hasRetryableError() {
+    return !hasStarted
+        && mode == Mode.BUFFER
+        && outcome == AttemptOutcome.RESPONDED
+        && RetainedErrorResponse.isRetryable(onHead.status().code());
   }
 
-  /** Takes the whole answer of the present try out of the relay; see {@link #holdsFailure}. */
-  HeldFailure takeFailure() {
-    HeldFailure taken = new HeldFailure(head, held == null ? Unpooled.EMPTY_BUFFER : held);
-    held = null;
-    return taken;
+  /** Takes the whole answer of the present try out of the relay; see {@link #hasRetryableError}. */
+  RetainedErrorResponse takeError() {
+    RetainedErrorResponse error = new RetainedErrorResponse(onHead, buffered == null ? Unpooled.EMPTY_BUFFER : buffered);
+    buffered = null;
+    return error;
   }
 
   /** The answer of the present attempt is whole: what it means, passed on if it is to be. */
-  Outcome whole() {
-    if (mode == Mode.EVENTS && events.partial()) {
-      return Outcome.SENT;
+  AttemptOutcome onComplete() {
+    if (mode == Mode.EVENTS && events.hasPartialEvent()) {
+      return AttemptOutcome.UNKNOWN;
     }
-    if (begun && (mode == Mode.RAW || mode == Mode.EVENTS)) {
+    if (hasStarted && (mode == Mode.RAW || mode == Mode.EVENTS)) {
       client.end();
-      return Outcome.ANSWERED;
+      return AttemptOutcome.RESPONDED;
     }
-    if (outcome != Outcome.ANSWERED) {
+    if (outcome != AttemptOutcome.RESPONDED) {
       return outcome;
     }
-    if (begun) {
-      return Outcome.SENT; // an answer of another kind in the midst of a stream
+    if (hasStarted) {
+      return AttemptOutcome.UNKNOWN; // an answer of another kind in the midst of a stream
     }
-    ByteBuf body = held == null ? Unpooled.EMPTY_BUFFER : held;
-    held = null;
-    begun = true;
-    client.whole(head.status().code(), Headers.endToEnd(head.headers()), body);
-    return Outcome.ANSWERED;
+    ByteBuf body = buffered == null ? Unpooled.EMPTY_BUFFER : buffered;
+    buffered = null;
+    hasStarted = true;
+    client.whole(onHead.status().code(), Headers.endToEnd(onHead.headers()), body);
+    return AttemptOutcome.RESPONDED;
   }
 }
--- a/gateway/src/main/java/elmsail/gateway/requests/HeldFailure.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/RetainedErrorResponse.java
@@ -5,15 +5,15 @@
 import io.netty.handler.codec.http.HttpResponse;
 
 /** A server's whole error answer, kept while its request is retried elsewhere. */
-record HeldFailure(HttpResponse head, ByteBuf body) {
+record RetainedErrorResponse(HttpResponse head, ByteBuf body) {
 
   /** Whether an answer of that status may be better at another server. */
-  static boolean retryable(int status) {
+  static boolean isRetryable(int status) {
     return status == 500 || status == 502 || status == 504;
   }
 
   /** Answers the client with it; the body is released by the client's side. */
-  void passOn(ResponseSink client) {
+  void sendTo(ResponseSink client) {
     client.whole(head.status().code(), Headers.endToEnd(head.headers()), body);
   }
 
--- a/gateway/src/main/java/elmsail/gateway/requests/EventSplitter.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/ServerSentEventSplitter.java
@@ -7,9 +7,9 @@
  * Cuts a series of events ({@code text/event-stream}) into its events, bytes unchanged. An event
  * ends with an empty line; lines end with LF, CR LF, or CR that is not the last byte so far.
  */
-final class EventSplitter {
+final class ServerSentEventSplitter {
   /** An event longer than this is none. */
-  static final int MOST_BYTES = 1 << 20;
+  static final int MAX_EVENT_BYTES = 1 << 20;
 
   /** Gets each whole event; returns false to be told no more. */
   interface Sink {
@@ -23,37 +23,37 @@
   }
 
   private final Sink sink;
-  private ByteBuf rest = Unpooled.EMPTY_BUFFER;
+  private ByteBuf remainder = Unpooled.EMPTY_BUFFER;
 
-  EventSplitter(Sink sink) {
+  ServerSentEventSplitter(Sink sink) {
     this.sink = sink;
   }
 
   /** Takes and releases the bytes; false where an event is too long or the sink wants no more. */
   boolean feed(ByteBuf bytes) {
     ByteBuf all;
-    if (rest.isReadable()) {
-      all = Unpooled.buffer(rest.readableBytes() + bytes.readableBytes());
-      all.writeBytes(rest).writeBytes(bytes);
-      rest.release();
+    if (remainder.isReadable()) {
+      all = Unpooled.buffer(remainder.readableBytes() + bytes.readableBytes());
+      all.writeBytes(remainder).writeBytes(bytes);
+      remainder.release();
       bytes.release();
     } else {
       all = bytes;
     }
-    rest = Unpooled.EMPTY_BUFFER;
+    remainder = Unpooled.EMPTY_BUFFER;
     try {
-      int end = end(all);
+      int end = findEventEnd(all);
       while (end >= 0) {
         ByteBuf raw = all.readRetainedSlice(end - all.readerIndex());
-        if (!sink.event(id(raw), raw)) {
+        if (!sink.event(parseId(raw), raw)) {
           return false;
         }
-        end = end(all);
+        end = findEventEnd(all);
       }
-      if (all.readableBytes() > MOST_BYTES) {
+      if (all.readableBytes() > MAX_EVENT_BYTES) {
         return false;
       }
-      rest = all.isReadable() ? Unpooled.copiedBuffer(all) : Unpooled.EMPTY_BUFFER;
+      remainder = all.isReadable() ? Unpooled.copiedBuffer(all) : Unpooled.EMPTY_BUFFER;
       return true;
     } finally {
       all.release();
@@ -61,23 +61,23 @@
   }
 
   /** Whether bytes of an event that is not whole have come. */
-  boolean partial() {
-    return rest.isReadable();
+  boolean hasPartialEvent() {
+    return remainder.isReadable();
   }
 
-  void clear() {
-    rest.release();
-    rest = Unpooled.EMPTY_BUFFER;
+  void discard() {
+    remainder.release();
+    remainder = Unpooled.EMPTY_BUFFER;
   }
 
   /** The index behind the first event, or -1. */
-  private static int end(ByteBuf in) {
-    boolean lineBegun = false;
+  private static int findEventEnd(ByteBuf in) {
+    boolean lineStarted = false;
     int to = in.writerIndex();
     for (int i = in.readerIndex(); i < to; i++) {
       byte character = in.getByte(i);
       if (character != '\n' && character != '\r') {
-        lineBegun = true;
+        lineStarted = true;
         continue;
       }
       int next = i + 1;
@@ -89,33 +89,33 @@
           next++;
         }
       }
-      if (!lineBegun) {
+      if (!lineStarted) {
         return next;
       }
-      lineBegun = false;
+      lineStarted = false;
       i = next - 1;
     }
     return -1;
   }
 
-  private static long id(ByteBuf raw) {
+  private static long parseId(ByteBuf raw) {
     long id = -1;
     int at = raw.readerIndex();
     int to = raw.writerIndex();
     while (at < to) {
-      int end = lineEnd(raw, at);
+      int end = findLineEnd(raw, at);
       if (end - at > 3
           && raw.getByte(at) == 'i'
           && raw.getByte(at + 1) == 'd'
           && raw.getByte(at + 2) == ':') {
-        id = number(raw, at + 3, end);
+        id = parseNumber(raw, at + 3, end);
       }
       at = end + 1;
     }
     return id;
   }
 
-  private static long number(ByteBuf raw, int from, int to) {
+  private static long parseNumber(ByteBuf raw, int from, int to) {
     long value = -1;
     for (int i = from; i < to; i++) {
       int digit = raw.getByte(i) - '0';
@@ -128,7 +128,7 @@
     return value;
   }
 
-  private static int lineEnd(ByteBuf raw, int from) {
+  private static int findLineEnd(ByteBuf raw, int from) {
     int at = from;
     while (at < raw.writerIndex() && raw.getByte(at) != '\n' && raw.getByte(at) != '\r') {
       at++;
@@ -143,8 +143,8 @@
     boolean any = false;
     int at = raw.readerIndex();
     while (at < raw.writerIndex()) {
-      int end = lineEnd(raw, at);
-      int from = behind(raw, at, end);
+      int end = findLineEnd(raw, at);
+      int from = dataValueStart(raw, at, end);
       if (from >= 0) {
         if (any) {
           joined[length++] = '\n';
@@ -159,7 +159,7 @@
   }
 
   /** Where the value of a {@code data} line begins, or -1 for other lines. */
-  private static int behind(ByteBuf raw, int at, int end) {
+  private static int dataValueStart(ByteBuf raw, int at, int end) {
     String name = "data";
     if (end - at < name.length()) {
       return -1;
--- a/gateway/src/main/java/elmsail/gateway/servers/AdmissionPolicy.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/AdmissionPolicy.java
@@ -9,10 +9,10 @@
    * Of the objective, until the first token. A short queue keeps a server as busy as a long one,
    * and leaves time for what the estimate does not see.
    */
-  private static final double MOST_WAIT_SHARED = 0.5;
+  private static final double MAX_WAIT_RATIO_SHARED_LOAD = 0.5;
 
   /** Likewise where the wait is known from the load that servers told some time ago. */
-  private static final double MOST_WAIT_TOLD = 2;
+  private static final double MAX_WAIT_RATIO_REPORTED_LOAD = 2;
 
   private AdmissionPolicy() {}
 
@@ -21,20 +21,20 @@
    *
    * @param waitMs estimated, until it is read there; its own prompt does not count, or long ones
    *     would be refused even by idle servers
-   * @param shared whether the estimate rests on what all gateways have open now
+   * @param fromSharedLoad whether the estimate rests on what all gateways have open now
    */
-  public record Estimate(double waitMs, boolean shared) {}
+  public record Estimate(double waitMs, boolean fromSharedLoad) {}
 
   /**
    * Whether to refuse.
    *
-   * @param dueMs the route's objective, 0: none, and nothing is refused
+   * @param latencyTargetMs the route's objective, 0: none, and nothing is refused
    */
-  public static boolean refuses(Estimate estimate, long dueMs) {
-    if (dueMs <= 0) {
+  public static boolean rejects(Estimate estimate, long latencyTargetMs) {
+    if (latencyTargetMs <= 0) {
       return false;
     }
-    double most = estimate.shared() ? MOST_WAIT_SHARED : MOST_WAIT_TOLD;
-    return estimate.waitMs() > dueMs * most;
+    double maxWaitRatio = estimate.fromSharedLoad() ? MAX_WAIT_RATIO_SHARED_LOAD : MAX_WAIT_RATIO_REPORTED_LOAD;
+    return estimate.waitMs() > latencyTargetMs * maxWaitRatio;
   }
 }
--- a/gateway/src/main/java/elmsail/gateway/servers/Attempt.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/Attempt.java
@@ -10,20 +10,20 @@
  */
 public final class Attempt {
   private final Server server;
-  private final OutgoingRequest out;
+  private final OutgoingRequest request;
   private final AttemptListener listener;
-  private final long since;
+  private final long startedAt;
   private Channel channel;
-  private boolean sent;
-  private boolean over;
-  private boolean paused;
-  private boolean answered;
+  private boolean isSent;
+  private boolean isFinished;
+  private boolean isPaused;
+  private boolean hasResponse;
 
   Attempt(Server server, OutgoingRequest out, AttemptListener listener, long since) {
     this.server = server;
-    this.out = out;
+    this.request = out;
     this.listener = listener;
-    this.since = since;
+    this.startedAt = since;
   }
 
   /** The server that it was sent to. */
@@ -31,53 +31,53 @@
     return server;
   }
 
-  OutgoingRequest out() {
-    return out;
+  OutgoingRequest request() {
+    return request;
   }
 
   /** When it began, on the loop's clock. */
-  long since() {
-    return since;
+  long startedAt() {
+    return startedAt;
   }
 
   /** Whether a byte of it may have left. */
-  public boolean sent() {
-    return sent;
+  public boolean isSent() {
+    return isSent;
   }
 
   /** Whether anything more is to be heard of it. */
-  boolean over() {
-    return over;
+  boolean isFinished() {
+    return isFinished;
   }
 
-  boolean answered() {
-    return answered;
+  boolean hasResponse() {
+    return hasResponse;
   }
 
-  boolean paused() {
-    return paused;
+  boolean isPaused() {
+    return isPaused;
   }
 
-  void on(Channel open) {
-    channel = open;
+  void bindTo(Channel boundChannel) {
+    channel = boundChannel;
   }
 
-  void sending() {
-    sent = true;
+  void markSent() {
+    isSent = true;
   }
 
   /** It got no answer in its time: closes the connection, and the server is avoided for a while. */
   public void timedOut(long now) {
-    if (!over && !answered && now - since >= Server.QUIET_MS && server.avoided(now)) {
-      server.failed(now);
+    if (!isFinished && !hasResponse && now - startedAt >= Server.SUSPECT_AFTER_MS && server.isSuspect(now)) {
+      server.recordFailure(now);
     }
     cancel();
   }
 
   /** Closes the connection, so the server drops the request; nothing more is heard. */
   public void cancel() {
-    if (!over) {
-      end();
+    if (!isFinished) {
+      finish();
       if (channel != null) {
         channel.close();
       }
@@ -85,64 +85,64 @@
   }
 
   /** Reads no more of the answer for now, or goes on reading. */
-  public void pause(boolean on) {
-    paused = on;
-    if (channel != null && !over) {
-      channel.config().setAutoRead(!on);
+  public void setReadPaused(boolean paused) {
+    isPaused = paused;
+    if (channel != null && !isFinished) {
+      channel.config().setAutoRead(!paused);
     }
   }
 
   /**
    * Tells the server's circuit breaker what the answer says of it: whether it is ejected by this.
    */
-  boolean judge(HttpResponse head, long now) {
+  boolean recordResult(HttpResponse head, long now) {
     boolean notRun = head.headers().contains(Headers.NOT_RUN);
-    return switch (ResponseClass.of(head.status().code(), notRun, out.endsAt() - now)) {
+    return switch (ResponseClass.of(head.status().code(), notRun, request.endsAt() - now)) {
       case SUCCESS -> {
-        server.succeeded(now);
+        server.recordSuccess(now);
         yield false;
       }
-      case SERVER_ERROR -> server.errored(now);
+      case SERVER_ERROR -> server.recordError(now);
       case NEUTRAL -> false;
     };
   }
 
-  void head(HttpResponse head) {
-    begun();
+  void onHead(HttpResponse head) {
+    markResponseStarted();
     listener.head(head);
   }
 
-  void data(ByteBuf bytes) {
-    if (over) {
+  void onData(ByteBuf bytes) {
+    if (isFinished) {
       bytes.release();
     } else {
       listener.data(bytes);
     }
   }
 
-  void whole() {
-    if (!over) {
-      end();
+  void onComplete() {
+    if (!isFinished) {
+      finish();
       listener.whole();
     }
   }
 
-  void failed() {
-    if (!over) {
-      end();
-      listener.failed(sent);
+  void onFailure() {
+    if (!isFinished) {
+      finish();
+      listener.failed(isSent);
     }
   }
 
-  private void begun() {
-    if (!answered) {
-      answered = true;
-      server.answering(this);
+  private void markResponseStarted() {
+    if (!hasResponse) {
+      hasResponse = true;
+      server.onResponseStarted(this);
     }
   }
 
-  private void end() {
-    over = true;
-    server.ended(this);
+  private void finish() {
+    isFinished = true;
+    server.onAttemptEnded(this);
   }
 }
--- a/gateway/src/main/java/elmsail/gateway/servers/ConnectionPool.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ConnectionPool.java
@@ -21,33 +21,33 @@
  */
 final class ConnectionPool {
   /** No connect may take longer before another server is tried. */
-  private static final int CONNECT_MS = 150;
+  private static final int CONNECT_TIMEOUT_MS = 150;
 
   /** Nor to one that has failed lately. */
-  private static final int DOUBTFUL_CONNECT_MS = 80;
+  private static final int SUSPECT_CONNECT_TIMEOUT_MS = 80;
 
   /** A connection rests so long behind an answer, as an extra one may come late. */
-  private static final long REST_MS = 20;
+  private static final long REUSE_DELAY_MS = 20;
 
-  private static final int LEAST_CONNECTIONS = 4;
+  private static final int MIN_CONNECTIONS = 4;
   private static final int DEFAULT_CONNECTIONS = 64;
   private static final int LOW_WATER_BYTES = 32 * 1024;
   private static final int HIGH_WATER_BYTES = 64 * 1024;
 
   private final Timers timers;
-  private final ClusterState known;
+  private final ClusterState clusterState;
   private final RequestCounters counters;
   private final Bootstrap bootstrap;
-  private boolean stopped;
+  private boolean isStopped;
 
-  ConnectionPool(Timers timers, EventLoop loop, ClusterState known, RequestCounters counters) {
+  ConnectionPool(Timers timers, EventLoop loop, ClusterState clusterState, RequestCounters counters) {
     this.timers = timers;
-    this.known = known;
+    this.clusterState = clusterState;
     this.counters = counters;
     bootstrap =
         new Bootstrap()
             .group(loop)
-            .channel(QuietSocketChannel.class)
+            .channel(IdleCheckSocketChannel.class)
             .option(ChannelOption.TCP_NODELAY, true)
             // So that an end in order is told apart from a reset and from a close by this side.
             .option(ChannelOption.ALLOW_HALF_CLOSURE, true)
@@ -66,51 +66,51 @@
 
   /** Answered connections are not kept from here on. */
   void stop() {
-    stopped = true;
+    isStopped = true;
   }
 
-  boolean stopped() {
-    return stopped;
+  boolean isStopped() {
+    return isStopped;
   }
 
   /** Whether answered connections are kept. */
-  boolean keeps(Server server) {
-    return !stopped && !server.gone();
+  boolean keepsConnections(Server server) {
+    return !isStopped && !server.isRemoved();
   }
 
   /**
    * How many connections to a server this gateway may have, so that all gateways together keep
    * within its cap.
    */
-  int most(Server server) {
-    RoutingConfig now = known.config();
-    Service service = now == null ? null : now.services().get(server.entry().service());
+  int maxConnections(Server server) {
+    RoutingConfig config = clusterState.config();
+    Service service = config == null ? null : config.services().get(server.entry().service());
     int cap =
         service == null || service.maxConnections() <= 0 ? DEFAULT_CONNECTIONS : service.maxConnections();
-    return Math.max(LEAST_CONNECTIONS, cap / Math.max(1, known.view().gateways.size()));
+    return Math.max(MIN_CONNECTIONS, cap / Math.max(1, clusterState.view().gateways.size()));
   }
 
   /** Sends the attempt's request over some connection; what is heard of it comes later. */
-  void carry(Server server, Attempt attempt) {
-    boolean connectFirst = server.doubtful(timers.now()) && server.connections < most(server);
-    ServerConnection kept = connectFirst ? null : rested(server, attempt.out().id());
-    if (kept != null) {
-      kept.carry(attempt);
+  void send(Server server, Attempt attempt) {
+    boolean connectFirst = server.isConnectionDoubtful(timers.now()) && server.connectionCount < maxConnections(server);
+    ServerConnection reusable = connectFirst ? null : pollReusable(server, attempt.request().id());
+    if (reusable != null) {
+      reusable.send(attempt);
     } else {
       connect(server, attempt);
     }
   }
 
   /** An idle connection that may carry a request of that id, or null. */
-  private ServerConnection rested(Server server, String requestId) {
+  private ServerConnection pollReusable(Server server, String requestId) {
     long now = timers.now();
-    boolean full = server.connections >= most(server);
-    for (Iterator<ServerConnection> all = server.idle.descendingIterator(); all.hasNext(); ) {
+    boolean atLimit = server.connectionCount >= maxConnections(server);
+    for (Iterator<ServerConnection> all = server.idleConnections.descendingIterator(); all.hasNext(); ) {
       ServerConnection connection = all.next();
-      if ((now - connection.idleSince() >= REST_MS || full)
-          && !connection.hasJustCarried(requestId)) {
+      if ((now - connection.idleSince() >= REUSE_DELAY_MS || atLimit)
+          && !connection.lastCarried(requestId)) {
         all.remove();
-        if (connection.usable(now)) {
+        if (connection.isUsable(now)) {
           return connection;
         }
         connection.close();
@@ -121,52 +121,52 @@
 
   private void connect(Server server, Attempt attempt) {
     ServerConnection connection = new ServerConnection(this, server);
-    server.connections++;
-    int limit = server.doubtful(timers.now()) ? DOUBTFUL_CONNECT_MS : CONNECT_MS;
-    Bootstrap limited = bootstrap.clone().option(ChannelOption.CONNECT_TIMEOUT_MILLIS, limit);
+    server.connectionCount++;
+    int connectTimeoutMs = server.isConnectionDoubtful(timers.now()) ? SUSPECT_CONNECT_TIMEOUT_MS : CONNECT_TIMEOUT_MS;
+    Bootstrap timedBootstrap = bootstrap.clone().option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMs);
     ChannelFuture connect =
-        limited
+        timedBootstrap
             .handler(
                 new ChannelInitializer<Channel>() {
                   @Override
                   protected void initChannel(Channel channel) {
-                    connection.into(channel.pipeline());
+                    connection.addTo(channel.pipeline());
                   }
                 })
             .connect(Addresses.parse(server.entry().address()));
-    attempt.on(connect.channel());
-    connect.channel().closeFuture().addListener(f -> server.connections--);
+    attempt.bindTo(connect.channel());
+    connect.channel().closeFuture().addListener(f -> server.connectionCount--);
     if (connect.isDone()) {
       timers.execute(
           () ->
-              connected(
+              onConnectDone(
                   connect,
                   server,
                   connection,
                   attempt)); // not within the call that begins the attempt
     } else {
       connect.addListener(
-          (ChannelFuture connecting) -> connected(connecting, server, connection, attempt));
+          (ChannelFuture connecting) -> onConnectDone(connecting, server, connection, attempt));
     }
   }
 
-  private void connected(
+  private void onConnectDone(
       ChannelFuture connecting, Server server, ServerConnection connection, Attempt attempt) {
     if (!connecting.isSuccess()) {
       connecting.channel().close();
       counters.count(RequestCounters.Event.CONNECT_FAILED);
-      if (!attempt.over()) { // a cancelled one says nothing of the server
-        server.failed(timers.now());
-        attempt.failed();
+      if (!attempt.isFinished()) { // a cancelled one says nothing of the server
+        server.recordFailure(timers.now());
+        attempt.onFailure();
       }
       return;
     }
     counters.count(RequestCounters.Event.CONNECTED);
-    if (attempt.over() || server.gone()) {
+    if (attempt.isFinished() || server.isRemoved()) {
       connecting.channel().close();
-      attempt.failed();
+      attempt.onFailure();
     } else {
-      connection.carry(attempt);
+      connection.send(attempt);
     }
   }
 }
--- a/gateway/src/main/java/elmsail/gateway/servers/SharedLoads.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/DelegatingPeerLoads.java
@@ -4,28 +4,28 @@
 import elmsail.gateway.load.ServerLoad;
 
 /** The other gateways' loads, by whoever tells them at the time; nobody at first. */
-final class SharedLoads implements PeerLoads {
-  private PeerLoads peers = PeerLoads.NONE;
-  private Runnable loadChanged = () -> {};
+final class DelegatingPeerLoads implements PeerLoads {
+  private PeerLoads delegate = PeerLoads.NONE;
+  private Runnable onLoadChanged = () -> {};
 
   /** From now on these; {@code loadChanged} is called when what is open here has changed. */
-  void by(PeerLoads newPeers, Runnable newLoadChanged) {
-    peers = newPeers;
-    loadChanged = newLoadChanged;
+  void delegateTo(PeerLoads newDelegate, Runnable newOnLoadChanged) {
+    delegate = newDelegate;
+    onLoadChanged = newOnLoadChanged;
   }
 
   /** What is open here has changed. */
-  void changed() {
-    loadChanged.run();
+  void notifyLoadChanged() {
+    onLoadChanged.run();
   }
 
   @Override
   public boolean heard() {
-    return peers.heard();
+    return delegate.heard();
   }
 
   @Override
   public ServerLoad at(String serverId) {
-    return peers.at(serverId);
+    return delegate.at(serverId);
   }
 }
--- a/gateway/src/main/java/elmsail/gateway/servers/ErrorBackoff.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ErrorBackoff.java
@@ -6,27 +6,27 @@
  * and gets one probe at a time, until a success closes the breaker.
  */
 final class ErrorBackoff {
-  static final long FIRST_MS = 1_000;
-  static final long MOST_MS = 8_000;
+  static final long INITIAL_EJECTION_MS = 1_000;
+  static final long MAX_EJECTION_MS = 8_000;
 
   /** Where nothing that may be repeated comes, any request may probe so much later. */
-  static final long LATE_PROBE_MS = 2_000;
+  static final long NON_RETRYABLE_PROBE_DELAY_MS = 2_000;
 
   /** A success so long ago says little of a server now. */
   static final long RECENT_SUCCESS_MS = 1_000;
 
-  private static final int MOST_DOUBLINGS = 3;
+  private static final int MAX_DOUBLINGS = 3;
 
   private int consecutiveErrors;
-  private boolean ejected;
+  private boolean isEjected;
   private long ejectedAt;
   private long probeAt;
   private boolean probing;
-  private long succeededAt = Long.MIN_VALUE / 2;
+  private long lastSuccessAt = Long.MIN_VALUE / 2;
 
   /** Whether the server is avoided or half-open. */
-  boolean ejected() {
-    return ejected;
+  boolean isEjected() {
+    return isEjected;
   }
 
   /** Errors since the last success; those that came while it was avoided count as one. */
@@ -44,51 +44,51 @@
    *
    * @return whether this ejects it; errors of requests that were under way then change nothing
    */
-  boolean errored(long now) {
-    if (ejected && now < probeAt) {
+  boolean recordError(long now) {
+    if (isEjected && now < probeAt) {
       return false;
     }
-    long backoffMs = Math.min(MOST_MS, FIRST_MS << Math.min(consecutiveErrors, MOST_DOUBLINGS));
+    long backoffMs = Math.min(MAX_EJECTION_MS, INITIAL_EJECTION_MS << Math.min(consecutiveErrors, MAX_DOUBLINGS));
     consecutiveErrors++;
-    ejected = true;
+    isEjected = true;
     ejectedAt = now;
     probeAt = now + backoffMs;
     return true;
   }
 
   /** The server answered with a success: closes the breaker. */
-  void succeeded(long now) {
-    succeededAt = now;
+  void recordSuccess(long now) {
+    lastSuccessAt = now;
     consecutiveErrors = 0;
-    ejected = false;
+    isEjected = false;
   }
 
   /** Whether it served a request just now and has not erred since. */
-  boolean servedLately(long now) {
-    return consecutiveErrors == 0 && now - succeededAt <= RECENT_SUCCESS_MS;
+  boolean servedRecently(long now) {
+    return consecutiveErrors == 0 && now - lastSuccessAt <= RECENT_SUCCESS_MS;
   }
 
   /** Ends the ejection for the sake of the other servers; the next error doubles as before. */
-  void release() {
-    ejected = false;
+  void uneject() {
+    isEjected = false;
   }
 
   /**
    * Whether a request may be sent to it as a probe.
    *
-   * @param early whether an error of this request would be retried elsewhere
+   * @param retryable whether an error of this request would be retried elsewhere
    */
-  boolean mayProbe(boolean early, long now) {
-    return ejected && !probing && now >= (early ? probeAt : probeAt + LATE_PROBE_MS);
+  boolean mayProbe(boolean retryable, long now) {
+    return isEjected && !probing && now >= (retryable ? probeAt : probeAt + NON_RETRYABLE_PROBE_DELAY_MS);
   }
 
   /** Whether the server is to be passed over for such a request; see {@link #mayProbe}. */
-  boolean avoided(boolean early, long now) {
-    return ejected && !mayProbe(early, now);
+  boolean isAvoided(boolean retryable, long now) {
+    return isEjected && !mayProbe(retryable, now);
   }
 
   /** A request is sent to it: whether this is the probe of a half-open server. */
-  boolean probe(long now) {
+  boolean tryStartProbe(long now) {
     if (!mayProbe(true, now)) {
       return false;
     }
@@ -97,7 +97,7 @@
   }
 
   /** The probe has its answer or will have none. */
-  void probeEnded() {
+  void endProbe() {
     probing = false;
   }
 }
--- a/gateway/src/main/java/elmsail/gateway/servers/FailureBackoff.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/FailureBackoff.java
@@ -5,44 +5,44 @@
  * further failure, until it answers again. Pure; times in ms of the steady clock.
  */
 final class FailureBackoff {
-  private static final long FIRST_MS = 250;
-  private static final long MOST_MS = 3_000;
+  private static final long INITIAL_BACKOFF_MS = 250;
+  private static final long MAX_BACKOFF_MS = 3_000;
 
   /** Answers that break off one after the other count as a failure: single ones happen. */
-  private static final int BREAKS = 2;
+  private static final int BROKEN_RESPONSES_PER_FAILURE = 2;
 
-  private long until = Long.MIN_VALUE;
-  private long lengthMs;
-  private int breaks;
+  private long avoidedUntil = Long.MIN_VALUE;
+  private long backoffMs;
+  private int consecutiveBrokenResponses;
 
   /** It answered. */
-  void heard() {
-    breaks = 0;
-    lengthMs = 0;
-    until = Long.MIN_VALUE;
+  void recordResponse() {
+    consecutiveBrokenResponses = 0;
+    backoffMs = 0;
+    avoidedUntil = Long.MIN_VALUE;
   }
 
   /** It failed; failures while it is avoided change nothing. */
-  void failed(long now) {
-    if (now >= until) {
-      lengthMs = Math.min(MOST_MS, Math.max(FIRST_MS, 2 * lengthMs));
-      until = now + lengthMs;
+  void recordFailure(long now) {
+    if (now >= avoidedUntil) {
+      backoffMs = Math.min(MAX_BACKOFF_MS, Math.max(INITIAL_BACKOFF_MS, 2 * backoffMs));
+      avoidedUntil = now + backoffMs;
     }
   }
 
   /** An answer broke off: whether that counts as a failure now. */
-  boolean broke() {
-    breaks++;
-    return breaks >= BREAKS;
+  boolean recordBrokenResponse() {
+    consecutiveBrokenResponses++;
+    return consecutiveBrokenResponses >= BROKEN_RESPONSES_PER_FAILURE;
   }
 
   /** Whether it is avoided. */
-  boolean avoided(long now) {
-    return now < until;
+  boolean isAvoided(long now) {
+    return now < avoidedUntil;
   }
 
   /** Whether it has failed since it last answered. */
-  boolean doubtful() {
-    return lengthMs > 0;
+  boolean hasFailedSinceResponse() {
+    return backoffMs > 0;
   }
 }
--- a/gateway/src/main/java/elmsail/gateway/servers/OutlierDetector.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/OutlierDetector.java
@@ -14,40 +14,40 @@
   private static final int SERVERS_PER_EJECTION = 2;
 
   /** Those with the fewest errors come back first, of these the one that was ejected first. */
-  private static final Comparator<ErrorBackoff> LEAST_SUSPECT =
+  private static final Comparator<ErrorBackoff> FEWEST_ERRORS_FIRST =
       Comparator.comparingInt(ErrorBackoff::consecutiveErrors)
           .thenComparingLong(ErrorBackoff::ejectedAt);
 
   private final Set<ErrorBackoff> servers = new LinkedHashSet<>();
 
   /** Adds a server of the service. */
-  ErrorBackoff add() {
+  ErrorBackoff addServer() {
     ErrorBackoff server = new ErrorBackoff();
     servers.add(server);
     return server;
   }
 
   /** The server is not listed any more. */
-  void remove(ErrorBackoff server) {
+  void removeServer(ErrorBackoff server) {
     servers.remove(server);
-    keepWithinLimit();
+    enforceEjectionLimit();
   }
 
   /** The server answered with an error: whether it is ejected by this. */
-  boolean errored(ErrorBackoff server, long now) {
-    if (!server.errored(now)) {
+  boolean recordError(ErrorBackoff server, long now) {
+    if (!server.recordError(now)) {
       return false;
     }
-    keepWithinLimit();
-    return server.ejected();
+    enforceEjectionLimit();
+    return server.isEjected();
   }
 
-  private void keepWithinLimit() {
-    List<ErrorBackoff> ejected = servers.stream().filter(ErrorBackoff::ejected).toList();
+  private void enforceEjectionLimit() {
+    List<ErrorBackoff> ejected = servers.stream().filter(ErrorBackoff::isEjected).toList();
     int excess = ejected.size() - servers.size() / SERVERS_PER_EJECTION;
     ejected.stream()
-        .sorted(LEAST_SUSPECT)
+        .sorted(FEWEST_ERRORS_FIRST)
         .limit(Math.max(0, excess))
-        .forEach(ErrorBackoff::release);
+        .forEach(ErrorBackoff::uneject);
   }
 }
--- /dev/null
+++ b/gateway/src/main/java/elmsail/gateway/servers/PrefixCacheEstimate.java
@@ -0,0 +1,60 @@
+package elmsail.gateway.servers;
+
+import java.util.Iterator;
+import java.util.LinkedHashMap;
+import java.util.Map;
+
+/**
+ * Which parts of prompts one server was sent lately and so may have kept; the longest unused give
+ * way.
+ */
+final class PrefixCacheEstimate {
+  private static final int MAX_SEGMENTS = 4_096;
+  private static final int INITIAL_CAPACITY = 64;
+  private static final float LOAD_FACTOR = 0.75f;
+
+  private final LinkedHashMap<Long, Integer> tokensBySegment = new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
+  private long maxTokens;
+  private long totalTokens;
+
+  PrefixCacheEstimate(long maxTokens) {
+    this.maxTokens = maxTokens;
+  }
+
+  void setMaxTokens(long tokens) {
+    maxTokens = tokens;
+  }
+
+  /** How many of the prompt's tokens need not be read anew, if nothing was given up since. */
+  int cachedTokens(Prompt prompt) {
+    int sum = 0;
+    for (int i = 0; i < prompt.segmentKeys().length && tokensBySegment.containsKey(prompt.segmentKeys()[i]); i++) {
+      sum += prompt.segmentTokens()[i];
+    }
+    return sum;
+  }
+
+  /** The server reads this prompt. */
+  void record(Prompt prompt) {
+    // The last ones first: of two parts unused for equally long the later one goes before what it
+    // stands on.
+    for (int i = prompt.segmentKeys().length - 1; i >= 0; i--) {
+      Integer before = tokensBySegment.put(prompt.segmentKeys()[i], prompt.segmentTokens()[i]);
+      totalTokens += prompt.segmentTokens()[i] - (before == null ? 0 : before);
+    }
+    Iterator<Map.Entry<Long, Integer>> oldest = tokensBySegment.entrySet().iterator();
+    while ((totalTokens > maxTokens || tokensBySegment.size() > MAX_SEGMENTS) && oldest.hasNext()) {
+      totalTokens -= oldest.next().getValue();
+      oldest.remove();
+    }
+  }
+
+  void clear() {
+    tokensBySegment.clear();
+    totalTokens = 0;
+  }
+
+  int size() {
+    return tokensBySegment.size();
+  }
+}
--- a/gateway/src/main/java/elmsail/gateway/servers/PromptAffinity.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/PromptAffinity.java
@@ -17,7 +17,7 @@
 
   /** The prompt's own order of the servers; one without a shared part takes them in turn. */
   long[] ranks(List<Server> open, Prompt prompt) {
-    long key = prompt.sharedKey() == 0 ? Prompt.mix(++turn) : prompt.sharedKey();
+    long key = prompt.sharedPrefixKey() == 0 ? Prompt.mix(++turn) : prompt.sharedPrefixKey();
     long[] ranks = new long[open.size()];
     for (int i = 0; i < ranks.length; i++) {
       ranks[i] = rank(key, open.get(i));
@@ -29,21 +29,21 @@
    * All gateways of a zone name the same server of it for the prompt's shared part, as long as the
    * list stays; where the zone has none, all servers count. Null where nothing is shared.
    */
-  Server home(List<Server> open, Prompt prompt) {
-    long key = prompt.sharedKey();
-    Server first = null;
-    boolean firstNear = false;
-    long most = Long.MIN_VALUE;
+  Server ownServer(List<Server> open, Prompt prompt) {
+    long key = prompt.sharedPrefixKey();
+    Server best = null;
+    boolean bestInZone = false;
+    long bestRank = Long.MIN_VALUE;
     for (Server server : open) {
-      boolean near = zone.equals(server.entry().zone());
+      boolean sameZone = zone.equals(server.entry().zone());
       long rank = rank(key, server);
-      if (key != 0 && (first == null || near && !firstNear || near == firstNear && rank > most)) {
-        first = server;
-        firstNear = near;
-        most = rank;
+      if (key != 0 && (best == null || sameZone && !bestInZone || sameZone == bestInZone && rank > bestRank)) {
+        best = server;
+        bestInZone = sameZone;
+        bestRank = rank;
       }
     }
-    return first;
+    return best;
   }
 
   private static long rank(long key, Server server) {
--- a/gateway/src/main/java/elmsail/gateway/servers/ResponseClass.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ResponseClass.java
@@ -16,9 +16,9 @@
    * Of an answer's head.
    *
    * @param notRun whether it says {@code Elmsail-Not-Run}
-   * @param leftMs the time that the request has left
+   * @param remainingMs the time that the request has left
    */
-  static ResponseClass of(int status, boolean notRun, long leftMs) {
+  static ResponseClass of(int status, boolean notRun, long remainingMs) {
     if (notRun) {
       return NEUTRAL;
     }
@@ -27,7 +27,7 @@
     }
     return switch (status) {
       case 500, 502 -> SERVER_ERROR;
-      case 504 -> leftMs > DEADLINE_SLACK_MS ? SERVER_ERROR : NEUTRAL;
+      case 504 -> remainingMs > DEADLINE_SLACK_MS ? SERVER_ERROR : NEUTRAL;
       default -> NEUTRAL;
     };
   }
--- a/gateway/src/main/java/elmsail/gateway/servers/SelectionMode.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/SelectionMode.java
@@ -5,7 +5,7 @@
   /**
    * An error reaches the client: a half-open server is passed over until long after its backoff.
    */
-  SINGLE,
+  NOT_RETRYABLE,
   /** A server has erred at it, and an error more reaches the client: one that served lately. */
   AFTER_ERROR,
   /** An error is made up for: a half-open server is chosen as any other. */
--- a/gateway/src/main/java/elmsail/gateway/servers/Server.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/Server.java
@@ -12,68 +12,68 @@
 /** One epoch of a server: its connections, and what is known of its load and health. */
 public final class Server {
   /** Where nothing was heard for so long while requests are open there, the server may be dark. */
-  static final long QUIET_MS = 450;
+  static final long SUSPECT_AFTER_MS = 450;
 
   /** And after so long what may be repeated goes elsewhere. */
-  static final long DARK_MS = 800;
+  static final long UNRESPONSIVE_AFTER_MS = 800;
 
   private final ServerEntry entry;
-  private final PrefixMemory memory;
+  private final PrefixCacheEstimate prefixCache;
   private final OutlierDetector outliers;
   private final ErrorBackoff errors;
-  final ArrayDeque<ServerConnection> idle = new ArrayDeque<>();
+  final ArrayDeque<ServerConnection> idleConnections = new ArrayDeque<>();
 
   /** Tries that run or wait for a connection. */
-  private final Set<Attempt> tries = new LinkedHashSet<>();
+  private final Set<Attempt> openAttempts = new LinkedHashSet<>();
 
   /** Open, opening and idle ones. */
-  int connections;
+  int connectionCount;
 
   /** The request that tries it again after errors, or null. */
   private Attempt probe;
 
-  private int items;
-  private long lastItemAt = Long.MIN_VALUE / 2;
-  private boolean misplaced;
-  private int readingTokens;
-  private boolean gone;
+  private int openItems;
+  private long lastItemStartedAt = Long.MIN_VALUE / 2;
+  private boolean isMisdirected;
+  private int ownPendingPrefillTokens;
+  private boolean isRemoved;
   private final FailureBackoff failures = new FailureBackoff();
-  private long heardAt = Long.MIN_VALUE;
-  private final ToldLoad told = new ToldLoad();
-  private final PlaceTime placeTime;
-  private final boolean near;
-  private final PeerLoads peers;
-  private final Runnable loadChanged;
+  private long lastReceivedAt = Long.MIN_VALUE;
+  private final ReportedLoad reportedLoad = new ReportedLoad();
+  private final SlotHoldTime slotHoldTime;
+  private final boolean sameZone;
+  private final PeerLoads peerLoads;
+  private final Runnable onLoadChanged;
 
   /** A server of which no other gateway tells anything. */
   Server(ServerEntry entry, long kvTokens, OutlierDetector outliers) {
-    this(entry, true, kvTokens, outliers, new PlaceTime(), PeerLoads.NONE, () -> {});
+    this(entry, true, kvTokens, outliers, new SlotHoldTime(), PeerLoads.NONE, () -> {});
   }
 
   /**
    * Makes one.
    *
-   * @param near whether it is in this gateway's zone
-   * @param placeTime of its service
-   * @param peers what all gateways have open
-   * @param loadChanged called when what is open here has changed
+   * @param sameZone whether it is in this gateway's zone
+   * @param slotHoldTime of its service
+   * @param peerLoads what all gateways have open
+   * @param onLoadChanged called when what is open here has changed
    */
   Server(
       ServerEntry entry,
-      boolean near,
+      boolean sameZone,
       long kvTokens,
       OutlierDetector outliers,
-      PlaceTime placeTime,
-      PeerLoads peers,
-      Runnable loadChanged) {
+      SlotHoldTime slotHoldTime,
+      PeerLoads peerLoads,
+      Runnable onLoadChanged) {
     this.entry = entry;
     this.outliers = outliers;
-    this.near = near;
-    this.placeTime = placeTime;
-    this.peers = peers;
-    this.loadChanged = loadChanged;
-    errors = outliers.add();
-    memory = new PrefixMemory(kvTokens);
+    this.sameZone = sameZone;
+    this.slotHoldTime = slotHoldTime;
+    this.peerLoads = peerLoads;
+    this.onLoadChanged = onLoadChanged;
+    errors = outliers.addServer();
+    prefixCache = new PrefixCacheEstimate(kvTokens);
   }
 
   /** Its entry in the list in force. */
@@ -86,149 +86,149 @@
     return entry.id();
   }
 
-  PrefixMemory memory() {
-    return memory;
+  PrefixCacheEstimate prefixCache() {
+    return prefixCache;
   }
 
   /** Closing, or not listed any more. */
-  public boolean gone() {
-    return gone;
+  public boolean isRemoved() {
+    return isRemoved;
   }
 
   /** Another has its address: nothing more is sent to it, whatever the list says. */
-  void misplace() {
-    misplaced = true;
+  void markMisdirected() {
+    isMisdirected = true;
   }
 
-  boolean misplaced() {
-    return misplaced;
+  boolean isMisdirected() {
+    return isMisdirected;
   }
 
-  void leave() {
-    gone = true;
-    outliers.remove(errors);
+  void markRemoved() {
+    isRemoved = true;
+    outliers.removeServer(errors);
   }
 
   /** Tries that may be cancelled while one looks at them. */
-  List<Attempt> tries() {
-    return new ArrayList<>(tries);
+  List<Attempt> openAttempts() {
+    return new ArrayList<>(openAttempts);
   }
 
   /** How many attempts are open at it, items of batch jobs included. */
-  public int open() {
-    return tries.size();
+  public int openAttemptCount() {
+    return openAttempts.size();
   }
 
   /** How many of the open attempts are items of batch jobs. */
-  public int items() {
-    return items;
+  public int openItems() {
+    return openItems;
   }
 
-  int readingTokens() {
-    return readingTokens;
+  int ownPendingPrefillTokens() {
+    return ownPendingPrefillTokens;
   }
 
   /** Other gateways are told of what is open here, unless the server itself tells its load. */
-  private void tellLoad() {
-    if (!tellsLoad()) {
-      loadChanged.run();
+  private void notifyLoadChanged() {
+    if (!reportsLoad()) {
+      onLoadChanged.run();
     }
   }
 
   /** What this gateway has open there. */
   ServerLoad ownLoad() {
-    return new ServerLoad(open() - items, items, readingTokens);
+    return new ServerLoad(openAttemptCount() - openItems, openItems, ownPendingPrefillTokens);
   }
 
   /** Whether it tells its load in its answers; what other gateways tell is then not needed. */
-  boolean tellsLoad() {
-    return told.told();
+  boolean reportsLoad() {
+    return reportedLoad.isKnown();
   }
 
   /** What all gateways have open there, as far as they are heard. */
   ServerLoad sharedLoad() {
-    return ownLoad().atLeast(peers.at(id()));
+    return ownLoad().max(peerLoads.at(id()));
   }
 
   /** Prompt tokens of all gateways' requests there that have no answer yet. */
-  int unreadTokens() {
-    return tellsLoad() ? readingTokens : sharedLoad().unreadTokens();
+  int pendingPrefillTokens() {
+    return reportsLoad() ? ownPendingPrefillTokens : sharedLoad().pendingPrefillTokens();
   }
 
   /** Whether this attempt is the probe of a server that erred. */
-  boolean begun(Attempt one) {
-    tries.add(one);
-    if (one.out().item()) {
-      items++;
-      lastItemAt = one.since();
+  boolean onAttemptStarted(Attempt attempt) {
+    openAttempts.add(attempt);
+    if (attempt.request().item()) {
+      openItems++;
+      lastItemStartedAt = attempt.startedAt();
     }
-    readingTokens += anew(one);
-    tellLoad();
-    boolean probes = errors.probe(one.since());
-    probe = probes ? one : probe;
-    return probes;
+    ownPendingPrefillTokens += uncachedTokens(attempt);
+    notifyLoadChanged();
+    boolean isProbe = errors.tryStartProbe(attempt.startedAt());
+    probe = isProbe ? attempt : probe;
+    return isProbe;
   }
 
-  void answering(Attempt one) {
-    readingTokens -= anew(one);
-    tellLoad();
-    probeEnded(one);
+  void onResponseStarted(Attempt attempt) {
+    ownPendingPrefillTokens -= uncachedTokens(attempt);
+    notifyLoadChanged();
+    endProbeOf(attempt);
   }
 
-  private void probeEnded(Attempt one) {
-    if (one == probe) {
+  private void endProbeOf(Attempt attempt) {
+    if (attempt == probe) {
       probe = null;
-      errors.probeEnded();
+      errors.endProbe();
     }
   }
 
-  void ended(Attempt one) {
-    probeEnded(one);
-    if (tries.remove(one)) {
-      items -= one.out().item() ? 1 : 0;
-      readingTokens -= one.answered() ? 0 : anew(one);
-      tellLoad();
+  void onAttemptEnded(Attempt attempt) {
+    endProbeOf(attempt);
+    if (openAttempts.remove(attempt)) {
+      openItems -= attempt.request().item() ? 1 : 0;
+      ownPendingPrefillTokens -= attempt.hasResponse() ? 0 : uncachedTokens(attempt);
+      notifyLoadChanged();
     }
   }
 
-  private static int anew(Attempt one) {
-    Prompt prompt = one.out().prompt();
-    return prompt.total() - prompt.sharedTokens();
+  private static int uncachedTokens(Attempt attempt) {
+    Prompt prompt = attempt.request().prompt();
+    return prompt.totalTokens() - prompt.sharedPrefixTokens();
   }
 
   /** An answer of it began: it lives. */
-  void heard(long now) {
-    heardAt = now;
-    failures.heard();
+  void recordResponse(long now) {
+    lastReceivedAt = now;
+    failures.recordResponse();
   }
 
   /** An answer of it is whole, so long after its first byte. */
-  void held(long ms) {
-    placeTime.observe(ms);
+  void recordSlotHoldTime(long holdMs) {
+    slotHoldTime.observe(holdMs);
   }
 
   /** It answered with a success. */
-  void succeeded(long now) {
-    errors.succeeded(now);
+  void recordSuccess(long now) {
+    errors.recordSuccess(now);
   }
 
   /** Whether its last answers are good and one of them is new. */
-  boolean servedLately(long now) {
-    return errors.servedLately(now);
+  boolean servedRecently(long now) {
+    return errors.servedRecently(now);
   }
 
   /** It answered with an error of its own: whether it is ejected by this. */
-  boolean errored(long now) {
-    return outliers.errored(errors, now);
+  boolean recordError(long now) {
+    return outliers.recordError(errors, now);
   }
 
   /**
    * Whether to take it only where there is no other, since it answered with errors.
    *
-   * @param early whether an error of the request would be made up for
+   * @param retryable whether an error of the request would be made up for
    */
-  boolean ejected(boolean early, long now) {
-    return errors.avoided(early, now);
+  boolean isEjected(boolean retryable, long now) {
+    return errors.isAvoided(retryable, now);
   }
 
   /** Whether its backoff after errors is over, and nothing has tried it again yet. */
@@ -237,110 +237,110 @@
   }
 
   /** Only bytes of an answer that began earlier. */
-  void stirred(long now) {
-    heardAt = now;
+  void recordBytes(long now) {
+    lastReceivedAt = now;
   }
 
   /** No connection could be had, or a request got no answer in its time. */
-  void failed(long now) {
-    failures.failed(now);
-    for (ServerConnection c : new ArrayList<>(idle)) {
-      c.close(); // they may be dead as well: the next request finds out before it is sent
+  void recordFailure(long now) {
+    failures.recordFailure(now);
+    for (ServerConnection connection : new ArrayList<>(idleConnections)) {
+      connection.close(); // they may be dead as well: the next request finds out before it is sent
     }
   }
 
   /** A connection broke under a request. */
-  void broke(long now) {
-    if (failures.broke()) {
-      failed(now);
+  void recordBrokenResponse(long now) {
+    if (failures.recordBrokenResponse()) {
+      recordFailure(now);
     }
   }
 
   /** Takes {@code RUNNING,WAITING,SLOTS}; what cannot be read is passed over. */
-  void load(String response, long now) {
-    told.take(response, open(), now);
+  void recordReportedLoad(String headerValue, long now) {
+    reportedLoad.update(headerValue, openAttemptCount(), now);
   }
 
   /** Whether to take it only where there is no other. */
-  boolean avoided(long now) {
-    return failures.avoided(now) || quietMs(now) > QUIET_MS;
+  boolean isSuspect(long now) {
+    return failures.isAvoided(now) || silenceMs(now) > SUSPECT_AFTER_MS;
   }
 
   /** Whether it failed so lately that an idle connection is not to be trusted. */
-  boolean doubtful(long now) {
-    return failures.doubtful() || quietMs(now) > QUIET_MS;
+  boolean isConnectionDoubtful(long now) {
+    return failures.hasFailedSinceResponse() || silenceMs(now) > SUSPECT_AFTER_MS;
   }
 
   /** Whether it has said nothing to anything for so long that it will hardly go on. */
-  public boolean dark(long now) {
-    return quietMs(now) > DARK_MS;
+  public boolean isUnresponsive(long now) {
+    return silenceMs(now) > UNRESPONSIVE_AFTER_MS;
   }
 
   /** Whether it said just now that nothing waits there and that it has many places free. */
-  public boolean toldIdle(long now) {
-    return told.idle(entry.maxConcurrency(), now);
+  public boolean reportsIdle(long now) {
+    return reportedLoad.isIdle(entry.maxConcurrency(), now);
   }
 
   /** For how long it has said nothing at all though requests are open there. */
-  private long quietMs(long now) {
-    for (Attempt t : tries) {
-      if (t.sent()) {
-        return now - Math.max(t.since(), heardAt); // the oldest one
+  private long silenceMs(long now) {
+    for (Attempt attempt : openAttempts) {
+      if (attempt.isSent()) {
+        return now - Math.max(attempt.startedAt(), lastReceivedAt); // the oldest one
       }
     }
     return 0;
   }
 
   /** Estimate of the requests that run there, of all gateways. */
-  double running(long now) {
-    if (!tellsLoad()) {
+  double runningRequests(long now) {
+    if (!reportsLoad()) {
       int open = sharedLoad().open();
       return entry.maxConcurrency() > 0 ? Math.min(entry.maxConcurrency(), open) : open;
     }
-    return told.running(open(), now);
+    return reportedLoad.running(openAttemptCount(), now);
   }
 
   /** Estimate of the requests that wait there. */
-  double waiting(long now) {
-    if (!tellsLoad()) {
-      return waitingBeforeOneMore(sharedLoad().open());
+  double queuedRequests(long now) {
+    if (!reportsLoad()) {
+      return queueLengthForOneMore(sharedLoad().open());
     }
-    return told.waiting(now);
+    return reportedLoad.queued(now);
   }
 
   /** Of so many open there, those that one more would wait for. */
-  private int waitingBeforeOneMore(int open) {
+  private int queueLengthForOneMore(int open) {
     boolean full = entry.maxConcurrency() > 0 && open >= entry.maxConcurrency();
     return full ? open - entry.maxConcurrency() + 1 : 0;
   }
 
   /** Until one that waits there gets a place, for each one before it, in ms. */
-  double placeMs() {
-    return tellsLoad() ? PlaceTime.FIRST_MS : placeTime.perPlaceMs(entry.maxConcurrency());
+  double slotReleaseIntervalMs() {
+    return reportsLoad() ? SlotHoldTime.DEFAULT_RELEASE_INTERVAL_MS : slotHoldTime.releaseIntervalMs(entry.maxConcurrency());
   }
 
   /** How many items of batch jobs may be started here now; see {@link ItemAdmission}. */
-  public int itemRoom(long now) {
-    if (gone || misplaced || avoided(now) || ejected(true, now)) {
+  public int availableItemCapacity(long now) {
+    if (isRemoved || isMisdirected || isSuspect(now) || isEjected(true, now)) {
       return 0;
     }
-    int room =
-        ItemAdmission.room(
-            new ItemAdmission.Standing(
+    int capacity =
+        ItemAdmission.availableCapacity(
+            new ItemAdmission.ServerState(
                 entry.maxConcurrency(),
-                running(now),
-                waiting(now),
-                items,
-                now - lastItemAt,
-                sight(),
-                unreadTokens()));
-    return errors.ejected() ? Math.min(1, room) : room; // one probe at a time
-  }
-
-  private ItemAdmission.Sight sight() {
-    if (tellsLoad()) {
-      return ItemAdmission.Sight.TOLD;
+                runningRequests(now),
+                queuedRequests(now),
+                openItems,
+                now - lastItemStartedAt,
+                loadSource(),
+                pendingPrefillTokens()));
+    return errors.isEjected() ? Math.min(1, capacity) : capacity; // one probe at a time
+  }
+
+  private ItemAdmission.LoadSource loadSource() {
+    if (reportsLoad()) {
+      return ItemAdmission.LoadSource.REPORTED;
     }
-    return near ? ItemAdmission.Sight.SHARED : ItemAdmission.Sight.SHARED_FAR;
+    return sameZone ? ItemAdmission.LoadSource.SHARED : ItemAdmission.LoadSource.SHARED_OTHER_ZONE;
   }
 }
--- a/gateway/src/main/java/elmsail/gateway/servers/ServerConnection.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ServerConnection.java
@@ -28,64 +28,64 @@
  */
 final class ServerConnection extends SimpleChannelInboundHandler<HttpObject> {
   private static final int MISDIRECTED = 421;
-  private static final int MOST_LINE = 4_096;
-  private static final int MOST_HEAD = 16_384;
-  private static final int MOST_PIECE = 32 * 1024;
+  private static final int MAX_LINE_BYTES = 4_096;
+  private static final int MAX_HEAD_BYTES = 16_384;
+  private static final int MAX_CHUNK_BYTES = 32 * 1024;
 
   /** An idle connection is not used any more so long before the server closes it. */
-  private static final long BEFORE_END_MS = 1_000;
+  private static final long MAX_EXPIRY_MARGIN_MS = 1_000;
 
   /** Or so large a part of short times. */
-  private static final double PART_BEFORE_END = 0.4;
+  private static final double EXPIRY_MARGIN_RATIO = 0.4;
 
   /** Where the server told no time, it may be less than the second that can be told. */
-  private static final long UNTOLD_MS = 1_000;
+  private static final long DEFAULT_KEEP_ALIVE_MS = 1_000;
 
   /** A server that has answered early must go on reading the rest of the body so soon. */
-  private static final long STUCK_BODY_MS = 2_000;
+  private static final long BODY_STALL_TIMEOUT_MS = 2_000;
 
   private final ConnectionPool pool;
   private final Server server;
   private final StrictResponseDecoder decoder =
-      new StrictResponseDecoder(MOST_LINE, MOST_HEAD, MOST_PIECE) {
+      new StrictResponseDecoder(MAX_LINE_BYTES, MAX_HEAD_BYTES, MAX_CHUNK_BYTES) {
         @Override
         protected boolean isContentAlwaysEmpty(HttpMessage message) {
-          return headOnly || super.isContentAlwaysEmpty(message);
+          return isHeadRequest || super.isContentAlwaysEmpty(message);
         }
 
         @Override
         public void userEventTriggered(ChannelHandlerContext ctx, Object event) throws Exception {
-          endedInOrder |= event instanceof ChannelInputShutdownEvent;
+          inputShutDown |= event instanceof ChannelInputShutdownEvent;
           super.userEventTriggered(ctx, event); // puts out the end of an answer without a length
         }
       };
   private Channel channel;
   private Attempt current;
-  private boolean inAnswer;
-  private long answerBeganAt;
-  private boolean informing;
-  private boolean headOnly;
-  private boolean keep;
+  private boolean inResponse;
+  private long responseStartedAt;
+  private boolean inInformationalResponse;
+  private boolean isHeadRequest;
+  private boolean keepAlive;
 
   /** The answer has neither a length nor chunks: it ends with the connection. */
-  private boolean untilEnd;
+  private boolean closeDelimited;
 
   /** The server has ended its direction, and not by a reset. */
-  private boolean endedInOrder;
+  private boolean inputShutDown;
 
   /** Whether all of the last request has been written. */
-  private boolean written;
+  private boolean requestWritten;
 
   /** Set while the rest of an answered request's body is still being written. */
-  private Timers.Timer finishing;
+  private Timers.Timer bodyStallTimer;
 
   /** The id of the last request, whose answer may come a second time. */
-  private String lastId;
+  private String lastRequestId;
 
   /** Answered, but what came with the answer is not looked at yet. */
-  private boolean answered;
+  private boolean responseComplete;
 
-  private long idleMs = UNTOLD_MS;
+  private long keepAliveMs = DEFAULT_KEEP_ALIVE_MS;
   private long idleSince;
 
   ServerConnection(ConnectionPool pool, Server server) {
@@ -93,7 +93,7 @@
     this.server = server;
   }
 
-  void into(ChannelPipeline pipeline) {
+  void addTo(ChannelPipeline pipeline) {
     channel = pipeline.channel();
     pipeline.addLast(decoder, new HttpRequestEncoder(), this);
   }
@@ -103,202 +103,202 @@
   }
 
   /** Whether the server will not close it just now. */
-  boolean fresh(long now) {
-    return now - idleSince < idleMs - Math.min(BEFORE_END_MS, idleMs * PART_BEFORE_END);
+  boolean isFresh(long now) {
+    return now - idleSince < keepAliveMs - Math.min(MAX_EXPIRY_MARGIN_MS, keepAliveMs * EXPIRY_MARGIN_RATIO);
   }
 
   /**
    * Whether the last request had that id: a second answer to it would pass for the answer to one
    * that comes next. One to an earlier request has come before the last answer, and closed this.
    */
-  boolean hasJustCarried(String requestId) {
-    return requestId.equals(lastId);
+  boolean lastCarried(String requestId) {
+    return requestId.equals(lastRequestId);
   }
 
-  boolean usable(long now) {
+  boolean isUsable(long now) {
     return channel.isActive()
         && !decoder.isInsideMessage()
-        && fresh(now)
-        && (!(channel instanceof QuietSocketChannel quiet) || quiet.quiet());
+        && isFresh(now)
+        && (!(channel instanceof IdleCheckSocketChannel quiet) || quiet.hasNothingUnread());
   }
 
   void close() {
-    server.idle.remove(this);
+    server.idleConnections.remove(this);
     channel.close();
   }
 
   /** Writes the request; from here on it counts as sent. */
-  void carry(Attempt attempt) {
+  void send(Attempt attempt) {
     current = attempt;
-    lastId = attempt.out().id();
-    written = false;
-    attempt.on(channel);
-    attempt.sending();
-    channel.config().setAutoRead(!attempt.paused());
-    FullHttpRequest message = attempt.out().message(server.id());
-    headOnly = message.method().equals(HttpMethod.HEAD);
+    lastRequestId = attempt.request().id();
+    requestWritten = false;
+    attempt.bindTo(channel);
+    attempt.markSent();
+    channel.config().setAutoRead(!attempt.isPaused());
+    FullHttpRequest message = attempt.request().message(server.id());
+    isHeadRequest = message.method().equals(HttpMethod.HEAD);
     ChannelFuture write = channel.writeAndFlush(message);
     if (write.isDone() && !write.isSuccess()) {
-      pool.timers().execute(() -> unwritten(attempt)); // not within the call that begins the attempt
+      pool.timers().execute(() -> onWriteFailed(attempt)); // not within the call that begins the attempt
     } else {
       write.addListener(
           f -> {
             if (f.isSuccess()) {
-              written();
+              requestWritten();
             } else {
-              unwritten(attempt);
+              onWriteFailed(attempt);
             }
           });
     }
   }
 
-  private void written() {
-    written = true;
-    if (finishing != null) {
-      finishing.cancel();
-      finishing = null;
-      free();
+  private void requestWritten() {
+    requestWritten = true;
+    if (bodyStallTimer != null) {
+      bodyStallTimer.cancel();
+      bodyStallTimer = null;
+      release();
     }
   }
 
-  private void unwritten(Attempt attempt) {
+  private void onWriteFailed(Attempt attempt) {
     if (current == attempt) {
-      broken(RequestCounters.Event.CLOSED_BY_SERVER);
+      fail(RequestCounters.Event.CLOSED_BY_SERVER);
     }
   }
 
   @Override
   protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
     if (part.decoderResult().isFailure()) {
-      broken(RequestCounters.Event.UNREADABLE_ANSWER);
+      fail(RequestCounters.Event.UNREADABLE_ANSWER);
       return;
     }
-    if (current == null || current.over()) {
-      broken(RequestCounters.Event.FOREIGN_ANSWER);
+    if (current == null || current.isFinished()) {
+      fail(RequestCounters.Event.FOREIGN_ANSWER);
       return;
     }
-    if (part instanceof HttpResponse head && !begin(head)) {
+    if (part instanceof HttpResponse head && !onHead(head)) {
       return;
     }
     if (part instanceof HttpContent content) {
-      content(content);
+      onContent(content);
     }
   }
 
-  private boolean begin(HttpResponse head) {
-    informing = head.status().codeClass() == HttpStatusClass.INFORMATIONAL;
-    if (informing) {
+  private boolean onHead(HttpResponse head) {
+    inInformationalResponse = head.status().codeClass() == HttpStatusClass.INFORMATIONAL;
+    if (inInformationalResponse) {
       if (head.status().code() == 101) {
-        broken(RequestCounters.Event.UNREADABLE_ANSWER);
+        fail(RequestCounters.Event.UNREADABLE_ANSWER);
         return false;
       }
       return true;
     }
-    if (!current.out().id().equals(head.headers().get(Headers.REQUEST_ID))) {
-      broken(RequestCounters.Event.FOREIGN_ANSWER);
+    if (!current.request().id().equals(head.headers().get(Headers.REQUEST_ID))) {
+      fail(RequestCounters.Event.FOREIGN_ANSWER);
       return false;
     }
     int code = head.status().code();
-    boolean empty = headOnly || code == 204 || code == 304;
-    untilEnd =
+    boolean empty = isHeadRequest || code == 204 || code == 304;
+    closeDelimited =
         !empty && !HttpUtil.isContentLengthSet(head) && !HttpUtil.isTransferEncodingChunked(head);
-    inAnswer = true;
-    keep = !untilEnd && HttpUtil.isKeepAlive(head);
+    inResponse = true;
+    keepAlive = !closeDelimited && HttpUtil.isKeepAlive(head);
     String response = head.headers().get("Keep-Alive");
-    idleMs = response == null ? UNTOLD_MS : toldMs(response);
+    keepAliveMs = response == null ? DEFAULT_KEEP_ALIVE_MS : keepAliveTimeoutMs(response);
     long now = pool.timers().now();
-    answerBeganAt = now;
-    server.heard(now);
-    if (current.judge(head, now)) {
+    responseStartedAt = now;
+    server.recordResponse(now);
+    if (current.recordResult(head, now)) {
       pool.counters().count(RequestCounters.Event.SERVER_ERRORED);
     }
     if (code == MISDIRECTED) {
-      server.misplace();
+      server.markMisdirected();
     }
     String load = head.headers().get(Headers.SERVER_LOAD);
     if (load != null) {
-      server.load(load, now);
+      server.recordReportedLoad(load, now);
     }
-    current.head(head);
+    current.onHead(head);
     return true;
   }
 
-  static long toldMs(String keepAlive) {
+  static long keepAliveTimeoutMs(String keepAlive) {
     int at = keepAlive.indexOf("timeout=");
     if (at < 0) {
-      return UNTOLD_MS;
+      return DEFAULT_KEEP_ALIVE_MS;
     }
     int from = at + "timeout=".length();
     int to = from;
     while (to < keepAlive.length() && Character.isDigit(keepAlive.charAt(to))) {
       to++;
     }
-    return Headers.number(keepAlive.substring(from, to), 0) * 1_000;
+    return Headers.parseNonNegative(keepAlive.substring(from, to), 0) * 1_000;
   }
 
-  private void content(HttpContent content) {
+  private void onContent(HttpContent content) {
     boolean last = content instanceof LastHttpContent;
-    if (informing) {
-      informing = !last;
+    if (inInformationalResponse) {
+      inInformationalResponse = !last;
       return;
     }
-    if (!inAnswer) {
+    if (!inResponse) {
       return;
     }
     Attempt attempt = current;
     if (content.content().isReadable()) {
-      server.stirred(pool.timers().now());
-      attempt.data(content.content().retain());
+      server.recordBytes(pool.timers().now());
+      attempt.onData(content.content().retain());
     }
-    if (last && untilEnd && !endedInOrder) {
-      broken(RequestCounters.Event.CLOSED_BY_SERVER);
+    if (last && closeDelimited && !inputShutDown) {
+      fail(RequestCounters.Event.CLOSED_BY_SERVER);
     } else if (last) {
-      inAnswer = false;
+      inResponse = false;
       current = null;
-      if (attempt.over()) {
+      if (attempt.isFinished()) {
         channel.close();
         return;
       }
       channel.config().setAutoRead(true);
-      answered = keep;
-      if (!keep) {
+      responseComplete = keepAlive;
+      if (!keepAlive) {
         channel.close();
       }
       pool.counters().count(RequestCounters.Event.TRY_ANSWERED);
-      server.held(pool.timers().now() - answerBeganAt);
-      attempt.whole();
+      server.recordSlotHoldTime(pool.timers().now() - responseStartedAt);
+      attempt.onComplete();
     }
   }
 
   /** The connection is free only once all that came with the answer is read. */
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
-    if (answered && !decoder.isInsideMessage()) {
-      answered = false;
-      free();
+    if (responseComplete && !decoder.isInsideMessage()) {
+      responseComplete = false;
+      release();
     } else if (current == null && decoder.isInsideMessage()) {
-      broken(RequestCounters.Event.FOREIGN_ANSWER);
+      fail(RequestCounters.Event.FOREIGN_ANSWER);
     }
     ctx.fireChannelReadComplete();
   }
 
   /** Nothing else goes over it before the last request's body has gone out whole. */
-  private void free() {
-    if (!channel.isActive() || !pool.keeps(server)) {
+  private void release() {
+    if (!channel.isActive() || !pool.keepsConnections(server)) {
       channel.close();
-    } else if (written) {
+    } else if (requestWritten) {
       idleSince = pool.timers().now();
-      server.idle.addLast(this);
+      server.idleConnections.addLast(this);
     } else {
-      long unwritten = unwrittenBytes();
-      finishing = pool.timers().schedule(STUCK_BODY_MS, () -> goOnOrClose(unwritten));
+      long unwrittenBytes = unwrittenBytes();
+      bodyStallTimer = pool.timers().schedule(BODY_STALL_TIMEOUT_MS, () -> checkBodyProgress(unwrittenBytes));
     }
   }
 
-  private void goOnOrClose(long unwrittenBefore) {
-    long unwritten = unwrittenBytes();
-    if (unwritten < unwrittenBefore) {
-      finishing = pool.timers().schedule(STUCK_BODY_MS, () -> goOnOrClose(unwritten));
+  private void checkBodyProgress(long unwrittenBytesBefore) {
+    long unwrittenBytes = unwrittenBytes();
+    if (unwrittenBytes < unwrittenBytesBefore) {
+      bodyStallTimer = pool.timers().schedule(BODY_STALL_TIMEOUT_MS, () -> checkBodyProgress(unwrittenBytes));
     } else {
       channel.close();
     }
@@ -312,39 +312,39 @@
   @Override
   public void userEventTriggered(ChannelHandlerContext ctx, Object event) throws Exception {
     if (event instanceof ChannelInputShutdownEvent) {
-      broken(RequestCounters.Event.CLOSED_BY_SERVER);
+      fail(RequestCounters.Event.CLOSED_BY_SERVER);
     }
     super.userEventTriggered(ctx, event);
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    broken(RequestCounters.Event.CLOSED_BY_SERVER);
+    fail(RequestCounters.Event.CLOSED_BY_SERVER);
     ctx.fireChannelInactive();
   }
 
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-    broken(
+    fail(
         cause instanceof java.io.IOException
             ? RequestCounters.Event.CLOSED_BY_SERVER
             : RequestCounters.Event.FAULT);
   }
 
-  private void broken(RequestCounters.Event why) {
+  private void fail(RequestCounters.Event reason) {
     Attempt attempt = current;
     current = null;
-    answered = false;
-    inAnswer = false;
-    if (finishing != null) {
-      finishing.cancel();
-      finishing = null;
+    responseComplete = false;
+    inResponse = false;
+    if (bodyStallTimer != null) {
+      bodyStallTimer.cancel();
+      bodyStallTimer = null;
     }
     close();
-    if (attempt != null && !attempt.over()) {
-      pool.counters().count(why);
-      server.broke(pool.timers().now());
-      attempt.failed();
+    if (attempt != null && !attempt.isFinished()) {
+      pool.counters().count(reason);
+      server.recordBrokenResponse(pool.timers().now());
+      attempt.onFailure();
     }
   }
 }
