--- a/gateway/src/main/java/elmsail/gateway/servers/Servers.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/Servers.java
@@ -25,50 +25,50 @@
  * loop.
  */
 public final class Servers {
-  private static final long SWEEP_MS = 500;
+  private static final long IDLE_SWEEP_INTERVAL_MS = 500;
 
-  private static final int DEFAULT_TOKENS = 200_000;
+  private static final int DEFAULT_CACHE_TOKENS = 200_000;
 
   private final Timers timers;
-  private final ClusterState known;
+  private final ClusterState clusterState;
   private final String zone;
   private final PromptAffinity affinity;
   private final RequestCounters counters;
-  private final ShareRotations rotations;
+  private final RouteRoundRobins roundRobins;
   private final ConnectionPool pool;
-  private final SharedLoads shared = new SharedLoads();
+  private final DelegatingPeerLoads peerLoads = new DelegatingPeerLoads();
   private final Map<String, Server> byId = new LinkedHashMap<>();
   private final Map<String, OutlierDetector> outliersByService = new HashMap<>();
-  private final Map<String, PlaceTime> placeTimeByService = new HashMap<>();
+  private final Map<String, SlotHoldTime> slotHoldTimeByService = new HashMap<>();
   private int turn;
 
   /** The servers of the list that {@code known} has; connections run on {@code loop}. */
   public Servers(
       Timers timers,
       EventLoop loop,
-      ClusterState known,
+      ClusterState clusterState,
       String zone,
       RequestCounters counters,
-      RandomGenerator chance) {
+      RandomGenerator random) {
     this.timers = timers;
-    this.known = known;
+    this.clusterState = clusterState;
     this.zone = zone;
     affinity = new PromptAffinity(zone);
     this.counters = counters;
-    rotations = new ShareRotations(chance);
-    pool = new ConnectionPool(timers, loop, known, counters);
-    known.addListener(this::refresh);
-    refresh();
-    timers.schedule(SWEEP_MS, this::sweep);
+    roundRobins = new RouteRoundRobins(random);
+    pool = new ConnectionPool(timers, loop, clusterState, counters);
+    clusterState.addListener(this::onServerListChanged);
+    onServerListChanged();
+    timers.schedule(IDLE_SWEEP_INTERVAL_MS, this::closeExpiredConnections);
   }
 
   /**
    * From now on what other gateways have open counts too.
    *
-   * @param loadChanged called when what is open here has changed
+   * @param onLoadChanged called when what is open here has changed
    */
-  public void share(PeerLoads peers, Runnable loadChanged) {
-    shared.by(peers, loadChanged);
+  public void setPeerLoads(PeerLoads peers, Runnable onLoadChanged) {
+    peerLoads.delegateTo(peers, onLoadChanged);
   }
 
   /**
@@ -78,7 +78,7 @@
     Map<String, ServerLoad> loads = new HashMap<>();
     for (Server server : byId.values()) {
       ServerLoad load = server.ownLoad();
-      if (!server.tellsLoad() && !load.equals(ServerLoad.NONE)) {
+      if (!server.reportsLoad() && !load.equals(ServerLoad.NONE)) {
         loads.put(server.id(), load);
       }
     }
@@ -86,24 +86,24 @@
   }
 
   /** Whether any server is open to requests. */
-  public boolean any() {
+  public boolean hasAny() {
     return !byId.isEmpty();
   }
 
   /** Takes the newest list: servers that close or are gone get nothing new from here on. */
-  private void refresh() {
+  private void onServerListChanged() {
     Set<String> open = new HashSet<>();
-    for (ServerEntry e : known.servers()) {
-      if (!e.draining()) {
-        open.add(e.id());
-        Server server = byId.get(e.id());
-        if (server != null && !server.entry().address().equals(e.address())) {
-          byId.remove(e.id());
-          leave(server);
+    for (ServerEntry entry : clusterState.servers()) {
+      if (!entry.draining()) {
+        open.add(entry.id());
+        Server server = byId.get(entry.id());
+        if (server != null && !server.entry().address().equals(entry.address())) {
+          byId.remove(entry.id());
+          remove(server);
           server = null;
         }
         if (server == null) {
-          byId.put(e.id(), newServer(e));
+          byId.put(entry.id(), newServer(entry));
         }
       }
     }
@@ -111,7 +111,7 @@
       Server server = all.next();
       if (!open.contains(server.id())) {
         all.remove();
-        leave(server);
+        remove(server);
       }
     }
   }
@@ -119,50 +119,50 @@
   private Server newServer(ServerEntry entry) {
     OutlierDetector outliers =
         outliersByService.computeIfAbsent(entry.service(), name -> new OutlierDetector());
-    PlaceTime placeTime =
-        placeTimeByService.computeIfAbsent(entry.service(), name -> new PlaceTime());
+    SlotHoldTime slotHoldTime =
+        slotHoldTimeByService.computeIfAbsent(entry.service(), name -> new SlotHoldTime());
     return new Server(
         entry,
         zone.equals(entry.zone()),
-        kvTokens(entry.service()),
+        cacheTokens(entry.service()),
         outliers,
-        placeTime,
-        shared,
-        shared::changed);
+        slotHoldTime,
+        peerLoads,
+        peerLoads::notifyLoadChanged);
   }
 
   /** What has not been written yet is not written any more; what runs goes on. */
-  private static void leave(Server server) {
-    server.leave();
-    for (ServerConnection c : new ArrayList<>(server.idle)) {
-      c.close();
+  private static void remove(Server server) {
+    server.markRemoved();
+    for (ServerConnection connection : new ArrayList<>(server.idleConnections)) {
+      connection.close();
     }
-    for (Attempt t : server.tries()) {
-      if (!t.sent()) {
-        t.failed();
+    for (Attempt attempt : server.openAttempts()) {
+      if (!attempt.isSent()) {
+        attempt.onFailure();
       }
     }
   }
 
-  private long kvTokens(String service) {
-    RoutingConfig now = known.config();
-    Service server = now == null ? null : now.services().get(service);
+  private long cacheTokens(String service) {
+    RoutingConfig config = clusterState.config();
+    Service server = config == null ? null : config.services().get(service);
     // About half of it is taken by requests that run.
-    return server == null || server.kvCacheTokens() <= 0 ? DEFAULT_TOKENS : server.kvCacheTokens() / 2;
+    return server == null || server.kvCacheTokens() <= 0 ? DEFAULT_CACHE_TOKENS : server.kvCacheTokens() / 2;
   }
 
-  /** See {@link ConnectionPool#most}. */
-  int most(Server server) {
-    return pool.most(server);
+  /** See {@link ConnectionPool#maxConnections}. */
+  int maxConnections(Server server) {
+    return pool.maxConnections(server);
   }
 
   /** Whether a connection for one more request can be had. */
-  boolean room(Server server) {
-    return !server.idle.isEmpty() || server.connections < most(server);
+  boolean hasConnectionCapacity(Server server) {
+    return !server.idleConnections.isEmpty() || server.connectionCount < maxConnections(server);
   }
 
   /** The open servers of a service. */
-  List<Server> of(String service) {
+  List<Server> serversOf(String service) {
     List<Server> found = new ArrayList<>();
     for (Server server : byId.values()) {
       if (server.entry().service().equals(service)) {
@@ -173,19 +173,19 @@
   }
 
   /** The open servers of all the route's services. */
-  public List<Server> of(Route route) {
+  public List<Server> serversOf(Route route) {
     List<Server> found = new ArrayList<>();
     for (Route.WeightedService share : route.weightedServices()) {
       if (share.weight() > 0) {
-        found.addAll(of(share.service()));
+        found.addAll(serversOf(share.service()));
       }
     }
     return found;
   }
 
   /** As {@link #choose(Route, Prompt, Set, boolean)}, for a request that must not err. */
-  public Server choose(Route route, Prompt prompt, Set<Server> not) {
-    return choose(route, prompt, not, SelectionMode.SINGLE);
+  public Server pick(Route route, Prompt prompt, Set<Server> excluded) {
+    return pick(route, prompt, excluded, SelectionMode.NOT_RETRYABLE);
   }
 
   /**
@@ -193,13 +193,13 @@
    *
    * @param mode what an error of the server would cost
    */
-  public Server choose(Route route, Prompt prompt, Set<Server> not, SelectionMode mode) {
-    ShareRotation rotation = rotations.of(route);
+  public Server pick(Route route, Prompt prompt, Set<Server> excluded, SelectionMode mode) {
+    SmoothWeightedRoundRobin roundRobin = roundRobins.of(route);
     List<Route.WeightedService> shares = new ArrayList<>(route.weightedServices());
     while (!shares.isEmpty()) {
-      Route.WeightedService share = rotation.next(shares);
+      Route.WeightedService share = roundRobin.next(shares);
       shares.remove(share);
-      Server server = share.weight() > 0 ? best(of(share.service()), prompt, not, mode) : null;
+      Server server = share.weight() > 0 ? pickAmong(serversOf(share.service()), prompt, excluded, mode) : null;
       if (server != null) {
         return server;
       }
@@ -208,34 +208,34 @@
   }
 
   /** The best of these with room for a connection, or null. */
-  private Server best(List<Server> among, Prompt prompt, Set<Server> not, SelectionMode mode) {
+  private Server pickAmong(List<Server> among, Prompt prompt, Set<Server> excluded, SelectionMode mode) {
     long now = timers.now();
     List<Server> open = new ArrayList<>(among.size());
     for (Server server : among) {
-      if (!not.contains(server) && !server.gone() && !server.misplaced() && room(server)) {
+      if (!excluded.contains(server) && !server.isRemoved() && !server.isMisdirected() && hasConnectionCapacity(server)) {
         open.add(server);
       }
     }
-    Server halfOpen = mode == SelectionMode.PROBE_PREFERRED ? halfOpen(open, now) : null;
-    if (halfOpen != null) {
-      return halfOpen;
+    Server probeTarget = mode == SelectionMode.PROBE_PREFERRED ? firstAwaitingProbe(open, now) : null;
+    if (probeTarget != null) {
+      return probeTarget;
     }
-    SelectionMode applied = applicable(mode, open, now);
-    Server home = affinity.home(open, prompt);
-    List<ServerSelector.View> views = new ArrayList<>(open.size());
+    SelectionMode effectiveMode = effectiveMode(mode, open, now);
+    Server affinityServer = affinity.ownServer(open, prompt);
+    List<ServerSelector.Candidate> candidates = new ArrayList<>(open.size());
     for (Server server : open) {
-      views.add(view(server, prompt, server == home, applied, now));
+      candidates.add(candidate(server, prompt, server == affinityServer, effectiveMode, now));
     }
     int at =
-        shared.heard() && open.stream().noneMatch(Server::tellsLoad)
-            ? ServerSelector.pickSpread(views, affinity.ranks(open, prompt), prompt.total())
-            : ServerSelector.pick(views, prompt.total(), turn++);
+        peerLoads.heard() && open.stream().noneMatch(Server::reportsLoad)
+            ? ServerSelector.pickSpread(candidates, affinity.ranks(open, prompt), prompt.totalTokens())
+            : ServerSelector.pick(candidates, prompt.totalTokens(), turn++);
     return at < 0 ? null : open.get(at);
   }
 
-  private static Server halfOpen(List<Server> open, long now) {
+  private static Server firstAwaitingProbe(List<Server> open, long now) {
     for (Server server : open) {
-      if (server.awaitsProbe(now) && !server.avoided(now)) {
+      if (server.awaitsProbe(now) && !server.isSuspect(now)) {
         return server;
       }
     }
@@ -243,75 +243,75 @@
   }
 
   /** Where no server served lately, those that erred are still to be told from the others. */
-  private static SelectionMode applicable(SelectionMode mode, List<Server> open, long now) {
+  private static SelectionMode effectiveMode(SelectionMode mode, List<Server> open, long now) {
     boolean noneServedLately =
         mode == SelectionMode.AFTER_ERROR
-            && open.stream().allMatch(server -> passedOver(server, mode, now));
-    return noneServedLately ? SelectionMode.SINGLE : mode;
+            && open.stream().allMatch(server -> isAvoided(server, mode, now));
+    return noneServedLately ? SelectionMode.NOT_RETRYABLE : mode;
   }
 
-  private ServerSelector.View view(
-      Server server, Prompt prompt, boolean home, SelectionMode mode, long now) {
-    return new ServerSelector.View(
-        server.memory().known(prompt),
-        home ? prompt.sharedTokens() : 0,
-        server.running(now),
-        server.waiting(now),
+  private ServerSelector.Candidate candidate(
+      Server server, Prompt prompt, boolean isAffinityServer, SelectionMode mode, long now) {
+    return new ServerSelector.Candidate(
+        server.prefixCache().cachedTokens(prompt),
+        isAffinityServer ? prompt.sharedPrefixTokens() : 0,
+        server.runningRequests(now),
+        server.queuedRequests(now),
         server.entry().maxConcurrency(),
-        server.unreadTokens(),
-        server.placeMs(),
+        server.pendingPrefillTokens(),
+        server.slotReleaseIntervalMs(),
         zone.equals(server.entry().zone()),
-        passedOver(server, mode, now));
+        isAvoided(server, mode, now));
   }
 
-  private static boolean passedOver(Server server, SelectionMode mode, long now) {
-    return server.avoided(now)
-        || server.ejected(mode.probesEarly(), now)
-        || mode == SelectionMode.AFTER_ERROR && !server.servedLately(now);
+  private static boolean isAvoided(Server server, SelectionMode mode, long now) {
+    return server.isSuspect(now)
+        || server.isEjected(mode.probesEarly(), now)
+        || mode == SelectionMode.AFTER_ERROR && !server.servedRecently(now);
   }
 
   /** Whether a request for that server is refused at once; see {@link AdmissionPolicy}. */
-  public boolean refuses(Server server, Prompt prompt, long dueMs) {
-    ServerSelector.View view = view(server, prompt, false, SelectionMode.SINGLE, timers.now());
-    boolean allSeen = shared.heard() && !server.tellsLoad();
-    return AdmissionPolicy.refuses(
-        new AdmissionPolicy.Estimate(ServerSelector.waitMs(view), allSeen), dueMs);
+  public boolean rejects(Server server, Prompt prompt, long latencyTargetMs) {
+    ServerSelector.Candidate candidate = candidate(server, prompt, false, SelectionMode.NOT_RETRYABLE, timers.now());
+    boolean loadIsShared = peerLoads.heard() && !server.reportsLoad();
+    return AdmissionPolicy.rejects(
+        new AdmissionPolicy.Estimate(ServerSelector.waitMs(candidate), loadIsShared), latencyTargetMs);
   }
 
   /** Whether it failed or erred lately or is silent. */
-  public boolean avoided(Server server) {
+  public boolean isUnhealthy(Server server) {
     long now = timers.now();
-    return server.avoided(now) || server.ejected(false, now);
+    return server.isSuspect(now) || server.isEjected(false, now);
   }
 
   /** Whether it can be chosen and neither failed nor erred lately. */
-  public boolean available(Server server) {
-    return !server.gone() && !server.misplaced() && !avoided(server);
+  public boolean isAvailable(Server server) {
+    return !server.isRemoved() && !server.isMisdirected() && !isUnhealthy(server);
   }
 
   /** Begins a try; what is heard of it comes later, never within this call. */
-  public Attempt start(Server server, OutgoingRequest out, AttemptListener heard) {
+  public Attempt start(Server server, OutgoingRequest request, AttemptListener listener) {
     counters.count(RequestCounters.Event.TRY);
-    Attempt one = new Attempt(server, out, heard, timers.now());
-    if (server.begun(one)) {
+    Attempt attempt = new Attempt(server, request, listener, timers.now());
+    if (server.onAttemptStarted(attempt)) {
       counters.count(RequestCounters.Event.PROBED);
     }
-    server.memory().add(out.prompt());
-    pool.carry(server, one);
-    return one;
+    server.prefixCache().record(request.prompt());
+    pool.send(server, attempt);
+    return attempt;
   }
 
-  private void sweep() {
+  private void closeExpiredConnections() {
     long now = timers.now();
     for (Server server : byId.values()) {
-      for (ServerConnection c : new ArrayList<>(server.idle)) {
-        if (!c.fresh(now)) {
-          c.close();
+      for (ServerConnection connection : new ArrayList<>(server.idleConnections)) {
+        if (!connection.isFresh(now)) {
+          connection.close();
         }
       }
     }
-    if (!pool.stopped()) {
-      timers.schedule(SWEEP_MS, this::sweep);
+    if (!pool.isStopped()) {
+      timers.schedule(IDLE_SWEEP_INTERVAL_MS, this::closeExpiredConnections);
     }
   }
 
@@ -319,8 +319,8 @@
   public void stop() {
     pool.stop();
     for (Server server : byId.values()) {
-      for (ServerConnection c : new ArrayList<>(server.idle)) {
-        c.close();
+      for (ServerConnection connection : new ArrayList<>(server.idleConnections)) {
+        connection.close();
       }
     }
   }
--- a/gateway/src/main/java/elmsail/gateway/servers/ShareRotation.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/SmoothWeightedRoundRobin.java
@@ -12,25 +12,25 @@
  * requests would be off by several hundredths. It begins at a random place, as all gateways would
  * favour the same share at first otherwise.
  */
-final class ShareRotation {
+final class SmoothWeightedRoundRobin {
   /** More than the requests after which the rotation of usual weights repeats itself. */
-  private static final int MOST_SKIPPED = 1_000;
+  private static final int MAX_INITIAL_SKIP = 1_000;
 
   private final List<Route.WeightedService> shares;
 
   /** What each share is owed, in requests; negative where it was ahead. */
-  private final Map<Route.WeightedService, Double> owed = new HashMap<>();
+  private final Map<Route.WeightedService, Double> currentWeights = new HashMap<>();
 
-  ShareRotation(List<Route.WeightedService> shares, RandomGenerator chance) {
+  SmoothWeightedRoundRobin(List<Route.WeightedService> shares, RandomGenerator random) {
     this.shares = List.copyOf(shares);
     if (shares.size() > 1) {
-      for (int skipped = chance.nextInt(MOST_SKIPPED); skipped > 0; skipped--) {
+      for (int skipped = random.nextInt(MAX_INITIAL_SKIP); skipped > 0; skipped--) {
         next(shares);
       }
     }
   }
 
-  boolean isOf(List<Route.WeightedService> others) {
+  boolean hasShares(List<Route.WeightedService> others) {
     return shares.equals(others);
   }
 
@@ -43,21 +43,21 @@
     if (among.size() == 1) {
       return among.get(0);
     }
-    double sum = 0;
+    double totalWeight = 0;
     for (Route.WeightedService share : among) {
-      sum += share.weight();
+      totalWeight += share.weight();
     }
-    Route.WeightedService most = null;
+    Route.WeightedService selected = null;
     for (Route.WeightedService share : among) {
       if (share.weight() > 0) {
-        owed.merge(share, share.weight() / sum, Double::sum);
-        most = most == null || owed.get(share) > owed.get(most) ? share : most;
+        currentWeights.merge(share, share.weight() / totalWeight, Double::sum);
+        selected = selected == null || currentWeights.get(share) > currentWeights.get(selected) ? share : selected;
       }
     }
-    if (most == null) {
+    if (selected == null) {
       return among.get(0);
     }
-    owed.merge(most, -1.0, Double::sum);
-    return most;
+    currentWeights.merge(selected, -1.0, Double::sum);
+    return selected;
   }
 }
--- a/gateway/src/test/java/elmsail/gateway/PassedTimers.java
+++ b/gateway/src/test/java/elmsail/gateway/AdvanceableTimers.java
@@ -7,69 +7,69 @@
 import java.util.concurrent.TimeUnit;
 
 /** Another's timers, which a test may move ahead: what falls due on the way runs on the loop. */
-public final class PassedTimers implements Timers {
+public final class AdvanceableTimers implements Timers {
 
-  private final class One implements Timer {
-    private final long at;
-    private final Runnable then;
-    private Timer real;
-    private boolean over;
+  private final class PendingTimer implements Timer {
+    private final long dueAt;
+    private final Runnable task;
+    private Timer realTimer;
+    private boolean done;
 
-    One(long at, Runnable then) {
-      this.at = at;
-      this.then = then;
+    PendingTimer(long at, Runnable then) {
+      this.dueAt = at;
+      this.task = then;
     }
 
     private void run() {
-      if (!over) {
+      if (!done) {
         cancel();
-        then.run();
+        task.run();
       }
     }
 
     @Override
     public void cancel() {
-      over = true;
-      waiting.remove(this);
-      if (real != null) {
-        real.cancel();
+      done = true;
+      pending.remove(this);
+      if (realTimer != null) {
+        realTimer.cancel();
       }
     }
   }
 
-  private static final int MOST_WAIT_S = 5;
+  private static final int MAX_WAIT_S = 5;
 
-  private final Timers timers;
-  private final List<One> waiting = new ArrayList<>();
-  private volatile long passed;
+  private final Timers delegate;
+  private final List<PendingTimer> pending = new ArrayList<>();
+  private volatile long advancedMs;
 
-  PassedTimers(Timers timers) {
-    this.timers = timers;
+  AdvanceableTimers(Timers timers) {
+    this.delegate = timers;
   }
 
   @Override
   public long now() {
-    return timers.now() + passed;
+    return delegate.now() + advancedMs;
   }
 
   @Override
   public Timer schedule(long ms, Runnable then) {
-    One one = new One(now() + ms, then);
-    waiting.add(one);
-    one.real = timers.schedule(ms, one::run);
+    PendingTimer one = new PendingTimer(now() + ms, then);
+    pending.add(one);
+    one.realTimer = delegate.schedule(ms, one::run);
     return one;
   }
 
   @Override
   public void execute(Runnable then) {
-    timers.execute(then);
+    delegate.execute(then);
   }
 
   /**
    * From a test's thread; done once it returns. Were it only on its way to the loop, bytes that the
    * test writes next could be read before it, as the loop reads its sockets before it runs tasks.
    */
-  public void pass(long ms) {
+  public void advance(long ms) {
     CountDownLatch done = new CountDownLatch(1);
     execute(
         () -> {
@@ -80,7 +80,7 @@
           }
         });
     try {
-      if (!done.await(MOST_WAIT_S, TimeUnit.SECONDS)) {
+      if (!done.await(MAX_WAIT_S, TimeUnit.SECONDS)) {
         throw new AssertionError("the loop does not run what it was given");
       }
     } catch (InterruptedException e) {
@@ -89,9 +89,9 @@
   }
 
   private void moveAhead(long ms) {
-    passed += ms;
-    for (One one : new ArrayList<>(waiting)) {
-      if (one.at <= now()) {
+    advancedMs += ms;
+    for (PendingTimer one : new ArrayList<>(pending)) {
+      if (one.dueAt <= now()) {
         one.run();
       }
     }
--- /dev/null
+++ b/gateway/src/test/java/elmsail/gateway/BatchItemExecutionTest.java
@@ -0,0 +1,282 @@
+package elmsail.gateway;
+
+import static org.hamcrest.MatcherAssert.assertThat;
+import static org.hamcrest.Matchers.is;
+import static org.hamcrest.Matchers.notNullValue;
+import static org.hamcrest.Matchers.nullValue;
+
+import elmsail.batch.BatchItem;
+import elmsail.batch.ItemServers.RunOutcome;
+import elmsail.batch.ItemServers.RunListener;
+import elmsail.batch.ItemServers.RunHandle;
+import elmsail.gateway.RawConnection.Message;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** Jobs' items at stand-in servers. */
+class BatchItemExecutionTest {
+  private static final BatchItem ITEM =
+      new BatchItem(
+          "e5", "/sack/3/91", Map.of("Elmsail-Tokens", "540,400"), new byte[] {7, 8}, 940);
+
+  private final BlockingQueue<String> response = new LinkedBlockingQueue<>();
+  private final RunListener listener =
+      new RunListener() {
+        @Override
+        public void onEvent(long id, byte[] data) {
+          response.add(id + ":" + new String(data, StandardCharsets.ISO_8859_1));
+        }
+
+        @Override
+        public void onEnded(RunOutcome result) {
+          response.add(result.name());
+        }
+      };
+  private GatewayTestHarness harness;
+
+  @BeforeEach
+  void open() throws Exception {
+    harness = new GatewayTestHarness();
+  }
+
+  @AfterEach
+  void close() {
+    harness.close();
+  }
+
+  private RunHandle start(long behind) throws Exception {
+    return harness.onLoop(
+        () -> harness.gateway.itemServers().start(harness.clusterState.routeByName("sack"), ITEM, behind, listener));
+  }
+
+  private String next() throws Exception {
+    return response.poll(5, TimeUnit.SECONDS);
+  }
+
+  @Test
+  void itemIsSentAndItsEventsAreDelivered() throws Exception {
+    start(-1);
+    RawConnection server = harness.firstServer.accept();
+    Message received = server.readMessage();
+    assertThat(received.startLine(), is("POST /sack/3/91 HTTP/1.1"));
+    assertThat(received.header("Host"), is(FakeClusterState.HOST));
+    assertThat(received.header("Elmsail-Request-Id"), is("e5"));
+    assertThat(received.header("Elmsail-Tokens"), is("540,400"));
+    assertThat(received.header("Elmsail-Expect-Server"), is("i-0"));
+    assertThat(received.header("Priority"), is("8"));
+    assertThat(received.header("Last-Event-Id"), is(nullValue()));
+    assertThat(received.body(), is("\u0007\b"));
+    server
+        .write(GatewayTestHarness.streamHead("e5", "p"))
+        .write(GatewayTestHarness.chunk("id: 0\ndata: a\ndata: b\n\nid: 1\nda"));
+    assertThat(next(), is("0:a\nb"));
+    server.write(GatewayTestHarness.chunk("ta: c\n\n")).write("0\r\n\r\n");
+    assertThat(next(), is("1:c"));
+    assertThat(next(), is("WHOLE"));
+  }
+
+  @Test
+  void resumesAfterTheLastEvent() throws Exception {
+    start(3);
+    RawConnection server = harness.firstServer.accept();
+    assertThat(server.readMessage().header("Last-Event-Id"), is("3"));
+    server.write(GatewayTestHarness.streamHead("e5", "p")).write(GatewayTestHarness.chunk(GatewayTestHarness.event(4))).write("0\r\n\r\n");
+    assertThat(next(), is("4:e4"));
+    assertThat(next(), is("WHOLE"));
+  }
+
+  @Test
+  void outOfOrderEventsEndTheRunAsBroken() throws Exception {
+    start(3);
+    RawConnection server = harness.firstServer.accept();
+    server.readMessage();
+    server.write(GatewayTestHarness.streamHead("e5", "p")).write(GatewayTestHarness.chunk(GatewayTestHarness.event(5)));
+    assertThat(next(), is("BROKEN"));
+    assertThat(server.isClosedByPeer(), is(true));
+  }
+
+  @ParameterizedTest
+  @CsvSource({
+    "500, FAILED",
+    "422, NEVER",
+    "421, NOT_RUN",
+    "504, BROKEN",
+    "503, BROKEN",
+    "404, BROKEN"
+  })
+  void responseStatusDeterminesTheResult(int status, String how) throws Exception {
+    start(-1);
+    RawConnection server = harness.firstServer.accept();
+    server.readMessage();
+    server.write(GatewayTestHarness.response(status, "e5", ""));
+    assertThat(next(), is(how));
+  }
+
+  @Test
+  void notRunResponseIsReportedAsNotRun() throws Exception {
+    start(-1);
+    RawConnection server = harness.firstServer.accept();
+    server.readMessage();
+    server.write(GatewayTestHarness.notRunResponse(503, "e5"));
+    assertThat(next(), is("NOT_RUN"));
+  }
+
+  @Test
+  void truncatedStreamIsReportedAsBroken() throws Exception {
+    start(-1);
+    RawConnection server = harness.firstServer.accept();
+    server.readMessage();
+    server.write(GatewayTestHarness.streamHead("e5", "p")).write(GatewayTestHarness.chunk(GatewayTestHarness.event(0)));
+    assertThat(next(), is("0:e0"));
+    server.close();
+    assertThat(next(), is("BROKEN"));
+  }
+
+  @Test
+  void successWithoutPostmarkIsReportedAsBroken() throws Exception {
+    start(-1);
+    RawConnection server = harness.firstServer.accept();
+    server.readMessage();
+    server.write(GatewayTestHarness.response(200, "e5", GatewayTestHarness.event(0), "Content-Type: text/event-stream"));
+    assertThat(next(), is("BROKEN"));
+  }
+
+  @Test
+  void unreachableServerIsReportedAsNotRun() throws Exception {
+    harness.firstServer.close();
+    start(-1);
+    assertThat(next(), is("NOT_RUN"));
+  }
+
+  @Test
+  void cancelledItemIsDroppedAndReportsNothing() throws Exception {
+    RunHandle run = start(-1);
+    RawConnection server = harness.firstServer.accept();
+    server.readMessage();
+    harness.onLoop(
+        () -> {
+          run.cancel();
+          return null;
+        });
+    assertThat(server.isClosedByPeer(), is(true));
+    assertThat(response.isEmpty(), is(true));
+  }
+
+  @Test
+  void itemCapacityIsLimited() throws Exception {
+    int room = harness.onLoop(() -> harness.gateway.itemServers().availableCapacity(harness.clusterState.routeByName("sack")));
+    assertThat(room, is(12));
+    for (int left = room; left > room - 4; left--) {
+      int now = left;
+      assertThat(
+          harness.onLoop(() -> harness.gateway.itemServers().availableCapacity(harness.clusterState.routeByName("sack"))), is(now));
+      assertThat(start(-1), is(notNullValue()));
+      assertThat("prompts are not begun together", start(-1), is(nullValue()));
+      harness.timers.advance(80);
+    }
+  }
+
+  @Test
+  void noItemStartsWhereRequestsAreQueued() throws Exception {
+    RawConnection client = harness.request("unsafe", "a1");
+    RawConnection server = harness.firstServer.accept();
+    server.readMessage();
+    server.write(GatewayTestHarness.response(200, "a1", "x", "Elmsail-Postmark: p", "Elmsail-Server-Load: 24,3,24"));
+    client.readMessage();
+    assertThat(harness.onLoop(() -> harness.gateway.itemServers().availableCapacity(harness.clusterState.routeByName("sack"))), is(0));
+    harness.setServers(List.of());
+    assertThat(start(-1), is(nullValue()));
+  }
+
+  /** LOST: an item at a server that has gone dark is free to run elsewhere. */
+  @Test
+  void itemAtAnUnresponsiveServerIsAborted() throws Exception {
+    start(-1);
+    RawConnection server = harness.firstServer.accept();
+    server.readMessage();
+    server.write(GatewayTestHarness.streamHead("e5", "p")).write(GatewayTestHarness.chunk(GatewayTestHarness.event(0)));
+    assertThat(next(), is("0:e0"));
+    advanceInSteps(4_000);
+    assertThat(next(), is("BROKEN"));
+    assertThat(server.isClosedByPeer(), is(true));
+  }
+
+  /** LOST: likewise where the server is no more on the list. */
+  @Test
+  void itemAtARemovedSilentServerIsAborted() throws Exception {
+    start(-1);
+    RawConnection server = harness.firstServer.accept();
+    server.readMessage();
+    harness.setServers(List.of());
+    advanceInSteps(4_000);
+    assertThat(next(), is("BROKEN"));
+    assertThat(server.isClosedByPeer(), is(true));
+  }
+
+  /** An item waits for its turn at a server that works on others. */
+  @Test
+  void itemQueuedAtABusyServerIsLeftThere() throws Exception {
+    start(-1);
+    RawConnection server = harness.firstServer.accept();
+    server.readMessage();
+    RawConnection client = harness.request("stream", "a1", "Elmsail-Deadline-Ms: 5000");
+    RawConnection busy = harness.firstServer.accept();
+    busy.readMessage();
+    busy.write(
+        GatewayTestHarness.streamHead("a1", "p").replace("\r\n\r\n", "\r\nElmsail-Server-Load: 24,9,24\r\n\r\n"));
+    for (int i = 0; i < 16; i++) {
+      busy.write(GatewayTestHarness.chunk(GatewayTestHarness.event(i)));
+      if (i == 0) {
+        client.readHead();
+      }
+      assertThat(client.readChunk(), is(GatewayTestHarness.event(i)));
+      harness.timers.advance(250);
+    }
+    server.write(GatewayTestHarness.streamHead("e5", "p")).write(GatewayTestHarness.chunk(GatewayTestHarness.event(0))).write("0\r\n\r\n");
+    assertThat(next(), is("0:e0"));
+    assertThat(next(), is("WHOLE"));
+  }
+
+  /** UNASKED: what the envelope says of the prompt reaches the server byte for byte. */
+  @Test
+  void envelopeHeadersPassUnchanged() throws Exception {
+    Map<String, String> envelope =
+        Map.of(
+            "Elmsail-Model", "M odel;v=\"1\", x\u00e9/%20",
+            "Elmsail-Tokens", "0540,400",
+            "Elmsail-Prompt-Prefix", "9C2e41:300,,5d07b8:240",
+            "Elmsail-Deadline-Ms", "70000");
+    BatchItem item = new BatchItem("e5", "/sack/3/91", envelope, new byte[] {7}, 940);
+    harness.onLoop(() -> harness.gateway.itemServers().start(harness.clusterState.routeByName("sack"), item, -1, listener));
+    Message received = harness.firstServer.accept().readMessage();
+    envelope.forEach((name, value) -> assertThat(received.header(name), is(value)));
+  }
+
+  /** UNASKED: an item that is cancelled before its connection is there is not sent. */
+  @Test
+  void itemCancelledBeforeSendingDoesNotReachTheServer() throws Exception {
+    harness.onLoop(
+        () -> {
+          harness.gateway.itemServers().start(harness.clusterState.routeByName("sack"), ITEM, -1, listener).cancel();
+          return null;
+        });
+    RawConnection server = harness.firstServer.pollConnection();
+    assertThat(server == null || server.isClosedByPeer(), is(true));
+    assertThat(response.isEmpty(), is(true));
+  }
+
+  private void advanceInSteps(long ms) {
+    for (long passed = 0; passed < ms; passed += 250) {
+      harness.timers.advance(250);
+    }
+  }
+}
--- /dev/null
+++ b/gateway/src/test/java/elmsail/gateway/CloseDelimitedResponseTest.java
@@ -0,0 +1,98 @@
+package elmsail.gateway;
+
+import static org.hamcrest.MatcherAssert.assertThat;
+import static org.hamcrest.Matchers.is;
+import static org.hamcrest.Matchers.nullValue;
+
+import elmsail.gateway.RawConnection.Message;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
+/** Answers without a length, which end with their connection: whole after its end, not a reset. */
+class CloseDelimitedResponseTest {
+  private static final String HEAD =
+      "HTTP/1.1 200 OK\r\nElmsail-Request-Id: a1\r\nElmsail-Postmark: p\r\n";
+
+  private GatewayTestHarness harness;
+
+  @BeforeEach
+  void open() throws Exception {
+    harness = new GatewayTestHarness();
+  }
+
+  @AfterEach
+  void close() {
+    harness.close();
+  }
+
+  private RawConnection serverAsked() {
+    RawConnection server = harness.firstServer.accept();
+    server.readMessage();
+    return server;
+  }
+
+  @Test
+  void completeAfterAnOrderlyClose() {
+    RawConnection client = harness.request("unsafe", "a1");
+    serverAsked().write(HEAD + "\r\nbytes").close();
+    Message answer = client.readMessage();
+    assertThat(answer.status(), is(200));
+    assertThat(answer.body(), is("bytes"));
+    assertThat(answer.header("Elmsail-Postmark"), is("p"));
+  }
+
+  @Test
+  void incompleteAfterAReset() throws Exception {
+    harness.listServers(harness.firstServer, harness.secondServer);
+    RawConnection client = harness.request("unsafe", "a1");
+    serverAsked().write(HEAD + "\r\nbytes").reset();
+    assertThat(client.readMessage().status(), is(502));
+    assertThat(harness.secondServer.hasNoConnection(), is(true));
+  }
+
+  @Test
+  void incompleteWhenTheGatewayClosesTheConnection() {
+    RawConnection client = harness.request("stream", "a1", "Elmsail-Deadline-Ms: 4000");
+    RawConnection server = serverAsked();
+    server.write(HEAD + "Content-Type: text/event-stream\r\n\r\n" + GatewayTestHarness.event(0));
+    client.readHead();
+    assertThat(client.readChunk(), is(GatewayTestHarness.event(0)));
+    harness.timers.advance(4_000);
+    assertThat(client.readChunk(), is(nullValue()));
+    assertThat(server.isClosedByPeer(), is(true));
+  }
+
+  @Test
+  void streamIsCompleteAfterAnOrderlyCloseAndAbortedByAReset() {
+    for (boolean reset : new boolean[] {false, true}) {
+      RawConnection client = harness.request("stream", "a1");
+      RawConnection server = serverAsked();
+      server.write(HEAD + "Content-Type: text/event-stream\r\n\r\n" + GatewayTestHarness.event(0));
+      client.readHead();
+      assertThat(client.readChunk(), is(GatewayTestHarness.event(0)));
+      if (reset) {
+        server.reset();
+      } else {
+        server.close();
+      }
+      assertThat(client.readChunk(), is(reset ? nullValue() : is("")));
+    }
+  }
+
+  @Test
+  void partialLastEventOfAResumableStreamIsIncomplete() throws Exception {
+    harness.listServers(harness.firstServer, harness.secondServer);
+    RawConnection client = harness.request("resume", "a1");
+    serverAsked()
+        .write(HEAD + "Content-Type: text/event-stream\r\n\r\n" + GatewayTestHarness.event(0) + "id: 1\nda")
+        .close();
+    client.readHead();
+    assertThat(client.readChunk(), is(GatewayTestHarness.event(0)));
+    RawConnection other = harness.secondServer.accept();
+    assertThat(other.readMessage().header("Last-Event-Id"), is("0"));
+    other.write(GatewayTestHarness.streamHead("a1", "p")).write(GatewayTestHarness.chunk(GatewayTestHarness.event(1))).write("0\r\n\r\n");
+    assertThat(client.readChunk(), is(GatewayTestHarness.event(1)));
+    assertThat(client.readChunk(), is(""));
+  }
+}
--- a/gateway/src/test/java/elmsail/gateway/FakeKnown.java
+++ b/gateway/src/test/java/elmsail/gateway/FakeClusterState.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 
 /** What a test says is known. */
-public final class FakeKnown implements ClusterState, RoutingConfig {
+public final class FakeClusterState implements ClusterState, RoutingConfig {
   public static final String HOST = "nony24.example";
 
   public final Map<String, Route> routes = new HashMap<>();
@@ -24,7 +24,7 @@
   private final List<Runnable> listeners = new ArrayList<>();
 
   /** A route of the name and prefix {@code /name/} to service "s". */
-  public void route(String name, Route.Kind kind, int tries, boolean resume) {
+  public void addRoute(String name, Route.Kind kind, int tries, boolean resume) {
     routes.put(
         "/" + name + "/",
         new Route(
@@ -45,7 +45,7 @@
   }
 
   /** All routes hold a request for so long. */
-  public void giveUpAfter(long ms) {
+  public void setRouteTimeoutMs(long ms) {
     routes.replaceAll(
         (prefix, one) ->
             new Route(
@@ -65,7 +65,7 @@
                 one.maxWaitingTokens()));
   }
 
-  public void changed() {
+  public void notifyListeners() {
     listeners.forEach(Runnable::run);
   }
 
--- a/gateway/src/test/java/elmsail/gateway/TroubleTest.java
+++ b/gateway/src/test/java/elmsail/gateway/FaultInjectionTest.java
@@ -7,7 +7,7 @@
 import static org.hamcrest.Matchers.oneOf;
 import static org.hamcrest.Matchers.startsWith;
 
-import elmsail.gateway.Wire.Message;
+import elmsail.gateway.RawConnection.Message;
 import java.io.UncheckedIOException;
 import java.util.HashMap;
 import java.util.List;
@@ -20,7 +20,7 @@
 /**
  * Many requests past two servers in every kind of trouble, drawn from a seed, against the rules.
  */
-class TroubleTest {
+class FaultInjectionTest {
   private static final int REQUESTS = 120;
   private static final int EVENTS = 4;
 
@@ -28,16 +28,16 @@
   private final Map<String, Integer> runs = new ConcurrentHashMap<>();
 
   /** Speaks for one server, a thread for each connection, until the rig closes. */
-  private Thread serve(Wire.Stall stall, long seed) {
+  private Thread serve(RawConnection.FakeServer fakeServer, long seed) {
     Thread thread =
         new Thread(
             () -> {
               SplittableRandom chance = new SplittableRandom(seed);
               try {
                 while (true) {
-                  Wire wire = stall.accept();
+                  RawConnection connection = fakeServer.accept();
                   SplittableRandom own = chance.split();
-                  Thread one = new Thread(() -> connection(wire, own));
+                  Thread one = new Thread(() -> connection(connection, own));
                   one.setDaemon(true);
                   one.start();
                 }
@@ -50,10 +50,10 @@
     return thread;
   }
 
-  private void connection(Wire wire, SplittableRandom chance) {
-    try (wire) {
-      for (Message asked = wire.message(); asked != null; asked = wire.message()) {
-        if (!answer(wire, asked, chance)) {
+  private void connection(RawConnection connection, SplittableRandom chance) {
+    try (connection) {
+      for (Message received = connection.readMessage(); received != null; received = connection.readMessage()) {
+        if (!answer(connection, received, chance)) {
           return;
         }
       }
@@ -63,88 +63,88 @@
   }
 
   /** False to end the connection. */
-  private boolean answer(Wire wire, Message asked, SplittableRandom chance) {
-    String id = asked.header("Elmsail-Request-Id");
+  private boolean answer(RawConnection connection, Message received, SplittableRandom chance) {
+    String id = received.header("Elmsail-Request-Id");
     int trouble = chance.nextInt(12);
     if (trouble == 0) {
-      wire.write(Rig.notRun(503, id));
+      connection.write(GatewayTestHarness.notRunResponse(503, id));
       return true;
     }
     if (trouble == 1) {
-      wire.write(Rig.answer(421, id, ""));
+      connection.write(GatewayTestHarness.response(421, id, ""));
       return true;
     }
     runs.merge(id, 1, Integer::sum);
     switch (trouble) {
       case 2 -> {
-        wire.reset();
+        connection.reset();
         return false;
       }
       case 3 -> {
-        wire.write(Rig.good("other", "whole"));
+        connection.write(GatewayTestHarness.okResponse("other", "whole"));
         return true;
       }
       case 4 -> {
-        wire.write("HTTP/1.1 2x0 what\u0000\r\n:\r\n\r\n");
+        connection.write("HTTP/1.1 2x0 what\u0000\r\n:\r\n\r\n");
         return true;
       }
       case 5 -> {
-        wire.write(Rig.answer(200, id, "whole-" + id));
+        connection.write(GatewayTestHarness.response(200, id, "whole-" + id));
         return true;
       }
       case 6 -> {
-        wire.write(Rig.answer(503, id, ""));
+        connection.write(GatewayTestHarness.response(503, id, ""));
         return true;
       }
       default -> {
-        return proper(wire, asked, id, trouble);
+        return proper(connection, received, id, trouble);
       }
     }
   }
 
-  private static boolean proper(Wire wire, Message asked, String id, int trouble) {
-    if (asked.first().contains("/stream/") || asked.first().contains("/resume/")) {
-      String last = asked.header("Last-Event-Id");
-      wire.write(Rig.streamHead(id, "p"));
+  private static boolean proper(RawConnection connection, Message received, String id, int trouble) {
+    if (received.startLine().contains("/stream/") || received.startLine().contains("/resume/")) {
+      String last = received.header("Last-Event-Id");
+      connection.write(GatewayTestHarness.streamHead(id, "p"));
       for (int i = last == null ? 0 : Integer.parseInt(last) + 1; i < EVENTS; i++) {
         if (trouble == 7 && i == 2) {
-          wire.write("e\r\nid: 2\nda").reset();
+          connection.write("e\r\nid: 2\nda").reset();
           return false;
         }
-        wire.write(Rig.chunk(Rig.event(i)));
+        connection.write(GatewayTestHarness.chunk(GatewayTestHarness.event(i)));
       }
-      wire.write("0\r\n\r\n");
+      connection.write("0\r\n\r\n");
     } else if (trouble == 7) {
-      wire.write(Rig.good(id, "whole-" + id).substring(0, 40)).reset();
+      connection.write(GatewayTestHarness.okResponse(id, "whole-" + id).substring(0, 40)).reset();
       return false;
     } else if (trouble == 8) {
-      wire.write(Rig.answer(200, id, "whole-" + id, "Elmsail-Postmark: p", "Connection: close"));
+      connection.write(GatewayTestHarness.response(200, id, "whole-" + id, "Elmsail-Postmark: p", "Connection: close"));
       return false;
     } else {
-      wire.write(Rig.good(id, "whole-" + id) + (trouble == 9 ? Rig.good(id, "extra") : ""));
+      connection.write(GatewayTestHarness.okResponse(id, "whole-" + id) + (trouble == 9 ? GatewayTestHarness.okResponse(id, "extra") : ""));
     }
     return true;
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void noRuleIsBroken(long seed) throws Exception {
-    try (Rig rig = new Rig()) {
-      rig.serve(rig.first, rig.second);
-      serve(rig.first, 2 * seed);
-      serve(rig.second, 2 * seed + 1);
+  void randomFaultsBreakNoProtocolRule(long seed) throws Exception {
+    try (GatewayTestHarness harness = new GatewayTestHarness()) {
+      harness.listServers(harness.firstServer, harness.secondServer);
+      serve(harness.firstServer, 2 * seed);
+      serve(harness.secondServer, 2 * seed + 1);
       SplittableRandom chance = new SplittableRandom(seed);
       String[] routes = {"safe", "unsafe", "once", "stream", "resume"};
       Map<String, Integer> served = new HashMap<>();
-      Wire client = rig.client();
+      RawConnection client = harness.connectClient();
       for (int i = 0; i < REQUESTS; i++) {
         String route = routes[chance.nextInt(routes.length)];
         String id = route + i;
-        client.write(Rig.requestText(route, id));
+        client.write(GatewayTestHarness.requestText(route, id));
         boolean kept = check(client, route, id);
         served.merge(route + (kept ? "" : " cut"), 1, Integer::sum);
         if (!kept) {
-          client = rig.client();
+          client = harness.connectClient();
         }
       }
       assertThat(served.toString(), served.keySet().containsAll(List.of(routes)), is(true));
@@ -152,9 +152,9 @@
   }
 
   /** Whether the connection goes on. */
-  private boolean check(Wire client, String route, String id) {
+  private boolean check(RawConnection client, String route, String id) {
     boolean repeatable = route.equals("safe") || route.equals("resume");
-    Message head = client.head();
+    Message head = client.readHead();
     int status = head.status();
     int ran = runs.getOrDefault(id, 0);
     assertThat(id, status, is(oneOf(200, 502, 503)));
@@ -162,14 +162,14 @@
     if (status == 503) {
       assertThat(id + " was promised not to have run", ran, is(0));
     }
-    String all = Rig.event(0) + Rig.event(1) + Rig.event(2) + Rig.event(3);
+    String all = GatewayTestHarness.event(0) + GatewayTestHarness.event(1) + GatewayTestHarness.event(2) + GatewayTestHarness.event(3);
     if (status == 200 && head.header("Transfer-Encoding") != null) {
       assertThat(head.header("Elmsail-Postmark"), is("p"));
       StringBuilder body = new StringBuilder();
-      String chunk = client.chunk();
+      String chunk = client.readChunk();
       while (chunk != null && !chunk.isEmpty()) {
         body.append(chunk);
-        chunk = client.chunk();
+        chunk = client.readChunk();
       }
       if (chunk == null) {
         assertThat(all, startsWith(body.toString().replaceAll("id: 2\nda$", "")));
@@ -178,7 +178,7 @@
       assertThat(id, body.toString(), is(all));
       return true;
     }
-    String body = client.bytes(Integer.parseInt(head.header("Content-Length")));
+    String body = client.readBytes(Integer.parseInt(head.header("Content-Length")));
     if (status == 200) {
       assertThat(head.header("Elmsail-Postmark"), is(oneOf("p", "stamp-" + id)));
       assertThat(body, containsString("whole-" + id));
--- a/gateway/src/test/java/elmsail/gateway/Rig.java
+++ b/gateway/src/test/java/elmsail/gateway/GatewayTestHarness.java
@@ -15,26 +15,26 @@
 import java.util.concurrent.TimeUnit;
 
 /** A gateway over loopback with two stand-in servers that the test speaks for. */
-public final class Rig implements AutoCloseable {
+public final class GatewayTestHarness implements AutoCloseable {
   public final NettyEventLoop loop = new NettyEventLoop();
 
   /** The loop's, ahead by what the test has passed. */
-  public final PassedTimers timers = new PassedTimers(loop);
+  public final AdvanceableTimers timers = new AdvanceableTimers(loop);
 
-  public final FakeKnown known = new FakeKnown();
-  public final FakeLots jobs = new FakeLots();
-  public final Wire.Stall first = new Wire.Stall();
-  public final Wire.Stall second = new Wire.Stall();
+  public final FakeClusterState clusterState = new FakeClusterState();
+  public final FakeBatchCalls batchCalls = new FakeBatchCalls();
+  public final RawConnection.FakeServer firstServer = new RawConnection.FakeServer();
+  public final RawConnection.FakeServer secondServer = new RawConnection.FakeServer();
   public final Gateway gateway;
-  private final List<Wire> clients = new ArrayList<>();
+  private final List<RawConnection> clients = new ArrayList<>();
 
   /** Answers calls about jobs with what the test has set. */
-  public static final class FakeLots implements BatchService {
+  public static final class FakeBatchCalls implements BatchService {
     public volatile Reply reply = new Reply(202, new byte[0], 0);
-    public volatile String asked = "";
+    public volatile String lastCall = "";
 
     private CompletableFuture<Reply> response(String what) {
-      asked = what;
+      lastCall = what;
       return CompletableFuture.completedFuture(reply);
     }
 
@@ -60,15 +60,15 @@
     }
   }
 
-  public Rig() throws Exception {
-    known.route("safe", Route.Kind.SAFE, 2, false);
-    known.route("unsafe", Route.Kind.UNSAFE, 2, false);
-    known.route("once", Route.Kind.UNSAFE, 1, false);
-    known.route("stream", Route.Kind.STREAM, 2, false);
-    known.route("resume", Route.Kind.STREAM, 2, true);
-    known.route("lots", Route.Kind.BATCH, 2, false);
-    known.route("sack", Route.Kind.BATCH, 2, false);
-    serve(first);
+  public GatewayTestHarness() throws Exception {
+    clusterState.addRoute("safe", Route.Kind.SAFE, 2, false);
+    clusterState.addRoute("unsafe", Route.Kind.UNSAFE, 2, false);
+    clusterState.addRoute("once", Route.Kind.UNSAFE, 1, false);
+    clusterState.addRoute("stream", Route.Kind.STREAM, 2, false);
+    clusterState.addRoute("resume", Route.Kind.STREAM, 2, true);
+    clusterState.addRoute("lots", Route.Kind.BATCH, 2, false);
+    clusterState.addRoute("sack", Route.Kind.BATCH, 2, false);
+    listServers(firstServer);
     Settings settings =
         new Settings(
             "c1",
@@ -94,17 +94,17 @@
                 2_000),
             null);
     gateway =
-        onLoop(() -> Gateway.start(settings, loop, timers, known, jobs, ProcessMetrics.strict()))
+        onLoop(() -> Gateway.start(settings, loop, timers, clusterState, batchCalls, ProcessMetrics.strict()))
             .get(5, TimeUnit.SECONDS);
   }
 
   /** Runs on the loop and waits for it. */
-  public <T> T onLoop(Callable<T> what) throws Exception {
+  public <T> T onLoop(Callable<T> action) throws Exception {
     CompletableFuture<T> done = new CompletableFuture<>();
     loop.execute(
         () -> {
           try {
-            done.complete(what.call());
+            done.complete(action.call());
           } catch (Exception e) {
             done.completeExceptionally(e);
           }
@@ -116,33 +116,33 @@
    * The list has these, as i-0, i-1... The first one is in the gateway's zone, so it is chosen
    * first.
    */
-  public void serve(Wire.Stall... stalls) throws Exception {
+  public void listServers(RawConnection.FakeServer... stalls) throws Exception {
     List<ServerEntry> entries = new ArrayList<>();
     for (int i = 0; i < stalls.length; i++) {
       entries.add(
           new ServerEntry("i-" + i, "s", stalls[i].address(), i == 0 ? "z" : "far", 24, false, 0));
     }
-    list(entries);
+    setServers(entries);
   }
 
-  public void list(List<ServerEntry> entries) throws Exception {
+  public void setServers(List<ServerEntry> entries) throws Exception {
     onLoop(
         () -> {
-          known.servers = entries;
-          known.changed();
+          clusterState.servers = entries;
+          clusterState.notifyListeners();
           return null;
         });
   }
 
-  public Wire client() {
-    Wire wire = Wire.to(gateway.frontAddress());
-    clients.add(wire);
-    return wire;
+  public RawConnection connectClient() {
+    RawConnection connection = RawConnection.connect(gateway.clientAddress());
+    clients.add(connection);
+    return connection;
   }
 
   /** A client that has asked on a route. */
-  public Wire request(String route, String id, String... headers) {
-    return client().write(requestText(route, id, headers));
+  public RawConnection request(String route, String id, String... headers) {
+    return connectClient().write(requestText(route, id, headers));
   }
 
   public static String requestText(String route, String id, String... headers) {
@@ -151,7 +151,7 @@
             "POST /"
                 + route
                 + "/2f HTTP/1.1\r\nHost: "
-                + FakeKnown.HOST
+                + FakeClusterState.HOST
                 + "\r\nElmsail-Request-Id: "
                 + id
                 + "\r\n");
@@ -162,7 +162,7 @@
   }
 
   /** A server's answer with a length. */
-  public static String answer(int status, String id, String body, String... headers) {
+  public static String response(int status, String id, String body, String... headers) {
     StringBuilder text =
         new StringBuilder("HTTP/1.1 " + status + " X\r\nElmsail-Request-Id: " + id + "\r\n");
     for (String h : headers) {
@@ -171,12 +171,12 @@
     return text + "Content-Length: " + body.length() + "\r\n\r\n" + body;
   }
 
-  public static String good(String id, String body) {
-    return answer(200, id, body, "Elmsail-Postmark: stamp-" + id);
+  public static String okResponse(String id, String body) {
+    return response(200, id, body, "Elmsail-Postmark: stamp-" + id);
   }
 
-  public static String notRun(int status, String id) {
-    return answer(status, id, "", "Elmsail-Not-Run: 1");
+  public static String notRunResponse(int status, String id) {
+    return response(status, id, "", "Elmsail-Not-Run: 1");
   }
 
   /** The head of a stream. */
@@ -198,9 +198,9 @@
 
   @Override
   public void close() {
-    clients.forEach(Wire::close);
-    first.close();
-    second.close();
+    clients.forEach(RawConnection::close);
+    firstServer.close();
+    secondServer.close();
     loop.shutdown().awaitUninterruptibly(5, TimeUnit.SECONDS);
   }
 }
--- a/gateway/src/test/java/elmsail/gateway/GatewayWarmUpTest.java
+++ b/gateway/src/test/java/elmsail/gateway/GatewayWarmUpTest.java
@@ -13,7 +13,7 @@
 class GatewayWarmUpTest {
 
   @Test
-  void aStreamIsServed() throws Exception {
+  void servesOneStream() throws Exception {
     NettyEventLoop loop = new NettyEventLoop();
     try {
       CompletableFuture<String> got = new CompletableFuture<>();
--- a/gateway/src/test/java/elmsail/gateway/Wire.java
+++ b/gateway/src/test/java/elmsail/gateway/RawConnection.java
@@ -14,29 +14,29 @@
 import java.util.Map;
 
 /** One end of a connection over loopback, spoken byte by byte; each wait is bounded. */
-public final class Wire implements AutoCloseable {
+public final class RawConnection implements AutoCloseable {
   public static final int WAIT_MS = 5_000;
 
   private final Socket socket;
 
-  private Wire(Socket socket) throws IOException {
+  private RawConnection(Socket socket) throws IOException {
     this.socket = socket;
     socket.setSoTimeout(WAIT_MS);
     socket.setTcpNoDelay(true);
   }
 
   /** A message with a whole body. */
-  public record Message(String first, Map<String, String> headers, String body) {
+  public record Message(String startLine, Map<String, String> headers, String body) {
     public String header(String name) {
       return headers.get(name.toLowerCase(Locale.ROOT));
     }
 
     public int status() {
-      return Integer.parseInt(first.split(" ")[1]);
+      return Integer.parseInt(startLine.split(" ")[1]);
     }
   }
 
-  public static Wire to(String address) {
+  public static RawConnection connect(String address) {
     try {
       int colon = address.indexOf(':');
       Socket socket = new Socket();
@@ -44,19 +44,19 @@
           new InetSocketAddress(
               address.substring(0, colon), Integer.parseInt(address.substring(colon + 1))),
           WAIT_MS);
-      return new Wire(socket);
+      return new RawConnection(socket);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
   }
 
   /** Where a stand-in server listens. */
-  public static final class Stall implements AutoCloseable {
-    private static final int FEW_BYTES = 4_096;
+  public static final class FakeServer implements AutoCloseable {
+    private static final int SMALL_RECEIVE_BUFFER_BYTES = 4_096;
 
     private final ServerSocket listening;
 
-    public Stall() {
+    public FakeServer() {
       try {
         listening = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
       } catch (IOException e) {
@@ -68,36 +68,36 @@
       return "127.0.0.1:" + listening.getLocalPort();
     }
 
-    public Wire accept() {
+    public RawConnection accept() {
       try {
         listening.setSoTimeout(WAIT_MS);
-        return new Wire(listening.accept());
+        return new RawConnection(listening.accept());
       } catch (IOException e) {
         throw new UncheckedIOException(e);
       }
     }
 
     /** The next connection, with the request on it read whole. */
-    public Wire acceptRequest() {
-      Wire server = accept();
-      server.message();
+    public RawConnection acceptRequest() {
+      RawConnection server = accept();
+      server.readMessage();
       return server;
     }
 
     /** Connections accepted from here on take few bytes that are not read yet. */
-    public void takeFewBytesAhead() {
+    public void limitReceiveBuffer() {
       try {
-        listening.setReceiveBufferSize(FEW_BYTES);
+        listening.setReceiveBufferSize(SMALL_RECEIVE_BUFFER_BYTES);
       } catch (IOException e) {
         throw new UncheckedIOException(e);
       }
     }
 
     /** Who has connected by now, or null. */
-    public Wire poll() {
+    public RawConnection pollConnection() {
       try {
         listening.setSoTimeout(1);
-        return new Wire(listening.accept());
+        return new RawConnection(listening.accept());
       } catch (SocketTimeoutException e) {
         return null;
       } catch (IOException e) {
@@ -106,7 +106,7 @@
     }
 
     /** Whether nobody has connected so far. */
-    public boolean alone() {
+    public boolean hasNoConnection() {
       try {
         listening.setSoTimeout(1);
         listening.accept().close();
@@ -128,7 +128,7 @@
     }
   }
 
-  public Wire write(String text) {
+  public RawConnection write(String text) {
     try {
       socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
       return this;
@@ -148,7 +148,7 @@
   }
 
   /** The next line without its end; null at the end of the connection. */
-  public String line() {
+  public String readLine() {
     ByteArrayOutputStream line = new ByteArrayOutputStream();
     for (int b = read(); b != '\n'; b = read()) {
       if (b < 0) {
@@ -161,7 +161,7 @@
   }
 
   /** Exactly so many bytes. */
-  public String bytes(int count) {
+  public String readBytes(int count) {
     ByteArrayOutputStream some = new ByteArrayOutputStream();
     while (some.size() < count) {
       int b = read();
@@ -174,13 +174,13 @@
   }
 
   /** The head of a message; its body is still to be read. Null at the connection's end. */
-  public Message head() {
-    String first = line();
+  public Message readHead() {
+    String first = readLine();
     if (first == null) {
       return null;
     }
     Map<String, String> headers = new LinkedHashMap<>();
-    for (String line = line(); line != null && !line.isEmpty(); line = line()) {
+    for (String line = readLine(); line != null && !line.isEmpty(); line = readLine()) {
       int colon = line.indexOf(':');
       headers.put(
           line.substring(0, colon).toLowerCase(Locale.ROOT), line.substring(colon + 1).trim());
@@ -189,18 +189,18 @@
   }
 
   /** A whole message; null at the connection's end before it. */
-  public Message message() {
-    Message head = head();
+  public Message readMessage() {
+    Message head = readHead();
     if (head == null) {
       return null;
     }
     String length = head.header("Content-Length");
     String body = "";
     if (length != null) {
-      body = bytes(Integer.parseInt(length));
+      body = readBytes(Integer.parseInt(length));
     } else if ("chunked".equals(head.header("Transfer-Encoding"))) {
       StringBuilder all = new StringBuilder();
-      for (String chunk = chunk(); chunk == null || !chunk.isEmpty(); chunk = chunk()) {
+      for (String chunk = readChunk(); chunk == null || !chunk.isEmpty(); chunk = readChunk()) {
         if (chunk == null) {
           throw new UncheckedIOException(new IOException("cut after " + all));
         }
@@ -208,22 +208,22 @@
       }
       body = all.toString();
     }
-    return new Message(head.first(), head.headers(), body);
+    return new Message(head.startLine(), head.headers(), body);
   }
 
   /** The next chunk, empty for the last; null at the connection's end. */
-  public String chunk() {
-    String size = line();
+  public String readChunk() {
+    String size = readLine();
     if (size == null) {
       return null;
     }
-    String data = bytes(Integer.parseInt(size.trim(), 16));
-    line();
+    String data = readBytes(Integer.parseInt(size.trim(), 16));
+    readLine();
     return data;
   }
 
   /** How many bytes still come before the peer's end or reset. */
-  public long bytesToTheEnd() {
+  public long countBytesUntilEnd() {
     long count = 0;
     while (read() >= 0) {
       count++;
@@ -232,7 +232,7 @@
   }
 
   /** Whether the peer has ended the connection and sent nothing more. */
-  public boolean ended() {
+  public boolean isClosedByPeer() {
     return read() < 0;
   }
 
@@ -246,7 +246,7 @@
   }
 
   /** Sends nothing more, but goes on reading. */
-  public void endSending() {
+  public void shutdownOutput() {
     try {
       socket.shutdownOutput();
     } catch (IOException e) {
--- a/gateway/src/test/java/elmsail/gateway/RequestForwarderTest.java
+++ b/gateway/src/test/java/elmsail/gateway/RequestForwarderTest.java
@@ -8,7 +8,7 @@
 import static org.hamcrest.Matchers.notNullValue;
 import static org.hamcrest.Matchers.nullValue;
 
-import elmsail.gateway.Wire.Message;
+import elmsail.gateway.RawConnection.Message;
 import java.util.List;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -18,22 +18,22 @@
 
 /** Requests over sockets, from a client past the gateway to stand-in servers. */
 class RequestForwarderTest {
-  private Rig rig;
+  private GatewayTestHarness harness;
 
   @BeforeEach
   void open() throws Exception {
-    rig = new Rig();
+    harness = new GatewayTestHarness();
   }
 
   @AfterEach
   void close() throws Exception {
-    rig.close();
+    harness.close();
   }
 
   @Test
-  void requestAndAnswerPassUnchanged() {
-    Wire client =
-        rig.request(
+  void requestAndResponsePassUnchanged() {
+    RawConnection client =
+        harness.request(
             "unsafe",
             "a1",
             "Elmsail-Deadline-Ms: 2000",
@@ -42,24 +42,24 @@
             "X-Hop: 1",
             "TE: trailers",
             "Proxy-Thing: 1");
-    Wire server = rig.first.accept();
-    Message asked = server.message();
-    assertThat(asked.first(), is("POST /unsafe/2f HTTP/1.1"));
-    assertThat(asked.body(), is("body"));
-    assertThat(asked.header("Host"), is(FakeKnown.HOST));
-    assertThat(asked.header("Elmsail-Request-Id"), is("a1"));
-    assertThat(asked.header("Elmsail-Expect-Server"), is("i-0"));
-    assertThat(asked.header("X-Own"), is("7"));
-    assertThat(asked.header("X-Hop"), is(nullValue()));
-    assertThat(asked.header("TE"), is(nullValue()));
-    assertThat(asked.header("Proxy-Thing"), is(nullValue()));
+    RawConnection server = harness.firstServer.accept();
+    Message received = server.readMessage();
+    assertThat(received.startLine(), is("POST /unsafe/2f HTTP/1.1"));
+    assertThat(received.body(), is("body"));
+    assertThat(received.header("Host"), is(FakeClusterState.HOST));
+    assertThat(received.header("Elmsail-Request-Id"), is("a1"));
+    assertThat(received.header("Elmsail-Expect-Server"), is("i-0"));
+    assertThat(received.header("X-Own"), is("7"));
+    assertThat(received.header("X-Hop"), is(nullValue()));
+    assertThat(received.header("TE"), is(nullValue()));
+    assertThat(received.header("Proxy-Thing"), is(nullValue()));
     assertThat(
-        Integer.parseInt(asked.header("Elmsail-Deadline-Ms")),
+        Integer.parseInt(received.header("Elmsail-Deadline-Ms")),
         allOf(greaterThan(0), lessThanOrEqualTo(2_000)));
     server.write(
-        Rig.answer(
+        GatewayTestHarness.response(
             200, "a1", "bytes", "Elmsail-Postmark: p.1", "X-Server: 3", "Keep-Alive: timeout=9"));
-    Message response = client.message();
+    Message response = client.readMessage();
     assertThat(response.status(), is(200));
     assertThat(response.body(), is("bytes"));
     assertThat(response.header("Elmsail-Postmark"), is("p.1"));
@@ -68,123 +68,123 @@
   }
 
   @Test
-  void connectionsOfBothSidesAreKept() throws Exception {
-    Wire client = rig.request("unsafe", "a1");
-    Wire server = rig.first.acceptRequest();
-    server.write(Rig.answer(200, "a1", "one", "Elmsail-Postmark: p", "Keep-Alive: timeout=9"));
-    assertThat(client.message().body(), is("one"));
-    rig.timers.pass(100);
-    client.write(Rig.requestText("unsafe", "a2"));
-    assertThat(server.message().header("Elmsail-Request-Id"), is("a2"));
-    server.write(Rig.good("a2", "two"));
-    assertThat(client.message().body(), is("two"));
+  void clientAndServerConnectionsAreReused() throws Exception {
+    RawConnection client = harness.request("unsafe", "a1");
+    RawConnection server = harness.firstServer.acceptRequest();
+    server.write(GatewayTestHarness.response(200, "a1", "one", "Elmsail-Postmark: p", "Keep-Alive: timeout=9"));
+    assertThat(client.readMessage().body(), is("one"));
+    harness.timers.advance(100);
+    client.write(GatewayTestHarness.requestText("unsafe", "a2"));
+    assertThat(server.readMessage().header("Elmsail-Request-Id"), is("a2"));
+    server.write(GatewayTestHarness.okResponse("a2", "two"));
+    assertThat(client.readMessage().body(), is("two"));
   }
 
   @Test
-  void bodyInChunksArrivesWhole() {
-    Wire client =
-        rig.client()
+  void chunkedBodyArrivesComplete() {
+    RawConnection client =
+        harness.connectClient()
             .write(
                 "POST /unsafe/ HTTP/1.1\r\nHost: "
-                    + FakeKnown.HOST
+                    + FakeClusterState.HOST
                     + "\r\nElmsail-Request-Id: a1\r\nTransfer-Encoding: chunked\r\n\r\n"
                     + "3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
-    Wire server = rig.first.accept();
-    Message asked = server.message();
-    assertThat(asked.body(), is("abcde"));
-    assertThat(asked.header("Content-Length"), is("5"));
-    server.write(Rig.good("a1", "x"));
-    assertThat(client.message().status(), is(200));
+    RawConnection server = harness.firstServer.accept();
+    Message received = server.readMessage();
+    assertThat(received.body(), is("abcde"));
+    assertThat(received.header("Content-Length"), is("5"));
+    server.write(GatewayTestHarness.okResponse("a1", "x"));
+    assertThat(client.readMessage().status(), is(200));
   }
 
   @Test
-  void eventsPassAsTheyCome() {
-    Wire client = rig.request("stream", "a1");
-    Wire server = rig.first.acceptRequest();
-    server.write(Rig.streamHead("a1", "p")).write(Rig.chunk(Rig.event(0)));
-    assertThat(client.head().header("Elmsail-Postmark"), is("p"));
-    assertThat(client.chunk(), is(Rig.event(0)));
-    server.write(Rig.chunk(Rig.event(1)));
-    assertThat(client.chunk(), is(Rig.event(1)));
+  void eventsAreRelayedAsTheyArrive() {
+    RawConnection client = harness.request("stream", "a1");
+    RawConnection server = harness.firstServer.acceptRequest();
+    server.write(GatewayTestHarness.streamHead("a1", "p")).write(GatewayTestHarness.chunk(GatewayTestHarness.event(0)));
+    assertThat(client.readHead().header("Elmsail-Postmark"), is("p"));
+    assertThat(client.readChunk(), is(GatewayTestHarness.event(0)));
+    server.write(GatewayTestHarness.chunk(GatewayTestHarness.event(1)));
+    assertThat(client.readChunk(), is(GatewayTestHarness.event(1)));
     server.write("0\r\n\r\n");
-    assertThat(client.chunk(), is(""));
+    assertThat(client.readChunk(), is(""));
   }
 
   @ParameterizedTest
   @ValueSource(ints = {503, 429, 421, 408, 504})
-  void whatDidNotRunGoesToAnotherServer(int status) throws Exception {
-    rig.serve(rig.first, rig.second);
-    Wire client = rig.request("unsafe", "a1");
-    Wire server = rig.first.acceptRequest();
-    server.write(status == 421 ? Rig.answer(421, "a1", "") : Rig.notRun(status, "a1"));
-    Wire other = rig.second.accept();
-    assertThat(other.message().header("Elmsail-Expect-Server"), is("i-1"));
-    other.write(Rig.good("a1", "x"));
-    assertThat(client.message().body(), is("x"));
+  void notRunResponseIsRetriedAtAnotherServer(int status) throws Exception {
+    harness.listServers(harness.firstServer, harness.secondServer);
+    RawConnection client = harness.request("unsafe", "a1");
+    RawConnection server = harness.firstServer.acceptRequest();
+    server.write(status == 421 ? GatewayTestHarness.response(421, "a1", "") : GatewayTestHarness.notRunResponse(status, "a1"));
+    RawConnection other = harness.secondServer.accept();
+    assertThat(other.readMessage().header("Elmsail-Expect-Server"), is("i-1"));
+    other.write(GatewayTestHarness.okResponse("a1", "x"));
+    assertThat(client.readMessage().body(), is("x"));
   }
 
   @Test
-  void whatNoServerRanIsRefusedWithATime() throws Exception {
-    rig.serve(rig.first, rig.second);
-    Wire client = rig.request("unsafe", "a1");
-    rig.first.accept().write(Rig.notRun(503, "a1")).message();
-    rig.second.accept().write(Rig.notRun(503, "a1")).message();
-    Message response = client.message();
+  void notRunEverywhereIsRejectedWithRetryAfter() throws Exception {
+    harness.listServers(harness.firstServer, harness.secondServer);
+    RawConnection client = harness.request("unsafe", "a1");
+    harness.firstServer.accept().write(GatewayTestHarness.notRunResponse(503, "a1")).readMessage();
+    harness.secondServer.accept().write(GatewayTestHarness.notRunResponse(503, "a1")).readMessage();
+    Message response = client.readMessage();
     assertThat(response.status(), is(503));
     assertThat(Double.parseDouble(response.header("Retry-After")), is(greaterThan(0.0)));
   }
 
   @Test
-  void noMoreServersThanTheRouteAllows() throws Exception {
-    rig.serve(rig.first, rig.second);
-    Wire client = rig.request("once", "a1");
-    rig.first.accept().write(Rig.notRun(503, "a1")).message();
-    assertThat(client.message().status(), is(503));
-    assertThat(rig.second.alone(), is(true));
+  void attemptsNeverExceedTheRoutesMaximum() throws Exception {
+    harness.listServers(harness.firstServer, harness.secondServer);
+    RawConnection client = harness.request("once", "a1");
+    harness.firstServer.accept().write(GatewayTestHarness.notRunResponse(503, "a1")).readMessage();
+    assertThat(client.readMessage().status(), is(503));
+    assertThat(harness.secondServer.hasNoConnection(), is(true));
   }
 
   @Test
-  void whatMayHaveRunIsNeitherRepeatedNorRefused() throws Exception {
-    rig.serve(rig.first, rig.second);
-    Wire client = rig.request("unsafe", "a1");
-    Wire server = rig.first.acceptRequest();
+  void possiblyRunUnsafeRequestIsNeitherRetriedNorRejected() throws Exception {
+    harness.listServers(harness.firstServer, harness.secondServer);
+    RawConnection client = harness.request("unsafe", "a1");
+    RawConnection server = harness.firstServer.acceptRequest();
     server.reset();
-    assertThat(client.message().status(), is(502));
-    assertThat(rig.second.alone(), is(true));
+    assertThat(client.readMessage().status(), is(502));
+    assertThat(harness.secondServer.hasNoConnection(), is(true));
   }
 
   @ParameterizedTest
   @ValueSource(ints = {503, 429, 408})
-  void aPromiseThatTheServerDidNotGiveIsNotPassedOn(int status) throws Exception {
-    rig.serve(rig.first, rig.second);
-    Wire client = rig.request("unsafe", "a1");
-    Wire server = rig.first.acceptRequest();
-    server.write(Rig.answer(status, "a1", ""));
-    assertThat(client.message().status(), is(502));
-    assertThat(rig.second.alone(), is(true));
+  void statusThatWouldClaimNotRunIsNotRelayed(int status) throws Exception {
+    harness.listServers(harness.firstServer, harness.secondServer);
+    RawConnection client = harness.request("unsafe", "a1");
+    RawConnection server = harness.firstServer.acceptRequest();
+    server.write(GatewayTestHarness.response(status, "a1", ""));
+    assertThat(client.readMessage().status(), is(502));
+    assertThat(harness.secondServer.hasNoConnection(), is(true));
   }
 
   @Test
-  void safeRequestsAreRepeated() throws Exception {
-    rig.serve(rig.first, rig.second);
-    Wire client = rig.request("safe", "a1");
-    Wire server = rig.first.acceptRequest();
+  void safeRequestIsRetried() throws Exception {
+    harness.listServers(harness.firstServer, harness.secondServer);
+    RawConnection client = harness.request("safe", "a1");
+    RawConnection server = harness.firstServer.acceptRequest();
     server.write(
         "HTTP/1.1 200 OK\r\nElmsail-Request-Id: a1\r\nElmsail-Postmark: p\r\n"
             + "Content-Length: 9\r\n\r\n12");
     server.reset();
-    Wire other = rig.second.acceptRequest();
-    other.write(Rig.good("a1", "whole"));
-    assertThat(client.message().body(), is("whole"));
+    RawConnection other = harness.secondServer.acceptRequest();
+    other.write(GatewayTestHarness.okResponse("a1", "whole"));
+    assertThat(client.readMessage().body(), is("whole"));
   }
 
   @ParameterizedTest
   @ValueSource(ints = {500, 422, 504, 400, 404})
-  void theServersOwnStatusesPass(int status) {
-    Wire client = rig.request("unsafe", "a1");
-    Wire server = rig.first.acceptRequest();
-    server.write(Rig.answer(status, "a1", "why", "Elmsail-Postmark: p"));
-    Message response = client.message();
+  void serverStatusesAreRelayed(int status) {
+    RawConnection client = harness.request("unsafe", "a1");
+    RawConnection server = harness.firstServer.acceptRequest();
+    server.write(GatewayTestHarness.response(status, "a1", "why", "Elmsail-Postmark: p"));
+    Message response = client.readMessage();
     assertThat(response.status(), is(status));
     assertThat(response.body(), is("why"));
   }
@@ -201,248 +201,248 @@
         "HTTP/1.1 200 OK\r\nElmsail-Request-Id: a1\r\nElmsail-Postmark: p\r\n"
             + "Transfer-Encoding: chunked\r\n\r\nzz\r\n"
       })
-  void whatIsNoAnswerIsNotPassedOn(String bytes) {
-    Wire client = rig.request("unsafe", "a1");
-    Wire server = rig.first.acceptRequest();
+  void malformedResponseIsNotRelayed(String bytes) {
+    RawConnection client = harness.request("unsafe", "a1");
+    RawConnection server = harness.firstServer.acceptRequest();
     server.write(bytes);
-    assertThat(client.message().status(), is(502));
-    assertThat(server.ended(), is(true));
+    assertThat(client.readMessage().status(), is(502));
+    assertThat(server.isClosedByPeer(), is(true));
   }
 
   @Test
-  void bytesBehindAnAnswerEndTheConnection() throws Exception {
-    Wire client = rig.request("unsafe", "a1");
-    Wire server = rig.first.acceptRequest();
-    server.write(Rig.good("a1", "x") + Rig.good("a1", "extra"));
-    assertThat(client.message().body(), is("x"));
-    assertThat(server.ended(), is(true));
-    client.write(Rig.requestText("unsafe", "a2"));
-    Wire next = rig.first.acceptRequest();
-    next.write(Rig.good("a2", "right"));
-    assertThat(client.message().body(), is("right"));
+  void bytesAfterAResponseCloseTheConnection() throws Exception {
+    RawConnection client = harness.request("unsafe", "a1");
+    RawConnection server = harness.firstServer.acceptRequest();
+    server.write(GatewayTestHarness.okResponse("a1", "x") + GatewayTestHarness.okResponse("a1", "extra"));
+    assertThat(client.readMessage().body(), is("x"));
+    assertThat(server.isClosedByPeer(), is(true));
+    client.write(GatewayTestHarness.requestText("unsafe", "a2"));
+    RawConnection next = harness.firstServer.acceptRequest();
+    next.write(GatewayTestHarness.okResponse("a2", "right"));
+    assertThat(client.readMessage().body(), is("right"));
   }
 
   @Test
-  void anExtraAnswerOnAnIdleConnectionEndsIt() {
-    Wire client = rig.request("unsafe", "a1");
-    Wire server = rig.first.acceptRequest();
-    server.write(Rig.good("a1", "x"));
-    assertThat(client.message().body(), is("x"));
+  void extraResponseOnAnIdleConnectionClosesIt() {
+    RawConnection client = harness.request("unsafe", "a1");
+    RawConnection server = harness.firstServer.acceptRequest();
+    server.write(GatewayTestHarness.okResponse("a1", "x"));
+    assertThat(client.readMessage().body(), is("x"));
     server.write("HT");
-    assertThat(server.ended(), is(true));
+    assertThat(server.isClosedByPeer(), is(true));
   }
 
   @Test
-  void aCutStreamNeverLooksComplete() {
-    Wire client = rig.request("stream", "a1");
-    Wire server = rig.first.acceptRequest();
-    server.write(Rig.streamHead("a1", "p")).write(Rig.chunk(Rig.event(0)));
-    client.head();
-    assertThat(client.chunk(), is(Rig.event(0)));
+  void truncatedStreamNeverLooksComplete() {
+    RawConnection client = harness.request("stream", "a1");
+    RawConnection server = harness.firstServer.acceptRequest();
+    server.write(GatewayTestHarness.streamHead("a1", "p")).write(GatewayTestHarness.chunk(GatewayTestHarness.event(0)));
+    client.readHead();
+    assertThat(client.readChunk(), is(GatewayTestHarness.event(0)));
     server.reset();
-    assertThat(client.chunk(), is(nullValue()));
+    assertThat(client.readChunk(), is(nullValue()));
   }
 
   @Test
-  void aCutStreamGoesOnAtAnotherServerWithinOneAnswer() throws Exception {
-    rig.serve(rig.first, rig.second);
-    Wire client = rig.request("resume", "a1");
-    Wire server = rig.first.acceptRequest();
+  void truncatedStreamResumesAtAnotherServerInTheSameResponse() throws Exception {
+    harness.listServers(harness.firstServer, harness.secondServer);
+    RawConnection client = harness.request("resume", "a1");
+    RawConnection server = harness.firstServer.acceptRequest();
     server
-        .write(Rig.streamHead("a1", "p-first"))
-        .write(Rig.chunk(Rig.event(0) + Rig.event(1) + "id: 2\ndata: ha"));
-    assertThat(client.head().header("Elmsail-Postmark"), is("p-first"));
-    String both = client.chunk();
-    both += both.length() < 2 * Rig.event(0).length() ? client.chunk() : "";
-    assertThat(both, is(Rig.event(0) + Rig.event(1)));
+        .write(GatewayTestHarness.streamHead("a1", "p-first"))
+        .write(GatewayTestHarness.chunk(GatewayTestHarness.event(0) + GatewayTestHarness.event(1) + "id: 2\ndata: ha"));
+    assertThat(client.readHead().header("Elmsail-Postmark"), is("p-first"));
+    String both = client.readChunk();
+    both += both.length() < 2 * GatewayTestHarness.event(0).length() ? client.readChunk() : "";
+    assertThat(both, is(GatewayTestHarness.event(0) + GatewayTestHarness.event(1)));
     server.reset();
-    Wire other = rig.second.accept();
-    Message asked = other.message();
-    assertThat(asked.header("Last-Event-Id"), is("1"));
-    assertThat(asked.header("Elmsail-Request-Id"), is("a1"));
-    other.write(Rig.streamHead("a1", "p-second")).write(Rig.chunk(Rig.event(2))).write("0\r\n\r\n");
-    assertThat(client.chunk(), is(Rig.event(2)));
-    assertThat(client.chunk(), is(""));
+    RawConnection other = harness.secondServer.accept();
+    Message received = other.readMessage();
+    assertThat(received.header("Last-Event-Id"), is("1"));
+    assertThat(received.header("Elmsail-Request-Id"), is("a1"));
+    other.write(GatewayTestHarness.streamHead("a1", "p-second")).write(GatewayTestHarness.chunk(GatewayTestHarness.event(2))).write("0\r\n\r\n");
+    assertThat(client.readChunk(), is(GatewayTestHarness.event(2)));
+    assertThat(client.readChunk(), is(""));
   }
 
   @Test
-  void aRunThatDoesNotGoOnWhereItShouldIsNotJoined() throws Exception {
-    rig.serve(rig.first, rig.second);
-    Wire client = rig.request("resume", "a1");
-    Wire server = rig.first.acceptRequest();
-    server.write(Rig.streamHead("a1", "p")).write(Rig.chunk(Rig.event(0)));
-    client.head();
-    client.chunk();
+  void resumedStreamWithWrongEventIdIsNotJoined() throws Exception {
+    harness.listServers(harness.firstServer, harness.secondServer);
+    RawConnection client = harness.request("resume", "a1");
+    RawConnection server = harness.firstServer.acceptRequest();
+    server.write(GatewayTestHarness.streamHead("a1", "p")).write(GatewayTestHarness.chunk(GatewayTestHarness.event(0)));
+    client.readHead();
+    client.readChunk();
     server.reset();
-    Wire other = rig.second.acceptRequest();
-    other.write(Rig.streamHead("a1", "p")).write(Rig.chunk(Rig.event(0)));
-    assertThat(client.chunk(), is(nullValue()));
-    assertThat(other.ended(), is(true));
+    RawConnection other = harness.secondServer.acceptRequest();
+    other.write(GatewayTestHarness.streamHead("a1", "p")).write(GatewayTestHarness.chunk(GatewayTestHarness.event(0)));
+    assertThat(client.readChunk(), is(nullValue()));
+    assertThat(other.isClosedByPeer(), is(true));
   }
 
   @Test
-  void aStreamWithoutAnEventYetRunsAnewWhereItMay() throws Exception {
-    rig.serve(rig.first, rig.second);
-    Wire client = rig.request("resume", "a1");
-    Wire server = rig.first.acceptRequest();
-    server.write(Rig.streamHead("a1", "p-first")).write(Rig.chunk("id: 0\nda"));
+  void resumableStreamWithoutEventsIsRetriedFromTheStart() throws Exception {
+    harness.listServers(harness.firstServer, harness.secondServer);
+    RawConnection client = harness.request("resume", "a1");
+    RawConnection server = harness.firstServer.acceptRequest();
+    server.write(GatewayTestHarness.streamHead("a1", "p-first")).write(GatewayTestHarness.chunk("id: 0\nda"));
     server.reset();
-    Wire other = rig.second.accept();
-    assertThat(other.message().header("Last-Event-Id"), is(nullValue()));
-    other.write(Rig.streamHead("a1", "p-second")).write(Rig.chunk(Rig.event(0))).write("0\r\n\r\n");
-    Message response = client.message();
+    RawConnection other = harness.secondServer.accept();
+    assertThat(other.readMessage().header("Last-Event-Id"), is(nullValue()));
+    other.write(GatewayTestHarness.streamHead("a1", "p-second")).write(GatewayTestHarness.chunk(GatewayTestHarness.event(0))).write("0\r\n\r\n");
+    Message response = client.readMessage();
     assertThat(response.header("Elmsail-Postmark"), is("p-second"));
-    assertThat(response.body(), is(Rig.event(0)));
+    assertThat(response.body(), is(GatewayTestHarness.event(0)));
   }
 
   @Test
-  void aClientThatLeavesEndsTheRunAtItsServer() {
-    Wire client = rig.request("stream", "a1");
-    Wire server = rig.first.acceptRequest();
+  void clientDisconnectCancelsTheRequestAtItsServer() {
+    RawConnection client = harness.request("stream", "a1");
+    RawConnection server = harness.firstServer.acceptRequest();
     client.close();
-    assertThat(server.ended(), is(true));
+    assertThat(server.isClosedByPeer(), is(true));
   }
 
   @Test
-  void atTheEndOfItsTimeWhatWasSentIsAnsweredAsSuch() {
-    Wire client = rig.request("unsafe", "a1", "Elmsail-Deadline-Ms: 4000");
-    Wire server = rig.first.acceptRequest();
-    rig.timers.pass(4_000);
-    assertThat(client.message().status(), is(504));
-    assertThat(server.ended(), is(true));
+  void deadlineAfterSendingIsAnsweredAsGatewayTimeout() {
+    RawConnection client = harness.request("unsafe", "a1", "Elmsail-Deadline-Ms: 4000");
+    RawConnection server = harness.firstServer.acceptRequest();
+    harness.timers.advance(4_000);
+    assertThat(client.readMessage().status(), is(504));
+    assertThat(server.isClosedByPeer(), is(true));
   }
 
   @Test
-  void aServerThatDoesNotTakeConnectionsIsPassedOver() throws Exception {
-    rig.serve(rig.first, rig.second);
-    rig.first.close();
-    Wire client = rig.request("once", "a1");
-    Wire other = rig.second.accept();
-    assertThat(other.message(), is(notNullValue()));
-    other.write(Rig.good("a1", "x"));
-    assertThat(client.message().body(), is("x"));
+  void serverThatRefusesConnectionsIsSkipped() throws Exception {
+    harness.listServers(harness.firstServer, harness.secondServer);
+    harness.firstServer.close();
+    RawConnection client = harness.request("once", "a1");
+    RawConnection other = harness.secondServer.accept();
+    assertThat(other.readMessage(), is(notNullValue()));
+    other.write(GatewayTestHarness.okResponse("a1", "x"));
+    assertThat(client.readMessage().body(), is("x"));
   }
 
   @Test
-  void aServerThatLeavesGetsNothingNewAndItsIdleConnectionsEnd() throws Exception {
-    Wire client = rig.request("unsafe", "a1");
-    Wire server = rig.first.acceptRequest();
-    server.write(Rig.good("a1", "x"));
-    client.message();
-    rig.list(List.of());
-    assertThat(server.ended(), is(true));
-    client.write(Rig.requestText("unsafe", "a2"));
-    Message response = client.message();
+  void closingServerGetsNoNewRequestsAndItsIdleConnectionsClose() throws Exception {
+    RawConnection client = harness.request("unsafe", "a1");
+    RawConnection server = harness.firstServer.acceptRequest();
+    server.write(GatewayTestHarness.okResponse("a1", "x"));
+    client.readMessage();
+    harness.setServers(List.of());
+    assertThat(server.isClosedByPeer(), is(true));
+    client.write(GatewayTestHarness.requestText("unsafe", "a2"));
+    Message response = client.readMessage();
     assertThat(response.status(), is(503));
     assertThat(response.header("Retry-After"), is(notNullValue()));
   }
 
   @Test
-  void whatRunsAtALeavingServerGoesOn() throws Exception {
-    Wire client = rig.request("unsafe", "a1");
-    Wire server = rig.first.acceptRequest();
-    rig.list(List.of());
-    server.write(Rig.good("a1", "x"));
-    assertThat(client.message().body(), is("x"));
-    assertThat(server.ended(), is(true));
+  void openRequestsAtAClosingServerContinue() throws Exception {
+    RawConnection client = harness.request("unsafe", "a1");
+    RawConnection server = harness.firstServer.acceptRequest();
+    harness.setServers(List.of());
+    server.write(GatewayTestHarness.okResponse("a1", "x"));
+    assertThat(client.readMessage().body(), is("x"));
+    assertThat(server.isClosedByPeer(), is(true));
   }
 
   @Test
-  void whatMayBeRepeatedLeavesAServerThatHasGoneDark() throws Exception {
-    rig.serve(rig.first, rig.second);
-    Wire client = rig.request("resume", "a1");
-    Wire server = rig.first.acceptRequest();
-    server.write(Rig.streamHead("a1", "p")).write(Rig.chunk(Rig.event(0)));
-    client.head();
-    client.chunk();
+  void safeRequestLeavesAnUnresponsiveServer() throws Exception {
+    harness.listServers(harness.firstServer, harness.secondServer);
+    RawConnection client = harness.request("resume", "a1");
+    RawConnection server = harness.firstServer.acceptRequest();
+    server.write(GatewayTestHarness.streamHead("a1", "p")).write(GatewayTestHarness.chunk(GatewayTestHarness.event(0)));
+    client.readHead();
+    client.readChunk();
     for (int i = 0; i < 6; i++) {
-      rig.timers.pass(210);
+      harness.timers.advance(210);
     }
-    Wire other = rig.second.accept();
-    assertThat(other.message().header("Last-Event-Id"), is("0"));
-    other.write(Rig.streamHead("a1", "p")).write(Rig.chunk(Rig.event(1))).write("0\r\n\r\n");
-    assertThat(client.chunk(), is(Rig.event(1)));
-    assertThat(client.chunk(), is(""));
-    assertThat(server.ended(), is(true));
+    RawConnection other = harness.secondServer.accept();
+    assertThat(other.readMessage().header("Last-Event-Id"), is("0"));
+    other.write(GatewayTestHarness.streamHead("a1", "p")).write(GatewayTestHarness.chunk(GatewayTestHarness.event(1))).write("0\r\n\r\n");
+    assertThat(client.readChunk(), is(GatewayTestHarness.event(1)));
+    assertThat(client.readChunk(), is(""));
+    assertThat(server.isClosedByPeer(), is(true));
   }
 
   @Test
-  void whatMayNotBeRepeatedStaysWithASilentServer() throws Exception {
-    rig.serve(rig.first, rig.second);
-    Wire client = rig.request("stream", "a1");
-    Wire server = rig.first.acceptRequest();
+  void unsafeRequestStaysWithASilentServer() throws Exception {
+    harness.listServers(harness.firstServer, harness.secondServer);
+    RawConnection client = harness.request("stream", "a1");
+    RawConnection server = harness.firstServer.acceptRequest();
     for (int i = 0; i < 6; i++) {
-      rig.timers.pass(210);
+      harness.timers.advance(210);
     }
-    server.write(Rig.streamHead("a1", "p")).write(Rig.chunk(Rig.event(0))).write("0\r\n\r\n");
-    assertThat(client.message().body(), is(Rig.event(0)));
-    assertThat(rig.second.alone(), is(true));
+    server.write(GatewayTestHarness.streamHead("a1", "p")).write(GatewayTestHarness.chunk(GatewayTestHarness.event(0))).write("0\r\n\r\n");
+    assertThat(client.readMessage().body(), is(GatewayTestHarness.event(0)));
+    assertThat(harness.secondServer.hasNoConnection(), is(true));
   }
 
   @Test
-  void afterASilenceANewConnectionIsTriedBeforeAnythingIsSent() throws Exception {
-    Wire client = rig.request("unsafe", "a1", "Elmsail-Deadline-Ms: 4000");
-    Wire server = rig.first.acceptRequest();
-    rig.timers.pass(4_000);
-    assertThat(client.message().status(), is(504));
-    client.write(Rig.requestText("unsafe", "a2"));
-    Wire next = rig.first.accept();
-    assertThat(next.message().header("Elmsail-Request-Id"), is("a2"));
-    next.write(Rig.good("a2", "x"));
-    assertThat(client.message().body(), is("x"));
+  void suspectServerIsReachedByANewConnectionFirst() throws Exception {
+    RawConnection client = harness.request("unsafe", "a1", "Elmsail-Deadline-Ms: 4000");
+    RawConnection server = harness.firstServer.acceptRequest();
+    harness.timers.advance(4_000);
+    assertThat(client.readMessage().status(), is(504));
+    client.write(GatewayTestHarness.requestText("unsafe", "a2"));
+    RawConnection next = harness.firstServer.accept();
+    assertThat(next.readMessage().header("Elmsail-Request-Id"), is("a2"));
+    next.write(GatewayTestHarness.okResponse("a2", "x"));
+    assertThat(client.readMessage().body(), is("x"));
   }
 
   @Test
-  void aStreamOfAnotherTypePassesAsItComes() {
-    Wire client = rig.request("resume", "a1");
-    Wire server = rig.first.acceptRequest();
+  void streamOfAnotherTypeIsRelayedAsItArrives() {
+    RawConnection client = harness.request("resume", "a1");
+    RawConnection server = harness.firstServer.acceptRequest();
     server
-        .write(Rig.streamHead("a1", "p").replace("text/event-stream", "text/plain"))
-        .write(Rig.chunk("ab"));
-    assertThat(client.head().header("Content-Type"), is("text/plain"));
-    assertThat(client.chunk(), is("ab"));
+        .write(GatewayTestHarness.streamHead("a1", "p").replace("text/event-stream", "text/plain"))
+        .write(GatewayTestHarness.chunk("ab"));
+    assertThat(client.readHead().header("Content-Type"), is("text/plain"));
+    assertThat(client.readChunk(), is("ab"));
     server.write("0\r\n\r\n");
-    assertThat(client.chunk(), is(""));
+    assertThat(client.readChunk(), is(""));
   }
 
   @Test
-  void aLongAnswerPassesBeforeItIsWhole() {
-    Wire client = rig.request("safe", "a1");
-    Wire server = rig.first.acceptRequest();
+  void longResponseIsRelayedBeforeItIsComplete() {
+    RawConnection client = harness.request("safe", "a1");
+    RawConnection server = harness.firstServer.acceptRequest();
     String half = "x".repeat(40_000);
     server.write(
         "HTTP/1.1 200 OK\r\nElmsail-Request-Id: a1\r\nElmsail-Postmark: p\r\n"
             + "Content-Length: 120000\r\n\r\n"
             + half
             + half);
-    assertThat(client.head().header("Content-Length"), is("120000"));
-    assertThat(client.bytes(70_000).length(), is(70_000));
+    assertThat(client.readHead().header("Content-Length"), is("120000"));
+    assertThat(client.readBytes(70_000).length(), is(70_000));
     server.write(half);
-    assertThat(client.bytes(50_000).length(), is(50_000));
+    assertThat(client.readBytes(50_000).length(), is(50_000));
   }
 
   @Test
-  void anAnswerToHeadHasNoBody() {
-    Wire client = rig.client().write(Rig.requestText("safe", "a1").replace("POST", "HEAD"));
-    Wire server = rig.first.accept();
-    assertThat(server.message().first(), is("HEAD /safe/2f HTTP/1.1"));
+  void responseToHeadHasNoBody() {
+    RawConnection client = harness.connectClient().write(GatewayTestHarness.requestText("safe", "a1").replace("POST", "HEAD"));
+    RawConnection server = harness.firstServer.accept();
+    assertThat(server.readMessage().startLine(), is("HEAD /safe/2f HTTP/1.1"));
     server.write(
         "HTTP/1.1 200 OK\r\nElmsail-Request-Id: a1\r\nElmsail-Postmark: p\r\n"
             + "Content-Length: 120\r\n\r\n");
-    assertThat(client.head().status(), is(200));
-    client.write(Rig.requestText("nowhere", "a2"));
-    assertThat(client.message().status(), is(404));
+    assertThat(client.readHead().status(), is(200));
+    client.write(GatewayTestHarness.requestText("nowhere", "a2"));
+    assertThat(client.readMessage().status(), is(404));
   }
 
   @Test
-  void aStreamIsCutAtTheEndOfItsTime() {
-    Wire client = rig.request("stream", "a1", "Elmsail-Deadline-Ms: 4000");
-    Wire server = rig.first.acceptRequest();
-    server.write(Rig.streamHead("a1", "p")).write(Rig.chunk(Rig.event(0)));
-    client.head();
-    client.chunk();
-    rig.timers.pass(4_000);
-    assertThat(client.chunk(), is(nullValue()));
-    assertThat(server.ended(), is(true));
+  void streamIsAbortedAtItsDeadline() {
+    RawConnection client = harness.request("stream", "a1", "Elmsail-Deadline-Ms: 4000");
+    RawConnection server = harness.firstServer.acceptRequest();
+    server.write(GatewayTestHarness.streamHead("a1", "p")).write(GatewayTestHarness.chunk(GatewayTestHarness.event(0)));
+    client.readHead();
+    client.readChunk();
+    harness.timers.advance(4_000);
+    assertThat(client.readChunk(), is(nullValue()));
+    assertThat(server.isClosedByPeer(), is(true));
   }
 }
--- /dev/null
+++ b/gateway/src/test/java/elmsail/gateway/TruncationAtEveryByteTest.java
@@ -0,0 +1,210 @@
+package elmsail.gateway;
+
+import static org.hamcrest.MatcherAssert.assertThat;
+import static org.hamcrest.Matchers.either;
+import static org.hamcrest.Matchers.is;
+import static org.hamcrest.Matchers.oneOf;
+
+import elmsail.gateway.RawConnection.Message;
+import elmsail.gateway.http.RequestCounters;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/**
+ * Connections to a server that end, in order or by a reset, at each byte of a request and of an
+ * answer. What may not be repeated reaches one server only and is never answered by a promise; no
+ * part of an answer passes for a whole one.
+ */
+class TruncationAtEveryByteTest {
+  /** Longer than any server is avoided. */
+  private static final int BACKOFF_OVER_MS = 4_000;
+
+  private static final String CHUNKED =
+      "HTTP/1.1 200 OK\r\nElmsail-Request-Id: a1\r\nElmsail-Postmark: p\r\n"
+          + "Transfer-Encoding: chunked\r\n\r\n2\r\nwh\r\n3\r\nole\r\n0\r\nx-y: 1\r\n\r\n";
+  private static final String FIXED_LENGTH = GatewayTestHarness.okResponse("a1", "whole");
+
+  private GatewayTestHarness harness;
+
+  @BeforeEach
+  void open() throws Exception {
+    harness = new GatewayTestHarness();
+    harness.listServers(harness.firstServer, harness.secondServer);
+  }
+
+  @AfterEach
+  void close() {
+    harness.close();
+  }
+
+  private void passBackoff() {
+    harness.timers.advance(BACKOFF_OVER_MS);
+  }
+
+  private static void end(RawConnection server, boolean reset) {
+    if (reset) {
+      server.reset();
+    } else {
+      server.close();
+    }
+  }
+
+  @ParameterizedTest
+  @CsvSource({"LENGTH, false", "LENGTH, true", "CHUNKED, false", "CHUNKED, true"})
+  void truncatedUnsafeResponseIsNeverCompleteNorRetried(String kind, boolean reset) {
+    String answer = kind.equals("LENGTH") ? FIXED_LENGTH : CHUNKED;
+    for (int cut = 0; cut <= answer.length(); cut++) {
+      try (RawConnection client = harness.request("unsafe", "a1")) {
+        RawConnection server = harness.firstServer.accept();
+        server.readMessage();
+        server.write(answer.substring(0, cut));
+        end(server, reset);
+        Message got = client.readMessage();
+        boolean whole = cut == answer.length();
+        assertThat("cut at " + cut, got.status(), is(whole ? oneOf(200, 502) : is(502)));
+        if (got.status() == 200) {
+          assertThat(got.body(), is("whole"));
+        }
+        assertThat("cut at " + cut, harness.secondServer.hasNoConnection(), is(true));
+      }
+      passBackoff();
+    }
+  }
+
+  @ParameterizedTest
+  @ValueSource(booleans = {false, true})
+  void truncatedSafeResponseIsRetriedOnce(boolean reset) {
+    for (int cut = 0; cut < FIXED_LENGTH.length(); cut++) {
+      try (RawConnection client = harness.request("safe", "a1")) {
+        RawConnection server = harness.firstServer.accept();
+        server.readMessage();
+        server.write(FIXED_LENGTH.substring(0, cut));
+        end(server, reset);
+        RawConnection other = harness.secondServer.accept();
+        assertThat(other.readMessage().header("Elmsail-Request-Id"), is("a1"));
+        other.write(GatewayTestHarness.response(200, "a1", "again", "Elmsail-Postmark: q", "Connection: close"));
+        Message got = client.readMessage();
+        assertThat("cut at " + cut, got.body(), is("again"));
+        assertThat(got.header("Elmsail-Postmark"), is("q"));
+        assertThat(harness.firstServer.hasNoConnection() && harness.secondServer.hasNoConnection(), is(true));
+      }
+      passBackoff();
+    }
+  }
+
+  @ParameterizedTest
+  @ValueSource(booleans = {false, true})
+  void truncatedNonResumableStreamIsAborted(boolean reset) {
+    String answer =
+        GatewayTestHarness.streamHead("a1", "p") + GatewayTestHarness.chunk(GatewayTestHarness.event(0)) + GatewayTestHarness.chunk(GatewayTestHarness.event(1)) + "0\r\n\r\n";
+    for (int cut = 0; cut < answer.length(); cut++) {
+      try (RawConnection client = harness.request("stream", "a1")) {
+        RawConnection server = harness.firstServer.accept();
+        server.readMessage();
+        server.write(answer.substring(0, cut));
+        end(server, reset);
+        Message head = client.readHead();
+        assertThat("cut at " + cut, head.status(), is(either(is(200)).or(is(502))));
+        if (head.status() == 200) {
+          assertThat("cut at " + cut, endsWithoutLastChunk(client), is(true));
+        }
+        assertThat("cut at " + cut, harness.secondServer.hasNoConnection(), is(true));
+      }
+      passBackoff();
+    }
+  }
+
+  private static boolean endsWithoutLastChunk(RawConnection client) {
+    String chunk = client.readChunk();
+    while (chunk != null && !chunk.isEmpty()) {
+      chunk = client.readChunk();
+    }
+    return chunk == null;
+  }
+
+  @ParameterizedTest
+  @ValueSource(booleans = {false, true})
+  void truncatedUnsafeRequestIsNotRetried(boolean reset) {
+    int length = requestLength();
+    for (int cut = 1; cut <= length; cut++) {
+      try (RawConnection client = harness.request("unsafe", "a1")) {
+        RawConnection server = harness.firstServer.accept();
+        server.readBytes(cut);
+        end(server, reset);
+        assertThat("cut at " + cut, client.readMessage().status(), is(502));
+        assertThat("cut at " + cut, harness.secondServer.hasNoConnection(), is(true));
+      }
+      passBackoff();
+    }
+  }
+
+  /** A promise is given only where the connection did not come about, so that no byte has left. */
+  @ParameterizedTest
+  @ValueSource(booleans = {false, true})
+  void connectionClosedBeforeTheRequestIsReadIsNotRetried(boolean reset) throws Exception {
+    harness.listServers(harness.firstServer);
+    for (int i = 0; i < 20; i++) {
+      long before = failedConnectionCount();
+      try (RawConnection client = harness.request("unsafe", "a1")) {
+        end(harness.firstServer.accept(), reset);
+        int status = client.readMessage().status();
+        boolean failed = failedConnectionCount() > before;
+        assertThat(status, is(failed ? 503 : 502));
+      }
+      passBackoff();
+    }
+  }
+
+  private long failedConnectionCount() throws Exception {
+    return harness.onLoop(() -> harness.gateway.counters().of(RequestCounters.Event.CONNECT_FAILED));
+  }
+
+  private int requestLength() {
+    try (RawConnection client = harness.request("unsafe", "a1")) {
+      RawConnection server = harness.firstServer.accept();
+      int length = 0;
+      String line = server.readLine();
+      for (; !line.isEmpty(); line = server.readLine()) {
+        length += line.length() + 2;
+      }
+      server.readBytes("body".length());
+      server.write(GatewayTestHarness.response(200, "a1", "", "Elmsail-Postmark: p", "Connection: close"));
+      client.readMessage();
+      return length + 2 + "body".length();
+    }
+  }
+
+  @Test
+  void reusedConnectionResetUnderItsNextRequestIsNotRetried() {
+    RawConnection client = harness.request("unsafe", "a1");
+    RawConnection server = harness.firstServer.accept();
+    server.readMessage();
+    server.write(GatewayTestHarness.response(200, "a1", "x", "Elmsail-Postmark: p", "Keep-Alive: timeout=9"));
+    client.readMessage();
+    harness.timers.advance(100);
+    client.write(GatewayTestHarness.requestText("unsafe", "a2"));
+    assertThat(server.readBytes(1), is("P"));
+    server.reset();
+    assertThat(client.readMessage().status(), is(502));
+    assertThat(harness.firstServer.hasNoConnection() && harness.secondServer.hasNoConnection(), is(true));
+  }
+
+  @Test
+  void extraResponseIsNotTakenForTheNextAttemptOfTheSameId() {
+    RawConnection client = harness.request("unsafe", "a1");
+    RawConnection server = harness.firstServer.accept();
+    server.readMessage();
+    server.write(GatewayTestHarness.response(200, "a1", "one", "Elmsail-Postmark: p", "Keep-Alive: timeout=9"));
+    client.readMessage();
+    harness.timers.advance(100);
+    client.write(GatewayTestHarness.requestText("unsafe", "a1"));
+    RawConnection next = harness.firstServer.accept();
+    assertThat(next.readMessage().header("Elmsail-Request-Id"), is("a1"));
+    next.write(GatewayTestHarness.okResponse("a1", "two"));
+    assertThat(client.readMessage().body(), is("two"));
+  }
+}
--- a/gateway/src/test/java/elmsail/gateway/load/LoadExchangeTest.java
+++ b/gateway/src/test/java/elmsail/gateway/load/LoadExchangeTest.java
@@ -5,7 +5,7 @@
 import static org.hamcrest.Matchers.lessThan;
 import static org.hamcrest.Matchers.lessThanOrEqualTo;
 
-import elmsail.gateway.FakeKnown;
+import elmsail.gateway.FakeClusterState;
 import elmsail.rpc.MessageCodec;
 import elmsail.rpc.messages.LoadReport;
 import elmsail.runtime.ManualTimers;
@@ -25,12 +25,12 @@
   private static final List<String> ZONES = List.of("z1", "z2", "z3");
 
   private final ManualTimers timers = new ManualTimers();
-  private final FakeKnown known = new FakeKnown();
+  private final FakeClusterState known = new FakeClusterState();
   private final MessageCodec codec = new MessageCodec();
   private final Random chance = new Random(7);
   private final Map<String, Member> members = new LinkedHashMap<>();
-  private final Set<String> cutOff = new HashSet<>();
-  private double lost;
+  private final Set<String> partitioned = new HashSet<>();
+  private double lossRate;
   private int largestBytes;
 
   private final class Member {
@@ -56,8 +56,8 @@
     private void carry(String to, LoadReport report) {
       byte[] datagram = codec.toDatagram(report);
       largestBytes = Math.max(largestBytes, datagram.length);
-      boolean cut = cutOff.contains(address) != cutOff.contains(to);
-      if (cut || chance.nextDouble() < lost) {
+      boolean cut = partitioned.contains(address) != partitioned.contains(to);
+      if (cut || chance.nextDouble() < lossRate) {
         return;
       }
       timers.schedule(
@@ -71,7 +71,7 @@
 
     void open(String server, int requests) {
       open.put(server, new ServerLoad(requests, 0, 0));
-      exchange.changed();
+      exchange.onLoadChanged();
     }
   }
 
@@ -89,7 +89,7 @@
     timers.advance(3_000);
   }
 
-  private int seen(Member member, String server) {
+  private int openSeenBy(Member member, String server) {
     return member.exchange.at(server).requests();
   }
 
@@ -101,89 +101,89 @@
     return sum;
   }
 
-  private void assertAllSeeAll() {
+  private void assertEveryGatewaySeesTheTotal() {
     for (Member member : members.values()) {
       for (String server : List.of("a", "b")) {
-        assertThat(member.address + " of " + server, seen(member, server), is(open(server)));
+        assertThat(member.address + " of " + server, openSeenBy(member, server), is(open(server)));
       }
     }
   }
 
   @Test
-  void allSeeTheSumOfAll() {
+  void everyGatewaySeesTheTotalOfAll() {
     start();
     int opened = 0;
     for (Member member : members.values()) {
       member.open(opened % 2 == 0 ? "a" : "b", ++opened);
     }
     timers.advance(300);
-    assertAllSeeAll();
+    assertEveryGatewaySeesTheTotal();
   }
 
   @Test
-  void aChangeReachesTheZoneWithinTheInterval() {
+  void changeReachesTheZoneWithinTheInterval() {
     start();
     Member first = members.get("z1-0:1");
     first.open("a", 3);
     timers.advance(250);
-    assertThat(seen(members.get("z1-4:1"), "a"), is(3));
+    assertThat(openSeenBy(members.get("z1-4:1"), "a"), is(3));
     first.open("a", 0);
     timers.advance(70);
-    assertThat(seen(members.get("z1-4:1"), "a"), is(0));
+    assertThat(openSeenBy(members.get("z1-4:1"), "a"), is(0));
   }
 
   @Test
-  void lostDatagramsDoNoLastingHarm() {
-    lost = 0.3;
+  void recoversFromLostDatagrams() {
+    lossRate = 0.3;
     start();
     for (int i = 0; i < 200; i++) {
       List<Member> all = new ArrayList<>(members.values());
       all.get(chance.nextInt(all.size())).open(chance.nextBoolean() ? "a" : "b", chance.nextInt(9));
       timers.advance(10);
     }
-    lost = 0;
+    lossRate = 0;
     timers.advance(1_000);
-    assertAllSeeAll();
+    assertEveryGatewaySeesTheTotal();
   }
 
   @Test
-  void ofAGatewayThatIsCutOffNothingCountsAfterASecondAndAllAgainOnceItIsBack() {
+  void partitionedGatewayExpiresAndCountsAgainAfterItHeals() {
     start();
     Member gone = members.get("z1-2:1");
     gone.open("a", 50);
     members.get("z1-1:1").open("a", 2);
     timers.advance(400);
-    assertThat(seen(members.get("z1-0:1"), "a"), is(52));
-    cutOff.add(gone.address);
+    assertThat(openSeenBy(members.get("z1-0:1"), "a"), is(52));
+    partitioned.add(gone.address);
     timers.advance(LoadTable.VALID_MS + 600);
-    assertThat(seen(members.get("z1-0:1"), "a"), is(2));
-    assertThat(seen(members.get("z3-0:1"), "a"), is(2));
-    assertThat("goes by its own sight", seen(gone, "a"), lessThanOrEqualTo(50));
-    cutOff.clear();
+    assertThat(openSeenBy(members.get("z1-0:1"), "a"), is(2));
+    assertThat(openSeenBy(members.get("z3-0:1"), "a"), is(2));
+    assertThat("goes by its own sight", openSeenBy(gone, "a"), lessThanOrEqualTo(50));
+    partitioned.clear();
     timers.advance(9_000);
-    assertAllSeeAll();
+    assertEveryGatewaySeesTheTotal();
   }
 
   /** Whichever it is: the one that speaks for its zone may be among them. */
   @Test
-  void zonesGoOnTellingEachOtherWhenAnyGatewayIsGone() {
+  void zonesKeepExchangingSumsWhenAnyGatewayFails() {
     start();
     for (Member gone : members.values()) {
-      cutOff.clear();
-      cutOff.add(gone.address);
+      partitioned.clear();
+      partitioned.add(gone.address);
       Member other = members.get(gone.zone.equals("z1") ? "z2-1:1" : "z1-1:1");
       other.open("a", 1 + chance.nextInt(90));
       timers.advance(2_500);
       Member far = members.get(gone.zone.equals("z3") ? "z2-4:1" : "z3-4:1");
       if (far != gone && other != gone && far != other) {
-        assertThat("without " + gone.address, seen(far, "a"), is(open("a")));
+        assertThat("without " + gone.address, openSeenBy(far, "a"), is(open("a")));
       }
       other.open("a", 0);
     }
   }
 
   @Test
-  void aRestartedGatewayIsHeardAndHearsAtOnce() {
+  void restartedGatewayExchangesLoadsAtOnce() {
     start();
     members.get("z1-0:1").open("a", 4);
     Member restarted = members.get("z1-3:1");
@@ -191,14 +191,14 @@
     timers.advance(2_000);
     restarted.restart();
     timers.advance(200);
-    assertThat(seen(restarted, "a"), is(4));
+    assertThat(openSeenBy(restarted, "a"), is(4));
     restarted.open("b", 6);
     timers.advance(200);
-    assertThat(seen(members.get("z1-1:1"), "b"), is(6));
+    assertThat(openSeenBy(members.get("z1-1:1"), "b"), is(6));
   }
 
   @Test
-  void whatEachReceivesIsBoundedHoweverOftenItChanges() {
+  void receivedDatagramsAreBoundedUnderFrequentChanges() {
     start();
     members.values().forEach(member -> member.received = 0);
     for (int ms = 0; ms < 1_000; ms++) {
@@ -211,7 +211,7 @@
   }
 
   @Test
-  void whereNothingIsOpenNextToNothingIsTold() {
+  void idleGatewaysSendAlmostNothing() {
     start();
     members.values().forEach(member -> member.open("a", 2));
     timers.advance(500);
@@ -224,18 +224,18 @@
     }
     members.get("z2-3:1").open("a", 5);
     timers.advance(900);
-    assertThat(seen(members.get("z2-0:1"), "a"), is(5));
-    assertThat(seen(members.get("z2-4:1"), "a"), is(5));
+    assertThat(openSeenBy(members.get("z2-0:1"), "a"), is(5));
+    assertThat(openSeenBy(members.get("z2-4:1"), "a"), is(5));
   }
 
   @Test
-  void aReportOfManyServersFitsADatagram() {
+  void reportOfManyServersFitsADatagram() {
     start();
     Member first = members.get("z1-0:1");
     for (int i = 0; i < 500; i++) {
       first.open.put("i-12345678-" + i, new ServerLoad(900, 900, 999_999));
     }
-    first.exchange.changed();
+    first.exchange.onLoadChanged();
     timers.advance(500);
     assertThat(largestBytes, lessThan(2_200));
   }
--- a/gateway/src/test/java/elmsail/gateway/load/LoadTableTest.java
+++ b/gateway/src/test/java/elmsail/gateway/load/LoadTableTest.java
@@ -30,88 +30,88 @@
     return report;
   }
 
-  private int peers() {
-    return table.zonePeers().getOrDefault("s", ServerLoad.NONE).requests();
+  private int openAtZonePeers() {
+    return table.sumOfZonePeers().getOrDefault("s", ServerLoad.NONE).requests();
   }
 
-  private int otherZones() {
-    return table.otherZones().getOrDefault("s", ServerLoad.NONE).requests();
+  private int openInOtherZones() {
+    return table.sumOfOtherZones().getOrDefault("s", ServerLoad.NONE).requests();
   }
 
-  private int told() {
-    return table.told("s").requests();
+  private int totalOpen() {
+    return table.totalOf("s").requests();
   }
 
   @Test
-  void ofAZoneAllAreSummedUp() {
-    table.take(report("a", "z1", LoadReport.OWN, 1, 2));
-    table.take(report("b", "z1", LoadReport.OWN, 1, 3));
-    assertThat(peers(), is(5));
-    table.take(report("b", "z1", LoadReport.OWN, 2, 1));
-    assertThat(peers(), is(3));
-    assertThat(told(), is(0));
+  void sumsReportsOfAllGatewaysOfTheZone() {
+    table.onReport(report("a", "z1", LoadReport.OWN, 1, 2));
+    table.onReport(report("b", "z1", LoadReport.OWN, 1, 3));
+    assertThat(openAtZonePeers(), is(5));
+    table.onReport(report("b", "z1", LoadReport.OWN, 2, 1));
+    assertThat(openAtZonePeers(), is(3));
+    assertThat(totalOpen(), is(0));
   }
 
   @Test
-  void ofOtherZonesOnlyTheirSumsCountAndOfThisZoneOnlyItsTotal() {
-    table.take(report("a", "z2", LoadReport.OWN, 1, 2));
-    table.take(report("a", "z2", LoadReport.TOTAL, 2, 50));
-    table.take(report("b", "z1", LoadReport.ZONE, 1, 60));
-    assertThat(peers() + otherZones() + told(), is(0));
-    table.take(report("a", "z2", LoadReport.ZONE, 3, 7));
-    table.take(report("c", "z3", LoadReport.ZONE, 1, 1));
-    assertThat(otherZones(), is(8));
-    table.take(report("b", "z1", LoadReport.TOTAL, 2, 70));
-    assertThat(told(), is(70));
+  void countsOnlySumsOfOtherZonesAndOnlyTheTotalOfThisZone() {
+    table.onReport(report("a", "z2", LoadReport.OWN, 1, 2));
+    table.onReport(report("a", "z2", LoadReport.TOTAL, 2, 50));
+    table.onReport(report("b", "z1", LoadReport.ZONE, 1, 60));
+    assertThat(openAtZonePeers() + openInOtherZones() + totalOpen(), is(0));
+    table.onReport(report("a", "z2", LoadReport.ZONE, 3, 7));
+    table.onReport(report("c", "z3", LoadReport.ZONE, 1, 1));
+    assertThat(openInOtherZones(), is(8));
+    table.onReport(report("b", "z1", LoadReport.TOTAL, 2, 70));
+    assertThat(totalOpen(), is(70));
   }
 
   @Test
-  void aSumOfAZoneIsThatOfWhoeverToldItLast() {
-    table.take(report("a", "z2", LoadReport.ZONE, 9, 7));
+  void zoneSumIsTheLastOneReceivedFromAnySender() {
+    table.onReport(report("a", "z2", LoadReport.ZONE, 9, 7));
     LoadReport other = report("b", "z2", LoadReport.ZONE, 1, 4);
     other.instanceId = 2;
-    table.take(other);
-    assertThat(otherZones(), is(4));
+    table.onReport(other);
+    assertThat(openInOtherZones(), is(4));
   }
 
   @Test
-  void aReportThatWasOvertakenIsPassedOverAndANewInstanceCountsAnew() {
-    table.take(report("a", "z1", LoadReport.OWN, 5, 2));
-    table.take(report("a", "z1", LoadReport.OWN, 4, 8));
-    assertThat(peers(), is(2));
+  void staleReportIsIgnoredAndNewInstanceStartsANewSequence() {
+    table.onReport(report("a", "z1", LoadReport.OWN, 5, 2));
+    table.onReport(report("a", "z1", LoadReport.OWN, 4, 8));
+    assertThat(openAtZonePeers(), is(2));
     LoadReport restarted = report("a", "z1", LoadReport.OWN, 1, 6);
     restarted.instanceId = 2;
-    table.take(restarted);
-    assertThat(peers(), is(6));
+    table.onReport(restarted);
+    assertThat(openAtZonePeers(), is(6));
   }
 
   @Test
-  void whoFallsSilentIsForgotten() {
-    table.take(report("a", "z1", LoadReport.OWN, 1, 2));
-    table.take(report("b", "z2", LoadReport.ZONE, 1, 4));
-    table.take(report("c", "z1", LoadReport.TOTAL, 1, 9));
+  void silentGatewayExpires() {
+    table.onReport(report("a", "z1", LoadReport.OWN, 1, 2));
+    table.onReport(report("b", "z2", LoadReport.ZONE, 1, 4));
+    table.onReport(report("c", "z1", LoadReport.TOTAL, 1, 9));
     timers.advance(LoadTable.VALID_MS);
-    assertThat(peers() + otherZones() + told(), is(15));
+    assertThat(openAtZonePeers() + openInOtherZones() + totalOpen(), is(15));
     timers.advance(1);
-    assertThat(table.zonePeers(), is(anEmptyMap()));
-    assertThat(table.otherZones(), is(anEmptyMap()));
-    assertThat(told(), is(0));
+    assertThat(table.sumOfZonePeers(), is(anEmptyMap()));
+    assertThat(table.sumOfOtherZones(), is(anEmptyMap()));
+    assertThat(totalOpen(), is(0));
   }
 
   @Test
-  void nonsenseIsBounded() {
+  void invalidNumbersAreClamped() {
     for (int i = 0; i < 5_000; i++) {
-      table.take(report("peer" + i, "z1", LoadReport.OWN, 1, Integer.MAX_VALUE));
+      table.onReport(report("peer" + i, "z1", LoadReport.OWN, 1, Integer.MAX_VALUE));
     }
-    assertThat(peers(), lessThanOrEqualTo(1_000_000));
+    assertThat(openAtZonePeers(), lessThanOrEqualTo(1_000_000));
     LoadTable fresh = new LoadTable("z1", timers);
-    fresh.take(report("a", "z1", LoadReport.OWN, 1, -5));
-    fresh.take(report("a", "z1", 77, 2, 5));
+    fresh.onReport(report("a", "z1", LoadReport.OWN, 1, -5));
+    fresh.onReport(report("a", "z1", 77, 2, 5));
     LoadReport tooLong = report("b", "z1", LoadReport.OWN, 1, 1);
     for (int i = 0; i < 5_000; i++) {
       tooLong.servers.add(new ServerLoadEntry());
     }
-    fresh.take(tooLong);
-    assertThat(fresh.zonePeers().getOrDefault("s", ServerLoad.NONE), is(ServerLoad.NONE));
+    fresh.onReport(tooLong);
+    assertThat(fresh.sumOfZonePeers().getOrDefault("s", ServerLoad.NONE), is(ServerLoad.NONE));
   }
 }
--- a/gateway/src/test/java/elmsail/gateway/load/ZoneMembersTest.java
+++ b/gateway/src/test/java/elmsail/gateway/load/ZoneMembersTest.java
@@ -23,58 +23,58 @@
   /** Of the last in the zone's order, so that all others come before it. */
   private final ZoneMembers members = new ZoneMembers(ORDER.get(3), "z1", timers);
 
-  private void allHeard() {
-    ORDER.subList(0, 3).forEach(address -> members.heard(address, "z1", 1));
+  private void reportFromAll() {
+    ORDER.subList(0, 3).forEach(address -> members.onReport(address, "z1", 1));
   }
 
   /** All are heard, and the aggregator tells totals, for so long. */
   private void pass(long ms, String telling) {
     for (long passed = 0; passed < ms; passed += 100) {
       timers.advance(100);
-      allHeard();
-      members.heardTotal(telling);
+      reportFromAll();
+      members.onTotal(telling);
       members.aggregator();
     }
   }
 
   @Test
-  void aloneItIsThisOneItself() {
+  void loneGatewayIsItsOwnAggregator() {
     assertThat(members.aggregator(), is(ORDER.get(3)));
-    assertThat(members.ofZone(), is(empty()));
+    assertThat(members.zonePeers(), is(empty()));
   }
 
   @Test
-  void itIsTheFirstThatIsHeardAndTellsTotals() {
-    allHeard();
+  void aggregatorIsTheFirstRankedGatewayThatSendsTotals() {
+    reportFromAll();
     assertThat(members.aggregator(), is(ORDER.get(0)));
     pass(5_000, ORDER.get(0));
     assertThat(members.aggregator(), is(ORDER.get(0)));
   }
 
   @Test
-  void oneThatTellsNoTotalIsPassedOverUntilItDoes() {
-    allHeard();
+  void aggregatorWithoutTotalsIsSuspendedUntilItSendsOne() {
+    reportFromAll();
     assertThat(members.aggregator(), is(ORDER.get(0)));
-    pass(ZoneMembers.SILENT_MS + 200, ORDER.get(1));
+    pass(ZoneMembers.TOTAL_TIMEOUT_MS + 200, ORDER.get(1));
     assertThat(members.aggregator(), is(ORDER.get(1)));
-    members.heardTotal(ORDER.get(0));
+    members.onTotal(ORDER.get(0));
     assertThat(members.aggregator(), is(ORDER.get(0)));
   }
 
   @Test
-  void oneThatIsPassedOverIsTriedAgainLater() {
-    allHeard();
+  void suspendedAggregatorIsTriedAgainLater() {
+    reportFromAll();
     members.aggregator();
-    pass(ZoneMembers.SILENT_MS + 200, ORDER.get(1));
-    pass(ZoneMembers.PASSED_OVER_MS - 600, ORDER.get(1));
+    pass(ZoneMembers.TOTAL_TIMEOUT_MS + 200, ORDER.get(1));
+    pass(ZoneMembers.AGGREGATOR_SUSPENSION_MS - 600, ORDER.get(1));
     assertThat(members.aggregator(), is(ORDER.get(1)));
     pass(800, ORDER.get(1));
     assertThat(members.aggregator(), not(ORDER.get(3)));
   }
 
   @Test
-  void whereNoneTellsItEndsWithThisOneItself() {
-    allHeard();
+  void fallsBackToItselfWhenNoGatewaySendsTotals() {
+    reportFromAll();
     for (int i = 0; i < 20; i++) {
       members.aggregator();
       timers.advance(100);
@@ -83,27 +83,27 @@
   }
 
   @Test
-  void thoseOfOtherZonesAreKnownByThemAndNeverSumUpHere() {
-    members.heard("far", "z2", 1);
+  void gatewaysOfOtherZonesAreKnownButNeverAggregateHere() {
+    members.onReport("far", "z2", 1);
     assertThat(members.aggregator(), is(ORDER.get(3)));
-    assertThat(members.ofOtherZones().get("z2"), contains("far"));
+    assertThat(members.peersByOtherZone().get("z2"), contains("far"));
     assertThat(members.zoneOf("far"), is("z2"));
-    timers.advance(ZoneMembers.ZONE_KNOWN_MS + 1);
+    timers.advance(ZoneMembers.ZONE_EXPIRY_MS + 1);
     assertThat(members.zoneOf("far"), nullValue());
-    assertThat(members.ofOtherZones().size(), is(0));
+    assertThat(members.peersByOtherZone().size(), is(0));
   }
 
   @Test
-  void aMemberThatIsSilentIsNoneAndToldApartByItsInstance() {
+  void silentMemberExpiresAndNewInstanceIsDetected() {
     String other = ORDER.get(0);
-    assertThat(members.heard(other, "z1", 1), is(true));
-    assertThat(members.heard(other, "z1", 1), is(false));
-    assertThat(members.heard(other, "z1", 2), is(true));
-    allHeard();
-    assertThat(members.ofZone(), containsInAnyOrder(ORDER.subList(0, 3).toArray()));
-    timers.advance(ZoneMembers.MEMBER_MS + 1);
-    assertThat(members.ofZone(), is(empty()));
+    assertThat(members.onReport(other, "z1", 1), is(true));
+    assertThat(members.onReport(other, "z1", 1), is(false));
+    assertThat(members.onReport(other, "z1", 2), is(true));
+    reportFromAll();
+    assertThat(members.zonePeers(), containsInAnyOrder(ORDER.subList(0, 3).toArray()));
+    timers.advance(ZoneMembers.MEMBER_EXPIRY_MS + 1);
+    assertThat(members.zonePeers(), is(empty()));
     assertThat(members.aggregator(), is(ORDER.get(3)));
-    members.keep(List.of());
+    members.expireUnlisted(List.of());
   }
 }
--- a/gateway/src/test/java/elmsail/gateway/requests/OutcomeTest.java
+++ b/gateway/src/test/java/elmsail/gateway/requests/AttemptOutcomeTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class OutcomeTest {
+class AttemptOutcomeTest {
 
   @ParameterizedTest
   @CsvSource({
@@ -34,8 +34,8 @@
     "504, false, false, ANSWERED",
     "504, true, false, NOT_RUN"
   })
-  void ofAnAnswer(int status, boolean notRun, boolean stamped, Outcome outcome) {
-    assertThat(Outcome.answered(status, notRun, stamped), is(outcome));
+  void classifiesResponses(int status, boolean notRun, boolean stamped, AttemptOutcome outcome) {
+    assertThat(AttemptOutcome.ofResponse(status, notRun, stamped), is(outcome));
   }
 
   @ParameterizedTest
@@ -43,19 +43,19 @@
     "UNSENT, false, true", "UNSENT, true, true", "NOT_RUN, false, true", "NOT_RUN, true, true",
     "SENT, false, false", "SENT, true, true", "ANSWERED, false, false", "ANSWERED, true, false"
   })
-  void whetherItGoesOn(Outcome outcome, boolean repeatable, boolean goesOn) {
-    assertThat(outcome.mayGoOn(repeatable), is(goesOn));
+  void retriesOnlyWhatMayBeRetried(AttemptOutcome outcome, boolean repeatable, boolean goesOn) {
+    assertThat(outcome.mayRetry(repeatable), is(goesOn));
   }
 
   @Test
-  void aPromiseIsGivenOnlyForWhatCannotHaveRun() {
-    assertThat(Outcome.ownStatus(false, false), is(503));
-    assertThat(Outcome.ownStatus(false, true), is(503));
-    assertThat(Outcome.ownStatus(true, false), is(502));
-    assertThat(Outcome.ownStatus(true, true), is(504));
-    assertThat(Outcome.failed(true).mayHaveRun(), is(true));
-    assertThat(Outcome.failed(false).mayHaveRun(), is(false));
-    assertThat(Outcome.NOT_RUN.mayHaveRun(), is(false));
-    assertThat(Outcome.ANSWERED.passed(), is(true));
+  void localReplyIs503OnlyWhenNoAttemptMayHaveRun() {
+    assertThat(AttemptOutcome.localReplyStatus(false, false), is(503));
+    assertThat(AttemptOutcome.localReplyStatus(false, true), is(503));
+    assertThat(AttemptOutcome.localReplyStatus(true, false), is(502));
+    assertThat(AttemptOutcome.localReplyStatus(true, true), is(504));
+    assertThat(AttemptOutcome.ofFailure(true).mayHaveRun(), is(true));
+    assertThat(AttemptOutcome.ofFailure(false).mayHaveRun(), is(false));
+    assertThat(AttemptOutcome.NOT_RUN.mayHaveRun(), is(false));
+    assertThat(AttemptOutcome.RESPONDED.isRelayed(), is(true));
   }
 }
--- a/gateway/src/test/java/elmsail/gateway/requests/EventSplitterTest.java
+++ b/gateway/src/test/java/elmsail/gateway/requests/ServerSentEventSplitterTest.java
@@ -15,10 +15,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class EventSplitterTest {
+class ServerSentEventSplitterTest {
   private final List<String> events = new ArrayList<>();
-  private final EventSplitter splitter =
-      new EventSplitter(
+  private final ServerSentEventSplitter splitter =
+      new ServerSentEventSplitter(
           (id, raw) -> {
             events.add(id + "=" + raw.toString(StandardCharsets.ISO_8859_1));
             raw.release();
@@ -31,7 +31,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"\n", "\r\n"})
-  void eachSplitGivesTheSameEvents(String end) {
+  void everySplitYieldsTheSameEvents(String end) {
     String one = "id: 7" + end + "data: a" + end + end;
     String two = "event: x" + end + "id:8" + end + "data:b" + end + "data: c" + end + end;
     String all = one + two;
@@ -42,36 +42,36 @@
         splitter.feed(bytes(all.substring(cut, next)));
         splitter.feed(bytes(all.substring(next)));
         assertThat(events, contains("7=" + one, "8=" + two));
-        assertThat(splitter.partial(), is(false));
+        assertThat(splitter.hasPartialEvent(), is(false));
       }
     }
   }
 
   @Test
-  void aPartOfAnEventIsKept() {
+  void partialEventIsBuffered() {
     splitter.feed(bytes("id: 1\ndata: x\n"));
     assertThat(events.isEmpty(), is(true));
-    assertThat(splitter.partial(), is(true));
-    splitter.clear();
-    assertThat(splitter.partial(), is(false));
+    assertThat(splitter.hasPartialEvent(), is(true));
+    splitter.discard();
+    assertThat(splitter.hasPartialEvent(), is(false));
   }
 
   @Test
-  void anEventWithoutANumberHasNone() {
+  void eventWithoutNumericIdHasNoId() {
     splitter.feed(bytes(": hello\n\nid: x1\n\nversions: 3\n\n"));
     assertThat(events, contains("-1=: hello\n\n", "-1=id: x1\n\n", "-1=versions: 3\n\n"));
   }
 
   @Test
-  void anEventWithoutEndIsRefused() {
-    assertThat(splitter.feed(bytes("data: " + "x".repeat(EventSplitter.MOST_BYTES))), is(false));
+  void eventBeyondTheMaximumSizeIsRejected() {
+    assertThat(splitter.feed(bytes("data: " + "x".repeat(ServerSentEventSplitter.MAX_EVENT_BYTES))), is(false));
   }
 
   @Test
-  void buffersAreReleased() {
-    ByteBuf piece = bytes("id: 1\n\nid: 2\n\nid");
-    splitter.feed(piece);
-    assertThat(piece.refCnt(), is(0));
+  void releasesItsBuffers() {
+    ByteBuf bytes = bytes("id: 1\n\nid: 2\n\nid");
+    splitter.feed(bytes);
+    assertThat(bytes.refCnt(), is(0));
   }
 
   @ParameterizedTest
@@ -84,14 +84,14 @@
         "data:  a~~ | \u0020a",
         "database: a~data: b~~ | b"
       })
-  void dataLinesAreJoined(String event, String data) {
-    byte[] joined = EventSplitter.data(bytes(event.replace('~', '\n')));
+  void joinsDataLines(String event, String data) {
+    byte[] joined = ServerSentEventSplitter.data(bytes(event.replace('~', '\n')));
     String wanted = data.startsWith("~") || !event.contains(":  ") ? data : " " + data.trim();
     assertThat(new String(joined, StandardCharsets.ISO_8859_1), is(wanted.replace('~', '\n')));
   }
 
   @Test
-  void noDataIsNone() {
-    assertThat(EventSplitter.data(bytes("id: 3\n\n")), is(nullValue()));
+  void eventWithoutDataYieldsNull() {
+    assertThat(ServerSentEventSplitter.data(bytes("id: 3\n\n")), is(nullValue()));
   }
 }
--- a/gateway/src/test/java/elmsail/gateway/servers/AdmissionPolicyTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/AdmissionPolicyTest.java
@@ -16,48 +16,48 @@
 /** What is refused at once, and the wait that it is refused for. */
 class AdmissionPolicyTest {
   @Test
-  void bySharedLoadsWhatWouldWaitHalfOfItsObjectiveIsRefused() {
-    assertThat(AdmissionPolicy.refuses(new Estimate(150, true), 300), is(false));
-    assertThat(AdmissionPolicy.refuses(new Estimate(151, true), 300), is(true));
+  void sharedLoadRejectsAboveHalfOfTheLatencyTarget() {
+    assertThat(AdmissionPolicy.rejects(new Estimate(150, true), 300), is(false));
+    assertThat(AdmissionPolicy.rejects(new Estimate(151, true), 300), is(true));
   }
 
   @Test
-  void byToldLoadsOnlyWhatWouldWaitTwiceItsObjectiveIs() {
-    assertThat(AdmissionPolicy.refuses(new Estimate(600, false), 300), is(false));
-    assertThat(AdmissionPolicy.refuses(new Estimate(601, false), 300), is(true));
+  void reportedLoadRejectsAboveTwiceTheLatencyTarget() {
+    assertThat(AdmissionPolicy.rejects(new Estimate(600, false), 300), is(false));
+    assertThat(AdmissionPolicy.rejects(new Estimate(601, false), 300), is(true));
   }
 
   @Property
-  void withoutAnObjectiveNothingIsRefusedAndALongerWaitIsNeverLetInForAShorter(
+  void noTargetRejectsNothingAndRejectionIsMonotonicInTheWait(
       @ForAll @DoubleRange(max = 1e9) double wait,
       @ForAll @DoubleRange(max = 1e9) double more,
       @ForAll @LongRange(max = 100_000) long due,
       @ForAll boolean shared) {
-    assertThat(AdmissionPolicy.refuses(new Estimate(wait, shared), 0), is(false));
-    boolean refused = AdmissionPolicy.refuses(new Estimate(wait, shared), due);
-    boolean later = AdmissionPolicy.refuses(new Estimate(wait + more, shared), due);
+    assertThat(AdmissionPolicy.rejects(new Estimate(wait, shared), 0), is(false));
+    boolean refused = AdmissionPolicy.rejects(new Estimate(wait, shared), due);
+    boolean later = AdmissionPolicy.rejects(new Estimate(wait + more, shared), due);
     assertThat(!refused || later, is(true));
   }
 
   @Test
-  void thePlaceTimeIsLearnedAndTheLastOnesCount() {
-    PlaceTime time = new PlaceTime();
-    assertThat(time.perPlaceMs(8), is(PlaceTime.FIRST_MS));
+  void slotHoldTimeFollowsRecentObservations() {
+    SlotHoldTime time = new SlotHoldTime();
+    assertThat(time.releaseIntervalMs(8), is(SlotHoldTime.DEFAULT_RELEASE_INTERVAL_MS));
     time.observe(800);
-    assertThat(time.perPlaceMs(8), is(100.0));
-    assertThat("no places told", time.perPlaceMs(0), is(PlaceTime.FIRST_MS));
+    assertThat(time.releaseIntervalMs(8), is(100.0));
+    assertThat("no places told", time.releaseIntervalMs(0), is(SlotHoldTime.DEFAULT_RELEASE_INTERVAL_MS));
     for (int i = 0; i < 200; i++) {
       time.observe(80);
     }
-    assertThat(time.perPlaceMs(8), closeTo(10, 0.1));
+    assertThat(time.releaseIntervalMs(8), closeTo(10, 0.1));
   }
 
   @Property
-  void thePlaceTimeIsBoundedWhateverIsObserved(@ForAll long one, @ForAll long other) {
-    PlaceTime time = new PlaceTime();
+  void slotHoldTimeIsBounded(@ForAll long one, @ForAll long other) {
+    SlotHoldTime time = new SlotHoldTime();
     time.observe(one);
     time.observe(other);
-    assertThat(time.perPlaceMs(1), greaterThanOrEqualTo(0.0));
-    assertThat(time.perPlaceMs(1), lessThanOrEqualTo(5_000.0));
+    assertThat(time.releaseIntervalMs(1), greaterThanOrEqualTo(0.0));
+    assertThat(time.releaseIntervalMs(1), lessThanOrEqualTo(5_000.0));
   }
 }
--- a/gateway/src/test/java/elmsail/gateway/servers/ErrorBackoffTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/ErrorBackoffTest.java
@@ -10,72 +10,72 @@
   private final ErrorBackoff server = new ErrorBackoff();
 
   @Test
-  void anErrorEjectsForASecond() {
-    assertThat(server.avoided(true, 1_000), is(false));
-    assertThat(server.errored(1_000), is(true));
-    assertThat(server.avoided(true, 1_999), is(true));
-    assertThat(server.avoided(true, 2_000), is(false));
+  void errorEjectsForOneSecond() {
+    assertThat(server.isAvoided(true, 1_000), is(false));
+    assertThat(server.recordError(1_000), is(true));
+    assertThat(server.isAvoided(true, 1_999), is(true));
+    assertThat(server.isAvoided(true, 2_000), is(false));
   }
 
   @Test
-  void eachFurtherErrorDoublesTheTimeUpToEightSeconds() {
+  void ejectionTimeDoublesUpToEightSeconds() {
     long now = 1_000;
     for (long backoffMs : new long[] {1_000, 2_000, 4_000, 8_000, 8_000, 8_000}) {
-      server.errored(now);
-      assertThat(server.avoided(true, now + backoffMs - 1), is(true));
+      server.recordError(now);
+      assertThat(server.isAvoided(true, now + backoffMs - 1), is(true));
       now += backoffMs;
-      assertThat(server.avoided(true, now), is(false));
+      assertThat(server.isAvoided(true, now), is(false));
     }
   }
 
   @Test
-  void aSuccessEndsTheEjectionAndTheDoubling() {
-    server.errored(1_000);
-    server.errored(2_000);
-    server.succeeded(2_001);
-    assertThat(server.avoided(false, 2_001), is(false));
-    server.errored(3_000);
-    assertThat(server.avoided(true, 4_000), is(false));
+  void successEndsTheEjectionAndResetsTheBackoff() {
+    server.recordError(1_000);
+    server.recordError(2_000);
+    server.recordSuccess(2_001);
+    assertThat(server.isAvoided(false, 2_001), is(false));
+    server.recordError(3_000);
+    assertThat(server.isAvoided(true, 4_000), is(false));
   }
 
   @Test
-  void aServerServedLatelyUntilItErrsOrASecondIsOver() {
-    assertThat(server.servedLately(1_000), is(false));
-    server.succeeded(1_000);
-    assertThat(server.servedLately(2_000), is(true));
-    assertThat(server.servedLately(2_001), is(false));
-    server.succeeded(3_000);
-    server.errored(3_001);
-    assertThat(server.servedLately(3_001), is(false));
+  void servedRecentlyUntilAnErrorOrForOneSecond() {
+    assertThat(server.servedRecently(1_000), is(false));
+    server.recordSuccess(1_000);
+    assertThat(server.servedRecently(2_000), is(true));
+    assertThat(server.servedRecently(2_001), is(false));
+    server.recordSuccess(3_000);
+    server.recordError(3_001);
+    assertThat(server.servedRecently(3_001), is(false));
   }
 
   @Test
-  void errorsOfRequestsThatWereUnderWayCountOnce() {
-    server.errored(1_000);
-    assertThat(server.errored(1_001), is(false));
-    assertThat(server.errored(1_999), is(false));
+  void errorsWhileEjectedCountOnce() {
+    server.recordError(1_000);
+    assertThat(server.recordError(1_001), is(false));
+    assertThat(server.recordError(1_999), is(false));
     assertThat(server.consecutiveErrors(), is(1));
-    assertThat(server.avoided(true, 2_000), is(false));
+    assertThat(server.isAvoided(true, 2_000), is(false));
   }
 
   @Test
-  void aHalfOpenServerGetsOneProbeAtATime() {
-    server.errored(1_000);
-    assertThat("not yet half-open", server.probe(1_999), is(false));
-    assertThat(server.probe(2_000), is(true));
-    assertThat(server.avoided(true, 2_000), is(true));
-    assertThat(server.probe(2_000), is(false));
-    server.probeEnded();
-    assertThat("no success yet", server.ejected(), is(true));
-    assertThat(server.avoided(true, 2_001), is(false));
+  void halfOpenServerGetsOneProbeAtATime() {
+    server.recordError(1_000);
+    assertThat("not yet half-open", server.tryStartProbe(1_999), is(false));
+    assertThat(server.tryStartProbe(2_000), is(true));
+    assertThat(server.isAvoided(true, 2_000), is(true));
+    assertThat(server.tryStartProbe(2_000), is(false));
+    server.endProbe();
+    assertThat("no success yet", server.isEjected(), is(true));
+    assertThat(server.isAvoided(true, 2_001), is(false));
   }
 
   @Test
-  void whatMayNotBeRepeatedProbesLater() {
-    server.errored(1_000);
-    assertThat(server.avoided(false, 3_999), is(true));
-    assertThat(server.avoided(false, 4_000), is(false));
-    server.probe(4_000);
-    assertThat("one at a time", server.avoided(false, 4_000), is(true));
+  void nonRetryableRequestProbesLater() {
+    server.recordError(1_000);
+    assertThat(server.isAvoided(false, 3_999), is(true));
+    assertThat(server.isAvoided(false, 4_000), is(false));
+    server.tryStartProbe(4_000);
+    assertThat("one at a time", server.isAvoided(false, 4_000), is(true));
   }
 }
--- a/gateway/src/test/java/elmsail/gateway/servers/SilentRequest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/NoOpRequest.java
@@ -5,7 +5,7 @@
 import io.netty.handler.codec.http.HttpResponse;
 
 /** A request that is never written to a connection, and that nobody waits for. */
-abstract class SilentRequest implements OutgoingRequest, AttemptListener {
+abstract class NoOpRequest implements OutgoingRequest, AttemptListener {
   @Override
   public String id() {
     return "a";
@@ -30,8 +30,8 @@
   public void head(HttpResponse head) {}
 
   @Override
-  public void data(ByteBuf piece) {
-    piece.release();
+  public void data(ByteBuf bytes) {
+    bytes.release();
   }
 
   @Override
--- a/gateway/src/test/java/elmsail/gateway/servers/OutlierDetectorTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/OutlierDetectorTest.java
@@ -10,49 +10,49 @@
   private final OutlierDetector outliers = new OutlierDetector();
 
   @Test
-  void anOnlyServerIsNotEjected() {
-    ErrorBackoff only = outliers.add();
-    assertThat(outliers.errored(only, 1_000), is(false));
-    assertThat(only.avoided(false, 1_000), is(false));
+  void onlyServerIsNotEjected() {
+    ErrorBackoff only = outliers.addServer();
+    assertThat(outliers.recordError(only, 1_000), is(false));
+    assertThat(only.isAvoided(false, 1_000), is(false));
   }
 
   @Test
-  void ofEquallyManyErrorsTheLongestEjectedComesBack() {
-    ErrorBackoff first = outliers.add();
-    ErrorBackoff second = outliers.add();
-    outliers.add();
-    assertThat(outliers.errored(first, 1_000), is(true));
-    assertThat(outliers.errored(second, 1_100), is(true));
-    assertThat(first.avoided(false, 1_100), is(false));
-    assertThat(second.avoided(false, 1_100), is(true));
+  void longestEjectedReturnsFirstAmongEqualErrors() {
+    ErrorBackoff first = outliers.addServer();
+    ErrorBackoff second = outliers.addServer();
+    outliers.addServer();
+    assertThat(outliers.recordError(first, 1_000), is(true));
+    assertThat(outliers.recordError(second, 1_100), is(true));
+    assertThat(first.isAvoided(false, 1_100), is(false));
+    assertThat(second.isAvoided(false, 1_100), is(true));
   }
 
   @Test
-  void aSingleErrorDoesNotBringBackTheOneThatErrsAgainAndAgain() {
-    ErrorBackoff erring = outliers.add();
-    ErrorBackoff other = outliers.add();
-    outliers.errored(erring, 1_000);
-    outliers.errored(erring, 2_000);
-    assertThat(outliers.errored(other, 2_100), is(false));
-    assertThat(erring.avoided(false, 2_100), is(true));
+  void singleErrorDoesNotUnejectARepeatOffender() {
+    ErrorBackoff erring = outliers.addServer();
+    ErrorBackoff other = outliers.addServer();
+    outliers.recordError(erring, 1_000);
+    outliers.recordError(erring, 2_000);
+    assertThat(outliers.recordError(other, 2_100), is(false));
+    assertThat(erring.isAvoided(false, 2_100), is(true));
   }
 
   @Test
-  void theLimitFollowsTheList() {
-    ErrorBackoff first = outliers.add();
-    ErrorBackoff second = outliers.add();
-    ErrorBackoff third = outliers.add();
-    outliers.add();
-    outliers.errored(first, 1_000);
-    outliers.errored(second, 1_100);
-    assertThat(first.ejected(), is(true));
-    outliers.remove(third);
-    assertThat(first.ejected(), is(false));
-    assertThat(second.ejected(), is(true));
+  void ejectionLimitFollowsTheServerList() {
+    ErrorBackoff first = outliers.addServer();
+    ErrorBackoff second = outliers.addServer();
+    ErrorBackoff third = outliers.addServer();
+    outliers.addServer();
+    outliers.recordError(first, 1_000);
+    outliers.recordError(second, 1_100);
+    assertThat(first.isEjected(), is(true));
+    outliers.removeServer(third);
+    assertThat(first.isEjected(), is(false));
+    assertThat(second.isEjected(), is(true));
   }
 
   @Test
-  void onlyErrorsOfTheServerCount() {
+  void onlyServerErrorsCount() {
     for (int status : new int[] {500, 502, 504}) {
       assertThat(ResponseClass.of(status, false, 1_000), is(ResponseClass.SERVER_ERROR));
       assertThat(ResponseClass.of(status, true, 1_000), is(ResponseClass.NEUTRAL));
@@ -66,7 +66,7 @@
 
   /** A server whose queue was too long for the deadline is slow, not erring. */
   @Test
-  void timeoutsAtTheDeadlineSayNothing() {
+  void gatewayTimeoutAtTheDeadlineIsNeutral() {
     assertThat(
         ResponseClass.of(504, false, ResponseClass.DEADLINE_SLACK_MS), is(ResponseClass.NEUTRAL));
     assertThat(ResponseClass.of(500, false, 0), is(ResponseClass.SERVER_ERROR));
--- a/gateway/src/test/java/elmsail/gateway/servers/ErringServersModelTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/OutlierEjectionModelTest.java
@@ -7,7 +7,7 @@
 
 import elmsail.config.Route;
 import elmsail.config.ServerEntry;
-import elmsail.gateway.FakeKnown;
+import elmsail.gateway.FakeClusterState;
 import elmsail.gateway.http.Headers;
 import elmsail.gateway.http.RequestCounters;
 import elmsail.runtime.Counters;
@@ -29,7 +29,7 @@
  * Many gateways before one service of which some servers err at once, by a clock of numbers: the
  * gateways choose by their own selectors and learn from answers alone.
  */
-class ErringServersModelTest {
+class OutlierEjectionModelTest {
   private static final int GATEWAYS = 59;
   private static final int REQUESTS_PER_SECOND = 7;
 
@@ -37,9 +37,9 @@
   private static final long CALM_MS = 2_000;
 
   private static final long DURATION_MS = 6_000;
-  private static final long SERVED_MS = 60;
+  private static final long SERVICE_TIME_MS = 60;
   private static final long ERROR_MS = 1;
-  private static final int BERTHS = 8;
+  private static final int MAX_CONCURRENCY = 8;
   private static final int REQUESTS_PER_GATEWAY = (int) (DURATION_MS * REQUESTS_PER_SECOND / 1_000);
 
   /**
@@ -48,11 +48,11 @@
    */
   private static final int ERRORS_PER_GATEWAY_AND_SERVER = 2;
 
-  private static final double MOST_OF_BEFORE = 0.6;
+  private static final double MAX_RATIO_TO_BASELINE = 0.6;
 
   private final NettyEventLoop loop = new NettyEventLoop();
   private final ManualTimers timers = new ManualTimers();
-  private final FakeKnown known = new FakeKnown();
+  private final FakeClusterState known = new FakeClusterState();
   private final SplittableRandom chance = new SplittableRandom(11);
   private int[] running;
   private int errors;
@@ -75,7 +75,7 @@
     running = new int[scenario.servers()];
     List<ServerEntry> entries = new ArrayList<>();
     for (int i = 0; i < scenario.servers(); i++) {
-      entries.add(new ServerEntry("i-" + i, "s", "127.0.0.1:1", "z", BERTHS, false, 0));
+      entries.add(new ServerEntry("i-" + i, "s", "127.0.0.1:1", "z", MAX_CONCURRENCY, false, 0));
     }
     known.servers = entries;
     long intervalMs = 1_000 / REQUESTS_PER_SECOND;
@@ -95,12 +95,12 @@
         timers.schedule(at, () -> new Request(servers, scenario, repeatable, calm).send());
       }
     }
-    timers.advance(CALM_MS + DURATION_MS + 10 * SERVED_MS);
+    timers.advance(CALM_MS + DURATION_MS + 10 * SERVICE_TIME_MS);
     return (double) errors / requests;
   }
 
   /** One request of a client, which is sent to two servers at most. */
-  private final class Request extends SilentRequest {
+  private final class Request extends NoOpRequest {
     private final Servers servers;
     private final Scenario scenario;
     private final boolean repeatable;
@@ -117,19 +117,19 @@
 
     void send() {
       boolean retried = repeatable && attempted.isEmpty();
-      SelectionMode mode = retried ? SelectionMode.PROBE_PREFERRED : SelectionMode.SINGLE;
+      SelectionMode mode = retried ? SelectionMode.PROBE_PREFERRED : SelectionMode.NOT_RETRYABLE;
       mode = attempted.isEmpty() ? mode : SelectionMode.AFTER_ERROR;
-      Server server = servers.choose(route(repeatable), Prompt.NONE, attempted, mode);
+      Server server = servers.pick(route(repeatable), Prompt.NONE, attempted, mode);
       attempted.add(server);
       Attempt attempt = new Attempt(server, this, this, timers.now());
-      server.begun(attempt);
-      attempt.sending();
+      server.onAttemptStarted(attempt);
+      attempt.markSent();
       int index = Integer.parseInt(server.id().substring(2));
       boolean errs =
           !calm && index < scenario.erring() && chance.nextDouble() < scenario.errorShare();
       running[index]++;
       servedByErring += !calm && index < scenario.erring() ? 1 : 0;
-      timers.schedule(errs ? ERROR_MS : SERVED_MS, () -> answer(attempt, index, errs ? 500 : 200));
+      timers.schedule(errs ? ERROR_MS : SERVICE_TIME_MS, () -> answer(attempt, index, errs ? 500 : 200));
     }
 
     private void answer(Attempt attempt, int index, int status) {
@@ -138,21 +138,21 @@
           new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status));
       head.headers().set(Headers.POSTMARK, "p");
       Server server = attempt.server();
-      server.heard(timers.now());
-      server.load(running[index] + ",0," + BERTHS, timers.now());
+      server.recordResponse(timers.now());
+      server.recordReportedLoad(running[index] + ",0," + MAX_CONCURRENCY, timers.now());
       if (scenario.detecting()) {
-        attempt.judge(head, timers.now());
+        attempt.recordResult(head, timers.now());
       }
-      attempt.head(head);
-      attempt.whole();
+      attempt.onHead(head);
+      attempt.onComplete();
       if (status != 500) {
         return;
       }
       Server other =
           scenario.detecting() && repeatable && attempted.size() == 1
-              ? servers.choose(route(true), Prompt.NONE, attempted)
+              ? servers.pick(route(true), Prompt.NONE, attempted)
               : null;
-      if (other != null && !servers.avoided(other)) {
+      if (other != null && !servers.isUnhealthy(other)) {
         send();
       } else {
         errors++;
@@ -174,11 +174,11 @@
     double now = errorShare(after);
     System.out.printf("%s: errors before %.4f, after %.4f%n", what, before, now);
     assertThat(what, now, is(lessThan(mostAfter)));
-    assertThat(what, now, is(lessThan(before * MOST_OF_BEFORE)));
+    assertThat(what, now, is(lessThan(before * MAX_RATIO_TO_BASELINE)));
   }
 
   @Test
-  void fourOfThirtyOneServersThatAlwaysErr() {
+  void fourOfThirtyOneServersAlwaysErrMostErrorsAreAvoided() {
     double most = 4.0 * ERRORS_PER_GATEWAY_AND_SERVER / REQUESTS_PER_GATEWAY;
     compared("4 of 31, none repeatable", new Scenario(31, 4, 1, 0, true), most);
     compared("4 of 31, half repeatable", new Scenario(31, 4, 1, 0.5, true), 0.06);
@@ -186,13 +186,13 @@
   }
 
   @Test
-  void oneOfTwoServersThatErrsNowAndThen() {
+  void oneOfTwoServersErrsAtTimesErrorsAreReduced() {
     compared("1 of 2 at 40 %, half repeatable", new Scenario(2, 1, 0.4, 0.5, true), 0.1);
     assertThat("it is not shut out", servedByErring, is(greaterThan(requests / 50)));
   }
 
   @Test
-  void whereAllErrNoneIsShutOut() {
+  void allServersErrNoneIsShutOut() {
     double share = errorShare(new Scenario(2, 2, 1, 0.5, true));
     assertThat("each request was sent", share, is(1.0));
   }
--- a/gateway/src/test/java/elmsail/gateway/servers/PromptTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/PromptTest.java
@@ -9,55 +9,55 @@
 class PromptTest {
 
   @Test
-  void partsAndTokensAreRead() {
-    Prompt p = Prompt.read("5c1e07a2:800,91bd3f06:410, e4402b7d:250", "1460,80");
-    assertThat(p.tokens(), is(new int[] {800, 410, 250}));
-    assertThat(p.total(), is(1_460));
-    assertThat(p.sharedTokens(), is(1_210));
+  void parsesSegmentsAndTokens() {
+    Prompt p = Prompt.parse("5c1e07a2:800,91bd3f06:410, e4402b7d:250", "1460,80");
+    assertThat(p.segmentTokens(), is(new int[] {800, 410, 250}));
+    assertThat(p.totalTokens(), is(1_460));
+    assertThat(p.sharedPrefixTokens(), is(1_210));
   }
 
   @Test
-  void aPartIsTheSameOnlyBehindTheSameParts() {
-    Prompt a = Prompt.read("1:10,2:10,3:10", null);
-    Prompt b = Prompt.read("1:10,4:10,3:10", null);
-    Prompt c = Prompt.read("12:10,3:10", null);
-    assertThat(a.keys()[0], is(b.keys()[0]));
-    assertThat(a.keys()[2], is(not(b.keys()[2])));
-    assertThat(a.keys()[1], is(not(c.keys()[0])));
+  void segmentKeyDependsOnAllSegmentsBeforeIt() {
+    Prompt a = Prompt.parse("1:10,2:10,3:10", null);
+    Prompt b = Prompt.parse("1:10,4:10,3:10", null);
+    Prompt c = Prompt.parse("12:10,3:10", null);
+    assertThat(a.segmentKeys()[0], is(b.segmentKeys()[0]));
+    assertThat(a.segmentKeys()[2], is(not(b.segmentKeys()[2])));
+    assertThat(a.segmentKeys()[1], is(not(c.segmentKeys()[0])));
   }
 
   @Test
-  void whatCannotBeReadIsNothing() {
-    assertThat(Prompt.read(null, null).total(), is(0));
-    assertThat(Prompt.read("", "x,y").total(), is(0));
-    assertThat(Prompt.read("abc", "7").total(), is(7));
-    assertThat(Prompt.read("a:-5,b:99999999999", null).tokens(), is(new int[] {0, 10_000_000}));
-    assertThat(Prompt.read(",,,", null).total(), is(0));
+  void malformedHeaderYieldsNoPrompt() {
+    assertThat(Prompt.parse(null, null).totalTokens(), is(0));
+    assertThat(Prompt.parse("", "x,y").totalTokens(), is(0));
+    assertThat(Prompt.parse("abc", "7").totalTokens(), is(7));
+    assertThat(Prompt.parse("a:-5,b:99999999999", null).segmentTokens(), is(new int[] {0, 10_000_000}));
+    assertThat(Prompt.parse(",,,", null).totalTokens(), is(0));
   }
 
   @Test
-  void theMemoryKeepsWhatWasUsedLast() {
-    PrefixMemory memory = new PrefixMemory(1_000);
-    Prompt a = Prompt.read("1:400,a:100", null);
-    Prompt b = Prompt.read("1:400,b:100", null);
-    memory.add(a);
-    assertThat(memory.known(a), is(500));
-    assertThat(memory.known(b), is(400));
-    memory.add(b);
-    Prompt c = Prompt.read("2:450", null);
-    memory.add(c);
-    assertThat(memory.known(a), is(400)); // its own part was unused for longest
-    assertThat(memory.known(b), is(500));
-    assertThat(memory.known(c), is(450));
+  void cacheEstimateKeepsTheMostRecentlyUsed() {
+    PrefixCacheEstimate memory = new PrefixCacheEstimate(1_000);
+    Prompt a = Prompt.parse("1:400,a:100", null);
+    Prompt b = Prompt.parse("1:400,b:100", null);
+    memory.record(a);
+    assertThat(memory.cachedTokens(a), is(500));
+    assertThat(memory.cachedTokens(b), is(400));
+    memory.record(b);
+    Prompt c = Prompt.parse("2:450", null);
+    memory.record(c);
+    assertThat(memory.cachedTokens(a), is(400)); // its own part was unused for longest
+    assertThat(memory.cachedTokens(b), is(500));
+    assertThat(memory.cachedTokens(c), is(450));
     memory.clear();
-    assertThat(memory.known(b), is(0));
+    assertThat(memory.cachedTokens(b), is(0));
   }
 
   @Test
-  void theMemoryIsBounded() {
-    PrefixMemory memory = new PrefixMemory(Long.MAX_VALUE);
+  void cacheEstimateIsBounded() {
+    PrefixCacheEstimate memory = new PrefixCacheEstimate(Long.MAX_VALUE);
     for (int i = 0; i < 10_000; i++) {
-      memory.add(Prompt.read("p" + i + ":1", null));
+      memory.record(Prompt.parse("p" + i + ":1", null));
     }
     assertThat(memory.size(), is(4_096));
   }
--- a/gateway/src/test/java/elmsail/gateway/servers/SelectionModeTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/SelectionModeTest.java
@@ -7,7 +7,7 @@
 
 import elmsail.config.Route;
 import elmsail.config.ServerEntry;
-import elmsail.gateway.FakeKnown;
+import elmsail.gateway.FakeClusterState;
 import elmsail.gateway.http.RequestCounters;
 import elmsail.runtime.Counters;
 import elmsail.runtime.ManualTimers;
@@ -41,7 +41,7 @@
 
   private final NettyEventLoop loop = new NettyEventLoop();
   private final ManualTimers timers = new ManualTimers();
-  private final FakeKnown known = new FakeKnown();
+  private final FakeClusterState known = new FakeClusterState();
   private Servers servers;
   private List<Server> all;
 
@@ -54,7 +54,7 @@
     known.servers = entries;
     RequestCounters counters = new RequestCounters(new Counters());
     servers = new Servers(timers, loop.eventLoop(), known, "z", counters, new SplittableRandom(3));
-    all = servers.of("s");
+    all = servers.serversOf("s");
   }
 
   @AfterEach
@@ -63,12 +63,12 @@
   }
 
   private Server choose(SelectionMode mode, Server... attempted) {
-    return servers.choose(ROUTE, Prompt.NONE, Set.of(attempted), mode);
+    return servers.pick(ROUTE, Prompt.NONE, Set.of(attempted), mode);
   }
 
   @Test
-  void anErringServerIsPassedOverInEveryMode() {
-    all.get(0).errored(timers.now());
+  void ejectedServerIsSkippedInEveryMode() {
+    all.get(0).recordError(timers.now());
     for (SelectionMode mode : SelectionMode.values()) {
       for (int i = 0; i < 8; i++) {
         assertThat(mode.name(), choose(mode), is(not(sameInstance(all.get(0)))));
@@ -77,17 +77,17 @@
   }
 
   @Test
-  void aRequestThatMetAnErrorGoesToAServerThatServedLately() {
-    all.get(2).succeeded(timers.now());
+  void afterAnErrorARecentlySuccessfulServerIsPicked() {
+    all.get(2).recordSuccess(timers.now());
     for (int i = 0; i < 8; i++) {
       assertThat(choose(SelectionMode.AFTER_ERROR, all.get(0)), is(sameInstance(all.get(2))));
     }
   }
 
   @Test
-  void whereNoneServedLatelyItGoesToOneThatDidNotErr() {
-    all.get(0).errored(timers.now());
-    all.get(1).errored(timers.now());
+  void withoutRecentSuccessANonErringServerIsPicked() {
+    all.get(0).recordError(timers.now());
+    all.get(1).recordError(timers.now());
     for (int i = 0; i < 8; i++) {
       assertThat(
           choose(SelectionMode.AFTER_ERROR, all.get(0), all.get(2)), is(sameInstance(all.get(3))));
@@ -95,35 +95,35 @@
   }
 
   @Test
-  void aHalfOpenServerIsProbedFirstByWhatPrefersIt() {
-    all.get(0).errored(timers.now());
-    timers.advance(ErrorBackoff.FIRST_MS);
+  void halfOpenServerIsProbedFirstWhenPreferred() {
+    all.get(0).recordError(timers.now());
+    timers.advance(ErrorBackoff.INITIAL_EJECTION_MS);
     for (int i = 0; i < 8; i++) {
-      assertThat(choose(SelectionMode.SINGLE), is(not(sameInstance(all.get(0)))));
+      assertThat(choose(SelectionMode.NOT_RETRYABLE), is(not(sameInstance(all.get(0)))));
       assertThat(choose(SelectionMode.PROBE_PREFERRED), is(sameInstance(all.get(0))));
     }
-    timers.advance(ErrorBackoff.LATE_PROBE_MS);
+    timers.advance(ErrorBackoff.NON_RETRYABLE_PROBE_DELAY_MS);
     boolean tried = false;
     for (int i = 0; i < 8; i++) {
-      tried |= choose(SelectionMode.SINGLE) == all.get(0);
+      tried |= choose(SelectionMode.NOT_RETRYABLE) == all.get(0);
     }
     assertThat("it is not shut out for good", tried, is(true));
   }
 
   @Test
-  void aServerThatCannotBeReachedIsNotProbed() {
-    all.get(0).errored(timers.now());
-    timers.advance(ErrorBackoff.FIRST_MS);
-    all.get(0).failed(timers.now());
+  void unreachableServerIsNotProbed() {
+    all.get(0).recordError(timers.now());
+    timers.advance(ErrorBackoff.INITIAL_EJECTION_MS);
+    all.get(0).recordFailure(timers.now());
     assertThat(choose(SelectionMode.PROBE_PREFERRED), is(not(sameInstance(all.get(0)))));
   }
 
   @Test
-  void atMostHalfAreEjected() {
+  void atMostHalfOfTheServersAreEjected() {
     for (Server server : all) {
-      server.errored(timers.now());
+      server.recordError(timers.now());
     }
-    long ejected = all.stream().filter(s -> s.ejected(false, timers.now())).count();
+    long ejected = all.stream().filter(s -> s.isEjected(false, timers.now())).count();
     assertThat(ejected, is(2L));
   }
 }
--- a/gateway/src/test/java/elmsail/gateway/servers/ServerConnectionTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/ServerConnectionTest.java
@@ -4,7 +4,7 @@
 import static org.hamcrest.Matchers.is;
 
 import elmsail.config.ServerEntry;
-import elmsail.gateway.FakeKnown;
+import elmsail.gateway.FakeClusterState;
 import elmsail.gateway.http.RequestCounters;
 import elmsail.runtime.Counters;
 import elmsail.runtime.NettyEventLoop;
@@ -26,10 +26,10 @@
 /** What one connection makes of each kind of answer, cut or split at each of its bytes. */
 class ServerConnectionTest {
   private static final String HEAD = "HTTP/1.1 200 OK\r\nElmsail-Request-Id: a1\r\n";
-  private static final String LENGTH = HEAD + "Content-Length: 5\r\n\r\nwhole";
+  private static final String FIXED_LENGTH = HEAD + "Content-Length: 5\r\n\r\nwhole";
   private static final String CHUNKED =
       HEAD + "Transfer-Encoding: chunked\r\n\r\n2\r\nwh\r\n3\r\nole\r\n0\r\n\r\n";
-  private static final String UNTIL_END = HEAD + "\r\nwhole";
+  private static final String CLOSE_DELIMITED = HEAD + "\r\nwhole";
 
   /** How the connection ends. */
   private enum End {
@@ -39,12 +39,12 @@
   }
 
   /** Keeps what it hears. */
-  private static final class Heard implements OutgoingRequest, AttemptListener {
+  private static final class RecordingRequest implements OutgoingRequest, AttemptListener {
     private final String id;
     private final StringBuilder body = new StringBuilder();
     private String outcome = "open";
 
-    Heard(String id) {
+    RecordingRequest(String id) {
       this.id = id;
     }
 
@@ -72,9 +72,9 @@
     public void head(HttpResponse head) {}
 
     @Override
-    public void data(ByteBuf piece) {
-      body.append(piece.toString(StandardCharsets.ISO_8859_1));
-      piece.release();
+    public void data(ByteBuf bytes) {
+      body.append(bytes.toString(StandardCharsets.ISO_8859_1));
+      bytes.release();
     }
 
     @Override
@@ -95,7 +95,7 @@
           1_000,
           new OutlierDetector());
   private final ConnectionPool pool =
-      new ConnectionPool(loop, loop.eventLoop(), new FakeKnown(), new RequestCounters(new Counters()));
+      new ConnectionPool(loop, loop.eventLoop(), new FakeClusterState(), new RequestCounters(new Counters()));
   private EmbeddedChannel channel;
   private ServerConnection connection;
 
@@ -104,22 +104,22 @@
     loop.shutdown();
   }
 
-  private Heard carry(String id) {
-    Heard heard = new Heard(id);
+  private RecordingRequest send(String id) {
+    RecordingRequest heard = new RecordingRequest(id);
     Attempt one = new Attempt(server, heard, heard, loop.now());
-    server.begun(one);
-    connection.carry(one);
+    server.onAttemptStarted(one);
+    connection.send(one);
     return heard;
   }
 
-  private Heard carryOnANewConnection() {
+  private RecordingRequest sendOnNewConnection() {
     channel = new EmbeddedChannel();
     connection = new ServerConnection(pool, server);
-    connection.into(channel.pipeline());
-    return carry("a1");
+    connection.addTo(channel.pipeline());
+    return send("a1");
   }
 
-  private void say(String bytes) {
+  private void receive(String bytes) {
     if (!bytes.isEmpty() && channel.isActive()) {
       channel.writeInbound(Unpooled.copiedBuffer(bytes, StandardCharsets.ISO_8859_1));
     }
@@ -144,17 +144,17 @@
 
   @ParameterizedTest
   @EnumSource(End.class)
-  void cutAnswersAreFailuresOfWhatWasSent(End end) {
-    for (String answer : new String[] {LENGTH, CHUNKED, UNTIL_END}) {
+  void truncatedResponseFailsTheSentAttempt(End end) {
+    for (String answer : new String[] {FIXED_LENGTH, CHUNKED, CLOSE_DELIMITED}) {
       for (int cut = 0; cut < answer.length(); cut++) {
-        Heard heard = carryOnANewConnection();
-        say(answer.substring(0, cut));
+        RecordingRequest heard = sendOnNewConnection();
+        receive(answer.substring(0, cut));
         end(end);
-        boolean ended = end == End.IN_ORDER && answer.equals(UNTIL_END);
-        boolean inBody = cut >= UNTIL_END.length() - "whole".length();
+        boolean ended = end == End.IN_ORDER && answer.equals(CLOSE_DELIMITED);
+        boolean inBody = cut >= CLOSE_DELIMITED.length() - "whole".length();
         String expected =
             ended && inBody
-                ? "whole " + answer.substring(UNTIL_END.length() - "whole".length(), cut)
+                ? "whole " + answer.substring(CLOSE_DELIMITED.length() - "whole".length(), cut)
                 : "failed, sent true";
         assertThat(answer + " cut at " + cut, heard.outcome, is(expected));
       }
@@ -163,14 +163,14 @@
 
   @ParameterizedTest
   @EnumSource(End.class)
-  void wholeAnswersAreToldOnceHoweverTheyComeAndEnd(End end) {
-    for (String answer : new String[] {LENGTH, CHUNKED, UNTIL_END}) {
+  void completeResponseIsDeliveredOnceForEverySplit(End end) {
+    for (String answer : new String[] {FIXED_LENGTH, CHUNKED, CLOSE_DELIMITED}) {
       for (int split = 0; split < answer.length(); split++) {
-        Heard heard = carryOnANewConnection();
-        say(answer.substring(0, split));
-        say(answer.substring(split));
+        RecordingRequest heard = sendOnNewConnection();
+        receive(answer.substring(0, split));
+        receive(answer.substring(split));
         end(end);
-        boolean broken = answer.equals(UNTIL_END) && end != End.IN_ORDER;
+        boolean broken = answer.equals(CLOSE_DELIMITED) && end != End.IN_ORDER;
         assertThat(heard.outcome, is(broken ? "failed, sent true" : "whole whole"));
       }
     }
@@ -178,18 +178,18 @@
 
   @ParameterizedTest
   @EnumSource(End.class)
-  void bytesBehindAnAnswerCloseTheConnectionWhereverTheyAreSplit(End end) {
-    String both = LENGTH + LENGTH;
+  void bytesAfterAResponseCloseTheConnectionForEverySplit(End end) {
+    String both = FIXED_LENGTH + FIXED_LENGTH;
     for (int split = 1; split < both.length(); split++) {
-      server.idle.clear();
-      Heard first = carryOnANewConnection();
-      say(both.substring(0, split));
-      boolean free = server.idle.contains(connection);
-      assertThat("split at " + split, free, is(split == LENGTH.length()));
-      say(both.substring(split));
+      server.idleConnections.clear();
+      RecordingRequest first = sendOnNewConnection();
+      receive(both.substring(0, split));
+      boolean free = server.idleConnections.contains(connection);
+      assertThat("split at " + split, free, is(split == FIXED_LENGTH.length()));
+      receive(both.substring(split));
       assertThat("split at " + split, first.outcome, is("whole whole"));
       assertThat("split at " + split, channel.isActive(), is(false));
-      assertThat("split at " + split, server.idle.isEmpty(), is(true));
+      assertThat("split at " + split, server.idleConnections.isEmpty(), is(true));
       end(end);
       assertThat(first.outcome, is("whole whole"));
     }
@@ -197,15 +197,15 @@
 
   @ParameterizedTest
   @EnumSource(End.class)
-  void extraAnswerInThePlaceOfTheNextOneIsForeign(End end) {
-    for (int split = 0; split < LENGTH.length(); split++) {
-      Heard first = carryOnANewConnection();
-      say(LENGTH);
+  void extraResponseForAnotherRequestClosesTheConnection(End end) {
+    for (int split = 0; split < FIXED_LENGTH.length(); split++) {
+      RecordingRequest first = sendOnNewConnection();
+      receive(FIXED_LENGTH);
       assertThat(first.outcome, is("whole whole"));
-      server.idle.remove(connection);
-      Heard second = carry("a2");
-      say(LENGTH.substring(0, split));
-      say(LENGTH.substring(split));
+      server.idleConnections.remove(connection);
+      RecordingRequest second = send("a2");
+      receive(FIXED_LENGTH.substring(0, split));
+      receive(FIXED_LENGTH.substring(split));
       end(end);
       assertThat("split at " + split, second.outcome, is("failed, sent true"));
       assertThat(second.body.length(), is(0));
--- a/gateway/src/test/java/elmsail/gateway/servers/ChoiceModelTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/ServerSelectionModelTest.java
@@ -5,7 +5,7 @@
 
 import elmsail.config.Route;
 import elmsail.config.ServerEntry;
-import elmsail.gateway.FakeKnown;
+import elmsail.gateway.FakeClusterState;
 import elmsail.gateway.http.RequestCounters;
 import elmsail.gateway.load.LoadExchange;
 import elmsail.rpc.messages.LoadReport;
@@ -31,7 +31,7 @@
  * numbers: the production choice with and without shared loads, beside random choice and an oracle
  * that sees every server as it is.
  */
-class ChoiceModelTest {
+class ServerSelectionModelTest {
   private enum Choice {
     RANDOM,
     OWN_SIGHT,
@@ -43,16 +43,16 @@
   private static final int ZONES = 3;
   private static final int GATEWAYS_PER_ZONE = 8;
   private static final int SERVERS_PER_ZONE = 5;
-  private static final int PLACES = 8;
-  private static final int MOST_WAITING = 12;
-  private static final double SLOW = 1.3;
+  private static final int SLOTS = 8;
+  private static final int MAX_QUEUED = 12;
+  private static final double SLOW_SERVER_FACTOR = 1.3;
   private static final double TOKENS_PER_MS = 100;
   private static final long DURATION_MS = 10_000;
-  private static final long AIM_MS = 300;
+  private static final long LATENCY_TARGET_MS = 300;
   private static final long DATAGRAM_MS = 1;
 
   /** So many requests come at the same moment. */
-  private static final int CLUMP = 3;
+  private static final int BURST_SIZE = 3;
 
   /** Of each request: prompt tokens, and ms from the first token to the last. */
   private static final int MEAN_TOKENS = 1_700;
@@ -70,9 +70,9 @@
   /** One run: its own clock, servers and gateways. */
   private final class World {
     final ManualTimers timers = new ManualTimers();
-    final FakeKnown known = new FakeKnown();
+    final FakeClusterState known = new FakeClusterState();
     final NettyEventLoop loop = new NettyEventLoop();
-    final Map<String, ModelServer> models = new HashMap<>();
+    final Map<String, SimulatedServer> models = new HashMap<>();
     final Map<String, LoadExchange> exchanges = new HashMap<>();
     final List<Servers> gateways = new ArrayList<>();
     final Choice choice;
@@ -87,8 +87,8 @@
       List<ServerEntry> entries = new ArrayList<>();
       for (int i = 0; i < ZONES * SERVERS_PER_ZONE; i++) {
         String id = "i-" + i;
-        entries.add(new ServerEntry(id, "s", "127.0.0.1:1", "z" + i % ZONES, PLACES, false, 0));
-        models.put(id, new ModelServer(timers, PLACES, MOST_WAITING, i % 3 == 0 ? SLOW : 1));
+        entries.add(new ServerEntry(id, "s", "127.0.0.1:1", "z" + i % ZONES, SLOTS, false, 0));
+        models.put(id, new SimulatedServer(timers, SLOTS, MAX_QUEUED, i % 3 == 0 ? SLOW_SERVER_FACTOR : 1));
       }
       known.servers = entries;
       for (int g = 0; g < ZONES * GATEWAYS_PER_ZONE; g++) {
@@ -108,7 +108,7 @@
             new LoadExchange(
                 timers, known, address, zone, draws.nextLong(), servers::ownLoads, this::carry);
         exchanges.put(address, exchange);
-        servers.share(exchange, exchange::changed);
+        servers.setPeerLoads(exchange, exchange::onLoadChanged);
         exchange.start();
       }
       return servers;
@@ -123,8 +123,8 @@
       double perSecond = load * capacityPerSecond();
       double at = 0;
       while (at < DURATION_MS) {
-        at += -Math.log(1 - draws.nextDouble()) * 1_000 * CLUMP / perSecond;
-        for (int i = 0; i < CLUMP; i++) {
+        at += -Math.log(1 - draws.nextDouble()) * 1_000 * BURST_SIZE / perSecond;
+        for (int i = 0; i < BURST_SIZE; i++) {
           timers.schedule((long) at, () -> new Request(this).send());
         }
       }
@@ -135,11 +135,11 @@
     private Server pick(Servers gateway, Prompt prompt) {
       return switch (choice) {
         case RANDOM -> {
-          List<Server> all = gateway.of("s");
+          List<Server> all = gateway.serversOf("s");
           yield all.get(draws.nextInt(all.size()));
         }
-        case ORACLE -> fastest(gateway.of("s"));
-        default -> gateway.choose(ROUTE, prompt, Set.of());
+        case ORACLE -> fastest(gateway.serversOf("s"));
+        default -> gateway.pick(ROUTE, prompt, Set.of());
       };
     }
 
@@ -148,9 +148,9 @@
       Server best = null;
       double least = Double.POSITIVE_INFINITY;
       for (Server server : all) {
-        ModelServer model = models.get(server.id());
-        double place = Math.max(0, model.open() + 1 - PLACES) * (double) MEAN_HOLD_MS / PLACES;
-        double cost = model.backlogMs() + place + model.open() * 0.1;
+        SimulatedServer model = models.get(server.id());
+        double place = Math.max(0, model.openRequests() + 1 - SLOTS) * (double) MEAN_HOLD_MS / SLOTS;
+        double cost = model.backlogMs() + place + model.openRequests() * 0.1;
         if (cost < least) {
           least = cost;
           best = server;
@@ -167,7 +167,7 @@
           "/r/",
           Route.Kind.STREAM,
           2_000,
-          AIM_MS,
+          LATENCY_TARGET_MS,
           0,
           List.of(new Route.WeightedService("s", 1)),
           1,
@@ -181,16 +181,16 @@
   private static double capacityPerSecond() {
     double speed = 0;
     for (int i = 0; i < ZONES * SERVERS_PER_ZONE; i++) {
-      speed += i % 3 == 0 ? 1 / SLOW : 1;
+      speed += i % 3 == 0 ? 1 / SLOW_SERVER_FACTOR : 1;
     }
     double readMs = MEAN_TOKENS / TOKENS_PER_MS;
     double byReading = 1_000 / readMs;
-    double byPlaces = PLACES * 1_000.0 / (readMs + MEAN_HOLD_MS);
+    double byPlaces = SLOTS * 1_000.0 / (readMs + MEAN_HOLD_MS);
     return speed * Math.min(byReading, byPlaces);
   }
 
   /** One client's request, sent once. */
-  private static final class Request extends SilentRequest {
+  private static final class Request extends NoOpRequest {
     private final World world;
     private final Prompt prompt;
     private final long since;
@@ -199,7 +199,7 @@
       this.world = world;
       int tokens = 300 + world.draws.nextInt(2 * (MEAN_TOKENS - 300));
       int part = world.draws.nextInt(400);
-      prompt = Prompt.read("top:100,p" + part + ":100,own:" + (tokens - 200), null);
+      prompt = Prompt.parse("top:100,p" + part + ":100,own:" + (tokens - 200), null);
       since = world.timers.now();
       world.requests++;
     }
@@ -208,15 +208,15 @@
       Servers gateway = world.gateways.get(world.draws.nextInt(world.gateways.size()));
       Server server = world.pick(gateway, prompt);
       boolean admission = world.choice == Choice.SHARED_WITH_ADMISSION;
-      if (admission && gateway.refuses(server, prompt, AIM_MS)) {
+      if (admission && gateway.rejects(server, prompt, LATENCY_TARGET_MS)) {
         return;
       }
       Attempt attempt = new Attempt(server, this, this, since);
-      server.begun(attempt);
-      attempt.sending();
+      server.onAttemptStarted(attempt);
+      attempt.markSent();
       double hold = MEAN_HOLD_MS * (0.25 + 1.5 * world.draws.nextDouble());
-      ModelServer.Client client =
-          new ModelServer.Client() {
+      SimulatedServer.Client client =
+          new SimulatedServer.Client() {
             private long firstAt;
 
             @Override
@@ -227,18 +227,18 @@
             @Override
             public void firstToken() {
               firstAt = world.timers.now();
-              server.heard(firstAt);
-              attempt.head(OK);
-              world.inAim += world.timers.now() - since <= AIM_MS ? 1 : 0;
+              server.recordResponse(firstAt);
+              attempt.onHead(OK);
+              world.inAim += world.timers.now() - since <= LATENCY_TARGET_MS ? 1 : 0;
             }
 
             @Override
             public void ended() {
-              server.held(world.timers.now() - firstAt);
-              attempt.whole();
+              server.recordSlotHoldTime(world.timers.now() - firstAt);
+              attempt.onComplete();
             }
           };
-      world.models.get(server.id()).take(prompt.total() / TOKENS_PER_MS, hold, client);
+      world.models.get(server.id()).submit(prompt.totalTokens() / TOKENS_PER_MS, hold, client);
     }
 
     @Override
@@ -261,7 +261,7 @@
   }
 
   @Test
-  void withSharedLoadsTheShareInAimIsNearTheOracles() {
+  void sharedLoadsServeNearlyAsManyOnTimeAsAnOracle() {
     for (double load : new double[] {0.5, 0.7, 0.8, 0.9}) {
       Map<Choice, Double> shares = shares(load);
       double shared = shares.get(Choice.SHARED_LOADS);
@@ -272,7 +272,7 @@
 
   /** Nobody comes back in this model: what is refused is lost. */
   @Test
-  void beyondCapacityWhatIsLetInIsServedInTime() {
+  void admittedRequestsAreServedOnTimeBeyondCapacity() {
     for (double load : new double[] {1.0, 1.1, 1.3}) {
       Map<Choice, Double> shares = shares(load);
       double admitted = shares.get(Choice.SHARED_WITH_ADMISSION);
--- a/gateway/src/test/java/elmsail/gateway/servers/ServersTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/ServersTest.java
@@ -10,7 +10,7 @@
 import elmsail.config.Route;
 import elmsail.config.ServerEntry;
 import elmsail.config.Service;
-import elmsail.gateway.FakeKnown;
+import elmsail.gateway.FakeClusterState;
 import elmsail.gateway.http.RequestCounters;
 import elmsail.runtime.Counters;
 import elmsail.runtime.ManualTimers;
@@ -31,14 +31,14 @@
 class ServersTest {
   private final NettyEventLoop loop = new NettyEventLoop();
   private final ManualTimers timers = new ManualTimers();
-  private final FakeKnown known = new FakeKnown();
-  private final Servers servers = door("z1");
+  private final FakeClusterState known = new FakeClusterState();
+  private final Servers servers = gateway("z1");
 
-  private Servers door(String zone) {
-    return door(zone, new SplittableRandom(3));
+  private Servers gateway(String zone) {
+    return gateway(zone, new SplittableRandom(3));
   }
 
-  private Servers door(String zone, SplittableRandom chance) {
+  private Servers gateway(String zone, SplittableRandom chance) {
     return new Servers(
         timers, loop.eventLoop(), known, zone, new RequestCounters(new Counters()), chance);
   }
@@ -59,33 +59,33 @@
 
   private void list(ServerEntry... entries) {
     known.servers = List.of(entries);
-    known.changed();
+    known.notifyListeners();
   }
 
   private Server choose(Route route) {
-    return servers.choose(route, Prompt.NONE, Set.of());
+    return servers.pick(route, Prompt.NONE, Set.of());
   }
 
   @Test
-  void closingServersAndThoseOfOtherServicesAreNotChosen() {
+  void closingServersAndOtherServicesAreNotPicked() {
     list(entry("a", "s", "z1", true), entry("b", "other", "z1", false));
     assertThat(choose(route(new Route.WeightedService("s", 1))), is(nullValue()));
-    assertThat(servers.any(), is(true));
+    assertThat(servers.hasAny(), is(true));
     list(entry("a", "s", "z1", true));
-    assertThat(servers.any(), is(false));
+    assertThat(servers.hasAny(), is(false));
   }
 
   @Test
-  void aServerThatReturnsUnderAnotherAddressIsAnotherOne() {
+  void serverWithANewAddressIsANewServer() {
     list(entry("a", "s", "z1", false));
     Server before = choose(route(new Route.WeightedService("s", 1)));
     list(new ServerEntry("a", "s", "127.0.0.1:2", "z1", 24, false, 0));
-    assertThat(before.gone(), is(true));
-    assertThat(choose(route(new Route.WeightedService("s", 1))).gone(), is(false));
+    assertThat(before.isRemoved(), is(true));
+    assertThat(choose(route(new Route.WeightedService("s", 1))).isRemoved(), is(false));
   }
 
   @Test
-  void servicesAreDrawnByTheirWeights() {
+  void servicesArePickedByWeight() {
     list(entry("a", "s", "z1", false), entry("b", "t", "z1", false));
     Route route =
         route(new Route.WeightedService("s", 90), new Route.WeightedService("t", 10), new Route.WeightedService("u", 0));
@@ -106,7 +106,7 @@
     "6, 200, 0.025",
     "30, 200, 0.05"
   })
-  void aFewHundredRequestsAreDividedAsTheWeightsSay(int gateways, int requests, double mostOff) {
+  void fewHundredRequestsFollowTheWeights(int gateways, int requests, double mostOff) {
     list(entry("a", "s", "z1", false), entry("b", "t", "z1", false));
     SplittableRandom chance = new SplittableRandom(gateways);
     for (int weight : new int[] {5, 10, 30, 50, 90}) {
@@ -115,12 +115,12 @@
       for (int trial = 0; trial < 100; trial++) {
         List<Servers> doors = new ArrayList<>();
         for (int i = 0; i < gateways; i++) {
-          doors.add(door("z1", chance.split()));
+          doors.add(gateway("z1", chance.split()));
         }
         int first = 0;
         for (int i = 0; i < requests; i++) {
           Servers door = doors.get(chance.nextInt(gateways));
-          first += door.choose(route, Prompt.NONE, Set.of()).id().equals("a") ? 1 : 0;
+          first += door.pick(route, Prompt.NONE, Set.of()).id().equals("a") ? 1 : 0;
         }
         farthest = Math.max(farthest, Math.abs(first / (double) requests - weight / 100.0));
       }
@@ -132,7 +132,7 @@
   }
 
   @Test
-  void theDivisionOfOneRouteDoesNotHangOnWhatOthersGet() {
+  void roundRobinsOfRoutesAreIndependent() {
     list(entry("a", "s", "z1", false), entry("b", "t", "z1", false));
     Route route = route(new Route.WeightedService("s", 50), new Route.WeightedService("t", 50));
     Route other =
@@ -161,7 +161,7 @@
 
   /** Nothing is made up for: servers that come get their share, not all. */
   @Test
-  void aServiceThatWasWithoutServersGetsItsShareOnceItHasSome() {
+  void serviceGetsItsShareOnceItHasServers() {
     Route route =
         route(new Route.WeightedService("s", 50), new Route.WeightedService("t", 30), new Route.WeightedService("u", 20));
     list(entry("b", "t", "z1", false), entry("c", "u", "z1", false));
@@ -179,7 +179,7 @@
   }
 
   @Test
-  void otherWeightsCountFromTheNextRequestOn() {
+  void newWeightsApplyFromTheNextRequest() {
     list(entry("a", "s", "z1", false), entry("b", "t", "z1", false));
     for (int i = 0; i < 50; i++) {
       choose(route(new Route.WeightedService("s", 90), new Route.WeightedService("t", 10)));
@@ -190,59 +190,59 @@
   }
 
   @Test
-  void aServiceWithoutServersLeavesItsShareToTheOther() {
+  void serviceWithoutServersLeavesItsShareToOthers() {
     list(entry("b", "t", "z1", false));
     assertThat(choose(route(new Route.WeightedService("s", 90), new Route.WeightedService("t", 10))).id(), is("b"));
     assertThat(choose(route(new Route.WeightedService("s", 90), new Route.WeightedService("t", 0))), is(nullValue()));
   }
 
   @Test
-  void whereThereIsNoConnectionLeftThereIsNoRoom() {
+  void noCapacityAtTheConnectionLimit() {
     known.services.put("s", new Service("s", "/health", 90, 24, 0));
     known.view.gateways.addAll(List.of("c1", "c2", "c3", "c4", "c5", "c6", "c7", "c8", "c9"));
     list(entry("a", "s", "z1", false));
     Server a = choose(route(new Route.WeightedService("s", 1)));
-    assertThat(servers.most(a), is(10));
-    a.connections = 10;
+    assertThat(servers.maxConnections(a), is(10));
+    a.connectionCount = 10;
     assertThat(choose(route(new Route.WeightedService("s", 1))), is(nullValue()));
-    a.connections = 9;
+    a.connectionCount = 9;
     assertThat(choose(route(new Route.WeightedService("s", 1))), is(sameInstance(a)));
   }
 
   @Test
-  void aLongPromptIsNotRefusedForItsOwnLength() {
+  void longPromptIsNotRejectedForItsOwnLength() {
     list(entry("a", "s", "z1", false));
     Server idle = choose(route(new Route.WeightedService("s", 1)));
-    assertThat(servers.refuses(idle, Prompt.read("own:90000", null), 100), is(false));
+    assertThat(servers.rejects(idle, Prompt.parse("own:90000", null), 100), is(false));
   }
 
   @Test
-  void aServerIsNotAskedTwice() {
+  void excludedServerIsNotPickedAgain() {
     list(entry("a", "s", "z1", false), entry("b", "s", "z1", false));
     Set<Server> been = new HashSet<>();
     Route route = route(new Route.WeightedService("s", 1));
     for (int i = 0; i < 2; i++) {
-      been.add(servers.choose(route, Prompt.NONE, been));
+      been.add(servers.pick(route, Prompt.NONE, been));
     }
     assertThat(been.size(), is(2));
-    assertThat(servers.choose(route, Prompt.NONE, been), is(nullValue()));
+    assertThat(servers.pick(route, Prompt.NONE, been), is(nullValue()));
   }
 
   @Test
-  void doorsOfAZoneAgreeWhereASharedPartIsKept() {
+  void gatewaysOfAZoneAgreeOnThePrefixAffinity() {
     List<ServerEntry> entries = new ArrayList<>();
     for (int i = 0; i < 9; i++) {
       entries.add(entry("i-" + i, "s", "z" + i % 3, false));
     }
     list(entries.toArray(new ServerEntry[0]));
-    Servers other = door("z1");
+    Servers other = gateway("z1");
     Set<String> homes = new HashSet<>();
     for (int i = 0; i < 60; i++) {
-      Prompt prompt = Prompt.read("top:300,part" + i + ":600,own" + i + ":100", null);
+      Prompt prompt = Prompt.parse("top:300,part" + i + ":600,own" + i + ":100", null);
       Route route = route(new Route.WeightedService("s", 1));
-      Server mine = servers.choose(route, prompt, Set.of());
+      Server mine = servers.pick(route, prompt, Set.of());
       Server others =
-          other.choose(route, Prompt.read("top:300,part" + i + ":600,else:100", null), Set.of());
+          other.pick(route, Prompt.parse("top:300,part" + i + ":600,else:100", null), Set.of());
       assertThat(mine.id(), is(others.id()));
       assertThat(mine.entry().zone(), is("z1"));
       homes.add(mine.id());
--- a/gateway/src/test/java/elmsail/gateway/servers/ModelServer.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/SimulatedServer.java
@@ -8,7 +8,7 @@
  * read one after the other, and a place held until the last token. It tells no load and refuses
  * where its queue is full.
  */
-final class ModelServer {
+final class SimulatedServer {
   /** What becomes of a request there. */
   interface Client {
     /** It was not taken, and will not run. */
@@ -22,8 +22,8 @@
   private record Waiting(double readMs, double holdMs, Client client) {}
 
   private final ManualTimers timers;
-  private final int places;
-  private final int mostWaiting;
+  private final int slots;
+  private final int maxQueued;
 
   /** Of a server of usual speed: 1; of a slower one more. */
   private final double slowness;
@@ -31,17 +31,17 @@
   private final ArrayDeque<Waiting> queue = new ArrayDeque<>();
   private int running;
   private double readUntil;
-  int refusals;
+  int rejections;
 
-  ModelServer(ManualTimers timers, int places, int mostWaiting, double slowness) {
+  SimulatedServer(ManualTimers timers, int slots, int maxQueued, double slowness) {
     this.timers = timers;
-    this.places = places;
-    this.mostWaiting = mostWaiting;
+    this.slots = slots;
+    this.maxQueued = maxQueued;
     this.slowness = slowness;
   }
 
   /** Requests there, running and waiting: what nobody but an oracle sees. */
-  int open() {
+  int openRequests() {
     return running + queue.size();
   }
 
@@ -51,13 +51,13 @@
     return Math.max(0, readUntil - timers.now()) + queued;
   }
 
-  void take(double readMs, double holdMs, Client client) {
-    if (running < places) {
+  void submit(double readMs, double holdMs, Client client) {
+    if (running < slots) {
       run(new Waiting(readMs, holdMs, client));
-    } else if (queue.size() < mostWaiting) {
+    } else if (queue.size() < maxQueued) {
       queue.add(new Waiting(readMs, holdMs, client));
     } else {
-      refusals++;
+      rejections++;
       timers.execute(client::refused);
     }
   }
