--- a/app/src/main/java/elmsail/app/ControlPlaneProcess.java
+++ b/app/src/main/java/elmsail/app/ControlPlaneProcess.java
@@ -29,7 +29,7 @@
     recordStore = settings.dataDir() == null ? null : recordStore(settings, loop, metrics);
     if (settings.services().contains("head_office")) {
       rpc.listen().exceptionally(ApplicationLauncher::exitAfterFailure);
-      ControlPlane.startHeadOffice(settings, loop, rpc, recordStore, metrics)
+      ControlPlane.startControlPlaneNode(settings, loop, rpc, recordStore, metrics)
           .thenAccept(
               started -> {
                 controlPlane = started;
@@ -40,7 +40,7 @@
               })
           .exceptionally(ApplicationLauncher::exitAfterFailure);
     } else {
-      controlPlane = ControlPlane.startVault(settings, loop, rpc, recordStore, metrics);
+      controlPlane = ControlPlane.startStore(settings, loop, rpc, recordStore, metrics);
       rpc
           .listen()
           .thenRun(() -> LOG.info("listening at {}", settings.rpcAddress()))
@@ -69,7 +69,7 @@
       close(ended);
       return;
     }
-    controlPlane.end().whenComplete((done, failed) -> close(ended));
+    controlPlane.shutdown().whenComplete((done, failed) -> close(ended));
   }
 
   private void close(Runnable ended) {
--- a/controlplane/src/main/java/elmsail/controlplane/FoundingAcceptor.java
+++ b/controlplane/src/main/java/elmsail/controlplane/BootstrapAcceptor.java
@@ -8,25 +8,25 @@
  * One seed's vote in the single agreement (Paxos, one decree) on the first voters of "head". Pure;
  * the state must be on disk, where there is one, before an answer that grants leaves.
  */
-final class FoundingAcceptor {
-  private long promised;
+final class BootstrapAcceptor {
+  private long promisedBallot;
   private long acceptedBallot;
-  private VoterSet accepted = new VoterSet();
+  private VoterSet acceptedVoterSet = new VoterSet();
 
   /** Promises to accept no lower ballot, and tells what was accepted last. */
   FoundingResponse prepare(long ballot) {
-    boolean granted = ballot > promised;
-    promised = Math.max(promised, ballot);
+    boolean granted = ballot > promisedBallot;
+    promisedBallot = Math.max(promisedBallot, ballot);
     return response(granted);
   }
 
   /** Accepts unless a higher ballot was promised. */
   FoundingResponse accept(long ballot, VoterSet proposal) {
-    boolean granted = ballot >= promised && !proposal.voters.isEmpty();
+    boolean granted = ballot >= promisedBallot && !proposal.voters.isEmpty();
     if (granted) {
-      promised = ballot;
+      promisedBallot = ballot;
       acceptedBallot = ballot;
-      accepted = proposal;
+      acceptedVoterSet = proposal;
     }
     return response(granted);
   }
@@ -34,32 +34,32 @@
   private FoundingResponse response(boolean granted) {
     FoundingResponse response = new FoundingResponse();
     response.granted = granted;
-    response.promisedBallot = promised;
+    response.promisedBallot = promisedBallot;
     response.acceptedBallot = acceptedBallot;
-    response.acceptedVoterSet = accepted;
+    response.acceptedVoterSet = acceptedVoterSet;
     return response;
   }
 
   /** As a record on disk. */
-  byte[] bytes() {
-    byte[] set = VoterSetValue.bytes(accepted);
-    return ByteBuffer.allocate(2 * Long.BYTES + set.length)
-        .putLong(promised)
+  byte[] encode() {
+    byte[] encodedVoterSet = VoterSetValue.encode(acceptedVoterSet);
+    return ByteBuffer.allocate(2 * Long.BYTES + encodedVoterSet.length)
+        .putLong(promisedBallot)
         .putLong(acceptedBallot)
-        .put(set)
+        .put(encodedVoterSet)
         .array();
   }
 
   /** From a record; null is a state without votes. */
-  static FoundingAcceptor of(byte[] bytes) {
-    FoundingAcceptor acceptor = new FoundingAcceptor();
+  static BootstrapAcceptor decode(byte[] bytes) {
+    BootstrapAcceptor acceptor = new BootstrapAcceptor();
     if (bytes != null) {
       ByteBuffer in = ByteBuffer.wrap(bytes);
-      acceptor.promised = in.getLong();
+      acceptor.promisedBallot = in.getLong();
       acceptor.acceptedBallot = in.getLong();
-      byte[] set = new byte[in.remaining()];
-      in.get(set);
-      acceptor.accepted = VoterSetValue.of(set);
+      byte[] encodedVoterSet = new byte[in.remaining()];
+      in.get(encodedVoterSet);
+      acceptor.acceptedVoterSet = VoterSetValue.decode(encodedVoterSet);
     }
     return acceptor;
   }
--- a/controlplane/src/main/java/elmsail/controlplane/FoundingAgreement.java
+++ b/controlplane/src/main/java/elmsail/controlplane/BootstrapAgreement.java
@@ -19,59 +19,59 @@
  * seed without a disk votes from memory: an instance that was started again is not of the first
  * start, and votes no more.
  */
-final class FoundingAgreement {
+final class BootstrapAgreement {
   private static final String RECORD = "head-founding";
-  private static final long CALL_MS = 400;
-  private static final long AGAIN_MS = 200;
+  private static final long CALL_TIMEOUT_MS = 400;
+  private static final long RETRY_DELAY_MS = 200;
 
   /** Later seeds begin and repeat later, so that rounds don't outbid each other for long. */
-  private static final long LATER_MS = 170;
+  private static final long DELAY_PER_SEED_MS = 170;
 
   private final RpcClient caller;
   private final Timers timers;
   private final RecordStore records;
   private final List<String> seeds;
-  private final int ownSeed;
-  private final Consumer<VoterSet> decided;
-  private final FoundingAcceptor acceptor;
-  private final FoundingProposer proposer;
-  private long nextAt = Long.MIN_VALUE;
+  private final int localSeedIndex;
+  private final Consumer<VoterSet> agreedListener;
+  private final BootstrapAcceptor acceptor;
+  private final BootstrapProposer proposer;
+  private long nextRoundAtMs = Long.MIN_VALUE;
 
   /**
    * Makes one.
    *
    * @param records null where there is no disk
-   * @param decided told what this seed saw decided
+   * @param agreedListener told what this seed saw decided
    */
-  FoundingAgreement(
+  BootstrapAgreement(
       RpcClient caller,
       Timers timers,
       RecordStore records,
       List<String> seeds,
-      String ownAddress,
-      Consumer<VoterSet> decided) {
+      String localAddress,
+      Consumer<VoterSet> agreedListener) {
     this.caller = caller;
     this.timers = timers;
     this.records = records;
     this.seeds = seeds;
-    this.ownSeed = seeds.indexOf(ownAddress);
-    this.decided = decided;
-    acceptor = FoundingAcceptor.of(records == null ? null : records.read(RECORD));
-    proposer = new FoundingProposer(seeds.size(), ownSeed);
+    this.localSeedIndex = seeds.indexOf(localAddress);
+    this.agreedListener = agreedListener;
+    acceptor = BootstrapAcceptor.decode(records == null ? null : records.read(RECORD));
+    proposer = new BootstrapProposer(seeds.size(), localSeedIndex);
   }
 
   /** Votes from now on, if this instance is a seed's of the first start. */
-  void vote(RequestHandlers answering, boolean ofFirstStart) {
-    answering.register(
+  void registerVoteHandler(RequestHandlers handlers, boolean isFromFirstStart) {
+    handlers.register(
         FoundingRequest.class,
         request ->
-            ofFirstStart && ownSeed >= 0
-                ? answer(request)
+            isFromFirstStart && localSeedIndex >= 0
+                ? handle(request)
                 : CompletableFuture.failedFuture(
                     new ElmsailException(ErrorCode.NOT_A_VOTER, "no vote on the founding")));
   }
 
-  private CompletableFuture<FoundingResponse> answer(FoundingRequest request) {
+  private CompletableFuture<FoundingResponse> handle(FoundingRequest request) {
     FoundingResponse response =
         request.accept
             ? acceptor.accept(request.ballot, request.proposal)
@@ -79,39 +79,39 @@
     return records == null || !response.granted
         ? CompletableFuture.completedFuture(response)
         : records
-            .write(List.of(new Change(RECORD, acceptor.bytes())))
+            .write(List.of(new Change(RECORD, acceptor.encode())))
             .thenApply(written -> response);
   }
 
   /** Begins a round, unless one is under way. */
-  void propose(VoterSet wanted) {
+  void propose(VoterSet candidateVoterSet) {
     long now = timers.now();
-    if (nextAt == Long.MIN_VALUE) {
-      nextAt = now + ownSeed * LATER_MS;
+    if (nextRoundAtMs == Long.MIN_VALUE) {
+      nextRoundAtMs = now + localSeedIndex * DELAY_PER_SEED_MS;
     }
-    if (now < nextAt) {
+    if (now < nextRoundAtMs) {
       return;
     }
-    nextAt = now + CALL_MS + AGAIN_MS + ownSeed * LATER_MS;
-    long ballot = proposer.begin(wanted);
+    nextRoundAtMs = now + CALL_TIMEOUT_MS + RETRY_DELAY_MS + localSeedIndex * DELAY_PER_SEED_MS;
+    long ballot = proposer.startRound(candidateVoterSet);
     for (int i = 0; i < seeds.size(); i++) {
       int seed = i;
-      send(seed, ballot, null).thenAccept(response -> promised(seed, ballot, response));
+      send(seed, ballot, null).thenAccept(response -> onPrepareResponse(seed, ballot, response));
     }
   }
 
-  private void promised(int seed, long ballot, FoundingResponse response) {
-    VoterSet proposal = proposer.promised(seed, ballot, response);
+  private void onPrepareResponse(int seed, long ballot, FoundingResponse response) {
+    VoterSet proposal = proposer.onPrepareResponse(seed, ballot, response);
     for (int i = 0; proposal != null && i < seeds.size(); i++) {
-      int other = i;
-      send(other, ballot, proposal).thenAccept(answer -> accepted(other, ballot, answer));
+      int acceptor = i;
+      send(acceptor, ballot, proposal).thenAccept(answer -> onAcceptResponse(acceptor, ballot, answer));
     }
   }
 
-  private void accepted(int seed, long ballot, FoundingResponse response) {
-    VoterSet decision = proposer.accepted(seed, ballot, response);
-    if (decision != null) {
-      decided.accept(decision);
+  private void onAcceptResponse(int seed, long ballot, FoundingResponse response) {
+    VoterSet agreed = proposer.onAcceptResponse(seed, ballot, response);
+    if (agreed != null) {
+      agreedListener.accept(agreed);
     }
   }
 
@@ -120,8 +120,8 @@
     request.ballot = ballot;
     request.accept = proposal != null;
     request.proposal = proposal == null ? request.proposal : proposal;
-    return seed == ownSeed
-        ? answer(request)
-        : caller.call(seeds.get(seed), request, FoundingResponse.class, CALL_MS);
+    return seed == localSeedIndex
+        ? handle(request)
+        : caller.call(seeds.get(seed), request, FoundingResponse.class, CALL_TIMEOUT_MS);
   }
 }
--- /dev/null
+++ b/controlplane/src/main/java/elmsail/controlplane/BootstrapCandidates.java
@@ -0,0 +1,87 @@
+package elmsail.controlplane;
+
+import elmsail.rpc.messages.HelloRequest;
+import elmsail.rpc.messages.Voter;
+import elmsail.rpc.messages.VoterSet;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+
+/**
+ * The control-plane nodes that may be among the first voters of "head": those with a disk whose
+ * instance began at the first start, heard lately. Pure; times are steady ms.
+ */
+final class BootstrapCandidates {
+  /** With fewer than wanted only after so long. */
+  static final long REDUCED_SET_AFTER_MS = 3_000;
+
+  /** Others may still come for so long once there are enough: for more zones. */
+  static final long ZONE_SPREAD_WAIT_MS = 300;
+
+  private static final long MAX_HELLO_AGE_MS = 1_000;
+  private static final int MAX_CANDIDATES = 1_000;
+
+  private record Candidate(HelloRequest hello, long receivedAtMs) {}
+
+  private final int targetVoterCount;
+  private final long startedAtMs;
+  private final TreeMap<String, Candidate> candidates = new TreeMap<>();
+  private long enoughSinceMs = Long.MAX_VALUE;
+
+  /** Makes one that looks for so many voters, from now on. */
+  BootstrapCandidates(int targetVoterCount, long now) {
+    this.targetVoterCount = targetVoterCount;
+    this.startedAtMs = now;
+  }
+
+  void onHello(HelloRequest hello, long now) {
+    if (hello.hasDisk
+        && hello.firstStart
+        && hello.instanceId != 0
+        && (candidates.containsKey(hello.address) || candidates.size() < MAX_CANDIDATES)) {
+      candidates.put(hello.address, new Candidate(hello, now));
+    }
+  }
+
+  /** The first voters to propose, or null as long as it is not time. */
+  VoterSet proposal(long now) {
+    List<HelloRequest> fresh = new ArrayList<>();
+    for (Candidate candidate : candidates.values()) {
+      if (now - candidate.receivedAtMs() <= MAX_HELLO_AGE_MS) {
+        fresh.add(candidate.hello());
+      }
+    }
+    boolean enough = fresh.size() >= targetVoterCount;
+    enoughSinceMs = enough ? Math.min(enoughSinceMs, now) : Long.MAX_VALUE;
+    boolean due = enough ? now - enoughSinceMs >= ZONE_SPREAD_WAIT_MS : now - startedAtMs >= REDUCED_SET_AFTER_MS;
+    return due && !fresh.isEmpty() ? spreadOverZones(fresh, setSize(fresh.size())) : null;
+  }
+
+  /** As many as wanted, or else the largest odd number: one more bears no more losses. */
+  private int setSize(int available) {
+    return available >= targetVoterCount ? targetVoterCount : available % 2 == 0 ? available - 1 : available;
+  }
+
+  /** In turn one of the zone that has the fewest yet; in the order of their addresses. */
+  private static VoterSet spreadOverZones(List<HelloRequest> fresh, int size) {
+    Map<String, Integer> chosenPerZone = new HashMap<>();
+    List<HelloRequest> remaining = new ArrayList<>(fresh);
+    TreeMap<String, Voter> chosen = new TreeMap<>();
+    while (chosen.size() < size) {
+      HelloRequest next = remaining.get(0);
+      for (HelloRequest candidate : remaining) {
+        if (chosenPerZone.getOrDefault(candidate.zone, 0) < chosenPerZone.getOrDefault(next.zone, 0)) {
+          next = candidate;
+        }
+      }
+      remaining.remove(next);
+      chosenPerZone.merge(next.zone, 1, Integer::sum);
+      chosen.put(next.address, VoterSetValue.voter(next.address, next.machine, next.instanceId, 1));
+    }
+    VoterSet initialVoterSet = new VoterSet();
+    initialVoterSet.voters.addAll(chosen.values());
+    return initialVoterSet;
+  }
+}
--- a/controlplane/src/main/java/elmsail/controlplane/ClusterBootstrap.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ClusterBootstrap.java
@@ -23,158 +23,158 @@
  *
  * <p>Where the seeds all have disks and are as many as the wanted voters (or all that there are),
  * they are the voters: each seed computes the same once all have told their instances. Otherwise a
- * majority of the seeds agrees on one proposal, once ({@link FoundingAgreement}): the wanted number
+ * majority of the seeds agrees on one proposal, once ({@link BootstrapAgreement}): the wanted number
  * of control-plane nodes with a disk, spread over the zones.
  */
 final class ClusterBootstrap {
   private static final Logger LOG = LoggerFactory.getLogger(ClusterBootstrap.class);
-  private static final long EVERY_MS = 100;
-  private static final long TIMEOUT_MS = 400;
-  private static final long SLOWEST_MS = 1_000;
+  private static final long INITIAL_POLL_INTERVAL_MS = 100;
+  private static final long HELLO_TIMEOUT_MS = 400;
+  private static final long MAX_POLL_INTERVAL_MS = 1_000;
 
   /** A process is told of so many seeds, or of fewer where there are no more. */
-  private static final int MOST_SEEDS = 3;
+  private static final int MAX_SEEDS = 3;
 
   private final RpcClient caller;
   private final Timers timers;
-  private final HelloRequest own;
+  private final HelloRequest localHello;
   private final List<String> seeds;
-  private final int voters;
+  private final int targetVoterCount;
   private final Supplier<VoterSet> voterSet;
-  private final Consumer<VoterSet> learn;
-  private final FoundingAgreement agreement;
-  private final FoundingCandidates candidates;
-  private final TreeMap<String, HelloResponse> seedInstances = new TreeMap<>();
-  private boolean seedWithoutDisk;
-  private long pause = EVERY_MS;
-  private boolean decided;
+  private final Consumer<VoterSet> voterSetListener;
+  private final BootstrapAgreement agreement;
+  private final BootstrapCandidates candidates;
+  private final TreeMap<String, HelloResponse> seedHellos = new TreeMap<>();
+  private boolean hasDisklessSeed;
+  private long pollIntervalMs = INITIAL_POLL_INTERVAL_MS;
+  private boolean onAgreed;
   private boolean closed;
 
   /**
    * Makes one.
    *
-   * @param own what this process says of itself; {@code firstStart} only once that is on its disk,
+   * @param localHello what this process says of itself; {@code firstStart} only once that is on its disk,
    *     if it has one
    * @param records null where there is no disk
    * @param seeds inner addresses, this one's too if it is one of them
-   * @param voters how many are wanted
+   * @param targetVoterCount how many are wanted
    * @param voterSet as this process knows it now
-   * @param learn takes the first voter set, or one that another knows
+   * @param voterSetListener takes the first voter set, or one that another knows
    */
   ClusterBootstrap(
       RpcClient caller,
       Timers timers,
-      HelloRequest own,
+      HelloRequest localHello,
       RecordStore records,
       List<String> seeds,
-      int voters,
+      int targetVoterCount,
       Supplier<VoterSet> voterSet,
-      Consumer<VoterSet> learn) {
+      Consumer<VoterSet> voterSetListener) {
     this.caller = caller;
     this.timers = timers;
-    this.own = own;
+    this.localHello = localHello;
     this.seeds = List.copyOf(new TreeSet<>(seeds));
-    this.voters = voters;
+    this.targetVoterCount = targetVoterCount;
     this.voterSet = voterSet;
-    this.learn = learn;
+    this.voterSetListener = voterSetListener;
     agreement =
-        new FoundingAgreement(caller, timers, records, this.seeds, own.address, this::decided);
-    candidates = new FoundingCandidates(voters, timers.now());
+        new BootstrapAgreement(caller, timers, records, this.seeds, localHello.address, this::onAgreed);
+    candidates = new BootstrapCandidates(targetVoterCount, timers.now());
   }
 
-  void start(RequestHandlers answering) {
-    answering.register(
+  void start(RequestHandlers handlers) {
+    handlers.register(
         HelloRequest.class,
         request -> {
-          candidates.heard(request, timers.now());
-          return CompletableFuture.completedFuture(response());
+          candidates.onHello(request, timers.now());
+          return CompletableFuture.completedFuture(localResponse());
         });
-    agreement.vote(answering, own.firstStart);
-    request();
+    agreement.registerVoteHandler(handlers, localHello.firstStart);
+    pollSeeds();
   }
 
-  private HelloResponse response() {
+  private HelloResponse localResponse() {
     HelloResponse response = new HelloResponse();
-    response.machine = own.machine;
-    response.address = own.address;
-    response.zone = own.zone;
-    response.instanceId = own.instanceId;
-    response.hasDisk = own.hasDisk;
-    response.firstStart = own.firstStart;
+    response.machine = localHello.machine;
+    response.address = localHello.address;
+    response.zone = localHello.zone;
+    response.instanceId = localHello.instanceId;
+    response.hasDisk = localHello.hasDisk;
+    response.firstStart = localHello.firstStart;
     response.voterSet = voterSet.get();
     return response;
   }
 
-  private boolean known() {
+  private boolean isVoterSetKnown() {
     return !voterSet.get().voters.isEmpty();
   }
 
-  private void request() {
-    if (closed || known()) {
+  private void pollSeeds() {
+    if (closed || isVoterSetKnown()) {
       return;
     }
-    candidates.heard(own, timers.now());
+    candidates.onHello(localHello, timers.now());
     for (String seed : seeds) {
-      if (seed.equals(own.address)) {
-        heard(seed, response());
+      if (seed.equals(localHello.address)) {
+        onHelloResponse(seed, localResponse());
       } else {
         caller
-            .call(seed, own, HelloResponse.class, TIMEOUT_MS)
-            .thenAccept(response -> heard(seed, response));
+            .call(seed, localHello, HelloResponse.class, HELLO_TIMEOUT_MS)
+            .thenAccept(response -> onHelloResponse(seed, response));
       }
     }
-    found();
-    if (!own.firstStart) {
-      pause = Math.min(SLOWEST_MS, pause * 3 / 2);
+    tryBootstrap();
+    if (!localHello.firstStart) {
+      pollIntervalMs = Math.min(MAX_POLL_INTERVAL_MS, pollIntervalMs * 3 / 2);
     }
-    timers.schedule(pause, this::request);
+    timers.schedule(pollIntervalMs, this::pollSeeds);
   }
 
-  private void heard(String seed, HelloResponse response) {
-    if (closed || known()) {
+  private void onHelloResponse(String seed, HelloResponse response) {
+    if (closed || isVoterSetKnown()) {
       return;
     }
     if (response.voterSet != null && !response.voterSet.voters.isEmpty()) {
-      learn.accept(response.voterSet);
+      voterSetListener.accept(response.voterSet);
       return;
     }
     if (seed.equals(response.address)) {
-      seedWithoutDisk |= !response.hasDisk;
+      hasDisklessSeed |= !response.hasDisk;
       if (response.firstStart) {
-        seedInstances.put(seed, response);
+        seedHellos.put(seed, response);
       }
     }
-    found();
+    tryBootstrap();
   }
 
-  private void found() {
-    if (closed || known() || !own.firstStart || !seeds.contains(own.address)) {
+  private void tryBootstrap() {
+    if (closed || isVoterSetKnown() || !localHello.firstStart || !seeds.contains(localHello.address)) {
       return;
     }
-    if (byAgreement()) {
+    if (needsAgreement()) {
       VoterSet proposal = candidates.proposal(timers.now());
       if (proposal != null) {
         agreement.propose(proposal);
       }
-    } else if (seedInstances.size() == seeds.size()) {
-      VoterSet first = new VoterSet();
-      for (HelloResponse one : seedInstances.values()) {
-        first.voters.add(VoterSetValue.slot(one.address, one.machine, one.instanceId, 1));
+    } else if (seedHellos.size() == seeds.size()) {
+      VoterSet initialVoterSet = new VoterSet();
+      for (HelloResponse seed : seedHellos.values()) {
+        initialVoterSet.voters.add(VoterSetValue.voter(seed.address, seed.machine, seed.instanceId, 1));
       }
-      learn.accept(first);
+      voterSetListener.accept(initialVoterSet);
     }
   }
 
   /** The same for all seeds, as neither their disks nor the settings change. */
-  private boolean byAgreement() {
-    return seedWithoutDisk || voters > seeds.size() && seeds.size() >= MOST_SEEDS;
+  private boolean needsAgreement() {
+    return hasDisklessSeed || targetVoterCount > seeds.size() && seeds.size() >= MAX_SEEDS;
   }
 
-  private void decided(VoterSet first) {
-    if (!closed && !decided) {
-      decided = true;
-      LOG.info("head is founded by agreement of the seeds: {} voters", first.voters.size());
-      learn.accept(first);
+  private void onAgreed(VoterSet initialVoterSet) {
+    if (!closed && !onAgreed) {
+      onAgreed = true;
+      LOG.info("head is founded by agreement of the seeds: {} voters", initialVoterSet.voters.size());
+      voterSetListener.accept(initialVoterSet);
     }
   }
 
--- a/controlplane/src/main/java/elmsail/controlplane/CommittedValue.java
+++ b/controlplane/src/main/java/elmsail/controlplane/CommittedValue.java
@@ -15,32 +15,32 @@
   private static final long READ_TIMEOUT_MS = 600;
 
   /** After a read that failed, so that contact is back soon after a cut has healed. */
-  private static final long RETRY_MS = 100;
+  private static final long RETRY_DELAY_MS = 100;
 
   private final Register register;
   private final String key;
   private final Timers timers;
-  private final long everyMs;
+  private final long readIntervalMs;
   private final List<Consumer<byte[]>> listeners = new ArrayList<>();
-  private final QuorumContact contact;
+  private final QuorumContact quorumContact;
   private Ballot ballot;
   private byte[] value;
-  private boolean read;
-  private boolean reading;
-  private boolean again;
+  private boolean hasBeenRead;
+  private boolean readInFlight;
+  private boolean rereadRequested;
   private boolean closed;
-  private Timers.Timer timer;
+  private Timers.Timer nextReadTimer;
 
-  CommittedValue(Register register, String key, Timers timers, long everyMs) {
+  CommittedValue(Register register, String key, Timers timers, long readIntervalMs) {
     this.register = register;
     this.key = key;
     this.timers = timers;
-    this.everyMs = everyMs;
-    this.contact = new QuorumContact(timers);
+    this.readIntervalMs = readIntervalMs;
+    this.quorumContact = new QuorumContact(timers);
   }
 
   /** Called with the value whenever a newer one was seen. */
-  void whenNewer(Consumer<byte[]> listener) {
+  void addListener(Consumer<byte[]> listener) {
     listeners.add(listener);
   }
 
@@ -49,41 +49,41 @@
     if (closed) {
       return;
     }
-    if (reading) {
-      again = true;
+    if (readInFlight) {
+      rereadRequested = true;
       return;
     }
-    reading = true;
-    if (timer != null) {
-      timer.cancel();
-      timer = null;
+    readInFlight = true;
+    if (nextReadTimer != null) {
+      nextReadTimer.cancel();
+      nextReadTimer = null;
     }
-    long sentAt = timers.now();
+    long sentAtMs = timers.now();
     register
         .read(key, ballot, READ_TIMEOUT_MS)
-        .whenComplete((now, failed) -> done(now, failed, sentAt));
+        .whenComplete((now, failure) -> onReadCompleted(now, failure, sentAtMs));
   }
 
-  private void done(Register.VersionedValue now, Throwable failed, long sentAt) {
-    reading = false;
+  private void onReadCompleted(Register.VersionedValue now, Throwable failure, long sentAtMs) {
+    readInFlight = false;
     if (closed) {
       return;
     }
-    if (failed == null) {
-      take(now);
-      read = true;
-      contact.answered(sentAt);
+    if (failure == null) {
+      offer(now);
+      hasBeenRead = true;
+      quorumContact.onRoundCompleted(sentAtMs);
     }
-    if (again) {
-      again = false;
+    if (rereadRequested) {
+      rereadRequested = false;
       refresh();
     } else {
-      timer = timers.schedule(failed == null ? everyMs : Math.min(everyMs, RETRY_MS), this::refresh);
+      nextReadTimer = timers.schedule(failure == null ? readIntervalMs : Math.min(readIntervalMs, RETRY_DELAY_MS), this::refresh);
     }
   }
 
   /** Takes what a read or a change gave; older ones are passed over. */
-  void take(Register.VersionedValue now) {
+  void offer(Register.VersionedValue now) {
     if (now == null || now.value() == null || now.ballot() == null) {
       return;
     }
@@ -98,19 +98,19 @@
   }
 
   /**
-   * The bytes of a read made with {@link #known()}: those kept where nothing was newer. Something
+   * The bytes of a read made with {@link #ballot()}: those kept where nothing was newer. Something
    * newer may have been taken here while that read's answers were on their way; it was decided
    * since, so it is given instead.
    */
-  byte[] valueOf(Register.VersionedValue now) {
-    boolean spared =
+  byte[] resolveValue(Register.VersionedValue now) {
+    boolean isUnchanged =
         now.value() == null
             && ballot != null
             && (now.ballot() == null || compare(now.ballot(), ballot) <= 0);
-    return spared ? value : now.value();
+    return isUnchanged ? value : now.value();
   }
 
-  Ballot known() {
+  Ballot ballot() {
     return ballot;
   }
 
@@ -120,25 +120,25 @@
   }
 
   /** Whether a read has succeeded in this instance. */
-  boolean read() {
-    return read;
+  boolean hasBeenRead() {
+    return hasBeenRead;
   }
 
   /** When a majority last answered a read of this key: then nothing newer was decided. */
-  QuorumContact contact() {
-    return contact;
+  QuorumContact quorumContact() {
+    return quorumContact;
   }
 
   void close() {
     closed = true;
-    if (timer != null) {
-      timer.cancel();
+    if (nextReadTimer != null) {
+      nextReadTimer.cancel();
     }
   }
 
-  private static int compare(Ballot one, Ballot other) {
-    return one.round != other.round
-        ? Long.compare(one.round, other.round)
-        : Long.compare(one.proposerId, other.proposerId);
+  private static int compare(Ballot left, Ballot right) {
+    return left.round != right.round
+        ? Long.compare(left.round, right.round)
+        : Long.compare(left.proposerId, right.proposerId);
   }
 }
--- a/controlplane/src/main/java/elmsail/controlplane/ControlPlane.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ControlPlane.java
@@ -22,26 +22,26 @@
 /**
  * A control-plane node with its sockets, in one of two shapes: at the head office, where operators
  * call, or at a store. The inner links, the records and the loop are the caller's, who closes them
- * after {@link #end()}.
+ * after {@link #shutdown()}.
  */
 public final class ControlPlane {
   private static final Logger LOG = LoggerFactory.getLogger(ControlPlane.class);
-  private static final int MOST_BODY = 8 << 20;
-  private static final int MOST_METRICS_BODY = 1_024;
-  private static final long END_WITHIN_MS = 800;
-  private static final long LOOK_MS = 10;
+  private static final int MAX_BODY_BYTES = 8 << 20;
+  private static final int MAX_METRICS_BODY_BYTES = 1_024;
+  private static final long SHUTDOWN_TIMEOUT_MS = 800;
+  private static final long SHUTDOWN_POLL_INTERVAL_MS = 10;
 
   private final NettyEventLoop loop;
-  private final ControlPlaneNode office;
-  private final StoreNode house;
-  private HttpServer serving;
-  private boolean ending;
-  private int inHand;
+  private final ControlPlaneNode controlPlaneNode;
+  private final StoreNode storeNode;
+  private HttpServer httpServer;
+  private boolean shuttingDown;
+  private int callsInFlight;
 
-  private ControlPlane(NettyEventLoop loop, ControlPlaneNode office, StoreNode house) {
+  private ControlPlane(NettyEventLoop loop, ControlPlaneNode controlPlaneNode, StoreNode storeNode) {
     this.loop = loop;
-    this.office = office;
-    this.house = house;
+    this.controlPlaneNode = controlPlaneNode;
+    this.storeNode = storeNode;
   }
 
   /**
@@ -52,37 +52,37 @@
    * @param metrics the process's figures and invariants
    * @return done once the control address is bound; fails with BAD_SETTINGS if it can't be
    */
-  public static CompletableFuture<ControlPlane> startHeadOffice(
+  public static CompletableFuture<ControlPlane> startControlPlaneNode(
       Settings settings,
       NettyEventLoop loop,
-      RpcEndpoint links,
+      RpcEndpoint rpc,
       RecordStore records,
       ProcessMetrics metrics) {
-    ControlPlaneNode office =
+    ControlPlaneNode controlPlaneNode =
         new ControlPlaneNode(
             settings,
             loop,
-            links,
-            links,
+            rpc,
+            rpc,
             records,
             new NettyHttpClient(loop),
             new SecureRandom().nextLong(),
             metrics);
-    ControlPlane controlPlane = new ControlPlane(loop, office, null);
-    HttpHandler operators = office.operators();
-    MetricsEndpoint figures = new MetricsEndpoint(metrics.counters(), loop);
+    ControlPlane controlPlane = new ControlPlane(loop, controlPlaneNode, null);
+    HttpHandler operators = controlPlaneNode.operatorApi();
+    MetricsEndpoint metricsEndpoint = new MetricsEndpoint(metrics.counters(), loop);
     return HttpServer.listen(
             loop,
             settings.listenAddresses().get("control"),
             call ->
                 MetricsEndpoint.PATH.equals(call.path())
-                    ? figures.handle(call)
-                    : controlPlane.counted(operators, call),
-            MOST_BODY)
+                    ? metricsEndpoint.handle(call)
+                    : controlPlane.countInFlight(operators, call),
+            MAX_BODY_BYTES)
         .thenApply(
-            serving -> {
-              controlPlane.serving = serving;
-              office.start();
+            httpServer -> {
+              controlPlane.httpServer = httpServer;
+              controlPlaneNode.start();
               return controlPlane;
             });
   }
@@ -94,59 +94,59 @@
    * @param records with a disk, always
    * @param metrics the process's figures and invariants
    */
-  public static ControlPlane startVault(
+  public static ControlPlane startStore(
       Settings settings,
       NettyEventLoop loop,
-      RpcEndpoint links,
+      RpcEndpoint rpc,
       RecordStore records,
       ProcessMetrics metrics) {
-    StoreNode[] house = {null};
-    JobStoreService jobs =
+    StoreNode[] storeNode = {null};
+    JobStoreService jobRetention =
         new JobStoreService(
             loop,
-            () -> house[0] != null && house[0].replica().isVoting(),
-            key -> house[0].replica().dropKey(key),
+            () -> storeNode[0] != null && storeNode[0].replica().isVoting(),
+            key -> storeNode[0].replica().dropKey(key),
             settings.bounds().statusMs(),
             metrics);
-    house[0] = new StoreNode(settings, loop, links, links, records, jobs, metrics);
-    jobs.registerHandlers(links);
-    jobs.start();
-    house[0].start();
-    ControlPlane controlPlane = new ControlPlane(loop, null, house[0]);
-    controlPlane.tellFigures(settings.metricsAddress(), metrics);
+    storeNode[0] = new StoreNode(settings, loop, rpc, rpc, records, jobRetention, metrics);
+    jobRetention.registerHandlers(rpc);
+    jobRetention.start();
+    storeNode[0].start();
+    ControlPlane controlPlane = new ControlPlane(loop, null, storeNode[0]);
+    controlPlane.serveMetrics(settings.metricsAddress(), metrics);
     return controlPlane;
   }
 
   /** A store serves all the same where its figures can't be had. */
-  private void tellFigures(String address, ProcessMetrics metrics) {
+  private void serveMetrics(String address, ProcessMetrics metrics) {
     HttpServer.listen(
-            loop, address, new MetricsEndpoint(metrics.counters(), loop), MOST_METRICS_BODY)
+            loop, address, new MetricsEndpoint(metrics.counters(), loop), MAX_METRICS_BODY_BYTES)
         .whenComplete(
-            (listening, failed) -> {
-              if (failed != null) {
-                LOG.warn("no figures are told at {}: {}", address, failed.getMessage());
-              } else if (ending) {
-                listening.close();
+            (httpServer, failure) -> {
+              if (failure != null) {
+                LOG.warn("no figures are told at {}: {}", address, failure.getMessage());
+              } else if (shuttingDown) {
+                httpServer.close();
               } else {
-                serving = listening;
+                this.httpServer = httpServer;
               }
             });
   }
 
   /** A store's replica; null at the head office. */
   public Replica replica() {
-    return house == null ? null : house.replica();
+    return storeNode == null ? null : storeNode.replica();
   }
 
   /** What a store knows; null at the head office. */
-  public ClusterState known() {
-    return house == null ? null : house.watcher();
+  public ClusterState clusterState() {
+    return storeNode == null ? null : storeNode.watcher();
   }
 
-  private CompletableFuture<SimpleHttpResponse> counted(HttpHandler handler, SimpleHttpRequest call) {
+  private CompletableFuture<SimpleHttpResponse> countInFlight(HttpHandler handler, SimpleHttpRequest call) {
     CompletableFuture<SimpleHttpResponse> reply = handler.handle(call);
-    inHand++;
-    reply.whenComplete((done, failed) -> inHand--);
+    callsInFlight++;
+    reply.whenComplete((done, failure) -> callsInFlight--);
     return reply;
   }
 
@@ -154,28 +154,28 @@
    * Takes no new calls of operators, gives the lease up, and is done once those in hand are
    * answered, within 0.8 s at most. On the loop.
    */
-  public CompletableFuture<Void> end() {
-    ending = true;
-    if (serving != null) {
-      serving.close();
+  public CompletableFuture<Void> shutdown() {
+    shuttingDown = true;
+    if (httpServer != null) {
+      httpServer.close();
     }
-    if (house != null) {
-      house.close();
+    if (storeNode != null) {
+      storeNode.close();
     }
-    if (office != null) {
-      office.close();
+    if (controlPlaneNode != null) {
+      controlPlaneNode.close();
     }
-    CompletableFuture<Void> ended = new CompletableFuture<>();
-    look(ended, loop.now() + END_WITHIN_MS);
-    return ended;
+    CompletableFuture<Void> shutdownComplete = new CompletableFuture<>();
+    awaitInFlightCalls(shutdownComplete, loop.now() + SHUTDOWN_TIMEOUT_MS);
+    return shutdownComplete;
   }
 
-  private void look(CompletableFuture<Void> ended, long until) {
-    if (inHand == 0 || loop.now() >= until) {
+  private void awaitInFlightCalls(CompletableFuture<Void> shutdownComplete, long deadlineMs) {
+    if (callsInFlight == 0 || loop.now() >= deadlineMs) {
       // One turn later, so that the last answer has left.
-      loop.schedule(LOOK_MS, () -> ended.complete(null));
+      loop.schedule(SHUTDOWN_POLL_INTERVAL_MS, () -> shutdownComplete.complete(null));
     } else {
-      loop.schedule(LOOK_MS, () -> look(ended, until));
+      loop.schedule(SHUTDOWN_POLL_INTERVAL_MS, () -> awaitInFlightCalls(shutdownComplete, deadlineMs));
     }
   }
 }
--- a/controlplane/src/main/java/elmsail/controlplane/ControlPlaneCounters.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ControlPlaneCounters.java
@@ -9,22 +9,22 @@
   final Counters.Counter pullsAnswered;
 
   /** Pulls that were refused, as there is no contact with a majority of the voters. */
-  final Counters.Counter pullsNoContact;
+  final Counters.Counter pullsRefused;
 
   /** Operators' configuration orders that were acknowledged: 200. */
-  final Counters.Counter ordersAcknowledged;
+  final Counters.Counter changesCommitted;
 
   /** Orders that were refused, so that nothing of them was taken: 400, 412 and 503. */
-  final Counters.Counter ordersRefused;
+  final Counters.Counter changesRejected;
 
   /** Orders of which it is unclear whether they were taken: 504. */
-  final Counters.Counter ordersUnclear;
+  final Counters.Counter changesOutcomeUnknown;
 
   /** Lists of servers that were read from the platform. */
-  final Counters.Counter listsRead;
+  final Counters.Counter serverListReads;
 
   /** Calls for the list of servers that failed. */
-  final Counters.Counter listsFailed;
+  final Counters.Counter serverListFailures;
 
   /** Times that a process was told to join the voters of the stores. */
   final Counters.Counter joinsDirected;
@@ -32,21 +32,21 @@
   /** Takes its counters from those of the process. */
   ControlPlaneCounters(Counters counters) {
     pullsAnswered = counters.counter("control_pulls_answered");
-    pullsNoContact = counters.counter("control_pulls_no_contact");
-    ordersAcknowledged = counters.counter("control_orders_acknowledged");
-    ordersRefused = counters.counter("control_orders_refused");
-    ordersUnclear = counters.counter("control_orders_unclear");
-    listsRead = counters.counter("control_lists_read");
-    listsFailed = counters.counter("control_lists_failed");
+    pullsRefused = counters.counter("control_pulls_no_contact");
+    changesCommitted = counters.counter("control_orders_acknowledged");
+    changesRejected = counters.counter("control_orders_refused");
+    changesOutcomeUnknown = counters.counter("control_orders_unclear");
+    serverListReads = counters.counter("control_lists_read");
+    serverListFailures = counters.counter("control_lists_failed");
     joinsDirected = counters.counter("control_joins_directed");
   }
 
   /** Counts how an operator's order ended, by the status of its answer. */
-  void orderEnded(int status) {
+  void countChange(int status) {
     switch (status) {
-      case 200 -> ordersAcknowledged.add(1);
-      case 504 -> ordersUnclear.add(1);
-      default -> ordersRefused.add(1);
+      case 200 -> changesCommitted.add(1);
+      case 504 -> changesOutcomeUnknown.add(1);
+      default -> changesRejected.add(1);
     }
   }
 }
--- a/controlplane/src/main/java/elmsail/controlplane/ControlPlaneNode.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ControlPlaneNode.java
@@ -33,40 +33,40 @@
 final class ControlPlaneNode {
   private static final Logger LOG = LoggerFactory.getLogger(ControlPlaneNode.class);
 
-  private static final long CONFIG_EVERY_MS = 300;
-  private static final long OTHERS_EVERY_MS = 1_000;
-  private static final long TICK_MS = 200;
+  private static final long CONFIG_READ_INTERVAL_MS = 300;
+  private static final long SLOW_READ_INTERVAL_MS = 1_000;
+  private static final long TICK_INTERVAL_MS = 200;
 
   /** A gateway is told to the others while it was heard within so long. */
-  private static final long GATEWAY_LISTED_MS = 4_000;
+  private static final long GATEWAY_EXPIRY_MS = 4_000;
 
   /** A store is heard at least so often; the others hear of changes at once anyway. */
-  private static final long STORE_WAIT_MS = 400;
+  private static final long MAX_STORE_PULL_WAIT_MS = 400;
 
   private final Settings settings;
   private final Timers timers;
-  private final RequestHandlers answering;
+  private final RequestHandlers handlers;
   private final ControlPlaneVoters voters;
   private final Register register;
-  private final CommittedValue config;
-  private final CommittedValue retiring;
-  private final CommittedValue founded;
-  private final HeartbeatTable heard = new HeartbeatTable();
-  private final HeartbeatTable headHeard = new HeartbeatTable(ControlPlaneVoters.ROLE);
-  private final PeerNotices notices;
-  private final WatchServer sources;
-  private final ConfigWatcher watcher;
+  private final CommittedValue committedConfig;
+  private final CommittedValue committedDecommissions;
+  private final CommittedValue committedStoreVoters;
+  private final HeartbeatTable storeHeartbeats = new HeartbeatTable();
+  private final HeartbeatTable controlPlaneHeartbeats = new HeartbeatTable(ControlPlaneVoters.ROLE);
+  private final PeerNotifier peerNotifier;
+  private final WatchServer updateSources;
+  private final ConfigWatcher configWatcher;
   final SingletonLease lease;
-  private final ServerDiscovery list;
-  private final StoreFounding founding;
+  private final ServerDiscovery serverDiscovery;
+  private final StoreBootstrap storeBootstrap;
   private final VoterPlacement storePlacement;
-  private final VoterPlacement headPlacement;
-  private final LeaseVoter voter;
-  private final HeardStoresInquiry inquiry;
-  private final HttpHandler operators;
-  private VoterSet storeSet = new VoterSet();
-  private VoterSet headKnown = new VoterSet();
-  private List<String> gateways = List.of();
+  private final VoterPlacement controlPlanePlacement;
+  private final LeaseVoter leaseVoter;
+  private final StoreHeartbeatQuery heartbeatQuery;
+  private final HttpHandler operatorApi;
+  private VoterSet jobStoreVoters = new VoterSet();
+  private VoterSet publishedControlPlaneVoters = new VoterSet();
+  private List<String> liveGateways = List.of();
   private final ControlPlaneCounters counters;
   private boolean closed;
 
@@ -75,123 +75,123 @@
    *
    * @param records null where this process has no disk
    * @param platform for the list of servers
-   * @param who drawn at random at each start
+   * @param processId drawn at random at each start
    * @param metrics the process's figures and invariants
    */
   ControlPlaneNode(
       Settings settings,
       Timers timers,
       RpcClient caller,
-      RequestHandlers answering,
+      RequestHandlers handlers,
       RecordStore records,
       HttpClient platform,
-      long who,
+      long processId,
       ProcessMetrics metrics) {
     this.settings = settings;
     counters = new ControlPlaneCounters(metrics.counters());
     this.timers = timers;
-    this.answering = answering;
-    String own = settings.rpcAddress();
-    voters = new ControlPlaneVoters(settings, timers, caller, answering, records, who, metrics);
+    this.handlers = handlers;
+    String localAddress = settings.rpcAddress();
+    voters = new ControlPlaneVoters(settings, timers, caller, handlers, records, processId, metrics);
     register =
-        new RegisterClient(ControlPlaneVoters.SET, caller, timers, voters, who, own, address -> 1);
-    config = new CommittedValue(register, ConfigOrderHandler.KEY, timers, CONFIG_EVERY_MS);
-    retiring = new CommittedValue(register, DecommissionList.KEY, timers, OTHERS_EVERY_MS);
-    founded = new CommittedValue(register, StoreFounding.KEY, timers, OTHERS_EVERY_MS);
-    notices = new PeerNotices(caller, voters::current, own);
-    sources = new WatchServer(timers);
-    watcher =
+        new RegisterClient(ControlPlaneVoters.VOTER_SET_NAME, caller, timers, voters, processId, localAddress, address -> 1);
+    committedConfig = new CommittedValue(register, ConfigChangeHandler.KEY, timers, CONFIG_READ_INTERVAL_MS);
+    committedDecommissions = new CommittedValue(register, DecommissionList.KEY, timers, SLOW_READ_INTERVAL_MS);
+    committedStoreVoters = new CommittedValue(register, StoreBootstrap.KEY, timers, SLOW_READ_INTERVAL_MS);
+    peerNotifier = new PeerNotifier(caller, voters::current, localAddress);
+    updateSources = new WatchServer(timers);
+    configWatcher =
         new ConfigWatcher(
             caller,
             timers,
             settings,
             ControlPlaneVoters.ROLE,
-            records == null ? who : records.instanceId(),
-            () -> new StoreStatus(voters.voting(), false, new VoterSet()),
+            records == null ? processId : records.instanceId(),
+            () -> new StoreStatus(voters.isVoting(), false, new VoterSet()),
             null);
-    lease = new SingletonLease(caller, timers, register, voters::current, own, who);
-    list = settings.platform() == null ? null : discovery(platform);
-    int slots = 2 * settings.toleratedMachineLosses() + 1;
-    PlacementController storeController = new PlacementController(slots, timers.now());
-    founding = new StoreFounding(register, founded, storeController, heard);
-    storePlacement = new VoterPlacement(StoreNode.SET, heard, storeController);
-    headPlacement =
+    lease = new SingletonLease(caller, timers, register, voters::current, localAddress, processId);
+    serverDiscovery = settings.platform() == null ? null : createServerDiscovery(platform);
+    int voterCount = 2 * settings.toleratedMachineLosses() + 1;
+    PlacementController storeController = new PlacementController(voterCount, timers.now());
+    storeBootstrap = new StoreBootstrap(register, committedStoreVoters, storeController, storeHeartbeats);
+    storePlacement = new VoterPlacement(StoreNode.VOTER_SET_NAME, storeHeartbeats, storeController);
+    controlPlanePlacement =
         new VoterPlacement(
-            ControlPlaneVoters.SET,
-            headHeard,
-            new PlacementController(slots, PlacementController.HEAD_GONE_MS, timers.now()));
+            ControlPlaneVoters.VOTER_SET_NAME,
+            controlPlaneHeartbeats,
+            new PlacementController(voterCount, PlacementController.CONTROL_PLANE_GONE_AFTER_MS, timers.now()));
     boolean firstProcess = records != null && settings.firstStart() && records.isNew();
-    voter = new LeaseVoter(timers.now(), firstProcess);
-    inquiry = new HeardStoresInquiry(caller, voters::current, own);
-    DecommissionHandler retire =
+    leaseVoter = new LeaseVoter(timers.now(), firstProcess);
+    heartbeatQuery = new StoreHeartbeatQuery(caller, voters::current, localAddress);
+    DecommissionHandler decommissionHandler =
         new DecommissionHandler(
-            register, timers, heard, () -> storeSet, retiring, config.contact(), slots, inquiry);
-    operators =
-        new AnswerAgeLimit(
+            register, timers, storeHeartbeats, () -> jobStoreVoters, committedDecommissions, committedConfig.quorumContact(), voterCount, heartbeatQuery);
+    operatorApi =
+        new StaleReplyFilter(
             timers,
             new OperatorApi(
-                orders(ConfigOrderHandler.Call.REPLACE, ConfigOrder::replacement),
-                orders(ConfigOrderHandler.Call.AMEND, ConfigOrder::amendment),
-                new ReadConfigHandler(register, config),
-                new VoterRedirect(retire, settings, voters, watcher)));
-    gauges(metrics.counters());
+                configChangeHandler(ConfigChangeHandler.ChangeKind.REPLACE, ConfigChange::replacement),
+                configChangeHandler(ConfigChangeHandler.ChangeKind.AMEND, ConfigChange::amendment),
+                new ReadConfigHandler(register, committedConfig),
+                new VoterRedirect(decommissionHandler, settings, voters, configWatcher)));
+    registerGauges(metrics.counters());
   }
 
-  private ConfigOrderHandler orders(ConfigOrderHandler.Call call, ConfigOrder.Reader reader) {
-    return new ConfigOrderHandler(
-        register, call, reader, timers, config, edition -> notices.tell("decided"), counters);
+  private ConfigChangeHandler configChangeHandler(ConfigChangeHandler.ChangeKind changeKind, ConfigChange.Reader changeReader) {
+    return new ConfigChangeHandler(
+        register, changeKind, changeReader, timers, committedConfig, edition -> peerNotifier.notifyPeers("decided"), counters);
   }
 
-  private ServerDiscovery discovery(HttpClient platform) {
+  private ServerDiscovery createServerDiscovery(HttpClient platform) {
     return new ServerDiscovery(
         new PlatformClient(platform, settings.platform().address(), timers),
         settings.platform().maxCallsPerSecond(),
         timers,
-        sources,
+        updateSources,
         lease::term,
         counters);
   }
 
-  private void gauges(Counters figures) {
-    figures.registerGauge("control_lease_held", () -> lease.term() > 0 ? 1 : 0);
-    figures.registerGauge("control_in_contact", () -> config.contact().current() ? 1 : 0);
-    figures.registerGauge("control_store_voters_voting", storePlacement.redundancy()::voting);
-    figures.registerGauge("control_head_voters_voting", headPlacement.redundancy()::voting);
+  private void registerGauges(Counters counters) {
+    counters.registerGauge("control_lease_held", () -> lease.term() > 0 ? 1 : 0);
+    counters.registerGauge("control_in_contact", () -> committedConfig.quorumContact().isCurrent() ? 1 : 0);
+    counters.registerGauge("control_store_voters_voting", storePlacement.redundancy()::votingCount);
+    counters.registerGauge("control_head_voters_voting", controlPlanePlacement.redundancy()::votingCount);
   }
 
   void start() {
-    config.whenNewer(this::taken);
-    retiring.whenNewer(value -> notices.tell("retire"));
-    founded.whenNewer(value -> learnStores(VoterSetValue.of(value)));
-    sources.setViewFactory(this::view);
-    answering.register(PullRequest.class, this::pulled);
-    answering.register(OpaqueMessage.class, notices::handle);
-    notices.on("decided", config::refresh);
-    notices.on("retire", retiring::refresh);
-    notices.answer(HeardStoresInquiry.KIND, inquiry::answer);
-    voters.whenTakenOver(() -> voter.tookOver(timers.now()));
-    SingletonLease.vote(answering, timers, voter, voters::voting);
-    watcher.addListener(this::relay);
-    watcher.setJoinListener(voters::join);
-    voters.start(answering);
-    config.refresh();
-    retiring.refresh();
-    founded.refresh();
-    lease.start();
-    if (list != null) {
-      list.start();
+    committedConfig.addListener(this::onConfigCommitted);
+    committedDecommissions.addListener(value -> peerNotifier.notifyPeers("retire"));
+    committedStoreVoters.addListener(value -> learnJobStoreVoters(VoterSetValue.decode(value)));
+    updateSources.setViewFactory(this::view);
+    handlers.register(PullRequest.class, this::onPull);
+    handlers.register(OpaqueMessage.class, peerNotifier::handle);
+    peerNotifier.onNotification("decided", committedConfig::refresh);
+    peerNotifier.onNotification("retire", committedDecommissions::refresh);
+    peerNotifier.register(StoreHeartbeatQuery.KIND, heartbeatQuery::respond);
+    voters.addTakeOverListener(() -> leaseVoter.onSlotTakenOver(timers.now()));
+    SingletonLease.registerVoteHandler(handlers, timers, leaseVoter, voters::isVoting);
+    configWatcher.addListener(this::relayFromPeers);
+    configWatcher.setJoinListener(voters::join);
+    voters.start(handlers);
+    committedConfig.refresh();
+    committedDecommissions.refresh();
+    committedStoreVoters.refresh();
+    lease.tick();
+    if (serverDiscovery != null) {
+      serverDiscovery.start();
     }
-    watcher.start();
+    configWatcher.start();
     tick();
   }
 
-  HttpHandler operators() {
-    return operators;
+  HttpHandler operatorApi() {
+    return operatorApi;
   }
 
   /** The newest value of the key "timetable" that was seen decided here; null before the first. */
-  byte[] committedConfig() {
-    return config.value();
+  byte[] committedConfigBytes() {
+    return committedConfig.value();
   }
 
   /** This node's part in the set "head". */
@@ -200,128 +200,128 @@
   }
 
   /** Whether, and since when, the set "head" may lose its next member, as far as seen here. */
-  RedundancyMonitor headRedundancy() {
-    return headPlacement.redundancy();
+  RedundancyMonitor controlPlaneRedundancy() {
+    return controlPlanePlacement.redundancy();
   }
 
-  private CompletableFuture<PullResponse> pulled(PullRequest request) {
-    heard.note(request, timers.now());
-    headHeard.note(request, timers.now());
+  private CompletableFuture<PullResponse> onPull(PullRequest request) {
+    storeHeartbeats.onHeartbeat(request, timers.now());
+    controlPlaneHeartbeats.onHeartbeat(request, timers.now());
     if (HeartbeatTable.STORE_ROLE.equals(request.role) && request.jobStoreVoters != null) {
-      learnStores(request.jobStoreVoters);
+      learnJobStoreVoters(request.jobStoreVoters);
     }
-    if (closed || !config.contact().current()) {
-      counters.pullsNoContact.add(1);
+    if (closed || !committedConfig.quorumContact().isCurrent()) {
+      counters.pullsRefused.add(1);
       return CompletableFuture.failedFuture(
           new ElmsailException(ErrorCode.NOT_A_VOTER, "no contact with a majority"));
     }
     if (HeartbeatTable.STORE_ROLE.equals(request.role)) {
-      request.maxWaitMs = Math.min(request.maxWaitMs, STORE_WAIT_MS);
+      request.maxWaitMs = Math.min(request.maxWaitMs, MAX_STORE_PULL_WAIT_MS);
     }
-    return sources
+    return updateSources
         .watch(request)
-        .thenApply(config.contact()::checked)
-        .whenComplete(this::pullEnded);
+        .thenApply(committedConfig.quorumContact()::requireCurrent)
+        .whenComplete(this::countPull);
   }
 
-  private void pullEnded(PullResponse answer, Throwable failed) {
-    (failed == null ? counters.pullsAnswered : counters.pullsNoContact).add(1);
+  private void countPull(PullResponse response, Throwable failure) {
+    (failure == null ? counters.pullsAnswered : counters.pullsRefused).add(1);
   }
 
-  private void taken(byte[] value) {
-    ConfigHistory now = ConfigHistory.of(value);
-    sources.setConfig(now.edition(), now.bytes());
+  private void onConfigCommitted(byte[] value) {
+    ConfigHistory history = ConfigHistory.decode(value);
+    updateSources.setConfig(history.version(), history.configBytes());
     try {
-      watcher.offerConfig(now.bytes());
+      configWatcher.offerConfig(history.configBytes());
     } catch (ElmsailException e) {
       LOG.error(
           "configuration {} was committed and cannot be read here: {}",
-          now.edition(),
+          history.version(),
           e.getMessage());
     }
   }
 
   /** What other control-plane nodes know that is newer goes on to whoever asks here. */
-  private void relay() {
-    if (watcher.configBytes() != null) {
-      sources.setConfig(watcher.config().edition(), watcher.configBytes());
+  private void relayFromPeers() {
+    if (configWatcher.configBytes() != null) {
+      updateSources.setConfig(configWatcher.config().edition(), configWatcher.configBytes());
     }
-    if (watcher.serverListBytes() != null) {
-      sources.setServers(
-          watcher.serverListEpoch(), watcher.serverListVersion(), watcher.serverListBytes(), watcher.serverListFetchedAtMs());
+    if (configWatcher.serverListBytes() != null) {
+      updateSources.setServers(
+          configWatcher.serverListEpoch(), configWatcher.serverListVersion(), configWatcher.serverListBytes(), configWatcher.serverListFetchedAtMs());
     }
-    learnStores(watcher.view().jobStoreVoters);
-    if (!watcher.view().controlPlaneVoters.voters.isEmpty()) {
-      voters.learn(watcher.view().controlPlaneVoters);
+    learnJobStoreVoters(configWatcher.view().jobStoreVoters);
+    if (!configWatcher.view().controlPlaneVoters.voters.isEmpty()) {
+      voters.learn(configWatcher.view().controlPlaneVoters);
     }
   }
 
-  private void learnStores(VoterSet newer) {
-    VoterSet merged = VoterSets.merge(storeSet, newer);
-    if (merged != storeSet) {
-      storeSet = merged;
-      sources.onViewChanged();
+  private void learnJobStoreVoters(VoterSet newer) {
+    VoterSet merged = VoterSets.merge(jobStoreVoters, newer);
+    if (merged != jobStoreVoters) {
+      jobStoreVoters = merged;
+      updateSources.onViewChanged();
     }
   }
 
   private ClusterView view(PullRequest request) {
     ClusterView view = new ClusterView();
     view.controlPlaneVoters = voters.current();
-    view.jobStoreVoters = storeSet;
-    view.gateways = gateways;
-    if (mayDirect()) {
-      storePlacement.tell(request, view);
-      headPlacement.tell(request, view);
+    view.jobStoreVoters = jobStoreVoters;
+    view.gateways = liveGateways;
+    if (canAssignSlots()) {
+      storePlacement.addAssignmentTo(request, view);
+      controlPlanePlacement.addAssignmentTo(request, view);
     }
     return view;
   }
 
   /** Whether this process directs the placement of voters at this very moment. */
-  private boolean mayDirect() {
+  private boolean canAssignSlots() {
     return lease.term() > 0
-        && config.contact().current()
-        && retiring.contact().within(DecommissionHandler.LIST_KNOWN_WITHIN_MS);
+        && committedConfig.quorumContact().isCurrent()
+        && committedDecommissions.quorumContact().isWithin(DecommissionHandler.MAX_LIST_AGE_MS);
   }
 
   private void tick() {
     if (closed) {
       return;
     }
-    timers.schedule(TICK_MS, this::tick);
+    timers.schedule(TICK_INTERVAL_MS, this::tick);
     long now = timers.now();
-    boolean reads = config.contact().current();
-    boolean directs = mayDirect();
-    if (directs && storeSet.voters.isEmpty() && founding.open() && voters.born()) {
-      founding.attempt(now);
+    boolean inContact = committedConfig.quorumContact().isCurrent();
+    boolean canAssign = canAssignSlots();
+    if (canAssign && jobStoreVoters.voters.isEmpty() && storeBootstrap.isPending() && voters.isFromFirstStart()) {
+      storeBootstrap.tryBootstrap(now);
     }
-    boolean storeOrdered =
-        storePlacement.look(storeSet, DecommissionList.of(retiring.value()), directs, directs, now);
-    headHeard.note(voters.heartbeat(), now);
-    boolean headOrdered =
-        headPlacement.look(voters.current(), Set.of(), reads && voters.voting(), directs, now);
-    List<String> gatewaysNow = heard.gateways(now, GATEWAY_LISTED_MS);
-    boolean headMoved = !VoterSets.areEqual(headKnown, voters.current());
-    counters.joinsDirected.add(storeOrdered && storePlacement.directs() ? 1 : 0);
-    counters.joinsDirected.add(headOrdered && headPlacement.directs() ? 1 : 0);
-    if (storeOrdered || headMoved || headOrdered || !gatewaysNow.equals(gateways)) {
-      headKnown = voters.current();
-      gateways = gatewaysNow;
-      sources.onViewChanged();
+    boolean storeAssignmentChanged =
+        storePlacement.refresh(jobStoreVoters, DecommissionList.decode(committedDecommissions.value()), canAssign, canAssign, now);
+    controlPlaneHeartbeats.onHeartbeat(voters.heartbeat(), now);
+    boolean controlPlaneAssignmentChanged =
+        controlPlanePlacement.refresh(voters.current(), Set.of(), inContact && voters.isVoting(), canAssign, now);
+    List<String> currentGateways = storeHeartbeats.gatewaysWithin(now, GATEWAY_EXPIRY_MS);
+    boolean controlPlaneVotersChanged = !VoterSets.areEqual(publishedControlPlaneVoters, voters.current());
+    counters.joinsDirected.add(storeAssignmentChanged && storePlacement.hasAssignment() ? 1 : 0);
+    counters.joinsDirected.add(controlPlaneAssignmentChanged && controlPlanePlacement.hasAssignment() ? 1 : 0);
+    if (storeAssignmentChanged || controlPlaneVotersChanged || controlPlaneAssignmentChanged || !currentGateways.equals(liveGateways)) {
+      publishedControlPlaneVoters = voters.current();
+      liveGateways = currentGateways;
+      updateSources.onViewChanged();
     }
-    relay();
+    relayFromPeers();
   }
 
   /** Asks and directs nothing any more; what comes in is still answered. */
   void close() {
     closed = true;
     lease.close();
-    if (list != null) {
-      list.close();
+    if (serverDiscovery != null) {
+      serverDiscovery.close();
     }
     voters.close();
-    watcher.close();
-    config.close();
-    retiring.close();
-    founded.close();
+    configWatcher.close();
+    committedConfig.close();
+    committedDecommissions.close();
+    committedStoreVoters.close();
   }
 }
--- a/controlplane/src/main/java/elmsail/controlplane/ControlPlaneVoters.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ControlPlaneVoters.java
@@ -22,13 +22,13 @@
  * not.
  */
 final class ControlPlaneVoters implements VoterSetSource {
-  static final String SET = "head";
+  static final String VOTER_SET_NAME = "head";
 
   /** Role of control-plane nodes in their pulls. */
   static final String ROLE = "controlplane";
 
   /** On disk: this instance began at the first start of the whole system. */
-  private static final String BORN = "notary/born";
+  private static final String FIRST_START_RECORD = "notary/born";
 
   private final Settings settings;
   private final Timers timers;
@@ -36,9 +36,9 @@
   private final RecordStore records;
   private final Replica replica;
   private final PullRequest heartbeat = new PullRequest();
-  private ClusterBootstrap founding;
-  private VoterSet learned = new VoterSet();
-  private boolean born;
+  private ClusterBootstrap clusterBootstrap;
+  private VoterSet learnedVoterSet = new VoterSet();
+  private boolean isFromFirstStart;
 
   /**
    * Makes one.
@@ -51,7 +51,7 @@
       Settings settings,
       Timers timers,
       RpcClient caller,
-      RequestHandlers answering,
+      RequestHandlers handlers,
       RecordStore records,
       long processId,
       ProcessMetrics metrics) {
@@ -63,16 +63,16 @@
         records == null
             ? null
             : new Replica(
-                SET,
+                VOTER_SET_NAME,
                 records,
                 new ReplicaListener() {},
-                answering,
+                handlers,
                 caller,
                 timers,
                 settings.rpcAddress(),
                 settings.machine(),
                 metrics);
-    this.born = records != null && (settings.firstStart() || records.read(BORN) != null);
+    this.isFromFirstStart = records != null && (settings.firstStart() || records.read(FIRST_START_RECORD) != null);
     heartbeat.role = ROLE;
     heartbeat.machine = settings.machine();
     heartbeat.address = settings.rpcAddress();
@@ -82,82 +82,82 @@
   }
 
   /** Answers the others only once it is on the disk whether this instance may found. */
-  void start(RequestHandlers answering) {
-    if (born && records.read(BORN) == null) {
-      records.write(List.of(new Change(BORN, new byte[] {1}))).thenRun(() -> begin(answering));
+  void start(RequestHandlers handlers) {
+    if (isFromFirstStart && records.read(FIRST_START_RECORD) == null) {
+      records.write(List.of(new Change(FIRST_START_RECORD, new byte[] {1}))).thenRun(() -> startBootstrap(handlers));
     } else {
-      begin(answering);
+      startBootstrap(handlers);
     }
   }
 
-  private void begin(RequestHandlers answering) {
-    HelloRequest own = new HelloRequest();
-    own.machine = settings.machine();
-    own.address = settings.rpcAddress();
-    own.zone = settings.zone();
-    own.instanceId = records == null ? 0 : records.instanceId();
-    own.hasDisk = records != null;
-    own.firstStart = records == null ? settings.firstStart() : born;
+  private void startBootstrap(RequestHandlers handlers) {
+    HelloRequest localHello = new HelloRequest();
+    localHello.machine = settings.machine();
+    localHello.address = settings.rpcAddress();
+    localHello.zone = settings.zone();
+    localHello.instanceId = records == null ? 0 : records.instanceId();
+    localHello.hasDisk = records != null;
+    localHello.firstStart = records == null ? settings.firstStart() : isFromFirstStart;
     List<String> seeds = new ArrayList<>();
     for (String seed : settings.seeds()) {
       seeds.add(settings.controlPlaneRpcAddress(seed));
     }
-    founding =
+    clusterBootstrap =
         new ClusterBootstrap(
             caller,
             timers,
-            own,
+            localHello,
             records,
             seeds,
             2 * settings.toleratedMachineLosses() + 1,
             this::current,
             this::learn);
-    founding.start(answering);
+    clusterBootstrap.start(handlers);
   }
 
   /** Whether this instance, or the memory of this disk, began at the first start of all. */
-  boolean born() {
-    return born;
+  boolean isFromFirstStart() {
+    return isFromFirstStart;
   }
 
   /** Whether this process votes now. */
-  boolean voting() {
+  boolean isVoting() {
     return replica != null && replica.isVoting();
   }
 
   /** What this node would pull with at itself: it is a candidate as the others are. */
   PullRequest heartbeat() {
-    heartbeat.voting = voting();
+    heartbeat.voting = isVoting();
     return heartbeat;
   }
 
   /** Whether it holds a voter slot, voting or not yet. */
-  boolean holdsSlot() {
+  boolean holdsVoterSlot() {
     return replica != null && VoterSetValue.slotOf(current(), settings.rpcAddress()) >= 0;
   }
 
   @Override
   public VoterSet current() {
-    return replica == null ? learned : replica.voterSet();
+    return replica == null ? learnedVoterSet : replica.voterSet();
   }
 
   @Override
   public void learn(VoterSet newer) {
     if (replica == null) {
-      learned = VoterSets.merge(learned, newer);
+      learnedVoterSet = VoterSets.merge(learnedVoterSet, newer);
     } else if (VoterSets.merge(replica.voterSet(), newer) != replica.voterSet()) {
       replica.learn(newer);
     }
   }
 
   /** Called each time that this process begins to vote in a slot that another instance held. */
-  void whenTakenOver(Runnable then) {
+  void addTakeOverListener(Runnable listener) {
     if (replica != null) {
       replica.addVotingListener(
           () -> {
             int slot = VoterSetValue.slotOf(current(), settings.rpcAddress());
             if (replica.isVoting() && slot >= 0 && current().voters.get(slot).epoch > 1) {
-              then.run();
+              listener.run();
             }
           });
     }
@@ -171,8 +171,8 @@
   }
 
   void close() {
-    if (founding != null) {
-      founding.close();
+    if (clusterBootstrap != null) {
+      clusterBootstrap.close();
     }
   }
 }
--- a/controlplane/src/main/java/elmsail/controlplane/DecommissionHandler.java
+++ b/controlplane/src/main/java/elmsail/controlplane/DecommissionHandler.java
@@ -25,115 +25,115 @@
  * rest on what a majority of the control-plane nodes has heard of the stores.
  */
 final class DecommissionHandler implements HttpHandler {
-  static final String BEGIN = "/Retire.Begin/";
-  static final String READ = "/Retire.Read/";
+  static final String BEGIN_PATH = "/Retire.Begin/";
+  static final String READ_PATH = "/Retire.Read/";
 
-  private static final long ANSWER_WITHIN_MS = 900;
+  private static final long CHANGE_TIMEOUT_MS = 900;
 
   /** Who has been in contact for a shorter time isn't sure yet who is unknown. */
-  private static final long LISTEN_MS = 3_000;
+  private static final long MIN_OBSERVATION_MS = 3_000;
 
   /**
    * "delivered" needs the stores' word from so long after this process saw NODE in the list: by
-   * then whoever directs placement has seen it too ({@link #LIST_KNOWN_WITHIN_MS}), and a store
+   * then whoever directs placement has seen it too ({@link #MAX_LIST_AGE_MS}), and a store
    * that was told to join before that has been heard to do so.
    */
-  private static final long SETTLE_MS = 3_000;
+  private static final long MIN_TIME_SINCE_LISTED_MS = 3_000;
 
   /** Whoever directs placement has read the list of stores to be emptied within so many ms. */
-  static final long LIST_KNOWN_WITHIN_MS = 2_500;
+  static final long MAX_LIST_AGE_MS = 2_500;
 
-  private static final long THERE_MS = 2_500;
-  private static final long JUST_NOW_MS = 1_500;
+  private static final long MAX_AVAILABLE_HEARTBEAT_AGE_MS = 2_500;
+  private static final long MAX_VOTER_HEARTBEAT_AGE_MS = 1_500;
 
   /** A store unheard for that long does not come back by itself. */
-  private static final long PERHAPS_MS = 30_000;
+  private static final long MAX_POSSIBLE_HEARTBEAT_AGE_MS = 30_000;
 
   private final Register register;
   private final Timers timers;
-  private final HeartbeatTable heard;
-  private final Supplier<VoterSet> storeSet;
-  private final CommittedValue retiring;
-  private final int voters;
-  private final QuorumContact contact;
-  private final HeardStoresInquiry inquiry;
-  private final Map<String, Long> listedAt = new HashMap<>();
-  private final Set<String> delivered = new HashSet<>();
+  private final HeartbeatTable storeHeartbeats;
+  private final Supplier<VoterSet> jobStoreVoters;
+  private final CommittedValue committedDecommissions;
+  private final int targetVoterCount;
+  private final QuorumContact quorumContact;
+  private final StoreHeartbeatQuery heartbeatQuery;
+  private final Map<String, Long> listedAtMs = new HashMap<>();
+  private final Set<String> decommissioned = new HashSet<>();
 
   /**
    * Makes one.
    *
-   * @param storeSet the newest voter set of the stores that is known; without voter slots before
+   * @param jobStoreVoters the newest voter set of the stores that is known; without voter slots before
    *     the founding
-   * @param retiring the list of stores to be emptied
-   * @param voters how many voter slots the stores have, or will have
-   * @param contact of this process with a majority
-   * @param inquiry of the other control-plane nodes
+   * @param committedDecommissions the list of stores to be emptied
+   * @param targetVoterCount how many voter slots the stores have, or will have
+   * @param quorumContact of this process with a majority
+   * @param heartbeatQuery of the other control-plane nodes
    */
   DecommissionHandler(
       Register register,
       Timers timers,
-      HeartbeatTable heard,
-      Supplier<VoterSet> storeSet,
-      CommittedValue retiring,
-      QuorumContact contact,
-      int voters,
-      HeardStoresInquiry inquiry) {
+      HeartbeatTable storeHeartbeats,
+      Supplier<VoterSet> jobStoreVoters,
+      CommittedValue committedDecommissions,
+      QuorumContact quorumContact,
+      int targetVoterCount,
+      StoreHeartbeatQuery heartbeatQuery) {
     this.register = register;
     this.timers = timers;
-    this.heard = heard;
-    this.storeSet = storeSet;
-    this.retiring = retiring;
-    this.voters = voters;
-    this.contact = contact;
-    this.inquiry = inquiry;
-    inquiry.heardHere(this::heardHere);
-    retiring.whenNewer(this::listed);
+    this.storeHeartbeats = storeHeartbeats;
+    this.jobStoreVoters = jobStoreVoters;
+    this.committedDecommissions = committedDecommissions;
+    this.targetVoterCount = targetVoterCount;
+    this.quorumContact = quorumContact;
+    this.heartbeatQuery = heartbeatQuery;
+    heartbeatQuery.setLocalHeartbeats(this::localHeartbeats);
+    committedDecommissions.addListener(this::onListCommitted);
   }
 
-  private void listed(byte[] value) {
-    for (String node : DecommissionList.of(value)) {
-      listedAt.putIfAbsent(node, timers.now());
+  private void onListCommitted(byte[] value) {
+    for (String node : DecommissionList.decode(value)) {
+      listedAtMs.putIfAbsent(node, timers.now());
     }
   }
 
-  private HeardStores heardHere() {
-    Map<String, Long> agoMs = new TreeMap<>();
-    for (HeartbeatTable.Member store : heard.stores()) {
-      agoMs.merge(store.station(), timers.now() - store.lastAt(), Math::min);
+  private StoreHeartbeats localHeartbeats() {
+    Map<String, Long> heartbeatAgesMs = new TreeMap<>();
+    for (HeartbeatTable.Member store : storeHeartbeats.members()) {
+      heartbeatAgesMs.merge(store.machine(), timers.now() - store.lastHeartbeatAtMs(), Math::min);
     }
-    return new HeardStores(contact.unbrokenMs() >= LISTEN_MS && retiring.read(), agoMs);
+    return new StoreHeartbeats(quorumContact.unbrokenMs() >= MIN_OBSERVATION_MS && committedDecommissions.hasBeenRead(), heartbeatAgesMs);
   }
 
   @Override
   public CompletableFuture<SimpleHttpResponse> handle(SimpleHttpRequest call) {
-    boolean begin = call.path().startsWith(BEGIN);
-    String node = call.path().substring(begin ? BEGIN.length() : READ.length());
-    if (known(node)) {
-      return answer(begin, node);
+    boolean begin = call.path().startsWith(BEGIN_PATH);
+    String node = call.path().substring(begin ? BEGIN_PATH.length() : READ_PATH.length());
+    if (isKnown(node)) {
+      return respond(begin, node);
     }
-    return inquiry
-        .ask()
+    return heartbeatQuery
+        .query()
         .thenCompose(
-            stores ->
-                stores.agoMs().containsKey(node)
-                    ? answer(begin, node)
-                    : Replies.now(Replies.why(404, "unknown")))
-        .exceptionally(failed -> Replies.why(503, "not sure who is there"));
+            heartbeats ->
+                heartbeats.heartbeatAgesMs().containsKey(node)
+                    ? respond(begin, node)
+                    : Replies.completed(Replies.error(404, "unknown")))
+        .exceptionally(failure -> Replies.error(503, "not sure who is there"));
   }
 
-  private CompletableFuture<SimpleHttpResponse> answer(boolean begin, String node) {
-    return begin ? begin(node) : Replies.now(read(node));
+  private CompletableFuture<SimpleHttpResponse> respond(boolean begin, String node) {
+    return begin ? begin(node) : Replies.completed(readState(node));
   }
 
-  private boolean known(String node) {
+  private boolean isKnown(String node) {
     if (node.isEmpty()) {
       return false;
     }
-    if (heard.station(node) != null || DecommissionList.of(retiring.value()).contains(node)) {
+    if (storeHeartbeats.memberOnMachine(node) != null || DecommissionList.decode(committedDecommissions.value()).contains(node)) {
       return true;
     }
-    return holdsSlot(node);
+    return holdsVoterSlot(node);
   }
 
   private CompletableFuture<SimpleHttpResponse> begin(String node) {
@@ -143,94 +143,94 @@
         .change(
             DecommissionList.KEY,
             found -> {
-              Set<String> names = DecommissionList.of(found.value());
+              Set<String> names = DecommissionList.decode(found.value());
               listed.set(0, names);
-              refused[0] = !names.contains(node) && !roomWithout(node, names);
+              refused[0] = !names.contains(node) && !hasEnoughStoresWithout(node, names);
               boolean add = !refused[0] && !names.contains(node);
               return new Register.ProposedValue(
-                  add ? DecommissionList.with(names, node) : null, List.of());
+                  add ? DecommissionList.encodeWith(names, node) : null, List.of());
             },
             List.of(),
             null,
-            ANSWER_WITHIN_MS)
+            CHANGE_TIMEOUT_MS)
         .thenCompose(
-            held -> {
-              retiring.take(held.current());
+            outcome -> {
+              committedDecommissions.offer(outcome.current());
               return refused[0]
-                  ? refusal(node, listed.get(0))
-                  : Replies.now(Replies.json(200, "{}"));
+                  ? rejectForTooFewStores(node, listed.get(0))
+                  : Replies.completed(Replies.json(200, "{}"));
             })
-        .exceptionally(failed -> Replies.why(503, "not reached"));
+        .exceptionally(failure -> Replies.error(503, "not reached"));
   }
 
   /** Whether enough stores that stay are heard here at present. */
-  private boolean roomWithout(String node, Set<String> listed) {
-    int there = 0;
-    for (HeartbeatTable.Member store : heard.stores()) {
-      boolean stays = !store.station().equals(node) && !listed.contains(store.station());
-      there += stays && timers.now() - store.lastAt() <= THERE_MS ? 1 : 0;
+  private boolean hasEnoughStoresWithout(String node, Set<String> listed) {
+    int available = 0;
+    for (HeartbeatTable.Member store : storeHeartbeats.members()) {
+      boolean remains = !store.machine().equals(node) && !listed.contains(store.machine());
+      available += remains && timers.now() - store.lastHeartbeatAtMs() <= MAX_AVAILABLE_HEARTBEAT_AGE_MS ? 1 : 0;
     }
-    return there >= needed();
+    return available >= requiredStores();
   }
 
   /** 409 if a majority of the control-plane nodes is sure that too few would remain, else 503. */
-  private CompletableFuture<SimpleHttpResponse> refusal(String node, Set<String> listed) {
-    return inquiry
-        .ask()
+  private CompletableFuture<SimpleHttpResponse> rejectForTooFewStores(String node, Set<String> listed) {
+    return heartbeatQuery
+        .query()
         .thenApply(
-            stores -> {
-              int perhaps = 0;
-              for (Map.Entry<String, Long> store : stores.agoMs().entrySet()) {
-                boolean stays = !store.getKey().equals(node) && !listed.contains(store.getKey());
-                perhaps += stays && store.getValue() <= PERHAPS_MS ? 1 : 0;
+            heartbeats -> {
+              int possiblyAvailable = 0;
+              for (Map.Entry<String, Long> store : heartbeats.heartbeatAgesMs().entrySet()) {
+                boolean remains = !store.getKey().equals(node) && !listed.contains(store.getKey());
+                possiblyAvailable += remains && store.getValue() <= MAX_POSSIBLE_HEARTBEAT_AGE_MS ? 1 : 0;
               }
-              return perhaps >= needed()
-                  ? Replies.why(503, "too few are heard at present")
-                  : Replies.why(409, "too few would remain");
+              return possiblyAvailable >= requiredStores()
+                  ? Replies.error(503, "too few are heard at present")
+                  : Replies.error(409, "too few would remain");
             });
   }
 
-  private int needed() {
-    return storeSet.get().voters.isEmpty() ? voters : storeSet.get().voters.size();
+  private int requiredStores() {
+    return jobStoreVoters.get().voters.isEmpty() ? targetVoterCount : jobStoreVoters.get().voters.size();
   }
 
-  private SimpleHttpResponse read(String node) {
-    if (!contact.current() || !retiring.contact().within(LIST_KNOWN_WITHIN_MS)) {
-      return Replies.why(503, "no contact with a majority");
+  private SimpleHttpResponse readState(String node) {
+    if (!quorumContact.isCurrent() || !committedDecommissions.quorumContact().isWithin(MAX_LIST_AGE_MS)) {
+      return Replies.error(503, "no contact with a majority");
     }
-    boolean asked = listedAt.containsKey(node);
-    if (asked && !holdsSlot(node) && (delivered.contains(node) || emptied(node))) {
-      delivered.add(node);
+    boolean isListed = listedAtMs.containsKey(node);
+    if (isListed && !holdsVoterSlot(node) && (decommissioned.contains(node) || isReplaced(node))) {
+      decommissioned.add(node);
       return Replies.json(200, "{\"state\":\"delivered\"}");
     }
     return Replies.json(200, "{\"state\":\"in_service\"}");
   }
 
-  private boolean holdsSlot(String node) {
-    for (Voter slot : storeSet.get().voters) {
-      if (slot.machine.equals(node)) {
+  private boolean holdsVoterSlot(String node) {
+    for (Voter voter : jobStoreVoters.get().voters) {
+      if (voter.machine.equals(node)) {
         return true;
       }
     }
     return false;
   }
 
-  private boolean emptied(String node) {
+  private boolean isReplaced(String node) {
     long now = timers.now();
-    VoterSet voterSet = storeSet.get();
-    for (Voter slot : voterSet.voters) {
-      HeartbeatTable.Member holder = heard.store(slot.address);
-      if (holder == null
-          || now - holder.lastAt() > JUST_NOW_MS
-          || holder.lastAt() - listedAt.get(node) < SETTLE_MS
-          || !holder.voting()
-          || holder.instanceId() != slot.instanceId
-          || !VoterSets.areEqual(holder.storeSet(), voterSet)) {
+    VoterSet voterSet = jobStoreVoters.get();
+    for (Voter voter : voterSet.voters) {
+      HeartbeatTable.Member heartbeat = storeHeartbeats.memberAt(voter.address);
+      if (heartbeat == null
+          || now - heartbeat.lastHeartbeatAtMs() > MAX_VOTER_HEARTBEAT_AGE_MS
+          || heartbeat.lastHeartbeatAtMs() - listedAtMs.get(node) < MIN_TIME_SINCE_LISTED_MS
+          || !heartbeat.isVoting()
+          || heartbeat.instanceId() != voter.instanceId
+          || !VoterSets.areEqual(heartbeat.jobStoreVoters(), voterSet)) {
         return false;
       }
     }
-    HeartbeatTable.Member itself = heard.station(node);
-    boolean stillSeated = itself != null && now - itself.lastAt() <= JUST_NOW_MS && itself.voting();
-    return !voterSet.voters.isEmpty() && !stillSeated;
+    HeartbeatTable.Member ownHeartbeat = storeHeartbeats.memberOnMachine(node);
+    boolean stillVoting = ownHeartbeat != null && now - ownHeartbeat.lastHeartbeatAtMs() <= MAX_VOTER_HEARTBEAT_AGE_MS && ownHeartbeat.isVoting();
+    return !voterSet.voters.isEmpty() && !stillVoting;
   }
 }
--- a/controlplane/src/main/java/elmsail/controlplane/DecommissionList.java
+++ b/controlplane/src/main/java/elmsail/controlplane/DecommissionList.java
@@ -14,52 +14,52 @@
 /**
  * The value of the register's key "retire": the stations that are to be emptied. It only grows, as
  * a call to empty one may be repeated at any time and its end is asked for by name; so it is
- * bounded by the number of stations that were ever emptied, and by {@value #MOST}.
+ * bounded by the number of stations that were ever emptied, and by {@value #MAX_NODES}.
  */
 final class DecommissionList {
   static final String KEY = "retire";
 
   /** More are not taken, and the list stays as it is. */
-  static final int MOST = 10_000;
+  static final int MAX_NODES = 10_000;
 
   private DecommissionList() {}
 
   /** Null is none. */
-  static Set<String> of(byte[] value) {
+  static Set<String> decode(byte[] value) {
     if (value == null) {
       return Set.of();
     }
-    Set<String> names = new TreeSet<>();
+    Set<String> nodes = new TreeSet<>();
     try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(value))) {
       int count = in.readInt();
-      if (count < 0 || count > MOST) {
+      if (count < 0 || count > MAX_NODES) {
         throw new ElmsailException(ErrorCode.MALFORMED, "stations: " + count);
       }
       for (int i = 0; i < count; i++) {
-        names.add(in.readUTF());
+        nodes.add(in.readUTF());
       }
     } catch (IOException e) {
       throw new ElmsailException(ErrorCode.MALFORMED, "stations", e);
     }
-    return Collections.unmodifiableSet(names);
+    return Collections.unmodifiableSet(nodes);
   }
 
   /**
    * The value with one more name.
    *
-   * @throws ElmsailException of code FULL: there are {@value #MOST} already
+   * @throws ElmsailException of code FULL: there are {@value #MAX_NODES} already
    */
-  static byte[] with(Set<String> names, String one) {
-    if (names.size() >= MOST) {
-      throw new ElmsailException(ErrorCode.RESOURCE_EXHAUSTED, "stations to be emptied: " + names.size());
+  static byte[] encodeWith(Set<String> nodes, String added) {
+    if (nodes.size() >= MAX_NODES) {
+      throw new ElmsailException(ErrorCode.RESOURCE_EXHAUSTED, "stations to be emptied: " + nodes.size());
     }
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (DataOutputStream out = new DataOutputStream(bytes)) {
-      out.writeInt(names.size() + 1);
-      for (String name : names) {
-        out.writeUTF(name);
+      out.writeInt(nodes.size() + 1);
+      for (String node : nodes) {
+        out.writeUTF(node);
       }
-      out.writeUTF(one);
+      out.writeUTF(added);
     } catch (IOException e) {
       throw new ElmsailException(ErrorCode.INTERNAL, "stations", e);
     }
--- a/controlplane/src/main/java/elmsail/controlplane/HeartbeatTable.java
+++ b/controlplane/src/main/java/elmsail/controlplane/HeartbeatTable.java
@@ -11,10 +11,10 @@
 
 /**
  * Who has asked this control-plane node for what is new, and when last; of each role the {@value
- * #MOST} that were heard last.
+ * #MAX_MEMBERS} that were heard last.
  */
 final class HeartbeatTable {
-  static final int MOST = 1_000;
+  static final int MAX_MEMBERS = 1_000;
 
   /** Role of stores in their pulls. */
   static final String STORE_ROLE = "store";
@@ -22,16 +22,16 @@
   /** A store, or another holder of records, as its last pull told of it; times are steady ms. */
   record Member(
       String address,
-      String station,
+      String machine,
       String zone,
       long instanceId,
-      boolean voting,
-      VoterSet storeSet,
-      long firstAt,
-      long lastAt) {}
+      boolean isVoting,
+      VoterSet jobStoreVoters,
+      long firstHeartbeatAtMs,
+      long lastHeartbeatAtMs) {}
 
-  private final TreeMap<String, Member> stores = new TreeMap<>();
-  private final TreeMap<String, Long> gateways = new TreeMap<>();
+  private final TreeMap<String, Member> members = new TreeMap<>();
+  private final TreeMap<String, Long> gatewaysWithin = new TreeMap<>();
 
   private final String role;
 
@@ -49,12 +49,12 @@
     return role;
   }
 
-  void note(PullRequest request, long now) {
+  void onHeartbeat(PullRequest request, long now) {
     if (role.equals(request.role) && (request.hasDisk || role.equals(STORE_ROLE))) {
-      Member before = stores.get(request.address);
-      VoterSet storeSet = request.jobStoreVoters == null ? new VoterSet() : request.jobStoreVoters;
-      long first = before == null || before.instanceId != request.instanceId ? now : before.firstAt;
-      stores.put(
+      Member previous = members.get(request.address);
+      VoterSet jobStoreVoters = request.jobStoreVoters == null ? new VoterSet() : request.jobStoreVoters;
+      long firstHeartbeatAtMs = previous == null || previous.instanceId != request.instanceId ? now : previous.firstHeartbeatAtMs;
+      members.put(
           request.address,
           new Member(
               request.address,
@@ -62,63 +62,63 @@
               request.zone,
               request.instanceId,
               request.voting,
-              storeSet,
-              first,
+              jobStoreVoters,
+              firstHeartbeatAtMs,
               now));
-      dropOldest(stores, Member::lastAt);
+      dropOldest(members, Member::lastHeartbeatAtMs);
     } else if ("gateway".equals(request.role)) {
-      gateways.put(request.address, now);
-      dropOldest(gateways, at -> at);
+      gatewaysWithin.put(request.address, now);
+      dropOldest(gatewaysWithin, lastHeartbeatAtMs -> lastHeartbeatAtMs);
     }
   }
 
-  private static <T> void dropOldest(Map<String, T> heard, ToLongFunction<T> lastAt) {
-    if (heard.size() <= MOST) {
+  private static <T> void dropOldest(Map<String, T> members, ToLongFunction<T> lastHeartbeatAtMs) {
+    if (members.size() <= MAX_MEMBERS) {
       return;
     }
-    String oldest = null;
-    long oldestAt = Long.MAX_VALUE;
-    for (Map.Entry<String, T> each : heard.entrySet()) {
-      long at = lastAt.applyAsLong(each.getValue());
-      if (at < oldestAt) {
-        oldest = each.getKey();
-        oldestAt = at;
+    String oldestKey = null;
+    long oldestAtMs = Long.MAX_VALUE;
+    for (Map.Entry<String, T> entry : members.entrySet()) {
+      long at = lastHeartbeatAtMs.applyAsLong(entry.getValue());
+      if (at < oldestAtMs) {
+        oldestKey = entry.getKey();
+        oldestAtMs = at;
       }
     }
-    heard.remove(oldest);
+    members.remove(oldestKey);
   }
 
   /** In the order of their addresses. */
-  Collection<Member> stores() {
-    return stores.values();
+  Collection<Member> members() {
+    return members.values();
   }
 
   /** Null if it was not heard, or too long ago. */
-  Member store(String address) {
-    return stores.get(address);
+  Member memberAt(String address) {
+    return members.get(address);
   }
 
   /** Null if it was not heard, or too long ago. */
-  Member station(String name) {
-    Member found = null;
-    for (Member store : stores.values()) {
-      if (store.station().equals(name) && (found == null || store.lastAt() > found.lastAt())) {
-        found = store;
+  Member memberOnMachine(String name) {
+    Member latest = null;
+    for (Member member : members.values()) {
+      if (member.machine().equals(name) && (latest == null || member.lastHeartbeatAtMs() > latest.lastHeartbeatAtMs())) {
+        latest = member;
       }
     }
-    return found;
+    return latest;
   }
 
   /** Addresses of the gateways heard within so many ms, in order. */
-  List<String> gateways(long now, long withinMs) {
-    List<String> lately = new ArrayList<>();
-    gateways.values().removeIf(at -> now - at > 60_000);
-    gateways.forEach(
-        (address, at) -> {
-          if (now - at <= withinMs) {
-            lately.add(address);
+  List<String> gatewaysWithin(long now, long withinMs) {
+    List<String> recent = new ArrayList<>();
+    gatewaysWithin.values().removeIf(lastHeartbeatAtMs -> now - lastHeartbeatAtMs > 60_000);
+    gatewaysWithin.forEach(
+        (address, lastHeartbeatAtMs) -> {
+          if (now - lastHeartbeatAtMs <= withinMs) {
+            recent.add(address);
           }
         });
-    return lately;
+    return recent;
   }
 }
--- a/controlplane/src/main/java/elmsail/controlplane/LeaseVoter.java
+++ b/controlplane/src/main/java/elmsail/controlplane/LeaseVoter.java
@@ -5,38 +5,38 @@
  * instanceId before.
  */
 final class LeaseVoter {
-  static final long LEASE_MS = 2_000;
+  static final long LEASE_DURATION_MS = 2_000;
 
-  private long holder;
-  private long until;
-  private long holdersRound;
-  private boolean granted;
+  private long holderId;
+  private long leaseEndMs;
+  private long holderRound;
+  private boolean isGranted;
 
   /**
    * Makes one.
    *
-   * @param start steady ms at which this process began
-   * @param founding whether no process before this one can have granted anything
+   * @param startedAtMs steady ms at which this process began
+   * @param isFirstProcess whether no process before this one can have granted anything
    */
-  LeaseVoter(long start, boolean founding) {
-    until = founding ? start : start + LEASE_MS;
+  LeaseVoter(long startedAtMs, boolean isFirstProcess) {
+    leaseEndMs = isFirstProcess ? startedAtMs : startedAtMs + LEASE_DURATION_MS;
   }
 
   /**
-   * Grants the lease for {@link #LEASE_MS} from now, or tells how many ms it is taken yet; 0 is
+   * Grants the lease for {@link #LEASE_DURATION_MS} from now, or tells how many ms it is taken yet; 0 is
    * granted.
    *
    * @param round of the asker, rising
    */
-  long request(long who, long round, long now) {
-    boolean same = granted && holder == who;
-    if (now < until && !same) {
-      return until - now;
+  long tryGrant(long candidateId, long round, long now) {
+    boolean isHolder = isGranted && holderId == candidateId;
+    if (now < leaseEndMs && !isHolder) {
+      return leaseEndMs - now;
     }
-    holdersRound = same ? Math.max(holdersRound, round) : round;
-    holder = who;
-    granted = true;
-    until = now + LEASE_MS;
+    holderRound = isHolder ? Math.max(holderRound, round) : round;
+    holderId = candidateId;
+    isGranted = true;
+    leaseEndMs = now + LEASE_DURATION_MS;
     return 0;
   }
 
@@ -44,16 +44,16 @@
    * This process has taken a slot over: whoever held it before may have granted the lease until
    * now.
    */
-  void tookOver(long now) {
-    until = Math.max(until, now + LEASE_MS);
-    granted = false;
+  void onSlotTakenOver(long now) {
+    leaseEndMs = Math.max(leaseEndMs, now + LEASE_DURATION_MS);
+    isGranted = false;
   }
 
   /** The asker got no majority in that round: what it was granted until then is free again. */
-  void release(long who, long round, long now) {
-    if (granted && holder == who && round >= holdersRound) {
-      until = Math.min(until, now);
-      granted = false;
+  void release(long candidateId, long round, long now) {
+    if (isGranted && holderId == candidateId && round >= holderRound) {
+      leaseEndMs = Math.min(leaseEndMs, now);
+      isGranted = false;
     }
   }
 }
--- a/controlplane/src/main/java/elmsail/controlplane/OperatorApi.java
+++ b/controlplane/src/main/java/elmsail/controlplane/OperatorApi.java
@@ -15,20 +15,20 @@
     boolean get = "GET".equals(call.method());
     String path = call.path();
     if ("/Timetable.Replace".equals(path)) {
-      return post ? replace.handle(call) : Replies.now(Replies.why(405, "POST"));
+      return post ? replace.handle(call) : Replies.completed(Replies.error(405, "POST"));
     }
     if ("/Timetable.Amend".equals(path)) {
-      return post ? amend.handle(call) : Replies.now(Replies.why(405, "POST"));
+      return post ? amend.handle(call) : Replies.completed(Replies.error(405, "POST"));
     }
     if ("/Timetable.Read".equals(path)) {
-      return get ? read.handle(call) : Replies.now(Replies.why(405, "GET"));
+      return get ? read.handle(call) : Replies.completed(Replies.error(405, "GET"));
     }
-    if (path.startsWith(DecommissionHandler.BEGIN)) {
-      return post ? retire.handle(call) : Replies.now(Replies.why(405, "POST"));
+    if (path.startsWith(DecommissionHandler.BEGIN_PATH)) {
+      return post ? retire.handle(call) : Replies.completed(Replies.error(405, "POST"));
     }
-    if (path.startsWith(DecommissionHandler.READ)) {
-      return get ? retire.handle(call) : Replies.now(Replies.why(405, "GET"));
+    if (path.startsWith(DecommissionHandler.READ_PATH)) {
+      return get ? retire.handle(call) : Replies.completed(Replies.error(405, "GET"));
     }
-    return Replies.now(Replies.why(404, "no such call"));
+    return Replies.completed(Replies.error(404, "no such call"));
   }
 }
--- a/controlplane/src/main/java/elmsail/controlplane/PeerNotices.java
+++ b/controlplane/src/main/java/elmsail/controlplane/PeerNotifier.java
@@ -12,40 +12,40 @@
 import java.util.function.Supplier;
 
 /** Short messages between control-plane nodes, by their kind. */
-final class PeerNotices {
-  private static final long ANSWER_WITHIN_MS = 300;
+final class PeerNotifier {
+  private static final long CALL_TIMEOUT_MS = 300;
 
   private final RpcClient caller;
   private final Supplier<VoterSet> voters;
-  private final String ownAddress;
+  private final String localAddress;
   private final Map<String, Supplier<OpaqueMessage>> handlers = new HashMap<>();
 
-  PeerNotices(RpcClient caller, Supplier<VoterSet> voters, String ownAddress) {
+  PeerNotifier(RpcClient caller, Supplier<VoterSet> voters, String localAddress) {
     this.caller = caller;
     this.voters = voters;
-    this.ownAddress = ownAddress;
+    this.localAddress = localAddress;
   }
 
   /** Messages of that kind do this, and are answered with the kind alone. */
-  void on(String kind, Runnable then) {
-    answer(
+  void onNotification(String kind, Runnable action) {
+    register(
         kind,
         () -> {
-          then.run();
+          action.run();
           return message(kind);
         });
   }
 
   /** Messages of that kind are answered so. */
-  void answer(String kind, Supplier<OpaqueMessage> handler) {
+  void register(String kind, Supplier<OpaqueMessage> handler) {
     handlers.put(kind, handler);
   }
 
   /** Has the other voters read the register at once; who misses it reads it soon anyway. */
-  void tell(String kind) {
+  void notifyPeers(String kind) {
     for (Voter voter : voters.get().voters) {
-      if (!voter.address.equals(ownAddress)) {
-        caller.call(voter.address, message(kind), OpaqueMessage.class, ANSWER_WITHIN_MS);
+      if (!voter.address.equals(localAddress)) {
+        caller.call(voter.address, message(kind), OpaqueMessage.class, CALL_TIMEOUT_MS);
       }
     }
   }
--- a/controlplane/src/main/java/elmsail/controlplane/PlacementController.java
+++ b/controlplane/src/main/java/elmsail/controlplane/PlacementController.java
@@ -15,85 +15,85 @@
  * are steady ms.
  */
 final class PlacementController {
-  static final long GONE_MS = 2_500;
-  static final long SPARE_MS = 800;
+  static final long STORE_GONE_AFTER_MS = 2_500;
+  static final long MAX_SPARE_HEARTBEAT_AGE_MS = 800;
 
   /**
    * For the head's slots: above a restart after a short loss of power where that can be, and low
    * enough that a successor votes within catch_up_s of its start even if its predecessor went only
    * then (3.0 s, a look each 0.2 s, the order at once, the copy of few keys).
    */
-  static final long HEAD_GONE_MS = 3_000;
+  static final long CONTROL_PLANE_GONE_AFTER_MS = 3_000;
 
-  private static final long FOUND_FEWER_MS = 6_000;
-  private static final long ZONES_WAIT_MS = 1_000;
+  private static final long REDUCED_SET_AFTER_MS = 6_000;
+  private static final long ZONE_SPREAD_WAIT_MS = 1_000;
 
   /** A storePlacement that did not look for so long was held up itself, and listens anew. */
-  private static final long HELD_UP_MS = 700;
+  private static final long MAX_TICK_GAP_MS = 700;
 
-  private final int voters;
-  private final long goneMs;
-  private long listening;
-  private long lastLook;
-  private Order order;
-  private int orders;
-  private long orderedLife;
-  private int orderedFrom;
+  private final int targetVoterCount;
+  private final long goneAfterMs;
+  private long observingSinceMs;
+  private long lastTickMs;
+  private Assignment assignment;
+  private int assignmentsForVoter;
+  private long replacedInstanceId;
+  private int replacedSlot;
 
   /** Which store is to claim which voter slot, and as what. */
-  record Order(int slot, String address, int epoch) {}
+  record Assignment(int slot, String address, int epoch) {}
 
   /** Makes one for so many voter slots, listening from now on. */
-  PlacementController(int voters, long now) {
-    this(voters, GONE_MS, now);
+  PlacementController(int targetVoterCount, long now) {
+    this(targetVoterCount, STORE_GONE_AFTER_MS, now);
   }
 
   /** Makes one that takes a holder for gone when it was not heard for so long. */
-  PlacementController(int voters, long goneMs, long now) {
-    this.goneMs = goneMs;
-    this.voters = voters;
-    this.listening = now;
-    this.lastLook = now;
+  PlacementController(int targetVoterCount, long goneAfterMs, long now) {
+    this.goneAfterMs = goneAfterMs;
+    this.targetVoterCount = targetVoterCount;
+    this.observingSinceMs = now;
+    this.lastTickMs = now;
   }
 
   /** The first voter set, or null as long as it is not time; asked only while there is none. */
-  VoterSet founding(HeartbeatTable heard, long now) {
-    List<HeartbeatTable.Member> there = new ArrayList<>();
-    long first = Long.MAX_VALUE;
+  VoterSet initialVoterSet(HeartbeatTable heartbeats, long now) {
+    List<HeartbeatTable.Member> candidates = new ArrayList<>();
+    long firstHeartbeatAtMs = Long.MAX_VALUE;
     Set<String> zones = new HashSet<>();
-    for (HeartbeatTable.Member store : heard.stores()) {
-      if (!store.voting() && store.storeSet().voters.isEmpty() && now - store.lastAt() <= goneMs) {
-        there.add(store);
-        zones.add(store.zone());
-        first = Math.min(first, store.firstAt());
+    for (HeartbeatTable.Member member : heartbeats.members()) {
+      if (!member.isVoting() && member.jobStoreVoters().voters.isEmpty() && now - member.lastHeartbeatAtMs() <= goneAfterMs) {
+        candidates.add(member);
+        zones.add(member.zone());
+        firstHeartbeatAtMs = Math.min(firstHeartbeatAtMs, member.firstHeartbeatAtMs());
       }
     }
-    boolean enough =
-        there.size() >= voters && (zones.size() >= voters || now - first >= ZONES_WAIT_MS);
-    if (there.isEmpty() || !enough && now - first < FOUND_FEWER_MS) {
+    boolean hasEnough =
+        candidates.size() >= targetVoterCount && (zones.size() >= targetVoterCount || now - firstHeartbeatAtMs >= ZONE_SPREAD_WAIT_MS);
+    if (candidates.isEmpty() || !hasEnough && now - firstHeartbeatAtMs < REDUCED_SET_AFTER_MS) {
       return null;
     }
-    List<HeartbeatTable.Member> chosen = spread(there);
+    List<HeartbeatTable.Member> chosen = spreadOverZones(candidates);
     VoterSet voterSet = new VoterSet();
-    for (HeartbeatTable.Member store : chosen) {
+    for (HeartbeatTable.Member member : chosen) {
       voterSet.voters.add(
-          VoterSetValue.slot(store.address(), store.station(), store.instanceId(), 1));
+          VoterSetValue.voter(member.address(), member.machine(), member.instanceId(), 1));
     }
     return voterSet;
   }
 
   /** One of each zone first, then others; in the order of their addresses. */
-  private List<HeartbeatTable.Member> spread(List<HeartbeatTable.Member> there) {
+  private List<HeartbeatTable.Member> spreadOverZones(List<HeartbeatTable.Member> candidates) {
     List<HeartbeatTable.Member> chosen = new ArrayList<>();
     Set<String> zones = new HashSet<>();
-    for (HeartbeatTable.Member store : there) {
-      if (chosen.size() < voters && zones.add(store.zone())) {
-        chosen.add(store);
+    for (HeartbeatTable.Member member : candidates) {
+      if (chosen.size() < targetVoterCount && zones.add(member.zone())) {
+        chosen.add(member);
       }
     }
-    for (HeartbeatTable.Member store : there) {
-      if (chosen.size() < voters && !chosen.contains(store)) {
-        chosen.add(store);
+    for (HeartbeatTable.Member member : candidates) {
+      if (chosen.size() < targetVoterCount && !chosen.contains(member)) {
+        chosen.add(member);
       }
     }
     chosen.sort(Comparator.comparing(HeartbeatTable.Member::address));
@@ -103,52 +103,52 @@
   /**
    * What is to be claimed at present, or null. Called often, also while the lease is not held.
    *
-   * @param retiring stations that are to be emptied
-   * @param hears whether silence may be counted, also before the lease is held: this node's own
+   * @param decommissioning stations that are to be emptied
+   * @param isObserving whether silence may be counted, also before the lease is held: this node's own
    *     silence isn't the others'
-   * @param mayDirect whether this control-plane node holds the lease and reads the head's register
+   * @param canAssign whether this control-plane node holds the lease and reads the head's register
    *     at a majority
    */
-  Order order(
-      HeartbeatTable heard,
-      VoterSet storeSet,
-      Set<String> retiring,
-      boolean hears,
-      boolean mayDirect,
+  Assignment assignment(
+      HeartbeatTable heartbeats,
+      VoterSet voterSet,
+      Set<String> decommissioning,
+      boolean isObserving,
+      boolean canAssign,
       long now) {
-    if (!hears || now - lastLook > HELD_UP_MS) {
-      listening = now;
+    if (!isObserving || now - lastTickMs > MAX_TICK_GAP_MS) {
+      observingSinceMs = now;
     }
-    lastLook = now;
-    if (!mayDirect) {
-      order = null;
+    lastTickMs = now;
+    if (!canAssign) {
+      assignment = null;
       return null;
     }
-    forgetDone(storeSet);
+    clearIfCompleted(voterSet);
     int slot =
-        order != null && wanted(heard, storeSet, retiring, order.slot(), now) ? order.slot() : -1;
-    for (int i = 0; i < storeSet.voters.size() && slot < 0; i++) {
-      if (wanted(heard, storeSet, retiring, i, now)) {
+        assignment != null && shouldReplace(heartbeats, voterSet, decommissioning, assignment.slot(), now) ? assignment.slot() : -1;
+    for (int i = 0; i < voterSet.voters.size() && slot < 0; i++) {
+      if (shouldReplace(heartbeats, voterSet, decommissioning, i, now)) {
         slot = i;
       }
     }
     if (slot < 0) {
-      order = null;
+      assignment = null;
       return null;
     }
-    if (order != null && order.slot() == slot && heardWithin(heard, order.address(), goneMs, now)) {
-      return order;
+    if (assignment != null && assignment.slot() == slot && hasHeartbeatWithin(heartbeats, assignment.address(), goneAfterMs, now)) {
+      return assignment;
     }
-    HeartbeatTable.Member spare = spare(heard, storeSet, retiring, slot, now);
-    order = spare == null ? null : new Order(slot, spare.address(), epoch(storeSet, slot));
-    return order;
+    HeartbeatTable.Member spare = chooseSpare(heartbeats, voterSet, decommissioning, slot, now);
+    assignment = spare == null ? null : new Assignment(slot, spare.address(), nextEpoch(voterSet, slot));
+    return assignment;
   }
 
-  private void forgetDone(VoterSet storeSet) {
-    if (order != null
-        && (order.slot() >= storeSet.voters.size()
-            || storeSet.voters.get(order.slot()).epoch >= order.epoch())) {
-      order = null;
+  private void clearIfCompleted(VoterSet voterSet) {
+    if (assignment != null
+        && (assignment.slot() >= voterSet.voters.size()
+            || voterSet.voters.get(assignment.slot()).epoch >= assignment.epoch())) {
+      assignment = null;
     }
   }
 
@@ -156,74 +156,74 @@
    * Above the present holder's, and above that of each spare that was sent for the voter slot
    * before.
    */
-  private int epoch(VoterSet storeSet, int slot) {
-    Voter holder = storeSet.voters.get(slot);
-    boolean sameHolder = holder.instanceId == orderedLife && slot == orderedFrom;
-    orders = sameHolder ? orders + 1 : 1;
-    orderedLife = holder.instanceId;
-    orderedFrom = slot;
-    return holder.epoch + orders;
+  private int nextEpoch(VoterSet voterSet, int slot) {
+    Voter voter = voterSet.voters.get(slot);
+    boolean sameVoter = voter.instanceId == replacedInstanceId && slot == replacedSlot;
+    assignmentsForVoter = sameVoter ? assignmentsForVoter + 1 : 1;
+    replacedInstanceId = voter.instanceId;
+    replacedSlot = slot;
+    return voter.epoch + assignmentsForVoter;
   }
 
   /** Whether the voter slot is to be taken by another, and no other voter slot is in change. */
-  private boolean wanted(
-      HeartbeatTable heard, VoterSet storeSet, Set<String> retiring, int slot, long now) {
-    Voter holder = storeSet.voters.get(slot);
-    boolean gone = gone(heard, holder, now);
-    if (!gone && !retiring.contains(holder.machine)) {
+  private boolean shouldReplace(
+      HeartbeatTable heartbeats, VoterSet voterSet, Set<String> decommissioning, int slot, long now) {
+    Voter voter = voterSet.voters.get(slot);
+    boolean isGone = isGone(heartbeats, voter, now);
+    if (!isGone && !decommissioning.contains(voter.machine)) {
       return false;
     }
-    int voting = 0;
-    int away = 0;
-    for (int i = 0; i < storeSet.voters.size(); i++) {
+    int votingCount = 0;
+    int goneCount = 0;
+    for (int i = 0; i < voterSet.voters.size(); i++) {
       if (i == slot) {
         continue;
       }
-      Voter other = storeSet.voters.get(i);
-      HeartbeatTable.Member store = heard.store(other.address);
-      if (gone(heard, other, now)) {
-        away++;
-      } else if (store != null && store.voting() && store.instanceId() == other.instanceId) {
-        voting++;
+      Voter other = voterSet.voters.get(i);
+      HeartbeatTable.Member member = heartbeats.memberAt(other.address);
+      if (isGone(heartbeats, other, now)) {
+        goneCount++;
+      } else if (member != null && member.isVoting() && member.instanceId() == other.instanceId) {
+        votingCount++;
       } else {
         return false;
       }
     }
-    return voting >= VoterSets.blockingSize(storeSet.voters.size()) && (gone || away == 0);
+    return votingCount >= VoterSets.blockingSize(voterSet.voters.size()) && (isGone || goneCount == 0);
   }
 
-  private boolean gone(HeartbeatTable heard, Voter holder, long now) {
-    HeartbeatTable.Member store = heard.store(holder.address);
-    long last = store == null ? listening : Math.max(listening, store.lastAt());
-    return now - last > goneMs;
+  private boolean isGone(HeartbeatTable heartbeats, Voter voter, long now) {
+    HeartbeatTable.Member member = heartbeats.memberAt(voter.address);
+    long lastHeartbeatAtMs = member == null ? observingSinceMs : Math.max(observingSinceMs, member.lastHeartbeatAtMs());
+    return now - lastHeartbeatAtMs > goneAfterMs;
   }
 
-  private static boolean heardWithin(HeartbeatTable heard, String address, long ms, long now) {
-    HeartbeatTable.Member store = heard.store(address);
-    return store != null && now - store.lastAt() <= ms;
+  private static boolean hasHeartbeatWithin(HeartbeatTable heartbeats, String address, long maxAgeMs, long now) {
+    HeartbeatTable.Member member = heartbeats.memberAt(address);
+    return member != null && now - member.lastHeartbeatAtMs() <= maxAgeMs;
   }
 
   /** In a zone where no other voter slot is, if there is such a one. */
-  private static HeartbeatTable.Member spare(
-      HeartbeatTable heard, VoterSet storeSet, Set<String> retiring, int slot, long now) {
+  private static HeartbeatTable.Member chooseSpare(
+      HeartbeatTable heartbeats, VoterSet voterSet, Set<String> decommissioning, int slot, long now) {
     Set<String> zones = new HashSet<>();
-    for (int i = 0; i < storeSet.voters.size(); i++) {
-      HeartbeatTable.Member holder = heard.store(storeSet.voters.get(i).address);
-      if (i != slot && holder != null) {
-        zones.add(holder.zone());
+    for (int i = 0; i < voterSet.voters.size(); i++) {
+      HeartbeatTable.Member member = heartbeats.memberAt(voterSet.voters.get(i).address);
+      if (i != slot && member != null) {
+        zones.add(member.zone());
       }
     }
-    HeartbeatTable.Member any = null;
-    for (HeartbeatTable.Member store : heard.stores()) {
-      if (now - store.lastAt() <= SPARE_MS
-          && VoterSetValue.slotOf(storeSet, store.address()) < 0
-          && !retiring.contains(store.station())) {
-        if (!zones.contains(store.zone())) {
-          return store;
+    HeartbeatTable.Member fallback = null;
+    for (HeartbeatTable.Member member : heartbeats.members()) {
+      if (now - member.lastHeartbeatAtMs() <= MAX_SPARE_HEARTBEAT_AGE_MS
+          && VoterSetValue.slotOf(voterSet, member.address()) < 0
+          && !decommissioning.contains(member.machine())) {
+        if (!zones.contains(member.zone())) {
+          return member;
         }
-        any = any == null ? store : any;
+        fallback = fallback == null ? member : fallback;
       }
     }
-    return any;
+    return fallback;
   }
 }
--- a/controlplane/src/main/java/elmsail/controlplane/QuorumContact.java
+++ b/controlplane/src/main/java/elmsail/controlplane/QuorumContact.java
@@ -14,43 +14,43 @@
    * Contact older than this is none. Well above a read's period (300 ms) and timeout (600 ms)
    * together, so that one failed read changes nothing; below {@code in_touch_ms} (3,000 ms).
    */
-  static final long BOUND_MS = 1_500;
+  static final long MAX_AGE_MS = 1_500;
 
   private static final long NEVER = Long.MIN_VALUE;
 
   private final Timers timers;
-  private long sentAt = NEVER;
-  private long unbrokenSince = NEVER;
+  private long lastRoundSentAtMs = NEVER;
+  private long unbrokenSinceMs = NEVER;
 
   QuorumContact(Timers timers) {
     this.timers = timers;
   }
 
   /** A majority has answered a round that was sent at that steady time. */
-  void answered(long roundSentAt) {
-    if (roundSentAt <= sentAt) {
+  void onRoundCompleted(long roundSentAtMs) {
+    if (roundSentAtMs <= lastRoundSentAtMs) {
       return;
     }
-    boolean lapsed = !current();
-    sentAt = roundSentAt;
-    if (lapsed) {
-      unbrokenSince = timers.now();
+    boolean wasLapsed = !isCurrent();
+    lastRoundSentAtMs = roundSentAtMs;
+    if (wasLapsed) {
+      unbrokenSinceMs = timers.now();
     }
   }
 
-  /** Whether a majority has answered a round that was sent within {@link #BOUND_MS}. */
-  boolean current() {
-    return within(BOUND_MS);
+  /** Whether a majority has answered a round that was sent within {@link #MAX_AGE_MS}. */
+  boolean isCurrent() {
+    return isWithin(MAX_AGE_MS);
   }
 
   /** Whether a majority has answered a round that was sent within so many ms. */
-  boolean within(long ms) {
-    return sentAt != NEVER && timers.now() - sentAt <= ms;
+  boolean isWithin(long maxAgeMs) {
+    return lastRoundSentAtMs != NEVER && timers.now() - lastRoundSentAtMs <= maxAgeMs;
   }
 
   /** For how many ms contact has been current without a break; -1 if it is not current now. */
   long unbrokenMs() {
-    return current() ? timers.now() - unbrokenSince : -1;
+    return isCurrent() ? timers.now() - unbrokenSinceMs : -1;
   }
 
   /**
@@ -58,10 +58,10 @@
    *
    * @throws ElmsailException NOT_SEATED if it is not: the asker goes to another process
    */
-  <A> A checked(A answer) {
-    if (!current()) {
+  <A> A requireCurrent(A response) {
+    if (!isCurrent()) {
       throw new ElmsailException(ErrorCode.NOT_A_VOTER, "no contact with a majority");
     }
-    return answer;
+    return response;
   }
 }
--- a/controlplane/src/main/java/elmsail/controlplane/ReadConfigHandler.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ReadConfigHandler.java
@@ -8,30 +8,30 @@
 
 /** {@code GET /RoutingConfig.Read}: read at a majority, or 503; never a local guess. */
 final class ReadConfigHandler implements HttpHandler {
-  private static final long ANSWER_WITHIN_MS = 900;
+  private static final long READ_TIMEOUT_MS = 900;
 
   private final Register register;
-  private final CommittedValue decided;
+  private final CommittedValue committedConfig;
 
-  ReadConfigHandler(Register register, CommittedValue decided) {
+  ReadConfigHandler(Register register, CommittedValue committedConfig) {
     this.register = register;
-    this.decided = decided;
+    this.committedConfig = committedConfig;
   }
 
   @Override
   public CompletableFuture<SimpleHttpResponse> handle(SimpleHttpRequest call) {
     return register
-        .read(ConfigOrderHandler.KEY, decided.known(), ANSWER_WITHIN_MS)
+        .read(ConfigChangeHandler.KEY, committedConfig.ballot(), READ_TIMEOUT_MS)
         .handle(
-            (now, failed) -> {
-              if (failed != null) {
-                return Replies.why(503, "not reached");
+            (now, failure) -> {
+              if (failure != null) {
+                return Replies.error(503, "not reached");
               }
-              byte[] value = decided.valueOf(now);
-              decided.take(now);
+              byte[] value = committedConfig.resolveValue(now);
+              committedConfig.offer(now);
               return value == null
-                  ? Replies.why(404, "none yet")
-                  : Replies.json(200, ConfigHistory.of(value).bytes());
+                  ? Replies.error(404, "none yet")
+                  : Replies.json(200, ConfigHistory.decode(value).configBytes());
             });
   }
 }
--- a/controlplane/src/main/java/elmsail/controlplane/RedundancyMonitor.java
+++ b/controlplane/src/main/java/elmsail/controlplane/RedundancyMonitor.java
@@ -13,76 +13,76 @@
   private static final Logger LOG = LoggerFactory.getLogger(RedundancyMonitor.class);
 
   /** A pull is held open for 1 s at most. */
-  private static final long HEARD_MS = 1_800;
+  private static final long MAX_HEARTBEAT_AGE_MS = 1_800;
 
-  private static final long WHOLE = Long.MAX_VALUE;
+  private static final long NOT_DEGRADED = Long.MAX_VALUE;
 
-  private final String set;
-  private long missedSince = WHOLE;
+  private final String voterSetName;
+  private long degradedSinceMs = NOT_DEGRADED;
   private long lastRepairMs;
   private int repairs;
-  private int voting;
+  private int votingCount;
 
-  RedundancyMonitor(String set) {
-    this.set = set;
+  RedundancyMonitor(String voterSetName) {
+    this.voterSetName = voterSetName;
   }
 
   /**
    * Looks once.
    *
-   * @param directs whether this node is in a position to know; what it saw before is forgotten if
+   * @param canAssign whether this node is in a position to know; what it saw before is forgotten if
    *     not
    */
-  void look(boolean directs, HeartbeatTable heard, VoterSet voterSet, long now) {
-    if (directs) {
-      look(heard, voterSet, now);
+  void observe(boolean canAssign, HeartbeatTable heartbeats, VoterSet voterSet, long now) {
+    if (canAssign) {
+      observe(heartbeats, voterSet, now);
     } else {
-      missedSince = WHOLE;
-      voting = 0;
+      degradedSinceMs = NOT_DEGRADED;
+      votingCount = 0;
     }
   }
 
-  private void look(HeartbeatTable heard, VoterSet voterSet, long now) {
-    voting = 0;
-    long lastMissed = Long.MAX_VALUE;
-    for (Voter holder : voterSet.voters) {
-      HeartbeatTable.Member there = heard.store(holder.address);
-      if (votes(there, holder) && now - there.lastAt() <= HEARD_MS) {
-        voting++;
-      } else if (there != null) {
-        lastMissed = Math.min(lastMissed, there.lastAt());
+  private void observe(HeartbeatTable heartbeats, VoterSet voterSet, long now) {
+    votingCount = 0;
+    long lastHeartbeatOfMissingMs = Long.MAX_VALUE;
+    for (Voter voter : voterSet.voters) {
+      HeartbeatTable.Member member = heartbeats.memberAt(voter.address);
+      if (isVotingHolder(member, voter) && now - member.lastHeartbeatAtMs() <= MAX_HEARTBEAT_AGE_MS) {
+        votingCount++;
+      } else if (member != null) {
+        lastHeartbeatOfMissingMs = Math.min(lastHeartbeatOfMissingMs, member.lastHeartbeatAtMs());
       }
     }
-    if (voting < voterSet.voters.size()) {
-      if (missedSince == WHOLE) {
-        missedSince = Math.min(now, lastMissed);
-        LOG.warn("{}: {} of {} slots vote", set, voting, voterSet.voters.size());
+    if (votingCount < voterSet.voters.size()) {
+      if (degradedSinceMs == NOT_DEGRADED) {
+        degradedSinceMs = Math.min(now, lastHeartbeatOfMissingMs);
+        LOG.warn("{}: {} of {} slots vote", voterSetName, votingCount, voterSet.voters.size());
       }
-    } else if (missedSince != WHOLE) {
-      lastRepairMs = now - missedSince;
-      missedSince = WHOLE;
+    } else if (degradedSinceMs != NOT_DEGRADED) {
+      lastRepairMs = now - degradedSinceMs;
+      degradedSinceMs = NOT_DEGRADED;
       repairs++;
       LOG.info(
           "{}: all {} slots vote, {} ms after one was missed: it bears {} losses",
-          set,
-          voting,
+          voterSetName,
+          votingCount,
           lastRepairMs,
-          (voting - 1) / 2);
+          (votingCount - 1) / 2);
     }
   }
 
-  private static boolean votes(HeartbeatTable.Member there, Voter holder) {
-    return there != null && there.voting() && there.instanceId() == holder.instanceId;
+  private static boolean isVotingHolder(HeartbeatTable.Member member, Voter voter) {
+    return member != null && member.isVoting() && member.instanceId() == voter.instanceId;
   }
 
   /** How many holders were heard as voting at the last look; 0 where this node cannot know. */
-  int voting() {
-    return voting;
+  int votingCount() {
+    return votingCount;
   }
 
   /** Whether a slot is missed now. */
-  boolean missing() {
-    return missedSince != WHOLE;
+  boolean isDegraded() {
+    return degradedSinceMs != NOT_DEGRADED;
   }
 
   /** How many times all slots voted again. */
--- a/controlplane/src/main/java/elmsail/controlplane/Replies.java
+++ b/controlplane/src/main/java/elmsail/controlplane/Replies.java
@@ -20,20 +20,20 @@
   }
 
   /** With why, for whoever reads the operator's log. */
-  static SimpleHttpResponse why(int status, String detail) {
+  static SimpleHttpResponse error(int status, String reason) {
     StringBuilder text = new StringBuilder("{\"why\":\"");
-    for (int i = 0; i < detail.length(); i++) {
-      char letter = detail.charAt(i);
-      if (letter == '"' || letter == '\\') {
-        text.append('\\').append(letter);
+    for (int i = 0; i < reason.length(); i++) {
+      char character = reason.charAt(i);
+      if (character == '"' || character == '\\') {
+        text.append('\\').append(character);
       } else {
-        text.append(letter < ' ' ? ' ' : letter);
+        text.append(character < ' ' ? ' ' : character);
       }
     }
     return json(status, text.append("\"}").toString());
   }
 
-  static CompletableFuture<SimpleHttpResponse> now(SimpleHttpResponse reply) {
+  static CompletableFuture<SimpleHttpResponse> completed(SimpleHttpResponse reply) {
     return CompletableFuture.completedFuture(reply);
   }
 }
--- a/controlplane/src/main/java/elmsail/controlplane/SingletonLease.java
+++ b/controlplane/src/main/java/elmsail/controlplane/SingletonLease.java
@@ -27,102 +27,102 @@
   static final String KEY = "duty";
 
   private static final Logger LOG = LoggerFactory.getLogger(SingletonLease.class);
-  private static final long LOOK_MS = 100;
-  private static final long ASK_TIMEOUT_MS = 500;
-  private static final long TERM_TIMEOUT_MS = 800;
+  private static final long TICK_INTERVAL_MS = 100;
+  private static final long REQUEST_TIMEOUT_MS = 500;
+  private static final long TERM_CHANGE_TIMEOUT_MS = 800;
 
   private final RpcClient caller;
   private final Timers timers;
   private final Register register;
-  private final Supplier<VoterSet> head;
-  private final String ownAddress;
-  private final long who;
+  private final Supplier<VoterSet> controlPlaneVoters;
+  private final String localAddress;
+  private final long processId;
   private Lease lease;
   private long term;
 
   /** Counts the times that the lease was won: a term belongs to one of them. */
-  private long won;
+  private long acquisitions;
 
-  private boolean taking;
+  private boolean termChangeInFlight;
   private boolean closed;
 
   /**
    * Makes one.
    *
-   * @param who drawn anew at each start
+   * @param processId drawn anew at each start
    */
   SingletonLease(
       RpcClient caller,
       Timers timers,
       Register register,
-      Supplier<VoterSet> head,
-      String ownAddress,
-      long who) {
+      Supplier<VoterSet> controlPlaneVoters,
+      String localAddress,
+      long processId) {
     this.caller = caller;
     this.timers = timers;
     this.register = register;
-    this.head = head;
-    this.ownAddress = ownAddress;
-    this.who = who;
+    this.controlPlaneVoters = controlPlaneVoters;
+    this.localAddress = localAddress;
+    this.processId = processId;
   }
 
   /** Answers the requests for the lease, while this process votes. */
-  static void vote(
-      RequestHandlers answering, Timers timers, LeaseVoter voter, BooleanSupplier voting) {
-    answering.register(
+  static void registerVoteHandler(
+      RequestHandlers handlers, Timers timers, LeaseVoter leaseVoter, BooleanSupplier isVoting) {
+    handlers.register(
         LeaseRequest.class,
         request -> {
-          if (!voting.getAsBoolean()) {
+          if (!isVoting.getAsBoolean()) {
             return CompletableFuture.failedFuture(
                 new ElmsailException(ErrorCode.NOT_A_VOTER, "no vote"));
           }
           LeaseResponse response = new LeaseResponse();
           if (request.durationMs <= 0) {
-            voter.release(request.instanceId, request.round, timers.now());
+            leaseVoter.release(request.instanceId, request.round, timers.now());
           } else {
-            response.remainingMs = voter.request(request.instanceId, request.round, timers.now());
+            response.remainingMs = leaseVoter.tryGrant(request.instanceId, request.round, timers.now());
             response.granted = response.remainingMs == 0;
           }
           return CompletableFuture.completedFuture(response);
         });
   }
 
-  void start() {
+  void tick() {
     if (closed) {
       return;
     }
-    timers.schedule(LOOK_MS, this::start);
-    VoterSet voterSet = head.get();
-    int place = VoterSetValue.slotOf(voterSet, ownAddress);
-    if (place < 0) {
+    timers.schedule(TICK_INTERVAL_MS, this::tick);
+    VoterSet voterSet = controlPlaneVoters.get();
+    int rank = VoterSetValue.slotOf(voterSet, localAddress);
+    if (rank < 0) {
       return;
     }
     long now = timers.now();
     if (lease == null) {
-      lease = new Lease(now, place);
+      lease = new Lease(now, rank);
     }
-    if (term > 0 && !lease.held(now)) {
+    if (term > 0 && !lease.isHeld(now)) {
       term = 0;
       LOG.info("the singleton lease is lost");
     }
-    long round = lease.begin(now, voterSet.voters.size());
+    long round = lease.poll(now, voterSet.voters.size());
     if (round != 0) {
-      request(round, voterSet);
+      sendRound(round, voterSet);
     }
   }
 
   /** Sends the round, or the giving up of it where it is negative. */
-  private void request(long round, VoterSet voterSet) {
+  private void sendRound(long round, VoterSet voterSet) {
     LeaseRequest request = new LeaseRequest();
     request.lease = KEY;
-    request.instanceId = who;
-    request.durationMs = round > 0 ? LeaseVoter.LEASE_MS : 0;
+    request.instanceId = processId;
+    request.durationMs = round > 0 ? LeaseVoter.LEASE_DURATION_MS : 0;
     request.round = Math.abs(round);
     for (int i = 0; i < voterSet.voters.size(); i++) {
-      int voter = i;
-      Voter slot = voterSet.voters.get(i);
+      int voterIndex = i;
+      Voter voter = voterSet.voters.get(i);
       caller
-          .call(slot.address, request, LeaseResponse.class, ASK_TIMEOUT_MS)
+          .call(voter.address, request, LeaseResponse.class, REQUEST_TIMEOUT_MS)
           .thenAccept(
               response -> {
                 if (closed || round < 0) {
@@ -130,61 +130,61 @@
                 }
                 long now = timers.now();
                 if (!response.granted) {
-                  lease.refused(round, response.remainingMs);
-                } else if (lease.granted(round, voter, now)) {
+                  lease.onRefused(round, response.remainingMs);
+                } else if (lease.onGranted(round, voterIndex, now)) {
                   term = 0;
-                  won++;
-                  takeTerm();
+                  acquisitions++;
+                  acquireTerm();
                 }
               });
     }
   }
 
-  private void takeTerm() {
-    if (taking || closed || !lease.held(timers.now())) {
+  private void acquireTerm() {
+    if (termChangeInFlight || closed || !lease.isHeld(timers.now())) {
       return;
     }
-    taking = true;
-    long inWon = won;
-    long[] next = {0};
+    termChangeInFlight = true;
+    long acquisition = acquisitions;
+    long[] nextTerm = {0};
     register
         .change(
             KEY,
             found -> {
-              next[0] = termOf(found.value()) + 1;
+              nextTerm[0] = decodeTerm(found.value()) + 1;
               return new Register.ProposedValue(
-                  ByteBuffer.allocate(16).putLong(next[0]).putLong(who).array(), List.of());
+                  ByteBuffer.allocate(16).putLong(nextTerm[0]).putLong(processId).array(), List.of());
             },
             List.of(),
             null,
-            TERM_TIMEOUT_MS)
+            TERM_CHANGE_TIMEOUT_MS)
         .whenComplete(
-            (held, failed) -> {
-              taking = false;
-              if (failed == null && held.changed() && inWon == won && lease.held(timers.now())) {
-                term = next[0];
+            (outcome, failure) -> {
+              termChangeInFlight = false;
+              if (failure == null && outcome.changed() && acquisition == acquisitions && lease.isHeld(timers.now())) {
+                term = nextTerm[0];
                 LOG.info("holds the singleton lease, term {}", term);
               } else {
-                timers.schedule(LOOK_MS, this::takeTerm);
+                timers.schedule(TICK_INTERVAL_MS, this::acquireTerm);
               }
             });
   }
 
-  private static long termOf(byte[] value) {
+  private static long decodeTerm(byte[] value) {
     return value == null ? 0 : ByteBuffer.wrap(value).getLong();
   }
 
   /** The term in which this process holds the lease at this very moment, or 0. */
   long term() {
-    return lease != null && lease.held(timers.now()) ? term : 0;
+    return lease != null && lease.isHeld(timers.now()) ? term : 0;
   }
 
   /** Gives the lease up, so that another needn't wait for its end. */
   void close() {
     if (lease != null && !closed) {
-      long round = lease.drop();
+      long round = lease.relinquish();
       if (round != 0) {
-        request(round, head.get());
+        sendRound(round, controlPlaneVoters.get());
       }
     }
     closed = true;
--- a/controlplane/src/main/java/elmsail/controlplane/AnswerAgeLimit.java
+++ b/controlplane/src/main/java/elmsail/controlplane/StaleReplyFilter.java
@@ -11,17 +11,17 @@
  * then, and this process may have been frozen since. An acknowledgement of a change stays, as what
  * was decided holds for ever.
  */
-record AnswerAgeLimit(Timers timers, HttpHandler handler) implements HttpHandler {
+record StaleReplyFilter(Timers timers, HttpHandler handler) implements HttpHandler {
 
   @Override
   public CompletableFuture<SimpleHttpResponse> handle(SimpleHttpRequest call) {
-    long arrivedAt = timers.now();
-    return handler.handle(call).thenApply(reply -> limited(call, reply, arrivedAt));
+    long receivedAtMs = timers.now();
+    return handler.handle(call).thenApply(reply -> rejectIfStale(call, reply, receivedAtMs));
   }
 
-  private SimpleHttpResponse limited(SimpleHttpRequest call, SimpleHttpResponse reply, long arrivedAt) {
+  private SimpleHttpResponse rejectIfStale(SimpleHttpRequest call, SimpleHttpResponse reply, long receivedAtMs) {
     boolean acknowledged = reply.status() == 200 && "POST".equals(call.method());
-    boolean late = timers.now() - arrivedAt > QuorumContact.BOUND_MS;
-    return late && !acknowledged ? Replies.why(503, "answered too late") : reply;
+    boolean late = timers.now() - receivedAtMs > QuorumContact.MAX_AGE_MS;
+    return late && !acknowledged ? Replies.error(503, "answered too late") : reply;
   }
 }
--- a/controlplane/src/main/java/elmsail/controlplane/HeardStores.java
+++ b/controlplane/src/main/java/elmsail/controlplane/StoreHeartbeats.java
@@ -13,37 +13,37 @@
 /**
  * Which stores a control-plane node has heard in its life.
  *
- * @param sure whether it has listened for long enough, in unbroken contact with a majority, that a
+ * @param isConclusive whether it has listened for long enough, in unbroken contact with a majority, that a
  *     store which is there would have been heard
- * @param agoMs by the store's name, how long ago it was heard last
+ * @param heartbeatAgesMs by the store's name, how long ago it was heard last
  */
-record HeardStores(boolean sure, Map<String, Long> agoMs) {
-  private static final int MOST = 1_000;
+record StoreHeartbeats(boolean isConclusive, Map<String, Long> heartbeatAgesMs) {
+  private static final int MAX_STORES = 1_000;
 
-  /** Reads what {@link #bytes()} wrote; fails with GARBLED. */
-  static HeardStores of(byte[] bytes) {
+  /** Reads what {@link #encode()} wrote; fails with GARBLED. */
+  static StoreHeartbeats decode(byte[] bytes) {
     try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
-      boolean sure = in.readBoolean();
+      boolean isConclusive = in.readBoolean();
       int count = in.readInt();
-      if (count < 0 || count > MOST) {
+      if (count < 0 || count > MAX_STORES) {
         throw new ElmsailException(ErrorCode.MALFORMED, "stores heard: " + count);
       }
-      Map<String, Long> agoMs = new TreeMap<>();
+      Map<String, Long> heartbeatAgesMs = new TreeMap<>();
       for (int i = 0; i < count; i++) {
-        agoMs.put(in.readUTF(), in.readLong());
+        heartbeatAgesMs.put(in.readUTF(), in.readLong());
       }
-      return new HeardStores(sure, agoMs);
+      return new StoreHeartbeats(isConclusive, heartbeatAgesMs);
     } catch (IOException e) {
       throw new ElmsailException(ErrorCode.MALFORMED, "stores heard", e);
     }
   }
 
-  byte[] bytes() {
+  byte[] encode() {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (DataOutputStream out = new DataOutputStream(bytes)) {
-      out.writeBoolean(sure);
-      out.writeInt(agoMs.size());
-      for (Map.Entry<String, Long> store : agoMs.entrySet()) {
+      out.writeBoolean(isConclusive);
+      out.writeInt(heartbeatAgesMs.size());
+      for (Map.Entry<String, Long> store : heartbeatAgesMs.entrySet()) {
         out.writeUTF(store.getKey());
         out.writeLong(store.getValue());
       }
--- a/controlplane/src/main/java/elmsail/controlplane/StoreNode.java
+++ b/controlplane/src/main/java/elmsail/controlplane/StoreNode.java
@@ -17,7 +17,7 @@
  * they say so.
  */
 final class StoreNode {
-  static final String SET = "shelf";
+  static final String VOTER_SET_NAME = "shelf";
 
   private final Replica replica;
   private final ConfigWatcher watcher;
@@ -26,16 +26,16 @@
       Settings settings,
       Timers timers,
       RpcClient caller,
-      RequestHandlers answering,
+      RequestHandlers handlers,
       RecordStore records,
-      ReplicaListener views,
+      ReplicaListener replicaListener,
       ProcessMetrics metrics) {
     replica =
         new Replica(
-            SET,
+            VOTER_SET_NAME,
             records,
-            views,
-            answering,
+            replicaListener,
+            handlers,
             caller,
             timers,
             settings.rpcAddress(),
@@ -53,20 +53,20 @@
   }
 
   void start() {
-    watcher.addListener(this::learn);
+    watcher.addListener(this::onClusterViewChanged);
     watcher.setJoinListener(replica::join);
     watcher.start();
   }
 
-  private void learn() {
-    VoterSet storeSet = watcher.view().jobStoreVoters;
-    if (storeSet.voters.isEmpty()) {
+  private void onClusterViewChanged() {
+    VoterSet jobStoreVoters = watcher.view().jobStoreVoters;
+    if (jobStoreVoters.voters.isEmpty()) {
       return;
     }
     if (replica.voterSet().voters.isEmpty()) {
-      replica.bootstrap(storeSet);
+      replica.bootstrap(jobStoreVoters);
     }
-    replica.learn(storeSet);
+    replica.learn(jobStoreVoters);
   }
 
   Replica replica() {
--- a/controlplane/src/main/java/elmsail/controlplane/VoterPlacement.java
+++ b/controlplane/src/main/java/elmsail/controlplane/VoterPlacement.java
@@ -17,59 +17,59 @@
 final class VoterPlacement {
   private static final Logger LOG = LoggerFactory.getLogger(VoterPlacement.class);
 
-  private final String set;
-  private final HeartbeatTable heard;
+  private final String voterSetName;
+  private final HeartbeatTable heartbeats;
   private final PlacementController controller;
   private final RedundancyMonitor redundancy;
-  private PlacementController.Order order;
+  private PlacementController.Assignment assignment;
 
   /**
    * Makes one.
    *
-   * @param set name of the set
-   * @param heard the heartbeats of the role that its voters have
+   * @param voterSetName name of the set
+   * @param heartbeats the heartbeats of the role that its voters have
    * @param controller who chooses among them; asked by this one alone for orders
    */
-  VoterPlacement(String set, HeartbeatTable heard, PlacementController controller) {
-    this.set = set;
-    this.heard = heard;
+  VoterPlacement(String voterSetName, HeartbeatTable heartbeats, PlacementController controller) {
+    this.voterSetName = voterSetName;
+    this.heartbeats = heartbeats;
     this.controller = controller;
-    redundancy = new RedundancyMonitor(set);
+    redundancy = new RedundancyMonitor(voterSetName);
   }
 
   /**
    * Looks once; true if the order became another.
    *
-   * @param decommissioned stations that are to be emptied
-   * @param hears whether the candidates' silence may be counted now: this node's own silence isn't
+   * @param decommissioning stations that are to be emptied
+   * @param isObserving whether the candidates' silence may be counted now: this node's own silence isn't
    *     theirs
-   * @param directs whether this node directs the placement of voters now
+   * @param canAssign whether this node directs the placement of voters now
    */
-  boolean look(
-      VoterSet voterSet, Set<String> decommissioned, boolean hears, boolean directs, long now) {
-    PlacementController.Order before = order;
-    order = controller.order(heard, voterSet, decommissioned, hears, directs, now);
-    redundancy.look(directs, heard, voterSet, now);
-    boolean changed = !Objects.equals(order, before);
-    if (changed && order != null) {
+  boolean refresh(
+      VoterSet voterSet, Set<String> decommissioning, boolean isObserving, boolean canAssign, long now) {
+    PlacementController.Assignment previous = assignment;
+    assignment = controller.assignment(heartbeats, voterSet, decommissioning, isObserving, canAssign, now);
+    redundancy.observe(canAssign, heartbeats, voterSet, now);
+    boolean changed = !Objects.equals(assignment, previous);
+    if (changed && assignment != null) {
       LOG.info(
-          "{}: {} shall take slot {}, epoch {}", set, order.address(), order.slot(), order.epoch());
+          "{}: {} shall take slot {}, epoch {}", voterSetName, assignment.address(), assignment.slot(), assignment.epoch());
     }
     return changed;
   }
 
   /** Whether one is to join at present. */
-  boolean directs() {
-    return order != null;
+  boolean hasAssignment() {
+    return assignment != null;
   }
 
   /** Puts the order into what the one that it is for is told. */
-  void tell(PullRequest request, ClusterView view) {
-    if (order != null
-        && heard.role().equals(request.role)
-        && order.address().equals(request.address)) {
-      view.joinSlot = order.slot();
-      view.joinEpoch = order.epoch();
+  void addAssignmentTo(PullRequest request, ClusterView view) {
+    if (assignment != null
+        && heartbeats.role().equals(request.role)
+        && assignment.address().equals(request.address)) {
+      view.joinSlot = assignment.slot();
+      view.joinEpoch = assignment.epoch();
     }
   }
 
--- a/controlplane/src/main/java/elmsail/controlplane/VoterRedirect.java
+++ b/controlplane/src/main/java/elmsail/controlplane/VoterRedirect.java
@@ -14,32 +14,32 @@
  * these. Others send the caller there: the control port is the same on all machines.
  */
 record VoterRedirect(
-    HttpHandler handler, Settings settings, ControlPlaneVoters voters, ConfigWatcher watcher)
+    HttpHandler handler, Settings settings, ControlPlaneVoters voters, ConfigWatcher configWatcher)
     implements HttpHandler {
-  private static final long LATELY_MS = 2_500;
+  private static final long MAX_HEARTBEAT_AGE_MS = 2_500;
 
   @Override
   public CompletableFuture<SimpleHttpResponse> handle(SimpleHttpRequest call) {
-    if (voters.holdsSlot()) {
+    if (voters.holdsVoterSlot()) {
       return handler.handle(call);
     }
-    String nearest = null;
-    long least = LATELY_MS;
-    for (Voter slot : voters.current().voters) {
-      long ago = watcher.lastResponseAgeMs(slot.address);
-      if (ago < least) {
-        least = ago;
-        nearest = slot.address;
+    String target = null;
+    long lowestAgeMs = MAX_HEARTBEAT_AGE_MS;
+    for (Voter voter : voters.current().voters) {
+      long ageMs = configWatcher.lastResponseAgeMs(voter.address);
+      if (ageMs < lowestAgeMs) {
+        lowestAgeMs = ageMs;
+        target = voter.address;
       }
     }
-    String control = settings.listenAddresses().get("control");
-    if (nearest == null || control == null) {
-      return Replies.now(Replies.why(503, "no other control-plane node is in touch"));
+    String controlAddress = settings.listenAddresses().get("control");
+    if (target == null || controlAddress == null) {
+      return Replies.completed(Replies.error(503, "no other control-plane node is in touch"));
     }
-    String to =
-        nearest.substring(0, nearest.lastIndexOf(':'))
-            + control.substring(control.lastIndexOf(':'));
-    return Replies.now(
-        new SimpleHttpResponse(307, Map.of("location", "http://" + to + call.path()), new byte[0]));
+    String targetAddress =
+        target.substring(0, target.lastIndexOf(':'))
+            + controlAddress.substring(controlAddress.lastIndexOf(':'));
+    return Replies.completed(
+        new SimpleHttpResponse(307, Map.of("location", "http://" + targetAddress + call.path()), new byte[0]));
   }
 }
--- a/controlplane/src/main/java/elmsail/controlplane/VoterSetValue.java
+++ b/controlplane/src/main/java/elmsail/controlplane/VoterSetValue.java
@@ -12,19 +12,19 @@
 
 /** Voter sets as a register's values. None is ever changed once it was passed on. */
 final class VoterSetValue {
-  private static final int MOST_SLOTS = 64;
+  private static final int MAX_VOTERS = 64;
 
   private VoterSetValue() {}
 
-  static byte[] bytes(VoterSet voterSet) {
+  static byte[] encode(VoterSet voterSet) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (DataOutputStream out = new DataOutputStream(bytes)) {
       out.writeInt(voterSet.voters.size());
-      for (Voter slot : voterSet.voters) {
-        out.writeUTF(slot.address);
-        out.writeUTF(slot.machine);
-        out.writeLong(slot.instanceId);
-        out.writeInt(slot.epoch);
+      for (Voter voter : voterSet.voters) {
+        out.writeUTF(voter.address);
+        out.writeUTF(voter.machine);
+        out.writeLong(voter.instanceId);
+        out.writeInt(voter.epoch);
       }
     } catch (IOException e) {
       throw new ElmsailException(ErrorCode.INTERNAL, "a voter set", e);
@@ -33,19 +33,19 @@
   }
 
   /** Null is a voter set without voter slots. */
-  static VoterSet of(byte[] bytes) {
+  static VoterSet decode(byte[] bytes) {
     VoterSet voterSet = new VoterSet();
     if (bytes == null) {
       return voterSet;
     }
     try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
       int count = in.readInt();
-      if (count < 0 || count > MOST_SLOTS) {
+      if (count < 0 || count > MAX_VOTERS) {
         throw new ElmsailException(ErrorCode.MALFORMED, "voter slots: " + count);
       }
       for (int i = 0; i < count; i++) {
         String address = in.readUTF();
-        voterSet.voters.add(slot(address, in.readUTF(), in.readLong(), in.readInt()));
+        voterSet.voters.add(voter(address, in.readUTF(), in.readLong(), in.readInt()));
       }
     } catch (IOException e) {
       throw new ElmsailException(ErrorCode.MALFORMED, "a voter set", e);
@@ -53,13 +53,13 @@
     return voterSet;
   }
 
-  static Voter slot(String address, String station, long instanceId, int epoch) {
-    Voter slot = new Voter();
-    slot.address = address;
-    slot.machine = station;
-    slot.instanceId = instanceId;
-    slot.epoch = epoch;
-    return slot;
+  static Voter voter(String address, String machine, long instanceId, int epoch) {
+    Voter voter = new Voter();
+    voter.address = address;
+    voter.machine = machine;
+    voter.instanceId = instanceId;
+    voter.epoch = epoch;
+    return voter;
   }
 
   /** The voter slot that the process at that address holds, or -1. */
--- a/controlplane/src/test/java/elmsail/controlplane/FoundingCandidatesTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/BootstrapCandidatesTest.java
@@ -11,8 +11,8 @@
 import java.util.StringJoiner;
 import org.junit.jupiter.api.Test;
 
-class FoundingCandidatesTest {
-  private final FoundingCandidates candidates = new FoundingCandidates(5, 0);
+class BootstrapCandidatesTest {
+  private final BootstrapCandidates candidates = new BootstrapCandidates(5, 0);
 
   private static HelloRequest hello(String name, String zone) {
     HelloRequest hello = new HelloRequest();
@@ -27,7 +27,7 @@
 
   private void hear(long now, String... names) {
     for (String name : names) {
-      candidates.heard(hello(name, "zone " + name.charAt(0)), now);
+      candidates.onHello(hello(name, "zone " + name.charAt(0)), now);
     }
   }
 
@@ -48,21 +48,21 @@
     hear(0, "a1", "a2", "a3", "a4", "a5");
     assertThat("others may still come", proposed(0), is(nullValue()));
     hear(250, "a1", "a2", "b1", "b2", "c1", "c2");
-    assertThat(proposed(FoundingCandidates.SPREAD_MS), equalTo("a1 a2 b1 b2 c1"));
+    assertThat(proposed(BootstrapCandidates.ZONE_SPREAD_WAIT_MS), equalTo("a1 a2 b1 b2 c1"));
   }
 
   @Test
   void fourZonesOfUnevenSize() {
     hear(0, "a1", "a2", "b1", "b2", "c1", "d1");
     assertThat(proposed(0), is(nullValue()));
-    assertThat(proposed(FoundingCandidates.SPREAD_MS), equalTo("a1 a2 b1 c1 d1"));
+    assertThat(proposed(BootstrapCandidates.ZONE_SPREAD_WAIT_MS), equalTo("a1 a2 b1 c1 d1"));
   }
 
   @Test
   void fewerAreAnOddNumberAndOnlyLate() {
     hear(2_900, "a1", "b1", "c1", "c2");
     assertThat(proposed(2_999), is(nullValue()));
-    assertThat(proposed(FoundingCandidates.FEWER_MS), equalTo("a1 b1 c1"));
+    assertThat(proposed(BootstrapCandidates.REDUCED_SET_AFTER_MS), equalTo("a1 b1 c1"));
   }
 
   @Test
@@ -71,8 +71,8 @@
     diskless.hasDisk = false;
     HelloRequest later = hello("a2", "z");
     later.firstStart = false;
-    candidates.heard(diskless, 3_000);
-    candidates.heard(later, 3_000);
+    candidates.onHello(diskless, 3_000);
+    candidates.onHello(later, 3_000);
     hear(1_900, "b1");
     assertThat(proposed(3_000), is(nullValue()));
     hear(3_000, "c1");
--- a/controlplane/src/test/java/elmsail/controlplane/BoundedListsTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/BoundedStateTest.java
@@ -17,19 +17,19 @@
 import org.junit.jupiter.api.Test;
 
 /** Lists that grow with what comes and goes: what happens at their bounds. */
-class BoundedListsTest {
+class BoundedStateTest {
 
   @Test
   void afterTheLastStationTheListIsStillReadable() {
     Set<String> names = new LinkedHashSet<>();
-    for (int i = 0; i < DecommissionList.MOST - 1; i++) {
+    for (int i = 0; i < DecommissionList.MAX_NODES - 1; i++) {
       names.add("vault-" + i);
     }
-    byte[] full = DecommissionList.with(names, "last");
-    Set<String> read = DecommissionList.of(full);
-    assertThat(read, hasSize(DecommissionList.MOST));
+    byte[] full = DecommissionList.encodeWith(names, "last");
+    Set<String> read = DecommissionList.decode(full);
+    assertThat(read, hasSize(DecommissionList.MAX_NODES));
     ElmsailException thrown =
-        assertThrows(ElmsailException.class, () -> DecommissionList.with(read, "one more"));
+        assertThrows(ElmsailException.class, () -> DecommissionList.encodeWith(read, "one more"));
     assertThat(thrown.code(), is(ErrorCode.RESOURCE_EXHAUSTED));
   }
 
@@ -46,17 +46,17 @@
   @Test
   void whoWasHeardLongestAgoMakesRoom() {
     HeartbeatTable heard = new HeartbeatTable();
-    int all = HeartbeatTable.MOST + 200;
+    int all = HeartbeatTable.MAX_MEMBERS + 200;
     for (int i = 0; i < all; i++) {
-      heard.note(pull("store", i), 1_000 + i);
-      heard.note(pull("gateway", i), 1_000 + i);
-      heard.note(pull("store", 0), 1_000 + i);
+      heard.onHeartbeat(pull("store", i), 1_000 + i);
+      heard.onHeartbeat(pull("gateway", i), 1_000 + i);
+      heard.onHeartbeat(pull("store", 0), 1_000 + i);
     }
-    List<HeartbeatTable.Member> stores = new ArrayList<>(heard.stores());
-    assertThat(stores, hasSize(HeartbeatTable.MOST));
-    assertThat("the newest", heard.station("s" + (all - 1)), notNullValue());
-    assertThat("heard all the time", heard.station("s0"), notNullValue());
-    assertThat("silent longest", heard.station("s1"), nullValue());
-    assertThat(heard.gateways(1_000 + all, 60_000), hasSize(HeartbeatTable.MOST));
+    List<HeartbeatTable.Member> stores = new ArrayList<>(heard.members());
+    assertThat(stores, hasSize(HeartbeatTable.MAX_MEMBERS));
+    assertThat("the newest", heard.memberOnMachine("s" + (all - 1)), notNullValue());
+    assertThat("heard all the time", heard.memberOnMachine("s0"), notNullValue());
+    assertThat("silent longest", heard.memberOnMachine("s1"), nullValue());
+    assertThat(heard.gatewaysWithin(1_000 + all, 60_000), hasSize(HeartbeatTable.MAX_MEMBERS));
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/ManyChangesTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/CatchUpTest.java
@@ -18,7 +18,7 @@
  * Hundreds of changes while members are down, come back with the disk they had, or with none: what
  * it takes to catch up does not grow with the number of changes that were missed.
  */
-class ManyChangesTest {
+class CatchUpTest {
   /** From the start of a process until it has all that a majority has. */
   private static final long CATCH_UP_MS = 4_900;
 
@@ -31,60 +31,60 @@
   private long edition;
   private int seed;
 
-  private World started() {
-    World world = new World(++seed, 3);
+  private SimulatedCluster started() {
+    SimulatedCluster cluster = new SimulatedCluster(++seed, 3);
     edition = 0;
-    world.net.delay(1, 15);
+    cluster.net.delay(1, 15);
     for (int i = 1; i <= 3; i++) {
-      world.controlPlane("n" + i, true);
+      cluster.controlPlane("n" + i, true);
     }
-    change(world, 1);
-    return world;
+    change(cluster, 1);
+    return cluster;
   }
 
-  private void change(World world, int times) {
+  private void change(SimulatedCluster cluster, int times) {
     for (int i = 0; i < times; i++) {
-      assertThat(world.replaceAnywhere(edition, edition + 1), is(200));
+      assertThat(cluster.replaceAnywhere(edition, edition + 1), is(200));
       edition++;
     }
   }
 
-  private boolean current(World world, String node) {
-    byte[] known = world.offices.get(node).committedConfig();
-    return known != null && ConfigHistory.of(known).edition() == edition;
+  private boolean current(SimulatedCluster cluster, String node) {
+    byte[] known = cluster.controlPlaneNodes.get(node).committedConfigBytes();
+    return known != null && ConfigHistory.decode(known).version() == edition;
   }
 
   private record CaughtUp(long ms, long bytes) {}
 
   /** Starts the node and waits until it gives out the newest configuration. */
-  private CaughtUp catchUp(World world, String node) {
-    long begun = world.timers.now();
-    world.net.countBytes(world.address(node));
-    world.controlPlane(node, false);
-    assertThat(world.until(CATCH_UP_MS, () -> current(world, node)), is(true));
-    long ms = world.timers.now() - begun;
+  private CaughtUp catchUp(SimulatedCluster cluster, String node) {
+    long begun = cluster.timers.now();
+    cluster.net.countBytes(cluster.address(node));
+    cluster.controlPlane(node, false);
+    assertThat(cluster.awaitWithin(CATCH_UP_MS, () -> current(cluster, node)), is(true));
+    long ms = cluster.timers.now() - begun;
     // A wiped one copies the records, which its own reads do not wait for.
-    world.timers.advance(CATCH_UP_MS - ms);
-    long bytes = world.net.countedBytes();
-    assertThat(world.read(node), is(World.config(edition)));
+    cluster.timers.advance(CATCH_UP_MS - ms);
+    long bytes = cluster.net.countedBytes();
+    assertThat(cluster.read(node), is(SimulatedCluster.config(edition)));
     return new CaughtUp(ms, bytes);
   }
 
   private CaughtUp missed(int changes, boolean wiped) {
-    World world = started();
+    SimulatedCluster cluster = started();
     // From here on the history of orders is as long as it ever gets.
-    change(world, ConfigHistory.REMEMBERED);
+    change(cluster, ConfigHistory.MAX_CHANGES);
     if (wiped) {
-      world.wipe("n3");
+      cluster.wipe("n3");
     } else {
-      world.kill("n3");
+      cluster.kill("n3");
     }
-    change(world, changes);
-    CaughtUp caughtUp = catchUp(world, "n3");
+    change(cluster, changes);
+    CaughtUp caughtUp = catchUp(cluster, "n3");
     // It counts again: with it the system bears the loss of another.
-    world.kill("n1");
-    change(world, 3);
-    assertThat(world.until(CATCH_UP_MS, () -> current(world, "n3")), is(true));
+    cluster.kill("n1");
+    change(cluster, 3);
+    assertThat(cluster.awaitWithin(CATCH_UP_MS, () -> current(cluster, "n3")), is(true));
     return caughtUp;
   }
 
@@ -108,8 +108,8 @@
 
   @Test
   void membersComeAndGoThroughHundredsOfChanges() {
-    World world = started();
-    world.gateway("c1");
+    SimulatedCluster cluster = started();
+    cluster.gateway("c1");
     long worst = 0;
     int restarts = 0;
     int wipes = 0;
@@ -117,37 +117,37 @@
       String node = "n" + (1 + restarts % 3);
       boolean wipe = restarts % 4 == 3;
       if (wipe) {
-        world.wipe(node);
+        cluster.wipe(node);
         wipes++;
       } else {
-        world.kill(node);
+        cluster.kill(node);
       }
-      change(world, 24);
-      worst = Math.max(worst, catchUp(world, node).ms);
+      change(cluster, 24);
+      worst = Math.max(worst, catchUp(cluster, node).ms);
       restarts++;
     }
-    ConfigWatcher gateway = world.gateways.get("c1");
-    assertThat(world.until(CATCH_UP_MS, () -> gateway.config().edition() == edition), is(true));
+    ConfigWatcher gateway = cluster.gateways.get("c1");
+    assertThat(cluster.awaitWithin(CATCH_UP_MS, () -> gateway.config().edition() == edition), is(true));
     System.out.printf(
         "%d changes, %d restarts, %d of them without their disk: current after %d ms at most%n",
         edition, restarts, wipes, worst);
     assertThat(wipes, greaterThan(2));
-    assertThat(world.net.handlerFaults().size(), is(0));
+    assertThat(cluster.net.handlerFaults().size(), is(0));
   }
 
   @Test
   void whatIsKeptIsLevelAfterAThousandChanges() {
-    World world = started();
-    change(world, 1_100);
+    SimulatedCluster cluster = started();
+    change(cluster, 1_100);
     long[] bytes = new long[3];
     int[] records = new int[3];
     for (int i = 0; i < 3; i++) {
-      bytes[i] = world.disks.get("n" + (i + 1)).bytesOnDisk();
-      records[i] = records(world.disks.get("n" + (i + 1)));
+      bytes[i] = cluster.disks.get("n" + (i + 1)).bytesOnDisk();
+      records[i] = records(cluster.disks.get("n" + (i + 1)));
     }
-    change(world, 400);
+    change(cluster, 400);
     for (int i = 0; i < 3; i++) {
-      SimDisk disk = world.disks.get("n" + (i + 1));
+      SimDisk disk = cluster.disks.get("n" + (i + 1));
       System.out.printf(
           "n%d: %d records of %d bytes after 1,100 changes, %d of %d after 1,500%n",
           i + 1, records[i], bytes[i], records(disk), disk.bytesOnDisk());
@@ -167,34 +167,34 @@
   /** It reaches a gateway and no voter: what it has on its disk is not what is in force. */
   @Test
   void anOldDiskAloneServesNothing() {
-    World world = started();
-    change(world, 5);
+    SimulatedCluster cluster = started();
+    change(cluster, 5);
     long old = edition;
-    world.kill("n3");
-    change(world, 300);
-    world.controlPlane("n3", false);
+    cluster.kill("n3");
+    change(cluster, 300);
+    cluster.controlPlane("n3", false);
     for (String voter : List.of("n1", "n2")) {
-      world.net.cutBoth(world.address("n3"), world.address(voter));
+      cluster.net.cutBoth(cluster.address("n3"), cluster.address(voter));
     }
-    world.gateway("c1");
+    cluster.gateway("c1");
     for (String voter : List.of("n1", "n2")) {
-      world.net.cutBoth(world.address("c1"), world.address(voter));
+      cluster.net.cutBoth(cluster.address("c1"), cluster.address(voter));
     }
-    ControlPlaneNode alone = world.offices.get("n3");
+    ControlPlaneNode alone = cluster.controlPlaneNodes.get("n3");
     for (int second = 0; second < 20; second++) {
-      assertThat(world.read("n3"), is("503"));
-      assertThat(world.replace("n3", old, edition + 5), is(503));
-      assertThat("repeated", world.replace("n3", old - 1, old), is(503));
-      assertThat(world.gateways.get("c1").config(), nullValue());
-      assertThat(alone.committedConfig(), nullValue());
+      assertThat(cluster.read("n3"), is("503"));
+      assertThat(cluster.replace("n3", old, edition + 5), is(503));
+      assertThat("repeated", cluster.replace("n3", old - 1, old), is(503));
+      assertThat(cluster.gateways.get("c1").config(), nullValue());
+      assertThat(alone.committedConfigBytes(), nullValue());
     }
-    world.net.healAll();
-    assertThat(world.until(CATCH_UP_MS, () -> current(world, "n3")), is(true));
-    assertThat("repeated", world.replace("n3", old - 1, old), is(200));
-    assertThat(world.replace("n3", old, edition + 5), is(412));
-    ConfigWatcher gateway = world.gateways.get("c1");
+    cluster.net.healAll();
+    assertThat(cluster.awaitWithin(CATCH_UP_MS, () -> current(cluster, "n3")), is(true));
+    assertThat("repeated", cluster.replace("n3", old - 1, old), is(200));
+    assertThat(cluster.replace("n3", old, edition + 5), is(412));
+    ConfigWatcher gateway = cluster.gateways.get("c1");
     assertThat(
-        world.until(
+        cluster.awaitWithin(
             CATCH_UP_MS, () -> gateway.config() != null && gateway.config().edition() == edition),
         is(true));
   }
@@ -202,54 +202,54 @@
   /** The one with an old disk and one that is up to date are a majority: the newer value counts. */
   @Test
   void aMajorityWithAnOldDiskGoesOnFromTheNewestChange() {
-    World world = started();
-    change(world, 5);
-    world.kill("n3");
-    change(world, 300);
-    world.kill("n1");
-    world.controlPlane("n3", false);
-    assertThat(world.replaceAnywhere(edition - 1, edition + 1), is(412));
-    change(world, 1);
-    assertThat(world.until(CATCH_UP_MS, () -> current(world, "n3")), is(true));
+    SimulatedCluster cluster = started();
+    change(cluster, 5);
+    cluster.kill("n3");
+    change(cluster, 300);
+    cluster.kill("n1");
+    cluster.controlPlane("n3", false);
+    assertThat(cluster.replaceAnywhere(edition - 1, edition + 1), is(412));
+    change(cluster, 1);
+    assertThat(cluster.awaitWithin(CATCH_UP_MS, () -> current(cluster, "n3")), is(true));
   }
 
   /** Each loses its disk, one after the other: the term only rises. */
   @Test
   void theTermOfTheSingletonLeaseOutlivesAllDisks() {
-    World world = started();
+    SimulatedCluster cluster = started();
     long highest = 0;
     List<Long> terms = new ArrayList<>();
     for (int round = 0; round < 9; round++) {
       long before = highest;
-      assertThat("a holder", world.until(15_000, () -> term(world) > 0), is(true));
-      highest = term(world);
+      assertThat("a holder", cluster.awaitWithin(15_000, () -> term(cluster) > 0), is(true));
+      highest = term(cluster);
       assertThat(highest, greaterThanOrEqualTo(before));
       terms.add(highest);
-      String node = holder(world);
-      world.wipe(node);
+      String node = holder(cluster);
+      cluster.wipe(node);
       long held = highest;
-      assertThat("the next one's", world.until(15_000, () -> term(world) > held), is(true));
-      catchUp(world, node);
+      assertThat("the next one's", cluster.awaitWithin(15_000, () -> term(cluster) > held), is(true));
+      catchUp(cluster, node);
     }
     System.out.println("terms over nine lost disks: " + terms);
     assertThat(terms.get(8), greaterThan(terms.get(0)));
   }
 
-  private static String holder(World world) {
-    for (String node : world.offices.keySet()) {
-      if (alive(world, node) && world.offices.get(node).lease.term() > 0) {
+  private static String holder(SimulatedCluster cluster) {
+    for (String node : cluster.controlPlaneNodes.keySet()) {
+      if (alive(cluster, node) && cluster.controlPlaneNodes.get(node).lease.term() > 0) {
         return node;
       }
     }
     return null;
   }
 
-  private static long term(World world) {
-    String node = holder(world);
-    return node == null ? 0 : world.offices.get(node).lease.term();
+  private static long term(SimulatedCluster cluster) {
+    String node = holder(cluster);
+    return node == null ? 0 : cluster.controlPlaneNodes.get(node).lease.term();
   }
 
-  private static boolean alive(World world, String node) {
-    return world.net.nodeAt(world.address(node)) != null;
+  private static boolean alive(SimulatedCluster cluster, String node) {
+    return cluster.net.nodeAt(cluster.address(node)) != null;
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/ManyLossesTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ClusterPowerLossTest.java
@@ -18,14 +18,14 @@
  * many of them as is borne lose their disks. Once all are back everything acknowledged is served
  * within the time to recover, and nothing older before.
  */
-class ManyLossesTest {
+class ClusterPowerLossTest {
   private static final int STORIES = 30;
 
   /** The bound of the small sites. */
   private static final long RECOVER_MS = 12_000;
 
-  private World world;
-  private Random chance;
+  private SimulatedCluster cluster;
+  private Random random;
   private final List<String> machines = new ArrayList<>();
 
   @ParameterizedTest
@@ -43,27 +43,27 @@
     for (int seed = 1; seed <= STORIES; seed++) {
       String name = nodes + " nodes, " + apartMs + " ms apart, seed " + seed;
       start(seed, nodes, stores, bear);
-      OrderStory orders = new OrderStory(name, world, chance, nodes);
-      JobWriter jobs = new JobWriter(name, world, chance);
-      ReadWatch reads = new ReadWatch(name, orders);
-      assertThat(name, world.until(8_000, () -> !jobs.newest().voters.isEmpty()), is(true));
-      assertThat(name, world.replaceAnywhere(0, 1), is(200));
-      OrderStory.Order first = OrderStory.order(0, 1, "");
+      ConfigChangeScenario orders = new ConfigChangeScenario(name, cluster, random, nodes);
+      JobRecordWriter jobs = new JobRecordWriter(name, cluster, random);
+      ConfigReadChecker reads = new ConfigReadChecker(name, orders);
+      assertThat(name, cluster.awaitWithin(8_000, () -> !jobs.newest().voters.isEmpty()), is(true));
+      assertThat(name, cluster.replaceAnywhere(0, 1), is(200));
+      ConfigChangeScenario.ChangeRequest first = ConfigChangeScenario.replacement(0, 1, "");
       orders.sent.add(first);
-      orders.confirmed.add(first);
-      run(1_500 + chance.nextInt(500), jobs, orders, reads);
-      orders.send(OrderStory.order(1, 2, "a"));
-      run(chance.nextInt(80), jobs, orders, reads);
+      orders.committed.add(first);
+      run(1_500 + random.nextInt(500), jobs, orders, reads);
+      orders.send(ConfigChangeScenario.replacement(1, 2, "a"));
+      run(random.nextInt(80), jobs, orders, reads);
       loseAll(bear, apartMs, orders, reads);
-      long back = world.timers.now();
-      long newest = orders.confirmed.size();
-      while (!served(newest) && world.timers.now() < back + RECOVER_MS) {
+      long back = cluster.timers.now();
+      long newest = orders.committed.size();
+      while (!served(newest) && cluster.timers.now() < back + RECOVER_MS) {
         run(50, jobs, orders, reads);
       }
       assertThat(name, served(newest), is(true));
-      longest = Math.max(longest, world.timers.now() - back);
-      long left = back + RECOVER_MS - world.timers.now();
-      assertThat(name, world.until(left, () -> voting(jobs) == 2 * bear + 1), is(true));
+      longest = Math.max(longest, cluster.timers.now() - back);
+      long left = back + RECOVER_MS - cluster.timers.now();
+      assertThat(name, cluster.awaitWithin(left, () -> voting(jobs) == 2 * bear + 1), is(true));
       jobs.readAll();
       jobsSeen += jobs.written();
     }
@@ -74,56 +74,56 @@
   }
 
   private void start(int seed, int nodes, int stores, int bear) {
-    world = new World(seed, 3, bear);
-    chance = new Random(seed);
-    world.net.delay(1, 8);
+    cluster = new SimulatedCluster(seed, 3, bear);
+    random = new Random(seed);
+    cluster.net.delay(1, 8);
     machines.clear();
     for (int i = 1; i <= nodes; i++) {
-      world.controlPlane("n" + i, true);
+      cluster.controlPlane("n" + i, true);
       machines.add("n" + i);
     }
     for (int i = 1; i <= stores; i++) {
-      world.store("v" + i, true);
+      cluster.store("v" + i, true);
       machines.add("v" + i);
     }
   }
 
-  private void run(long ms, JobWriter jobs, OrderStory orders, ReadWatch reads) {
-    for (long end = world.timers.now() + ms; world.timers.now() < end; ) {
+  private void run(long ms, JobRecordWriter jobs, ConfigChangeScenario orders, ConfigReadChecker reads) {
+    for (long end = cluster.timers.now() + ms; cluster.timers.now() < end; ) {
       jobs.step();
-      reads.ask("n" + (1 + chance.nextInt(3)));
-      orders.hear(10);
+      reads.read("n" + (1 + random.nextInt(3)));
+      orders.collectReplies(10);
       reads.check();
     }
   }
 
   /** Each loses power; as many as is borne lose their disks; all come back in another order. */
-  private void loseAll(int bear, int apartMs, OrderStory orders, ReadWatch reads) {
-    Collections.shuffle(machines, chance);
+  private void loseAll(int bear, int apartMs, ConfigChangeScenario orders, ConfigReadChecker reads) {
+    Collections.shuffle(machines, random);
     for (int i = 0; i < machines.size(); i++) {
       if (i < bear) {
-        world.wipe(machines.get(i));
+        cluster.wipe(machines.get(i));
       } else {
-        world.net.kill(world.address(machines.get(i)), false);
-        world.disks.get(machines.get(i)).powerLoss();
+        cluster.net.kill(cluster.address(machines.get(i)), false);
+        cluster.disks.get(machines.get(i)).powerLoss();
       }
-      orders.hear(apartMs == 0 ? 0 : chance.nextInt(apartMs));
+      orders.collectReplies(apartMs == 0 ? 0 : random.nextInt(apartMs));
       reads.check();
     }
-    Collections.shuffle(machines, chance);
+    Collections.shuffle(machines, random);
     for (String machine : machines) {
-      world.timers.advance(apartMs == 0 ? 0 : chance.nextInt(apartMs));
+      cluster.timers.advance(apartMs == 0 ? 0 : random.nextInt(apartMs));
       if (machine.startsWith("n")) {
-        world.controlPlane(machine, false);
+        cluster.controlPlane(machine, false);
       } else {
-        world.store(machine, false);
+        cluster.store(machine, false);
       }
     }
   }
 
   /** Whether the first node reads what was confirmed, or the order that was under way. */
   private boolean served(long confirmed) {
-    String read = world.read("n1");
+    String read = cluster.read("n1");
     if (!read.startsWith("{")) {
       return false;
     }
@@ -132,15 +132,15 @@
       assertThat(second, is(true));
     }
     if (!second) {
-      assertThat(read, equalTo(World.config(1)));
+      assertThat(read, equalTo(SimulatedCluster.config(1)));
     }
     return true;
   }
 
-  private long voting(JobWriter jobs) {
+  private long voting(JobRecordWriter jobs) {
     return jobs.newest().voters.stream()
-        .filter(slot -> world.stores.get(slot.machine).replica().isVoting())
-        .filter(slot -> world.disks.get(slot.machine).instanceId() == slot.instanceId)
+        .filter(voter -> cluster.stores.get(voter.machine).replica().isVoting())
+        .filter(voter -> cluster.disks.get(voter.machine).instanceId() == voter.instanceId)
         .count();
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/AmendOrdersTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ConfigAmendmentsTest.java
@@ -6,8 +6,8 @@
 import static org.hamcrest.Matchers.is;
 import static org.hamcrest.Matchers.not;
 
-import elmsail.controlplane.ConfigOrderHandler.Call;
-import elmsail.controlplane.OrderStory.Order;
+import elmsail.controlplane.ConfigChangeHandler.ChangeKind;
+import elmsail.controlplane.ConfigChangeScenario.ChangeRequest;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -19,14 +19,14 @@
 import org.junit.jupiter.api.Test;
 
 /** Amendments of the configuration, alone and beside whole ones, at nodes in trouble. */
-class AmendOrdersTest {
+class ConfigAmendmentsTest {
   private static final int NODES = 3;
   private static final int SEEDS = 20;
   private static final long SETTLE_MS = 20_000;
   private static final Pattern ROUTE = Pattern.compile("\\{\"name\":\"([ar]\\d+[a-z]*)\"");
 
-  private static Set<String> routesInForce(OrderStory story) {
-    String read = story.world.read("n1");
+  private static Set<String> routesInForce(ConfigChangeScenario story) {
+    String read = story.cluster.read("n1");
     Set<String> names = new TreeSet<>();
     for (Matcher found = ROUTE.matcher(read); found.find(); ) {
       names.add(found.group(1));
@@ -38,20 +38,20 @@
   void ofEightAtOnceWholeOnesAndAmendmentsOneIsConfirmed() {
     int amended = 0;
     for (int seed = 1; seed <= SEEDS; seed++) {
-      OrderStory story = OrderStory.started("eight at once", seed, NODES);
-      Set<Order> orders = new LinkedHashSet<>();
+      ConfigChangeScenario story = ConfigChangeScenario.started("eight at once", seed, NODES);
+      Set<ChangeRequest> orders = new LinkedHashSet<>();
       for (int i = 0; i < 8; i++) {
-        Order order =
+        ChangeRequest order =
             i % 2 == 0
-                ? OrderStory.amendment(1, 2 + i / 2, "x", null)
-                : OrderStory.order(1, 2 + i / 2, "x");
+                ? ConfigChangeScenario.amendment(1, 2 + i / 2, "x", null)
+                : ConfigChangeScenario.replacement(1, 2 + i / 2, "x");
         orders.add(order);
         story.send(order, "n" + (1 + (seed + i) % NODES));
       }
-      Order won = story.oneWins(orders);
+      ChangeRequest won = story.awaitSingleWinner(orders);
       assertThat(story.current(5_000), is(won.number()));
-      amended += won.call() == Call.AMEND ? 1 : 0;
-      for (Order order : orders) {
+      amended += won.call() == ChangeKind.AMEND ? 1 : 0;
+      for (ChangeRequest order : orders) {
         assertThat(story.repeat(order, SETTLE_MS), is(order.equals(won) ? 200 : 412));
       }
       story.finish();
@@ -62,25 +62,25 @@
 
   @Test
   void threeHundredAmendmentsWithLostAnswersKillsAndWipesMakeWhatTheirOrderMakes() {
-    OrderStory story = OrderStory.started("three hundred", 3, NODES);
-    OrderTrouble trouble = new OrderTrouble(story.world, new Random(17), NODES);
-    story.answersLost = 0.3;
+    ConfigChangeScenario story = ConfigChangeScenario.started("three hundred", 3, NODES);
+    NodeFaultInjector trouble = new NodeFaultInjector(story.cluster, new Random(17), NODES);
+    story.replyLossRate = 0.3;
     Set<String> routes = new TreeSet<>(Set.of("r1"));
-    Order last = null;
+    ChangeRequest last = null;
     long current = 1;
     for (int change = 0; change < 300; change++) {
       String withdrawn = routes.size() > 12 ? routes.iterator().next() : null;
-      Order one = OrderStory.amendment(current, current + 1, "v", withdrawn);
-      Order other = OrderStory.amendment(current, current + 1, "w", null);
-      Set<Order> orders = new LinkedHashSet<>(List.of(one, other));
+      ChangeRequest one = ConfigChangeScenario.amendment(current, current + 1, "v", withdrawn);
+      ChangeRequest other = ConfigChangeScenario.amendment(current, current + 1, "w", null);
+      Set<ChangeRequest> orders = new LinkedHashSet<>(List.of(one, other));
       orders.forEach(story::send);
-      assertThat(story.pursue(orders, SETTLE_MS, trouble::step), is(true));
-      List<Order> won = new ArrayList<>(orders);
-      won.retainAll(story.confirmed);
+      assertThat(story.retryUntilAnswered(orders, SETTLE_MS, trouble::step), is(true));
+      List<ChangeRequest> won = new ArrayList<>(orders);
+      won.retainAll(story.committed);
       assertThat("confirmed at change " + change, won.size(), is(1));
       current++;
       boolean first = won.get(0).equals(one);
-      routes.add(OrderStory.amendedRoute(current, first ? "v" : "w"));
+      routes.add(ConfigChangeScenario.amendedRoute(current, first ? "v" : "w"));
       if (first && withdrawn != null) {
         routes.remove(withdrawn);
       }
@@ -92,9 +92,9 @@
     trouble.end();
     assertThat(story.current(SETTLE_MS), is(current));
     assertThat(
-        story.world.until(SETTLE_MS, () -> story.world.read("n1").startsWith("{")), is(true));
+        story.cluster.awaitWithin(SETTLE_MS, () -> story.cluster.read("n1").startsWith("{")), is(true));
     assertThat(routesInForce(story), equalTo(routes));
-    assertThat(trouble.begun(), greaterThan(10));
+    assertThat(trouble.faultCount(), greaterThan(10));
     story.finish();
   }
 
@@ -102,17 +102,17 @@
   void anAmendmentCutOffHalfwayIsFinishedOrLostForAll() {
     int lost = 0;
     for (int cutAt = 0; cutAt <= 70; cutAt += 2) {
-      OrderStory story = OrderStory.started("cut at " + cutAt + " ms", 200 + cutAt, NODES);
-      Order mine = OrderStory.amendment(1, 5, "mine", null);
-      Order rival =
-          cutAt % 4 == 0 ? OrderStory.order(1, 5, "rival") : OrderStory.amendment(1, 5, "r", "r1");
+      ConfigChangeScenario story = ConfigChangeScenario.started("cut at " + cutAt + " ms", 200 + cutAt, NODES);
+      ChangeRequest mine = ConfigChangeScenario.amendment(1, 5, "mine", null);
+      ChangeRequest rival =
+          cutAt % 4 == 0 ? ConfigChangeScenario.replacement(1, 5, "rival") : ConfigChangeScenario.amendment(1, 5, "r", "r1");
       story.send(mine, "n1");
-      story.hear(cutAt);
-      story.world.net.isolate(story.world.address("n1"));
+      story.collectReplies(cutAt);
+      story.cluster.net.isolate(story.cluster.address("n1"));
       story.send(rival, "n2");
-      story.hear(1_500);
-      story.world.net.healAll();
-      boolean mineWon = story.oneWins(Set.of(mine, rival)).equals(mine);
+      story.collectReplies(1_500);
+      story.cluster.net.healAll();
+      boolean mineWon = story.awaitSingleWinner(Set.of(mine, rival)).equals(mine);
       assertThat(story.repeat(mine, SETTLE_MS), is(mineWon ? 200 : 412));
       assertThat(story.repeat(rival, SETTLE_MS), is(mineWon ? 412 : 200));
       story.finish();
@@ -124,19 +124,19 @@
 
   @Test
   void theSameBytesAsAnotherCallAreAnotherOrder() {
-    OrderStory story = OrderStory.started("other call", 5, NODES);
-    Order amendment = OrderStory.amendment(1, 2, "x", null);
-    Order same = new Order(Call.REPLACE, 1, 2, amendment.body());
+    ConfigChangeScenario story = ConfigChangeScenario.started("other call", 5, NODES);
+    ChangeRequest amendment = ConfigChangeScenario.amendment(1, 2, "x", null);
+    ChangeRequest same = new ChangeRequest(ChangeKind.REPLACE, 1, 2, amendment.body());
     story.send(amendment);
-    assertThat(story.pursue(Set.of(amendment), SETTLE_MS, () -> {}), is(true));
+    assertThat(story.retryUntilAnswered(Set.of(amendment), SETTLE_MS, () -> {}), is(true));
     assertThat(story.repeat(amendment, SETTLE_MS), is(200));
     assertThat(story.repeat(same, SETTLE_MS), is(412));
   }
 
   @Test
   void whatWouldBeInvalidIsRefusedAndNothingChanges() {
-    OrderStory story = OrderStory.started("invalid", 7, NODES);
-    String before = story.world.read("n1");
+    ConfigChangeScenario story = ConfigChangeScenario.started("invalid", 7, NODES);
+    String before = story.cluster.read("n1");
     for (String body :
         List.of(
             "{\"edition\":2,\"withdraw\":{\"postal_lines\":[\"p\"]}}",
@@ -147,17 +147,17 @@
                 + "\"lane_prefix\":\"/a/\",\"route_class\":\"safe\",\"give_up_ms\":1,"
                 + "\"postal_line\":\"p\"}]}}",
             "no json")) {
-      Order order = new Order(Call.AMEND, 1, 2, body);
+      ChangeRequest order = new ChangeRequest(ChangeKind.AMEND, 1, 2, body);
       assertThat(body, story.repeat(order, SETTLE_MS), is(400));
     }
-    assertThat(story.world.read("n1"), equalTo(before));
+    assertThat(story.cluster.read("n1"), equalTo(before));
   }
 
   @Test
   void beforeTheFirstConfigurationAnAmendmentThatIsNotWholeIsRefused() {
-    OrderStory story = new OrderStory("before the first", 9, NODES);
-    story.world.timers.advance(3_000);
-    Order order = OrderStory.amendment(0, 1, "x", null);
+    ConfigChangeScenario story = new ConfigChangeScenario("before the first", 9, NODES);
+    story.cluster.timers.advance(3_000);
+    ChangeRequest order = ConfigChangeScenario.amendment(0, 1, "x", null);
     assertThat(story.repeat(order, SETTLE_MS), is(400));
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/OperatorCallsTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ConfigChangeHandlerTest.java
@@ -19,18 +19,18 @@
 import org.junit.jupiter.api.Test;
 
 /** Replace and Read against the register's contract, its failures and its races. */
-class OperatorCallsTest {
+class ConfigChangeHandlerTest {
   private final Counters figures = new Counters();
   private final ManualTimers timers = new ManualTimers();
   private final FakeRegister register = new FakeRegister(timers);
   private final List<Long> response = new ArrayList<>();
   private final CommittedValue decided =
-      new CommittedValue(register, ConfigOrderHandler.KEY, timers, 300);
-  private final ConfigOrderHandler replace =
-      new ConfigOrderHandler(
+      new CommittedValue(register, ConfigChangeHandler.KEY, timers, 300);
+  private final ConfigChangeHandler replace =
+      new ConfigChangeHandler(
           register,
-          ConfigOrderHandler.Call.REPLACE,
-          OperatorCallsTest::reader,
+          ConfigChangeHandler.ChangeKind.REPLACE,
+          ConfigChangeHandlerTest::reader,
           timers,
           decided,
           response::add,
@@ -38,12 +38,12 @@
   private final ReadConfigHandler read = new ReadConfigHandler(register, decided);
 
   /** "7 anything": the edition is the number in front; "bad" is no configuration. */
-  private static ConfigOrder reader(byte[] bytes) {
+  private static ConfigChange reader(byte[] bytes) {
     String text = new String(bytes, StandardCharsets.UTF_8);
     if (text.startsWith("bad")) {
       throw new ElmsailException(ErrorCode.INVALID_ARGUMENT, "routes[0].depot");
     }
-    return new ConfigOrder.Replacement(Long.parseLong(text.split(" ")[0]), bytes);
+    return new ConfigChange.Replacement(Long.parseLong(text.split(" ")[0]), bytes);
   }
 
   private static SimpleHttpRequest call(String basedOn, String body) {
@@ -129,9 +129,9 @@
   @Test
   void whatWasTakenIsAcknowledgedAlsoWhereItIsNowFoundInvalid() {
     byte[] sent = "bad since a later build".getBytes(StandardCharsets.UTF_8);
-    register.overtakes =
-        ConfigHistory.NONE.followedBy(3, sent, ConfigHistory.digest(0, sent)).value();
-    register.fates.add(FakeRegister.Fate.OVERTAKEN);
+    register.concurrentValue =
+        ConfigHistory.EMPTY.append(3, sent, ConfigHistory.replacementDigest(0, sent)).encode();
+    register.nextOutcomes.add(FakeRegister.Outcome.OVERTAKEN);
     assertThat(put("0", "2 lost"), is(412));
     assertThat(put("0", "bad since a later build"), is(200));
     assertThat(put("0", "bad"), is(412));
@@ -149,33 +149,33 @@
   @Test
   void twoOnTopOfTheSameOneGiveOneWinner() {
     assertThat(put("0", "3 a"), is(200));
-    ConfigHistory current = ConfigHistory.of(register.values.get("timetable").value());
+    ConfigHistory current = ConfigHistory.decode(register.values.get("timetable").value());
     byte[] sent = "4 other".getBytes(StandardCharsets.UTF_8);
-    register.overtakes = current.followedBy(4, sent, ConfigHistory.digest(3, sent)).value();
-    register.fates.add(FakeRegister.Fate.OVERTAKEN);
+    register.concurrentValue = current.append(4, sent, ConfigHistory.replacementDigest(3, sent)).encode();
+    register.nextOutcomes.add(FakeRegister.Outcome.OVERTAKEN);
     assertThat(put("3", "5 mine"), is(412));
     assertThat(readBack(), equalTo("200 4 other"));
   }
 
   @Test
   void anUnclearAnswerIsClearedUpWithinTheSameCall() {
-    register.fates.add(FakeRegister.Fate.UNCLEAR_TAKEN);
+    register.nextOutcomes.add(FakeRegister.Outcome.UNKNOWN_COMMITTED);
     assertThat(put("0", "3 a"), is(200));
-    register.fates.add(FakeRegister.Fate.UNCLEAR_LOST);
+    register.nextOutcomes.add(FakeRegister.Outcome.UNKNOWN_LOST);
     assertThat(put("3", "4 b"), is(200));
     assertThat(readBack(), equalTo("200 4 b"));
   }
 
   @Test
   void anUnclearAnswerThatStaysSoIs504AndTheRepeatIs200() {
-    register.fates.addAll(
+    register.nextOutcomes.addAll(
         List.of(
-            FakeRegister.Fate.UNCLEAR_TAKEN,
-            FakeRegister.Fate.NOT_REACHED,
-            FakeRegister.Fate.NOT_REACHED,
-            FakeRegister.Fate.NOT_REACHED));
+            FakeRegister.Outcome.UNKNOWN_COMMITTED,
+            FakeRegister.Outcome.NOT_REACHED,
+            FakeRegister.Outcome.NOT_REACHED,
+            FakeRegister.Outcome.NOT_REACHED));
     assertThat(put("0", "3 a"), is(504));
-    register.fates.clear();
+    register.nextOutcomes.clear();
     assertThat(put("0", "3 a"), is(200));
     assertThat(readBack(), equalTo("200 3 a"));
   }
@@ -191,23 +191,23 @@
 
   @Test
   void moreThanKeptEditionsAreForgottenOneByOne() {
-    for (int i = 1; i <= ConfigHistory.REMEMBERED + 2; i++) {
+    for (int i = 1; i <= ConfigHistory.MAX_CHANGES + 2; i++) {
       assertThat(put(String.valueOf(i - 1), i + " x"), is(200));
     }
     assertThat("the oldest remembered", put("2", "3 x"), is(200));
     assertThat("another on its base", put("2", "3 y"), is(412));
     assertThat("taken and forgotten", put("1", "2 x"), is(503));
     assertThat("never taken, but nobody can tell", put("1", "2 y"), is(503));
-    ConfigHistory last = ConfigHistory.of(register.values.get("timetable").value());
-    assertThat(last.remembered(), is(ConfigHistory.REMEMBERED));
-    assertThat(last.value().length - last.bytes().length, lessThanOrEqualTo(9_300));
+    ConfigHistory last = ConfigHistory.decode(register.values.get("timetable").value());
+    assertThat(last.changeCount(), is(ConfigHistory.MAX_CHANGES));
+    assertThat(last.encode().length - last.configBytes().length, lessThanOrEqualTo(9_300));
   }
 
   /** The voters say that nothing is newer than what was known; then a change is taken here. */
   @Test
   void aReadThatAChangeOvertakesIsAnsweredWithAConfiguration() {
     assertThat(put("0", "3 a"), is(200));
-    register.answerMs = 50;
+    register.responseDelayMs = 50;
     SimpleHttpRequest call = new SimpleHttpRequest("GET", "/Timetable.Read", Map.of(), Map.of(), new byte[0]);
     CompletableFuture<SimpleHttpResponse> reading = read.handle(call);
     timers.advance(3);
@@ -235,27 +235,27 @@
   @Test
   void readableOnlyWhileReadsSucceed() {
     decided.refresh();
-    assertThat(decided.read(), is(false));
-    assertThat(decided.contact().current(), is(false));
+    assertThat(decided.hasBeenRead(), is(false));
+    assertThat(decided.quorumContact().isCurrent(), is(false));
     timers.advance(10);
-    assertThat(decided.read(), is(true));
+    assertThat(decided.hasBeenRead(), is(true));
     timers.advance(1_000);
-    assertThat(decided.contact().unbrokenMs(), is(1_008L));
+    assertThat(decided.quorumContact().unbrokenMs(), is(1_008L));
     register.unreachable = true;
     timers.advance(2_000);
-    assertThat(decided.contact().current(), is(false));
-    assertThat(decided.contact().unbrokenMs(), is(-1L));
+    assertThat(decided.quorumContact().isCurrent(), is(false));
+    assertThat(decided.quorumContact().unbrokenMs(), is(-1L));
   }
 
   @Test
   void aReadThatWasAnsweredLateProvesNoContact() {
-    register.readMs = QuorumContact.BOUND_MS + 1;
+    register.readMs = QuorumContact.MAX_AGE_MS + 1;
     decided.refresh();
-    timers.advance(QuorumContact.BOUND_MS + 1);
-    assertThat(decided.read(), is(true));
-    assertThat(decided.contact().current(), is(false));
+    timers.advance(QuorumContact.MAX_AGE_MS + 1);
+    assertThat(decided.hasBeenRead(), is(true));
+    assertThat(decided.quorumContact().isCurrent(), is(false));
     register.readMs = 2;
-    timers.advance(QuorumContact.BOUND_MS + 500);
-    assertThat(decided.contact().current(), is(true));
+    timers.advance(QuorumContact.MAX_AGE_MS + 500);
+    assertThat(decided.quorumContact().isCurrent(), is(true));
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/ConfigStoryTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ConfigFaultScenarioTest.java
@@ -24,14 +24,14 @@
  * lose their power or a disk. What was acknowledged is never lost, no two are on top of the same
  * one, and no gateway ever sees one that isn't there in the end.
  */
-class ConfigStoryTest {
+class ConfigFaultScenarioTest {
   private static final int STORIES = 12;
 
   /** One call of an operator. */
   private record Sent(long basedOn, long edition, CompletableFuture<SimpleHttpResponse> reply) {}
 
-  private World world;
-  private Random chance;
+  private SimulatedCluster cluster;
+  private Random random;
   private final List<Sent> open = new ArrayList<>();
 
   /** What each acknowledged edition was based on. */
@@ -62,8 +62,8 @@
   }
 
   private void play(int seed) {
-    world = new World(seed, 3);
-    chance = new Random(seed);
+    cluster = new SimulatedCluster(seed, 3);
+    random = new Random(seed);
     open.clear();
     acknowledged.clear();
     refusedOnce.clear();
@@ -73,26 +73,26 @@
     bases.clear();
     numbers = 0;
     current = 0;
-    world.net.delay(1, 15);
+    cluster.net.delay(1, 15);
     for (int i = 1; i <= 3; i++) {
-      world.controlPlane("n" + i, true);
-      world.timers.advance(chance.nextInt(150));
+      cluster.controlPlane("n" + i, true);
+      cluster.timers.advance(random.nextInt(150));
     }
-    world.gateway("c1");
-    world.gateway("c2");
+    cluster.gateway("c1");
+    cluster.gateway("c2");
     String trouble = null;
     long troubleEnds = 0;
     for (int step = 0; step < 800; step++) {
-      world.timers.advance(1 + chance.nextInt(60));
-      if (trouble == null && chance.nextInt(80) == 0) {
-        trouble = "n" + (1 + chance.nextInt(3));
+      cluster.timers.advance(1 + random.nextInt(60));
+      if (trouble == null && random.nextInt(80) == 0) {
+        trouble = "n" + (1 + random.nextInt(3));
         begin(trouble);
-        troubleEnds = world.timers.now() + 200 + chance.nextInt(4_000);
-      } else if (trouble != null && world.timers.now() >= troubleEnds) {
+        troubleEnds = cluster.timers.now() + 200 + random.nextInt(4_000);
+      } else if (trouble != null && cluster.timers.now() >= troubleEnds) {
         end(trouble);
         trouble = null;
       }
-      if (open.size() < 2 && chance.nextInt(16) == 0) {
+      if (open.size() < 2 && random.nextInt(16) == 0) {
         send();
       }
       hear(seed);
@@ -101,7 +101,7 @@
     if (trouble != null) {
       end(trouble);
     }
-    world.timers.advance(6_000);
+    cluster.timers.advance(6_000);
     hear(seed);
     look(seed);
     finish(seed);
@@ -110,49 +110,49 @@
   private int fault;
 
   private void begin(String name) {
-    fault = chance.nextInt(5);
+    fault = random.nextInt(5);
     switch (fault) {
-      case 0 -> world.kill(name);
+      case 0 -> cluster.kill(name);
       case 1 -> {
-        world.net.kill(world.address(name), false);
-        world.disks.get(name).powerLoss();
+        cluster.net.kill(cluster.address(name), false);
+        cluster.disks.get(name).powerLoss();
       }
-      case 2 -> world.wipe(name);
-      case 3 -> world.net.freeze(world.address(name));
-      default -> world.net.isolate(world.address(name));
+      case 2 -> cluster.wipe(name);
+      case 3 -> cluster.net.freeze(cluster.address(name));
+      default -> cluster.net.isolate(cluster.address(name));
     }
   }
 
   private void end(String name) {
     if (fault <= 2) {
-      world.controlPlane(name, false);
+      cluster.controlPlane(name, false);
       // A disk is lost one at a time: the next only once this one has all copied.
-      world.until(fault == 2 ? 8_000 : 0, () -> world.read(name).startsWith("{"));
+      cluster.awaitWithin(fault == 2 ? 8_000 : 0, () -> cluster.read(name).startsWith("{"));
     } else if (fault == 3) {
-      world.net.thaw(world.address(name));
+      cluster.net.thaw(cluster.address(name));
     } else {
-      world.net.healAll();
+      cluster.net.healAll();
     }
   }
 
   private void send() {
-    String to = "n" + (1 + chance.nextInt(3));
-    if (world.net.nodeAt(world.address(to)) == null
-        || !world.net.nodeAt(world.address(to)).isAlive()
-        || world.net.nodeAt(world.address(to)).isFrozen()) {
+    String to = "n" + (1 + random.nextInt(3));
+    if (cluster.net.nodeAt(cluster.address(to)) == null
+        || !cluster.net.nodeAt(cluster.address(to)).isAlive()
+        || cluster.net.nodeAt(cluster.address(to)).isFrozen()) {
       return;
     }
-    numbers += 1 + chance.nextInt(3);
+    numbers += 1 + random.nextInt(3);
     bases.put(numbers, current);
-    open.add(new Sent(current, numbers, world.sent(to, String.valueOf(current), numbers)));
-    if (chance.nextBoolean()) {
-      String other = "n" + (1 + chance.nextInt(3));
-      if (world.net.nodeAt(world.address(other)) != null
-          && !world.net.nodeAt(world.address(other)).isFrozen()
-          && world.net.nodeAt(world.address(other)).isAlive()) {
-        numbers += 1 + chance.nextInt(3);
+    open.add(new Sent(current, numbers, cluster.sendReplace(to, String.valueOf(current), numbers)));
+    if (random.nextBoolean()) {
+      String other = "n" + (1 + random.nextInt(3));
+      if (cluster.net.nodeAt(cluster.address(other)) != null
+          && !cluster.net.nodeAt(cluster.address(other)).isFrozen()
+          && cluster.net.nodeAt(cluster.address(other)).isAlive()) {
+        numbers += 1 + random.nextInt(3);
         bases.put(numbers, current);
-        open.add(new Sent(current, numbers, world.sent(other, String.valueOf(current), numbers)));
+        open.add(new Sent(current, numbers, cluster.sendReplace(other, String.valueOf(current), numbers)));
       }
     }
   }
@@ -160,7 +160,7 @@
   private void hear(int seed) {
     List<Sent> done = new ArrayList<>();
     for (Sent sent : open) {
-      if (sent.reply().isDone() || world.timers.now() % 7 == 0 && chance.nextInt(40) == 0) {
+      if (sent.reply().isDone() || cluster.timers.now() % 7 == 0 && random.nextInt(40) == 0) {
         done.add(sent);
       }
     }
@@ -203,7 +203,7 @@
 
   /** The operator takes what a gateway has as current, as an unclear one may have been taken. */
   private void refresh() {
-    for (ConfigWatcher gateway : world.gateways.values()) {
+    for (ConfigWatcher gateway : cluster.gateways.values()) {
       if (gateway.config() != null) {
         current = Math.max(current, gateway.config().edition());
       }
@@ -211,7 +211,7 @@
   }
 
   private void look(int seed) {
-    for (Map.Entry<String, ConfigWatcher> gateway : world.gateways.entrySet()) {
+    for (Map.Entry<String, ConfigWatcher> gateway : cluster.gateways.entrySet()) {
       if (gateway.getValue().config() != null) {
         long edition = gateway.getValue().config().edition();
         assertThat(
@@ -226,23 +226,23 @@
     String[] read = {""};
     assertThat(
         "seed " + seed,
-        world.until(
+        cluster.awaitWithin(
             5_000,
             () -> {
-              read[0] = world.read("n" + (1 + chance.nextInt(3)));
+              read[0] = cluster.read("n" + (1 + random.nextInt(3)));
               return read[0].startsWith("{");
             }),
         is(true));
     byte[] value = null;
-    for (ControlPlaneNode office : world.offices.values()) {
-      ConfigHistory editions = ConfigHistory.of(office.committedConfig());
-      if (World.config(editions.edition()).equals(read[0])) {
-        value = office.committedConfig();
+    for (ControlPlaneNode controlPlaneNode : cluster.controlPlaneNodes.values()) {
+      ConfigHistory editions = ConfigHistory.decode(controlPlaneNode.committedConfigBytes());
+      if (SimulatedCluster.config(editions.version()).equals(read[0])) {
+        value = controlPlaneNode.committedConfigBytes();
       }
     }
-    ConfigHistory last = ConfigHistory.of(value);
-    assertThat("seed " + seed, read[0], is(World.config(last.edition())));
-    assertThat("all are kept", last.remembered() < ConfigHistory.REMEMBERED, is(true));
+    ConfigHistory last = ConfigHistory.decode(value);
+    assertThat("seed " + seed, read[0], is(SimulatedCluster.config(last.version())));
+    assertThat("all are kept", last.changeCount() < ConfigHistory.MAX_CHANGES, is(true));
     for (long edition : acknowledged.keySet()) {
       assertThat("seed " + seed + ": lost " + edition, has(last, edition), is(true));
     }
@@ -256,8 +256,8 @@
   }
 
   private boolean has(ConfigHistory last, long edition) {
-    byte[] sent = World.config(edition).getBytes(StandardCharsets.UTF_8);
+    byte[] sent = SimulatedCluster.config(edition).getBytes(StandardCharsets.UTF_8);
     long base = bases.get(edition);
-    return last.standing(base, ConfigHistory.digest(base, sent)) == OrderStanding.TAKEN;
+    return last.statusOf(base, ConfigHistory.replacementDigest(base, sent)) == ConfigChangeStatus.COMMITTED;
   }
 }
