--- a/controlplane/src/test/java/elmsail/controlplane/ConfigHistoryTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ConfigHistoryTest.java
@@ -32,91 +32,91 @@
     }
 
     byte[] digest() {
-      return ConfigHistory.digest(base, bytes());
+      return ConfigHistory.replacementDigest(base, bytes());
     }
   }
 
   private static ConfigHistory followed(ConfigHistory last, long number, Order order) {
-    return ConfigHistory.of(last.followedBy(number, order.bytes(), order.digest()).value());
+    return ConfigHistory.decode(last.append(number, order.bytes(), order.digest()).encode());
   }
 
   @Test
   void nothingIsCertainThatALongerMemoryWouldDeny() {
-    Map<OrderStanding, Integer> counts = new EnumMap<>(OrderStanding.class);
+    Map<ConfigChangeStatus, Integer> counts = new EnumMap<>(ConfigChangeStatus.class);
     for (int seed = 1; seed <= CHAINS; seed++) {
       chain(seed, counts);
     }
     System.out.println("standings of orders over " + CHAINS + " chains: " + counts);
-    for (OrderStanding each : OrderStanding.values()) {
+    for (ConfigChangeStatus each : ConfigChangeStatus.values()) {
       assertThat(each.name(), counts.getOrDefault(each, 0), greaterThan(100));
     }
   }
 
-  private static void chain(int seed, Map<OrderStanding, Integer> counts) {
-    Random chance = new Random(seed);
+  private static void chain(int seed, Map<ConfigChangeStatus, Integer> counts) {
+    Random random = new Random(seed);
     // All orders taken, by base; never forgotten.
     TreeMap<Long, Order> taken = new TreeMap<>();
     List<Long> numbers = new ArrayList<>(List.of(0L));
-    ConfigHistory last = ConfigHistory.NONE;
+    ConfigHistory last = ConfigHistory.EMPTY;
     for (int i = 0; i < CHANGES; i++) {
       for (int q = 0; q < QUESTIONS_EACH; q++) {
-        Order asked = any(chance, numbers, taken);
-        OrderStanding standing = last.standing(asked.base, asked.digest());
+        Order asked = any(random, numbers, taken);
+        ConfigChangeStatus standing = last.statusOf(asked.base, asked.digest());
         counts.merge(standing, 1, Integer::sum);
         assertThat(
             "seed " + seed + " change " + i + " order " + asked,
             standing,
-            is(expected(asked, last.edition(), taken, numbers)));
+            is(expected(asked, last.version(), taken, numbers)));
       }
-      Order next = new Order(last.edition(), "body " + i);
+      Order next = new Order(last.version(), "body " + i);
       taken.put(next.base, next);
-      last = followed(last, last.edition() + step(chance), next);
-      numbers.add(last.edition());
-      assertThat(last.remembered(), is(Math.min(i + 1, ConfigHistory.REMEMBERED)));
+      last = followed(last, last.version() + step(random), next);
+      numbers.add(last.version());
+      assertThat(last.changeCount(), is(Math.min(i + 1, ConfigHistory.MAX_CHANGES)));
     }
   }
 
   /** Mostly steps of one byte, at times as large as a number can be. */
-  private static long step(Random chance) {
-    return chance.nextInt(50) == 0 ? 1 + chance.nextLong(1L << 50) : 1 + chance.nextInt(9);
+  private static long step(Random random) {
+    return random.nextInt(50) == 0 ? 1 + random.nextLong(1L << 50) : 1 + random.nextInt(9);
   }
 
-  private static Order any(Random chance, List<Long> numbers, TreeMap<Long, Order> taken) {
-    long base = numbers.get(chance.nextInt(numbers.size()));
-    int kind = chance.nextInt(10);
+  private static Order any(Random random, List<Long> numbers, TreeMap<Long, Order> taken) {
+    long base = numbers.get(random.nextInt(numbers.size()));
+    int kind = random.nextInt(10);
     if (kind == 0) {
-      base = numbers.get(numbers.size() - 1) + 1 + chance.nextInt(9);
+      base = numbers.get(numbers.size() - 1) + 1 + random.nextInt(9);
     } else if (kind == 1) {
       base++;
     } else if (kind == 2) {
       base = numbers.get(numbers.size() - 1);
     }
     Order there = taken.get(base);
-    return there != null && chance.nextBoolean() ? there : new Order(base, "lost " + base);
+    return there != null && random.nextBoolean() ? there : new Order(base, "lost " + base);
   }
 
-  private static OrderStanding expected(
+  private static ConfigChangeStatus expected(
       Order asked, long edition, TreeMap<Long, Order> taken, List<Long> numbers) {
-    int oldest = Math.max(0, taken.size() - ConfigHistory.REMEMBERED);
+    int oldest = Math.max(0, taken.size() - ConfigHistory.MAX_CHANGES);
     if (asked.base == edition) {
-      return OrderStanding.NEXT;
+      return ConfigChangeStatus.APPLICABLE;
     }
     if (asked.base > edition) {
-      return OrderStanding.AHEAD;
+      return ConfigChangeStatus.BASE_NOT_COMMITTED;
     }
     if (asked.base < numbers.get(oldest)) {
-      return OrderStanding.FORGOTTEN;
+      return ConfigChangeStatus.BASE_FORGOTTEN;
     }
-    return asked.equals(taken.get(asked.base)) ? OrderStanding.TAKEN : OrderStanding.SUPERSEDED;
+    return asked.equals(taken.get(asked.base)) ? ConfigChangeStatus.COMMITTED : ConfigChangeStatus.SUPERSEDED;
   }
 
   @Test
   void remembersInFewBytes() {
-    ConfigHistory last = ConfigHistory.NONE;
-    int[] sizes = new int[ConfigHistory.REMEMBERED * 2 + 1];
+    ConfigHistory last = ConfigHistory.EMPTY;
+    int[] sizes = new int[ConfigHistory.MAX_CHANGES * 2 + 1];
     for (int i = 1; i < sizes.length; i++) {
-      last = followed(last, last.edition() + 2, new Order(last.edition(), "b"));
-      sizes[i] = last.value().length - last.bytes().length;
+      last = followed(last, last.version() + 2, new Order(last.version(), "b"));
+      sizes[i] = last.encode().length - last.configBytes().length;
     }
     System.out.printf(
         "bytes of history after 1, 64, 300, 1,024 and 2,048 changes: %d, %d, %d, %d, %d%n",
@@ -130,21 +130,21 @@
     byte[] body = "{}".getBytes(StandardCharsets.UTF_8);
     ByteBuffer old = ByteBuffer.allocate(8 + 4 + 2 * 24 + body.length);
     old.putLong(7).putInt(2).putLong(5).put(new byte[16]).putLong(7).put(new byte[16]).put(body);
-    ConfigHistory read = ConfigHistory.of(old.array());
-    assertThat(read.edition(), is(7L));
-    assertThat(read.bytes(), equalTo(body));
-    assertThat(read.standing(5, new byte[8]), is(OrderStanding.FORGOTTEN));
-    assertThat(read.standing(7, new byte[8]), is(OrderStanding.NEXT));
+    ConfigHistory read = ConfigHistory.decode(old.array());
+    assertThat(read.version(), is(7L));
+    assertThat(read.configBytes(), equalTo(body));
+    assertThat(read.statusOf(5, new byte[8]), is(ConfigChangeStatus.BASE_FORGOTTEN));
+    assertThat(read.statusOf(7, new byte[8]), is(ConfigChangeStatus.APPLICABLE));
     Order next = new Order(7, "next");
     ConfigHistory after = followed(read, 9, next);
-    assertThat(after.standing(7, next.digest()), is(OrderStanding.TAKEN));
-    assertThat(after.standing(5, next.digest()), is(OrderStanding.FORGOTTEN));
+    assertThat(after.statusOf(7, next.digest()), is(ConfigChangeStatus.COMMITTED));
+    assertThat(after.statusOf(5, next.digest()), is(ConfigChangeStatus.BASE_FORGOTTEN));
   }
 
   @Test
   void aDamagedValueIsATypedError() {
     Order first = new Order(0, "a");
-    byte[] good = followed(ConfigHistory.NONE, 300, first).value();
+    byte[] good = followed(ConfigHistory.EMPTY, 300, first).encode();
     int history = good.length - first.bytes().length;
     List<byte[]> damaged = new ArrayList<>();
     for (int length = 0; length < history; length++) {
@@ -154,14 +154,14 @@
     unknownFormat[0] = 3;
     damaged.add(unknownFormat);
     byte[] tooMany = good.clone();
-    ByteBuffer.wrap(tooMany).putInt(9, ConfigHistory.REMEMBERED + 1);
+    ByteBuffer.wrap(tooMany).putInt(9, ConfigHistory.MAX_CHANGES + 1);
     damaged.add(tooMany);
     byte[] otherEnd = good.clone();
     ByteBuffer.wrap(otherEnd).putLong(1, 301);
     damaged.add(otherEnd);
     for (byte[] each : damaged) {
       ElmsailException thrown =
-          assertThrows(ElmsailException.class, () -> ConfigHistory.of(each), Arrays.toString(each));
+          assertThrows(ElmsailException.class, () -> ConfigHistory.decode(each), Arrays.toString(each));
       assertThat(thrown.code(), is(ErrorCode.MALFORMED));
     }
   }
--- a/controlplane/src/test/java/elmsail/controlplane/ReadWatch.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ConfigReadChecker.java
@@ -19,53 +19,53 @@
  * Reads the configuration at nodes, whatever state they are in. Each answer is a configuration that
  * is no older than the newest that was acknowledged when the read was sent, or a 5xx.
  */
-final class ReadWatch {
+final class ConfigReadChecker {
   private static final Pattern EDITION = Pattern.compile("\"edition\":(\\d+)");
-  private static final int MOST_OPEN = 4_000;
+  private static final int MAX_PENDING = 4_000;
 
   private record Read(String node, long sentAt, long least, CompletableFuture<SimpleHttpResponse> reply) {}
 
   private final String name;
-  private final OrderStory orders;
+  private final ConfigChangeScenario orders;
   private final List<Read> open = new ArrayList<>();
-  private int answers;
-  private int unsure;
+  private int configsRead;
+  private int unavailable;
 
-  ReadWatch(String name, OrderStory orders) {
+  ConfigReadChecker(String name, ConfigChangeScenario orders) {
     this.name = name;
     this.orders = orders;
   }
 
   /** Answers that held a configuration. */
-  int answers() {
-    return answers;
+  int configsRead() {
+    return configsRead;
   }
 
   /** Answers of 5xx. */
-  int unsure() {
-    return unsure;
+  int unavailable() {
+    return unavailable;
   }
 
   private long newest() {
     long newest = 0;
-    for (OrderStory.Order order : orders.confirmed) {
+    for (ConfigChangeScenario.ChangeRequest order : orders.committed) {
       newest = Math.max(newest, order.number());
     }
     return newest;
   }
 
   /** Sends a read to that node, if it runs; a frozen one finds it when it is thawed. */
-  void ask(String name) {
-    World world = orders.world;
-    ControlPlaneNode office = world.offices.get(name);
-    SimNode node = world.net.nodeAt(world.address(name));
-    if (office == null || node == null || open.size() >= MOST_OPEN) {
+  void read(String name) {
+    SimulatedCluster cluster = orders.cluster;
+    ControlPlaneNode controlPlaneNode = cluster.controlPlaneNodes.get(name);
+    SimNode node = cluster.net.nodeAt(cluster.address(name));
+    if (controlPlaneNode == null || node == null || open.size() >= MAX_PENDING) {
       return;
     }
     CompletableFuture<SimpleHttpResponse> reply = new CompletableFuture<>();
-    open.add(new Read(name, world.timers.now(), newest(), reply));
+    open.add(new Read(name, cluster.timers.now(), newest(), reply));
     SimpleHttpRequest call = new SimpleHttpRequest("GET", "/Timetable.Read", Map.of(), Map.of(), new byte[0]);
-    node.timers().execute(() -> office.operators().handle(call).thenAccept(reply::complete));
+    node.timers().execute(() -> controlPlaneNode.operatorApi().handle(call).thenAccept(reply::complete));
   }
 
   /** Checks what has been answered. */
@@ -78,7 +78,7 @@
       String about = name + ": " + read.node + " asked at " + read.sentAt;
       int status = read.reply.join().status();
       if (status >= 500) {
-        unsure++;
+        unavailable++;
         continue;
       }
       if (read.least == 0 && status == 404) {
@@ -89,7 +89,7 @@
       Matcher edition = EDITION.matcher(body);
       assertThat(about, edition.find(), is(true));
       assertThat(about, Long.parseLong(edition.group(1)), greaterThanOrEqualTo(read.least));
-      answers++;
+      configsRead++;
     }
   }
 }
--- /dev/null
+++ b/controlplane/src/test/java/elmsail/controlplane/ControlPlaneBootstrapTest.java
@@ -0,0 +1,190 @@
+package elmsail.controlplane;
+
+import static org.hamcrest.MatcherAssert.assertThat;
+import static org.hamcrest.Matchers.equalTo;
+import static org.hamcrest.Matchers.hasSize;
+import static org.hamcrest.Matchers.is;
+import static org.hamcrest.Matchers.lessThan;
+import static org.hamcrest.Matchers.not;
+
+import elmsail.rpc.messages.Voter;
+import elmsail.rpc.messages.VoterSet;
+import java.util.HashSet;
+import java.util.Map;
+import java.util.Random;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.TreeSet;
+import org.junit.jupiter.api.Test;
+
+/** The founding of the set "head" on simulated links and disks. */
+class ControlPlaneBootstrapTest {
+  private static final int HISTORIES = 300;
+
+  /** A history in which a seed may end is given so long; it isn't bound to the usual time. */
+  private static final long LONGEST_MS = 8_000;
+
+  private static TreeSet<String> voters(SimulatedCluster cluster, String name) {
+    TreeSet<String> stations = new TreeSet<>();
+    for (Voter voter : cluster.controlPlaneVoters(name).voters) {
+      stations.add(voter.machine);
+    }
+    return stations;
+  }
+
+  private static boolean knownByAll(SimulatedCluster cluster, int size) {
+    Set<Set<String>> all = new HashSet<>();
+    for (String name : cluster.controlPlaneNodes.keySet()) {
+      all.add(voters(cluster, name));
+    }
+    return all.size() == 1 && all.iterator().next().size() == size;
+  }
+
+  private static void sixNodes(SimulatedCluster cluster, Random random) {
+    for (int i = 1; i <= 6; i++) {
+      cluster.controlPlane("n" + i, true);
+      cluster.timers.advance(random.nextInt(50));
+    }
+  }
+
+  @Test
+  void fiveVotersForTwoLossesWithinTwoSecondsAlsoOnASlowDisk() {
+    SimulatedCluster cluster = new SimulatedCluster(3, 3, 2);
+    cluster.syncMs = 5;
+    sixNodes(cluster, new Random(3));
+    assertThat(cluster.awaitWithin(2_000, () -> knownByAll(cluster, 5)), is(true));
+    assertThat(cluster.replaceAnywhere(0, 3), is(200));
+    assertThat(cluster.timers.now(), lessThan(2_500L));
+  }
+
+  /** Killed by power, wiped, or one of both: what was acknowledged is there. */
+  @Test
+  void whatWasAcknowledgedOutlivesTwoLossesAtOnce() {
+    for (int kind = 0; kind < 3; kind++) {
+      SimulatedCluster cluster = new SimulatedCluster(kind, 3, 2);
+      sixNodes(cluster, new Random(kind));
+      assertThat(cluster.awaitWithin(2_000, () -> knownByAll(cluster, 5)), is(true));
+      assertThat(cluster.replaceAnywhere(0, 3), is(200));
+      for (int i = 0; i < 2; i++) {
+        String name = "n" + (1 + i);
+        if (kind == 0 || kind == 2 && i == 0) {
+          cluster.net.kill(cluster.address(name), false);
+          cluster.disks.get(name).powerLoss();
+        } else {
+          cluster.wipe(name);
+        }
+      }
+      assertThat(cluster.awaitWithin(3_000, () -> cluster.read("n3").equals(SimulatedCluster.config(3))), is(true));
+      assertThat("kind " + kind, cluster.replace("n4", 3, 7), is(200));
+      cluster.controlPlane("n1", false);
+      cluster.controlPlane("n2", false);
+      assertThat(cluster.awaitWithin(4_800, () -> cluster.allControlPlaneVotersVote("n3")), is(true));
+      cluster.kill("n3");
+      cluster.kill("n4");
+      assertThat(cluster.awaitWithin(4_000, () -> cluster.read("n5").equals(SimulatedCluster.config(7))), is(true));
+    }
+  }
+
+  @Test
+  void seedsWithoutADiskFoundAmongThoseThatHaveOne() {
+    SimulatedCluster cluster = new SimulatedCluster(5, 3, 1);
+    for (int i = 1; i <= 6; i++) {
+      cluster.controlPlane("n" + i, true, i > 3);
+    }
+    assertThat(cluster.awaitWithin(2_000, () -> knownByAll(cluster, 3)), is(true));
+    assertThat(voters(cluster, "n1"), equalTo(new TreeSet<>(Set.of("n4", "n5", "n6"))));
+    assertThat(cluster.status(cluster.sendReplace("n4", "0", 3)), is(200));
+  }
+
+  @Test
+  void fewerThanWantedAreAnOddNumberAfterAWhile() {
+    SimulatedCluster cluster = new SimulatedCluster(6, 3, 2);
+    for (int i = 1; i <= 4; i++) {
+      cluster.controlPlane("n" + i, true);
+    }
+    cluster.timers.advance(2_500);
+    assertThat(voters(cluster, "n1"), hasSize(0));
+    assertThat(cluster.awaitWithin(2_000, () -> knownByAll(cluster, 3)), is(true));
+  }
+
+  @Test
+  void oneThatWasNotThereAtTheFirstStartFoundsNothing() {
+    SimulatedCluster cluster = new SimulatedCluster(7, 3, 2);
+    for (int i = 1; i <= 6; i++) {
+      cluster.controlPlane("n" + i, false);
+    }
+    cluster.timers.advance(10_000);
+    assertThat(voters(cluster, "n1"), hasSize(0));
+  }
+
+  /** Losses, delays, and a seed that ends at any moment, with its disk or without. */
+  @Test
+  void foundedOnceWhateverHappens() {
+    int founded = 0;
+    int ended = 0;
+    for (int seed = 1; seed <= HISTORIES; seed++) {
+      Random random = new Random(seed);
+      SimulatedCluster cluster = new SimulatedCluster(seed, 3, 2);
+      cluster.net.delay(1, 1 + random.nextInt(120));
+      cluster.net.loss(random.nextInt(3) * 0.15);
+      boolean diskless = random.nextInt(3) == 0;
+      for (int i = 1; i <= 7; i++) {
+        cluster.controlPlane("n" + i, true, !(diskless && i <= 2));
+        cluster.timers.advance(random.nextInt(50));
+      }
+      boolean ends = random.nextBoolean();
+      long endsAt = cluster.timers.now() + random.nextInt(900);
+      Map<Integer, Set<Long>> seen = new TreeMap<>();
+      Set<Integer> sizes = new HashSet<>();
+      String victim = "n" + (1 + random.nextInt(3));
+      boolean disk = !(diskless && !victim.equals("n3"));
+      long restartsAt = endsAt + 300 + random.nextInt(1_000);
+      long end = cluster.timers.now() + LONGEST_MS;
+      boolean wiped = disk && random.nextBoolean();
+      while (cluster.timers.now() < end) {
+        cluster.timers.advance(5);
+        if (ends && endsAt <= cluster.timers.now()) {
+          endsAt = Long.MAX_VALUE;
+          ended++;
+          if (wiped) {
+            cluster.wipe(victim);
+          } else {
+            cluster.kill(victim);
+          }
+          cluster.controlPlaneNodes.remove(victim);
+        }
+        if (ends && endsAt == Long.MAX_VALUE && restartsAt <= cluster.timers.now()) {
+          restartsAt = Long.MAX_VALUE;
+          cluster.controlPlane(victim, false, disk);
+        }
+        for (String name : cluster.controlPlaneNodes.keySet()) {
+          noteFounding(cluster.controlPlaneVoters(name), seen, sizes);
+        }
+      }
+      assertThat("seed " + seed + ": " + sizes, sizes.size() < 2, is(true));
+      for (Set<Long> holders : seen.values()) {
+        assertThat("seed " + seed + ": " + seen, holders, hasSize(1));
+      }
+      founded += sizes.size();
+    }
+    System.out.printf(
+        "%d foundings under loss and delay: %d founded, %d with a seed that ended%n",
+        HISTORIES, founded, ended);
+    assertThat(ended, is(not(0)));
+    assertThat(founded, is(HISTORIES));
+  }
+
+  /** Who was founded in each slot, where that can be told: by its epoch 1, or from its epoch 2. */
+  private static void noteFounding(
+      VoterSet head, Map<Integer, Set<Long>> founded, Set<Integer> sizes) {
+    for (int i = 0; i < head.voters.size(); i++) {
+      Voter voter = head.voters.get(i);
+      long first =
+          voter.epoch == 1 ? voter.instanceId : voter.epoch == 2 ? voter.previousInstanceId : 0;
+      if (first != 0) {
+        founded.computeIfAbsent(i, slot -> new HashSet<>()).add(first);
+      }
+      sizes.add(head.voters.size());
+    }
+  }
+}
--- a/controlplane/src/test/java/elmsail/controlplane/ControlPlaneFiguresTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ControlPlaneCountersTest.java
@@ -6,18 +6,18 @@
 import elmsail.runtime.Counters;
 import org.junit.jupiter.api.Test;
 
-class ControlPlaneFiguresTest {
+class ControlPlaneCountersTest {
   private final Counters counters = new Counters();
   private final ControlPlaneCounters own = new ControlPlaneCounters(counters);
 
   @Test
   void tellsHowOrdersEnded() {
-    own.orderEnded(200);
+    own.countChange(200);
     for (int status : new int[] {400, 412, 503}) {
-      own.orderEnded(status);
+      own.countChange(status);
     }
-    own.orderEnded(504);
-    own.orderEnded(504);
+    own.countChange(504);
+    own.countChange(504);
     assertThat(counters.counter("control_orders_acknowledged").value(), is(1L));
     assertThat(counters.counter("control_orders_refused").value(), is(3L));
     assertThat(counters.counter("control_orders_unclear").value(), is(2L));
--- a/controlplane/src/test/java/elmsail/controlplane/ControlPlaneTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ControlPlaneTest.java
@@ -95,18 +95,18 @@
 
   private static void running(Settings settings, Calls calls) throws Exception {
     NettyEventLoop loop = new NettyEventLoop();
-    RpcEndpoint links = new RpcEndpoint(loop.eventLoop(), loop, settings.rpcAddress());
+    RpcEndpoint rpc = new RpcEndpoint(loop.eventLoop(), loop, settings.rpcAddress());
     DirectoryRecordStore records =
         DirectoryRecordStore.open(Path.of(settings.dataDir()), 64 << 20, loop::execute);
     CompletableFuture<ControlPlane> started = new CompletableFuture<>();
     loop.execute(
         () ->
-            links
+            rpc
                 .listen()
                 .thenCompose(
                     none ->
-                        ControlPlane.startHeadOffice(
-                            settings, loop, links, records, ProcessMetrics.strict()))
+                        ControlPlane.startControlPlaneNode(
+                            settings, loop, rpc, records, ProcessMetrics.strict()))
                 .whenComplete(
                     (controlPlane, failed) -> {
                       if (failed == null) {
@@ -119,10 +119,10 @@
       ControlPlane controlPlane = started.get(10, TimeUnit.SECONDS);
       calls.to(settings.listenAddresses().get("control"));
       CompletableFuture<Void> ended = new CompletableFuture<>();
-      loop.execute(() -> controlPlane.end().thenRun(() -> ended.complete(null)));
+      loop.execute(() -> controlPlane.shutdown().thenRun(() -> ended.complete(null)));
       ended.get(1, TimeUnit.SECONDS);
     } finally {
-      loop.execute(links::close);
+      loop.execute(rpc::close);
       records.close();
       loop.shutdown().get(5, TimeUnit.SECONDS);
     }
@@ -139,12 +139,12 @@
           assertThat(call(control, "GET", "/Nothing", null), equalTo("404"));
           // The voter slot is founded within some hundred ms; each call waits for it for up to 0.9
           // s.
-          String taken = call(control, "POST", "/Timetable.Replace", World.config(4));
+          String taken = call(control, "POST", "/Timetable.Replace", SimulatedCluster.config(4));
           for (int i = 0; i < 5 && !taken.equals("{}"); i++) {
-            taken = call(control, "POST", "/Timetable.Replace", World.config(4));
+            taken = call(control, "POST", "/Timetable.Replace", SimulatedCluster.config(4));
           }
           assertThat(taken, is("{}"));
-          assertThat(call(control, "GET", "/Timetable.Read", null), equalTo(World.config(4)));
+          assertThat(call(control, "GET", "/Timetable.Read", null), equalTo(SimulatedCluster.config(4)));
           String figures = call(control, "GET", "/metrics", null);
           assertThat(figures, containsString("elmsail_control_orders_acknowledged 1\n"));
           assertThat(figures, containsString("elmsail_replica_voting 1\n"));
@@ -153,8 +153,8 @@
     running(
         settings(dir, false, controlPort, inner),
         control -> {
-          assertThat(call(control, "GET", "/Timetable.Read", null), equalTo(World.config(4)));
-          assertThat(call(control, "POST", "/Timetable.Replace", World.config(4)), is("{}"));
+          assertThat(call(control, "GET", "/Timetable.Read", null), equalTo(SimulatedCluster.config(4)));
+          assertThat(call(control, "POST", "/Timetable.Replace", SimulatedCluster.config(4)), is("{}"));
         });
   }
 
@@ -163,14 +163,14 @@
   void aStoreTellsItsFiguresAtItsThirdInnerPort() throws Exception {
     Settings settings = settings(dir, true, freePort(), portBeforeFreeOne());
     NettyEventLoop loop = new NettyEventLoop();
-    RpcEndpoint links = new RpcEndpoint(loop.eventLoop(), loop, "127.0.0.1:0");
+    RpcEndpoint rpc = new RpcEndpoint(loop.eventLoop(), loop, "127.0.0.1:0");
     DirectoryRecordStore records =
         DirectoryRecordStore.open(Path.of(settings.dataDir()), 64 << 20, loop::execute);
     CompletableFuture<ControlPlane> started = new CompletableFuture<>();
     loop.execute(
         () -> {
           ControlPlane store =
-              ControlPlane.startVault(settings, loop, links, records, ProcessMetrics.strict());
+              ControlPlane.startStore(settings, loop, rpc, records, ProcessMetrics.strict());
           // The address is bound behind what the loop is doing now.
           loop.execute(() -> loop.execute(() -> started.complete(store)));
         });
@@ -181,10 +181,10 @@
       assertThat(figures, containsString("elmsail_store_batch_jobs_kept 0\n"));
       assertThat(call(settings.metricsAddress(), "GET", "/ready", null), equalTo("404"));
       CompletableFuture<Void> ended = new CompletableFuture<>();
-      loop.execute(() -> store.end().thenRun(() -> ended.complete(null)));
+      loop.execute(() -> store.shutdown().thenRun(() -> ended.complete(null)));
       ended.get(1, TimeUnit.SECONDS);
     } finally {
-      loop.execute(links::close);
+      loop.execute(rpc::close);
       records.close();
       loop.shutdown().get(5, TimeUnit.SECONDS);
     }
--- /dev/null
+++ b/controlplane/src/test/java/elmsail/controlplane/ControlPlaneVoterReplacementTest.java
@@ -0,0 +1,165 @@
+package elmsail.controlplane;
+
+import static org.hamcrest.MatcherAssert.assertThat;
+import static org.hamcrest.Matchers.equalTo;
+import static org.hamcrest.Matchers.greaterThan;
+import static org.hamcrest.Matchers.is;
+import static org.hamcrest.Matchers.lessThan;
+
+import elmsail.rpc.messages.Voter;
+import org.junit.jupiter.api.Test;
+
+/** Voters of "head" that are gone for good, and the next loss right behind the repair. */
+class ControlPlaneVoterReplacementTest {
+  /** The shorter of the sites' {@code catch_up_s}, less what a process takes to start. */
+  private static final long CATCH_UP_MS = 4_800 - 900;
+
+  /** Losses of power shorter than this move nobody. */
+  private static final long SHORT_LOSS_MS = 2_500;
+
+  private SimulatedCluster cluster;
+
+  private void founded(int bear, int nodes, int voters) {
+    cluster = new SimulatedCluster(11, 3, bear);
+    for (int i = 1; i <= nodes; i++) {
+      cluster.controlPlane("n" + i, true);
+    }
+    assertThat(cluster.awaitWithin(2_000, () -> cluster.allControlPlaneVotersVote("n1")), is(true));
+    assertThat(cluster.controlPlaneVoters("n1").voters.size(), is(voters));
+    assertThat(cluster.replaceAnywhere(0, 1), is(200));
+  }
+
+  private String holders(String name) {
+    StringBuilder holders = new StringBuilder();
+    for (Voter voter : cluster.controlPlaneVoters(name).voters) {
+      holders.append(holders.isEmpty() ? "" : " ").append(voter.machine).append('/');
+      holders.append(voter.epoch);
+    }
+    return holders.toString();
+  }
+
+  private void gone(String name) {
+    cluster.net.kill(cluster.address(name), false);
+    cluster.controlPlaneNodes.remove(name);
+  }
+
+  /** An empty machine at another address follows, at once or later, whoever holds the lease. */
+  @Test
+  void oneGoneForGoodIsReplacedAndTheNextMayGo() {
+    for (int gone = 1; gone <= 3; gone++) {
+      for (long later : new long[] {0, 2_000, 8_000}) {
+        founded(1, 3, 3);
+        String about = "n" + gone + ", " + later;
+        gone("n" + gone);
+        cluster.timers.advance(later);
+        long start = cluster.timers.now();
+        cluster.controlPlane("n4", false);
+        String asked = gone == 1 ? "n2" : "n1";
+        assertThat(about, cluster.awaitWithin(CATCH_UP_MS, () -> cluster.allControlPlaneVotersVote(asked)), is(true));
+        long whole = cluster.timers.now() - start;
+        System.out.println("replaced " + about + " ms later: whole after " + whole + " ms");
+        cluster.timers.advance(CATCH_UP_MS - whole);
+        // The oldest goes first: what was acknowledged before it joined is at the successor.
+        String oldest = gone == 1 ? "n2" : "n1";
+        gone(oldest);
+        assertThat(
+            about, cluster.awaitWithin(4_000, () -> cluster.read("n4").equals(SimulatedCluster.config(1))), is(true));
+        assertThat(about, cluster.replace("n4", 1, 5), is(200));
+      }
+    }
+  }
+
+  @Test
+  void aShortLossOfPowerMovesNobody() {
+    founded(2, 6, 5);
+    String before = holders("n1");
+    cluster.net.kill(cluster.address("n2"), false);
+    cluster.disks.get("n2").powerLoss();
+    cluster.timers.advance(SHORT_LOSS_MS);
+    cluster.controlPlane("n2", false);
+    cluster.timers.advance(5_000);
+    assertThat(holders("n1"), equalTo(before));
+    assertThat(cluster.allControlPlaneVotersVote("n1"), is(true));
+  }
+
+  /** Cut off and gone for good aren't told apart: its votes are void, and it is the next spare. */
+  @Test
+  void oneThatComesBackIsASpareAndTakesTheNextSlot() {
+    founded(1, 4, 3);
+    cluster.net.isolate(cluster.address("n1"));
+    assertThat(cluster.awaitWithin(8_000, () -> holders("n2").contains("n4")), is(true));
+    assertThat(cluster.awaitWithin(2_000, () -> cluster.allControlPlaneVotersVote("n2")), is(true));
+    assertThat(cluster.replace("n2", 1, 2), is(200));
+    assertThat(cluster.replace("n1", 1, 3) == 200, is(false));
+    cluster.net.healAll();
+    assertThat(cluster.awaitWithin(3_000, () -> !cluster.controlPlaneNodes.get("n1").voters().isVoting()), is(true));
+    assertThat(cluster.awaitWithin(3_000, () -> holders("n1").equals(holders("n2"))), is(true));
+    gone("n2");
+    assertThat(cluster.awaitWithin(8_000, () -> holders("n3").contains("n1")), is(true));
+    assertThat(cluster.awaitWithin(2_000, () -> cluster.allControlPlaneVotersVote("n3")), is(true));
+    gone("n3");
+    assertThat(cluster.awaitWithin(4_000, () -> cluster.read("n1").equals(SimulatedCluster.config(2))), is(true));
+  }
+
+  /** Two at once, then two more, oldest first, then all lose power: nothing is lost. */
+  @Test
+  void lossesRightBehindRepairsOldestFirst() {
+    founded(2, 6, 5);
+    int version = 1;
+    int next = 7;
+    for (int round = 0; round < 3; round++) {
+      String first = cluster.controlPlaneVoters("n" + (next - 1)).voters.get(0).machine;
+      String second = cluster.controlPlaneVoters("n" + (next - 1)).voters.get(1).machine;
+      gone(first);
+      gone(second);
+      cluster.controlPlane("n" + next++, false);
+      cluster.controlPlane("n" + next++, false);
+      String asked = "n" + (next - 1);
+      assertThat(cluster.awaitWithin(2 * CATCH_UP_MS, () -> cluster.allControlPlaneVotersVote(asked)), is(true));
+      assertThat(cluster.awaitWithin(4_000, () -> cluster.read(asked).startsWith("{")), is(true));
+      assertThat(cluster.read(asked), equalTo(SimulatedCluster.config(version)));
+      assertThat(cluster.status(cluster.sendReplace(asked, "" + version, version + 1)), is(200));
+      version++;
+    }
+    for (String name : cluster.controlPlaneNodes.keySet()) {
+      cluster.net.kill(cluster.address(name), false);
+      cluster.disks.get(name).powerLoss();
+    }
+    for (String name : cluster.controlPlaneNodes.keySet().toArray(new String[0])) {
+      cluster.controlPlane(name, false);
+    }
+    String last = "n" + (next - 1);
+    String expected = SimulatedCluster.config(version);
+    assertThat(cluster.awaitWithin(6_000, () -> cluster.read(last).equals(expected)), is(true));
+  }
+
+  @Test
+  void whoDirectsSaysWhenTheNextLossMayCome() {
+    for (String victim : new String[] {"n1", "n2", "n3"}) {
+      founded(1, 3, 3);
+      cluster.timers.advance(2_000);
+      gone(victim);
+      assertThat(victim, cluster.awaitWithin(4_500, () -> directing() != null), is(true));
+      RedundancyMonitor monitor = directing().controlPlaneRedundancy();
+      int repairs = monitor.repairs();
+      cluster.timers.advance(5_000);
+      assertThat("no spare, no repair", monitor.isDegraded(), is(true));
+      cluster.controlPlane("n4", false);
+      assertThat(cluster.awaitWithin(CATCH_UP_MS, () -> !monitor.isDegraded()), is(true));
+      assertThat(cluster.allControlPlaneVotersVote("n4"), is(true));
+      assertThat(monitor.repairs(), is(repairs + 1));
+      assertThat(monitor.lastRepairMs(), greaterThan(5_000L));
+      assertThat(monitor.lastRepairMs(), lessThan(5_000L + 4_500 + CATCH_UP_MS));
+    }
+  }
+
+  /** Who holds the lease and misses a voter; null if nobody does. */
+  private ControlPlaneNode directing() {
+    for (ControlPlaneNode one : cluster.controlPlaneNodes.values()) {
+      if (one.controlPlaneRedundancy().isDegraded()) {
+        return one;
+      }
+    }
+    return null;
+  }
+}
--- a/controlplane/src/test/java/elmsail/controlplane/FakeRegister.java
+++ b/controlplane/src/test/java/elmsail/controlplane/FakeRegister.java
@@ -18,14 +18,14 @@
 final class FakeRegister implements Register {
 
   /** What becomes of the next change. */
-  enum Fate {
-    DONE,
+  enum Outcome {
+    COMMITTED,
     /** Not taken: fails with NOT_REACHED after 300 ms. */
     NOT_REACHED,
     /** Taken: fails with UNCLEAR after 300 ms. */
-    UNCLEAR_TAKEN,
+    UNKNOWN_COMMITTED,
     /** Not taken, and never will be: fails with UNCLEAR after 300 ms. */
-    UNCLEAR_LOST,
+    UNKNOWN_LOST,
     /**
      * Another changes the key between the first round and the second: the function is called twice.
      */
@@ -33,16 +33,16 @@
   }
 
   final Map<String, VersionedValue> values = new HashMap<>();
-  final Deque<Fate> fates = new ArrayDeque<>();
+  final Deque<Outcome> nextOutcomes = new ArrayDeque<>();
   boolean unreachable;
 
   /** How long a read takes. */
   long readMs = 2;
 
   /** How long its answer is on its way then. */
-  long answerMs;
+  long responseDelayMs;
 
-  byte[] overtakes;
+  byte[] concurrentValue;
   int reads;
   int bytesRead;
   private final ManualTimers timers;
@@ -67,10 +67,10 @@
           boolean spared = known != null && known.round == now.ballot().round;
           bytesRead += spared || now.value() == null ? 0 : now.value().length;
           VersionedValue told = spared ? new VersionedValue(now.ballot(), null) : now;
-          if (answerMs == 0) {
+          if (responseDelayMs == 0) {
             future.complete(told);
           } else {
-            timers.schedule(answerMs, () -> future.complete(told));
+            timers.schedule(responseDelayMs, () -> future.complete(told));
           }
         });
     return future;
@@ -80,25 +80,25 @@
   public CompletableFuture<CommittedState> change(
       String key, Function<ObservedState, ProposedValue> change, List<Blob> blobs, byte[] note, long timeoutMs) {
     CompletableFuture<CommittedState> future = new CompletableFuture<>();
-    Fate fate = fates.isEmpty() ? Fate.DONE : fates.poll();
-    if (unreachable || fate == Fate.NOT_REACHED) {
+    Outcome fate = nextOutcomes.isEmpty() ? Outcome.COMMITTED : nextOutcomes.poll();
+    if (unreachable || fate == Outcome.NOT_REACHED) {
       timers.schedule(Math.min(300, timeoutMs), () -> fail(future, ErrorCode.NO_QUORUM));
       return future;
     }
     timers.schedule(
         5,
         () -> {
-          if (fate == Fate.OVERTAKEN) {
+          if (fate == Outcome.OVERTAKEN) {
             change.apply(found(key));
-            put(key, overtakes);
+            put(key, concurrentValue);
           }
           ProposedValue wanted = change.apply(found(key));
-          if (wanted.value() != null && fate != Fate.UNCLEAR_LOST) {
+          if (wanted.value() != null && fate != Outcome.UNKNOWN_LOST) {
             put(key, wanted.value());
           }
           VersionedValue now = values.getOrDefault(key, new VersionedValue(new Ballot(), null));
           CommittedState held = new CommittedState(now, wanted.value() != null);
-          if (fate == Fate.UNCLEAR_TAKEN || fate == Fate.UNCLEAR_LOST) {
+          if (fate == Outcome.UNKNOWN_COMMITTED || fate == Outcome.UNKNOWN_LOST) {
             timers.schedule(Math.min(300, timeoutMs), () -> fail(future, ErrorCode.OUTCOME_UNKNOWN));
           } else {
             timers.schedule(5, () -> future.complete(held));
--- a/controlplane/src/test/java/elmsail/controlplane/JobWriter.java
+++ b/controlplane/src/test/java/elmsail/controlplane/JobRecordWriter.java
@@ -23,15 +23,15 @@
  * Writes keys with a body each to the stores, as a gateway that reaches all of them, and reads them
  * again: one that was acknowledged is never said not to be there.
  */
-final class JobWriter {
-  private static final int MOST_OPEN = 3;
+final class JobRecordWriter {
+  private static final int MAX_PENDING = 3;
   private static final int CALL_MS = 1_500;
   private static final byte[] BODY = new byte[3_000];
   private static final byte[] RECORD = {1};
 
   private final String name;
-  private final World world;
-  private final Random chance;
+  private final SimulatedCluster cluster;
+  private final Random random;
   private final Register register;
   private final Set<String> forgotten = new HashSet<>();
   private final List<Integer> written = new ArrayList<>();
@@ -39,11 +39,11 @@
   private int next;
   private int open;
 
-  JobWriter(String name, World world, Random chance) {
+  JobRecordWriter(String name, SimulatedCluster cluster, Random random) {
     this.name = name;
-    this.world = world;
-    this.chance = chance;
-    SimNode node = world.net.startNode("10.3.0.9:7720");
+    this.cluster = cluster;
+    this.random = random;
+    SimNode node = cluster.net.startNode("10.3.0.9:7720");
     VoterSetSource voterSets =
         new VoterSetSource() {
           @Override
@@ -66,10 +66,10 @@
   }
 
   VoterSet newest() {
-    for (String store : world.stores.keySet()) {
-      boolean there = world.net.nodeAt(world.address(store)) != null;
-      if (there && !forgotten.contains(store) && world.stores.get(store).replica().isVoting()) {
-        known = VoterSets.merge(known, world.stores.get(store).replica().voterSet());
+    for (String store : cluster.stores.keySet()) {
+      boolean there = cluster.net.nodeAt(cluster.address(store)) != null;
+      if (there && !forgotten.contains(store) && cluster.stores.get(store).replica().isVoting()) {
+        known = VoterSets.merge(known, cluster.stores.get(store).replica().voterSet());
       }
     }
     return known;
@@ -81,14 +81,14 @@
 
   /** Begins a write or a read, if few are under way. */
   void step() {
-    if (open >= MOST_OPEN || newest().voters.isEmpty()) {
+    if (open >= MAX_PENDING || newest().voters.isEmpty()) {
       return;
     }
     open++;
-    if (written.isEmpty() || chance.nextBoolean()) {
+    if (written.isEmpty() || random.nextBoolean()) {
       write(next++);
     } else {
-      read(written.get(chance.nextInt(written.size())));
+      read(written.get(random.nextInt(written.size())));
     }
   }
 
@@ -133,10 +133,10 @@
     for (int job : List.copyOf(written)) {
       String about = name + ": job " + job;
       CompletableFuture<Register.VersionedValue> value = register.read("lot/" + job, null, CALL_MS);
-      assertThat(about, world.until(2 * CALL_MS, value::isDone), is(true));
+      assertThat(about, cluster.awaitWithin(2 * CALL_MS, value::isDone), is(true));
       assertThat(about, value.join().value(), equalTo(RECORD));
       CompletableFuture<byte[]> body = register.readBlob("lot/" + job, "body", CALL_MS);
-      assertThat(about, world.until(2 * CALL_MS, body::isDone), is(true));
+      assertThat(about, cluster.awaitWithin(2 * CALL_MS, body::isDone), is(true));
       assertThat(about, body.join(), notNullValue());
       assertThat(about, body.join().length, is(BODY.length));
     }
--- a/controlplane/src/test/java/elmsail/controlplane/StoreSetStoryTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/JobStoreVotersScenarioTest.java
@@ -26,12 +26,12 @@
  * trouble at a time and the control-plane nodes' lease holder now and then with it: what was
  * acknowledged is read back, and a machine that was told to be delivered is removed at once.
  */
-class StoreSetStoryTest {
+class JobStoreVotersScenarioTest {
   private static final int STORIES = 6;
   private static final int KEYS = 4;
 
-  private World world;
-  private Random chance;
+  private SimulatedCluster cluster;
+  private Random random;
   private Register writer;
   private VoterSet known;
   private final long[] acknowledged = new long[KEYS];
@@ -50,21 +50,21 @@
   }
 
   private void play(int seed) {
-    world = new World(seed, 3);
-    chance = new Random(seed);
+    cluster = new SimulatedCluster(seed, 3);
+    random = new Random(seed);
     running.clear();
     removed.clear();
     stores = 0;
     known = new VoterSet();
-    world.net.delay(1, 10);
+    cluster.net.delay(1, 10);
     for (int i = 1; i <= 3; i++) {
-      world.controlPlane("n" + i, true);
+      cluster.controlPlane("n" + i, true);
     }
     for (int i = 0; i < 4; i++) {
       add(true);
     }
     writer();
-    assertThat("seed " + seed, world.until(8_000, this::allSeated), is(true));
+    assertThat("seed " + seed, cluster.awaitWithin(8_000, this::allSeated), is(true));
     for (int i = 0; i < KEYS; i++) {
       acknowledged[i] = 0;
       busy[i] = false;
@@ -73,13 +73,13 @@
       write(1_000);
       trouble(seed);
       write(2_000);
-      boolean voting = world.until(15_000, this::allSeated);
+      boolean voting = cluster.awaitWithin(15_000, this::allSeated);
       assertThat("seed " + seed + " round " + round + " " + storeSet(), voting, is(true));
     }
-    world.timers.advance(2_000);
+    cluster.timers.advance(2_000);
     for (int i = 0; i < KEYS; i++) {
       CompletableFuture<Register.VersionedValue> read = writer.read("lot/" + i, null, 2_000);
-      assertThat("seed " + seed, world.until(3_000, read::isDone), is(true));
+      assertThat("seed " + seed, cluster.awaitWithin(3_000, read::isDone), is(true));
       assertThat(
           "seed " + seed + " key " + i, number(read.join().value()) >= acknowledged[i], is(true));
       assertThat(acknowledged[i], greaterThan(5L));
@@ -89,17 +89,17 @@
   private void add(boolean first) {
     String name = "v" + ++stores;
     running.add(name);
-    world.store(name, first);
+    cluster.store(name, first);
   }
 
   private void writer() {
-    SimNode node = world.net.startNode("10.3.0.9:7720");
+    SimNode node = cluster.net.startNode("10.3.0.9:7720");
     VoterSetSource voterSets =
         new VoterSetSource() {
           @Override
           public VoterSet current() {
             for (String name : running) {
-              known = VoterSets.merge(known, world.stores.get(name).replica().voterSet());
+              known = VoterSets.merge(known, cluster.stores.get(name).replica().voterSet());
             }
             return known;
           }
@@ -114,9 +114,9 @@
   }
 
   private void write(long ms) {
-    long end = world.timers.now() + ms;
-    while (world.timers.now() < end) {
-      int key = chance.nextInt(KEYS);
+    long end = cluster.timers.now() + ms;
+    while (cluster.timers.now() < end) {
+      int key = random.nextInt(KEYS);
       if (!busy[key]) {
         busy[key] = true;
         long[] wanted = {0};
@@ -140,7 +140,7 @@
                   }
                 });
       }
-      world.timers.advance(20 + chance.nextInt(60));
+      cluster.timers.advance(20 + random.nextInt(60));
     }
   }
 
@@ -149,32 +149,32 @@
   }
 
   private void trouble(int seed) {
-    String name = running.get(chance.nextInt(running.size()));
+    String name = running.get(random.nextInt(running.size()));
     String before = storeSet();
-    switch (chance.nextInt(5)) {
+    switch (random.nextInt(5)) {
       case 0 -> {
-        world.net.kill(world.address(name), false);
-        world.disks.get(name).powerLoss();
-        write(chance.nextInt(6_000));
-        world.store(name, false);
+        cluster.net.kill(cluster.address(name), false);
+        cluster.disks.get(name).powerLoss();
+        write(random.nextInt(6_000));
+        cluster.store(name, false);
       }
       case 1 -> {
-        world.wipe(name);
-        write(chance.nextInt(5_000));
-        world.store(name, false);
+        cluster.wipe(name);
+        write(random.nextInt(5_000));
+        cluster.store(name, false);
       }
       case 2 -> {
-        world.net.freeze(world.address(name));
-        write(chance.nextInt(6_000));
-        world.net.thaw(world.address(name));
+        cluster.net.freeze(cluster.address(name));
+        write(random.nextInt(6_000));
+        cluster.net.thaw(cluster.address(name));
       }
       case 3 -> {
-        String controlPlane = "n" + (1 + chance.nextInt(3));
-        world.net.kill(world.address(controlPlane), false);
-        world.net.kill(world.address(name), false);
+        String controlPlane = "n" + (1 + random.nextInt(3));
+        cluster.net.kill(cluster.address(controlPlane), false);
+        cluster.net.kill(cluster.address(name), false);
         write(7_000);
-        world.controlPlane(controlPlane, false);
-        world.store(name, false);
+        cluster.controlPlane(controlPlane, false);
+        cluster.store(name, false);
       }
       default -> retire(seed, name);
     }
@@ -186,29 +186,29 @@
       add(false);
       write(1_000);
     }
-    assertThat("seed " + seed, world.until(4_000, () -> world.retire("n1", name) == 200), is(true));
+    assertThat("seed " + seed, cluster.awaitWithin(4_000, () -> cluster.beginDecommission("n1", name) == 200), is(true));
     String delivered = "{\"state\":\"delivered\"}";
-    long end = world.timers.now() + 12_000;
-    while (!world.retired("n2", name).equals(delivered) && world.timers.now() < end) {
+    long end = cluster.timers.now() + 12_000;
+    while (!cluster.decommissionState("n2", name).equals(delivered) && cluster.timers.now() < end) {
       write(100);
     }
-    assertThat("seed " + seed, world.retired("n2", name), equalTo(delivered));
-    world.wipe(name);
+    assertThat("seed " + seed, cluster.decommissionState("n2", name), equalTo(delivered));
+    cluster.wipe(name);
     running.remove(name);
     removed.add(name);
     // Right after it another disk may be lost.
-    String other = running.get(chance.nextInt(running.size()));
-    world.wipe(other);
-    world.store(other, false);
+    String other = running.get(random.nextInt(running.size()));
+    cluster.wipe(other);
+    cluster.store(other, false);
   }
 
   private boolean allSeated() {
     VoterSet newest = new VoterSet();
     for (String name : running) {
-      newest = VoterSets.merge(newest, world.stores.get(name).replica().voterSet());
+      newest = VoterSets.merge(newest, cluster.stores.get(name).replica().voterSet());
     }
-    for (Voter slot : newest.voters) {
-      if (!running.contains(slot.machine) || !world.stores.get(slot.machine).replica().isVoting()) {
+    for (Voter voter : newest.voters) {
+      if (!running.contains(voter.machine) || !cluster.stores.get(voter.machine).replica().isVoting()) {
         return false;
       }
     }
@@ -218,7 +218,7 @@
   private String storeSet() {
     StringBuilder all = new StringBuilder();
     for (String name : running) {
-      all.append(name).append('[').append(world.storeSet(name)).append("] ");
+      all.append(name).append('[').append(cluster.describeJobStoreVoters(name)).append("] ");
     }
     return all.toString();
   }
--- a/controlplane/src/test/java/elmsail/controlplane/LeaseTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/LeaseTest.java
@@ -18,11 +18,11 @@
   private final Lease[] leases = new Lease[N];
   private final long[] frozenUntil = new long[N];
   private final long[] who = new long[N];
-  private Random chance;
+  private Random random;
   private double lost;
 
   private void begin(long seed, boolean founding) {
-    chance = new Random(seed);
+    random = new Random(seed);
     for (int i = 0; i < N; i++) {
       voters[i] = new LeaseVoter(timers.now(), founding);
       leases[i] = new Lease(timers.now(), i);
@@ -35,11 +35,11 @@
     long whose = who[asker];
     for (int v = 0; v < N; v++) {
       int voter = v;
-      if (chance.nextDouble() < lost) {
+      if (random.nextDouble() < lost) {
         continue;
       }
-      long there = chance.nextInt(chance.nextInt(20) == 0 ? 3_000 : 20);
-      long back = chance.nextInt(chance.nextInt(20) == 0 ? 3_000 : 20);
+      long there = random.nextInt(random.nextInt(20) == 0 ? 3_000 : 20);
+      long back = random.nextInt(random.nextInt(20) == 0 ? 3_000 : 20);
       timers.schedule(there, () -> arrive(voter, asker, lease, whose, round, back));
     }
   }
@@ -54,7 +54,7 @@
       voters[voter].release(whose, -round, timers.now());
       return;
     }
-    long left = voters[voter].request(whose, round, timers.now());
+    long left = voters[voter].tryGrant(whose, round, timers.now());
     timers.schedule(back, () -> answered(voter, asker, lease, round, left));
   }
 
@@ -63,9 +63,9 @@
       timers.schedule(
           frozenUntil[asker] - timers.now(), () -> answered(voter, asker, lease, round, left));
     } else if (left == 0) {
-      lease.granted(round, voter, timers.now());
+      lease.onGranted(round, voter, timers.now());
     } else {
-      lease.refused(round, left);
+      lease.onRefused(round, left);
     }
   }
 
@@ -75,12 +75,12 @@
     int holders = 0;
     for (int i = 0; i < N; i++) {
       if (timers.now() >= frozenUntil[i]) {
-        long round = leases[i].begin(timers.now(), N);
+        long round = leases[i].poll(timers.now(), N);
         if (round != 0) {
           send(i, round);
         }
       }
-      holders += leases[i].held(timers.now()) ? 1 : 0;
+      holders += leases[i].isHeld(timers.now()) ? 1 : 0;
     }
     return holders;
   }
@@ -91,7 +91,7 @@
     int held = 0;
     for (int i = 0; i < 1_000; i++) {
       step();
-      held += leases[0].held(timers.now()) ? 1 : 0;
+      held += leases[0].isHeld(timers.now()) ? 1 : 0;
     }
     assertThat(held, greaterThan(980));
   }
@@ -116,10 +116,10 @@
     for (int i = 0; i < 200; i++) {
       step();
     }
-    assertThat(leases[0].held(timers.now()), is(true));
+    assertThat(leases[0].isHeld(timers.now()), is(true));
     frozenUntil[0] = Long.MAX_VALUE;
     int without = 0;
-    while (!leases[1].held(timers.now()) && !leases[2].held(timers.now())) {
+    while (!leases[1].isHeld(timers.now()) && !leases[2].isHeld(timers.now())) {
       step();
       without++;
       assertThat(without, lessThanOrEqualTo(450));
@@ -149,15 +149,15 @@
   }
 
   private void trouble() {
-    if (chance.nextInt(300) == 0) {
-      frozenUntil[chance.nextInt(N)] = timers.now() + chance.nextInt(4_000);
+    if (random.nextInt(300) == 0) {
+      frozenUntil[random.nextInt(N)] = timers.now() + random.nextInt(4_000);
     }
-    if (chance.nextInt(500) == 0) {
-      int one = chance.nextInt(N);
-      frozenUntil[one] = timers.now() + chance.nextInt(500);
+    if (random.nextInt(500) == 0) {
+      int one = random.nextInt(N);
+      frozenUntil[one] = timers.now() + random.nextInt(500);
       voters[one] = new LeaseVoter(timers.now(), false);
       leases[one] = new Lease(timers.now(), one);
-      who[one] = chance.nextLong();
+      who[one] = random.nextLong();
     }
   }
 
@@ -165,9 +165,9 @@
   @Test
   void aVoterThatTookASlotOverWaitsOutALease() {
     LeaseVoter voter = new LeaseVoter(0, true);
-    assertThat(voter.request(1, 1, 10), is(0L));
-    voter.tookOver(1_000);
-    assertThat(voter.request(1, 2, 1_001), is(LeaseVoter.LEASE_MS - 1));
-    assertThat(voter.request(2, 1, 1_000 + LeaseVoter.LEASE_MS), is(0L));
+    assertThat(voter.tryGrant(1, 1, 10), is(0L));
+    voter.onSlotTakenOver(1_000);
+    assertThat(voter.tryGrant(1, 2, 1_001), is(LeaseVoter.LEASE_DURATION_MS - 1));
+    assertThat(voter.tryGrant(2, 1, 1_000 + LeaseVoter.LEASE_DURATION_MS), is(0L));
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/SteadyClockOnlyTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/MonotonicClockOnlyTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The time of day may jump by seconds: nothing that agrees, leases or ages may look at it. */
-class SteadyClockOnlyTest {
+class MonotonicClockOnlyTest {
   private static final List<String> MODULES =
       List.of(
           "batch", "config", "consensus", "controlplane", "gateway", "rpc", "runtime", "storage");
--- /dev/null
+++ b/controlplane/src/test/java/elmsail/controlplane/NodeFaultInjector.java
@@ -0,0 +1,79 @@
+package elmsail.controlplane;
+
+import java.util.Random;
+
+/** One node at a time is killed, loses its power or its disk, freezes or is cut off. */
+final class NodeFaultInjector {
+  private enum Kind {
+    KILL,
+    POWER_LOSS,
+    WIPE,
+    FREEZE,
+    CUT_OFF
+  }
+
+  /** A replica whose disk was lost counts as lost until it has copied all, within this time. */
+  private static final long CATCH_UP_MS = 4_900;
+
+  private final SimulatedCluster cluster;
+  private final Random random;
+  private final int nodes;
+  private String faultyNode;
+  private Kind kind;
+  private long faultEndsAtMs;
+  private long nextFaultAtMs;
+  private int faultCount;
+
+  NodeFaultInjector(SimulatedCluster cluster, Random random, int nodes) {
+    this.cluster = cluster;
+    this.random = random;
+    this.nodes = nodes;
+  }
+
+  /** Begins or ends a trouble, or does nothing; called every few ms. */
+  void step() {
+    if (faultyNode == null && cluster.timers.now() >= nextFaultAtMs && random.nextInt(150) == 0) {
+      begin();
+    } else if (faultyNode != null && cluster.timers.now() >= faultEndsAtMs) {
+      end();
+    }
+  }
+
+  int faultCount() {
+    return faultCount;
+  }
+
+  private void begin() {
+    faultyNode = "n" + (1 + random.nextInt(nodes));
+    kind = Kind.values()[random.nextInt(Kind.values().length)];
+    faultEndsAtMs = cluster.timers.now() + 100 + random.nextInt(3_000);
+    faultCount++;
+    switch (kind) {
+      case KILL -> cluster.kill(faultyNode);
+      case POWER_LOSS -> {
+        cluster.net.kill(cluster.address(faultyNode), false);
+        cluster.disks.get(faultyNode).powerLoss();
+      }
+      case WIPE -> cluster.wipe(faultyNode);
+      case FREEZE -> cluster.net.freeze(cluster.address(faultyNode));
+      default -> cluster.net.isolate(cluster.address(faultyNode));
+    }
+  }
+
+  /** Ends the trouble there is, if any. */
+  void end() {
+    if (faultyNode == null) {
+      return;
+    }
+    String node = faultyNode;
+    faultyNode = null;
+    switch (kind) {
+      case FREEZE -> cluster.net.thaw(cluster.address(node));
+      case CUT_OFF -> cluster.net.healAll();
+      default -> {
+        cluster.controlPlane(node, false);
+        nextFaultAtMs = cluster.timers.now() + (kind == Kind.WIPE ? CATCH_UP_MS : 0);
+      }
+    }
+  }
+}
--- a/controlplane/src/test/java/elmsail/controlplane/CutOffRig.java
+++ b/controlplane/src/test/java/elmsail/controlplane/PartitionTestBase.java
@@ -9,37 +9,37 @@
 import java.util.concurrent.CompletableFuture;
 
 /** Three control-plane nodes, of which n1 is cut off, and a process that asks it. */
-abstract class CutOffRig {
+abstract class PartitionTestBase {
   static final long CUT_MS = 20_000;
 
   /** Older than this, contact is none: as {@code QuorumContact.BOUND_MS}. */
-  static final long BOUND_MS = 1_500;
+  static final long CONTACT_MAX_AGE_MS = 1_500;
 
   static final String PROBE = "10.3.0.99:7720";
 
-  World world = new World(11, 3);
+  SimulatedCluster cluster = new SimulatedCluster(11, 3);
 
   /** A process that asks n1 what it gives out; made with the first question. */
   private SimNode probe;
 
   /** What keeps n1 from the two other voters. */
-  enum Cut {
+  enum Partition {
     BOTH_WAYS,
     REQUESTS_LOST,
-    ANSWERS_LOST,
+    RESPONSES_LOST,
     RESET;
 
-    void begin(World world) {
+    void begin(SimulatedCluster cluster) {
       for (String other : new String[] {"n2", "n3"}) {
-        String there = world.address("n1");
-        String here = world.address(other);
+        String there = cluster.address("n1");
+        String here = cluster.address(other);
         switch (this) {
-          case BOTH_WAYS -> world.net.cutBoth(there, here);
-          case REQUESTS_LOST -> world.net.cut(there, here);
-          case ANSWERS_LOST -> world.net.cut(here, there);
+          case BOTH_WAYS -> cluster.net.cutBoth(there, here);
+          case REQUESTS_LOST -> cluster.net.cut(there, here);
+          case RESPONSES_LOST -> cluster.net.cut(here, there);
           case RESET -> {
-            world.net.resetCalls(there, here);
-            world.net.resetCalls(here, there);
+            cluster.net.resetCalls(there, here);
+            cluster.net.resetCalls(here, there);
           }
           default -> throw new AssertionError(this);
         }
@@ -48,31 +48,31 @@
   }
 
   /** Another world, to try the same at another time. */
-  void begin(long seed) {
-    world = new World(seed, 3);
+  void newCluster(long seed) {
+    cluster = new SimulatedCluster(seed, 3);
     probe = null;
   }
 
-  void heads() {
+  void startControlPlane() {
     for (int i = 1; i <= 3; i++) {
-      world.controlPlane("n" + i, true);
+      cluster.controlPlane("n" + i, true);
     }
-    assertThat(world.replaceAnywhere(0, 1), is(200));
-    world.timers.advance(1_000);
+    assertThat(cluster.replaceAnywhere(0, 1), is(200));
+    cluster.timers.advance(1_000);
   }
 
   CompletableFuture<PullResponse> pull(PullRequest request, long timeoutMs) {
     if (probe == null) {
-      probe = world.net.startNode(PROBE);
+      probe = cluster.net.startNode(PROBE);
     }
-    return probe.rpcClient().call(world.address("n1"), request, PullResponse.class, timeoutMs);
+    return probe.rpcClient().call(cluster.address("n1"), request, PullResponse.class, timeoutMs);
   }
 
   PullRequest request(String role, String station) {
     PullRequest request = new PullRequest();
     request.role = role;
     request.machine = station;
-    request.address = world.address(station);
+    request.address = cluster.address(station);
     request.maxWaitMs = 400;
     return request;
   }
--- a/controlplane/src/test/java/elmsail/controlplane/PinnedDataDirectories.java
+++ b/controlplane/src/test/java/elmsail/controlplane/PinnedDataDirectories.java
@@ -93,7 +93,7 @@
   /** A store with jobs in each of their states. */
   static void writeStore(Path folder) {
     try (DirectoryRecordStore disk = open(folder)) {
-      Member member = new Member(StoreNode.SET, disk);
+      Member member = new Member(StoreNode.VOTER_SET_NAME, disk);
       member.replica.bootstrap(voterSet(disk.instanceId()));
       Blob body = blob(JobBodyCodec.blobName(body()), body());
       member.decide(JobRecord.registerKey(OPEN_JOB), openJob().encode(), List.of(body, text()));
@@ -109,7 +109,7 @@
   /** A store that has begun to take over the slot of another one. */
   static void writeJoiningStore(Path folder) {
     try (DirectoryRecordStore disk = open(folder)) {
-      Member member = new Member(StoreNode.SET, disk);
+      Member member = new Member(StoreNode.VOTER_SET_NAME, disk);
       VoterSet others = voterSet(1);
       others.voters.get(0).address = "10.0.0.4:7720";
       others.voters.get(0).machine = "n4";
@@ -124,16 +124,16 @@
       RecordStore records = new SynchronousRecords(disk);
       records.write(List.of(new Change("notary/born", new byte[] {1})));
       VoterSet voters = voterSet(disk.instanceId());
-      FoundingAcceptor founding = new FoundingAcceptor();
+      BootstrapAcceptor founding = new BootstrapAcceptor();
       founding.prepare(5);
       founding.accept(5, voters);
       founding.prepare(9);
-      records.write(List.of(new Change("head-founding", founding.bytes())));
-      Member member = new Member(ControlPlaneVoters.SET, disk);
+      records.write(List.of(new Change("head-founding", founding.encode())));
+      Member member = new Member(ControlPlaneVoters.VOTER_SET_NAME, disk);
       member.replica.bootstrap(voters);
-      member.decide(ConfigOrderHandler.KEY, config().value(), List.of());
+      member.decide(ConfigChangeHandler.KEY, config().encode(), List.of());
       member.decide(DecommissionList.KEY, decommissioned(), List.of());
-      member.decide(StoreFounding.KEY, VoterSetValue.bytes(voters), List.of());
+      member.decide(StoreBootstrap.KEY, VoterSetValue.encode(voters), List.of());
       member.decide(SingletonLease.KEY, leaseTerm(), List.of());
       member.decide("timetable-of-old", OLD_CONFIG, List.of());
     }
@@ -141,22 +141,22 @@
 
   static VoterSet voterSet(long ownInstance) {
     VoterSet voterSet = new VoterSet();
-    voterSet.voters.add(VoterSetValue.slot(OWN_ADDRESS, OWN_STATION, ownInstance, 1));
-    voterSet.voters.add(VoterSetValue.slot("10.0.0.2:7720", "n2", 22, 1));
-    voterSet.voters.add(VoterSetValue.slot("10.0.0.3:7720", "n3", -33, 1));
+    voterSet.voters.add(VoterSetValue.voter(OWN_ADDRESS, OWN_STATION, ownInstance, 1));
+    voterSet.voters.add(VoterSetValue.voter("10.0.0.2:7720", "n2", 22, 1));
+    voterSet.voters.add(VoterSetValue.voter("10.0.0.3:7720", "n3", -33, 1));
     return voterSet;
   }
 
   static ConfigHistory config() {
-    ConfigHistory history = ConfigHistory.NONE;
+    ConfigHistory history = ConfigHistory.EMPTY;
     byte[] first = CONFIGS.get(0).getBytes(StandardCharsets.UTF_8);
-    history = history.followedBy(3, first, ConfigHistory.digest(0, first));
+    history = history.append(3, first, ConfigHistory.replacementDigest(0, first));
     byte[] second = CONFIGS.get(1).getBytes(StandardCharsets.UTF_8);
-    return history.followedBy(400, second, ConfigHistory.amendmentDigest(3, second));
+    return history.append(400, second, ConfigHistory.amendmentDigest(3, second));
   }
 
   static byte[] decommissioned() {
-    return DecommissionList.with(Set.of("n2"), "n5");
+    return DecommissionList.encodeWith(Set.of("n2"), "n5");
   }
 
   static byte[] leaseTerm() {
--- a/controlplane/src/test/java/elmsail/controlplane/PinnedDataDirectoriesTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/PinnedDataDirectoriesTest.java
@@ -204,29 +204,29 @@
               "head/seated",
               "head/seating",
               "notary/born"));
-      ConfigHistory config = ConfigHistory.of(value(records, "head/k/timetable"));
-      assertThat(config.edition(), is(400L));
-      assertThat(config.remembered(), is(2));
-      assertThat(utf(config.bytes()), is(PinnedDataDirectories.CONFIGS.get(1)));
+      ConfigHistory config = ConfigHistory.decode(value(records, "head/k/timetable"));
+      assertThat(config.version(), is(400L));
+      assertThat(config.changeCount(), is(2));
+      assertThat(utf(config.configBytes()), is(PinnedDataDirectories.CONFIGS.get(1)));
       byte[] first = PinnedDataDirectories.CONFIGS.get(0).getBytes(StandardCharsets.UTF_8);
-      assertThat(config.standing(0, ConfigHistory.digest(0, first)), is(OrderStanding.TAKEN));
+      assertThat(config.statusOf(0, ConfigHistory.replacementDigest(0, first)), is(ConfigChangeStatus.COMMITTED));
       assertThat(
-          config.standing(3, ConfigHistory.amendmentDigest(3, config.bytes())),
-          is(OrderStanding.TAKEN));
+          config.statusOf(3, ConfigHistory.amendmentDigest(3, config.configBytes())),
+          is(ConfigChangeStatus.COMMITTED));
       assertThat(
-          config.standing(3, ConfigHistory.digest(3, config.bytes())),
-          is(OrderStanding.SUPERSEDED));
-      ConfigHistory old = ConfigHistory.of(value(records, "head/k/timetable-of-old"));
-      assertThat(old.edition(), is(7L));
-      assertThat(utf(old.bytes()), is("{}"));
+          config.statusOf(3, ConfigHistory.replacementDigest(3, config.configBytes())),
+          is(ConfigChangeStatus.SUPERSEDED));
+      ConfigHistory old = ConfigHistory.decode(value(records, "head/k/timetable-of-old"));
+      assertThat(old.version(), is(7L));
+      assertThat(utf(old.configBytes()), is("{}"));
       assertThat(
-          DecommissionList.of(value(records, "head/k/retire")),
+          DecommissionList.decode(value(records, "head/k/retire")),
           equalTo(java.util.Set.of("n2", "n5")));
       VoterSet voters = PinnedDataDirectories.voterSet(records.instanceId());
       assertThat(
-          VoterSets.areEqual(VoterSetValue.of(value(records, "head/k/shelf")), voters), is(true));
+          VoterSets.areEqual(VoterSetValue.decode(value(records, "head/k/shelf")), voters), is(true));
       assertThat(value(records, "head/k/duty"), equalTo(PinnedDataDirectories.leaseTerm()));
-      FoundingAcceptor founding = FoundingAcceptor.of(records.read("head-founding"));
+      BootstrapAcceptor founding = BootstrapAcceptor.decode(records.read("head-founding"));
       assertThat(founding.prepare(1).promisedBallot, is(9L));
       assertThat(founding.prepare(1).acceptedBallot, is(5L));
       assertThat(VoterSets.areEqual(founding.prepare(1).acceptedVoterSet, voters), is(true));
@@ -247,20 +247,20 @@
   @Test
   void valuesHaveTheseBytes() {
     HexFormat hex = HexFormat.of();
-    assertThat(hex.formatHex(PinnedDataDirectories.config().value()), is(CONFIG_VALUE));
+    assertThat(hex.formatHex(PinnedDataDirectories.config().encode()), is(CONFIG_VALUE));
     assertThat(
         hex.formatHex(PinnedDataDirectories.decommissioned()), is("0000000200026e3200026e35"));
     VoterSet voters = new VoterSet();
-    voters.voters.add(VoterSetValue.slot("10.0.0.1:7720", "n1", -2, 3));
+    voters.voters.add(VoterSetValue.voter("10.0.0.1:7720", "n1", -2, 3));
     String voterSetValue = "00000001000d31302e302e302e313a3737323000026e31fffffffffffffffe00000003";
-    assertThat(hex.formatHex(VoterSetValue.bytes(voters)), is(voterSetValue));
-    FoundingAcceptor founding = new FoundingAcceptor();
+    assertThat(hex.formatHex(VoterSetValue.encode(voters)), is(voterSetValue));
+    BootstrapAcceptor founding = new BootstrapAcceptor();
     founding.accept(5, voters);
     founding.prepare(9);
     assertThat(
-        hex.formatHex(founding.bytes()), is("00000000000000090000000000000005" + voterSetValue));
+        hex.formatHex(founding.encode()), is("00000000000000090000000000000005" + voterSetValue));
     assertThat(
-        hex.formatHex(new HeardStores(true, Map.of("n1", 1_500L)).bytes()),
+        hex.formatHex(new StoreHeartbeats(true, Map.of("n1", 1_500L)).encode()),
         is("010000000100026e3100000000000005dc"));
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/PinnedNamesTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/PinnedNamesTest.java
@@ -38,7 +38,7 @@
   }
 
   private static HttpHandler routeByName(String name) {
-    return call -> Replies.now(Replies.json(200, name));
+    return call -> Replies.completed(Replies.json(200, name));
   }
 
   private static String body(SimpleHttpResponse reply) {
@@ -65,7 +65,7 @@
 
   @Test
   void repliesToOperators() {
-    SimpleHttpResponse reply = Replies.why(409, "a \"reason\"");
+    SimpleHttpResponse reply = Replies.error(409, "a \"reason\"");
     assertThat(body(reply), is("{\"why\":\"a \\\"reason\\\"\"}"));
     assertThat(reply.headers(), is(Map.of("content-type", "application/json")));
   }
@@ -74,15 +74,15 @@
   void setsKeysAndRoles() {
     assertThat(
         List.of(
-            ControlPlaneVoters.SET,
+            ControlPlaneVoters.VOTER_SET_NAME,
             ControlPlaneVoters.ROLE,
-            StoreNode.SET,
+            StoreNode.VOTER_SET_NAME,
             HeartbeatTable.STORE_ROLE,
-            ConfigOrderHandler.KEY,
+            ConfigChangeHandler.KEY,
             DecommissionList.KEY,
-            StoreFounding.KEY,
+            StoreBootstrap.KEY,
             SingletonLease.KEY,
-            HeardStoresInquiry.KIND),
+            StoreHeartbeatQuery.KIND),
         contains(
             "head",
             "controlplane",
--- a/controlplane/src/test/java/elmsail/controlplane/PlacementControllerTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/PlacementControllerTest.java
@@ -21,7 +21,7 @@
   private long now;
 
   private void hear(String name, String zone, boolean voting) {
-    heard.note(request(name, zone, voting, storeSet), now);
+    heard.onHeartbeat(request(name, zone, voting, storeSet), now);
   }
 
   static PullRequest request(String name, String zone, boolean voting, VoterSet storeSet) {
@@ -38,8 +38,8 @@
 
   private static String names(VoterSet voterSet) {
     StringJoiner names = new StringJoiner(" ");
-    for (Voter slot : voterSet.voters) {
-      names.add(slot.machine + slot.epoch);
+    for (Voter voter : voterSet.voters) {
+      names.add(voter.machine + voter.epoch);
     }
     return names.toString();
   }
@@ -47,13 +47,13 @@
   private void founded(String... names) {
     storeSet = new VoterSet();
     for (String name : names) {
-      storeSet.voters.add(VoterSetValue.slot(name + ":1", name, name.hashCode(), 1));
+      storeSet.voters.add(VoterSetValue.voter(name + ":1", name, name.hashCode(), 1));
     }
   }
 
   /** Time passes in steps, as those named are heard, voting where they hold a voter slot. */
-  private PlacementController.Order pass(long ms, String... names) {
-    PlacementController.Order order = null;
+  private PlacementController.Assignment pass(long ms, String... names) {
+    PlacementController.Assignment order = null;
     long end = now + ms;
     while (now < end) {
       now += 100;
@@ -68,8 +68,8 @@
   /**
    * What the controller orders now, as the leaseholder or not, in contact with a majority or not.
    */
-  private PlacementController.Order order(boolean hears, boolean directs) {
-    return storePlacement.order(heard, storeSet, retiring, hears, directs, now);
+  private PlacementController.Assignment order(boolean hears, boolean directs) {
+    return storePlacement.assignment(heard, storeSet, retiring, hears, directs, now);
   }
 
   /** Two of three voters and a spare are heard at once; the voter "c" is not. */
@@ -79,8 +79,8 @@
     hear("d", "zd", false);
   }
 
-  private static PlacementController.Order orderTo(String name, int slot, int epoch) {
-    return new PlacementController.Order(slot, name + ":1", epoch);
+  private static PlacementController.Assignment orderTo(String name, int slot, int epoch) {
+    return new PlacementController.Assignment(slot, name + ":1", epoch);
   }
 
   /** The voters "a", "b" and "c" were heard for a second, and the spare "d". */
@@ -93,9 +93,9 @@
   void foundsAsSoonAsEnoughAreThereInAnyOrder() {
     hear("c", "z1", false);
     hear("a", "z2", false);
-    assertThat(storePlacement.founding(heard, now), is(nullValue()));
+    assertThat(storePlacement.initialVoterSet(heard, now), is(nullValue()));
     hear("b", "z3", false);
-    assertThat(names(storePlacement.founding(heard, now)), equalTo("a1 b1 c1"));
+    assertThat(names(storePlacement.initialVoterSet(heard, now)), equalTo("a1 b1 c1"));
   }
 
   @Test
@@ -103,9 +103,9 @@
     hear("a", "z1", false);
     hear("b", "z1", false);
     hear("c", "z2", false);
-    assertThat(storePlacement.founding(heard, now), is(nullValue()));
+    assertThat(storePlacement.initialVoterSet(heard, now), is(nullValue()));
     hear("d", "z3", false);
-    assertThat(names(storePlacement.founding(heard, now)), equalTo("a1 c1 d1"));
+    assertThat(names(storePlacement.initialVoterSet(heard, now)), equalTo("a1 c1 d1"));
   }
 
   @Test
@@ -114,18 +114,18 @@
     hear("b", "z1", false);
     hear("c", "z1", false);
     now = 1_000;
-    assertThat(names(storePlacement.founding(heard, now)), equalTo("a1 b1 c1"));
+    assertThat(names(storePlacement.initialVoterSet(heard, now)), equalTo("a1 b1 c1"));
   }
 
   @Test
   void foundsWithFewerAfterSixSeconds() {
-    assertThat(storePlacement.founding(heard, now), is(nullValue()));
+    assertThat(storePlacement.initialVoterSet(heard, now), is(nullValue()));
     for (now = 0; now < 6_000; now += 500) {
       hear("a", "z1", false);
-      assertThat(storePlacement.founding(heard, now), is(nullValue()));
+      assertThat(storePlacement.initialVoterSet(heard, now), is(nullValue()));
     }
     hear("a", "z1", false);
-    assertThat(names(storePlacement.founding(heard, now)), equalTo("a1"));
+    assertThat(names(storePlacement.initialVoterSet(heard, now)), equalTo("a1"));
   }
 
   @Test
@@ -137,7 +137,7 @@
     now = 3_000;
     hear("b", "z2", false);
     hear("c", "z3", false);
-    assertThat(storePlacement.founding(heard, now), is(nullValue()));
+    assertThat(storePlacement.initialVoterSet(heard, now), is(nullValue()));
   }
 
   @Test
@@ -145,7 +145,7 @@
     founded("a", "b", "c");
     assertThat(pass(5_000, "a", "b", "c", "d"), is(nullValue()));
     assertThat(pass(2_500, "a", "b", "d"), is(nullValue()));
-    PlacementController.Order order = pass(100, "a", "b", "d");
+    PlacementController.Assignment order = pass(100, "a", "b", "d");
     assertThat(order, equalTo(orderTo("d", 2, 2)));
     assertThat("the same spare until it is done", pass(1_000, "a", "b", "d", "e"), equalTo(order));
   }
@@ -186,7 +186,7 @@
     founded("a", "b", "c");
     retiring.add("a");
     pass(500, "a", "b", "c", "d");
-    storeSet.voters.set(0, VoterSetValue.slot("d:1", "d", "d".hashCode(), 2));
+    storeSet.voters.set(0, VoterSetValue.voter("d:1", "d", "d".hashCode(), 2));
     retiring.add("b");
     for (int i = 0; i < 10; i++) {
       now += 100;
@@ -211,7 +211,7 @@
     founded("a", "b", "c", "d", "e");
     pass(1_000, "a", "b", "c", "d", "e", "f");
     assertThat(pass(3_000, "a", "b", "c", "f"), equalTo(orderTo("f", 3, 2)));
-    storeSet.voters.set(3, VoterSetValue.slot("f:1", "f", "f".hashCode(), 2));
+    storeSet.voters.set(3, VoterSetValue.voter("f:1", "f", "f".hashCode(), 2));
     assertThat(pass(300, "a", "b", "c", "f", "g"), equalTo(orderTo("g", 4, 2)));
   }
 
--- a/controlplane/src/test/java/elmsail/controlplane/QuorumContactTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/QuorumContactTest.java
@@ -15,8 +15,8 @@
 
   @Test
   void thereIsNoneBeforeTheFirstRound() {
-    assertThat(contact.current(), is(false));
-    assertThat(contact.within(Long.MAX_VALUE), is(false));
+    assertThat(contact.isCurrent(), is(false));
+    assertThat(contact.isWithin(Long.MAX_VALUE), is(false));
     assertThat(contact.unbrokenMs(), is(-1L));
   }
 
@@ -24,19 +24,19 @@
   void itCountsFromWhenTheRoundWasSentAndEndsAtTheBound() {
     long sentAt = timers.now();
     timers.advance(400);
-    contact.answered(sentAt);
-    timers.advance(QuorumContact.BOUND_MS - 400);
-    assertThat(contact.current(), is(true));
+    contact.onRoundCompleted(sentAt);
+    timers.advance(QuorumContact.MAX_AGE_MS - 400);
+    assertThat(contact.isCurrent(), is(true));
     timers.advance(1);
-    assertThat(contact.current(), is(false));
+    assertThat(contact.isCurrent(), is(false));
   }
 
   @Test
   void anAnswerFoundAfterAFreezeProvesNothing() {
     long sentAt = timers.now();
     timers.advance(20_000);
-    contact.answered(sentAt);
-    assertThat(contact.current(), is(false));
+    contact.onRoundCompleted(sentAt);
+    assertThat(contact.isCurrent(), is(false));
     assertThat(contact.unbrokenMs(), is(-1L));
   }
 
@@ -44,29 +44,29 @@
   void anOlderRoundThatIsAnsweredLaterChangesNothing() {
     long first = timers.now();
     timers.advance(100);
-    contact.answered(timers.now());
-    contact.answered(first);
-    timers.advance(QuorumContact.BOUND_MS);
-    assertThat(contact.current(), is(true));
+    contact.onRoundCompleted(timers.now());
+    contact.onRoundCompleted(first);
+    timers.advance(QuorumContact.MAX_AGE_MS);
+    assertThat(contact.isCurrent(), is(true));
   }
 
   @Test
   void itIsUnbrokenOnlySinceTheLastLapse() {
-    contact.answered(timers.now());
+    contact.onRoundCompleted(timers.now());
     timers.advance(1_000);
-    contact.answered(timers.now());
+    contact.onRoundCompleted(timers.now());
     assertThat(contact.unbrokenMs(), is(1_000L));
-    timers.advance(QuorumContact.BOUND_MS + 1);
-    contact.answered(timers.now());
+    timers.advance(QuorumContact.MAX_AGE_MS + 1);
+    contact.onRoundCompleted(timers.now());
     assertThat(contact.unbrokenMs(), is(0L));
   }
 
   @Test
   void anAnswerPassesOnlyInContact() {
     ElmsailException refused =
-        assertThrows(ElmsailException.class, () -> contact.checked("the configuration"));
+        assertThrows(ElmsailException.class, () -> contact.requireCurrent("the configuration"));
     assertThat(refused.code(), is(ErrorCode.NOT_A_VOTER));
-    contact.answered(timers.now());
-    assertThat(contact.checked("the configuration"), is("the configuration"));
+    contact.onRoundCompleted(timers.now());
+    assertThat(contact.requireCurrent("the configuration"), is("the configuration"));
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/SecondLossTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/RepeatedDoubleLossTest.java
@@ -24,14 +24,14 @@
  * the loss before is repaired, those whose disks have lasted longest first; also right behind a
  * retirement. All that was acknowledged, blobs included, is there at the end.
  */
-class SecondLossTest {
+class RepeatedDoubleLossTest {
   private static final int STORIES = 8;
   private static final int ROUNDS = 6;
   private static final long CATCH_UP_MS = 4_800;
   private static final byte[] BODY = new byte[9_000];
 
-  private World world;
-  private Random chance;
+  private SimulatedCluster cluster;
+  private Random random;
   private Register writer;
   private VoterSet known;
   private int written;
@@ -47,14 +47,14 @@
       for (int round = 0; round < ROUNDS; round++) {
         write();
         String about = "seed " + seed + " round " + round;
-        if (chance.nextInt(3) == 0) {
+        if (random.nextInt(3) == 0) {
           retireThenLose(about);
         } else {
-          loseTwo(chance.nextBoolean(), chance.nextBoolean());
+          loseTwo(random.nextBoolean(), random.nextBoolean());
         }
-        long restarted = world.timers.now();
-        assertThat(about + " " + storeSet(), world.until(CATCH_UP_MS, this::whole), is(true));
-        longest = Math.max(longest, world.timers.now() - restarted);
+        long restarted = cluster.timers.now();
+        assertThat(about + " " + storeSet(), cluster.awaitWithin(CATCH_UP_MS, this::whole), is(true));
+        longest = Math.max(longest, cluster.timers.now() - restarted);
       }
       readAll("seed " + seed);
     }
@@ -62,40 +62,40 @@
   }
 
   private void start(int seed) {
-    world = new World(seed, 3, 2);
-    chance = new Random(seed);
+    cluster = new SimulatedCluster(seed, 3, 2);
+    random = new Random(seed);
     known = new VoterSet();
     written = 0;
     stores = 0;
     oldestFirst.clear();
     oldestHeads.clear();
-    world.net.delay(1, 8);
+    cluster.net.delay(1, 8);
     for (int i = 1; i <= 5; i++) {
-      world.controlPlane("n" + i, true);
+      cluster.controlPlane("n" + i, true);
       oldestHeads.add("n" + i);
     }
     for (int i = 0; i < 6; i++) {
       add(true);
     }
     writer();
-    assertThat(world.until(8_000, this::whole), is(true));
-    assertThat(world.replaceAnywhere(0, 1), is(200));
+    assertThat(cluster.awaitWithin(8_000, this::whole), is(true));
+    assertThat(cluster.replaceAnywhere(0, 1), is(200));
   }
 
   private void add(boolean firstStart) {
     String name = "v" + ++stores;
-    world.store(name, firstStart);
+    cluster.store(name, firstStart);
     oldestFirst.add(name);
   }
 
   private void writer() {
-    SimNode node = world.net.startNode("10.3.0.9:7720");
+    SimNode node = cluster.net.startNode("10.3.0.9:7720");
     VoterSetSource voterSets =
         new VoterSetSource() {
           @Override
           public VoterSet current() {
             for (String name : oldestFirst) {
-              known = VoterSets.merge(known, world.stores.get(name).replica().voterSet());
+              known = VoterSets.merge(known, cluster.stores.get(name).replica().voterSet());
             }
             return known;
           }
@@ -122,7 +122,7 @@
               List.of(body),
               null,
               3_000);
-      assertThat(world.until(3_000, change::isDone), is(true));
+      assertThat(cluster.awaitWithin(3_000, change::isDone), is(true));
       change.join();
       written++;
     }
@@ -134,12 +134,12 @@
     for (String name : victims) {
       lose(name, wiped);
     }
-    world.timers.advance(100 + chance.nextInt(1_500));
+    cluster.timers.advance(100 + random.nextInt(1_500));
     for (String name : victims) {
       if (stores) {
-        world.store(name, false);
+        cluster.store(name, false);
       } else {
-        world.controlPlane(name, false);
+        cluster.controlPlane(name, false);
       }
       oldest.remove(name);
       oldest.add(name);
@@ -148,23 +148,23 @@
 
   private void lose(String name, boolean wiped) {
     if (wiped) {
-      world.wipe(name);
+      cluster.wipe(name);
     } else {
-      world.net.kill(world.address(name), false);
-      world.disks.get(name).powerLoss();
+      cluster.net.kill(cluster.address(name), false);
+      cluster.disks.get(name).powerLoss();
     }
   }
 
   /** One is emptied and removed as soon as it is said to be; two others lose their disks then. */
   private void retireThenLose(String about) {
     add(false);
-    world.timers.advance(1_500);
+    cluster.timers.advance(1_500);
     String leaving = oldestFirst.get(0);
-    assertThat(about, world.until(4_000, () -> world.retire("n1", leaving) == 200), is(true));
+    assertThat(about, cluster.awaitWithin(4_000, () -> cluster.beginDecommission("n1", leaving) == 200), is(true));
     String delivered = "{\"state\":\"delivered\"}";
     assertThat(
-        about, world.until(12_000, () -> world.retired("n2", leaving).equals(delivered)), is(true));
-    world.wipe(leaving);
+        about, cluster.awaitWithin(12_000, () -> cluster.decommissionState("n2", leaving).equals(delivered)), is(true));
+    cluster.wipe(leaving);
     oldestFirst.remove(leaving);
     loseTwo(true, true);
   }
@@ -172,33 +172,33 @@
   private boolean whole() {
     VoterSet newest = new VoterSet();
     for (String name : oldestFirst) {
-      newest = VoterSets.merge(newest, world.stores.get(name).replica().voterSet());
+      newest = VoterSets.merge(newest, cluster.stores.get(name).replica().voterSet());
     }
     TreeSet<String> voting = new TreeSet<>();
-    for (Voter slot : newest.voters) {
-      if (oldestFirst.contains(slot.machine)
-          && world.stores.get(slot.machine).replica().isVoting()
-          && world.disks.get(slot.machine).instanceId() == slot.instanceId) {
-        voting.add(slot.machine);
+    for (Voter voter : newest.voters) {
+      if (oldestFirst.contains(voter.machine)
+          && cluster.stores.get(voter.machine).replica().isVoting()
+          && cluster.disks.get(voter.machine).instanceId() == voter.instanceId) {
+        voting.add(voter.machine);
       }
     }
-    return voting.size() == 5 && world.wholeHead(oldestHeads.get(oldestHeads.size() - 1));
+    return voting.size() == 5 && cluster.allControlPlaneVotersVote(oldestHeads.get(oldestHeads.size() - 1));
   }
 
   private String storeSet() {
-    return world.storeSet(oldestFirst.get(0));
+    return cluster.describeJobStoreVoters(oldestFirst.get(0));
   }
 
   private void readAll(String about) {
     for (int i = 0; i < written; i++) {
       CompletableFuture<Register.VersionedValue> value = writer.read("lot/" + i, null, 2_000);
-      assertThat(about, world.until(3_000, value::isDone), is(true));
+      assertThat(about, cluster.awaitWithin(3_000, value::isDone), is(true));
       assertThat(about + " job " + i, value.join().value(), equalTo(new byte[] {1}));
       CompletableFuture<byte[]> body = writer.readBlob("lot/" + i, "body", 2_000);
-      assertThat(about, world.until(3_000, body::isDone), is(true));
+      assertThat(about, cluster.awaitWithin(3_000, body::isDone), is(true));
       assertThat(about + " body " + i, body.join().length, is(BODY.length));
     }
     String last = oldestHeads.get(oldestHeads.size() - 1);
-    assertThat(about, world.until(2_000, () -> world.read(last).equals(World.config(1))), is(true));
+    assertThat(about, cluster.awaitWithin(2_000, () -> cluster.read(last).equals(SimulatedCluster.config(1))), is(true));
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/World.java
+++ b/controlplane/src/test/java/elmsail/controlplane/SimulatedCluster.java
@@ -27,18 +27,18 @@
  * Control-plane nodes, stores and gateways on simulated links and disks, on one clock moved by
  * hand.
  */
-final class World {
+final class SimulatedCluster {
   static final String EMPTY = "{\"servers\":[],\"next_token\":null}";
 
   final ManualTimers timers = new ManualTimers();
   final SimNetwork net;
   final Map<String, SimDisk> disks = new TreeMap<>();
-  final Map<String, ControlPlaneNode> offices = new TreeMap<>();
+  final Map<String, ControlPlaneNode> controlPlaneNodes = new TreeMap<>();
   final Map<String, StoreNode> stores = new TreeMap<>();
   final Map<String, ConfigWatcher> gateways = new TreeMap<>();
   final Map<String, SimNode> nodes = new TreeMap<>();
-  String carrierSays = EMPTY;
-  int carrierCalls;
+  String platformReply = EMPTY;
+  int platformCalls;
 
   /** How long each sync takes on disks that are made from now on; 0: the disk's own way. */
   long syncMs;
@@ -46,14 +46,14 @@
   private final long seed;
   private final int bearMachines;
   private final List<String> seeds = new ArrayList<>();
-  private long whos = 1_000;
+  private long nextProcessId = 1_000;
 
-  World(long seed, int seedCount) {
+  SimulatedCluster(long seed, int seedCount) {
     this(seed, seedCount, 1);
   }
 
   /** With so many machines to be lost at once. */
-  World(long seed, int seedCount, int bearMachines) {
+  SimulatedCluster(long seed, int seedCount, int bearMachines) {
     this.seed = seed;
     this.bearMachines = bearMachines;
     net = new SimNetwork(seed, timers);
@@ -127,7 +127,7 @@
 
   void controlPlane(String name, boolean firstStart, boolean disk) {
     SimNode node = node(name);
-    ControlPlaneNode office =
+    ControlPlaneNode controlPlaneNode =
         new ControlPlaneNode(
             settings(name, firstStart, disk),
             node.timers(),
@@ -135,42 +135,42 @@
             node.requestHandlers(),
             disk ? disk(name, node) : null,
             this::platform,
-            whos++,
+            nextProcessId++,
             ProcessMetrics.strict());
-    offices.put(name, office);
-    office.start();
+    controlPlaneNodes.put(name, controlPlaneNode);
+    controlPlaneNode.start();
   }
 
   /** The voter set "head" as that control-plane node knows it. */
-  VoterSet head(String controlPlane) {
-    return offices.get(controlPlane).voters().current();
+  VoterSet controlPlaneVoters(String controlPlane) {
+    return controlPlaneNodes.get(controlPlane).voters().current();
   }
 
   /** Whether all slots of "head", as that node knows it, are held by running nodes that vote. */
-  boolean wholeHead(String controlPlane) {
-    for (Voter slot : head(controlPlane).voters) {
-      ControlPlaneNode office = offices.get(slot.machine);
-      if (net.nodeAt(slot.address) == null
-          || office == null
-          || !office.voters().voting()
-          || disks.get(slot.machine).instanceId() != slot.instanceId) {
+  boolean allControlPlaneVotersVote(String controlPlane) {
+    for (Voter voter : controlPlaneVoters(controlPlane).voters) {
+      ControlPlaneNode controlPlaneNode = controlPlaneNodes.get(voter.machine);
+      if (net.nodeAt(voter.address) == null
+          || controlPlaneNode == null
+          || !controlPlaneNode.voters().isVoting()
+          || disks.get(voter.machine).instanceId() != voter.instanceId) {
         return false;
       }
     }
-    return !head(controlPlane).voters.isEmpty();
+    return !controlPlaneVoters(controlPlane).voters.isEmpty();
   }
 
   private CompletableFuture<SimpleHttpResponse> platform(String address, String path, long timeoutMs) {
-    carrierCalls++;
+    platformCalls++;
     CompletableFuture<SimpleHttpResponse> reply = new CompletableFuture<>();
-    byte[] body = carrierSays.getBytes(StandardCharsets.UTF_8);
+    byte[] body = platformReply.getBytes(StandardCharsets.UTF_8);
     timers.schedule(5, () -> reply.complete(new SimpleHttpResponse(200, Map.of(), body)));
     return reply;
   }
 
   void store(String name, boolean firstStart) {
     SimNode node = node(name);
-    StoreNode house =
+    StoreNode storeNode =
         new StoreNode(
             settings(name, firstStart, true),
             node.timers(),
@@ -179,8 +179,8 @@
             disk(name, node),
             new ReplicaListener() {},
             ProcessMetrics.strict());
-    stores.put(name, house);
-    house.start();
+    stores.put(name, storeNode);
+    storeNode.start();
   }
 
   void gateway(String name) {
@@ -200,7 +200,7 @@
             node.timers(),
             settings(name, true, false),
             "gateway",
-            whos++,
+            nextProcessId++,
             () -> StoreStatus.NONE,
             platform);
     gateways.put(name, watcher);
@@ -217,7 +217,7 @@
   }
 
   /** True if it came about within so many ms. */
-  boolean until(long ms, BooleanSupplier holds) {
+  boolean awaitWithin(long ms, BooleanSupplier holds) {
     long end = timers.now() + ms;
     while (!holds.getAsBoolean() && timers.now() < end) {
       timers.advance(1);
@@ -225,28 +225,28 @@
     return holds.getAsBoolean();
   }
 
-  CompletableFuture<SimpleHttpResponse> begin(
+  CompletableFuture<SimpleHttpResponse> call(
       String controlPlane, String method, String path, String basedOn, String body) {
     Map<String, String> headers = basedOn == null ? Map.of() : Map.of("elmsail-based-on", basedOn);
-    return offices
+    return controlPlaneNodes
         .get(controlPlane)
-        .operators()
+        .operatorApi()
         .handle(
             new SimpleHttpRequest(method, path, Map.of(), headers, body.getBytes(StandardCharsets.UTF_8)));
   }
 
-  CompletableFuture<SimpleHttpResponse> sent(String controlPlane, String basedOn, long edition) {
-    return begin(controlPlane, "POST", "/Timetable.Replace", basedOn, config(edition));
+  CompletableFuture<SimpleHttpResponse> sendReplace(String controlPlane, String basedOn, long edition) {
+    return call(controlPlane, "POST", "/Timetable.Replace", basedOn, config(edition));
   }
 
   /** Status, or -1 if there was no answer within a second. */
   int status(CompletableFuture<SimpleHttpResponse> reply) {
-    return until(1_000, reply::isDone) ? reply.join().status() : -1;
+    return awaitWithin(1_000, reply::isDone) ? reply.join().status() : -1;
   }
 
   int replace(String controlPlane, long basedOn, long edition) {
     return status(
-        begin(
+        call(
             controlPlane, "POST", "/Timetable.Replace", String.valueOf(basedOn), config(edition)));
   }
 
@@ -263,20 +263,20 @@
   }
 
   String read(String controlPlane) {
-    CompletableFuture<SimpleHttpResponse> reply = begin(controlPlane, "GET", "/Timetable.Read", null, "");
+    CompletableFuture<SimpleHttpResponse> reply = call(controlPlane, "GET", "/Timetable.Read", null, "");
     int status = status(reply);
     return status == 200
         ? new String(reply.join().body(), StandardCharsets.UTF_8)
         : String.valueOf(status);
   }
 
-  int retire(String controlPlane, String store) {
-    return status(begin(controlPlane, "POST", "/Retire.Begin/" + store, null, "{\"over_s\":10}"));
+  int beginDecommission(String controlPlane, String store) {
+    return status(call(controlPlane, "POST", "/Retire.Begin/" + store, null, "{\"over_s\":10}"));
   }
 
-  String retired(String controlPlane, String store) {
+  String decommissionState(String controlPlane, String store) {
     CompletableFuture<SimpleHttpResponse> reply =
-        begin(controlPlane, "GET", "/Retire.Read/" + store, null, "");
+        call(controlPlane, "GET", "/Retire.Read/" + store, null, "");
     int status = status(reply);
     return status == 200
         ? new String(reply.join().body(), StandardCharsets.UTF_8)
@@ -287,16 +287,16 @@
    * DecommissionList and epochs of the voter slots as the store knows them, with a star where one
    * is not voting.
    */
-  String storeSet(String store) {
+  String describeJobStoreVoters(String store) {
     StringBuilder voters = new StringBuilder();
-    for (Voter slot : stores.get(store).replica().voterSet().voters) {
-      StoreNode house = stores.get(slot.machine);
+    for (Voter voter : stores.get(store).replica().voterSet().voters) {
+      StoreNode storeNode = stores.get(voter.machine);
       voters
           .append(voters.isEmpty() ? "" : " ")
-          .append(slot.machine)
+          .append(voter.machine)
           .append('/')
-          .append(slot.epoch);
-      voters.append(house != null && house.replica().isVoting() ? "" : "*");
+          .append(voter.epoch);
+      voters.append(storeNode != null && storeNode.replica().isVoting() ? "" : "*");
     }
     return voters.toString();
   }
--- a/controlplane/src/test/java/elmsail/controlplane/CoreSplitStory.java
+++ b/controlplane/src/test/java/elmsail/controlplane/SplitPartitionScenario.java
@@ -23,7 +23,7 @@
 import java.util.concurrent.CompletableFuture;
 
 /** One cut of the counted machines into two halves, with all that goes on around it. */
-final class CoreSplitStory {
+final class SplitPartitionScenario {
   /** How the machines are divided, by their place among all nodes and stores. */
   enum Halves {
     /** Nodes and stores by turns. */
@@ -36,7 +36,7 @@
   }
 
   /** What has begun shortly before the cut. */
-  enum UnderWay {
+  enum ConcurrentChange {
     NOTHING,
     STORE_JOINS,
     NODE_JOINS,
@@ -52,7 +52,7 @@
   private static final long GONE_MS = 3_000;
 
   /** So many orders are under way at once at most. */
-  private static final int MOST_ORDERS = 8;
+  private static final int MAX_PENDING_CHANGES = 8;
 
   private static final int LOOK_MS = 40;
   private static final int PAUSE_MS = 200;
@@ -60,22 +60,22 @@
   private static final String DELIVERED = "{\"state\":\"delivered\"}";
 
   private final String name;
-  private final World world;
-  private final Random chance;
+  private final SimulatedCluster cluster;
+  private final Random random;
   private final Halves halves;
-  private final UnderWay underWay;
+  private final ConcurrentChange underWay;
   private final int nodes;
   private final int voters;
-  private final OrderStory orders;
-  private final ReadWatch reads;
-  private final JobWriter jobs;
+  private final ConfigChangeScenario orders;
+  private final ConfigReadChecker reads;
+  private final JobRecordWriter jobs;
   private final List<String> counted = new ArrayList<>();
   private final Set<String> gone = new HashSet<>();
   private final Set<String> retired = new HashSet<>();
   private final Set<String> delivered = new HashSet<>();
   private final Map<String, Long> holderOf = new HashMap<>();
   private final Map<String, CompletableFuture<SimpleHttpResponse>> asked = new LinkedHashMap<>();
-  private final Map<OrderStory.Order, Long> again = new LinkedHashMap<>();
+  private final Map<ConfigChangeScenario.ChangeRequest, Long> again = new LinkedHashMap<>();
   private long number = 1;
   private final Set<String> unasked = new LinkedHashSet<>();
   private final List<String> wrong = new ArrayList<>();
@@ -86,26 +86,26 @@
   private long wholeAfterMs;
   private long ackedAfterMs;
 
-  CoreSplitStory(int seed, int nodes, int stores, int bear, Halves halves, UnderWay underWay) {
+  SplitPartitionScenario(int seed, int nodes, int stores, int bear, Halves halves, ConcurrentChange underWay) {
     this.name = halves + ", " + underWay + ", seed " + seed;
     this.nodes = nodes;
     this.halves = halves;
     this.underWay = underWay;
     voters = 2 * bear + 1;
-    chance = new Random(seed * 31L + halves.ordinal());
-    world = new World(seed, 3, bear);
-    world.net.delay(1, 8);
-    orders = new OrderStory(name, world, chance, nodes);
-    reads = new ReadWatch(name, orders);
+    random = new Random(seed * 31L + halves.ordinal());
+    cluster = new SimulatedCluster(seed, 3, bear);
+    cluster.net.delay(1, 8);
+    orders = new ConfigChangeScenario(name, cluster, random, nodes);
+    reads = new ConfigReadChecker(name, orders);
     for (int i = 1; i <= nodes; i++) {
       counted.add("n" + i);
-      world.controlPlane("n" + i, true);
+      cluster.controlPlane("n" + i, true);
     }
     for (int i = 1; i <= stores; i++) {
       counted.add("v" + i);
-      world.store("v" + i, true);
+      cluster.store("v" + i, true);
     }
-    jobs = new JobWriter(name, world, chance);
+    jobs = new JobRecordWriter(name, cluster, random);
   }
 
   int acknowledgedInTheCut() {
@@ -129,72 +129,72 @@
   }
 
   void play() {
-    assertThat(name + ": founded", world.until(10_000, this::whole), is(true));
-    assertThat(name, world.replaceAnywhere(0, 1), is(200));
-    orders.sent.add(OrderStory.order(0, 1, ""));
-    orders.confirmed.add(OrderStory.order(0, 1, ""));
+    assertThat(name + ": founded", cluster.awaitWithin(10_000, this::whole), is(true));
+    assertThat(name, cluster.replaceAnywhere(0, 1), is(200));
+    orders.sent.add(ConfigChangeScenario.replacement(0, 1, ""));
+    orders.committed.add(ConfigChangeScenario.replacement(0, 1, ""));
     run(1_000);
     begin();
-    int confirmed = orders.confirmed.size();
-    int answered = reads.answers();
+    int confirmed = orders.committed.size();
+    int answered = reads.configsRead();
     split();
-    run(1_000 + chance.nextInt(2_000));
+    run(1_000 + random.nextInt(2_000));
     retire(anyStore());
-    run(2_000 + chance.nextInt(6_000));
-    acknowledgedInTheCut = orders.confirmed.size() - confirmed;
-    readsInTheCut = reads.answers() - answered;
+    run(2_000 + random.nextInt(6_000));
+    acknowledgedInTheCut = orders.committed.size() - confirmed;
+    readsInTheCut = reads.configsRead() - answered;
     heal();
-    int before = orders.confirmed.size();
-    long healedAt = world.timers.now();
-    while (!whole() && world.timers.now() < healedAt + RECOVER_MS) {
+    int before = orders.committed.size();
+    long healedAt = cluster.timers.now();
+    while (!whole() && cluster.timers.now() < healedAt + RECOVER_MS) {
       run(50);
     }
     assertThat(name + ": whole after the heal " + state(), whole(), is(true));
-    wholeAfterMs = world.timers.now() - healedAt;
+    wholeAfterMs = cluster.timers.now() - healedAt;
     run(2_000);
     assertThat(
-        name + ": orders after the heal " + state(), orders.confirmed.size() > before, is(true));
+        name + ": orders after the heal " + state(), orders.committed.size() > before, is(true));
     end();
   }
 
   /** What is to be under way when the cut comes. */
   private void begin() {
-    String store = holders().get(chance.nextInt(voters));
-    String node = "n" + (1 + chance.nextInt(3));
+    String store = holders().get(random.nextInt(voters));
+    String node = "n" + (1 + random.nextInt(3));
     switch (underWay) {
       case STORE_JOINS -> {
         lose(store);
-        run(GONE_MS - 200 + chance.nextInt(500));
+        run(GONE_MS - 200 + random.nextInt(500));
       }
       case NODE_JOINS -> {
         lose(node);
-        run(GONE_MS - 200 + chance.nextInt(500));
+        run(GONE_MS - 200 + random.nextInt(500));
       }
       case RETIRE -> {
         retire(store);
-        run(chance.nextInt(800));
+        run(random.nextInt(800));
       }
       case WIPED_STORE_REJOINS -> {
-        world.wipe(store);
+        cluster.wipe(store);
         run(500);
-        world.store(store, false);
-        run(chance.nextInt(60));
+        cluster.store(store, false);
+        run(random.nextInt(60));
       }
       case WIPED_NODE_REJOINS -> {
-        world.wipe(node);
+        cluster.wipe(node);
         run(500);
-        world.controlPlane(node, false);
-        run(chance.nextInt(60));
+        cluster.controlPlane(node, false);
+        run(random.nextInt(60));
       }
-      case NODE_FROZEN -> world.net.freeze(world.address(node));
-      default -> run(chance.nextInt(500));
+      case NODE_FROZEN -> cluster.net.freeze(cluster.address(node));
+      default -> run(random.nextInt(500));
     }
   }
 
   private void lose(String machine) {
-    world.net.kill(world.address(machine), false);
+    cluster.net.kill(cluster.address(machine), false);
     gone.add(machine);
-    world.offices.remove(machine);
+    cluster.controlPlaneNodes.remove(machine);
     jobs.forget(machine);
   }
 
@@ -213,24 +213,24 @@
   private void split() {
     Set<String> drawn = new HashSet<>();
     for (String machine : counted) {
-      if (chance.nextBoolean()) {
+      if (random.nextBoolean()) {
         drawn.add(machine);
       }
     }
     for (String one : counted) {
       for (String other : counted) {
         if (firstHalf(one, drawn) && !firstHalf(other, drawn)) {
-          world.net.cutBoth(world.address(one), world.address(other));
+          cluster.net.cutBoth(cluster.address(one), cluster.address(other));
         }
       }
     }
   }
 
   private void heal() {
-    world.net.healAll();
+    cluster.net.healAll();
     for (int i = 1; i <= nodes; i++) {
-      if (world.net.nodeAt(world.address("n" + i)) != null) {
-        world.net.thaw(world.address("n" + i));
+      if (cluster.net.nodeAt(cluster.address("n" + i)) != null) {
+        cluster.net.thaw(cluster.address("n" + i));
       }
     }
   }
@@ -238,7 +238,7 @@
   private String anyStore() {
     String store;
     do {
-      store = counted.get(nodes + chance.nextInt(counted.size() - nodes));
+      store = counted.get(nodes + random.nextInt(counted.size() - nodes));
     } while (gone.contains(store));
     return store;
   }
@@ -249,18 +249,18 @@
   }
 
   private void askToRetire() {
-    if (world.timers.now() < nextRetire) {
+    if (cluster.timers.now() < nextRetire) {
       return;
     }
-    nextRetire = world.timers.now() + RACE_EVERY_MS;
+    nextRetire = cluster.timers.now() + RACE_EVERY_MS;
     for (String store : List.copyOf(unasked)) {
-      String node = "n" + (1 + chance.nextInt(nodes));
-      SimNode there = world.net.nodeAt(world.address(node));
+      String node = "n" + (1 + random.nextInt(nodes));
+      SimNode there = cluster.net.nodeAt(cluster.address(node));
       if (gone.contains(node) || there == null || there.isFrozen()) {
         continue;
       }
-      world
-          .begin(node, "POST", "/Retire.Begin/" + store, null, "{\"over_s\":10}")
+      cluster
+          .call(node, "POST", "/Retire.Begin/" + store, null, "{\"over_s\":10}")
           .thenAccept(reply -> retireAnswered(store, reply.status()));
     }
   }
@@ -275,10 +275,10 @@
   }
 
   private void run(long ms) {
-    long end = world.timers.now() + ms;
-    while (world.timers.now() < end) {
+    long end = cluster.timers.now() + ms;
+    while (cluster.timers.now() < end) {
       race();
-      reads.ask("n" + (1 + chance.nextInt(nodes)));
+      reads.read("n" + (1 + random.nextInt(nodes)));
       jobs.step();
       askToRetire();
       askWhetherDelivered();
@@ -289,11 +289,11 @@
   }
 
   private void hear() {
-    for (OrderStory.Order unclear : orders.hear(LOOK_MS)) {
-      again.put(unclear, world.timers.now() + PAUSE_MS + chance.nextInt(PAUSE_MS));
+    for (ConfigChangeScenario.ChangeRequest unclear : orders.collectReplies(LOOK_MS)) {
+      again.put(unclear, cluster.timers.now() + PAUSE_MS + random.nextInt(PAUSE_MS));
     }
-    for (Map.Entry<OrderStory.Order, Long> one : List.copyOf(again.entrySet())) {
-      if (one.getValue() <= world.timers.now()) {
+    for (Map.Entry<ConfigChangeScenario.ChangeRequest, Long> one : List.copyOf(again.entrySet())) {
+      if (one.getValue() <= cluster.timers.now()) {
         again.remove(one.getKey());
         if (!orders.answered(one.getKey())) {
           orders.send(one.getKey());
@@ -304,30 +304,30 @@
 
   /** Two orders on the newest base at any two nodes, and some of those before them once more. */
   private void race() {
-    boolean many = orders.underWay() + again.size() + 2 > MOST_ORDERS;
-    if (many || world.timers.now() < nextRace) {
+    boolean many = orders.pending() + again.size() + 2 > MAX_PENDING_CHANGES;
+    if (many || cluster.timers.now() < nextRace) {
       return;
     }
-    nextRace = world.timers.now() + RACE_EVERY_MS;
+    nextRace = cluster.timers.now() + RACE_EVERY_MS;
     long base = 0;
-    for (OrderStory.Order order : orders.confirmed) {
+    for (ConfigChangeScenario.ChangeRequest order : orders.committed) {
       base = Math.max(base, order.number());
     }
     number = Math.max(number, base) + 1;
-    orders.send(OrderStory.order(base, number, "a"));
-    orders.send(OrderStory.order(base, number + chance.nextInt(2), "b"));
-    if (chance.nextInt(4) == 0) {
-      List<OrderStory.Order> earlier = new ArrayList<>(orders.sent);
-      orders.send(earlier.get(Math.max(0, earlier.size() - 1 - chance.nextInt(8))));
+    orders.send(ConfigChangeScenario.replacement(base, number, "a"));
+    orders.send(ConfigChangeScenario.replacement(base, number + random.nextInt(2), "b"));
+    if (random.nextInt(4) == 0) {
+      List<ConfigChangeScenario.ChangeRequest> earlier = new ArrayList<>(orders.sent);
+      orders.send(earlier.get(Math.max(0, earlier.size() - 1 - random.nextInt(8))));
     }
   }
 
   private void askWhetherDelivered() {
-    for (String node : world.offices.keySet()) {
+    for (String node : cluster.controlPlaneNodes.keySet()) {
       for (String store : retired) {
         String key = node + " " + store;
-        if (world.net.nodeAt(world.address(node)) != null && !asked.containsKey(key)) {
-          asked.put(key, world.begin(node, "GET", "/Retire.Read/" + store, null, ""));
+        if (cluster.net.nodeAt(cluster.address(node)) != null && !asked.containsKey(key)) {
+          asked.put(key, cluster.call(node, "GET", "/Retire.Read/" + store, null, ""));
         }
       }
     }
@@ -349,27 +349,27 @@
   }
 
   private void check() {
-    for (Voter slot : jobs.newest().voters) {
-      assertThat(name + ": delivered", delivered, not(hasItem(slot.machine)));
+    for (Voter voter : jobs.newest().voters) {
+      assertThat(name + ": delivered", delivered, not(hasItem(voter.machine)));
     }
     int leases = 0;
-    for (Map.Entry<String, ControlPlaneNode> office : world.offices.entrySet()) {
-      boolean up = world.net.nodeAt(world.address(office.getKey())) != null;
+    for (Map.Entry<String, ControlPlaneNode> office : cluster.controlPlaneNodes.entrySet()) {
+      boolean up = cluster.net.nodeAt(cluster.address(office.getKey())) != null;
       leases += up && office.getValue().lease.term() > 0 ? 1 : 0;
     }
     assertThat(name + ": leases", leases, lessThanOrEqualTo(1));
-    for (Map.Entry<String, StoreNode> store : world.stores.entrySet()) {
+    for (Map.Entry<String, StoreNode> store : cluster.stores.entrySet()) {
       if (!store.getValue().replica().isVoting()) {
         continue;
       }
       List<Voter> slots = store.getValue().replica().voterSet().voters;
       for (int i = 0; i < slots.size(); i++) {
-        Voter slot = slots.get(i);
-        boolean itself = slot.machine.equals(store.getKey());
+        Voter voter = slots.get(i);
+        boolean itself = voter.machine.equals(store.getKey());
         if (itself) {
-          Long before = holderOf.putIfAbsent(i + "/" + slot.epoch, slot.instanceId);
+          Long before = holderOf.putIfAbsent(i + "/" + voter.epoch, voter.instanceId);
           assertThat(
-              name + ": two hold slot " + i, before == null || before == slot.instanceId, is(true));
+              name + ": two hold slot " + i, before == null || before == voter.instanceId, is(true));
         }
       }
     }
@@ -377,8 +377,8 @@
 
   private List<String> holders() {
     List<String> holders = new ArrayList<>();
-    for (Voter slot : jobs.newest().voters) {
-      holders.add(slot.machine);
+    for (Voter voter : jobs.newest().voters) {
+      holders.add(voter.machine);
     }
     return holders;
   }
@@ -388,14 +388,14 @@
       return false;
     }
     int voting = 0;
-    for (Voter slot : jobs.newest().voters) {
-      StoreNode store = world.stores.get(slot.machine);
-      boolean there = world.net.nodeAt(slot.address) != null && !gone.contains(slot.machine);
-      boolean same = world.disks.get(slot.machine).instanceId() == slot.instanceId;
+    for (Voter voter : jobs.newest().voters) {
+      StoreNode store = cluster.stores.get(voter.machine);
+      boolean there = cluster.net.nodeAt(voter.address) != null && !gone.contains(voter.machine);
+      boolean same = cluster.disks.get(voter.machine).instanceId() == voter.instanceId;
       voting += there && same && store.replica().isVoting() ? 1 : 0;
     }
-    for (String node : world.offices.keySet()) {
-      if (!gone.contains(node) && !world.wholeHead(node)) {
+    for (String node : cluster.controlPlaneNodes.keySet()) {
+      if (!gone.contains(node) && !cluster.allControlPlaneVotersVote(node)) {
         return false;
       }
     }
@@ -404,23 +404,23 @@
 
   private String state() {
     StringBuilder state = new StringBuilder("gone " + gone + ", retired " + retired);
-    for (String node : world.offices.keySet()) {
+    for (String node : cluster.controlPlaneNodes.keySet()) {
       state.append("; ").append(node).append(' ');
-      for (Voter slot : world.head(node).voters) {
-        state.append(slot.machine).append('/').append(slot.epoch).append(' ');
+      for (Voter voter : cluster.controlPlaneVoters(node).voters) {
+        state.append(voter.machine).append('/').append(voter.epoch).append(' ');
       }
-      state.append(world.offices.get(node).voters().voting() ? "votes" : "");
+      state.append(cluster.controlPlaneNodes.get(node).voters().isVoting() ? "votes" : "");
     }
-    for (String store : world.stores.keySet()) {
-      state.append("; ").append(store).append(" [").append(world.storeSet(store)).append(']');
+    for (String store : cluster.stores.keySet()) {
+      state.append("; ").append(store).append(" [").append(cluster.describeJobStoreVoters(store)).append(']');
     }
     return state.toString();
   }
 
   /** All that was asked to leave has left; all that was acknowledged is there. */
   private void end() {
-    long end = world.timers.now() + RECOVER_MS;
-    while (!(unasked.isEmpty() && delivered.containsAll(retired)) && world.timers.now() < end) {
+    long end = cluster.timers.now() + RECOVER_MS;
+    while (!(unasked.isEmpty() && delivered.containsAll(retired)) && cluster.timers.now() < end) {
       run(100);
     }
     String leaving = name + ": asked " + retired + ", delivered " + delivered + state();
@@ -428,6 +428,6 @@
     assertThat(name, wrong, is(empty()));
     jobs.readAll();
     orders.finish();
-    assertThat(name, world.net.handlerFaults().isEmpty(), is(true));
+    assertThat(name, cluster.net.handlerFaults().isEmpty(), is(true));
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/CoreSplitTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/SplitPartitionTest.java
@@ -13,30 +13,30 @@
  * written and read, and stores are retired, while a change of voters may be under way. What holds
  * for all machines holds throughout, and all is well again soon after the cut has healed.
  */
-class CoreSplitTest {
+class SplitPartitionTest {
   private static final int STORIES = 6;
 
   @ParameterizedTest
   @EnumSource
-  void fourNodesAndSevenStoresOfThreeVotersEach(CoreSplitStory.UnderWay underWay) {
+  void fourNodesAndSevenStoresOfThreeVotersEach(SplitPartitionScenario.ConcurrentChange underWay) {
     play(4, 7, 1, underWay);
   }
 
   @ParameterizedTest
   @EnumSource
-  void sixNodesAndTenStoresOfFiveVotersEach(CoreSplitStory.UnderWay underWay) {
+  void sixNodesAndTenStoresOfFiveVotersEach(SplitPartitionScenario.ConcurrentChange underWay) {
     play(6, 10, 2, underWay);
   }
 
-  private static void play(int nodes, int stores, int bear, CoreSplitStory.UnderWay underWay) {
+  private static void play(int nodes, int stores, int bear, SplitPartitionScenario.ConcurrentChange underWay) {
     int acknowledged = 0;
     int answers = 0;
     int delivered = 0;
     long longest = 0;
     long acked = 0;
-    for (CoreSplitStory.Halves halves : CoreSplitStory.Halves.values()) {
+    for (SplitPartitionScenario.Halves halves : SplitPartitionScenario.Halves.values()) {
       for (int seed = 1; seed <= STORIES; seed++) {
-        CoreSplitStory story = new CoreSplitStory(seed, nodes, stores, bear, halves, underWay);
+        SplitPartitionScenario story = new SplitPartitionScenario(seed, nodes, stores, bear, halves, underWay);
         story.play();
         acknowledged += story.acknowledgedInTheCut();
         answers += story.readsAnsweredInTheCut();
