--- a/app/src/main/java/elmsail/app/ApplicationLauncher.java
+++ b/app/src/main/java/elmsail/app/ApplicationLauncher.java
@@ -87,7 +87,8 @@
     CommandLine commandLine;
     boolean rehearse = args.length == 1 && args[0].equals("--" + REHEARSE);
     try {
-      commandLine = new DefaultParser(false).parse(options(), rehearse ? new String[0] : args, false);
+      commandLine =
+          new DefaultParser(false).parse(options(), rehearse ? new String[0] : args, false);
       if (!commandLine.getArgList().isEmpty()) {
         throw new ParseException("not an option: " + commandLine.getArgList().get(0));
       }
@@ -99,7 +100,8 @@
       help();
       return OK;
     }
-    String file = commandLine.getOptionValue(SETTINGS, System.getenv(SettingsFile.ENVIRONMENT_VARIABLE));
+    String file =
+        commandLine.getOptionValue(SETTINGS, System.getenv(SettingsFile.ENVIRONMENT_VARIABLE));
     if (rehearse) {
       return CdsTrainingRun.run(program, err);
     }
@@ -138,7 +140,8 @@
     void with(Runnable end, NettyEventLoop loop);
   }
 
-  static int runUntilStopped(Application program, Path file, Settings settings, StartListener started) {
+  static int runUntilStopped(
+      Application program, Path file, Settings settings, StartListener started) {
     Logger log = LoggerFactory.getLogger("elmsail." + program.name());
     NettyEventLoop loop = new NettyEventLoop();
     CompletableFuture<Void> ended = new CompletableFuture<>();
@@ -150,7 +153,8 @@
             new ProcessSignals(loop, file, settings, held::end, held::changed).start();
             held.running = program.start(settings, loop);
             log.info(
-                "started, {} ms after its main began", (System.nanoTime() - STARTED_AT_NANOS) / 1_000_000);
+                "started, {} ms after its main began",
+                (System.nanoTime() - STARTED_AT_NANOS) / 1_000_000);
             started.with(held::end, loop);
           } catch (RuntimeException e) {
             ended.completeExceptionally(e);
@@ -192,7 +196,8 @@
    */
   static Void exitAfterFailure(Throwable failure) {
     LoggerFactory.getLogger(ApplicationLauncher.class).error("could not start", failure);
-    int code = ElmsailException.codeOf(failure) == ErrorCode.INVALID_SETTINGS ? INVALID_USAGE : FAILED;
+    int code =
+        ElmsailException.codeOf(failure) == ErrorCode.INVALID_SETTINGS ? INVALID_USAGE : FAILED;
     new Thread(() -> System.exit(code), "exit").start();
     return null;
   }
--- a/app/src/main/java/elmsail/app/CdsTrainingRun.java
+++ b/app/src/main/java/elmsail/app/CdsTrainingRun.java
@@ -39,7 +39,8 @@
     try {
       directory = Files.createTempDirectory("elmsail");
       Path file =
-          Files.writeString(directory.resolve("settings.json"), settings(program.name(), directory));
+          Files.writeString(
+              directory.resolve("settings.json"), settings(program.name(), directory));
       Settings settings = SettingsFile.read(file);
       return ApplicationLauncher.runUntilStopped(
           program,
--- a/app/src/main/java/elmsail/app/ControlPlaneProcess.java
+++ b/app/src/main/java/elmsail/app/ControlPlaneProcess.java
@@ -41,14 +41,14 @@
           .exceptionally(ApplicationLauncher::exitAfterFailure);
     } else {
       controlPlane = ControlPlane.startStore(settings, loop, rpc, recordStore, metrics);
-      rpc
-          .listen()
+      rpc.listen()
           .thenRun(() -> LOG.info("listening at {}", settings.rpcAddress()))
           .exceptionally(ApplicationLauncher::exitAfterFailure);
     }
   }
 
-  private static RecordStore recordStore(Settings settings, NettyEventLoop loop, ProcessMetrics metrics) {
+  private static RecordStore recordStore(
+      Settings settings, NettyEventLoop loop, ProcessMetrics metrics) {
     long maxBytes = (long) settings.limits().diskMb() << 20;
     DirectoryRecordStore records =
         DirectoryRecordStore.open(Path.of(settings.dataDir()), maxBytes, loop::execute);
--- a/app/src/main/java/elmsail/app/DataDirectoryReport.java
+++ b/app/src/main/java/elmsail/app/DataDirectoryReport.java
@@ -40,7 +40,9 @@
       return readCopy(directory, copy);
     } catch (IOException e) {
       throw new ElmsailException(
-          ErrorCode.STORAGE_FAILURE, "the folder cannot be copied (is its process running?): " + e, e);
+          ErrorCode.STORAGE_FAILURE,
+          "the folder cannot be copied (is its process running?): " + e,
+          e);
     } finally {
       delete(copy);
     }
@@ -62,8 +64,7 @@
     if (files == 0) {
       throw new ElmsailException(ErrorCode.STORAGE_FAILURE, "no records in " + directory);
     }
-    try (DirectoryRecordStore records =
-        DirectoryRecordStore.open(copy, MAX_BYTES, Runnable::run)) {
+    try (DirectoryRecordStore records = DirectoryRecordStore.open(copy, MAX_BYTES, Runnable::run)) {
       int count = 0;
       for (String name : records.names("")) {
         count += name.isEmpty() ? 0 : 1;
--- a/app/src/main/java/elmsail/app/GatewayProcess.java
+++ b/app/src/main/java/elmsail/app/GatewayProcess.java
@@ -39,12 +39,27 @@
             ? null
             : new PlatformClient(new NettyHttpClient(loop), settings.platform().address(), loop);
     watcher =
-        new ConfigWatcher(rpc, loop, settings, "gateway", instanceId, () -> StoreStatus.NONE, platform);
+        new ConfigWatcher(
+            rpc, loop, settings, "gateway", instanceId, () -> StoreStatus.NONE, platform);
     RegisterClient storeSet =
         new RegisterClient(
-            "shelf", rpc, loop, new StoreVoters(watcher), instanceId, ownAddress, address -> zoneDistance(ownAddress, address));
+            "shelf",
+            rpc,
+            loop,
+            new StoreVoters(watcher),
+            instanceId,
+            ownAddress,
+            address -> zoneDistance(ownAddress, address));
     BatchApi jobs =
-        new BatchApi(storeSet, rpc, loop, watcher, ownAddress, instanceId, settings.bounds().cancelMs(), metrics);
+        new BatchApi(
+            storeSet,
+            rpc,
+            loop,
+            watcher,
+            ownAddress,
+            instanceId,
+            settings.bounds().cancelMs(),
+            metrics);
     jobs.registerHandlers(rpc);
     CompletableFuture<Void> listening = rpc.listen();
     watcher.start();
@@ -55,7 +70,8 @@
               gateway = started;
               jobs.setServers(started.itemServers());
               jobs.start();
-              LOG.info("listening at {} and {}", settings.listenAddresses().get("front"), ownAddress);
+              LOG.info(
+                  "listening at {} and {}", settings.listenAddresses().get("front"), ownAddress);
               if (stopping) {
                 finish();
               }
--- a/app/src/test/java/elmsail/app/ApplicationLauncherTest.java
+++ b/app/src/test/java/elmsail/app/ApplicationLauncherTest.java
@@ -91,7 +91,9 @@
 
   @Test
   void doesNotStartWithoutSettingsThatCanBeUsed() throws Exception {
-    assertThat(run("--settings", folder.resolve("none").toString()), is(ApplicationLauncher.INVALID_USAGE));
+    assertThat(
+        run("--settings", folder.resolve("none").toString()),
+        is(ApplicationLauncher.INVALID_USAGE));
     assertThat(errors(), containsString("cannot read"));
     assertThat(run("--settings", settings("{}")), is(ApplicationLauncher.INVALID_USAGE));
     assertThat(errors(), containsString(": is missing"));
@@ -118,7 +120,9 @@
   void livesUntilItIsToldToEnd() throws Exception {
     Path file = Path.of(settings(LEAST));
     Brief program = new Brief(null);
-    int code = ApplicationLauncher.runUntilStopped(program, file, SettingsFile.read(file), (end, loop) -> end.run());
+    int code =
+        ApplicationLauncher.runUntilStopped(
+            program, file, SettingsFile.read(file), (end, loop) -> end.run());
     assertThat(code, is(ApplicationLauncher.OK));
     assertThat(program.ends, is(1));
   }
--- a/app/src/test/java/elmsail/app/CheckMainTest.java
+++ b/app/src/test/java/elmsail/app/CheckMainTest.java
@@ -10,8 +10,8 @@
 import elmsail.consensus.Replica;
 import elmsail.consensus.ReplicaListener;
 import elmsail.consensus.RestoredReplica;
-import elmsail.rpc.RpcClient;
 import elmsail.rpc.RequestHandlers;
+import elmsail.rpc.RpcClient;
 import elmsail.rpc.messages.Voter;
 import elmsail.rpc.messages.VoterSet;
 import elmsail.runtime.ManualTimers;
@@ -108,10 +108,13 @@
 
   @Test
   void whatIsNoWholeConfigurationIsOneFault() throws Exception {
-    assertThat(run("--timetable", file(GOOD.substring(0, 30))), is(ApplicationLauncher.INVALID_USAGE));
+    assertThat(
+        run("--timetable", file(GOOD.substring(0, 30))), is(ApplicationLauncher.INVALID_USAGE));
     assertThat(printed().lines().count(), is(1L));
     out.reset();
-    assertThat(run("--timetable", file("{\"edition\":1,\"routes\":3}")), is(ApplicationLauncher.INVALID_USAGE));
+    assertThat(
+        run("--timetable", file("{\"edition\":1,\"routes\":3}")),
+        is(ApplicationLauncher.INVALID_USAGE));
     assertThat(
         printed().lines().toList(), contains("postal_lines: is missing", "routes: is not a list"));
     out.reset();
@@ -209,7 +212,8 @@
 
   private static final class NoAnswers implements RequestHandlers {
     @Override
-    public <Q, A> void register(Class<Q> request, Function<Q, ? extends CompletionStage<A>> handler) {
+    public <Q, A> void register(
+        Class<Q> request, Function<Q, ? extends CompletionStage<A>> handler) {
       // Nobody asks.
     }
   }
@@ -244,7 +248,8 @@
     byte[] whole = Files.readAllBytes(data.resolve(last));
     Files.write(data.resolve(last), Arrays.copyOf(whole, whole.length - 3));
     assertThat(run("--data", data.toString()), is(ApplicationLauncher.FAILED));
-    assertThat(run("--timetable", folder.resolve("none").toString()), is(ApplicationLauncher.FAILED));
+    assertThat(
+        run("--timetable", folder.resolve("none").toString()), is(ApplicationLauncher.FAILED));
     assertThat(
         err.toString(StandardCharsets.UTF_8),
         allOf(
--- a/app/src/test/java/elmsail/app/PinnedNamesTest.java
+++ b/app/src/test/java/elmsail/app/PinnedNamesTest.java
@@ -8,8 +8,8 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
 import elmsail.rpc.RpcEndpoint;
-import elmsail.runtime.PrometheusText;
 import elmsail.runtime.NettyEventLoop;
+import elmsail.runtime.PrometheusText;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -37,7 +37,10 @@
 
   @Test
   void exitCodes() {
-    assertThat(List.of(ApplicationLauncher.OK, ApplicationLauncher.FAILED, ApplicationLauncher.INVALID_USAGE), contains(0, 1, 2));
+    assertThat(
+        List.of(
+            ApplicationLauncher.OK, ApplicationLauncher.FAILED, ApplicationLauncher.INVALID_USAGE),
+        contains(0, 1, 2));
   }
 
   @Test
--- a/batch/src/main/java/elmsail/batch/api/BatchApi.java
+++ b/batch/src/main/java/elmsail/batch/api/BatchApi.java
@@ -1,7 +1,7 @@
 package elmsail.batch.api;
 
-import elmsail.batch.BatchService;
 import elmsail.batch.BatchItem;
+import elmsail.batch.BatchService;
 import elmsail.batch.ItemServers;
 import elmsail.batch.client.BatchContext;
 import elmsail.batch.client.BatchCounters;
@@ -17,8 +17,8 @@
 import elmsail.config.Route;
 import elmsail.config.RoutingConfig;
 import elmsail.consensus.Register;
-import elmsail.rpc.RpcClient;
 import elmsail.rpc.RequestHandlers;
+import elmsail.rpc.RpcClient;
 import elmsail.rpc.messages.OpaqueMessage;
 import elmsail.runtime.ElmsailException;
 import elmsail.runtime.ErrorCode;
@@ -232,7 +232,11 @@
       return CompletableFuture.completedFuture(BatchReplies.NOT_FOUND);
     }
     return end(jobId, 2)
-        .exceptionally(failure -> BatchReplies.mayHaveTakenEffect(failure) ? BatchReplies.OUTCOME_UNKNOWN : replies.unavailable());
+        .exceptionally(
+            failure ->
+                BatchReplies.mayHaveTakenEffect(failure)
+                    ? BatchReplies.OUTCOME_UNKNOWN
+                    : replies.unavailable());
   }
 
   private CompletableFuture<Reply> end(String jobId, int attemptsLeft) {
@@ -244,7 +248,8 @@
             found -> {
               JobRecord record = JobRecord.decodeNullable(found.value());
               return new Register.ProposedValue(
-                  record == null || record.cancelled() ? null : record.withCancellation().encode(), List.of());
+                  record == null || record.cancelled() ? null : record.withCancellation().encode(),
+                  List.of());
             },
             List.of(),
             null,
--- a/batch/src/main/java/elmsail/batch/api/BatchReplies.java
+++ b/batch/src/main/java/elmsail/batch/api/BatchReplies.java
@@ -37,7 +37,8 @@
    * refused together do not come back together.
    */
   Reply overQuota() {
-    return new Reply(429, EMPTY_BODY, MIN_OVER_QUOTA_RETRY_S + random.nextDouble() * OVER_QUOTA_RETRY_JITTER_S);
+    return new Reply(
+        429, EMPTY_BODY, MIN_OVER_QUOTA_RETRY_S + random.nextDouble() * OVER_QUOTA_RETRY_JITTER_S);
   }
 
   /** Where nothing was to be changed, any failure is a 503. */
--- a/batch/src/main/java/elmsail/batch/api/ReadHandler.java
+++ b/batch/src/main/java/elmsail/batch/api/ReadHandler.java
@@ -90,7 +90,10 @@
       pollTimer =
           context
               .timers()
-              .schedule(Math.min(remainingMs, POLL_INTERVAL_MS / 2 + context.jittered(POLL_INTERVAL_MS / 2)), this::readRecord);
+              .schedule(
+                  Math.min(
+                      remainingMs, POLL_INTERVAL_MS / 2 + context.jittered(POLL_INTERVAL_MS / 2)),
+                  this::readRecord);
     }
   }
 
@@ -109,7 +112,8 @@
     byte[][] texts = new byte[page.size()][];
     int[] missing = {page.size()};
     if (page.isEmpty()) {
-      replyFuture.complete(new Reply(200, ResultPage.toJson(record, afterPosition, page, texts), 0));
+      replyFuture.complete(
+          new Reply(200, ResultPage.toJson(record, afterPosition, page, texts), 0));
     }
     for (int i = 0; i < texts.length; i++) {
       int index = i;
@@ -125,7 +129,8 @@
             }
             texts[index] = text;
             if (--missing[0] == 0) {
-              replyFuture.complete(new Reply(200, ResultPage.toJson(record, afterPosition, page, texts), 0));
+              replyFuture.complete(
+                  new Reply(200, ResultPage.toJson(record, afterPosition, page, texts), 0));
             }
           });
     }
--- a/batch/src/main/java/elmsail/batch/api/ResultPage.java
+++ b/batch/src/main/java/elmsail/batch/api/ResultPage.java
@@ -12,12 +12,16 @@
 
   private ResultPage() {}
 
-  static byte[] toJson(JobRecord record, long afterPosition, List<JobRecord.Result> results, byte[][] texts) {
+  static byte[] toJson(
+      JobRecord record, long afterPosition, List<JobRecord.Result> results, byte[][] texts) {
     ByteArrayOutputStream entries = new ByteArrayOutputStream();
     int count = 0;
     for (int i = 0; i < texts.length; i++) {
       byte[] entry =
-          entry(record.items().get(results.get(i).itemIndex()).id(), results.get(i).succeeded(), texts[i]);
+          entry(
+              record.items().get(results.get(i).itemIndex()).id(),
+              results.get(i).succeeded(),
+              texts[i]);
       if (count > 0 && entries.size() + entry.length + 100 > MAX_PAGE_BYTES) {
         break;
       }
--- a/batch/src/main/java/elmsail/batch/api/SubmitHandler.java
+++ b/batch/src/main/java/elmsail/batch/api/SubmitHandler.java
@@ -1,7 +1,7 @@
 package elmsail.batch.api;
 
-import elmsail.batch.BatchService.Reply;
 import elmsail.batch.BatchItem;
+import elmsail.batch.BatchService.Reply;
 import elmsail.batch.client.BatchContext;
 import elmsail.batch.client.BatchCounters;
 import elmsail.batch.client.BatchJobClient;
@@ -30,8 +30,9 @@
  * body, so that it is at a majority before anyone is asked to take the job.
  *
  * <p>Jobs that are being accepted count against each other, so that of several that would fit one
- * by one each may find the route full. Of these the ones that go first in {@link WaitingTokens#totalAheadOf}
- * leave their add and look again; the others withdraw, and begin anew once the first are through.
+ * by one each may find the route full. Of these the ones that go first in {@link
+ * WaitingTokens#totalAheadOf} leave their add and look again; the others withdraw, and begin anew
+ * once the first are through.
  */
 final class SubmitHandler {
   private static final Logger LOG = LoggerFactory.getLogger(SubmitHandler.class);
@@ -127,7 +128,8 @@
       recordItems.add(new JobRecord.Item(item.id(), item.tokens()));
       tokens += item.tokens();
     }
-    reservation = new WaitingTokens.Reservation(route.name(), jobId, tokens, context.random().nextLong());
+    reservation =
+        new WaitingTokens.Reservation(route.name(), jobId, tokens, context.random().nextLong());
     bodyBlob.bytes = JobBodyCodec.encode(items);
     bodyBlob.name = JobBodyCodec.blobName(bodyBlob.bytes);
     proposedRecord =
@@ -227,7 +229,8 @@
   private void onRoundCompleted(Register.CommittedState result, Round round) {
     if (result.current().value() != null) {
       JobRecord record = jobClient.onCommitted(jobId, result.current());
-      boolean committedHere = record.version() == 1 && record.runner().equals(context.localAddress()) && commitProposed;
+      boolean committedHere =
+          record.version() == 1 && record.runner().equals(context.localAddress()) && commitProposed;
       if (committedHere) {
         jobClient.cacheItems(jobId, items, bodyBytes());
         runner.adopt(jobId, record, 0, roundStartedAt);
@@ -282,7 +285,9 @@
     if (mayBeReserved) {
       withdraw(reservation, context.stores(), MAX_WITHDRAWAL_ATTEMPTS);
       mayBeReserved = false;
-      reservation = new WaitingTokens.Reservation(reservation.routeName(), jobId, reservation.tokens(), context.random().nextLong());
+      reservation =
+          new WaitingTokens.Reservation(
+              reservation.routeName(), jobId, reservation.tokens(), context.random().nextLong());
     }
   }
 
@@ -298,7 +303,10 @@
             unanswered.add(store);
           }
           if (--left[0] == 0 && !unanswered.isEmpty() && attemptsLeft > 1) {
-            context.timers().schedule(WITHDRAWAL_RETRY_MS, () -> withdraw(withdrawn, unanswered, attemptsLeft - 1));
+            context
+                .timers()
+                .schedule(
+                    WITHDRAWAL_RETRY_MS, () -> withdraw(withdrawn, unanswered, attemptsLeft - 1));
           }
         });
   }
@@ -330,7 +338,9 @@
     } else {
       counters.submitRejected.add(1);
     }
-    if (verdict == Verdict.OVER_QUOTA || verdict == Verdict.CONTENDED_FIRST || verdict == Verdict.CONTENDED) {
+    if (verdict == Verdict.OVER_QUOTA
+        || verdict == Verdict.CONTENDED_FIRST
+        || verdict == Verdict.CONTENDED) {
       checkRefusal();
       boolean overQuota = waitingTokens.acceptedExcept(jobId) + reservation.tokens() > limit();
       (overQuota ? counters.submitOverQuota : counters.submitContended).add(1);
@@ -345,6 +355,13 @@
         .check(
             Invariant.FITTING_JOB_IS_NOT_REFUSED_AT_ONCE,
             waited || !fits,
-            () -> jobId + ": " + reservation.tokens() + " behind " + waitingTokens.totalAheadOf(jobId) + " of " + limit());
+            () ->
+                jobId
+                    + ": "
+                    + reservation.tokens()
+                    + " behind "
+                    + waitingTokens.totalAheadOf(jobId)
+                    + " of "
+                    + limit());
   }
 }
--- a/batch/src/main/java/elmsail/batch/client/BatchContext.java
+++ b/batch/src/main/java/elmsail/batch/client/BatchContext.java
@@ -61,7 +61,8 @@
           .whenComplete(
               (response, failure) ->
                   listener.accept(
-                      store, failure == null && request.kind.equals(response.kind) ? response : null));
+                      store,
+                      failure == null && request.kind.equals(response.kind) ? response : null));
     }
   }
 
--- a/batch/src/main/java/elmsail/batch/client/BatchJobClient.java
+++ b/batch/src/main/java/elmsail/batch/client/BatchJobClient.java
@@ -28,7 +28,8 @@
   private final Register register;
   private final Invariants invariants;
   private final LruCache<CachedRecord> records =
-      new LruCache<>(MAX_RECORDS_BYTES, cached -> 200 + cached.record().items().size() * ITEM_BYTES);
+      new LruCache<>(
+          MAX_RECORDS_BYTES, cached -> 200 + cached.record().items().size() * ITEM_BYTES);
   private final LruCache<CachedItems> bodies = new LruCache<>(MAX_BODIES_BYTES, CachedItems::bytes);
   private final LruCache<byte[]> texts = new LruCache<>(MAX_TEXTS_BYTES, text -> text.length + 100);
   private final Map<String, CompletableFuture<byte[]>> pendingFetches = new HashMap<>();
@@ -52,9 +53,12 @@
     return cacheIfNewer(jobId, records.get(jobId), committed);
   }
 
-  private JobRecord cacheIfNewer(String jobId, CachedRecord cached, Register.VersionedValue committed) {
+  private JobRecord cacheIfNewer(
+      String jobId, CachedRecord cached, Register.VersionedValue committed) {
     if (committed.value() == null) {
-      return cached != null && sameBallot(cached.ballot(), committed.ballot()) ? cached.record() : null;
+      return cached != null && sameBallot(cached.ballot(), committed.ballot())
+          ? cached.record()
+          : null;
     }
     JobRecord record = JobRecord.decode(committed.value());
     CachedRecord newest = records.get(jobId);
@@ -69,7 +73,10 @@
   }
 
   private static boolean sameBallot(Ballot one, Ballot other) {
-    return one != null && other != null && one.round == other.round && one.proposerId == other.proposerId;
+    return one != null
+        && other != null
+        && one.round == other.round
+        && one.proposerId == other.proposerId;
   }
 
   /** The batchItems of a job that is there; fails if nobody who has them answers. */
--- a/batch/src/main/java/elmsail/batch/messages/AbandonedJob.java
+++ b/batch/src/main/java/elmsail/batch/messages/AbandonedJob.java
@@ -25,7 +25,8 @@
     int count = reader.readCount();
     List<AbandonedJob> abandoned = new ArrayList<>(count);
     for (int i = 0; i < count; i++) {
-      abandoned.add(new AbandonedJob(reader.readString(), reader.readVarint(), reader.readVarint()));
+      abandoned.add(
+          new AbandonedJob(reader.readString(), reader.readVarint(), reader.readVarint()));
     }
     return abandoned;
   }
--- a/batch/src/main/java/elmsail/batch/messages/JobBodyCodec.java
+++ b/batch/src/main/java/elmsail/batch/messages/JobBodyCodec.java
@@ -14,7 +14,8 @@
   public static byte[] encode(List<BatchItem> items) {
     ByteWriter writer = new ByteWriter().writeVarint(items.size());
     for (BatchItem item : items) {
-      writer.writeString(item.id())
+      writer
+          .writeString(item.id())
           .writeString(item.path())
           .writeVarint(item.tokens())
           .bytes(item.body());
--- a/batch/src/main/java/elmsail/batch/messages/JobRecord.java
+++ b/batch/src/main/java/elmsail/batch/messages/JobRecord.java
@@ -18,8 +18,8 @@
  * @param runner the inner address of the gateway that runs it
  * @param term up by one with each runner
  * @param ageMs how old the job was, at the least, at this change
- * @param failedAttempts of items that are not listed yet, one entry an item: each runner counts on from
- *     these
+ * @param failedAttempts of items that are not listed yet, one entry an item: each runner counts on
+ *     from these
  */
 public record JobRecord(
     long version,
@@ -161,18 +161,23 @@
    *
    * @param newFailedAttempts counts of items that are not listed, which replace lower ones
    */
-  public JobRecord withResults(List<Result> newResults, List<FailedAttempts> newFailedAttempts, long newAgeMs) {
+  public JobRecord withResults(
+      List<Result> newResults, List<FailedAttempts> newFailedAttempts, long newAgeMs) {
     BitSet recorded = recordedItems();
     List<Result> allResults = new ArrayList<>(results);
     for (Result result : newResults) {
-      if (result.itemIndex() >= 0 && result.itemIndex() < items().size() && !recorded.get(result.itemIndex())) {
+      if (result.itemIndex() >= 0
+          && result.itemIndex() < items().size()
+          && !recorded.get(result.itemIndex())) {
         recorded.set(result.itemIndex());
         allResults.add(result);
       }
     }
     TreeMap<Integer, Integer> counts = new TreeMap<>();
-    failedAttempts.forEach(attempts -> counts.merge(attempts.itemIndex(), attempts.count(), Math::max));
-    newFailedAttempts.forEach(attempts -> counts.merge(attempts.itemIndex(), attempts.count(), Math::max));
+    failedAttempts.forEach(
+        attempts -> counts.merge(attempts.itemIndex(), attempts.count(), Math::max));
+    newFailedAttempts.forEach(
+        attempts -> counts.merge(attempts.itemIndex(), attempts.count(), Math::max));
     List<FailedAttempts> remaining = new ArrayList<>();
     counts.forEach(
         (itemIndex, count) -> {
@@ -205,7 +210,8 @@
 
   /** The next version, run by that gateway under the next term. */
   public JobRecord withRunner(String newRunner, long newAgeMs) {
-    return nextVersion(results, cancelled, newRunner, term + 1, Math.max(ageMs, newAgeMs), failedAttempts);
+    return nextVersion(
+        results, cancelled, newRunner, term + 1, Math.max(ageMs, newAgeMs), failedAttempts);
   }
 
   /** The same, written once more so that stores that missed a change get it. */
@@ -220,7 +226,8 @@
       long term,
       long ageMs,
       List<FailedAttempts> failedAttempts) {
-    return new JobRecord(version + 1, description, results, cancelled, runner, term, ageMs, failedAttempts);
+    return new JobRecord(
+        version + 1, description, results, cancelled, runner, term, ageMs, failedAttempts);
   }
 
   /**
@@ -259,7 +266,11 @@
     }
     writer.writeVarint(results.size());
     for (Result result : results) {
-      writer.writeVarint(result.itemIndex()).writeBoolean(result.succeeded()).writeVarint(result.term()).writeVarint(result.textBytes());
+      writer
+          .writeVarint(result.itemIndex())
+          .writeBoolean(result.succeeded())
+          .writeVarint(result.term())
+          .writeVarint(result.textBytes());
     }
     writer.writeVarint(failedAttempts.size());
     for (FailedAttempts attempts : failedAttempts) {
@@ -299,11 +310,23 @@
     count = reader.readCount();
     List<Result> results = new ArrayList<>(count);
     for (int i = 0; i < count; i++) {
-      results.add(new Result((int) reader.readVarint(), reader.readBoolean(), reader.readVarint(), (int) reader.readVarint()));
+      results.add(
+          new Result(
+              (int) reader.readVarint(),
+              reader.readBoolean(),
+              reader.readVarint(),
+              (int) reader.readVarint()));
     }
     return new JobRecord(
         version,
-        new JobDescription(routeName, host, configVersion, completionTargetMs, itemTtlMs, bodyBlobName, List.copyOf(items)),
+        new JobDescription(
+            routeName,
+            host,
+            configVersion,
+            completionTargetMs,
+            itemTtlMs,
+            bodyBlobName,
+            List.copyOf(items)),
         List.copyOf(results),
         cancelled,
         runner,
--- a/batch/src/main/java/elmsail/batch/messages/JobRequestParser.java
+++ b/batch/src/main/java/elmsail/batch/messages/JobRequestParser.java
@@ -49,7 +49,8 @@
       require(items != null && !items.isEmpty(), "pieces");
       return items;
     } catch (IOException | IllegalArgumentException malformed) {
-      throw new ElmsailException(ErrorCode.INVALID_ARGUMENT, "a job that cannot be read", malformed);
+      throw new ElmsailException(
+          ErrorCode.INVALID_ARGUMENT, "a job that cannot be read", malformed);
     }
   }
 
@@ -103,7 +104,10 @@
       parser.nextToken();
       String value = stringValue(parser);
       require(
-          !name.isEmpty() && name.indexOf(':') < 0 && isPrintable(name, false) && isPrintable(value, true),
+          !name.isEmpty()
+              && name.indexOf(':') < 0
+              && isPrintable(name, false)
+              && isPrintable(value, true),
           "headers");
       headers.put(name, value);
     }
--- a/batch/src/main/java/elmsail/batch/messages/WaitingTokens.java
+++ b/batch/src/main/java/elmsail/batch/messages/WaitingTokens.java
@@ -25,20 +25,28 @@
 
     /** The bytes that {@link #decode} reads. */
     public byte[] encode() {
-      return new ByteWriter().writeString(routeName).writeString(jobId).writeVarint(tokens).writeVarint(attemptId).toByteArray();
+      return new ByteWriter()
+          .writeString(routeName)
+          .writeString(jobId)
+          .writeVarint(tokens)
+          .writeVarint(attemptId)
+          .toByteArray();
     }
 
     /** Fails with GARBLED where the bytes are not those of {@link #encode}. */
     public static Reservation decode(byte[] bytes) {
       ByteReader reader = new ByteReader(bytes);
-      return new Reservation(reader.readString(), reader.readString(), reader.readVarint(), reader.readVarint());
+      return new Reservation(
+          reader.readString(), reader.readString(), reader.readVarint(), reader.readVarint());
     }
   }
 
   /** Of equal versions the larger number of tokens stays. */
   public void put(long jobDigest, long version, long tokens) {
     long[] existing = entries.get(jobDigest);
-    if (existing == null || version > existing[0] || version == existing[0] && tokens > existing[1]) {
+    if (existing == null
+        || version > existing[0]
+        || version == existing[0] && tokens > existing[1]) {
       entries.put(jobDigest, new long[] {version, tokens});
     }
   }
@@ -99,7 +107,10 @@
   public byte[] encode() {
     ByteWriter writer = new ByteWriter().writeVarint(entries.size());
     for (Map.Entry<Long, long[]> entry : entries.entrySet()) {
-      writer.writeVarint(entry.getKey()).writeVarint(entry.getValue()[0]).writeVarint(entry.getValue()[1]);
+      writer
+          .writeVarint(entry.getKey())
+          .writeVarint(entry.getValue()[0])
+          .writeVarint(entry.getValue()[1]);
     }
     return writer.toByteArray();
   }
--- a/batch/src/main/java/elmsail/batch/run/FailoverMonitor.java
+++ b/batch/src/main/java/elmsail/batch/run/FailoverMonitor.java
@@ -66,7 +66,8 @@
       return;
     }
     long sentAt = context.timers().now();
-    List<RunningJob> reportedJobs = jobs.size() > MAX_HEARTBEAT_JOBS ? jobs.subList(0, MAX_HEARTBEAT_JOBS) : jobs;
+    List<RunningJob> reportedJobs =
+        jobs.size() > MAX_HEARTBEAT_JOBS ? jobs.subList(0, MAX_HEARTBEAT_JOBS) : jobs;
     List<HeartbeatMessage.JobLease> leases = new ArrayList<>(reportedJobs.size());
     for (RunningJob job : reportedJobs) {
       leases.add(new HeartbeatMessage.JobLease(job.id, job.term));
@@ -75,7 +76,8 @@
     int majority = context.majority();
     OpaqueMessage heartbeat =
         BatchMessageTypes.message(
-            BatchMessageTypes.HEARTBEAT, new HeartbeatMessage(context.localAddress(), leases).encode());
+            BatchMessageTypes.HEARTBEAT,
+            new HeartbeatMessage(context.localAddress(), leases).encode());
     context.callStores(
         heartbeat,
         RESPONSE_TIMEOUT_MS,
@@ -128,7 +130,8 @@
     int[] answers = new int[1];
     OpaqueMessage request =
         BatchMessageTypes.message(
-            BatchMessageTypes.ABANDONED, new ByteWriter().writeVarint(HEARTBEAT_TIMEOUT_MS).toByteArray());
+            BatchMessageTypes.ABANDONED,
+            new ByteWriter().writeVarint(HEARTBEAT_TIMEOUT_MS).toByteArray());
     context.callStores(
         request,
         RESPONSE_TIMEOUT_MS,
@@ -156,7 +159,9 @@
         sinceHeartbeatMs = Math.min(sinceHeartbeatMs, report.sinceHeartbeatMs());
       }
     }
-    if (takeoversInFlight.size() >= MAX_CONCURRENT_TAKEOVERS || takeoversInFlight.contains(jobId) || runner.isRunning(jobId)) {
+    if (takeoversInFlight.size() >= MAX_CONCURRENT_TAKEOVERS
+        || takeoversInFlight.contains(jobId)
+        || runner.isRunning(jobId)) {
       return;
     }
     if (overdueReports >= context.majority()) {
@@ -171,7 +176,8 @@
     long ownDigest = ContentDigest.of(context.localAddress() + "|" + jobId);
     int gatewaysAhead = 0;
     for (String gateway : context.clusterState().view().gateways) {
-      if (!gateway.equals(context.localAddress()) && ContentDigest.of(gateway + "|" + jobId) > ownDigest) {
+      if (!gateway.equals(context.localAddress())
+          && ContentDigest.of(gateway + "|" + jobId) > ownDigest) {
         gatewaysAhead++;
       }
     }
@@ -193,7 +199,10 @@
               }
               proposed[0] = true;
               return new Register.ProposedValue(
-                  record.withRunner(context.localAddress(), record.ageMs() + sinceHeartbeatMs).encode(), List.of());
+                  record
+                      .withRunner(context.localAddress(), record.ageMs() + sinceHeartbeatMs)
+                      .encode(),
+                  List.of());
             },
             List.of(),
             null,
@@ -201,7 +210,8 @@
         .whenComplete(
             (result, failure) -> {
               takeoversInFlight.remove(jobId);
-              JobRecord record = failure == null ? jobClient.onCommitted(jobId, result.current()) : null;
+              JobRecord record =
+                  failure == null ? jobClient.onCommitted(jobId, result.current()) : null;
               if (proposed[0]
                   && record != null
                   && record.term() == term + 1
--- a/batch/src/main/java/elmsail/batch/run/JobRunner.java
+++ b/batch/src/main/java/elmsail/batch/run/JobRunner.java
@@ -184,7 +184,8 @@
     }
   }
 
-  private void startItems(RunningJob job, RoutingConfig config, Map<String, Integer> capacityByRoute) {
+  private void startItems(
+      RunningJob job, RoutingConfig config, Map<String, Integer> capacityByRoute) {
     long now = context.timers().now();
     boolean confirmed = now - job.confirmedAt <= startLeaseMs;
     while (!job.stopped && !job.ready.isEmpty()) {
@@ -285,7 +286,8 @@
     }
   }
 
-  private void onRunEnded(RunningJob job, ItemRun itemRun, ItemServers.RunOutcome outcome, Route route) {
+  private void onRunEnded(
+      RunningJob job, ItemRun itemRun, ItemServers.RunOutcome outcome, Route route) {
     switch (outcome) {
       case WHOLE -> {
         if (itemRun.hasText()) {
@@ -328,7 +330,8 @@
 
   private void retryLater(RunningJob job, ItemRun itemRun) {
     itemRun.runsWithoutEvents = itemRun.eventReceived ? 0 : itemRun.runsWithoutEvents + 1;
-    long backoff = Math.min(MAX_BACKOFF_MS, MIN_BACKOFF_MS << Math.min(itemRun.runsWithoutEvents, 5));
+    long backoff =
+        Math.min(MAX_BACKOFF_MS, MIN_BACKOFF_MS << Math.min(itemRun.runsWithoutEvents, 5));
     context
         .timers()
         .schedule(
--- a/batch/src/main/java/elmsail/batch/run/JobTimeline.java
+++ b/batch/src/main/java/elmsail/batch/run/JobTimeline.java
@@ -40,7 +40,8 @@
   private final long acceptedAt;
   private final long adoptedAt;
   private final Map<Stall, Integer> stalls = new EnumMap<>(Stall.class);
-  private final Map<ItemServers.RunOutcome, Integer> outcomes = new EnumMap<>(ItemServers.RunOutcome.class);
+  private final Map<ItemServers.RunOutcome, Integer> outcomes =
+      new EnumMap<>(ItemServers.RunOutcome.class);
   private long bodyAt = NOT_YET;
   private long firstSentAt = NOT_YET;
   private long lastSentAt = NOT_YET;
--- a/batch/src/main/java/elmsail/batch/run/ResultRecorder.java
+++ b/batch/src/main/java/elmsail/batch/run/ResultRecorder.java
@@ -30,7 +30,10 @@
   private final Consumer<String> onJobChanged;
 
   ResultRecorder(
-      BatchContext context, BatchJobClient jobClient, JobRunner runner, Consumer<String> onJobChanged) {
+      BatchContext context,
+      BatchJobClient jobClient,
+      JobRunner runner,
+      Consumer<String> onJobChanged) {
     this.context = context;
     this.jobClient = jobClient;
     this.runner = runner;
@@ -130,16 +133,22 @@
       }
     }
     boolean failuresRecorded =
-        failedAttempts.stream().allMatch(attempts -> record.failedAttemptsOf(attempts.itemIndex()) >= attempts.count());
+        failedAttempts.stream()
+            .allMatch(
+                attempts -> record.failedAttemptsOf(attempts.itemIndex()) >= attempts.count());
     if (newResults.isEmpty() && failuresRecorded) {
       return new Register.ProposedValue(null, List.of());
     }
     return new Register.ProposedValue(
-        record.withResults(newResults, failedAttempts, job.ageMs(context.timers().now())).encode(), List.of());
+        record.withResults(newResults, failedAttempts, job.ageMs(context.timers().now())).encode(),
+        List.of());
   }
 
   private void onRecorded(
-      RunningJob job, List<RunningJob.FinishedItem> batch, Register.VersionedValue committed, long startedAt) {
+      RunningJob job,
+      List<RunningJob.FinishedItem> batch,
+      Register.VersionedValue committed,
+      long startedAt) {
     jobClient.onCommitted(job.id, committed);
     JobRecord record = recordIfOwned(job, committed.value());
     if (record == null) {
@@ -152,7 +161,8 @@
     job.confirm(startedAt);
     BitSet recorded = record.recordedItems();
     for (RunningJob.FinishedItem finishedItem : batch) {
-      if (recorded.get(finishedItem.result().itemIndex()) && job.finished.remove(finishedItem.result().itemIndex()) != null) {
+      if (recorded.get(finishedItem.result().itemIndex())
+          && job.finished.remove(finishedItem.result().itemIndex()) != null) {
         runner.releaseBytes(finishedItem.text().length);
         if (finishedItem.result().succeeded()) {
           jobClient.cacheText(job.id, finishedItem.result(), finishedItem.text());
--- a/batch/src/main/java/elmsail/batch/run/RunningJob.java
+++ b/batch/src/main/java/elmsail/batch/run/RunningJob.java
@@ -93,7 +93,8 @@
     itemRun.done = true;
     finished.put(
         itemRun.itemIndex,
-        new FinishedItem(new JobRecord.Result(itemRun.itemIndex, succeeded, term, text.length), text));
+        new FinishedItem(
+            new JobRecord.Result(itemRun.itemIndex, succeeded, term, text.length), text));
   }
 
   /** Cuts all runs and forgets all texts; gives how many bytes these had. */
--- a/batch/src/main/java/elmsail/batch/store/JobStore.java
+++ b/batch/src/main/java/elmsail/batch/store/JobStore.java
@@ -54,7 +54,8 @@
   /**
    * @param admitted whether its job is being written, so that only the time takes it off
    */
-  private record PendingReservation(WaitingTokens.Reservation reservation, long expiresAt, boolean admitted) {}
+  private record PendingReservation(
+      WaitingTokens.Reservation reservation, long expiresAt, boolean admitted) {}
 
   /** One try to submit a job. */
   private record AttemptKey(String jobId, long attemptId) {
@@ -69,8 +70,8 @@
   private final Map<AttemptKey, PendingReservation> reservations = new LinkedHashMap<>();
 
   /**
-   * Until when adds of withdrawn tries are passed over, by {@link WaitingTokens.Reservation#attemptId}: a first
-   * round may come late, behind its withdrawal.
+   * Until when adds of withdrawn tries are passed over, by {@link
+   * WaitingTokens.Reservation#attemptId}: a first round may come late, behind its withdrawal.
    */
   private final Map<AttemptKey, Long> withdrawals = new LinkedHashMap<>();
 
@@ -83,24 +84,33 @@
   /** Keeps the add and answers the count of its route; null if there are too many adds. */
   byte[] reserve(WaitingTokens.Reservation reservation, long now) {
     expireReservations(now);
-    if (!jobs.containsKey(reservation.jobId()) && !withdrawals.containsKey(AttemptKey.of(reservation))) {
-      if (reservations.size() >= MAX_RESERVATIONS && !reservations.containsKey(AttemptKey.of(reservation))) {
+    if (!jobs.containsKey(reservation.jobId())
+        && !withdrawals.containsKey(AttemptKey.of(reservation))) {
+      if (reservations.size() >= MAX_RESERVATIONS
+          && !reservations.containsKey(AttemptKey.of(reservation))) {
         return null;
       }
       PendingReservation previous = reservations.remove(AttemptKey.of(reservation));
       boolean admitted = previous != null && previous.admitted();
-      reservations.put(AttemptKey.of(reservation), new PendingReservation(reservation, now + (admitted ? ADMITTED_RESERVATION_TTL_MS : RESERVATION_TTL_MS), admitted));
+      reservations.put(
+          AttemptKey.of(reservation),
+          new PendingReservation(
+              reservation,
+              now + (admitted ? ADMITTED_RESERVATION_TTL_MS : RESERVATION_TTL_MS),
+              admitted));
       neverAccepted.put(reservation.jobId(), now);
     }
     WaitingTokens waitingTokens = new WaitingTokens();
     for (JobState state : jobs.values()) {
-      if (state.routeName.equals(reservation.routeName()) && (state.waitingTokens > 0 || now - state.changedAt < REPORT_CLOSED_MS)) {
+      if (state.routeName.equals(reservation.routeName())
+          && (state.waitingTokens > 0 || now - state.changedAt < REPORT_CLOSED_MS)) {
         waitingTokens.put(state.digest, state.version, state.waitingTokens);
       }
     }
     for (PendingReservation pending : reservations.values()) {
       if (pending.reservation().routeName().equals(reservation.routeName())) {
-        waitingTokens.put(ContentDigest.of(pending.reservation().jobId()), 0, pending.reservation().tokens());
+        waitingTokens.put(
+            ContentDigest.of(pending.reservation().jobId()), 0, pending.reservation().tokens());
       }
     }
     return waitingTokens.encode();
@@ -130,7 +140,9 @@
       if (reservation.jobId().equals(jobId)
           && reservation.routeName().equals(record.routeName())
           && reservation.tokens() >= record.waitingTokens()) {
-        reservations.put(AttemptKey.of(reservation), new PendingReservation(reservation, now + ADMITTED_RESERVATION_TTL_MS, true));
+        reservations.put(
+            AttemptKey.of(reservation),
+            new PendingReservation(reservation, now + ADMITTED_RESERVATION_TTL_MS, true));
         return true;
       }
     }
@@ -180,7 +192,9 @@
       JobState state = jobs.get(lease.jobId());
       if (state == null || state.term < lease.term()) {
         answers[i] = HeartbeatMessage.UNKNOWN;
-      } else if (state.term == lease.term() && state.runner.equals(heartbeat.gateway()) && state.open) {
+      } else if (state.term == lease.term()
+          && state.runner.equals(heartbeat.gateway())
+          && state.open) {
         state.lastHeartbeatAt = now;
         answers[i] = HeartbeatMessage.LEASE_HELD;
       } else {
@@ -194,7 +208,9 @@
     List<AbandonedJob> abandoned = new ArrayList<>();
     for (Map.Entry<String, JobState> entry : jobs.entrySet()) {
       JobState state = entry.getValue();
-      if (state.open && now - state.lastHeartbeatAt >= heartbeatTimeoutMs && abandoned.size() < maxCount) {
+      if (state.open
+          && now - state.lastHeartbeatAt >= heartbeatTimeoutMs
+          && abandoned.size() < maxCount) {
         abandoned.add(new AbandonedJob(entry.getKey(), state.term, now - state.lastHeartbeatAt));
       }
     }
@@ -208,7 +224,8 @@
     for (Map.Entry<String, JobState> entry : jobs.entrySet()) {
       JobState state = entry.getValue();
       long keptMs = (state.open ? Math.max(state.itemTtlMs, 0) : 0) + statusMs + slackMs;
-      if (now - state.firstSeenAt > keptMs && (!state.open || now - state.lastHeartbeatAt > statusMs)) {
+      if (now - state.firstSeenAt > keptMs
+          && (!state.open || now - state.lastHeartbeatAt > statusMs)) {
         expired.add(entry.getKey());
       }
     }
@@ -226,7 +243,8 @@
   }
 
   private boolean hasReservation(String jobId) {
-    return reservations.values().stream().anyMatch(pending -> pending.reservation().jobId().equals(jobId));
+    return reservations.values().stream()
+        .anyMatch(pending -> pending.reservation().jobId().equals(jobId));
   }
 
   int size() {
--- a/batch/src/main/java/elmsail/batch/store/JobStoreService.java
+++ b/batch/src/main/java/elmsail/batch/store/JobStoreService.java
@@ -88,9 +88,11 @@
                 AbandonedJob.encode(
                     jobs.abandoned(
                         new ByteReader(request.bytes).readVarint(), MAX_ABANDONED, timers.now()));
-            case BatchMessageTypes.WITHDRAW -> onWithdraw(WaitingTokens.Reservation.decode(request.bytes));
+            case BatchMessageTypes.WITHDRAW ->
+                onWithdraw(WaitingTokens.Reservation.decode(request.bytes));
             default ->
-                throw new ElmsailException(ErrorCode.MALFORMED, "a message of kind " + request.kind);
+                throw new ElmsailException(
+                    ErrorCode.MALFORMED, "a message of kind " + request.kind);
           };
       counters.messagesAnswered.add(1);
       return CompletableFuture.completedFuture(BatchMessageTypes.message(request.kind, response));
--- a/batch/src/test/java/elmsail/batch/BatchFaultSimulationTest.java
+++ b/batch/src/test/java/elmsail/batch/BatchFaultSimulationTest.java
@@ -72,7 +72,8 @@
     }
 
     /** Keeps what the check found, as futures swallow it. */
-    private void check(CompletableFuture<BatchService.Reply> reply, Consumer<BatchService.Reply> check) {
+    private void check(
+        CompletableFuture<BatchService.Reply> reply, Consumer<BatchService.Reply> check) {
       reply
           .thenAccept(check)
           .exceptionally(
@@ -202,13 +203,16 @@
         assertThat(id + " ran though each try was refused" + where, promised, is(false));
         if (observed.cancelledAt >= 0) {
           assertThat(
-              id + " ran after its end" + where, run.startedAt - observed.cancelledAt, lessThanOrEqualTo(3_000L));
+              id + " ran after its end" + where,
+              run.startedAt - observed.cancelledAt,
+              lessThanOrEqualTo(3_000L));
         }
       }
     }
     for (Map.Entry<String, ObservedJob> job : day.jobs.entrySet()) {
       if (job.getValue().accepted) {
-        BatchService.Reply reply = world.await(world.gateways.get(0).batchApi.readResults(job.getKey(), 0, 0));
+        BatchService.Reply reply =
+            world.await(world.gateways.get(0).batchApi.readResults(job.getKey(), 0, 0));
         assertThat(job.getKey() + where, reply.status(), is(200));
         day.check(job.getKey(), reply);
         String body = new String(reply.body(), StandardCharsets.UTF_8);
@@ -229,7 +233,8 @@
           }
         }
         BatchService.Reply item =
-            world.await(world.gateways.get(1).batchApi.readItemBody(job.getKey(), job.getKey() + "-1"));
+            world.await(
+                world.gateways.get(1).batchApi.readItemBody(job.getKey(), job.getKey() + "-1"));
         assertThat(
             item.status() + new String(item.body(), StandardCharsets.UTF_8) + where,
             is("200body " + job.getKey() + "1" + where));
--- a/batch/src/test/java/elmsail/batch/BodyRelayFaultTest.java
+++ b/batch/src/test/java/elmsail/batch/BodyRelayFaultTest.java
@@ -45,7 +45,8 @@
     return world;
   }
 
-  private static CompletableFuture<BatchService.Reply> submit(ReplicatedBatchCluster world, String id) {
+  private static CompletableFuture<BatchService.Reply> submit(
+      ReplicatedBatchCluster world, String id) {
     return world.gateways.get(0).batchApi.submit(world.route(), id, job(id, ITEMS, 10), 3_000);
   }
 
@@ -124,7 +125,11 @@
       for (int i = 0; i < 12; i++) {
         String id = "contends" + seed + "-" + i;
         replies.add(
-            world.gateways.get(i % 4).batchApi.submit(world.route(), id, job(id, ITEMS, 10), 3_000));
+            world
+                .gateways
+                .get(i % 4)
+                .batchApi
+                .submit(world.route(), id, job(id, ITEMS, 10), 3_000));
         world.timers.advance(world.random.nextInt(20));
       }
       int accepted = 0;
--- a/batch/src/test/java/elmsail/batch/JobCleanupTest.java
+++ b/batch/src/test/java/elmsail/batch/JobCleanupTest.java
@@ -26,7 +26,8 @@
     return count;
   }
 
-  private static void restart(ReplicatedBatchCluster world, ReplicatedBatchCluster.StoreNode store, boolean wipe) {
+  private static void restart(
+      ReplicatedBatchCluster world, ReplicatedBatchCluster.StoreNode store, boolean wipe) {
     store.kill(wipe);
     world.timers.advance(500);
     store.start();
--- a/batch/src/test/java/elmsail/batch/JobLeaseTest.java
+++ b/batch/src/test/java/elmsail/batch/JobLeaseTest.java
@@ -47,7 +47,8 @@
       assertThat(world.status(world.gateways.get(1).batchApi.end("a")), is(200));
       long ended = world.timers.now();
       world.timers.advance(10_000);
-      assertThat("seed " + seed, runner.servers.lastRun().startedAt - ended, lessThanOrEqualTo(2_400L));
+      assertThat(
+          "seed " + seed, runner.servers.lastRun().startedAt - ended, lessThanOrEqualTo(2_400L));
     }
   }
 
@@ -161,7 +162,8 @@
     world.timers.advance(20_000);
     assertThat(runner.batchApi.runningJobs(), is(1));
     assertThat(
-        world.gateways.get(1).batchApi.runningJobs() + world.gateways.get(2).batchApi.runningJobs(), is(0));
+        world.gateways.get(1).batchApi.runningJobs() + world.gateways.get(2).batchApi.runningJobs(),
+        is(0));
     runner.servers.runs.get(0).serve();
     world.timers.advance(200);
     assertThat(world.read(2, "a", 0), containsString("\"next_token\":1"));
--- a/batch/src/test/java/elmsail/batch/JobStoreServiceTest.java
+++ b/batch/src/test/java/elmsail/batch/JobStoreServiceTest.java
@@ -49,7 +49,9 @@
   private long waitingTokensOf(String route) {
     WaitingTokens count = new WaitingTokens();
     count.mergeAll(
-        List.of(service.onSideEffect("lot/probe", new WaitingTokens.Reservation(route, "probe", 0, 1).encode())));
+        List.of(
+            service.onSideEffect(
+                "lot/probe", new WaitingTokens.Reservation(route, "probe", 0, 1).encode())));
     return count.totalExcept("probe");
   }
 
@@ -59,7 +61,8 @@
 
   private List<AbandonedJob> abandoned() {
     return AbandonedJob.decode(
-        request(BatchMessageTypes.ABANDONED, new ByteWriter().writeVarint(2_000).toByteArray()).bytes);
+        request(BatchMessageTypes.ABANDONED, new ByteWriter().writeVarint(2_000).toByteArray())
+            .bytes);
   }
 
   @Test
@@ -152,7 +155,9 @@
     service.onAccepted("lot/a", record(10).encode());
     byte[] heartbeat =
         new HeartbeatMessage(
-                "door", List.of(new HeartbeatMessage.JobLease("a", 1), new HeartbeatMessage.JobLease("b", 1)))
+                "door",
+                List.of(
+                    new HeartbeatMessage.JobLease("a", 1), new HeartbeatMessage.JobLease("b", 1)))
             .encode();
     for (int i = 0; i < 10; i++) {
       timers.advance(1_000);
--- a/batch/src/test/java/elmsail/batch/PinnedJobBytesTest.java
+++ b/batch/src/test/java/elmsail/batch/PinnedJobBytesTest.java
@@ -80,7 +80,8 @@
     headers.put("A", "b c");
     headers.put("Content-Type", "text/plain");
     byte[] contents = {(byte) 0xab, 0, -1};
-    byte[] packed = JobBodyCodec.encode(List.of(new BatchItem("x", "/p/1", headers, contents, 940)));
+    byte[] packed =
+        JobBodyCodec.encode(List.of(new BatchItem("x", "/p/1", headers, contents, 940)));
     assertThat(packed, equalTo(bytes(BODY)));
     assertThat(JobBodyCodec.blobName(packed), is("body-3111b8e4b20b43fb"));
     BatchItem read = JobBodyCodec.decode(bytes(BODY)).get(0);
@@ -125,7 +126,8 @@
     HeartbeatMessage heartbeat =
         new HeartbeatMessage(
             "10.0.0.1:7720",
-            List.of(new HeartbeatMessage.JobLease("j1", 3), new HeartbeatMessage.JobLease("j2", 1)));
+            List.of(
+                new HeartbeatMessage.JobLease("j1", 3), new HeartbeatMessage.JobLease("j2", 1)));
     assertThat(heartbeat.encode(), equalTo(bytes(HEARTBEAT)));
     assertThat(HeartbeatMessage.decode(bytes(HEARTBEAT)), is(heartbeat));
   }
--- a/batch/src/test/java/elmsail/batch/RejectedJobTest.java
+++ b/batch/src/test/java/elmsail/batch/RejectedJobTest.java
@@ -32,7 +32,8 @@
     world.net.cutBoth(first, alone);
     world.net.cutBoth(second, alone);
     world.timers.advance(25);
-    CompletableFuture<BatchService.Reply> other = world.submit(world.gateways.get(1), rival, 1, TOKENS);
+    CompletableFuture<BatchService.Reply> other =
+        world.submit(world.gateways.get(1), rival, 1, TOKENS);
     BatchService.Reply answered = world.await(reply);
     BatchService.Reply otherAnswered = world.await(other);
     world.net.healAll();
--- a/batch/src/test/java/elmsail/batch/ReplicatedBatchCluster.java
+++ b/batch/src/test/java/elmsail/batch/ReplicatedBatchCluster.java
@@ -14,9 +14,9 @@
 import elmsail.rpc.messages.VoterSet;
 import elmsail.runtime.ManualTimers;
 import elmsail.runtime.ProcessMetrics;
-import elmsail.simulation.SimNode;
 import elmsail.simulation.SimDisk;
 import elmsail.simulation.SimNetwork;
+import elmsail.simulation.SimNode;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -238,7 +238,10 @@
 
       @Override
       public ClusterView view() {
-        voterSet[0] = epochSum(view.jobStoreVoters) > epochSum(voterSet[0]) ? view.jobStoreVoters : voterSet[0];
+        voterSet[0] =
+            epochSum(view.jobStoreVoters) > epochSum(voterSet[0])
+                ? view.jobStoreVoters
+                : voterSet[0];
         return view;
       }
 
@@ -260,8 +263,7 @@
     return config.routeByName("r-lots");
   }
 
-  CompletableFuture<BatchService.Reply> submit(
-      Gateway gateway, String id, int items, long tokens) {
+  CompletableFuture<BatchService.Reply> submit(Gateway gateway, String id, int items, long tokens) {
     return gateway.batchApi.submit(route(), id, SimBatchCluster.job(id, items, tokens), 3_000);
   }
 
--- a/batch/src/test/java/elmsail/batch/SimBatchCluster.java
+++ b/batch/src/test/java/elmsail/batch/SimBatchCluster.java
@@ -301,7 +301,8 @@
     WaitingTokens count = new WaitingTokens();
     count.mergeAll(
         List.of(
-            store.service.onSideEffect("lot/probe", new WaitingTokens.Reservation("r-lots", "probe", 0, 1).encode())));
+            store.service.onSideEffect(
+                "lot/probe", new WaitingTokens.Reservation("r-lots", "probe", 0, 1).encode())));
     return count.totalExcept("probe");
   }
 
--- a/batch/src/test/java/elmsail/batch/SimJobStore.java
+++ b/batch/src/test/java/elmsail/batch/SimJobStore.java
@@ -22,7 +22,8 @@
     final Map<String, byte[]> blobs = new HashMap<>();
   }
 
-  record Response(boolean granted, Ballot promised, Ballot accepted, byte[] value, byte[] sideEffect) {}
+  record Response(
+      boolean granted, Ballot promised, Ballot accepted, byte[] value, byte[] sideEffect) {}
 
   final String address;
   final Map<String, StoredKey> keys = new HashMap<>();
@@ -40,7 +41,11 @@
   void restart() {
     service =
         new JobStoreService(
-            world.timers, () -> up, keys::remove, SimBatchCluster.STATUS_RETENTION_MS, ProcessMetrics.strict());
+            world.timers,
+            () -> up,
+            keys::remove,
+            SimBatchCluster.STATUS_RETENTION_MS,
+            ProcessMetrics.strict());
     service.start();
     for (Map.Entry<String, StoredKey> one : keys.entrySet()) {
       if (one.getValue().value != null) {
@@ -57,7 +62,11 @@
     cell.promised = ballot;
     storeBlobs(cell, blobs);
     return new Response(
-        true, ballot, cell.accepted, cell.value, sideEffect == null ? null : service.onSideEffect(key, sideEffect));
+        true,
+        ballot,
+        cell.accepted,
+        cell.value,
+        sideEffect == null ? null : service.onSideEffect(key, sideEffect));
   }
 
   Response accept(String key, Ballot ballot, byte[] value, List<Blob> blobs) {
--- a/batch/src/test/java/elmsail/batch/SimRegister.java
+++ b/batch/src/test/java/elmsail/batch/SimRegister.java
@@ -36,7 +36,11 @@
     boolean acceptSent;
 
     Proposal(
-        String key, Function<ObservedState, ProposedValue> change, List<Blob> blobs, byte[] sideEffect, long timeoutMs) {
+        String key,
+        Function<ObservedState, ProposedValue> change,
+        List<Blob> blobs,
+        byte[] sideEffect,
+        long timeoutMs) {
       this.key = key;
       this.change = change;
       this.blobs = blobs;
@@ -98,7 +102,11 @@
         }
       }
       for (SimJobStore.Response promise : promises) {
-        same += promise.accepted().round == newest.round && promise.accepted().proposerId == newest.proposerId ? 1 : 0;
+        same +=
+            promise.accepted().round == newest.round
+                    && promise.accepted().proposerId == newest.proposerId
+                ? 1
+                : 0;
       }
       ProposedValue proposed = change.apply(new ObservedState(value, sideEffects));
       if (proposed.value() != null) {
@@ -162,7 +170,11 @@
 
   @Override
   public CompletableFuture<CommittedState> change(
-      String key, Function<ObservedState, ProposedValue> change, List<Blob> blobs, byte[] sideEffect, long timeoutMs) {
+      String key,
+      Function<ObservedState, ProposedValue> change,
+      List<Blob> blobs,
+      byte[] sideEffect,
+      long timeoutMs) {
     Proposal proposal = new Proposal(key, change, blobs, sideEffect, timeoutMs);
     world.timers.execute(proposal::start);
     return proposal.result;
--- a/batch/src/test/java/elmsail/batch/SimServers.java
+++ b/batch/src/test/java/elmsail/batch/SimServers.java
@@ -67,7 +67,9 @@
   /** Put behind the data of each event, where long texts matter. */
   String eventPadding = "";
 
-  /** The next run is served so many ms later than the one before it, beyond {@link #serviceTimeMs}. */
+  /**
+   * The next run is served so many ms later than the one before it, beyond {@link #serviceTimeMs}.
+   */
   long staggerMs;
 
   /** After so many ms a run is served; -1: by the test alone. */
--- a/batch/src/test/java/elmsail/batch/SubmitHandlerTest.java
+++ b/batch/src/test/java/elmsail/batch/SubmitHandlerTest.java
@@ -222,10 +222,14 @@
           if (cell != null && cell.value != null) {
             JobRecord record = JobRecord.decode(cell.value);
             assertThat(
-                "seed " + seed, world.storesWithBlob("lot/a", record.bodyBlobName()), greaterThanOrEqualTo(2));
+                "seed " + seed,
+                world.storesWithBlob("lot/a", record.bodyBlobName()),
+                greaterThanOrEqualTo(2));
             for (JobRecord.Result one : record.results()) {
               assertThat(
-                  "seed " + seed, world.storesWithBlob("lot/a", one.textBlobName()), greaterThanOrEqualTo(2));
+                  "seed " + seed,
+                  world.storesWithBlob("lot/a", one.textBlobName()),
+                  greaterThanOrEqualTo(2));
             }
           }
         }
@@ -247,12 +251,15 @@
     SimBatchCluster world = new SimBatchCluster(9, 1, 100);
     BatchService calls = world.gateways.get(0).batchApi;
     assertThat(world.status(calls.submit(world.route(), "a", "{".getBytes(), 1_000)), is(400));
-    byte[] elsewhere = new String(SimBatchCluster.job("a", 1, 1)).replace("/lots1/", "/other/").getBytes();
+    byte[] elsewhere =
+        new String(SimBatchCluster.job("a", 1, 1)).replace("/lots1/", "/other/").getBytes();
     assertThat(world.status(calls.submit(world.route(), "a", elsewhere, 1_000)), is(400));
     assertThat(
-        world.status(calls.submit(world.route(), "a", SimBatchCluster.job("a", 201, 1), 1_000)), is(400));
+        world.status(calls.submit(world.route(), "a", SimBatchCluster.job("a", 201, 1), 1_000)),
+        is(400));
     assertThat(
-        world.status(calls.submit(world.route(), "a/b", SimBatchCluster.job("a", 1, 1), 1_000)), is(400));
+        world.status(calls.submit(world.route(), "a/b", SimBatchCluster.job("a", 1, 1), 1_000)),
+        is(400));
     assertThat(world.gateways.get(0).servers.runs, is(empty()));
   }
 
--- a/batch/src/test/java/elmsail/batch/WithdrawnReservationTest.java
+++ b/batch/src/test/java/elmsail/batch/WithdrawnReservationTest.java
@@ -10,8 +10,10 @@
 
 /** Adds of several tries at one store, in the orders that a network may bring them in. */
 class WithdrawnReservationTest {
-  private static final WaitingTokens.Reservation FIRST = new WaitingTokens.Reservation("r-lots", "job", 600, 1);
-  private static final WaitingTokens.Reservation SECOND = new WaitingTokens.Reservation("r-lots", "job", 600, 2);
+  private static final WaitingTokens.Reservation FIRST =
+      new WaitingTokens.Reservation("r-lots", "job", 600, 1);
+  private static final WaitingTokens.Reservation SECOND =
+      new WaitingTokens.Reservation("r-lots", "job", 600, 2);
 
   private final SimBatchCluster world = new SimBatchCluster(1, 1, 1_000);
   private final SimJobStore store = world.stores.get(0);
@@ -21,7 +23,8 @@
   }
 
   private void withdraw(WaitingTokens.Reservation reservation) {
-    store.service.handle(BatchMessageTypes.message(BatchMessageTypes.WITHDRAW, reservation.encode()));
+    store.service.handle(
+        BatchMessageTypes.message(BatchMessageTypes.WITHDRAW, reservation.encode()));
   }
 
   @Test
--- a/config/src/main/java/elmsail/config/ConfigDocument.java
+++ b/config/src/main/java/elmsail/config/ConfigDocument.java
@@ -42,7 +42,8 @@
     String text = new String(bytes, StandardCharsets.UTF_8);
     try (JsonParser parser = JSON.createParser(text)) {
       if (parser.nextToken() != JsonToken.START_OBJECT) {
-        throw new ElmsailException(ErrorCode.INVALID_ARGUMENT, "the configuration is not a JSON object");
+        throw new ElmsailException(
+            ErrorCode.INVALID_ARGUMENT, "the configuration is not a JSON object");
       }
       return new ConfigDocument(fields(parser, text));
     } catch (IOException e) {
@@ -77,7 +78,9 @@
   private static Map<String, Item> items(JsonParser parser, String text) throws IOException {
     Map<String, Item> items = new LinkedHashMap<>();
     boolean allNamed = true;
-    for (JsonToken token = parser.nextToken(); token != JsonToken.END_ARRAY; token = parser.nextToken()) {
+    for (JsonToken token = parser.nextToken();
+        token != JsonToken.END_ARRAY;
+        token = parser.nextToken()) {
       int start = tokenStart(parser);
       String name = token == JsonToken.START_OBJECT ? readName(parser) : null;
       if (token != JsonToken.START_OBJECT) {
--- a/config/src/main/java/elmsail/config/ConfigFields.java
+++ b/config/src/main/java/elmsail/config/ConfigFields.java
@@ -44,11 +44,14 @@
   }
 
   String stringOr(String key, String defaultValue) {
-    return has(key) ? (String) valueOfType(key, ConfigValueType.STRING, "a text").unwrapped() : defaultValue;
+    return has(key)
+        ? (String) valueOfType(key, ConfigValueType.STRING, "a text").unwrapped()
+        : defaultValue;
   }
 
   boolean booleanOrFalse(String key) {
-    return has(key) && (Boolean) valueOfType(key, ConfigValueType.BOOLEAN, "true or false").unwrapped();
+    return has(key)
+        && (Boolean) valueOfType(key, ConfigValueType.BOOLEAN, "true or false").unwrapped();
   }
 
   /** Any finite number, or the other if it is not given. */
@@ -93,7 +96,8 @@
   }
 
   ConfigFields requiredObject(String key) {
-    return new ConfigFields(pathOf(key), (ConfigObject) valueOfType(key, ConfigValueType.OBJECT, "an object"));
+    return new ConfigFields(
+        pathOf(key), (ConfigObject) valueOfType(key, ConfigValueType.OBJECT, "an object"));
   }
 
   /** The objects of a list, which has to be there. */
--- a/config/src/main/java/elmsail/config/PlatformClient.java
+++ b/config/src/main/java/elmsail/config/PlatformClient.java
@@ -97,7 +97,8 @@
       endFetch()
           .completeExceptionally(
               new ElmsailException(
-                  ErrorCode.MALFORMED, "the list of servers has more than " + MAX_PAGES + " pages"));
+                  ErrorCode.MALFORMED,
+                  "the list of servers has more than " + MAX_PAGES + " pages"));
     } else {
       requestPage(page.nextToken());
     }
@@ -105,7 +106,8 @@
 
   private static ServerListCodec.Page decodePage(SimpleHttpResponse reply) {
     if (reply.status() == 429) {
-      throw new ElmsailException(ErrorCode.RESOURCE_EXHAUSTED, "the platform has had too many calls");
+      throw new ElmsailException(
+          ErrorCode.RESOURCE_EXHAUSTED, "the platform has had too many calls");
     }
     if (reply.status() != 200) {
       throw new ElmsailException(ErrorCode.MALFORMED, "the platform answered " + reply.status());
--- a/config/src/main/java/elmsail/config/Route.java
+++ b/config/src/main/java/elmsail/config/Route.java
@@ -7,9 +7,10 @@
  *
  * @param host {@code depot}, lower case
  * @param prefix {@code lane_prefix}
- * @param weightedServices the services and their weights (one with weight 1 for {@code postal_line})
- * @param maxAttempts servers that one try of a client may be sent to; for a job's item, answers of 500
- *     before it is dead
+ * @param weightedServices the services and their weights (one with weight 1 for {@code
+ *     postal_line})
+ * @param maxAttempts servers that one try of a client may be sent to; for a job's item, answers of
+ *     500 before it is dead
  * @param maxWaitingTokens tokens of jobs that may wait, 0: no limit
  */
 public record Route(
--- a/config/src/main/java/elmsail/config/RoutingConfig.java
+++ b/config/src/main/java/elmsail/config/RoutingConfig.java
@@ -26,5 +26,6 @@
   ClientLimits limits();
 
   /** What a client may send: bytes of head and body, ms for the head, ms idle. */
-  record ClientLimits(int maxHeaderBytes, int maxBodyBytes, long headerTimeoutMs, long idleTimeoutMs) {}
+  record ClientLimits(
+      int maxHeaderBytes, int maxBodyBytes, long headerTimeoutMs, long idleTimeoutMs) {}
 }
--- a/config/src/main/java/elmsail/config/RoutingConfigReader.java
+++ b/config/src/main/java/elmsail/config/RoutingConfigReader.java
@@ -115,7 +115,8 @@
     };
   }
 
-  private static List<Route.WeightedService> weightedServices(ConfigFields fields, Map<String, Service> services) {
+  private static List<Route.WeightedService> weightedServices(
+      ConfigFields fields, Map<String, Service> services) {
     List<Route.WeightedService> weightedServices = new ArrayList<>(2);
     if (fields.has("postal_line")) {
       weightedServices.add(new Route.WeightedService(knownService(fields, services), 1));
--- a/config/src/main/java/elmsail/config/ServerListCodec.java
+++ b/config/src/main/java/elmsail/config/ServerListCodec.java
@@ -41,7 +41,8 @@
           require(
               value == JsonToken.VALUE_STRING || value == JsonToken.VALUE_NULL,
               "next_token is no text");
-          nextToken = value == JsonToken.VALUE_NULL || parser.getText().isEmpty() ? null : parser.getText();
+          nextToken =
+              value == JsonToken.VALUE_NULL || parser.getText().isEmpty() ? null : parser.getText();
         } else {
           parser.skipChildren();
         }
@@ -137,20 +138,30 @@
         case "address" -> address = readString(parser, key);
         case "zone" -> zone = readString(parser, key);
         case "state" -> state = readString(parser, key);
-        case "berths" -> maxConcurrency = (int) Math.min(Integer.MAX_VALUE, readNonNegative(parser, key));
+        case "berths" ->
+            maxConcurrency = (int) Math.min(Integer.MAX_VALUE, readNonNegative(parser, key));
         case "cold_left_ms" -> warmUpRemainingMs = readNonNegative(parser, key);
         default -> parser.skipChildren();
       }
     }
     require(parser.currentToken() == JsonToken.END_OBJECT, "an entry is not whole");
-    require(id != null && service != null && zone != null && state != null, "an entry lacks a field");
+    require(
+        id != null && service != null && zone != null && state != null, "an entry lacks a field");
     require(isAddress(address), "an entry has no address");
-    return new ServerEntry(id, service, address, zone, maxConcurrency, !state.equals(ACCEPTING_STATE), warmUpRemainingMs);
+    return new ServerEntry(
+        id,
+        service,
+        address,
+        zone,
+        maxConcurrency,
+        !state.equals(ACCEPTING_STATE),
+        warmUpRemainingMs);
   }
 
   private static String readString(JsonParser parser, String key) throws IOException {
     require(
-        parser.currentToken() == JsonToken.VALUE_STRING && parser.getTextLength() > 0, key + " is no text");
+        parser.currentToken() == JsonToken.VALUE_STRING && parser.getTextLength() > 0,
+        key + " is no text");
     return parser.getText();
   }
 
--- a/config/src/main/java/elmsail/config/StrictJson.java
+++ b/config/src/main/java/elmsail/config/StrictJson.java
@@ -27,7 +27,8 @@
   private static final JsonFactory JSON =
       new JsonFactoryBuilder()
           .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
-          .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(MAX_NESTING_DEPTH).build())
+          .streamReadConstraints(
+              StreamReadConstraints.builder().maxNestingDepth(MAX_NESTING_DEPTH).build())
           .build();
   private static final ConfigParseOptions PARSE_OPTIONS =
       ConfigParseOptions.defaults()
@@ -59,7 +60,8 @@
   private static void checkSyntax(String text) {
     try (JsonParser parser = JSON.createParser(text)) {
       if (parser.nextToken() != JsonToken.START_OBJECT) {
-        throw new ElmsailException(ErrorCode.INVALID_ARGUMENT, "the configuration is not a JSON object");
+        throw new ElmsailException(
+            ErrorCode.INVALID_ARGUMENT, "the configuration is not a JSON object");
       }
       int depth = 1;
       while (depth > 0) {
@@ -76,7 +78,8 @@
         }
       }
       if (parser.nextToken() != null) {
-        throw new ElmsailException(ErrorCode.INVALID_ARGUMENT, "the configuration has more behind its end");
+        throw new ElmsailException(
+            ErrorCode.INVALID_ARGUMENT, "the configuration has more behind its end");
       }
     } catch (IOException e) {
       throw new ElmsailException(
--- a/config/src/main/java/elmsail/config/ValidatedConfig.java
+++ b/config/src/main/java/elmsail/config/ValidatedConfig.java
@@ -34,7 +34,8 @@
   /** In lower case, without a port and the brackets of an IPv6 address's port. */
   static String normalizedHost(String host) {
     int colon = host.lastIndexOf(':');
-    String withoutPort = colon >= 0 && host.indexOf(']', colon) < 0 ? host.substring(0, colon) : host;
+    String withoutPort =
+        colon >= 0 && host.indexOf(']', colon) < 0 ? host.substring(0, colon) : host;
     return withoutPort.toLowerCase(Locale.ROOT);
   }
 
--- a/config/src/main/java/elmsail/config/watch/ConfigWatcher.java
+++ b/config/src/main/java/elmsail/config/watch/ConfigWatcher.java
@@ -261,7 +261,8 @@
     boolean changed = false;
     if (response.config != null && response.configVersion > configVersion()) {
       try {
-        changed = applyConfig(response.config, decodeConfig(response.configVersion, response.config));
+        changed =
+            applyConfig(response.config, decodeConfig(response.configVersion, response.config));
       } catch (ElmsailException e) {
         complete = false;
       }
--- a/config/src/main/java/elmsail/config/watch/FallbackDiscovery.java
+++ b/config/src/main/java/elmsail/config/watch/FallbackDiscovery.java
@@ -67,7 +67,9 @@
 
   private boolean isNeeded() {
     long ageMs = listAgeMs.getAsLong();
-    return ageMs == Long.MAX_VALUE ? timers.now() - startedAtMs >= STARTUP_GRACE_MS : ageMs > MAX_LIST_AGE_MS;
+    return ageMs == Long.MAX_VALUE
+        ? timers.now() - startedAtMs >= STARTUP_GRACE_MS
+        : ageMs > MAX_LIST_AGE_MS;
   }
 
   private void check() {
@@ -102,6 +104,8 @@
   /** All gateways together keep to a third of the platform's rate, each page being a call. */
   private long fetchIntervalMs() {
     double calls = 3.0 * Math.max(1, gatewayCount.getAsInt()) * platform.lastPageCount();
-    return maxCallsPerSecond > 0 ? Math.max(1_000, (long) Math.ceil(calls * 1_000 / maxCallsPerSecond)) : 60_000;
+    return maxCallsPerSecond > 0
+        ? Math.max(1_000, (long) Math.ceil(calls * 1_000 / maxCallsPerSecond))
+        : 60_000;
   }
 }
--- a/config/src/main/java/elmsail/config/watch/RendezvousHash.java
+++ b/config/src/main/java/elmsail/config/watch/RendezvousHash.java
@@ -25,7 +25,8 @@
       }
       long score = hash(seed, candidate);
       int rank = 0;
-      while (rank < ranked.size() && ranksBefore(scores.get(rank), ranked.get(rank), score, candidate)) {
+      while (rank < ranked.size()
+          && ranksBefore(scores.get(rank), ranked.get(rank), score, candidate)) {
         rank++;
       }
       ranked.add(rank, candidate);
--- a/config/src/main/java/elmsail/config/watch/WatchServer.java
+++ b/config/src/main/java/elmsail/config/watch/WatchServer.java
@@ -110,12 +110,15 @@
     if (previous != null) {
       respond(previous);
     }
-    if (hasNewer(request) || request.maxWaitMs <= 0 || pendingWatches.size() >= MAX_PENDING_WATCHES) {
+    if (hasNewer(request)
+        || request.maxWaitMs <= 0
+        || pendingWatches.size() >= MAX_PENDING_WATCHES) {
       return CompletableFuture.completedFuture(newResponse(request));
     }
     CompletableFuture<PullResponse> response = new CompletableFuture<>();
     Timers.Timer timer =
-        timers.schedule(Math.min(request.maxWaitMs, MAX_WAIT_MS), () -> onWaitElapsed(peerKey, response));
+        timers.schedule(
+            Math.min(request.maxWaitMs, MAX_WAIT_MS), () -> onWaitElapsed(peerKey, response));
     pendingWatches.put(peerKey, new PendingWatch(request, response, timer));
     return response;
   }
@@ -172,7 +175,8 @@
   private boolean hasNewerList(PullRequest request) {
     return servers != null
         && (serverListEpoch > request.serverListEpoch
-            || serverListEpoch == request.serverListEpoch && serverListVersion > request.serverListVersion);
+            || serverListEpoch == request.serverListEpoch
+                && serverListVersion > request.serverListVersion);
   }
 
   private PullResponse newResponse(PullRequest request) {
@@ -182,7 +186,8 @@
     response.serverListEpoch = serverListEpoch;
     response.serverListVersion = serverListVersion;
     response.servers = hasNewerList(request) ? servers : null;
-    response.serverListAgeMs = servers == null ? -1 : Math.max(0, timers.now() - serverListFetchedAtMs);
+    response.serverListAgeMs =
+        servers == null ? -1 : Math.max(0, timers.now() - serverListFetchedAtMs);
     response.viewVersion = viewVersion;
     response.view = viewVersion != request.viewVersion ? viewFactory.apply(request) : null;
     return response;
--- a/config/src/main/java/elmsail/config/watch/WatchStreams.java
+++ b/config/src/main/java/elmsail/config/watch/WatchStreams.java
@@ -113,7 +113,8 @@
   List<List<String>> recentGateways() {
     List<List<String>> lists = new ArrayList<>();
     for (WatchStream stream : streams.values()) {
-      if (stream.lastResponseAtMs >= 0 && timers.now() - stream.lastResponseAtMs <= UNRESPONSIVE_MS) {
+      if (stream.lastResponseAtMs >= 0
+          && timers.now() - stream.lastResponseAtMs <= UNRESPONSIVE_MS) {
         lists.add(stream.gateways);
       }
     }
@@ -130,7 +131,9 @@
     int most = -1;
     for (WatchStream stream : streams.values()) {
       int sharedParts = sharedAddressParts(stream.address);
-      if (stream.lastResponseAtMs >= 0 && timers.now() - stream.lastResponseAtMs <= RECENT_MS && sharedParts > most) {
+      if (stream.lastResponseAtMs >= 0
+          && timers.now() - stream.lastResponseAtMs <= RECENT_MS
+          && sharedParts > most) {
         best = stream;
         most = sharedParts;
       }
@@ -227,7 +230,9 @@
               if (!closed && stream.open) {
                 stream.nextRequest =
                     timers.schedule(
-                        accepted ? stream.delayAfterResponseMs(timers.now()) : stream.delayAfterFailureMs(),
+                        accepted
+                            ? stream.delayAfterResponseMs(timers.now())
+                            : stream.delayAfterFailureMs(),
                         () -> sendRequest(stream));
               }
             });
--- a/config/src/test/java/elmsail/config/ConfigAmendmentTest.java
+++ b/config/src/test/java/elmsail/config/ConfigAmendmentTest.java
@@ -112,7 +112,8 @@
         amended(config, "{\"edition\":9,\"withdraw\":{\"postal_lines\":[\"huvo11a\"]}}");
     ElmsailException failure =
         assertThrows(
-            ElmsailException.class, () -> RoutingConfigReader.read(SampleConfigs.bytes(withoutService)));
+            ElmsailException.class,
+            () -> RoutingConfigReader.read(SampleConfigs.bytes(withoutService)));
     assertThat(failure.getMessage(), containsString("the service huvo11a is not known"));
   }
 
--- a/config/src/test/java/elmsail/config/PlatformClientTest.java
+++ b/config/src/test/java/elmsail/config/PlatformClientTest.java
@@ -30,10 +30,13 @@
         pendingReplies.add(new CompletableFuture<>());
         return pendingReplies.get(pendingReplies.size() - 1);
       };
-  private final PlatformClient platformClient = new PlatformClient(httpClient, "10.200.0.79:8169", timers);
+  private final PlatformClient platformClient =
+      new PlatformClient(httpClient, "10.200.0.79:8169", timers);
 
   private void reply(int status, String body) {
-    pendingReplies.get(pendingReplies.size() - 1).complete(new SimpleHttpResponse(status, Map.of(), SampleConfigs.bytes(body)));
+    pendingReplies
+        .get(pendingReplies.size() - 1)
+        .complete(new SimpleHttpResponse(status, Map.of(), SampleConfigs.bytes(body)));
   }
 
   private static String page(String next, String... ids) {
@@ -114,7 +117,9 @@
     reply(200, "{\"servers\":[");
     assertThat(code(all), equalTo(ErrorCode.MALFORMED));
     all = platformClient.fetch();
-    pendingReplies.get(2).completeExceptionally(new ElmsailException(ErrorCode.TIMEOUT, "no answer"));
+    pendingReplies
+        .get(2)
+        .completeExceptionally(new ElmsailException(ErrorCode.TIMEOUT, "no answer"));
     assertThat(code(all), equalTo(ErrorCode.TIMEOUT));
   }
 
--- a/config/src/test/java/elmsail/config/RoutingConfigReaderTest.java
+++ b/config/src/test/java/elmsail/config/RoutingConfigReaderTest.java
@@ -79,7 +79,8 @@
 
   @Test
   void aRouteOfLotsNeedsNoTimeOut() {
-    assertThat(read(GOOD.replace("\"give_up_ms\":5000,", "")).routeByName("r-2").timeoutMs(), equalTo(0L));
+    assertThat(
+        read(GOOD.replace("\"give_up_ms\":5000,", "")).routeByName("r-2").timeoutMs(), equalTo(0L));
   }
 
   @Test
@@ -254,7 +255,8 @@
         ConfigDigest.of(new byte[0]),
         equalTo("e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855"));
     assertThat(
-        ConfigDigest.of(SampleConfigs.bytes(GOOD)).equals(ConfigDigest.of(SampleConfigs.bytes(GOOD + " "))),
+        ConfigDigest.of(SampleConfigs.bytes(GOOD))
+            .equals(ConfigDigest.of(SampleConfigs.bytes(GOOD + " "))),
         equalTo(false));
   }
 }
--- a/config/src/test/java/elmsail/config/ServerListCodecTest.java
+++ b/config/src/test/java/elmsail/config/ServerListCodecTest.java
@@ -33,7 +33,8 @@
     assertThat(page.nextToken(), equalTo("p-50"));
     assertThat(page.servers(), contains(SampleConfigs.server("i-7f3a91c2")));
     assertThat(
-        ServerListCodec.decodePage(SampleConfigs.bytes("{\"servers\":[],\"next_token\":null}")).nextToken(),
+        ServerListCodec.decodePage(SampleConfigs.bytes("{\"servers\":[],\"next_token\":null}"))
+            .nextToken(),
         nullValue());
   }
 
@@ -93,7 +94,8 @@
     ServerEntry warm = new ServerEntry("i-1", "s", "10.0.0.1:1", "z", 3, false, 0);
     assertThat(ServerListCodec.equalsExceptWarmUp(List.of(cold), List.of(colder)), equalTo(true));
     assertThat(ServerListCodec.equalsExceptWarmUp(List.of(warm), List.of(warm)), equalTo(true));
-    assertThat(ServerListCodec.equalsExceptWarmUp(List.of(cold), List.of(cold, cold)), equalTo(false));
+    assertThat(
+        ServerListCodec.equalsExceptWarmUp(List.of(cold), List.of(cold, cold)), equalTo(false));
     for (ServerEntry other :
         List.of(
             warm,
--- a/config/src/test/java/elmsail/config/watch/ConfigWatcherRig.java
+++ b/config/src/test/java/elmsail/config/watch/ConfigWatcherRig.java
@@ -85,7 +85,8 @@
     return voterSet;
   }
 
-  static ClusterView view(VoterSet controlPlaneVoters, VoterSet jobStoreVoters, String... gateways) {
+  static ClusterView view(
+      VoterSet controlPlaneVoters, VoterSet jobStoreVoters, String... gateways) {
     ClusterView view = new ClusterView();
     view.controlPlaneVoters = controlPlaneVoters;
     view.jobStoreVoters = jobStoreVoters;
--- a/config/src/test/java/elmsail/config/watch/ConfigWatcherViewTest.java
+++ b/config/src/test/java/elmsail/config/watch/ConfigWatcherViewTest.java
@@ -22,15 +22,21 @@
   @Test
   void seatsAreMergedByIncarnationAndClerksJoined() {
     VoterSet controlPlaneVoters = voterSet(A, 1, B, 1, C, 1);
-    a.setViewFactory(request -> view(controlPlaneVoters, voterSet("v1:1", 1, "v2:1", 3, "v3:1", 1), "c1:1", "c2:1"));
-    b.setViewFactory(request -> view(controlPlaneVoters, voterSet("v4:1", 2, "v2:1", 1, "v3:1", 1), "c2:1", "c3:1"));
+    a.setViewFactory(
+        request ->
+            view(controlPlaneVoters, voterSet("v1:1", 1, "v2:1", 3, "v3:1", 1), "c1:1", "c2:1"));
+    b.setViewFactory(
+        request ->
+            view(controlPlaneVoters, voterSet("v4:1", 2, "v2:1", 1, "v3:1", 1), "c2:1", "c3:1"));
     c.setViewFactory(request -> view(controlPlaneVoters, new VoterSet(), "c4:1"));
     watcher.start();
     timers.advance(100);
     assertThat(addresses(watcher.view().jobStoreVoters), contains("v4:1#2", "v2:1#3", "v3:1#1"));
-    assertThat(addresses(watcher.view().controlPlaneVoters), contains(A + "#1", B + "#1", C + "#1"));
+    assertThat(
+        addresses(watcher.view().controlPlaneVoters), contains(A + "#1", B + "#1", C + "#1"));
     assertThat(watcher.view().gateways, contains("c1:1", "c2:1", "c3:1", "c4:1"));
-    a.setViewFactory(request -> view(controlPlaneVoters, voterSet("v1:1", 1, "v2:1", 1, "v3:1", 1), "c1:1"));
+    a.setViewFactory(
+        request -> view(controlPlaneVoters, voterSet("v1:1", 1, "v2:1", 1, "v3:1", 1), "c1:1"));
     b.setViewFactory(request -> view(controlPlaneVoters, new VoterSet()));
     timers.advance(100);
     assertThat(addresses(watcher.view().jobStoreVoters), contains("v4:1#2", "v2:1#3", "v3:1#1"));
@@ -66,7 +72,8 @@
                   ? null
                   : view(new VoterSet(), new VoterSet(), gateway);
           CompletableFuture<PullResponse> answer = new CompletableFuture<>();
-          timers.schedule(response.view == null ? request.maxWaitMs : 0, () -> answer.complete(response));
+          timers.schedule(
+              response.view == null ? request.maxWaitMs : 0, () -> answer.complete(response));
           return answer;
         });
     watcher.start();
@@ -92,7 +99,8 @@
                   ? null
                   : view(new VoterSet(), new VoterSet(), "v" + version[0]);
           CompletableFuture<PullResponse> answer = new CompletableFuture<>();
-          timers.schedule(response.view == null ? request.maxWaitMs : 0, () -> answer.complete(response));
+          timers.schedule(
+              response.view == null ? request.maxWaitMs : 0, () -> answer.complete(response));
           return answer;
         });
     watcher.start();
--- a/config/src/test/java/elmsail/config/watch/FakeNetwork.java
+++ b/config/src/test/java/elmsail/config/watch/FakeNetwork.java
@@ -73,7 +73,8 @@
     timers.schedule(
         ONE_WAY_MS,
         () -> {
-          Function<PullRequest, CompletableFuture<PullResponse>> controlPlane = controlPlanes.get(peer);
+          Function<PullRequest, CompletableFuture<PullResponse>> controlPlane =
+              controlPlanes.get(peer);
           if (controlPlane == null) {
             future.completeExceptionally(new ElmsailException(ErrorCode.NOT_SENT, peer));
             return;
--- a/config/src/test/java/elmsail/config/watch/FallbackDiscoveryTest.java
+++ b/config/src/test/java/elmsail/config/watch/FallbackDiscoveryTest.java
@@ -9,8 +9,8 @@
 import static org.hamcrest.Matchers.lessThan;
 import static org.hamcrest.Matchers.lessThanOrEqualTo;
 
-import elmsail.config.SampleConfigs;
 import elmsail.config.PlatformClient;
+import elmsail.config.SampleConfigs;
 import elmsail.config.ServerEntry;
 import elmsail.config.ServerListCodec;
 import elmsail.rpc.messages.ClusterView;
@@ -41,7 +41,10 @@
           fetchTimes.add(timers.now());
           CompletableFuture<SimpleHttpResponse> reply = new CompletableFuture<>();
           timers.schedule(
-              10, () -> reply.complete(new SimpleHttpResponse(status, Map.of(), ServerListCodec.encode(OWN))));
+              10,
+              () ->
+                  reply.complete(
+                      new SimpleHttpResponse(status, Map.of(), ServerListCodec.encode(OWN))));
           return reply;
         };
     PlatformClient call = new PlatformClient(asker, "10.200.0.79:8169", timers);
--- a/config/src/test/java/elmsail/config/watch/ServerListCacheTest.java
+++ b/config/src/test/java/elmsail/config/watch/ServerListCacheTest.java
@@ -17,7 +17,8 @@
   private final ServerListCache cache = new ServerListCache();
 
   private boolean offerWatched(long epoch, long version, List<ServerEntry> list, long takenAt) {
-    return cache.offerWatched(epoch, version, list == null ? null : ServerListCodec.encode(list), takenAt);
+    return cache.offerWatched(
+        epoch, version, list == null ? null : ServerListCodec.encode(list), takenAt);
   }
 
   @Test
--- a/consensus/src/main/java/elmsail/consensus/Acceptor.java
+++ b/consensus/src/main/java/elmsail/consensus/Acceptor.java
@@ -24,25 +24,33 @@
     if (comparison == 0) {
       return new Decision(responseWithValue(VoteResponse.OK, state), null);
     }
-    AcceptorState newState = new AcceptorState(ballot, state.accepted(), state.fromStateTransfer(), state.value());
+    AcceptorState newState =
+        new AcceptorState(ballot, state.accepted(), state.fromStateTransfer(), state.value());
     return new Decision(responseWithValue(VoteResponse.OK, newState), newState);
   }
 
   /** A repeated accept is answered as the first was, also where more has been promised since. */
   static Decision accept(AcceptorState state, Ballot ballot, Ballot nextBallot, byte[] value) {
-    if (Ballots.areEqual(ballot, state.accepted()) && !state.fromStateTransfer() && !Ballots.isNone(ballot)) {
+    if (Ballots.areEqual(ballot, state.accepted())
+        && !state.fromStateTransfer()
+        && !Ballots.isNone(ballot)) {
       return new Decision(responseWithoutValue(VoteResponse.OK, state), null);
     }
     if (Ballots.compare(ballot, state.promised()) < 0 || Ballots.isNone(ballot)) {
       return new Decision(responseWithoutValue(VoteResponse.BALLOT_TOO_LOW, state), null);
     }
-    AcceptorState newState = new AcceptorState(Ballots.max(ballot, nextBallot), ballot, false, value);
+    AcceptorState newState =
+        new AcceptorState(Ballots.max(ballot, nextBallot), ballot, false, value);
     return new Decision(responseWithoutValue(VoteResponse.OK, newState), newState);
   }
 
   static VoteResponse read(AcceptorState state, Ballot knownBallot, boolean ballotOnly) {
-    boolean omitValue = ballotOnly || !Ballots.isNone(knownBallot) && Ballots.areEqual(knownBallot, state.accepted());
-    return omitValue ? responseWithoutValue(VoteResponse.OK, state) : responseWithValue(VoteResponse.OK, state);
+    boolean omitValue =
+        ballotOnly
+            || !Ballots.isNone(knownBallot) && Ballots.areEqual(knownBallot, state.accepted());
+    return omitValue
+        ? responseWithoutValue(VoteResponse.OK, state)
+        : responseWithValue(VoteResponse.OK, state);
   }
 
   private static VoteResponse responseWithValue(int code, AcceptorState state) {
--- a/consensus/src/main/java/elmsail/consensus/AcceptorState.java
+++ b/consensus/src/main/java/elmsail/consensus/AcceptorState.java
@@ -9,8 +9,8 @@
  * What one voter holds of one key.
  *
  * @param promised never below {@code accepted}
- * @param fromStateTransfer {@code accepted} came from another voter slot's record when this voter slot was
- *     claimed
+ * @param fromStateTransfer {@code accepted} came from another voter slot's record when this voter
+ *     slot was claimed
  * @param value null if nothing was accepted
  */
 record AcceptorState(Ballot promised, Ballot accepted, boolean fromStateTransfer, byte[] value) {
@@ -20,7 +20,10 @@
 
   byte[] toBytes() {
     ByteBuffer out = ByteBuffer.allocate(HEADER_BYTES + (value == null ? 0 : value.length));
-    out.putLong(promised.round).putLong(promised.proposerId).putLong(accepted.round).putLong(accepted.proposerId);
+    out.putLong(promised.round)
+        .putLong(promised.proposerId)
+        .putLong(accepted.round)
+        .putLong(accepted.proposerId);
     out.put((byte) ((value == null ? 0 : 1) | (fromStateTransfer ? 2 : 0)));
     if (value != null) {
       out.put(value);
@@ -33,7 +36,8 @@
       return EMPTY;
     }
     if (bytes.length < HEADER_BYTES) {
-      throw new ElmsailException(ErrorCode.STORAGE_FAILURE, "a key's record of " + bytes.length + " bytes");
+      throw new ElmsailException(
+          ErrorCode.STORAGE_FAILURE, "a key's record of " + bytes.length + " bytes");
     }
     ByteBuffer in = ByteBuffer.wrap(bytes);
     Ballot promised = Ballots.of(in.getLong(), in.getLong());
--- a/consensus/src/main/java/elmsail/consensus/BlobRead.java
+++ b/consensus/src/main/java/elmsail/consensus/BlobRead.java
@@ -86,7 +86,9 @@
       if (response != null && retryUnderNewerVoterSet(voterSet, response.voterSet)) {
         return;
       }
-      if (response != null && response.voting && ++missing >= VoterSets.blockingSize(nearestFirst.length)) {
+      if (response != null
+          && response.voting
+          && ++missing >= VoterSets.blockingSize(nearestFirst.length)) {
         complete(null);
       } else if (answered == nearestFirst.length) {
         retryAfterBackoff();
--- a/consensus/src/main/java/elmsail/consensus/DurableRecords.java
+++ b/consensus/src/main/java/elmsail/consensus/DurableRecords.java
@@ -96,7 +96,8 @@
     return durable.thenApply(
         none -> {
           if (failedWrites != failedBefore) {
-            throw new ElmsailException(ErrorCode.STORAGE_FAILURE, "what this relies on could not be written");
+            throw new ElmsailException(
+                ErrorCode.STORAGE_FAILURE, "what this relies on could not be written");
           }
           return response.get();
         });
--- a/consensus/src/main/java/elmsail/consensus/JoinQuorum.java
+++ b/consensus/src/main/java/elmsail/consensus/JoinQuorum.java
@@ -130,7 +130,11 @@
         response.accepted
             && holderAtResponder.instanceId == holder.previousInstanceId
             && holderAtResponder.epoch == holder.previousEpoch;
-    recordedByPredecessor[slot] = voting || response.recorded && response.replaced && VoterSets.areEqual(holderAtResponder, holder);
+    recordedByPredecessor[slot] =
+        voting
+            || response.recorded
+                && response.replaced
+                && VoterSets.areEqual(holderAtResponder, holder);
   }
 
   /** Null as long as too few acknowledged. */
@@ -181,7 +185,8 @@
   /** Whether all who acknowledged know just that claim of the voter slot. */
   private boolean acknowledgersAgreeOn(int slot) {
     for (VoterSet known : acknowledged) {
-      if (known != null && !VoterSets.areEqual(known.voters.get(slot), knownVoterSet.voters.get(slot))) {
+      if (known != null
+          && !VoterSets.areEqual(known.voters.get(slot), knownVoterSet.voters.get(slot))) {
         return false;
       }
     }
--- a/consensus/src/main/java/elmsail/consensus/PreparePhase.java
+++ b/consensus/src/main/java/elmsail/consensus/PreparePhase.java
@@ -67,7 +67,8 @@
   }
 
   void send() {
-    Voter relay = client.relaySelector.select(voterSet, client.slotsNearestFirst(voterSet), request.blobs);
+    Voter relay =
+        client.relaySelector.select(voterSet, client.slotsNearestFirst(voterSet), request.blobs);
     if (relay == null) {
       sendDirectly();
     } else {
@@ -80,7 +81,8 @@
     relayed.prepare = request;
     relayed.timeoutMs = Math.max(1, callTimeoutMs - RELAY_MARGIN_MS);
     long bytes = RelaySelector.totalBytes(request.blobs);
-    long relayWaitMs = RELAY_TIMEOUT_MS + client.relaySelector.onRelayStarted(bytes) / MIN_BYTES_PER_MS;
+    long relayWaitMs =
+        RELAY_TIMEOUT_MS + client.relaySelector.onRelayStarted(bytes) / MIN_BYTES_PER_MS;
     relayTimer = client.timers.schedule(relayWaitMs, () -> onRelayFailed(relay));
     client
         .caller
--- a/consensus/src/main/java/elmsail/consensus/PrepareRelay.java
+++ b/consensus/src/main/java/elmsail/consensus/PrepareRelay.java
@@ -1,7 +1,7 @@
 package elmsail.consensus;
 
-import elmsail.rpc.RpcClient;
 import elmsail.rpc.RequestHandlers;
+import elmsail.rpc.RpcClient;
 import elmsail.rpc.messages.PrepareRequest;
 import elmsail.rpc.messages.RelayedPrepareRequest;
 import elmsail.rpc.messages.RelayedPrepareResponse;
@@ -43,7 +43,8 @@
     RelayedPrepare round = new RelayedPrepare(request.prepare);
     if (bytesInFlight > 0 && bytesInFlight + round.bytes > MAX_BYTES_IN_FLIGHT) {
       return CompletableFuture.failedFuture(
-          new ElmsailException(ErrorCode.RESOURCE_EXHAUSTED, "too many first rounds are being relayed"));
+          new ElmsailException(
+              ErrorCode.RESOURCE_EXHAUSTED, "too many first rounds are being relayed"));
     }
     round.start(Math.max(1, Math.min(request.timeoutMs, RegisterClient.CALL_TIMEOUT_MS)));
     return round.response;
--- a/consensus/src/main/java/elmsail/consensus/Proposer.java
+++ b/consensus/src/main/java/elmsail/consensus/Proposer.java
@@ -1,9 +1,9 @@
 package elmsail.consensus;
 
-import elmsail.consensus.Register.ObservedState;
 import elmsail.consensus.Register.CommittedState;
-import elmsail.consensus.Register.VersionedValue;
+import elmsail.consensus.Register.ObservedState;
 import elmsail.consensus.Register.ProposedValue;
+import elmsail.consensus.Register.VersionedValue;
 import elmsail.rpc.messages.AcceptRequest;
 import elmsail.rpc.messages.Ballot;
 import elmsail.rpc.messages.Blob;
@@ -47,18 +47,23 @@
 
   @Override
   void attempt(VoterSet voterSet) {
-    RegisterClient.CachedPromise cachedPromise = sideEffect == null ? client.takeCachedPromise(key) : null;
-    if (cachedPromise != null && cachedPromise.nextBallot() != null && VoterSets.areEqual(cachedPromise.voterSet(), voterSet)) {
+    RegisterClient.CachedPromise cachedPromise =
+        sideEffect == null ? client.takeCachedPromise(key) : null;
+    if (cachedPromise != null
+        && cachedPromise.nextBallot() != null
+        && VoterSets.areEqual(cachedPromise.voterSet(), voterSet)) {
       ProposedValue proposed = propose(new ObservedState(cachedPromise.value(), List.of()));
       if (isDone()) {
         return;
       }
       if (proposed.value() != null) {
-        new Attempt(voterSet, cachedPromise.nextBallot(), true).accept(proposed.value(), true, proposed.blobs());
+        new Attempt(voterSet, cachedPromise.nextBallot(), true)
+            .accept(proposed.value(), true, proposed.blobs());
         return;
       }
       // What was kept may be old: a change is declined only on what a majority tells.
-      client.cachePromise(key, new RegisterClient.CachedPromise(null, new Ballot(), null, voterSet));
+      client.cachePromise(
+          key, new RegisterClient.CachedPromise(null, new Ballot(), null, voterSet));
     }
     new Attempt(voterSet, client.nextBallot(), cachedPromise != null).prepare();
   }
@@ -219,7 +224,9 @@
     private boolean isAcceptedByMajority(Ballot accepted) {
       int same = 0;
       for (VoteResponse response : promises) {
-        if (response != null && !response.fromStateTransfer && Ballots.areEqual(response.accepted, accepted)) {
+        if (response != null
+            && !response.fromStateTransfer
+            && Ballots.areEqual(response.accepted, accepted)) {
           same++;
         }
       }
@@ -285,7 +292,9 @@
       if (response != null) {
         client.observe(response.promised);
       }
-      if (granted && !Ballots.isNone(accept.nextBallot) && Ballots.areEqual(response.promised, accept.nextBallot)) {
+      if (granted
+          && !Ballots.isNone(accept.nextBallot)
+          && Ballots.areEqual(response.promised, accept.nextBallot)) {
         nextBallotPromises++;
       }
       if (!isCurrent(attemptNumber)) {
@@ -295,7 +304,8 @@
       if (granted) {
         if (++acknowledgements >= majority) {
           Ballot next = nextBallotPromises >= majority ? accept.nextBallot : null;
-          client.cachePromise(key, new RegisterClient.CachedPromise(next, ballot, accept.value, voterSet));
+          client.cachePromise(
+              key, new RegisterClient.CachedPromise(next, ballot, accept.value, voterSet));
           complete(new CommittedState(new VersionedValue(ballot, accept.value), isChange));
         }
         return;
--- a/consensus/src/main/java/elmsail/consensus/QuorumOperation.java
+++ b/consensus/src/main/java/elmsail/consensus/QuorumOperation.java
@@ -98,7 +98,8 @@
 
   final boolean retryUnderNewerVoterSet(VoterSet under, VoteResponse response) {
     return response != null
-        && (response.code == VoteResponse.STALE_VOTER_SET || response.code == VoteResponse.NOT_A_VOTER)
+        && (response.code == VoteResponse.STALE_VOTER_SET
+            || response.code == VoteResponse.NOT_A_VOTER)
         && retryUnderNewerVoterSet(under, response.voterSet);
   }
 
--- a/consensus/src/main/java/elmsail/consensus/QuorumRead.java
+++ b/consensus/src/main/java/elmsail/consensus/QuorumRead.java
@@ -1,8 +1,8 @@
 package elmsail.consensus;
 
 import elmsail.consensus.Register.CommittedState;
-import elmsail.consensus.Register.VersionedValue;
 import elmsail.consensus.Register.ProposedValue;
+import elmsail.consensus.Register.VersionedValue;
 import elmsail.rpc.messages.Ballot;
 import elmsail.rpc.messages.ReadRequest;
 import elmsail.rpc.messages.VoteResponse;
@@ -43,7 +43,11 @@
     int number = attemptNumber();
     CompletableFuture<CommittedState> finished =
         client.change(
-            key, observed -> new ProposedValue(null, List.of()), List.of(), null, Math.max(1, remainingMs()));
+            key,
+            observed -> new ProposedValue(null, List.of()),
+            List.of(),
+            null,
+            Math.max(1, remainingMs()));
     finished.whenComplete(
         (committed, failure) -> {
           if (!isCurrent(number)) {
@@ -89,7 +93,11 @@
         }
         client
             .caller
-            .call(voterSet.voters.get(slot).address, request(at > 0), VoteResponse.class, callTimeoutMs())
+            .call(
+                voterSet.voters.get(slot).address,
+                request(at > 0),
+                VoteResponse.class,
+                callTimeoutMs())
             .whenComplete((vote, failure) -> answered(slot, vote));
       }
     }
@@ -194,7 +202,11 @@
       }
       client
           .caller
-          .call(voterSet.voters.get(acceptedSlot).address, request(false), VoteResponse.class, callTimeoutMs())
+          .call(
+              voterSet.voters.get(acceptedSlot).address,
+              request(false),
+              VoteResponse.class,
+              callTimeoutMs())
           .whenComplete(
               (vote, failure) -> {
                 if (!isCurrent(attemptNumber)) {
--- a/consensus/src/main/java/elmsail/consensus/Register.java
+++ b/consensus/src/main/java/elmsail/consensus/Register.java
@@ -42,7 +42,11 @@
    * @param sideEffect told to the replicas' views with the first round, or null
    */
   CompletableFuture<CommittedState> change(
-      String key, Function<ObservedState, ProposedValue> change, List<Blob> blobs, byte[] sideEffect, long timeoutMs);
+      String key,
+      Function<ObservedState, ProposedValue> change,
+      List<Blob> blobs,
+      byte[] sideEffect,
+      long timeoutMs);
 
   /**
    * A blob from whoever has it, the nearest first; null only if a majority with memory say that
--- a/consensus/src/main/java/elmsail/consensus/RegisterClient.java
+++ b/consensus/src/main/java/elmsail/consensus/RegisterClient.java
@@ -80,14 +80,19 @@
 
   @Override
   public CompletableFuture<VersionedValue> read(String key, Ballot knownBallot, long timeoutMs) {
-    QuorumRead read = new QuorumRead(this, key, knownBallot == null ? new Ballot() : knownBallot, timeoutMs);
+    QuorumRead read =
+        new QuorumRead(this, key, knownBallot == null ? new Ballot() : knownBallot, timeoutMs);
     read.start();
     return read.result();
   }
 
   @Override
   public CompletableFuture<CommittedState> change(
-      String key, Function<ObservedState, ProposedValue> change, List<Blob> blobs, byte[] sideEffect, long timeoutMs) {
+      String key,
+      Function<ObservedState, ProposedValue> change,
+      List<Blob> blobs,
+      byte[] sideEffect,
+      long timeoutMs) {
     Proposer proposer =
         new Proposer(this, key, change, blobs == null ? List.of() : blobs, sideEffect, timeoutMs);
     proposer.start();
@@ -134,7 +139,8 @@
 
   void cachePromise(String key, CachedPromise promise) {
     boolean tooLarge = promise.value != null && promise.value.length > MAX_CACHED_VALUE_BYTES;
-    cachedPromises.put(key, tooLarge ? new CachedPromise(null, new Ballot(), null, promise.voterSet) : promise);
+    cachedPromises.put(
+        key, tooLarge ? new CachedPromise(null, new Ballot(), null, promise.voterSet) : promise);
   }
 
   /** Positions of the voter slots, the nearest first. */
--- a/consensus/src/main/java/elmsail/consensus/Replica.java
+++ b/consensus/src/main/java/elmsail/consensus/Replica.java
@@ -1,7 +1,7 @@
 package elmsail.consensus;
 
-import elmsail.rpc.RpcClient;
 import elmsail.rpc.RequestHandlers;
+import elmsail.rpc.RpcClient;
 import elmsail.rpc.messages.VoterSet;
 import elmsail.runtime.Counters;
 import elmsail.runtime.ElmsailException;
@@ -85,7 +85,8 @@
     if (publishedVoting) {
       notifyAcceptedValues();
     }
-    new ReplicaRequestHandler(set, records, names, durableRecords, listener, membership, this, metrics)
+    new ReplicaRequestHandler(
+            set, records, names, durableRecords, listener, membership, this, metrics)
         .register(handlers);
     new PrepareRelay(caller, timers).register(handlers);
     registerGauges(metrics.counters());
@@ -215,8 +216,12 @@
         write(
             List.of(
                 new Change(names.voterSet(), VoterSetCodec.encode(written)),
-                new Change(names.voting(), caughtUpEpoch == 0 ? null : RecordNames.epochToBytes(caughtUpEpoch)),
-                new Change(names.spare(), membership.joiningAsSpare() ? RecordNames.epochToBytes(1) : null)));
+                new Change(
+                    names.voting(),
+                    caughtUpEpoch == 0 ? null : RecordNames.epochToBytes(caughtUpEpoch)),
+                new Change(
+                    names.spare(),
+                    membership.joiningAsSpare() ? RecordNames.epochToBytes(1) : null)));
     membershipWritten = true;
     write.whenComplete(
         (none, failure) -> {
--- a/consensus/src/main/java/elmsail/consensus/ReplicaJoin.java
+++ b/consensus/src/main/java/elmsail/consensus/ReplicaJoin.java
@@ -289,7 +289,8 @@
         startAttempt(slot, holder.epoch);
       } else if (membership.joiningAsSpare() || membership.hostHoldsOtherSlot(slot)) {
         yieldToRival();
-      } else if (countVotingHolders() >= VoterSets.blockingSize(membership.voterSet().voters.size())) {
+      } else if (countVotingHolders()
+          >= VoterSets.blockingSize(membership.voterSet().voters.size())) {
         startAttempt(slot, holder.epoch + 1);
       } else {
         VoterSet theirs = VoterSets.withVoter(membership.voterSet(), slot, rival);
--- a/consensus/src/main/java/elmsail/consensus/ReplicaMembership.java
+++ b/consensus/src/main/java/elmsail/consensus/ReplicaMembership.java
@@ -22,7 +22,8 @@
 
   private boolean joiningAsSpare;
 
-  ReplicaMembership(String address, String machine, long instanceId, VoterSet voterSet, int caughtUpEpoch) {
+  ReplicaMembership(
+      String address, String machine, long instanceId, VoterSet voterSet, int caughtUpEpoch) {
     this.address = address;
     this.machine = machine;
     this.instanceId = instanceId;
@@ -133,7 +134,8 @@
 
   /** VoteResponse.DONE if an ask under that voter set, which was learnt before, may be voted on. */
   int voteCode(VoterSet requestVoterSet) {
-    if (VoterSets.isNewer(voterSet, requestVoterSet) || requestVoterSet.voters.size() != voterSet.voters.size()) {
+    if (VoterSets.isNewer(voterSet, requestVoterSet)
+        || requestVoterSet.voters.size() != voterSet.voters.size()) {
       return VoteResponse.STALE_VOTER_SET;
     }
     return isVoting() ? VoteResponse.OK : VoteResponse.NOT_A_VOTER;
@@ -157,7 +159,8 @@
     JoinResponse response = new JoinResponse();
     response.instanceId = instanceId;
     response.voting = isVoting();
-    response.accepted = decision == ClaimDecision.ADOPTED || decision == ClaimDecision.ALREADY_ADOPTED;
+    response.accepted =
+        decision == ClaimDecision.ADOPTED || decision == ClaimDecision.ALREADY_ADOPTED;
     response.recorded = decision == ClaimDecision.RECORDED;
     response.replaced = response.recorded && isReplaced();
     return response;
@@ -167,7 +170,8 @@
    * Whether a newcomer may copy from here, where a vote is answered so; a replaced holder may do.
    */
   boolean servesTransfer(int code, boolean allowReplaced) {
-    return code == VoteResponse.OK || code == VoteResponse.NOT_A_VOTER && allowReplaced && isReplaced();
+    return code == VoteResponse.OK
+        || code == VoteResponse.NOT_A_VOTER && allowReplaced && isReplaced();
   }
 
   /**
@@ -190,12 +194,15 @@
           : voting ? ClaimDecision.ALREADY_ADOPTED : ClaimDecision.RECORDED;
     }
     int slotOfClaimant = VoterSets.slotOfInstance(voterSet, request.voter.instanceId);
-    if (request.voter.epoch <= known.epoch || slotOfClaimant >= 0 && slotOfClaimant != request.slot) {
+    if (request.voter.epoch <= known.epoch
+        || slotOfClaimant >= 0 && slotOfClaimant != request.slot) {
       return ClaimDecision.REFUSED;
     }
     boolean ownSlotTaken = request.slot == ownSlot();
     voterSet = VoterSets.withVoter(voterSet, request.slot, request.voter);
-    return ownSlotTaken ? ClaimDecision.REFUSED : voting ? ClaimDecision.ADOPTED : ClaimDecision.RECORDED;
+    return ownSlotTaken
+        ? ClaimDecision.REFUSED
+        : voting ? ClaimDecision.ADOPTED : ClaimDecision.RECORDED;
   }
 
   /** This instance's own claim of a voter slot: taken over here first, and not voting. */
--- a/consensus/src/main/java/elmsail/consensus/ReplicaRequestHandler.java
+++ b/consensus/src/main/java/elmsail/consensus/ReplicaRequestHandler.java
@@ -99,7 +99,8 @@
       return CompletableFuture.completedFuture(refusal);
     }
     Acceptor.Decision decision =
-        Acceptor.accept(checkedState(request.key), request.ballot, request.nextBallot, request.value);
+        Acceptor.accept(
+            checkedState(request.key), request.ballot, request.nextBallot, request.value);
     if (decision.response().code == VoteResponse.OK
         && decision.newState() != null
         && !listener.admits(request.key, request.value)) {
@@ -128,7 +129,8 @@
     if (refusal != null) {
       return CompletableFuture.completedFuture(refusal);
     }
-    VoteResponse response = Acceptor.read(checkedState(request.key), request.knownBallot, request.ballotOnly);
+    VoteResponse response =
+        Acceptor.read(checkedState(request.key), request.knownBallot, request.ballotOnly);
     return respondOnceDurable(
         List.of(),
         () -> {
@@ -154,7 +156,8 @@
   private CompletableFuture<BlobResponse> readBlob(BlobRequest request) {
     VoteResponse refusal = refusal(request.set, request.voterSet);
     BlobResponse response = new BlobResponse();
-    response.voting = refusal == null || membership.servesTransfer(refusal.code, request.allowReplaced);
+    response.voting =
+        refusal == null || membership.servesTransfer(refusal.code, request.allowReplaced);
     response.voterSet = refusal == null ? response.voterSet : refusal.voterSet;
     if (response.voting || refusal.code == VoteResponse.STALE_VOTER_SET && membership.isVoting()) {
       response.bytes = replica.blob(request.key, request.name);
@@ -221,7 +224,8 @@
       throw new ElmsailException(ErrorCode.NOT_A_VOTER, requestSet);
     }
     int code = membership.voteCode(requestVoterSet);
-    if (code != VoteResponse.STALE_VOTER_SET && VoterSets.isNewer(requestVoterSet, membership.voterSet())) {
+    if (code != VoteResponse.STALE_VOTER_SET
+        && VoterSets.isNewer(requestVoterSet, membership.voterSet())) {
       replica.learn(requestVoterSet);
       code = membership.voteCode(requestVoterSet);
     }
@@ -242,7 +246,8 @@
       return CompletableFuture.failedFuture(
           new ElmsailException(ErrorCode.STORAGE_FAILURE, "the voter set is not on disk"));
     }
-    return durableRecords.respondOnceDurable(changes, response)
+    return durableRecords
+        .respondOnceDurable(changes, response)
         .whenComplete(
             (given, failed) -> {
               if (failed != null) {
--- a/consensus/src/main/java/elmsail/consensus/RestoredReplica.java
+++ b/consensus/src/main/java/elmsail/consensus/RestoredReplica.java
@@ -17,18 +17,28 @@
  * @param keys in order of their names
  */
 public record RestoredReplica(
-    String set, VoterSet voterSet, int ownSlot, int caughtUpEpoch, boolean voting, List<StoredKey> keys) {
+    String set,
+    VoterSet voterSet,
+    int ownSlot,
+    int caughtUpEpoch,
+    boolean voting,
+    List<StoredKey> keys) {
   private static final String[] RECORD_KINDS = {"seating", "seated", "k/", "b/"};
 
   /**
    * One key; one without a value and a ballot has blobs alone.
    *
-   * @param fromStateTransfer the value came from another voter slot when this voter slot was claimed, and
-   *     counts as no vote
+   * @param fromStateTransfer the value came from another voter slot when this voter slot was
+   *     claimed, and counts as no vote
    * @param valueBytes -1 if nothing was accepted
    */
   public record StoredKey(
-      String name, Ballot promised, Ballot accepted, boolean fromStateTransfer, int valueBytes, int blobs) {}
+      String name,
+      Ballot promised,
+      Ballot accepted,
+      boolean fromStateTransfer,
+      int valueBytes,
+      int blobs) {}
 
   /**
    * All sets that the records tell of.
@@ -56,7 +66,8 @@
     RecordNames names = new RecordNames(set);
     int caughtUp = RecordNames.epochFromBytes(records.read(names.voting()));
     VoterSet voterSet = VoterSetCodec.decode(records.read(names.voterSet()));
-    ReplicaMembership membership = new ReplicaMembership("", "", records.instanceId(), voterSet, caughtUp);
+    ReplicaMembership membership =
+        new ReplicaMembership("", "", records.instanceId(), voterSet, caughtUp);
     TreeSet<String> all = new TreeSet<>(names.keys(records));
     for (String blob : records.names(names.blobs())) {
       all.add(names.keyOfBlob(blob));
--- a/consensus/src/main/java/elmsail/consensus/StateTransfer.java
+++ b/consensus/src/main/java/elmsail/consensus/StateTransfer.java
@@ -90,7 +90,8 @@
     }
   }
 
-  private void requestPage(Voter source, String after, boolean blobNamesOnly, CompletableFuture<Void> written) {
+  private void requestPage(
+      Voter source, String after, boolean blobNamesOnly, CompletableFuture<Void> written) {
     StateTransferRequest request = new StateTransferRequest();
     request.set = set;
     request.after = after;
@@ -108,18 +109,21 @@
                 if (++failures > MAX_FAILURES) {
                   end(false);
                 } else {
-                  timers.schedule(RETRY_DELAY_MS, () -> requestPage(source, after, blobNamesOnly, written));
+                  timers.schedule(
+                      RETRY_DELAY_MS, () -> requestPage(source, after, blobNamesOnly, written));
                 }
               } else if (!response.voting || response.instanceId != source.instanceId) {
                 end(false);
               } else {
                 // No more than one page of each is being written while the next is on its way.
-                written.whenComplete((none, writeFailure) -> onPage(source, blobNamesOnly, response, writeFailure));
+                written.whenComplete(
+                    (none, writeFailure) -> onPage(source, blobNamesOnly, response, writeFailure));
               }
             });
   }
 
-  private void onPage(Voter source, boolean blobNamesOnly, StateTransferResponse response, Throwable writeFailure) {
+  private void onPage(
+      Voter source, boolean blobNamesOnly, StateTransferResponse response, Throwable writeFailure) {
     if (ended || !isCurrent.getAsBoolean()) {
       ended = true;
       return;
@@ -137,7 +141,8 @@
       written = storePage(response.records);
     }
     if (!response.lastPage && !response.records.isEmpty()) {
-      requestPage(source, response.records.get(response.records.size() - 1).name, blobNamesOnly, written);
+      requestPage(
+          source, response.records.get(response.records.size() - 1).name, blobNamesOnly, written);
       return;
     }
     written.whenComplete(
@@ -221,7 +226,8 @@
       byte[] ownBytes = records.read(record.name);
       if (ownBytes == null) {
         AcceptorState received = AcceptorState.fromBytes(record.bytes);
-        changes.add(new Change(record.name, AcceptorState.EMPTY.mergeTransferred(received).toBytes()));
+        changes.add(
+            new Change(record.name, AcceptorState.EMPTY.mergeTransferred(received).toBytes()));
         continue;
       }
       AcceptorState own = AcceptorState.fromBytes(ownBytes);
--- a/consensus/src/test/java/elmsail/consensus/BlobSecondLossTest.java
+++ b/consensus/src/test/java/elmsail/consensus/BlobSecondLossTest.java
@@ -82,7 +82,11 @@
     set.await(
         set.client(set.initialVoters)
             .change(
-                "key", observed -> new ProposedValue(new byte[] {1}, List.of()), List.of(blob), null, 3_000));
+                "key",
+                observed -> new ProposedValue(new byte[] {1}, List.of()),
+                List.of(blob),
+                null,
+                3_000));
     set.start(without);
     set.timers.advance(50);
     assertThat(set.replicas[without].blob("key", "body") == null, is(true));
@@ -129,7 +133,8 @@
             set.kill(second);
             set.disks[second].wipe();
             byte[] read = set.await(set.client(set.initialVoters).readBlob("key", "body", 5_000));
-            String scenario = without + " without, " + first + ", then " + second + ", kind " + kind;
+            String scenario =
+                without + " without, " + first + ", then " + second + ", kind " + kind;
             assertThat(scenario, read != null && read.length == 20_000, is(true));
             assertThat(scenario, set.net.handlerFaults(), empty());
             played++;
--- a/consensus/src/test/java/elmsail/consensus/ConcurrentJoinModel.java
+++ b/consensus/src/test/java/elmsail/consensus/ConcurrentJoinModel.java
@@ -152,7 +152,11 @@
   private ReplicaMembership membership(int[] state, int process) {
     int caughtUp = process < S ? 1 : 2 * state[at(process) + VOTING];
     return new ReplicaMembership(
-        NAMES[process], NAMES[process], process + 1, voterSets[knownClaims(state, process)], caughtUp);
+        NAMES[process],
+        NAMES[process],
+        process + 1,
+        voterSets[knownClaims(state, process)],
+        caughtUp);
   }
 
   private static boolean absent(int[] state, int process) {
@@ -204,7 +208,12 @@
             source == quorum.replacedSource(),
             knownClaims(state, join));
         if (defect == Defect.COPY_UNDER_STALE_VOTER_SET) {
-          copy(state, join, (int) source.instanceId - 1, source == quorum.replacedSource(), bit(join));
+          copy(
+              state,
+              join,
+              (int) source.instanceId - 1,
+              source == quorum.replacedSource(),
+              bit(join));
         }
       }
       if (state[at + COPIED_B] == 1 && state[at + COPIED_OTHER] == 1) {
@@ -239,7 +248,9 @@
     if (field == RESPONSE_OF_B) {
       return 1;
     }
-    return field == RESPONSE_OF_OTHER && state[at(join) + SENT_KNOWING_OTHER] == 1 ? other : slotOf(other);
+    return field == RESPONSE_OF_OTHER && state[at(join) + SENT_KNOWING_OTHER] == 1
+        ? other
+        : slotOf(other);
   }
 
   private JoinQuorum quorum(int[] state, int join) {
@@ -249,11 +260,16 @@
     int known = bit(join) | state[at + SENT_KNOWING_OTHER] * bit(other);
     JoinQuorum quorum = new JoinQuorum(voterSets[known], slotOf(join), join + 1);
     if (state[at + RESPONSE_OF_B] != 0) {
-      quorum.onHolderResponse(1, response(1, true, state[at + RESPONSE_OF_B] == 2 ? all : bit(join)));
+      quorum.onHolderResponse(
+          1, response(1, true, state[at + RESPONSE_OF_B] == 2 ? all : bit(join)));
     }
     if (state[at + RESPONSE_OF_OTHER] != 0) {
       quorum.onHolderResponse(
-          slotOf(other), response(recipient(state, join, RESPONSE_OF_OTHER), state[at + RESPONSE_OF_OTHER] == 1, known));
+          slotOf(other),
+          response(
+              recipient(state, join, RESPONSE_OF_OTHER),
+              state[at + RESPONSE_OF_OTHER] == 1,
+              known));
     } else if (defect == Defect.SUCCESSOR_NOT_QUERIED && state[at + SENT_KNOWING_OTHER] == 1) {
       quorum.onHolderResponse(slotOf(other), response(other, false, known));
     }
@@ -262,7 +278,9 @@
       quorum.onPredecessorResponse(
           before,
           response(
-              before, state[at + RESPONSE_OF_PREDECESSOR] == 1, state[at + RESPONSE_OF_PREDECESSOR] == 1 ? bit(join) : all));
+              before,
+              state[at + RESPONSE_OF_PREDECESSOR] == 1,
+              state[at + RESPONSE_OF_PREDECESSOR] == 1 ? bit(join) : all));
     }
     return quorum;
   }
@@ -311,7 +329,8 @@
   private void copy(int[] state, int join, int process, boolean ofReplaced, int voterSet) {
     int[] next = state.clone();
     int code = vote(next, process, voterSet);
-    if (membership(next, process).servesTransfer(code, ofReplaced || defect == Defect.STALE_SOURCE)) {
+    if (membership(next, process)
+        .servesTransfer(code, ofReplaced || defect == Defect.STALE_SOURCE)) {
       put(next, join, key(next, join).mergeTransferred(key(next, process)));
       next[at(join) + (process == 1 ? COPIED_B : COPIED_OTHER)] = 1;
     }
@@ -429,6 +448,7 @@
   }
 
   private static boolean decided(int[] state, int b) {
-    return Integer.bitCount(state[PROPOSERS + b * PROPOSER_FIELDS + 5]) >= VoterSets.majoritySize(VOTERS);
+    return Integer.bitCount(state[PROPOSERS + b * PROPOSER_FIELDS + 5])
+        >= VoterSets.majoritySize(VOTERS);
   }
 }
--- a/consensus/src/test/java/elmsail/consensus/FaultyCluster.java
+++ b/consensus/src/test/java/elmsail/consensus/FaultyCluster.java
@@ -1,7 +1,7 @@
 package elmsail.consensus;
 
-import elmsail.rpc.RpcClient;
 import elmsail.rpc.RequestHandlers;
+import elmsail.rpc.RpcClient;
 import elmsail.rpc.messages.Voter;
 import elmsail.rpc.messages.VoterSet;
 import elmsail.runtime.ElmsailException;
@@ -89,7 +89,8 @@
     }
 
     @Override
-    public <Q, A> void register(Class<Q> request, Function<Q, ? extends CompletionStage<A>> handler) {
+    public <Q, A> void register(
+        Class<Q> request, Function<Q, ? extends CompletionStage<A>> handler) {
       handlers.put(request, q -> handler.apply(request.cast(q)));
     }
   }
@@ -289,8 +290,7 @@
   VoterSet newest() {
     VoterSet newest = new VoterSet();
     for (Node node : nodes.values()) {
-      newest =
-          VoterSets.merge(newest, VoterSetCodec.decode(node.disk.durable.get("set/seating")));
+      newest = VoterSets.merge(newest, VoterSetCodec.decode(node.disk.durable.get("set/seating")));
       if (node.up && node.replica != null) {
         newest = VoterSets.merge(newest, node.replica.membership.voterSet());
       }
@@ -338,7 +338,8 @@
           || before == lost
           || before.disk.instanceId != voter.previousInstanceId
           || node.disk.instanceId != voter.instanceId
-          || RecordNames.epochFromBytes(before.disk.durable.get("set/seated")) != voter.previousEpoch
+          || RecordNames.epochFromBytes(before.disk.durable.get("set/seated"))
+              != voter.previousEpoch
           || VoterSets.slotOfInstance(newest, before.disk.instanceId) >= 0) {
         return false;
       }
--- a/consensus/src/test/java/elmsail/consensus/JoinInVainTest.java
+++ b/consensus/src/test/java/elmsail/consensus/JoinInVainTest.java
@@ -25,7 +25,11 @@
     set.await(
         set.client(set.initialVoters)
             .change(
-                "key", observed -> new ProposedValue(value.getBytes(), List.of()), List.of(), null, 3_000));
+                "key",
+                observed -> new ProposedValue(value.getBytes(), List.of()),
+                List.of(),
+                null,
+                3_000));
   }
 
   private String read() {
@@ -94,7 +98,10 @@
         set.awaitVoting(2, MAX_JOIN_MS);
         assertThat(scenario, set.replicas[2].isVoting(), is(true));
         assertThat(scenario, set.replicas[3].isVoting(), is(true));
-        assertThat(scenario, set.replicas[2].voterSet().voters.get(0).address, is(SimCluster.ADDRESSES[2]));
+        assertThat(
+            scenario,
+            set.replicas[2].voterSet().voters.get(0).address,
+            is(SimCluster.ADDRESSES[2]));
         set.kill(1);
         assertThat(scenario, read(), is("new"));
         assertThat(scenario, set.net.handlerFaults(), empty());
@@ -213,7 +220,9 @@
     int voting = 0;
     for (int i = 0; i < SimCluster.ADDRESSES.length; i++) {
       int slot = VoterSets.slotOfInstance(newest, set.disks[i].instanceId());
-      if (slot >= 0 && set.net.nodeAt(SimCluster.ADDRESSES[i]) != null && set.replicas[i].isVoting()) {
+      if (slot >= 0
+          && set.net.nodeAt(SimCluster.ADDRESSES[i]) != null
+          && set.replicas[i].isVoting()) {
         voting++;
       }
     }
--- a/consensus/src/test/java/elmsail/consensus/JoinModelTest.java
+++ b/consensus/src/test/java/elmsail/consensus/JoinModelTest.java
@@ -27,7 +27,10 @@
   }
 
   @ParameterizedTest
-  @EnumSource(value = ConcurrentJoinModel.Defect.class, mode = EnumSource.Mode.EXCLUDE, names = "NONE")
+  @EnumSource(
+      value = ConcurrentJoinModel.Defect.class,
+      mode = EnumSource.Mode.EXCLUDE,
+      names = "NONE")
   void defectIsDetected(ConcurrentJoinModel.Defect defect) {
     assertThat(run(defect, 1, false), notNullValue());
   }
--- a/consensus/src/test/java/elmsail/consensus/PinnedRecordsTest.java
+++ b/consensus/src/test/java/elmsail/consensus/PinnedRecordsTest.java
@@ -132,7 +132,8 @@
 
   private static void assertState(Ballot accepted, boolean copied, byte[] value, String rest) {
     byte[] pinned = bytes(PROMISED + rest);
-    assertThat(new AcceptorState(Ballots.of(7, -2), accepted, copied, value).toBytes(), equalTo(pinned));
+    assertThat(
+        new AcceptorState(Ballots.of(7, -2), accepted, copied, value).toBytes(), equalTo(pinned));
     AcceptorState read = AcceptorState.fromBytes(pinned);
     assertThat(Ballots.areEqual(read.promised(), Ballots.of(7, -2)), is(true));
     assertThat(Ballots.areEqual(read.accepted(), accepted), is(true));
@@ -150,14 +151,19 @@
     set.await(
         set.client(set.initialVoters)
             .change(
-                "a/b", observed -> new Register.ProposedValue(VALUE, List.of()), List.of(blob), null, 1_000));
+                "a/b",
+                observed -> new Register.ProposedValue(VALUE, List.of()),
+                List.of(blob),
+                null,
+                1_000));
     set.timers.advance(100);
     List<String> names = new ArrayList<>();
     set.records[0].names("").forEach(names::add);
     assertThat(names, contains("set/b/a%2Fb/body", "set/k/a%2Fb", "set/seated", "set/seating"));
     assertThat(set.records[0].read("set/b/a%2Fb/body"), equalTo(blob.bytes));
     assertThat(set.records[0].read("set/seated"), equalTo(bytes("00000001")));
-    assertThat(set.records[0].read("set/seating"), equalTo(VoterSetCodec.encode(set.initialVoters)));
+    assertThat(
+        set.records[0].read("set/seating"), equalTo(VoterSetCodec.encode(set.initialVoters)));
     assertThat(AcceptorState.fromBytes(set.records[0].read("set/k/a%2Fb")).value(), equalTo(VALUE));
   }
 }
--- a/consensus/src/test/java/elmsail/consensus/RandomHistory.java
+++ b/consensus/src/test/java/elmsail/consensus/RandomHistory.java
@@ -1,8 +1,8 @@
 package elmsail.consensus;
 
 import elmsail.consensus.Register.CommittedState;
-import elmsail.consensus.Register.VersionedValue;
 import elmsail.consensus.Register.ProposedValue;
+import elmsail.consensus.Register.VersionedValue;
 import elmsail.rpc.RpcClient;
 import elmsail.rpc.messages.Blob;
 import elmsail.rpc.messages.VoterSet;
--- a/consensus/src/test/java/elmsail/consensus/RegisterTest.java
+++ b/consensus/src/test/java/elmsail/consensus/RegisterTest.java
@@ -11,8 +11,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import elmsail.consensus.Register.CommittedState;
-import elmsail.consensus.Register.VersionedValue;
 import elmsail.consensus.Register.ProposedValue;
+import elmsail.consensus.Register.VersionedValue;
 import elmsail.rpc.messages.AcceptRequest;
 import elmsail.rpc.messages.Blob;
 import elmsail.rpc.messages.PrepareRequest;
@@ -44,7 +44,8 @@
         set.await(
             client.change(
                 "key",
-                observed -> new ProposedValue((new String(observed.value()) + mark).getBytes(), List.of()),
+                observed ->
+                    new ProposedValue((new String(observed.value()) + mark).getBytes(), List.of()),
                 List.of(),
                 null,
                 3_000));
@@ -68,7 +69,8 @@
     assertThat(set.replicas[0].isVoting(), is(false));
     set.bootstrapped();
     assertThat(
-        set.replicas[0].isVoting() && set.replicas[1].isVoting() && set.replicas[2].isVoting(), is(true));
+        set.replicas[0].isVoting() && set.replicas[1].isVoting() && set.replicas[2].isVoting(),
+        is(true));
     assertThat(set.replicas[3].isVoting(), is(false));
     set.disks[0].wipe();
     set.start(0);
@@ -132,7 +134,8 @@
     set.await(put(client, "key", "1"));
     CommittedState committed =
         set.await(
-            client.change("key", observed -> new ProposedValue(null, List.of()), List.of(), null, 1_000));
+            client.change(
+                "key", observed -> new ProposedValue(null, List.of()), List.of(), null, 1_000));
     assertThat(committed.changed(), is(false));
     assertThat(new String(committed.current().value()), is("1"));
   }
@@ -169,7 +172,8 @@
     set.kill(0);
     set.kill(1);
     assertThat(failure(put(set.client(set.initialVoters), "key", "1")), is(ErrorCode.NO_QUORUM));
-    assertThat(failure(set.client(set.initialVoters).read("key", null, 700)), is(ErrorCode.NO_QUORUM));
+    assertThat(
+        failure(set.client(set.initialVoters).read("key", null, 700)), is(ErrorCode.NO_QUORUM));
     set.start(0);
     set.start(1);
     set.timers.advance(100);
--- a/consensus/src/test/java/elmsail/consensus/ReplicaMetricsTest.java
+++ b/consensus/src/test/java/elmsail/consensus/ReplicaMetricsTest.java
@@ -107,11 +107,13 @@
 
   @Test
   void acceptedBallotAboveThePromisedOneIsAViolation() {
-    AcceptorState corrupt = new AcceptorState(Ballots.of(3, 1), Ballots.of(4, 1), false, "value".getBytes());
+    AcceptorState corrupt =
+        new AcceptorState(Ballots.of(3, 1), Ballots.of(4, 1), false, "value".getBytes());
     Invariants strict = ProcessMetrics.strict().invariants();
     InvariantViolation thrown =
         assertThrows(
-            InvariantViolation.class, () -> ReplicaRequestHandler.checkInvariant(strict, "set", "key", corrupt));
+            InvariantViolation.class,
+            () -> ReplicaRequestHandler.checkInvariant(strict, "set", "key", corrupt));
     assertThat(thrown.invariant(), is(Invariant.ACCEPTED_BALLOT_PROMISED));
     Ballot promised = Ballots.of(4, 1);
     ReplicaRequestHandler.checkInvariant(
@@ -121,11 +123,13 @@
   @Test
   void corruptRecordIsDetectedWhenAVoterReadsIt() {
     set.bootstrapped();
-    AcceptorState corrupt = new AcceptorState(Ballots.of(3, 1), Ballots.of(4, 1), false, "value".getBytes());
+    AcceptorState corrupt =
+        new AcceptorState(Ballots.of(3, 1), Ballots.of(4, 1), false, "value".getBytes());
     set.records[0].write(List.of(new Change("set/k/key", corrupt.toBytes())));
     set.timers.advance(50);
     set.client(set.initialVoters).read("key", null, 500);
-    InvariantViolation thrown = assertThrows(InvariantViolation.class, () -> set.timers.advance(700));
+    InvariantViolation thrown =
+        assertThrows(InvariantViolation.class, () -> set.timers.advance(700));
     assertThat(thrown.getMessage(), containsString("set: key key"));
     assertThat(set.metrics[0].invariants().violations(), greaterThan(0L));
     assertThat(set.metrics[1].invariants().violations(), is(0L));
--- a/consensus/src/test/java/elmsail/consensus/RivalClaimsTest.java
+++ b/consensus/src/test/java/elmsail/consensus/RivalClaimsTest.java
@@ -29,7 +29,8 @@
   }
 
   private static ReplicaMembership of(Voter itself, VoterSet known, int caughtUp) {
-    return new ReplicaMembership(itself.address, itself.machine, itself.instanceId, known, caughtUp);
+    return new ReplicaMembership(
+        itself.address, itself.machine, itself.instanceId, known, caughtUp);
   }
 
   @Test
--- a/consensus/src/test/java/elmsail/consensus/SimCluster.java
+++ b/consensus/src/test/java/elmsail/consensus/SimCluster.java
@@ -5,9 +5,9 @@
 import elmsail.rpc.messages.VoterSet;
 import elmsail.runtime.ManualTimers;
 import elmsail.runtime.ProcessMetrics;
-import elmsail.simulation.SimNode;
 import elmsail.simulation.SimDisk;
 import elmsail.simulation.SimNetwork;
+import elmsail.simulation.SimNode;
 import elmsail.storage.RecordStore;
 import java.util.concurrent.CompletableFuture;
 
--- a/consensus/src/test/java/elmsail/consensus/SingleJoinModel.java
+++ b/consensus/src/test/java/elmsail/consensus/SingleJoinModel.java
@@ -145,7 +145,8 @@
         AcceptorState theirs = key(state, other);
         if (defect == Defect.PROMISES_NOT_COPIED || defect == Defect.PROMISE_OUTLIVES_INCARNATION) {
           theirs =
-              new AcceptorState(theirs.accepted(), theirs.accepted(), theirs.fromStateTransfer(), theirs.value());
+              new AcceptorState(
+                  theirs.accepted(), theirs.accepted(), theirs.fromStateTransfer(), theirs.value());
         }
         put(next, N, key(state, N).mergeTransferred(theirs));
         next[COPIED] |= bit;
@@ -176,7 +177,8 @@
     request.slot = A;
     request.voter = after.voters.get(A);
     if ((state[ACKED] & bit) == 0
-        && membership(state, other).recordClaim(request) != ReplicaMembership.ClaimDecision.REFUSED) {
+        && membership(state, other).recordClaim(request)
+            != ReplicaMembership.ClaimDecision.REFUSED) {
       int[] next = state.clone();
       next[other * FIELDS + KNOWN_CLAIMS] = 1;
       next[ACKED] |= bit;
@@ -200,7 +202,11 @@
     boolean moves =
         defect == Defect.VOTER_SET_CHANGES_BETWEEN_PHASES
             || defect == Defect.PROMISE_OUTLIVES_INCARNATION;
-    if (moves && !decided(state, b) && state[STARTED] == 1 && state[at + 1] == 0 && state[at] == 2) {
+    if (moves
+        && !decided(state, b)
+        && state[STARTED] == 1
+        && state[at + 1] == 0
+        && state[at] == 2) {
       int[] next = state.clone();
       next[at + 1] = 1;
       next[at + 5] &= ~1;
@@ -290,7 +296,8 @@
       newest = b + 1;
       for (int later = b + 1; later < ballots; later++) {
         int marks = state[PROPOSERS + later * PROPOSER_FIELDS + 4];
-        if (decided(state, later) && (marks & (1 << b + 1) - 1) != state[PROPOSERS + b * PROPOSER_FIELDS + 4]) {
+        if (decided(state, later)
+            && (marks & (1 << b + 1) - 1) != state[PROPOSERS + b * PROPOSER_FIELDS + 4]) {
           violation =
               "ballot " + (later + 1) + " was decided without what ballot " + (b + 1) + " decided";
         }
@@ -329,6 +336,7 @@
   }
 
   private static boolean decided(int[] state, int b) {
-    return Integer.bitCount(state[PROPOSERS + b * PROPOSER_FIELDS + 5]) >= VoterSets.majoritySize(N);
+    return Integer.bitCount(state[PROPOSERS + b * PROPOSER_FIELDS + 5])
+        >= VoterSets.majoritySize(N);
   }
 }
--- a/consensus/src/test/java/elmsail/consensus/VoterSetsTest.java
+++ b/consensus/src/test/java/elmsail/consensus/VoterSetsTest.java
@@ -32,7 +32,8 @@
         VoterSets.merge(
             set(voter("a", 1), voter("e", 3), voter("c", 1)),
             set(voter("d", 2), voter("b", 1), voter("c", 1)));
-    assertThat(VoterSets.areEqual(merged, set(voter("d", 2), voter("e", 3), voter("c", 1))), is(true));
+    assertThat(
+        VoterSets.areEqual(merged, set(voter("d", 2), voter("e", 3), voter("c", 1))), is(true));
   }
 
   @Test
--- a/controlplane/src/main/java/elmsail/controlplane/BootstrapAgreement.java
+++ b/controlplane/src/main/java/elmsail/controlplane/BootstrapAgreement.java
@@ -1,7 +1,7 @@
 package elmsail.controlplane;
 
-import elmsail.rpc.RpcClient;
 import elmsail.rpc.RequestHandlers;
+import elmsail.rpc.RpcClient;
 import elmsail.rpc.messages.FoundingRequest;
 import elmsail.rpc.messages.FoundingResponse;
 import elmsail.rpc.messages.VoterSet;
@@ -104,7 +104,8 @@
     VoterSet proposal = proposer.onPrepareResponse(seed, ballot, response);
     for (int i = 0; proposal != null && i < seeds.size(); i++) {
       int acceptor = i;
-      send(acceptor, ballot, proposal).thenAccept(answer -> onAcceptResponse(acceptor, ballot, answer));
+      send(acceptor, ballot, proposal)
+          .thenAccept(answer -> onAcceptResponse(acceptor, ballot, answer));
     }
   }
 
--- a/controlplane/src/main/java/elmsail/controlplane/BootstrapCandidates.java
+++ b/controlplane/src/main/java/elmsail/controlplane/BootstrapCandidates.java
@@ -55,13 +55,18 @@
     }
     boolean enough = fresh.size() >= targetVoterCount;
     enoughSinceMs = enough ? Math.min(enoughSinceMs, now) : Long.MAX_VALUE;
-    boolean due = enough ? now - enoughSinceMs >= ZONE_SPREAD_WAIT_MS : now - startedAtMs >= REDUCED_SET_AFTER_MS;
+    boolean due =
+        enough
+            ? now - enoughSinceMs >= ZONE_SPREAD_WAIT_MS
+            : now - startedAtMs >= REDUCED_SET_AFTER_MS;
     return due && !fresh.isEmpty() ? spreadOverZones(fresh, setSize(fresh.size())) : null;
   }
 
   /** As many as wanted, or else the largest odd number: one more bears no more losses. */
   private int setSize(int available) {
-    return available >= targetVoterCount ? targetVoterCount : available % 2 == 0 ? available - 1 : available;
+    return available >= targetVoterCount
+        ? targetVoterCount
+        : available % 2 == 0 ? available - 1 : available;
   }
 
   /** In turn one of the zone that has the fewest yet; in the order of their addresses. */
@@ -72,7 +77,8 @@
     while (chosen.size() < size) {
       HelloRequest next = remaining.get(0);
       for (HelloRequest candidate : remaining) {
-        if (chosenPerZone.getOrDefault(candidate.zone, 0) < chosenPerZone.getOrDefault(next.zone, 0)) {
+        if (chosenPerZone.getOrDefault(candidate.zone, 0)
+            < chosenPerZone.getOrDefault(next.zone, 0)) {
           next = candidate;
         }
       }
--- a/controlplane/src/main/java/elmsail/controlplane/ClusterBootstrap.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ClusterBootstrap.java
@@ -1,7 +1,7 @@
 package elmsail.controlplane;
 
-import elmsail.rpc.RpcClient;
 import elmsail.rpc.RequestHandlers;
+import elmsail.rpc.RpcClient;
 import elmsail.rpc.messages.HelloRequest;
 import elmsail.rpc.messages.HelloResponse;
 import elmsail.rpc.messages.VoterSet;
@@ -23,8 +23,8 @@
  *
  * <p>Where the seeds all have disks and are as many as the wanted voters (or all that there are),
  * they are the voters: each seed computes the same once all have told their instances. Otherwise a
- * majority of the seeds agrees on one proposal, once ({@link BootstrapAgreement}): the wanted number
- * of control-plane nodes with a disk, spread over the zones.
+ * majority of the seeds agrees on one proposal, once ({@link BootstrapAgreement}): the wanted
+ * number of control-plane nodes with a disk, spread over the zones.
  */
 final class ClusterBootstrap {
   private static final Logger LOG = LoggerFactory.getLogger(ClusterBootstrap.class);
@@ -53,8 +53,8 @@
   /**
    * Makes one.
    *
-   * @param localHello what this process says of itself; {@code firstStart} only once that is on its disk,
-   *     if it has one
+   * @param localHello what this process says of itself; {@code firstStart} only once that is on its
+   *     disk, if it has one
    * @param records null where there is no disk
    * @param seeds inner addresses, this one's too if it is one of them
    * @param targetVoterCount how many are wanted
@@ -78,7 +78,8 @@
     this.voterSet = voterSet;
     this.voterSetListener = voterSetListener;
     agreement =
-        new BootstrapAgreement(caller, timers, records, this.seeds, localHello.address, this::onAgreed);
+        new BootstrapAgreement(
+            caller, timers, records, this.seeds, localHello.address, this::onAgreed);
     candidates = new BootstrapCandidates(targetVoterCount, timers.now());
   }
 
@@ -148,7 +149,10 @@
   }
 
   private void tryBootstrap() {
-    if (closed || isVoterSetKnown() || !localHello.firstStart || !seeds.contains(localHello.address)) {
+    if (closed
+        || isVoterSetKnown()
+        || !localHello.firstStart
+        || !seeds.contains(localHello.address)) {
       return;
     }
     if (needsAgreement()) {
@@ -159,7 +163,8 @@
     } else if (seedHellos.size() == seeds.size()) {
       VoterSet initialVoterSet = new VoterSet();
       for (HelloResponse seed : seedHellos.values()) {
-        initialVoterSet.voters.add(VoterSetValue.voter(seed.address, seed.machine, seed.instanceId, 1));
+        initialVoterSet.voters.add(
+            VoterSetValue.voter(seed.address, seed.machine, seed.instanceId, 1));
       }
       voterSetListener.accept(initialVoterSet);
     }
@@ -173,7 +178,8 @@
   private void onAgreed(VoterSet initialVoterSet) {
     if (!closed && !onAgreed) {
       onAgreed = true;
-      LOG.info("head is founded by agreement of the seeds: {} voters", initialVoterSet.voters.size());
+      LOG.info(
+          "head is founded by agreement of the seeds: {} voters", initialVoterSet.voters.size());
       voterSetListener.accept(initialVoterSet);
     }
   }
--- a/controlplane/src/main/java/elmsail/controlplane/CommittedValue.java
+++ b/controlplane/src/main/java/elmsail/controlplane/CommittedValue.java
@@ -78,7 +78,10 @@
       rereadRequested = false;
       refresh();
     } else {
-      nextReadTimer = timers.schedule(failure == null ? readIntervalMs : Math.min(readIntervalMs, RETRY_DELAY_MS), this::refresh);
+      nextReadTimer =
+          timers.schedule(
+              failure == null ? readIntervalMs : Math.min(readIntervalMs, RETRY_DELAY_MS),
+              this::refresh);
     }
   }
 
--- a/controlplane/src/main/java/elmsail/controlplane/ConfigChangeHandler.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ConfigChangeHandler.java
@@ -4,8 +4,8 @@
 import elmsail.runtime.ElmsailException;
 import elmsail.runtime.ErrorCode;
 import elmsail.runtime.Timers;
-import elmsail.runtime.http.SimpleHttpRequest;
 import elmsail.runtime.http.HttpHandler;
+import elmsail.runtime.http.SimpleHttpRequest;
 import elmsail.runtime.http.SimpleHttpResponse;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
@@ -89,7 +89,12 @@
     String reason = "";
     boolean outcomeUnknown;
 
-    PendingChange(long baseVersion, byte[] digest, ConfigChange change, String validationError, long deadlineMs) {
+    PendingChange(
+        long baseVersion,
+        byte[] digest,
+        ConfigChange change,
+        String validationError,
+        long deadlineMs) {
       this.baseVersion = baseVersion;
       this.digest = digest;
       this.change = change;
@@ -144,7 +149,9 @@
     long remainingMs = pending.deadlineMs - timers.now();
     if (remainingMs < MIN_ATTEMPT_MS) {
       pending.reply.complete(
-          pending.outcomeUnknown ? Replies.error(504, "unclear") : Replies.error(503, "not reached"));
+          pending.outcomeUnknown
+              ? Replies.error(504, "unclear")
+              : Replies.error(503, "not reached"));
       return;
     }
     register
@@ -152,18 +159,21 @@
         .whenComplete((outcome, failure) -> onAttemptCompleted(pending, outcome, failure));
   }
 
-  private static Register.ProposedValue proposedValue(PendingChange pending, Register.ObservedState found) {
+  private static Register.ProposedValue proposedValue(
+      PendingChange pending, Register.ObservedState found) {
     ConfigHistory current = ConfigHistory.decode(found.value());
     return switch (current.statusOf(pending.baseVersion, pending.digest)) {
       case COMMITTED -> pending.decline(200, "");
       case APPLICABLE -> applyToCurrent(pending, current);
       case SUPERSEDED -> pending.decline(412, "current: " + current.version());
-      case BASE_NOT_COMMITTED -> pending.decline(503, "not in force yet; current: " + current.version());
+      case BASE_NOT_COMMITTED ->
+          pending.decline(503, "not in force yet; current: " + current.version());
       case BASE_FORGOTTEN -> pending.decline(503, "too old to tell; current: " + current.version());
     };
   }
 
-  private static Register.ProposedValue applyToCurrent(PendingChange pending, ConfigHistory current) {
+  private static Register.ProposedValue applyToCurrent(
+      PendingChange pending, ConfigHistory current) {
     if (pending.validationError != null) {
       return pending.decline(400, pending.validationError);
     }
@@ -182,11 +192,14 @@
         current.append(version, changed, pending.digest).encode(), List.of());
   }
 
-  private void onAttemptCompleted(PendingChange pending, Register.CommittedState outcome, Throwable failure) {
+  private void onAttemptCompleted(
+      PendingChange pending, Register.CommittedState outcome, Throwable failure) {
     if (failure != null) {
       ErrorCode code = ElmsailException.codeOf(failure);
       pending.outcomeUnknown |=
-          code != ErrorCode.NO_QUORUM && code != ErrorCode.NOT_SENT && code != ErrorCode.NOT_A_VOTER;
+          code != ErrorCode.NO_QUORUM
+              && code != ErrorCode.NOT_SENT
+              && code != ErrorCode.NOT_A_VOTER;
       timers.schedule(RETRY_DELAY_MS, () -> attempt(pending));
       return;
     }
@@ -195,7 +208,9 @@
       commitListener.accept(pending.change.edition());
     }
     pending.reply.complete(
-        pending.status == 200 ? Replies.json(200, "{}") : Replies.error(pending.status, pending.reason));
+        pending.status == 200
+            ? Replies.json(200, "{}")
+            : Replies.error(pending.status, pending.reason));
   }
 
   private static long parseVersion(String text) {
--- a/controlplane/src/main/java/elmsail/controlplane/ConfigHistory.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ConfigHistory.java
@@ -96,7 +96,9 @@
   /** What is certain of the order with that base and that digest: see above. */
   ConfigChangeStatus statusOf(long baseVersion, byte[] digest) {
     if (baseVersion >= version) {
-      return baseVersion == version ? ConfigChangeStatus.APPLICABLE : ConfigChangeStatus.BASE_NOT_COMMITTED;
+      return baseVersion == version
+          ? ConfigChangeStatus.APPLICABLE
+          : ConfigChangeStatus.BASE_NOT_COMMITTED;
     }
     if (baseVersions.length == 0 || baseVersion < baseVersions[0]) {
       return ConfigChangeStatus.BASE_FORGOTTEN;
@@ -118,7 +120,8 @@
     long[] nextBases = Arrays.copyOfRange(baseVersions, firstKept, firstKept + keptCount + 1);
     nextBases[keptCount] = version;
     byte[] nextDigests =
-        Arrays.copyOfRange(digests, firstKept * DIGEST_BYTES, (firstKept + keptCount + 1) * DIGEST_BYTES);
+        Arrays.copyOfRange(
+            digests, firstKept * DIGEST_BYTES, (firstKept + keptCount + 1) * DIGEST_BYTES);
     System.arraycopy(digest, 0, nextDigests, keptCount * DIGEST_BYTES, DIGEST_BYTES);
     return new ConfigHistory(number, body, nextBases, nextDigests);
   }
@@ -147,7 +150,8 @@
   /** The register's value. */
   byte[] encode() {
     ByteArrayOutputStream value =
-        new ByteArrayOutputStream(HEADER_BYTES + MAX_CHANGE_BYTES * baseVersions.length + configBytes.length);
+        new ByteArrayOutputStream(
+            HEADER_BYTES + MAX_CHANGE_BYTES * baseVersions.length + configBytes.length);
     try (DataOutputStream out = new DataOutputStream(value)) {
       out.writeByte(FORMAT_VERSION);
       out.writeLong(version);
--- a/controlplane/src/main/java/elmsail/controlplane/ControlPlane.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ControlPlane.java
@@ -7,12 +7,12 @@
 import elmsail.runtime.NettyEventLoop;
 import elmsail.runtime.ProcessMetrics;
 import elmsail.runtime.Settings;
-import elmsail.runtime.http.SimpleHttpRequest;
 import elmsail.runtime.http.HttpHandler;
-import elmsail.runtime.http.SimpleHttpResponse;
 import elmsail.runtime.http.HttpServer;
 import elmsail.runtime.http.MetricsEndpoint;
 import elmsail.runtime.http.NettyHttpClient;
+import elmsail.runtime.http.SimpleHttpRequest;
+import elmsail.runtime.http.SimpleHttpResponse;
 import elmsail.storage.RecordStore;
 import java.security.SecureRandom;
 import java.util.concurrent.CompletableFuture;
@@ -38,7 +38,8 @@
   private boolean shuttingDown;
   private int callsInFlight;
 
-  private ControlPlane(NettyEventLoop loop, ControlPlaneNode controlPlaneNode, StoreNode storeNode) {
+  private ControlPlane(
+      NettyEventLoop loop, ControlPlaneNode controlPlaneNode, StoreNode storeNode) {
     this.loop = loop;
     this.controlPlaneNode = controlPlaneNode;
     this.storeNode = storeNode;
@@ -143,7 +144,8 @@
     return storeNode == null ? null : storeNode.watcher();
   }
 
-  private CompletableFuture<SimpleHttpResponse> countInFlight(HttpHandler handler, SimpleHttpRequest call) {
+  private CompletableFuture<SimpleHttpResponse> countInFlight(
+      HttpHandler handler, SimpleHttpRequest call) {
     CompletableFuture<SimpleHttpResponse> reply = handler.handle(call);
     callsInFlight++;
     reply.whenComplete((done, failure) -> callsInFlight--);
@@ -175,7 +177,8 @@
       // One turn later, so that the last answer has left.
       loop.schedule(SHUTDOWN_POLL_INTERVAL_MS, () -> shutdownComplete.complete(null));
     } else {
-      loop.schedule(SHUTDOWN_POLL_INTERVAL_MS, () -> awaitInFlightCalls(shutdownComplete, deadlineMs));
+      loop.schedule(
+          SHUTDOWN_POLL_INTERVAL_MS, () -> awaitInFlightCalls(shutdownComplete, deadlineMs));
     }
   }
 }
--- a/controlplane/src/main/java/elmsail/controlplane/ControlPlaneNode.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ControlPlaneNode.java
@@ -7,8 +7,8 @@
 import elmsail.consensus.Register;
 import elmsail.consensus.RegisterClient;
 import elmsail.consensus.VoterSets;
-import elmsail.rpc.RpcClient;
 import elmsail.rpc.RequestHandlers;
+import elmsail.rpc.RpcClient;
 import elmsail.rpc.messages.ClusterView;
 import elmsail.rpc.messages.OpaqueMessage;
 import elmsail.rpc.messages.PullRequest;
@@ -92,12 +92,23 @@
     this.timers = timers;
     this.handlers = handlers;
     String localAddress = settings.rpcAddress();
-    voters = new ControlPlaneVoters(settings, timers, caller, handlers, records, processId, metrics);
+    voters =
+        new ControlPlaneVoters(settings, timers, caller, handlers, records, processId, metrics);
     register =
-        new RegisterClient(ControlPlaneVoters.VOTER_SET_NAME, caller, timers, voters, processId, localAddress, address -> 1);
-    committedConfig = new CommittedValue(register, ConfigChangeHandler.KEY, timers, CONFIG_READ_INTERVAL_MS);
-    committedDecommissions = new CommittedValue(register, DecommissionList.KEY, timers, SLOW_READ_INTERVAL_MS);
-    committedStoreVoters = new CommittedValue(register, StoreBootstrap.KEY, timers, SLOW_READ_INTERVAL_MS);
+        new RegisterClient(
+            ControlPlaneVoters.VOTER_SET_NAME,
+            caller,
+            timers,
+            voters,
+            processId,
+            localAddress,
+            address -> 1);
+    committedConfig =
+        new CommittedValue(register, ConfigChangeHandler.KEY, timers, CONFIG_READ_INTERVAL_MS);
+    committedDecommissions =
+        new CommittedValue(register, DecommissionList.KEY, timers, SLOW_READ_INTERVAL_MS);
+    committedStoreVoters =
+        new CommittedValue(register, StoreBootstrap.KEY, timers, SLOW_READ_INTERVAL_MS);
     peerNotifier = new PeerNotifier(caller, voters::current, localAddress);
     updateSources = new WatchServer(timers);
     configWatcher =
@@ -113,33 +124,50 @@
     serverDiscovery = settings.platform() == null ? null : createServerDiscovery(platform);
     int voterCount = 2 * settings.toleratedMachineLosses() + 1;
     PlacementController storeController = new PlacementController(voterCount, timers.now());
-    storeBootstrap = new StoreBootstrap(register, committedStoreVoters, storeController, storeHeartbeats);
+    storeBootstrap =
+        new StoreBootstrap(register, committedStoreVoters, storeController, storeHeartbeats);
     storePlacement = new VoterPlacement(StoreNode.VOTER_SET_NAME, storeHeartbeats, storeController);
     controlPlanePlacement =
         new VoterPlacement(
             ControlPlaneVoters.VOTER_SET_NAME,
             controlPlaneHeartbeats,
-            new PlacementController(voterCount, PlacementController.CONTROL_PLANE_GONE_AFTER_MS, timers.now()));
+            new PlacementController(
+                voterCount, PlacementController.CONTROL_PLANE_GONE_AFTER_MS, timers.now()));
     boolean firstProcess = records != null && settings.firstStart() && records.isNew();
     leaseVoter = new LeaseVoter(timers.now(), firstProcess);
     heartbeatQuery = new StoreHeartbeatQuery(caller, voters::current, localAddress);
     DecommissionHandler decommissionHandler =
         new DecommissionHandler(
-            register, timers, storeHeartbeats, () -> jobStoreVoters, committedDecommissions, committedConfig.quorumContact(), voterCount, heartbeatQuery);
+            register,
+            timers,
+            storeHeartbeats,
+            () -> jobStoreVoters,
+            committedDecommissions,
+            committedConfig.quorumContact(),
+            voterCount,
+            heartbeatQuery);
     operatorApi =
         new StaleReplyFilter(
             timers,
             new OperatorApi(
-                configChangeHandler(ConfigChangeHandler.ChangeKind.REPLACE, ConfigChange::replacement),
+                configChangeHandler(
+                    ConfigChangeHandler.ChangeKind.REPLACE, ConfigChange::replacement),
                 configChangeHandler(ConfigChangeHandler.ChangeKind.AMEND, ConfigChange::amendment),
                 new ReadConfigHandler(register, committedConfig),
                 new VoterRedirect(decommissionHandler, settings, voters, configWatcher)));
     registerGauges(metrics.counters());
   }
 
-  private ConfigChangeHandler configChangeHandler(ConfigChangeHandler.ChangeKind changeKind, ConfigChange.Reader changeReader) {
+  private ConfigChangeHandler configChangeHandler(
+      ConfigChangeHandler.ChangeKind changeKind, ConfigChange.Reader changeReader) {
     return new ConfigChangeHandler(
-        register, changeKind, changeReader, timers, committedConfig, edition -> peerNotifier.notifyPeers("decided"), counters);
+        register,
+        changeKind,
+        changeReader,
+        timers,
+        committedConfig,
+        edition -> peerNotifier.notifyPeers("decided"),
+        counters);
   }
 
   private ServerDiscovery createServerDiscovery(HttpClient platform) {
@@ -154,9 +182,11 @@
 
   private void registerGauges(Counters counters) {
     counters.registerGauge("control_lease_held", () -> lease.term() > 0 ? 1 : 0);
-    counters.registerGauge("control_in_contact", () -> committedConfig.quorumContact().isCurrent() ? 1 : 0);
+    counters.registerGauge(
+        "control_in_contact", () -> committedConfig.quorumContact().isCurrent() ? 1 : 0);
     counters.registerGauge("control_store_voters_voting", storePlacement.redundancy()::votingCount);
-    counters.registerGauge("control_head_voters_voting", controlPlanePlacement.redundancy()::votingCount);
+    counters.registerGauge(
+        "control_head_voters_voting", controlPlanePlacement.redundancy()::votingCount);
   }
 
   void start() {
@@ -248,7 +278,10 @@
     }
     if (configWatcher.serverListBytes() != null) {
       updateSources.setServers(
-          configWatcher.serverListEpoch(), configWatcher.serverListVersion(), configWatcher.serverListBytes(), configWatcher.serverListFetchedAtMs());
+          configWatcher.serverListEpoch(),
+          configWatcher.serverListVersion(),
+          configWatcher.serverListBytes(),
+          configWatcher.serverListFetchedAtMs());
     }
     learnJobStoreVoters(configWatcher.view().jobStoreVoters);
     if (!configWatcher.view().controlPlaneVoters.voters.isEmpty()) {
@@ -291,19 +324,33 @@
     long now = timers.now();
     boolean inContact = committedConfig.quorumContact().isCurrent();
     boolean canAssign = canAssignSlots();
-    if (canAssign && jobStoreVoters.voters.isEmpty() && storeBootstrap.isPending() && voters.isFromFirstStart()) {
+    if (canAssign
+        && jobStoreVoters.voters.isEmpty()
+        && storeBootstrap.isPending()
+        && voters.isFromFirstStart()) {
       storeBootstrap.tryBootstrap(now);
     }
     boolean storeAssignmentChanged =
-        storePlacement.refresh(jobStoreVoters, DecommissionList.decode(committedDecommissions.value()), canAssign, canAssign, now);
+        storePlacement.refresh(
+            jobStoreVoters,
+            DecommissionList.decode(committedDecommissions.value()),
+            canAssign,
+            canAssign,
+            now);
     controlPlaneHeartbeats.onHeartbeat(voters.heartbeat(), now);
     boolean controlPlaneAssignmentChanged =
-        controlPlanePlacement.refresh(voters.current(), Set.of(), inContact && voters.isVoting(), canAssign, now);
+        controlPlanePlacement.refresh(
+            voters.current(), Set.of(), inContact && voters.isVoting(), canAssign, now);
     List<String> currentGateways = storeHeartbeats.gatewaysWithin(now, GATEWAY_EXPIRY_MS);
-    boolean controlPlaneVotersChanged = !VoterSets.areEqual(publishedControlPlaneVoters, voters.current());
+    boolean controlPlaneVotersChanged =
+        !VoterSets.areEqual(publishedControlPlaneVoters, voters.current());
     counters.joinsDirected.add(storeAssignmentChanged && storePlacement.hasAssignment() ? 1 : 0);
-    counters.joinsDirected.add(controlPlaneAssignmentChanged && controlPlanePlacement.hasAssignment() ? 1 : 0);
-    if (storeAssignmentChanged || controlPlaneVotersChanged || controlPlaneAssignmentChanged || !currentGateways.equals(liveGateways)) {
+    counters.joinsDirected.add(
+        controlPlaneAssignmentChanged && controlPlanePlacement.hasAssignment() ? 1 : 0);
+    if (storeAssignmentChanged
+        || controlPlaneVotersChanged
+        || controlPlaneAssignmentChanged
+        || !currentGateways.equals(liveGateways)) {
       publishedControlPlaneVoters = voters.current();
       liveGateways = currentGateways;
       updateSources.onViewChanged();
--- a/controlplane/src/main/java/elmsail/controlplane/ControlPlaneVoters.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ControlPlaneVoters.java
@@ -4,8 +4,8 @@
 import elmsail.consensus.ReplicaListener;
 import elmsail.consensus.VoterSetSource;
 import elmsail.consensus.VoterSets;
-import elmsail.rpc.RpcClient;
 import elmsail.rpc.RequestHandlers;
+import elmsail.rpc.RpcClient;
 import elmsail.rpc.messages.HelloRequest;
 import elmsail.rpc.messages.PullRequest;
 import elmsail.rpc.messages.VoterSet;
@@ -72,7 +72,8 @@
                 settings.rpcAddress(),
                 settings.machine(),
                 metrics);
-    this.isFromFirstStart = records != null && (settings.firstStart() || records.read(FIRST_START_RECORD) != null);
+    this.isFromFirstStart =
+        records != null && (settings.firstStart() || records.read(FIRST_START_RECORD) != null);
     heartbeat.role = ROLE;
     heartbeat.machine = settings.machine();
     heartbeat.address = settings.rpcAddress();
@@ -84,7 +85,9 @@
   /** Answers the others only once it is on the disk whether this instance may found. */
   void start(RequestHandlers handlers) {
     if (isFromFirstStart && records.read(FIRST_START_RECORD) == null) {
-      records.write(List.of(new Change(FIRST_START_RECORD, new byte[] {1}))).thenRun(() -> startBootstrap(handlers));
+      records
+          .write(List.of(new Change(FIRST_START_RECORD, new byte[] {1})))
+          .thenRun(() -> startBootstrap(handlers));
     } else {
       startBootstrap(handlers);
     }
--- a/controlplane/src/main/java/elmsail/controlplane/DecommissionHandler.java
+++ b/controlplane/src/main/java/elmsail/controlplane/DecommissionHandler.java
@@ -5,8 +5,8 @@
 import elmsail.rpc.messages.Voter;
 import elmsail.rpc.messages.VoterSet;
 import elmsail.runtime.Timers;
-import elmsail.runtime.http.SimpleHttpRequest;
 import elmsail.runtime.http.HttpHandler;
+import elmsail.runtime.http.SimpleHttpRequest;
 import elmsail.runtime.http.SimpleHttpResponse;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -35,8 +35,8 @@
 
   /**
    * "delivered" needs the stores' word from so long after this process saw NODE in the list: by
-   * then whoever directs placement has seen it too ({@link #MAX_LIST_AGE_MS}), and a store
-   * that was told to join before that has been heard to do so.
+   * then whoever directs placement has seen it too ({@link #MAX_LIST_AGE_MS}), and a store that was
+   * told to join before that has been heard to do so.
    */
   private static final long MIN_TIME_SINCE_LISTED_MS = 3_000;
 
@@ -63,8 +63,8 @@
   /**
    * Makes one.
    *
-   * @param jobStoreVoters the newest voter set of the stores that is known; without voter slots before
-   *     the founding
+   * @param jobStoreVoters the newest voter set of the stores that is known; without voter slots
+   *     before the founding
    * @param committedDecommissions the list of stores to be emptied
    * @param targetVoterCount how many voter slots the stores have, or will have
    * @param quorumContact of this process with a majority
@@ -102,7 +102,9 @@
     for (HeartbeatTable.Member store : storeHeartbeats.members()) {
       heartbeatAgesMs.merge(store.machine(), timers.now() - store.lastHeartbeatAtMs(), Math::min);
     }
-    return new StoreHeartbeats(quorumContact.unbrokenMs() >= MIN_OBSERVATION_MS && committedDecommissions.hasBeenRead(), heartbeatAgesMs);
+    return new StoreHeartbeats(
+        quorumContact.unbrokenMs() >= MIN_OBSERVATION_MS && committedDecommissions.hasBeenRead(),
+        heartbeatAgesMs);
   }
 
   @Override
@@ -130,7 +132,8 @@
     if (node.isEmpty()) {
       return false;
     }
-    if (storeHeartbeats.memberOnMachine(node) != null || DecommissionList.decode(committedDecommissions.value()).contains(node)) {
+    if (storeHeartbeats.memberOnMachine(node) != null
+        || DecommissionList.decode(committedDecommissions.value()).contains(node)) {
       return true;
     }
     return holdsVoterSlot(node);
@@ -168,13 +171,17 @@
     int available = 0;
     for (HeartbeatTable.Member store : storeHeartbeats.members()) {
       boolean remains = !store.machine().equals(node) && !listed.contains(store.machine());
-      available += remains && timers.now() - store.lastHeartbeatAtMs() <= MAX_AVAILABLE_HEARTBEAT_AGE_MS ? 1 : 0;
+      available +=
+          remains && timers.now() - store.lastHeartbeatAtMs() <= MAX_AVAILABLE_HEARTBEAT_AGE_MS
+              ? 1
+              : 0;
     }
     return available >= requiredStores();
   }
 
   /** 409 if a majority of the control-plane nodes is sure that too few would remain, else 503. */
-  private CompletableFuture<SimpleHttpResponse> rejectForTooFewStores(String node, Set<String> listed) {
+  private CompletableFuture<SimpleHttpResponse> rejectForTooFewStores(
+      String node, Set<String> listed) {
     return heartbeatQuery
         .query()
         .thenApply(
@@ -182,7 +189,8 @@
               int possiblyAvailable = 0;
               for (Map.Entry<String, Long> store : heartbeats.heartbeatAgesMs().entrySet()) {
                 boolean remains = !store.getKey().equals(node) && !listed.contains(store.getKey());
-                possiblyAvailable += remains && store.getValue() <= MAX_POSSIBLE_HEARTBEAT_AGE_MS ? 1 : 0;
+                possiblyAvailable +=
+                    remains && store.getValue() <= MAX_POSSIBLE_HEARTBEAT_AGE_MS ? 1 : 0;
               }
               return possiblyAvailable >= requiredStores()
                   ? Replies.error(503, "too few are heard at present")
@@ -191,11 +199,14 @@
   }
 
   private int requiredStores() {
-    return jobStoreVoters.get().voters.isEmpty() ? targetVoterCount : jobStoreVoters.get().voters.size();
+    return jobStoreVoters.get().voters.isEmpty()
+        ? targetVoterCount
+        : jobStoreVoters.get().voters.size();
   }
 
   private SimpleHttpResponse readState(String node) {
-    if (!quorumContact.isCurrent() || !committedDecommissions.quorumContact().isWithin(MAX_LIST_AGE_MS)) {
+    if (!quorumContact.isCurrent()
+        || !committedDecommissions.quorumContact().isWithin(MAX_LIST_AGE_MS)) {
       return Replies.error(503, "no contact with a majority");
     }
     boolean isListed = listedAtMs.containsKey(node);
@@ -230,7 +241,10 @@
       }
     }
     HeartbeatTable.Member ownHeartbeat = storeHeartbeats.memberOnMachine(node);
-    boolean stillVoting = ownHeartbeat != null && now - ownHeartbeat.lastHeartbeatAtMs() <= MAX_VOTER_HEARTBEAT_AGE_MS && ownHeartbeat.isVoting();
+    boolean stillVoting =
+        ownHeartbeat != null
+            && now - ownHeartbeat.lastHeartbeatAtMs() <= MAX_VOTER_HEARTBEAT_AGE_MS
+            && ownHeartbeat.isVoting();
     return !voterSet.voters.isEmpty() && !stillVoting;
   }
 }
--- a/controlplane/src/main/java/elmsail/controlplane/DecommissionList.java
+++ b/controlplane/src/main/java/elmsail/controlplane/DecommissionList.java
@@ -51,7 +51,8 @@
    */
   static byte[] encodeWith(Set<String> nodes, String added) {
     if (nodes.size() >= MAX_NODES) {
-      throw new ElmsailException(ErrorCode.RESOURCE_EXHAUSTED, "stations to be emptied: " + nodes.size());
+      throw new ElmsailException(
+          ErrorCode.RESOURCE_EXHAUSTED, "stations to be emptied: " + nodes.size());
     }
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (DataOutputStream out = new DataOutputStream(bytes)) {
--- a/controlplane/src/main/java/elmsail/controlplane/HeartbeatTable.java
+++ b/controlplane/src/main/java/elmsail/controlplane/HeartbeatTable.java
@@ -52,8 +52,12 @@
   void onHeartbeat(PullRequest request, long now) {
     if (role.equals(request.role) && (request.hasDisk || role.equals(STORE_ROLE))) {
       Member previous = members.get(request.address);
-      VoterSet jobStoreVoters = request.jobStoreVoters == null ? new VoterSet() : request.jobStoreVoters;
-      long firstHeartbeatAtMs = previous == null || previous.instanceId != request.instanceId ? now : previous.firstHeartbeatAtMs;
+      VoterSet jobStoreVoters =
+          request.jobStoreVoters == null ? new VoterSet() : request.jobStoreVoters;
+      long firstHeartbeatAtMs =
+          previous == null || previous.instanceId != request.instanceId
+              ? now
+              : previous.firstHeartbeatAtMs;
       members.put(
           request.address,
           new Member(
@@ -102,7 +106,8 @@
   Member memberOnMachine(String name) {
     Member latest = null;
     for (Member member : members.values()) {
-      if (member.machine().equals(name) && (latest == null || member.lastHeartbeatAtMs() > latest.lastHeartbeatAtMs())) {
+      if (member.machine().equals(name)
+          && (latest == null || member.lastHeartbeatAtMs() > latest.lastHeartbeatAtMs())) {
         latest = member;
       }
     }
--- a/controlplane/src/main/java/elmsail/controlplane/Lease.java
+++ b/controlplane/src/main/java/elmsail/controlplane/Lease.java
@@ -36,8 +36,8 @@
    * Makes one.
    *
    * @param startedAtMs steady ms
-   * @param rank this process's place in the order of preference, 0 first: the others begin a
-   *     little later
+   * @param rank this process's place in the order of preference, 0 first: the others begin a little
+   *     later
    */
   Lease(long startedAtMs, int rank) {
     this.rankDelayMs = Math.max(0, rank) * DELAY_PER_RANK_MS;
@@ -61,7 +61,11 @@
     if (!roundWon && !isHeld) {
       roundWon = true;
       this.voterCount = 0;
-      nextRoundAtMs = now + RETRY_DELAY_MS + rankDelayMs + Math.min(otherHolderLeftMs, LeaseVoter.LEASE_DURATION_MS) / 2;
+      nextRoundAtMs =
+          now
+              + RETRY_DELAY_MS
+              + rankDelayMs
+              + Math.min(otherHolderLeftMs, LeaseVoter.LEASE_DURATION_MS) / 2;
       return -round;
     }
     round++;
@@ -88,7 +92,8 @@
     }
     roundWon = true;
     boolean wasHeld = isHeld(now);
-    heldUntilMs = Math.max(heldUntilMs, roundSentAtMs + LeaseVoter.LEASE_DURATION_MS - SAFETY_MARGIN_MS);
+    heldUntilMs =
+        Math.max(heldUntilMs, roundSentAtMs + LeaseVoter.LEASE_DURATION_MS - SAFETY_MARGIN_MS);
     nextRoundAtMs = roundSentAtMs + RENEW_INTERVAL_MS;
     return !wasHeld && isHeld(now);
   }
--- a/controlplane/src/main/java/elmsail/controlplane/LeaseVoter.java
+++ b/controlplane/src/main/java/elmsail/controlplane/LeaseVoter.java
@@ -23,8 +23,8 @@
   }
 
   /**
-   * Grants the lease for {@link #LEASE_DURATION_MS} from now, or tells how many ms it is taken yet; 0 is
-   * granted.
+   * Grants the lease for {@link #LEASE_DURATION_MS} from now, or tells how many ms it is taken yet;
+   * 0 is granted.
    *
    * @param round of the asker, rising
    */
--- a/controlplane/src/main/java/elmsail/controlplane/OperatorApi.java
+++ b/controlplane/src/main/java/elmsail/controlplane/OperatorApi.java
@@ -1,7 +1,7 @@
 package elmsail.controlplane;
 
-import elmsail.runtime.http.SimpleHttpRequest;
 import elmsail.runtime.http.HttpHandler;
+import elmsail.runtime.http.SimpleHttpRequest;
 import elmsail.runtime.http.SimpleHttpResponse;
 import java.util.concurrent.CompletableFuture;
 
--- a/controlplane/src/main/java/elmsail/controlplane/PlacementController.java
+++ b/controlplane/src/main/java/elmsail/controlplane/PlacementController.java
@@ -62,14 +62,18 @@
     long firstHeartbeatAtMs = Long.MAX_VALUE;
     Set<String> zones = new HashSet<>();
     for (HeartbeatTable.Member member : heartbeats.members()) {
-      if (!member.isVoting() && member.jobStoreVoters().voters.isEmpty() && now - member.lastHeartbeatAtMs() <= goneAfterMs) {
+      if (!member.isVoting()
+          && member.jobStoreVoters().voters.isEmpty()
+          && now - member.lastHeartbeatAtMs() <= goneAfterMs) {
         candidates.add(member);
         zones.add(member.zone());
         firstHeartbeatAtMs = Math.min(firstHeartbeatAtMs, member.firstHeartbeatAtMs());
       }
     }
     boolean hasEnough =
-        candidates.size() >= targetVoterCount && (zones.size() >= targetVoterCount || now - firstHeartbeatAtMs >= ZONE_SPREAD_WAIT_MS);
+        candidates.size() >= targetVoterCount
+            && (zones.size() >= targetVoterCount
+                || now - firstHeartbeatAtMs >= ZONE_SPREAD_WAIT_MS);
     if (candidates.isEmpty() || !hasEnough && now - firstHeartbeatAtMs < REDUCED_SET_AFTER_MS) {
       return null;
     }
@@ -104,8 +108,8 @@
    * What is to be claimed at present, or null. Called often, also while the lease is not held.
    *
    * @param decommissioning stations that are to be emptied
-   * @param isObserving whether silence may be counted, also before the lease is held: this node's own
-   *     silence isn't the others'
+   * @param isObserving whether silence may be counted, also before the lease is held: this node's
+   *     own silence isn't the others'
    * @param canAssign whether this control-plane node holds the lease and reads the head's register
    *     at a majority
    */
@@ -126,7 +130,10 @@
     }
     clearIfCompleted(voterSet);
     int slot =
-        assignment != null && shouldReplace(heartbeats, voterSet, decommissioning, assignment.slot(), now) ? assignment.slot() : -1;
+        assignment != null
+                && shouldReplace(heartbeats, voterSet, decommissioning, assignment.slot(), now)
+            ? assignment.slot()
+            : -1;
     for (int i = 0; i < voterSet.voters.size() && slot < 0; i++) {
       if (shouldReplace(heartbeats, voterSet, decommissioning, i, now)) {
         slot = i;
@@ -136,11 +143,14 @@
       assignment = null;
       return null;
     }
-    if (assignment != null && assignment.slot() == slot && hasHeartbeatWithin(heartbeats, assignment.address(), goneAfterMs, now)) {
+    if (assignment != null
+        && assignment.slot() == slot
+        && hasHeartbeatWithin(heartbeats, assignment.address(), goneAfterMs, now)) {
       return assignment;
     }
     HeartbeatTable.Member spare = chooseSpare(heartbeats, voterSet, decommissioning, slot, now);
-    assignment = spare == null ? null : new Assignment(slot, spare.address(), nextEpoch(voterSet, slot));
+    assignment =
+        spare == null ? null : new Assignment(slot, spare.address(), nextEpoch(voterSet, slot));
     return assignment;
   }
 
@@ -167,7 +177,11 @@
 
   /** Whether the voter slot is to be taken by another, and no other voter slot is in change. */
   private boolean shouldReplace(
-      HeartbeatTable heartbeats, VoterSet voterSet, Set<String> decommissioning, int slot, long now) {
+      HeartbeatTable heartbeats,
+      VoterSet voterSet,
+      Set<String> decommissioning,
+      int slot,
+      long now) {
     Voter voter = voterSet.voters.get(slot);
     boolean isGone = isGone(heartbeats, voter, now);
     if (!isGone && !decommissioning.contains(voter.machine)) {
@@ -189,23 +203,30 @@
         return false;
       }
     }
-    return votingCount >= VoterSets.blockingSize(voterSet.voters.size()) && (isGone || goneCount == 0);
+    return votingCount >= VoterSets.blockingSize(voterSet.voters.size())
+        && (isGone || goneCount == 0);
   }
 
   private boolean isGone(HeartbeatTable heartbeats, Voter voter, long now) {
     HeartbeatTable.Member member = heartbeats.memberAt(voter.address);
-    long lastHeartbeatAtMs = member == null ? observingSinceMs : Math.max(observingSinceMs, member.lastHeartbeatAtMs());
+    long lastHeartbeatAtMs =
+        member == null ? observingSinceMs : Math.max(observingSinceMs, member.lastHeartbeatAtMs());
     return now - lastHeartbeatAtMs > goneAfterMs;
   }
 
-  private static boolean hasHeartbeatWithin(HeartbeatTable heartbeats, String address, long maxAgeMs, long now) {
+  private static boolean hasHeartbeatWithin(
+      HeartbeatTable heartbeats, String address, long maxAgeMs, long now) {
     HeartbeatTable.Member member = heartbeats.memberAt(address);
     return member != null && now - member.lastHeartbeatAtMs() <= maxAgeMs;
   }
 
   /** In a zone where no other voter slot is, if there is such a one. */
   private static HeartbeatTable.Member chooseSpare(
-      HeartbeatTable heartbeats, VoterSet voterSet, Set<String> decommissioning, int slot, long now) {
+      HeartbeatTable heartbeats,
+      VoterSet voterSet,
+      Set<String> decommissioning,
+      int slot,
+      long now) {
     Set<String> zones = new HashSet<>();
     for (int i = 0; i < voterSet.voters.size(); i++) {
       HeartbeatTable.Member member = heartbeats.memberAt(voterSet.voters.get(i).address);
--- a/controlplane/src/main/java/elmsail/controlplane/ReadConfigHandler.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ReadConfigHandler.java
@@ -1,8 +1,8 @@
 package elmsail.controlplane;
 
 import elmsail.consensus.Register;
-import elmsail.runtime.http.SimpleHttpRequest;
 import elmsail.runtime.http.HttpHandler;
+import elmsail.runtime.http.SimpleHttpRequest;
 import elmsail.runtime.http.SimpleHttpResponse;
 import java.util.concurrent.CompletableFuture;
 
--- a/controlplane/src/main/java/elmsail/controlplane/RedundancyMonitor.java
+++ b/controlplane/src/main/java/elmsail/controlplane/RedundancyMonitor.java
@@ -47,7 +47,8 @@
     long lastHeartbeatOfMissingMs = Long.MAX_VALUE;
     for (Voter voter : voterSet.voters) {
       HeartbeatTable.Member member = heartbeats.memberAt(voter.address);
-      if (isVotingHolder(member, voter) && now - member.lastHeartbeatAtMs() <= MAX_HEARTBEAT_AGE_MS) {
+      if (isVotingHolder(member, voter)
+          && now - member.lastHeartbeatAtMs() <= MAX_HEARTBEAT_AGE_MS) {
         votingCount++;
       } else if (member != null) {
         lastHeartbeatOfMissingMs = Math.min(lastHeartbeatOfMissingMs, member.lastHeartbeatAtMs());
--- a/controlplane/src/main/java/elmsail/controlplane/ServerDiscovery.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ServerDiscovery.java
@@ -86,7 +86,10 @@
               (failure == null ? counters.serverListReads : counters.serverListFailures).add(1);
               if (failure == null && !closed && !updateSources.hasServers()) {
                 updateSources.setServers(
-                    TERM_BEFORE_FIRST_LEASE, 1, ServerListCodec.encode(roundWarmUpTimes(servers)), platform.fetchedAtMs());
+                    TERM_BEFORE_FIRST_LEASE,
+                    1,
+                    ServerListCodec.encode(roundWarmUpTimes(servers)),
+                    platform.fetchedAtMs());
               }
             });
   }
@@ -110,12 +113,21 @@
                 pollIntervalMs = POLL_INTERVAL_MS;
                 publish(pollTerm, servers);
               } else {
-                boolean isRateLimited = ElmsailException.codeOf(failure) == ErrorCode.RESOURCE_EXHAUSTED;
-                pollIntervalMs = Math.min(MAX_POLL_INTERVAL_MS, isRateLimited ? pollIntervalMs * 2 : Math.max(POLL_INTERVAL_MS, pollIntervalMs * 3 / 2));
+                boolean isRateLimited =
+                    ElmsailException.codeOf(failure) == ErrorCode.RESOURCE_EXHAUSTED;
+                pollIntervalMs =
+                    Math.min(
+                        MAX_POLL_INTERVAL_MS,
+                        isRateLimited
+                            ? pollIntervalMs * 2
+                            : Math.max(POLL_INTERVAL_MS, pollIntervalMs * 3 / 2));
               }
               long minIntervalMs =
                   platformCallsPerSecond > 0
-                      ? (long) (platform.lastPageCount() * 1_000 / (platformCallsPerSecond * PLATFORM_RATE_SHARE))
+                      ? (long)
+                          (platform.lastPageCount()
+                              * 1_000
+                              / (platformCallsPerSecond * PLATFORM_RATE_SHARE))
                       : MAX_POLL_INTERVAL_MS;
               timers.schedule(Math.max(pollIntervalMs, minIntervalMs), this::poll);
             });
@@ -139,7 +151,8 @@
   private static List<ServerEntry> roundWarmUpTimes(List<ServerEntry> servers) {
     List<ServerEntry> rounded = new ArrayList<>(servers.size());
     for (ServerEntry server : servers) {
-      long warmUpLeftMs = (server.warmUpRemainingMs() + WARM_UP_STEP_MS - 1) / WARM_UP_STEP_MS * WARM_UP_STEP_MS;
+      long warmUpLeftMs =
+          (server.warmUpRemainingMs() + WARM_UP_STEP_MS - 1) / WARM_UP_STEP_MS * WARM_UP_STEP_MS;
       rounded.add(
           new ServerEntry(
               server.id(),
--- a/controlplane/src/main/java/elmsail/controlplane/SingletonLease.java
+++ b/controlplane/src/main/java/elmsail/controlplane/SingletonLease.java
@@ -1,8 +1,8 @@
 package elmsail.controlplane;
 
 import elmsail.consensus.Register;
-import elmsail.rpc.RpcClient;
 import elmsail.rpc.RequestHandlers;
+import elmsail.rpc.RpcClient;
 import elmsail.rpc.messages.LeaseRequest;
 import elmsail.rpc.messages.LeaseResponse;
 import elmsail.rpc.messages.Voter;
@@ -80,7 +80,8 @@
           if (request.durationMs <= 0) {
             leaseVoter.release(request.instanceId, request.round, timers.now());
           } else {
-            response.remainingMs = leaseVoter.tryGrant(request.instanceId, request.round, timers.now());
+            response.remainingMs =
+                leaseVoter.tryGrant(request.instanceId, request.round, timers.now());
             response.granted = response.remainingMs == 0;
           }
           return CompletableFuture.completedFuture(response);
@@ -153,7 +154,8 @@
             found -> {
               nextTerm[0] = decodeTerm(found.value()) + 1;
               return new Register.ProposedValue(
-                  ByteBuffer.allocate(16).putLong(nextTerm[0]).putLong(processId).array(), List.of());
+                  ByteBuffer.allocate(16).putLong(nextTerm[0]).putLong(processId).array(),
+                  List.of());
             },
             List.of(),
             null,
@@ -161,7 +163,10 @@
         .whenComplete(
             (outcome, failure) -> {
               termChangeInFlight = false;
-              if (failure == null && outcome.changed() && acquisition == acquisitions && lease.isHeld(timers.now())) {
+              if (failure == null
+                  && outcome.changed()
+                  && acquisition == acquisitions
+                  && lease.isHeld(timers.now())) {
                 term = nextTerm[0];
                 LOG.info("holds the singleton lease, term {}", term);
               } else {
--- a/controlplane/src/main/java/elmsail/controlplane/StaleReplyFilter.java
+++ b/controlplane/src/main/java/elmsail/controlplane/StaleReplyFilter.java
@@ -1,8 +1,8 @@
 package elmsail.controlplane;
 
 import elmsail.runtime.Timers;
-import elmsail.runtime.http.SimpleHttpRequest;
 import elmsail.runtime.http.HttpHandler;
+import elmsail.runtime.http.SimpleHttpRequest;
 import elmsail.runtime.http.SimpleHttpResponse;
 import java.util.concurrent.CompletableFuture;
 
@@ -19,7 +19,8 @@
     return handler.handle(call).thenApply(reply -> rejectIfStale(call, reply, receivedAtMs));
   }
 
-  private SimpleHttpResponse rejectIfStale(SimpleHttpRequest call, SimpleHttpResponse reply, long receivedAtMs) {
+  private SimpleHttpResponse rejectIfStale(
+      SimpleHttpRequest call, SimpleHttpResponse reply, long receivedAtMs) {
     boolean acknowledged = reply.status() == 200 && "POST".equals(call.method());
     boolean late = timers.now() - receivedAtMs > QuorumContact.MAX_AGE_MS;
     return late && !acknowledged ? Replies.error(503, "answered too late") : reply;
--- a/controlplane/src/main/java/elmsail/controlplane/StoreBootstrap.java
+++ b/controlplane/src/main/java/elmsail/controlplane/StoreBootstrap.java
@@ -44,7 +44,8 @@
 
   /** Has the first voter set decided if it is time for it. */
   void tryBootstrap(long now) {
-    VoterSet initialVoterSet = changeInFlight ? null : placementController.initialVoterSet(storeHeartbeats, now);
+    VoterSet initialVoterSet =
+        changeInFlight ? null : placementController.initialVoterSet(storeHeartbeats, now);
     if (initialVoterSet == null) {
       return;
     }
@@ -54,7 +55,8 @@
             KEY,
             found ->
                 new Register.ProposedValue(
-                    found.value() != null ? null : VoterSetValue.encode(initialVoterSet), List.of()),
+                    found.value() != null ? null : VoterSetValue.encode(initialVoterSet),
+                    List.of()),
             List.of(),
             null,
             CHANGE_TIMEOUT_MS)
--- a/controlplane/src/main/java/elmsail/controlplane/StoreHeartbeatQuery.java
+++ b/controlplane/src/main/java/elmsail/controlplane/StoreHeartbeatQuery.java
@@ -62,7 +62,8 @@
         caller
             .call(voter.address, request, OpaqueMessage.class, CALL_TIMEOUT_MS)
             .thenApply(response -> StoreHeartbeats.decode(response.bytes))
-            .whenComplete((heartbeats, failure) -> pending.onResponse(failure == null ? heartbeats : null));
+            .whenComplete(
+                (heartbeats, failure) -> pending.onResponse(failure == null ? heartbeats : null));
       }
     }
     if (voterSet.voters.isEmpty()) {
@@ -89,7 +90,9 @@
         return;
       }
       if (heartbeats != null) {
-        heartbeats.heartbeatAgesMs().forEach((store, ageMs) -> heartbeatAgesMs.merge(store, ageMs, Math::min));
+        heartbeats
+            .heartbeatAgesMs()
+            .forEach((store, ageMs) -> heartbeatAgesMs.merge(store, ageMs, Math::min));
       }
       if (heartbeats != null && heartbeats.isConclusive()) {
         conclusive++;
@@ -105,8 +108,7 @@
 
     void fail() {
       result.completeExceptionally(
-          new ElmsailException(
-              ErrorCode.NO_QUORUM, "no majority is sure which stores are there"));
+          new ElmsailException(ErrorCode.NO_QUORUM, "no majority is sure which stores are there"));
     }
   }
 }
--- a/controlplane/src/main/java/elmsail/controlplane/StoreHeartbeats.java
+++ b/controlplane/src/main/java/elmsail/controlplane/StoreHeartbeats.java
@@ -13,8 +13,8 @@
 /**
  * Which stores a control-plane node has heard in its life.
  *
- * @param isConclusive whether it has listened for long enough, in unbroken contact with a majority, that a
- *     store which is there would have been heard
+ * @param isConclusive whether it has listened for long enough, in unbroken contact with a majority,
+ *     that a store which is there would have been heard
  * @param heartbeatAgesMs by the store's name, how long ago it was heard last
  */
 record StoreHeartbeats(boolean isConclusive, Map<String, Long> heartbeatAgesMs) {
--- a/controlplane/src/main/java/elmsail/controlplane/VoterPlacement.java
+++ b/controlplane/src/main/java/elmsail/controlplane/VoterPlacement.java
@@ -41,19 +41,28 @@
    * Looks once; true if the order became another.
    *
    * @param decommissioning stations that are to be emptied
-   * @param isObserving whether the candidates' silence may be counted now: this node's own silence isn't
-   *     theirs
+   * @param isObserving whether the candidates' silence may be counted now: this node's own silence
+   *     isn't theirs
    * @param canAssign whether this node directs the placement of voters now
    */
   boolean refresh(
-      VoterSet voterSet, Set<String> decommissioning, boolean isObserving, boolean canAssign, long now) {
+      VoterSet voterSet,
+      Set<String> decommissioning,
+      boolean isObserving,
+      boolean canAssign,
+      long now) {
     PlacementController.Assignment previous = assignment;
-    assignment = controller.assignment(heartbeats, voterSet, decommissioning, isObserving, canAssign, now);
+    assignment =
+        controller.assignment(heartbeats, voterSet, decommissioning, isObserving, canAssign, now);
     redundancy.observe(canAssign, heartbeats, voterSet, now);
     boolean changed = !Objects.equals(assignment, previous);
     if (changed && assignment != null) {
       LOG.info(
-          "{}: {} shall take slot {}, epoch {}", voterSetName, assignment.address(), assignment.slot(), assignment.epoch());
+          "{}: {} shall take slot {}, epoch {}",
+          voterSetName,
+          assignment.address(),
+          assignment.slot(),
+          assignment.epoch());
     }
     return changed;
   }
--- a/controlplane/src/main/java/elmsail/controlplane/VoterRedirect.java
+++ b/controlplane/src/main/java/elmsail/controlplane/VoterRedirect.java
@@ -3,8 +3,8 @@
 import elmsail.config.watch.ConfigWatcher;
 import elmsail.rpc.messages.Voter;
 import elmsail.runtime.Settings;
-import elmsail.runtime.http.SimpleHttpRequest;
 import elmsail.runtime.http.HttpHandler;
+import elmsail.runtime.http.SimpleHttpRequest;
 import elmsail.runtime.http.SimpleHttpResponse;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
@@ -40,6 +40,7 @@
         target.substring(0, target.lastIndexOf(':'))
             + controlAddress.substring(controlAddress.lastIndexOf(':'));
     return Replies.completed(
-        new SimpleHttpResponse(307, Map.of("location", "http://" + targetAddress + call.path()), new byte[0]));
+        new SimpleHttpResponse(
+            307, Map.of("location", "http://" + targetAddress + call.path()), new byte[0]));
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/CatchUpTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/CatchUpTest.java
@@ -127,7 +127,8 @@
       restarts++;
     }
     ConfigWatcher gateway = cluster.gateways.get("c1");
-    assertThat(cluster.awaitWithin(CATCH_UP_MS, () -> gateway.config().edition() == edition), is(true));
+    assertThat(
+        cluster.awaitWithin(CATCH_UP_MS, () -> gateway.config().edition() == edition), is(true));
     System.out.printf(
         "%d changes, %d restarts, %d of them without their disk: current after %d ms at most%n",
         edition, restarts, wipes, worst);
@@ -228,7 +229,8 @@
       String node = holder(cluster);
       cluster.wipe(node);
       long held = highest;
-      assertThat("the next one's", cluster.awaitWithin(15_000, () -> term(cluster) > held), is(true));
+      assertThat(
+          "the next one's", cluster.awaitWithin(15_000, () -> term(cluster) > held), is(true));
       catchUp(cluster, node);
     }
     System.out.println("terms over nine lost disks: " + terms);
--- a/controlplane/src/test/java/elmsail/controlplane/ClusterPowerLossTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ClusterPowerLossTest.java
@@ -88,7 +88,8 @@
     }
   }
 
-  private void run(long ms, JobRecordWriter jobs, ConfigChangeScenario orders, ConfigReadChecker reads) {
+  private void run(
+      long ms, JobRecordWriter jobs, ConfigChangeScenario orders, ConfigReadChecker reads) {
     for (long end = cluster.timers.now() + ms; cluster.timers.now() < end; ) {
       jobs.step();
       reads.read("n" + (1 + random.nextInt(3)));
@@ -98,7 +99,8 @@
   }
 
   /** Each loses power; as many as is borne lose their disks; all come back in another order. */
-  private void loseAll(int bear, int apartMs, ConfigChangeScenario orders, ConfigReadChecker reads) {
+  private void loseAll(
+      int bear, int apartMs, ConfigChangeScenario orders, ConfigReadChecker reads) {
     Collections.shuffle(machines, random);
     for (int i = 0; i < machines.size(); i++) {
       if (i < bear) {
--- a/controlplane/src/test/java/elmsail/controlplane/ConcurrentConfigChangesTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ConcurrentConfigChangesTest.java
@@ -103,7 +103,9 @@
         Set<ChangeRequest> orders = new LinkedHashSet<>();
         int rivals = 1 + story.random.nextInt(3);
         for (int i = 0; i < rivals; i++) {
-          orders.add(ConfigChangeScenario.replacement(current, current + 1 + story.random.nextInt(3), "v" + i));
+          orders.add(
+              ConfigChangeScenario.replacement(
+                  current, current + 1 + story.random.nextInt(3), "v" + i));
         }
         orders.forEach(story::send);
         current = story.awaitSingleWinner(orders).number();
@@ -145,7 +147,8 @@
         story.cluster.timers.advance(1_500);
         story.cluster.controlPlane(node, false);
         assertThat(
-            story.cluster.awaitWithin(10_000, () -> story.cluster.read(node).startsWith("{")), is(true));
+            story.cluster.awaitWithin(10_000, () -> story.cluster.read(node).startsWith("{")),
+            is(true));
       }
       for (int back : new int[] {1, 10, 300}) {
         if (change >= back && (change % 10 == 0 || change > 300)) {
@@ -175,7 +178,8 @@
     for (int cutAt = 0; cutAt <= 70; cutAt++) {
       for (int variant = 0; variant < 6; variant++) {
         ConfigChangeScenario story =
-            ConfigChangeScenario.started("cut at " + cutAt + " ms, variant " + variant, 100 + cutAt, NODES);
+            ConfigChangeScenario.started(
+                "cut at " + cutAt + " ms, variant " + variant, 100 + cutAt, NODES);
         ChangeRequest mine = ConfigChangeScenario.replacement(1, 5, "mine");
         ChangeRequest rival = ConfigChangeScenario.replacement(1, 5, "rival");
         story.send(mine, "n1");
@@ -227,7 +231,8 @@
     int troubles = 0;
     for (int seed = 1; seed <= 10; seed++) {
       ConfigChangeScenario story = ConfigChangeScenario.started("trouble", seed, NODES);
-      NodeFaultInjector trouble = new NodeFaultInjector(story.cluster, new Random(seed * 7L), NODES);
+      NodeFaultInjector trouble =
+          new NodeFaultInjector(story.cluster, new Random(seed * 7L), NODES);
       story.replyLossRate = 0.4;
       long current = 1;
       for (int round = 0; round < 40; round++) {
@@ -238,7 +243,8 @@
           long base = Math.max(0, current - (story.random.nextInt(6) == 0 ? 1 : 0));
           base += story.random.nextInt(12) == 0 ? 1 : 0;
           orders.add(
-              ConfigChangeScenario.replacement(base, base + 1 + story.random.nextInt(3), "v" + round + i % 4));
+              ConfigChangeScenario.replacement(
+                  base, base + 1 + story.random.nextInt(3), "v" + round + i % 4));
         }
         for (ChangeRequest order : orders) {
           story.send(order);
--- a/controlplane/src/test/java/elmsail/controlplane/ConfigAmendmentsTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ConfigAmendmentsTest.java
@@ -92,7 +92,8 @@
     trouble.end();
     assertThat(story.current(SETTLE_MS), is(current));
     assertThat(
-        story.cluster.awaitWithin(SETTLE_MS, () -> story.cluster.read("n1").startsWith("{")), is(true));
+        story.cluster.awaitWithin(SETTLE_MS, () -> story.cluster.read("n1").startsWith("{")),
+        is(true));
     assertThat(routesInForce(story), equalTo(routes));
     assertThat(trouble.faultCount(), greaterThan(10));
     story.finish();
@@ -102,10 +103,13 @@
   void anAmendmentCutOffHalfwayIsFinishedOrLostForAll() {
     int lost = 0;
     for (int cutAt = 0; cutAt <= 70; cutAt += 2) {
-      ConfigChangeScenario story = ConfigChangeScenario.started("cut at " + cutAt + " ms", 200 + cutAt, NODES);
+      ConfigChangeScenario story =
+          ConfigChangeScenario.started("cut at " + cutAt + " ms", 200 + cutAt, NODES);
       ChangeRequest mine = ConfigChangeScenario.amendment(1, 5, "mine", null);
       ChangeRequest rival =
-          cutAt % 4 == 0 ? ConfigChangeScenario.replacement(1, 5, "rival") : ConfigChangeScenario.amendment(1, 5, "r", "r1");
+          cutAt % 4 == 0
+              ? ConfigChangeScenario.replacement(1, 5, "rival")
+              : ConfigChangeScenario.amendment(1, 5, "r", "r1");
       story.send(mine, "n1");
       story.collectReplies(cutAt);
       story.cluster.net.isolate(story.cluster.address("n1"));
--- a/controlplane/src/test/java/elmsail/controlplane/ConfigChangeHandlerTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ConfigChangeHandlerTest.java
@@ -67,7 +67,8 @@
   }
 
   private String readBack() {
-    SimpleHttpRequest call = new SimpleHttpRequest("GET", "/Timetable.Read", Map.of(), Map.of(), new byte[0]);
+    SimpleHttpRequest call =
+        new SimpleHttpRequest("GET", "/Timetable.Read", Map.of(), Map.of(), new byte[0]);
     SimpleHttpResponse reply = answer(read.handle(call));
     String body = reply.status() == 200 ? new String(reply.body(), StandardCharsets.UTF_8) : "";
     return reply.status() + " " + body;
@@ -151,7 +152,8 @@
     assertThat(put("0", "3 a"), is(200));
     ConfigHistory current = ConfigHistory.decode(register.values.get("timetable").value());
     byte[] sent = "4 other".getBytes(StandardCharsets.UTF_8);
-    register.concurrentValue = current.append(4, sent, ConfigHistory.replacementDigest(3, sent)).encode();
+    register.concurrentValue =
+        current.append(4, sent, ConfigHistory.replacementDigest(3, sent)).encode();
     register.nextOutcomes.add(FakeRegister.Outcome.OVERTAKEN);
     assertThat(put("3", "5 mine"), is(412));
     assertThat(readBack(), equalTo("200 4 other"));
@@ -208,7 +210,8 @@
   void aReadThatAChangeOvertakesIsAnsweredWithAConfiguration() {
     assertThat(put("0", "3 a"), is(200));
     register.responseDelayMs = 50;
-    SimpleHttpRequest call = new SimpleHttpRequest("GET", "/Timetable.Read", Map.of(), Map.of(), new byte[0]);
+    SimpleHttpRequest call =
+        new SimpleHttpRequest("GET", "/Timetable.Read", Map.of(), Map.of(), new byte[0]);
     CompletableFuture<SimpleHttpResponse> reading = read.handle(call);
     timers.advance(3);
     assertThat(put("3", "5 b"), is(200));
--- a/controlplane/src/test/java/elmsail/controlplane/ConfigChangeScenario.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ConfigChangeScenario.java
@@ -178,7 +178,8 @@
   }
 
   private void onCommitted(ChangeRequest order) {
-    assertThat(name + ": refused, then confirmed: " + order, rejected.containsKey(order), is(false));
+    assertThat(
+        name + ": refused, then confirmed: " + order, rejected.containsKey(order), is(false));
     ChangeRequest other = confirmedOn.putIfAbsent(order.base, order);
     assertThat(
         name + ": two on one base: " + other + " and " + order,
--- a/controlplane/src/test/java/elmsail/controlplane/ConfigFaultScenarioTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ConfigFaultScenarioTest.java
@@ -152,7 +152,9 @@
           && cluster.net.nodeAt(cluster.address(other)).isAlive()) {
         numbers += 1 + random.nextInt(3);
         bases.put(numbers, current);
-        open.add(new Sent(current, numbers, cluster.sendReplace(other, String.valueOf(current), numbers)));
+        open.add(
+            new Sent(
+                current, numbers, cluster.sendReplace(other, String.valueOf(current), numbers)));
       }
     }
   }
@@ -258,6 +260,7 @@
   private boolean has(ConfigHistory last, long edition) {
     byte[] sent = SimulatedCluster.config(edition).getBytes(StandardCharsets.UTF_8);
     long base = bases.get(edition);
-    return last.statusOf(base, ConfigHistory.replacementDigest(base, sent)) == ConfigChangeStatus.COMMITTED;
+    return last.statusOf(base, ConfigHistory.replacementDigest(base, sent))
+        == ConfigChangeStatus.COMMITTED;
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/ConfigHistoryTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ConfigHistoryTest.java
@@ -107,7 +107,9 @@
     if (asked.base < numbers.get(oldest)) {
       return ConfigChangeStatus.BASE_FORGOTTEN;
     }
-    return asked.equals(taken.get(asked.base)) ? ConfigChangeStatus.COMMITTED : ConfigChangeStatus.SUPERSEDED;
+    return asked.equals(taken.get(asked.base))
+        ? ConfigChangeStatus.COMMITTED
+        : ConfigChangeStatus.SUPERSEDED;
   }
 
   @Test
@@ -161,7 +163,8 @@
     damaged.add(otherEnd);
     for (byte[] each : damaged) {
       ElmsailException thrown =
-          assertThrows(ElmsailException.class, () -> ConfigHistory.decode(each), Arrays.toString(each));
+          assertThrows(
+              ElmsailException.class, () -> ConfigHistory.decode(each), Arrays.toString(each));
       assertThat(thrown.code(), is(ErrorCode.MALFORMED));
     }
   }
--- a/controlplane/src/test/java/elmsail/controlplane/ConfigReadChecker.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ConfigReadChecker.java
@@ -23,7 +23,8 @@
   private static final Pattern EDITION = Pattern.compile("\"edition\":(\\d+)");
   private static final int MAX_PENDING = 4_000;
 
-  private record Read(String node, long sentAt, long least, CompletableFuture<SimpleHttpResponse> reply) {}
+  private record Read(
+      String node, long sentAt, long least, CompletableFuture<SimpleHttpResponse> reply) {}
 
   private final String name;
   private final ConfigChangeScenario orders;
@@ -64,8 +65,10 @@
     }
     CompletableFuture<SimpleHttpResponse> reply = new CompletableFuture<>();
     open.add(new Read(name, cluster.timers.now(), newest(), reply));
-    SimpleHttpRequest call = new SimpleHttpRequest("GET", "/Timetable.Read", Map.of(), Map.of(), new byte[0]);
-    node.timers().execute(() -> controlPlaneNode.operatorApi().handle(call).thenAccept(reply::complete));
+    SimpleHttpRequest call =
+        new SimpleHttpRequest("GET", "/Timetable.Read", Map.of(), Map.of(), new byte[0]);
+    node.timers()
+        .execute(() -> controlPlaneNode.operatorApi().handle(call).thenAccept(reply::complete));
   }
 
   /** Checks what has been answered. */
--- a/controlplane/src/test/java/elmsail/controlplane/ControlPlaneBootstrapTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ControlPlaneBootstrapTest.java
@@ -74,14 +74,19 @@
           cluster.wipe(name);
         }
       }
-      assertThat(cluster.awaitWithin(3_000, () -> cluster.read("n3").equals(SimulatedCluster.config(3))), is(true));
+      assertThat(
+          cluster.awaitWithin(3_000, () -> cluster.read("n3").equals(SimulatedCluster.config(3))),
+          is(true));
       assertThat("kind " + kind, cluster.replace("n4", 3, 7), is(200));
       cluster.controlPlane("n1", false);
       cluster.controlPlane("n2", false);
-      assertThat(cluster.awaitWithin(4_800, () -> cluster.allControlPlaneVotersVote("n3")), is(true));
+      assertThat(
+          cluster.awaitWithin(4_800, () -> cluster.allControlPlaneVotersVote("n3")), is(true));
       cluster.kill("n3");
       cluster.kill("n4");
-      assertThat(cluster.awaitWithin(4_000, () -> cluster.read("n5").equals(SimulatedCluster.config(7))), is(true));
+      assertThat(
+          cluster.awaitWithin(4_000, () -> cluster.read("n5").equals(SimulatedCluster.config(7))),
+          is(true));
     }
   }
 
