--- a/controlplane/src/test/java/elmsail/controlplane/ControlPlaneNodeTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ControlPlaneNodeTest.java
@@ -31,7 +31,10 @@
 
   private void founded(int stores) {
     all(stores);
-    assertThat(cluster.awaitWithin(5_000, () -> cluster.describeJobStoreVoters("v1").equals("v1/1 v2/1 v3/1")), is(true));
+    assertThat(
+        cluster.awaitWithin(
+            5_000, () -> cluster.describeJobStoreVoters("v1").equals("v1/1 v2/1 v3/1")),
+        is(true));
   }
 
   @Test
@@ -40,11 +43,14 @@
     cluster.gateway("c1");
     assertThat(cluster.replaceAnywhere(0, 3), is(200));
     assertThat(cluster.timers.now(), lessThan(3_500L));
-    assertThat(cluster.awaitWithin(500, () -> cluster.gateways.get("c1").config() != null), is(true));
+    assertThat(
+        cluster.awaitWithin(500, () -> cluster.gateways.get("c1").config() != null), is(true));
     assertThat(cluster.gateways.get("c1").config().edition(), is(3L));
     assertThat(cluster.read("n3"), equalTo(SimulatedCluster.config(3)));
     assertThat(cluster.replace("n2", 3, 9), is(200));
-    assertThat(cluster.awaitWithin(300, () -> cluster.gateways.get("c1").config().edition() == 9), is(true));
+    assertThat(
+        cluster.awaitWithin(300, () -> cluster.gateways.get("c1").config().edition() == 9),
+        is(true));
   }
 
   @Test
@@ -119,7 +125,8 @@
     assertThat(cluster.gateways.get("c1").view().controlPlaneVoters.voters.isEmpty(), is(true));
     assertThat(cluster.gateways.get("c1").config() == null, is(true));
     cluster.controlPlane("n2", false);
-    assertThat(cluster.awaitWithin(2_000, () -> cluster.gateways.get("c1").config() != null), is(true));
+    assertThat(
+        cluster.awaitWithin(2_000, () -> cluster.gateways.get("c1").config() != null), is(true));
   }
 
   @Test
@@ -133,10 +140,13 @@
     assertThat(cluster.replace("n1", 1, 2), anyOf(is(503), is(504)));
     assertThat(cluster.replace("n2", 1, 3), is(200));
     assertThat(
-        cluster.awaitWithin(1_000, () -> cluster.gateways.get("c1").config().edition() == 3), is(true));
+        cluster.awaitWithin(1_000, () -> cluster.gateways.get("c1").config().edition() == 3),
+        is(true));
     assertThat(cluster.read("n1"), equalTo("503"));
     cluster.net.healAll();
-    assertThat(cluster.awaitWithin(3_000, () -> cluster.read("n1").equals(SimulatedCluster.config(3))), is(true));
+    assertThat(
+        cluster.awaitWithin(3_000, () -> cluster.read("n1").equals(SimulatedCluster.config(3))),
+        is(true));
     assertThat(cluster.replace("n1", 1, 2), is(412));
   }
 
@@ -152,9 +162,12 @@
     for (int i = 1; i <= 3; i++) {
       cluster.controlPlane("n" + i, false);
     }
-    assertThat(cluster.awaitWithin(3_000, () -> cluster.read("n1").equals(SimulatedCluster.config(5))), is(true));
+    assertThat(
+        cluster.awaitWithin(3_000, () -> cluster.read("n1").equals(SimulatedCluster.config(5))),
+        is(true));
     cluster.gateway("c1");
-    assertThat(cluster.awaitWithin(1_000, () -> cluster.gateways.get("c1").config() != null), is(true));
+    assertThat(
+        cluster.awaitWithin(1_000, () -> cluster.gateways.get("c1").config() != null), is(true));
   }
 
   @Test
@@ -179,7 +192,8 @@
     assertThat(cluster.replaceAnywhere(0, 1), is(200));
     assertThat(cluster.awaitWithin(2_000, () -> cluster.replace("n4", 1, 2) == 200), is(true));
     assertThat(cluster.read("n4"), equalTo(SimulatedCluster.config(2)));
-    CompletableFuture<SimpleHttpResponse> sentOn = cluster.call("n4", "GET", "/Retire.Read/v1", null, "");
+    CompletableFuture<SimpleHttpResponse> sentOn =
+        cluster.call("n4", "GET", "/Retire.Read/v1", null, "");
     assertThat(cluster.status(sentOn), is(307));
     assertThat(sentOn.join().headers().get("location"), containsString(":8166/Retire.Read/v1"));
   }
@@ -193,7 +207,9 @@
             + "\"edition\":\"v1\",\"berths\":4,\"state\":\"open_for_post\","
             + "\"cold_left_ms\":0,\"id\":\"i-1\"}],"
             + "\"next_token\":null}";
-    assertThat(cluster.awaitWithin(3_000, () -> cluster.gateways.get("c1").servers().size() == 1), is(true));
+    assertThat(
+        cluster.awaitWithin(3_000, () -> cluster.gateways.get("c1").servers().size() == 1),
+        is(true));
     cluster.timers.advance(5_000);
     int before = cluster.platformCalls;
     cluster.timers.advance(10_000);
@@ -202,7 +218,8 @@
     assertThat(cluster.gateways.get("c1").serverListAgeMs(), lessThan(2_200L));
     cluster.platformReply = cluster.platformReply.replace("open_for_post", "closing");
     assertThat(
-        cluster.awaitWithin(700, () -> cluster.gateways.get("c1").servers().get(0).draining()), is(true));
+        cluster.awaitWithin(700, () -> cluster.gateways.get("c1").servers().get(0).draining()),
+        is(true));
   }
 
   @Test
@@ -241,8 +258,12 @@
   @Test
   void fewerVaultsThanSeatsAreFoundedAfterAWhile() {
     all(2);
-    assertThat(cluster.awaitWithin(5_000, () -> !cluster.describeJobStoreVoters("v1").isEmpty()), is(false));
-    assertThat(cluster.awaitWithin(3_000, () -> cluster.describeJobStoreVoters("v1").equals("v1/1 v2/1")), is(true));
+    assertThat(
+        cluster.awaitWithin(5_000, () -> !cluster.describeJobStoreVoters("v1").isEmpty()),
+        is(false));
+    assertThat(
+        cluster.awaitWithin(3_000, () -> cluster.describeJobStoreVoters("v1").equals("v1/1 v2/1")),
+        is(true));
   }
 
   @Test
@@ -250,7 +271,10 @@
     founded(4);
     cluster.timers.advance(2_000);
     cluster.net.kill(cluster.address("v2"), false);
-    assertThat(cluster.awaitWithin(6_000, () -> cluster.describeJobStoreVoters("v1").equals("v1/1 v4/2 v3/1")), is(true));
+    assertThat(
+        cluster.awaitWithin(
+            6_000, () -> cluster.describeJobStoreVoters("v1").equals("v1/1 v4/2 v3/1")),
+        is(true));
     cluster.store("v2", false);
     cluster.timers.advance(4_000);
     assertThat(cluster.describeJobStoreVoters("v1"), equalTo("v1/1 v4/2 v3/1"));
@@ -263,7 +287,10 @@
     cluster.timers.advance(1_000);
     cluster.wipe("v2");
     cluster.store("v2", false);
-    assertThat(cluster.awaitWithin(3_000, () -> cluster.describeJobStoreVoters("v1").equals("v1/1 v2/2 v3/1")), is(true));
+    assertThat(
+        cluster.awaitWithin(
+            3_000, () -> cluster.describeJobStoreVoters("v1").equals("v1/1 v2/2 v3/1")),
+        is(true));
   }
 
   @Test
@@ -274,7 +301,9 @@
     assertThat(cluster.beginDecommission("n2", "v2"), is(200));
     assertThat(cluster.beginDecommission("n3", "v2"), is(200));
     String delivered = "{\"state\":\"delivered\"}";
-    assertThat(cluster.awaitWithin(8_000, () -> cluster.decommissionState("n3", "v2").equals(delivered)), is(true));
+    assertThat(
+        cluster.awaitWithin(8_000, () -> cluster.decommissionState("n3", "v2").equals(delivered)),
+        is(true));
     assertThat(cluster.describeJobStoreVoters("v1"), equalTo("v1/1 v4/2 v3/1"));
     assertThat(cluster.decommissionState("n3", "v1"), equalTo("{\"state\":\"in_service\"}"));
     assertThat("too few would remain", cluster.beginDecommission("n1", "v3"), is(409));
@@ -300,7 +329,9 @@
       cluster.timers.advance(100);
     }
     String delivered = "{\"state\":\"delivered\"}";
-    assertThat(cluster.awaitWithin(8_000, () -> cluster.decommissionState("n1", "v2").equals(delivered)), is(true));
+    assertThat(
+        cluster.awaitWithin(8_000, () -> cluster.decommissionState("n1", "v2").equals(delivered)),
+        is(true));
     assertThat(cluster.stores.get("v4").replica().isVoting(), is(true));
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/ControlPlanePartitionTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ControlPlanePartitionTest.java
@@ -50,7 +50,9 @@
       cluster.net.healBoth(cluster.address("n1"), cluster.address(other));
     }
     long healedAt = cluster.timers.now();
-    assertThat(cluster.awaitWithin(IN_FORCE_MS, () -> cluster.gateways.get("c1").config() != null), is(true));
+    assertThat(
+        cluster.awaitWithin(IN_FORCE_MS, () -> cluster.gateways.get("c1").config() != null),
+        is(true));
     assertThat(cluster.gateways.get("c1").config().edition(), is(3L));
     System.out.println(cut + ": configuration " + (cluster.timers.now() - healedAt) + " ms after");
   }
@@ -64,7 +66,8 @@
     Partition.BOTH_WAYS.begin(cluster);
     assertThat(cluster.replace("n2", 1, 3), is(200));
     assertThat(
-        cluster.awaitWithin(IN_FORCE_MS, () -> cluster.gateways.get("c1").config().edition() == 3), is(true));
+        cluster.awaitWithin(IN_FORCE_MS, () -> cluster.gateways.get("c1").config().edition() == 3),
+        is(true));
     for (int i = 0; i < 200; i++) {
       cluster.timers.advance(100);
       assertThat(cluster.gateways.get("c1").serverListAgeMs(), lessThan(2_500L));
@@ -138,14 +141,18 @@
             + "\"edition\":\"v1\",\"berths\":4,\"state\":\"open_for_post\",\"cold_left_ms\":0,"
             + "\"id\":\"i-1\"}],\"next_token\":null}";
     cluster.gateway("c1");
-    assertThat(cluster.awaitWithin(3_000, () -> cluster.gateways.get("c1").servers().size() == 1), is(true));
+    assertThat(
+        cluster.awaitWithin(3_000, () -> cluster.gateways.get("c1").servers().size() == 1),
+        is(true));
     cluster.timers.advance(100);
     cluster.net.freeze(cluster.address("c1"));
     cluster.timers.advance(CUT_MS);
     cluster.net.thaw(cluster.address("c1"));
     cluster.timers.advance(0);
     assertThat(cluster.gateways.get("c1").serverListAgeMs(), greaterThanOrEqualTo(CUT_MS));
-    assertThat(cluster.awaitWithin(700, () -> cluster.gateways.get("c1").serverListAgeMs() < 2_500), is(true));
+    assertThat(
+        cluster.awaitWithin(700, () -> cluster.gateways.get("c1").serverListAgeMs() < 2_500),
+        is(true));
   }
 
   @Test
@@ -192,7 +199,8 @@
   @Test
   void aReadThatWasUnderWayInAFreezeIsNotAnsweredAsCurrent() {
     startControlPlane();
-    CompletableFuture<SimpleHttpResponse> read = cluster.call("n1", "GET", "/Timetable.Read", null, "");
+    CompletableFuture<SimpleHttpResponse> read =
+        cluster.call("n1", "GET", "/Timetable.Read", null, "");
     cluster.timers.advance(1);
     assertThat(read.isDone(), is(false));
     cluster.net.freeze(cluster.address("n1"));
@@ -276,13 +284,16 @@
             + "\"edition\":\"v1\",\"berths\":4,\"state\":\"open_for_post\",\"cold_left_ms\":0,"
             + "\"id\":\"i-1\"}],\"next_token\":null}";
     cluster.gatewayWithPlatform("c1");
-    assertThat(cluster.awaitWithin(3_000, () -> cluster.gateways.get("c1").servers().size() == 1), is(true));
+    assertThat(
+        cluster.awaitWithin(3_000, () -> cluster.gateways.get("c1").servers().size() == 1),
+        is(true));
     Partition.BOTH_WAYS.begin(cluster);
     cluster.net.cutBoth(cluster.address("n2"), cluster.address("n3"));
     cluster.timers.advance(3_000);
     cluster.platformReply = cluster.platformReply.replace("open_for_post", "closing");
     assertThat(
-        cluster.awaitWithin(4_000, () -> cluster.gateways.get("c1").servers().get(0).draining()), is(true));
+        cluster.awaitWithin(4_000, () -> cluster.gateways.get("c1").servers().get(0).draining()),
+        is(true));
     long oldest = 0;
     for (int ms = 0; ms < CUT_MS; ms += 50) {
       cluster.timers.advance(50);
--- a/controlplane/src/test/java/elmsail/controlplane/ControlPlaneTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ControlPlaneTest.java
@@ -101,8 +101,7 @@
     CompletableFuture<ControlPlane> started = new CompletableFuture<>();
     loop.execute(
         () ->
-            rpc
-                .listen()
+            rpc.listen()
                 .thenCompose(
                     none ->
                         ControlPlane.startControlPlaneNode(
@@ -144,7 +143,8 @@
             taken = call(control, "POST", "/Timetable.Replace", SimulatedCluster.config(4));
           }
           assertThat(taken, is("{}"));
-          assertThat(call(control, "GET", "/Timetable.Read", null), equalTo(SimulatedCluster.config(4)));
+          assertThat(
+              call(control, "GET", "/Timetable.Read", null), equalTo(SimulatedCluster.config(4)));
           String figures = call(control, "GET", "/metrics", null);
           assertThat(figures, containsString("elmsail_control_orders_acknowledged 1\n"));
           assertThat(figures, containsString("elmsail_replica_voting 1\n"));
@@ -153,8 +153,10 @@
     running(
         settings(dir, false, controlPort, inner),
         control -> {
-          assertThat(call(control, "GET", "/Timetable.Read", null), equalTo(SimulatedCluster.config(4)));
-          assertThat(call(control, "POST", "/Timetable.Replace", SimulatedCluster.config(4)), is("{}"));
+          assertThat(
+              call(control, "GET", "/Timetable.Read", null), equalTo(SimulatedCluster.config(4)));
+          assertThat(
+              call(control, "POST", "/Timetable.Replace", SimulatedCluster.config(4)), is("{}"));
         });
   }
 
--- a/controlplane/src/test/java/elmsail/controlplane/ControlPlaneVoterReplacementTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ControlPlaneVoterReplacementTest.java
@@ -55,7 +55,10 @@
         long start = cluster.timers.now();
         cluster.controlPlane("n4", false);
         String asked = gone == 1 ? "n2" : "n1";
-        assertThat(about, cluster.awaitWithin(CATCH_UP_MS, () -> cluster.allControlPlaneVotersVote(asked)), is(true));
+        assertThat(
+            about,
+            cluster.awaitWithin(CATCH_UP_MS, () -> cluster.allControlPlaneVotersVote(asked)),
+            is(true));
         long whole = cluster.timers.now() - start;
         System.out.println("replaced " + about + " ms later: whole after " + whole + " ms");
         cluster.timers.advance(CATCH_UP_MS - whole);
@@ -63,7 +66,9 @@
         String oldest = gone == 1 ? "n2" : "n1";
         gone(oldest);
         assertThat(
-            about, cluster.awaitWithin(4_000, () -> cluster.read("n4").equals(SimulatedCluster.config(1))), is(true));
+            about,
+            cluster.awaitWithin(4_000, () -> cluster.read("n4").equals(SimulatedCluster.config(1))),
+            is(true));
         assertThat(about, cluster.replace("n4", 1, 5), is(200));
       }
     }
@@ -92,13 +97,17 @@
     assertThat(cluster.replace("n2", 1, 2), is(200));
     assertThat(cluster.replace("n1", 1, 3) == 200, is(false));
     cluster.net.healAll();
-    assertThat(cluster.awaitWithin(3_000, () -> !cluster.controlPlaneNodes.get("n1").voters().isVoting()), is(true));
+    assertThat(
+        cluster.awaitWithin(3_000, () -> !cluster.controlPlaneNodes.get("n1").voters().isVoting()),
+        is(true));
     assertThat(cluster.awaitWithin(3_000, () -> holders("n1").equals(holders("n2"))), is(true));
     gone("n2");
     assertThat(cluster.awaitWithin(8_000, () -> holders("n3").contains("n1")), is(true));
     assertThat(cluster.awaitWithin(2_000, () -> cluster.allControlPlaneVotersVote("n3")), is(true));
     gone("n3");
-    assertThat(cluster.awaitWithin(4_000, () -> cluster.read("n1").equals(SimulatedCluster.config(2))), is(true));
+    assertThat(
+        cluster.awaitWithin(4_000, () -> cluster.read("n1").equals(SimulatedCluster.config(2))),
+        is(true));
   }
 
   /** Two at once, then two more, oldest first, then all lose power: nothing is lost. */
@@ -115,7 +124,9 @@
       cluster.controlPlane("n" + next++, false);
       cluster.controlPlane("n" + next++, false);
       String asked = "n" + (next - 1);
-      assertThat(cluster.awaitWithin(2 * CATCH_UP_MS, () -> cluster.allControlPlaneVotersVote(asked)), is(true));
+      assertThat(
+          cluster.awaitWithin(2 * CATCH_UP_MS, () -> cluster.allControlPlaneVotersVote(asked)),
+          is(true));
       assertThat(cluster.awaitWithin(4_000, () -> cluster.read(asked).startsWith("{")), is(true));
       assertThat(cluster.read(asked), equalTo(SimulatedCluster.config(version)));
       assertThat(cluster.status(cluster.sendReplace(asked, "" + version, version + 1)), is(200));
--- a/controlplane/src/test/java/elmsail/controlplane/FakeRegister.java
+++ b/controlplane/src/test/java/elmsail/controlplane/FakeRegister.java
@@ -78,7 +78,11 @@
 
   @Override
   public CompletableFuture<CommittedState> change(
-      String key, Function<ObservedState, ProposedValue> change, List<Blob> blobs, byte[] note, long timeoutMs) {
+      String key,
+      Function<ObservedState, ProposedValue> change,
+      List<Blob> blobs,
+      byte[] note,
+      long timeoutMs) {
     CompletableFuture<CommittedState> future = new CompletableFuture<>();
     Outcome fate = nextOutcomes.isEmpty() ? Outcome.COMMITTED : nextOutcomes.poll();
     if (unreachable || fate == Outcome.NOT_REACHED) {
@@ -99,7 +103,8 @@
           VersionedValue now = values.getOrDefault(key, new VersionedValue(new Ballot(), null));
           CommittedState held = new CommittedState(now, wanted.value() != null);
           if (fate == Outcome.UNKNOWN_COMMITTED || fate == Outcome.UNKNOWN_LOST) {
-            timers.schedule(Math.min(300, timeoutMs), () -> fail(future, ErrorCode.OUTCOME_UNKNOWN));
+            timers.schedule(
+                Math.min(300, timeoutMs), () -> fail(future, ErrorCode.OUTCOME_UNKNOWN));
           } else {
             timers.schedule(5, () -> future.complete(held));
           }
--- a/controlplane/src/test/java/elmsail/controlplane/JobRecordWriter.java
+++ b/controlplane/src/test/java/elmsail/controlplane/JobRecordWriter.java
@@ -57,7 +57,8 @@
           }
         };
     register =
-        new RegisterClient("shelf", node.rpcClient(), node.timers(), voterSets, 77, "", address -> 1);
+        new RegisterClient(
+            "shelf", node.rpcClient(), node.timers(), voterSets, 77, "", address -> 1);
   }
 
   /** That store is gone for good. */
--- a/controlplane/src/test/java/elmsail/controlplane/JobStoreVotersScenarioTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/JobStoreVotersScenarioTest.java
@@ -110,7 +110,8 @@
           }
         };
     writer =
-        new RegisterClient("shelf", node.rpcClient(), node.timers(), voterSets, 77, "", address -> 1);
+        new RegisterClient(
+            "shelf", node.rpcClient(), node.timers(), voterSets, 77, "", address -> 1);
   }
 
   private void write(long ms) {
@@ -186,7 +187,10 @@
       add(false);
       write(1_000);
     }
-    assertThat("seed " + seed, cluster.awaitWithin(4_000, () -> cluster.beginDecommission("n1", name) == 200), is(true));
+    assertThat(
+        "seed " + seed,
+        cluster.awaitWithin(4_000, () -> cluster.beginDecommission("n1", name) == 200),
+        is(true));
     String delivered = "{\"state\":\"delivered\"}";
     long end = cluster.timers.now() + 12_000;
     while (!cluster.decommissionState("n2", name).equals(delivered) && cluster.timers.now() < end) {
@@ -208,7 +212,8 @@
       newest = VoterSets.merge(newest, cluster.stores.get(name).replica().voterSet());
     }
     for (Voter voter : newest.voters) {
-      if (!running.contains(voter.machine) || !cluster.stores.get(voter.machine).replica().isVoting()) {
+      if (!running.contains(voter.machine)
+          || !cluster.stores.get(voter.machine).replica().isVoting()) {
         return false;
       }
     }
--- a/controlplane/src/test/java/elmsail/controlplane/PinnedDataDirectoriesTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/PinnedDataDirectoriesTest.java
@@ -209,7 +209,9 @@
       assertThat(config.changeCount(), is(2));
       assertThat(utf(config.configBytes()), is(PinnedDataDirectories.CONFIGS.get(1)));
       byte[] first = PinnedDataDirectories.CONFIGS.get(0).getBytes(StandardCharsets.UTF_8);
-      assertThat(config.statusOf(0, ConfigHistory.replacementDigest(0, first)), is(ConfigChangeStatus.COMMITTED));
+      assertThat(
+          config.statusOf(0, ConfigHistory.replacementDigest(0, first)),
+          is(ConfigChangeStatus.COMMITTED));
       assertThat(
           config.statusOf(3, ConfigHistory.amendmentDigest(3, config.configBytes())),
           is(ConfigChangeStatus.COMMITTED));
@@ -224,7 +226,8 @@
           equalTo(java.util.Set.of("n2", "n5")));
       VoterSet voters = PinnedDataDirectories.voterSet(records.instanceId());
       assertThat(
-          VoterSets.areEqual(VoterSetValue.decode(value(records, "head/k/shelf")), voters), is(true));
+          VoterSets.areEqual(VoterSetValue.decode(value(records, "head/k/shelf")), voters),
+          is(true));
       assertThat(value(records, "head/k/duty"), equalTo(PinnedDataDirectories.leaseTerm()));
       BootstrapAcceptor founding = BootstrapAcceptor.decode(records.read("head-founding"));
       assertThat(founding.prepare(1).promisedBallot, is(9L));
--- a/controlplane/src/test/java/elmsail/controlplane/PinnedNamesTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/PinnedNamesTest.java
@@ -4,14 +4,14 @@
 import static org.hamcrest.Matchers.contains;
 import static org.hamcrest.Matchers.is;
 
-import elmsail.rpc.RpcClient;
 import elmsail.rpc.HandlerRegistry;
+import elmsail.rpc.RpcClient;
 import elmsail.runtime.ManualTimers;
-import elmsail.runtime.PrometheusText;
 import elmsail.runtime.ProcessMetrics;
+import elmsail.runtime.PrometheusText;
 import elmsail.runtime.SettingsFile;
-import elmsail.runtime.http.SimpleHttpRequest;
 import elmsail.runtime.http.HttpHandler;
+import elmsail.runtime.http.SimpleHttpRequest;
 import elmsail.runtime.http.SimpleHttpResponse;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -55,7 +55,11 @@
   })
   void callsOfOperators(String method, String path, String handler) {
     OperatorApi operators =
-        new OperatorApi(routeByName("replace"), routeByName("amend"), routeByName("read"), routeByName("retire"));
+        new OperatorApi(
+            routeByName("replace"),
+            routeByName("amend"),
+            routeByName("read"),
+            routeByName("retire"));
     SimpleHttpRequest call = new SimpleHttpRequest(method, path, Map.of(), Map.of(), new byte[0]);
     assertThat(body(operators.handle(call).join()), is(handler));
     String other = method.equals("GET") ? "POST" : "GET";
--- a/controlplane/src/test/java/elmsail/controlplane/RepeatedDoubleLossTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/RepeatedDoubleLossTest.java
@@ -53,7 +53,8 @@
           loseTwo(random.nextBoolean(), random.nextBoolean());
         }
         long restarted = cluster.timers.now();
-        assertThat(about + " " + storeSet(), cluster.awaitWithin(CATCH_UP_MS, this::whole), is(true));
+        assertThat(
+            about + " " + storeSet(), cluster.awaitWithin(CATCH_UP_MS, this::whole), is(true));
         longest = Math.max(longest, cluster.timers.now() - restarted);
       }
       readAll("seed " + seed);
@@ -106,7 +107,8 @@
           }
         };
     writer =
-        new RegisterClient("shelf", node.rpcClient(), node.timers(), voterSets, 77, "", address -> 1);
+        new RegisterClient(
+            "shelf", node.rpcClient(), node.timers(), voterSets, 77, "", address -> 1);
   }
 
   /** Three jobs with a body each. */
@@ -160,10 +162,16 @@
     add(false);
     cluster.timers.advance(1_500);
     String leaving = oldestFirst.get(0);
-    assertThat(about, cluster.awaitWithin(4_000, () -> cluster.beginDecommission("n1", leaving) == 200), is(true));
+    assertThat(
+        about,
+        cluster.awaitWithin(4_000, () -> cluster.beginDecommission("n1", leaving) == 200),
+        is(true));
     String delivered = "{\"state\":\"delivered\"}";
     assertThat(
-        about, cluster.awaitWithin(12_000, () -> cluster.decommissionState("n2", leaving).equals(delivered)), is(true));
+        about,
+        cluster.awaitWithin(
+            12_000, () -> cluster.decommissionState("n2", leaving).equals(delivered)),
+        is(true));
     cluster.wipe(leaving);
     oldestFirst.remove(leaving);
     loseTwo(true, true);
@@ -182,7 +190,8 @@
         voting.add(voter.machine);
       }
     }
-    return voting.size() == 5 && cluster.allControlPlaneVotersVote(oldestHeads.get(oldestHeads.size() - 1));
+    return voting.size() == 5
+        && cluster.allControlPlaneVotersVote(oldestHeads.get(oldestHeads.size() - 1));
   }
 
   private String storeSet() {
@@ -199,6 +208,9 @@
       assertThat(about + " body " + i, body.join().length, is(BODY.length));
     }
     String last = oldestHeads.get(oldestHeads.size() - 1);
-    assertThat(about, cluster.awaitWithin(2_000, () -> cluster.read(last).equals(SimulatedCluster.config(1))), is(true));
+    assertThat(
+        about,
+        cluster.awaitWithin(2_000, () -> cluster.read(last).equals(SimulatedCluster.config(1))),
+        is(true));
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/SimulatedCluster.java
+++ b/controlplane/src/test/java/elmsail/controlplane/SimulatedCluster.java
@@ -11,9 +11,9 @@
 import elmsail.runtime.Settings;
 import elmsail.runtime.http.SimpleHttpRequest;
 import elmsail.runtime.http.SimpleHttpResponse;
-import elmsail.simulation.SimNode;
 import elmsail.simulation.SimDisk;
 import elmsail.simulation.SimNetwork;
+import elmsail.simulation.SimNode;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
@@ -160,7 +160,8 @@
     return !controlPlaneVoters(controlPlane).voters.isEmpty();
   }
 
-  private CompletableFuture<SimpleHttpResponse> platform(String address, String path, long timeoutMs) {
+  private CompletableFuture<SimpleHttpResponse> platform(
+      String address, String path, long timeoutMs) {
     platformCalls++;
     CompletableFuture<SimpleHttpResponse> reply = new CompletableFuture<>();
     byte[] body = platformReply.getBytes(StandardCharsets.UTF_8);
@@ -232,10 +233,12 @@
         .get(controlPlane)
         .operatorApi()
         .handle(
-            new SimpleHttpRequest(method, path, Map.of(), headers, body.getBytes(StandardCharsets.UTF_8)));
+            new SimpleHttpRequest(
+                method, path, Map.of(), headers, body.getBytes(StandardCharsets.UTF_8)));
   }
 
-  CompletableFuture<SimpleHttpResponse> sendReplace(String controlPlane, String basedOn, long edition) {
+  CompletableFuture<SimpleHttpResponse> sendReplace(
+      String controlPlane, String basedOn, long edition) {
     return call(controlPlane, "POST", "/Timetable.Replace", basedOn, config(edition));
   }
 
@@ -246,8 +249,7 @@
 
   int replace(String controlPlane, long basedOn, long edition) {
     return status(
-        call(
-            controlPlane, "POST", "/Timetable.Replace", String.valueOf(basedOn), config(edition)));
+        call(controlPlane, "POST", "/Timetable.Replace", String.valueOf(basedOn), config(edition)));
   }
 
   /** The operator goes from gateway to gateway. */
@@ -263,7 +265,8 @@
   }
 
   String read(String controlPlane) {
-    CompletableFuture<SimpleHttpResponse> reply = call(controlPlane, "GET", "/Timetable.Read", null, "");
+    CompletableFuture<SimpleHttpResponse> reply =
+        call(controlPlane, "GET", "/Timetable.Read", null, "");
     int status = status(reply);
     return status == 200
         ? new String(reply.join().body(), StandardCharsets.UTF_8)
--- a/controlplane/src/test/java/elmsail/controlplane/SplitPartitionScenario.java
+++ b/controlplane/src/test/java/elmsail/controlplane/SplitPartitionScenario.java
@@ -86,7 +86,8 @@
   private long wholeAfterMs;
   private long ackedAfterMs;
 
-  SplitPartitionScenario(int seed, int nodes, int stores, int bear, Halves halves, ConcurrentChange underWay) {
+  SplitPartitionScenario(
+      int seed, int nodes, int stores, int bear, Halves halves, ConcurrentChange underWay) {
     this.name = halves + ", " + underWay + ", seed " + seed;
     this.nodes = nodes;
     this.halves = halves;
@@ -369,7 +370,9 @@
         if (itself) {
           Long before = holderOf.putIfAbsent(i + "/" + voter.epoch, voter.instanceId);
           assertThat(
-              name + ": two hold slot " + i, before == null || before == voter.instanceId, is(true));
+              name + ": two hold slot " + i,
+              before == null || before == voter.instanceId,
+              is(true));
         }
       }
     }
@@ -412,7 +415,12 @@
       state.append(cluster.controlPlaneNodes.get(node).voters().isVoting() ? "votes" : "");
     }
     for (String store : cluster.stores.keySet()) {
-      state.append("; ").append(store).append(" [").append(cluster.describeJobStoreVoters(store)).append(']');
+      state
+          .append("; ")
+          .append(store)
+          .append(" [")
+          .append(cluster.describeJobStoreVoters(store))
+          .append(']');
     }
     return state.toString();
   }
--- a/controlplane/src/test/java/elmsail/controlplane/SplitPartitionTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/SplitPartitionTest.java
@@ -28,7 +28,8 @@
     play(6, 10, 2, underWay);
   }
 
-  private static void play(int nodes, int stores, int bear, SplitPartitionScenario.ConcurrentChange underWay) {
+  private static void play(
+      int nodes, int stores, int bear, SplitPartitionScenario.ConcurrentChange underWay) {
     int acknowledged = 0;
     int answers = 0;
     int delivered = 0;
@@ -36,7 +37,8 @@
     long acked = 0;
     for (SplitPartitionScenario.Halves halves : SplitPartitionScenario.Halves.values()) {
       for (int seed = 1; seed <= STORIES; seed++) {
-        SplitPartitionScenario story = new SplitPartitionScenario(seed, nodes, stores, bear, halves, underWay);
+        SplitPartitionScenario story =
+            new SplitPartitionScenario(seed, nodes, stores, bear, halves, underWay);
         story.play();
         acknowledged += story.acknowledgedInTheCut();
         answers += story.readsAnsweredInTheCut();
--- a/controlplane/src/test/java/elmsail/controlplane/StorePlacementPartitionTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/StorePlacementPartitionTest.java
@@ -25,7 +25,10 @@
     for (int i = 1; i <= 3; i++) {
       cluster.store("v" + i, true);
     }
-    assertThat(cluster.awaitWithin(6_000, () -> cluster.describeJobStoreVoters("v1").equals("v1/1 v2/1 v3/1")), is(true));
+    assertThat(
+        cluster.awaitWithin(
+            6_000, () -> cluster.describeJobStoreVoters("v1").equals("v1/1 v2/1 v3/1")),
+        is(true));
     for (int i = 4; i <= count; i++) {
       cluster.store("v" + i, true);
     }
@@ -78,7 +81,10 @@
       assertThat(cluster.describeJobStoreVoters("v1"), equalTo("v1/1 v2/1 v3/1"));
     }
     cluster.net.healAll();
-    assertThat(cluster.awaitWithin(8_000, () -> cluster.describeJobStoreVoters("v1").equals("v1/1 v4/2 v3/1")), is(true));
+    assertThat(
+        cluster.awaitWithin(
+            8_000, () -> cluster.describeJobStoreVoters("v1").equals("v1/1 v4/2 v3/1")),
+        is(true));
   }
 
   @Test
@@ -86,7 +92,9 @@
     startControlPlane();
     stores(5);
     assertThat(cluster.beginDecommission("n2", "v4"), is(200));
-    assertThat(cluster.awaitWithin(6_000, () -> cluster.decommissionState("n1", "v4").equals(DELIVERED)), is(true));
+    assertThat(
+        cluster.awaitWithin(6_000, () -> cluster.decommissionState("n1", "v4").equals(DELIVERED)),
+        is(true));
     Partition.BOTH_WAYS.begin(cluster);
     cluster.timers.advance(CONTACT_MAX_AGE_MS);
     for (int i = 0; i < 40; i++) {
@@ -94,7 +102,9 @@
       assertThat(cluster.decommissionState("n1", "v4"), equalTo("503"));
     }
     cluster.net.healAll();
-    assertThat(cluster.awaitWithin(2_000, () -> cluster.decommissionState("n1", "v4").equals(DELIVERED)), is(true));
+    assertThat(
+        cluster.awaitWithin(2_000, () -> cluster.decommissionState("n1", "v4").equals(DELIVERED)),
+        is(true));
   }
 
   @Test
@@ -138,7 +148,8 @@
     startControlPlane();
     cluster.net.cutBoth(cluster.address("n1"), cluster.address("v4"));
     stores(4);
-    assertThat("not heard here, so it may be there", cluster.beginDecommission("n1", "v2"), is(503));
+    assertThat(
+        "not heard here, so it may be there", cluster.beginDecommission("n1", "v2"), is(503));
     assertThat(cluster.beginDecommission("n1", "v4"), is(200));
     assertThat(cluster.beginDecommission("n2", "v2"), is(409));
   }
@@ -173,11 +184,13 @@
       assertThat(cluster.beginDecommission("n2", "v2"), is(200));
       cluster.timers.advance(apart);
       assertThat(cluster.beginDecommission("n3", "v4"), is(200));
-      if (cluster.awaitWithin(8_000, () -> cluster.decommissionState("n3", "v4").equals(DELIVERED))) {
+      if (cluster.awaitWithin(
+          8_000, () -> cluster.decommissionState("n3", "v4").equals(DELIVERED))) {
         said++;
         long end = cluster.timers.now() + 2_000;
         while (cluster.timers.now() < end) {
-          assertThat(apart + " ms apart", cluster.describeJobStoreVoters("v1"), not(containsString("v4")));
+          assertThat(
+              apart + " ms apart", cluster.describeJobStoreVoters("v1"), not(containsString("v4")));
           cluster.timers.advance(20);
         }
       }
--- a/gateway/src/main/java/elmsail/gateway/Gateway.java
+++ b/gateway/src/main/java/elmsail/gateway/Gateway.java
@@ -8,18 +8,18 @@
 import elmsail.gateway.load.LoadChannel;
 import elmsail.gateway.load.LoadExchange;
 import elmsail.gateway.requests.ItemDispatcher;
-import elmsail.gateway.requests.RequestDispatcher;
 import elmsail.gateway.requests.RequestContext;
+import elmsail.gateway.requests.RequestDispatcher;
 import elmsail.gateway.servers.Servers;
 import elmsail.rpc.messages.LoadReport;
 import elmsail.runtime.NettyEventLoop;
 import elmsail.runtime.ProcessMetrics;
 import elmsail.runtime.Settings;
 import elmsail.runtime.Timers;
-import elmsail.runtime.http.SimpleHttpRequest;
-import elmsail.runtime.http.SimpleHttpResponse;
 import elmsail.runtime.http.HttpServer;
 import elmsail.runtime.http.MetricsEndpoint;
+import elmsail.runtime.http.SimpleHttpRequest;
+import elmsail.runtime.http.SimpleHttpResponse;
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.concurrent.CompletableFuture;
@@ -80,7 +80,8 @@
     counters = new RequestCounters(metrics.counters());
     metricsEndpoint = new MetricsEndpoint(metrics.counters(), timers);
     SplittableRandom random = new SplittableRandom();
-    servers = new Servers(timers, loop.eventLoop(), clusterState, settings.zone(), counters, random);
+    servers =
+        new Servers(timers, loop.eventLoop(), clusterState, settings.zone(), counters, random);
     RequestContext context = new RequestContext(timers, clusterState, servers, counters, random);
     loadChannel = new LoadChannel(this::onLoadReport);
     loadExchange =
@@ -140,7 +141,11 @@
             counters,
             settings.limits().maxFileDescriptors());
     CompletableFuture<HttpServer> readinessBound =
-        HttpServer.listen(loop, settings.listenAddresses().get("ready"), this::handleReadinessCall, MAX_READINESS_BODY_BYTES);
+        HttpServer.listen(
+            loop,
+            settings.listenAddresses().get("ready"),
+            this::handleReadinessCall,
+            MAX_READINESS_BODY_BYTES);
     return clientsBound.thenCombine(
         readinessBound,
         (f, r) -> {
--- a/gateway/src/main/java/elmsail/gateway/frontend/ClientConnection.java
+++ b/gateway/src/main/java/elmsail/gateway/frontend/ClientConnection.java
@@ -3,8 +3,8 @@
 import elmsail.config.RoutingConfig.ClientLimits;
 import elmsail.gateway.http.RequestCounters;
 import elmsail.gateway.requests.LocalReplies;
-import elmsail.gateway.requests.RequestHandle;
 import elmsail.gateway.requests.ReceivedRequest;
+import elmsail.gateway.requests.RequestHandle;
 import elmsail.runtime.Timers.Timer;
 import elmsail.runtime.http.StrictRequestDecoder;
 import io.netty.buffer.ByteBuf;
@@ -125,7 +125,11 @@
     }
     // A head may begin to come right behind this look.
     checkTimeouts =
-        listener.timers().schedule(Math.max(MIN_TIMEOUT_CHECK_MS, Math.min(remainingMs, limits.headerTimeoutMs())), this::checkTimeouts);
+        listener
+            .timers()
+            .schedule(
+                Math.max(MIN_TIMEOUT_CHECK_MS, Math.min(remainingMs, limits.headerTimeoutMs())),
+                this::checkTimeouts);
   }
 
   /** Whole seconds that the client is told it may leave the connection idle. */
--- a/gateway/src/main/java/elmsail/gateway/frontend/ClientListener.java
+++ b/gateway/src/main/java/elmsail/gateway/frontend/ClientListener.java
@@ -26,7 +26,8 @@
 /** The address that clients connect to, and their connections. All on the loop. */
 public final class ClientListener {
   private static final int BACKLOG = 1_024;
-  private static final ClientLimits DEFAULT_LIMITS = new ClientLimits(16_384, 4 << 20, 3_000, 15_000);
+  private static final ClientLimits DEFAULT_LIMITS =
+      new ClientLimits(16_384, 4 << 20, 3_000, 15_000);
 
   /** Descriptors that are kept for all but clients. */
   private static final int RESERVED_DESCRIPTORS = 600;
@@ -73,7 +74,8 @@
       RequestDispatcher dispatcher,
       RequestCounters counters,
       int maxDescriptors) {
-    ClientListener listener = new ClientListener(timers, clusterState, dispatcher, counters, maxDescriptors);
+    ClientListener listener =
+        new ClientListener(timers, clusterState, dispatcher, counters, maxDescriptors);
     CompletableFuture<ClientListener> bound = new CompletableFuture<>();
     ChannelFuture binding =
         new ServerBootstrap()
--- a/gateway/src/main/java/elmsail/gateway/http/Headers.java
+++ b/gateway/src/main/java/elmsail/gateway/http/Headers.java
@@ -56,7 +56,8 @@
         return true;
       }
       default -> {
-        return name.startsWith("proxy-") || !connectionTokens.isEmpty() && containsToken(connectionTokens, name);
+        return name.startsWith("proxy-")
+            || !connectionTokens.isEmpty() && containsToken(connectionTokens, name);
       }
     }
   }
--- a/gateway/src/main/java/elmsail/gateway/load/LoadChannel.java
+++ b/gateway/src/main/java/elmsail/gateway/load/LoadChannel.java
@@ -51,7 +51,8 @@
         new Bootstrap()
             .group(loop)
             .channel(NioDatagramChannel.class)
-            .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MAX_DATAGRAM_BYTES))
+            .option(
+                ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MAX_DATAGRAM_BYTES))
             .handler(new Receiver())
             .bind(Addresses.parse(address));
     bound.addListener(
@@ -98,7 +99,8 @@
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
       try {
-        onReport.accept(codec.fromDatagram(ByteBufUtil.getBytes(packet.content()), LoadReport.class));
+        onReport.accept(
+            codec.fromDatagram(ByteBufUtil.getBytes(packet.content()), LoadReport.class));
       } catch (ElmsailException e) {
         malformedCount++;
       }
--- a/gateway/src/main/java/elmsail/gateway/load/LoadExchange.java
+++ b/gateway/src/main/java/elmsail/gateway/load/LoadExchange.java
@@ -121,7 +121,8 @@
       return;
     }
     reportScheduled = true;
-    timers.schedule(Math.max(0, lastReportAt + MIN_REPORT_INTERVAL_MS - timers.now()), this::report);
+    timers.schedule(
+        Math.max(0, lastReportAt + MIN_REPORT_INTERVAL_MS - timers.now()), this::report);
   }
 
   /** A report came; one of this gateway itself, or with no sender, is passed over. */
@@ -191,7 +192,8 @@
       return;
     }
     aggregating = isActive() && members.aggregator().equals(ownAddress);
-    timers.schedule(aggregating ? MIN_TOTAL_INTERVAL_MS : AGGREGATOR_CHECK_INTERVAL_MS, this::aggregate);
+    timers.schedule(
+        aggregating ? MIN_TOTAL_INTERVAL_MS : AGGREGATOR_CHECK_INTERVAL_MS, this::aggregate);
     if (!aggregating) {
       return;
     }
@@ -238,7 +240,8 @@
     long now = timers.now();
     for (String gateway : listed) {
       boolean due =
-          now - lastIntroducedAt.getOrDefault(gateway, Long.MIN_VALUE / 2) >= introductionIntervalMs(gateway);
+          now - lastIntroducedAt.getOrDefault(gateway, Long.MIN_VALUE / 2)
+              >= introductionIntervalMs(gateway);
       if (due && !gateway.equals(ownAddress)) {
         introduceTo(gateway);
       }
@@ -253,7 +256,9 @@
     if (peerZone == null) {
       return UNKNOWN_PEER_INTRODUCTION_INTERVAL_MS;
     }
-    return peerZone.equals(zone) ? ZONE_PEER_INTRODUCTION_INTERVAL_MS : OTHER_ZONE_INTRODUCTION_INTERVAL_MS;
+    return peerZone.equals(zone)
+        ? ZONE_PEER_INTRODUCTION_INTERVAL_MS
+        : OTHER_ZONE_INTRODUCTION_INTERVAL_MS;
   }
 
   private void introduceTo(String gateway) {
--- a/gateway/src/main/java/elmsail/gateway/load/LoadTable.java
+++ b/gateway/src/main/java/elmsail/gateway/load/LoadTable.java
@@ -21,7 +21,8 @@
 
   private static final int MAX_ENTRIES = 4_096;
 
-  private record Report(long instanceId, long sequence, long receivedAt, List<ServerLoadEntry> entries) {}
+  private record Report(
+      long instanceId, long sequence, long receivedAt, List<ServerLoadEntry> entries) {}
 
   private final String zone;
   private final MonotonicClock clock;
--- a/gateway/src/main/java/elmsail/gateway/load/ServerLoad.java
+++ b/gateway/src/main/java/elmsail/gateway/load/ServerLoad.java
@@ -38,8 +38,7 @@
   }
 
   static ServerLoad of(ServerLoadEntry entry) {
-    return new ServerLoad(
-        clamp(entry.requests), clamp(entry.items), clamp(entry.prefillTokens));
+    return new ServerLoad(clamp(entry.requests), clamp(entry.items), clamp(entry.prefillTokens));
   }
 
   ServerLoadEntry toEntry(String server) {
--- a/gateway/src/main/java/elmsail/gateway/requests/ItemDispatcher.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/ItemDispatcher.java
@@ -38,7 +38,8 @@
   }
 
   @Override
-  public RunHandle start(Route route, BatchItem item, long resumeAfterEventId, RunListener listener) {
+  public RunHandle start(
+      Route route, BatchItem item, long resumeAfterEventId, RunListener listener) {
     long now = context.timers().now();
     List<Server> openServers = context.servers().serversOf(route);
     Set<Server> excluded = serversThatFailed(item.id(), openServers);
@@ -82,7 +83,9 @@
     }
     ItemRun run =
         new ItemRun(
-            context.timers(), resumeAfterEventId, new FailureRecorder(item.id(), server.id(), listener));
+            context.timers(),
+            resumeAfterEventId,
+            new FailureRecorder(item.id(), server.id(), listener));
     run.onStarted(context.servers().start(server, request, run));
     return run;
   }
--- a/gateway/src/main/java/elmsail/gateway/requests/ItemRun.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/ItemRun.java
@@ -1,8 +1,8 @@
 package elmsail.gateway.requests;
 
-import elmsail.batch.ItemServers.RunOutcome;
-import elmsail.batch.ItemServers.RunListener;
 import elmsail.batch.ItemServers.RunHandle;
+import elmsail.batch.ItemServers.RunListener;
+import elmsail.batch.ItemServers.RunOutcome;
 import elmsail.gateway.http.Headers;
 import elmsail.gateway.servers.Attempt;
 import elmsail.gateway.servers.AttemptListener;
@@ -70,7 +70,8 @@
   private boolean isStuck(long now) {
     long silenceMs = now - lastReceivedAt;
     Server server = attempt.server();
-    return silenceMs >= UNRESPONSIVE_SERVER_TIMEOUT_MS && (server.isRemoved() || server.isUnresponsive(now))
+    return silenceMs >= UNRESPONSIVE_SERVER_TIMEOUT_MS
+            && (server.isRemoved() || server.isUnresponsive(now))
         || silenceMs >= IDLE_SERVER_TIMEOUT_MS && server.reportsIdle(now);
   }
 
--- a/gateway/src/main/java/elmsail/gateway/requests/RequestDispatcher.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/RequestDispatcher.java
@@ -65,14 +65,16 @@
     if (route.kind() == Route.Kind.BATCH) {
       return submitJob(request, route, id, deadlineAt, client);
     }
-    RequestForwarder forwarder = new RequestForwarder(context, route, request, id, deadlineAt, client);
+    RequestForwarder forwarder =
+        new RequestForwarder(context, route, request, id, deadlineAt, client);
     forwarder.start();
     return forwarder;
   }
 
   private static long timeoutMs(ReceivedRequest request, Route route) {
     long maxMs = route.timeoutMs() > 0 ? route.timeoutMs() : MAX_REQUEST_MS;
-    return Math.min(maxMs, Headers.parseNonNegative(request.headers().get(Headers.DEADLINE_MS), maxMs));
+    return Math.min(
+        maxMs, Headers.parseNonNegative(request.headers().get(Headers.DEADLINE_MS), maxMs));
   }
 
   private RequestHandle submitJob(
@@ -91,7 +93,8 @@
       case "GET" -> {
         long after = Headers.parseNonNegative(parameter(request, "after"), 0);
         long wait =
-            Math.min(MAX_WAIT_MS, Headers.parseNonNegative(request.headers().get(Headers.WAIT_MS), 0));
+            Math.min(
+                MAX_WAIT_MS, Headers.parseNonNegative(request.headers().get(Headers.WAIT_MS), 0));
         return relayBatchReply(jobs.readResults(jobId, after, wait), client);
       }
       case "DELETE" -> {
@@ -124,7 +127,11 @@
   private RequestHandle sendLocalReply(
       ResponseSink client, int status, String id, RequestCounters.Event reason) {
     context.counters().count(reason);
-    LocalReplies.send(client, status, id, status == 503 ? LocalReplies.startupRetryAfterSeconds(context.random()) : 0);
+    LocalReplies.send(
+        client,
+        status,
+        id,
+        status == 503 ? LocalReplies.startupRetryAfterSeconds(context.random()) : 0);
     return RequestHandle.NONE;
   }
 }
--- a/gateway/src/main/java/elmsail/gateway/requests/RequestForwarder.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/RequestForwarder.java
@@ -98,7 +98,11 @@
                 () -> {
                   long now = context.timers().now();
                   boolean late = now - lastCheckAt > CHECK_INTERVAL_MS + MAX_CHECK_DELAY_MS;
-                  if (!late && attempt != null && attempt.isSent() && attempt.server().isUnresponsive(now) && hasRetryTarget()) {
+                  if (!late
+                      && attempt != null
+                      && attempt.isSent()
+                      && attempt.server().isUnresponsive(now)
+                      && hasRetryTarget()) {
                     context.counters().count(RequestCounters.Event.GONE_DARK);
                     attempt.timedOut(now);
                     failed(true);
@@ -111,7 +115,8 @@
 
   /** Whether one more server is allowed and there. */
   private boolean hasRetryTarget() {
-    Server other = retryAllowed() ? context.servers().pick(route, request.prompt(), attemptedServers) : null;
+    Server other =
+        retryAllowed() ? context.servers().pick(route, request.prompt(), attemptedServers) : null;
     return other != null && !context.servers().isUnhealthy(other);
   }
 
@@ -135,12 +140,15 @@
             || mayHaveRun && !route.isIdempotent()
             || deadlineAt - context.timers().now() < MIN_REMAINING_MS;
     Server server =
-        exhausted ? null : context.servers().pick(route, request.prompt(), attemptedServers, selectionMode());
+        exhausted
+            ? null
+            : context.servers().pick(route, request.prompt(), attemptedServers, selectionMode());
     if (server == null) {
       giveUp();
       return;
     }
-    if (attemptedServers.isEmpty() && context.servers().rejects(server, request.prompt(), route.latencyTargetMs())) {
+    if (attemptedServers.isEmpty()
+        && context.servers().rejects(server, request.prompt(), route.latencyTargetMs())) {
       reject(RequestCounters.Event.REFUSED_FULL);
       return;
     }
@@ -160,7 +168,8 @@
     } else if (firstError != null) {
       relayFirstError();
     } else if (mayHaveRun) {
-      sendLocalReply(AttemptOutcome.localReplyStatus(true, false), RequestCounters.Event.BAD_GATEWAY);
+      sendLocalReply(
+          AttemptOutcome.localReplyStatus(true, false), RequestCounters.Event.BAD_GATEWAY);
     } else {
       reject(
           sentAttempts > 0
@@ -209,7 +218,9 @@
     finish();
     context.counters().count(reason);
     double retryAfterSeconds =
-        context.servers().hasAny() ? LocalReplies.retryAfterSeconds(context.random()) : LocalReplies.startupRetryAfterSeconds(context.random());
+        context.servers().hasAny()
+            ? LocalReplies.retryAfterSeconds(context.random())
+            : LocalReplies.startupRetryAfterSeconds(context.random());
     LocalReplies.send(relay.client(), status, request.id(), status == 503 ? retryAfterSeconds : 0);
   }
 
--- a/gateway/src/main/java/elmsail/gateway/requests/ResponseRelay.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/ResponseRelay.java
@@ -180,7 +180,8 @@
 
   /** Takes the whole answer of the present try out of the relay; see {@link #hasRetryableError}. */
   RetainedErrorResponse takeError() {
-    RetainedErrorResponse error = new RetainedErrorResponse(onHead, buffered == null ? Unpooled.EMPTY_BUFFER : buffered);
+    RetainedErrorResponse error =
+        new RetainedErrorResponse(onHead, buffered == null ? Unpooled.EMPTY_BUFFER : buffered);
     buffered = null;
     return error;
   }
--- a/gateway/src/main/java/elmsail/gateway/servers/AdmissionPolicy.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/AdmissionPolicy.java
@@ -34,7 +34,8 @@
     if (latencyTargetMs <= 0) {
       return false;
     }
-    double maxWaitRatio = estimate.fromSharedLoad() ? MAX_WAIT_RATIO_SHARED_LOAD : MAX_WAIT_RATIO_REPORTED_LOAD;
+    double maxWaitRatio =
+        estimate.fromSharedLoad() ? MAX_WAIT_RATIO_SHARED_LOAD : MAX_WAIT_RATIO_REPORTED_LOAD;
     return estimate.waitMs() > latencyTargetMs * maxWaitRatio;
   }
 }
--- a/gateway/src/main/java/elmsail/gateway/servers/Attempt.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/Attempt.java
@@ -68,7 +68,10 @@
 
   /** It got no answer in its time: closes the connection, and the server is avoided for a while. */
   public void timedOut(long now) {
-    if (!isFinished && !hasResponse && now - startedAt >= Server.SUSPECT_AFTER_MS && server.isSuspect(now)) {
+    if (!isFinished
+        && !hasResponse
+        && now - startedAt >= Server.SUSPECT_AFTER_MS
+        && server.isSuspect(now)) {
       server.recordFailure(now);
     }
     cancel();
--- a/gateway/src/main/java/elmsail/gateway/servers/ConnectionPool.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ConnectionPool.java
@@ -40,7 +40,8 @@
   private final Bootstrap bootstrap;
   private boolean isStopped;
 
-  ConnectionPool(Timers timers, EventLoop loop, ClusterState clusterState, RequestCounters counters) {
+  ConnectionPool(
+      Timers timers, EventLoop loop, ClusterState clusterState, RequestCounters counters) {
     this.timers = timers;
     this.clusterState = clusterState;
     this.counters = counters;
@@ -86,13 +87,17 @@
     RoutingConfig config = clusterState.config();
     Service service = config == null ? null : config.services().get(server.entry().service());
     int cap =
-        service == null || service.maxConnections() <= 0 ? DEFAULT_CONNECTIONS : service.maxConnections();
+        service == null || service.maxConnections() <= 0
+            ? DEFAULT_CONNECTIONS
+            : service.maxConnections();
     return Math.max(MIN_CONNECTIONS, cap / Math.max(1, clusterState.view().gateways.size()));
   }
 
   /** Sends the attempt's request over some connection; what is heard of it comes later. */
   void send(Server server, Attempt attempt) {
-    boolean connectFirst = server.isConnectionDoubtful(timers.now()) && server.connectionCount < maxConnections(server);
+    boolean connectFirst =
+        server.isConnectionDoubtful(timers.now())
+            && server.connectionCount < maxConnections(server);
     ServerConnection reusable = connectFirst ? null : pollReusable(server, attempt.request().id());
     if (reusable != null) {
       reusable.send(attempt);
@@ -105,7 +110,8 @@
   private ServerConnection pollReusable(Server server, String requestId) {
     long now = timers.now();
     boolean atLimit = server.connectionCount >= maxConnections(server);
-    for (Iterator<ServerConnection> all = server.idleConnections.descendingIterator(); all.hasNext(); ) {
+    for (Iterator<ServerConnection> all = server.idleConnections.descendingIterator();
+        all.hasNext(); ) {
       ServerConnection connection = all.next();
       if ((now - connection.idleSince() >= REUSE_DELAY_MS || atLimit)
           && !connection.lastCarried(requestId)) {
@@ -122,8 +128,10 @@
   private void connect(Server server, Attempt attempt) {
     ServerConnection connection = new ServerConnection(this, server);
     server.connectionCount++;
-    int connectTimeoutMs = server.isConnectionDoubtful(timers.now()) ? SUSPECT_CONNECT_TIMEOUT_MS : CONNECT_TIMEOUT_MS;
-    Bootstrap timedBootstrap = bootstrap.clone().option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMs);
+    int connectTimeoutMs =
+        server.isConnectionDoubtful(timers.now()) ? SUSPECT_CONNECT_TIMEOUT_MS : CONNECT_TIMEOUT_MS;
+    Bootstrap timedBootstrap =
+        bootstrap.clone().option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMs);
     ChannelFuture connect =
         timedBootstrap
             .handler(
--- a/gateway/src/main/java/elmsail/gateway/servers/ErrorBackoff.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ErrorBackoff.java
@@ -48,7 +48,9 @@
     if (isEjected && now < probeAt) {
       return false;
     }
-    long backoffMs = Math.min(MAX_EJECTION_MS, INITIAL_EJECTION_MS << Math.min(consecutiveErrors, MAX_DOUBLINGS));
+    long backoffMs =
+        Math.min(
+            MAX_EJECTION_MS, INITIAL_EJECTION_MS << Math.min(consecutiveErrors, MAX_DOUBLINGS));
     consecutiveErrors++;
     isEjected = true;
     ejectedAt = now;
@@ -79,7 +81,9 @@
    * @param retryable whether an error of this request would be retried elsewhere
    */
   boolean mayProbe(boolean retryable, long now) {
-    return isEjected && !probing && now >= (retryable ? probeAt : probeAt + NON_RETRYABLE_PROBE_DELAY_MS);
+    return isEjected
+        && !probing
+        && now >= (retryable ? probeAt : probeAt + NON_RETRYABLE_PROBE_DELAY_MS);
   }
 
   /** Whether the server is to be passed over for such a request; see {@link #mayProbe}. */
--- a/gateway/src/main/java/elmsail/gateway/servers/ItemAdmission.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ItemAdmission.java
@@ -66,12 +66,17 @@
   /** How many more items may be started; several gateways may start so many at once. */
   static int availableCapacity(ServerState server) {
     boolean shared = server.loadSource() != LoadSource.REPORTED;
-    boolean prefillBacklogged = shared && server.pendingPrefillTokens() > MAX_PENDING_PREFILL_TOKENS;
-    if (server.sinceLastItemMs() < MIN_START_INTERVAL_MS || server.queued() >= MAX_QUEUED || prefillBacklogged) {
+    boolean prefillBacklogged =
+        shared && server.pendingPrefillTokens() > MAX_PENDING_PREFILL_TOKENS;
+    if (server.sinceLastItemMs() < MIN_START_INTERVAL_MS
+        || server.queued() >= MAX_QUEUED
+        || prefillBacklogged) {
       return 0;
     }
-    int maxItems = Math.max(MIN_ITEMS_PER_GATEWAY, (int) (server.maxConcurrency() * MAX_SHARE_PER_GATEWAY));
-    int freeSlots = (int) (server.maxConcurrency() * maxUtilization(server.loadSource()) - server.running());
+    int maxItems =
+        Math.max(MIN_ITEMS_PER_GATEWAY, (int) (server.maxConcurrency() * MAX_SHARE_PER_GATEWAY));
+    int freeSlots =
+        (int) (server.maxConcurrency() * maxUtilization(server.loadSource()) - server.running());
     return Math.max(0, Math.min(maxItems - server.ownItems(), freeSlots));
   }
 
--- a/gateway/src/main/java/elmsail/gateway/servers/PrefixCacheEstimate.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/PrefixCacheEstimate.java
@@ -13,7 +13,8 @@
   private static final int INITIAL_CAPACITY = 64;
   private static final float LOAD_FACTOR = 0.75f;
 
-  private final LinkedHashMap<Long, Integer> tokensBySegment = new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
+  private final LinkedHashMap<Long, Integer> tokensBySegment =
+      new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
   private long maxTokens;
   private long totalTokens;
 
@@ -28,7 +29,9 @@
   /** How many of the prompt's tokens need not be read anew, if nothing was given up since. */
   int cachedTokens(Prompt prompt) {
     int sum = 0;
-    for (int i = 0; i < prompt.segmentKeys().length && tokensBySegment.containsKey(prompt.segmentKeys()[i]); i++) {
+    for (int i = 0;
+        i < prompt.segmentKeys().length && tokensBySegment.containsKey(prompt.segmentKeys()[i]);
+        i++) {
       sum += prompt.segmentTokens()[i];
     }
     return sum;
--- a/gateway/src/main/java/elmsail/gateway/servers/Prompt.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/Prompt.java
@@ -19,7 +19,10 @@
    * is 0.
    */
   public static Prompt parse(String segments, String inputAndOutput) {
-    int total = inputAndOutput == null ? 0 : parseTokens(inputAndOutput, 0, indexOfOrEnd(inputAndOutput, 0, ','));
+    int total =
+        inputAndOutput == null
+            ? 0
+            : parseTokens(inputAndOutput, 0, indexOfOrEnd(inputAndOutput, 0, ','));
     if (segments == null || segments.isEmpty()) {
       return total == 0 ? NONE : new Prompt(new long[0], new int[0], total);
     }
--- a/gateway/src/main/java/elmsail/gateway/servers/PromptAffinity.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/PromptAffinity.java
@@ -37,7 +37,10 @@
     for (Server server : open) {
       boolean sameZone = zone.equals(server.entry().zone());
       long rank = rank(key, server);
-      if (key != 0 && (best == null || sameZone && !bestInZone || sameZone == bestInZone && rank > bestRank)) {
+      if (key != 0
+          && (best == null
+              || sameZone && !bestInZone
+              || sameZone == bestInZone && rank > bestRank)) {
         best = server;
         bestInZone = sameZone;
         bestRank = rank;
--- a/gateway/src/main/java/elmsail/gateway/servers/ReportedLoad.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ReportedLoad.java
@@ -61,7 +61,10 @@
 
   /** Whether it said just now that nothing waits there and that it has many places free. */
   boolean isIdle(int maxConcurrency, long now) {
-    return isKnown && now - reportedAt <= IDLE_REPORT_VALID_MS && queued == 0 && running < maxConcurrency * MAX_IDLE_UTILIZATION;
+    return isKnown
+        && now - reportedAt <= IDLE_REPORT_VALID_MS
+        && queued == 0
+        && running < maxConcurrency * MAX_IDLE_UTILIZATION;
   }
 
   private double weight(long now, double halfLifeMs) {
--- a/gateway/src/main/java/elmsail/gateway/servers/Server.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/Server.java
@@ -316,7 +316,9 @@
 
   /** Until one that waits there gets a place, for each one before it, in ms. */
   double slotReleaseIntervalMs() {
-    return reportsLoad() ? SlotHoldTime.DEFAULT_RELEASE_INTERVAL_MS : slotHoldTime.releaseIntervalMs(entry.maxConcurrency());
+    return reportsLoad()
+        ? SlotHoldTime.DEFAULT_RELEASE_INTERVAL_MS
+        : slotHoldTime.releaseIntervalMs(entry.maxConcurrency());
   }
 
   /** How many items of batch jobs may be started here now; see {@link ItemAdmission}. */
--- a/gateway/src/main/java/elmsail/gateway/servers/ServerConnection.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ServerConnection.java
@@ -104,7 +104,8 @@
 
   /** Whether the server will not close it just now. */
   boolean isFresh(long now) {
-    return now - idleSince < keepAliveMs - Math.min(MAX_EXPIRY_MARGIN_MS, keepAliveMs * EXPIRY_MARGIN_RATIO);
+    return now - idleSince
+        < keepAliveMs - Math.min(MAX_EXPIRY_MARGIN_MS, keepAliveMs * EXPIRY_MARGIN_RATIO);
   }
 
   /**
@@ -139,7 +140,8 @@
     isHeadRequest = message.method().equals(HttpMethod.HEAD);
     ChannelFuture write = channel.writeAndFlush(message);
     if (write.isDone() && !write.isSuccess()) {
-      pool.timers().execute(() -> onWriteFailed(attempt)); // not within the call that begins the attempt
+      pool.timers()
+          .execute(() -> onWriteFailed(attempt)); // not within the call that begins the attempt
     } else {
       write.addListener(
           f -> {
@@ -291,14 +293,16 @@
       server.idleConnections.addLast(this);
     } else {
       long unwrittenBytes = unwrittenBytes();
-      bodyStallTimer = pool.timers().schedule(BODY_STALL_TIMEOUT_MS, () -> checkBodyProgress(unwrittenBytes));
+      bodyStallTimer =
+          pool.timers().schedule(BODY_STALL_TIMEOUT_MS, () -> checkBodyProgress(unwrittenBytes));
     }
   }
 
   private void checkBodyProgress(long unwrittenBytesBefore) {
     long unwrittenBytes = unwrittenBytes();
     if (unwrittenBytes < unwrittenBytesBefore) {
-      bodyStallTimer = pool.timers().schedule(BODY_STALL_TIMEOUT_MS, () -> checkBodyProgress(unwrittenBytes));
+      bodyStallTimer =
+          pool.timers().schedule(BODY_STALL_TIMEOUT_MS, () -> checkBodyProgress(unwrittenBytes));
     } else {
       channel.close();
     }
--- a/gateway/src/main/java/elmsail/gateway/servers/ServerSelector.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ServerSelector.java
@@ -34,12 +34,12 @@
    * One server as it stands.
    *
    * @param cachedTokens of the prompt that it was sent before
-   * @param affinityTokens of the prompt that other gateways will have sent there, 0 unless it is the
-   *     prompt's home
+   * @param affinityTokens of the prompt that other gateways will have sent there, 0 unless it is
+   *     the prompt's home
    * @param running estimate of requests running, all gateways'
    * @param queued estimate of requests waiting there
-   * @param pendingPrefillTokens tokens of the requests there that have no answer yet, of this gateway's
-   *     alone where the server tells its load
+   * @param pendingPrefillTokens tokens of the requests there that have no answer yet, of this
+   *     gateway's alone where the server tells its load
    * @param slotReleaseIntervalMs until one that waits there gets a place, for each one before it
    */
   public record Candidate(
@@ -57,11 +57,18 @@
 
   /** The estimated ms until the request's first token, with what it takes from others. */
   public static double costMs(Candidate candidate, int promptTokens) {
-    double cost = prefillMs(candidate, promptTokens) + waitMs(candidate) + candidate.running() * COST_PER_RUNNING_MS;
+    double cost =
+        prefillMs(candidate, promptTokens)
+            + waitMs(candidate)
+            + candidate.running() * COST_PER_RUNNING_MS;
     double nearlyFullAt = candidate.maxConcurrency() * NEARLY_FULL_UTILIZATION;
     if (candidate.maxConcurrency() > 0 && candidate.running() + candidate.queued() > nearlyFullAt) {
       cost +=
-          NEARLY_FULL_COST_MS * Math.min(2, (candidate.running() + candidate.queued() - nearlyFullAt) / (candidate.maxConcurrency() - nearlyFullAt));
+          NEARLY_FULL_COST_MS
+              * Math.min(
+                  2,
+                  (candidate.running() + candidate.queued() - nearlyFullAt)
+                      / (candidate.maxConcurrency() - nearlyFullAt));
     }
     cost += candidate.sameZone() ? 0 : OTHER_ZONE_COST_MS;
     return candidate.avoided() ? cost + AVOIDED_COST_MS : cost;
@@ -69,7 +76,8 @@
 
   /** The estimated ms to read what the server does not hold of the prompt. */
   public static double prefillMs(Candidate candidate, int promptTokens) {
-    double cachedTokens = Math.max(candidate.cachedTokens(), candidate.affinityTokens() * AFFINITY_CACHE_RATIO);
+    double cachedTokens =
+        Math.max(candidate.cachedTokens(), candidate.affinityTokens() * AFFINITY_CACHE_RATIO);
     return Math.max(0, promptTokens - cachedTokens) / PREFILL_TOKENS_PER_MS;
   }
 
@@ -77,7 +85,9 @@
    * The estimated ms until what waits there is read; those of this gateway may be among those told.
    */
   public static double waitMs(Candidate candidate) {
-    return Math.max(candidate.pendingPrefillTokens() / PREFILL_TOKENS_PER_MS, candidate.queued() * candidate.slotReleaseIntervalMs());
+    return Math.max(
+        candidate.pendingPrefillTokens() / PREFILL_TOKENS_PER_MS,
+        candidate.queued() * candidate.slotReleaseIntervalMs());
   }
 
   /**
@@ -115,7 +125,8 @@
     }
     int best = -1;
     for (int i = 0; i < costs.length; i++) {
-      if (costs[i] <= lowestCost + SPREAD_TOLERANCE_MS && (best < 0 || ranksBefore(candidates, ranks, i, best))) {
+      if (costs[i] <= lowestCost + SPREAD_TOLERANCE_MS
+          && (best < 0 || ranksBefore(candidates, ranks, i, best))) {
         best = i;
       }
     }
--- a/gateway/src/main/java/elmsail/gateway/servers/Servers.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/Servers.java
@@ -148,7 +148,9 @@
     RoutingConfig config = clusterState.config();
     Service server = config == null ? null : config.services().get(service);
     // About half of it is taken by requests that run.
-    return server == null || server.kvCacheTokens() <= 0 ? DEFAULT_CACHE_TOKENS : server.kvCacheTokens() / 2;
+    return server == null || server.kvCacheTokens() <= 0
+        ? DEFAULT_CACHE_TOKENS
+        : server.kvCacheTokens() / 2;
   }
 
   /** See {@link ConnectionPool#maxConnections}. */
@@ -199,7 +201,8 @@
     while (!shares.isEmpty()) {
       Route.WeightedService share = roundRobin.next(shares);
       shares.remove(share);
-      Server server = share.weight() > 0 ? pickAmong(serversOf(share.service()), prompt, excluded, mode) : null;
+      Server server =
+          share.weight() > 0 ? pickAmong(serversOf(share.service()), prompt, excluded, mode) : null;
       if (server != null) {
         return server;
       }
@@ -208,15 +211,20 @@
   }
 
   /** The best of these with room for a connection, or null. */
-  private Server pickAmong(List<Server> among, Prompt prompt, Set<Server> excluded, SelectionMode mode) {
+  private Server pickAmong(
+      List<Server> among, Prompt prompt, Set<Server> excluded, SelectionMode mode) {
     long now = timers.now();
     List<Server> open = new ArrayList<>(among.size());
     for (Server server : among) {
-      if (!excluded.contains(server) && !server.isRemoved() && !server.isMisdirected() && hasConnectionCapacity(server)) {
+      if (!excluded.contains(server)
+          && !server.isRemoved()
+          && !server.isMisdirected()
+          && hasConnectionCapacity(server)) {
         open.add(server);
       }
     }
-    Server probeTarget = mode == SelectionMode.PROBE_PREFERRED ? firstAwaitingProbe(open, now) : null;
+    Server probeTarget =
+        mode == SelectionMode.PROBE_PREFERRED ? firstAwaitingProbe(open, now) : null;
     if (probeTarget != null) {
       return probeTarget;
     }
@@ -228,7 +236,8 @@
     }
     int at =
         peerLoads.heard() && open.stream().noneMatch(Server::reportsLoad)
-            ? ServerSelector.pickSpread(candidates, affinity.ranks(open, prompt), prompt.totalTokens())
+            ? ServerSelector.pickSpread(
+                candidates, affinity.ranks(open, prompt), prompt.totalTokens())
             : ServerSelector.pick(candidates, prompt.totalTokens(), turn++);
     return at < 0 ? null : open.get(at);
   }
@@ -272,10 +281,12 @@
 
   /** Whether a request for that server is refused at once; see {@link AdmissionPolicy}. */
   public boolean rejects(Server server, Prompt prompt, long latencyTargetMs) {
-    ServerSelector.Candidate candidate = candidate(server, prompt, false, SelectionMode.NOT_RETRYABLE, timers.now());
+    ServerSelector.Candidate candidate =
+        candidate(server, prompt, false, SelectionMode.NOT_RETRYABLE, timers.now());
     boolean loadIsShared = peerLoads.heard() && !server.reportsLoad();
     return AdmissionPolicy.rejects(
-        new AdmissionPolicy.Estimate(ServerSelector.waitMs(candidate), loadIsShared), latencyTargetMs);
+        new AdmissionPolicy.Estimate(ServerSelector.waitMs(candidate), loadIsShared),
+        latencyTargetMs);
   }
 
   /** Whether it failed or erred lately or is silent. */
--- a/gateway/src/main/java/elmsail/gateway/servers/SlotHoldTime.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/SlotHoldTime.java
@@ -27,6 +27,8 @@
 
   /** The mean time between two places that become free at a full server, in ms. */
   double releaseIntervalMs(int maxConcurrency) {
-    return learned && maxConcurrency > 0 ? meanHoldMs / maxConcurrency : DEFAULT_RELEASE_INTERVAL_MS;
+    return learned && maxConcurrency > 0
+        ? meanHoldMs / maxConcurrency
+        : DEFAULT_RELEASE_INTERVAL_MS;
   }
 }
--- a/gateway/src/main/java/elmsail/gateway/servers/SmoothWeightedRoundRobin.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/SmoothWeightedRoundRobin.java
@@ -51,7 +51,10 @@
     for (Route.WeightedService share : among) {
       if (share.weight() > 0) {
         currentWeights.merge(share, share.weight() / totalWeight, Double::sum);
-        selected = selected == null || currentWeights.get(share) > currentWeights.get(selected) ? share : selected;
+        selected =
+            selected == null || currentWeights.get(share) > currentWeights.get(selected)
+                ? share
+                : selected;
       }
     }
     if (selected == null) {
--- a/gateway/src/test/java/elmsail/gateway/BatchItemExecutionTest.java
+++ b/gateway/src/test/java/elmsail/gateway/BatchItemExecutionTest.java
@@ -6,9 +6,9 @@
 import static org.hamcrest.Matchers.nullValue;
 
 import elmsail.batch.BatchItem;
-import elmsail.batch.ItemServers.RunOutcome;
-import elmsail.batch.ItemServers.RunListener;
 import elmsail.batch.ItemServers.RunHandle;
+import elmsail.batch.ItemServers.RunListener;
+import elmsail.batch.ItemServers.RunOutcome;
 import elmsail.gateway.RawConnection.Message;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -55,7 +55,11 @@
 
   private RunHandle start(long behind) throws Exception {
     return harness.onLoop(
-        () -> harness.gateway.itemServers().start(harness.clusterState.routeByName("sack"), ITEM, behind, listener));
+        () ->
+            harness
+                .gateway
+                .itemServers()
+                .start(harness.clusterState.routeByName("sack"), ITEM, behind, listener));
   }
 
   private String next() throws Exception {
@@ -89,7 +93,10 @@
     start(3);
     RawConnection server = harness.firstServer.accept();
     assertThat(server.readMessage().header("Last-Event-Id"), is("3"));
-    server.write(GatewayTestHarness.streamHead("e5", "p")).write(GatewayTestHarness.chunk(GatewayTestHarness.event(4))).write("0\r\n\r\n");
+    server
+        .write(GatewayTestHarness.streamHead("e5", "p"))
+        .write(GatewayTestHarness.chunk(GatewayTestHarness.event(4)))
+        .write("0\r\n\r\n");
     assertThat(next(), is("4:e4"));
     assertThat(next(), is("WHOLE"));
   }
@@ -99,7 +106,9 @@
     start(3);
     RawConnection server = harness.firstServer.accept();
     server.readMessage();
-    server.write(GatewayTestHarness.streamHead("e5", "p")).write(GatewayTestHarness.chunk(GatewayTestHarness.event(5)));
+    server
+        .write(GatewayTestHarness.streamHead("e5", "p"))
+        .write(GatewayTestHarness.chunk(GatewayTestHarness.event(5)));
     assertThat(next(), is("BROKEN"));
     assertThat(server.isClosedByPeer(), is(true));
   }
@@ -135,7 +144,9 @@
     start(-1);
     RawConnection server = harness.firstServer.accept();
     server.readMessage();
-    server.write(GatewayTestHarness.streamHead("e5", "p")).write(GatewayTestHarness.chunk(GatewayTestHarness.event(0)));
+    server
+        .write(GatewayTestHarness.streamHead("e5", "p"))
+        .write(GatewayTestHarness.chunk(GatewayTestHarness.event(0)));
     assertThat(next(), is("0:e0"));
     server.close();
     assertThat(next(), is("BROKEN"));
@@ -146,7 +157,9 @@
     start(-1);
     RawConnection server = harness.firstServer.accept();
     server.readMessage();
-    server.write(GatewayTestHarness.response(200, "e5", GatewayTestHarness.event(0), "Content-Type: text/event-stream"));
+    server.write(
+        GatewayTestHarness.response(
+            200, "e5", GatewayTestHarness.event(0), "Content-Type: text/event-stream"));
     assertThat(next(), is("BROKEN"));
   }
 
@@ -173,12 +186,24 @@
 
   @Test
   void itemCapacityIsLimited() throws Exception {
-    int room = harness.onLoop(() -> harness.gateway.itemServers().availableCapacity(harness.clusterState.routeByName("sack")));
+    int room =
+        harness.onLoop(
+            () ->
+                harness
+                    .gateway
+                    .itemServers()
+                    .availableCapacity(harness.clusterState.routeByName("sack")));
     assertThat(room, is(12));
     for (int left = room; left > room - 4; left--) {
       int now = left;
       assertThat(
-          harness.onLoop(() -> harness.gateway.itemServers().availableCapacity(harness.clusterState.routeByName("sack"))), is(now));
+          harness.onLoop(
+              () ->
+                  harness
+                      .gateway
+                      .itemServers()
+                      .availableCapacity(harness.clusterState.routeByName("sack"))),
+          is(now));
       assertThat(start(-1), is(notNullValue()));
       assertThat("prompts are not begun together", start(-1), is(nullValue()));
       harness.timers.advance(80);
@@ -190,9 +215,18 @@
     RawConnection client = harness.request("unsafe", "a1");
     RawConnection server = harness.firstServer.accept();
     server.readMessage();
-    server.write(GatewayTestHarness.response(200, "a1", "x", "Elmsail-Postmark: p", "Elmsail-Server-Load: 24,3,24"));
+    server.write(
+        GatewayTestHarness.response(
+            200, "a1", "x", "Elmsail-Postmark: p", "Elmsail-Server-Load: 24,3,24"));
     client.readMessage();
-    assertThat(harness.onLoop(() -> harness.gateway.itemServers().availableCapacity(harness.clusterState.routeByName("sack"))), is(0));
+    assertThat(
+        harness.onLoop(
+            () ->
+                harness
+                    .gateway
+                    .itemServers()
+                    .availableCapacity(harness.clusterState.routeByName("sack"))),
+        is(0));
     harness.setServers(List.of());
     assertThat(start(-1), is(nullValue()));
   }
@@ -203,7 +237,9 @@
     start(-1);
     RawConnection server = harness.firstServer.accept();
     server.readMessage();
-    server.write(GatewayTestHarness.streamHead("e5", "p")).write(GatewayTestHarness.chunk(GatewayTestHarness.event(0)));
+    server
+        .write(GatewayTestHarness.streamHead("e5", "p"))
+        .write(GatewayTestHarness.chunk(GatewayTestHarness.event(0)));
     assertThat(next(), is("0:e0"));
     advanceInSteps(4_000);
     assertThat(next(), is("BROKEN"));
@@ -232,7 +268,8 @@
     RawConnection busy = harness.firstServer.accept();
     busy.readMessage();
     busy.write(
-        GatewayTestHarness.streamHead("a1", "p").replace("\r\n\r\n", "\r\nElmsail-Server-Load: 24,9,24\r\n\r\n"));
+        GatewayTestHarness.streamHead("a1", "p")
+            .replace("\r\n\r\n", "\r\nElmsail-Server-Load: 24,9,24\r\n\r\n"));
     for (int i = 0; i < 16; i++) {
       busy.write(GatewayTestHarness.chunk(GatewayTestHarness.event(i)));
       if (i == 0) {
@@ -241,7 +278,10 @@
       assertThat(client.readChunk(), is(GatewayTestHarness.event(i)));
       harness.timers.advance(250);
     }
-    server.write(GatewayTestHarness.streamHead("e5", "p")).write(GatewayTestHarness.chunk(GatewayTestHarness.event(0))).write("0\r\n\r\n");
+    server
+        .write(GatewayTestHarness.streamHead("e5", "p"))
+        .write(GatewayTestHarness.chunk(GatewayTestHarness.event(0)))
+        .write("0\r\n\r\n");
     assertThat(next(), is("0:e0"));
     assertThat(next(), is("WHOLE"));
   }
@@ -256,7 +296,12 @@
             "Elmsail-Prompt-Prefix", "9C2e41:300,,5d07b8:240",
             "Elmsail-Deadline-Ms", "70000");
     BatchItem item = new BatchItem("e5", "/sack/3/91", envelope, new byte[] {7}, 940);
-    harness.onLoop(() -> harness.gateway.itemServers().start(harness.clusterState.routeByName("sack"), item, -1, listener));
+    harness.onLoop(
+        () ->
+            harness
+                .gateway
+                .itemServers()
+                .start(harness.clusterState.routeByName("sack"), item, -1, listener));
     Message received = harness.firstServer.accept().readMessage();
     envelope.forEach((name, value) -> assertThat(received.header(name), is(value)));
   }
@@ -266,7 +311,11 @@
   void itemCancelledBeforeSendingDoesNotReachTheServer() throws Exception {
     harness.onLoop(
         () -> {
-          harness.gateway.itemServers().start(harness.clusterState.routeByName("sack"), ITEM, -1, listener).cancel();
+          harness
+              .gateway
+              .itemServers()
+              .start(harness.clusterState.routeByName("sack"), ITEM, -1, listener)
+              .cancel();
           return null;
         });
     RawConnection server = harness.firstServer.pollConnection();
--- a/gateway/src/test/java/elmsail/gateway/CloseDelimitedResponseTest.java
+++ b/gateway/src/test/java/elmsail/gateway/CloseDelimitedResponseTest.java
@@ -85,13 +85,20 @@
     harness.listServers(harness.firstServer, harness.secondServer);
     RawConnection client = harness.request("resume", "a1");
     serverAsked()
-        .write(HEAD + "Content-Type: text/event-stream\r\n\r\n" + GatewayTestHarness.event(0) + "id: 1\nda")
+        .write(
+            HEAD
+                + "Content-Type: text/event-stream\r\n\r\n"
+                + GatewayTestHarness.event(0)
+                + "id: 1\nda")
         .close();
     client.readHead();
     assertThat(client.readChunk(), is(GatewayTestHarness.event(0)));
     RawConnection other = harness.secondServer.accept();
     assertThat(other.readMessage().header("Last-Event-Id"), is("0"));
-    other.write(GatewayTestHarness.streamHead("a1", "p")).write(GatewayTestHarness.chunk(GatewayTestHarness.event(1))).write("0\r\n\r\n");
+    other
+        .write(GatewayTestHarness.streamHead("a1", "p"))
+        .write(GatewayTestHarness.chunk(GatewayTestHarness.event(1)))
+        .write("0\r\n\r\n");
     assertThat(client.readChunk(), is(GatewayTestHarness.event(1)));
     assertThat(client.readChunk(), is(""));
   }
--- a/gateway/src/test/java/elmsail/gateway/EarlyResponseTest.java
+++ b/gateway/src/test/java/elmsail/gateway/EarlyResponseTest.java
@@ -34,7 +34,9 @@
             + "b".repeat(BODY_BYTES));
     server = harness.firstServer.accept();
     server.readHead();
-    server.write(GatewayTestHarness.response(200, "a1", "early", "Elmsail-Postmark: p", "Keep-Alive: timeout=9"));
+    server.write(
+        GatewayTestHarness.response(
+            200, "a1", "early", "Elmsail-Postmark: p", "Keep-Alive: timeout=9"));
     assertThat(client.readMessage().body(), is("early"));
     harness.timers.advance(REST_MS);
   }
--- a/gateway/src/test/java/elmsail/gateway/FaultInjectionTest.java
+++ b/gateway/src/test/java/elmsail/gateway/FaultInjectionTest.java
@@ -52,7 +52,9 @@
 
   private void connection(RawConnection connection, SplittableRandom chance) {
     try (connection) {
-      for (Message received = connection.readMessage(); received != null; received = connection.readMessage()) {
+      for (Message received = connection.readMessage();
+          received != null;
+          received = connection.readMessage()) {
         if (!answer(connection, received, chance)) {
           return;
         }
@@ -102,7 +104,8 @@
     }
   }
 
-  private static boolean proper(RawConnection connection, Message received, String id, int trouble) {
+  private static boolean proper(
+      RawConnection connection, Message received, String id, int trouble) {
     if (received.startLine().contains("/stream/") || received.startLine().contains("/resume/")) {
       String last = received.header("Last-Event-Id");
       connection.write(GatewayTestHarness.streamHead(id, "p"));
@@ -118,10 +121,14 @@
       connection.write(GatewayTestHarness.okResponse(id, "whole-" + id).substring(0, 40)).reset();
       return false;
     } else if (trouble == 8) {
-      connection.write(GatewayTestHarness.response(200, id, "whole-" + id, "Elmsail-Postmark: p", "Connection: close"));
+      connection.write(
+          GatewayTestHarness.response(
+              200, id, "whole-" + id, "Elmsail-Postmark: p", "Connection: close"));
       return false;
     } else {
-      connection.write(GatewayTestHarness.okResponse(id, "whole-" + id) + (trouble == 9 ? GatewayTestHarness.okResponse(id, "extra") : ""));
+      connection.write(
+          GatewayTestHarness.okResponse(id, "whole-" + id)
+              + (trouble == 9 ? GatewayTestHarness.okResponse(id, "extra") : ""));
     }
     return true;
   }
@@ -162,7 +169,11 @@
     if (status == 503) {
       assertThat(id + " was promised not to have run", ran, is(0));
     }
-    String all = GatewayTestHarness.event(0) + GatewayTestHarness.event(1) + GatewayTestHarness.event(2) + GatewayTestHarness.event(3);
+    String all =
+        GatewayTestHarness.event(0)
+            + GatewayTestHarness.event(1)
+            + GatewayTestHarness.event(2)
+            + GatewayTestHarness.event(3);
     if (status == 200 && head.header("Transfer-Encoding") != null) {
       assertThat(head.header("Elmsail-Postmark"), is("p"));
       StringBuilder body = new StringBuilder();
--- a/gateway/src/test/java/elmsail/gateway/GatewayHttpTest.java
+++ b/gateway/src/test/java/elmsail/gateway/GatewayHttpTest.java
@@ -67,7 +67,8 @@
     harness.setServers(List.of());
     assertThat("no reason to be ready", ready().status(), is(503));
     try (RawConnection connection = RawConnection.connect(harness.gateway.readinessAddress())) {
-      assertThat("told also while not ready", connection.write(asked).readMessage().status(), is(200));
+      assertThat(
+          "told also while not ready", connection.write(asked).readMessage().status(), is(200));
     }
     try (RawConnection connection = RawConnection.connect(harness.gateway.readinessAddress())) {
       String posted = "POST /metrics HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n";
@@ -101,7 +102,8 @@
       })
   void invalidRequestIsRejectedAndNotForwarded(int status, String request) {
     RawConnection client =
-        harness.connectClient()
+        harness
+            .connectClient()
             .write(
                 request.replace("~", "\r\n")
                     + (request.contains("1fff") ? "x".repeat(0x1fff) : ""));
@@ -112,7 +114,9 @@
   @Test
   void tooLongHeadIsRejected() {
     RawConnection client =
-        harness.connectClient().write("POST /safe/x HTTP/1.1\r\nX: " + "y".repeat(4_000) + "\r\n\r\n");
+        harness
+            .connectClient()
+            .write("POST /safe/x HTTP/1.1\r\nX: " + "y".repeat(4_000) + "\r\n\r\n");
     assertThat(client.readMessage().status(), is(431));
   }
 
@@ -154,7 +158,9 @@
       client.write(text.substring(cut));
       RawConnection server = harness.firstServer.accept();
       server.readMessage();
-      server.write(GatewayTestHarness.response(200, "a2", "two", "Elmsail-Postmark: p", "Connection: close"));
+      server.write(
+          GatewayTestHarness.response(
+              200, "a2", "two", "Elmsail-Postmark: p", "Connection: close"));
       assertThat("cut at " + cut, client.readMessage().body(), is("two"));
     }
   }
@@ -171,7 +177,9 @@
       for (int i = 0; i < 6; i++) {
         harness.timers.advance(3_000);
       }
-      server.write(GatewayTestHarness.response(200, "a2", "two", "Elmsail-Postmark: p", "Connection: close"));
+      server.write(
+          GatewayTestHarness.response(
+              200, "a2", "two", "Elmsail-Postmark: p", "Connection: close"));
       assertThat(route, client.readMessage().body(), is("two"));
     }
   }
@@ -198,7 +206,9 @@
   @Test
   void bytesAfterTheLastRequestAreNotForwarded() throws Exception {
     RawConnection client =
-        harness.request("unsafe", "a1", "Connection: close").write(GatewayTestHarness.requestText("unsafe", "a2"));
+        harness
+            .request("unsafe", "a1", "Connection: close")
+            .write(GatewayTestHarness.requestText("unsafe", "a2"));
     RawConnection server = harness.firstServer.accept();
     server.readMessage();
     server.write(GatewayTestHarness.okResponse("a1", "one"));
@@ -210,14 +220,16 @@
   @Test
   void pipelinedRequestsAreAnsweredInOrder() {
     RawConnection client =
-        harness.connectClient()
+        harness
+            .connectClient()
             .write(
                 GatewayTestHarness.requestText("unsafe", "a1")
                     + GatewayTestHarness.requestText("unsafe", "a2")
                     + GatewayTestHarness.requestText("nowhere", "a3"));
     RawConnection server = harness.firstServer.accept();
     server.readMessage();
-    server.write(GatewayTestHarness.response(200, "a1", "one", "Elmsail-Postmark: p", "Connection: close"));
+    server.write(
+        GatewayTestHarness.response(200, "a1", "one", "Elmsail-Postmark: p", "Connection: close"));
     assertThat(client.readMessage().body(), is("one"));
     RawConnection next = harness.firstServer.accept();
     assertThat(next.readMessage().header("Elmsail-Request-Id"), is("a2"));
@@ -247,7 +259,8 @@
   void batchCallsAreDispatched(String call, String made) {
     harness.batchCalls.reply = new Reply(200, "{}".getBytes(StandardCharsets.US_ASCII), 0);
     RawConnection client =
-        harness.connectClient()
+        harness
+            .connectClient()
             .write(
                 call
                     + " HTTP/1.1\r\nHost: "
@@ -280,7 +293,9 @@
     idle.readMessage();
     RawConnection server = harness.firstServer.accept();
     server.readMessage();
-    server.write(GatewayTestHarness.streamHead("a1", "p")).write(GatewayTestHarness.chunk(GatewayTestHarness.event(0)));
+    server
+        .write(GatewayTestHarness.streamHead("a1", "p"))
+        .write(GatewayTestHarness.chunk(GatewayTestHarness.event(0)));
     busy.readHead();
     busy.readChunk();
     CompletableFuture<Void> stopped = harness.onLoop(harness.gateway::stop);
@@ -320,8 +335,7 @@
    */
   @ParameterizedTest
   @ValueSource(strings = {"safe", "unsafe", "stream", "resume"})
-  void responseBeforeTheLastSixthOfTheGracePeriodIsRelayedComplete(String route)
-      throws Exception {
+  void responseBeforeTheLastSixthOfTheGracePeriodIsRelayedComplete(String route) throws Exception {
     harness.clusterState.setRouteTimeoutMs(LONG_MS);
     RawConnection before = harness.request(route, "a1");
     RawConnection first = harness.firstServer.accept();
--- a/gateway/src/test/java/elmsail/gateway/GatewayTestHarness.java
+++ b/gateway/src/test/java/elmsail/gateway/GatewayTestHarness.java
@@ -94,7 +94,10 @@
                 2_000),
             null);
     gateway =
-        onLoop(() -> Gateway.start(settings, loop, timers, clusterState, batchCalls, ProcessMetrics.strict()))
+        onLoop(
+                () ->
+                    Gateway.start(
+                        settings, loop, timers, clusterState, batchCalls, ProcessMetrics.strict()))
             .get(5, TimeUnit.SECONDS);
   }
 
--- a/gateway/src/test/java/elmsail/gateway/RequestForwarderTest.java
+++ b/gateway/src/test/java/elmsail/gateway/RequestForwarderTest.java
@@ -71,7 +71,9 @@
   void clientAndServerConnectionsAreReused() throws Exception {
     RawConnection client = harness.request("unsafe", "a1");
     RawConnection server = harness.firstServer.acceptRequest();
-    server.write(GatewayTestHarness.response(200, "a1", "one", "Elmsail-Postmark: p", "Keep-Alive: timeout=9"));
+    server.write(
+        GatewayTestHarness.response(
+            200, "a1", "one", "Elmsail-Postmark: p", "Keep-Alive: timeout=9"));
     assertThat(client.readMessage().body(), is("one"));
     harness.timers.advance(100);
     client.write(GatewayTestHarness.requestText("unsafe", "a2"));
@@ -83,7 +85,8 @@
   @Test
   void chunkedBodyArrivesComplete() {
     RawConnection client =
-        harness.connectClient()
+        harness
+            .connectClient()
             .write(
                 "POST /unsafe/ HTTP/1.1\r\nHost: "
                     + FakeClusterState.HOST
@@ -101,7 +104,9 @@
   void eventsAreRelayedAsTheyArrive() {
     RawConnection client = harness.request("stream", "a1");
     RawConnection server = harness.firstServer.acceptRequest();
-    server.write(GatewayTestHarness.streamHead("a1", "p")).write(GatewayTestHarness.chunk(GatewayTestHarness.event(0)));
+    server
+        .write(GatewayTestHarness.streamHead("a1", "p"))
+        .write(GatewayTestHarness.chunk(GatewayTestHarness.event(0)));
     assertThat(client.readHead().header("Elmsail-Postmark"), is("p"));
     assertThat(client.readChunk(), is(GatewayTestHarness.event(0)));
     server.write(GatewayTestHarness.chunk(GatewayTestHarness.event(1)));
@@ -116,7 +121,10 @@
     harness.listServers(harness.firstServer, harness.secondServer);
     RawConnection client = harness.request("unsafe", "a1");
     RawConnection server = harness.firstServer.acceptRequest();
-    server.write(status == 421 ? GatewayTestHarness.response(421, "a1", "") : GatewayTestHarness.notRunResponse(status, "a1"));
+    server.write(
+        status == 421
+            ? GatewayTestHarness.response(421, "a1", "")
+            : GatewayTestHarness.notRunResponse(status, "a1"));
     RawConnection other = harness.secondServer.accept();
     assertThat(other.readMessage().header("Elmsail-Expect-Server"), is("i-1"));
     other.write(GatewayTestHarness.okResponse("a1", "x"));
@@ -213,7 +221,8 @@
   void bytesAfterAResponseCloseTheConnection() throws Exception {
     RawConnection client = harness.request("unsafe", "a1");
     RawConnection server = harness.firstServer.acceptRequest();
-    server.write(GatewayTestHarness.okResponse("a1", "x") + GatewayTestHarness.okResponse("a1", "extra"));
+    server.write(
+        GatewayTestHarness.okResponse("a1", "x") + GatewayTestHarness.okResponse("a1", "extra"));
     assertThat(client.readMessage().body(), is("x"));
     assertThat(server.isClosedByPeer(), is(true));
     client.write(GatewayTestHarness.requestText("unsafe", "a2"));
@@ -236,7 +245,9 @@
   void truncatedStreamNeverLooksComplete() {
     RawConnection client = harness.request("stream", "a1");
     RawConnection server = harness.firstServer.acceptRequest();
-    server.write(GatewayTestHarness.streamHead("a1", "p")).write(GatewayTestHarness.chunk(GatewayTestHarness.event(0)));
+    server
+        .write(GatewayTestHarness.streamHead("a1", "p"))
+        .write(GatewayTestHarness.chunk(GatewayTestHarness.event(0)));
     client.readHead();
     assertThat(client.readChunk(), is(GatewayTestHarness.event(0)));
     server.reset();
@@ -250,7 +261,9 @@
     RawConnection server = harness.firstServer.acceptRequest();
     server
         .write(GatewayTestHarness.streamHead("a1", "p-first"))
-        .write(GatewayTestHarness.chunk(GatewayTestHarness.event(0) + GatewayTestHarness.event(1) + "id: 2\ndata: ha"));
+        .write(
+            GatewayTestHarness.chunk(
+                GatewayTestHarness.event(0) + GatewayTestHarness.event(1) + "id: 2\ndata: ha"));
     assertThat(client.readHead().header("Elmsail-Postmark"), is("p-first"));
     String both = client.readChunk();
     both += both.length() < 2 * GatewayTestHarness.event(0).length() ? client.readChunk() : "";
@@ -260,7 +273,10 @@
     Message received = other.readMessage();
     assertThat(received.header("Last-Event-Id"), is("1"));
     assertThat(received.header("Elmsail-Request-Id"), is("a1"));
-    other.write(GatewayTestHarness.streamHead("a1", "p-second")).write(GatewayTestHarness.chunk(GatewayTestHarness.event(2))).write("0\r\n\r\n");
+    other
+        .write(GatewayTestHarness.streamHead("a1", "p-second"))
+        .write(GatewayTestHarness.chunk(GatewayTestHarness.event(2)))
+        .write("0\r\n\r\n");
     assertThat(client.readChunk(), is(GatewayTestHarness.event(2)));
     assertThat(client.readChunk(), is(""));
   }
@@ -270,12 +286,16 @@
     harness.listServers(harness.firstServer, harness.secondServer);
     RawConnection client = harness.request("resume", "a1");
     RawConnection server = harness.firstServer.acceptRequest();
-    server.write(GatewayTestHarness.streamHead("a1", "p")).write(GatewayTestHarness.chunk(GatewayTestHarness.event(0)));
+    server
+        .write(GatewayTestHarness.streamHead("a1", "p"))
+        .write(GatewayTestHarness.chunk(GatewayTestHarness.event(0)));
     client.readHead();
     client.readChunk();
     server.reset();
     RawConnection other = harness.secondServer.acceptRequest();
-    other.write(GatewayTestHarness.streamHead("a1", "p")).write(GatewayTestHarness.chunk(GatewayTestHarness.event(0)));
+    other
+        .write(GatewayTestHarness.streamHead("a1", "p"))
+        .write(GatewayTestHarness.chunk(GatewayTestHarness.event(0)));
     assertThat(client.readChunk(), is(nullValue()));
     assertThat(other.isClosedByPeer(), is(true));
   }
@@ -285,11 +305,16 @@
     harness.listServers(harness.firstServer, harness.secondServer);
     RawConnection client = harness.request("resume", "a1");
     RawConnection server = harness.firstServer.acceptRequest();
-    server.write(GatewayTestHarness.streamHead("a1", "p-first")).write(GatewayTestHarness.chunk("id: 0\nda"));
+    server
+        .write(GatewayTestHarness.streamHead("a1", "p-first"))
+        .write(GatewayTestHarness.chunk("id: 0\nda"));
     server.reset();
     RawConnection other = harness.secondServer.accept();
     assertThat(other.readMessage().header("Last-Event-Id"), is(nullValue()));
-    other.write(GatewayTestHarness.streamHead("a1", "p-second")).write(GatewayTestHarness.chunk(GatewayTestHarness.event(0))).write("0\r\n\r\n");
+    other
+        .write(GatewayTestHarness.streamHead("a1", "p-second"))
+        .write(GatewayTestHarness.chunk(GatewayTestHarness.event(0)))
+        .write("0\r\n\r\n");
     Message response = client.readMessage();
     assertThat(response.header("Elmsail-Postmark"), is("p-second"));
     assertThat(response.body(), is(GatewayTestHarness.event(0)));
@@ -352,7 +377,9 @@
     harness.listServers(harness.firstServer, harness.secondServer);
     RawConnection client = harness.request("resume", "a1");
     RawConnection server = harness.firstServer.acceptRequest();
-    server.write(GatewayTestHarness.streamHead("a1", "p")).write(GatewayTestHarness.chunk(GatewayTestHarness.event(0)));
+    server
+        .write(GatewayTestHarness.streamHead("a1", "p"))
+        .write(GatewayTestHarness.chunk(GatewayTestHarness.event(0)));
     client.readHead();
     client.readChunk();
     for (int i = 0; i < 6; i++) {
@@ -360,7 +387,10 @@
     }
     RawConnection other = harness.secondServer.accept();
     assertThat(other.readMessage().header("Last-Event-Id"), is("0"));
-    other.write(GatewayTestHarness.streamHead("a1", "p")).write(GatewayTestHarness.chunk(GatewayTestHarness.event(1))).write("0\r\n\r\n");
+    other
+        .write(GatewayTestHarness.streamHead("a1", "p"))
+        .write(GatewayTestHarness.chunk(GatewayTestHarness.event(1)))
+        .write("0\r\n\r\n");
     assertThat(client.readChunk(), is(GatewayTestHarness.event(1)));
     assertThat(client.readChunk(), is(""));
     assertThat(server.isClosedByPeer(), is(true));
@@ -374,7 +404,10 @@
     for (int i = 0; i < 6; i++) {
       harness.timers.advance(210);
     }
-    server.write(GatewayTestHarness.streamHead("a1", "p")).write(GatewayTestHarness.chunk(GatewayTestHarness.event(0))).write("0\r\n\r\n");
+    server
+        .write(GatewayTestHarness.streamHead("a1", "p"))
+        .write(GatewayTestHarness.chunk(GatewayTestHarness.event(0)))
+        .write("0\r\n\r\n");
     assertThat(client.readMessage().body(), is(GatewayTestHarness.event(0)));
     assertThat(harness.secondServer.hasNoConnection(), is(true));
   }
@@ -423,7 +456,10 @@
 
   @Test
   void responseToHeadHasNoBody() {
-    RawConnection client = harness.connectClient().write(GatewayTestHarness.requestText("safe", "a1").replace("POST", "HEAD"));
+    RawConnection client =
+        harness
+            .connectClient()
+            .write(GatewayTestHarness.requestText("safe", "a1").replace("POST", "HEAD"));
     RawConnection server = harness.firstServer.accept();
     assertThat(server.readMessage().startLine(), is("HEAD /safe/2f HTTP/1.1"));
     server.write(
@@ -438,7 +474,9 @@
   void streamIsAbortedAtItsDeadline() {
     RawConnection client = harness.request("stream", "a1", "Elmsail-Deadline-Ms: 4000");
     RawConnection server = harness.firstServer.acceptRequest();
-    server.write(GatewayTestHarness.streamHead("a1", "p")).write(GatewayTestHarness.chunk(GatewayTestHarness.event(0)));
+    server
+        .write(GatewayTestHarness.streamHead("a1", "p"))
+        .write(GatewayTestHarness.chunk(GatewayTestHarness.event(0)));
     client.readHead();
     client.readChunk();
     harness.timers.advance(4_000);
--- a/gateway/src/test/java/elmsail/gateway/RequestHandlingTest.java
+++ b/gateway/src/test/java/elmsail/gateway/RequestHandlingTest.java
@@ -82,14 +82,16 @@
   @Test
   void pipelinedRequestsDeadlineCountsFromItsArrival() throws Exception {
     RawConnection client =
-        harness.connectClient()
+        harness
+            .connectClient()
             .write(
                 GatewayTestHarness.requestText("unsafe", "a1", DEADLINE + ": 4000")
                     + GatewayTestHarness.requestText("unsafe", "a2", DEADLINE + ": 4000"));
     RawConnection server = harness.firstServer.acceptRequest();
     harness.timers.advance(3_000);
     harness.onLoop(() -> null); // before the answer comes
-    server.write(GatewayTestHarness.response(200, "a1", "x", "Elmsail-Postmark: p", "Connection: close"));
+    server.write(
+        GatewayTestHarness.response(200, "a1", "x", "Elmsail-Postmark: p", "Connection: close"));
     assertThat(client.readMessage().status(), is(200));
     assertThat(deadline(harness.firstServer.accept().readMessage()), within(1_000));
   }
@@ -106,7 +108,11 @@
         server.reset();
       }
       assertThat(client.readMessage().status(), is(502));
-      assertThat(harness.firstServer.hasNoConnection() && harness.secondServer.hasNoConnection() && third.hasNoConnection(), is(true));
+      assertThat(
+          harness.firstServer.hasNoConnection()
+              && harness.secondServer.hasNoConnection()
+              && third.hasNoConnection(),
+          is(true));
     }
   }
 
@@ -127,9 +133,11 @@
   @ParameterizedTest
   @ValueSource(strings = {"safe", "unsafe", "stream", "resume"})
   void disconnectIsNoticedWithPipelinedRequests(String route) {
-    harness.clusterState.routes.computeIfPresent("/" + route + "/", (prefix, r) -> routeWith(r, 60_000, 1));
+    harness.clusterState.routes.computeIfPresent(
+        "/" + route + "/", (prefix, r) -> routeWith(r, 60_000, 1));
     RawConnection client =
-        harness.connectClient()
+        harness
+            .connectClient()
             .write(
                 GatewayTestHarness.requestText(route, "a1")
                     + GatewayTestHarness.requestText(route, "a2")
@@ -156,7 +164,9 @@
     harness.listServers(harness.firstServer, harness.secondServer);
     RawConnection client = harness.request("resume", "a1");
     RawConnection server = harness.firstServer.acceptRequest();
-    server.write(GatewayTestHarness.streamHead("a1", "p")).write(GatewayTestHarness.chunk(GatewayTestHarness.event(0)));
+    server
+        .write(GatewayTestHarness.streamHead("a1", "p"))
+        .write(GatewayTestHarness.chunk(GatewayTestHarness.event(0)));
     client.readHead();
     client.readChunk();
     client.reset();
@@ -184,7 +194,9 @@
   void streamIsAbortedAtTheRouteTimeout(String route) {
     RawConnection client = harness.request(route, "a1");
     RawConnection server = harness.firstServer.acceptRequest();
-    server.write(GatewayTestHarness.streamHead("a1", "p")).write(GatewayTestHarness.chunk(GatewayTestHarness.event(0)));
+    server
+        .write(GatewayTestHarness.streamHead("a1", "p"))
+        .write(GatewayTestHarness.chunk(GatewayTestHarness.event(0)));
     client.readHead();
     client.readChunk();
     harness.timers.advance(GIVE_UP_MS);
@@ -205,7 +217,8 @@
   void everyCallIsRejectedWithRetryAfterBeforeTheFirstConfig(String call) {
     harness.clusterState.configured = false;
     Message response =
-        harness.connectClient()
+        harness
+            .connectClient()
             .write(
                 call
                     + " HTTP/1.1\r\nHost: "
@@ -257,7 +270,8 @@
   void serverErrorKeepsItsStatusAndPostmark(int status) {
     RawConnection client = harness.request("unsafe", "a1");
     RawConnection server = harness.firstServer.acceptRequest();
-    server.write(GatewayTestHarness.response(status, "a1", "why", "Elmsail-Postmark: p", "Versions: 4"));
+    server.write(
+        GatewayTestHarness.response(status, "a1", "why", "Elmsail-Postmark: p", "Versions: 4"));
     Message response = client.readMessage();
     assertThat(response.status(), is(status));
     assertThat(response.header("Elmsail-Postmark"), is("p"));
@@ -272,7 +286,9 @@
     RawConnection server = harness.firstServer.acceptRequest();
     String event = "versions: 8\nid: 0\ndata: e0\n\n";
     server
-        .write(GatewayTestHarness.streamHead("a1", "p-1").replace("\r\n\r\n", "\r\nVersions: 7\r\n\r\n"))
+        .write(
+            GatewayTestHarness.streamHead("a1", "p-1")
+                .replace("\r\n\r\n", "\r\nVersions: 7\r\n\r\n"))
         .write(GatewayTestHarness.chunk(event + "versions: 9\nid: 1\nda"));
     Message head = client.readHead();
     assertThat(head.header("Versions"), is("7"));
@@ -282,7 +298,10 @@
     RawConnection other = harness.secondServer.accept();
     assertThat(other.readMessage().header("Last-Event-Id"), is("0"));
     String next = "versions: 9\nid: 1\ndata: e1\n\n";
-    other.write(GatewayTestHarness.streamHead("a1", "p-2")).write(GatewayTestHarness.chunk(next)).write("0\r\n\r\n");
+    other
+        .write(GatewayTestHarness.streamHead("a1", "p-2"))
+        .write(GatewayTestHarness.chunk(next))
+        .write("0\r\n\r\n");
     assertThat(client.readChunk(), is(next));
     assertThat(client.readChunk(), is(""));
   }
@@ -309,9 +328,12 @@
   @ParameterizedTest
   @CsvSource({"0, 1", "1, 2", "3, 4", "5, 6", "9, 7"})
   void routePrecedenceMapsToADistinctPriority(int precedence, int priority) {
-    harness.clusterState.routes.computeIfPresent("/unsafe/", (prefix, r) -> routeWith(r, GIVE_UP_MS, precedence));
+    harness.clusterState.routes.computeIfPresent(
+        "/unsafe/", (prefix, r) -> routeWith(r, GIVE_UP_MS, precedence));
     harness.request("unsafe", "a1");
-    assertThat(harness.firstServer.accept().readMessage().header("Priority"), is(Integer.toString(priority)));
+    assertThat(
+        harness.firstServer.accept().readMessage().header("Priority"),
+        is(Integer.toString(priority)));
   }
 
   /** LOST: what is read whole too late for the grace time is refused and not begun. */
--- a/gateway/src/test/java/elmsail/gateway/ServerErrorRetryTest.java
+++ b/gateway/src/test/java/elmsail/gateway/ServerErrorRetryTest.java
@@ -6,8 +6,8 @@
 import static org.hamcrest.Matchers.notNullValue;
 
 import elmsail.batch.BatchItem;
-import elmsail.batch.ItemServers.RunOutcome;
 import elmsail.batch.ItemServers.RunListener;
+import elmsail.batch.ItemServers.RunOutcome;
 import elmsail.config.Route;
 import elmsail.gateway.RawConnection.Message;
 import elmsail.gateway.http.RequestCounters;
@@ -69,7 +69,10 @@
     harness.firstServer.accept().write(error(500, "a1")).readMessage();
     RawConnection other = harness.secondServer.accept();
     other.readMessage();
-    other.write(GatewayTestHarness.streamHead("a1", "p-second")).write(GatewayTestHarness.chunk(GatewayTestHarness.event(0))).write("0\r\n\r\n");
+    other
+        .write(GatewayTestHarness.streamHead("a1", "p-second"))
+        .write(GatewayTestHarness.chunk(GatewayTestHarness.event(0)))
+        .write("0\r\n\r\n");
     Message response = client.readMessage();
     assertThat(response.header("Elmsail-Postmark"), is("p-second"));
     assertThat(response.body(), is(GatewayTestHarness.event(0)));
@@ -190,7 +193,12 @@
     client.readMessage();
     client.write(GatewayTestHarness.requestText("safe", "a3"));
     assertThat(
-        harness.firstServer.accept().write(error(500, "a3")).readMessage().header("Elmsail-Request-Id"),
+        harness
+            .firstServer
+            .accept()
+            .write(error(500, "a3"))
+            .readMessage()
+            .header("Elmsail-Request-Id"),
         is("a3"));
     RawConnection third = harness.secondServer.accept();
     assertThat(third.readMessage().header("Elmsail-Request-Id"), is("a3"));
@@ -230,7 +238,11 @@
         };
     Object run =
         harness.onLoop(
-            () -> harness.gateway.itemServers().start(harness.clusterState.routeByName("sack"), ITEM, -1, listener));
+            () ->
+                harness
+                    .gateway
+                    .itemServers()
+                    .start(harness.clusterState.routeByName("sack"), ITEM, -1, listener));
     assertThat(run, is(notNullValue()));
   }
 }
--- a/gateway/src/test/java/elmsail/gateway/TruncationAtEveryByteTest.java
+++ b/gateway/src/test/java/elmsail/gateway/TruncationAtEveryByteTest.java
@@ -86,11 +86,15 @@
         end(server, reset);
         RawConnection other = harness.secondServer.accept();
         assertThat(other.readMessage().header("Elmsail-Request-Id"), is("a1"));
-        other.write(GatewayTestHarness.response(200, "a1", "again", "Elmsail-Postmark: q", "Connection: close"));
+        other.write(
+            GatewayTestHarness.response(
+                200, "a1", "again", "Elmsail-Postmark: q", "Connection: close"));
         Message got = client.readMessage();
         assertThat("cut at " + cut, got.body(), is("again"));
         assertThat(got.header("Elmsail-Postmark"), is("q"));
-        assertThat(harness.firstServer.hasNoConnection() && harness.secondServer.hasNoConnection(), is(true));
+        assertThat(
+            harness.firstServer.hasNoConnection() && harness.secondServer.hasNoConnection(),
+            is(true));
       }
       passBackoff();
     }
@@ -100,7 +104,10 @@
   @ValueSource(booleans = {false, true})
   void truncatedNonResumableStreamIsAborted(boolean reset) {
     String answer =
-        GatewayTestHarness.streamHead("a1", "p") + GatewayTestHarness.chunk(GatewayTestHarness.event(0)) + GatewayTestHarness.chunk(GatewayTestHarness.event(1)) + "0\r\n\r\n";
+        GatewayTestHarness.streamHead("a1", "p")
+            + GatewayTestHarness.chunk(GatewayTestHarness.event(0))
+            + GatewayTestHarness.chunk(GatewayTestHarness.event(1))
+            + "0\r\n\r\n";
     for (int cut = 0; cut < answer.length(); cut++) {
       try (RawConnection client = harness.request("stream", "a1")) {
         RawConnection server = harness.firstServer.accept();
@@ -160,7 +167,8 @@
   }
 
   private long failedConnectionCount() throws Exception {
-    return harness.onLoop(() -> harness.gateway.counters().of(RequestCounters.Event.CONNECT_FAILED));
+    return harness.onLoop(
+        () -> harness.gateway.counters().of(RequestCounters.Event.CONNECT_FAILED));
   }
 
   private int requestLength() {
@@ -172,7 +180,8 @@
         length += line.length() + 2;
       }
       server.readBytes("body".length());
-      server.write(GatewayTestHarness.response(200, "a1", "", "Elmsail-Postmark: p", "Connection: close"));
+      server.write(
+          GatewayTestHarness.response(200, "a1", "", "Elmsail-Postmark: p", "Connection: close"));
       client.readMessage();
       return length + 2 + "body".length();
     }
@@ -183,14 +192,17 @@
     RawConnection client = harness.request("unsafe", "a1");
     RawConnection server = harness.firstServer.accept();
     server.readMessage();
-    server.write(GatewayTestHarness.response(200, "a1", "x", "Elmsail-Postmark: p", "Keep-Alive: timeout=9"));
+    server.write(
+        GatewayTestHarness.response(
+            200, "a1", "x", "Elmsail-Postmark: p", "Keep-Alive: timeout=9"));
     client.readMessage();
     harness.timers.advance(100);
     client.write(GatewayTestHarness.requestText("unsafe", "a2"));
     assertThat(server.readBytes(1), is("P"));
     server.reset();
     assertThat(client.readMessage().status(), is(502));
-    assertThat(harness.firstServer.hasNoConnection() && harness.secondServer.hasNoConnection(), is(true));
+    assertThat(
+        harness.firstServer.hasNoConnection() && harness.secondServer.hasNoConnection(), is(true));
   }
 
   @Test
@@ -198,7 +210,9 @@
     RawConnection client = harness.request("unsafe", "a1");
     RawConnection server = harness.firstServer.accept();
     server.readMessage();
-    server.write(GatewayTestHarness.response(200, "a1", "one", "Elmsail-Postmark: p", "Keep-Alive: timeout=9"));
+    server.write(
+        GatewayTestHarness.response(
+            200, "a1", "one", "Elmsail-Postmark: p", "Keep-Alive: timeout=9"));
     client.readMessage();
     harness.timers.advance(100);
     client.write(GatewayTestHarness.requestText("unsafe", "a1"));
--- a/gateway/src/test/java/elmsail/gateway/requests/ServerSentEventSplitterTest.java
+++ b/gateway/src/test/java/elmsail/gateway/requests/ServerSentEventSplitterTest.java
@@ -64,7 +64,9 @@
 
   @Test
   void eventBeyondTheMaximumSizeIsRejected() {
-    assertThat(splitter.feed(bytes("data: " + "x".repeat(ServerSentEventSplitter.MAX_EVENT_BYTES))), is(false));
+    assertThat(
+        splitter.feed(bytes("data: " + "x".repeat(ServerSentEventSplitter.MAX_EVENT_BYTES))),
+        is(false));
   }
 
   @Test
--- a/gateway/src/test/java/elmsail/gateway/servers/AdmissionPolicyTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/AdmissionPolicyTest.java
@@ -45,7 +45,8 @@
     assertThat(time.releaseIntervalMs(8), is(SlotHoldTime.DEFAULT_RELEASE_INTERVAL_MS));
     time.observe(800);
     assertThat(time.releaseIntervalMs(8), is(100.0));
-    assertThat("no places told", time.releaseIntervalMs(0), is(SlotHoldTime.DEFAULT_RELEASE_INTERVAL_MS));
+    assertThat(
+        "no places told", time.releaseIntervalMs(0), is(SlotHoldTime.DEFAULT_RELEASE_INTERVAL_MS));
     for (int i = 0; i < 200; i++) {
       time.observe(80);
     }
--- a/gateway/src/test/java/elmsail/gateway/servers/ItemAdmissionTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/ItemAdmissionTest.java
@@ -25,8 +25,10 @@
     assertThat(ItemAdmission.availableCapacity(server(5, 0, 0, LoadSource.REPORTED)), is(0));
     assertThat(ItemAdmission.availableCapacity(server(6, 0, 0, LoadSource.SHARED)), is(1));
     assertThat(ItemAdmission.availableCapacity(server(7, 0, 0, LoadSource.SHARED)), is(0));
-    assertThat(ItemAdmission.availableCapacity(server(3, 0, 0, LoadSource.SHARED_OTHER_ZONE)), is(1));
-    assertThat(ItemAdmission.availableCapacity(server(4, 0, 0, LoadSource.SHARED_OTHER_ZONE)), is(0));
+    assertThat(
+        ItemAdmission.availableCapacity(server(3, 0, 0, LoadSource.SHARED_OTHER_ZONE)), is(1));
+    assertThat(
+        ItemAdmission.availableCapacity(server(4, 0, 0, LoadSource.SHARED_OTHER_ZONE)), is(0));
   }
 
   @Test
@@ -39,9 +41,17 @@
   @Test
   void queuedRequestsBlockItems() {
     assertThat(ItemAdmission.availableCapacity(server(0, 1, 0, LoadSource.REPORTED)), is(0));
-    assertThat(ItemAdmission.availableCapacity(new ServerState(8, 0, 0, 0, 1_000, LoadSource.SHARED, 2_600)), is(0));
-    assertThat(ItemAdmission.availableCapacity(new ServerState(8, 0, 0, 0, 1_000, LoadSource.REPORTED, 2_600)), is(4));
-    assertThat(ItemAdmission.availableCapacity(new ServerState(8, 0, 0, 0, 79, LoadSource.SHARED, 0)), is(0));
+    assertThat(
+        ItemAdmission.availableCapacity(
+            new ServerState(8, 0, 0, 0, 1_000, LoadSource.SHARED, 2_600)),
+        is(0));
+    assertThat(
+        ItemAdmission.availableCapacity(
+            new ServerState(8, 0, 0, 0, 1_000, LoadSource.REPORTED, 2_600)),
+        is(4));
+    assertThat(
+        ItemAdmission.availableCapacity(new ServerState(8, 0, 0, 0, 79, LoadSource.SHARED, 0)),
+        is(0));
   }
 
   @Property
@@ -51,8 +61,11 @@
       @ForAll @DoubleRange(max = 200) double more,
       @ForAll @IntRange(max = 64) int own,
       @ForAll LoadSource sight) {
-    int room = ItemAdmission.availableCapacity(new ServerState(berths, running, 0, own, 1_000, sight, 0));
-    int after = ItemAdmission.availableCapacity(new ServerState(berths, running + more, 0, own, 1_000, sight, 0));
+    int room =
+        ItemAdmission.availableCapacity(new ServerState(berths, running, 0, own, 1_000, sight, 0));
+    int after =
+        ItemAdmission.availableCapacity(
+            new ServerState(berths, running + more, 0, own, 1_000, sight, 0));
     assertThat(room, greaterThanOrEqualTo(0));
     assertThat(room, lessThanOrEqualTo(Math.max(2, berths / 2)));
     assertThat(after, lessThanOrEqualTo(room));
--- a/gateway/src/test/java/elmsail/gateway/servers/OutlierEjectionModelTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/OutlierEjectionModelTest.java
@@ -129,7 +129,8 @@
           !calm && index < scenario.erring() && chance.nextDouble() < scenario.errorShare();
       running[index]++;
       servedByErring += !calm && index < scenario.erring() ? 1 : 0;
-      timers.schedule(errs ? ERROR_MS : SERVICE_TIME_MS, () -> answer(attempt, index, errs ? 500 : 200));
+      timers.schedule(
+          errs ? ERROR_MS : SERVICE_TIME_MS, () -> answer(attempt, index, errs ? 500 : 200));
     }
 
     private void answer(Attempt attempt, int index, int status) {
--- a/gateway/src/test/java/elmsail/gateway/servers/PromptTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/PromptTest.java
@@ -31,7 +31,8 @@
     assertThat(Prompt.parse(null, null).totalTokens(), is(0));
     assertThat(Prompt.parse("", "x,y").totalTokens(), is(0));
     assertThat(Prompt.parse("abc", "7").totalTokens(), is(7));
-    assertThat(Prompt.parse("a:-5,b:99999999999", null).segmentTokens(), is(new int[] {0, 10_000_000}));
+    assertThat(
+        Prompt.parse("a:-5,b:99999999999", null).segmentTokens(), is(new int[] {0, 10_000_000}));
     assertThat(Prompt.parse(",,,", null).totalTokens(), is(0));
   }
 
--- a/gateway/src/test/java/elmsail/gateway/servers/ServerConnectionTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/ServerConnectionTest.java
@@ -95,7 +95,8 @@
           1_000,
           new OutlierDetector());
   private final ConnectionPool pool =
-      new ConnectionPool(loop, loop.eventLoop(), new FakeClusterState(), new RequestCounters(new Counters()));
+      new ConnectionPool(
+          loop, loop.eventLoop(), new FakeClusterState(), new RequestCounters(new Counters()));
   private EmbeddedChannel channel;
   private ServerConnection connection;
 
--- a/gateway/src/test/java/elmsail/gateway/servers/ServerSelectionModelTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/ServerSelectionModelTest.java
@@ -88,7 +88,9 @@
       for (int i = 0; i < ZONES * SERVERS_PER_ZONE; i++) {
         String id = "i-" + i;
         entries.add(new ServerEntry(id, "s", "127.0.0.1:1", "z" + i % ZONES, SLOTS, false, 0));
-        models.put(id, new SimulatedServer(timers, SLOTS, MAX_QUEUED, i % 3 == 0 ? SLOW_SERVER_FACTOR : 1));
+        models.put(
+            id,
+            new SimulatedServer(timers, SLOTS, MAX_QUEUED, i % 3 == 0 ? SLOW_SERVER_FACTOR : 1));
       }
       known.servers = entries;
       for (int g = 0; g < ZONES * GATEWAYS_PER_ZONE; g++) {
@@ -149,7 +151,8 @@
       double least = Double.POSITIVE_INFINITY;
       for (Server server : all) {
         SimulatedServer model = models.get(server.id());
-        double place = Math.max(0, model.openRequests() + 1 - SLOTS) * (double) MEAN_HOLD_MS / SLOTS;
+        double place =
+            Math.max(0, model.openRequests() + 1 - SLOTS) * (double) MEAN_HOLD_MS / SLOTS;
         double cost = model.backlogMs() + place + model.openRequests() * 0.1;
         if (cost < least) {
           least = cost;
--- a/gateway/src/test/java/elmsail/gateway/servers/ServerSelectorTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/ServerSelectorTest.java
@@ -10,7 +10,8 @@
 
 class ServerSelectorTest {
   private static final double SLOT_RELEASE_INTERVAL_MS = SlotHoldTime.DEFAULT_RELEASE_INTERVAL_MS;
-  private static final Candidate EMPTY = new Candidate(0, 0, 0, 0, 24, 0, SLOT_RELEASE_INTERVAL_MS, true, false);
+  private static final Candidate EMPTY =
+      new Candidate(0, 0, 0, 0, 24, 0, SLOT_RELEASE_INTERVAL_MS, true, false);
 
   private static Candidate with(int known, double running, double waiting) {
     return new Candidate(known, 0, running, waiting, 24, 0, SLOT_RELEASE_INTERVAL_MS, true, false);
@@ -46,9 +47,11 @@
   void ownZoneIsPreferredSlightly() {
     Candidate far = new Candidate(0, 0, 0, 0, 24, 0, SLOT_RELEASE_INTERVAL_MS, false, false);
     assertThat(ServerSelector.pick(List.of(far, EMPTY), 2_000, 0), is(1));
-    Candidate farAndHardlyKnown = new Candidate(1_000, 0, 0, 0, 24, 0, SLOT_RELEASE_INTERVAL_MS, false, false);
+    Candidate farAndHardlyKnown =
+        new Candidate(1_000, 0, 0, 0, 24, 0, SLOT_RELEASE_INTERVAL_MS, false, false);
     assertThat(ServerSelector.pick(List.of(EMPTY, farAndHardlyKnown), 2_000, 1), is(0));
-    Candidate farAndKnown = new Candidate(1_500, 0, 0, 0, 24, 0, SLOT_RELEASE_INTERVAL_MS, false, false);
+    Candidate farAndKnown =
+        new Candidate(1_500, 0, 0, 0, 24, 0, SLOT_RELEASE_INTERVAL_MS, false, false);
     assertThat(ServerSelector.pick(List.of(EMPTY, farAndKnown), 2_000, 0), is(1));
   }
 
@@ -73,7 +76,8 @@
   void waitIsTheLongerOfReportedQueueAndKnownPrefill() {
     Candidate own = new Candidate(0, 0, 0, 0, 24, 3_000, SLOT_RELEASE_INTERVAL_MS, true, false);
     assertThat(ServerSelector.waitMs(own), is(closeTo(30, 1e-9)));
-    Candidate response = new Candidate(0, 0, 0, 2, 24, 3_000, SLOT_RELEASE_INTERVAL_MS, true, false);
+    Candidate response =
+        new Candidate(0, 0, 0, 2, 24, 3_000, SLOT_RELEASE_INTERVAL_MS, true, false);
     assertThat(ServerSelector.waitMs(response), is(closeTo(2 * SLOT_RELEASE_INTERVAL_MS, 1e-9)));
   }
 }
--- a/gateway/src/test/java/elmsail/gateway/servers/ServersTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/ServersTest.java
@@ -88,7 +88,10 @@
   void servicesArePickedByWeight() {
     list(entry("a", "s", "z1", false), entry("b", "t", "z1", false));
     Route route =
-        route(new Route.WeightedService("s", 90), new Route.WeightedService("t", 10), new Route.WeightedService("u", 0));
+        route(
+            new Route.WeightedService("s", 90),
+            new Route.WeightedService("t", 10),
+            new Route.WeightedService("u", 0));
     int first = 0;
     for (int i = 0; i < 2_000; i++) {
       first += choose(route).id().equals("a") ? 1 : 0;
@@ -110,7 +113,9 @@
     list(entry("a", "s", "z1", false), entry("b", "t", "z1", false));
     SplittableRandom chance = new SplittableRandom(gateways);
     for (int weight : new int[] {5, 10, 30, 50, 90}) {
-      Route route = route(new Route.WeightedService("s", weight), new Route.WeightedService("t", 100 - weight));
+      Route route =
+          route(
+              new Route.WeightedService("s", weight), new Route.WeightedService("t", 100 - weight));
       double farthest = 0;
       for (int trial = 0; trial < 100; trial++) {
         List<Servers> doors = new ArrayList<>();
@@ -163,7 +168,10 @@
   @Test
   void serviceGetsItsShareOnceItHasServers() {
     Route route =
-        route(new Route.WeightedService("s", 50), new Route.WeightedService("t", 30), new Route.WeightedService("u", 20));
+        route(
+            new Route.WeightedService("s", 50),
+            new Route.WeightedService("t", 30),
+            new Route.WeightedService("u", 20));
     list(entry("b", "t", "z1", false), entry("c", "u", "z1", false));
     for (int i = 0; i < 300; i++) {
       choose(route);
@@ -185,15 +193,21 @@
       choose(route(new Route.WeightedService("s", 90), new Route.WeightedService("t", 10)));
     }
     for (int i = 0; i < 50; i++) {
-      assertThat(choose(route(new Route.WeightedService("s", 0), new Route.WeightedService("t", 10))).id(), is("b"));
+      assertThat(
+          choose(route(new Route.WeightedService("s", 0), new Route.WeightedService("t", 10))).id(),
+          is("b"));
     }
   }
 
   @Test
   void serviceWithoutServersLeavesItsShareToOthers() {
     list(entry("b", "t", "z1", false));
-    assertThat(choose(route(new Route.WeightedService("s", 90), new Route.WeightedService("t", 10))).id(), is("b"));
-    assertThat(choose(route(new Route.WeightedService("s", 90), new Route.WeightedService("t", 0))), is(nullValue()));
+    assertThat(
+        choose(route(new Route.WeightedService("s", 90), new Route.WeightedService("t", 10))).id(),
+        is("b"));
+    assertThat(
+        choose(route(new Route.WeightedService("s", 90), new Route.WeightedService("t", 0))),
+        is(nullValue()));
   }
 
   @Test
--- a/rpc/src/main/java/elmsail/rpc/Connector.java
+++ b/rpc/src/main/java/elmsail/rpc/Connector.java
@@ -61,7 +61,8 @@
       onUnreachable(peer, "no address");
       return;
     }
-    HandshakeHello intended = new HandshakeHello(HandshakeHello.VERSION, peer.address, HandshakeHello.ANY_INSTANCE);
+    HandshakeHello intended =
+        new HandshakeHello(HandshakeHello.VERSION, peer.address, HandshakeHello.ANY_INSTANCE);
     RpcConnection connection =
         new RpcConnection(peer, Handshake.forClient(intended), listener, timers, codec, counters);
     ChannelFuture opening =
@@ -82,9 +83,11 @@
   }
 
   private void onConnectTimeout(Peer peer, Channel channel) {
-    if (!peer.connectDeadlineExtended && timers.now() - peer.connectDeadline > ConnectionSweeper.STALL_THRESHOLD_MS) {
+    if (!peer.connectDeadlineExtended
+        && timers.now() - peer.connectDeadline > ConnectionSweeper.STALL_THRESHOLD_MS) {
       peer.connectDeadlineExtended = true;
-      peer.connectTimer = timers.schedule(KeepaliveMonitor.RECHECK_DELAY_MS, () -> onConnectTimeout(peer, channel));
+      peer.connectTimer =
+          timers.schedule(KeepaliveMonitor.RECHECK_DELAY_MS, () -> onConnectTimeout(peer, channel));
     } else {
       channel.close();
     }
--- a/rpc/src/main/java/elmsail/rpc/FrameDecoder.java
+++ b/rpc/src/main/java/elmsail/rpc/FrameDecoder.java
@@ -37,7 +37,8 @@
         throw new ElmsailException(
             ErrorCode.MALFORMED, "frame of " + length + " bytes, kind " + kind);
       }
-      payload = length == Frame.HEADER_BYTES ? EMPTY_PAYLOAD : new byte[length - Frame.HEADER_BYTES];
+      payload =
+          length == Frame.HEADER_BYTES ? EMPTY_PAYLOAD : new byte[length - Frame.HEADER_BYTES];
       payloadBytes = 0;
     }
     int part = Math.min(payload.length - payloadBytes, in.readableBytes());
--- a/rpc/src/main/java/elmsail/rpc/HandlerRegistry.java
+++ b/rpc/src/main/java/elmsail/rpc/HandlerRegistry.java
@@ -37,7 +37,9 @@
     }
     try {
       CompletionStage<Object> response = handler.apply(request);
-      return response != null ? response : failed(new ElmsailException(ErrorCode.INTERNAL, "no answer"));
+      return response != null
+          ? response
+          : failed(new ElmsailException(ErrorCode.INTERNAL, "no answer"));
     } catch (RuntimeException e) {
       if (ElmsailException.codeOf(e) == ErrorCode.INTERNAL && loggedFaults < MAX_LOGGED_FAULTS) {
         loggedFaults++;
--- a/rpc/src/main/java/elmsail/rpc/KeepaliveMonitor.java
+++ b/rpc/src/main/java/elmsail/rpc/KeepaliveMonitor.java
@@ -102,7 +102,8 @@
     recordWriteProgress(now);
     if (!client) {
       long idleMs = now - lastReceivedAt;
-      if (idleMs >= ACCEPTED_IDLE_TIMEOUT_MS || idleMs >= WRITE_STALL_TIMEOUT_MS && !out.isEmpty()) {
+      if (idleMs >= ACCEPTED_IDLE_TIMEOUT_MS
+          || idleMs >= WRITE_STALL_TIMEOUT_MS && !out.isEmpty()) {
         close.run();
       }
       return false;
@@ -148,7 +149,9 @@
     }
     recheckScheduled = false;
     recordWriteProgress(now);
-    if (!closed && hasOutstanding() && now - Math.max(lastReceivedAt, outstandingSince) >= KEEPALIVE_TIMEOUT_MS) {
+    if (!closed
+        && hasOutstanding()
+        && now - Math.max(lastReceivedAt, outstandingSince) >= KEEPALIVE_TIMEOUT_MS) {
       counters.keepaliveTimeouts++;
       close.run();
     }
--- a/rpc/src/main/java/elmsail/rpc/MessageCodec.java
+++ b/rpc/src/main/java/elmsail/rpc/MessageCodec.java
@@ -23,7 +23,8 @@
 
   /** The number of the message's type; fails with FAULT if it has none. */
   int typeNumber(Object message) {
-    int typeNumber = message == null ? MessageTypes.NONE : MessageTypes.numberOf(message.getClass());
+    int typeNumber =
+        message == null ? MessageTypes.NONE : MessageTypes.numberOf(message.getClass());
     if (typeNumber == MessageTypes.NONE) {
       throw new ElmsailException(
           ErrorCode.INTERNAL,
--- a/rpc/src/main/java/elmsail/rpc/Peer.java
+++ b/rpc/src/main/java/elmsail/rpc/Peer.java
@@ -26,7 +26,10 @@
   private long queuedBytes;
   private long backoffMs;
 
-  /** The instance that answered last at the address; {@link HandshakeHello#ANY_INSTANCE} before any did. */
+  /**
+   * The instance that answered last at the address; {@link HandshakeHello#ANY_INSTANCE} before any
+   * did.
+   */
   long instanceId = HandshakeHello.ANY_INSTANCE;
 
   /** No attempt before that time. */
@@ -74,6 +77,8 @@
   }
 
   boolean isExpired(long now) {
-    return connection == null && !connecting && now - nextAttemptAt >= KeepaliveMonitor.IDLE_TIMEOUT_MS;
+    return connection == null
+        && !connecting
+        && now - nextAttemptAt >= KeepaliveMonitor.IDLE_TIMEOUT_MS;
   }
 }
--- a/rpc/src/main/java/elmsail/rpc/RpcConnection.java
+++ b/rpc/src/main/java/elmsail/rpc/RpcConnection.java
@@ -50,7 +50,12 @@
   private int openRequests;
 
   RpcConnection(
-      Peer peer, Handshake handshake, Listener owner, Timers timers, MessageCodec codec, RpcCounters counters) {
+      Peer peer,
+      Handshake handshake,
+      Listener owner,
+      Timers timers,
+      MessageCodec codec,
+      RpcCounters counters) {
     this.peer = peer;
     this.handshake = handshake;
     this.outbound = new OutboundQueue(counters, this::close);
@@ -88,7 +93,9 @@
 
   /** Whether the call could be queued; the frame is taken over if so. */
   boolean send(PendingCall call, ByteBuf frame) {
-    if (closed || !outbound.hasCapacityFor(frame.readableBytes()) || !calls.add(call.callId, call)) {
+    if (closed
+        || !outbound.hasCapacityFor(frame.readableBytes())
+        || !calls.add(call.callId, call)) {
       return false;
     }
     call.connection = this;
--- a/rpc/src/main/java/elmsail/rpc/RpcEndpoint.java
+++ b/rpc/src/main/java/elmsail/rpc/RpcEndpoint.java
@@ -63,7 +63,8 @@
     this.instanceId = drawInstanceId();
     this.loopbackCalls = new LoopbackCalls(timers, codec, counters, handlers);
     this.sweeper = new ConnectionSweeper(timers, this::connectionsInUse, () -> peers.isEmpty());
-    this.connector = new Connector(loop, timers, codec, counters, connectionListener, sweeper::sweepSoon);
+    this.connector =
+        new Connector(loop, timers, codec, counters, connectionListener, sweeper::sweepSoon);
   }
 
   private static long drawInstanceId() {
@@ -186,9 +187,11 @@
   }
 
   private void onDeadline(String address, PendingCall call) {
-    if (!call.deadlineExtended && timers.now() - call.deadline > ConnectionSweeper.STALL_THRESHOLD_MS) {
+    if (!call.deadlineExtended
+        && timers.now() - call.deadline > ConnectionSweeper.STALL_THRESHOLD_MS) {
       call.deadlineExtended = true;
-      call.timer = timers.schedule(KeepaliveMonitor.RECHECK_DELAY_MS, () -> onDeadline(address, call));
+      call.timer =
+          timers.schedule(KeepaliveMonitor.RECHECK_DELAY_MS, () -> onDeadline(address, call));
       return;
     }
     if (call.connection != null) {
@@ -277,7 +280,8 @@
         return;
       }
       Peer peer = connection.peer;
-      if (peer.instanceId != HandshakeHello.ANY_INSTANCE && peer.instanceId != connection.peerInstanceId()) {
+      if (peer.instanceId != HandshakeHello.ANY_INSTANCE
+          && peer.instanceId != connection.peerInstanceId()) {
         counters.newInstances++;
       }
       peer.instanceId = connection.peerInstanceId();
@@ -306,9 +310,11 @@
         channel.close();
         return;
       }
-      HandshakeHello localHello = new HandshakeHello(HandshakeHello.VERSION, localAddress, instanceId);
+      HandshakeHello localHello =
+          new HandshakeHello(HandshakeHello.VERSION, localAddress, instanceId);
       RpcConnection connection =
-          new RpcConnection(null, Handshake.forServer(localHello), connectionListener, timers, codec, counters);
+          new RpcConnection(
+              null, Handshake.forServer(localHello), connectionListener, timers, codec, counters);
       accepted.add(connection);
       channel.pipeline().addLast(connection);
       sweeper.sweepSoon();
--- a/rpc/src/test/java/elmsail/rpc/CallModel.java
+++ b/rpc/src/test/java/elmsail/rpc/CallModel.java
@@ -32,7 +32,8 @@
   private static final String ADDRESS = "10.0.0.1:7720";
   private static final int CALLS = 2;
   private static final int MAX_REPLACEMENTS = 2;
-  private static final HandshakeHello MEANT = new HandshakeHello(HandshakeHello.VERSION, ADDRESS, HandshakeHello.ANY_INSTANCE);
+  private static final HandshakeHello MEANT =
+      new HandshakeHello(HandshakeHello.VERSION, ADDRESS, HandshakeHello.ANY_INSTANCE);
 
   /** The processes that may hold the address: two instances of the one meant, and a foreign one. */
   private static final HandshakeHello[] PROCESSES = {
@@ -172,8 +173,7 @@
     if (!one.processOpen) {
       return;
     }
-    boolean unchecked =
-        defect == Defect.HELLO_NOT_CHECKED_BY_SERVER || foreignChecksNothing();
+    boolean unchecked = defect == Defect.HELLO_NOT_CHECKED_BY_SERVER || foreignChecksNothing();
     try {
       boolean wasComplete = one.server.isComplete();
       one.server.onFrame(frame);
--- a/rpc/src/test/java/elmsail/rpc/ForeignFrameTest.java
+++ b/rpc/src/test/java/elmsail/rpc/ForeignFrameTest.java
@@ -42,7 +42,8 @@
       peer.close();
     }
     RpcEndpoint b = world.startEndpoint();
-    CompletableFuture<OpaqueMessage> call = b.call(a.address(), message, OpaqueMessage.class, 1_000);
+    CompletableFuture<OpaqueMessage> call =
+        b.call(a.address(), message, OpaqueMessage.class, 1_000);
     world.runLoopUntil(call::isDone);
     call.join();
     b.close();
@@ -68,7 +69,8 @@
     world.runLoopUntil(this::accepted);
     assertThat(readFrame().kind(), is(Frame.HELLO));
     ByteBuf both = Frame.hello(new HandshakeHello(HandshakeHello.VERSION, "127.0.0.1:1", 1));
-    ByteBuf response = Frame.message(codec, Frame.RESPONSE, readFrame().callId(), new OpaqueMessage());
+    ByteBuf response =
+        Frame.message(codec, Frame.RESPONSE, readFrame().callId(), new OpaqueMessage());
     send(Unpooled.wrappedBuffer(both, response));
     world.runLoopUntil(call::isDone);
     assertThat(codeOf(call), is(ErrorCode.MISDIRECTED));
@@ -93,7 +95,10 @@
   void requestOfAnotherProtocolVersionIsNotRun() throws IOException {
     a.register(OpaqueMessage.class, request -> CompletableFuture.completedFuture(request));
     openSocketToA();
-    ByteBuf hello = Frame.hello(new HandshakeHello(HandshakeHello.VERSION + 1, a.address(), HandshakeHello.ANY_INSTANCE));
+    ByteBuf hello =
+        Frame.hello(
+            new HandshakeHello(
+                HandshakeHello.VERSION + 1, a.address(), HandshakeHello.ANY_INSTANCE));
     ByteBuf request = Frame.message(codec, Frame.REQUEST, 1, new OpaqueMessage());
     send(Unpooled.wrappedBuffer(hello, request));
     assertThat("it says its own version", readFrame().kind(), is(Frame.HELLO));
@@ -155,7 +160,8 @@
       send(request.retainedSlice(0, cut));
       peer.close();
       world.runLoop();
-      assertThat("cut at " + cut, a.counters().requestsReceived - before, is(cut < bytes ? 0L : 1L));
+      assertThat(
+          "cut at " + cut, a.counters().requestsReceived - before, is(cut < bytes ? 0L : 1L));
     }
     request.release();
   }
--- a/rpc/src/test/java/elmsail/rpc/FrameTest.java
+++ b/rpc/src/test/java/elmsail/rpc/FrameTest.java
@@ -51,7 +51,8 @@
       int many = 1 + random.nextInt(6);
       for (int i = 0; i < many; i++) {
         boolean ping = random.nextInt(4) == 0;
-        all.writeBytes(ping ? bytes(Frame.withoutPayload(Frame.PING, i)) : request(i, random.nextInt(99)));
+        all.writeBytes(
+            ping ? bytes(Frame.withoutPayload(Frame.PING, i)) : request(i, random.nextInt(99)));
       }
       FrameDecoder reader = new FrameDecoder();
       List<Long> calls = new ArrayList<>();
@@ -126,6 +127,7 @@
       assertThat(frame.callId(), is(9L));
       assertThat(frame.errorCode(), is(code));
     }
-    assertThat(new Frame(Frame.FAILURE, 1, 0, new byte[] {'?'}).errorCode(), equalTo(ErrorCode.INTERNAL));
+    assertThat(
+        new Frame(Frame.FAILURE, 1, 0, new byte[] {'?'}).errorCode(), equalTo(ErrorCode.INTERNAL));
   }
 }
--- a/rpc/src/test/java/elmsail/rpc/HandshakeTest.java
+++ b/rpc/src/test/java/elmsail/rpc/HandshakeTest.java
@@ -17,10 +17,13 @@
 class HandshakeTest {
 
   private static final String ADDRESS = "10.0.0.1:7720";
-  private static final HandshakeHello ANY = new HandshakeHello(HandshakeHello.VERSION, ADDRESS, HandshakeHello.ANY_INSTANCE);
+  private static final HandshakeHello ANY =
+      new HandshakeHello(HandshakeHello.VERSION, ADDRESS, HandshakeHello.ANY_INSTANCE);
   private static final HandshakeHello SELF = new HandshakeHello(HandshakeHello.VERSION, ADDRESS, 7);
-  private static final HandshakeHello OTHER_ADDRESS = new HandshakeHello(HandshakeHello.VERSION, "10.0.0.1:7721", 7);
-  private static final HandshakeHello OTHER_INSTANCE = new HandshakeHello(HandshakeHello.VERSION, ADDRESS, 8);
+  private static final HandshakeHello OTHER_ADDRESS =
+      new HandshakeHello(HandshakeHello.VERSION, "10.0.0.1:7721", 7);
+  private static final HandshakeHello OTHER_INSTANCE =
+      new HandshakeHello(HandshakeHello.VERSION, ADDRESS, 8);
 
   private static Frame frame(int kind) {
     return new Frame(kind, 1, MessageTypes.NONE, new byte[0]);
@@ -77,9 +80,9 @@
   @Test
   void anotherProcessOrInstanceThanIntendedIsRejectedByBothSides() {
     assertThat(refusal(Handshake.forClient(ANY), frame(OTHER_ADDRESS)), is(ErrorCode.MISDIRECTED));
-    assertThat(refusal(Handshake.forClient(SELF), frame(OTHER_INSTANCE)), is(ErrorCode.MISDIRECTED));
     assertThat(
-        refusal(Handshake.forServer(SELF), frame(OTHER_ADDRESS)), is(ErrorCode.MISDIRECTED));
+        refusal(Handshake.forClient(SELF), frame(OTHER_INSTANCE)), is(ErrorCode.MISDIRECTED));
+    assertThat(refusal(Handshake.forServer(SELF), frame(OTHER_ADDRESS)), is(ErrorCode.MISDIRECTED));
     assertThat(
         refusal(Handshake.forServer(SELF), frame(OTHER_INSTANCE)), is(ErrorCode.MISDIRECTED));
   }
--- a/rpc/src/test/java/elmsail/rpc/KeepaliveTest.java
+++ b/rpc/src/test/java/elmsail/rpc/KeepaliveTest.java
@@ -24,7 +24,10 @@
     assertThat(readFrame().kind(), is(Frame.REQUEST));
     world.advance(KeepaliveMonitor.KEEPALIVE_TIME_MS + ConnectionSweeper.BUSY_INTERVAL_MS);
     assertThat(readFrame().kind(), is(Frame.PING));
-    world.advance(KeepaliveMonitor.KEEPALIVE_TIMEOUT_MS - KeepaliveMonitor.KEEPALIVE_TIME_MS - 2 * ConnectionSweeper.BUSY_INTERVAL_MS);
+    world.advance(
+        KeepaliveMonitor.KEEPALIVE_TIMEOUT_MS
+            - KeepaliveMonitor.KEEPALIVE_TIME_MS
+            - 2 * ConnectionSweeper.BUSY_INTERVAL_MS);
     assertThat(call.isDone(), is(false));
     world.advance(2 * ConnectionSweeper.BUSY_INTERVAL_MS + KeepaliveMonitor.RECHECK_DELAY_MS);
     assertThat(codeOf(call), is(ErrorCode.CONNECTION_LOST));
@@ -88,7 +91,10 @@
       world.advance(500);
       assertThat("after part " + i, call.isDone(), is(false));
     }
-    world.advance(KeepaliveMonitor.KEEPALIVE_TIMEOUT_MS + 2 * ConnectionSweeper.BUSY_INTERVAL_MS + KeepaliveMonitor.RECHECK_DELAY_MS);
+    world.advance(
+        KeepaliveMonitor.KEEPALIVE_TIMEOUT_MS
+            + 2 * ConnectionSweeper.BUSY_INTERVAL_MS
+            + KeepaliveMonitor.RECHECK_DELAY_MS);
     assertThat(codeOf(call), is(ErrorCode.CONNECTION_LOST));
     assertThat(a.counters().keepaliveTimeouts, is(1L));
   }
@@ -151,7 +157,8 @@
     send(Frame.message(codec, Frame.RESPONSE, readFrame().callId(), new OpaqueMessage()));
     world.runLoopUntil(first::isDone);
     long used = world.timers.now();
-    while (world.timers.now() - used < KeepaliveMonitor.RECENT_USE_MS + ConnectionSweeper.BUSY_INTERVAL_MS) {
+    while (world.timers.now() - used
+        < KeepaliveMonitor.RECENT_USE_MS + ConnectionSweeper.BUSY_INTERVAL_MS) {
       long pings = a.counters().pings;
       world.advance(ConnectionSweeper.BUSY_INTERVAL_MS);
       if (a.counters().pings > pings) {
--- a/rpc/src/test/java/elmsail/rpc/MessageCodecTest.java
+++ b/rpc/src/test/java/elmsail/rpc/MessageCodecTest.java
@@ -74,7 +74,8 @@
         field.set(message, null);
       }
     }
-    assertSame(type.getSimpleName(), type.getDeclaredConstructor().newInstance(), codec.copy(message));
+    assertSame(
+        type.getSimpleName(), type.getDeclaredConstructor().newInstance(), codec.copy(message));
   }
 
   @ParameterizedTest
@@ -169,9 +170,11 @@
   @Test
   void objectWithoutATypeNumberIsAnInternalError() {
     assertThat(
-        assertThrows(ElmsailException.class, () -> codec.copy("word")).code(), is(ErrorCode.INTERNAL));
+        assertThrows(ElmsailException.class, () -> codec.copy("word")).code(),
+        is(ErrorCode.INTERNAL));
     assertThat(
-        assertThrows(ElmsailException.class, () -> codec.copy(null)).code(), is(ErrorCode.INTERNAL));
+        assertThrows(ElmsailException.class, () -> codec.copy(null)).code(),
+        is(ErrorCode.INTERNAL));
   }
 
   @Test
--- a/rpc/src/test/java/elmsail/rpc/ModelConnection.java
+++ b/rpc/src/test/java/elmsail/rpc/ModelConnection.java
@@ -19,7 +19,8 @@
   boolean callerOpen = true;
   boolean processOpen = true;
 
-  ModelConnection(int process, HandshakeHello intended, HandshakeHello reached, CallTable<ModelCall> table) {
+  ModelConnection(
+      int process, HandshakeHello intended, HandshakeHello reached, CallTable<ModelCall> table) {
     this.process = process;
     this.table = table;
     client = Handshake.forClient(intended);
--- a/rpc/src/test/java/elmsail/rpc/PinnedWire.java
+++ b/rpc/src/test/java/elmsail/rpc/PinnedWire.java
@@ -87,11 +87,13 @@
     lines.add(frame("response", Frame.message(codec, Frame.RESPONSE, CALL, message)));
     lines.add(frame("ping", Frame.withoutPayload(Frame.PING, 0)));
     lines.add(frame("pong", Frame.withoutPayload(Frame.PONG, 0)));
-    lines.add(frame("hello", Frame.hello(new HandshakeHello(HandshakeHello.VERSION, ADDRESS, CALL))));
+    lines.add(
+        frame("hello", Frame.hello(new HandshakeHello(HandshakeHello.VERSION, ADDRESS, CALL))));
     lines.add(
         frame(
             "hello-to-any-instance",
-            Frame.hello(new HandshakeHello(HandshakeHello.VERSION, ADDRESS, HandshakeHello.ANY_INSTANCE))));
+            Frame.hello(
+                new HandshakeHello(HandshakeHello.VERSION, ADDRESS, HandshakeHello.ANY_INSTANCE))));
     for (int i = 0; i < ErrorCode.values().length; i++) {
       lines.add(frame("failure-" + i, Frame.failure(CALL, ErrorCode.values()[i])));
     }
--- a/rpc/src/test/java/elmsail/rpc/RawPeerFixture.java
+++ b/rpc/src/test/java/elmsail/rpc/RawPeerFixture.java
@@ -75,11 +75,14 @@
   /** A bare socket opens a connection to {@code a} and names it as the process that it means. */
   void connectToA() throws IOException {
     openSocketToA();
-    send(Frame.hello(new HandshakeHello(HandshakeHello.VERSION, a.address(), HandshakeHello.ANY_INSTANCE)));
+    send(
+        Frame.hello(
+            new HandshakeHello(HandshakeHello.VERSION, a.address(), HandshakeHello.ANY_INSTANCE)));
     Frame hello = readFrame();
     assertThat(hello.kind(), is(Frame.HELLO));
     assertThat(
-        HandshakeHello.fromPayload(hello.payload()), is(new HandshakeHello(HandshakeHello.VERSION, a.address(), a.instanceId())));
+        HandshakeHello.fromPayload(hello.payload()),
+        is(new HandshakeHello(HandshakeHello.VERSION, a.address(), a.instanceId())));
   }
 
   boolean accepted() {
--- a/rpc/src/test/java/elmsail/rpc/RpcEndpointTest.java
+++ b/rpc/src/test/java/elmsail/rpc/RpcEndpointTest.java
@@ -95,7 +95,8 @@
 
   @Test
   void largeResponsesArriveComplete() {
-    b.register(OpaqueMessage.class, request -> CompletableFuture.completedFuture(message("big", 5 << 20)));
+    b.register(
+        OpaqueMessage.class, request -> CompletableFuture.completedFuture(message("big", 5 << 20)));
     CompletableFuture<OpaqueMessage> call = request("x");
     world.runLoopUntil(call::isDone);
     assertThat(call.join().bytes.length, is(5 << 20));
@@ -105,7 +106,8 @@
   void failedHandlerSendsItsCode() {
     b.register(
         OpaqueMessage.class,
-        request -> CompletableFuture.failedFuture(new ElmsailException(ErrorCode.NOT_A_VOTER, "x")));
+        request ->
+            CompletableFuture.failedFuture(new ElmsailException(ErrorCode.NOT_A_VOTER, "x")));
     b.register(
         ReadRequest.class,
         request -> {
@@ -129,7 +131,8 @@
 
   @Test
   void responseOfAnotherTypeIsMalformed() {
-    b.register(OpaqueMessage.class, request -> CompletableFuture.completedFuture(new VoteResponse()));
+    b.register(
+        OpaqueMessage.class, request -> CompletableFuture.completedFuture(new VoteResponse()));
     CompletableFuture<OpaqueMessage> call = request("x");
     world.runLoopUntil(call::isDone);
     assertThat(codeOf(call), is(ErrorCode.MALFORMED));
@@ -156,7 +159,8 @@
     String gone = b.address();
     b.close();
     world.runLoop();
-    CompletableFuture<OpaqueMessage> first = a.call(gone, message("x", 1), OpaqueMessage.class, 5_000);
+    CompletableFuture<OpaqueMessage> first =
+        a.call(gone, message("x", 1), OpaqueMessage.class, 5_000);
     world.runLoopUntil(first::isDone);
     assertThat(codeOf(first), is(ErrorCode.NOT_SENT));
     assertThat(a.counters().failedConnects, is(1L));
@@ -167,7 +171,8 @@
     assertThat(codeOf(second), is(ErrorCode.NOT_SENT));
     assertThat(a.counters().failedConnects, is(1L));
     world.advance(Peer.INITIAL_BACKOFF_MS);
-    CompletableFuture<OpaqueMessage> third = a.call(gone, message("x", 1), OpaqueMessage.class, 5_000);
+    CompletableFuture<OpaqueMessage> third =
+        a.call(gone, message("x", 1), OpaqueMessage.class, 5_000);
     world.runLoopUntil(third::isDone);
     assertThat(a.counters().failedConnects, is(2L));
     world.advance(Peer.INITIAL_BACKOFF_MS);
@@ -180,7 +185,8 @@
   @Test
   void invalidAddressFailsAsNotSent() {
     for (String bad : List.of("", "nowhere", "host.example:80", "127.0.0.1:x", "127.0.0.1:70000")) {
-      CompletableFuture<OpaqueMessage> call = a.call(bad, message("x", 1), OpaqueMessage.class, 5_000);
+      CompletableFuture<OpaqueMessage> call =
+          a.call(bad, message("x", 1), OpaqueMessage.class, 5_000);
       assertThat(call.isDone(), is(false));
       world.runLoopUntil(call::isDone);
       assertThat(bad, codeOf(call), is(ErrorCode.NOT_SENT));
@@ -289,7 +295,8 @@
         request ->
             request.kind.equals("held")
                 ? held
-                : CompletableFuture.failedFuture(new ElmsailException(ErrorCode.STORAGE_FAILURE, "x")));
+                : CompletableFuture.failedFuture(
+                    new ElmsailException(ErrorCode.STORAGE_FAILURE, "x")));
     CompletableFuture<OpaqueMessage> failed =
         a.call(a.address(), message("x", 1), OpaqueMessage.class, 100);
     CompletableFuture<OpaqueMessage> silent =
--- a/runtime/src/main/java/elmsail/runtime/Counters.java
+++ b/runtime/src/main/java/elmsail/runtime/Counters.java
@@ -8,8 +8,8 @@
 
 /**
  * The named figures of a process: counters, gauges and histograms, used on the loop alone. Those
- * that changed are logged in one line every 10 s; {@link PrometheusText} writes all of them. Names are
- * few and fixed: never made of what others send.
+ * that changed are logged in one line every 10 s; {@link PrometheusText} writes all of them. Names
+ * are few and fixed: never made of what others send.
  */
 public final class Counters {
 
--- a/runtime/src/main/java/elmsail/runtime/PrometheusText.java
+++ b/runtime/src/main/java/elmsail/runtime/PrometheusText.java
@@ -55,7 +55,10 @@
   private static void append(StringBuilder lines, String family, Histogram histogram) {
     for (int bucket = 0; bucket < histogram.boundCount(); bucket++) {
       bucketLine(
-          lines, family, Long.toString(histogram.boundMs(bucket)), histogram.cumulativeCount(bucket));
+          lines,
+          family,
+          Long.toString(histogram.boundMs(bucket)),
+          histogram.cumulativeCount(bucket));
     }
     bucketLine(lines, family, "+Inf", histogram.count());
     lines.append(family).append("_sum ").append(histogram.sumMs()).append('\n');
--- a/runtime/src/main/java/elmsail/runtime/Settings.java
+++ b/runtime/src/main/java/elmsail/runtime/Settings.java
@@ -36,7 +36,8 @@
     Platform platform) {
 
   /** What the machine gives; cores and MB of 2^20 bytes. */
-  public record Limits(double cpuShare, int memoryMb, int maxFileDescriptors, double linkMbps, int diskMb) {}
+  public record Limits(
+      double cpuShare, int memoryMb, int maxFileDescriptors, double linkMbps, int diskMb) {}
 
   /** Milliseconds, but for the ratio. */
   public record Bounds(
@@ -72,7 +73,9 @@
    * the operators, as a machine's two processes share the ports.
    */
   public String rpcAddress() {
-    return services.contains("head_office") ? controlPlaneRpcAddress(ip) : ip + ":" + firstInternalPort;
+    return services.contains("head_office")
+        ? controlPlaneRpcAddress(ip)
+        : ip + ":" + firstInternalPort;
   }
 
   /**
--- a/runtime/src/main/java/elmsail/runtime/Signals.java
+++ b/runtime/src/main/java/elmsail/runtime/Signals.java
@@ -25,7 +25,9 @@
       Method handled = handler.getMethod("handle", signal);
       Object run =
           Proxy.newProxyInstance(
-              Signals.class.getClassLoader(), new Class<?>[] {handler}, new SignalInvocationHandler(handled, action));
+              Signals.class.getClassLoader(),
+              new Class<?>[] {handler},
+              new SignalInvocationHandler(handled, action));
       signal
           .getMethod("handle", signal, handler)
           .invoke(null, signal.getConstructor(String.class).newInstance(name), run);
@@ -34,7 +36,8 @@
     }
   }
 
-  private record SignalInvocationHandler(Method handled, Runnable action) implements InvocationHandler {
+  private record SignalInvocationHandler(Method handled, Runnable action)
+      implements InvocationHandler {
     @Override
     public Object invoke(Object proxy, Method method, Object[] args)
         throws ReflectiveOperationException {
--- a/runtime/src/main/java/elmsail/runtime/http/HttpServerConnection.java
+++ b/runtime/src/main/java/elmsail/runtime/http/HttpServerConnection.java
@@ -251,7 +251,8 @@
     write(ctx, new SimpleHttpResponse(status.code(), Map.of(), EMPTY_BODY), false, false);
   }
 
-  private void write(ChannelHandlerContext ctx, SimpleHttpResponse response, boolean keep, boolean bodiless) {
+  private void write(
+      ChannelHandlerContext ctx, SimpleHttpResponse response, boolean keep, boolean bodiless) {
     FullHttpResponse out =
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1,
--- a/runtime/src/main/java/elmsail/runtime/http/MetricsEndpoint.java
+++ b/runtime/src/main/java/elmsail/runtime/http/MetricsEndpoint.java
@@ -1,8 +1,8 @@
 package elmsail.runtime.http;
 
 import elmsail.runtime.Counters;
-import elmsail.runtime.PrometheusText;
 import elmsail.runtime.MonotonicClock;
+import elmsail.runtime.PrometheusText;
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
@@ -47,7 +47,8 @@
       return new SimpleHttpResponse(405, Map.of("Allow", "GET"), EMPTY_BODY);
     }
     requests.add(1);
-    return new SimpleHttpResponse(200, Map.of("Content-Type", PrometheusText.CONTENT_TYPE), cachedText());
+    return new SimpleHttpResponse(
+        200, Map.of("Content-Type", PrometheusText.CONTENT_TYPE), cachedText());
   }
 
   private byte[] cachedText() {
--- a/runtime/src/main/java/elmsail/runtime/http/NettyHttpClient.java
+++ b/runtime/src/main/java/elmsail/runtime/http/NettyHttpClient.java
@@ -45,7 +45,8 @@
   }
 
   @Override
-  public CompletableFuture<SimpleHttpResponse> get(String address, String pathAndQuery, long timeoutMs) {
+  public CompletableFuture<SimpleHttpResponse> get(
+      String address, String pathAndQuery, long timeoutMs) {
     PendingRequest asked = new PendingRequest(address, pathAndQuery);
     ChannelFuture connecting =
         new Bootstrap()
@@ -111,7 +112,10 @@
     }
 
     void initPipeline(Channel channel) {
-      channel.pipeline().addLast(new StrictResponseDecoder(MAX_LINE_BYTES, MAX_HEADER_BYTES, MAX_CHUNK_BYTES), this);
+      channel
+          .pipeline()
+          .addLast(
+              new StrictResponseDecoder(MAX_LINE_BYTES, MAX_HEADER_BYTES, MAX_CHUNK_BYTES), this);
     }
 
     @Override
@@ -152,7 +156,8 @@
         if (content instanceof LastHttpContent && head.status().code() >= 200) {
           byte[] bytes = new byte[body.readableBytes()];
           body.readBytes(bytes);
-          this.response.complete(new SimpleHttpResponse(head.status().code(), toHeaderMap(head.headers()), bytes));
+          this.response.complete(
+              new SimpleHttpResponse(head.status().code(), toHeaderMap(head.headers()), bytes));
         }
       }
     }
--- a/runtime/src/test/java/elmsail/runtime/AddressesTest.java
+++ b/runtime/src/test/java/elmsail/runtime/AddressesTest.java
@@ -12,7 +12,8 @@
 
   @Test
   void parsesIpv4AddressesWithPorts() {
-    assertThat(Addresses.parse("10.200.0.79:8169").getAddress().getHostAddress(), is("10.200.0.79"));
+    assertThat(
+        Addresses.parse("10.200.0.79:8169").getAddress().getHostAddress(), is("10.200.0.79"));
     assertThat(Addresses.parse("10.200.0.79:65535").getPort(), is(65_535));
     assertThat(Addresses.isAddress("0.0.0.0:0"), is(true));
   }
--- a/runtime/src/test/java/elmsail/runtime/CountersTest.java
+++ b/runtime/src/test/java/elmsail/runtime/CountersTest.java
@@ -50,6 +50,7 @@
         is("calls=1 sync_ms_count=1 sync_ms_p50=30 sync_ms_p99=30 sync_ms_max=30"));
     assertThat(counters.formatChanges(), is(nullValue()));
     sync.observe(3);
-    assertThat(counters.formatChanges(), is("sync_ms_count=1 sync_ms_p50=3 sync_ms_p99=3 sync_ms_max=3"));
+    assertThat(
+        counters.formatChanges(), is("sync_ms_count=1 sync_ms_p50=3 sync_ms_p99=3 sync_ms_max=3"));
   }
 }
--- a/runtime/src/test/java/elmsail/runtime/InvariantsTest.java
+++ b/runtime/src/test/java/elmsail/runtime/InvariantsTest.java
@@ -28,7 +28,8 @@
     assertThat(invariants.violations(ONE), is(Invariants.MAX_LOGGED + 3L));
     assertThat(invariants.violations(), is(Invariants.MAX_LOGGED + 3L));
     assertThat("only the first few are described", asked, is(Invariants.MAX_LOGGED));
-    assertThat(counters.formatChanges(), is("invariant_" + ONE + "=" + (Invariants.MAX_LOGGED + 3)));
+    assertThat(
+        counters.formatChanges(), is("invariant_" + ONE + "=" + (Invariants.MAX_LOGGED + 3)));
   }
 
   @Test
--- a/runtime/src/test/java/elmsail/runtime/PinnedNamesTest.java
+++ b/runtime/src/test/java/elmsail/runtime/PinnedNamesTest.java
@@ -9,10 +9,10 @@
 import com.typesafe.config.Config;
 import com.typesafe.config.ConfigFactory;
 import com.typesafe.config.ConfigRenderOptions;
-import elmsail.runtime.http.SimpleHttpResponse;
 import elmsail.runtime.http.HttpServer;
 import elmsail.runtime.http.MetricsEndpoint;
 import elmsail.runtime.http.NettyHttpClient;
+import elmsail.runtime.http.SimpleHttpResponse;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -116,7 +116,8 @@
                           new ElmsailException(ErrorCode.NO_QUORUM, "nobody")),
                   1)
               .join();
-      SimpleHttpResponse reply = new NettyHttpClient(loop).get(server.address(), "/", 20_000).join();
+      SimpleHttpResponse reply =
+          new NettyHttpClient(loop).get(server.address(), "/", 20_000).join();
       assertThat(reply.status(), is(503));
       assertThat(reply.headers().get("elmsail-fault"), is("NOT_REACHED"));
     } finally {
--- a/runtime/src/test/java/elmsail/runtime/http/HttpLoopbackTest.java
+++ b/runtime/src/test/java/elmsail/runtime/http/HttpLoopbackTest.java
@@ -57,7 +57,8 @@
 
   @Test
   void clientReceivesTheServersResponse() {
-    SimpleHttpResponse reply = client.get(serve().address(), "/servers?zone=a%20b", TIMEOUT_MS).join();
+    SimpleHttpResponse reply =
+        client.get(serve().address(), "/servers?zone=a%20b", TIMEOUT_MS).join();
     assertThat(reply.status(), is(200));
     assertThat(reply.headers().get("x-path"), is("/servers"));
     assertThat(new String(reply.body(), StandardCharsets.UTF_8), is("{zone=a b}"));
--- a/runtime/src/test/java/elmsail/runtime/http/HttpServerConnectionTest.java
+++ b/runtime/src/test/java/elmsail/runtime/http/HttpServerConnectionTest.java
@@ -112,7 +112,8 @@
         clock,
         call -> {
           paths.add(call.path());
-          return CompletableFuture.completedFuture(new SimpleHttpResponse(200, Map.of(), new byte[0]));
+          return CompletableFuture.completedFuture(
+              new SimpleHttpResponse(200, Map.of(), new byte[0]));
         },
         MOST_BODY);
     String rest = " HTTP/1.1\r\n\r\n";
@@ -126,9 +127,7 @@
   @Test
   void failedHandlerGets503AndTheConnectionStaysUsable() {
     send("GET /a HTTP/1.1||");
-    replies
-        .get(0)
-        .completeExceptionally(new ElmsailException(ErrorCode.NO_QUORUM, "no majority"));
+    replies.get(0).completeExceptionally(new ElmsailException(ErrorCode.NO_QUORUM, "no majority"));
     assertThat(sent(), startsWith("HTTP/1.1 503 "));
     assertThat(channel.isOpen(), is(true));
     send("GET /b HTTP/1.1||");
--- a/runtime/src/test/java/elmsail/runtime/http/MetricsEndpointTest.java
+++ b/runtime/src/test/java/elmsail/runtime/http/MetricsEndpointTest.java
@@ -6,8 +6,8 @@
 
 import elmsail.runtime.Counters;
 import elmsail.runtime.ManualTimers;
-import elmsail.runtime.PrometheusText;
 import elmsail.runtime.NettyEventLoop;
+import elmsail.runtime.PrometheusText;
 import java.net.URI;
 import java.net.http.HttpClient;
 import java.net.http.HttpRequest;
@@ -73,7 +73,8 @@
     try {
       counters.counter("calls").add(7);
       HttpServer server =
-          HttpServer.listen(loop, "127.0.0.1:0", new MetricsEndpoint(counters, loop), MAX_BODY_BYTES)
+          HttpServer.listen(
+                  loop, "127.0.0.1:0", new MetricsEndpoint(counters, loop), MAX_BODY_BYTES)
               .get(5, TimeUnit.SECONDS);
       URI uri = URI.create("http://" + server.address() + MetricsEndpoint.PATH);
       HttpClient client = HttpClient.newHttpClient();
@@ -81,7 +82,8 @@
           client.send(
               HttpRequest.newBuilder(uri).GET().build(), HttpResponse.BodyHandlers.ofString());
       assertThat(answer.statusCode(), is(200));
-      assertThat(answer.headers().firstValue("content-type").get(), is(PrometheusText.CONTENT_TYPE));
+      assertThat(
+          answer.headers().firstValue("content-type").get(), is(PrometheusText.CONTENT_TYPE));
       assertThat(answer.body(), containsString("# TYPE elmsail_calls counter\nelmsail_calls 7\n"));
       HttpResponse<String> refused =
           client.send(
--- a/runtime/src/test/java/elmsail/runtime/http/TruncatedMessageTest.java
+++ b/runtime/src/test/java/elmsail/runtime/http/TruncatedMessageTest.java
@@ -45,7 +45,8 @@
   }
 
   /** Asks a server that reads the call, says these bytes, and ends the connection. */
-  private CompletableFuture<SimpleHttpResponse> getFromServerThatSends(String bytes, boolean reset) throws IOException {
+  private CompletableFuture<SimpleHttpResponse> getFromServerThatSends(String bytes, boolean reset)
+      throws IOException {
     try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       CompletableFuture<SimpleHttpResponse> reply =
           client.get("127.0.0.1:" + server.getLocalPort(), "/", TIMEOUT_MS);
@@ -80,7 +81,8 @@
   void truncatedResponseFails(boolean chunked, boolean reset) throws IOException {
     String answer = chunked ? CHUNKED : LENGTH;
     for (int cut = 0; cut < answer.length(); cut++) {
-      CompletableFuture<SimpleHttpResponse> reply = getFromServerThatSends(answer.substring(0, cut), reset);
+      CompletableFuture<SimpleHttpResponse> reply =
+          getFromServerThatSends(answer.substring(0, cut), reset);
       ErrorCode code = codeOf(reply);
       boolean known = code == ErrorCode.CONNECTION_LOST || code == ErrorCode.MALFORMED;
       assertThat("cut at " + cut + ": " + code, known, is(true));
@@ -98,7 +100,9 @@
 
   @Test
   void bytesAfterAResponseAreIgnored() throws IOException {
-    assertThat(text(getFromServerThatSends(LENGTH + LENGTH.replace("whole", "other"), false).join()), is("whole"));
+    assertThat(
+        text(getFromServerThatSends(LENGTH + LENGTH.replace("whole", "other"), false).join()),
+        is("whole"));
   }
 
   @Test
--- a/simulation/src/main/java/elmsail/simulation/SimCall.java
+++ b/simulation/src/main/java/elmsail/simulation/SimCall.java
@@ -33,7 +33,8 @@
 
   void fail(ErrorCode code) {
     if (finish()) {
-      future.completeExceptionally(new ElmsailException(code, caller.address() + " to " + targetAddress));
+      future.completeExceptionally(
+          new ElmsailException(code, caller.address() + " to " + targetAddress));
     }
   }
 
--- a/simulation/src/main/java/elmsail/simulation/SimDisk.java
+++ b/simulation/src/main/java/elmsail/simulation/SimDisk.java
@@ -261,13 +261,16 @@
           }
           unreportedFailures = null;
           for (CompletableFuture<Void> future : failed) {
-            future.completeExceptionally(new ElmsailException(ErrorCode.STORAGE_FAILURE, "refused"));
+            future.completeExceptionally(
+                new ElmsailException(ErrorCode.STORAGE_FAILURE, "refused"));
           }
         });
   }
 
   private void fail(CompletableFuture<Void> future, String detail) {
-    owner.execute(() -> future.completeExceptionally(new ElmsailException(ErrorCode.STORAGE_FAILURE, detail)));
+    owner.execute(
+        () ->
+            future.completeExceptionally(new ElmsailException(ErrorCode.STORAGE_FAILURE, detail)));
   }
 
   private static void apply(Map<String, byte[]> records, List<Change> changes) {
--- a/simulation/src/main/java/elmsail/simulation/SimLinkTable.java
+++ b/simulation/src/main/java/elmsail/simulation/SimLinkTable.java
@@ -53,7 +53,9 @@
   /** Ms until a message has left the address whole; null is one without bytes. */
   long uplinkMs(String from, long now, Object message) {
     SimUplink uplink = uplinks.get(from);
-    return uplink == null || message == null ? 0 : uplink.transmitMs(now, codec.encodedBytes(message));
+    return uplink == null || message == null
+        ? 0
+        : uplink.transmitMs(now, codec.encodedBytes(message));
   }
 
   /** Ends the faults of all links. */
--- a/simulation/src/main/java/elmsail/simulation/SimNetwork.java
+++ b/simulation/src/main/java/elmsail/simulation/SimNetwork.java
@@ -153,8 +153,8 @@
    * Kills the process: nothing of it runs any more, and its messages under way are lost or not.
    *
    * @param seen true: open calls to it break, later ones are UNSENT at once (the process died);
-   *     false: open ones are SILENT, later ones UNSENT after {@link #CONNECT_TIMEOUT_MS} (the machine
-   *     lost its power)
+   *     false: open ones are SILENT, later ones UNSENT after {@link #CONNECT_TIMEOUT_MS} (the
+   *     machine lost its power)
    */
   public void kill(String address, boolean seen) {
     SimNode node = nodes.remove(address);
@@ -246,14 +246,24 @@
     } else if (link.fault == SimLink.Fault.RESET) {
       from.timers().execute(() -> call.fail(ErrorCode.CONNECTION_LOST));
       if (random.nextBoolean()) {
-        transmit(from.address(), call.targetAddress, request, () -> onRequestArrived(call, target, request));
+        transmit(
+            from.address(),
+            call.targetAddress,
+            request,
+            () -> onRequestArrived(call, target, request));
       }
     } else if (link.fault == SimLink.Fault.NONE && target == null) {
       boolean silent = poweredOff.getOrDefault(call.targetAddress, false);
       from.timers()
-          .schedule(silent ? CONNECT_TIMEOUT_MS : link.drawDelayMs(random), () -> call.fail(ErrorCode.NOT_SENT));
+          .schedule(
+              silent ? CONNECT_TIMEOUT_MS : link.drawDelayMs(random),
+              () -> call.fail(ErrorCode.NOT_SENT));
     } else {
-      transmit(from.address(), call.targetAddress, request, () -> onRequestArrived(call, target, request));
+      transmit(
+          from.address(),
+          call.targetAddress,
+          request,
+          () -> onRequestArrived(call, target, request));
     }
   }
 
--- a/simulation/src/main/java/elmsail/simulation/SimNode.java
+++ b/simulation/src/main/java/elmsail/simulation/SimNode.java
@@ -1,8 +1,8 @@
 package elmsail.simulation;
 
-import elmsail.rpc.RpcClient;
 import elmsail.rpc.HandlerRegistry;
 import elmsail.rpc.RequestHandlers;
+import elmsail.rpc.RpcClient;
 import elmsail.runtime.Timers;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -13,9 +13,9 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * One process of a {@link SimNetwork}, from its start until it is killed. Once it is dead nothing of it
- * runs any more; while it is frozen, its messages and timers are held, and run when it is thawed:
- * what came over the network first, as a loop looks at its sockets before its timers.
+ * One process of a {@link SimNetwork}, from its start until it is killed. Once it is dead nothing
+ * of it runs any more; while it is frozen, its messages and timers are held, and run when it is
+ * thawed: what came over the network first, as a loop looks at its sockets before its timers.
  */
 public final class SimNode implements RpcClient {
 
--- a/simulation/src/test/java/elmsail/simulation/SimNetworkTest.java
+++ b/simulation/src/test/java/elmsail/simulation/SimNetworkTest.java
@@ -73,7 +73,8 @@
   void callTakesTheDelayOfBothDirectionsAndSharesNothing() {
     net.delay(B, A, 5, 5);
     OpaqueMessage request = message("x");
-    CompletableFuture<OpaqueMessage> call = a.rpcClient().call(B, request, OpaqueMessage.class, 1_000);
+    CompletableFuture<OpaqueMessage> call =
+        a.rpcClient().call(B, request, OpaqueMessage.class, 1_000);
     timers.advance(6);
     assertThat(received.size(), is(1));
     assertThat(call.isDone(), is(false));
@@ -238,7 +239,8 @@
     List<String> ran = new ArrayList<>();
     b.timers().schedule(10, () -> ran.add("timer"));
     a.requestHandlers().register(OpaqueMessage.class, request -> new CompletableFuture<>());
-    CompletableFuture<OpaqueMessage> own = b.rpcClient().call(A, message("x"), OpaqueMessage.class, 50);
+    CompletableFuture<OpaqueMessage> own =
+        b.rpcClient().call(A, message("x"), OpaqueMessage.class, 50);
     own.whenComplete((response, thrown) -> ran.add("call"));
     CompletableFuture<OpaqueMessage> held = new CompletableFuture<>();
     b.requestHandlers().register(OpaqueMessage.class, request -> held);
--- a/soak/src/test/java/elmsail/soak/BatchClient.java
+++ b/soak/src/test/java/elmsail/soak/BatchClient.java
@@ -29,7 +29,10 @@
    * @param fronts the addresses for clients by machine
    */
   BatchClient(
-      JobHistoryChecker jobs, QuotaHistoryChecker quota, Map<String, InetSocketAddress> fronts, SoakClock clock) {
+      JobHistoryChecker jobs,
+      QuotaHistoryChecker quota,
+      Map<String, InetSocketAddress> fronts,
+      SoakClock clock) {
     this.jobs = jobs;
     this.quota = quota;
     this.fronts = Map.copyOf(fronts);
--- a/soak/src/test/java/elmsail/soak/Cluster.java
+++ b/soak/src/test/java/elmsail/soak/Cluster.java
@@ -40,7 +40,10 @@
     for (Topology.Node caller : topology.nodes()) {
       for (Topology.Node called : topology.nodes()) {
         relay.stream(
-            caller.name(), called.name(), topology.relayAddress(caller, called), topology.inner(called));
+            caller.name(),
+            called.name(),
+            topology.relayAddress(caller, called),
+            topology.inner(called));
       }
     }
   }
@@ -107,8 +110,7 @@
     return topology.nodes().stream()
         .filter(
             node ->
-                node.name().equals(fault.target())
-                    || node.machine().name().equals(fault.target()))
+                node.name().equals(fault.target()) || node.machine().name().equals(fault.target()))
         .toList();
   }
 
--- a/soak/src/test/java/elmsail/soak/FakeModelServer.java
+++ b/soak/src/test/java/elmsail/soak/FakeModelServer.java
@@ -35,7 +35,8 @@
   private final Set<Socket> open = ConcurrentHashMap.newKeySet();
   private final AtomicInteger running = new AtomicInteger();
 
-  FakeModelServer(String id, InetSocketAddress address, ServerObserver observer) throws IOException {
+  FakeModelServer(String id, InetSocketAddress address, ServerObserver observer)
+      throws IOException {
     this.id = id;
     this.observer = observer;
     listener.setReuseAddress(true);
--- a/soak/src/test/java/elmsail/soak/FaultScheduleGeneratorTest.java
+++ b/soak/src/test/java/elmsail/soak/FaultScheduleGeneratorTest.java
@@ -75,7 +75,9 @@
         assertThat(fault.toString(), fault.startMs() >= FROM && fault.endMs() <= TO);
         List<Fault> beside = troubles.stream().filter(fault::overlaps).toList();
         assertThat(
-            fault.toString(), beside.size(), is(lessThanOrEqualTo(FaultScheduleGenerator.MAX_CONCURRENT)));
+            fault.toString(),
+            beside.size(),
+            is(lessThanOrEqualTo(FaultScheduleGenerator.MAX_CONCURRENT)));
       }
     }
   }
--- a/soak/src/test/java/elmsail/soak/FinalChecks.java
+++ b/soak/src/test/java/elmsail/soak/FinalChecks.java
@@ -42,7 +42,8 @@
         answered(readAll(job, machine), "job " + job.id() + " at " + machine);
       }
     }
-    Operator operator = new Operator(environment.configs, environment.controls, clock, seed, () -> false);
+    Operator operator =
+        new Operator(environment.configs, environment.controls, clock, seed, () -> false);
     for (String node : environment.controls.keySet()) {
       long deadlineMs = clock.nowMs() + ANSWER_MS;
       long edition = operator.read(node);
--- a/soak/src/test/java/elmsail/soak/QuotaHistoryChecker.java
+++ b/soak/src/test/java/elmsail/soak/QuotaHistoryChecker.java
@@ -75,7 +75,8 @@
   }
 
   /** A try was answered, or not in time: then its status is 0. */
-  synchronized void onSubmitAttempt(String job, String machine, long sentMs, long atMs, int status) {
+  synchronized void onSubmitAttempt(
+      String job, String machine, long sentMs, long atMs, int status) {
     JobTokens tokens = jobs.get(job);
     if (tokens == null) {
       return;
--- a/soak/src/test/java/elmsail/soak/QuotaHistoryCheckerTest.java
+++ b/soak/src/test/java/elmsail/soak/QuotaHistoryCheckerTest.java
@@ -17,7 +17,8 @@
 
   private final Findings findings = new Findings();
   private final FaultHistory faults = new FaultHistory();
-  private final QuotaHistoryChecker checker = new QuotaHistoryChecker(findings, faults, Map.of(ROUTE, LIMIT));
+  private final QuotaHistoryChecker checker =
+      new QuotaHistoryChecker(findings, faults, Map.of(ROUTE, LIMIT));
 
   private SubmittedJob job(String id, long tokens) {
     SubmittedJob job =
--- a/soak/src/test/java/elmsail/soak/RequestClient.java
+++ b/soak/src/test/java/elmsail/soak/RequestClient.java
@@ -55,7 +55,11 @@
     try {
       HttpResponse response = call.send(CALL_MS);
       checker.onResponse(
-          id, response.status(), response.header("Elmsail-Postmark"), response.text(), clock.nowMs());
+          id,
+          response.status(),
+          response.header("Elmsail-Postmark"),
+          response.text(),
+          clock.nowMs());
     } catch (IOException e) {
       // No answer, or not a whole one: nothing is promised.
     }
--- a/soak/src/test/java/elmsail/soak/SoakRun.java
+++ b/soak/src/test/java/elmsail/soak/SoakRun.java
@@ -68,7 +68,8 @@
     return new SoakOutcome(plan.seed(), violations, accepted, summary, folder);
   }
 
-  private void live(SoakEnvironment environment, Cluster cluster, List<Fault> schedule) throws IOException {
+  private void live(SoakEnvironment environment, Cluster cluster, List<Fault> schedule)
+      throws IOException {
     cluster.startAll();
     if (!started(environment)) {
       return;
@@ -124,7 +125,8 @@
   }
 
   private Operator operator(SoakEnvironment environment, int number, BooleanSupplier over) {
-    return new Operator(environment.configs, environment.controls, clock, plan.seed() + number, over);
+    return new Operator(
+        environment.configs, environment.controls, clock, plan.seed() + number, over);
   }
 
   private List<Thread> load(SoakEnvironment environment) {
@@ -133,12 +135,14 @@
     for (BatchWorker.Profile habit : BatchWorker.Profile.values()) {
       for (int i = 0; i < plan.workers(habit); i++) {
         parts.add(
-            new BatchWorker(environment.batch, habit, clock, seed++, () -> loadOver, () -> readsOver));
+            new BatchWorker(
+                environment.batch, habit, clock, seed++, () -> loadOver, () -> readsOver));
       }
     }
     for (int i = 0; i < plan.requestClients(); i++) {
       parts.add(
-          new RequestClient(environment.requests, environment.fronts, clock, seed++, () -> loadOver));
+          new RequestClient(
+              environment.requests, environment.fronts, clock, seed++, () -> loadOver));
     }
     parts.add(operator(environment, 2, () -> loadOver));
     parts.add(operator(environment, 3, () -> loadOver));
--- a/storage/src/main/java/elmsail/storage/Compaction.java
+++ b/storage/src/main/java/elmsail/storage/Compaction.java
@@ -36,7 +36,9 @@
         return step;
       }
     }
-    return index.files.size() > BASE_FILES + index.liveBytes() / LIVE_BYTES_PER_FILE ? stepOfSmallestFiles(index) : null;
+    return index.files.size() > BASE_FILES + index.liveBytes() / LIVE_BYTES_PER_FILE
+        ? stepOfSmallestFiles(index)
+        : null;
   }
 
   /** From the file with the smallest live part, and all others that fit into the step. */
--- a/storage/src/main/java/elmsail/storage/DirectoryRecordStore.java
+++ b/storage/src/main/java/elmsail/storage/DirectoryRecordStore.java
@@ -71,7 +71,8 @@
   public static DirectoryRecordStore open(
       Path dir, long maxBytes, Executor completions, FileSystem fileSystem) {
     DirectoryRecordStore records =
-        openWithoutThread(dir, maxBytes, completions, fileSystem, new SecureRandom().nextLong() | 1);
+        openWithoutThread(
+            dir, maxBytes, completions, fileSystem, new SecureRandom().nextLong() | 1);
     records.thread = new Thread(records::run, "disk");
     records.thread.setDaemon(true);
     records.thread.start();
@@ -137,7 +138,8 @@
         IndexEntry entry = index.entryFor(changes.get(i).name());
         entry.pendingSeq = nextSeq++;
         entry.pendingBytes = changes.get(i).bytes();
-        pending.records.add(new PendingWrite.Item(entry, utf[i], entry.pendingSeq, entry.pendingBytes));
+        pending.records.add(
+            new PendingWrite.Item(entry, utf[i], entry.pendingSeq, entry.pendingBytes));
       }
       queue.add(pending);
       lock.notifyAll();
@@ -159,7 +161,8 @@
           return entry.pendingBytes;
         }
         location = entry.durable;
-        byte[] bytes = location.bytes() != null ? location.bytes() : index.cache.get(location.seq());
+        byte[] bytes =
+            location.bytes() != null ? location.bytes() : index.cache.get(location.seq());
         if (bytes != null) {
           return bytes;
         }
@@ -255,7 +258,8 @@
     } catch (RejectedExecutionException e) {
       LOG.info("the disk's thread ends with the loop");
     } catch (Error e) {
-      onBatchFailed(List.of(), new ElmsailException(ErrorCode.INTERNAL, "the disk's thread ended", e));
+      onBatchFailed(
+          List.of(), new ElmsailException(ErrorCode.INTERNAL, "the disk's thread ended", e));
       throw e;
     }
   }
--- a/storage/src/main/java/elmsail/storage/DiskWorker.java
+++ b/storage/src/main/java/elmsail/storage/DiskWorker.java
@@ -62,7 +62,8 @@
       logDiskState(null);
     } catch (IOException e) {
       logDiskState(e);
-      store.onBatchFailed(batch, new ElmsailException(ErrorCode.STORAGE_FAILURE, "the disk refused: " + e, e));
+      store.onBatchFailed(
+          batch, new ElmsailException(ErrorCode.STORAGE_FAILURE, "the disk refused: " + e, e));
       return true;
     } catch (ElmsailException e) {
       store.onBatchFailed(batch, e);
@@ -140,7 +141,9 @@
   private void reclaimSpace(long bytes, boolean hasValues) {
     int maxCompactionSteps = compactionSteps + MAX_STEPS_PER_BATCH;
     compactionSuspended = false;
-    while (diskBytes() + bytes > maxBytes / 10 * 9 && compactionSteps < maxCompactionSteps && compact(true)) {
+    while (diskBytes() + bytes > maxBytes / 10 * 9
+        && compactionSteps < maxCompactionSteps
+        && compact(true)) {
       compactionSuspended = false;
     }
     if (hasValues && diskBytes() + bytes > maxBytes) {
@@ -190,7 +193,9 @@
             writer -> {
               for (int i = 0; i < at.length; i++) {
                 IndexEntry entry = moved.get(i);
-                at[i] = writer.writeRecord(VersionWriter.toUtf8(entry.name), entry.durable.seq(), bytes(entry));
+                at[i] =
+                    writer.writeRecord(
+                        VersionWriter.toUtf8(entry.name), entry.durable.seq(), bytes(entry));
               }
             });
     synchronized (lock) {
--- a/storage/src/main/java/elmsail/storage/StorageDirectory.java
+++ b/storage/src/main/java/elmsail/storage/StorageDirectory.java
@@ -93,7 +93,8 @@
       }
       fileSystem.syncDirectory(directory);
     } catch (IOException e) {
-      throw new ElmsailException(ErrorCode.STORAGE_FAILURE, "the folder of records cannot be opened: " + e, e);
+      throw new ElmsailException(
+          ErrorCode.STORAGE_FAILURE, "the folder of records cannot be opened: " + e, e);
     }
     index.pruneAll();
   }
@@ -131,7 +132,12 @@
   /** Reads a big value; called by the thread of the caller as well. */
   byte[] read(String name, RecordLocation location) throws IOException {
     return VersionReader.readRecord(
-        fileSystem, pathOf(location.file().version), location.offset(), location.length(), name, location.seq());
+        fileSystem,
+        pathOf(location.file().version),
+        location.offset(),
+        location.length(),
+        name,
+        location.seq());
   }
 
   private void deleteVoidVersions() {
@@ -169,7 +175,8 @@
         try {
           versions.add(Long.parseLong(name.substring(NAME_PREFIX.length())));
         } catch (NumberFormatException e) {
-          throw new ElmsailException(ErrorCode.STORAGE_FAILURE, "a file that is none of ours: " + name, e);
+          throw new ElmsailException(
+              ErrorCode.STORAGE_FAILURE, "a file that is none of ours: " + name, e);
         }
       }
     }
@@ -179,7 +186,8 @@
   private void read(long version, RecordIndex index, Set<Long> voidVersions) throws IOException {
     VersionReader reader = new VersionReader(fileSystem, pathOf(version));
     if (reader.version != version || instanceId != 0 && reader.instanceId != instanceId) {
-      throw new ElmsailException(ErrorCode.STORAGE_FAILURE, fileName(version) + " is not of this folder");
+      throw new ElmsailException(
+          ErrorCode.STORAGE_FAILURE, fileName(version) + " is not of this folder");
     }
     instanceId = reader.instanceId;
     nextSeq = Math.max(nextSeq, reader.nextSeq);
--- a/storage/src/main/java/elmsail/storage/VersionReader.java
+++ b/storage/src/main/java/elmsail/storage/VersionReader.java
@@ -87,7 +87,8 @@
       verifyChecksum();
       count++;
       boolean isValue = kind == VersionWriter.VALUE;
-      visitor.visit(name, seq, isValue, isValue ? bytes : null, offset, (int) (position() - offset));
+      visitor.visit(
+          name, seq, isValue, isValue ? bytes : null, offset, (int) (position() - offset));
     }
     ByteBuffer end = ByteBuffer.wrap(readUnchecked(VersionWriter.END_BYTES - 1));
     check(end.getInt() == count);
@@ -98,7 +99,8 @@
   }
 
   /** One record by its place, checked again. */
-  static byte[] readRecord(FileSystem fileSystem, Path file, long offset, int length, String name, long seq)
+  static byte[] readRecord(
+      FileSystem fileSystem, Path file, long offset, int length, String name, long seq)
       throws IOException {
     byte[] all = new byte[length];
     int readLength = fileSystem.read(file, offset, all, 0, length);
--- a/storage/src/main/java/elmsail/storage/VersionWriter.java
+++ b/storage/src/main/java/elmsail/storage/VersionWriter.java
@@ -44,7 +44,8 @@
     this.out = out;
     this.chunk = chunk.clear();
     ByteBuffer header = ByteBuffer.allocate(HEADER_BYTES + 8 * voids.length);
-    header.putInt(MAGIC)
+    header
+        .putInt(MAGIC)
         .putInt(FORMAT)
         .putLong(version)
         .putLong(instanceId)
@@ -70,7 +71,8 @@
   long writeRecord(byte[] name, long seq, byte[] bytes) throws IOException {
     long offset = appended + chunk.position();
     ByteBuffer header = ByteBuffer.allocate(RECORD_HEADER_BYTES);
-    header.put(bytes == null ? REMOVAL : VALUE)
+    header
+        .put(bytes == null ? REMOVAL : VALUE)
         .putLong(seq)
         .putShort((short) name.length)
         .putInt(bytes == null ? 0 : bytes.length);
--- a/storage/src/main/java/elmsail/storage/WriteQueue.java
+++ b/storage/src/main/java/elmsail/storage/WriteQueue.java
@@ -33,7 +33,8 @@
 
   /** Removals find room where values don't, as they are what makes room again. */
   boolean hasCapacity(PendingWrite pending, boolean hasValues) {
-    return pendingBytesWith(pending) <= (hasValues ? MAX_PENDING_BYTES : MAX_PENDING_BYTES + MAX_BATCH_BYTES);
+    return pendingBytesWith(pending)
+        <= (hasValues ? MAX_PENDING_BYTES : MAX_PENDING_BYTES + MAX_BATCH_BYTES);
   }
 
   void add(PendingWrite pending) {
--- a/storage/src/test/java/elmsail/storage/LevelStorageTest.java
+++ b/storage/src/test/java/elmsail/storage/LevelStorageTest.java
@@ -65,7 +65,8 @@
   }
 
   private DirectoryRecordStore open(Path dir) {
-    return DirectoryRecordStore.openWithoutThread(dir, MAX_BYTES, completions::add, new LocalFileSystem(), 7);
+    return DirectoryRecordStore.openWithoutThread(
+        dir, MAX_BYTES, completions::add, new LocalFileSystem(), 7);
   }
 
   private void write(DirectoryRecordStore records, List<Change> changes) {
--- a/storage/src/test/java/elmsail/storage/PendingWriteTest.java
+++ b/storage/src/test/java/elmsail/storage/PendingWriteTest.java
@@ -203,7 +203,8 @@
       assertThat(records.compactionSteps(), greaterThan(10));
       assertThat(records.page(null, Integer.MAX_VALUE).keySet(), is(model.keySet()));
     }
-    DirectoryRecordStore again = DirectoryRecordStore.openWithoutThread(DIR, 2 << 20, Runnable::run, fileSystem, 5);
+    DirectoryRecordStore again =
+        DirectoryRecordStore.openWithoutThread(DIR, 2 << 20, Runnable::run, fileSystem, 5);
     for (String name : model.keySet()) {
       assertThat(again.read(name), is(model.get(name)));
     }
--- a/storage/src/test/java/elmsail/storage/PinnedDirectory.java
+++ b/storage/src/test/java/elmsail/storage/PinnedDirectory.java
@@ -49,7 +49,8 @@
     FailingRenames files = new FailingRenames();
     ArrayDeque<Runnable> completions = new ArrayDeque<>();
     DirectoryRecordStore store =
-        DirectoryRecordStore.openWithoutThread(directory, MOST_BYTES, completions::add, files, INSTANCE_ID);
+        DirectoryRecordStore.openWithoutThread(
+            directory, MOST_BYTES, completions::add, files, INSTANCE_ID);
     Map<String, byte[]> last = records();
     write(store, completions, change(last, "set/k/n\u00e4me%2F1"), change(last, "empty"));
     write(store, completions, change(last, "big"), new Change("gone", filled(SMALL_BYTES, 2)));
--- a/storage/src/test/java/elmsail/storage/PowerLossTest.java
+++ b/storage/src/test/java/elmsail/storage/PowerLossTest.java
@@ -23,7 +23,8 @@
     PowerLossFileSystem fileSystem = new PowerLossFileSystem(script.seed * 31 + chance);
     script.defect.accept(fileSystem);
     fileSystem.powerLossAt = powerLossAt;
-    RandomWrites writes = new RandomWrites(fileSystem, script.seed, script.maxBytes, script.names, script.sizes);
+    RandomWrites writes =
+        new RandomWrites(fileSystem, script.seed, script.maxBytes, script.names, script.sizes);
     boolean lost = false;
     try {
       writes.open();
@@ -62,7 +63,12 @@
   }
 
   private record Script(
-      long seed, int writes, int names, long maxBytes, int sizes, Consumer<PowerLossFileSystem> defect) {}
+      long seed,
+      int writes,
+      int names,
+      long maxBytes,
+      int sizes,
+      Consumer<PowerLossFileSystem> defect) {}
 
   private static Totals losePowerAtEachOperation(int from, Script script) {
     Totals totals = new Totals();
@@ -81,7 +87,8 @@
   @Test
   void powerLossAtAnyOperationLosesNothingAcknowledged() {
     for (long seed = 1; seed <= 4; seed++) {
-      Totals totals = losePowerAtEachOperation(1, new Script(seed, 60, 6, 200_000, 6, fileSystem -> {}));
+      Totals totals =
+          losePowerAtEachOperation(1, new Script(seed, 60, 6, 200_000, 6, fileSystem -> {}));
       assertThat(totals.runs, greaterThan(600));
       assertThat(totals.acknowledgements, greaterThan(totals.runs));
       assertThat(totals.compactions, greaterThan((long) totals.runs));
@@ -90,15 +97,19 @@
 
   @Test
   void powerLossDuringMergeOfSmallFilesLosesNothingAcknowledged() {
-    Totals totals = losePowerAtEachOperation(250, new Script(77, 90, 60, 4 << 20, 3, fileSystem -> {}));
+    Totals totals =
+        losePowerAtEachOperation(250, new Script(77, 90, 60, 4 << 20, 3, fileSystem -> {}));
     assertThat(totals.runs, greaterThan(600));
     assertThat(totals.compactions, greaterThan(300L));
   }
 
   @Test
   void skippedSyncIsDetected() {
-    assertThrows(AssertionError.class, () -> assertNoticed(fileSystem -> fileSystem.skipDirectorySyncs = true));
-    assertThrows(AssertionError.class, () -> assertNoticed(fileSystem -> fileSystem.skipFileSyncs = true));
+    assertThrows(
+        AssertionError.class,
+        () -> assertNoticed(fileSystem -> fileSystem.skipDirectorySyncs = true));
+    assertThrows(
+        AssertionError.class, () -> assertNoticed(fileSystem -> fileSystem.skipFileSyncs = true));
   }
 
   /** A torn file under its last name is told as such: that counts as noticed too. */
--- a/storage/src/test/java/elmsail/storage/RandomWrites.java
+++ b/storage/src/test/java/elmsail/storage/RandomWrites.java
@@ -136,7 +136,8 @@
     }
   }
 
-  private static void assertReads(Map<String, byte[]> wanted, DirectoryRecordStore records, String when) {
+  private static void assertReads(
+      Map<String, byte[]> wanted, DirectoryRecordStore records, String when) {
     for (Map.Entry<String, byte[]> e : wanted.entrySet()) {
       if (!Arrays.equals(e.getValue(), records.read(e.getKey()))) {
         throw new AssertionError(when + ": " + e.getKey() + " is not as it was written");
