--- a/batch/src/main/java/elmsail/batch/BatchService.java
+++ b/batch/src/main/java/elmsail/batch/BatchService.java
@@ -28,5 +28,5 @@
   CompletableFuture<Reply> readItemBody(String jobId, String itemId);
 
   /** {@code DELETE /lots/ID}. */
-  CompletableFuture<Reply> end(String jobId);
+  CompletableFuture<Reply> cancel(String jobId);
 }
--- a/batch/src/main/java/elmsail/batch/api/BatchApi.java
+++ b/batch/src/main/java/elmsail/batch/api/BatchApi.java
@@ -227,11 +227,11 @@
   }
 
   @Override
-  public CompletableFuture<Reply> end(String jobId) {
+  public CompletableFuture<Reply> cancel(String jobId) {
     if (!isValidJobId(jobId)) {
       return CompletableFuture.completedFuture(BatchReplies.NOT_FOUND);
     }
-    return end(jobId, 2)
+    return cancel(jobId, 2)
         .exceptionally(
             failure ->
                 BatchReplies.mayHaveTakenEffect(failure)
@@ -239,7 +239,7 @@
                     : replies.unavailable());
   }
 
-  private CompletableFuture<Reply> end(String jobId, int attemptsLeft) {
+  private CompletableFuture<Reply> cancel(String jobId, int attemptsLeft) {
     CompletableFuture<Reply> replyFuture = new CompletableFuture<>();
     context
         .register()
@@ -259,7 +259,7 @@
               if (failure == null) {
                 replyFuture.complete(onCancelled(jobId, result));
               } else if (attemptsLeft > 1) {
-                end(jobId, attemptsLeft - 1)
+                cancel(jobId, attemptsLeft - 1)
                     .whenComplete(
                         (retried, retryFailure) -> {
                           if (retryFailure == null) {
--- a/batch/src/main/java/elmsail/batch/messages/ByteReader.java
+++ b/batch/src/main/java/elmsail/batch/messages/ByteReader.java
@@ -49,7 +49,7 @@
   }
 
   /** The next bytes, in an array of their own. */
-  public byte[] bytes() {
+  public byte[] readBytes() {
     int length = readCount();
     int from = advance(length);
     return Arrays.copyOfRange(buffer, from, from + length);
--- a/batch/src/main/java/elmsail/batch/messages/ByteWriter.java
+++ b/batch/src/main/java/elmsail/batch/messages/ByteWriter.java
@@ -30,11 +30,11 @@
 
   /** The length in bytes and the text in UTF-8. */
   public ByteWriter writeString(String value) {
-    return bytes(value.getBytes(StandardCharsets.UTF_8));
+    return writeBytes(value.getBytes(StandardCharsets.UTF_8));
   }
 
   /** The length and the bytes. */
-  public ByteWriter bytes(byte[] value) {
+  public ByteWriter writeBytes(byte[] value) {
     writeVarint(value.length);
     ensureCapacity(value.length);
     System.arraycopy(value, 0, buffer, size, value.length);
--- a/batch/src/main/java/elmsail/batch/messages/JobBodyCodec.java
+++ b/batch/src/main/java/elmsail/batch/messages/JobBodyCodec.java
@@ -18,7 +18,7 @@
           .writeString(item.id())
           .writeString(item.path())
           .writeVarint(item.tokens())
-          .bytes(item.body());
+          .writeBytes(item.body());
       writer.writeVarint(item.headers().size());
       for (Map.Entry<String, String> header : item.headers().entrySet()) {
         writer.writeString(header.getKey()).writeString(header.getValue());
@@ -41,7 +41,7 @@
       String id = reader.readString();
       String path = reader.readString();
       long tokens = reader.readVarint();
-      byte[] body = reader.bytes();
+      byte[] body = reader.readBytes();
       Map<String, String> headers = new LinkedHashMap<>();
       for (int left = reader.readCount(); left > 0; left--) {
         headers.put(reader.readString(), reader.readString());
--- a/batch/src/main/java/elmsail/batch/run/ItemRun.java
+++ b/batch/src/main/java/elmsail/batch/run/ItemRun.java
@@ -43,7 +43,7 @@
   }
 
   /** Keeps an event if it is the next one; false for a gap or a repeat, which spoils the run. */
-  boolean onEvent(long id, byte[] data) {
+  boolean appendEvent(long id, byte[] data) {
     if (id < 0
         || lastEventId >= 0 && id != lastEventId + 1
         || textBytes() + data.length >= MAX_TEXT_BYTES) {
--- a/batch/src/main/java/elmsail/batch/run/JobRunner.java
+++ b/batch/src/main/java/elmsail/batch/run/JobRunner.java
@@ -124,7 +124,7 @@
     for (ItemRun itemRun : job.itemRuns) {
       if (itemRun.inFlight && !itemRun.eventReceived) {
         itemRun.cancel();
-        job.timeline.cut();
+        job.timeline.onCancelled();
         job.itemsInFlight--;
         job.ready.add(itemRun.itemIndex);
       }
@@ -262,7 +262,7 @@
       }
       return false;
     }
-    job.timeline.sent(itemRun.sentAt);
+    job.timeline.onSent(itemRun.sentAt);
     if (itemRun.runNumber == runNumber && itemRun.inFlight) {
       itemRun.handle = handle;
     } else if (itemRun.runNumber > runNumber) {
@@ -273,12 +273,12 @@
 
   private void keepEvent(RunningJob job, ItemRun itemRun, long eventId, byte[] data) {
     int bytesBefore = itemRun.textBytes();
-    boolean inSequence = itemRun.onEvent(eventId, data);
+    boolean inSequence = itemRun.appendEvent(eventId, data);
     job.timeline.onEvent(context.timers().now());
     unrecordedBytes.add(itemRun.textBytes() - bytesBefore);
     if (!inSequence) {
       itemRun.cancel();
-      job.timeline.cut();
+      job.timeline.onCancelled();
       job.itemsInFlight--;
       unrecordedBytes.add(-itemRun.textBytes());
       itemRun.discardText();
--- a/batch/src/main/java/elmsail/batch/run/JobTimeline.java
+++ b/batch/src/main/java/elmsail/batch/run/JobTimeline.java
@@ -68,7 +68,7 @@
     stalls.merge(stall, 1, Integer::sum);
   }
 
-  void sent(long now) {
+  void onSent(long now) {
     firstSentAt = firstSentAt == NOT_YET ? now : firstSentAt;
     lastSentAt = now;
     runsSent++;
@@ -86,7 +86,7 @@
   }
 
   /** A run was ended by this gateway. */
-  void cut() {
+  void onCancelled() {
     runsCancelled++;
   }
 
--- a/batch/src/main/java/elmsail/batch/store/JobStore.java
+++ b/batch/src/main/java/elmsail/batch/store/JobStore.java
@@ -116,7 +116,7 @@
     return waitingTokens.encode();
   }
 
-  void withdrawn(WaitingTokens.Reservation reservation, long now) {
+  void withdraw(WaitingTokens.Reservation reservation, long now) {
     expireReservations(now);
     if (withdrawals.size() < MAX_RESERVATIONS) {
       withdrawals.put(AttemptKey.of(reservation), now + RESERVATION_TTL_MS);
--- a/batch/src/main/java/elmsail/batch/store/JobStoreService.java
+++ b/batch/src/main/java/elmsail/batch/store/JobStoreService.java
@@ -151,7 +151,7 @@
   }
 
   private byte[] onWithdraw(WaitingTokens.Reservation reservation) {
-    jobs.withdrawn(reservation, timers.now());
+    jobs.withdraw(reservation, timers.now());
     return EMPTY;
   }
 
--- a/batch/src/test/java/elmsail/batch/BatchFaultSimulationTest.java
+++ b/batch/src/test/java/elmsail/batch/BatchFaultSimulationTest.java
@@ -101,7 +101,7 @@
         ObservedJob observed = jobs.get(id);
         observed.cancelRequested = true;
         check(
-            gateway.batchApi.end(id),
+            gateway.batchApi.cancel(id),
             reply -> {
               if (reply.status() == 200 && observed.cancelledAt < 0) {
                 observed.cancelledAt = world.timers.now();
--- a/batch/src/test/java/elmsail/batch/FailingItemsTest.java
+++ b/batch/src/test/java/elmsail/batch/FailingItemsTest.java
@@ -147,8 +147,8 @@
     world.timers.advance(500);
     assertThat(world.read(1, "a", 9), containsString("\"next_token\":10"));
     assertThat("when it is done", world.status(world.submit(1, "a", 10, 10)), is(202));
-    assertThat(world.status(world.gateways.get(1).batchApi.end("a")), is(200));
-    assertThat("again", world.status(world.gateways.get(0).batchApi.end("a")), is(200));
+    assertThat(world.status(world.gateways.get(1).batchApi.cancel("a")), is(200));
+    assertThat("again", world.status(world.gateways.get(0).batchApi.cancel("a")), is(200));
     assertThat("when it is ended", world.status(world.submit(0, "a", 10, 10)), is(202));
     int runs =
         world.gateways.get(0).servers.runs.size() + world.gateways.get(1).servers.runs.size();
--- a/batch/src/test/java/elmsail/batch/JobLeaseTest.java
+++ b/batch/src/test/java/elmsail/batch/JobLeaseTest.java
@@ -22,13 +22,13 @@
     servers.capacity = 2;
     assertThat(world.status(world.submit(0, "a", 9, 10)), is(202));
     world.timers.advance(100);
-    assertThat(world.status(world.gateways.get(1).batchApi.end("a")), is(200));
+    assertThat(world.status(world.gateways.get(1).batchApi.cancel("a")), is(200));
     world.timers.advance(20);
     assertThat(servers.openRuns(), is(0));
     world.timers.advance(5_000);
     assertThat(servers.runs, hasSize(2));
-    assertThat(world.status(world.gateways.get(0).batchApi.end("a")), is(200));
-    assertThat(world.status(world.gateways.get(0).batchApi.end("never")), is(404));
+    assertThat(world.status(world.gateways.get(0).batchApi.cancel("a")), is(200));
+    assertThat(world.status(world.gateways.get(0).batchApi.cancel("never")), is(404));
   }
 
   @Test
@@ -44,7 +44,7 @@
       if (seed % 2 == 0) {
         world.stores.forEach(store -> world.cut(runner.address, store.address, true));
       }
-      assertThat(world.status(world.gateways.get(1).batchApi.end("a")), is(200));
+      assertThat(world.status(world.gateways.get(1).batchApi.cancel("a")), is(200));
       long ended = world.timers.now();
       world.timers.advance(10_000);
       assertThat(
--- a/batch/src/test/java/elmsail/batch/SubmitHandlerTest.java
+++ b/batch/src/test/java/elmsail/batch/SubmitHandlerTest.java
@@ -92,7 +92,7 @@
     SimBatchCluster world = new SimBatchCluster(5, 2, 100);
     assertThat(world.status(world.submit(0, "a", 10, 10)), is(202));
     assertThat(world.status(world.submit(1, "b", 5, 10)), is(429));
-    assertThat(world.status(world.gateways.get(1).batchApi.end("a")), is(200));
+    assertThat(world.status(world.gateways.get(1).batchApi.cancel("a")), is(200));
     assertThat(world.status(world.submit(1, "b", 10, 10)), is(202));
   }
 
--- a/gateway/src/main/java/elmsail/gateway/GatewayWarmUp.java
+++ b/gateway/src/main/java/elmsail/gateway/GatewayWarmUp.java
@@ -240,7 +240,7 @@
     }
 
     @Override
-    public CompletableFuture<Reply> end(String jobId) {
+    public CompletableFuture<Reply> cancel(String jobId) {
       return none();
     }
   }
--- a/gateway/src/main/java/elmsail/gateway/requests/RequestDispatcher.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/RequestDispatcher.java
@@ -98,7 +98,7 @@
         return relayBatchReply(jobs.readResults(jobId, after, wait), client);
       }
       case "DELETE" -> {
-        return relayBatchReply(jobs.end(jobId), client);
+        return relayBatchReply(jobs.cancel(jobId), client);
       }
       default -> {
         return sendLocalReply(client, 405, null, RequestCounters.Event.BAD_REQUEST);
--- a/gateway/src/test/java/elmsail/gateway/GatewayTestHarness.java
+++ b/gateway/src/test/java/elmsail/gateway/GatewayTestHarness.java
@@ -55,7 +55,7 @@
     }
 
     @Override
-    public CompletableFuture<Reply> end(String jobId) {
+    public CompletableFuture<Reply> cancel(String jobId) {
       return response("end " + jobId);
     }
   }
