--- a/app/src/main/java/elmsail/app/Application.java
+++ b/app/src/main/java/elmsail/app/Application.java
@@ -19,13 +19,13 @@
   interface Instance {
 
     /** The settings have changed (SIGHUP, or the file by itself). */
-    void changed(Settings settings);
+    void onSettingsChanged(Settings settings);
 
     /**
      * SIGTERM came.
      *
      * @param ended to be run once nothing is left to do; the process then exits with 0
      */
-    void end(Runnable ended);
+    void shutDown(Runnable ended);
   }
 }
--- a/app/src/main/java/elmsail/app/ApplicationLauncher.java
+++ b/app/src/main/java/elmsail/app/ApplicationLauncher.java
@@ -150,7 +150,7 @@
           try {
             // The signals first: SIGHUP would end the process until a handler is set.
             SignalTarget held = new SignalTarget(ended);
-            new ProcessSignals(loop, file, settings, held::end, held::changed).start();
+            new ProcessSignals(loop, file, settings, held::end, held::onSettingsChanged).start();
             held.running = program.start(settings, loop);
             log.info(
                 "started, {} ms after its main began",
@@ -182,11 +182,11 @@
     }
 
     void end() {
-      running.end(() -> ended.complete(null));
+      running.shutDown(() -> ended.complete(null));
     }
 
-    void changed(Settings settings) {
-      running.changed(settings);
+    void onSettingsChanged(Settings settings) {
+      running.onSettingsChanged(settings);
     }
   }
 
--- a/app/src/main/java/elmsail/app/CheckMain.java
+++ b/app/src/main/java/elmsail/app/CheckMain.java
@@ -93,7 +93,7 @@
   private int config(Path file, boolean json) throws IOException {
     byte[] bytes = Files.readAllBytes(file);
     List<String> faults = ConfigDiagnostics.of(bytes);
-    long edition = faults.isEmpty() ? RoutingConfigReader.read(bytes).edition() : 0;
+    long edition = faults.isEmpty() ? RoutingConfigReader.read(bytes).version() : 0;
     if (json) {
       json(
           to -> {
--- a/app/src/main/java/elmsail/app/ControlPlaneProcess.java
+++ b/app/src/main/java/elmsail/app/ControlPlaneProcess.java
@@ -58,13 +58,13 @@
   }
 
   @Override
-  public void changed(Settings settings) {
+  public void onSettingsChanged(Settings settings) {
     LOG.info(
         "settings have changed; what a running control-plane node needs of them stays as it was");
   }
 
   @Override
-  public void end(Runnable ended) {
+  public void shutDown(Runnable ended) {
     if (controlPlane == null) {
       close(ended);
       return;
--- a/app/src/main/java/elmsail/app/GatewayProcess.java
+++ b/app/src/main/java/elmsail/app/GatewayProcess.java
@@ -97,13 +97,13 @@
   }
 
   @Override
-  public void changed(Settings settings) {
+  public void onSettingsChanged(Settings settings) {
     LOG.info("settings have changed; of them, the seeds are taken at once");
     watcher.onSettingsChanged(settings);
   }
 
   @Override
-  public void end(Runnable ended) {
+  public void shutDown(Runnable ended) {
     onStopped = ended;
     stopping = true;
     if (gateway != null) {
--- a/app/src/test/java/elmsail/app/ApplicationLauncherTest.java
+++ b/app/src/test/java/elmsail/app/ApplicationLauncherTest.java
@@ -21,7 +21,7 @@
 @Timeout(60)
 class ApplicationLauncherTest {
 
-  private static final String LEAST =
+  private static final String MINIMAL_SETTINGS =
       "{\"station\":\"c\",\"serves\":[],\"ip\":\"127.0.0.1\",\"zone\":\"z\","
           + "\"inner_ports\":[7720,7735]}";
 
@@ -52,12 +52,12 @@
     }
 
     @Override
-    public void changed(Settings settings) {
+    public void onSettingsChanged(Settings settings) {
       throw new IllegalStateException("nothing changed");
     }
 
     @Override
-    public void end(Runnable ended) {
+    public void shutDown(Runnable ended) {
       ends++;
       ended.run();
     }
@@ -80,17 +80,18 @@
   }
 
   @Test
-  void checksSettings() throws Exception {
-    assertThat(run("--check", "--settings", settings(LEAST)), is(ApplicationLauncher.OK));
+  void checkValidatesTheSettings() throws Exception {
+    assertThat(
+        run("--check", "--settings", settings(MINIMAL_SETTINGS)), is(ApplicationLauncher.OK));
     assertThat(errors(), is(""));
     assertThat(
-        run("--settings", settings(LEAST.replace("7735", "\"x\"")), "--check"),
+        run("--settings", settings(MINIMAL_SETTINGS.replace("7735", "\"x\"")), "--check"),
         is(ApplicationLauncher.INVALID_USAGE));
     assertThat(errors(), containsString("inner_ports.1: expected a number"));
   }
 
   @Test
-  void doesNotStartWithoutSettingsThatCanBeUsed() throws Exception {
+  void doesNotStartWithoutValidSettings() throws Exception {
     assertThat(
         run("--settings", folder.resolve("none").toString()),
         is(ApplicationLauncher.INVALID_USAGE));
@@ -100,7 +101,7 @@
   }
 
   @Test
-  void refusesOtherCommandLines() throws Exception {
+  void rejectsUnknownCommandLines() throws Exception {
     assertThat(run("--speed", "3"), is(ApplicationLauncher.INVALID_USAGE));
     assertThat(errors(), containsString("--speed"));
     assertThat(run("--settings"), is(ApplicationLauncher.INVALID_USAGE));
@@ -109,7 +110,7 @@
   }
 
   @Test
-  void helpsWithTheOptionsAndExitCodes() {
+  void helpListsOptionsAndExitCodes() {
     assertThat(run("--help"), is(ApplicationLauncher.OK));
     String help = out.toString(StandardCharsets.UTF_8);
     assertThat(help, containsString("--settings <FILE>"));
@@ -117,8 +118,8 @@
   }
 
   @Test
-  void livesUntilItIsToldToEnd() throws Exception {
-    Path file = Path.of(settings(LEAST));
+  void runsUntilItIsStopped() throws Exception {
+    Path file = Path.of(settings(MINIMAL_SETTINGS));
     Brief program = new Brief(null);
     int code =
         ApplicationLauncher.runUntilStopped(
@@ -128,8 +129,8 @@
   }
 
   @Test
-  void tellsWhyItCouldNotStart() throws Exception {
-    Path file = Path.of(settings(LEAST));
+  void exitCodeTellsWhyItCouldNotStart() throws Exception {
+    Path file = Path.of(settings(MINIMAL_SETTINGS));
     Settings settings = SettingsFile.read(file);
     assertThat(
         ApplicationLauncher.runUntilStopped(
@@ -152,7 +153,7 @@
   }
 
   @Test
-  void rehearsesAnyProgram() {
+  void trainingRunStartsAndStopsAnyApplication() {
     assertThat(run("--rehearse"), is(ApplicationLauncher.OK));
     assertThat(errors(), is(""));
   }
--- a/app/src/test/java/elmsail/app/ArchiveBuildTest.java
+++ b/app/src/test/java/elmsail/app/ArchiveBuildTest.java
@@ -59,14 +59,14 @@
   }
 
   @Test
-  void aWholeArchiveIsKept() throws IOException, InterruptedException {
+  void keepsACompleteArchive() throws IOException, InterruptedException {
     archive(0);
     assertThat(left("program.jsa"), is(true));
     assertThat(left("program.jsa.part"), is(false));
   }
 
   @Test
-  void oneThatWasCutShortIsNotUsed() throws IOException, InterruptedException {
+  void removesATruncatedArchive() throws IOException, InterruptedException {
     archive(KILLED);
     assertThat(left("program.jsa"), is(false));
     assertThat(left("program.jsa.part"), is(false));
--- a/app/src/test/java/elmsail/app/CheckMainTest.java
+++ b/app/src/test/java/elmsail/app/CheckMainTest.java
@@ -55,7 +55,7 @@
           + "{\"name\":\"u\",\"depot\":\"h.example\",\"lane_prefix\":\"/z/\",\"route_class\":\"safe\","
           + "\"give_up_ms\":5,\"postal_line\":\"c\"}]}";
 
-  @TempDir private Path folder;
+  @TempDir private Path directory;
   private final ByteArrayOutputStream out = new ByteArrayOutputStream();
   private final ByteArrayOutputStream err = new ByteArrayOutputStream();
 
@@ -71,11 +71,11 @@
   }
 
   private String file(String json) throws IOException {
-    return Files.writeString(folder.resolve("timetable.json"), json).toString();
+    return Files.writeString(directory.resolve("timetable.json"), json).toString();
   }
 
   @Test
-  void aValidConfigurationIsSaidSo() throws Exception {
+  void reportsAValidConfiguration() throws Exception {
     assertThat(run("--timetable", file(GOOD)), is(ApplicationLauncher.OK));
     assertThat(run("--timetable", file(GOOD), "--json"), is(ApplicationLauncher.OK));
     assertThat(
@@ -84,7 +84,7 @@
   }
 
   @Test
-  void allPartsAtFaultAreNamedByTheirPlaceInTheWhole() throws Exception {
+  void reportsEveryFaultyPartWithItsPath() throws Exception {
     assertThat(run("--timetable", file(BAD)), is(ApplicationLauncher.INVALID_USAGE));
     assertThat(
         printed().lines().toList(),
@@ -107,7 +107,7 @@
   }
 
   @Test
-  void whatIsNoWholeConfigurationIsOneFault() throws Exception {
+  void reportsOneFaultForIncompleteDocuments() throws Exception {
     assertThat(
         run("--timetable", file(GOOD.substring(0, 30))), is(ApplicationLauncher.INVALID_USAGE));
     assertThat(printed().lines().count(), is(1L));
@@ -125,8 +125,8 @@
   }
 
   @Test
-  void aDataFolderIsReadAndLeftAsItWas() throws Exception {
-    Path data = folder.resolve("data");
+  void readsADataDirectoryWithoutChangingIt() throws Exception {
+    Path data = directory.resolve("data");
     long instanceId = write(data);
     Files.write(data.resolve("v-0000000000000099.part"), new byte[] {1});
     Map<String, ByteBuffer> before = bytes(data);
@@ -237,19 +237,19 @@
   }
 
   @Test
-  void whatCannotBeReadIsSaidSo() throws Exception {
-    assertThat(run("--data", folder.resolve("none").toString()), is(ApplicationLauncher.FAILED));
-    Path empty = Files.createDirectory(folder.resolve("empty"));
+  void reportsWhatCannotBeRead() throws Exception {
+    assertThat(run("--data", directory.resolve("none").toString()), is(ApplicationLauncher.FAILED));
+    Path empty = Files.createDirectory(directory.resolve("empty"));
     assertThat(run("--data", empty.toString()), is(ApplicationLauncher.FAILED));
     assertThat(bytes(empty).size(), is(0));
-    Path data = folder.resolve("data");
+    Path data = directory.resolve("data");
     write(data);
     String last = ((TreeMap<String, ByteBuffer>) bytes(data)).lastKey();
     byte[] whole = Files.readAllBytes(data.resolve(last));
     Files.write(data.resolve(last), Arrays.copyOf(whole, whole.length - 3));
     assertThat(run("--data", data.toString()), is(ApplicationLauncher.FAILED));
     assertThat(
-        run("--timetable", folder.resolve("none").toString()), is(ApplicationLauncher.FAILED));
+        run("--timetable", directory.resolve("none").toString()), is(ApplicationLauncher.FAILED));
     assertThat(
         err.toString(StandardCharsets.UTF_8),
         allOf(
@@ -259,7 +259,7 @@
   }
 
   @Test
-  void theCommandLineIsChecked() {
+  void validatesTheCommandLine() {
     assertThat(run(), is(ApplicationLauncher.INVALID_USAGE));
     assertThat(run("--data", "a", "--timetable", "b"), is(ApplicationLauncher.INVALID_USAGE));
     assertThat(run("--data", "a", "more"), is(ApplicationLauncher.INVALID_USAGE));
--- a/app/src/test/java/elmsail/app/DeployPackagesTest.java
+++ b/app/src/test/java/elmsail/app/DeployPackagesTest.java
@@ -78,12 +78,12 @@
   }
 
   @Test
-  void theListIsWhatTheBuildAndTheRolesCall() throws IOException {
+  void listsThePackagesThatBuildAndRolesCall() throws IOException {
     assertThat(faults(read("deploy/system.toml"), read("deploy/system.sh")), is(empty()));
   }
 
   @Test
-  void theBuildIsTheScriptThatIsRead() throws IOException {
+  void buildIsTheScriptThatIsParsed() throws IOException {
     JsonNode file = new TomlMapper().readTree(read("deploy/system.toml"));
     assertThat(file.path("build").asText(), is("sh deploy/system.sh"));
     assertThat(file.path("roles").size(), is(3));
@@ -100,7 +100,7 @@
   }
 
   @Test
-  void eachEntryIsMissedAndEachSurplusOneIsFound() throws IOException {
+  void reportsMissingAndUnusedPackages() throws IOException {
     String deploy = read("deploy/system.toml");
     String script = read("deploy/system.sh");
     JsonNode listed = new TomlMapper().readTree(deploy).path("packages");
@@ -114,7 +114,7 @@
   }
 
   @Test
-  void programsAreFoundInFunctionsListsAndBehindTimeout() {
+  void findsProgramsInFunctionsListsAndBehindTimeout() {
     String script =
         "# gawk\nset -e\nA=1 one -x 2>&1 && two > f || \"three\" 'a; four' >&2\nname() {\n"
             + "  timeout 60 five \\\n    six ; seven | eight & nine\n}\nname ten\n";
@@ -126,7 +126,7 @@
   }
 
   @Test
-  void whatCannotBeFollowedIsRefused() {
+  void rejectsScriptsThatCannotBeParsed() {
     for (String script :
         List.of(
             "a=$(curl x)",
--- a/app/src/test/java/elmsail/app/LineAppenderTest.java
+++ b/app/src/test/java/elmsail/app/LineAppenderTest.java
@@ -33,7 +33,7 @@
   }
 
   @Test
-  void writesALine() {
+  void writesOneLinePerEvent() {
     logger.info("listening at {}", "127.0.0.1:1");
     logger.debug("not this");
     assertThat(
@@ -42,7 +42,7 @@
   }
 
   @Test
-  void makesNoLinesOfWhatOthersSent() {
+  void replacesControlCharactersInMessages() {
     logger.warn("refused {}", "a\r\n1 INFO Launch forged");
     assertThat(
         String.join("|", written()),
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void tellsCausesAndPlaces() {
+  void writesCausesWithStackFrames() {
     logger.error(
         "failed", new IllegalStateException("outer", new IllegalArgumentException("inner\nmore")));
     String[] lines = written();
--- a/batch/src/main/java/elmsail/batch/api/SubmitHandler.java
+++ b/batch/src/main/java/elmsail/batch/api/SubmitHandler.java
@@ -138,7 +138,7 @@
             new JobDescription(
                 route.name(),
                 route.host(),
-                context.clusterState().config().edition(),
+                context.clusterState().config().version(),
                 route.completionTargetMs(),
                 route.itemTtlMs(),
                 bodyBlob.name,
--- a/batch/src/main/java/elmsail/batch/run/JobRunner.java
+++ b/batch/src/main/java/elmsail/batch/run/JobRunner.java
@@ -196,7 +196,7 @@
       }
       BatchItem item = job.items.get(itemRun.itemIndex);
       Route route = config.match(job.record.host(), item.path());
-      if (route == null && config.edition() <= job.record.configVersion()) {
+      if (route == null && config.version() <= job.record.configVersion()) {
         return;
       }
       if (route == null || job.isExpired(now)) {
--- a/batch/src/test/java/elmsail/batch/SimConfig.java
+++ b/batch/src/test/java/elmsail/batch/SimConfig.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 
 /** A configuration of some routes. */
-record SimConfig(long edition, List<Route> routes) implements RoutingConfig {
+record SimConfig(long version, List<Route> routes) implements RoutingConfig {
   @Override
   public Route match(String host, String path) {
     for (Route route : routes) {
--- a/config/src/main/java/elmsail/config/RoutingConfig.java
+++ b/config/src/main/java/elmsail/config/RoutingConfig.java
@@ -8,7 +8,7 @@
  */
 public interface RoutingConfig {
   /** The number of this version; a higher one is newer. */
-  long edition();
+  long version();
 
   /**
    * The route of the host whose prefix begins the path and is longest, or null. {@code host} may
--- a/config/src/main/java/elmsail/config/ValidatedConfig.java
+++ b/config/src/main/java/elmsail/config/ValidatedConfig.java
@@ -40,7 +40,7 @@
   }
 
   @Override
-  public long edition() {
+  public long version() {
     return version;
   }
 
--- a/config/src/main/java/elmsail/config/watch/ConfigWatcher.java
+++ b/config/src/main/java/elmsail/config/watch/ConfigWatcher.java
@@ -293,20 +293,20 @@
   }
 
   private long configVersion() {
-    return config == null ? 0 : config.edition();
+    return config == null ? 0 : config.version();
   }
 
   private static RoutingConfig decodeConfig(long edition, byte[] bytes) {
     RoutingConfig decoded = RoutingConfigReader.read(bytes);
-    if (decoded.edition() != edition) {
+    if (decoded.version() != edition) {
       throw new ElmsailException(
-          ErrorCode.MALFORMED, "told edition " + edition + ", came " + decoded.edition());
+          ErrorCode.MALFORMED, "told edition " + edition + ", came " + decoded.version());
     }
     return decoded;
   }
 
   private boolean applyConfig(byte[] bytes, RoutingConfig decoded) {
-    if (decoded.edition() <= configVersion()) {
+    if (decoded.version() <= configVersion()) {
       return false;
     }
     config = decoded;
--- a/config/src/main/java/elmsail/config/watch/WatchServer.java
+++ b/config/src/main/java/elmsail/config/watch/WatchServer.java
@@ -27,7 +27,7 @@
   private final Map<String, PendingWatch> pendingWatches = new LinkedHashMap<>();
   private final Map<String, PeerStatus> peers = new LinkedHashMap<>();
   private Function<PullRequest, ClusterView> viewFactory = request -> new ClusterView();
-  private Runnable setPeerListener = () -> {};
+  private Runnable peerListener = () -> {};
   private long configVersion;
   private byte[] config;
   private long serverListEpoch;
@@ -95,7 +95,7 @@
 
   /** Run on the loop after an asker came that is new, or that tells another state of itself. */
   public void setPeerListener(Runnable listener) {
-    setPeerListener = listener;
+    peerListener = listener;
   }
 
   /**
@@ -162,7 +162,7 @@
     }
     peers.put(peerKey, current);
     if (previous == null || !previous.equalsExceptTime(current)) {
-      timers.execute(setPeerListener);
+      timers.execute(peerListener);
     }
   }
 
--- a/config/src/test/java/elmsail/config/ConfigAmendmentTest.java
+++ b/config/src/test/java/elmsail/config/ConfigAmendmentTest.java
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void itemsAreReplacedAddedAndRemovedAndAllElseKeepsItsCharacters() {
+  void replacesAddsAndRemovesItemsAndKeepsAllOtherText() {
     String after =
         amended(
             BEFORE,
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void anItemThatIsNotNamedKeepsFieldsAndTextThatNobodyKnows() {
+  void keepsUnknownFieldsOfItemsThatAreNotNamed() {
     String after = amended(BEFORE, "{\"edition\":9,\"withdraw\":{\"routes\":[\"r-1\"]}}");
     assertThat(
         after,
@@ -64,13 +64,13 @@
   }
 
   @Test
-  void aListThatWasNotThereIsMade() {
+  void createsAMissingList() {
     String after = amended(BEFORE, "{\"edition\":9,\"deliver\":{\"teams\":[{\"name\":\"t\"}]}}");
     assertThat(after, containsString(",\"teams\":[{\"name\":\"t\"}]}"));
   }
 
   @Test
-  void withNothingNamedOnlyTheNumberChanges() {
+  void changesOnlyTheVersionIfNothingIsNamed() {
     assertThat(amended(BEFORE, "{\"edition\":9}"), containsString("{\"edition\":9,\"strange\""));
   }
 
@@ -101,12 +101,12 @@
         "{\"edition\":9,\"edition\":9} | the configuration is not whole JSON",
         "[] | the configuration is not a JSON object"
       })
-  void whatCannotBeIsRefusedWithItsPlace(String amendment, String why) {
+  void rejectsInvalidAmendmentsWithThePath(String amendment, String why) {
     assertThat(rejection(BEFORE, amendment), containsString(why));
   }
 
   @Test
-  void whatMakesTheWholeInvalidIsLeftToTheReader() {
+  void leavesValidationOfTheResultToTheReader() {
     String config = SampleConfigs.config(7);
     String withoutService =
         amended(config, "{\"edition\":9,\"withdraw\":{\"postal_lines\":[\"huvo11a\"]}}");
@@ -118,18 +118,18 @@
   }
 
   @Test
-  void anAmendedConfigurationIsReadAsAWholeOne() {
+  void readerReadsAnAmendedConfiguration() {
     String after =
         amended(SampleConfigs.config(7), "{\"edition\":9,\"withdraw\":{\"routes\":[\"r-2\"]}}");
     RoutingConfig read = RoutingConfigReader.read(SampleConfigs.bytes(after));
-    assertThat(read.edition(), is(9L));
+    assertThat(read.version(), is(9L));
     assertThat(read.routeByName("r-1"), notNullValue());
     assertThat(read.routeByName("r-2"), nullValue());
   }
 
   /** Against a map: any sequence of amendments leaves the items that the map has. */
   @Test
-  void sequencesOfAmendmentsAgreeWithAMap() {
+  void sequencesOfAmendmentsAgreeWithAMapModel() {
     for (int seed = 1; seed <= 50; seed++) {
       Random random = new Random(seed);
       TreeMap<String, Integer> model = new TreeMap<>();
--- a/config/src/test/java/elmsail/config/PlatformClientTest.java
+++ b/config/src/test/java/elmsail/config/PlatformClientTest.java
@@ -74,7 +74,7 @@
   }
 
   @Test
-  void followsThePagesToTheLast() {
+  void followsPageTokensToTheLastPage() {
     CompletableFuture<List<ServerEntry>> all = platformClient.fetch();
     timers.advance(100);
     reply(200, page("p 50&=", "i-1", "i-2"));
@@ -87,7 +87,7 @@
   }
 
   @Test
-  void oneFetchAtATime() {
+  void concurrentFetchesShareOne() {
     CompletableFuture<List<ServerEntry>> first = platformClient.fetch();
     assertThat(platformClient.fetch(), sameInstance(first));
     assertThat(requestedPaths, hasSize(1));
@@ -98,7 +98,7 @@
   }
 
   @Test
-  void tooManyCallsFailFull() {
+  void failsWithResourceExhaustedOn429() {
     CompletableFuture<List<ServerEntry>> all = platformClient.fetch();
     reply(200, page("p", "i-1"));
     reply(429, "");
@@ -109,7 +109,7 @@
   }
 
   @Test
-  void otherAnswersAndSilenceFail() {
+  void failsOnOtherStatusesTruncatedPagesAndTimeouts() {
     CompletableFuture<List<ServerEntry>> all = platformClient.fetch();
     reply(500, page(null));
     assertThat(code(all), equalTo(ErrorCode.MALFORMED));
@@ -124,7 +124,7 @@
   }
 
   @Test
-  void pagesWithoutEndFail() {
+  void failsOnMoreThanTheMaximumOfPages() {
     CompletableFuture<List<ServerEntry>> all = platformClient.fetch();
     for (int i = 0; i < 500; i++) {
       assertThat(all.isDone(), equalTo(false));
--- a/config/src/test/java/elmsail/config/RouteMatchTest.java
+++ b/config/src/test/java/elmsail/config/RouteMatchTest.java
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void theLongestPrefixWins() {
+  void longestPrefixWins() {
     RoutingConfig config =
         of("a.example/x/", "a.example/x/y/z/", "a.example/x/y/", "b.example/x/y/");
     assertThat(found(config, "a.example", "/x/y/z/1"), equalTo("a.example/x/y/z/"));
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void theHostsCaseAndPortDoNotMatter() {
+  void ignoresCaseAndPortOfTheHost() {
     RoutingConfig config = of("a.example/");
     assertThat(found(config, "A.Example", "/"), equalTo("a.example/"));
     assertThat(found(config, "a.example:8161", "/q"), equalTo("a.example/"));
@@ -89,7 +89,7 @@
   }
 
   @Property(tries = 300)
-  void findsWhatASearchOfAllFinds(
+  void agreesWithALinearSearch(
       @ForAll("prefixes") List<String> prefixes, @ForAll("paths") String path) {
     Set<String> places = new LinkedHashSet<>();
     String best = null;
--- a/config/src/test/java/elmsail/config/RoutingConfigReaderTest.java
+++ b/config/src/test/java/elmsail/config/RoutingConfigReaderTest.java
@@ -37,9 +37,9 @@
   }
 
   @Test
-  void readsAllThatIsTold() {
+  void readsAllFields() {
     RoutingConfig config = read(GOOD);
-    assertThat(config.edition(), equalTo(7L));
+    assertThat(config.version(), equalTo(7L));
     Route stream = config.routeByName("r-1");
     assertThat(stream.kind(), equalTo(Route.Kind.STREAM));
     assertThat(stream.host(), equalTo("nony24.example"));
@@ -62,7 +62,7 @@
   }
 
   @Test
-  void whatIsNotToldHasUsualValues() {
+  void absentFieldsHaveDefaults() {
     RoutingConfig config =
         read(
             """
@@ -78,20 +78,20 @@
   }
 
   @Test
-  void aRouteOfLotsNeedsNoTimeOut() {
+  void batchRouteNeedsNoTimeout() {
     assertThat(
         read(GOOD.replace("\"give_up_ms\":5000,", "")).routeByName("r-2").timeoutMs(), equalTo(0L));
   }
 
   @Test
-  void fieldsNotKnownArePassedOver() {
+  void ignoresUnknownFields() {
     read(
         GOOD.replace(
             "\"edition\":7", "\"edition\":7,\"newer\":{\"a\":[1,null,{\"b\":\"\\u00e9\"}]}"));
   }
 
   @Test
-  void anyCutOfItIsRefused() {
+  void rejectsEveryTruncation() {
     byte[] whole = SampleConfigs.bytes(GOOD);
     for (int length = 0; length < whole.length; length++) {
       rejection(Arrays.copyOf(whole, length));
@@ -100,7 +100,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"}", "{}", "x", ",", "\u0000", "// end", "# end", "\u00a0", "1", "null"})
-  void whatStandsBehindItIsRefused(String more) {
+  void rejectsTrailingContent(String more) {
     rejection(SampleConfigs.bytes(GOOD + more));
     read(GOOD + " \r\n\t");
   }
@@ -136,7 +136,7 @@
         "{\"a\":1 2}",
         "{\"a\":\"x\" \"y\"}"
       })
-  void whatIsNoJsonIsRefused(String text) {
+  void rejectsInvalidJson(String text) {
     rejection(SampleConfigs.bytes(text));
     if (text.startsWith("{\"a\"")) {
       rejection("{\"edition\"", text.substring(0, text.length() - 1) + ",\"edition\"");
@@ -144,7 +144,7 @@
   }
 
   @Test
-  void badUtf8IsRefused() {
+  void rejectsInvalidUtf8() {
     byte[] bytes = GOOD.getBytes(StandardCharsets.UTF_8);
     for (byte bad : new byte[] {(byte) 0xff, (byte) 0xc3, (byte) 0x80}) {
       byte[] one = bytes.clone();
@@ -155,7 +155,7 @@
   }
 
   @Test
-  void deepNestingIsRefusedAndNotFollowed() {
+  void rejectsDeepNesting() {
     rejection(SampleConfigs.bytes("[".repeat(100_000)));
     rejection("\"edition\":7", "\"deep\":" + "[".repeat(60) + "]".repeat(60) + ",\"edition\":7");
   }
@@ -214,12 +214,12 @@
         "\"limits\":{                  | \"limits\":[],\"l\":{ | limits: is not an object",
         "\"idle_ms\":15000             | \"idle_ms\":\"x\" | limits.idle_ms: is not a number"
       })
-  void faultsAreNamedByTheirPath(String from, String to, String words) {
+  void rejectsInvalidFieldsWithThePath(String from, String to, String words) {
     assertThat(rejection(from, to), containsString(words));
   }
 
   @Test
-  void twoRoutesAtOnePlaceAreRefused() {
+  void rejectsTwoRoutesWithOneHostAndPrefix() {
     String same = GOOD.replace("/pufi791/", "/lohu930/");
     assertThat(
         rejection(SampleConfigs.bytes(same.replace("ficu95.example", "nony24.example"))),
@@ -231,7 +231,7 @@
   }
 
   @Test
-  void weightsThatAddUpToNothingAreRefused() {
+  void rejectsWeightsThatAddUpToZero() {
     String none = GOOD.replace("\"share\":90", "\"share\":0");
     read(none);
     assertThat(
@@ -243,14 +243,14 @@
   }
 
   @Test
-  void twoServicesOfOneNameAreRefused() {
+  void rejectsTwoServicesOfOneName() {
     assertThat(
         rejection("\"postal_lines\":[", "\"postal_lines\":[{\"name\":\"huvo11a\"},"),
         containsString("postal_lines[1].name: two services"));
   }
 
   @Test
-  void theDigestIsOfTheBytes() {
+  void digestDependsOnEveryByte() {
     assertThat(
         ConfigDigest.of(new byte[0]),
         equalTo("e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855"));
--- a/config/src/test/java/elmsail/config/ServerListCodecTest.java
+++ b/config/src/test/java/elmsail/config/ServerListCodecTest.java
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void readsAPage() {
+  void decodesAPage() {
     ServerListCodec.Page page = ServerListCodec.decodePage(SampleConfigs.bytes(PAGE));
     assertThat(page.nextToken(), equalTo("p-50"));
     assertThat(page.servers(), contains(SampleConfigs.server("i-7f3a91c2")));
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void anyCutOfAPageIsGarbled() {
+  void everyTruncationOfAPageIsMalformed() {
     byte[] whole = SampleConfigs.bytes(PAGE);
     for (int length = 0; length < whole.length; length++) {
       assertMalformed(Arrays.copyOf(whole, length));
@@ -70,13 +70,13 @@
         "\"servers\"                 | \"others\"",
         "\"next_token\":\"p-50\"     | \"next_token\":50"
       })
-  void anEntryThatCannotBeReadMakesThePageGarbled(String from, String to) {
+  void anInvalidEntryMakesThePageMalformed(String from, String to) {
     assertThat(PAGE.contains(from), equalTo(true));
     assertMalformed(SampleConfigs.bytes(PAGE.replace(from, to)));
   }
 
   @Test
-  void aWholeListGoesThereAndBack() {
+  void encodesAndDecodesACompleteList() {
     List<ServerEntry> list =
         List.of(
             SampleConfigs.server("i-1"),
@@ -88,7 +88,7 @@
   }
 
   @Test
-  void onlyAStartThatGoesOnIsNoChange() {
+  void onlyTheRemainingWarmUpTimeIsNoChange() {
     ServerEntry cold = new ServerEntry("i-1", "s", "10.0.0.1:1", "z", 3, false, 900);
     ServerEntry colder = new ServerEntry("i-1", "s", "10.0.0.1:1", "z", 3, false, 1_900);
     ServerEntry warm = new ServerEntry("i-1", "s", "10.0.0.1:1", "z", 3, false, 0);
@@ -110,7 +110,7 @@
   }
 
   @Test
-  void aStateNotKnownTakesNothingNew() {
+  void anUnknownStateCountsAsDraining() {
     assertThat(
         ServerListCodec.decodePage(SampleConfigs.bytes(PAGE.replace("open_for_post", "odd")))
             .servers()
--- a/config/src/test/java/elmsail/config/watch/ConfigWatcherSeedsTest.java
+++ b/config/src/test/java/elmsail/config/watch/ConfigWatcherSeedsTest.java
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void seedsOfChangedSettingsAreAskedOnceNobodyElseAnswers() {
+  void changedSeedsAreWatchedOnceNoOtherNodeResponds() {
     watcher.start();
     timers.advance(500);
     List.of(A, B, C).forEach(links.controlPlanes::remove);
@@ -51,6 +51,6 @@
     watcher.onSettingsChanged(changed());
     timers.advance(12_000);
     assertThat(watcher.upstreams(), hasItems(D, E));
-    assertThat(watcher.config().edition(), equalTo(8L));
+    assertThat(watcher.config().version(), equalTo(8L));
   }
 }
--- a/config/src/test/java/elmsail/config/watch/ConfigWatcherServersTest.java
+++ b/config/src/test/java/elmsail/config/watch/ConfigWatcherServersTest.java
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void theListsAgeIsKeptFromWhatIsTold() {
+  void tracksTheAgeOfTheListFromUpdates() {
     a.setServers(1, 1, list("i-1"), timers.now() - 400);
     watcher.start();
     timers.advance(10);
@@ -64,7 +64,7 @@
   }
 
   @Test
-  void aListOfALowerEpochIsIgnored() {
+  void ignoresAListOfALowerEpoch() {
     a.setServers(2, 1, list("i-2"), timers.now());
     b.setServers(1, 50, list("i-1"), timers.now());
     watcher.start();
@@ -78,7 +78,7 @@
   }
 
   @Test
-  void aClerkTakesListsFromTheNearestWhileItIsYoung() {
+  void gatewayTakesListsFromTheNearestNodeWhileTheyAreFresh() {
     watcher.start();
     for (int version = 1; version <= 3; version++) {
       listsSent(version, a, b, c);
@@ -93,7 +93,7 @@
   }
 
   @Test
-  void aNearestThatIsCutOffOrBehindIsNotWaitedFor() {
+  void gatewayDoesNotWaitForANearestNodeThatIsPartitionedOrBehind() {
     watcher.start();
     for (int version = 1; version <= 3; version++) {
       listsSent(version, a, b, c);
@@ -112,7 +112,7 @@
   }
 
   @Test
-  void aVaultTakesNoListAndANotaryTakesItFromAll() {
+  void storeTakesNoListAndControlPlaneNodeTakesItFromAll() {
     a.setServers(1, 1, list("i-1"), timers.now());
     ConfigWatcher store = watcher("store", Set.of("vault"), () -> StoreStatus.NONE);
     store.start();
--- a/config/src/test/java/elmsail/config/watch/ConfigWatcherTest.java
+++ b/config/src/test/java/elmsail/config/watch/ConfigWatcherTest.java
@@ -21,7 +21,7 @@
 
 class ConfigWatcherTest extends ConfigWatcherRig {
   @Test
-  void asksEachSeedAndSaysWhoItIs() {
+  void watchesEachSeedAndReportsItsIdentity() {
     watcher.start();
     assertThat(watcher.upstreams(), containsInAnyOrder(A, B, C));
     PullRequest request = links.lastRequest(A);
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void aNotaryDoesNotAskItself() {
+  void controlPlaneNodeDoesNotWatchItself() {
     ConfigWatcher controlPlane =
         watcher("controlplane", Set.of("head_office"), () -> StoreStatus.NONE);
     controlPlane.start();
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void aVaultTellsItsPartAsItIsAtEachAsk() {
+  void storeReportsItsCurrentStatusWithEachRequest() {
     List<StoreStatus> part = new ArrayList<>(List.of(StoreStatus.NONE));
     ConfigWatcher store = watcher("store", Set.of("vault"), () -> part.get(0));
     store.start();
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void aChangeIsThereAtOnceAndToldOnce() {
+  void changeIsAppliedAtOnceAndNotifiedOnce() {
     watcher.start();
     timers.advance(300);
     int before = changes;
@@ -66,31 +66,31 @@
       controlPlane.setConfig(7, config(7));
     }
     timers.advance(5);
-    assertThat(watcher.config().edition(), equalTo(7L));
+    assertThat(watcher.config().version(), equalTo(7L));
     assertThat(watcher.configBytes(), equalTo(config(7)));
     timers.advance(2_000);
     assertThat(changes, equalTo(before + 1));
   }
 
   @Test
-  void anOlderEditionNeverWins() {
+  void olderVersionNeverWins() {
     a.setConfig(9, config(9));
     b.setConfig(7, config(7));
     watcher.start();
     timers.advance(100);
-    assertThat(watcher.config().edition(), equalTo(9L));
+    assertThat(watcher.config().version(), equalTo(9L));
     c.setConfig(8, config(8));
     links.controlPlane(A).setConfig(5, config(5));
     timers.advance(5_000);
-    assertThat(watcher.config().edition(), equalTo(9L));
+    assertThat(watcher.config().version(), equalTo(9L));
     watcher.offerConfig(config(8));
-    assertThat(watcher.config().edition(), equalTo(9L));
+    assertThat(watcher.config().version(), equalTo(9L));
     watcher.offerConfig(config(10));
-    assertThat(watcher.config().edition(), equalTo(10L));
+    assertThat(watcher.config().version(), equalTo(10L));
   }
 
   @Test
-  void anOlderEditionThatComesLateIsPassedOver() {
+  void ignoresAnOlderVersionThatArrivesLate() {
     CompletableFuture<PullResponse> late = new CompletableFuture<>();
     links.controlPlanes.put(A, request -> late);
     b.setConfig(9, config(9));
@@ -101,11 +101,11 @@
     response.config = config(8);
     late.complete(response);
     timers.advance(100);
-    assertThat(watcher.config().edition(), equalTo(9L));
+    assertThat(watcher.config().version(), equalTo(9L));
   }
 
   @Test
-  void asksFollowAtOnceButTwentyMsApart() {
+  void requestsFollowAtOnceButAtLeastTwentyMsApart() {
     watcher.start();
     timers.advance(300);
     List<Long> times = links.requestTimes(A);
@@ -118,7 +118,7 @@
   }
 
   @Test
-  void failuresSpreadOut() {
+  void backsOffAfterFailures() {
     links.controlPlanes.remove(A);
     watcher.start();
     timers.advance(2_000);
@@ -129,7 +129,7 @@
   }
 
   @Test
-  void aCutOneWayToOneNotaryLeavesTheOthersWord() {
+  void oneWayPartitionToOneNodeLeavesTheOthersUpdates() {
     watcher.start();
     timers.advance(100);
     links.droppedResponses.add(A);
@@ -140,7 +140,7 @@
     assertThat(watcher.lastResponseAgeMs(A), greaterThan(2_400L));
     b.setConfig(7, config(7));
     timers.advance(10);
-    assertThat(watcher.config().edition(), equalTo(7L));
+    assertThat(watcher.config().version(), equalTo(7L));
     assertThat(a.peersSeenWithin(2_000), hasSize(1));
     links.droppedResponses.clear();
     timers.advance(4_000);
@@ -152,21 +152,21 @@
   }
 
   @Test
-  void whatCannotBeReadIsNotTakenAndNotAskedForInHaste() {
+  void rejectsUndecodableUpdatesAndBacksOff() {
     a.setConfig(7, new byte[] {'{'});
     a.setServers(1, 1, list("i-1"), timers.now());
     b.setConfig(6, config(6));
     links.controlPlanes.remove(C);
     watcher.start();
     timers.advance(3_000);
-    assertThat(watcher.config().edition(), equalTo(6L));
+    assertThat(watcher.config().version(), equalTo(6L));
     assertThat(watcher.servers(), hasSize(1));
     assertThat(watcher.rejectedUpdates(), greaterThan(3L));
     assertThat(links.requestTimes(A).size(), lessThan(12));
   }
 
   @Test
-  void anotherEditionThanToldIsNotTaken() {
+  void rejectsAnotherVersionThanAnnounced() {
     a.setConfig(9, config(7));
     watcher.start();
     timers.advance(500);
@@ -175,7 +175,7 @@
   }
 
   @Test
-  void aListenersFaultDoesNotEndTheAsking() {
+  void listenerFaultDoesNotEndTheWatch() {
     watcher.addListener(
         () -> {
           throw new IllegalStateException("a listener's fault");
@@ -185,11 +185,11 @@
     timers.advance(500);
     a.setConfig(8, config(8));
     timers.advance(500);
-    assertThat(watcher.config().edition(), equalTo(8L));
+    assertThat(watcher.config().version(), equalTo(8L));
   }
 
   @Test
-  void afterTheCloseNothingIsAsked() {
+  void sendsNothingAfterClose() {
     watcher.start();
     timers.advance(500);
     watcher.close();
--- a/config/src/test/java/elmsail/config/watch/ConfigWatcherViewTest.java
+++ b/config/src/test/java/elmsail/config/watch/ConfigWatcherViewTest.java
@@ -20,7 +20,7 @@
 
 class ConfigWatcherViewTest extends ConfigWatcherRig {
   @Test
-  void seatsAreMergedByIncarnationAndClerksJoined() {
+  void mergesVotersByEpochAndUnitesGateways() {
     VoterSet controlPlaneVoters = voterSet(A, 1, B, 1, C, 1);
     a.setViewFactory(
         request ->
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void aNotaryGoneSilentIsNotHeardOnTheClerks() {
+  void ignoresGatewaysOfAnUnresponsiveNode() {
     a.setViewFactory(request -> view(new VoterSet(), new VoterSet(), "c1:1"));
     b.setViewFactory(request -> view(new VoterSet(), new VoterSet(), "c2:1"));
     watcher.start();
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void aNotaryStartedAnewIsBelievedThoughItsVersionsAreLower() {
+  void acceptsLowerViewVersionsOfARestartedNode() {
     long[] version = {500};
     String[] gateway = {"c1:1"};
     links.controlPlanes.put(
@@ -87,7 +87,7 @@
   }
 
   @Test
-  void aLowerVersionWithoutARosterIsAskedAgain() {
+  void requestsTheViewAgainAfterALowerVersionWithoutOne() {
     long[] version = {500};
     links.controlPlanes.put(
         A,
@@ -111,7 +111,7 @@
   }
 
   @Test
-  void aClaimIsPassedOnFromWhoeverSaysSo() {
+  void forwardsAJoinOrderOfAnyNode() {
     List<String> joins = new ArrayList<>();
     watcher.setJoinListener((slot, epoch) -> joins.add(slot + "#" + epoch));
     watcher.start();
@@ -129,7 +129,7 @@
   }
 
   @Test
-  void theHeadsSeatsTakeTheSeedsPlace() {
+  void votersReplaceTheSeeds() {
     String moved = "10.9.0.1:7721";
     WatchServer movedControlPlane = links.controlPlane(moved);
     a.setViewFactory(request -> view(voterSet(A, 1, B, 1, moved, 2), new VoterSet()));
@@ -138,14 +138,14 @@
     assertThat(watcher.upstreams(), containsInAnyOrder(A, B, moved));
     movedControlPlane.setConfig(7, config(7));
     timers.advance(50);
-    assertThat(watcher.config().edition(), equalTo(7L));
+    assertThat(watcher.config().version(), equalTo(7L));
     int asksOfC = links.requestTimes(C).size();
     timers.advance(3_000);
     assertThat(links.requestTimes(C), hasSize(asksOfC));
   }
 
   @Test
-  void theSeedsAreTriedAgainWhileNobodyAnswers() {
+  void returnsToTheSeedsWhileNoNodeResponds() {
     a.setViewFactory(
         request ->
             view(voterSet("10.9.0.1:1", 1, "10.9.0.2:1", 1, "10.9.0.3:1", 1), new VoterSet()));
@@ -158,7 +158,7 @@
   }
 
   @Test
-  void ofFiveThreeAreAskedAndASilentOneIsReplaced() {
+  void watchesThreeOfFiveAndReplacesAnUnresponsiveOne() {
     String d = "10.4.0.1:7721";
     String e = "10.5.0.1:7721";
     links.controlPlane(d);
@@ -182,7 +182,7 @@
   }
 
   @Test
-  void aStoreAsksAllVotersAndAGatewayThreeOfThem() {
+  void storeWatchesAllVotersAndGatewayThreeOfThem() {
     String d = "10.4.0.41:7721";
     String e = "10.5.0.52:7721";
     links.controlPlane(d);
--- a/config/src/test/java/elmsail/config/watch/FallbackDiscoveryTest.java
+++ b/config/src/test/java/elmsail/config/watch/FallbackDiscoveryTest.java
@@ -28,7 +28,7 @@
 class FallbackDiscoveryTest {
   private static final String A = "10.1.0.13:7721";
   private static final List<ServerEntry> OWN = List.of(SampleConfigs.server("i-own"));
-  private static final List<ServerEntry> TOLD = List.of(SampleConfigs.server("i-told"));
+  private static final List<ServerEntry> PUBLISHED = List.of(SampleConfigs.server("i-told"));
 
   private final ManualTimers timers = new ManualTimers();
   private final FakeNetwork links = new FakeNetwork(timers);
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void withoutAnyListTheCarrierIsAskedThreeSecondsAfterTheStart() {
+  void fetchesThreeSecondsAfterTheStartWithoutAnyList() {
     ConfigWatcher watcher = watcher("gateway", 77);
     watcher.start();
     timers.advance(2_999);
@@ -73,7 +73,7 @@
   }
 
   @Test
-  void othersThanClerksNeverAskIt() {
+  void onlyGatewaysFetch() {
     for (String role : List.of("store", "controlplane")) {
       watcher(role, 77).start();
     }
@@ -82,22 +82,22 @@
   }
 
   @Test
-  void whileTheListIsKeptYoungNothingIsAsked() {
+  void fetchesNothingWhileTheListIsFresh() {
     WatchServer a = links.controlPlane(A);
     ConfigWatcher watcher = watcher("gateway", 77);
     watcher.start();
     for (int i = 0; i < 20; i++) {
-      a.setServers(1, 1, ServerListCodec.encode(TOLD), timers.now());
+      a.setServers(1, 1, ServerListCodec.encode(PUBLISHED), timers.now());
       timers.advance(1_000);
     }
     assertThat(fetchTimes, empty());
-    assertThat(watcher.servers(), equalTo(TOLD));
+    assertThat(watcher.servers(), equalTo(PUBLISHED));
   }
 
   @Test
-  void anOldListIsReplacedUntilAYoungerOneIsTold() {
+  void replacesAnOldListUntilAFresherOneIsPublished() {
     WatchServer a = links.controlPlane(A);
-    a.setServers(1, 1, ServerListCodec.encode(TOLD), timers.now());
+    a.setServers(1, 1, ServerListCodec.encode(PUBLISHED), timers.now());
     ConfigWatcher watcher = watcher("gateway", 77);
     watcher.start();
     timers.advance(2_500);
@@ -106,13 +106,13 @@
     assertThat(fetchTimes, hasSize(1));
     assertThat(watcher.servers(), equalTo(OWN));
     assertThat(watcher.serverListVersion(), equalTo(1L));
-    a.setServers(1, 1, ServerListCodec.encode(TOLD), timers.now());
+    a.setServers(1, 1, ServerListCodec.encode(PUBLISHED), timers.now());
     timers.advance(1_100);
-    assertThat(watcher.servers(), equalTo(TOLD));
+    assertThat(watcher.servers(), equalTo(PUBLISHED));
   }
 
   @Test
-  void asOftenAsItsShareOfTheRateAllows() {
+  void keepsToItsShareOfTheRateLimit() {
     WatchServer a = links.controlPlane(A);
     a.setViewFactory(
         request -> {
@@ -131,7 +131,7 @@
   }
 
   @Test
-  void aloneItAsksAsSoonAsTheListIsOldAgain() {
+  void soleGatewayFetchesAsSoonAsTheListIsOldAgain() {
     ConfigWatcher watcher = watcher("gateway", 77);
     watcher.start();
     timers.advance(4_300);
@@ -142,7 +142,7 @@
   }
 
   @Test
-  void refusalsAreNotAnsweredInHaste() {
+  void backsOffAfterRateLimitResponses() {
     status = 429;
     watcher("gateway", 77).start();
     timers.advance(13_000);
@@ -154,7 +154,7 @@
   }
 
   @Test
-  void manyDoorsSpreadTheirAsks() {
+  void manyGatewaysSpreadTheirFetches() {
     Set<Long> times = new HashSet<>();
     for (int instanceId = 0; instanceId < 50; instanceId++) {
       watcher("gateway", instanceId * 7_919L).start();
@@ -167,7 +167,7 @@
   }
 
   @Test
-  void afterTheCloseNothingIsAsked() {
+  void fetchesNothingAfterClose() {
     ConfigWatcher watcher = watcher("gateway", 77);
     watcher.start();
     timers.advance(3_100);
--- a/config/src/test/java/elmsail/config/watch/RendezvousHashTest.java
+++ b/config/src/test/java/elmsail/config/watch/RendezvousHashTest.java
@@ -25,7 +25,7 @@
 class RendezvousHashTest {
 
   @Property(tries = 300)
-  void choosesSoManyWhateverTheirOrder(
+  void choiceIsIndependentOfTheOrder(
       @ForAll String key,
       @ForAll @Size(max = 12) List<@StringLength(max = 8) String> candidates,
       @ForAll @IntRange(max = 5) int n,
@@ -41,7 +41,7 @@
   }
 
   @Property(tries = 300)
-  void oneThatGoesMovesOnlyItsOwnPlace(
+  void removedCandidateDisplacesOnlyItself(
       @ForAll String key,
       @ForAll @Size(min = 1, max = 12) Set<@StringLength(max = 8) String> candidates,
       @ForAll @IntRange(min = 1, max = 4) int n,
@@ -57,7 +57,7 @@
   }
 
   @Test
-  void spreadsStationsEvenly() {
+  void spreadsKeysEvenly() {
     List<String> candidates = new ArrayList<>();
     for (int i = 0; i < 5; i++) {
       candidates.add("10." + (i + 1) + ".0.13:7721");
--- a/config/src/test/java/elmsail/config/watch/ServerListCacheTest.java
+++ b/config/src/test/java/elmsail/config/watch/ServerListCacheTest.java
@@ -22,7 +22,7 @@
   }
 
   @Test
-  void higherVersionsComeInAndLowerOnesNever() {
+  void acceptsHigherVersionsOnly() {
     assertThat(offerWatched(2, 5, A, 100), equalTo(true));
     assertThat(offerWatched(2, 4, B, 200), equalTo(false));
     assertThat(offerWatched(1, 99, B, 200), equalTo(false));
@@ -35,7 +35,7 @@
   }
 
   @Test
-  void theSameVersionOnlyGetsYounger() {
+  void sameVersionOnlyRefreshesTheAge() {
     offerWatched(1, 1, A, 100);
     assertThat(offerWatched(1, 1, null, 250), equalTo(false));
     assertThat(offerWatched(1, 1, null, 150), equalTo(false));
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void whatWasTakenLaterCountsAndVersionsStay() {
+  void listFetchedLaterIsInForceAndVersionStays() {
     assertThat(cache.ageMs(50), equalTo(Long.MAX_VALUE));
     offerWatched(1, 1, A, 100);
     assertThat(cache.offerOwn(B, 200), equalTo(true));
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void aListThatCannotBeReadChangesNothing() {
+  void undecodableListChangesNothing() {
     offerWatched(1, 1, A, 100);
     assertThrows(ElmsailException.class, () -> cache.offerWatched(1, 2, new byte[] {'{'}, 200));
     assertThat(cache.version(), equalTo(1L));
--- a/config/src/test/java/elmsail/config/watch/WatchServerTest.java
+++ b/config/src/test/java/elmsail/config/watch/WatchServerTest.java
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void tellsAtOnceWhatIsNewer() {
+  void respondsAtOnceIfSomethingIsNewer() {
     server.setConfig(5, FIVE);
     server.setServers(1, 1, SEVEN, timers.now() - 300);
     CompletableFuture<PullResponse> answer = server.watch(request("c-1", 1_000));
@@ -57,7 +57,7 @@
   }
 
   @Test
-  void holdsUntilTheWaitIsOverAndTellsOnlyTheAge() {
+  void respondsWithTheAgeAloneWhenTheWaitElapses() {
     server.setConfig(5, FIVE);
     server.setServers(1, 1, SEVEN, timers.now());
     CompletableFuture<PullResponse> answer = server.watch(upToDate("c-1", 1_000));
@@ -74,7 +74,7 @@
   }
 
   @Test
-  void aChangeReleasesThoseItIsNewTo() {
+  void changeCompletesTheWatchesThatLackIt() {
     CompletableFuture<PullResponse> lacks = server.watch(upToDate("c-1", 1_000));
     PullRequest ahead = upToDate("c-2", 1_000);
     ahead.configVersion = 6;
@@ -91,7 +91,7 @@
   }
 
   @Test
-  void changesOfOneMomentAreToldTogether() {
+  void changesOfOneTurnArePublishedTogether() {
     CompletableFuture<PullResponse> answer = server.watch(upToDate("c-1", 1_000));
     server.setConfig(5, FIVE);
     server.setServers(1, 1, SEVEN, timers.now());
@@ -101,7 +101,7 @@
   }
 
   @Test
-  void nothingOlderIsTakenOver() {
+  void ignoresOlderVersions() {
     server.setConfig(7, SEVEN);
     server.setConfig(5, FIVE);
     server.setConfig(7, FIVE);
@@ -114,7 +114,7 @@
   }
 
   @Test
-  void theSameListAgainOnlyMakesItYounger() {
+  void sameListOnlyRefreshesTheAge() {
     server.setServers(1, 1, SEVEN, timers.now());
     CompletableFuture<PullResponse> answer = server.watch(upToDate("c-1", 1_000));
     timers.advance(600);
@@ -126,7 +126,7 @@
   }
 
   @Test
-  void anAskerAheadOfThisNotaryIsNotToldWhatIsOld() {
+  void watcherAheadOfThisNodeReceivesNothingOlder() {
     server.setConfig(5, FIVE);
     server.setServers(1, 8, SEVEN, timers.now());
     PullRequest ahead = upToDate("c-1", 1_000);
@@ -141,7 +141,7 @@
   }
 
   @Test
-  void rostersAreMadeForTheAskerAndToldWhenTheyChange() {
+  void viewsAreBuiltPerWatcherAndPublishedOnChange() {
     server.setViewFactory(
         request -> {
           ClusterView view = new ClusterView();
@@ -160,7 +160,7 @@
   }
 
   @Test
-  void aRosterVersionOfAnotherLifeIsAnsweredWithTheRoster() {
+  void viewVersionOfAnotherIncarnationIsAnsweredWithTheView() {
     PullRequest other = upToDate("c-1", 1_000);
     other.viewVersion += 100_000;
     assertThat(server.watch(other).join().view, notNullValue());
@@ -171,7 +171,7 @@
   }
 
   @Test
-  void anAskersSecondAskEndsItsFirst() {
+  void secondRequestOfAWatcherEndsItsFirst() {
     CompletableFuture<PullResponse> first = server.watch(upToDate("c-1", 1_000));
     CompletableFuture<PullResponse> second = server.watch(upToDate("c-1", 1_000));
     assertThat(first.isDone(), equalTo(true));
@@ -182,7 +182,7 @@
   }
 
   @Test
-  void noMoreThanTwoThousandAreHeld() {
+  void keepsAtMostTwoThousandPendingWatches() {
     List<CompletableFuture<PullResponse>> answers = new ArrayList<>();
     for (int i = 0; i < 2_001; i++) {
       answers.add(server.watch(upToDate("c-" + i, 1_000)));
@@ -193,14 +193,14 @@
   }
 
   @Test
-  void aWaitIsNeverLongerThanTenSeconds() {
+  void waitsAtMostTenSeconds() {
     CompletableFuture<PullResponse> answer = server.watch(upToDate("c-1", Long.MAX_VALUE));
     timers.advance(10_000);
     assertThat(answer.isDone(), equalTo(true));
   }
 
   @Test
-  void remembersWhoWasHeardOfAndWhen() {
+  void recordsPeersAndWhenTheyWereSeen() {
     List<Long> calls = new ArrayList<>();
     server.setPeerListener(() -> calls.add(timers.now()));
     PullRequest store = request("v-1", 0);
@@ -236,7 +236,7 @@
   }
 
   @Test
-  void theOldestHeardOfGivesWay() {
+  void forgetsThePeerSeenLongestAgo() {
     for (int i = 0; i < 4_005; i++) {
       server.watch(request("c-" + i, 0));
     }
--- a/controlplane/src/main/java/elmsail/controlplane/ConfigChange.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ConfigChange.java
@@ -6,7 +6,7 @@
 /** The body of an operator's order, read: what it makes of the configuration in force. */
 interface ConfigChange {
   /** The number of the configuration that it makes. */
-  long edition();
+  long version();
 
   /**
    * The configuration that it makes, checked whole.
@@ -25,7 +25,7 @@
 
   /** A whole configuration that takes the place of the one in force. */
   static ConfigChange replacement(byte[] body) {
-    return new Replacement(RoutingConfigReader.read(body).edition(), body);
+    return new Replacement(RoutingConfigReader.read(body).version(), body);
   }
 
   /** A change of named items of the configuration in force. */
@@ -34,7 +34,7 @@
   }
 
   /** See {@link #replacement}. */
-  record Replacement(long edition, byte[] body) implements ConfigChange {
+  record Replacement(long version, byte[] body) implements ConfigChange {
     @Override
     public byte[] applyTo(byte[] current) {
       return body;
@@ -46,7 +46,7 @@
     private static final byte[] NO_FIELDS = {'{', '}'};
 
     @Override
-    public long edition() {
+    public long version() {
       return change.version();
     }
 
--- a/controlplane/src/main/java/elmsail/controlplane/ConfigChangeHandler.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ConfigChangeHandler.java
@@ -130,7 +130,7 @@
             : ConfigHistory.replacementDigest(baseVersion, body);
     try {
       ConfigChange change = changeReader.read(body);
-      String validationError = change.edition() > 0 ? null : "edition: not above 0";
+      String validationError = change.version() > 0 ? null : "edition: not above 0";
       return new PendingChange(baseVersion, digest, change, validationError, deadlineMs);
     } catch (ElmsailException e) {
       return new PendingChange(baseVersion, digest, null, validationError(e), deadlineMs);
@@ -177,7 +177,7 @@
     if (pending.validationError != null) {
       return pending.decline(400, pending.validationError);
     }
-    long version = pending.change.edition();
+    long version = pending.change.version();
     if (version <= current.version()) {
       return pending.decline(400, "edition: not above " + current.version());
     }
@@ -205,7 +205,7 @@
     }
     committedConfig.offer(outcome.current());
     if (outcome.changed()) {
-      commitListener.accept(pending.change.edition());
+      commitListener.accept(pending.change.version());
     }
     pending.reply.complete(
         pending.status == 200
--- a/controlplane/src/main/java/elmsail/controlplane/ControlPlaneNode.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ControlPlaneNode.java
@@ -274,7 +274,7 @@
   /** What other control-plane nodes know that is newer goes on to whoever asks here. */
   private void relayFromPeers() {
     if (configWatcher.configBytes() != null) {
-      updateSources.setConfig(configWatcher.config().edition(), configWatcher.configBytes());
+      updateSources.setConfig(configWatcher.config().version(), configWatcher.configBytes());
     }
     if (configWatcher.serverListBytes() != null) {
       updateSources.setServers(
--- a/controlplane/src/test/java/elmsail/controlplane/CatchUpTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/CatchUpTest.java
@@ -128,7 +128,7 @@
     }
     ConfigWatcher gateway = cluster.gateways.get("c1");
     assertThat(
-        cluster.awaitWithin(CATCH_UP_MS, () -> gateway.config().edition() == edition), is(true));
+        cluster.awaitWithin(CATCH_UP_MS, () -> gateway.config().version() == edition), is(true));
     System.out.printf(
         "%d changes, %d restarts, %d of them without their disk: current after %d ms at most%n",
         edition, restarts, wipes, worst);
@@ -196,7 +196,7 @@
     ConfigWatcher gateway = cluster.gateways.get("c1");
     assertThat(
         cluster.awaitWithin(
-            CATCH_UP_MS, () -> gateway.config() != null && gateway.config().edition() == edition),
+            CATCH_UP_MS, () -> gateway.config() != null && gateway.config().version() == edition),
         is(true));
   }
 
--- a/controlplane/src/test/java/elmsail/controlplane/ConfigFaultScenarioTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ConfigFaultScenarioTest.java
@@ -28,7 +28,7 @@
   private static final int STORIES = 12;
 
   /** One call of an operator. */
-  private record Sent(long basedOn, long edition, CompletableFuture<SimpleHttpResponse> reply) {}
+  private record Sent(long basedOn, long version, CompletableFuture<SimpleHttpResponse> reply) {}
 
   private SimulatedCluster cluster;
   private Random random;
@@ -179,16 +179,16 @@
                 + ": "
                 + other
                 + " and "
-                + sent.edition(),
+                + sent.version(),
             other == null,
             is(true));
-        acknowledged.put(sent.edition(), sent.basedOn());
-        current = Math.max(current, sent.edition());
+        acknowledged.put(sent.version(), sent.basedOn());
+        current = Math.max(current, sent.version());
       } else if (status == 412 || status == 400) {
-        refusedOnce.add(sent.edition());
+        refusedOnce.add(sent.version());
         refresh();
       } else {
-        unclear.add(sent.edition());
+        unclear.add(sent.version());
         refresh();
       }
     }
@@ -207,7 +207,7 @@
   private void refresh() {
     for (ConfigWatcher gateway : cluster.gateways.values()) {
       if (gateway.config() != null) {
-        current = Math.max(current, gateway.config().edition());
+        current = Math.max(current, gateway.config().version());
       }
     }
   }
@@ -215,7 +215,7 @@
   private void look(int seed) {
     for (Map.Entry<String, ConfigWatcher> gateway : cluster.gateways.entrySet()) {
       if (gateway.getValue().config() != null) {
-        long edition = gateway.getValue().config().edition();
+        long edition = gateway.getValue().config().version();
         assertThat(
             "seed " + seed, edition >= lastSeen.getOrDefault(gateway.getKey(), 0L), is(true));
         lastSeen.put(gateway.getKey(), edition);
--- a/controlplane/src/test/java/elmsail/controlplane/ControlPlaneNodeTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ControlPlaneNodeTest.java
@@ -45,11 +45,11 @@
     assertThat(cluster.timers.now(), lessThan(3_500L));
     assertThat(
         cluster.awaitWithin(500, () -> cluster.gateways.get("c1").config() != null), is(true));
-    assertThat(cluster.gateways.get("c1").config().edition(), is(3L));
+    assertThat(cluster.gateways.get("c1").config().version(), is(3L));
     assertThat(cluster.read("n3"), equalTo(SimulatedCluster.config(3)));
     assertThat(cluster.replace("n2", 3, 9), is(200));
     assertThat(
-        cluster.awaitWithin(300, () -> cluster.gateways.get("c1").config().edition() == 9),
+        cluster.awaitWithin(300, () -> cluster.gateways.get("c1").config().version() == 9),
         is(true));
   }
 
@@ -140,7 +140,7 @@
     assertThat(cluster.replace("n1", 1, 2), anyOf(is(503), is(504)));
     assertThat(cluster.replace("n2", 1, 3), is(200));
     assertThat(
-        cluster.awaitWithin(1_000, () -> cluster.gateways.get("c1").config().edition() == 3),
+        cluster.awaitWithin(1_000, () -> cluster.gateways.get("c1").config().version() == 3),
         is(true));
     assertThat(cluster.read("n1"), equalTo("503"));
     cluster.net.healAll();
--- a/controlplane/src/test/java/elmsail/controlplane/ControlPlanePartitionTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ControlPlanePartitionTest.java
@@ -53,7 +53,7 @@
     assertThat(
         cluster.awaitWithin(IN_FORCE_MS, () -> cluster.gateways.get("c1").config() != null),
         is(true));
-    assertThat(cluster.gateways.get("c1").config().edition(), is(3L));
+    assertThat(cluster.gateways.get("c1").config().version(), is(3L));
     System.out.println(cut + ": configuration " + (cluster.timers.now() - healedAt) + " ms after");
   }
 
@@ -66,12 +66,12 @@
     Partition.BOTH_WAYS.begin(cluster);
     assertThat(cluster.replace("n2", 1, 3), is(200));
     assertThat(
-        cluster.awaitWithin(IN_FORCE_MS, () -> cluster.gateways.get("c1").config().edition() == 3),
+        cluster.awaitWithin(IN_FORCE_MS, () -> cluster.gateways.get("c1").config().version() == 3),
         is(true));
     for (int i = 0; i < 200; i++) {
       cluster.timers.advance(100);
       assertThat(cluster.gateways.get("c1").serverListAgeMs(), lessThan(2_500L));
-      assertThat(cluster.gateways.get("c2").config().edition(), is(1L));
+      assertThat(cluster.gateways.get("c2").config().version(), is(1L));
     }
   }
 
@@ -298,7 +298,7 @@
     for (int ms = 0; ms < CUT_MS; ms += 50) {
       cluster.timers.advance(50);
       oldest = Math.max(oldest, cluster.gateways.get("c1").serverListAgeMs());
-      assertThat(cluster.gateways.get("c1").config().edition(), is(1L));
+      assertThat(cluster.gateways.get("c1").config().version(), is(1L));
     }
     System.out.println("no majority anywhere: the list is " + oldest + " ms old at most");
     assertThat(oldest, lessThan(4_000L));
--- a/gateway/src/main/java/elmsail/gateway/GatewayWarmUp.java
+++ b/gateway/src/main/java/elmsail/gateway/GatewayWarmUp.java
@@ -192,7 +192,7 @@
     public void addListener(Runnable then) {}
 
     @Override
-    public long edition() {
+    public long version() {
       return 1;
     }
 
--- a/gateway/src/test/java/elmsail/gateway/FakeClusterState.java
+++ b/gateway/src/test/java/elmsail/gateway/FakeClusterState.java
@@ -95,7 +95,7 @@
   }
 
   @Override
-  public long edition() {
+  public long version() {
     return 1;
   }
 
