--- a/consensus/src/main/java/elmsail/consensus/BlobRead.java
+++ b/consensus/src/main/java/elmsail/consensus/BlobRead.java
@@ -59,7 +59,7 @@
       }
       int requestedSoFar = requested;
       client
-          .caller
+          .rpcClient
           .call(voterSet.voters.get(slot).address, request, BlobResponse.class, callTimeoutMs())
           .whenComplete((response, failure) -> answered(response));
       client.timers.schedule(
--- a/consensus/src/main/java/elmsail/consensus/PreparePhase.java
+++ b/consensus/src/main/java/elmsail/consensus/PreparePhase.java
@@ -85,7 +85,7 @@
         RELAY_TIMEOUT_MS + client.relaySelector.onRelayStarted(bytes) / MIN_BYTES_PER_MS;
     relayTimer = client.timers.schedule(relayWaitMs, () -> onRelayFailed(relay));
     client
-        .caller
+        .rpcClient
         .call(relay.address, relayed, RelayedPrepareResponse.class, relayTimeoutMs)
         .whenComplete(
             (response, failure) -> {
@@ -131,7 +131,7 @@
       if (VoterSets.isCounted(voterSet, i) && !responded[i]) {
         int slot = i;
         client
-            .caller
+            .rpcClient
             .call(voterSet.voters.get(i).address, request, VoteResponse.class, callTimeoutMs)
             .whenComplete((vote, failure) -> onVote(slot, vote));
       }
--- a/consensus/src/main/java/elmsail/consensus/PrepareRelay.java
+++ b/consensus/src/main/java/elmsail/consensus/PrepareRelay.java
@@ -26,12 +26,12 @@
   /** Bytes of blobs that are being passed on at a time, at most. */
   private static final long MAX_BYTES_IN_FLIGHT = 32L << 20;
 
-  private final RpcClient caller;
+  private final RpcClient rpcClient;
   private final Timers timers;
   private long bytesInFlight;
 
-  PrepareRelay(RpcClient caller, Timers timers) {
-    this.caller = caller;
+  PrepareRelay(RpcClient rpcClient, Timers timers) {
+    this.rpcClient = rpcClient;
     this.timers = timers;
   }
 
@@ -85,7 +85,7 @@
     }
 
     private void send(int slot, long timeoutMs) {
-      caller
+      rpcClient
           .call(voterSet.voters.get(slot).address, prepare, VoteResponse.class, timeoutMs)
           .whenComplete((vote, failure) -> onVote(slot, vote));
     }
--- a/consensus/src/main/java/elmsail/consensus/Proposer.java
+++ b/consensus/src/main/java/elmsail/consensus/Proposer.java
@@ -282,7 +282,7 @@
       }
       Voter voter = voterSet.voters.get(slot);
       client
-          .caller
+          .rpcClient
           .call(voter.address, request, VoteResponse.class, callTimeoutMs())
           .whenComplete((response, failure) -> onAcceptResponse(response));
     }
--- a/consensus/src/main/java/elmsail/consensus/QuorumRead.java
+++ b/consensus/src/main/java/elmsail/consensus/QuorumRead.java
@@ -92,7 +92,7 @@
           continue;
         }
         client
-            .caller
+            .rpcClient
             .call(
                 voterSet.voters.get(slot).address,
                 request(at > 0),
@@ -201,7 +201,7 @@
         }
       }
       client
-          .caller
+          .rpcClient
           .call(
               voterSet.voters.get(acceptedSlot).address,
               request(false),
--- a/consensus/src/main/java/elmsail/consensus/RecordNames.java
+++ b/consensus/src/main/java/elmsail/consensus/RecordNames.java
@@ -17,31 +17,31 @@
 final class RecordNames {
   private static final int MAX_NAMES_PER_PAGE = 5_000;
 
-  private final String voting;
-  private final String voterSet;
-  private final String spare;
+  private final String votingRecord;
+  private final String voterSetRecord;
+  private final String spareRecord;
   private final String keys;
   private final String allBlobs;
 
   RecordNames(String set) {
-    voting = set + "/seated";
-    voterSet = set + "/seating";
-    spare = set + "/spare";
+    votingRecord = set + "/seated";
+    voterSetRecord = set + "/seating";
+    spareRecord = set + "/spare";
     keys = set + "/k/";
     allBlobs = set + "/b/";
   }
 
-  String voting() {
-    return voting;
+  String votingRecord() {
+    return votingRecord;
   }
 
-  String voterSet() {
-    return voterSet;
+  String voterSetRecord() {
+    return voterSetRecord;
   }
 
   /** Is there while a claim goes on that was made as a spare. */
-  String spare() {
-    return spare;
+  String spareRecord() {
+    return spareRecord;
   }
 
   /** What all keys' records begin with. */
--- a/consensus/src/main/java/elmsail/consensus/RegisterClient.java
+++ b/consensus/src/main/java/elmsail/consensus/RegisterClient.java
@@ -36,7 +36,7 @@
   record CachedPromise(Ballot nextBallot, Ballot accepted, byte[] value, VoterSet voterSet) {}
 
   private final String set;
-  final RpcClient caller;
+  final RpcClient rpcClient;
   final Timers timers;
   final VoterSetSource voterSets;
   private final long proposerId;
@@ -61,14 +61,14 @@
    */
   public RegisterClient(
       String set,
-      RpcClient caller,
+      RpcClient rpcClient,
       Timers timers,
       VoterSetSource voterSets,
       long proposerId,
       String ownAddress,
       ToIntFunction<String> distance) {
     this.set = set;
-    this.caller = caller;
+    this.rpcClient = rpcClient;
     this.timers = timers;
     this.voterSets = voterSets;
     this.proposerId = proposerId;
--- a/consensus/src/main/java/elmsail/consensus/Replica.java
+++ b/consensus/src/main/java/elmsail/consensus/Replica.java
@@ -59,7 +59,7 @@
       RecordStore records,
       ReplicaListener listener,
       RequestHandlers handlers,
-      RpcClient caller,
+      RpcClient rpcClient,
       Timers timers,
       String ownAddress,
       String machine,
@@ -70,16 +70,16 @@
     this.timers = timers;
     names = new RecordNames(set);
     durableRecords = new DurableRecords(records, names);
-    byte[] voting = records.read(names.voting());
+    byte[] voting = records.read(names.votingRecord());
     membership =
         new ReplicaMembership(
             ownAddress,
             machine,
             records.instanceId(),
-            VoterSetCodec.decode(records.read(names.voterSet())),
+            VoterSetCodec.decode(records.read(names.voterSetRecord())),
             RecordNames.epochFromBytes(voting));
-    membership.joiningAsSpare(records.read(names.spare()) != null);
-    join = new ReplicaJoin(set, this, membership, records, caller, timers);
+    membership.joiningAsSpare(records.read(names.spareRecord()) != null);
+    join = new ReplicaJoin(set, this, membership, records, rpcClient, timers);
     publishedVoting = membership.isVoting();
     publishedVoterSet = membership.voterSet();
     if (publishedVoting) {
@@ -88,7 +88,7 @@
     new ReplicaRequestHandler(
             set, records, names, durableRecords, listener, membership, this, metrics)
         .register(handlers);
-    new PrepareRelay(caller, timers).register(handlers);
+    new PrepareRelay(rpcClient, timers).register(handlers);
     registerGauges(metrics.counters());
     timers.execute(join::onMembershipChanged);
   }
@@ -215,12 +215,12 @@
     CompletableFuture<Void> write =
         write(
             List.of(
-                new Change(names.voterSet(), VoterSetCodec.encode(written)),
+                new Change(names.voterSetRecord(), VoterSetCodec.encode(written)),
                 new Change(
-                    names.voting(),
+                    names.votingRecord(),
                     caughtUpEpoch == 0 ? null : RecordNames.epochToBytes(caughtUpEpoch)),
                 new Change(
-                    names.spare(),
+                    names.spareRecord(),
                     membership.joiningAsSpare() ? RecordNames.epochToBytes(1) : null)));
     membershipWritten = true;
     write.whenComplete(
--- a/consensus/src/main/java/elmsail/consensus/ReplicaJoin.java
+++ b/consensus/src/main/java/elmsail/consensus/ReplicaJoin.java
@@ -64,7 +64,7 @@
   private final Replica replica;
   private final ReplicaMembership membership;
   private final RecordStore records;
-  private final RpcClient caller;
+  private final RpcClient rpcClient;
   private final Timers timers;
   private final RecordNames names;
   private final SplittableRandom random;
@@ -76,13 +76,13 @@
       Replica replica,
       ReplicaMembership membership,
       RecordStore records,
-      RpcClient caller,
+      RpcClient rpcClient,
       Timers timers) {
     this.set = set;
     this.replica = replica;
     this.membership = membership;
     this.records = records;
-    this.caller = caller;
+    this.rpcClient = rpcClient;
     this.timers = timers;
     names = new RecordNames(set);
     random = new SplittableRandom(membership.instanceId());
@@ -147,7 +147,7 @@
     request.set = set;
     request.voterSet = voterSet;
     request.ballotOnly = true;
-    caller
+    rpcClient
         .call(holder.address, request, VoteResponse.class, CALL_TIMEOUT_MS)
         .whenComplete(
             (response, failure) ->
@@ -214,12 +214,12 @@
         int otherSlot = i;
         Voter one = known.voters.get(i);
         if (quorum.awaitsHolder(i)) {
-          caller
+          rpcClient
               .call(one.address, request, JoinResponse.class, CALL_TIMEOUT_MS)
               .whenComplete((response, failure) -> onResponse(otherSlot, false, response));
         }
         if (quorum.awaitsPredecessor(i)) {
-          caller
+          rpcClient
               .call(one.previousAddress, request, JoinResponse.class, CALL_TIMEOUT_MS)
               .whenComplete((response, failure) -> onResponse(otherSlot, true, response));
         }
@@ -324,7 +324,7 @@
               names,
               replica,
               records,
-              caller,
+              rpcClient,
               timers,
               sources,
               quorum.replacedSource(),
--- a/consensus/src/main/java/elmsail/consensus/RestoredReplica.java
+++ b/consensus/src/main/java/elmsail/consensus/RestoredReplica.java
@@ -64,8 +64,8 @@
 
   private static RestoredReplica readSet(String set, RecordStore records) {
     RecordNames names = new RecordNames(set);
-    int caughtUp = RecordNames.epochFromBytes(records.read(names.voting()));
-    VoterSet voterSet = VoterSetCodec.decode(records.read(names.voterSet()));
+    int caughtUp = RecordNames.epochFromBytes(records.read(names.votingRecord()));
+    VoterSet voterSet = VoterSetCodec.decode(records.read(names.voterSetRecord()));
     ReplicaMembership membership =
         new ReplicaMembership("", "", records.instanceId(), voterSet, caughtUp);
     TreeSet<String> all = new TreeSet<>(names.keys(records));
--- a/consensus/src/main/java/elmsail/consensus/StateTransfer.java
+++ b/consensus/src/main/java/elmsail/consensus/StateTransfer.java
@@ -36,7 +36,7 @@
   private final RecordNames names;
   private final Replica replica;
   private final RecordStore records;
-  private final RpcClient caller;
+  private final RpcClient rpcClient;
   private final Timers timers;
   private final List<Voter> sources;
   private final Voter replacedSource;
@@ -60,7 +60,7 @@
       RecordNames names,
       Replica replica,
       RecordStore records,
-      RpcClient caller,
+      RpcClient rpcClient,
       Timers timers,
       List<Voter> sources,
       Voter replacedSource,
@@ -70,7 +70,7 @@
     this.names = names;
     this.replica = replica;
     this.records = records;
-    this.caller = caller;
+    this.rpcClient = rpcClient;
     this.timers = timers;
     this.sources = sources;
     this.replacedSource = replacedSource;
@@ -99,7 +99,7 @@
     request.blobNamesOnly = blobNamesOnly;
     request.allowReplaced = source == replacedSource;
     request.voterSet = replica.membership.voterSet();
-    caller
+    rpcClient
         .call(source.address, request, StateTransferResponse.class, CALL_TIMEOUT_MS)
         .whenComplete(
             (response, failure) -> {
@@ -184,7 +184,7 @@
     request.name = names.nameOfBlob(name);
     request.voterSet = replica.membership.voterSet();
     request.allowReplaced = source == replacedSource;
-    caller
+    rpcClient
         .call(source.address, request, BlobResponse.class, CALL_TIMEOUT_MS)
         .whenComplete(
             (response, failure) -> {
--- a/consensus/src/test/java/elmsail/consensus/FaultyCluster.java
+++ b/consensus/src/test/java/elmsail/consensus/FaultyCluster.java
@@ -37,7 +37,7 @@
   /** Whether one life was ever known in two voter slots. */
   boolean instanceInTwoSlots;
 
-  UnaryOperator<RpcClient> replicaCaller = caller -> caller;
+  UnaryOperator<RpcClient> replicaCaller = rpcClient -> rpcClient;
 
   FaultyCluster(long seed) {
     random = new Random(seed);
@@ -64,14 +64,14 @@
       handlers = new HashMap<>();
       Timers own = timers(this);
       records = new LossyRecordStore(disk, own, random);
-      RpcClient caller = replicaCaller.apply(caller(address, own));
+      RpcClient rpcClient = replicaCaller.apply(caller(address, own));
       replica =
           new Replica(
               "set",
               records,
               new ReplicaListener() {},
               this,
-              caller,
+              rpcClient,
               own,
               address,
               "st-" + address,
@@ -267,7 +267,7 @@
   }
 
   RegisterClient client(String name, long who, VoterSet known) {
-    return client(name, who, known, caller -> caller);
+    return client(name, who, known, rpcClient -> rpcClient);
   }
 
   /** What the pulls do: each one that is up hears, now and then, what another one knows. */
--- a/consensus/src/test/java/elmsail/consensus/InjectedDefects.java
+++ b/consensus/src/test/java/elmsail/consensus/InjectedDefects.java
@@ -40,7 +40,7 @@
     RandomHistory history = new RandomHistory(seed);
     FaultyCluster world = history.world;
     world.replicaCaller =
-        caller ->
+        rpcClient ->
             new RpcClient() {
               @Override
               public <A> CompletableFuture<A> call(
@@ -73,7 +73,7 @@
                     return response;
                   }
                 }
-                return caller.call(peer, request, answer, timeoutMs);
+                return rpcClient.call(peer, request, answer, timeoutMs);
               }
             };
     return history;
--- a/consensus/src/test/java/elmsail/consensus/ModelTest.java
+++ b/consensus/src/test/java/elmsail/consensus/ModelTest.java
@@ -38,7 +38,7 @@
   @ParameterizedTest
   @EnumSource(
       value = SingleJoinModel.Defect.class,
-      names = {"SEATING_CHANGES_BETWEEN_ROUNDS", "PROMISES_NOT_COPIED"})
+      names = {"VOTER_SET_CHANGES_BETWEEN_PHASES", "PROMISES_NOT_COPIED"})
   void oneOfTwoGuardsIsEnoughForThreeVoters(SingleJoinModel.Defect defect) {
     assertThat(run(defect, 2, false), nullValue());
   }
--- a/consensus/src/test/java/elmsail/consensus/PinnedRecordsTest.java
+++ b/consensus/src/test/java/elmsail/consensus/PinnedRecordsTest.java
@@ -64,9 +64,9 @@
     RecordNames names = new RecordNames(SET);
     assertThat(
         List.of(
-            names.voting(),
-            names.voterSet(),
-            names.spare(),
+            names.votingRecord(),
+            names.voterSetRecord(),
+            names.spareRecord(),
             names.keys(),
             names.blobs(),
             names.key("timetable"),
--- a/consensus/src/test/java/elmsail/consensus/RandomHistory.java
+++ b/consensus/src/test/java/elmsail/consensus/RandomHistory.java
@@ -31,7 +31,7 @@
   final RegisterClient[] clients = new RegisterClient[CLIENTS];
   Consumer<FaultyCluster.Node> onNodeCreated = node -> {};
   BiConsumer<FaultyCluster.Node, LossyRecordStore.DiskImage> onDiskWiped = (node, before) -> {};
-  UnaryOperator<RpcClient> clientsCaller = caller -> caller;
+  UnaryOperator<RpcClient> clientsCaller = rpcClient -> rpcClient;
   int changed;
   int read;
   int failed;
--- a/consensus/src/test/java/elmsail/consensus/SimCluster.java
+++ b/consensus/src/test/java/elmsail/consensus/SimCluster.java
@@ -100,17 +100,17 @@
   final java.util.Map<String, Integer> requestCounts = new java.util.TreeMap<>();
 
   private final class CountingClient implements RpcClient {
-    private final RpcClient caller;
+    private final RpcClient rpcClient;
 
-    CountingClient(RpcClient caller) {
-      this.caller = caller;
+    CountingClient(RpcClient rpcClient) {
+      this.rpcClient = rpcClient;
     }
 
     @Override
     public <A> CompletableFuture<A> call(
         String peer, Object request, Class<A> answer, long timeoutMs) {
       requestCounts.merge(request.getClass().getSimpleName(), 1, Integer::sum);
-      return caller.call(peer, request, answer, timeoutMs);
+      return rpcClient.call(peer, request, answer, timeoutMs);
     }
   }
 
