--- a/app/src/test/java/elmsail/app/CheckMainTest.java
+++ b/app/src/test/java/elmsail/app/CheckMainTest.java
@@ -8,6 +8,7 @@
 import static org.hamcrest.Matchers.not;
 
 import elmsail.consensus.Replica;
+import elmsail.consensus.ReplicaIdentity;
 import elmsail.consensus.ReplicaListener;
 import elmsail.consensus.RestoredReplica;
 import elmsail.rpc.RequestHandlers;
@@ -165,14 +166,12 @@
     try (DirectoryRecordStore records = DirectoryRecordStore.open(data, 1 << 24, Runnable::run)) {
       Replica replica =
           new Replica(
-              "head",
+              new ReplicaIdentity("head", "127.0.0.1:7721", "n1"),
               records,
               new ReplicaListener() {},
               new NoAnswers(),
               new NoCalls(),
               timers,
-              "127.0.0.1:7721",
-              "n1",
               ProcessMetrics.strict());
       VoterSet voterSet = new VoterSet();
       voterSet.voters.add(slot("127.0.0.1:7721", "n1", records.instanceId()));
--- a/batch/src/test/java/elmsail/batch/ReplicatedBatchCluster.java
+++ b/batch/src/test/java/elmsail/batch/ReplicatedBatchCluster.java
@@ -8,6 +8,7 @@
 import elmsail.config.ServerEntry;
 import elmsail.consensus.RegisterClient;
 import elmsail.consensus.Replica;
+import elmsail.consensus.ReplicaIdentity;
 import elmsail.consensus.VoterSetSource;
 import elmsail.rpc.messages.ClusterView;
 import elmsail.rpc.messages.Voter;
@@ -54,14 +55,12 @@
               ProcessMetrics.strict());
       replica =
           new Replica(
-              VOTER_SET_NAME,
+              new ReplicaIdentity(VOTER_SET_NAME, address, "st-" + address),
               disk.open(node.timers()),
               service,
               node.requestHandlers(),
               node.rpcClient(),
               node.timers(),
-              address,
-              "st-" + address,
               ProcessMetrics.strict());
       service.registerHandlers(node.requestHandlers());
       service.start();
--- a/consensus/src/main/java/elmsail/consensus/Acceptor.java
+++ b/consensus/src/main/java/elmsail/consensus/Acceptor.java
@@ -4,18 +4,24 @@
 import elmsail.rpc.messages.VoteResponse;
 
 /**
- * One voter's decisions at one key, without time, network or disk: what it answers, and what must
- * be on disk before that answer leaves.
+ * The decisions of one voter (an acceptor of CASPaxos) at one key. Pure functions of the key's
+ * state: they know neither time nor network nor disk.
  */
 final class Acceptor {
   private Acceptor() {}
 
   /**
-   * {@code write} null: nothing changes, but what was written before must be safe when this is
-   * told.
+   * What to respond, and what must be durable before the response leaves.
+   *
+   * @param newState the state to write; null if it doesn't change, but then all writes before this
+   *     decision must be durable nevertheless
    */
   record Decision(VoteResponse response, AcceptorState newState) {}
 
+  /**
+   * Promises the ballot unless a higher one was promised. A repeated prepare gets the same response
+   * as the first.
+   */
   static Decision prepare(AcceptorState state, Ballot ballot) {
     int comparison = Ballots.compare(ballot, state.promised());
     if (comparison < 0 || Ballots.isNone(ballot)) {
@@ -29,7 +35,13 @@
     return new Decision(responseWithValue(VoteResponse.OK, newState), newState);
   }
 
-  /** A repeated accept is answered as the first was, also where more has been promised since. */
+  /**
+   * Accepts the value unless a higher ballot was promised. A repeated accept gets the same response
+   * as the first, also if a higher ballot has been promised since.
+   *
+   * @param nextBallot promised together with the accept, so that the same proposer may skip its
+   *     next prepare phase; round 0 for none
+   */
   static Decision accept(AcceptorState state, Ballot ballot, Ballot nextBallot, byte[] value) {
     if (Ballots.areEqual(ballot, state.accepted())
         && !state.fromStateTransfer()
@@ -44,6 +56,12 @@
     return new Decision(responseWithoutValue(VoteResponse.OK, newState), newState);
   }
 
+  /**
+   * Responds with the state as it is.
+   *
+   * @param knownBallot the value is left out if this ballot was accepted last; may be null
+   * @param ballotOnly leaves the value out in any case
+   */
   static VoteResponse read(AcceptorState state, Ballot knownBallot, boolean ballotOnly) {
     boolean omitValue =
         ballotOnly
--- a/consensus/src/main/java/elmsail/consensus/AcceptorState.java
+++ b/consensus/src/main/java/elmsail/consensus/AcceptorState.java
@@ -6,16 +6,21 @@
 import java.nio.ByteBuffer;
 
 /**
- * What one voter holds of one key.
+ * The state of one voter at one key, and its record on disk: the promised and the accepted ballot
+ * (round and proposer, 8 bytes each), a byte of flags, the value.
  *
- * @param promised never below {@code accepted}
- * @param fromStateTransfer {@code accepted} came from another voter slot's record when this voter
- *     slot was claimed
+ * @param promised the highest ballot promised, never below {@code accepted}
+ * @param accepted the ballot under which {@code value} was accepted
+ * @param fromStateTransfer whether {@code accepted} was copied from another voter when this replica
+ *     joined: such a record is no vote of this voter
  * @param value null if nothing was accepted
  */
 record AcceptorState(Ballot promised, Ballot accepted, boolean fromStateTransfer, byte[] value) {
   private static final int HEADER_BYTES = 4 * Long.BYTES + 1;
+  private static final int HAS_VALUE_FLAG = 1;
+  private static final int FROM_STATE_TRANSFER_FLAG = 2;
 
+  /** Of a key that has no record: nothing promised, nothing accepted. */
   static final AcceptorState EMPTY = new AcceptorState(new Ballot(), new Ballot(), false, null);
 
   byte[] toBytes() {
@@ -24,36 +29,49 @@
         .putLong(promised.proposerId)
         .putLong(accepted.round)
         .putLong(accepted.proposerId);
-    out.put((byte) ((value == null ? 0 : 1) | (fromStateTransfer ? 2 : 0)));
+    out.put(
+        (byte)
+            ((value == null ? 0 : HAS_VALUE_FLAG)
+                | (fromStateTransfer ? FROM_STATE_TRANSFER_FLAG : 0)));
     if (value != null) {
       out.put(value);
     }
     return out.array();
   }
 
+  /**
+   * Decodes a record.
+   *
+   * @param bytes null if there is no record, which gives {@link #EMPTY}
+   * @throws ElmsailException of code {@code STORAGE_FAILURE} if the record is too short
+   */
   static AcceptorState fromBytes(byte[] bytes) {
     if (bytes == null) {
       return EMPTY;
     }
     if (bytes.length < HEADER_BYTES) {
       throw new ElmsailException(
-          ErrorCode.STORAGE_FAILURE, "a key's record of " + bytes.length + " bytes");
+          ErrorCode.STORAGE_FAILURE,
+          "record of a key's state: expected at least "
+              + HEADER_BYTES
+              + " bytes, found "
+              + bytes.length);
     }
     ByteBuffer in = ByteBuffer.wrap(bytes);
     Ballot promised = Ballots.of(in.getLong(), in.getLong());
     Ballot accepted = Ballots.of(in.getLong(), in.getLong());
     int flags = in.get();
     byte[] value = null;
-    if ((flags & 1) != 0) {
+    if ((flags & HAS_VALUE_FLAG) != 0) {
       value = new byte[in.remaining()];
       in.get(value);
     }
-    return new AcceptorState(promised, accepted, (flags & 2) != 0, value);
+    return new AcceptorState(promised, accepted, (flags & FROM_STATE_TRANSFER_FLAG) != 0, value);
   }
 
   /**
-   * This, and what another voter slot holds of the same key: the highest promise, the highest
-   * accepted.
+   * Merges what another voter sent in a state transfer: the highest promise and the highest
+   * accepted ballot of both. The result counts as transferred if its value is the other's.
    */
   AcceptorState mergeTransferred(AcceptorState other) {
     boolean otherIsNewer = Ballots.compare(other.accepted, accepted) > 0;
--- a/consensus/src/main/java/elmsail/consensus/Ballots.java
+++ b/consensus/src/main/java/elmsail/consensus/Ballots.java
@@ -2,7 +2,7 @@
 
 import elmsail.rpc.messages.Ballot;
 
-/** Ballots in their order: by round, then by who tries; round 0 is none. */
+/** The order of ballots: by round, then by proposer. A ballot of round 0 stands for none. */
 final class Ballots {
   private Ballots() {}
 
@@ -23,10 +23,12 @@
     return one.round == other.round && one.proposerId == other.proposerId;
   }
 
+  /** The higher of both; the first if they are equal. */
   static Ballot max(Ballot one, Ballot other) {
     return compare(one, other) >= 0 ? one : other;
   }
 
+  /** Whether there is no ballot: null or round 0. */
   static boolean isNone(Ballot ballot) {
     return ballot == null || ballot.round == 0;
   }
--- a/consensus/src/main/java/elmsail/consensus/BlobRead.java
+++ b/consensus/src/main/java/elmsail/consensus/BlobRead.java
@@ -6,11 +6,12 @@
 import elmsail.runtime.ErrorCode;
 
 /**
- * A blob from the nearest voter slot that has it; each next one is asked once the one before has
- * none.
+ * One read of a blob: asks the voters one after the other, the nearest first, and the next one once
+ * the one before lacks the blob, fails, or is late (a hedged request). Any response that has the
+ * blob is as good as another, as blobs never change.
  */
 final class BlobRead extends QuorumOperation<byte[]> {
-  /** A voter slot that is silent for so long is passed over, and its answer still taken. */
+  /** After this time without a response the next voter is asked as well. */
   private static final long HEDGE_DELAY_MS = 250;
 
   private final String name;
@@ -26,25 +27,26 @@
   }
 
   @Override
-  void attempt(VoterSet voterSet) {
-    new Attempt(voterSet).requestNext();
+  void startAttempt(VoterSet voterSet) {
+    new BlobAttempt(voterSet).requestNext();
   }
 
-  private final class Attempt {
-    private final int attemptNumber = attemptNumber();
-    private final VoterSet voterSet;
+  /** One pass over all voters. */
+  private final class BlobAttempt extends Attempt {
     private final int[] nearestFirst;
     private int requested;
-    private int answered;
+    private int concluded;
+
+    /** Voters that responded as voting and lack the blob. */
     private int missing;
 
-    Attempt(VoterSet voterSet) {
-      this.voterSet = voterSet;
+    BlobAttempt(VoterSet voterSet) {
+      super(voterSet);
       nearestFirst = client.slotsNearestFirst(voterSet);
     }
 
     void requestNext() {
-      if (!isCurrent(attemptNumber) || requested == nearestFirst.length) {
+      if (!isCurrent() || requested == voters) {
         return;
       }
       BlobRequest request = new BlobRequest();
@@ -54,14 +56,12 @@
       request.voterSet = voterSet;
       int slot = nearestFirst[requested++];
       if (!VoterSets.isCounted(voterSet, slot)) {
-        answered(null);
+        onResponse(null);
         return;
       }
       int requestedSoFar = requested;
-      client
-          .rpcClient
-          .call(voterSet.voters.get(slot).address, request, BlobResponse.class, callTimeoutMs())
-          .whenComplete((response, failure) -> answered(response));
+      call(slot, request, BlobResponse.class)
+          .whenComplete((response, failure) -> onResponse(response));
       client.timers.schedule(
           HEDGE_DELAY_MS,
           () -> {
@@ -71,26 +71,29 @@
           });
     }
 
-    private void answered(BlobResponse response) {
-      if (!isCurrent(attemptNumber)) {
+    /**
+     * Handles the response of one voter.
+     *
+     * @param response null if the voter did not respond or its slot doesn't count
+     */
+    private void onResponse(BlobResponse response) {
+      if (!isCurrent()) {
         if (response != null) {
           learnFromLateResponse(response.voterSet);
         }
         return;
       }
-      answered++;
+      concluded++;
       if (response != null && response.found) {
         complete(response.bytes);
         return;
       }
-      if (response != null && retryUnderNewerVoterSet(voterSet, response.voterSet)) {
+      if (response != null && retryUnderNewerVoterSet(response.voterSet)) {
         return;
       }
-      if (response != null
-          && response.voting
-          && ++missing >= VoterSets.blockingSize(nearestFirst.length)) {
+      if (response != null && response.voting && ++missing >= VoterSets.blockingSize(voters)) {
         complete(null);
-      } else if (answered == nearestFirst.length) {
+      } else if (concluded == voters) {
         retryAfterBackoff();
       } else {
         requestNext();
--- a/consensus/src/main/java/elmsail/consensus/DurableRecords.java
+++ b/consensus/src/main/java/elmsail/consensus/DurableRecords.java
@@ -10,7 +10,10 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Supplier;
 
-/** One set's records, and answers that leave only once all that was written before them is safe. */
+/**
+ * The records of one set, and responses that leave only once all that was written before them is on
+ * disk. Used on the replica's event loop.
+ */
 final class DurableRecords {
   private final RecordStore records;
   private final RecordNames names;
@@ -22,13 +25,14 @@
     this.names = names;
   }
 
+  /** The state of a key as last written, on disk or not. */
   AcceptorState state(String key) {
     return AcceptorState.fromBytes(records.read(names.key(key)));
   }
 
   /**
-   * Ordered: once one is safe, all before it are; where one fails, what was read as written is
-   * undone.
+   * Writes changes, which are read at once. Writes are ordered: once one is on disk, all before it
+   * are; if one fails, what it changed is read as before again.
    */
   CompletableFuture<Void> write(List<Change> changes) {
     CompletableFuture<Void> written = records.write(changes);
@@ -48,7 +52,9 @@
     return written;
   }
 
-  /** What a vote has to write: blobs that aren't there yet, and the key's state if that changes. */
+  /**
+   * What a vote has to write: the blobs that aren't there yet, and the key's state if it changes.
+   */
   List<Change> changes(String key, Acceptor.Decision decision, List<Blob> blobs) {
     List<Change> changes = new ArrayList<>();
     for (Blob blob : blobs) {
@@ -63,7 +69,7 @@
     return changes;
   }
 
-  /** Removes the key's state and its blobs. */
+  /** Removes a key and its blobs. */
   void removeKey(String key) {
     List<Change> changes = new ArrayList<>();
     changes.add(new Change(names.key(key), null));
@@ -87,8 +93,10 @@
   }
 
   /**
-   * Answers once the changes, and all before them, are safe; never if one of those failed
-   * meanwhile.
+   * Writes changes, and responds once they and all writes before them are on disk.
+   *
+   * @param response called on the loop then
+   * @return fails with {@code STORAGE_FAILURE} if one of those writes failed
    */
   <A> CompletableFuture<A> respondOnceDurable(List<Change> changes, Supplier<A> response) {
     long failedBefore = failedWrites;
@@ -97,7 +105,8 @@
         none -> {
           if (failedWrites != failedBefore) {
             throw new ElmsailException(
-                ErrorCode.STORAGE_FAILURE, "what this relies on could not be written");
+                ErrorCode.STORAGE_FAILURE,
+                names.set() + ": a write that the response relies on failed");
           }
           return response.get();
         });
--- a/consensus/src/main/java/elmsail/consensus/JoinQuorum.java
+++ b/consensus/src/main/java/elmsail/consensus/JoinQuorum.java
@@ -7,63 +7,70 @@
 import java.util.List;
 
 /**
- * What the holders answered to one claim, and whom to copy from: N - q + 1 voting ones, or one less
- * and a replaced one whose successor isn't voting. Without time or network.
+ * The responses to one claim of a voter slot, and the decision whom to copy from: N - q + 1 voting
+ * acknowledgers, or one less together with a replaced voter whose successor doesn't vote. Knows
+ * neither time nor network.
  *
- * <p>A voter slot whose new holder isn't voting yet would otherwise be in the way of a second
- * newcomer for good, if that one's voter slot was lost too: each would wait for the other. In the
- * place of one voting holder, a claim is therefore also acknowledged by one such voter slot's two
- * instances together: its new holder S, and the one R that was voting there right before; and R is
- * copied from. Why that is as good, let k be the epoch of R and k + 1 that of S:
+ * <p>A voter slot whose new holder doesn't vote yet would otherwise block a second join for good,
+ * if that one's slot was lost too: each would wait for the other. In the place of one voting
+ * acknowledger a claim may therefore be acknowledged by both instances of one such slot: its new
+ * holder S (the successor), and the instance R that voted there right before (the predecessor); R
+ * is then copied from. Why that is as good, with k the epoch of R and k + 1 that of S:
  *
  * <ul>
- *   <li>S answers that it isn't voting, and has the claim on its disk: S has cast no vote in this
- *       voter slot, and will cast none under a voter set without the claim.
- *   <li>R answers that it was voting under k, is voting no more (or is, and acknowledges as such),
+ *   <li>S responds that it doesn't vote, and has the claim on its disk: S has cast no vote in this
+ *       slot, and will cast none under a voter set without the claim.
+ *   <li>R responds that it voted under k, votes no more (or still does, and acknowledges as such),
  *       and has the claim on its disk. It voted only under k, votes under no voter set that has S,
- *       and its records are all that those votes made: they are dropped only behind its own claim
- *       of a voter slot, which is on its disk first and ends what it answers here; and it claims
- *       another voter slot only once S told that it votes. If R doesn't know of S yet, its later
- *       votes are under voter sets with this claim, so they needn't be copied; the copying makes it
- *       learn of S.
- *   <li>Nobody else voted in the voter slot, nor will: there is no epoch between k and k + 1; of
- *       two instances that claim k only one can be voting, and R was. A rival of S in k + 1, or
- *       whoever claims a later one, that was voting or will be without knowing this claim had
- *       acknowledgements from N - q + 1 voter slots. So did this claim: N - q of these are voting
- *       holders in the N - 2 voter slots besides both, where the other has N - q at least, and 2 (N
- *       - q) is more than N - 2. One of them thus knew both; it told this newcomer only of S, which
- *       it knew to hold the voter slot, and never goes back: so it can't have known the rival
- *       first, and acknowledges none later but telling this claim along with it.
- *   <li>Only the one that was counted so is copied from though it is replaced. Any other source
- *       must be voting under what this newcomer learnt from all answers: one that acknowledged
+ *       and its records hold the result of all those votes: they are dropped only behind its own
+ *       claim of a slot, which is on its disk first and ends what it responds here; and it claims
+ *       another slot only once S responded that it votes. If R doesn't know of S yet, its later
+ *       votes are under voter sets with this claim, so they need not be copied; the state transfer
+ *       lets it learn of S.
+ *   <li>Nobody else voted in the slot, nor will: there is no epoch between k and k + 1; of two
+ *       instances that claim k only one can have become voting, and R did. A rival of S in k + 1,
+ *       or the maker of a later claim, that was voting or will be without knowing this claim had
+ *       acknowledgements from N - q + 1 slots. So did this claim: N - q of them are voting in the N
+ *       - 2 slots besides both, of which the rival has N - q at least, and 2 (N - q) is more than N
+ *       - 2. So one voter acknowledged both. It reported only S to this join, as the holder of the
+ *       slot, and never goes back: so it can't have known the rival first, and if it acknowledges
+ *       the rival later, it passes this claim on with its acknowledgement.
+ *   <li>Only the one that was counted so is copied from though it was replaced. Any other source
+ *       must be voting under what this join learned from all responses: one that acknowledged
  *       without knowing of its successor, which votes, doesn't count.
- *   <li>For that overlap only one voter slot may be acknowledged so, and all who are voting must
- *       have told of just S.
- *   <li>What S copies later from this newcomer has all that was decided, as from any that is
- *       voting.
+ *   <li>For the overlap above only one slot may be acknowledged so, and all voting acknowledgers
+ *       must have reported just S.
+ *   <li>What S copies later from this instance has all that was committed, as from any voter.
  * </ul>
  *
- * If S is gone for good, this doesn't help: that it didn't vote is known to it alone.
+ * <p>If S never comes back, this doesn't help: that it didn't vote is known to it alone.
  */
 final class JoinQuorum {
   private final VoterSet knownVoterSet;
   private final int required;
 
-  /** As told by voting ones that hold the claim. */
+  /** By slot: the voter set that the voting holder reported with its acknowledgement, or null. */
   private final VoterSet[] acknowledged;
 
-  /** Voter slots whose holder isn't voting, and has the claim on its disk. */
+  /** Slots whose holder doesn't vote, and has the claim on its disk. */
   private final boolean[] recordedByHolder;
 
-  /** Voter slots whose replaced holder has the claim on its disk, and its records. */
+  /** Slots whose predecessor has the claim on its disk, and still has its records. */
   private final boolean[] recordedByPredecessor;
 
+  /** Slots whose holder is to be asked and hasn't responded. */
   private final boolean[] awaitingHolder;
+
+  /** Slots whose predecessor is to be asked and hasn't responded. */
   private final boolean[] awaitingPredecessor;
+
   private Voter replacedSource;
 
   /**
+   * The quorum of a claim that has no responses yet.
+   *
    * @param knownVoterSet as known when the claim is sent
+   * @param slot the slot that is claimed
    */
   JoinQuorum(VoterSet knownVoterSet, int slot, long ownInstanceId) {
     this.knownVoterSet = knownVoterSet;
@@ -75,28 +82,30 @@
     awaitingHolder = new boolean[voters];
     awaitingPredecessor = new boolean[voters];
     for (int i = 0; i < voters; i++) {
-      Voter one = knownVoterSet.voters.get(i);
+      Voter voter = knownVoterSet.voters.get(i);
       awaitingHolder[i] = i != slot && VoterSets.isCounted(knownVoterSet, i);
       awaitingPredecessor[i] =
           awaitingHolder[i]
-              && one.previousInstanceId != 0
-              && one.previousInstanceId != ownInstanceId
-              && !one.previousAddress.equals(one.address);
+              && voter.previousInstanceId != 0
+              && voter.previousInstanceId != ownInstanceId
+              && !voter.previousAddress.equals(voter.address);
     }
   }
 
-  /** Whether the voter slot's holder is to be asked, and hasn't answered. */
+  /** Whether the holder of the slot is to be asked, and hasn't responded. */
   boolean awaitsHolder(int slot) {
     return awaitingHolder[slot];
   }
 
-  /** Whether the one before the voter slot's holder is to be asked, and hasn't answered. */
+  /** Whether the predecessor of the slot's holder is to be asked, and hasn't responded. */
   boolean awaitsPredecessor(int slot) {
     return awaitingPredecessor[slot];
   }
 
   /**
-   * @param response by the voter slot's holder; null: it didn't answer
+   * Counts the response of a slot's holder.
+   *
+   * @param response null if there was none
    */
   void onHolderResponse(int slot, JoinResponse response) {
     awaitingHolder[slot] = false;
@@ -115,7 +124,9 @@
   }
 
   /**
-   * @param response by the one before; null: it didn't answer
+   * Counts the response of the predecessor of a slot's holder.
+   *
+   * @param response null if there was none
    */
   void onPredecessorResponse(int slot, JoinResponse response) {
     awaitingPredecessor[slot] = false;
@@ -137,7 +148,7 @@
                 && VoterSets.areEqual(holderAtResponder, holder);
   }
 
-  /** Null as long as too few acknowledged. */
+  /** The instances to copy from; null as long as too few acknowledged. */
   List<Voter> sources() {
     List<Voter> sources = new ArrayList<>();
     for (int i = 0; i < acknowledged.length; i++) {
@@ -159,30 +170,28 @@
     return sources.size() >= required ? sources : null;
   }
 
-  /**
-   * Which of the {@link #sources()} is a replaced holder, or null; the others must be voting still.
-   */
+  /** The one of the {@link #sources()} that was replaced, or null; the others must still vote. */
   Voter replacedSource() {
     return replacedSource;
   }
 
-  /** Whether the answers that are still open can't be enough. */
+  /** Whether the responses that are still awaited can't be enough. */
   boolean isUnattainable() {
     int possible = 0;
-    boolean pair = false;
+    boolean pairPossible = false;
     boolean awaitingAny = false;
     for (int i = 0; i < awaitingHolder.length; i++) {
       awaitingAny |= awaitingHolder[i] || awaitingPredecessor[i];
       if (awaitingHolder[i] || acknowledged[i] != null) {
         possible++;
       } else if (recordedByHolder[i] && (awaitingPredecessor[i] || recordedByPredecessor[i])) {
-        pair = true;
+        pairPossible = true;
       }
     }
-    return !awaitingAny || possible + (pair ? 1 : 0) < required;
+    return !awaitingAny || possible + (pairPossible ? 1 : 0) < required;
   }
 
-  /** Whether all who acknowledged know just that claim of the voter slot. */
+  /** Whether all voting acknowledgers reported just this holder of the slot. */
   private boolean acknowledgersAgreeOn(int slot) {
     for (VoterSet known : acknowledged) {
       if (known != null
--- a/consensus/src/main/java/elmsail/consensus/PreparePhase.java
+++ b/consensus/src/main/java/elmsail/consensus/PreparePhase.java
@@ -10,26 +10,34 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Sends one first round to all voters: directly, or, where it carries large blobs, through the
- * nearest voter. Where that voter fails, or has not answered in time, the same round goes directly
- * as well: voters answer a repeated promise as they did the first time.
+ * The prepare phase of one ballot: sends the prepare to all voters, directly or, if it carries
+ * large blobs, through the nearest voter ({@link PrepareRelay}). If that voter fails or is late,
+ * the same prepare is sent directly as well, which is safe as voters respond to a repeated prepare
+ * as they did to the first. Runs on the client's event loop.
  */
 final class PreparePhase {
-  /** Hears of each voter once. */
+  /** Is notified once for each voter whose slot counts. */
   interface VoteListener {
-    /** The voter's answer; null where there is none. */
+    /**
+     * The voter responded, or failed to.
+     *
+     * @param vote null if the voter did not respond
+     */
     void onVote(int slot, VoteResponse vote);
 
-    /** A majority has promised, and the round is on its way to this voter too. */
+    /** A majority promised through the relay, and the prepare is on its way to this voter too. */
     void onPending(int slot);
   }
 
-  /** A relay is waited for so long, and longer by the round's bytes at the slowest rate. */
-  private static final long RELAY_TIMEOUT_MS = 200;
+  /**
+   * After this time, and that of the bytes at {@link #MIN_BYTES_PER_MS}, the prepare is sent
+   * directly too.
+   */
+  private static final long RELAY_WAIT_MS = 200;
 
   private static final long MIN_BYTES_PER_MS = 500;
 
-  /** A relay gives up on the voters so long before its caller gives up on it. */
+  /** By how much a relay's own timeout is shorter than a call's, so that its votes arrive. */
   private static final long RELAY_MARGIN_MS = 100;
 
   private final RegisterClient client;
@@ -41,12 +49,11 @@
   private final VoteListener listener;
   private final boolean[] responded;
   private boolean sentDirectly;
-  private Timers.Timer relayTimer;
 
   /**
-   * @param callTimeoutMs for how long a voter that is asked directly is waited for
-   * @param relayTimeoutMs for how long a relay is, as its round may share a narrow link with others
-   * @param isCurrent whether the round still matters; else it is not sent again
+   * @param callTimeoutMs of a call to a voter
+   * @param relayTimeoutMs of the call to a relay; longer, as it may share a narrow link with others
+   * @param isCurrent whether the prepare still matters; if not, it is not sent directly any more
    */
   PreparePhase(
       RegisterClient client,
@@ -82,8 +89,8 @@
     relayed.timeoutMs = Math.max(1, callTimeoutMs - RELAY_MARGIN_MS);
     long bytes = RelaySelector.totalBytes(request.blobs);
     long relayWaitMs =
-        RELAY_TIMEOUT_MS + client.relaySelector.onRelayStarted(bytes) / MIN_BYTES_PER_MS;
-    relayTimer = client.timers.schedule(relayWaitMs, () -> onRelayFailed(relay));
+        RELAY_WAIT_MS + client.relaySelector.onRelayStarted(bytes) / MIN_BYTES_PER_MS;
+    Timers.Timer relayTimer = client.timers.schedule(relayWaitMs, () -> onRelayFailed(relay));
     client
         .rpcClient
         .call(relay.address, relayed, RelayedPrepareResponse.class, relayTimeoutMs)
@@ -104,7 +111,7 @@
     sendDirectly();
   }
 
-  /** A relay that reached no majority may be cut off itself: the others are asked directly. */
+  /** A relay that got no majority of votes may be partitioned itself: sends to the others. */
   private void onRelayResponse(Voter relay, RelayedPrepareResponse response) {
     int voteCount = Math.min(response.slots.size(), response.votes.size());
     for (int i = 0; i < voteCount; i++) {
@@ -127,17 +134,21 @@
       return;
     }
     sentDirectly = true;
-    for (int i = 0; i < responded.length; i++) {
-      if (VoterSets.isCounted(voterSet, i) && !responded[i]) {
-        int slot = i;
-        client
-            .rpcClient
-            .call(voterSet.voters.get(i).address, request, VoteResponse.class, callTimeoutMs)
-            .whenComplete((vote, failure) -> onVote(slot, vote));
+    for (int slot = 0; slot < responded.length; slot++) {
+      if (VoterSets.isCounted(voterSet, slot) && !responded[slot]) {
+        sendDirectly(slot);
       }
     }
   }
 
+  private void sendDirectly(int slot) {
+    client
+        .rpcClient
+        .call(voterSet.voters.get(slot).address, request, VoteResponse.class, callTimeoutMs)
+        .whenComplete((vote, failure) -> onVote(slot, vote));
+  }
+
+  /** The slot may come from a relay, so it is checked. */
   private void onVote(int slot, VoteResponse vote) {
     if (slot >= 0 && slot < responded.length && !responded[slot]) {
       responded[slot] = true;
--- a/consensus/src/main/java/elmsail/consensus/PrepareRelay.java
+++ b/consensus/src/main/java/elmsail/consensus/PrepareRelay.java
@@ -13,17 +13,19 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A voter's passing on of first rounds that carry large blobs. It adds nothing to a round and
- * decides nothing: each voter is asked as if by the proposer itself, and the proposer gets each
- * voter's own answer. The answer to the proposer leaves once all voters have answered, or a little
- * after a majority promised, so that one slow voter does not hold the round up; what is on its way
- * to that voter goes on.
+ * Relays prepares that carry large blobs: a voter sends them to all voters on behalf of a proposer,
+ * so that the blobs cross the proposer's link once. A relay decides nothing: it sends the
+ * proposer's own request, and returns each voter's own response.
+ *
+ * <p>The response to the proposer leaves once all voters have responded, or {@link #GRACE_MS} after
+ * a majority promised, so that one slow voter doesn't delay it; the prepare that is on its way to
+ * that voter goes on. Runs on the replica's event loop.
  */
 final class PrepareRelay {
-  /** How long voters beyond a majority are waited for. */
+  /** How long to wait for more voters once a majority has promised. */
   private static final long GRACE_MS = 30;
 
-  /** Bytes of blobs that are being passed on at a time, at most. */
+  /** Limit on the bytes of blobs being sent at a time; a single prepare may exceed it. */
   private static final long MAX_BYTES_IN_FLIGHT = 32L << 20;
 
   private final RpcClient rpcClient;
@@ -35,22 +37,27 @@
     this.timers = timers;
   }
 
+  /** Registers the handler of relayed prepares. */
   void register(RequestHandlers handlers) {
     handlers.register(RelayedPrepareRequest.class, this::relay);
   }
 
   private CompletableFuture<RelayedPrepareResponse> relay(RelayedPrepareRequest request) {
-    RelayedPrepare round = new RelayedPrepare(request.prepare);
-    if (bytesInFlight > 0 && bytesInFlight + round.bytes > MAX_BYTES_IN_FLIGHT) {
+    RelayedPrepare relayed = new RelayedPrepare(request.prepare);
+    if (bytesInFlight > 0 && bytesInFlight + relayed.bytes > MAX_BYTES_IN_FLIGHT) {
       return CompletableFuture.failedFuture(
           new ElmsailException(
-              ErrorCode.RESOURCE_EXHAUSTED, "too many first rounds are being relayed"));
+              ErrorCode.RESOURCE_EXHAUSTED,
+              "relay of prepares: "
+                  + bytesInFlight
+                  + " bytes in flight, limit "
+                  + MAX_BYTES_IN_FLIGHT));
     }
-    round.start(Math.max(1, Math.min(request.timeoutMs, RegisterClient.CALL_TIMEOUT_MS)));
-    return round.response;
+    relayed.start(Math.max(1, Math.min(request.timeoutMs, RegisterClient.CALL_TIMEOUT_MS)));
+    return relayed.response;
   }
 
-  /** One first round on its way to the voters. */
+  /** One prepare being relayed. */
   private final class RelayedPrepare {
     private final PrepareRequest prepare;
     private final VoterSet voterSet;
--- a/consensus/src/main/java/elmsail/consensus/Proposer.java
+++ b/consensus/src/main/java/elmsail/consensus/Proposer.java
@@ -4,20 +4,28 @@
 import elmsail.consensus.Register.ObservedState;
 import elmsail.consensus.Register.ProposedValue;
 import elmsail.consensus.Register.VersionedValue;
+import elmsail.consensus.RegisterClient.CachedPromise;
 import elmsail.rpc.messages.AcceptRequest;
 import elmsail.rpc.messages.Ballot;
 import elmsail.rpc.messages.Blob;
 import elmsail.rpc.messages.PrepareRequest;
 import elmsail.rpc.messages.VoteResponse;
-import elmsail.rpc.messages.Voter;
 import elmsail.rpc.messages.VoterSet;
 import elmsail.runtime.ErrorCode;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Function;
 
-/** One change of a key: prepare and accept at a majority, again until one attempt decides. */
+/**
+ * One change of a key (a proposer of CASPaxos): prepare and accept at a majority, again until one
+ * attempt commits a value or the change is declined.
+ *
+ * <p>A client that changes a key repeatedly skips the prepare phase: with each accept it asks for
+ * the promise of its next ballot, and uses that for the next change if a majority gave it under the
+ * same voter set.
+ */
 final class Proposer extends QuorumOperation<CommittedState> {
+  /** How many attempts may end because voters did not admit the value, before that is reported. */
   private static final int MAX_ADMISSION_REFUSALS = 2;
 
   private final Function<ObservedState, ProposedValue> change;
@@ -27,6 +35,9 @@
   private int admissionRefusals;
   private int outbidAttempts;
 
+  /**
+   * @param sideEffect sent with the prepare phase, which is then never skipped; null for none
+   */
   Proposer(
       RegisterClient client,
       String key,
@@ -46,78 +57,73 @@
   }
 
   @Override
-  void attempt(VoterSet voterSet) {
-    RegisterClient.CachedPromise cachedPromise =
-        sideEffect == null ? client.takeCachedPromise(key) : null;
-    if (cachedPromise != null
-        && cachedPromise.nextBallot() != null
-        && VoterSets.areEqual(cachedPromise.voterSet(), voterSet)) {
-      ProposedValue proposed = propose(new ObservedState(cachedPromise.value(), List.of()));
+  void startAttempt(VoterSet voterSet) {
+    CachedPromise promise = sideEffect == null ? client.takeCachedPromise(key) : null;
+    if (promise != null && promise.isUsableUnder(voterSet)) {
+      ProposedValue proposed = propose(new ObservedState(promise.value(), List.of()));
       if (isDone()) {
         return;
       }
       if (proposed.value() != null) {
-        new Attempt(voterSet, cachedPromise.nextBallot(), true)
+        new ChangeAttempt(voterSet, promise.nextBallot(), true)
             .accept(proposed.value(), true, proposed.blobs());
         return;
       }
-      // What was kept may be old: a change is declined only on what a majority tells.
-      client.cachePromise(
-          key, new RegisterClient.CachedPromise(null, new Ballot(), null, voterSet));
+      // The cached value may be stale: a change is declined only on what a majority responds.
+      client.cachePromise(key, CachedPromise.none(voterSet));
     }
-    new Attempt(voterSet, client.nextBallot(), cachedPromise != null).prepare();
+    new ChangeAttempt(voterSet, client.nextBallot(), promise != null).prepare();
   }
 
+  /** Calls the change function; null, and the operation failed, if that throws. */
   private ProposedValue propose(ObservedState observed) {
     try {
       return change.apply(observed);
     } catch (RuntimeException e) {
+      // The function is the caller's: its failure is the result of the change.
       fail(e);
       return null;
     }
   }
 
-  /** One ballot: both its rounds are under one voter set. */
-  private final class Attempt {
-    private final int attemptNumber = attemptNumber();
-    private final VoterSet voterSet;
-    private final int voters;
-    private final int majority;
+  /**
+   * One ballot: a prepare phase, unless a cached promise replaces it, then an accept phase, both
+   * under one voter set.
+   */
+  private final class ChangeAttempt extends Attempt {
     private final Ballot ballot;
 
-    /** Whether this client changed the key before, so that it may well do so again. */
-    private final boolean promiseAhead;
+    /** Whether to ask for the promise of the next ballot, as this client changed the key before. */
+    private final boolean requestNextPromise;
 
     private final VoteResponse[] promises;
-    private final boolean[] responded;
-    private final boolean[] acceptSentTo;
-    private boolean prepared;
-    private boolean accepting;
-    private AcceptRequest accept;
-    private List<Blob> acceptBlobs = List.of();
-    private boolean isChange;
-    private int acknowledgements;
+
+    /** Voters that responded to the prepare, or to which it is on its way. */
+    private final boolean[] prepareConcluded;
+
+    private boolean prepareSent;
+    private int promiseCount;
     private int refusals;
+
+    /** Null in the prepare phase. */
+    private AcceptPhase acceptPhase;
+
+    private boolean changed;
+    private int acceptCount;
     private int notAdmitted;
-    private int nextBallotPromises;
+    private int nextPromiseCount;
 
-    Attempt(VoterSet voterSet, Ballot ballot, boolean repeated) {
-      this.voterSet = voterSet;
+    ChangeAttempt(VoterSet voterSet, Ballot ballot, boolean requestNextPromise) {
+      super(voterSet);
       this.ballot = ballot;
-      this.promiseAhead = repeated;
-      voters = voterSet.voters.size();
-      majority = VoterSets.majoritySize(voters);
+      this.requestNextPromise = requestNextPromise;
       promises = new VoteResponse[voters];
-      responded = new boolean[voters];
-      acceptSentTo = new boolean[voters];
-      for (int i = 0; i < voters; i++) {
-        acceptSentTo[i] = !VoterSets.isCounted(voterSet, i);
-      }
+      prepareConcluded = new boolean[voters];
       refusals = VoterSets.uncountedSlots(voterSet);
     }
 
     void prepare() {
-      prepared = true;
+      prepareSent = true;
       PrepareRequest request = new PrepareRequest();
       request.set = client.set();
       request.key = key;
@@ -131,11 +137,11 @@
               request,
               callTimeoutMs(),
               Math.max(1, remainingMs()),
-              () -> isCurrent(attemptNumber) && !accepting,
+              () -> isCurrent() && acceptPhase == null,
               new PreparePhase.VoteListener() {
                 @Override
                 public void onVote(int slot, VoteResponse vote) {
-                  prepared(slot, vote);
+                  onPrepareResponse(slot, vote);
                 }
 
                 @Override
@@ -146,66 +152,69 @@
           .send();
     }
 
-    private void prepared(int slot, VoteResponse response) {
-      responded[slot] = true;
-      boolean granted = response != null && response.code == VoteResponse.OK;
+    private void onPrepareResponse(int slot, VoteResponse response) {
+      prepareConcluded[slot] = true;
+      boolean promised = response != null && response.code == VoteResponse.OK;
       if (response != null) {
         client.observe(response.promised);
         client.observe(response.accepted);
       }
-      if (accepting && attemptNumber == attemptNumber()) {
-        // It is behind the majority's promises: its accept waited for this, so as not to send blobs
-        // twice.
-        sendAccept(slot, granted);
+      if (acceptPhase != null && isLatest()) {
+        // A majority promised before it. Its accept was held back for this response, so that the
+        // blobs aren't sent twice.
+        acceptPhase.send(slot, promised);
         return;
       }
-      if (!isCurrent(attemptNumber)) {
+      if (!isCurrent()) {
         learnFromLateResponse(response);
         return;
       }
-      if (accepting || retryUnderNewerVoterSet(voterSet, response)) {
+      if (acceptPhase != null || retryUnderNewerVoterSet(response)) {
         return;
       }
-      if (granted) {
+      if (promised) {
         promises[slot] = response;
-        if (++acknowledgements >= majority) {
+        if (++promiseCount >= majority) {
           chooseValue();
         }
       } else if (++refusals > voters - majority) {
-        retry(response);
+        retryAfter(response);
       }
     }
 
-    /** The blobs are on their way to it: its accept needn't bring them. */
+    /** The prepare, with its blobs, is on its way to the voter: its accept need not bring them. */
     private void onPreparePending(int slot) {
-      if (accepting && attemptNumber == attemptNumber()) {
-        responded[slot] = true;
-        sendAccept(slot, true);
+      if (acceptPhase != null && isLatest()) {
+        prepareConcluded[slot] = true;
+        acceptPhase.send(slot, true);
       } else {
-        prepared(slot, null);
+        onPrepareResponse(slot, null);
       }
     }
 
-    private void retry(VoteResponse last) {
-      if (last != null && last.code == VoteResponse.BALLOT_TOO_LOW && outbidAttempts++ == 0) {
+    /** The first attempt that was outbid is retried at once, all others after a backoff. */
+    private void retryAfter(VoteResponse lastResponse) {
+      boolean outbid = lastResponse != null && lastResponse.code == VoteResponse.BALLOT_TOO_LOW;
+      if (outbid && outbidAttempts++ == 0) {
         retryNow();
       } else {
         retryAfterBackoff();
       }
     }
 
+    /** A majority promised: applies the change to the value of the highest accepted ballot. */
     private void chooseValue() {
       VoteResponse highest = null;
       List<byte[]> sideEffects = new ArrayList<>();
-      for (VoteResponse response : promises) {
-        if (response == null) {
+      for (VoteResponse promise : promises) {
+        if (promise == null) {
           continue;
         }
-        if (highest == null || Ballots.compare(response.accepted, highest.accepted) > 0) {
-          highest = response;
+        if (highest == null || Ballots.compare(promise.accepted, highest.accepted) > 0) {
+          highest = promise;
         }
-        if (response.sideEffect != null) {
-          sideEffects.add(response.sideEffect);
+        if (promise.sideEffect != null) {
+          sideEffects.add(promise.sideEffect);
         }
       }
       ProposedValue proposed = propose(new ObservedState(highest.value, sideEffects));
@@ -217,102 +226,90 @@
       } else if (Ballots.isNone(highest.accepted) || isAcceptedByMajority(highest.accepted)) {
         complete(new CommittedState(new VersionedValue(highest.accepted, highest.value), false));
       } else {
+        // Declined, but the value that it was declined for is not committed yet.
         accept(highest.value, false, List.of());
       }
     }
 
     private boolean isAcceptedByMajority(Ballot accepted) {
-      int same = 0;
-      for (VoteResponse response : promises) {
-        if (response != null
-            && !response.fromStateTransfer
-            && Ballots.areEqual(response.accepted, accepted)) {
-          same++;
+      int votes = 0;
+      for (VoteResponse promise : promises) {
+        if (promise != null
+            && !promise.fromStateTransfer
+            && Ballots.areEqual(promise.accepted, accepted)) {
+          votes++;
         }
       }
-      return same >= majority;
+      return votes >= majority;
     }
 
-    /** Second round. What was prepared with blobs is taken only where these are kept as well. */
-    void accept(byte[] value, boolean isChange, List<Blob> extraBlobs) {
-      accepting = true;
+    /**
+     * Starts the accept phase. An accept is sent at once to the voters that promised, and to those
+     * whose prepare is concluded or carried no blobs; to the others once it is concluded.
+     *
+     * @param valueBlobs the blobs of the value itself; null counts as none
+     */
+    void accept(byte[] value, boolean changed, List<Blob> valueBlobs) {
       acceptSent = true;
-      this.isChange = isChange;
-      acknowledgements = 0;
+      this.changed = changed;
       refusals = VoterSets.uncountedSlots(voterSet);
-      accept = new AcceptRequest();
-      accept.set = client.set();
-      accept.key = key;
-      accept.ballot = ballot;
-      accept.voterSet = voterSet;
-      accept.value = value;
-      if (promiseAhead) {
-        accept.nextBallot = client.nextBallotAfter(ballot);
+      AcceptRequest request = new AcceptRequest();
+      request.set = client.set();
+      request.key = key;
+      request.ballot = ballot;
+      request.voterSet = voterSet;
+      request.value = value;
+      if (requestNextPromise) {
+        request.nextBallot = client.nextBallotAfter(ballot);
       }
-      acceptBlobs = extraBlobs == null ? List.of() : extraBlobs;
-      for (int i = 0; i < voters; i++) {
-        if (promises[i] != null) {
-          sendAccept(i, true);
-        } else if (blobs.isEmpty() || responded[i] || !prepared) {
-          sendAccept(i, false);
+      acceptPhase =
+          new AcceptPhase(
+              voterSet,
+              request,
+              blobs,
+              valueBlobs == null ? List.of() : valueBlobs,
+              (slot, accept) ->
+                  call(slot, accept, VoteResponse.class)
+                      .whenComplete((response, failure) -> onAcceptResponse(response)));
+      for (int slot = 0; slot < voters; slot++) {
+        if (promises[slot] != null) {
+          acceptPhase.send(slot, true);
+        } else if (blobs.isEmpty() || prepareConcluded[slot] || !prepareSent) {
+          acceptPhase.send(slot, false);
         }
       }
     }
 
-    private void sendAccept(int slot, boolean blobsDelivered) {
-      if (acceptSentTo[slot]) {
-        return;
-      }
-      acceptSentTo[slot] = true;
-      AcceptRequest request = accept;
-      List<Blob> sent = acceptBlobs;
-      if (!blobsDelivered && !blobs.isEmpty()) {
-        sent = new ArrayList<>(blobs);
-        sent.addAll(acceptBlobs);
-      }
-      if (!sent.isEmpty()) {
-        request = new AcceptRequest();
-        request.set = accept.set;
-        request.key = accept.key;
-        request.ballot = accept.ballot;
-        request.nextBallot = accept.nextBallot;
-        request.value = accept.value;
-        request.voterSet = accept.voterSet;
-        request.blobs = sent;
-      }
-      Voter voter = voterSet.voters.get(slot);
-      client
-          .rpcClient
-          .call(voter.address, request, VoteResponse.class, callTimeoutMs())
-          .whenComplete((response, failure) -> onAcceptResponse(response));
-    }
-
     private void onAcceptResponse(VoteResponse response) {
-      boolean granted = response != null && response.code == VoteResponse.OK;
+      boolean accepted = response != null && response.code == VoteResponse.OK;
       if (response != null) {
         client.observe(response.promised);
       }
-      if (granted
-          && !Ballots.isNone(accept.nextBallot)
-          && Ballots.areEqual(response.promised, accept.nextBallot)) {
-        nextBallotPromises++;
+      Ballot nextBallot = acceptPhase.request().nextBallot;
+      if (accepted
+          && !Ballots.isNone(nextBallot)
+          && Ballots.areEqual(response.promised, nextBallot)) {
+        nextPromiseCount++;
       }
-      if (!isCurrent(attemptNumber)) {
+      if (!isCurrent()) {
         learnFromLateResponse(response);
-        return;
-      }
-      if (granted) {
-        if (++acknowledgements >= majority) {
-          Ballot next = nextBallotPromises >= majority ? accept.nextBallot : null;
-          client.cachePromise(
-              key, new RegisterClient.CachedPromise(next, ballot, accept.value, voterSet));
-          complete(new CommittedState(new VersionedValue(ballot, accept.value), isChange));
+      } else if (accepted) {
+        if (++acceptCount >= majority) {
+          commit();
         }
-        return;
-      }
-      if (retryUnderNewerVoterSet(voterSet, response)) {
-        return;
+      } else if (!retryUnderNewerVoterSet(response)) {
+        onAcceptRefused(response);
       }
+    }
+
+    private void commit() {
+      AcceptRequest request = acceptPhase.request();
+      Ballot nextBallot = nextPromiseCount >= majority ? request.nextBallot : null;
+      client.cachePromise(key, new CachedPromise(nextBallot, request.value, voterSet));
+      complete(new CommittedState(new VersionedValue(ballot, request.value), changed));
+    }
+
+    private void onAcceptRefused(VoteResponse response) {
       refusals++;
       if (response != null && response.code == VoteResponse.NOT_ADMITTED) {
         notAdmitted++;
@@ -321,9 +318,9 @@
         return;
       }
       if (notAdmitted > 0 && admissionRefusals++ >= MAX_ADMISSION_REFUSALS) {
-        fail(RegisterClient.failure(ErrorCode.OUTCOME_UNKNOWN, client.set(), key));
+        fail(failure(ErrorCode.OUTCOME_UNKNOWN, null));
       } else {
-        retry(response);
+        retryAfter(response);
       }
     }
   }
--- a/consensus/src/main/java/elmsail/consensus/QuorumOperation.java
+++ b/consensus/src/main/java/elmsail/consensus/QuorumOperation.java
@@ -2,26 +2,35 @@
 
 import elmsail.rpc.messages.VoteResponse;
 import elmsail.rpc.messages.VoterSet;
+import elmsail.runtime.ElmsailException;
 import elmsail.runtime.ErrorCode;
 import elmsail.runtime.Timers;
 import java.util.concurrent.CompletableFuture;
 
-/** One call of a client: attempts until one decides or its time is over. */
+/**
+ * One call of a {@link RegisterClient}: a sequence of attempts, each under one voter set, until one
+ * decides or the timeout expires. Runs on the client's event loop.
+ *
+ * <p>An attempt ends, and the next begins, when too many voters refuse, or when a response carries
+ * a newer voter set. Responses to earlier attempts are used for their voter set alone.
+ *
+ * @param <R> the type of the result
+ */
 abstract class QuorumOperation<R> {
   final RegisterClient client;
   final String key;
   private final CompletableFuture<R> result = new CompletableFuture<>();
-  private final long deadline;
+  private final long deadlineAtMs;
   private Timers.Timer deadlineTimer;
-  private int retries;
+  private int backoffs;
 
-  /** Answers to earlier attempts carry an earlier number, and are passed over. */
-  private int attempt;
+  /** The number of the latest attempt. */
+  private int latestAttempt;
 
   QuorumOperation(RegisterClient client, String key, long timeoutMs) {
     this.client = client;
     this.key = key;
-    deadline = client.timers.now() + timeoutMs;
+    deadlineAtMs = client.timers.now() + timeoutMs;
   }
 
   final CompletableFuture<R> result() {
@@ -29,95 +38,54 @@
   }
 
   final void start() {
-    deadlineTimer = client.timers.schedule(deadline - client.timers.now(), this::onDeadline);
-    // Futures must not complete inside the call that makes them.
+    deadlineTimer = client.timers.schedule(deadlineAtMs - client.timers.now(), this::onDeadline);
+    // Futures must not complete within the call that returns them.
     client.timers.execute(this::retryNow);
   }
 
-  /** A fresh attempt under that voter set, which has voter slots. */
-  abstract void attempt(VoterSet voterSet);
+  /**
+   * Starts an attempt.
+   *
+   * @param voterSet has at least one voter
+   */
+  abstract void startAttempt(VoterSet voterSet);
 
-  /** How it ends if the time is over. */
+  /** The code of the failure if the timeout expires now. */
   abstract ErrorCode timeoutErrorCode();
 
-  final int attemptNumber() {
-    return attempt;
-  }
-
-  final boolean isCurrent(int number) {
-    return number == attempt && !result.isDone();
-  }
-
   final boolean isDone() {
     return result.isDone();
   }
 
+  /** The timeout of one call to a voter, at least 1 ms. */
   final long callTimeoutMs() {
-    return Math.max(1, Math.min(RegisterClient.CALL_TIMEOUT_MS, deadline - client.timers.now()));
+    return Math.max(
+        1, Math.min(RegisterClient.CALL_TIMEOUT_MS, deadlineAtMs - client.timers.now()));
   }
 
+  /** The time until the timeout expires, at least 0. */
   final long remainingMs() {
-    return Math.max(0, deadline - client.timers.now());
+    return Math.max(0, deadlineAtMs - client.timers.now());
   }
 
-  /** At once. */
+  /** Ends the attempt, and starts the next one at once. */
   final void retryNow() {
     if (result.isDone()) {
       return;
     }
-    attempt++;
+    latestAttempt++;
     VoterSet voterSet = client.voterSets.current();
     if (voterSet.voters.isEmpty()) {
       retryAfterBackoff();
     } else {
-      attempt(voterSet);
+      startAttempt(voterSet);
     }
   }
 
-  /** After a random wait, which grows. */
+  /** Ends the attempt, and starts the next one after a random backoff, which grows. */
   final void retryAfterBackoff() {
-    attempt++;
-    client.timers.schedule(client.backoffMs(retries++), this::retryNow);
-  }
-
-  /**
-   * Takes a newer voter set; true if there was one, and the attempt under the older has been ended.
-   */
-  final boolean retryUnderNewerVoterSet(VoterSet under, VoterSet received) {
-    if (!VoterSets.isNewer(received, under)) {
-      return false;
-    }
-    client.voterSets.learn(received);
-    if (VoterSets.isNewer(client.voterSets.current(), under)) {
-      retryNow();
-    } else {
-      retryAfterBackoff();
-    }
-    return true;
-  }
-
-  final boolean retryUnderNewerVoterSet(VoterSet under, VoteResponse response) {
-    return response != null
-        && (response.code == VoteResponse.STALE_VOTER_SET
-            || response.code == VoteResponse.NOT_A_VOTER)
-        && retryUnderNewerVoterSet(under, response.voterSet);
-  }
-
-  /**
-   * Of an answer that is too late for its attempt: silent voter slots may have ended that before.
-   */
-  final void learnFromLateResponse(VoteResponse response) {
-    if (response != null
-        && (response.code == VoteResponse.STALE_VOTER_SET
-            || response.code == VoteResponse.NOT_A_VOTER)) {
-      learnFromLateResponse(response.voterSet);
-    }
-  }
-
-  final void learnFromLateResponse(VoterSet received) {
-    if (VoterSets.isNewer(received, client.voterSets.current())) {
-      client.voterSets.learn(received);
-    }
+    latestAttempt++;
+    client.timers.schedule(client.backoffMs(backoffs++), this::retryNow);
   }
 
   final void complete(R value) {
@@ -130,7 +98,91 @@
     result.completeExceptionally(failure);
   }
 
+  /** A failure that names the set and the key. */
+  final ElmsailException failure(ErrorCode code, Throwable cause) {
+    return new ElmsailException(code, client.set() + " " + key, cause);
+  }
+
   private void onDeadline() {
-    fail(RegisterClient.failure(timeoutErrorCode(), client.set(), key));
+    fail(failure(timeoutErrorCode(), null));
+  }
+
+  /** One attempt, under one voter set. */
+  abstract class Attempt {
+    final VoterSet voterSet;
+    final int voters;
+    final int majority;
+    private final int number = latestAttempt;
+
+    Attempt(VoterSet voterSet) {
+      this.voterSet = voterSet;
+      voters = voterSet.voters.size();
+      majority = VoterSets.majoritySize(voters);
+    }
+
+    /** Whether no other attempt was begun since, be the operation done or not. */
+    final boolean isLatest() {
+      return number == latestAttempt;
+    }
+
+    /** Whether this attempt may still decide the operation. */
+    final boolean isCurrent() {
+      return isLatest() && !isDone();
+    }
+
+    /** Calls the voter of a slot, with the timeout of one call. */
+    final <A> CompletableFuture<A> call(int slot, Object request, Class<A> responseType) {
+      String address = voterSet.voters.get(slot).address;
+      return client.rpcClient.call(address, request, responseType, callTimeoutMs());
+    }
+
+    /**
+     * Retries if a voter refused this attempt for its voter set and sent a newer one.
+     *
+     * @param response null if the voter did not respond
+     * @return whether this attempt was ended
+     */
+    final boolean retryUnderNewerVoterSet(VoteResponse response) {
+      return response != null
+          && carriesVoterSet(response)
+          && retryUnderNewerVoterSet(response.voterSet);
+    }
+
+    /** As {@link #retryUnderNewerVoterSet(VoteResponse)}, with the voter set received. */
+    final boolean retryUnderNewerVoterSet(VoterSet received) {
+      if (!VoterSets.isNewer(received, voterSet)) {
+        return false;
+      }
+      client.voterSets.learn(received);
+      if (VoterSets.isNewer(client.voterSets.current(), voterSet)) {
+        retryNow();
+      } else {
+        retryAfterBackoff();
+      }
+      return true;
+    }
+
+    /**
+     * Learns the voter set of a response that is too late for this attempt, as voters that did not
+     * respond may have ended that before.
+     *
+     * @param response null if the voter did not respond
+     */
+    final void learnFromLateResponse(VoteResponse response) {
+      if (response != null && carriesVoterSet(response)) {
+        learnFromLateResponse(response.voterSet);
+      }
+    }
+
+    final void learnFromLateResponse(VoterSet received) {
+      if (VoterSets.isNewer(received, client.voterSets.current())) {
+        client.voterSets.learn(received);
+      }
+    }
+
+    private static boolean carriesVoterSet(VoteResponse response) {
+      return response.code == VoteResponse.STALE_VOTER_SET
+          || response.code == VoteResponse.NOT_A_VOTER;
+    }
   }
 }
--- a/consensus/src/main/java/elmsail/consensus/QuorumRead.java
+++ b/consensus/src/main/java/elmsail/consensus/QuorumRead.java
@@ -1,29 +1,31 @@
 package elmsail.consensus;
 
-import elmsail.consensus.Register.CommittedState;
 import elmsail.consensus.Register.ProposedValue;
 import elmsail.consensus.Register.VersionedValue;
 import elmsail.rpc.messages.Ballot;
 import elmsail.rpc.messages.ReadRequest;
 import elmsail.rpc.messages.VoteResponse;
 import elmsail.rpc.messages.VoterSet;
-import elmsail.runtime.ElmsailException;
 import elmsail.runtime.ErrorCode;
 import java.util.List;
-import java.util.concurrent.CompletableFuture;
 
 /**
- * One read: decided at once where a majority took the same ballot last, or none took any; otherwise
- * what was found is finished by a change that changes nothing. Only the nearest voter slot is asked
- * for the value.
+ * One read of a key. It is decided in one round trip if a majority accepted the same ballot last,
+ * or nothing at all. Otherwise the value found is committed first, by a change that changes nothing
+ * (read repair). Only the nearest voter is asked for the value, the others for their ballots.
  */
 final class QuorumRead extends QuorumOperation<VersionedValue> {
+  /** How long to wait for the remaining voters once a majority has responded without agreement. */
   private static final long DISAGREEMENT_GRACE_MS = 15;
+
   private final Ballot knownBallot;
 
-  /** The highest ballot that some voters had accepted when an attempt saw no majority agree. */
+  /** The highest accepted ballot that the latest attempt without agreement saw; round 0: none. */
   private Ballot undecidedBallot = new Ballot();
 
+  /**
+   * @param knownBallot the value of this ballot is not read again; round 0 for none
+   */
   QuorumRead(RegisterClient client, String key, Ballot knownBallot, long timeoutMs) {
     super(client, key, timeoutMs);
     this.knownBallot = knownBallot;
@@ -35,30 +37,8 @@
   }
 
   @Override
-  void attempt(VoterSet voterSet) {
-    new Attempt(voterSet).request();
-  }
-
-  private void repair() {
-    int number = attemptNumber();
-    CompletableFuture<CommittedState> finished =
-        client.change(
-            key,
-            observed -> new ProposedValue(null, List.of()),
-            List.of(),
-            null,
-            Math.max(1, remainingMs()));
-    finished.whenComplete(
-        (committed, failure) -> {
-          if (!isCurrent(number)) {
-            return;
-          }
-          if (committed != null) {
-            completeWith(committed.current().ballot(), committed.current().value());
-          } else {
-            fail(new ElmsailException(ErrorCode.NO_QUORUM, client.set() + " " + key, failure));
-          }
-        });
+  void startAttempt(VoterSet voterSet) {
+    new ReadAttempt(voterSet).send();
   }
 
   private void completeWith(Ballot ballot, byte[] value) {
@@ -66,58 +46,49 @@
     complete(new VersionedValue(ballot, omitValue ? null : value));
   }
 
-  private final class Attempt {
-    private final int attemptNumber = attemptNumber();
-    private final VoterSet voterSet;
-    private final int voters;
-    private final int majority;
-    private final VoteResponse[] responses;
-    private int answered;
+  private ReadRequest newRequest(VoterSet voterSet, boolean ballotOnly) {
+    ReadRequest request = new ReadRequest();
+    request.set = client.set();
+    request.key = key;
+    request.knownBallot = knownBallot;
+    request.voterSet = voterSet;
+    request.ballotOnly = ballotOnly;
+    return request;
+  }
+
+  /** One query of all voters. */
+  private final class ReadAttempt extends Attempt {
+    private final VoteResponse[] votes;
+    private int voteCount;
     private int refusals;
+
+    /** Whether the votes were evaluated for good: agreement was found, or given up. */
     private boolean concluded;
 
-    Attempt(VoterSet voterSet) {
-      this.voterSet = voterSet;
-      voters = voterSet.voters.size();
-      majority = VoterSets.majoritySize(voters);
-      responses = new VoteResponse[voters];
+    ReadAttempt(VoterSet voterSet) {
+      super(voterSet);
+      votes = new VoteResponse[voters];
       refusals = VoterSets.uncountedSlots(voterSet);
     }
 
-    void request() {
-      int[] order = client.slotsNearestFirst(voterSet);
-      for (int at = 0; at < voters; at++) {
-        int slot = order[at];
+    void send() {
+      int[] nearestFirst = client.slotsNearestFirst(voterSet);
+      for (int i = 0; i < voters; i++) {
+        int slot = nearestFirst[i];
         if (!VoterSets.isCounted(voterSet, slot)) {
           continue;
         }
-        client
-            .rpcClient
-            .call(
-                voterSet.voters.get(slot).address,
-                request(at > 0),
-                VoteResponse.class,
-                callTimeoutMs())
-            .whenComplete((vote, failure) -> answered(slot, vote));
+        call(slot, newRequest(voterSet, i > 0), VoteResponse.class)
+            .whenComplete((vote, failure) -> onVote(slot, vote));
       }
     }
 
-    private ReadRequest request(boolean ballotOnly) {
-      ReadRequest request = new ReadRequest();
-      request.set = client.set();
-      request.key = key;
-      request.knownBallot = knownBallot;
-      request.voterSet = voterSet;
-      request.ballotOnly = ballotOnly;
-      return request;
-    }
-
-    private void answered(int slot, VoteResponse vote) {
-      if (!isCurrent(attemptNumber)) {
+    private void onVote(int slot, VoteResponse vote) {
+      if (!isCurrent()) {
         learnFromLateResponse(vote);
         return;
       }
-      if (concluded || retryUnderNewerVoterSet(voterSet, vote)) {
+      if (concluded || retryUnderNewerVoterSet(vote)) {
         return;
       }
       if (vote == null || vote.code != VoteResponse.OK) {
@@ -127,32 +98,33 @@
         return;
       }
       client.observe(vote.promised);
-      responses[slot] = vote;
-      answered++;
+      votes[slot] = vote;
+      voteCount++;
       if (isAcceptedByMajority(vote.accepted)) {
         concluded = true;
         completeAt(vote.accepted);
-      } else if (answered + refusals == voters) {
+      } else if (voteCount + refusals == voters) {
         onDisagreement();
-      } else if (answered >= majority) {
+      } else if (voteCount >= majority) {
         scheduleDisagreement();
       }
     }
 
-    /** Gives the last ones a moment: an accept may be on its way to those that answered first. */
+    /** Gives the remaining voters a moment: an accept may be on its way to the first ones. */
     private void scheduleDisagreement() {
       client.timers.schedule(
           DISAGREEMENT_GRACE_MS,
           () -> {
-            if (isCurrent(attemptNumber) && !concluded) {
+            if (isCurrent() && !concluded) {
               onDisagreement();
             }
           });
     }
 
     /**
-     * Finishes only what an earlier attempt had found unfinished as well: its writer is most likely
-     * still at it, and a finish would outbid it. Many readers would keep all writers from success.
+     * Repairs only what an earlier attempt found undecided as well. Its proposer is most likely
+     * still at work, and a repair would outbid it: many readers would keep all proposers from
+     * success.
      */
     private void onDisagreement() {
       concluded = true;
@@ -165,17 +137,39 @@
       }
     }
 
+    private void repair() {
+      client
+          .change(
+              key,
+              observed -> new ProposedValue(null, List.of()),
+              List.of(),
+              null,
+              Math.max(1, remainingMs()))
+          .whenComplete(
+              (committed, failure) -> {
+                if (!isCurrent()) {
+                  return;
+                }
+                if (committed != null) {
+                  completeWith(committed.current().ballot(), committed.current().value());
+                } else {
+                  fail(failure(ErrorCode.NO_QUORUM, failure));
+                }
+              });
+    }
+
     private Ballot highestAccepted() {
       Ballot highest = new Ballot();
-      for (VoteResponse vote : responses) {
+      for (VoteResponse vote : votes) {
         highest = vote == null ? highest : Ballots.max(highest, vote.accepted);
       }
       return highest;
     }
 
+    /** Transferred values are no votes, but that nothing was accepted is certain anyway. */
     private boolean isAcceptedByMajority(Ballot accepted) {
       int same = 0;
-      for (VoteResponse vote : responses) {
+      for (VoteResponse vote : votes) {
         if (vote != null
             && Ballots.areEqual(vote.accepted, accepted)
             && (!vote.fromStateTransfer || Ballots.isNone(accepted))) {
@@ -185,44 +179,41 @@
       return same >= majority;
     }
 
+    /** Completes with the value of the ballot, read from a voter that has it if need be. */
     private void completeAt(Ballot accepted) {
       if (Ballots.isNone(accepted) || Ballots.areEqual(accepted, knownBallot)) {
         completeWith(accepted, null);
         return;
       }
       int acceptedSlot = -1;
-      for (int i = 0; i < voters; i++) {
-        if (responses[i] != null && Ballots.areEqual(responses[i].accepted, accepted)) {
-          if (responses[i].value != null) {
-            completeWith(accepted, responses[i].value);
+      for (int slot = 0; slot < voters; slot++) {
+        VoteResponse vote = votes[slot];
+        if (vote != null && Ballots.areEqual(vote.accepted, accepted)) {
+          if (vote.value != null) {
+            completeWith(accepted, vote.value);
             return;
           }
-          acceptedSlot = i;
+          acceptedSlot = slot;
         }
       }
-      client
-          .rpcClient
-          .call(
-              voterSet.voters.get(acceptedSlot).address,
-              request(false),
-              VoteResponse.class,
-              callTimeoutMs())
-          .whenComplete(
-              (vote, failure) -> {
-                if (!isCurrent(attemptNumber)) {
-                  return;
-                }
-                boolean same =
-                    vote != null
-                        && vote.code == VoteResponse.OK
-                        && Ballots.areEqual(vote.accepted, accepted)
-                        && vote.value != null;
-                if (same) {
-                  completeWith(accepted, vote.value);
-                } else {
-                  retryNow();
-                }
-              });
+      call(acceptedSlot, newRequest(voterSet, false), VoteResponse.class)
+          .whenComplete((vote, failure) -> onValue(accepted, vote));
+    }
+
+    private void onValue(Ballot accepted, VoteResponse vote) {
+      if (!isCurrent()) {
+        return;
+      }
+      boolean hasValue =
+          vote != null
+              && vote.code == VoteResponse.OK
+              && Ballots.areEqual(vote.accepted, accepted)
+              && vote.value != null;
+      if (hasValue) {
+        completeWith(accepted, vote.value);
+      } else {
+        retryNow();
+      }
     }
   }
 }
--- a/consensus/src/main/java/elmsail/consensus/RecordNames.java
+++ b/consensus/src/main/java/elmsail/consensus/RecordNames.java
@@ -1,158 +1,148 @@
 package elmsail.consensus;
 
-import elmsail.rpc.messages.Blob;
-import elmsail.rpc.messages.StateTransferResponse;
 import elmsail.storage.RecordStore;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.Iterator;
 import java.util.List;
-import java.util.Map;
 
 /**
- * How the records of one set are called: SET/k/KEY the key's state, SET/b/KEY/NAME a blob,
- * SET/voter set, SET/voting and SET/spare. A "%" or "/" in a key is written %25 or %2F there, so
- * that no key's blobs are another's.
+ * The names of a set's records on disk, which must not change:
+ *
+ * <ul>
+ *   <li>{@code SET/seating}: the voter set ({@link VoterSetCodec})
+ *   <li>{@code SET/seated}: the epoch under which this instance caught up
+ *   <li>{@code SET/spare}: present while a join as a spare is under way
+ *   <li>{@code SET/k/KEY}: the state of a key ({@link AcceptorState})
+ *   <li>{@code SET/b/KEY/NAME}: a blob of a key
+ * </ul>
+ *
+ * <p>"%" and "/" in a key are escaped as "%25" and "%2F", so that the blobs of one key are never
+ * among those of another.
  */
 final class RecordNames {
-  private static final int MAX_NAMES_PER_PAGE = 5_000;
-
+  private final String set;
   private final String votingRecord;
   private final String voterSetRecord;
   private final String spareRecord;
-  private final String keys;
-  private final String allBlobs;
+  private final String keyPrefix;
+  private final String blobPrefix;
 
   RecordNames(String set) {
+    this.set = set;
     votingRecord = set + "/seated";
     voterSetRecord = set + "/seating";
     spareRecord = set + "/spare";
-    keys = set + "/k/";
-    allBlobs = set + "/b/";
+    keyPrefix = set + "/k/";
+    blobPrefix = set + "/b/";
+  }
+
+  /** The name of the set. */
+  String set() {
+    return set;
   }
 
+  /** The record of the epoch under which this instance caught up, see {@link #epochToBytes}. */
   String votingRecord() {
     return votingRecord;
   }
 
+  /** The record of the voter set. */
   String voterSetRecord() {
     return voterSetRecord;
   }
 
-  /** Is there while a claim goes on that was made as a spare. */
+  /** The record that is there while a join as a spare is under way; its content has no meaning. */
   String spareRecord() {
     return spareRecord;
   }
 
-  /** What all keys' records begin with. */
+  /** The prefix of all keys' records. */
   String keys() {
-    return keys;
+    return keyPrefix;
   }
 
-  /** What all blobs' records begin with. */
+  /** The prefix of all blobs' records. */
   String blobs() {
-    return allBlobs;
+    return blobPrefix;
   }
 
+  /** The record of a key's state. */
   String key(String key) {
-    return keys + escape(key);
+    return keyPrefix + escape(key);
   }
 
+  /** The prefix of the records of a key's blobs. */
   String blobs(String key) {
-    return allBlobs + escape(key) + "/";
+    return blobPrefix + escape(key) + "/";
   }
 
+  /** The record of a blob. */
   String blob(String key, String name) {
-    return allBlobs + escape(key) + "/" + name;
+    return blobPrefix + escape(key) + "/" + name;
   }
 
+  /** The key whose state this record holds. */
   String keyOf(String record) {
-    return unescape(record.substring(keys.length()));
+    return unescape(record.substring(keyPrefix.length()));
   }
 
-  /** The keys that have a record. */
-  List<String> keys(RecordStore records) {
-    List<String> found = new ArrayList<>();
-    for (String record : records.names(keys)) {
-      found.add(keyOf(record));
-    }
-    return found;
+  /** The key that the blob of this record belongs to. */
+  String keyOfBlob(String record) {
+    return unescape(
+        record.substring(blobPrefix.length(), record.indexOf('/', blobPrefix.length())));
   }
 
-  boolean isKeyRecord(String record) {
-    return record.startsWith(keys);
+  /** The name of the blob of this record. */
+  String nameOfBlob(String record) {
+    return record.substring(record.indexOf('/', blobPrefix.length()) + 1);
   }
 
-  boolean isStored(RecordStore records, String name) {
-    Iterator<String> found = records.names(name).iterator();
-    return found.hasNext() && found.next().equals(name);
+  /** Whether the record holds the state of a key. */
+  boolean isKeyRecord(String record) {
+    return record.startsWith(keyPrefix);
   }
 
-  /** The records behind {@code after} among those of its kind, keys or blobs. */
-  void page(RecordStore records, String after, int maxBytes, StateTransferResponse response) {
-    String kind = after.startsWith(keys) ? keys : after.startsWith(allBlobs) ? allBlobs : null;
-    if (kind == null) {
-      return;
-    }
-    Map<String, byte[]> page = records.page(after, maxBytes);
-    response.lastPage = page.isEmpty();
-    for (Map.Entry<String, byte[]> record : page.entrySet()) {
-      if (!record.getKey().startsWith(kind)) {
-        response.lastPage = true;
-        return;
-      }
-      Blob one = new Blob();
-      one.name = record.getKey();
-      one.bytes = record.getValue();
-      response.records.add(one);
+  /** The prefix of the keys' or of the blobs' records, whichever the name begins with; or null. */
+  String kindPrefixOf(String record) {
+    if (record.startsWith(keyPrefix)) {
+      return keyPrefix;
     }
+    return record.startsWith(blobPrefix) ? blobPrefix : null;
   }
 
-  /** Names of the blobs behind {@code after}, so many at most. */
-  void blobNamePage(RecordStore records, String after, StateTransferResponse response) {
-    response.lastPage = true;
-    if (!after.startsWith(allBlobs)) {
-      return;
-    }
-    for (String name : records.names(allBlobs)) {
-      if (name.compareTo(after) <= 0) {
-        continue;
-      }
-      if (response.records.size() == MAX_NAMES_PER_PAGE) {
-        response.lastPage = false;
-        return;
-      }
-      Blob one = new Blob();
-      one.name = name;
-      response.records.add(one);
+  /** The keys that have a record. */
+  List<String> keysIn(RecordStore records) {
+    List<String> found = new ArrayList<>();
+    for (String record : records.names(keyPrefix)) {
+      found.add(keyOf(record));
     }
+    return found;
   }
 
-  /** The key of a blob's record. */
-  String keyOfBlob(String record) {
-    return unescape(record.substring(allBlobs.length(), record.indexOf('/', allBlobs.length())));
-  }
-
-  /** The name that a blob's record has beside its key. */
-  String nameOfBlob(String record) {
-    return record.substring(record.indexOf('/', allBlobs.length()) + 1);
+  /** Whether there is a record of this name, found without reading its bytes. */
+  boolean isStored(RecordStore records, String name) {
+    Iterator<String> found = records.names(name).iterator();
+    return found.hasNext() && found.next().equals(name);
   }
 
+  /** The content of the record of an epoch: 4 bytes, big-endian. */
   static byte[] epochToBytes(int epoch) {
     return ByteBuffer.allocate(Integer.BYTES).putInt(epoch).array();
   }
 
+  /** The epoch of a record; 0 if there is no record, or it has another length than 4 bytes. */
   static int epochFromBytes(byte[] bytes) {
     return bytes == null || bytes.length != Integer.BYTES ? 0 : ByteBuffer.wrap(bytes).getInt();
   }
 
-  private static String unescape(String plain) {
-    return plain.indexOf('%') < 0 ? plain : plain.replace("%2F", "/").replace("%25", "%");
-  }
-
   private static String escape(String key) {
     return key.indexOf('/') < 0 && key.indexOf('%') < 0
         ? key
         : key.replace("%", "%25").replace("/", "%2F");
   }
+
+  private static String unescape(String escaped) {
+    return escaped.indexOf('%') < 0 ? escaped : escaped.replace("%2F", "/").replace("%25", "%");
+  }
 }
--- a/consensus/src/main/java/elmsail/consensus/RegisterClient.java
+++ b/consensus/src/main/java/elmsail/consensus/RegisterClient.java
@@ -5,8 +5,6 @@
 import elmsail.rpc.messages.Blob;
 import elmsail.rpc.messages.Voter;
 import elmsail.rpc.messages.VoterSet;
-import elmsail.runtime.ElmsailException;
-import elmsail.runtime.ErrorCode;
 import elmsail.runtime.Timers;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -17,10 +15,11 @@
 import java.util.function.ToIntFunction;
 
 /**
- * The asker's side of one set. Runs on the loop; what it keeps is bounded, and only spares rounds.
+ * The client side of one set: makes an operation of each call, and holds what the operations share.
+ * Runs on one event loop; what it caches is bounded, and only saves round trips.
  */
 public final class RegisterClient implements Register {
-  /** No single call of an attempt waits longer. */
+  /** The longest timeout of a single call to a voter. */
   static final long CALL_TIMEOUT_MS = 1_200;
 
   private static final int MAX_CACHED_PROMISES = 512;
@@ -30,10 +29,24 @@
   private static final long MIN_BACKOFF_MS = 5;
 
   /**
-   * What this client's last change of a key left behind; {@code next} null: no promise to go on
-   * with.
+   * What this client's last change of a key left behind for its next one.
+   *
+   * @param nextBallot promised by a majority together with that change; null if it was not
+   * @param value the value that was committed
+   * @param voterSet under which that happened
    */
-  record CachedPromise(Ballot nextBallot, Ballot accepted, byte[] value, VoterSet voterSet) {}
+  record CachedPromise(Ballot nextBallot, byte[] value, VoterSet voterSet) {
+
+    /** Says only that the client changed the key before. */
+    static CachedPromise none(VoterSet voterSet) {
+      return new CachedPromise(null, null, voterSet);
+    }
+
+    /** Whether the next change under this voter set may skip its prepare phase. */
+    boolean isUsableUnder(VoterSet current) {
+      return nextBallot != null && VoterSets.areEqual(voterSet, current);
+    }
+  }
 
   private final String set;
   final RpcClient rpcClient;
@@ -55,9 +68,11 @@
   private long highestRound;
 
   /**
-   * @param proposerId of this client alone, in all processes and instances: drawn at random
-   * @param ownAddress a replica there is asked first
-   * @param distance of an inner address: the lower, the earlier it is asked for bytes
+   * A client of one set.
+   *
+   * @param proposerId unique among all clients of the set ever: drawn at random
+   * @param ownAddress a voter at this address counts as the nearest
+   * @param distance of a voter's address: the lower, the earlier the voter is asked for bytes
    */
   public RegisterClient(
       String set,
@@ -106,66 +121,66 @@
     return read.result();
   }
 
+  /** The name of the set. */
   String set() {
     return set;
   }
 
+  /** A ballot of this client above all it has seen. */
   Ballot nextBallot() {
     highestRound++;
     return Ballots.of(highestRound, proposerId);
   }
 
-  /** The ballot to ask the promise of, behind the one that is being accepted. */
+  /** A ballot of this client above all it has seen, and above this one. */
   Ballot nextBallotAfter(Ballot ballot) {
     Ballot next = Ballots.of(Math.max(highestRound, ballot.round) + 1, proposerId);
     highestRound = next.round;
     return next;
   }
 
+  /** Keeps later ballots of this client above this one; null is ignored. */
   void observe(Ballot ballot) {
     if (ballot != null) {
       highestRound = Math.max(highestRound, ballot.round);
     }
   }
 
-  CachedPromise cachedPromises(String key) {
-    return cachedPromises.get(key);
-  }
-
-  /** Each promise is good for one accept. */
+  /** Takes the promise out of the cache, as it is good for one accept; null if there is none. */
   CachedPromise takeCachedPromise(String key) {
     return cachedPromises.remove(key);
   }
 
+  /** Caches a promise; of one with a large value only that there was a change. */
   void cachePromise(String key, CachedPromise promise) {
     boolean tooLarge = promise.value != null && promise.value.length > MAX_CACHED_VALUE_BYTES;
-    cachedPromises.put(
-        key, tooLarge ? new CachedPromise(null, new Ballot(), null, promise.voterSet) : promise);
+    cachedPromises.put(key, tooLarge ? CachedPromise.none(promise.voterSet) : promise);
   }
 
-  /** Positions of the voter slots, the nearest first. */
+  /** The voter slots by distance, the nearest first; slots of equal distance in their order. */
   int[] slotsNearestFirst(VoterSet voterSet) {
     List<Voter> voters = voterSet.voters;
     int[] order = new int[voters.size()];
-    for (int i = 0; i < order.length; i++) {
-      int at = i;
-      int distanceOfSlot = distance.applyAsInt(voters.get(i).address);
-      while (at > 0 && distance.applyAsInt(voters.get(order[at - 1]).address) > distanceOfSlot) {
-        order[at] = order[at - 1];
-        at--;
+    for (int slot = 0; slot < order.length; slot++) {
+      int position = slot;
+      int slotDistance = distance.applyAsInt(voters.get(slot).address);
+      while (position > 0
+          && distance.applyAsInt(voters.get(order[position - 1]).address) > slotDistance) {
+        order[position] = order[position - 1];
+        position--;
       }
-      order[at] = i;
+      order[position] = slot;
     }
     return order;
   }
 
-  /** A random wait before try number {@code tries}, growing from 5 to 40 up to 150 ms. */
+  /**
+   * A random backoff of 5 ms up to a limit that doubles from 40 ms to 150 ms.
+   *
+   * @param retries how many backoffs the operation has had before
+   */
   long backoffMs(int retries) {
     long maxMs = Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS << Math.min(retries, 4));
     return random.nextLong(MIN_BACKOFF_MS, maxMs + 1);
   }
-
-  static ElmsailException failure(ErrorCode code, String set, String key) {
-    return new ElmsailException(code, set + " " + key);
-  }
 }
--- a/consensus/src/main/java/elmsail/consensus/RelaySelector.java
+++ b/consensus/src/main/java/elmsail/consensus/RelaySelector.java
@@ -8,27 +8,35 @@
 import java.util.List;
 import java.util.Map;
 
-/** Which voter passes a client's first rounds on to the others. */
+/**
+ * Chooses the voter that relays a client's prepares to the others, and measures what is being
+ * relayed. Runs on the client's event loop.
+ */
 final class RelaySelector {
-  /** Rounds with fewer bytes of blobs go to each voter directly. */
+  /** Prepares with fewer bytes of blobs are sent to each voter directly. */
   static final int MIN_RELAYED_BYTES = 16 << 10;
 
-  /** A voter that did not pass a round on is not asked to for so long. */
+  /** How long a voter is avoided after it failed as a relay. */
   private static final long AVOID_MS = 3_000;
 
   private final Timers timers;
 
-  /** Until when each voter is avoided, by its address; few, as only voters come in. */
+  /** The time until which a voter is avoided, by address; bounded by the voters there are. */
   private final Map<String, Long> avoidedUntilMs = new HashMap<>();
 
-  /** Bytes of this client's relayed rounds that share its link now. */
+  /** Bytes of blobs in this client's relayed prepares that have not been responded to. */
   private long bytesInFlight;
 
   RelaySelector(Timers timers) {
     this.timers = timers;
   }
 
-  /** The nearest voter that may be asked, or null where the round is to go directly. */
+  /**
+   * The nearest voter that is not avoided.
+   *
+   * @param nearestFirst voter slots in order of distance
+   * @return null if the prepare is to be sent directly
+   */
   Voter select(VoterSet voterSet, int[] nearestFirst, List<Blob> blobs) {
     if (totalBytes(blobs) < MIN_RELAYED_BYTES) {
       return null;
@@ -44,21 +52,23 @@
     return null;
   }
 
+  /** The voter did not respond in time, or got no majority of votes. */
   void onRelayFailed(Voter voter) {
     avoidedUntilMs.put(voter.address, timers.now() + AVOID_MS);
   }
 
-  /** A relayed round of so many bytes begins; gives the bytes of all that are under way. */
+  /** A relayed prepare was sent; returns the bytes in flight, its own included. */
   long onRelayStarted(long bytes) {
     bytesInFlight += bytes;
     return bytesInFlight;
   }
 
-  /** It has ended, one way or another. */
+  /** The relay responded or failed. */
   void onRelayEnded(long bytes) {
     bytesInFlight -= bytes;
   }
 
+  /** The bytes of all blobs together. */
   static long totalBytes(List<Blob> blobs) {
     long sum = 0;
     for (Blob blob : blobs) {
--- a/consensus/src/main/java/elmsail/consensus/Replica.java
+++ b/consensus/src/main/java/elmsail/consensus/Replica.java
@@ -4,89 +4,58 @@
 import elmsail.rpc.RpcClient;
 import elmsail.rpc.messages.VoterSet;
 import elmsail.runtime.Counters;
-import elmsail.runtime.ElmsailException;
 import elmsail.runtime.ProcessMetrics;
 import elmsail.runtime.Timers;
 import elmsail.storage.RecordStore;
 import elmsail.storage.RecordStore.Change;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 
 /**
- * The voter's side of one set: records of its keys, its voter set, and whether this process votes.
- * An answer leaves only once all that it relies on is safe on disk. One replica at most for each
+ * The voter side of one set in one process: the records of its keys, its voter set, and whether it
+ * votes. A response leaves only once all that it relies on is on disk.
+ *
+ * <p>Runs on one event loop, on which all methods are called. There is at most one replica for each
  * {@link RequestHandlers}.
  */
 public final class Replica {
-  private static final Logger LOG = LoggerFactory.getLogger(Replica.class);
-
-  private static final long REWRITE_DELAY_MS = 300;
-
-  private final String set;
   private final RecordStore records;
   private final ReplicaListener listener;
-  private final Timers timers;
-  final ReplicaMembership membership;
   private final RecordNames names;
   private final DurableRecords durableRecords;
+  private final DurableMembership durableMembership;
   private final ReplicaJoin join;
-  private final List<Runnable> votingListeners = new ArrayList<>();
-
-  /**
-   * Whether the disk has, or is being given, the voter set and {@code seated} as they are in
-   * memory.
-   */
-  private boolean membershipWritten = true;
-
-  private boolean publishedVoting;
-
-  /**
-   * As it is on disk: what isn't safe is told to nobody, so that no claim is known that its maker
-   * forgot.
-   */
-  private VoterSet publishedVoterSet;
+  final ReplicaMembership membership;
 
   /**
-   * Reads its records; votes at once if this instance was voting when it ended.
+   * Reads the records, and registers the handlers of all requests to a replica. Votes at once if
+   * this instance was voting when its process ended.
    *
-   * @param metrics the process's figures and invariants
+   * @param listener notified within this call of the values on disk, if the replica votes
+   * @param rpcClient for the calls of joins, state transfers and relayed prepares
+   * @param metrics of the process, to which those of the replica are added
+   * @throws elmsail.runtime.ElmsailException of code {@code STORAGE_FAILURE} if a record cannot be
+   *     read
    */
   public Replica(
-      String set,
+      ReplicaIdentity identity,
       RecordStore records,
       ReplicaListener listener,
       RequestHandlers handlers,
       RpcClient rpcClient,
       Timers timers,
-      String ownAddress,
-      String machine,
       ProcessMetrics metrics) {
-    this.set = set;
     this.records = records;
     this.listener = listener;
-    this.timers = timers;
-    names = new RecordNames(set);
+    names = new RecordNames(identity.set());
     durableRecords = new DurableRecords(records, names);
-    byte[] voting = records.read(names.votingRecord());
-    membership =
-        new ReplicaMembership(
-            ownAddress,
-            machine,
-            records.instanceId(),
-            VoterSetCodec.decode(records.read(names.voterSetRecord())),
-            RecordNames.epochFromBytes(voting));
-    membership.joiningAsSpare(records.read(names.spareRecord()) != null);
-    join = new ReplicaJoin(set, this, membership, records, rpcClient, timers);
-    publishedVoting = membership.isVoting();
-    publishedVoterSet = membership.voterSet();
-    if (publishedVoting) {
+    membership = DurableMembership.read(identity, names, records);
+    join = new ReplicaJoin(new JoinContext(names, records, this, membership, rpcClient, timers));
+    durableMembership = new DurableMembership(names, durableRecords, membership, timers);
+    if (membership.isVoting()) {
       notifyAcceptedValues();
     }
-    new ReplicaRequestHandler(
-            set, records, names, durableRecords, listener, membership, this, metrics)
+    new ReplicaRequestHandler(records, names, durableRecords, listener, this, metrics)
         .register(handlers);
     new PrepareRelay(rpcClient, timers).register(handlers);
     registerGauges(metrics.counters());
@@ -101,9 +70,10 @@
   }
 
   /**
-   * The first voter set of all: taken only while nothing is known here and if it names this
-   * instance at epoch 1. An instance ends with its disk's content, so one that is named so never
-   * voted before; it votes as soon as this is on disk.
+   * Bootstraps the set: takes its first voter set, if none is known here and if that names this
+   * instance under epoch 1. The replica votes as soon as the voter set is on disk. This is safe
+   * because an instance id ends with the content of its disk, so an instance that is named as an
+   * initial voter has never voted before.
    */
   public void bootstrap(VoterSet initial) {
     int slot = VoterSets.slotOfInstance(initial, membership.instanceId());
@@ -114,20 +84,20 @@
     }
   }
 
-  /** Whether it votes, and its disk says so. */
+  /** Whether this replica votes, and its disk says so. */
   public boolean isVoting() {
-    return publishedVoting && membership.isVoting();
+    return durableMembership.isVoting();
   }
 
-  /** As known here and safe; without voter slots if nothing is known. */
+  /** The voter set as it is on disk here; without voters if none is known. */
   public VoterSet voterSet() {
-    return publishedVoterSet;
+    return durableMembership.voterSet();
   }
 
   /**
-   * Merged by the higher epoch of each voter slot, on disk before any vote that relies on it. Where
-   * another instance of this address or station holds a voter slot, that is claimed; where this
-   * instance's voter slot is another's now, it votes no more.
+   * Merges a voter set, which is on disk before any vote that relies on it. If another instance of
+   * this address or machine holds a slot, that is claimed; if this instance's slot is another's
+   * now, it votes no more.
    */
   public void learn(VoterSet received) {
     if (membership.learn(received)) {
@@ -137,40 +107,47 @@
   }
 
   /**
-   * Takes over the voter slot of another; nothing happens if this process has or claims one, or
-   * knows of more.
+   * Starts to take over the voter slot of another instance. Does nothing if this instance has a
+   * slot or claims one, or if the slot is known under this or a higher epoch.
+   *
+   * @param epoch of the claim: one above that of the present voter
    */
   public void join(int slot, int epoch) {
     join.join(slot, epoch);
   }
 
-  /** Forgets the key and its blobs: only for keys that nobody changes or reads any more. */
+  /** Removes a key and its blobs here: only for keys that are never changed or read again. */
   public void dropKey(String key) {
     durableRecords.removeKey(key);
     listener.onDropped(key);
   }
 
-  /** Keys that have a record, also those that were only promised. */
+  /** The keys that have a record here, those that were only promised included. */
   public Iterable<String> keys() {
-    return names.keys(records);
+    return names.keysIn(records);
   }
 
-  /** The value accepted here last, decided or not; null if there is none. */
+  /** The value accepted here last, committed or not; null if there is none. */
   public byte[] acceptedValue(String key) {
     return durableRecords.state(key).value();
   }
 
-  /** Null if it isn't kept here. */
+  /** The bytes of a blob as stored here; null if it isn't. */
   public byte[] blob(String key, String name) {
     return records.read(names.blob(key, name));
   }
 
-  /** Called on the loop after {@link #seated()} became another. */
-  public void addVotingListener(Runnable listener) {
-    votingListeners.add(listener);
+  /** Adds a listener, called on the loop after {@link #isVoting()} changed. */
+  public void addVotingListener(Runnable votingListener) {
+    durableMembership.addVotingListener(votingListener);
   }
 
-  /** Before copying: what an earlier voter slot left, and what was copied by an earlier try. */
+  /** The published membership, with its records. */
+  DurableMembership durableMembership() {
+    return durableMembership;
+  }
+
+  /** Removes what an earlier slot or an earlier join left, before a state transfer. */
   void dropAllKeys() {
     for (String key : keys()) {
       listener.onDropped(key);
@@ -183,84 +160,23 @@
   }
 
   /**
-   * Writes the voter set as it is now; the watchers hear at once if this process stopped voting by
-   * it.
+   * The voter set in memory changed: writes it.
+   *
+   * @return completes once it is on disk
    */
   CompletableFuture<Void> onVoterSetChanged() {
     if (membership.isInitialVoter()) {
       membership.caughtUpEpoch(1);
     }
-    CompletableFuture<Void> write = writeMembership();
-    if (!membership.isVoting()) {
-      publishVoting();
-    }
-    return write;
+    return durableMembership.onVoterSetChanged();
   }
 
-  /** All that had to be copied is on disk. */
+  /** All records are copied and on disk: votes as soon as that is on disk too. */
   void onTransferCompleted(int epoch) {
     notifyAcceptedValues();
     membership.caughtUpEpoch(epoch);
     membership.joiningAsSpare(false);
-    writeMembership();
-  }
-
-  /**
-   * Both together: a vote is written behind them, so that an instance that voted never takes itself
-   * for new.
-   */
-  private CompletableFuture<Void> writeMembership() {
-    int caughtUpEpoch = membership.caughtUpEpoch();
-    VoterSet written = membership.voterSet();
-    CompletableFuture<Void> write =
-        write(
-            List.of(
-                new Change(names.voterSetRecord(), VoterSetCodec.encode(written)),
-                new Change(
-                    names.votingRecord(),
-                    caughtUpEpoch == 0 ? null : RecordNames.epochToBytes(caughtUpEpoch)),
-                new Change(
-                    names.spareRecord(),
-                    membership.joiningAsSpare() ? RecordNames.epochToBytes(1) : null)));
-    membershipWritten = true;
-    write.whenComplete(
-        (none, failure) -> {
-          if (failure == null) {
-            publishedVoterSet = written;
-            publishVoting();
-          } else {
-            membershipWritten = false;
-            timers.schedule(REWRITE_DELAY_MS, this::rewriteMembership);
-            LOG.warn(
-                "{}: the voter set could not be written: {}",
-                set,
-                ElmsailException.codeOf(failure));
-          }
-        });
-    return write;
-  }
-
-  /** Whether the disk has, or is being given, the voter set as it is in memory. */
-  boolean isMembershipWritten() {
-    return membershipWritten;
-  }
-
-  /** After a failed write, in time or before what relies on it. */
-  void rewriteMembership() {
-    if (!membershipWritten) {
-      writeMembership();
-    }
-  }
-
-  private void publishVoting() {
-    boolean voting = membership.isVoting();
-    if (voting != publishedVoting) {
-      publishedVoting = voting;
-      LOG.info("{}: {}", set, voting ? "voting" : "not voting");
-      for (Runnable votingListener : votingListeners) {
-        votingListener.run();
-      }
-    }
+    durableMembership.write();
   }
 
   private void notifyAcceptedValues() {
--- a/consensus/src/main/java/elmsail/consensus/ReplicaCounters.java
+++ b/consensus/src/main/java/elmsail/consensus/ReplicaCounters.java
@@ -4,7 +4,7 @@
 import elmsail.runtime.Counters;
 import elmsail.runtime.MetricName;
 
-/** What a replica counts of the requests that it answers; on the loop. */
+/** The counters of a replica's requests. Used on the replica's event loop. */
 final class ReplicaCounters {
   private static final String REFUSED = "replica_refused";
   private static final String REASON = "reason";
@@ -15,24 +15,25 @@
   /** Accept requests that were accepted. */
   final Counters.Counter acceptsAnswered;
 
-  /** Reads of a key's state that were answered. */
+  /** Reads of a key's state that were responded to. */
   final Counters.Counter readsAnswered;
 
   /** Refused: a higher ballot was promised to another. */
   private final Counters.Counter refusedOutbid;
 
-  /** Refused: the request was made under an older voter set. */
+  /** Refused: the request has an older voter set. */
   private final Counters.Counter refusedOldVoterSet;
 
   /** Refused: this replica does not vote. */
   private final Counters.Counter refusedNotVoting;
 
-  /** Refused: the value may not be taken here. */
+  /** Refused: the listener did not admit the value. */
   private final Counters.Counter refusedNotAdmitted;
 
-  /** Refused: what the answer relies on could not be written. */
+  /** Refused: what the response relies on could not be written. */
   private final Counters.Counter refusedDisk;
 
+  /** Registers the counters under their exported names. */
   ReplicaCounters(Counters counters) {
     preparesAnswered = counters.counter("replica_prepares_answered");
     acceptsAnswered = counters.counter("replica_accepts_answered");
@@ -48,7 +49,11 @@
     return counters.counter(new MetricName(REFUSED + "_" + reason, REFUSED, REASON, reason));
   }
 
-  /** Counts a refusal by the code of the answer. */
+  /**
+   * Counts a refusal by the code of the response.
+   *
+   * @throws IllegalArgumentException if the code is no refusal
+   */
   void refused(int code) {
     switch (code) {
       case VoteResponse.BALLOT_TOO_LOW -> refusedOutbid.add(1);
@@ -59,7 +64,7 @@
     }
   }
 
-  /** Counts an answer that could not be given, as the disk refused. */
+  /** Counts a response that could not be sent because a write failed. */
   void refusedByDisk() {
     refusedDisk.add(1);
   }
--- a/consensus/src/main/java/elmsail/consensus/ReplicaListener.java
+++ b/consensus/src/main/java/elmsail/consensus/ReplicaListener.java
@@ -1,32 +1,32 @@
 package elmsail.consensus;
 
 /**
- * What a replica folds from its records; called on its loop, before the answer that tells of the
- * vote leaves.
+ * What an application of the register derives from the values of a replica. Called on the replica's
+ * event loop, before the response of the vote in question leaves; must not block.
  */
 public interface ReplicaListener {
   /**
-   * With a first round: takes what the asker says of the change to come, and tells what it has to
-   * tell.
+   * A prepare was promised that carries a side effect: what the proposer lets the listener know of
+   * the change to come.
+   *
+   * @return sent back with the promise, for {@link Register.ObservedState#sideEffects}; null for
+   *     nothing
    */
   default byte[] onSideEffect(String key, byte[] sideEffect) {
     return null;
   }
 
-  /** Whether the value may be taken here. */
+  /** Whether this voter may accept the value; if not, it responds {@code NOT_ADMITTED}. */
   default boolean admits(String key, byte[] value) {
     return true;
   }
 
-  /**
-   * The value was taken and is on disk, or was read from the disk at the start or copied from
-   * another.
-   */
+  /** A value was accepted and is on disk, was found there at the start, or was copied in a join. */
   default void onAccepted(String key, byte[] value) {}
 
-  /** The key was found at the start, or copied, with a promise and no value. */
+  /** A key was found at the start, or copied in a join, that is promised and has no value. */
   default void onPromised(String key) {}
 
-  /** The key was dropped. */
+  /** The key was removed here. */
   default void onDropped(String key) {}
 }
--- a/consensus/src/main/java/elmsail/consensus/ReplicaMembership.java
+++ b/consensus/src/main/java/elmsail/consensus/ReplicaMembership.java
@@ -7,9 +7,27 @@
 import elmsail.rpc.messages.VoterSet;
 
 /**
- * What one process knows of a set's voter slots, and whether it votes: decisions only, without
- * time, network or disk. Whatever is adopted here must be on disk before any answer that relies on
- * it leaves.
+ * What one instance knows of its set's voter slots, and whether it votes. Decides without time,
+ * network or disk: whatever changes here must be on disk before a response that relies on it
+ * leaves. Used on the replica's event loop.
+ *
+ * <p>An instance is in one of these states:
+ *
+ * <ul>
+ *   <li><em>idle</em>: no slot of the known voter set names it.
+ *   <li><em>joining</em> ({@link #isJoining()}): a slot names it under an epoch whose state
+ *       transfer it has not completed. It casts no vote.
+ *   <li><em>voting</em> ({@link #isVoting()}): a slot names it under the epoch of {@link
+ *       #caughtUpEpoch()}.
+ *   <li><em>replaced</em> ({@link #isReplaced()}): it voted, and its slot names another instance
+ *       under the next epoch. It casts no vote, but its records are still those of a voter.
+ * </ul>
+ *
+ * <p>Idle or replaced becomes joining by {@link #claim}; joining becomes voting by {@link
+ * #caughtUpEpoch(int)} after the state transfer, or at once for an initial voter, which never voted
+ * before; voting becomes replaced, and joining idle, when a higher epoch of the slot is learned. A
+ * vote under an older voter set is impossible in each state, as {@link #voteCode} compares the
+ * request's voter set with the known one.
  */
 final class ReplicaMembership {
   private final String address;
@@ -17,11 +35,17 @@
   private final long instanceId;
   private VoterSet voterSet;
 
-  /** The epoch with which this instance was founded, or has copied all that it had to; 0: none. */
+  /** The epoch under which this instance is an initial voter or completed its join; 0: none. */
   private int caughtUpEpoch;
 
   private boolean joiningAsSpare;
 
+  /**
+   * The state as it was read from disk.
+   *
+   * @param voterSet without voters if none is known
+   * @param caughtUpEpoch 0 if this instance neither is an initial voter nor completed a join
+   */
   ReplicaMembership(
       String address, String machine, long instanceId, VoterSet voterSet, int caughtUpEpoch) {
     this.address = address;
@@ -40,32 +64,34 @@
     return instanceId;
   }
 
-  /** Votes: its own instance holds a voter slot, and has caught up under just that epoch. */
+  /** Whether a slot names this instance under the epoch under which it caught up. */
   boolean isVoting() {
     int slot = ownSlot();
     return slot >= 0 && caughtUpEpoch > 0 && voterSet.voters.get(slot).epoch == caughtUpEpoch;
   }
 
-  /** Whether this instance claims a voter slot, and has not caught up yet. */
+  /** Whether a slot names this instance, and it has not caught up yet. */
   boolean isJoining() {
     return !isVoting() && ownSlot() >= 0;
   }
 
-  /** The voter slot that this instance holds or is claiming, or -1. */
+  /** The voter slot that names this instance, or -1. */
   int ownSlot() {
     return VoterSets.slotOfInstance(voterSet, instanceId);
   }
 
+  /** The epoch under which this instance is an initial voter or completed its join; 0: none. */
   int caughtUpEpoch() {
     return caughtUpEpoch;
   }
 
+  /** The state transfer for this epoch is complete, or this instance is an initial voter. */
   void caughtUpEpoch(int epoch) {
     caughtUpEpoch = epoch;
     confirmOwnVoter();
   }
 
-  /** Tells that this life votes, so that no other claim of the same epoch is taken for right. */
+  /** Marks the own voter as confirmed, so that it supersedes a rival of the same epoch. */
   private void confirmOwnVoter() {
     if (!isVoting()) {
       return;
@@ -84,10 +110,7 @@
     voterSet = VoterSets.withVoter(voterSet, slot, holder);
   }
 
-  /**
-   * Whether the claim under way is of another's voter slot: it leaves that to a rival of the same
-   * epoch.
-   */
+  /** Whether the claim is of another host's slot: it yields to any rival of the same epoch. */
   boolean joiningAsSpare() {
     return joiningAsSpare;
   }
@@ -97,8 +120,7 @@
   }
 
   /**
-   * The voter slot whose present holder names this instance, which was voting there, as the one
-   * before; or -1.
+   * The voter slot whose holder names this instance, which voted there, as its predecessor; or -1.
    */
   int replacedSlot() {
     if (caughtUpEpoch == 0 || ownSlot() >= 0) {
@@ -113,12 +135,12 @@
     return -1;
   }
 
-  /** Has whole records of votes that count, but casts none any more. */
+  /** Whether this instance voted, and was replaced by another in its slot. */
   boolean isReplaced() {
     return replacedSlot() >= 0;
   }
 
-  /** True if something was newer: it is to be written. */
+  /** Merges a voter set; returns whether anything changed, which must then be written. */
   boolean learn(VoterSet received) {
     VoterSet merged = VoterSets.merge(voterSet, received);
     boolean changed = merged != voterSet;
@@ -126,13 +148,19 @@
     return changed;
   }
 
-  /** Whether this instance sits by the founding: never voted, so nothing to catch up with. */
+  /** Whether this instance is an initial voter that was not confirmed: there is nothing to copy. */
   boolean isInitialVoter() {
     int slot = ownSlot();
     return slot >= 0 && voterSet.voters.get(slot).epoch == 1 && caughtUpEpoch == 0;
   }
 
-  /** VoteResponse.DONE if an ask under that voter set, which was learnt before, may be voted on. */
+  /**
+   * Whether this instance may vote on a request, by the request's voter set, which was learned
+   * before if it is newer.
+   *
+   * @return {@link VoteResponse#OK}, {@link VoteResponse#STALE_VOTER_SET} or {@link
+   *     VoteResponse#NOT_A_VOTER}
+   */
   int voteCode(VoterSet requestVoterSet) {
     if (VoterSets.isNewer(voterSet, requestVoterSet)
         || requestVoterSet.voters.size() != voterSet.voters.size()) {
@@ -141,19 +169,22 @@
     return isVoting() ? VoteResponse.OK : VoteResponse.NOT_A_VOTER;
   }
 
-  /** What becomes of another's claim. */
+  /** What becomes of another instance's claim. Never stored or sent. */
   enum ClaimDecision {
-    /** Adopted: acknowledged once it is written. */
+    /** Adopted by a voting instance: acknowledged once it is written. */
     ADOPTED,
-    /** The very same claim is known already. */
+    /** A voting instance knows this claim already: acknowledged too. */
     ALREADY_ADOPTED,
-    /** ClusterState here from now on, but this instance isn't voting: see {@link ReplicaJoin}. */
+    /** Known from now on, but this instance doesn't vote: see {@link JoinQuorum}. */
     RECORDED,
-    /** Outbid, or this one is in no position to acknowledge. */
+    /** A higher epoch is known, or this instance is in no position to acknowledge. */
     REFUSED
   }
 
-  /** To be told, with the voter set, once what it changed here is on disk. */
+  /**
+   * Decides on a claim. The response is sent, with the voter set, once what changed here is on
+   * disk.
+   */
   JoinResponse respond(JoinRequest request) {
     ClaimDecision decision = recordClaim(request);
     JoinResponse response = new JoinResponse();
@@ -167,7 +198,10 @@
   }
 
   /**
-   * Whether a newcomer may copy from here, where a vote is answered so; a replaced holder may do.
+   * Whether a joining instance may copy records from here.
+   *
+   * @param code that a vote would get, see {@link #voteCode}
+   * @param allowReplaced whether a replaced instance will do
    */
   boolean servesTransfer(int code, boolean allowReplaced) {
     return code == VoteResponse.OK
@@ -175,8 +209,9 @@
   }
 
   /**
-   * A claim counts only from a voting holder, whose records are whole, and only above the epoch
-   * known: of two claims of one epoch just one can be acknowledged by enough.
+   * Records a claim. It is acknowledged only by a voting instance, whose records are complete, and
+   * only above the known epoch: of two claims of one epoch only one can get enough
+   * acknowledgements.
    */
   ClaimDecision recordClaim(JoinRequest request) {
     boolean voting = isVoting();
@@ -205,7 +240,7 @@
         : voting ? ClaimDecision.ADOPTED : ClaimDecision.RECORDED;
   }
 
-  /** This instance's own claim of a voter slot: taken over here first, and not voting. */
+  /** Makes this instance claim a slot under an epoch, which ends its voting; returns the claim. */
   Voter claim(int slot, int epoch) {
     Voter holder = new Voter();
     holder.address = address;
@@ -227,7 +262,7 @@
     return holder;
   }
 
-  /** Whether an earlier instance of this place holds another voter slot than the claimed one. */
+  /** Whether an earlier instance of this host holds another voter slot than this one. */
   boolean hostHoldsOtherSlot(int slot) {
     for (int i = 0; i < voterSet.voters.size(); i++) {
       Voter holder = voterSet.voters.get(i);
@@ -240,13 +275,15 @@
     return false;
   }
 
-  /** Gives up a claim for another's of the same epoch. */
+  /** Gives up a claim in favour of another instance's of the same epoch. */
   void yieldTo(int slot, Voter rival) {
     voterSet = VoterSets.withVoter(voterSet, slot, rival);
     joiningAsSpare = false;
   }
 
-  /** A voter slot of this place that another instance of it held, or -1. */
+  /**
+   * The voter slot of an earlier instance of this host; -1 if there is none or this one has one.
+   */
   int formerSlot() {
     return ownSlot() >= 0 ? -1 : VoterSets.slotOfHost(voterSet, address, machine);
   }
--- a/consensus/src/main/java/elmsail/consensus/ReplicaRequestHandler.java
+++ b/consensus/src/main/java/elmsail/consensus/ReplicaRequestHandler.java
@@ -26,43 +26,42 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The requests that a replica answers: votes, reads, blobs, joins of others and state transfer. An
- * answer leaves only once all that it relies on is safe on disk.
+ * Handles the requests to a replica: prepares, accepts, reads, reads of blobs, joins of other
+ * instances and state transfers. A response leaves only once all that it relies on is on disk. Runs
+ * on the replica's event loop.
  */
 final class ReplicaRequestHandler {
   private static final Logger LOG = LoggerFactory.getLogger(ReplicaRequestHandler.class);
-  private static final int MAX_PAGE_BYTES = 1 << 20;
 
   private final String set;
-  private final RecordStore records;
-  private final RecordNames names;
+  private final StateTransferPages pages;
   private final DurableRecords durableRecords;
   private final ReplicaListener listener;
   private final ReplicaMembership membership;
   private final Replica replica;
+  private final DurableMembership durableMembership;
   private final ReplicaCounters counters;
   private final Invariants invariants;
 
   ReplicaRequestHandler(
-      String set,
       RecordStore records,
       RecordNames names,
       DurableRecords durableRecords,
       ReplicaListener listener,
-      ReplicaMembership membership,
       Replica replica,
       ProcessMetrics metrics) {
-    this.set = set;
-    this.records = records;
-    this.names = names;
+    set = names.set();
+    pages = new StateTransferPages(records, names);
     this.durableRecords = durableRecords;
     this.listener = listener;
-    this.membership = membership;
     this.replica = replica;
+    membership = replica.membership;
+    durableMembership = replica.durableMembership();
     counters = new ReplicaCounters(metrics.counters());
     invariants = metrics.invariants();
   }
 
+  /** Registers the handlers of all requests to a replica. */
   void register(RequestHandlers handlers) {
     handlers.register(PrepareRequest.class, this::prepare);
     handlers.register(AcceptRequest.class, this::accept);
@@ -139,13 +138,14 @@
         });
   }
 
-  /** What is held of a key, checked. */
+  /** The state of a key, its invariant checked. */
   private AcceptorState checkedState(String key) {
     AcceptorState state = durableRecords.state(key);
     checkInvariant(invariants, set, key, state);
     return state;
   }
 
+  /** Reports a state whose accepted ballot is above the promised one. */
   static void checkInvariant(Invariants invariants, String set, String key, AcceptorState state) {
     invariants.check(
         Invariant.ACCEPTED_BALLOT_PROMISED,
@@ -173,7 +173,7 @@
       return CompletableFuture.failedFuture(
           new ElmsailException(ErrorCode.NOT_A_VOTER, request.set));
     }
-    replica.rewriteMembership();
+    durableMembership.rewriteIfFailed();
     VoterSet before = membership.voterSet();
     JoinResponse response = membership.respond(request);
     if (membership.voterSet() != before) {
@@ -188,7 +188,7 @@
     return respondOnceDurable(
         List.of(),
         () -> {
-          response.voterSet = replica.voterSet();
+          response.voterSet = durableMembership.voterSet();
           return response;
         });
   }
@@ -204,20 +204,18 @@
     }
     response.voting = true;
     if (request.blobNamesOnly) {
-      names.blobNamePage(records, request.after, response);
+      pages.fillBlobNames(response, request.after);
     } else {
-      names.page(
-          records,
-          request.after,
-          Math.min(Math.max(request.maxBytes, 1), MAX_PAGE_BYTES),
-          response);
+      pages.fill(response, request.after, request.maxBytes);
     }
     return respondOnceDurable(List.of(), () -> response);
   }
 
   /**
-   * Null if an ask under that voter set may be voted on; what it knows that is newer is taken
-   * first.
+   * Decides whether this replica may vote on a request under that voter set. A newer voter set is
+   * learned first.
+   *
+   * @return the refusal, with the voter set known here; null if the replica may vote
    */
   private VoteResponse refusal(String requestSet, VoterSet requestVoterSet) {
     if (!set.equals(requestSet)) {
@@ -229,28 +227,29 @@
       replica.learn(requestVoterSet);
       code = membership.voteCode(requestVoterSet);
     }
-    replica.rewriteMembership();
+    durableMembership.rewriteIfFailed();
     if (code == VoteResponse.OK) {
       return null;
     }
     counters.refused(code);
     VoteResponse response = new VoteResponse();
     response.code = code;
-    response.voterSet = replica.voterSet();
+    response.voterSet = durableMembership.voterSet();
     return response;
   }
 
+  /** As {@link DurableRecords#respondOnceDurable}, for responses that rely on the voter set too. */
   private <A> CompletableFuture<A> respondOnceDurable(List<Change> changes, Supplier<A> response) {
-    if (!replica.isMembershipWritten()) {
+    if (!durableMembership.isWritten()) {
       counters.refusedByDisk();
       return CompletableFuture.failedFuture(
-          new ElmsailException(ErrorCode.STORAGE_FAILURE, "the voter set is not on disk"));
+          new ElmsailException(ErrorCode.STORAGE_FAILURE, set + ": the voter set is not on disk"));
     }
     return durableRecords
         .respondOnceDurable(changes, response)
         .whenComplete(
-            (given, failed) -> {
-              if (failed != null) {
+            (none, failure) -> {
+              if (failure != null) {
                 counters.refusedByDisk();
               }
             });
--- a/consensus/src/main/java/elmsail/consensus/RestoredReplica.java
+++ b/consensus/src/main/java/elmsail/consensus/RestoredReplica.java
@@ -8,12 +8,13 @@
 import java.util.TreeSet;
 
 /**
- * What a data folder holds of one set, read without taking part in it.
+ * What a data directory holds of one set, read without running a replica: for reports.
  *
- * @param voterSet as known there; without voter slots if nothing is known
- * @param ownSeat the voter slot that this instance holds or is claiming, or -1
- * @param caughtUpEpoch the epoch with which this instance was founded or has copied all; 0: none
- * @param voting whether a process started on the folder votes at once
+ * @param voterSet without voters if none is known
+ * @param ownSlot the voter slot that names this instance, or -1
+ * @param caughtUpEpoch the epoch under which this instance is an initial voter or completed its
+ *     join; 0: none
+ * @param voting whether a process that is started on the directory votes at once
  * @param keys in order of their names
  */
 public record RestoredReplica(
@@ -26,11 +27,11 @@
   private static final String[] RECORD_KINDS = {"seating", "seated", "k/", "b/"};
 
   /**
-   * One key; one without a value and a ballot has blobs alone.
+   * One key; a key without a ballot and a value has blobs only.
    *
-   * @param fromStateTransfer the value came from another voter slot when this voter slot was
-   *     claimed, and counts as no vote
-   * @param valueBytes -1 if nothing was accepted
+   * @param fromStateTransfer whether the value was copied from another voter, and is no vote
+   * @param valueBytes the size of the value; -1 if nothing was accepted
+   * @param blobs the number of its blobs
    */
   public record StoredKey(
       String name,
@@ -41,16 +42,17 @@
       int blobs) {}
 
   /**
-   * All sets that the records tell of.
+   * Reads all sets that have records in the store.
    *
-   * @throws elmsail.runtime.ElmsailException DISK if a record is not as it was written
+   * @throws elmsail.runtime.ElmsailException of code {@code STORAGE_FAILURE} if a record cannot be
+   *     decoded
    */
   public static List<RestoredReplica> of(RecordStore records) {
     TreeSet<String> names = new TreeSet<>();
     for (String record : records.names("")) {
       int slash = record.indexOf('/');
-      for (String part : RECORD_KINDS) {
-        if (slash > 0 && record.startsWith(part, slash + 1)) {
+      for (String kind : RECORD_KINDS) {
+        if (slash > 0 && record.startsWith(kind, slash + 1)) {
           names.add(record.substring(0, slash));
         }
       }
@@ -64,11 +66,11 @@
 
   private static RestoredReplica readSet(String set, RecordStore records) {
     RecordNames names = new RecordNames(set);
-    int caughtUp = RecordNames.epochFromBytes(records.read(names.votingRecord()));
+    int caughtUpEpoch = RecordNames.epochFromBytes(records.read(names.votingRecord()));
     VoterSet voterSet = VoterSetCodec.decode(records.read(names.voterSetRecord()));
     ReplicaMembership membership =
-        new ReplicaMembership("", "", records.instanceId(), voterSet, caughtUp);
-    TreeSet<String> all = new TreeSet<>(names.keys(records));
+        new ReplicaMembership("", "", records.instanceId(), voterSet, caughtUpEpoch);
+    TreeSet<String> all = new TreeSet<>(names.keysIn(records));
     for (String blob : records.names(names.blobs())) {
       all.add(names.keyOfBlob(blob));
     }
@@ -89,6 +91,11 @@
               blobs));
     }
     return new RestoredReplica(
-        set, voterSet, membership.ownSlot(), caughtUp, membership.isVoting(), List.copyOf(keys));
+        set,
+        voterSet,
+        membership.ownSlot(),
+        caughtUpEpoch,
+        membership.isVoting(),
+        List.copyOf(keys));
   }
 }
--- a/consensus/src/main/java/elmsail/consensus/StateTransfer.java
+++ b/consensus/src/main/java/elmsail/consensus/StateTransfer.java
@@ -1,13 +1,11 @@
 package elmsail.consensus;
 
-import elmsail.rpc.RpcClient;
 import elmsail.rpc.messages.Blob;
 import elmsail.rpc.messages.BlobRequest;
 import elmsail.rpc.messages.BlobResponse;
 import elmsail.rpc.messages.StateTransferRequest;
 import elmsail.rpc.messages.StateTransferResponse;
 import elmsail.rpc.messages.Voter;
-import elmsail.runtime.Timers;
 import elmsail.storage.RecordStore;
 import elmsail.storage.RecordStore.Change;
 import java.util.ArrayList;
@@ -19,59 +17,60 @@
 import java.util.function.Consumer;
 
 /**
- * All records of a set, from some holders at once: one page of keys and one of blobs from each in
- * flight, and the next is asked for while the last is being written. Blobs' bytes come from the
- * first; of the others the names do, and then what the first had not. All is asked for under the
- * newest voter set that was heard of, be it on disk here yet or not: one that has been replaced
- * unawares hears of it so, and refuses.
+ * Copies all records of a set from several voters at once. Each source is read by two streams of
+ * pages, one of keys and one of blobs; a stream requests its next page while the last one is being
+ * written. The first source sends its blobs with their bytes, the others list the names of theirs,
+ * and the blobs that the first source lacked are fetched one by one at the end.
+ *
+ * <p>Every request carries the newest voter set known here, be it on disk yet or not: a source that
+ * was replaced without knowing it learns so from the request, and refuses. Runs on the replica's
+ * event loop.
  */
 final class StateTransfer {
   private static final int PAGE_BYTES = 1 << 20;
   private static final long CALL_TIMEOUT_MS = 2_000;
   private static final long RETRY_DELAY_MS = 50;
+
+  /** How many calls may fail before the transfer does. */
   private static final int MAX_FAILURES = 5;
+
   private static final int MAX_BLOB_CALLS_IN_FLIGHT = 6;
 
-  private final String set;
+  private final JoinContext context;
   private final RecordNames names;
-  private final Replica replica;
   private final RecordStore records;
-  private final RpcClient rpcClient;
-  private final Timers timers;
+  private final Replica replica;
   private final List<Voter> sources;
   private final Voter replacedSource;
   private final BooleanSupplier isCurrent;
   private final Consumer<Boolean> listener;
 
-  /** Blobs' records that a holder told of, and who did. */
+  /** The records of blobs that sources listed, each with the source that did so last. */
   private final Map<String, Voter> listedBlobs = new LinkedHashMap<>();
 
+  /** Streams of pages that have not ended, later blobs that are being fetched. */
   private int pending;
+
   private int failures;
   private boolean ended;
 
   /**
-   * @param replacedSource the one of the holders that needn't be voting, or null
-   * @param isCurrent asked before each step: false ends it, without a word
-   * @param listener told once: whether all is copied and on disk
+   * A transfer that is not started yet.
+   *
+   * @param replacedSource the one of the sources that need not be voting, or null
+   * @param isCurrent false ends the transfer without notifying the listener
+   * @param listener notified once: whether all records are copied and on disk
    */
   StateTransfer(
-      String set,
-      RecordNames names,
-      Replica replica,
-      RecordStore records,
-      RpcClient rpcClient,
-      Timers timers,
+      JoinContext context,
       List<Voter> sources,
       Voter replacedSource,
       BooleanSupplier isCurrent,
       Consumer<Boolean> listener) {
-    this.set = set;
-    this.names = names;
-    this.replica = replica;
-    this.records = records;
-    this.rpcClient = rpcClient;
-    this.timers = timers;
+    this.context = context;
+    names = context.names();
+    records = context.records();
+    replica = context.replica();
     this.sources = sources;
     this.replacedSource = replacedSource;
     this.isCurrent = isCurrent;
@@ -83,49 +82,82 @@
     if (pending == 0) {
       end(true);
     }
+    CompletableFuture<Void> nothingWritten = CompletableFuture.completedFuture(null);
     for (Voter source : sources) {
-      requestPage(source, names.keys(), false, CompletableFuture.completedFuture(null));
-      requestPage(
-          source, names.blobs(), source != sources.get(0), CompletableFuture.completedFuture(null));
+      requestPage(source, names.keys(), false, nothingWritten);
+      requestPage(source, names.blobs(), source != sources.get(0), nothingWritten);
+    }
+  }
+
+  /** Whether the transfer is over; it is as soon as it is no longer current. */
+  private boolean hasEnded() {
+    if (!isCurrent.getAsBoolean()) {
+      ended = true;
+    }
+    return ended;
+  }
+
+  private void end(boolean complete) {
+    if (!ended) {
+      ended = true;
+      listener.accept(complete);
     }
   }
 
+  /**
+   * Requests a page of a stream.
+   *
+   * @param after the record behind which the page begins
+   * @param written the write of the page before
+   */
   private void requestPage(
       Voter source, String after, boolean blobNamesOnly, CompletableFuture<Void> written) {
     StateTransferRequest request = new StateTransferRequest();
-    request.set = set;
+    request.set = context.names().set();
     request.after = after;
     request.maxBytes = PAGE_BYTES;
     request.blobNamesOnly = blobNamesOnly;
     request.allowReplaced = source == replacedSource;
-    request.voterSet = replica.membership.voterSet();
-    rpcClient
+    request.voterSet = context.membership().voterSet();
+    context
+        .rpcClient()
         .call(source.address, request, StateTransferResponse.class, CALL_TIMEOUT_MS)
         .whenComplete(
             (response, failure) -> {
-              if (ended || !isCurrent.getAsBoolean()) {
-                ended = true;
-              } else if (failure != null) {
-                if (++failures > MAX_FAILURES) {
-                  end(false);
-                } else {
-                  timers.schedule(
-                      RETRY_DELAY_MS, () -> requestPage(source, after, blobNamesOnly, written));
-                }
+              if (hasEnded()) {
+                return;
+              }
+              if (failure != null) {
+                retryPage(source, after, blobNamesOnly, written);
               } else if (!response.voting || response.instanceId != source.instanceId) {
                 end(false);
               } else {
-                // No more than one page of each is being written while the next is on its way.
+                // At most one page of a stream is being written while the next is in flight.
                 written.whenComplete(
                     (none, writeFailure) -> onPage(source, blobNamesOnly, response, writeFailure));
               }
             });
   }
 
+  private void retryPage(
+      Voter source, String after, boolean blobNamesOnly, CompletableFuture<Void> written) {
+    if (++failures > MAX_FAILURES) {
+      end(false);
+    } else {
+      context
+          .timers()
+          .schedule(RETRY_DELAY_MS, () -> requestPage(source, after, blobNamesOnly, written));
+    }
+  }
+
+  /**
+   * Stores a page.
+   *
+   * @param writeFailure of the page before, or null
+   */
   private void onPage(
-      Voter source, boolean blobNamesOnly, StateTransferResponse response, Throwable writeFailure) {
-    if (ended || !isCurrent.getAsBoolean()) {
-      ended = true;
+      Voter source, boolean blobNamesOnly, StateTransferResponse page, Throwable writeFailure) {
+    if (hasEnded()) {
       return;
     }
     if (writeFailure != null) {
@@ -134,25 +166,49 @@
     }
     CompletableFuture<Void> written = CompletableFuture.completedFuture(null);
     if (blobNamesOnly) {
-      for (Blob record : response.records) {
+      for (Blob record : page.records) {
         listedBlobs.put(record.name, source);
       }
     } else {
-      written = storePage(response.records);
+      written = storePage(page.records);
     }
-    if (!response.lastPage && !response.records.isEmpty()) {
-      requestPage(
-          source, response.records.get(response.records.size() - 1).name, blobNamesOnly, written);
+    if (!page.lastPage && !page.records.isEmpty()) {
+      String last = page.records.get(page.records.size() - 1).name;
+      requestPage(source, last, blobNamesOnly, written);
       return;
     }
-    written.whenComplete(
-        (none, failure) -> {
-          if (failure != null) {
-            end(false);
-          } else if (--pending == 0) {
-            fetchMissingBlobs();
-          }
-        });
+    written.whenComplete((none, failure) -> onStreamEnded(failure));
+  }
+
+  private void onStreamEnded(Throwable writeFailure) {
+    if (writeFailure != null) {
+      end(false);
+    } else if (--pending == 0) {
+      fetchMissingBlobs();
+    }
+  }
+
+  private CompletableFuture<Void> storePage(List<Blob> page) {
+    List<Change> changes = new ArrayList<>();
+    for (Blob record : page) {
+      if (names.isKeyRecord(record.name)) {
+        addMergedState(record, changes);
+      } else if (!names.isStored(records, record.name)) {
+        changes.add(new Change(record.name, record.bytes));
+      }
+    }
+    return changes.isEmpty() ? CompletableFuture.completedFuture(null) : replica.write(changes);
+  }
+
+  private void addMergedState(Blob record, List<Change> changes) {
+    byte[] ownBytes = records.read(record.name);
+    AcceptorState own = AcceptorState.fromBytes(ownBytes);
+    AcceptorState merged = own.mergeTransferred(AcceptorState.fromBytes(record.bytes));
+    if (ownBytes == null
+        || merged.accepted() != own.accepted()
+        || merged.promised() != own.promised()) {
+      changes.add(new Change(record.name, merged.toBytes()));
+    }
   }
 
   private void fetchMissingBlobs() {
@@ -163,46 +219,48 @@
   }
 
   private void fetchNextBlob() {
-    if (ended || !isCurrent.getAsBoolean()) {
-      ended = true;
-    } else if (listedBlobs.isEmpty()) {
-      if (pending == 0) {
-        end(true);
-      }
-    } else {
+    if (hasEnded()) {
+      return;
+    }
+    if (!listedBlobs.isEmpty()) {
       Map.Entry<String, Voter> next = listedBlobs.entrySet().iterator().next();
       listedBlobs.remove(next.getKey());
       pending++;
       fetchBlob(next.getKey(), next.getValue());
+    } else if (pending == 0) {
+      end(true);
     }
   }
 
   private void fetchBlob(String name, Voter source) {
     BlobRequest request = new BlobRequest();
-    request.set = set;
+    request.set = context.names().set();
     request.key = names.keyOfBlob(name);
     request.name = names.nameOfBlob(name);
-    request.voterSet = replica.membership.voterSet();
+    request.voterSet = context.membership().voterSet();
     request.allowReplaced = source == replacedSource;
-    rpcClient
+    context
+        .rpcClient()
         .call(source.address, request, BlobResponse.class, CALL_TIMEOUT_MS)
-        .whenComplete(
-            (response, failure) -> {
-              if (ended || !isCurrent.getAsBoolean()) {
-                ended = true;
-              } else if (failure != null && ++failures <= MAX_FAILURES) {
-                timers.schedule(RETRY_DELAY_MS, () -> fetchBlob(name, source));
-              } else if (failure != null || !response.voting) {
-                end(false);
-              } else if (!response.found) {
-                // Dropped there meanwhile.
-                onBlobStored(null);
-              } else {
-                replica
-                    .write(List.of(new Change(name, response.bytes)))
-                    .whenComplete((none, writeFailure) -> onBlobStored(writeFailure));
-              }
-            });
+        .whenComplete((response, failure) -> onBlob(name, source, response, failure));
+  }
+
+  private void onBlob(String name, Voter source, BlobResponse response, Throwable failure) {
+    if (hasEnded()) {
+      return;
+    }
+    if (failure != null && ++failures <= MAX_FAILURES) {
+      context.timers().schedule(RETRY_DELAY_MS, () -> fetchBlob(name, source));
+    } else if (failure != null || !response.voting) {
+      end(false);
+    } else if (!response.found) {
+      // Its key was dropped there meanwhile.
+      onBlobStored(null);
+    } else {
+      replica
+          .write(List.of(new Change(name, response.bytes)))
+          .whenComplete((none, writeFailure) -> onBlobStored(writeFailure));
+    }
   }
 
   private void onBlobStored(Throwable writeFailure) {
@@ -213,36 +271,4 @@
       fetchNextBlob();
     }
   }
-
-  private CompletableFuture<Void> storePage(List<Blob> page) {
-    List<Change> changes = new ArrayList<>();
-    for (Blob record : page) {
-      if (!names.isKeyRecord(record.name)) {
-        if (!names.isStored(records, record.name)) {
-          changes.add(new Change(record.name, record.bytes));
-        }
-        continue;
-      }
-      byte[] ownBytes = records.read(record.name);
-      if (ownBytes == null) {
-        AcceptorState received = AcceptorState.fromBytes(record.bytes);
-        changes.add(
-            new Change(record.name, AcceptorState.EMPTY.mergeTransferred(received).toBytes()));
-        continue;
-      }
-      AcceptorState own = AcceptorState.fromBytes(ownBytes);
-      AcceptorState merged = own.mergeTransferred(AcceptorState.fromBytes(record.bytes));
-      if (merged.accepted() != own.accepted() || merged.promised() != own.promised()) {
-        changes.add(new Change(record.name, merged.toBytes()));
-      }
-    }
-    return changes.isEmpty() ? CompletableFuture.completedFuture(null) : replica.write(changes);
-  }
-
-  private void end(boolean complete) {
-    if (!ended) {
-      ended = true;
-      listener.accept(complete);
-    }
-  }
 }
--- a/consensus/src/main/java/elmsail/consensus/VoterSetCodec.java
+++ b/consensus/src/main/java/elmsail/consensus/VoterSetCodec.java
@@ -10,7 +10,10 @@
 import java.io.DataOutputStream;
 import java.io.IOException;
 
-/** A voter set as its record on disk. */
+/**
+ * The record of a voter set on disk: the number of voters, all voters, then the previous voter of
+ * each slot, which records of earlier versions lack. Whether a voter is confirmed is not stored.
+ */
 final class VoterSetCodec {
   private VoterSetCodec() {}
 
@@ -31,11 +34,17 @@
         out.writeInt(voter.previousEpoch);
       }
     } catch (IOException e) {
-      throw new ElmsailException(ErrorCode.INTERNAL, "a voter set that cannot be written", e);
+      throw new ElmsailException(ErrorCode.INTERNAL, "voter set cannot be encoded", e);
     }
     return bytes.toByteArray();
   }
 
+  /**
+   * Decodes a record.
+   *
+   * @param bytes null if there is no record, which gives a set without voters
+   * @throws ElmsailException of code {@code STORAGE_FAILURE} if the record cannot be decoded
+   */
   static VoterSet decode(byte[] bytes) {
     VoterSet voterSet = new VoterSet();
     if (bytes == null) {
@@ -44,7 +53,7 @@
     DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
     try {
       int voters = in.readUnsignedShort();
-      for (int i = 0; i < voters; i++) {
+      for (int slot = 0; slot < voters; slot++) {
         Voter voter = new Voter();
         voter.address = in.readUTF();
         voter.machine = in.readUTF();
@@ -52,14 +61,17 @@
         voter.epoch = in.readInt();
         voterSet.voters.add(voter);
       }
-      for (int i = 0; i < voters && in.available() > 0; i++) {
-        Voter voter = voterSet.voters.get(i);
+      for (int slot = 0; slot < voters && in.available() > 0; slot++) {
+        Voter voter = voterSet.voters.get(slot);
         voter.previousAddress = in.readUTF();
         voter.previousInstanceId = in.readLong();
         voter.previousEpoch = in.readInt();
       }
     } catch (IOException e) {
-      throw new ElmsailException(ErrorCode.STORAGE_FAILURE, "a voter set that cannot be read", e);
+      throw new ElmsailException(
+          ErrorCode.STORAGE_FAILURE,
+          "record of a voter set: " + bytes.length + " bytes cannot be decoded",
+          e);
     }
     return voterSet;
   }
--- a/consensus/src/main/java/elmsail/consensus/VoterSetSource.java
+++ b/consensus/src/main/java/elmsail/consensus/VoterSetSource.java
@@ -2,11 +2,11 @@
 
 import elmsail.rpc.messages.VoterSet;
 
-/** What a proposer or reader knows of a set's voters. */
+/** Where a client gets the voter set from, and leaves newer ones. Used on the client's loop. */
 public interface VoterSetSource {
-  /** As known now; without voter slots if nothing is known. */
+  /** The voter set as known now; without voters if none is known. */
   VoterSet current();
 
-  /** Takes what a voter answered: merged by the higher epoch of each voter slot. */
+  /** Merges a voter set that a voter responded with, see {@link VoterSets#merge}. */
   void learn(VoterSet newer);
 }
--- a/consensus/src/main/java/elmsail/consensus/VoterSets.java
+++ b/consensus/src/main/java/elmsail/consensus/VoterSets.java
@@ -4,25 +4,30 @@
 import elmsail.rpc.messages.VoterSet;
 
 /**
- * Voter sets compared and merged: in each voter slot the higher epoch is right; of two equals the
- * one that votes, else the first.
+ * Comparison and merging of voter sets. In each voter slot the voter of the higher epoch is right;
+ * of two with the same epoch the confirmed one, else the one that was known first.
+ *
+ * <p>Voter sets and voters are never changed once they are shared: every change makes a new set.
  */
 public final class VoterSets {
   private VoterSets() {}
 
-  /** How many votes decide. */
+  /** The size of the smallest majority of so many voters. */
   public static int majoritySize(int voters) {
     return voters / 2 + 1;
   }
 
-  /** How many voter slots are in every majority's way: each majority has at least one of them. */
+  /**
+   * The size of the smallest blocking set: so many voters that every majority contains at least one
+   * of them (N - q + 1 of N voters, where q is the majority).
+   */
   public static int blockingSize(int voters) {
     return voters - majoritySize(voters) + 1;
   }
 
   /**
-   * Whether {@code one} has a higher epoch in some voter slot, or voter slots where the other has
-   * none.
+   * Whether {@code one} has a higher epoch in some voter slot, or has voters where {@code other}
+   * has none at all. Two sets may each be newer than the other.
    */
   public static boolean isNewer(VoterSet one, VoterSet other) {
     if (one.voters.size() != other.voters.size()) {
@@ -36,7 +41,7 @@
     return false;
   }
 
-  /** Whether both tell the same of every voter slot, its holder included. */
+  /** Whether both have equal voters in all slots, see {@link #areEqual(Voter, Voter)}. */
   public static boolean areEqual(VoterSet one, VoterSet other) {
     if (one.voters.size() != other.voters.size()) {
       return false;
@@ -49,7 +54,7 @@
     return true;
   }
 
-  /** Whether both are the same holder of a slot: instance, epoch, address and station. */
+  /** Whether both are the same voter: epoch, instance, address and machine. */
   public static boolean areEqual(Voter one, Voter other) {
     return one.epoch == other.epoch
         && one.instanceId == other.instanceId
@@ -58,8 +63,10 @@
   }
 
   /**
-   * {@code known}, itself if nothing in {@code response} supersedes it; a set's count of voter
-   * slots never changes.
+   * Merges slot by slot. A set of another size changes nothing, as the number of voter slots of a
+   * set never changes.
+   *
+   * @return {@code known} itself if nothing in {@code received} supersedes it
    */
   public static VoterSet merge(VoterSet known, VoterSet received) {
     if (known.voters.isEmpty()) {
@@ -79,23 +86,23 @@
   }
 
   /**
-   * Whether the voter slot's votes count: an instance that is told of in two voter slots has only
-   * the first, else one process would vote twice.
+   * Whether votes from this voter slot count. An instance that is named in two voter slots counts
+   * in the first only, as one process would vote twice otherwise.
    */
   static boolean isCounted(VoterSet voterSet, int slot) {
     return slotOfInstance(voterSet, voterSet.voters.get(slot).instanceId) == slot;
   }
 
-  /** How many voter slots' votes don't count. */
+  /** The number of voter slots whose votes don't count, see {@link #isCounted}. */
   static int uncountedSlots(VoterSet voterSet) {
-    int vacant = 0;
-    for (int i = 0; i < voterSet.voters.size(); i++) {
-      vacant += isCounted(voterSet, i) ? 0 : 1;
+    int uncounted = 0;
+    for (int slot = 0; slot < voterSet.voters.size(); slot++) {
+      uncounted += isCounted(voterSet, slot) ? 0 : 1;
     }
-    return vacant;
+    return uncounted;
   }
 
-  /** {@code known} with another holder in one voter slot. */
+  /** A copy of {@code known} with another voter in one slot. */
   static VoterSet withVoter(VoterSet known, int slot, Voter voter) {
     VoterSet changed = new VoterSet();
     changed.voters.addAll(known.voters);
@@ -103,28 +110,32 @@
     return changed;
   }
 
-  /** The voter slot that this instance holds or has claimed, or -1. */
+  /** The first voter slot that names this instance, or -1. */
   static int slotOfInstance(VoterSet voterSet, long instanceId) {
-    for (int i = 0; i < voterSet.voters.size(); i++) {
-      if (voterSet.voters.get(i).instanceId == instanceId) {
-        return i;
+    for (int slot = 0; slot < voterSet.voters.size(); slot++) {
+      if (voterSet.voters.get(slot).instanceId == instanceId) {
+        return slot;
       }
     }
     return -1;
   }
 
-  /** The voter slot that is held at this address or by this station, or -1. */
-  static int slotOfHost(VoterSet voterSet, String address, String station) {
-    for (int i = 0; i < voterSet.voters.size(); i++) {
-      if (isOnHost(voterSet.voters.get(i), address, station)) {
-        return i;
+  /** The first voter slot that names this address or this machine, or -1. */
+  static int slotOfHost(VoterSet voterSet, String address, String machine) {
+    for (int slot = 0; slot < voterSet.voters.size(); slot++) {
+      if (isOnHost(voterSet.voters.get(slot), address, machine)) {
+        return slot;
       }
     }
     return -1;
   }
 
-  /** Whether the holder is, or was, at this address or of this station. */
-  static boolean isOnHost(Voter voter, String address, String station) {
-    return voter.address.equals(address) || !station.isEmpty() && voter.machine.equals(station);
+  /**
+   * Whether the voter has this address or this machine.
+   *
+   * @param machine empty if it isn't known: it then equals no other
+   */
+  static boolean isOnHost(Voter voter, String address, String machine) {
+    return voter.address.equals(address) || !machine.isEmpty() && voter.machine.equals(machine);
   }
 }
--- a/consensus/src/main/java/elmsail/consensus/package-info.java
+++ b/consensus/src/main/java/elmsail/consensus/package-info.java
@@ -1,9 +1,22 @@
 /**
- * A replicated register: named values that are read and changed at a majority of voters by
- * CASPaxos, without a log and without a leader. An {@code Acceptor} votes on one process, a {@code
- * Proposer} changes a value, a {@code QuorumRead} reads one. A {@code Replica} joins an acceptor to
- * its disk and to the voter set; a process whose disk came back empty, or one that replaces
- * another, gets its vote by {@code ReplicaJoin} once it has copied what the others hold. All of a
- * replica runs on one event loop.
+ * A replicated register: named values that are read and changed by compare-and-set at a majority of
+ * voters. The protocol is CASPaxos (D. Rystsov, "CASPaxos: Replicated State Machines without Logs",
+ * 2018), so there is neither a log nor a leader.
+ *
+ * <ul>
+ *   <li>Client side: {@link elmsail.consensus.RegisterClient} runs one {@code QuorumOperation} per
+ *       call: a {@code Proposer} changes a key, a {@code QuorumRead} reads one, a {@code BlobRead}
+ *       fetches a blob.
+ *   <li>Voter side: {@link elmsail.consensus.Replica} joins the decisions of the {@code Acceptor}
+ *       to the records on disk and to the {@code ReplicaMembership}, which says whether this
+ *       process votes.
+ *   <li>Changes of the voter set: a process whose disk came back empty, or that takes over the slot
+ *       of another, starts to vote through a {@code ReplicaJoin}, after a {@code StateTransfer}
+ *       from other voters.
+ * </ul>
+ *
+ * <p>{@code Acceptor}, {@code ReplicaMembership}, {@code JoinQuorum} and {@link
+ * elmsail.consensus.VoterSets} decide without time, network or disk. Everything of one replica or
+ * client runs on one event loop.
  */
 package elmsail.consensus;
--- a/consensus/src/test/java/elmsail/consensus/FaultyCluster.java
+++ b/consensus/src/test/java/elmsail/consensus/FaultyCluster.java
@@ -67,14 +67,12 @@
       RpcClient rpcClient = replicaCaller.apply(caller(address, own));
       replica =
           new Replica(
-              "set",
+              new ReplicaIdentity("set", address, "st-" + address),
               records,
               new ReplicaListener() {},
               this,
               rpcClient,
               own,
-              address,
-              "st-" + address,
               ProcessMetrics.strict());
     }
 
--- a/consensus/src/test/java/elmsail/consensus/SimCluster.java
+++ b/consensus/src/test/java/elmsail/consensus/SimCluster.java
@@ -56,14 +56,12 @@
     records[i] = disks[i].open(node.timers());
     replicas[i] =
         new Replica(
-            "set",
+            new ReplicaIdentity("set", ADDRESSES[i], "s" + i),
             records[i],
             listeners[i],
             node.requestHandlers(),
             node.rpcClient(),
             node.timers(),
-            ADDRESSES[i],
-            "s" + i,
             metrics[i]);
   }
 
--- a/controlplane/src/main/java/elmsail/controlplane/ControlPlaneVoters.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ControlPlaneVoters.java
@@ -1,6 +1,7 @@
 package elmsail.controlplane;
 
 import elmsail.consensus.Replica;
+import elmsail.consensus.ReplicaIdentity;
 import elmsail.consensus.ReplicaListener;
 import elmsail.consensus.VoterSetSource;
 import elmsail.consensus.VoterSets;
@@ -63,14 +64,12 @@
         records == null
             ? null
             : new Replica(
-                VOTER_SET_NAME,
+                new ReplicaIdentity(VOTER_SET_NAME, settings.rpcAddress(), settings.machine()),
                 records,
                 new ReplicaListener() {},
                 handlers,
                 caller,
                 timers,
-                settings.rpcAddress(),
-                settings.machine(),
                 metrics);
     this.isFromFirstStart =
         records != null && (settings.firstStart() || records.read(FIRST_START_RECORD) != null);
--- a/controlplane/src/main/java/elmsail/controlplane/StoreNode.java
+++ b/controlplane/src/main/java/elmsail/controlplane/StoreNode.java
@@ -3,6 +3,7 @@
 import elmsail.config.watch.ConfigWatcher;
 import elmsail.config.watch.StoreStatus;
 import elmsail.consensus.Replica;
+import elmsail.consensus.ReplicaIdentity;
 import elmsail.consensus.ReplicaListener;
 import elmsail.rpc.RequestHandlers;
 import elmsail.rpc.RpcClient;
@@ -32,14 +33,12 @@
       ProcessMetrics metrics) {
     replica =
         new Replica(
-            VOTER_SET_NAME,
+            new ReplicaIdentity(VOTER_SET_NAME, settings.rpcAddress(), settings.machine()),
             records,
             replicaListener,
             handlers,
             caller,
             timers,
-            settings.rpcAddress(),
-            settings.machine(),
             metrics);
     watcher =
         new ConfigWatcher(
--- a/controlplane/src/test/java/elmsail/controlplane/PinnedDataDirectories.java
+++ b/controlplane/src/test/java/elmsail/controlplane/PinnedDataDirectories.java
@@ -5,6 +5,7 @@
 import elmsail.batch.messages.JobDescription;
 import elmsail.batch.messages.JobRecord;
 import elmsail.consensus.Replica;
+import elmsail.consensus.ReplicaIdentity;
 import elmsail.consensus.ReplicaListener;
 import elmsail.rpc.HandlerRegistry;
 import elmsail.rpc.RpcClient;
@@ -245,14 +246,12 @@
       this.set = set;
       replica =
           new Replica(
-              set,
+              new ReplicaIdentity(set, OWN_ADDRESS, OWN_STATION),
               new SynchronousRecords(disk),
               new ReplicaListener() {},
               handlers,
               new NoCalls(),
               new ManualTimers(),
-              OWN_ADDRESS,
-              OWN_STATION,
               ProcessMetrics.strict());
     }
 
