--- a/policy/src/test/java/willowdoor/policy/StoreErrorTest.java
+++ b/policy/src/test/java/willowdoor/policy/StoreErrorTest.java
@@ -43,7 +43,7 @@
    * Gain and served are the least, the other shares the most. With windows of one burst, before,
    * 0.52 of the tries were refused with room and 0.86 served at 100 gateways, 0.37 and 0.87 at 14.
    * Guessed costs reach the count late where a gateway meets a customer rarely. What is left where
-   * the counter bears half of the calls stands in the open list of README.md.
+   * the counter bears half of the calls stands in docs/front-open.md.
    */
   @ParameterizedTest
   @CsvSource(
