--- a/soak/src/test/java/elmsail/soak/Cluster.java
+++ b/soak/src/test/java/elmsail/soak/Cluster.java
@@ -26,6 +26,7 @@
       Topology topology,
       Path folder,
       long seed,
+      BuildSelector builds,
       Findings findings,
       FaultHistory faults,
       SoakClock clock)
@@ -35,7 +36,7 @@
     this.clock = clock;
     this.relay = new Relay(seed);
     for (Topology.Node node : topology.nodes()) {
-      processes.put(node, new NodeProcess(topology, node, folder, findings, clock));
+      processes.put(node, new NodeProcess(topology, node, folder, builds, findings, clock));
     }
     for (Topology.Node caller : topology.nodes()) {
       for (Topology.Node called : topology.nodes()) {
--- a/soak/src/test/java/elmsail/soak/NodeProcess.java
+++ b/soak/src/test/java/elmsail/soak/NodeProcess.java
@@ -4,6 +4,7 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.nio.file.StandardOpenOption;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -32,16 +33,23 @@
   private final Topology topology;
   private final Topology.Node node;
   private final Path folder;
+  private final BuildSelector builds;
   private final Findings findings;
   private final SoakClock clock;
   private Process process;
   private boolean stopExpected;
 
   NodeProcess(
-      Topology topology, Topology.Node node, Path folder, Findings findings, SoakClock clock) {
+      Topology topology,
+      Topology.Node node,
+      Path folder,
+      BuildSelector builds,
+      Findings findings,
+      SoakClock clock) {
     this.topology = topology;
     this.node = node;
     this.folder = folder.toAbsolutePath();
+    this.builds = builds;
     this.findings = findings;
     this.clock = clock;
   }
@@ -58,12 +66,14 @@
     Files.createDirectories(data());
     Path settings = folder.resolve(node.name() + ".json");
     Files.write(settings, topology.settings(node, firstStart, data()));
+    Build build = builds.select(node);
+    noteInLog("--- starts from build " + build);
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
     command.addAll(FLAGS);
     command.add("-D" + RelayedConnects.OWN_IP + "=" + topology.ip(node.machine()));
     command.add("-D" + RelayedConnects.FACES + "=" + relayedAddresses());
-    command.addAll(List.of("-cp", classPath(), node.role().program));
+    command.addAll(List.of("-cp", classPath(build), node.role().program));
     command.addAll(List.of("--settings", settings.toString()));
     stopExpected = false;
     Process started =
@@ -93,8 +103,24 @@
         .collect(Collectors.joining(","));
   }
 
+  private void noteInLog(String line) throws IOException {
+    Files.writeString(
+        log(), line + System.lineSeparator(), StandardOpenOption.CREATE, StandardOpenOption.APPEND);
+  }
+
+  private String classPath(Build build) {
+    return build == Build.CURRENT ? currentClassPath() : otherClassPath();
+  }
+
+  /** The other build's jar, and of the soak only the extension that Netty loads. */
+  private String otherClassPath() {
+    String extension =
+        RelayedConnects.class.getProtectionDomain().getCodeSource().getLocation().getPath();
+    return builds.otherJar() + File.pathSeparator + extension;
+  }
+
   /** All that the tests run with but the lab, whose jar holds copies of the libraries. */
-  private static String classPath() {
+  private static String currentClassPath() {
     String whole =
         System.getProperty("surefire.test.class.path", System.getProperty("java.class.path"));
     return Stream.of(whole.split(File.pathSeparator))
--- a/soak/src/test/java/elmsail/soak/SoakRun.java
+++ b/soak/src/test/java/elmsail/soak/SoakRun.java
@@ -51,11 +51,13 @@
           FaultScheduleGenerator.draw(
               plan.seed(), 500, plan.loadMs(), topology.machines(), topology.nodes());
       note("schedule.txt", schedule.stream().map(Fault::toString).toList());
+      BuildSelector builds = BuildSelector.ofSystemProperties(plan.seed(), topology.machines());
       try (SoakEnvironment environment = new SoakEnvironment(topology, findings, faults, clock);
-          Cluster cluster = new Cluster(topology, folder, plan.seed(), findings, faults, clock)) {
+          Cluster cluster =
+              new Cluster(topology, folder, plan.seed(), builds, findings, faults, clock)) {
         live(environment, cluster, schedule);
         scan(cluster);
-        summary = summary(environment, schedule, stalls);
+        summary = summary(environment, schedule, stalls) + builds.summary();
         accepted = environment.jobs.accepted().size();
       }
     }
