--- a/storage/src/main/java/elmsail/storage/ByteCache.java
+++ b/storage/src/main/java/elmsail/storage/ByteCache.java
@@ -5,7 +5,8 @@
 import java.util.Map;
 
 /**
- * The bytes of big values used last, by their sequence number. Guarded by the lock of the records.
+ * A cache of the large values used last, by their sequence numbers, with a limit on its bytes.
+ * Guarded by the lock of {@link DirectoryRecordStore}.
  */
 final class ByteCache {
   static final int MAX_BYTES = 4 * 1024 * 1024;
@@ -13,10 +14,12 @@
   private final LinkedHashMap<Long, byte[]> values = new LinkedHashMap<>(16, 0.75f, true);
   private int bytes;
 
+  /** The value, which then counts as used last; null if it isn't cached. */
   byte[] get(long seq) {
     return values.get(seq);
   }
 
+  /** Adds a value, unless it is over half the limit, and evicts those unused the longest. */
   void put(long seq, byte[] value) {
     if (value.length > MAX_BYTES / 2) {
       return;
@@ -38,6 +41,7 @@
     }
   }
 
+  /** The bytes of all cached values. */
   int bytes() {
     return bytes;
   }
--- a/storage/src/main/java/elmsail/storage/Compaction.java
+++ b/storage/src/main/java/elmsail/storage/Compaction.java
@@ -4,33 +4,45 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Chooses which files to rewrite next, and how much of them; looks only. */
+/**
+ * Chooses what to compact next: records of mostly dead files while there are too many dead bytes,
+ * small files while there are too many files. Called with the lock of the store; changes nothing.
+ */
 final class Compaction {
+  /** So many files, and one for each {@link #LIVE_BYTES_PER_FILE}, are left as they are. */
   static final int BASE_FILES = 48;
+
   private static final int MAX_STEP_BYTES = 2 * 1024 * 1024;
   private static final int MAX_DEAD_BYTES = 1024 * 1024;
   private static final long LIVE_BYTES_PER_FILE = 1024 * 1024;
 
-  /** Head and end of a file, which a rewritten one has too. */
+  /** Header and end of a file, which no rewriting saves. */
   private static final int FRAME_BYTES = 128;
 
-  private final long stepBytes;
-  private final long deadBytes;
+  private final long maxStepBytes;
+  private final long maxDeadBytes;
 
+  /** A step moves, and the dead bytes reach, at most a twentieth of the limit. */
   Compaction(long maxBytes) {
-    stepBytes = Math.min(MAX_STEP_BYTES, maxBytes / 20);
-    deadBytes = Math.min(MAX_DEAD_BYTES, maxBytes / 20);
+    maxStepBytes = Math.min(MAX_STEP_BYTES, maxBytes / 20);
+    maxDeadBytes = Math.min(MAX_DEAD_BYTES, maxBytes / 20);
   }
 
   /**
-   * RecordStore to be written into one new file; files of which nothing live is left go after that.
+   * Records to be copied into one new file; after that, files without live records are deleted.
+   *
+   * @param movedBytes the size of the records
    */
   record Step(List<IndexEntry> moved, long movedBytes) {}
 
-  /** Null if nothing is to be gained. {@code pressed}: the room is needed by what waits. */
+  /**
+   * The next step; null if none is worthwhile.
+   *
+   * @param spaceNeeded whether a pending write needs space, so that any dead bytes count
+   */
   Step nextStep(RecordIndex index, boolean spaceNeeded) {
-    long dead = index.diskBytes() - index.liveBytes();
-    if (spaceNeeded || dead > index.liveBytes() + deadBytes) {
+    long currentDeadBytes = index.diskBytes() - index.liveBytes();
+    if (spaceNeeded || currentDeadBytes > index.liveBytes() + maxDeadBytes) {
       Step step = stepOfEmptiestFiles(index);
       if (step != null) {
         return step;
@@ -41,25 +53,25 @@
         : null;
   }
 
-  /** From the file with the smallest live part, and all others that fit into the step. */
+  /** The live records of the files with the smallest live part, as many as fit into a step. */
   private Step stepOfEmptiestFiles(RecordIndex index) {
     List<VersionFile> files = candidates(index);
-    files.removeIf(f -> f.deadBytes() - FRAME_BYTES <= f.bytes / 20);
+    files.removeIf(file -> file.deadBytes() - FRAME_BYTES <= file.bytes / 20);
     files.sort(
-        Comparator.comparingDouble((VersionFile f) -> (double) f.liveBytes / f.bytes)
-            .thenComparingLong(f -> f.version));
+        Comparator.comparingDouble((VersionFile file) -> (double) file.liveBytes / file.bytes)
+            .thenComparingLong(file -> file.version));
     if (files.isEmpty()) {
       return null;
     }
     List<IndexEntry> moved = new ArrayList<>();
     long bytes = 0;
     for (VersionFile file : files) {
-      if (bytes > 0 && bytes + file.liveBytes > stepBytes) {
+      if (bytes > 0 && bytes + file.liveBytes > maxStepBytes) {
         break;
       }
       for (IndexEntry entry : index.liveRecords(file)) {
         int length = entry.durable.length();
-        if (bytes > 0 && bytes + length > stepBytes) {
+        if (bytes > 0 && bytes + length > maxStepBytes) {
           return new Step(moved, bytes);
         }
         moved.add(entry);
@@ -69,19 +81,18 @@
     return new Step(moved, bytes);
   }
 
-  /**
-   * The smallest whole files that fit into the step, if they are at least two or hold nothing live.
-   */
+  /** All records of the smallest files that fit, if they are at least two or one is empty. */
   private Step stepOfSmallestFiles(RecordIndex index) {
     List<VersionFile> files = candidates(index);
     files.sort(
-        Comparator.comparingLong((VersionFile f) -> f.liveBytes).thenComparingLong(f -> f.version));
+        Comparator.comparingLong((VersionFile file) -> file.liveBytes)
+            .thenComparingLong(file -> file.version));
     List<IndexEntry> moved = new ArrayList<>();
     long bytes = 0;
     int completeFiles = 0;
     boolean empty = false;
     for (VersionFile file : files) {
-      if (bytes + file.liveBytes > stepBytes) {
+      if (bytes + file.liveBytes > maxStepBytes) {
         break;
       }
       completeFiles++;
@@ -92,7 +103,7 @@
     return completeFiles >= 2 || empty ? new Step(moved, bytes) : null;
   }
 
-  /** The newest stays: it tells the numbers that were used, and what is void. */
+  /** All but the newest file, which has the next sequence number and the void versions. */
   private static List<VersionFile> candidates(RecordIndex index) {
     List<VersionFile> files = new ArrayList<>();
     for (VersionFile file : index.files.headMap(index.files.lastKey()).values()) {
--- a/storage/src/main/java/elmsail/storage/DirectoryRecordStore.java
+++ b/storage/src/main/java/elmsail/storage/DirectoryRecordStore.java
@@ -1,6 +1,5 @@
 package elmsail.storage;
 
-import elmsail.runtime.Counters;
 import elmsail.runtime.ElmsailException;
 import elmsail.runtime.ErrorCode;
 import elmsail.runtime.MonotonicClock;
@@ -13,86 +12,86 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.Executor;
-import java.util.concurrent.RejectedExecutionException;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 
 /**
- * RecordStore in a folder of version files. One thread calls, one of its own writes; what both know
- * is behind one lock, under which no disk is waited for; a {@link #read} of a big record waits for
- * the disk.
+ * A {@link RecordStore} in a directory of version files.
  *
- * <p>After a failed batch, all that waits, and all that is written until the failure has been told
- * on the executor, fails too: it may have been made from what was read as being written. Later
- * writes are taken.
+ * <p>Threads: one thread, that of the caller's event loop, calls the methods, and the {@link
+ * DiskThread} writes. What both know, the index, the queue and the next sequence number, is guarded
+ * by {@code lock}, under which no I/O is done. Only {@link #open} and the {@link #read} of a large
+ * record wait for the disk.
+ *
+ * <p>After a failed batch, all that is queued fails too, and so does all that is written until the
+ * failure has been reported on the executor: it may have been made from values that were read while
+ * they were pending. Later writes are accepted.
  */
 public final class DirectoryRecordStore implements RecordStore {
-  private static final Logger LOG = LoggerFactory.getLogger(DirectoryRecordStore.class);
-
-  private static final int MAX_NAME_BYTES = 1024;
-  private static final int CLOSE_TIMEOUT_MS = 2_000;
+  /** A record may move to another file while it is read; so often, it is looked up again. */
   private static final int MAX_READ_ATTEMPTS = 4;
 
   private final Object lock = new Object();
   private final RecordIndex index = new RecordIndex();
   private final WriteQueue queue = new WriteQueue();
-  private final Executor completions;
   private final StorageDirectory directory;
   private final long maxBytes;
+  private final WriteCompletions completions;
   private final DiskWorker worker;
-  private volatile StorageCounters counters = new StorageCounters(new Counters());
-  private Thread thread;
 
+  /** Null in tests that do the thread's work themselves. */
+  private DiskThread thread;
+
+  /** The sequence number of the next change; guarded by {@code lock}. */
   private long nextSeq;
-  private boolean closed;
 
   private DirectoryRecordStore(
-      Path dir, long maxBytes, Executor completions, FileSystem fileSystem, long newInstanceId) {
-    this.completions = completions;
+      Path path, long maxBytes, Executor executor, FileSystem fileSystem, long newInstanceId) {
     this.maxBytes = maxBytes;
-    directory = new StorageDirectory(dir, fileSystem);
+    directory = new StorageDirectory(path, fileSystem);
     directory.open(index, newInstanceId);
     nextSeq = directory.nextSeq();
-    worker = new DiskWorker(this, directory, index, lock, maxBytes, MonotonicClock.SYSTEM);
+    completions = new WriteCompletions(lock, queue, index, executor);
+    worker =
+        new DiskWorker(
+            completions, directory, index, lock, maxBytes, this::nextSeq, MonotonicClock.SYSTEM);
   }
 
   /**
-   * Opens a folder, which is made if it is not there; waits for the disk.
+   * Opens a directory, which is created if it does not exist, and starts the disk's thread. Waits
+   * for the disk.
    *
-   * @param maxBytes of the disk, in bytes; a tenth of it is kept free for compaction
-   * @param completions runs what completes the futures, in order: the caller's loop
-   * @throws ElmsailException of code DISK: the disk refuses, or a file is not as it was written
+   * @param maxBytes of the version files together; a tenth is kept free for compaction
+   * @param executor runs what completes the futures, in order: the caller's event loop
+   * @throws ElmsailException of code {@code STORAGE_FAILURE} if an I/O operation fails or a file is
+   *     corrupt
    */
-  public static DirectoryRecordStore open(Path dir, long maxBytes, Executor completions) {
-    return open(dir, maxBytes, completions, new LocalFileSystem());
+  public static DirectoryRecordStore open(Path path, long maxBytes, Executor executor) {
+    return open(path, maxBytes, executor, new LocalFileSystem());
   }
 
-  /** With another file system in the place of the real one. */
+  /** As {@link #open(Path, long, Executor)}, on another file system than the local one. */
   public static DirectoryRecordStore open(
-      Path dir, long maxBytes, Executor completions, FileSystem fileSystem) {
-    DirectoryRecordStore records =
-        openWithoutThread(
-            dir, maxBytes, completions, fileSystem, new SecureRandom().nextLong() | 1);
-    records.thread = new Thread(records::run, "disk");
-    records.thread.setDaemon(true);
-    records.thread.start();
-    return records;
+      Path path, long maxBytes, Executor executor, FileSystem fileSystem) {
+    DirectoryRecordStore store =
+        openWithoutThread(path, maxBytes, executor, fileSystem, new SecureRandom().nextLong() | 1);
+    store.thread = new DiskThread(store.worker, store.completions, store.lock, store.queue);
+    store.thread.start();
+    return store;
   }
 
-  /** Without a thread: {@link #runOnce} does its work. */
+  /** Opens a directory without a thread: {@link #runOnce} does its work. */
   static DirectoryRecordStore openWithoutThread(
-      Path dir, long maxBytes, Executor completions, FileSystem fileSystem, long newInstanceId) {
-    return new DirectoryRecordStore(dir, maxBytes, completions, fileSystem, newInstanceId);
+      Path path, long maxBytes, Executor executor, FileSystem fileSystem, long newInstanceId) {
+    return new DirectoryRecordStore(path, maxBytes, executor, fileSystem, newInstanceId);
   }
 
-  /** One turn of the disk's thread; false if there was nothing to do. */
+  /** Does one turn of the disk thread's work; false if there was nothing to do. */
   boolean runOnce() {
     return worker.runOnce();
   }
 
-  /** Counts from now on; the counters are touched by the executor of the completions alone. */
+  /** Sets the counters used from now on, which are touched on the executor alone. */
   public void setCounters(StorageCounters counters) {
-    this.counters = counters;
+    completions.setCounters(counters);
   }
 
   @Override
@@ -105,49 +104,42 @@
     return directory.isNew();
   }
 
+  /**
+   * {@inheritDoc}
+   *
+   * @throws ElmsailException of code {@code INTERNAL} if a name is empty or longer than 1,024 bytes
+   */
   @Override
   public CompletableFuture<Void> write(List<Change> changes) {
-    PendingWrite pending = new PendingWrite();
-    byte[][] utf = new byte[changes.size()][];
-    boolean hasValues = false;
-    for (int i = 0; i < utf.length; i++) {
-      Change change = changes.get(i);
-      utf[i] = VersionWriter.toUtf8(change.name());
-      if (utf[i].length == 0 || utf[i].length > MAX_NAME_BYTES) {
-        throw new ElmsailException(
-            ErrorCode.INTERNAL, "a record's name of " + utf[i].length + " bytes");
-      }
-      hasValues |= change.bytes() != null;
-      pending.bytes += VersionWriter.recordBytes(utf[i], change.bytes());
-    }
+    PendingWrite write = new PendingWrite(changes);
     synchronized (lock) {
-      if (closed) {
+      if (queue.isClosed()) {
         return CompletableFuture.failedFuture(
-            new ElmsailException(ErrorCode.STORAGE_FAILURE, "the records are closed"));
+            new ElmsailException(ErrorCode.STORAGE_FAILURE, "the store is closed"));
       }
       if (queue.isFailing()) {
-        queue.addToFailed(pending);
-        return pending.completion;
+        queue.addToFailed(write);
+        return write.completion;
       }
-      if (!queue.hasCapacity(pending, hasValues)
-          || hasValues && index.liveBytes() + queue.pendingBytesWith(pending) > maxBytes / 10 * 9) {
+      if (!queue.hasCapacity(write) || write.hasValues && !hasSpaceFor(write)) {
         return CompletableFuture.failedFuture(
-            new ElmsailException(ErrorCode.RESOURCE_EXHAUSTED, "no room on the disk"));
-      }
-      for (int i = 0; i < utf.length; i++) {
-        IndexEntry entry = index.entryFor(changes.get(i).name());
-        entry.pendingSeq = nextSeq++;
-        entry.pendingBytes = changes.get(i).bytes();
-        pending.records.add(
-            new PendingWrite.Item(entry, utf[i], entry.pendingSeq, entry.pendingBytes));
+            new ElmsailException(
+                ErrorCode.RESOURCE_EXHAUSTED,
+                "no space for a write of " + write.bytes + " bytes, limit " + maxBytes));
       }
-      queue.add(pending);
+      nextSeq = write.addTo(index, nextSeq);
+      queue.add(write);
       lock.notifyAll();
     }
-    return pending.completion;
+    return write.completion;
   }
 
-  /** Its array is not to be changed, as those given to {@link #write}. */
+  /** Whether the live records fit into nine tenths of the limit with this write. */
+  private boolean hasSpaceFor(PendingWrite write) {
+    return index.liveBytes() + queue.pendingBytesWith(write) <= maxBytes / 10 * 9;
+  }
+
+  /** {@inheritDoc} The array must not be changed, like those given to {@link #write}. */
   @Override
   public byte[] read(String name) {
     for (int attempt = 1; ; attempt++) {
@@ -168,22 +160,27 @@
         }
       }
       try {
-        byte[] bytes = directory.read(name, location);
-        synchronized (lock) {
-          IndexEntry entry = index.entries.get(name);
-          if (entry != null && entry.durable != null && entry.durable.seq() == location.seq()) {
-            index.cache.put(location.seq(), bytes);
-          }
-        }
-        return bytes;
+        return readFromDisk(name, location);
       } catch (IOException e) {
         if (attempt == MAX_READ_ATTEMPTS || !hasMoved(name, location)) {
-          throw new ElmsailException(ErrorCode.STORAGE_FAILURE, "a record cannot be read: " + e, e);
+          throw new ElmsailException(
+              ErrorCode.STORAGE_FAILURE, "record " + name + " cannot be read: " + e, e);
         }
       }
     }
   }
 
+  private byte[] readFromDisk(String name, RecordLocation location) throws IOException {
+    byte[] bytes = directory.read(name, location);
+    synchronized (lock) {
+      IndexEntry entry = index.entries.get(name);
+      if (entry != null && entry.durable != null && entry.durable.seq() == location.seq()) {
+        index.cache.put(location.seq(), bytes);
+      }
+    }
+    return bytes;
+  }
+
   private boolean hasMoved(String name, RecordLocation location) {
     synchronized (lock) {
       IndexEntry entry = index.entries.get(name);
@@ -212,7 +209,7 @@
     return page;
   }
 
-  /** As they stand now: changes made while it is gone through are not seen. */
+  /** {@inheritDoc} A copy: later changes are not seen in it. */
   @Override
   public Iterable<String> names(String prefix) {
     List<String> found = new ArrayList<>();
@@ -236,112 +233,34 @@
     }
   }
 
-  /** Waits for what was written before it, 2 s at most; nothing is taken afterwards. */
+  /** Waits until all earlier writes are on disk, 2 s at most; later ones fail. */
   @Override
   public void close() {
     synchronized (lock) {
-      closed = true;
+      queue.close();
       lock.notifyAll();
     }
     if (thread != null) {
-      try {
-        thread.join(CLOSE_TIMEOUT_MS);
-      } catch (InterruptedException e) {
-        Thread.currentThread().interrupt();
-      }
-    }
-  }
-
-  private void run() {
-    try {
-      runUntilClosed();
-    } catch (RejectedExecutionException e) {
-      LOG.info("the disk's thread ends with the loop");
-    } catch (Error e) {
-      onBatchFailed(
-          List.of(), new ElmsailException(ErrorCode.INTERNAL, "the disk's thread ended", e));
-      throw e;
-    }
-  }
-
-  private void runUntilClosed() {
-    while (true) {
-      if (!worker.runOnce()) {
-        synchronized (lock) {
-          while (queue.isEmpty()) {
-            if (closed) {
-              return;
-            }
-            try {
-              lock.wait();
-            } catch (InterruptedException e) {
-              return;
-            }
-          }
-        }
-      }
+      thread.join();
     }
   }
 
+  /** Steps of compaction done since the store was opened. */
   int compactionSteps() {
     return worker.compactionSteps();
   }
 
-  /** Names in memory, those of removals that are still needed included. */
+  /** Names in the index, those of removals that are still needed included. */
   int indexedNames() {
     synchronized (lock) {
       return index.entries.size();
     }
   }
 
+  /** The sequence number of the next change. */
   long nextSeq() {
     synchronized (lock) {
       return nextSeq;
     }
   }
-
-  /** The next batch for the disk's thread; empty if nothing waits. */
-  List<PendingWrite> nextBatch() {
-    synchronized (lock) {
-      return queue.pollBatch();
-    }
-  }
-
-  void onBatchWritten(List<PendingWrite> batch, long ms) {
-    synchronized (lock) {
-      queue.onBatchWritten(batch);
-    }
-    completions.execute(
-        () -> {
-          counters.written(batch, ms);
-          for (PendingWrite pending : batch) {
-            pending.completion.complete(null);
-          }
-        });
-  }
-
-  void onBatchFailed(List<PendingWrite> batch, ElmsailException cause) {
-    List<PendingWrite> all;
-    synchronized (lock) {
-      all = queue.failBatch(batch);
-      for (PendingWrite pending : all) {
-        for (PendingWrite.Item item : pending.records) {
-          item.entry().pendingSeq = 0;
-          item.entry().pendingBytes = null;
-          index.prune(item.entry());
-        }
-      }
-    }
-    completions.execute(() -> completeFailed(all, cause));
-  }
-
-  private void completeFailed(List<PendingWrite> all, ElmsailException cause) {
-    counters.failed();
-    synchronized (lock) {
-      all.addAll(queue.endFailure());
-    }
-    for (PendingWrite pending : all) {
-      pending.completion.completeExceptionally(cause);
-    }
-  }
 }
--- a/storage/src/main/java/elmsail/storage/DiskWorker.java
+++ b/storage/src/main/java/elmsail/storage/DiskWorker.java
@@ -8,50 +8,65 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.function.LongSupplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * What the disk's thread does, turn by turn: a batch of what waits, then at most one step of
- * compaction.
+ * The work of the disk's thread: in each turn it writes a batch of what is queued, then does at
+ * most one step of compaction. Used by that thread alone; it takes the lock of the store to read
+ * and change the index, never during I/O.
  */
 final class DiskWorker {
   private static final Logger LOG = LoggerFactory.getLogger(DiskWorker.class);
+
+  /** Steps of compaction done to make space for one batch, at most. */
   private static final int MAX_STEPS_PER_BATCH = 64;
 
-  private final DirectoryRecordStore store;
+  private final WriteCompletions completions;
   private final StorageDirectory directory;
   private final RecordIndex index;
   private final Object lock;
   private final Compaction compaction;
   private final long maxBytes;
+  private final LongSupplier nextSeq;
   private final MonotonicClock clock;
 
-  /** After a failed step, until a batch was written again. */
+  /** From a failed step of compaction until a batch was written again. */
   private boolean compactionSuspended;
 
   private int compactionSteps;
+
+  /** Whether the last I/O of a write failed: only changes of that are logged. */
   private boolean diskFailing;
 
+  /**
+   * A worker without state of its own but for its log.
+   *
+   * @param lock guards the index
+   * @param nextSeq the next sequence number of the store, stored in each file
+   */
   DiskWorker(
-      DirectoryRecordStore store,
+      WriteCompletions completions,
       StorageDirectory directory,
       RecordIndex index,
       Object lock,
       long maxBytes,
+      LongSupplier nextSeq,
       MonotonicClock clock) {
-    this.store = store;
+    this.completions = completions;
     this.directory = directory;
     this.index = index;
     this.lock = lock;
     this.maxBytes = maxBytes;
+    this.nextSeq = nextSeq;
     this.clock = clock;
     compaction = new Compaction(maxBytes);
   }
 
-  /** Whether there was anything to do. */
+  /** One turn; returns whether there was anything to do. */
   boolean runOnce() {
-    List<PendingWrite> batch = store.nextBatch();
+    List<PendingWrite> batch = completions.nextBatch();
     if (batch.isEmpty()) {
       return compact(false);
     }
@@ -62,23 +77,25 @@
       logDiskState(null);
     } catch (IOException e) {
       logDiskState(e);
-      store.onBatchFailed(
-          batch, new ElmsailException(ErrorCode.STORAGE_FAILURE, "the disk refused: " + e, e));
+      completions.onBatchFailed(
+          batch, new ElmsailException(ErrorCode.STORAGE_FAILURE, "write failed: " + e, e));
       return true;
     } catch (ElmsailException e) {
-      store.onBatchFailed(batch, e);
+      completions.onBatchFailed(batch, e);
       return true;
     } catch (RuntimeException e) {
+      // The thread goes on: a fault in one batch fails that batch, and what was queued behind it.
       LOG.error("a batch could not be written", e);
-      store.onBatchFailed(
+      completions.onBatchFailed(
           batch, new ElmsailException(ErrorCode.INTERNAL, "a batch could not be written: " + e, e));
       return true;
     }
-    store.onBatchWritten(batch, clock.now() - startedAt);
+    completions.onBatchWritten(batch, clock.now() - startedAt);
     compact(false);
     return true;
   }
 
+  /** Writes the newest change of each name in the batch as one file. */
   private void write(List<PendingWrite> batch) throws IOException {
     Map<String, PendingWrite.Item> newest = new LinkedHashMap<>();
     long bytes = 0;
@@ -86,29 +103,29 @@
     for (PendingWrite pending : batch) {
       for (PendingWrite.Item item : pending.records) {
         newest.put(item.entry().name, item);
-        hasValues |= item.bytes() != null;
       }
+      hasValues |= pending.hasValues;
       bytes += pending.bytes;
     }
     if (newest.isEmpty()) {
       return;
     }
     reclaimSpace(bytes, hasValues);
-    long[] at = new long[newest.size()];
+    long[] offsets = new long[newest.size()];
     VersionFile file =
         directory.write(
-            store.nextSeq(),
+            nextSeq.getAsLong(),
             writer -> {
               int next = 0;
               for (PendingWrite.Item item : newest.values()) {
-                at[next++] = writer.writeRecord(item.nameUtf8(), item.seq(), item.bytes());
+                offsets[next++] = writer.writeRecord(item.nameUtf8(), item.seq(), item.bytes());
               }
             });
     synchronized (lock) {
       index.addFile(file);
       int next = 0;
       for (PendingWrite.Item item : newest.values()) {
-        addToIndex(item, file, at[next++]);
+        addToIndex(item, file, offsets[next++]);
       }
       index.onDirectorySynced();
       for (PendingWrite.Item item : newest.values()) {
@@ -117,9 +134,10 @@
     }
   }
 
+  /** The record is on disk: it is pending no more, unless a newer change of its name is. */
   private void addToIndex(PendingWrite.Item item, VersionFile file, long offset) {
     byte[] bytes = item.bytes();
-    boolean big = bytes != null && bytes.length > RecordIndex.MAX_IN_MEMORY_BYTES;
+    boolean large = bytes != null && bytes.length > RecordIndex.MAX_IN_MEMORY_BYTES;
     if (item.entry().pendingSeq == item.seq()) {
       item.entry().pendingSeq = 0;
       item.entry().pendingBytes = null;
@@ -129,15 +147,21 @@
         new RecordLocation(
             item.seq(),
             bytes != null,
-            big ? null : bytes,
+            large ? null : bytes,
             file,
             offset,
             VersionWriter.recordBytes(item.nameUtf8(), bytes)));
-    if (big) {
+    if (large) {
       index.cache.put(item.seq(), bytes);
     }
   }
 
+  /**
+   * Compacts until a tenth of the space is free besides this write.
+   *
+   * @throws ElmsailException of code {@code RESOURCE_EXHAUSTED} if values don't fit even so;
+   *     removals are written in any case
+   */
   private void reclaimSpace(long bytes, boolean hasValues) {
     int maxCompactionSteps = compactionSteps + MAX_STEPS_PER_BATCH;
     compactionSuspended = false;
@@ -147,7 +171,9 @@
       compactionSuspended = false;
     }
     if (hasValues && diskBytes() + bytes > maxBytes) {
-      throw new ElmsailException(ErrorCode.RESOURCE_EXHAUSTED, "the disk's share is used up");
+      throw new ElmsailException(
+          ErrorCode.RESOURCE_EXHAUSTED,
+          "no space for " + bytes + " bytes: " + diskBytes() + " used, limit " + maxBytes);
     }
   }
 
@@ -157,7 +183,7 @@
     }
   }
 
-  /** One step of compaction; false if there is none to do now. */
+  /** Does one step of compaction; false if there is none to do, or it failed. */
   private boolean compact(boolean spaceNeeded) {
     if (compactionSuspended) {
       return false;
@@ -170,7 +196,7 @@
         return false;
       }
     }
-    // Held until it is known to have gone well.
+    // Until the step is known to have succeeded.
     compactionSuspended = true;
     try {
       if (!step.moved().isEmpty()) {
@@ -185,31 +211,34 @@
     return !compactionSuspended;
   }
 
+  /** Copies live records into a new file. */
   private void rewrite(List<IndexEntry> moved) throws IOException {
-    long[] at = new long[moved.size()];
+    long[] offsets = new long[moved.size()];
     VersionFile file =
         directory.write(
-            store.nextSeq(),
+            nextSeq.getAsLong(),
             writer -> {
-              for (int i = 0; i < at.length; i++) {
+              for (int i = 0; i < offsets.length; i++) {
                 IndexEntry entry = moved.get(i);
-                at[i] =
+                offsets[i] =
                     writer.writeRecord(
                         VersionWriter.toUtf8(entry.name), entry.durable.seq(), bytes(entry));
               }
             });
     synchronized (lock) {
       index.addFile(file);
-      for (int i = 0; i < at.length; i++) {
+      for (int i = 0; i < offsets.length; i++) {
         RecordLocation old = moved.get(i).durable;
         index.addRecord(
             moved.get(i),
-            new RecordLocation(old.seq(), old.isValue(), old.bytes(), file, at[i], old.length()));
+            new RecordLocation(
+                old.seq(), old.isValue(), old.bytes(), file, offsets[i], old.length()));
       }
       index.onDirectorySynced();
     }
   }
 
+  /** The bytes of a durable record; null for a removal. */
   private byte[] bytes(IndexEntry entry) throws IOException {
     RecordLocation location = entry.durable;
     if (!location.isValue()) {
@@ -233,6 +262,7 @@
     }
   }
 
+  /** Deletes the files without live records, but for the newest. */
   private void deleteEmptyFiles() throws IOException {
     List<VersionFile> empty = new ArrayList<>();
     synchronized (lock) {
@@ -250,11 +280,12 @@
     }
   }
 
-  /** Steps of compaction done. */
+  /** Steps of compaction done, read by tests. */
   int compactionSteps() {
     return compactionSteps;
   }
 
+  /** Logs when I/O begins to fail, and when it succeeds again. */
   private void logDiskState(IOException failure) {
     if (failure != null && !diskFailing) {
       LOG.warn("the disk refuses: {}", failure.toString());
--- a/storage/src/main/java/elmsail/storage/FileSystem.java
+++ b/storage/src/main/java/elmsail/storage/FileSystem.java
@@ -5,42 +5,49 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** What the records ask of a file system; tests put a simulated one in its place. */
+/**
+ * The file operations of the store; tests use a simulated file system in place of the local one.
+ */
 public interface FileSystem {
 
-  /** Makes the folder where it does not stand yet. */
+  /**
+   * Creates a directory and those above it, if they don't exist, so that a power loss keeps them.
+   */
   void createDirectories(Path directory) throws IOException;
 
-  /** The plain names in a folder, in any order. */
+  /** The names of the files in a directory, without its path, in any order. */
   List<String> list(Path directory) throws IOException;
 
-  /** An empty file, open for appending; one of that name is emptied. */
+  /** Opens an empty file for appending; one of that name is truncated. */
   Appender create(Path file) throws IOException;
 
-  /** Gives the file its new name in one step; a file of that name is replaced. */
+  /** Renames a file atomically; a file of the new name is replaced. */
   void rename(Path from, Path to) throws IOException;
 
-  /** Also when there is no such file. */
+  /** Deletes a file, if it exists. */
   void delete(Path file) throws IOException;
 
-  /** Makes renamed and removed names last. */
+  /** Makes the creations, renames and deletions in a directory durable. */
   void syncDirectory(Path directory) throws IOException;
 
   /**
-   * Reads until {@code length} bytes are there or the file ends; returns how many. Called by two
-   * threads.
+   * Reads part of a file. Called by two threads at a time.
+   *
+   * @param at offset in the file, in bytes
+   * @param from index in {@code to}
+   * @return the bytes read: less than {@code length} only if the file ends before
    */
   int read(Path file, long offset, byte[] to, int from, int length) throws IOException;
 
-  /** The bytes of the file. */
+  /** The size of a file in bytes. */
   long size(Path file) throws IOException;
 
   /** A file that is being written. */
   interface Appender extends Closeable {
-    /** Adds the bytes at the end; they may be lost with the power until {@link #sync}. */
+    /** Appends bytes; until {@link #sync} a power loss may lose them. */
     void append(byte[] bytes, int from, int length) throws IOException;
 
-    /** Returns when all that was appended is on the disk. */
+    /** Returns once all that was appended is durable. */
     void sync() throws IOException;
   }
 }
--- a/storage/src/main/java/elmsail/storage/IndexEntry.java
+++ b/storage/src/main/java/elmsail/storage/IndexEntry.java
@@ -1,27 +1,26 @@
 package elmsail.storage;
 
-/**
- * What is known of one name: the newest safe change, the newest waiting, how often it is on disk.
- */
+/** What the index knows of one name. Guarded by the lock of {@link DirectoryRecordStore}. */
 final class IndexEntry {
   final String name;
 
-  /** Null if there is none. */
+  /** The newest record on disk, of a value or a removal; null if there is none. */
   RecordLocation durable;
 
-  /** 0 when nothing waits. */
+  /** The sequence number of the newest pending change; 0 if none is pending. */
   long pendingSeq;
 
-  /** Null for a removal that waits. */
+  /** The value of the newest pending change; null if that is a removal, or none is pending. */
   byte[] pendingBytes;
 
-  /** Values of this name, old ones too, in files that may still be there after a loss of power. */
+  /** How many values, old ones included, are in files that may exist after a power loss. */
   int valuesOnDisk;
 
   IndexEntry(String name) {
     this.name = name;
   }
 
+  /** Whether the name has a value, pending or durable. */
   boolean exists() {
     return pendingSeq != 0 ? pendingBytes != null : durable != null && durable.isValue();
   }
--- a/storage/src/main/java/elmsail/storage/LocalFileSystem.java
+++ b/storage/src/main/java/elmsail/storage/LocalFileSystem.java
@@ -15,8 +15,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The file system itself, without locks, links or mappings; bytes pass through small direct
- * buffers.
+ * The local file system. Bytes pass through one small direct buffer for each thread, so that the
+ * memory outside the heap stays bounded. Thread-safe.
  */
 final class LocalFileSystem implements FileSystem {
   private static final Logger LOG = LoggerFactory.getLogger(LocalFileSystem.class);
@@ -42,14 +42,14 @@
       missing.push(at);
       at = at.getParent();
     }
-    for (Path p : missing) {
-      java.nio.file.Files.createDirectories(p);
+    for (Path path : missing) {
+      java.nio.file.Files.createDirectories(path);
       try {
-        syncDirectory(p.getParent());
+        syncDirectory(path.getParent());
       } catch (IOException e) {
-        // The folder above the data is not ours: it may not be opened. A lost folder is a lost
-        // disk.
-        LOG.info("the folder above {} cannot be synced: {}", p, e.toString());
+        // The parent directory isn't ours, and may not be readable. A data directory that is lost
+        // with it counts as a lost disk.
+        LOG.info("parent directory cannot be synced: directory={} cause={}", path, e.toString());
       }
     }
   }
@@ -102,13 +102,13 @@
       while (done < length) {
         ByteBuffer chunk = chunk();
         chunk.limit(Math.min(CHUNK_BYTES, length - done));
-        int got = channel.read(chunk, offset + done);
-        if (got <= 0) {
+        int count = channel.read(chunk, offset + done);
+        if (count <= 0) {
           break;
         }
         chunk.flip();
-        chunk.get(to, from + done, got);
-        done += got;
+        chunk.get(to, from + done, count);
+        done += count;
       }
     }
     return done;
--- a/storage/src/main/java/elmsail/storage/RecordIndex.java
+++ b/storage/src/main/java/elmsail/storage/RecordIndex.java
@@ -1,35 +1,44 @@
 package elmsail.storage;
 
 import java.util.ArrayList;
-import java.util.Iterator;
 import java.util.List;
 import java.util.TreeMap;
 
 /**
- * All names and where their bytes are. Guarded by the lock of {@link DirectoryRecordStore}.
+ * The index of all records: their names, and where their bytes are. Guarded by the lock of {@link
+ * DirectoryRecordStore}.
  *
- * <p>A removal is kept, on disk too, while a value of its name lies in any file that is there or
- * could be there again after a loss of power: files removed count until their folder was synced.
+ * <p>A removal is kept, on disk too, as long as a value of its name is in a file that exists or
+ * could exist again after a power loss: deleted files count until their directory was synced.
  */
 final class RecordIndex {
-  /** Values up to this are kept in memory. */
+  /** Values up to this size are kept in memory. */
   static final int MAX_IN_MEMORY_BYTES = 4 * 1024;
 
   final TreeMap<String, IndexEntry> entries = new TreeMap<>();
+
+  /** The files in the directory, by their versions. */
   final TreeMap<Long, VersionFile> files = new TreeMap<>();
+
   final ByteCache cache = new ByteCache();
+
+  /** Files that were deleted since the directory was synced last. */
   private final List<VersionFile> removedUnsynced = new ArrayList<>();
+
   private long diskBytes;
   private long liveBytes;
 
+  /** The bytes of all files. */
   long diskBytes() {
     return diskBytes;
   }
 
+  /** The bytes of the records that are the newest of their names. */
   long liveBytes() {
     return liveBytes;
   }
 
+  /** The entry of a name, made if there is none. */
   IndexEntry entryFor(String name) {
     IndexEntry known = entries.get(name);
     if (known == null) {
@@ -39,13 +48,14 @@
     return known;
   }
 
+  /** A file was written and synced, or found in the directory. */
   void addFile(VersionFile file) {
     files.put(file.version, file);
     diskBytes += file.bytes;
   }
 
   /**
-   * A record that lies in a safe file; it is the newest of its name if none has a higher number.
+   * Adds a record of a durable file: it is live unless one of a higher sequence number is known.
    */
   void addRecord(IndexEntry entry, RecordLocation location) {
     VersionFile file = location.file();
@@ -70,14 +80,14 @@
     liveBytes += location.length();
   }
 
-  /** The file's name was removed from the folder, which was not synced yet. */
+  /** A file was deleted, and the directory was not synced yet. */
   void removeFile(VersionFile file) {
     files.remove(file.version);
     diskBytes -= file.bytes;
     removedUnsynced.add(file);
   }
 
-  /** What was removed from the folder cannot come back from here on. */
+  /** The directory was synced: what was deleted before cannot come back. */
   void onDirectorySynced() {
     for (VersionFile file : removedUnsynced) {
       for (IndexEntry entry : file.values) {
@@ -88,7 +98,7 @@
     removedUnsynced.clear();
   }
 
-  /** Forgets a removal that nothing needs any more, and a name of which nothing is left. */
+  /** Drops a removal that is needed no more, and then an entry of which nothing is left. */
   void prune(IndexEntry entry) {
     if (entry.valuesOnDisk > 0) {
       return;
@@ -102,15 +112,14 @@
     }
   }
 
-  /** After the folder was read: drops what is needed no more. */
+  /** Prunes all entries, after the directory was read. */
   void pruneAll() {
-    Iterator<IndexEntry> all = new ArrayList<>(entries.values()).iterator();
-    while (all.hasNext()) {
-      prune(all.next());
+    for (IndexEntry entry : new ArrayList<>(entries.values())) {
+      prune(entry);
     }
   }
 
-  /** The live records of a file, in the order written; values first. */
+  /** The live records of a file: values in the order written, then removals. */
   List<IndexEntry> liveRecords(VersionFile file) {
     List<IndexEntry> live = new ArrayList<>();
     for (IndexEntry entry : file.values) {
--- a/storage/src/main/java/elmsail/storage/RecordLocation.java
+++ b/storage/src/main/java/elmsail/storage/RecordLocation.java
@@ -1,10 +1,14 @@
 package elmsail.storage;
 
 /**
- * Where the newest safe change of a name lies. {@code bytes} is null for a removal and for a value
- * over {@link RecordIndex#MAX_IN_MEMORY_BYTES}, which is read from its file.
+ * Where a record is in a file.
  *
- * @param length of the whole record with its checksum
+ * @param seq the sequence number of the change
+ * @param isValue whether it is a value; else a removal
+ * @param bytes the value; null for a removal, and for a value of more than {@link
+ *     RecordIndex#MAX_IN_MEMORY_BYTES}, which is read from its file
+ * @param offset in the file, in bytes
+ * @param length of the whole record with its checksum, in bytes
  */
 record RecordLocation(
     long seq, boolean isValue, byte[] bytes, VersionFile file, long offset, int length) {}
--- a/storage/src/main/java/elmsail/storage/RecordStore.java
+++ b/storage/src/main/java/elmsail/storage/RecordStore.java
@@ -5,46 +5,55 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A folder of named records that outlive the process and the power. Changes are gathered while the
- * disk is busy, then written as one file of a new version: written aside, synced, renamed, its
- * folder synced; only then are their futures completed (on the executor given). Called from one
+ * Named records that survive the end of the process and a power loss. Changes that are made while
+ * the disk is busy are written together as one batch; the future of a write completes once its
+ * batch is durable, on the executor that the store was opened with. All methods are called from one
  * thread.
  */
 public interface RecordStore extends AutoCloseable {
 
   /**
-   * A change: null bytes remove the record. Big ones are kept on disk alone and read when asked
-   * for.
+   * A change of one record.
+   *
+   * @param name not empty
+   * @param bytes the new value, which must not be changed any more; null removes the record
    */
   record Change(String name, byte[] bytes) {}
 
-  /** Drawn at random when the folder was empty, and kept in it. */
+  /** The id of this content: drawn at random when the store was new, and stored in it. */
   long instanceId();
 
-  /** Whether the folder was empty when it was opened. */
+  /** Whether the store was empty when it was opened, so that its instance id is a new one. */
   boolean isNew();
 
   /**
-   * Done once all of them are safe, together with every earlier change; fails with code DISK, or
-   * FULL.
+   * Writes changes as one unit. They are read at once, and no more if the write fails.
+   *
+   * @return completes once these and all earlier changes are durable; fails with {@code
+   *     STORAGE_FAILURE}, or with {@code RESOURCE_EXHAUSTED} if there is no space
    */
   CompletableFuture<Void> write(List<Change> changes);
 
   /**
-   * Written or being written; null if there is none. Reads the disk for records over 4 KB, else
-   * memory.
+   * The newest value of a record, durable or pending; null if there is none. Waits for the disk if
+   * the value is over 4 KB and not cached.
+   *
+   * @throws elmsail.runtime.ElmsailException of code {@code STORAGE_FAILURE} if it cannot be read
    */
   byte[] read(String name);
 
   /**
-   * Names and bytes of the records behind {@code after}, in order, until about {@code mostBytes}.
+   * The records behind a name, in the order of their names.
+   *
+   * @param after null to begin with the first record
+   * @param maxBytes the page ends with the record that reaches this size
    */
   Map<String, byte[]> page(String after, int maxBytes);
 
-  /** Names that begin so, in order. */
+  /** The names of the records that begin with a prefix, in order. */
   Iterable<String> names(String prefix);
 
-  /** How many names begin so. */
+  /** The number of records whose names begin with a prefix. */
   default int count(String prefix) {
     int count = 0;
     for (String name : names(prefix)) {
@@ -53,7 +62,7 @@
     return count;
   }
 
-  /** The bytes of all version files in the folder. */
+  /** The bytes that the store uses on disk. */
   long bytesOnDisk();
 
   @Override
--- a/storage/src/main/java/elmsail/storage/StorageCounters.java
+++ b/storage/src/main/java/elmsail/storage/StorageCounters.java
@@ -4,14 +4,14 @@
 import elmsail.runtime.Histogram;
 import java.util.List;
 
-/** What a process counts of its disk; on the loop. */
+/** The counters of a store. Used on the executor of the store, the caller's event loop. */
 public final class StorageCounters {
   private final Counters.Counter syncs;
   private final Counters.Counter bytesWritten;
   private final Counters.Counter failures;
   private final Histogram syncMs;
 
-  /** Takes its figures from those of the process. */
+  /** Registers the counters under their exported names. */
   public StorageCounters(Counters counters) {
     syncs = counters.counter("storage_syncs");
     bytesWritten = counters.counter("storage_bytes_written");
@@ -20,13 +20,13 @@
   }
 
   /**
-   * A batch of records was written as one file and synced.
+   * A batch was written as one file and synced.
    *
-   * @param ms from the first write until its folder was synced
+   * @param durationMs from the first write until its directory was synced
    */
-  void written(List<PendingWrite> batch, long ms) {
+  void written(List<PendingWrite> batch, long durationMs) {
     syncs.add(1);
-    syncMs.observe(ms);
+    syncMs.observe(durationMs);
     for (PendingWrite written : batch) {
       bytesWritten.add(written.bytes);
     }
--- a/storage/src/main/java/elmsail/storage/StorageDirectory.java
+++ b/storage/src/main/java/elmsail/storage/StorageDirectory.java
@@ -13,14 +13,14 @@
 import java.util.TreeSet;
 
 /**
- * The version files in a folder: reads them when it is opened, writes new ones. Used by one thread
- * at a time.
+ * The version files of a directory: reads them when it is opened, and writes new ones. Used by one
+ * thread at a time: the opening one, then the disk's thread; only {@link #read} is called by both.
  *
- * <p>What a loss of power may leave, and what is made of it: a file gets its last name only after
- * all of it was synced, so one under its last name that fails its check tells of a broken disk,
- * also when it is the newest; the folder is then not opened. A name that was given but not yet
- * synced may be there or not: nothing in it was acknowledged. A version whose writing failed may be
- * there later; until its removal is safe, every later version calls it void.
+ * <p>What a power loss may leave behind, and why it is safe: a file gets its final name only after
+ * all of it was synced, so a file under its final name that fails its check means a broken disk,
+ * also if it is the newest; the directory is then not opened. A rename that was not synced may be
+ * there or not: nothing in such a file was acknowledged. A version whose write failed may appear
+ * later; until its deletion is durable, every later version lists it as void.
  */
 final class StorageDirectory {
   private static final String NAME_PREFIX = "v-";
@@ -30,11 +30,15 @@
   private final Path directory;
   private final FileSystem fileSystem;
 
-  /** Gathers small records, so that they cost one call of the system. */
+  /** Gathers small records, so that they are written by one system call. */
   private final ByteBuffer writeBuffer = ByteBuffer.allocate(VersionWriter.CHUNK_BYTES);
 
+  /** Versions whose write failed, and whose deletion may not be durable. */
   private final TreeSet<Long> voids = new TreeSet<>();
+
+  /** Those of them that were deleted before the write under way, whose sync makes that durable. */
   private final List<Long> deletedVoidVersions = new ArrayList<>();
+
   private long instanceId;
   private boolean isNew;
   private long nextVersion = 1;
@@ -45,15 +49,17 @@
     this.fileSystem = fileSystem;
   }
 
+  /** The id stored in all files. */
   long instanceId() {
     return instanceId;
   }
 
+  /** Whether the directory had no version files when it was opened. */
   boolean isNew() {
     return isNew;
   }
 
-  /** Above every sequence number that was ever acknowledged here. */
+  /** A sequence number above all that were ever acknowledged here. */
   long nextSeq() {
     return nextSeq;
   }
@@ -64,15 +70,17 @@
   }
 
   /**
-   * Reads the folder, or begins it with this life.
+   * Reads all files into the index, or writes the first one if there is none.
    *
-   * @throws ElmsailException of code DISK: a file is torn, or the disk refuses
+   * @param newInstanceId stored if there is no file
+   * @throws ElmsailException of code {@code STORAGE_FAILURE} if a file is corrupt or an I/O
+   *     operation fails
    */
   void open(RecordIndex index, long newInstanceId) {
     try {
       fileSystem.createDirectories(directory);
       List<Long> versions = listVersions();
-      // What is there, or gone, stays so from here on: what is told from now on may build on it.
+      // The directory is synced before anything that was found in it is relied on.
       if (versions.isEmpty()) {
         fileSystem.syncDirectory(directory);
         isNew = true;
@@ -94,13 +102,18 @@
       fileSystem.syncDirectory(directory);
     } catch (IOException e) {
       throw new ElmsailException(
-          ErrorCode.STORAGE_FAILURE, "the folder of records cannot be opened: " + e, e);
+          ErrorCode.STORAGE_FAILURE, "directory " + directory + " cannot be opened: " + e, e);
     }
     index.pruneAll();
   }
 
-  /** A safe file of the next version; throws if it may not be safe, and calls the version void. */
-  VersionFile write(long seqAfter, RecordSource source) throws IOException {
+  /**
+   * Writes and syncs a file of the next version.
+   *
+   * @param nextSeqOfStore the sequence number of the next change, stored in the file
+   * @throws IOException if the file may not be durable; its version is void then
+   */
+  VersionFile write(long nextSeqOfStore, RecordSource source) throws IOException {
     long version = nextVersion++;
     deleteVoidVersions();
     Path partial = directory.resolve(fileName(version) + PARTIAL_SUFFIX);
@@ -109,7 +122,8 @@
     try {
       try (FileSystem.Appender out = fileSystem.create(partial)) {
         VersionWriter writer =
-            new VersionWriter(out, writeBuffer, version, instanceId, seqAfter, voidVersions());
+            new VersionWriter(
+                out, writeBuffer, version, instanceId, nextSeqOfStore, voidVersions());
         source.writeTo(writer);
         bytes = writer.finish();
       }
@@ -125,11 +139,12 @@
     return new VersionFile(version, bytes);
   }
 
+  /** Deletes a file; durable once another one was written. */
   void delete(VersionFile file) throws IOException {
     fileSystem.delete(pathOf(file.version));
   }
 
-  /** Reads a big value; called by the thread of the caller as well. */
+  /** Reads a value from its file; called by the caller's thread and the disk's. */
   byte[] read(String name, RecordLocation location) throws IOException {
     return VersionReader.readRecord(
         fileSystem,
@@ -148,7 +163,7 @@
         fileSystem.delete(pathOf(version));
         deletedVoidVersions.add(version);
       } catch (IOException e) {
-        // It stays void, and is tried again before the next file.
+        // It stays void; deleting it is retried before the next file.
         return;
       }
     }
@@ -176,7 +191,7 @@
           versions.add(Long.parseLong(name.substring(NAME_PREFIX.length())));
         } catch (NumberFormatException e) {
           throw new ElmsailException(
-              ErrorCode.STORAGE_FAILURE, "a file that is none of ours: " + name, e);
+              ErrorCode.STORAGE_FAILURE, "directory " + directory + ": unexpected file " + name, e);
         }
       }
     }
@@ -187,12 +202,22 @@
     VersionReader reader = new VersionReader(fileSystem, pathOf(version));
     if (reader.version != version || instanceId != 0 && reader.instanceId != instanceId) {
       throw new ElmsailException(
-          ErrorCode.STORAGE_FAILURE, fileName(version) + " is not of this folder");
+          ErrorCode.STORAGE_FAILURE,
+          "file "
+              + pathOf(version)
+              + ": expected version "
+              + version
+              + " of instance "
+              + instanceId
+              + ", found "
+              + reader.version
+              + " of "
+              + reader.instanceId);
     }
     instanceId = reader.instanceId;
     nextSeq = Math.max(nextSeq, reader.nextSeq);
-    for (long v : reader.voids) {
-      voidVersions.add(v);
+    for (long voidVersion : reader.voids) {
+      voidVersions.add(voidVersion);
     }
     VersionFile file = new VersionFile(version, reader.size());
     index.addFile(file);
--- a/storage/src/main/java/elmsail/storage/VersionFile.java
+++ b/storage/src/main/java/elmsail/storage/VersionFile.java
@@ -3,20 +3,21 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One file of a version that is safe. */
+/** One durable file of the directory. Guarded by the lock of {@link DirectoryRecordStore}. */
 final class VersionFile {
   final long version;
   final long bytes;
 
-  /** Names of the records that were written here, whether newer ones lie elsewhere or not. */
+  /** The names of the values in this file, be they the newest of their names or not. */
   final List<IndexEntry> values = new ArrayList<>();
 
+  /** The names of the removals in this file, likewise. */
   final List<IndexEntry> removals = new ArrayList<>();
 
-  /** Bytes of records that are still the newest of their names. */
+  /** The bytes of the records that are the newest of their names. */
   long liveBytes;
 
-  /** A record of it could not be read: it stays as it is. */
+  /** Whether a record of it could not be read: the file is then left as it is. */
   boolean unreadable;
 
   VersionFile(long version, long bytes) {
@@ -24,6 +25,7 @@
     this.bytes = bytes;
   }
 
+  /** The bytes that compaction would free. */
   long deadBytes() {
     return bytes - liveBytes;
   }
--- a/storage/src/main/java/elmsail/storage/VersionReader.java
+++ b/storage/src/main/java/elmsail/storage/VersionReader.java
@@ -6,10 +6,12 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
+import java.util.Arrays;
 import java.util.zip.CRC32C;
 
 /**
- * Reads one file of a version in steps of 64 kB and tells whether every byte is as it was written.
+ * Reads a version file in chunks of 64 kB, and checks every byte of it; {@link VersionWriter} has
+ * the format. Used by one thread.
  */
 final class VersionReader {
   private static final int CHUNK_BYTES = 64 * 1024;
@@ -20,7 +22,10 @@
   private final byte[] chunk;
   private final CRC32C recordCrc = new CRC32C();
   private final CRC32C fileCrc = new CRC32C();
-  private long read;
+
+  /** The offset in the file behind the chunk. */
+  private long chunkEnd;
+
   private int chunkLength;
   private int chunkPosition;
 
@@ -29,14 +34,24 @@
   final long nextSeq;
   final long[] voids;
 
-  /**
-   * Takes each record of the file; {@code bytes} is null for a removal and for a value over {@code
-   * most}.
-   */
+  /** Is called for each record of the file, in the order written. */
   interface RecordVisitor {
+    /**
+     * A record.
+     *
+     * @param isValue whether it is a value; else a removal
+     * @param bytes null for a removal, and for a value over the limit given
+     * @param offset of the record in the file
+     * @param length of the record with its checksum
+     */
     void visit(String name, long seq, boolean isValue, byte[] bytes, long offset, int length);
   }
 
+  /**
+   * Reads the header of a file.
+   *
+   * @throws ElmsailException of code {@code STORAGE_FAILURE} if it is corrupt
+   */
   VersionReader(FileSystem fileSystem, Path file) throws IOException {
     this.fileSystem = fileSystem;
     this.file = file;
@@ -57,11 +72,16 @@
     verifyChecksum();
   }
 
+  /** The size of the file in bytes. */
   long size() {
     return size;
   }
 
-  /** Everything is checked only when this has returned. */
+  /**
+   * Reads all records. The file is checked completely only once this has returned.
+   *
+   * @param maxBytes larger values are checked, but not given to the visitor
+   */
   void readRecords(int maxBytes, RecordVisitor visitor) throws IOException {
     int count = 0;
     while (true) {
@@ -98,7 +118,7 @@
     check(position() == size);
   }
 
-  /** One record by its place, checked again. */
+  /** Reads the value of one record, and checks it again. */
   static byte[] readRecord(
       FileSystem fileSystem, Path file, long offset, int length, String name, long seq)
       throws IOException {
@@ -115,22 +135,26 @@
         || record.getLong(1) != seq
         || record.getInt(11) != length - bytesOffset - 4) {
       throw new ElmsailException(
-          ErrorCode.STORAGE_FAILURE, "a record of " + file.getFileName() + " is spoiled");
+          ErrorCode.STORAGE_FAILURE,
+          file.getFileName() + " is corrupt: record " + name + " at offset " + offset);
     }
-    return java.util.Arrays.copyOfRange(all, bytesOffset, length - 4);
+    return Arrays.copyOfRange(all, bytesOffset, length - 4);
   }
 
+  /** The offset in the file of the next byte to read. */
   private long position() {
-    return read - chunkLength + chunkPosition;
+    return chunkEnd - chunkLength + chunkPosition;
   }
 
+  /** Rejects the file unless the condition holds. */
   private void check(boolean valid) {
     if (!valid) {
       throw new ElmsailException(
-          ErrorCode.STORAGE_FAILURE, file.getFileName() + " is torn or not one of ours");
+          ErrorCode.STORAGE_FAILURE, file.getFileName() + " is corrupt at offset " + position());
     }
   }
 
+  /** Reads bytes that the checksum of a record doesn't cover. */
   private byte[] readUnchecked(int length) throws IOException {
     check(length <= size - position());
     byte[] bytes = new byte[length];
@@ -160,16 +184,18 @@
     }
   }
 
+  /** Makes at least one byte available in the chunk; returns how many of {@code length} are. */
   private int fillChunk(int length) throws IOException {
     if (chunkPosition == chunkLength) {
-      chunkLength = fileSystem.read(file, read, chunk, 0, chunk.length);
+      chunkLength = fileSystem.read(file, chunkEnd, chunk, 0, chunk.length);
       chunkPosition = 0;
-      read += chunkLength;
+      chunkEnd += chunkLength;
       check(chunkLength > 0);
     }
     return Math.min(length, chunkLength - chunkPosition);
   }
 
+  /** Reads a checksum, and compares it with that of the bytes since the last one. */
   private void verifyChecksum() throws IOException {
     int computed = (int) recordCrc.getValue();
     recordCrc.reset();
--- a/storage/src/main/java/elmsail/storage/VersionWriter.java
+++ b/storage/src/main/java/elmsail/storage/VersionWriter.java
@@ -6,9 +6,16 @@
 import java.util.zip.CRC32C;
 
 /**
- * Writes one file of a version: a head (magic, format, version, life, the next sequence number,
- * versions that are void), the records, each with a checksum of its own, and an end with their
- * number and a checksum over all checksums, which so covers every byte.
+ * Writes a version file. Its format, all numbers big-endian:
+ *
+ * <ul>
+ *   <li>a header: magic, format, version, instance id, next sequence number, the number of void
+ *       versions and these, a checksum (CRC-32C);
+ *   <li>the records: kind, sequence number, length of the name, length of the value, the name in
+ *       UTF-8, the value, a checksum of the record;
+ *   <li>an end: its kind, the number of records, a checksum of all checksums, which so covers every
+ *       byte of the file.
+ * </ul>
  */
 final class VersionWriter {
   static final int MAGIC = 0x656C6D73;
@@ -17,10 +24,10 @@
   static final byte VALUE = 1;
   static final byte REMOVAL = 2;
 
-  /** Magic, format, version, life, next sequence number, number of void versions. */
+  /** Magic, format, version, instance id, next sequence number, number of void versions. */
   static final int HEADER_BYTES = 4 + 4 + 8 + 8 + 8 + 4;
 
-  /** Kind, sequence number, length of the name, length of the bytes. */
+  /** Kind, sequence number, length of the name, length of the value. */
   static final int RECORD_HEADER_BYTES = 1 + 8 + 2 + 4;
 
   static final int END_BYTES = 1 + 4 + 4;
@@ -33,6 +40,11 @@
   private long appended;
   private int records;
 
+  /**
+   * Writes the header.
+   *
+   * @param chunk collects small writes; its content is discarded
+   */
   VersionWriter(
       FileSystem.Appender out,
       ByteBuffer chunk,
@@ -51,14 +63,14 @@
         .putLong(instanceId)
         .putLong(nextSeq)
         .putInt(voids.length);
-    for (long v : voids) {
-      header.putLong(v);
+    for (long voidVersion : voids) {
+      header.putLong(voidVersion);
     }
     putChecked(header.array());
     putChecksum();
   }
 
-  /** Bytes that a record takes in a file. */
+  /** The bytes that a record takes in a file. */
   static int recordBytes(byte[] name, byte[] bytes) {
     return RECORD_HEADER_BYTES + name.length + (bytes == null ? 0 : bytes.length) + 4;
   }
@@ -67,7 +79,7 @@
     return name.getBytes(StandardCharsets.UTF_8);
   }
 
-  /** Returns where the record begins. */
+  /** Writes a record; returns its offset in the file. */
   long writeRecord(byte[] name, long seq, byte[] bytes) throws IOException {
     long offset = appended + chunk.position();
     ByteBuffer header = ByteBuffer.allocate(RECORD_HEADER_BYTES);
@@ -86,7 +98,7 @@
     return offset;
   }
 
-  /** Writes the end and syncs; returns the file's length. */
+  /** Writes the end, and syncs the file; returns its size in bytes. */
   long finish() throws IOException {
     ByteBuffer end = ByteBuffer.allocate(END_BYTES);
     end.put(END).putInt(records);
--- a/storage/src/main/java/elmsail/storage/WriteQueue.java
+++ b/storage/src/main/java/elmsail/storage/WriteQueue.java
@@ -5,44 +5,60 @@
 import java.util.List;
 
 /**
- * Writes that wait for the disk, and those that fail with a batch that failed: all that is written
- * from there until the failure has been told. Guarded by the lock of {@link DirectoryRecordStore}.
+ * The writes that wait for the disk, and those that fail because a batch before them failed.
+ * Guarded by the lock of {@link DirectoryRecordStore}.
+ *
+ * <p>From the failure of a batch until {@link #endFailure()} all writes fail: they may have been
+ * made from values that were read while they were pending, and are now void.
  */
 final class WriteQueue {
-  /** Bytes that may wait for a disk that hangs. */
+  /** Limit on the bytes that wait for a disk that hangs. */
   static final long MAX_PENDING_BYTES = 64L * 1024 * 1024;
 
   private static final long MAX_BATCH_BYTES = 4L * 1024 * 1024;
 
   private final ArrayDeque<PendingWrite> queue = new ArrayDeque<>();
 
-  /** Of what waits, that being written included. */
+  /** The bytes of all writes that are queued or being written. */
   private long pendingBytes;
 
-  private boolean isFailing;
+  private boolean failing;
   private List<PendingWrite> failedSinceBatch = new ArrayList<>();
+  private boolean closed;
 
   boolean isEmpty() {
     return queue.isEmpty();
   }
 
-  /** How many bytes would wait with this one. */
-  long pendingBytesWith(PendingWrite pending) {
-    return pendingBytes + pending.bytes;
+  /** Ends the queue: what is queued is written still. */
+  void close() {
+    closed = true;
   }
 
-  /** Removals find room where values don't, as they are what makes room again. */
-  boolean hasCapacity(PendingWrite pending, boolean hasValues) {
-    return pendingBytesWith(pending)
-        <= (hasValues ? MAX_PENDING_BYTES : MAX_PENDING_BYTES + MAX_BATCH_BYTES);
+  boolean isClosed() {
+    return closed;
   }
 
-  void add(PendingWrite pending) {
-    pendingBytes += pending.bytes;
-    queue.add(pending);
+  /** The bytes that would be pending with this write. */
+  long pendingBytesWith(PendingWrite write) {
+    return pendingBytes + write.bytes;
   }
 
-  /** The next batch, taken off the queue; empty if nothing waits. */
+  /**
+   * Whether there is room for this write. Removals have a little more of it than values, as they
+   * are what frees space.
+   */
+  boolean hasCapacity(PendingWrite write) {
+    long limit = write.hasValues ? MAX_PENDING_BYTES : MAX_PENDING_BYTES + MAX_BATCH_BYTES;
+    return pendingBytesWith(write) <= limit;
+  }
+
+  void add(PendingWrite write) {
+    pendingBytes += write.bytes;
+    queue.add(write);
+  }
+
+  /** Takes the next batch off the queue; empty if nothing is queued. */
   List<PendingWrite> pollBatch() {
     List<PendingWrite> batch = new ArrayList<>();
     long bytes = 0;
@@ -54,14 +70,14 @@
   }
 
   void onBatchWritten(List<PendingWrite> batch) {
-    for (PendingWrite pending : batch) {
-      pendingBytes -= pending.bytes;
+    for (PendingWrite write : batch) {
+      pendingBytes -= write.bytes;
     }
   }
 
-  /** Fails the batch and all that waits behind it; returns them. */
+  /** Fails a batch and all that is queued behind it; returns them. */
   List<PendingWrite> failBatch(List<PendingWrite> batch) {
-    isFailing = true;
+    failing = true;
     List<PendingWrite> all = new ArrayList<>(batch);
     all.addAll(queue);
     queue.clear();
@@ -69,19 +85,19 @@
     return all;
   }
 
-  /** Whether a failure has not been told yet. */
+  /** Whether a batch failed and that has not been reported yet. */
   boolean isFailing() {
-    return isFailing;
+    return failing;
   }
 
-  /** May have been made from what was read as being written. */
-  void addToFailed(PendingWrite pending) {
-    failedSinceBatch.add(pending);
+  /** Lets a write fail with the batch that failed before it. */
+  void addToFailed(PendingWrite write) {
+    failedSinceBatch.add(write);
   }
 
-  /** Returns what was written since the failure; later writes are taken again. */
+  /** The failure is being reported: returns what failed since, and accepts writes again. */
   List<PendingWrite> endFailure() {
-    isFailing = false;
+    failing = false;
     List<PendingWrite> since = failedSinceBatch;
     failedSinceBatch = new ArrayList<>();
     return since;
