--- a/controlplane/src/test/java/elmsail/controlplane/PinnedDataDirectories.java
+++ b/controlplane/src/test/java/elmsail/controlplane/PinnedDataDirectories.java
@@ -122,7 +122,7 @@
   /** A control-plane node that has voted on each of the keys there are. */
   static void writeControlPlane(Path folder) {
     try (DirectoryRecordStore disk = open(folder)) {
-      RecordStore records = new SynchronousRecords(disk);
+      RecordStore records = new SynchronousRecords(disk, disk.instanceId());
       records.write(List.of(new Change("notary/born", new byte[] {1})));
       VoterSet voters = voterSet(disk.instanceId());
       BootstrapAcceptor founding = new BootstrapAcceptor();
@@ -247,7 +247,7 @@
       replica =
           new Replica(
               new ReplicaIdentity(set, OWN_ADDRESS, OWN_STATION),
-              new SynchronousRecords(disk),
+              new SynchronousRecords(disk, disk.instanceId()),
               new ReplicaListener() {},
               handlers,
               new NoCalls(),
@@ -297,49 +297,4 @@
       return new CompletableFuture<>();
     }
   }
-
-  /** Waits for each write, so that each is a file of its own. */
-  private record SynchronousRecords(DirectoryRecordStore disk) implements RecordStore {
-    @Override
-    public long instanceId() {
-      return disk.instanceId();
-    }
-
-    @Override
-    public boolean isNew() {
-      return disk.isNew();
-    }
-
-    @Override
-    public CompletableFuture<Void> write(List<Change> changes) {
-      CompletableFuture<Void> written = disk.write(changes);
-      written.join();
-      return written;
-    }
-
-    @Override
-    public byte[] read(String name) {
-      return disk.read(name);
-    }
-
-    @Override
-    public Map<String, byte[]> page(String after, int mostBytes) {
-      return disk.page(after, mostBytes);
-    }
-
-    @Override
-    public Iterable<String> names(String prefix) {
-      return disk.names(prefix);
-    }
-
-    @Override
-    public long bytesOnDisk() {
-      return disk.bytesOnDisk();
-    }
-
-    @Override
-    public void close() {
-      disk.close();
-    }
-  }
 }
--- /dev/null
+++ b/controlplane/src/test/java/elmsail/controlplane/SynchronousRecords.java
@@ -0,0 +1,53 @@
+package elmsail.controlplane;
+
+import elmsail.storage.DirectoryRecordStore;
+import elmsail.storage.RecordStore;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.CompletableFuture;
+
+/**
+ * A data directory that waits for each write, so that each is a file of its own and is done in the
+ * thread that asked for it.
+ *
+ * @param instanceId the instance that the process believes to be: the directory's own, or that of
+ *     the voter that a copy of the directory stands for
+ */
+record SynchronousRecords(DirectoryRecordStore disk, long instanceId) implements RecordStore {
+  @Override
+  public boolean isNew() {
+    return disk.isNew();
+  }
+
+  @Override
+  public CompletableFuture<Void> write(List<Change> changes) {
+    CompletableFuture<Void> written = disk.write(changes);
+    written.join();
+    return written;
+  }
+
+  @Override
+  public byte[] read(String name) {
+    return disk.read(name);
+  }
+
+  @Override
+  public Map<String, byte[]> page(String after, int mostBytes) {
+    return disk.page(after, mostBytes);
+  }
+
+  @Override
+  public Iterable<String> names(String prefix) {
+    return disk.names(prefix);
+  }
+
+  @Override
+  public long bytesOnDisk() {
+    return disk.bytesOnDisk();
+  }
+
+  @Override
+  public void close() {
+    disk.close();
+  }
+}
