--- /dev/null
+++ b/consensus/src/test/java/elmsail/consensus/BallotSearch.java
@@ -0,0 +1,240 @@
+package elmsail.consensus;
+
+import elmsail.rpc.messages.Ballot;
+import elmsail.rpc.messages.VoteResponse;
+
+/**
+ * The part of a model that is the same for all: a key of three voter slots, ballots 1, 2, ... of
+ * one proposer each, and reads by any two slots. Every request and response may be lost, late or
+ * repeated. The votes are decided by the production classes.
+ *
+ * <p>The value of a ballot is a set of marks, one bit for each ballot: what its prepare phase
+ * found, with its own mark added. So of two committed values the later contains the earlier.
+ */
+abstract class BallotSearch extends StateSearch {
+  static final int VOTERS = 3;
+
+  /** The fields of a proposer; a model may append its own. */
+  static final int PHASE = 0;
+
+  static final int VOTER_SET = 1;
+  static final int PROMISES = 2;
+  static final int HIGHEST_ACCEPTED = 3;
+  static final int MARKS = 4;
+  static final int ACCEPTS = 5;
+
+  /** The phases of a proposer, which begins idle. */
+  private static final int IDLE = 0;
+
+  private static final int PREPARE_PHASE = 1;
+  static final int ACCEPT_PHASE = 2;
+
+  final int ballots;
+  private final int firstProposer;
+  private final int proposerFields;
+
+  /**
+   * @param firstProposer the field at which the proposers begin
+   * @param proposerFields the number of fields of each
+   */
+  BallotSearch(int[] bits, int firstProposer, int proposerFields, int ballots) {
+    super(bits);
+    this.firstProposer = firstProposer;
+    this.proposerFields = proposerFields;
+    this.ballots = ballots;
+  }
+
+  /** The process that holds a slot under a voter set, which is numbered by the model. */
+  abstract int holder(int slot, int voterSet);
+
+  /** Whether a process votes on a request under a voter set; it may learn that on the way. */
+  abstract boolean votes(int[] state, int process, int voterSet);
+
+  /** Whether a proposer may know the voter set. */
+  abstract boolean isProposed(int[] state, int voterSet);
+
+  /** The number of voter sets under which reads are checked. */
+  abstract int readVoterSets(int[] state);
+
+  /** Whether the ballot has a prepare phase. */
+  boolean hasPreparePhase(int ballot) {
+    return true;
+  }
+
+  /** The ballot to be promised together with an accept. */
+  Ballot nextBallot(int ballot) {
+    return new Ballot();
+  }
+
+  /** A voter accepted the ballot. */
+  void onAccepted(int[] state, int ballot, int slot, VoteResponse response) {}
+
+  /** What else a proposer may do between its phases. */
+  void proposeOtherwise(int[] state, int ballot) {}
+
+  /** Whether a read counts the state of a key as a vote. */
+  boolean isVote(AcceptorState key) {
+    return !key.fromStateTransfer();
+  }
+
+  /** Whether a read may return a value that is not committed. */
+  boolean readsUncommitted() {
+    return false;
+  }
+
+  /** The field at which a proposer begins. */
+  final int proposer(int ballot) {
+    return firstProposer + ballot * proposerFields;
+  }
+
+  final boolean isCommitted(int[] state, int ballot) {
+    return isMajority(state[proposer(ballot) + ACCEPTS]);
+  }
+
+  static boolean isMajority(int slots) {
+    return Integer.bitCount(slots) >= VoterSets.majoritySize(VOTERS);
+  }
+
+  /** Pushes all states that may follow by a step of a proposer. */
+  final void propose(int[] state) {
+    for (int ballot = 0; ballot < ballots; ballot++) {
+      propose(state, ballot);
+    }
+  }
+
+  private void propose(int[] state, int ballot) {
+    int at = proposer(ballot);
+    if (state[at + PHASE] == IDLE) {
+      start(state, ballot);
+      return;
+    }
+    if (state[at + PHASE] == PREPARE_PHASE && isMajority(state[at + PROMISES])) {
+      int[] next = state.clone();
+      next[at + PHASE] = ACCEPT_PHASE;
+      next[at + PROMISES] = 0;
+      next[at + MARKS] |= 1 << ballot;
+      push(next);
+    }
+    proposeOtherwise(state, ballot);
+    for (int slot = 0; slot < VOTERS; slot++) {
+      if (hasPreparePhase(ballot)) {
+        prepare(state, ballot, slot);
+      }
+      if (state[at + PHASE] == ACCEPT_PHASE) {
+        accept(state, ballot, slot);
+      }
+    }
+  }
+
+  /** Starts a ballot under each voter set that a proposer may know. */
+  void start(int[] state, int ballot) {
+    for (int voterSet = 0; voterSet < 4; voterSet++) {
+      if (isProposed(state, voterSet)) {
+        int[] next = state.clone();
+        next[proposer(ballot) + PHASE] = PREPARE_PHASE;
+        next[proposer(ballot) + VOTER_SET] = voterSet;
+        push(next);
+      }
+    }
+  }
+
+  private void prepare(int[] state, int ballot, int slot) {
+    int at = proposer(ballot);
+    int[] next = state.clone();
+    int process = holder(slot, state[at + VOTER_SET]);
+    if (votes(next, process, state[at + VOTER_SET])) {
+      Acceptor.Decision decision = Acceptor.prepare(key(next, process), ballot(ballot + 1));
+      if (decision.newState() != null) {
+        put(next, process, decision.newState());
+      }
+      VoteResponse response = decision.response();
+      if (response.code == VoteResponse.OK
+          && state[at + PHASE] == PREPARE_PHASE
+          && (state[at + PROMISES] >> slot & 1) == 0) {
+        int[] received = next.clone();
+        received[at + PROMISES] |= 1 << slot;
+        if (response.accepted.round > received[at + HIGHEST_ACCEPTED]) {
+          received[at + HIGHEST_ACCEPTED] = (int) response.accepted.round;
+          received[at + MARKS] = response.value[0];
+        }
+        push(received);
+      }
+    }
+    // The response is lost, or late.
+    push(next);
+  }
+
+  private void accept(int[] state, int ballot, int slot) {
+    int at = proposer(ballot);
+    int[] next = state.clone();
+    int process = holder(slot, state[at + VOTER_SET]);
+    if (votes(next, process, state[at + VOTER_SET])) {
+      byte[] value = {(byte) state[at + MARKS]};
+      Acceptor.Decision decision =
+          Acceptor.accept(key(next, process), ballot(ballot + 1), nextBallot(ballot), value);
+      if (decision.newState() != null) {
+        put(next, process, decision.newState());
+      }
+      if (decision.response().code == VoteResponse.OK) {
+        next[at + ACCEPTS] |= 1 << slot;
+        onAccepted(next, ballot, slot, decision.response());
+      }
+    }
+    push(next);
+  }
+
+  /** Checks that later commits contain earlier ones, and that reads return the newest. */
+  final void checkInvariants(int[] state) {
+    int newest = 0;
+    for (int ballot = 0; ballot < ballots; ballot++) {
+      if (isCommitted(state, ballot)) {
+        newest = ballot + 1;
+        checkLaterBallots(state, ballot);
+      }
+    }
+    for (int voterSet = 0; voterSet < readVoterSets(state); voterSet++) {
+      for (int without = 0; without < VOTERS; without++) {
+        checkRead(state, voterSet, without, newest);
+      }
+    }
+  }
+
+  private void checkLaterBallots(int[] state, int ballot) {
+    for (int later = ballot + 1; later < ballots; later++) {
+      int marks = state[proposer(later) + MARKS];
+      if (isCommitted(state, later)
+          && (marks & (1 << ballot + 1) - 1) != state[proposer(ballot) + MARKS]) {
+        violation =
+            "ballot "
+                + (later + 1)
+                + " was committed without what ballot "
+                + (ballot + 1)
+                + " committed";
+      }
+    }
+  }
+
+  /** A read by two voter slots at once. */
+  private void checkRead(int[] state, int voterSet, int without, int newest) {
+    int found = -1;
+    for (int slot = 0; slot < VOTERS; slot++) {
+      if (slot == without) {
+        continue;
+      }
+      int process = holder(slot, voterSet);
+      AcceptorState key = key(state, process);
+      int accepted = (int) key.accepted().round;
+      if (!votes(state.clone(), process, voterSet)
+          || !isVote(key)
+          || found >= 0 && accepted != found) {
+        return;
+      }
+      found = accepted;
+    }
+    if (found < newest) {
+      violation = "a majority responds with ballot " + found + " where " + newest + " is committed";
+    } else if (!readsUncommitted() && found > 0 && !isCommitted(state, found - 1)) {
+      violation = "a majority responds with ballot " + found + ", which isn't committed";
+    }
+  }
+}
--- a/consensus/src/test/java/elmsail/consensus/BlobSecondLossTest.java
+++ b/consensus/src/test/java/elmsail/consensus/BlobSecondLossTest.java
@@ -71,46 +71,47 @@
     return false;
   }
 
-  private SimCluster set;
+  private SimCluster cluster;
 
   private void putWithout(int without) {
-    set = new SimCluster().bootstrapped();
-    set.kill(without);
+    cluster = new SimCluster().bootstrapped();
+    cluster.kill(without);
     Blob blob = new Blob();
     blob.name = "body";
     blob.bytes = new byte[20_000];
-    set.await(
-        set.client(set.initialVoters)
+    cluster.await(
+        cluster
+            .client(cluster.initialVoters)
             .change(
                 "key",
                 observed -> new ProposedValue(new byte[] {1}, List.of()),
                 List.of(blob),
                 null,
                 3_000));
-    set.start(without);
-    set.timers.advance(50);
-    assertThat(set.replicas[without].blob("key", "body") == null, is(true));
+    cluster.start(without);
+    cluster.timers.advance(50);
+    assertThat(cluster.replicas[without].blob("key", "body") == null, is(true));
   }
 
   private void wiped(int lost) {
-    set.kill(lost);
-    set.disks[lost].wipe();
-    set.start(lost);
-    set.replicas[lost].learn(set.initialVoters);
-    set.awaitVoting(lost, 5_000);
-    assertThat(set.replicas[lost].isVoting(), is(true));
+    cluster.kill(lost);
+    cluster.disks[lost].wipe();
+    cluster.start(lost);
+    cluster.replicas[lost].learn(cluster.initialVoters);
+    cluster.awaitVoting(lost, 5_000);
+    assertThat(cluster.replicas[lost].isVoting(), is(true));
   }
 
   /** The spare takes the slot of one that is gone, or that is there and retires. */
   private void replaced(int lost, boolean there) {
     if (!there) {
-      set.kill(lost);
+      cluster.kill(lost);
     }
-    set.replicas[3].learn(set.initialVoters);
-    set.replicas[3].join(lost, 2);
-    set.awaitVoting(3, 5_000);
-    assertThat(set.replicas[3].isVoting(), is(true));
-    set.kill(lost);
+    cluster.replicas[3].learn(cluster.initialVoters);
+    cluster.replicas[3].join(lost, 2);
+    cluster.awaitVoting(3, 5_000);
+    assertThat(cluster.replicas[3].isVoting(), is(true));
+    cluster.kill(lost);
   }
 
   /** One member lacks the blob; one is lost and made whole; right after it another is lost. */
@@ -130,13 +131,14 @@
             } else {
               replaced(first, kind == 2);
             }
-            set.kill(second);
-            set.disks[second].wipe();
-            byte[] read = set.await(set.client(set.initialVoters).readBlob("key", "body", 5_000));
+            cluster.kill(second);
+            cluster.disks[second].wipe();
+            byte[] read =
+                cluster.await(cluster.client(cluster.initialVoters).readBlob("key", "body", 5_000));
             String scenario =
                 without + " without, " + first + ", then " + second + ", kind " + kind;
             assertThat(scenario, read != null && read.length == 20_000, is(true));
-            assertThat(scenario, set.net.handlerFaults(), empty());
+            assertThat(scenario, cluster.net.handlerFaults(), empty());
             played++;
           }
         }
--- a/consensus/src/test/java/elmsail/consensus/ConcurrentJoinModel.java
+++ b/consensus/src/test/java/elmsail/consensus/ConcurrentJoinModel.java
@@ -1,6 +1,5 @@
 package elmsail.consensus;
 
-import elmsail.rpc.messages.Ballot;
 import elmsail.rpc.messages.JoinRequest;
 import elmsail.rpc.messages.JoinResponse;
 import elmsail.rpc.messages.VoteResponse;
@@ -9,13 +8,12 @@
 import java.util.List;
 
 /**
- * All that can happen, in whatever order, with one key of three voter slots (A, B, C) and two
- * claims at once: S takes A's voter slot, X takes C's. A and C may live on, or be silent for good
- * from any moment on, which is what the loss of their memory is. Decisions on claims, sources and
- * votes are the production classes'.
+ * All states that can be reached, in whatever order of events, with one key of three voter slots
+ * (A, B, C) and two joins at once: S claims A's slot, X claims C's. A and C may still vote, or be
+ * silent for good from any moment on, which is what the loss of their disks is. The decisions on
+ * claims and sources are the production classes'.
  */
-final class ConcurrentJoinModel extends StateSearch {
-  private static final int VOTERS = 3;
+final class ConcurrentJoinModel extends BallotSearch {
   private static final int S = 3;
   private static final int X = 4;
   private static final int PROCESSES = 5;
@@ -30,10 +28,12 @@
   /** 1: B acknowledged; 2: and knew the other claim. */
   private static final int RESPONSE_OF_B = 3;
 
-  /** 1: the other voter slot's holder acknowledged; 2: it isn't voting, and noted it. */
+  /** 1: the other voter slot's holder acknowledged; 2: it doesn't vote, and recorded it. */
   private static final int RESPONSE_OF_OTHER = 4;
 
-  /** 1: the one before in the other voter slot acknowledged; 2: it is replaced, and noted it. */
+  /**
+   * 1: the predecessor in the other voter slot acknowledged; 2: it is replaced, and recorded it.
+   */
   private static final int RESPONSE_OF_PREDECESSOR = 5;
 
   private static final int COPIED_B = 6;
@@ -42,7 +42,6 @@
   private static final int JOIN_FIELDS = 9;
   private static final int PROPOSERS = JOINS + 2 * JOIN_FIELDS;
 
-  /** Fields of a ballot: phase, voter set, promises, best ballot, best marks, accepts. */
   private static final int PROPOSER_FIELDS = 6;
 
   private static final int BALLOTS = 2;
@@ -50,7 +49,7 @@
   private static final int[] BITS = new int[SIZE];
   private static final String[] NAMES = {"a", "b", "c", "s", "x"};
 
-  /** What is done otherwise than it ought to be. */
+  /** What the model does wrong on purpose. */
   enum Defect {
     NONE,
     SUCCESSOR_NOT_QUERIED,
@@ -74,28 +73,26 @@
   }
 
   private final Defect defect;
-  private final int ballots;
   private final boolean restarts;
   private final VoterSet[] voterSets = new VoterSet[4];
 
   /**
-   * @param restarts each newcomer may end once in the middle of its claim, and begin it again
+   * @param restarts each joining process may be restarted once during its join
    */
   ConcurrentJoinModel(Defect defect, int ballots, boolean restarts) {
-    super(BITS);
+    super(BITS, PROPOSERS, PROPOSER_FIELDS, ballots);
     this.defect = defect;
-    this.ballots = ballots;
     this.restarts = restarts;
-    VoterSet founding = new VoterSet();
+    VoterSet initial = new VoterSet();
     for (int i = 0; i < VOTERS; i++) {
-      founding.voters.add(voter(NAMES[i], i, 1));
+      initial.voters.add(voter(NAMES[i], i, 1));
     }
     for (int known = 0; known < 4; known++) {
-      voterSets[known] = founding;
+      voterSets[known] = initial;
       for (int join = S; join <= X; join++) {
         if ((known & bit(join)) != 0) {
           Voter holder = voter(NAMES[join], join, 2);
-          Voter before = founding.voters.get(slotOf(join));
+          Voter before = initial.voters.get(slotOf(join));
           holder.previousAddress = before.address;
           holder.previousInstanceId = before.instanceId;
           holder.previousEpoch = before.epoch;
@@ -110,9 +107,7 @@
     checkInvariants(state);
     joiner(state, S);
     joiner(state, X);
-    for (int b = 0; b < ballots; b++) {
-      proposer(state, b);
-    }
+    propose(state);
   }
 
   private static int bit(int join) {
@@ -123,7 +118,8 @@
     return join == S ? 0 : 2;
   }
 
-  private static int holder(int slot, int known) {
+  @Override
+  int holder(int slot, int known) {
     return slot == 0 && (known & 1) != 0 ? S : slot == 2 && (known & 2) != 0 ? X : slot;
   }
 
@@ -163,18 +159,19 @@
     return process >= S && state[at(process) + STARTED] == 0;
   }
 
-  /** How a voter answers an ask under that voter set, which it may learn on the way. */
-  private int vote(int[] state, int process, int asked) {
+  /** The code of a vote on a request under a voter set, which the voter may learn on the way. */
+  private int vote(int[] state, int process, int requested) {
     ReplicaMembership membership = membership(state, process);
-    if (membership.voteCode(voterSets[asked]) != VoteResponse.STALE_VOTER_SET
-        && membership.learn(voterSets[asked])) {
-      learn(state, process, asked);
+    if (membership.voteCode(voterSets[requested]) != VoteResponse.STALE_VOTER_SET
+        && membership.learn(voterSets[requested])) {
+      learn(state, process, requested);
     }
-    return membership.voteCode(voterSets[asked]);
+    return membership.voteCode(voterSets[requested]);
   }
 
-  private boolean votes(int[] state, int process, int asked) {
-    return !absent(state, process) && vote(state, process, asked) == VoteResponse.OK;
+  @Override
+  boolean votes(int[] state, int process, int requested) {
+    return !absent(state, process) && vote(state, process, requested) == VoteResponse.OK;
   }
 
   private void joiner(int[] state, int join) {
@@ -240,8 +237,8 @@
   }
 
   /**
-   * Whom a claim asks: the voter slot of B, the other claimed voter slot's holder, or the one
-   * before in that.
+   * The process that a claim is sent to: the voter slot of B, the other claimed voter slot's
+   * holder, or the one before in that.
    */
   private static int recipient(int[] state, int join, int field) {
     int other = join == S ? X : S;
@@ -340,115 +337,13 @@
     push(next);
   }
 
-  private void proposer(int[] state, int b) {
-    int at = PROPOSERS + b * PROPOSER_FIELDS;
-    if (state[at] == 0) {
-      for (int voterSet = 0; voterSet < 4; voterSet++) {
-        if ((voterSet & ~(state[at(S) + STARTED] | 2 * state[at(X) + STARTED])) == 0) {
-          int[] next = state.clone();
-          next[at] = 1;
-          next[at + 1] = voterSet;
-          push(next);
-        }
-      }
-      return;
-    }
-    if (state[at] == 1 && Integer.bitCount(state[at + 2]) >= VoterSets.majoritySize(VOTERS)) {
-      int[] next = state.clone();
-      next[at] = 2;
-      next[at + 2] = 0;
-      next[at + 4] |= 1 << b;
-      push(next);
-    }
-    for (int slot = 0; slot < VOTERS; slot++) {
-      prepare(state, b, at, slot);
-      if (state[at] == 2) {
-        accept(state, b, at, slot);
-      }
-    }
-  }
-
-  private void prepare(int[] state, int b, int at, int slot) {
-    int[] next = state.clone();
-    int process = holder(slot, state[at + 1]);
-    if (votes(next, process, state[at + 1])) {
-      Acceptor.Decision decision = Acceptor.prepare(key(next, process), ballot(b + 1));
-      if (decision.newState() != null) {
-        put(next, process, decision.newState());
-      }
-      if (decision.response().code == VoteResponse.OK
-          && state[at] == 1
-          && (state[at + 2] >> slot & 1) == 0) {
-        int[] response = next.clone();
-        response[at + 2] |= 1 << slot;
-        if (decision.response().accepted.round > response[at + 3]) {
-          response[at + 3] = (int) decision.response().accepted.round;
-          response[at + 4] = decision.response().value[0];
-        }
-        push(response);
-      }
-    }
-    push(next);
-  }
-
-  private void accept(int[] state, int b, int at, int slot) {
-    int[] next = state.clone();
-    int process = holder(slot, state[at + 1]);
-    if (votes(next, process, state[at + 1])) {
-      Acceptor.Decision decision =
-          Acceptor.accept(
-              key(next, process), ballot(b + 1), new Ballot(), new byte[] {(byte) state[at + 4]});
-      if (decision.newState() != null) {
-        put(next, process, decision.newState());
-      }
-      if (decision.response().code == VoteResponse.OK) {
-        next[at + 5] |= 1 << slot;
-      }
-    }
-    push(next);
-  }
-
-  private void checkInvariants(int[] state) {
-    int newest = 0;
-    for (int b = 0; b < ballots; b++) {
-      newest = decided(state, b) ? b + 1 : newest;
-    }
-    if (newest == 2 && decided(state, 0) && (state[PROPOSERS + PROPOSER_FIELDS + 4] & 1) == 0) {
-      violation = "ballot 2 was decided without what ballot 1 decided";
-    }
-    for (int voterSet = 0; voterSet < 4; voterSet++) {
-      for (int without = 0; without < VOTERS; without++) {
-        read(state, voterSet, without, newest);
-      }
-    }
-  }
-
-  /** A read by two voter slots at once. */
-  private void read(int[] state, int voterSet, int without, int newest) {
-    int found = -1;
-    for (int slot = 0; slot < VOTERS; slot++) {
-      if (slot == without) {
-        continue;
-      }
-      int process = holder(slot, voterSet);
-      AcceptorState key = key(state, process);
-      int response = (int) key.accepted().round;
-      if (!votes(state.clone(), process, voterSet)
-          || key.fromStateTransfer()
-          || found >= 0 && response != found) {
-        return;
-      }
-      found = response;
-    }
-    if (found < newest) {
-      violation = "a majority tells of ballot " + found + " where " + newest + " is decided";
-    } else if (found > 0 && !decided(state, found - 1)) {
-      violation = "a majority tells of ballot " + found + ", which isn't decided";
-    }
+  @Override
+  boolean isProposed(int[] state, int voterSet) {
+    return (voterSet & ~(state[at(S) + STARTED] | 2 * state[at(X) + STARTED])) == 0;
   }
 
-  private static boolean decided(int[] state, int b) {
-    return Integer.bitCount(state[PROPOSERS + b * PROPOSER_FIELDS + 5])
-        >= VoterSets.majoritySize(VOTERS);
+  @Override
+  int readVoterSets(int[] state) {
+    return voterSets.length;
   }
 }
--- a/consensus/src/test/java/elmsail/consensus/DefectsTest.java
+++ b/consensus/src/test/java/elmsail/consensus/DefectsTest.java
@@ -40,7 +40,7 @@
     for (; seed < SEEDS && caught < 1; seed++) {
       RandomHistory history = all.get(name).apply(seed).run();
       for (String found : history.checker.faults) {
-        if (!found.startsWith("not seated") && !found.startsWith("no last")) {
+        if (!found.startsWith("not voting") && !found.startsWith("no last")) {
           caught++;
           first = first < 0 ? seed : first;
           fault = found;
--- a/consensus/src/test/java/elmsail/consensus/FaultyCluster.java
+++ b/consensus/src/test/java/elmsail/consensus/FaultyCluster.java
@@ -22,7 +22,8 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Keepers and clients of one set on one clock, over a network that loses, repeats, delays and cuts.
+ * Replicas and clients of one set on one clock that is moved by hand, over a network that loses,
+ * duplicates, delays and partitions, drawn from a seed.
  */
 final class FaultyCluster {
   final ManualTimers timers = new ManualTimers();
@@ -34,7 +35,7 @@
   int maxDelayMs = 6;
   long calls;
 
-  /** Whether one life was ever known in two voter slots. */
+  /** Whether an instance was ever known in two voter slots. */
   boolean instanceInTwoSlots;
 
   UnaryOperator<RpcClient> replicaCaller = rpcClient -> rpcClient;
@@ -93,7 +94,7 @@
     }
   }
 
-  /** Timers that end with the process's run. */
+  /** Timers that end when the process does. */
   private Timers timers(Node node) {
     int start = node.starts;
     return new Timers() {
@@ -146,7 +147,7 @@
     }
   }
 
-  /** One that is up and doesn't vote, or null. */
+  /** A node that is up and doesn't vote, or null. */
   Node idle() {
     Node idle = null;
     for (Node node : nodes.values()) {
@@ -177,7 +178,7 @@
   }
 
   private int delay() {
-    // Some stay long on their way.
+    // A few messages are very late.
     return 1 + random.nextInt(maxDelayMs) + (random.nextInt(40) == 0 ? random.nextInt(2_500) : 0);
   }
 
@@ -221,7 +222,7 @@
         });
   }
 
-  /** Founds the set on these addresses and lets it settle. */
+  /** Bootstraps the set with voters at these addresses. */
   VoterSet bootstrap(String... addresses) {
     VoterSet voterSet = new VoterSet();
     for (String address : addresses) {
@@ -241,24 +242,13 @@
     return voterSet;
   }
 
-  /** A client that knows this voter set, and lasts. */
+  /** A client that knows this voter set at first, and never crashes. */
   RegisterClient client(String name, long who, VoterSet known, UnaryOperator<RpcClient> wrapped) {
-    VoterSet[] current = {known};
     return new RegisterClient(
         "set",
         wrapped.apply(caller(name, timers)),
         timers,
-        new VoterSetSource() {
-          @Override
-          public VoterSet current() {
-            return current[0];
-          }
-
-          @Override
-          public void learn(VoterSet newer) {
-            current[0] = VoterSets.merge(current[0], newer);
-          }
-        },
+        new KnownVoterSet(known),
         who,
         "",
         address -> address.charAt(0));
@@ -268,7 +258,7 @@
     return client(name, who, known, rpcClient -> rpcClient);
   }
 
-  /** What the pulls do: each one that is up hears, now and then, what another one knows. */
+  /** Lets each node that is up learn the voter set of another, as the polls of a process do. */
   void gossip() {
     List<Node> up = new ArrayList<>();
     for (Node node : nodes.values()) {
@@ -284,7 +274,7 @@
     }
   }
 
-  /** The voter set as anyone knows it, on disks too. */
+  /** The newest voter set that any node knows or has on its disk. */
   VoterSet newest() {
     VoterSet newest = new VoterSet();
     for (Node node : nodes.values()) {
@@ -299,10 +289,7 @@
     return newest;
   }
 
-  /**
-   * Whether each voter slot but so many, as the newest that any knows, has a holder that is up and
-   * votes.
-   */
+  /** Whether at most so many slots of the newest voter set have no voter that is up and votes. */
   boolean isRedundant(int butFor) {
     int missing = 0;
     for (Voter voter : newest().voters) {
@@ -319,9 +306,9 @@
   }
 
   /**
-   * Whether the set must bear the loss of that holder's memory: of the other voter slots just one
-   * may have a holder that isn't voting, and there the one before has its records, claims nothing,
-   * and its successor lives.
+   * Whether the set must tolerate the loss of this node's disk: at most one other slot has a holder
+   * that doesn't vote, and there the predecessor has its records and claims no slot, and the
+   * successor still has its disk.
    */
   boolean toleratesLossOf(Node lost) {
     VoterSet newest = newest();
@@ -346,7 +333,7 @@
     return missing <= 1;
   }
 
-  /** As its disk has it, whether it is up or not. */
+  /** Whether the node is the voter of its slot by its disk, be it up or not. */
   private static boolean isVoterOnDisk(Node node, Voter voter) {
     VoterSet known = VoterSetCodec.decode(node.disk.durable.get("set/seating"));
     int own = VoterSets.slotOfInstance(known, node.disk.instanceId);
@@ -361,7 +348,7 @@
     for (Node node : nodes.values()) {
       state.append('\n').append(node.address).append(node.up ? " up" : " down");
       if (node.up) {
-        state.append(node.replica.isVoting() ? " seated, knows" : " knows");
+        state.append(node.replica.isVoting() ? " voting, knows" : " knows");
         for (Voter voter : node.replica.voterSet().voters) {
           state
               .append(' ')
@@ -377,7 +364,7 @@
     return state.toString();
   }
 
-  /** Runs until that future is done, at most so long. */
+  /** Runs until the future is done, or so much time has passed. */
   <T> T await(CompletableFuture<T> future, long maxMs) {
     long end = timers.now() + maxMs;
     while (!future.isDone() && timers.now() < end && timers.runNext()) {
--- a/consensus/src/test/java/elmsail/consensus/HistoriesTest.java
+++ b/consensus/src/test/java/elmsail/consensus/HistoriesTest.java
@@ -51,7 +51,7 @@
 
   private static void play(int seeds, int voters, boolean unfinished, boolean largeBlobs) {
     List<String> faults = new ArrayList<>();
-    int[] sums = new int[8];
+    Totals totals = new Totals();
     for (int seed = 0; seed < seeds; seed++) {
       RandomHistory history = new RandomHistory(seed, voters);
       if (unfinished) {
@@ -64,44 +64,52 @@
       for (String fault : history.checker.faults) {
         faults.add("seed " + seed + ": " + fault);
       }
-      sums[0] += history.changed;
-      sums[1] += history.read;
-      sums[2] += history.failed;
-      sums[3] += history.crashes;
-      sums[4] += history.wipes;
-      sums[5] += history.replacements;
-      sums[6] += history.unfinishedClaims;
-      sums[7] += history.wipesDuringClaims;
+      totals.add(history);
     }
-    System.out.println(
-        seeds
-            + " histories of "
-            + voters
-            + " seats: "
-            + sums[0]
-            + " changes, "
-            + sums[1]
-            + " reads, "
-            + sums[2]
-            + " failed, "
-            + sums[3]
-            + " crashes, "
-            + sums[4]
-            + " of them wipes, "
-            + sums[5]
-            + " replacements"
-            + (unfinished
-                ? ", "
-                    + sums[6]
-                    + " unfinished claims, with "
-                    + sums[7]
-                    + " wipes of another meanwhile"
-                : ""));
+    System.out.println(seeds + " histories of " + voters + " voters: " + totals);
     assertThat(faults, empty());
-    assertThat(sums[4], greaterThan(seeds / 2));
-    assertThat(sums[5], greaterThan(seeds / 2));
+    assertThat(totals.wipes, greaterThan(seeds / 2));
+    assertThat(totals.replacements, greaterThan(seeds / 2));
     if (unfinished) {
-      assertThat(sums[7], greaterThan(seeds / 8));
+      assertThat(totals.wipesDuringClaims, greaterThan(seeds / 8));
+    }
+  }
+
+  /** What happened in all histories together. */
+  private static final class Totals {
+    private int changes;
+    private int reads;
+    private int failures;
+    private int crashes;
+    private int wipes;
+    private int replacements;
+    private int unfinishedClaims;
+    private int wipesDuringClaims;
+
+    void add(RandomHistory history) {
+      changes += history.changed;
+      reads += history.read;
+      failures += history.failed;
+      crashes += history.crashes;
+      wipes += history.wipes;
+      replacements += history.replacements;
+      unfinishedClaims += history.unfinishedClaims;
+      wipesDuringClaims += history.wipesDuringClaims;
+    }
+
+    @Override
+    public String toString() {
+      return String.format(
+          "%d changes, %d reads, %d failed, %d crashes, %d of them wipes, %d replacements,"
+              + " %d unfinished claims, with %d wipes of another meanwhile",
+          changes,
+          reads,
+          failures,
+          crashes,
+          wipes,
+          replacements,
+          unfinishedClaims,
+          wipesDuringClaims);
     }
   }
 }
--- a/consensus/src/test/java/elmsail/consensus/InjectedDefects.java
+++ b/consensus/src/test/java/elmsail/consensus/InjectedDefects.java
@@ -10,18 +10,18 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.LongFunction;
 
-/** Faults put into a history on purpose, each of which its checker has to find. */
+/** Defects injected into histories, each of which the checker has to detect. */
 final class InjectedDefects {
   private InjectedDefects() {}
 
-  /** Each answer leaves before its write is safe. */
+  /** Each response leaves before its write is durable. */
   static RandomHistory respondsBeforeSync(long seed) {
     RandomHistory history = new RandomHistory(seed);
     history.onNodeCreated = node -> node.disk.completesBeforeSync = true;
     return history;
   }
 
-  /** One whose disk lost the keys goes on voting as who it was. */
+  /** A replica whose disk lost the keys goes on voting as the same instance. */
   static RandomHistory votesAfterLostDisk(long seed) {
     RandomHistory history = new RandomHistory(seed);
     history.onDiskWiped =
@@ -35,7 +35,7 @@
     return history;
   }
 
-  /** A claim that one holder acknowledged counts as if both had. */
+  /** A claim that one voter acknowledged counts as if both had. */
   static RandomHistory joinAcknowledgedByOne(long seed) {
     RandomHistory history = new RandomHistory(seed);
     FaultyCluster world = history.world;
@@ -79,7 +79,7 @@
     return history;
   }
 
-  /** Each kind by its name. */
+  /** All defects by their names. */
   static Map<String, LongFunction<RandomHistory>> all() {
     return Map.of(
         "answers before the sync",
--- a/consensus/src/test/java/elmsail/consensus/JoinInVainTest.java
+++ b/consensus/src/test/java/elmsail/consensus/JoinInVainTest.java
@@ -18,12 +18,13 @@
   private static final long LATE_MS = 1_500;
   private static final long MAX_JOIN_MS = 20_000;
 
-  private SimCluster set;
+  private SimCluster cluster;
   private String scenario;
 
   private void put(String value) {
-    set.await(
-        set.client(set.initialVoters)
+    cluster.await(
+        cluster
+            .client(cluster.initialVoters)
             .change(
                 "key",
                 observed -> new ProposedValue(value.getBytes(), List.of()),
@@ -33,46 +34,47 @@
   }
 
   private String read() {
-    return new String(set.await(set.client(set.initialVoters).read("key", null, 5_000)).value());
+    return new String(
+        cluster.await(cluster.client(cluster.initialVoters).read("key", null, 5_000)).value());
   }
 
   /** Slots 0 to 2 are held by 2, 1 and 3; 0 doesn't know that it was replaced. */
   private void clusterWithMovedSlots() {
-    set = new SimCluster().bootstrapped();
+    cluster = new SimCluster().bootstrapped();
     put("old");
-    set.net.isolate(SimCluster.ADDRESSES[2]);
-    set.replicas[3].learn(set.initialVoters);
-    set.replicas[3].join(2, 2);
-    set.awaitVoting(3, 5_000);
-    set.net.healAll();
-    set.replicas[2].learn(set.replicas[1].voterSet());
-    set.timers.advance(50);
-    set.net.isolate(SimCluster.ADDRESSES[0]);
-    set.replicas[2].join(0, 2);
-    set.awaitVoting(2, 5_000);
-    assertThat(set.replicas[2].isVoting() && set.replicas[3].isVoting(), is(true));
+    cluster.net.isolate(SimCluster.ADDRESSES[2]);
+    cluster.replicas[3].learn(cluster.initialVoters);
+    cluster.replicas[3].join(2, 2);
+    cluster.awaitVoting(3, 5_000);
+    cluster.net.healAll();
+    cluster.replicas[2].learn(cluster.replicas[1].voterSet());
+    cluster.timers.advance(50);
+    cluster.net.isolate(SimCluster.ADDRESSES[0]);
+    cluster.replicas[2].join(0, 2);
+    cluster.awaitVoting(2, 5_000);
+    assertThat(cluster.replicas[2].isVoting() && cluster.replicas[3].isVoting(), is(true));
     put("new");
   }
 
   private void restartAllWithOneWiped(boolean formerIsUp, boolean successorIsLate) {
     for (int i = 0; i < SimCluster.ADDRESSES.length; i++) {
-      set.kill(i);
+      cluster.kill(i);
     }
-    set.disks[2].wipe();
-    set.net.healAll();
-    set.start(1);
+    cluster.disks[2].wipe();
+    cluster.net.healAll();
+    cluster.start(1);
     if (formerIsUp) {
-      set.start(0);
+      cluster.start(0);
     }
     if (!successorIsLate) {
-      set.start(3);
+      cluster.start(3);
     }
-    set.timers.advance(20);
-    set.start(2);
-    set.replicas[2].learn(set.initialVoters);
+    cluster.timers.advance(20);
+    cluster.start(2);
+    cluster.replicas[2].learn(cluster.initialVoters);
     if (successorIsLate) {
-      set.timers.advance(LATE_MS);
-      set.start(3);
+      cluster.timers.advance(LATE_MS);
+      cluster.start(3);
     }
   }
 
@@ -81,8 +83,8 @@
     int[] others = {0, 1, 3};
     for (int i = 0; i < others.length; i++) {
       long ms = (slow >> i & 1) == 1 ? 30 : 1;
-      set.net.delay(SimCluster.ADDRESSES[2], SimCluster.ADDRESSES[others[i]], ms, ms);
-      set.net.delay(SimCluster.ADDRESSES[others[i]], SimCluster.ADDRESSES[2], ms, ms);
+      cluster.net.delay(SimCluster.ADDRESSES[2], SimCluster.ADDRESSES[others[i]], ms, ms);
+      cluster.net.delay(SimCluster.ADDRESSES[others[i]], SimCluster.ADDRESSES[2], ms, ms);
     }
   }
 
@@ -95,16 +97,16 @@
         clusterWithMovedSlots();
         delayResponses(slow);
         restartAllWithOneWiped((kind & 1) == 1, (kind & 2) == 2);
-        set.awaitVoting(2, MAX_JOIN_MS);
-        assertThat(scenario, set.replicas[2].isVoting(), is(true));
-        assertThat(scenario, set.replicas[3].isVoting(), is(true));
+        cluster.awaitVoting(2, MAX_JOIN_MS);
+        assertThat(scenario, cluster.replicas[2].isVoting(), is(true));
+        assertThat(scenario, cluster.replicas[3].isVoting(), is(true));
         assertThat(
             scenario,
-            set.replicas[2].voterSet().voters.get(0).address,
+            cluster.replicas[2].voterSet().voters.get(0).address,
             is(SimCluster.ADDRESSES[2]));
-        set.kill(1);
+        cluster.kill(1);
         assertThat(scenario, read(), is("new"));
-        assertThat(scenario, set.net.handlerFaults(), empty());
+        assertThat(scenario, cluster.net.handlerFaults(), empty());
         played++;
       }
     }
@@ -117,31 +119,32 @@
     for (int slow = 0; slow < 8; slow++) {
       for (int kind = 0; kind < 2; kind++) {
         scenario = "slow " + slow + ", kind " + kind;
-        set = new SimCluster().bootstrapped();
+        cluster = new SimCluster().bootstrapped();
         put("old");
-        set.net.isolate(SimCluster.ADDRESSES[2]);
-        set.replicas[3].learn(set.initialVoters);
-        set.replicas[3].join(2, 2);
-        set.awaitVoting(3, 5_000);
+        cluster.net.isolate(SimCluster.ADDRESSES[2]);
+        cluster.replicas[3].learn(cluster.initialVoters);
+        cluster.replicas[3].join(2, 2);
+        cluster.awaitVoting(3, 5_000);
         put("new");
         delayResponses(slow);
         for (int i = 0; i < SimCluster.ADDRESSES.length; i++) {
-          set.kill(i);
+          cluster.kill(i);
         }
-        set.disks[2].wipe();
-        set.net.healAll();
-        set.start(1);
-        set.start(2);
-        set.replicas[2].learn(set.initialVoters);
-        set.timers.advance(kind == 0 ? 0 : LATE_MS);
-        set.start(3);
-        set.timers.advance(6_000);
-        assertThat(scenario, set.replicas[1].isVoting() && set.replicas[3].isVoting(), is(true));
+        cluster.disks[2].wipe();
+        cluster.net.healAll();
+        cluster.start(1);
+        cluster.start(2);
+        cluster.replicas[2].learn(cluster.initialVoters);
+        cluster.timers.advance(kind == 0 ? 0 : LATE_MS);
+        cluster.start(3);
+        cluster.timers.advance(6_000);
+        assertThat(
+            scenario, cluster.replicas[1].isVoting() && cluster.replicas[3].isVoting(), is(true));
         assertThat(scenario, read(), is("new"));
-        set.replicas[2].join(0, 2);
-        set.awaitVoting(2, 5_000);
-        assertThat(scenario, set.replicas[2].isVoting(), is(true));
-        set.kill(1);
+        cluster.replicas[2].join(0, 2);
+        cluster.awaitVoting(2, 5_000);
+        assertThat(scenario, cluster.replicas[2].isVoting(), is(true));
+        cluster.kill(1);
         assertThat(scenario, read(), is("new"));
       }
     }
@@ -171,58 +174,58 @@
   }
 
   private void playUnfinishedTakeOver(int knows, int wiped, boolean gone, int slow) {
-    set = new SimCluster().bootstrapped();
+    cluster = new SimCluster().bootstrapped();
     put("new");
     for (int i = 0; i < 2; i++) {
       if (i != knows) {
-        set.net.cutBoth(SimCluster.ADDRESSES[3], SimCluster.ADDRESSES[i]);
+        cluster.net.cutBoth(SimCluster.ADDRESSES[3], SimCluster.ADDRESSES[i]);
       }
     }
-    set.replicas[3].learn(set.initialVoters);
-    set.replicas[3].join(2, 2);
-    set.timers.advance(1_500);
-    assertThat(scenario, set.replicas[3].isVoting(), is(false));
+    cluster.replicas[3].learn(cluster.initialVoters);
+    cluster.replicas[3].join(2, 2);
+    cluster.timers.advance(1_500);
+    assertThat(scenario, cluster.replicas[3].isVoting(), is(false));
     if (gone) {
-      set.kill(3);
+      cluster.kill(3);
     }
     if (wiped < 3) {
       for (int i = 0; i < 4; i++) {
         if (i != wiped) {
           long ms = (slow >> Math.min(i, 2) & 1) == 1 ? 30 : 1;
-          set.net.delay(SimCluster.ADDRESSES[wiped], SimCluster.ADDRESSES[i], ms, ms);
-          set.net.delay(SimCluster.ADDRESSES[i], SimCluster.ADDRESSES[wiped], ms, ms);
+          cluster.net.delay(SimCluster.ADDRESSES[wiped], SimCluster.ADDRESSES[i], ms, ms);
+          cluster.net.delay(SimCluster.ADDRESSES[i], SimCluster.ADDRESSES[wiped], ms, ms);
         }
       }
-      set.kill(wiped);
-      set.disks[wiped].wipe();
-      set.start(wiped);
-      set.replicas[wiped].learn(set.initialVoters);
+      cluster.kill(wiped);
+      cluster.disks[wiped].wipe();
+      cluster.start(wiped);
+      cluster.replicas[wiped].learn(cluster.initialVoters);
     }
-    set.net.healAll();
-    long end = set.timers.now() + MAX_JOIN_MS;
+    cluster.net.healAll();
+    long end = cluster.timers.now() + MAX_JOIN_MS;
     int least = gone && wiped == 3 ? 2 : 3;
-    while (votingSlots() < least && set.timers.now() < end && set.timers.runNext()) {
+    while (votingSlots() < least && cluster.timers.now() < end && cluster.timers.runNext()) {
       continue;
     }
     assertThat(scenario, votingSlots() >= least, is(true));
     assertThat(scenario, read(), is("new"));
-    assertThat(scenario, set.net.handlerFaults(), empty());
+    assertThat(scenario, cluster.net.handlerFaults(), empty());
   }
 
   /** Slots of the newest voter set whose holders vote. */
   private int votingSlots() {
-    VoterSet newest = set.initialVoters;
+    VoterSet newest = cluster.initialVoters;
     for (int i = 0; i < SimCluster.ADDRESSES.length; i++) {
-      if (set.net.nodeAt(SimCluster.ADDRESSES[i]) != null) {
-        newest = VoterSets.merge(newest, set.replicas[i].voterSet());
+      if (cluster.net.nodeAt(SimCluster.ADDRESSES[i]) != null) {
+        newest = VoterSets.merge(newest, cluster.replicas[i].voterSet());
       }
     }
     int voting = 0;
     for (int i = 0; i < SimCluster.ADDRESSES.length; i++) {
-      int slot = VoterSets.slotOfInstance(newest, set.disks[i].instanceId());
+      int slot = VoterSets.slotOfInstance(newest, cluster.disks[i].instanceId());
       if (slot >= 0
-          && set.net.nodeAt(SimCluster.ADDRESSES[i]) != null
-          && set.replicas[i].isVoting()) {
+          && cluster.net.nodeAt(SimCluster.ADDRESSES[i]) != null
+          && cluster.replicas[i].isVoting()) {
         voting++;
       }
     }
--- a/consensus/src/test/java/elmsail/consensus/LinearizabilityChecker.java
+++ b/consensus/src/test/java/elmsail/consensus/LinearizabilityChecker.java
@@ -7,14 +7,14 @@
 import java.util.TreeMap;
 
 /**
- * A checker for a key whose value is a list of marks, each appended once: this is linearizable just
- * if all values seen are beginnings of one list, and each holds all that was told before it was
- * asked for.
+ * A linearizability checker for a key whose value is a list of marks, each appended once: a history
+ * is linearizable if and only if all values read are prefixes of one list, and each contains what
+ * was reported before its call began.
  */
 final class LinearizabilityChecker {
   private String longest = "";
 
-  /** What had been told as held by which time: of the longest value, at each time. */
+  /** The longest value that had been reported by a time, at each time when that changed. */
   private final TreeMap<Long, String> longestReportedBy = new TreeMap<>();
 
   private final Map<String, String> onNotApplied = new TreeMap<>();
@@ -24,7 +24,7 @@
     return value == null ? "" : new String(value, StandardCharsets.US_ASCII);
   }
 
-  /** A value was told at the end of a call that began at {@code from}. */
+  /** A call that began at {@code startedAt} returned a value. */
   void onValueRead(long startedAt, long now, byte[] bytes) {
     String value = text(bytes);
     if (!value.startsWith(longest) && !longest.startsWith(value)) {
@@ -39,7 +39,7 @@
               + value
               + " where "
               + before.getValue()
-              + " was told before "
+              + " was reported before "
               + startedAt);
     }
     if (value.length() > longest.length()) {
@@ -51,7 +51,7 @@
     }
   }
 
-  /** This mark's change was told not to have been sent at all. */
+  /** The change of this mark failed in a way that excludes that it was applied. */
   void onNotApplied(String mark) {
     onNotApplied.put(mark, mark);
   }
@@ -63,7 +63,7 @@
     }
     for (String mark : onNotApplied.keySet()) {
       if (value.contains(mark)) {
-        faults.add("denied, and there: " + mark);
+        faults.add("reported as not applied, and found: " + mark);
       }
     }
     String[] marks = value.split(";");
--- a/consensus/src/test/java/elmsail/consensus/LossyRecordStore.java
+++ b/consensus/src/test/java/elmsail/consensus/LossyRecordStore.java
@@ -14,18 +14,20 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A disk whose writes take a while; a crash loses those not told to be safe, from some point on.
+ * A store whose writes take a while. A crash loses the writes that were not reported as durable,
+ * from some point on. Unlike {@code SimDisk} it draws its delays and batches from the random
+ * numbers of the whole run.
  */
 final class LossyRecordStore implements RecordStore {
   private record PendingWrite(List<Change> changes, CompletableFuture<Void> done) {}
 
-  /** What is on the disk itself. */
+  /** The content of a disk, which outlives its process. */
   static final class DiskImage {
     long instanceId;
     boolean everOpened;
     TreeMap<String, byte[]> durable = new TreeMap<>();
 
-    /** The defect: futures complete before anything is safe. */
+    /** A defect: writes complete before they are durable. */
     boolean completesBeforeSync;
   }
 
@@ -37,7 +39,7 @@
   private final ArrayDeque<PendingWrite> queue = new ArrayDeque<>();
   private boolean busy;
 
-  /** So many of the next writes fail, with all that waits behind them. */
+  /** How many of the next batches fail, with all that is queued behind them. */
   int writesToFail;
 
   LossyRecordStore(DiskImage disk, Timers timers, Random random) {
@@ -116,7 +118,7 @@
     }
   }
 
-  /** The power goes: some of what was under way may be on the disk all the same, in order. */
+  /** A power loss: some of the pending writes may be on the disk all the same, in order. */
   void crash() {
     int kept = disk.completesBeforeSync ? 0 : random.nextInt(queue.size() + 1);
     for (int i = 0; i < kept; i++) {
--- a/consensus/src/test/java/elmsail/consensus/PinnedNamesTest.java
+++ b/consensus/src/test/java/elmsail/consensus/PinnedNamesTest.java
@@ -11,9 +11,9 @@
 
   @Test
   void metrics() {
-    SimCluster set = new SimCluster();
+    SimCluster cluster = new SimCluster();
     assertThat(
-        PrometheusText.format(set.metrics[0].counters())
+        PrometheusText.format(cluster.metrics[0].counters())
             .lines()
             .filter(line -> line.contains("_replica_"))
             .toList(),
--- a/consensus/src/test/java/elmsail/consensus/PinnedRecordsTest.java
+++ b/consensus/src/test/java/elmsail/consensus/PinnedRecordsTest.java
@@ -144,26 +144,29 @@
   /** The records of a founded replica after one change with a blob. */
   @Test
   void aReplicaKeepsTheseRecords() {
-    SimCluster set = new SimCluster().bootstrapped();
+    SimCluster cluster = new SimCluster().bootstrapped();
     Blob blob = new Blob();
     blob.name = "body";
     blob.bytes = "blob".getBytes(StandardCharsets.US_ASCII);
-    set.await(
-        set.client(set.initialVoters)
+    cluster.await(
+        cluster
+            .client(cluster.initialVoters)
             .change(
                 "a/b",
                 observed -> new Register.ProposedValue(VALUE, List.of()),
                 List.of(blob),
                 null,
                 1_000));
-    set.timers.advance(100);
+    cluster.timers.advance(100);
     List<String> names = new ArrayList<>();
-    set.records[0].names("").forEach(names::add);
+    cluster.records[0].names("").forEach(names::add);
     assertThat(names, contains("set/b/a%2Fb/body", "set/k/a%2Fb", "set/seated", "set/seating"));
-    assertThat(set.records[0].read("set/b/a%2Fb/body"), equalTo(blob.bytes));
-    assertThat(set.records[0].read("set/seated"), equalTo(bytes("00000001")));
+    assertThat(cluster.records[0].read("set/b/a%2Fb/body"), equalTo(blob.bytes));
+    assertThat(cluster.records[0].read("set/seated"), equalTo(bytes("00000001")));
     assertThat(
-        set.records[0].read("set/seating"), equalTo(VoterSetCodec.encode(set.initialVoters)));
-    assertThat(AcceptorState.fromBytes(set.records[0].read("set/k/a%2Fb")).value(), equalTo(VALUE));
+        cluster.records[0].read("set/seating"),
+        equalTo(VoterSetCodec.encode(cluster.initialVoters)));
+    assertThat(
+        AcceptorState.fromBytes(cluster.records[0].read("set/k/a%2Fb")).value(), equalTo(VALUE));
   }
 }
--- a/consensus/src/test/java/elmsail/consensus/RandomHistory.java
+++ b/consensus/src/test/java/elmsail/consensus/RandomHistory.java
@@ -18,8 +18,8 @@
 import java.util.function.UnaryOperator;
 
 /**
- * One random run: clients that append and read, and trouble all the while; then quiet, and a last
- * read.
+ * One random run: clients append to a key and read it while faults are injected; then the faults
+ * end, and a last read is checked.
  */
 final class RandomHistory {
   private static final int CLIENTS = 3;
@@ -39,13 +39,15 @@
   int crashes;
   int replacements;
 
-  /** Spares' claims that don't come through, and then the loss of another holder's memory. */
+  /** Joins of spares that cannot complete. */
   int unfinishedClaims;
 
+  /** Disks of other voters that were lost meanwhile. */
   int wipesDuringClaims;
+
   private boolean withSpares;
 
-  /** Whether each change carries a blob of so many bytes that its first round is relayed. */
+  /** Whether each change carries a blob so large that its prepare is relayed. */
   private boolean largeBlobs;
 
   private final List<String> committedMarks = new ArrayList<>();
@@ -67,7 +69,7 @@
     return this;
   }
 
-  /** Every change carries a blob; at the end that of each change that held is read. */
+  /** Lets every change carry a blob; at the end the blob of each committed change is read. */
   RandomHistory withLargeBlobs() {
     largeBlobs = true;
     return this;
@@ -102,10 +104,10 @@
     }
     world.timers.advance(12_000);
     if (world.instanceInTwoSlots) {
-      checker.faults.add("a life in two seats");
+      checker.faults.add("an instance in two voter slots");
     }
     if (!world.isRedundant(0)) {
-      checker.faults.add("not seated again: " + world.state());
+      checker.faults.add("not voting again: " + world.state());
     }
     long from = world.timers.now();
     try {
@@ -123,7 +125,7 @@
     try {
       byte[] bytes = world.await(clients[0].readBlob("key", mark, 3_000), 4_000);
       if (bytes == null || bytes.length != RelaySelector.MIN_RELAYED_BYTES) {
-        checker.faults.add("held without its blob: " + mark);
+        checker.faults.add("committed without its blob: " + mark);
       }
     } catch (RuntimeException e) {
       checker.faults.add("no read of the blob of " + mark + ": " + e);
@@ -188,7 +190,7 @@
       }
       checker.onValueRead(from, world.timers.now(), committed.current().value());
       if (!LinearizabilityChecker.text(committed.current().value()).contains(mark)) {
-        checker.faults.add("held without its mark: " + mark);
+        checker.faults.add("committed without its mark: " + mark);
       }
       return;
     }
@@ -226,8 +228,7 @@
   }
 
   /**
-   * A spare that reaches all but one or two of those it needs; then one of these may lose its
-   * memory.
+   * Starts the join of a spare that lacks one or two acknowledgers, of which one may lose its disk.
    */
   private void claimWithoutEnd(boolean redundant) {
     FaultyCluster.Node spare = world.idle();
@@ -291,10 +292,7 @@
         });
   }
 
-  /**
-   * A process without a voter slot takes the voter slot of one that is cut off or down, which comes
-   * back later.
-   */
+  /** Lets a node without a slot take over that of one that is partitioned or down for a while. */
   private void replace(boolean redundant) {
     FaultyCluster.Node idle = world.idle();
     if (!redundant || idle == null || idle.replica.voterSet().voters.isEmpty()) {
--- a/consensus/src/test/java/elmsail/consensus/ReplacedVoterTest.java
+++ b/consensus/src/test/java/elmsail/consensus/ReplacedVoterTest.java
@@ -17,14 +17,15 @@
 
 /** A spare's claim that can't be finished, and another holder that loses its memory. */
 class ReplacedVoterTest {
-  private final SimCluster set = new SimCluster();
+  private final SimCluster cluster = new SimCluster();
 
   private void put(String value) {
     Blob blob = new Blob();
     blob.name = "blob " + value;
     blob.bytes = new byte[9];
-    set.await(
-        set.client(set.initialVoters)
+    cluster.await(
+        cluster
+            .client(cluster.initialVoters)
             .change(
                 "key",
                 observed -> new ProposedValue(value.getBytes(), List.of()),
@@ -34,7 +35,8 @@
   }
 
   private String read() {
-    return new String(set.await(set.client(set.initialVoters).read("key", null, 3_000)).value());
+    return new String(
+        cluster.await(cluster.client(cluster.initialVoters).read("key", null, 3_000)).value());
   }
 
   /**
@@ -42,58 +44,58 @@
    * known at 1 alone.
    */
   private void joinOfSpareKnownAtOneVoter() {
-    set.bootstrapped();
+    cluster.bootstrapped();
     put("old");
-    set.kill(1);
+    cluster.kill(1);
     put("new");
-    set.start(1);
-    set.timers.advance(20);
-    set.net.cutBoth(SimCluster.ADDRESSES[3], SimCluster.ADDRESSES[2]);
-    set.replicas[3].learn(set.initialVoters);
-    set.replicas[3].join(0, 2);
-    set.timers.advance(1_500);
-    assertThat(set.replicas[1].voterSet().voters.get(0).address, is(SimCluster.ADDRESSES[3]));
-    assertThat(set.replicas[3].isVoting(), is(false));
+    cluster.start(1);
+    cluster.timers.advance(20);
+    cluster.net.cutBoth(SimCluster.ADDRESSES[3], SimCluster.ADDRESSES[2]);
+    cluster.replicas[3].learn(cluster.initialVoters);
+    cluster.replicas[3].join(0, 2);
+    cluster.timers.advance(1_500);
+    assertThat(cluster.replicas[1].voterSet().voters.get(0).address, is(SimCluster.ADDRESSES[3]));
+    assertThat(cluster.replicas[3].isVoting(), is(false));
   }
 
   private void wipe(int i) {
-    set.kill(i);
-    set.disks[i].wipe();
-    set.start(i);
-    set.replicas[i].learn(set.replicas[1].voterSet());
+    cluster.kill(i);
+    cluster.disks[i].wipe();
+    cluster.start(i);
+    cluster.replicas[i].learn(cluster.replicas[1].voterSet());
   }
 
   private void assertAllVoteAndNothingIsLost() {
-    set.awaitVoting(2, 10_000);
-    set.awaitVoting(3, 10_000);
-    assertThat(set.replicas[2].isVoting() && set.replicas[3].isVoting(), is(true));
+    cluster.awaitVoting(2, 10_000);
+    cluster.awaitVoting(3, 10_000);
+    assertThat(cluster.replicas[2].isVoting() && cluster.replicas[3].isVoting(), is(true));
     assertThat(read(), is("new"));
-    set.kill(1);
-    set.kill(0);
+    cluster.kill(1);
+    cluster.kill(0);
     assertThat(read(), is("new"));
-    assertThat(set.replicas[2].blob("key", "blob new").length, is(9));
-    assertThat(set.replicas[3].blob("key", "blob new").length, is(9));
-    assertThat(set.net.handlerFaults(), empty());
+    assertThat(cluster.replicas[2].blob("key", "blob new").length, is(9));
+    assertThat(cluster.replicas[3].blob("key", "blob new").length, is(9));
+    assertThat(cluster.net.handlerFaults(), empty());
   }
 
   @Test
   void replacedVoterStandsInForASpareThatDoesNotVote() {
     joinOfSpareKnownAtOneVoter();
     wipe(2);
-    set.net.healAll();
+    cluster.net.healAll();
     assertAllVoteAndNothingIsLost();
   }
 
   @Test
   void replacedVoterStandsInAlsoIfItKnowsItsSuccessor() {
     joinOfSpareKnownAtOneVoter();
-    set.replicas[0].learn(set.replicas[1].voterSet());
-    set.timers.advance(20);
-    assertThat(set.replicas[0].isVoting(), is(false));
-    set.kill(0);
-    set.start(0);
+    cluster.replicas[0].learn(cluster.replicas[1].voterSet());
+    cluster.timers.advance(20);
+    assertThat(cluster.replicas[0].isVoting(), is(false));
+    cluster.kill(0);
+    cluster.start(0);
     wipe(2);
-    set.net.healAll();
+    cluster.net.healAll();
     assertAllVoteAndNothingIsLost();
   }
 
@@ -101,115 +103,115 @@
   void replacedVoterStandsInAlsoIfBothJoinsAreRestarted() {
     joinOfSpareKnownAtOneVoter();
     wipe(2);
-    set.kill(3);
-    set.timers.advance(700);
-    set.start(3);
-    set.net.healAll();
-    set.timers.advance(8);
-    set.kill(2);
-    set.start(2);
+    cluster.kill(3);
+    cluster.timers.advance(700);
+    cluster.start(3);
+    cluster.net.healAll();
+    cluster.timers.advance(8);
+    cluster.kill(2);
+    cluster.start(2);
     assertAllVoteAndNothingIsLost();
   }
 
   @Test
   void replacedVoterThatLostItsDiskDoesNotStandIn() {
     joinOfSpareKnownAtOneVoter();
-    set.replicas[0].learn(set.replicas[1].voterSet());
-    set.kill(0);
-    set.disks[0].wipe();
-    set.start(0);
+    cluster.replicas[0].learn(cluster.replicas[1].voterSet());
+    cluster.kill(0);
+    cluster.disks[0].wipe();
+    cluster.start(0);
     wipe(2);
-    set.net.healAll();
-    set.timers.advance(10_000);
-    assertThat(set.replicas[2].isVoting() || set.replicas[3].isVoting(), is(false));
+    cluster.net.healAll();
+    cluster.timers.advance(10_000);
+    assertThat(cluster.replicas[2].isVoting() || cluster.replicas[3].isVoting(), is(false));
   }
 
   @Test
   void replacedVoterWhoseSuccessorMayVoteDoesNotStandIn() {
     joinOfSpareKnownAtOneVoter();
-    set.kill(3);
+    cluster.kill(3);
     wipe(2);
-    set.net.healAll();
-    set.timers.advance(10_000);
-    assertThat(set.replicas[2].isVoting(), is(false));
-    set.start(3);
+    cluster.net.healAll();
+    cluster.timers.advance(10_000);
+    assertThat(cluster.replicas[2].isVoting(), is(false));
+    cluster.start(3);
     assertAllVoteAndNothingIsLost();
   }
 
   @Test
   void replacedVoterJoinsAnotherSlotOnlyOnceItsSuccessorVotes() {
     joinOfSpareKnownAtOneVoter();
-    set.replicas[0].learn(set.replicas[1].voterSet());
-    set.replicas[0].join(1, 2);
-    set.timers.advance(1_000);
-    assertThat(set.replicas[0].membership.ownSlot(), is(-1));
-    assertThat(set.replicas[0].acceptedValue("key"), is("new".getBytes()));
-    set.net.healAll();
-    set.awaitVoting(3, 5_000);
-    set.replicas[0].learn(set.replicas[3].voterSet());
-    set.replicas[0].join(1, 2);
-    set.awaitVoting(0, 5_000);
-    assertThat(set.replicas[0].voterSet().voters.get(1).address, is(SimCluster.ADDRESSES[0]));
-    assertThat(set.replicas[0].isVoting(), is(true));
+    cluster.replicas[0].learn(cluster.replicas[1].voterSet());
+    cluster.replicas[0].join(1, 2);
+    cluster.timers.advance(1_000);
+    assertThat(cluster.replicas[0].membership.ownSlot(), is(-1));
+    assertThat(cluster.replicas[0].acceptedValue("key"), is("new".getBytes()));
+    cluster.net.healAll();
+    cluster.awaitVoting(3, 5_000);
+    cluster.replicas[0].learn(cluster.replicas[3].voterSet());
+    cluster.replicas[0].join(1, 2);
+    cluster.awaitVoting(0, 5_000);
+    assertThat(cluster.replicas[0].voterSet().voters.get(1).address, is(SimCluster.ADDRESSES[0]));
+    assertThat(cluster.replicas[0].isVoting(), is(true));
     assertThat(read(), is("new"));
   }
 
   /** It acknowledges as who it was, and has nothing of what its successor voted for. */
   @Test
   void replacedVoterIsNoSourceOnceItsSuccessorVotes() {
-    set.bootstrapped();
+    cluster.bootstrapped();
     put("old");
-    set.replicas[3].learn(set.initialVoters);
-    set.replicas[3].join(0, 2);
-    set.awaitVoting(3, 5_000);
-    assertThat(set.replicas[0].isVoting() && set.replicas[3].isVoting(), is(true));
-    set.kill(1);
+    cluster.replicas[3].learn(cluster.initialVoters);
+    cluster.replicas[3].join(0, 2);
+    cluster.awaitVoting(3, 5_000);
+    assertThat(cluster.replicas[0].isVoting() && cluster.replicas[3].isVoting(), is(true));
+    cluster.kill(1);
     put("new");
-    set.start(1);
-    set.timers.advance(20);
-    set.kill(2);
-    set.disks[2].wipe();
-    set.start(2);
-    set.replicas[2].learn(set.initialVoters);
-    set.awaitVoting(2, 10_000);
-    assertThat(set.replicas[2].isVoting(), is(true));
-    set.kill(3);
+    cluster.start(1);
+    cluster.timers.advance(20);
+    cluster.kill(2);
+    cluster.disks[2].wipe();
+    cluster.start(2);
+    cluster.replicas[2].learn(cluster.initialVoters);
+    cluster.awaitVoting(2, 10_000);
+    assertThat(cluster.replicas[2].isVoting(), is(true));
+    cluster.kill(3);
     assertThat(read(), is("new"));
   }
 
   /** Else it would raise its epoch, and take the voter slot from one that has just been voting. */
   @Test
   void restartedSpareStillYieldsToARival() {
-    set.bootstrapped();
+    cluster.bootstrapped();
     put("new");
-    set.net.cutBoth(SimCluster.ADDRESSES[3], SimCluster.ADDRESSES[1]);
-    set.net.cutBoth(SimCluster.ADDRESSES[3], SimCluster.ADDRESSES[2]);
-    set.replicas[3].learn(set.initialVoters);
-    set.replicas[3].join(0, 2);
-    set.timers.advance(500);
+    cluster.net.cutBoth(SimCluster.ADDRESSES[3], SimCluster.ADDRESSES[1]);
+    cluster.net.cutBoth(SimCluster.ADDRESSES[3], SimCluster.ADDRESSES[2]);
+    cluster.replicas[3].learn(cluster.initialVoters);
+    cluster.replicas[3].join(0, 2);
+    cluster.timers.advance(500);
     wipe(0);
-    set.awaitVoting(0, 5_000);
-    assertThat(set.replicas[0].isVoting(), is(true));
-    set.kill(3);
-    set.start(3);
-    set.net.healAll();
-    set.timers.advance(10_000);
-    assertThat(set.replicas[0].isVoting(), is(true));
-    assertThat(set.replicas[0].voterSet().voters.get(0).epoch, is(2));
-    assertThat(set.replicas[3].voterSet().voters.get(0).address, is(SimCluster.ADDRESSES[0]));
+    cluster.awaitVoting(0, 5_000);
+    assertThat(cluster.replicas[0].isVoting(), is(true));
+    cluster.kill(3);
+    cluster.start(3);
+    cluster.net.healAll();
+    cluster.timers.advance(10_000);
+    assertThat(cluster.replicas[0].isVoting(), is(true));
+    assertThat(cluster.replicas[0].voterSet().voters.get(0).epoch, is(2));
+    assertThat(cluster.replicas[3].voterSet().voters.get(0).address, is(SimCluster.ADDRESSES[0]));
   }
 
   /** The two that are gone refuse its calls before the third tells it of the newer voter set. */
   @Test
   void clientLearnsOfANewerVoterSetFromALateResponse() {
-    set.bootstrapped();
+    cluster.bootstrapped();
     put("new");
-    set.kill(0);
-    set.replicas[3].learn(set.replicas[1].voterSet());
-    set.replicas[3].join(0, 2);
-    set.awaitVoting(3, 3_000);
-    set.kill(1);
-    set.net.delay(20, 20);
+    cluster.kill(0);
+    cluster.replicas[3].learn(cluster.replicas[1].voterSet());
+    cluster.replicas[3].join(0, 2);
+    cluster.awaitVoting(3, 3_000);
+    cluster.kill(1);
+    cluster.net.delay(20, 20);
     for (int i = 0; i < 10; i++) {
       assertThat(read(), is("new"));
       put("new");
--- a/consensus/src/test/java/elmsail/consensus/ReplicaMetricsTest.java
+++ b/consensus/src/test/java/elmsail/consensus/ReplicaMetricsTest.java
@@ -22,24 +22,25 @@
 
 /** What a replica tells of itself, and the invariant that it checks. */
 class ReplicaMetricsTest {
-  private final SimCluster set = new SimCluster();
+  private final SimCluster cluster = new SimCluster();
 
   private long metric(int replica, String name) {
-    return set.metrics[replica].counters().counter(name).value();
+    return cluster.metrics[replica].counters().counter(name).value();
   }
 
   private long refused(int replica, String reason) {
     MetricName name =
         new MetricName("replica_refused_" + reason, "replica_refused", "reason", reason);
-    return set.metrics[replica].counters().counter(name).value();
+    return cluster.metrics[replica].counters().counter(name).value();
   }
 
   private void put(String value) {
     Blob blob = new Blob();
     blob.name = "blob " + value;
     blob.bytes = new byte[9];
-    set.await(
-        set.client(set.initialVoters)
+    cluster.await(
+        cluster
+            .client(cluster.initialVoters)
             .change(
                 "key",
                 observed -> new ProposedValue(value.getBytes(), List.of()),
@@ -50,18 +51,18 @@
 
   @Test
   void countsRequestsAndRecords() {
-    set.bootstrapped();
+    cluster.bootstrapped();
     assertThat(metric(0, "replica_voting"), is(1L));
     assertThat("a spare", metric(3, "replica_voting"), is(0L));
     put("one");
     put("two");
-    set.timers.advance(50);
+    cluster.timers.advance(50);
     assertThat(metric(0, "replica_prepares_answered"), greaterThan(0L));
     assertThat(metric(0, "replica_accepts_answered"), greaterThan(0L));
     assertThat(metric(0, "replica_keys_kept"), is(1L));
     assertThat(metric(0, "replica_blobs_kept"), is(2L));
-    set.await(set.client(set.initialVoters).read("key", null, 3_000));
-    set.timers.advance(50);
+    cluster.await(cluster.client(cluster.initialVoters).read("key", null, 3_000));
+    cluster.timers.advance(50);
     long reads = 0;
     for (int i = 0; i < 3; i++) {
       reads += metric(i, "replica_reads_answered");
@@ -71,17 +72,17 @@
 
   @Test
   void countsJoinsAndRefusalsByReason() {
-    set.bootstrapped();
-    set.net.cutBoth(SimCluster.ADDRESSES[3], SimCluster.ADDRESSES[0]);
-    set.net.cutBoth(SimCluster.ADDRESSES[3], SimCluster.ADDRESSES[1]);
-    set.net.cutBoth(SimCluster.ADDRESSES[3], SimCluster.ADDRESSES[2]);
-    set.replicas[3].learn(set.initialVoters);
-    set.replicas[3].join(0, 2);
-    set.timers.advance(500);
+    cluster.bootstrapped();
+    cluster.net.cutBoth(SimCluster.ADDRESSES[3], SimCluster.ADDRESSES[0]);
+    cluster.net.cutBoth(SimCluster.ADDRESSES[3], SimCluster.ADDRESSES[1]);
+    cluster.net.cutBoth(SimCluster.ADDRESSES[3], SimCluster.ADDRESSES[2]);
+    cluster.replicas[3].learn(cluster.initialVoters);
+    cluster.replicas[3].join(0, 2);
+    cluster.timers.advance(500);
     assertThat(metric(3, "replica_join_under_way"), is(1L));
     assertThat(metric(3, "replica_voting"), is(0L));
-    set.net.healAll();
-    set.awaitVoting(3, 5_000);
+    cluster.net.healAll();
+    cluster.awaitVoting(3, 5_000);
     assertThat(metric(3, "replica_join_under_way"), is(0L));
     assertThat(metric(3, "replica_voting"), is(1L));
     put("under the old voter set");
@@ -122,16 +123,16 @@
 
   @Test
   void corruptRecordIsDetectedWhenAVoterReadsIt() {
-    set.bootstrapped();
+    cluster.bootstrapped();
     AcceptorState corrupt =
         new AcceptorState(Ballots.of(3, 1), Ballots.of(4, 1), false, "value".getBytes());
-    set.records[0].write(List.of(new Change("set/k/key", corrupt.toBytes())));
-    set.timers.advance(50);
-    set.client(set.initialVoters).read("key", null, 500);
+    cluster.records[0].write(List.of(new Change("set/k/key", corrupt.toBytes())));
+    cluster.timers.advance(50);
+    cluster.client(cluster.initialVoters).read("key", null, 500);
     InvariantViolation thrown =
-        assertThrows(InvariantViolation.class, () -> set.timers.advance(700));
+        assertThrows(InvariantViolation.class, () -> cluster.timers.advance(700));
     assertThat(thrown.getMessage(), containsString("set: key key"));
-    assertThat(set.metrics[0].invariants().violations(), greaterThan(0L));
-    assertThat(set.metrics[1].invariants().violations(), is(0L));
+    assertThat(cluster.metrics[0].invariants().violations(), greaterThan(0L));
+    assertThat(cluster.metrics[1].invariants().violations(), is(0L));
   }
 }
--- a/consensus/src/test/java/elmsail/consensus/SimCluster.java
+++ b/consensus/src/test/java/elmsail/consensus/SimCluster.java
@@ -11,7 +11,7 @@
 import elmsail.storage.RecordStore;
 import java.util.concurrent.CompletableFuture;
 
-/** Three replicas and a spare on the simulated network and disks. */
+/** Three voters and a spare on the simulated network and disks. */
 final class SimCluster {
   static final String[] ADDRESSES = {"10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7", "10.0.0.4:7"};
 
@@ -70,26 +70,15 @@
     disks[i].powerLoss();
   }
 
-  /** A client at an address of its own; the counts are of its calls by kind of ask. */
+  /** A client at an address of its own, whose calls are counted in {@link #requestCounts}. */
   RegisterClient client(VoterSet known) {
     String address = "10.0.1." + ++clients + ":7";
     SimNode node = net.startNode(address);
-    VoterSet[] current = {known};
     return new RegisterClient(
         "set",
         new CountingClient(node.rpcClient()),
         node.timers(),
-        new VoterSetSource() {
-          @Override
-          public VoterSet current() {
-            return current[0];
-          }
-
-          @Override
-          public void learn(VoterSet newer) {
-            current[0] = VoterSets.merge(current[0], newer);
-          }
-        },
+        new KnownVoterSet(known),
         1_000 + clients,
         address,
         to -> to.charAt(7) - '0');
--- a/consensus/src/test/java/elmsail/consensus/SingleJoinModel.java
+++ b/consensus/src/test/java/elmsail/consensus/SingleJoinModel.java
@@ -6,13 +6,12 @@
 import elmsail.rpc.messages.VoterSet;
 
 /**
- * All that can happen, in whatever order, with one key of three voter slots (A, B, C), a newcomer N
- * that claims A's voter slot while A may live on, and three ballots of two askers: calls and
- * answers are lost, late and repeated, N may be restarted in the middle. The voters' decisions are
- * the production classes'. The second ballot may be the first's {@code next}. Each ballot's value
- * is what was found with a mark added, so that of two decided values the later holds the earlier.
+ * All states that can be reached, in whatever order of events, with one key of three voter slots
+ * (A, B, C), a join N that claims A's slot while A may still vote, and three ballots of two
+ * proposers: N may be restarted during its join, and the second ballot may be promised with the
+ * first one's accepts.
  */
-final class SingleJoinModel extends StateSearch {
+final class SingleJoinModel extends BallotSearch {
   private static final int A = 0;
   private static final int N = 3;
   private static final int BALLOTS = 3;
@@ -26,17 +25,21 @@
   private static final int FORGOT = JOIN + 5;
   private static final int PROPOSERS = JOIN + 6;
 
-  /**
-   * Fields of a ballot: phase, voter set, promises, best ballot, best marks, accepts, next
-   * promised.
-   */
+  /** The slots that promised the next ballot together with an accept. */
+  private static final int NEXT_PROMISES = 6;
+
   private static final int PROPOSER_FIELDS = 7;
 
+  /** The voter sets: without the join's claim, and with it. */
+  private static final int BEFORE = 0;
+
+  private static final int AFTER = 1;
+
   private static final int SIZE = PROPOSERS + BALLOTS * PROPOSER_FIELDS;
   private static final int[] BITS = bits();
   private static final String[] NAMES = {"a", "b", "c", "n"};
 
-  /** What is done otherwise than it ought to be. */
+  /** What the model does wrong on purpose. */
   enum Defect {
     NONE,
     AMNESIA,
@@ -49,19 +52,17 @@
   }
 
   private final Defect defect;
-  private final int ballots;
   private final boolean promisedAhead;
   private final VoterSet before = new VoterSet();
   private final VoterSet after;
 
   /**
-   * @param sticky the second ballot is promised with the first one's accepts, and has no first
-   *     round
+   * @param promisedAhead the second ballot is promised with the first one's accepts, and has no
+   *     prepare phase
    */
   SingleJoinModel(Defect defect, int ballots, boolean sticky) {
-    super(BITS);
+    super(BITS, PROPOSERS, PROPOSER_FIELDS, ballots);
     this.defect = defect;
-    this.ballots = ballots;
     this.promisedAhead = sticky;
     for (int i = 0; i < N; i++) {
       before.voters.add(voter(NAMES[i], i, 1));
@@ -85,9 +86,7 @@
   void visit(int[] state) {
     checkInvariants(state);
     joiner(state);
-    for (int b = 0; b < ballots; b++) {
-      proposer(state, b);
-    }
+    propose(state);
   }
 
   private ReplicaMembership membership(int[] state, int process) {
@@ -97,17 +96,15 @@
         NAMES[process], NAMES[process], process + 1, knows ? after : before, caughtUp);
   }
 
-  /**
-   * What the replica does with an ask under a voter set: true if it votes; it may have learnt on
-   * the way.
-   */
-  private boolean votes(int[] state, int process, boolean joined) {
+  @Override
+  boolean votes(int[] state, int process, int voterSet) {
     ReplicaMembership membership = membership(state, process);
-    VoterSet asked = joined ? after : before;
-    if (membership.voteCode(asked) != VoteResponse.STALE_VOTER_SET && membership.learn(asked)) {
+    VoterSet requested = voterSet == AFTER ? after : before;
+    if (membership.voteCode(requested) != VoteResponse.STALE_VOTER_SET
+        && membership.learn(requested)) {
       state[process * FIELDS + KNOWN_CLAIMS] = 1;
     }
-    return membership.voteCode(asked) == VoteResponse.OK;
+    return membership.voteCode(requested) == VoteResponse.OK;
   }
 
   private void joiner(int[] state) {
@@ -127,7 +124,7 @@
       push(next);
       return;
     }
-    int need = defect == Defect.ONE_ACKNOWLEDGER ? 1 : VoterSets.blockingSize(N);
+    int required = defect == Defect.ONE_ACKNOWLEDGER ? 1 : VoterSets.blockingSize(N);
     for (int other = 0; other < N; other++) {
       if (state[other * FIELDS + KNOWN_CLAIMS] == 0) {
         int[] next = state.clone();
@@ -139,7 +136,7 @@
       }
       int bit = 1 << other - 1;
       acknowledge(state, other, bit);
-      boolean joined = Integer.bitCount(state[ACKED]) >= need && (state[ACKED] & bit) != 0;
+      boolean joined = Integer.bitCount(state[ACKED]) >= required && (state[ACKED] & bit) != 0;
       if (joined || defect == Defect.COPY_BEFORE_CLAIM) {
         int[] next = state.clone();
         AcceptorState theirs = key(state, other);
@@ -154,7 +151,7 @@
       }
     }
     if (state[VOTING] == 0
-        && Integer.bitCount(state[ACKED]) >= need
+        && Integer.bitCount(state[ACKED]) >= required
         && (state[COPIED] & state[ACKED]) == state[ACKED]) {
       int[] next = state.clone();
       next[VOTING] = 1;
@@ -186,157 +183,81 @@
     }
   }
 
-  private void proposer(int[] state, int b) {
-    int at = PROPOSERS + b * PROPOSER_FIELDS;
-    if (state[at] == 0) {
-      start(state, b, at);
+  @Override
+  int holder(int slot, int voterSet) {
+    return slot == A && voterSet == AFTER ? N : slot;
+  }
+
+  @Override
+  boolean isProposed(int[] state, int voterSet) {
+    return voterSet <= state[STARTED];
+  }
+
+  @Override
+  int readVoterSets(int[] state) {
+    return state[STARTED] + 1;
+  }
+
+  @Override
+  boolean hasPreparePhase(int ballot) {
+    return !(promisedAhead && ballot == 1);
+  }
+
+  /** The second ballot may begin with its accept phase, with the promises of the first. */
+  @Override
+  void start(int[] state, int ballot) {
+    if (hasPreparePhase(ballot)) {
+      super.start(state, ballot);
       return;
     }
-    if (state[at] == 1 && Integer.bitCount(state[at + 2]) >= VoterSets.majoritySize(N)) {
+    int first = proposer(0);
+    if (isMajority(state[first + NEXT_PROMISES])) {
       int[] next = state.clone();
-      next[at] = 2;
-      next[at + 2] = 0;
-      next[at + 4] |= 1 << b;
+      next[proposer(ballot) + PHASE] = ACCEPT_PHASE;
+      next[proposer(ballot) + VOTER_SET] = state[first + VOTER_SET];
+      next[proposer(ballot) + MARKS] = state[first + MARKS] | 1 << ballot;
       push(next);
     }
-    boolean moves =
+  }
+
+  /** With some defects a proposer changes its voter set in its accept phase. */
+  @Override
+  void proposeOtherwise(int[] state, int ballot) {
+    int at = proposer(ballot);
+    boolean changes =
         defect == Defect.VOTER_SET_CHANGES_BETWEEN_PHASES
             || defect == Defect.PROMISE_OUTLIVES_INCARNATION;
-    if (moves
-        && !decided(state, b)
+    if (changes
+        && !isCommitted(state, ballot)
         && state[STARTED] == 1
-        && state[at + 1] == 0
-        && state[at] == 2) {
+        && state[at + VOTER_SET] == BEFORE
+        && state[at + PHASE] == ACCEPT_PHASE) {
       int[] next = state.clone();
-      next[at + 1] = 1;
-      next[at + 5] &= ~1;
+      next[at + VOTER_SET] = AFTER;
+      next[at + ACCEPTS] &= ~1;
       push(next);
     }
-    for (int slot = 0; slot < N; slot++) {
-      int holder = slot == A && state[at + 1] == 1 ? N : slot;
-      if (!(promisedAhead && b == 1)) {
-        prepare(state, b, at, slot, holder);
-      }
-      if (state[at] == 2) {
-        accept(state, b, at, slot, holder);
-      }
-    }
   }
 
-  private void start(int[] state, int b, int at) {
-    if (promisedAhead && b == 1) {
-      int first = PROPOSERS;
-      if (Integer.bitCount(state[first + 6]) >= VoterSets.majoritySize(N)) {
-        int[] next = state.clone();
-        next[at] = 2;
-        next[at + 1] = state[first + 1];
-        next[at + 4] = state[first + 4] | 1 << b;
-        push(next);
-      }
-      return;
-    }
-    for (int voterSet = 0; voterSet <= state[STARTED]; voterSet++) {
-      int[] next = state.clone();
-      next[at] = 1;
-      next[at + 1] = voterSet;
-      push(next);
-    }
-  }
-
-  private void prepare(int[] state, int b, int at, int slot, int holder) {
-    int[] next = state.clone();
-    if (votes(next, holder, state[at + 1] == 1)) {
-      Acceptor.Decision decision = Acceptor.prepare(key(next, holder), ballot(b + 1));
-      if (decision.newState() != null) {
-        put(next, holder, decision.newState());
-      }
-      if (decision.response().code == VoteResponse.OK
-          && state[at] == 1
-          && (state[at + 2] >> slot & 1) == 0) {
-        int[] response = next.clone();
-        response[at + 2] |= 1 << slot;
-        VoteResponse answer = decision.response();
-        if (answer.accepted.round > response[at + 3]) {
-          response[at + 3] = (int) answer.accepted.round;
-          response[at + 4] = answer.value[0];
-        }
-        push(response);
-      }
-    }
-    // The answer is lost, or is late.
-    push(next);
-  }
-
-  private void accept(int[] state, int b, int at, int slot, int holder) {
-    int[] next = state.clone();
-    if (votes(next, holder, state[at + 1] == 1)) {
-      Ballot after1 = promisedAhead && b == 0 ? ballot(2) : new Ballot();
-      Acceptor.Decision decision =
-          Acceptor.accept(
-              key(next, holder), ballot(b + 1), after1, new byte[] {(byte) state[at + 4]});
-      if (decision.newState() != null) {
-        put(next, holder, decision.newState());
-      }
-      if (decision.response().code == VoteResponse.OK) {
-        next[at + 5] |= 1 << slot;
-        if (promisedAhead && b == 0 && decision.response().promised.round == 2) {
-          next[at + 6] |= 1 << slot;
-        }
-      }
-    }
-    push(next);
+  @Override
+  Ballot nextBallot(int ballot) {
+    return promisedAhead && ballot == 0 ? ballot(2) : new Ballot();
   }
 
-  private void checkInvariants(int[] state) {
-    int newest = 0;
-    for (int b = 0; b < ballots; b++) {
-      if (!decided(state, b)) {
-        continue;
-      }
-      newest = b + 1;
-      for (int later = b + 1; later < ballots; later++) {
-        int marks = state[PROPOSERS + later * PROPOSER_FIELDS + 4];
-        if (decided(state, later)
-            && (marks & (1 << b + 1) - 1) != state[PROPOSERS + b * PROPOSER_FIELDS + 4]) {
-          violation =
-              "ballot " + (later + 1) + " was decided without what ballot " + (b + 1) + " decided";
-        }
-      }
-    }
-    for (int voterSet = 0; voterSet <= state[STARTED]; voterSet++) {
-      for (int without = 0; without < N; without++) {
-        read(state, voterSet, without, newest);
-      }
+  @Override
+  void onAccepted(int[] state, int ballot, int slot, VoteResponse response) {
+    if (promisedAhead && ballot == 0 && response.promised.round == 2) {
+      state[proposer(ballot) + NEXT_PROMISES] |= 1 << slot;
     }
   }
 
-  /** A read by two voter slots at once. */
-  private void read(int[] state, int voterSet, int without, int newest) {
-    int found = -1;
-    for (int slot = 0; slot < N; slot++) {
-      int holder = slot == A && voterSet == 1 ? N : slot;
-      if (slot == without) {
-        continue;
-      }
-      AcceptorState key = key(state, holder);
-      boolean counts = !key.fromStateTransfer() || defect == Defect.COPIES_COUNT_AS_VOTES;
-      int response = (int) key.accepted().round;
-      if (!votes(state.clone(), holder, voterSet == 1)
-          || !counts
-          || found >= 0 && response != found) {
-        return;
-      }
-      found = response;
-    }
-    if (found < newest) {
-      violation = "a majority tells of ballot " + found + " where " + newest + " is decided";
-    } else if (defect != Defect.COPIES_COUNT_AS_VOTES && found > 0 && !decided(state, found - 1)) {
-      violation = "a majority tells of ballot " + found + ", which isn't decided";
-    }
+  @Override
+  boolean isVote(AcceptorState key) {
+    return super.isVote(key) || defect == Defect.COPIES_COUNT_AS_VOTES;
   }
 
-  private static boolean decided(int[] state, int b) {
-    return Integer.bitCount(state[PROPOSERS + b * PROPOSER_FIELDS + 5])
-        >= VoterSets.majoritySize(N);
+  @Override
+  boolean readsUncommitted() {
+    return defect == Defect.COPIES_COUNT_AS_VOTES;
   }
 }
--- a/consensus/src/test/java/elmsail/consensus/StateSearch.java
+++ b/consensus/src/test/java/elmsail/consensus/StateSearch.java
@@ -5,8 +5,8 @@
 import java.util.ArrayDeque;
 
 /**
- * Goes through all states that a model reaches, each once. A state is an array of small numbers:
- * first {@link #FIELDS} for each process, then what the model has of its own.
+ * A model checker: visits all states that a model can reach, each once. A state is an array of
+ * small numbers: first {@link #FIELDS} for each process, then the fields of the model.
  */
 abstract class StateSearch {
   /** Fields of a process: promised, accepted, marks, copied, known claims. */
@@ -19,18 +19,18 @@
   private final LongPairs seen = new LongPairs();
   private final ArrayDeque<long[]> unvisited = new ArrayDeque<>();
 
-  /** What broke a rule; null as long as nothing did. */
+  /** The invariant that was violated; null as long as none was. */
   String violation;
 
-  /** Makes one whose states have fields of so many bits each, at most two words in all. */
+  /** A search whose fields have so many bits each, at most 128 in all. */
   StateSearch(int[] bits) {
     this.bits = bits;
   }
 
-  /** Judges a state, and pushes each state that may follow it. */
+  /** Checks the invariants of a state, and pushes each state that may follow it. */
   abstract void visit(int[] state);
 
-  /** Goes through all states, at most so many; null if none breaks a rule. */
+  /** Visits all states, at most so many; returns the violation, or null. */
   final String check(int maxStates) {
     push(new int[bits.length]);
     while (!unvisited.isEmpty() && violation == null) {
@@ -42,7 +42,7 @@
     return violation;
   }
 
-  /** As {@link #check}, and prints what was gone through. */
+  /** As {@link #check}, and prints the number of states and the time. */
   final String checkAndPrint(String name, int maxStates) {
     long from = System.nanoTime();
     String found = check(maxStates);
@@ -57,7 +57,7 @@
     return found;
   }
 
-  /** Adds a state, if it is a new one, to those that will be visited. */
+  /** Adds a state to those that will be visited, unless it was before. */
   final void push(int[] state) {
     long[] packed = {0, 0};
     int at = 0;
@@ -100,7 +100,7 @@
     state[at + 3] = key.fromStateTransfer() ? 1 : 0;
   }
 
-  /** The process of that number as a voter. */
+  /** A voter for the process of this number. */
   static Voter voter(String name, int process, int epoch) {
     Voter voter = new Voter();
     voter.address = name;
