--- a/gateway/src/main/java/elmsail/gateway/frontend/ClientConnection.java
+++ b/gateway/src/main/java/elmsail/gateway/frontend/ClientConnection.java
@@ -112,7 +112,7 @@
               + (head == null ? 0 : limits.headerTimeoutMs())
               - now;
       if (remainingMs <= 0) {
-        listener.counters().count(RequestCounters.Event.CLIENT_SLOW);
+        listener.counters().count(RequestCounters.Event.CLIENT_TIMEOUT);
         reject(408);
         return;
       }
@@ -191,7 +191,7 @@
     }
     if (bytes > 0) {
       if (!listener.tryReserveBodyBytes(bytes)) {
-        listener.counters().count(RequestCounters.Event.REFUSED_NO_SERVER);
+        listener.counters().count(RequestCounters.Event.REJECTED_NO_SERVER);
         reject(503);
         return;
       }
@@ -208,7 +208,7 @@
 
   private void onRequestComplete() {
     if (listener.rejectsNewRequests()) {
-      listener.counters().count(RequestCounters.Event.REFUSED_ENDING);
+      listener.counters().count(RequestCounters.Event.REJECTED_DRAINING);
       reject(503);
       return;
     }
@@ -310,7 +310,7 @@
 
   @Override
   public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-    activeRequest.writable(channel.isWritable());
+    activeRequest.onWritabilityChanged(channel.isWritable());
     ctx.fireChannelWritabilityChanged();
   }
 
@@ -329,7 +329,7 @@
       response.onClientDisconnect();
       response = null;
     }
-    disconnected.left();
+    disconnected.onClientDisconnect();
     listener.onClosed(this);
     ctx.fireChannelInactive();
   }
--- a/gateway/src/main/java/elmsail/gateway/frontend/ClientResponse.java
+++ b/gateway/src/main/java/elmsail/gateway/frontend/ClientResponse.java
@@ -63,7 +63,7 @@
   }
 
   @Override
-  public void whole(int status, HttpHeaders headers, ByteBuf body) {
+  public void sendResponse(int status, HttpHeaders headers, ByteBuf body) {
     if (finished) {
       body.release();
       return;
@@ -87,7 +87,7 @@
   }
 
   @Override
-  public void head(int status, HttpHeaders headers, long length) {
+  public void sendHead(int status, HttpHeaders headers, long length) {
     if (finished) {
       return;
     }
@@ -115,7 +115,7 @@
   }
 
   @Override
-  public void data(ByteBuf bytes) {
+  public void sendData(ByteBuf bytes) {
     if (finished) {
       bytes.release();
       return;
@@ -133,7 +133,7 @@
   }
 
   @Override
-  public void end() {
+  public void sendEnd() {
     if (!finished) {
       finish(channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT));
     }
@@ -159,7 +159,7 @@
   }
 
   @Override
-  public void breakOff() {
+  public void abort() {
     if (finished) {
       return;
     }
@@ -175,7 +175,7 @@
   }
 
   @Override
-  public boolean writable() {
+  public boolean isWritable() {
     return !finished && channel.isWritable();
   }
 }
--- a/gateway/src/main/java/elmsail/gateway/load/LoadExchange.java
+++ b/gateway/src/main/java/elmsail/gateway/load/LoadExchange.java
@@ -145,12 +145,12 @@
   }
 
   @Override
-  public boolean heard() {
+  public boolean isAvailable() {
     return aggregating ? hasZonePeers : table.hasRecentTotal();
   }
 
   @Override
-  public ServerLoad at(String serverId) {
+  public ServerLoad loadOf(String serverId) {
     return aggregating ? total.getOrDefault(serverId, ServerLoad.NONE) : table.totalOf(serverId);
   }
 
--- a/gateway/src/main/java/elmsail/gateway/load/PeerLoads.java
+++ b/gateway/src/main/java/elmsail/gateway/load/PeerLoads.java
@@ -6,22 +6,22 @@
   PeerLoads NONE =
       new PeerLoads() {
         @Override
-        public boolean heard() {
+        public boolean isAvailable() {
           return false;
         }
 
         @Override
-        public ServerLoad at(String serverId) {
+        public ServerLoad loadOf(String serverId) {
           return ServerLoad.NONE;
         }
       };
 
   /** Whether other gateways are heard. */
-  boolean heard();
+  boolean isAvailable();
 
   /**
    * What all gateways that are heard have open there, this one's as it last told; never null. Some
    * ten ms old.
    */
-  ServerLoad at(String serverId);
+  ServerLoad loadOf(String serverId);
 }
--- a/gateway/src/main/java/elmsail/gateway/requests/ClientRequest.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/ClientRequest.java
@@ -71,17 +71,17 @@
   }
 
   @Override
-  public boolean item() {
+  public boolean isBatchItem() {
     return isBatchItem;
   }
 
   @Override
-  public long endsAt() {
+  public long deadlineAt() {
     return deadlineAt;
   }
 
   @Override
-  public FullHttpRequest message(String serverId) {
+  public FullHttpRequest toHttpRequest(String serverId) {
     FullHttpRequest message =
         new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, uri, Unpooled.wrappedBuffer(body));
     HttpHeaders requestHeaders = message.headers();
--- a/gateway/src/main/java/elmsail/gateway/requests/ItemDispatcher.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/ItemDispatcher.java
@@ -66,7 +66,7 @@
     if (server == null || !mayProbe && context.servers().isUnhealthy(server)) {
       return null;
     }
-    context.counters().count(RequestCounters.Event.ITEM);
+    context.counters().count(RequestCounters.Event.ITEM_STARTED);
     ClientRequest request =
         new ClientRequest(
             item.id(),
--- a/gateway/src/main/java/elmsail/gateway/requests/ItemRun.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/ItemRun.java
@@ -90,7 +90,7 @@
   }
 
   @Override
-  public void head(HttpResponse head) {
+  public void onHead(HttpResponse head) {
     lastReceivedAt = timers.now();
     status = head.status().code();
     outcome =
@@ -106,7 +106,7 @@
   }
 
   @Override
-  public void data(ByteBuf bytes) {
+  public void onData(ByteBuf bytes) {
     lastReceivedAt = timers.now();
     if (!isEventStream) {
       bytes.release();
@@ -139,7 +139,7 @@
   }
 
   @Override
-  public void whole() {
+  public void onComplete() {
     if (isEventStream) {
       end(events.hasPartialEvent() ? RunOutcome.BROKEN : RunOutcome.WHOLE);
     } else if (outcome == AttemptOutcome.NOT_RUN) {
@@ -154,7 +154,7 @@
   }
 
   @Override
-  public void failed(boolean sent) {
+  public void onFailure(boolean sent) {
     end(sent ? RunOutcome.BROKEN : RunOutcome.NOT_RUN);
   }
 
--- a/gateway/src/main/java/elmsail/gateway/requests/LocalReplies.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/LocalReplies.java
@@ -35,13 +35,13 @@
       headers.set(Headers.REQUEST_ID, id);
     }
     setRetryAfter(headers, retryAfterS);
-    client.whole(status, headers, Unpooled.EMPTY_BUFFER);
+    client.sendResponse(status, headers, Unpooled.EMPTY_BUFFER);
   }
 
   /** One about a job; a body that begins like JSON is told as such. */
   static void sendBatchReply(ResponseSink client, BatchService.Reply reply) {
     if (reply.status() == 0) {
-      client.breakOff();
+      client.abort();
       return;
     }
     HttpHeaders headers = new DefaultHttpHeaders();
@@ -50,7 +50,7 @@
       headers.set("Content-Type", body[0] == '{' ? "application/json" : "application/octet-stream");
     }
     setRetryAfter(headers, reply.retryAfterS());
-    client.whole(reply.status(), headers, Unpooled.wrappedBuffer(body));
+    client.sendResponse(reply.status(), headers, Unpooled.wrappedBuffer(body));
   }
 
   private static void setRetryAfter(HttpHeaders headers, double seconds) {
--- a/gateway/src/main/java/elmsail/gateway/requests/RequestDispatcher.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/RequestDispatcher.java
@@ -42,14 +42,14 @@
           client,
           503,
           request.headers().get(Headers.REQUEST_ID),
-          RequestCounters.Event.REFUSED_NO_CONFIGURATION);
+          RequestCounters.Event.REJECTED_NO_CONFIG);
     }
     String path = request.path();
     if (path.startsWith(JOBS_PATH)) {
       return handleJobCall(request, path.substring(JOBS_PATH.length()), client);
     }
     if (path.startsWith(ITEMS_PATH) && request.method().equals("GET")) {
-      context.counters().count(RequestCounters.Event.LOT_CALL);
+      context.counters().count(RequestCounters.Event.BATCH_CALL);
       return relayBatchReply(
           jobs.readItemBody(path.substring(ITEMS_PATH.length()), parameter(request, "id")), client);
     }
@@ -82,13 +82,13 @@
     if (!request.method().equals("POST")) {
       return sendLocalReply(client, 405, id, RequestCounters.Event.BAD_REQUEST);
     }
-    context.counters().count(RequestCounters.Event.LOT_CALL);
+    context.counters().count(RequestCounters.Event.BATCH_CALL);
     long remainingMs = Math.max(1, deadlineAt - context.timers().now());
     return relayBatchReply(jobs.submit(route, id, request.body(), remainingMs), client);
   }
 
   private RequestHandle handleJobCall(ReceivedRequest request, String jobId, ResponseSink client) {
-    context.counters().count(RequestCounters.Event.LOT_CALL);
+    context.counters().count(RequestCounters.Event.BATCH_CALL);
     switch (request.method()) {
       case "GET" -> {
         long after = Headers.parseNonNegative(parameter(request, "after"), 0);
@@ -118,7 +118,7 @@
           if (fault == null) {
             LocalReplies.sendBatchReply(client, r);
           } else {
-            client.breakOff(); // nothing is sure
+            client.abort(); // nothing is sure
           }
         });
     return RequestHandle.NONE;
--- a/gateway/src/main/java/elmsail/gateway/requests/RequestForwarder.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/RequestForwarder.java
@@ -78,7 +78,7 @@
   void start() {
     long remainingMs = deadlineAt - context.timers().now();
     if (remainingMs <= 0) {
-      reject(RequestCounters.Event.REFUSED_NOT_RUN);
+      reject(RequestCounters.Event.REJECTED_NOT_RUN);
       return;
     }
     deadlineTimer = context.timers().schedule(remainingMs, this::onDeadline);
@@ -103,9 +103,9 @@
                       && attempt.isSent()
                       && attempt.server().isUnresponsive(now)
                       && hasRetryTarget()) {
-                    context.counters().count(RequestCounters.Event.GONE_DARK);
+                    context.counters().count(RequestCounters.Event.SERVER_UNRESPONSIVE);
                     attempt.timedOut(now);
-                    failed(true);
+                    onFailure(true);
                   }
                   if (!finished) {
                     checkTimer(now);
@@ -149,7 +149,7 @@
     }
     if (attemptedServers.isEmpty()
         && context.servers().rejects(server, request.prompt(), route.latencyTargetMs())) {
-      reject(RequestCounters.Event.REFUSED_FULL);
+      reject(RequestCounters.Event.REJECTED_OVERLOADED);
       return;
     }
     attemptedServers.add(server);
@@ -173,8 +173,8 @@
     } else {
       reject(
           sentAttempts > 0
-              ? RequestCounters.Event.REFUSED_NOT_RUN
-              : RequestCounters.Event.REFUSED_NO_SERVER);
+              ? RequestCounters.Event.REJECTED_NOT_RUN
+              : RequestCounters.Event.REJECTED_NO_SERVER);
     }
   }
 
@@ -186,7 +186,7 @@
     if (attempt != null) {
       attempt.timedOut(context.timers().now());
     }
-    context.counters().count(RequestCounters.Event.TIMED_OUT);
+    context.counters().count(RequestCounters.Event.DEADLINE_EXCEEDED);
     if (relay.hasStarted()) {
       abort();
     } else if (firstError != null) {
@@ -196,7 +196,7 @@
       sendLocalReply(
           status,
           status == 503
-              ? RequestCounters.Event.REFUSED_NOT_RUN
+              ? RequestCounters.Event.REJECTED_NOT_RUN
               : RequestCounters.Event.BAD_GATEWAY);
     }
   }
@@ -226,8 +226,8 @@
 
   private void abort() {
     finish();
-    context.counters().count(RequestCounters.Event.BROKEN_OFF);
-    relay.client().breakOff();
+    context.counters().count(RequestCounters.Event.RESPONSE_ABORTED);
+    relay.client().abort();
   }
 
   private void finish() {
@@ -247,9 +247,9 @@
   }
 
   @Override
-  public void left() {
+  public void onClientDisconnect() {
     if (!finished) {
-      context.counters().count(RequestCounters.Event.CLIENT_LEFT);
+      context.counters().count(RequestCounters.Event.CLIENT_DISCONNECTED);
       if (attempt != null) {
         attempt.cancel();
       }
@@ -258,21 +258,21 @@
   }
 
   @Override
-  public void writable(boolean writable) {
+  public void onWritabilityChanged(boolean writable) {
     if (attempt != null && !finished) {
       attempt.setReadPaused(!writable);
     }
   }
 
   @Override
-  public void head(HttpResponse head) {
+  public void onHead(HttpResponse head) {
     if (!relay.onHead(head)) {
       onUnusableResponse();
     }
   }
 
   @Override
-  public void data(ByteBuf bytes) {
+  public void onData(ByteBuf bytes) {
     if (!relay.onData(bytes)) {
       onUnusableResponse();
     }
@@ -283,11 +283,11 @@
     if (attempt != null) {
       attempt.cancel();
     }
-    failed(true);
+    onFailure(true);
   }
 
   @Override
-  public void whole() {
+  public void onComplete() {
     if (retryAfterError()) {
       return;
     }
@@ -297,11 +297,11 @@
         context.counters().count(RequestCounters.Event.SERVED);
       }
       case NOT_RUN -> {
-        context.counters().count(RequestCounters.Event.TRY_NOT_RUN);
+        context.counters().count(RequestCounters.Event.ATTEMPT_NOT_RUN);
         sentAttempts++;
         startAttempt();
       }
-      default -> failed(true);
+      default -> onFailure(true);
     }
   }
 
@@ -322,14 +322,17 @@
   }
 
   @Override
-  public void failed(boolean sent) {
+  public void onFailure(boolean sent) {
     if (finished) {
       return;
     }
     attempt = null;
     context
         .counters()
-        .count(sent ? RequestCounters.Event.TRY_SENT_FAILED : RequestCounters.Event.TRY_UNSENT);
+        .count(
+            sent
+                ? RequestCounters.Event.ATTEMPT_SENT_FAILED
+                : RequestCounters.Event.ATTEMPT_NOT_SENT);
     mayHaveRun |= sent;
     sentAttempts += sent ? 1 : 0;
     notSentAttempts += sent ? 0 : 1;
--- a/gateway/src/main/java/elmsail/gateway/requests/RequestHandle.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/RequestHandle.java
@@ -3,18 +3,18 @@
 /** A request under way, as its client's connection sees it. */
 public interface RequestHandle {
   /** The client has left: what it asked for is cancelled. */
-  void left();
+  void onClientDisconnect();
 
   /** The client reads on, or does not for now. */
-  void writable(boolean writable);
+  void onWritabilityChanged(boolean writable);
 
   /** One that needs neither. */
   RequestHandle NONE =
       new RequestHandle() {
         @Override
-        public void left() {}
+        public void onClientDisconnect() {}
 
         @Override
-        public void writable(boolean writable) {}
+        public void onWritabilityChanged(boolean writable) {}
       };
 }
--- a/gateway/src/main/java/elmsail/gateway/requests/ResponseRelay.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/ResponseRelay.java
@@ -70,7 +70,7 @@
 
   /** Whether the client takes more for now. */
   boolean clientAcceptsData() {
-    return !hasStarted || client.writable();
+    return !hasStarted || client.isWritable();
   }
 
   void prepareNextAttempt() {
@@ -117,7 +117,7 @@
     switch (mode) {
       case RAW -> {
         sendHeadOnce();
-        client.data(bytes);
+        client.sendData(bytes);
       }
       case EVENTS -> {
         return events.feed(bytes);
@@ -138,7 +138,7 @@
         ByteBuf all = buffered;
         buffered = null;
         sendHeadOnce();
-        client.data(all);
+        client.sendData(all);
         mode = Mode.RAW;
       } else {
         buffered.release(); // of no use to anybody
@@ -158,7 +158,7 @@
       lastEventId = id;
     }
     sendHeadOnce();
-    client.data(raw);
+    client.sendData(raw);
     return true;
   }
 
@@ -166,7 +166,7 @@
     if (!hasStarted) {
       hasStarted = true;
       long length = mode == Mode.EVENTS ? -1 : HttpUtil.getContentLength(onHead, -1L);
-      client.head(onHead.status().code(), Headers.endToEnd(onHead.headers()), length);
+      client.sendHead(onHead.status().code(), Headers.endToEnd(onHead.headers()), length);
     }
   }
 
@@ -192,7 +192,7 @@
       return AttemptOutcome.UNKNOWN;
     }
     if (hasStarted && (mode == Mode.RAW || mode == Mode.EVENTS)) {
-      client.end();
+      client.sendEnd();
       return AttemptOutcome.RESPONDED;
     }
     if (outcome != AttemptOutcome.RESPONDED) {
@@ -204,7 +204,7 @@
     ByteBuf body = buffered == null ? Unpooled.EMPTY_BUFFER : buffered;
     buffered = null;
     hasStarted = true;
-    client.whole(onHead.status().code(), Headers.endToEnd(onHead.headers()), body);
+    client.sendResponse(onHead.status().code(), Headers.endToEnd(onHead.headers()), body);
     return AttemptOutcome.RESPONDED;
   }
 }
--- a/gateway/src/main/java/elmsail/gateway/requests/ResponseSink.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/ResponseSink.java
@@ -10,27 +10,27 @@
 public interface ResponseSink {
 
   /** An answer that is whole. */
-  void whole(int status, HttpHeaders headers, ByteBuf body);
+  void sendResponse(int status, HttpHeaders headers, ByteBuf body);
 
   /**
    * The head of an answer whose body comes as it is made.
    *
    * @param length of the body in bytes, or -1 for chunks
    */
-  void head(int status, HttpHeaders headers, long length);
+  void sendHead(int status, HttpHeaders headers, long length);
 
   /** Bytes of its body; released here. Goes out when the loop has nothing more to read for it. */
-  void data(ByteBuf bytes);
+  void sendData(ByteBuf bytes);
 
   /** Its proper end. */
-  void end();
+  void sendEnd();
 
   /** Ends the connection so that no answer, or the begun one, can look complete. */
-  void breakOff();
+  void abort();
 
   /**
    * Whether more can be written without being queued for long; told again by {@link
-   * RequestHandle#writable}.
+   * RequestHandle#onWritabilityChanged}.
    */
-  boolean writable();
+  boolean isWritable();
 }
--- a/gateway/src/main/java/elmsail/gateway/requests/RetainedErrorResponse.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/RetainedErrorResponse.java
@@ -14,7 +14,7 @@
 
   /** Answers the client with it; the body is released by the client's side. */
   void sendTo(ResponseSink client) {
-    client.whole(head.status().code(), Headers.endToEnd(head.headers()), body);
+    client.sendResponse(head.status().code(), Headers.endToEnd(head.headers()), body);
   }
 
   /** Drops it. */
--- a/gateway/src/main/java/elmsail/gateway/requests/ServerSentEventSplitter.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/ServerSentEventSplitter.java
@@ -19,7 +19,7 @@
      * @param id of its {@code id} line, or -1 without one that is a number
      * @param raw all its bytes, the empty line included; the sink's to release
      */
-    boolean event(long id, ByteBuf raw);
+    boolean onEvent(long id, ByteBuf raw);
   }
 
   private final Sink sink;
@@ -45,7 +45,7 @@
       int end = findEventEnd(all);
       while (end >= 0) {
         ByteBuf raw = all.readRetainedSlice(end - all.readerIndex());
-        if (!sink.event(parseId(raw), raw)) {
+        if (!sink.onEvent(parseId(raw), raw)) {
           return false;
         }
         end = findEventEnd(all);
--- a/gateway/src/main/java/elmsail/gateway/servers/Attempt.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/Attempt.java
@@ -100,7 +100,7 @@
    */
   boolean recordResult(HttpResponse head, long now) {
     boolean notRun = head.headers().contains(Headers.NOT_RUN);
-    return switch (ResponseClass.of(head.status().code(), notRun, request.endsAt() - now)) {
+    return switch (ResponseClass.of(head.status().code(), notRun, request.deadlineAt() - now)) {
       case SUCCESS -> {
         server.recordSuccess(now);
         yield false;
@@ -112,28 +112,28 @@
 
   void onHead(HttpResponse head) {
     markResponseStarted();
-    listener.head(head);
+    listener.onHead(head);
   }
 
   void onData(ByteBuf bytes) {
     if (isFinished) {
       bytes.release();
     } else {
-      listener.data(bytes);
+      listener.onData(bytes);
     }
   }
 
   void onComplete() {
     if (!isFinished) {
       finish();
-      listener.whole();
+      listener.onComplete();
     }
   }
 
   void onFailure() {
     if (!isFinished) {
       finish();
-      listener.failed(isSent);
+      listener.onFailure(isSent);
     }
   }
 
--- a/gateway/src/main/java/elmsail/gateway/servers/AttemptListener.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/AttemptListener.java
@@ -9,18 +9,18 @@
  */
 public interface AttemptListener {
   /** The head of an answer that bears the request's id and tells its end. */
-  void head(HttpResponse head);
+  void onHead(HttpResponse head);
 
   /** Bytes of its body, to be released by the one who gets it. */
-  void data(ByteBuf bytes);
+  void onData(ByteBuf bytes);
 
   /** The answer has come to its proper end. */
-  void whole();
+  void onComplete();
 
   /**
    * There will be no whole answer.
    *
    * @param sent whether a byte of it may have left, so that it may have run
    */
-  void failed(boolean sent);
+  void onFailure(boolean sent);
 }
--- a/gateway/src/main/java/elmsail/gateway/servers/DelegatingPeerLoads.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/DelegatingPeerLoads.java
@@ -20,12 +20,12 @@
   }
 
   @Override
-  public boolean heard() {
-    return delegate.heard();
+  public boolean isAvailable() {
+    return delegate.isAvailable();
   }
 
   @Override
-  public ServerLoad at(String serverId) {
-    return delegate.at(serverId);
+  public ServerLoad loadOf(String serverId) {
+    return delegate.loadOf(serverId);
   }
 }
--- a/gateway/src/main/java/elmsail/gateway/servers/OutgoingRequest.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/OutgoingRequest.java
@@ -11,13 +11,13 @@
   Prompt prompt();
 
   /** Whether it is an item of a job. */
-  boolean item();
+  boolean isBatchItem();
 
   /** When it has to be answered, on the loop's clock; Long.MAX_VALUE: at no certain time. */
-  default long endsAt() {
+  default long deadlineAt() {
     return Long.MAX_VALUE;
   }
 
   /** Made just before it is written, so that the time left in it is right. */
-  FullHttpRequest message(String serverId);
+  FullHttpRequest toHttpRequest(String serverId);
 }
--- a/gateway/src/main/java/elmsail/gateway/servers/Server.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/Server.java
@@ -147,7 +147,7 @@
 
   /** What all gateways have open there, as far as they are heard. */
   ServerLoad sharedLoad() {
-    return ownLoad().max(peerLoads.at(id()));
+    return ownLoad().max(peerLoads.loadOf(id()));
   }
 
   /** Prompt tokens of all gateways' requests there that have no answer yet. */
@@ -158,7 +158,7 @@
   /** Whether this attempt is the probe of a server that erred. */
   boolean onAttemptStarted(Attempt attempt) {
     openAttempts.add(attempt);
-    if (attempt.request().item()) {
+    if (attempt.request().isBatchItem()) {
       openItems++;
       lastItemStartedAt = attempt.startedAt();
     }
@@ -185,7 +185,7 @@
   void onAttemptEnded(Attempt attempt) {
     endProbeOf(attempt);
     if (openAttempts.remove(attempt)) {
-      openItems -= attempt.request().item() ? 1 : 0;
+      openItems -= attempt.request().isBatchItem() ? 1 : 0;
       ownPendingPrefillTokens -= attempt.hasResponse() ? 0 : uncachedTokens(attempt);
       notifyLoadChanged();
     }
--- a/gateway/src/main/java/elmsail/gateway/servers/ServerConnection.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ServerConnection.java
@@ -136,7 +136,7 @@
     attempt.bindTo(channel);
     attempt.markSent();
     channel.config().setAutoRead(!attempt.isPaused());
-    FullHttpRequest message = attempt.request().message(server.id());
+    FullHttpRequest message = attempt.request().toHttpRequest(server.id());
     isHeadRequest = message.method().equals(HttpMethod.HEAD);
     ChannelFuture write = channel.writeAndFlush(message);
     if (write.isDone() && !write.isSuccess()) {
@@ -172,11 +172,11 @@
   @Override
   protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
     if (part.decoderResult().isFailure()) {
-      fail(RequestCounters.Event.UNREADABLE_ANSWER);
+      fail(RequestCounters.Event.UNREADABLE_RESPONSE);
       return;
     }
     if (current == null || current.isFinished()) {
-      fail(RequestCounters.Event.FOREIGN_ANSWER);
+      fail(RequestCounters.Event.FOREIGN_RESPONSE);
       return;
     }
     if (part instanceof HttpResponse head && !onHead(head)) {
@@ -191,13 +191,13 @@
     inInformationalResponse = head.status().codeClass() == HttpStatusClass.INFORMATIONAL;
     if (inInformationalResponse) {
       if (head.status().code() == 101) {
-        fail(RequestCounters.Event.UNREADABLE_ANSWER);
+        fail(RequestCounters.Event.UNREADABLE_RESPONSE);
         return false;
       }
       return true;
     }
     if (!current.request().id().equals(head.headers().get(Headers.REQUEST_ID))) {
-      fail(RequestCounters.Event.FOREIGN_ANSWER);
+      fail(RequestCounters.Event.FOREIGN_RESPONSE);
       return false;
     }
     int code = head.status().code();
@@ -212,7 +212,7 @@
     responseStartedAt = now;
     server.recordResponse(now);
     if (current.recordResult(head, now)) {
-      pool.counters().count(RequestCounters.Event.SERVER_ERRORED);
+      pool.counters().count(RequestCounters.Event.SERVER_EJECTED);
     }
     if (code == MISDIRECTED) {
       server.markMisdirected();
@@ -266,7 +266,7 @@
       if (!keepAlive) {
         channel.close();
       }
-      pool.counters().count(RequestCounters.Event.TRY_ANSWERED);
+      pool.counters().count(RequestCounters.Event.ATTEMPT_ANSWERED);
       server.recordSlotHoldTime(pool.timers().now() - responseStartedAt);
       attempt.onComplete();
     }
@@ -279,7 +279,7 @@
       responseComplete = false;
       release();
     } else if (current == null && decoder.isInsideMessage()) {
-      fail(RequestCounters.Event.FOREIGN_ANSWER);
+      fail(RequestCounters.Event.FOREIGN_RESPONSE);
     }
     ctx.fireChannelReadComplete();
   }
--- a/gateway/src/main/java/elmsail/gateway/servers/Servers.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/Servers.java
@@ -235,7 +235,7 @@
       candidates.add(candidate(server, prompt, server == affinityServer, effectiveMode, now));
     }
     int at =
-        peerLoads.heard() && open.stream().noneMatch(Server::reportsLoad)
+        peerLoads.isAvailable() && open.stream().noneMatch(Server::reportsLoad)
             ? ServerSelector.pickSpread(
                 candidates, affinity.ranks(open, prompt), prompt.totalTokens())
             : ServerSelector.pick(candidates, prompt.totalTokens(), turn++);
@@ -283,7 +283,7 @@
   public boolean rejects(Server server, Prompt prompt, long latencyTargetMs) {
     ServerSelector.Candidate candidate =
         candidate(server, prompt, false, SelectionMode.NOT_RETRYABLE, timers.now());
-    boolean loadIsShared = peerLoads.heard() && !server.reportsLoad();
+    boolean loadIsShared = peerLoads.isAvailable() && !server.reportsLoad();
     return AdmissionPolicy.rejects(
         new AdmissionPolicy.Estimate(ServerSelector.waitMs(candidate), loadIsShared),
         latencyTargetMs);
@@ -302,7 +302,7 @@
 
   /** Begins a try; what is heard of it comes later, never within this call. */
   public Attempt start(Server server, OutgoingRequest request, AttemptListener listener) {
-    counters.count(RequestCounters.Event.TRY);
+    counters.count(RequestCounters.Event.ATTEMPT);
     Attempt attempt = new Attempt(server, request, listener, timers.now());
     if (server.onAttemptStarted(attempt)) {
       counters.count(RequestCounters.Event.PROBED);
--- a/gateway/src/test/java/elmsail/gateway/BatchItemExecutionTest.java
+++ b/gateway/src/test/java/elmsail/gateway/BatchItemExecutionTest.java
@@ -4,6 +4,7 @@
 import static org.hamcrest.Matchers.is;
 import static org.hamcrest.Matchers.notNullValue;
 import static org.hamcrest.Matchers.nullValue;
+import static org.junit.jupiter.params.provider.Arguments.arguments;
 
 import elmsail.batch.BatchItem;
 import elmsail.batch.ItemServers.RunHandle;
@@ -16,11 +17,13 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import java.util.stream.Stream;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.Arguments;
+import org.junit.jupiter.params.provider.MethodSource;
 
 /** Jobs' items at stand-in servers. */
 class BatchItemExecutionTest {
@@ -85,7 +88,7 @@
     assertThat(next(), is("0:a\nb"));
     server.write(GatewayTestHarness.chunk("ta: c\n\n")).write("0\r\n\r\n");
     assertThat(next(), is("1:c"));
-    assertThat(next(), is("WHOLE"));
+    assertThat(next(), is(RunOutcome.WHOLE.name()));
   }
 
   @Test
@@ -98,7 +101,7 @@
         .write(GatewayTestHarness.chunk(GatewayTestHarness.event(4)))
         .write("0\r\n\r\n");
     assertThat(next(), is("4:e4"));
-    assertThat(next(), is("WHOLE"));
+    assertThat(next(), is(RunOutcome.WHOLE.name()));
   }
 
   @Test
@@ -109,25 +112,28 @@
     server
         .write(GatewayTestHarness.streamHead("e5", "p"))
         .write(GatewayTestHarness.chunk(GatewayTestHarness.event(5)));
-    assertThat(next(), is("BROKEN"));
+    assertThat(next(), is(RunOutcome.BROKEN.name()));
     assertThat(server.isClosedByPeer(), is(true));
   }
 
+  private static Stream<Arguments> outcomesByStatus() {
+    return Stream.of(
+        arguments(500, RunOutcome.FAILED),
+        arguments(422, RunOutcome.NEVER),
+        arguments(421, RunOutcome.NOT_RUN),
+        arguments(504, RunOutcome.BROKEN),
+        arguments(503, RunOutcome.BROKEN),
+        arguments(404, RunOutcome.BROKEN));
+  }
+
   @ParameterizedTest
-  @CsvSource({
-    "500, FAILED",
-    "422, NEVER",
-    "421, NOT_RUN",
-    "504, BROKEN",
-    "503, BROKEN",
-    "404, BROKEN"
-  })
-  void responseStatusDeterminesTheResult(int status, String how) throws Exception {
+  @MethodSource("outcomesByStatus")
+  void responseStatusDeterminesTheResult(int status, RunOutcome outcome) throws Exception {
     start(-1);
     RawConnection server = harness.firstServer.accept();
     server.readMessage();
     server.write(GatewayTestHarness.response(status, "e5", ""));
-    assertThat(next(), is(how));
+    assertThat(next(), is(outcome.name()));
   }
 
   @Test
@@ -136,7 +142,7 @@
     RawConnection server = harness.firstServer.accept();
     server.readMessage();
     server.write(GatewayTestHarness.notRunResponse(503, "e5"));
-    assertThat(next(), is("NOT_RUN"));
+    assertThat(next(), is(RunOutcome.NOT_RUN.name()));
   }
 
   @Test
@@ -149,7 +155,7 @@
         .write(GatewayTestHarness.chunk(GatewayTestHarness.event(0)));
     assertThat(next(), is("0:e0"));
     server.close();
-    assertThat(next(), is("BROKEN"));
+    assertThat(next(), is(RunOutcome.BROKEN.name()));
   }
 
   @Test
@@ -160,14 +166,14 @@
     server.write(
         GatewayTestHarness.response(
             200, "e5", GatewayTestHarness.event(0), "Content-Type: text/event-stream"));
-    assertThat(next(), is("BROKEN"));
+    assertThat(next(), is(RunOutcome.BROKEN.name()));
   }
 
   @Test
   void unreachableServerIsReportedAsNotRun() throws Exception {
     harness.firstServer.close();
     start(-1);
-    assertThat(next(), is("NOT_RUN"));
+    assertThat(next(), is(RunOutcome.NOT_RUN.name()));
   }
 
   @Test
@@ -242,7 +248,7 @@
         .write(GatewayTestHarness.chunk(GatewayTestHarness.event(0)));
     assertThat(next(), is("0:e0"));
     advanceInSteps(4_000);
-    assertThat(next(), is("BROKEN"));
+    assertThat(next(), is(RunOutcome.BROKEN.name()));
     assertThat(server.isClosedByPeer(), is(true));
   }
 
@@ -254,7 +260,7 @@
     server.readMessage();
     harness.setServers(List.of());
     advanceInSteps(4_000);
-    assertThat(next(), is("BROKEN"));
+    assertThat(next(), is(RunOutcome.BROKEN.name()));
     assertThat(server.isClosedByPeer(), is(true));
   }
 
@@ -283,7 +289,7 @@
         .write(GatewayTestHarness.chunk(GatewayTestHarness.event(0)))
         .write("0\r\n\r\n");
     assertThat(next(), is("0:e0"));
-    assertThat(next(), is("WHOLE"));
+    assertThat(next(), is(RunOutcome.WHOLE.name()));
   }
 
   /** UNASKED: what the envelope says of the prompt reaches the server byte for byte. */
--- a/gateway/src/test/java/elmsail/gateway/ServerErrorRetryTest.java
+++ b/gateway/src/test/java/elmsail/gateway/ServerErrorRetryTest.java
@@ -204,9 +204,9 @@
     assertThat(third.readMessage().header("Elmsail-Request-Id"), is("a3"));
     third.write(GatewayTestHarness.okResponse("a3", "x"));
     assertThat(client.readMessage().status(), is(200));
-    assertThat(harness.gateway.counters().of(RequestCounters.Event.SERVER_ERRORED), is(2L));
-    assertThat(harness.gateway.counters().of(RequestCounters.Event.PROBED), is(1L));
-    assertThat(harness.gateway.counters().of(RequestCounters.Event.RETRIED_AFTER_ERROR), is(1L));
+    assertThat(harness.gateway.counters().total(RequestCounters.Event.SERVER_EJECTED), is(2L));
+    assertThat(harness.gateway.counters().total(RequestCounters.Event.PROBED), is(1L));
+    assertThat(harness.gateway.counters().total(RequestCounters.Event.RETRIED_AFTER_ERROR), is(1L));
   }
 
   /** One erring server does not use up the tries of an item. */
--- a/gateway/src/test/java/elmsail/gateway/TruncationAtEveryByteTest.java
+++ b/gateway/src/test/java/elmsail/gateway/TruncationAtEveryByteTest.java
@@ -168,7 +168,7 @@
 
   private long failedConnectionCount() throws Exception {
     return harness.onLoop(
-        () -> harness.gateway.counters().of(RequestCounters.Event.CONNECT_FAILED));
+        () -> harness.gateway.counters().total(RequestCounters.Event.CONNECT_FAILED));
   }
 
   private int requestLength() {
--- a/gateway/src/test/java/elmsail/gateway/load/LoadExchangeTest.java
+++ b/gateway/src/test/java/elmsail/gateway/load/LoadExchangeTest.java
@@ -90,7 +90,7 @@
   }
 
   private int openSeenBy(Member member, String server) {
-    return member.exchange.at(server).requests();
+    return member.exchange.loadOf(server).requests();
   }
 
   private int open(String server) {
--- a/gateway/src/test/java/elmsail/gateway/requests/AttemptOutcomeTest.java
+++ b/gateway/src/test/java/elmsail/gateway/requests/AttemptOutcomeTest.java
@@ -11,40 +11,42 @@
 
   @ParameterizedTest
   @CsvSource({
-    // status, says not run, stamped, outcome
-    "200, false, true, ANSWERED",
-    "200, false, false, SENT",
-    "200, true, true, SENT",
-    "204, false, true, ANSWERED",
-    "400, false, false, ANSWERED",
+    // status, not run, has postmark, outcome
+    "200, false, true, RESPONDED",
+    "200, false, false, UNKNOWN",
+    "200, true, true, UNKNOWN",
+    "204, false, true, RESPONDED",
+    "400, false, false, RESPONDED",
     "400, true, false, NOT_RUN",
-    "404, false, false, ANSWERED",
-    "408, false, false, SENT",
+    "404, false, false, RESPONDED",
+    "408, false, false, UNKNOWN",
     "408, true, false, NOT_RUN",
     "421, false, false, NOT_RUN",
     "421, true, false, NOT_RUN",
-    "422, false, true, ANSWERED",
-    "429, false, true, SENT",
+    "422, false, true, RESPONDED",
+    "429, false, true, UNKNOWN",
     "429, true, true, NOT_RUN",
-    "500, false, true, ANSWERED",
+    "500, false, true, RESPONDED",
     "500, true, false, NOT_RUN",
-    "502, false, false, ANSWERED",
-    "503, false, true, SENT",
+    "502, false, false, RESPONDED",
+    "503, false, true, UNKNOWN",
     "503, true, false, NOT_RUN",
-    "504, false, false, ANSWERED",
+    "504, false, false, RESPONDED",
     "504, true, false, NOT_RUN"
   })
-  void classifiesResponses(int status, boolean notRun, boolean stamped, AttemptOutcome outcome) {
-    assertThat(AttemptOutcome.ofResponse(status, notRun, stamped), is(outcome));
+  void classifiesResponses(
+      int status, boolean notRun, boolean hasPostmark, AttemptOutcome outcome) {
+    assertThat(AttemptOutcome.ofResponse(status, notRun, hasPostmark), is(outcome));
   }
 
   @ParameterizedTest
   @CsvSource({
-    "UNSENT, false, true", "UNSENT, true, true", "NOT_RUN, false, true", "NOT_RUN, true, true",
-    "SENT, false, false", "SENT, true, true", "ANSWERED, false, false", "ANSWERED, true, false"
+    "NOT_SENT, false, true", "NOT_SENT, true, true", "NOT_RUN, false, true", "NOT_RUN, true, true",
+    "UNKNOWN, false, false", "UNKNOWN, true, true", "RESPONDED, false, false",
+        "RESPONDED, true, false"
   })
-  void retriesOnlyWhatMayBeRetried(AttemptOutcome outcome, boolean repeatable, boolean goesOn) {
-    assertThat(outcome.mayRetry(repeatable), is(goesOn));
+  void retriesOnlyWhatMayBeRetried(AttemptOutcome outcome, boolean idempotent, boolean mayRetry) {
+    assertThat(outcome.mayRetry(idempotent), is(mayRetry));
   }
 
   @Test
--- a/gateway/src/test/java/elmsail/gateway/servers/NoOpRequest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/NoOpRequest.java
@@ -17,26 +17,26 @@
   }
 
   @Override
-  public boolean item() {
+  public boolean isBatchItem() {
     return false;
   }
 
   @Override
-  public FullHttpRequest message(String serverId) {
+  public FullHttpRequest toHttpRequest(String serverId) {
     throw new AssertionError("not sent here");
   }
 
   @Override
-  public void head(HttpResponse head) {}
+  public void onHead(HttpResponse head) {}
 
   @Override
-  public void data(ByteBuf bytes) {
+  public void onData(ByteBuf bytes) {
     bytes.release();
   }
 
   @Override
-  public void whole() {}
+  public void onComplete() {}
 
   @Override
-  public void failed(boolean sent) {}
+  public void onFailure(boolean sent) {}
 }
--- a/gateway/src/test/java/elmsail/gateway/servers/ServerConnectionTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/ServerConnectionTest.java
@@ -59,31 +59,31 @@
     }
 
     @Override
-    public boolean item() {
+    public boolean isBatchItem() {
       return false;
     }
 
     @Override
-    public FullHttpRequest message(String serverId) {
+    public FullHttpRequest toHttpRequest(String serverId) {
       return new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/");
     }
 
     @Override
-    public void head(HttpResponse head) {}
+    public void onHead(HttpResponse head) {}
 
     @Override
-    public void data(ByteBuf bytes) {
+    public void onData(ByteBuf bytes) {
       body.append(bytes.toString(StandardCharsets.ISO_8859_1));
       bytes.release();
     }
 
     @Override
-    public void whole() {
+    public void onComplete() {
       outcome = outcome.equals("open") ? "whole " + body : outcome + ", again";
     }
 
     @Override
-    public void failed(boolean sent) {
+    public void onFailure(boolean sent) {
       outcome = outcome.equals("open") ? "failed, sent " + sent : outcome + ", again";
     }
   }
--- a/gateway/src/test/java/elmsail/gateway/servers/ServerSelectionModelTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/ServerSelectionModelTest.java
@@ -223,12 +223,12 @@
             private long firstAt;
 
             @Override
-            public void refused() {
+            public void onRejected() {
               attempt.cancel();
             }
 
             @Override
-            public void firstToken() {
+            public void onFirstToken() {
               firstAt = world.timers.now();
               server.recordResponse(firstAt);
               attempt.onHead(OK);
@@ -236,7 +236,7 @@
             }
 
             @Override
-            public void ended() {
+            public void onEnded() {
               server.recordSlotHoldTime(world.timers.now() - firstAt);
               attempt.onComplete();
             }
--- a/gateway/src/test/java/elmsail/gateway/servers/ServerTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/ServerTest.java
@@ -33,7 +33,7 @@
     }
 
     @Override
-    public boolean item() {
+    public boolean isBatchItem() {
       return item;
     }
   }
--- a/gateway/src/test/java/elmsail/gateway/servers/SimulatedServer.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/SimulatedServer.java
@@ -12,11 +12,11 @@
   /** What becomes of a request there. */
   interface Client {
     /** It was not taken, and will not run. */
-    void refused();
+    void onRejected();
 
-    void firstToken();
+    void onFirstToken();
 
-    void ended();
+    void onEnded();
   }
 
   private record Waiting(double readMs, double holdMs, Client client) {}
@@ -58,7 +58,7 @@
       queue.add(new Waiting(readMs, holdMs, client));
     } else {
       rejections++;
-      timers.execute(client::refused);
+      timers.execute(client::onRejected);
     }
   }
 
@@ -66,7 +66,7 @@
     running++;
     readUntil = Math.max(readUntil, timers.now()) + one.readMs * slowness;
     long first = Math.round(readUntil - timers.now());
-    timers.schedule(first, one.client::firstToken);
+    timers.schedule(first, one.client::onFirstToken);
     timers.schedule(first + Math.round(one.holdMs * slowness), () -> end(one));
   }
 
@@ -75,6 +75,6 @@
     if (!queue.isEmpty()) {
       run(queue.poll());
     }
-    one.client.ended();
+    one.client.onEnded();
   }
 }
