--- a/config/src/main/java/elmsail/config/ClusterState.java
+++ b/config/src/main/java/elmsail/config/ClusterState.java
@@ -4,25 +4,22 @@
 import java.util.List;
 
 /**
- * What this process knows at present; kept up by the watcher on the loop, read anywhere on the
- * loop.
+ * What this process knows of the cluster at present. Updated and read on the process's event loop
+ * only.
  */
 public interface ClusterState {
-  /**
-   * The newest configuration that this process has seen, or null before the first: never an older
-   * one again.
-   */
+  /** The newest configuration received; null before the first. Its version never goes down. */
   RoutingConfig config();
 
-  /** All servers listed, closing ones too; empty before the first list. */
+  /** All listed servers, draining ones included; empty before the first list. Unmodifiable. */
   List<ServerEntry> servers();
 
-  /** How long ago the list was taken from the platform, in ms; Long.MAX_VALUE before the first. */
+  /** Time since the list was fetched from the platform, in ms; Long.MAX_VALUE before the first. */
   long serverListAgeMs();
 
-  /** Never null; its voter sets may be empty. */
+  /** The cluster membership; never null, its voter sets may be empty. Not to be changed. */
   ClusterView view();
 
-  /** Called on the loop after any of these has changed. */
+  /** Adds a listener that is called on the loop after any of these changed. */
   void addListener(Runnable listener);
 }
--- a/config/src/main/java/elmsail/config/ConfigAmendment.java
+++ b/config/src/main/java/elmsail/config/ConfigAmendment.java
@@ -17,9 +17,10 @@
 import java.util.StringJoiner;
 
 /**
- * An operator's change of single named items of the configuration: {@code edition}, {@code deliver}
- * (lists of items to add, or to replace by {@code name}) and {@code withdraw} (lists of names to
- * remove). Lists and items that it does not name stay as they are. Immutable.
+ * An operator's change of single named items of the configuration. Its JSON has {@code edition},
+ * the version of the result, {@code deliver}, lists of items to add or to replace by {@code name},
+ * and {@code withdraw}, lists of names to remove. Lists and items that it does not name stay as
+ * they are. Immutable.
  */
 public final class ConfigAmendment {
   private static final String VERSION_FIELD = "edition";
@@ -38,11 +39,11 @@
   }
 
   /**
-   * Reads an amendment and checks what can be checked without the configuration it is made on.
+   * Reads an amendment and validates what does not depend on the configuration that it applies to.
    *
-   * @throws elmsail.runtime.ElmsailException BAD_CALL with the path at fault: not whole JSON, no
-   *     edition, an item without a name or with the name of another, a name that is withdrawn twice
-   *     or delivered as well
+   * @throws elmsail.runtime.ElmsailException INVALID_ARGUMENT with the path at fault: no complete
+   *     JSON, no version, an item without a name or with the name of another, a name that is
+   *     removed twice or added as well
    */
   public static ConfigAmendment read(byte[] bytes) {
     ConfigObject root = StrictJson.read(bytes);
@@ -98,17 +99,17 @@
     return names;
   }
 
-  /** The number of the configuration that this makes. */
+  /** The version of the configuration that results. */
   public long version() {
     return version;
   }
 
   /**
-   * The configuration after this change, whole; not yet checked for its meaning.
+   * Applies the change. The result is complete JSON, but is not validated as a configuration.
    *
-   * @param current the configuration that it is made on, as it is in force
-   * @throws elmsail.runtime.ElmsailException BAD_CALL if a withdrawn name is not there, or a list
-   *     that is named is none
+   * @param current the configuration to change
+   * @throws elmsail.runtime.ElmsailException INVALID_ARGUMENT if a name to remove is not there, or
+   *     if what is named is no list of named objects
    */
   public byte[] applyTo(byte[] current) {
     Map<String, String> fields = new LinkedHashMap<>();
--- a/config/src/main/java/elmsail/config/ConfigDigest.java
+++ b/config/src/main/java/elmsail/config/ConfigDigest.java
@@ -6,11 +6,11 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
 
-/** Tells whether two configurations are the same, byte for byte. */
+/** A digest that identifies a configuration by its bytes. Stateless. */
 public final class ConfigDigest {
   private ConfigDigest() {}
 
-  /** SHA-256 in 64 lower-case hex digits: the same in every process and release. */
+  /** The SHA-256 digest in 64 lower-case hex digits; the same in every process and release. */
   public static String of(byte[] bytes) {
     try {
       return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(bytes));
--- a/config/src/main/java/elmsail/config/ConfigDocument.java
+++ b/config/src/main/java/elmsail/config/ConfigDocument.java
@@ -11,15 +11,15 @@
 import java.util.Map;
 
 /**
- * The text of a configuration, split into its fields and the named items of its lists, so that
- * single items can be changed while all others keep every character the operator wrote, fields that
- * this build does not know included. Immutable.
+ * The text of a configuration, split into its fields and the named items of its lists. Single items
+ * can be replaced while all others keep every character that the operator wrote, also in fields
+ * that this version of the program does not know. Immutable.
  */
 final class ConfigDocument {
   private static final JsonFactory JSON = new JsonFactory();
   private static final String NAME = "name";
 
-  /** One object of a list, by the text of its field {@code name}, as it was written. */
+  /** One object of a list: the value of its field {@code name}, and its text as written. */
   record Item(String name, String text) {}
 
   /**
@@ -37,7 +37,11 @@
     this.fields = fields;
   }
 
-  /** Fails with BAD_CALL if the bytes are not one whole JSON object. */
+  /**
+   * Splits a document.
+   *
+   * @throws ElmsailException INVALID_ARGUMENT if the bytes are not one complete JSON object
+   */
   static ConfigDocument read(byte[] bytes) {
     String text = new String(bytes, StandardCharsets.UTF_8);
     try (JsonParser parser = JSON.createParser(text)) {
@@ -52,7 +56,7 @@
     }
   }
 
-  /** The fields by their keys in the order written; not to be changed. */
+  /** The fields by key, in the order written; not to be changed. */
   Map<String, Value> fields() {
     return fields;
   }
@@ -110,7 +114,7 @@
   private static void skipValue(JsonParser parser) throws IOException {
     parser.skipChildren();
     if (parser.currentToken().isScalarValue()) {
-      parser.getText(); // the parser reads a text to its end only when it is asked for
+      parser.getText(); // The parser is lazy: without this it stops within the string.
     }
   }
 
--- a/config/src/main/java/elmsail/config/ConfigFields.java
+++ b/config/src/main/java/elmsail/config/ConfigFields.java
@@ -10,31 +10,38 @@
 import java.util.List;
 
 /**
- * The fields of one object of a configuration, each of its type: a text is never taken as a number.
- * A field that is null counts as not given. Faults are BAD_CALL and name the path of the key.
+ * Typed access to the fields of one object of a configuration. Types are not converted: a string is
+ * never read as a number. A field that is null counts as absent. All methods throw {@link
+ * ElmsailException} INVALID_ARGUMENT with the path of the key if the field does not fit.
+ *
+ * @param path of the object within the document, empty for the root
  */
 record ConfigFields(String path, ConfigObject object) {
-  /** The largest whole number that JSON readers agree on. */
+  /** 2^53: JSON readers agree on all integers up to it. */
   private static final double MAX_EXACT_INTEGER = 9_007_199_254_740_992.0;
 
+  /** The fields of a document's root object. */
   static ConfigFields root(ConfigObject object) {
     return new ConfigFields("", object);
   }
 
+  /** The path of a key of this object within the document. */
   String pathOf(String key) {
     return path.isEmpty() ? key : path + "." + key;
   }
 
+  /** The exception to throw for a key whose value does not fit. */
   ElmsailException invalid(String key, String reason) {
     return new ElmsailException(ErrorCode.INVALID_ARGUMENT, pathOf(key) + ": " + reason);
   }
 
+  /** Whether the field is present and not null. */
   boolean has(String key) {
     ConfigValue value = object.get(key);
     return value != null && value.valueType() != ConfigValueType.NULL;
   }
 
-  /** A text of at least one character. */
+  /** A string of at least one character. */
   String requiredString(String key) {
     String text = stringOr(key, null);
     if (text == null || text.isEmpty()) {
@@ -43,18 +50,20 @@
     return text;
   }
 
+  /** A string, which may be empty. */
   String stringOr(String key, String defaultValue) {
     return has(key)
         ? (String) valueOfType(key, ConfigValueType.STRING, "a text").unwrapped()
         : defaultValue;
   }
 
+  /** A boolean; false if it is absent. */
   boolean booleanOrFalse(String key) {
     return has(key)
         && (Boolean) valueOfType(key, ConfigValueType.BOOLEAN, "true or false").unwrapped();
   }
 
-  /** Any finite number, or the other if it is not given. */
+  /** Any finite number. */
   double numberOr(String key, double defaultValue) {
     if (!has(key)) {
       return defaultValue;
@@ -67,9 +76,7 @@
     return number;
   }
 
-  /**
-   * A number of at least 0 that need not be whole; rounded up, so that what is above 0 stays there.
-   */
+  /** A number of at least 0, rounded up so that a positive fraction stays positive. */
   long nonNegativeLongOr(String key, long defaultValue) {
     double number = numberOr(key, defaultValue);
     if (number < 0) {
@@ -78,12 +85,12 @@
     return (long) Math.ceil(Math.min(number, MAX_EXACT_INTEGER));
   }
 
-  /** An amount that fits an int; larger ones count as the largest. */
+  /** As {@link #nonNegativeLongOr}, with larger numbers capped at Integer.MAX_VALUE. */
   int nonNegativeIntOr(String key, int defaultValue) {
     return (int) Math.min(Integer.MAX_VALUE, nonNegativeLongOr(key, defaultValue));
   }
 
-  /** A whole number above 0. */
+  /** An integer above 0. */
   long requiredPositiveLong(String key) {
     if (!has(key)) {
       throw invalid(key, "is missing");
@@ -95,12 +102,13 @@
     return (long) number;
   }
 
+  /** An object, which has to be present: see {@link #has}. */
   ConfigFields requiredObject(String key) {
     return new ConfigFields(
         pathOf(key), (ConfigObject) valueOfType(key, ConfigValueType.OBJECT, "an object"));
   }
 
-  /** The objects of a list, which has to be there. */
+  /** The elements of a list of objects. */
   List<ConfigFields> requiredObjects(String key) {
     if (!has(key)) {
       throw invalid(key, "is missing");
--- a/config/src/main/java/elmsail/config/PlatformClient.java
+++ b/config/src/main/java/elmsail/config/PlatformClient.java
@@ -12,7 +12,10 @@
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
 
-/** Fetches the platform's whole list of servers, page by page, one fetch at a time. */
+/**
+ * Fetches the complete server list from the platform, page by page. One fetch runs at a time; a
+ * caller meanwhile shares it. Owned by the event loop.
+ */
 public final class PlatformClient {
   private static final int MAX_PAGES = 500;
   private static final long PAGE_TIMEOUT_MS = 700;
@@ -27,7 +30,7 @@
   private int pageCount;
   private int lastPageCount = 1;
 
-  /** {@code address}: the platform's "ip:port". */
+  /** Creates a client of the platform at {@code address}, "ip:port". */
   public PlatformClient(HttpClient client, String address, Timers timers) {
     this.client = client;
     this.address = address;
@@ -35,9 +38,11 @@
   }
 
   /**
-   * All servers, each id once, in the order of their ids. While one fetch runs, others join it.
-   * Fails with FULL if the platform has had too many calls (429), GARBLED on any other answer but a
-   * whole page, or on more than 500 pages, and as the client does.
+   * Fetches all servers, each id once, in the order of their ids.
+   *
+   * @return completes on the loop; fails with RESOURCE_EXHAUSTED if the platform limits the rate
+   *     (429), MALFORMED on any other response than a complete page or on more than 500 pages, and
+   *     as the HTTP client does
    */
   public CompletableFuture<List<ServerEntry>> fetch() {
     if (inFlight != null) {
@@ -52,12 +57,12 @@
     return result;
   }
 
-  /** When the last whole list's fetch began, steady ms: the list is no newer than this. */
+  /** When the last successful fetch started, in ms of the steady clock: the list may be as old. */
   public long fetchedAtMs() {
     return fetchedAtMs;
   }
 
-  /** How many calls the last whole list took, at least 1. */
+  /** Number of calls that the last successful fetch took, at least 1. */
   public int lastPageCount() {
     return lastPageCount;
   }
--- a/config/src/main/java/elmsail/config/Route.java
+++ b/config/src/main/java/elmsail/config/Route.java
@@ -3,15 +3,25 @@
 import java.util.List;
 
 /**
- * One route of a configuration; times in ms, those not given are 0.
+ * One route of a configuration. A time that the configuration does not give is 0.
  *
- * @param host {@code depot}, lower case
- * @param prefix {@code lane_prefix}
- * @param weightedServices the services and their weights (one with weight 1 for {@code
- *     postal_line})
- * @param maxAttempts servers that one try of a client may be sent to; for a job's item, answers of
- *     500 before it is dead
- * @param maxWaitingTokens tokens of jobs that may wait, 0: no limit
+ * @param host in lower case, without a port ({@code depot})
+ * @param prefix of the path, begins and ends with a slash ({@code lane_prefix})
+ * @param timeoutMs after which a request without a final response is ended ({@code give_up_ms})
+ * @param latencyTargetMs within which a response earns its full value ({@code due_ms})
+ * @param priority 0 is the highest ({@code precedence})
+ * @param weightedServices the services that requests are split over ({@code share_out}, or one with
+ *     weight 1 for {@code postal_line})
+ * @param maxAttempts servers that one request may be sent to; for an item of a batch job, responses
+ *     with 500 before it fails for good ({@code tries})
+ * @param resumable whether a stream may be resumed at another server ({@code resume})
+ * @param tokenGapTargetMs longest pause between events at full value ({@code gap_aim_ms})
+ * @param completionTargetMs for a batch job, the time from its submission within which all results
+ *     are due ({@code run_due_ms})
+ * @param itemTtlMs time from a batch job's submission after which an item may be given up ({@code
+ *     shelf_s})
+ * @param maxWaitingTokens tokens of batch jobs that may wait on the route, 0: no limit ({@code
+ *     most_waiting})
  */
 public record Route(
     String name,
@@ -29,18 +39,22 @@
     long itemTtlMs,
     long maxWaitingTokens) {
 
-  /** From {@code route_class}. */
+  /** What may be done with a request of the route ({@code route_class}). */
   public enum Kind {
+    /** It may run more than once. */
     SAFE,
+    /** It must not run more than once. */
     UNSAFE,
+    /** Its response is a stream of events, which may be resumable. */
     STREAM,
+    /** It submits a batch job. */
     BATCH
   }
 
-  /** A service and its weight. */
+  /** A service and its weight among a route's services; weights are at least 0. */
   public record WeightedService(String service, double weight) {}
 
-  /** Whether what may have run may be run again. */
+  /** Whether a request that may have run may be sent again. */
   public boolean isIdempotent() {
     return kind == Kind.SAFE || kind == Kind.STREAM && resumable;
   }
--- a/config/src/main/java/elmsail/config/RoutingConfig.java
+++ b/config/src/main/java/elmsail/config/RoutingConfig.java
@@ -3,29 +3,39 @@
 import java.util.Map;
 
 /**
- * A configuration, checked: made by {@code RoutingConfigReader.read(byte[])}, looked up by host and
- * path.
+ * A validated routing configuration: routes by host and path prefix, the services that they forward
+ * to, and the limits of client connections. Immutable; read by {@link RoutingConfigReader}.
  */
 public interface RoutingConfig {
-  /** The number of this version; a higher one is newer. */
+  /** The version, at least 1; a higher one is newer. */
   long version();
 
   /**
-   * The route of the host whose prefix begins the path and is longest, or null. {@code host} may
-   * have a port.
+   * Matches a request to a route: of the host's routes whose prefix the path starts with, the one
+   * with the longest.
+   *
+   * @param host as of the {@code Host} header, with or without a port, in any case; may be null
+   * @return null if no route matches
    */
   Route match(String host, String path);
 
-  /** The route of that name, or null. */
+  /** The route of that name; null if there is none. */
   Route routeByName(String name);
 
-  /** All services by their names. */
+  /** All services by name; unmodifiable. */
   Map<String, Service> services();
 
-  /** The limits that hold for every client connection. */
+  /** The limits of every client connection. */
   ClientLimits limits();
 
-  /** What a client may send: bytes of head and body, ms for the head, ms idle. */
+  /**
+   * What a client may send, and how long it may take.
+   *
+   * @param maxHeaderBytes of a request's line and headers ({@code envelope_bytes})
+   * @param maxBodyBytes of a request's body ({@code parcel_bytes})
+   * @param headerTimeoutMs from the first to the last byte of the headers ({@code envelope_ms})
+   * @param idleTimeoutMs of a connection between requests ({@code idle_ms})
+   */
   record ClientLimits(
       int maxHeaderBytes, int maxBodyBytes, long headerTimeoutMs, long idleTimeoutMs) {}
 }
--- a/config/src/main/java/elmsail/config/RoutingConfigReader.java
+++ b/config/src/main/java/elmsail/config/RoutingConfigReader.java
@@ -8,22 +8,24 @@
 import java.util.Set;
 
 /**
- * Reads an operator's configuration and checks all that makes one invalid by itself. Whether its
- * edition is higher than the current one, and what it builds on, the caller checks. Fields not
- * known are passed over.
+ * Parses and validates an operator's configuration. That its version is above the current one is
+ * for the caller to check. Unknown fields are ignored. Stateless.
  */
 public final class RoutingConfigReader {
-  /** What holds where {@code limits} are not given: as the protocol's example has them. */
+  /** The defaults of {@code limits}, as in the protocol's example. */
   private static final RoutingConfig.ClientLimits DEFAULT_LIMITS =
       new RoutingConfig.ClientLimits(16_384, 4_194_304, 3_000, 15_000);
 
   private RoutingConfigReader() {}
 
   /**
-   * Fails with BAD_CALL, and the path of the key at fault, if the configuration is invalid: not
-   * whole, a service not known, two routes at one place or of one name, no weight, no {@code
-   * give_up_ms} above 0 (routes of jobs need none), no edition, a prefix without its slashes, a
-   * field of a wrong type.
+   * Reads a configuration.
+   *
+   * @param bytes one JSON object in UTF-8
+   * @throws elmsail.runtime.ElmsailException INVALID_ARGUMENT, with the path of the first fault: no
+   *     complete JSON, no version, a field of a wrong type, an unknown service, two routes or
+   *     services of one name, two routes with one host and prefix, weights that add up to 0, a
+   *     route other than a batch route without {@code give_up_ms}, a prefix without its slashes
    */
   public static RoutingConfig read(byte[] bytes) {
     ConfigFields root = ConfigFields.root(StrictJson.read(bytes));
--- a/config/src/main/java/elmsail/config/ServerListCodec.java
+++ b/config/src/main/java/elmsail/config/ServerListCodec.java
@@ -11,7 +11,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The platform's JSON for servers, read and written. Fields not known are passed over. */
+/** The platform's JSON format of server lists. Unknown fields are ignored. Stateless. */
 public final class ServerListCodec {
   private static final JsonFactory JSON = new JsonFactory();
   private static final String ACCEPTING_STATE = "open_for_post";
@@ -21,11 +21,16 @@
   /**
    * One page of the list.
    *
-   * @param nextToken of the following page, null on the last
+   * @param nextToken the token of the next page; null on the last
    */
   public record Page(List<ServerEntry> servers, String nextToken) {}
 
-  /** Fails with GARBLED if the page is not whole, or any entry lacks what is needed of it. */
+  /**
+   * Decodes a page of the platform's list.
+   *
+   * @throws ElmsailException MALFORMED if the JSON is not complete, or an entry lacks a required
+   *     field
+   */
   public static Page decodePage(byte[] bytes) {
     try (JsonParser parser = JSON.createParser(bytes)) {
       require(parser.nextToken() == JsonToken.START_OBJECT, "the page is no object");
@@ -58,7 +63,7 @@
     }
   }
 
-  /** A whole list, as {@code decode} reads it: the same list always gives the same bytes. */
+  /** Encodes a complete list; equal lists always give the same bytes. */
   public static byte[] encode(List<ServerEntry> servers) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream(64 + servers.size() * 160);
     try (JsonGenerator generator = JSON.createGenerator(bytes)) {
@@ -83,14 +88,18 @@
     return bytes.toByteArray();
   }
 
-  /** The list that {@code encode} wrote. Fails with GARBLED. */
+  /**
+   * Decodes a complete list as of {@link #encode}.
+   *
+   * @throws ElmsailException MALFORMED if it is none
+   */
   public static List<ServerEntry> decode(byte[] bytes) {
     return decodePage(bytes).servers();
   }
 
   /**
-   * Whether nothing changed that others have to hear: all is the same, in the same order, but for
-   * what is left of a start that goes on in both. The end of a start is a change.
+   * Whether two lists are equal but for the remaining time of servers that warm up in both. A list
+   * that differs by no more need not be published; the end of a warm-up counts as a change.
    */
   public static boolean equalsExceptWarmUp(List<ServerEntry> before, List<ServerEntry> after) {
     if (before.size() != after.size()) {
@@ -165,9 +174,7 @@
     return parser.getText();
   }
 
-  /**
-   * A number of at least 0; what is left of a server's start may have been rounded or may be null.
-   */
+  /** A number, rounded up to an integer of at least 0; null counts as 0. */
   private static long readNonNegative(JsonParser parser, String key) throws IOException {
     if (parser.currentToken() == JsonToken.VALUE_NULL) {
       return 0;
--- a/config/src/main/java/elmsail/config/Service.java
+++ b/config/src/main/java/elmsail/config/Service.java
@@ -1,8 +1,12 @@
 package elmsail.config;
 
 /**
- * One service ({@code postal_lines}): connections that a server takes from all, requests at once,
- * tokens in memory.
+ * One service of a configuration, an entry of {@code postal_lines}.
+ *
+ * @param healthPath path of the health check
+ * @param maxConnections that one server accepts from all callers ({@code berth_cap}); 0: not known
+ * @param maxConcurrency requests that one server runs at once ({@code berths}); 0: not known
+ * @param kvCacheTokens tokens that one server's KV cache holds ({@code kv_tokens}); 0: not known
  */
 public record Service(
     String name, String healthPath, int maxConnections, int maxConcurrency, long kvCacheTokens) {}
--- a/config/src/main/java/elmsail/config/StrictJson.java
+++ b/config/src/main/java/elmsail/config/StrictJson.java
@@ -19,8 +19,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * One JSON object from the first byte to the last, and nothing else. Typesafe Config lets duplicate
- * keys, comments and more pass, so the text goes through a strict reader before it.
+ * Reads a document that is exactly one JSON object. Typesafe Config accepts duplicate keys,
+ * comments and more, so Jackson checks the syntax strictly before it. Stateless.
  */
 final class StrictJson {
   private static final int MAX_NESTING_DEPTH = 50;
@@ -37,7 +37,12 @@
 
   private StrictJson() {}
 
-  /** Fails with BAD_CALL if the bytes are not one whole JSON object in UTF-8 with each key once. */
+  /**
+   * Parses a document.
+   *
+   * @throws ElmsailException INVALID_ARGUMENT if the bytes are not one complete JSON object in
+   *     UTF-8 with each key once, nested at most 50 deep
+   */
   static ConfigObject read(byte[] bytes) {
     String text = decodeUtf8(bytes);
     checkSyntax(text);
--- a/config/src/main/java/elmsail/config/ValidatedConfig.java
+++ b/config/src/main/java/elmsail/config/ValidatedConfig.java
@@ -9,7 +9,7 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** A configuration's routes by name and, longest prefix first, by host. Immutable. */
+/** The routes of a configuration by name and, longest prefix first, by host. Immutable. */
 final class ValidatedConfig implements RoutingConfig {
   private final long version;
   private final Map<String, Route> byName = new LinkedHashMap<>();
@@ -31,7 +31,7 @@
     }
   }
 
-  /** In lower case, without a port and the brackets of an IPv6 address's port. */
+  /** A host in lower case and without its port; the brackets of an IPv6 address stay. */
   static String normalizedHost(String host) {
     int colon = host.lastIndexOf(':');
     String withoutPort =
--- a/config/src/main/java/elmsail/config/package-info.java
+++ b/config/src/main/java/elmsail/config/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The configuration that operators send and the list of servers that the platform keeps: read
- * strictly, checked as a whole, and turned into values that do not change. A document that breaks a
- * rule is refused with the path of its first fault.
+ * The routing configuration that operators send and the list of servers that the platform keeps:
+ * parsed strictly, validated and turned into immutable values. An invalid document is rejected with
+ * the path of its first fault. JSON names are translated to the field's terms here and nowhere
+ * else.
  */
 package elmsail.config;
--- /dev/null
+++ b/config/src/main/java/elmsail/config/watch/ConfigCache.java
@@ -0,0 +1,69 @@
+package elmsail.config.watch;
+
+import elmsail.config.RoutingConfig;
+import elmsail.config.RoutingConfigReader;
+import elmsail.runtime.ElmsailException;
+import elmsail.runtime.ErrorCode;
+
+/**
+ * The newest routing configuration that this process has received. Its version only goes up, so a
+ * late or repeated update never brings an older configuration back. Owned by the event loop.
+ */
+final class ConfigCache {
+  private RoutingConfig config;
+  private byte[] bytes;
+
+  /** The newest configuration; null before the first. */
+  RoutingConfig config() {
+    return config;
+  }
+
+  /** The newest configuration in the bytes that the operator sent; null before the first. */
+  byte[] bytes() {
+    return bytes;
+  }
+
+  /** The version of the newest configuration; 0 before the first. */
+  long version() {
+    return config == null ? 0 : config.version();
+  }
+
+  /**
+   * Offers an update that was announced with a version.
+   *
+   * @return whether it is newer than the cached configuration and replaced it
+   * @throws ElmsailException INVALID_ARGUMENT if it is not a valid configuration, MALFORMED if it
+   *     has another version than the announced one; the cache is unchanged then
+   */
+  boolean offer(long announcedVersion, byte[] newBytes) {
+    if (announcedVersion <= version()) {
+      return false;
+    }
+    RoutingConfig decoded = RoutingConfigReader.read(newBytes);
+    if (decoded.version() != announcedVersion) {
+      throw new ElmsailException(
+          ErrorCode.MALFORMED,
+          "configuration: announced version " + announcedVersion + ", found " + decoded.version());
+    }
+    return replace(newBytes, decoded);
+  }
+
+  /**
+   * Offers a configuration whose version is known from its content alone.
+   *
+   * @return whether it is newer than the cached configuration and replaced it
+   * @throws ElmsailException INVALID_ARGUMENT if it is not a valid configuration
+   */
+  boolean offer(byte[] newBytes) {
+    return replace(newBytes, RoutingConfigReader.read(newBytes));
+  }
+
+  private boolean replace(byte[] newBytes, RoutingConfig decoded) {
+    if (decoded.version() <= version()) {
+      return false;
+    }
+    config = decoded;
+    bytes = newBytes;
+    return true;
+  }
+}
--- a/config/src/main/java/elmsail/config/watch/ConfigWatcher.java
+++ b/config/src/main/java/elmsail/config/watch/ConfigWatcher.java
@@ -3,16 +3,12 @@
 import elmsail.config.ClusterState;
 import elmsail.config.PlatformClient;
 import elmsail.config.RoutingConfig;
-import elmsail.config.RoutingConfigReader;
 import elmsail.config.ServerEntry;
-import elmsail.consensus.VoterSets;
 import elmsail.rpc.RpcClient;
 import elmsail.rpc.messages.ClusterView;
 import elmsail.rpc.messages.PullRequest;
 import elmsail.rpc.messages.PullResponse;
-import elmsail.rpc.messages.VoterSet;
 import elmsail.runtime.ElmsailException;
-import elmsail.runtime.ErrorCode;
 import elmsail.runtime.Settings;
 import elmsail.runtime.Timers;
 import java.util.ArrayList;
@@ -21,50 +17,54 @@
 import java.util.function.Supplier;
 
 /**
- * Holds a pull open at up to three control-plane nodes (stores and control-plane nodes at all that
- * vote) and keeps the newest that any of them told. Everything on the loop; {@code whenChanged}
- * runs inside the call that changed something.
+ * Watches the control-plane nodes for the routing configuration, the server list and the cluster
+ * membership, and keeps the newest of each that any of them reports.
+ *
+ * <p>A gateway watches up to three control-plane nodes, a store or a control-plane node all that
+ * vote. What is known is kept by {@link ConfigCache}, {@link ServerListCache} and {@link
+ * ClusterViewCache}; {@link WatchStreams} holds the long polls. A gateway whose server list grows
+ * too old fetches one from the platform itself ({@link FallbackDiscovery}).
+ *
+ * <p>Not thread-safe: all methods and callbacks run on the process's event loop. Listeners run
+ * inside the call that changed something.
  */
 public final class ConfigWatcher implements ClusterState {
-  private static final long LONG_POLL_MS = 1_000;
-  private static final long FRESH_LIST_AGE_MS = 1_500;
-
-  /** An epoch above all: nothing is newer. */
-  private static final long EPOCH_ABOVE_ALL = Long.MAX_VALUE;
-
   private static final long REFRESH_INTERVAL_MS = 1_000;
 
-  /** Told that this process shall claim a voter slot of the store set with an epoch. */
+  /** Told by a control-plane node that this process is to join its voter set. */
+  @FunctionalInterface
   public interface JoinListener {
-    /** Take over that slot of the store set under that epoch; may be repeated. */
+    /**
+     * Take over a voter slot of this process's set.
+     *
+     * @param slot index of the slot in the voter set
+     * @param epoch the epoch to take it over with; the same call may be repeated
+     */
     void join(int slot, int epoch);
   }
 
   private final Timers timers;
-  private final Settings settings;
-  private final String role;
-  private final long instanceId;
-  private final Supplier<StoreStatus> storeStatus;
+  private final WatchRequestFactory requests;
   private final FallbackDiscovery fallbackDiscovery;
   private final WatchStreams streams;
+  private final ConfigCache configs = new ConfigCache();
   private final ServerListCache servers = new ServerListCache();
+  private final ClusterViewCache views;
   private final List<Runnable> listeners = new ArrayList<>();
   private JoinListener joinListener = (slot, epoch) -> {};
-  private RoutingConfig config;
-  private byte[] configBytes;
-  private ClusterView view = new ClusterView();
   private Timers.Timer refresh;
   private long rejectedUpdates;
 
   /**
-   * Asks nothing before {@code start}.
+   * Creates a watcher that sends nothing before {@link #start}.
    *
    * @param role "gateway", "store" or "controlplane"
-   * @param storeStatus what a store tells of itself, {@code StoreStatus.NONE} in others
-   * @param platform for a gateway that hears no list in time; null: never asked
+   * @param instanceId the incarnation of this process, sent with each request
+   * @param storeStatus what a store reports of itself; {@code StoreStatus.NONE} in others
+   * @param platform for a gateway's fallback discovery; null if there is none
    */
   public ConfigWatcher(
-      RpcClient caller,
+      RpcClient rpcClient,
       Timers timers,
       Settings settings,
       String role,
@@ -72,13 +72,15 @@
       Supplier<StoreStatus> storeStatus,
       PlatformClient platform) {
     this.timers = timers;
-    this.settings = settings;
-    this.role = role;
-    this.instanceId = instanceId;
-    this.storeStatus = storeStatus;
+    requests = new WatchRequestFactory(settings, role, instanceId, storeStatus);
     streams =
         new WatchStreams(
-            caller, timers, settings, this::newRequest, (stream, response) -> onResponse(response));
+            rpcClient,
+            timers,
+            settings,
+            this::newRequest,
+            (stream, response) -> onResponse(response));
+    views = new ClusterViewCache(() -> timers.execute(this::selectUpstreams));
     fallbackDiscovery =
         platform == null || settings.platform() == null || !role.equals("gateway")
             ? null
@@ -88,26 +90,28 @@
                 settings.platform().maxCallsPerSecond(),
                 new Random(instanceId),
                 this::serverListAgeMs,
-                () -> view.gateways.size(),
+                () -> view().gateways.size(),
                 this::onServersFetched);
   }
 
-  /** Begins to ask, once. */
+  /** Opens the watch streams. To be called once. */
   public void start() {
-    streams.selectUpstreams(view.controlPlaneVoters);
+    selectUpstreams();
     refresh = timers.schedule(REFRESH_INTERVAL_MS, this::refresh);
     if (fallbackDiscovery != null) {
       fallbackDiscovery.start();
     }
   }
 
-  /** Takes the seeds of the changed settings; all else stays as it was. */
+  /**
+   * Takes over the seed addresses of the changed settings; all other settings stay as they were.
+   */
   public void onSettingsChanged(Settings newSettings) {
-    streams.seedAddresses(newSettings);
-    streams.selectUpstreams(view.controlPlaneVoters);
+    streams.setSeeds(newSettings);
+    selectUpstreams();
   }
 
-  /** Asks nothing more; what is known stays. */
+  /** Ends all streams and timers; what is known stays readable. */
   public void close() {
     if (refresh != null) {
       refresh.cancel();
@@ -118,7 +122,10 @@
     streams.close();
   }
 
-  /** Whoever shall claim a voter slot; called each time that a control-plane node says so. */
+  /**
+   * Sets the one listener that is called whenever a response of a control-plane node orders this
+   * process to join a voter set.
+   */
   public void setJoinListener(JoinListener newJoinListener) {
     joinListener = newJoinListener;
   }
@@ -130,12 +137,12 @@
 
   @Override
   public RoutingConfig config() {
-    return config;
+    return configs.config();
   }
 
-  /** As the operator sent it, null before the first. */
+  /** The configuration in the bytes that the operator sent; null before the first. */
   public byte[] configBytes() {
-    return configBytes;
+    return configs.bytes();
   }
 
   @Override
@@ -148,140 +155,108 @@
     return servers.ageMs(timers.now());
   }
 
-  /** Epoch of the pulled list; 0 before the first. */
+  /** Epoch of the watched list; 0 before the first. */
   public long serverListEpoch() {
     return servers.epoch();
   }
 
-  /** Version of the pulled list within its epoch; 0 before the first. */
+  /** Version of the watched list within its epoch; 0 before the first. */
   public long serverListVersion() {
     return servers.version();
   }
 
-  /** The pulled list as it came, null before the first. */
+  /** The watched list as it was received; null before the first. */
   public byte[] serverListBytes() {
     return servers.encoded();
   }
 
-  /** When the pulled list was taken from the platform, steady ms; only where there are bytes. */
+  /**
+   * When the watched list was fetched from the platform, in ms of the steady clock. Defined only if
+   * {@link #serverListBytes} is not null.
+   */
   public long serverListFetchedAtMs() {
     return servers.watchedFetchedAtMs();
   }
 
   @Override
   public ClusterView view() {
-    return view;
+    return views.view();
   }
 
   /**
-   * How long ago the control-plane node at this inner address answered, in ms; Long.MAX_VALUE:
-   * never in this instance.
+   * Time since the last response of a control-plane node.
+   *
+   * @param address its RPC address, "ip:port"
+   * @return in ms; Long.MAX_VALUE if it has not responded to this process
    */
   public long lastResponseAgeMs(String address) {
     return streams.lastResponseAgeMs(address);
   }
 
-  /** Inner addresses of the control-plane nodes that are asked now. */
+  /** RPC addresses of the control-plane nodes that are watched now. */
   public List<String> upstreams() {
     return streams.addresses();
   }
 
-  /** Asks that failed, and answers that could not be used. */
+  /** Number of requests that failed or whose response could not be used, since the start. */
   public long failedRequests() {
     return streams.failedRequests();
   }
 
-  /** Configurations and lists that came and could not be read. */
+  /** Number of received updates with a configuration or list that could not be decoded. */
   public long rejectedUpdates() {
     return rejectedUpdates;
   }
 
   /**
-   * A configuration that is decided, known by another way than a pull; passed over unless newer.
+   * Offers a committed configuration that this process learned otherwise than by watching; ignored
+   * unless it is newer.
+   *
+   * @throws ElmsailException INVALID_ARGUMENT if it is not a valid configuration
    */
   public void offerConfig(byte[] bytes) {
-    if (applyConfig(bytes, RoutingConfigReader.read(bytes))) {
+    if (configs.offer(bytes)) {
       notifyListeners();
     }
   }
 
-  /** The list of this process itself, if it holds the duty; as {@code UpdateSources.setServers}. */
+  /**
+   * Offers the list that this process fetched as the lease holder of server discovery; parameters
+   * as of {@link WatchServer#setServers}.
+   *
+   * @throws ElmsailException MALFORMED if the list cannot be decoded
+   */
   public void offerServers(long epoch, long version, byte[] bytes, long fetchedAtMs) {
     if (servers.offerWatched(epoch, version, bytes, fetchedAtMs)) {
       notifyListeners();
     }
   }
 
+  private void selectUpstreams() {
+    streams.selectUpstreams(view().controlPlaneVoters);
+  }
+
   private void refresh() {
-    streams.selectUpstreams(view.controlPlaneVoters);
-    if (updateView(view.controlPlaneVoters, view.jobStoreVoters)) {
+    selectUpstreams();
+    if (views.updateGateways(streams.recentGateways())) {
       notifyListeners();
     }
     refresh = timers.schedule(REFRESH_INTERVAL_MS, this::refresh);
   }
 
   private PullRequest newRequest(WatchStream stream) {
-    PullRequest request = new PullRequest();
-    StoreStatus status = storeStatus.get();
-    request.machine = settings.machine();
-    request.address = settings.rpcAddress();
-    request.zone = settings.zone();
-    request.role = role;
-    request.instanceId = instanceId;
-    request.voting = status.voting();
-    request.drained = status.drained();
-    request.jobStoreVoters = status.jobStoreVoters();
-    request.configVersion = configVersion();
-    request.serverListEpoch = wantsList(stream) ? servers.epoch() : EPOCH_ABOVE_ALL;
-    request.serverListVersion = servers.version();
-    request.viewVersion = stream.viewVersion;
-    request.maxWaitMs = LONG_POLL_MS;
-    request.hasDisk = settings.dataDir() != null;
-    return request;
+    return requests.newRequest(stream, streams.nearest(), configs.version(), servers, timers.now());
   }
 
-  /**
-   * Bytes between zones are priced, and three control-plane nodes have the same list: a gateway
-   * takes it from the nearest while that keeps it young, and from the others its age only.
-   * Control-plane nodes take it from all, so that no two wait for each other. Stores send no
-   * requests to servers and take none.
-   */
-  private boolean wantsList(WatchStream stream) {
-    if (!role.equals("gateway")) {
-      return !role.equals("store");
-    }
-    WatchStream nearest = streams.nearest();
-    return nearest == null || nearest == stream || serverListAgeMs() > FRESH_LIST_AGE_MS;
-  }
-
-  /** False if a part could not be read; the other parts are taken all the same. */
+  /** Returns false if a part could not be decoded; the other parts are applied all the same. */
   private boolean onResponse(PullResponse response) {
-    long now = timers.now();
-    boolean complete = true;
-    boolean changed = false;
-    if (response.config != null && response.configVersion > configVersion()) {
-      try {
-        changed =
-            applyConfig(response.config, decodeConfig(response.configVersion, response.config));
-      } catch (ElmsailException e) {
-        complete = false;
-      }
-    }
-    if (response.serverListAgeMs >= 0) {
-      try {
-        changed |=
-            servers.offerWatched(
-                response.serverListEpoch,
-                response.serverListVersion,
-                response.servers,
-                now - response.serverListAgeMs);
-      } catch (ElmsailException e) {
-        complete = false;
-      }
-    }
-    rejectedUpdates += complete ? 0 : 1;
+    Update configUpdate = applyConfig(response);
+    Update serversUpdate = applyServers(response);
+    boolean decoded = configUpdate != Update.REJECTED && serversUpdate != Update.REJECTED;
+    rejectedUpdates += decoded ? 0 : 1;
+    boolean changed = configUpdate == Update.CHANGED || serversUpdate == Update.CHANGED;
     if (response.view != null) {
-      changed |= mergeView(response.view);
+      changed |= views.merge(response.view, streams.recentGateways());
     }
     if (changed) {
       notifyListeners();
@@ -289,52 +264,46 @@
     if (response.view != null && response.view.joinSlot >= 0) {
       joinListener.join(response.view.joinSlot, response.view.joinEpoch);
     }
-    return complete;
+    return decoded;
   }
 
-  private long configVersion() {
-    return config == null ? 0 : config.version();
-  }
+  /** What became of one part of a response. */
+  private enum Update {
+    CHANGED,
+    UNCHANGED,
+    /** It could not be decoded. */
+    REJECTED;
 
-  private static RoutingConfig decodeConfig(long edition, byte[] bytes) {
-    RoutingConfig decoded = RoutingConfigReader.read(bytes);
-    if (decoded.version() != edition) {
-      throw new ElmsailException(
-          ErrorCode.MALFORMED, "told edition " + edition + ", came " + decoded.version());
+    static Update of(boolean changed) {
+      return changed ? CHANGED : UNCHANGED;
     }
-    return decoded;
   }
 
-  private boolean applyConfig(byte[] bytes, RoutingConfig decoded) {
-    if (decoded.version() <= configVersion()) {
-      return false;
+  private Update applyConfig(PullResponse response) {
+    if (response.config == null) {
+      return Update.UNCHANGED;
+    }
+    try {
+      return Update.of(configs.offer(response.configVersion, response.config));
+    } catch (ElmsailException e) {
+      return Update.REJECTED;
     }
-    config = decoded;
-    configBytes = bytes;
-    return true;
-  }
-
-  private boolean mergeView(ClusterView received) {
-    return updateView(
-        VoterSets.merge(view.controlPlaneVoters, received.controlPlaneVoters),
-        VoterSets.merge(view.jobStoreVoters, received.jobStoreVoters));
   }
 
-  /** Whether anything of the view is another now. */
-  private boolean updateView(VoterSet controlPlaneVoters, VoterSet jobStoreVoters) {
-    ClusterView merged = new ClusterView();
-    merged.controlPlaneVoters = controlPlaneVoters;
-    merged.jobStoreVoters = jobStoreVoters;
-    List<List<String>> gatewayLists = streams.recentGateways();
-    merged.gateways = gatewayLists.isEmpty() ? view.gateways : ClusterViews.union(gatewayLists);
-    if (ClusterViews.sameMembers(view, merged)) {
-      return false;
+  private Update applyServers(PullResponse response) {
+    if (response.serverListAgeMs < 0) {
+      return Update.UNCHANGED;
     }
-    if (!VoterSets.areEqual(view.controlPlaneVoters, controlPlaneVoters)) {
-      timers.execute(() -> streams.selectUpstreams(view.controlPlaneVoters));
+    try {
+      return Update.of(
+          servers.offerWatched(
+              response.serverListEpoch,
+              response.serverListVersion,
+              response.servers,
+              timers.now() - response.serverListAgeMs));
+    } catch (ElmsailException e) {
+      return Update.REJECTED;
     }
-    view = merged;
-    return true;
   }
 
   private void onServersFetched(List<ServerEntry> fetchedServers, long fetchedAtMs) {
--- a/config/src/main/java/elmsail/config/watch/FallbackDiscovery.java
+++ b/config/src/main/java/elmsail/config/watch/FallbackDiscovery.java
@@ -9,8 +9,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A gateway's own asking of the platform while the control-plane nodes' list is too old: sparingly,
- * as all may do so.
+ * Fetches the server list from the platform itself while the list that the control-plane nodes
+ * publish is too old. All gateways may do so at once, so fetches are spread by a random delay and
+ * together keep to a third of the platform's rate limit. Owned by the event loop.
  */
 final class FallbackDiscovery {
   private static final long CHECK_INTERVAL_MS = 250;
@@ -18,8 +19,9 @@
   private static final long STARTUP_GRACE_MS = 3_000;
   private static final long MAX_JITTER_MS = 1_000;
 
-  /** Takes what was fetched, and when it was taken (steady ms). */
+  /** Receives the fetched lists. */
   interface Listener {
+    /** {@code fetchedAtMs} is when the platform was asked, in ms of the steady clock. */
     void onServers(List<ServerEntry> servers, long fetchedAtMs);
   }
 
@@ -35,6 +37,13 @@
   private long earliestFetchAtMs;
   private boolean closed;
 
+  /**
+   * Creates a discovery that fetches nothing before {@link #start}.
+   *
+   * @param maxCallsPerSecond the platform's rate limit for all gateways; 0: not known
+   * @param listAgeMs age of the list in force; Long.MAX_VALUE while there is none
+   * @param gatewayCount number of gateways known
+   */
   FallbackDiscovery(
       Timers timers,
       PlatformClient platform,
@@ -52,12 +61,14 @@
     this.listener = listener;
   }
 
+  /** Starts to check the list's age. To be called once. */
   void start() {
     startedAtMs = timers.now();
     earliestFetchAtMs = startedAtMs;
     nextStep = timers.schedule(CHECK_INTERVAL_MS, this::check);
   }
 
+  /** Ends the checks; a fetch that is in flight is ignored. */
   void close() {
     closed = true;
     if (nextStep != null) {
@@ -101,7 +112,7 @@
             });
   }
 
-  /** All gateways together keep to a third of the platform's rate, each page being a call. */
+  /** Each page is a call; all gateways together may make a third of the calls allowed. */
   private long fetchIntervalMs() {
     double calls = 3.0 * Math.max(1, gatewayCount.getAsInt()) * platform.lastPageCount();
     return maxCallsPerSecond > 0
--- a/config/src/main/java/elmsail/config/watch/PeerStatus.java
+++ b/config/src/main/java/elmsail/config/watch/PeerStatus.java
@@ -4,10 +4,16 @@
 import elmsail.rpc.messages.VoterSet;
 
 /**
- * What a process last said of itself with a pull; {@code at} in steady ms.
+ * The status that a process reported with its last watch request.
  *
+ * @param machine the name of its machine
+ * @param address its RPC address, "ip:port"
  * @param role "gateway", "store" or "controlplane"
- * @param jobStoreVoters the voter set that a store knows
+ * @param instanceId its incarnation
+ * @param voting whether it holds a voter slot and has caught up
+ * @param drained whether no job needs its disk any more
+ * @param jobStoreVoters the voter set that a store knows; empty for other roles
+ * @param receivedAtMs ms of the steady clock
  */
 public record PeerStatus(
     String machine,
@@ -20,7 +26,7 @@
     VoterSet jobStoreVoters,
     long receivedAtMs) {
 
-  /** Whether all but the time is the same. */
+  /** Whether all but the time of receipt is equal. */
   boolean equalsExceptTime(PeerStatus other) {
     return machine.equals(other.machine)
         && address.equals(other.address)
--- a/config/src/main/java/elmsail/config/watch/RendezvousHash.java
+++ b/config/src/main/java/elmsail/config/watch/RendezvousHash.java
@@ -4,16 +4,20 @@
 import java.util.List;
 
 /**
- * Rendezvous hashing: each station ranks the candidates in an order of its own, the same
- * everywhere.
+ * Rendezvous (highest random weight) hashing, after Thaler and Ravishankar: each key ranks the
+ * candidates in an order of its own, which is the same in every process. Stateless.
  */
 public final class RendezvousHash {
   private RendezvousHash() {}
 
   /**
-   * The first {@code count} candidates (fewer if there are fewer) in the station's order; the
-   * candidates' own order does not matter, and doubles count once. One that comes or goes displaces
+   * Chooses the first candidates in the key's order. A candidate that is added or removed displaces
    * at most one of a choice.
+   *
+   * @param key who chooses, such as a machine's name
+   * @param candidates in any order; duplicates count once
+   * @param count how many to choose; all if there are fewer
+   * @return best first; unmodifiable
    */
   public static List<String> choose(String key, List<String> candidates, int count) {
     List<String> ranked = new ArrayList<>();
--- a/config/src/main/java/elmsail/config/watch/ServerListCache.java
+++ b/config/src/main/java/elmsail/config/watch/ServerListCache.java
@@ -5,8 +5,9 @@
 import java.util.List;
 
 /**
- * The list as pulled, by epoch and version, and beside it the list that this process fetched
- * itself: what was taken later counts. Pure; times in steady ms.
+ * The server lists that a process knows: the watched one, ordered by epoch and version, and the one
+ * that it fetched from the platform itself. The list that was fetched later is in force. Owned by
+ * the event loop; all times are ms of the steady clock.
  */
 final class ServerListCache {
   private static final long NEVER = Long.MIN_VALUE;
@@ -19,37 +20,45 @@
   private List<ServerEntry> ownServers = List.of();
   private long ownFetchedAtMs = NEVER;
 
+  /** Epoch of the watched list; 0 before the first. */
   long epoch() {
     return epoch;
   }
 
+  /** Version of the watched list within its epoch; 0 before the first. */
   long version() {
     return version;
   }
 
-  /** The pulled list's, null before the first. */
+  /** The watched list as it was received; null before the first. */
   byte[] encoded() {
     return encoded;
   }
 
-  /** When the pulled list was taken; only with {@code bytes}. */
+  /** When the watched list was fetched; defined only if {@link #encoded} is not null. */
   long watchedFetchedAtMs() {
     return watchedFetchedAtMs;
   }
 
+  /** The servers in force; empty before the first list. */
   List<ServerEntry> servers() {
     return ownFetchedAtMs > watchedFetchedAtMs ? ownServers : watchedServers;
   }
 
-  long ageMs(long now) {
+  /** The age of the list in force, in ms; Long.MAX_VALUE before the first. */
+  long ageMs(long nowMs) {
     long fetchedAtMs = Math.max(ownFetchedAtMs, watchedFetchedAtMs);
-    return fetchedAtMs == NEVER ? Long.MAX_VALUE : Math.max(0, now - fetchedAtMs);
+    return fetchedAtMs == NEVER ? Long.MAX_VALUE : Math.max(0, nowMs - fetchedAtMs);
   }
 
   /**
-   * Takes a list that is told, or its age only (null). A lower version never comes back; the same
-   * one only gets younger. Returns whether the servers changed. Fails with GARBLED, changing
-   * nothing.
+   * Offers a watched list. One with a lower epoch or version is ignored; the same version again
+   * only refreshes the age.
+   *
+   * @param newEncoded as of {@code ServerListCodec.encode}; null if the update brings the age alone
+   * @return whether the servers in force changed
+   * @throws elmsail.runtime.ElmsailException MALFORMED if the list cannot be decoded; the cache is
+   *     unchanged then
    */
   boolean offerWatched(long newEpoch, long newVersion, byte[] newEncoded, long fetchedAtMs) {
     List<ServerEntry> before = servers();
@@ -67,7 +76,11 @@
     return !before.equals(servers());
   }
 
-  /** Takes a list fetched by this process itself. Returns whether the servers changed. */
+  /**
+   * Offers a list that this process fetched itself; ignored if an earlier one was fetched later.
+   *
+   * @return whether the servers in force changed
+   */
   boolean offerOwn(List<ServerEntry> newServers, long fetchedAtMs) {
     List<ServerEntry> before = servers();
     if (fetchedAtMs >= ownFetchedAtMs) {
--- /dev/null
+++ b/config/src/main/java/elmsail/config/watch/UpstreamSelector.java
@@ -0,0 +1,117 @@
+package elmsail.config.watch;
+
+import elmsail.rpc.messages.Voter;
+import elmsail.rpc.messages.VoterSet;
+import elmsail.runtime.Settings;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * Selects the control-plane nodes that a process watches. Candidates are the voters, and the seed
+ * addresses before voters are known and while no node responds; they are ranked by rendezvous
+ * hashing, and a gateway takes the first few. A node that has not responded for {@link
+ * #UNRESPONSIVE_MS} is ejected for a while: it is taken only if too few others are left.
+ *
+ * <p>Owned by the event loop; all times are ms of the steady clock.
+ */
+final class UpstreamSelector {
+  /** A node without a response for so long is replaced, and its report of the gateways expires. */
+  static final long UNRESPONSIVE_MS = 5_000;
+
+  /** Stores and control-plane nodes watch all voters, so that each voter knows of them. */
+  private static final int MAX_GATEWAY_UPSTREAMS = 3;
+
+  private static final long EJECTION_MS = 30_000;
+  private static final String GATEWAY_SERVICE = "counter";
+
+  private final String machine;
+  private final String ownAddress;
+  private final int maxUpstreams;
+  private final List<String> seedAddresses = new ArrayList<>();
+  private final Map<String, Long> ejectedUntilMs = new HashMap<>();
+  private long lastResponseAtMs;
+
+  /** Creates a selector that counts the time without any response from {@code nowMs}. */
+  UpstreamSelector(Settings settings, long nowMs) {
+    machine = settings.machine();
+    ownAddress = settings.rpcAddress();
+    maxUpstreams =
+        settings.services().contains(GATEWAY_SERVICE) ? MAX_GATEWAY_UPSTREAMS : Integer.MAX_VALUE;
+    lastResponseAtMs = nowMs;
+    setSeeds(settings);
+  }
+
+  /** Replaces the seed addresses by those of the settings. */
+  void setSeeds(Settings settings) {
+    seedAddresses.clear();
+    for (String seed : settings.seeds()) {
+      seedAddresses.add(settings.controlPlaneRpcAddress(seed));
+    }
+  }
+
+  /** Notes that a node responded, which ends its ejection. */
+  void onResponse(String address, long nowMs) {
+    lastResponseAtMs = nowMs;
+    ejectedUntilMs.remove(address);
+  }
+
+  /**
+   * The addresses to watch, in the order of preference.
+   *
+   * @param streams the open streams by address
+   */
+  List<String> select(VoterSet voters, Map<String, WatchStream> streams, long nowMs) {
+    List<String> candidates = candidates(voters, nowMs);
+    List<String> ranked = RendezvousHash.choose(machine, candidates, candidates.size());
+    ejectedUntilMs.keySet().retainAll(candidates);
+    if (ranked.size() <= maxUpstreams) {
+      return ranked;
+    }
+    List<String> preferred = new ArrayList<>(ranked.size());
+    List<String> ejected = new ArrayList<>();
+    for (String address : ranked) {
+      (isEjected(address, streams.get(address), nowMs) ? ejected : preferred).add(address);
+    }
+    preferred.addAll(ejected);
+    return preferred.subList(0, maxUpstreams);
+  }
+
+  private List<String> candidates(VoterSet voters, long nowMs) {
+    List<String> candidates = new ArrayList<>();
+    for (Voter voter : voters.voters) {
+      candidates.add(voter.address);
+    }
+    if (candidates.isEmpty() || nowMs - lastResponseAtMs > UNRESPONSIVE_MS) {
+      candidates.addAll(seedAddresses);
+    }
+    candidates.removeIf(address -> address.isEmpty() || address.equals(ownAddress));
+    return candidates;
+  }
+
+  private boolean isEjected(String address, WatchStream stream, long nowMs) {
+    if (stream != null && nowMs - stream.lastActivityAtMs() > UNRESPONSIVE_MS) {
+      ejectedUntilMs.put(address, nowMs + EJECTION_MS);
+    }
+    Long untilMs = ejectedUntilMs.get(address);
+    return untilMs != null && nowMs < untilMs;
+  }
+
+  /**
+   * How near a node is: the number of leading parts that its address shares with this process's
+   * own, so the same machine or network ranks above others.
+   */
+  int proximity(String address) {
+    int parts = 0;
+    for (int i = 0; i < ownAddress.length() && i < address.length(); i++) {
+      if (ownAddress.charAt(i) != address.charAt(i)) {
+        break;
+      }
+      if (ownAddress.charAt(i) == '.' || ownAddress.charAt(i) == ':') {
+        parts++;
+      }
+    }
+    return parts;
+  }
+}
--- /dev/null
+++ b/config/src/main/java/elmsail/config/watch/WatchRequestFactory.java
@@ -0,0 +1,83 @@
+package elmsail.config.watch;
+
+import elmsail.rpc.messages.PullRequest;
+import elmsail.runtime.Settings;
+import java.util.function.Supplier;
+
+/**
+ * Builds the requests of the watch streams: who this process is, and which versions it has. Owned
+ * by the event loop.
+ */
+final class WatchRequestFactory {
+  private static final String GATEWAY = "gateway";
+  private static final String STORE = "store";
+  private static final long LONG_POLL_MS = 1_000;
+  private static final long FRESH_LIST_AGE_MS = 1_500;
+
+  /** Sent in place of the known epoch: no list is newer, so the response brings its age alone. */
+  private static final long EPOCH_ABOVE_ALL = Long.MAX_VALUE;
+
+  private final Settings settings;
+  private final String role;
+  private final long instanceId;
+  private final Supplier<StoreStatus> storeStatus;
+
+  /**
+   * Creates the factory of one process.
+   *
+   * @param role "gateway", "store" or "controlplane"
+   * @param storeStatus read at each request
+   */
+  WatchRequestFactory(
+      Settings settings, String role, long instanceId, Supplier<StoreStatus> storeStatus) {
+    this.settings = settings;
+    this.role = role;
+    this.instanceId = instanceId;
+    this.storeStatus = storeStatus;
+  }
+
+  /**
+   * The next request of a stream.
+   *
+   * @param nearest the stream that complete lists are best taken from; null if there is none
+   * @param configVersion the version of the known configuration; 0 if there is none
+   */
+  PullRequest newRequest(
+      WatchStream stream,
+      WatchStream nearest,
+      long configVersion,
+      ServerListCache servers,
+      long nowMs) {
+    PullRequest request = new PullRequest();
+    StoreStatus status = storeStatus.get();
+    request.machine = settings.machine();
+    request.address = settings.rpcAddress();
+    request.zone = settings.zone();
+    request.role = role;
+    request.instanceId = instanceId;
+    request.voting = status.voting();
+    request.drained = status.drained();
+    request.jobStoreVoters = status.jobStoreVoters();
+    request.configVersion = configVersion;
+    request.serverListEpoch =
+        wantsServerList(stream, nearest, servers.ageMs(nowMs)) ? servers.epoch() : EPOCH_ABOVE_ALL;
+    request.serverListVersion = servers.version();
+    request.viewVersion = stream.viewVersion;
+    request.maxWaitMs = LONG_POLL_MS;
+    request.hasDisk = settings.dataDir() != null;
+    return request;
+  }
+
+  /**
+   * Whether the response should bring the complete server list. Traffic between zones is charged
+   * for and all control-plane nodes have the same list, so a gateway takes it from the nearest node
+   * while that keeps it fresh, and only its age from the others. Control-plane nodes take it from
+   * all, so that no two wait for each other. Stores send no requests to servers and take none.
+   */
+  private boolean wantsServerList(WatchStream stream, WatchStream nearest, long listAgeMs) {
+    if (!role.equals(GATEWAY)) {
+      return !role.equals(STORE);
+    }
+    return nearest == null || nearest == stream || listAgeMs > FRESH_LIST_AGE_MS;
+  }
+}
--- a/config/src/main/java/elmsail/config/watch/WatchServer.java
+++ b/config/src/main/java/elmsail/config/watch/WatchServer.java
@@ -12,12 +12,16 @@
 import java.util.function.Function;
 
 /**
- * A control-plane node's side of the pulls: what it has to tell, who waits for something newer, and
- * who was heard of. Everything on the loop.
+ * A control-plane node's side of the watch streams: publishes the configuration, the server list
+ * and the cluster view to all who watch, and keeps what they report of themselves.
+ *
+ * <p>A watch is a long poll. It is answered at once if the node has something newer than the
+ * request names, else with the next change or when its wait is over.
+ *
+ * <p>Not thread-safe: all methods run on the process's event loop.
  */
 public final class WatchServer {
   private static final int MAX_PENDING_WATCHES = 2_000;
-  private static final int MAX_PEERS = 4_000;
   private static final long MAX_WAIT_MS = 10_000;
 
   private record PendingWatch(
@@ -25,7 +29,7 @@
 
   private final Timers timers;
   private final Map<String, PendingWatch> pendingWatches = new LinkedHashMap<>();
-  private final Map<String, PeerStatus> peers = new LinkedHashMap<>();
+  private final PeerTable peers = new PeerTable();
   private Function<PullRequest, ClusterView> viewFactory = request -> new ClusterView();
   private Runnable peerListener = () -> {};
   private long configVersion;
@@ -38,15 +42,15 @@
   private boolean flushScheduled;
 
   /**
-   * A publisher that knows no configuration yet; its view begins above any earlier process of this
-   * machine.
+   * Creates a server that has nothing to publish yet. Its view version starts at the steady clock,
+   * above that of any earlier process of this machine.
    */
   public WatchServer(Timers timers) {
     this.timers = timers;
     viewVersion = Math.max(1, timers.now());
   }
 
-  /** A decided configuration, as the operator sent it; passed over unless its edition is higher. */
+  /** Publishes a committed configuration in the operator's bytes; ignored unless it is newer. */
   public void setConfig(long newVersion, byte[] bytes) {
     if (newVersion > configVersion) {
       configVersion = newVersion;
@@ -56,11 +60,12 @@
   }
 
   /**
-   * A list, in the bytes of {@code ServerList.encode}. Passed over if it is behind the one held;
-   * the same version again only makes it younger.
+   * Publishes a server list. One with a lower epoch or version is ignored; the same version again
+   * only refreshes its age.
    *
    * @param version from 1, as a watcher without a list has 0
-   * @param fetchedAtMs steady ms when the platform was asked
+   * @param bytes as of {@code ServerListCodec.encode}
+   * @param fetchedAtMs when the platform was asked for it, in ms of the steady clock
    */
   public void setServers(long epoch, long version, byte[] bytes, long fetchedAtMs) {
     int order = Long.compare(epoch, serverListEpoch);
@@ -76,36 +81,39 @@
     }
   }
 
-  /** Whether there is a list to tell. */
+  /** Whether there is a server list to publish. */
   public boolean hasServers() {
     return servers != null;
   }
 
-  /** How each asker's view is made; it may differ by asker (a voter slot to claim). */
+  /** Sets how a watcher's view is built; views differ by watcher, as one may be ordered to join. */
   public void setViewFactory(Function<PullRequest, ClusterView> newViewFactory) {
     viewFactory = newViewFactory;
     onViewChanged();
   }
 
-  /** Something in the views has changed: whoever waits is told. */
+  /** To be called when any view has changed: it is published to all who watch. */
   public void onViewChanged() {
     viewVersion = Math.max(viewVersion + 1, timers.now());
     scheduleFlush();
   }
 
-  /** Run on the loop after an asker came that is new, or that tells another state of itself. */
+  /** Sets the one listener that runs after a request of a new peer, or of one that changed. */
   public void setPeerListener(Runnable listener) {
     peerListener = listener;
   }
 
   /**
-   * Answers at once if something is newer than the asker has, else when something is or the wait is
-   * over (10 s at most). An asker's second ask ends its first. With 2,000 held, more are answered
-   * at once.
+   * Serves a watch request. A second request of a process ends its first. With 2,000 pending,
+   * further ones are answered at once.
+   *
+   * @return completes on the loop, at the latest after 10 s
    */
   public CompletableFuture<PullResponse> watch(PullRequest request) {
-    String peerKey = peerKey(request);
-    recordPeer(peerKey, request);
+    if (peers.record(request, timers.now())) {
+      timers.execute(peerListener);
+    }
+    String peerKey = PeerTable.keyOf(request);
     PendingWatch previous = pendingWatches.remove(peerKey);
     if (previous != null) {
       respond(previous);
@@ -123,49 +131,16 @@
     return response;
   }
 
-  /** Whoever asked within so many ms, each process's last word, in no order. */
+  /** The last status of each process that sent a request in the last so many ms, in no order. */
   public List<PeerStatus> peersSeenWithin(long windowMs) {
-    long sinceMs = timers.now() - windowMs;
-    List<PeerStatus> recent = new ArrayList<>();
-    for (PeerStatus peer : peers.values()) {
-      if (peer.receivedAtMs() >= sinceMs) {
-        recent.add(peer);
-      }
-    }
-    return recent;
+    return peers.seenSince(timers.now() - windowMs);
   }
 
-  /** How many asks are held open now. */
+  /** Number of watches that wait for a change. */
   public int pendingWatches() {
     return pendingWatches.size();
   }
 
-  private static String peerKey(PullRequest request) {
-    return request.role + '@' + request.machine;
-  }
-
-  private void recordPeer(String peerKey, PullRequest request) {
-    PeerStatus current =
-        new PeerStatus(
-            request.machine,
-            request.address,
-            request.zone,
-            request.role,
-            request.instanceId,
-            request.voting,
-            request.drained,
-            request.jobStoreVoters,
-            timers.now());
-    PeerStatus previous = peers.remove(peerKey);
-    if (previous == null && peers.size() >= MAX_PEERS) {
-      peers.remove(peers.keySet().iterator().next());
-    }
-    peers.put(peerKey, current);
-    if (previous == null || !previous.equalsExceptTime(current)) {
-      timers.execute(peerListener);
-    }
-  }
-
   private boolean hasNewer(PullRequest request) {
     return config != null && configVersion > request.configVersion
         || hasNewerList(request)
@@ -201,7 +176,7 @@
     }
   }
 
-  /** Several changes of one moment are told together. */
+  /** Changes of one turn of the loop are published together. */
   private void scheduleFlush() {
     if (!flushScheduled) {
       flushScheduled = true;
--- a/config/src/main/java/elmsail/config/watch/WatchStream.java
+++ b/config/src/main/java/elmsail/config/watch/WatchStream.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * The pull held open at one control-plane node: its pace, and that control-plane node's own
- * versions. Times in ms.
+ * The state of the watch at one control-plane node: when the next request is due, and the versions
+ * that belong to this node alone. Owned by the event loop; all times are ms of the steady clock.
  */
 final class WatchStream {
   private static final long MIN_REQUEST_INTERVAL_MS = 20;
@@ -18,15 +18,22 @@
   final long openedAtMs;
 
   /**
-   * Of this control-plane node's views; those of different control-plane nodes, or of its
-   * instances, are not comparable.
+   * The version of the node's view that was last received; 0 requests the view. Versions of other
+   * nodes, or of other incarnations of this one, are not comparable.
    */
   long viewVersion;
 
+  /** The gateways that the node last reported. */
   List<String> gateways = new ArrayList<>();
+
+  /** -1 before the first response. */
   long lastResponseAtMs = -1;
+
   boolean open = true;
+
+  /** The timer of the next request; null while the first one is in flight. */
   Timers.Timer nextRequest;
+
   private long requestedAtMs;
   private long backoffMs = INITIAL_BACKOFF_MS;
 
@@ -35,17 +42,18 @@
     this.openedAtMs = nowMs;
   }
 
+  /** Notes that a request is sent. */
   void onRequest(long nowMs) {
     requestedAtMs = nowMs;
   }
 
-  /** How long the next ask waits after an answer. */
+  /** Resets the backoff; returns the delay of the next request after a response that was used. */
   long delayAfterResponseMs(long nowMs) {
     backoffMs = INITIAL_BACKOFF_MS;
     return Math.max(0, requestedAtMs + MIN_REQUEST_INTERVAL_MS - nowMs);
   }
 
-  /** How long the next ask waits after a failure, or an answer that could not be read. */
+  /** Doubles the backoff; returns the delay of the next request after a failure. */
   long delayAfterFailureMs() {
     long delayMs = backoffMs;
     backoffMs = Math.min(MAX_BACKOFF_MS, backoffMs * 2);
@@ -53,8 +61,8 @@
   }
 
   /**
-   * Takes this control-plane node's version: if it has gone on without a view, the next ask fetches
-   * the view.
+   * Notes a response. If the node's view changed and the response did not bring it, the next
+   * request fetches it.
    */
   void onResponse(PullResponse response, long nowMs) {
     lastResponseAtMs = nowMs;
@@ -66,11 +74,12 @@
     }
   }
 
-  /** When it last said something, or was begun to be asked. */
+  /** When the node last responded; when the stream was opened if it has not. */
   long lastActivityAtMs() {
     return lastResponseAtMs < 0 ? openedAtMs : lastResponseAtMs;
   }
 
+  /** Cancels the next request; a response still in flight is ignored by the owner. */
   void close() {
     open = false;
     if (nextRequest != null) {
--- a/config/src/main/java/elmsail/config/watch/WatchStreams.java
+++ b/config/src/main/java/elmsail/config/watch/WatchStreams.java
@@ -3,12 +3,10 @@
 import elmsail.rpc.RpcClient;
 import elmsail.rpc.messages.PullRequest;
 import elmsail.rpc.messages.PullResponse;
-import elmsail.rpc.messages.Voter;
 import elmsail.rpc.messages.VoterSet;
 import elmsail.runtime.Settings;
 import elmsail.runtime.Timers;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -17,78 +15,58 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Which control-plane nodes are asked, and the asking: one pull open at each. Times in ms. */
+/**
+ * The watch streams of a process: one long poll at each selected control-plane node, repeated at
+ * once after a response and with a backoff after a failure. Owned by the event loop; all times are
+ * ms of the steady clock.
+ */
 final class WatchStreams {
-  /**
-   * A control-plane node silent for so long gives way to another, and its word on the gateways is
-   * forgotten.
-   */
-  static final long UNRESPONSIVE_MS = 5_000;
-
   private static final Logger LOG = LoggerFactory.getLogger(WatchStreams.class);
 
-  /** A gateway asks so many; stores and control-plane nodes ask all voters, to be heard by all. */
-  private static final int MAX_GATEWAY_STREAMS = 3;
-
-  private static final int MAX_REMEMBERED_ADDRESSES = 64;
   private static final long RECENT_MS = 1_500;
   private static final long CALL_TIMEOUT_MS = 1_800;
-  private static final long EJECTION_MS = 30_000;
 
-  /** Takes an answer; false if a part of it could not be read. */
+  /** Applies the responses. */
   interface ResponseHandler {
+    /** Returns false if a part of the response could not be decoded. */
     boolean onResponse(WatchStream stream, PullResponse response);
   }
 
-  private final RpcClient caller;
+  private final RpcClient rpcClient;
   private final Timers timers;
-  private final String machine;
-  private final String ownAddress;
-  private final int maxStreams;
-  private final List<String> seedAddresses = new ArrayList<>();
+  private final UpstreamSelector selector;
   private final Function<WatchStream, PullRequest> requestFactory;
   private final ResponseHandler responseHandler;
   private final Map<String, WatchStream> streams = new LinkedHashMap<>();
-  private final Map<String, Long> lastResponseAtByAddress = new LinkedHashMap<>();
-  private final Map<String, Long> ejectedUntilMs = new HashMap<>();
-  private long lastResponseAtMs;
+  private final LastResponseTimes lastResponses = new LastResponseTimes();
   private boolean closed;
   private long failedRequests;
 
   WatchStreams(
-      RpcClient caller,
+      RpcClient rpcClient,
       Timers timers,
       Settings settings,
       Function<WatchStream, PullRequest> requestFactory,
       ResponseHandler responseHandler) {
-    this.caller = caller;
+    this.rpcClient = rpcClient;
     this.timers = timers;
     this.requestFactory = requestFactory;
     this.responseHandler = responseHandler;
-    machine = settings.machine();
-    ownAddress = settings.rpcAddress();
-    maxStreams = settings.services().contains("counter") ? MAX_GATEWAY_STREAMS : Integer.MAX_VALUE;
-    seedAddresses(settings);
-    lastResponseAtMs = timers.now();
+    selector = new UpstreamSelector(settings, timers.now());
   }
 
-  /** Takes these seeds in place of those before. */
-  void seedAddresses(Settings settings) {
-    seedAddresses.clear();
-    for (String seed : settings.seeds()) {
-      seedAddresses.add(settings.controlPlaneRpcAddress(seed));
-    }
+  /** Replaces the seed addresses; takes effect with the next selection. */
+  void setSeeds(Settings settings) {
+    selector.setSeeds(settings);
   }
 
-  /**
-   * Those of the head's voter slots, or the seeds before they are known and while nobody answers.
-   */
+  /** Closes the streams to nodes that are no longer selected, and opens those that are missing. */
   void selectUpstreams(VoterSet controlPlaneVoters) {
     if (closed) {
       return;
     }
     long nowMs = timers.now();
-    List<String> selected = rankUpstreams(controlPlaneVoters, nowMs);
+    List<String> selected = selector.select(controlPlaneVoters, streams, nowMs);
     Iterator<WatchStream> open = streams.values().iterator();
     while (open.hasNext()) {
       WatchStream stream = open.next();
@@ -106,15 +84,11 @@
     }
   }
 
-  /**
-   * The gateways that each control-plane node told last, but for those silent; empty if none was
-   * heard lately.
-   */
+  /** The gateways that each responsive node last reported; empty if no node is responsive. */
   List<List<String>> recentGateways() {
     List<List<String>> lists = new ArrayList<>();
     for (WatchStream stream : streams.values()) {
-      if (stream.lastResponseAtMs >= 0
-          && timers.now() - stream.lastResponseAtMs <= UNRESPONSIVE_MS) {
+      if (hasRespondedWithin(stream, UpstreamSelector.UNRESPONSIVE_MS)) {
         lists.add(stream.gateways);
       }
     }
@@ -122,52 +96,42 @@
   }
 
   /**
-   * The stream that whole lists are best taken from, of those heard lately: by how much of the
-   * address is this process's own (same machine, same net), then in their order. Null if none was
-   * heard lately.
+   * The stream that complete lists are best taken from: the nearest of those that responded
+   * recently, the first one of equals. Null if none did.
    */
   WatchStream nearest() {
-    WatchStream best = null;
-    int most = -1;
+    WatchStream nearest = null;
+    int bestProximity = -1;
     for (WatchStream stream : streams.values()) {
-      int sharedParts = sharedAddressParts(stream.address);
-      if (stream.lastResponseAtMs >= 0
-          && timers.now() - stream.lastResponseAtMs <= RECENT_MS
-          && sharedParts > most) {
-        best = stream;
-        most = sharedParts;
+      int proximity = selector.proximity(stream.address);
+      if (hasRespondedWithin(stream, RECENT_MS) && proximity > bestProximity) {
+        nearest = stream;
+        bestProximity = proximity;
       }
     }
-    return best;
+    return nearest;
   }
 
-  /** How many parts of the ip, from its front, are the same. */
-  private int sharedAddressParts(String address) {
-    int parts = 0;
-    for (int i = 0; i < ownAddress.length() && i < address.length(); i++) {
-      if (ownAddress.charAt(i) != address.charAt(i)) {
-        break;
-      }
-      if (ownAddress.charAt(i) == '.' || ownAddress.charAt(i) == ':') {
-        parts++;
-      }
-    }
-    return parts;
+  private boolean hasRespondedWithin(WatchStream stream, long windowMs) {
+    return stream.lastResponseAtMs >= 0 && timers.now() - stream.lastResponseAtMs <= windowMs;
   }
 
+  /** Time since a node's last response in ms; Long.MAX_VALUE if none is known. */
   long lastResponseAgeMs(String address) {
-    Long responseAtMs = lastResponseAtByAddress.get(address);
-    return responseAtMs == null ? Long.MAX_VALUE : timers.now() - responseAtMs;
+    return lastResponses.ageMs(address, timers.now());
   }
 
+  /** The addresses that are watched now. */
   List<String> addresses() {
     return List.copyOf(streams.keySet());
   }
 
+  /** Number of requests that failed or whose response could not be used. */
   long failedRequests() {
     return failedRequests;
   }
 
+  /** Closes all streams for good; responses that are still in flight are ignored. */
   void close() {
     closed = true;
     for (WatchStream stream : streams.values()) {
@@ -176,82 +140,52 @@
     streams.clear();
   }
 
-  private List<String> rankUpstreams(VoterSet controlPlaneVoters, long nowMs) {
-    List<String> candidates = new ArrayList<>();
-    for (Voter voter : controlPlaneVoters.voters) {
-      candidates.add(voter.address);
-    }
-    if (candidates.isEmpty() || nowMs - lastResponseAtMs > UNRESPONSIVE_MS) {
-      candidates.addAll(seedAddresses);
-    }
-    candidates.removeIf(address -> address.isEmpty() || address.equals(ownAddress));
-    List<String> ranked = RendezvousHash.choose(machine, candidates, candidates.size());
-    ejectedUntilMs.keySet().retainAll(candidates);
-    if (ranked.size() <= maxStreams) {
-      return ranked;
-    }
-    List<String> preferred = new ArrayList<>(ranked.size());
-    List<String> ejected = new ArrayList<>();
-    for (String address : ranked) {
-      (isEjected(address, nowMs) ? ejected : preferred).add(address);
-    }
-    preferred.addAll(ejected);
-    return preferred.subList(0, maxStreams);
-  }
-
-  private boolean isEjected(String address, long nowMs) {
-    WatchStream stream = streams.get(address);
-    if (stream != null && nowMs - stream.lastActivityAtMs() > UNRESPONSIVE_MS) {
-      ejectedUntilMs.put(address, nowMs + EJECTION_MS);
-    }
-    Long untilMs = ejectedUntilMs.get(address);
-    return untilMs != null && nowMs < untilMs;
-  }
-
   private void sendRequest(WatchStream stream) {
-    if (closed || !stream.open) {
+    if (isClosed(stream)) {
       return;
     }
     long requestedAtMs = timers.now();
     stream.onRequest(requestedAtMs);
-    caller
+    rpcClient
         .call(stream.address, requestFactory.apply(stream), PullResponse.class, CALL_TIMEOUT_MS)
         .whenComplete(
             (response, failure) -> {
-              if (closed || !stream.open) {
-                return;
-              }
-              // A process that was frozen finds an answer that was true before that.
-              boolean inTime = timers.now() - requestedAtMs <= CALL_TIMEOUT_MS;
-              boolean accepted = failure == null && inTime && onResponse(stream, response);
-              if (!accepted) {
-                failedRequests++;
-              }
-              if (!closed && stream.open) {
-                stream.nextRequest =
-                    timers.schedule(
-                        accepted
-                            ? stream.delayAfterResponseMs(timers.now())
-                            : stream.delayAfterFailureMs(),
-                        () -> sendRequest(stream));
+              if (!isClosed(stream)) {
+                onCallEnd(stream, requestedAtMs, response, failure);
               }
             });
   }
 
-  private boolean onResponse(WatchStream stream, PullResponse response) {
+  private void onCallEnd(
+      WatchStream stream, long requestedAtMs, PullResponse response, Throwable failure) {
+    // A process that was suspended finds a response that was true before that: it is out of date.
+    boolean inTime = timers.now() - requestedAtMs <= CALL_TIMEOUT_MS;
+    boolean accepted = failure == null && inTime && applyResponse(stream, response);
+    if (!accepted) {
+      failedRequests++;
+    }
+    if (isClosed(stream)) {
+      return;
+    }
+    long delayMs =
+        accepted ? stream.delayAfterResponseMs(timers.now()) : stream.delayAfterFailureMs();
+    stream.nextRequest = timers.schedule(delayMs, () -> sendRequest(stream));
+  }
+
+  private boolean isClosed(WatchStream stream) {
+    return closed || !stream.open;
+  }
+
+  private boolean applyResponse(WatchStream stream, PullResponse response) {
     long nowMs = timers.now();
     stream.onResponse(response, nowMs);
-    lastResponseAtMs = nowMs;
-    ejectedUntilMs.remove(stream.address);
-    lastResponseAtByAddress.remove(stream.address);
-    lastResponseAtByAddress.put(stream.address, nowMs);
-    if (lastResponseAtByAddress.size() > MAX_REMEMBERED_ADDRESSES) {
-      lastResponseAtByAddress.remove(lastResponseAtByAddress.keySet().iterator().next());
-    }
+    selector.onResponse(stream.address, nowMs);
+    lastResponses.record(stream.address, nowMs);
     try {
       return responseHandler.onResponse(stream, response);
     } catch (RuntimeException e) {
-      LOG.error("an answer of {} was not taken whole", stream.address, e);
+      // A listener's fault must not end the stream: the next request follows after a backoff.
+      LOG.error("watch response not applied, address={}", stream.address, e);
       return false;
     }
   }
--- a/config/src/main/java/elmsail/config/watch/package-info.java
+++ b/config/src/main/java/elmsail/config/watch/package-info.java
@@ -1,6 +1,8 @@
 /**
- * How each process learns what is in force: a stream of updates from control-plane processes to all
- * others, each update with a version, so that an older one never replaces a newer one. A gateway
- * that hears no list for too long asks the platform itself.
+ * Delivery of the configuration, the server list and the cluster membership from control-plane
+ * nodes to all processes, by long polls. Each part has a version, so that an older update never
+ * replaces a newer one. {@link elmsail.config.watch.WatchServer} publishes, {@link
+ * elmsail.config.watch.ConfigWatcher} watches; a gateway whose server list grows too old fetches it
+ * from the platform itself.
  */
 package elmsail.config.watch;
