--- a/consensus/src/main/java/elmsail/consensus/DurableMembership.java
+++ b/consensus/src/main/java/elmsail/consensus/DurableMembership.java
@@ -124,7 +124,7 @@
     }
     written = false;
     timers.schedule(REWRITE_DELAY_MS, this::rewriteIfFailed);
-    LOG.warn("{}: the voter set could not be written: {}", set, ElmsailException.codeOf(failure));
+    LOG.warn("voter set not written: set={} code={}", set, ElmsailException.codeOf(failure));
   }
 
   /** Whether the membership as it is in memory is on disk or on its way there. */
@@ -143,7 +143,7 @@
     boolean voting = membership.isVoting();
     if (voting != publishedVoting) {
       publishedVoting = voting;
-      LOG.info("{}: {}", set, voting ? "voting" : "not voting");
+      LOG.info("{}: set={}", voting ? "replica voting" : "replica not voting", set);
       for (Runnable listener : votingListeners) {
         listener.run();
       }
--- a/consensus/src/main/java/elmsail/consensus/ReplicaJoin.java
+++ b/consensus/src/main/java/elmsail/consensus/ReplicaJoin.java
@@ -148,7 +148,7 @@
 
   /** Replaces the attempt under way, if any, by one for this slot and epoch. */
   void startAttempt(int slot, int epoch) {
-    LOG.info("{}: joins slot {}, epoch {}", context.names().set(), slot, epoch);
+    LOG.info("join started: set={} slot={} epoch={}", context.names().set(), slot, epoch);
     JoinAttempt next = new JoinAttempt(this, context, slot, membership.claim(slot, epoch));
     attempt = next;
     context
--- a/consensus/src/main/java/elmsail/consensus/ReplicaRequestHandler.java
+++ b/consensus/src/main/java/elmsail/consensus/ReplicaRequestHandler.java
@@ -178,7 +178,7 @@
     JoinResponse response = membership.respond(request);
     if (membership.voterSet() != before) {
       LOG.info(
-          "{}: slot {} taken by {}, epoch {}",
+          "voter slot taken over: set={} slot={} address={} epoch={}",
           set,
           request.slot,
           request.voter.address,
--- a/storage/src/main/java/elmsail/storage/DiskThread.java
+++ b/storage/src/main/java/elmsail/storage/DiskThread.java
@@ -48,7 +48,7 @@
     try {
       runUntilClosed();
     } catch (RejectedExecutionException e) {
-      LOG.info("the disk's thread ends with the loop");
+      LOG.info("disk thread ended: the event loop is closed");
     } catch (Error e) {
       completions.onBatchFailed(
           List.of(), new ElmsailException(ErrorCode.INTERNAL, "the disk's thread ended", e));
--- a/storage/src/main/java/elmsail/storage/DiskWorker.java
+++ b/storage/src/main/java/elmsail/storage/DiskWorker.java
@@ -85,9 +85,9 @@
       return true;
     } catch (RuntimeException e) {
       // The thread goes on: a fault in one batch fails that batch, and what was queued behind it.
-      LOG.error("a batch could not be written", e);
+      LOG.error("batch not written: directory={}", directory, e);
       completions.onBatchFailed(
-          batch, new ElmsailException(ErrorCode.INTERNAL, "a batch could not be written: " + e, e));
+          batch, new ElmsailException(ErrorCode.INTERNAL, "batch not written: " + e, e));
       return true;
     }
     completions.onBatchWritten(batch, clock.now() - startedAt);
@@ -256,7 +256,11 @@
     try {
       return directory.read(entry.name, location);
     } catch (ElmsailException e) {
-      LOG.error("version {} cannot be rewritten: {}", location.file().version, e.getMessage());
+      LOG.error(
+          "version file not compacted: directory={} version={} cause={}",
+          directory,
+          location.file().version,
+          e.getMessage());
       location.file().unreadable = true;
       throw new IOException(e);
     }
@@ -288,9 +292,9 @@
   /** Logs when I/O begins to fail, and when it succeeds again. */
   private void logDiskState(IOException failure) {
     if (failure != null && !diskFailing) {
-      LOG.warn("the disk refuses: {}", failure.toString());
+      LOG.warn("disk write failed: directory={} cause={}", directory, failure.toString());
     } else if (failure == null && diskFailing) {
-      LOG.info("the disk takes writes again");
+      LOG.info("disk write succeeded again: directory={}", directory);
     }
     diskFailing = failure != null;
   }
--- a/storage/src/main/java/elmsail/storage/StorageDirectory.java
+++ b/storage/src/main/java/elmsail/storage/StorageDirectory.java
@@ -49,6 +49,12 @@
     this.fileSystem = fileSystem;
   }
 
+  /** The path, as log lines name the directory. */
+  @Override
+  public String toString() {
+    return directory.toString();
+  }
+
   /** The id stored in all files. */
   long instanceId() {
     return instanceId;
