--- a/controlplane/src/main/java/elmsail/controlplane/BootstrapAgreement.java
+++ b/controlplane/src/main/java/elmsail/controlplane/BootstrapAgreement.java
@@ -27,7 +27,7 @@
   /** Later seeds begin and repeat later, so that rounds don't outbid each other for long. */
   private static final long DELAY_PER_SEED_MS = 170;
 
-  private final RpcClient caller;
+  private final RpcClient rpcClient;
   private final Timers timers;
   private final RecordStore records;
   private final List<String> seeds;
@@ -44,13 +44,13 @@
    * @param agreedListener told what this seed saw decided
    */
   BootstrapAgreement(
-      RpcClient caller,
+      RpcClient rpcClient,
       Timers timers,
       RecordStore records,
       List<String> seeds,
       String localAddress,
       Consumer<VoterSet> agreedListener) {
-    this.caller = caller;
+    this.rpcClient = rpcClient;
     this.timers = timers;
     this.records = records;
     this.seeds = seeds;
@@ -123,6 +123,6 @@
     request.proposal = proposal == null ? request.proposal : proposal;
     return seed == localSeedIndex
         ? handle(request)
-        : caller.call(seeds.get(seed), request, FoundingResponse.class, CALL_TIMEOUT_MS);
+        : rpcClient.call(seeds.get(seed), request, FoundingResponse.class, CALL_TIMEOUT_MS);
   }
 }
--- a/controlplane/src/main/java/elmsail/controlplane/ClusterBootstrap.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ClusterBootstrap.java
@@ -1,30 +1,30 @@
 package elmsail.controlplane;
 
+import elmsail.consensus.VoterSetSource;
 import elmsail.rpc.RequestHandlers;
 import elmsail.rpc.RpcClient;
 import elmsail.rpc.messages.HelloRequest;
 import elmsail.rpc.messages.HelloResponse;
 import elmsail.rpc.messages.VoterSet;
 import elmsail.runtime.Timers;
-import elmsail.storage.RecordStore;
 import java.util.List;
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.concurrent.CompletableFuture;
-import java.util.function.Consumer;
-import java.util.function.Supplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * How a control-plane node comes by the voter set of "head": it asks the seeds until one knows it,
- * or, at the first start of all, helps to found it. An instance that did not begin at the first
- * start founds nothing, and is in no founding.
+ * How a control-plane node gets the voter set of the control plane. It polls the seeds until one of
+ * them knows the voter set or, at the first start of the cluster, bootstraps it with them.
+ * Instances that did not take part in the first start neither bootstrap nor become initial voters.
+ * Runs on the event loop.
  *
- * <p>Where the seeds all have disks and are as many as the wanted voters (or all that there are),
- * they are the voters: each seed computes the same once all have told their instances. Otherwise a
- * majority of the seeds agrees on one proposal, once ({@link BootstrapAgreement}): the wanted
- * number of control-plane nodes with a disk, spread over the zones.
+ * <p>Where the seeds all have disks and are as many as the voters that are needed (or all nodes
+ * that there are), they become the voters: each seed computes the same set once it has the instance
+ * ids of all. Otherwise a majority of the seeds agrees on one proposal, once ({@link
+ * BootstrapAgreement}): the needed number of control-plane nodes with a disk, spread over the
+ * zones.
  */
 final class ClusterBootstrap {
   private static final Logger LOG = LoggerFactory.getLogger(ClusterBootstrap.class);
@@ -32,57 +32,55 @@
   private static final long HELLO_TIMEOUT_MS = 400;
   private static final long MAX_POLL_INTERVAL_MS = 1_000;
 
-  /** A process is told of so many seeds, or of fewer where there are no more. */
+  /** The settings name so many seeds, or fewer where the cluster has no more nodes. */
   private static final int MAX_SEEDS = 3;
 
-  private final RpcClient caller;
+  private final RpcClient rpcClient;
   private final Timers timers;
   private final HelloRequest localHello;
   private final List<String> seeds;
   private final int targetVoterCount;
-  private final Supplier<VoterSet> voterSet;
-  private final Consumer<VoterSet> voterSetListener;
+  private final VoterSetSource voterSetSource;
   private final BootstrapAgreement agreement;
   private final BootstrapCandidates candidates;
   private final TreeMap<String, HelloResponse> seedHellos = new TreeMap<>();
   private boolean hasDisklessSeed;
   private long pollIntervalMs = INITIAL_POLL_INTERVAL_MS;
-  private boolean onAgreed;
+  private boolean agreed;
   private boolean closed;
 
   /**
-   * Makes one.
+   * Creates one that sends nothing before {@link #start}.
    *
-   * @param localHello what this process says of itself; {@code firstStart} only once that is on its
+   * @param environment of this process
+   * @param localHello how this process presents itself; {@code firstStart} only once that is on its
    *     disk, if it has one
-   * @param records null where there is no disk
-   * @param seeds inner addresses, this one's too if it is one of them
-   * @param targetVoterCount how many are wanted
-   * @param voterSet as this process knows it now
-   * @param voterSetListener takes the first voter set, or one that another knows
+   * @param seeds RPC addresses of the seeds, this process's own included if it is one
+   * @param voterSetSource what this process knows of the voters; learns the result
    */
   ClusterBootstrap(
-      RpcClient caller,
-      Timers timers,
+      NodeEnvironment environment,
       HelloRequest localHello,
-      RecordStore records,
       List<String> seeds,
-      int targetVoterCount,
-      Supplier<VoterSet> voterSet,
-      Consumer<VoterSet> voterSetListener) {
-    this.caller = caller;
-    this.timers = timers;
+      VoterSetSource voterSetSource) {
+    this.rpcClient = environment.rpcClient();
+    this.timers = environment.timers();
     this.localHello = localHello;
     this.seeds = List.copyOf(new TreeSet<>(seeds));
-    this.targetVoterCount = targetVoterCount;
-    this.voterSet = voterSet;
-    this.voterSetListener = voterSetListener;
+    this.targetVoterCount = environment.targetVoterCount();
+    this.voterSetSource = voterSetSource;
     agreement =
         new BootstrapAgreement(
-            caller, timers, records, this.seeds, localHello.address, this::onAgreed);
+            rpcClient,
+            timers,
+            environment.records(),
+            this.seeds,
+            localHello.address,
+            this::onAgreed);
     candidates = new BootstrapCandidates(targetVoterCount, timers.now());
   }
 
+  /** Begins to poll the seeds, and to answer other nodes that do. */
   void start(RequestHandlers handlers) {
     handlers.register(
         HelloRequest.class,
@@ -102,12 +100,12 @@
     response.instanceId = localHello.instanceId;
     response.hasDisk = localHello.hasDisk;
     response.firstStart = localHello.firstStart;
-    response.voterSet = voterSet.get();
+    response.voterSet = voterSetSource.current();
     return response;
   }
 
   private boolean isVoterSetKnown() {
-    return !voterSet.get().voters.isEmpty();
+    return !voterSetSource.current().voters.isEmpty();
   }
 
   private void pollSeeds() {
@@ -119,7 +117,7 @@
       if (seed.equals(localHello.address)) {
         onHelloResponse(seed, localResponse());
       } else {
-        caller
+        rpcClient
             .call(seed, localHello, HelloResponse.class, HELLO_TIMEOUT_MS)
             .thenAccept(response -> onHelloResponse(seed, response));
       }
@@ -136,7 +134,7 @@
       return;
     }
     if (response.voterSet != null && !response.voterSet.voters.isEmpty()) {
-      voterSetListener.accept(response.voterSet);
+      voterSetSource.learn(response.voterSet);
       return;
     }
     if (seed.equals(response.address)) {
@@ -166,21 +164,21 @@
         initialVoterSet.voters.add(
             VoterSetValue.voter(seed.address, seed.machine, seed.instanceId, 1));
       }
-      voterSetListener.accept(initialVoterSet);
+      voterSetSource.learn(initialVoterSet);
     }
   }
 
-  /** The same for all seeds, as neither their disks nor the settings change. */
+  /** Whether the seeds must agree on a proposal; the same at all seeds, and for good. */
   private boolean needsAgreement() {
     return hasDisklessSeed || targetVoterCount > seeds.size() && seeds.size() >= MAX_SEEDS;
   }
 
   private void onAgreed(VoterSet initialVoterSet) {
-    if (!closed && !onAgreed) {
-      onAgreed = true;
+    if (!closed && !agreed) {
+      agreed = true;
       LOG.info(
           "head is founded by agreement of the seeds: {} voters", initialVoterSet.voters.size());
-      voterSetListener.accept(initialVoterSet);
+      voterSetSource.learn(initialVoterSet);
     }
   }
 
--- a/controlplane/src/main/java/elmsail/controlplane/ConfigChangeHandler.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ConfigChangeHandler.java
@@ -110,15 +110,15 @@
   }
 
   @Override
-  public CompletableFuture<SimpleHttpResponse> handle(SimpleHttpRequest call) {
-    long baseVersion = parseVersion(call.headers().get("elmsail-based-on"));
+  public CompletableFuture<SimpleHttpResponse> handle(SimpleHttpRequest request) {
+    long baseVersion = parseVersion(request.headers().get("elmsail-based-on"));
     if (baseVersion < 0) {
       counters.countChange(400);
       return Replies.completed(Replies.error(400, "Elmsail-Based-On"));
     }
-    PendingChange pending = readChange(baseVersion, call.body());
+    PendingChange pending = readChange(baseVersion, request.body());
     attempt(pending);
-    pending.reply.thenAccept(reply -> counters.countChange(reply.status()));
+    pending.reply.thenAccept(response -> counters.countChange(response.status()));
     return pending.reply;
   }
 
--- a/controlplane/src/main/java/elmsail/controlplane/ControlPlane.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ControlPlane.java
@@ -16,13 +16,15 @@
 import elmsail.storage.RecordStore;
 import java.security.SecureRandom;
 import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.atomic.AtomicReference;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * A control-plane node with its sockets, in one of two shapes: at the head office, where operators
- * call, or at a store. The inner links, the records and the loop are the caller's, who closes them
- * after {@link #shutdown()}.
+ * A process of the control plane with its sockets: either a control-plane node, which serves the
+ * operators, or a store, which keeps batch jobs. The RPC endpoint, the records and the event loop
+ * belong to the caller, who closes them after {@link #shutdown()}. All methods are called on the
+ * event loop.
  */
 public final class ControlPlane {
   private static final Logger LOG = LoggerFactory.getLogger(ControlPlane.class);
@@ -46,12 +48,13 @@
   }
 
   /**
-   * Starts one that serves the operators; called on the loop, before or after {@code
-   * links.listen()}.
+   * Starts a control-plane node, before or after {@code rpc.listen()}.
    *
-   * @param records null where the machine has no disk: calls are passed on, and there is no vote
-   * @param metrics the process's figures and invariants
-   * @return done once the control address is bound; fails with BAD_SETTINGS if it can't be
+   * @param settings of this process; its listen address "control" serves the operators
+   * @param records null where the machine has no disk: the node never votes, and redirects the
+   *     operators' calls that only voters can answer
+   * @param metrics the process's counters, gauges and invariants
+   * @return completes once the control address is bound; fails with INVALID_SETTINGS if it can't be
    */
   public static CompletableFuture<ControlPlane> startControlPlaneNode(
       Settings settings,
@@ -59,26 +62,21 @@
       RpcEndpoint rpc,
       RecordStore records,
       ProcessMetrics metrics) {
+    long processId = new SecureRandom().nextLong();
+    NodeEnvironment environment =
+        new NodeEnvironment(settings, loop, rpc, rpc, records, processId, metrics);
     ControlPlaneNode controlPlaneNode =
-        new ControlPlaneNode(
-            settings,
-            loop,
-            rpc,
-            rpc,
-            records,
-            new NettyHttpClient(loop),
-            new SecureRandom().nextLong(),
-            metrics);
+        new ControlPlaneNode(environment, new NettyHttpClient(loop));
     ControlPlane controlPlane = new ControlPlane(loop, controlPlaneNode, null);
     HttpHandler operators = controlPlaneNode.operatorApi();
     MetricsEndpoint metricsEndpoint = new MetricsEndpoint(metrics.counters(), loop);
     return HttpServer.listen(
             loop,
             settings.listenAddresses().get("control"),
-            call ->
-                MetricsEndpoint.PATH.equals(call.path())
-                    ? metricsEndpoint.handle(call)
-                    : controlPlane.countInFlight(operators, call),
+            request ->
+                MetricsEndpoint.PATH.equals(request.path())
+                    ? metricsEndpoint.handle(request)
+                    : controlPlane.countInFlight(operators, request),
             MAX_BODY_BYTES)
         .thenApply(
             httpServer -> {
@@ -89,11 +87,11 @@
   }
 
   /**
-   * Starts one at a store, keeping jobs; called on the loop, before or after {@code
-   * links.listen()}.
+   * Starts a store, before or after {@code rpc.listen()}. It runs also if its metrics address
+   * cannot be bound.
    *
-   * @param records with a disk, always
-   * @param metrics the process's figures and invariants
+   * @param records this store's records on disk; not null
+   * @param metrics the process's counters, gauges and invariants
    */
   public static ControlPlane startStore(
       Settings settings,
@@ -101,24 +99,26 @@
       RpcEndpoint rpc,
       RecordStore records,
       ProcessMetrics metrics) {
-    StoreNode[] storeNode = {null};
-    JobStoreService jobRetention =
+    // The replica reports its records to the job store service, which asks back for the replica.
+    AtomicReference<Replica> replica = new AtomicReference<>();
+    JobStoreService jobStoreService =
         new JobStoreService(
             loop,
-            () -> storeNode[0] != null && storeNode[0].replica().isVoting(),
-            key -> storeNode[0].replica().dropKey(key),
+            () -> replica.get() != null && replica.get().isVoting(),
+            key -> replica.get().dropKey(key),
             settings.bounds().statusMs(),
             metrics);
-    storeNode[0] = new StoreNode(settings, loop, rpc, rpc, records, jobRetention, metrics);
-    jobRetention.registerHandlers(rpc);
-    jobRetention.start();
-    storeNode[0].start();
-    ControlPlane controlPlane = new ControlPlane(loop, null, storeNode[0]);
+    StoreNode storeNode =
+        new StoreNode(settings, loop, rpc, rpc, records, jobStoreService, metrics);
+    replica.set(storeNode.replica());
+    jobStoreService.registerHandlers(rpc);
+    jobStoreService.start();
+    storeNode.start();
+    ControlPlane controlPlane = new ControlPlane(loop, null, storeNode);
     controlPlane.serveMetrics(settings.metricsAddress(), metrics);
     return controlPlane;
   }
 
-  /** A store serves all the same where its figures can't be had. */
   private void serveMetrics(String address, ProcessMetrics metrics) {
     HttpServer.listen(
             loop, address, new MetricsEndpoint(metrics.counters(), loop), MAX_METRICS_BODY_BYTES)
@@ -134,27 +134,27 @@
             });
   }
 
-  /** A store's replica; null at the head office. */
+  /** The store's replica; null at a control-plane node. */
   public Replica replica() {
     return storeNode == null ? null : storeNode.replica();
   }
 
-  /** What a store knows; null at the head office. */
+  /** What the store knows of the cluster; null at a control-plane node. */
   public ClusterState clusterState() {
     return storeNode == null ? null : storeNode.watcher();
   }
 
   private CompletableFuture<SimpleHttpResponse> countInFlight(
-      HttpHandler handler, SimpleHttpRequest call) {
-    CompletableFuture<SimpleHttpResponse> reply = handler.handle(call);
+      HttpHandler handler, SimpleHttpRequest request) {
+    CompletableFuture<SimpleHttpResponse> reply = handler.handle(request);
     callsInFlight++;
     reply.whenComplete((done, failure) -> callsInFlight--);
     return reply;
   }
 
   /**
-   * Takes no new calls of operators, gives the lease up, and is done once those in hand are
-   * answered, within 0.8 s at most. On the loop.
+   * Accepts no new calls of operators, releases the lease, and completes once the calls in flight
+   * are answered, after {@value #SHUTDOWN_TIMEOUT_MS} ms at the latest. Never fails.
    */
   public CompletableFuture<Void> shutdown() {
     shuttingDown = true;
@@ -174,7 +174,7 @@
 
   private void awaitInFlightCalls(CompletableFuture<Void> shutdownComplete, long deadlineMs) {
     if (callsInFlight == 0 || loop.now() >= deadlineMs) {
-      // One turn later, so that the last answer has left.
+      // A little later, so that the last response has been sent.
       loop.schedule(SHUTDOWN_POLL_INTERVAL_MS, () -> shutdownComplete.complete(null));
     } else {
       loop.schedule(
--- a/controlplane/src/main/java/elmsail/controlplane/ControlPlaneVoters.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ControlPlaneVoters.java
@@ -6,82 +6,75 @@
 import elmsail.consensus.VoterSetSource;
 import elmsail.consensus.VoterSets;
 import elmsail.rpc.RequestHandlers;
-import elmsail.rpc.RpcClient;
 import elmsail.rpc.messages.HelloRequest;
 import elmsail.rpc.messages.PullRequest;
 import elmsail.rpc.messages.VoterSet;
-import elmsail.runtime.ProcessMetrics;
 import elmsail.runtime.Settings;
-import elmsail.runtime.Timers;
 import elmsail.storage.RecordStore;
 import elmsail.storage.RecordStore.Change;
 import java.util.ArrayList;
 import java.util.List;
 
 /**
- * This process's part in the set "head": a replica where it has a disk, just the knowledge where
- * not.
+ * This process's part in the control-plane voters, the voter set named "head" on the wire and on
+ * disk: a replica where the process has a disk, else only the knowledge of who votes. Runs on the
+ * event loop.
  */
 final class ControlPlaneVoters implements VoterSetSource {
   static final String VOTER_SET_NAME = "head";
 
-  /** Role of control-plane nodes in their pulls. */
-  static final String ROLE = "controlplane";
-
-  /** On disk: this instance began at the first start of the whole system. */
+  /** Record on disk: this instance took part in the first start of the cluster. */
   private static final String FIRST_START_RECORD = "notary/born";
 
+  private final NodeEnvironment environment;
   private final Settings settings;
-  private final Timers timers;
-  private final RpcClient caller;
+
+  /** Null where this process has no disk, as is the replica. */
   private final RecordStore records;
+
   private final Replica replica;
   private final PullRequest heartbeat = new PullRequest();
   private ClusterBootstrap clusterBootstrap;
   private VoterSet learnedVoterSet = new VoterSet();
-  private boolean isFromFirstStart;
+  private final boolean isFromFirstStart;
 
   /**
-   * Makes one.
+   * Creates one that answers no calls before {@link #start}, except those of its replica.
    *
-   * @param records null where this process has no disk: it has no vote
-   * @param processId names this process among the candidates where it has no disk
-   * @param metrics the process's figures and invariants
+   * @param environment of this process; without a disk it never votes
    */
-  ControlPlaneVoters(
-      Settings settings,
-      Timers timers,
-      RpcClient caller,
-      RequestHandlers handlers,
-      RecordStore records,
-      long processId,
-      ProcessMetrics metrics) {
-    this.settings = settings;
-    this.timers = timers;
-    this.caller = caller;
-    this.records = records;
-    this.replica =
-        records == null
-            ? null
-            : new Replica(
-                new ReplicaIdentity(VOTER_SET_NAME, settings.rpcAddress(), settings.machine()),
-                records,
-                new ReplicaListener() {},
-                handlers,
-                caller,
-                timers,
-                metrics);
+  ControlPlaneVoters(NodeEnvironment environment) {
+    this.environment = environment;
+    this.settings = environment.settings();
+    this.records = environment.records();
+    this.replica = environment.hasDisk() ? createReplica(environment) : null;
     this.isFromFirstStart =
-        records != null && (settings.firstStart() || records.read(FIRST_START_RECORD) != null);
-    heartbeat.role = ROLE;
+        environment.hasDisk()
+            && (settings.firstStart() || records.read(FIRST_START_RECORD) != null);
+    heartbeat.role = PeerRole.CONTROL_PLANE.wireName();
     heartbeat.machine = settings.machine();
     heartbeat.address = settings.rpcAddress();
     heartbeat.zone = settings.zone();
-    heartbeat.instanceId = records == null ? processId : records.instanceId();
+    heartbeat.instanceId = environment.instanceId();
     heartbeat.hasDisk = settings.dataDir() != null;
   }
 
-  /** Answers the others only once it is on the disk whether this instance may found. */
+  private static Replica createReplica(NodeEnvironment environment) {
+    return new Replica(
+        new ReplicaIdentity(
+            VOTER_SET_NAME, environment.localAddress(), environment.settings().machine()),
+        environment.records(),
+        new ReplicaListener() {},
+        environment.handlers(),
+        environment.rpcClient(),
+        environment.timers(),
+        environment.metrics());
+  }
+
+  /**
+   * Begins to learn or to bootstrap the voter set. Others are answered only once it is on disk that
+   * this instance took part in the first start, so that it may still bootstrap after a restart.
+   */
   void start(RequestHandlers handlers) {
     if (isFromFirstStart && records.read(FIRST_START_RECORD) == null) {
       records
@@ -93,31 +86,26 @@
   }
 
   private void startBootstrap(RequestHandlers handlers) {
-    HelloRequest localHello = new HelloRequest();
-    localHello.machine = settings.machine();
-    localHello.address = settings.rpcAddress();
-    localHello.zone = settings.zone();
-    localHello.instanceId = records == null ? 0 : records.instanceId();
-    localHello.hasDisk = records != null;
-    localHello.firstStart = records == null ? settings.firstStart() : isFromFirstStart;
     List<String> seeds = new ArrayList<>();
     for (String seed : settings.seeds()) {
       seeds.add(settings.controlPlaneRpcAddress(seed));
     }
-    clusterBootstrap =
-        new ClusterBootstrap(
-            caller,
-            timers,
-            localHello,
-            records,
-            seeds,
-            2 * settings.toleratedMachineLosses() + 1,
-            this::current,
-            this::learn);
+    clusterBootstrap = new ClusterBootstrap(environment, localHello(), seeds, this);
     clusterBootstrap.start(handlers);
   }
 
-  /** Whether this instance, or the memory of this disk, began at the first start of all. */
+  private HelloRequest localHello() {
+    HelloRequest hello = new HelloRequest();
+    hello.machine = settings.machine();
+    hello.address = settings.rpcAddress();
+    hello.zone = settings.zone();
+    hello.instanceId = records == null ? 0 : records.instanceId();
+    hello.hasDisk = records != null;
+    hello.firstStart = records == null ? settings.firstStart() : isFromFirstStart;
+    return hello;
+  }
+
+  /** Whether the instance on this disk took part in the first start of the cluster. */
   boolean isFromFirstStart() {
     return isFromFirstStart;
   }
@@ -127,13 +115,13 @@
     return replica != null && replica.isVoting();
   }
 
-  /** What this node would pull with at itself: it is a candidate as the others are. */
+  /** The heartbeat that this node counts for itself, as it does not pull from itself. */
   PullRequest heartbeat() {
     heartbeat.voting = isVoting();
     return heartbeat;
   }
 
-  /** Whether it holds a voter slot, voting or not yet. */
+  /** Whether this process holds a voter slot, voting or not yet. */
   boolean holdsVoterSlot() {
     return replica != null && VoterSetValue.slotOf(current(), settings.rpcAddress()) >= 0;
   }
@@ -152,7 +140,7 @@
     }
   }
 
-  /** Called each time that this process begins to vote in a slot that another instance held. */
+  /** Calls the listener each time this process begins to vote in a slot that it took over. */
   void addTakeOverListener(Runnable listener) {
     if (replica != null) {
       replica.addVotingListener(
@@ -165,7 +153,7 @@
     }
   }
 
-  /** Takes over a slot as directed; nothing happens where there is no disk. */
+  /** Takes over a voter slot at that epoch; does nothing where there is no disk. */
   void join(int slot, int epoch) {
     if (replica != null) {
       replica.join(slot, epoch);
--- /dev/null
+++ b/controlplane/src/main/java/elmsail/controlplane/DecommissionManager.java
@@ -0,0 +1,279 @@
+package elmsail.controlplane;
+
+import elmsail.consensus.Register;
+import elmsail.consensus.VoterSets;
+import elmsail.rpc.messages.Voter;
+import elmsail.rpc.messages.VoterSet;
+import elmsail.runtime.Timers;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.concurrent.CompletableFuture;
+
+/**
+ * Owns the list of stores to decommission, kept in the register under {@link DecommissionList#KEY}.
+ * Runs on the event loop.
+ *
+ * <p>A store is {@link DecommissionState#DECOMMISSIONED} only while this node is in contact with a
+ * majority, and if every holder of a voter slot has just reported that it votes under one and the
+ * same voter set, in which the store has no slot. The lease holder never gives a slot to a listed
+ * store, so the state is final.
+ */
+final class DecommissionManager {
+  /** The lease holder has read the list within so many ms whenever it assigns slots. */
+  static final long MAX_LIST_AGE_MS = 2_500;
+
+  private static final long LIST_READ_INTERVAL_MS = 1_000;
+  private static final long CHANGE_TIMEOUT_MS = 900;
+
+  /** Nodes in unbroken contact for a shorter time can't tell yet which stores don't exist. */
+  private static final long MIN_OBSERVATION_MS = 3_000;
+
+  /**
+   * Heartbeats prove a decommissioning only from so long after this node saw the store listed: by
+   * then the lease holder has read the list too ({@link #MAX_LIST_AGE_MS}), and a store that was
+   * assigned a slot before has reported that it joined.
+   */
+  private static final long MIN_TIME_SINCE_LISTED_MS = 3_000;
+
+  private static final long MAX_AVAILABLE_HEARTBEAT_AGE_MS = 2_500;
+  private static final long MAX_VOTER_HEARTBEAT_AGE_MS = 1_500;
+
+  /** A store that was silent for longer does not come back by itself. */
+  private static final long MAX_POSSIBLE_HEARTBEAT_AGE_MS = 30_000;
+
+  private final Register register;
+  private final Timers timers;
+  private final HeartbeatTable storeHeartbeats;
+  private final KnownVoterSet jobStoreVoters;
+  private final QuorumContact quorumContact;
+  private final int targetVoterCount;
+  private final PeerNotifier peerNotifier;
+  private final StoreHeartbeatQuery heartbeatQuery;
+  private final CommittedValue committedList;
+  private final Map<String, Long> listedAtMs = new HashMap<>();
+  private final Set<String> decommissioned = new HashSet<>();
+
+  /** What became of a request to decommission a store. */
+  enum BeginResult {
+    /** The store is on the list, newly or since before. */
+    LISTED,
+    /** Not listed, and final: a majority knows of too few stores that would remain. */
+    TOO_FEW_STORES_REMAIN,
+    /** Not listed: enough stores may exist, but too few of them are seen at present. */
+    TOO_FEW_STORES_SEEN
+  }
+
+  /**
+   * Creates one that reads nothing before {@link #refresh()}.
+   *
+   * @param environment of this process
+   * @param register of the control-plane voters
+   * @param storeHeartbeats received by this node
+   * @param jobStoreVoters as this node knows them
+   * @param quorumContact of this node with a majority of the control-plane voters
+   * @param peerNotifier messages to the other control-plane voters
+   * @param heartbeatQuery to the other control-plane voters
+   */
+  DecommissionManager(
+      NodeEnvironment environment,
+      Register register,
+      HeartbeatTable storeHeartbeats,
+      KnownVoterSet jobStoreVoters,
+      QuorumContact quorumContact,
+      PeerNotifier peerNotifier,
+      StoreHeartbeatQuery heartbeatQuery) {
+    this.register = register;
+    this.timers = environment.timers();
+    this.storeHeartbeats = storeHeartbeats;
+    this.jobStoreVoters = jobStoreVoters;
+    this.quorumContact = quorumContact;
+    this.targetVoterCount = environment.targetVoterCount();
+    this.peerNotifier = peerNotifier;
+    this.heartbeatQuery = heartbeatQuery;
+    committedList =
+        new CommittedValue(register, DecommissionList.KEY, timers, LIST_READ_INTERVAL_MS);
+    heartbeatQuery.setLocalHeartbeats(this::localHeartbeats);
+  }
+
+  /** Notifies the peers of changes seen here, and reads the list at once when they notify. */
+  void registerNotifications() {
+    committedList.addListener(this::onListCommitted);
+    peerNotifier.onNotification(PeerMessageKind.DECOMMISSIONS_CHANGED, committedList::refresh);
+    peerNotifier.register(PeerMessageKind.STORE_HEARTBEATS, heartbeatQuery::respond);
+  }
+
+  /** Reads the list now, and from then on at an interval. */
+  void refresh() {
+    committedList.refresh();
+  }
+
+  void close() {
+    committedList.close();
+  }
+
+  /** Names of the machines whose stores are to be decommissioned, as last read. */
+  Set<String> listedMachines() {
+    return DecommissionList.decode(committedList.value());
+  }
+
+  /** Whether the list was read at a majority recently enough to assign voter slots by it. */
+  boolean isListCurrent() {
+    return committedList.quorumContact().isWithin(MAX_LIST_AGE_MS);
+  }
+
+  /** Whether this node by itself knows a store of that machine. */
+  boolean isKnown(String machine) {
+    if (machine.isEmpty()) {
+      return false;
+    }
+    return storeHeartbeats.memberOnMachine(machine) != null
+        || listedMachines().contains(machine)
+        || jobStoreVoters.hasVoterOnMachine(machine);
+  }
+
+  /**
+   * Whether a majority of the control-plane voters has had a heartbeat from a store of that
+   * machine; fails with NO_QUORUM if no majority can tell.
+   */
+  CompletableFuture<Boolean> isKnownToMajority(String machine) {
+    return heartbeatQuery
+        .query()
+        .thenApply(heartbeats -> heartbeats.heartbeatAgesMs().containsKey(machine));
+  }
+
+  /**
+   * Lists the store on that machine, unless too few stores would remain for the voter slots. Fails
+   * if the register cannot be changed, or if no majority can tell which stores exist.
+   */
+  CompletableFuture<BeginResult> begin(String machine) {
+    ListChange change = new ListChange(machine);
+    return register
+        .change(DecommissionList.KEY, change::propose, List.of(), null, CHANGE_TIMEOUT_MS)
+        .thenCompose(
+            outcome -> {
+              committedList.offer(outcome.current());
+              return change.tooFewAvailable
+                  ? explainTooFew(machine, change.listed)
+                  : CompletableFuture.completedFuture(BeginResult.LISTED);
+            });
+  }
+
+  /** One request to list a store; the last proposal is the one that counts. */
+  private final class ListChange {
+    private final String machine;
+    private Set<String> listed = Set.of();
+    private boolean tooFewAvailable;
+
+    ListChange(String machine) {
+      this.machine = machine;
+    }
+
+    Register.ProposedValue propose(Register.ObservedState observed) {
+      listed = DecommissionList.decode(observed.value());
+      boolean isListed = listed.contains(machine);
+      tooFewAvailable = !isListed && !hasEnoughStoresWithout(machine, listed);
+      boolean add = !isListed && !tooFewAvailable;
+      return new Register.ProposedValue(
+          add ? DecommissionList.encodeWith(listed, machine) : null, List.of());
+    }
+  }
+
+  /** Whether enough stores that remain have sent a heartbeat to this node lately. */
+  private boolean hasEnoughStoresWithout(String machine, Set<String> listed) {
+    int available = 0;
+    for (HeartbeatTable.Member store : storeHeartbeats.members()) {
+      boolean remains = !store.machine().equals(machine) && !listed.contains(store.machine());
+      long ageMs = timers.now() - store.lastHeartbeatAtMs();
+      available += remains && ageMs <= MAX_AVAILABLE_HEARTBEAT_AGE_MS ? 1 : 0;
+    }
+    return available >= requiredStores();
+  }
+
+  private CompletableFuture<BeginResult> explainTooFew(String machine, Set<String> listed) {
+    return heartbeatQuery
+        .query()
+        .thenApply(
+            heartbeats ->
+                countPossibleStores(heartbeats, machine, listed) >= requiredStores()
+                    ? BeginResult.TOO_FEW_STORES_SEEN
+                    : BeginResult.TOO_FEW_STORES_REMAIN);
+  }
+
+  private static int countPossibleStores(
+      StoreHeartbeats heartbeats, String machine, Set<String> listed) {
+    int possible = 0;
+    for (Map.Entry<String, Long> store : heartbeats.heartbeatAgesMs().entrySet()) {
+      boolean remains = !store.getKey().equals(machine) && !listed.contains(store.getKey());
+      possible += remains && store.getValue() <= MAX_POSSIBLE_HEARTBEAT_AGE_MS ? 1 : 0;
+    }
+    return possible;
+  }
+
+  private int requiredStores() {
+    return jobStoreVoters.isEmpty() ? targetVoterCount : jobStoreVoters.current().voters.size();
+  }
+
+  /** The state of the store on that machine; empty without contact with a majority. */
+  Optional<DecommissionState> state(String machine) {
+    if (!quorumContact.isCurrent() || !isListCurrent()) {
+      return Optional.empty();
+    }
+    if (listedAtMs.containsKey(machine)
+        && !jobStoreVoters.hasVoterOnMachine(machine)
+        && (decommissioned.contains(machine) || isReplaced(machine))) {
+      decommissioned.add(machine);
+      return Optional.of(DecommissionState.DECOMMISSIONED);
+    }
+    return Optional.of(DecommissionState.IN_SERVICE);
+  }
+
+  /** Whether all voters vote under the known voter set, and the store itself votes no more. */
+  private boolean isReplaced(String machine) {
+    VoterSet voterSet = jobStoreVoters.current();
+    for (Voter voter : voterSet.voters) {
+      if (!hasReportedVoting(voter, voterSet, listedAtMs.get(machine))) {
+        return false;
+      }
+    }
+    return !voterSet.voters.isEmpty() && !isStillVoting(machine);
+  }
+
+  private boolean hasReportedVoting(Voter voter, VoterSet voterSet, long listedAtMs) {
+    HeartbeatTable.Member store = storeHeartbeats.memberAt(voter.address);
+    return store != null
+        && timers.now() - store.lastHeartbeatAtMs() <= MAX_VOTER_HEARTBEAT_AGE_MS
+        && store.lastHeartbeatAtMs() - listedAtMs >= MIN_TIME_SINCE_LISTED_MS
+        && store.isVoting()
+        && store.instanceId() == voter.instanceId
+        && VoterSets.areEqual(store.jobStoreVoters(), voterSet);
+  }
+
+  private boolean isStillVoting(String machine) {
+    HeartbeatTable.Member store = storeHeartbeats.memberOnMachine(machine);
+    return store != null
+        && timers.now() - store.lastHeartbeatAtMs() <= MAX_VOTER_HEARTBEAT_AGE_MS
+        && store.isVoting();
+  }
+
+  private void onListCommitted(byte[] value) {
+    for (String machine : DecommissionList.decode(value)) {
+      listedAtMs.putIfAbsent(machine, timers.now());
+    }
+    peerNotifier.notifyPeers(PeerMessageKind.DECOMMISSIONS_CHANGED);
+  }
+
+  private StoreHeartbeats localHeartbeats() {
+    Map<String, Long> heartbeatAgesMs = new TreeMap<>();
+    for (HeartbeatTable.Member store : storeHeartbeats.members()) {
+      heartbeatAgesMs.merge(store.machine(), timers.now() - store.lastHeartbeatAtMs(), Math::min);
+    }
+    boolean isConclusive =
+        quorumContact.unbrokenMs() >= MIN_OBSERVATION_MS && committedList.hasBeenRead();
+    return new StoreHeartbeats(isConclusive, heartbeatAgesMs);
+  }
+}
--- a/controlplane/src/main/java/elmsail/controlplane/HeartbeatTable.java
+++ b/controlplane/src/main/java/elmsail/controlplane/HeartbeatTable.java
@@ -10,16 +10,16 @@
 import java.util.function.ToLongFunction;
 
 /**
- * Who has asked this control-plane node for what is new, and when last; of each role the {@value
- * #MAX_MEMBERS} that were heard last.
+ * When each process last pulled from this control-plane node, which counts as its heartbeat; of the
+ * members and of the gateways the {@value #MAX_MEMBERS} most recent. Times are in ms of the
+ * monotonic clock. Runs on the event loop.
  */
 final class HeartbeatTable {
   static final int MAX_MEMBERS = 1_000;
 
-  /** Role of stores in their pulls. */
-  static final String STORE_ROLE = "store";
+  private static final long GATEWAY_RETENTION_MS = 60_000;
 
-  /** A store, or another holder of records, as its last pull told of it; times are steady ms. */
+  /** A store or control-plane node as its last pull described it. */
   record Member(
       String address,
       String machine,
@@ -31,26 +31,23 @@
       long lastHeartbeatAtMs) {}
 
   private final TreeMap<String, Member> members = new TreeMap<>();
-  private final TreeMap<String, Long> gatewaysWithin = new TreeMap<>();
+  private final TreeMap<String, Long> gateways = new TreeMap<>();
 
-  private final String role;
+  private final PeerRole role;
 
-  /** Makes one of the stores. */
-  HeartbeatTable() {
-    this(STORE_ROLE);
-  }
-
-  /** Makes one of the processes of that role that have a disk, beside the gateways. */
-  HeartbeatTable(String role) {
+  /** Creates an empty table of the processes of that role, beside the gateways. */
+  HeartbeatTable(PeerRole role) {
     this.role = role;
   }
 
-  String role() {
+  /** The role of the members. */
+  PeerRole role() {
     return role;
   }
 
+  /** Records a pull as a heartbeat; pulls of other roles, and of members without disk, are not. */
   void onHeartbeat(PullRequest request, long now) {
-    if (role.equals(request.role) && (request.hasDisk || role.equals(STORE_ROLE))) {
+    if (role.isRoleOf(request) && (request.hasDisk || role == PeerRole.STORE)) {
       Member previous = members.get(request.address);
       VoterSet jobStoreVoters =
           request.jobStoreVoters == null ? new VoterSet() : request.jobStoreVoters;
@@ -70,9 +67,9 @@
               firstHeartbeatAtMs,
               now));
       dropOldest(members, Member::lastHeartbeatAtMs);
-    } else if ("gateway".equals(request.role)) {
-      gatewaysWithin.put(request.address, now);
-      dropOldest(gatewaysWithin, lastHeartbeatAtMs -> lastHeartbeatAtMs);
+    } else if (PeerRole.GATEWAY.isRoleOf(request)) {
+      gateways.put(request.address, now);
+      dropOldest(gateways, lastHeartbeatAtMs -> lastHeartbeatAtMs);
     }
   }
 
@@ -83,30 +80,30 @@
     String oldestKey = null;
     long oldestAtMs = Long.MAX_VALUE;
     for (Map.Entry<String, T> entry : members.entrySet()) {
-      long at = lastHeartbeatAtMs.applyAsLong(entry.getValue());
-      if (at < oldestAtMs) {
+      long atMs = lastHeartbeatAtMs.applyAsLong(entry.getValue());
+      if (atMs < oldestAtMs) {
         oldestKey = entry.getKey();
-        oldestAtMs = at;
+        oldestAtMs = atMs;
       }
     }
     members.remove(oldestKey);
   }
 
-  /** In the order of their addresses. */
+  /** All members, in the order of their addresses. */
   Collection<Member> members() {
     return members.values();
   }
 
-  /** Null if it was not heard, or too long ago. */
+  /** The member at that RPC address; null if it has sent no heartbeat or was dropped. */
   Member memberAt(String address) {
     return members.get(address);
   }
 
-  /** Null if it was not heard, or too long ago. */
-  Member memberOnMachine(String name) {
+  /** The most recent member on that machine; null if it has sent no heartbeat or was dropped. */
+  Member memberOnMachine(String machine) {
     Member latest = null;
     for (Member member : members.values()) {
-      if (member.machine().equals(name)
+      if (member.machine().equals(machine)
           && (latest == null || member.lastHeartbeatAtMs() > latest.lastHeartbeatAtMs())) {
         latest = member;
       }
@@ -114,11 +111,11 @@
     return latest;
   }
 
-  /** Addresses of the gateways heard within so many ms, in order. */
+  /** Addresses of the gateways whose last heartbeat is no older, in order. */
   List<String> gatewaysWithin(long now, long withinMs) {
     List<String> recent = new ArrayList<>();
-    gatewaysWithin.values().removeIf(lastHeartbeatAtMs -> now - lastHeartbeatAtMs > 60_000);
-    gatewaysWithin.forEach(
+    gateways.values().removeIf(lastHeartbeatAtMs -> now - lastHeartbeatAtMs > GATEWAY_RETENTION_MS);
+    gateways.forEach(
         (address, lastHeartbeatAtMs) -> {
           if (now - lastHeartbeatAtMs <= withinMs) {
             recent.add(address);
--- a/controlplane/src/main/java/elmsail/controlplane/Lease.java
+++ b/controlplane/src/main/java/elmsail/controlplane/Lease.java
@@ -1,25 +1,38 @@
 package elmsail.controlplane;
 
+import java.util.Optional;
+
 /**
- * The asker's side of one duty's lease. It is held from before a round was sent until the voters'
- * time less a margin, and that is looked up on the steady clock at each use: a process that was
- * frozen finds that it has lost it. All times are steady ms.
+ * A candidate's or holder's side of a lease that a majority of voters grants. A won round makes the
+ * lease held from the time at which the round was sent, for the lease's duration less a safety
+ * margin. Whether it is held is decided by the monotonic clock at each use, so that a process that
+ * was frozen finds that it has lost it. Times are in ms of the monotonic clock. Pure: the caller
+ * sends the rounds; runs on the event loop.
  */
 final class Lease {
+  /**
+   * A message that is due to all voters at once.
+   *
+   * @param number of the round, rising from 1
+   * @param kind whether the lease is requested, or what the round was granted is released
+   */
+  record Round(long number, Kind kind) {
+    enum Kind {
+      REQUEST,
+      RELEASE
+    }
+  }
+
   static final long RENEW_INTERVAL_MS = 600;
   static final long SAFETY_MARGIN_MS = 200;
 
-  /**
-   * A round that has no majority by then is given up, so that what was granted doesn't block
-   * another's.
-   */
+  /** A round without a majority by then is released, so that it doesn't block other candidates. */
   private static final long ROUND_TIMEOUT_MS = 250;
 
-  /**
-   * After a round that was given up; longer for those that come later in the order of preference.
-   */
+  /** After a released round; later by rank. */
   private static final long RETRY_DELAY_MS = 100;
 
+  /** Candidates of a higher rank begin so much later each, so that the first one mostly wins. */
   private static final long DELAY_PER_RANK_MS = 350;
 
   private final long rankDelayMs;
@@ -33,29 +46,25 @@
   private long nextRoundAtMs;
 
   /**
-   * Makes one.
+   * Creates one that is not held.
    *
-   * @param startedAtMs steady ms
-   * @param rank this process's place in the order of preference, 0 first: the others begin a little
-   *     later
+   * @param startedAtMs the present time
+   * @param rank of this process among the candidates; 0 begins first
    */
   Lease(long startedAtMs, int rank) {
     this.rankDelayMs = Math.max(0, rank) * DELAY_PER_RANK_MS;
     this.nextRoundAtMs = startedAtMs + rankDelayMs;
   }
 
-  /** Whether it is held at this very moment. */
+  /** Whether the lease is held at that time. */
   boolean isHeld(long now) {
     return now < heldUntilMs;
   }
 
-  /**
-   * What is due now: a new round to be sent to all voters at once (its number), the giving up of
-   * the round before (its number, negative), to be told to all of them, or nothing (0).
-   */
-  long poll(long now, int voterCount) {
+  /** What is due to all voters now: a new round, the release of the last one, or nothing. */
+  Optional<Round> poll(long now, int voterCount) {
     if (now < nextRoundAtMs || voterCount == 0) {
-      return 0;
+      return Optional.empty();
     }
     boolean isHeld = isHeld(now);
     if (!roundWon && !isHeld) {
@@ -66,7 +75,7 @@
               + RETRY_DELAY_MS
               + rankDelayMs
               + Math.min(otherHolderLeftMs, LeaseVoter.LEASE_DURATION_MS) / 2;
-      return -round;
+      return Optional.of(new Round(round, Round.Kind.RELEASE));
     }
     round++;
     roundSentAtMs = now;
@@ -75,12 +84,14 @@
     roundWon = false;
     otherHolderLeftMs = 0;
     nextRoundAtMs = now + (isHeld ? RENEW_INTERVAL_MS / 2 : ROUND_TIMEOUT_MS);
-    return round;
+    return Optional.of(new Round(round, Round.Kind.REQUEST));
   }
 
   /**
-   * A voter (its place in the voter set) has granted it in that round; true if that made it held
-   * anew.
+   * Counts a voter's grant.
+   *
+   * @param voterIndex the voter's slot, below 64
+   * @return whether the lease, not held before, is held now
    */
   boolean onGranted(long responseRound, int voterIndex, long now) {
     if (responseRound != round || voterIndex >= voterCount) {
@@ -98,22 +109,21 @@
     return !wasHeld && isHeld(now);
   }
 
-  /** A voter said that another holds it for so long yet: no need to ask much sooner. */
-  void onRefused(long responseRound, long leftMs) {
+  /**
+   * Notes that another candidate holds a voter's grant for so long: the next round waits for it.
+   */
+  void onRefused(long responseRound, long remainingMs) {
     if (responseRound == round) {
-      otherHolderLeftMs = Math.max(otherHolderLeftMs, leftMs);
+      otherHolderLeftMs = Math.max(otherHolderLeftMs, remainingMs);
     }
   }
 
-  /**
-   * Gives it up at once: the number of the last round, negative, to be told to all voters; 0 for
-   * none.
-   */
-  long relinquish() {
+  /** Gives the lease up for good; returns what is due to all voters. */
+  Optional<Round> relinquish() {
     heldUntilMs = Long.MIN_VALUE;
     roundWon = true;
     voterCount = 0;
     nextRoundAtMs = Long.MAX_VALUE;
-    return -round;
+    return round == 0 ? Optional.empty() : Optional.of(new Round(round, Round.Kind.RELEASE));
   }
 }
--- /dev/null
+++ b/controlplane/src/main/java/elmsail/controlplane/NodeEnvironment.java
@@ -0,0 +1,49 @@
+package elmsail.controlplane;
+
+import elmsail.rpc.RequestHandlers;
+import elmsail.rpc.RpcClient;
+import elmsail.runtime.ProcessMetrics;
+import elmsail.runtime.Settings;
+import elmsail.runtime.Timers;
+import elmsail.storage.RecordStore;
+
+/**
+ * What the process gives to a control-plane node: its settings, its event loop, its RPC and its
+ * disk. All of it belongs to the caller, who closes it after the node.
+ *
+ * @param settings of this process
+ * @param timers of the event loop, on which everything in this package runs
+ * @param rpcClient calls to other processes
+ * @param handlers where the handlers of other processes' calls are registered
+ * @param records this process's records on disk; null where it has no disk
+ * @param processId identifies this process, drawn at random at each start
+ * @param metrics the process's counters, gauges and invariants
+ */
+record NodeEnvironment(
+    Settings settings,
+    Timers timers,
+    RpcClient rpcClient,
+    RequestHandlers handlers,
+    RecordStore records,
+    long processId,
+    ProcessMetrics metrics) {
+
+  boolean hasDisk() {
+    return records != null;
+  }
+
+  /** The disk's instance id; without a disk the id of this process. */
+  long instanceId() {
+    return hasDisk() ? records.instanceId() : processId;
+  }
+
+  /** The RPC address of this process, "ip:port". */
+  String localAddress() {
+    return settings.rpcAddress();
+  }
+
+  /** How many voters a voter set has, so that a majority is left after the losses to tolerate. */
+  int targetVoterCount() {
+    return 2 * settings.toleratedMachineLosses() + 1;
+  }
+}
--- a/controlplane/src/main/java/elmsail/controlplane/OperatorApi.java
+++ b/controlplane/src/main/java/elmsail/controlplane/OperatorApi.java
@@ -10,24 +10,24 @@
     implements HttpHandler {
 
   @Override
-  public CompletableFuture<SimpleHttpResponse> handle(SimpleHttpRequest call) {
-    boolean post = "POST".equals(call.method());
-    boolean get = "GET".equals(call.method());
-    String path = call.path();
+  public CompletableFuture<SimpleHttpResponse> handle(SimpleHttpRequest request) {
+    boolean post = "POST".equals(request.method());
+    boolean get = "GET".equals(request.method());
+    String path = request.path();
     if ("/Timetable.Replace".equals(path)) {
-      return post ? replace.handle(call) : Replies.completed(Replies.error(405, "POST"));
+      return post ? replace.handle(request) : Replies.completed(Replies.error(405, "POST"));
     }
     if ("/Timetable.Amend".equals(path)) {
-      return post ? amend.handle(call) : Replies.completed(Replies.error(405, "POST"));
+      return post ? amend.handle(request) : Replies.completed(Replies.error(405, "POST"));
     }
     if ("/Timetable.Read".equals(path)) {
-      return get ? read.handle(call) : Replies.completed(Replies.error(405, "GET"));
+      return get ? read.handle(request) : Replies.completed(Replies.error(405, "GET"));
     }
     if (path.startsWith(DecommissionHandler.BEGIN_PATH)) {
-      return post ? retire.handle(call) : Replies.completed(Replies.error(405, "POST"));
+      return post ? retire.handle(request) : Replies.completed(Replies.error(405, "POST"));
     }
     if (path.startsWith(DecommissionHandler.READ_PATH)) {
-      return get ? retire.handle(call) : Replies.completed(Replies.error(405, "GET"));
+      return get ? retire.handle(request) : Replies.completed(Replies.error(405, "GET"));
     }
     return Replies.completed(Replies.error(404, "no such call"));
   }
--- /dev/null
+++ b/controlplane/src/main/java/elmsail/controlplane/PeerMessageKind.java
@@ -0,0 +1,41 @@
+package elmsail.controlplane;
+
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Optional;
+
+/** Kinds of the messages that control-plane nodes send each other as {@code OpaqueMessage}. */
+enum PeerMessageKind {
+  /** A configuration was committed: the receiver reads it from the register at once. */
+  CONFIG_COMMITTED("decided"),
+
+  /** The list of stores to decommission was changed: the receiver reads it at once. */
+  DECOMMISSIONS_CHANGED("retire"),
+
+  /** Asks which stores the receiver has had heartbeats from; see {@link StoreHeartbeatQuery}. */
+  STORE_HEARTBEATS("stores-heard");
+
+  private static final Map<String, PeerMessageKind> BY_WIRE_NAME = new HashMap<>();
+
+  static {
+    for (PeerMessageKind kind : values()) {
+      BY_WIRE_NAME.put(kind.wireName, kind);
+    }
+  }
+
+  private final String wireName;
+
+  PeerMessageKind(String wireName) {
+    this.wireName = wireName;
+  }
+
+  /** The name on the wire; it never changes. */
+  String wireName() {
+    return wireName;
+  }
+
+  /** The kind of that name on the wire; empty if this version knows none. */
+  static Optional<PeerMessageKind> ofWireName(String wireName) {
+    return Optional.ofNullable(BY_WIRE_NAME.get(wireName));
+  }
+}
--- a/controlplane/src/main/java/elmsail/controlplane/PeerNotifier.java
+++ b/controlplane/src/main/java/elmsail/controlplane/PeerNotifier.java
@@ -6,28 +6,35 @@
 import elmsail.rpc.messages.VoterSet;
 import elmsail.runtime.ElmsailException;
 import elmsail.runtime.ErrorCode;
-import java.util.HashMap;
+import java.util.EnumMap;
 import java.util.Map;
+import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Supplier;
 
-/** Short messages between control-plane nodes, by their kind. */
+/**
+ * Short messages between the control-plane voters, by their kind. Runs on the event loop.
+ *
+ * <p>A notification only shortens the time until a peer sees a change: whoever misses it reads the
+ * register at its next interval.
+ */
 final class PeerNotifier {
   private static final long CALL_TIMEOUT_MS = 300;
 
-  private final RpcClient caller;
+  private final RpcClient rpcClient;
   private final Supplier<VoterSet> voters;
   private final String localAddress;
-  private final Map<String, Supplier<OpaqueMessage>> handlers = new HashMap<>();
+  private final Map<PeerMessageKind, Supplier<OpaqueMessage>> handlers =
+      new EnumMap<>(PeerMessageKind.class);
 
-  PeerNotifier(RpcClient caller, Supplier<VoterSet> voters, String localAddress) {
-    this.caller = caller;
+  PeerNotifier(RpcClient rpcClient, Supplier<VoterSet> voters, String localAddress) {
+    this.rpcClient = rpcClient;
     this.voters = voters;
     this.localAddress = localAddress;
   }
 
-  /** Messages of that kind do this, and are answered with the kind alone. */
-  void onNotification(String kind, Runnable action) {
+  /** Runs the action at each message of that kind, and responds with the kind alone. */
+  void onNotification(PeerMessageKind kind, Runnable action) {
     register(
         kind,
         () -> {
@@ -36,32 +43,36 @@
         });
   }
 
-  /** Messages of that kind are answered so. */
-  void register(String kind, Supplier<OpaqueMessage> handler) {
+  /** Responds to messages of that kind with what the handler returns. */
+  void register(PeerMessageKind kind, Supplier<OpaqueMessage> handler) {
     handlers.put(kind, handler);
   }
 
-  /** Has the other voters read the register at once; who misses it reads it soon anyway. */
-  void notifyPeers(String kind) {
+  /** Sends a notification of that kind to all other voters; failures are ignored. */
+  void notifyPeers(PeerMessageKind kind) {
     for (Voter voter : voters.get().voters) {
       if (!voter.address.equals(localAddress)) {
-        caller.call(voter.address, message(kind), OpaqueMessage.class, CALL_TIMEOUT_MS);
+        rpcClient.call(voter.address, message(kind), OpaqueMessage.class, CALL_TIMEOUT_MS);
       }
     }
   }
 
+  /** Handles a peer's message; the future fails with MALFORMED if its kind has no handler. */
   CompletableFuture<OpaqueMessage> handle(OpaqueMessage message) {
-    Supplier<OpaqueMessage> handler = handlers.get(message.kind);
-    if (handler == null) {
+    Optional<Supplier<OpaqueMessage>> handler =
+        PeerMessageKind.ofWireName(message.kind).map(handlers::get);
+    if (handler.isEmpty()) {
       return CompletableFuture.failedFuture(
-          new ElmsailException(ErrorCode.MALFORMED, "a note of another kind"));
+          new ElmsailException(
+              ErrorCode.MALFORMED, "peer message of unknown kind: " + message.kind));
     }
-    return CompletableFuture.completedFuture(handler.get());
+    return CompletableFuture.completedFuture(handler.get().get());
   }
 
-  private static OpaqueMessage message(String kind) {
+  /** A message of that kind without content. */
+  static OpaqueMessage message(PeerMessageKind kind) {
     OpaqueMessage message = new OpaqueMessage();
-    message.kind = kind;
+    message.kind = kind.wireName();
     return message;
   }
 }
--- a/controlplane/src/main/java/elmsail/controlplane/ReadConfigHandler.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ReadConfigHandler.java
@@ -19,7 +19,7 @@
   }
 
   @Override
-  public CompletableFuture<SimpleHttpResponse> handle(SimpleHttpRequest call) {
+  public CompletableFuture<SimpleHttpResponse> handle(SimpleHttpRequest request) {
     return register
         .read(ConfigChangeHandler.KEY, committedConfig.ballot(), READ_TIMEOUT_MS)
         .handle(
--- a/controlplane/src/main/java/elmsail/controlplane/Replies.java
+++ b/controlplane/src/main/java/elmsail/controlplane/Replies.java
@@ -33,7 +33,7 @@
     return json(status, text.append("\"}").toString());
   }
 
-  static CompletableFuture<SimpleHttpResponse> completed(SimpleHttpResponse reply) {
-    return CompletableFuture.completedFuture(reply);
+  static CompletableFuture<SimpleHttpResponse> completed(SimpleHttpResponse response) {
+    return CompletableFuture.completedFuture(response);
   }
 }
--- /dev/null
+++ b/controlplane/src/main/java/elmsail/controlplane/ServerListManager.java
@@ -0,0 +1,50 @@
+package elmsail.controlplane;
+
+import elmsail.config.watch.ConfigWatcher;
+import elmsail.config.watch.WatchServer;
+import java.util.Optional;
+
+/**
+ * Publishes the list of model servers to the processes that watch this node: the one that this node
+ * read from the platform, or a newer one of another control-plane node. Kept in memory only; runs
+ * on the event loop.
+ */
+final class ServerListManager {
+  private final WatchServer watchServer;
+  private final ConfigWatcher configWatcher;
+  private final Optional<ServerDiscovery> discovery;
+
+  /**
+   * Creates one that does nothing before {@link #start()}.
+   *
+   * @param watchServer serves this node's state to the processes that watch it
+   * @param configWatcher watches the other control-plane nodes
+   * @param discovery polls the platform while this node holds the singleton lease; empty where the
+   *     settings name no platform
+   */
+  ServerListManager(
+      WatchServer watchServer, ConfigWatcher configWatcher, Optional<ServerDiscovery> discovery) {
+    this.watchServer = watchServer;
+    this.configWatcher = configWatcher;
+    this.discovery = discovery;
+  }
+
+  void start() {
+    discovery.ifPresent(ServerDiscovery::start);
+  }
+
+  void close() {
+    discovery.ifPresent(ServerDiscovery::close);
+  }
+
+  /** Publishes a list that another control-plane node published, if it is newer. */
+  void relayFromPeers() {
+    if (configWatcher.serverListBytes() != null) {
+      watchServer.setServers(
+          configWatcher.serverListEpoch(),
+          configWatcher.serverListVersion(),
+          configWatcher.serverListBytes(),
+          configWatcher.serverListFetchedAtMs());
+    }
+  }
+}
--- a/controlplane/src/main/java/elmsail/controlplane/SingletonLease.java
+++ b/controlplane/src/main/java/elmsail/controlplane/SingletonLease.java
@@ -19,11 +19,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The single lease of the control plane: its holder asks the platform for servers and directs who
- * takes voter slots. Whoever holds its lease takes a new term from the register first; the list's
- * epochs are these terms.
+ * The control plane's only lease: its holder polls the platform for servers and assigns voter
+ * slots. A new holder first takes the next term from the register; the epochs of the server lists
+ * that it publishes are these terms. Runs on the event loop.
  */
 final class SingletonLease {
+  /** The register's key of the term, and the lease's name on the wire. */
   static final String KEY = "duty";
 
   private static final Logger LOG = LoggerFactory.getLogger(SingletonLease.class);
@@ -31,7 +32,7 @@
   private static final long REQUEST_TIMEOUT_MS = 500;
   private static final long TERM_CHANGE_TIMEOUT_MS = 800;
 
-  private final RpcClient caller;
+  private final RpcClient rpcClient;
   private final Timers timers;
   private final Register register;
   private final Supplier<VoterSet> controlPlaneVoters;
@@ -40,33 +41,24 @@
   private Lease lease;
   private long term;
 
-  /** Counts the times that the lease was won: a term belongs to one of them. */
+  /** How many times the lease was acquired; a term belongs to one of them. */
   private long acquisitions;
 
   private boolean termChangeInFlight;
   private boolean closed;
 
-  /**
-   * Makes one.
-   *
-   * @param processId drawn anew at each start
-   */
+  /** Creates one that is not held, and sends nothing before {@link #tick()}. */
   SingletonLease(
-      RpcClient caller,
-      Timers timers,
-      Register register,
-      Supplier<VoterSet> controlPlaneVoters,
-      String localAddress,
-      long processId) {
-    this.caller = caller;
-    this.timers = timers;
+      NodeEnvironment environment, Register register, Supplier<VoterSet> controlPlaneVoters) {
+    this.rpcClient = environment.rpcClient();
+    this.timers = environment.timers();
     this.register = register;
     this.controlPlaneVoters = controlPlaneVoters;
-    this.localAddress = localAddress;
-    this.processId = processId;
+    this.localAddress = environment.localAddress();
+    this.processId = environment.processId();
   }
 
-  /** Answers the requests for the lease, while this process votes. */
+  /** Registers the voter's side: requests are granted by {@code leaseVoter} while it may vote. */
   static void registerVoteHandler(
       RequestHandlers handlers, Timers timers, LeaseVoter leaseVoter, BooleanSupplier isVoting) {
     handlers.register(
@@ -74,7 +66,7 @@
         request -> {
           if (!isVoting.getAsBoolean()) {
             return CompletableFuture.failedFuture(
-                new ElmsailException(ErrorCode.NOT_A_VOTER, "no vote"));
+                new ElmsailException(ErrorCode.NOT_A_VOTER, "not voting on the singleton lease"));
           }
           LeaseResponse response = new LeaseResponse();
           if (request.durationMs <= 0) {
@@ -88,6 +80,7 @@
         });
   }
 
+  /** Requests or renews the lease where this process holds a slot; repeats itself until closed. */
   void tick() {
     if (closed) {
       return;
@@ -106,60 +99,49 @@
       term = 0;
       LOG.info("the singleton lease is lost");
     }
-    long round = lease.poll(now, voterSet.voters.size());
-    if (round != 0) {
-      sendRound(round, voterSet);
-    }
+    lease.poll(now, voterSet.voters.size()).ifPresent(round -> sendRound(round, voterSet));
   }
 
-  /** Sends the round, or the giving up of it where it is negative. */
-  private void sendRound(long round, VoterSet voterSet) {
+  private void sendRound(Lease.Round round, VoterSet voterSet) {
+    boolean isRequest = round.kind() == Lease.Round.Kind.REQUEST;
     LeaseRequest request = new LeaseRequest();
     request.lease = KEY;
     request.instanceId = processId;
-    request.durationMs = round > 0 ? LeaseVoter.LEASE_DURATION_MS : 0;
-    request.round = Math.abs(round);
+    request.durationMs = isRequest ? LeaseVoter.LEASE_DURATION_MS : 0;
+    request.round = round.number();
     for (int i = 0; i < voterSet.voters.size(); i++) {
       int voterIndex = i;
       Voter voter = voterSet.voters.get(i);
-      caller
+      rpcClient
           .call(voter.address, request, LeaseResponse.class, REQUEST_TIMEOUT_MS)
           .thenAccept(
               response -> {
-                if (closed || round < 0) {
-                  return;
-                }
-                long now = timers.now();
-                if (!response.granted) {
-                  lease.onRefused(round, response.remainingMs);
-                } else if (lease.onGranted(round, voterIndex, now)) {
-                  term = 0;
-                  acquisitions++;
-                  acquireTerm();
+                if (!closed && isRequest) {
+                  onResponse(round, voterIndex, response);
                 }
               });
     }
   }
 
+  private void onResponse(Lease.Round round, int voterIndex, LeaseResponse response) {
+    if (!response.granted) {
+      lease.onRefused(round.number(), response.remainingMs);
+    } else if (lease.onGranted(round.number(), voterIndex, timers.now())) {
+      term = 0;
+      acquisitions++;
+      acquireTerm();
+    }
+  }
+
   private void acquireTerm() {
     if (termChangeInFlight || closed || !lease.isHeld(timers.now())) {
       return;
     }
     termChangeInFlight = true;
     long acquisition = acquisitions;
-    long[] nextTerm = {0};
+    TermChange change = new TermChange(processId);
     register
-        .change(
-            KEY,
-            found -> {
-              nextTerm[0] = decodeTerm(found.value()) + 1;
-              return new Register.ProposedValue(
-                  ByteBuffer.allocate(16).putLong(nextTerm[0]).putLong(processId).array(),
-                  List.of());
-            },
-            List.of(),
-            null,
-            TERM_CHANGE_TIMEOUT_MS)
+        .change(KEY, change::propose, List.of(), null, TERM_CHANGE_TIMEOUT_MS)
         .whenComplete(
             (outcome, failure) -> {
               termChangeInFlight = false;
@@ -167,7 +149,7 @@
                   && outcome.changed()
                   && acquisition == acquisitions
                   && lease.isHeld(timers.now())) {
-                term = nextTerm[0];
+                term = change.term;
                 LOG.info("holds the singleton lease, term {}", term);
               } else {
                 timers.schedule(TICK_INTERVAL_MS, this::acquireTerm);
@@ -175,22 +157,35 @@
             });
   }
 
-  private static long decodeTerm(byte[] value) {
-    return value == null ? 0 : ByteBuffer.wrap(value).getLong();
+  /** One attempt to take the next term; the last proposal is the one that counts. */
+  private static final class TermChange {
+    private final long processId;
+    private long term;
+
+    TermChange(long processId) {
+      this.processId = processId;
+    }
+
+    Register.ProposedValue propose(Register.ObservedState observed) {
+      term = decodeTerm(observed.value()) + 1;
+      byte[] value = ByteBuffer.allocate(2 * Long.BYTES).putLong(term).putLong(processId).array();
+      return new Register.ProposedValue(value, List.of());
+    }
+
+    private static long decodeTerm(byte[] value) {
+      return value == null ? 0 : ByteBuffer.wrap(value).getLong();
+    }
   }
 
-  /** The term in which this process holds the lease at this very moment, or 0. */
+  /** The term in which this process holds the lease at this very moment; 0 if it does not. */
   long term() {
     return lease != null && lease.isHeld(timers.now()) ? term : 0;
   }
 
-  /** Gives the lease up, so that another needn't wait for its end. */
+  /** Releases the lease, so that another process needn't wait for its end. */
   void close() {
     if (lease != null && !closed) {
-      long round = lease.relinquish();
-      if (round != 0) {
-        sendRound(round, controlPlaneVoters.get());
-      }
+      lease.relinquish().ifPresent(round -> sendRound(round, controlPlaneVoters.get()));
     }
     closed = true;
   }
--- a/controlplane/src/main/java/elmsail/controlplane/StaleReplyFilter.java
+++ b/controlplane/src/main/java/elmsail/controlplane/StaleReplyFilter.java
@@ -14,15 +14,17 @@
 record StaleReplyFilter(Timers timers, HttpHandler handler) implements HttpHandler {
 
   @Override
-  public CompletableFuture<SimpleHttpResponse> handle(SimpleHttpRequest call) {
+  public CompletableFuture<SimpleHttpResponse> handle(SimpleHttpRequest request) {
     long receivedAtMs = timers.now();
-    return handler.handle(call).thenApply(reply -> rejectIfStale(call, reply, receivedAtMs));
+    return handler
+        .handle(request)
+        .thenApply(response -> rejectIfStale(request, response, receivedAtMs));
   }
 
   private SimpleHttpResponse rejectIfStale(
-      SimpleHttpRequest call, SimpleHttpResponse reply, long receivedAtMs) {
-    boolean acknowledged = reply.status() == 200 && "POST".equals(call.method());
+      SimpleHttpRequest request, SimpleHttpResponse response, long receivedAtMs) {
+    boolean acknowledged = response.status() == 200 && "POST".equals(request.method());
     boolean late = timers.now() - receivedAtMs > QuorumContact.MAX_AGE_MS;
-    return late && !acknowledged ? Replies.error(503, "answered too late") : reply;
+    return late && !acknowledged ? Replies.error(503, "answered too late") : response;
   }
 }
--- a/controlplane/src/main/java/elmsail/controlplane/StoreHeartbeatQuery.java
+++ b/controlplane/src/main/java/elmsail/controlplane/StoreHeartbeatQuery.java
@@ -13,53 +13,49 @@
 import java.util.function.Supplier;
 
 /**
- * Asks the other voters which stores they have heard, so that a final refusal rests on what a
- * majority has heard and not on this process alone, which may be cut off from a store that all
- * others hear.
+ * Asks the other control-plane voters which stores they have had heartbeats from, so that a final
+ * rejection rests on a majority and not on this node alone, which may be partitioned from a store
+ * that all others see. Runs on the event loop.
  */
 final class StoreHeartbeatQuery {
-  static final String KIND = "stores-heard";
-
   private static final long CALL_TIMEOUT_MS = 300;
 
-  private final RpcClient caller;
+  private final RpcClient rpcClient;
   private final Supplier<VoterSet> voters;
   private final String localAddress;
   private Supplier<StoreHeartbeats> localHeartbeats = () -> new StoreHeartbeats(false, Map.of());
 
-  StoreHeartbeatQuery(RpcClient caller, Supplier<VoterSet> voters, String localAddress) {
-    this.caller = caller;
+  StoreHeartbeatQuery(RpcClient rpcClient, Supplier<VoterSet> voters, String localAddress) {
+    this.rpcClient = rpcClient;
     this.voters = voters;
     this.localAddress = localAddress;
   }
 
-  /** What this process has heard, as of when it is asked. */
+  /** Sets where this node's own heartbeats are read from at each query. */
   void setLocalHeartbeats(Supplier<StoreHeartbeats> localHeartbeats) {
     this.localHeartbeats = localHeartbeats;
   }
 
-  /** The answer to another process's inquiry. */
+  /** The response to another node's query. */
   OpaqueMessage respond() {
-    OpaqueMessage response = new OpaqueMessage();
-    response.kind = KIND;
+    OpaqueMessage response = PeerNotifier.message(PeerMessageKind.STORE_HEARTBEATS);
     response.bytes = localHeartbeats.get().encode();
     return response;
   }
 
   /**
-   * All that a majority has heard, this process included. Fails with NOT_REACHED unless a majority
-   * has listened for long enough to be sure.
+   * The heartbeats that a majority has received, this node included. Fails with NO_QUORUM unless a
+   * majority has been observing for long enough to be conclusive.
    */
   CompletableFuture<StoreHeartbeats> query() {
     VoterSet voterSet = voters.get();
-    OpaqueMessage request = new OpaqueMessage();
-    request.kind = KIND;
+    OpaqueMessage request = PeerNotifier.message(PeerMessageKind.STORE_HEARTBEATS);
     PendingQuery pending = new PendingQuery(voterSet.voters.size());
     for (Voter voter : voterSet.voters) {
       if (voter.address.equals(localAddress)) {
         pending.onResponse(localHeartbeats.get());
       } else {
-        caller
+        rpcClient
             .call(voter.address, request, OpaqueMessage.class, CALL_TIMEOUT_MS)
             .thenApply(response -> StoreHeartbeats.decode(response.bytes))
             .whenComplete(
@@ -72,7 +68,7 @@
     return pending.result;
   }
 
-  /** The answers to one inquiry. */
+  /** The responses to one query. */
   private static final class PendingQuery {
     private final CompletableFuture<StoreHeartbeats> result = new CompletableFuture<>();
     private final Map<String, Long> heartbeatAgesMs = new TreeMap<>();
@@ -84,7 +80,7 @@
       this.voterCount = voterCount;
     }
 
-    /** Null: no answer. What an unsure voter has heard counts as well. */
+    /** Counts one voter's response, null if it failed; inconclusive heartbeats count as well. */
     void onResponse(StoreHeartbeats heartbeats) {
       if (result.isDone()) {
         return;
@@ -108,7 +104,12 @@
 
     void fail() {
       result.completeExceptionally(
-          new ElmsailException(ErrorCode.NO_QUORUM, "no majority is sure which stores are there"));
+          new ElmsailException(
+              ErrorCode.NO_QUORUM,
+              "no majority can tell which stores exist, conclusive responses: "
+                  + conclusive
+                  + " of "
+                  + voterCount));
     }
   }
 }
--- a/controlplane/src/main/java/elmsail/controlplane/StoreNode.java
+++ b/controlplane/src/main/java/elmsail/controlplane/StoreNode.java
@@ -26,7 +26,7 @@
   StoreNode(
       Settings settings,
       Timers timers,
-      RpcClient caller,
+      RpcClient rpcClient,
       RequestHandlers handlers,
       RecordStore records,
       ReplicaListener replicaListener,
@@ -37,15 +37,15 @@
             records,
             replicaListener,
             handlers,
-            caller,
+            rpcClient,
             timers,
             metrics);
     watcher =
         new ConfigWatcher(
-            caller,
+            rpcClient,
             timers,
             settings,
-            "store",
+            PeerRole.STORE.wireName(),
             records.instanceId(),
             () -> new StoreStatus(replica.isVoting(), false, replica.voterSet()),
             null);
--- a/controlplane/src/main/java/elmsail/controlplane/VoterPlacement.java
+++ b/controlplane/src/main/java/elmsail/controlplane/VoterPlacement.java
@@ -75,7 +75,7 @@
   /** Puts the order into what the one that it is for is told. */
   void addAssignmentTo(PullRequest request, ClusterView view) {
     if (assignment != null
-        && heartbeats.role().equals(request.role)
+        && heartbeats.role().isRoleOf(request)
         && assignment.address().equals(request.address)) {
       view.joinSlot = assignment.slot();
       view.joinEpoch = assignment.epoch();
--- a/controlplane/src/main/java/elmsail/controlplane/VoterRedirect.java
+++ b/controlplane/src/main/java/elmsail/controlplane/VoterRedirect.java
@@ -19,9 +19,9 @@
   private static final long MAX_HEARTBEAT_AGE_MS = 2_500;
 
   @Override
-  public CompletableFuture<SimpleHttpResponse> handle(SimpleHttpRequest call) {
+  public CompletableFuture<SimpleHttpResponse> handle(SimpleHttpRequest request) {
     if (voters.holdsVoterSlot()) {
-      return handler.handle(call);
+      return handler.handle(request);
     }
     String target = null;
     long lowestAgeMs = MAX_HEARTBEAT_AGE_MS;
@@ -41,6 +41,6 @@
             + controlAddress.substring(controlAddress.lastIndexOf(':'));
     return Replies.completed(
         new SimpleHttpResponse(
-            307, Map.of("location", "http://" + targetAddress + call.path()), new byte[0]));
+            307, Map.of("location", "http://" + targetAddress + request.path()), new byte[0]));
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/BoundedStateTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/BoundedStateTest.java
@@ -45,7 +45,7 @@
 
   @Test
   void whoWasHeardLongestAgoMakesRoom() {
-    HeartbeatTable heard = new HeartbeatTable();
+    HeartbeatTable heard = new HeartbeatTable(PeerRole.STORE);
     int all = HeartbeatTable.MAX_MEMBERS + 200;
     for (int i = 0; i < all; i++) {
       heard.onHeartbeat(pull("store", i), 1_000 + i);
--- a/controlplane/src/test/java/elmsail/controlplane/CatchUpTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/CatchUpTest.java
@@ -239,7 +239,7 @@
 
   private static String holder(SimulatedCluster cluster) {
     for (String node : cluster.controlPlaneNodes.keySet()) {
-      if (alive(cluster, node) && cluster.controlPlaneNodes.get(node).lease.term() > 0) {
+      if (alive(cluster, node) && cluster.controlPlaneNodes.get(node).leaseTerm() > 0) {
         return node;
       }
     }
@@ -248,7 +248,7 @@
 
   private static long term(SimulatedCluster cluster) {
     String node = holder(cluster);
-    return node == null ? 0 : cluster.controlPlaneNodes.get(node).lease.term();
+    return node == null ? 0 : cluster.controlPlaneNodes.get(node).leaseTerm();
   }
 
   private static boolean alive(SimulatedCluster cluster, String node) {
--- a/controlplane/src/test/java/elmsail/controlplane/LeaseTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/LeaseTest.java
@@ -30,7 +30,7 @@
     }
   }
 
-  private void send(int asker, long round) {
+  private void send(int asker, Lease.Round round) {
     Lease lease = leases[asker];
     long whose = who[asker];
     for (int v = 0; v < N; v++) {
@@ -44,28 +44,28 @@
     }
   }
 
-  private void arrive(int voter, int asker, Lease lease, long whose, long round, long back) {
+  private void arrive(int voter, int asker, Lease lease, long whose, Lease.Round round, long back) {
     if (timers.now() < frozenUntil[voter]) {
       timers.schedule(
           frozenUntil[voter] - timers.now(), () -> arrive(voter, asker, lease, whose, round, back));
       return;
     }
-    if (round < 0) {
-      voters[voter].release(whose, -round, timers.now());
+    if (round.kind() == Lease.Round.Kind.RELEASE) {
+      voters[voter].release(whose, round.number(), timers.now());
       return;
     }
-    long left = voters[voter].tryGrant(whose, round, timers.now());
+    long left = voters[voter].tryGrant(whose, round.number(), timers.now());
     timers.schedule(back, () -> answered(voter, asker, lease, round, left));
   }
 
-  private void answered(int voter, int asker, Lease lease, long round, long left) {
+  private void answered(int voter, int asker, Lease lease, Lease.Round round, long left) {
     if (timers.now() < frozenUntil[asker]) {
       timers.schedule(
           frozenUntil[asker] - timers.now(), () -> answered(voter, asker, lease, round, left));
     } else if (left == 0) {
-      lease.onGranted(round, voter, timers.now());
+      lease.onGranted(round.number(), voter, timers.now());
     } else {
-      lease.onRefused(round, left);
+      lease.onRefused(round.number(), left);
     }
   }
 
@@ -75,10 +75,8 @@
     int holders = 0;
     for (int i = 0; i < N; i++) {
       if (timers.now() >= frozenUntil[i]) {
-        long round = leases[i].poll(timers.now(), N);
-        if (round != 0) {
-          send(i, round);
-        }
+        int candidate = i;
+        leases[i].poll(timers.now(), N).ifPresent(round -> send(candidate, round));
       }
       holders += leases[i].isHeld(timers.now()) ? 1 : 0;
     }
--- a/controlplane/src/test/java/elmsail/controlplane/PinnedDataDirectoriesStartTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/PinnedDataDirectoriesStartTest.java
@@ -130,16 +130,16 @@
 
   private void startControlPlaneNode(String machine, long processId) throws Exception {
     SimNode node = startNode(machine);
-    ControlPlaneNode controlPlaneNode =
-        new ControlPlaneNode(
+    NodeEnvironment environment =
+        new NodeEnvironment(
             settings(machine, "head_office", 7719),
             node.timers(),
             node.rpcClient(),
             node.requestHandlers(),
             openCopy(PinnedDataDirectories.CONTROL_PLANE, machine),
-            null,
             processId,
             ProcessMetrics.strict());
+    ControlPlaneNode controlPlaneNode = new ControlPlaneNode(environment, null);
     controlPlaneNode.start();
     controlPlaneNodes.put(machine, controlPlaneNode);
   }
@@ -273,7 +273,7 @@
     startControlPlane();
     List<Long> terms =
         controlPlaneNodes.values().stream()
-            .map(node -> node.lease.term())
+            .map(node -> node.leaseTerm())
             .filter(term -> term > 0)
             .toList();
     assertThat(terms, contains(5L));
--- a/controlplane/src/test/java/elmsail/controlplane/PinnedNamesTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/PinnedNamesTest.java
@@ -17,6 +17,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
+import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -79,38 +80,44 @@
     assertThat(
         List.of(
             ControlPlaneVoters.VOTER_SET_NAME,
-            ControlPlaneVoters.ROLE,
             StoreNode.VOTER_SET_NAME,
-            HeartbeatTable.STORE_ROLE,
             ConfigChangeHandler.KEY,
             DecommissionList.KEY,
             StoreBootstrap.KEY,
-            SingletonLease.KEY,
-            StoreHeartbeatQuery.KIND),
-        contains(
-            "head",
-            "controlplane",
-            "shelf",
-            "store",
-            "timetable",
-            "retire",
-            "shelf",
-            "duty",
-            "stores-heard"));
+            SingletonLease.KEY),
+        contains("head", "shelf", "timetable", "retire", "shelf", "duty"));
+    assertThat(
+        Stream.of(PeerRole.values()).map(PeerRole::wireName).toList(),
+        contains("gateway", "store", "controlplane"));
+  }
+
+  @Test
+  void kindsOfPeerMessages() {
+    assertThat(
+        Stream.of(PeerMessageKind.values()).map(PeerMessageKind::wireName).toList(),
+        contains("decided", "retire", "stores-heard"));
+  }
+
+  @Test
+  void statesOfADecommissioning() {
+    assertThat(
+        Stream.of(DecommissionState.values()).map(DecommissionState::jsonName).toList(),
+        contains("in_service", "delivered"));
   }
 
   @Test
   void metrics() {
     ProcessMetrics metrics = ProcessMetrics.strict();
-    new ControlPlaneNode(
-        SettingsFile.parse(SETTINGS),
-        new ManualTimers(),
-        new NoCalls(),
-        new HandlerRegistry(),
-        null,
-        (address, path, limitMs) -> new CompletableFuture<>(),
-        1,
-        metrics);
+    NodeEnvironment environment =
+        new NodeEnvironment(
+            SettingsFile.parse(SETTINGS),
+            new ManualTimers(),
+            new NoCalls(),
+            new HandlerRegistry(),
+            null,
+            1,
+            metrics);
+    new ControlPlaneNode(environment, (address, path, limitMs) -> new CompletableFuture<>());
     assertThat(
         PrometheusText.format(metrics.counters())
             .lines()
--- a/controlplane/src/test/java/elmsail/controlplane/PlacementControllerTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/PlacementControllerTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 
 class PlacementControllerTest {
-  private final HeartbeatTable heard = new HeartbeatTable();
+  private final HeartbeatTable heard = new HeartbeatTable(PeerRole.STORE);
   private final PlacementController storePlacement = new PlacementController(3, 0);
   private final Set<String> retiring = new HashSet<>();
   private VoterSet storeSet = new VoterSet();
--- a/controlplane/src/test/java/elmsail/controlplane/SimulatedCluster.java
+++ b/controlplane/src/test/java/elmsail/controlplane/SimulatedCluster.java
@@ -127,16 +127,16 @@
 
   void controlPlane(String name, boolean firstStart, boolean disk) {
     SimNode node = node(name);
-    ControlPlaneNode controlPlaneNode =
-        new ControlPlaneNode(
+    NodeEnvironment environment =
+        new NodeEnvironment(
             settings(name, firstStart, disk),
             node.timers(),
             node.rpcClient(),
             node.requestHandlers(),
             disk ? disk(name, node) : null,
-            this::platform,
             nextProcessId++,
             ProcessMetrics.strict());
+    ControlPlaneNode controlPlaneNode = new ControlPlaneNode(environment, this::platform);
     controlPlaneNodes.put(name, controlPlaneNode);
     controlPlaneNode.start();
   }
--- a/controlplane/src/test/java/elmsail/controlplane/SplitPartitionScenario.java
+++ b/controlplane/src/test/java/elmsail/controlplane/SplitPartitionScenario.java
@@ -356,7 +356,7 @@
     int leases = 0;
     for (Map.Entry<String, ControlPlaneNode> office : cluster.controlPlaneNodes.entrySet()) {
       boolean up = cluster.net.nodeAt(cluster.address(office.getKey())) != null;
-      leases += up && office.getValue().lease.term() > 0 ? 1 : 0;
+      leases += up && office.getValue().leaseTerm() > 0 ? 1 : 0;
     }
     assertThat(name + ": leases", leases, lessThanOrEqualTo(1));
     for (Map.Entry<String, StoreNode> store : cluster.stores.entrySet()) {
