--- a/app/src/main/java/elmsail/app/Application.java
+++ b/app/src/main/java/elmsail/app/Application.java
@@ -3,29 +3,30 @@
 import elmsail.runtime.NettyEventLoop;
 import elmsail.runtime.Settings;
 
-/** What one of the programs does between its start and its end. */
+/** One of the programs that the launcher runs. All methods are called on the event loop. */
 interface Application {
 
-  /** Its name on the command line and in logs. */
+  /** The name on the command line and in logs. */
   String name();
 
   /**
-   * Listens and joins the others; called on the loop. What it throws, with BAD_SETTINGS or not,
-   * ends the process.
+   * Starts to listen and to join the cluster. May return before that is done; what then fails goes
+   * to {@link ApplicationRunner#exitAfterFailure}. An exception ends the process; of an {@link
+   * elmsail.runtime.ElmsailException} with INVALID_SETTINGS with {@link ExitCode#INVALID_USAGE}.
    */
   Instance start(Settings settings, NettyEventLoop loop);
 
-  /** A program under way; called on the loop. */
+  /** A started application. */
   interface Instance {
 
-    /** The settings have changed (SIGHUP, or the file by itself). */
+    /** Takes over what it can of changed settings (after SIGHUP, or a change of the file). */
     void onSettingsChanged(Settings settings);
 
     /**
-     * SIGTERM came.
+     * Shuts down gracefully (after SIGTERM).
      *
-     * @param ended to be run once nothing is left to do; the process then exits with 0
+     * @param onStopped to be run once nothing is left to do; the process then exits with 0
      */
-    void shutDown(Runnable ended);
+    void shutDown(Runnable onStopped);
   }
 }
--- a/app/src/main/java/elmsail/app/CdsTrainingRun.java
+++ b/app/src/main/java/elmsail/app/CdsTrainingRun.java
@@ -17,8 +17,9 @@
 import java.util.stream.Stream;
 
 /**
- * The build's run of a program: started with made-up settings on loopback, asked a few things, and
- * ended, so that the runtime can keep an archive of the classes that a start needs.
+ * A run of an application for the build alone ({@code --rehearse}): it is started with settings for
+ * loopback, receives a few requests and is shut down, so that the runtime can dump a class-data
+ * sharing (CDS) archive of the classes that a start loads.
  */
 final class CdsTrainingRun {
 
@@ -31,48 +32,46 @@
 
   private CdsTrainingRun() {}
 
-  /**
-   * @return the exit code
-   */
-  static int run(Application program, PrintStream err) {
+  /** Runs the application once; deletes its temporary files. */
+  static ExitCode run(Application application, PrintStream err) {
     Path directory = null;
     try {
       directory = Files.createTempDirectory("elmsail");
       Path file =
           Files.writeString(
-              directory.resolve("settings.json"), settings(program.name(), directory));
+              directory.resolve("settings.json"), settings(application.name(), directory));
       Settings settings = SettingsFile.read(file);
-      return ApplicationLauncher.runUntilStopped(
-          program,
+      return ApplicationRunner.run(
+          application,
           file,
           settings,
           (shutDown, loop) -> {
-            loop.schedule(MAX_RUN_MS, () -> Runtime.getRuntime().halt(ApplicationLauncher.FAILED));
+            loop.schedule(MAX_RUN_MS, () -> Runtime.getRuntime().halt(ExitCode.FAILED.code()));
             loop.schedule(WARM_UP_MS, () -> sendRequests(shutDown, loop, settings));
           });
     } catch (IOException e) {
       e.printStackTrace(err);
-      return ApplicationLauncher.FAILED;
+      return ExitCode.FAILED;
     } finally {
       delete(directory);
     }
   }
 
-  /** Asks at each address, then has the program end. */
+  /** Sends each path to each address, then shuts the application down. */
   private static void sendRequests(Runnable shutDown, NettyEventLoop loop, Settings settings) {
     NettyHttpClient client = new NettyHttpClient(loop);
     List<CompletableFuture<?>> responses = new ArrayList<>();
     for (String address : settings.listenAddresses().values()) {
       for (String path : PATHS) {
-        // What is answered, or whether, is the tests' business.
+        // Only the classes that are loaded count here; the responses are tested elsewhere.
         responses.add(client.get(address, path, REQUEST_TIMEOUT_MS).exceptionally(failure -> null));
       }
     }
     CompletableFuture.allOf(responses.toArray(new CompletableFuture<?>[0])).thenRun(shutDown);
   }
 
-  private static String settings(String program, Path directory) throws IOException {
-    boolean gateway = program.equals("gateway");
+  private static String settings(String application, Path directory) throws IOException {
+    boolean gateway = application.equals("gateway");
     int[] ports = freePorts(5);
     String here = "\"127.0.0.1:";
     String slots =
@@ -81,7 +80,7 @@
             : "\"control\":" + here + ports[2] + "\"";
     String disk = gateway ? "" : "\"data_dir\":\"" + directory.resolve("data") + "\",";
     return "{\"station\":\"rehearsed\",\"role\":\""
-        + program
+        + application
         + "\",\"machine_class\":\"counter\","
         + "\"serves\":["
         + (gateway ? "\"counter\"" : "\"head_office\"")
@@ -107,7 +106,7 @@
         + "\",\"per_s\":40,\"lag_ms\":800}}";
   }
 
-  /** Ports that were free just now; behind each, the next one most likely is too. */
+  /** Ports that are free at the moment; the port after each most likely is free as well. */
   private static int[] freePorts(int count) throws IOException {
     int[] ports = new int[count];
     List<ServerSocket> sockets = new ArrayList<>();
--- a/app/src/main/java/elmsail/app/CheckMain.java
+++ b/app/src/main/java/elmsail/app/CheckMain.java
@@ -18,7 +18,7 @@
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
 
-/** Looks at a configuration or a data folder without taking part in anything. */
+/** An offline tool: validates a configuration, or prints what a data directory holds. */
 public final class CheckMain {
   private static final String TIMETABLE = "timetable";
   private static final String DATA = "data";
@@ -33,10 +33,10 @@
     this.err = err;
   }
 
-  /** Checks what the arguments name and ends with 0 where it is sound. */
+  /** Runs the tool and exits with a code of {@link ExitCode}. */
   public static void main(String[] args) {
     LogProvider.choose();
-    System.exit(new CheckMain(System.out, System.err).run(args));
+    System.exit(new CheckMain(System.out, System.err).run(args).code());
   }
 
   private static Options options() {
@@ -59,10 +59,8 @@
         .addOption(Option.builder().longOpt(HELP).desc("print this").build());
   }
 
-  /**
-   * @return the exit code
-   */
-  int run(String... args) {
+  /** Does what the command line asks for. */
+  ExitCode run(String... args) {
     CommandLine line;
     try {
       line = new DefaultParser(false).parse(options(), args, false);
@@ -74,11 +72,11 @@
       }
     } catch (ParseException e) {
       err.println("check: " + e.getMessage() + "; see --" + HELP);
-      return ApplicationLauncher.INVALID_USAGE;
+      return ExitCode.INVALID_USAGE;
     }
     if (line.hasOption(HELP)) {
       help();
-      return ApplicationLauncher.OK;
+      return ExitCode.OK;
     }
     try {
       return line.hasOption(DATA)
@@ -86,11 +84,11 @@
           : config(Path.of(line.getOptionValue(TIMETABLE)), line.hasOption(JSON));
     } catch (ElmsailException | IOException e) {
       err.println("check: " + (e instanceof IOException ? e.toString() : e.getMessage()));
-      return ApplicationLauncher.FAILED;
+      return ExitCode.FAILED;
     }
   }
 
-  private int config(Path file, boolean json) throws IOException {
+  private ExitCode config(Path file, boolean json) throws IOException {
     byte[] bytes = Files.readAllBytes(file);
     List<String> faults = ConfigDiagnostics.of(bytes);
     long edition = faults.isEmpty() ? RoutingConfigReader.read(bytes).version() : 0;
@@ -114,20 +112,20 @@
     } else {
       faults.forEach(out::println);
     }
-    return faults.isEmpty() ? ApplicationLauncher.OK : ApplicationLauncher.INVALID_USAGE;
+    return faults.isEmpty() ? ExitCode.OK : ExitCode.INVALID_USAGE;
   }
 
-  private int data(Path folder, boolean json) throws IOException {
+  private ExitCode data(Path folder, boolean json) throws IOException {
     DataDirectoryReport read = DataDirectoryReport.read(folder);
     if (json) {
       json(read::write);
     } else {
       read.print(out);
     }
-    return ApplicationLauncher.OK;
+    return ExitCode.OK;
   }
 
-  /** Writes one JSON value. */
+  /** The content of one JSON value. */
   private interface JsonContent {
     void to(JsonGenerator json) throws IOException;
   }
@@ -144,11 +142,11 @@
     PrintWriter text = new PrintWriter(out, true);
     String codes =
         "Exit codes: "
-            + ApplicationLauncher.OK
+            + ExitCode.OK.code()
             + " read, and the configuration is valid; "
-            + ApplicationLauncher.FAILED
+            + ExitCode.FAILED.code()
             + " the file or folder cannot be read; "
-            + ApplicationLauncher.INVALID_USAGE
+            + ExitCode.INVALID_USAGE.code()
             + " the configuration is invalid, or the command line cannot be used.";
     new HelpFormatter()
         .printHelp(
--- a/app/src/main/java/elmsail/app/ConfigDiagnostics.java
+++ b/app/src/main/java/elmsail/app/ConfigDiagnostics.java
@@ -19,9 +19,9 @@
 import java.util.Set;
 
 /**
- * What is wrong with a configuration: the first fault of each route, each service, the limits and
- * the edition. The reader stops at the first of all, so it reads what is left without the parts
- * found bad, again and again.
+ * All faults of a configuration: the first one of each route, each service, the limits and the
+ * version. {@link RoutingConfigReader} stops at the first fault, so the document is read again and
+ * again without the parts found invalid so far.
  */
 final class ConfigDiagnostics {
   private static final String EDITION = "edition";
@@ -37,7 +37,7 @@
     this.root = root;
   }
 
-  /** Each on one line, with the path of its key; none if the configuration is valid by itself. */
+  /** The faults, one line each with the path of its key; empty if the configuration is valid. */
   static List<String> of(byte[] bytes) {
     String whole = faultOf(bytes);
     if (whole == null) {
@@ -96,8 +96,7 @@
   }
 
   /**
-   * A plain service of each name there is, so that a route is not at fault for its service's
-   * faults.
+   * A minimal valid service of each name, so that routes do not fail for their services' faults.
    */
   private ConfigValue placeholderServices() {
     Set<String> names = new LinkedHashSet<>();
@@ -118,7 +117,7 @@
     return ConfigValueFactory.fromIterable(plain);
   }
 
-  /** The faults of one list's parts, with their places in the whole list. */
+  /** Collects the faults of a list's elements, with their indexes in the complete list. */
   private void collectFromList(ConfigObject around, String key) {
     if (!(root.get(key) instanceof ConfigList all)) {
       addFault(faultOf(with(around.withoutKey(key), key)));
--- a/app/src/main/java/elmsail/app/ControlPlaneMain.java
+++ b/app/src/main/java/elmsail/app/ControlPlaneMain.java
@@ -3,12 +3,15 @@
 import elmsail.runtime.NettyEventLoop;
 import elmsail.runtime.Settings;
 
-/** The control plane's program: serves {@code head_office}, or keeps jobs at a {@code vault}. */
+/**
+ * The main class of the control plane: a process that serves {@code head_office}, or stores batch
+ * jobs as a {@code vault}.
+ */
 public final class ControlPlaneMain implements Application {
 
   private ControlPlaneMain() {}
 
-  /** Runs the program until it is signalled to end; {@code --settings FILE} names its settings. */
+  /** Runs until SIGTERM; {@code --settings FILE} names the settings. */
   public static void main(String[] args) {
     ApplicationLauncher.main(new ControlPlaneMain(), args);
   }
@@ -18,7 +21,6 @@
     return "controlplane";
   }
 
-  /** Listens, and joins the others. */
   @Override
   public Instance start(Settings settings, NettyEventLoop loop) {
     return new ControlPlaneProcess(settings, loop);
--- a/app/src/main/java/elmsail/app/ControlPlaneProcess.java
+++ b/app/src/main/java/elmsail/app/ControlPlaneProcess.java
@@ -13,8 +13,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A control-plane node put together, at the head office or a store: its disk, its links, its part.
- * All on the loop.
+ * A control-plane node or a store as a process: wires its storage, the RPC endpoint and its
+ * services together. All on the event loop.
  */
 final class ControlPlaneProcess implements Application.Instance {
   private static final Logger LOG = LoggerFactory.getLogger(ControlPlaneProcess.class);
@@ -28,7 +28,7 @@
     ProcessMetrics metrics = ProcessGauges.register(loop, rpc);
     recordStore = settings.dataDir() == null ? null : recordStore(settings, loop, metrics);
     if (settings.services().contains("head_office")) {
-      rpc.listen().exceptionally(ApplicationLauncher::exitAfterFailure);
+      rpc.listen().exceptionally(ApplicationRunner::exitAfterFailure);
       ControlPlane.startControlPlaneNode(settings, loop, rpc, recordStore, metrics)
           .thenAccept(
               started -> {
@@ -38,12 +38,12 @@
                     settings.listenAddresses().get("control"),
                     settings.rpcAddress());
               })
-          .exceptionally(ApplicationLauncher::exitAfterFailure);
+          .exceptionally(ApplicationRunner::exitAfterFailure);
     } else {
       controlPlane = ControlPlane.startStore(settings, loop, rpc, recordStore, metrics);
       rpc.listen()
           .thenRun(() -> LOG.info("listening at {}", settings.rpcAddress()))
-          .exceptionally(ApplicationLauncher::exitAfterFailure);
+          .exceptionally(ApplicationRunner::exitAfterFailure);
     }
   }
 
--- a/app/src/main/java/elmsail/app/DataDirectoryReport.java
+++ b/app/src/main/java/elmsail/app/DataDirectoryReport.java
@@ -16,21 +16,23 @@
 import java.util.List;
 
 /**
- * What a data folder holds. It is read in a copy, as opening a folder tidies it up.
+ * What a data directory holds. A copy is read, as opening a directory compacts it.
  *
- * @param files the versions' files, those being written left out
- * @param bytes of all files
+ * @param files number of record files, without those still being written
+ * @param bytes of all these files
  */
 record DataDirectoryReport(
     long instanceId, int files, long bytes, int records, List<RestoredReplica> sets) {
   private static final String PREFIX = "v-";
   private static final String PART = ".part";
 
-  /** Nothing is written, so any share of the disk will do. */
+  /** No limit: nothing is written. */
   private static final long MAX_BYTES = 1L << 50;
 
   /**
-   * @throws ElmsailException DISK: there are no records, or they cannot be read, or the folder
+   * Reads a data directory without changing it.
+   *
+   * @throws ElmsailException STORAGE_FAILURE if it has no records, if they cannot be read, or if it
    *     changed while it was copied
    */
   static DataDirectoryReport read(Path directory) {
@@ -88,7 +90,7 @@
       }
       Files.deleteIfExists(copy);
     } catch (IOException e) {
-      // Left to whoever tidies the temporary folder.
+      // A leftover in the temporary directory does no harm; the report is complete.
     }
   }
 
--- a/app/src/main/java/elmsail/app/GatewayMain.java
+++ b/app/src/main/java/elmsail/app/GatewayMain.java
@@ -3,12 +3,12 @@
 import elmsail.runtime.NettyEventLoop;
 import elmsail.runtime.Settings;
 
-/** The data plane's program: serves {@code counter}. */
+/** The main class of the data plane: a process that serves {@code counter}. */
 public final class GatewayMain implements Application {
 
   private GatewayMain() {}
 
-  /** Runs the program until it is signalled to end; {@code --settings FILE} names its settings. */
+  /** Runs until SIGTERM; {@code --settings FILE} names the settings. */
   public static void main(String[] args) {
     ApplicationLauncher.main(new GatewayMain(), args);
   }
@@ -18,7 +18,6 @@
     return "gateway";
   }
 
-  /** Listens, and joins the others. */
   @Override
   public Instance start(Settings settings, NettyEventLoop loop) {
     return new GatewayProcess(settings, loop);
--- a/app/src/main/java/elmsail/app/GatewayProcess.java
+++ b/app/src/main/java/elmsail/app/GatewayProcess.java
@@ -19,7 +19,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A gateway put together: its links, what it knows, its jobs and its clients. All on the loop. */
+/**
+ * A gateway process: wires the RPC endpoint, the configuration watch, the batch API and the HTTP
+ * side together. All on the event loop.
+ */
 final class GatewayProcess implements Application.Instance {
   private static final Logger LOG = LoggerFactory.getLogger(GatewayProcess.class);
 
@@ -76,12 +79,12 @@
                 finish();
               }
             })
-        .exceptionally(ApplicationLauncher::exitAfterFailure);
+        .exceptionally(ApplicationRunner::exitAfterFailure);
   }
 
   /**
-   * How far another process is: the first two parts of its address tell its zone as far as is
-   * known.
+   * The distance of another process: 0 if the first two parts of its address, which stand for its
+   * zone, are the same, else 1.
    */
   private static int zoneDistance(String ownAddress, String other) {
     int dots = 0;
@@ -124,7 +127,9 @@
             });
   }
 
-  /** The stores' voters: what control-plane nodes and the stores themselves answered. */
+  /**
+   * The job-store voters, merged from what control-plane nodes and the stores themselves report.
+   */
   private static final class StoreVoters implements VoterSetSource {
     private final ConfigWatcher watcher;
     private VoterSet learned = new VoterSet();
--- a/app/src/main/java/elmsail/app/LineAppender.java
+++ b/app/src/main/java/elmsail/app/LineAppender.java
@@ -8,8 +8,9 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Writes each event as one line: ms since the log began, level, the logger's last name, message;
- * and for what was thrown a line for each cause with the nearest places in the code.
+ * A Logback appender that writes each event as one line: ms since the start, level, the logger's
+ * simple name, message. An exception follows with a line for each cause and its top stack frames.
+ * Each event is written at once.
  */
 final class LineAppender extends UnsynchronizedAppenderBase<ILoggingEvent> {
 
@@ -54,7 +55,9 @@
     }
   }
 
-  /** What others sent may be part of a message: it makes no lines of its own. */
+  /**
+   * Replaces control characters: a message may hold what peers sent, which must not forge lines.
+   */
   private static void appendWithoutControls(StringBuilder line, String text) {
     if (text == null) {
       return;
--- a/app/src/main/java/elmsail/app/LogProvider.java
+++ b/app/src/main/java/elmsail/app/LogProvider.java
@@ -9,8 +9,8 @@
 import org.slf4j.spi.SLF4JServiceProvider;
 
 /**
- * Gives SLF4J a Logback that is set up at once: without looking for configurators, files and
- * versions.
+ * An SLF4J provider that configures Logback in code, without a search for configurators, files and
+ * versions, which would slow the start.
  */
 public final class LogProvider implements SLF4JServiceProvider {
 
@@ -18,7 +18,7 @@
   private final IMarkerFactory markers = new BasicMarkerFactory();
   private final LogbackMDCAdapter diagnostics = new LogbackMDCAdapter();
 
-  /** Has SLF4J take this one: to be called before the first logger is asked for. */
+  /** Makes SLF4J use this provider; to be called before the first logger is created. */
   static void choose() {
     System.setProperty("slf4j.internal.verbosity", "WARN");
     System.setProperty("slf4j.provider", "elmsail.app.LogProvider");
--- a/app/src/main/java/elmsail/app/LogSetup.java
+++ b/app/src/main/java/elmsail/app/LogSetup.java
@@ -8,16 +8,16 @@
 import ch.qos.logback.core.status.NopStatusListener;
 
 /**
- * Sets the log up in code, as reading a file and a pattern for it would cost more than the rest of
- * the start: plain lines to standard output. Found by Logback as a service. The system property
- * {@value #DEBUG} names loggers, with commas between them, that write their debug lines too.
+ * Configures Logback in code, as parsing a file and a pattern would cost more than the rest of the
+ * start: plain lines to standard output. Logback finds it as a service. The system property {@value
+ * #DEBUG} names loggers, separated by commas, whose debug lines are written too.
  */
 public final class LogSetup extends ContextAwareBase implements Configurator {
   static final String DEBUG = "elmsail.debug";
 
   @Override
   public ExecutionStatus configure(LoggerContext context) {
-    // With a listener there, Logback makes no formats of time for printing its own state.
+    // With a listener, Logback does not load its time formats to print its own status.
     context.getStatusManager().add(new NopStatusListener());
     LineAppender lines = new LineAppender(System.out);
     lines.setContext(context);
--- a/app/src/main/java/elmsail/app/ProcessGauges.java
+++ b/app/src/main/java/elmsail/app/ProcessGauges.java
@@ -6,13 +6,13 @@
 import elmsail.runtime.NettyEventLoop;
 import elmsail.runtime.ProcessMetrics;
 
-/** The figures that every process tells, whatever its role. */
+/** The metrics that every process exports, whatever its role. */
 final class ProcessGauges {
   private static final int BYTES_PER_MEGABYTE = 1 << 20;
 
   private ProcessGauges() {}
 
-  /** Makes the process's metrics; called once, on the loop. */
+  /** Creates the process's metrics. To be called once, on the loop. */
   static ProcessMetrics register(NettyEventLoop loop, RpcEndpoint rpc) {
     ProcessMetrics metrics = ProcessMetrics.logged(loop);
     Counters counters = metrics.counters();
--- a/app/src/test/java/elmsail/app/ApplicationLauncherTest.java
+++ b/app/src/test/java/elmsail/app/ApplicationLauncherTest.java
@@ -63,7 +63,7 @@
     }
   }
 
-  private int run(String... args) {
+  private ExitCode run(String... args) {
     return new ApplicationLauncher(
             new Brief(null),
             new PrintStream(out, true, StandardCharsets.UTF_8),
@@ -81,37 +81,34 @@
 
   @Test
   void checkValidatesTheSettings() throws Exception {
-    assertThat(
-        run("--check", "--settings", settings(MINIMAL_SETTINGS)), is(ApplicationLauncher.OK));
+    assertThat(run("--check", "--settings", settings(MINIMAL_SETTINGS)), is(ExitCode.OK));
     assertThat(errors(), is(""));
     assertThat(
         run("--settings", settings(MINIMAL_SETTINGS.replace("7735", "\"x\"")), "--check"),
-        is(ApplicationLauncher.INVALID_USAGE));
+        is(ExitCode.INVALID_USAGE));
     assertThat(errors(), containsString("inner_ports.1: expected a number"));
   }
 
   @Test
   void doesNotStartWithoutValidSettings() throws Exception {
-    assertThat(
-        run("--settings", folder.resolve("none").toString()),
-        is(ApplicationLauncher.INVALID_USAGE));
+    assertThat(run("--settings", folder.resolve("none").toString()), is(ExitCode.INVALID_USAGE));
     assertThat(errors(), containsString("cannot read"));
-    assertThat(run("--settings", settings("{}")), is(ApplicationLauncher.INVALID_USAGE));
+    assertThat(run("--settings", settings("{}")), is(ExitCode.INVALID_USAGE));
     assertThat(errors(), containsString(": is missing"));
   }
 
   @Test
   void rejectsUnknownCommandLines() throws Exception {
-    assertThat(run("--speed", "3"), is(ApplicationLauncher.INVALID_USAGE));
+    assertThat(run("--speed", "3"), is(ExitCode.INVALID_USAGE));
     assertThat(errors(), containsString("--speed"));
-    assertThat(run("--settings"), is(ApplicationLauncher.INVALID_USAGE));
-    assertThat(run("--check", "more"), is(ApplicationLauncher.INVALID_USAGE));
-    assertThat(run("--rehearse", "--check"), is(ApplicationLauncher.INVALID_USAGE));
+    assertThat(run("--settings"), is(ExitCode.INVALID_USAGE));
+    assertThat(run("--check", "more"), is(ExitCode.INVALID_USAGE));
+    assertThat(run("--rehearse", "--check"), is(ExitCode.INVALID_USAGE));
   }
 
   @Test
   void helpListsOptionsAndExitCodes() {
-    assertThat(run("--help"), is(ApplicationLauncher.OK));
+    assertThat(run("--help"), is(ExitCode.OK));
     String help = out.toString(StandardCharsets.UTF_8);
     assertThat(help, containsString("--settings <FILE>"));
     assertThat(help, containsString("Exit codes"));
@@ -121,10 +118,9 @@
   void runsUntilItIsStopped() throws Exception {
     Path file = Path.of(settings(MINIMAL_SETTINGS));
     Brief program = new Brief(null);
-    int code =
-        ApplicationLauncher.runUntilStopped(
-            program, file, SettingsFile.read(file), (end, loop) -> end.run());
-    assertThat(code, is(ApplicationLauncher.OK));
+    ExitCode code =
+        ApplicationRunner.run(program, file, SettingsFile.read(file), (end, loop) -> end.run());
+    assertThat(code, is(ExitCode.OK));
     assertThat(program.ends, is(1));
   }
 
@@ -133,28 +129,28 @@
     Path file = Path.of(settings(MINIMAL_SETTINGS));
     Settings settings = SettingsFile.read(file);
     assertThat(
-        ApplicationLauncher.runUntilStopped(
+        ApplicationRunner.run(
             new Brief(new ElmsailException(ErrorCode.INVALID_SETTINGS, "no such slot")),
             file,
             settings,
             (end, loop) -> end.run()),
-        is(ApplicationLauncher.INVALID_USAGE));
+        is(ExitCode.INVALID_USAGE));
     assertThat(
-        ApplicationLauncher.runUntilStopped(
+        ApplicationRunner.run(
             new Brief(new ElmsailException(ErrorCode.STORAGE_FAILURE, "full")),
             file,
             settings,
             (end, loop) -> end.run()),
-        is(ApplicationLauncher.FAILED));
+        is(ExitCode.FAILED));
     assertThat(
-        ApplicationLauncher.runUntilStopped(
+        ApplicationRunner.run(
             new Brief(new IllegalStateException("ours")), file, settings, (end, loop) -> end.run()),
-        is(ApplicationLauncher.FAILED));
+        is(ExitCode.FAILED));
   }
 
   @Test
   void trainingRunStartsAndStopsAnyApplication() {
-    assertThat(run("--rehearse"), is(ApplicationLauncher.OK));
+    assertThat(run("--rehearse"), is(ExitCode.OK));
     assertThat(errors(), is(""));
   }
 }
--- a/app/src/test/java/elmsail/app/CheckMainTest.java
+++ b/app/src/test/java/elmsail/app/CheckMainTest.java
@@ -60,7 +60,7 @@
   private final ByteArrayOutputStream out = new ByteArrayOutputStream();
   private final ByteArrayOutputStream err = new ByteArrayOutputStream();
 
-  private int run(String... args) {
+  private ExitCode run(String... args) {
     return new CheckMain(
             new PrintStream(out, true, StandardCharsets.UTF_8),
             new PrintStream(err, true, StandardCharsets.UTF_8))
@@ -77,8 +77,8 @@
 
   @Test
   void reportsAValidConfiguration() throws Exception {
-    assertThat(run("--timetable", file(GOOD)), is(ApplicationLauncher.OK));
-    assertThat(run("--timetable", file(GOOD), "--json"), is(ApplicationLauncher.OK));
+    assertThat(run("--timetable", file(GOOD)), is(ExitCode.OK));
+    assertThat(run("--timetable", file(GOOD), "--json"), is(ExitCode.OK));
     assertThat(
         printed().lines().toList(),
         contains("edition 7 is valid by itself", "{\"valid\":true,\"edition\":7,\"faults\":[]}"));
@@ -86,7 +86,7 @@
 
   @Test
   void reportsEveryFaultyPartWithItsPath() throws Exception {
-    assertThat(run("--timetable", file(BAD)), is(ApplicationLauncher.INVALID_USAGE));
+    assertThat(run("--timetable", file(BAD)), is(ExitCode.INVALID_USAGE));
     assertThat(
         printed().lines().toList(),
         contains(
@@ -98,7 +98,7 @@
             "routes[2].lane_prefix: two routes have h.example and /y/",
             "routes[3].postal_line: the service c is not known"));
     out.reset();
-    assertThat(run("--timetable", file(BAD), "--json"), is(ApplicationLauncher.INVALID_USAGE));
+    assertThat(run("--timetable", file(BAD), "--json"), is(ExitCode.INVALID_USAGE));
     assertThat(
         printed(),
         allOf(
@@ -109,18 +109,16 @@
 
   @Test
   void reportsOneFaultForIncompleteDocuments() throws Exception {
-    assertThat(
-        run("--timetable", file(GOOD.substring(0, 30))), is(ApplicationLauncher.INVALID_USAGE));
+    assertThat(run("--timetable", file(GOOD.substring(0, 30))), is(ExitCode.INVALID_USAGE));
     assertThat(printed().lines().count(), is(1L));
     out.reset();
     assertThat(
-        run("--timetable", file("{\"edition\":1,\"routes\":3}")),
-        is(ApplicationLauncher.INVALID_USAGE));
+        run("--timetable", file("{\"edition\":1,\"routes\":3}")), is(ExitCode.INVALID_USAGE));
     assertThat(
         printed().lines().toList(), contains("postal_lines: is missing", "routes: is not a list"));
     out.reset();
     String twice = GOOD.replace("\"give_up_ms\":5", "\"give_up_ms\":5,\"give_up_ms\":6");
-    assertThat(run("--timetable", file(twice)), is(ApplicationLauncher.INVALID_USAGE));
+    assertThat(run("--timetable", file(twice)), is(ExitCode.INVALID_USAGE));
     assertThat(printed().lines().count(), is(1L));
     assertThat(printed(), containsString("Duplicate field 'give_up_ms'"));
   }
@@ -131,7 +129,7 @@
     long instanceId = write(data);
     Files.write(data.resolve("v-0000000000000099.part"), new byte[] {1});
     Map<String, ByteBuffer> before = bytes(data);
-    assertThat(run("--data", data.toString()), is(ApplicationLauncher.OK));
+    assertThat(run("--data", data.toString()), is(ExitCode.OK));
     assertThat(
         printed(),
         allOf(
@@ -146,7 +144,7 @@
                 "  key time/table: promised 3.4, accepted 2.4, value of 2 bytes, 1 blobs")));
     assertThat(printed(), not(containsString("set notary")));
     out.reset();
-    assertThat(run("--data", data.toString(), "--json"), is(ApplicationLauncher.OK));
+    assertThat(run("--data", data.toString(), "--json"), is(ExitCode.OK));
     assertThat(
         printed(),
         allOf(
@@ -237,32 +235,31 @@
 
   @Test
   void reportsWhatCannotBeRead() throws Exception {
-    assertThat(run("--data", directory.resolve("none").toString()), is(ApplicationLauncher.FAILED));
+    assertThat(run("--data", directory.resolve("none").toString()), is(ExitCode.FAILED));
     Path empty = Files.createDirectory(directory.resolve("empty"));
-    assertThat(run("--data", empty.toString()), is(ApplicationLauncher.FAILED));
+    assertThat(run("--data", empty.toString()), is(ExitCode.FAILED));
     assertThat(bytes(empty).size(), is(0));
     Path data = directory.resolve("data");
     write(data);
     String last = ((TreeMap<String, ByteBuffer>) bytes(data)).lastKey();
     byte[] whole = Files.readAllBytes(data.resolve(last));
     Files.write(data.resolve(last), Arrays.copyOf(whole, whole.length - 3));
-    assertThat(run("--data", data.toString()), is(ApplicationLauncher.FAILED));
-    assertThat(
-        run("--timetable", directory.resolve("none").toString()), is(ApplicationLauncher.FAILED));
+    assertThat(run("--data", data.toString()), is(ExitCode.FAILED));
+    assertThat(run("--timetable", directory.resolve("none").toString()), is(ExitCode.FAILED));
     assertThat(
         err.toString(StandardCharsets.UTF_8),
         allOf(
             containsString("no records in"),
-            containsString("is torn"),
+            containsString("is corrupt at offset"),
             containsString("NoSuchFile")));
   }
 
   @Test
   void validatesTheCommandLine() {
-    assertThat(run(), is(ApplicationLauncher.INVALID_USAGE));
-    assertThat(run("--data", "a", "--timetable", "b"), is(ApplicationLauncher.INVALID_USAGE));
-    assertThat(run("--data", "a", "more"), is(ApplicationLauncher.INVALID_USAGE));
-    assertThat(run("--help"), is(ApplicationLauncher.OK));
+    assertThat(run(), is(ExitCode.INVALID_USAGE));
+    assertThat(run("--data", "a", "--timetable", "b"), is(ExitCode.INVALID_USAGE));
+    assertThat(run("--data", "a", "more"), is(ExitCode.INVALID_USAGE));
+    assertThat(run("--help"), is(ExitCode.OK));
     assertThat(printed(), containsString("Exit codes"));
   }
 }
--- a/app/src/test/java/elmsail/app/LineAppenderTest.java
+++ b/app/src/test/java/elmsail/app/LineAppenderTest.java
@@ -55,7 +55,7 @@
         "failed", new IllegalStateException("outer", new IllegalArgumentException("inner\nmore")));
     String[] lines = written();
     assertThat(lines[1], startsWith("  java.lang.IllegalStateException: outer"));
-    assertThat(lines[2], containsString("LogLinesTest"));
+    assertThat(lines[2], containsString("LineAppenderTest"));
     assertThat(
         String.join("|", lines),
         containsString("|  java.lang.IllegalArgumentException: inner more|"));
--- a/app/src/test/java/elmsail/app/PinnedNamesTest.java
+++ b/app/src/test/java/elmsail/app/PinnedNamesTest.java
@@ -38,8 +38,7 @@
   @Test
   void exitCodes() {
     assertThat(
-        List.of(
-            ApplicationLauncher.OK, ApplicationLauncher.FAILED, ApplicationLauncher.INVALID_USAGE),
+        List.of(ExitCode.OK.code(), ExitCode.FAILED.code(), ExitCode.INVALID_USAGE.code()),
         contains(0, 1, 2));
   }
 
