--- a/batch/src/main/java/elmsail/batch/run/JobRunner.java
+++ b/batch/src/main/java/elmsail/batch/run/JobRunner.java
@@ -161,7 +161,7 @@
         if (job.items == null && job.isExpired(context.timers().now())) {
           failReadyItems(job);
         } else if (job.items == null) {
-          job.timeline.onStalled(JobTimeline.Stall.BODY);
+          job.timeline.onStalled(JobTimeline.Stall.BODY_NOT_LOADED);
           bodies.fetch(job);
         } else {
           startItems(job, config, capacityByRoute);
@@ -289,14 +289,14 @@
   private void onRunEnded(
       RunningJob job, ItemRun itemRun, ItemServers.RunOutcome outcome, Route route) {
     switch (outcome) {
-      case WHOLE -> {
+      case COMPLETED -> {
         if (itemRun.hasText()) {
           finishItem(job, itemRun, true);
         } else {
           retryLater(job, itemRun);
         }
       }
-      case NEVER -> finishItem(job, itemRun, false);
+      case REJECTED -> finishItem(job, itemRun, false);
       case FAILED -> {
         itemRun.failedAttempts++;
         if (itemRun.failedAttempts >= Math.max(1, route.maxAttempts())) {
--- a/batch/src/main/java/elmsail/batch/run/JobTimeline.java
+++ b/batch/src/main/java/elmsail/batch/run/JobTimeline.java
@@ -5,33 +5,48 @@
 import java.util.Map;
 
 /**
- * When one job reached the stages of its running at this gateway, how its items' runs ended and
- * what held their sending up. Times are in ms of the steady clock, printed from the job's
- * acceptance on.
+ * When a job reached the stages of its run at this gateway, how the runs of its items ended and why
+ * items were not started. Times are in ms of the steady clock, and are printed relative to the
+ * job's acceptance. Confined to the gateway's event loop.
  */
 final class JobTimeline {
-  /** Why ready items were not sent when the job was looked at. */
+  /**
+   * Why ready items were not started in a dispatch. Operators see the log text, which stays as it
+   * is when a constant is renamed.
+   */
   enum Stall {
-    /** The job's items are not fetched yet. */
-    BODY,
-    /** No majority of the stores has confirmed lately that the job is this gateway's. */
-    UNCONFIRMED,
-    /** No server has a place for a batch item. */
-    NO_ROOM,
-    /** Too many bytes of unlisted results are held. */
-    MEMORY;
+    /** The body of the job is not loaded yet. */
+    BODY_NOT_LOADED("BODY"),
+    /** No majority of the stores has confirmed the lease lately. */
+    LEASE_UNCONFIRMED("UNCONFIRMED"),
+    /** No server has capacity for a batch item. */
+    NO_CAPACITY("NO_ROOM"),
+    /** Results that are not recorded yet take too much memory. */
+    MEMORY_FULL("MEMORY");
+
+    private final String logText;
+
+    Stall(String logText) {
+      this.logText = logText;
+    }
+
+    /** The text of this reason in log lines. */
+    @Override
+    public String toString() {
+      return logText;
+    }
 
     /**
-     * Why the items of a job whose body is there are not sent.
+     * Why an item of a job whose body is loaded is not started.
      *
-     * @param confirmed whether a majority of the stores confirmed lately who runs the job
-     * @param capacity how many items the servers may be given now
+     * @param confirmed whether a majority of the stores has confirmed the lease lately
+     * @param capacity how many items of the route the servers can take
      */
     static Stall of(boolean confirmed, int capacity) {
       if (!confirmed) {
-        return UNCONFIRMED;
+        return LEASE_UNCONFIRMED;
       }
-      return capacity <= 0 ? NO_ROOM : MEMORY;
+      return capacity <= 0 ? NO_CAPACITY : MEMORY_FULL;
     }
   }
 
@@ -53,7 +68,7 @@
 
   /**
    * @param acceptedAt when the job was accepted, or later
-   * @param adoptedAt when this gateway began to run it
+   * @param adoptedAt when this gateway started to run it
    */
   JobTimeline(long acceptedAt, long adoptedAt) {
     this.acceptedAt = acceptedAt;
@@ -78,19 +93,19 @@
     firstEventAt = firstEventAt == NOT_YET ? now : firstEventAt;
   }
 
-  /** A run ended by itself that began at {@code sentAt}. */
+  /** A run that was sent at {@code sentAt} has ended by itself. */
   void onEnded(ItemServers.RunOutcome outcome, long sentAt, long now) {
     outcomes.merge(outcome, 1, Integer::sum);
     longestRunMs = Math.max(longestRunMs, now - sentAt);
     lastEndAt = now;
   }
 
-  /** A run was ended by this gateway. */
+  /** This gateway has cancelled a run. */
   void onCancelled() {
     runsCancelled++;
   }
 
-  /** One line of the stages reached so far. */
+  /** The stages reached so far, as {@code key=value} on one line. */
   String describe(long now) {
     return "adopted="
         + since(adoptedAt)
--- a/batch/src/test/java/elmsail/batch/FailingItemsTest.java
+++ b/batch/src/test/java/elmsail/batch/FailingItemsTest.java
@@ -74,7 +74,7 @@
   @Test
   void onlyResponsesOf500CountAsFailedAttempts() {
     SimBatchCluster world = accepted(32, 2, 1);
-    world.gateways.get(0).servers.lastRun().end(RunOutcome.BROKEN);
+    world.gateways.get(0).servers.lastRun().end(RunOutcome.OUTCOME_UNKNOWN);
     world.timers.advance(500);
     world.gateways.get(0).servers.lastRun().end(RunOutcome.NOT_RUN);
     world.timers.advance(500);
@@ -109,12 +109,12 @@
     SimBatchCluster world = accepted(34, 1, 1);
     SimServers servers = world.gateways.get(0).servers;
     for (int i = 0; i < 120; i++) {
-      servers.lastRun().end(RunOutcome.BROKEN);
+      servers.lastRun().end(RunOutcome.OUTCOME_UNKNOWN);
       world.timers.advance(500);
     }
     assertThat(servers.runs.size(), greaterThan(50));
     world.timers.advance(2_000);
-    servers.lastRun().end(RunOutcome.BROKEN);
+    servers.lastRun().end(RunOutcome.OUTCOME_UNKNOWN);
     world.timers.advance(1_000);
     assertThat(world.read(0, "a", 0), containsString(GIVEN_UP));
   }
--- a/batch/src/test/java/elmsail/batch/JobLeaseTest.java
+++ b/batch/src/test/java/elmsail/batch/JobLeaseTest.java
@@ -108,7 +108,7 @@
     SimServers later = world.gateways.get(1).servers;
     assertThat(later.runs, hasSize(1));
     former.servers.runs.get(0).event(1, "former");
-    former.servers.runs.get(0).end(RunOutcome.WHOLE);
+    former.servers.runs.get(0).end(RunOutcome.COMPLETED);
     later.lastRun().serve();
     world.timers.advance(200);
     String listed = world.read(1, "a", 0);
--- a/batch/src/test/java/elmsail/batch/JobRunnerTest.java
+++ b/batch/src/test/java/elmsail/batch/JobRunnerTest.java
@@ -43,11 +43,11 @@
   void aBrokenRunResumesAfterTheLastEvent() {
     SimBatchCluster world = accepted(2, 1, 1);
     world.gateways.get(0).servers.lastRun().event(0, "one");
-    world.gateways.get(0).servers.lastRun().end(RunOutcome.BROKEN);
+    world.gateways.get(0).servers.lastRun().end(RunOutcome.OUTCOME_UNKNOWN);
     world.timers.advance(400);
     assertThat(world.gateways.get(0).servers.lastRun().lastEventId, is(0L));
     world.gateways.get(0).servers.lastRun().event(1, "two");
-    world.gateways.get(0).servers.lastRun().end(RunOutcome.WHOLE);
+    world.gateways.get(0).servers.lastRun().end(RunOutcome.COMPLETED);
     world.timers.advance(100);
     assertThat(world.read(0, "a", 0), containsString("\"message\":\"one\\u000atwo\""));
   }
@@ -60,7 +60,7 @@
       servers.lastRun().event(0, "one");
       servers.lastRun().event(wrong, "wrong");
       assertThat(servers.lastRun().cancelled, is(true));
-      servers.lastRun().end(RunOutcome.WHOLE);
+      servers.lastRun().end(RunOutcome.COMPLETED);
       world.timers.advance(400);
       assertThat(servers.runs, hasSize(2));
       assertThat(servers.lastRun().lastEventId, is(-1L));
@@ -77,10 +77,10 @@
       SimServers servers = world.gateways.get(0).servers;
       servers.lastRun().event(0, "one");
       servers.lastRun().event(1, "two");
-      servers.lastRun().end(RunOutcome.BROKEN);
+      servers.lastRun().end(RunOutcome.OUTCOME_UNKNOWN);
       world.timers.advance(400);
       servers.lastRun().event(wrong, "else");
-      servers.lastRun().end(RunOutcome.WHOLE);
+      servers.lastRun().end(RunOutcome.COMPLETED);
       world.timers.advance(400);
       servers.lastRun().serve();
       world.timers.advance(100);
@@ -107,7 +107,7 @@
     servers.lastRun().end(RunOutcome.FAILED);
     world.timers.advance(400);
     assertThat(world.read(0, "a", 0), containsString(NONE));
-    servers.lastRun().end(RunOutcome.BROKEN);
+    servers.lastRun().end(RunOutcome.OUTCOME_UNKNOWN);
     world.timers.advance(400);
     assertThat(world.read(0, "a", 0), containsString(NONE));
     servers.lastRun().end(RunOutcome.FAILED);
@@ -119,7 +119,7 @@
   @Test
   void anItemRejectedByItsServerFailsAtOnce() {
     SimBatchCluster world = accepted(7, 1, 1);
-    world.gateways.get(0).servers.lastRun().end(RunOutcome.NEVER);
+    world.gateways.get(0).servers.lastRun().end(RunOutcome.REJECTED);
     world.timers.advance(100);
     assertThat(world.read(0, "a", 0), containsString("\"state\":\"undeliverable\""));
   }
@@ -196,7 +196,7 @@
     String big = "\"".repeat(300_000);
     for (SimServers.Run run : List.copyOf(world.gateways.get(0).servers.runs)) {
       run.event(0, big);
-      run.end(RunOutcome.WHOLE);
+      run.end(RunOutcome.COMPLETED);
     }
     world.timers.advance(300);
     Reply reply = world.await(world.gateways.get(0).batchApi.readResults("a", 0, 0));
--- a/batch/src/test/java/elmsail/batch/SimServers.java
+++ b/batch/src/test/java/elmsail/batch/SimServers.java
@@ -36,7 +36,7 @@
     void end(RunOutcome outcome) {
       if (!cancelled && !ended) {
         ended = true;
-        if (outcome == RunOutcome.WHOLE) {
+        if (outcome == RunOutcome.COMPLETED) {
           served.add(item.id());
         }
         listener.onEnded(outcome);
@@ -48,7 +48,7 @@
       for (long id = lastEventId + 1; id < 2; id++) {
         event(id, item.id() + "/" + id + eventPadding);
       }
-      end(RunOutcome.WHOLE);
+      end(RunOutcome.COMPLETED);
     }
 
     @Override
--- a/gateway/src/main/java/elmsail/gateway/requests/ItemDispatcher.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/ItemDispatcher.java
@@ -125,7 +125,7 @@
     public void onEnded(RunOutcome result) {
       switch (result) {
         case FAILED -> failures.add(itemId, serverId);
-        case WHOLE, NEVER -> failures.remove(itemId);
+        case COMPLETED, REJECTED -> failures.remove(itemId);
         default -> {}
       }
       listener.onEnded(result);
--- a/gateway/src/main/java/elmsail/gateway/requests/ItemRun.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/ItemRun.java
@@ -135,27 +135,27 @@
 
   private void broken() {
     attempt.cancel();
-    end(RunOutcome.BROKEN);
+    end(RunOutcome.OUTCOME_UNKNOWN);
   }
 
   @Override
   public void onComplete() {
     if (isEventStream) {
-      end(events.hasPartialEvent() ? RunOutcome.BROKEN : RunOutcome.WHOLE);
+      end(events.hasPartialEvent() ? RunOutcome.OUTCOME_UNKNOWN : RunOutcome.COMPLETED);
     } else if (outcome == AttemptOutcome.NOT_RUN) {
       end(RunOutcome.NOT_RUN);
     } else if (outcome == AttemptOutcome.RESPONDED && status == 500) {
       end(RunOutcome.FAILED);
     } else if (outcome == AttemptOutcome.RESPONDED && status == 422) {
-      end(RunOutcome.NEVER);
+      end(RunOutcome.REJECTED);
     } else {
-      end(RunOutcome.BROKEN);
+      end(RunOutcome.OUTCOME_UNKNOWN);
     }
   }
 
   @Override
   public void onFailure(boolean sent) {
-    end(sent ? RunOutcome.BROKEN : RunOutcome.NOT_RUN);
+    end(sent ? RunOutcome.OUTCOME_UNKNOWN : RunOutcome.NOT_RUN);
   }
 
   private void end(RunOutcome result) {
--- a/gateway/src/test/java/elmsail/gateway/BatchItemExecutionTest.java
+++ b/gateway/src/test/java/elmsail/gateway/BatchItemExecutionTest.java
@@ -88,7 +88,7 @@
     assertThat(next(), is("0:a\nb"));
     server.write(GatewayTestHarness.chunk("ta: c\n\n")).write("0\r\n\r\n");
     assertThat(next(), is("1:c"));
-    assertThat(next(), is(RunOutcome.WHOLE.name()));
+    assertThat(next(), is(RunOutcome.COMPLETED.name()));
   }
 
   @Test
@@ -101,7 +101,7 @@
         .write(GatewayTestHarness.chunk(GatewayTestHarness.event(4)))
         .write("0\r\n\r\n");
     assertThat(next(), is("4:e4"));
-    assertThat(next(), is(RunOutcome.WHOLE.name()));
+    assertThat(next(), is(RunOutcome.COMPLETED.name()));
   }
 
   @Test
@@ -112,18 +112,18 @@
     server
         .write(GatewayTestHarness.streamHead("e5", "p"))
         .write(GatewayTestHarness.chunk(GatewayTestHarness.event(5)));
-    assertThat(next(), is(RunOutcome.BROKEN.name()));
+    assertThat(next(), is(RunOutcome.OUTCOME_UNKNOWN.name()));
     assertThat(server.isClosedByPeer(), is(true));
   }
 
   private static Stream<Arguments> outcomesByStatus() {
     return Stream.of(
         arguments(500, RunOutcome.FAILED),
-        arguments(422, RunOutcome.NEVER),
+        arguments(422, RunOutcome.REJECTED),
         arguments(421, RunOutcome.NOT_RUN),
-        arguments(504, RunOutcome.BROKEN),
-        arguments(503, RunOutcome.BROKEN),
-        arguments(404, RunOutcome.BROKEN));
+        arguments(504, RunOutcome.OUTCOME_UNKNOWN),
+        arguments(503, RunOutcome.OUTCOME_UNKNOWN),
+        arguments(404, RunOutcome.OUTCOME_UNKNOWN));
   }
 
   @ParameterizedTest
@@ -155,7 +155,7 @@
         .write(GatewayTestHarness.chunk(GatewayTestHarness.event(0)));
     assertThat(next(), is("0:e0"));
     server.close();
-    assertThat(next(), is(RunOutcome.BROKEN.name()));
+    assertThat(next(), is(RunOutcome.OUTCOME_UNKNOWN.name()));
   }
 
   @Test
@@ -166,7 +166,7 @@
     server.write(
         GatewayTestHarness.response(
             200, "e5", GatewayTestHarness.event(0), "Content-Type: text/event-stream"));
-    assertThat(next(), is(RunOutcome.BROKEN.name()));
+    assertThat(next(), is(RunOutcome.OUTCOME_UNKNOWN.name()));
   }
 
   @Test
@@ -248,7 +248,7 @@
         .write(GatewayTestHarness.chunk(GatewayTestHarness.event(0)));
     assertThat(next(), is("0:e0"));
     advanceInSteps(4_000);
-    assertThat(next(), is(RunOutcome.BROKEN.name()));
+    assertThat(next(), is(RunOutcome.OUTCOME_UNKNOWN.name()));
     assertThat(server.isClosedByPeer(), is(true));
   }
 
@@ -260,7 +260,7 @@
     server.readMessage();
     harness.setServers(List.of());
     advanceInSteps(4_000);
-    assertThat(next(), is(RunOutcome.BROKEN.name()));
+    assertThat(next(), is(RunOutcome.OUTCOME_UNKNOWN.name()));
     assertThat(server.isClosedByPeer(), is(true));
   }
 
@@ -289,7 +289,7 @@
         .write(GatewayTestHarness.chunk(GatewayTestHarness.event(0)))
         .write("0\r\n\r\n");
     assertThat(next(), is("0:e0"));
-    assertThat(next(), is(RunOutcome.WHOLE.name()));
+    assertThat(next(), is(RunOutcome.COMPLETED.name()));
   }
 
   /** UNASKED: what the envelope says of the prompt reaches the server byte for byte. */
