--- a/batch/src/main/java/elmsail/batch/api/SubmitHandler.java
+++ b/batch/src/main/java/elmsail/batch/api/SubmitHandler.java
@@ -133,8 +133,7 @@
     bodyBlob.bytes = JobBodyCodec.encode(items);
     bodyBlob.name = JobBodyCodec.blobName(bodyBlob.bytes);
     proposedRecord =
-        new JobRecord(
-            1,
+        JobRecord.accepted(
             new JobDescription(
                 route.name(),
                 route.host(),
@@ -143,11 +142,7 @@
                 route.itemTtlMs(),
                 bodyBlob.name,
                 recordItems),
-            List.of(),
-            false,
-            context.localAddress(),
-            1,
-            0);
+            context.localAddress());
   }
 
   int bodyBytes() {
--- a/batch/src/main/java/elmsail/batch/messages/AbandonedJob.java
+++ b/batch/src/main/java/elmsail/batch/messages/AbandonedJob.java
@@ -4,9 +4,10 @@
 import java.util.List;
 
 /**
- * An open job of which a store has had no heartbeat.
+ * An open job whose runner has sent a store no heartbeat for some time.
  *
- * @param sinceHeartbeatMs for how long, and since this store's start at most
+ * @param term of the runner that the store knows
+ * @param sinceHeartbeatMs time since the last heartbeat, or since the store's start
  */
 public record AbandonedJob(String jobId, long term, long sinceHeartbeatMs) {
 
@@ -19,7 +20,12 @@
     return writer.toByteArray();
   }
 
-  /** Fails with GARBLED where the bytes are not those of {@link #encode}. */
+  /**
+   * The jobs of these bytes.
+   *
+   * @throws elmsail.runtime.ElmsailException with {@code MALFORMED} if {@link #encode} did not
+   *     write them
+   */
   public static List<AbandonedJob> decode(byte[] bytes) {
     ByteReader reader = new ByteReader(bytes);
     int count = reader.readCount();
--- a/batch/src/main/java/elmsail/batch/messages/ByteWriter.java
+++ b/batch/src/main/java/elmsail/batch/messages/ByteWriter.java
@@ -4,36 +4,38 @@
 import java.util.Arrays;
 
 /**
- * Writes numbers (seven bits a byte, the lowest first), texts and bytes, each with its length
- * before it.
+ * Writes numbers as varints (LEB128: seven bits a byte, the lowest first), and strings and byte
+ * arrays with their length in bytes before them. {@link ByteReader} reads them. Not thread-safe.
  */
 public final class ByteWriter {
+  private static final int MAX_VARINT_BYTES = 10;
+
   private byte[] buffer = new byte[256];
   private int size;
 
-  /** A number that is not negative is short; others take ten bytes. */
+  /** Writes a number in one to ten bytes; a negative one takes ten. */
   public ByteWriter writeVarint(long value) {
-    ensureCapacity(10);
-    long left = value;
-    while ((left & ~0x7FL) != 0) {
-      buffer[size++] = (byte) (left & 0x7F | 0x80);
-      left >>>= 7;
+    ensureCapacity(MAX_VARINT_BYTES);
+    long remaining = value;
+    while ((remaining & ~0x7FL) != 0) {
+      buffer[size++] = (byte) (remaining & 0x7F | 0x80);
+      remaining >>>= 7;
     }
-    buffer[size++] = (byte) left;
+    buffer[size++] = (byte) remaining;
     return this;
   }
 
-  /** A number: 1 for true, 0 for false. */
+  /** Writes the number 1 for true, 0 for false. */
   public ByteWriter writeBoolean(boolean value) {
     return writeVarint(value ? 1 : 0);
   }
 
-  /** The length in bytes and the text in UTF-8. */
+  /** Writes the length in bytes and the string in UTF-8. */
   public ByteWriter writeString(String value) {
     return writeBytes(value.getBytes(StandardCharsets.UTF_8));
   }
 
-  /** The length and the bytes. */
+  /** Writes the length and the bytes. */
   public ByteWriter writeBytes(byte[] value) {
     writeVarint(value.length);
     ensureCapacity(value.length);
@@ -42,14 +44,14 @@
     return this;
   }
 
-  /** All that was written so far, in an array of its own. */
+  /** All that was written so far; a copy. */
   public byte[] toByteArray() {
     return Arrays.copyOf(buffer, size);
   }
 
-  private void ensureCapacity(int more) {
-    if (size + more > buffer.length) {
-      buffer = Arrays.copyOf(buffer, Math.max(buffer.length * 2, size + more));
+  private void ensureCapacity(int additional) {
+    if (size + additional > buffer.length) {
+      buffer = Arrays.copyOf(buffer, Math.max(buffer.length * 2, size + additional));
     }
   }
 }
--- a/batch/src/main/java/elmsail/batch/messages/ContentDigest.java
+++ b/batch/src/main/java/elmsail/batch/messages/ContentDigest.java
@@ -3,8 +3,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A 64-bit hash (FNV-1a, mixed at the end), alike in all processes: for names and ranks, not for
- * secrecy.
+ * A 64-bit hash that is the same in all processes: FNV-1a, followed by the finalizer of
+ * MurmurHash3. For names and for ordering; it is not cryptographic.
  */
 public final class ContentDigest {
   private ContentDigest() {}
@@ -12,15 +12,15 @@
   /** The digest of these bytes. */
   public static long of(byte[] bytes) {
     long hash = 0xcbf29ce484222325L;
-    for (byte one : bytes) {
-      hash = (hash ^ (one & 0xff)) * 0x100000001b3L;
+    for (byte next : bytes) {
+      hash = (hash ^ (next & 0xff)) * 0x100000001b3L;
     }
     hash = (hash ^ hash >>> 33) * 0xff51afd7ed558ccdL;
     hash = (hash ^ hash >>> 33) * 0xc4ceb9fe1a85ec53L;
     return hash ^ hash >>> 33;
   }
 
-  /** The digest of the text in UTF-8. */
+  /** The digest of the string in UTF-8. */
   public static long of(String text) {
     return of(text.getBytes(StandardCharsets.UTF_8));
   }
--- a/batch/src/main/java/elmsail/batch/messages/HeartbeatMessage.java
+++ b/batch/src/main/java/elmsail/batch/messages/HeartbeatMessage.java
@@ -4,20 +4,24 @@
 import java.util.List;
 
 /**
- * What a gateway says to a store of the jobs it runs, twice a second, and what is answered for
- * each.
+ * The heartbeat that a gateway sends to each store for the jobs that it runs. A store responds with
+ * one of the constants below for each job, in the order of the message.
+ *
+ * @param gateway the RPC address of the sender
  */
 public record HeartbeatMessage(String gateway, List<JobLease> leases) {
-  /** The store holds the job as open and run by this gateway in this term. */
+  /**
+   * This store does not know the job, or only earlier terms of it; it says nothing of the lease.
+   */
+  public static final int UNKNOWN = 0;
+
+  /** The job is open and is run by this gateway in this term. */
   public static final int LEASE_HELD = 1;
 
-  /** The job is ended, or another gateway runs it. */
+  /** The job is complete or cancelled, or another gateway runs it. */
   public static final int LEASE_LOST = 2;
 
-  /** This store does not know it, or only older terms: it decides nothing. */
-  public static final int UNKNOWN = 0;
-
-  /** One job that the gateway runs. */
+  /** A job that the gateway runs, and the term in which it does. */
   public record JobLease(String jobId, long term) {}
 
   /** The bytes that {@link #decode} reads. */
@@ -29,7 +33,12 @@
     return writer.toByteArray();
   }
 
-  /** Fails with GARBLED where the bytes are not those of {@link #encode}. */
+  /**
+   * The heartbeat of these bytes.
+   *
+   * @throws elmsail.runtime.ElmsailException with {@code MALFORMED} if {@link #encode} did not
+   *     write them
+   */
   public static HeartbeatMessage decode(byte[] bytes) {
     ByteReader reader = new ByteReader(bytes);
     String gateway = reader.readString();
--- a/batch/src/main/java/elmsail/batch/messages/JobBodyCodec.java
+++ b/batch/src/main/java/elmsail/batch/messages/JobBodyCodec.java
@@ -6,7 +6,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** The batchItems of a job as one blob, written when it is accepted and never changed. */
+/**
+ * The binary form of the items of a job. They are kept as one blob, which is written when the job
+ * is accepted and never changed; stores keep blobs that earlier versions wrote, so the layout is
+ * fixed.
+ */
 public final class JobBodyCodec {
   private JobBodyCodec() {}
 
@@ -27,12 +31,17 @@
     return writer.toByteArray();
   }
 
-  /** Named by what it holds, so that no two bodies share a name. */
+  /** The name of the blob with these bytes: it holds their digest, so different bodies differ. */
   public static String blobName(byte[] encoded) {
     return "body-" + Long.toHexString(ContentDigest.of(encoded));
   }
 
-  /** Fails with GARBLED. */
+  /**
+   * The items of these bytes.
+   *
+   * @throws elmsail.runtime.ElmsailException with {@code MALFORMED} if {@link #encode} did not
+   *     write them
+   */
   public static List<BatchItem> decode(byte[] bytes) {
     ByteReader reader = new ByteReader(bytes);
     int count = reader.readCount();
@@ -42,12 +51,16 @@
       String path = reader.readString();
       long tokens = reader.readVarint();
       byte[] body = reader.readBytes();
-      Map<String, String> headers = new LinkedHashMap<>();
-      for (int left = reader.readCount(); left > 0; left--) {
-        headers.put(reader.readString(), reader.readString());
-      }
-      items.add(new BatchItem(id, path, headers, body, tokens));
+      items.add(new BatchItem(id, path, readHeaders(reader), body, tokens));
     }
     return items;
   }
+
+  private static Map<String, String> readHeaders(ByteReader reader) {
+    Map<String, String> headers = new LinkedHashMap<>();
+    for (int remaining = reader.readCount(); remaining > 0; remaining--) {
+      headers.put(reader.readString(), reader.readString());
+    }
+    return headers;
+  }
 }
--- a/batch/src/main/java/elmsail/batch/messages/JobDescription.java
+++ b/batch/src/main/java/elmsail/batch/messages/JobDescription.java
@@ -3,14 +3,17 @@
 import java.util.List;
 
 /**
- * What is fixed of a job from its acceptance on.
+ * What is fixed of a job when it is accepted.
  *
- * @param routeName the name of the route that it was handed in on, on which its tokens are counted
- * @param configVersion the configuration's, at the acceptance: an older one says nothing of its
- *     routes
- * @param completionTargetMs ms after the acceptance; results are due
- * @param itemTtlMs ms after the acceptance; then items may be given up
- * @param bodyBlobName the name of the blob that holds its batchItems
+ * @param routeName the route that the job was submitted on; its tokens count against that route
+ * @param host the host of that route; the routes of the items are looked up under it
+ * @param configVersion of the configuration at the acceptance; an earlier configuration says
+ *     nothing of the routes of this job
+ * @param completionTargetMs when the results are due, in ms after the acceptance
+ * @param itemTtlMs when items without a result may be given up, in ms after the acceptance; 0 is
+ *     never
+ * @param bodyBlobName the blob that holds the requests of the items, see {@link JobBodyCodec}
+ * @param items in the order in which the client submitted them
  */
 public record JobDescription(
     String routeName,
--- a/batch/src/main/java/elmsail/batch/messages/JobRecord.java
+++ b/batch/src/main/java/elmsail/batch/messages/JobRecord.java
@@ -1,25 +1,25 @@
 package elmsail.batch.messages;
 
-import elmsail.runtime.ElmsailException;
-import elmsail.runtime.ErrorCode;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.List;
 import java.util.TreeMap;
 
 /**
- * What is decided of one job: its items, which of them are listed in which order, who runs it. A
- * value: each change gives a new one with the next version.
+ * The replicated state of one batch job: its items, the results recorded so far and the gateway
+ * that runs it. Immutable: each change gives a new record with the next version, which is proposed
+ * through the register.
  *
- * @param version 1 at the acceptance, up by one with each change
- * @param description what stays as it was accepted
- * @param results in the order of their positions, for ever
- * @param cancelled whether its client has ended it
- * @param runner the inner address of the gateway that runs it
- * @param term up by one with each runner
- * @param ageMs how old the job was, at the least, at this change
- * @param failedAttempts of items that are not listed yet, one entry an item: each runner counts on
- *     from these
+ * @param version 1 when the job is accepted, one higher with each change
+ * @param description what was fixed when the job was accepted
+ * @param results in the order of their positions, which clients read by; only appended to
+ * @param cancelled whether the client has cancelled the job
+ * @param runner the RPC address of the gateway that runs the job
+ * @param term the fencing token of the runner, one higher with each takeover: a former runner
+ *     cannot change the record any more
+ * @param ageMs the least age of the job at this change, in ms since its acceptance
+ * @param failedAttempts of items without a result, at most one entry an item: each runner continues
+ *     these counts
  */
 public record JobRecord(
     long version,
@@ -31,33 +31,33 @@
     long ageMs,
     List<FailedAttempts> failedAttempts) {
 
-  /** The layout of a packed record. */
-  private static final int FORMAT = 2;
+  private static final long FIRST_VERSION = 1;
+  private static final long FIRST_TERM = 1;
 
-  /** A record of a job of which no item has failed. */
-  public JobRecord(
-      long version,
-      JobDescription description,
-      List<Result> results,
-      boolean cancelled,
-      String runner,
-      long term,
-      long ageMs) {
-    this(version, description, results, cancelled, runner, term, ageMs, List.of());
+  /** The first record of a job: accepted by this gateway, which runs it in term 1. */
+  public static JobRecord accepted(JobDescription description, String runner) {
+    return new JobRecord(
+        FIRST_VERSION, description, List.of(), false, runner, FIRST_TERM, 0, List.of());
   }
 
-  /** An item's id and the tokens it waits with. */
+  /**
+   * An item as far as the record needs it.
+   *
+   * @param id unique in the job
+   * @param tokens counted against the route's limit while the item has no result
+   */
   public record Item(String id, long tokens) {}
 
   /**
-   * A listed result.
+   * A recorded result; its position in {@link JobRecord#results} never changes.
    *
-   * @param itemIndex the item's place in the job
-   * @param term of the runner that listed it; its text is the blob {@code textName}
-   * @param textBytes length of the text, 0 where undeliverable
+   * @param itemIndex index of the item in the job
+   * @param succeeded false where the item was given up; then it has no text
+   * @param term of the runner that recorded it
+   * @param textBytes length of the text in bytes, 0 without one
    */
   public record Result(int itemIndex, boolean succeeded, long term, int textBytes) {
-    /** The name under which the stores keep the text of this result. */
+    /** The name of the blob that holds the text of this result. */
     public String textBlobName() {
       return textBlobNameOf(itemIndex, term);
     }
@@ -66,21 +66,22 @@
   /**
    * How often servers have answered 500 for an item.
    *
-   * @param itemIndex the item's place in the job
+   * @param itemIndex index of the item in the job
+   * @param count over all runners of the job
    */
   public record FailedAttempts(int itemIndex, int count) {}
 
-  /** The name of an item's text, as the runner of that term had it. */
+  /** The name of the blob with an item's text, as the runner of that term received it. */
   public static String textBlobNameOf(int itemIndex, long term) {
     return "r-" + itemIndex + "-" + term;
   }
 
-  /** The key of the record of that job in the register. */
+  /** The key of a job's record in the register. */
   public static String registerKey(String jobId) {
     return "lot/" + jobId;
   }
 
-  /** The name of the route that it was handed in on. */
+  /** The name of the route that the job was submitted on. */
   public String routeName() {
     return description.routeName();
   }
@@ -90,27 +91,27 @@
     return description.host();
   }
 
-  /** The configuration's version at the acceptance. */
+  /** The version of the configuration when the job was accepted. */
   public long configVersion() {
     return description.configVersion();
   }
 
-  /** In so many ms after the acceptance results are due. */
+  /** When the results are due, in ms after the acceptance. */
   public long completionTargetMs() {
     return description.completionTargetMs();
   }
 
-  /** So many ms after the acceptance items may be given up. */
+  /** When items without a result may be given up, in ms after the acceptance; 0 is never. */
   public long itemTtlMs() {
     return description.itemTtlMs();
   }
 
-  /** The name of the blob that holds its items' requests. */
+  /** The name of the blob that holds the requests of the items. */
   public String bodyBlobName() {
     return description.bodyBlobName();
   }
 
-  /** Its items, in the order of the client's. */
+  /** The items, in the order in which the client submitted them. */
   public List<Item> items() {
     return description.items();
   }
@@ -120,7 +121,7 @@
     return results.size() >= items().size();
   }
 
-  /** How many items were given up. */
+  /** The number of items that were given up. */
   public int failedItemCount() {
     int sum = 0;
     for (Result result : results) {
@@ -129,7 +130,7 @@
     return sum;
   }
 
-  /** Whether items of it are to be run. */
+  /** Whether items remain to be run. */
   public boolean isOpen() {
     return !cancelled && !isComplete();
   }
@@ -143,7 +144,7 @@
     return recorded;
   }
 
-  /** The tokens of items that wait. */
+  /** The tokens of the items without a result; 0 once the job is cancelled. */
   public long waitingTokens() {
     if (cancelled) {
       return 0;
@@ -157,9 +158,11 @@
   }
 
   /**
-   * Lists those of the results whose items are not listed yet: the first listed stays.
+   * The next version, with results of further items. The first result of an item stays: later ones
+   * of the same item are ignored.
    *
-   * @param newFailedAttempts counts of items that are not listed, which replace lower ones
+   * @param newFailedAttempts counts of items without a result, which replace lower ones
+   * @param newAgeMs the least age of the job now, in ms
    */
   public JobRecord withResults(
       List<Result> newResults, List<FailedAttempts> newFailedAttempts, long newAgeMs) {
@@ -188,12 +191,12 @@
     return nextVersion(allResults, cancelled, runner, term, Math.max(ageMs, newAgeMs), remaining);
   }
 
-  /** Likewise where no item has failed. */
+  /** As {@link #withResults(List, List, long)}, without new failed attempts. */
   public JobRecord withResults(List<Result> newResults, long newAgeMs) {
     return withResults(newResults, List.of(), newAgeMs);
   }
 
-  /** How often servers have answered 500 for the item, by all its runners' counts. */
+  /** How often servers have answered 500 for the item, over all runners of the job. */
   public int failedAttemptsOf(int itemIndex) {
     for (FailedAttempts attempts : failedAttempts) {
       if (attempts.itemIndex() == itemIndex) {
@@ -203,18 +206,22 @@
     return 0;
   }
 
-  /** The next version, in which the job was ended by its client. */
+  /** The next version, in which the client has cancelled the job. */
   public JobRecord withCancellation() {
     return nextVersion(results, true, runner, term, ageMs, failedAttempts);
   }
 
-  /** The next version, run by that gateway under the next term. */
+  /**
+   * The next version, run by another gateway in the next term.
+   *
+   * @param newAgeMs the least age of the job now, in ms
+   */
   public JobRecord withRunner(String newRunner, long newAgeMs) {
     return nextVersion(
         results, cancelled, newRunner, term + 1, Math.max(ageMs, newAgeMs), failedAttempts);
   }
 
-  /** The same, written once more so that stores that missed a change get it. */
+  /** The next version with the same contents, for stores that missed the last change. */
   public JobRecord rewritten() {
     return nextVersion(results, cancelled, runner, term, ageMs, failedAttempts);
   }
@@ -231,8 +238,9 @@
   }
 
   /**
-   * Whether this may be a later record of the same job, by the invariant
-   * DECIDED_JOB_KEEPS_ITS_RESULTS; or is one of another job, of a client that uses an id again.
+   * Whether this may follow the older record: results are only appended, a cancellation stays,
+   * terms do not fall (the invariant {@code DECIDED_JOB_KEEPS_ITS_RESULTS}). A record with another
+   * description is of another job with the same id and may follow any.
    */
   public boolean isSuccessorOf(JobRecord older) {
     boolean otherJob = !description.equals(older.description);
@@ -244,104 +252,22 @@
     return otherJob || consistent;
   }
 
-  /** The bytes that {@link #decode} reads; the first number is the version of this format. */
+  /** This record in its binary form, which {@link #decode} reads. */
   public byte[] encode() {
-    ByteWriter writer =
-        new ByteWriter()
-            .writeVarint(FORMAT)
-            .writeVarint(version)
-            .writeString(routeName())
-            .writeString(host())
-            .writeVarint(configVersion())
-            .writeVarint(completionTargetMs())
-            .writeVarint(itemTtlMs())
-            .writeString(bodyBlobName())
-            .writeBoolean(cancelled)
-            .writeString(runner)
-            .writeVarint(term)
-            .writeVarint(ageMs);
-    writer.writeVarint(items().size());
-    for (Item item : items()) {
-      writer.writeString(item.id()).writeVarint(item.tokens());
-    }
-    writer.writeVarint(results.size());
-    for (Result result : results) {
-      writer
-          .writeVarint(result.itemIndex())
-          .writeBoolean(result.succeeded())
-          .writeVarint(result.term())
-          .writeVarint(result.textBytes());
-    }
-    writer.writeVarint(failedAttempts.size());
-    for (FailedAttempts attempts : failedAttempts) {
-      writer.writeVarint(attempts.itemIndex()).writeVarint(attempts.count());
-    }
-    return writer.toByteArray();
+    return JobRecordCodec.encode(this);
   }
 
-  /** The record of a key's value; null where the key has none. */
+  /** The record of a register value, or null if the value is null: there is no such job. */
   public static JobRecord decodeNullable(byte[] value) {
     return value == null ? null : decode(value);
   }
 
-  /** Fails with GARBLED. */
+  /**
+   * The record of these bytes.
+   *
+   * @throws elmsail.runtime.ElmsailException with {@code MALFORMED} if they are not a job record
+   */
   public static JobRecord decode(byte[] bytes) {
-    ByteReader reader = new ByteReader(bytes);
-    long format = reader.readVarint();
-    if (format < 1 || format > FORMAT) {
-      throw new ElmsailException(ErrorCode.MALFORMED, "a record of format " + format);
-    }
-    long version = reader.readVarint();
-    String routeName = reader.readString();
-    String host = reader.readString();
-    long configVersion = reader.readVarint();
-    long completionTargetMs = reader.readVarint();
-    long itemTtlMs = reader.readVarint();
-    String bodyBlobName = reader.readString();
-    boolean cancelled = reader.readBoolean();
-    String runner = reader.readString();
-    long term = reader.readVarint();
-    long ageMs = reader.readVarint();
-    int count = reader.readCount();
-    List<Item> items = new ArrayList<>(count);
-    for (int i = 0; i < count; i++) {
-      items.add(new Item(reader.readString(), reader.readVarint()));
-    }
-    count = reader.readCount();
-    List<Result> results = new ArrayList<>(count);
-    for (int i = 0; i < count; i++) {
-      results.add(
-          new Result(
-              (int) reader.readVarint(),
-              reader.readBoolean(),
-              reader.readVarint(),
-              (int) reader.readVarint()));
-    }
-    return new JobRecord(
-        version,
-        new JobDescription(
-            routeName,
-            host,
-            configVersion,
-            completionTargetMs,
-            itemTtlMs,
-            bodyBlobName,
-            List.copyOf(items)),
-        List.copyOf(results),
-        cancelled,
-        runner,
-        term,
-        ageMs,
-        format == 1 ? List.of() : failedAttempts(reader));
-  }
-
-  /** The first format had none. */
-  private static List<FailedAttempts> failedAttempts(ByteReader reader) {
-    int count = reader.readCount();
-    List<FailedAttempts> failedAttempts = new ArrayList<>(count);
-    for (int i = 0; i < count; i++) {
-      failedAttempts.add(new FailedAttempts((int) reader.readVarint(), (int) reader.readVarint()));
-    }
-    return List.copyOf(failedAttempts);
+    return JobRecordCodec.decode(bytes);
   }
 }
--- /dev/null
+++ b/batch/src/main/java/elmsail/batch/messages/JobRecordCodec.java
@@ -0,0 +1,156 @@
+package elmsail.batch.messages;
+
+import elmsail.runtime.ElmsailException;
+import elmsail.runtime.ErrorCode;
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * The binary form of a {@link JobRecord}, as it is kept by the job stores and sent between
+ * processes. The layout is fixed: stores read records that earlier versions wrote. A new layout
+ * takes the next format number, and {@link #decode} goes on reading the earlier ones.
+ *
+ * <p>Format 2: format number, version, route name, host, configuration version, completion target,
+ * item time to live, name of the body blob, cancelled, runner, term, age; then the items, results
+ * and failed attempts, each as a count followed by its entries. Format 1 ends after the results.
+ */
+final class JobRecordCodec {
+  private static final int FORMAT_WITHOUT_FAILED_ATTEMPTS = 1;
+  private static final int FORMAT = 2;
+
+  private JobRecordCodec() {}
+
+  static byte[] encode(JobRecord record) {
+    ByteWriter writer = new ByteWriter().writeVarint(FORMAT).writeVarint(record.version());
+    writeDescription(writer, record.description());
+    writer
+        .writeBoolean(record.cancelled())
+        .writeString(record.runner())
+        .writeVarint(record.term())
+        .writeVarint(record.ageMs());
+    writeItems(writer, record.items());
+    writeResults(writer, record.results());
+    writeFailedAttempts(writer, record.failedAttempts());
+    return writer.toByteArray();
+  }
+
+  /**
+   * Reads a record of any known format.
+   *
+   * @throws ElmsailException with {@link ErrorCode#MALFORMED} if the bytes are cut off or of an
+   *     unknown format
+   */
+  static JobRecord decode(byte[] bytes) {
+    ByteReader reader = new ByteReader(bytes);
+    long format = reader.readVarint();
+    if (format < FORMAT_WITHOUT_FAILED_ATTEMPTS || format > FORMAT) {
+      throw new ElmsailException(
+          ErrorCode.MALFORMED, "job record: expected format 1 to " + FORMAT + ", found " + format);
+    }
+    long version = reader.readVarint();
+    DescriptionFields fields = readDescription(reader);
+    boolean cancelled = reader.readBoolean();
+    String runner = reader.readString();
+    long term = reader.readVarint();
+    long ageMs = reader.readVarint();
+    JobDescription description = fields.withItems(readItems(reader));
+    List<JobRecord.Result> results = readResults(reader);
+    List<JobRecord.FailedAttempts> failedAttempts =
+        format == FORMAT_WITHOUT_FAILED_ATTEMPTS ? List.of() : readFailedAttempts(reader);
+    return new JobRecord(
+        version, description, results, cancelled, runner, term, ageMs, failedAttempts);
+  }
+
+  /** The fields of a description that precede its items; other fields stand in between. */
+  private record DescriptionFields(
+      String routeName,
+      String host,
+      long configVersion,
+      long completionTargetMs,
+      long itemTtlMs,
+      String bodyBlobName) {
+    JobDescription withItems(List<JobRecord.Item> items) {
+      return new JobDescription(
+          routeName, host, configVersion, completionTargetMs, itemTtlMs, bodyBlobName, items);
+    }
+  }
+
+  private static void writeDescription(ByteWriter writer, JobDescription description) {
+    writer
+        .writeString(description.routeName())
+        .writeString(description.host())
+        .writeVarint(description.configVersion())
+        .writeVarint(description.completionTargetMs())
+        .writeVarint(description.itemTtlMs())
+        .writeString(description.bodyBlobName());
+  }
+
+  private static DescriptionFields readDescription(ByteReader reader) {
+    return new DescriptionFields(
+        reader.readString(),
+        reader.readString(),
+        reader.readVarint(),
+        reader.readVarint(),
+        reader.readVarint(),
+        reader.readString());
+  }
+
+  private static void writeItems(ByteWriter writer, List<JobRecord.Item> items) {
+    writer.writeVarint(items.size());
+    for (JobRecord.Item item : items) {
+      writer.writeString(item.id()).writeVarint(item.tokens());
+    }
+  }
+
+  private static List<JobRecord.Item> readItems(ByteReader reader) {
+    int count = reader.readCount();
+    List<JobRecord.Item> items = new ArrayList<>(count);
+    for (int i = 0; i < count; i++) {
+      items.add(new JobRecord.Item(reader.readString(), reader.readVarint()));
+    }
+    return List.copyOf(items);
+  }
+
+  private static void writeResults(ByteWriter writer, List<JobRecord.Result> results) {
+    writer.writeVarint(results.size());
+    for (JobRecord.Result result : results) {
+      writer
+          .writeVarint(result.itemIndex())
+          .writeBoolean(result.succeeded())
+          .writeVarint(result.term())
+          .writeVarint(result.textBytes());
+    }
+  }
+
+  private static List<JobRecord.Result> readResults(ByteReader reader) {
+    int count = reader.readCount();
+    List<JobRecord.Result> results = new ArrayList<>(count);
+    for (int i = 0; i < count; i++) {
+      results.add(
+          new JobRecord.Result(
+              (int) reader.readVarint(),
+              reader.readBoolean(),
+              reader.readVarint(),
+              (int) reader.readVarint()));
+    }
+    return List.copyOf(results);
+  }
+
+  private static void writeFailedAttempts(
+      ByteWriter writer, List<JobRecord.FailedAttempts> failedAttempts) {
+    writer.writeVarint(failedAttempts.size());
+    for (JobRecord.FailedAttempts attempts : failedAttempts) {
+      writer.writeVarint(attempts.itemIndex()).writeVarint(attempts.count());
+    }
+  }
+
+  private static List<JobRecord.FailedAttempts> readFailedAttempts(ByteReader reader) {
+    int count = reader.readCount();
+    List<JobRecord.FailedAttempts> failedAttempts = new ArrayList<>(count);
+    for (int i = 0; i < count; i++) {
+      failedAttempts.add(
+          new JobRecord.FailedAttempts((int) reader.readVarint(), (int) reader.readVarint()));
+    }
+    return List.copyOf(failedAttempts);
+  }
+}
--- a/batch/src/main/java/elmsail/batch/messages/JobRequestParser.java
+++ b/batch/src/main/java/elmsail/batch/messages/JobRequestParser.java
@@ -3,6 +3,7 @@
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
+import com.fasterxml.jackson.core.StreamReadFeature;
 import elmsail.batch.BatchItem;
 import elmsail.runtime.ElmsailException;
 import elmsail.runtime.ErrorCode;
@@ -15,22 +16,24 @@
 import java.util.Map;
 import java.util.Set;
 
-/**
- * Reads the JSON of a job that a client hands in; whatever is not as the protocol says fails with
- * BAD_CALL.
- */
+/** Parses and validates the JSON of a job that a client submits. */
 public final class JobRequestParser {
+  /** The most items of one job. */
   public static final int MAX_ITEMS = 200;
+
+  private static final int MAX_ITEM_ID_LENGTH = 256;
+  private static final long MAX_ITEM_TOKENS = 1L << 40;
+
   private static final JsonFactory JSON =
-      JsonFactory.builder()
-          .enable(com.fasterxml.jackson.core.StreamReadFeature.STRICT_DUPLICATE_DETECTION)
-          .build();
+      JsonFactory.builder().enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION).build();
 
   private JobRequestParser() {}
 
   /**
-   * The items of a submitted body. Fails with BAD_CALL, and the reason, where it is not as the
-   * protocol says.
+   * The items of a submitted job, in its order.
+   *
+   * @throws ElmsailException with {@link ErrorCode#INVALID_ARGUMENT} and the reason if the JSON is
+   *     not a valid job
    */
   public static List<BatchItem> parse(byte[] body) {
     try (JsonParser parser = JSON.createParser(body)) {
@@ -50,7 +53,7 @@
       return items;
     } catch (IOException | IllegalArgumentException malformed) {
       throw new ElmsailException(
-          ErrorCode.INVALID_ARGUMENT, "a job that cannot be read", malformed);
+          ErrorCode.INVALID_ARGUMENT, "the submitted job is not valid JSON", malformed);
     }
   }
 
@@ -85,17 +88,24 @@
         case "tokens" -> {
           require(value == JsonToken.VALUE_NUMBER_INT, "a whole number of tokens");
           tokens = parser.getLongValue();
-          require(tokens >= 0 && tokens <= 1L << 40, "tokens of at least 0");
+          require(tokens >= 0 && tokens <= MAX_ITEM_TOKENS, "tokens of at least 0");
         }
         default -> parser.skipChildren();
       }
     }
-    require(id != null && !id.isEmpty() && id.length() <= 256 && isPrintable(id, false), "an id");
+    require(isValidId(id), "an id");
     require(path != null && path.startsWith("/") && isPrintable(path, false), "a lane");
     require(headers != null && itemBody != null && tokens >= 0, "all fields of a piece");
     return new BatchItem(id, path, headers, itemBody, tokens);
   }
 
+  private static boolean isValidId(String id) {
+    return id != null
+        && !id.isEmpty()
+        && id.length() <= MAX_ITEM_ID_LENGTH
+        && isPrintable(id, false);
+  }
+
   private static Map<String, String> parseHeaders(JsonParser parser) throws IOException {
     require(parser.currentToken() == JsonToken.START_OBJECT, "an envelope");
     Map<String, String> headers = new LinkedHashMap<>();
@@ -115,8 +125,8 @@
   }
 
   /**
-   * No control characters, so nothing can end a line of a request; spaces only where they may
-   * stand.
+   * Whether the string has no control characters, so that it cannot end a header line of the
+   * request that is sent to a server (request smuggling). Spaces and tabs only where allowed.
    */
   private static boolean isPrintable(String text, boolean spacesAllowed) {
     for (int i = 0; i < text.length(); i++) {
@@ -143,7 +153,7 @@
 
   private static void require(boolean condition, String expected) {
     if (!condition) {
-      throw new ElmsailException(ErrorCode.INVALID_ARGUMENT, "a job needs " + expected);
+      throw new ElmsailException(ErrorCode.INVALID_ARGUMENT, "invalid job: expected " + expected);
     }
   }
 }
--- a/batch/src/main/java/elmsail/batch/messages/WaitingTokens.java
+++ b/batch/src/main/java/elmsail/batch/messages/WaitingTokens.java
@@ -5,20 +5,41 @@
 import java.util.Map;
 
 /**
- * Waiting tokens of a route's jobs, as one store has them or as the union of several: per job the
- * entry of the highest version. A job about to be accepted stands in it with version 0.
+ * The waiting tokens of the jobs of one route, as one store counts them or merged from several
+ * stores. For each job the entry of the highest version stands, so that merging is commutative and
+ * idempotent. A job with a reservation that is not accepted yet has version 0. Not thread-safe.
  */
 public final class WaitingTokens {
-  private final Map<Long, long[]> entries = new HashMap<>();
+  /** The version of a job that is reserved and not accepted yet. */
+  public static final long RESERVED_VERSION = 0;
 
   /**
-   * What a gateway says with a first round: this job is about to wait on that route with so many
-   * tokens.
+   * The newest count of one job.
    *
-   * @param attemptId drawn for this try, so that a withdrawal takes back no other's add
+   * @param version of the job's record, or {@link #RESERVED_VERSION}
+   */
+  private record Entry(long version, long tokens) {
+    boolean isReservation() {
+      return version <= RESERVED_VERSION;
+    }
+
+    boolean isReplacedBy(long newVersion, long newTokens) {
+      return newVersion > version || newVersion == version && newTokens > tokens;
+    }
+  }
+
+  /** By the digest of the job's id. */
+  private final Map<Long, Entry> entries = new HashMap<>();
+
+  /**
+   * What a gateway sends to the stores with the first round of a submission: this job is about to
+   * wait on that route with so many tokens.
+   *
+   * @param attemptId random, so that the withdrawal of one attempt leaves the reservations of
+   *     others
    */
   public record Reservation(String routeName, String jobId, long tokens, long attemptId) {
-    /** Asks for the count alone: adds nothing. */
+    /** A reservation of no tokens: it only reads the count of its route. */
     public Reservation withoutTokens() {
       return new Reservation(routeName, jobId, 0, attemptId);
     }
@@ -33,7 +54,12 @@
           .toByteArray();
     }
 
-    /** Fails with GARBLED where the bytes are not those of {@link #encode}. */
+    /**
+     * The reservation of these bytes.
+     *
+     * @throws elmsail.runtime.ElmsailException with {@code MALFORMED} if {@link #encode} did not
+     *     write them
+     */
     public static Reservation decode(byte[] bytes) {
       ByteReader reader = new ByteReader(bytes);
       return new Reservation(
@@ -41,17 +67,23 @@
     }
   }
 
-  /** Of equal versions the larger number of tokens stays. */
+  /**
+   * Sets the count of a job, unless a newer version of it, or a larger one of the same, is known.
+   */
   public void put(long jobDigest, long version, long tokens) {
-    long[] existing = entries.get(jobDigest);
-    if (existing == null
-        || version > existing[0]
-        || version == existing[0] && tokens > existing[1]) {
-      entries.put(jobDigest, new long[] {version, tokens});
+    Entry existing = entries.get(jobDigest);
+    if (existing == null || existing.isReplacedBy(version, tokens)) {
+      entries.put(jobDigest, new Entry(version, tokens));
     }
   }
 
-  /** Takes the counts of stores; null is one that had none. */
+  /**
+   * Merges the encoded counts of several stores.
+   *
+   * @param counts null elements are of stores that gave none
+   * @throws elmsail.runtime.ElmsailException with {@code MALFORMED} if {@link #encode} did not
+   *     write one of them
+   */
   public void mergeAll(List<byte[]> counts) {
     for (byte[] count : counts) {
       if (count != null) {
@@ -63,42 +95,43 @@
     }
   }
 
-  /** Tokens of all jobs but this one. */
+  /** The tokens of all jobs except this one. */
   public long totalExcept(String jobId) {
     long ownDigest = ContentDigest.of(jobId);
     long sum = 0;
-    for (Map.Entry<Long, long[]> entry : entries.entrySet()) {
-      sum += entry.getKey() == ownDigest ? 0 : entry.getValue()[1];
+    for (Map.Entry<Long, Entry> entry : entries.entrySet()) {
+      sum += entry.getKey() == ownDigest ? 0 : entry.getValue().tokens();
     }
     return sum;
   }
 
   /**
-   * Tokens of the accepted jobs but this one, and of those being accepted that go before it. The
-   * order is by digest: any total order does, as long as all who submit use the same one.
+   * The tokens of the accepted jobs except this one, and of the reserved jobs that precede it. The
+   * order is that of the digests: any total order does, provided that all submitters use the same.
    */
   public long totalAheadOf(String jobId) {
     long ownDigest = ContentDigest.of(jobId);
     long sum = 0;
-    for (Map.Entry<Long, long[]> entry : entries.entrySet()) {
-      boolean accepted = entry.getValue()[0] > 0;
-      boolean counts = accepted ? entry.getKey() != ownDigest : entry.getKey() < ownDigest;
-      sum += counts ? entry.getValue()[1] : 0;
+    for (Map.Entry<Long, Entry> entry : entries.entrySet()) {
+      long digest = entry.getKey();
+      boolean ahead = entry.getValue().isReservation() ? digest < ownDigest : digest != ownDigest;
+      sum += ahead ? entry.getValue().tokens() : 0;
     }
     return sum;
   }
 
-  /** Tokens of accepted jobs but this one, part of {@link #totalExcept}. */
+  /** The tokens of accepted jobs except this one; part of {@link #totalExcept}. */
   public long acceptedExcept(String jobId) {
     return totalExcept(jobId) - pendingExcept(jobId);
   }
 
-  /** Tokens of other jobs that are still being accepted, part of {@link #totalExcept}. */
+  /** The tokens of other jobs that are reserved and not accepted; part of {@link #totalExcept}. */
   public long pendingExcept(String jobId) {
     long ownDigest = ContentDigest.of(jobId);
     long sum = 0;
-    for (Map.Entry<Long, long[]> entry : entries.entrySet()) {
-      sum += entry.getKey() == ownDigest || entry.getValue()[0] > 0 ? 0 : entry.getValue()[1];
+    for (Map.Entry<Long, Entry> entry : entries.entrySet()) {
+      boolean pending = entry.getValue().isReservation() && entry.getKey() != ownDigest;
+      sum += pending ? entry.getValue().tokens() : 0;
     }
     return sum;
   }
@@ -106,11 +139,11 @@
   /** The bytes that {@link #mergeAll} reads. */
   public byte[] encode() {
     ByteWriter writer = new ByteWriter().writeVarint(entries.size());
-    for (Map.Entry<Long, long[]> entry : entries.entrySet()) {
+    for (Map.Entry<Long, Entry> entry : entries.entrySet()) {
       writer
           .writeVarint(entry.getKey())
-          .writeVarint(entry.getValue()[0])
-          .writeVarint(entry.getValue()[1]);
+          .writeVarint(entry.getValue().version())
+          .writeVarint(entry.getValue().tokens());
     }
     return writer.toByteArray();
   }
--- a/batch/src/main/java/elmsail/batch/messages/package-info.java
+++ b/batch/src/main/java/elmsail/batch/messages/package-info.java
@@ -1,5 +1,6 @@
 /**
- * What is said and kept about batch jobs, each with its bytes: job records in the register, bodies,
- * heartbeats and counts. Bytes that cannot be read fail with GARBLED.
+ * The records and messages of batch jobs and their encodings: job records in the register, job
+ * bodies, heartbeats, token counts and the JSON of a submission. The binary forms are on the wire
+ * and on disk and do not change.
  */
 package elmsail.batch.messages;
--- a/batch/src/test/java/elmsail/batch/JobStoreServiceTest.java
+++ b/batch/src/test/java/elmsail/batch/JobStoreServiceTest.java
@@ -29,8 +29,7 @@
       new JobStoreService(timers, () -> voting, dropped::add, 120_000, ProcessMetrics.strict());
 
   private static JobRecord record(long tokens) {
-    return new JobRecord(
-        1,
+    return JobRecord.accepted(
         new JobDescription(
             "r",
             "h",
@@ -39,11 +38,7 @@
             60_000,
             "body-1",
             List.of(new JobRecord.Item("i0", tokens), new JobRecord.Item("i1", tokens))),
-        List.of(),
-        false,
-        "door",
-        1,
-        0);
+        "door");
   }
 
   private long waitingTokensOf(String route) {
--- a/batch/src/test/java/elmsail/batch/MessageCodecTest.java
+++ b/batch/src/test/java/elmsail/batch/MessageCodecTest.java
@@ -133,8 +133,7 @@
     for (String id : List.of("a", "b", "c")) {
       items.add(new JobRecord.Item(id, 5));
     }
-    return new JobRecord(
-        1, new JobDescription("r", "h", 1, 1, 1, "b", items), List.of(), false, "d", 1, 0);
+    return JobRecord.accepted(new JobDescription("r", "h", 1, 1, 1, "b", items), "d");
   }
 
   @Test
@@ -169,8 +168,7 @@
   @Test
   void theFirstResultOfAnItemStays() {
     JobRecord record =
-        new JobRecord(
-            1,
+        JobRecord.accepted(
             new JobDescription(
                 "r",
                 "h",
@@ -179,11 +177,7 @@
                 1,
                 "b",
                 List.of(new JobRecord.Item("a", 5), new JobRecord.Item("b", 7))),
-            List.of(),
-            false,
-            "d",
-            1,
-            0);
+            "d");
     JobRecord.Result first = new JobRecord.Result(1, true, 1, 3);
     JobRecord.Result again = new JobRecord.Result(1, false, 2, 0);
     JobRecord listed = record.withResults(List.of(first), 10).withResults(List.of(again, again), 5);
--- a/batch/src/test/java/elmsail/batch/ReusedJobIdTest.java
+++ b/batch/src/test/java/elmsail/batch/ReusedJobIdTest.java
@@ -15,14 +15,9 @@
 /** An id that is submitted again after the stores have dropped its first job. */
 class ReusedJobIdTest {
   private static JobRecord accepted(long edition) {
-    return new JobRecord(
-        1,
+    return JobRecord.accepted(
         new JobDescription("r", "h", edition, 1, 1, "body", List.of(new JobRecord.Item("i", 10))),
-        List.of(),
-        false,
-        "gateway",
-        1,
-        0);
+        "gateway");
   }
 
   private static Register.VersionedValue at(long round, JobRecord record) {
--- a/batch/src/test/java/elmsail/batch/api/PinnedNamesTest.java
+++ b/batch/src/test/java/elmsail/batch/api/PinnedNamesTest.java
@@ -66,7 +66,7 @@
                 new JobRecord.Item("a", 1),
                 new JobRecord.Item("b", 1),
                 new JobRecord.Item("c", 1)));
-    JobRecord record = new JobRecord(2, description, results, false, "g", 1, 0);
+    JobRecord record = new JobRecord(2, description, results, false, "g", 1, 0, List.of());
     byte[][] texts = {"t\"x".getBytes(StandardCharsets.UTF_8), {}};
     assertThat(
         new String(ResultPage.toJson(record, 0, results, texts), StandardCharsets.UTF_8),
--- a/controlplane/src/test/java/elmsail/controlplane/PinnedDataDirectories.java
+++ b/controlplane/src/test/java/elmsail/controlplane/PinnedDataDirectories.java
@@ -190,7 +190,7 @@
   }
 
   static JobRecord endedJob() {
-    return new JobRecord(2, description(), List.of(), true, OWN_ADDRESS, 1, 5);
+    return new JobRecord(2, description(), List.of(), true, OWN_ADDRESS, 1, 5, List.of());
   }
 
   /** The same as {@link #endedJob} in the first format, which kept no failures. */
