--- a/batch/src/main/java/elmsail/batch/store/JobStoreService.java
+++ b/batch/src/main/java/elmsail/batch/store/JobStoreService.java
@@ -12,7 +12,6 @@
 import elmsail.rpc.messages.OpaqueMessage;
 import elmsail.runtime.ElmsailException;
 import elmsail.runtime.ErrorCode;
-import elmsail.runtime.Invariants;
 import elmsail.runtime.ProcessMetrics;
 import elmsail.runtime.Timers;
 import java.util.concurrent.CompletableFuture;
@@ -21,8 +20,8 @@
 import java.util.function.Consumer;
 
 /**
- * The views of a process that keeps jobs: the count of waiting tokens, and when each open job's
- * runner was heard last. On the loop.
+ * The batch part of a store process: follows the job records of its replica, responds to the
+ * messages of gateways and drops jobs whose time is over. Confined to the process's event loop.
  */
 public final class JobStoreService implements ReplicaListener {
   private static final String KEY_PREFIX = "lot/";
@@ -36,15 +35,14 @@
   private final Consumer<String> dropKey;
   private final long statusMs;
   private final StoreCounters counters;
-  private final Invariants invariants;
   private final JobStore jobs = new JobStore();
 
   /**
-   * @param voting whether this process holds a voter slot and has its memory; else it answers
-   *     NOT_SEATED
-   * @param dropKey drops a key and its blobs here ({@code Replica.drop}); may call {@code dropped}
-   * @param statusMs for how long a job may be read after it was sent
-   * @param metrics the process's figures and invariants
+   * @param voting whether this process is a voter with complete state; if not, it responds with
+   *     {@link BatchMessageTypes#NOT_A_VOTER}
+   * @param dropKey drops a key and its blobs from the replica; may call {@link #onDropped}
+   * @param statusMs how long a job may be read after it was submitted, in ms
+   * @param metrics of the process
    */
   public JobStoreService(
       Timers timers,
@@ -58,22 +56,25 @@
     this.statusMs = statusMs;
     counters = new StoreCounters(metrics.counters());
     metrics.counters().registerGauge("store_batch_jobs_kept", jobs::size);
-    invariants = metrics.invariants();
   }
 
-  /** Starts the looking for jobs to drop. */
+  /** Starts the periodic search for jobs to drop. */
   public void start() {
     timers.schedule(EXPIRY_SCAN_INTERVAL_MS, this::dropExpiredJobs);
   }
 
   /**
-   * Answers the messages about jobs; use this, or {@code answer} from a handler shared with others.
+   * Registers {@link #handle} for all opaque messages. Where other services have opaque messages
+   * too, call {@link #handle} from a shared handler instead.
    */
   public void registerHandlers(RequestHandlers handlers) {
     handlers.register(OpaqueMessage.class, this::handle);
   }
 
-  /** Answers a batch message of a gateway; NOT_SEATED while this replica has no vote. */
+  /**
+   * Responds to a message of a gateway about jobs. The future fails with {@link
+   * ErrorCode#MALFORMED} if the message cannot be decoded.
+   */
   public CompletionStage<OpaqueMessage> handle(OpaqueMessage request) {
     if (!voting.getAsBoolean()) {
       counters.messagesNotAVoter.add(1);
@@ -92,7 +93,7 @@
                 onWithdraw(WaitingTokens.Reservation.decode(request.bytes));
             default ->
                 throw new ElmsailException(
-                    ErrorCode.MALFORMED, "a message of kind " + request.kind);
+                    ErrorCode.MALFORMED, "unknown kind of batch message: " + request.kind);
           };
       counters.messagesAnswered.add(1);
       return CompletableFuture.completedFuture(BatchMessageTypes.message(request.kind, response));
@@ -137,7 +138,7 @@
     }
   }
 
-  /** How many jobs this process keeps. */
+  /** The number of jobs that this process keeps. */
   public int size() {
     return jobs.size();
   }
--- a/batch/src/main/java/elmsail/batch/store/StoreCounters.java
+++ b/batch/src/main/java/elmsail/batch/store/StoreCounters.java
@@ -2,19 +2,18 @@
 
 import elmsail.runtime.Counters;
 
-/** What a store counts of batch jobs; on the loop. */
+/** The counters of a job store; confined to its event loop. */
 public final class StoreCounters {
-
-  /** Gateways' messages about jobs that were answered. */
+  /** Messages of gateways that were answered. */
   public final Counters.Counter messagesAnswered;
 
-  /** Gateways' messages about jobs that were refused, as this process holds no vote. */
+  /** Messages of gateways that were rejected because this process is no voter at present. */
   public final Counters.Counter messagesNotAVoter;
 
-  /** Gateways' messages about jobs that could not be read. */
+  /** Messages of gateways that could not be decoded. */
   public final Counters.Counter messagesMalformed;
 
-  /** Takes its counters from those of the process. */
+  /** Registers the counters with those of the process. */
   public StoreCounters(Counters counters) {
     messagesAnswered = counters.counter("store_batch_messages_answered");
     messagesNotAVoter = counters.counter("store_batch_messages_not_seated");
--- a/batch/src/main/java/elmsail/batch/store/package-info.java
+++ b/batch/src/main/java/elmsail/batch/store/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The stores' part of batch jobs: bodies and results are kept beside the register's records, the
- * tokens that wait on each route are counted, and jobs whose time is over are removed.
+ * The store's side of batch jobs: counts the waiting tokens of each route, tracks the heartbeats of
+ * runners and drops jobs whose retention time is over. Records, bodies and results themselves are
+ * kept by the replica of the store's voter set.
  */
 package elmsail.batch.store;
