--- a/app/src/main/java/elmsail/app/GatewayProcess.java
+++ b/app/src/main/java/elmsail/app/GatewayProcess.java
@@ -1,5 +1,6 @@
 package elmsail.app;
 
+import elmsail.batch.BatchSettings;
 import elmsail.batch.api.BatchApi;
 import elmsail.config.PlatformClient;
 import elmsail.config.watch.ConfigWatcher;
@@ -59,9 +60,7 @@
             rpc,
             loop,
             watcher,
-            ownAddress,
-            instanceId,
-            settings.bounds().cancelMs(),
+            new BatchSettings(ownAddress, settings.bounds().cancelMs(), instanceId),
             metrics);
     jobs.registerHandlers(rpc);
     CompletableFuture<Void> listening = rpc.listen();
--- a/batch/src/main/java/elmsail/batch/BatchService.java
+++ b/batch/src/main/java/elmsail/batch/BatchService.java
@@ -4,29 +4,39 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The calls of clients about jobs, as a gateway serves them; futures complete on the loop and never
- * fail.
+ * The batch calls of clients, as a gateway serves them. All methods are called on the gateway's
+ * event loop; the futures complete there and never fail.
  */
 public interface BatchService {
 
   /**
-   * An answer. Status 0: the outcome is unclear, so the connection is to be closed without an
-   * answer.
+   * The reply to a client.
    *
+   * @param status of HTTP; 0 closes the connection without a response, as the outcome is unknown
    * @param body JSON or bytes, may be empty
-   * @param retryAfterS seconds, or 0 for none
+   * @param retryAfterS when the client may try again, in seconds; 0 if that is not said
    */
   record Reply(int status, byte[] body, double retryAfterS) {}
 
-  /** {@code POST} under a sack route's prefix. */
+  /**
+   * Submits a job: {@code POST} under the prefix of a batch route.
+   *
+   * @param body the JSON of the job
+   * @param deadlineMs within which the reply is due, in ms from now
+   */
   CompletableFuture<Reply> submit(Route route, String jobId, byte[] body, long deadlineMs);
 
-  /** {@code GET /lots/ID?after=N}. */
+  /**
+   * Reads the results of a job: {@code GET /lots/ID?after=N}.
+   *
+   * @param after the number of results that the client has
+   * @param waitMs how long to wait for a further result, in ms
+   */
   CompletableFuture<Reply> readResults(String jobId, long after, long waitMs);
 
-  /** {@code GET /items/LOT?id=ITEM}. */
+  /** Reads the body of an item as it was submitted: {@code GET /items/LOT?id=ITEM}. */
   CompletableFuture<Reply> readItemBody(String jobId, String itemId);
 
-  /** {@code DELETE /lots/ID}. */
+  /** Cancels a job, or discards a complete one: {@code DELETE /lots/ID}. */
   CompletableFuture<Reply> cancel(String jobId);
 }
--- a/batch/src/main/java/elmsail/batch/api/BatchApi.java
+++ b/batch/src/main/java/elmsail/batch/api/BatchApi.java
@@ -2,14 +2,13 @@
 
 import elmsail.batch.BatchItem;
 import elmsail.batch.BatchService;
+import elmsail.batch.BatchSettings;
 import elmsail.batch.ItemServers;
 import elmsail.batch.client.BatchContext;
-import elmsail.batch.client.BatchCounters;
 import elmsail.batch.client.BatchJobClient;
+import elmsail.batch.client.BatchMetrics;
 import elmsail.batch.messages.BatchMessageTypes;
 import elmsail.batch.messages.ByteReader;
-import elmsail.batch.messages.ByteWriter;
-import elmsail.batch.messages.JobRecord;
 import elmsail.batch.messages.JobRequestParser;
 import elmsail.batch.run.FailoverMonitor;
 import elmsail.batch.run.JobRunner;
@@ -33,8 +32,8 @@
 import java.util.concurrent.CompletionStage;
 
 /**
- * The calls about jobs at one gateway, and the running of those that are this gateway's. All on the
- * loop.
+ * The batch service of one gateway: validates and dispatches the calls of clients, and runs the
+ * jobs whose lease this gateway holds. Confined to the gateway's event loop.
  */
 public final class BatchApi implements BatchService {
   private static final long MAX_SUBMIT_MS = 3_000;
@@ -42,7 +41,7 @@
   private static final long CALL_TIMEOUT_MS = 1_500;
   private static final int MAX_JOB_ID_LENGTH = 200;
 
-  /** Bytes of bodies that are being handed in, and calls held, at most. */
+  /** The encoded bodies of all submissions in flight. */
   private static final long MAX_PENDING_SUBMIT_BYTES = 24L << 20;
 
   private static final int MAX_PENDING_READS = 2_000;
@@ -52,75 +51,69 @@
   private final BatchJobClient jobClient;
   private final JobRunner runner;
   private final FailoverMonitor failoverMonitor;
+  private final CancelHandler cancelHandler;
   private final Map<String, List<ReadHandler>> pendingReads = new HashMap<>();
   private int pendingReadCount;
   private long pendingSubmitBytes;
 
   /**
-   * @param register of the set "shelf"
-   * @param localAddress this gateway's own, as it stands in the roster
-   * @param cancelMs the bound {@code cancel_ms}
-   * @param metrics the process's figures and invariants
+   * Makes a service that runs nothing before {@link #setServers} and {@link #start}.
+   *
+   * @param register of the voter set of the job stores
+   * @param metrics of the process
    */
   public BatchApi(
       Register register,
-      RpcClient caller,
+      RpcClient rpcClient,
       Timers timers,
       ClusterState clusterState,
-      String localAddress,
-      long seed,
-      long cancelMs,
+      BatchSettings settings,
       ProcessMetrics metrics) {
-    Random random = new Random(seed);
+    Random random = new Random(settings.seed());
+    BatchMetrics batchMetrics = BatchMetrics.of(metrics);
     context =
-        new BatchContext(
-            register,
-            caller,
-            timers,
-            clusterState,
-            localAddress,
-            random,
-            cancelMs,
-            new BatchCounters(metrics.counters()),
-            metrics.invariants());
+        new BatchContext(register, rpcClient, timers, clusterState, settings, random, batchMetrics);
     replies = new BatchReplies(random);
     jobClient = new BatchJobClient(register, metrics.invariants());
     runner = new JobRunner(context, jobClient, this::onJobChanged);
     failoverMonitor = new FailoverMonitor(context, jobClient, runner);
+    cancelHandler = new CancelHandler(context, jobClient, replies, this::onCancelled);
   }
 
-  /** Before it nothing runs. */
+  /** Sets the servers that items are sent to; before this none is started. */
   public void setServers(ItemServers servers) {
     runner.setServers(servers);
   }
 
-  /** Starts the heartbeats to the stores and the looking for jobs that nobody runs. */
+  /** Starts the heartbeats to the stores and the scans for abandoned jobs. */
   public void start() {
     failoverMonitor.start();
   }
 
   /**
-   * Answers the messages about jobs; use this, or {@code answer} from a handler shared with others.
+   * Registers {@link #handle} for all opaque messages. Where other services have opaque messages
+   * too, call {@link #handle} from a shared handler instead.
    */
   public void registerHandlers(RequestHandlers handlers) {
     handlers.register(OpaqueMessage.class, this::handle);
   }
 
   /**
-   * Answers a message of another gateway: that a job was ended. Fails with GARBLED for any other
-   * kind.
+   * Responds to the message of another gateway that a job was cancelled. The future fails with
+   * {@link ErrorCode#MALFORMED} for a message of any other kind.
    */
   public CompletionStage<OpaqueMessage> handle(OpaqueMessage request) {
     if (!request.kind.equals(BatchMessageTypes.CANCELLED)) {
       return CompletableFuture.failedFuture(
-          new ElmsailException(ErrorCode.MALFORMED, "a message of kind " + request.kind));
+          new ElmsailException(
+              ErrorCode.MALFORMED, "unknown kind of batch message: " + request.kind));
     }
     onCancelled(new ByteReader(request.bytes).readString());
     return CompletableFuture.completedFuture(
         BatchMessageTypes.message(BatchMessageTypes.CANCELLED, BatchReplies.EMPTY_BODY));
   }
 
-  /** How many jobs this gateway runs. */
+  /** The number of jobs that this gateway runs. */
   public int runningJobs() {
     return runner.size();
   }
@@ -142,26 +135,21 @@
     }
     for (BatchItem item : items) {
       if (config.match(route.host(), item.path()) == null) {
-        return acceptedOrElse(jobId, BatchReplies.BAD_REQUEST);
+        return acceptedBeforeOr(jobId, BatchReplies.BAD_REQUEST);
       }
     }
-    SubmitHandler handler =
-        new SubmitHandler(
-            context,
-            jobClient,
-            runner,
-            replies,
-            jobId,
-            route,
-            items,
-            Math.min(deadlineMs, MAX_SUBMIT_MS));
-    int held = handler.bodyBytes();
-    pendingSubmitBytes += held;
-    return handler.start().whenComplete((reply, failure) -> pendingSubmitBytes -= held);
+    return submit(new Submission(jobId, route, items, Math.min(deadlineMs, MAX_SUBMIT_MS)));
   }
 
-  /** A job that was taken stays taken, whatever the routes of its items have become since. */
-  private CompletableFuture<Reply> acceptedOrElse(String jobId, Reply fallback) {
+  private CompletableFuture<Reply> submit(Submission submission) {
+    SubmitHandler handler = new SubmitHandler(context, jobClient, runner, replies, submission);
+    int submitBytes = handler.bodyBytes();
+    pendingSubmitBytes += submitBytes;
+    return handler.start().whenComplete((reply, failure) -> pendingSubmitBytes -= submitBytes);
+  }
+
+  /** A job that was accepted stays accepted, also after the routes of its items were removed. */
+  private CompletableFuture<Reply> acceptedBeforeOr(String jobId, Reply fallback) {
     return jobClient
         .read(jobId, CALL_TIMEOUT_MS)
         .thenApply(record -> record == null ? fallback : BatchReplies.ACCEPTED)
@@ -176,27 +164,21 @@
     if (pendingReadCount >= MAX_PENDING_READS) {
       return CompletableFuture.completedFuture(replies.unavailable());
     }
+    long boundedWaitMs = Math.max(0, Math.min(waitMs, MAX_READ_WAIT_MS));
     ReadHandler handler =
-        new ReadHandler(
-            context,
-            jobClient,
-            replies,
-            jobId,
-            Math.max(0, after),
-            Math.max(0, Math.min(waitMs, MAX_READ_WAIT_MS)));
+        new ReadHandler(context, jobClient, replies, jobId, Math.max(0, after), boundedWaitMs);
     pendingReads.computeIfAbsent(jobId, id -> new ArrayList<>()).add(handler);
     pendingReadCount++;
-    return handler
-        .start()
-        .whenComplete(
-            (reply, failure) -> {
-              pendingReadCount--;
-              List<ReadHandler> readsOfJob = pendingReads.get(jobId);
-              readsOfJob.remove(handler);
-              if (readsOfJob.isEmpty()) {
-                pendingReads.remove(jobId);
-              }
-            });
+    return handler.start().whenComplete((reply, failure) -> removePendingRead(jobId, handler));
+  }
+
+  private void removePendingRead(String jobId, ReadHandler handler) {
+    pendingReadCount--;
+    List<ReadHandler> readsOfJob = pendingReads.get(jobId);
+    readsOfJob.remove(handler);
+    if (readsOfJob.isEmpty()) {
+      pendingReads.remove(jobId);
+    }
   }
 
   @Override
@@ -207,92 +189,29 @@
     return jobClient
         .read(jobId, CALL_TIMEOUT_MS)
         .thenCompose(
-            record -> {
-              if (record == null) {
-                return CompletableFuture.completedFuture(BatchReplies.NOT_FOUND);
-              }
-              return jobClient
-                  .readItems(jobId, record, CALL_TIMEOUT_MS)
-                  .thenApply(
-                      items -> {
-                        for (BatchItem item : items) {
-                          if (item.id().equals(itemId)) {
-                            return new Reply(200, item.body(), 0);
-                          }
-                        }
-                        return BatchReplies.NOT_FOUND;
-                      });
-            })
+            record ->
+                record == null
+                    ? CompletableFuture.completedFuture(BatchReplies.NOT_FOUND)
+                    : jobClient
+                        .readItems(jobId, record, CALL_TIMEOUT_MS)
+                        .thenApply(items -> itemBody(items, itemId)))
         .exceptionally(failure -> replies.unavailable());
   }
 
-  @Override
-  public CompletableFuture<Reply> cancel(String jobId) {
-    if (!isValidJobId(jobId)) {
-      return CompletableFuture.completedFuture(BatchReplies.NOT_FOUND);
+  private static Reply itemBody(List<BatchItem> items, String itemId) {
+    for (BatchItem item : items) {
+      if (item.id().equals(itemId)) {
+        return new Reply(BatchReplies.OK.status(), item.body(), 0);
+      }
     }
-    return cancel(jobId, 2)
-        .exceptionally(
-            failure ->
-                BatchReplies.mayHaveTakenEffect(failure)
-                    ? BatchReplies.OUTCOME_UNKNOWN
-                    : replies.unavailable());
-  }
-
-  private CompletableFuture<Reply> cancel(String jobId, int attemptsLeft) {
-    CompletableFuture<Reply> replyFuture = new CompletableFuture<>();
-    context
-        .register()
-        .change(
-            JobRecord.registerKey(jobId),
-            found -> {
-              JobRecord record = JobRecord.decodeNullable(found.value());
-              return new Register.ProposedValue(
-                  record == null || record.cancelled() ? null : record.withCancellation().encode(),
-                  List.of());
-            },
-            List.of(),
-            null,
-            CALL_TIMEOUT_MS)
-        .whenComplete(
-            (result, failure) -> {
-              if (failure == null) {
-                replyFuture.complete(onCancelled(jobId, result));
-              } else if (attemptsLeft > 1) {
-                cancel(jobId, attemptsLeft - 1)
-                    .whenComplete(
-                        (retried, retryFailure) -> {
-                          if (retryFailure == null) {
-                            replyFuture.complete(retried);
-                          } else {
-                            replyFuture.completeExceptionally(
-                                BatchReplies.mayHaveTakenEffect(failure) ? failure : retryFailure);
-                          }
-                        });
-              } else {
-                replyFuture.completeExceptionally(failure);
-              }
-            });
-    return replyFuture;
+    return BatchReplies.NOT_FOUND;
   }
 
-  private Reply onCancelled(String jobId, Register.CommittedState result) {
-    JobRecord record = jobClient.onCommitted(jobId, result.current());
-    if (record == null) {
-      return BatchReplies.NOT_FOUND;
-    }
-    onCancelled(jobId);
-    if (!record.runner().equals(context.localAddress())) {
-      context
-          .caller()
-          .call(
-              record.runner(),
-              BatchMessageTypes.message(
-                  BatchMessageTypes.CANCELLED, new ByteWriter().writeString(jobId).toByteArray()),
-              OpaqueMessage.class,
-              CALL_TIMEOUT_MS);
-    }
-    return BatchReplies.OK;
+  @Override
+  public CompletableFuture<Reply> cancel(String jobId) {
+    return isValidJobId(jobId)
+        ? cancelHandler.cancel(jobId)
+        : CompletableFuture.completedFuture(BatchReplies.NOT_FOUND);
   }
 
   private void onCancelled(String jobId) {
@@ -309,6 +228,7 @@
     }
   }
 
+  /** Whether the id has 1 to 200 printable ASCII characters, without a slash. */
   private static boolean isValidJobId(String jobId) {
     if (jobId == null || jobId.isEmpty() || jobId.length() > MAX_JOB_ID_LENGTH) {
       return false;
--- a/batch/src/main/java/elmsail/batch/api/BatchReplies.java
+++ b/batch/src/main/java/elmsail/batch/api/BatchReplies.java
@@ -5,7 +5,7 @@
 import elmsail.runtime.ErrorCode;
 import java.util.Random;
 
-/** The answers that are alike for all calls. */
+/** The replies that several batch calls have in common. */
 final class BatchReplies {
   static final byte[] EMPTY_BODY = {};
   static final Reply ACCEPTED = new Reply(202, EMPTY_BODY, 0);
@@ -13,12 +13,12 @@
   static final Reply BAD_REQUEST = new Reply(400, EMPTY_BODY, 0);
   static final Reply NOT_FOUND = new Reply(404, EMPTY_BODY, 0);
 
-  /** May have been done or not: makes no promise. */
+  /** The call may have taken effect or not; this promises nothing. */
   static final Reply OUTCOME_UNKNOWN = new Reply(504, EMPTY_BODY, 0);
 
-  /** When a job that did not fit is to come again, in seconds. */
+  private static final double MIN_UNAVAILABLE_RETRY_S = 0.2;
+  private static final double UNAVAILABLE_RETRY_JITTER_S = 0.3;
   private static final double MIN_OVER_QUOTA_RETRY_S = 0.7;
-
   private static final double OVER_QUOTA_RETRY_JITTER_S = 0.7;
 
   private final Random random;
@@ -27,21 +27,24 @@
     this.random = random;
   }
 
-  /** Surely not done and not to be done because of this call. */
+  /** 503: the call has certainly taken no effect and never will. */
   Reply unavailable() {
-    return new Reply(503, EMPTY_BODY, 0.2 + random.nextDouble() * 0.3);
+    return new Reply(
+        503,
+        EMPTY_BODY,
+        MIN_UNAVAILABLE_RETRY_S + random.nextDouble() * UNAVAILABLE_RETRY_JITTER_S);
   }
 
   /**
-   * Does not fit. Items run for seconds, so a place comes late; jitter, so that many which were
-   * refused together do not come back together.
+   * 429: the job does not fit into the limit of its route. Items run for seconds, so capacity comes
+   * late; the jitter keeps jobs that were rejected together from returning together.
    */
   Reply overQuota() {
     return new Reply(
         429, EMPTY_BODY, MIN_OVER_QUOTA_RETRY_S + random.nextDouble() * OVER_QUOTA_RETRY_JITTER_S);
   }
 
-  /** Where nothing was to be changed, any failure is a 503. */
+  /** Whether a change that failed so may have taken effect nonetheless, or may still do so. */
   static boolean mayHaveTakenEffect(Throwable failure) {
     ErrorCode code = ElmsailException.codeOf(failure);
     return code != ErrorCode.NO_QUORUM
--- /dev/null
+++ b/batch/src/main/java/elmsail/batch/api/CancelHandler.java
@@ -0,0 +1,97 @@
+package elmsail.batch.api;
+
+import elmsail.batch.BatchService.Reply;
+import elmsail.batch.client.BatchContext;
+import elmsail.batch.client.BatchJobClient;
+import elmsail.batch.messages.BatchMessageTypes;
+import elmsail.batch.messages.ByteWriter;
+import elmsail.batch.messages.JobRecord;
+import elmsail.rpc.messages.OpaqueMessage;
+import java.util.concurrent.CompletableFuture;
+import java.util.function.Consumer;
+
+/**
+ * Cancels jobs: commits the cancellation and notifies the runner, which else learns of it by its
+ * heartbeats. Confined to the gateway's event loop.
+ */
+final class CancelHandler {
+  private static final long CHANGE_TIMEOUT_MS = 1_500;
+  private static final long NOTIFY_TIMEOUT_MS = 1_500;
+  private static final int ATTEMPTS = 2;
+
+  private final BatchContext context;
+  private final BatchJobClient jobClient;
+  private final BatchReplies replies;
+  private final Consumer<String> onCancelled;
+
+  /**
+   * @param onCancelled receives the id of each job whose cancellation is committed, before the
+   *     reply
+   */
+  CancelHandler(
+      BatchContext context,
+      BatchJobClient jobClient,
+      BatchReplies replies,
+      Consumer<String> onCancelled) {
+    this.context = context;
+    this.jobClient = jobClient;
+    this.replies = replies;
+    this.onCancelled = onCancelled;
+  }
+
+  /** Cancels the job; the future never fails. */
+  CompletableFuture<Reply> cancel(String jobId) {
+    return cancel(jobId, ATTEMPTS)
+        .exceptionally(
+            failure ->
+                BatchReplies.mayHaveTakenEffect(failure)
+                    ? BatchReplies.OUTCOME_UNKNOWN
+                    : replies.unavailable());
+  }
+
+  private CompletableFuture<Reply> cancel(String jobId, int attemptsLeft) {
+    CompletableFuture<Reply> attempt =
+        jobClient
+            .change(jobId, CancelHandler::cancelled, CHANGE_TIMEOUT_MS)
+            .thenApply(record -> onCommitted(jobId, record));
+    return attemptsLeft > 1
+        ? attempt.exceptionallyCompose(failure -> retry(jobId, attemptsLeft - 1, failure))
+        : attempt;
+  }
+
+  /** If the retry fails too, a failure that may have taken effect outweighs one that has not. */
+  private CompletableFuture<Reply> retry(String jobId, int attemptsLeft, Throwable firstFailure) {
+    return cancel(jobId, attemptsLeft)
+        .exceptionallyCompose(
+            failure ->
+                CompletableFuture.failedFuture(
+                    BatchReplies.mayHaveTakenEffect(firstFailure) ? firstFailure : failure));
+  }
+
+  /** The cancelled record, or null if there is nothing to cancel. */
+  private static JobRecord cancelled(JobRecord current) {
+    return current == null || current.cancelled() ? null : current.withCancellation();
+  }
+
+  private Reply onCommitted(String jobId, JobRecord record) {
+    if (record == null) {
+      return BatchReplies.NOT_FOUND;
+    }
+    onCancelled.accept(jobId);
+    if (!record.runner().equals(context.localAddress())) {
+      notifyRunner(jobId, record.runner());
+    }
+    return BatchReplies.OK;
+  }
+
+  private void notifyRunner(String jobId, String runner) {
+    byte[] id = new ByteWriter().writeString(jobId).toByteArray();
+    context
+        .rpcClient()
+        .call(
+            runner,
+            BatchMessageTypes.message(BatchMessageTypes.CANCELLED, id),
+            OpaqueMessage.class,
+            NOTIFY_TIMEOUT_MS);
+  }
+}
--- a/batch/src/main/java/elmsail/batch/api/ReadHandler.java
+++ b/batch/src/main/java/elmsail/batch/api/ReadHandler.java
@@ -9,7 +9,11 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 
-/** One read of a job's results from a position on, held for a while where there is none yet. */
+/**
+ * One call that reads the results of a job from a position on. While there are none it waits for a
+ * while: it reads the record again at each change that this gateway makes, and else periodically.
+ * Confined to the gateway's event loop.
+ */
 final class ReadHandler {
   private static final long READ_TIMEOUT_MS = 1_200;
   private static final long POLL_INTERVAL_MS = 250;
@@ -28,6 +32,10 @@
   private boolean readInFlight;
   private boolean rereadRequested;
 
+  /**
+   * @param afterPosition the number of results that the client has
+   * @param waitMs how long to wait for a further result, in ms
+   */
   ReadHandler(
       BatchContext context,
       BatchJobClient jobClient,
@@ -43,12 +51,13 @@
     this.deadline = context.timers().now() + waitMs;
   }
 
+  /** Starts the first read; the future never fails. */
   CompletableFuture<Reply> start() {
     readRecord();
     return replyFuture;
   }
 
-  /** The job has changed: looks at once. */
+  /** The job has changed: reads its record at once. */
   void wake() {
     if (replyFuture.isDone()) {
       return;
@@ -83,21 +92,16 @@
   private void onRecord(JobRecord record) {
     long remainingMs = deadline - context.timers().now();
     if (record.results().size() > afterPosition || !record.isOpen() || remainingMs <= 0) {
-      respondWith(record);
+      new PageReply(record, selectPage(record)).start();
     } else if (rereadRequested) {
       readRecord();
     } else {
-      pollTimer =
-          context
-              .timers()
-              .schedule(
-                  Math.min(
-                      remainingMs, POLL_INTERVAL_MS / 2 + context.jittered(POLL_INTERVAL_MS / 2)),
-                  this::readRecord);
+      long pollMs = POLL_INTERVAL_MS / 2 + context.jittered(POLL_INTERVAL_MS / 2);
+      pollTimer = context.timers().schedule(Math.min(remainingMs, pollMs), this::readRecord);
     }
   }
 
-  private void respondWith(JobRecord record) {
+  private List<JobRecord.Result> selectPage(JobRecord record) {
     List<JobRecord.Result> results = record.results();
     List<JobRecord.Result> page = new ArrayList<>();
     long pageBytes = 0;
@@ -109,30 +113,56 @@
       }
       page.add(result);
     }
-    byte[][] texts = new byte[page.size()][];
-    int[] missing = {page.size()};
-    if (page.isEmpty()) {
-      replyFuture.complete(
-          new Reply(200, ResultPage.toJson(record, afterPosition, page, texts), 0));
+    return page;
+  }
+
+  /**
+   * Gathers the texts of one page and replies with it; fails the call if any of them is missing.
+   */
+  private final class PageReply {
+    private final JobRecord record;
+    private final List<JobRecord.Result> page;
+    private final byte[][] texts;
+    private int missing;
+
+    PageReply(JobRecord record, List<JobRecord.Result> page) {
+      this.record = record;
+      this.page = page;
+      this.texts = new byte[page.size()][];
+      this.missing = page.size();
+    }
+
+    void start() {
+      if (page.isEmpty()) {
+        reply();
+      }
+      for (int i = 0; i < texts.length; i++) {
+        int index = i;
+        readText(page.get(i)).whenComplete((text, failure) -> onText(index, text, failure));
+      }
     }
-    for (int i = 0; i < texts.length; i++) {
-      int index = i;
-      CompletableFuture<byte[]> textFuture =
-          page.get(i).succeeded()
-              ? jobClient.readText(jobId, page.get(i), READ_TIMEOUT_MS)
-              : CompletableFuture.completedFuture(NO_TEXT);
-      textFuture.whenComplete(
-          (text, failure) -> {
-            if (failure != null) {
-              replyFuture.complete(replies.unavailable());
-              return;
-            }
-            texts[index] = text;
-            if (--missing[0] == 0) {
-              replyFuture.complete(
-                  new Reply(200, ResultPage.toJson(record, afterPosition, page, texts), 0));
-            }
-          });
+
+    private CompletableFuture<byte[]> readText(JobRecord.Result result) {
+      return result.succeeded()
+          ? jobClient.readText(jobId, result, READ_TIMEOUT_MS)
+          : CompletableFuture.completedFuture(NO_TEXT);
+    }
+
+    private void onText(int index, byte[] text, Throwable failure) {
+      if (failure != null) {
+        replyFuture.complete(replies.unavailable());
+        return;
+      }
+      texts[index] = text;
+      missing--;
+      if (missing == 0) {
+        reply();
+      }
+    }
+
+    private void reply() {
+      byte[] json = ResultPage.toJson(record, afterPosition, page, texts);
+      replyFuture.complete(new Reply(BatchReplies.OK.status(), json, 0));
     }
   }
 }
--- a/batch/src/main/java/elmsail/batch/api/ResultPage.java
+++ b/batch/src/main/java/elmsail/batch/api/ResultPage.java
@@ -5,59 +5,63 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** The JSON of a read: as many of the results as stay below 1 MB, and one at least. */
+/**
+ * The JSON of one page of results, with as many of them as fit into 1 MB, and one at least. It is
+ * assembled as bytes, since the texts are UTF-8 already.
+ */
 final class ResultPage {
   private static final int MAX_PAGE_BYTES = 1_000_000;
+
+  /** More than the JSON around the entries, and that around the text of one entry, takes. */
+  private static final int FRAME_BYTES = 100;
+
   private static final byte[] HEX = "0123456789abcdef".getBytes(StandardCharsets.US_ASCII);
 
   private ResultPage() {}
 
+  /**
+   * @param afterPosition the number of results before this page
+   * @param results of the record, from that position on
+   * @param texts of these results, in the same order; of the failed ones empty
+   */
   static byte[] toJson(
       JobRecord record, long afterPosition, List<JobRecord.Result> results, byte[][] texts) {
     ByteArrayOutputStream entries = new ByteArrayOutputStream();
     int count = 0;
     for (int i = 0; i < texts.length; i++) {
-      byte[] entry =
-          entry(
-              record.items().get(results.get(i).itemIndex()).id(),
-              results.get(i).succeeded(),
-              texts[i]);
-      if (count > 0 && entries.size() + entry.length + 100 > MAX_PAGE_BYTES) {
+      JobRecord.Result result = results.get(i);
+      String itemId = record.items().get(result.itemIndex()).id();
+      byte[] entry = entry(itemId, result.succeeded(), texts[i]);
+      if (count > 0 && entries.size() + entry.length + FRAME_BYTES > MAX_PAGE_BYTES) {
         break;
       }
-      if (count++ > 0) {
+      if (count > 0) {
         entries.write(',');
       }
+      count++;
       entries.writeBytes(entry);
     }
-    ByteArrayOutputStream page = new ByteArrayOutputStream(entries.size() + 100);
-    append(
-        page,
-        "{\"total\":"
-            + record.items().size()
-            + ",\"next_token\":"
-            + (afterPosition + count)
-            + ",\"deliveries\":[");
+    ByteArrayOutputStream page = new ByteArrayOutputStream(entries.size() + FRAME_BYTES);
+    append(page, "{\"total\":" + record.items().size());
+    append(page, ",\"next_token\":" + (afterPosition + count));
+    append(page, ",\"deliveries\":[");
     page.writeBytes(entries.toByteArray());
     append(page, "]}");
     return page.toByteArray();
   }
 
-  private static byte[] entry(String id, boolean succeeded, byte[] text) {
-    ByteArrayOutputStream out = new ByteArrayOutputStream(text.length + 100);
+  private static byte[] entry(String itemId, boolean succeeded, byte[] text) {
+    ByteArrayOutputStream out = new ByteArrayOutputStream(text.length + FRAME_BYTES);
     append(out, "{\"id\":\"");
-    appendEscaped(out, id.getBytes(StandardCharsets.UTF_8));
-    append(
-        out,
-        succeeded
-            ? "\",\"state\":\"delivered\",\"message\":\""
-            : "\",\"state\":\"undeliverable\",\"message\":\"");
+    appendEscaped(out, itemId.getBytes(StandardCharsets.UTF_8));
+    append(out, "\",\"state\":\"" + (succeeded ? "delivered" : "undeliverable"));
+    append(out, "\",\"message\":\"");
     appendEscaped(out, text);
     append(out, "\"}");
     return out.toByteArray();
   }
 
-  /** UTF-8 stays as it is. */
+  /** Appends UTF-8 with quotes, backslashes and control characters escaped. */
   private static void appendEscaped(ByteArrayOutputStream out, byte[] text) {
     for (byte c : text) {
       if (c == '"' || c == '\\') {
--- a/batch/src/main/java/elmsail/batch/api/SubmitHandler.java
+++ b/batch/src/main/java/elmsail/batch/api/SubmitHandler.java
@@ -1,11 +1,9 @@
 package elmsail.batch.api;
 
-import elmsail.batch.BatchItem;
 import elmsail.batch.BatchService.Reply;
 import elmsail.batch.client.BatchContext;
 import elmsail.batch.client.BatchCounters;
 import elmsail.batch.client.BatchJobClient;
-import elmsail.batch.messages.BatchMessageTypes;
 import elmsail.batch.messages.JobBodyCodec;
 import elmsail.batch.messages.JobDescription;
 import elmsail.batch.messages.JobRecord;
@@ -14,93 +12,70 @@
 import elmsail.config.Route;
 import elmsail.consensus.Register;
 import elmsail.rpc.messages.Blob;
-import elmsail.rpc.messages.Voter;
 import elmsail.runtime.Invariant;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * One try to submit a job, in three rounds. The first looks at what waits on the route, and adds
- * nothing, so that jobs which have no chance are in nobody's way. The second adds the job's tokens
- * at a majority of stores. The third looks once more, now that the add surely stands at a majority:
- * of all jobs that are being accepted, the one whose add stood last sees the others. It brings the
- * body, so that it is at a majority before anyone is asked to take the job.
+ * One call that submits a job, in three rounds at the stores. {@code READ} counts the waiting
+ * tokens of the route and reserves nothing, so that jobs without a chance are in nobody's way.
+ * {@code RESERVE} adds the tokens of the job to the count of a majority. {@code COMMIT} counts once
+ * more: of all jobs that are being accepted, the one whose reservation came last sees the others.
+ * It carries the body, so that a majority has it before any store is asked to accept the record.
  *
- * <p>Jobs that are being accepted count against each other, so that of several that would fit one
- * by one each may find the route full. Of these the ones that go first in {@link
- * WaitingTokens#totalAheadOf} leave their add and look again; the others withdraw, and begin anew
- * once the first are through.
+ * <p>A job that does not fit because of other reservations waits for a while, see {@link
+ * AdmissionCheck}: it keeps its reservation if it is first in the order, else it withdraws it and
+ * begins again. Confined to the gateway's event loop.
  */
 final class SubmitHandler {
   private static final Logger LOG = LoggerFactory.getLogger(SubmitHandler.class);
   private static final long CHANGE_TIMEOUT_MS = 1_500;
+
+  /** With less time than this before its deadline no round is started. */
   private static final long MIN_ROUND_MS = 150;
+
   private static final long RETRY_DELAY_MS = 60;
 
-  /** How soon a job that waits for others being accepted looks again, where it goes first. */
+  /** How soon a contended job begins another round if it is first in the order. */
   private static final long CONTENDED_FIRST_RETRY_MS = 25;
 
-  /** And where it goes behind them. */
+  /** How soon it does if it is not. */
   private static final long CONTENDED_RETRY_MS = 60;
 
-  /** For how long a job waits for others being accepted. */
+  /** How long a job waits for others that are being accepted. */
   private static final long MAX_CONTENTION_WAIT_MS = 600;
 
-  /** Stores that did not answer a withdrawal are told again, so often and so much later. */
-  private static final int MAX_WITHDRAWAL_ATTEMPTS = 4;
-
-  private static final long WITHDRAWAL_RETRY_MS = 400;
-
-  private enum Round {
-    READ,
-    RESERVE,
-    COMMIT
-  }
-
-  private enum Verdict {
-    ALREADY_ACCEPTED,
-    FITS,
-    /** Full only by jobs that are being accepted too and go behind this one. */
-    CONTENDED_FIRST,
-    /** Full only by jobs that are being accepted too. */
-    CONTENDED,
-    /** Full by accepted jobs. */
-    OVER_QUOTA,
-    UNKNOWN
-  }
-
   private final BatchContext context;
   private final BatchJobClient jobClient;
   private final JobRunner runner;
   private final BatchReplies replies;
+  private final Submission submission;
   private final String jobId;
-  private final Route route;
-  private final List<BatchItem> items;
+  private final long tokens;
+  private final Blob body;
   private final JobRecord proposedRecord;
-  private final Blob bodyBlob = new Blob();
+  private final long startedAt;
   private final long deadline;
   private final CompletableFuture<Reply> replyFuture = new CompletableFuture<>();
-  private Verdict verdict;
   private WaitingTokens.Reservation reservation;
 
-  /** Whether the add may stand at a store. */
+  /** Whether a store may have the reservation. */
   private boolean mayBeReserved;
 
-  /** The count of both rounds: what either round brought. */
+  /** What was counted since the last wait, in all rounds together. */
   private WaitingTokens waitingTokens = new WaitingTokens();
 
+  /** Of the last round; null while none was judged since the last wait. */
+  private AdmissionVerdict verdict;
+
+  /** Whether a store may have accepted the record, although this gateway does not know it. */
   private boolean mayBeCommitted;
 
-  /**
-   * Whether the function has asked for the job to be taken: then one that is found may be this
-   * try's.
-   */
+  /** Whether the record was proposed in some round: then a committed one may be this call's. */
   private boolean commitProposed;
 
-  private final long startedAt;
   private long roundStartedAt;
   private int rounds;
 
@@ -109,254 +84,240 @@
       BatchJobClient jobClient,
       JobRunner runner,
       BatchReplies replies,
-      String jobId,
-      Route route,
-      List<BatchItem> items,
-      long deadlineMs) {
+      Submission submission) {
     this.context = context;
     this.jobClient = jobClient;
     this.runner = runner;
     this.replies = replies;
-    this.jobId = jobId;
-    this.route = route;
-    this.items = items;
+    this.submission = submission;
+    this.jobId = submission.jobId();
+    this.tokens = submission.tokens();
     this.startedAt = context.timers().now();
-    this.deadline = startedAt + deadlineMs;
-    long tokens = 0;
-    List<JobRecord.Item> recordItems = new ArrayList<>(items.size());
-    for (BatchItem item : items) {
-      recordItems.add(new JobRecord.Item(item.id(), item.tokens()));
-      tokens += item.tokens();
-    }
-    reservation =
-        new WaitingTokens.Reservation(route.name(), jobId, tokens, context.random().nextLong());
-    bodyBlob.bytes = JobBodyCodec.encode(items);
-    bodyBlob.name = JobBodyCodec.blobName(bodyBlob.bytes);
-    proposedRecord =
-        JobRecord.accepted(
-            new JobDescription(
-                route.name(),
-                route.host(),
-                context.clusterState().config().version(),
-                route.completionTargetMs(),
-                route.itemTtlMs(),
-                bodyBlob.name,
-                recordItems),
-            context.localAddress());
+    this.deadline = startedAt + submission.timeoutMs();
+    this.reservation = newReservation();
+    this.body = bodyBlob(submission);
+    this.proposedRecord = JobRecord.accepted(describe(submission), context.localAddress());
+  }
+
+  private WaitingTokens.Reservation newReservation() {
+    return new WaitingTokens.Reservation(
+        submission.route().name(), jobId, tokens, context.random().nextLong());
   }
 
+  private static Blob bodyBlob(Submission submission) {
+    Blob blob = new Blob();
+    blob.bytes = JobBodyCodec.encode(submission.items());
+    blob.name = JobBodyCodec.blobName(blob.bytes);
+    return blob;
+  }
+
+  private JobDescription describe(Submission submission) {
+    Route route = submission.route();
+    List<JobRecord.Item> items =
+        submission.items().stream()
+            .map(item -> new JobRecord.Item(item.id(), item.tokens()))
+            .toList();
+    return new JobDescription(
+        route.name(),
+        route.host(),
+        context.clusterState().config().version(),
+        route.completionTargetMs(),
+        route.itemTtlMs(),
+        body.name,
+        items);
+  }
+
+  /** The size of the encoded body. */
   int bodyBytes() {
-    return bodyBlob.bytes.length;
+    return body.bytes.length;
   }
 
+  /** Starts the first round; the future never fails. */
   CompletableFuture<Reply> start() {
     startRound(firstRound());
     return replyFuture;
   }
 
-  private Round firstRound() {
-    return limit() == 0 ? Round.COMMIT : Round.READ;
+  /** Without a limit there is nothing to count before. */
+  private AdmissionRound firstRound() {
+    return limit() == 0 ? AdmissionRound.COMMIT : AdmissionRound.READ;
   }
 
-  private void startRound(Round round) {
+  /** By the newest configuration; if the route is gone, its limit when the call arrived. */
+  private long limit() {
+    Route current = context.clusterState().config().routeByName(submission.route().name());
+    return current == null ? submission.route().maxWaitingTokens() : current.maxWaitingTokens();
+  }
+
+  private AdmissionCheck admissionCheck() {
+    return new AdmissionCheck(jobId, tokens, limit());
+  }
+
+  private void startRound(AdmissionRound round) {
     long remainingMs = deadline - context.timers().now();
     if (remainingMs < MIN_ROUND_MS) {
-      refuse(replies.unavailable());
+      reject(replies.unavailable());
       return;
     }
     roundStartedAt = context.timers().now();
     rounds++;
-    mayBeReserved |= round != Round.READ;
+    boolean reserves = round != AdmissionRound.READ;
+    mayBeReserved |= reserves;
     context
         .register()
         .change(
             JobRecord.registerKey(jobId),
             found -> propose(found, round),
-            round == Round.COMMIT ? List.of(bodyBlob) : List.of(),
-            (round == Round.READ ? reservation.withoutTokens() : reservation).encode(),
+            round == AdmissionRound.COMMIT ? List.of(body) : List.of(),
+            (reserves ? reservation : reservation.withoutTokens()).encode(),
             Math.min(CHANGE_TIMEOUT_MS, remainingMs))
         .whenComplete(
             (result, failure) -> {
               if (failure != null) {
                 onRoundFailed(failure);
               } else {
-                onRoundCompleted(result, round);
+                onRoundCompleted(result.current(), round);
               }
             });
   }
 
-  /** May be called again after a lost race. */
-  private Register.ProposedValue propose(Register.ObservedState found, Round round) {
-    if (found.value() != null) {
-      verdict = Verdict.ALREADY_ACCEPTED;
-      return new Register.ProposedValue(null, List.of());
-    }
-    if (found.sideEffects().size() < context.majority()) {
-      // A store that answers no count has no room for the add either.
-      verdict = Verdict.UNKNOWN;
-      return new Register.ProposedValue(null, List.of());
-    }
-    waitingTokens.mergeAll(found.sideEffects());
-    verdict = judge(round);
-    boolean commit = round == Round.COMMIT && verdict == Verdict.FITS;
+  /** Called again after each conflict with another proposer. */
+  private Register.ProposedValue propose(Register.ObservedState found, AdmissionRound round) {
+    verdict = judge(found, round);
+    boolean commit = round == AdmissionRound.COMMIT && verdict == AdmissionVerdict.FITS;
     commitProposed |= commit;
-    return new Register.ProposedValue(commit ? proposedRecord.encode() : null, List.of());
+    return BatchJobClient.proposal(commit ? proposedRecord : null);
   }
 
-  private Verdict judge(Round round) {
-    long limit = limit();
-    if (limit == 0 || waitingTokens.totalExcept(jobId) + reservation.tokens() <= limit) {
-      return Verdict.FITS;
+  private AdmissionVerdict judge(Register.ObservedState found, AdmissionRound round) {
+    if (found.value() != null) {
+      return AdmissionVerdict.ALREADY_ACCEPTED;
     }
-    if (waitingTokens.acceptedExcept(jobId) + reservation.tokens() > limit) {
-      return Verdict.OVER_QUOTA;
+    // A store that returns no count has not kept the reservation either.
+    if (found.sideEffects().size() < context.majority()) {
+      return AdmissionVerdict.UNKNOWN;
     }
-    boolean goesFirst = waitingTokens.totalAheadOf(jobId) + reservation.tokens() <= limit;
-    return goesFirst && round != Round.READ ? Verdict.CONTENDED_FIRST : Verdict.CONTENDED;
-  }
-
-  /** Of the newest configuration here; a route that is gone takes nothing more than it did. */
-  private long limit() {
-    Route current = context.clusterState().config().routeByName(route.name());
-    return current == null ? route.maxWaitingTokens() : current.maxWaitingTokens();
+    waitingTokens.mergeAll(found.sideEffects());
+    return admissionCheck().judge(waitingTokens, round);
   }
 
-  private void onRoundCompleted(Register.CommittedState result, Round round) {
-    if (result.current().value() != null) {
-      JobRecord record = jobClient.onCommitted(jobId, result.current());
-      boolean committedHere =
-          record.version() == 1 && record.runner().equals(context.localAddress()) && commitProposed;
-      if (committedHere) {
-        jobClient.cacheItems(jobId, items, bodyBytes());
-        runner.adopt(jobId, record, 0, roundStartedAt);
-      }
-      respond(BatchReplies.ACCEPTED);
+  private void onRoundCompleted(Register.VersionedValue committed, AdmissionRound round) {
+    if (committed.value() != null) {
+      onAccepted(jobClient.onCommitted(jobId, committed));
       return;
     }
     boolean mayWait = context.timers().now() - startedAt < MAX_CONTENTION_WAIT_MS;
-    if (verdict == Verdict.FITS) {
-      startRound(round == Round.READ ? Round.RESERVE : Round.COMMIT);
-    } else if (verdict == Verdict.CONTENDED_FIRST && mayWait) {
-      scheduleRound(CONTENDED_FIRST_RETRY_MS, Round.RESERVE);
-    } else if (verdict == Verdict.CONTENDED && mayWait) {
-      withdraw();
-      scheduleRound(CONTENDED_RETRY_MS, Round.READ);
+    if (verdict == AdmissionVerdict.FITS) {
+      startRound(round == AdmissionRound.READ ? AdmissionRound.RESERVE : AdmissionRound.COMMIT);
+    } else if (verdict == AdmissionVerdict.CONTENDED_FIRST && mayWait) {
+      scheduleRound(CONTENDED_FIRST_RETRY_MS, AdmissionRound.RESERVE);
+    } else if (verdict == AdmissionVerdict.CONTENDED && mayWait) {
+      withdrawReservation();
+      scheduleRound(CONTENDED_RETRY_MS, AdmissionRound.READ);
     } else {
-      refuse(verdict == Verdict.UNKNOWN ? replies.unavailable() : replies.overQuota());
+      boolean counted = verdict != AdmissionVerdict.UNKNOWN;
+      reject(counted ? replies.overQuota() : replies.unavailable());
     }
   }
 
+  private void onAccepted(JobRecord record) {
+    boolean committedHere =
+        record.version() == 1 && record.runner().equals(context.localAddress()) && commitProposed;
+    if (committedHere) {
+      jobClient.cacheItems(jobId, submission.items(), bodyBytes());
+      runner.adopt(jobId, record, 0, roundStartedAt);
+    }
+    respond(BatchReplies.ACCEPTED);
+  }
+
   private void onRoundFailed(Throwable failure) {
     mayBeCommitted |= BatchReplies.mayHaveTakenEffect(failure);
     if (deadline - context.timers().now() < 2 * MIN_ROUND_MS) {
-      refuse(replies.unavailable());
+      reject(replies.unavailable());
     } else {
       scheduleRound(RETRY_DELAY_MS, firstRound());
     }
   }
 
-  /** What was seen is forgotten: others may have withdrawn since. */
-  private void scheduleRound(long delayMs, Round round) {
+  /** Begins a round after a delay, and counts anew, as other jobs may be withdrawn by then. */
+  private void scheduleRound(long delayMs, AdmissionRound round) {
     waitingTokens = new WaitingTokens();
     verdict = null;
     context.timers().schedule(context.jittered(delayMs), () -> startRound(round));
   }
 
   /**
-   * Ends the try with a promise that nothing of it runs; but once an acceptance was sent, a store
-   * may have taken it alone, and whoever comes upon that finishes it.
+   * Rejects the job, which promises that it never runs. That cannot be promised once a commit may
+   * have been sent: one store may have accepted the record, and whoever finds it there completes
+   * it.
    */
-  private void refuse(Reply reply) {
+  private void reject(Reply reply) {
     if (mayBeCommitted) {
       respond(BatchReplies.OUTCOME_UNKNOWN);
       return;
     }
-    withdraw();
+    withdrawReservation();
     respond(reply);
   }
 
-  /** Takes the add back; the next one is told apart from it. */
-  private void withdraw() {
+  /** Withdraws the reservation; a later one has another attempt id. */
+  private void withdrawReservation() {
     if (mayBeReserved) {
-      withdraw(reservation, context.stores(), MAX_WITHDRAWAL_ATTEMPTS);
+      new ReservationWithdrawal(context, reservation).start();
       mayBeReserved = false;
-      reservation =
-          new WaitingTokens.Reservation(
-              reservation.routeName(), jobId, reservation.tokens(), context.random().nextLong());
+      reservation = newReservation();
     }
   }
 
-  private void withdraw(WaitingTokens.Reservation withdrawn, List<Voter> stores, int attemptsLeft) {
-    List<Voter> unanswered = new ArrayList<>();
-    int[] left = {stores.size()};
-    context.callEach(
-        stores,
-        BatchMessageTypes.message(BatchMessageTypes.WITHDRAW, withdrawn.encode()),
-        WITHDRAWAL_RETRY_MS,
-        (store, response) -> {
-          if (response == null) {
-            unanswered.add(store);
-          }
-          if (--left[0] == 0 && !unanswered.isEmpty() && attemptsLeft > 1) {
-            context
-                .timers()
-                .schedule(
-                    WITHDRAWAL_RETRY_MS, () -> withdraw(withdrawn, unanswered, attemptsLeft - 1));
-          }
-        });
-  }
-
   private void respond(Reply reply) {
     if (LOG.isDebugEnabled()) {
       LOG.debug(
-          "submit {} {}: own={} waiting={} of these pending={} limit={} verdict={} rounds={} ms={}"
-              + " bytes={}",
+          "job submission answered: job={} status={} tokens={} waiting={} pending={} limit={}"
+              + " verdict={} rounds={} ms={} bytes={}",
           jobId,
           reply.status(),
-          reservation.tokens(),
+          tokens,
           waitingTokens.totalExcept(jobId),
           waitingTokens.pendingExcept(jobId),
           limit(),
           verdict,
           rounds,
           context.timers().now() - startedAt,
-          bodyBlob.bytes.length);
+          bodyBytes());
     }
-    countReply(reply);
+    count(reply);
     replyFuture.complete(reply);
   }
 
-  private void countReply(Reply reply) {
+  private void count(Reply reply) {
     BatchCounters counters = context.counters();
     if (reply.status() == BatchReplies.ACCEPTED.status()) {
       counters.submitAccepted.add(1);
     } else {
       counters.submitRejected.add(1);
     }
-    if (verdict == Verdict.OVER_QUOTA
-        || verdict == Verdict.CONTENDED_FIRST
-        || verdict == Verdict.CONTENDED) {
-      checkRefusal();
-      boolean overQuota = waitingTokens.acceptedExcept(jobId) + reservation.tokens() > limit();
+    if (verdict != null && verdict.exceedsLimit()) {
+      AdmissionCheck check = admissionCheck();
+      checkRejection(check);
+      boolean overQuota = check.exceedsLimitByAccepted(waitingTokens);
       (overQuota ? counters.submitOverQuota : counters.submitContended).add(1);
     }
   }
 
-  private void checkRefusal() {
+  private void checkRejection(AdmissionCheck check) {
     boolean waited = context.timers().now() - startedAt >= MAX_CONTENTION_WAIT_MS;
-    boolean fits = waitingTokens.totalAheadOf(jobId) + reservation.tokens() <= limit();
     context
         .invariants()
         .check(
             Invariant.FITTING_JOB_IS_NOT_REFUSED_AT_ONCE,
-            waited || !fits,
+            waited || !check.fitsInOrder(waitingTokens),
             () ->
                 jobId
                     + ": "
-                    + reservation.tokens()
+                    + check.tokens()
                     + " behind "
                     + waitingTokens.totalAheadOf(jobId)
                     + " of "
-                    + limit());
+                    + check.limit());
   }
 }
--- a/batch/src/main/java/elmsail/batch/client/BatchContext.java
+++ b/batch/src/main/java/elmsail/batch/client/BatchContext.java
@@ -1,5 +1,6 @@
 package elmsail.batch.client;
 
+import elmsail.batch.BatchSettings;
 import elmsail.config.ClusterState;
 import elmsail.consensus.Register;
 import elmsail.rpc.RpcClient;
@@ -9,64 +10,105 @@
 import elmsail.runtime.Timers;
 import java.util.List;
 import java.util.Random;
-import java.util.function.BiConsumer;
+import java.util.function.Consumer;
 
 /**
- * What a gateway's parts work with, all on the loop.
+ * What the parts of one gateway's batch service share. Confined to the gateway's event loop.
  *
- * @param localAddress this gateway's inner address
- * @param cancelMs within which no item of an ended job may be sent any more
- * @param counters what is counted of jobs here
- * @param invariants what must hold of them
+ * @param register of the voter set of the job stores
  */
 public record BatchContext(
     Register register,
-    RpcClient caller,
+    RpcClient rpcClient,
     Timers timers,
     ClusterState clusterState,
-    String localAddress,
+    BatchSettings settings,
     Random random,
-    long cancelMs,
-    BatchCounters counters,
-    Invariants invariants) {
+    BatchMetrics metrics) {
 
-  /** The voters of the store set that is known at present; empty before there is one. */
+  /**
+   * What became of a call to one store.
+   *
+   * @param message null if the store did not respond, or with a message of another kind
+   */
+  public record StoreResponse(Voter store, OpaqueMessage message) {
+    /** Whether the store responded with a message of the kind that was requested. */
+    public boolean isPresent() {
+      return message != null;
+    }
+  }
+
+  /** Counts down the responses of one call to several stores. */
+  private static final class PendingResponses {
+    private int remaining;
+    private final Runnable onAllCompleted;
+
+    PendingResponses(int remaining, Runnable onAllCompleted) {
+      this.remaining = remaining;
+      this.onAllCompleted = onAllCompleted;
+    }
+
+    void completed() {
+      remaining--;
+      if (remaining == 0) {
+        onAllCompleted.run();
+      }
+    }
+  }
+
+  /** This gateway's RPC address. */
+  public String localAddress() {
+    return settings.localAddress();
+  }
+
+  /** The counters of this gateway's batch service. */
+  public BatchCounters counters() {
+    return metrics.counters();
+  }
+
+  /** The invariants that are checked here. */
+  public Invariants invariants() {
+    return metrics.invariants();
+  }
+
+  /** The voters of the job-store set, as far as it is known here; empty before it is known. */
   public List<Voter> stores() {
     return clusterState.view().jobStoreVoters.voters;
   }
 
-  /** How many stores are a majority; 1 where there are none, so that nothing is ever agreed. */
+  /**
+   * The size of a majority of the stores; 1 if none is known, so that no quorum is ever reached.
+   */
   public int majority() {
     return stores().size() / 2 + 1;
   }
 
   /**
-   * Asks every store; {@code listener} gets a null for each that gave no answer, so as many as
-   * there are.
+   * Calls each of these stores.
+   *
+   * @param onResponse called once for each store, also if it did not respond
+   * @param onAllCompleted called once after the last {@code onResponse}; never without stores
    */
-  public void callStores(
-      OpaqueMessage request, long timeoutMs, BiConsumer<Voter, OpaqueMessage> listener) {
-    callEach(stores(), request, timeoutMs, listener);
-  }
-
-  /** Asks these stores likewise. */
   public void callEach(
       List<Voter> stores,
       OpaqueMessage request,
       long timeoutMs,
-      BiConsumer<Voter, OpaqueMessage> listener) {
+      Consumer<StoreResponse> onResponse,
+      Runnable onAllCompleted) {
+    PendingResponses pending = new PendingResponses(stores.size(), onAllCompleted);
     for (Voter store : stores) {
-      caller
+      rpcClient
           .call(store.address, request, OpaqueMessage.class, timeoutMs)
           .whenComplete(
-              (response, failure) ->
-                  listener.accept(
-                      store,
-                      failure == null && request.kind.equals(response.kind) ? response : null));
+              (response, failure) -> {
+                boolean usable = failure == null && request.kind.equals(response.kind);
+                onResponse.accept(new StoreResponse(store, usable ? response : null));
+                pending.completed();
+              });
     }
   }
 
-  /** Between half as long and half again. */
+  /** A random delay between half of this one and one and a half times it, in ms. */
   public long jittered(long ms) {
     return ms / 2 + (long) (random.nextDouble() * ms);
   }
--- a/batch/src/main/java/elmsail/batch/client/BatchCounters.java
+++ b/batch/src/main/java/elmsail/batch/client/BatchCounters.java
@@ -2,22 +2,21 @@
 
 import elmsail.runtime.Counters;
 
-/** What a gateway counts of batch jobs; on the loop. */
+/** The counters of a gateway's batch service; confined to its event loop. */
 public final class BatchCounters {
-
-  /** Jobs that were accepted here. */
+  /** Submissions that were accepted. */
   public final Counters.Counter submitAccepted;
 
-  /** Jobs that were refused here, for whatever reason. */
+  /** Submissions that were rejected, for whatever reason. */
   public final Counters.Counter submitRejected;
 
-  /** Of the refused: the accepted jobs and the one itself pass the route's limit. */
+  /** Of the rejected: with the accepted jobs alone it exceeds the limit of the route. */
   public final Counters.Counter submitOverQuota;
 
-  /** Of the refused: they fit, but for jobs that were being accepted at the same time. */
+  /** Of the rejected: it fits, except for jobs that were being accepted at the same time. */
   public final Counters.Counter submitContended;
 
-  /** Takes its counters from those of the process. */
+  /** Registers the counters with those of the process. */
   public BatchCounters(Counters counters) {
     submitAccepted = counters.counter("batch_submit_accepted");
     submitRejected = counters.counter("batch_submit_refused");
--- a/batch/src/main/java/elmsail/batch/client/BatchJobClient.java
+++ b/batch/src/main/java/elmsail/batch/client/BatchJobClient.java
@@ -13,25 +13,39 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
+import java.util.function.UnaryOperator;
 
-/** Jobs' decided records, bodies and texts, as read at the stores, with bounded caches of each. */
+/**
+ * Reads and changes the committed records of jobs at the stores, and reads their bodies and result
+ * texts, with a bounded cache of each. Confined to the gateway's event loop, on which all futures
+ * complete; those fail with an {@link ElmsailException}, possibly as a cause.
+ */
 public final class BatchJobClient {
   private static final long MAX_RECORDS_BYTES = 4L << 20;
   private static final long MAX_BODIES_BYTES = 8L << 20;
   private static final long MAX_TEXTS_BYTES = 8L << 20;
-  private static final int ITEM_BYTES = 120;
 
-  private record CachedRecord(Ballot ballot, JobRecord record) {}
+  /** Estimates of what an entry of a cache takes beside its own bytes. */
+  private static final int RECORD_OVERHEAD_BYTES = 200;
+
+  private static final int RECORD_ITEM_BYTES = 120;
+  private static final int BLOB_OVERHEAD_BYTES = 100;
+
+  private record CachedRecord(Ballot ballot, JobRecord record) {
+    int bytes() {
+      return RECORD_OVERHEAD_BYTES + record.items().size() * RECORD_ITEM_BYTES;
+    }
+  }
 
   private record CachedItems(List<BatchItem> items, int bytes) {}
 
   private final Register register;
   private final Invariants invariants;
   private final LruCache<CachedRecord> records =
-      new LruCache<>(
-          MAX_RECORDS_BYTES, cached -> 200 + cached.record().items().size() * ITEM_BYTES);
+      new LruCache<>(MAX_RECORDS_BYTES, CachedRecord::bytes);
   private final LruCache<CachedItems> bodies = new LruCache<>(MAX_BODIES_BYTES, CachedItems::bytes);
-  private final LruCache<byte[]> texts = new LruCache<>(MAX_TEXTS_BYTES, text -> text.length + 100);
+  private final LruCache<byte[]> texts =
+      new LruCache<>(MAX_TEXTS_BYTES, text -> text.length + BLOB_OVERHEAD_BYTES);
   private final Map<String, CompletableFuture<byte[]>> pendingFetches = new HashMap<>();
 
   /** A client with empty caches that reads through this register. */
@@ -40,7 +54,10 @@
     this.invariants = invariants;
   }
 
-  /** The decided record, at least as new as this call; null if there is surely none. */
+  /**
+   * The committed record of a job, at least as new as when this is called; null if there is
+   * certainly none.
+   */
   public CompletableFuture<JobRecord> read(String jobId, long timeoutMs) {
     CachedRecord cached = records.get(jobId);
     return register
@@ -48,7 +65,35 @@
         .thenApply(committed -> cacheIfNewer(jobId, cached, committed));
   }
 
-  /** Takes what a read or a change said is decided; null if there is none. */
+  /**
+   * Changes the record of a job.
+   *
+   * @param change is given the current record, or null if there is none, and returns the record to
+   *     propose, or null to leave it; may be called more than once
+   * @return the record that is committed afterwards, or null if there is none
+   */
+  public CompletableFuture<JobRecord> change(
+      String jobId, UnaryOperator<JobRecord> change, long timeoutMs) {
+    return register
+        .change(
+            JobRecord.registerKey(jobId),
+            found -> proposal(change.apply(JobRecord.decodeNullable(found.value()))),
+            List.of(),
+            null,
+            timeoutMs)
+        .thenApply(result -> onCommitted(jobId, result.current()));
+  }
+
+  /** The value to propose for a record; null declines the change and leaves what is there. */
+  public static Register.ProposedValue proposal(JobRecord record) {
+    return new Register.ProposedValue(record == null ? null : record.encode(), List.of());
+  }
+
+  /**
+   * Caches a record that a read or a change has found committed.
+   *
+   * @return the record, or null if there is none
+   */
   public JobRecord onCommitted(String jobId, Register.VersionedValue committed) {
     return cacheIfNewer(jobId, records.get(jobId), committed);
   }
@@ -56,9 +101,8 @@
   private JobRecord cacheIfNewer(
       String jobId, CachedRecord cached, Register.VersionedValue committed) {
     if (committed.value() == null) {
-      return cached != null && sameBallot(cached.ballot(), committed.ballot())
-          ? cached.record()
-          : null;
+      boolean unchanged = cached != null && sameBallot(cached.ballot(), committed.ballot());
+      return unchanged ? cached.record() : null;
     }
     JobRecord record = JobRecord.decode(committed.value());
     CachedRecord newest = records.get(jobId);
@@ -79,7 +123,7 @@
         && one.proposerId == other.proposerId;
   }
 
-  /** The batchItems of a job that is there; fails if nobody who has them answers. */
+  /** The items of a job; fails if no store that has them responds. */
   public CompletableFuture<List<BatchItem>> readItems(
       String jobId, JobRecord record, long timeoutMs) {
     CachedItems cached = bodies.get(jobId);
@@ -95,42 +139,51 @@
             });
   }
 
-  /** Caches the items of a job; {@code bytes} is what they count for in the cache. */
+  /**
+   * Caches the items of a job.
+   *
+   * @param bytes the size of their encoded form
+   */
   public void cacheItems(String jobId, List<BatchItem> items, int bytes) {
-    bodies.put(jobId, new CachedItems(items, bytes + 100));
+    bodies.put(jobId, new CachedItems(items, bytes + BLOB_OVERHEAD_BYTES));
   }
 
-  /** The text of a listed result; fails if nobody who has it answers. */
+  /** The text of a recorded result; fails if no store that has it responds. */
   public CompletableFuture<byte[]> readText(String jobId, JobRecord.Result result, long timeoutMs) {
-    String blobName = jobId + "/" + result.textBlobName();
-    byte[] cached = texts.get(blobName);
+    String cacheKey = blobKey(jobId, result.textBlobName());
+    byte[] cached = texts.get(cacheKey);
     if (cached != null) {
       return CompletableFuture.completedFuture(cached);
     }
     return fetch(jobId, result.textBlobName(), timeoutMs)
         .thenApply(
             bytes -> {
-              boolean complete = bytes.length == result.textBytes();
-              invariants.check(
-                  Invariant.RESULT_TEXT_IS_WHOLE,
-                  complete,
-                  () -> blobName + ": " + bytes.length + " of " + result.textBytes() + " bytes");
-              if (!complete) {
-                throw new ElmsailException(
-                    ErrorCode.MALFORMED, "a text of " + bytes.length + " bytes");
-              }
-              texts.put(blobName, bytes);
+              checkLength(cacheKey, bytes.length, result.textBytes());
+              texts.put(cacheKey, bytes);
               return bytes;
             });
   }
 
+  private void checkLength(String blobKey, int found, int expected) {
+    invariants.check(
+        Invariant.RESULT_TEXT_IS_WHOLE,
+        found == expected,
+        () -> blobKey + ": " + found + " of " + expected + " bytes");
+    if (found != expected) {
+      throw new ElmsailException(
+          ErrorCode.MALFORMED,
+          "blob " + blobKey + ": expected " + expected + " bytes, found " + found);
+    }
+  }
+
   /** Caches the text of a result. */
   public void cacheText(String jobId, JobRecord.Result result, byte[] text) {
-    texts.put(jobId + "/" + result.textBlobName(), text);
+    texts.put(blobKey(jobId, result.textBlobName()), text);
   }
 
+  /** Fetches a blob; calls for one that is being fetched share the response. */
   private CompletableFuture<byte[]> fetch(String jobId, String blobName, long timeoutMs) {
-    String blobKey = jobId + "/" + blobName;
+    String blobKey = blobKey(jobId, blobName);
     CompletableFuture<byte[]> pending = pendingFetches.get(blobKey);
     if (pending != null) {
       return pending;
@@ -141,7 +194,8 @@
             .thenApply(
                 bytes -> {
                   if (bytes == null) {
-                    throw new ElmsailException(ErrorCode.NO_QUORUM, "no store has " + blobName);
+                    throw new ElmsailException(
+                        ErrorCode.NO_QUORUM, "no store has the blob " + blobKey);
                   }
                   return bytes;
                 });
@@ -149,4 +203,8 @@
     fetched.whenComplete((bytes, failure) -> pendingFetches.remove(blobKey));
     return fetched;
   }
+
+  private static String blobKey(String jobId, String blobName) {
+    return jobId + "/" + blobName;
+  }
 }
--- a/batch/src/main/java/elmsail/batch/client/LruCache.java
+++ b/batch/src/main/java/elmsail/batch/client/LruCache.java
@@ -5,7 +5,10 @@
 import java.util.Map;
 import java.util.function.ToIntFunction;
 
-/** A map of bounded weight: what was asked for least lately goes first. */
+/**
+ * A map of bounded weight that evicts the least recently used entries. One entry stays, whatever
+ * its weight. Not thread-safe.
+ */
 final class LruCache<V> {
   private final long maxWeight;
   private final ToIntFunction<V> weigher;
@@ -13,17 +16,20 @@
   private long weight;
 
   /**
-   * @param maxWeight the weight of all, in what the weigher gives
+   * @param maxWeight of all entries together, in the unit of the weigher
+   * @param weigher must give the same weight for a value each time
    */
   LruCache(long maxWeight, ToIntFunction<V> weigher) {
     this.maxWeight = maxWeight;
     this.weigher = weigher;
   }
 
+  /** The value of the key, or null. */
   V get(String key) {
     return map.get(key);
   }
 
+  /** Sets the value of the key and evicts others while the cache is too heavy. */
   void put(String key, V value) {
     V previous = map.put(key, value);
     weight += weigher.applyAsInt(value) - (previous == null ? 0 : weigher.applyAsInt(previous));
--- a/batch/src/main/java/elmsail/batch/package-info.java
+++ b/batch/src/main/java/elmsail/batch/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Batch jobs: many items that a client submits in one call and reads back later. The packages below
- * hold the calls of clients, the messages and records, the stores' part and the running of the
- * items.
+ * Batch jobs: a client submits many items in one call and reads their results later. The packages
+ * below hold the calls of clients ({@code api}), the records and messages ({@code messages}),
+ * access to the stores ({@code client}), the running of items at a gateway ({@code run}) and the
+ * store's side ({@code store}).
  */
 package elmsail.batch;
--- a/batch/src/main/java/elmsail/batch/run/BodyLoader.java
+++ b/batch/src/main/java/elmsail/batch/run/BodyLoader.java
@@ -3,7 +3,10 @@
 import elmsail.batch.client.BatchContext;
 import elmsail.batch.client.BatchJobClient;
 
-/** Gets the bodies of jobs that this gateway runs, a few at a time. On the loop. */
+/**
+ * Loads the bodies of the jobs that this gateway runs, a few at a time. Confined to the gateway's
+ * event loop.
+ */
 final class BodyLoader {
   private static final long FETCH_TIMEOUT_MS = 1_500;
   private static final int MAX_CONCURRENT_FETCHES = 2;
@@ -15,7 +18,7 @@
   private int fetchesInFlight;
 
   /**
-   * @param onFetchEnded called whenever a further job may be looked at
+   * @param onFetchEnded called whenever a further fetch may be started
    */
   BodyLoader(BatchContext context, BatchJobClient jobClient, Runnable onFetchEnded) {
     this.context = context;
@@ -23,7 +26,7 @@
     this.onFetchEnded = onFetchEnded;
   }
 
-  /** Begins to fetch the job's items, unless that is under way or enough others are. */
+  /** Fetches the items of a job, unless this or too many other fetches are in flight. */
   void fetch(RunningJob job) {
     if (job.fetching || fetchesInFlight >= MAX_CONCURRENT_FETCHES) {
       return;
--- a/batch/src/main/java/elmsail/batch/run/FailoverMonitor.java
+++ b/batch/src/main/java/elmsail/batch/run/FailoverMonitor.java
@@ -4,12 +4,9 @@
 import elmsail.batch.client.BatchJobClient;
 import elmsail.batch.messages.AbandonedJob;
 import elmsail.batch.messages.BatchMessageTypes;
-import elmsail.batch.messages.ByteReader;
 import elmsail.batch.messages.ByteWriter;
 import elmsail.batch.messages.ContentDigest;
-import elmsail.batch.messages.HeartbeatMessage;
 import elmsail.batch.messages.JobRecord;
-import elmsail.consensus.Register;
 import elmsail.rpc.messages.OpaqueMessage;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -19,28 +16,30 @@
 import java.util.Set;
 
 /**
- * Tells the stores what this gateway runs, by which it knows that the jobs are still its own, and
- * takes over jobs whose runner sends no heartbeats any more.
+ * Keeps the leases of this gateway's jobs, and takes over jobs whose runner sends no heartbeats any
+ * more. A job is taken over once a majority of the stores reports it as abandoned. For each job the
+ * gateways have another order (rendezvous hashing), in which they wait ever longer, so that mostly
+ * one proposes to take it over; the register decides between several. Confined to the gateway's
+ * event loop.
  */
 public final class FailoverMonitor {
-  private static final long HEARTBEAT_INTERVAL_MS = 500;
   private static final long SCAN_INTERVAL_MS = 700;
   private static final long RESPONSE_TIMEOUT_MS = 600;
   private static final long HEARTBEAT_TIMEOUT_MS = 2_000;
+
+  /** How much longer each gateway of the job's order waits than the one before it. */
   private static final long RANK_DELAY_MS = 400;
 
-  /** A store alone in having had no heartbeat of a job for so long has missed a change of it. */
+  /** A store that alone lacks heartbeats of a job for so long has missed a change of the record. */
   private static final long STALE_STORE_MS = 6_000;
 
   private static final long CHANGE_TIMEOUT_MS = 1_500;
   private static final int MAX_CONCURRENT_TAKEOVERS = 8;
 
-  /** Jobs of one heartbeat; the rest are confirmed by reads. */
-  private static final int MAX_HEARTBEAT_JOBS = 1_000;
-
   private final BatchContext context;
   private final BatchJobClient jobClient;
   private final JobRunner runner;
+  private final LeaseKeeper leaseKeeper;
   private final Set<String> takeoversInFlight = new HashSet<>();
 
   /** A monitor that does nothing before {@link #start}. */
@@ -48,130 +47,75 @@
     this.context = context;
     this.jobClient = jobClient;
     this.runner = runner;
+    this.leaseKeeper = new LeaseKeeper(context, jobClient, runner);
   }
 
   /**
-   * Begins both rounds, each after a time drawn about its period, so that gateways do not go in
+   * Starts the heartbeats and the scans, each after a random delay so that gateways do not act in
    * step.
    */
   public void start() {
-    context.timers().schedule(context.jittered(HEARTBEAT_INTERVAL_MS), this::sendHeartbeat);
+    leaseKeeper.start();
     context.timers().schedule(context.jittered(SCAN_INTERVAL_MS), this::scanForAbandonedJobs);
   }
 
-  private void sendHeartbeat() {
-    context.timers().schedule(HEARTBEAT_INTERVAL_MS, this::sendHeartbeat);
-    List<RunningJob> jobs = runner.jobsByDueTime();
-    if (jobs.isEmpty()) {
-      return;
-    }
-    long sentAt = context.timers().now();
-    List<RunningJob> reportedJobs =
-        jobs.size() > MAX_HEARTBEAT_JOBS ? jobs.subList(0, MAX_HEARTBEAT_JOBS) : jobs;
-    List<HeartbeatMessage.JobLease> leases = new ArrayList<>(reportedJobs.size());
-    for (RunningJob job : reportedJobs) {
-      leases.add(new HeartbeatMessage.JobLease(job.id, job.term));
-    }
-    int[] yours = new int[reportedJobs.size()];
-    int majority = context.majority();
-    OpaqueMessage heartbeat =
-        BatchMessageTypes.message(
-            BatchMessageTypes.HEARTBEAT,
-            new HeartbeatMessage(context.localAddress(), leases).encode());
-    context.callStores(
-        heartbeat,
-        RESPONSE_TIMEOUT_MS,
-        (store, response) -> {
-          if (response != null) {
-            ByteReader reader = new ByteReader(response.bytes);
-            for (int i = 0; i < yours.length && reader.hasRemaining(); i++) {
-              long status = reader.readVarint();
-              RunningJob job = reportedJobs.get(i);
-              if (status == HeartbeatMessage.LEASE_HELD && ++yours[i] == majority) {
-                job.confirm(sentAt);
-              } else if (status == HeartbeatMessage.LEASE_LOST) {
-                confirmByRead(job);
-              }
-            }
-          }
-        });
-    for (RunningJob job : jobs) {
-      runner.cancelUnansweredRuns(job);
-      if (sentAt - job.confirmedAt > 2 * HEARTBEAT_INTERVAL_MS) {
-        confirmByRead(job);
-      }
-    }
-  }
-
-  private void confirmByRead(RunningJob job) {
-    if (job.confirmingRead || job.stopped) {
-      return;
-    }
-    job.confirmingRead = true;
-    long startedAt = context.timers().now();
-    jobClient
-        .read(job.id, RESPONSE_TIMEOUT_MS)
-        .whenComplete(
-            (record, failure) -> {
-              job.confirmingRead = false;
-              if (failure == null && !job.stopped) {
-                runner.onRecordRead(job.id, record, startedAt);
-              }
-            });
-  }
-
   private void scanForAbandonedJobs() {
     context.timers().schedule(context.jittered(SCAN_INTERVAL_MS), this::scanForAbandonedJobs);
-    int storeCount = context.stores().size();
-    if (storeCount == 0) {
-      return;
-    }
     Map<String, List<AbandonedJob>> reportsByJob = new HashMap<>();
-    int[] answers = new int[1];
     OpaqueMessage request =
         BatchMessageTypes.message(
             BatchMessageTypes.ABANDONED,
             new ByteWriter().writeVarint(HEARTBEAT_TIMEOUT_MS).toByteArray());
-    context.callStores(
+    context.callEach(
+        context.stores(),
         request,
         RESPONSE_TIMEOUT_MS,
-        (store, response) -> {
-          if (response != null) {
-            for (AbandonedJob report : AbandonedJob.decode(response.bytes)) {
+        response -> {
+          if (response.isPresent()) {
+            for (AbandonedJob report : AbandonedJob.decode(response.message().bytes)) {
               reportsByJob.computeIfAbsent(report.jobId(), jobId -> new ArrayList<>()).add(report);
             }
           }
-          if (++answers[0] == storeCount) {
-            reportsByJob.forEach(this::evaluate);
-          }
-        });
+        },
+        () -> reportsByJob.forEach(this::evaluate));
   }
 
-  private void evaluate(String jobId, List<AbandonedJob> reports) {
-    int rank = rank(jobId);
-    long sinceHeartbeatMs = Long.MAX_VALUE;
-    long term = 0;
-    int overdueReports = 0;
-    for (AbandonedJob report : reports) {
-      term = Math.max(term, report.term());
-      if (report.sinceHeartbeatMs() >= HEARTBEAT_TIMEOUT_MS + rank * RANK_DELAY_MS) {
-        overdueReports++;
-        sinceHeartbeatMs = Math.min(sinceHeartbeatMs, report.sinceHeartbeatMs());
+  /**
+   * The reports of the stores that this gateway acts on: those that are old enough for its rank.
+   */
+  private record OverdueReports(int count, long term, long sinceHeartbeatMs) {
+    static OverdueReports of(List<AbandonedJob> reports, int rank) {
+      long term = 0;
+      long sinceHeartbeatMs = Long.MAX_VALUE;
+      int count = 0;
+      for (AbandonedJob report : reports) {
+        term = Math.max(term, report.term());
+        if (report.sinceHeartbeatMs() >= HEARTBEAT_TIMEOUT_MS + rank * RANK_DELAY_MS) {
+          count++;
+          sinceHeartbeatMs = Math.min(sinceHeartbeatMs, report.sinceHeartbeatMs());
+        }
       }
+      return new OverdueReports(count, term, sinceHeartbeatMs);
     }
+  }
+
+  private void evaluate(String jobId, List<AbandonedJob> reports) {
+    int rank = rank(jobId);
+    OverdueReports overdue = OverdueReports.of(reports, rank);
     if (takeoversInFlight.size() >= MAX_CONCURRENT_TAKEOVERS
         || takeoversInFlight.contains(jobId)
         || runner.isRunning(jobId)) {
       return;
     }
-    if (overdueReports >= context.majority()) {
-      takeOver(jobId, term, sinceHeartbeatMs);
-    } else if (overdueReports > 0 && sinceHeartbeatMs > STALE_STORE_MS + rank * SCAN_INTERVAL_MS) {
+    if (overdue.count() >= context.majority()) {
+      new Takeover(jobId, overdue).start();
+    } else if (overdue.count() > 0
+        && overdue.sinceHeartbeatMs() > STALE_STORE_MS + rank * SCAN_INTERVAL_MS) {
       rewriteRecord(jobId);
     }
   }
 
-  /** How many gateways come before this one in the job's own order of gateways. */
+  /** How many gateways precede this one in the order of the job. */
   private int rank(String jobId) {
     long ownDigest = ContentDigest.of(context.localAddress() + "|" + jobId);
     int gatewaysAhead = 0;
@@ -184,65 +128,53 @@
     return gatewaysAhead;
   }
 
-  private void takeOver(String jobId, long term, long sinceHeartbeatMs) {
-    takeoversInFlight.add(jobId);
-    long startedAt = context.timers().now();
-    boolean[] proposed = new boolean[1];
-    context
-        .register()
-        .change(
-            JobRecord.registerKey(jobId),
-            found -> {
-              JobRecord record = JobRecord.decodeNullable(found.value());
-              if (record == null || !record.isOpen() || record.term() != term) {
-                return new Register.ProposedValue(null, List.of());
-              }
-              proposed[0] = true;
-              return new Register.ProposedValue(
-                  record
-                      .withRunner(context.localAddress(), record.ageMs() + sinceHeartbeatMs)
-                      .encode(),
-                  List.of());
-            },
-            List.of(),
-            null,
-            CHANGE_TIMEOUT_MS)
-        .whenComplete(
-            (result, failure) -> {
-              takeoversInFlight.remove(jobId);
-              JobRecord record =
-                  failure == null ? jobClient.onCommitted(jobId, result.current()) : null;
-              if (proposed[0]
-                  && record != null
-                  && record.term() == term + 1
-                  && record.runner().equals(context.localAddress())) {
-                runner.adopt(jobId, record, record.ageMs(), startedAt);
-              }
-            });
+  /** One attempt to become the runner of an abandoned job. */
+  private final class Takeover {
+    private final String jobId;
+    private final OverdueReports overdue;
+    private final long startedAt = context.timers().now();
+    private boolean proposed;
+
+    Takeover(String jobId, OverdueReports overdue) {
+      this.jobId = jobId;
+      this.overdue = overdue;
+    }
+
+    void start() {
+      takeoversInFlight.add(jobId);
+      jobClient
+          .change(jobId, this::propose, CHANGE_TIMEOUT_MS)
+          .whenComplete((record, failure) -> onCompleted(record));
+    }
+
+    private JobRecord propose(JobRecord current) {
+      if (current == null || !current.isOpen() || current.term() != overdue.term()) {
+        return null;
+      }
+      proposed = true;
+      return current.withRunner(
+          context.localAddress(), current.ageMs() + overdue.sinceHeartbeatMs());
+    }
+
+    /**
+     * @param committed null if the change failed or there is no such job
+     */
+    private void onCompleted(JobRecord committed) {
+      takeoversInFlight.remove(jobId);
+      if (proposed
+          && committed != null
+          && committed.term() == overdue.term() + 1
+          && committed.runner().equals(context.localAddress())) {
+        runner.adopt(jobId, committed, committed.ageMs(), startedAt);
+      }
+    }
   }
 
-  /** Writes a job's record once more, for a store that missed it. */
+  /** Commits the record of a job once more, unchanged, for a store that missed it. */
   private void rewriteRecord(String jobId) {
     takeoversInFlight.add(jobId);
-    context
-        .register()
-        .change(
-            JobRecord.registerKey(jobId),
-            found -> {
-              JobRecord record = JobRecord.decodeNullable(found.value());
-              return record == null
-                  ? new Register.ProposedValue(null, List.of())
-                  : new Register.ProposedValue(record.rewritten().encode(), List.of());
-            },
-            List.of(),
-            null,
-            CHANGE_TIMEOUT_MS)
-        .whenComplete(
-            (result, failure) -> {
-              takeoversInFlight.remove(jobId);
-              if (failure == null) {
-                jobClient.onCommitted(jobId, result.current());
-              }
-            });
+    jobClient
+        .change(jobId, current -> current == null ? null : current.rewritten(), CHANGE_TIMEOUT_MS)
+        .whenComplete((record, failure) -> takeoversInFlight.remove(jobId));
   }
 }
--- a/batch/src/main/java/elmsail/batch/run/JobEndLog.java
+++ b/batch/src/main/java/elmsail/batch/run/JobEndLog.java
@@ -5,8 +5,8 @@
 import org.slf4j.event.Level;
 
 /**
- * The log of jobs that this gateway stops running: a line for each that is past its due time, and a
- * debug line for each other one.
+ * Logs the jobs that this gateway stops running: at level INFO those that are past their due time,
+ * the others at DEBUG. Operators know the line by {@code docs/tier-operations.md}.
  */
 final class JobEndLog {
   private static final Logger LOG = LoggerFactory.getLogger(JobEndLog.class);
--- a/batch/src/main/java/elmsail/batch/run/JobRunner.java
+++ b/batch/src/main/java/elmsail/batch/run/JobRunner.java
@@ -11,54 +11,75 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.TreeMap;
+import java.util.TreeSet;
 import java.util.function.Consumer;
 
 /**
- * Runs the items of this gateway's jobs: starts them as there is room, the jobs that are due first
- * before the others, gathers their texts, and gives them to be listed.
+ * Runs the jobs whose lease this gateway holds. Items are dispatched as the servers have capacity,
+ * those of the jobs that are due first before the others. An item is started only while the lease
+ * was confirmed lately, so that no item of a cancelled or taken-over job is started later than the
+ * bound {@code cancel_ms}. Confined to the gateway's event loop.
  */
 public final class JobRunner {
-  /** How soon places are looked for again, where there were none; a run that ends looks at once. */
+  /** How soon capacity is queried again if there was none; a run that ends dispatches at once. */
   private static final long CAPACITY_POLL_INTERVAL_MS = 40;
 
-  private static final long MIN_BACKOFF_MS = 20;
-  private static final long MAX_BACKOFF_MS = 200;
+  /** Items are started within this part of {@code cancel_ms} after a confirmation of the lease. */
+  private static final long START_LEASE_TENTHS = 6;
+
+  /** Behind this part of it, runs that may not have reached a server are cancelled. */
+  private static final long CANCEL_LEASE_TENTHS = 8;
 
   private final BatchContext context;
-  private final BodyLoader bodies;
+  private final BodyLoader bodyLoader;
   private final UnrecordedBytes unrecordedBytes;
   private final ResultRecorder recorder;
+  private final ItemRunner itemRunner;
   private final Map<String, RunningJob> jobs = new HashMap<>();
-  private final TreeMap<RunningJob, RunningJob> jobsByDueTime = new TreeMap<>();
+  private final TreeSet<RunningJob> jobsByDueTime = new TreeSet<>();
   private final long startLeaseMs;
   private final long cancelLeaseMs;
   private ItemServers servers;
   private boolean dispatchScheduled;
 
   /**
-   * @param onJobChanged hears the id of each job in which something was listed or that was stopped
+   * @param onJobChanged receives the id of each job of which results were recorded, or which was
+   *     stopped by its record
    */
   public JobRunner(BatchContext context, BatchJobClient jobClient, Consumer<String> onJobChanged) {
     this.context = context;
     this.unrecordedBytes = new UnrecordedBytes(context.invariants());
-    this.bodies = new BodyLoader(context, jobClient, () -> scheduleDispatch(0));
+    this.bodyLoader = new BodyLoader(context, jobClient, this::dispatchSoon);
     this.recorder = new ResultRecorder(context, jobClient, this, onJobChanged);
-    this.startLeaseMs = context.cancelMs() * 6 / 10;
-    this.cancelLeaseMs = context.cancelMs() * 8 / 10;
+    this.itemRunner = new ItemRunner(context, unrecordedBytes, new ItemListener());
+    this.startLeaseMs = context.settings().cancelMs() * START_LEASE_TENTHS / 10;
+    this.cancelLeaseMs = context.settings().cancelMs() * CANCEL_LEASE_TENTHS / 10;
   }
 
-  /** Sets where items are sent from now on; before this none is started. */
+  private final class ItemListener implements ItemRunner.Listener {
+    @Override
+    public void onUnrecorded(RunningJob job) {
+      recorder.scheduleRecording(job);
+    }
+
+    @Override
+    public void onDispatchable() {
+      dispatchSoon();
+    }
+  }
+
+  /** Sets the servers that items are sent to from now on; no item is started before. */
   public void setServers(ItemServers servers) {
     this.servers = servers;
-    scheduleDispatch(0);
+    dispatchSoon();
   }
 
   /**
-   * Runs the job from now on: the record says that this gateway does.
+   * Starts to run a job whose record names this gateway as its runner.
    *
-   * @param ageMs the job's, at the least
-   * @param confirmedAt when it surely was open and this gateway's, by the steady clock
+   * @param ageMs the least age of the job, in ms
+   * @param confirmedAt when the job certainly was open and run by this gateway, in ms of the steady
+   *     clock
    */
   public void adopt(String jobId, JobRecord record, long ageMs, long confirmedAt) {
     RunningJob previous = jobs.get(jobId);
@@ -69,11 +90,11 @@
     long now = context.timers().now();
     RunningJob job = new RunningJob(jobId, record, now - ageMs, confirmedAt, now);
     jobs.put(jobId, job);
-    jobsByDueTime.put(job, job);
-    scheduleDispatch(0);
+    jobsByDueTime.add(job);
+    dispatchSoon();
   }
 
-  /** Stops running it: its runs are cut off, and what is not listed yet is left. */
+  /** Stops running a job: cancels its runs and discards results that are not recorded. */
   public void stop(String jobId) {
     RunningJob job = jobs.remove(jobId);
     if (job == null) {
@@ -82,12 +103,16 @@
     jobsByDueTime.remove(job);
     JobEndLog.log(job, context.timers().now());
     job.stopped = true;
-    unrecordedBytes.add(-job.cancelRuns());
+    unrecordedBytes.release(job.discard());
     unrecordedBytes.check(jobs.size());
   }
 
   /**
-   * Takes a decided record read after the moment given: goes on if the job is still open and ours.
+   * Takes note of a committed record of a job: confirms the lease, or stops the job if it is closed
+   * or run by another gateway.
+   *
+   * @param record null if there is none any more
+   * @param readAt when the read was started, in ms of the steady clock
    */
   public void onRecordRead(String jobId, JobRecord record, long readAt) {
     RunningJob job = jobs.get(jobId);
@@ -99,7 +124,7 @@
       return;
     }
     job.confirm(readAt);
-    scheduleDispatch(0);
+    dispatchSoon();
   }
 
   /** Whether this gateway runs the job at present. */
@@ -107,66 +132,76 @@
     return jobs.containsKey(jobId);
   }
 
-  /** How many jobs this gateway runs at present. */
+  /** The number of jobs that this gateway runs at present. */
   public int size() {
     return jobs.size();
   }
 
+  /** The jobs that this gateway runs, those that are due first at the head; a copy. */
   List<RunningJob> jobsByDueTime() {
-    return new ArrayList<>(jobsByDueTime.keySet());
+    return new ArrayList<>(jobsByDueTime);
   }
 
-  /** Cuts runs that may not have reached a server yet, of jobs long not known to be ours. */
+  /** Cancels runs that may not have reached a server, if the lease of the job is in doubt. */
   void cancelUnansweredRuns(RunningJob job) {
     if (context.timers().now() - job.confirmedAt <= cancelLeaseMs) {
       return;
     }
     for (ItemRun itemRun : job.itemRuns) {
-      if (itemRun.inFlight && !itemRun.eventReceived) {
+      if (itemRun.isInFlight() && !itemRun.hasReceivedEvent()) {
         itemRun.cancel();
         job.timeline.onCancelled();
-        job.itemsInFlight--;
         job.ready.add(itemRun.itemIndex);
       }
     }
   }
 
-  void releaseBytes(long bytes) {
-    unrecordedBytes.add(-bytes);
+  /** Releases the memory of a text that is recorded. */
+  void onTextRecorded(long bytes) {
+    unrecordedBytes.release(bytes);
   }
 
-  void scheduleDispatch(long delayMs) {
-    if (!dispatchScheduled) {
-      dispatchScheduled = true;
-      context
-          .timers()
-          .schedule(
-              delayMs,
-              () -> {
-                dispatchScheduled = false;
-                dispatch();
-              });
+  /**
+   * Applies the failed attempts that the record has now. An item that failed may run again only
+   * then: the next runner continues the recorded count, so a takeover hides one failed attempt at
+   * most.
+   */
+  void onFailuresRecorded(RunningJob job) {
+    for (ItemRun itemRun : job.applyRecordedFailedAttempts()) {
+      itemRunner.retryLater(job, itemRun);
     }
   }
 
+  private void dispatchSoon() {
+    scheduleDispatch(0);
+  }
+
+  private void scheduleDispatch(long delayMs) {
+    if (dispatchScheduled) {
+      return;
+    }
+    dispatchScheduled = true;
+    context
+        .timers()
+        .schedule(
+            delayMs,
+            () -> {
+              dispatchScheduled = false;
+              dispatch();
+            });
+  }
+
   private void dispatch() {
     RoutingConfig config = context.clusterState().config();
     if (servers == null || config == null || jobs.isEmpty()) {
       return;
     }
-    Map<String, Integer> capacityByRoute = new HashMap<>();
+    CapacityBudget budget = new CapacityBudget(servers);
     boolean itemsLeft = false;
     for (RunningJob job : jobsByDueTime()) {
-      if (!job.stopped && !job.ready.isEmpty()) {
-        if (job.items == null && job.isExpired(context.timers().now())) {
-          failReadyItems(job);
-        } else if (job.items == null) {
-          job.timeline.onStalled(JobTimeline.Stall.BODY_NOT_LOADED);
-          bodies.fetch(job);
-        } else {
-          startItems(job, config, capacityByRoute);
-        }
-        itemsLeft |= !job.stopped && !job.ready.isEmpty();
+      if (job.hasReadyItems()) {
+        dispatch(job, config, budget);
+        itemsLeft |= job.hasReadyItems();
       }
     }
     if (itemsLeft) {
@@ -174,173 +209,74 @@
     }
   }
 
-  /** Nobody gave its body in all its time: what is not listed yet is undeliverable. */
+  private void dispatch(RunningJob job, RoutingConfig config, CapacityBudget budget) {
+    if (job.items != null) {
+      startItems(job, config, budget);
+    } else if (job.isExpired(context.timers().now())) {
+      failReadyItems(job);
+    } else {
+      job.timeline.onStalled(JobTimeline.Stall.BODY_NOT_LOADED);
+      bodyLoader.fetch(job);
+    }
+  }
+
+  /** The body could not be read within the time to live of the items. */
   private void failReadyItems(RunningJob job) {
     while (!job.ready.isEmpty()) {
       ItemRun itemRun = job.itemRuns[job.ready.poll()];
       if (!itemRun.done) {
-        finishItem(job, itemRun, false);
+        itemRunner.finish(job, itemRun, false);
       }
     }
   }
 
-  private void startItems(
-      RunningJob job, RoutingConfig config, Map<String, Integer> capacityByRoute) {
+  /** What holds for all items of one job in one dispatch. */
+  private record JobDispatch(
+      RoutingConfig config, CapacityBudget budget, long now, boolean leaseConfirmed) {}
+
+  private void startItems(RunningJob job, RoutingConfig config, CapacityBudget budget) {
     long now = context.timers().now();
-    boolean confirmed = now - job.confirmedAt <= startLeaseMs;
-    while (!job.stopped && !job.ready.isEmpty()) {
+    boolean leaseConfirmed = now - job.confirmedAt <= startLeaseMs;
+    JobDispatch dispatch = new JobDispatch(config, budget, now, leaseConfirmed);
+    boolean more = true;
+    while (more && job.hasReadyItems()) {
       ItemRun itemRun = job.itemRuns[job.ready.peek()];
-      if (itemRun.done || itemRun.inFlight) {
-        job.ready.poll();
-        continue;
-      }
-      BatchItem item = job.items.get(itemRun.itemIndex);
-      Route route = config.match(job.record.host(), item.path());
-      if (route == null && config.version() <= job.record.configVersion()) {
-        return;
-      }
-      if (route == null || job.isExpired(now)) {
+      if (itemRun.done || itemRun.isInFlight()) {
         job.ready.poll();
-        finishItem(job, itemRun, false);
-        continue;
-      }
-      Integer capacity = capacityByRoute.get(route.name());
-      if (capacity == null) {
-        capacity = servers.availableCapacity(route);
-      }
-      if (!confirmed || capacity <= 0 || unrecordedBytes.isFull()) {
-        capacityByRoute.put(route.name(), capacity);
-        job.timeline.onStalled(JobTimeline.Stall.of(confirmed, capacity));
-        return;
-      }
-      job.ready.poll();
-      if (start(job, itemRun, route, item)) {
-        capacityByRoute.put(route.name(), capacity - 1);
       } else {
-        job.ready.add(itemRun.itemIndex);
-        capacityByRoute.put(route.name(), 0);
-        return;
+        more = startItem(job, itemRun, dispatch);
       }
     }
   }
 
-  private boolean start(RunningJob job, ItemRun itemRun, Route route, BatchItem item) {
-    int runNumber = ++itemRun.runNumber;
-    itemRun.inFlight = true;
-    itemRun.eventReceived = false;
-    itemRun.sentAt = context.timers().now();
-    job.itemsInFlight++;
-    ItemServers.RunHandle handle =
-        servers.start(
-            route,
-            item,
-            itemRun.lastEventId,
-            new ItemServers.RunListener() {
-              @Override
-              public void onEvent(long eventId, byte[] data) {
-                if (itemRun.runNumber == runNumber) {
-                  keepEvent(job, itemRun, eventId, data);
-                }
-              }
-
-              @Override
-              public void onEnded(ItemServers.RunOutcome outcome) {
-                if (itemRun.runNumber == runNumber) {
-                  itemRun.handle = null;
-                  itemRun.cancel();
-                  job.itemsInFlight--;
-                  job.timeline.onEnded(outcome, itemRun.sentAt, context.timers().now());
-                  onRunEnded(job, itemRun, outcome, route);
-                }
-              }
-            });
-    if (handle == null) {
-      if (itemRun.runNumber == runNumber) {
-        itemRun.runNumber++;
-        itemRun.inFlight = false;
-        job.itemsInFlight--;
-      }
-      return false;
-    }
-    job.timeline.onSent(itemRun.sentAt);
-    if (itemRun.runNumber == runNumber && itemRun.inFlight) {
-      itemRun.handle = handle;
-    } else if (itemRun.runNumber > runNumber) {
-      handle.cancel();
+  /**
+   * Starts the first ready item of a job, or fails it if it can be run no more.
+   *
+   * @return whether the next one may be tried
+   */
+  private boolean startItem(RunningJob job, ItemRun itemRun, JobDispatch dispatch) {
+    BatchItem item = job.items.get(itemRun.itemIndex);
+    Route route = dispatch.config().match(job.record.host(), item.path());
+    if (route == null && dispatch.config().version() <= job.record.configVersion()) {
+      return false; // this configuration is older than the job's and does not know its routes
     }
-    return true;
-  }
-
-  private void keepEvent(RunningJob job, ItemRun itemRun, long eventId, byte[] data) {
-    int bytesBefore = itemRun.textBytes();
-    boolean inSequence = itemRun.appendEvent(eventId, data);
-    job.timeline.onEvent(context.timers().now());
-    unrecordedBytes.add(itemRun.textBytes() - bytesBefore);
-    if (!inSequence) {
-      itemRun.cancel();
-      job.timeline.onCancelled();
-      job.itemsInFlight--;
-      unrecordedBytes.add(-itemRun.textBytes());
-      itemRun.discardText();
-      retryLater(job, itemRun);
+    if (route == null || job.isExpired(dispatch.now())) {
+      job.ready.poll();
+      itemRunner.finish(job, itemRun, false);
+      return true;
     }
-  }
-
-  private void onRunEnded(
-      RunningJob job, ItemRun itemRun, ItemServers.RunOutcome outcome, Route route) {
-    switch (outcome) {
-      case COMPLETED -> {
-        if (itemRun.hasText()) {
-          finishItem(job, itemRun, true);
-        } else {
-          retryLater(job, itemRun);
-        }
-      }
-      case REJECTED -> finishItem(job, itemRun, false);
-      case FAILED -> {
-        itemRun.failedAttempts++;
-        if (itemRun.failedAttempts >= Math.max(1, route.maxAttempts())) {
-          finishItem(job, itemRun, false);
-        } else {
-          recorder.scheduleRecording(job); // it runs again once that is recorded
-        }
-      }
-      default -> retryLater(job, itemRun);
+    int capacity = dispatch.budget().remaining(route);
+    if (!dispatch.leaseConfirmed() || capacity <= 0 || unrecordedBytes.isFull()) {
+      job.timeline.onStalled(JobTimeline.Stall.of(dispatch.leaseConfirmed(), capacity));
+      return false;
     }
-    scheduleDispatch(0);
-  }
-
-  /**
-   * Takes what the job's record now says of failures. An item that failed is free to run only then:
-   * whoever runs the job next counts on from the record, so each change of hands hides one failure
-   * at most.
-   */
-  void onFailuresRecorded(RunningJob job) {
-    for (ItemRun itemRun : job.applyRecordedFailedAttempts()) {
-      retryLater(job, itemRun);
+    job.ready.poll();
+    if (itemRunner.start(servers, job, itemRun, route, item)) {
+      dispatch.budget().take(route);
+      return true;
     }
-  }
-
-  private void finishItem(RunningJob job, ItemRun itemRun, boolean succeeded) {
-    unrecordedBytes.add(-itemRun.textBytes());
-    job.finish(itemRun, succeeded);
-    unrecordedBytes.add(job.finished.get(itemRun.itemIndex).text().length);
-    recorder.scheduleRecording(job);
-  }
-
-  private void retryLater(RunningJob job, ItemRun itemRun) {
-    itemRun.runsWithoutEvents = itemRun.eventReceived ? 0 : itemRun.runsWithoutEvents + 1;
-    long backoff =
-        Math.min(MAX_BACKOFF_MS, MIN_BACKOFF_MS << Math.min(itemRun.runsWithoutEvents, 5));
-    context
-        .timers()
-        .schedule(
-            context.jittered(backoff),
-            () -> {
-              if (!job.stopped && !itemRun.done && !itemRun.inFlight) {
-                job.ready.add(itemRun.itemIndex);
-                scheduleDispatch(0);
-              }
-            });
+    job.ready.add(itemRun.itemIndex);
+    dispatch.budget().exhaust(route);
+    return false;
   }
 }
--- a/batch/src/main/java/elmsail/batch/run/ResultRecorder.java
+++ b/batch/src/main/java/elmsail/batch/run/ResultRecorder.java
@@ -11,18 +11,21 @@
 import java.util.function.Consumer;
 
 /**
- * Lists finished items, and counts failed runs of the others: one change of a job's record at a
- * time. The texts go with the first round, so that they are at a majority before anyone is asked to
- * take the listing: whoever finishes it finds them there.
+ * Records the results of finished items and the failed attempts of the others, with one change of a
+ * job's record at a time. The texts are sent with the first round, so that a majority has them
+ * before any store is asked to accept the record that names them. Confined to the gateway's event
+ * loop.
  */
 final class ResultRecorder {
+  /** Results that finish within this time of the last change are recorded together. */
   private static final long BATCH_DELAY_MS = 150;
+
   private static final long CHANGE_TIMEOUT_MS = 2_000;
   private static final long BACKOFF_MS = 150;
   private static final int MAX_BATCH_BYTES = 1 << 20;
 
-  /** With a note there is always a first round. */
-  private static final byte[] NO_NOTE = {};
+  /** With a side effect, even an empty one, there is always a first round, which the texts need. */
+  private static final byte[] EMPTY_SIDE_EFFECT = {};
 
   private final BatchContext context;
   private final BatchJobClient jobClient;
@@ -40,9 +43,42 @@
     this.onJobChanged = onJobChanged;
   }
 
-  /**
-   * Lists what is finished and counts what failed, with what else is finished in the next moments.
-   */
+  /** What one change of a record adds to it. */
+  private record Update(
+      List<RunningJob.FinishedItem> finished, List<JobRecord.FailedAttempts> failedAttempts) {
+
+    List<Blob> textBlobs() {
+      List<Blob> blobs = new ArrayList<>();
+      for (RunningJob.FinishedItem item : finished) {
+        if (item.result().succeeded()) {
+          Blob blob = new Blob();
+          blob.name = item.result().textBlobName();
+          blob.bytes = item.text();
+          blobs.add(blob);
+        }
+      }
+      return blobs;
+    }
+
+    /** The results that the record lacks. */
+    List<JobRecord.Result> newResults(JobRecord record) {
+      BitSet recorded = record.recordedItems();
+      List<JobRecord.Result> newResults = new ArrayList<>();
+      for (RunningJob.FinishedItem item : finished) {
+        if (!recorded.get(item.result().itemIndex())) {
+          newResults.add(item.result());
+        }
+      }
+      return newResults;
+    }
+
+    boolean hasNewFailedAttempts(JobRecord record) {
+      return failedAttempts.stream()
+          .anyMatch(attempts -> record.failedAttemptsOf(attempts.itemIndex()) < attempts.count());
+    }
+  }
+
+  /** Records what is unrecorded: at once if every item is done, else after a delay. */
   void scheduleRecording(RunningJob job) {
     if (job.recording || job.stopped || !job.hasUnrecorded()) {
       return;
@@ -69,15 +105,14 @@
     }
     job.recording = true;
     long startedAt = context.timers().now();
-    List<RunningJob.FinishedItem> batch = job.nextBatch(MAX_BATCH_BYTES);
-    List<JobRecord.FailedAttempts> failedAttempts = job.unrecordedFailedAttempts();
+    Update update = new Update(job.nextBatch(MAX_BATCH_BYTES), job.unrecordedFailedAttempts());
     context
         .register()
         .change(
             JobRecord.registerKey(job.id),
-            found -> proposeResults(job, batch, failedAttempts, found),
-            textBlobs(batch),
-            NO_NOTE,
+            found -> BatchJobClient.proposal(propose(job, update, found.value())),
+            update.textBlobs(),
+            EMPTY_SIDE_EFFECT,
             CHANGE_TIMEOUT_MS)
         .whenComplete(
             (result, failure) -> {
@@ -86,69 +121,42 @@
                 return;
               }
               if (failure == null) {
-                onRecorded(job, batch, result.current(), startedAt);
+                onRecorded(job, update, result.current(), startedAt);
               } else {
                 context.timers().schedule(context.jittered(BACKOFF_MS), () -> recordResults(job));
               }
             });
   }
 
-  private static List<Blob> textBlobs(List<RunningJob.FinishedItem> batch) {
-    List<Blob> blobs = new ArrayList<>();
-    for (RunningJob.FinishedItem finishedItem : batch) {
-      if (finishedItem.result().succeeded()) {
-        Blob text = new Blob();
-        text.name = finishedItem.result().textBlobName();
-        text.bytes = finishedItem.text();
-        blobs.add(text);
-      }
+  /**
+   * @return the record to propose, or null if there is nothing to add to the current one
+   */
+  private JobRecord propose(RunningJob job, Update update, byte[] current) {
+    JobRecord record = recordIfOwned(job, current);
+    if (record == null || job.stopped) {
+      return null;
     }
-    return blobs;
-  }
-
-  /** Null where the job is no more this gateway's in this term. */
-  private JobRecord recordIfOwned(RunningJob job, byte[] value) {
-    if (value == null) {
+    List<JobRecord.Result> newResults = update.newResults(record);
+    if (newResults.isEmpty() && !update.hasNewFailedAttempts(record)) {
       return null;
     }
-    JobRecord record = JobRecord.decode(value);
-    boolean owned = record.term() == job.term && record.runner().equals(context.localAddress());
-    return owned && !record.cancelled() ? record : null;
+    long ageMs = job.ageMs(context.timers().now());
+    return record.withResults(newResults, update.failedAttempts(), ageMs);
   }
 
-  private Register.ProposedValue proposeResults(
-      RunningJob job,
-      List<RunningJob.FinishedItem> batch,
-      List<JobRecord.FailedAttempts> failedAttempts,
-      Register.ObservedState found) {
-    JobRecord record = recordIfOwned(job, found.value());
-    if (record == null || job.stopped) {
-      return new Register.ProposedValue(null, List.of());
-    }
-    BitSet recorded = record.recordedItems();
-    List<JobRecord.Result> newResults = new ArrayList<>();
-    for (RunningJob.FinishedItem finishedItem : batch) {
-      if (!recorded.get(finishedItem.result().itemIndex())) {
-        newResults.add(finishedItem.result());
-      }
-    }
-    boolean failuresRecorded =
-        failedAttempts.stream()
-            .allMatch(
-                attempts -> record.failedAttemptsOf(attempts.itemIndex()) >= attempts.count());
-    if (newResults.isEmpty() && failuresRecorded) {
-      return new Register.ProposedValue(null, List.of());
-    }
-    return new Register.ProposedValue(
-        record.withResults(newResults, failedAttempts, job.ageMs(context.timers().now())).encode(),
-        List.of());
+  /** The record, or null if this gateway is no longer the runner of the job in this term. */
+  private JobRecord recordIfOwned(RunningJob job, byte[] value) {
+    JobRecord record = JobRecord.decodeNullable(value);
+    boolean owned =
+        record != null
+            && record.term() == job.term
+            && record.runner().equals(context.localAddress())
+            && !record.cancelled();
+    return owned ? record : null;
   }
 
   private void onRecorded(
-      RunningJob job,
-      List<RunningJob.FinishedItem> batch,
-      Register.VersionedValue committed,
-      long startedAt) {
+      RunningJob job, Update update, Register.VersionedValue committed, long startedAt) {
     jobClient.onCommitted(job.id, committed);
     JobRecord record = recordIfOwned(job, committed.value());
     if (record == null) {
@@ -159,16 +167,7 @@
     job.record = record;
     job.recordedAt = context.timers().now();
     job.confirm(startedAt);
-    BitSet recorded = record.recordedItems();
-    for (RunningJob.FinishedItem finishedItem : batch) {
-      if (recorded.get(finishedItem.result().itemIndex())
-          && job.finished.remove(finishedItem.result().itemIndex()) != null) {
-        runner.releaseBytes(finishedItem.text().length);
-        if (finishedItem.result().succeeded()) {
-          jobClient.cacheText(job.id, finishedItem.result(), finishedItem.text());
-        }
-      }
-    }
+    releaseRecorded(job, update);
     runner.onFailuresRecorded(job);
     if (record.isComplete()) {
       runner.stop(job.id);
@@ -177,4 +176,17 @@
     }
     onJobChanged.accept(job.id);
   }
+
+  private void releaseRecorded(RunningJob job, Update update) {
+    BitSet recorded = job.record.recordedItems();
+    for (RunningJob.FinishedItem item : update.finished()) {
+      int index = item.result().itemIndex();
+      if (recorded.get(index) && job.finished.remove(index) != null) {
+        runner.onTextRecorded(item.text().length);
+        if (item.result().succeeded()) {
+          jobClient.cacheText(job.id, item.result(), item.text());
+        }
+      }
+    }
+  }
 }
--- a/batch/src/main/java/elmsail/batch/run/RunningJob.java
+++ b/batch/src/main/java/elmsail/batch/run/RunningJob.java
@@ -9,41 +9,48 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 
-/** One job that this gateway runs, in one term. */
+/**
+ * One job that this gateway runs in one term: the newest record known, the runs of its items and
+ * the results that are not recorded yet. Ordered by due time. Shared by the classes of this package
+ * and confined to the gateway's event loop.
+ */
 final class RunningJob implements Comparable<RunningJob> {
-  /** An item that is done and not listed yet; the text is empty where it is undeliverable. */
+  /** An item whose result is not recorded yet; the text is empty if the item failed. */
   record FinishedItem(JobRecord.Result result, byte[] text) {}
 
   final String id;
   final long term;
 
-  /** Of the steady clock here: when the job was accepted, or later. */
+  /** When the job was accepted, or later, in ms of the steady clock. */
   final long acceptedAt;
 
   JobRecord record;
 
-  /** Null until they are fetched. */
+  /** Null until the body is loaded. */
   List<BatchItem> items;
 
   boolean fetching;
   final ItemRun[] itemRuns;
 
-  /** ItemDispatcher to be started, the first of the job first. */
+  /** The indexes of the items that may be started, the lowest first. */
   final PriorityQueue<Integer> ready = new PriorityQueue<>();
 
+  /** By item index, in the order in which they finished. */
   final Map<Integer, FinishedItem> finished = new LinkedHashMap<>();
-  int itemsInFlight;
+
+  /** Whether a change of the record is in flight. */
   boolean recording;
+
   boolean recordingScheduled;
   long recordedAt;
 
-  /** Of the steady clock: at this moment the job surely was open and ours. */
+  /** When the job last certainly was open and run by this gateway, in ms of the steady clock. */
   long confirmedAt;
 
   boolean confirmingRead;
   boolean stopped;
 
-  /** What an operator needs to tell why the job was late. */
+  /** For the log: why the job was late. */
   final JobTimeline timeline;
 
   RunningJob(String id, JobRecord record, long acceptedAt, long confirmedAt, long now) {
@@ -72,33 +79,43 @@
     return acceptedAt + record.completionTargetMs();
   }
 
-  /** At the least. */
+  /** The least age of the job, in ms. */
   long ageMs(long now) {
     return now - acceptedAt;
   }
 
-  /** Whether its items may be given up. */
+  /** Whether items without a result may be given up. */
   boolean isExpired(long now) {
     return record.itemTtlMs() > 0 && ageMs(now) > record.itemTtlMs();
   }
 
+  /** Whether there are items to start. */
+  boolean hasReadyItems() {
+    return !stopped && !ready.isEmpty();
+  }
+
+  /** The lease was certainly held at this time, in ms of the steady clock. */
   void confirm(long at) {
     confirmedAt = Math.max(confirmedAt, at);
   }
 
-  /** Puts the item's result to those to be listed. */
-  void finish(ItemRun itemRun, boolean succeeded) {
+  /** Adds the result of the item to those that are to be recorded. */
+  FinishedItem finish(ItemRun itemRun, boolean succeeded) {
     byte[] text = succeeded ? itemRun.text() : new byte[0];
     itemRun.discardText();
     itemRun.done = true;
-    finished.put(
-        itemRun.itemIndex,
-        new FinishedItem(
-            new JobRecord.Result(itemRun.itemIndex, succeeded, term, text.length), text));
+    JobRecord.Result result = new JobRecord.Result(itemRun.itemIndex, succeeded, term, text.length);
+    FinishedItem finishedItem = new FinishedItem(result, text);
+    finished.put(itemRun.itemIndex, finishedItem);
+    return finishedItem;
   }
 
-  /** Cuts all runs and forgets all texts; gives how many bytes these had. */
-  long cancelRuns() {
+  /**
+   * Cancels all runs and discards all texts.
+   *
+   * @return the length of these texts in bytes
+   */
+  long discard() {
     long bytes = 0;
     for (ItemRun itemRun : itemRuns) {
       bytes += itemRun.textBytes();
@@ -112,12 +129,12 @@
     return bytes;
   }
 
-  /** Whether there is anything that is to stand in the record and doesn't yet. */
+  /** Whether there are results or failed attempts that the record lacks. */
   boolean hasUnrecorded() {
     return !finished.isEmpty() || !unrecordedFailedAttempts().isEmpty();
   }
 
-  /** The counts that the record lacks, of items that are not finished. */
+  /** The failed attempts that the record lacks, of items without a result. */
   List<JobRecord.FailedAttempts> unrecordedFailedAttempts() {
     List<JobRecord.FailedAttempts> failedAttempts = new ArrayList<>();
     for (ItemRun itemRun : itemRuns) {
@@ -128,14 +145,14 @@
     return failedAttempts;
   }
 
-  /** Takes what the record says of failures; gives the items that are free to run again by it. */
+  /** Applies the failed attempts of the record; returns the items that may run again by it. */
   List<ItemRun> applyRecordedFailedAttempts() {
     List<ItemRun> retryable = new ArrayList<>();
     for (ItemRun itemRun : itemRuns) {
       int recorded = record.failedAttemptsOf(itemRun.itemIndex);
       if (recorded > itemRun.recordedFailedAttempts) {
         itemRun.recordedFailedAttempts = recorded;
-        if (!itemRun.done && !itemRun.inFlight && recorded == itemRun.failedAttempts) {
+        if (!itemRun.done && !itemRun.isInFlight() && recorded == itemRun.failedAttempts) {
           retryable.add(itemRun);
         }
       }
@@ -143,7 +160,7 @@
     return retryable;
   }
 
-  /** Nothing runs, nothing is ready, nothing waits for its next try: only the listing is left. */
+  /** Whether every item has a result, so that only the recording remains. */
   boolean allItemsDone() {
     for (ItemRun itemRun : itemRuns) {
       if (!itemRun.done) {
@@ -153,7 +170,7 @@
     return true;
   }
 
-  /** The next ones to be listed, of so many bytes in all, and one at least. */
+  /** The next results to record: one at least, and further ones up to so many bytes in all. */
   List<FinishedItem> nextBatch(int maxBytes) {
     List<FinishedItem> batch = new ArrayList<>();
     int bytes = 0;
--- a/batch/src/main/java/elmsail/batch/run/UnrecordedBytes.java
+++ b/batch/src/main/java/elmsail/batch/run/UnrecordedBytes.java
@@ -3,7 +3,10 @@
 import elmsail.runtime.Invariant;
 import elmsail.runtime.Invariants;
 
-/** Bytes of texts that are not listed yet, of all jobs that a gateway runs; bounded. */
+/**
+ * The memory that result texts take until they are recorded, over all jobs that this gateway runs.
+ * While it is full no further item is started. Confined to the gateway's event loop.
+ */
 final class UnrecordedBytes {
   private static final long MAX_BYTES = 16L << 20;
 
@@ -19,12 +22,17 @@
     return bytes > MAX_BYTES;
   }
 
-  /** Counts so many more; negative where some are given up or listed. */
-  void add(long more) {
-    bytes += more;
+  /** Adds bytes that were received. */
+  void add(long received) {
+    bytes += received;
   }
 
-  /** After a job was taken away: what is left belongs to the others. */
+  /** Releases bytes that were recorded or discarded. */
+  void release(long released) {
+    bytes -= released;
+  }
+
+  /** Checks, after a job was removed, that what is left can belong to the other jobs. */
   void check(int jobs) {
     invariants.check(
         Invariant.HELD_BYTES_BELONG_TO_JOBS,
--- a/batch/src/test/java/elmsail/batch/ReplicatedBatchCluster.java
+++ b/batch/src/test/java/elmsail/batch/ReplicatedBatchCluster.java
@@ -116,9 +116,7 @@
               node.rpcClient(),
               node.timers(),
               known(known),
-              address,
-              random.nextLong(),
-              3_000,
+              new BatchSettings(address, 3_000, random.nextLong()),
               ProcessMetrics.strict());
       servers = new SimServers(timers);
       servers.capacity = 3;
--- a/batch/src/test/java/elmsail/batch/SimBatchCluster.java
+++ b/batch/src/test/java/elmsail/batch/SimBatchCluster.java
@@ -137,9 +137,7 @@
             caller(gateway.address),
             own,
             known,
-            gateway.address,
-            random.nextLong(),
-            3_000,
+            new BatchSettings(gateway.address, 3_000, random.nextLong()),
             ProcessMetrics.strict());
     gateway.batchApi.setServers(gateway.servers);
     gateway.batchApi.start();
