--- a/batch/src/main/java/elmsail/batch/api/BatchApi.java
+++ b/batch/src/main/java/elmsail/batch/api/BatchApi.java
@@ -234,8 +234,8 @@
       return false;
     }
     for (int i = 0; i < jobId.length(); i++) {
-      char c = jobId.charAt(i);
-      if (c <= ' ' || c > '~' || c == '/') {
+      char character = jobId.charAt(i);
+      if (character <= ' ' || character > '~' || character == '/') {
         return false;
       }
     }
--- a/batch/src/main/java/elmsail/batch/messages/JobRequestParser.java
+++ b/batch/src/main/java/elmsail/batch/messages/JobRequestParser.java
@@ -130,11 +130,11 @@
    */
   private static boolean isPrintable(String text, boolean spacesAllowed) {
     for (int i = 0; i < text.length(); i++) {
-      char c = text.charAt(i);
-      if (c < ' ' && c != '\t'
-          || c == '\t' && !spacesAllowed
-          || c == 127
-          || c == ' ' && !spacesAllowed) {
+      char character = text.charAt(i);
+      if (character < ' ' && character != '\t'
+          || character == '\t' && !spacesAllowed
+          || character == 127
+          || character == ' ' && !spacesAllowed) {
         return false;
       }
     }
--- a/batch/src/main/java/elmsail/batch/run/ItemRunner.java
+++ b/batch/src/main/java/elmsail/batch/run/ItemRunner.java
@@ -104,7 +104,7 @@
       case COMPLETED -> onCompleted(job, itemRun);
       case REJECTED -> finish(job, itemRun, false);
       case FAILED -> onFailed(job, itemRun, route);
-      case NOT_RUN, OUTCOME_UNKNOWN -> retryLater(job, itemRun);
+      default -> retryLater(job, itemRun); // not run, or the outcome is unknown
     }
     listener.onDispatchable();
   }
--- a/controlplane/src/test/java/elmsail/controlplane/PinnedDataDirectoriesStartTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/PinnedDataDirectoriesStartTest.java
@@ -334,7 +334,14 @@
                 List.of(new JobRecord.FailedAttempts(2, 3)))));
     JobRecord ended =
         new JobRecord(
-            2, expectedDescription(open.bodyBlobName()), List.of(), true, "10.0.0.1:7720", 1, 5);
+            2,
+            expectedDescription(open.bodyBlobName()),
+            List.of(),
+            true,
+            "10.0.0.1:7720",
+            1,
+            5,
+            List.of());
     for (String jobId : List.of("ended/50%", "old-job", "copied-job")) {
       assertThat(jobId, await(jobs.read(jobId, CALL_MS)), is(ended));
     }
