--- a/app/src/main/java/elmsail/app/CheckMain.java
+++ b/app/src/main/java/elmsail/app/CheckMain.java
@@ -24,6 +24,8 @@
   private static final String DATA = "data";
   private static final String JSON = "json";
   private static final String HELP = "help";
+  private static final int HELP_WIDTH = 100;
+  private static final int HELP_PADDING = 2;
 
   private final PrintStream out;
   private final PrintStream err;
@@ -61,86 +63,97 @@
 
   /** Does what the command line asks for. */
   ExitCode run(String... args) {
-    CommandLine line;
+    CommandLine commandLine;
     try {
-      line = new DefaultParser(false).parse(options(), args, false);
-      if (!line.getArgList().isEmpty()) {
-        throw new ParseException("not an option: " + line.getArgList().get(0));
-      }
-      if (!line.hasOption(HELP) && line.hasOption(TIMETABLE) == line.hasOption(DATA)) {
-        throw new ParseException("give one of --" + TIMETABLE + " and --" + DATA);
-      }
+      commandLine = parse(args);
     } catch (ParseException e) {
       err.println("check: " + e.getMessage() + "; see --" + HELP);
       return ExitCode.INVALID_USAGE;
     }
-    if (line.hasOption(HELP)) {
-      help();
+    if (commandLine.hasOption(HELP)) {
+      printHelp();
       return ExitCode.OK;
     }
+    boolean json = commandLine.hasOption(JSON);
     try {
-      return line.hasOption(DATA)
-          ? data(Path.of(line.getOptionValue(DATA)), line.hasOption(JSON))
-          : config(Path.of(line.getOptionValue(TIMETABLE)), line.hasOption(JSON));
-    } catch (ElmsailException | IOException e) {
-      err.println("check: " + (e instanceof IOException ? e.toString() : e.getMessage()));
-      return ExitCode.FAILED;
+      return commandLine.hasOption(DATA)
+          ? checkData(Path.of(commandLine.getOptionValue(DATA)), json)
+          : checkConfig(Path.of(commandLine.getOptionValue(TIMETABLE)), json);
+    } catch (ElmsailException e) {
+      err.println("check: " + e.getMessage());
+    } catch (IOException e) {
+      err.println("check: " + e);
     }
+    return ExitCode.FAILED;
   }
 
-  private ExitCode config(Path file, boolean json) throws IOException {
+  private static CommandLine parse(String... args) throws ParseException {
+    CommandLine commandLine = new DefaultParser(false).parse(options(), args, false);
+    if (!commandLine.getArgList().isEmpty()) {
+      throw new ParseException("not an option: " + commandLine.getArgList().get(0));
+    }
+    if (!commandLine.hasOption(HELP)
+        && commandLine.hasOption(TIMETABLE) == commandLine.hasOption(DATA)) {
+      throw new ParseException("give one of --" + TIMETABLE + " and --" + DATA);
+    }
+    return commandLine;
+  }
+
+  private ExitCode checkConfig(Path file, boolean json) throws IOException {
     byte[] bytes = Files.readAllBytes(file);
     List<String> faults = ConfigDiagnostics.of(bytes);
-    long edition = faults.isEmpty() ? RoutingConfigReader.read(bytes).version() : 0;
+    long version = faults.isEmpty() ? RoutingConfigReader.read(bytes).version() : 0;
     if (json) {
-      json(
-          to -> {
-            to.writeStartObject();
-            to.writeBooleanField("valid", faults.isEmpty());
-            if (faults.isEmpty()) {
-              to.writeNumberField("edition", edition);
-            }
-            to.writeArrayFieldStart("faults");
-            for (String fault : faults) {
-              to.writeString(fault);
-            }
-            to.writeEndArray();
-            to.writeEndObject();
-          });
+      printJson(generator -> writeResult(generator, version, faults));
     } else if (faults.isEmpty()) {
-      out.println("edition " + edition + " is valid by itself");
+      out.println("edition " + version + " is valid by itself");
     } else {
       faults.forEach(out::println);
     }
     return faults.isEmpty() ? ExitCode.OK : ExitCode.INVALID_USAGE;
   }
 
-  private ExitCode data(Path folder, boolean json) throws IOException {
-    DataDirectoryReport read = DataDirectoryReport.read(folder);
+  private static void writeResult(JsonGenerator generator, long version, List<String> faults)
+      throws IOException {
+    generator.writeStartObject();
+    generator.writeBooleanField("valid", faults.isEmpty());
+    if (faults.isEmpty()) {
+      generator.writeNumberField("edition", version);
+    }
+    generator.writeArrayFieldStart("faults");
+    for (String fault : faults) {
+      generator.writeString(fault);
+    }
+    generator.writeEndArray();
+    generator.writeEndObject();
+  }
+
+  private ExitCode checkData(Path directory, boolean json) throws IOException {
+    DataDirectoryReport report = DataDirectoryReport.read(directory);
     if (json) {
-      json(read::write);
+      printJson(report::write);
     } else {
-      read.print(out);
+      report.print(out);
     }
     return ExitCode.OK;
   }
 
   /** The content of one JSON value. */
   private interface JsonContent {
-    void to(JsonGenerator json) throws IOException;
+    void writeTo(JsonGenerator generator) throws IOException;
   }
 
-  private void json(JsonContent written) throws IOException {
+  private void printJson(JsonContent content) throws IOException {
     StringWriter text = new StringWriter();
-    try (JsonGenerator to = new JsonFactory().createGenerator(text)) {
-      written.to(to);
+    try (JsonGenerator generator = new JsonFactory().createGenerator(text)) {
+      content.writeTo(generator);
     }
     out.println(text);
   }
 
-  private void help() {
+  private void printHelp() {
     PrintWriter text = new PrintWriter(out, true);
-    String codes =
+    String exitCodes =
         "Exit codes: "
             + ExitCode.OK.code()
             + " read, and the configuration is valid; "
@@ -151,13 +164,13 @@
     new HelpFormatter()
         .printHelp(
             text,
-            100,
+            HELP_WIDTH,
             "java -cp target/elmsail.jar elmsail.app.CheckMain",
             null,
             options(),
-            2,
-            2,
-            codes,
+            HELP_PADDING,
+            HELP_PADDING,
+            exitCodes,
             true);
     text.flush();
   }
--- a/app/src/main/java/elmsail/app/ConfigDiagnostics.java
+++ b/app/src/main/java/elmsail/app/ConfigDiagnostics.java
@@ -39,8 +39,8 @@
 
   /** The faults, one line each with the path of its key; empty if the configuration is valid. */
   static List<String> of(byte[] bytes) {
-    String whole = faultOf(bytes);
-    if (whole == null) {
+    String firstFault = faultOf(bytes);
+    if (firstFault == null) {
       return List.of();
     }
     ConfigObject root;
@@ -51,12 +51,12 @@
                   ConfigParseOptions.defaults().setSyntax(ConfigSyntax.JSON))
               .root();
     } catch (ConfigException e) {
-      return List.of(whole);
+      return List.of(firstFault);
     }
-    ConfigDiagnostics faults = new ConfigDiagnostics(root);
-    faults.faults.add(whole);
-    faults.collect();
-    return List.copyOf(faults.faults);
+    ConfigDiagnostics diagnostics = new ConfigDiagnostics(root);
+    diagnostics.addFault(firstFault);
+    diagnostics.collect();
+    return List.copyOf(diagnostics.faults);
   }
 
   private static String faultOf(byte[] bytes) {
@@ -64,9 +64,7 @@
       RoutingConfigReader.read(bytes);
       return null;
     } catch (ElmsailException e) {
-      String code = e.code() + ": ";
-      String text = e.getMessage().replace('\n', ' ').replace('\r', ' ');
-      return text.startsWith(code) ? text.substring(code.length()) : text;
+      return e.detail().replace('\n', ' ').replace('\r', ' ');
     }
   }
 
--- a/app/src/main/java/elmsail/app/ControlPlaneProcess.java
+++ b/app/src/main/java/elmsail/app/ControlPlaneProcess.java
@@ -64,19 +64,19 @@
   }
 
   @Override
-  public void shutDown(Runnable ended) {
+  public void shutDown(Runnable onStopped) {
     if (controlPlane == null) {
-      close(ended);
+      close(onStopped);
       return;
     }
-    controlPlane.shutdown().whenComplete((done, failed) -> close(ended));
+    controlPlane.shutdown().whenComplete((done, failed) -> close(onStopped));
   }
 
-  private void close(Runnable ended) {
+  private void close(Runnable onStopped) {
     rpc.close();
     if (recordStore != null) {
       recordStore.close();
     }
-    ended.run();
+    onStopped.run();
   }
 }
--- a/app/src/main/java/elmsail/app/DataDirectoryReport.java
+++ b/app/src/main/java/elmsail/app/DataDirectoryReport.java
@@ -23,8 +23,8 @@
  */
 record DataDirectoryReport(
     long instanceId, int files, long bytes, int records, List<RestoredReplica> sets) {
-  private static final String PREFIX = "v-";
-  private static final String PART = ".part";
+  private static final String RECORD_FILE_PREFIX = "v-";
+  private static final String INCOMPLETE_FILE_SUFFIX = ".part";
 
   /** No limit: nothing is written. */
   private static final long MAX_BYTES = 1L << 50;
@@ -56,7 +56,7 @@
     try (DirectoryStream<Path> all = Files.newDirectoryStream(directory)) {
       for (Path file : all) {
         String name = file.getFileName().toString();
-        if (name.startsWith(PREFIX) && !name.endsWith(PART)) {
+        if (name.startsWith(RECORD_FILE_PREFIX) && !name.endsWith(INCOMPLETE_FILE_SUFFIX)) {
           Files.copy(file, copy.resolve(name));
           bytes += Files.size(copy.resolve(name));
           files++;
@@ -94,6 +94,7 @@
     }
   }
 
+  /** Prints the report for a reader. */
   void print(PrintStream out) {
     out.println(
         "instance "
@@ -113,38 +114,44 @@
               + (set.ownSlot() < 0
                   ? "holds no slot"
                   : "slot " + set.ownSlot() + (set.voting() ? ", votes" : ", does not vote")));
-      for (int i = 0; i < set.voterSet().voters.size(); i++) {
-        Voter slot = set.voterSet().voters.get(i);
-        out.println(
-            "  slot "
-                + i
-                + ": "
-                + slot.address
-                + " "
-                + slot.machine
-                + ", instance "
-                + Long.toHexString(slot.instanceId)
-                + ", epoch "
-                + slot.epoch);
+      for (int slot = 0; slot < set.voterSet().voters.size(); slot++) {
+        out.println("  slot " + slot + ": " + describe(set.voterSet().voters.get(slot)));
       }
       for (RestoredReplica.StoredKey key : set.keys()) {
-        out.println(
-            "  key "
-                + key.name()
-                + ": promised "
-                + of(key.promised())
-                + ", accepted "
-                + of(key.accepted())
-                + (key.fromStateTransfer() ? " (copied)" : "")
-                + ", "
-                + (key.valueBytes() < 0 ? "no value" : "value of " + key.valueBytes() + " bytes")
-                + ", "
-                + key.blobs()
-                + " blobs");
+        out.println("  key " + describe(key));
       }
     }
   }
 
+  private static String describe(Voter voter) {
+    return voter.address
+        + " "
+        + voter.machine
+        + ", instance "
+        + Long.toHexString(voter.instanceId)
+        + ", epoch "
+        + voter.epoch;
+  }
+
+  private static String describe(RestoredReplica.StoredKey key) {
+    return key.name()
+        + ": promised "
+        + describe(key.promised())
+        + ", accepted "
+        + describe(key.accepted())
+        + (key.fromStateTransfer() ? " (copied)" : "")
+        + ", "
+        + (key.valueBytes() < 0 ? "no value" : "value of " + key.valueBytes() + " bytes")
+        + ", "
+        + key.blobs()
+        + " blobs";
+  }
+
+  private static String describe(Ballot ballot) {
+    return ballot.round + "." + Long.toHexString(ballot.proposerId);
+  }
+
+  /** Writes the report as one JSON object. */
   void write(JsonGenerator json) throws IOException {
     json.writeStartObject();
     json.writeStringField("instance_id", Long.toHexString(instanceId));
@@ -153,40 +160,48 @@
     json.writeNumberField("records", records);
     json.writeArrayFieldStart("sets");
     for (RestoredReplica set : sets) {
-      json.writeStartObject();
-      json.writeStringField("set", set.set());
-      json.writeNumberField("own_slot", set.ownSlot());
-      json.writeNumberField("caught_up", set.caughtUpEpoch());
-      json.writeBooleanField("votes", set.voting());
-      json.writeArrayFieldStart("voters");
-      for (Voter slot : set.voterSet().voters) {
-        json.writeStartObject();
-        json.writeStringField("address", slot.address);
-        json.writeStringField("station", slot.machine);
-        json.writeStringField("instance_id", Long.toHexString(slot.instanceId));
-        json.writeNumberField("epoch", slot.epoch);
-        json.writeEndObject();
-      }
-      json.writeEndArray();
-      json.writeArrayFieldStart("keys");
-      for (RestoredReplica.StoredKey key : set.keys()) {
-        json.writeStartObject();
-        json.writeStringField("key", key.name());
-        json.writeStringField("promised", of(key.promised()));
-        json.writeStringField("accepted", of(key.accepted()));
-        json.writeBooleanField("copied", key.fromStateTransfer());
-        json.writeNumberField("value_bytes", key.valueBytes());
-        json.writeNumberField("blobs", key.blobs());
-        json.writeEndObject();
-      }
-      json.writeEndArray();
-      json.writeEndObject();
+      write(json, set);
     }
     json.writeEndArray();
     json.writeEndObject();
   }
 
-  private static String of(Ballot ballot) {
-    return ballot.round + "." + Long.toHexString(ballot.proposerId);
+  private static void write(JsonGenerator json, RestoredReplica set) throws IOException {
+    json.writeStartObject();
+    json.writeStringField("set", set.set());
+    json.writeNumberField("own_slot", set.ownSlot());
+    json.writeNumberField("caught_up", set.caughtUpEpoch());
+    json.writeBooleanField("votes", set.voting());
+    json.writeArrayFieldStart("voters");
+    for (Voter voter : set.voterSet().voters) {
+      write(json, voter);
+    }
+    json.writeEndArray();
+    json.writeArrayFieldStart("keys");
+    for (RestoredReplica.StoredKey key : set.keys()) {
+      write(json, key);
+    }
+    json.writeEndArray();
+    json.writeEndObject();
+  }
+
+  private static void write(JsonGenerator json, Voter voter) throws IOException {
+    json.writeStartObject();
+    json.writeStringField("address", voter.address);
+    json.writeStringField("station", voter.machine);
+    json.writeStringField("instance_id", Long.toHexString(voter.instanceId));
+    json.writeNumberField("epoch", voter.epoch);
+    json.writeEndObject();
+  }
+
+  private static void write(JsonGenerator json, RestoredReplica.StoredKey key) throws IOException {
+    json.writeStartObject();
+    json.writeStringField("key", key.name());
+    json.writeStringField("promised", describe(key.promised()));
+    json.writeStringField("accepted", describe(key.accepted()));
+    json.writeBooleanField("copied", key.fromStateTransfer());
+    json.writeNumberField("value_bytes", key.valueBytes());
+    json.writeNumberField("blobs", key.blobs());
+    json.writeEndObject();
   }
 }
--- a/app/src/main/java/elmsail/app/GatewayProcess.java
+++ b/app/src/main/java/elmsail/app/GatewayProcess.java
@@ -27,6 +27,11 @@
 final class GatewayProcess implements Application.Instance {
   private static final Logger LOG = LoggerFactory.getLogger(GatewayProcess.class);
 
+  private static final String ROLE = "gateway";
+
+  /** The name of the job stores' voter set in messages and on disk. */
+  private static final String JOB_STORE_SET = "shelf";
+
   private final RpcEndpoint rpc;
   private final ConfigWatcher watcher;
   private Gateway gateway;
@@ -43,11 +48,10 @@
             ? null
             : new PlatformClient(new NettyHttpClient(loop), settings.platform().address(), loop);
     watcher =
-        new ConfigWatcher(
-            rpc, loop, settings, "gateway", instanceId, () -> StoreStatus.NONE, platform);
-    RegisterClient storeSet =
+        new ConfigWatcher(rpc, loop, settings, ROLE, instanceId, () -> StoreStatus.NONE, platform);
+    RegisterClient jobStore =
         new RegisterClient(
-            "shelf",
+            JOB_STORE_SET,
             rpc,
             loop,
             new StoreVoters(watcher),
@@ -56,7 +60,7 @@
             address -> zoneDistance(ownAddress, address));
     BatchApi jobs =
         new BatchApi(
-            storeSet,
+            jobStore,
             rpc,
             loop,
             watcher,
@@ -75,7 +79,7 @@
               LOG.info(
                   "listening at {} and {}", settings.listenAddresses().get("front"), ownAddress);
               if (stopping) {
-                finish();
+                stopGateway();
               }
             })
         .exceptionally(ApplicationRunner::exitAfterFailure);
@@ -105,17 +109,17 @@
   }
 
   @Override
-  public void shutDown(Runnable ended) {
-    onStopped = ended;
+  public void shutDown(Runnable whenStopped) {
+    onStopped = whenStopped;
     stopping = true;
     if (gateway != null) {
-      finish();
+      stopGateway();
     } else {
-      ended.run();
+      whenStopped.run();
     }
   }
 
-  private void finish() {
+  private void stopGateway() {
     gateway
         .stop()
         .whenComplete(
@@ -133,8 +137,8 @@
     private final ConfigWatcher watcher;
     private VoterSet learned = new VoterSet();
 
-    StoreVoters(ConfigWatcher known) {
-      this.watcher = known;
+    StoreVoters(ConfigWatcher watcher) {
+      this.watcher = watcher;
     }
 
     @Override
--- a/config/src/main/java/elmsail/config/PlatformClient.java
+++ b/config/src/main/java/elmsail/config/PlatformClient.java
@@ -19,6 +19,8 @@
 public final class PlatformClient {
   private static final int MAX_PAGES = 500;
   private static final long PAGE_TIMEOUT_MS = 700;
+  private static final int OK = 200;
+  private static final int TOO_MANY_REQUESTS = 429;
 
   private final HttpClient client;
   private final String address;
@@ -76,20 +78,22 @@
     client.get(address, path, PAGE_TIMEOUT_MS).whenComplete(this::onPageReply);
   }
 
-  private void onPageReply(SimpleHttpResponse reply, Throwable thrown) {
-    ServerListCodec.Page page = null;
-    Throwable failure = thrown;
-    if (failure == null) {
-      try {
-        page = decodePage(reply);
-      } catch (ElmsailException e) {
-        failure = e;
-      }
-    }
+  private void onPageReply(SimpleHttpResponse reply, Throwable failure) {
     if (failure != null) {
       endFetch().completeExceptionally(failure);
       return;
     }
+    ServerListCodec.Page page;
+    try {
+      page = decodePage(reply);
+    } catch (ElmsailException e) {
+      endFetch().completeExceptionally(e);
+      return;
+    }
+    onPage(page);
+  }
+
+  private void onPage(ServerListCodec.Page page) {
     for (ServerEntry server : page.servers()) {
       serversById.put(server.id(), server);
     }
@@ -100,26 +104,26 @@
       endFetch().complete(servers);
     } else if (pageCount >= MAX_PAGES) {
       endFetch()
-          .completeExceptionally(
-              new ElmsailException(
-                  ErrorCode.MALFORMED,
-                  "the list of servers has more than " + MAX_PAGES + " pages"));
+          .completeExceptionally(failure(ErrorCode.MALFORMED, "more than " + MAX_PAGES + " pages"));
     } else {
       requestPage(page.nextToken());
     }
   }
 
-  private static ServerListCodec.Page decodePage(SimpleHttpResponse reply) {
-    if (reply.status() == 429) {
-      throw new ElmsailException(
-          ErrorCode.RESOURCE_EXHAUSTED, "the platform has had too many calls");
+  private ServerListCodec.Page decodePage(SimpleHttpResponse reply) {
+    if (reply.status() == TOO_MANY_REQUESTS) {
+      throw failure(ErrorCode.RESOURCE_EXHAUSTED, "rate limited, status " + reply.status());
     }
-    if (reply.status() != 200) {
-      throw new ElmsailException(ErrorCode.MALFORMED, "the platform answered " + reply.status());
+    if (reply.status() != OK) {
+      throw failure(ErrorCode.MALFORMED, "status " + reply.status());
     }
     return ServerListCodec.decodePage(reply.body());
   }
 
+  private ElmsailException failure(ErrorCode code, String reason) {
+    return new ElmsailException(code, "server list of the platform at " + address + ": " + reason);
+  }
+
   private CompletableFuture<List<ServerEntry>> endFetch() {
     CompletableFuture<List<ServerEntry>> result = inFlight;
     inFlight = null;
