--- a/batch/src/test/java/elmsail/batch/BatchFaultSimulationTest.java
+++ b/batch/src/test/java/elmsail/batch/BatchFaultSimulationTest.java
@@ -19,15 +19,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Jobs on the register that the tier has, with gateways and stores that die, forget, freeze and are
- * cut off.
+ * The batch service on real replicas, with gateways and stores that crash, lose their disks, stall
+ * and are partitioned at random; all invariants of the protocol are checked.
  */
 class BatchFaultSimulationTest {
   private static final long LIMIT = 100;
   private static final long TOKENS = 10;
   private static final int ITEMS = 5;
 
-  /** What clients saw of one job. */
+  /** What clients have observed of one job. */
   private static final class ObservedJob {
     final List<Integer> statuses = new ArrayList<>();
     boolean accepted;
@@ -36,19 +36,19 @@
     String results = "";
   }
 
-  /** One day of clients and trouble. */
+  /** One simulated run of clients and faults, from one seed. */
   private static final class FaultRun {
-    final ReplicatedBatchCluster world;
+    final ReplicatedBatchCluster cluster;
     final Map<String, ObservedJob> jobs = new LinkedHashMap<>();
     final List<Throwable> violations = new ArrayList<>();
     int numbers;
 
     FaultRun(long seed) {
-      world = new ReplicatedBatchCluster(seed, 3, LIMIT);
+      cluster = new ReplicatedBatchCluster(seed, 3, LIMIT);
     }
 
     ReplicatedBatchCluster.Gateway gateway() {
-      ReplicatedBatchCluster.Gateway gateway = world.gateways.get(world.random.nextInt(3));
+      ReplicatedBatchCluster.Gateway gateway = cluster.gateways.get(cluster.random.nextInt(3));
       return gateway.up ? gateway : null;
     }
 
@@ -61,7 +61,7 @@
       int attempt = observed.statuses.size();
       observed.statuses.add(0);
       check(
-          world.submit(gateway, id, ITEMS, TOKENS),
+          cluster.submit(gateway, id, ITEMS, TOKENS),
           reply -> {
             observed.statuses.set(attempt, reply.status());
             if (reply.status() == 202) {
@@ -71,7 +71,7 @@
           });
     }
 
-    /** Keeps what the check found, as futures swallow it. */
+    /** Runs the check and keeps its failure, which the future would swallow. */
     private void check(
         CompletableFuture<BatchService.Reply> reply, Consumer<BatchService.Reply> check) {
       reply
@@ -88,11 +88,11 @@
       for (Map.Entry<String, ObservedJob> job : jobs.entrySet()) {
         if (job.getValue().accepted && !job.getValue().cancelRequested) {
           for (int i = 0; i < ITEMS; i++) {
-            waiting += world.served.contains(job.getKey() + "-" + i) ? 0 : TOKENS;
+            waiting += cluster.served.contains(job.getKey() + "-" + i) ? 0 : TOKENS;
           }
         }
       }
-      assertThat("waiting, seed " + world.seed, waiting, lessThanOrEqualTo(LIMIT * 11 / 10));
+      assertThat("waiting, seed " + cluster.seed, waiting, lessThanOrEqualTo(LIMIT * 11 / 10));
     }
 
     void end(String id) {
@@ -104,9 +104,9 @@
             gateway.batchApi.cancel(id),
             reply -> {
               if (reply.status() == 200 && observed.cancelledAt < 0) {
-                observed.cancelledAt = world.timers.now();
+                observed.cancelledAt = cluster.timers.now();
               }
-              assertThat("the end of " + id, reply.status(), not(is(404)));
+              assertThat("the cancellation of " + id, reply.status(), not(is(404)));
             });
       }
     }
@@ -120,43 +120,43 @@
 
     void check(String id, BatchService.Reply reply) {
       ObservedJob observed = jobs.get(id);
-      assertThat(id + " seed " + world.seed, reply.status(), not(is(404)));
+      assertThat(id + " seed " + cluster.seed, reply.status(), not(is(404)));
       if (reply.status() == 200) {
         String body = new String(reply.body(), StandardCharsets.UTF_8);
         assertThat(body, containsString("\"total\":" + ITEMS));
         String results = body.substring(body.indexOf('[') + 1, body.length() - 2);
         boolean longer = results.length() >= observed.results.length();
         assertThat(
-            "results of " + id + ", seed " + world.seed,
+            "results of " + id + ", seed " + cluster.seed,
             longer ? results : observed.results,
             startsWith(longer ? observed.results : results));
         observed.results = longer ? results : observed.results;
       }
     }
 
-    /** Trouble at one store at a time, and at any gateways. */
+    /** Injects a fault at one store, or at any gateway. */
     void injectFault() {
-      ReplicatedBatchCluster.StoreNode store = world.stores.get(world.random.nextInt(3));
-      ReplicatedBatchCluster.Gateway gateway = world.gateways.get(world.random.nextInt(3));
-      switch (world.random.nextInt(7)) {
+      ReplicatedBatchCluster.StoreNode store = cluster.stores.get(cluster.random.nextInt(3));
+      ReplicatedBatchCluster.Gateway gateway = cluster.gateways.get(cluster.random.nextInt(3));
+      switch (cluster.random.nextInt(7)) {
         case 0 -> store.kill(false);
         case 1 -> store.kill(true);
-        case 2 -> world.net.isolate(store.address);
+        case 2 -> cluster.net.isolate(store.address);
         case 3 -> store.disk.stall(1_500);
         case 4 -> gateway.kill();
-        case 5 -> world.net.isolate(gateway.address);
-        default -> world.net.breakOpenCallsOnce(gateway.address, store.address);
+        case 5 -> cluster.net.isolate(gateway.address);
+        default -> cluster.net.breakOpenCallsOnce(gateway.address, store.address);
       }
     }
 
     void heal() {
-      world.net.healAll();
-      for (ReplicatedBatchCluster.StoreNode store : world.stores) {
+      cluster.net.healAll();
+      for (ReplicatedBatchCluster.StoreNode store : cluster.stores) {
         if (!store.up) {
           store.start();
         }
       }
-      for (ReplicatedBatchCluster.Gateway gateway : world.gateways) {
+      for (ReplicatedBatchCluster.Gateway gateway : cluster.gateways) {
         if (!gateway.up) {
           gateway.start();
         }
@@ -165,40 +165,40 @@
 
     void run() {
       for (int step = 0; step < 60; step++) {
-        if (world.random.nextInt(3) > 0) {
+        if (cluster.random.nextInt(3) > 0) {
           submit("lot" + numbers++);
         }
         for (Map.Entry<String, ObservedJob> job : jobs.entrySet()) {
-          if (!job.getValue().accepted && world.random.nextBoolean()) {
+          if (!job.getValue().accepted && cluster.random.nextBoolean()) {
             submit(job.getKey());
-          } else if (job.getValue().accepted && world.random.nextInt(4) == 0) {
+          } else if (job.getValue().accepted && cluster.random.nextInt(4) == 0) {
             read(job.getKey());
           }
-          if (job.getValue().accepted && world.random.nextInt(80) == 0) {
+          if (job.getValue().accepted && cluster.random.nextInt(80) == 0) {
             end(job.getKey());
           }
         }
-        if (step % 6 == 2 && world.allStoresVoting()) {
+        if (step % 6 == 2 && cluster.allStoresVoting()) {
           injectFault();
         }
-        world.timers.advance(250 + world.random.nextInt(300));
+        cluster.timers.advance(250 + cluster.random.nextInt(300));
         if (step % 6 == 5) {
           heal();
-          world.timers.advance(1_500);
+          cluster.timers.advance(1_500);
         }
       }
       heal();
-      world.timers.advance(20_000);
+      cluster.timers.advance(20_000);
     }
   }
 
-  private static void checkEnd(FaultRun day) {
-    ReplicatedBatchCluster world = day.world;
-    String where = ", seed " + world.seed;
-    for (SimServers servers : world.allServers) {
+  private static void checkEnd(FaultRun faultRun) {
+    ReplicatedBatchCluster cluster = faultRun.cluster;
+    String where = ", seed " + cluster.seed;
+    for (SimServers servers : cluster.allServers) {
       for (SimServers.Run run : servers.runs) {
         String id = run.item.id().substring(0, run.item.id().indexOf('-'));
-        ObservedJob observed = day.jobs.get(id);
+        ObservedJob observed = faultRun.jobs.get(id);
         boolean promised = !observed.statuses.stream().anyMatch(s -> s != 429 && s != 503);
         assertThat(id + " ran though each try was refused" + where, promised, is(false));
         if (observed.cancelledAt >= 0) {
@@ -209,12 +209,12 @@
         }
       }
     }
-    for (Map.Entry<String, ObservedJob> job : day.jobs.entrySet()) {
+    for (Map.Entry<String, ObservedJob> job : faultRun.jobs.entrySet()) {
       if (job.getValue().accepted) {
         BatchService.Reply reply =
-            world.await(world.gateways.get(0).batchApi.readResults(job.getKey(), 0, 0));
+            cluster.await(cluster.gateways.get(0).batchApi.readResults(job.getKey(), 0, 0));
         assertThat(job.getKey() + where, reply.status(), is(200));
-        day.check(job.getKey(), reply);
+        faultRun.check(job.getKey(), reply);
         String body = new String(reply.body(), StandardCharsets.UTF_8);
         if (!job.getValue().cancelRequested) {
           for (int i = 0; i < ITEMS; i++) {
@@ -233,8 +233,8 @@
           }
         }
         BatchService.Reply item =
-            world.await(
-                world.gateways.get(1).batchApi.readItemBody(job.getKey(), job.getKey() + "-1"));
+            cluster.await(
+                cluster.gateways.get(1).batchApi.readItemBody(job.getKey(), job.getKey() + "-1"));
         assertThat(
             item.status() + new String(item.body(), StandardCharsets.UTF_8) + where,
             is("200body " + job.getKey() + "1" + where));
@@ -248,12 +248,12 @@
     int refused = 0;
     int ended = 0;
     for (int seed = 0; seed < 16; seed++) {
-      FaultRun day = new FaultRun(seed);
-      day.run();
-      assertThat("faults, seed " + seed, day.world.net.handlerFaults(), is(empty()));
-      assertThat("seed " + seed, day.violations, is(empty()));
-      checkEnd(day);
-      for (ObservedJob observed : day.jobs.values()) {
+      FaultRun faultRun = new FaultRun(seed);
+      faultRun.run();
+      assertThat("faults, seed " + seed, faultRun.cluster.net.handlerFaults(), is(empty()));
+      assertThat("seed " + seed, faultRun.violations, is(empty()));
+      checkEnd(faultRun);
+      for (ObservedJob observed : faultRun.jobs.values()) {
         accepted += observed.accepted ? 1 : 0;
         ended += observed.cancelledAt >= 0 ? 1 : 0;
         refused += observed.statuses.contains(429) ? 1 : 0;
@@ -267,18 +267,18 @@
   @Test
   void anAcceptedJobSurvivesItsGatewayAndAnyOneDisk() {
     for (int seed = 0; seed < 9; seed++) {
-      ReplicatedBatchCluster world = new ReplicatedBatchCluster(seed, 3, LIMIT);
-      ReplicatedBatchCluster.Gateway gateway = world.gateways.get(0);
-      CompletableFuture<BatchService.Reply> reply = world.submit(gateway, "a", ITEMS, TOKENS);
-      assertThat(world.await(reply).status(), is(202));
+      ReplicatedBatchCluster cluster = new ReplicatedBatchCluster(seed, 3, LIMIT);
+      ReplicatedBatchCluster.Gateway gateway = cluster.gateways.get(0);
+      CompletableFuture<BatchService.Reply> reply = cluster.submit(gateway, "a", ITEMS, TOKENS);
+      assertThat(cluster.await(reply).status(), is(202));
       gateway.kill();
-      world.stores.get(seed % 3).kill(true);
-      world.timers.advance(200);
-      world.stores.get(seed % 3).start();
-      world.timers.advance(9_000);
+      cluster.stores.get(seed % 3).kill(true);
+      cluster.timers.advance(200);
+      cluster.stores.get(seed % 3).start();
+      cluster.timers.advance(9_000);
       String body =
           new String(
-              world.await(world.gateways.get(1).batchApi.readResults("a", 0, 0)).body(),
+              cluster.await(cluster.gateways.get(1).batchApi.readResults("a", 0, 0)).body(),
               StandardCharsets.UTF_8);
       assertThat("seed " + seed, body, containsString("\"next_token\":" + ITEMS));
     }
--- a/batch/src/test/java/elmsail/batch/BurstAdmissionTest.java
+++ b/batch/src/test/java/elmsail/batch/BurstAdmissionTest.java
@@ -9,39 +9,41 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-/** Many jobs that are submitted in the same moments, on a route that cannot take them all. */
+/**
+ * Many jobs that are submitted at about the same time, on a route whose limit not all of them fit.
+ */
 class BurstAdmissionTest {
   private static final int GATEWAYS = 8;
   private static final long LIMIT = 1_000;
   private static final int JOBS = 24;
   private static final int SEEDS = 60;
 
-  /** The tokens that were accepted of jobs submitted within {@code spreadMs}, none of them run. */
+  /** The accepted tokens of jobs that are submitted within {@code spreadMs}; no item is run. */
   private static long acceptedTokens(long seed, int spreadMs) {
-    SimBatchCluster world = new SimBatchCluster(seed, GATEWAYS, LIMIT);
+    SimBatchCluster cluster = new SimBatchCluster(seed, GATEWAYS, LIMIT);
     List<CompletableFuture<BatchService.Reply>> replies = new ArrayList<>();
     List<Long> tokens = new ArrayList<>();
     for (int i = 0; i < JOBS; i++) {
-      long own = 60 + world.random.nextInt(140);
+      long own = 60 + cluster.random.nextInt(140);
       tokens.add(own);
-      replies.add(world.submit(i % GATEWAYS, "job" + i, 1, own));
-      world.timers.advance(world.random.nextInt(1 + 2 * spreadMs / JOBS));
+      replies.add(cluster.submit(i % GATEWAYS, "job" + i, 1, own));
+      cluster.timers.advance(cluster.random.nextInt(1 + 2 * spreadMs / JOBS));
     }
     long accepted = 0;
     for (int i = 0; i < JOBS; i++) {
-      accepted += world.status(replies.get(i)) == 202 ? tokens.get(i) : 0;
+      accepted += cluster.status(replies.get(i)) == 202 ? tokens.get(i) : 0;
     }
     return accepted;
   }
 
-  private static void measure(int spreadMs, long least) {
+  private static void measure(int spreadMs, long minMean) {
     long sum = 0;
-    long fewest = LIMIT;
+    long minAccepted = LIMIT;
     for (int seed = 0; seed < SEEDS; seed++) {
       long accepted = acceptedTokens(seed, spreadMs);
       assertThat("seed " + seed, accepted, lessThanOrEqualTo(LIMIT * 11 / 10));
       sum += accepted;
-      fewest = Math.min(fewest, accepted);
+      minAccepted = Math.min(minAccepted, accepted);
     }
     System.out.println(
         JOBS
@@ -52,8 +54,8 @@
             + " in the mean "
             + sum / SEEDS
             + ", at least "
-            + fewest);
-    assertThat("jobs in " + spreadMs + " ms, mean", sum / SEEDS, greaterThanOrEqualTo(least));
+            + minAccepted);
+    assertThat("jobs in " + spreadMs + " ms, mean", sum / SEEDS, greaterThanOrEqualTo(minMean));
   }
 
   @Test
--- a/batch/src/test/java/elmsail/batch/DoubleSubmissionTest.java
+++ b/batch/src/test/java/elmsail/batch/DoubleSubmissionTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Few jobs that contend for a route, each submitted at two gateways one after the other, while
- * stores die and come back, and links are cut.
+ * A few jobs that contend for a route, each submitted to two gateways one after the other, while
+ * stores crash and restart, and links are cut.
  */
 class DoubleSubmissionTest {
   private static final long LIMIT = 1_000;
@@ -19,7 +19,7 @@
   private static final int JOBS = 4;
   private static final int SEEDS = 400;
 
-  /** A job and what was answered to its submissions. */
+  /** A job and the replies to its submissions. */
   private static final class Submitted {
     final String id;
     final long tokens;
@@ -43,50 +43,50 @@
 
   /** One run from one seed. */
   private static final class Run {
-    final ReplicatedBatchCluster world;
+    final ReplicatedBatchCluster cluster;
     final List<Submitted> jobs = new ArrayList<>();
     private final boolean storesDie;
 
     Run(long seed, boolean storesDie) {
-      world = new ReplicatedBatchCluster(seed, GATEWAYS, LIMIT);
+      cluster = new ReplicatedBatchCluster(seed, GATEWAYS, LIMIT);
       this.storesDie = storesDie;
-      world.gateways.forEach(gateway -> gateway.servers.capacity = 0);
-      world.timers.advance(500);
+      cluster.gateways.forEach(gateway -> gateway.servers.capacity = 0);
+      cluster.timers.advance(500);
       for (int i = 0; i < JOBS; i++) {
-        Submitted job = new Submitted("s" + seed + "-" + i, 250 + world.random.nextInt(400));
+        Submitted job = new Submitted("s" + seed + "-" + i, 250 + cluster.random.nextInt(400));
         jobs.add(job);
-        int first = world.random.nextInt(GATEWAYS);
-        world.timers.schedule(world.random.nextInt(60), () -> submit(job, first));
-        world.timers.schedule(
-            60 + world.random.nextInt(1_500),
-            () -> submit(job, (first + 1 + world.random.nextInt(GATEWAYS - 1)) % GATEWAYS));
+        int first = cluster.random.nextInt(GATEWAYS);
+        cluster.timers.schedule(cluster.random.nextInt(60), () -> submit(job, first));
+        cluster.timers.schedule(
+            60 + cluster.random.nextInt(1_500),
+            () -> submit(job, (first + 1 + cluster.random.nextInt(GATEWAYS - 1)) % GATEWAYS));
       }
-      injectFaults(world.timers.now() + 4_000);
-      world.timers.advance(9_000);
+      injectFaults(cluster.timers.now() + 4_000);
+      cluster.timers.advance(9_000);
     }
 
     private void submit(Submitted job, int gateway) {
-      job.replies.add(world.submit(world.gateways.get(gateway), job.id, 1, job.tokens));
+      job.replies.add(cluster.submit(cluster.gateways.get(gateway), job.id, 1, job.tokens));
     }
 
     private void injectFaults(long deadline) {
-      if (world.timers.now() >= deadline) {
-        world.net.healAll();
+      if (cluster.timers.now() >= deadline) {
+        cluster.net.healAll();
         return;
       }
-      ReplicatedBatchCluster.StoreNode store = world.stores.get(world.random.nextInt(3));
-      String gateway = world.gateways.get(world.random.nextInt(GATEWAYS)).address;
-      if (storesDie && world.random.nextInt(6) == 0 && world.allStoresVoting()) {
+      ReplicatedBatchCluster.StoreNode store = cluster.stores.get(cluster.random.nextInt(3));
+      String gateway = cluster.gateways.get(cluster.random.nextInt(GATEWAYS)).address;
+      if (storesDie && cluster.random.nextInt(6) == 0 && cluster.allStoresVoting()) {
         store.kill(false);
-        world.timers.schedule(20 + world.random.nextInt(200), store::start);
+        cluster.timers.schedule(20 + cluster.random.nextInt(200), store::start);
       } else {
-        boolean toStore = world.random.nextBoolean();
+        boolean toStore = cluster.random.nextBoolean();
         String from = toStore ? gateway : store.address;
         String to = toStore ? store.address : gateway;
-        world.net.cut(from, to);
-        world.timers.schedule(10 + world.random.nextInt(800), () -> world.net.heal(from, to));
+        cluster.net.cut(from, to);
+        cluster.timers.schedule(10 + cluster.random.nextInt(800), () -> cluster.net.heal(from, to));
       }
-      world.timers.schedule(10 + world.random.nextInt(120), () -> injectFaults(deadline));
+      cluster.timers.schedule(10 + cluster.random.nextInt(120), () -> injectFaults(deadline));
     }
 
     long accepted() {
@@ -94,11 +94,11 @@
     }
 
     List<String> rejectedAndRun() {
-      world.gateways.forEach(gateway -> gateway.servers.capacity = JOBS);
-      world.timers.advance(12_000);
+      cluster.gateways.forEach(gateway -> gateway.servers.capacity = JOBS);
+      cluster.timers.advance(12_000);
       List<String> found = new ArrayList<>();
       for (Submitted job : jobs) {
-        if (job.allRejected() && world.served.contains(job.id + "-0")) {
+        if (job.allRejected() && cluster.served.contains(job.id + "-0")) {
           found.add(job.id);
         }
       }
@@ -107,15 +107,15 @@
   }
 
   private static void run(boolean storesDie) {
-    long most = 0;
+    long maxAccepted = 0;
     long sum = 0;
-    int over = 0;
+    int timesOverLimit = 0;
     List<String> rejectedAndRun = new ArrayList<>();
     for (int seed = 0; seed < SEEDS; seed++) {
       Run run = new Run(seed, storesDie);
-      most = Math.max(most, run.accepted());
+      maxAccepted = Math.max(maxAccepted, run.accepted());
       sum += run.accepted();
-      over += run.accepted() > LIMIT ? 1 : 0;
+      timesOverLimit += run.accepted() > LIMIT ? 1 : 0;
       rejectedAndRun.addAll(run.rejectedAndRun());
     }
     System.out.println(
@@ -123,13 +123,13 @@
             + ": accepted in the mean "
             + sum / SEEDS
             + ", at most "
-            + most
+            + maxAccepted
             + ", over the limit "
-            + over
+            + timesOverLimit
             + " times; refused and run: "
             + rejectedAndRun);
-    assertThat("accepted", most, lessThanOrEqualTo(LIMIT));
-    assertThat("refused and run", rejectedAndRun, empty());
+    assertThat("accepted", maxAccepted, lessThanOrEqualTo(LIMIT));
+    assertThat("rejected and run", rejectedAndRun, empty());
   }
 
   @Test
--- a/batch/src/test/java/elmsail/batch/JobStoreServiceTest.java
+++ b/batch/src/test/java/elmsail/batch/JobStoreServiceTest.java
@@ -68,7 +68,7 @@
     assertThat(waitingTokensOf("r"), is(0L));
     assertThat("not admitted", service.admits("lot/a", record(10).encode()), is(false));
     service.onSideEffect("lot/a", new WaitingTokens.Reservation("r", "a", 30, 8).encode());
-    assertThat("the client's next try", waitingTokensOf("r"), is(30L));
+    assertThat("the client's next attempt", waitingTokensOf("r"), is(30L));
   }
 
   @Test
@@ -79,7 +79,7 @@
     assertThat(waitingTokensOf("r"), is(30L));
     assertThat(waitingTokensOf("else"), is(0L));
     request(BatchMessageTypes.WITHDRAW, new WaitingTokens.Reservation("r", "a", 30, 8).encode());
-    assertThat("another try's add", waitingTokensOf("r"), is(30L));
+    assertThat("another attempt's reservation", waitingTokensOf("r"), is(30L));
     request(BatchMessageTypes.WITHDRAW, reservation.encode());
     assertThat(waitingTokensOf("r"), is(0L));
     service.onSideEffect("lot/a", reservation.encode());
@@ -96,11 +96,11 @@
     service.onSideEffect("lot/c", new WaitingTokens.Reservation("r", "c", 19, 7).encode());
     service.onSideEffect("lot/d", new WaitingTokens.Reservation("else", "d", 20, 7).encode());
     assertThat(service.admits("lot/a", value), is(true));
-    assertThat("fewer tokens were added", service.admits("lot/c", value), is(false));
-    assertThat("added on another route", service.admits("lot/d", value), is(false));
+    assertThat("fewer tokens were reserved", service.admits("lot/c", value), is(false));
+    assertThat("reserved on another route", service.admits("lot/d", value), is(false));
     timers.advance(5_001);
     assertThat("admitted before", service.admits("lot/a", value), is(true));
-    assertThat("run out unused", service.admits("lot/b", value), is(false));
+    assertThat("expired unused", service.admits("lot/b", value), is(false));
     timers.advance(30_001);
     assertThat("never written", service.admits("lot/a", value), is(false));
     assertThat(service.admits("lot/a", record(10).rewritten().encode()), is(true));
@@ -122,13 +122,13 @@
   @Test
   void waitingTokensFollowTheNewestRecord() {
     JobRecord first = record(10);
-    JobRecord listed = first.withResults(List.of(new JobRecord.Result(1, true, 1, 5)), 0);
+    JobRecord withResult = first.withResults(List.of(new JobRecord.Result(1, true, 1, 5)), 0);
     service.onAccepted("lot/a", first.encode());
     assertThat(waitingTokensOf("r"), is(20L));
-    service.onAccepted("lot/a", listed.encode());
+    service.onAccepted("lot/a", withResult.encode());
     service.onAccepted("lot/a", first.encode());
     assertThat(waitingTokensOf("r"), is(10L));
-    service.onAccepted("lot/a", listed.withCancellation().encode());
+    service.onAccepted("lot/a", withResult.withCancellation().encode());
     assertThat(waitingTokensOf("r"), is(0L));
     assertThat(abandoned(), hasSize(0));
   }
@@ -208,12 +208,12 @@
   @Test
   void jobsAreDroppedAfterTheirRetentionTime() {
     service.start();
-    JobRecord whole =
+    JobRecord complete =
         record(10)
             .withResults(
                 List.of(new JobRecord.Result(0, false, 1, 0), new JobRecord.Result(1, false, 1, 0)),
                 0);
-    service.onAccepted("lot/a", whole.encode());
+    service.onAccepted("lot/a", complete.encode());
     service.onAccepted("lot/b", record(10).encode());
     timers.advance(150_000);
     assertThat(dropped, hasSize(0));
--- a/batch/src/test/java/elmsail/batch/MessageCodecTest.java
+++ b/batch/src/test/java/elmsail/batch/MessageCodecTest.java
@@ -41,10 +41,10 @@
     assertThat(items.get(0).headers().get("A"), is("b c"));
     assertThat(items.get(0).body().length, is(8));
     assertThat(items.get(0).tokens(), is(940L));
-    BatchItem back = JobBodyCodec.decode(JobBodyCodec.encode(items)).get(0);
-    assertThat(back.path(), is("/p/1"));
-    assertThat(back.headers(), is(items.get(0).headers()));
-    assertThat(Arrays.equals(back.body(), items.get(0).body()), is(true));
+    BatchItem decoded = JobBodyCodec.decode(JobBodyCodec.encode(items)).get(0);
+    assertThat(decoded.path(), is("/p/1"));
+    assertThat(decoded.headers(), is(items.get(0).headers()));
+    assertThat(Arrays.equals(decoded.body(), items.get(0).body()), is(true));
   }
 
   @Test
@@ -115,7 +115,7 @@
     }
   }
 
-  /** What stores have on disk is read by later programs: a record's bytes stay as they are. */
+  /** Later versions read what stores have on disk, so the bytes of a record are pinned. */
   @Test
   void theEncodingOfARecordIsPinned() {
     JobRecord record = recordWithAllFields(List.of(new JobRecord.FailedAttempts(0, 2)));
@@ -146,10 +146,10 @@
     assertThat(next.failedAttempts(), contains(ofA, ofC));
     JobRecord lower = next.withResults(List.of(), List.of(new JobRecord.FailedAttempts(0, 1)), 0);
     assertThat("a lower count does not replace one", lower.failedAttemptsOf(0), is(2));
-    JobRecord listed = lower.withResults(List.of(new JobRecord.Result(0, false, 2, 0)), 0);
-    assertThat(listed.failedAttempts(), contains(ofC));
-    assertThat(listed.failedAttemptsOf(0), is(0));
-    assertThat(listed.withCancellation().failedAttempts(), contains(ofC));
+    JobRecord withResult = lower.withResults(List.of(new JobRecord.Result(0, false, 2, 0)), 0);
+    assertThat(withResult.failedAttempts(), contains(ofC));
+    assertThat(withResult.failedAttemptsOf(0), is(0));
+    assertThat(withResult.withCancellation().failedAttempts(), contains(ofC));
   }
 
   @Test
@@ -180,24 +180,25 @@
             "d");
     JobRecord.Result first = new JobRecord.Result(1, true, 1, 3);
     JobRecord.Result again = new JobRecord.Result(1, false, 2, 0);
-    JobRecord listed = record.withResults(List.of(first), 10).withResults(List.of(again, again), 5);
-    assertThat(listed.results(), contains(first));
-    assertThat(listed.waitingTokens(), is(5L));
-    assertThat(listed.ageMs(), is(10L));
-    assertThat(listed.withCancellation().waitingTokens(), is(0L));
+    JobRecord withResult =
+        record.withResults(List.of(first), 10).withResults(List.of(again, again), 5);
+    assertThat(withResult.results(), contains(first));
+    assertThat(withResult.waitingTokens(), is(5L));
+    assertThat(withResult.ageMs(), is(10L));
+    assertThat(withResult.withCancellation().waitingTokens(), is(0L));
   }
 
   @Test
   void varintsSurviveTheCodec() {
     long[] numbers = {0, 1, 127, 128, 300, Long.MAX_VALUE, -1, Long.MIN_VALUE};
-    ByteWriter to = new ByteWriter();
+    ByteWriter writer = new ByteWriter();
     for (long one : numbers) {
-      to.writeVarint(one);
+      writer.writeVarint(one);
     }
-    ByteReader from = new ByteReader(to.toByteArray());
+    ByteReader reader = new ByteReader(writer.toByteArray());
     for (long one : numbers) {
-      assertThat(from.readVarint(), is(one));
+      assertThat(reader.readVarint(), is(one));
     }
-    assertThat(from.hasRemaining(), is(false));
+    assertThat(reader.hasRemaining(), is(false));
   }
 }
--- a/batch/src/test/java/elmsail/batch/NarrowUplinkTest.java
+++ b/batch/src/test/java/elmsail/batch/NarrowUplinkTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Jobs at a gateway whose outgoing link is narrow, as on small machines: 21 Mbit/s, and five stores
- * for two losses that are to be borne.
+ * Jobs at a gateway with a slow uplink, as on small machines: 21 Mbit/s, with five stores, which
+ * tolerate two failures.
  */
 class NarrowUplinkTest {
   private static final double BYTES_PER_MS = 21_000_000 / 8.0 / 1_000;
@@ -20,13 +20,13 @@
   private static final int ITEMS = 200;
   private static final int ITEM_BYTES = 1_330;
 
-  /** Of the text of one result. */
+  /** The length of the text of one result. */
   private static final int TEXT_BYTES = 3_300;
 
-  /** Items end one after the other, 60 a second. */
+  /** Items complete one after the other, 60 a second. */
   private static final long STAGGER_MS = 16;
 
-  /** Within which the call that submits a job is to be answered, of its route. */
+  /** Within which the reply to a submission is due on this route. */
   private static final long DUE_MS = 500;
 
   private static byte[] job(String id) {
@@ -47,77 +47,77 @@
     return json.append("]}").toString().getBytes(StandardCharsets.UTF_8);
   }
 
-  private static long acceptMs(ReplicatedBatchCluster world, String id) {
-    ReplicatedBatchCluster.Gateway gateway = world.gateways.get(0);
-    long startedAt = world.timers.now();
+  private static long acceptMs(ReplicatedBatchCluster cluster, String id) {
+    ReplicatedBatchCluster.Gateway gateway = cluster.gateways.get(0);
+    long startedAt = cluster.timers.now();
     CompletableFuture<BatchService.Reply> reply =
-        gateway.batchApi.submit(world.route(), id, job(id), 3_000);
-    assertThat(world.await(reply).status(), is(202));
-    return world.timers.now() - startedAt;
+        gateway.batchApi.submit(cluster.route(), id, job(id), 3_000);
+    assertThat(cluster.await(reply).status(), is(202));
+    return cluster.timers.now() - startedAt;
   }
 
-  private static ReplicatedBatchCluster world(long seed) {
-    ReplicatedBatchCluster world = new ReplicatedBatchCluster(seed, 1, 1_000_000, STORES);
-    world.net.uplink(world.gateways.get(0).address, BYTES_PER_MS);
-    world.timers.advance(1_000);
-    return world;
+  private static ReplicatedBatchCluster cluster(long seed) {
+    ReplicatedBatchCluster cluster = new ReplicatedBatchCluster(seed, 1, 1_000_000, STORES);
+    cluster.net.uplink(cluster.gateways.get(0).address, BYTES_PER_MS);
+    cluster.timers.advance(1_000);
+    return cluster;
   }
 
   @Test
   void aLargeJobIsAcceptedWhileItIsDue() {
     for (int seed = 0; seed < 5; seed++) {
-      assertThat("seed " + seed, acceptMs(world(seed), "large"), lessThan(DUE_MS / 2));
+      assertThat("seed " + seed, acceptMs(cluster(seed), "large"), lessThan(DUE_MS / 2));
     }
   }
 
   @Test
   void theBodyLeavesTheGatewayOnce() {
-    ReplicatedBatchCluster world = world(7);
-    world.net.countBytes(world.gateways.get(0).address);
-    acceptMs(world, "large");
+    ReplicatedBatchCluster cluster = cluster(7);
+    cluster.net.countBytes(cluster.gateways.get(0).address);
+    acceptMs(cluster, "large");
     long body = (long) ITEMS * ITEM_BYTES;
-    assertThat(world.net.countedBytes(), lessThanOrEqualTo(body * 3 / 2));
+    assertThat(cluster.net.countedBytes(), lessThanOrEqualTo(body * 3 / 2));
   }
 
   @Test
   void resultsLeaveTheGatewayFewTimes() {
-    ReplicatedBatchCluster world = world(8);
-    SimServers servers = world.gateways.get(0).servers;
+    ReplicatedBatchCluster cluster = cluster(8);
+    SimServers servers = cluster.gateways.get(0).servers;
     servers.capacity = ITEMS;
     servers.serviceTimeMs = 1_000;
     servers.staggerMs = STAGGER_MS;
     servers.eventPadding = "y".repeat(TEXT_BYTES / 2);
-    acceptMs(world, "large");
-    world.net.countBytes(world.gateways.get(0).address);
-    world.timers.advance(1_000 + (ITEMS + 10) * STAGGER_MS);
+    acceptMs(cluster, "large");
+    cluster.net.countBytes(cluster.gateways.get(0).address);
+    cluster.timers.advance(1_000 + (ITEMS + 10) * STAGGER_MS);
     assertThat(servers.served.size(), is(ITEMS));
     long texts = (long) ITEMS * TEXT_BYTES;
     System.out.println(
         "results of "
             + texts
             + " bytes took "
-            + world.net.countedBytes()
+            + cluster.net.countedBytes()
             + " on the gateway's link");
-    assertThat(world.net.countedBytes(), lessThanOrEqualTo(texts * 4));
+    assertThat(cluster.net.countedBytes(), lessThanOrEqualTo(texts * 4));
   }
 
   @Test
   void withTheNearestStoreDownALargeJobIsAcceptedNonetheless() {
     for (int down = 0; down < STORES; down++) {
-      ReplicatedBatchCluster world = world(20 + down);
-      world.stores.get(down).kill(false);
-      world.timers.advance(200);
-      acceptMs(world, "large");
+      ReplicatedBatchCluster cluster = cluster(20 + down);
+      cluster.stores.get(down).kill(false);
+      cluster.timers.advance(200);
+      acceptMs(cluster, "large");
     }
   }
 
   @Test
   void withAStoreFrozenALargeJobIsAcceptedNonetheless() {
     for (int frozen = 0; frozen < STORES; frozen++) {
-      ReplicatedBatchCluster world = world(30 + frozen);
-      world.net.freeze(world.stores.get(frozen).address);
-      acceptMs(world, "first");
-      assertThat("behind the first", acceptMs(world, "second"), lessThan(DUE_MS));
+      ReplicatedBatchCluster cluster = cluster(30 + frozen);
+      cluster.net.freeze(cluster.stores.get(frozen).address);
+      acceptMs(cluster, "first");
+      assertThat("behind the first", acceptMs(cluster, "second"), lessThan(DUE_MS));
     }
   }
 }
--- a/batch/src/test/java/elmsail/batch/ReplicatedBatchCluster.java
+++ b/batch/src/test/java/elmsail/batch/ReplicatedBatchCluster.java
@@ -25,11 +25,14 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 
-/** Doors and stores as they are, over simulated links and disks, on one clock and one seed. */
+/**
+ * Gateways and stores with real replicas, on simulated links and disks. One manual clock and one
+ * seed drive everything, so a run can be repeated.
+ */
 final class ReplicatedBatchCluster {
   static final String VOTER_SET_NAME = "shelf";
 
-  /** A store's machine: the disk stays. */
+  /** A store process and its disk, which survives a crash. */
   final class StoreNode {
     final String address;
     final SimDisk disk;
@@ -75,7 +78,7 @@
     }
   }
 
-  /** A gateway; each start is a new life with servers of its own. */
+  /** A gateway; each start is a new incarnation with servers of its own. */
   final class Gateway {
     final String address;
     SimNode node;
@@ -128,7 +131,7 @@
       batchApi.start();
     }
 
-    /** Its servers drop what it had sent them. */
+    /** Crashes; its servers abort what it had sent them. */
     void kill() {
       up = false;
       net.kill(address);
@@ -143,10 +146,10 @@
   final List<StoreNode> stores = new ArrayList<>();
   final List<Gateway> gateways = new ArrayList<>();
 
-  /** Of all gateways' lives. */
+  /** Those of all incarnations of all gateways. */
   final List<SimServers> allServers = new ArrayList<>();
 
-  /** ItemDispatcher that a server has finished. */
+  /** The ids of the items that a server has completed. */
   final Set<String> served = new HashSet<>();
 
   final ClusterView view = new ClusterView();
@@ -184,7 +187,7 @@
     distributeVoterSet();
   }
 
-  /** What the pulls do: stores and gateways hear of the newest voter set. */
+  /** Distributes the newest voter set, as watching the control plane does. */
   private void distributeVoterSet() {
     VoterSet newest = voterSet();
     view.jobStoreVoters = newest;
@@ -264,7 +267,7 @@
     return gateway.batchApi.submit(route(), id, SimBatchCluster.job(id, items, tokens), 3_000);
   }
 
-  /** Null where no answer comes within 6 s, as the gateway has died. */
+  /** The reply, or null if there is none within 6 s, as the gateway has crashed. */
   BatchService.Reply await(CompletableFuture<BatchService.Reply> reply) {
     for (int i = 0; i < 6_000 && !reply.isDone(); i++) {
       timers.advance(1);
--- a/batch/src/test/java/elmsail/batch/ReusedJobIdTest.java
+++ b/batch/src/test/java/elmsail/batch/ReusedJobIdTest.java
@@ -12,11 +12,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** An id that is submitted again after the stores have dropped its first job. */
+/** A job id that is submitted again after the stores have dropped its first job. */
 class ReusedJobIdTest {
-  private static JobRecord accepted(long edition) {
+  private static JobRecord accepted(long configVersion) {
     return JobRecord.accepted(
-        new JobDescription("r", "h", edition, 1, 1, "body", List.of(new JobRecord.Item("i", 10))),
+        new JobDescription(
+            "r", "h", configVersion, 1, 1, "body", List.of(new JobRecord.Item("i", 10))),
         "gateway");
   }
 
--- a/batch/src/test/java/elmsail/batch/SimBatchCluster.java
+++ b/batch/src/test/java/elmsail/batch/SimBatchCluster.java
@@ -30,17 +30,20 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionStage;
 
-/** Doors, stores and the links between them, all moved by one hand clock and one seed. */
+/**
+ * Gateways and stores with a simple register, on simulated links. One manual clock and one seed
+ * drive everything, so a run can be repeated. {@link ReplicatedBatchCluster} has real replicas.
+ */
 final class SimBatchCluster {
   static final long STATUS_RETENTION_MS = 120_000;
   static final String HOST = "h.example";
 
-  /** A gateway with its servers; a killed one hears and says nothing more. */
+  /** A gateway with its servers; while it is down it neither receives nor sends. */
   static final class Gateway {
     final String address;
     BatchApi batchApi;
     SimServers servers;
-    SimConfig config;
+    SimConfig initialConfig;
     boolean up = true;
 
     Gateway(String address) {
@@ -55,16 +58,16 @@
   final ClusterView view = new ClusterView();
 
   /** Links that are cut: "from>to". */
-  final Set<String> cut = new HashSet<>();
+  final Set<String> cutLinks = new HashSet<>();
 
-  /** Links with a time of their own, in ms; else 1 to 5. */
-  final Map<String, Long> delays = new HashMap<>();
+  /** Delays of single links, in ms; the others have 1 to 5. */
+  final Map<String, Long> linkDelays = new HashMap<>();
 
-  final SimConfig config;
+  final SimConfig initialConfig;
 
   SimBatchCluster(long seed, int gatewayCount, long mostWaiting) {
     random = new Random(seed);
-    config = new SimConfig(1, List.of(route(mostWaiting)));
+    initialConfig = new SimConfig(1, List.of(route(mostWaiting)));
     for (int i = 0; i < 3; i++) {
       SimJobStore store = new SimJobStore("10.0.1." + i + ":7000", this);
       stores.add(store);
@@ -99,7 +102,7 @@
   }
 
   Route route() {
-    return config.routeByName("r-lots");
+    return initialConfig.routeByName("r-lots");
   }
 
   private Gateway startGateway(Gateway gateway, int number) {
@@ -107,7 +110,7 @@
         new ClusterState() {
           @Override
           public RoutingConfig config() {
-            return gateway.config;
+            return gateway.initialConfig;
           }
 
           @Override
@@ -128,7 +131,7 @@
           @Override
           public void addListener(Runnable then) {}
         };
-    gateway.config = config;
+    gateway.initialConfig = initialConfig;
     gateway.servers = new SimServers(timers);
     Timers own = timersOf(gateway);
     gateway.batchApi =
@@ -144,7 +147,7 @@
     return gateway;
   }
 
-  /** Timers that go off only while the gateway is up. */
+  /** Timers that fire only while the gateway is up. */
   private Timers timersOf(Gateway gateway) {
     return new Timers() {
       @Override
@@ -174,7 +177,7 @@
     return stores.size() / 2 + 1;
   }
 
-  private boolean up(String address) {
+  private boolean isUp(String address) {
     for (SimJobStore store : stores) {
       if (store.address.equals(address)) {
         return store.up;
@@ -188,16 +191,16 @@
     return false;
   }
 
-  /** Carries a message, unless the link is cut or the receiver is down when it comes. */
+  /** Delivers a message, unless the link is cut or the receiver is down on arrival. */
   void deliver(String from, String to, Runnable message) {
-    if (!up(from)) {
+    if (!isUp(from)) {
       return;
     }
-    long delay = delays.getOrDefault(from + ">" + to, 1L + random.nextInt(5));
+    long delay = linkDelays.getOrDefault(from + ">" + to, 1L + random.nextInt(5));
     timers.schedule(
         delay,
         () -> {
-          if (up(to) && !cut.contains(from + ">" + to)) {
+          if (isUp(to) && !cutLinks.contains(from + ">" + to)) {
             message.run();
           }
         });
@@ -206,9 +209,9 @@
   void cut(String one, String other, boolean off) {
     for (String link : List.of(one + ">" + other, other + ">" + one)) {
       if (off) {
-        cut.add(link);
+        cutLinks.add(link);
       } else {
-        cut.remove(link);
+        cutLinks.remove(link);
       }
     }
   }
@@ -258,7 +261,7 @@
     };
   }
 
-  /** The JSON of a job whose batchItems have the ids LOT-0, LOT-1 and so on. */
+  /** The JSON of a job whose items have the ids JOB-0, JOB-1 and so on. */
   static byte[] job(String id, int items, long tokens) {
     StringBuilder json = new StringBuilder("{\"pieces\":[");
     for (int i = 0; i < items; i++) {
@@ -285,7 +288,7 @@
     return gateways.get(gateway).batchApi.submit(route(), id, job(id, items, tokens), 3_000);
   }
 
-  /** Moves the clock until the reply is there, for 10 s at most. */
+  /** Advances the clock until there is a reply, by 10 s at most. */
   BatchService.Reply await(CompletableFuture<BatchService.Reply> reply) {
     for (int i = 0; i < 10_000 && !reply.isDone(); i++) {
       timers.advance(1);
@@ -294,7 +297,7 @@
     return reply.join();
   }
 
-  /** The tokens that wait on the jobs' route by this store's count. */
+  /** The waiting tokens of the route, as this store counts them. */
   static long waitingTokens(SimJobStore store) {
     WaitingTokens count = new WaitingTokens();
     count.mergeAll(
@@ -306,12 +309,12 @@
 
   /** How many stores have the blob. */
   int storesWithBlob(String key, String blob) {
-    int having = 0;
+    int count = 0;
     for (SimJobStore store : stores) {
       SimJobStore.StoredKey cell = store.keys.get(key);
-      having += cell != null && cell.blobs.containsKey(blob) ? 1 : 0;
+      count += cell != null && cell.blobs.containsKey(blob) ? 1 : 0;
     }
-    return having;
+    return count;
   }
 
   int status(CompletableFuture<BatchService.Reply> reply) {
--- a/batch/src/test/java/elmsail/batch/SimConfig.java
+++ b/batch/src/test/java/elmsail/batch/SimConfig.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** A configuration of some routes. */
+/** A routing configuration of these routes only. */
 record SimConfig(long version, List<Route> routes) implements RoutingConfig {
   @Override
   public Route match(String host, String path) {
--- a/batch/src/test/java/elmsail/batch/SimJobStore.java
+++ b/batch/src/test/java/elmsail/batch/SimJobStore.java
@@ -9,12 +9,12 @@
 import java.util.Map;
 
 /**
- * A voter with the views of a jobs' store; what is in it outlives {@code restart}, but for the
- * views.
+ * A store with a simple acceptor. Its keys survive {@link #restart}, what the service derives from
+ * them does not.
  */
 final class SimJobStore {
 
-  /** What it holds of one key. */
+  /** The state of the acceptor for one key. */
   static final class StoredKey {
     Ballot promised = new Ballot();
     Ballot accepted = new Ballot();
@@ -27,21 +27,21 @@
 
   final String address;
   final Map<String, StoredKey> keys = new HashMap<>();
-  final SimBatchCluster world;
+  final SimBatchCluster cluster;
   JobStoreService service;
   boolean up = true;
 
-  SimJobStore(String address, SimBatchCluster world) {
+  SimJobStore(String address, SimBatchCluster cluster) {
     this.address = address;
-    this.world = world;
+    this.cluster = cluster;
     restart();
   }
 
-  /** A new process on the same disk. */
+  /** Starts a new process on the same disk. */
   void restart() {
     service =
         new JobStoreService(
-            world.timers,
+            cluster.timers,
             () -> up,
             keys::remove,
             SimBatchCluster.STATUS_RETENTION_MS,
--- a/batch/src/test/java/elmsail/batch/SimRegister.java
+++ b/batch/src/test/java/elmsail/batch/SimRegister.java
@@ -12,17 +12,17 @@
 import java.util.function.Function;
 
 /**
- * A gateway's register over simulated links: prepare and accept at a majority, as published for
- * CASPaxos.
+ * A simple proposer over simulated links: prepare and accept at a majority, as published for
+ * CASPaxos (Rystsov, 2018).
  */
 final class SimRegister implements Register {
-  private final SimBatchCluster world;
+  private final SimBatchCluster cluster;
   private final String gateway;
   private final long proposerId;
   private long round;
 
-  SimRegister(SimBatchCluster world, String gateway, long proposerId) {
-    this.world = world;
+  SimRegister(SimBatchCluster cluster, String gateway, long proposerId) {
+    this.cluster = cluster;
     this.gateway = gateway;
     this.proposerId = proposerId;
   }
@@ -45,7 +45,7 @@
       this.change = change;
       this.blobs = blobs;
       this.sideEffect = sideEffect;
-      world.timers.schedule(timeoutMs, this::timeOut);
+      cluster.timers.schedule(timeoutMs, this::timeOut);
     }
 
     void timeOut() {
@@ -54,7 +54,7 @@
     }
 
     void retry() {
-      world.timers.schedule(1 + world.random.nextInt(20), this::start);
+      cluster.timers.schedule(1 + cluster.random.nextInt(20), this::start);
     }
 
     void start() {
@@ -66,7 +66,7 @@
       ballot.proposerId = proposerId;
       List<SimJobStore.Response> promises = new ArrayList<>();
       boolean[] over = new boolean[1];
-      for (SimJobStore store : world.stores) {
+      for (SimJobStore store : cluster.stores) {
         send(
             store,
             () -> store.prepare(key, ballot, blobs, sideEffect),
@@ -77,7 +77,7 @@
                 retry();
               } else if (response.granted()
                   && promises.add(response)
-                  && promises.size() == world.majority()
+                  && promises.size() == cluster.majority()
                   && !over[0]) {
                 over[0] = true;
                 onPromised(ballot, promises);
@@ -111,7 +111,7 @@
       ProposedValue proposed = change.apply(new ObservedState(value, sideEffects));
       if (proposed.value() != null) {
         accept(ballot, proposed.value(), proposed.blobs(), true);
-      } else if (same < world.majority() && value != null) {
+      } else if (same < cluster.majority() && value != null) {
         accept(ballot, value, List.of(), false);
       } else {
         result.complete(new CommittedState(new VersionedValue(newest, value), false));
@@ -121,16 +121,16 @@
     void accept(Ballot ballot, byte[] value, List<Blob> with, boolean changed) {
       acceptSent = true;
       int[] counts = new int[2];
-      for (SimJobStore store : world.stores) {
+      for (SimJobStore store : cluster.stores) {
         send(
             store,
             () -> store.accept(key, ballot, value, with),
             response -> {
               round = Math.max(round, response.promised().round);
-              if (response.granted() && ++counts[0] == world.majority()) {
+              if (response.granted() && ++counts[0] == cluster.majority()) {
                 result.complete(new CommittedState(new VersionedValue(ballot, value), changed));
               } else if (!response.granted()
-                  && ++counts[1] == world.stores.size() - world.majority() + 1) {
+                  && ++counts[1] == cluster.stores.size() - cluster.majority() + 1) {
                 retry();
               }
             });
@@ -140,12 +140,12 @@
 
   private <T> void send(
       SimJobStore store, java.util.function.Supplier<T> handle, Consumer<T> onResponse) {
-    world.deliver(
+    cluster.deliver(
         gateway,
         store.address,
         () -> {
           T response = handle.get();
-          world.deliver(store.address, gateway, () -> onResponse.accept(response));
+          cluster.deliver(store.address, gateway, () -> onResponse.accept(response));
         });
   }
 
@@ -176,18 +176,18 @@
       byte[] sideEffect,
       long timeoutMs) {
     Proposal proposal = new Proposal(key, change, blobs, sideEffect, timeoutMs);
-    world.timers.execute(proposal::start);
+    cluster.timers.execute(proposal::start);
     return proposal.result;
   }
 
   @Override
   public CompletableFuture<byte[]> readBlob(String key, String name, long timeoutMs) {
     CompletableFuture<byte[]> blob = new CompletableFuture<>();
-    world.timers.schedule(
+    cluster.timers.schedule(
         timeoutMs,
         () -> blob.completeExceptionally(new ElmsailException(ErrorCode.NO_QUORUM, name)));
     int[] none = new int[1];
-    for (SimJobStore store : world.stores) {
+    for (SimJobStore store : cluster.stores) {
       send(
           store,
           () -> {
@@ -198,7 +198,7 @@
           found -> {
             if (found.isPresent()) {
               blob.complete(found.get());
-            } else if (++none[0] == world.majority()) {
+            } else if (++none[0] == cluster.majority()) {
               blob.complete(null);
             }
           });
--- a/batch/src/test/java/elmsail/batch/SimServers.java
+++ b/batch/src/test/java/elmsail/batch/SimServers.java
@@ -8,10 +8,12 @@
 import java.util.List;
 import java.util.Set;
 
-/** Servers of one gateway: every start is written down, and ended by the test or by themselves. */
+/**
+ * The servers of one gateway: each run is kept, and is completed by the test or after a set time.
+ */
 final class SimServers implements ItemServers {
 
-  /** One start. */
+  /** One run of an item. */
   final class Run implements RunHandle {
     final BatchItem item;
     final long lastEventId;
@@ -43,8 +45,8 @@
       }
     }
 
-    /** The whole output: two events, by the item's id. */
-    void serve() {
+    /** Sends the complete output, two events by the item's id, and ends the run. */
+    void complete() {
       for (long id = lastEventId + 1; id < 2; id++) {
         event(id, item.id() + "/" + id + eventPadding);
       }
@@ -61,18 +63,18 @@
   private final ManualTimers timers;
   int capacity = 1_000;
 
-  /** ItemDispatcher that were finished. */
+  /** The ids of the items that were completed. */
   Set<String> served = new HashSet<>();
 
-  /** Put behind the data of each event, where long texts matter. */
+  /** Appended to the data of each event, where long texts matter. */
   String eventPadding = "";
 
   /**
-   * The next run is served so many ms later than the one before it, beyond {@link #serviceTimeMs}.
+   * By how much each run takes longer than the one before it, beyond {@link #serviceTimeMs}, in ms.
    */
   long staggerMs;
 
-  /** After so many ms a run is served; -1: by the test alone. */
+  /** After how long a run completes, in ms; with -1 only the test completes it. */
   long serviceTimeMs = -1;
 
   SimServers(ManualTimers timers) {
@@ -100,12 +102,12 @@
     Run run = new Run(item, lastEventId, listener, timers.now());
     runs.add(run);
     if (serviceTimeMs >= 0) {
-      timers.schedule(serviceTimeMs + staggerMs * runs.size(), run::serve);
+      timers.schedule(serviceTimeMs + staggerMs * runs.size(), run::complete);
     }
     return run;
   }
 
-  /** The gateway has died: its connections close, and nothing is heard. */
+  /** The gateway has crashed: its connections close and no listener is called. */
   void closeConnections() {
     runs.forEach(Run::cancel);
   }
--- a/batch/src/test/java/elmsail/batch/SteadyContentionTest.java
+++ b/batch/src/test/java/elmsail/batch/SteadyContentionTest.java
@@ -9,39 +9,40 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-/** Jobs that go on coming all the while the first ones wait for each other. */
+/** Jobs that keep arriving while the first ones contend with each other. */
 class SteadyContentionTest {
   private static final int GATEWAYS = 8;
   private static final long LIMIT = 1_000;
   private static final long BURST_MS = 1_500;
 
-  private static long acceptedTokens(long seed, int everyMs) {
-    SimBatchCluster world = new SimBatchCluster(seed, GATEWAYS, LIMIT);
+  private static long acceptedTokens(long seed, int intervalMs) {
+    SimBatchCluster cluster = new SimBatchCluster(seed, GATEWAYS, LIMIT);
     List<CompletableFuture<BatchService.Reply>> replies = new ArrayList<>();
     List<Long> tokens = new ArrayList<>();
-    for (int i = 0; i * everyMs < BURST_MS; i++) {
-      long own = 60 + world.random.nextInt(140);
+    for (int i = 0; i * intervalMs < BURST_MS; i++) {
+      long own = 60 + cluster.random.nextInt(140);
       tokens.add(own);
-      replies.add(world.submit(i % GATEWAYS, "job" + seed + "-" + i, 1, own));
-      world.timers.advance(everyMs);
+      replies.add(cluster.submit(i % GATEWAYS, "job" + seed + "-" + i, 1, own));
+      cluster.timers.advance(intervalMs);
     }
     long accepted = 0;
     for (int i = 0; i < replies.size(); i++) {
-      accepted += world.status(replies.get(i)) == 202 ? tokens.get(i) : 0;
+      accepted += cluster.status(replies.get(i)) == 202 ? tokens.get(i) : 0;
     }
     return accepted;
   }
 
-  private static void measure(int everyMs) {
+  private static void measure(int intervalMs) {
     long sum = 0;
-    long least = LIMIT;
+    long minAccepted = LIMIT;
     for (int seed = 0; seed < 10; seed++) {
-      long accepted = acceptedTokens(seed, everyMs);
+      long accepted = acceptedTokens(seed, intervalMs);
       assertThat(accepted, lessThanOrEqualTo(LIMIT));
       sum += accepted;
-      least = Math.min(least, accepted);
+      minAccepted = Math.min(minAccepted, accepted);
     }
-    System.out.println("a job each " + everyMs + " ms: mean " + sum / 10 + ", at least " + least);
+    System.out.println(
+        "a job each " + intervalMs + " ms: mean " + sum / 10 + ", at least " + minAccepted);
     assertThat(sum / 10, greaterThanOrEqualTo(LIMIT * 7 / 10));
   }
 
--- a/batch/src/test/java/elmsail/batch/SubmitHandlerTest.java
+++ b/batch/src/test/java/elmsail/batch/SubmitHandlerTest.java
@@ -18,9 +18,9 @@
 
 class SubmitHandlerTest {
 
-  private static int runsOf(SimBatchCluster world, String job) {
+  private static int runsOf(SimBatchCluster cluster, String job) {
     int runs = 0;
-    for (SimBatchCluster.Gateway gateway : world.gateways) {
+    for (SimBatchCluster.Gateway gateway : cluster.gateways) {
       for (SimServers.Run run : gateway.servers.runs) {
         runs += run.item.id().startsWith(job + "-") ? 1 : 0;
       }
@@ -31,89 +31,89 @@
   @Test
   void aJobIsAcceptedOnceFromTwoGatewaysAtOnce() {
     for (int seed = 0; seed < 40; seed++) {
-      SimBatchCluster world = new SimBatchCluster(seed, 2, 100);
-      world.gateways.forEach(gateway -> gateway.servers.serviceTimeMs = 30);
-      CompletableFuture<Reply> one = world.submit(0, "a", 3, 20);
-      CompletableFuture<Reply> other = world.submit(1, "a", 3, 20);
-      assertThat(world.status(one), is(202));
-      assertThat(world.status(other), is(202));
-      world.timers.advance(500);
-      assertThat("runs with seed " + seed, runsOf(world, "a"), is(3));
-      assertThat(world.read(1, "a", 0), containsString("\"total\":3,\"next_token\":3"));
+      SimBatchCluster cluster = new SimBatchCluster(seed, 2, 100);
+      cluster.gateways.forEach(gateway -> gateway.servers.serviceTimeMs = 30);
+      CompletableFuture<Reply> one = cluster.submit(0, "a", 3, 20);
+      CompletableFuture<Reply> other = cluster.submit(1, "a", 3, 20);
+      assertThat(cluster.status(one), is(202));
+      assertThat(cluster.status(other), is(202));
+      cluster.timers.advance(500);
+      assertThat("runs with seed " + seed, runsOf(cluster, "a"), is(3));
+      assertThat(cluster.read(1, "a", 0), containsString("\"total\":3,\"next_token\":3"));
     }
   }
 
   @Test
   void aJobSentAgainIsAcceptedAgainAndCountedOnce() {
-    SimBatchCluster world = new SimBatchCluster(1, 3, 100);
-    assertThat(world.status(world.submit(0, "a", 6, 10)), is(202));
-    assertThat(world.status(world.submit(1, "a", 6, 10)), is(202));
-    assertThat(world.status(world.submit(2, "a", 6, 10)), is(202));
-    assertThat(world.status(world.submit(1, "b", 4, 10)), is(202));
-    assertThat(world.status(world.submit(2, "c", 1, 1)), is(429));
+    SimBatchCluster cluster = new SimBatchCluster(1, 3, 100);
+    assertThat(cluster.status(cluster.submit(0, "a", 6, 10)), is(202));
+    assertThat(cluster.status(cluster.submit(1, "a", 6, 10)), is(202));
+    assertThat(cluster.status(cluster.submit(2, "a", 6, 10)), is(202));
+    assertThat(cluster.status(cluster.submit(1, "b", 4, 10)), is(202));
+    assertThat(cluster.status(cluster.submit(2, "c", 1, 1)), is(429));
   }
 
   @Test
   void aJobBeyondTheLimitIsRejectedAndNeverRuns() {
-    SimBatchCluster world = new SimBatchCluster(2, 2, 100);
-    world.gateways.forEach(gateway -> gateway.servers.serviceTimeMs = 400);
-    assertThat(world.status(world.submit(0, "a", 8, 10)), is(202));
-    Reply refused = world.await(world.submit(1, "b", 3, 10));
+    SimBatchCluster cluster = new SimBatchCluster(2, 2, 100);
+    cluster.gateways.forEach(gateway -> gateway.servers.serviceTimeMs = 400);
+    assertThat(cluster.status(cluster.submit(0, "a", 8, 10)), is(202));
+    Reply refused = cluster.await(cluster.submit(1, "b", 3, 10));
     assertThat(refused.status(), is(429));
     assertThat(refused.retryAfterS(), greaterThan(0.0));
-    world.timers.advance(20_000);
-    assertThat(runsOf(world, "b"), is(0));
-    assertThat(world.read(0, "b", 0), containsString("404"));
+    cluster.timers.advance(20_000);
+    assertThat(runsOf(cluster, "b"), is(0));
+    assertThat(cluster.read(0, "b", 0), containsString("404"));
   }
 
   @Test
   void withoutALimitEveryJobIsAccepted() {
-    SimBatchCluster world = new SimBatchCluster(3, 2, 0);
-    assertThat(world.status(world.submit(0, "a", 8, 1_000_000)), is(202));
-    assertThat(world.status(world.submit(1, "b", 8, 1_000_000)), is(202));
+    SimBatchCluster cluster = new SimBatchCluster(3, 2, 0);
+    assertThat(cluster.status(cluster.submit(0, "a", 8, 1_000_000)), is(202));
+    assertThat(cluster.status(cluster.submit(1, "b", 8, 1_000_000)), is(202));
   }
 
   @Test
   void waitingTokensFallAsResultsAreRecorded() {
-    SimBatchCluster world = new SimBatchCluster(4, 2, 100);
-    assertThat(world.status(world.submit(0, "a", 10, 10)), is(202));
-    assertThat(world.status(world.submit(1, "b", 5, 10)), is(429));
-    world.timers.advance(50);
+    SimBatchCluster cluster = new SimBatchCluster(4, 2, 100);
+    assertThat(cluster.status(cluster.submit(0, "a", 10, 10)), is(202));
+    assertThat(cluster.status(cluster.submit(1, "b", 5, 10)), is(429));
+    cluster.timers.advance(50);
     for (int i = 0; i < 5; i++) {
-      world.gateways.get(0).servers.runs.get(i).serve();
+      cluster.gateways.get(0).servers.runs.get(i).complete();
     }
-    world.timers.advance(200);
-    assertThat(world.status(world.submit(1, "b", 5, 10)), is(202));
-    assertThat(world.status(world.submit(1, "c", 1, 1)), is(429));
+    cluster.timers.advance(200);
+    assertThat(cluster.status(cluster.submit(1, "b", 5, 10)), is(202));
+    assertThat(cluster.status(cluster.submit(1, "c", 1, 1)), is(429));
   }
 
   @Test
   void waitingTokensFallAsAJobIsCancelled() {
-    SimBatchCluster world = new SimBatchCluster(5, 2, 100);
-    assertThat(world.status(world.submit(0, "a", 10, 10)), is(202));
-    assertThat(world.status(world.submit(1, "b", 5, 10)), is(429));
-    assertThat(world.status(world.gateways.get(1).batchApi.cancel("a")), is(200));
-    assertThat(world.status(world.submit(1, "b", 10, 10)), is(202));
+    SimBatchCluster cluster = new SimBatchCluster(5, 2, 100);
+    assertThat(cluster.status(cluster.submit(0, "a", 10, 10)), is(202));
+    assertThat(cluster.status(cluster.submit(1, "b", 5, 10)), is(429));
+    assertThat(cluster.status(cluster.gateways.get(1).batchApi.cancel("a")), is(200));
+    assertThat(cluster.status(cluster.submit(1, "b", 10, 10)), is(202));
   }
 
   @Test
   void threeJobsThatEachMissAnotherDoNotExceedTheLimitTogether() {
     int refused = 0;
     for (int seed = 0; seed < 200; seed++) {
-      SimBatchCluster world = new SimBatchCluster(seed, 3, 100);
+      SimBatchCluster cluster = new SimBatchCluster(seed, 3, 100);
       for (int i = 0; i < 3; i++) {
-        String gateway = world.gateways.get(i).address;
-        world.delays.put(gateway + ">" + world.stores.get(i).address, 2L);
-        world.delays.put(gateway + ">" + world.stores.get((i + 1) % 3).address, 4L);
-        world.delays.put(gateway + ">" + world.stores.get((i + 2) % 3).address, 60L);
+        String gateway = cluster.gateways.get(i).address;
+        cluster.linkDelays.put(gateway + ">" + cluster.stores.get(i).address, 2L);
+        cluster.linkDelays.put(gateway + ">" + cluster.stores.get((i + 1) % 3).address, 4L);
+        cluster.linkDelays.put(gateway + ">" + cluster.stores.get((i + 2) % 3).address, 60L);
       }
       List<CompletableFuture<Reply>> replies = new ArrayList<>();
       for (int i = 0; i < 3; i++) {
-        replies.add(world.submit(i, "lot" + i, 4, 10));
+        replies.add(cluster.submit(i, "lot" + i, 4, 10));
       }
       int accepted = 0;
       for (CompletableFuture<Reply> reply : replies) {
-        accepted += world.status(reply) == 202 ? 1 : 0;
+        accepted += cluster.status(reply) == 202 ? 1 : 0;
       }
       refused += 3 - accepted;
       assertThat(
@@ -127,18 +127,18 @@
   @Test
   void manyGatewaysAtOnceStayWithinTheLimitAndItsSlack() {
     for (int seed = 0; seed < 60; seed++) {
-      SimBatchCluster world = new SimBatchCluster(seed, 6, 1_000);
+      SimBatchCluster cluster = new SimBatchCluster(seed, 6, 1_000);
       List<CompletableFuture<Reply>> replies = new ArrayList<>();
       List<Long> tokens = new ArrayList<>();
       for (int i = 0; i < 40; i++) {
-        long each = 5 + world.random.nextInt(60);
+        long each = 5 + cluster.random.nextInt(60);
         tokens.add(each);
-        replies.add(world.submit(i % 6, "lot" + i, 1, each));
-        world.timers.advance(world.random.nextInt(6));
+        replies.add(cluster.submit(i % 6, "lot" + i, 1, each));
+        cluster.timers.advance(cluster.random.nextInt(6));
       }
       long waiting = 0;
       for (int i = 0; i < 40; i++) {
-        waiting += world.status(replies.get(i)) == 202 ? tokens.get(i) : 0;
+        waiting += cluster.status(replies.get(i)) == 202 ? tokens.get(i) : 0;
       }
       assertThat("seed " + seed, waiting, lessThanOrEqualTo(1_100L));
       assertThat("seed " + seed, waiting, greaterThan(600L));
@@ -147,128 +147,129 @@
 
   @Test
   void aRestartedStoreCountsTheJobsOnItsDisk() {
-    SimBatchCluster world = new SimBatchCluster(6, 2, 100);
-    assertThat(world.status(world.submit(0, "a", 8, 10)), is(202));
-    world.stores.get(0).restart();
-    world.stores.get(1).up = false;
-    assertThat(world.status(world.submit(1, "b", 3, 10)), is(429));
+    SimBatchCluster cluster = new SimBatchCluster(6, 2, 100);
+    assertThat(cluster.status(cluster.submit(0, "a", 8, 10)), is(202));
+    cluster.stores.get(0).restart();
+    cluster.stores.get(1).up = false;
+    assertThat(cluster.status(cluster.submit(1, "b", 3, 10)), is(429));
   }
 
   @Test
   void withoutAQuorumAJobIsRejectedAndNeverRuns() {
-    SimBatchCluster world = new SimBatchCluster(7, 2, 100);
-    world.stores.get(0).up = false;
-    world.stores.get(1).up = false;
-    Reply refused = world.await(world.submit(0, "a", 3, 10));
+    SimBatchCluster cluster = new SimBatchCluster(7, 2, 100);
+    cluster.stores.get(0).up = false;
+    cluster.stores.get(1).up = false;
+    Reply refused = cluster.await(cluster.submit(0, "a", 3, 10));
     assertThat(refused.status(), is(503));
     assertThat(refused.retryAfterS(), greaterThan(0.0));
-    world.stores.get(0).up = true;
-    world.stores.get(1).up = true;
-    world.timers.advance(20_000);
-    assertThat(runsOf(world, "a"), is(0));
-    assertThat(world.read(1, "a", 0), containsString("404"));
+    cluster.stores.get(0).up = true;
+    cluster.stores.get(1).up = true;
+    cluster.timers.advance(20_000);
+    assertThat(runsOf(cluster, "a"), is(0));
+    assertThat(cluster.read(1, "a", 0), containsString("404"));
   }
 
   @Test
   void aJobThatMayHaveBeenCommittedIsNeverRejected() {
-    int unclear = 0;
+    int unknownOutcomes = 0;
     for (int seed = 0; seed < 300; seed++) {
-      SimBatchCluster world = new SimBatchCluster(seed, 2, seed % 2 == 0 ? 0 : 100);
-      CompletableFuture<Reply> reply = world.submit(0, "a", 3, 10);
-      world.timers.advance(2 + seed % 25);
-      String gateway = world.gateways.get(0).address;
-      world.stores.forEach(store -> world.cut.add(store.address + ">" + gateway));
-      int status = world.status(reply);
-      world.cut.clear();
-      world.timers.advance(8_000);
-      boolean ran = runsOf(world, "a") > 0;
-      unclear += status == 504 ? 1 : 0;
+      SimBatchCluster cluster = new SimBatchCluster(seed, 2, seed % 2 == 0 ? 0 : 100);
+      CompletableFuture<Reply> reply = cluster.submit(0, "a", 3, 10);
+      cluster.timers.advance(2 + seed % 25);
+      String gateway = cluster.gateways.get(0).address;
+      cluster.stores.forEach(store -> cluster.cutLinks.add(store.address + ">" + gateway));
+      int status = cluster.status(reply);
+      cluster.cutLinks.clear();
+      cluster.timers.advance(8_000);
+      boolean ran = runsOf(cluster, "a") > 0;
+      unknownOutcomes += status == 504 ? 1 : 0;
       if (status == 503 || status == 429) {
         assertThat("seed " + seed + " answered " + status, ran, is(false));
       } else if (status == 202) {
         assertThat("seed " + seed, ran, is(true));
       }
     }
-    assertThat(unclear, greaterThan(10));
+    assertThat(unknownOutcomes, greaterThan(10));
   }
 
   @Test
   void aJobRejectedByEveryGatewayNeverRuns() {
     for (int seed = 0; seed < 60; seed++) {
-      SimBatchCluster world = new SimBatchCluster(seed, 3, 100);
-      assertThat(world.status(world.submit(0, "a", 9, 10)), is(202));
-      List<CompletableFuture<Reply>> tries = new ArrayList<>();
+      SimBatchCluster cluster = new SimBatchCluster(seed, 3, 100);
+      assertThat(cluster.status(cluster.submit(0, "a", 9, 10)), is(202));
+      List<CompletableFuture<Reply>> replies = new ArrayList<>();
       for (int gateway = 0; gateway < 3; gateway++) {
-        tries.add(world.submit(gateway, "b", 2, 10));
+        replies.add(cluster.submit(gateway, "b", 2, 10));
       }
       List<Integer> statuses = new ArrayList<>();
-      tries.forEach(one -> statuses.add(world.status(one)));
+      replies.forEach(one -> statuses.add(cluster.status(one)));
       assertThat(statuses, everyItem(is(429)));
-      world.timers.advance(10_000);
-      assertThat(runsOf(world, "b"), is(0));
+      cluster.timers.advance(10_000);
+      assertThat(runsOf(cluster, "b"), is(0));
     }
   }
 
   @Test
   void blobsAreAtAQuorumBeforeTheRecordThatNamesThem() {
     for (int seed = 0; seed < 120; seed++) {
-      SimBatchCluster world = new SimBatchCluster(seed, 2, seed % 2 == 0 ? 0 : 100);
-      world.gateways.get(0).servers.serviceTimeMs = 5;
-      world.submit(0, "a", 3, 10);
+      SimBatchCluster cluster = new SimBatchCluster(seed, 2, seed % 2 == 0 ? 0 : 100);
+      cluster.gateways.get(0).servers.serviceTimeMs = 5;
+      cluster.submit(0, "a", 3, 10);
       for (int ms = 0; ms < 200; ms++) {
-        world.timers.advance(1);
-        for (SimJobStore store : world.stores) {
+        cluster.timers.advance(1);
+        for (SimJobStore store : cluster.stores) {
           SimJobStore.StoredKey cell = store.keys.get("lot/a");
           if (cell != null && cell.value != null) {
             JobRecord record = JobRecord.decode(cell.value);
             assertThat(
                 "seed " + seed,
-                world.storesWithBlob("lot/a", record.bodyBlobName()),
+                cluster.storesWithBlob("lot/a", record.bodyBlobName()),
                 greaterThanOrEqualTo(2));
             for (JobRecord.Result one : record.results()) {
               assertThat(
                   "seed " + seed,
-                  world.storesWithBlob("lot/a", one.textBlobName()),
+                  cluster.storesWithBlob("lot/a", one.textBlobName()),
                   greaterThanOrEqualTo(2));
             }
           }
         }
       }
-      assertThat(world.read(1, "a", 0), containsString("\"next_token\":3"));
+      assertThat(cluster.read(1, "a", 0), containsString("\"next_token\":3"));
     }
   }
 
   @Test
   void aPartitionedGatewayRejects() {
-    SimBatchCluster world = new SimBatchCluster(8, 2, 100);
-    world.stores.forEach(store -> world.cut(world.gateways.get(0).address, store.address, true));
-    assertThat(world.status(world.submit(0, "a", 1, 1)), is(503));
-    assertThat(world.status(world.submit(1, "a", 1, 1)), is(202));
+    SimBatchCluster cluster = new SimBatchCluster(8, 2, 100);
+    cluster.stores.forEach(
+        store -> cluster.cut(cluster.gateways.get(0).address, store.address, true));
+    assertThat(cluster.status(cluster.submit(0, "a", 1, 1)), is(503));
+    assertThat(cluster.status(cluster.submit(1, "a", 1, 1)), is(202));
   }
 
   @Test
   void malformedJobsAreRejectedAsBadRequests() {
-    SimBatchCluster world = new SimBatchCluster(9, 1, 100);
-    BatchService calls = world.gateways.get(0).batchApi;
-    assertThat(world.status(calls.submit(world.route(), "a", "{".getBytes(), 1_000)), is(400));
-    byte[] elsewhere =
+    SimBatchCluster cluster = new SimBatchCluster(9, 1, 100);
+    BatchService calls = cluster.gateways.get(0).batchApi;
+    assertThat(cluster.status(calls.submit(cluster.route(), "a", "{".getBytes(), 1_000)), is(400));
+    byte[] withoutRoute =
         new String(SimBatchCluster.job("a", 1, 1)).replace("/lots1/", "/other/").getBytes();
-    assertThat(world.status(calls.submit(world.route(), "a", elsewhere, 1_000)), is(400));
+    assertThat(cluster.status(calls.submit(cluster.route(), "a", withoutRoute, 1_000)), is(400));
     assertThat(
-        world.status(calls.submit(world.route(), "a", SimBatchCluster.job("a", 201, 1), 1_000)),
+        cluster.status(calls.submit(cluster.route(), "a", SimBatchCluster.job("a", 201, 1), 1_000)),
         is(400));
     assertThat(
-        world.status(calls.submit(world.route(), "a/b", SimBatchCluster.job("a", 1, 1), 1_000)),
+        cluster.status(calls.submit(cluster.route(), "a/b", SimBatchCluster.job("a", 1, 1), 1_000)),
         is(400));
-    assertThat(world.gateways.get(0).servers.runs, is(empty()));
+    assertThat(cluster.gateways.get(0).servers.runs, is(empty()));
   }
 
   @Test
   void theLimitIsThatOfTheNewestConfiguration() {
-    SimBatchCluster world = new SimBatchCluster(10, 2, 100);
-    world.gateways.get(1).config = new SimConfig(2, List.of(SimBatchCluster.route(200)));
-    assertThat(world.status(world.submit(0, "a", 10, 10)), is(202));
-    assertThat(world.status(world.submit(0, "b", 1, 10)), is(429));
-    assertThat(world.status(world.submit(1, "b", 1, 10)), is(202));
+    SimBatchCluster cluster = new SimBatchCluster(10, 2, 100);
+    cluster.gateways.get(1).initialConfig = new SimConfig(2, List.of(SimBatchCluster.route(200)));
+    assertThat(cluster.status(cluster.submit(0, "a", 10, 10)), is(202));
+    assertThat(cluster.status(cluster.submit(0, "b", 1, 10)), is(429));
+    assertThat(cluster.status(cluster.submit(1, "b", 1, 10)), is(202));
   }
 }
--- a/batch/src/test/java/elmsail/batch/WithdrawnReservationTest.java
+++ b/batch/src/test/java/elmsail/batch/WithdrawnReservationTest.java
@@ -8,15 +8,17 @@
 import elmsail.batch.messages.WaitingTokens;
 import org.junit.jupiter.api.Test;
 
-/** Adds of several tries at one store, in the orders that a network may bring them in. */
+/**
+ * Reservations of several attempts at one store, in the orders in which a network may deliver them.
+ */
 class WithdrawnReservationTest {
   private static final WaitingTokens.Reservation FIRST =
       new WaitingTokens.Reservation("r-lots", "job", 600, 1);
   private static final WaitingTokens.Reservation SECOND =
       new WaitingTokens.Reservation("r-lots", "job", 600, 2);
 
-  private final SimBatchCluster world = new SimBatchCluster(1, 1, 1_000);
-  private final SimJobStore store = world.stores.get(0);
+  private final SimBatchCluster cluster = new SimBatchCluster(1, 1, 1_000);
+  private final SimJobStore store = cluster.stores.get(0);
 
   private void reserve(WaitingTokens.Reservation reservation) {
     store.service.onSideEffect(JobRecord.registerKey(reservation.jobId()), reservation.encode());
--- /dev/null
+++ b/batch/src/test/java/elmsail/batch/api/AdmissionCheckTest.java
@@ -0,0 +1,86 @@
+package elmsail.batch.api;
+
+import static org.hamcrest.MatcherAssert.assertThat;
+import static org.hamcrest.Matchers.is;
+
+import elmsail.batch.messages.ContentDigest;
+import elmsail.batch.messages.WaitingTokens;
+import org.junit.jupiter.api.Test;
+
+class AdmissionCheckTest {
+  private static final long LIMIT = 100;
+
+  /** Two ids, of which the first precedes the second in the order of the reservations. */
+  private static final String FIRST;
+
+  private static final String SECOND;
+
+  static {
+    boolean inOrder = ContentDigest.of("a") < ContentDigest.of("b");
+    FIRST = inOrder ? "a" : "b";
+    SECOND = inOrder ? "b" : "a";
+  }
+
+  private static AdmissionCheck check(String jobId, long tokens) {
+    return new AdmissionCheck(jobId, tokens, LIMIT);
+  }
+
+  private static WaitingTokens accepted(String jobId, long tokens) {
+    WaitingTokens counted = new WaitingTokens();
+    counted.put(ContentDigest.of(jobId), 1, tokens);
+    return counted;
+  }
+
+  private static WaitingTokens reserved(String jobId, long tokens) {
+    WaitingTokens counted = new WaitingTokens();
+    counted.put(ContentDigest.of(jobId), WaitingTokens.RESERVED_VERSION, tokens);
+    return counted;
+  }
+
+  @Test
+  void withoutALimitEveryJobFits() {
+    AdmissionCheck check = new AdmissionCheck(FIRST, Long.MAX_VALUE / 2, 0);
+    assertThat(
+        check.judge(accepted(SECOND, Long.MAX_VALUE / 4), AdmissionRound.COMMIT),
+        is(AdmissionVerdict.FITS));
+  }
+
+  @Test
+  void aJobFitsUpToTheLimitAndNotBeyond() {
+    WaitingTokens counted = accepted(SECOND, 60);
+    assertThat(check(FIRST, 40).judge(counted, AdmissionRound.READ), is(AdmissionVerdict.FITS));
+    assertThat(
+        check(FIRST, 41).judge(counted, AdmissionRound.READ), is(AdmissionVerdict.OVER_QUOTA));
+  }
+
+  @Test
+  void theReservationOfTheJobItselfDoesNotCountAgainstIt() {
+    assertThat(
+        check(FIRST, 100).judge(reserved(FIRST, 100), AdmissionRound.COMMIT),
+        is(AdmissionVerdict.FITS));
+  }
+
+  @Test
+  void ofTwoReservedJobsTheOneThatPrecedesKeepsItsReservation() {
+    assertThat(
+        check(FIRST, 60).judge(reserved(SECOND, 60), AdmissionRound.RESERVE),
+        is(AdmissionVerdict.CONTENDED_FIRST));
+    assertThat(
+        check(SECOND, 60).judge(reserved(FIRST, 60), AdmissionRound.RESERVE),
+        is(AdmissionVerdict.CONTENDED));
+  }
+
+  @Test
+  void beforeItsReservationAJobHasNoPlaceInTheOrder() {
+    assertThat(
+        check(FIRST, 60).judge(reserved(SECOND, 60), AdmissionRound.READ),
+        is(AdmissionVerdict.CONTENDED));
+  }
+
+  @Test
+  void acceptedJobsCountWhateverTheirOrder() {
+    assertThat(
+        check(FIRST, 60).judge(accepted(SECOND, 60), AdmissionRound.RESERVE),
+        is(AdmissionVerdict.OVER_QUOTA));
+  }
+}
