--- a/app/src/main/java/elmsail/app/GatewayProcess.java
+++ b/app/src/main/java/elmsail/app/GatewayProcess.java
@@ -4,6 +4,7 @@
 import elmsail.batch.api.BatchApi;
 import elmsail.config.PlatformClient;
 import elmsail.config.watch.ConfigWatcher;
+import elmsail.config.watch.PeerRole;
 import elmsail.config.watch.StoreStatus;
 import elmsail.consensus.RegisterClient;
 import elmsail.consensus.VoterSetSource;
@@ -27,8 +28,6 @@
 final class GatewayProcess implements Application.Instance {
   private static final Logger LOG = LoggerFactory.getLogger(GatewayProcess.class);
 
-  private static final String ROLE = "gateway";
-
   /** The name of the job stores' voter set in messages and on disk. */
   private static final String JOB_STORE_SET = "shelf";
 
@@ -48,7 +47,8 @@
             ? null
             : new PlatformClient(new NettyHttpClient(loop), settings.platform().address(), loop);
     watcher =
-        new ConfigWatcher(rpc, loop, settings, ROLE, instanceId, () -> StoreStatus.NONE, platform);
+        new ConfigWatcher(
+            rpc, loop, settings, PeerRole.GATEWAY, instanceId, () -> StoreStatus.NONE, platform);
     RegisterClient jobStore =
         new RegisterClient(
             JOB_STORE_SET,
--- a/config/src/main/java/elmsail/config/watch/ConfigWatcher.java
+++ b/config/src/main/java/elmsail/config/watch/ConfigWatcher.java
@@ -58,7 +58,6 @@
   /**
    * Creates a watcher that sends nothing before {@link #start}.
    *
-   * @param role "gateway", "store" or "controlplane"
    * @param instanceId the incarnation of this process, sent with each request
    * @param storeStatus what a store reports of itself; {@code StoreStatus.NONE} in others
    * @param platform for a gateway's fallback discovery; null if there is none
@@ -67,7 +66,7 @@
       RpcClient rpcClient,
       Timers timers,
       Settings settings,
-      String role,
+      PeerRole role,
       long instanceId,
       Supplier<StoreStatus> storeStatus,
       PlatformClient platform) {
@@ -82,7 +81,7 @@
             (stream, response) -> onResponse(response));
     views = new ClusterViewCache(() -> timers.execute(this::selectUpstreams));
     fallbackDiscovery =
-        platform == null || settings.platform() == null || !role.equals("gateway")
+        platform == null || settings.platform() == null || role != PeerRole.GATEWAY
             ? null
             : new FallbackDiscovery(
                 timers,
--- a/config/src/main/java/elmsail/config/watch/PeerStatus.java
+++ b/config/src/main/java/elmsail/config/watch/PeerStatus.java
@@ -8,7 +8,7 @@
  *
  * @param machine the name of its machine
  * @param address its RPC address, "ip:port"
- * @param role "gateway", "store" or "controlplane"
+ * @param role as of {@link PeerRole#wireName}
  * @param instanceId its incarnation
  * @param voting whether it holds a voter slot and has caught up
  * @param drained whether no job needs its disk any more
--- a/config/src/main/java/elmsail/config/watch/WatchRequestFactory.java
+++ b/config/src/main/java/elmsail/config/watch/WatchRequestFactory.java
@@ -9,8 +9,6 @@
  * by the event loop.
  */
 final class WatchRequestFactory {
-  private static final String GATEWAY = "gateway";
-  private static final String STORE = "store";
   private static final long LONG_POLL_MS = 1_000;
   private static final long FRESH_LIST_AGE_MS = 1_500;
 
@@ -18,18 +16,17 @@
   private static final long EPOCH_ABOVE_ALL = Long.MAX_VALUE;
 
   private final Settings settings;
-  private final String role;
+  private final PeerRole role;
   private final long instanceId;
   private final Supplier<StoreStatus> storeStatus;
 
   /**
    * Creates the factory of one process.
    *
-   * @param role "gateway", "store" or "controlplane"
    * @param storeStatus read at each request
    */
   WatchRequestFactory(
-      Settings settings, String role, long instanceId, Supplier<StoreStatus> storeStatus) {
+      Settings settings, PeerRole role, long instanceId, Supplier<StoreStatus> storeStatus) {
     this.settings = settings;
     this.role = role;
     this.instanceId = instanceId;
@@ -53,7 +50,7 @@
     request.machine = settings.machine();
     request.address = settings.rpcAddress();
     request.zone = settings.zone();
-    request.role = role;
+    request.role = role.wireName();
     request.instanceId = instanceId;
     request.voting = status.voting();
     request.drained = status.drained();
@@ -75,9 +72,10 @@
    * all, so that no two wait for each other. Stores send no requests to servers and take none.
    */
   private boolean wantsServerList(WatchStream stream, WatchStream nearest, long listAgeMs) {
-    if (!role.equals(GATEWAY)) {
-      return !role.equals(STORE);
-    }
-    return nearest == null || nearest == stream || listAgeMs > FRESH_LIST_AGE_MS;
+    return switch (role) {
+      case STORE -> false;
+      case CONTROL_PLANE -> true;
+      case GATEWAY -> nearest == null || nearest == stream || listAgeMs > FRESH_LIST_AGE_MS;
+    };
   }
 }
--- a/config/src/test/java/elmsail/config/watch/ConfigWatcherRig.java
+++ b/config/src/test/java/elmsail/config/watch/ConfigWatcherRig.java
@@ -26,7 +26,8 @@
   final WatchServer a = links.controlPlane(A);
   final WatchServer b = links.controlPlane(B);
   final WatchServer c = links.controlPlane(C);
-  final ConfigWatcher watcher = watcher("gateway", Set.of("counter"), () -> StoreStatus.NONE);
+  final ConfigWatcher watcher =
+      watcher(PeerRole.GATEWAY, Set.of("counter"), () -> StoreStatus.NONE);
   int changes;
 
   static Settings settings(Set<String> serves) {
@@ -53,7 +54,7 @@
         new Settings.Platform("10.200.0.79:8169", 40, 800));
   }
 
-  ConfigWatcher watcher(String role, Set<String> serves, Supplier<StoreStatus> store) {
+  ConfigWatcher watcher(PeerRole role, Set<String> serves, Supplier<StoreStatus> store) {
     return new ConfigWatcher(links, timers, settings(serves), role, 77, store, null);
   }
 
--- a/config/src/test/java/elmsail/config/watch/ConfigWatcherServersTest.java
+++ b/config/src/test/java/elmsail/config/watch/ConfigWatcherServersTest.java
@@ -114,12 +114,12 @@
   @Test
   void storeTakesNoListAndControlPlaneNodeTakesItFromAll() {
     a.setServers(1, 1, list("i-1"), timers.now());
-    ConfigWatcher store = watcher("store", Set.of("vault"), () -> StoreStatus.NONE);
+    ConfigWatcher store = watcher(PeerRole.STORE, Set.of("vault"), () -> StoreStatus.NONE);
     store.start();
     timers.advance(1_500);
     assertThat(store.servers(), empty());
     ConfigWatcher controlPlane =
-        watcher("controlplane", Set.of("head_office"), () -> StoreStatus.NONE);
+        watcher(PeerRole.CONTROL_PLANE, Set.of("head_office"), () -> StoreStatus.NONE);
     controlPlane.start();
     timers.advance(1_500);
     b.setServers(1, 1, list("i-1"), timers.now());
--- a/config/src/test/java/elmsail/config/watch/ConfigWatcherTest.java
+++ b/config/src/test/java/elmsail/config/watch/ConfigWatcherTest.java
@@ -38,7 +38,7 @@
   @Test
   void controlPlaneNodeDoesNotWatchItself() {
     ConfigWatcher controlPlane =
-        watcher("controlplane", Set.of("head_office"), () -> StoreStatus.NONE);
+        watcher(PeerRole.CONTROL_PLANE, Set.of("head_office"), () -> StoreStatus.NONE);
     controlPlane.start();
     assertThat(controlPlane.upstreams(), containsInAnyOrder(B, C));
   }
@@ -46,7 +46,7 @@
   @Test
   void storeReportsItsCurrentStatusWithEachRequest() {
     List<StoreStatus> part = new ArrayList<>(List.of(StoreStatus.NONE));
-    ConfigWatcher store = watcher("store", Set.of("vault"), () -> part.get(0));
+    ConfigWatcher store = watcher(PeerRole.STORE, Set.of("vault"), () -> part.get(0));
     store.start();
     assertThat(links.lastRequest(A).voting, equalTo(false));
     VoterSet jobStoreVoters = voterSet("v:1", 4);
--- a/config/src/test/java/elmsail/config/watch/ConfigWatcherViewTest.java
+++ b/config/src/test/java/elmsail/config/watch/ConfigWatcherViewTest.java
@@ -189,7 +189,7 @@
     links.controlPlane(e);
     VoterSet five = voterSet(A, 1, B, 1, C, 1, d, 1, e, 1);
     a.setViewFactory(request -> view(five, new VoterSet()));
-    ConfigWatcher store = watcher("store", Set.of("vault"), () -> StoreStatus.NONE);
+    ConfigWatcher store = watcher(PeerRole.STORE, Set.of("vault"), () -> StoreStatus.NONE);
     store.start();
     watcher.start();
     timers.advance(2_000);
--- a/config/src/test/java/elmsail/config/watch/FallbackDiscoveryTest.java
+++ b/config/src/test/java/elmsail/config/watch/FallbackDiscoveryTest.java
@@ -35,7 +35,7 @@
   private final List<Long> fetchTimes = new ArrayList<>();
   private int status = 200;
 
-  private ConfigWatcher watcher(String role, long instanceId) {
+  private ConfigWatcher watcher(PeerRole role, long instanceId) {
     HttpClient asker =
         (address, path, timeoutMs) -> {
           fetchTimes.add(timers.now());
@@ -60,7 +60,7 @@
 
   @Test
   void fetchesThreeSecondsAfterTheStartWithoutAnyList() {
-    ConfigWatcher watcher = watcher("gateway", 77);
+    ConfigWatcher watcher = watcher(PeerRole.GATEWAY, 77);
     watcher.start();
     timers.advance(2_999);
     assertThat(fetchTimes, empty());
@@ -74,7 +74,7 @@
 
   @Test
   void onlyGatewaysFetch() {
-    for (String role : List.of("store", "controlplane")) {
+    for (PeerRole role : List.of(PeerRole.STORE, PeerRole.CONTROL_PLANE)) {
       watcher(role, 77).start();
     }
     timers.advance(20_000);
@@ -84,7 +84,7 @@
   @Test
   void fetchesNothingWhileTheListIsFresh() {
     WatchServer a = links.controlPlane(A);
-    ConfigWatcher watcher = watcher("gateway", 77);
+    ConfigWatcher watcher = watcher(PeerRole.GATEWAY, 77);
     watcher.start();
     for (int i = 0; i < 20; i++) {
       a.setServers(1, 1, ServerListCodec.encode(PUBLISHED), timers.now());
@@ -98,7 +98,7 @@
   void replacesAnOldListUntilAFresherOneIsPublished() {
     WatchServer a = links.controlPlane(A);
     a.setServers(1, 1, ServerListCodec.encode(PUBLISHED), timers.now());
-    ConfigWatcher watcher = watcher("gateway", 77);
+    ConfigWatcher watcher = watcher(PeerRole.GATEWAY, 77);
     watcher.start();
     timers.advance(2_500);
     assertThat(fetchTimes, empty());
@@ -122,7 +122,7 @@
           }
           return view;
         });
-    watcher("gateway", 77).start();
+    watcher(PeerRole.GATEWAY, 77).start();
     timers.advance(60_000);
     assertThat(fetchTimes.size(), greaterThan(6));
     for (int i = 1; i < fetchTimes.size(); i++) {
@@ -132,7 +132,7 @@
 
   @Test
   void soleGatewayFetchesAsSoonAsTheListIsOldAgain() {
-    ConfigWatcher watcher = watcher("gateway", 77);
+    ConfigWatcher watcher = watcher(PeerRole.GATEWAY, 77);
     watcher.start();
     timers.advance(4_300);
     for (int i = 0; i < 100; i++) {
@@ -144,7 +144,7 @@
   @Test
   void backsOffAfterRateLimitResponses() {
     status = 429;
-    watcher("gateway", 77).start();
+    watcher(PeerRole.GATEWAY, 77).start();
     timers.advance(13_000);
     assertThat(fetchTimes.size(), lessThanOrEqualTo(10));
     assertThat(fetchTimes.size(), greaterThan(3));
@@ -157,7 +157,7 @@
   void manyGatewaysSpreadTheirFetches() {
     Set<Long> times = new HashSet<>();
     for (int instanceId = 0; instanceId < 50; instanceId++) {
-      watcher("gateway", instanceId * 7_919L).start();
+      watcher(PeerRole.GATEWAY, instanceId * 7_919L).start();
     }
     timers.advance(4_300);
     times.addAll(fetchTimes);
@@ -168,7 +168,7 @@
 
   @Test
   void fetchesNothingAfterClose() {
-    ConfigWatcher watcher = watcher("gateway", 77);
+    ConfigWatcher watcher = watcher(PeerRole.GATEWAY, 77);
     watcher.start();
     timers.advance(3_100);
     watcher.close();
--- a/controlplane/src/main/java/elmsail/controlplane/ControlPlaneNode.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ControlPlaneNode.java
@@ -2,6 +2,7 @@
 
 import elmsail.config.PlatformClient;
 import elmsail.config.watch.ConfigWatcher;
+import elmsail.config.watch.PeerRole;
 import elmsail.config.watch.StoreStatus;
 import elmsail.config.watch.WatchServer;
 import elmsail.consensus.Register;
@@ -119,7 +120,7 @@
         environment.rpcClient(),
         timers,
         environment.settings(),
-        PeerRole.CONTROL_PLANE.wireName(),
+        PeerRole.CONTROL_PLANE,
         environment.instanceId(),
         () -> new StoreStatus(voters.isVoting(), false, new VoterSet()),
         null);
--- a/controlplane/src/main/java/elmsail/controlplane/ControlPlaneVoters.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ControlPlaneVoters.java
@@ -1,5 +1,6 @@
 package elmsail.controlplane;
 
+import elmsail.config.watch.PeerRole;
 import elmsail.consensus.Replica;
 import elmsail.consensus.ReplicaIdentity;
 import elmsail.consensus.ReplicaListener;
--- a/controlplane/src/main/java/elmsail/controlplane/HeartbeatTable.java
+++ b/controlplane/src/main/java/elmsail/controlplane/HeartbeatTable.java
@@ -1,5 +1,6 @@
 package elmsail.controlplane;
 
+import elmsail.config.watch.PeerRole;
 import elmsail.rpc.messages.PullRequest;
 import elmsail.rpc.messages.VoterSet;
 import java.util.ArrayList;
--- a/controlplane/src/main/java/elmsail/controlplane/StoreNode.java
+++ b/controlplane/src/main/java/elmsail/controlplane/StoreNode.java
@@ -1,6 +1,7 @@
 package elmsail.controlplane;
 
 import elmsail.config.watch.ConfigWatcher;
+import elmsail.config.watch.PeerRole;
 import elmsail.config.watch.StoreStatus;
 import elmsail.consensus.Replica;
 import elmsail.consensus.ReplicaIdentity;
@@ -45,7 +46,7 @@
             rpcClient,
             timers,
             settings,
-            PeerRole.STORE.wireName(),
+            PeerRole.STORE,
             records.instanceId(),
             () -> new StoreStatus(replica.isVoting(), false, replica.voterSet()),
             null);
--- a/controlplane/src/main/java/elmsail/controlplane/VoterSetManager.java
+++ b/controlplane/src/main/java/elmsail/controlplane/VoterSetManager.java
@@ -1,5 +1,6 @@
 package elmsail.controlplane;
 
+import elmsail.config.watch.PeerRole;
 import elmsail.consensus.Register;
 import elmsail.consensus.VoterSets;
 import elmsail.rpc.messages.ClusterView;
--- a/controlplane/src/test/java/elmsail/controlplane/BoundedStateTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/BoundedStateTest.java
@@ -7,6 +7,7 @@
 import static org.hamcrest.Matchers.nullValue;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
+import elmsail.config.watch.PeerRole;
 import elmsail.rpc.messages.PullRequest;
 import elmsail.runtime.ElmsailException;
 import elmsail.runtime.ErrorCode;
--- a/controlplane/src/test/java/elmsail/controlplane/PinnedNamesTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/PinnedNamesTest.java
@@ -4,6 +4,7 @@
 import static org.hamcrest.Matchers.contains;
 import static org.hamcrest.Matchers.is;
 
+import elmsail.config.watch.PeerRole;
 import elmsail.rpc.HandlerRegistry;
 import elmsail.rpc.RpcClient;
 import elmsail.runtime.ManualTimers;
--- a/controlplane/src/test/java/elmsail/controlplane/PlacementControllerTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/PlacementControllerTest.java
@@ -5,6 +5,7 @@
 import static org.hamcrest.Matchers.is;
 import static org.hamcrest.Matchers.nullValue;
 
+import elmsail.config.watch.PeerRole;
 import elmsail.rpc.messages.PullRequest;
 import elmsail.rpc.messages.Voter;
 import elmsail.rpc.messages.VoterSet;
--- a/controlplane/src/test/java/elmsail/controlplane/SimulatedCluster.java
+++ b/controlplane/src/test/java/elmsail/controlplane/SimulatedCluster.java
@@ -2,6 +2,7 @@
 
 import elmsail.config.PlatformClient;
 import elmsail.config.watch.ConfigWatcher;
+import elmsail.config.watch.PeerRole;
 import elmsail.config.watch.StoreStatus;
 import elmsail.consensus.ReplicaListener;
 import elmsail.rpc.messages.Voter;
@@ -200,7 +201,7 @@
             node.rpcClient(),
             node.timers(),
             settings(name, true, false),
-            "gateway",
+            PeerRole.GATEWAY,
             nextProcessId++,
             () -> StoreStatus.NONE,
             platform);
