--- a/controlplane/src/main/java/elmsail/controlplane/BootstrapAcceptor.java
+++ b/controlplane/src/main/java/elmsail/controlplane/BootstrapAcceptor.java
@@ -5,15 +5,16 @@
 import java.nio.ByteBuffer;
 
 /**
- * One seed's vote in the single agreement (Paxos, one decree) on the first voters of "head". Pure;
- * the state must be on disk, where there is one, before an answer that grants leaves.
+ * One seed's acceptor in the agreement on the initial control-plane voters: single-decree Paxos.
+ * Does no I/O: where there is a disk, the caller writes the state before it sends a response that
+ * grants.
  */
 final class BootstrapAcceptor {
   private long promisedBallot;
   private long acceptedBallot;
   private VoterSet acceptedVoterSet = new VoterSet();
 
-  /** Promises to accept no lower ballot, and tells what was accepted last. */
+  /** Promises to accept no lower ballot; the response carries what was accepted last. */
   FoundingResponse prepare(long ballot) {
     boolean granted = ballot > promisedBallot;
     promisedBallot = Math.max(promisedBallot, ballot);
@@ -40,7 +41,7 @@
     return response;
   }
 
-  /** As a record on disk. */
+  /** The record on disk. */
   byte[] encode() {
     byte[] encodedVoterSet = VoterSetValue.encode(acceptedVoterSet);
     return ByteBuffer.allocate(2 * Long.BYTES + encodedVoterSet.length)
@@ -50,7 +51,7 @@
         .array();
   }
 
-  /** From a record; null is a state without votes. */
+  /** Decodes a record; null gives the state without promises. */
   static BootstrapAcceptor decode(byte[] bytes) {
     BootstrapAcceptor acceptor = new BootstrapAcceptor();
     if (bytes != null) {
--- a/controlplane/src/main/java/elmsail/controlplane/BootstrapAgreement.java
+++ b/controlplane/src/main/java/elmsail/controlplane/BootstrapAgreement.java
@@ -15,9 +15,9 @@
 import java.util.function.Consumer;
 
 /**
- * The seeds' single agreement on the first voters of "head", decided by a majority of the seeds. A
- * seed without a disk votes from memory: an instance that was started again is not of the first
- * start, and votes no more.
+ * The seeds' agreement on the initial control-plane voters, by a majority of the seeds. A seed
+ * without a disk keeps its promises in memory: an instance that was restarted is not of the first
+ * start and votes no more, so no promise is ever forgotten. Runs on the event loop.
  */
 final class BootstrapAgreement {
   private static final String RECORD = "head-founding";
@@ -38,10 +38,11 @@
   private long nextRoundAtMs = Long.MIN_VALUE;
 
   /**
-   * Makes one.
+   * Creates one that proposes nothing before {@link #propose}.
    *
-   * @param records null where there is no disk
-   * @param agreedListener told what this seed saw decided
+   * @param records on this process's disk; null where there is none
+   * @param seeds RPC addresses of all seeds, in the same order at each of them
+   * @param agreedListener called with the voter set that this seed saw agreed on
    */
   BootstrapAgreement(
       RpcClient rpcClient,
@@ -60,7 +61,7 @@
     proposer = new BootstrapProposer(seeds.size(), localSeedIndex);
   }
 
-  /** Votes from now on, if this instance is a seed's of the first start. */
+  /** Answers proposers from now on; rejects them unless this is a seed's first instance. */
   void registerVoteHandler(RequestHandlers handlers, boolean isFromFirstStart) {
     handlers.register(
         FoundingRequest.class,
@@ -68,7 +69,9 @@
             isFromFirstStart && localSeedIndex >= 0
                 ? handle(request)
                 : CompletableFuture.failedFuture(
-                    new ElmsailException(ErrorCode.NOT_A_VOTER, "no vote on the founding")));
+                    new ElmsailException(
+                        ErrorCode.NOT_A_VOTER,
+                        "not voting on the initial voter set: no seed, or restarted since")));
   }
 
   private CompletableFuture<FoundingResponse> handle(FoundingRequest request) {
@@ -83,7 +86,7 @@
             .thenApply(written -> response);
   }
 
-  /** Begins a round, unless one is under way. */
+  /** Starts a round, unless the last one may still succeed. */
   void propose(VoterSet candidateVoterSet) {
     long now = timers.now();
     if (nextRoundAtMs == Long.MIN_VALUE) {
--- a/controlplane/src/main/java/elmsail/controlplane/BootstrapCandidates.java
+++ b/controlplane/src/main/java/elmsail/controlplane/BootstrapCandidates.java
@@ -10,14 +10,15 @@
 import java.util.TreeMap;
 
 /**
- * The control-plane nodes that may be among the first voters of "head": those with a disk whose
- * instance began at the first start, heard lately. Pure; times are steady ms.
+ * The control-plane nodes that may become initial voters: those with a disk whose instance took
+ * part in the first start, and which sent a hello lately. Does no I/O; times are in ms of the
+ * monotonic clock. Runs on the event loop.
  */
 final class BootstrapCandidates {
-  /** With fewer than wanted only after so long. */
+  /** Fewer voters than the target are proposed only after so long. */
   static final long REDUCED_SET_AFTER_MS = 3_000;
 
-  /** Others may still come for so long once there are enough: for more zones. */
+  /** Once there are enough candidates, so long is waited for more, to spread over more zones. */
   static final long ZONE_SPREAD_WAIT_MS = 300;
 
   private static final long MAX_HELLO_AGE_MS = 1_000;
@@ -30,12 +31,13 @@
   private final TreeMap<String, Candidate> candidates = new TreeMap<>();
   private long enoughSinceMs = Long.MAX_VALUE;
 
-  /** Makes one that looks for so many voters, from now on. */
+  /** Creates one without candidates that waits from now on. */
   BootstrapCandidates(int targetVoterCount, long now) {
     this.targetVoterCount = targetVoterCount;
     this.startedAtMs = now;
   }
 
+  /** Notes a node's hello, if it may become an initial voter. */
   void onHello(HelloRequest hello, long now) {
     if (hello.hasDisk
         && hello.firstStart
@@ -45,7 +47,7 @@
     }
   }
 
-  /** The first voters to propose, or null as long as it is not time. */
+  /** The voter set to propose; null as long as it is too early. */
   VoterSet proposal(long now) {
     List<HelloRequest> fresh = new ArrayList<>();
     for (Candidate candidate : candidates.values()) {
@@ -62,14 +64,14 @@
     return due && !fresh.isEmpty() ? spreadOverZones(fresh, setSize(fresh.size())) : null;
   }
 
-  /** As many as wanted, or else the largest odd number: one more bears no more losses. */
+  /** The target, or else the largest odd number: one more would tolerate no more losses. */
   private int setSize(int available) {
     return available >= targetVoterCount
         ? targetVoterCount
         : available % 2 == 0 ? available - 1 : available;
   }
 
-  /** In turn one of the zone that has the fewest yet; in the order of their addresses. */
+  /** Chooses repeatedly from the zone with the fewest chosen so far, in the order of addresses. */
   private static VoterSet spreadOverZones(List<HelloRequest> fresh, int size) {
     Map<String, Integer> chosenPerZone = new HashMap<>();
     List<HelloRequest> remaining = new ArrayList<>(fresh);
--- a/controlplane/src/main/java/elmsail/controlplane/BootstrapProposer.java
+++ b/controlplane/src/main/java/elmsail/controlplane/BootstrapProposer.java
@@ -6,7 +6,10 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** One seed's rounds in the single agreement on the first voters of "head". Pure. */
+/**
+ * One seed's proposer in the agreement on the initial control-plane voters: single-decree Paxos.
+ * Does no I/O; responses to earlier rounds are ignored.
+ */
 final class BootstrapProposer {
   /** Ballots of different seeds differ in their lowest part. */
   private static final int MAX_SEEDS = 64;
@@ -20,13 +23,13 @@
   private long highestAcceptedBallot;
   private boolean inAcceptPhase;
 
-  /** Makes one for so many seeds, of which this process is the given one. */
+  /** Creates the proposer of one seed; {@code localSeedIndex} is its index among all seeds. */
   BootstrapProposer(int seedCount, int localSeedIndex) {
     this.seedCount = seedCount;
     this.localSeedIndex = localSeedIndex;
   }
 
-  /** Begins a round above all ballots that were heard of. */
+  /** Starts a round with a ballot above all that were seen; returns the ballot, to be prepared. */
   long startRound(VoterSet candidateVoterSet) {
     ballot = (highestBallot / MAX_SEEDS + 1) * MAX_SEEDS + localSeedIndex;
     highestBallot = ballot;
@@ -38,8 +41,10 @@
   }
 
   /**
-   * A seed's answer to the asking for promises; what is now to be accepted, once a majority has
-   * promised: what was accepted in the highest ballot, or else this round's own proposal.
+   * Counts a seed's response to prepare.
+   *
+   * @return the proposal to be accepted once a majority has promised: what was accepted in the
+   *     highest ballot, or else the candidate voter set of this round; null before
    */
   VoterSet onPrepareResponse(int seed, long responseBallot, FoundingResponse response) {
     highestBallot = Math.max(highestBallot, response.promisedBallot);
@@ -59,7 +64,9 @@
     return proposal;
   }
 
-  /** A seed's answer to an acceptance; the decision, once a majority has accepted. */
+  /**
+   * Counts a seed's response to accept; returns the voter set once it is agreed on, null before.
+   */
   VoterSet onAcceptResponse(int seed, long responseBallot, FoundingResponse response) {
     highestBallot = Math.max(highestBallot, response.promisedBallot);
     if (responseBallot != ballot || !inAcceptPhase || !response.granted) {
--- a/controlplane/src/main/java/elmsail/controlplane/CommittedValue.java
+++ b/controlplane/src/main/java/elmsail/controlplane/CommittedValue.java
@@ -8,13 +8,13 @@
 import java.util.function.Consumer;
 
 /**
- * One key of the register as this process last saw it decided: read at a majority every so often,
- * which costs no bytes while nothing is newer. All on the loop.
+ * One key of the register as this process last saw it committed. Read at a majority at an interval,
+ * which transfers no value while nothing is newer. Runs on the event loop.
  */
 final class CommittedValue {
   private static final long READ_TIMEOUT_MS = 600;
 
-  /** After a read that failed, so that contact is back soon after a cut has healed. */
+  /** After a failed read, so that contact is back soon after a partition has healed. */
   private static final long RETRY_DELAY_MS = 100;
 
   private final Register register;
@@ -31,6 +31,7 @@
   private boolean closed;
   private Timers.Timer nextReadTimer;
 
+  /** Creates one that reads nothing before {@link #refresh()}. */
   CommittedValue(Register register, String key, Timers timers, long readIntervalMs) {
     this.register = register;
     this.key = key;
@@ -39,12 +40,12 @@
     this.quorumContact = new QuorumContact(timers);
   }
 
-  /** Called with the value whenever a newer one was seen. */
+  /** Calls the listener with each newer value; never with null. */
   void addListener(Consumer<byte[]> listener) {
     listeners.add(listener);
   }
 
-  /** Reads now, or once more behind the read under way. */
+  /** Reads now, or once more after the read in flight. */
   void refresh() {
     if (closed) {
       return;
@@ -85,7 +86,7 @@
     }
   }
 
-  /** Takes what a read or a change gave; older ones are passed over. */
+  /** Learns the result of a read or a change; null and older ones are ignored. */
   void offer(Register.VersionedValue now) {
     if (now == null || now.value() == null || now.ballot() == null) {
       return;
@@ -101,9 +102,9 @@
   }
 
   /**
-   * The bytes of a read made with {@link #ballot()}: those kept where nothing was newer. Something
-   * newer may have been taken here while that read's answers were on their way; it was decided
-   * since, so it is given instead.
+   * The value of a read that was made with {@link #ballot()}: the value kept here if nothing was
+   * newer. A newer one may have been learned here while that read was in flight; it was committed
+   * since the read began, so it is returned instead.
    */
   byte[] resolveValue(Register.VersionedValue now) {
     boolean isUnchanged =
@@ -113,21 +114,22 @@
     return isUnchanged ? value : now.value();
   }
 
+  /** The ballot of the newest value seen; null if none. */
   Ballot ballot() {
     return ballot;
   }
 
-  /** Null: none decided as far as is known. */
+  /** The newest value seen; null if none. Not to be changed. */
   byte[] value() {
     return value;
   }
 
-  /** Whether a read has succeeded in this instance. */
+  /** Whether a read has succeeded since this process started. */
   boolean hasBeenRead() {
     return hasBeenRead;
   }
 
-  /** When a majority last answered a read of this key: then nothing newer was decided. */
+  /** Contact with a majority by reads of this key: nothing newer was committed by then. */
   QuorumContact quorumContact() {
     return quorumContact;
   }
--- a/controlplane/src/main/java/elmsail/controlplane/ConfigChange.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ConfigChange.java
@@ -3,32 +3,32 @@
 import elmsail.config.ConfigAmendment;
 import elmsail.config.RoutingConfigReader;
 
-/** The body of an operator's order, read: what it makes of the configuration in force. */
+/** An operator's change of the routing configuration, parsed from the body of the call. */
 interface ConfigChange {
-  /** The number of the configuration that it makes. */
+  /** The version of the configuration that it makes. */
   long version();
 
   /**
-   * The configuration that it makes, checked whole.
+   * The configuration that it makes of the current one, validated.
    *
-   * @param current the configuration in force, empty where there is none
-   * @throws elmsail.runtime.ElmsailException BAD_CALL if that would be invalid
+   * @param current JSON of the current configuration; empty if there is none
+   * @throws elmsail.runtime.ElmsailException INVALID_ARGUMENT if the result would be invalid
    */
   byte[] applyTo(byte[] current);
 
-  /** Reads the body of one kind of order. */
+  /** Parses the body of one kind of change. */
   @FunctionalInterface
   interface Reader {
-    /** Fails with BAD_CALL or GARBLED where no configuration could make the body valid. */
+    /** Fails with INVALID_ARGUMENT or MALFORMED if no current configuration makes it valid. */
     ConfigChange read(byte[] body);
   }
 
-  /** A whole configuration that takes the place of the one in force. */
+  /** Parses a configuration that replaces the current one. */
   static ConfigChange replacement(byte[] body) {
     return new Replacement(RoutingConfigReader.read(body).version(), body);
   }
 
-  /** A change of named items of the configuration in force. */
+  /** Parses a change of named items of the current configuration. */
   static ConfigChange amendment(byte[] body) {
     return new Amendment(ConfigAmendment.read(body));
   }
--- a/controlplane/src/main/java/elmsail/controlplane/ConfigChangeHandler.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ConfigChangeHandler.java
@@ -12,30 +12,30 @@
 import java.util.function.LongConsumer;
 
 /**
- * {@code POST /Timetable.Replace} and {@code POST /Timetable.Amend}: changes the register, if the
- * order is on top of what is in force and valid. One handler for each, on the same key and under
- * the same terms.
+ * The operators' calls {@code POST /Timetable.Replace} and {@code POST /Timetable.Amend}: commits a
+ * change of the routing configuration if it is valid and on top of the current version. There is
+ * one handler for each call, on the same key of the register. Runs on the event loop.
  *
- * <p>200, 400 and 412 end an operator's order, so they are given only for what a decided value
- * proves ({@link ConfigHistory}); a change is declined only on a value that a majority accepted, or
- * that was written back to a majority at a higher ballot. All else is 503, or 504 where something
- * was sent that may have been accepted, and the order may be sent again, here or elsewhere.
+ * <p>200, 400 and 412 are final, so they are given only for what a committed value proves ({@link
+ * ConfigHistory}); a change is declined only on a value that a majority accepted, or that was
+ * written back to a majority at a higher ballot. All else is 503, or 504 where something was sent
+ * that may have been accepted, and the operator may send the change again, here or elsewhere.
  *
- * <p>Whether the body is valid is asked last. One that is in the history is acknowledged again
- * whatever this build thinks of it; one that would be next and is invalid is refused, which is
- * certain as long as all builds that run at the same time agree on what is valid. Only what no
- * build ever took is refused unasked: a call whose base is no number.
+ * <p>The body is validated last. A change that is in the history is acknowledged again whatever
+ * this version of the program makes of it; an invalid one on the current version is rejected, which
+ * is final as long as all versions that run at the same time agree on what is valid. Only a call
+ * whose base is no number is rejected at once, as no version ever committed one.
  */
 final class ConfigChangeHandler implements HttpHandler {
   static final String KEY = "timetable";
 
-  /** The operator moves on after a second without an answer. */
+  /** Operators give up after 1,000 ms without a response. */
   private static final long REPLY_DEADLINE_MS = 900;
 
   private static final long MIN_ATTEMPT_MS = 150;
   private static final long RETRY_DELAY_MS = 20;
 
-  /** Which of the calls; it is part of an order's identity. */
+  /** Which of the calls it came by; part of a change's identity. */
   enum ChangeKind {
     REPLACE,
     AMEND
@@ -50,12 +50,13 @@
   private final ControlPlaneCounters counters;
 
   /**
-   * Makes one.
+   * Creates the handler of one call.
    *
+   * @param register of the control-plane voters
    * @param changeKind which call this handles
-   * @param changeReader of its bodies
-   * @param commitListener told of the edition that this call got decided
-   * @param counters of this node
+   * @param changeReader parses its bodies
+   * @param committedConfig the key as last read; learns what the calls commit
+   * @param commitListener called with each version that a call through this handler committed
    */
   ConfigChangeHandler(
       Register register,
@@ -74,13 +75,13 @@
     this.counters = counters;
   }
 
-  /** One call: what it wants and what became of it. */
+  /** One call: its change, and the reply that the last attempt decided on. */
   private static final class PendingChange {
     final long baseVersion;
     final byte[] digest;
     final long deadlineMs;
 
-    /** Null where the body is invalid, for the reason that {@link #validationError} gives. */
+    /** Null if the body is invalid; {@link #validationError} says why. */
     final ConfigChange change;
 
     final String validationError;
@@ -137,7 +138,7 @@
     }
   }
 
-  /** Why the operator's body is refused; other failures are not the operator's and go on. */
+  /** Why the operator's body is invalid; failures of this process are thrown on. */
   private static String validationError(ElmsailException failure) {
     if (failure.code() != ErrorCode.INVALID_ARGUMENT && failure.code() != ErrorCode.MALFORMED) {
       throw failure;
@@ -155,13 +156,13 @@
       return;
     }
     register
-        .change(KEY, found -> proposedValue(pending, found), List.of(), null, remainingMs)
+        .change(KEY, observed -> proposedValue(pending, observed), List.of(), null, remainingMs)
         .whenComplete((outcome, failure) -> onAttemptCompleted(pending, outcome, failure));
   }
 
   private static Register.ProposedValue proposedValue(
-      PendingChange pending, Register.ObservedState found) {
-    ConfigHistory current = ConfigHistory.decode(found.value());
+      PendingChange pending, Register.ObservedState observed) {
+    ConfigHistory current = ConfigHistory.decode(observed.value());
     return switch (current.statusOf(pending.baseVersion, pending.digest)) {
       case COMMITTED -> pending.decline(200, "");
       case APPLICABLE -> applyToCurrent(pending, current);
--- a/controlplane/src/main/java/elmsail/controlplane/ConfigChangeStatus.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ConfigChangeStatus.java
@@ -1,15 +1,15 @@
 package elmsail.controlplane;
 
-/** What a decided configuration says of one order: see {@link ConfigHistory#statusOf}. */
+/** What a committed configuration proves of one change: see {@link ConfigHistory#statusOf}. */
 enum ConfigChangeStatus {
-  /** It was taken, and it is remembered. */
+  /** It was committed, and it is remembered. */
   COMMITTED,
-  /** Its base is the configuration in force: it may be taken now, and was not taken before. */
+  /** Its base is the current version: it was not committed before, and may be now. */
   APPLICABLE,
-  /** Another change was taken on its base: it was not taken and never will be. */
+  /** Another change was committed on its base: it was not committed and never will be. */
   SUPERSEDED,
-  /** Its base is no configuration that is known here yet: it may still become one. */
+  /** Its base is above the current version, which may still reach it. */
   BASE_NOT_COMMITTED,
-  /** Its base is older than all that is remembered: nobody can tell any more. */
+  /** Its base is older than all changes that are remembered: nothing can be proved any more. */
   BASE_FORGOTTEN
 }
--- a/controlplane/src/main/java/elmsail/controlplane/ConfigHistory.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ConfigHistory.java
@@ -2,8 +2,6 @@
 
 import elmsail.runtime.ElmsailException;
 import elmsail.runtime.ErrorCode;
-import java.io.ByteArrayInputStream;
-import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
 import java.io.IOException;
@@ -14,48 +12,49 @@
 import java.util.Arrays;
 
 /**
- * The value of the register's key "timetable": the configuration in force as the operator sent it,
- * or as amendments made it of that, and the orders that led to it, so that one sent again is known.
+ * The register's value of the routing configuration: the current configuration, and the changes
+ * that led to it, so that a change sent again is recognized.
  *
- * <p>An order is its call, its base and its bytes (which hold its number). A change is made only on
- * the configuration in force, and its number is higher than its base, so the orders taken form a
- * chain of rising numbers in which each number is the base of exactly one successor. For the last
- * {@value #MAX_CHANGES} of them the base and a digest are remembered. From one decided value this
- * follows for an order with base B, where the configuration in force has number E and the oldest
- * remembered order the base O:
+ * <p>A change is identified by its kind, its base version and its body, which holds the version
+ * that it makes. It is committed only on top of the current version, and its version is higher than
+ * its base, so the committed changes form a chain of rising versions in which each version is the
+ * base of exactly one successor. The base and a digest of the last {@value #MAX_CHANGES} changes
+ * are remembered. From one committed value this follows for a change with base B, where the current
+ * version is V and the oldest remembered change has the base O:
  *
  * <ul>
- *   <li>B = E: nothing was taken on B yet, this order neither. It may be taken now.
- *   <li>O &lt;= B &lt; E: had it been taken, then on B, and it would be remembered as B's
- *       successor. If it is, it was taken. If B's successor is another, or B is no number of the
- *       chain, it was not taken and never will be: every later value descends from this one, and
- *       none of its descendants has base B. That is also true of an earlier attempt at it that only
- *       reached a minority, because no ballot above the decided one proposes anything but a
- *       descendant.
- *   <li>B &lt; O: it may have been taken and forgotten.
- *   <li>B &gt; E: B may come into force yet, and an attempt at this order may already be under way
- *       elsewhere. Nothing is certain.
+ *   <li>B = V: no change on B is committed yet, this one included. It may be committed now.
+ *   <li>O &lt;= B &lt; V: if it was committed, then on B, and it is remembered as B's successor. If
+ *       B's successor is another, or B is no version of the chain, it was not committed and never
+ *       will be: every later value descends from this one, and none of its descendants has base B.
+ *       That is also true of an earlier attempt that only reached a minority, because no ballot
+ *       above the committed one proposes anything but a descendant.
+ *   <li>B &lt; O: it may have been committed and forgotten.
+ *   <li>B &gt; V: B may be committed yet, and an attempt at this change may be under way elsewhere.
+ *       Nothing is certain.
  * </ul>
  *
- * <p>In the last two cases the only truthful answer is one that leaves it open.
+ * <p>In the last two cases the only correct reply leaves the outcome open. Immutable.
  */
 final class ConfigHistory {
-  /** How many orders are remembered, at most. */
+  /** The most changes that are remembered. */
   static final int MAX_CHANGES = 1_024;
 
-  /** Compared with one remembered order only, the one with the same base. */
+  /** Short, as a digest is only compared with that of the one change with the same base. */
   static final int DIGEST_BYTES = 8;
 
   static final ConfigHistory EMPTY = new ConfigHistory(0, new byte[0], new long[0], new byte[0]);
 
-  /** The first byte of a value; values of the format before it begin with 0. */
+  /** The first byte of a value; values in the legacy format begin with 0. */
   private static final byte FORMAT_VERSION = 2;
 
-  /** Format, number in force, count of orders remembered, base of the oldest. */
+  /** Format, current version, count of changes, base version of the oldest change. */
   private static final int HEADER_BYTES = 1 + 8 + 4 + 8;
 
   private static final int MAX_CHANGE_BYTES = 10 + DIGEST_BYTES;
 
+  private static final String VALUE_NAME = "configuration history";
+
   private static final int LEGACY_MAX_CHANGES = 64;
   private static final int LEGACY_CHANGE_BYTES = 8 + 16;
 
@@ -65,7 +64,7 @@
   private final long version;
   private final byte[] configBytes;
 
-  /** Rising; each is the number of the order before it. */
+  /** Rising; each but the first is the version that the change before it made. */
   private final long[] baseVersions;
 
   /** {@value #DIGEST_BYTES} bytes for each of {@code bases}. */
@@ -78,22 +77,22 @@
     this.digests = digests;
   }
 
-  /** The number in force; 0 where none was ever taken. */
+  /** The current version; 0 if none was ever committed. */
   long version() {
     return version;
   }
 
-  /** The configuration in force as it was sent; empty where there is none. */
+  /** The current configuration as JSON; empty if none was ever committed. */
   byte[] configBytes() {
     return configBytes;
   }
 
-  /** How many orders are remembered. */
+  /** How many changes are remembered. */
   int changeCount() {
     return baseVersions.length;
   }
 
-  /** What is certain of the order with that base and that digest: see above. */
+  /** What is certain of the change with that base version and digest: see the class comment. */
   ConfigChangeStatus statusOf(long baseVersion, byte[] digest) {
     if (baseVersion >= version) {
       return baseVersion == version
@@ -113,7 +112,7 @@
     return Arrays.copyOfRange(digests, index * DIGEST_BYTES, (index + 1) * DIGEST_BYTES);
   }
 
-  /** The value after this one: an order on top of the configuration in force is taken. */
+  /** The history after a change on top of the current version; the oldest change may be dropped. */
   ConfigHistory append(long number, byte[] body, byte[] digest) {
     int firstKept = Math.max(0, baseVersions.length + 1 - MAX_CHANGES);
     int keptCount = baseVersions.length - firstKept;
@@ -126,12 +125,12 @@
     return new ConfigHistory(number, body, nextBases, nextDigests);
   }
 
-  /** Identifies an order for a whole configuration: of its base and its bytes. */
+  /** Digest that identifies a replacement: of its base version and its body. */
   static byte[] replacementDigest(long baseVersion, byte[] body) {
     return replacementDigest(REPLACEMENT_DIGEST_PREFIX, baseVersion, body);
   }
 
-  /** Identifies an order that amends the configuration: likewise, and told apart from the other. */
+  /** Digest that identifies an amendment; never that of a replacement with the same body. */
   static byte[] amendmentDigest(long baseVersion, byte[] body) {
     return replacementDigest(AMENDMENT_DIGEST_PREFIX, baseVersion, body);
   }
@@ -147,56 +146,49 @@
     }
   }
 
-  /** The register's value. */
+  /** The register's value, in the current format. */
   byte[] encode() {
-    ByteArrayOutputStream value =
-        new ByteArrayOutputStream(
-            HEADER_BYTES + MAX_CHANGE_BYTES * baseVersions.length + configBytes.length);
-    try (DataOutputStream out = new DataOutputStream(value)) {
-      out.writeByte(FORMAT_VERSION);
-      out.writeLong(version);
-      out.writeInt(baseVersions.length);
-      out.writeLong(baseVersions.length == 0 ? 0 : baseVersions[0]);
-      for (int i = 0; i < baseVersions.length; i++) {
-        long number = i + 1 < baseVersions.length ? baseVersions[i + 1] : version;
-        writeVarint(out, number - baseVersions[i]);
-        out.write(digests, i * DIGEST_BYTES, DIGEST_BYTES);
-      }
-      out.write(configBytes);
-    } catch (IOException e) {
-      throw new ElmsailException(ErrorCode.INTERNAL, "configuration history", e);
+    int expectedBytes = HEADER_BYTES + MAX_CHANGE_BYTES * baseVersions.length + configBytes.length;
+    return ValueCodec.encode(VALUE_NAME, expectedBytes, this::writeTo);
+  }
+
+  private void writeTo(DataOutputStream out) throws IOException {
+    out.writeByte(FORMAT_VERSION);
+    out.writeLong(version);
+    out.writeInt(baseVersions.length);
+    out.writeLong(baseVersions.length == 0 ? 0 : baseVersions[0]);
+    for (int i = 0; i < baseVersions.length; i++) {
+      long nextVersion = i + 1 < baseVersions.length ? baseVersions[i + 1] : version;
+      writeVarint(out, nextVersion - baseVersions[i]);
+      out.write(digests, i * DIGEST_BYTES, DIGEST_BYTES);
     }
-    return value.toByteArray();
+    out.write(configBytes);
   }
 
   /**
-   * Reads a register's value; null is none. Of a value in the format before this one no order is
-   * taken over, as its digests say nothing of the base: they all count as forgotten.
+   * Decodes a value of the register; null gives the empty history. Of a value in the legacy format
+   * no change is kept, as its digests do not cover the base: they all count as forgotten.
+   *
+   * @throws ElmsailException MALFORMED if the value cannot be decoded
    */
   static ConfigHistory decode(byte[] value) {
     if (value == null) {
       return EMPTY;
     }
-    try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(value))) {
-      if (value.length > 0 && value[0] == 0) {
-        return decodeLegacyFormat(in);
-      }
-      int format = in.readByte();
-      if (format != FORMAT_VERSION) {
-        throw malformed("format " + format);
-      }
-      return decodeCurrentFormat(in);
-    } catch (IOException e) {
-      throw new ElmsailException(ErrorCode.MALFORMED, "configuration history", e);
-    }
+    boolean isLegacyFormat = value.length > 0 && value[0] == 0;
+    return ValueCodec.decode(
+        VALUE_NAME,
+        value,
+        isLegacyFormat ? ConfigHistory::decodeLegacyFormat : ConfigHistory::decodeCurrentFormat);
   }
 
   private static ConfigHistory decodeCurrentFormat(DataInputStream in) throws IOException {
-    long version = in.readLong();
-    int count = in.readInt();
-    if (count < 0 || count > MAX_CHANGES) {
-      throw malformed("orders remembered: " + count);
+    int format = in.readByte();
+    if (format != FORMAT_VERSION) {
+      throw malformed("format " + format + ", expected " + FORMAT_VERSION);
     }
+    long version = in.readLong();
+    int count = ValueCodec.readCount(in, VALUE_NAME, MAX_CHANGES);
     long[] baseVersions = new long[count];
     byte[] digests = new byte[count * DIGEST_BYTES];
     long number = in.readLong();
@@ -205,26 +197,23 @@
       number += readVarint(in);
       in.readFully(digests, i * DIGEST_BYTES, DIGEST_BYTES);
       if (number <= baseVersions[i]) {
-        throw malformed("numbers that do not rise");
+        throw malformed("version " + number + " is not above its base " + baseVersions[i]);
       }
     }
     if (count > 0 && number != version) {
-      throw malformed("a chain that ends at " + number + " in place of " + version);
+      throw malformed("the last change makes version " + number + ", expected " + version);
     }
     return new ConfigHistory(version, in.readAllBytes(), baseVersions, digests);
   }
 
   private static ConfigHistory decodeLegacyFormat(DataInputStream in) throws IOException {
     long version = in.readLong();
-    int count = in.readInt();
-    if (count < 0 || count > LEGACY_MAX_CHANGES) {
-      throw malformed("orders remembered in the old format: " + count);
-    }
+    int count = ValueCodec.readCount(in, VALUE_NAME + " of the legacy format", LEGACY_MAX_CHANGES);
     in.skipNBytes((long) count * LEGACY_CHANGE_BYTES);
     return new ConfigHistory(version, in.readAllBytes(), new long[0], new byte[0]);
   }
 
-  /** Seven bits a byte, the low ones first, the top bit set where more follow. */
+  /** Writes seven bits a byte, the low ones first, with the top bit set where more follow. */
   private static void writeVarint(DataOutputStream out, long number) throws IOException {
     long remaining = number;
     while ((remaining & ~0x7FL) != 0) {
@@ -243,10 +232,10 @@
         return number;
       }
     }
-    throw malformed("a number of more than 64 bits");
+    throw malformed("varint of more than 64 bits");
   }
 
   private static ElmsailException malformed(String what) {
-    return new ElmsailException(ErrorCode.MALFORMED, "configuration history: " + what);
+    return new ElmsailException(ErrorCode.MALFORMED, VALUE_NAME + ": " + what);
   }
 }
--- a/controlplane/src/main/java/elmsail/controlplane/ConfigurationManager.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ConfigurationManager.java
@@ -80,7 +80,7 @@
     return committedConfig.value();
   }
 
-  /** The handler of operators' calls that replace the whole configuration. */
+  /** The handler of operators' calls that replace the configuration. */
   HttpHandler replaceHandler() {
     return changeHandler(ConfigChangeHandler.ChangeKind.REPLACE, ConfigChange::replacement);
   }
--- a/controlplane/src/main/java/elmsail/controlplane/ControlPlane.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ControlPlane.java
@@ -141,7 +141,7 @@
 
   /** What the store knows of the cluster; null at a control-plane node. */
   public ClusterState clusterState() {
-    return storeNode == null ? null : storeNode.watcher();
+    return storeNode == null ? null : storeNode.configWatcher();
   }
 
   private CompletableFuture<SimpleHttpResponse> countInFlight(
--- a/controlplane/src/main/java/elmsail/controlplane/ControlPlaneCounters.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ControlPlaneCounters.java
@@ -2,34 +2,34 @@
 
 import elmsail.runtime.Counters;
 
-/** What a control-plane node counts; on the loop. */
+/** The counters of a control-plane node. Updated on the event loop. */
 final class ControlPlaneCounters {
 
-  /** Pulls of other processes that were answered. */
+  /** Pulls that were answered. */
   final Counters.Counter pullsAnswered;
 
-  /** Pulls that were refused, as there is no contact with a majority of the voters. */
+  /** Pulls that were refused without contact with a majority of the voters. */
   final Counters.Counter pullsRefused;
 
-  /** Operators' configuration orders that were acknowledged: 200. */
+  /** Operators' configuration changes that are committed: 200. */
   final Counters.Counter changesCommitted;
 
-  /** Orders that were refused, so that nothing of them was taken: 400, 412 and 503. */
+  /** Changes that were rejected and not committed by that call: 400, 412 and 503. */
   final Counters.Counter changesRejected;
 
-  /** Orders of which it is unclear whether they were taken: 504. */
+  /** Changes that may be committed or not: 504. */
   final Counters.Counter changesOutcomeUnknown;
 
-  /** Lists of servers that were read from the platform. */
+  /** Server lists that were read from the platform. */
   final Counters.Counter serverListReads;
 
-  /** Calls for the list of servers that failed. */
+  /** Reads of the server list that failed. */
   final Counters.Counter serverListFailures;
 
-  /** Times that a process was told to join the voters of the stores. */
+  /** Assignments of voter slots to spares. */
   final Counters.Counter joinsDirected;
 
-  /** Takes its counters from those of the process. */
+  /** Registers the counters with those of the process. */
   ControlPlaneCounters(Counters counters) {
     pullsAnswered = counters.counter("control_pulls_answered");
     pullsRefused = counters.counter("control_pulls_no_contact");
@@ -41,7 +41,7 @@
     joinsDirected = counters.counter("control_joins_directed");
   }
 
-  /** Counts how an operator's order ended, by the status of its answer. */
+  /** Counts the outcome of a configuration change, by the HTTP status of the reply. */
   void countChange(int status) {
     switch (status) {
       case 200 -> changesCommitted.add(1);
--- a/controlplane/src/main/java/elmsail/controlplane/DecommissionList.java
+++ b/controlplane/src/main/java/elmsail/controlplane/DecommissionList.java
@@ -2,68 +2,66 @@
 
 import elmsail.runtime.ElmsailException;
 import elmsail.runtime.ErrorCode;
-import java.io.ByteArrayInputStream;
-import java.io.ByteArrayOutputStream;
-import java.io.DataInputStream;
-import java.io.DataOutputStream;
-import java.io.IOException;
 import java.util.Collections;
 import java.util.Set;
 import java.util.TreeSet;
 
 /**
- * The value of the register's key "retire": the stations that are to be emptied. It only grows, as
- * a call to empty one may be repeated at any time and its end is asked for by name; so it is
- * bounded by the number of stations that were ever emptied, and by {@value #MAX_NODES}.
+ * Codec of the register's value under {@link #KEY}: the names of the machines whose stores are to
+ * be decommissioned. Names are only ever added, as the call for one may be repeated at any time and
+ * its state is read by name; so the list is bounded by {@value #MAX_NODES}.
  */
 final class DecommissionList {
   static final String KEY = "retire";
 
-  /** More are not taken, and the list stays as it is. */
+  /** The list never has more names. */
   static final int MAX_NODES = 10_000;
 
+  private static final String VALUE_NAME = "decommission list";
+
   private DecommissionList() {}
 
-  /** Null is none. */
+  /**
+   * The names in a value; none for null.
+   *
+   * @throws ElmsailException MALFORMED if the value cannot be decoded
+   */
   static Set<String> decode(byte[] value) {
     if (value == null) {
       return Set.of();
     }
-    Set<String> nodes = new TreeSet<>();
-    try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(value))) {
-      int count = in.readInt();
-      if (count < 0 || count > MAX_NODES) {
-        throw new ElmsailException(ErrorCode.MALFORMED, "stations: " + count);
-      }
-      for (int i = 0; i < count; i++) {
-        nodes.add(in.readUTF());
-      }
-    } catch (IOException e) {
-      throw new ElmsailException(ErrorCode.MALFORMED, "stations", e);
-    }
-    return Collections.unmodifiableSet(nodes);
+    return ValueCodec.decode(
+        VALUE_NAME,
+        value,
+        in -> {
+          int count = ValueCodec.readCount(in, VALUE_NAME, MAX_NODES);
+          Set<String> names = new TreeSet<>();
+          for (int i = 0; i < count; i++) {
+            names.add(in.readUTF());
+          }
+          return Collections.unmodifiableSet(names);
+        });
   }
 
   /**
    * The value with one more name.
    *
-   * @throws ElmsailException of code FULL: there are {@value #MAX_NODES} already
+   * @throws ElmsailException RESOURCE_EXHAUSTED if there are {@value #MAX_NODES} already
    */
-  static byte[] encodeWith(Set<String> nodes, String added) {
-    if (nodes.size() >= MAX_NODES) {
+  static byte[] encodeWith(Set<String> names, String added) {
+    if (names.size() >= MAX_NODES) {
       throw new ElmsailException(
-          ErrorCode.RESOURCE_EXHAUSTED, "stations to be emptied: " + nodes.size());
-    }
-    ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-    try (DataOutputStream out = new DataOutputStream(bytes)) {
-      out.writeInt(nodes.size() + 1);
-      for (String node : nodes) {
-        out.writeUTF(node);
-      }
-      out.writeUTF(added);
-    } catch (IOException e) {
-      throw new ElmsailException(ErrorCode.INTERNAL, "stations", e);
+          ErrorCode.RESOURCE_EXHAUSTED,
+          VALUE_NAME + " is full: " + names.size() + " names, not added: " + added);
     }
-    return bytes.toByteArray();
+    return ValueCodec.encode(
+        VALUE_NAME,
+        out -> {
+          out.writeInt(names.size() + 1);
+          for (String name : names) {
+            out.writeUTF(name);
+          }
+          out.writeUTF(added);
+        });
   }
 }
--- a/controlplane/src/main/java/elmsail/controlplane/DecommissionManager.java
+++ b/controlplane/src/main/java/elmsail/controlplane/DecommissionManager.java
@@ -24,7 +24,7 @@
  * store, so the state is final.
  */
 final class DecommissionManager {
-  /** The lease holder has read the list within so many ms whenever it assigns slots. */
+  /** The lease holder has read the list within this time whenever it assigns slots. */
   static final long MAX_LIST_AGE_MS = 2_500;
 
   private static final long LIST_READ_INTERVAL_MS = 1_000;
--- a/controlplane/src/main/java/elmsail/controlplane/LeaseVoter.java
+++ b/controlplane/src/main/java/elmsail/controlplane/LeaseVoter.java
@@ -1,8 +1,9 @@
 package elmsail.controlplane;
 
 /**
- * One voter's memory of one duty's lease; it has none on disk, so it waits out those of its
- * instanceId before.
+ * One voter's grant of a lease, to one candidate at a time. It is kept in memory only, so a
+ * restarted voter first waits for the end of what it may have granted before. Does no I/O; times
+ * are in ms of the monotonic clock. Runs on the event loop.
  */
 final class LeaseVoter {
   static final long LEASE_DURATION_MS = 2_000;
@@ -13,20 +14,23 @@
   private boolean isGranted;
 
   /**
-   * Makes one.
+   * Creates one that has granted nothing.
    *
-   * @param startedAtMs steady ms at which this process began
-   * @param isFirstProcess whether no process before this one can have granted anything
+   * @param startedAtMs when this process started
+   * @param isFirstProcess whether no earlier process of this voter can have granted the lease
    */
   LeaseVoter(long startedAtMs, boolean isFirstProcess) {
     leaseEndMs = isFirstProcess ? startedAtMs : startedAtMs + LEASE_DURATION_MS;
   }
 
   /**
-   * Grants the lease for {@link #LEASE_DURATION_MS} from now, or tells how many ms it is taken yet;
-   * 0 is granted.
+   * Grants the lease for {@value #LEASE_DURATION_MS} ms from now, unless another candidate holds
+   * it.
    *
-   * @param round of the asker, rising
+   * @param candidateId process id of the candidate
+   * @param round of the candidate, rising
+   * @param now the present time
+   * @return 0 if granted, else for how many ms the lease is held yet
    */
   long tryGrant(long candidateId, long round, long now) {
     boolean isHolder = isGranted && holderId == candidateId;
@@ -40,16 +44,13 @@
     return 0;
   }
 
-  /**
-   * This process has taken a slot over: whoever held it before may have granted the lease until
-   * now.
-   */
+  /** Waits for the end of a lease, as the slot's holder before may have granted one until now. */
   void onSlotTakenOver(long now) {
     leaseEndMs = Math.max(leaseEndMs, now + LEASE_DURATION_MS);
     isGranted = false;
   }
 
-  /** The asker got no majority in that round: what it was granted until then is free again. */
+  /** Ends what that candidate was granted, unless in a later round. */
   void release(long candidateId, long round, long now) {
     if (isGranted && holderId == candidateId && round >= holderRound) {
       leaseEndMs = Math.min(leaseEndMs, now);
--- a/controlplane/src/main/java/elmsail/controlplane/PlacementController.java
+++ b/controlplane/src/main/java/elmsail/controlplane/PlacementController.java
@@ -10,27 +10,30 @@
 import java.util.Set;
 
 /**
- * Decides who holds the voter slots of the stores, or of the head, from what was heard: the stores'
- * founding, and which spare takes a slot whose holder is gone or is to be retired. Pure; all times
- * are steady ms.
+ * Chooses who holds the slots of a voter set from the heartbeats: the initial voters, and the spare
+ * that takes over the slot of a voter that is gone or is to be decommissioned. Does no I/O; times
+ * are in ms of the monotonic clock. Runs on the event loop.
  */
 final class PlacementController {
   static final long STORE_GONE_AFTER_MS = 2_500;
   static final long MAX_SPARE_HEARTBEAT_AGE_MS = 800;
 
   /**
-   * For the head's slots: above a restart after a short loss of power where that can be, and low
-   * enough that a successor votes within catch_up_s of its start even if its predecessor went only
-   * then (3.0 s, a look each 0.2 s, the order at once, the copy of few keys).
+   * For control-plane voters: above the time of a restart after a short loss of power, and low
+   * enough that a successor votes within {@code catch_up_s} of its start even if its predecessor is
+   * lost only then. That takes 3.0 s, up to 0.2 s until the next tick, and the transfer of a few
+   * keys.
    */
   static final long CONTROL_PLANE_GONE_AFTER_MS = 3_000;
 
   private static final long REDUCED_SET_AFTER_MS = 6_000;
   private static final long ZONE_SPREAD_WAIT_MS = 1_000;
 
-  /** A storePlacement that did not look for so long was held up itself, and listens anew. */
+  /** After a longer gap between ticks this process was frozen: missing heartbeats are its own. */
   private static final long MAX_TICK_GAP_MS = 700;
 
+  private static final int NO_SLOT = -1;
+
   private final int targetVoterCount;
   private final long goneAfterMs;
   private long observingSinceMs;
@@ -40,15 +43,21 @@
   private long replacedInstanceId;
   private int replacedSlot;
 
-  /** Which store is to claim which voter slot, and as what. */
+  /** The process at that RPC address is to take over a voter slot at an epoch. */
   record Assignment(int slot, String address, int epoch) {}
 
-  /** Makes one for so many voter slots, listening from now on. */
+  /** Creates one for job-store voters; heartbeats are missed from now on. */
   PlacementController(int targetVoterCount, long now) {
     this(targetVoterCount, STORE_GONE_AFTER_MS, now);
   }
 
-  /** Makes one that takes a holder for gone when it was not heard for so long. */
+  /**
+   * Creates one; heartbeats are missed from now on.
+   *
+   * @param targetVoterCount size of the initial voter set
+   * @param goneAfterMs a voter without heartbeats for longer is gone
+   * @param now the present time
+   */
   PlacementController(int targetVoterCount, long goneAfterMs, long now) {
     this.goneAfterMs = goneAfterMs;
     this.targetVoterCount = targetVoterCount;
@@ -56,7 +65,7 @@
     this.lastTickMs = now;
   }
 
-  /** The first voter set, or null as long as it is not time; asked only while there is none. */
+  /** The initial voter set; null as long as too few candidates are there and it is too early. */
   VoterSet initialVoterSet(HeartbeatTable heartbeats, long now) {
     List<HeartbeatTable.Member> candidates = new ArrayList<>();
     long firstHeartbeatAtMs = Long.MAX_VALUE;
@@ -86,7 +95,7 @@
     return voterSet;
   }
 
-  /** One of each zone first, then others; in the order of their addresses. */
+  /** Chooses one of each zone first, then others, in the order of addresses. */
   private List<HeartbeatTable.Member> spreadOverZones(List<HeartbeatTable.Member> candidates) {
     List<HeartbeatTable.Member> chosen = new ArrayList<>();
     Set<String> zones = new HashSet<>();
@@ -105,13 +114,13 @@
   }
 
   /**
-   * What is to be claimed at present, or null. Called often, also while the lease is not held.
+   * The assignment at present; null if none is needed or no spare is there. Called at an interval,
+   * also while this node can't assign, so that missing heartbeats count from before.
    *
-   * @param decommissioning stations that are to be emptied
-   * @param isObserving whether silence may be counted, also before the lease is held: this node's
-   *     own silence isn't the others'
-   * @param canAssign whether this control-plane node holds the lease and reads the head's register
-   *     at a majority
+   * @param decommissioning machines whose stores are to be decommissioned
+   * @param isObserving whether missing heartbeats count against the members; they don't where this
+   *     node itself may be partitioned
+   * @param canAssign whether this node holds the lease and reads the register at a majority
    */
   Assignment assignment(
       HeartbeatTable heartbeats,
@@ -129,17 +138,8 @@
       return null;
     }
     clearIfCompleted(voterSet);
-    int slot =
-        assignment != null
-                && shouldReplace(heartbeats, voterSet, decommissioning, assignment.slot(), now)
-            ? assignment.slot()
-            : -1;
-    for (int i = 0; i < voterSet.voters.size() && slot < 0; i++) {
-      if (shouldReplace(heartbeats, voterSet, decommissioning, i, now)) {
-        slot = i;
-      }
-    }
-    if (slot < 0) {
+    int slot = slotToReplace(heartbeats, voterSet, decommissioning, now);
+    if (slot == NO_SLOT) {
       assignment = null;
       return null;
     }
@@ -154,6 +154,21 @@
     return assignment;
   }
 
+  /** The slot assigned already while it needs a replacement, else the first that needs one. */
+  private int slotToReplace(
+      HeartbeatTable heartbeats, VoterSet voterSet, Set<String> decommissioning, long now) {
+    if (assignment != null
+        && shouldReplace(heartbeats, voterSet, decommissioning, assignment.slot(), now)) {
+      return assignment.slot();
+    }
+    for (int slot = 0; slot < voterSet.voters.size(); slot++) {
+      if (shouldReplace(heartbeats, voterSet, decommissioning, slot, now)) {
+        return slot;
+      }
+    }
+    return NO_SLOT;
+  }
+
   private void clearIfCompleted(VoterSet voterSet) {
     if (assignment != null
         && (assignment.slot() >= voterSet.voters.size()
@@ -162,10 +177,7 @@
     }
   }
 
-  /**
-   * Above the present holder's, and above that of each spare that was sent for the voter slot
-   * before.
-   */
+  /** An epoch above the present holder's, and above that of each spare assigned before. */
   private int nextEpoch(VoterSet voterSet, int slot) {
     Voter voter = voterSet.voters.get(slot);
     boolean sameVoter = voter.instanceId == replacedInstanceId && slot == replacedSlot;
@@ -175,7 +187,10 @@
     return voter.epoch + assignmentsForVoter;
   }
 
-  /** Whether the voter slot is to be taken by another, and no other voter slot is in change. */
+  /**
+   * Whether the slot needs another holder and may get it now: the other slots' holders vote, except
+   * those that are gone too, and enough vote for the successor to copy the state.
+   */
   private boolean shouldReplace(
       HeartbeatTable heartbeats,
       VoterSet voterSet,
@@ -220,7 +235,7 @@
     return member != null && now - member.lastHeartbeatAtMs() <= maxAgeMs;
   }
 
-  /** In a zone where no other voter slot is, if there is such a one. */
+  /** A spare with a recent heartbeat, in a zone without another voter if possible; null if none. */
   private static HeartbeatTable.Member chooseSpare(
       HeartbeatTable heartbeats,
       VoterSet voterSet,
--- a/controlplane/src/main/java/elmsail/controlplane/QuorumContact.java
+++ b/controlplane/src/main/java/elmsail/controlplane/QuorumContact.java
@@ -5,13 +5,14 @@
 import elmsail.runtime.Timers;
 
 /**
- * How long ago this process was last in contact with a majority of the voters, as the steady clock
- * tells at the moment of the question. A round counts from when it was sent, so an answer that was
- * held up, by the network or while the process was frozen, proves nothing about the present.
+ * How long ago this process was last in contact with a majority of the voters, by the monotonic
+ * clock at the moment of the question. A round counts from when it was sent, so a response that was
+ * delayed, by the network or while the process was frozen, proves nothing about the present. Runs
+ * on the event loop.
  */
 final class QuorumContact {
   /**
-   * Contact older than this is none. Well above a read's period (300 ms) and timeout (600 ms)
+   * Older contact does not count. Well above a read's period (300 ms) and timeout (600 ms)
    * together, so that one failed read changes nothing; below {@code in_touch_ms} (3,000 ms).
    */
   static final long MAX_AGE_MS = 1_500;
@@ -26,7 +27,7 @@
     this.timers = timers;
   }
 
-  /** A majority has answered a round that was sent at that steady time. */
+  /** A majority has responded to a round that was sent at that time of the monotonic clock. */
   void onRoundCompleted(long roundSentAtMs) {
     if (roundSentAtMs <= lastRoundSentAtMs) {
       return;
@@ -38,25 +39,25 @@
     }
   }
 
-  /** Whether a majority has answered a round that was sent within {@link #MAX_AGE_MS}. */
+  /** Whether a majority has responded to a round sent within the last {@value #MAX_AGE_MS} ms. */
   boolean isCurrent() {
     return isWithin(MAX_AGE_MS);
   }
 
-  /** Whether a majority has answered a round that was sent within so many ms. */
+  /** Whether a majority has responded to a round sent within so many ms before now. */
   boolean isWithin(long maxAgeMs) {
     return lastRoundSentAtMs != NEVER && timers.now() - lastRoundSentAtMs <= maxAgeMs;
   }
 
-  /** For how many ms contact has been current without a break; -1 if it is not current now. */
+  /** For how many ms contact has been current without interruption; -1 if it is not current. */
   long unbrokenMs() {
     return isCurrent() ? timers.now() - unbrokenSinceMs : -1;
   }
 
   /**
-   * Passes an answer on if contact is current.
+   * Returns the response if contact is current.
    *
-   * @throws ElmsailException NOT_SEATED if it is not: the asker goes to another process
+   * @throws ElmsailException NOT_A_VOTER if it is not: the caller tries another process
    */
   <A> A requireCurrent(A response) {
     if (!isCurrent()) {
--- a/controlplane/src/main/java/elmsail/controlplane/ReadConfigHandler.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ReadConfigHandler.java
@@ -6,7 +6,10 @@
 import elmsail.runtime.http.SimpleHttpResponse;
 import java.util.concurrent.CompletableFuture;
 
-/** {@code GET /RoutingConfig.Read}: read at a majority, or 503; never a local guess. */
+/**
+ * The operators' call {@code GET /Timetable.Read}: the current configuration, read at a majority;
+ * 503 without one, 404 before the first configuration. Runs on the event loop.
+ */
 final class ReadConfigHandler implements HttpHandler {
   private static final long READ_TIMEOUT_MS = 900;
 
--- a/controlplane/src/main/java/elmsail/controlplane/RedundancyMonitor.java
+++ b/controlplane/src/main/java/elmsail/controlplane/RedundancyMonitor.java
@@ -6,13 +6,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Tells when a set may lose its next member: a slot is missed while its holder isn't heard as
- * voting, and the set is whole again once all of them vote. Times are steady ms.
+ * Logs when a voter set is degraded, and when it is complete again so that the next loss is
+ * tolerated: a slot is missing while its holder does not report that it votes. Times are in ms of
+ * the monotonic clock. Runs on the event loop.
  */
 final class RedundancyMonitor {
   private static final Logger LOG = LoggerFactory.getLogger(RedundancyMonitor.class);
 
-  /** A pull is held open for 1 s at most. */
+  /** Above the longest wait of a pull, 1,000 ms. */
   private static final long MAX_HEARTBEAT_AGE_MS = 1_800;
 
   private static final long NOT_DEGRADED = Long.MAX_VALUE;
@@ -28,10 +29,10 @@
   }
 
   /**
-   * Looks once.
+   * Compares the heartbeats with the voter set; called at an interval.
    *
-   * @param canAssign whether this node is in a position to know; what it saw before is forgotten if
-   *     not
+   * @param canAssign whether this node holds the lease and so has the heartbeats; if not, what was
+   *     observed before is discarded
    */
   void observe(boolean canAssign, HeartbeatTable heartbeats, VoterSet voterSet, long now) {
     if (canAssign) {
@@ -76,22 +77,22 @@
     return member != null && member.isVoting() && member.instanceId() == voter.instanceId;
   }
 
-  /** How many holders were heard as voting at the last look; 0 where this node cannot know. */
+  /** How many voters reported that they vote; 0 while this node can't assign slots. */
   int votingCount() {
     return votingCount;
   }
 
-  /** Whether a slot is missed now. */
+  /** Whether a slot has no voting holder. */
   boolean isDegraded() {
     return degradedSinceMs != NOT_DEGRADED;
   }
 
-  /** How many times all slots voted again. */
+  /** How many times the voter set became complete again. */
   int repairs() {
     return repairs;
   }
 
-  /** From the loss to the repair, the last time; 0 before the first. */
+  /** Duration in ms of the last degradation that ended; 0 before the first. */
   long lastRepairMs() {
     return lastRepairMs;
   }
--- a/controlplane/src/main/java/elmsail/controlplane/Replies.java
+++ b/controlplane/src/main/java/elmsail/controlplane/Replies.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 
-/** Answers to operators. */
+/** Replies to operators: JSON over HTTP. */
 final class Replies {
   private static final Map<String, String> JSON = Map.of("content-type", "application/json");
 
@@ -19,7 +19,7 @@
     return json(status, body.getBytes(StandardCharsets.UTF_8));
   }
 
-  /** With why, for whoever reads the operator's log. */
+  /** An error with its reason, for the operator's log; control characters become spaces. */
   static SimpleHttpResponse error(int status, String reason) {
     StringBuilder text = new StringBuilder("{\"why\":\"");
     for (int i = 0; i < reason.length(); i++) {
--- a/controlplane/src/main/java/elmsail/controlplane/ServerDiscovery.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ServerDiscovery.java
@@ -12,23 +12,27 @@
 import java.util.List;
 import java.util.function.LongSupplier;
 
-/** Asks the platform for the list of servers for as long as this process holds the lease. */
+/**
+ * Polls the platform for the list of model servers while this process holds the singleton lease,
+ * and publishes it under the lease's term. Backs off on failures, by more if the platform limits
+ * the rate. Runs on the event loop.
+ */
 final class ServerDiscovery {
   private static final long POLL_INTERVAL_MS = 500;
   private static final long MAX_POLL_INTERVAL_MS = 4_000;
 
-  /** Of the platform's rate: the rest is for those whom this list doesn't reach. */
+  /** The rest of the platform's rate is for gateways that no published list reaches. */
   private static final double PLATFORM_RATE_SHARE = 0.5;
 
   /**
-   * What a server has left to be cold is told in whole steps, so that not each list is a new one.
+   * Remaining warm-up times are rounded up to this step, so that not each list is a new version.
    */
   private static final long WARM_UP_STEP_MS = 1_000;
 
   private final PlatformClient platform;
   private final double platformCallsPerSecond;
   private final Timers timers;
-  private final WatchServer updateSources;
+  private final WatchServer watchServer;
   private final LongSupplier term;
   private final ControlPlaneCounters counters;
   private long epoch;
@@ -36,9 +40,7 @@
   private byte[] lastPublished;
   private long pollIntervalMs = POLL_INTERVAL_MS;
 
-  /**
-   * A first list without the lease, so that nobody waits for a lease after all have ended at once.
-   */
+  /** Before a first poll without the lease, which spares the wait for a lease at a cold start. */
   private static final long INITIAL_POLL_DELAY_MS = 100;
 
   private static final long TERM_BEFORE_FIRST_LEASE = 0;
@@ -47,23 +49,24 @@
   private boolean closed;
 
   /**
-   * Makes one.
+   * Creates one that polls nothing before {@link #start()}.
    *
-   * @param platformCallsPerSecond calls that the platform takes from all processes together
-   * @param term in which the lease is held at this moment, or 0
-   * @param counters of this node
+   * @param platform to poll
+   * @param platformCallsPerSecond rate limit of the platform for all processes together
+   * @param watchServer publishes the list
+   * @param term in which this process holds the lease at the moment; 0 if it does not
    */
   ServerDiscovery(
       PlatformClient platform,
       double platformCallsPerSecond,
       Timers timers,
-      WatchServer updateSources,
+      WatchServer watchServer,
       LongSupplier term,
       ControlPlaneCounters counters) {
     this.platform = platform;
     this.platformCallsPerSecond = platformCallsPerSecond;
     this.timers = timers;
-    this.updateSources = updateSources;
+    this.watchServer = watchServer;
     this.term = term;
     this.counters = counters;
   }
@@ -73,9 +76,9 @@
     poll();
   }
 
-  /** Asked once where the others have told none yet; any list of the lease's holder is newer. */
+  /** Publishes a list unless there is one yet; any list of the lease holder is newer. */
   private void pollOnceWithoutLease() {
-    if (closed || initialPollSent || updateSources.hasServers() || term.getAsLong() != 0) {
+    if (closed || initialPollSent || watchServer.hasServers() || term.getAsLong() != 0) {
       return;
     }
     initialPollSent = true;
@@ -84,8 +87,8 @@
         .whenComplete(
             (servers, failure) -> {
               (failure == null ? counters.serverListReads : counters.serverListFailures).add(1);
-              if (failure == null && !closed && !updateSources.hasServers()) {
-                updateSources.setServers(
+              if (failure == null && !closed && !watchServer.hasServers()) {
+                watchServer.setServers(
                     TERM_BEFORE_FIRST_LEASE,
                     1,
                     ServerListCodec.encode(roundWarmUpTimes(servers)),
@@ -104,33 +107,32 @@
       timers.schedule(POLL_INTERVAL_MS / 5, this::poll);
       return;
     }
-    platform
-        .fetch()
-        .whenComplete(
-            (servers, failure) -> {
-              (failure == null ? counters.serverListReads : counters.serverListFailures).add(1);
-              if (failure == null) {
-                pollIntervalMs = POLL_INTERVAL_MS;
-                publish(pollTerm, servers);
-              } else {
-                boolean isRateLimited =
-                    ElmsailException.codeOf(failure) == ErrorCode.RESOURCE_EXHAUSTED;
-                pollIntervalMs =
-                    Math.min(
-                        MAX_POLL_INTERVAL_MS,
-                        isRateLimited
-                            ? pollIntervalMs * 2
-                            : Math.max(POLL_INTERVAL_MS, pollIntervalMs * 3 / 2));
-              }
-              long minIntervalMs =
-                  platformCallsPerSecond > 0
-                      ? (long)
-                          (platform.lastPageCount()
-                              * 1_000
-                              / (platformCallsPerSecond * PLATFORM_RATE_SHARE))
-                      : MAX_POLL_INTERVAL_MS;
-              timers.schedule(Math.max(pollIntervalMs, minIntervalMs), this::poll);
-            });
+    platform.fetch().whenComplete((servers, failure) -> onPolled(pollTerm, servers, failure));
+  }
+
+  private void onPolled(long pollTerm, List<ServerEntry> servers, Throwable failure) {
+    (failure == null ? counters.serverListReads : counters.serverListFailures).add(1);
+    if (failure == null) {
+      pollIntervalMs = POLL_INTERVAL_MS;
+      publish(pollTerm, servers);
+    } else {
+      pollIntervalMs = Math.min(MAX_POLL_INTERVAL_MS, increasedInterval(failure));
+    }
+    timers.schedule(Math.max(pollIntervalMs, minIntervalMs()), this::poll);
+  }
+
+  private long increasedInterval(Throwable failure) {
+    boolean isRateLimited = ElmsailException.codeOf(failure) == ErrorCode.RESOURCE_EXHAUSTED;
+    return isRateLimited ? pollIntervalMs * 2 : Math.max(POLL_INTERVAL_MS, pollIntervalMs * 3 / 2);
+  }
+
+  /** The interval at which the calls of a poll, one for each page, keep to this node's rate. */
+  private long minIntervalMs() {
+    if (platformCallsPerSecond <= 0) {
+      return MAX_POLL_INTERVAL_MS;
+    }
+    return (long)
+        (platform.lastPageCount() * 1_000 / (platformCallsPerSecond * PLATFORM_RATE_SHARE));
   }
 
   private void publish(long pollTerm, List<ServerEntry> servers) {
@@ -145,7 +147,7 @@
       version++;
     }
     lastPublished = bytes;
-    updateSources.setServers(epoch, version, bytes, platform.fetchedAtMs());
+    watchServer.setServers(epoch, version, bytes, platform.fetchedAtMs());
   }
 
   private static List<ServerEntry> roundWarmUpTimes(List<ServerEntry> servers) {
--- a/controlplane/src/main/java/elmsail/controlplane/StaleReplyFilter.java
+++ b/controlplane/src/main/java/elmsail/controlplane/StaleReplyFilter.java
@@ -7,9 +7,12 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Turns an answer that comes too long after its call into 503: it rests on what a majority said
- * then, and this process may have been frozen since. An acknowledgement of a change stays, as what
- * was decided holds for ever.
+ * Replaces replies that come too long after their call by 503: they rest on what a majority said
+ * then, and this process may have been frozen since. The acknowledgement of a change stays, as what
+ * was committed holds for good.
+ *
+ * @param timers of the event loop, on which this runs
+ * @param handler of the calls
  */
 record StaleReplyFilter(Timers timers, HttpHandler handler) implements HttpHandler {
 
--- a/controlplane/src/main/java/elmsail/controlplane/StoreBootstrap.java
+++ b/controlplane/src/main/java/elmsail/controlplane/StoreBootstrap.java
@@ -6,9 +6,12 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Decides the first voter set of the stores, once, by the register. */
+/**
+ * Commits the initial job-store voters to the register, once in the cluster's life. Runs on the
+ * event loop.
+ */
 final class StoreBootstrap {
-  /** The register's key that holds the first voter set. */
+  /** The register's key of the initial voter set. */
   static final String KEY = "shelf";
 
   private static final Logger LOG = LoggerFactory.getLogger(StoreBootstrap.class);
@@ -21,10 +24,11 @@
   private boolean changeInFlight;
 
   /**
-   * Makes one.
+   * Creates one that proposes nothing before {@link #tryBootstrap}.
    *
-   * @param committedStoreVoters the key as it was last read
-   * @param placementController who chooses the first voters
+   * @param committedStoreVoters the key as last read
+   * @param placementController chooses the initial voters
+   * @param storeHeartbeats the candidates
    */
   StoreBootstrap(
       Register register,
@@ -37,12 +41,12 @@
     this.storeHeartbeats = storeHeartbeats;
   }
 
-  /** Whether none has been decided, as far as a majority has told. */
+  /** Whether the key was read at a majority and no voter set is committed yet. */
   boolean isPending() {
     return committedStoreVoters.hasBeenRead() && committedStoreVoters.value() == null;
   }
 
-  /** Has the first voter set decided if it is time for it. */
+  /** Proposes the initial voter set if there are enough candidates and no proposal in flight. */
   void tryBootstrap(long now) {
     VoterSet initialVoterSet =
         changeInFlight ? null : placementController.initialVoterSet(storeHeartbeats, now);
@@ -53,9 +57,9 @@
     register
         .change(
             KEY,
-            found ->
+            observed ->
                 new Register.ProposedValue(
-                    found.value() != null ? null : VoterSetValue.encode(initialVoterSet),
+                    observed.value() != null ? null : VoterSetValue.encode(initialVoterSet),
                     List.of()),
             List.of(),
             null,
--- a/controlplane/src/main/java/elmsail/controlplane/StoreNode.java
+++ b/controlplane/src/main/java/elmsail/controlplane/StoreNode.java
@@ -15,15 +15,22 @@
 import elmsail.storage.RecordStore;
 
 /**
- * A store's part in the set "shelf": its slot is told by the control-plane nodes, and joined when
- * they say so.
+ * A store's part in the job-store voters, the voter set named "shelf" on the wire and on disk: a
+ * replica, which learns the voter set from the control-plane nodes and joins the slot that they
+ * assign to it. Runs on the event loop.
  */
 final class StoreNode {
   static final String VOTER_SET_NAME = "shelf";
 
   private final Replica replica;
-  private final ConfigWatcher watcher;
+  private final ConfigWatcher configWatcher;
 
+  /**
+   * Creates a store that pulls nothing before {@link #start()}.
+   *
+   * @param records on this store's disk; not null
+   * @param replicaListener notified of the replica's records
+   */
   StoreNode(
       Settings settings,
       Timers timers,
@@ -41,7 +48,7 @@
             rpcClient,
             timers,
             metrics);
-    watcher =
+    configWatcher =
         new ConfigWatcher(
             rpcClient,
             timers,
@@ -52,14 +59,15 @@
             null);
   }
 
+  /** Begins to watch the control-plane nodes. */
   void start() {
-    watcher.addListener(this::onClusterViewChanged);
-    watcher.setJoinListener(replica::join);
-    watcher.start();
+    configWatcher.addListener(this::onClusterViewChanged);
+    configWatcher.setJoinListener(replica::join);
+    configWatcher.start();
   }
 
   private void onClusterViewChanged() {
-    VoterSet jobStoreVoters = watcher.view().jobStoreVoters;
+    VoterSet jobStoreVoters = configWatcher.view().jobStoreVoters;
     if (jobStoreVoters.voters.isEmpty()) {
       return;
     }
@@ -73,11 +81,11 @@
     return replica;
   }
 
-  ConfigWatcher watcher() {
-    return watcher;
+  ConfigWatcher configWatcher() {
+    return configWatcher;
   }
 
   void close() {
-    watcher.close();
+    configWatcher.close();
   }
 }
--- a/controlplane/src/main/java/elmsail/controlplane/VoterPlacement.java
+++ b/controlplane/src/main/java/elmsail/controlplane/VoterPlacement.java
@@ -9,10 +9,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Directs who holds the voter slots of one set: a spare of the set's role takes the slot of a voter
- * that is gone or is to be decommissioned. Cut off and gone for good are not told apart; one that
- * comes back is refused every vote by those who acknowledged its successor, and is a spare from
- * then on. Sets differ only in how their candidates are heard.
+ * Assigns the slots of one voter set: a spare of the set's role takes over the slot of a voter that
+ * is gone or is to be decommissioned. A partitioned voter is not distinguished from a lost one; if
+ * it comes back, the voters that acknowledged its successor reject its votes, and it is a spare
+ * from then on. The voter sets differ only in where their heartbeats come from. Runs on the event
+ * loop.
  */
 final class VoterPlacement {
   private static final Logger LOG = LoggerFactory.getLogger(VoterPlacement.class);
@@ -24,11 +25,11 @@
   private PlacementController.Assignment assignment;
 
   /**
-   * Makes one.
+   * Creates one without an assignment.
    *
-   * @param voterSetName name of the set
-   * @param heartbeats the heartbeats of the role that its voters have
-   * @param controller who chooses among them; asked by this one alone for orders
+   * @param voterSetName as on the wire; in log lines
+   * @param heartbeats of the role that the voters have
+   * @param controller chooses the spare; no other caller takes assignments from it
    */
   VoterPlacement(String voterSetName, HeartbeatTable heartbeats, PlacementController controller) {
     this.voterSetName = voterSetName;
@@ -38,12 +39,13 @@
   }
 
   /**
-   * Looks once; true if the order became another.
+   * Renews the assignment; called at an interval.
    *
-   * @param decommissioning stations that are to be emptied
-   * @param isObserving whether the candidates' silence may be counted now: this node's own silence
-   *     isn't theirs
-   * @param canAssign whether this node directs the placement of voters now
+   * @param decommissioning machines whose stores are to be decommissioned
+   * @param isObserving whether missing heartbeats count against the members now; they don't where
+   *     this node itself may be partitioned
+   * @param canAssign whether this node may assign slots now
+   * @return whether the assignment is another than before
    */
   boolean refresh(
       VoterSet voterSet,
@@ -67,12 +69,12 @@
     return changed;
   }
 
-  /** Whether one is to join at present. */
+  /** Whether a spare is to take over a slot at present. */
   boolean hasAssignment() {
     return assignment != null;
   }
 
-  /** Puts the order into what the one that it is for is told. */
+  /** Adds the assignment to the view for the process that it is for. */
   void addAssignmentTo(PullRequest request, ClusterView view) {
     if (assignment != null
         && heartbeats.role().isRoleOf(request)
--- a/controlplane/src/main/java/elmsail/controlplane/VoterRedirect.java
+++ b/controlplane/src/main/java/elmsail/controlplane/VoterRedirect.java
@@ -10,8 +10,14 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Calls that only the holders of the head's voter slots can answer, as the stores speak just to
- * these. Others send the caller there: the control port is the same on all machines.
+ * Handles calls that only control-plane voters can answer, as stores send heartbeats just to them.
+ * Other nodes redirect the caller to a voter, with 307: the control port is the same on all
+ * machines.
+ *
+ * @param handler of the calls where this process holds a voter slot
+ * @param settings of this process
+ * @param voters this process's part in the control-plane voters
+ * @param configWatcher knows which control-plane node responded last
  */
 record VoterRedirect(
     HttpHandler handler, Settings settings, ControlPlaneVoters voters, ConfigWatcher configWatcher)
--- a/controlplane/src/main/java/elmsail/controlplane/VoterSetManager.java
+++ b/controlplane/src/main/java/elmsail/controlplane/VoterSetManager.java
@@ -136,7 +136,7 @@
     }
   }
 
-  /** What the sender of that pull is told of the cluster, its slot assignment included. */
+  /** The cluster as the sender of that pull is to see it, with its slot assignment. */
   ClusterView view(PullRequest request) {
     ClusterView view = new ClusterView();
     view.controlPlaneVoters = controlPlaneVoters.current();
--- a/controlplane/src/main/java/elmsail/controlplane/VoterSetValue.java
+++ b/controlplane/src/main/java/elmsail/controlplane/VoterSetValue.java
@@ -2,57 +2,56 @@
 
 import elmsail.rpc.messages.Voter;
 import elmsail.rpc.messages.VoterSet;
-import elmsail.runtime.ElmsailException;
-import elmsail.runtime.ErrorCode;
-import java.io.ByteArrayInputStream;
-import java.io.ByteArrayOutputStream;
-import java.io.DataInputStream;
-import java.io.DataOutputStream;
-import java.io.IOException;
 
-/** Voter sets as a register's values. None is ever changed once it was passed on. */
+/**
+ * Codec of voter sets as values of the register and in the bootstrap's record. Voter sets are never
+ * changed once they were passed on. The replicas' own records of voter sets have another format.
+ */
 final class VoterSetValue {
   private static final int MAX_VOTERS = 64;
+  private static final String VALUE_NAME = "voter set";
 
   private VoterSetValue() {}
 
+  /** The bytes of a voter set; what its voters replaced is left out. */
   static byte[] encode(VoterSet voterSet) {
-    ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-    try (DataOutputStream out = new DataOutputStream(bytes)) {
-      out.writeInt(voterSet.voters.size());
-      for (Voter voter : voterSet.voters) {
-        out.writeUTF(voter.address);
-        out.writeUTF(voter.machine);
-        out.writeLong(voter.instanceId);
-        out.writeInt(voter.epoch);
-      }
-    } catch (IOException e) {
-      throw new ElmsailException(ErrorCode.INTERNAL, "a voter set", e);
-    }
-    return bytes.toByteArray();
+    return ValueCodec.encode(
+        VALUE_NAME,
+        out -> {
+          out.writeInt(voterSet.voters.size());
+          for (Voter voter : voterSet.voters) {
+            out.writeUTF(voter.address);
+            out.writeUTF(voter.machine);
+            out.writeLong(voter.instanceId);
+            out.writeInt(voter.epoch);
+          }
+        });
   }
 
-  /** Null is a voter set without voter slots. */
+  /**
+   * Decodes what {@link #encode} wrote; null gives a voter set without voters.
+   *
+   * @throws elmsail.runtime.ElmsailException MALFORMED if the bytes cannot be decoded
+   */
   static VoterSet decode(byte[] bytes) {
-    VoterSet voterSet = new VoterSet();
     if (bytes == null) {
-      return voterSet;
-    }
-    try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
-      int count = in.readInt();
-      if (count < 0 || count > MAX_VOTERS) {
-        throw new ElmsailException(ErrorCode.MALFORMED, "voter slots: " + count);
-      }
-      for (int i = 0; i < count; i++) {
-        String address = in.readUTF();
-        voterSet.voters.add(voter(address, in.readUTF(), in.readLong(), in.readInt()));
-      }
-    } catch (IOException e) {
-      throw new ElmsailException(ErrorCode.MALFORMED, "a voter set", e);
+      return new VoterSet();
     }
-    return voterSet;
+    return ValueCodec.decode(
+        VALUE_NAME,
+        bytes,
+        in -> {
+          VoterSet voterSet = new VoterSet();
+          int count = ValueCodec.readCount(in, VALUE_NAME, MAX_VOTERS);
+          for (int i = 0; i < count; i++) {
+            String address = in.readUTF();
+            voterSet.voters.add(voter(address, in.readUTF(), in.readLong(), in.readInt()));
+          }
+          return voterSet;
+        });
   }
 
+  /** A voter at that RPC address and of that machine, instance id and epoch. */
   static Voter voter(String address, String machine, long instanceId, int epoch) {
     Voter voter = new Voter();
     voter.address = address;
@@ -62,7 +61,7 @@
     return voter;
   }
 
-  /** The voter slot that the process at that address holds, or -1. */
+  /** The slot of the voter at that RPC address; -1 if there is none. */
   static int slotOf(VoterSet voterSet, String address) {
     for (int i = 0; i < voterSet.voters.size(); i++) {
       if (voterSet.voters.get(i).address.equals(address)) {
--- a/controlplane/src/main/java/elmsail/controlplane/package-info.java
+++ b/controlplane/src/main/java/elmsail/controlplane/package-info.java
@@ -1,4 +1,6 @@
 /**
- * The control plane: the configuration, who is there, the servers' list, and what the stores keep.
+ * The control plane: the routing configuration, the list of model servers, and who votes on both
+ * and on the stores' batch jobs. {@link elmsail.controlplane.ControlPlane} starts a node or a
+ * store; everything else is package-private and runs on the process's event loop.
  */
 package elmsail.controlplane;
--- a/controlplane/src/test/java/elmsail/controlplane/BootstrapCandidatesTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/BootstrapCandidatesTest.java
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void noZoneHasMoreThanItsShare() {
+  void votersAreSpreadOverZones() {
     hear(0, "a1", "a2", "a3", "a4", "a5");
     assertThat("others may still come", proposed(0), is(nullValue()));
     hear(250, "a1", "a2", "b1", "b2", "c1", "c2");
@@ -52,21 +52,21 @@
   }
 
   @Test
-  void fourZonesOfUnevenSize() {
+  void votersAreSpreadOverFourUnevenZones() {
     hear(0, "a1", "a2", "b1", "b2", "c1", "d1");
     assertThat(proposed(0), is(nullValue()));
     assertThat(proposed(BootstrapCandidates.ZONE_SPREAD_WAIT_MS), equalTo("a1 a2 b1 c1 d1"));
   }
 
   @Test
-  void fewerAreAnOddNumberAndOnlyLate() {
+  void reducedSetIsOddAndProposedOnlyAfterDelay() {
     hear(2_900, "a1", "b1", "c1", "c2");
     assertThat(proposed(2_999), is(nullValue()));
     assertThat(proposed(BootstrapCandidates.REDUCED_SET_AFTER_MS), equalTo("a1 b1 c1"));
   }
 
   @Test
-  void whoHasNoDiskOrWasNotThereAtFirstOrIsSilentIsNone() {
+  void disklessLateAndSilentNodesAreNoCandidates() {
     HelloRequest diskless = hello("a1", "z");
     diskless.hasDisk = false;
     HelloRequest later = hello("a2", "z");
--- a/controlplane/src/test/java/elmsail/controlplane/BoundedStateTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/BoundedStateTest.java
@@ -21,7 +21,7 @@
 class BoundedStateTest {
 
   @Test
-  void afterTheLastStationTheListIsStillReadable() {
+  void fullDecommissionListIsStillReadable() {
     Set<String> names = new LinkedHashSet<>();
     for (int i = 0; i < DecommissionList.MAX_NODES - 1; i++) {
       names.add("vault-" + i);
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void whoWasHeardLongestAgoMakesRoom() {
+  void memberWithOldestHeartbeatIsDropped() {
     HeartbeatTable heard = new HeartbeatTable(PeerRole.STORE);
     int all = HeartbeatTable.MAX_MEMBERS + 200;
     for (int i = 0; i < all; i++) {
--- a/controlplane/src/test/java/elmsail/controlplane/CatchUpTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/CatchUpTest.java
@@ -89,7 +89,7 @@
   }
 
   @Test
-  void catchingUpDoesNotGrowWithTheChangesMissed() {
+  void catchUpCostDoesNotGrowWithMissedChanges() {
     for (boolean wiped : new boolean[] {false, true}) {
       List<CaughtUp> all = new ArrayList<>();
       for (int changes : new int[] {1, 30, 300, 1_000}) {
@@ -107,7 +107,7 @@
   }
 
   @Test
-  void membersComeAndGoThroughHundredsOfChanges() {
+  void restartedNodesCatchUpThroughHundredsOfChanges() {
     SimulatedCluster cluster = started();
     cluster.gateway("c1");
     long worst = 0;
@@ -137,7 +137,7 @@
   }
 
   @Test
-  void whatIsKeptIsLevelAfterAThousandChanges() {
+  void storedBytesAreLevelAfterAThousandChanges() {
     SimulatedCluster cluster = started();
     change(cluster, 1_100);
     long[] bytes = new long[3];
@@ -167,7 +167,7 @@
 
   /** It reaches a gateway and no voter: what it has on its disk is not what is in force. */
   @Test
-  void anOldDiskAloneServesNothing() {
+  void nodeWithAnOldDiskAloneServesNothing() {
     SimulatedCluster cluster = started();
     change(cluster, 5);
     long old = edition;
@@ -202,7 +202,7 @@
 
   /** The one with an old disk and one that is up to date are a majority: the newer value counts. */
   @Test
-  void aMajorityWithAnOldDiskGoesOnFromTheNewestChange() {
+  void majorityWithAnOldDiskContinuesFromTheNewestChange() {
     SimulatedCluster cluster = started();
     change(cluster, 5);
     cluster.kill("n3");
@@ -216,7 +216,7 @@
 
   /** Each loses its disk, one after the other: the term only rises. */
   @Test
-  void theTermOfTheSingletonLeaseOutlivesAllDisks() {
+  void leaseTermSurvivesTheLossOfEachDisk() {
     SimulatedCluster cluster = started();
     long highest = 0;
     List<Long> terms = new ArrayList<>();
--- a/controlplane/src/test/java/elmsail/controlplane/ClusterPowerLossTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ClusterPowerLossTest.java
@@ -37,7 +37,7 @@
     "6, 8, 2, 400",
     "6, 8, 2, 3000"
   })
-  void allThatWasAcknowledgedIsServedAgain(int nodes, int stores, int bear, int apartMs) {
+  void acknowledgedStateIsServedAfterPowerLossOfAll(int nodes, int stores, int bear, int apartMs) {
     long longest = 0;
     int jobsSeen = 0;
     for (int seed = 1; seed <= STORIES; seed++) {
--- a/controlplane/src/test/java/elmsail/controlplane/ConcurrentConfigChangesTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ConcurrentConfigChangesTest.java
@@ -20,7 +20,7 @@
   private static final long SETTLE_MS = 20_000;
 
   @Test
-  void ofEightAtOnceAtDifferentNodesOneIsConfirmed() {
+  void oneOfEightConcurrentChangesIsCommitted() {
     int unclear = 0;
     for (int seed = 1; seed <= SEEDS; seed++) {
       ConfigChangeScenario story = ConfigChangeScenario.started("eight at once", seed, NODES);
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void ofTwoWithOneNumberAndOtherBytesOneIsConfirmed() {
+  void oneOfTwoChangesToTheSameVersionIsCommitted() {
     for (int seed = 1; seed <= SEEDS; seed++) {
       ConfigChangeScenario story = ConfigChangeScenario.started("one number", seed, NODES);
       ChangeRequest one = ConfigChangeScenario.replacement(1, 5, "one");
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void theSameBytesOnTwoBasesAreNotBothConfirmed() {
+  void sameBodyOnTwoBasesIsNotCommittedTwice() {
     for (int seed = 1; seed <= SEEDS; seed++) {
       ConfigChangeScenario story = ConfigChangeScenario.started("two bases", seed, NODES);
       ChangeRequest mine = ConfigChangeScenario.replacement(1, 9, "same");
@@ -76,7 +76,7 @@
   }
 
   @Test
-  void theSameOrderAtAllNodesAtOnceIsConfirmedByAll() {
+  void sameChangeAtAllNodesIsAcknowledgedByAll() {
     for (int seed = 1; seed <= SEEDS; seed++) {
       ConfigChangeScenario story = ConfigChangeScenario.started("same order", seed, NODES);
       ChangeRequest order = ConfigChangeScenario.replacement(1, 4, "");
@@ -92,7 +92,7 @@
   }
 
   @Test
-  void answersLostAtSevenTenthsEndInOneClearAnswerEach() {
+  void changesHaveOneFinalReplyThoughMostRepliesAreLost() {
     int lost = 0;
     int confirmed = 0;
     for (int seed = 1; seed <= 6; seed++) {
@@ -119,7 +119,7 @@
   }
 
   @Test
-  void oneThatWasTakenIsConfirmedAgainAfter1And10And300ChangesAndAWipe() {
+  void committedChangeIsAcknowledgedAgainAfterManyChangesAndAWipe() {
     ConfigChangeScenario story = ConfigChangeScenario.started("old repeats", 1, NODES);
     List<ChangeRequest> taken = new ArrayList<>();
     List<ChangeRequest> lost = new ArrayList<>();
@@ -171,7 +171,7 @@
    * may have reached nobody, itself, one other or all; a rival comes before or after the repeat.
    */
   @Test
-  void aChangeCutOffHalfwayIsFinishedOrLostForAll() {
+  void changePartitionedHalfwayIsCommittedOrLostForAll() {
     int finished = 0;
     int lost = 0;
     int stories = 0;
@@ -223,7 +223,7 @@
   }
 
   @Test
-  void operatorsUnderTroubleAreNeverToldWhatIsNotSo() {
+  void finalRepliesUnderFaultsAreNeverWrong() {
     int confirmed = 0;
     int refused = 0;
     int unclear = 0;
--- a/controlplane/src/test/java/elmsail/controlplane/ConfigAmendmentsTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ConfigAmendmentsTest.java
@@ -35,7 +35,7 @@
   }
 
   @Test
-  void ofEightAtOnceWholeOnesAndAmendmentsOneIsConfirmed() {
+  void oneOfEightConcurrentReplacementsAndAmendmentsIsCommitted() {
     int amended = 0;
     for (int seed = 1; seed <= SEEDS; seed++) {
       ConfigChangeScenario story = ConfigChangeScenario.started("eight at once", seed, NODES);
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void threeHundredAmendmentsWithLostAnswersKillsAndWipesMakeWhatTheirOrderMakes() {
+  void amendmentsUnderFaultsMakeTheirExpectedResult() {
     ConfigChangeScenario story = ConfigChangeScenario.started("three hundred", 3, NODES);
     NodeFaultInjector trouble = new NodeFaultInjector(story.cluster, new Random(17), NODES);
     story.replyLossRate = 0.3;
@@ -100,7 +100,7 @@
   }
 
   @Test
-  void anAmendmentCutOffHalfwayIsFinishedOrLostForAll() {
+  void amendmentPartitionedHalfwayIsCommittedOrLostForAll() {
     int lost = 0;
     for (int cutAt = 0; cutAt <= 70; cutAt += 2) {
       ConfigChangeScenario story =
@@ -127,7 +127,7 @@
   }
 
   @Test
-  void theSameBytesAsAnotherCallAreAnotherOrder() {
+  void sameBodyByAnotherCallIsAnotherChange() {
     ConfigChangeScenario story = ConfigChangeScenario.started("other call", 5, NODES);
     ChangeRequest amendment = ConfigChangeScenario.amendment(1, 2, "x", null);
     ChangeRequest same = new ChangeRequest(ChangeKind.REPLACE, 1, 2, amendment.body());
@@ -138,7 +138,7 @@
   }
 
   @Test
-  void whatWouldBeInvalidIsRefusedAndNothingChanges() {
+  void invalidAmendmentIsRejectedAndChangesNothing() {
     ConfigChangeScenario story = ConfigChangeScenario.started("invalid", 7, NODES);
     String before = story.cluster.read("n1");
     for (String body :
@@ -158,7 +158,7 @@
   }
 
   @Test
-  void beforeTheFirstConfigurationAnAmendmentThatIsNotWholeIsRefused() {
+  void incompleteAmendmentBeforeTheFirstConfigIsRejected() {
     ConfigChangeScenario story = new ConfigChangeScenario("before the first", 9, NODES);
     story.cluster.timers.advance(3_000);
     ChangeRequest order = ConfigChangeScenario.amendment(0, 1, "x", null);
--- a/controlplane/src/test/java/elmsail/controlplane/ConfigChangeHandlerTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ConfigChangeHandlerTest.java
@@ -75,7 +75,7 @@
   }
 
   @Test
-  void theFirstAndTheNextAreTakenAndReadBackAsSent() {
+  void committedChangesAreReadBackAsSent() {
     assertThat(readBack(), equalTo("404 "));
     assertThat(put("0", "3 a"), is(200));
     assertThat(put("3", "7 {\"b\" :  1}"), is(200));
@@ -84,7 +84,7 @@
   }
 
   @Test
-  void rulesOfEditions() {
+  void changeMustRaiseTheVersionOnTheCurrentBase() {
     assertThat(put("0", "3 a"), is(200));
     assertThat("not the current one", put("0", "4 b"), is(412));
     assertThat("not the current one", put("2", "4 b"), is(412));
@@ -98,7 +98,7 @@
   }
 
   @Test
-  void theSameOrderAgainIsAcknowledgedAgain() {
+  void repeatedChangeIsAcknowledgedAgain() {
     assertThat(put("0", "3 a"), is(200));
     assertThat(put("0", "3 a"), is(200));
     assertThat(put("3", "5 b"), is(200));
@@ -109,7 +109,7 @@
   }
 
   @Test
-  void theSameBytesOnAnotherBaseAreAnotherOrder() {
+  void sameBodyOnAnotherBaseIsAnotherChange() {
     assertThat(put("0", "3 a"), is(200));
     assertThat(put("3", "5 b"), is(200));
     assertThat("a second winner on base 3 would be one too many", put("3", "3 a"), is(412));
@@ -119,7 +119,7 @@
   }
 
   @Test
-  void aBaseThatIsNotInForceYetIsLeftOpen() {
+  void outcomeIsOpenWhileBaseIsNotCommitted() {
     assertThat("before the first", put("3", "5 b"), is(503));
     assertThat(put("0", "3 a"), is(200));
     assertThat(put("4", "5 b"), is(503));
@@ -128,7 +128,7 @@
   }
 
   @Test
-  void whatWasTakenIsAcknowledgedAlsoWhereItIsNowFoundInvalid() {
+  void committedChangeIsAcknowledgedEvenIfInvalidNow() {
     byte[] sent = "bad since a later build".getBytes(StandardCharsets.UTF_8);
     register.concurrentValue =
         ConfigHistory.EMPTY.append(3, sent, ConfigHistory.replacementDigest(0, sent)).encode();
@@ -140,7 +140,7 @@
   }
 
   @Test
-  void anInvalidOneIsNotRefusedWhereNobodyCanBeAsked() {
+  void invalidChangeIsNotRejectedWithoutQuorum() {
     register.unreachable = true;
     assertThat(put("0", "bad"), is(503));
     register.unreachable = false;
@@ -148,7 +148,7 @@
   }
 
   @Test
-  void twoOnTopOfTheSameOneGiveOneWinner() {
+  void concurrentChangesOnSameBaseHaveOneWinner() {
     assertThat(put("0", "3 a"), is(200));
     ConfigHistory current = ConfigHistory.decode(register.values.get("timetable").value());
     byte[] sent = "4 other".getBytes(StandardCharsets.UTF_8);
@@ -160,7 +160,7 @@
   }
 
   @Test
-  void anUnclearAnswerIsClearedUpWithinTheSameCall() {
+  void unknownOutcomeIsResolvedWithinTheCall() {
     register.nextOutcomes.add(FakeRegister.Outcome.UNKNOWN_COMMITTED);
     assertThat(put("0", "3 a"), is(200));
     register.nextOutcomes.add(FakeRegister.Outcome.UNKNOWN_LOST);
@@ -169,7 +169,7 @@
   }
 
   @Test
-  void anUnclearAnswerThatStaysSoIs504AndTheRepeatIs200() {
+  void unresolvedOutcomeIs504AndTheRepeatIs200() {
     register.nextOutcomes.addAll(
         List.of(
             FakeRegister.Outcome.UNKNOWN_COMMITTED,
@@ -183,7 +183,7 @@
   }
 
   @Test
-  void notReachedIs503AndChangesNothing() {
+  void noQuorumIs503AndChangesNothing() {
     register.unreachable = true;
     assertThat(put("0", "3 a"), is(503));
     assertThat(readBack(), equalTo("503 "));
@@ -192,7 +192,7 @@
   }
 
   @Test
-  void moreThanKeptEditionsAreForgottenOneByOne() {
+  void oldestChangesAreForgottenOneByOne() {
     for (int i = 1; i <= ConfigHistory.MAX_CHANGES + 2; i++) {
       assertThat(put(String.valueOf(i - 1), i + " x"), is(200));
     }
@@ -207,7 +207,7 @@
 
   /** The voters say that nothing is newer than what was known; then a change is taken here. */
   @Test
-  void aReadThatAChangeOvertakesIsAnsweredWithAConfiguration() {
+  void readOvertakenByChangeReturnsTheNewerConfig() {
     assertThat(put("0", "3 a"), is(200));
     register.responseDelayMs = 50;
     SimpleHttpRequest call =
@@ -222,7 +222,7 @@
   }
 
   @Test
-  void readingOftenCostsNoBytes() {
+  void repeatedReadsTransferNoValue() {
     assertThat(put("0", "3 a"), is(200));
     decided.refresh();
     timers.advance(10);
@@ -236,7 +236,7 @@
   }
 
   @Test
-  void readableOnlyWhileReadsSucceed() {
+  void contactIsCurrentOnlyWhileReadsSucceed() {
     decided.refresh();
     assertThat(decided.hasBeenRead(), is(false));
     assertThat(decided.quorumContact().isCurrent(), is(false));
@@ -251,7 +251,7 @@
   }
 
   @Test
-  void aReadThatWasAnsweredLateProvesNoContact() {
+  void lateReadResponseProvesNoContact() {
     register.readMs = QuorumContact.MAX_AGE_MS + 1;
     decided.refresh();
     timers.advance(QuorumContact.MAX_AGE_MS + 1);
--- a/controlplane/src/test/java/elmsail/controlplane/ConfigFaultScenarioTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ConfigFaultScenarioTest.java
@@ -49,7 +49,7 @@
   private long current;
 
   @Test
-  void storiesOfTrouble() {
+  void acknowledgedConfigsSurviveRandomFaults() {
     int taken = 0;
     int refused = 0;
     for (int seed = 1; seed <= STORIES; seed++) {
--- a/controlplane/src/test/java/elmsail/controlplane/ConfigHistoryTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ConfigHistoryTest.java
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void nothingIsCertainThatALongerMemoryWouldDeny() {
+  void statusAgreesWithUnboundedHistory() {
     Map<ConfigChangeStatus, Integer> counts = new EnumMap<>(ConfigChangeStatus.class);
     for (int seed = 1; seed <= CHAINS; seed++) {
       chain(seed, counts);
@@ -113,7 +113,7 @@
   }
 
   @Test
-  void remembersInFewBytes() {
+  void historyTakesFewBytes() {
     ConfigHistory last = ConfigHistory.EMPTY;
     int[] sizes = new int[ConfigHistory.MAX_CHANGES * 2 + 1];
     for (int i = 1; i < sizes.length; i++) {
@@ -128,7 +128,7 @@
   }
 
   @Test
-  void ofTheFormatBeforeNoOrderIsTakenOverAndNoneRefused() {
+  void legacyFormatKeepsNoChangesAndRejectsNone() {
     byte[] body = "{}".getBytes(StandardCharsets.UTF_8);
     ByteBuffer old = ByteBuffer.allocate(8 + 4 + 2 * 24 + body.length);
     old.putLong(7).putInt(2).putLong(5).put(new byte[16]).putLong(7).put(new byte[16]).put(body);
@@ -144,7 +144,7 @@
   }
 
   @Test
-  void aDamagedValueIsATypedError() {
+  void damagedValueIsMalformed() {
     Order first = new Order(0, "a");
     byte[] good = followed(ConfigHistory.EMPTY, 300, first).encode();
     int history = good.length - first.bytes().length;
--- a/controlplane/src/test/java/elmsail/controlplane/ControlPlaneBootstrapTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ControlPlaneBootstrapTest.java
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void fiveVotersForTwoLossesWithinTwoSecondsAlsoOnASlowDisk() {
+  void fiveVotersBootstrapWithinTwoSecondsOnASlowDisk() {
     SimulatedCluster cluster = new SimulatedCluster(3, 3, 2);
     cluster.syncMs = 5;
     sixNodes(cluster, new Random(3));
@@ -59,7 +59,7 @@
 
   /** Killed by power, wiped, or one of both: what was acknowledged is there. */
   @Test
-  void whatWasAcknowledgedOutlivesTwoLossesAtOnce() {
+  void acknowledgedConfigSurvivesTwoLossesAtOnce() {
     for (int kind = 0; kind < 3; kind++) {
       SimulatedCluster cluster = new SimulatedCluster(kind, 3, 2);
       sixNodes(cluster, new Random(kind));
@@ -91,7 +91,7 @@
   }
 
   @Test
-  void seedsWithoutADiskFoundAmongThoseThatHaveOne() {
+  void disklessSeedsBootstrapVotersWithDisks() {
     SimulatedCluster cluster = new SimulatedCluster(5, 3, 1);
     for (int i = 1; i <= 6; i++) {
       cluster.controlPlane("n" + i, true, i > 3);
@@ -102,7 +102,7 @@
   }
 
   @Test
-  void fewerThanWantedAreAnOddNumberAfterAWhile() {
+  void reducedVoterSetIsOddAndBootstrapsAfterDelay() {
     SimulatedCluster cluster = new SimulatedCluster(6, 3, 2);
     for (int i = 1; i <= 4; i++) {
       cluster.controlPlane("n" + i, true);
@@ -113,7 +113,7 @@
   }
 
   @Test
-  void oneThatWasNotThereAtTheFirstStartFoundsNothing() {
+  void laterInstancesNeverBootstrap() {
     SimulatedCluster cluster = new SimulatedCluster(7, 3, 2);
     for (int i = 1; i <= 6; i++) {
       cluster.controlPlane("n" + i, false);
@@ -124,7 +124,7 @@
 
   /** Losses, delays, and a seed that ends at any moment, with its disk or without. */
   @Test
-  void foundedOnceWhateverHappens() {
+  void bootstrapsOnceUnderRandomFaults() {
     int founded = 0;
     int ended = 0;
     for (int seed = 1; seed <= HISTORIES; seed++) {
--- a/controlplane/src/test/java/elmsail/controlplane/ControlPlaneCountersTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ControlPlaneCountersTest.java
@@ -11,7 +11,7 @@
   private final ControlPlaneCounters own = new ControlPlaneCounters(counters);
 
   @Test
-  void tellsHowOrdersEnded() {
+  void countsChangesByOutcome() {
     own.countChange(200);
     for (int status : new int[] {400, 412, 503}) {
       own.countChange(status);
--- a/controlplane/src/test/java/elmsail/controlplane/ControlPlaneNodeTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ControlPlaneNodeTest.java
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void aConfigurationIsTakenSoonAfterTheStartAndReachesTheClerks() {
+  void configIsCommittedSoonAfterStartAndReachesGateways() {
     head();
     cluster.gateway("c1");
     assertThat(cluster.replaceAnywhere(0, 3), is(200));
@@ -54,7 +54,7 @@
   }
 
   @Test
-  void theNotariesFoundInAnyOrderOfTheirStarts() {
+  void nodesBootstrapInAnyStartOrder() {
     for (int order = 0; order < 6; order++) {
       SimulatedCluster one = new SimulatedCluster(order, 3);
       int first = order % 3 + 1;
@@ -69,7 +69,7 @@
   }
 
   @Test
-  void fewerSeedsFoundAsManyAsThereAre() {
+  void singleSeedBootstrapsAlone() {
     SimulatedCluster one = new SimulatedCluster(1, 1);
     one.controlPlane("n1", true);
     assertThat(one.replaceAnywhere(0, 3), is(200));
@@ -77,7 +77,7 @@
   }
 
   @Test
-  void twoAtTwoNotariesOnTopOfTheSameGiveOneWinner() {
+  void concurrentChangesOnSameBaseHaveOneWinner() {
     head();
     assertThat(cluster.replaceAnywhere(0, 1), is(200));
     long current = 1;
@@ -99,7 +99,7 @@
   }
 
   @Test
-  void withoutAMajorityNothingIsTakenAndTheRepeatIsOnceAllAreBack() {
+  void changeFailsWithoutMajorityAndIsCommittedOnceNodesAreBack() {
     head();
     assertThat(cluster.replaceAnywhere(0, 1), is(200));
     cluster.kill("n2");
@@ -113,7 +113,7 @@
   }
 
   @Test
-  void aNotaryThatStartsTellsNothingBeforeItHasReadAtAMajority() {
+  void startingNodePublishesNothingBeforeMajorityRead() {
     head();
     assertThat(cluster.replaceAnywhere(0, 1), is(200));
     for (int i = 1; i <= 3; i++) {
@@ -130,7 +130,7 @@
   }
 
   @Test
-  void aNotaryCutOffGoesOnTellingWhatWasDecided() {
+  void partitionedNodeRejectsChangesAndCatchesUpAfterHeal() {
     head();
     cluster.gateway("c1");
     assertThat(cluster.replaceAnywhere(0, 1), is(200));
@@ -151,7 +151,7 @@
   }
 
   @Test
-  void allLosePowerRightAfterAnAcknowledgement() {
+  void acknowledgedConfigSurvivesPowerLossOfAllNodes() {
     head();
     assertThat(cluster.replaceAnywhere(0, 1), is(200));
     assertThat(cluster.replaceAnywhere(1, 5), is(200));
@@ -171,7 +171,7 @@
   }
 
   @Test
-  void aWipedNotaryComesBackThenAnotherMayBeWiped() {
+  void nodesWipedOneAfterAnotherRecover() {
     head();
     assertThat(cluster.replaceAnywhere(0, 1), is(200));
     for (int i = 1; i <= 3; i++) {
@@ -186,7 +186,7 @@
   }
 
   @Test
-  void aNotaryWithoutADiskPassesCallsOn() {
+  void disklessNodeProposesChangesAndRedirectsDecommissioning() {
     head();
     cluster.controlPlane("n4", true, false);
     assertThat(cluster.replaceAnywhere(0, 1), is(200));
@@ -199,7 +199,7 @@
   }
 
   @Test
-  void theListIsAskedByOneAndReachesAll() {
+  void serverListIsPolledByOneNodeAndReachesGateways() {
     head();
     cluster.gateway("c1");
     cluster.platformReply =
@@ -223,7 +223,7 @@
   }
 
   @Test
-  void anotherAsksTheCarrierOnceTheHolderIsGone() {
+  void anotherNodePollsPlatformAfterLeaseHolderIsLost() {
     head();
     cluster.gateway("c1");
     cluster.timers.advance(3_000);
@@ -236,7 +236,7 @@
   }
 
   @Test
-  void theVaultsAreFoundedOnceAndStaySeatedOverARestartOfAll() {
+  void jobStoreVotersStayTheSameOverRestartOfAll() {
     founded(4);
     assertThat(cluster.stores.get("v4").replica().isVoting(), is(false));
     for (int i = 1; i <= 3; i++) {
@@ -256,7 +256,7 @@
   }
 
   @Test
-  void fewerVaultsThanSeatsAreFoundedAfterAWhile() {
+  void fewerStoresThanSlotsBootstrapAfterDelay() {
     all(2);
     assertThat(
         cluster.awaitWithin(5_000, () -> !cluster.describeJobStoreVoters("v1").isEmpty()),
@@ -267,7 +267,7 @@
   }
 
   @Test
-  void aSpareTakesTheSeatOfAVaultThatIsGone() {
+  void spareTakesOverSlotOfLostStore() {
     founded(4);
     cluster.timers.advance(2_000);
     cluster.net.kill(cluster.address("v2"), false);
@@ -282,7 +282,7 @@
   }
 
   @Test
-  void aWipedVaultTakesItsOwnSeatAgain() {
+  void wipedStoreRejoinsItsOwnSlot() {
     founded(3);
     cluster.timers.advance(1_000);
     cluster.wipe("v2");
@@ -294,7 +294,7 @@
   }
 
   @Test
-  void retiringOneOfFourMovesItsSeatAndSaysSo() {
+  void decommissioningOneOfFourMovesItsSlotAndReportsDelivered() {
     founded(4);
     cluster.timers.advance(3_000);
     assertThat(cluster.beginDecommission("n2", "v9"), is(404));
@@ -310,7 +310,7 @@
   }
 
   @Test
-  void retiringOneOfThreeIsRefused() {
+  void decommissioningOneOfThreeIsRejected() {
     founded(3);
     cluster.timers.advance(3_500);
     assertThat(cluster.beginDecommission("n1", "v2"), is(409));
@@ -318,7 +318,7 @@
   }
 
   @Test
-  void deliveredIsNotSaidBeforeTheTakerHasCopiedAll() {
+  void deliveredIsNotReportedBeforeSuccessorHasCopiedTheState() {
     founded(4);
     cluster.timers.advance(3_000);
     cluster.disks.get("v4").stall(5_000);
--- a/controlplane/src/test/java/elmsail/controlplane/ControlPlanePartitionTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ControlPlanePartitionTest.java
@@ -35,7 +35,7 @@
 
   @ParameterizedTest
   @EnumSource
-  void aGatewayThatStartsIsNotGivenTheOldConfiguration(Partition cut) {
+  void startingGatewayDoesNotGetAnOldConfig(Partition cut) {
     startControlPlane();
     cut.begin(cluster);
     assertThat(cluster.replace("n2", 1, 3), is(200));
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void aGatewayThatRunsKeepsWhatItHasAndHearsTheOthers() {
+  void runningGatewayKeepsItsConfigAndFollowsOtherNodes() {
     startControlPlane();
     cluster.gateway("c1");
     gatewayAtN1("c2");
@@ -76,7 +76,7 @@
   }
 
   @Test
-  void aPullHeldOpenIsNotAnsweredOnceContactHasLapsed() {
+  void pendingPullFailsOnceContactHasLapsed() {
     startControlPlane();
     pull(request("gateway", "c9"), 1_000);
     cluster.timers.advance(500);
@@ -98,7 +98,7 @@
 
   /** At any moment of a read's period, so that some freezes come upon a read under way. */
   @Test
-  void nothingFromBeforeAFreezeIsGivenOutAfterIt() {
+  void nothingFromBeforeAFreezeIsPublishedAfterIt() {
     for (int early = 0; early < 300; early += 4) {
       newCluster(early);
       startControlPlane();
@@ -134,7 +134,7 @@
   }
 
   @Test
-  void aGatewayThatWasFrozenDoesNotTakeAnOldListForAFreshOne() {
+  void frozenGatewayDoesNotTakeAnOldListForAFreshOne() {
     startControlPlane();
     cluster.platformReply =
         "{\"servers\":[{\"postal_line\":\"p\",\"address\":\"10.8.0.1:80\",\"zone\":\"z1\","
@@ -156,7 +156,7 @@
   }
 
   @Test
-  void anOrderIsNeitherTakenNorFinallyRefusedInTheCut() {
+  void partitionedNodeNeitherCommitsNorFinallyRejectsChanges() {
     startControlPlane();
     Partition.BOTH_WAYS.begin(cluster);
     assertThat(cluster.replace("n2", 1, 3), is(200));
@@ -169,7 +169,7 @@
   }
 
   @Test
-  void anOrderAndARaceThatWaitForTheCutToHealHaveOneWinner() {
+  void changesRacingAtTheHealHaveOneWinner() {
     for (int early = 0; early <= 800; early += 100) {
       SimulatedCluster one = new SimulatedCluster(early, 3);
       for (int i = 1; i <= 3; i++) {
@@ -197,7 +197,7 @@
   }
 
   @Test
-  void aReadThatWasUnderWayInAFreezeIsNotAnsweredAsCurrent() {
+  void readInFlightDuringAFreezeIsNotAnsweredAsCurrent() {
     startControlPlane();
     CompletableFuture<SimpleHttpResponse> read =
         cluster.call("n1", "GET", "/Timetable.Read", null, "");
@@ -211,7 +211,7 @@
   }
 
   @Test
-  void afterAllHaveStartedAgainTheConfigurationIsThereSoonAlsoWithOneLost() {
+  void configIsServedSoonAfterRestartOfAllWithOneLost() {
     for (int lost = 0; lost <= 1; lost++) {
       SimulatedCluster one = new SimulatedCluster(5 + lost, 3);
       for (int i = 1; i <= 3; i++) {
@@ -233,7 +233,7 @@
   }
 
   @Test
-  void oneLostVoterAndLostMessagesDoNotBreakContact() {
+  void contactSurvivesOneLostVoterAndLostMessages() {
     startControlPlane();
     cluster.net.kill(cluster.address("n3"), false);
     cluster.net.loss(0.02);
@@ -252,7 +252,7 @@
   }
 
   @Test
-  void aNodeWithoutAVoteThatIsCutOffGivesNothingOutEither() {
+  void partitionedNonVoterPublishesNothing() {
     startControlPlane();
     cluster.controlPlane("n4", true, false);
     cluster.timers.advance(2_000);
@@ -277,7 +277,7 @@
   }
 
   @Test
-  void gatewaysAskThePlatformThemselvesWhileAllNodesAreCutFromEachOther() {
+  void gatewaysPollThePlatformWhileAllNodesArePartitioned() {
     startControlPlane();
     cluster.platformReply =
         "{\"servers\":[{\"postal_line\":\"p\",\"address\":\"10.8.0.1:80\",\"zone\":\"z1\","
--- a/controlplane/src/test/java/elmsail/controlplane/ControlPlaneTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ControlPlaneTest.java
@@ -129,7 +129,7 @@
 
   @Test
   @Timeout(60)
-  void takesAndKeepsAConfigurationOverARestart() throws Exception {
+  void committedConfigSurvivesRestart() throws Exception {
     int controlPort = freePort();
     int inner = freePort();
     running(
@@ -162,7 +162,7 @@
 
   @Test
   @Timeout(60)
-  void aStoreTellsItsFiguresAtItsThirdInnerPort() throws Exception {
+  void storeServesMetricsAtItsThirdInternalPort() throws Exception {
     Settings settings = settings(dir, true, freePort(), portBeforeFreeOne());
     NettyEventLoop loop = new NettyEventLoop();
     RpcEndpoint rpc = new RpcEndpoint(loop.eventLoop(), loop, "127.0.0.1:0");
--- a/controlplane/src/test/java/elmsail/controlplane/ControlPlaneVoterReplacementTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ControlPlaneVoterReplacementTest.java
@@ -45,7 +45,7 @@
 
   /** An empty machine at another address follows, at once or later, whoever holds the lease. */
   @Test
-  void oneGoneForGoodIsReplacedAndTheNextMayGo() {
+  void lostVoterIsReplacedAndTheNextLossIsTolerated() {
     for (int gone = 1; gone <= 3; gone++) {
       for (long later : new long[] {0, 2_000, 8_000}) {
         founded(1, 3, 3);
@@ -75,7 +75,7 @@
   }
 
   @Test
-  void aShortLossOfPowerMovesNobody() {
+  void shortPowerLossMovesNoSlot() {
     founded(2, 6, 5);
     String before = holders("n1");
     cluster.net.kill(cluster.address("n2"), false);
@@ -89,7 +89,7 @@
 
   /** Cut off and gone for good aren't told apart: its votes are void, and it is the next spare. */
   @Test
-  void oneThatComesBackIsASpareAndTakesTheNextSlot() {
+  void returningVoterIsASpareAndTakesOverTheNextSlot() {
     founded(1, 4, 3);
     cluster.net.isolate(cluster.address("n1"));
     assertThat(cluster.awaitWithin(8_000, () -> holders("n2").contains("n4")), is(true));
@@ -112,7 +112,7 @@
 
   /** Two at once, then two more, oldest first, then all lose power: nothing is lost. */
   @Test
-  void lossesRightBehindRepairsOldestFirst() {
+  void lossesRightAfterRepairsLoseNothing() {
     founded(2, 6, 5);
     int version = 1;
     int next = 7;
@@ -145,7 +145,7 @@
   }
 
   @Test
-  void whoDirectsSaysWhenTheNextLossMayCome() {
+  void leaseHolderReportsDegradationAndRepair() {
     for (String victim : new String[] {"n1", "n2", "n3"}) {
       founded(1, 3, 3);
       cluster.timers.advance(2_000);
--- a/controlplane/src/test/java/elmsail/controlplane/JobRecordWriter.java
+++ b/controlplane/src/test/java/elmsail/controlplane/JobRecordWriter.java
@@ -6,12 +6,8 @@
 import static org.hamcrest.Matchers.notNullValue;
 
 import elmsail.consensus.Register;
-import elmsail.consensus.RegisterClient;
-import elmsail.consensus.VoterSetSource;
-import elmsail.consensus.VoterSets;
 import elmsail.rpc.messages.Blob;
 import elmsail.rpc.messages.VoterSet;
-import elmsail.simulation.SimNode;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -32,10 +28,10 @@
   private final String name;
   private final SimulatedCluster cluster;
   private final Random random;
+  private final JobStoreClient client;
   private final Register register;
-  private final Set<String> forgotten = new HashSet<>();
+  private final Set<String> lostStores = new HashSet<>();
   private final List<Integer> written = new ArrayList<>();
-  private VoterSet known = new VoterSet();
   private int next;
   private int open;
 
@@ -43,37 +39,31 @@
     this.name = name;
     this.cluster = cluster;
     this.random = random;
-    SimNode node = cluster.net.startNode("10.3.0.9:7720");
-    VoterSetSource voterSets =
-        new VoterSetSource() {
-          @Override
-          public VoterSet current() {
-            return newest();
-          }
-
-          @Override
-          public void learn(VoterSet newer) {
-            known = VoterSets.merge(known, newer);
-          }
-        };
-    register =
-        new RegisterClient(
-            "shelf", node.rpcClient(), node.timers(), voterSets, 77, "", address -> 1);
+    client = new JobStoreClient(cluster, this::votingStores);
+    register = client.register();
   }
 
   /** That store is gone for good. */
   void forget(String store) {
-    forgotten.add(store);
+    lostStores.add(store);
   }
 
+  /** The newest voter set of the running stores that vote. */
   VoterSet newest() {
+    return client.current();
+  }
+
+  private List<String> votingStores() {
+    List<String> voting = new ArrayList<>();
     for (String store : cluster.stores.keySet()) {
-      boolean there = cluster.net.nodeAt(cluster.address(store)) != null;
-      if (there && !forgotten.contains(store) && cluster.stores.get(store).replica().isVoting()) {
-        known = VoterSets.merge(known, cluster.stores.get(store).replica().voterSet());
+      boolean isRunning = cluster.net.nodeAt(cluster.address(store)) != null;
+      if (isRunning
+          && !lostStores.contains(store)
+          && cluster.stores.get(store).replica().isVoting()) {
+        voting.add(store);
       }
     }
-    return known;
+    return voting;
   }
 
   int written() {
--- a/controlplane/src/test/java/elmsail/controlplane/JobStoreVotersScenarioTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/JobStoreVotersScenarioTest.java
@@ -6,12 +6,9 @@
 import static org.hamcrest.Matchers.is;
 
 import elmsail.consensus.Register;
-import elmsail.consensus.RegisterClient;
-import elmsail.consensus.VoterSetSource;
 import elmsail.consensus.VoterSets;
 import elmsail.rpc.messages.Voter;
 import elmsail.rpc.messages.VoterSet;
-import elmsail.simulation.SimNode;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -33,7 +30,6 @@
   private SimulatedCluster cluster;
   private Random random;
   private Register writer;
-  private VoterSet known;
   private final long[] acknowledged = new long[KEYS];
   private final boolean[] busy = new boolean[KEYS];
   private final List<String> running = new ArrayList<>();
@@ -42,7 +38,7 @@
   private int moves;
 
   @Test
-  void storiesOfVaults() {
+  void acknowledgedRecordsSurviveRandomStoreFaults() {
     for (int seed = 1; seed <= STORIES; seed++) {
       play(seed);
     }
@@ -55,7 +51,6 @@
     running.clear();
     removed.clear();
     stores = 0;
-    known = new VoterSet();
     cluster.net.delay(1, 10);
     for (int i = 1; i <= 3; i++) {
       cluster.controlPlane("n" + i, true);
@@ -63,7 +58,7 @@
     for (int i = 0; i < 4; i++) {
       add(true);
     }
-    writer();
+    writer = new JobStoreClient(cluster, () -> running).register();
     assertThat("seed " + seed, cluster.awaitWithin(8_000, this::allSeated), is(true));
     for (int i = 0; i < KEYS; i++) {
       acknowledged[i] = 0;
@@ -92,28 +87,6 @@
     cluster.store(name, first);
   }
 
-  private void writer() {
-    SimNode node = cluster.net.startNode("10.3.0.9:7720");
-    VoterSetSource voterSets =
-        new VoterSetSource() {
-          @Override
-          public VoterSet current() {
-            for (String name : running) {
-              known = VoterSets.merge(known, cluster.stores.get(name).replica().voterSet());
-            }
-            return known;
-          }
-
-          @Override
-          public void learn(VoterSet newer) {
-            known = VoterSets.merge(known, newer);
-          }
-        };
-    writer =
-        new RegisterClient(
-            "shelf", node.rpcClient(), node.timers(), voterSets, 77, "", address -> 1);
-  }
-
   private void write(long ms) {
     long end = cluster.timers.now() + ms;
     while (cluster.timers.now() < end) {
--- a/controlplane/src/test/java/elmsail/controlplane/LeaseTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/LeaseTest.java
@@ -84,7 +84,7 @@
   }
 
   @Test
-  void theFirstHoldsItFromTheFoundingOnAndKeepsIt() {
+  void firstCandidateHoldsTheLeaseFromTheStartAndKeepsIt() {
     begin(1, true);
     int held = 0;
     for (int i = 0; i < 1_000; i++) {
@@ -95,7 +95,7 @@
   }
 
   @Test
-  void votersThatStartAnewGrantNothingForALeasesTime() {
+  void restartedVotersGrantNothingForOneLeaseDuration() {
     begin(1, false);
     int held = 0;
     for (int i = 0; i < 199; i++) {
@@ -109,7 +109,7 @@
   }
 
   @Test
-  void anotherTakesOverAfterTheHolderIsGone() {
+  void anotherCandidateTakesOverAfterTheHolderIsLost() {
     begin(3, true);
     for (int i = 0; i < 200; i++) {
       step();
@@ -125,7 +125,7 @@
   }
 
   @Test
-  void neverTwoHoldersWhateverHappens() {
+  void neverTwoHoldersUnderRandomFaults() {
     long held = 0;
     for (int seed = 0; seed < 60; seed++) {
       begin(seed, true);
@@ -161,7 +161,7 @@
 
   /** Whoever held the slot before may have granted the lease right before it was taken over. */
   @Test
-  void aVoterThatTookASlotOverWaitsOutALease() {
+  void voterThatTookOverASlotWaitsForOneLeaseDuration() {
     LeaseVoter voter = new LeaseVoter(0, true);
     assertThat(voter.tryGrant(1, 1, 10), is(0L));
     voter.onSlotTakenOver(1_000);
--- a/controlplane/src/test/java/elmsail/controlplane/MonotonicClockOnlyTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/MonotonicClockOnlyTest.java
@@ -24,7 +24,7 @@
           "currentTimeMillis|Instant\\.now|Clock\\.system|Date\\(\\)|(Local|Zoned|Offset)\\w*\\.now");
 
   @Test
-  void noMainSourceAsksForTheTimeOfDay() throws IOException {
+  void noMainSourceReadsTheTimeOfDay() throws IOException {
     List<String> found = new ArrayList<>();
     int read = 0;
     for (String module : MODULES) {
--- a/controlplane/src/test/java/elmsail/controlplane/PlacementControllerTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/PlacementControllerTest.java
@@ -91,7 +91,7 @@
   }
 
   @Test
-  void foundsAsSoonAsEnoughAreThereInAnyOrder() {
+  void bootstrapsAsSoonAsEnoughCandidatesAreThere() {
     hear("c", "z1", false);
     hear("a", "z2", false);
     assertThat(storePlacement.initialVoterSet(heard, now), is(nullValue()));
@@ -100,7 +100,7 @@
   }
 
   @Test
-  void prefersDistinctZonesAndWaitsForThemALittle() {
+  void prefersDistinctZonesAndWaitsForThem() {
     hear("a", "z1", false);
     hear("b", "z1", false);
     hear("c", "z2", false);
@@ -110,7 +110,7 @@
   }
 
   @Test
-  void foundsInFewerZonesAfterASecond() {
+  void bootstrapsInFewerZonesAfterOneSecond() {
     hear("a", "z1", false);
     hear("b", "z1", false);
     hear("c", "z1", false);
@@ -119,7 +119,7 @@
   }
 
   @Test
-  void foundsWithFewerAfterSixSeconds() {
+  void bootstrapsWithFewerVotersAfterSixSeconds() {
     assertThat(storePlacement.initialVoterSet(heard, now), is(nullValue()));
     for (now = 0; now < 6_000; now += 500) {
       hear("a", "z1", false);
@@ -130,7 +130,7 @@
   }
 
   @Test
-  void leavesOutVaultsThatAreSeatedOrGoneAgain() {
+  void votingAndGoneStoresAreNoCandidates() {
     hear("a", "z1", true);
     hear("b", "z2", false);
     hear("c", "z3", false);
@@ -142,7 +142,7 @@
   }
 
   @Test
-  void aSpareTakesTheSeatOfOneUnheardForSoLong() {
+  void spareReplacesVoterWithoutHeartbeats() {
     founded("a", "b", "c");
     assertThat(pass(5_000, "a", "b", "c", "d"), is(nullValue()));
     assertThat(pass(2_500, "a", "b", "d"), is(nullValue()));
@@ -152,7 +152,7 @@
   }
 
   @Test
-  void noSpareNoOrder() {
+  void noAssignmentWithoutSpare() {
     founded("a", "b", "c");
     pass(1_000, "a", "b", "c");
     assertThat(pass(5_000, "a", "b"), is(nullValue()));
@@ -161,21 +161,21 @@
   }
 
   @Test
-  void onewhoComesBackKeepsItsSeat() {
+  void returningVoterKeepsItsSlot() {
     founded("a", "b", "c");
     assertThat(pass(3_000, "a", "b", "d"), equalTo(orderTo("d", 2, 2)));
     assertThat(pass(200, "a", "b", "c", "d"), is(nullValue()));
   }
 
   @Test
-  void aSecondSpareClaimsAboveTheFirst() {
+  void secondSpareGetsHigherEpoch() {
     founded("a", "b", "c");
     assertThat(pass(3_000, "a", "b", "d"), equalTo(orderTo("d", 2, 2)));
     assertThat(pass(3_000, "a", "b", "e"), equalTo(orderTo("e", 2, 3)));
   }
 
   @Test
-  void theRetiredGiveTheirSeatsWhileAllOthersAreSeated() {
+  void decommissionedVoterIsReplacedWhileAllOthersVote() {
     founded("a", "b", "c");
     retiring.add("b");
     assertThat(pass(500, "a", "b", "c"), is(nullValue()));
@@ -183,7 +183,7 @@
   }
 
   @Test
-  void noSecondSeatWhileOneIsBeingCopied() {
+  void noSecondAssignmentDuringStateTransfer() {
     founded("a", "b", "c");
     retiring.add("a");
     pass(500, "a", "b", "c", "d");
@@ -202,7 +202,7 @@
   }
 
   @Test
-  void twoGoneOfThreeMoveNobody() {
+  void noAssignmentWhileTwoOfThreeAreGone() {
     threeVotersAndASpareHeard();
     assertThat(pass(6_000, "a", "d"), is(nullValue()));
   }
@@ -217,7 +217,7 @@
   }
 
   @Test
-  void aWipedHolderThatIsHeardIsNotReplaced() {
+  void wipedVoterWithHeartbeatsIsNotReplaced() {
     threeVotersAndASpareHeard();
     for (int i = 0; i < 50; i++) {
       now += 100;
@@ -230,7 +230,7 @@
   }
 
   @Test
-  void aRegistrarThatWasHeldUpListensAnew() {
+  void controllerObservesAnewAfterFreeze() {
     threeVotersAndASpareHeard();
     now += 10_000;
     hearAllButC();
@@ -240,7 +240,7 @@
   }
 
   @Test
-  void withoutTheLeaseNothingIsDirectedAndTheTimeBeginsAnew() {
+  void nothingIsAssignedWithoutLeaseAndUnobservedTimeDoesNotCount() {
     threeVotersAndASpareHeard();
     for (int i = 0; i < 40; i++) {
       now += 100;
@@ -252,7 +252,7 @@
   }
 
   @Test
-  void whereItHearsSilenceCountsFromBeforeTheLease() {
+  void missingHeartbeatsCountFromBeforeTheLease() {
     threeVotersAndASpareHeard();
     for (int i = 0; i < 40; i++) {
       now += 100;
--- a/controlplane/src/test/java/elmsail/controlplane/QuorumContactTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/QuorumContactTest.java
@@ -14,14 +14,14 @@
   private final QuorumContact contact = new QuorumContact(timers);
 
   @Test
-  void thereIsNoneBeforeTheFirstRound() {
+  void noContactBeforeTheFirstRound() {
     assertThat(contact.isCurrent(), is(false));
     assertThat(contact.isWithin(Long.MAX_VALUE), is(false));
     assertThat(contact.unbrokenMs(), is(-1L));
   }
 
   @Test
-  void itCountsFromWhenTheRoundWasSentAndEndsAtTheBound() {
+  void contactCountsFromTheSendingOfTheRound() {
     long sentAt = timers.now();
     timers.advance(400);
     contact.onRoundCompleted(sentAt);
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void anAnswerFoundAfterAFreezeProvesNothing() {
+  void responseReadAfterAFreezeProvesNoContact() {
     long sentAt = timers.now();
     timers.advance(20_000);
     contact.onRoundCompleted(sentAt);
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void anOlderRoundThatIsAnsweredLaterChangesNothing() {
+  void lateResponseToAnOlderRoundChangesNothing() {
     long first = timers.now();
     timers.advance(100);
     contact.onRoundCompleted(timers.now());
@@ -51,7 +51,7 @@
   }
 
   @Test
-  void itIsUnbrokenOnlySinceTheLastLapse() {
+  void contactIsUnbrokenOnlySinceTheLastLapse() {
     contact.onRoundCompleted(timers.now());
     timers.advance(1_000);
     contact.onRoundCompleted(timers.now());
@@ -62,7 +62,7 @@
   }
 
   @Test
-  void anAnswerPassesOnlyInContact() {
+  void responseIsReturnedOnlyInContact() {
     ElmsailException refused =
         assertThrows(ElmsailException.class, () -> contact.requireCurrent("the configuration"));
     assertThat(refused.code(), is(ErrorCode.NOT_A_VOTER));
--- a/controlplane/src/test/java/elmsail/controlplane/RepeatedDoubleLossTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/RepeatedDoubleLossTest.java
@@ -5,13 +5,10 @@
 import static org.hamcrest.Matchers.is;
 
 import elmsail.consensus.Register;
-import elmsail.consensus.RegisterClient;
-import elmsail.consensus.VoterSetSource;
 import elmsail.consensus.VoterSets;
 import elmsail.rpc.messages.Blob;
 import elmsail.rpc.messages.Voter;
 import elmsail.rpc.messages.VoterSet;
-import elmsail.simulation.SimNode;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -33,14 +30,13 @@
   private SimulatedCluster cluster;
   private Random random;
   private Register writer;
-  private VoterSet known;
   private int written;
   private int stores;
   private final List<String> oldestFirst = new ArrayList<>();
   private final List<String> oldestHeads = new ArrayList<>();
 
   @Test
-  void twoAtOnceRightBehindEachRepair() {
+  void twoLossesRightAfterEachRepairLoseNothing() {
     long longest = 0;
     for (int seed = 1; seed <= STORIES; seed++) {
       start(seed);
@@ -65,7 +61,6 @@
   private void start(int seed) {
     cluster = new SimulatedCluster(seed, 3, 2);
     random = new Random(seed);
-    known = new VoterSet();
     written = 0;
     stores = 0;
     oldestFirst.clear();
@@ -78,7 +73,7 @@
     for (int i = 0; i < 6; i++) {
       add(true);
     }
-    writer();
+    writer = new JobStoreClient(cluster, () -> oldestFirst).register();
     assertThat(cluster.awaitWithin(8_000, this::whole), is(true));
     assertThat(cluster.replaceAnywhere(0, 1), is(200));
   }
@@ -89,28 +84,6 @@
     oldestFirst.add(name);
   }
 
-  private void writer() {
-    SimNode node = cluster.net.startNode("10.3.0.9:7720");
-    VoterSetSource voterSets =
-        new VoterSetSource() {
-          @Override
-          public VoterSet current() {
-            for (String name : oldestFirst) {
-              known = VoterSets.merge(known, cluster.stores.get(name).replica().voterSet());
-            }
-            return known;
-          }
-
-          @Override
-          public void learn(VoterSet newer) {
-            known = VoterSets.merge(known, newer);
-          }
-        };
-    writer =
-        new RegisterClient(
-            "shelf", node.rpcClient(), node.timers(), voterSets, 77, "", address -> 1);
-  }
-
   /** Three jobs with a body each. */
   private void write() {
     for (int i = 0; i < 3; i++) {
--- a/controlplane/src/test/java/elmsail/controlplane/SplitPartitionTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/SplitPartitionTest.java
@@ -18,13 +18,13 @@
 
   @ParameterizedTest
   @EnumSource
-  void fourNodesAndSevenStoresOfThreeVotersEach(SplitPartitionScenario.ConcurrentChange underWay) {
+  void fourNodesAndSevenStoresWithThreeVotersEach(SplitPartitionScenario.ConcurrentChange underWay) {
     play(4, 7, 1, underWay);
   }
 
   @ParameterizedTest
   @EnumSource
-  void sixNodesAndTenStoresOfFiveVotersEach(SplitPartitionScenario.ConcurrentChange underWay) {
+  void sixNodesAndTenStoresWithFiveVotersEach(SplitPartitionScenario.ConcurrentChange underWay) {
     play(6, 10, 2, underWay);
   }
 
--- a/controlplane/src/test/java/elmsail/controlplane/StorePlacementPartitionTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/StorePlacementPartitionTest.java
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void noStoreIsToldToJoinByAnOrderFromBeforeAFreeze() {
+  void noStoreJoinsByAnAssignmentFromBeforeAFreeze() {
     startControlPlane();
     stores(4);
     cluster.net.cut(cluster.address("n1"), cluster.address("v4"));
@@ -65,7 +65,7 @@
   }
 
   @Test
-  void noReplacementIsDirectedInTheCut() {
+  void partitionedNodeAssignsNoSlots() {
     startControlPlane();
     stores(4);
     Partition.BOTH_WAYS.begin(cluster);
@@ -88,7 +88,7 @@
   }
 
   @Test
-  void deliveredIsNotSaidInTheCutWhetherSeenBeforeOrNot() {
+  void partitionedNodeReportsNoStoreDelivered() {
     startControlPlane();
     stores(5);
     assertThat(cluster.beginDecommission("n2", "v4"), is(200));
@@ -108,7 +108,7 @@
   }
 
   @Test
-  void deliveredIsNotSaidOnTheStoresWordAlone() {
+  void deliveredIsNotReportedByHeartbeatsAlone() {
     startControlPlane();
     stores(5);
     assertThat(cluster.beginDecommission("n2", "v4"), is(200));
@@ -122,7 +122,7 @@
   }
 
   @Test
-  void aStoreThatCameDuringTheCutIsNotCalledUnknown() {
+  void storeStartedDuringPartitionIsNotUnknown() {
     startControlPlane();
     stores(4);
     cluster.net.isolate(cluster.address("n1"));
@@ -144,7 +144,7 @@
   }
 
   @Test
-  void aStoreThatOnlyTheOthersHearIsNeitherUnknownNorMissed() {
+  void storeSeenOnlyByPeersIsNeitherUnknownNorMissing() {
     startControlPlane();
     cluster.net.cutBoth(cluster.address("n1"), cluster.address("v4"));
     stores(4);
@@ -155,7 +155,7 @@
   }
 
   @Test
-  void afterAFreezeNobodyIsCalledUnknown() {
+  void frozenNodeCallsNoStoreUnknownAfterwards() {
     startControlPlane();
     stores(4);
     cluster.net.freeze(cluster.address("n1"));
@@ -174,7 +174,7 @@
    * of it, it never holds a slot later.
    */
   @Test
-  void aSpareThatWasToldToJoinBeforeItWasRetiredIsNotCalledDelivered() {
+  void spareAssignedBeforeItsDecommissioningIsNotDelivered() {
     int said = 0;
     for (int apart = 0; apart < 600; apart += 5) {
       newCluster(apart);
@@ -200,7 +200,7 @@
   }
 
   @Test
-  void withFiveVotersEachOfThemHearsEveryStore() {
+  void everyVoterOfFiveHasHeartbeatsOfEveryStore() {
     for (int seed = 1; seed <= 5; seed++) {
       cluster = new SimulatedCluster(seed, 5);
       for (int i = 1; i <= 5; i++) {
