--- a/runtime/src/main/java/elmsail/runtime/Addresses.java
+++ b/runtime/src/main/java/elmsail/runtime/Addresses.java
@@ -4,12 +4,12 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Addresses by number, {@code ip:port}: nothing is ever looked up by name. */
+/** Numeric IPv4 addresses, {@code ip:port}; host names are never resolved. */
 public final class Addresses {
 
   private Addresses() {}
 
-  /** Whether it is four numbers of 0 to 255 with dots between them. */
+  /** Whether the text is an IPv4 address in dotted decimal form. */
   public static boolean isIpv4(String text) {
     return parseIpv4(text) != null;
   }
@@ -21,7 +21,9 @@
   }
 
   /**
-   * @throws ElmsailException BAD_CALL if it is not {@code ip:port}
+   * Parses {@code ip:port}.
+   *
+   * @throws ElmsailException {@code INVALID_ARGUMENT} if the text is not {@code ip:port}
    */
   public static InetSocketAddress parse(String address) {
     int colon = address.indexOf(':');
@@ -61,7 +63,7 @@
     return part == 4 ? ip : null;
   }
 
-  /** The port from there to the end; -1 if it is none. */
+  /** The port that the rest of the text holds; -1 if it holds none. */
   private static int parsePort(String text, int from) {
     int port = from < text.length() ? 0 : -1;
     for (int i = from; i < text.length(); i++) {
--- a/runtime/src/main/java/elmsail/runtime/Counters.java
+++ b/runtime/src/main/java/elmsail/runtime/Counters.java
@@ -7,24 +7,24 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The named figures of a process: counters, gauges and histograms, used on the loop alone. Those
- * that changed are logged in one line every 10 s; {@link PrometheusText} writes all of them. Names
- * are few and fixed: never made of what others send.
+ * The metrics of a process by name: counters, gauges and histograms. Confined to the event loop.
+ * Metrics that changed are logged in one line every 10 s; {@link PrometheusText} writes all of
+ * them. Names are a small fixed set, never derived from received data.
  */
 public final class Counters {
 
   private static final Logger LOG = LoggerFactory.getLogger("elmsail.counters");
   private static final long LOG_INTERVAL_MS = 10_000;
 
-  /** What a figure is. */
+  /** The type of a metric. */
   enum Kind {
-    /** It only grows, from 0 at the start of the process. */
+    /** Only grows, from 0 at the start of the process. */
     COUNTER,
-    /** A present state: a length, a size, 1 or 0. */
+    /** The current state: a length, a size, or 1 or 0 for a condition. */
     GAUGE
   }
 
-  /** One number: hold on to it where it is counted often. */
+  /** One metric; a frequent user keeps the reference rather than looking it up. */
   public static final class Counter {
     private Kind kind;
     private LongSupplier source;
@@ -35,18 +35,18 @@
       this.kind = kind;
     }
 
-    /** Adds to the value; {@code more} is negative for gauges alone. */
+    /** Adds to the value; {@code delta} may be negative for gauges only. */
     public void add(long delta) {
       value += delta;
     }
 
-    /** For what is not a sum: a length, a size. The figure is a gauge from then on. */
+    /** Sets the value, for example a length. The metric is a gauge from then on. */
     public void set(long newValue) {
       kind = Kind.GAUGE;
       value = newValue;
     }
 
-    /** The present value. */
+    /** The current value. */
     public long value() {
       return source == null ? value : source.getAsLong();
     }
@@ -59,45 +59,45 @@
   private final Map<MetricName, Counter> counters = new LinkedHashMap<>();
   private final Map<MetricName, Histogram> histograms = new LinkedHashMap<>();
 
-  /** Figures without names yet that are never logged. */
+  /** An empty set of metrics that is never logged. */
   public Counters() {}
 
-  /** Figures without names yet; the first line is logged 10 s from now on these timers. */
+  /** An empty set of metrics; the first line is logged in 10 s. */
   public Counters(Timers timers) {
     timers.schedule(LOG_INTERVAL_MS, () -> logChanges(timers));
   }
 
-  /** The counter of that name, made at 0 where there is none. */
+  /** The counter of that name, created with value 0 if absent. */
   public Counter counter(String name) {
     return counter(MetricName.of(name));
   }
 
-  /** The counter of that name, made at 0 where there is none. */
+  /** The counter of that name, created with value 0 if absent. */
   public Counter counter(MetricName name) {
     return counters.computeIfAbsent(name, made -> new Counter(Kind.COUNTER));
   }
 
-  /** The gauge of that name, made at 0 where there is none. */
+  /** The gauge of that name, created with value 0 if absent. */
   public Counter gauge(String name) {
     return counters.computeIfAbsent(MetricName.of(name), made -> new Counter(Kind.GAUGE));
   }
 
-  /** A counter that is kept elsewhere, and read there whenever the figures are told. */
+  /** Registers a counter whose value is read from {@code source} at each export. */
   public void registerCounter(String name, LongSupplier source) {
     counter(name).source = source;
   }
 
-  /** A gauge that is kept elsewhere, and read there whenever the figures are told. */
+  /** Registers a gauge whose value is read from {@code source} at each export. */
   public void registerGauge(String name, LongSupplier source) {
     gauge(name).source = source;
   }
 
-  /** The histogram of that name, in ms, made empty where there is none. */
+  /** The histogram of that name, in ms, created empty if absent. */
   public Histogram histogram(String name) {
     return histograms.computeIfAbsent(MetricName.of(name), made -> Histogram.withDefaultBounds());
   }
 
-  /** Counts one more. */
+  /** Increments the counter of that name by 1. */
   public void increment(String name) {
     counter(name).add(1);
   }
@@ -119,8 +119,8 @@
   }
 
   /**
-   * {@code name=value} of those that changed since it was last asked, with spaces, and of
-   * histograms what was observed since then; null if nothing changed.
+   * The metrics that changed since the last call as {@code name=value}, separated by spaces;
+   * histograms with what was observed since then. Null if nothing changed.
    */
   String formatChanges() {
     StringBuilder line = new StringBuilder();
--- a/runtime/src/main/java/elmsail/runtime/ElmsailException.java
+++ b/runtime/src/main/java/elmsail/runtime/ElmsailException.java
@@ -1,19 +1,20 @@
 package elmsail.runtime;
 
-/** Every failure of the tier: unchecked, told apart by its code. */
+/** The root of all failures of the tier. Unchecked; callers decide by its {@link ErrorCode}. */
 public class ElmsailException extends RuntimeException {
   private static final long serialVersionUID = 1;
 
   private final ErrorCode code;
   private final String detail;
 
-  /** A failure without a cause of its own; the message is the code, a colon and {@code detail}. */
+  /** A failure without a cause; the message is the code, a colon and {@code detail}. */
   public ElmsailException(ErrorCode code, String detail) {
     this(code, detail, null);
   }
 
   /**
-   * A failure with its cause. Only a FAULT has a stack trace: the other codes are ordinary events.
+   * A failure with its cause. Only {@code INTERNAL} has a stack trace: the other codes are ordinary
+   * events, some of them frequent.
    */
   public ElmsailException(ErrorCode code, String detail, Throwable cause) {
     super(code + ": " + detail, cause, true, code == ErrorCode.INTERNAL);
@@ -21,17 +22,20 @@
     this.detail = detail;
   }
 
-  /** What kind of failure it is; callers decide by this alone. */
+  /** The kind of failure. */
   public ErrorCode code() {
     return code;
   }
 
-  /** What happened, without the code. */
+  /** What happened, as text without the code. */
   public String detail() {
     return detail;
   }
 
-  /** The code of whatever was thrown, wrapped by futures or not. */
+  /**
+   * The code of the first {@code ElmsailException} in the chain of causes; {@code INTERNAL} if
+   * there is none. Unwraps what futures wrap.
+   */
   public static ErrorCode codeOf(Throwable thrown) {
     for (Throwable t = thrown; t != null; t = t.getCause()) {
       if (t instanceof ElmsailException failure) {
--- a/runtime/src/main/java/elmsail/runtime/ErrorCode.java
+++ b/runtime/src/main/java/elmsail/runtime/ErrorCode.java
@@ -1,39 +1,75 @@
 package elmsail.runtime;
 
-/** What can go wrong, by its type: logs count these, answers and exit codes are made from them. */
+/**
+ * What went wrong, as a closed list: callers decide by the code alone, logs and metrics count it,
+ * and exit codes and HTTP replies are derived from it. Each code says what a caller should do.
+ */
 public enum ErrorCode {
-  /** The settings or the command line cannot be used. */
+  /**
+   * The settings or the command line cannot be used. Don't retry: the operator has to correct it.
+   */
   INVALID_SETTINGS("BAD_SETTINGS"),
-  /** A configuration or another call of an operator or client is not as the protocol says. */
+
+  /** A configuration or a request of an operator or client violates the protocol. Don't retry. */
   INVALID_ARGUMENT("BAD_CALL"),
-  /** No byte of the call left this process. */
+
+  /** No byte of the call left this process. Any call may be retried, here or at another peer. */
   NOT_SENT("UNSENT"),
-  /** The call was sent, and its connection broke before an answer. */
+
+  /**
+   * The call was sent, and its connection was lost before a response. The peer may have executed
+   * it: retry idempotent calls only.
+   */
   CONNECTION_LOST("BROKEN"),
-  /** The call was sent, and no answer came in time. */
+
+  /**
+   * The call was sent, and no response came in time. The peer may have executed it or may still do
+   * so: retry idempotent calls only.
+   */
   TIMEOUT("SILENT"),
-  /** The peer has no room for the call; it did nothing. */
+
+  /** The peer has no capacity for the call and did not execute it. Retry later or elsewhere. */
   RESOURCE_EXHAUSTED("FULL"),
-  /** The peer cannot answer: it has lost its memory, or holds no voter slot. */
+
+  /**
+   * The peer holds no voter slot, or lost its durable state and has not joined again. It did not
+   * execute the call: use another voter, or learn the current voter set.
+   */
   NOT_A_VOTER("NOT_SEATED"),
-  /** Fewer than a majority answered, and nothing was asked to be taken: nothing has changed. */
+
+  /**
+   * Fewer than a majority responded, and no accept was sent: nothing has changed and nothing will.
+   * Any change may be retried after a backoff.
+   */
   NO_QUORUM("NOT_REACHED"),
+
   /**
-   * A value was sent out to be taken, and fewer than a majority said that they took it: it may hold
-   * or not.
+   * An accept was sent, and fewer than a majority acknowledged it: the change may be committed, now
+   * or later. Read before deciding, or repeat the very same change.
    */
   OUTCOME_UNKNOWN("UNCLEAR"),
-  /** Another change was there first. */
+
+  /** Another change was committed first. Read the current value and decide anew. */
   CONFLICT("LOST_RACE"),
-  /** The disk refused, is full, or holds what cannot be read. */
+
+  /**
+   * The disk refused a write, is full, or holds data that cannot be read. Nothing that relied on
+   * the write was acknowledged; the operator has to look at the disk.
+   */
   STORAGE_FAILURE("DISK"),
-  /** A frame or message that is none. */
+
+  /**
+   * Bytes that are no valid frame or message. The connection they came on must not be used further.
+   */
   MALFORMED("GARBLED"),
-  /** Another process answers at that address than the one that was meant. */
+
+  /** Another process than the intended one responds at the address. Resolve the address again. */
   MISDIRECTED("MISDIRECTED"),
-  /** The other side speaks a version of the protocol that is not known here. */
+
+  /** The peer speaks a protocol version that is not known here. Retry at another peer. */
   UNSUPPORTED_VERSION("UNSUPPORTED_VERSION"),
-  /** A fault of our own. */
+
+  /** A defect of the tier itself: report it. Only this code carries a stack trace. */
   INTERNAL("FAULT");
 
   private final String wireName;
--- a/runtime/src/main/java/elmsail/runtime/Histogram.java
+++ b/runtime/src/main/java/elmsail/runtime/Histogram.java
@@ -3,22 +3,22 @@
 import java.util.Arrays;
 
 /**
- * Durations in ms, counted by buckets of fixed bounds. An observation allocates nothing; memory is
- * two numbers for each bound. Used on the loop alone.
+ * A histogram of durations in ms with fixed bucket bounds. An observation allocates nothing; memory
+ * is two numbers for each bound. Confined to the event loop.
  */
 public final class Histogram {
 
-  /** Bounds that suit a disk's sync and the delay of a loop. */
+  /** Bounds that suit a disk's sync and the delay of an event loop. */
   private static final long[] DEFAULT_BOUNDS_MS = {
     1, 2, 5, 10, 20, 50, 100, 200, 500, 1_000, 2_000, 5_000
   };
 
   private final long[] boundsMs;
 
-  /** One bucket for each bound, and one for what is above them all. */
+  /** One bucket for each bound, and one for observations above all bounds. */
   private final long[] counts;
 
-  /** The counts as they stood at the last {@link #takeRecent()}. */
+  /** The counts at the last {@link #takeRecent()}. */
   private final long[] countsAtLastTake;
 
   private long sumMs;
@@ -58,7 +58,7 @@
     recentMaxMs = Math.max(recentMaxMs, duration);
   }
 
-  /** How many durations were observed since the start. */
+  /** The number of observations since the start. */
   public long count() {
     return count;
   }
@@ -68,7 +68,7 @@
     return sumMs;
   }
 
-  /** How many bounds there are. */
+  /** The number of bounds. */
   int boundCount() {
     return boundsMs.length;
   }
@@ -78,7 +78,7 @@
     return boundsMs[bucket];
   }
 
-  /** How many durations were not above the bound of that bucket. */
+  /** The number of observations up to and including the bound of that bucket. */
   long cumulativeCount(int bucket) {
     long below = 0;
     for (int i = 0; i <= bucket; i++) {
@@ -88,14 +88,14 @@
   }
 
   /**
-   * What was observed since this was last asked.
+   * The observations between two calls of {@link #takeRecent()}.
    *
    * @param p50Ms upper bound of the bucket of the median, or the maximum if that is smaller
    * @param p99Ms likewise of the 99th percentile
    */
   record Recent(long count, long p50Ms, long p99Ms, long maxMs) {}
 
-  /** What was observed since this was last asked. */
+  /** The observations since the last call; the next call begins anew. */
   Recent takeRecent() {
     long[] recent = new long[counts.length];
     long total = 0;
--- a/runtime/src/main/java/elmsail/runtime/InvariantViolation.java
+++ b/runtime/src/main/java/elmsail/runtime/InvariantViolation.java
@@ -1,6 +1,6 @@
 package elmsail.runtime;
 
-/** Thrown by strict {@link Invariants} alone, so that a test fails where an invariant is broken. */
+/** Thrown by strict {@link Invariants} only, so that a test fails on a violated invariant. */
 public final class InvariantViolation extends AssertionError {
   private static final long serialVersionUID = 1;
 
@@ -11,7 +11,7 @@
     this.invariant = invariant;
   }
 
-  /** Which invariant did not hold. */
+  /** The violated invariant. */
   public Invariant invariant() {
     return invariant;
   }
--- a/runtime/src/main/java/elmsail/runtime/Invariants.java
+++ b/runtime/src/main/java/elmsail/runtime/Invariants.java
@@ -7,19 +7,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Checks of what must always hold, counted among the figures of the process. Used on the loop
- * alone.
+ * Checks invariants and counts violations among the metrics of the process. Confined to the event
+ * loop.
  *
  * <p>A running process counts a violation, logs the first few of each invariant and goes on. In
- * tests the checks are strict: a violation throws. As a future or a loop may swallow what is
- * thrown, a test also asserts at its end that {@link #violations()} is 0.
+ * tests the checks are strict: a violation throws. As a future or an event loop may swallow the
+ * error, a test also asserts at its end that {@link #violations()} is 0.
  */
 public final class Invariants {
 
-  /** How many violations of one invariant are logged with their detail. */
+  /** The number of violations of one invariant that are logged with their detail. */
   static final int MAX_LOGGED = 5;
 
-  /** Longest detail that is logged. */
+  /** The maximum length of a logged detail, in characters. */
   static final int MAX_DETAIL_CHARS = 500;
 
   private static final Logger LOG = LoggerFactory.getLogger(Invariants.class);
@@ -51,8 +51,8 @@
   /**
    * Checks one invariant.
    *
-   * @param holds whether it does
-   * @param detail what is known of the violation; asked for only where one is logged or thrown
+   * @param holds whether the invariant holds
+   * @param detail describes a violation; called only if one is logged or thrown
    */
   public void check(Invariant invariant, boolean holds, Supplier<String> detail) {
     if (!holds) {
@@ -60,12 +60,12 @@
     }
   }
 
-  /** How many violations of this invariant were seen since the start. */
+  /** The number of violations of this invariant since the start. */
   public long violations(Invariant invariant) {
     return counts.get(invariant).value();
   }
 
-  /** How many violations of any invariant were seen since the start. */
+  /** The number of violations of all invariants since the start. */
   public long violations() {
     long sum = 0;
     for (Counters.Counter count : counts.values()) {
@@ -85,7 +85,9 @@
     }
   }
 
-  /** The detail, cut; a fault in making it must not become a fault of the process. */
+  /**
+   * The truncated detail. A failure to describe a violation must not become a failure of its own.
+   */
   private static String describe(Supplier<String> detail) {
     String text;
     try {
--- a/runtime/src/main/java/elmsail/runtime/LoopDelay.java
+++ b/runtime/src/main/java/elmsail/runtime/LoopDelay.java
@@ -1,9 +1,9 @@
 package elmsail.runtime;
 
 /**
- * How late the loop runs its timers: a timer of 500 ms is set again and again, and what it is late
- * by goes into a histogram. A process that is starved of processor time, frozen, or held up by one
- * long task shows in it.
+ * Measures how late the event loop runs its timers: a timer is scheduled every 500 ms, and its
+ * delay is observed in the histogram {@code loop_delay_ms}. It shows a process that is starved of
+ * processor time, frozen, or blocked by a long task.
  */
 public final class LoopDelay {
   static final long SAMPLE_INTERVAL_MS = 500;
@@ -17,7 +17,7 @@
     this.delay = delay;
   }
 
-  /** Starts to measure; called on the loop, once for each process. */
+  /** Starts measuring; called once for each process, on the event loop. */
   public static void start(Timers timers, Counters counters) {
     new LoopDelay(timers, counters.histogram("loop_delay_ms")).scheduleNext();
   }
--- a/runtime/src/main/java/elmsail/runtime/MetricName.java
+++ b/runtime/src/main/java/elmsail/runtime/MetricName.java
@@ -1,16 +1,16 @@
 package elmsail.runtime;
 
 /**
- * How a figure is called, in the log and in the text exposition.
+ * The name of a metric in the log and in the Prometheus text exposition.
  *
- * @param logName in the line of the log
- * @param family in the exposition, without the prefix of the project
- * @param label that tells figures of one family apart; null for a family of one figure
- * @param labelValue of that label; null where there is none
+ * @param logName the name in log lines
+ * @param family the metric family in the exposition, without the common prefix
+ * @param label the label that distinguishes metrics of the family; null for a family of one metric
+ * @param labelValue the value of that label; null without a label
  */
 public record MetricName(String logName, String family, String label, String labelValue) {
 
-  /** A figure that is a family of its own. */
+  /** The name of a metric that is a family of its own. */
   public static MetricName of(String name) {
     return new MetricName(name, name, null, null);
   }
--- a/runtime/src/main/java/elmsail/runtime/MonotonicClock.java
+++ b/runtime/src/main/java/elmsail/runtime/MonotonicClock.java
@@ -1,10 +1,14 @@
 package elmsail.runtime;
 
-/** Milliseconds of the steady clock; only differences mean anything. */
+/**
+ * A monotonic clock in ms: only differences are meaningful, and they ignore steps of the wall
+ * clock.
+ */
 @FunctionalInterface
 public interface MonotonicClock {
+  /** The clock of the runtime. */
   MonotonicClock SYSTEM = () -> System.nanoTime() / 1_000_000;
 
-  /** The present time in ms; it never goes back, also where the system clock is set. */
+  /** The current time in ms; it never decreases. */
   long now();
 }
--- a/runtime/src/main/java/elmsail/runtime/NettyEventLoop.java
+++ b/runtime/src/main/java/elmsail/runtime/NettyEventLoop.java
@@ -12,23 +12,24 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The process's one event loop. What a task throws is counted and logged, and never ends the loop.
+ * The process's only event loop, one thread. All state of the process is confined to it unless a
+ * class says otherwise. A throwable of a task is counted and logged, and never ends the loop.
  */
 public final class NettyEventLoop implements Timers {
 
   private static final Logger LOG = LoggerFactory.getLogger(NettyEventLoop.class);
 
-  /**
-   * Beyond this many only every so-manyth fault is logged, so that a log does not fill with one.
-   */
+  /** After this many logged faults only one in {@link #FAULT_LOG_SAMPLING} is logged. */
   private static final int MAX_LOGGED_FAULTS = 20;
 
+  private static final int FAULT_LOG_SAMPLING = 1_000;
+
   private final MultiThreadIoEventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final EventLoop eventLoop = group.next();
   private final AtomicLong faultCount = new AtomicLong();
 
-  /** For the channels: everything runs on it. */
+  /** The event loop for channels. */
   public EventLoop eventLoop() {
     return eventLoop;
   }
@@ -54,24 +55,24 @@
     try {
       eventLoop.execute(new GuardedTask(task));
     } catch (RejectedExecutionException e) {
-      LOG.debug("the loop has ended");
+      LOG.debug("task rejected: the event loop has terminated");
     }
   }
 
-  /** How many tasks have thrown something. */
+  /** The number of tasks that threw. */
   public long faultCount() {
     return faultCount.get();
   }
 
-  /** Counts and logs what a task or a handler of a channel threw. */
+  /** Counts and logs what a task or a channel handler threw. */
   public void reportFault(Throwable thrown) {
     long number = faultCount.incrementAndGet();
-    if (number <= MAX_LOGGED_FAULTS || number % 1_000 == 0) {
+    if (number <= MAX_LOGGED_FAULTS || number % FAULT_LOG_SAMPLING == 0) {
       LOG.error("fault {} on the loop", number, thrown);
     }
   }
 
-  /** Ends the loop: nothing set or sent afterwards is run. */
+  /** Terminates the loop: tasks scheduled or submitted afterwards are dropped. */
   public Future<?> shutdown() {
     return group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
   }
--- a/runtime/src/main/java/elmsail/runtime/ProcessMetrics.java
+++ b/runtime/src/main/java/elmsail/runtime/ProcessMetrics.java
@@ -1,18 +1,18 @@
 package elmsail.runtime;
 
 /**
- * What a process tells of itself: its named figures, and the invariants that it checks. A process
- * makes one and hands it to all its parts.
+ * The metrics of a process and the invariants that it checks. A process creates one instance and
+ * passes it to all its components.
  */
 public record ProcessMetrics(Counters counters, Invariants invariants) {
 
-  /** For a running process: figures that changed are logged each 10 s on these timers. */
+  /** For a running process: metrics that changed are logged every 10 s. */
   public static ProcessMetrics logged(Timers timers) {
     Counters counters = new Counters(timers);
     return new ProcessMetrics(counters, Invariants.counting(counters));
   }
 
-  /** For parts that are run apart from the process's own, as in a warm-up: nothing is logged. */
+  /** For components outside the process's own work, as in a warm-up: nothing is logged. */
   public static ProcessMetrics unlogged() {
     Counters counters = new Counters();
     return new ProcessMetrics(counters, Invariants.counting(counters));
--- a/runtime/src/main/java/elmsail/runtime/ProcessSignals.java
+++ b/runtime/src/main/java/elmsail/runtime/ProcessSignals.java
@@ -9,9 +9,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What the platform says to a running process: SIGTERM, and SIGHUP or a changed settings file. Both
- * are passed onto the loop. A settings file that cannot be used is logged, and the settings before
- * it stay.
+ * Handles the platform's requests to a running process: SIGTERM stops it, SIGHUP or a modified
+ * settings file reloads its settings. Both run on the event loop. A settings file that cannot be
+ * used is logged, and the previous settings stay.
  */
 public final class ProcessSignals {
 
@@ -27,21 +27,25 @@
   private boolean terminating;
 
   /**
-   * @param current as they were read at the start
-   * @param term run once, on the loop, at the first SIGTERM
-   * @param changed given the new settings, on the loop, where they differ from those before
+   * @param current the settings read at the start
+   * @param onTerminate run once, on the loop, at the first SIGTERM
+   * @param onSettingsChanged receives new settings, on the loop, if they differ from the previous
    */
   public ProcessSignals(
-      Timers timers, Path file, Settings current, Runnable term, Consumer<Settings> changed) {
+      Timers timers,
+      Path file,
+      Settings current,
+      Runnable onTerminate,
+      Consumer<Settings> onSettingsChanged) {
     this.timers = timers;
     this.file = file;
     this.current = current;
-    this.onTerminate = term;
-    this.onSettingsChanged = changed;
+    this.onTerminate = onTerminate;
+    this.onSettingsChanged = onSettingsChanged;
     lastModified = readLastModified();
   }
 
-  /** Listens for the signals, and looks at the file's time now and then. */
+  /** Registers the signal handlers and checks the file's modification time every 2 s. */
   public ProcessSignals start() {
     Signals.handle("TERM", () -> timers.execute(this::onTerminate));
     Signals.handle("HUP", () -> timers.execute(this::reload));
@@ -73,7 +77,8 @@
     try {
       next = SettingsFile.read(file);
     } catch (ElmsailException e) {
-      // It may have been half written: looked at again, whatever its time says.
+      // It may have been half written: read again at the next check, whatever its modification
+      // time.
       lastModified = null;
       LOG.warn("keeping the settings as they were: {}", e.getMessage());
       return;
--- a/runtime/src/main/java/elmsail/runtime/PrometheusText.java
+++ b/runtime/src/main/java/elmsail/runtime/PrometheusText.java
@@ -4,22 +4,23 @@
 import java.util.Map;
 
 /**
- * All figures of a process in the Prometheus text format: a {@code # TYPE} line for each family,
- * then a line for each figure. The size is bounded: families that no longer fit are left out.
+ * Writes the metrics of a process in the Prometheus text exposition format 0.0.4: a {@code # TYPE}
+ * line for each family, then a line for each metric. The size is bounded: families that no longer
+ * fit are left out.
  */
 public final class PrometheusText {
 
   /** The media type of the format. */
   public static final String CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8";
 
-  /** Longest text in characters, all of which are ASCII. */
+  /** The maximum length in characters, all of them ASCII. */
   static final int MAX_CHARS = 64 * 1024;
 
   private static final String PREFIX = "elmsail_";
 
   private PrometheusText() {}
 
-  /** The present figures. */
+  /** The current metrics as text. */
   public static String format(Counters counters) {
     StringBuilder text = new StringBuilder();
     for (Map.Entry<String, StringBuilder> family : families(counters).entrySet()) {
@@ -80,7 +81,7 @@
     return PREFIX + sanitize(family);
   }
 
-  /** Names are of letters, digits and underscores; every other character becomes an underscore. */
+  /** Replaces every character that is no letter, digit or underscore by an underscore. */
   private static String sanitize(String name) {
     StringBuilder legal = new StringBuilder(name.length());
     for (int i = 0; i < name.length(); i++) {
--- a/runtime/src/main/java/elmsail/runtime/Settings.java
+++ b/runtime/src/main/java/elmsail/runtime/Settings.java
@@ -5,13 +5,19 @@
 import java.util.Set;
 
 /**
- * A process's settings file, read with Typesafe Config by {@code SettingsFile}; fields it does not
- * know are passed over (DEPLOY.md, "Settings of a process").
+ * The settings of a process, read from its settings file by {@link SettingsFile}. The names of the
+ * fields in the file are given where they differ.
  *
+ * @param machine the node's name, {@code station} in the file
+ * @param services who may call the process from outside, {@code serves} in the file
  * @param listenAddresses from {@code mail_slots}: "front", "ready", "control" to "ip:port"
- * @param seeds "ip:port" of the control addresses of some control-plane nodes
- * @param dataDir null where the machine has no disk
- * @param platform null where there is none
+ * @param firstInternalPort first of {@code inner_ports}
+ * @param lastInternalPort last of {@code inner_ports}, inclusive
+ * @param seeds control addresses of some control-plane nodes as "ip:port", {@code seed_stations}
+ * @param firstStart whether the whole system starts for the first time, with empty disks
+ * @param dataDir null if the machine has no disk
+ * @param toleratedMachineLosses from {@code bear_losses.machines}: the f of 2f + 1 voters
+ * @param platform {@code carrier_api}; null if there is none
  */
 public record Settings(
     String machine,
@@ -35,11 +41,11 @@
     Bounds bounds,
     Platform platform) {
 
-  /** What the machine gives; cores and MB of 2^20 bytes. */
+  /** The resources of the machine: cores, MB of 2^20 bytes, Mbit/s. */
   public record Limits(
       double cpuShare, int memoryMb, int maxFileDescriptors, double linkMbps, int diskMb) {}
 
-  /** Milliseconds, but for the ratio. */
+  /** Time bounds in ms; {@code quotaOver} is a ratio. */
   public record Bounds(
       long inTouchMs,
       long ackMs,
@@ -56,21 +62,22 @@
       long reuseAfterMs) {}
 
   /**
-   * The platform's list of servers: "ip:port", calls a second from all processes together, ms
-   * behind.
+   * The platform's list of servers.
+   *
+   * @param address "ip:port"
+   * @param maxCallsPerSecond of all processes together
+   * @param lagMs how far the list is behind
    */
   public record Platform(String address, double maxCallsPerSecond, long lagMs) {}
 
-  /**
-   * Whether this process holds a vote on the configuration: it answers operators and has a disk.
-   */
+  /** Whether this process may vote on the configuration: it serves operators and has a disk. */
   public boolean isControlPlaneVoter() {
     return services.contains("head_office") && dataDir != null;
   }
 
   /**
-   * Where this process answers the others: the first inner port, or the second for one that serves
-   * the operators, as a machine's two processes share the ports.
+   * The address of this process for the others, "ip:port": the first internal port, or the second
+   * for one that serves operators, as the two processes of a machine share the ports.
    */
   public String rpcAddress() {
     return services.contains("head_office")
@@ -79,14 +86,14 @@
   }
 
   /**
-   * Where a store answers {@code GET /metrics}: the third inner port, as the first two are those of
-   * {@link #rpcAddress()}. The other processes answer it on their "ready" and "control" slots.
+   * The address at which a store serves {@code GET /metrics}: the third internal port, as the first
+   * two are used by {@link #rpcAddress()}. Other processes serve it at "ready" and "control".
    */
   public String metricsAddress() {
     return ip + ":" + (firstInternalPort + 2);
   }
 
-  /** The inner address of the control-plane node of a control address or a bare ip. */
+  /** The RPC address of the control-plane node with that control address or ip. */
   public String controlPlaneRpcAddress(String address) {
     int colon = address.indexOf(':');
     return (colon < 0 ? address : address.substring(0, colon)) + ":" + (firstInternalPort + 1);
--- a/runtime/src/main/java/elmsail/runtime/SettingsFile.java
+++ b/runtime/src/main/java/elmsail/runtime/SettingsFile.java
@@ -16,22 +16,24 @@
 import java.util.Set;
 
 /**
- * Reads a process's settings (JSON). Whatever is wrong is a BAD_SETTINGS that names the path of its
- * key; fields that are not known are passed over; nothing is filled in from variables or
- * properties.
+ * Reads a process's settings (JSON) with Typesafe Config. An error is {@code INVALID_SETTINGS} and
+ * names the path of the key; unknown fields are ignored; nothing is substituted from environment
+ * variables or system properties.
  */
 public final class SettingsFile {
 
-  /** The variable that names the file. */
+  /** The environment variable that names the file. */
   public static final String ENVIRONMENT_VARIABLE = "ELMSAIL_SETTINGS";
 
-  /** Settings are a few kilobytes; what is much larger is no settings file. */
+  /** Settings are a few kilobytes; a much larger file is none. */
   private static final long MAX_BYTES = 4 * 1024 * 1024;
 
   private SettingsFile() {}
 
   /**
-   * @throws ElmsailException BAD_SETTINGS if it cannot be read or used
+   * Reads and checks a file.
+   *
+   * @throws ElmsailException {@code INVALID_SETTINGS} if it cannot be read or used
    */
   public static Settings read(Path file) {
     String text;
@@ -47,8 +49,10 @@
   }
 
   /**
-   * @throws ElmsailException BAD_SETTINGS if it is not JSON, or a field is missing or of another
-   *     kind
+   * Checks the content of a settings file.
+   *
+   * @throws ElmsailException {@code INVALID_SETTINGS} if it is not JSON, or a field is missing, of
+   *     another type, or out of range
    */
   public static Settings parse(String json) {
     Map<String, Object> root;
--- a/runtime/src/main/java/elmsail/runtime/SettingsObject.java
+++ b/runtime/src/main/java/elmsail/runtime/SettingsObject.java
@@ -5,16 +5,18 @@
 import java.util.Map;
 import java.util.Set;
 
-/** One object of the settings, and the path to it. A field that is null counts as missing. */
+/**
+ * One JSON object of the settings, with its path for error texts. A null field counts as missing.
+ */
 final class SettingsObject {
-  /** The longest time that settings may name: some 30 years. */
+  /** The maximum time that settings may name: some 30 years. */
   private static final double MAX_MS = 1e12;
 
   private final String path;
   private final Map<?, ?> fields;
 
-  SettingsObject(String at, Map<?, ?> fields) {
-    this.path = at;
+  SettingsObject(String path, Map<?, ?> fields) {
+    this.path = path;
     this.fields = fields;
   }
 
@@ -30,7 +32,7 @@
     return names.keySet();
   }
 
-  /** The object of this name; one without fields where it is missing. */
+  /** The object of this name; an empty one if it is missing. */
   SettingsObject child(String name) {
     SettingsObject child = childOrNull(name);
     return child == null ? new SettingsObject(pathOf(name), Map.of()) : child;
@@ -79,8 +81,8 @@
     if (value == null) {
       return defaultValue;
     }
-    if (value instanceof Boolean yes) {
-      return yes;
+    if (value instanceof Boolean bool) {
+      return bool;
     }
     throw invalid(pathOf(name), "expected true or false");
   }
@@ -95,12 +97,12 @@
     return value == null ? defaultValue : number(pathOf(name), value, min, max);
   }
 
-  /** Milliseconds, rounded up from a fraction. */
+  /** A time in ms; fractions are rounded up. */
   long millisOr(String name, long defaultValue) {
     return (long) Math.ceil(numberOr(name, defaultValue, 0, MAX_MS));
   }
 
-  /** Milliseconds, of a field in seconds. */
+  /** A time in ms, from a field in seconds. */
   long secondsAsMillisOr(String name, long defaultValue) {
     return Math.round(numberOr(name, defaultValue, 0, MAX_MS / 1_000) * 1_000);
   }
@@ -120,7 +122,7 @@
     throw invalid(path, "expected a text");
   }
 
-  /** A whole number; one written as a fraction is rounded down. */
+  /** An integer; a fraction is rounded down. */
   static long integer(String path, Object value, long min, long max) {
     return (long) Math.floor(number(path, value, min, max));
   }
--- a/runtime/src/main/java/elmsail/runtime/Signals.java
+++ b/runtime/src/main/java/elmsail/runtime/Signals.java
@@ -5,18 +5,18 @@
 import java.lang.reflect.Proxy;
 
 /**
- * The operating system's signals. The runtime's only interface to them is one that the compiler
- * warns of wherever it is named, so it is looked up by name.
+ * Handlers of operating-system signals. The runtime's only interface to them is internal, and the
+ * compiler warns wherever it is named, so it is looked up by reflection.
  */
 final class Signals {
 
   private Signals() {}
 
   /**
-   * Runs the action, on a thread of the runtime's, at each such signal from now on.
+   * Runs the action at each such signal from now on, on a thread of the runtime.
    *
    * @param name without "SIG"
-   * @throws ElmsailException FAULT if this runtime does not report it
+   * @throws ElmsailException {@code INTERNAL} if this runtime does not support the signal
    */
   static void handle(String name, Runnable action) {
     try {
--- a/runtime/src/main/java/elmsail/runtime/Timers.java
+++ b/runtime/src/main/java/elmsail/runtime/Timers.java
@@ -1,17 +1,17 @@
 package elmsail.runtime;
 
-/** The loop's clock and timers; tests move them by hand ({@code ManualTimers}). */
+/** The clock and timers of an event loop; tests advance them by hand ({@code ManualTimers}). */
 public interface Timers extends MonotonicClock {
 
-  /** Runs once, in so many ms, on the loop; a negative time counts as 0. */
+  /** Runs the task once on the loop after the delay; a negative delay counts as 0. */
   Timer schedule(long delayMs, Runnable task);
 
-  /** Runs behind what the loop is doing now; may be called from other threads. */
+  /** Runs the task on the loop after the current one; may be called from any thread. */
   void execute(Runnable task);
 
-  /** A timer that was set. */
+  /** A scheduled task. */
   interface Timer {
-    /** Keeps it from running; without effect once it has run or was cancelled. */
+    /** Cancels the task; without effect once it has run or was cancelled. */
     void cancel();
   }
 }
--- a/runtime/src/main/java/elmsail/runtime/http/HttpClient.java
+++ b/runtime/src/main/java/elmsail/runtime/http/HttpClient.java
@@ -2,8 +2,11 @@
 
 import java.util.concurrent.CompletableFuture;
 
-/** Small calls to others' addresses. */
+/** Sends small HTTP requests. */
 public interface HttpClient {
-  /** Fails with UNSENT, BROKEN, SILENT or GARBLED. The connection is closed afterwards. */
+  /**
+   * Sends a request on a connection of its own, which is closed afterwards. The future fails with
+   * {@code NOT_SENT}, {@code CONNECTION_LOST}, {@code TIMEOUT} or {@code MALFORMED}.
+   */
   CompletableFuture<SimpleHttpResponse> get(String address, String pathAndQuery, long timeoutMs);
 }
--- a/runtime/src/main/java/elmsail/runtime/http/HttpFramingValidator.java
+++ b/runtime/src/main/java/elmsail/runtime/http/HttpFramingValidator.java
@@ -13,8 +13,8 @@
 import java.util.function.Supplier;
 
 /**
- * What both decoders refuse beyond the codec's own checks: heads with folded lines, and messages
- * whose end could be told in two ways. Follows where the decoder stands, from what it has put out.
+ * Rejects what both decoders reject beyond the codec's own checks: heads with folded lines, and
+ * messages with ambiguous framing (request smuggling). Tracks the decoder's position by its output.
  */
 final class HttpFramingValidator {
 
@@ -24,7 +24,7 @@
   private boolean rejected;
 
   /**
-   * @param invalid makes the message that stands for one refused
+   * @param invalid creates the message that stands for a rejected one
    */
   HttpFramingValidator(Supplier<HttpMessage> invalid) {
     this.invalidMessage = invalid;
@@ -50,14 +50,14 @@
     return new IllegalArgumentException("both a length and chunks");
   }
 
-  /** Whether a message has begun to come and is not whole yet. */
+  /** Whether a message has been received in part. */
   boolean isInsideMessage() {
     return !inHeaders || sawHeaderLine;
   }
 
   /**
-   * Whether the decoder may go on with these bytes; else they are dropped, and the first time a
-   * refused message is put out.
+   * Whether the decoder may go on with these bytes; otherwise they are dropped, and a rejected
+   * message is emitted the first time.
    */
   boolean beforeDecode(ByteBuf in, List<Object> out) {
     if (rejected) {
@@ -71,9 +71,7 @@
     return true;
   }
 
-  /**
-   * Looks at what the decoder has put out; where a head is wrong, a refused message replaces it.
-   */
+  /** Checks what the decoder has emitted; a rejected message replaces an invalid head. */
   void afterDecode(ByteBuf in, List<Object> out, int from) {
     String fault = trackDecoded(out, from);
     if (fault != null) {
@@ -92,7 +90,9 @@
     in.skipBytes(in.readableBytes());
   }
 
-  /** Whether a line of the head begins with a space: one folded, or ahead of the message. */
+  /**
+   * Whether a line of the head begins with white space: a folded line, or one before the message.
+   */
   private boolean hasFoldedLine(ByteBuf in) {
     if (!inHeaders) {
       return false;
@@ -118,12 +118,12 @@
     return false;
   }
 
-  /** Takes in what the decoder has put out since; null, or what is wrong with a head among it. */
+  /** Tracks what the decoder has emitted since; the error of an invalid head among it, or null. */
   private String trackDecoded(List<Object> out, int from) {
     String fault = null;
     for (int i = from; i < out.size(); i++) {
       Object one = out.get(i);
-      // The codec drops the rest by itself then.
+      // The codec drops the rest by itself.
       rejected |= one instanceof HttpObject object && object.decoderResult().isFailure();
       if (one instanceof HttpMessage message) {
         inHeaders = false;
--- a/runtime/src/main/java/elmsail/runtime/http/HttpHandler.java
+++ b/runtime/src/main/java/elmsail/runtime/http/HttpHandler.java
@@ -2,9 +2,9 @@
 
 import java.util.concurrent.CompletableFuture;
 
-/** One resource's calls. */
+/** Handles the requests of one resource. */
 @FunctionalInterface
 public interface HttpHandler {
-  /** Completes on the loop; a future that fails is answered 503. */
+  /** Completes on the event loop; a failed future is answered with 503. */
   CompletableFuture<SimpleHttpResponse> handle(SimpleHttpRequest request);
 }
--- a/runtime/src/main/java/elmsail/runtime/http/HttpServer.java
+++ b/runtime/src/main/java/elmsail/runtime/http/HttpServer.java
@@ -14,8 +14,9 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * An address for small calls, whole in memory: operators' and the platform's. HttpFraming is
- * strict; bodies, heads and connections are bounded; those that idle are closed. All on the loop.
+ * An HTTP server for small requests that fit in memory: those of operators and of the platform.
+ * Framing is checked strictly; bodies, heads and the number of connections are bounded; idle
+ * connections are closed. Confined to the event loop.
  */
 public final class HttpServer {
 
@@ -36,11 +37,12 @@
   }
 
   /**
-   * Completes on the loop once the address is bound; may be called from any thread.
+   * Binds an address; may be called from any thread.
    *
    * @param address ip:port; port 0 for a free one
-   * @param maxBodyBytes beyond which a call is answered 413
-   * @return fails with BAD_SETTINGS if the address cannot be bound
+   * @param maxBodyBytes a request with a larger body is answered with 413
+   * @return completes on the event loop once the address is bound; fails with {@code
+   *     INVALID_SETTINGS} if it cannot be bound
    */
   public static CompletableFuture<HttpServer> listen(
       NettyEventLoop loop, String address, HttpHandler handler, int maxBodyBytes) {
@@ -69,23 +71,23 @@
     return bound;
   }
 
-  /** Where it listens, ip:port. */
+  /** The address that it listens on, ip:port. */
   public String address() {
     InetSocketAddress local = (InetSocketAddress) listener.localAddress();
     return local.getAddress().getHostAddress() + ":" + local.getPort();
   }
 
-  /** How many connections are open. */
+  /** The number of open connections. */
   public int openConnections() {
     return openConnections;
   }
 
-  /** How many connections were closed at once, as there were too many. */
+  /** The number of connections that were closed at once because the limit was reached. */
   public long rejectedConnections() {
     return rejectedConnections;
   }
 
-  /** Takes no new connections; those that are open go on. */
+  /** Stops accepting connections; open ones continue. */
   public void close() {
     listener.close();
   }
--- a/runtime/src/main/java/elmsail/runtime/http/HttpServerConnection.java
+++ b/runtime/src/main/java/elmsail/runtime/http/HttpServerConnection.java
@@ -30,8 +30,8 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * One connection: a call at a time, those behind it wait undecoded as far as they were not read
- * yet. On the loop.
+ * One connection of the server. Serves one request at a time; pipelined requests wait, undecoded as
+ * far as they were not read yet. Confined to the event loop.
  */
 final class HttpServerConnection extends ChannelInboundHandlerAdapter {
 
@@ -45,7 +45,7 @@
   private final HttpHandler handler;
   private final int maxBodyBytes;
 
-  /** Parts of the messages behind the one being answered: of what one read has brought. */
+  /** Decoded parts of pipelined requests: what one read has brought beyond the current request. */
   private final ArrayDeque<Object> pipelinedParts = new ArrayDeque<>();
 
   private HttpRequest head;
@@ -76,7 +76,7 @@
     idle = timers.schedule(IDLE_TIMEOUT_MS, () -> idle(ctx));
   }
 
-  /** A call has so long to come whole from its head on, and a connection so long to bring one. */
+  /** The time for a request to be complete after its head, and for a connection to send one. */
   private void idle(ChannelHandlerContext ctx) {
     long left = responding ? IDLE_TIMEOUT_MS : deadline - timers.now();
     if (left <= 0) {
@@ -245,7 +245,7 @@
     }
   }
 
-  /** Answers what is no call, and closes: nothing behind it can be told apart. */
+  /** Answers an invalid request and closes: what follows it cannot be framed. */
   private void rejectAndClose(ChannelHandlerContext ctx, HttpResponseStatus status) {
     releaseRequest();
     write(ctx, new SimpleHttpResponse(status.code(), Map.of(), EMPTY_BODY), false, false);
@@ -283,7 +283,7 @@
     }
   }
 
-  /** A connection that broke, or a codec's own refusal: either way it is of no more use. */
+  /** A lost connection or an error of the codec: either way the connection is unusable. */
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
     ctx.close();
--- a/runtime/src/main/java/elmsail/runtime/http/MetricsEndpoint.java
+++ b/runtime/src/main/java/elmsail/runtime/http/MetricsEndpoint.java
@@ -8,13 +8,12 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * {@code GET /metrics}: the figures of the process as text. What was written is answered again for
- * a second, so that however often it is asked for, it costs next to nothing; the size is bounded by
- * {@link PrometheusText}.
+ * {@code GET /metrics}: the metrics of the process as text. The text is cached for a second, so
+ * that frequent requests cost little; its size is bounded by {@link PrometheusText}.
  */
 public final class MetricsEndpoint implements HttpHandler {
 
-  /** Where it is found. */
+  /** The path of the endpoint. */
   public static final String PATH = "/metrics";
 
   static final long CACHE_MS = 1_000;
@@ -27,7 +26,7 @@
   private byte[] cachedText;
   private long cachedAt;
 
-  /** Tells these figures; used on their loop alone. */
+  /** Serves these metrics; confined to their event loop. */
   public MetricsEndpoint(Counters counters, MonotonicClock clock) {
     this.counters = counters;
     this.clock = clock;
--- a/runtime/src/main/java/elmsail/runtime/http/NettyHttpClient.java
+++ b/runtime/src/main/java/elmsail/runtime/http/NettyHttpClient.java
@@ -27,7 +27,7 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 
-/** Small calls, each on a connection of its own that is closed afterwards. On the loop. */
+/** Sends each request on a connection of its own. Confined to the event loop. */
 public final class NettyHttpClient implements HttpClient {
 
   private static final int MAX_LINE_BYTES = 4_096;
@@ -39,7 +39,7 @@
 
   private final NettyEventLoop loop;
 
-  /** A client whose connections all run on that loop. */
+  /** A client whose connections all run on that event loop. */
   public NettyHttpClient(NettyEventLoop loop) {
     this.loop = loop;
   }
@@ -90,7 +90,7 @@
     return copy;
   }
 
-  /** One call under way. */
+  /** One request in flight. */
   static final class PendingRequest extends ChannelInboundHandlerAdapter {
     final CompletableFuture<SimpleHttpResponse> response = new CompletableFuture<>();
     private final String address;
--- a/runtime/src/main/java/elmsail/runtime/http/SimpleHttpRequest.java
+++ b/runtime/src/main/java/elmsail/runtime/http/SimpleHttpRequest.java
@@ -3,11 +3,11 @@
 import java.util.Map;
 
 /**
- * A small call, whole in memory.
+ * A small request, complete in memory.
  *
- * @param path without the query, as it came
+ * @param path as received, without the query
  * @param query decoded names and values
- * @param headers names in lower case
+ * @param headers by name in lower case
  */
 public record SimpleHttpRequest(
     String method,
--- a/runtime/src/main/java/elmsail/runtime/http/StrictRequestDecoder.java
+++ b/runtime/src/main/java/elmsail/runtime/http/StrictRequestDecoder.java
@@ -8,20 +8,20 @@
 import java.util.List;
 
 /**
- * Decodes requests, refusing those whose end could be told in two ways: a length beside chunks,
- * several lengths, header lines without a colon or folded. One refused comes out with a failed
- * {@code decoderResult}, and nothing behind it is decoded: the connection is to be closed.
+ * Decodes requests and rejects ambiguous framing: a length beside chunks, several lengths, header
+ * lines that are folded or have no colon. A rejected message is emitted with a failed {@code
+ * decoderResult}, and nothing after it is decoded: the connection is to be closed.
  */
 public class StrictRequestDecoder extends HttpRequestDecoder {
 
   private final HttpFramingValidator framing = new HttpFramingValidator(this::createInvalidMessage);
 
-  /** Bytes of the first line, of all header lines, and of one piece of a body. */
+  /** Limits in bytes: of the first line, of all header lines, and of one chunk of a body. */
   public StrictRequestDecoder(int maxLineBytes, int maxHeaderBytes, int maxChunkBytes) {
     super(HttpFramingValidator.decoderConfig(maxLineBytes, maxHeaderBytes, maxChunkBytes));
   }
 
-  /** Whether part of a message has come. */
+  /** Whether a message has been received in part. */
   public final boolean isInsideMessage() {
     return framing.isInsideMessage() || actualReadableBytes() > 0;
   }
--- a/runtime/src/main/java/elmsail/runtime/package-info.java
+++ b/runtime/src/main/java/elmsail/runtime/package-info.java
@@ -1,6 +1,5 @@
 /**
- * What every process of the tier stands on: its settings, the one event loop with its timers,
- * signals, errors with their codes, and counters for the log. Nothing here knows of requests or of
- * consensus.
+ * The foundation of every process of the tier: settings, the event loop with its timers, signals,
+ * error codes, metrics and invariants. Nothing here depends on requests or consensus.
  */
 package elmsail.runtime;
