--- a/app/src/main/java/elmsail/app/LineAppender.java
+++ b/app/src/main/java/elmsail/app/LineAppender.java
@@ -36,13 +36,13 @@
         .append(' ');
     appendWithoutControls(line, event.getFormattedMessage());
     line.append('\n');
-    IThrowableProxy thrown = event.getThrowableProxy();
-    for (int i = 0; thrown != null && i < MAX_CAUSES; i++) {
-      line.append("  ").append(thrown.getClassName()).append(": ");
-      appendWithoutControls(line, thrown.getMessage());
+    IThrowableProxy cause = event.getThrowableProxy();
+    for (int i = 0; cause != null && i < MAX_CAUSES; i++) {
+      line.append("  ").append(cause.getClassName()).append(": ");
+      appendWithoutControls(line, cause.getMessage());
       line.append('\n');
-      appendStackTrace(line, thrown.getStackTraceElementProxyArray());
-      thrown = thrown.getCause();
+      appendStackTrace(line, cause.getStackTraceElementProxyArray());
+      cause = cause.getCause();
     }
     byte[] bytes = line.toString().getBytes(StandardCharsets.UTF_8);
     out.write(bytes, 0, bytes.length);
--- a/config/src/main/java/elmsail/config/ServerListCodec.java
+++ b/config/src/main/java/elmsail/config/ServerListCodec.java
@@ -33,19 +33,19 @@
    */
   public static Page decodePage(byte[] bytes) {
     try (JsonParser parser = JSON.createParser(bytes)) {
-      require(parser.nextToken() == JsonToken.START_OBJECT, "the page is no object");
+      require(parser.nextToken() == JsonToken.START_OBJECT, "page: expected an object");
       List<ServerEntry> servers = null;
       String nextToken = null;
       while (parser.nextToken() == JsonToken.FIELD_NAME) {
         String key = parser.currentName();
         JsonToken value = parser.nextToken();
         if (key.equals("servers")) {
-          require(value == JsonToken.START_ARRAY, "servers is no list");
+          require(value == JsonToken.START_ARRAY, "servers: expected a list");
           servers = readServers(parser);
         } else if (key.equals("next_token")) {
           require(
               value == JsonToken.VALUE_STRING || value == JsonToken.VALUE_NULL,
-              "next_token is no text");
+              "next_token: expected a string");
           nextToken =
               value == JsonToken.VALUE_NULL || parser.getText().isEmpty() ? null : parser.getText();
         } else {
@@ -54,12 +54,12 @@
       }
       require(
           parser.currentToken() == JsonToken.END_OBJECT && parser.nextToken() == null,
-          "the page is not whole");
-      require(servers != null, "the page has no servers");
+          "page: truncated, or followed by more");
+      require(servers != null, "servers: missing");
       return new Page(List.copyOf(servers), nextToken);
     } catch (IOException e) {
       throw new ElmsailException(
-          ErrorCode.MALFORMED, "the list of servers is no JSON: " + e.getMessage(), e);
+          ErrorCode.MALFORMED, "server list: invalid JSON: " + e.getMessage(), e);
     }
   }
 
@@ -126,7 +126,7 @@
     while (parser.nextToken() == JsonToken.START_OBJECT) {
       servers.add(readServer(parser));
     }
-    require(parser.currentToken() == JsonToken.END_ARRAY, "an entry is no object");
+    require(parser.currentToken() == JsonToken.END_ARRAY, "servers: expected objects");
     return servers;
   }
 
@@ -153,10 +153,11 @@
         default -> parser.skipChildren();
       }
     }
-    require(parser.currentToken() == JsonToken.END_OBJECT, "an entry is not whole");
+    require(parser.currentToken() == JsonToken.END_OBJECT, "server: truncated");
     require(
-        id != null && service != null && zone != null && state != null, "an entry lacks a field");
-    require(isAddress(address), "an entry has no address");
+        id != null && service != null && zone != null && state != null,
+        "server: id, postal_line, zone or state is missing");
+    require(isAddress(address), "server: address is missing or is not ip:port");
     return new ServerEntry(
         id,
         service,
@@ -170,7 +171,7 @@
   private static String readString(JsonParser parser, String key) throws IOException {
     require(
         parser.currentToken() == JsonToken.VALUE_STRING && parser.getTextLength() > 0,
-        key + " is no text");
+        key + ": expected a string that is not empty");
     return parser.getText();
   }
 
@@ -179,7 +180,7 @@
     if (parser.currentToken() == JsonToken.VALUE_NULL) {
       return 0;
     }
-    require(parser.currentToken().isNumeric(), key + " is no number");
+    require(parser.currentToken().isNumeric(), key + ": expected a number");
     return Math.max(0, (long) Math.ceil(parser.getDoubleValue()));
   }
 
@@ -201,7 +202,7 @@
 
   private static void require(boolean condition, String reason) {
     if (!condition) {
-      throw new ElmsailException(ErrorCode.MALFORMED, "the list of servers: " + reason);
+      throw new ElmsailException(ErrorCode.MALFORMED, "server list: " + reason);
     }
   }
 }
