--- a/batch/src/main/java/elmsail/batch/api/ReadHandler.java
+++ b/batch/src/main/java/elmsail/batch/api/ReadHandler.java
@@ -17,7 +17,7 @@
 final class ReadHandler {
   private static final long READ_TIMEOUT_MS = 1_200;
   private static final long POLL_INTERVAL_MS = 250;
-  private static final int MAX_PAGE_BYTES = 900_000;
+  private static final int MAX_PAGE_TEXT_BYTES = 900_000;
   private static final int MAX_PAGE_RESULTS = 64;
   private static final byte[] NO_TEXT = {};
 
@@ -108,7 +108,7 @@
     for (long i = afterPosition; i < results.size() && page.size() < MAX_PAGE_RESULTS; i++) {
       JobRecord.Result result = results.get((int) i);
       pageBytes += result.textBytes();
-      if (!page.isEmpty() && pageBytes > MAX_PAGE_BYTES) {
+      if (!page.isEmpty() && pageBytes > MAX_PAGE_TEXT_BYTES) {
         break;
       }
       page.add(result);
--- a/batch/src/main/java/elmsail/batch/api/SubmitHandler.java
+++ b/batch/src/main/java/elmsail/batch/api/SubmitHandler.java
@@ -2,7 +2,6 @@
 
 import elmsail.batch.BatchService.Reply;
 import elmsail.batch.client.BatchContext;
-import elmsail.batch.client.BatchCounters;
 import elmsail.batch.client.BatchJobClient;
 import elmsail.batch.messages.JobBodyCodec;
 import elmsail.batch.messages.JobDescription;
@@ -12,11 +11,8 @@
 import elmsail.config.Route;
 import elmsail.consensus.Register;
 import elmsail.rpc.messages.Blob;
-import elmsail.runtime.Invariant;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 
 /**
  * One call that submits a job, in three rounds at the stores. {@code READ} counts the waiting
@@ -30,7 +26,6 @@
  * begins again. Confined to the gateway's event loop.
  */
 final class SubmitHandler {
-  private static final Logger LOG = LoggerFactory.getLogger(SubmitHandler.class);
   private static final long CHANGE_TIMEOUT_MS = 1_500;
 
   /** With less time than this before its deadline no round is started. */
@@ -270,54 +265,11 @@
   }
 
   private void respond(Reply reply) {
-    if (LOG.isDebugEnabled()) {
-      LOG.debug(
-          "job submission answered: job={} status={} tokens={} waiting={} pending={} limit={}"
-              + " verdict={} rounds={} ms={} bytes={}",
-          jobId,
-          reply.status(),
-          tokens,
-          waitingTokens.totalExcept(jobId),
-          waitingTokens.pendingExcept(jobId),
-          limit(),
-          verdict,
-          rounds,
-          context.timers().now() - startedAt,
-          bodyBytes());
-    }
-    count(reply);
+    long elapsedMs = context.timers().now() - startedAt;
+    SubmissionReport report =
+        new SubmissionReport(reply, admissionCheck(), waitingTokens, verdict, rounds, elapsedMs);
+    report.log(bodyBytes());
+    report.count(context.metrics(), MAX_CONTENTION_WAIT_MS);
     replyFuture.complete(reply);
   }
-
-  private void count(Reply reply) {
-    BatchCounters counters = context.counters();
-    if (reply.status() == BatchReplies.ACCEPTED.status()) {
-      counters.submitAccepted.add(1);
-    } else {
-      counters.submitRejected.add(1);
-    }
-    if (verdict != null && verdict.exceedsLimit()) {
-      AdmissionCheck check = admissionCheck();
-      checkRejection(check);
-      boolean overQuota = check.exceedsLimitByAccepted(waitingTokens);
-      (overQuota ? counters.submitOverQuota : counters.submitContended).add(1);
-    }
-  }
-
-  private void checkRejection(AdmissionCheck check) {
-    boolean waited = context.timers().now() - startedAt >= MAX_CONTENTION_WAIT_MS;
-    context
-        .invariants()
-        .check(
-            Invariant.FITTING_JOB_IS_NOT_REFUSED_AT_ONCE,
-            waited || !check.fitsInOrder(waitingTokens),
-            () ->
-                jobId
-                    + ": "
-                    + check.tokens()
-                    + " behind "
-                    + waitingTokens.totalAheadOf(jobId)
-                    + " of "
-                    + check.limit());
-  }
 }
--- a/batch/src/main/java/elmsail/batch/messages/JobRecord.java
+++ b/batch/src/main/java/elmsail/batch/messages/JobRecord.java
@@ -31,6 +31,9 @@
     long ageMs,
     List<FailedAttempts> failedAttempts) {
 
+  /** On disk and on the wire: part of the key of each record. */
+  private static final String KEY_PREFIX = "lot/";
+
   private static final long FIRST_VERSION = 1;
   private static final long FIRST_TERM = 1;
 
@@ -78,7 +81,17 @@
 
   /** The key of a job's record in the register. */
   public static String registerKey(String jobId) {
-    return "lot/" + jobId;
+    return KEY_PREFIX + jobId;
+  }
+
+  /** Whether this is the key of a job's record. */
+  public static boolean isRegisterKey(String key) {
+    return key.startsWith(KEY_PREFIX);
+  }
+
+  /** The id of the job whose record has this key, see {@link #isRegisterKey}. */
+  public static String jobIdOf(String registerKey) {
+    return registerKey.substring(KEY_PREFIX.length());
   }
 
   /** The name of the route that the job was submitted on. */
--- a/batch/src/main/java/elmsail/batch/store/JobStoreService.java
+++ b/batch/src/main/java/elmsail/batch/store/JobStoreService.java
@@ -24,7 +24,6 @@
  * messages of gateways and drops jobs whose time is over. Confined to the process's event loop.
  */
 public final class JobStoreService implements ReplicaListener {
-  private static final String KEY_PREFIX = "lot/";
   private static final long EXPIRY_SCAN_INTERVAL_MS = 5_000;
   private static final long EXPIRY_SLACK_MS = 30_000;
   private static final int MAX_ABANDONED = 64;
@@ -105,7 +104,7 @@
 
   @Override
   public byte[] onSideEffect(String key, byte[] sideEffect) {
-    if (!key.startsWith(KEY_PREFIX) || sideEffect == null || sideEffect.length == 0) {
+    if (!JobRecord.isRegisterKey(key) || sideEffect == null || sideEffect.length == 0) {
       return null;
     }
     return jobs.reserve(WaitingTokens.Reservation.decode(sideEffect), timers.now());
@@ -113,28 +112,28 @@
 
   @Override
   public boolean admits(String key, byte[] value) {
-    return !key.startsWith(KEY_PREFIX)
-        || jobs.admits(key.substring(KEY_PREFIX.length()), JobRecord.decode(value), timers.now());
+    return !JobRecord.isRegisterKey(key)
+        || jobs.admits(JobRecord.jobIdOf(key), JobRecord.decode(value), timers.now());
   }
 
   @Override
   public void onAccepted(String key, byte[] value) {
-    if (key.startsWith(KEY_PREFIX) && value != null) {
-      jobs.onAccepted(key.substring(KEY_PREFIX.length()), JobRecord.decode(value), timers.now());
+    if (JobRecord.isRegisterKey(key) && value != null) {
+      jobs.onAccepted(JobRecord.jobIdOf(key), JobRecord.decode(value), timers.now());
     }
   }
 
   @Override
   public void onPromised(String key) {
-    if (key.startsWith(KEY_PREFIX)) {
-      jobs.onPromised(key.substring(KEY_PREFIX.length()), timers.now());
+    if (JobRecord.isRegisterKey(key)) {
+      jobs.onPromised(JobRecord.jobIdOf(key), timers.now());
     }
   }
 
   @Override
   public void onDropped(String key) {
-    if (key.startsWith(KEY_PREFIX)) {
-      jobs.onDropped(key.substring(KEY_PREFIX.length()));
+    if (JobRecord.isRegisterKey(key)) {
+      jobs.onDropped(JobRecord.jobIdOf(key));
     }
   }
 
@@ -158,7 +157,7 @@
 
   private void dropExpiredJobs() {
     for (String jobId : jobs.expired(statusMs, EXPIRY_SLACK_MS, timers.now())) {
-      dropKey.accept(KEY_PREFIX + jobId);
+      dropKey.accept(JobRecord.registerKey(jobId));
       jobs.onDropped(jobId);
     }
     timers.schedule(EXPIRY_SCAN_INTERVAL_MS, this::dropExpiredJobs);
