--- a/controlplane/src/main/java/elmsail/controlplane/BootstrapAgreement.java
+++ b/controlplane/src/main/java/elmsail/controlplane/BootstrapAgreement.java
@@ -99,31 +99,43 @@
     long ballot = proposer.startRound(candidateVoterSet);
     for (int i = 0; i < seeds.size(); i++) {
       int seed = i;
-      send(seed, ballot, null).thenAccept(response -> onPrepareResponse(seed, ballot, response));
+      send(seed, prepareRequest(ballot))
+          .thenAccept(response -> onPrepareResponse(seed, ballot, response));
     }
   }
 
   private void onPrepareResponse(int seed, long ballot, FoundingResponse response) {
-    VoterSet proposal = proposer.onPrepareResponse(seed, ballot, response);
-    for (int i = 0; proposal != null && i < seeds.size(); i++) {
-      int acceptor = i;
-      send(acceptor, ballot, proposal)
-          .thenAccept(answer -> onAcceptResponse(acceptor, ballot, answer));
+    proposer
+        .onPrepareResponse(seed, ballot, response)
+        .ifPresent(proposal -> sendAccept(ballot, proposal));
+  }
+
+  private void sendAccept(long ballot, VoterSet proposal) {
+    for (int i = 0; i < seeds.size(); i++) {
+      int seed = i;
+      send(seed, acceptRequest(ballot, proposal))
+          .thenAccept(response -> onAcceptResponse(seed, ballot, response));
     }
   }
 
   private void onAcceptResponse(int seed, long ballot, FoundingResponse response) {
-    VoterSet agreed = proposer.onAcceptResponse(seed, ballot, response);
-    if (agreed != null) {
-      agreedListener.accept(agreed);
-    }
+    proposer.onAcceptResponse(seed, ballot, response).ifPresent(agreedListener);
   }
 
-  private CompletableFuture<FoundingResponse> send(int seed, long ballot, VoterSet proposal) {
+  private static FoundingRequest prepareRequest(long ballot) {
     FoundingRequest request = new FoundingRequest();
     request.ballot = ballot;
-    request.accept = proposal != null;
-    request.proposal = proposal == null ? request.proposal : proposal;
+    return request;
+  }
+
+  private static FoundingRequest acceptRequest(long ballot, VoterSet proposal) {
+    FoundingRequest request = prepareRequest(ballot);
+    request.accept = true;
+    request.proposal = proposal;
+    return request;
+  }
+
+  private CompletableFuture<FoundingResponse> send(int seed, FoundingRequest request) {
     return seed == localSeedIndex
         ? handle(request)
         : rpcClient.call(seeds.get(seed), request, FoundingResponse.class, CALL_TIMEOUT_MS);
--- a/controlplane/src/main/java/elmsail/controlplane/BootstrapCandidates.java
+++ b/controlplane/src/main/java/elmsail/controlplane/BootstrapCandidates.java
@@ -7,6 +7,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
 
 /**
@@ -47,8 +48,8 @@
     }
   }
 
-  /** The voter set to propose; null as long as it is too early. */
-  VoterSet proposal(long now) {
+  /** The voter set to propose; empty as long as it is too early. */
+  Optional<VoterSet> proposal(long now) {
     List<HelloRequest> fresh = new ArrayList<>();
     for (Candidate candidate : candidates.values()) {
       if (now - candidate.receivedAtMs() <= MAX_HELLO_AGE_MS) {
@@ -61,7 +62,10 @@
         enough
             ? now - enoughSinceMs >= ZONE_SPREAD_WAIT_MS
             : now - startedAtMs >= REDUCED_SET_AFTER_MS;
-    return due && !fresh.isEmpty() ? spreadOverZones(fresh, setSize(fresh.size())) : null;
+    if (!due || fresh.isEmpty()) {
+      return Optional.empty();
+    }
+    return Optional.of(spreadOverZones(fresh, setSize(fresh.size())));
   }
 
   /** The target, or else the largest odd number: one more would tolerate no more losses. */
--- a/controlplane/src/main/java/elmsail/controlplane/BootstrapProposer.java
+++ b/controlplane/src/main/java/elmsail/controlplane/BootstrapProposer.java
@@ -4,6 +4,7 @@
 import elmsail.rpc.messages.FoundingResponse;
 import elmsail.rpc.messages.VoterSet;
 import java.util.HashSet;
+import java.util.Optional;
 import java.util.Set;
 
 /**
@@ -44,12 +45,12 @@
    * Counts a seed's response to prepare.
    *
    * @return the proposal to be accepted once a majority has promised: what was accepted in the
-   *     highest ballot, or else the candidate voter set of this round; null before
+   *     highest ballot, or else the candidate voter set of this round; empty before
    */
-  VoterSet onPrepareResponse(int seed, long responseBallot, FoundingResponse response) {
+  Optional<VoterSet> onPrepareResponse(int seed, long responseBallot, FoundingResponse response) {
     highestBallot = Math.max(highestBallot, response.promisedBallot);
     if (responseBallot != ballot || inAcceptPhase || !response.granted) {
-      return null;
+      return Optional.empty();
     }
     if (response.acceptedBallot > highestAcceptedBallot) {
       highestAcceptedBallot = response.acceptedBallot;
@@ -57,22 +58,23 @@
     }
     grantedBy.add(seed);
     if (grantedBy.size() < VoterSets.majoritySize(seedCount)) {
-      return null;
+      return Optional.empty();
     }
     inAcceptPhase = true;
     grantedBy.clear();
-    return proposal;
+    return Optional.of(proposal);
   }
 
   /**
-   * Counts a seed's response to accept; returns the voter set once it is agreed on, null before.
+   * Counts a seed's response to accept; returns the voter set once it is agreed on, empty before.
    */
-  VoterSet onAcceptResponse(int seed, long responseBallot, FoundingResponse response) {
+  Optional<VoterSet> onAcceptResponse(int seed, long responseBallot, FoundingResponse response) {
     highestBallot = Math.max(highestBallot, response.promisedBallot);
     if (responseBallot != ballot || !inAcceptPhase || !response.granted) {
-      return null;
+      return Optional.empty();
     }
     grantedBy.add(seed);
-    return grantedBy.size() >= VoterSets.majoritySize(seedCount) ? proposal : null;
+    boolean isAgreed = grantedBy.size() >= VoterSets.majoritySize(seedCount);
+    return isAgreed ? Optional.of(proposal) : Optional.empty();
   }
 }
--- a/controlplane/src/main/java/elmsail/controlplane/ClusterBootstrap.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ClusterBootstrap.java
@@ -154,10 +154,7 @@
       return;
     }
     if (needsAgreement()) {
-      VoterSet proposal = candidates.proposal(timers.now());
-      if (proposal != null) {
-        agreement.propose(proposal);
-      }
+      candidates.proposal(timers.now()).ifPresent(agreement::propose);
     } else if (seedHellos.size() == seeds.size()) {
       VoterSet initialVoterSet = new VoterSet();
       for (HelloResponse seed : seedHellos.values()) {
--- a/controlplane/src/test/java/elmsail/controlplane/BootstrapCandidatesTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/BootstrapCandidatesTest.java
@@ -32,7 +32,7 @@
   }
 
   private String proposed(long now) {
-    VoterSet set = candidates.proposal(now);
+    VoterSet set = candidates.proposal(now).orElse(null);
     if (set == null) {
       return null;
     }
--- a/controlplane/src/test/java/elmsail/controlplane/SplitPartitionTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/SplitPartitionTest.java
@@ -18,7 +18,8 @@
 
   @ParameterizedTest
   @EnumSource
-  void fourNodesAndSevenStoresWithThreeVotersEach(SplitPartitionScenario.ConcurrentChange underWay) {
+  void fourNodesAndSevenStoresWithThreeVotersEach(
+      SplitPartitionScenario.ConcurrentChange underWay) {
     play(4, 7, 1, underWay);
   }
 
