--- a/batch/src/main/java/elmsail/batch/api/ReservationWithdrawal.java
+++ b/batch/src/main/java/elmsail/batch/api/ReservationWithdrawal.java
@@ -24,6 +24,7 @@
     this.reservation = reservation;
   }
 
+  /** Sends the withdrawal to all stores that are known. */
   void start() {
     send(context.stores(), MAX_ATTEMPTS);
   }
--- a/batch/src/main/java/elmsail/batch/messages/JobRecordCodec.java
+++ b/batch/src/main/java/elmsail/batch/messages/JobRecordCodec.java
@@ -20,6 +20,7 @@
 
   private JobRecordCodec() {}
 
+  /** The record in the newest format. */
   static byte[] encode(JobRecord record) {
     ByteWriter writer = new ByteWriter().writeVarint(FORMAT).writeVarint(record.version());
     writeDescription(writer, record.description());
--- a/batch/src/main/java/elmsail/batch/run/CapacityBudget.java
+++ b/batch/src/main/java/elmsail/batch/run/CapacityBudget.java
@@ -14,6 +14,7 @@
     this.servers = servers;
   }
 
+  /** How many items of the route may still be started; zero or less for none. */
   int remaining(Route route) {
     return remainingByRoute.computeIfAbsent(route.name(), name -> servers.availableCapacity(route));
   }
--- a/batch/src/main/java/elmsail/batch/run/ItemRun.java
+++ b/batch/src/main/java/elmsail/batch/run/ItemRun.java
@@ -14,6 +14,7 @@
   private static final int TEXT_HEADROOM_BYTES = 32;
   private static final long NO_EVENT = -1;
 
+  /** The index of the item in the job. */
   final int itemIndex;
 
   /** Responses of 500, including those that former runners recorded. */
@@ -97,6 +98,7 @@
     }
   }
 
+  /** Whether a run has been started that has neither ended nor been cancelled. */
   boolean isInFlight() {
     return inFlight;
   }
@@ -139,6 +141,7 @@
     return true;
   }
 
+  /** Whether any event has been received since the text was last discarded. */
   boolean hasText() {
     return text != null;
   }
--- a/batch/src/main/java/elmsail/batch/run/JobEndLog.java
+++ b/batch/src/main/java/elmsail/batch/run/JobEndLog.java
@@ -13,6 +13,7 @@
 
   private JobEndLog() {}
 
+  /** Logs a job that is being stopped. */
   static void log(RunningJob job, long now) {
     boolean late = now > job.dueAt() && !job.record.cancelled();
     LOG.atLevel(late ? Level.INFO : Level.DEBUG)
--- a/batch/src/main/java/elmsail/batch/run/JobTimeline.java
+++ b/batch/src/main/java/elmsail/batch/run/JobTimeline.java
@@ -75,20 +75,24 @@
     this.adoptedAt = adoptedAt;
   }
 
+  /** The body was loaded; only the first time counts. */
   void onBodyLoaded(long now) {
     bodyAt = bodyAt == NOT_YET ? now : bodyAt;
   }
 
+  /** Ready items were not started in a dispatch. */
   void onStalled(Stall stall) {
     stalls.merge(stall, 1, Integer::sum);
   }
 
+  /** A run was sent to a server. */
   void onSent(long now) {
     firstSentAt = firstSentAt == NOT_YET ? now : firstSentAt;
     lastSentAt = now;
     runsSent++;
   }
 
+  /** An event of a run was received. */
   void onEvent(long now) {
     firstEventAt = firstEventAt == NOT_YET ? now : firstEventAt;
   }
--- a/batch/src/main/java/elmsail/batch/run/RunningJob.java
+++ b/batch/src/main/java/elmsail/batch/run/RunningJob.java
@@ -19,17 +19,23 @@
   record FinishedItem(JobRecord.Result result, byte[] text) {}
 
   final String id;
+
+  /** The term of this gateway's lease. */
   final long term;
 
   /** When the job was accepted, or later, in ms of the steady clock. */
   final long acceptedAt;
 
+  /** The newest committed record that this gateway has seen as the runner. */
   JobRecord record;
 
   /** Null until the body is loaded. */
   List<BatchItem> items;
 
+  /** Whether the body is being loaded. */
   boolean fetching;
+
+  /** One for each item, by its index. */
   final ItemRun[] itemRuns;
 
   /** The indexes of the items that may be started, the lowest first. */
@@ -41,13 +47,19 @@
   /** Whether a change of the record is in flight. */
   boolean recording;
 
+  /** Whether a timer will start the next change of the record. */
   boolean recordingScheduled;
+
+  /** When the record was last changed, in ms of the steady clock. */
   long recordedAt;
 
   /** When the job last certainly was open and run by this gateway, in ms of the steady clock. */
   long confirmedAt;
 
+  /** Whether the record is being read to confirm the lease. */
   boolean confirmingRead;
+
+  /** Set for good once this gateway no longer runs the job. */
   boolean stopped;
 
   /** For the log: why the job was late. */
@@ -75,6 +87,7 @@
     }
   }
 
+  /** When the results are due, in ms of the steady clock. */
   long dueAt() {
     return acceptedAt + record.completionTargetMs();
   }
