--- a/app/src/main/java/elmsail/app/ApplicationLauncher.java
+++ b/app/src/main/java/elmsail/app/ApplicationLauncher.java
@@ -3,8 +3,10 @@
 import elmsail.runtime.ElmsailException;
 import elmsail.runtime.Settings;
 import elmsail.runtime.SettingsFile;
+import java.io.OutputStreamWriter;
 import java.io.PrintStream;
 import java.io.PrintWriter;
+import java.nio.charset.Charset;
 import java.nio.file.Path;
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.DefaultParser;
@@ -122,7 +124,7 @@
   }
 
   private void printHelp() {
-    PrintWriter text = new PrintWriter(out, true);
+    PrintWriter text = new PrintWriter(new OutputStreamWriter(out, Charset.defaultCharset()), true);
     String usage =
         "java -cp target/elmsail.jar elmsail.app." + application.getClass().getSimpleName();
     String exitCodes =
--- a/batch/src/test/java/elmsail/batch/SubmitHandlerTest.java
+++ b/batch/src/test/java/elmsail/batch/SubmitHandlerTest.java
@@ -1,5 +1,6 @@
 package elmsail.batch;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.hamcrest.MatcherAssert.assertThat;
 import static org.hamcrest.Matchers.containsString;
 import static org.hamcrest.Matchers.empty;
--- a/config/src/main/java/elmsail/config/ConfigFields.java
+++ b/config/src/main/java/elmsail/config/ConfigFields.java
@@ -78,7 +78,7 @@
 
   /** A number of at least 0, rounded up so that a positive fraction stays positive. */
   long nonNegativeLongOr(String key, long defaultValue) {
-    double number = numberOr(key, defaultValue);
+    double number = numberOr(key, (double) defaultValue);
     if (number < 0) {
       throw invalid(key, "is below 0");
     }
--- a/consensus/src/test/java/elmsail/consensus/ConcurrentJoinModel.java
+++ b/consensus/src/test/java/elmsail/consensus/ConcurrentJoinModel.java
@@ -284,7 +284,7 @@
 
   private JoinResponse response(int by, boolean held, int known) {
     JoinResponse response = new JoinResponse();
-    response.instanceId = by + 1;
+    response.instanceId = by + 1L;
     response.accepted = held;
     response.recorded = !held;
     response.replaced = !held && by < S;
--- a/consensus/src/test/java/elmsail/consensus/JoinInVainTest.java
+++ b/consensus/src/test/java/elmsail/consensus/JoinInVainTest.java
@@ -1,5 +1,6 @@
 package elmsail.consensus;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.hamcrest.MatcherAssert.assertThat;
 import static org.hamcrest.Matchers.empty;
 import static org.hamcrest.Matchers.is;
@@ -27,7 +28,7 @@
             .client(cluster.initialVoters)
             .change(
                 "key",
-                observed -> new ProposedValue(value.getBytes(), List.of()),
+                observed -> new ProposedValue(value.getBytes(UTF_8), List.of()),
                 List.of(),
                 null,
                 3_000));
@@ -35,7 +36,8 @@
 
   private String read() {
     return new String(
-        cluster.await(cluster.client(cluster.initialVoters).read("key", null, 5_000)).value());
+        cluster.await(cluster.client(cluster.initialVoters).read("key", null, 5_000)).value(),
+        UTF_8);
   }
 
   /** Slots 0 to 2 are held by 2, 1 and 3; 0 doesn't know that it was replaced. */
--- a/consensus/src/test/java/elmsail/consensus/RegisterTest.java
+++ b/consensus/src/test/java/elmsail/consensus/RegisterTest.java
@@ -1,5 +1,6 @@
 package elmsail.consensus;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.hamcrest.MatcherAssert.assertThat;
 import static org.hamcrest.Matchers.contains;
 import static org.hamcrest.Matchers.empty;
@@ -31,12 +32,16 @@
 
   private CompletableFuture<CommittedState> put(Register client, String key, String value) {
     return client.change(
-        key, observed -> new ProposedValue(value.getBytes(), List.of()), List.of(), null, 3_000);
+        key,
+        observed -> new ProposedValue(value.getBytes(UTF_8), List.of()),
+        List.of(),
+        null,
+        3_000);
   }
 
   private String read(Register client, String key) {
     byte[] value = cluster.await(client.read(key, null, 3_000)).value();
-    return value == null ? null : new String(value);
+    return value == null ? null : new String(value, UTF_8);
   }
 
   private String append(Register client, String mark) {
@@ -45,11 +50,12 @@
             client.change(
                 "key",
                 observed ->
-                    new ProposedValue((new String(observed.value()) + mark).getBytes(), List.of()),
+                    new ProposedValue(
+                        (new String(observed.value(), UTF_8) + mark).getBytes(UTF_8), List.of()),
                 List.of(),
                 null,
                 3_000));
-    return new String(committed.current().value());
+    return new String(committed.current().value(), UTF_8);
   }
 
   private ErrorCode failure(CompletableFuture<?> future) {
@@ -141,7 +147,7 @@
             client.change(
                 "key", observed -> new ProposedValue(null, List.of()), List.of(), null, 1_000));
     assertThat(committed.changed(), is(false));
-    assertThat(new String(committed.current().value()), is("1"));
+    assertThat(new String(committed.current().value(), UTF_8), is("1"));
   }
 
   @Test
@@ -158,7 +164,7 @@
     accept.key = "key";
     accept.ballot = Ballots.of(1, 5);
     accept.voterSet = cluster.initialVoters;
-    accept.value = "half".getBytes();
+    accept.value = "half".getBytes(UTF_8);
     cluster.await(proposer.call(SimCluster.ADDRESSES[0], prepare, VoteResponse.class, 500));
     cluster.await(proposer.call(SimCluster.ADDRESSES[1], prepare, VoteResponse.class, 500));
     cluster.await(proposer.call(SimCluster.ADDRESSES[0], accept, VoteResponse.class, 500));
@@ -190,7 +196,7 @@
             observed -> {
               cluster.kill(0);
               cluster.kill(1);
-              return new ProposedValue("2".getBytes(), List.of());
+              return new ProposedValue("2".getBytes(UTF_8), List.of());
             },
             List.of(),
             null,
@@ -209,7 +215,7 @@
     cluster.replicas[0].learn(cluster.replicas[1].voterSet());
     cluster.awaitVoting(0, 2_000);
     assertThat(cluster.replicas[0].voterSet().voters.get(0).epoch, is(2));
-    assertThat(new String(cluster.replicas[0].acceptedValue("key")), is("1"));
+    assertThat(new String(cluster.replicas[0].acceptedValue("key"), UTF_8), is("1"));
     cluster.await(put(client, "key", "2"));
     assertThat(read(client, "key"), is("2"));
   }
@@ -223,7 +229,7 @@
         cluster.await(
             client.change(
                 "lot/1",
-                observed -> new ProposedValue("v".getBytes(), List.of(blob("two", 9))),
+                observed -> new ProposedValue("v".getBytes(UTF_8), List.of(blob("two", 9))),
                 List.of(blob("one", 5_000)),
                 null,
                 3_000));
@@ -278,7 +284,7 @@
     cluster.await(
         client.change(
             "key",
-            observed -> new ProposedValue("1".getBytes(), List.of()),
+            observed -> new ProposedValue("1".getBytes(UTF_8), List.of()),
             List.of(blob("b", 50)),
             null,
             3_000));
@@ -296,7 +302,7 @@
     cluster.awaitVoting(1, 3_000);
     assertThat(cluster.disks[1].instanceId(), is(instanceId));
     assertThat(cluster.replicas[1].isVoting(), is(true));
-    assertThat(new String(cluster.replicas[1].acceptedValue("key")), is("1"));
+    assertThat(new String(cluster.replicas[1].acceptedValue("key"), UTF_8), is("1"));
   }
 
   @Test
@@ -365,7 +371,7 @@
                   for (byte[] sideEffect : observed.sideEffects()) {
                     notes.add((int) sideEffect[0]);
                   }
-                  return new ProposedValue("x".getBytes(), List.of());
+                  return new ProposedValue("x".getBytes(UTF_8), List.of());
                 },
                 List.of(),
                 new byte[] {4},
@@ -400,10 +406,11 @@
               .change(
                   "key",
                   observed -> {
-                    String now = observed.value() == null ? "" : new String(observed.value());
+                    String now =
+                        observed.value() == null ? "" : new String(observed.value(), UTF_8);
                     return now.indexOf(mark) >= 0
                         ? new ProposedValue(null, List.of())
-                        : new ProposedValue((now + mark).getBytes(), List.of());
+                        : new ProposedValue((now + mark).getBytes(UTF_8), List.of());
                   },
                   List.of(),
                   null,
--- a/consensus/src/test/java/elmsail/consensus/ReplacedVoterTest.java
+++ b/consensus/src/test/java/elmsail/consensus/ReplacedVoterTest.java
@@ -1,5 +1,6 @@
 package elmsail.consensus;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.hamcrest.MatcherAssert.assertThat;
 import static org.hamcrest.Matchers.empty;
 import static org.hamcrest.Matchers.hasSize;
@@ -28,7 +29,7 @@
             .client(cluster.initialVoters)
             .change(
                 "key",
-                observed -> new ProposedValue(value.getBytes(), List.of()),
+                observed -> new ProposedValue(value.getBytes(UTF_8), List.of()),
                 List.of(blob),
                 null,
                 3_000));
@@ -36,7 +37,8 @@
 
   private String read() {
     return new String(
-        cluster.await(cluster.client(cluster.initialVoters).read("key", null, 3_000)).value());
+        cluster.await(cluster.client(cluster.initialVoters).read("key", null, 3_000)).value(),
+        UTF_8);
   }
 
   /**
@@ -145,7 +147,7 @@
     cluster.replicas[0].join(1, 2);
     cluster.timers.advance(1_000);
     assertThat(cluster.replicas[0].membership.ownSlot(), is(-1));
-    assertThat(cluster.replicas[0].acceptedValue("key"), is("new".getBytes()));
+    assertThat(cluster.replicas[0].acceptedValue("key"), is("new".getBytes(UTF_8)));
     cluster.net.healAll();
     cluster.awaitVoting(3, 5_000);
     cluster.replicas[0].learn(cluster.replicas[3].voterSet());
--- a/consensus/src/test/java/elmsail/consensus/ReplicaMetricsTest.java
+++ b/consensus/src/test/java/elmsail/consensus/ReplicaMetricsTest.java
@@ -1,5 +1,6 @@
 package elmsail.consensus;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.hamcrest.MatcherAssert.assertThat;
 import static org.hamcrest.Matchers.containsString;
 import static org.hamcrest.Matchers.greaterThan;
@@ -43,7 +44,7 @@
             .client(cluster.initialVoters)
             .change(
                 "key",
-                observed -> new ProposedValue(value.getBytes(), List.of()),
+                observed -> new ProposedValue(value.getBytes(UTF_8), List.of()),
                 List.of(blob),
                 null,
                 3_000));
@@ -109,7 +110,7 @@
   @Test
   void acceptedBallotAboveThePromisedOneIsAViolation() {
     AcceptorState corrupt =
-        new AcceptorState(Ballots.of(3, 1), Ballots.of(4, 1), false, "value".getBytes());
+        new AcceptorState(Ballots.of(3, 1), Ballots.of(4, 1), false, "value".getBytes(UTF_8));
     Invariants strict = ProcessMetrics.strict().invariants();
     InvariantViolation thrown =
         assertThrows(
@@ -125,7 +126,7 @@
   void corruptRecordIsDetectedWhenAVoterReadsIt() {
     cluster.bootstrapped();
     AcceptorState corrupt =
-        new AcceptorState(Ballots.of(3, 1), Ballots.of(4, 1), false, "value".getBytes());
+        new AcceptorState(Ballots.of(3, 1), Ballots.of(4, 1), false, "value".getBytes(UTF_8));
     cluster.records[0].write(List.of(new Change("set/k/key", corrupt.toBytes())));
     cluster.timers.advance(50);
     cluster.client(cluster.initialVoters).read("key", null, 500);
--- a/consensus/src/test/java/elmsail/consensus/SingleJoinModel.java
+++ b/consensus/src/test/java/elmsail/consensus/SingleJoinModel.java
@@ -57,8 +57,8 @@
   private final VoterSet after;
 
   /**
-   * @param promisedAhead the second ballot is promised with the first one's accepts, and has no
-   *     prepare phase
+   * @param sticky the second ballot is promised with the first one's accepts, and has no prepare
+   *     phase
    */
   SingleJoinModel(Defect defect, int ballots, boolean sticky) {
     super(BITS, PROPOSERS, PROPOSER_FIELDS, ballots);
--- a/consensus/src/test/java/elmsail/consensus/StateSearch.java
+++ b/consensus/src/test/java/elmsail/consensus/StateSearch.java
@@ -105,7 +105,7 @@
     Voter voter = new Voter();
     voter.address = name;
     voter.machine = name;
-    voter.instanceId = process + 1;
+    voter.instanceId = process + 1L;
     voter.epoch = epoch;
     return voter;
   }
--- a/controlplane/src/test/java/elmsail/controlplane/FakeRegister.java
+++ b/controlplane/src/test/java/elmsail/controlplane/FakeRegister.java
@@ -93,7 +93,7 @@
         5,
         () -> {
           if (fate == Outcome.OVERTAKEN) {
-            change.apply(found(key));
+            ProposedValue unused = change.apply(found(key));
             put(key, concurrentValue);
           }
           ProposedValue wanted = change.apply(found(key));
--- a/controlplane/src/test/java/elmsail/controlplane/LeaseTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/LeaseTest.java
@@ -26,7 +26,7 @@
     for (int i = 0; i < N; i++) {
       voters[i] = new LeaseVoter(timers.now(), founding);
       leases[i] = new Lease(timers.now(), i);
-      who[i] = i + 1;
+      who[i] = i + 1L;
     }
   }
 
--- a/front/src/main/java/willowdoor/wire/JsonFields.java
+++ b/front/src/main/java/willowdoor/wire/JsonFields.java
@@ -83,8 +83,8 @@
               ? (Object) in.getBigIntegerValue()
               : (Object) in.getLongValue();
       case VALUE_NUMBER_FLOAT -> in.getDoubleValue();
-      case VALUE_TRUE -> Boolean.TRUE;
-      case VALUE_FALSE -> Boolean.FALSE;
+      case VALUE_TRUE -> true;
+      case VALUE_FALSE -> false;
       default -> null;
     };
   }
--- a/front/src/test/java/willowdoor/discovery/HostListTest.java
+++ b/front/src/test/java/willowdoor/discovery/HostListTest.java
@@ -81,7 +81,7 @@
   void oldNewsOfThoseThatLeftAreForgotten() {
     HostList list = list(1, "s-0");
     for (int i = 1; i <= 1_001; i++) {
-      list = list.with(2 * i, List.of(active("s-" + i)));
+      list = list.with(2L * i, List.of(active("s-" + i)));
       list = list.with(2 * i + 1, List.of(active("s-" + i).in(State.LEFT)));
     }
     assertNull(list.entry("s-1"));
--- a/front/src/test/java/willowdoor/front/DiscoveryTest.java
+++ b/front/src/test/java/willowdoor/front/DiscoveryTest.java
@@ -312,7 +312,7 @@
     Handler handler =
         new StreamHandler() {
           @Override
-          public void publish(LogRecord entry) {
+          public synchronized void publish(LogRecord entry) {
             logged.add(entry.getMessage());
           }
         };
--- a/front/src/test/java/willowdoor/front/ReplaceTest.java
+++ b/front/src/test/java/willowdoor/front/ReplaceTest.java
@@ -1,5 +1,6 @@
 package willowdoor.front;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -88,7 +89,8 @@
     builder.environment().put("CLASSES", System.getProperty("java.class.path"));
     builder.environment().put("TMPDIR", folder.toString());
     holder = builder.redirectErrorStream(true).start();
-    BufferedReader lines = new BufferedReader(new InputStreamReader(holder.getInputStream()));
+    BufferedReader lines =
+        new BufferedReader(new InputStreamReader(holder.getInputStream(), UTF_8));
     Thread reader = new Thread(() -> lines.lines().forEach(said::add));
     reader.setDaemon(true);
     reader.start();
--- a/front/src/test/java/willowdoor/front/SignalTest.java
+++ b/front/src/test/java/willowdoor/front/SignalTest.java
@@ -1,5 +1,6 @@
 package willowdoor.front;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -61,7 +62,8 @@
     builder.environment().put("GW_CONFIG", config.toString());
     builder.environment().remove("GW_ACCEPT_FD");
     process = builder.redirectErrorStream(true).start();
-    BufferedReader lines = new BufferedReader(new InputStreamReader(process.getInputStream()));
+    BufferedReader lines =
+        new BufferedReader(new InputStreamReader(process.getInputStream(), UTF_8));
     Thread reader = new Thread(() -> lines.lines().forEach(said::add));
     reader.setDaemon(true);
     reader.start();
--- a/front/src/test/java/willowdoor/front/StreamingTest.java
+++ b/front/src/test/java/willowdoor/front/StreamingTest.java
@@ -145,8 +145,8 @@
     Client client = peers.client();
     String request =
         chunked(Peers.post("r1", "")) + "3;x=y\r\nabc\r\n5\r\ndefgh\r\n0\r\nSum: 8\r\n\r\n";
-    for (char c : request.toCharArray()) {
-      client.send(String.valueOf(c));
+    for (int i = 0; i < request.length(); i++) {
+      client.send(request.substring(i, i + 1));
     }
     assertEquals(200, client.receive().status());
     assertEquals("abcdefgh", Peers.next(peers.atBackend).text());
--- a/front/src/test/java/willowdoor/front/clients/ClientCrossingTest.java
+++ b/front/src/test/java/willowdoor/front/clients/ClientCrossingTest.java
@@ -23,10 +23,12 @@
 import java.net.SocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.time.Instant;
+import java.util.Locale;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.Callable;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -46,8 +48,8 @@
 
   private static final String UP = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
 
-  private volatile long nanos;
-  private final Clock clock = new Clock(Instant.EPOCH, () -> nanos);
+  private final AtomicLong nanos = new AtomicLong();
+  private final Clock clock = new Clock(Instant.EPOCH, nanos::get);
   private final Looks looks = new Looks(0);
   private EventLoopGroup group;
 
@@ -120,7 +122,7 @@
 
   private void rounds(int ms) {
     for (int i = 0; i < ms / 10; i++) {
-      nanos += TimeUnit.MILLISECONDS.toNanos(10);
+      nanos.addAndGet(TimeUnit.MILLISECONDS.toNanos(10));
       server.partWithIdle();
     }
   }
@@ -153,7 +155,8 @@
         });
     String answer = receive(resting);
     assertTrue(
-        answer.contains(" 503 ") && answer.toLowerCase().contains("connection: close"), answer);
+        answer.contains(" 503 ") && answer.toLowerCase(Locale.ROOT).contains("connection: close"),
+        answer);
     assertTrue(ended(resting));
   }
 
--- a/front/src/test/java/willowdoor/front/clients/ReadAheadTest.java
+++ b/front/src/test/java/willowdoor/front/clients/ReadAheadTest.java
@@ -19,6 +19,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -43,7 +44,7 @@
   private final CountDownLatch ended = new CountDownLatch(1);
   private final StringBuilder taken = new StringBuilder();
   private volatile boolean insideBody;
-  private volatile int counted;
+  private final AtomicInteger counted = new AtomicInteger();
   private volatile int most;
   private volatile Channel accepted;
   private ReadAhead input;
@@ -80,8 +81,7 @@
   }
 
   private void count(int bytes) {
-    counted += bytes;
-    most = Math.max(most, counted);
+    most = Math.max(most, counted.addAndGet(bytes));
   }
 
   /** Asks once, for the beginning. */
@@ -130,7 +130,7 @@
     client.close();
     assertTrue(ended.await(10, TimeUnit.SECONDS));
     assertTrue(most <= ReadAhead.MOST_AHEAD);
-    assertEquals(0, counted);
+    assertEquals(0, counted.get());
   }
 
   /** Its rest is not read, and the system tells of the end all the same. */
@@ -161,6 +161,6 @@
       group.next().submit(() -> accepted.read()).sync();
     }
     assertEquals("first,second,third", taken.toString());
-    assertEquals(0, counted);
+    assertEquals(0, counted.get());
   }
 }
--- a/front/src/test/java/willowdoor/front/discovery/DiscoveryClientTest.java
+++ b/front/src/test/java/willowdoor/front/discovery/DiscoveryClientTest.java
@@ -61,7 +61,7 @@
   private final Handler handler =
       new StreamHandler() {
         @Override
-        public void publish(LogRecord line) {
+        public synchronized void publish(LogRecord line) {
           if (line.getLevel() == Level.SEVERE) {
             severe.add(line.getMessage());
           }
--- a/gateway/src/main/java/elmsail/gateway/servers/Servers.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/Servers.java
@@ -185,7 +185,7 @@
     return found;
   }
 
-  /** As {@link #choose(Route, Prompt, Set, boolean)}, for a request that must not err. */
+  /** As {@link #pick(Route, Prompt, Set, SelectionMode)}, for a request that must not err. */
   public Server pick(Route route, Prompt prompt, Set<Server> excluded) {
     return pick(route, prompt, excluded, SelectionMode.NOT_RETRYABLE);
   }
--- a/gateway/src/main/java/elmsail/gateway/servers/SlotHoldTime.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/SlotHoldTime.java
@@ -20,7 +20,7 @@
 
   /** An answer took so long from its first byte to its last. */
   void observe(long holdMs) {
-    double bounded = Math.max(0, Math.min(MAX_HOLD_MS, holdMs));
+    double bounded = Math.max(0, Math.min(MAX_HOLD_MS, (double) holdMs));
     meanHoldMs = learned ? meanHoldMs + SMOOTHING_FACTOR * (bounded - meanHoldMs) : bounded;
     learned = true;
   }
--- a/gateway/src/test/java/elmsail/gateway/AdvanceableTimers.java
+++ b/gateway/src/test/java/elmsail/gateway/AdvanceableTimers.java
@@ -5,6 +5,7 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicLong;
 
 /** Another's timers, which a test may move ahead: what falls due on the way runs on the loop. */
 public final class AdvanceableTimers implements Timers {
@@ -41,7 +42,7 @@
 
   private final Timers delegate;
   private final List<PendingTimer> pending = new ArrayList<>();
-  private volatile long advancedMs;
+  private final AtomicLong advancedMs = new AtomicLong();
 
   AdvanceableTimers(Timers timers) {
     this.delegate = timers;
@@ -49,7 +50,7 @@
 
   @Override
   public long now() {
-    return delegate.now() + advancedMs;
+    return delegate.now() + advancedMs.get();
   }
 
   @Override
@@ -89,7 +90,7 @@
   }
 
   private void moveAhead(long ms) {
-    advancedMs += ms;
+    advancedMs.addAndGet(ms);
     for (PendingTimer one : new ArrayList<>(pending)) {
       if (one.dueAt <= now()) {
         one.run();
--- a/gateway/src/test/java/elmsail/gateway/RequestForwarderTest.java
+++ b/gateway/src/test/java/elmsail/gateway/RequestForwarderTest.java
@@ -415,7 +415,7 @@
   @Test
   void suspectServerIsReachedByANewConnectionFirst() throws Exception {
     RawConnection client = harness.request("unsafe", "a1", "Elmsail-Deadline-Ms: 4000");
-    RawConnection server = harness.firstServer.acceptRequest();
+    harness.firstServer.acceptRequest();
     harness.timers.advance(4_000);
     assertThat(client.readMessage().status(), is(504));
     client.write(GatewayTestHarness.requestText("unsafe", "a2"));
--- a/gateway/src/test/java/elmsail/gateway/requests/ServerSentEventSplitterTest.java
+++ b/gateway/src/test/java/elmsail/gateway/requests/ServerSentEventSplitterTest.java
@@ -83,7 +83,7 @@
         "id: 1~data: a~~ | a",
         "data:a~data: b~~ | a~b",
         "data~data: b~~ | ~b",
-        "data:  a~~ | \u0020a",
+        "data:  a~~ |  a",
         "database: a~data: b~~ | b"
       })
   void joinsDataLines(String event, String data) {
--- a/gateway/src/test/java/elmsail/gateway/servers/ServerTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/ServerTest.java
@@ -59,7 +59,7 @@
     server.recordFailure(2_000);
     assertThat(server.isSuspect(2_499), is(true));
     for (int i = 0; i < 10; i++) {
-      server.recordFailure(10_000 * (i + 1));
+      server.recordFailure(10_000L * (i + 1));
     }
     assertThat(server.isSuspect(102_999), is(true));
     assertThat(server.isSuspect(103_000), is(false));
--- a/gateway/src/test/java/elmsail/gateway/servers/SimulatedServer.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/SimulatedServer.java
@@ -64,7 +64,7 @@
 
   private void run(Waiting one) {
     running++;
-    readUntil = Math.max(readUntil, timers.now()) + one.readMs * slowness;
+    readUntil = Math.max(readUntil, (double) timers.now()) + one.readMs * slowness;
     long first = Math.round(readUntil - timers.now());
     timers.schedule(first, one.client::onFirstToken);
     timers.schedule(first + Math.round(one.holdMs * slowness), () -> end(one));
--- a/lab/src/main/java/willowdoor/lab/peers/Counter.java
+++ b/lab/src/main/java/willowdoor/lab/peers/Counter.java
@@ -41,12 +41,12 @@
     }
   }
 
-  private static final class Number {
+  private static final class StoredNumber {
     double total;
     long endUs;
   }
 
-  private final Map<String, Number> numbers = new HashMap<>();
+  private final Map<String, StoredNumber> numbers = new HashMap<>();
   private long sweepUs;
 
   /** Adds, and tells the total; a name whose time is over begins anew. */
@@ -55,9 +55,9 @@
       numbers.values().removeIf(n -> n.endUs <= nowUs);
       sweepUs = nowUs + 1_000_000;
     }
-    Number number = numbers.get(call.name());
+    StoredNumber number = numbers.get(call.name());
     if (number == null || number.endUs <= nowUs) {
-      number = new Number();
+      number = new StoredNumber();
       number.endUs = nowUs + 1_000 * call.ttlMs();
       numbers.put(call.name(), number);
     }
--- a/lab/src/main/java/willowdoor/lab/peers/TemplateServer.java
+++ b/lab/src/main/java/willowdoor/lab/peers/TemplateServer.java
@@ -62,7 +62,7 @@
       request = message.headers().get("Request-Id");
       keepAlive = HttpUtil.isKeepAlive(message);
       long timeoutMs = message.headers().getInt("Request-Timeout-Ms", Integer.MAX_VALUE);
-      overUs = arrived + LabClock.us(timeoutMs);
+      overUs = arrived + LabClock.us((double) timeoutMs);
     }
 
     void record(String how, String body) {
--- a/lab/src/test/java/willowdoor/lab/relay/RelayTest.java
+++ b/lab/src/test/java/willowdoor/lab/relay/RelayTest.java
@@ -308,7 +308,7 @@
       throws IOException {
     for (int i = 0; i < 40; i++) {
       from.send(new DatagramPacket(new byte[] {(byte) i}, 1, net.face("a", "b")));
-      long sent = i + 1;
+      long sent = i + 1L;
       await()
           .pollInterval(Duration.ofMillis(2))
           .pollDelay(Duration.ZERO)
--- a/members/src/main/java/willowdoor/members/Membership.java
+++ b/members/src/main/java/willowdoor/members/Membership.java
@@ -113,7 +113,7 @@
     boolean isPages = message.body() instanceof Message.Pages;
     List<Statement> better = isPages ? exchanger.better(message.news()) : List.of();
     boolean exchanged = isPages || message.body() instanceof Message.Better;
-    message.news().forEach(s -> merge(s, header.from(), exchanged));
+    message.news().forEach(s -> merge(s, exchanged));
     take(message, better);
     if (differs && hasJoined() && !quiet()) {
       boolean outOfStep = contact.outOfStepMs(now) > timing.outOfStep();
@@ -182,7 +182,7 @@
     }
   }
 
-  private void merge(Statement told, int from, boolean exchanged) {
+  private void merge(Statement told, boolean exchanged) {
     if (told.member() == place) {
       heardOfSelf(told);
       return;
@@ -281,7 +281,7 @@
   @Override
   public void accuse(int member) {
     count(Count.ACCUSED);
-    merge(view.get(member).suspectedBy(List.of(place)), place, false);
+    merge(view.get(member).suspectedBy(List.of(place)), false);
   }
 
   @Override
--- a/members/src/test/java/willowdoor/members/PlacesTest.java
+++ b/members/src/test/java/willowdoor/members/PlacesTest.java
@@ -34,8 +34,8 @@
     Places places = new Places(10, 7, HOLD);
     places.cutOff(false);
     for (int s = 0; s < 100; s++) {
-      places.changed(3, s % 2 == 0 ? MemberState.FAILED : MemberState.ALIVE, s * 1_000);
-      assertFalse(places.look(s * 1_000));
+      places.changed(3, s % 2 == 0 ? MemberState.FAILED : MemberState.ALIVE, s * 1_000L);
+      assertFalse(places.look(s * 1_000L));
     }
   }
 
--- a/notices/src/main/java/willowdoor/notices/FleetView.java
+++ b/notices/src/main/java/willowdoor/notices/FleetView.java
@@ -12,6 +12,8 @@
  */
 public record FleetView(long epoch, long digest, boolean cutOff, List<Member> members) {
   /**
+   * A front door of the roster that is alive.
+   *
    * @param number in the roster
    * @param generation of its process
    * @param clients the address where readers reach it
--- a/notices/src/main/java/willowdoor/notices/NoticesApi.java
+++ b/notices/src/main/java/willowdoor/notices/NoticesApi.java
@@ -24,11 +24,15 @@
   public record Read(long customer, String lastEventId, MoveOrder order) implements Call {}
 
   /**
+   * A customer publishes a notice.
+   *
    * @param body UTF-8, 1 to 16,384 bytes
    */
   public record Publish(long customer, byte[] body) implements Call {}
 
   /**
+   * A request that is rejected.
+   *
    * @param status 4xx
    */
   public record Refused(int status, String text) implements Call {}
--- a/notices/src/main/java/willowdoor/notices/Passing.java
+++ b/notices/src/main/java/willowdoor/notices/Passing.java
@@ -51,7 +51,11 @@
     return retained;
   }
 
-  /** Opens a stream here. @param after what came up to this count is not to be had here */
+  /**
+   * Opens a stream here.
+   *
+   * @param after what came up to this count is not to be had here
+   */
   Stream open(Retained retained, StreamId id, long after, boolean own, long nowMs) {
     forget(retained.open(id, after, own, nowMs));
     Stream stream = retained.stream(id);
--- a/notices/src/main/java/willowdoor/notices/Position.java
+++ b/notices/src/main/java/willowdoor/notices/Position.java
@@ -91,7 +91,11 @@
     return both;
   }
 
-  /** As an event's id. @param own the event's own stream, or null where it has none */
+  /**
+   * As an event's id.
+   *
+   * @param own the event's own stream, or null where it has none
+   */
   String text(StreamId own) {
     StringBuilder text = new StringBuilder(24 * Math.max(1, ids.length));
     if (own != null && has(own)) {
--- a/notices/src/main/java/willowdoor/notices/Publishing.java
+++ b/notices/src/main/java/willowdoor/notices/Publishing.java
@@ -32,7 +32,11 @@
     this.watcher = watcher;
   }
 
-  /** Takes a notice. @param call named in the {@link Effect.Answer} */
+  /**
+   * Takes a notice.
+   *
+   * @param call named in the {@link Effect.Answer}
+   */
   void publish(long call, long customer, byte[] body, long nowMs) {
     Retained retained = passing.retained(customer);
     if (retained == null || pending.size() >= Limits.MAX_PENDING) {
--- a/notices/src/main/java/willowdoor/notices/Readers.java
+++ b/notices/src/main/java/willowdoor/notices/Readers.java
@@ -85,7 +85,11 @@
     return main.bytes() + slow.values().stream().mapToLong(Group::bytes).sum();
   }
 
-  /** A reader has come. @param resume from where, null where it begins now */
+  /**
+   * A reader has come.
+   *
+   * @param resume from where, null where it begins now
+   */
   void add(Reader reader, Position resume, long nowMs) {
     all.add(reader);
     alone.add(reader);
@@ -207,7 +211,11 @@
     reader.pace.fresh();
   }
 
-  /** Looks at every reader. @param doorSlow whether the front door itself is the slow one */
+  /**
+   * Looks at every reader.
+   *
+   * @param doorSlow whether the front door itself is the slow one
+   */
   Look look(boolean doorSlow, long nowMs) {
     double span = Math.max(1, nowMs - lookedMs);
     arrivalsNow += (arrivedBytes * 1e3 / span - arrivalsNow) * Math.min(1, span / 1_000);
--- a/notices/src/main/java/willowdoor/notices/Retained.java
+++ b/notices/src/main/java/willowdoor/notices/Retained.java
@@ -67,7 +67,11 @@
     add(new Entry(nowMs, notice.stream(), notice.seq(), notice.seq(), notice, seen), nowMs);
   }
 
-  /** Puts a gap there. @param to its last count, or {@link Entry#OPEN} */
+  /**
+   * Puts a gap there.
+   *
+   * @param to its last count, or {@link Entry#OPEN}
+   */
   void gap(Stream stream, long to, long nowMs) {
     long from = stream.last() + 1;
     if (to != Entry.OPEN) {
@@ -157,7 +161,11 @@
     return bytes;
   }
 
-  /** A reader has come. @param resume from where, null where it begins now */
+  /**
+   * A reader has come.
+   *
+   * @param resume from where, null where it begins now
+   */
   void reader(Position resume, long nowMs) {
     if (readersMs < 0) {
       readersMs = nowMs;
--- a/notices/src/test/java/willowdoor/notices/NoticesDoorTest.java
+++ b/notices/src/test/java/willowdoor/notices/NoticesDoorTest.java
@@ -100,7 +100,7 @@
     assertEquals(0, sim.readers.stream().mapToInt(r -> r.moves).sum());
     assertTrue(sim.readers.stream().allMatch(r -> r.gaps > 0));
     assertEquals(List.of(), sim.wrong(r -> false).stream().limit(5).toList());
-    assertTrue(sim.mostHeld < 2 * Limits.standard().windowBytes());
+    assertTrue(sim.mostHeld < 2L * Limits.standard().windowBytes());
   }
 
   @Test
--- a/notices/src/test/java/willowdoor/notices/NoticesFigures.java
+++ b/notices/src/test/java/willowdoor/notices/NoticesFigures.java
@@ -17,7 +17,7 @@
       double healthy = 100 + sim.random.nextInt(400);
       boolean slow = sim.random.nextDouble() < slowShare;
       SimReader reader = sim.reader(1 + i % customers, healthy);
-      reader.latencyMs = 2 + sim.random.nextInt(20);
+      reader.latencyMs = 2L + sim.random.nextInt(20);
       if (slow) {
         sim.unhealthy.add(reader);
         int kind = sim.random.nextInt(4);
--- a/policy/src/main/java/willowdoor/policy/Fleet.java
+++ b/policy/src/main/java/willowdoor/policy/Fleet.java
@@ -39,7 +39,8 @@
     for (BackendEntry x : e.entries()) {
       Backend b = backends.computeIfAbsent(x.id(), id -> new Backend(ctx, id));
       if (b.entry != null && b.entry.startedMs() != x.startedMs()) {
-        backends.put(b.id, b = new Backend(ctx, b.id));
+        b = new Backend(ctx, b.id);
+        backends.put(b.id, b);
       }
       tell(b, x);
     }
--- a/policy/src/test/java/willowdoor/policy/ColdFleetTest.java
+++ b/policy/src/test/java/willowdoor/policy/ColdFleetTest.java
@@ -103,9 +103,9 @@
     if (uneven) {
       share = new ColdFleetModel(processes, 12, 1, rules, 1).uneven().share;
     }
-    Process[] all = new Process[processes];
+    GatewayProcess[] all = new GatewayProcess[processes];
     for (int i = 0; i < processes; i++) {
-      all[i] = new Process(processes, i, rules, 1_000_000, 0);
+      all[i] = new GatewayProcess(processes, i, rules, 1_000_000, 0);
       for (double t = 0; t < 16_000; t += 250) {
         all[i].warm(1_000_000 + t, 250 * perSecond * 11 * share[i] / 1000, random);
       }
@@ -113,7 +113,7 @@
     double began = 1_016_000;
     double worst = Double.NEGATIVE_INFINITY;
     List<Double> sent = new ArrayList<>();
-    for (Process p : all) {
+    for (GatewayProcess p : all) {
       p.begin(began);
     }
     double window = rules.tipAfterMs();
@@ -121,7 +121,7 @@
       double now = began + t;
       for (int i = 0; i < processes; i++) {
         if (restarted && random.nextDouble() < 0.02) { // every 2.5 s in the mean
-          all[i] = new Process(processes, i, rules, now, began);
+          all[i] = new GatewayProcess(processes, i, rules, now, began);
         }
         all[i].warm(now, 50 * perSecond * 11 * share[i] / 1000, random);
         boolean spends = t % (3 * window) > 2 * window;
@@ -149,14 +149,14 @@
   }
 
   /** The part of a process that bounds what a cold backend gets. */
-  private static final class Process {
+  private static final class GatewayProcess {
     final Context ctx;
     final List<Backend> usual = new ArrayList<>();
     final ColdRoom coldRoom;
     final Backend cold;
     int turn;
 
-    Process(int processes, int self, Rules rules, double now, double began) {
+    GatewayProcess(int processes, int self, Rules rules, double now, double began) {
       Settings s = Fixtures.settings(false, processes, false, self);
       ctx =
           new Context(
@@ -214,7 +214,7 @@
         USUAL,
         m -> {
           for (int i = 0; i < 14; i++) {
-            long id = 1000 + i;
+            long id = 1000L + i;
             int gone = i;
             m.in(
                 400 * i,
--- a/purge/src/main/java/willowdoor/purge/PurgeApi.java
+++ b/purge/src/main/java/willowdoor/purge/PurgeApi.java
@@ -53,6 +53,8 @@
   }
 
   /**
+   * Reads a request.
+   *
    * @param path without the query
    * @param header gives a header's value by its name in lower case, or null
    * @param body up to {@value #MOST_BODY_BYTES} bytes are read; of a longer one at least one byte
--- a/purge/src/main/java/willowdoor/purge/PurgeNode.java
+++ b/purge/src/main/java/willowdoor/purge/PurgeNode.java
@@ -22,6 +22,8 @@
   public static final long TICK_MS = 5;
 
   /**
+   * The settings of a node.
+   *
    * @param fleet who is there, and the times
    * @param name of the fleet: those of another name are not heard
    * @param self this front door's number
--- a/purge/src/main/java/willowdoor/purge/Timing.java
+++ b/purge/src/main/java/willowdoor/purge/Timing.java
@@ -60,7 +60,7 @@
   }
 
   private static long stretch(long ms, int driftPercent, long roundMs) {
-    long slow = 100 - driftPercent;
+    long slow = 100L - driftPercent;
     return (ms * (100 + driftPercent) + slow - 1) / slow + roundMs;
   }
 }
--- a/purge/src/test/java/willowdoor/purge/Explorer.java
+++ b/purge/src/test/java/willowdoor/purge/Explorer.java
@@ -1,8 +1,8 @@
 package willowdoor.purge;
 
+import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Arrays;
-import java.util.LinkedList;
 import java.util.List;
 
 /** Looks at every state of a {@link World} that so many actions lead to, the nearest first. */
@@ -106,10 +106,10 @@
   }
 
   private List<String> trace() {
-    LinkedList<String> words = new LinkedList<>();
+    ArrayDeque<String> words = new ArrayDeque<>();
     for (int i = brokenAt; i > 0; i = cameFrom[i]) {
       words.addFirst(world.words(by[i]));
     }
-    return words;
+    return List.copyOf(words);
   }
 }
--- a/rpc/src/main/java/elmsail/rpc/RpcEndpoint.java
+++ b/rpc/src/main/java/elmsail/rpc/RpcEndpoint.java
@@ -53,8 +53,7 @@
   private long lastCallId;
 
   /**
-   * @param ownAddress "ip:port" to listen at; port 0 lets the system choose, see {@connection
-   *     #address()}
+   * @param ownAddress "ip:port" to listen at; port 0 lets the system choose, see {@link #address()}
    */
   public RpcEndpoint(EventLoop loop, Timers timers, String ownAddress) {
     this.loop = loop;
--- a/rpc/src/test/java/elmsail/rpc/RpcEndpointTest.java
+++ b/rpc/src/test/java/elmsail/rpc/RpcEndpointTest.java
@@ -1,5 +1,6 @@
 package elmsail.rpc;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.hamcrest.MatcherAssert.assertThat;
 import static org.hamcrest.Matchers.equalTo;
 import static org.hamcrest.Matchers.is;
@@ -59,14 +60,14 @@
         ReadRequest.class,
         request -> {
           VoteResponse response = new VoteResponse();
-          response.value = request.key.getBytes();
+          response.value = request.key.getBytes(UTF_8);
           return CompletableFuture.completedFuture(response);
         });
     ReadRequest request = new ReadRequest();
     request.key = "lot/5";
     CompletableFuture<VoteResponse> call = a.call(b.address(), request, VoteResponse.class, 500);
     world.runLoopUntil(call::isDone);
-    assertThat(call.join().value, equalTo("lot/5".getBytes()));
+    assertThat(call.join().value, equalTo("lot/5".getBytes(UTF_8)));
   }
 
   @Test
--- a/runtime/src/main/java/elmsail/runtime/SettingsObject.java
+++ b/runtime/src/main/java/elmsail/runtime/SettingsObject.java
@@ -99,12 +99,12 @@
 
   /** A time in ms; fractions are rounded up. */
   long millisOr(String name, long defaultValue) {
-    return (long) Math.ceil(numberOr(name, defaultValue, 0, MAX_MS));
+    return (long) Math.ceil(numberOr(name, (double) defaultValue, 0, MAX_MS));
   }
 
   /** A time in ms, from a field in seconds. */
   long secondsAsMillisOr(String name, long defaultValue) {
-    return Math.round(numberOr(name, defaultValue, 0, MAX_MS / 1_000) * 1_000);
+    return Math.round(numberOr(name, (double) defaultValue, 0, MAX_MS / 1_000) * 1_000);
   }
 
   private Object required(String name) {
@@ -124,14 +124,14 @@
 
   /** An integer; a fraction is rounded down. */
   static long integer(String path, Object value, long min, long max) {
-    return (long) Math.floor(number(path, value, min, max));
+    return (long) Math.floor(number(path, value, (double) min, (double) max));
   }
 
   private static double number(String path, Object value, double min, double max) {
-    if (!(value instanceof Number)) {
+    if (!(value instanceof Number given)) {
       throw invalid(path, "expected a number");
     }
-    double number = ((Number) value).doubleValue();
+    double number = given.doubleValue();
     if (number >= min && number <= max) {
       return number;
     }
--- a/simulation/src/main/java/elmsail/simulation/SimUplink.java
+++ b/simulation/src/main/java/elmsail/simulation/SimUplink.java
@@ -11,7 +11,7 @@
 
   /** Ms from {@code now} until a message of so many bytes, sent now, has left whole. */
   long transmitMs(long now, int bytes) {
-    idleAt = Math.max(now, idleAt) + bytes / bytesPerMs;
+    idleAt = Math.max((double) now, idleAt) + bytes / bytesPerMs;
     return (long) Math.ceil(idleAt - now);
   }
 }
--- a/soak/src/test/java/elmsail/soak/BatchClient.java
+++ b/soak/src/test/java/elmsail/soak/BatchClient.java
@@ -44,7 +44,7 @@
   static SubmittedJob draw(Random random, String route, int items, int mostTokens, boolean slow) {
     List<SubmittedJob.Item> drawn = new ArrayList<>();
     while (drawn.size() < items) {
-      long tokens = mostTokens / 2 + random.nextInt(mostTokens / 2);
+      long tokens = (long) mostTokens / 2 + random.nextInt(mostTokens / 2);
       SubmittedJob.Item item = item(random, route, tokens);
       if (!slow || ItemScript.of(item.id()).slow()) {
         drawn.add(item);
--- a/soak/src/test/java/elmsail/soak/StallDetector.java
+++ b/soak/src/test/java/elmsail/soak/StallDetector.java
@@ -1,5 +1,7 @@
 package elmsail.soak;
 
+import java.util.concurrent.atomic.AtomicLong;
+
 /** Looks for times in which this computer held its threads up, and notes them as troubles. */
 final class StallDetector implements AutoCloseable {
   private static final long TICK_MS = 20;
@@ -9,7 +11,7 @@
   private final FaultHistory faults;
   private final Thread thread = new Thread(this::watch, "stall-watch");
   private volatile boolean closed;
-  private volatile long stalls;
+  private final AtomicLong stalls = new AtomicLong();
   private volatile long longest;
 
   StallDetector(SoakClock clock, FaultHistory faults) {
@@ -26,7 +28,7 @@
       long now = clock.nowMs();
       if (now - last > STALL_MS) {
         faults.stalled(last, now);
-        stalls++;
+        stalls.incrementAndGet();
         longest = Math.max(longest, now - last);
       }
       last = now;
@@ -34,7 +36,7 @@
   }
 
   long stalls() {
-    return stalls;
+    return stalls.get();
   }
 
   long longestMs() {
--- a/storage/src/main/java/elmsail/storage/FileSystem.java
+++ b/storage/src/main/java/elmsail/storage/FileSystem.java
@@ -33,7 +33,7 @@
   /**
    * Reads part of a file. Called by two threads at a time.
    *
-   * @param at offset in the file, in bytes
+   * @param offset in the file, in bytes
    * @param from index in {@code to}
    * @return the bytes read: less than {@code length} only if the file ends before
    */
--- a/storage/src/main/java/elmsail/storage/LocalFileSystem.java
+++ b/storage/src/main/java/elmsail/storage/LocalFileSystem.java
@@ -22,6 +22,8 @@
   private static final Logger LOG = LoggerFactory.getLogger(LocalFileSystem.class);
   private static final int CHUNK_BYTES = 64 * 1024;
 
+  // One buffer for each thread of this file system, freed with it.
+  @SuppressWarnings("ThreadLocalUsage")
   private final ThreadLocal<ByteBuffer> chunks = new ThreadLocal<>();
 
   private ByteBuffer chunk() {
--- a/storage/src/main/java/elmsail/storage/RecordStore.java
+++ b/storage/src/main/java/elmsail/storage/RecordStore.java
@@ -56,7 +56,7 @@
   /** The number of records whose names begin with a prefix. */
   default int count(String prefix) {
     int count = 0;
-    for (String name : names(prefix)) {
+    for (String unused : names(prefix)) {
       count++;
     }
     return count;
