--- a/app/src/main/java/elmsail/app/CheckMain.java
+++ b/app/src/main/java/elmsail/app/CheckMain.java
@@ -154,7 +154,7 @@
   }
 
   private void printHelp() {
-    PrintWriter text = new PrintWriter(out, true);
+    PrintWriter text = new PrintWriter(new OutputStreamWriter(out, Charset.defaultCharset()), true);
     String exitCodes =
         "Exit codes: "
             + ExitCode.OK.code()
--- a/batch/src/test/java/elmsail/batch/BurstAdmissionTest.java
+++ b/batch/src/test/java/elmsail/batch/BurstAdmissionTest.java
@@ -24,7 +24,7 @@
     List<CompletableFuture<BatchService.Reply>> replies = new ArrayList<>();
     List<Long> tokens = new ArrayList<>();
     for (int i = 0; i < JOBS; i++) {
-      long own = 60 + cluster.random.nextInt(140);
+      long own = 60L + cluster.random.nextInt(140);
       tokens.add(own);
       replies.add(cluster.submit(i % GATEWAYS, "job" + i, 1, own));
       cluster.timers.advance(cluster.random.nextInt(1 + 2 * spreadMs / JOBS));
--- a/batch/src/test/java/elmsail/batch/SteadyContentionTest.java
+++ b/batch/src/test/java/elmsail/batch/SteadyContentionTest.java
@@ -19,8 +19,8 @@
     SimBatchCluster cluster = new SimBatchCluster(seed, GATEWAYS, LIMIT);
     List<CompletableFuture<BatchService.Reply>> replies = new ArrayList<>();
     List<Long> tokens = new ArrayList<>();
-    for (int i = 0; i * intervalMs < BURST_MS; i++) {
-      long own = 60 + cluster.random.nextInt(140);
+    for (int i = 0; (long) i * intervalMs < BURST_MS; i++) {
+      long own = 60L + cluster.random.nextInt(140);
       tokens.add(own);
       replies.add(cluster.submit(i % GATEWAYS, "job" + seed + "-" + i, 1, own));
       cluster.timers.advance(intervalMs);
--- a/batch/src/test/java/elmsail/batch/SubmitHandlerTest.java
+++ b/batch/src/test/java/elmsail/batch/SubmitHandlerTest.java
@@ -132,7 +132,7 @@
       List<CompletableFuture<Reply>> replies = new ArrayList<>();
       List<Long> tokens = new ArrayList<>();
       for (int i = 0; i < 40; i++) {
-        long each = 5 + cluster.random.nextInt(60);
+        long each = 5L + cluster.random.nextInt(60);
         tokens.add(each);
         replies.add(cluster.submit(i % 6, "lot" + i, 1, each));
         cluster.timers.advance(cluster.random.nextInt(6));
@@ -252,9 +252,12 @@
   void malformedJobsAreRejectedAsBadRequests() {
     SimBatchCluster cluster = new SimBatchCluster(9, 1, 100);
     BatchService calls = cluster.gateways.get(0).batchApi;
-    assertThat(cluster.status(calls.submit(cluster.route(), "a", "{".getBytes(), 1_000)), is(400));
+    assertThat(
+        cluster.status(calls.submit(cluster.route(), "a", "{".getBytes(UTF_8), 1_000)), is(400));
     byte[] withoutRoute =
-        new String(SimBatchCluster.job("a", 1, 1)).replace("/lots1/", "/other/").getBytes();
+        new String(SimBatchCluster.job("a", 1, 1), UTF_8)
+            .replace("/lots1/", "/other/")
+            .getBytes(UTF_8);
     assertThat(cluster.status(calls.submit(cluster.route(), "a", withoutRoute, 1_000)), is(400));
     assertThat(
         cluster.status(calls.submit(cluster.route(), "a", SimBatchCluster.job("a", 201, 1), 1_000)),
