--- a/rpc/src/main/java/elmsail/rpc/CallTable.java
+++ b/rpc/src/main/java/elmsail/rpc/CallTable.java
@@ -6,12 +6,11 @@
 import java.util.Map;
 
 /**
- * The calls that were sent over one connection and have not ended. Call numbers are drawn once in a
- * process and never used again, and each connection has its own table, so an answer ends a call
- * only if it came over the connection that the call went out on, bears its number, and is the first
- * to do so. Pure: it knows no socket and no clock.
+ * The calls in flight on one connection. Call ids are never reused within a process, and each
+ * connection has its own table, so a response completes a call only if it is the first with the
+ * call's id on the connection that the call was sent on. Pure: it uses no socket and no clock.
  *
- * @param <C> the kind of call
+ * @param <C> the type of call
  */
 final class CallTable<C> {
 
@@ -20,7 +19,9 @@
   private final Map<Long, C> pending = new LinkedHashMap<>();
   private boolean closed;
 
-  /** Adds a call that is about to be sent; false if the connection is closed or too many wait. */
+  /**
+   * Adds a call that is about to be sent; false if the connection is closed or the table is full.
+   */
   boolean add(long callId, C call) {
     if (closed || pending.size() >= MAX_CALLS) {
       return false;
@@ -29,12 +30,12 @@
     return true;
   }
 
-  /** The open call with that number, or null. */
+  /** The call in flight with that id, or null. */
   C find(long callId) {
     return pending.get(callId);
   }
 
-  /** Ends the call: it is returned once; null if it has ended before or never went out here. */
+  /** Removes and returns the call with that id; null if it is not, or no longer, in the table. */
   C remove(long callId) {
     return pending.remove(callId);
   }
@@ -43,7 +44,9 @@
     return pending.isEmpty();
   }
 
-  /** Ends them all, in the order in which they were added; nothing can be added any more. */
+  /**
+   * Removes and returns all calls in the order they were added; no call can be added afterwards.
+   */
   List<C> close() {
     closed = true;
     List<C> all = new ArrayList<>(pending.values());
--- a/rpc/src/main/java/elmsail/rpc/ConnectionSweeper.java
+++ b/rpc/src/main/java/elmsail/rpc/ConnectionSweeper.java
@@ -5,15 +5,14 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
 
-/** Looks after all connections of a process now and then, more often while some are in use. */
+/** Sweeps the connections of a process periodically, more often while some are in use. */
 final class ConnectionSweeper {
 
-  /** All in ms. */
   static final long BUSY_INTERVAL_MS = 200;
 
   static final long IDLE_INTERVAL_MS = 1_000;
 
-  /** A timer that is later than that tells of a process that was held up. */
+  /** A timer that runs later than this shows that the process was stalled. */
   static final long STALL_THRESHOLD_MS = 100;
 
   private final Timers timers;
@@ -30,7 +29,7 @@
     this.noPeers = noPeers;
   }
 
-  /** Sees to it that the connections are looked after before long. */
+  /** Schedules a sweep within {@link #BUSY_INTERVAL_MS}. */
   void sweepSoon() {
     long dueAt = timers.now() + BUSY_INTERVAL_MS;
     if (!closed && (timer == null || this.dueAt > dueAt)) {
--- a/rpc/src/main/java/elmsail/rpc/Connector.java
+++ b/rpc/src/main/java/elmsail/rpc/Connector.java
@@ -11,10 +11,10 @@
 import io.netty.channel.socket.nio.NioSocketChannel;
 import java.net.InetSocketAddress;
 
-/** Opens the connections to the peers that are called. */
+/** Opens the connections to called peers. Confined to the event loop. */
 final class Connector {
 
-  /** Ms. */
+  /** The maximum time to connect. */
   static final long CONNECT_TIMEOUT_MS = 700;
 
   private final EventLoop loop;
@@ -23,7 +23,7 @@
   private final RpcCounters counters;
   private final RpcConnection.Listener listener;
 
-  /** Run when there is something to look after. */
+  /** Run when a connection needs to be swept. */
   private final Runnable sweepSoon;
 
   private boolean closed;
@@ -33,22 +33,22 @@
       Timers timers,
       MessageCodec codec,
       RpcCounters counters,
-      RpcConnection.Listener owner,
-      Runnable watch) {
+      RpcConnection.Listener listener,
+      Runnable sweepSoon) {
     this.loop = loop;
     this.timers = timers;
     this.codec = codec;
     this.counters = counters;
-    this.listener = owner;
-    this.sweepSoon = watch;
+    this.listener = listener;
+    this.sweepSoon = sweepSoon;
   }
 
-  /** No connection is opened any more. */
+  /** Opens no more connections. */
   void close() {
     closed = true;
   }
 
-  /** Opens the peer's connection; the calls that wait for it go out, or fail UNSENT. */
+  /** Connects to the peer; queued calls are sent, or fail with {@code NOT_SENT}. */
   void connect(Peer peer) {
     if (closed) {
       onUnreachable(peer, "closed");
--- a/rpc/src/main/java/elmsail/rpc/Frame.java
+++ b/rpc/src/main/java/elmsail/rpc/Frame.java
@@ -9,10 +9,10 @@
 import java.util.zip.CRC32C;
 
 /**
- * What goes over a connection: int length of the rest, byte kind, long call, short type, int CRC32C
- * of kind, call, type and payload, and the payload.
+ * A frame of a connection: int length of the rest, byte kind, long call id, short type, int CRC32C
+ * of kind, call id, type and payload, then the payload.
  *
- * @param callId the number of the call, of its asker's choosing; 0 for pings and hellos
+ * @param callId chosen by the caller; 0 for pings and hellos
  * @param type of {@link MessageTypes}
  */
 record Frame(int kind, long callId, int type, byte[] payload) {
@@ -20,7 +20,7 @@
   static final int REQUEST = 1;
   static final int RESPONSE = 2;
 
-  /** The payload is the code's name. */
+  /** The payload is {@link ErrorCode#wireName()}. */
   static final int FAILURE = 3;
 
   static final int PING = 4;
@@ -31,29 +31,34 @@
 
   static final int LENGTH_BYTES = 4;
 
-  /** Behind the length, before the payload. */
+  /** Between the length and the payload. */
   static final int HEADER_BYTES = 1 + 8 + 2 + 4;
 
-  /** Where the check begins in the head. */
+  /** The offset of the checksum in the header. */
   static final int CHECKSUM_OFFSET = HEADER_BYTES - 4;
 
-  /** The longest frame, without its length's own bytes. */
+  /** The maximum frame length, without the bytes of the length itself. */
   static final int MAX_BYTES = 16 << 20;
 
   private static final int INITIAL_CAPACITY_BYTES = 256;
 
-  /** Fails with FULL if the message is too long, and FAULT if it is none. */
+  /**
+   * Encodes a message; the caller releases the buffer.
+   *
+   * @throws ElmsailException {@code RESOURCE_EXHAUSTED} if the message is too long, {@code
+   *     INTERNAL} if its type is not registered
+   */
   static ByteBuf message(MessageCodec codec, int kind, long callId, Object message) {
     int type = codec.typeNumber(message);
     ByteBuf out = ByteBufAllocator.DEFAULT.ioBuffer(INITIAL_CAPACITY_BYTES);
-    boolean whole = false;
+    boolean complete = false;
     try {
       writeHeader(out, kind, callId, type);
       codec.write(type, message, new ByteBufOutputStream(out));
       writeLengthAndChecksum(out);
-      whole = true;
+      complete = true;
     } finally {
-      if (!whole) {
+      if (!complete) {
         out.release();
       }
     }
@@ -83,7 +88,7 @@
     return out;
   }
 
-  /** The code of a FAILURE; a name that is not known here is a FAULT. */
+  /** The code of a {@code FAILURE} frame; {@code INTERNAL} for an unknown name. */
   ErrorCode errorCode() {
     String name = new String(payload, StandardCharsets.US_ASCII);
     for (ErrorCode code : ErrorCode.values()) {
--- a/rpc/src/main/java/elmsail/rpc/FrameDecoder.java
+++ b/rpc/src/main/java/elmsail/rpc/FrameDecoder.java
@@ -6,7 +6,7 @@
 import java.nio.ByteBuffer;
 import java.util.zip.CRC32C;
 
-/** Puts the frames of one connection together, from bytes as they come. */
+/** Reassembles the frames of one connection from received bytes. */
 final class FrameDecoder {
 
   private static final byte[] EMPTY_PAYLOAD = {};
@@ -17,8 +17,10 @@
   private int payloadBytes;
 
   /**
-   * The next whole frame, or null if more bytes are needed; fails with GARBLED, and is of no use
-   * then.
+   * The next frame, or null if more bytes are needed.
+   *
+   * @throws ElmsailException {@code MALFORMED} for an invalid frame; the decoder must not be used
+   *     further
    */
   Frame next(ByteBuf in) {
     if (payload == null) {
--- a/rpc/src/main/java/elmsail/rpc/HandlerRegistry.java
+++ b/rpc/src/main/java/elmsail/rpc/HandlerRegistry.java
@@ -10,7 +10,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The handlers of a process, by the class of the ask. */
+/** The request handlers of a process by the class of the request. Confined to the event loop. */
 public final class HandlerRegistry implements RequestHandlers {
 
   private static final Logger LOG = LoggerFactory.getLogger(HandlerRegistry.class);
@@ -24,9 +24,13 @@
     handlers.put(request, handler);
   }
 
-  /** Never throws; fails with FAULT if nothing was put here for the ask, or its handler threw. */
+  /**
+   * Calls the handler of a request. Never throws.
+   *
+   * @return fails with {@code INTERNAL} if there is no handler, or it threw or returned null
+   */
   public CompletionStage<Object> handle(Object request) {
-    // Each handler was registered under the class that it takes.
+    // Each handler was registered under the class of its requests.
     @SuppressWarnings("unchecked")
     Function<Object, CompletionStage<Object>> handler =
         (Function<Object, CompletionStage<Object>>) handlers.get(request.getClass());
@@ -39,7 +43,7 @@
       CompletionStage<Object> response = handler.apply(request);
       return response != null
           ? response
-          : failed(new ElmsailException(ErrorCode.INTERNAL, "no answer"));
+          : failed(new ElmsailException(ErrorCode.INTERNAL, "the handler returned no response"));
     } catch (RuntimeException e) {
       if (ElmsailException.codeOf(e) == ErrorCode.INTERNAL && loggedFaults < MAX_LOGGED_FAULTS) {
         loggedFaults++;
--- a/rpc/src/main/java/elmsail/rpc/Handshake.java
+++ b/rpc/src/main/java/elmsail/rpc/Handshake.java
@@ -4,59 +4,59 @@
 import elmsail.runtime.ErrorCode;
 
 /**
- * Decides which frames may be taken on one connection: the hello first, once, and from the right
- * process; then only the kinds that this direction carries. Pure: it knows no socket and no clock.
+ * Decides which frames are valid on one connection: first one hello from the intended process, then
+ * only the kinds of this direction. Pure: it uses no socket and no clock.
  *
- * <p>The caller does not wait for the other side's hello before it sends its calls, so opening a
- * connection costs no extra round trip; but it takes no answer before it. The accepting side runs
- * nothing before it has checked that it is the process meant.
+ * <p>The client does not wait for the server's hello before it sends requests, so a connection
+ * costs no extra round trip; but it accepts no response before it. The server executes nothing
+ * before it has checked that it is the intended process.
  */
 final class Handshake {
 
   private final boolean client;
 
-  /** On the caller's side the process that it means to call, otherwise this process. */
+  /** On the client side the process that it intends to call, on the server side this process. */
   private final HandshakeHello localHello;
 
   private boolean isComplete;
   private long peerInstanceId;
 
-  private Handshake(boolean caller, HandshakeHello called) {
-    this.client = caller;
-    this.localHello = called;
+  private Handshake(boolean client, HandshakeHello localHello) {
+    this.client = client;
+    this.localHello = localHello;
   }
 
-  /** For the side that opened the connection to {@code meant}. */
+  /** For the side that opened the connection to {@code intended}. */
   static Handshake forClient(HandshakeHello intended) {
     return new Handshake(true, intended);
   }
 
-  /** For the side that accepted it and is {@code self}. */
+  /** For the side that accepted the connection. */
   static Handshake forServer(HandshakeHello localHello) {
     return new Handshake(false, localHello);
   }
 
-  /** What this side says first. */
+  /** The hello that this side sends first. */
   HandshakeHello localHello() {
     return localHello;
   }
 
-  /** Whether the other side's hello has come and was right. */
+  /** Whether the other side's hello was received and is valid. */
   boolean isComplete() {
     return isComplete;
   }
 
-  /** The instance that answers, known to the caller once the handshake is complete. */
+  /** The server's instance, known to the client once the handshake is complete. */
   long peerInstanceId() {
     return peerInstanceId;
   }
 
   /**
-   * Passes a frame that may be taken now.
+   * Checks a received frame.
    *
-   * @throws ElmsailException with MISDIRECTED if the process called is not the one meant,
-   *     UNSUPPORTED_VERSION if it speaks another protocol version, GARBLED for a frame that is out
-   *     of place
+   * @throws ElmsailException {@code MISDIRECTED} if the called process is not the intended one,
+   *     {@code UNSUPPORTED_VERSION} if it speaks another protocol version, {@code MALFORMED} for a
+   *     frame of a kind that is not valid now
    */
   void onFrame(Frame frame) {
     if (!isComplete) {
--- a/rpc/src/main/java/elmsail/rpc/HandshakeHello.java
+++ b/rpc/src/main/java/elmsail/rpc/HandshakeHello.java
@@ -6,13 +6,13 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The first frame of each direction of a connection. The caller's says which process it means to
- * call; the other side's says which process it is. Both use the same three fields.
+ * The first frame of each direction of a connection. The client's names the process that it intends
+ * to call, the server's names itself. Both have the same fields.
  *
- * @param version of the protocol; {@link #VERSION} is the only one that is spoken
+ * @param version of the protocol; {@link #VERSION} is the only one supported
  * @param address "ip:port" of the called process
- * @param instanceId of the called process, drawn at each of its starts; {@link #ANY_INSTANCE} where
- *     the caller does not mind which one answers
+ * @param instanceId of the called process, drawn at random at each start; {@link #ANY_INSTANCE} if
+ *     the client accepts any
  */
 record HandshakeHello(int version, String address, long instanceId) {
 
@@ -22,7 +22,7 @@
   private static final int FIXED_BYTES = 1 + Long.BYTES;
   private static final int MAX_ADDRESS_BYTES = 64;
 
-  /** The frame's payload: the version's byte, the instance id, and the address in ASCII. */
+  /** The payload: one byte of version, the instance id, the address in ASCII. */
   byte[] toPayload() {
     byte[] name = address.getBytes(StandardCharsets.US_ASCII);
     return ByteBuffer.allocate(FIXED_BYTES + name.length)
@@ -33,10 +33,10 @@
   }
 
   /**
-   * Reads a payload.
+   * Decodes a payload.
    *
-   * @throws ElmsailException with UNSUPPORTED_VERSION where the first byte is another version's,
-   *     whatever follows it; GARBLED where the rest is not a hello
+   * @throws ElmsailException {@code UNSUPPORTED_VERSION} if the first byte is another version,
+   *     whatever follows; {@code MALFORMED} if the rest is invalid
    */
   static HandshakeHello fromPayload(byte[] payload) {
     if (payload.length == 0) {
@@ -55,7 +55,7 @@
     return new HandshakeHello(VERSION, address, instanceId);
   }
 
-  /** Whether a process that says this of itself is the one that {@code meant} names. */
+  /** Whether this process is the {@code intended} one. */
   boolean matches(HandshakeHello intended) {
     return address.equals(intended.address)
         && (intended.instanceId == ANY_INSTANCE || intended.instanceId == instanceId);
--- a/rpc/src/main/java/elmsail/rpc/KeepaliveMonitor.java
+++ b/rpc/src/main/java/elmsail/rpc/KeepaliveMonitor.java
@@ -3,23 +3,22 @@
 import elmsail.runtime.Timers;
 
 /**
- * Watches over one connection. The side that opened it pings when nothing was heard while something
- * is outstanding or was a moment ago, and closes it when that brings nothing; the other side
- * answers, and closes only what has long been left.
+ * Keepalive of one connection. The client side pings when nothing was received for a while although
+ * requests are outstanding or were recently, and closes the connection if there is still no
+ * response; the server side responds, and closes only connections that are idle for long.
  */
 final class KeepaliveMonitor {
 
-  /** All in ms. */
   static final long KEEPALIVE_TIME_MS = 400;
 
   static final long KEEPALIVE_TIMEOUT_MS = 1_200;
   static final long RECENT_USE_MS = 5_000;
   static final long IDLE_TIMEOUT_MS = 60_000;
 
-  /** An accepted connection that its opener has not used, nor closed. */
+  /** For an accepted connection that the client neither uses nor closes. */
   static final long ACCEPTED_IDLE_TIMEOUT_MS = 2 * IDLE_TIMEOUT_MS;
 
-  /** An accepted connection whose answers nobody takes. */
+  /** For an accepted connection whose responses are not read. */
   static final long WRITE_STALL_TIMEOUT_MS = 10_000;
 
   static final long RECHECK_DELAY_MS = 10;
@@ -34,16 +33,16 @@
   private long lastReceivedAt;
   private long lastUsedAt;
 
-  /** Since when something is outstanding; -1 if nothing is. */
+  /** The time since which something is outstanding; -1 if nothing is. */
   private long outstandingSince = -1;
 
   private boolean pingOutstanding;
   private boolean recheckScheduled;
 
   /**
-   * For one connection.
+   * Creates the monitor of one connection.
    *
-   * @param opener whether this side opened the connection
+   * @param client whether this side opened the connection
    * @param close closes the connection
    */
   KeepaliveMonitor(
@@ -51,24 +50,24 @@
       RpcCounters counters,
       OutboundQueue out,
       CallTable<?> calls,
-      boolean opener,
+      boolean client,
       Runnable close) {
     this.timers = timers;
     this.counters = counters;
     this.out = out;
     this.calls = calls;
-    this.client = opener;
+    this.client = client;
     this.close = close;
     lastReceivedAt = timers.now();
     lastUsedAt = lastReceivedAt;
   }
 
-  /** The connection was closed: nothing is judged any more. */
+  /** The connection was closed: stops monitoring. */
   void onClosed() {
     closed = true;
   }
 
-  /** A call goes out. */
+  /** A request is being sent. */
   void onRequestSent() {
     lastUsedAt = timers.now();
     if (outstandingSince < 0) {
@@ -76,18 +75,18 @@
     }
   }
 
-  /** Bytes have come. */
+  /** Bytes were received. */
   void onBytesReceived() {
     pingOutstanding = false;
     lastReceivedAt = timers.now();
   }
 
-  /** The bytes that have just come hold a call. */
+  /** The bytes just received contain a request. */
   void onRequestReceived() {
     lastUsedAt = lastReceivedAt;
   }
 
-  /** The process was held up for so long: what the peer said meanwhile has not been looked at. */
+  /** The process was stalled for that long: what the peer sent meanwhile is still unread. */
   void extendAfterStall(long ms) {
     long now = timers.now();
     lastReceivedAt = Math.min(now, lastReceivedAt + ms);
@@ -96,7 +95,7 @@
     }
   }
 
-  /** Looks after the connection; true if it needs that again soon. */
+  /** Sends a ping or closes the connection if due; true if the next sweep is needed soon. */
   boolean sweep() {
     long now = timers.now();
     recordWriteProgress(now);
--- a/rpc/src/main/java/elmsail/rpc/LoopbackCalls.java
+++ b/rpc/src/main/java/elmsail/rpc/LoopbackCalls.java
@@ -4,7 +4,7 @@
 import elmsail.runtime.ErrorCode;
 import elmsail.runtime.Timers;
 
-/** Calls of a process to itself: no connection, but messages are copied and answered later. */
+/** Calls of a process to itself: without a connection, on copies of the messages, never inline. */
 final class LoopbackCalls {
 
   private final Timers timers;
@@ -21,12 +21,12 @@
     this.handlers = handlers;
   }
 
-  /** Calls that have not begun fail BROKEN from here on. */
+  /** Calls that have not begun fail with {@code CONNECTION_LOST} from now on. */
   void close() {
     closed = true;
   }
 
-  /** False if too many are open: the call is not taken then. */
+  /** Starts a call; false, and without effect, if too many are open. */
   boolean start(PendingCall call, Object request) {
     if (openCalls >= RpcConnection.MAX_OPEN_REQUESTS) {
       return false;
--- a/rpc/src/main/java/elmsail/rpc/MessageCodec.java
+++ b/rpc/src/main/java/elmsail/rpc/MessageCodec.java
@@ -11,8 +11,8 @@
 import java.io.OutputStream;
 
 /**
- * Messages to bytes and back. Null fields are left out, so they come back with the default of their
- * class. Used from one thread.
+ * Encodes and decodes messages. Null fields are omitted and are decoded as the default of their
+ * class. Confined to one thread.
  */
 public final class MessageCodec {
 
@@ -21,7 +21,7 @@
   private final Schema<?>[] schemas = new Schema<?>[MessageTypes.size()];
   private final LinkedBuffer buffer = LinkedBuffer.allocate(BUFFER_BYTES);
 
-  /** The number of the message's type; fails with FAULT if it has none. */
+  /** The number of the message's type; throws {@code INTERNAL} if it is not registered. */
   int typeNumber(Object message) {
     int typeNumber =
         message == null ? MessageTypes.NONE : MessageTypes.numberOf(message.getClass());
@@ -33,7 +33,7 @@
     return typeNumber;
   }
 
-  /** Writes a message whose type has that number. */
+  /** Encodes a message whose type has that number. */
   void write(int typeNumber, Object message, OutputStream out) {
     try {
       ProtostuffIOUtil.writeTo(out, message, schema(typeNumber), buffer);
@@ -44,7 +44,7 @@
     }
   }
 
-  /** Fails with GARBLED if the type is not known or the bytes are no such message. */
+  /** Decodes a message; throws {@code MALFORMED} for an unknown type or invalid bytes. */
   Object read(int typeNumber, byte[] bytes, int offset, int length) {
     Schema<Object> schema = schema(typeNumber);
     if (schema == null) {
@@ -59,7 +59,7 @@
     return message;
   }
 
-  /** A message as a datagram carries it: the number of its type in one byte, then the message. */
+  /** Encodes a datagram: one byte of type number, then the message. */
   public byte[] toDatagram(Object message) {
     int typeNumber = typeNumber(message);
     ByteArrayOutputStream out = new ByteArrayOutputStream(BUFFER_BYTES);
@@ -68,7 +68,7 @@
     return out.toByteArray();
   }
 
-  /** Fails with GARBLED if the datagram carries no message of that type. */
+  /** Decodes a datagram; throws {@code MALFORMED} if it contains no message of that type. */
   public <T> T fromDatagram(byte[] datagram, Class<T> type) {
     if (datagram.length == 0 || MessageTypes.typeOf(datagram[0]) != type) {
       throw new ElmsailException(ErrorCode.MALFORMED, "no " + type.getSimpleName());
@@ -76,7 +76,7 @@
     return type.cast(read(datagram[0], datagram, 1, datagram.length - 1));
   }
 
-  /** A message that shares nothing with this one, as a peer would receive it. */
+  /** A deep copy, as a peer would receive it. */
   public <T> T copy(T message) {
     int typeNumber = typeNumber(message);
     ByteArrayOutputStream out = new ByteArrayOutputStream(BUFFER_BYTES);
@@ -88,7 +88,7 @@
     return copy;
   }
 
-  /** How many bytes the message takes, without its frame. */
+  /** The encoded size of the message in bytes, without its frame. */
   public int encodedBytes(Object message) {
     ByteArrayOutputStream out = new ByteArrayOutputStream(BUFFER_BYTES);
     write(typeNumber(message), message, out);
--- a/rpc/src/main/java/elmsail/rpc/MessageTypes.java
+++ b/rpc/src/main/java/elmsail/rpc/MessageTypes.java
@@ -29,10 +29,10 @@
 import elmsail.rpc.messages.Voter;
 import elmsail.rpc.messages.VoterSet;
 
-/** The numbers of the messages' types on the wire: a type's place in the table; append only. */
+/** The numbers of the message types on the wire: indexes of a table that is append-only. */
 final class MessageTypes {
 
-  /** No type: frames without a message. */
+  /** The type number of frames without a message. */
   static final int NONE = 0;
 
   private static final Class<?>[] TABLE = {
@@ -69,17 +69,17 @@
 
   private MessageTypes() {}
 
-  /** One more than the highest number. */
+  /** The highest number plus one. */
   static int size() {
     return TABLE.length;
   }
 
-  /** Null if no type has that number. */
+  /** The type of that number, or null. */
   static Class<?> typeOf(int number) {
     return number > NONE && number < TABLE.length ? TABLE[number] : null;
   }
 
-  /** NONE if the type has no number. */
+  /** The number of the type, or {@link #NONE}. */
   static int numberOf(Class<?> type) {
     for (int i = 1; i < TABLE.length; i++) {
       if (TABLE[i] == type) {
--- a/rpc/src/main/java/elmsail/rpc/OutboundQueue.java
+++ b/rpc/src/main/java/elmsail/rpc/OutboundQueue.java
@@ -5,7 +5,7 @@
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelOutboundBuffer;
 
-/** The frames that were written to one connection and that its socket has not taken yet. */
+/** The frames written to one connection that its socket has not accepted yet. Owns the frames. */
 final class OutboundQueue {
 
   static final long MAX_QUEUED_BYTES = 8 << 20;
@@ -18,7 +18,7 @@
   private Channel channel;
   private boolean flushScheduled;
 
-  /** Bytes of frames that the socket has not taken whole. */
+  /** The bytes of frames that the socket has not accepted completely. */
   private long queuedBytes;
 
   private long acceptedBytes;
@@ -30,26 +30,26 @@
     this.onWriteFailure = failed;
   }
 
-  /** Set before anything else is called. */
-  void channel(Channel opened) {
-    channel = opened;
+  /** Sets the channel; called before anything else. */
+  void channel(Channel openedChannel) {
+    channel = openedChannel;
   }
 
   boolean isEmpty() {
     return queuedBytes == 0;
   }
 
-  /** Whether a frame of so many bytes may be added; any one may where nothing waits. */
+  /** Whether a frame of that size may be added; an empty queue accepts any frame. */
   boolean hasCapacityFor(int bytes) {
     return queuedBytes == 0 || queuedBytes + bytes <= MAX_QUEUED_BYTES;
   }
 
-  /** Whether even frames that are never refused have piled up. */
+  /** Whether even frames that are exempt from the limit have piled up. */
   boolean isOverflowing() {
     return queuedBytes > 2 * MAX_QUEUED_BYTES + Frame.MAX_BYTES;
   }
 
-  /** Writes the frame, which is flushed with all others of this turn of the loop. */
+  /** Writes a frame; flushed together with all others of this iteration of the event loop. */
   void write(ByteBuf frame) {
     int bytes = frame.readableBytes();
     queuedBytes += bytes;
@@ -76,8 +76,8 @@
   }
 
   /**
-   * Whether the socket has taken bytes since the last look although it was full then: these were
-   * acknowledged by the peer's machine.
+   * Whether the socket accepted bytes since the last call although it was full then: the peer's
+   * host acknowledged these.
    */
   boolean hasProgressed() {
     ChannelOutboundBuffer out = channel.unsafe().outboundBuffer();
--- a/rpc/src/main/java/elmsail/rpc/Peer.java
+++ b/rpc/src/main/java/elmsail/rpc/Peer.java
@@ -5,11 +5,12 @@
 import java.util.ArrayDeque;
 
 /**
- * What is kept for each process that was called: its connection, or the calls that wait for one.
+ * The state of one called process: its connection, or the calls that are queued for one. Confined
+ * to the event loop.
  */
 final class Peer {
 
-  /** Ms between attempts at a connection. */
+  /** The delay between connection attempts; doubles up to {@link #MAX_BACKOFF_MS}. */
   static final long INITIAL_BACKOFF_MS = 150;
 
   static final long MAX_BACKOFF_MS = 1_000;
@@ -27,12 +28,12 @@
   private long backoffMs;
 
   /**
-   * The instance that answered last at the address; {@link HandshakeHello#ANY_INSTANCE} before any
-   * did.
+   * The instance of the last complete handshake; {@link HandshakeHello#ANY_INSTANCE} before the
+   * first.
    */
   long instanceId = HandshakeHello.ANY_INSTANCE;
 
-  /** No attempt before that time. */
+  /** No connection attempt begins before this time. */
   long nextAttemptAt;
 
   Peer(String address, long now) {
@@ -40,7 +41,7 @@
     nextAttemptAt = now;
   }
 
-  /** False if too much waits already. */
+  /** Queues a call; false if the queue is full. */
   boolean enqueue(PendingCall call) {
     int bytes = call.frame.readableBytes();
     if (queuedCalls.size() >= MAX_QUEUED_CALLS
@@ -65,13 +66,13 @@
     return all;
   }
 
-  /** An attempt brought nothing. */
+  /** A connection attempt failed. */
   void backOff(long now) {
     backoffMs = backoffMs == 0 ? INITIAL_BACKOFF_MS : Math.min(2 * backoffMs, MAX_BACKOFF_MS);
     nextAttemptAt = now + backoffMs;
   }
 
-  /** The peer was heard. */
+  /** The peer responded. */
   void resetBackoff() {
     backoffMs = 0;
   }
--- a/rpc/src/main/java/elmsail/rpc/PendingCall.java
+++ b/rpc/src/main/java/elmsail/rpc/PendingCall.java
@@ -6,7 +6,7 @@
 import io.netty.buffer.ByteBuf;
 import java.util.concurrent.CompletableFuture;
 
-/** A call that has neither failed nor been answered. */
+/** A call that has neither failed nor been answered yet. Completes its future once. */
 final class PendingCall {
   final long callId;
   final long deadline;
@@ -15,13 +15,13 @@
   private final RpcCounters counters;
   Timers.Timer timer;
 
-  /** The connection that it was sent over; null before, and for calls to oneself. */
+  /** The connection it was sent on; null before that, and for loopback calls. */
   RpcConnection connection;
 
-  /** Whether the sockets were looked at since it fell due, the process having been held up. */
+  /** Whether the deadline was extended once because the process was stalled. */
   boolean deadlineExtended;
 
-  /** The frame while the connection is not there yet; owned by this call. */
+  /** The frame while there is no connection yet; owned by this call. */
   ByteBuf frame;
 
   PendingCall(long number, Class<?> responseType, long dueAt, RpcCounters counters) {
@@ -47,7 +47,7 @@
     }
   }
 
-  /** The peer said that it failed. */
+  /** The peer responded with a failure. */
   void onPeerFailure(ErrorCode code) {
     if (future.isDone()) {
       counters.lateResponses++;
@@ -55,7 +55,7 @@
     }
     timer.cancel();
     counters.failures++;
-    future.completeExceptionally(new ElmsailException(code, "told by the peer"));
+    future.completeExceptionally(new ElmsailException(code, "failure reported by the peer"));
   }
 
   void fail(ErrorCode code, String detail) {
--- a/rpc/src/main/java/elmsail/rpc/RequestHandlers.java
+++ b/rpc/src/main/java/elmsail/rpc/RequestHandlers.java
@@ -3,11 +3,11 @@
 import java.util.concurrent.CompletionStage;
 import java.util.function.Function;
 
-/** Where the handlers of inner calls are put: one for each kind of message. */
+/** Registers the handlers of requests: one for each message class. */
 public interface RequestHandlers {
   /**
-   * The handler runs on the loop; its future may complete later, on the loop, and may fail with a
-   * code.
+   * Registers a handler. It runs on the event loop and must not block; its future may complete
+   * later on the loop, or fail with an {@code ElmsailException} whose code is sent to the caller.
    */
   <Q, A> void register(Class<Q> request, Function<Q, ? extends CompletionStage<A>> handler);
 }
--- a/rpc/src/main/java/elmsail/rpc/RpcAddress.java
+++ b/rpc/src/main/java/elmsail/rpc/RpcAddress.java
@@ -7,12 +7,12 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Addresses as "ip:port"; names are never looked up. */
+/** Addresses as "ip:port"; host names are never resolved. */
 final class RpcAddress {
 
   private RpcAddress() {}
 
-  /** Fails with BAD_SETTINGS. */
+  /** Parses an address; throws {@code INVALID_SETTINGS} if it is invalid. */
   static InetSocketAddress parse(String address) {
     int colon = address.lastIndexOf(':');
     byte[] ip =
--- a/rpc/src/main/java/elmsail/rpc/RpcClient.java
+++ b/rpc/src/main/java/elmsail/rpc/RpcClient.java
@@ -3,13 +3,17 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Calls to other processes. Everything runs on the process's one loop: futures complete there,
- * never inside {@code call}. They fail with an {@code ElmsailException}: UNSENT, BROKEN, SILENT,
- * FULL, NOT_SEATED, GARBLED, MISDIRECTED, UNSUPPORTED_VERSION, FAULT. A call is sent once at most,
- * and no layer below sends it again: whether to repeat it is for who called, by what the message's
- * keys make of a repeat.
+ * Calls other processes. Confined to the event loop: futures complete on it, never inside {@code
+ * call}. They fail with an {@code ElmsailException} whose {@link elmsail.runtime.ErrorCode} says
+ * whether the peer may have executed the call. A call is sent at most once and never retried by
+ * this layer: only the caller knows whether its request is idempotent.
  */
 public interface RpcClient {
-  /** Calls the process whose inner address is {@code peer} ("ip:port"). */
+  /**
+   * Calls a process.
+   *
+   * @param peer its RPC address, "ip:port"
+   * @param timeoutMs time for the response, from now
+   */
   <A> CompletableFuture<A> call(String peer, Object request, Class<A> responseType, long timeoutMs);
 }
--- a/rpc/src/main/java/elmsail/rpc/RpcConnection.java
+++ b/rpc/src/main/java/elmsail/rpc/RpcConnection.java
@@ -10,27 +10,28 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 
 /**
- * One connection between two processes: frames of calls in one direction, of answers in the other.
+ * One connection between two processes: requests in one direction, responses in the other. Confined
+ * to the event loop.
  */
 final class RpcConnection extends ChannelInboundHandlerAdapter {
 
-  /** Who the connections belong to. */
+  /** The owner of the connections. */
   interface Listener {
-    /** Fails with GARBLED if the ask cannot be read. */
+    /** A request came; throws {@code MALFORMED} if it cannot be decoded. */
     void onRequest(RpcConnection connection, Frame request);
 
-    /** The other side has said hello, and the process called is the one that was meant. */
+    /** The other side's hello came, and the called process is the intended one. */
     void onHandshakeComplete(RpcConnection connection);
 
     void onClosed(RpcConnection connection);
   }
 
-  /** Small, so that what a slow peer has taken shows soon. */
+  /** Small, so that write progress to a slow peer is visible soon. */
   static final int SEND_BUFFER_BYTES = 256 << 10;
 
   static final int MAX_OPEN_REQUESTS = 1_024;
 
-  /** Null on the side that accepted. */
+  /** Null on the accepting side. */
   final Peer peer;
 
   private final Listener listener;
@@ -44,7 +45,7 @@
   private Channel channel;
   private boolean closed;
 
-  /** What open calls fail with once the connection has ended. */
+  /** The code that open calls fail with when the connection closes. */
   private ErrorCode closeReason = ErrorCode.CONNECTION_LOST;
 
   private int openRequests;
@@ -71,27 +72,27 @@
     outbound.channel(channel);
   }
 
-  /** Looks after the connection, see {@link KeepaliveMonitor}. */
+  /** The monitor of this connection. */
   KeepaliveMonitor keepalive() {
     return keepalive;
   }
 
-  /** Whether the process meant has answered as such. */
+  /** Whether the intended process has identified itself. */
   boolean isHandshakeComplete() {
     return handshake.isComplete();
   }
 
-  /** The instance that answers; known once it has introduced itself. */
+  /** The peer's instance; known once the handshake is complete. */
   long peerInstanceId() {
     return handshake.peerInstanceId();
   }
 
-  /** Says which process is meant, or which this one is. */
+  /** Sends the hello: the intended process, or this one on the accepting side. */
   void sendHello() {
     outbound.write(Frame.hello(handshake.localHello()));
   }
 
-  /** Whether the call could be queued; the frame is taken over if so. */
+  /** Queues a call; the connection owns the frame if this returns true. */
   boolean send(PendingCall call, ByteBuf frame) {
     if (closed
         || !outbound.hasCapacityFor(frame.readableBytes())
@@ -104,12 +105,12 @@
     return true;
   }
 
-  /** The call has failed: its answer is not waited for. */
+  /** Forgets a failed call: its response will be ignored. */
   void abandon(PendingCall call) {
     calls.remove(call.callId);
   }
 
-  /** Whether there is room for one more ask to be answered. */
+  /** Begins to handle a request; false if too many are in progress. */
   boolean tryBeginRequest() {
     if (openRequests >= MAX_OPEN_REQUESTS) {
       return false;
@@ -148,7 +149,7 @@
     }
   }
 
-  /** An ask that there was no room for. */
+  /** Rejects a request because too many are in progress. */
   void rejectRequest(long callId) {
     writeUnbounded(Frame.failure(callId, ErrorCode.RESOURCE_EXHAUSTED));
   }
@@ -166,7 +167,7 @@
     }
   }
 
-  /** A frame that is not refused: if even these pile up, nobody reads. */
+  /** Writes a frame regardless of the limit; closes the connection if even these pile up. */
   private void writeUnbounded(ByteBuf frame) {
     outbound.write(frame);
     if (outbound.isOverflowing()) {
@@ -215,7 +216,7 @@
       }
       case Frame.PING -> writeUnbounded(Frame.withoutPayload(Frame.PONG, 0));
       default -> {
-        // A pong was heard, which is all that it is for.
+        // A pong needs no handling: any received bytes count as a sign of life.
       }
     }
   }
@@ -229,7 +230,7 @@
     calls.remove(frame.callId()).onResponse(response);
   }
 
-  /** Ends this connection, and nothing else, for what came over it. */
+  /** Closes the connection because of what was received on it. */
   private void onProtocolError(ErrorCode code) {
     switch (code) {
       case MISDIRECTED -> counters.misdirectedConnections++;
@@ -246,7 +247,7 @@
     close();
   }
 
-  /** So that the caller learns why: nothing that it sent has been looked at. */
+  /** Tells the client why the connection closes: nothing that it sent was executed. */
   private void sendHelloAndClose() {
     markClosed();
     channel
--- a/rpc/src/main/java/elmsail/rpc/RpcCounters.java
+++ b/rpc/src/main/java/elmsail/rpc/RpcCounters.java
@@ -2,12 +2,12 @@
 
 import elmsail.runtime.Counters;
 
-/** How inner calls went, since the start; read on the loop. */
+/** Counters of the calls of a process since its start; confined to the event loop. */
 public final class RpcCounters {
   public long calls;
   public long responses;
 
-  /** Calls that the peer answered with a code. */
+  /** Calls for which the peer responded with an error code. */
   public long failures;
 
   public long notSent;
@@ -15,28 +15,28 @@
   public long timeouts;
   public long resourceExhausted;
 
-  /** Answers to calls that had already ended, or that never went out on that connection. */
+  /** Responses to calls that had already completed, or were not sent on that connection. */
   public long lateResponses;
 
-  /** Answers that were ready after their connection had closed. */
+  /** Responses that were ready after their connection had closed. */
   public long undeliveredResponses;
 
-  /** Connections closed for a frame that was none, or that was out of place. */
+  /** Connections closed because of an invalid or unexpected frame. */
   public long malformedConnections;
 
-  /** Connections closed because the process called is not the one that was meant. */
+  /** Connections closed because the called process is not the intended one. */
   public long misdirectedConnections;
 
-  /** Connections closed because the other side speaks another version of the protocol. */
+  /** Connections closed because the peer speaks another protocol version. */
   public long unsupportedVersions;
 
-  /** Answers whose type is not the one that the call waits for. */
+  /** Responses of another type than the call expects. */
   public long unexpectedResponseTypes;
 
-  /** Connections that led to another instance than the one before at the same address. */
+  /** Connections that reached another instance than the previous one at the same address. */
   public long newInstances;
 
-  /** Connections closed for their silence. */
+  /** Connections closed by a keepalive timeout. */
   public long keepaliveTimeouts;
 
   public long requestsReceived;
@@ -46,7 +46,7 @@
   public long bytesReceived;
   public long bytesSent;
 
-  /** Makes these part of the figures of the process. */
+  /** Registers these counters among the metrics of the process. */
   public void registerWith(Counters counters) {
     counters.registerCounter("rpc_calls", () -> calls);
     counters.registerCounter("rpc_answers", () -> responses);
--- a/rpc/src/main/java/elmsail/rpc/RpcEndpoint.java
+++ b/rpc/src/main/java/elmsail/rpc/RpcEndpoint.java
@@ -23,9 +23,9 @@
 import java.util.function.Function;
 
 /**
- * Inner calls over TCP: one connection to each peer, opened when needed, for all calls to it.
- * Everything, the constructor and {@code on} apart, is called on the loop, and all futures complete
- * there.
+ * The RPC client and server of a process: one TCP connection to each peer, opened on demand,
+ * carries all calls to it. Everything but the constructor and {@code register} is called on the
+ * event loop, and all futures complete there.
  */
 public final class RpcEndpoint implements RpcClient, RequestHandlers, AutoCloseable {
 
@@ -44,7 +44,7 @@
   private final Connector connector;
   private final LoopbackCalls loopbackCalls;
 
-  /** Drawn at each start: tells the instances of a process at one address apart. */
+  /** Drawn at random at each start: distinguishes the processes that use one address in turn. */
   private final long instanceId;
 
   private String localAddress;
@@ -71,17 +71,17 @@
     return drawn == HandshakeHello.ANY_INSTANCE ? 1 : drawn;
   }
 
-  /** Drawn at each start; each connection's hello bears it. */
+  /** This process's instance, drawn at random at each start and sent in each hello. */
   public long instanceId() {
     return instanceId;
   }
 
-  /** What has happened on the connections of this endpoint since its start. */
+  /** The counters of this endpoint's connections since its start. */
   public RpcCounters counters() {
     return counters;
   }
 
-  /** Where this process answers. */
+  /** The address that this process listens on, "ip:port". */
   public String address() {
     return localAddress;
   }
@@ -91,7 +91,12 @@
     handlers.register(request, handler);
   }
 
-  /** Done once others can connect; fails with BAD_SETTINGS if the address cannot be listened at. */
+  /**
+   * Binds the address.
+   *
+   * @return completes once peers can connect; fails with {@code INVALID_SETTINGS} if the address
+   *     cannot be bound
+   */
   public CompletableFuture<Void> listen() {
     CompletableFuture<Void> done = new CompletableFuture<>();
     ServerBootstrap server =
@@ -120,7 +125,7 @@
           } else {
             done.completeExceptionally(
                 new ElmsailException(
-                    ErrorCode.INVALID_SETTINGS, "cannot listen at " + localAddress, f.cause()));
+                    ErrorCode.INVALID_SETTINGS, "cannot bind " + localAddress, f.cause()));
           }
         });
     return done;
@@ -149,7 +154,7 @@
         failAsync(call, e.code(), "not a message that can be sent");
       }
     }
-    // The future is completed with objects of the class asked for alone: PendingCall checks it.
+    // PendingCall completes the future only with objects of the requested class.
     @SuppressWarnings("unchecked")
     CompletableFuture<A> future = (CompletableFuture<A>) call.future;
     return future;
@@ -219,7 +224,8 @@
   }
 
   /**
-   * Closes all connections; open calls fail soon after, with BROKEN, those that wait with UNSENT.
+   * Closes all connections. Calls in flight fail with {@code CONNECTION_LOST}, queued ones with
+   * {@code NOT_SENT}.
    */
   @Override
   public void close() {
--- a/rpc/src/main/java/elmsail/rpc/messages/AcceptRequest.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/AcceptRequest.java
@@ -4,7 +4,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Second round at a key; {@code next} asks for a promise of the round after it (round 0: none). */
+/**
+ * Asks a voter to accept a value at a key: the second phase of a ballot. With {@link #nextBallot}
+ * it also asks for the promise of the proposer's next ballot (round 0: none), which saves the
+ * prepare phase of the proposer's next change.
+ */
 public final class AcceptRequest {
   @Tag(1)
   public String set = "";
--- a/rpc/src/main/java/elmsail/rpc/messages/Ballot.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/Ballot.java
@@ -2,7 +2,7 @@
 
 import io.protostuff.Tag;
 
-/** An attempt at a key: compared by round, then by who tries; round 0 is none. */
+/** A ballot number: ordered by round, then by proposer. Round 0 stands for no ballot. */
 public final class Ballot {
   @Tag(1)
   public long round;
--- a/rpc/src/main/java/elmsail/rpc/messages/Blob.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/Blob.java
@@ -2,7 +2,7 @@
 
 import io.protostuff.Tag;
 
-/** An immutable piece of data, kept beside a key until that is dropped. */
+/** Immutable data stored beside a key until the key is dropped. */
 public final class Blob {
   @Tag(1)
   public String name = "";
--- a/rpc/src/main/java/elmsail/rpc/messages/BlobRequest.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/BlobRequest.java
@@ -2,7 +2,7 @@
 
 import io.protostuff.Tag;
 
-/** A blob kept beside a key. */
+/** Asks a voter for a blob of a key. */
 public final class BlobRequest {
   @Tag(1)
   public String set = "";
@@ -16,7 +16,7 @@
   @Tag(4)
   public VoterSet voterSet = new VoterSet();
 
-  /** Also from one that knows to be replaced: its successor in the voter slot isn't voting. */
+  /** Whether a voter responds that knows it was replaced: its successor does not vote yet. */
   @Tag(5)
   public boolean allowReplaced;
 }
--- a/rpc/src/main/java/elmsail/rpc/messages/BlobResponse.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/BlobResponse.java
@@ -3,8 +3,8 @@
 import io.protostuff.Tag;
 
 /**
- * The blob, or that there is none here; the latter counts only from a voter slot under the asker's
- * voter set.
+ * The blob, or that it is absent here. Absence counts only from a voter under the voter set of the
+ * request.
  */
 public final class BlobResponse {
   @Tag(1)
@@ -16,7 +16,7 @@
   @Tag(3)
   public boolean voting;
 
-  /** Filled where the asker's is another. */
+  /** Filled if it differs from the request's. */
   @Tag(4)
   public VoterSet voterSet = new VoterSet();
 }
--- a/rpc/src/main/java/elmsail/rpc/messages/ClusterView.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/ClusterView.java
@@ -4,21 +4,21 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Who is there, as one control-plane node sees it. */
+/** The members of the system as one control-plane node sees them. */
 public final class ClusterView {
-  /** The control-plane nodes (voters on the configuration), the voter slots of set "head". */
+  /** The voters on the configuration: the voter set named "head". */
   @Tag(1)
   public VoterSet controlPlaneVoters = new VoterSet();
 
-  /** The stores' voter slots, set "shelf"; empty before there are any. */
+  /** The voters on batch jobs: the voter set named "shelf"; empty before its bootstrap. */
   @Tag(2)
   public VoterSet jobStoreVoters = new VoterSet();
 
-  /** Inner addresses of the gateways heard of lately. */
+  /** RPC addresses of the gateways with a recent heartbeat. */
   @Tag(3)
   public List<String> gateways = new ArrayList<>();
 
-  /** A voter slot that the asking store shall claim, or -1; and the epoch to claim it with. */
+  /** The voter slot that the receiver is assigned, or -1; {@link #joinEpoch} is its next epoch. */
   @Tag(4)
   public int joinSlot = -1;
 
--- a/rpc/src/main/java/elmsail/rpc/messages/FoundingRequest.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/FoundingRequest.java
@@ -3,14 +3,14 @@
 import io.protostuff.Tag;
 
 /**
- * A round of the seeds' single agreement on the first voters of "head": a promise is asked for, or
- * the acceptance of a proposal.
+ * One phase of the seeds' single-decree agreement on the initial voters of "head": a prepare or an
+ * accept.
  */
 public final class FoundingRequest {
   @Tag(1)
   public long ballot;
 
-  /** False: a promise is asked for. */
+  /** Whether this is an accept; otherwise a prepare. */
   @Tag(2)
   public boolean accept;
 
--- a/rpc/src/main/java/elmsail/rpc/messages/FoundingResponse.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/FoundingResponse.java
@@ -2,16 +2,16 @@
 
 import io.protostuff.Tag;
 
-/** A seed's vote on the first voters of "head". */
+/** A seed's vote on the initial voters of "head". */
 public final class FoundingResponse {
   @Tag(1)
   public boolean granted;
 
-  /** The highest ballot promised. */
+  /** The highest promised ballot. */
   @Tag(2)
   public long promisedBallot;
 
-  /** The ballot of the proposal accepted last; 0 if none was. */
+  /** The ballot of the last accepted proposal; 0 if there is none. */
   @Tag(3)
   public long acceptedBallot;
 
--- a/rpc/src/main/java/elmsail/rpc/messages/HelloRequest.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/HelloRequest.java
@@ -2,7 +2,7 @@
 
 import io.protostuff.Tag;
 
-/** One control-plane node to another before there is a set: who asks. */
+/** Introduces one control-plane node to another before the voter set exists. */
 public final class HelloRequest {
   @Tag(1)
   public String machine = "";
@@ -16,11 +16,11 @@
   @Tag(4)
   public long instanceId;
 
-  /** Whether the asker has a disk, without which it can hold no voter slot. */
+  /** Whether the sender has a disk, without which it cannot be a voter. */
   @Tag(5)
   public boolean hasDisk;
 
-  /** Whether the asker's instance began at the first start of the whole system. */
+  /** Whether the sender's instance began at the first start of the whole system. */
   @Tag(6)
   public boolean firstStart;
 }
--- a/rpc/src/main/java/elmsail/rpc/messages/HelloResponse.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/HelloResponse.java
@@ -2,7 +2,7 @@
 
 import io.protostuff.Tag;
 
-/** Who answers, and the voter slots of "head" as it knows them (none before the founding). */
+/** The responder, and the voter set "head" as it knows it (empty before the bootstrap). */
 public final class HelloResponse {
   @Tag(1)
   public String machine = "";
--- a/rpc/src/main/java/elmsail/rpc/messages/JoinRequest.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/JoinRequest.java
@@ -3,8 +3,8 @@
 import io.protostuff.Tag;
 
 /**
- * A new process, or a new instance of one, takes a voter slot: acknowledged only once it is on
- * disk.
+ * Claims a voter slot for a new process, or for a new instance of a process that lost its disk.
+ * Acknowledged only once the claim is on the receiver's disk.
  */
 public final class JoinRequest {
   @Tag(1)
--- a/rpc/src/main/java/elmsail/rpc/messages/LeaseRequest.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/LeaseRequest.java
@@ -2,20 +2,20 @@
 
 import io.protostuff.Tag;
 
-/** Asks a voter for the lease of a duty, or to renew it; or gives up what was granted in vain. */
+/** Asks a voter to grant or renew a lease, or relinquishes it. */
 public final class LeaseRequest {
   @Tag(1)
   public String lease = "";
 
-  /** The process that asks, drawn anew at each start. */
+  /** The requesting process, drawn at random at each start. */
   @Tag(2)
   public long instanceId;
 
-  /** 0 gives up what was granted in this round and before. */
+  /** Duration in ms; 0 relinquishes what was granted in this round and before. */
   @Tag(3)
   public long durationMs;
 
-  /** Of the asker, rising. */
+  /** Increases with each request of a process. */
   @Tag(4)
   public long round;
 }
--- a/rpc/src/main/java/elmsail/rpc/messages/LeaseResponse.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/LeaseResponse.java
@@ -2,7 +2,7 @@
 
 import io.protostuff.Tag;
 
-/** Whether the lease is granted by this voter; if not, how long it is taken yet, in ms. */
+/** Whether this voter grants the lease; if not, {@link #remainingMs} is how long it is held. */
 public final class LeaseResponse {
   @Tag(1)
   public boolean granted;
--- a/rpc/src/main/java/elmsail/rpc/messages/LoadReport.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/LoadReport.java
@@ -5,28 +5,28 @@
 import java.util.List;
 
 /**
- * A datagram in which a gateway tells others what is open at the servers. Each report replaces the
- * sender's one before it of the same scope, so that lost ones do no lasting harm.
+ * A datagram in which a gateway reports open requests by server. Each report replaces the sender's
+ * previous one of the same scope, so that a lost datagram does no lasting harm.
  */
 public final class LoadReport {
-  /** What the sender itself has open. */
+  /** Scope: the open requests of the sender. */
   public static final int OWN = 0;
 
-  /** What all gateways of the sender's zone have open. */
+  /** Scope: the open requests of all gateways of the sender's zone. */
   public static final int ZONE = 1;
 
-  /** What all gateways that the sender hears of have open, of all zones. */
+  /** Scope: the open requests of all gateways of all zones that the sender knows of. */
   public static final int TOTAL = 2;
 
-  /** The sender's inner address. */
+  /** The sender's RPC address. */
   @Tag(1)
   public String sender = "";
 
-  /** Of the sending process; another one behind the same address counts anew. */
+  /** The sending process; another process at the same address begins a new sequence. */
   @Tag(2)
   public long instanceId;
 
-  /** Rises with each report of an instance. */
+  /** Increases with each report of an instance. */
   @Tag(3)
   public long sequence;
 
@@ -38,7 +38,7 @@
   @Tag(5)
   public int scope;
 
-  /** Servers at which something is open. */
+  /** The servers with open requests. */
   @Tag(6)
   public List<ServerLoadEntry> servers = new ArrayList<>();
 }
--- a/rpc/src/main/java/elmsail/rpc/messages/OpaqueMessage.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/OpaqueMessage.java
@@ -2,7 +2,7 @@
 
 import io.protostuff.Tag;
 
-/** A call that needs no more words: a kind and its bytes, for what one module alone speaks. */
+/** A message whose payload only one module encodes and decodes: its kind and its bytes. */
 public final class OpaqueMessage {
   @Tag(1)
   public String kind = "";
--- a/rpc/src/main/java/elmsail/rpc/messages/PrepareRequest.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/PrepareRequest.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** First round at a key. */
+/** Asks a voter for the promise of a ballot at a key: the first phase of a ballot. */
 public final class PrepareRequest {
   @Tag(1)
   public String set = "";
@@ -22,8 +22,8 @@
   public List<Blob> blobs = new ArrayList<>();
 
   /**
-   * What the keeper of the views needs to know before this is decided (waiting tokens): null or its
-   * bytes.
+   * A side effect for the voter's listener, applied with the promise and before the value is
+   * committed (the reservation of waiting tokens); null if there is none.
    */
   @Tag(6)
   public byte[] sideEffect;
--- a/rpc/src/main/java/elmsail/rpc/messages/PullRequest.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/PullRequest.java
@@ -2,7 +2,10 @@
 
 import io.protostuff.Tag;
 
-/** Who asks, and what it has: held open until something is newer, or the wait is over. */
+/**
+ * A watch: the watcher and the versions that it knows. It is held open until something newer exists
+ * or the wait is over, and serves as a heartbeat.
+ */
 public final class PullRequest {
   @Tag(1)
   public String machine = "";
@@ -21,8 +24,8 @@
   public long instanceId;
 
   /**
-   * A store's or control-plane node's: whether it holds a voter slot and has caught up; the voter
-   * set it knows.
+   * Of a store or control-plane node: whether it votes, that is, holds a voter slot and has caught
+   * up.
    */
   @Tag(6)
   public boolean voting;
@@ -33,7 +36,7 @@
   @Tag(8)
   public VoterSet jobStoreVoters = new VoterSet();
 
-  /** Versions known, one for each source. */
+  /** The known versions, one for each source. */
   @Tag(9)
   public long configVersion;
 
@@ -49,7 +52,7 @@
   @Tag(13)
   public long maxWaitMs;
 
-  /** Whether the asker has a disk, without which it can hold no voter slot. */
+  /** Whether the sender has a disk, without which it cannot be a voter. */
   @Tag(14)
   public boolean hasDisk;
 }
--- a/rpc/src/main/java/elmsail/rpc/messages/PullResponse.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/PullResponse.java
@@ -2,12 +2,12 @@
 
 import io.protostuff.Tag;
 
-/** What is newer; a null part has not changed. */
+/** What is newer than the watcher knows; null parts have not changed. */
 public final class PullResponse {
   @Tag(1)
   public long configVersion;
 
-  /** The configuration as the operator sent it, decided; null if not newer. */
+  /** The committed configuration as the operator sent it; null if not newer. */
   @Tag(2)
   public byte[] config;
 
@@ -17,11 +17,11 @@
   @Tag(4)
   public long serverListVersion;
 
-  /** The servers' list, whole, as JSON entries of the platform; null if not newer. */
+  /** The complete list of servers as JSON entries of the platform; null if not newer. */
   @Tag(5)
   public byte[] servers;
 
-  /** How old that list is, in ms; -1: there is none. */
+  /** The age of that list in ms; -1 if there is none. */
   @Tag(6)
   public long serverListAgeMs = -1;
 
--- a/rpc/src/main/java/elmsail/rpc/messages/ReadRequest.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/ReadRequest.java
@@ -2,7 +2,10 @@
 
 import io.protostuff.Tag;
 
-/** What was accepted last at a key; the value is left out if it was accepted at {@code known}. */
+/**
+ * Asks a voter for the last accepted value of a key. The value is omitted if it was accepted at
+ * {@link #knownBallot}.
+ */
 public final class ReadRequest {
   @Tag(1)
   public String set = "";
@@ -16,7 +19,7 @@
   @Tag(4)
   public VoterSet voterSet = new VoterSet();
 
-  /** Only the ballot is wanted, never the value. */
+  /** Whether the value is omitted in any case. */
   @Tag(5)
   public boolean ballotOnly;
 }
--- a/rpc/src/main/java/elmsail/rpc/messages/RelayedPrepareResponse.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/RelayedPrepareResponse.java
@@ -4,13 +4,13 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What the voters answered to a relayed first round. */
+/** The responses of the voters to a relayed prepare. */
 public final class RelayedPrepareResponse {
-  /** Positions in the round's voter set, in the order of {@link #votes}. */
+  /** Slots of the voter set, in the order of {@link #votes}. */
   @Tag(1)
   public List<Integer> slots = new ArrayList<>();
 
-  /** The answers of those voters; voters that are missing did not answer. */
+  /** The responses of those voters; a missing voter did not respond. */
   @Tag(2)
   public List<VoteResponse> votes = new ArrayList<>();
 }
--- a/rpc/src/main/java/elmsail/rpc/messages/ServerLoadEntry.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/ServerLoadEntry.java
@@ -2,21 +2,21 @@
 
 import io.protostuff.Tag;
 
-/** What is open at one server, as a {@link LoadReport} tells it. */
+/** The open requests at one server, as part of a {@link LoadReport}. */
 public final class ServerLoadEntry {
   /** The server's id in the platform's list. */
   @Tag(1)
   public String server = "";
 
-  /** Requests of clients that have no whole answer yet. */
+  /** Requests of clients whose response is not complete yet. */
   @Tag(2)
   public int requests;
 
-  /** Items of batch jobs that are under way there. */
+  /** Items of batch jobs in flight. */
   @Tag(3)
   public int items;
 
-  /** Prompt tokens of what is open there and has no first byte of an answer. */
+  /** Prompt tokens of requests and items that have no first byte of a response yet. */
   @Tag(4)
   public int prefillTokens;
 }
--- a/rpc/src/main/java/elmsail/rpc/messages/StateTransferRequest.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/StateTransferRequest.java
@@ -2,7 +2,7 @@
 
 import io.protostuff.Tag;
 
-/** A page of all that a set's member keeps, behind a name in order. */
+/** Asks a replica for one page of its records, in the order of their names, after a name. */
 public final class StateTransferRequest {
   @Tag(1)
   public String set = "";
@@ -16,11 +16,11 @@
   @Tag(4)
   public VoterSet voterSet = new VoterSet();
 
-  /** Blobs' names without their bytes. */
+  /** Whether blobs are listed by name, without their bytes. */
   @Tag(5)
   public boolean blobNamesOnly;
 
-  /** Also from one that knows to be replaced: its successor in the voter slot isn't voting. */
+  /** Whether a replica responds that knows it was replaced: its successor does not vote yet. */
   @Tag(6)
   public boolean allowReplaced;
 }
--- a/rpc/src/main/java/elmsail/rpc/messages/StateTransferResponse.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/StateTransferResponse.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * The page: records as the disk holds them, in the order of their names; {@code end} if nothing is
- * behind it.
+ * One page: records as they are on disk, in the order of their names; {@link #lastPage} if no
+ * record follows.
  */
 public final class StateTransferResponse {
   @Tag(1)
@@ -18,7 +18,7 @@
   @Tag(3)
   public boolean voting;
 
-  /** The instance that answers: another one than that which acknowledged the claim is no source. */
+  /** The instance that responds; only the one that acknowledged the claim is a valid source. */
   @Tag(4)
   public long instanceId;
 }
--- a/rpc/src/main/java/elmsail/rpc/messages/VoteResponse.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/VoteResponse.java
@@ -2,20 +2,21 @@
 
 import io.protostuff.Tag;
 
-/** The answer to prepare, accept and read. */
+/** The response of a voter to a prepare, an accept or a read. */
 public final class VoteResponse {
+  /** The voter did what was asked. */
   public static final int OK = 0;
 
-  /** A higher ballot was promised: {@code promised}. */
+  /** A higher ballot was promised: {@link #promised}. Retry above it. */
   public static final int BALLOT_TOO_LOW = 1;
 
-  /** The ask's voter set is old: {@code seating} is newer. */
+  /** The voter set of the request is old: {@link #voterSet} is newer. Retry under it. */
   public static final int STALE_VOTER_SET = 2;
 
-  /** Lost its memory, or holds no voter slot. */
+  /** The receiver lost its durable state, or holds no voter slot. */
   public static final int NOT_A_VOTER = 3;
 
-  /** The views refuse this value here (its waiting tokens are not on this count). */
+  /** The voter's listener does not admit the value (its waiting tokens are not reserved here). */
   public static final int NOT_ADMITTED = 4;
 
   @Tag(1)
@@ -27,20 +28,20 @@
   @Tag(3)
   public Ballot accepted = new Ballot();
 
-  /** Null: none, or the one accepted at {@code known}. */
+  /** Null if nothing was accepted, or if it was accepted at the ballot known to the caller. */
   @Tag(4)
   public byte[] value;
 
   @Tag(5)
   public VoterSet voterSet = new VoterSet();
 
-  /** What the keeper of the views has to tell with a promise (the count); null or its bytes. */
+  /** What the voter's listener adds to a promise (the count of waiting tokens); may be null. */
   @Tag(6)
   public byte[] sideEffect;
 
   /**
-   * What was accepted was copied from another voter slot and not voted for here: it counts as
-   * found, but not towards a majority that took it.
+   * Whether the accepted value came by state transfer: it was observed, but is no vote of this
+   * voter and does not count towards a majority that accepted it.
    */
   @Tag(7)
   public boolean fromStateTransfer;
--- a/rpc/src/main/java/elmsail/rpc/messages/Voter.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/Voter.java
@@ -2,7 +2,7 @@
 
 import io.protostuff.Tag;
 
-/** One vote of a set: who holds it, and which instance of whose disk. */
+/** The holder of one voter slot: its address, its node, and the instance of its disk. */
 public final class Voter {
   @Tag(1)
   public String address = "";
@@ -13,13 +13,13 @@
   @Tag(3)
   public long instanceId;
 
-  /** Goes up by one with each new holder or instance; the higher one is right. */
+  /** Increases by one with each new holder or instance; the higher epoch is current. */
   @Tag(4)
   public int epoch;
 
   /**
-   * Who held the voter slot one epoch earlier, as the claim's maker knew: instance 0 if that isn't
-   * known.
+   * The holder of the slot one epoch earlier, as known to the process that claimed it; instance 0
+   * if unknown.
    */
   @Tag(5)
   public String previousAddress = "";
@@ -31,13 +31,13 @@
   public int previousEpoch;
 
   /**
-   * Whether this holder votes, or voted, under this epoch. Two may claim a voter slot with one
-   * epoch; at most one of them ever votes under it, and the other's claim is void then.
+   * Whether this holder votes, or voted, under this epoch. Two processes may claim a slot under one
+   * epoch; at most one of them ever votes under it, which voids the other's claim.
    */
   @Tag(8)
   public boolean confirmed;
 
-  /** Whether this is right where both are told of the same voter slot. */
+  /** Whether this entry is newer than another entry of the same slot. */
   public boolean supersedes(Voter other) {
     return epoch > other.epoch || epoch == other.epoch && confirmed && !other.confirmed;
   }
--- a/rpc/src/main/java/elmsail/rpc/messages/VoterSet.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/VoterSet.java
@@ -5,8 +5,7 @@
 import java.util.List;
 
 /**
- * The voter slots of one set, in their order. A message of an older voter set is refused, and
- * answered with the newer.
+ * The voters of one set by slot. A request under an older voter set is rejected with the newer one.
  */
 public final class VoterSet {
   @Tag(1)
--- a/rpc/src/test/java/elmsail/rpc/MessageCodecTest.java
+++ b/rpc/src/test/java/elmsail/rpc/MessageCodecTest.java
@@ -47,7 +47,7 @@
   }
 
   @ParameterizedTest
-  @MethodSource("words")
+  @MethodSource("messageTypes")
   void filledMessageRoundTrips(Class<?> type) throws ReflectiveOperationException {
     Random random = new Random(type.getName().hashCode());
     for (int i = 0; i < 50; i++) {
@@ -59,14 +59,14 @@
   }
 
   @ParameterizedTest
-  @MethodSource("words")
+  @MethodSource("messageTypes")
   void newMessageRoundTrips(Class<?> type) throws ReflectiveOperationException {
     Object message = type.getDeclaredConstructor().newInstance();
     assertSame(type.getSimpleName(), message, codec.copy(message));
   }
 
   @ParameterizedTest
-  @MethodSource("words")
+  @MethodSource("messageTypes")
   void nullFieldDecodesToItsDefault(Class<?> type) throws ReflectiveOperationException {
     Object message = type.getDeclaredConstructor().newInstance();
     for (Field field : fields(type)) {
@@ -79,7 +79,7 @@
   }
 
   @ParameterizedTest
-  @MethodSource("words")
+  @MethodSource("messageTypes")
   void typeNumberIsThatOfTheTable(Class<?> type) throws ReflectiveOperationException {
     int number = codec.typeNumber(type.getDeclaredConstructor().newInstance());
     assertThat(MessageTypes.typeOf(number), equalTo((Object) type));
--- a/runtime/src/main/java/elmsail/runtime/ProcessSignals.java
+++ b/runtime/src/main/java/elmsail/runtime/ProcessSignals.java
@@ -57,7 +57,7 @@
   public void onTerminate() {
     if (!terminating) {
       terminating = true;
-      LOG.info("asked to end");
+      LOG.info("SIGTERM received, shutting down");
       onTerminate.run();
     }
   }
