--- a/controlplane/src/main/java/elmsail/controlplane/ConfigChangeHandler.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ConfigChangeHandler.java
@@ -75,7 +75,25 @@
     this.counters = counters;
   }
 
-  /** One call: its change, and the reply that the last attempt decided on. */
+  /**
+   * The reply that a committed value proves.
+   *
+   * @param status 200 or an error of HTTP
+   * @param reason for an error
+   */
+  private record Decision(int status, String reason) {
+    /** The change is in the history, or is committed by this call. */
+    static final Decision ACCEPTED = new Decision(200, "");
+
+    /** No committed value was seen yet. */
+    static final Decision UNDECIDED = new Decision(503, "not reached");
+
+    SimpleHttpResponse toReply() {
+      return status == 200 ? Replies.json(200, "{}") : Replies.error(status, reason);
+    }
+  }
+
+  /** One call: its change, and what the last attempt decided. */
   private static final class PendingChange {
     final long baseVersion;
     final byte[] digest;
@@ -86,8 +104,7 @@
 
     final String validationError;
     final CompletableFuture<SimpleHttpResponse> reply = new CompletableFuture<>();
-    int status;
-    String reason = "";
+    Decision decision = Decision.UNDECIDED;
     boolean outcomeUnknown;
 
     PendingChange(
@@ -103,9 +120,9 @@
       this.deadlineMs = deadlineMs;
     }
 
-    Register.ProposedValue decline(int status, String reason) {
-      this.status = status;
-      this.reason = reason;
+    /** Leaves the register's value as it is, with that decision. */
+    Register.ProposedValue decline(Decision declined) {
+      decision = declined;
       return new Register.ProposedValue(null, List.of());
     }
   }
@@ -164,31 +181,32 @@
       PendingChange pending, Register.ObservedState observed) {
     ConfigHistory current = ConfigHistory.decode(observed.value());
     return switch (current.statusOf(pending.baseVersion, pending.digest)) {
-      case COMMITTED -> pending.decline(200, "");
+      case COMMITTED -> pending.decline(Decision.ACCEPTED);
       case APPLICABLE -> applyToCurrent(pending, current);
-      case SUPERSEDED -> pending.decline(412, "current: " + current.version());
+      case SUPERSEDED -> pending.decline(new Decision(412, "current: " + current.version()));
       case BASE_NOT_COMMITTED ->
-          pending.decline(503, "not in force yet; current: " + current.version());
-      case BASE_FORGOTTEN -> pending.decline(503, "too old to tell; current: " + current.version());
+          pending.decline(new Decision(503, "not in force yet; current: " + current.version()));
+      case BASE_FORGOTTEN ->
+          pending.decline(new Decision(503, "too old to tell; current: " + current.version()));
     };
   }
 
   private static Register.ProposedValue applyToCurrent(
       PendingChange pending, ConfigHistory current) {
     if (pending.validationError != null) {
-      return pending.decline(400, pending.validationError);
+      return pending.decline(new Decision(400, pending.validationError));
     }
     long version = pending.change.version();
     if (version <= current.version()) {
-      return pending.decline(400, "edition: not above " + current.version());
+      return pending.decline(new Decision(400, "edition: not above " + current.version()));
     }
     byte[] changed;
     try {
       changed = pending.change.applyTo(current.configBytes());
     } catch (ElmsailException e) {
-      return pending.decline(400, validationError(e));
+      return pending.decline(new Decision(400, validationError(e)));
     }
-    pending.status = 200;
+    pending.decision = Decision.ACCEPTED;
     return new Register.ProposedValue(
         current.append(version, changed, pending.digest).encode(), List.of());
   }
@@ -208,10 +226,7 @@
     if (outcome.changed()) {
       commitListener.accept(pending.change.version());
     }
-    pending.reply.complete(
-        pending.status == 200
-            ? Replies.json(200, "{}")
-            : Replies.error(pending.status, pending.reason));
+    pending.reply.complete(pending.decision.toReply());
   }
 
   private static long parseVersion(String text) {
--- a/controlplane/src/test/java/elmsail/controlplane/BoundedStateTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/BoundedStateTest.java
@@ -23,12 +23,12 @@
   @Test
   void fullDecommissionListIsStillReadable() {
     Set<String> names = new LinkedHashSet<>();
-    for (int i = 0; i < DecommissionList.MAX_NODES - 1; i++) {
+    for (int i = 0; i < DecommissionList.MAX_MACHINES - 1; i++) {
       names.add("vault-" + i);
     }
     byte[] full = DecommissionList.encodeWith(names, "last");
     Set<String> read = DecommissionList.decode(full);
-    assertThat(read, hasSize(DecommissionList.MAX_NODES));
+    assertThat(read, hasSize(DecommissionList.MAX_MACHINES));
     ElmsailException thrown =
         assertThrows(ElmsailException.class, () -> DecommissionList.encodeWith(read, "one more"));
     assertThat(thrown.code(), is(ErrorCode.RESOURCE_EXHAUSTED));
