--- a/batch/src/test/java/elmsail/batch/BatchFaultSimulationTest.java
+++ b/batch/src/test/java/elmsail/batch/BatchFaultSimulationTest.java
@@ -9,6 +9,7 @@
 import static org.hamcrest.Matchers.not;
 import static org.hamcrest.Matchers.startsWith;
 
+import elmsail.batch.api.BatchApi;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -193,55 +194,57 @@
   }
 
   private static void checkEnd(FaultRun faultRun) {
-    ReplicatedBatchCluster cluster = faultRun.cluster;
-    String where = ", seed " + cluster.seed;
-    for (SimServers servers : cluster.allServers) {
+    for (SimServers servers : faultRun.cluster.allServers) {
       for (SimServers.Run run : servers.runs) {
-        String id = run.item.id().substring(0, run.item.id().indexOf('-'));
-        ObservedJob observed = faultRun.jobs.get(id);
-        boolean promised = !observed.statuses.stream().anyMatch(s -> s != 429 && s != 503);
-        assertThat(id + " ran though each try was refused" + where, promised, is(false));
-        if (observed.cancelledAt >= 0) {
-          assertThat(
-              id + " ran after its end" + where,
-              run.startedAt - observed.cancelledAt,
-              lessThanOrEqualTo(3_000L));
-        }
+        checkRun(faultRun, run);
       }
     }
     for (Map.Entry<String, ObservedJob> job : faultRun.jobs.entrySet()) {
       if (job.getValue().accepted) {
-        BatchService.Reply reply =
-            cluster.await(cluster.gateways.get(0).batchApi.readResults(job.getKey(), 0, 0));
-        assertThat(job.getKey() + where, reply.status(), is(200));
-        faultRun.check(job.getKey(), reply);
-        String body = new String(reply.body(), StandardCharsets.UTF_8);
-        if (!job.getValue().cancelRequested) {
-          for (int i = 0; i < ITEMS; i++) {
-            String item = job.getKey() + "-" + i;
-            assertThat(
-                where,
-                body,
-                containsString(
-                    "{\"id\":\""
-                        + item
-                        + "\",\"state\":\"delivered\",\"message\":\""
-                        + item
-                        + "/0\\u000a"
-                        + item
-                        + "/1\"}"));
-          }
-        }
-        BatchService.Reply item =
-            cluster.await(
-                cluster.gateways.get(1).batchApi.readItemBody(job.getKey(), job.getKey() + "-1"));
-        assertThat(
-            item.status() + new String(item.body(), StandardCharsets.UTF_8) + where,
-            is("200body " + job.getKey() + "1" + where));
+        checkResults(faultRun, job.getKey(), job.getValue());
+        checkItemBody(faultRun, job.getKey());
       }
     }
   }
 
+  /** No item of a rejected job runs, and none of a cancelled one long after its cancellation. */
+  private static void checkRun(FaultRun faultRun, SimServers.Run run) {
+    String where = ", seed " + faultRun.cluster.seed;
+    String jobId = run.item.id().substring(0, run.item.id().indexOf('-'));
+    ObservedJob observed = faultRun.jobs.get(jobId);
+    boolean rejected = observed.statuses.stream().allMatch(s -> s == 429 || s == 503);
+    assertThat(jobId + " ran though each attempt was rejected" + where, rejected, is(false));
+    if (observed.cancelledAt >= 0) {
+      assertThat(
+          jobId + " ran after its cancellation" + where,
+          run.startedAt - observed.cancelledAt,
+          lessThanOrEqualTo(3_000L));
+    }
+  }
+
+  private static void checkResults(FaultRun faultRun, String jobId, ObservedJob observed) {
+    String where = ", seed " + faultRun.cluster.seed;
+    BatchApi batchApi = faultRun.cluster.gateways.get(0).batchApi;
+    BatchService.Reply reply = faultRun.cluster.await(batchApi.readResults(jobId, 0, 0));
+    assertThat(jobId + where, reply.status(), is(200));
+    faultRun.check(jobId, reply);
+    String body = new String(reply.body(), StandardCharsets.UTF_8);
+    if (!observed.cancelRequested) {
+      for (int i = 0; i < ITEMS; i++) {
+        assertThat(where, body, containsString(JobJson.completedResult(jobId + "-" + i)));
+      }
+    }
+  }
+
+  private static void checkItemBody(FaultRun faultRun, String jobId) {
+    BatchApi batchApi = faultRun.cluster.gateways.get(1).batchApi;
+    BatchService.Reply item = faultRun.cluster.await(batchApi.readItemBody(jobId, jobId + "-1"));
+    String where = ", seed " + faultRun.cluster.seed;
+    assertThat(jobId + where, item.status(), is(200));
+    assertThat(
+        jobId + where, new String(item.body(), StandardCharsets.UTF_8), is("body " + jobId + "1"));
+  }
+
   @Test
   void invariantsHoldUnderRandomFaults() {
     int accepted = 0;
--- a/batch/src/test/java/elmsail/batch/BodyRelayFaultTest.java
+++ b/batch/src/test/java/elmsail/batch/BodyRelayFaultTest.java
@@ -7,9 +7,7 @@
 
 import elmsail.batch.messages.JobRecord;
 import elmsail.batch.messages.WaitingTokens;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
-import java.util.Base64;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
@@ -25,19 +23,6 @@
   /** More than a job takes to be accepted if its body is sent to every store directly. */
   private static final long DIRECT_MS = 800;
 
-  private static byte[] job(String id, int items, long tokens) {
-    String contents =
-        Base64.getEncoder()
-            .encodeToString("x".repeat(ITEM_BYTES).getBytes(StandardCharsets.US_ASCII));
-    StringBuilder json = new StringBuilder("{\"pieces\":[");
-    for (int i = 0; i < items; i++) {
-      json.append(i == 0 ? "" : ",")
-          .append("{\"id\":\"" + id + "-" + i + "\",\"lane\":\"/lots1/x/1\",\"envelope\":{},")
-          .append("\"contents\":\"" + contents + "\",\"tokens\":" + tokens + "}");
-    }
-    return json.append("]}").toString().getBytes(StandardCharsets.UTF_8);
-  }
-
   private static ReplicatedBatchCluster cluster(long seed, int gateways, long limit) {
     ReplicatedBatchCluster cluster = new ReplicatedBatchCluster(seed, gateways, limit, STORES);
     cluster.net.uplink(cluster.gateways.get(0).address, BYTES_PER_MS);
@@ -47,7 +32,11 @@
 
   private static CompletableFuture<BatchService.Reply> submit(
       ReplicatedBatchCluster cluster, String id) {
-    return cluster.gateways.get(0).batchApi.submit(cluster.route(), id, job(id, ITEMS, 10), 3_000);
+    return cluster
+        .gateways
+        .get(0)
+        .batchApi
+        .submit(cluster.route(), id, JobJson.largeJob(id, ITEMS, 10, ITEM_BYTES), 3_000);
   }
 
   @Test
@@ -130,7 +119,7 @@
                 .gateways
                 .get(i % 4)
                 .batchApi
-                .submit(cluster.route(), id, job(id, ITEMS, 10), 3_000));
+                .submit(cluster.route(), id, JobJson.largeJob(id, ITEMS, 10, ITEM_BYTES), 3_000));
         cluster.timers.advance(cluster.random.nextInt(20));
       }
       int accepted = 0;
@@ -184,7 +173,11 @@
       ReplicatedBatchCluster.StoreNode behind = cluster.stores.get(4);
       cluster.net.delay(cluster.stores.get(0).address, behind.address, 900, 900);
       CompletableFuture<BatchService.Reply> large =
-          cluster.gateways.get(0).batchApi.submit(cluster.route(), "a", job("a", ITEMS, 3), 3_000);
+          cluster
+              .gateways
+              .get(0)
+              .batchApi
+              .submit(cluster.route(), "a", JobJson.largeJob("a", ITEMS, 3, ITEM_BYTES), 3_000);
       cluster.timers.advance(offset);
       cluster.submit(cluster.gateways.get(1), "c" + offset, 1, 600);
       int status = cluster.await(large).status();
--- a/batch/src/test/java/elmsail/batch/FailingItemsTest.java
+++ b/batch/src/test/java/elmsail/batch/FailingItemsTest.java
@@ -128,8 +128,8 @@
     SimBatchCluster cluster = accepted(35, 2, 1);
     Route route = cluster.route();
     cluster.gateways.get(1).initialConfig = new SimConfig(2, List.of());
-    byte[] same = SimBatchCluster.job("a", 1, 10);
-    byte[] other = SimBatchCluster.job("b", 1, 10);
+    byte[] same = JobJson.job("a", 1, 10);
+    byte[] other = JobJson.job("b", 1, 10);
     BatchService second = cluster.gateways.get(1).batchApi;
     assertThat(cluster.status(second.submit(route, "a", same, 3_000)), is(202));
     assertThat(cluster.status(second.submit(route, "b", other, 3_000)), is(400));
--- a/batch/src/test/java/elmsail/batch/JobLeaseTest.java
+++ b/batch/src/test/java/elmsail/batch/JobLeaseTest.java
@@ -247,15 +247,7 @@
       String end = cluster.read(0, "a", 0);
       assertThat("seed " + seed, end, containsString("\"next_token\":20"));
       for (int i = 0; i < 20; i++) {
-        String message =
-            "{\"id\":\"a-"
-                + i
-                + "\",\"state\":\"delivered\",\"message\":\"a-"
-                + i
-                + "/0\\u000aa-"
-                + i
-                + "/1\"}";
-        assertThat("seed " + seed, end, containsString(message));
+        assertThat("seed " + seed, end, containsString(JobJson.completedResult("a-" + i)));
       }
     }
   }
--- a/batch/src/test/java/elmsail/batch/NarrowUplinkTest.java
+++ b/batch/src/test/java/elmsail/batch/NarrowUplinkTest.java
@@ -5,8 +5,6 @@
 import static org.hamcrest.Matchers.lessThan;
 import static org.hamcrest.Matchers.lessThanOrEqualTo;
 
-import java.nio.charset.StandardCharsets;
-import java.util.Base64;
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
@@ -29,29 +27,12 @@
   /** Within which the reply to a submission is due on this route. */
   private static final long DUE_MS = 500;
 
-  private static byte[] job(String id) {
-    String contents =
-        Base64.getEncoder()
-            .encodeToString("x".repeat(ITEM_BYTES).getBytes(StandardCharsets.US_ASCII));
-    StringBuilder json = new StringBuilder("{\"pieces\":[");
-    for (int i = 0; i < ITEMS; i++) {
-      json.append(i == 0 ? "" : ",")
-          .append("{\"id\":\"")
-          .append(id)
-          .append('-')
-          .append(i)
-          .append("\",\"lane\":\"/lots1/x/1\",\"envelope\":{},\"contents\":\"")
-          .append(contents)
-          .append("\",\"tokens\":10}");
-    }
-    return json.append("]}").toString().getBytes(StandardCharsets.UTF_8);
-  }
-
   private static long acceptMs(ReplicatedBatchCluster cluster, String id) {
     ReplicatedBatchCluster.Gateway gateway = cluster.gateways.get(0);
     long startedAt = cluster.timers.now();
     CompletableFuture<BatchService.Reply> reply =
-        gateway.batchApi.submit(cluster.route(), id, job(id), 3_000);
+        gateway.batchApi.submit(
+            cluster.route(), id, JobJson.largeJob(id, ITEMS, 10, ITEM_BYTES), 3_000);
     assertThat(cluster.await(reply).status(), is(202));
     return cluster.timers.now() - startedAt;
   }
--- a/batch/src/test/java/elmsail/batch/ReplicatedBatchCluster.java
+++ b/batch/src/test/java/elmsail/batch/ReplicatedBatchCluster.java
@@ -264,7 +264,7 @@
   }
 
   CompletableFuture<BatchService.Reply> submit(Gateway gateway, String id, int items, long tokens) {
-    return gateway.batchApi.submit(route(), id, SimBatchCluster.job(id, items, tokens), 3_000);
+    return gateway.batchApi.submit(route(), id, JobJson.job(id, items, tokens), 3_000);
   }
 
   /** The reply, or null if there is none within 6 s, as the gateway has crashed. */
--- a/batch/src/test/java/elmsail/batch/SimBatchCluster.java
+++ b/batch/src/test/java/elmsail/batch/SimBatchCluster.java
@@ -20,7 +20,6 @@
 import elmsail.runtime.Timers;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
-import java.util.Base64;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -261,31 +260,11 @@
     };
   }
 
-  /** The JSON of a job whose items have the ids JOB-0, JOB-1 and so on. */
-  static byte[] job(String id, int items, long tokens) {
-    StringBuilder json = new StringBuilder("{\"pieces\":[");
-    for (int i = 0; i < items; i++) {
-      json.append(i == 0 ? "" : ",")
-          .append("{\"id\":\"")
-          .append(id)
-          .append('-')
-          .append(i)
-          .append("\",\"lane\":\"/lots1/x/")
-          .append(i)
-          .append("\",\"envelope\":{\"Elmsail-Model\":\"m\"},")
-          .append("\"contents\":\"")
-          .append(
-              Base64.getEncoder()
-                  .encodeToString(("body " + id + i).getBytes(StandardCharsets.UTF_8)))
-          .append("\",\"tokens\":")
-          .append(tokens)
-          .append('}');
-    }
-    return json.append("]}").toString().getBytes(StandardCharsets.UTF_8);
-  }
-
   CompletableFuture<BatchService.Reply> submit(int gateway, String id, int items, long tokens) {
-    return gateways.get(gateway).batchApi.submit(route(), id, job(id, items, tokens), 3_000);
+    return gateways
+        .get(gateway)
+        .batchApi
+        .submit(route(), id, JobJson.job(id, items, tokens), 3_000);
   }
 
   /** Advances the clock until there is a reply, by 10 s at most. */
