--- a/batch/src/test/java/elmsail/batch/SubmitHandlerTest.java
+++ b/batch/src/test/java/elmsail/batch/SubmitHandlerTest.java
@@ -255,9 +255,7 @@
     assertThat(
         cluster.status(calls.submit(cluster.route(), "a", "{".getBytes(UTF_8), 1_000)), is(400));
     byte[] withoutRoute =
-        new String(JobJson.job("a", 1, 1), UTF_8)
-            .replace("/lots1/", "/other/")
-            .getBytes(UTF_8);
+        new String(JobJson.job("a", 1, 1), UTF_8).replace("/lots1/", "/other/").getBytes(UTF_8);
     assertThat(cluster.status(calls.submit(cluster.route(), "a", withoutRoute, 1_000)), is(400));
     assertThat(
         cluster.status(calls.submit(cluster.route(), "a", JobJson.job("a", 201, 1), 1_000)),
