--- a/soak/src/test/java/elmsail/soak/FaultHistory.java
+++ b/soak/src/test/java/elmsail/soak/FaultHistory.java
@@ -29,8 +29,8 @@
    *
    * @param affectsAll whether it takes all machines out of touch, as faults of voters do
    */
-  synchronized Entry begin(Set<String> machines, boolean ofCore, long atMs) {
-    Entry entry = new Entry(Set.copyOf(machines), ofCore, atMs);
+  synchronized Entry begin(Set<String> machines, boolean affectsAll, long atMs) {
+    Entry entry = new Entry(Set.copyOf(machines), affectsAll, atMs);
     entries.add(entry);
     return entry;
   }
