--- a/config/src/test/java/elmsail/config/ConfigAmendmentTest.java
+++ b/config/src/test/java/elmsail/config/ConfigAmendmentTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Amendments of a configuration: what they change, what they keep, and which are refused. */
+/** Amendments of a configuration: what they change, what they keep, and which are rejected. */
 class ConfigAmendmentTest {
   private static final String BEFORE =
       """
@@ -127,7 +127,7 @@
     assertThat(read.routeByName("r-2"), nullValue());
   }
 
-  /** Against a map: any sequence of amendments leaves the items that the map has. */
+  /** Model test: any sequence of amendments leaves the items that a map holds. */
   @Test
   void sequencesOfAmendmentsAgreeWithAMapModel() {
     for (int seed = 1; seed <= 50; seed++) {
--- a/config/src/test/java/elmsail/config/RouteMatchTest.java
+++ b/config/src/test/java/elmsail/config/RouteMatchTest.java
@@ -16,18 +16,18 @@
 import org.junit.jupiter.api.Test;
 
 class RouteMatchTest {
-  private static RoutingConfig of(String... places) {
+  private static RoutingConfig configOf(String... hostsAndPrefixes) {
     StringBuilder routes = new StringBuilder();
-    for (String place : places) {
-      int slash = place.indexOf('/');
+    for (String hostAndPrefix : hostsAndPrefixes) {
+      int slash = hostAndPrefix.indexOf('/');
       routes
           .append(routes.length() == 0 ? "" : ",")
           .append("{\"name\":\"")
-          .append(place)
+          .append(hostAndPrefix)
           .append("\",\"depot\":\"")
-          .append(place, 0, slash)
+          .append(hostAndPrefix, 0, slash)
           .append("\",\"lane_prefix\":\"")
-          .append(place.substring(slash))
+          .append(hostAndPrefix.substring(slash))
           .append("\",\"route_class\":\"safe\",\"give_up_ms\":1,\"postal_line\":\"s\"}");
     }
     return RoutingConfigReader.read(
@@ -35,7 +35,7 @@
             "{\"edition\":1,\"postal_lines\":[{\"name\":\"s\"}],\"routes\":[" + routes + "]}"));
   }
 
-  private static String found(RoutingConfig config, String host, String path) {
+  private static String matchedRoute(RoutingConfig config, String host, String path) {
     Route route = config.match(host, path);
     return route == null ? null : route.name();
   }
@@ -43,29 +43,29 @@
   @Test
   void longestPrefixWins() {
     RoutingConfig config =
-        of("a.example/x/", "a.example/x/y/z/", "a.example/x/y/", "b.example/x/y/");
-    assertThat(found(config, "a.example", "/x/y/z/1"), equalTo("a.example/x/y/z/"));
-    assertThat(found(config, "a.example", "/x/y/z"), equalTo("a.example/x/y/"));
-    assertThat(found(config, "a.example", "/x/y"), equalTo("a.example/x/"));
-    assertThat(found(config, "a.example", "/x/"), equalTo("a.example/x/"));
-    assertThat(found(config, "a.example", "/x"), nullValue());
-    assertThat(found(config, "a.example", "/X/"), nullValue());
-    assertThat(found(config, "b.example", "/x/z/"), nullValue());
-    assertThat(found(config, "c.example", "/x/"), nullValue());
-    assertThat(found(config, null, "/x/"), nullValue());
+        configOf("a.example/x/", "a.example/x/y/z/", "a.example/x/y/", "b.example/x/y/");
+    assertThat(matchedRoute(config, "a.example", "/x/y/z/1"), equalTo("a.example/x/y/z/"));
+    assertThat(matchedRoute(config, "a.example", "/x/y/z"), equalTo("a.example/x/y/"));
+    assertThat(matchedRoute(config, "a.example", "/x/y"), equalTo("a.example/x/"));
+    assertThat(matchedRoute(config, "a.example", "/x/"), equalTo("a.example/x/"));
+    assertThat(matchedRoute(config, "a.example", "/x"), nullValue());
+    assertThat(matchedRoute(config, "a.example", "/X/"), nullValue());
+    assertThat(matchedRoute(config, "b.example", "/x/z/"), nullValue());
+    assertThat(matchedRoute(config, "c.example", "/x/"), nullValue());
+    assertThat(matchedRoute(config, null, "/x/"), nullValue());
   }
 
   @Test
   void ignoresCaseAndPortOfTheHost() {
-    RoutingConfig config = of("a.example/");
-    assertThat(found(config, "A.Example", "/"), equalTo("a.example/"));
-    assertThat(found(config, "a.example:8161", "/q"), equalTo("a.example/"));
-    assertThat(found(config, "A.EXAMPLE:", "/q"), equalTo("a.example/"));
-    assertThat(found(config, "a.example.", "/q"), nullValue());
-    assertThat(found(config, "a.example", "*"), nullValue());
-    assertThat(found(config, ":", "/"), nullValue());
-    assertThat(found(of("[::1]/"), "[::1]", "/"), equalTo("[::1]/"));
-    assertThat(found(of("[::1]/"), "[::1]:80", "/"), equalTo("[::1]/"));
+    RoutingConfig config = configOf("a.example/");
+    assertThat(matchedRoute(config, "A.Example", "/"), equalTo("a.example/"));
+    assertThat(matchedRoute(config, "a.example:8161", "/q"), equalTo("a.example/"));
+    assertThat(matchedRoute(config, "A.EXAMPLE:", "/q"), equalTo("a.example/"));
+    assertThat(matchedRoute(config, "a.example.", "/q"), nullValue());
+    assertThat(matchedRoute(config, "a.example", "*"), nullValue());
+    assertThat(matchedRoute(config, ":", "/"), nullValue());
+    assertThat(matchedRoute(configOf("[::1]/"), "[::1]", "/"), equalTo("[::1]/"));
+    assertThat(matchedRoute(configOf("[::1]/"), "[::1]:80", "/"), equalTo("[::1]/"));
   }
 
   @Provide
@@ -91,15 +91,15 @@
   @Property(tries = 300)
   void agreesWithALinearSearch(
       @ForAll("prefixes") List<String> prefixes, @ForAll("paths") String path) {
-    Set<String> places = new LinkedHashSet<>();
+    Set<String> hostsAndPrefixes = new LinkedHashSet<>();
     String best = null;
     for (String prefix : prefixes) {
-      places.add("h" + prefix);
+      hostsAndPrefixes.add("h" + prefix);
       if (path.startsWith(prefix) && (best == null || prefix.length() + 1 > best.length())) {
         best = "h" + prefix;
       }
     }
-    RoutingConfig config = of(new ArrayList<>(places).toArray(new String[0]));
-    assertThat(found(config, "h", path), equalTo(best));
+    RoutingConfig config = configOf(new ArrayList<>(hostsAndPrefixes).toArray(new String[0]));
+    assertThat(matchedRoute(config, "h", path), equalTo(best));
   }
 }
--- a/config/src/test/java/elmsail/config/SampleConfigs.java
+++ b/config/src/test/java/elmsail/config/SampleConfigs.java
@@ -2,7 +2,7 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** Configurations and lists as the protocol shows them. */
+/** Configurations and servers as in the protocol's examples. */
 public final class SampleConfigs {
   private SampleConfigs() {}
 
--- a/config/src/test/java/elmsail/config/watch/ConfigWatcherRig.java
+++ b/config/src/test/java/elmsail/config/watch/ConfigWatcherRig.java
@@ -15,7 +15,7 @@
 import java.util.function.Supplier;
 import org.junit.jupiter.api.BeforeEach;
 
-/** A watcher, three control-plane nodes and links that tests cut; the clock is moved by hand. */
+/** A watcher, three control-plane nodes and a network that tests partition; the clock is manual. */
 abstract class ConfigWatcherRig {
   static final String A = "10.1.0.13:7721";
   static final String B = "10.2.0.30:7721";
--- a/config/src/test/java/elmsail/config/watch/ConfigWatcherServersTest.java
+++ b/config/src/test/java/elmsail/config/watch/ConfigWatcherServersTest.java
@@ -16,7 +16,7 @@
 class ConfigWatcherServersTest extends ConfigWatcherRig {
   private int completeLists;
 
-  /** Counts the answers that bring a whole list. */
+  /** Counts the responses that bring a complete list. */
   private void count(String address, WatchServer controlPlane) {
     links.controlPlanes.put(
         address,
@@ -30,7 +30,7 @@
                     }));
   }
 
-  /** How many whole lists the control-plane nodes send within a second of a new version. */
+  /** Number of complete lists that the nodes send within a second of a new version. */
   private int listsSent(long version, WatchServer... notaries) {
     completeLists = 0;
     for (WatchServer controlPlane : notaries) {
--- a/config/src/test/java/elmsail/config/watch/ConfigWatcherTest.java
+++ b/config/src/test/java/elmsail/config/watch/ConfigWatcherTest.java
@@ -45,12 +45,12 @@
 
   @Test
   void storeReportsItsCurrentStatusWithEachRequest() {
-    List<StoreStatus> part = new ArrayList<>(List.of(StoreStatus.NONE));
-    ConfigWatcher store = watcher(PeerRole.STORE, Set.of("vault"), () -> part.get(0));
+    List<StoreStatus> status = new ArrayList<>(List.of(StoreStatus.NONE));
+    ConfigWatcher store = watcher(PeerRole.STORE, Set.of("vault"), () -> status.get(0));
     store.start();
     assertThat(links.lastRequest(A).voting, equalTo(false));
     VoterSet jobStoreVoters = voterSet("v:1", 4);
-    part.set(0, new StoreStatus(true, true, jobStoreVoters));
+    status.set(0, new StoreStatus(true, true, jobStoreVoters));
     timers.advance(1_100);
     assertThat(links.lastRequest(A).voting, equalTo(true));
     assertThat(links.lastRequest(A).drained, equalTo(true));
@@ -193,10 +193,10 @@
     watcher.start();
     timers.advance(500);
     watcher.close();
-    int asks = links.sent.size();
+    int requestsBeforeClose = links.requests.size();
     a.setConfig(7, config(7));
     timers.advance(10_000);
-    assertThat(links.sent, hasSize(asks));
+    assertThat(links.requests, hasSize(requestsBeforeClose));
     assertThat(watcher.config(), nullValue());
     assertThat(timers.runNext(), equalTo(false));
   }
--- a/config/src/test/java/elmsail/config/watch/ConfigWatcherViewTest.java
+++ b/config/src/test/java/elmsail/config/watch/ConfigWatcherViewTest.java
@@ -139,9 +139,9 @@
     movedControlPlane.setConfig(7, config(7));
     timers.advance(50);
     assertThat(watcher.config().version(), equalTo(7L));
-    int asksOfC = links.requestTimes(C).size();
+    int requestsToC = links.requestTimes(C).size();
     timers.advance(3_000);
-    assertThat(links.requestTimes(C), hasSize(asksOfC));
+    assertThat(links.requestTimes(C), hasSize(requestsToC));
   }
 
   @Test
--- a/config/src/test/java/elmsail/config/watch/FakeNetwork.java
+++ b/config/src/test/java/elmsail/config/watch/FakeNetwork.java
@@ -16,19 +16,20 @@
 import java.util.function.Function;
 
 /**
- * Links of 5 ms each way between a watcher and control-plane nodes that tests cut, end and replace.
+ * A network with 5 ms one-way latency between a watcher and control-plane nodes. Tests drop
+ * messages and remove or replace nodes.
  */
 final class FakeNetwork implements RpcClient {
   private static final long ONE_WAY_MS = 5;
 
-  /** One ask that left the watcher. */
+  /** One request that the watcher sent. */
   record Sent(String peer, long sentAtMs, PullRequest request) {}
 
   final Map<String, Function<PullRequest, CompletableFuture<PullResponse>>> controlPlanes =
       new HashMap<>();
   final Set<String> droppedRequests = new HashSet<>();
   final Set<String> droppedResponses = new HashSet<>();
-  final List<Sent> sent = new ArrayList<>();
+  final List<Sent> requests = new ArrayList<>();
   private final ManualTimers timers;
 
   FakeNetwork(ManualTimers timers) {
@@ -43,9 +44,9 @@
 
   List<Long> requestTimes(String peer) {
     List<Long> times = new ArrayList<>();
-    for (Sent one : sent) {
-      if (one.peer().equals(peer)) {
-        times.add(one.sentAtMs());
+    for (Sent sent : requests) {
+      if (sent.peer().equals(peer)) {
+        times.add(sent.sentAtMs());
       }
     }
     return times;
@@ -53,17 +54,17 @@
 
   PullRequest lastRequest(String peer) {
     PullRequest last = null;
-    for (Sent one : sent) {
-      last = one.peer().equals(peer) ? one.request() : last;
+    for (Sent sent : requests) {
+      last = sent.peer().equals(peer) ? sent.request() : last;
     }
     return last;
   }
 
   @Override
   public <A> CompletableFuture<A> call(
-      String peer, Object request, Class<A> answer, long timeoutMs) {
+      String peer, Object request, Class<A> responseType, long timeoutMs) {
     CompletableFuture<A> future = new CompletableFuture<>();
-    sent.add(new Sent(peer, timers.now(), (PullRequest) request));
+    requests.add(new Sent(peer, timers.now(), (PullRequest) request));
     timers.schedule(
         timeoutMs,
         () -> future.completeExceptionally(new ElmsailException(ErrorCode.TIMEOUT, peer)));
@@ -87,7 +88,7 @@
                           ONE_WAY_MS,
                           () -> {
                             if (!droppedResponses.contains(peer)) {
-                              future.complete(answer.cast(response));
+                              future.complete(responseType.cast(response));
                             }
                           }));
         });
--- a/config/src/test/java/elmsail/config/watch/WatchServerTest.java
+++ b/config/src/test/java/elmsail/config/watch/WatchServerTest.java
@@ -31,7 +31,7 @@
     return request;
   }
 
-  /** An ask that has all there is. */
+  /** A request that names the versions of all that is published. */
   private PullRequest upToDate(String key, long waitMs) {
     PullResponse all = server.watch(request(key, 0)).join();
     PullRequest request = request(key, waitMs);
@@ -46,9 +46,9 @@
   void respondsAtOnceIfSomethingIsNewer() {
     server.setConfig(5, FIVE);
     server.setServers(1, 1, SEVEN, timers.now() - 300);
-    CompletableFuture<PullResponse> answer = server.watch(request("c-1", 1_000));
-    assertThat(answer.isDone(), equalTo(true));
-    PullResponse response = answer.join();
+    CompletableFuture<PullResponse> pending = server.watch(request("c-1", 1_000));
+    assertThat(pending.isDone(), equalTo(true));
+    PullResponse response = pending.join();
     assertThat(response.configVersion, equalTo(5L));
     assertThat(response.config, equalTo(FIVE));
     assertThat(response.servers, equalTo(SEVEN));
@@ -60,11 +60,11 @@
   void respondsWithTheAgeAloneWhenTheWaitElapses() {
     server.setConfig(5, FIVE);
     server.setServers(1, 1, SEVEN, timers.now());
-    CompletableFuture<PullResponse> answer = server.watch(upToDate("c-1", 1_000));
+    CompletableFuture<PullResponse> pending = server.watch(upToDate("c-1", 1_000));
     timers.advance(999);
-    assertThat(answer.isDone(), equalTo(false));
+    assertThat(pending.isDone(), equalTo(false));
     timers.advance(1);
-    PullResponse response = answer.join();
+    PullResponse response = pending.join();
     assertThat(response.config, nullValue());
     assertThat(response.servers, nullValue());
     assertThat(response.view, nullValue());
@@ -92,12 +92,12 @@
 
   @Test
   void changesOfOneTurnArePublishedTogether() {
-    CompletableFuture<PullResponse> answer = server.watch(upToDate("c-1", 1_000));
+    CompletableFuture<PullResponse> pending = server.watch(upToDate("c-1", 1_000));
     server.setConfig(5, FIVE);
     server.setServers(1, 1, SEVEN, timers.now());
     timers.advance(0);
-    assertThat(answer.join().config, equalTo(FIVE));
-    assertThat(answer.join().servers, equalTo(SEVEN));
+    assertThat(pending.join().config, equalTo(FIVE));
+    assertThat(pending.join().servers, equalTo(SEVEN));
   }
 
   @Test
@@ -116,13 +116,13 @@
   @Test
   void sameListOnlyRefreshesTheAge() {
     server.setServers(1, 1, SEVEN, timers.now());
-    CompletableFuture<PullResponse> answer = server.watch(upToDate("c-1", 1_000));
+    CompletableFuture<PullResponse> pending = server.watch(upToDate("c-1", 1_000));
     timers.advance(600);
     server.setServers(1, 1, SEVEN, timers.now());
     timers.advance(0);
-    assertThat(answer.isDone(), equalTo(false));
+    assertThat(pending.isDone(), equalTo(false));
     timers.advance(400);
-    assertThat(answer.join().serverListAgeMs, equalTo(400L));
+    assertThat(pending.join().serverListAgeMs, equalTo(400L));
   }
 
   @Test
@@ -133,11 +133,11 @@
     ahead.configVersion = 9;
     ahead.serverListEpoch = 2;
     ahead.serverListVersion = 1;
-    CompletableFuture<PullResponse> answer = server.watch(ahead);
-    assertThat(answer.isDone(), equalTo(false));
+    CompletableFuture<PullResponse> pending = server.watch(ahead);
+    assertThat(pending.isDone(), equalTo(false));
     timers.advance(1_000);
-    assertThat(answer.join().config, nullValue());
-    assertThat(answer.join().servers, nullValue());
+    assertThat(pending.join().config, nullValue());
+    assertThat(pending.join().servers, nullValue());
   }
 
   @Test
@@ -183,20 +183,20 @@
 
   @Test
   void keepsAtMostTwoThousandPendingWatches() {
-    List<CompletableFuture<PullResponse>> answers = new ArrayList<>();
+    List<CompletableFuture<PullResponse>> pendingResponses = new ArrayList<>();
     for (int i = 0; i < 2_001; i++) {
-      answers.add(server.watch(upToDate("c-" + i, 1_000)));
+      pendingResponses.add(server.watch(upToDate("c-" + i, 1_000)));
     }
     assertThat(server.pendingWatches(), equalTo(2_000));
-    assertThat(answers.get(1_999).isDone(), equalTo(false));
-    assertThat(answers.get(2_000).isDone(), equalTo(true));
+    assertThat(pendingResponses.get(1_999).isDone(), equalTo(false));
+    assertThat(pendingResponses.get(2_000).isDone(), equalTo(true));
   }
 
   @Test
   void waitsAtMostTenSeconds() {
-    CompletableFuture<PullResponse> answer = server.watch(upToDate("c-1", Long.MAX_VALUE));
+    CompletableFuture<PullResponse> pending = server.watch(upToDate("c-1", Long.MAX_VALUE));
     timers.advance(10_000);
-    assertThat(answer.isDone(), equalTo(true));
+    assertThat(pending.isDone(), equalTo(true));
   }
 
   @Test
