--- a/rpc/src/test/java/elmsail/rpc/CallInterleavingsTest.java
+++ b/rpc/src/test/java/elmsail/rpc/CallInterleavingsTest.java
@@ -16,19 +16,19 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Every order of sends, arrivals, answers (late, second, spliced), resets, timeouts, reconnects and
- * replacements of the process at the address, for two calls. In each state that can be reached no
- * call ran at a process that was not meant, none ran twice, none ended twice, and each answer that
- * was taken is that call's own.
+ * Every order of sends, arrivals, responses (late, duplicate, foreign), resets, timeouts,
+ * reconnects and replacements of the process at the address, for two calls. In each reachable state
+ * no call ran at a process that was not intended, none ran twice, none completed twice, and each
+ * response that was accepted is that call's own.
  */
 class CallInterleavingsTest {
 
   /** A smaller scope than this would not have seen the long orders. */
   private static final int MIN_STATES = 10_000;
 
-  private record SearchResult(String fault, List<String> path, int states, int deepest) {}
+  private record SearchResult(String fault, List<CallModel.Action> path, int states, int deepest) {}
 
-  private static CallModel replay(Defect defect, List<String> path) {
+  private static CallModel replay(Defect defect, List<CallModel.Action> path) {
     CallModel model = new CallModel(defect);
     path.forEach(model::apply);
     return model;
@@ -37,15 +37,15 @@
   /** Breadth first, so that the path to a fault is a shortest one. */
   private static SearchResult explore(Defect defect) {
     Set<String> seen = new HashSet<>();
-    ArrayDeque<List<String>> paths = new ArrayDeque<>();
+    ArrayDeque<List<CallModel.Action>> paths = new ArrayDeque<>();
     paths.add(List.of());
     seen.add(new CallModel(defect).key());
     int deepest = 0;
     while (!paths.isEmpty()) {
-      List<String> path = paths.poll();
+      List<CallModel.Action> path = paths.poll();
       deepest = path.size();
-      for (String action : replay(defect, path).actions()) {
-        List<String> next = new ArrayList<>(path);
+      for (CallModel.Action action : replay(defect, path).actions()) {
+        List<CallModel.Action> next = new ArrayList<>(path);
         next.add(action);
         CallModel model = replay(defect, next);
         if (model.violation() != null) {
--- a/rpc/src/test/java/elmsail/rpc/CallModel.java
+++ b/rpc/src/test/java/elmsail/rpc/CallModel.java
@@ -20,7 +20,7 @@
     /** No mistake of ours: the foreign process runs whatever reaches it, but says who it is. */
     FOREIGN_PROCESS_CHECKS_NOTHING,
 
-    /** The same foreign process, and a caller that does not look at who answers. */
+    /** The same foreign process, and a client that does not check who responds. */
     HELLO_NOT_CHECKED_BY_CLIENT,
     HELLO_NOT_CHECKED_BY_SERVER,
     RESPONSES_MATCHED_BY_ORDER,
@@ -29,6 +29,36 @@
     CALL_RESENT_AFTER_A_RESET
   }
 
+  /** What may happen next in a state. */
+  enum Kind {
+    SEND,
+    TIMEOUT,
+    /** The first frame in flight to the process arrives. */
+    DELIVER_TO_PROCESS,
+    /** The first frame in flight to the caller arrives. */
+    DELIVER_TO_CALLER,
+    RESET,
+    RESPOND,
+    RESPOND_TWICE,
+    /** The process responds to a call that was never sent on this connection. */
+    RESPOND_TO_UNKNOWN_CALL,
+    REPLACE_PROCESS
+  }
+
+  /**
+   * One step of the model.
+   *
+   * @param index of the call for SEND and TIMEOUT, of the process for REPLACE_PROCESS, otherwise of
+   *     the connection
+   * @param request index among the connection's unanswered requests; for RESPOND and RESPOND_TWICE
+   */
+  record Action(Kind kind, int index, int request) {
+    Action(Kind kind, int index) {
+      this(kind, index, 0);
+    }
+  }
+
+  private static final long UNKNOWN_CALL_ID = 9;
   private static final String ADDRESS = "10.0.0.1:7720";
   private static final int CALLS = 2;
   private static final int MAX_REPLACEMENTS = 2;
@@ -69,14 +99,14 @@
     return violation;
   }
 
-  /** The names of all that may happen next. */
-  List<String> actions() {
-    List<String> all = new ArrayList<>();
+  /** All that may happen next. */
+  List<Action> actions() {
+    List<Action> all = new ArrayList<>();
     for (ModelCall call : calls) {
       if (!call.sent) {
-        all.add("send " + call.index);
+        all.add(new Action(Kind.SEND, call.index));
       } else if (call.ends == 0) {
-        all.add("timeout " + call.index);
+        all.add(new Action(Kind.TIMEOUT, call.index));
       }
     }
     for (int i = 0; i < connections.size(); i++) {
@@ -84,69 +114,74 @@
     }
     for (int i = 0; replacements < MAX_REPLACEMENTS && i < PROCESSES.length; i++) {
       if (i > 0 && i != process) {
-        all.add("replace " + i);
+        all.add(new Action(Kind.REPLACE_PROCESS, i));
       }
     }
     return all;
   }
 
-  private void connectionActions(ModelConnection one, int i, List<String> all) {
+  private void connectionActions(ModelConnection one, int i, List<Action> all) {
     if (!one.toProcess.isEmpty()) {
-      all.add("reach " + i);
+      all.add(new Action(Kind.DELIVER_TO_PROCESS, i));
     }
     boolean read = one.callerOpen || defect == Defect.ONE_TABLE_AND_FRAMES_OF_CLOSED_CONNECTIONS;
     if (!one.toCaller.isEmpty() && read) {
-      all.add("return " + i);
+      all.add(new Action(Kind.DELIVER_TO_CALLER, i));
     }
     if (one.callerOpen && (!one.processOpen || resets == 0)) {
-      all.add("reset " + i);
+      all.add(new Action(Kind.RESET, i));
     }
     for (int h = 0; h < one.unansweredRequests.size() && one.processOpen; h++) {
-      all.add("answer " + i + " " + h);
+      all.add(new Action(Kind.RESPOND, i, h));
       if (!duplicated) {
-        all.add("answer-twice " + i + " " + h);
+        all.add(new Action(Kind.RESPOND_TWICE, i, h));
       }
     }
     if (!spliced && one.processOpen && one.server.isComplete()) {
-      all.add("splice " + i);
+      all.add(new Action(Kind.RESPOND_TO_UNKNOWN_CALL, i));
     }
   }
 
-  /** Lets it happen. */
-  void apply(String action) {
-    String[] words = action.split(" ");
-    int i = Integer.parseInt(words[1]);
-    switch (words[0]) {
-      case "send" -> send(calls[i]);
-      case "timeout" -> {
-        calls[i].connection.table.remove(calls[i].number);
-        end(calls[i], "silent");
-      }
-      case "reach" -> deliverToProcess(connections.get(i));
-      case "return" -> deliverToCaller(connections.get(i));
-      case "reset" -> {
-        resets += connections.get(i).processOpen ? 1 : 0;
-        reset(connections.get(i), "broken");
+  /** Performs one of the {@link #actions}. */
+  void apply(Action action) {
+    int index = action.index();
+    switch (action.kind()) {
+      case SEND -> send(calls[index]);
+      case TIMEOUT -> timeOut(calls[index]);
+      case DELIVER_TO_PROCESS -> deliverToProcess(connections.get(index));
+      case DELIVER_TO_CALLER -> deliverToCaller(connections.get(index));
+      case RESET -> {
+        resets += connections.get(index).processOpen ? 1 : 0;
+        reset(connections.get(index), "connection lost");
       }
-      case "answer", "answer-twice" -> {
-        ModelConnection one = connections.get(i);
-        Frame request = one.unansweredRequests.remove(Integer.parseInt(words[2]));
-        one.toCaller.add(response(one, request.callId()));
-        if (words[0].equals("answer-twice")) {
-          duplicated = true;
-          one.toCaller.add(response(one, request.callId()));
-        }
+      case RESPOND -> respond(connections.get(index), action.request(), 1);
+      case RESPOND_TWICE -> {
+        duplicated = true;
+        respond(connections.get(index), action.request(), 2);
       }
-      case "splice" -> {
-        // An answer to a call of that number which was never made on this connection.
+      case RESPOND_TO_UNKNOWN_CALL -> {
         spliced = true;
-        connections.get(i).toCaller.add(response(connections.get(i), 9));
+        ModelConnection connection = connections.get(index);
+        connection.toCaller.add(response(connection, UNKNOWN_CALL_ID));
       }
-      default -> {
-        process = i;
+      case REPLACE_PROCESS -> {
+        process = index;
         replacements++;
-        connections.forEach(one -> one.processOpen = false);
+        connections.forEach(connection -> connection.processOpen = false);
       }
+      default -> throw new IllegalArgumentException("unknown kind of action: " + action);
+    }
+  }
+
+  private void timeOut(ModelCall call) {
+    call.connection.table.remove(call.number);
+    end(call, "timeout");
+  }
+
+  private void respond(ModelConnection connection, int request, int times) {
+    Frame frame = connection.unansweredRequests.remove(request);
+    for (int i = 0; i < times; i++) {
+      connection.toCaller.add(response(connection, frame.callId()));
     }
   }
 
@@ -204,7 +239,7 @@
     ModelCall call = calls[request.payload()[0]];
     call.runs++;
     if (one.process == FOREIGN && !foreignChecksNothing()) {
-      violation = "call " + call.index + " ran at a process that was not meant";
+      violation = "call " + call.index + " ran at a process that was not intended";
     } else if (call.runs > 1) {
       violation = "call " + call.index + " ran twice";
     }
@@ -243,7 +278,7 @@
     int over = made.getInt();
     boolean own = made.getLong() == call.number && connections.get(over) == call.connection;
     if (!own || by == FOREIGN) {
-      violation = "call " + call.index + " took an answer that is not its own";
+      violation = "call " + call.index + " accepted a response that is not its own";
     }
     end(call, "answered by " + by);
   }
@@ -286,7 +321,7 @@
     call.ends++;
     call.outcome = outcome;
     if (call.ends > 1) {
-      violation = "call " + call.index + " ended twice";
+      violation = "call " + call.index + " completed twice";
     }
   }
 
--- a/rpc/src/test/java/elmsail/rpc/FrameTest.java
+++ b/rpc/src/test/java/elmsail/rpc/FrameTest.java
@@ -17,7 +17,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Frames come whole out of any pieces, and a bent one is never taken for one. */
+/** Frames are decoded from any fragments, and a corrupt one is never accepted. */
 class FrameTest {
 
   private final MessageCodec codec = new MessageCodec();
--- a/rpc/src/test/java/elmsail/rpc/MisdirectedCallTest.java
+++ b/rpc/src/test/java/elmsail/rpc/MisdirectedCallTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Calls to an address at which another process answers than the one that was meant. */
+/** Calls to an address at which a process other than the intended one responds. */
 class MisdirectedCallTest {
 
   private final LoopbackFixture world = new LoopbackFixture();
--- a/rpc/src/test/java/elmsail/rpc/RawPeerFixture.java
+++ b/rpc/src/test/java/elmsail/rpc/RawPeerFixture.java
@@ -17,10 +17,11 @@
 import java.nio.channels.SocketChannel;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
+import java.util.concurrent.atomic.AtomicReference;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 
-/** A process under test, and a bare socket that plays the other side byte by byte. */
+/** An endpoint under test, and a bare socket that plays the other side byte by byte. */
 abstract class RawPeerFixture {
 
   final LoopbackFixture world = new LoopbackFixture();
@@ -60,7 +61,7 @@
     return call;
   }
 
-  /** The peer hears which process is meant, and says that it is that one. */
+  /** The peer reads which process is intended, and identifies itself as that one. */
   void completeHandshakeAsPeer() {
     Frame hello = readFrame();
     assertThat(hello.kind(), is(Frame.HELLO));
@@ -72,7 +73,7 @@
     }
   }
 
-  /** A bare socket opens a connection to {@code a} and names it as the process that it means. */
+  /** A bare socket opens a connection to {@code a} and names it as the intended process. */
   void connectToA() throws IOException {
     openSocketToA();
     send(
@@ -104,29 +105,37 @@
     peer.configureBlocking(false);
   }
 
-  /** The next frame that came to the peer. */
+  /** The next frame that the peer receives. */
   Frame readFrame() {
-    FrameDecoder reader = new FrameDecoder();
-    Frame[] found = new Frame[1];
-    ByteBuffer one = ByteBuffer.allocate(1);
+    FrameDecoder decoder = new FrameDecoder();
+    AtomicReference<Frame> decoded = new AtomicReference<>();
     world.runLoopUntil(
         () -> {
-          try {
-            one.clear();
-            while (found[0] == null && peer.read(one) == 1) {
-              one.flip();
-              found[0] = reader.next(Unpooled.wrappedBuffer(one));
-              one.clear();
-            }
-          } catch (IOException e) {
-            throw new AssertionError(e);
-          }
-          return found[0] != null;
+          decoded.set(readUntilFrame(decoder));
+          return decoded.get() != null;
         });
-    return found[0];
+    return decoded.get();
   }
 
-  /** Says it, and lets it be heard. */
+  /** Reads byte by byte, so that nothing after the frame is consumed; null if more must arrive. */
+  private Frame readUntilFrame(FrameDecoder decoder) {
+    ByteBuffer oneByte = ByteBuffer.allocate(1);
+    try {
+      while (peer.read(oneByte) == 1) {
+        oneByte.flip();
+        Frame frame = decoder.next(Unpooled.wrappedBuffer(oneByte));
+        if (frame != null) {
+          return frame;
+        }
+        oneByte.clear();
+      }
+      return null;
+    } catch (IOException e) {
+      throw new AssertionError(e);
+    }
+  }
+
+  /** Sends the bytes to the endpoint and waits until it has read them. */
   void send(ByteBuf bytes) throws IOException {
     long before = a.counters().bytesReceived;
     int many = bytes.readableBytes();
--- a/rpc/src/test/java/elmsail/rpc/RpcCountersTest.java
+++ b/rpc/src/test/java/elmsail/rpc/RpcCountersTest.java
@@ -21,10 +21,10 @@
     }
     String text = PrometheusText.format(counters);
     for (long value = 101; value < next; value++) {
-      long told = value;
+      long expected = value;
       assertThat(
           "lines with " + value,
-          text.lines().filter(line -> line.endsWith(" " + told)).count(),
+          text.lines().filter(line -> line.endsWith(" " + expected)).count(),
           is(1L));
     }
   }
--- a/rpc/src/test/java/elmsail/rpc/RpcEndpointTest.java
+++ b/rpc/src/test/java/elmsail/rpc/RpcEndpointTest.java
@@ -46,7 +46,7 @@
     return ElmsailException.codeOf(assertThrows(CompletionException.class, call::join));
   }
 
-  private CompletableFuture<OpaqueMessage> request(String kind) {
+  private CompletableFuture<OpaqueMessage> callB(String kind) {
     return a.call(b.address(), message(kind, 10), OpaqueMessage.class, 2_000);
   }
 
@@ -55,7 +55,7 @@
   }
 
   @Test
-  void callIsAnswered() {
+  void callCompletesWithTheHandlersResponse() {
     b.register(
         ReadRequest.class,
         request -> {
@@ -71,7 +71,7 @@
   }
 
   @Test
-  void manyCallsShareOneConnectionAndAreAnsweredInAnyOrder() {
+  void manyCallsShareOneConnectionAndCompleteInAnyOrder() {
     List<CompletableFuture<OpaqueMessage>> held = new ArrayList<>();
     b.register(
         OpaqueMessage.class,
@@ -81,7 +81,7 @@
         });
     List<CompletableFuture<OpaqueMessage>> calls = new ArrayList<>();
     for (int i = 0; i < 100; i++) {
-      calls.add(request("n" + i));
+      calls.add(callB("n" + i));
     }
     world.runLoopUntil(() -> held.size() == 100);
     for (int i = 99; i >= 0; i--) {
@@ -98,7 +98,7 @@
   void largeResponsesArriveComplete() {
     b.register(
         OpaqueMessage.class, request -> CompletableFuture.completedFuture(message("big", 5 << 20)));
-    CompletableFuture<OpaqueMessage> call = request("x");
+    CompletableFuture<OpaqueMessage> call = callB("x");
     world.runLoopUntil(call::isDone);
     assertThat(call.join().bytes.length, is(5 << 20));
   }
@@ -114,7 +114,7 @@
         request -> {
           throw new IllegalStateException("a fault");
         });
-    CompletableFuture<OpaqueMessage> call = request("x");
+    CompletableFuture<OpaqueMessage> call = callB("x");
     CompletableFuture<VoteResponse> faulty =
         a.call(b.address(), new ReadRequest(), VoteResponse.class, 500);
     world.runLoopUntil(() -> call.isDone() && faulty.isDone());
@@ -125,7 +125,7 @@
 
   @Test
   void requestWithoutAHandlerIsAnInternalError() {
-    CompletableFuture<OpaqueMessage> call = request("x");
+    CompletableFuture<OpaqueMessage> call = callB("x");
     world.runLoopUntil(call::isDone);
     assertThat(codeOf(call), is(ErrorCode.INTERNAL));
   }
@@ -134,7 +134,7 @@
   void responseOfAnotherTypeIsMalformed() {
     b.register(
         OpaqueMessage.class, request -> CompletableFuture.completedFuture(new VoteResponse()));
-    CompletableFuture<OpaqueMessage> call = request("x");
+    CompletableFuture<OpaqueMessage> call = callB("x");
     world.runLoopUntil(call::isDone);
     assertThat(codeOf(call), is(ErrorCode.MALFORMED));
   }
@@ -157,28 +157,28 @@
 
   @Test
   void closedPortFailsAsNotSentAndIsRetriedWithBackoff() {
-    String gone = b.address();
+    String closedAddress = b.address();
     b.close();
     world.runLoop();
     CompletableFuture<OpaqueMessage> first =
-        a.call(gone, message("x", 1), OpaqueMessage.class, 5_000);
+        a.call(closedAddress, message("x", 1), OpaqueMessage.class, 5_000);
     world.runLoopUntil(first::isDone);
     assertThat(codeOf(first), is(ErrorCode.NOT_SENT));
     assertThat(a.counters().failedConnects, is(1L));
     CompletableFuture<OpaqueMessage> second =
-        a.call(gone, message("x", 1), OpaqueMessage.class, 5_000);
+        a.call(closedAddress, message("x", 1), OpaqueMessage.class, 5_000);
     assertThat(second.isDone(), is(false));
     world.runLoopUntil(second::isDone);
     assertThat(codeOf(second), is(ErrorCode.NOT_SENT));
     assertThat(a.counters().failedConnects, is(1L));
     world.advance(Peer.INITIAL_BACKOFF_MS);
     CompletableFuture<OpaqueMessage> third =
-        a.call(gone, message("x", 1), OpaqueMessage.class, 5_000);
+        a.call(closedAddress, message("x", 1), OpaqueMessage.class, 5_000);
     world.runLoopUntil(third::isDone);
     assertThat(a.counters().failedConnects, is(2L));
     world.advance(Peer.INITIAL_BACKOFF_MS);
     CompletableFuture<OpaqueMessage> fourth =
-        a.call(gone, message("x", 1), OpaqueMessage.class, 5_000);
+        a.call(closedAddress, message("x", 1), OpaqueMessage.class, 5_000);
     world.runLoopUntil(fourth::isDone);
     assertThat("the pause grows", a.counters().failedConnects, is(2L));
   }
@@ -197,7 +197,7 @@
   @Test
   void closedPeerFailsOpenCallsAndTheNextCallReconnects() {
     b.register(OpaqueMessage.class, request -> new CompletableFuture<>());
-    CompletableFuture<OpaqueMessage> call = request("x");
+    CompletableFuture<OpaqueMessage> call = callB("x");
     world.runLoopUntil(() -> b.counters().requestsReceived == 1);
     String address = b.address();
     b.close();
@@ -221,9 +221,9 @@
     echo();
     List<CompletableFuture<OpaqueMessage>> calls = new ArrayList<>();
     for (int i = 0; i < Peer.MAX_QUEUED_CALLS; i++) {
-      calls.add(request("x"));
+      calls.add(callB("x"));
     }
-    CompletableFuture<OpaqueMessage> over = request("over");
+    CompletableFuture<OpaqueMessage> over = callB("over");
     assertThat("never inside the call", over.isDone(), is(false));
     world.runLoopUntil(over::isDone);
     assertThat(codeOf(over), is(ErrorCode.RESOURCE_EXHAUSTED));
@@ -236,7 +236,7 @@
   @Test
   void bytesQueuedForAPeerAreBounded() {
     echo();
-    CompletableFuture<OpaqueMessage> first = request("x");
+    CompletableFuture<OpaqueMessage> first = callB("x");
     world.runLoopUntil(first::isDone);
     CompletableFuture<OpaqueMessage> big =
         a.call(b.address(), message("big", 5 << 20), OpaqueMessage.class, 2_000);
@@ -300,13 +300,13 @@
                     new ElmsailException(ErrorCode.STORAGE_FAILURE, "x")));
     CompletableFuture<OpaqueMessage> failed =
         a.call(a.address(), message("x", 1), OpaqueMessage.class, 100);
-    CompletableFuture<OpaqueMessage> silent =
+    CompletableFuture<OpaqueMessage> timedOut =
         a.call(a.address(), message("held", 1), OpaqueMessage.class, 100);
     world.timers.advance(99);
     assertThat(codeOf(failed), is(ErrorCode.STORAGE_FAILURE));
-    assertThat(silent.isDone(), is(false));
+    assertThat(timedOut.isDone(), is(false));
     world.timers.advance(1);
-    assertThat(codeOf(silent), is(ErrorCode.TIMEOUT));
+    assertThat(codeOf(timedOut), is(ErrorCode.TIMEOUT));
     held.complete(message("late", 1));
     world.timers.advance(0);
     assertThat(a.counters().lateResponses, is(1L));
@@ -315,10 +315,10 @@
   @Test
   void closedEndpointFailsItsCalls() {
     b.register(OpaqueMessage.class, request -> new CompletableFuture<>());
-    CompletableFuture<OpaqueMessage> open = request("open");
+    CompletableFuture<OpaqueMessage> open = callB("open");
     world.runLoopUntil(() -> b.counters().requestsReceived == 1);
     a.close();
-    CompletableFuture<OpaqueMessage> after = request("after");
+    CompletableFuture<OpaqueMessage> after = callB("after");
     world.runLoopUntil(() -> open.isDone() && after.isDone());
     assertThat(codeOf(open), is(ErrorCode.CONNECTION_LOST));
     assertThat(codeOf(after), is(ErrorCode.NOT_SENT));
--- a/runtime/src/test/java/elmsail/runtime/PrometheusTextTest.java
+++ b/runtime/src/test/java/elmsail/runtime/PrometheusTextTest.java
@@ -104,7 +104,7 @@
     counters.counter("short").add(1);
     String text = PrometheusText.format(counters);
     assertThat(text.length(), lessThanOrEqualTo(PrometheusText.MAX_CHARS));
-    assertThat("whole families alone", text, endsWith(" 1\n"));
+    assertThat("only complete families", text, endsWith(" 1\n"));
     assertThat(text, not(containsString(name + "99 ")));
   }
 }
--- a/runtime/src/test/java/elmsail/runtime/http/HttpLoopbackTest.java
+++ b/runtime/src/test/java/elmsail/runtime/http/HttpLoopbackTest.java
@@ -39,12 +39,12 @@
     return HttpServer.listen(
             loop,
             "127.0.0.1:0",
-            call ->
+            request ->
                 CompletableFuture.completedFuture(
                     new SimpleHttpResponse(
                         200,
-                        Map.of("X-Path", call.path()),
-                        call.query().toString().getBytes(StandardCharsets.UTF_8))),
+                        Map.of("X-Path", request.path()),
+                        request.query().toString().getBytes(StandardCharsets.UTF_8))),
             100)
         .join();
   }
@@ -57,11 +57,11 @@
 
   @Test
   void clientReceivesTheServersResponse() {
-    SimpleHttpResponse reply =
+    SimpleHttpResponse response =
         client.get(serve().address(), "/servers?zone=a%20b", TIMEOUT_MS).join();
-    assertThat(reply.status(), is(200));
-    assertThat(reply.headers().get("x-path"), is("/servers"));
-    assertThat(new String(reply.body(), StandardCharsets.UTF_8), is("{zone=a b}"));
+    assertThat(response.status(), is(200));
+    assertThat(response.headers().get("x-path"), is("/servers"));
+    assertThat(new String(response.body(), StandardCharsets.UTF_8), is("{zone=a b}"));
   }
 
   @Test
@@ -71,7 +71,7 @@
           assertThrows(
               CompletionException.class,
               () ->
-                  HttpServer.listen(loop, "127.0.0.1:" + taken.getLocalPort(), call -> null, 1)
+                  HttpServer.listen(loop, "127.0.0.1:" + taken.getLocalPort(), request -> null, 1)
                       .join());
       assertThat(ElmsailException.codeOf(failed), is(ErrorCode.INVALID_SETTINGS));
     }
--- a/runtime/src/test/java/elmsail/runtime/http/HttpServerConnectionTest.java
+++ b/runtime/src/test/java/elmsail/runtime/http/HttpServerConnectionTest.java
@@ -23,23 +23,23 @@
 
 class HttpServerConnectionTest {
 
-  private static final int MOST_BODY = 20;
+  private static final int MAX_BODY_BYTES = 20;
 
   private final ManualTimers clock = new ManualTimers();
-  private final List<SimpleHttpRequest> calls = new ArrayList<>();
-  private final List<CompletableFuture<SimpleHttpResponse>> replies = new ArrayList<>();
+  private final List<SimpleHttpRequest> requests = new ArrayList<>();
+  private final List<CompletableFuture<SimpleHttpResponse>> responses = new ArrayList<>();
   private final EmbeddedChannel channel = new EmbeddedChannel();
 
   HttpServerConnectionTest() {
     HttpServerConnection.initPipeline(
         channel,
         clock,
-        call -> {
-          calls.add(call);
-          replies.add(new CompletableFuture<>());
-          return replies.get(replies.size() - 1);
+        request -> {
+          requests.add(request);
+          responses.add(new CompletableFuture<>());
+          return responses.get(responses.size() - 1);
         },
-        MOST_BODY);
+        MAX_BODY_BYTES);
     channel.pipeline().fireChannelActive();
   }
 
@@ -63,8 +63,8 @@
     return all.toString();
   }
 
-  private void answer(int call, String body) {
-    replies
+  private void respond(int call, String body) {
+    responses
         .get(call)
         .complete(
             new SimpleHttpResponse(
@@ -77,30 +77,30 @@
   @Test
   void handlerReceivesTheCompleteRequest() {
     send("POST /a%20b?x=1%202&y=&x=9 HTTP/1.1|Host: h|Elmsail-Based-On: 5|Content-Length: 4||bo");
-    assertThat(calls, empty());
+    assertThat(requests, empty());
     send("dy");
-    SimpleHttpRequest call = calls.get(0);
-    assertThat(call.method(), is("POST"));
-    assertThat(call.path(), is("/a%20b"));
-    assertThat(call.query(), is(Map.of("x", "1 2", "y", "")));
-    assertThat(call.headers().get("elmsail-based-on"), is("5"));
-    assertThat(new String(call.body(), StandardCharsets.US_ASCII), is("body"));
+    SimpleHttpRequest request = requests.get(0);
+    assertThat(request.method(), is("POST"));
+    assertThat(request.path(), is("/a%20b"));
+    assertThat(request.query(), is(Map.of("x", "1 2", "y", "")));
+    assertThat(request.headers().get("elmsail-based-on"), is("5"));
+    assertThat(new String(request.body(), StandardCharsets.US_ASCII), is("body"));
   }
 
   @Test
   void respondsInOrderOnAKeptAliveConnection() {
     send(
         "GET /a HTTP/1.1|Host: h||GET /b HTTP/1.1|Host: h||GET /c HTTP/1.1|Host: h|Connection: close||");
-    assertThat("one at a time", calls.size(), is(1));
-    answer(0, "A");
+    assertThat("one at a time", requests.size(), is(1));
+    respond(0, "A");
     assertThat(
         sent(), is("HTTP/1.1 200 OK\r\ncontent-type: text/plain\r\ncontent-length: 1\r\n\r\nA"));
-    assertThat(calls.size(), is(2));
-    answer(1, "B");
-    answer(2, "C");
+    assertThat(requests.size(), is(2));
+    respond(1, "B");
+    respond(2, "C");
     assertThat(sent(), containsString("connection: close\r\n\r\nC"));
     assertThat(channel.isOpen(), is(false));
-    assertThat(calls.size(), is(3));
+    assertThat(requests.size(), is(3));
   }
 
   @Test
@@ -110,12 +110,12 @@
     HttpServerConnection.initPipeline(
         quick,
         clock,
-        call -> {
-          paths.add(call.path());
+        request -> {
+          paths.add(request.path());
           return CompletableFuture.completedFuture(
               new SimpleHttpResponse(200, Map.of(), new byte[0]));
         },
-        MOST_BODY);
+        MAX_BODY_BYTES);
     String rest = " HTTP/1.1\r\n\r\n";
     quick.writeInbound(
         Unpooled.copiedBuffer(
@@ -127,11 +127,13 @@
   @Test
   void failedHandlerGets503AndTheConnectionStaysUsable() {
     send("GET /a HTTP/1.1||");
-    replies.get(0).completeExceptionally(new ElmsailException(ErrorCode.NO_QUORUM, "no majority"));
+    responses
+        .get(0)
+        .completeExceptionally(new ElmsailException(ErrorCode.NO_QUORUM, "no majority"));
     assertThat(sent(), startsWith("HTTP/1.1 503 "));
     assertThat(channel.isOpen(), is(true));
     send("GET /b HTTP/1.1||");
-    answer(1, "");
+    respond(1, "");
     assertThat(sent(), startsWith("HTTP/1.1 200 "));
   }
 
@@ -140,7 +142,7 @@
     send("POST / HTTP/1.1|Content-Length: 21||");
     assertThat(sent(), startsWith("HTTP/1.1 413 "));
     assertThat(channel.isOpen(), is(false));
-    assertThat(calls, empty());
+    assertThat(requests, empty());
   }
 
   @Test
@@ -149,13 +151,13 @@
     assertThat(sent(), is(""));
     send("1|x|0||");
     assertThat(sent(), startsWith("HTTP/1.1 413 "));
-    assertThat(calls, empty());
+    assertThat(requests, empty());
   }
 
   @Test
   void acceptsABodyOfExactlyTheLimit() {
     send("POST / HTTP/1.1|Transfer-Encoding: chunked||a|0123456789|a|0123456789|0||");
-    assertThat(calls.get(0).body().length, is(MOST_BODY));
+    assertThat(requests.get(0).body().length, is(MAX_BODY_BYTES));
   }
 
   @Test
@@ -171,21 +173,21 @@
         "POST / HTTP/1.1|Content-Length: 5|Transfer-Encoding: chunked||0||GET /smuggled HTTP/1.1||");
     assertThat(sent(), startsWith("HTTP/1.1 400 "));
     assertThat(channel.isOpen(), is(false));
-    assertThat(calls, empty());
+    assertThat(requests, empty());
   }
 
   @Test
   void rejectsAMalformedChunk() {
     send("POST / HTTP/1.1|Transfer-Encoding: chunked||zz|");
     assertThat(sent(), startsWith("HTTP/1.1 400 "));
-    assertThat(calls, empty());
+    assertThat(requests, empty());
   }
 
   @Test
   void rejectsTwoHostHeaders() {
     send("GET / HTTP/1.1|Host: a|Host: b||");
     assertThat(sent(), startsWith("HTTP/1.1 400 "));
-    assertThat(calls, empty());
+    assertThat(requests, empty());
   }
 
   @Test
@@ -199,7 +201,7 @@
     send("POST / HTTP/1.1|Expect: 100-continue|Content-Length: 2||");
     assertThat(sent(), startsWith("HTTP/1.1 100 "));
     send("ab");
-    answer(0, "done");
+    respond(0, "done");
     assertThat(sent(), startsWith("HTTP/1.1 200 "));
   }
 
@@ -222,14 +224,14 @@
     assertThat(channel.isOpen(), is(true));
     clock.advance(1_600);
     assertThat(channel.isOpen(), is(false));
-    assertThat(calls, empty());
+    assertThat(requests, empty());
   }
 
   @Test
   void keepsAConnectionWhileItsRequestIsHandled() {
     send("GET / HTTP/1.1||");
     clock.advance(3 * HttpServerConnection.IDLE_TIMEOUT_MS);
-    answer(0, "late");
+    respond(0, "late");
     assertThat(sent(), containsString("late"));
     clock.advance(HttpServerConnection.IDLE_TIMEOUT_MS);
     assertThat(channel.isOpen(), is(false));
@@ -239,8 +241,8 @@
   void dropsAResponseToAClosedConnection() {
     send("GET / HTTP/1.1||GET /behind HTTP/1.1||");
     channel.close();
-    answer(0, "late");
+    respond(0, "late");
     assertThat(sent(), is(""));
-    assertThat(calls.size(), is(1));
+    assertThat(requests.size(), is(1));
   }
 }
--- a/runtime/src/test/java/elmsail/runtime/http/MetricsEndpointTest.java
+++ b/runtime/src/test/java/elmsail/runtime/http/MetricsEndpointTest.java
@@ -37,9 +37,9 @@
   @Test
   void respondsWithTheMetrics() {
     counters.counter("calls").add(2);
-    SimpleHttpResponse reply = call("GET", "/metrics");
-    assertThat(reply.status(), is(200));
-    assertThat(reply.headers().get("Content-Type"), is(PrometheusText.CONTENT_TYPE));
+    SimpleHttpResponse response = call("GET", "/metrics");
+    assertThat(response.status(), is(200));
+    assertThat(response.headers().get("Content-Type"), is(PrometheusText.CONTENT_TYPE));
     assertThat(
         text(),
         is(
@@ -78,13 +78,14 @@
               .get(5, TimeUnit.SECONDS);
       URI uri = URI.create("http://" + server.address() + MetricsEndpoint.PATH);
       HttpClient client = HttpClient.newHttpClient();
-      HttpResponse<String> answer =
+      HttpResponse<String> response =
           client.send(
               HttpRequest.newBuilder(uri).GET().build(), HttpResponse.BodyHandlers.ofString());
-      assertThat(answer.statusCode(), is(200));
+      assertThat(response.statusCode(), is(200));
       assertThat(
-          answer.headers().firstValue("content-type").get(), is(PrometheusText.CONTENT_TYPE));
-      assertThat(answer.body(), containsString("# TYPE elmsail_calls counter\nelmsail_calls 7\n"));
+          response.headers().firstValue("content-type").get(), is(PrometheusText.CONTENT_TYPE));
+      assertThat(
+          response.body(), containsString("# TYPE elmsail_calls counter\nelmsail_calls 7\n"));
       HttpResponse<String> refused =
           client.send(
               HttpRequest.newBuilder(uri)
--- a/runtime/src/test/java/elmsail/runtime/http/StrictDecodersTest.java
+++ b/runtime/src/test/java/elmsail/runtime/http/StrictDecodersTest.java
@@ -17,8 +17,8 @@
 class StrictDecodersTest {
 
   /**
-   * What came out: h for a head, r for one refused (which is whole), b for a body's piece, x for a
-   * bad one, e for an end.
+   * What was decoded: h for a head, r for a rejected message, b for a chunk of a body, x for a
+   * malformed one, e for an end.
    */
   private static String decoded(EmbeddedChannel channel, String bytes, int step) {
     byte[] all = bytes.getBytes(StandardCharsets.ISO_8859_1);
@@ -31,8 +31,8 @@
       if (part instanceof HttpMessage head) {
         seen.append(head.decoderResult().isSuccess() ? 'h' : 'r');
       }
-      boolean refused = part instanceof HttpMessage message && message.decoderResult().isFailure();
-      if (!refused && part instanceof HttpContent content) {
+      boolean rejected = part instanceof HttpMessage message && message.decoderResult().isFailure();
+      if (!rejected && part instanceof HttpContent content) {
         if (content.decoderResult().isFailure()) {
           seen.append('x');
         } else if (content.content().isReadable()) {
@@ -53,7 +53,7 @@
     return decoded(new EmbeddedChannel(new StrictRequestDecoder(200, 400, 100)), bytes, step);
   }
 
-  private static String answer(String bytes, int step) {
+  private static String response(String bytes, int step) {
     return decoded(new EmbeddedChannel(new StrictResponseDecoder(200, 400, 100)), bytes, step);
   }
 
@@ -102,7 +102,7 @@
         "GET / HTTP/1.1|A: a\u0000b||",
         "GET / HTTP/1.1\nHost: a\n\n"
       })
-  void refusesRequestsThatCouldBeReadInTwoWays(String text) {
+  void rejectsAmbiguouslyFramedRequests(String text) {
     String bytes = lines(text + "GET /behind HTTP/1.1||GET /behind HTTP/1.1||");
     assertThat("at once", request(bytes, 10_000), is("r"));
     assertThat("by bytes", request(bytes, 1), is("r"));
@@ -120,10 +120,10 @@
         " HTTP/1.1 200 OK||",
         "bytes that are none||"
       })
-  void refusesAnswersThatCouldBeReadInTwoWays(String text) {
+  void rejectsAmbiguouslyFramedResponses(String text) {
     String bytes = lines(text + "HTTP/1.1 200 OK|Content-Length: 0||");
-    assertThat("at once", answer(bytes, 10_000), is("r"));
-    assertThat("by bytes", answer(bytes, 1), is("r"));
+    assertThat("at once", response(bytes, 10_000), is("r"));
+    assertThat("by bytes", response(bytes, 1), is("r"));
   }
 
   @Test
--- a/runtime/src/test/java/elmsail/runtime/http/TruncatedMessageTest.java
+++ b/runtime/src/test/java/elmsail/runtime/http/TruncatedMessageTest.java
@@ -72,23 +72,23 @@
     return ElmsailException.codeOf(assertThrows(CompletionException.class, reply::join));
   }
 
-  private static String text(SimpleHttpResponse reply) {
-    return new String(reply.body(), StandardCharsets.ISO_8859_1);
+  private static String text(SimpleHttpResponse response) {
+    return new String(response.body(), StandardCharsets.ISO_8859_1);
   }
 
   @ParameterizedTest
   @CsvSource({"false, false", "false, true", "true, false", "true, true"})
   void truncatedResponseFails(boolean chunked, boolean reset) throws IOException {
-    String answer = chunked ? CHUNKED : LENGTH;
-    for (int cut = 0; cut < answer.length(); cut++) {
+    String response = chunked ? CHUNKED : LENGTH;
+    for (int cut = 0; cut < response.length(); cut++) {
       CompletableFuture<SimpleHttpResponse> reply =
-          getFromServerThatSends(answer.substring(0, cut), reset);
+          getFromServerThatSends(response.substring(0, cut), reset);
       ErrorCode code = codeOf(reply);
       boolean known = code == ErrorCode.CONNECTION_LOST || code == ErrorCode.MALFORMED;
       assertThat("cut at " + cut + ": " + code, known, is(true));
     }
     if (!reset) {
-      assertThat(text(getFromServerThatSends(answer, false).join()), is("whole"));
+      assertThat(text(getFromServerThatSends(response, false).join()), is("whole"));
     }
   }
 
--- a/simulation/src/test/java/elmsail/simulation/SimDiskTest.java
+++ b/simulation/src/test/java/elmsail/simulation/SimDiskTest.java
@@ -23,7 +23,7 @@
 import java.util.concurrent.CompletionException;
 import org.junit.jupiter.api.Test;
 
-/** What the simulated disk keeps through losses of power, and when it tells. */
+/** What the simulated disk keeps through power losses, and when it reports. */
 class SimDiskTest {
 
   private final ManualTimers timers = new ManualTimers();
@@ -175,7 +175,7 @@
     disk.failWrites();
     CompletableFuture<Void> first = disk.write(List.of(put("a", 1)));
     List<CompletableFuture<Void>> between = new ArrayList<>();
-    // Due at the same time as the sync, behind it, and before the failure is told.
+    // Due at the same time as the sync, after it, and before the failure is reported.
     timers.schedule(
         10,
         () -> {
--- a/simulation/src/test/java/elmsail/simulation/SimNetworkTest.java
+++ b/simulation/src/test/java/elmsail/simulation/SimNetworkTest.java
@@ -116,7 +116,7 @@
     net.cut(B, A);
     CompletableFuture<OpaqueMessage> call = request();
     timers.advance(999);
-    assertThat("the ask gets there", received.size(), is(1));
+    assertThat("the request arrives", received.size(), is(1));
     assertThat(call.isDone(), is(false));
     timers.advance(1);
     assertThat(codeOf(call), is(ErrorCode.TIMEOUT));
@@ -345,7 +345,7 @@
           .call(to, message(name), OpaqueMessage.class, 200)
           .whenComplete(
               (response, thrown) ->
-                  log.add(timers.now() + name + (response == null ? "failed" : "told")));
+                  log.add(timers.now() + name + (response == null ? "failed" : "responded")));
       timers.advance(3);
       if (i == 30) {
         net.kill("n1");
