--- a/controlplane/src/test/java/elmsail/controlplane/BootstrapCandidatesTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/BootstrapCandidatesTest.java
@@ -25,7 +25,7 @@
     return hello;
   }
 
-  private void hear(long now, String... names) {
+  private void receiveHellos(long now, String... names) {
     for (String name : names) {
       candidates.onHello(hello(name, "zone " + name.charAt(0)), now);
     }
@@ -45,22 +45,22 @@
 
   @Test
   void votersAreSpreadOverZones() {
-    hear(0, "a1", "a2", "a3", "a4", "a5");
+    receiveHellos(0, "a1", "a2", "a3", "a4", "a5");
     assertThat("others may still come", proposed(0), is(nullValue()));
-    hear(250, "a1", "a2", "b1", "b2", "c1", "c2");
+    receiveHellos(250, "a1", "a2", "b1", "b2", "c1", "c2");
     assertThat(proposed(BootstrapCandidates.ZONE_SPREAD_WAIT_MS), equalTo("a1 a2 b1 b2 c1"));
   }
 
   @Test
   void votersAreSpreadOverFourUnevenZones() {
-    hear(0, "a1", "a2", "b1", "b2", "c1", "d1");
+    receiveHellos(0, "a1", "a2", "b1", "b2", "c1", "d1");
     assertThat(proposed(0), is(nullValue()));
     assertThat(proposed(BootstrapCandidates.ZONE_SPREAD_WAIT_MS), equalTo("a1 a2 b1 c1 d1"));
   }
 
   @Test
   void reducedSetIsOddAndProposedOnlyAfterDelay() {
-    hear(2_900, "a1", "b1", "c1", "c2");
+    receiveHellos(2_900, "a1", "b1", "c1", "c2");
     assertThat(proposed(2_999), is(nullValue()));
     assertThat(proposed(BootstrapCandidates.REDUCED_SET_AFTER_MS), equalTo("a1 b1 c1"));
   }
@@ -73,9 +73,9 @@
     later.firstStart = false;
     candidates.onHello(diskless, 3_000);
     candidates.onHello(later, 3_000);
-    hear(1_900, "b1");
+    receiveHellos(1_900, "b1");
     assertThat(proposed(3_000), is(nullValue()));
-    hear(3_000, "c1");
+    receiveHellos(3_000, "c1");
     assertThat(proposed(3_000), equalTo("c1"));
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/BoundedStateTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/BoundedStateTest.java
@@ -46,18 +46,18 @@
 
   @Test
   void memberWithOldestHeartbeatIsDropped() {
-    HeartbeatTable heard = new HeartbeatTable(PeerRole.STORE);
+    HeartbeatTable heartbeats = new HeartbeatTable(PeerRole.STORE);
     int all = HeartbeatTable.MAX_MEMBERS + 200;
     for (int i = 0; i < all; i++) {
-      heard.onHeartbeat(pull("store", i), 1_000 + i);
-      heard.onHeartbeat(pull("gateway", i), 1_000 + i);
-      heard.onHeartbeat(pull("store", 0), 1_000 + i);
+      heartbeats.onHeartbeat(pull("store", i), 1_000 + i);
+      heartbeats.onHeartbeat(pull("gateway", i), 1_000 + i);
+      heartbeats.onHeartbeat(pull("store", 0), 1_000 + i);
     }
-    List<HeartbeatTable.Member> stores = new ArrayList<>(heard.members());
+    List<HeartbeatTable.Member> stores = new ArrayList<>(heartbeats.members());
     assertThat(stores, hasSize(HeartbeatTable.MAX_MEMBERS));
-    assertThat("the newest", heard.memberOnMachine("s" + (all - 1)), notNullValue());
-    assertThat("heard all the time", heard.memberOnMachine("s0"), notNullValue());
-    assertThat("silent longest", heard.memberOnMachine("s1"), nullValue());
-    assertThat(heard.gatewaysWithin(1_000 + all, 60_000), hasSize(HeartbeatTable.MAX_MEMBERS));
+    assertThat("the newest", heartbeats.memberOnMachine("s" + (all - 1)), notNullValue());
+    assertThat("heard all the time", heartbeats.memberOnMachine("s0"), notNullValue());
+    assertThat("silent longest", heartbeats.memberOnMachine("s1"), nullValue());
+    assertThat(heartbeats.gatewaysWithin(1_000 + all, 60_000), hasSize(HeartbeatTable.MAX_MEMBERS));
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/CatchUpTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/CatchUpTest.java
@@ -72,7 +72,7 @@
 
   private CaughtUp missed(int changes, boolean wiped) {
     SimulatedCluster cluster = started();
-    // From here on the history of orders is as long as it ever gets.
+    // From here on the history of changes has its full length.
     change(cluster, ConfigHistory.MAX_CHANGES);
     if (wiped) {
       cluster.wipe("n3");
--- a/controlplane/src/test/java/elmsail/controlplane/ClusterPowerLossTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ClusterPowerLossTest.java
@@ -43,22 +43,22 @@
     for (int seed = 1; seed <= STORIES; seed++) {
       String name = nodes + " nodes, " + apartMs + " ms apart, seed " + seed;
       start(seed, nodes, stores, bear);
-      ConfigChangeScenario orders = new ConfigChangeScenario(name, cluster, random, nodes);
+      ConfigChangeScenario changes = new ConfigChangeScenario(name, cluster, random, nodes);
       JobRecordWriter jobs = new JobRecordWriter(name, cluster, random);
-      ConfigReadChecker reads = new ConfigReadChecker(name, orders);
+      ConfigReadChecker reads = new ConfigReadChecker(name, changes);
       assertThat(name, cluster.awaitWithin(8_000, () -> !jobs.newest().voters.isEmpty()), is(true));
       assertThat(name, cluster.replaceAnywhere(0, 1), is(200));
       ConfigChangeScenario.ChangeRequest first = ConfigChangeScenario.replacement(0, 1, "");
-      orders.sent.add(first);
-      orders.committed.add(first);
-      run(1_500 + random.nextInt(500), jobs, orders, reads);
-      orders.send(ConfigChangeScenario.replacement(1, 2, "a"));
-      run(random.nextInt(80), jobs, orders, reads);
-      loseAll(bear, apartMs, orders, reads);
+      changes.sent.add(first);
+      changes.committed.add(first);
+      run(1_500 + random.nextInt(500), jobs, changes, reads);
+      changes.send(ConfigChangeScenario.replacement(1, 2, "a"));
+      run(random.nextInt(80), jobs, changes, reads);
+      loseAll(bear, apartMs, changes, reads);
       long back = cluster.timers.now();
-      long newest = orders.committed.size();
+      long newest = changes.committed.size();
       while (!served(newest) && cluster.timers.now() < back + RECOVER_MS) {
-        run(50, jobs, orders, reads);
+        run(50, jobs, changes, reads);
       }
       assertThat(name, served(newest), is(true));
       longest = Math.max(longest, cluster.timers.now() - back);
@@ -89,18 +89,18 @@
   }
 
   private void run(
-      long ms, JobRecordWriter jobs, ConfigChangeScenario orders, ConfigReadChecker reads) {
+      long ms, JobRecordWriter jobs, ConfigChangeScenario changes, ConfigReadChecker reads) {
     for (long end = cluster.timers.now() + ms; cluster.timers.now() < end; ) {
       jobs.step();
       reads.read("n" + (1 + random.nextInt(3)));
-      orders.collectReplies(10);
+      changes.collectReplies(10);
       reads.check();
     }
   }
 
   /** Each loses power; as many as is borne lose their disks; all come back in another order. */
   private void loseAll(
-      int bear, int apartMs, ConfigChangeScenario orders, ConfigReadChecker reads) {
+      int bear, int apartMs, ConfigChangeScenario changes, ConfigReadChecker reads) {
     Collections.shuffle(machines, random);
     for (int i = 0; i < machines.size(); i++) {
       if (i < bear) {
@@ -109,7 +109,7 @@
         cluster.net.kill(cluster.address(machines.get(i)), false);
         cluster.disks.get(machines.get(i)).powerLoss();
       }
-      orders.collectReplies(apartMs == 0 ? 0 : random.nextInt(apartMs));
+      changes.collectReplies(apartMs == 0 ? 0 : random.nextInt(apartMs));
       reads.check();
     }
     Collections.shuffle(machines, random);
--- a/controlplane/src/test/java/elmsail/controlplane/ConfigChangeScenario.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ConfigChangeScenario.java
@@ -26,7 +26,7 @@
  * base; one that was confirmed is never refused, and the other way round.
  */
 final class ConfigChangeScenario {
-  /** What an operator sends; two with the same fields are the same order. */
+  /** What an operator sends; two with the same fields are the same change. */
   record ChangeRequest(ChangeKind call, long base, long number, String body) {
     String path() {
       return call == ChangeKind.AMEND ? "/Timetable.Amend" : "/Timetable.Replace";
@@ -46,7 +46,7 @@
   private static final Pattern EDITION = Pattern.compile("\"edition\":(\\d+)");
 
   private record PendingRequest(
-      ChangeRequest order, CompletableFuture<SimpleHttpResponse> reply, long end, boolean lost) {}
+      ChangeRequest request, CompletableFuture<SimpleHttpResponse> reply, long end, boolean lost) {}
 
   final SimulatedCluster cluster;
   final Random random;
@@ -79,20 +79,20 @@
 
   /** A story of nodes in which the first configuration, of number 1, is in force. */
   static ConfigChangeScenario started(String name, int seed, int nodes) {
-    ConfigChangeScenario story = new ConfigChangeScenario(name, seed, nodes);
+    ConfigChangeScenario scenario = new ConfigChangeScenario(name, seed, nodes);
     ChangeRequest first = replacement(0, 1, "");
-    story.send(first);
-    assertThat(story.retryUntilAnswered(Set.of(first), SETTLE_MS, () -> {}), is(true));
-    assertThat(story.committed.contains(first), is(true));
-    return story;
+    scenario.send(first);
+    assertThat(scenario.retryUntilAnswered(Set.of(first), SETTLE_MS, () -> {}), is(true));
+    assertThat(scenario.committed.contains(first), is(true));
+    return scenario;
   }
 
   /** One of them is confirmed, the others are refused. */
-  ChangeRequest awaitSingleWinner(Set<ChangeRequest> orders) {
-    assertThat("answered", retryUntilAnswered(orders, SETTLE_MS, () -> {}), is(true));
-    List<ChangeRequest> won = new ArrayList<>(orders);
+  ChangeRequest awaitSingleWinner(Set<ChangeRequest> requests) {
+    assertThat("answered", retryUntilAnswered(requests, SETTLE_MS, () -> {}), is(true));
+    List<ChangeRequest> won = new ArrayList<>(requests);
     won.retainAll(committed);
-    assertThat("confirmed of " + orders.size(), won.size(), is(1));
+    assertThat("confirmed of " + requests.size(), won.size(), is(1));
     return won.get(0);
   }
 
@@ -141,17 +141,17 @@
     return node;
   }
 
-  void send(ChangeRequest order) {
-    send(order, anyNode());
+  void send(ChangeRequest request) {
+    send(request, anyNode());
   }
 
-  void send(ChangeRequest order, String node) {
-    sent.add(order);
+  void send(ChangeRequest request, String node) {
+    sent.add(request);
     CompletableFuture<SimpleHttpResponse> reply =
-        cluster.call(node, "POST", order.path(), String.valueOf(order.base), order.body);
+        cluster.call(node, "POST", request.path(), String.valueOf(request.base), request.body);
     calls.add(
         new PendingRequest(
-            order, reply, cluster.timers.now() + ANSWER_MS, random.nextDouble() < replyLossRate));
+            request, reply, cluster.timers.now() + ANSWER_MS, random.nextDouble() < replyLossRate));
   }
 
   /** Some ms pass, and the answers that came are heard; returns orders without a clear answer. */
@@ -166,34 +166,34 @@
       int status = call.reply.isDone() && !call.lost ? call.reply.join().status() : -1;
       repliesLost += call.lost ? 1 : 0;
       if (status == 200) {
-        onCommitted(call.order);
+        onCommitted(call.request);
       } else if (status >= 400 && status < 500) {
-        onRejected(call.order, status);
+        onRejected(call.request, status);
       } else {
         outcomesUnknown++;
-        open.add(call.order);
+        open.add(call.request);
       }
     }
     return open;
   }
 
-  private void onCommitted(ChangeRequest order) {
+  private void onCommitted(ChangeRequest request) {
     assertThat(
-        name + ": refused, then confirmed: " + order, rejected.containsKey(order), is(false));
-    ChangeRequest other = confirmedOn.putIfAbsent(order.base, order);
+        name + ": refused, then confirmed: " + request, rejected.containsKey(request), is(false));
+    ChangeRequest other = confirmedOn.putIfAbsent(request.base, request);
     assertThat(
-        name + ": two on one base: " + other + " and " + order,
-        other == null || other.equals(order),
+        name + ": two on one base: " + other + " and " + request,
+        other == null || other.equals(request),
         is(true));
-    committed.add(order);
+    committed.add(request);
   }
 
-  private void onRejected(ChangeRequest order, int status) {
+  private void onRejected(ChangeRequest request, int status) {
     assertThat(
-        name + ": confirmed, then refused by " + status + ": " + order,
-        committed.contains(order),
+        name + ": confirmed, then refused by " + status + ": " + request,
+        committed.contains(request),
         is(false));
-    rejected.put(order, status);
+    rejected.put(request, status);
   }
 
   /** How many calls have no answer yet. */
@@ -201,21 +201,21 @@
     return calls.size();
   }
 
-  private boolean pending(ChangeRequest order) {
+  private boolean pending(ChangeRequest request) {
     for (PendingRequest call : calls) {
-      if (call.order.equals(order)) {
+      if (call.request.equals(request)) {
         return true;
       }
     }
     return false;
   }
 
-  boolean answered(ChangeRequest order) {
-    return committed.contains(order) || rejected.containsKey(order);
+  boolean answered(ChangeRequest request) {
+    return committed.contains(request) || rejected.containsKey(request);
   }
 
   /** Sends each again until all of them have a final answer; false if the time is over. */
-  boolean retryUntilAnswered(Set<ChangeRequest> orders, long withinMs, Runnable meanwhile) {
+  boolean retryUntilAnswered(Set<ChangeRequest> requests, long withinMs, Runnable meanwhile) {
     long end = cluster.timers.now() + withinMs;
     Map<ChangeRequest, Long> again = new HashMap<>();
     while (cluster.timers.now() < end) {
@@ -224,14 +224,14 @@
         again.put(open, cluster.timers.now() + PAUSE_MS + random.nextInt(PAUSE_MS));
       }
       boolean done = true;
-      for (ChangeRequest order : orders) {
-        if (answered(order)) {
+      for (ChangeRequest request : requests) {
+        if (answered(request)) {
           continue;
         }
         done = false;
-        if (!pending(order) && again.getOrDefault(order, 0L) <= cluster.timers.now()) {
-          again.remove(order);
-          send(order);
+        if (!pending(request) && again.getOrDefault(request, 0L) <= cluster.timers.now()) {
+          again.remove(request);
+          send(request);
         }
       }
       if (done) {
@@ -242,18 +242,19 @@
   }
 
   /** Sends one that had its answer once more and gives what is answered at last, or 503. */
-  int repeat(ChangeRequest order, long withinMs) {
+  int repeat(ChangeRequest request, long withinMs) {
     long end = cluster.timers.now() + withinMs;
     while (cluster.timers.now() < end) {
       CompletableFuture<SimpleHttpResponse> reply =
-          cluster.call(anyNode(), "POST", order.path(), String.valueOf(order.base), order.body);
+          cluster.call(
+              anyNode(), "POST", request.path(), String.valueOf(request.base), request.body);
       int status = cluster.status(reply);
       if (status == 200) {
-        onCommitted(order);
+        onCommitted(request);
         return status;
       }
       if (status >= 400 && status < 500) {
-        onRejected(order, status);
+        onRejected(request, status);
         return status;
       }
       outcomesUnknown++;
@@ -289,20 +290,20 @@
     assertThat(name + ": seen by no node: " + current, last, notNullValue());
     assertThat(name, last.changeCount() < ConfigHistory.MAX_CHANGES, is(true));
     Set<ChangeRequest> taken = new HashSet<>();
-    for (ChangeRequest order : sent) {
-      if (taken(last, order)) {
-        taken.add(order);
+    for (ChangeRequest request : sent) {
+      if (taken(last, request)) {
+        taken.add(request);
       }
     }
-    for (ChangeRequest order : committed) {
-      assertThat(name + ": confirmed and lost: " + order, taken.contains(order), is(true));
+    for (ChangeRequest request : committed) {
+      assertThat(name + ": confirmed and lost: " + request, taken.contains(request), is(true));
     }
-    for (ChangeRequest order : rejected.keySet()) {
-      assertThat(name + ": refused and in force: " + order, taken.contains(order), is(false));
+    for (ChangeRequest request : rejected.keySet()) {
+      assertThat(name + ": refused and in force: " + request, taken.contains(request), is(false));
     }
   }
 
-  private static boolean taken(ConfigHistory last, ChangeRequest order) {
-    return last.statusOf(order.base, order.digest()) == ConfigChangeStatus.COMMITTED;
+  private static boolean taken(ConfigHistory last, ChangeRequest request) {
+    return last.statusOf(request.base, request.digest()) == ConfigChangeStatus.COMMITTED;
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/ConfigFaultScenarioTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ConfigFaultScenarioTest.java
@@ -37,8 +37,8 @@
   /** What each acknowledged edition was based on. */
   private final Map<Long, Long> acknowledged = new TreeMap<>();
 
-  private final Set<Long> refusedOnce = new HashSet<>();
-  private final Set<Long> unclear = new HashSet<>();
+  private final Set<Long> rejected = new HashSet<>();
+  private final Set<Long> outcomeUnknown = new HashSet<>();
   private final Set<Long> seen = new HashSet<>();
   private final Map<String, Long> lastSeen = new HashMap<>();
 
@@ -55,7 +55,7 @@
     for (int seed = 1; seed <= STORIES; seed++) {
       play(seed);
       taken += acknowledged.size();
-      refused += refusedOnce.size();
+      refused += rejected.size();
     }
     assertThat("acknowledged", taken, greaterThan(STORIES * 5));
     assertThat("lost races", refused, greaterThan(STORIES));
@@ -66,8 +66,8 @@
     random = new Random(seed);
     open.clear();
     acknowledged.clear();
-    refusedOnce.clear();
-    unclear.clear();
+    rejected.clear();
+    outcomeUnknown.clear();
     seen.clear();
     lastSeen.clear();
     bases.clear();
@@ -95,15 +95,15 @@
       if (open.size() < 2 && random.nextInt(16) == 0) {
         send();
       }
-      hear(seed);
-      look(seed);
+      collectReplies(seed);
+      checkGateways(seed);
     }
     if (trouble != null) {
       end(trouble);
     }
     cluster.timers.advance(6_000);
-    hear(seed);
-    look(seed);
+    collectReplies(seed);
+    checkGateways(seed);
     finish(seed);
   }
 
@@ -159,7 +159,7 @@
     }
   }
 
-  private void hear(int seed) {
+  private void collectReplies(int seed) {
     List<Sent> done = new ArrayList<>();
     for (Sent sent : open) {
       if (sent.reply().isDone() || cluster.timers.now() % 7 == 0 && random.nextInt(40) == 0) {
@@ -185,10 +185,10 @@
         acknowledged.put(sent.version(), sent.basedOn());
         current = Math.max(current, sent.version());
       } else if (status == 412 || status == 400) {
-        refusedOnce.add(sent.version());
+        rejected.add(sent.version());
         refresh();
       } else {
-        unclear.add(sent.version());
+        outcomeUnknown.add(sent.version());
         refresh();
       }
     }
@@ -212,7 +212,7 @@
     }
   }
 
-  private void look(int seed) {
+  private void checkGateways(int seed) {
     for (Map.Entry<String, ConfigWatcher> gateway : cluster.gateways.entrySet()) {
       if (gateway.getValue().config() != null) {
         long edition = gateway.getValue().config().version();
@@ -251,7 +251,7 @@
     for (long edition : seen) {
       assertThat("seed " + seed + ": seen, not there " + edition, has(last, edition), is(true));
     }
-    for (long edition : refusedOnce) {
+    for (long edition : rejected) {
       assertThat(
           "seed " + seed + ": refused, yet there " + edition, has(last, edition), is(not(true)));
     }
--- a/controlplane/src/test/java/elmsail/controlplane/ConfigHistoryTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ConfigHistoryTest.java
@@ -20,7 +20,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** What a history says of an order, against a chain that forgets nothing. */
+/** The status of changes by a bounded history, compared with a history that forgets nothing. */
 class ConfigHistoryTest {
   private static final int CHAINS = 20;
   private static final int CHANGES = 1_500;
@@ -46,7 +46,7 @@
     for (int seed = 1; seed <= CHAINS; seed++) {
       chain(seed, counts);
     }
-    System.out.println("standings of orders over " + CHAINS + " chains: " + counts);
+    System.out.println("statuses of changes over " + CHAINS + " chains: " + counts);
     for (ConfigChangeStatus each : ConfigChangeStatus.values()) {
       assertThat(each.name(), counts.getOrDefault(each, 0), greaterThan(100));
     }
@@ -54,7 +54,7 @@
 
   private static void chain(int seed, Map<ConfigChangeStatus, Integer> counts) {
     Random random = new Random(seed);
-    // All orders taken, by base; never forgotten.
+    // All committed changes, by base; never forgotten.
     TreeMap<Long, Order> taken = new TreeMap<>();
     List<Long> numbers = new ArrayList<>(List.of(0L));
     ConfigHistory last = ConfigHistory.EMPTY;
--- a/controlplane/src/test/java/elmsail/controlplane/ConfigReadChecker.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ConfigReadChecker.java
@@ -27,14 +27,14 @@
       String node, long sentAt, long least, CompletableFuture<SimpleHttpResponse> reply) {}
 
   private final String name;
-  private final ConfigChangeScenario orders;
+  private final ConfigChangeScenario changes;
   private final List<Read> open = new ArrayList<>();
   private int configsRead;
   private int unavailable;
 
-  ConfigReadChecker(String name, ConfigChangeScenario orders) {
+  ConfigReadChecker(String name, ConfigChangeScenario changes) {
     this.name = name;
-    this.orders = orders;
+    this.changes = changes;
   }
 
   /** Answers that held a configuration. */
@@ -49,15 +49,15 @@
 
   private long newest() {
     long newest = 0;
-    for (ConfigChangeScenario.ChangeRequest order : orders.committed) {
-      newest = Math.max(newest, order.number());
+    for (ConfigChangeScenario.ChangeRequest request : changes.committed) {
+      newest = Math.max(newest, request.number());
     }
     return newest;
   }
 
   /** Sends a read to that node, if it runs; a frozen one finds it when it is thawed. */
   void read(String name) {
-    SimulatedCluster cluster = orders.cluster;
+    SimulatedCluster cluster = changes.cluster;
     ControlPlaneNode controlPlaneNode = cluster.controlPlaneNodes.get(name);
     SimNode node = cluster.net.nodeAt(cluster.address(name));
     if (controlPlaneNode == null || node == null || open.size() >= MAX_PENDING) {
--- a/controlplane/src/test/java/elmsail/controlplane/ControlPlaneBootstrapTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ControlPlaneBootstrapTest.java
@@ -17,7 +17,7 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** The founding of the set "head" on simulated links and disks. */
+/** The bootstrap of the control-plane voters on a simulated network and disks. */
 class ControlPlaneBootstrapTest {
   private static final int HISTORIES = 300;
 
@@ -57,7 +57,7 @@
     assertThat(cluster.timers.now(), lessThan(2_500L));
   }
 
-  /** Killed by power, wiped, or one of both: what was acknowledged is there. */
+  /** Both lose power, both lose their disks, or one of each. */
   @Test
   void acknowledgedConfigSurvivesTwoLossesAtOnce() {
     for (int kind = 0; kind < 3; kind++) {
@@ -179,7 +179,7 @@
     assertThat(founded, is(HISTORIES));
   }
 
-  /** Who was founded in each slot, where that can be told: by its epoch 1, or from its epoch 2. */
+  /** Collects the initial voter of each slot, as epochs 1 and 2 show it. */
   private static void noteFounding(
       VoterSet head, Map<Integer, Set<Long>> founded, Set<Integer> sizes) {
     for (int i = 0; i < head.voters.size(); i++) {
--- a/controlplane/src/test/java/elmsail/controlplane/ControlPlaneNodeTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ControlPlaneNodeTest.java
@@ -16,21 +16,21 @@
 class ControlPlaneNodeTest {
   private final SimulatedCluster cluster = new SimulatedCluster(7, 3);
 
-  private void head() {
+  private void startControlPlane() {
     cluster.controlPlane("n1", true);
     cluster.controlPlane("n2", true);
     cluster.controlPlane("n3", true);
   }
 
-  private void all(int stores) {
-    head();
+  private void startControlPlaneAndStores(int stores) {
+    startControlPlane();
     for (int i = 1; i <= stores; i++) {
       cluster.store("v" + i, true);
     }
   }
 
-  private void founded(int stores) {
-    all(stores);
+  private void startUntilStoresAreVoters(int stores) {
+    startControlPlaneAndStores(stores);
     assertThat(
         cluster.awaitWithin(
             5_000, () -> cluster.describeJobStoreVoters("v1").equals("v1/1 v2/1 v3/1")),
@@ -39,7 +39,7 @@
 
   @Test
   void configIsCommittedSoonAfterStartAndReachesGateways() {
-    head();
+    startControlPlane();
     cluster.gateway("c1");
     assertThat(cluster.replaceAnywhere(0, 3), is(200));
     assertThat(cluster.timers.now(), lessThan(3_500L));
@@ -56,29 +56,29 @@
   @Test
   void nodesBootstrapInAnyStartOrder() {
     for (int order = 0; order < 6; order++) {
-      SimulatedCluster one = new SimulatedCluster(order, 3);
+      SimulatedCluster other = new SimulatedCluster(order, 3);
       int first = order % 3 + 1;
       int second = order < 3 ? first % 3 + 1 : (first + 1) % 3 + 1;
-      one.controlPlane("n" + first, true);
-      one.timers.advance(100);
-      one.controlPlane("n" + second, true);
-      one.timers.advance(200);
-      one.controlPlane("n" + (6 - first - second), true);
-      assertThat("order " + order, one.replaceAnywhere(0, 3), is(200));
+      other.controlPlane("n" + first, true);
+      other.timers.advance(100);
+      other.controlPlane("n" + second, true);
+      other.timers.advance(200);
+      other.controlPlane("n" + (6 - first - second), true);
+      assertThat("order " + order, other.replaceAnywhere(0, 3), is(200));
     }
   }
 
   @Test
   void singleSeedBootstrapsAlone() {
-    SimulatedCluster one = new SimulatedCluster(1, 1);
-    one.controlPlane("n1", true);
-    assertThat(one.replaceAnywhere(0, 3), is(200));
-    assertThat(one.read("n1"), equalTo(SimulatedCluster.config(3)));
+    SimulatedCluster other = new SimulatedCluster(1, 1);
+    other.controlPlane("n1", true);
+    assertThat(other.replaceAnywhere(0, 3), is(200));
+    assertThat(other.read("n1"), equalTo(SimulatedCluster.config(3)));
   }
 
   @Test
   void concurrentChangesOnSameBaseHaveOneWinner() {
-    head();
+    startControlPlane();
     assertThat(cluster.replaceAnywhere(0, 1), is(200));
     long current = 1;
     for (int i = 0; i < 20; i++) {
@@ -100,7 +100,7 @@
 
   @Test
   void changeFailsWithoutMajorityAndIsCommittedOnceNodesAreBack() {
-    head();
+    startControlPlane();
     assertThat(cluster.replaceAnywhere(0, 1), is(200));
     cluster.kill("n2");
     cluster.kill("n3");
@@ -114,7 +114,7 @@
 
   @Test
   void startingNodePublishesNothingBeforeMajorityRead() {
-    head();
+    startControlPlane();
     assertThat(cluster.replaceAnywhere(0, 1), is(200));
     for (int i = 1; i <= 3; i++) {
       cluster.kill("n" + i);
@@ -131,7 +131,7 @@
 
   @Test
   void partitionedNodeRejectsChangesAndCatchesUpAfterHeal() {
-    head();
+    startControlPlane();
     cluster.gateway("c1");
     assertThat(cluster.replaceAnywhere(0, 1), is(200));
     cluster.timers.advance(1_000);
@@ -152,7 +152,7 @@
 
   @Test
   void acknowledgedConfigSurvivesPowerLossOfAllNodes() {
-    head();
+    startControlPlane();
     assertThat(cluster.replaceAnywhere(0, 1), is(200));
     assertThat(cluster.replaceAnywhere(1, 5), is(200));
     for (int i = 1; i <= 3; i++) {
@@ -172,7 +172,7 @@
 
   @Test
   void nodesWipedOneAfterAnotherRecover() {
-    head();
+    startControlPlane();
     assertThat(cluster.replaceAnywhere(0, 1), is(200));
     for (int i = 1; i <= 3; i++) {
       String name = "n" + i;
@@ -187,7 +187,7 @@
 
   @Test
   void disklessNodeProposesChangesAndRedirectsDecommissioning() {
-    head();
+    startControlPlane();
     cluster.controlPlane("n4", true, false);
     assertThat(cluster.replaceAnywhere(0, 1), is(200));
     assertThat(cluster.awaitWithin(2_000, () -> cluster.replace("n4", 1, 2) == 200), is(true));
@@ -200,7 +200,7 @@
 
   @Test
   void serverListIsPolledByOneNodeAndReachesGateways() {
-    head();
+    startControlPlane();
     cluster.gateway("c1");
     cluster.platformReply =
         "{\"servers\":[{\"postal_line\":\"p\",\"address\":\"10.8.0.1:80\",\"zone\":\"z1\","
@@ -224,7 +224,7 @@
 
   @Test
   void anotherNodePollsPlatformAfterLeaseHolderIsLost() {
-    head();
+    startControlPlane();
     cluster.gateway("c1");
     cluster.timers.advance(3_000);
     cluster.net.kill(cluster.address("n1"), false);
@@ -237,7 +237,7 @@
 
   @Test
   void jobStoreVotersStayTheSameOverRestartOfAll() {
-    founded(4);
+    startUntilStoresAreVoters(4);
     assertThat(cluster.stores.get("v4").replica().isVoting(), is(false));
     for (int i = 1; i <= 3; i++) {
       cluster.kill("n" + i);
@@ -257,7 +257,7 @@
 
   @Test
   void fewerStoresThanSlotsBootstrapAfterDelay() {
-    all(2);
+    startControlPlaneAndStores(2);
     assertThat(
         cluster.awaitWithin(5_000, () -> !cluster.describeJobStoreVoters("v1").isEmpty()),
         is(false));
@@ -268,7 +268,7 @@
 
   @Test
   void spareTakesOverSlotOfLostStore() {
-    founded(4);
+    startUntilStoresAreVoters(4);
     cluster.timers.advance(2_000);
     cluster.net.kill(cluster.address("v2"), false);
     assertThat(
@@ -283,7 +283,7 @@
 
   @Test
   void wipedStoreRejoinsItsOwnSlot() {
-    founded(3);
+    startUntilStoresAreVoters(3);
     cluster.timers.advance(1_000);
     cluster.wipe("v2");
     cluster.store("v2", false);
@@ -295,7 +295,7 @@
 
   @Test
   void decommissioningOneOfFourMovesItsSlotAndReportsDelivered() {
-    founded(4);
+    startUntilStoresAreVoters(4);
     cluster.timers.advance(3_000);
     assertThat(cluster.beginDecommission("n2", "v9"), is(404));
     assertThat(cluster.beginDecommission("n2", "v2"), is(200));
@@ -311,7 +311,7 @@
 
   @Test
   void decommissioningOneOfThreeIsRejected() {
-    founded(3);
+    startUntilStoresAreVoters(3);
     cluster.timers.advance(3_500);
     assertThat(cluster.beginDecommission("n1", "v2"), is(409));
     assertThat(cluster.decommissionState("n1", "v2"), equalTo("{\"state\":\"in_service\"}"));
@@ -319,7 +319,7 @@
 
   @Test
   void deliveredIsNotReportedBeforeSuccessorHasCopiedTheState() {
-    founded(4);
+    startUntilStoresAreVoters(4);
     cluster.timers.advance(3_000);
     cluster.disks.get("v4").stall(5_000);
     assertThat(cluster.beginDecommission("n1", "v2"), is(200));
--- a/controlplane/src/test/java/elmsail/controlplane/ControlPlanePartitionTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ControlPlanePartitionTest.java
@@ -26,7 +26,7 @@
 class ControlPlanePartitionTest extends PartitionTestBase {
   private static final long IN_FORCE_MS = 2_000;
 
-  /** A process that hears only n1. */
+  /** A gateway that reaches only n1. */
   private void gatewayAtN1(String name) {
     cluster.net.cutBoth(cluster.address(name), cluster.address("n2"));
     cluster.net.cutBoth(cluster.address(name), cluster.address("n3"));
@@ -119,15 +119,15 @@
     for (int ms = 0; ms < 100; ms++) {
       CompletableFuture<PullResponse> one = pull(request("gateway", "c8"), 1_000);
       cluster.timers.advance(1);
-      givesNothingOlderThan(3, early);
-      givesNothingOlderThan(3, one);
+      assertNothingOlderThan(3, early);
+      assertNothingOlderThan(3, one);
     }
     CompletableFuture<PullResponse> later = pull(request("gateway", "c9"), 1_000);
     assertThat(cluster.awaitWithin(1_000, later::isDone), is(true));
     assertThat(later.join().configVersion, is(3L));
   }
 
-  private static void givesNothingOlderThan(long edition, CompletableFuture<PullResponse> answer) {
+  private static void assertNothingOlderThan(long edition, CompletableFuture<PullResponse> answer) {
     if (answer.isDone() && !failed(answer) && answer.join().config != null) {
       assertThat(answer.join().configVersion, greaterThanOrEqualTo(edition));
     }
@@ -171,26 +171,26 @@
   @Test
   void changesRacingAtTheHealHaveOneWinner() {
     for (int early = 0; early <= 800; early += 100) {
-      SimulatedCluster one = new SimulatedCluster(early, 3);
+      SimulatedCluster other = new SimulatedCluster(early, 3);
       for (int i = 1; i <= 3; i++) {
-        one.controlPlane("n" + i, true);
+        other.controlPlane("n" + i, true);
       }
-      assertThat(one.replaceAnywhere(0, 1), is(200));
-      Partition.BOTH_WAYS.begin(one);
-      one.timers.advance(CUT_MS);
-      CompletableFuture<SimpleHttpResponse> waiting = one.sendReplace("n1", "1", 4);
-      one.timers.advance(early);
-      one.net.healAll();
-      CompletableFuture<SimpleHttpResponse> race = one.sendReplace("n2", "1", 3);
-      CompletableFuture<SimpleHttpResponse> late = one.sendReplace("n1", "1", 6);
-      int waited = one.status(waiting);
-      int raced = one.status(race);
-      int came = one.status(late);
+      assertThat(other.replaceAnywhere(0, 1), is(200));
+      Partition.BOTH_WAYS.begin(other);
+      other.timers.advance(CUT_MS);
+      CompletableFuture<SimpleHttpResponse> waiting = other.sendReplace("n1", "1", 4);
+      other.timers.advance(early);
+      other.net.healAll();
+      CompletableFuture<SimpleHttpResponse> race = other.sendReplace("n2", "1", 3);
+      CompletableFuture<SimpleHttpResponse> late = other.sendReplace("n1", "1", 6);
+      int waited = other.status(waiting);
+      int raced = other.status(race);
+      int came = other.status(late);
       int taken = (waited == 200 ? 1 : 0) + (raced == 200 ? 1 : 0) + (came == 200 ? 1 : 0);
       assertThat(waited + " " + raced + " " + came, taken, lessThanOrEqualTo(1));
       if (taken == 1) {
         long winner = waited == 200 ? 4 : raced == 200 ? 3 : 6;
-        assertThat(one.read("n3"), equalTo(SimulatedCluster.config(winner)));
+        assertThat(other.read("n3"), equalTo(SimulatedCluster.config(winner)));
       }
       assertThat(waited + " " + raced + " " + came, taken, is(1));
     }
@@ -213,22 +213,24 @@
   @Test
   void configIsServedSoonAfterRestartOfAllWithOneLost() {
     for (int lost = 0; lost <= 1; lost++) {
-      SimulatedCluster one = new SimulatedCluster(5 + lost, 3);
+      SimulatedCluster other = new SimulatedCluster(5 + lost, 3);
       for (int i = 1; i <= 3; i++) {
-        one.controlPlane("n" + i, true);
+        other.controlPlane("n" + i, true);
       }
-      assertThat(one.replaceAnywhere(0, 1), is(200));
+      assertThat(other.replaceAnywhere(0, 1), is(200));
       for (int i = 1; i <= 3; i++) {
-        one.net.kill(one.address("n" + i), false);
+        other.net.kill(other.address("n" + i), false);
       }
-      one.timers.advance(2_000);
-      long begun = one.timers.now();
+      other.timers.advance(2_000);
+      long begun = other.timers.now();
       for (int i = 1; i <= 3 - lost; i++) {
-        one.controlPlane("n" + i, false);
+        other.controlPlane("n" + i, false);
       }
-      one.gateway("c1");
-      assertThat(one.awaitWithin(1_000, () -> one.gateways.get("c1").config() != null), is(true));
-      System.out.println(lost + " lost: configuration " + (one.timers.now() - begun) + " ms after");
+      other.gateway("c1");
+      assertThat(
+          other.awaitWithin(1_000, () -> other.gateways.get("c1").config() != null), is(true));
+      System.out.println(
+          lost + " lost: configuration " + (other.timers.now() - begun) + " ms after");
     }
   }
 
--- a/controlplane/src/test/java/elmsail/controlplane/ControlPlaneVoterReplacementTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ControlPlaneVoterReplacementTest.java
@@ -9,7 +9,7 @@
 import elmsail.rpc.messages.Voter;
 import org.junit.jupiter.api.Test;
 
-/** Voters of "head" that are gone for good, and the next loss right behind the repair. */
+/** Control-plane voters that are lost for good, and the next loss right after the repair. */
 class ControlPlaneVoterReplacementTest {
   /** The shorter of the sites' {@code catch_up_s}, less what a process takes to start. */
   private static final long CATCH_UP_MS = 4_800 - 900;
@@ -19,7 +19,7 @@
 
   private SimulatedCluster cluster;
 
-  private void founded(int bear, int nodes, int voters) {
+  private void startVoters(int bear, int nodes, int voters) {
     cluster = new SimulatedCluster(11, 3, bear);
     for (int i = 1; i <= nodes; i++) {
       cluster.controlPlane("n" + i, true);
@@ -38,7 +38,7 @@
     return holders.toString();
   }
 
-  private void gone(String name) {
+  private void loseForGood(String name) {
     cluster.net.kill(cluster.address(name), false);
     cluster.controlPlaneNodes.remove(name);
   }
@@ -48,9 +48,9 @@
   void lostVoterIsReplacedAndTheNextLossIsTolerated() {
     for (int gone = 1; gone <= 3; gone++) {
       for (long later : new long[] {0, 2_000, 8_000}) {
-        founded(1, 3, 3);
+        startVoters(1, 3, 3);
         String about = "n" + gone + ", " + later;
-        gone("n" + gone);
+        loseForGood("n" + gone);
         cluster.timers.advance(later);
         long start = cluster.timers.now();
         cluster.controlPlane("n4", false);
@@ -64,7 +64,7 @@
         cluster.timers.advance(CATCH_UP_MS - whole);
         // The oldest goes first: what was acknowledged before it joined is at the successor.
         String oldest = gone == 1 ? "n2" : "n1";
-        gone(oldest);
+        loseForGood(oldest);
         assertThat(
             about,
             cluster.awaitWithin(4_000, () -> cluster.read("n4").equals(SimulatedCluster.config(1))),
@@ -76,7 +76,7 @@
 
   @Test
   void shortPowerLossMovesNoSlot() {
-    founded(2, 6, 5);
+    startVoters(2, 6, 5);
     String before = holders("n1");
     cluster.net.kill(cluster.address("n2"), false);
     cluster.disks.get("n2").powerLoss();
@@ -87,10 +87,10 @@
     assertThat(cluster.allControlPlaneVotersVote("n1"), is(true));
   }
 
-  /** Cut off and gone for good aren't told apart: its votes are void, and it is the next spare. */
+  /** A partitioned voter is not distinguished from a lost one: it comes back as a spare. */
   @Test
   void returningVoterIsASpareAndTakesOverTheNextSlot() {
-    founded(1, 4, 3);
+    startVoters(1, 4, 3);
     cluster.net.isolate(cluster.address("n1"));
     assertThat(cluster.awaitWithin(8_000, () -> holders("n2").contains("n4")), is(true));
     assertThat(cluster.awaitWithin(2_000, () -> cluster.allControlPlaneVotersVote("n2")), is(true));
@@ -101,10 +101,10 @@
         cluster.awaitWithin(3_000, () -> !cluster.controlPlaneNodes.get("n1").voters().isVoting()),
         is(true));
     assertThat(cluster.awaitWithin(3_000, () -> holders("n1").equals(holders("n2"))), is(true));
-    gone("n2");
+    loseForGood("n2");
     assertThat(cluster.awaitWithin(8_000, () -> holders("n3").contains("n1")), is(true));
     assertThat(cluster.awaitWithin(2_000, () -> cluster.allControlPlaneVotersVote("n3")), is(true));
-    gone("n3");
+    loseForGood("n3");
     assertThat(
         cluster.awaitWithin(4_000, () -> cluster.read("n1").equals(SimulatedCluster.config(2))),
         is(true));
@@ -113,14 +113,14 @@
   /** Two at once, then two more, oldest first, then all lose power: nothing is lost. */
   @Test
   void lossesRightAfterRepairsLoseNothing() {
-    founded(2, 6, 5);
+    startVoters(2, 6, 5);
     int version = 1;
     int next = 7;
     for (int round = 0; round < 3; round++) {
       String first = cluster.controlPlaneVoters("n" + (next - 1)).voters.get(0).machine;
       String second = cluster.controlPlaneVoters("n" + (next - 1)).voters.get(1).machine;
-      gone(first);
-      gone(second);
+      loseForGood(first);
+      loseForGood(second);
       cluster.controlPlane("n" + next++, false);
       cluster.controlPlane("n" + next++, false);
       String asked = "n" + (next - 1);
@@ -147,11 +147,11 @@
   @Test
   void leaseHolderReportsDegradationAndRepair() {
     for (String victim : new String[] {"n1", "n2", "n3"}) {
-      founded(1, 3, 3);
+      startVoters(1, 3, 3);
       cluster.timers.advance(2_000);
-      gone(victim);
-      assertThat(victim, cluster.awaitWithin(4_500, () -> directing() != null), is(true));
-      RedundancyMonitor monitor = directing().controlPlaneRedundancy();
+      loseForGood(victim);
+      assertThat(victim, cluster.awaitWithin(4_500, () -> degradedLeaseHolder() != null), is(true));
+      RedundancyMonitor monitor = degradedLeaseHolder().controlPlaneRedundancy();
       int repairs = monitor.repairs();
       cluster.timers.advance(5_000);
       assertThat("no spare, no repair", monitor.isDegraded(), is(true));
@@ -165,7 +165,7 @@
   }
 
   /** Who holds the lease and misses a voter; null if nobody does. */
-  private ControlPlaneNode directing() {
+  private ControlPlaneNode degradedLeaseHolder() {
     for (ControlPlaneNode one : cluster.controlPlaneNodes.values()) {
       if (one.controlPlaneRedundancy().isDegraded()) {
         return one;
--- a/controlplane/src/test/java/elmsail/controlplane/FakeRegister.java
+++ b/controlplane/src/test/java/elmsail/controlplane/FakeRegister.java
@@ -14,17 +14,17 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Function;
 
-/** A register's contract in one memory: each call takes some ms, and fails as it is told to. */
+/** A register in memory: each call takes some ms, and ends as the test says. */
 final class FakeRegister implements Register {
 
-  /** What becomes of the next change. */
+  /** How the next change ends. */
   enum Outcome {
     COMMITTED,
-    /** Not taken: fails with NOT_REACHED after 300 ms. */
+    /** Not committed: fails with NO_QUORUM after 300 ms. */
     NOT_REACHED,
-    /** Taken: fails with UNCLEAR after 300 ms. */
+    /** Committed, but fails with OUTCOME_UNKNOWN after 300 ms. */
     UNKNOWN_COMMITTED,
-    /** Not taken, and never will be: fails with UNCLEAR after 300 ms. */
+    /** Not committed, and never will be: fails with OUTCOME_UNKNOWN after 300 ms. */
     UNKNOWN_LOST,
     /**
      * Another changes the key between the first round and the second: the function is called twice.
@@ -129,6 +129,6 @@
   }
 
   private static void fail(CompletableFuture<?> future, ErrorCode code) {
-    future.completeExceptionally(new ElmsailException(code, "told to"));
+    future.completeExceptionally(new ElmsailException(code, "failure asked for by the test"));
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/JobRecordWriter.java
+++ b/controlplane/src/test/java/elmsail/controlplane/JobRecordWriter.java
@@ -17,7 +17,7 @@
 
 /**
  * Writes keys with a body each to the stores, as a gateway that reaches all of them, and reads them
- * again: one that was acknowledged is never said not to be there.
+ * again: one that was acknowledged is never read as absent.
  */
 final class JobRecordWriter {
   private static final int MAX_PENDING = 3;
@@ -43,7 +43,7 @@
     register = client.register();
   }
 
-  /** That store is gone for good. */
+  /** Reads no voter set from that store any more, as it is lost for good. */
   void forget(String store) {
     lostStores.add(store);
   }
@@ -115,12 +115,12 @@
             });
   }
 
-  /** Read as not there though they were acknowledged. */
+  /** Jobs read as absent although they were acknowledged. */
   private final List<Integer> lost = new ArrayList<>();
 
-  /** Each is there with its body, and always was. */
+  /** Asserts that each acknowledged job has its body now, and was never read as absent. */
   void readAll() {
-    assertThat(name + ": said not to be there", lost, equalTo(List.of()));
+    assertThat(name + ": read as absent", lost, equalTo(List.of()));
     for (int job : List.copyOf(written)) {
       String about = name + ": job " + job;
       CompletableFuture<Register.VersionedValue> value = register.read("lot/" + job, null, CALL_MS);
--- a/controlplane/src/test/java/elmsail/controlplane/JobStoreVotersScenarioTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/JobStoreVotersScenarioTest.java
@@ -35,14 +35,14 @@
   private final List<String> running = new ArrayList<>();
   private final Set<String> removed = new HashSet<>();
   private int stores;
-  private int moves;
+  private int slotMoves;
 
   @Test
   void acknowledgedRecordsSurviveRandomStoreFaults() {
     for (int seed = 1; seed <= STORIES; seed++) {
       play(seed);
     }
-    assertThat("seats that moved", moves, greaterThan(STORIES));
+    assertThat("seats that moved", slotMoves, greaterThan(STORIES));
   }
 
   private void play(int seed) {
@@ -59,16 +59,16 @@
       add(true);
     }
     writer = new JobStoreClient(cluster, () -> running).register();
-    assertThat("seed " + seed, cluster.awaitWithin(8_000, this::allSeated), is(true));
+    assertThat("seed " + seed, cluster.awaitWithin(8_000, this::allSlotsVote), is(true));
     for (int i = 0; i < KEYS; i++) {
       acknowledged[i] = 0;
       busy[i] = false;
     }
     for (int round = 0; round < 8; round++) {
       write(1_000);
-      trouble(seed);
+      injectFault(seed);
       write(2_000);
-      boolean voting = cluster.awaitWithin(15_000, this::allSeated);
+      boolean voting = cluster.awaitWithin(15_000, this::allSlotsVote);
       assertThat("seed " + seed + " round " + round + " " + storeSet(), voting, is(true));
     }
     cluster.timers.advance(2_000);
@@ -122,7 +122,7 @@
     return value == null ? 0 : ByteBuffer.wrap(value).getLong();
   }
 
-  private void trouble(int seed) {
+  private void injectFault(int seed) {
     String name = running.get(random.nextInt(running.size()));
     String before = storeSet();
     switch (random.nextInt(5)) {
@@ -150,12 +150,12 @@
         cluster.controlPlane(controlPlane, false);
         cluster.store(name, false);
       }
-      default -> retire(seed, name);
+      default -> decommission(seed, name);
     }
-    moves += before.equals(storeSet()) ? 0 : 1;
+    slotMoves += before.equals(storeSet()) ? 0 : 1;
   }
 
-  private void retire(int seed, String name) {
+  private void decommission(int seed, String name) {
     if (running.size() < 5) {
       add(false);
       write(1_000);
@@ -179,7 +179,7 @@
     cluster.store(other, false);
   }
 
-  private boolean allSeated() {
+  private boolean allSlotsVote() {
     VoterSet newest = new VoterSet();
     for (String name : running) {
       newest = VoterSets.merge(newest, cluster.stores.get(name).replica().voterSet());
--- a/controlplane/src/test/java/elmsail/controlplane/LeaseTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/LeaseTest.java
@@ -9,7 +9,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Three voters that ask as well; some freeze, start again, or have their messages lost or late. */
+/** Three voters that are candidates as well, under freezes, restarts, and lost or late messages. */
 class LeaseTest {
   private static final int N = 3;
 
@@ -17,51 +17,54 @@
   private final LeaseVoter[] voters = new LeaseVoter[N];
   private final Lease[] leases = new Lease[N];
   private final long[] frozenUntil = new long[N];
-  private final long[] who = new long[N];
+  private final long[] processIds = new long[N];
   private Random random;
-  private double lost;
+  private double lossRate;
 
   private void begin(long seed, boolean founding) {
     random = new Random(seed);
     for (int i = 0; i < N; i++) {
       voters[i] = new LeaseVoter(timers.now(), founding);
       leases[i] = new Lease(timers.now(), i);
-      who[i] = i + 1L;
+      processIds[i] = i + 1L;
     }
   }
 
-  private void send(int asker, Lease.Round round) {
-    Lease lease = leases[asker];
-    long whose = who[asker];
+  private void send(int candidate, Lease.Round round) {
+    Lease lease = leases[candidate];
+    long processId = processIds[candidate];
     for (int v = 0; v < N; v++) {
       int voter = v;
-      if (random.nextDouble() < lost) {
+      if (random.nextDouble() < lossRate) {
         continue;
       }
       long there = random.nextInt(random.nextInt(20) == 0 ? 3_000 : 20);
       long back = random.nextInt(random.nextInt(20) == 0 ? 3_000 : 20);
-      timers.schedule(there, () -> arrive(voter, asker, lease, whose, round, back));
+      timers.schedule(there, () -> arrive(voter, candidate, lease, processId, round, back));
     }
   }
 
-  private void arrive(int voter, int asker, Lease lease, long whose, Lease.Round round, long back) {
+  private void arrive(
+      int voter, int candidate, Lease lease, long processId, Lease.Round round, long back) {
     if (timers.now() < frozenUntil[voter]) {
       timers.schedule(
-          frozenUntil[voter] - timers.now(), () -> arrive(voter, asker, lease, whose, round, back));
+          frozenUntil[voter] - timers.now(),
+          () -> arrive(voter, candidate, lease, processId, round, back));
       return;
     }
     if (round.kind() == Lease.Round.Kind.RELEASE) {
-      voters[voter].release(whose, round.number(), timers.now());
+      voters[voter].release(processId, round.number(), timers.now());
       return;
     }
-    long left = voters[voter].tryGrant(whose, round.number(), timers.now());
-    timers.schedule(back, () -> answered(voter, asker, lease, round, left));
+    long left = voters[voter].tryGrant(processId, round.number(), timers.now());
+    timers.schedule(back, () -> onResponse(voter, candidate, lease, round, left));
   }
 
-  private void answered(int voter, int asker, Lease lease, Lease.Round round, long left) {
-    if (timers.now() < frozenUntil[asker]) {
+  private void onResponse(int voter, int candidate, Lease lease, Lease.Round round, long left) {
+    if (timers.now() < frozenUntil[candidate]) {
       timers.schedule(
-          frozenUntil[asker] - timers.now(), () -> answered(voter, asker, lease, round, left));
+          frozenUntil[candidate] - timers.now(),
+          () -> onResponse(voter, candidate, lease, round, left));
     } else if (left == 0) {
       lease.onGranted(round.number(), voter, timers.now());
     } else {
@@ -132,7 +135,7 @@
       for (int i = 0; i < N; i++) {
         frozenUntil[i] = 0;
       }
-      lost = seed % 3 * 0.15;
+      lossRate = seed % 3 * 0.15;
       // The messages of the seed before are let go by.
       timers.advance(10_000);
       begin(seed, true);
@@ -140,13 +143,13 @@
         int holders = step();
         assertThat("seed " + seed, holders, lessThanOrEqualTo(1));
         held += holders;
-        trouble();
+        injectFaults();
       }
     }
     assertThat("held much of the time all the same", held, greaterThan(60 * 4_000L / 4));
   }
 
-  private void trouble() {
+  private void injectFaults() {
     if (random.nextInt(300) == 0) {
       frozenUntil[random.nextInt(N)] = timers.now() + random.nextInt(4_000);
     }
@@ -155,11 +158,11 @@
       frozenUntil[one] = timers.now() + random.nextInt(500);
       voters[one] = new LeaseVoter(timers.now(), false);
       leases[one] = new Lease(timers.now(), one);
-      who[one] = random.nextLong();
+      processIds[one] = random.nextLong();
     }
   }
 
-  /** Whoever held the slot before may have granted the lease right before it was taken over. */
+  /** The slot's holder before may have granted the lease right before the take-over. */
   @Test
   void voterThatTookOverASlotWaitsForOneLeaseDuration() {
     LeaseVoter voter = new LeaseVoter(0, true);
--- a/controlplane/src/test/java/elmsail/controlplane/NodeFaultInjector.java
+++ b/controlplane/src/test/java/elmsail/controlplane/NodeFaultInjector.java
@@ -2,7 +2,7 @@
 
 import java.util.Random;
 
-/** One node at a time is killed, loses its power or its disk, freezes or is cut off. */
+/** Kills one node at a time, or takes its power or its disk, freezes it or partitions it. */
 final class NodeFaultInjector {
   private enum Kind {
     KILL,
@@ -30,7 +30,7 @@
     this.nodes = nodes;
   }
 
-  /** Begins or ends a trouble, or does nothing; called every few ms. */
+  /** Begins or ends a fault, or does nothing; called every few ms. */
   void step() {
     if (faultyNode == null && cluster.timers.now() >= nextFaultAtMs && random.nextInt(150) == 0) {
       begin();
@@ -60,7 +60,7 @@
     }
   }
 
-  /** Ends the trouble there is, if any. */
+  /** Ends the present fault, if there is one. */
   void end() {
     if (faultyNode == null) {
       return;
--- a/controlplane/src/test/java/elmsail/controlplane/PartitionTestBase.java
+++ b/controlplane/src/test/java/elmsail/controlplane/PartitionTestBase.java
@@ -8,7 +8,7 @@
 import elmsail.simulation.SimNode;
 import java.util.concurrent.CompletableFuture;
 
-/** Three control-plane nodes, of which n1 is cut off, and a process that asks it. */
+/** Three control-plane nodes, of which n1 gets partitioned, and a process that pulls from it. */
 abstract class PartitionTestBase {
   static final long CUT_MS = 20_000;
 
@@ -19,7 +19,7 @@
 
   SimulatedCluster cluster = new SimulatedCluster(11, 3);
 
-  /** A process that asks n1 what it gives out; made with the first question. */
+  /** A process that pulls from n1; started with the first pull. */
   private SimNode probe;
 
   /** What keeps n1 from the two other voters. */
--- a/controlplane/src/test/java/elmsail/controlplane/RepeatedDoubleLossTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/RepeatedDoubleLossTest.java
@@ -32,8 +32,8 @@
   private Register writer;
   private int written;
   private int stores;
-  private final List<String> oldestFirst = new ArrayList<>();
-  private final List<String> oldestHeads = new ArrayList<>();
+  private final List<String> oldestStores = new ArrayList<>();
+  private final List<String> oldestControlPlaneNodes = new ArrayList<>();
 
   @Test
   void twoLossesRightAfterEachRepairLoseNothing() {
@@ -44,13 +44,15 @@
         write();
         String about = "seed " + seed + " round " + round;
         if (random.nextInt(3) == 0) {
-          retireThenLose(about);
+          decommissionThenLoseTwo(about);
         } else {
           loseTwo(random.nextBoolean(), random.nextBoolean());
         }
         long restarted = cluster.timers.now();
         assertThat(
-            about + " " + storeSet(), cluster.awaitWithin(CATCH_UP_MS, this::whole), is(true));
+            about + " " + storeSet(),
+            cluster.awaitWithin(CATCH_UP_MS, this::allVotersVote),
+            is(true));
         longest = Math.max(longest, cluster.timers.now() - restarted);
       }
       readAll("seed " + seed);
@@ -63,25 +65,25 @@
     random = new Random(seed);
     written = 0;
     stores = 0;
-    oldestFirst.clear();
-    oldestHeads.clear();
+    oldestStores.clear();
+    oldestControlPlaneNodes.clear();
     cluster.net.delay(1, 8);
     for (int i = 1; i <= 5; i++) {
       cluster.controlPlane("n" + i, true);
-      oldestHeads.add("n" + i);
+      oldestControlPlaneNodes.add("n" + i);
     }
     for (int i = 0; i < 6; i++) {
       add(true);
     }
-    writer = new JobStoreClient(cluster, () -> oldestFirst).register();
-    assertThat(cluster.awaitWithin(8_000, this::whole), is(true));
+    writer = new JobStoreClient(cluster, () -> oldestStores).register();
+    assertThat(cluster.awaitWithin(8_000, this::allVotersVote), is(true));
     assertThat(cluster.replaceAnywhere(0, 1), is(200));
   }
 
   private void add(boolean firstStart) {
     String name = "v" + ++stores;
     cluster.store(name, firstStart);
-    oldestFirst.add(name);
+    oldestStores.add(name);
   }
 
   /** Three jobs with a body each. */
@@ -104,7 +106,7 @@
   }
 
   private void loseTwo(boolean stores, boolean wiped) {
-    List<String> oldest = stores ? oldestFirst : oldestHeads;
+    List<String> oldest = stores ? oldestStores : oldestControlPlaneNodes;
     List<String> victims = List.copyOf(oldest.subList(0, 2));
     for (String name : victims) {
       lose(name, wiped);
@@ -131,10 +133,10 @@
   }
 
   /** One is emptied and removed as soon as it is said to be; two others lose their disks then. */
-  private void retireThenLose(String about) {
+  private void decommissionThenLoseTwo(String about) {
     add(false);
     cluster.timers.advance(1_500);
-    String leaving = oldestFirst.get(0);
+    String leaving = oldestStores.get(0);
     assertThat(
         about,
         cluster.awaitWithin(4_000, () -> cluster.beginDecommission("n1", leaving) == 200),
@@ -146,29 +148,30 @@
             12_000, () -> cluster.decommissionState("n2", leaving).equals(delivered)),
         is(true));
     cluster.wipe(leaving);
-    oldestFirst.remove(leaving);
+    oldestStores.remove(leaving);
     loseTwo(true, true);
   }
 
-  private boolean whole() {
+  private boolean allVotersVote() {
     VoterSet newest = new VoterSet();
-    for (String name : oldestFirst) {
+    for (String name : oldestStores) {
       newest = VoterSets.merge(newest, cluster.stores.get(name).replica().voterSet());
     }
     TreeSet<String> voting = new TreeSet<>();
     for (Voter voter : newest.voters) {
-      if (oldestFirst.contains(voter.machine)
+      if (oldestStores.contains(voter.machine)
           && cluster.stores.get(voter.machine).replica().isVoting()
           && cluster.disks.get(voter.machine).instanceId() == voter.instanceId) {
         voting.add(voter.machine);
       }
     }
     return voting.size() == 5
-        && cluster.allControlPlaneVotersVote(oldestHeads.get(oldestHeads.size() - 1));
+        && cluster.allControlPlaneVotersVote(
+            oldestControlPlaneNodes.get(oldestControlPlaneNodes.size() - 1));
   }
 
   private String storeSet() {
-    return cluster.describeJobStoreVoters(oldestFirst.get(0));
+    return cluster.describeJobStoreVoters(oldestStores.get(0));
   }
 
   private void readAll(String about) {
@@ -180,7 +183,7 @@
       assertThat(about, cluster.awaitWithin(3_000, body::isDone), is(true));
       assertThat(about + " body " + i, body.join().length, is(BODY.length));
     }
-    String last = oldestHeads.get(oldestHeads.size() - 1);
+    String last = oldestControlPlaneNodes.get(oldestControlPlaneNodes.size() - 1);
     assertThat(
         about,
         cluster.awaitWithin(2_000, () -> cluster.read(last).equals(SimulatedCluster.config(1))),
--- a/controlplane/src/test/java/elmsail/controlplane/SimulatedCluster.java
+++ b/controlplane/src/test/java/elmsail/controlplane/SimulatedCluster.java
@@ -53,7 +53,7 @@
     this(seed, seedCount, 1);
   }
 
-  /** With so many machines to be lost at once. */
+  /** Creates one that tolerates the loss of so many machines at once. */
   SimulatedCluster(long seed, int seedCount, int bearMachines) {
     this.seed = seed;
     this.bearMachines = bearMachines;
@@ -142,12 +142,12 @@
     controlPlaneNode.start();
   }
 
-  /** The voter set "head" as that control-plane node knows it. */
+  /** The control-plane voters as that node knows them. */
   VoterSet controlPlaneVoters(String controlPlane) {
     return controlPlaneNodes.get(controlPlane).voters().current();
   }
 
-  /** Whether all slots of "head", as that node knows it, are held by running nodes that vote. */
+  /** Whether all control-plane voters that the node knows are running and vote. */
   boolean allControlPlaneVotersVote(String controlPlane) {
     for (Voter voter : controlPlaneVoters(controlPlane).voters) {
       ControlPlaneNode controlPlaneNode = controlPlaneNodes.get(voter.machine);
@@ -189,7 +189,7 @@
     gateway(name, node(name), null);
   }
 
-  /** One that may ask the platform itself. */
+  /** Starts a gateway that may poll the platform itself. */
   void gatewayWithPlatform(String name) {
     SimNode node = node(name);
     gateway(name, node, new PlatformClient(this::platform, "10.9.0.1:8169", node.timers()));
@@ -218,7 +218,7 @@
     disks.get(name).wipe();
   }
 
-  /** True if it came about within so many ms. */
+  /** Advances the clock until the condition holds; false if it does not within so many ms. */
   boolean awaitWithin(long ms, BooleanSupplier holds) {
     long end = timers.now() + ms;
     while (!holds.getAsBoolean() && timers.now() < end) {
@@ -243,7 +243,7 @@
     return call(controlPlane, "POST", "/Timetable.Replace", basedOn, config(edition));
   }
 
-  /** Status, or -1 if there was no answer within a second. */
+  /** The reply's status; -1 if there was none within 1,000 ms. */
   int status(CompletableFuture<SimpleHttpResponse> reply) {
     return awaitWithin(1_000, reply::isDone) ? reply.join().status() : -1;
   }
--- a/controlplane/src/test/java/elmsail/controlplane/SplitPartitionScenario.java
+++ b/controlplane/src/test/java/elmsail/controlplane/SplitPartitionScenario.java
@@ -54,36 +54,37 @@
   /** So many orders are under way at once at most. */
   private static final int MAX_PENDING_CHANGES = 8;
 
-  private static final int LOOK_MS = 40;
+  private static final int STEP_MS = 40;
   private static final int PAUSE_MS = 200;
-  private static final int RACE_EVERY_MS = 300;
+  private static final int RACE_INTERVAL_MS = 300;
   private static final String DELIVERED = "{\"state\":\"delivered\"}";
 
   private final String name;
   private final SimulatedCluster cluster;
   private final Random random;
   private final Halves halves;
-  private final ConcurrentChange underWay;
+  private final ConcurrentChange concurrentChange;
   private final int nodes;
   private final int voters;
-  private final ConfigChangeScenario orders;
+  private final ConfigChangeScenario changes;
   private final ConfigReadChecker reads;
   private final JobRecordWriter jobs;
   private final List<String> counted = new ArrayList<>();
-  private final Set<String> gone = new HashSet<>();
-  private final Set<String> retired = new HashSet<>();
+  private final Set<String> lostMachines = new HashSet<>();
+  private final Set<String> decommissioning = new HashSet<>();
   private final Set<String> delivered = new HashSet<>();
   private final Map<String, Long> holderOf = new HashMap<>();
-  private final Map<String, CompletableFuture<SimpleHttpResponse>> asked = new LinkedHashMap<>();
-  private final Map<ConfigChangeScenario.ChangeRequest, Long> again = new LinkedHashMap<>();
+  private final Map<String, CompletableFuture<SimpleHttpResponse>> pendingStateReads =
+      new LinkedHashMap<>();
+  private final Map<ConfigChangeScenario.ChangeRequest, Long> retryAtMs = new LinkedHashMap<>();
   private long number = 1;
-  private final Set<String> unasked = new LinkedHashSet<>();
+  private final Set<String> notAcceptedYet = new LinkedHashSet<>();
   private final List<String> wrong = new ArrayList<>();
   private long nextRace;
   private long nextRetire;
   private int acknowledgedInTheCut;
   private int readsInTheCut;
-  private long wholeAfterMs;
+  private long recoveredAfterMs;
   private long ackedAfterMs;
 
   SplitPartitionScenario(
@@ -91,13 +92,13 @@
     this.name = halves + ", " + underWay + ", seed " + seed;
     this.nodes = nodes;
     this.halves = halves;
-    this.underWay = underWay;
+    this.concurrentChange = underWay;
     voters = 2 * bear + 1;
     random = new Random(seed * 31L + halves.ordinal());
     cluster = new SimulatedCluster(seed, 3, bear);
     cluster.net.delay(1, 8);
-    orders = new ConfigChangeScenario(name, cluster, random, nodes);
-    reads = new ConfigReadChecker(name, orders);
+    changes = new ConfigChangeScenario(name, cluster, random, nodes);
+    reads = new ConfigReadChecker(name, changes);
     for (int i = 1; i <= nodes; i++) {
       counted.add("n" + i);
       cluster.controlPlane("n" + i, true);
@@ -121,8 +122,8 @@
     return delivered.size();
   }
 
-  long wholeAfterMs() {
-    return wholeAfterMs;
+  long recoveredAfterMs() {
+    return recoveredAfterMs;
   }
 
   long ackedAfterMs() {
@@ -130,31 +131,31 @@
   }
 
   void play() {
-    assertThat(name + ": founded", cluster.awaitWithin(10_000, this::whole), is(true));
+    assertThat(name + ": founded", cluster.awaitWithin(10_000, this::allVotersVote), is(true));
     assertThat(name, cluster.replaceAnywhere(0, 1), is(200));
-    orders.sent.add(ConfigChangeScenario.replacement(0, 1, ""));
-    orders.committed.add(ConfigChangeScenario.replacement(0, 1, ""));
+    changes.sent.add(ConfigChangeScenario.replacement(0, 1, ""));
+    changes.committed.add(ConfigChangeScenario.replacement(0, 1, ""));
     run(1_000);
     begin();
-    int confirmed = orders.committed.size();
+    int confirmed = changes.committed.size();
     int answered = reads.configsRead();
     split();
     run(1_000 + random.nextInt(2_000));
-    retire(anyStore());
+    requestDecommission(anyStore());
     run(2_000 + random.nextInt(6_000));
-    acknowledgedInTheCut = orders.committed.size() - confirmed;
+    acknowledgedInTheCut = changes.committed.size() - confirmed;
     readsInTheCut = reads.configsRead() - answered;
     heal();
-    int before = orders.committed.size();
+    int before = changes.committed.size();
     long healedAt = cluster.timers.now();
-    while (!whole() && cluster.timers.now() < healedAt + RECOVER_MS) {
+    while (!allVotersVote() && cluster.timers.now() < healedAt + RECOVER_MS) {
       run(50);
     }
-    assertThat(name + ": whole after the heal " + state(), whole(), is(true));
-    wholeAfterMs = cluster.timers.now() - healedAt;
+    assertThat(name + ": whole after the heal " + state(), allVotersVote(), is(true));
+    recoveredAfterMs = cluster.timers.now() - healedAt;
     run(2_000);
     assertThat(
-        name + ": orders after the heal " + state(), orders.committed.size() > before, is(true));
+        name + ": orders after the heal " + state(), changes.committed.size() > before, is(true));
     end();
   }
 
@@ -162,7 +163,7 @@
   private void begin() {
     String store = holders().get(random.nextInt(voters));
     String node = "n" + (1 + random.nextInt(3));
-    switch (underWay) {
+    switch (concurrentChange) {
       case STORE_JOINS -> {
         lose(store);
         run(GONE_MS - 200 + random.nextInt(500));
@@ -172,7 +173,7 @@
         run(GONE_MS - 200 + random.nextInt(500));
       }
       case RETIRE -> {
-        retire(store);
+        requestDecommission(store);
         run(random.nextInt(800));
       }
       case WIPED_STORE_REJOINS -> {
@@ -194,7 +195,7 @@
 
   private void lose(String machine) {
     cluster.net.kill(cluster.address(machine), false);
-    gone.add(machine);
+    lostMachines.add(machine);
     cluster.controlPlaneNodes.remove(machine);
     jobs.forget(machine);
   }
@@ -240,36 +241,36 @@
     String store;
     do {
       store = counted.get(nodes + random.nextInt(counted.size() - nodes));
-    } while (gone.contains(store));
+    } while (lostMachines.contains(store));
     return store;
   }
 
   /** To be asked at any node until one takes it. */
-  private void retire(String store) {
-    unasked.add(store);
+  private void requestDecommission(String store) {
+    notAcceptedYet.add(store);
   }
 
-  private void askToRetire() {
+  private void sendDecommissionRequests() {
     if (cluster.timers.now() < nextRetire) {
       return;
     }
-    nextRetire = cluster.timers.now() + RACE_EVERY_MS;
-    for (String store : List.copyOf(unasked)) {
+    nextRetire = cluster.timers.now() + RACE_INTERVAL_MS;
+    for (String store : List.copyOf(notAcceptedYet)) {
       String node = "n" + (1 + random.nextInt(nodes));
       SimNode there = cluster.net.nodeAt(cluster.address(node));
-      if (gone.contains(node) || there == null || there.isFrozen()) {
+      if (lostMachines.contains(node) || there == null || there.isFrozen()) {
         continue;
       }
       cluster
           .call(node, "POST", "/Retire.Begin/" + store, null, "{\"over_s\":10}")
-          .thenAccept(reply -> retireAnswered(store, reply.status()));
+          .thenAccept(reply -> onDecommissionReply(store, reply.status()));
     }
   }
 
-  private void retireAnswered(String store, int status) {
+  private void onDecommissionReply(String store, int status) {
     if (status == 200) {
-      unasked.remove(store);
-      retired.add(store);
+      notAcceptedYet.remove(store);
+      decommissioning.add(store);
     } else if (status < 500 && status != 307) {
       wrong.add("Retire.Begin " + store + ": " + status);
     }
@@ -278,61 +279,63 @@
   private void run(long ms) {
     long end = cluster.timers.now() + ms;
     while (cluster.timers.now() < end) {
-      race();
+      sendRacingChanges();
       reads.read("n" + (1 + random.nextInt(nodes)));
       jobs.step();
-      askToRetire();
-      askWhetherDelivered();
-      hear();
+      sendDecommissionRequests();
+      pollDecommissionStates();
+      collectReplies();
       reads.check();
       check();
     }
   }
 
-  private void hear() {
-    for (ConfigChangeScenario.ChangeRequest unclear : orders.collectReplies(LOOK_MS)) {
-      again.put(unclear, cluster.timers.now() + PAUSE_MS + random.nextInt(PAUSE_MS));
+  private void collectReplies() {
+    for (ConfigChangeScenario.ChangeRequest unclear : changes.collectReplies(STEP_MS)) {
+      retryAtMs.put(unclear, cluster.timers.now() + PAUSE_MS + random.nextInt(PAUSE_MS));
     }
-    for (Map.Entry<ConfigChangeScenario.ChangeRequest, Long> one : List.copyOf(again.entrySet())) {
+    for (Map.Entry<ConfigChangeScenario.ChangeRequest, Long> one :
+        List.copyOf(retryAtMs.entrySet())) {
       if (one.getValue() <= cluster.timers.now()) {
-        again.remove(one.getKey());
-        if (!orders.answered(one.getKey())) {
-          orders.send(one.getKey());
+        retryAtMs.remove(one.getKey());
+        if (!changes.answered(one.getKey())) {
+          changes.send(one.getKey());
         }
       }
     }
   }
 
   /** Two orders on the newest base at any two nodes, and some of those before them once more. */
-  private void race() {
-    boolean many = orders.pending() + again.size() + 2 > MAX_PENDING_CHANGES;
+  private void sendRacingChanges() {
+    boolean many = changes.pending() + retryAtMs.size() + 2 > MAX_PENDING_CHANGES;
     if (many || cluster.timers.now() < nextRace) {
       return;
     }
-    nextRace = cluster.timers.now() + RACE_EVERY_MS;
+    nextRace = cluster.timers.now() + RACE_INTERVAL_MS;
     long base = 0;
-    for (ConfigChangeScenario.ChangeRequest order : orders.committed) {
-      base = Math.max(base, order.number());
+    for (ConfigChangeScenario.ChangeRequest request : changes.committed) {
+      base = Math.max(base, request.number());
     }
     number = Math.max(number, base) + 1;
-    orders.send(ConfigChangeScenario.replacement(base, number, "a"));
-    orders.send(ConfigChangeScenario.replacement(base, number + random.nextInt(2), "b"));
+    changes.send(ConfigChangeScenario.replacement(base, number, "a"));
+    changes.send(ConfigChangeScenario.replacement(base, number + random.nextInt(2), "b"));
     if (random.nextInt(4) == 0) {
-      List<ConfigChangeScenario.ChangeRequest> earlier = new ArrayList<>(orders.sent);
-      orders.send(earlier.get(Math.max(0, earlier.size() - 1 - random.nextInt(8))));
+      List<ConfigChangeScenario.ChangeRequest> earlier = new ArrayList<>(changes.sent);
+      changes.send(earlier.get(Math.max(0, earlier.size() - 1 - random.nextInt(8))));
     }
   }
 
-  private void askWhetherDelivered() {
+  private void pollDecommissionStates() {
     for (String node : cluster.controlPlaneNodes.keySet()) {
-      for (String store : retired) {
+      for (String store : decommissioning) {
         String key = node + " " + store;
-        if (cluster.net.nodeAt(cluster.address(node)) != null && !asked.containsKey(key)) {
-          asked.put(key, cluster.call(node, "GET", "/Retire.Read/" + store, null, ""));
+        if (cluster.net.nodeAt(cluster.address(node)) != null
+            && !pendingStateReads.containsKey(key)) {
+          pendingStateReads.put(key, cluster.call(node, "GET", "/Retire.Read/" + store, null, ""));
         }
       }
     }
-    asked
+    pendingStateReads
         .entrySet()
         .removeIf(
             one -> {
@@ -386,19 +389,20 @@
     return holders;
   }
 
-  private boolean whole() {
+  private boolean allVotersVote() {
     if (jobs.newest().voters.isEmpty()) {
       return false;
     }
     int voting = 0;
     for (Voter voter : jobs.newest().voters) {
       StoreNode store = cluster.stores.get(voter.machine);
-      boolean there = cluster.net.nodeAt(voter.address) != null && !gone.contains(voter.machine);
+      boolean there =
+          cluster.net.nodeAt(voter.address) != null && !lostMachines.contains(voter.machine);
       boolean same = cluster.disks.get(voter.machine).instanceId() == voter.instanceId;
       voting += there && same && store.replica().isVoting() ? 1 : 0;
     }
     for (String node : cluster.controlPlaneNodes.keySet()) {
-      if (!gone.contains(node) && !cluster.allControlPlaneVotersVote(node)) {
+      if (!lostMachines.contains(node) && !cluster.allControlPlaneVotersVote(node)) {
         return false;
       }
     }
@@ -406,7 +410,8 @@
   }
 
   private String state() {
-    StringBuilder state = new StringBuilder("gone " + gone + ", retired " + retired);
+    StringBuilder state =
+        new StringBuilder("gone " + lostMachines + ", retired " + decommissioning);
     for (String node : cluster.controlPlaneNodes.keySet()) {
       state.append("; ").append(node).append(' ');
       for (Voter voter : cluster.controlPlaneVoters(node).voters) {
@@ -428,14 +433,16 @@
   /** All that was asked to leave has left; all that was acknowledged is there. */
   private void end() {
     long end = cluster.timers.now() + RECOVER_MS;
-    while (!(unasked.isEmpty() && delivered.containsAll(retired)) && cluster.timers.now() < end) {
+    while (!(notAcceptedYet.isEmpty() && delivered.containsAll(decommissioning))
+        && cluster.timers.now() < end) {
       run(100);
     }
-    String leaving = name + ": asked " + retired + ", delivered " + delivered + state();
-    assertThat(leaving, unasked.isEmpty() && delivered.containsAll(retired), is(true));
+    String leaving = name + ": asked " + decommissioning + ", delivered " + delivered + state();
+    assertThat(
+        leaving, notAcceptedYet.isEmpty() && delivered.containsAll(decommissioning), is(true));
     assertThat(name, wrong, is(empty()));
     jobs.readAll();
-    orders.finish();
+    changes.finish();
     assertThat(name, cluster.net.handlerFaults().isEmpty(), is(true));
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/SplitPartitionTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/SplitPartitionTest.java
@@ -38,14 +38,14 @@
     long acked = 0;
     for (SplitPartitionScenario.Halves halves : SplitPartitionScenario.Halves.values()) {
       for (int seed = 1; seed <= STORIES; seed++) {
-        SplitPartitionScenario story =
+        SplitPartitionScenario scenario =
             new SplitPartitionScenario(seed, nodes, stores, bear, halves, underWay);
-        story.play();
-        acknowledged += story.acknowledgedInTheCut();
-        answers += story.readsAnsweredInTheCut();
-        delivered += story.delivered();
-        acked = Math.max(acked, story.ackedAfterMs());
-        longest = Math.max(longest, story.wholeAfterMs());
+        scenario.play();
+        acknowledged += scenario.acknowledgedInTheCut();
+        answers += scenario.readsAnsweredInTheCut();
+        delivered += scenario.delivered();
+        acked = Math.max(acked, scenario.ackedAfterMs());
+        longest = Math.max(longest, scenario.recoveredAfterMs());
       }
     }
     System.out.printf(
--- a/controlplane/src/test/java/elmsail/controlplane/StorePlacementPartitionTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/StorePlacementPartitionTest.java
@@ -52,13 +52,13 @@
     for (int ms = 0; ms < 100; ms++) {
       cluster.timers.advance(1);
       CompletableFuture<PullResponse> one = pull(request("store", "v4"), 1_000);
-      ordersNothing(early);
-      ordersNothing(one);
+      assertAssignsNothing(early);
+      assertAssignsNothing(one);
     }
     assertThat(early.isDone(), is(true));
   }
 
-  private static void ordersNothing(CompletableFuture<PullResponse> answer) {
+  private static void assertAssignsNothing(CompletableFuture<PullResponse> answer) {
     if (answer.isDone() && !failed(answer) && answer.join().view != null) {
       assertThat(answer.join().view.joinSlot, is(-1));
     }
@@ -149,7 +149,7 @@
     cluster.net.cutBoth(cluster.address("n1"), cluster.address("v4"));
     stores(4);
     assertThat(
-        "not heard here, so it may be there", cluster.beginDecommission("n1", "v2"), is(503));
+        "no heartbeats here, so it may exist", cluster.beginDecommission("n1", "v2"), is(503));
     assertThat(cluster.beginDecommission("n1", "v4"), is(200));
     assertThat(cluster.beginDecommission("n2", "v2"), is(409));
   }
