--- a/rpc/src/main/java/elmsail/rpc/ConnectionSweeper.java
+++ b/rpc/src/main/java/elmsail/rpc/ConnectionSweeper.java
@@ -5,14 +5,19 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
 
-/** Sweeps the connections of a process periodically, more often while some are in use. */
+/**
+ * Runs {@link KeepaliveMonitor#sweep} of all connections of an endpoint periodically, with one
+ * timer for all of them, and more often while some are in use. Used on the loop only.
+ */
 final class ConnectionSweeper {
 
+  /** The interval while a connection is in use. */
   static final long BUSY_INTERVAL_MS = 200;
 
+  /** The interval while none is in use. */
   static final long IDLE_INTERVAL_MS = 1_000;
 
-  /** A timer that runs later than this shows that the process was stalled. */
+  /** A timer that fires later than this shows that the process was stalled. */
   static final long STALL_THRESHOLD_MS = 100;
 
   private final Timers timers;
@@ -22,6 +27,12 @@
   private long dueAt;
   private boolean closed;
 
+  /**
+   * A sweeper that starts with the first {@link #sweepSoon}.
+   *
+   * @param connections all that are open at present
+   * @param noPeers whether there is nothing to wait for when no connection is open
+   */
   ConnectionSweeper(
       Timers timers, Supplier<List<RpcConnection>> connections, BooleanSupplier noPeers) {
     this.timers = timers;
@@ -29,14 +40,15 @@
     this.noPeers = noPeers;
   }
 
-  /** Schedules a sweep within {@link #BUSY_INTERVAL_MS}. */
+  /** Ensures that a sweep is scheduled within {@link #BUSY_INTERVAL_MS}. */
   void sweepSoon() {
-    long dueAt = timers.now() + BUSY_INTERVAL_MS;
-    if (!closed && (timer == null || this.dueAt > dueAt)) {
-      schedule(dueAt);
+    long soonest = timers.now() + BUSY_INTERVAL_MS;
+    if (!closed && (timer == null || dueAt > soonest)) {
+      schedule(soonest);
     }
   }
 
+  /** Ends the sweeps. */
   void close() {
     closed = true;
     if (timer != null) {
@@ -44,11 +56,11 @@
     }
   }
 
-  private void schedule(long dueAt) {
+  private void schedule(long at) {
     if (timer != null) {
       timer.cancel();
     }
-    this.dueAt = dueAt;
+    dueAt = at;
     timer = timers.schedule(dueAt - timers.now(), this::sweep);
   }
 
--- a/rpc/src/main/java/elmsail/rpc/Connector.java
+++ b/rpc/src/main/java/elmsail/rpc/Connector.java
@@ -2,72 +2,61 @@
 
 import elmsail.runtime.ElmsailException;
 import elmsail.runtime.ErrorCode;
-import elmsail.runtime.Timers;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelOption;
-import io.netty.channel.EventLoop;
 import io.netty.channel.socket.nio.NioSocketChannel;
 import java.net.InetSocketAddress;
 
-/** Opens the connections to called peers. Confined to the event loop. */
+/** Opens the connections to the peers that are called. Used on the loop only. */
 final class Connector {
 
-  /** The maximum time to connect. */
   static final long CONNECT_TIMEOUT_MS = 700;
 
-  private final EventLoop loop;
-  private final Timers timers;
-  private final MessageCodec codec;
-  private final RpcCounters counters;
+  private final RpcContext context;
   private final RpcConnection.Listener listener;
-
-  /** Run when a connection needs to be swept. */
   private final Runnable sweepSoon;
-
   private boolean closed;
 
-  Connector(
-      EventLoop loop,
-      Timers timers,
-      MessageCodec codec,
-      RpcCounters counters,
-      RpcConnection.Listener listener,
-      Runnable sweepSoon) {
-    this.loop = loop;
-    this.timers = timers;
-    this.codec = codec;
-    this.counters = counters;
+  /**
+   * @param listener of the connections that are opened
+   * @param sweepSoon called after each attempt
+   */
+  Connector(RpcContext context, RpcConnection.Listener listener, Runnable sweepSoon) {
+    this.context = context;
     this.listener = listener;
     this.sweepSoon = sweepSoon;
   }
 
-  /** Opens no more connections. */
+  /** From now on no connection is opened. */
   void close() {
     closed = true;
   }
 
-  /** Connects to the peer; queued calls are sent, or fail with {@code NOT_SENT}. */
+  /**
+   * Tries once to open the peer's connection. The calls queued for it are sent then, or fail with
+   * NOT_SENT if the attempt fails.
+   */
   void connect(Peer peer) {
     if (closed) {
-      onUnreachable(peer, "closed");
+      onUnreachable(peer, "this endpoint is closed");
       return;
     }
     InetSocketAddress address;
     try {
       address = RpcAddress.parse(peer.address);
     } catch (ElmsailException e) {
-      onUnreachable(peer, "no address");
+      onUnreachable(peer, "not an address ip:port");
       return;
     }
     HandshakeHello intended =
         new HandshakeHello(HandshakeHello.VERSION, peer.address, HandshakeHello.ANY_INSTANCE);
     RpcConnection connection =
-        new RpcConnection(peer, Handshake.forClient(intended), listener, timers, codec, counters);
+        RpcConnection.outbound(peer, Handshake.forClient(intended), listener, context);
     ChannelFuture opening =
         new Bootstrap()
-            .group(loop)
+            .group(context.loop())
             .channel(NioSocketChannel.class)
             .disableResolver()
             .option(ChannelOption.TCP_NODELAY, true)
@@ -77,17 +66,24 @@
     Channel channel = opening.channel();
     peer.channel = channel;
     peer.connectDeadlineExtended = false;
-    peer.connectDeadline = timers.now() + CONNECT_TIMEOUT_MS;
-    peer.connectTimer = timers.schedule(CONNECT_TIMEOUT_MS, () -> onConnectTimeout(peer, channel));
-    opening.addListener((ChannelFuture f) -> onConnectDone(peer, connection, f));
+    peer.connectDeadline = context.timers().now() + CONNECT_TIMEOUT_MS;
+    peer.connectTimer =
+        context.timers().schedule(CONNECT_TIMEOUT_MS, () -> onConnectTimeout(peer, channel));
+    opening.addListener((ChannelFuture done) -> onConnectDone(peer, connection, done));
   }
 
+  /**
+   * Ends the attempt, after one extension if the timer itself is late: see {@link OutboundCalls}.
+   */
   private void onConnectTimeout(Peer peer, Channel channel) {
-    if (!peer.connectDeadlineExtended
-        && timers.now() - peer.connectDeadline > ConnectionSweeper.STALL_THRESHOLD_MS) {
+    boolean stalled =
+        context.timers().now() - peer.connectDeadline > ConnectionSweeper.STALL_THRESHOLD_MS;
+    if (!peer.connectDeadlineExtended && stalled) {
       peer.connectDeadlineExtended = true;
       peer.connectTimer =
-          timers.schedule(KeepaliveMonitor.RECHECK_DELAY_MS, () -> onConnectTimeout(peer, channel));
+          context
+              .timers()
+              .schedule(KeepaliveMonitor.RECHECK_DELAY_MS, () -> onConnectTimeout(peer, channel));
     } else {
       channel.close();
     }
@@ -98,11 +94,11 @@
     peer.channel = null;
     if (closed || !opening.isSuccess() || !opening.channel().isActive()) {
       opening.channel().close();
-      counters.failedConnects++;
-      onUnreachable(peer, "no connection");
+      context.counters().failedConnects++;
+      onUnreachable(peer, "cannot connect");
       return;
     }
-    counters.connectionsOpened++;
+    context.counters().connectionsOpened++;
     peer.connecting = false;
     peer.connection = connection;
     connection.sendHello();
@@ -110,18 +106,18 @@
       if (connection.send(call, call.frame)) {
         call.frame = null;
       } else {
-        call.fail(ErrorCode.RESOURCE_EXHAUSTED, "too much on its way to the peer");
+        call.fail(ErrorCode.RESOURCE_EXHAUSTED, "the connection's send queue is full");
       }
     }
     sweepSoon.run();
   }
 
-  private void onUnreachable(Peer peer, String detail) {
+  private void onUnreachable(Peer peer, String reason) {
     peer.connecting = false;
-    peer.backOff(timers.now());
+    peer.backOff(context.timers().now());
     sweepSoon.run();
     for (PendingCall call : peer.drainQueue()) {
-      call.fail(ErrorCode.NOT_SENT, detail);
+      call.fail(ErrorCode.NOT_SENT, reason);
     }
   }
 }
--- a/rpc/src/main/java/elmsail/rpc/Frame.java
+++ b/rpc/src/main/java/elmsail/rpc/Frame.java
@@ -9,18 +9,19 @@
 import java.util.zip.CRC32C;
 
 /**
- * A frame of a connection: int length of the rest, byte kind, long call id, short type, int CRC32C
- * of kind, call id, type and payload, then the payload.
+ * The unit that is sent over a connection. On the wire: int length of what follows, byte kind, long
+ * call id, short message type, int CRC32C of kind, call id, type and payload, then the payload.
  *
+ * @param kind one of the constants below
  * @param callId chosen by the caller; 0 for pings and hellos
- * @param type of {@link MessageTypes}
+ * @param type of {@link MessageTypes}; 0 where the payload is no message
  */
 record Frame(int kind, long callId, int type, byte[] payload) {
 
   static final int REQUEST = 1;
   static final int RESPONSE = 2;
 
-  /** The payload is {@link ErrorCode#wireName()}. */
+  /** The payload is {@link ErrorCode#wireName()} in ASCII. */
   static final int FAILURE = 3;
 
   static final int PING = 4;
@@ -31,22 +32,27 @@
 
   static final int LENGTH_BYTES = 4;
 
-  /** Between the length and the payload. */
+  /** The header between the length and the payload. */
   static final int HEADER_BYTES = 1 + 8 + 2 + 4;
 
-  /** The offset of the checksum in the header. */
+  /** Offsets in the header. */
+  static final int CALL_ID_OFFSET = 1;
+
+  static final int TYPE_OFFSET = CALL_ID_OFFSET + 8;
+
+  /** Where the checksum stands in the header. */
   static final int CHECKSUM_OFFSET = HEADER_BYTES - 4;
 
-  /** The maximum frame length, without the bytes of the length itself. */
+  /** The longest frame, not counting the length field itself. */
   static final int MAX_BYTES = 16 << 20;
 
   private static final int INITIAL_CAPACITY_BYTES = 256;
 
   /**
-   * Encodes a message; the caller releases the buffer.
+   * Encodes a message into a frame, which the caller owns.
    *
-   * @throws ElmsailException {@code RESOURCE_EXHAUSTED} if the message is too long, {@code
-   *     INTERNAL} if its type is not registered
+   * @throws ElmsailException with RESOURCE_EXHAUSTED if it is too long, INTERNAL if the object is
+   *     no message
    */
   static ByteBuf message(MessageCodec codec, int kind, long callId, Object message) {
     int type = codec.typeNumber(message);
@@ -65,6 +71,7 @@
     return out;
   }
 
+  /** The response to a call that failed. */
   static ByteBuf failure(long callId, ErrorCode code) {
     ByteBuf out = ByteBufAllocator.DEFAULT.ioBuffer(INITIAL_CAPACITY_BYTES);
     writeHeader(out, FAILURE, callId, MessageTypes.NONE);
@@ -73,6 +80,7 @@
     return out;
   }
 
+  /** The first frame of a direction. */
   static ByteBuf hello(HandshakeHello hello) {
     ByteBuf out = ByteBufAllocator.DEFAULT.ioBuffer(INITIAL_CAPACITY_BYTES);
     writeHeader(out, HELLO, 0, MessageTypes.NONE);
@@ -81,6 +89,7 @@
     return out;
   }
 
+  /** A ping or pong. */
   static ByteBuf withoutPayload(int kind, long callId) {
     ByteBuf out = ByteBufAllocator.DEFAULT.ioBuffer(LENGTH_BYTES + HEADER_BYTES);
     writeHeader(out, kind, callId, MessageTypes.NONE);
@@ -88,15 +97,10 @@
     return out;
   }
 
-  /** The code of a {@code FAILURE} frame; {@code INTERNAL} for an unknown name. */
+  /** The code that a FAILURE carries; {@code INTERNAL} where this version does not know it. */
   ErrorCode errorCode() {
-    String name = new String(payload, StandardCharsets.US_ASCII);
-    for (ErrorCode code : ErrorCode.values()) {
-      if (code.wireName().equals(name)) {
-        return code;
-      }
-    }
-    return ErrorCode.INTERNAL;
+    String wireName = new String(payload, StandardCharsets.US_ASCII);
+    return ErrorCode.fromWireName(wireName).orElse(ErrorCode.INTERNAL);
   }
 
   private static void writeHeader(ByteBuf out, int kind, long callId, int type) {
--- a/rpc/src/main/java/elmsail/rpc/FrameDecoder.java
+++ b/rpc/src/main/java/elmsail/rpc/FrameDecoder.java
@@ -6,7 +6,10 @@
 import java.nio.ByteBuffer;
 import java.util.zip.CRC32C;
 
-/** Reassembles the frames of one connection from received bytes. */
+/**
+ * Decodes the frames of one connection from bytes in any fragments. Used on the connection's loop
+ * only.
+ */
 final class FrameDecoder {
 
   private static final byte[] EMPTY_PAYLOAD = {};
@@ -19,29 +22,12 @@
   /**
    * The next frame, or null if more bytes are needed.
    *
-   * @throws ElmsailException {@code MALFORMED} for an invalid frame; the decoder must not be used
-   *     further
+   * @throws ElmsailException with MALFORMED for a wrong length, kind or checksum; the decoder must
+   *     not be used again then
    */
   Frame next(ByteBuf in) {
-    if (payload == null) {
-      int part = Math.min(header.length - headerBytes, in.readableBytes());
-      in.readBytes(header, headerBytes, part);
-      headerBytes += part;
-      if (headerBytes < header.length) {
-        return null;
-      }
-      int length = ByteBuffer.wrap(header).getInt();
-      int kind = header[Frame.LENGTH_BYTES];
-      if (length < Frame.HEADER_BYTES
-          || length > Frame.MAX_BYTES
-          || kind < Frame.REQUEST
-          || kind > Frame.HELLO) {
-        throw new ElmsailException(
-            ErrorCode.MALFORMED, "frame of " + length + " bytes, kind " + kind);
-      }
-      payload =
-          length == Frame.HEADER_BYTES ? EMPTY_PAYLOAD : new byte[length - Frame.HEADER_BYTES];
-      payloadBytes = 0;
+    if (payload == null && !readHeader(in)) {
+      return null;
     }
     int part = Math.min(payload.length - payloadBytes, in.readableBytes());
     in.readBytes(payload, payloadBytes, part);
@@ -49,21 +35,53 @@
     return payloadBytes < payload.length ? null : completeFrame();
   }
 
+  /** Whether the header is complete; the payload is allocated then. */
+  private boolean readHeader(ByteBuf in) {
+    int part = Math.min(header.length - headerBytes, in.readableBytes());
+    in.readBytes(header, headerBytes, part);
+    headerBytes += part;
+    if (headerBytes < header.length) {
+      return false;
+    }
+    int length = ByteBuffer.wrap(header).getInt();
+    int kind = header[Frame.LENGTH_BYTES];
+    if (length < Frame.HEADER_BYTES || length > Frame.MAX_BYTES) {
+      throw new ElmsailException(
+          ErrorCode.MALFORMED,
+          "frame length: expected "
+              + Frame.HEADER_BYTES
+              + " to "
+              + Frame.MAX_BYTES
+              + " bytes, found "
+              + length);
+    }
+    if (kind < Frame.REQUEST || kind > Frame.HELLO) {
+      throw new ElmsailException(ErrorCode.MALFORMED, "unknown kind of frame " + kind);
+    }
+    payload = length == Frame.HEADER_BYTES ? EMPTY_PAYLOAD : new byte[length - Frame.HEADER_BYTES];
+    payloadBytes = 0;
+    return true;
+  }
+
   private Frame completeFrame() {
     byte[] bytes = payload;
     payload = null;
     headerBytes = 0;
-    CRC32C check = new CRC32C();
-    check.update(header, Frame.LENGTH_BYTES, Frame.CHECKSUM_OFFSET);
-    check.update(bytes, 0, bytes.length);
+    CRC32C checksum = new CRC32C();
+    checksum.update(header, Frame.LENGTH_BYTES, Frame.CHECKSUM_OFFSET);
+    checksum.update(bytes, 0, bytes.length);
     ByteBuffer fields = ByteBuffer.wrap(header);
-    if (fields.getInt(Frame.LENGTH_BYTES + Frame.CHECKSUM_OFFSET) != (int) check.getValue()) {
-      throw new ElmsailException(ErrorCode.MALFORMED, "checksum");
+    int expected = fields.getInt(Frame.LENGTH_BYTES + Frame.CHECKSUM_OFFSET);
+    if (expected != (int) checksum.getValue()) {
+      throw new ElmsailException(
+          ErrorCode.MALFORMED,
+          String.format(
+              "frame checksum: expected %08x, found %08x", expected, (int) checksum.getValue()));
     }
     return new Frame(
         header[Frame.LENGTH_BYTES],
-        fields.getLong(Frame.LENGTH_BYTES + 1),
-        fields.getShort(Frame.LENGTH_BYTES + 9),
+        fields.getLong(Frame.LENGTH_BYTES + Frame.CALL_ID_OFFSET),
+        fields.getShort(Frame.LENGTH_BYTES + Frame.TYPE_OFFSET),
         bytes);
   }
 }
--- a/rpc/src/main/java/elmsail/rpc/HandlerRegistry.java
+++ b/rpc/src/main/java/elmsail/rpc/HandlerRegistry.java
@@ -10,7 +10,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The request handlers of a process by the class of the request. Confined to the event loop. */
+/** The request handlers of a process, by the class of the request. Used on the loop only. */
 public final class HandlerRegistry implements RequestHandlers {
 
   private static final Logger LOG = LoggerFactory.getLogger(HandlerRegistry.class);
@@ -20,14 +20,16 @@
   private int loggedFaults;
 
   @Override
-  public <Q, A> void register(Class<Q> request, Function<Q, ? extends CompletionStage<A>> handler) {
-    handlers.put(request, handler);
+  public <Q, A> void register(
+      Class<Q> requestType, Function<Q, ? extends CompletionStage<A>> handler) {
+    handlers.put(requestType, handler);
   }
 
   /**
-   * Calls the handler of a request. Never throws.
+   * Runs the handler of the request.
    *
-   * @return fails with {@code INTERNAL} if there is no handler, or it threw or returned null
+   * @return what the handler returned; failed with INTERNAL if there is no handler or it returned
+   *     null, and with what it threw if it threw
    */
   public CompletionStage<Object> handle(Object request) {
     // Each handler was registered under the class of its requests.
@@ -43,8 +45,12 @@
       CompletionStage<Object> response = handler.apply(request);
       return response != null
           ? response
-          : failed(new ElmsailException(ErrorCode.INTERNAL, "the handler returned no response"));
+          : failed(
+              new ElmsailException(
+                  ErrorCode.INTERNAL,
+                  "the handler of " + request.getClass().getSimpleName() + " returned null"));
     } catch (RuntimeException e) {
+      // A handler's fault must end its own call only.
       if (ElmsailException.codeOf(e) == ErrorCode.INTERNAL && loggedFaults < MAX_LOGGED_FAULTS) {
         loggedFaults++;
         LOG.error("Handler of {} failed", request.getClass().getSimpleName(), e);
--- a/rpc/src/main/java/elmsail/rpc/Handshake.java
+++ b/rpc/src/main/java/elmsail/rpc/Handshake.java
@@ -4,18 +4,19 @@
 import elmsail.runtime.ErrorCode;
 
 /**
- * Decides which frames are valid on one connection: first one hello from the intended process, then
- * only the kinds of this direction. Pure: it uses no socket and no clock.
+ * The state of one connection's handshake, as a state machine without I/O: it begins incomplete,
+ * becomes complete with the peer's hello, and then accepts only the kinds of frame that belong to
+ * this direction.
  *
- * <p>The client does not wait for the server's hello before it sends requests, so a connection
- * costs no extra round trip; but it accepts no response before it. The server executes nothing
- * before it has checked that it is the intended process.
+ * <p>The client does not wait for the server's hello before it sends requests, so opening a
+ * connection costs no extra round trip; but it accepts no response before that hello. The server
+ * executes nothing before it has checked that it is the intended process.
  */
 final class Handshake {
 
   private final boolean client;
 
-  /** On the client side the process that it intends to call, on the server side this process. */
+  /** On the client the process that it intends to call, on the server this process. */
   private final HandshakeHello localHello;
 
   private boolean isComplete;
@@ -26,7 +27,7 @@
     this.localHello = localHello;
   }
 
-  /** For the side that opened the connection to {@code intended}. */
+  /** For the side that opened the connection. */
   static Handshake forClient(HandshakeHello intended) {
     return new Handshake(true, intended);
   }
@@ -36,39 +37,40 @@
     return new Handshake(false, localHello);
   }
 
-  /** The hello that this side sends first. */
+  /** The hello that this side sends. */
   HandshakeHello localHello() {
     return localHello;
   }
 
-  /** Whether the other side's hello was received and is valid. */
+  /** Whether the peer's hello was received and names the intended process. */
   boolean isComplete() {
     return isComplete;
   }
 
-  /** The server's instance, known to the client once the handshake is complete. */
+  /** The instance id of the process called; meaningful once the handshake is complete. */
   long peerInstanceId() {
     return peerInstanceId;
   }
 
   /**
-   * Checks a received frame.
+   * Checks that a frame may be accepted in the present state, and follows the state.
    *
-   * @throws ElmsailException {@code MISDIRECTED} if the called process is not the intended one,
-   *     {@code UNSUPPORTED_VERSION} if it speaks another protocol version, {@code MALFORMED} for a
-   *     frame of a kind that is not valid now
+   * @throws ElmsailException with MISDIRECTED if the process called is not the intended one,
+   *     UNSUPPORTED_VERSION if it speaks another protocol version, MALFORMED for a frame that is
+   *     not allowed now
    */
   void onFrame(Frame frame) {
     if (!isComplete) {
       if (frame.kind() != Frame.HELLO) {
         throw new ElmsailException(
-            ErrorCode.MALFORMED, "frame of kind " + frame.kind() + " before the hello");
+            ErrorCode.MALFORMED, "expected a hello, received a frame of kind " + frame.kind());
       }
       checkHello(HandshakeHello.fromPayload(frame.payload()));
       isComplete = true;
     } else if (!isAllowedKind(frame.kind())) {
       throw new ElmsailException(
-          ErrorCode.MALFORMED, "frame of kind " + frame.kind() + " in the wrong direction");
+          ErrorCode.MALFORMED,
+          "a frame of kind " + frame.kind() + " does not belong to this direction");
     }
   }
 
@@ -77,7 +79,15 @@
     HandshakeHello actual = client ? remoteHello : localHello;
     if (!actual.matches(intended)) {
       throw new ElmsailException(
-          ErrorCode.MISDIRECTED, "called " + intended.address() + ", reached " + actual.address());
+          ErrorCode.MISDIRECTED,
+          "expected process "
+              + intended.address()
+              + " instance "
+              + intended.instanceId()
+              + ", found "
+              + actual.address()
+              + " instance "
+              + actual.instanceId());
     }
     peerInstanceId = actual.instanceId();
   }
--- a/rpc/src/main/java/elmsail/rpc/LoopbackCalls.java
+++ b/rpc/src/main/java/elmsail/rpc/LoopbackCalls.java
@@ -2,61 +2,65 @@
 
 import elmsail.runtime.ElmsailException;
 import elmsail.runtime.ErrorCode;
-import elmsail.runtime.Timers;
 
-/** Calls of a process to itself: without a connection, on copies of the messages, never inline. */
+/**
+ * Calls of a process to itself, without a connection. As over one, messages are copied and nothing
+ * completes inside the call. Used on the loop only.
+ */
 final class LoopbackCalls {
 
-  private final Timers timers;
-  private final MessageCodec codec;
-  private final RpcCounters counters;
+  private final RpcContext context;
   private final HandlerRegistry handlers;
   private int openCalls;
   private boolean closed;
 
-  LoopbackCalls(Timers timers, MessageCodec codec, RpcCounters counters, HandlerRegistry handlers) {
-    this.timers = timers;
-    this.codec = codec;
-    this.counters = counters;
+  LoopbackCalls(RpcContext context, HandlerRegistry handlers) {
+    this.context = context;
     this.handlers = handlers;
   }
 
-  /** Calls that have not begun fail with {@code CONNECTION_LOST} from now on. */
+  /** From now on, calls that have not started fail with CONNECTION_LOST. */
   void close() {
     closed = true;
   }
 
-  /** Starts a call; false, and without effect, if too many are open. */
+  /**
+   * Handles the call in a later task of the loop.
+   *
+   * @return false if too many are open; the call is untouched then
+   * @throws ElmsailException with INTERNAL if the request is no message
+   */
   boolean start(PendingCall call, Object request) {
     if (openCalls >= RpcConnection.MAX_OPEN_REQUESTS) {
       return false;
     }
-    Object copy = codec.copy(request);
+    Object copy = context.codec().copy(request);
     openCalls++;
-    timers.execute(() -> handle(call, copy));
+    context.timers().execute(() -> handle(call, copy));
     return true;
   }
 
   private void handle(PendingCall call, Object request) {
     if (closed) {
       openCalls--;
-      call.fail(ErrorCode.CONNECTION_LOST, "closed");
+      call.fail(ErrorCode.CONNECTION_LOST, "this endpoint was closed");
       return;
     }
-    counters.requestsReceived++;
+    context.counters().requestsReceived++;
     handlers
         .handle(request)
-        .whenComplete((response, thrown) -> timers.execute(() -> finish(call, response, thrown)));
+        .whenComplete(
+            (response, failure) -> context.timers().execute(() -> finish(call, response, failure)));
   }
 
-  private void finish(PendingCall call, Object response, Throwable thrown) {
+  private void finish(PendingCall call, Object response, Throwable failure) {
     openCalls--;
-    if (thrown != null) {
-      call.onPeerFailure(ElmsailException.codeOf(thrown));
+    if (failure != null) {
+      call.onPeerFailure(ElmsailException.codeOf(failure));
       return;
     }
     try {
-      call.onResponse(codec.copy(response));
+      call.onResponse(context.codec().copy(response));
     } catch (ElmsailException e) {
       call.onPeerFailure(e.code());
     }
--- a/rpc/src/main/java/elmsail/rpc/MessageCodec.java
+++ b/rpc/src/main/java/elmsail/rpc/MessageCodec.java
@@ -11,8 +11,8 @@
 import java.io.OutputStream;
 
 /**
- * Encodes and decodes messages. Null fields are omitted and are decoded as the default of their
- * class. Confined to one thread.
+ * Encodes and decodes messages by Protostuff's runtime schema. Null fields are not encoded, so they
+ * are decoded to the default of their class. Not thread-safe: it reuses its buffer.
  */
 public final class MessageCodec {
 
@@ -21,45 +21,57 @@
   private final Schema<?>[] schemas = new Schema<?>[MessageTypes.size()];
   private final LinkedBuffer buffer = LinkedBuffer.allocate(BUFFER_BYTES);
 
-  /** The number of the message's type; throws {@code INTERNAL} if it is not registered. */
+  /** The type number of a message; fails with INTERNAL if its class has none. */
   int typeNumber(Object message) {
     int typeNumber =
         message == null ? MessageTypes.NONE : MessageTypes.numberOf(message.getClass());
     if (typeNumber == MessageTypes.NONE) {
       throw new ElmsailException(
           ErrorCode.INTERNAL,
-          "no message: " + (message == null ? "null" : message.getClass().getName()));
+          "not a message type: " + (message == null ? "null" : message.getClass().getName()));
     }
     return typeNumber;
   }
 
-  /** Encodes a message whose type has that number. */
+  /** Encodes a message whose class has that type number. */
   void write(int typeNumber, Object message, OutputStream out) {
     try {
       ProtostuffIOUtil.writeTo(out, message, schema(typeNumber), buffer);
     } catch (IOException | RuntimeException e) {
-      throw new ElmsailException(ErrorCode.INTERNAL, "message cannot be written", e);
+      throw new ElmsailException(
+          ErrorCode.INTERNAL, "cannot encode a " + message.getClass().getSimpleName(), e);
     } finally {
       buffer.clear();
     }
   }
 
-  /** Decodes a message; throws {@code MALFORMED} for an unknown type or invalid bytes. */
+  /**
+   * Decodes a message.
+   *
+   * @throws ElmsailException with MALFORMED if the type number is unknown or the bytes cannot be
+   *     decoded as that type
+   */
   Object read(int typeNumber, byte[] bytes, int offset, int length) {
     Schema<Object> schema = schema(typeNumber);
     if (schema == null) {
-      throw new ElmsailException(ErrorCode.MALFORMED, "unknown type " + typeNumber);
+      throw new ElmsailException(ErrorCode.MALFORMED, "unknown message type " + typeNumber);
     }
     Object message = schema.newMessage();
     try {
       ProtostuffIOUtil.mergeFrom(bytes, offset, length, message, schema);
     } catch (RuntimeException e) {
-      throw new ElmsailException(ErrorCode.MALFORMED, "message of type " + typeNumber, e);
+      throw new ElmsailException(
+          ErrorCode.MALFORMED,
+          "cannot decode "
+              + length
+              + " bytes as a "
+              + MessageTypes.typeOf(typeNumber).getSimpleName(),
+          e);
     }
     return message;
   }
 
-  /** Encodes a datagram: one byte of type number, then the message. */
+  /** A message as a datagram carries it: its type number in one byte, then its encoding. */
   public byte[] toDatagram(Object message) {
     int typeNumber = typeNumber(message);
     ByteArrayOutputStream out = new ByteArrayOutputStream(BUFFER_BYTES);
@@ -68,7 +80,11 @@
     return out.toByteArray();
   }
 
-  /** Decodes a datagram; throws {@code MALFORMED} if it contains no message of that type. */
+  /**
+   * Decodes a datagram.
+   *
+   * @throws ElmsailException with MALFORMED if it carries no message of that type
+   */
   public <T> T fromDatagram(byte[] datagram, Class<T> type) {
     if (datagram.length == 0 || MessageTypes.typeOf(datagram[0]) != type) {
       throw new ElmsailException(ErrorCode.MALFORMED, "no " + type.getSimpleName());
@@ -76,7 +92,7 @@
     return type.cast(read(datagram[0], datagram, 1, datagram.length - 1));
   }
 
-  /** A deep copy, as a peer would receive it. */
+  /** A copy that shares nothing with the message, as a peer would receive it. */
   public <T> T copy(T message) {
     int typeNumber = typeNumber(message);
     ByteArrayOutputStream out = new ByteArrayOutputStream(BUFFER_BYTES);
@@ -88,7 +104,7 @@
     return copy;
   }
 
-  /** The encoded size of the message in bytes, without its frame. */
+  /** The encoded size of a message in bytes, without its frame. */
   public int encodedBytes(Object message) {
     ByteArrayOutputStream out = new ByteArrayOutputStream(BUFFER_BYTES);
     write(typeNumber(message), message, out);
--- a/rpc/src/main/java/elmsail/rpc/MessageTypes.java
+++ b/rpc/src/main/java/elmsail/rpc/MessageTypes.java
@@ -29,10 +29,10 @@
 import elmsail.rpc.messages.Voter;
 import elmsail.rpc.messages.VoterSet;
 
-/** The numbers of the message types on the wire: indexes of a table that is append-only. */
+/** The numbers of message types on the wire: a type's index in the table. Append only. */
 final class MessageTypes {
 
-  /** The type number of frames without a message. */
+  /** The type number of frames that carry no message. */
   static final int NONE = 0;
 
   private static final Class<?>[] TABLE = {
@@ -74,12 +74,12 @@
     return TABLE.length;
   }
 
-  /** The type of that number, or null. */
+  /** The type with that number, or null. */
   static Class<?> typeOf(int number) {
     return number > NONE && number < TABLE.length ? TABLE[number] : null;
   }
 
-  /** The number of the type, or {@link #NONE}. */
+  /** The number of that type, or {@link #NONE}. */
   static int numberOf(Class<?> type) {
     for (int i = 1; i < TABLE.length; i++) {
       if (TABLE[i] == type) {
--- a/rpc/src/main/java/elmsail/rpc/Peer.java
+++ b/rpc/src/main/java/elmsail/rpc/Peer.java
@@ -5,43 +5,52 @@
 import java.util.ArrayDeque;
 
 /**
- * The state of one called process: its connection, or the calls that are queued for one. Confined
- * to the event loop.
+ * A process that is called: its connection, or the attempt to open one with the calls that are
+ * queued for it. In one of three states: connected ({@link #connection} is set), connecting, or
+ * idle until {@link #nextAttemptAt}. Used on the loop only.
  */
 final class Peer {
 
-  /** The delay between connection attempts; doubles up to {@link #MAX_BACKOFF_MS}. */
+  /** The time between the first two attempts to connect; it doubles up to the maximum. */
   static final long INITIAL_BACKOFF_MS = 150;
 
   static final long MAX_BACKOFF_MS = 1_000;
   static final int MAX_QUEUED_CALLS = 256;
 
+  /** "ip:port". */
   final String address;
+
+  /** The open connection, or null. */
   RpcConnection connection;
+
+  /** Whether an attempt to connect was started and has not ended. */
   boolean connecting;
+
+  /** The channel of the attempt to connect, or null. */
   Channel channel;
+
   Timers.Timer connectTimer;
   long connectDeadline;
+
+  /** Whether the deadline was extended so that the sockets are read first, after a stall. */
   boolean connectDeadlineExtended;
-  final ArrayDeque<PendingCall> queuedCalls = new ArrayDeque<>();
-  private long queuedBytes;
-  private long backoffMs;
 
-  /**
-   * The instance of the last complete handshake; {@link HandshakeHello#ANY_INSTANCE} before the
-   * first.
-   */
+  /** The instance that last completed a handshake at the address, or ANY_INSTANCE. */
   long instanceId = HandshakeHello.ANY_INSTANCE;
 
-  /** No connection attempt begins before this time. */
+  /** No attempt to connect is started before this time. */
   long nextAttemptAt;
 
+  private final ArrayDeque<PendingCall> queuedCalls = new ArrayDeque<>();
+  private long queuedBytes;
+  private long backoffMs;
+
   Peer(String address, long now) {
     this.address = address;
     nextAttemptAt = now;
   }
 
-  /** Queues a call; false if the queue is full. */
+  /** Queues a call until the connection is open; false if the queue is full. */
   boolean enqueue(PendingCall call) {
     int bytes = call.frame.readableBytes();
     if (queuedCalls.size() >= MAX_QUEUED_CALLS
@@ -53,12 +62,14 @@
     return true;
   }
 
+  /** Removes a call that has failed meanwhile. */
   void dequeue(PendingCall call) {
     if (queuedCalls.remove(call)) {
       queuedBytes -= call.frame.readableBytes();
     }
   }
 
+  /** Empties the queue; returns its calls in the order in which they were queued. */
   PendingCall[] drainQueue() {
     PendingCall[] all = queuedCalls.toArray(new PendingCall[0]);
     queuedCalls.clear();
@@ -66,17 +77,18 @@
     return all;
   }
 
-  /** A connection attempt failed. */
+  /** Delays the next attempt, as the last one failed. */
   void backOff(long now) {
     backoffMs = backoffMs == 0 ? INITIAL_BACKOFF_MS : Math.min(2 * backoffMs, MAX_BACKOFF_MS);
     nextAttemptAt = now + backoffMs;
   }
 
-  /** The peer responded. */
+  /** The peer has responded: the next failure backs off by the initial time again. */
   void resetBackoff() {
     backoffMs = 0;
   }
 
+  /** Whether it has not been used for so long that it can be forgotten. */
   boolean isExpired(long now) {
     return connection == null
         && !connecting
--- a/rpc/src/main/java/elmsail/rpc/PendingCall.java
+++ b/rpc/src/main/java/elmsail/rpc/PendingCall.java
@@ -6,31 +6,58 @@
 import io.netty.buffer.ByteBuf;
 import java.util.concurrent.CompletableFuture;
 
-/** A call that has neither failed nor been answered yet. Completes its future once. */
+/**
+ * An outbound call from its start until its future completes, which happens once. Used on the loop
+ * only.
+ */
 final class PendingCall {
   final long callId;
+
+  /** The address called, "ip:port". */
+  final String address;
+
+  /** In ms of the loop's clock. */
   final long deadline;
+
   final CompletableFuture<Object> future = new CompletableFuture<>();
+  private final Class<?> requestType;
   private final Class<?> responseType;
   private final RpcCounters counters;
+
+  /** Fires at the deadline; set right after construction. */
   Timers.Timer timer;
 
-  /** The connection it was sent on; null before that, and for loopback calls. */
+  /** The connection that it was sent over; null before that, and for loopback calls. */
   RpcConnection connection;
 
-  /** Whether the deadline was extended once because the process was stalled. */
+  /** Whether the deadline was extended so that the sockets are read first, after a stall. */
   boolean deadlineExtended;
 
-  /** The frame while there is no connection yet; owned by this call. */
+  /** The encoded request while it is queued for a connection, owned by this call; else null. */
   ByteBuf frame;
 
-  PendingCall(long number, Class<?> responseType, long dueAt, RpcCounters counters) {
-    this.callId = number;
+  /**
+   * A call that has not been sent.
+   *
+   * @param requestType for error texts; null if the request was null
+   * @param responseType the only class that the future completes with
+   */
+  PendingCall(
+      long callId,
+      String address,
+      Class<?> requestType,
+      Class<?> responseType,
+      long deadline,
+      RpcCounters counters) {
+    this.callId = callId;
+    this.address = address;
+    this.requestType = requestType;
     this.responseType = responseType;
-    this.deadline = dueAt;
+    this.deadline = deadline;
     this.counters = counters;
   }
 
+  /** Completes the call, or fails it with MALFORMED if the message is of another type. */
   void onResponse(Object message) {
     if (future.isDone()) {
       counters.lateResponses++;
@@ -42,12 +69,16 @@
       future.complete(message);
     } else {
       counters.unexpectedResponseTypes++;
-      future.completeExceptionally(
-          new ElmsailException(ErrorCode.MALFORMED, "answer of another type"));
+      String reason =
+          "expected a response of type "
+              + responseType.getSimpleName()
+              + ", received "
+              + message.getClass().getSimpleName();
+      future.completeExceptionally(failure(ErrorCode.MALFORMED, reason));
     }
   }
 
-  /** The peer responded with a failure. */
+  /** Fails the call with the code that the peer responded with. */
   void onPeerFailure(ErrorCode code) {
     if (future.isDone()) {
       counters.lateResponses++;
@@ -55,10 +86,11 @@
     }
     timer.cancel();
     counters.failures++;
-    future.completeExceptionally(new ElmsailException(code, "failure reported by the peer"));
+    future.completeExceptionally(failure(code, "the peer responded with this code"));
   }
 
-  void fail(ErrorCode code, String detail) {
+  /** Fails the call for a reason on this side; without effect if it has completed. */
+  void fail(ErrorCode code, String reason) {
     if (future.isDone()) {
       return;
     }
@@ -74,6 +106,11 @@
       case RESOURCE_EXHAUSTED -> counters.resourceExhausted++;
       default -> counters.failures++;
     }
-    future.completeExceptionally(new ElmsailException(code, detail));
+    future.completeExceptionally(failure(code, reason));
+  }
+
+  private ElmsailException failure(ErrorCode code, String reason) {
+    String type = requestType == null ? "null" : requestType.getSimpleName();
+    return new ElmsailException(code, type + " to " + address + ": " + reason);
   }
 }
--- a/rpc/src/main/java/elmsail/rpc/RequestHandlers.java
+++ b/rpc/src/main/java/elmsail/rpc/RequestHandlers.java
@@ -3,11 +3,13 @@
 import java.util.concurrent.CompletionStage;
 import java.util.function.Function;
 
-/** Registers the handlers of requests: one for each message class. */
+/** Where the handlers of requests are registered, one for each type of request. */
 public interface RequestHandlers {
   /**
-   * Registers a handler. It runs on the event loop and must not block; its future may complete
-   * later on the loop, or fail with an {@code ElmsailException} whose code is sent to the caller.
+   * Registers the handler of a request type, in place of the one before.
+   *
+   * @param handler called on the event loop; must not block. Its future must complete on the loop,
+   *     with a message or with an {@code ElmsailException} whose code is sent to the caller
    */
-  <Q, A> void register(Class<Q> request, Function<Q, ? extends CompletionStage<A>> handler);
+  <Q, A> void register(Class<Q> requestType, Function<Q, ? extends CompletionStage<A>> handler);
 }
--- a/rpc/src/main/java/elmsail/rpc/RpcAddress.java
+++ b/rpc/src/main/java/elmsail/rpc/RpcAddress.java
@@ -7,12 +7,12 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Addresses as "ip:port"; host names are never resolved. */
+/** Parses addresses "ip:port"; host names are never resolved. */
 final class RpcAddress {
 
   private RpcAddress() {}
 
-  /** Parses an address; throws {@code INVALID_SETTINGS} if it is invalid. */
+  /** Parses an address; fails with INVALID_SETTINGS if it is none. */
   static InetSocketAddress parse(String address) {
     int colon = address.lastIndexOf(':');
     byte[] ip =
--- a/rpc/src/main/java/elmsail/rpc/RpcConnection.java
+++ b/rpc/src/main/java/elmsail/rpc/RpcConnection.java
@@ -2,7 +2,6 @@
 
 import elmsail.runtime.ElmsailException;
 import elmsail.runtime.ErrorCode;
-import elmsail.runtime.Timers;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -10,28 +9,37 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 
 /**
- * One connection between two processes: requests in one direction, responses in the other. Confined
- * to the event loop.
+ * One TCP connection between two processes. Requests go one way, from the process that opened it,
+ * and responses the other way; each side first sends a hello. Used on its channel's loop only.
+ *
+ * <p>Whatever is wrong with the bytes received closes this connection and affects no other.
  */
 final class RpcConnection extends ChannelInboundHandlerAdapter {
 
-  /** The owner of the connections. */
+  /** The owner of connections; called on the loop. */
   interface Listener {
-    /** A request came; throws {@code MALFORMED} if it cannot be decoded. */
+
+    /**
+     * A REQUEST frame was received.
+     *
+     * @throws ElmsailException with MALFORMED if it cannot be decoded: the connection closes then
+     */
     void onRequest(RpcConnection connection, Frame request);
 
-    /** The other side's hello came, and the called process is the intended one. */
+    /** The peer's hello was received, and the process called is the intended one. */
     void onHandshakeComplete(RpcConnection connection);
 
+    /** The connection has closed; called once. */
     void onClosed(RpcConnection connection);
   }
 
-  /** Small, so that write progress to a slow peer is visible soon. */
+  /** Small, so that a slow reader's progress becomes visible soon. */
   static final int SEND_BUFFER_BYTES = 256 << 10;
 
+  /** How many requests of one connection may be handled at a time. */
   static final int MAX_OPEN_REQUESTS = 1_024;
 
-  /** Null on the accepting side. */
+  /** The peer that this process called; null on an accepted connection. */
   final Peer peer;
 
   private final Listener listener;
@@ -45,25 +53,30 @@
   private Channel channel;
   private boolean closed;
 
-  /** The code that open calls fail with when the connection closes. */
+  /** The code that open calls fail with once the connection has closed. */
   private ErrorCode closeReason = ErrorCode.CONNECTION_LOST;
 
   private int openRequests;
 
-  RpcConnection(
-      Peer peer,
-      Handshake handshake,
-      Listener owner,
-      Timers timers,
-      MessageCodec codec,
-      RpcCounters counters) {
+  private RpcConnection(Peer peer, Handshake handshake, Listener listener, RpcContext context) {
     this.peer = peer;
     this.handshake = handshake;
-    this.outbound = new OutboundQueue(counters, this::close);
-    this.listener = owner;
-    this.codec = codec;
-    this.counters = counters;
-    keepalive = new KeepaliveMonitor(timers, counters, outbound, calls, peer != null, this::close);
+    this.listener = listener;
+    codec = context.codec();
+    counters = context.counters();
+    outbound = new OutboundQueue(counters, this::close);
+    keepalive = new KeepaliveMonitor(context, outbound, calls, peer != null, this::close);
+  }
+
+  /** A connection that this process opens to a peer, to send it calls. */
+  static RpcConnection outbound(
+      Peer peer, Handshake handshake, Listener listener, RpcContext context) {
+    return new RpcConnection(peer, handshake, listener, context);
+  }
+
+  /** A connection that another process opened, to send calls to this one. */
+  static RpcConnection accepted(Handshake handshake, Listener listener, RpcContext context) {
+    return new RpcConnection(null, handshake, listener, context);
   }
 
   @Override
@@ -72,27 +85,37 @@
     outbound.channel(channel);
   }
 
-  /** The monitor of this connection. */
+  /** Whether this process opened the connection. */
+  boolean isOutbound() {
+    return peer != null;
+  }
+
+  /** Detects that the peer has become unresponsive. */
   KeepaliveMonitor keepalive() {
     return keepalive;
   }
 
-  /** Whether the intended process has identified itself. */
+  /** Whether the process at the other end has identified itself as the intended one. */
   boolean isHandshakeComplete() {
     return handshake.isComplete();
   }
 
-  /** The peer's instance; known once the handshake is complete. */
+  /** The instance id of the process called; known once the handshake is complete. */
   long peerInstanceId() {
     return handshake.peerInstanceId();
   }
 
-  /** Sends the hello: the intended process, or this one on the accepting side. */
+  /** Sends the first frame: the process that is intended, or on the accepting side this one. */
   void sendHello() {
     outbound.write(Frame.hello(handshake.localHello()));
   }
 
-  /** Queues a call; the connection owns the frame if this returns true. */
+  /**
+   * Sends a request, unless the connection has closed or too much is queued on it.
+   *
+   * @param frame owned by the connection if this returns true, otherwise still by the caller
+   * @return whether it was sent
+   */
   boolean send(PendingCall call, ByteBuf frame) {
     if (closed
         || !outbound.hasCapacityFor(frame.readableBytes())
@@ -105,12 +128,12 @@
     return true;
   }
 
-  /** Forgets a failed call: its response will be ignored. */
+  /** The call has failed on this side: a response to it will be dropped. */
   void abandon(PendingCall call) {
     calls.remove(call.callId);
   }
 
-  /** Begins to handle a request; false if too many are in progress. */
+  /** Counts one more request as open; false if there are too many. */
   boolean tryBeginRequest() {
     if (openRequests >= MAX_OPEN_REQUESTS) {
       return false;
@@ -119,6 +142,7 @@
     return true;
   }
 
+  /** Ends an open request with its response. */
   void respond(long callId, Object response) {
     openRequests--;
     if (closed) {
@@ -140,6 +164,7 @@
     }
   }
 
+  /** Ends an open request with an error code. */
   void respondFailure(long callId, ErrorCode code) {
     openRequests--;
     if (closed) {
@@ -149,11 +174,12 @@
     }
   }
 
-  /** Rejects a request because too many are in progress. */
+  /** Responds to a request for which {@link #tryBeginRequest} returned false. */
   void rejectRequest(long callId) {
     writeUnbounded(Frame.failure(callId, ErrorCode.RESOURCE_EXHAUSTED));
   }
 
+  /** Closes the connection; its open calls fail once the channel is inactive. */
   void close() {
     markClosed();
     channel.close();
@@ -167,7 +193,7 @@
     }
   }
 
-  /** Writes a frame regardless of the limit; closes the connection if even these pile up. */
+  /** Writes a small frame whatever is queued; a peer that lets even these pile up is cut off. */
   private void writeUnbounded(ByteBuf frame) {
     outbound.write(frame);
     if (outbound.isOverflowing()) {
@@ -206,17 +232,10 @@
         listener.onRequest(this, frame);
       }
       case Frame.RESPONSE -> onResponse(frame);
-      case Frame.FAILURE -> {
-        PendingCall call = calls.remove(frame.callId());
-        if (call == null) {
-          counters.lateResponses++;
-        } else {
-          call.onPeerFailure(frame.errorCode());
-        }
-      }
+      case Frame.FAILURE -> onFailure(frame);
       case Frame.PING -> writeUnbounded(Frame.withoutPayload(Frame.PONG, 0));
       default -> {
-        // A pong needs no handling: any received bytes count as a sign of life.
+        // A pong needs no more than to have been received.
       }
     }
   }
@@ -230,7 +249,15 @@
     calls.remove(frame.callId()).onResponse(response);
   }
 
-  /** Closes the connection because of what was received on it. */
+  private void onFailure(Frame frame) {
+    PendingCall call = calls.remove(frame.callId());
+    if (call == null) {
+      counters.lateResponses++;
+    } else {
+      call.onPeerFailure(frame.errorCode());
+    }
+  }
+
   private void onProtocolError(ErrorCode code) {
     switch (code) {
       case MISDIRECTED -> counters.misdirectedConnections++;
@@ -239,7 +266,7 @@
     }
     if (code == ErrorCode.MISDIRECTED || code == ErrorCode.UNSUPPORTED_VERSION) {
       closeReason = code;
-      if (peer == null) {
+      if (!isOutbound()) {
         sendHelloAndClose();
         return;
       }
@@ -247,19 +274,19 @@
     close();
   }
 
-  /** Tells the client why the connection closes: nothing that it sent was executed. */
+  /** Tells the caller which process this is: nothing that it sent has been executed. */
   private void sendHelloAndClose() {
     markClosed();
     channel
         .writeAndFlush(Frame.hello(handshake.localHello()))
-        .addListener((ChannelFuture f) -> channel.close());
+        .addListener((ChannelFuture written) -> channel.close());
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
     close();
     for (PendingCall call : calls.close()) {
-      call.fail(closeReason, "connection closed");
+      call.fail(closeReason, "the connection closed before a response");
     }
   }
 
--- a/rpc/src/main/java/elmsail/rpc/RpcCounters.java
+++ b/rpc/src/main/java/elmsail/rpc/RpcCounters.java
@@ -2,32 +2,46 @@
 
 import elmsail.runtime.Counters;
 
-/** Counters of the calls of a process since its start; confined to the event loop. */
+/**
+ * Counts of an endpoint's calls and connections since its start; written and read on the loop. The
+ * fields are the terms of the code, the metric names in {@link #registerWith} are those that
+ * operators know.
+ */
 public final class RpcCounters {
+  /** Calls that were started, of whatever outcome. */
   public long calls;
+
+  /** Calls that completed with a response. */
   public long responses;
 
-  /** Calls for which the peer responded with an error code. */
+  /** Calls that the peer responded to with an error code. */
   public long failures;
 
+  /** Calls that failed with NOT_SENT. */
   public long notSent;
+
+  /** Calls that failed with CONNECTION_LOST. */
   public long connectionLost;
+
+  /** Calls that failed with TIMEOUT. */
   public long timeouts;
+
+  /** Calls that failed with RESOURCE_EXHAUSTED on this side. */
   public long resourceExhausted;
 
-  /** Responses to calls that had already completed, or were not sent on that connection. */
+  /** Responses to calls that had already completed, or were never sent on that connection. */
   public long lateResponses;
 
   /** Responses that were ready after their connection had closed. */
   public long undeliveredResponses;
 
-  /** Connections closed because of an invalid or unexpected frame. */
+  /** Connections closed for a frame that cannot be decoded or is not allowed. */
   public long malformedConnections;
 
-  /** Connections closed because the called process is not the intended one. */
+  /** Connections closed because the process called is not the intended one. */
   public long misdirectedConnections;
 
-  /** Connections closed because the peer speaks another protocol version. */
+  /** Connections closed because the peer speaks another version of the protocol. */
   public long unsupportedVersions;
 
   /** Responses of another type than the call expects. */
@@ -36,7 +50,7 @@
   /** Connections that reached another instance than the previous one at the same address. */
   public long newInstances;
 
-  /** Connections closed by a keepalive timeout. */
+  /** Connections closed as the peer was unresponsive. */
   public long keepaliveTimeouts;
 
   public long requestsReceived;
@@ -46,7 +60,7 @@
   public long bytesReceived;
   public long bytesSent;
 
-  /** Registers these counters among the metrics of the process. */
+  /** Registers these as metrics of the process. */
   public void registerWith(Counters counters) {
     counters.registerCounter("rpc_calls", () -> calls);
     counters.registerCounter("rpc_answers", () -> responses);
--- a/rpc/src/main/java/elmsail/rpc/RpcEndpoint.java
+++ b/rpc/src/main/java/elmsail/rpc/RpcEndpoint.java
@@ -1,69 +1,55 @@
 package elmsail.rpc;
 
-import elmsail.runtime.ElmsailException;
-import elmsail.runtime.ErrorCode;
 import elmsail.runtime.Timers;
-import io.netty.bootstrap.ServerBootstrap;
-import io.netty.channel.Channel;
-import io.netty.channel.ChannelFuture;
-import io.netty.channel.ChannelInitializer;
-import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
-import io.netty.channel.socket.nio.NioServerSocketChannel;
-import java.net.InetSocketAddress;
 import java.security.SecureRandom;
 import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Map;
-import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionStage;
 import java.util.function.Function;
 
 /**
- * The RPC client and server of a process: one TCP connection to each peer, opened on demand,
- * carries all calls to it. Everything but the constructor and {@code register} is called on the
- * event loop, and all futures complete there.
+ * A process's end of the RPC between the tier's processes, over TCP: one connection to each peer,
+ * opened when the first call needs it, for all calls to that peer.
+ *
+ * <p>All methods but the constructor and {@link #register} must be called on the event loop, and
+ * all futures complete on it.
  */
 public final class RpcEndpoint implements RpcClient, RequestHandlers, AutoCloseable {
 
-  static final int MAX_ACCEPTED_CONNECTIONS = 4_096;
-  private static final int LISTEN_BACKLOG = 512;
-
-  private final EventLoop loop;
-  private final Timers timers;
-  private final MessageCodec codec = new MessageCodec();
   private final RpcCounters counters = new RpcCounters();
   private final HandlerRegistry handlers = new HandlerRegistry();
-  private final Map<String, Peer> peers = new HashMap<>();
-  private final Set<RpcConnection> accepted = new LinkedHashSet<>();
-  private final RpcConnection.Listener connectionListener = new ConnectionListener();
   private final ConnectionSweeper sweeper;
-  private final Connector connector;
-  private final LoopbackCalls loopbackCalls;
-
-  /** Drawn at random at each start: distinguishes the processes that use one address in turn. */
-  private final long instanceId;
+  private final RpcServer server;
+  private final OutboundCalls outboundCalls;
+  private final InboundRequests inboundRequests;
 
-  private String localAddress;
-  private Channel listener;
-  private boolean closed;
-  private long lastCallId;
+  /** Drawn at each start: distinguishes the processes that use one address after each other. */
+  private final long instanceId = drawInstanceId();
 
   /**
-   * @param ownAddress "ip:port" to listen at; port 0 lets the system choose, see {@link #address()}
+   * An endpoint that can call others; it is called by none before {@link #listen()}.
+   *
+   * @param loop the process's event loop
+   * @param timers of the same loop
+   * @param localAddress "ip:port" to listen at; port 0 lets the system choose one, see {@link
+   *     #address()}
    */
-  public RpcEndpoint(EventLoop loop, Timers timers, String ownAddress) {
-    this.loop = loop;
-    this.timers = timers;
-    this.localAddress = ownAddress;
-    this.instanceId = drawInstanceId();
-    this.loopbackCalls = new LoopbackCalls(timers, codec, counters, handlers);
-    this.sweeper = new ConnectionSweeper(timers, this::connectionsInUse, () -> peers.isEmpty());
-    this.connector =
-        new Connector(loop, timers, codec, counters, connectionListener, sweeper::sweepSoon);
+  public RpcEndpoint(EventLoop loop, Timers timers, String localAddress) {
+    RpcContext context = new RpcContext(loop, timers, new MessageCodec(), counters);
+    RpcConnection.Listener connectionListener = new ConnectionListener();
+    sweeper = new ConnectionSweeper(timers, this::connections, this::hasNoPeers);
+    server =
+        new RpcServer(context, localAddress, instanceId, connectionListener, sweeper::sweepSoon);
+    inboundRequests = new InboundRequests(context, handlers);
+    outboundCalls =
+        new OutboundCalls(
+            context,
+            server::localAddress,
+            new LoopbackCalls(context, handlers),
+            new Connector(context, connectionListener, sweeper::sweepSoon),
+            sweeper::sweepSoon);
   }
 
   private static long drawInstanceId() {
@@ -71,258 +57,86 @@
     return drawn == HandshakeHello.ANY_INSTANCE ? 1 : drawn;
   }
 
-  /** This process's instance, drawn at random at each start and sent in each hello. */
+  /** Drawn at each start; the hello of each connection carries it. */
   public long instanceId() {
     return instanceId;
   }
 
-  /** The counters of this endpoint's connections since its start. */
+  /** What happened on the connections of this endpoint since its start. */
   public RpcCounters counters() {
     return counters;
   }
 
-  /** The address that this process listens on, "ip:port". */
+  /** Where this process listens, "ip:port". */
   public String address() {
-    return localAddress;
+    return server.localAddress();
   }
 
   @Override
-  public <Q, A> void register(Class<Q> request, Function<Q, ? extends CompletionStage<A>> handler) {
-    handlers.register(request, handler);
+  public <Q, A> void register(
+      Class<Q> requestType, Function<Q, ? extends CompletionStage<A>> handler) {
+    handlers.register(requestType, handler);
   }
 
   /**
-   * Binds the address.
-   *
-   * @return completes once peers can connect; fails with {@code INVALID_SETTINGS} if the address
-   *     cannot be bound
+   * Starts to listen. Completes once others can connect; fails with INVALID_SETTINGS if the address
+   * cannot be listened at.
    */
   public CompletableFuture<Void> listen() {
-    CompletableFuture<Void> done = new CompletableFuture<>();
-    ServerBootstrap server =
-        new ServerBootstrap()
-            .group(loop)
-            .channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_BACKLOG, LISTEN_BACKLOG)
-            .option(ChannelOption.SO_REUSEADDR, true)
-            .childOption(ChannelOption.TCP_NODELAY, true)
-            .childOption(ChannelOption.SO_SNDBUF, RpcConnection.SEND_BUFFER_BYTES)
-            .childHandler(new AcceptedConnectionInitializer());
-    ChannelFuture bound;
-    try {
-      bound = server.bind(RpcAddress.parse(localAddress));
-    } catch (ElmsailException e) {
-      done.completeExceptionally(e);
-      return done;
-    }
-    listener = bound.channel();
-    bound.addListener(
-        (ChannelFuture f) -> {
-          if (f.isSuccess()) {
-            int port = ((InetSocketAddress) f.channel().localAddress()).getPort();
-            localAddress = localAddress.substring(0, localAddress.lastIndexOf(':') + 1) + port;
-            done.complete(null);
-          } else {
-            done.completeExceptionally(
-                new ElmsailException(
-                    ErrorCode.INVALID_SETTINGS, "cannot bind " + localAddress, f.cause()));
-          }
-        });
-    return done;
+    return server.listen();
   }
 
   @Override
   public <A> CompletableFuture<A> call(
-      String peer, Object request, Class<A> response, long timeoutMs) {
-    counters.calls++;
-    long wait = Math.max(0, timeoutMs);
-    PendingCall call = new PendingCall(++lastCallId, response, timers.now() + wait, counters);
-    call.timer = timers.schedule(wait, () -> onDeadline(peer, call));
-    if (closed) {
-      failAsync(call, ErrorCode.NOT_SENT, "closed");
-    } else {
-      try {
-        if (peer.equals(localAddress)) {
-          if (!loopbackCalls.start(call, request)) {
-            failAsync(call, ErrorCode.RESOURCE_EXHAUSTED, "too many calls to oneself");
-          }
-        } else {
-          call.frame = Frame.message(codec, Frame.REQUEST, call.callId, request);
-          send(peer, call);
-        }
-      } catch (ElmsailException e) {
-        failAsync(call, e.code(), "not a message that can be sent");
-      }
-    }
-    // PendingCall completes the future only with objects of the requested class.
-    @SuppressWarnings("unchecked")
-    CompletableFuture<A> future = (CompletableFuture<A>) call.future;
-    return future;
-  }
-
-  private void send(String address, PendingCall call) {
-    long now = timers.now();
-    Peer peer = peers.get(address);
-    if (peer == null) {
-      peer = new Peer(address, now);
-      peers.put(address, peer);
-    }
-    if (peer.connection != null) {
-      if (peer.connection.send(call, call.frame)) {
-        call.frame = null;
-        sweeper.sweepSoon();
-      } else {
-        failAsync(call, ErrorCode.RESOURCE_EXHAUSTED, "too much on its way to the peer");
-      }
-    } else if (!peer.connecting && now < peer.nextAttemptAt) {
-      failAsync(call, ErrorCode.NOT_SENT, "peer could not be reached a moment ago");
-    } else if (!peer.enqueue(call)) {
-      failAsync(call, ErrorCode.RESOURCE_EXHAUSTED, "too much waits for the connection");
-    } else if (!peer.connecting) {
-      peer.connecting = true;
-      Peer found = peer;
-      loop.execute(() -> connector.connect(found));
-    }
-  }
-
-  private void failAsync(PendingCall call, ErrorCode code, String detail) {
-    call.timer.cancel();
-    timers.execute(() -> call.fail(code, detail));
+      String address, Object request, Class<A> responseType, long timeoutMs) {
+    return outboundCalls.call(address, request, responseType, timeoutMs);
   }
 
-  private void onDeadline(String address, PendingCall call) {
-    if (!call.deadlineExtended
-        && timers.now() - call.deadline > ConnectionSweeper.STALL_THRESHOLD_MS) {
-      call.deadlineExtended = true;
-      call.timer =
-          timers.schedule(KeepaliveMonitor.RECHECK_DELAY_MS, () -> onDeadline(address, call));
-      return;
-    }
-    if (call.connection != null) {
-      call.connection.abandon(call);
-    } else if (call.frame != null) {
-      Peer peer = peers.get(address);
-      if (peer != null) {
-        peer.dequeue(call);
-      }
-      call.fail(ErrorCode.NOT_SENT, "no connection in time");
-      return;
-    }
-    call.fail(ErrorCode.TIMEOUT, "no answer in time");
+  private List<RpcConnection> connections() {
+    List<RpcConnection> connections = new ArrayList<>(server.connections());
+    connections.addAll(outboundCalls.connections());
+    return connections;
   }
 
-  private List<RpcConnection> connectionsInUse() {
-    List<RpcConnection> connections = new ArrayList<>(accepted);
-    long now = timers.now();
-    peers.values().removeIf(peer -> peer.isExpired(now));
-    for (Peer peer : peers.values()) {
-      if (peer.connection != null) {
-        connections.add(peer.connection);
-      }
-    }
-    return connections;
+  private boolean hasNoPeers() {
+    return !outboundCalls.hasPeers();
   }
 
   /**
-   * Closes all connections. Calls in flight fail with {@code CONNECTION_LOST}, queued ones with
-   * {@code NOT_SENT}.
+   * Closes all connections. Open calls fail soon after with CONNECTION_LOST, queued ones with
+   * NOT_SENT.
    */
   @Override
   public void close() {
-    closed = true;
-    loopbackCalls.close();
-    connector.close();
+    outboundCalls.rejectCalls();
     sweeper.close();
-    if (listener != null) {
-      listener.close();
-    }
-    for (RpcConnection connection : new ArrayList<>(accepted)) {
-      connection.close();
-    }
-    for (Peer peer : new ArrayList<>(peers.values())) {
-      if (peer.connection != null) {
-        peer.connection.close();
-      }
-      if (peer.channel != null) {
-        peer.channel.close();
-      }
-    }
+    server.close();
+    outboundCalls.closeConnections();
   }
 
+  /** Passes a connection's events to the side that owns it. */
   private final class ConnectionListener implements RpcConnection.Listener {
     @Override
-    public void onRequest(RpcConnection connection, Frame frame) {
-      Object request = codec.read(frame.type(), frame.payload(), 0, frame.payload().length);
-      counters.requestsReceived++;
-      if (!connection.tryBeginRequest()) {
-        connection.rejectRequest(frame.callId());
-        return;
-      }
-      handlers
-          .handle(request)
-          .whenComplete(
-              (response, thrown) -> {
-                if (loop.inEventLoop()) {
-                  respond(connection, frame.callId(), response, thrown);
-                } else {
-                  loop.execute(() -> respond(connection, frame.callId(), response, thrown));
-                }
-              });
-    }
-
-    private void respond(RpcConnection connection, long callId, Object response, Throwable thrown) {
-      if (thrown == null) {
-        connection.respond(callId, response);
-      } else {
-        connection.respondFailure(callId, ElmsailException.codeOf(thrown));
-      }
+    public void onRequest(RpcConnection connection, Frame request) {
+      inboundRequests.handle(connection, request);
     }
 
     @Override
     public void onHandshakeComplete(RpcConnection connection) {
-      if (connection.peer == null) {
+      if (connection.isOutbound()) {
+        outboundCalls.onHandshakeComplete(connection);
+      } else {
         connection.sendHello();
-        return;
       }
-      Peer peer = connection.peer;
-      if (peer.instanceId != HandshakeHello.ANY_INSTANCE
-          && peer.instanceId != connection.peerInstanceId()) {
-        counters.newInstances++;
-      }
-      peer.instanceId = connection.peerInstanceId();
     }
 
     @Override
     public void onClosed(RpcConnection connection) {
-      if (connection.peer == null) {
-        accepted.remove(connection);
-      } else if (connection.peer.connection == connection) {
-        connection.peer.connection = null;
-        if (connection.isHandshakeComplete()) {
-          connection.peer.resetBackoff();
-          connection.peer.nextAttemptAt = timers.now();
-        } else {
-          connection.peer.backOff(timers.now());
-        }
-      }
-    }
-  }
-
-  private final class AcceptedConnectionInitializer extends ChannelInitializer<Channel> {
-    @Override
-    protected void initChannel(Channel channel) {
-      if (closed || accepted.size() >= MAX_ACCEPTED_CONNECTIONS) {
-        channel.close();
-        return;
+      if (connection.isOutbound()) {
+        outboundCalls.onClosed(connection);
+      } else {
+        server.remove(connection);
       }
-      HandshakeHello localHello =
-          new HandshakeHello(HandshakeHello.VERSION, localAddress, instanceId);
-      RpcConnection connection =
-          new RpcConnection(
-              null, Handshake.forServer(localHello), connectionListener, timers, codec, counters);
-      accepted.add(connection);
-      channel.pipeline().addLast(connection);
-      sweeper.sweepSoon();
     }
   }
 }
--- a/runtime/src/main/java/elmsail/runtime/ErrorCode.java
+++ b/runtime/src/main/java/elmsail/runtime/ErrorCode.java
@@ -1,5 +1,7 @@
 package elmsail.runtime;
 
+import java.util.Optional;
+
 /**
  * What went wrong, as a closed list: callers decide by the code alone, logs and metrics count it,
  * and exit codes and HTTP replies are derived from it. Each code says what a caller should do.
@@ -85,4 +87,14 @@
   public String wireName() {
     return wireName;
   }
+
+  /** The code with that {@link #wireName()}; empty if this version knows none. */
+  public static Optional<ErrorCode> fromWireName(String wireName) {
+    for (ErrorCode code : values()) {
+      if (code.wireName.equals(wireName)) {
+        return Optional.of(code);
+      }
+    }
+    return Optional.empty();
+  }
 }
