--- a/rpc/src/main/java/elmsail/rpc/messages/Blob.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/Blob.java
@@ -2,7 +2,7 @@
 
 import io.protostuff.Tag;
 
-/** Immutable data stored beside a key until the key is dropped. */
+/** Immutable bytes that are stored beside a key, until the key is removed. */
 public final class Blob {
   @Tag(1)
   public String name = "";
--- a/rpc/src/main/java/elmsail/rpc/messages/BlobRequest.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/BlobRequest.java
@@ -2,8 +2,9 @@
 
 import io.protostuff.Tag;
 
-/** Asks a voter for a blob of a key. */
+/** Reads one blob that is stored beside a key. */
 public final class BlobRequest {
+  /** The voter set, "head" or "shelf". */
   @Tag(1)
   public String set = "";
 
@@ -13,10 +14,16 @@
   @Tag(3)
   public String name = "";
 
+  /**
+   * The voter set that the sender knows; a request under an older one than the receiver's is
+   * rejected.
+   */
   @Tag(4)
   public VoterSet voterSet = new VoterSet();
 
-  /** Whether a voter responds that knows it was replaced: its successor does not vote yet. */
+  /**
+   * Also from a voter that knows that it is being replaced, while its successor does not vote yet.
+   */
   @Tag(5)
   public boolean allowReplaced;
 }
--- a/rpc/src/main/java/elmsail/rpc/messages/ClusterView.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/ClusterView.java
@@ -4,24 +4,25 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The members of the system as one control-plane node sees them. */
+/** The processes of the tier as one control-plane node knows them. */
 public final class ClusterView {
-  /** The voters on the configuration: the voter set named "head". */
+  /** The voters on the configuration: voter set "head". */
   @Tag(1)
   public VoterSet controlPlaneVoters = new VoterSet();
 
-  /** The voters on batch jobs: the voter set named "shelf"; empty before its bootstrap. */
+  /** The voters on batch jobs: voter set "shelf"; empty before it exists. */
   @Tag(2)
   public VoterSet jobStoreVoters = new VoterSet();
 
-  /** RPC addresses of the gateways with a recent heartbeat. */
+  /** RPC addresses of the gateways that sent a heartbeat lately. */
   @Tag(3)
   public List<String> gateways = new ArrayList<>();
 
-  /** The voter slot that the receiver is assigned, or -1; {@link #joinEpoch} is its next epoch. */
+  /** A voter slot that the requesting store shall take over, or -1. */
   @Tag(4)
   public int joinSlot = -1;
 
+  /** The epoch to take over {@link #joinSlot} with. */
   @Tag(5)
   public int joinEpoch;
 }
--- a/rpc/src/main/java/elmsail/rpc/messages/FoundingResponse.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/FoundingResponse.java
@@ -4,6 +4,7 @@
 
 /** A seed's vote on the initial voters of "head". */
 public final class FoundingResponse {
+  /** Whether the promise was given or the proposal accepted. */
   @Tag(1)
   public boolean granted;
 
@@ -15,6 +16,7 @@
   @Tag(3)
   public long acceptedBallot;
 
+  /** The proposal accepted last; empty if none was. */
   @Tag(4)
   public VoterSet acceptedVoterSet = new VoterSet();
 }
--- a/rpc/src/main/java/elmsail/rpc/messages/JoinResponse.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/JoinResponse.java
@@ -2,29 +2,31 @@
 
 import io.protostuff.Tag;
 
-/** Whether the claim was accepted, and the voter set as the responder now knows it. */
+/** Whether the receiver accepted a take-over, and the voter set that it knows now. */
 public final class JoinResponse {
+  /** Whether the take-over is in force here. */
   @Tag(1)
   public boolean accepted;
 
-  /** The instance that responds. */
+  /** The responder's instance id. */
   @Tag(2)
   public long instanceId;
 
   /**
-   * Whether the responder, which holds no voter slot, has the claim on disk and will vote under no
+   * The responder holds no voter slot, but has the take-over on its disk, and will vote under no
    * older voter set.
    */
   @Tag(3)
   public boolean recorded;
 
   /**
-   * Together with {@link #recorded}: whether the responder still has all its votes of the voter
-   * slot whose present holder names it as its predecessor.
+   * With {@link #recorded}: all its votes are in the voter slot whose present holder names it as
+   * the previous one.
    */
   @Tag(4)
   public boolean replaced;
 
+  /** The responder's voter set after the request. */
   @Tag(5)
   public VoterSet voterSet = new VoterSet();
 
--- a/rpc/src/main/java/elmsail/rpc/messages/LeaseRequest.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/LeaseRequest.java
@@ -2,20 +2,24 @@
 
 import io.protostuff.Tag;
 
-/** Asks a voter to grant or renew a lease, or relinquishes it. */
+/**
+ * Asks a voter to grant or renew the lease of a singleton role, or releases what it has granted.
+ * The lease is held by who has grants of a majority.
+ */
 public final class LeaseRequest {
+  /** The name of the role. */
   @Tag(1)
   public String lease = "";
 
-  /** The requesting process, drawn at random at each start. */
+  /** The requesting process, drawn anew at each start. */
   @Tag(2)
   public long instanceId;
 
-  /** Duration in ms; 0 relinquishes what was granted in this round and before. */
+  /** How long the grant is to last; 0 releases the grants of this round and before. */
   @Tag(3)
   public long durationMs;
 
-  /** Increases with each request of a process. */
+  /** Increases with each attempt of the requester; orders its requests. */
   @Tag(4)
   public long round;
 }
--- a/rpc/src/main/java/elmsail/rpc/messages/OpaqueMessage.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/OpaqueMessage.java
@@ -2,8 +2,11 @@
 
 import io.protostuff.Tag;
 
-/** A message whose payload only one module encodes and decodes: its kind and its bytes. */
+/**
+ * Bytes of a kind that only one module encodes and decodes; a response without content is empty.
+ */
 public final class OpaqueMessage {
+  /** Selects the handler within the module. */
   @Tag(1)
   public String kind = "";
 
--- a/rpc/src/main/java/elmsail/rpc/messages/PullResponse.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/PullResponse.java
@@ -2,7 +2,7 @@
 
 import io.protostuff.Tag;
 
-/** What is newer than the watcher knows; null parts have not changed. */
+/** What is newer than what a {@link PullRequest} named; a part that is null has not changed. */
 public final class PullResponse {
   @Tag(1)
   public long configVersion;
@@ -17,11 +17,11 @@
   @Tag(4)
   public long serverListVersion;
 
-  /** The complete list of servers as JSON entries of the platform; null if not newer. */
+  /** The complete list of servers, as JSON entries of the platform; null if not newer. */
   @Tag(5)
   public byte[] servers;
 
-  /** The age of that list in ms; -1 if there is none. */
+  /** How old that list is; -1 if there is none. */
   @Tag(6)
   public long serverListAgeMs = -1;
 
--- a/rpc/src/main/java/elmsail/rpc/messages/ReadRequest.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/ReadRequest.java
@@ -2,24 +2,27 @@
 
 import io.protostuff.Tag;
 
-/**
- * Asks a voter for the last accepted value of a key. The value is omitted if it was accepted at
- * {@link #knownBallot}.
- */
+/** Reads what an acceptor has accepted last for one key. */
 public final class ReadRequest {
+  /** The voter set, "head" or "shelf". */
   @Tag(1)
   public String set = "";
 
   @Tag(2)
   public String key = "";
 
+  /** The value is left out of the response if it was accepted under this ballot. */
   @Tag(3)
   public Ballot knownBallot = new Ballot();
 
+  /**
+   * The voter set that the sender knows; a request under an older one than the receiver's is
+   * rejected.
+   */
   @Tag(4)
   public VoterSet voterSet = new VoterSet();
 
-  /** Whether the value is omitted in any case. */
+  /** Whether only the ballot is wanted. */
   @Tag(5)
   public boolean ballotOnly;
 }
--- a/rpc/src/main/java/elmsail/rpc/messages/RelayedPrepareRequest.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/RelayedPrepareRequest.java
@@ -3,14 +3,14 @@
 import io.protostuff.Tag;
 
 /**
- * A prepare that the receiver relays to all voters of its voter set, itself included, so that its
- * blobs cross the sender's link once. The ballot stays the sender's.
+ * A phase 1 that the receiver sends to all voters of its voter set, itself included, so that its
+ * content crosses the sender's link only once. The ballot remains the sender's.
  */
 public final class RelayedPrepareRequest {
   @Tag(1)
   public PrepareRequest prepare = new PrepareRequest();
 
-  /** The maximum time in ms that the receiver waits for the voters. */
+  /** How long the receiver may wait for the voters. */
   @Tag(2)
   public long timeoutMs;
 }
--- a/rpc/src/main/java/elmsail/rpc/messages/StateTransferResponse.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/StateTransferResponse.java
@@ -4,21 +4,23 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/**
- * One page: records as they are on disk, in the order of their names; {@link #lastPage} if no
- * record follows.
- */
+/** A page of records as they are stored, in the order of names. */
 public final class StateTransferResponse {
   @Tag(1)
   public List<Blob> records = new ArrayList<>();
 
+  /** Whether no name follows. */
   @Tag(2)
   public boolean lastPage;
 
+  /** Whether the responder votes. */
   @Tag(3)
   public boolean voting;
 
-  /** The instance that responds; only the one that acknowledged the claim is a valid source. */
+  /**
+   * The responder's instance id; one that differs from the one that acknowledged the take-over is
+   * no valid source.
+   */
   @Tag(4)
   public long instanceId;
 }
--- a/rpc/src/main/java/elmsail/rpc/messages/VoteResponse.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/VoteResponse.java
@@ -2,46 +2,50 @@
 
 import io.protostuff.Tag;
 
-/** The response of a voter to a prepare, an accept or a read. */
+/** An acceptor's response to prepare, accept and read. */
 public final class VoteResponse {
-  /** The voter did what was asked. */
+  /** The promise was given, the value accepted, or the state read. */
   public static final int OK = 0;
 
-  /** A higher ballot was promised: {@link #promised}. Retry above it. */
+  /** A higher ballot was promised: {@link #promised}. */
   public static final int BALLOT_TOO_LOW = 1;
 
-  /** The voter set of the request is old: {@link #voterSet} is newer. Retry under it. */
+  /** The request's voter set is older than the acceptor's, {@link #voterSet}. */
   public static final int STALE_VOTER_SET = 2;
 
-  /** The receiver lost its durable state, or holds no voter slot. */
+  /** The responder has lost its data, or holds no voter slot. */
   public static final int NOT_A_VOTER = 3;
 
-  /** The voter's listener does not admit the value (its waiting tokens are not reserved here). */
+  /** The acceptor's side-effect handler rejects the change, as its quota is exceeded here. */
   public static final int NOT_ADMITTED = 4;
 
+  /** One of the constants above. */
   @Tag(1)
   public int code;
 
+  /** The highest ballot promised for the key. */
   @Tag(2)
   public Ballot promised = new Ballot();
 
+  /** The ballot of {@link #value}; round 0 if none was accepted. */
   @Tag(3)
   public Ballot accepted = new Ballot();
 
-  /** Null if nothing was accepted, or if it was accepted at the ballot known to the caller. */
+  /** The value accepted last; null if none was, or it was accepted under the known ballot. */
   @Tag(4)
   public byte[] value;
 
+  /** The acceptor's voter set if it differs from the requester's; else empty. */
   @Tag(5)
   public VoterSet voterSet = new VoterSet();
 
-  /** What the voter's listener adds to a promise (the count of waiting tokens); may be null. */
+  /** What the side-effect handler returns with a promise; null if nothing. */
   @Tag(6)
   public byte[] sideEffect;
 
   /**
-   * Whether the accepted value came by state transfer: it was observed, but is no vote of this
-   * voter and does not count towards a majority that accepted it.
+   * What was accepted was copied from another voter and not voted for here: it is a known value,
+   * but does not count towards the majority that accepted it.
    */
   @Tag(7)
   public boolean fromStateTransfer;
--- a/rpc/src/main/java/elmsail/rpc/messages/VoterSet.java
+++ b/rpc/src/main/java/elmsail/rpc/messages/VoterSet.java
@@ -4,9 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/**
- * The voters of one set by slot. A request under an older voter set is rejected with the newer one.
- */
+/** The voter slots of one set, in their fixed order. */
 public final class VoterSet {
   @Tag(1)
   public List<Voter> voters = new ArrayList<>();
