--- a/simulation/src/main/java/elmsail/simulation/RunTrace.java
+++ b/simulation/src/main/java/elmsail/simulation/RunTrace.java
@@ -5,14 +5,14 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What happened on a {@link SimNetwork}: a digest of all messages, and the faults of handlers. */
+/** What happened on a {@link SimNetwork}: a digest of all messages, and faults of handlers. */
 final class RunTrace {
 
   private final MessageCodec codec;
   private final List<Throwable> faults = new ArrayList<>();
   private long digest;
 
-  /** The process whose traffic is counted; null: none. */
+  /** The process whose traffic is counted, or null. */
   private String countedAddress;
 
   private long countedBytes;
@@ -21,7 +21,7 @@
     this.codec = codec;
   }
 
-  /** A message was sent at that time. */
+  /** A message was sent at that time; null stands for one without content. */
   void onMessageSent(String from, String to, Object message, long now) {
     String type = message == null ? "" : message.getClass().getSimpleName();
     digest = digest * 31 + (from + to + type).hashCode();
@@ -31,7 +31,7 @@
     }
   }
 
-  /** A handler failed; kept only if no {@link ElmsailException} is among the causes. */
+  /** A handler failed; recorded unless the cause is an {@link ElmsailException}. */
   void onHandlerFailure(Throwable thrown) {
     Throwable cause = thrown;
     while (cause != null && !(cause instanceof ElmsailException)) {
--- a/simulation/src/main/java/elmsail/simulation/SimCall.java
+++ b/simulation/src/main/java/elmsail/simulation/SimCall.java
@@ -5,7 +5,7 @@
 import elmsail.runtime.Timers;
 import java.util.concurrent.CompletableFuture;
 
-/** A call on its way through a {@link SimNetwork}. */
+/** A call in flight on a {@link SimNetwork}; its future completes once. */
 final class SimCall {
   final SimNode caller;
   final String targetAddress;
--- a/simulation/src/main/java/elmsail/simulation/SimDisk.java
+++ b/simulation/src/main/java/elmsail/simulation/SimDisk.java
@@ -14,10 +14,10 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A disk in a test, on a clock moved by hand: it writes one batch at a time, gathers changes
- * meanwhile, and outlives the processes that use it one after the other. After a refused batch, all
- * that waits, and all that is written until the failure was reported, fails too, as on a real one.
- * Deterministic from its seed.
+ * A simulated disk with the semantics of the real store: one batch is synced at a time, changes are
+ * batched meanwhile, and the content survives the processes that use it one after the other. After
+ * a failed batch, everything queued, and everything written until the failure was reported, fails
+ * as well. Deterministic for a seed; single-threaded.
  */
 public final class SimDisk implements RecordStore {
 
@@ -39,19 +39,19 @@
   private long stalledUntil;
   private boolean failingWrites;
 
-  /** What fails, until that is reported; null: nothing. */
+  /** Writes that will fail, until that is reported; null if there are none. */
   private List<CompletableFuture<Void>> unreportedFailures;
 
   private boolean closed;
   private boolean fresh = true;
 
-  /** Whether no process has opened it since it was new. */
+  /** Whether no process has opened it since it was created or wiped. */
   private boolean neverOpened = true;
 
   private long instanceId;
   private long syncs;
 
-  /** An empty disk without faults whose choices are drawn from the seed. */
+  /** An empty disk without faults. */
   public SimDisk(long seed, ManualTimers timers) {
     this.random = new Random(seed);
     this.timers = timers;
@@ -59,31 +59,28 @@
     this.instanceId = random.nextLong();
   }
 
-  /** Ms that a sync takes, drawn for each. */
+  /** Sets the duration of a sync, drawn for each. */
   public void syncDelay(long minMs, long maxMs) {
     minSyncMs = minMs;
     maxSyncMs = maxMs;
   }
 
-  /** No batch is done within the next ms. */
+  /** No sync completes within the next ms. */
   public void stall(long ms) {
     stalledUntil = Math.max(stalledUntil, timers.now() + ms);
   }
 
-  /** From now on batches fail with DISK, the one being written too, and change nothing. */
+  /** From now on syncs fail with STORAGE_FAILURE, also the present one, and change nothing. */
   public void failWrites() {
     failingWrites = true;
   }
 
-  /** Ends the refusal. */
+  /** Ends {@link #failWrites()}. */
   public void allowWrites() {
     failingWrites = false;
   }
 
-  /**
-   * The process dies with its machine: the batch that was being written is there, or is not, as
-   * drawn.
-   */
+  /** The machine loses its power: the batch being synced is durable or not, as drawn. */
   public void powerLoss() {
     if (sync != null) {
       sync.cancel();
@@ -102,7 +99,7 @@
     neverOpened = false;
   }
 
-  /** The disk is replaced by an empty one: a new instance id, and nothing on it. */
+  /** The disk is replaced by an empty one with a new instance id. */
   public void wipe() {
     powerLoss();
     durable.clear();
@@ -115,8 +112,8 @@
   }
 
   /**
-   * A new process opens the disk, on whose timers its writes complete from now on; what the one
-   * before it had not completed is as after {@link #powerLoss()}.
+   * A new process opens the disk; its writes complete on these timers. What the former process had
+   * not completed is as after {@link #powerLoss()}.
    */
   public SimDisk open(Timers process) {
     boolean first = neverOpened;
@@ -126,7 +123,7 @@
     return this;
   }
 
-  /** Batches that were made safe. */
+  /** How many batches were made durable. */
   public long syncs() {
     return syncs;
   }
@@ -204,7 +201,7 @@
     return bytes;
   }
 
-  /** What was not written yet fails with DISK; the disk can be opened again. */
+  /** Fails what was not synced with STORAGE_FAILURE; the disk can be opened again. */
   @Override
   public void close() {
     closed = true;
@@ -262,7 +259,7 @@
           unreportedFailures = null;
           for (CompletableFuture<Void> future : failed) {
             future.completeExceptionally(
-                new ElmsailException(ErrorCode.STORAGE_FAILURE, "refused"));
+                new ElmsailException(ErrorCode.STORAGE_FAILURE, "the simulated disk fails writes"));
           }
         });
   }
--- a/simulation/src/main/java/elmsail/simulation/SimLink.java
+++ b/simulation/src/main/java/elmsail/simulation/SimLink.java
@@ -15,7 +15,7 @@
   private long minDelayMs;
   private long maxDelayMs;
 
-  /** The part of messages that vanish, 0 to 1. */
+  /** The share of messages that are lost, 0 to 1. */
   double lossRatio;
 
   Fault fault = Fault.NONE;
@@ -25,7 +25,7 @@
     maxDelayMs = maxMs;
   }
 
-  /** Ms that the next message takes. */
+  /** Draws the delay of the next message. */
   long drawDelayMs(Random random) {
     return minDelayMs + (long) (random.nextDouble() * (maxDelayMs - minDelayMs + 1));
   }
--- a/simulation/src/main/java/elmsail/simulation/SimLinkTable.java
+++ b/simulation/src/main/java/elmsail/simulation/SimLinkTable.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The directed links of a {@link SimNetwork}, each made when it is first used. */
+/** The directed links of a {@link SimNetwork}, each created when it is first used. */
 final class SimLinkTable {
   private final MessageCodec codec = new MessageCodec();
 
@@ -28,7 +28,7 @@
     return link;
   }
 
-  /** Ms one way, for all links that there are and will be. */
+  /** Sets the delay of all links that exist and will exist, in ms. */
   void delay(long minMs, long maxMs) {
     minDelayMs = minMs;
     maxDelayMs = maxMs;
@@ -37,7 +37,7 @@
     }
   }
 
-  /** The part of messages that vanish, for all links that there are and will be. */
+  /** Sets the share of messages, 0 to 1, that are lost on all links that exist and will exist. */
   void lossRatio(double ratio) {
     lossRatio = ratio;
     for (SimLink link : links.values()) {
@@ -45,12 +45,12 @@
     }
   }
 
-  /** What the address sends shares an outgoing link of that rate from now on. */
+  /** Limits the rate at which the address sends from now on. */
   void uplink(String address, double bytesPerMs) {
     uplinks.put(address, new SimUplink(bytesPerMs));
   }
 
-  /** Ms until a message has left the address whole; null is one without bytes. */
+  /** Time until a message has left the address completely; 0 for one without content (null). */
   long uplinkMs(String from, long now, Object message) {
     SimUplink uplink = uplinks.get(from);
     return uplink == null || message == null
--- a/simulation/src/main/java/elmsail/simulation/SimNetwork.java
+++ b/simulation/src/main/java/elmsail/simulation/SimNetwork.java
@@ -1,8 +1,6 @@
 package elmsail.simulation;
 
-import elmsail.rpc.MessageCodec;
 import elmsail.runtime.ElmsailException;
-import elmsail.runtime.ErrorCode;
 import elmsail.runtime.ManualTimers;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -12,32 +10,29 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A network of processes in one test, all of it from one seed and on one clock that is moved by
- * hand. Faults are of directed links: requests and responses of one address to another alike.
- * Messages may overtake each other. All are copied through the codec, so nothing is shared.
+ * A network of processes in one test, driven by one seed and one clock that the test advances.
+ * Faults belong to directed links and affect requests and responses alike. Messages may overtake
+ * each other; all are copied through the codec, so that processes share nothing. Single-threaded.
  */
 public final class SimNetwork {
 
-  /** Ms until a call to a machine without power fails, as its connection does not come about. */
+  /** Time until a call to a machine without power fails with NOT_SENT. */
   public static final long CONNECT_TIMEOUT_MS = 700;
 
   private final Random random;
   private final ManualTimers timers;
-  private final MessageCodec codec = new MessageCodec();
   private final Map<String, SimNode> nodes = new LinkedHashMap<>();
   private final SimLinkTable links = new SimLinkTable();
-  private final RunTrace trace = new RunTrace(codec);
+  private final SimTransport transport;
 
-  /** Addresses of processes that died without a word. */
+  /** Addresses whose process was killed; true if its machine has lost its power. */
   private final Map<String, Boolean> poweredOff = new LinkedHashMap<>();
 
-  private long messagesSent;
-  private long messagesLost;
-
-  /** A network without processes, with 1 to 5 ms one way and no faults. */
+  /** A network without processes, with delays of 1 to 5 ms in each direction and no faults. */
   public SimNetwork(long seed, ManualTimers timers) {
     this.random = new Random(seed);
     this.timers = timers;
+    transport = new SimTransport(random, timers, links, nodes::get, this::isPoweredOff);
   }
 
   /** Starts a process at that address; one that runs there is killed first. */
@@ -56,51 +51,48 @@
     return nodes.get(address);
   }
 
-  /** The clock that all share. */
+  /** The clock that all processes share. */
   public ManualTimers timers() {
     return timers;
   }
 
-  /** Ms one way, drawn for each message, for all links that have not their own. */
+  /** Sets the delay of all links that exist and will exist, drawn for each message. */
   public void delay(long minMs, long maxMs) {
     links.delay(minMs, maxMs);
   }
 
-  /** Ms one way, drawn for each message of this direction. */
+  /** Sets the delay of one link, drawn for each message. */
   public void delay(String from, String to, long minMs, long maxMs) {
     links.link(from, to).delay(minMs, maxMs);
   }
 
-  /**
-   * What the address sends shares an outgoing link of that rate from now on; others have no such
-   * bound.
-   */
+  /** Limits the rate at which the address sends, over all its links; others are unlimited. */
   public void uplink(String address, double bytesPerMs) {
     links.uplink(address, bytesPerMs);
   }
 
-  /** The part of messages, 0 to 1, that vanish on all links. */
+  /** Sets the share of messages, 0 to 1, that are lost on all links. */
   public void loss(double ratio) {
     links.lossRatio(ratio);
   }
 
-  /** The part of messages, 0 to 1, that vanish in this direction. */
+  /** Sets the share of messages, 0 to 1, that are lost on one link. */
   public void loss(String from, String to, double ratio) {
     links.link(from, to).lossRatio = ratio;
   }
 
-  /** Messages that way vanish, also those under way. */
+  /** Drops all messages of one direction, also those in flight. */
   public void cut(String from, String to) {
     links.link(from, to).fault = SimLink.Fault.CUT;
   }
 
-  /** Messages of both directions vanish, also those under way. */
+  /** Drops all messages of both directions, also those in flight. */
   public void cutBoth(String one, String other) {
     cut(one, other);
     cut(other, one);
   }
 
-  /** Cuts all links from and to the address of processes that are known. */
+  /** Cuts all links between the address and the running processes. */
   public void isolate(String address) {
     for (String other : new ArrayList<>(nodes.keySet())) {
       if (!other.equals(address)) {
@@ -110,25 +102,25 @@
   }
 
   /**
-   * Calls that way, also open ones, break at once; whether the request reaches the peer nonetheless
-   * is drawn.
+   * Calls of that direction, also open ones, fail with CONNECTION_LOST; the request may still
+   * arrive, as drawn.
    */
   public void resetCalls(String from, String to) {
     links.link(from, to).fault = SimLink.Fault.RESET;
-    breakOpenCalls(from, to);
+    transport.breakOpenCalls(from, to);
   }
 
-  /** Open calls that way break once; later ones are sound. */
+  /** Open calls of that direction fail with CONNECTION_LOST; later ones are not affected. */
   public void breakOpenCallsOnce(String from, String to) {
-    breakOpenCalls(from, to);
+    transport.breakOpenCalls(from, to);
   }
 
-  /** Calls that way fail UNSENT at once; open ones go on. */
+  /** Calls of that direction fail with NOT_SENT at once; open ones continue. */
   public void refuseCalls(String from, String to) {
     links.link(from, to).fault = SimLink.Fault.REFUSE;
   }
 
-  /** Ends a cut, reset or refusal; delay and loss stay. */
+  /** Ends a cut, reset or refusal of one direction; its delay and loss remain. */
   public void heal(String from, String to) {
     links.link(from, to).fault = SimLink.Fault.NONE;
   }
@@ -139,220 +131,83 @@
     heal(other, one);
   }
 
-  /** Ends every cut, reset and refusal; delays and losses stay. */
+  /** Ends every cut, reset and refusal; delays and losses remain. */
   public void healAll() {
     links.clearFaults();
   }
 
-  /** Kills the process; whether its callers see the connection end is drawn. */
+  private boolean isPoweredOff(String address) {
+    return poweredOff.getOrDefault(address, false);
+  }
+
+  /** Kills the process; whether its callers see connections reset is drawn. */
   public void kill(String address) {
     kill(address, random.nextBoolean());
   }
 
   /**
-   * Kills the process: nothing of it runs any more, and its messages under way are lost or not.
+   * Kills the process: nothing of it runs any more; its messages in flight may arrive or not.
    *
-   * @param seen true: open calls to it break, later ones are UNSENT at once (the process died);
-   *     false: open ones are SILENT, later ones UNSENT after {@link #CONNECT_TIMEOUT_MS} (the
-   *     machine lost its power)
+   * @param resetsConnections true: open calls to it fail with CONNECTION_LOST, later ones with
+   *     NOT_SENT at once (the process died); false: open ones fail with TIMEOUT, later ones with
+   *     NOT_SENT after {@link #CONNECT_TIMEOUT_MS} (the machine lost its power)
    */
-  public void kill(String address, boolean seen) {
+  public void kill(String address, boolean resetsConnections) {
     SimNode node = nodes.remove(address);
     if (node == null) {
       return;
     }
     node.kill();
-    poweredOff.put(address, !seen);
-    if (seen) {
+    poweredOff.put(address, !resetsConnections);
+    if (resetsConnections) {
       for (SimNode other : new ArrayList<>(nodes.values())) {
-        breakOpenCalls(other.address(), address);
+        transport.breakOpenCalls(other.address(), address);
       }
     }
   }
 
-  /** Holds the messages and timers of the process from now on; its clock goes on. */
+  /** Defers the messages and timers of the process from now on; its clock continues. */
   public void freeze(String address) {
     nodes.get(address).freeze();
   }
 
-  /** What was held runs at the present time, in its order. */
+  /** Runs what was deferred, messages first, each in its order. */
   public void thaw(String address) {
     nodes.get(address).thaw();
   }
 
-  /** How many messages were sent, those that were lost included. */
+  /** How many messages were sent, including lost ones. */
   public long messagesSent() {
-    return messagesSent;
+    return transport.messagesSent();
   }
 
-  /** From now on the bytes of all messages from and to that address are counted, from 0. */
+  /** Counts the bytes of all messages from and to that address from now on, from 0. */
   public void countBytes(String address) {
-    trace.countBytes(address);
+    transport.trace().countBytes(address);
   }
 
   /** Bytes of messages, without frames, since {@link #countBytes}. */
   public long countedBytes() {
-    return trace.countedBytes();
+    return transport.trace().countedBytes();
   }
 
-  /** How many messages vanished by loss or by a cut. */
+  /** How many messages were lost by loss or by a cut. */
   public long messagesLost() {
-    return messagesLost;
+    return transport.messagesLost();
   }
 
-  /** What handlers failed with that is no {@link ElmsailException}: a good run has none. */
+  /** What handlers failed with other than {@link ElmsailException}; empty in a correct run. */
   public List<Throwable> handlerFaults() {
-    return trace.faults();
+    return transport.trace().faults();
   }
 
-  /** Of all that was sent, when, and to whom: equal for two runs that went alike. */
+  /** A digest of all messages, their times and addresses: equal for equal runs. */
   public long digest() {
-    return trace.digest();
+    return transport.trace().digest();
   }
 
   <A> CompletableFuture<A> call(
-      SimNode from, String to, Object request, Class<A> response, long timeoutMs) {
-    SimCall call = new SimCall(from, to, response);
-    // The future is completed with objects of this class alone: SimCall checks each answer.
-    @SuppressWarnings("unchecked")
-    CompletableFuture<A> future = (CompletableFuture<A>) call.future;
-    if (!from.isAlive()) {
-      return future;
-    }
-    from.openCalls.add(call);
-    call.timer = from.timers().schedule(Math.max(0, timeoutMs), () -> call.fail(ErrorCode.TIMEOUT));
-    Object copy;
-    try {
-      copy = codec.copy(request);
-    } catch (ElmsailException e) {
-      from.timers().execute(() -> call.fail(e.code()));
-      return future;
-    }
-    if (from.address().equals(to)) {
-      from.timers().execute(() -> handle(call, from, copy));
-    } else {
-      send(call, copy);
-    }
-    return future;
-  }
-
-  private void send(SimCall call, Object request) {
-    SimNode from = call.caller;
-    SimLink link = links.link(from.address(), call.targetAddress);
-    SimNode target = nodes.get(call.targetAddress);
-    trace.onMessageSent(from.address(), call.targetAddress, request, timers.now());
-    if (link.fault == SimLink.Fault.REFUSE) {
-      from.timers().execute(() -> call.fail(ErrorCode.NOT_SENT));
-    } else if (link.fault == SimLink.Fault.RESET) {
-      from.timers().execute(() -> call.fail(ErrorCode.CONNECTION_LOST));
-      if (random.nextBoolean()) {
-        transmit(
-            from.address(),
-            call.targetAddress,
-            request,
-            () -> onRequestArrived(call, target, request));
-      }
-    } else if (link.fault == SimLink.Fault.NONE && target == null) {
-      boolean silent = poweredOff.getOrDefault(call.targetAddress, false);
-      from.timers()
-          .schedule(
-              silent ? CONNECT_TIMEOUT_MS : link.drawDelayMs(random),
-              () -> call.fail(ErrorCode.NOT_SENT));
-    } else {
-      transmit(
-          from.address(),
-          call.targetAddress,
-          request,
-          () -> onRequestArrived(call, target, request));
-    }
-  }
-
-  /** The connection led to that one process: another at the same address does not know it. */
-  private void onRequestArrived(SimCall call, SimNode target, Object request) {
-    if (target == null || !target.isAlive()) {
-      if (!poweredOff.getOrDefault(call.targetAddress, false)) {
-        transmit(
-            call.targetAddress,
-            call.caller.address(),
-            null,
-            () -> call.caller.deliver(() -> call.fail(ErrorCode.CONNECTION_LOST)));
-      }
-      return;
-    }
-    target.deliver(() -> handle(call, target, request));
-  }
-
-  private void handle(SimCall call, SimNode target, Object request) {
-    target
-        .handlers()
-        .handle(request)
-        .whenComplete(
-            (response, thrown) -> {
-              if (!target.isAlive()) {
-                return;
-              }
-              ErrorCode code = null;
-              Object copy = null;
-              if (thrown != null) {
-                code = ElmsailException.codeOf(thrown);
-                trace.onHandlerFailure(thrown);
-              } else {
-                try {
-                  copy = codec.copy(response);
-                } catch (ElmsailException e) {
-                  code = e.code();
-                }
-              }
-              respond(call, target, copy, code);
-            });
-  }
-
-  private void respond(SimCall call, SimNode target, Object response, ErrorCode code) {
-    Runnable end =
-        () -> {
-          if (code != null) {
-            call.fail(code);
-          } else {
-            call.onResponse(response);
-          }
-        };
-    if (call.caller == target) {
-      target.timers().execute(end);
-    } else {
-      trace.onMessageSent(target.address(), call.caller.address(), response, timers.now());
-      transmit(target.address(), call.caller.address(), response, () -> call.caller.deliver(end));
-    }
-  }
-
-  private void transmit(String from, String to, Object message, Runnable arrival) {
-    SimLink link = links.link(from, to);
-    messagesSent++;
-    boolean vanishes = random.nextDouble() < link.lossRatio;
-    long ms = link.drawDelayMs(random) + links.uplinkMs(from, timers.now(), message);
-    if (vanishes || link.fault == SimLink.Fault.CUT) {
-      messagesLost++;
-      return;
-    }
-    timers.schedule(
-        ms,
-        () -> {
-          if (link.fault == SimLink.Fault.CUT) {
-            messagesLost++;
-          } else {
-            arrival.run();
-          }
-        });
-  }
-
-  private void breakOpenCalls(String from, String to) {
-    SimNode node = nodes.get(from);
-    if (node == null) {
-      return;
-    }
-    for (SimCall call : new ArrayList<>(node.openCalls)) {
-      if (call.targetAddress.equals(to)) {
-        timers.execute(() -> node.deliver(() -> call.fail(ErrorCode.CONNECTION_LOST)));
-      }
-    }
+      SimNode from, String to, Object request, Class<A> responseType, long timeoutMs) {
+    return transport.call(from, to, request, responseType, timeoutMs);
   }
 }
--- a/simulation/src/main/java/elmsail/simulation/SimNode.java
+++ b/simulation/src/main/java/elmsail/simulation/SimNode.java
@@ -13,9 +13,9 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * One process of a {@link SimNetwork}, from its start until it is killed. Once it is dead nothing
- * of it runs any more; while it is frozen, its messages and timers are held, and run when it is
- * thawed: what came over the network first, as a loop looks at its sockets before its timers.
+ * One process of a {@link SimNetwork}, from its start until it is killed. Nothing of a killed
+ * process runs any more. While a process is frozen its messages and timers are deferred; when it is
+ * thawed the messages run first, as an event loop reads its sockets before its timers.
  */
 public final class SimNode implements RpcClient {
 
@@ -36,7 +36,7 @@
     this.networkTimers = base;
   }
 
-  /** Where the process answers, {@code ip:port}. */
+  /** The address of the process, {@code ip:port}. */
   public String address() {
     return address;
   }
@@ -46,27 +46,27 @@
     return !dead;
   }
 
-  /** Whether its messages and timers are held at present. */
+  /** Whether its messages and timers are deferred at present. */
   public boolean isFrozen() {
     return isFrozen;
   }
 
-  /** What the process calls others by. */
+  /** The client by which the process calls others. */
   public RpcClient rpcClient() {
     return this;
   }
 
-  /** Where the process registers what it answers. */
+  /** Where the process registers its request handlers. */
   public RequestHandlers requestHandlers() {
     return handlers;
   }
 
-  /** This process's timers; its clock keeps running while it is frozen. */
+  /** The timers of this process; its clock continues while it is frozen. */
   public Timers timers() {
     return timers;
   }
 
-  /** Of a dead process it never completes. */
+  /** As of any client; the future of a killed process never completes. */
   @Override
   public <A> CompletableFuture<A> call(
       String peer, Object request, Class<A> responseType, long timeoutMs) {
@@ -77,7 +77,7 @@
     return handlers;
   }
 
-  /** Something came over the network. */
+  /** A message has arrived over the network. */
   void deliver(Runnable message) {
     if (dead) {
       return;
--- a/simulation/src/main/java/elmsail/simulation/SimUplink.java
+++ b/simulation/src/main/java/elmsail/simulation/SimUplink.java
@@ -1,6 +1,6 @@
 package elmsail.simulation;
 
-/** The outgoing link of one machine: its messages leave one after the other, at a given rate. */
+/** The outgoing link of one machine: its messages leave one after the other, at a fixed rate. */
 final class SimUplink {
   private final double bytesPerMs;
   private double idleAt;
@@ -9,7 +9,7 @@
     this.bytesPerMs = bytesPerMs;
   }
 
-  /** Ms from {@code now} until a message of so many bytes, sent now, has left whole. */
+  /** Time from {@code now} until a message of that size, sent now, has left completely. */
   long transmitMs(long now, int bytes) {
     idleAt = Math.max((double) now, idleAt) + bytes / bytesPerMs;
     return (long) Math.ceil(idleAt - now);
