--- a/rpc/src/main/java/elmsail/rpc/Connector.java
+++ b/rpc/src/main/java/elmsail/rpc/Connector.java
@@ -20,6 +20,8 @@
   private boolean closed;
 
   /**
+   * Wires the parts; nothing is opened yet.
+   *
    * @param listener of the connections that are opened
    * @param sweepSoon called after each attempt
    */
--- a/rpc/src/main/java/elmsail/rpc/OutboundCalls.java
+++ b/rpc/src/main/java/elmsail/rpc/OutboundCalls.java
@@ -26,6 +26,8 @@
   private long lastCallId;
 
   /**
+   * Wires the parts; nothing is opened yet.
+   *
    * @param localAddress calls to this address are handled by {@code loopbackCalls}
    * @param sweepSoon called when something was sent
    */
--- a/rpc/src/main/java/elmsail/rpc/RpcClient.java
+++ b/rpc/src/main/java/elmsail/rpc/RpcClient.java
@@ -21,5 +21,6 @@
    * @param timeoutMs until the call fails with TIMEOUT, or NOT_SENT if it was still queued; a
    *     negative time counts as 0
    */
-  <A> CompletableFuture<A> call(String peer, Object request, Class<A> responseType, long timeoutMs);
+  <A> CompletableFuture<A> call(
+      String address, Object request, Class<A> responseType, long timeoutMs);
 }
--- a/simulation/src/main/java/elmsail/simulation/SimTransport.java
+++ b/simulation/src/main/java/elmsail/simulation/SimTransport.java
@@ -27,6 +27,8 @@
   private long messagesLost;
 
   /**
+   * A transport without messages.
+   *
    * @param nodeAt the running process at an address, or null
    * @param isPoweredOff whether the machine of a killed process responds to nothing
    */
