--- a/gateway/src/main/java/elmsail/gateway/Gateway.java
+++ b/gateway/src/main/java/elmsail/gateway/Gateway.java
@@ -26,29 +26,33 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The data plane of one process, as a whole. All on the loop. */
+/**
+ * The data plane of one process: listens for clients, forwards their requests to servers and runs
+ * batch items. Owned by one event loop, on which all methods are to be called.
+ */
 public final class Gateway {
   private static final Logger LOG = LoggerFactory.getLogger(Gateway.class);
   private static final int MAX_READINESS_BODY_BYTES = 1_024;
   private static final byte[] EMPTY_BODY = new byte[0];
 
   /**
-   * The platform stops sending after two looks a second apart; from then on idle connections end.
+   * The platform stops sending clients after two readiness probes a second apart; idle connections
+   * are closed after that.
    */
   private static final long READINESS_PROPAGATION_MS = 2_500;
 
   private static final long DRAIN_CHECK_INTERVAL_MS = 20;
 
   /**
-   * Requests are served until the last sixth of the grace time begins: one whose server has
-   * answered by then is not cut.
+   * Requests are served until the last sixth of the grace period begins: a response that started
+   * before is not cut.
    */
   private static final int GRACE_PARTS = 6;
 
-  /** Until an answer that was whole at its server just then has passed. */
+  /** Until a response that its server had just completed has been relayed. */
   private static final long MAX_FINAL_RESPONSES_MS = 250;
 
-  /** The process needs the rest of a short grace time to end by itself. */
+  /** The process needs the rest of a short grace period to end by itself. */
   private static final int FINAL_RESPONSES_GRACE_DIVISOR = 24;
 
   private final NettyEventLoop loop;
@@ -125,7 +129,7 @@
   }
 
   private void onLoadReport(LoadReport report) {
-    loadExchange.heard(report);
+    loadExchange.onReport(report);
   }
 
   private CompletableFuture<Gateway> listen() {
@@ -155,7 +159,7 @@
         });
   }
 
-  /** Answers at the slot "ready": whether the platform is to send, and the process's figures. */
+  /** Serves the readiness probe, and the metrics at all other paths. */
   private CompletableFuture<SimpleHttpResponse> handleReadinessCall(SimpleHttpRequest call) {
     if (!call.path().equals("/ready")) {
       return metricsEndpoint.handle(call);
@@ -164,34 +168,37 @@
         new SimpleHttpResponse(isReady() ? 200 : 503, Map.of(), EMPTY_BODY));
   }
 
-  /** Whether the platform is to send clients here. */
+  /**
+   * Whether the platform is to send clients here: with a configuration and a server, and not
+   * shutting down.
+   */
   public boolean isReady() {
     return !stopping && clusterState.config() != null && servers.hasAny();
   }
 
-  /** For the runner of jobs' items. */
+  /** Runs items of batch jobs. */
   public ItemServers itemServers() {
     return itemDispatcher;
   }
 
-  /** What has happened to requests since the start. */
+  /** Counts of what happened to requests since the start. */
   public RequestCounters counters() {
     return counters;
   }
 
-  /** Where clients connect to, ip:port. */
+  /** The address that clients connect to, as {@code ip:port}. */
   public String clientAddress() {
     return clientListener.address();
   }
 
-  /** Where the platform asks whether to send, ip:port. */
+  /** The address of the readiness probe and the metrics, as {@code ip:port}. */
   public String readinessAddress() {
     return readinessServer.address();
   }
 
   /**
-   * Is not ready from now on, serves what is open and still comes, and ends soon after five sixths
-   * of the grace time.
+   * Shuts down gracefully: is not ready from here on, serves open and new requests, and ends soon
+   * after five sixths of the grace period.
    *
    * @return completes on the loop when nothing is open any more
    */
@@ -215,7 +222,7 @@
     return done;
   }
 
-  /** For how long after the order to stop open requests are served on. */
+  /** For how long after the start of a shutdown open requests are served. */
   private static long drainMs(long graceMs) {
     return graceMs * (GRACE_PARTS - 1) / GRACE_PARTS
         + Math.min(MAX_FINAL_RESPONSES_MS, graceMs / FINAL_RESPONSES_GRACE_DIVISOR);
--- a/gateway/src/main/java/elmsail/gateway/GatewayWarmUp.java
+++ b/gateway/src/main/java/elmsail/gateway/GatewayWarmUp.java
@@ -26,8 +26,8 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Serves one made-up stream past a stand-in server over loopback, so that a build can keep an
- * archive of the classes that a first request needs. Not for a process in service.
+ * Serves one made-up stream from a stand-in server over loopback, so that a build can archive the
+ * classes that a first request needs. Not for a process in service.
  */
 public final class GatewayWarmUp {
   private static final String LOOPBACK = "127.0.0.1:0";
@@ -38,9 +38,9 @@
   private GatewayWarmUp() {}
 
   /**
-   * To be called on the loop.
+   * Serves the stream; to be called on the loop.
    *
-   * @return completes on the loop with what the client got, at its connection's end
+   * @return completes on the loop with the bytes that the client received, when its connection ends
    */
   public static CompletableFuture<String> run(NettyEventLoop loop) {
     CompletableFuture<String> got = new CompletableFuture<>();
@@ -144,7 +144,7 @@
         null);
   }
 
-  /** A configuration of one route, and a list of one server. */
+  /** A configuration with one route, and a list of one server. */
   private static final class SingleServerState implements ClusterState, RoutingConfig {
     private final List<ServerEntry> servers;
     private final Route route =
@@ -217,7 +217,7 @@
     }
   }
 
-  /** Knows of none. */
+  /** A batch service without any jobs. */
   private static final class NoBatchJobs implements BatchService {
     private static CompletableFuture<Reply> none() {
       return CompletableFuture.completedFuture(new Reply(503, new byte[0], 1));
--- a/gateway/src/main/java/elmsail/gateway/frontend/ClientConnection.java
+++ b/gateway/src/main/java/elmsail/gateway/frontend/ClientConnection.java
@@ -7,7 +7,6 @@
 import elmsail.gateway.requests.RequestHandle;
 import elmsail.runtime.Timers.Timer;
 import elmsail.runtime.http.StrictRequestDecoder;
-import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
@@ -25,55 +24,61 @@
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.ReferenceCountUtil;
+import java.io.IOException;
 
 /**
- * One client's connection: one request at a time, read whole before it is taken; what the client
- * writes behind it waits. It goes on being read while a request is served, as only that shows that
- * the client left.
+ * One client's connection. It serves one request at a time, which is dispatched once it is
+ * complete; pipelined requests wait in a queue. The connection is read while a request is served,
+ * since only a read shows that the client has disconnected. All methods run on the channel's event
+ * loop.
  */
 final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> {
   private static final int MAX_LINE_BYTES = 8_192;
   private static final int MAX_CHUNK_BYTES = 32 * 1024;
-  private static final byte[] EMPTY_BODY = new byte[0];
-
-  /** A body may take as long as a head, and for each such piece a second more. */
-  private static final int MIN_BODY_BYTES_PER_SECOND = 64 * 1024;
-
-  /** A connection is closed so much later than its client was told. */
-  private static final long KEEP_ALIVE_GRACE_MS = 1_000;
-
-  private static final long MIN_TIMEOUT_CHECK_MS = 50;
+  private static final double REJECTED_RETRY_AFTER_S = 0.2;
 
   private final ClientListener listener;
   private final ClientLimits limits;
+  private final ClientTimeouts timeouts;
   private final StrictRequestDecoder decoder;
+  private final RequestBodyBuffer body;
   private final PipelinedRequestQueue pipelined = new PipelinedRequestQueue();
   private Channel channel;
+
+  /** Of the request that is being received, or null. */
   private HttpRequest head;
-  private ByteBuf body;
-  private int reservedBodyBytes;
+
+  /** To the request that is being served, or null. */
   private ClientResponse response;
+
   private RequestHandle activeRequest = RequestHandle.NONE;
+
+  /** When the first byte of the present request came. */
   private long arrivedAt;
+
   private long idleSince;
   private boolean inRequest;
   private boolean closing;
-  private Timer checkTimeouts;
+  private Timer timeoutCheck;
 
+  /** A connection under the limits that are in force now. */
   ClientConnection(ClientListener listener) {
-    super(false);
+    super(false); // messages are released here, as some are queued
     this.listener = listener;
     limits = listener.limits();
+    timeouts = new ClientTimeouts(limits);
+    body = new RequestBodyBuffer(listener);
     decoder = new StrictRequestDecoder(MAX_LINE_BYTES, limits.maxHeaderBytes(), MAX_CHUNK_BYTES);
   }
 
+  /** Adds the connection's handlers to a new channel. */
   void addTo(ChannelPipeline pipeline) {
     channel = pipeline.channel();
     pipeline.addLast(
         new ChannelInboundHandlerAdapter() {
           @Override
           public void channelRead(ChannelHandlerContext ctx, Object bytes) {
-            onFirstByte();
+            onBytes();
             ctx.fireChannelRead(bytes);
           }
         },
@@ -82,7 +87,7 @@
         this);
   }
 
-  private void onFirstByte() {
+  private void onBytes() {
     if (!inRequest) {
       inRequest = true;
       arrivedAt = listener.timers().now();
@@ -92,49 +97,37 @@
   @Override
   public void channelActive(ChannelHandlerContext ctx) {
     idleSince = listener.timers().now();
-    checkTimeouts = listener.timers().schedule(limits.headerTimeoutMs(), this::checkTimeouts);
+    timeoutCheck = listener.timers().schedule(timeouts.maxCheckIntervalMs(), this::checkTimeouts);
     ctx.fireChannelActive();
   }
 
-  /** Ends the connection of a client that is too slow, or sends nothing for long. */
+  /** Rejects a request that comes too slowly, and closes a connection that is idle for too long. */
   private void checkTimeouts() {
     if (closing) {
       return;
     }
     long now = listener.timers().now();
-    long remainingMs = limits.headerTimeoutMs();
+    long remainingMs = timeouts.maxCheckIntervalMs();
     if (response == null && inRequest && pipelined.isEmpty()) {
-      int bytes = body == null ? 0 : body.readableBytes();
-      remainingMs =
-          arrivedAt
-              + limits.headerTimeoutMs()
-              + bytes * 1_000L / MIN_BODY_BYTES_PER_SECOND
-              + (head == null ? 0 : limits.headerTimeoutMs())
-              - now;
+      remainingMs = timeouts.requestRemainingMs(arrivedAt, body.readableBytes(), head != null, now);
       if (remainingMs <= 0) {
-        listener.counters().count(RequestCounters.Event.CLIENT_TIMEOUT);
-        reject(408);
+        reject(HttpResponseStatus.REQUEST_TIMEOUT, RequestCounters.Event.CLIENT_TIMEOUT);
         return;
       }
     } else if (response == null && !inRequest) {
-      remainingMs = idleSince + limits.idleTimeoutMs() + KEEP_ALIVE_GRACE_MS - now;
+      remainingMs = timeouts.idleRemainingMs(idleSince, now);
       if (remainingMs <= 0) {
         close();
         return;
       }
     }
-    // A head may begin to come right behind this look.
-    checkTimeouts =
-        listener
-            .timers()
-            .schedule(
-                Math.max(MIN_TIMEOUT_CHECK_MS, Math.min(remainingMs, limits.headerTimeoutMs())),
-                this::checkTimeouts);
+    timeoutCheck =
+        listener.timers().schedule(timeouts.nextCheckMs(remainingMs), this::checkTimeouts);
   }
 
-  /** Whole seconds that the client is told it may leave the connection idle. */
-  long keepAliveTimeoutSeconds() {
-    return Math.max(1, limits.idleTimeoutMs() / 1_000 - 1);
+  /** The idle time announced to the client, in s. */
+  long keepAliveSeconds() {
+    return timeouts.keepAliveSeconds();
   }
 
   @Override
@@ -154,8 +147,12 @@
   private void onMessage(HttpObject message) {
     try {
       if (message.decoderResult().isFailure()) {
-        listener.counters().count(RequestCounters.Event.BAD_REQUEST);
-        reject(message.decoderResult().cause() instanceof TooLongFrameException ? 431 : 400);
+        boolean tooLong = message.decoderResult().cause() instanceof TooLongFrameException;
+        reject(
+            tooLong
+                ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
+                : HttpResponseStatus.BAD_REQUEST,
+            RequestCounters.Event.BAD_REQUEST);
         return;
       }
       if (message instanceof HttpRequest request) {
@@ -172,8 +169,7 @@
   private void onHead(HttpRequest request) {
     head = request;
     if (HttpUtil.getContentLength(request, 0L) > limits.maxBodyBytes()) {
-      listener.counters().count(RequestCounters.Event.TOO_LARGE);
-      reject(413);
+      reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, RequestCounters.Event.TOO_LARGE);
     } else if (HttpUtil.is100ContinueExpected(request)) {
       channel.writeAndFlush(
           new DefaultFullHttpResponse(
@@ -182,24 +178,13 @@
   }
 
   private void onContent(HttpContent content) {
-    int bytes = content.content().readableBytes();
-    int before = body == null ? 0 : body.readableBytes();
-    if (before + bytes > limits.maxBodyBytes()) {
-      listener.counters().count(RequestCounters.Event.TOO_LARGE);
-      reject(413);
+    if (body.readableBytes() + content.content().readableBytes() > limits.maxBodyBytes()) {
+      reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, RequestCounters.Event.TOO_LARGE);
       return;
     }
-    if (bytes > 0) {
-      if (!listener.tryReserveBodyBytes(bytes)) {
-        listener.counters().count(RequestCounters.Event.REJECTED_NO_SERVER);
-        reject(503);
-        return;
-      }
-      reservedBodyBytes += bytes;
-      if (body == null) {
-        body = Unpooled.buffer((int) Math.max(bytes, HttpUtil.getContentLength(head, 0L)));
-      }
-      body.writeBytes(content.content());
+    if (!body.append(content.content(), head)) {
+      reject(HttpResponseStatus.SERVICE_UNAVAILABLE, RequestCounters.Event.REJECTED_NO_SERVER);
+      return;
     }
     if (content instanceof LastHttpContent) {
       onRequestComplete();
@@ -208,49 +193,32 @@
 
   private void onRequestComplete() {
     if (listener.rejectsNewRequests()) {
-      listener.counters().count(RequestCounters.Event.REJECTED_DRAINING);
-      reject(503);
+      reject(HttpResponseStatus.SERVICE_UNAVAILABLE, RequestCounters.Event.REJECTED_DRAINING);
       return;
     }
-    byte[] bytes = EMPTY_BODY;
-    if (body != null) {
-      bytes = body.array().length == body.readableBytes() ? body.array() : readBytes();
-    }
+    String method = head.method().name();
     ReceivedRequest received =
-        new ReceivedRequest(head.method().name(), head.uri(), head.headers(), bytes, arrivedAt);
-    boolean keepAlive =
-        HttpUtil.isKeepAlive(head) && head.protocolVersion().equals(HttpVersion.HTTP_1_1);
+        new ReceivedRequest(method, head.uri(), head.headers(), body.take(), arrivedAt);
+    boolean isHttp11 = head.protocolVersion().equals(HttpVersion.HTTP_1_1);
+    boolean keepAlive = HttpUtil.isKeepAlive(head) && isHttp11;
     ClientResponse newResponse =
-        new ClientResponse(
-            this,
-            listener,
-            channel,
-            keepAlive,
-            head.protocolVersion().equals(HttpVersion.HTTP_1_1),
-            head.method().name().equals("HEAD"));
+        new ClientResponse(this, listener, channel, keepAlive, isHttp11, method.equals("HEAD"));
     response = newResponse;
     head = null;
-    body = null;
     RequestHandle handle = listener.dispatcher().dispatch(received, newResponse);
     if (response == newResponse) {
       activeRequest = handle;
     }
   }
 
-  private byte[] readBytes() {
-    byte[] bytes = new byte[body.readableBytes()];
-    body.readBytes(bytes);
-    return bytes;
-  }
-
-  /** The answer is written: the connection ends with it, or waits for the next request. */
-  void onResponseWritten(ClientResponse newResponse, boolean keepAlive) {
-    if (response != newResponse) {
+  /** A response is written completely: the connection is closed, or serves the next request. */
+  void onResponseWritten(ClientResponse written, boolean keepAlive) {
+    if (response != written) {
       return;
     }
     response = null;
     activeRequest = RequestHandle.NONE;
-    releaseBody();
+    body.releaseReservation();
     idleSince = listener.timers().now();
     inRequest = false;
     if (!keepAlive) {
@@ -259,9 +227,9 @@
       return;
     }
     if (!pipelined.isEmpty() || decoder.isInsideMessage()) {
-      onFirstByte();
-      // Not at once: answers that come at once would nest as deep as the requests behind each
-      // other.
+      onBytes();
+      // Not within this call: responses that come at once would nest as deep as there are
+      // pipelined requests.
       channel.eventLoop().execute(this::processPipelined);
     }
   }
@@ -279,24 +247,19 @@
     }
   }
 
-  /**
-   * Answers what is no request that can be taken; it has not been read whole, so it has not run.
-   */
-  private void reject(int status) {
-    ClientResponse newResponse = new ClientResponse(this, listener, channel, false, true, false);
-    newResponse.linger();
-    response = newResponse;
+  /** Rejects a request that is not complete, and so has not run, and closes the connection. */
+  private void reject(HttpResponseStatus status, RequestCounters.Event reason) {
+    listener.counters().count(reason);
+    ClientResponse rejection = new ClientResponse(this, listener, channel, false, true, false);
+    rejection.linger();
+    response = rejection;
     head = null;
-    body = null;
-    LocalReplies.send(newResponse, status, null, status == 503 ? 0.2 : 0);
-  }
-
-  private void releaseBody() {
-    listener.releaseBodyBytes(reservedBodyBytes);
-    reservedBodyBytes = 0;
+    body.discard();
+    boolean mayRetry = status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE);
+    LocalReplies.send(rejection, status.code(), null, mayRetry ? REJECTED_RETRY_AFTER_S : 0);
   }
 
-  /** Ends it if no request is on it, nor a part of one. */
+  /** Closes the connection if it neither serves nor receives a request. */
   void closeIfIdle() {
     if (response == null && !decoder.isInsideMessage()) {
       close();
@@ -317,12 +280,12 @@
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
     closing = true;
-    if (checkTimeouts != null) {
-      checkTimeouts.cancel();
+    if (timeoutCheck != null) {
+      timeoutCheck.cancel();
     }
     pipelined.releaseAll();
-    releaseBody();
-    body = null;
+    body.releaseReservation();
+    body.discard();
     RequestHandle disconnected = activeRequest;
     activeRequest = RequestHandle.NONE;
     if (response != null) {
@@ -334,10 +297,10 @@
     ctx.fireChannelInactive();
   }
 
-  /** A reset, or a fault of ours: either way the connection is of no more use. */
+  /** A connection reset, or a defect of the gateway: the connection cannot be used any more. */
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-    if (!(cause instanceof java.io.IOException)) {
+    if (!(cause instanceof IOException)) {
       listener.counters().count(RequestCounters.Event.FAULT);
     }
     close();
--- a/gateway/src/main/java/elmsail/gateway/frontend/ClientListener.java
+++ b/gateway/src/main/java/elmsail/gateway/frontend/ClientListener.java
@@ -23,18 +23,20 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 
-/** The address that clients connect to, and their connections. All on the loop. */
+/** Listens for clients and keeps track of their connections. Owned by the gateway's event loop. */
 public final class ClientListener {
   private static final int BACKLOG = 1_024;
+
+  /** Before the first configuration. */
   private static final ClientLimits DEFAULT_LIMITS =
       new ClientLimits(16_384, 4 << 20, 3_000, 15_000);
 
-  /** Descriptors that are kept for all but clients. */
+  /** File descriptors reserved for everything but clients. */
   private static final int RESERVED_DESCRIPTORS = 600;
 
   private static final int MIN_CONNECTIONS = 200;
 
-  /** Bodies of requests under way, all together. */
+  /** Limit for the bodies of all open requests together. */
   private static final long MAX_BODY_BYTES = 48L << 20;
 
   private final Timers timers;
@@ -62,9 +64,11 @@
   }
 
   /**
-   * Completes on the loop once the address is bound; fails with BAD_SETTINGS.
+   * Binds the address. Completes on the loop; fails with {@code INVALID_SETTINGS} if the address
+   * cannot be bound.
    *
-   * @param maxDescriptors descriptors that the process may hold
+   * @param address as {@code ip:port}
+   * @param maxDescriptors file descriptors that the process may open
    */
   public static CompletableFuture<ClientListener> listen(
       Timers timers,
@@ -135,24 +139,25 @@
     return counters;
   }
 
+  /** The limits in force now. */
   ClientLimits limits() {
     RoutingConfig now = clusterState.config();
     return now == null || now.limits() == null ? DEFAULT_LIMITS : now.limits();
   }
 
-  /** Whether answers are to say that the connection ends. */
+  /** Whether responses announce that the connection closes. */
   boolean isDraining() {
     return isDraining;
   }
 
   /**
-   * Whether what is read whole from here on comes too late to be served before the process ends.
+   * Whether requests that complete from here on come too late to be served before the process ends.
    */
   boolean rejectsNewRequests() {
     return rejectsNewRequests;
   }
 
-  /** Whether a body of so many bytes more can be kept. */
+  /** Reserves bytes of the limit for all bodies; false if it would be exceeded. */
   boolean tryReserveBodyBytes(int bytes) {
     if (bodyBytes + bytes > MAX_BODY_BYTES) {
       return false;
@@ -161,11 +166,12 @@
     return true;
   }
 
+  /** Returns reserved bytes. */
   void releaseBodyBytes(int bytes) {
     bodyBytes -= bytes;
   }
 
-  /** Where it listens, ip:port. */
+  /** The bound address, as {@code ip:port}. */
   public String address() {
     InetSocketAddress local = (InetSocketAddress) serverChannel.localAddress();
     return local.getAddress().getHostAddress() + ":" + local.getPort();
@@ -176,12 +182,12 @@
     return openConnections.size();
   }
 
-  /** From here on each answer ends its connection. */
+  /** From here on each response closes its connection. */
   public void startDrain() {
     isDraining = true;
   }
 
-  /** Takes no new connections, and ends those that no request is on. */
+  /** Accepts no new connections and closes those without a request. */
   public void closeIdle() {
     serverChannel.close();
     rejectsNewRequests = true;
@@ -190,7 +196,7 @@
     }
   }
 
-  /** Ends what is left. */
+  /** Closes all remaining connections. */
   public void closeAll() {
     for (ClientConnection c : new ArrayList<>(openConnections)) {
       c.close();
--- a/gateway/src/main/java/elmsail/gateway/frontend/ClientResponse.java
+++ b/gateway/src/main/java/elmsail/gateway/frontend/ClientResponse.java
@@ -18,9 +18,12 @@
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.LastHttpContent;
 
-/** The one answer to one request. An answer that is not ended never looks complete. */
+/**
+ * The one response to one request. A response that is not ended never looks complete to the client.
+ * To be called on the event loop.
+ */
 final class ClientResponse implements ResponseSink {
-  /** So long a client that is still sending has to read the answer and end its side. */
+  /** How long a client that is still sending has to read the response and close its side. */
   private static final long LINGER_MS = 500;
 
   private final ClientConnection connection;
@@ -50,14 +53,14 @@
   }
 
   /**
-   * Its client may still be sending: a close over bytes that are not read would take the answer
-   * with it.
+   * Its client may still be sending: closing over unread bytes would reset the connection and lose
+   * the response.
    */
   void linger() {
     lingers = true;
   }
 
-  /** The client has left. */
+  /** The client has disconnected; nothing is written any more. */
   void onClientDisconnect() {
     finished = true;
   }
@@ -103,12 +106,13 @@
   }
 
   /**
-   * Its end is told in the head, or this is not kept: a client that knows no chunks sees the close.
+   * Announces a keep-alive timeout or the close. A client without support for chunks sees the end
+   * of the body by the close.
    */
   private void setConnectionHeaders(HttpHeaders headers) {
     keepAlive = clientKeepsAlive && !listener.isDraining();
     if (keepAlive) {
-      headers.set("Keep-Alive", "timeout=" + connection.keepAliveTimeoutSeconds());
+      headers.set("Keep-Alive", "timeout=" + connection.keepAliveSeconds());
     } else {
       headers.set("Connection", "close");
     }
--- a/gateway/src/main/java/elmsail/gateway/frontend/PipelinedRequestQueue.java
+++ b/gateway/src/main/java/elmsail/gateway/frontend/PipelinedRequestQueue.java
@@ -5,18 +5,21 @@
 import io.netty.util.ReferenceCountUtil;
 import java.util.ArrayDeque;
 
-/** Parts of requests that a client wrote behind the present one, and when each of them came. */
+/**
+ * Parts of pipelined requests, which wait until the present one is served, with the time at which
+ * each came. Owned by the connection's event loop.
+ */
 final class PipelinedRequestQueue {
   /**
-   * So many are read, then no more: a client that leaves is seen to leave only as long as its
+   * At this size reading stops. Some are read ahead, since a disconnect is noticed only while the
    * connection is read.
    */
   private static final int MAX_ENTRIES = 64;
 
-  /** Likewise of the bytes of bodies in them. */
+  /** The same for the bytes of bodies. */
   private static final int MAX_BODY_BYTES = 64 * 1024;
 
-  /** A part, which whoever polls it releases. */
+  /** A part, released by whoever polls it. */
   record Entry(HttpObject message, long arrivedAt) {}
 
   private final ArrayDeque<Entry> entries = new ArrayDeque<>();
@@ -27,7 +30,7 @@
     bodyBytes += bytesOf(message);
   }
 
-  /** The oldest, or null. */
+  /** Takes the oldest entry, or null. */
   Entry poll() {
     Entry oldest = entries.poll();
     bodyBytes -= oldest == null ? 0 : bytesOf(oldest.message());
@@ -38,7 +41,7 @@
     return entries.isEmpty();
   }
 
-  /** Whether no more are to be read for now. */
+  /** Whether reading is to stop. */
   boolean isFull() {
     return entries.size() >= MAX_ENTRIES || bodyBytes >= MAX_BODY_BYTES;
   }
--- a/gateway/src/main/java/elmsail/gateway/http/Headers.java
+++ b/gateway/src/main/java/elmsail/gateway/http/Headers.java
@@ -6,7 +6,7 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Names of the protocol's headers, and what of a message's headers goes further. */
+/** Header names of the protocol, and which headers of a message are end-to-end. */
 public final class Headers {
   public static final String REQUEST_ID = "Elmsail-Request-Id";
   public static final String DEADLINE_MS = "Elmsail-Deadline-Ms";
@@ -24,10 +24,7 @@
 
   private Headers() {}
 
-  /**
-   * A copy without the headers that concern one connection only, and without the length of the
-   * body.
-   */
+  /** A copy without hop-by-hop headers (RFC 9110, section 7.6.1) and without the body's length. */
   public static HttpHeaders endToEnd(HttpHeaders headers) {
     HttpHeaders endToEnd = new DefaultHttpHeaders();
     String connectionTokens = "";
@@ -71,7 +68,11 @@
     return false;
   }
 
-  /** A whole number of 0 or more, or what to take where there is none. */
+  /**
+   * Parses a decimal number.
+   *
+   * @return the number, 0 or more, or the default if the text is none
+   */
   public static long parseNonNegative(String text, long defaultValue) {
     if (text == null || text.isEmpty() || text.length() > 18) {
       return defaultValue;
--- a/gateway/src/main/java/elmsail/gateway/load/LoadChannel.java
+++ b/gateway/src/main/java/elmsail/gateway/load/LoadChannel.java
@@ -24,8 +24,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Load reports as datagrams, at the port of the inner address. Where the port cannot be had nothing
- * is sent or heard, and each gateway goes by its own sight. All on the loop.
+ * Sends and receives load reports as UDP datagrams at the port of the internal address. If the port
+ * cannot be bound nothing is exchanged, and this gateway goes by its own load. Owned by the
+ * gateway's event loop.
  */
 public final class LoadChannel {
   private static final Logger LOG = LoggerFactory.getLogger(LoadChannel.class);
@@ -40,12 +41,12 @@
   private byte[] lastSentBytes;
   private long malformedCount;
 
-  /** Opened by {@link #open}; each report that comes goes to {@code heard}. */
+  /** Passes each received report on; opened by {@link #open}. */
   public LoadChannel(Consumer<LoadReport> onReport) {
     this.onReport = onReport;
   }
 
-  /** Binds; a failure is logged. */
+  /** Binds the address; a failure is logged. */
   public void open(EventLoop loop, String address) {
     ChannelFuture bound =
         new Bootstrap()
@@ -65,7 +66,7 @@
         });
   }
 
-  /** Sends a report; it is lost where the channel is not open or takes no more for now. */
+  /** Sends a report. It is lost if the channel is closed or its buffer is full. */
   public void send(String to, LoadReport report) {
     if (channel == null || !channel.isWritable()) {
       return;
@@ -82,12 +83,12 @@
         new DatagramPacket(Unpooled.wrappedBuffer(lastSentBytes), address), channel.voidPromise());
   }
 
-  /** Datagrams that were no reports. */
+  /** How many received datagrams were no reports. */
   public long malformedCount() {
     return malformedCount;
   }
 
-  /** Neither sends nor hears any more. */
+  /** Sends and receives nothing more. */
   public void close() {
     if (channel != null) {
       channel.close();
@@ -108,7 +109,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      LOG.debug("load report", cause); // such as an answer that nobody listens at a peer's port
+      LOG.debug("load report", cause); // such as "port unreachable" from a peer that has ended
     }
   }
 }
--- a/gateway/src/main/java/elmsail/gateway/load/LoadTable.java
+++ b/gateway/src/main/java/elmsail/gateway/load/LoadTable.java
@@ -9,14 +9,14 @@
 import java.util.TreeMap;
 
 /**
- * The newest report of each gateway of the zone, of each other zone, and of the total. Pure but for
- * the clock. What is not repeated is forgotten.
+ * The newest load reports: of each gateway of this zone, of each other zone, and of the total.
+ * Reports that are not repeated expire. Owned by the event loop; times in ms on its clock.
  */
 final class LoadTable {
-  /** A report counts for so long; reports are repeated well within this. */
+  /** A report counts for this time; it is repeated well within it. */
   static final long VALID_MS = 1_000;
 
-  /** Bounds what a faulty peer can make this process remember. */
+  /** Bounds what a faulty peer can make this process store. */
   private static final int MAX_SENDERS = 2_048;
 
   private static final int MAX_ENTRIES = 4_096;
@@ -28,23 +28,23 @@
   private final MonotonicClock clock;
   private final Map<String, Report> bySender = new HashMap<>();
 
-  /** By the zone of the gateways that each is the sum of. */
+  /** By the zone whose gateways are summed up. */
   private final Map<String, Report> byOtherZone = new TreeMap<>();
 
   private Report total;
   private Map<String, ServerLoad> totalLoads = Map.of();
 
   /**
-   * Makes an empty table.
+   * An empty table.
    *
-   * @param zone this gateway's
+   * @param zone this gateway's own
    */
   LoadTable(String zone, MonotonicClock clock) {
     this.zone = zone;
     this.clock = clock;
   }
 
-  /** Takes a report unless a newer one of its sender and scope is known. */
+  /** Stores a report unless a newer one of the same sender and scope is known. */
   void onReport(LoadReport report) {
     if (report.servers.size() > MAX_ENTRIES) {
       return;
@@ -68,29 +68,29 @@
     }
   }
 
-  /** Datagrams may pass each other. */
+  /** Datagrams may overtake each other. */
   private static boolean isStale(Report current, Report received) {
     return current != null
         && current.instanceId == received.instanceId
         && current.sequence >= received.sequence;
   }
 
-  /** Whether a total was told lately. */
+  /** Whether a valid total was received. */
   boolean hasRecentTotal() {
     return isValid(total);
   }
 
-  /** The total that was told last, or nothing where that is long ago. */
+  /** The load of a server in the last total; none if that has expired. */
   ServerLoad totalOf(String serverId) {
     return isValid(total) ? totalLoads.getOrDefault(serverId, ServerLoad.NONE) : ServerLoad.NONE;
   }
 
-  /** What the other gateways of this zone have open, as each told. */
+  /** The sum of the loads of the other gateways of this zone, in a new map. */
   Map<String, ServerLoad> sumOfZonePeers() {
     return sum(bySender);
   }
 
-  /** What the gateways of all other zones have open. */
+  /** The sum of the loads of all other zones, in a new map. */
   Map<String, ServerLoad> sumOfOtherZones() {
     return sum(byOtherZone);
   }
--- /dev/null
+++ b/gateway/src/main/java/elmsail/gateway/load/PeerIntroducer.java
@@ -0,0 +1,99 @@
+package elmsail.gateway.load;
+
+import elmsail.config.ClusterState;
+import elmsail.rpc.messages.LoadReport;
+import elmsail.runtime.Timers;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.BiConsumer;
+import java.util.function.BooleanSupplier;
+import java.util.function.Supplier;
+
+/**
+ * Makes this gateway and its zone known to the other gateways: sends each listed one a report now
+ * and then, to which an unknown one replies with its own. Owned by the event loop; all times in ms.
+ */
+final class PeerIntroducer {
+  private static final long FIRST_INTRODUCTION_MS = 10;
+
+  private static final long UNKNOWN_PEER_INTERVAL_MS = 500;
+  private static final long ZONE_PEER_INTERVAL_MS = 3_000;
+
+  /** To gateways of other zones, and to all while nothing is open anywhere. */
+  private static final long OTHER_PEER_INTERVAL_MS = 8_000;
+
+  private final Timers timers;
+  private final ClusterState clusterState;
+  private final ZoneMembers members;
+  private final Supplier<LoadReport> ownReport;
+  private final BiConsumer<String, LoadReport> send;
+  private final BooleanSupplier isActive;
+  private final Map<String, Long> lastIntroducedAt = new HashMap<>();
+  private boolean closed;
+
+  /**
+   * Sends nothing before {@link #start}.
+   *
+   * @param ownReport creates a report of this gateway's own load
+   * @param send sends a report to an address; it may be lost
+   * @param isActive whether any load was seen lately
+   */
+  PeerIntroducer(
+      Timers timers,
+      ClusterState clusterState,
+      ZoneMembers members,
+      Supplier<LoadReport> ownReport,
+      BiConsumer<String, LoadReport> send,
+      BooleanSupplier isActive) {
+    this.timers = timers;
+    this.clusterState = clusterState;
+    this.members = members;
+    this.ownReport = ownReport;
+    this.send = send;
+    this.isActive = isActive;
+  }
+
+  void start() {
+    timers.schedule(FIRST_INTRODUCTION_MS, this::introduceToListed);
+  }
+
+  void close() {
+    closed = true;
+  }
+
+  /** Sends this gateway's own report to another one. */
+  void introduceTo(String gateway) {
+    lastIntroducedAt.put(gateway, timers.now());
+    send.accept(gateway, ownReport.get());
+  }
+
+  private void introduceToListed() {
+    if (closed) {
+      return;
+    }
+    timers.schedule(UNKNOWN_PEER_INTERVAL_MS, this::introduceToListed);
+    List<String> listed = clusterState.view().gateways;
+    members.expireUnlisted(listed);
+    lastIntroducedAt.keySet().retainAll(listed);
+    long now = timers.now();
+    for (String gateway : listed) {
+      boolean due =
+          now - lastIntroducedAt.getOrDefault(gateway, Long.MIN_VALUE / 2) >= intervalMs(gateway);
+      if (due && !gateway.equals(members.ownAddress())) {
+        introduceTo(gateway);
+      }
+    }
+  }
+
+  private long intervalMs(String gateway) {
+    String peerZone = members.zoneOf(gateway);
+    if (!isActive.getAsBoolean()) {
+      return OTHER_PEER_INTERVAL_MS;
+    }
+    if (peerZone == null) {
+      return UNKNOWN_PEER_INTERVAL_MS;
+    }
+    return peerZone.equals(members.ownZone()) ? ZONE_PEER_INTERVAL_MS : OTHER_PEER_INTERVAL_MS;
+  }
+}
--- a/gateway/src/main/java/elmsail/gateway/load/PeerLoads.java
+++ b/gateway/src/main/java/elmsail/gateway/load/PeerLoads.java
@@ -1,8 +1,8 @@
 package elmsail.gateway.load;
 
-/** What all gateways together have open at the servers. */
+/** The load of all gateways together at each server. */
 public interface PeerLoads {
-  /** Where no other gateway is heard. */
+  /** Without any other gateway. */
   PeerLoads NONE =
       new PeerLoads() {
         @Override
@@ -16,12 +16,12 @@
         }
       };
 
-  /** Whether other gateways are heard. */
+  /** Whether loads of other gateways are received. */
   boolean isAvailable();
 
   /**
-   * What all gateways that are heard have open there, this one's as it last told; never null. Some
-   * ten ms old.
+   * The load of all known gateways at a server, this one's as last reported; some ten ms old. Never
+   * null.
    */
   ServerLoad loadOf(String serverId);
 }
--- a/gateway/src/main/java/elmsail/gateway/load/ServerLoad.java
+++ b/gateway/src/main/java/elmsail/gateway/load/ServerLoad.java
@@ -5,15 +5,18 @@
 /**
  * What is open at one server.
  *
- * @param requests clients' requests without a whole answer
- * @param items batch items under way
- * @param pendingPrefillTokens prompt tokens of those without the first byte of an answer
+ * @param requests client requests without a complete response
+ * @param items open batch items
+ * @param pendingPrefillTokens prompt tokens of those without the first byte of a response
  */
 public record ServerLoad(int requests, int items, int pendingPrefillTokens) {
   /** Nothing is open. */
   public static final ServerLoad NONE = new ServerLoad(0, 0, 0);
 
-  /** A garbled or hostile number must not shut a server out for good, nor overflow a sum. */
+  /**
+   * Larger numbers are malformed or hostile; they must neither block a server for good nor
+   * overflow.
+   */
   private static final int MAX_VALUE = 1_000_000;
 
   /** Requests and items together. */
@@ -29,7 +32,7 @@
         clamp(pendingPrefillTokens + other.pendingPrefillTokens));
   }
 
-  /** Of each number the larger one. */
+  /** The larger of each number. */
   public ServerLoad max(ServerLoad other) {
     return new ServerLoad(
         Math.max(requests, other.requests),
--- a/gateway/src/main/java/elmsail/gateway/load/ZoneMembers.java
+++ b/gateway/src/main/java/elmsail/gateway/load/ZoneMembers.java
@@ -9,20 +9,21 @@
 import java.util.TreeMap;
 
 /**
- * Which gateways were heard, in which zones, and which of this zone sums its loads up: the first
- * one by rendezvous hashing that is heard and goes on telling the total. Pure but for the clock.
+ * The gateways known by their reports, and which gateway of this zone aggregates its loads: the
+ * first by rendezvous hashing that is alive and keeps sending the total. Owned by the event loop;
+ * times in ms on its clock.
  */
 final class ZoneMembers {
-  /** A gateway of the zone is a member for so long after it was last heard. */
+  /** A gateway of the zone is a member for this time after its last report. */
   static final long MEMBER_EXPIRY_MS = 8_000;
 
-  /** The zone of a silent gateway is remembered for so long. */
+  /** The zone of a silent gateway is remembered for this time. */
   static final long ZONE_EXPIRY_MS = 30_000;
 
-  /** Whoever sums up and tells no total for so long is passed over. */
+  /** An aggregator that sends no total for this time is suspended. */
   static final long TOTAL_TIMEOUT_MS = 300;
 
-  /** One that is passed over is tried again after so long, or once it tells a total. */
+  /** A suspended aggregator is tried again after this time, or once it sends a total. */
   static final long AGGREGATOR_SUSPENSION_MS = 4_000;
 
   private static final int MAX_MEMBERS = 4_096;
@@ -48,7 +49,22 @@
     aggregator = ownAddress;
   }
 
-  /** A report of that gateway came: whether its instance was not known. */
+  /** This gateway's internal address. */
+  String ownAddress() {
+    return ownAddress;
+  }
+
+  /** This gateway's zone. */
+  String ownZone() {
+    return zone;
+  }
+
+  /** Whether this gateway is the aggregator now; see {@link #aggregator}. */
+  boolean isAggregator() {
+    return aggregator().equals(ownAddress);
+  }
+
+  /** Records a report of a gateway; true if its instance was not known. */
   boolean onReport(String address, String peerZone, long instanceId) {
     Member member = members.get(address);
     if (member == null) {
@@ -65,7 +81,7 @@
     return isNew;
   }
 
-  /** That gateway told the total of the zone. */
+  /** The gateway sent the total of the zone. */
   void onTotal(String address) {
     Member member = members.get(address);
     if (member != null) {
@@ -76,12 +92,12 @@
     }
   }
 
-  /** From now on totals are told again, after a time in which there was nothing to tell. */
+  /** Totals are expected from here on, after a time without any load. */
   void expectTotal() {
     totalExpectedBy = clock.now() + TOTAL_TIMEOUT_MS;
   }
 
-  /** Who sums up now; this gateway itself where no other is before it. */
+  /** The address of the present aggregator: this gateway itself if none ranks before it. */
   String aggregator() {
     long now = clock.now();
     if (!aggregator.equals(ownAddress) && now > totalExpectedBy) {
@@ -133,7 +149,7 @@
     return found;
   }
 
-  /** The zone of a gateway, or null where it is not known or the gateway should be heard again. */
+  /** The zone of a gateway, or null if it is unknown or the gateway should report again. */
   String zoneOf(String address) {
     Member member = members.get(address);
     if (member == null) {
@@ -144,7 +160,7 @@
     return now - member.lastReceivedAt > validMs ? null : member.zone;
   }
 
-  /** Forgets gateways that are not listed and silent. */
+  /** Forgets silent gateways that are not listed. */
   void expireUnlisted(List<String> listed) {
     long now = clock.now();
     members
--- a/gateway/src/main/java/elmsail/gateway/requests/AttemptOutcome.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/AttemptOutcome.java
@@ -1,14 +1,14 @@
 package elmsail.gateway.requests;
 
-/** What one attempt at a server came to. */
+/** How one attempt at a server ended. */
 public enum AttemptOutcome {
-  /** No byte of it left. */
+  /** No byte of the request was sent. */
   NOT_SENT(false, false),
-  /** It left, and nothing is sure. */
+  /** It was sent, and the outcome is unknown. */
   UNKNOWN(true, false),
-  /** The server says that it did not and will not run it. */
+  /** The server says that it neither has run nor will run it. */
   NOT_RUN(false, false),
-  /** An answer of the server's own that is passed on. */
+  /** The server's own response, which is relayed. */
   RESPONDED(true, true);
 
   private final boolean mayHaveRun;
@@ -19,25 +19,27 @@
     this.isRelayed = isRelayed;
   }
 
-  /** Whether the server may have run the request, so that an unsafe one must not be sent again. */
+  /**
+   * Whether the server may have run the request, so that a non-idempotent one must not be retried.
+   */
   public boolean mayHaveRun() {
     return mayHaveRun;
   }
 
-  /** Whether an answer of the server is passed on. */
+  /** Whether a response of the server is relayed. */
   public boolean isRelayed() {
     return isRelayed;
   }
 
-  /** Of a try that came to no whole answer. */
+  /** Of an attempt without a complete response. */
   public static AttemptOutcome ofFailure(boolean sent) {
     return sent ? UNKNOWN : NOT_SENT;
   }
 
   /**
-   * Of an answer.
+   * Of a response.
    *
-   * @param notRun whether it says {@code Elmsail-Not-Run}
+   * @param notRun whether it has the header {@code Elmsail-Not-Run}
    * @param hasPostmark whether it has a postmark
    */
   public static AttemptOutcome ofResponse(int status, boolean notRun, boolean hasPostmark) {
@@ -50,19 +52,22 @@
     if (notRun) {
       return NOT_RUN;
     }
-    // These would promise to the client what the server did not.
+    // Relayed, these would tell the client that the request has not run, which the server did not
+    // say.
     boolean claimsNotRun = status == 429 || status == 503 || status == 408;
     return claimsNotRun ? UNKNOWN : RESPONDED;
   }
 
-  /** Whether a request may go to a further server after such a try. */
+  /** Whether a request may be sent to another server after such an attempt. */
   public boolean mayRetry(boolean repeatable) {
     return this != RESPONDED && (!mayHaveRun || repeatable);
   }
 
   /**
-   * The status of our own where nothing was passed on: of all the attempts, whether one may have
-   * run.
+   * The status of a local reply.
+   *
+   * @param anyMayHaveRun whether a server may have run any of the attempts
+   * @param timedOut whether the request's deadline has passed
    */
   public static int localReplyStatus(boolean anyMayHaveRun, boolean timedOut) {
     if (!anyMayHaveRun) {
--- a/gateway/src/main/java/elmsail/gateway/requests/ClientRequest.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/ClientRequest.java
@@ -1,5 +1,6 @@
 package elmsail.gateway.requests;
 
+import elmsail.batch.BatchItem;
 import elmsail.gateway.http.Headers;
 import elmsail.gateway.servers.OutgoingRequest;
 import elmsail.gateway.servers.Prompt;
@@ -12,7 +13,8 @@
 import io.netty.handler.codec.http.HttpVersion;
 
 /**
- * One request as it is sent to servers: method, target, headers and body as the client gave them.
+ * A request of a client, or an item of a batch job, as it is sent to servers: method, target,
+ * headers and body as they were received. Owned by the gateway's event loop.
  */
 final class ClientRequest implements OutgoingRequest {
   private final String id;
@@ -25,34 +27,53 @@
   private final boolean isBatchItem;
   private final MonotonicClock clock;
 
-  /** On the loop's clock; Long.MAX_VALUE: none is told. */
+  /** In ms on the loop's clock; {@code Long.MAX_VALUE} for none. */
   private final long deadlineAt;
 
   private long lastEventId = -1;
 
+  /**
+   * A client's request.
+   *
+   * @param priority on the wire; 0 is the most urgent
+   * @param deadlineAt in ms on this clock
+   */
   ClientRequest(
-      String id,
-      String method,
-      String uri,
-      HttpHeaders headers,
-      byte[] body,
-      int priority,
-      boolean isBatchItem,
-      MonotonicClock clock,
-      long deadlineAt) {
+      String id, ReceivedRequest received, int priority, MonotonicClock clock, long deadlineAt) {
     this.id = id;
-    this.method = HttpMethod.valueOf(method);
-    this.uri = uri;
-    this.headers = Headers.endToEnd(headers);
-    this.body = body;
-    this.prompt = Prompt.parse(headers.get(Headers.PROMPT_PREFIX), headers.get(Headers.TOKENS));
+    method = HttpMethod.valueOf(received.method());
+    uri = received.uri();
+    headers = Headers.endToEnd(received.headers());
+    body = received.body();
+    prompt = promptOf(received.headers());
     this.priority = priority;
-    this.isBatchItem = isBatchItem;
+    isBatchItem = false;
     this.clock = clock;
     this.deadlineAt = deadlineAt;
   }
 
-  /** The run goes on behind this event; what a client has begun to get is the most urgent. */
+  /** An item of a batch job, without a deadline. */
+  ClientRequest(BatchItem item, HttpHeaders itemHeaders, int priority, MonotonicClock clock) {
+    id = item.id();
+    method = HttpMethod.POST;
+    uri = item.path();
+    headers = Headers.endToEnd(itemHeaders);
+    body = item.body();
+    prompt = promptOf(itemHeaders);
+    this.priority = priority;
+    isBatchItem = true;
+    this.clock = clock;
+    deadlineAt = Long.MAX_VALUE;
+  }
+
+  private static Prompt promptOf(HttpHeaders headers) {
+    return Prompt.parse(headers.get(Headers.PROMPT_PREFIX), headers.get(Headers.TOKENS));
+  }
+
+  /**
+   * The next attempt resumes the stream after this event. A client that has part of its response is
+   * the most urgent.
+   */
   void resumeAfter(long eventId) {
     lastEventId = eventId;
     if (!isBatchItem) {
--- a/gateway/src/main/java/elmsail/gateway/requests/ItemDispatcher.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/ItemDispatcher.java
@@ -15,14 +15,18 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Runs jobs' items in the places that plain requests leave. */
+/**
+ * Runs items of batch jobs at servers, in slots that client requests leave free. Owned by the
+ * gateway's event loop.
+ */
 public final class ItemDispatcher implements ItemServers {
+  /** Less urgent than any client request. */
   private static final int ITEM_PRIORITY = 8;
 
   private final RequestContext context;
   private final ItemFailures failures = new ItemFailures();
 
-  /** Sends items by the same servers and counters as plain requests. */
+  /** Uses the same servers and counters as client requests. */
   public ItemDispatcher(RequestContext context) {
     this.context = context;
   }
@@ -57,27 +61,17 @@
     boolean mayProbe = route.maxAttempts() > 1 && !failures.hasFailed(item.id());
     Server server =
         context
-            .servers()
+            .picker()
             .pick(
                 route,
                 prompt,
                 excluded,
                 mayProbe ? SelectionMode.PROBE_ALLOWED : SelectionMode.NOT_RETRYABLE);
-    if (server == null || !mayProbe && context.servers().isUnhealthy(server)) {
+    if (server == null || !mayProbe && context.picker().isUnhealthy(server)) {
       return null;
     }
     context.counters().count(RequestCounters.Event.ITEM_STARTED);
-    ClientRequest request =
-        new ClientRequest(
-            item.id(),
-            "POST",
-            item.path(),
-            headers,
-            item.body(),
-            ITEM_PRIORITY,
-            true,
-            context.timers(),
-            Long.MAX_VALUE);
+    ClientRequest request = new ClientRequest(item, headers, ITEM_PRIORITY, context.timers());
     if (resumeAfterEventId >= 0) {
       request.resumeAfter(resumeAfterEventId);
     }
@@ -98,13 +92,13 @@
       if (failures.hasFailedAt(itemId, server.id())) {
         failed.add(server);
       } else {
-        hasOthers |= context.servers().isAvailable(server);
+        hasOthers |= context.picker().isAvailable(server);
       }
     }
     return hasOthers ? failed : new HashSet<>();
   }
 
-  /** Keeps which server failed the item, and passes all on. */
+  /** Remembers the server that failed an item, and passes all events on. */
   private final class FailureRecorder implements RunListener {
     private final String itemId;
     private final String serverId;
--- a/gateway/src/main/java/elmsail/gateway/requests/ItemFailures.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/ItemFailures.java
@@ -6,8 +6,8 @@
 import java.util.Set;
 
 /**
- * Which servers answered an item of a job with an error, so that it is run elsewhere; of the newest
- * failures only.
+ * Which servers responded to an item with an error, so that it is retried elsewhere. Keeps the
+ * newest items only. Owned by the gateway's event loop.
  */
 final class ItemFailures {
   private static final int MAX_ITEMS = 4_096;
@@ -27,7 +27,7 @@
     serversByItem.computeIfAbsent(itemId, id -> new HashSet<>()).add(serverId);
   }
 
-  /** The item needs no further run. */
+  /** The item needs no further attempt. */
   void remove(String itemId) {
     serversByItem.remove(itemId);
   }
@@ -37,7 +37,7 @@
     return serversByItem.containsKey(itemId);
   }
 
-  /** Whether that server failed the item. */
+  /** Whether this server failed the item. */
   boolean hasFailedAt(String itemId, String serverId) {
     return serversByItem.getOrDefault(itemId, Set.of()).contains(serverId);
   }
--- a/gateway/src/main/java/elmsail/gateway/requests/ItemRun.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/ItemRun.java
@@ -13,20 +13,20 @@
 import io.netty.handler.codec.http.HttpResponse;
 
 /**
- * One run of an item at one server: whole events are told as they come, in their order. It has no
- * deadline, so it looks by itself whether anything more is to be expected: a server that went dark
- * or left never closes the connection, and the item would be stuck there.
+ * One attempt of a batch item at one server: delivers the complete events of the response in order.
+ * An item has no deadline, and a server that is partitioned or removed never closes the connection;
+ * so the run checks by itself whether more is to be expected. Owned by the gateway's event loop.
  */
 final class ItemRun implements RunHandle, AttemptListener {
   private static final long CHECK_INTERVAL_MS = 250;
 
-  /** A look that comes so late says more of this process than of the server. */
+  /** A check that runs later than this says more of this process than of the server. */
   private static final long MAX_CHECK_DELAY_MS = 150;
 
-  /** A run that told nothing for so long is cut where its server is dark or gone. */
+  /** A run without bytes for so long ends if its server is unresponsive or removed. */
   private static final long UNRESPONSIVE_SERVER_TIMEOUT_MS = 3_000;
 
-  /** And after so long where its server says that places are free: it waits for none. */
+  /** The same if its server reports free slots: the item is not queued there. */
   private static final long IDLE_SERVER_TIMEOUT_MS = 4_000;
 
   private final Timers timers;
@@ -41,6 +41,7 @@
   private long lastReceivedAt;
   private Timer checkTimer;
 
+  /** Expects events after this id, or from any id if it is -1. */
   ItemRun(Timers timers, long lastEventId, RunListener listener) {
     this.timers = timers;
     this.lastEventId = lastEventId;
@@ -115,7 +116,7 @@
     }
   }
 
-  /** Each event follows the one before it; the first of all may bear any number. */
+  /** Event ids must be consecutive; the first of all may have any number. */
   private boolean onEvent(long id, ByteBuf raw) {
     byte[] data = ServerSentEventSplitter.data(raw);
     raw.release();
--- a/gateway/src/main/java/elmsail/gateway/requests/LocalReplies.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/LocalReplies.java
@@ -7,28 +7,36 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import java.util.random.RandomGenerator;
 
-/** Answers of our own. */
+/** Responses of the gateway itself, as opposed to those relayed from a server. */
 public final class LocalReplies {
   private static final double MIN_RETRY_AFTER_S = 0.05;
   private static final double RETRY_AFTER_JITTER_S = 0.15;
   private static final double STARTUP_RETRY_AFTER_S = 0.6;
 
+  /** The request has not run; the client may retry it. */
+  static final int SERVICE_UNAVAILABLE = 503;
+
   private LocalReplies() {}
 
-  /** When a client that was refused is to come back, in seconds. */
+  /** When a rejected client is to retry, in s, with jitter. */
   static double retryAfterSeconds(RandomGenerator random) {
     return MIN_RETRY_AFTER_S + RETRY_AFTER_JITTER_S * random.nextDouble();
   }
 
   /**
-   * Likewise from a gateway that hasn't heard yet what it needs: a client waits a third of its time
-   * at most.
+   * The same while the gateway has not yet received what it needs, in s: about a third of the time
+   * that a client waits at most.
    */
   static double startupRetryAfterSeconds(RandomGenerator random) {
     return STARTUP_RETRY_AFTER_S + 2 * RETRY_AFTER_JITTER_S * random.nextDouble();
   }
 
-  /** An empty answer. */
+  /**
+   * Sends an empty response.
+   *
+   * @param id of the request, or null
+   * @param retryAfterS in s, or 0 for none
+   */
   public static void send(ResponseSink client, int status, String id, double retryAfterS) {
     HttpHeaders headers = new DefaultHttpHeaders();
     if (id != null) {
@@ -38,7 +46,10 @@
     client.sendResponse(status, headers, Unpooled.EMPTY_BUFFER);
   }
 
-  /** One about a job; a body that begins like JSON is told as such. */
+  /**
+   * Sends the reply to a batch call; a body that starts like JSON is typed as such. Status 0 stands
+   * for an unknown outcome and aborts the response.
+   */
   static void sendBatchReply(ResponseSink client, BatchService.Reply reply) {
     if (reply.status() == 0) {
       client.abort();
--- a/gateway/src/main/java/elmsail/gateway/requests/RequestContext.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/RequestContext.java
@@ -2,14 +2,21 @@
 
 import elmsail.config.ClusterState;
 import elmsail.gateway.http.RequestCounters;
+import elmsail.gateway.servers.ServerPicker;
 import elmsail.gateway.servers.Servers;
 import elmsail.runtime.Timers;
 import java.util.random.RandomGenerator;
 
-/** What every request needs on its way. */
+/** What is shared by all requests of a gateway. */
 public record RequestContext(
     Timers timers,
     ClusterState clusterState,
     Servers servers,
     RequestCounters counters,
-    RandomGenerator random) {}
+    RandomGenerator random) {
+
+  /** Picks the servers of attempts. */
+  ServerPicker picker() {
+    return servers.picker();
+  }
+}
--- a/gateway/src/main/java/elmsail/gateway/requests/RequestDispatcher.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/RequestDispatcher.java
@@ -10,27 +10,27 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Where each whole request of a client goes: to the servers, to the jobs, or back with what is
- * wrong.
+ * Dispatches each complete request: to servers, to the batch service, or to a local reply if it is
+ * invalid. Owned by the gateway's event loop.
  */
 public final class RequestDispatcher {
   private static final String JOBS_PATH = "/lots/";
   private static final String ITEMS_PATH = "/items/";
   private static final long MAX_WAIT_MS = 5_000;
 
-  /** Where neither the client nor the route tells a time. */
+  /** Where neither the client nor the route sets a timeout. */
   private static final long MAX_REQUEST_MS = 600_000;
 
   private final RequestContext context;
   private final BatchService jobs;
 
-  /** Passes batch calls to {@code jobs} and forwards all others. */
+  /** Passes batch calls to the batch service and forwards all other requests. */
   public RequestDispatcher(RequestContext context, BatchService jobs) {
     this.context = context;
     this.jobs = jobs;
   }
 
-  /** Takes the request; it is answered once, now or later. */
+  /** Takes a request; exactly one response is sent, now or later. */
   public RequestHandle dispatch(ReceivedRequest request, ResponseSink client) {
     RoutingConfig config = context.clusterState().config();
     String host = request.headers().get("Host");
--- a/gateway/src/main/java/elmsail/gateway/requests/RequestForwarder.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/RequestForwarder.java
@@ -4,7 +4,6 @@
 import elmsail.gateway.http.RequestCounters;
 import elmsail.gateway.servers.Attempt;
 import elmsail.gateway.servers.AttemptListener;
-import elmsail.gateway.servers.SelectionMode;
 import elmsail.gateway.servers.Server;
 import elmsail.runtime.Timers.Timer;
 import io.netty.buffer.ByteBuf;
@@ -13,23 +12,18 @@
 import java.util.Set;
 
 /**
- * One client's request from its choice of a first server to its one final answer. What may have run
- * is never run again unless it may be repeated, and never answered with a promise that it has not
- * run.
+ * Forwards one client request: picks servers, makes one attempt after the other and ends with
+ * exactly one response, that of a server or a local reply. An attempt that may have run is repeated
+ * only on idempotent routes, and is never answered with a status that says it has not run. Whether
+ * to try again is decided by {@link RetryPolicy}. Owned by the gateway's event loop.
  */
 final class RequestForwarder implements RequestHandle, AttemptListener {
-  /** Tries that never left and do not count for the route's own bound. */
-  private static final int MAX_NOT_SENT_ATTEMPTS = 6;
-
-  /** With less time left nothing more is sent. */
-  private static final long MIN_REMAINING_MS = 5;
-
-  /** Of requests; behind it stand jobs' items. */
+  /** Least urgent priority of a client request on the wire; batch items rank behind it. */
   private static final int MAX_REQUEST_PRIORITY = 7;
 
   private static final long CHECK_INTERVAL_MS = 200;
 
-  /** A look that comes so late says more of this process than of any server. */
+  /** A check that runs later than this says more of this process than of the server. */
   private static final long MAX_CHECK_DELAY_MS = 150;
 
   private final RequestContext context;
@@ -37,19 +31,30 @@
   private final ClientRequest request;
   private final ResponseRelay relay;
   private final Set<Server> attemptedServers = new HashSet<>();
+
+  /** On the loop's clock, in ms. */
   private final long deadlineAt;
+
   private Timer deadlineTimer;
   private Timer checkTimer;
+
+  /** The attempt that runs, or null. */
   private Attempt attempt;
+
   private int sentAttempts;
   private int notSentAttempts;
   private boolean mayHaveRun;
 
-  /** The first server's error, while the request is retried, or null. */
+  /** The first server's error response while the request is retried, or null. */
   private RetainedErrorResponse firstError;
 
   private boolean finished;
 
+  /**
+   * Forwards nothing before {@link #start}.
+   *
+   * @param deadlineAt on the loop's clock, in ms
+   */
   RequestForwarder(
       RequestContext context,
       Route route,
@@ -60,23 +65,15 @@
     this.context = context;
     this.route = route;
     this.deadlineAt = deadlineAt;
-    request =
-        new ClientRequest(
-            id,
-            received.method(),
-            received.uri(),
-            received.headers(),
-            received.body(),
-            Math.min(MAX_REQUEST_PRIORITY, 1 + Math.max(0, route.priority())),
-            false,
-            context.timers(),
-            deadlineAt);
+    int priority = Math.min(MAX_REQUEST_PRIORITY, 1 + Math.max(0, route.priority()));
+    request = new ClientRequest(id, received, priority, context.timers(), deadlineAt);
     boolean stream = route.kind() == Route.Kind.STREAM;
     relay = new ResponseRelay(client, stream, stream && route.resumable());
   }
 
+  /** Starts the first attempt, or replies at once if none can be made. */
   void start() {
-    long remainingMs = deadlineAt - context.timers().now();
+    long remainingMs = remainingMs();
     if (remainingMs <= 0) {
       reject(RequestCounters.Event.REJECTED_NOT_RUN);
       return;
@@ -84,71 +81,56 @@
     deadlineTimer = context.timers().schedule(remainingMs, this::onDeadline);
     startAttempt();
     if (!finished && route.isIdempotent()) {
-      checkTimer(context.timers().now());
+      scheduleServerCheck(context.timers().now());
     }
   }
 
-  /** Looks now and then whether the server has gone dark, so that the rest may be had elsewhere. */
-  private void checkTimer(long lastCheckAt) {
-    checkTimer =
-        context
-            .timers()
-            .schedule(
-                CHECK_INTERVAL_MS,
-                () -> {
-                  long now = context.timers().now();
-                  boolean late = now - lastCheckAt > CHECK_INTERVAL_MS + MAX_CHECK_DELAY_MS;
-                  if (!late
-                      && attempt != null
-                      && attempt.isSent()
-                      && attempt.server().isUnresponsive(now)
-                      && hasRetryTarget()) {
-                    context.counters().count(RequestCounters.Event.SERVER_UNRESPONSIVE);
-                    attempt.timedOut(now);
-                    onFailure(true);
-                  }
-                  if (!finished) {
-                    checkTimer(now);
-                  }
-                });
+  private long remainingMs() {
+    return deadlineAt - context.timers().now();
   }
 
-  /** Whether one more server is allowed and there. */
-  private boolean hasRetryTarget() {
-    Server other =
-        retryAllowed() ? context.servers().pick(route, request.prompt(), attemptedServers) : null;
-    return other != null && !context.servers().isUnhealthy(other);
+  private void scheduleServerCheck(long lastCheckAt) {
+    checkTimer = context.timers().schedule(CHECK_INTERVAL_MS, () -> checkServer(lastCheckAt));
   }
 
-  private boolean retryAllowed() {
-    return sentAttempts + 1 < route.maxAttempts();
+  /** Leaves a server that has become unresponsive if the request can be retried elsewhere. */
+  private void checkServer(long lastCheckAt) {
+    long now = context.timers().now();
+    boolean late = now - lastCheckAt > CHECK_INTERVAL_MS + MAX_CHECK_DELAY_MS;
+    if (!late
+        && attempt != null
+        && attempt.isSent()
+        && attempt.server().isUnresponsive(now)
+        && hasRetryTarget()) {
+      context.counters().count(RequestCounters.Event.SERVER_UNRESPONSIVE);
+      attempt.timedOut(now);
+      onFailure(true);
+    }
+    if (!finished) {
+      scheduleServerCheck(now);
+    }
   }
 
-  /** An error of the server that gets the request next is made up for if it may be retried. */
-  private SelectionMode selectionMode() {
-    if (firstError != null) {
-      return SelectionMode.AFTER_ERROR;
-    }
-    boolean retried = route.isIdempotent() && retryAllowed() && relay.lastEventId() < 0;
-    return retried ? SelectionMode.PROBE_PREFERRED : SelectionMode.NOT_RETRYABLE;
+  /**
+   * Whether the route allows one more attempt and a healthy server is there for it. Picks that
+   * server and thereby takes a turn of the route's round robin.
+   */
+  private boolean hasRetryTarget() {
+    Server other =
+        RetryPolicy.allowsOneMore(route, sentAttempts)
+            ? context.picker().pick(route, request.prompt(), attemptedServers)
+            : null;
+    return other != null && !context.picker().isUnhealthy(other);
   }
 
   private void startAttempt() {
-    boolean exhausted =
-        sentAttempts >= Math.max(1, route.maxAttempts())
-            || notSentAttempts >= MAX_NOT_SENT_ATTEMPTS
-            || mayHaveRun && !route.isIdempotent()
-            || deadlineAt - context.timers().now() < MIN_REMAINING_MS;
-    Server server =
-        exhausted
-            ? null
-            : context.servers().pick(route, request.prompt(), attemptedServers, selectionMode());
+    Server server = pickServer();
     if (server == null) {
       giveUp();
       return;
     }
     if (attemptedServers.isEmpty()
-        && context.servers().rejects(server, request.prompt(), route.latencyTargetMs())) {
+        && context.picker().rejects(server, request.prompt(), route.latencyTargetMs())) {
       reject(RequestCounters.Event.REJECTED_OVERLOADED);
       return;
     }
@@ -162,14 +144,29 @@
     attempt.setReadPaused(!relay.clientAcceptsData());
   }
 
+  /** The next attempt's server, or null if no attempt may start or no server can be had. */
+  private Server pickServer() {
+    if (RetryPolicy.isExhausted(route, sentAttempts, notSentAttempts, mayHaveRun, remainingMs())) {
+      return null;
+    }
+    boolean resumes = relay.lastEventId() >= 0;
+    return context
+        .picker()
+        .pick(
+            route,
+            request.prompt(),
+            attemptedServers,
+            RetryPolicy.selectionMode(route, sentAttempts, firstError != null, resumes));
+  }
+
   private void giveUp() {
     if (relay.hasStarted()) {
       abort();
     } else if (firstError != null) {
       relayFirstError();
     } else if (mayHaveRun) {
-      sendLocalReply(
-          AttemptOutcome.localReplyStatus(true, false), RequestCounters.Event.BAD_GATEWAY);
+      int status = AttemptOutcome.localReplyStatus(true, false);
+      sendLocalReply(status, RequestCounters.Event.BAD_GATEWAY);
     } else {
       reject(
           sentAttempts > 0
@@ -195,13 +192,13 @@
       int status = AttemptOutcome.localReplyStatus(mayHaveRun || sent, true);
       sendLocalReply(
           status,
-          status == 503
+          status == LocalReplies.SERVICE_UNAVAILABLE
               ? RequestCounters.Event.REJECTED_NOT_RUN
               : RequestCounters.Event.BAD_GATEWAY);
     }
   }
 
-  /** The retry came to nothing: the first server's answer stands. */
+  /** The retry failed: the first server's error response is the request's response. */
   private void relayFirstError() {
     RetainedErrorResponse error = firstError;
     firstError = null;
@@ -211,7 +208,7 @@
   }
 
   private void reject(RequestCounters.Event reason) {
-    sendLocalReply(503, reason);
+    sendLocalReply(LocalReplies.SERVICE_UNAVAILABLE, reason);
   }
 
   private void sendLocalReply(int status, RequestCounters.Event reason) {
@@ -221,7 +218,8 @@
         context.servers().hasAny()
             ? LocalReplies.retryAfterSeconds(context.random())
             : LocalReplies.startupRetryAfterSeconds(context.random());
-    LocalReplies.send(relay.client(), status, request.id(), status == 503 ? retryAfterSeconds : 0);
+    boolean unavailable = status == LocalReplies.SERVICE_UNAVAILABLE;
+    LocalReplies.send(relay.client(), status, request.id(), unavailable ? retryAfterSeconds : 0);
   }
 
   private void abort() {
@@ -278,7 +276,7 @@
     }
   }
 
-  /** What came is not to be passed on: the try is as good as broken. */
+  /** The response must not be relayed: the attempt counts as failed after it was sent. */
   private void onUnusableResponse() {
     if (attempt != null) {
       attempt.cancel();
@@ -305,10 +303,9 @@
     }
   }
 
-  /** Retries the request elsewhere if the answer is a server's error and that may mend it. */
+  /** Retries the request if the response is a server error that another server may not return. */
   private boolean retryAfterError() {
-    boolean timeLeft = deadlineAt - context.timers().now() >= MIN_REMAINING_MS;
-    boolean mayRetry = firstError == null && route.isIdempotent() && timeLeft;
+    boolean mayRetry = firstError == null && RetryPolicy.allowsErrorRetry(route, remainingMs());
     if (!mayRetry || !relay.hasRetryableError() || !hasRetryTarget()) {
       return false;
     }
--- a/gateway/src/main/java/elmsail/gateway/requests/RequestHandle.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/RequestHandle.java
@@ -1,14 +1,14 @@
 package elmsail.gateway.requests;
 
-/** A request under way, as its client's connection sees it. */
+/** An open request as seen by its client's connection. */
 public interface RequestHandle {
-  /** The client has left: what it asked for is cancelled. */
+  /** The client has disconnected: the request is cancelled. */
   void onClientDisconnect();
 
-  /** The client reads on, or does not for now. */
+  /** The client reads again, or does not for now. */
   void onWritabilityChanged(boolean writable);
 
-  /** One that needs neither. */
+  /** A request that is not affected by either. */
   RequestHandle NONE =
       new RequestHandle() {
         @Override
--- a/gateway/src/main/java/elmsail/gateway/requests/ResponseRelay.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/ResponseRelay.java
@@ -9,13 +9,13 @@
 import io.netty.handler.codec.http.HttpUtil;
 
 /**
- * The answers of a request's attempts on their way to the client: short ones are held until they
- * are whole, so that a cut one can be tried again; streams go on as they come, from their first
- * bytes on. Where one may be resumed only whole events go on, and the answer stays one: head and
- * stamp are those of the first server.
+ * Relays the responses of a request's attempts to the client as one response. Short responses are
+ * buffered until they are complete, so that a truncated one can be retried; streams are relayed as
+ * they arrive. Of a resumable stream only complete events are relayed, and the response keeps the
+ * head and postmark of the first server. Owned by the gateway's event loop.
  */
 final class ResponseRelay {
-  /** Up to so many bytes an answer that is no stream is held. */
+  /** A response that is no stream is buffered up to this size. */
   static final int MAX_BUFFERED_BYTES = 64 * 1024;
 
   private enum Mode {
@@ -39,9 +39,10 @@
   private boolean isOutOfOrder;
 
   /**
-   * For one request.
+   * Relays to one client.
    *
-   * @param stream whether successes go on as they come, whatever their type
+   * @param stream whether successes are relayed as they arrive, whatever their type
+   * @param resumable whether another attempt may continue the stream
    */
   ResponseRelay(ResponseSink client, boolean stream, boolean resumable) {
     this.client = client;
@@ -53,32 +54,36 @@
     return client;
   }
 
-  /** Whether the client has the head of an answer. */
+  /** Whether the client has the head of a response. */
   boolean hasStarted() {
     return hasStarted;
   }
 
-  /** The last event that the client has, or -1. */
+  /** The last event that was relayed, or -1. */
   long lastEventId() {
     return lastEventId;
   }
 
-  /** Whether a run that was to go on behind an event did not: nothing can mend the answer. */
+  /**
+   * Whether an attempt that should have resumed the stream did not continue where it ended; the
+   * response cannot be completed.
+   */
   boolean isOutOfOrder() {
     return isOutOfOrder;
   }
 
-  /** Whether the client takes more for now. */
+  /** Whether the client accepts more data for now. */
   boolean clientAcceptsData() {
     return !hasStarted || client.isWritable();
   }
 
+  /** Drops what is buffered of the last attempt's response and expects another one. */
   void prepareNextAttempt() {
     discard();
     resuming = lastEventId >= 0;
   }
 
-  /** Frees what is held of an answer. */
+  /** Releases what is buffered. */
   void discard() {
     if (buffered != null) {
       buffered.release();
@@ -90,7 +95,7 @@
     onHead = null;
   }
 
-  /** False where the answer is none that may be passed on. */
+  /** Takes the head of a response; false if it must not be relayed. */
   boolean onHead(HttpResponse responseHead) {
     onHead = responseHead;
     int status = responseHead.status().code();
@@ -112,7 +117,7 @@
     return !hasStarted || !success || mode == Mode.EVENTS;
   }
 
-  /** False where the answer must not go on. */
+  /** Takes bytes of the body; false if they must not be relayed. */
   boolean onData(ByteBuf bytes) {
     switch (mode) {
       case RAW -> {
@@ -141,7 +146,7 @@
         client.sendData(all);
         mode = Mode.RAW;
       } else {
-        buffered.release(); // of no use to anybody
+        buffered.release(); // not relayed in any case
         buffered = null;
       }
     }
@@ -170,7 +175,10 @@
     }
   }
 
-  /** Whether the answer is an error that another server may mend, and the client has none of it. */
+  /**
+   * Whether the response is an error that another server may not return, and nothing of it was
+   * relayed.
+   */
   boolean hasRetryableError() {
     return !hasStarted
         && mode == Mode.BUFFER
@@ -178,7 +186,7 @@
         && RetainedErrorResponse.isRetryable(onHead.status().code());
   }
 
-  /** Takes the whole answer of the present try out of the relay; see {@link #hasRetryableError}. */
+  /** Takes the complete response out of the relay; see {@link #hasRetryableError}. */
   RetainedErrorResponse takeError() {
     RetainedErrorResponse error =
         new RetainedErrorResponse(onHead, buffered == null ? Unpooled.EMPTY_BUFFER : buffered);
@@ -186,7 +194,7 @@
     return error;
   }
 
-  /** The answer of the present attempt is whole: what it means, passed on if it is to be. */
+  /** The attempt's response is complete: returns its outcome, after relaying it if it is to be. */
   AttemptOutcome onComplete() {
     if (mode == Mode.EVENTS && events.hasPartialEvent()) {
       return AttemptOutcome.UNKNOWN;
@@ -199,7 +207,7 @@
       return outcome;
     }
     if (hasStarted) {
-      return AttemptOutcome.UNKNOWN; // an answer of another kind in the midst of a stream
+      return AttemptOutcome.UNKNOWN; // a response of another kind in the middle of a stream
     }
     ByteBuf body = buffered == null ? Unpooled.EMPTY_BUFFER : buffered;
     buffered = null;
--- a/gateway/src/main/java/elmsail/gateway/requests/ResponseSink.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/ResponseSink.java
@@ -4,32 +4,32 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /**
- * The client's side of one request. Just one final answer; calls behind a client's leave do
- * nothing.
+ * The client's side of one request. Exactly one response is sent; calls after the client
+ * disconnected do nothing. To be called on the event loop.
  */
 public interface ResponseSink {
 
-  /** An answer that is whole. */
+  /** Sends a complete response and releases the body. */
   void sendResponse(int status, HttpHeaders headers, ByteBuf body);
 
   /**
-   * The head of an answer whose body comes as it is made.
+   * Sends the head of a response whose body follows.
    *
    * @param length of the body in bytes, or -1 for chunks
    */
   void sendHead(int status, HttpHeaders headers, long length);
 
-  /** Bytes of its body; released here. Goes out when the loop has nothing more to read for it. */
+  /** Sends bytes of the body and releases them; flushed when the loop has nothing more to read. */
   void sendData(ByteBuf bytes);
 
-  /** Its proper end. */
+  /** Ends the response. */
   void sendEnd();
 
-  /** Ends the connection so that no answer, or the begun one, can look complete. */
+  /** Closes the connection so that neither no response nor a truncated one can look complete. */
   void abort();
 
   /**
-   * Whether more can be written without being queued for long; told again by {@link
+   * Whether more can be written without long buffering; changes are passed to {@link
    * RequestHandle#onWritabilityChanged}.
    */
   boolean isWritable();
--- a/gateway/src/main/java/elmsail/gateway/requests/RetainedErrorResponse.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/RetainedErrorResponse.java
@@ -4,20 +4,23 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.HttpResponse;
 
-/** A server's whole error answer, kept while its request is retried elsewhere. */
+/**
+ * A server's complete error response, retained while its request is retried at another server. Its
+ * owner either sends or releases it.
+ */
 record RetainedErrorResponse(HttpResponse head, ByteBuf body) {
 
-  /** Whether an answer of that status may be better at another server. */
+  /** Whether another server may respond better than with this status. */
   static boolean isRetryable(int status) {
     return status == 500 || status == 502 || status == 504;
   }
 
-  /** Answers the client with it; the body is released by the client's side. */
+  /** Sends it to the client, which releases the body. */
   void sendTo(ResponseSink client) {
     client.sendResponse(head.status().code(), Headers.endToEnd(head.headers()), body);
   }
 
-  /** Drops it. */
+  /** Releases the body. */
   void release() {
     body.release();
   }
--- a/gateway/src/main/java/elmsail/gateway/requests/ServerSentEventSplitter.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/ServerSentEventSplitter.java
@@ -4,20 +4,21 @@
 import io.netty.buffer.Unpooled;
 
 /**
- * Cuts a series of events ({@code text/event-stream}) into its events, bytes unchanged. An event
- * ends with an empty line; lines end with LF, CR LF, or CR that is not the last byte so far.
+ * Splits a stream of server-sent events ({@code text/event-stream}, WHATWG HTML) into events
+ * without changing any byte. An event ends with an empty line; lines end with LF, CR LF, or a CR
+ * that is not the last byte received so far. Owned by one event loop.
  */
 final class ServerSentEventSplitter {
-  /** An event longer than this is none. */
+  /** A longer event is malformed. */
   static final int MAX_EVENT_BYTES = 1 << 20;
 
-  /** Gets each whole event; returns false to be told no more. */
+  /** Receives the complete events; returns false to receive no more. */
   interface Sink {
     /**
      * One event.
      *
-     * @param id of its {@code id} line, or -1 without one that is a number
-     * @param raw all its bytes, the empty line included; the sink's to release
+     * @param id the number in its {@code id} line, or -1 if there is none
+     * @param raw all bytes of the event with its empty line; released by the sink
      */
     boolean onEvent(long id, ByteBuf raw);
   }
@@ -29,7 +30,11 @@
     this.sink = sink;
   }
 
-  /** Takes and releases the bytes; false where an event is too long or the sink wants no more. */
+  /**
+   * Takes and releases the bytes.
+   *
+   * @return false if an event is too long or the sink wants no more
+   */
   boolean feed(ByteBuf bytes) {
     ByteBuf all;
     if (remainder.isReadable()) {
@@ -60,17 +65,18 @@
     }
   }
 
-  /** Whether bytes of an event that is not whole have come. */
+  /** Whether bytes of an incomplete event have come. */
   boolean hasPartialEvent() {
     return remainder.isReadable();
   }
 
+  /** Releases the bytes of an incomplete event. */
   void discard() {
     remainder.release();
     remainder = Unpooled.EMPTY_BUFFER;
   }
 
-  /** The index behind the first event, or -1. */
+  /** The index after the first event, or -1 if it is incomplete. */
   private static int findEventEnd(ByteBuf in) {
     boolean lineStarted = false;
     int to = in.writerIndex();
@@ -136,7 +142,7 @@
     return at;
   }
 
-  /** The {@code data} lines of an event, joined by line feeds; null where it has none. */
+  /** The {@code data} lines of an event joined by line feeds, or null if there are none. */
   static byte[] data(ByteBuf raw) {
     byte[] joined = new byte[raw.readableBytes()];
     int length = 0;
@@ -158,7 +164,7 @@
     return any ? java.util.Arrays.copyOf(joined, length) : null;
   }
 
-  /** Where the value of a {@code data} line begins, or -1 for other lines. */
+  /** The index of the value of a {@code data} line, or -1 for other lines. */
   private static int dataValueStart(ByteBuf raw, int at, int end) {
     String name = "data";
     if (end - at < name.length()) {
--- a/gateway/src/main/java/elmsail/gateway/servers/AdmissionPolicy.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/AdmissionPolicy.java
@@ -1,34 +1,35 @@
 package elmsail.gateway.servers;
 
 /**
- * Whether a request is sent to the best server there is, or refused at once, so that its client
- * comes back when there may be room, and those let in are served in time. Pure.
+ * Admission control: whether a request is sent to the best server there is, or rejected at once so
+ * that its client retries when there is capacity and admitted requests meet their latency target.
+ * Pure functions, safe on any thread.
  */
 public final class AdmissionPolicy {
   /**
-   * Of the objective, until the first token. A short queue keeps a server as busy as a long one,
-   * and leaves time for what the estimate does not see.
+   * Of the latency target, until the first token. A short queue keeps a server as busy as a long
+   * one and leaves time for what the estimate does not cover.
    */
   private static final double MAX_WAIT_RATIO_SHARED_LOAD = 0.5;
 
-  /** Likewise where the wait is known from the load that servers told some time ago. */
+  /** The same where the wait follows from a load that the server reported some time ago. */
   private static final double MAX_WAIT_RATIO_REPORTED_LOAD = 2;
 
   private AdmissionPolicy() {}
 
   /**
-   * What is known of the server that would get the request.
+   * Estimate for the server that would get the request.
    *
-   * @param waitMs estimated, until it is read there; its own prompt does not count, or long ones
-   *     would be refused even by idle servers
-   * @param fromSharedLoad whether the estimate rests on what all gateways have open now
+   * @param waitMs until the prompt is read there; the request's own prompt does not count, since
+   *     long ones would be rejected even by idle servers
+   * @param fromSharedLoad whether the estimate rests on the present load of all gateways
    */
   public record Estimate(double waitMs, boolean fromSharedLoad) {}
 
   /**
-   * Whether to refuse.
+   * Whether to reject the request.
    *
-   * @param latencyTargetMs the route's objective, 0: none, and nothing is refused
+   * @param latencyTargetMs of the route, or 0 for none: nothing is rejected then
    */
   public static boolean rejects(Estimate estimate, long latencyTargetMs) {
     if (latencyTargetMs <= 0) {
--- a/gateway/src/main/java/elmsail/gateway/servers/Attempt.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/Attempt.java
@@ -6,7 +6,8 @@
 import io.netty.handler.codec.http.HttpResponse;
 
 /**
- * One request at one server, from the wait for a connection to its answer's end. All on the loop.
+ * One attempt of a request at one server, from the wait for a connection to the end of the
+ * response. Owned by the gateway's event loop.
  */
 public final class Attempt {
   private final Server server;
@@ -26,7 +27,7 @@
     this.startedAt = since;
   }
 
-  /** The server that it was sent to. */
+  /** The server it was sent to. */
   public Server server() {
     return server;
   }
@@ -35,49 +36,59 @@
     return request;
   }
 
-  /** When it began, on the loop's clock. */
+  /** When it started, in ms on the loop's clock. */
   long startedAt() {
     return startedAt;
   }
 
-  /** Whether a byte of it may have left. */
+  /** Whether any byte of it may have been sent. */
   public boolean isSent() {
     return isSent;
   }
 
-  /** Whether anything more is to be heard of it. */
+  /** Whether it has ended; its listener is not called any more. */
   boolean isFinished() {
     return isFinished;
   }
 
+  /** Whether the head of its response has come. */
   boolean hasResponse() {
     return hasResponse;
   }
 
+  /** Whether the response is not read for now. */
   boolean isPaused() {
     return isPaused;
   }
 
+  /** Sets the channel that is closed when the attempt is cancelled. */
   void bindTo(Channel boundChannel) {
     channel = boundChannel;
   }
 
+  /** From here on bytes of it may have been sent. */
   void markSent() {
     isSent = true;
   }
 
-  /** It got no answer in its time: closes the connection, and the server is avoided for a while. */
+  /**
+   * Cancels the attempt because it had no response in time. The server is avoided for a while if it
+   * had enough time and is suspect already.
+   */
   public void timedOut(long now) {
     if (!isFinished
         && !hasResponse
-        && now - startedAt >= Server.SUSPECT_AFTER_MS
-        && server.isSuspect(now)) {
+        && now - startedAt >= ServerHealth.SUSPECT_AFTER_MS
+        && server.health().isSuspect(now)) {
       server.recordFailure(now);
     }
     cancel();
   }
 
-  /** Closes the connection, so the server drops the request; nothing more is heard. */
+  /**
+   * Ends the attempt and closes its connection, so that the server drops the request. The listener
+   * is not called any more.
+   */
   public void cancel() {
     if (!isFinished) {
       finish();
@@ -87,7 +98,7 @@
     }
   }
 
-  /** Reads no more of the answer for now, or goes on reading. */
+  /** Stops reading the response, or reads on: back pressure of a slow client. */
   public void setReadPaused(boolean paused) {
     isPaused = paused;
     if (channel != null && !isFinished) {
@@ -96,16 +107,17 @@
   }
 
   /**
-   * Tells the server's circuit breaker what the answer says of it: whether it is ejected by this.
+   * Records for outlier detection what the response says of the server; true if the server is
+   * ejected by it.
    */
   boolean recordResult(HttpResponse head, long now) {
     boolean notRun = head.headers().contains(Headers.NOT_RUN);
     return switch (ResponseClass.of(head.status().code(), notRun, request.deadlineAt() - now)) {
       case SUCCESS -> {
-        server.recordSuccess(now);
+        server.health().recordSuccess(now);
         yield false;
       }
-      case SERVER_ERROR -> server.recordError(now);
+      case SERVER_ERROR -> server.health().recordError(now);
       case NEUTRAL -> false;
     };
   }
--- a/gateway/src/main/java/elmsail/gateway/servers/AttemptListener.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/AttemptListener.java
@@ -4,23 +4,23 @@
 import io.netty.handler.codec.http.HttpResponse;
 
 /**
- * What happens to one attempt, in order; behind {@code whole}, {@code failed} or a cancel nothing
- * comes.
+ * Receives the events of one attempt, in order and on the event loop. Nothing follows {@code
+ * onComplete}, {@code onFailure} or a cancellation.
  */
 public interface AttemptListener {
-  /** The head of an answer that bears the request's id and tells its end. */
+  /** The head of a response that carries the request's id. */
   void onHead(HttpResponse head);
 
-  /** Bytes of its body, to be released by the one who gets it. */
+  /** Bytes of the response's body, which the listener releases. */
   void onData(ByteBuf bytes);
 
-  /** The answer has come to its proper end. */
+  /** The response is complete. */
   void onComplete();
 
   /**
-   * There will be no whole answer.
+   * There will be no complete response.
    *
-   * @param sent whether a byte of it may have left, so that it may have run
+   * @param sent whether any byte of the request may have been sent, so that it may have run
    */
   void onFailure(boolean sent);
 }
--- a/gateway/src/main/java/elmsail/gateway/servers/ConnectionPool.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ConnectionPool.java
@@ -16,17 +16,20 @@
 import java.util.Iterator;
 
 /**
- * Gives each attempt a connection to its server: an idle one that has rested, or a new one. All on
- * the loop.
+ * Connections to servers: gives each attempt an idle connection, or a new one. Owned by the
+ * gateway's event loop, which also runs all connections.
  */
 final class ConnectionPool {
-  /** No connect may take longer before another server is tried. */
+  /** A connect that takes longer fails, and another server is tried. */
   private static final int CONNECT_TIMEOUT_MS = 150;
 
-  /** Nor to one that has failed lately. */
+  /** The same at a server that has failed lately. */
   private static final int SUSPECT_CONNECT_TIMEOUT_MS = 80;
 
-  /** A connection rests so long behind an answer, as an extra one may come late. */
+  /**
+   * An idle connection is used again only after this time, since a server at fault may send an
+   * extra response late.
+   */
   private static final long REUSE_DELAY_MS = 20;
 
   private static final int MIN_CONNECTIONS = 4;
@@ -50,7 +53,7 @@
             .group(loop)
             .channel(IdleCheckSocketChannel.class)
             .option(ChannelOption.TCP_NODELAY, true)
-            // So that an end in order is told apart from a reset and from a close by this side.
+            // Tells an orderly end from a reset and from a close by this side.
             .option(ChannelOption.ALLOW_HALF_CLOSURE, true)
             .option(
                 ChannelOption.WRITE_BUFFER_WATER_MARK,
@@ -65,7 +68,7 @@
     return counters;
   }
 
-  /** Answered connections are not kept from here on. */
+  /** Keeps no idle connections from here on. */
   void stop() {
     isStopped = true;
   }
@@ -74,14 +77,14 @@
     return isStopped;
   }
 
-  /** Whether answered connections are kept. */
+  /** Whether a connection to this server is kept after a response. */
   boolean keepsConnections(Server server) {
     return !isStopped && !server.isRemoved();
   }
 
   /**
-   * How many connections to a server this gateway may have, so that all gateways together keep
-   * within its cap.
+   * How many connections this gateway may have to a server, so that all gateways together stay
+   * within the service's limit.
    */
   int maxConnections(Server server) {
     RoutingConfig config = clusterState.config();
@@ -93,10 +96,15 @@
     return Math.max(MIN_CONNECTIONS, cap / Math.max(1, clusterState.view().gateways.size()));
   }
 
-  /** Sends the attempt's request over some connection; what is heard of it comes later. */
+  /** Whether the server has a connection for one more request, or may get one. */
+  boolean hasCapacity(Server server) {
+    return !server.idleConnections.isEmpty() || server.connectionCount < maxConnections(server);
+  }
+
+  /** Sends the attempt's request over an idle or a new connection. Its listener is called later. */
   void send(Server server, Attempt attempt) {
     boolean connectFirst =
-        server.isConnectionDoubtful(timers.now())
+        server.health().isConnectionDoubtful(timers.now())
             && server.connectionCount < maxConnections(server);
     ServerConnection reusable = connectFirst ? null : pollReusable(server, attempt.request().id());
     if (reusable != null) {
@@ -106,7 +114,10 @@
     }
   }
 
-  /** An idle connection that may carry a request of that id, or null. */
+  /**
+   * Takes an idle connection that may carry a request of that id, or null. Expired ones met on the
+   * way are closed.
+   */
   private ServerConnection pollReusable(Server server, String requestId) {
     long now = timers.now();
     boolean atLimit = server.connectionCount >= maxConnections(server);
@@ -129,7 +140,9 @@
     ServerConnection connection = new ServerConnection(this, server);
     server.connectionCount++;
     int connectTimeoutMs =
-        server.isConnectionDoubtful(timers.now()) ? SUSPECT_CONNECT_TIMEOUT_MS : CONNECT_TIMEOUT_MS;
+        server.health().isConnectionDoubtful(timers.now())
+            ? SUSPECT_CONNECT_TIMEOUT_MS
+            : CONNECT_TIMEOUT_MS;
     Bootstrap timedBootstrap =
         bootstrap.clone().option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMs);
     ChannelFuture connect =
@@ -145,13 +158,8 @@
     attempt.bindTo(connect.channel());
     connect.channel().closeFuture().addListener(f -> server.connectionCount--);
     if (connect.isDone()) {
-      timers.execute(
-          () ->
-              onConnectDone(
-                  connect,
-                  server,
-                  connection,
-                  attempt)); // not within the call that begins the attempt
+      // Not within the call that starts the attempt.
+      timers.execute(() -> onConnectDone(connect, server, connection, attempt));
     } else {
       connect.addListener(
           (ChannelFuture connecting) -> onConnectDone(connecting, server, connection, attempt));
@@ -163,7 +171,7 @@
     if (!connecting.isSuccess()) {
       connecting.channel().close();
       counters.count(RequestCounters.Event.CONNECT_FAILED);
-      if (!attempt.isFinished()) { // a cancelled one says nothing of the server
+      if (!attempt.isFinished()) { // a cancelled attempt says nothing about the server
         server.recordFailure(timers.now());
         attempt.onFailure();
       }
--- a/gateway/src/main/java/elmsail/gateway/servers/DelegatingPeerLoads.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/DelegatingPeerLoads.java
@@ -3,18 +3,22 @@
 import elmsail.gateway.load.PeerLoads;
 import elmsail.gateway.load.ServerLoad;
 
-/** The other gateways' loads, by whoever tells them at the time; nobody at first. */
+/** Loads of other gateways from a source that is set after construction; none before. */
 final class DelegatingPeerLoads implements PeerLoads {
   private PeerLoads delegate = PeerLoads.NONE;
   private Runnable onLoadChanged = () -> {};
 
-  /** From now on these; {@code loadChanged} is called when what is open here has changed. */
+  /**
+   * Uses this source from here on.
+   *
+   * @param newOnLoadChanged runs when this gateway's own load has changed
+   */
   void delegateTo(PeerLoads newDelegate, Runnable newOnLoadChanged) {
     delegate = newDelegate;
     onLoadChanged = newOnLoadChanged;
   }
 
-  /** What is open here has changed. */
+  /** Says that this gateway's own load has changed. */
   void notifyLoadChanged() {
     onLoadChanged.run();
   }
--- a/gateway/src/main/java/elmsail/gateway/servers/ErrorBackoff.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ErrorBackoff.java
@@ -1,18 +1,19 @@
 package elmsail.gateway.servers;
 
 /**
- * The circuit breaker of one server for errors that it answers itself. An error ejects the server
- * for a time that doubles with each further error; when the time is over the server is half-open
- * and gets one probe at a time, until a success closes the breaker.
+ * Outlier ejection of one server for its error responses. An error ejects the server for a time
+ * that doubles with each further one. After that time the server is half-open and gets one probe at
+ * a time, until a success ends the ejection. Pure; times in ms on the event loop's clock. The
+ * scheme is that of a circuit breaker with exponential backoff.
  */
 final class ErrorBackoff {
   static final long INITIAL_EJECTION_MS = 1_000;
   static final long MAX_EJECTION_MS = 8_000;
 
-  /** Where nothing that may be repeated comes, any request may probe so much later. */
+  /** Where no retryable request comes, any request may be the probe after so much more time. */
   static final long NON_RETRYABLE_PROBE_DELAY_MS = 2_000;
 
-  /** A success so long ago says little of a server now. */
+  /** An older success says little of the server's present state. */
   static final long RECENT_SUCCESS_MS = 1_000;
 
   private static final int MAX_DOUBLINGS = 3;
@@ -24,12 +25,12 @@
   private boolean probing;
   private long lastSuccessAt = Long.MIN_VALUE / 2;
 
-  /** Whether the server is avoided or half-open. */
+  /** Whether the server is ejected or half-open. */
   boolean isEjected() {
     return isEjected;
   }
 
-  /** Errors since the last success; those that came while it was avoided count as one. */
+  /** Errors since the last success; those that come while it is ejected count as one. */
   int consecutiveErrors() {
     return consecutiveErrors;
   }
@@ -40,9 +41,9 @@
   }
 
   /**
-   * The server answered with an error.
+   * Records an error response.
    *
-   * @return whether this ejects it; errors of requests that were under way then change nothing
+   * @return whether it ejects the server; errors during an ejection change nothing
    */
   boolean recordError(long now) {
     if (isEjected && now < probeAt) {
@@ -58,19 +59,19 @@
     return true;
   }
 
-  /** The server answered with a success: closes the breaker. */
+  /** Records a successful response, which ends the ejection and resets the backoff. */
   void recordSuccess(long now) {
     lastSuccessAt = now;
     consecutiveErrors = 0;
     isEjected = false;
   }
 
-  /** Whether it served a request just now and has not erred since. */
+  /** Whether the last response was a success and is recent. */
   boolean servedRecently(long now) {
     return consecutiveErrors == 0 && now - lastSuccessAt <= RECENT_SUCCESS_MS;
   }
 
-  /** Ends the ejection for the sake of the other servers; the next error doubles as before. */
+  /** Ends the ejection because too many servers are ejected; the backoff is kept. */
   void uneject() {
     isEjected = false;
   }
@@ -78,7 +79,7 @@
   /**
    * Whether a request may be sent to it as a probe.
    *
-   * @param retryable whether an error of this request would be retried elsewhere
+   * @param retryable whether an error of this request would be retried at another server
    */
   boolean mayProbe(boolean retryable, long now) {
     return isEjected
@@ -86,12 +87,12 @@
         && now >= (retryable ? probeAt : probeAt + NON_RETRYABLE_PROBE_DELAY_MS);
   }
 
-  /** Whether the server is to be passed over for such a request; see {@link #mayProbe}. */
+  /** Whether such a request avoids the server; see {@link #mayProbe}. */
   boolean isAvoided(boolean retryable, long now) {
     return isEjected && !mayProbe(retryable, now);
   }
 
-  /** A request is sent to it: whether this is the probe of a half-open server. */
+  /** Called for each request that is sent: true if it is the probe of the half-open server. */
   boolean tryStartProbe(long now) {
     if (!mayProbe(true, now)) {
       return false;
@@ -100,7 +101,7 @@
     return true;
   }
 
-  /** The probe has its answer or will have none. */
+  /** The probe has its response, or ended without one. */
   void endProbe() {
     probing = false;
   }
--- a/gateway/src/main/java/elmsail/gateway/servers/FailureBackoff.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/FailureBackoff.java
@@ -1,28 +1,30 @@
 package elmsail.gateway.servers;
 
 /**
- * For how long a server is avoided after connections to it failed or broke: longer with each
- * further failure, until it answers again. Pure; times in ms of the steady clock.
+ * Exponential backoff of one server after failed or broken connections, until it responds again.
+ * Pure; times in ms on the event loop's clock.
  */
 final class FailureBackoff {
   private static final long INITIAL_BACKOFF_MS = 250;
   private static final long MAX_BACKOFF_MS = 3_000;
 
-  /** Answers that break off one after the other count as a failure: single ones happen. */
+  /**
+   * So many broken responses in a row count as a failure: single ones occur in normal operation.
+   */
   private static final int BROKEN_RESPONSES_PER_FAILURE = 2;
 
   private long avoidedUntil = Long.MIN_VALUE;
   private long backoffMs;
   private int consecutiveBrokenResponses;
 
-  /** It answered. */
+  /** The server responded: ends the backoff. */
   void recordResponse() {
     consecutiveBrokenResponses = 0;
     backoffMs = 0;
     avoidedUntil = Long.MIN_VALUE;
   }
 
-  /** It failed; failures while it is avoided change nothing. */
+  /** Starts or extends the backoff; failures during a backoff change nothing. */
   void recordFailure(long now) {
     if (now >= avoidedUntil) {
       backoffMs = Math.min(MAX_BACKOFF_MS, Math.max(INITIAL_BACKOFF_MS, 2 * backoffMs));
@@ -30,18 +32,18 @@
     }
   }
 
-  /** An answer broke off: whether that counts as a failure now. */
+  /** Records a response that broke off; true if this counts as a failure. */
   boolean recordBrokenResponse() {
     consecutiveBrokenResponses++;
     return consecutiveBrokenResponses >= BROKEN_RESPONSES_PER_FAILURE;
   }
 
-  /** Whether it is avoided. */
+  /** Whether the backoff is in force. */
   boolean isAvoided(long now) {
     return now < avoidedUntil;
   }
 
-  /** Whether it has failed since it last answered. */
+  /** Whether it has failed since its last response. */
   boolean hasFailedSinceResponse() {
     return backoffMs > 0;
   }
--- a/gateway/src/main/java/elmsail/gateway/servers/IdleCheckSocketChannel.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/IdleCheckSocketChannel.java
@@ -4,13 +4,16 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 
-/** A connection that can be looked at between two rounds of the loop. */
+/**
+ * A socket channel that can tell whether anything has arrived that the event loop has not read yet.
+ * To be called on that loop.
+ */
 public final class IdleCheckSocketChannel extends NioSocketChannel {
   private static final ByteBuffer PROBE_BUFFER = ByteBuffer.allocateDirect(1);
 
   /**
-   * Whether it is open and neither bytes nor an end have come that the loop has not read yet. What
-   * is read here is lost, so where this is false the connection is to be closed.
+   * Whether the connection is open and has neither unread bytes nor an unread end. A byte read by
+   * this check is lost: where the result is false, the connection must be closed.
    */
   boolean hasNothingUnread() {
     if (!isActive()) {
--- a/gateway/src/main/java/elmsail/gateway/servers/ItemAdmission.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ItemAdmission.java
@@ -1,48 +1,57 @@
 package elmsail.gateway.servers;
 
 /**
- * How many batch items this gateway may start at one server now: in the places that clients'
- * requests leave, as those are more urgent. Pure.
+ * Admission control for batch items: how many this gateway may start at one server now, in slots
+ * that the more urgent client requests leave free. Pure functions, safe on any thread.
  */
 final class ItemAdmission {
-  /** Items are started while no more than this share of the places is taken. */
+  /**
+   * Items start while at most this share of the slots is taken, by the load that the server
+   * reports.
+   */
   private static final double MAX_UTILIZATION_REPORTED = 0.7;
 
   /**
-   * Likewise where all gateways' requests are known at once: few are then started beyond it, and a
-   * request finds a place that is free.
+   * The same where the load of all gateways is known at once: few items then start beyond it, and a
+   * client request finds a free slot.
    */
   private static final double MAX_UTILIZATION_SHARED = 0.9;
 
-  /** Likewise at a server of another zone, of which this gateway hears some time later. */
+  /** The same at a server of another zone, whose load reaches this gateway later. */
   private static final double MAX_UTILIZATION_OTHER_ZONE = 0.5;
 
-  /** Where prompts wait to be read, an item's would delay them, and the tokens of what runs. */
+  /**
+   * With more prompt tokens waiting for prefill an item would delay them, and the tokens of what
+   * runs.
+   */
   private static final int MAX_PENDING_PREFILL_TOKENS = 2_500;
 
-  /** One gateway's items may take this share: batch jobs are at few gateways at a time. */
+  /** Share of the slots for the items of one gateway: batch jobs run at few gateways at a time. */
   private static final double MAX_SHARE_PER_GATEWAY = 0.5;
 
   private static final int MIN_ITEMS_PER_GATEWAY = 2;
 
-  /** Prompts that begin together are read between all others' tokens, which then come too late. */
+  /**
+   * Prompts that start together are read between the tokens of all other requests, which are then
+   * late.
+   */
   private static final long MIN_START_INTERVAL_MS = 80;
 
-  /** With more than this waiting there nothing that is less urgent is added. */
+  /** With more requests queued nothing of lower priority is added. */
   private static final double MAX_QUEUED = 0.5;
 
   private ItemAdmission() {}
 
   /**
-   * One server as it stands.
+   * State of one server.
    *
-   * @param maxConcurrency its places
-   * @param running estimate of the requests and items of all gateways that run
-   * @param queued likewise of those that wait
-   * @param ownItems this gateway's items there
+   * @param maxConcurrency its slots
+   * @param running estimate of running requests and items of all gateways
+   * @param queued estimate of queued ones
+   * @param gatewayItems this gateway's items there
    * @param sinceLastItemMs since this gateway last started one there
    * @param loadSource where the estimates come from
-   * @param pendingPrefillTokens of prompts that wait there to be read
+   * @param pendingPrefillTokens prompt tokens that wait for prefill there
    */
   record ServerState(
       int maxConcurrency,
@@ -55,15 +64,15 @@
 
   /** Where the estimates of a server's load come from. */
   enum LoadSource {
-    /** From what the server told some time ago. */
+    /** The server's own reports, which may be old. */
     REPORTED,
-    /** From what all gateways of its zone, this one's, have open. */
+    /** The loads of all gateways; the server is in this gateway's zone. */
     SHARED,
-    /** Likewise, of another zone. */
+    /** The loads of all gateways; the server is in another zone. */
     SHARED_OTHER_ZONE
   }
 
-  /** How many more items may be started; several gateways may start so many at once. */
+  /** How many more items may start; several gateways may start so many at the same time. */
   static int availableCapacity(ServerState server) {
     boolean shared = server.loadSource() != LoadSource.REPORTED;
     boolean prefillBacklogged =
--- a/gateway/src/main/java/elmsail/gateway/servers/OutgoingRequest.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/OutgoingRequest.java
@@ -2,22 +2,26 @@
 
 import io.netty.handler.codec.http.FullHttpRequest;
 
-/** A request as it goes to a server. */
+/** A request as it is sent to servers. */
 public interface OutgoingRequest {
-  /** Its {@code Elmsail-Request-Id}. */
+  /** The value of {@code Elmsail-Request-Id}. */
   String id();
 
-  /** The prompt, by which a server with a warm prefix is preferred. */
+  /** Its prompt; servers with a cached prefix of it are preferred. */
   Prompt prompt();
 
-  /** Whether it is an item of a job. */
+  /** Whether it is an item of a batch job. */
   boolean isBatchItem();
 
-  /** When it has to be answered, on the loop's clock; Long.MAX_VALUE: at no certain time. */
+  /** Its deadline in ms on the loop's clock, or {@code Long.MAX_VALUE} for none. */
   default long deadlineAt() {
     return Long.MAX_VALUE;
   }
 
-  /** Made just before it is written, so that the time left in it is right. */
+  /**
+   * The message to be written; created just before that, so that the remaining time in it is right.
+   *
+   * @param serverId the server it is meant for, sent as {@code Elmsail-Expect-Server}
+   */
   FullHttpRequest toHttpRequest(String serverId);
 }
--- a/gateway/src/main/java/elmsail/gateway/servers/OutlierDetector.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/OutlierDetector.java
@@ -6,34 +6,35 @@
 import java.util.Set;
 
 /**
- * Ejects servers of one service that answer with errors, but never more than half of them, so that
- * the rest is not overloaded.
+ * Outlier detection for the servers of one service: ejects those that respond with errors, but
+ * never more than half of them, so that the rest is not overloaded. Owned by the gateway's event
+ * loop.
  */
 final class OutlierDetector {
   /** One of so many servers may be ejected. */
   private static final int SERVERS_PER_EJECTION = 2;
 
-  /** Those with the fewest errors come back first, of these the one that was ejected first. */
+  /** Order in which ejections end early: fewest errors first, then the longest ejected. */
   private static final Comparator<ErrorBackoff> FEWEST_ERRORS_FIRST =
       Comparator.comparingInt(ErrorBackoff::consecutiveErrors)
           .thenComparingLong(ErrorBackoff::ejectedAt);
 
   private final Set<ErrorBackoff> servers = new LinkedHashSet<>();
 
-  /** Adds a server of the service. */
+  /** Adds a server of the service and returns its ejection state. */
   ErrorBackoff addServer() {
     ErrorBackoff server = new ErrorBackoff();
     servers.add(server);
     return server;
   }
 
-  /** The server is not listed any more. */
+  /** Removes a server that is no longer listed. */
   void removeServer(ErrorBackoff server) {
     servers.remove(server);
     enforceEjectionLimit();
   }
 
-  /** The server answered with an error: whether it is ejected by this. */
+  /** Records an error response; true if the server is ejected by it. */
   boolean recordError(ErrorBackoff server, long now) {
     if (!server.recordError(now)) {
       return false;
--- a/gateway/src/main/java/elmsail/gateway/servers/PrefixCacheEstimate.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/PrefixCacheEstimate.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * Which parts of prompts one server was sent lately and so may have kept; the longest unused give
- * way.
+ * Estimate of one server's prefix cache: the prompt segments that this gateway sent there, least
+ * recently used ones evicted first. Owned by the gateway's event loop.
  */
 final class PrefixCacheEstimate {
   private static final int MAX_SEGMENTS = 4_096;
@@ -22,11 +22,12 @@
     this.maxTokens = maxTokens;
   }
 
+  /** Changes the capacity in tokens; takes effect with the next prompt. */
   void setMaxTokens(long tokens) {
     maxTokens = tokens;
   }
 
-  /** How many of the prompt's tokens need not be read anew, if nothing was given up since. */
+  /** How many of the prompt's leading tokens the server has cached, if it evicted nothing else. */
   int cachedTokens(Prompt prompt) {
     int sum = 0;
     for (int i = 0;
@@ -37,10 +38,10 @@
     return sum;
   }
 
-  /** The server reads this prompt. */
+  /** Records that the server reads this prompt. */
   void record(Prompt prompt) {
-    // The last ones first: of two parts unused for equally long the later one goes before what it
-    // stands on.
+    // Last segments first: of two segments unused for equally long, the later one is evicted before
+    // its own prefix.
     for (int i = prompt.segmentKeys().length - 1; i >= 0; i--) {
       Integer before = tokensBySegment.put(prompt.segmentKeys()[i], prompt.segmentTokens()[i]);
       totalTokens += prompt.segmentTokens()[i] - (before == null ? 0 : before);
--- a/gateway/src/main/java/elmsail/gateway/servers/Prompt.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/Prompt.java
@@ -1,12 +1,12 @@
 package elmsail.gateway.servers;
 
 /**
- * What a request's prompt is made of: parts in order, each named by a key that stands for it and
- * all before it, as a kept part is of use only behind the same parts.
+ * The prompt of a request as a chain of segments. The key of a segment covers all segments before
+ * it as well, since a cached segment is of use only behind the same prefix.
  *
- * @param segmentKeys one for each part
- * @param segmentTokens of each part
- * @param totalTokens tokens of the prompt, at least those of the parts
+ * @param segmentKeys one for each segment
+ * @param segmentTokens of each segment
+ * @param totalTokens of the whole prompt, at least the sum of the segments
  */
 public record Prompt(long[] segmentKeys, int[] segmentTokens, int totalTokens) {
   private static final int MAX_SEGMENTS = 64;
@@ -15,8 +15,10 @@
   public static final Prompt NONE = new Prompt(new long[0], new int[0], 0);
 
   /**
-   * Reads {@code ID:TOKENS,ID:TOKENS...} and {@code IN,OUT}; either may be null, what is no number
-   * is 0.
+   * Parses {@code ID:TOKENS,ID:TOKENS...} and {@code IN,OUT}; malformed numbers count as 0.
+   *
+   * @param segments the value of {@code Elmsail-Prompt-Prefix}, or null
+   * @param inputAndOutput the value of {@code Elmsail-Tokens}, or null
    */
   public static Prompt parse(String segments, String inputAndOutput) {
     int total =
@@ -53,12 +55,12 @@
     return new Prompt(keys, tokens, Math.max(sum, total));
   }
 
-  /** The key of the longest part that others may share, or 0 where there is none. */
+  /** The key of the longest prefix that other prompts may share, or 0 if there is none. */
   long sharedPrefixKey() {
     return segmentKeys.length > 1 ? segmentKeys[segmentKeys.length - 2] : 0;
   }
 
-  /** The tokens up to there. */
+  /** The tokens of that prefix. */
   int sharedPrefixTokens() {
     int sum = 0;
     for (int i = 0; i + 1 < segmentTokens.length; i++) {
@@ -67,6 +69,7 @@
     return sum;
   }
 
+  /** Scrambles the bits of a key (the finalizer of SplitMix64). */
   static long mix(long value) {
     long mixed = (value ^ value >>> 30) * 0xbf58476d1ce4e5b9L;
     mixed = (mixed ^ mixed >>> 27) * 0x94d049bb133111ebL;
--- a/gateway/src/main/java/elmsail/gateway/servers/PromptAffinity.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/PromptAffinity.java
@@ -3,19 +3,23 @@
 import java.util.List;
 
 /**
- * Rendezvous hashing of prompts: by a shared part, all gateways rank the servers alike, so that
- * prompts that share it meet where it is cached.
+ * Affinity of prompts to servers by rendezvous hashing: all gateways rank the servers alike for the
+ * same shared prefix, so that prompts which share it meet where it is cached. Owned by the
+ * gateway's event loop.
  */
 final class PromptAffinity {
   private final String zone;
   private long turn;
 
-  /** For a gateway of that zone. */
+  /** Affinity as seen by a gateway of that zone. */
   PromptAffinity(String zone) {
     this.zone = zone;
   }
 
-  /** The prompt's own order of the servers; one without a shared part takes them in turn. */
+  /**
+   * The rank of each server for the prompt, highest first; a prompt without a shared prefix gets a
+   * different order each time.
+   */
   long[] ranks(List<Server> open, Prompt prompt) {
     long key = prompt.sharedPrefixKey() == 0 ? Prompt.mix(++turn) : prompt.sharedPrefixKey();
     long[] ranks = new long[open.size()];
@@ -26,8 +30,8 @@
   }
 
   /**
-   * All gateways of a zone name the same server of it for the prompt's shared part, as long as the
-   * list stays; where the zone has none, all servers count. Null where nothing is shared.
+   * The server that the prompt's shared prefix belongs to: the same one for all gateways of a zone
+   * while the list is unchanged. Servers of the own zone come first. Null without a shared prefix.
    */
   Server ownServer(List<Server> open, Prompt prompt) {
     long key = prompt.sharedPrefixKey();
--- a/gateway/src/main/java/elmsail/gateway/servers/ReportedLoad.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ReportedLoad.java
@@ -1,20 +1,20 @@
 package elmsail.gateway.servers;
 
 /**
- * The load that a server told last in its answers, {@code RUNNING,WAITING,SLOTS}. What it says
- * counts less the older it is. Pure; times in ms of the steady clock.
+ * The load that a server last reported in a response, {@code RUNNING,WAITING,SLOTS}. It counts less
+ * the older it is. Pure; times in ms on the event loop's clock.
  */
 final class ReportedLoad {
-  /** A told number of running requests counts half as much after so long. */
+  /** The reported number of running requests counts half after this time. */
   private static final double RUNNING_HALF_LIFE_MS = 700;
 
-  /** Likewise of waiting ones: a queue of prompts passes faster. */
+  /** The same for queued ones: a queue of prompts drains faster. */
   private static final double QUEUED_HALF_LIFE_MS = 200;
 
-  /** A load that was told longer ago says nothing of free places. */
+  /** An older report says nothing of free slots. */
   private static final long IDLE_REPORT_VALID_MS = 1_000;
 
-  /** With less than this share of its places taken it has some free for all that come. */
+  /** Below this share of its slots a server has free ones for all that come. */
   private static final double MAX_IDLE_UTILIZATION = 0.5;
 
   private boolean isKnown;
@@ -24,7 +24,9 @@
   private int ownOpenAtReport;
 
   /**
-   * Takes a header's value while so many requests of this gateway are open; nonsense is no load.
+   * Takes the value of a load header; a malformed one counts as no report.
+   *
+   * @param ownOpen this gateway's open requests there
    */
   void update(String value, int ownOpen, long now) {
     int first = value.indexOf(',');
@@ -43,23 +45,23 @@
     }
   }
 
-  /** Whether there is one. */
+  /** Whether the server reports its load. */
   boolean isKnown() {
     return isKnown;
   }
 
-  /** Estimate of the requests that run, at least this gateway's own. */
+  /** Estimate of the running requests, at least this gateway's own. */
   double running(int ownOpen, long now) {
     double current = Math.max(0, running + ownOpen - ownOpenAtReport);
     return Math.max(ownOpen, current * weight(now, RUNNING_HALF_LIFE_MS));
   }
 
-  /** Estimate of the requests that wait. */
+  /** Estimate of the queued requests. */
   double queued(long now) {
     return queued * weight(now, QUEUED_HALF_LIFE_MS);
   }
 
-  /** Whether it said just now that nothing waits there and that it has many places free. */
+  /** Whether the server reported a moment ago that nothing is queued and many slots are free. */
   boolean isIdle(int maxConcurrency, long now) {
     return isKnown
         && now - reportedAt <= IDLE_REPORT_VALID_MS
--- a/gateway/src/main/java/elmsail/gateway/servers/ResponseClass.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ResponseClass.java
@@ -1,22 +1,22 @@
 package elmsail.gateway.servers;
 
-/** What the status of an answer says of the server that gave it. */
+/** What the status of a response says of the server that sent it. */
 enum ResponseClass {
-  /** It serves. */
+  /** The server works. */
   SUCCESS,
-  /** It fails at requests that it accepts. */
+  /** The server fails at requests that it accepts. */
   SERVER_ERROR,
-  /** Nothing: the request was wrong, or was not run, or had too little time. */
+  /** Nothing: the request was invalid, was not run, or had too little time. */
   NEUTRAL;
 
-  /** A 504 with less time left than this is about the deadline. */
+  /** A 504 with less time left than this is due to the deadline. */
   static final long DEADLINE_SLACK_MS = 100;
 
   /**
-   * Of an answer's head.
+   * Classifies the head of a response.
    *
-   * @param notRun whether it says {@code Elmsail-Not-Run}
-   * @param remainingMs the time that the request has left
+   * @param notRun whether it has the header {@code Elmsail-Not-Run}
+   * @param remainingMs until the request's deadline
    */
   static ResponseClass of(int status, boolean notRun, long remainingMs) {
     if (notRun) {
--- a/gateway/src/main/java/elmsail/gateway/servers/RouteRoundRobins.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/RouteRoundRobins.java
@@ -5,9 +5,12 @@
 import java.util.Map;
 import java.util.random.RandomGenerator;
 
-/** The rotation of each route; one whose shares have changed begins anew. */
+/**
+ * The round robin of each route; it starts anew when the route's shares have changed. Owned by the
+ * gateway's event loop.
+ */
 final class RouteRoundRobins {
-  /** Beyond this the route that was asked for longest ago begins anew the next time. */
+  /** Beyond this the round robin of the least recently used route is dropped. */
   private static final int MAX_ROUTES = 4_096;
 
   private final RandomGenerator random;
@@ -25,6 +28,7 @@
     this.random = random;
   }
 
+  /** The round robin of a route under its present shares. */
   SmoothWeightedRoundRobin of(Route route) {
     SmoothWeightedRoundRobin roundRobin = byRoute.get(route.name());
     if (roundRobin == null || !roundRobin.hasShares(route.weightedServices())) {
--- a/gateway/src/main/java/elmsail/gateway/servers/SelectionMode.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/SelectionMode.java
@@ -1,19 +1,23 @@
 package elmsail.gateway.servers;
 
-/** What an error of the chosen server would cost the request, and so which servers may get it. */
+/**
+ * What an error of the picked server would cost the request, which decides whether servers that
+ * returned errors may be picked.
+ */
 public enum SelectionMode {
+  /** An error reaches the client: a half-open server is avoided until long after its backoff. */
+  NOT_RETRYABLE,
   /**
-   * An error reaches the client: a half-open server is passed over until long after its backoff.
+   * A server has returned an error and the next one reaches the client: only servers with a recent
+   * success are picked.
    */
-  NOT_RETRYABLE,
-  /** A server has erred at it, and an error more reaches the client: one that served lately. */
   AFTER_ERROR,
-  /** An error is made up for: a half-open server is chosen as any other. */
+  /** An error is retried: a half-open server is picked like any other. */
   PROBE_ALLOWED,
-  /** An error is made up for at once: a half-open server is chosen before all others. */
+  /** An error is retried at once: a half-open server is picked before all others. */
   PROBE_PREFERRED;
 
-  /** Whether a server may be tried again as soon as its backoff is over. */
+  /** Whether a half-open server may be picked as soon as its backoff is over. */
   boolean probesEarly() {
     return this == PROBE_ALLOWED || this == PROBE_PREFERRED;
   }
--- a/gateway/src/main/java/elmsail/gateway/servers/ServerConnection.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ServerConnection.java
@@ -2,125 +2,92 @@
 
 import elmsail.gateway.http.Headers;
 import elmsail.gateway.http.RequestCounters;
-import elmsail.runtime.Timers;
-import elmsail.runtime.http.StrictResponseDecoder;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.ChannelOutboundBuffer;
 import io.netty.channel.ChannelPipeline;
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.socket.ChannelInputShutdownEvent;
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpContent;
-import io.netty.handler.codec.http.HttpMessage;
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpObject;
 import io.netty.handler.codec.http.HttpRequestEncoder;
 import io.netty.handler.codec.http.HttpResponse;
+import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpStatusClass;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.LastHttpContent;
+import java.io.IOException;
 
 /**
- * One connection to a server: at most one request at a time. Whatever comes that is not the answer
- * to the present request, whole and in its place, closes it.
+ * One connection to a server, with at most one request at a time. Anything received that is not the
+ * response to that request, complete and in its place, closes the connection. All methods run on
+ * the channel's event loop.
  */
 final class ServerConnection extends SimpleChannelInboundHandler<HttpObject> {
-  private static final int MISDIRECTED = 421;
-  private static final int MAX_LINE_BYTES = 4_096;
-  private static final int MAX_HEAD_BYTES = 16_384;
-  private static final int MAX_CHUNK_BYTES = 32 * 1024;
-
-  /** An idle connection is not used any more so long before the server closes it. */
-  private static final long MAX_EXPIRY_MARGIN_MS = 1_000;
-
-  /** Or so large a part of short times. */
-  private static final double EXPIRY_MARGIN_RATIO = 0.4;
-
-  /** Where the server told no time, it may be less than the second that can be told. */
-  private static final long DEFAULT_KEEP_ALIVE_MS = 1_000;
-
-  /** A server that has answered early must go on reading the rest of the body so soon. */
-  private static final long BODY_STALL_TIMEOUT_MS = 2_000;
-
   private final ConnectionPool pool;
   private final Server server;
-  private final StrictResponseDecoder decoder =
-      new StrictResponseDecoder(MAX_LINE_BYTES, MAX_HEAD_BYTES, MAX_CHUNK_BYTES) {
-        @Override
-        protected boolean isContentAlwaysEmpty(HttpMessage message) {
-          return isHeadRequest || super.isContentAlwaysEmpty(message);
-        }
-
-        @Override
-        public void userEventTriggered(ChannelHandlerContext ctx, Object event) throws Exception {
-          inputShutDown |= event instanceof ChannelInputShutdownEvent;
-          super.userEventTriggered(ctx, event); // puts out the end of an answer without a length
-        }
-      };
+  private final ServerResponseDecoder decoder = new ServerResponseDecoder();
+  private final KeepAlive keepAlive = new KeepAlive();
   private Channel channel;
-  private Attempt current;
-  private boolean inResponse;
-  private long responseStartedAt;
-  private boolean inInformationalResponse;
-  private boolean isHeadRequest;
-  private boolean keepAlive;
+  private BodyWriteMonitor bodyWrite;
 
-  /** The answer has neither a length nor chunks: it ends with the connection. */
-  private boolean closeDelimited;
+  /** The attempt whose response is not complete yet, or null. */
+  private Attempt current;
 
-  /** The server has ended its direction, and not by a reset. */
-  private boolean inputShutDown;
+  /** Of the last request, whose response may come a second time. */
+  private String lastRequestId;
 
-  /** Whether all of the last request has been written. */
-  private boolean requestWritten;
+  private boolean inInformationalResponse;
+  private boolean inResponse;
+  private long responseStartedAt;
 
-  /** Set while the rest of an answered request's body is still being written. */
-  private Timers.Timer bodyStallTimer;
+  /** Whether the connection may be used again after the present response. */
+  private boolean reusable;
 
-  /** The id of the last request, whose answer may come a second time. */
-  private String lastRequestId;
+  /** The response has neither a length nor chunks: it ends with the connection. */
+  private boolean closeDelimited;
 
-  /** Answered, but what came with the answer is not looked at yet. */
+  /** The response is complete, but what was read together with it has not been looked at. */
   private boolean responseComplete;
 
-  private long keepAliveMs = DEFAULT_KEEP_ALIVE_MS;
-  private long idleSince;
-
   ServerConnection(ConnectionPool pool, Server server) {
     this.pool = pool;
     this.server = server;
   }
 
+  /** Adds the connection's handlers to a new channel. */
   void addTo(ChannelPipeline pipeline) {
     channel = pipeline.channel();
+    bodyWrite = new BodyWriteMonitor(pool.timers(), channel, this::release);
     pipeline.addLast(decoder, new HttpRequestEncoder(), this);
   }
 
   long idleSince() {
-    return idleSince;
+    return keepAlive.idleSince();
   }
 
-  /** Whether the server will not close it just now. */
+  /** Whether the server will not close the idle connection soon. */
   boolean isFresh(long now) {
-    return now - idleSince
-        < keepAliveMs - Math.min(MAX_EXPIRY_MARGIN_MS, keepAliveMs * EXPIRY_MARGIN_RATIO);
+    return keepAlive.isFresh(now);
   }
 
   /**
-   * Whether the last request had that id: a second answer to it would pass for the answer to one
-   * that comes next. One to an earlier request has come before the last answer, and closed this.
+   * Whether the last request had this id: a second response to it could be taken for the response
+   * to the next one. A second response to an earlier request came before the last response, and
+   * closed the connection.
    */
   boolean lastCarried(String requestId) {
     return requestId.equals(lastRequestId);
   }
 
+  /** Whether the idle connection can carry a request now. */
   boolean isUsable(long now) {
     return channel.isActive()
         && !decoder.isInsideMessage()
         && isFresh(now)
-        && (!(channel instanceof IdleCheckSocketChannel quiet) || quiet.hasNothingUnread());
+        && (!(channel instanceof IdleCheckSocketChannel idle) || idle.hasNothingUnread());
   }
 
   void close() {
@@ -128,25 +95,25 @@
     channel.close();
   }
 
-  /** Writes the request; from here on it counts as sent. */
+  /** Writes the attempt's request, which counts as sent from here on. */
   void send(Attempt attempt) {
     current = attempt;
     lastRequestId = attempt.request().id();
-    requestWritten = false;
+    bodyWrite.start();
     attempt.bindTo(channel);
     attempt.markSent();
     channel.config().setAutoRead(!attempt.isPaused());
-    FullHttpRequest message = attempt.request().toHttpRequest(server.id());
-    isHeadRequest = message.method().equals(HttpMethod.HEAD);
-    ChannelFuture write = channel.writeAndFlush(message);
+    FullHttpRequest request = attempt.request().toHttpRequest(server.id());
+    decoder.expectHeadResponse(request.method().equals(HttpMethod.HEAD));
+    ChannelFuture write = channel.writeAndFlush(request);
     if (write.isDone() && !write.isSuccess()) {
-      pool.timers()
-          .execute(() -> onWriteFailed(attempt)); // not within the call that begins the attempt
+      // Not within the call that starts the attempt.
+      pool.timers().execute(() -> onWriteFailed(attempt));
     } else {
       write.addListener(
-          f -> {
-            if (f.isSuccess()) {
-              requestWritten();
+          done -> {
+            if (done.isSuccess()) {
+              bodyWrite.onWritten();
             } else {
               onWriteFailed(attempt);
             }
@@ -154,15 +121,6 @@
     }
   }
 
-  private void requestWritten() {
-    requestWritten = true;
-    if (bodyStallTimer != null) {
-      bodyStallTimer.cancel();
-      bodyStallTimer = null;
-      release();
-    }
-  }
-
   private void onWriteFailed(Attempt attempt) {
     if (current == attempt) {
       fail(RequestCounters.Event.CLOSED_BY_SERVER);
@@ -187,55 +145,54 @@
     }
   }
 
+  /** False if the connection was closed by it. */
   private boolean onHead(HttpResponse head) {
-    inInformationalResponse = head.status().codeClass() == HttpStatusClass.INFORMATIONAL;
+    HttpResponseStatus status = head.status();
+    inInformationalResponse = status.codeClass() == HttpStatusClass.INFORMATIONAL;
     if (inInformationalResponse) {
-      if (head.status().code() == 101) {
+      boolean isUpgrade = status.code() == HttpResponseStatus.SWITCHING_PROTOCOLS.code();
+      if (isUpgrade) {
         fail(RequestCounters.Event.UNREADABLE_RESPONSE);
-        return false;
       }
-      return true;
+      return !isUpgrade;
     }
     if (!current.request().id().equals(head.headers().get(Headers.REQUEST_ID))) {
       fail(RequestCounters.Event.FOREIGN_RESPONSE);
       return false;
     }
-    int code = head.status().code();
-    boolean empty = isHeadRequest || code == 204 || code == 304;
-    closeDelimited =
-        !empty && !HttpUtil.isContentLengthSet(head) && !HttpUtil.isTransferEncodingChunked(head);
+    closeDelimited = isCloseDelimited(head);
     inResponse = true;
-    keepAlive = !closeDelimited && HttpUtil.isKeepAlive(head);
-    String response = head.headers().get("Keep-Alive");
-    keepAliveMs = response == null ? DEFAULT_KEEP_ALIVE_MS : keepAliveTimeoutMs(response);
-    long now = pool.timers().now();
-    responseStartedAt = now;
-    server.recordResponse(now);
+    reusable = !closeDelimited && HttpUtil.isKeepAlive(head);
+    keepAlive.onResponse(head.headers().get("Keep-Alive"));
+    responseStartedAt = pool.timers().now();
+    recordAtServer(head, responseStartedAt);
+    current.onHead(head);
+    return true;
+  }
+
+  private boolean isCloseDelimited(HttpResponse head) {
+    int code = head.status().code();
+    boolean bodiless =
+        decoder.expectsHeadResponse()
+            || code == HttpResponseStatus.NO_CONTENT.code()
+            || code == HttpResponseStatus.NOT_MODIFIED.code();
+    return !bodiless
+        && !HttpUtil.isContentLengthSet(head)
+        && !HttpUtil.isTransferEncodingChunked(head);
+  }
+
+  private void recordAtServer(HttpResponse head, long now) {
+    server.health().recordResponse(now);
     if (current.recordResult(head, now)) {
       pool.counters().count(RequestCounters.Event.SERVER_EJECTED);
     }
-    if (code == MISDIRECTED) {
-      server.markMisdirected();
+    if (head.status().code() == HttpResponseStatus.MISDIRECTED_REQUEST.code()) {
+      server.health().markMisdirected();
     }
     String load = head.headers().get(Headers.SERVER_LOAD);
     if (load != null) {
-      server.recordReportedLoad(load, now);
-    }
-    current.onHead(head);
-    return true;
-  }
-
-  static long keepAliveTimeoutMs(String keepAlive) {
-    int at = keepAlive.indexOf("timeout=");
-    if (at < 0) {
-      return DEFAULT_KEEP_ALIVE_MS;
-    }
-    int from = at + "timeout=".length();
-    int to = from;
-    while (to < keepAlive.length() && Character.isDigit(keepAlive.charAt(to))) {
-      to++;
+      server.load().recordReport(load, now);
     }
-    return Headers.parseNonNegative(keepAlive.substring(from, to), 0) * 1_000;
   }
 
   private void onContent(HttpContent content) {
@@ -249,30 +206,34 @@
     }
     Attempt attempt = current;
     if (content.content().isReadable()) {
-      server.recordBytes(pool.timers().now());
+      server.health().recordBytes(pool.timers().now());
       attempt.onData(content.content().retain());
     }
-    if (last && closeDelimited && !inputShutDown) {
+    if (last && closeDelimited && !decoder.isInputShutDown()) {
       fail(RequestCounters.Event.CLOSED_BY_SERVER);
     } else if (last) {
-      inResponse = false;
-      current = null;
-      if (attempt.isFinished()) {
-        channel.close();
-        return;
-      }
-      channel.config().setAutoRead(true);
-      responseComplete = keepAlive;
-      if (!keepAlive) {
-        channel.close();
-      }
-      pool.counters().count(RequestCounters.Event.ATTEMPT_ANSWERED);
-      server.recordSlotHoldTime(pool.timers().now() - responseStartedAt);
-      attempt.onComplete();
+      onResponseComplete(attempt);
+    }
+  }
+
+  private void onResponseComplete(Attempt attempt) {
+    inResponse = false;
+    current = null;
+    if (attempt.isFinished()) {
+      channel.close();
+      return;
     }
+    channel.config().setAutoRead(true);
+    responseComplete = reusable;
+    if (!reusable) {
+      channel.close();
+    }
+    pool.counters().count(RequestCounters.Event.ATTEMPT_ANSWERED);
+    server.load().recordSlotHoldTime(pool.timers().now() - responseStartedAt);
+    attempt.onComplete();
   }
 
-  /** The connection is free only once all that came with the answer is read. */
+  /** The connection is idle only once all that was read together with the response is handled. */
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
     if (responseComplete && !decoder.isInsideMessage()) {
@@ -284,35 +245,18 @@
     ctx.fireChannelReadComplete();
   }
 
-  /** Nothing else goes over it before the last request's body has gone out whole. */
+  /** Makes the connection idle, once the last request's body is written completely. */
   private void release() {
     if (!channel.isActive() || !pool.keepsConnections(server)) {
       channel.close();
-    } else if (requestWritten) {
-      idleSince = pool.timers().now();
+    } else if (bodyWrite.isWritten()) {
+      keepAlive.startIdle(pool.timers().now());
       server.idleConnections.addLast(this);
     } else {
-      long unwrittenBytes = unwrittenBytes();
-      bodyStallTimer =
-          pool.timers().schedule(BODY_STALL_TIMEOUT_MS, () -> checkBodyProgress(unwrittenBytes));
-    }
-  }
-
-  private void checkBodyProgress(long unwrittenBytesBefore) {
-    long unwrittenBytes = unwrittenBytes();
-    if (unwrittenBytes < unwrittenBytesBefore) {
-      bodyStallTimer =
-          pool.timers().schedule(BODY_STALL_TIMEOUT_MS, () -> checkBodyProgress(unwrittenBytes));
-    } else {
-      channel.close();
+      bodyWrite.closeIfStalled();
     }
   }
 
-  private long unwrittenBytes() {
-    ChannelOutboundBuffer out = channel.unsafe().outboundBuffer();
-    return out == null ? 0 : out.totalPendingWriteBytes() - Math.max(0, out.currentProgress());
-  }
-
   @Override
   public void userEventTriggered(ChannelHandlerContext ctx, Object event) throws Exception {
     if (event instanceof ChannelInputShutdownEvent) {
@@ -327,23 +271,22 @@
     ctx.fireChannelInactive();
   }
 
+  /** A connection reset, or a defect of the gateway: the connection cannot be used any more. */
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
     fail(
-        cause instanceof java.io.IOException
+        cause instanceof IOException
             ? RequestCounters.Event.CLOSED_BY_SERVER
             : RequestCounters.Event.FAULT);
   }
 
+  /** Closes the connection and fails the attempt on it, if there is one. */
   private void fail(RequestCounters.Event reason) {
     Attempt attempt = current;
     current = null;
     responseComplete = false;
     inResponse = false;
-    if (bodyStallTimer != null) {
-      bodyStallTimer.cancel();
-      bodyStallTimer = null;
-    }
+    bodyWrite.cancel();
     close();
     if (attempt != null && !attempt.isFinished()) {
       pool.counters().count(reason);
--- /dev/null
+++ b/gateway/src/main/java/elmsail/gateway/servers/ServerResponseDecoder.java
@@ -0,0 +1,48 @@
+package elmsail.gateway.servers;
+
+import elmsail.runtime.http.StrictResponseDecoder;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.socket.ChannelInputShutdownEvent;
+import io.netty.handler.codec.http.HttpMessage;
+
+/**
+ * Decodes a server's responses: knows which request was a HEAD, and tells an orderly end of the
+ * server's direction from a reset. Used on the channel's event loop only.
+ */
+final class ServerResponseDecoder extends StrictResponseDecoder {
+  private static final int MAX_LINE_BYTES = 4_096;
+  private static final int MAX_HEAD_BYTES = 16_384;
+  private static final int MAX_CHUNK_BYTES = 32 * 1024;
+
+  private boolean expectsHeadResponse;
+  private boolean inputShutDown;
+
+  ServerResponseDecoder() {
+    super(MAX_LINE_BYTES, MAX_HEAD_BYTES, MAX_CHUNK_BYTES);
+  }
+
+  /** Says whether the request just sent is a HEAD, whose response has no body. */
+  void expectHeadResponse(boolean isHeadRequest) {
+    expectsHeadResponse = isHeadRequest;
+  }
+
+  boolean expectsHeadResponse() {
+    return expectsHeadResponse;
+  }
+
+  /** Whether the server has ended its direction, and not by a reset. */
+  boolean isInputShutDown() {
+    return inputShutDown;
+  }
+
+  @Override
+  protected boolean isContentAlwaysEmpty(HttpMessage message) {
+    return expectsHeadResponse || super.isContentAlwaysEmpty(message);
+  }
+
+  @Override
+  public void userEventTriggered(ChannelHandlerContext ctx, Object event) throws Exception {
+    inputShutDown |= event instanceof ChannelInputShutdownEvent;
+    super.userEventTriggered(ctx, event); // emits the end of a response without a length
+  }
+}
--- a/gateway/src/main/java/elmsail/gateway/servers/ServerSelector.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ServerSelector.java
@@ -2,45 +2,53 @@
 
 import java.util.List;
 
-/** Which of some servers is to get a request: the one where it costs least, in ms. */
+/**
+ * Selects one of several servers: the one with the lowest estimated cost of the request, in ms.
+ * Pure functions, safe on any thread.
+ */
 public final class ServerSelector {
-  /** Prompt tokens that a server reads in a ms. */
+  /** Prompt tokens that a server reads per ms. */
   static final double PREFILL_TOKENS_PER_MS = 100;
 
-  /** Each request that runs beside makes all tokens come later. */
+  /** Each running request delays the tokens of all others. */
   static final double COST_PER_RUNNING_MS = 0.5;
 
-  /** Beyond this share of its places a server slows down and may refuse. */
+  /** Beyond this share of its slots a server slows down and may reject. */
   static final double NEARLY_FULL_UTILIZATION = 0.8;
 
+  /** Cost of the step from there to a full server. */
   static final double NEARLY_FULL_COST_MS = 80;
 
-  /** For the way to another zone and back, and what its bytes are priced. */
+  /** Round trip to another zone, and the price of its bytes. */
   static final double OTHER_ZONE_COST_MS = 12;
 
-  /** Of what a server holds by the gateways' common reckoning this share is counted on. */
+  /** Share of the affinity prefix that is assumed to be cached already. */
   static final double AFFINITY_CACHE_RATIO = 0.5;
 
   /**
-   * Servers whose costs differ by less are alike, where many choose by the same sight at once: what
-   * a server reads in the time that the sight is old, and some more (by {@code ChoiceModelTest}).
+   * Costs that differ by less are equal where many gateways select by the same loads at once: what
+   * a server reads within the age of those loads, and some more (found by {@code
+   * ServerSelectionModelTest}).
    */
   static final double SPREAD_TOLERANCE_MS = 80;
 
-  /** A server that failed lately, or is silent, is taken only where there is no other. */
+  /** Makes a suspect or ejected server the last choice. */
   static final double AVOIDED_COST_MS = 100_000;
 
   /**
-   * One server as it stands.
+   * One server as a candidate for a request.
    *
-   * @param cachedTokens of the prompt that it was sent before
-   * @param affinityTokens of the prompt that other gateways will have sent there, 0 unless it is
-   *     the prompt's home
-   * @param running estimate of requests running, all gateways'
-   * @param queued estimate of requests waiting there
-   * @param pendingPrefillTokens tokens of the requests there that have no answer yet, of this
-   *     gateway's alone where the server tells its load
-   * @param slotReleaseIntervalMs until one that waits there gets a place, for each one before it
+   * @param cachedTokens leading tokens of the prompt that this gateway sent there before
+   * @param affinityTokens prefix tokens that other gateways have sent there, 0 unless the prompt's
+   *     affinity is to this server
+   * @param running estimate of the running requests of all gateways
+   * @param queued estimate of the queued ones
+   * @param maxConcurrency its slots, 0 if unknown
+   * @param pendingPrefillTokens prompt tokens of requests there without a response; of this gateway
+   *     alone if the server reports its load
+   * @param slotReleaseIntervalMs mean time between two released slots while it is full
+   * @param sameZone whether it is in this gateway's zone
+   * @param avoided whether it is suspect or ejected
    */
   public record Candidate(
       int cachedTokens,
@@ -55,7 +63,9 @@
 
   private ServerSelector() {}
 
-  /** The estimated ms until the request's first token, with what it takes from others. */
+  /**
+   * The estimated time until the request's first token, with what the request costs others, in ms.
+   */
   public static double costMs(Candidate candidate, int promptTokens) {
     double cost =
         prefillMs(candidate, promptTokens)
@@ -74,7 +84,7 @@
     return candidate.avoided() ? cost + AVOIDED_COST_MS : cost;
   }
 
-  /** The estimated ms to read what the server does not hold of the prompt. */
+  /** The estimated time to read the part of the prompt that is not cached, in ms. */
   public static double prefillMs(Candidate candidate, int promptTokens) {
     double cachedTokens =
         Math.max(candidate.cachedTokens(), candidate.affinityTokens() * AFFINITY_CACHE_RATIO);
@@ -82,7 +92,8 @@
   }
 
   /**
-   * The estimated ms until what waits there is read; those of this gateway may be among those told.
+   * The estimated time until what is queued there has been read, in ms. This gateway's requests may
+   * be among those reported, so the larger estimate counts, not the sum.
    */
   public static double waitMs(Candidate candidate) {
     return Math.max(
@@ -91,9 +102,9 @@
   }
 
   /**
-   * The index of the cheapest, or -1 of none.
+   * The index of the cheapest candidate, or -1 without any.
    *
-   * @param turn spreads those that cost the same
+   * @param turn rotates the order of comparison, which spreads equal costs
    */
   public static int pick(List<Candidate> candidates, int promptTokens, int turn) {
     int best = -1;
@@ -110,11 +121,11 @@
   }
 
   /**
-   * Likewise where the load is some ten ms old, so that others choose by the same sight: of the
-   * servers that cost little more than the cheapest, near ones before others, the one that the
-   * prompt ranks first. So requests that come together spread, and equal prompts meet again.
+   * The same where loads are some ten ms old and other gateways select by the same ones: of the
+   * candidates that cost little more than the cheapest, those of the own zone first, the one with
+   * the highest rank. So simultaneous requests spread, and equal prompts meet again.
    *
-   * @param ranks the prompt's own order of the servers
+   * @param ranks of each candidate for this prompt
    */
   public static int pickSpread(List<Candidate> candidates, long[] ranks, int promptTokens) {
     double[] costs = new double[candidates.size()];
--- a/gateway/src/main/java/elmsail/gateway/servers/SmoothWeightedRoundRobin.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/SmoothWeightedRoundRobin.java
@@ -7,18 +7,19 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Smooth weighted round robin over the shares of one route: of any run of requests each share gets
- * its part to within about one request. Drawn independently, a share's part of some hundred
- * requests would be off by several hundredths. It begins at a random place, as all gateways would
- * favour the same share at first otherwise.
+ * Smooth weighted round robin over the services of one route (the algorithm of nginx): in any run
+ * of requests each service gets its share to within about one request. With independent random
+ * draws the share of some hundred requests would be off by several percent. It starts at a random
+ * point, since otherwise all gateways would favour the same service at first. Owned by the
+ * gateway's event loop.
  */
 final class SmoothWeightedRoundRobin {
-  /** More than the requests after which the rotation of usual weights repeats itself. */
+  /** More than the period of the usual weights. */
   private static final int MAX_INITIAL_SKIP = 1_000;
 
   private final List<Route.WeightedService> shares;
 
-  /** What each share is owed, in requests; negative where it was ahead. */
+  /** Current weight of each service, in requests; negative where it was ahead of its share. */
   private final Map<Route.WeightedService, Double> currentWeights = new HashMap<>();
 
   SmoothWeightedRoundRobin(List<Route.WeightedService> shares, RandomGenerator random) {
@@ -30,14 +31,16 @@
     }
   }
 
+  /** Whether it was created for these shares. */
   boolean hasShares(List<Route.WeightedService> others) {
     return shares.equals(others);
   }
 
   /**
-   * The next request's share among these, of which there is one at least. A share without a server
-   * is asked for again without those that were taken before; it counts as served, so that it does
-   * not get everything once it has a server again.
+   * The share of the next request. A share without a usable server is passed again without it; it
+   * counts as served, so that it does not get everything once it has a server again.
+   *
+   * @param among the shares to choose from, at least one
    */
   Route.WeightedService next(List<Route.WeightedService> among) {
     if (among.size() == 1) {
--- a/gateway/src/test/java/elmsail/gateway/load/LoadExchangeTest.java
+++ b/gateway/src/test/java/elmsail/gateway/load/LoadExchangeTest.java
@@ -65,7 +65,7 @@
           () -> {
             Member receiver = members.get(to);
             receiver.received++;
-            receiver.exchange.heard(codec.fromDatagram(datagram, LoadReport.class));
+            receiver.exchange.onReport(codec.fromDatagram(datagram, LoadReport.class));
           });
     }
 
--- a/gateway/src/test/java/elmsail/gateway/servers/OutlierEjectionModelTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/OutlierEjectionModelTest.java
@@ -119,7 +119,7 @@
       boolean retried = repeatable && attempted.isEmpty();
       SelectionMode mode = retried ? SelectionMode.PROBE_PREFERRED : SelectionMode.NOT_RETRYABLE;
       mode = attempted.isEmpty() ? mode : SelectionMode.AFTER_ERROR;
-      Server server = servers.pick(route(repeatable), Prompt.NONE, attempted, mode);
+      Server server = servers.picker().pick(route(repeatable), Prompt.NONE, attempted, mode);
       attempted.add(server);
       Attempt attempt = new Attempt(server, this, this, timers.now());
       server.onAttemptStarted(attempt);
@@ -139,8 +139,8 @@
           new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status));
       head.headers().set(Headers.POSTMARK, "p");
       Server server = attempt.server();
-      server.recordResponse(timers.now());
-      server.recordReportedLoad(running[index] + ",0," + MAX_CONCURRENCY, timers.now());
+      server.health().recordResponse(timers.now());
+      server.load().recordReport(running[index] + ",0," + MAX_CONCURRENCY, timers.now());
       if (scenario.detecting()) {
         attempt.recordResult(head, timers.now());
       }
@@ -151,9 +151,9 @@
       }
       Server other =
           scenario.detecting() && repeatable && attempted.size() == 1
-              ? servers.pick(route(true), Prompt.NONE, attempted)
+              ? servers.picker().pick(route(true), Prompt.NONE, attempted)
               : null;
-      if (other != null && !servers.isUnhealthy(other)) {
+      if (other != null && !servers.picker().isUnhealthy(other)) {
         send();
       } else {
         errors++;
--- a/gateway/src/test/java/elmsail/gateway/servers/SelectionModeTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/SelectionModeTest.java
@@ -63,12 +63,12 @@
   }
 
   private Server choose(SelectionMode mode, Server... attempted) {
-    return servers.pick(ROUTE, Prompt.NONE, Set.of(attempted), mode);
+    return servers.picker().pick(ROUTE, Prompt.NONE, Set.of(attempted), mode);
   }
 
   @Test
   void ejectedServerIsSkippedInEveryMode() {
-    all.get(0).recordError(timers.now());
+    all.get(0).health().recordError(timers.now());
     for (SelectionMode mode : SelectionMode.values()) {
       for (int i = 0; i < 8; i++) {
         assertThat(mode.name(), choose(mode), is(not(sameInstance(all.get(0)))));
@@ -78,7 +78,7 @@
 
   @Test
   void afterAnErrorARecentlySuccessfulServerIsPicked() {
-    all.get(2).recordSuccess(timers.now());
+    all.get(2).health().recordSuccess(timers.now());
     for (int i = 0; i < 8; i++) {
       assertThat(choose(SelectionMode.AFTER_ERROR, all.get(0)), is(sameInstance(all.get(2))));
     }
@@ -86,8 +86,8 @@
 
   @Test
   void withoutRecentSuccessANonErringServerIsPicked() {
-    all.get(0).recordError(timers.now());
-    all.get(1).recordError(timers.now());
+    all.get(0).health().recordError(timers.now());
+    all.get(1).health().recordError(timers.now());
     for (int i = 0; i < 8; i++) {
       assertThat(
           choose(SelectionMode.AFTER_ERROR, all.get(0), all.get(2)), is(sameInstance(all.get(3))));
@@ -96,7 +96,7 @@
 
   @Test
   void halfOpenServerIsProbedFirstWhenPreferred() {
-    all.get(0).recordError(timers.now());
+    all.get(0).health().recordError(timers.now());
     timers.advance(ErrorBackoff.INITIAL_EJECTION_MS);
     for (int i = 0; i < 8; i++) {
       assertThat(choose(SelectionMode.NOT_RETRYABLE), is(not(sameInstance(all.get(0)))));
@@ -112,7 +112,7 @@
 
   @Test
   void unreachableServerIsNotProbed() {
-    all.get(0).recordError(timers.now());
+    all.get(0).health().recordError(timers.now());
     timers.advance(ErrorBackoff.INITIAL_EJECTION_MS);
     all.get(0).recordFailure(timers.now());
     assertThat(choose(SelectionMode.PROBE_PREFERRED), is(not(sameInstance(all.get(0)))));
@@ -121,9 +121,9 @@
   @Test
   void atMostHalfOfTheServersAreEjected() {
     for (Server server : all) {
-      server.recordError(timers.now());
+      server.health().recordError(timers.now());
     }
-    long ejected = all.stream().filter(s -> s.isEjected(false, timers.now())).count();
+    long ejected = all.stream().filter(s -> s.health().isEjected(false, timers.now())).count();
     assertThat(ejected, is(2L));
   }
 }
--- a/gateway/src/test/java/elmsail/gateway/servers/ServerSelectionModelTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/ServerSelectionModelTest.java
@@ -117,7 +117,7 @@
     }
 
     private void carry(String to, LoadReport report) {
-      timers.schedule(DATAGRAM_MS, () -> exchanges.get(to).heard(report));
+      timers.schedule(DATAGRAM_MS, () -> exchanges.get(to).onReport(report));
     }
 
     /** The share of requests whose first token came in time, at that share of capacity. */
@@ -141,7 +141,7 @@
           yield all.get(draws.nextInt(all.size()));
         }
         case ORACLE -> fastest(gateway.serversOf("s"));
-        default -> gateway.pick(ROUTE, prompt, Set.of());
+        default -> gateway.picker().pick(ROUTE, prompt, Set.of());
       };
     }
 
@@ -211,7 +211,7 @@
       Servers gateway = world.gateways.get(world.draws.nextInt(world.gateways.size()));
       Server server = world.pick(gateway, prompt);
       boolean admission = world.choice == Choice.SHARED_WITH_ADMISSION;
-      if (admission && gateway.rejects(server, prompt, LATENCY_TARGET_MS)) {
+      if (admission && gateway.picker().rejects(server, prompt, LATENCY_TARGET_MS)) {
         return;
       }
       Attempt attempt = new Attempt(server, this, this, since);
@@ -230,14 +230,14 @@
             @Override
             public void onFirstToken() {
               firstAt = world.timers.now();
-              server.recordResponse(firstAt);
+              server.health().recordResponse(firstAt);
               attempt.onHead(OK);
               world.inAim += world.timers.now() - since <= LATENCY_TARGET_MS ? 1 : 0;
             }
 
             @Override
             public void onEnded() {
-              server.recordSlotHoldTime(world.timers.now() - firstAt);
+              server.load().recordSlotHoldTime(world.timers.now() - firstAt);
               attempt.onComplete();
             }
           };
--- a/gateway/src/test/java/elmsail/gateway/servers/ServerTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/ServerTest.java
@@ -53,101 +53,102 @@
   @Test
   void failedConnectsAreAvoidedWithGrowingBackoff() {
     server.recordFailure(1_000);
-    assertThat(server.isSuspect(1_249), is(true));
-    assertThat(server.isSuspect(1_250), is(false));
-    assertThat(server.isConnectionDoubtful(5_000), is(true));
+    assertThat(server.health().isSuspect(1_249), is(true));
+    assertThat(server.health().isSuspect(1_250), is(false));
+    assertThat(server.health().isConnectionDoubtful(5_000), is(true));
     server.recordFailure(2_000);
-    assertThat(server.isSuspect(2_499), is(true));
+    assertThat(server.health().isSuspect(2_499), is(true));
     for (int i = 0; i < 10; i++) {
       server.recordFailure(10_000L * (i + 1));
     }
-    assertThat(server.isSuspect(102_999), is(true));
-    assertThat(server.isSuspect(103_000), is(false));
-    server.recordResponse(102_000);
-    assertThat(server.isSuspect(102_000), is(false));
-    assertThat(server.isConnectionDoubtful(102_000), is(false));
+    assertThat(server.health().isSuspect(102_999), is(true));
+    assertThat(server.health().isSuspect(103_000), is(false));
+    server.health().recordResponse(102_000);
+    assertThat(server.health().isSuspect(102_000), is(false));
+    assertThat(server.health().isConnectionDoubtful(102_000), is(false));
   }
 
   @Test
   void secondBrokenResponseCountsAsAFailure() {
     server.recordBrokenResponse(1_000);
-    assertThat(server.isSuspect(1_000), is(false));
-    server.recordResponse(1_001);
+    assertThat(server.health().isSuspect(1_000), is(false));
+    server.health().recordResponse(1_001);
     server.recordBrokenResponse(1_002);
-    assertThat(server.isSuspect(1_002), is(false));
+    assertThat(server.health().isSuspect(1_002), is(false));
     server.recordBrokenResponse(1_003);
-    assertThat(server.isSuspect(1_003), is(true));
+    assertThat(server.health().isSuspect(1_003), is(true));
   }
 
   @Test
   void silenceWithOpenRequestsMakesTheServerSuspect() {
-    assertThat(server.isSuspect(9_000), is(false));
+    assertThat(server.health().isSuspect(9_000), is(false));
     Attempt one = begin(1_000, false);
-    assertThat(server.isSuspect(1_000 + Server.SUSPECT_AFTER_MS), is(false));
-    assertThat(server.isSuspect(1_001 + Server.SUSPECT_AFTER_MS), is(true));
-    server.recordBytes(1_400);
-    assertThat(server.isSuspect(1_001 + Server.SUSPECT_AFTER_MS), is(false));
-    assertThat(server.isUnresponsive(1_401 + Server.UNRESPONSIVE_AFTER_MS), is(true));
+    assertThat(server.health().isSuspect(1_000 + ServerHealth.SUSPECT_AFTER_MS), is(false));
+    assertThat(server.health().isSuspect(1_001 + ServerHealth.SUSPECT_AFTER_MS), is(true));
+    server.health().recordBytes(1_400);
+    assertThat(server.health().isSuspect(1_001 + ServerHealth.SUSPECT_AFTER_MS), is(false));
+    assertThat(
+        server.health().isUnresponsive(1_401 + ServerHealth.UNRESPONSIVE_AFTER_MS), is(true));
     one.timedOut(2_900);
-    assertThat(server.openAttemptCount(), is(0));
-    assertThat(server.isSuspect(3_000), is(true));
+    assertThat(server.openAttempts().size(), is(0));
+    assertThat(server.health().isSuspect(3_000), is(true));
   }
 
   @Test
   void timeoutBesideServedRequestsIsIgnored() {
     Attempt one = begin(1_000, false);
-    server.recordBytes(2_900);
+    server.health().recordBytes(2_900);
     one.timedOut(3_000);
-    assertThat(server.isSuspect(3_000), is(false));
+    assertThat(server.health().isSuspect(3_000), is(false));
   }
 
   @Test
   void reportedLoadIsParsedAndAges() {
-    server.recordReportedLoad("10,4,24", 1_000);
-    assertThat(server.runningRequests(1_000), is(closeTo(10, 1e-9)));
-    assertThat(server.queuedRequests(1_000), is(closeTo(4, 1e-9)));
-    assertThat(server.queuedRequests(1_200), is(closeTo(2, 1e-9)));
-    assertThat(server.runningRequests(30_000), is(lessThan(1.0)));
+    server.load().recordReport("10,4,24", 1_000);
+    assertThat(server.load().runningRequests(1_000), is(closeTo(10, 1e-9)));
+    assertThat(server.load().queuedRequests(1_000), is(closeTo(4, 1e-9)));
+    assertThat(server.load().queuedRequests(1_200), is(closeTo(2, 1e-9)));
+    assertThat(server.load().runningRequests(30_000), is(lessThan(1.0)));
     begin(1_000, false);
-    assertThat(server.runningRequests(1_000), is(closeTo(11, 1e-9)));
-    assertThat(server.runningRequests(90_000), is(closeTo(1, 0.5)));
+    assertThat(server.load().runningRequests(1_000), is(closeTo(11, 1e-9)));
+    assertThat(server.load().runningRequests(90_000), is(closeTo(1, 0.5)));
   }
 
   @Test
   void malformedLoadIsIgnored() {
-    server.recordReportedLoad("x", 1_000);
-    server.recordReportedLoad("1,2", 1_000);
-    server.recordReportedLoad("a,b,c", 1_000);
-    assertThat(server.runningRequests(1_000), is(closeTo(0, 1e-9)));
+    server.load().recordReport("x", 1_000);
+    server.load().recordReport("1,2", 1_000);
+    server.load().recordReport("a,b,c", 1_000);
+    assertThat(server.load().runningRequests(1_000), is(closeTo(0, 1e-9)));
   }
 
   @Test
   void prefillTokensAreCountedUntilTheResponseStarts() {
     Attempt one = begin(1_000, false);
-    assertThat(server.ownPendingPrefillTokens(), is(500));
+    assertThat(server.load().ownLoad().pendingPrefillTokens(), is(500));
     one.onHead(head());
-    assertThat(server.ownPendingPrefillTokens(), is(0));
+    assertThat(server.load().ownLoad().pendingPrefillTokens(), is(0));
     one.cancel();
-    assertThat(server.ownPendingPrefillTokens(), is(0));
+    assertThat(server.load().ownLoad().pendingPrefillTokens(), is(0));
     begin(1_000, false).cancel();
-    assertThat(server.ownPendingPrefillTokens(), is(0));
-    assertThat(server.openAttemptCount(), is(0));
+    assertThat(server.load().ownLoad().pendingPrefillTokens(), is(0));
+    assertThat(server.openAttempts().size(), is(0));
   }
 
   @Test
   void itemsGetTheRemainingCapacity() {
     assertThat(server.availableItemCapacity(1_000), is(12));
-    server.recordReportedLoad("12,0,24", 1_000);
+    server.load().recordReport("12,0,24", 1_000);
     assertThat(server.availableItemCapacity(1_000), is(4));
-    server.recordReportedLoad("20,0,24", 1_000);
+    server.load().recordReport("20,0,24", 1_000);
     assertThat(server.availableItemCapacity(1_000), is(0));
-    server.recordReportedLoad("2,3,24", 1_000);
+    server.load().recordReport("2,3,24", 1_000);
     assertThat(server.availableItemCapacity(1_000), is(0));
-    server.recordReportedLoad("0,0,24", 1_000);
+    server.load().recordReport("0,0,24", 1_000);
     begin(1_000, true);
     assertThat("prompts are not begun together", server.availableItemCapacity(1_079), is(0));
     assertThat(server.availableItemCapacity(1_080), is(11));
-    server.markMisdirected();
+    server.health().markMisdirected();
     assertThat("another has its address", server.availableItemCapacity(1_080), is(0));
     server.markRemoved();
     assertThat(server.availableItemCapacity(1_000), is(0));
@@ -155,9 +156,9 @@
 
   @Test
   void keepAliveTimeoutIsParsed() {
-    assertThat(ServerConnection.keepAliveTimeoutMs("timeout=9"), is(9_000L));
-    assertThat(ServerConnection.keepAliveTimeoutMs("max=3, timeout=2"), is(2_000L));
-    assertThat(ServerConnection.keepAliveTimeoutMs("timeout=x"), is(0L));
-    assertThat(ServerConnection.keepAliveTimeoutMs("max=3"), is(1_000L));
+    assertThat(KeepAlive.timeoutMs("timeout=9"), is(9_000L));
+    assertThat(KeepAlive.timeoutMs("max=3, timeout=2"), is(2_000L));
+    assertThat(KeepAlive.timeoutMs("timeout=x"), is(0L));
+    assertThat(KeepAlive.timeoutMs("max=3"), is(1_000L));
   }
 }
--- a/gateway/src/test/java/elmsail/gateway/servers/ServersTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/ServersTest.java
@@ -63,7 +63,7 @@
   }
 
   private Server choose(Route route) {
-    return servers.pick(route, Prompt.NONE, Set.of());
+    return servers.picker().pick(route, Prompt.NONE, Set.of());
   }
 
   @Test
@@ -125,7 +125,7 @@
         int first = 0;
         for (int i = 0; i < requests; i++) {
           Servers door = doors.get(chance.nextInt(gateways));
-          first += door.pick(route, Prompt.NONE, Set.of()).id().equals("a") ? 1 : 0;
+          first += door.picker().pick(route, Prompt.NONE, Set.of()).id().equals("a") ? 1 : 0;
         }
         farthest = Math.max(farthest, Math.abs(first / (double) requests - weight / 100.0));
       }
@@ -227,7 +227,7 @@
   void longPromptIsNotRejectedForItsOwnLength() {
     list(entry("a", "s", "z1", false));
     Server idle = choose(route(new Route.WeightedService("s", 1)));
-    assertThat(servers.rejects(idle, Prompt.parse("own:90000", null), 100), is(false));
+    assertThat(servers.picker().rejects(idle, Prompt.parse("own:90000", null), 100), is(false));
   }
 
   @Test
@@ -236,10 +236,10 @@
     Set<Server> been = new HashSet<>();
     Route route = route(new Route.WeightedService("s", 1));
     for (int i = 0; i < 2; i++) {
-      been.add(servers.pick(route, Prompt.NONE, been));
+      been.add(servers.picker().pick(route, Prompt.NONE, been));
     }
     assertThat(been.size(), is(2));
-    assertThat(servers.pick(route, Prompt.NONE, been), is(nullValue()));
+    assertThat(servers.picker().pick(route, Prompt.NONE, been), is(nullValue()));
   }
 
   @Test
@@ -254,9 +254,11 @@
     for (int i = 0; i < 60; i++) {
       Prompt prompt = Prompt.parse("top:300,part" + i + ":600,own" + i + ":100", null);
       Route route = route(new Route.WeightedService("s", 1));
-      Server mine = servers.pick(route, prompt, Set.of());
+      Server mine = servers.picker().pick(route, prompt, Set.of());
       Server others =
-          other.pick(route, Prompt.parse("top:300,part" + i + ":600,else:100", null), Set.of());
+          other
+              .picker()
+              .pick(route, Prompt.parse("top:300,part" + i + ":600,else:100", null), Set.of());
       assertThat(mine.id(), is(others.id()));
       assertThat(mine.entry().zone(), is("z1"));
       homes.add(mine.id());
