--- a/gateway/src/main/java/elmsail/gateway/frontend/package-info.java
+++ b/gateway/src/main/java/elmsail/gateway/frontend/package-info.java
@@ -1,5 +1,4 @@
 /**
- * The connections of clients: bytes in, requests out, and answers written back in the order of
- * their requests. Limits on heads, bodies and idle time are kept here.
+ * The side of clients: the listener, connections with their timeouts and limits, and responses.
  */
 package elmsail.gateway.frontend;
--- a/gateway/src/main/java/elmsail/gateway/http/package-info.java
+++ b/gateway/src/main/java/elmsail/gateway/http/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What the gateway's packages share of HTTP: the names of headers, and the counters of what happens
+ * What the packages of the gateway share of HTTP: header names, and the counters of what happens
  * to requests.
  */
 package elmsail.gateway.http;
--- a/gateway/src/main/java/elmsail/gateway/load/package-info.java
+++ b/gateway/src/main/java/elmsail/gateway/load/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What gateways tell each other of the requests they have open at each server, so that the choice
- * of a server rests on the load of all gateways where the servers tell none.
+ * The exchange of loads between gateways: how many requests all of them have open at each server,
+ * for servers that do not report their load themselves.
  */
 package elmsail.gateway.load;
--- a/gateway/src/main/java/elmsail/gateway/package-info.java
+++ b/gateway/src/main/java/elmsail/gateway/package-info.java
@@ -1,2 +1,2 @@
-/** The data plane: clients' requests, streams and jobs at the counter. */
+/** The data plane: client requests, streams and batch calls, forwarded to servers. */
 package elmsail.gateway;
--- a/gateway/src/main/java/elmsail/gateway/servers/package-info.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The servers as the gateway sees them: which are in the list, how loaded each is, which is chosen
- * for an attempt, and the connections that are kept to them.
+ * The servers as the gateway sees them: which are listed, their load and health, which one an
+ * attempt gets, and the connections to them.
  */
 package elmsail.gateway.servers;
