--- a/consensus/src/test/java/elmsail/consensus/SingleJoinModel.java
+++ b/consensus/src/test/java/elmsail/consensus/SingleJoinModel.java
@@ -138,16 +138,7 @@
       acknowledge(state, other, bit);
       boolean joined = Integer.bitCount(state[ACKED]) >= required && (state[ACKED] & bit) != 0;
       if (joined || defect == Defect.COPY_BEFORE_CLAIM) {
-        int[] next = state.clone();
-        AcceptorState theirs = key(state, other);
-        if (defect == Defect.PROMISES_NOT_COPIED || defect == Defect.PROMISE_OUTLIVES_INCARNATION) {
-          theirs =
-              new AcceptorState(
-                  theirs.accepted(), theirs.accepted(), theirs.fromStateTransfer(), theirs.value());
-        }
-        put(next, N, key(state, N).mergeTransferred(theirs));
-        next[COPIED] |= bit;
-        push(next);
+        transferState(state, other, bit);
       }
     }
     if (state[VOTING] == 0
@@ -169,6 +160,19 @@
     }
   }
 
+  private void transferState(int[] state, int other, int bit) {
+    int[] next = state.clone();
+    AcceptorState theirs = key(state, other);
+    if (defect == Defect.PROMISES_NOT_COPIED || defect == Defect.PROMISE_OUTLIVES_INCARNATION) {
+      theirs =
+          new AcceptorState(
+              theirs.accepted(), theirs.accepted(), theirs.fromStateTransfer(), theirs.value());
+    }
+    put(next, N, key(state, N).mergeTransferred(theirs));
+    next[COPIED] |= bit;
+    push(next);
+  }
+
   private void acknowledge(int[] state, int other, int bit) {
     JoinRequest request = new JoinRequest();
     request.slot = A;
