--- a/consensus/src/test/java/elmsail/consensus/BlobSecondLossTest.java
+++ b/consensus/src/test/java/elmsail/consensus/BlobSecondLossTest.java
@@ -5,17 +5,14 @@
 import static org.hamcrest.Matchers.greaterThan;
 import static org.hamcrest.Matchers.is;
 
-import elmsail.consensus.Register.ProposedValue;
-import elmsail.rpc.messages.Blob;
 import java.util.HashSet;
-import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
 /**
- * Blobs lie at a majority only. Each join copies from N - q + 1 other voting holders, so that each
- * blob is at a majority of the holders again: shown for all placements and sources as sets of
- * slots, and played with replicas.
+ * A blob is stored at a majority of the voters only. Each join copies from N - q + 1 other voters,
+ * so that each blob is at a majority again: checked for all placements and sources as sets of
+ * slots, and with replicas.
  */
 class BlobSecondLossTest {
   private int states;
@@ -76,18 +73,7 @@
   private void putWithout(int without) {
     cluster = new SimCluster().bootstrapped();
     cluster.kill(without);
-    Blob blob = new Blob();
-    blob.name = "body";
-    blob.bytes = new byte[20_000];
-    cluster.await(
-        cluster
-            .client(cluster.initialVoters)
-            .change(
-                "key",
-                observed -> new ProposedValue(new byte[] {1}, List.of()),
-                List.of(blob),
-                null,
-                3_000));
+    cluster.put("value", SimCluster.blob("body", 20_000));
     cluster.start(without);
     cluster.timers.advance(50);
     assertThat(cluster.replicas[without].blob("key", "body") == null, is(true));
@@ -114,7 +100,9 @@
     cluster.kill(lost);
   }
 
-  /** One member lacks the blob; one is lost and made whole; right after it another is lost. */
+  /**
+   * One voter lacks the blob; one loses its disk and joins again; right after it another is lost.
+   */
   @Test
   void blobSurvivesALossRightAfterAJoin() {
     int played = 0;
--- a/consensus/src/test/java/elmsail/consensus/JoinInVainTest.java
+++ b/consensus/src/test/java/elmsail/consensus/JoinInVainTest.java
@@ -1,19 +1,17 @@
 package elmsail.consensus;
 
-import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.hamcrest.MatcherAssert.assertThat;
 import static org.hamcrest.Matchers.empty;
 import static org.hamcrest.Matchers.is;
 
-import elmsail.consensus.Register.ProposedValue;
 import elmsail.rpc.messages.VoterSet;
-import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /**
- * A member that comes back without its disk, knows the founding only, and claims a slot that it
- * held once and that another votes in now. In all orders of the answers, with each of the others
- * up, late or down, the set keeps its majority, and gets the member back where it has a slot.
+ * A replica comes back without its disk, knows the initial voters only, and claims a slot that it
+ * held once and in which another votes now. For all orders of the responses, with each of the
+ * others up, late or down, the set keeps its majority, and the replica votes again where it has a
+ * slot.
  */
 class JoinInVainTest {
   private static final long LATE_MS = 1_500;
@@ -22,28 +20,10 @@
   private SimCluster cluster;
   private String scenario;
 
-  private void put(String value) {
-    cluster.await(
-        cluster
-            .client(cluster.initialVoters)
-            .change(
-                "key",
-                observed -> new ProposedValue(value.getBytes(UTF_8), List.of()),
-                List.of(),
-                null,
-                3_000));
-  }
-
-  private String read() {
-    return new String(
-        cluster.await(cluster.client(cluster.initialVoters).read("key", null, 5_000)).value(),
-        UTF_8);
-  }
-
-  /** Slots 0 to 2 are held by 2, 1 and 3; 0 doesn't know that it was replaced. */
+  /** Slots 0 to 2 are those of replicas 2, 1 and 3; 0 doesn't know that it was replaced. */
   private void clusterWithMovedSlots() {
     cluster = new SimCluster().bootstrapped();
-    put("old");
+    cluster.put("old");
     cluster.net.isolate(SimCluster.ADDRESSES[2]);
     cluster.replicas[3].learn(cluster.initialVoters);
     cluster.replicas[3].join(2, 2);
@@ -55,7 +35,7 @@
     cluster.replicas[2].join(0, 2);
     cluster.awaitVoting(2, 5_000);
     assertThat(cluster.replicas[2].isVoting() && cluster.replicas[3].isVoting(), is(true));
-    put("new");
+    cluster.put("new");
   }
 
   private void restartAllWithOneWiped(boolean formerIsUp, boolean successorIsLate) {
@@ -80,7 +60,7 @@
     }
   }
 
-  /** The wiped member's calls to 0, 1 and 3 are fast or slow. */
+  /** Makes the wiped replica's calls to 0, 1 and 3 fast or slow. */
   private void delayResponses(int slow) {
     int[] others = {0, 1, 3};
     for (int i = 0; i < others.length; i++) {
@@ -107,27 +87,27 @@
             cluster.replicas[2].voterSet().voters.get(0).address,
             is(SimCluster.ADDRESSES[2]));
         cluster.kill(1);
-        assertThat(scenario, read(), is("new"));
+        assertThat(scenario, cluster.read(5_000), is("new"));
         assertThat(scenario, cluster.net.handlerFaults(), empty());
         played++;
       }
     }
-    System.out.println("a join of a slot held before: " + played + " orders, none in vain");
+    System.out.println("join of a former slot: " + played + " orders, none failed");
   }
 
-  /** Its slot is another's for good: the other two vote on, and it is a spare that can be sent. */
+  /** Its slot is another's for good: the others go on voting, and it can join as a spare. */
   @Test
   void wipedMemberWhoseSlotWasTakenYieldsAndIsASpare() {
     for (int slow = 0; slow < 8; slow++) {
       for (int kind = 0; kind < 2; kind++) {
         scenario = "slow " + slow + ", kind " + kind;
         cluster = new SimCluster().bootstrapped();
-        put("old");
+        cluster.put("old");
         cluster.net.isolate(SimCluster.ADDRESSES[2]);
         cluster.replicas[3].learn(cluster.initialVoters);
         cluster.replicas[3].join(2, 2);
         cluster.awaitVoting(3, 5_000);
-        put("new");
+        cluster.put("new");
         delayResponses(slow);
         for (int i = 0; i < SimCluster.ADDRESSES.length; i++) {
           cluster.kill(i);
@@ -142,20 +122,20 @@
         cluster.timers.advance(6_000);
         assertThat(
             scenario, cluster.replicas[1].isVoting() && cluster.replicas[3].isVoting(), is(true));
-        assertThat(scenario, read(), is("new"));
+        assertThat(scenario, cluster.read(5_000), is("new"));
         cluster.replicas[2].join(0, 2);
         cluster.awaitVoting(2, 5_000);
         assertThat(scenario, cluster.replicas[2].isVoting(), is(true));
         cluster.kill(1);
-        assertThat(scenario, read(), is("new"));
+        assertThat(scenario, cluster.read(5_000), is("new"));
       }
     }
   }
 
   /**
-   * All of: a spare's take-over of slot 2 that is known at 0, at 1, or at nobody; then one of the
-   * three loses its memory, or none; the spare lives on, or is gone for good where the set bears
-   * that; each order of the answers to the wiped member.
+   * All combinations: a spare's take-over of slot 2 is known at 0, at 1, or nowhere; then one of
+   * the three loses its disk, or none; the spare goes on, or never comes back if the set tolerates
+   * that; each order of the responses to the wiped replica.
    */
   @Test
   void unfinishedTakeOverAndOneLossRecoverInAllOrders() {
@@ -177,7 +157,7 @@
 
   private void playUnfinishedTakeOver(int knows, int wiped, boolean gone, int slow) {
     cluster = new SimCluster().bootstrapped();
-    put("new");
+    cluster.put("new");
     for (int i = 0; i < 2; i++) {
       if (i != knows) {
         cluster.net.cutBoth(SimCluster.ADDRESSES[3], SimCluster.ADDRESSES[i]);
@@ -210,11 +190,11 @@
       continue;
     }
     assertThat(scenario, votingSlots() >= least, is(true));
-    assertThat(scenario, read(), is("new"));
+    assertThat(scenario, cluster.read(5_000), is("new"));
     assertThat(scenario, cluster.net.handlerFaults(), empty());
   }
 
-  /** Slots of the newest voter set whose holders vote. */
+  /** The number of slots of the newest voter set whose voters vote. */
   private int votingSlots() {
     VoterSet newest = cluster.initialVoters;
     for (int i = 0; i < SimCluster.ADDRESSES.length; i++) {
--- a/consensus/src/test/java/elmsail/consensus/RegisterTest.java
+++ b/consensus/src/test/java/elmsail/consensus/RegisterTest.java
@@ -15,7 +15,6 @@
 import elmsail.consensus.Register.ProposedValue;
 import elmsail.consensus.Register.VersionedValue;
 import elmsail.rpc.messages.AcceptRequest;
-import elmsail.rpc.messages.Blob;
 import elmsail.rpc.messages.PrepareRequest;
 import elmsail.rpc.messages.VoteResponse;
 import elmsail.runtime.ElmsailException;
@@ -63,13 +62,6 @@
         assertThrows(CompletionException.class, () -> cluster.await(future)));
   }
 
-  private static Blob blob(String name, int bytes) {
-    Blob blob = new Blob();
-    blob.name = name;
-    blob.bytes = new byte[bytes];
-    return blob;
-  }
-
   @Test
   void bootstrapMakesVotersAtOnceAndOnlyOnce() {
     assertThat(cluster.replicas[0].isVoting(), is(false));
@@ -229,8 +221,9 @@
         cluster.await(
             client.change(
                 "lot/1",
-                observed -> new ProposedValue("v".getBytes(UTF_8), List.of(blob("two", 9))),
-                List.of(blob("one", 5_000)),
+                observed ->
+                    new ProposedValue("v".getBytes(UTF_8), List.of(SimCluster.blob("two", 9))),
+                List.of(SimCluster.blob("one", 5_000)),
                 null,
                 3_000));
     assertThat(committed.changed(), is(true));
@@ -259,7 +252,7 @@
           client.change(
               "lot/" + i,
               observed -> new ProposedValue(new byte[200], List.of()),
-              List.of(blob("body", 100_000)),
+              List.of(SimCluster.blob("body", 100_000)),
               null,
               3_000));
     }
@@ -285,7 +278,7 @@
         client.change(
             "key",
             observed -> new ProposedValue("1".getBytes(UTF_8), List.of()),
-            List.of(blob("b", 50)),
+            List.of(SimCluster.blob("b", 50)),
             null,
             3_000));
     cluster.kill(1);
--- a/consensus/src/test/java/elmsail/consensus/ReplacedVoterTest.java
+++ b/consensus/src/test/java/elmsail/consensus/ReplacedVoterTest.java
@@ -8,43 +8,21 @@
 import static org.hamcrest.Matchers.not;
 import static org.hamcrest.Matchers.nullValue;
 
-import elmsail.consensus.Register.ProposedValue;
-import elmsail.rpc.messages.Blob;
 import elmsail.rpc.messages.JoinResponse;
 import elmsail.rpc.messages.Voter;
 import elmsail.rpc.messages.VoterSet;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A spare's claim that can't be finished, and another holder that loses its memory. */
+/** A spare's join that cannot complete, and another voter that loses its disk. */
 class ReplacedVoterTest {
   private final SimCluster cluster = new SimCluster();
 
   private void put(String value) {
-    Blob blob = new Blob();
-    blob.name = "blob " + value;
-    blob.bytes = new byte[9];
-    cluster.await(
-        cluster
-            .client(cluster.initialVoters)
-            .change(
-                "key",
-                observed -> new ProposedValue(value.getBytes(UTF_8), List.of()),
-                List.of(blob),
-                null,
-                3_000));
+    cluster.put(value, SimCluster.blob("blob " + value, 9));
   }
 
-  private String read() {
-    return new String(
-        cluster.await(cluster.client(cluster.initialVoters).read("key", null, 3_000)).value(),
-        UTF_8);
-  }
-
-  /**
-   * What the last change made is only at voter slots 0 and 2; the spare's claim of voter slot 0 is
-   * known at 1 alone.
-   */
+  /** The last change is at voters 0 and 2 only; the spare's claim of slot 0 is known at 1 alone. */
   private void joinOfSpareKnownAtOneVoter() {
     cluster.bootstrapped();
     put("old");
@@ -71,10 +49,10 @@
     cluster.awaitVoting(2, 10_000);
     cluster.awaitVoting(3, 10_000);
     assertThat(cluster.replicas[2].isVoting() && cluster.replicas[3].isVoting(), is(true));
-    assertThat(read(), is("new"));
+    assertThat(cluster.read(3_000), is("new"));
     cluster.kill(1);
     cluster.kill(0);
-    assertThat(read(), is("new"));
+    assertThat(cluster.read(3_000), is("new"));
     assertThat(cluster.replicas[2].blob("key", "blob new").length, is(9));
     assertThat(cluster.replicas[3].blob("key", "blob new").length, is(9));
     assertThat(cluster.net.handlerFaults(), empty());
@@ -155,10 +133,10 @@
     cluster.awaitVoting(0, 5_000);
     assertThat(cluster.replicas[0].voterSet().voters.get(1).address, is(SimCluster.ADDRESSES[0]));
     assertThat(cluster.replicas[0].isVoting(), is(true));
-    assertThat(read(), is("new"));
+    assertThat(cluster.read(3_000), is("new"));
   }
 
-  /** It acknowledges as who it was, and has nothing of what its successor voted for. */
+  /** It acknowledges as a voter, and has nothing of what its successor voted for. */
   @Test
   void replacedVoterIsNoSourceOnceItsSuccessorVotes() {
     cluster.bootstrapped();
@@ -178,10 +156,10 @@
     cluster.awaitVoting(2, 10_000);
     assertThat(cluster.replicas[2].isVoting(), is(true));
     cluster.kill(3);
-    assertThat(read(), is("new"));
+    assertThat(cluster.read(3_000), is("new"));
   }
 
-  /** Else it would raise its epoch, and take the voter slot from one that has just been voting. */
+  /** Otherwise it would raise its epoch, and take the slot from one that votes. */
   @Test
   void restartedSpareStillYieldsToARival() {
     cluster.bootstrapped();
@@ -203,7 +181,7 @@
     assertThat(cluster.replicas[3].voterSet().voters.get(0).address, is(SimCluster.ADDRESSES[0]));
   }
 
-  /** The two that are gone refuse its calls before the third tells it of the newer voter set. */
+  /** The two that are down refuse its calls before the third responds with the newer voter set. */
   @Test
   void clientLearnsOfANewerVoterSetFromALateResponse() {
     cluster.bootstrapped();
@@ -215,7 +193,7 @@
     cluster.kill(1);
     cluster.net.delay(20, 20);
     for (int i = 0; i < 10; i++) {
-      assertThat(read(), is("new"));
+      assertThat(cluster.read(3_000), is("new"));
       put("new");
     }
   }
--- a/consensus/src/test/java/elmsail/consensus/ReplicaMetricsTest.java
+++ b/consensus/src/test/java/elmsail/consensus/ReplicaMetricsTest.java
@@ -7,9 +7,7 @@
 import static org.hamcrest.Matchers.is;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import elmsail.consensus.Register.ProposedValue;
 import elmsail.rpc.messages.Ballot;
-import elmsail.rpc.messages.Blob;
 import elmsail.rpc.messages.VoteResponse;
 import elmsail.runtime.Counters;
 import elmsail.runtime.Invariant;
@@ -21,7 +19,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What a replica tells of itself, and the invariant that it checks. */
+/** The metrics of a replica, and the invariant that it checks. */
 class ReplicaMetricsTest {
   private final SimCluster cluster = new SimCluster();
 
@@ -36,18 +34,7 @@
   }
 
   private void put(String value) {
-    Blob blob = new Blob();
-    blob.name = "blob " + value;
-    blob.bytes = new byte[9];
-    cluster.await(
-        cluster
-            .client(cluster.initialVoters)
-            .change(
-                "key",
-                observed -> new ProposedValue(value.getBytes(UTF_8), List.of()),
-                List.of(blob),
-                null,
-                3_000));
+    cluster.put(value, SimCluster.blob("blob " + value, 9));
   }
 
   @Test
--- a/consensus/src/test/java/elmsail/consensus/RivalClaimsTest.java
+++ b/consensus/src/test/java/elmsail/consensus/RivalClaimsTest.java
@@ -9,7 +9,7 @@
 import elmsail.rpc.messages.VoterSet;
 import org.junit.jupiter.api.Test;
 
-/** Two claims of one slot with one epoch: whoever heard of the loser first learns who won. */
+/** Two claims of one slot under one epoch: whoever knew the loser first learns the winner. */
 class RivalClaimsTest {
   private static Voter voter(String station, long instanceId, int epoch) {
     Voter voter = new Voter();
@@ -47,7 +47,7 @@
     assertThat("until the next epoch", VoterSets.merge(published, next).voters.get(1).epoch, is(3));
   }
 
-  /** Its disk tells that it votes, so it says so after a restart as well. */
+  /** Its disk has its epoch, so it is confirmed after a restart as well. */
   @Test
   void restartedVoterStillSupersedesTheOther() {
     Voter winner = voter("b", 22, 2);
@@ -68,7 +68,7 @@
     assertThat(third.isVoting(), is(true));
   }
 
-  /** The loser's own process gives its claim up. */
+  /** The loser's own process gives up its claim. */
   @Test
   void loserHoldsNoSlot() {
     Voter winner = voter("b", 22, 2);
--- a/consensus/src/test/java/elmsail/consensus/SimCluster.java
+++ b/consensus/src/test/java/elmsail/consensus/SimCluster.java
@@ -1,6 +1,9 @@
 package elmsail.consensus;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
+
 import elmsail.rpc.RpcClient;
+import elmsail.rpc.messages.Blob;
 import elmsail.rpc.messages.Voter;
 import elmsail.rpc.messages.VoterSet;
 import elmsail.runtime.ManualTimers;
@@ -9,6 +12,7 @@
 import elmsail.simulation.SimNetwork;
 import elmsail.simulation.SimNode;
 import elmsail.storage.RecordStore;
+import java.util.List;
 import java.util.concurrent.CompletableFuture;
 
 /** Three voters and a spare on the simulated network and disks. */
@@ -101,6 +105,30 @@
     }
   }
 
+  /** Commits a value of the key "key", by a new client, together with these blobs. */
+  void put(String value, Blob... blobs) {
+    await(
+        client(initialVoters)
+            .change(
+                "key",
+                observed -> new Register.ProposedValue(value.getBytes(UTF_8), List.of()),
+                List.of(blobs),
+                null,
+                3_000));
+  }
+
+  /** Reads the key "key", by a new client. */
+  String read(long timeoutMs) {
+    return new String(await(client(initialVoters).read("key", null, timeoutMs)).value(), UTF_8);
+  }
+
+  static Blob blob(String name, int bytes) {
+    Blob blob = new Blob();
+    blob.name = name;
+    blob.bytes = new byte[bytes];
+    return blob;
+  }
+
   <T> T await(CompletableFuture<T> future) {
     long end = timers.now() + 20_000;
     while (!future.isDone() && timers.now() < end && timers.runNext()) {
--- a/storage/src/test/java/elmsail/storage/DirectoryRecordStoreTest.java
+++ b/storage/src/test/java/elmsail/storage/DirectoryRecordStoreTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The records in a folder of the real file system, with their thread. */
+/** A store in a directory of the local file system, with its thread. */
 class DirectoryRecordStoreTest {
   @TempDir Path temp;
 
--- a/storage/src/test/java/elmsail/storage/LevelStorageTest.java
+++ b/storage/src/test/java/elmsail/storage/LevelStorageTest.java
@@ -18,14 +18,14 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * What the storage directory holds, and what a start has to read, stays level however many changes
- * were made: found by reading the directory, as one file a version is written.
+ * The size of the storage directory, and so what a start has to read, stays level however many
+ * changes are made. Measured by listing the directory.
  */
 class LevelStorageTest {
   private static final long MAX_BYTES = 64L << 20;
   private static final int CONFIG_BYTES = 24_000;
 
-  /** Beside the live records: as much again, this, and the file that is being written. */
+  /** Allowed beside twice the live records and the file that is being written. */
   private static final long DEAD_BYTES = 1L << 20;
 
   private static final int MAX_FILES = Compaction.BASE_FILES + 4;
@@ -33,16 +33,16 @@
   @TempDir Path temp;
   private final ArrayDeque<Runnable> completions = new ArrayDeque<>();
 
-  /** The largest that the directory and the index were within a stretch of changes. */
+  /** The largest size of the directory and of the index during some changes. */
   private static final class PeakUsage {
     long bytes;
     int files;
     int indexed;
 
     void add(Path dir, DirectoryRecordStore records) throws IOException {
-      long[] found = found(dir);
-      files = Math.max(files, (int) found[0]);
-      bytes = Math.max(bytes, found[1]);
+      Usage usage = usage(dir);
+      files = Math.max(files, usage.files());
+      bytes = Math.max(bytes, usage.bytes());
       indexed = Math.max(indexed, records.indexedNames());
     }
 
@@ -52,16 +52,19 @@
     }
   }
 
-  /** Count and bytes of the files. */
-  private static long[] found(Path dir) throws IOException {
-    long[] found = new long[2];
+  /** The files of a directory. */
+  private record Usage(int files, long bytes) {}
+
+  private static Usage usage(Path dir) throws IOException {
+    int files = 0;
+    long bytes = 0;
     try (Stream<Path> all = java.nio.file.Files.list(dir)) {
       for (Path file : all.toList()) {
-        found[0]++;
-        found[1] += java.nio.file.Files.size(file);
+        files++;
+        bytes += java.nio.file.Files.size(file);
       }
     }
-    return found;
+    return new Usage(files, bytes);
   }
 
   private DirectoryRecordStore open(Path dir) {
@@ -85,7 +88,7 @@
     return filled;
   }
 
-  /** As a voter writes them: each change of the configuration is a promise and an accept. */
+  /** Changes as a voter writes them: a promise and an accept of each configuration. */
   private PeakUsage configurations(DirectoryRecordStore records, Path dir, int from, int to)
       throws IOException {
     PeakUsage peak = new PeakUsage();
@@ -116,19 +119,20 @@
     reopened(dir, records, "head/k/timetable", filled(CONFIG_BYTES, 1_199));
   }
 
-  /** A new store reads the same records from no more files than there were. */
+  /** Checks that a new store reads the same records from no more files than there were. */
   private void reopened(Path dir, DirectoryRecordStore before, String name, byte[] newest)
       throws IOException {
     before.close();
-    long[] there = found(dir);
+    Usage usage = usage(dir);
     DirectoryRecordStore records = open(dir);
-    System.out.println("read at a start: " + there[0] + " files of " + there[1] + " bytes");
-    assertThat(there[0], lessThanOrEqualTo((long) MAX_FILES));
+    System.out.println(
+        "read at a start: " + usage.files() + " files of " + usage.bytes() + " bytes");
+    assertThat(usage.files(), lessThanOrEqualTo(MAX_FILES));
     assertThat(records.indexedNames(), lessThanOrEqualTo(before.indexedNames()));
     assertThat(records.read(name), is(newest));
   }
 
-  /** Batch jobs come and are dropped: the keys and blobs that ended leave nothing. */
+  /** Batch jobs are stored and dropped: their keys and blobs leave nothing behind. */
   @Test
   void removedKeysLeaveNothingBehind() throws IOException {
     Path dir = temp.resolve("jobs");
@@ -162,7 +166,7 @@
       assertThat(each.bytes, lessThan(2 * live + DEAD_BYTES + 20_000));
       assertThat(each.files, lessThanOrEqualTo(MAX_FILES));
     }
-    // Names of removals are kept while an old value lies in a file: as many as these files hold.
+    // The index keeps the names of removals while a file has an old value of them.
     assertThat(peaks.get(3).indexed, lessThanOrEqualTo(peaks.get(1).indexed + open));
     reopened(dir, records, "shelf/b/lot%2F1199/body", filled(6_000, 1_199));
   }
--- a/storage/src/test/java/elmsail/storage/PendingWriteTest.java
+++ b/storage/src/test/java/elmsail/storage/PendingWriteTest.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** A disk that hangs, refuses or is full, and the hand-over between the two threads. */
+/** Writes to a disk that hangs, fails or is full, and the hand-over between the two threads. */
 class PendingWriteTest {
   private static final Path DIR = Path.of("records");
 
@@ -81,7 +81,7 @@
     records.runOnce();
     CompletableFuture<Void> first = records.write(put("a", 2));
     fileSystem.refusalRate = 1;
-    // Taken by the turn, in one batch, with nothing behind it.
+    // The turn takes it as one batch, with nothing queued behind it.
     records.runOnce();
     CompletableFuture<Void> duringFailure = records.write(put("b", 3));
     fileSystem.refusalRate = 0;
@@ -138,7 +138,7 @@
     records.runOnce();
     runCompletions();
     assertThat(code(removal), nullValue());
-    // Rewritten over and over, the room is found again by compaction.
+    // Compaction frees the space of a record that is rewritten over and over.
     for (int i = 0; i < 300; i++) {
       CompletableFuture<Void> again = records.write(put("r/2", 10_000));
       records.runOnce();
@@ -167,10 +167,7 @@
     assertThat(records.indexedNames(), lessThan(100));
   }
 
-  /**
-   * One caller and the disk's thread, with compaction: what was written last is read, at any
-   * moment.
-   */
+  /** One caller and the disk's thread, with compaction: each read returns the last write. */
   @Test
   void callerReadsItsOwnWritesDuringCompaction() throws Exception {
     PowerLossFileSystem fileSystem = new PowerLossFileSystem(3);
--- a/storage/src/test/java/elmsail/storage/PowerLossFileSystem.java
+++ b/storage/src/test/java/elmsail/storage/PowerLossFileSystem.java
@@ -11,13 +11,13 @@
 import java.util.TreeMap;
 
 /**
- * A file system that can lose its power: before operation {@code lossAt}. It holds afterwards what
- * was synced, and of the rest each write and each name kept, lost or torn. It can refuse
- * operations, with or without having done them, and leave out its syncs (a defect that tests have
- * to notice).
+ * A file system in memory that loses its power before operation {@code powerLossAt}. Afterwards it
+ * has what was synced; each other write and each name is kept, lost or torn. It can fail
+ * operations, with or without having done them, and skip its syncs (a defect that tests have to
+ * detect).
  */
 final class PowerLossFileSystem implements FileSystem {
-  /** The machine has no power from here on. */
+  /** The machine has lost its power; an error, so that the store doesn't handle it. */
   static final class PowerLost extends Error {
     private static final long serialVersionUID = 1;
 
@@ -26,7 +26,7 @@
     }
   }
 
-  /** What becomes of that which was not synced. */
+  /** What becomes of all that was not synced. */
   enum UnsyncedFate {
     KEPT,
     LOST,
@@ -48,7 +48,7 @@
   int operations;
   int powerLossAt = Integer.MAX_VALUE;
 
-  /** Chance that an operation is refused. */
+  /** The probability that an operation fails. */
   double refusalRate;
 
   boolean skipFileSyncs;
@@ -74,7 +74,7 @@
     }
   }
 
-  /** The power goes and returns. */
+  /** Loses the power, and restores it. */
   synchronized void losePower(UnsyncedFate unsynced) {
     Map<String, Inode> left = new TreeMap<>(durableNames);
     for (NameChange change : unsyncedChanges) {
@@ -123,7 +123,7 @@
     inode.bytes = torn;
   }
 
-  /** For tests that spoil what lies there. */
+  /** The content of all files, for tests that corrupt them. */
   synchronized Map<String, byte[]> contents() {
     Map<String, byte[]> all = new TreeMap<>();
     names.forEach((name, inode) -> all.put(name, inode.bytes));
@@ -245,7 +245,7 @@
         if (!skipFileSyncs) {
           inode.synced = inode.bytes.length;
           inode.unsynced.clear();
-          // A new file lasts with its own sync.
+          // The sync of a new file makes its name durable too.
           for (NameChange change : unsyncedChanges) {
             if (change.created == inode) {
               durableNames.put(change.to, inode);
--- a/storage/src/test/java/elmsail/storage/PowerLossTest.java
+++ b/storage/src/test/java/elmsail/storage/PowerLossTest.java
@@ -13,11 +13,11 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-/** The power is lost at every operation; what was not synced is then kept, lost or torn. */
+/** Power losses at every operation; what was not synced is then kept, lost or torn. */
 class PowerLossTest {
   private static final int TORN_VARIANTS = 4;
 
-  /** Returns whether the power was lost before the story's end. */
+  /** Writes, loses the power and reopens; returns whether it was lost before the last write. */
   private static boolean writeUntilPowerLoss(
       Script script, int powerLossAt, UnsyncedFate unsynced, long chance, Totals totals) {
     PowerLossFileSystem fileSystem = new PowerLossFileSystem(script.seed * 31 + chance);
@@ -36,14 +36,14 @@
       writes.checkReads();
     } catch (PowerLost e) {
       lost = true;
-      // What was told before the loss counts, whoever heard of it.
+      // Completions before the power loss count, be they run or not.
       writes.runCompletions();
     }
     totals.compactions += writes.compactions();
     totals.acknowledgements += writes.acknowledgements;
     fileSystem.losePower(unsynced);
     writes.reopen();
-    // Life goes on, and a process that ends later loses nothing at all.
+    // The store goes on, and a later end of the process loses nothing at all.
     for (int i = 0; i < 5; i++) {
       writes.step();
     }
@@ -112,7 +112,7 @@
         AssertionError.class, () -> assertNoticed(fileSystem -> fileSystem.skipFileSyncs = true));
   }
 
-  /** A torn file under its last name is told as such: that counts as noticed too. */
+  /** A torn file under its final name is reported as such, which counts as detected too. */
   private static void assertNoticed(Consumer<PowerLossFileSystem> defect) {
     try {
       losePowerAtEachOperation(1, new Script(3, 20, 6, 200_000, 6, defect));
--- a/storage/src/test/java/elmsail/storage/RandomWrites.java
+++ b/storage/src/test/java/elmsail/storage/RandomWrites.java
@@ -12,9 +12,9 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Writes by chance to records on a file system that loses its power, and holds what is found
- * afterwards against what was acknowledged: exactly that, or with it the first few of the writes
- * under way, or of those of one failed batch that nothing was acknowledged after.
+ * Random writes to a store on a file system that loses its power. What is found afterwards is
+ * compared with what was acknowledged: it must be exactly that, possibly with the first few of the
+ * pending writes, or of one failed batch behind which nothing was acknowledged.
  */
 final class RandomWrites {
   private static final int[] SIZES = {
@@ -29,7 +29,7 @@
   private final ArrayDeque<Runnable> completions = new ArrayDeque<>();
   private final List<Write> pending = new ArrayList<>();
 
-  /** Failed since something was acknowledged last, by the failure that took them. */
+  /** The writes that failed since the last acknowledgement, one list for each failure. */
   private final List<List<Write>> failed = new ArrayList<>();
 
   private Map<String, byte[]> acknowledged = new TreeMap<>();
@@ -56,7 +56,7 @@
             Path.of("records"), maxBytes, completions::add, fileSystem, random.nextLong() | 1);
   }
 
-  /** One write by chance, and some turns of the disk. */
+  /** Makes one random write, and runs the disk's worker some turns. */
   void step() {
     List<Change> changes = new ArrayList<>();
     for (int i = random.nextInt(3); i >= 0; i--) {
@@ -104,7 +104,7 @@
         failures++;
       } else {
         if (!fell.isEmpty()) {
-          throw new AssertionError("acknowledged behind a failed write before that was told");
+          throw new AssertionError("acknowledged behind a failed write before that was reported");
         }
         failed.clear();
         apply(acknowledged, write);
@@ -126,7 +126,7 @@
     }
   }
 
-  /** What reads show now, with nothing waiting. */
+  /** Checks all reads, with nothing pending. */
   void checkReads() {
     assertReads(acknowledged, store, "read");
     Map<String, byte[]> paged = new TreeMap<>();
@@ -145,13 +145,13 @@
     }
   }
 
-  /** Opens after a loss of power or the end of the process, and checks what is there. */
+  /** Opens the store after a power loss or the end of the process, and checks its content. */
   void reopen() {
     long before = instanceId;
     open();
     instanceId = store.instanceId();
     if (before != 0 && before != instanceId) {
-      throw new AssertionError("another life");
+      throw new AssertionError("another instance id");
     }
     Map<String, byte[]> found = new TreeMap<>();
     for (String name : store.names("")) {
