--- a/gateway/src/main/java/elmsail/gateway/servers/ItemAdmission.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ItemAdmission.java
@@ -48,7 +48,7 @@
    * @param maxConcurrency its slots
    * @param running estimate of running requests and items of all gateways
    * @param queued estimate of queued ones
-   * @param gatewayItems this gateway's items there
+   * @param ownItems this gateway's items there
    * @param sinceLastItemMs since this gateway last started one there
    * @param loadSource where the estimates come from
    * @param pendingPrefillTokens prompt tokens that wait for prefill there
