--- a/gateway/src/main/java/elmsail/gateway/frontend/package-info.java
+++ b/gateway/src/main/java/elmsail/gateway/frontend/package-info.java
@@ -1,4 +1,2 @@
-/**
- * The side of clients: the listener, connections with their timeouts and limits, and responses.
- */
+/** The side of clients: the listener, connections with their timeouts and limits, and responses. */
 package elmsail.gateway.frontend;
--- a/gateway/src/test/java/elmsail/gateway/requests/RetryPolicyTest.java
+++ b/gateway/src/test/java/elmsail/gateway/requests/RetryPolicyTest.java
@@ -62,9 +62,7 @@
         RetryPolicy.selectionMode(IDEMPOTENT, 2, false, false), is(SelectionMode.NOT_RETRYABLE));
     assertThat(
         RetryPolicy.selectionMode(IDEMPOTENT, 1, false, true), is(SelectionMode.NOT_RETRYABLE));
-    assertThat(
-        RetryPolicy.selectionMode(UNSAFE, 0, false, false), is(SelectionMode.NOT_RETRYABLE));
-    assertThat(
-        RetryPolicy.selectionMode(IDEMPOTENT, 1, true, true), is(SelectionMode.AFTER_ERROR));
+    assertThat(RetryPolicy.selectionMode(UNSAFE, 0, false, false), is(SelectionMode.NOT_RETRYABLE));
+    assertThat(RetryPolicy.selectionMode(IDEMPOTENT, 1, true, true), is(SelectionMode.AFTER_ERROR));
   }
 }
