--- a/app/src/main/java/elmsail/app/ApplicationLauncher.java
+++ b/app/src/main/java/elmsail/app/ApplicationLauncher.java
@@ -84,10 +84,13 @@
       printHelp();
       return ExitCode.OK;
     }
+    // Also in a training run, so that the classes that this loads are in the archive.
+    String file =
+        commandLine.getOptionValue(SETTINGS, System.getenv(SettingsFile.ENVIRONMENT_VARIABLE));
     if (trainingRun) {
       return CdsTrainingRun.run(application, err);
     }
-    return runWithSettings(commandLine);
+    return runWithSettings(commandLine, file);
   }
 
   private static CommandLine parse(String... args) throws ParseException {
@@ -98,9 +101,7 @@
     return commandLine;
   }
 
-  private ExitCode runWithSettings(CommandLine commandLine) {
-    String file =
-        commandLine.getOptionValue(SETTINGS, System.getenv(SettingsFile.ENVIRONMENT_VARIABLE));
+  private ExitCode runWithSettings(CommandLine commandLine, String file) {
     if (file == null) {
       return invalidUsage(
           "no settings: give --" + SETTINGS + " or set " + SettingsFile.ENVIRONMENT_VARIABLE);
