--- a/gateway/src/test/java/elmsail/gateway/BatchItemExecutionTest.java
+++ b/gateway/src/test/java/elmsail/gateway/BatchItemExecutionTest.java
@@ -18,15 +18,13 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
-import org.junit.jupiter.api.AfterEach;
-import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
 /** Jobs' items at stand-in servers. */
-class BatchItemExecutionTest {
+class BatchItemExecutionTest extends GatewaySocketTest {
   private static final BatchItem ITEM =
       new BatchItem(
           "e5", "/sack/3/91", Map.of("Elmsail-Tokens", "540,400"), new byte[] {7, 8}, 940);
@@ -44,17 +42,6 @@
           response.add(result.name());
         }
       };
-  private GatewayTestHarness harness;
-
-  @BeforeEach
-  void open() throws Exception {
-    harness = new GatewayTestHarness();
-  }
-
-  @AfterEach
-  void close() {
-    harness.close();
-  }
 
   private RunHandle start(long behind) throws Exception {
     return harness.onLoop(
--- a/gateway/src/test/java/elmsail/gateway/CloseDelimitedResponseTest.java
+++ b/gateway/src/test/java/elmsail/gateway/CloseDelimitedResponseTest.java
@@ -5,27 +5,13 @@
 import static org.hamcrest.Matchers.nullValue;
 
 import elmsail.gateway.RawConnection.Message;
-import org.junit.jupiter.api.AfterEach;
-import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
 /** Answers without a length, which end with their connection: whole after its end, not a reset. */
-class CloseDelimitedResponseTest {
+class CloseDelimitedResponseTest extends GatewaySocketTest {
   private static final String HEAD =
       "HTTP/1.1 200 OK\r\nElmsail-Request-Id: a1\r\nElmsail-Postmark: p\r\n";
 
-  private GatewayTestHarness harness;
-
-  @BeforeEach
-  void open() throws Exception {
-    harness = new GatewayTestHarness();
-  }
-
-  @AfterEach
-  void close() {
-    harness.close();
-  }
-
   private RawConnection serverAsked() {
     RawConnection server = harness.firstServer.accept();
     server.readMessage();
--- a/gateway/src/test/java/elmsail/gateway/EarlyResponseTest.java
+++ b/gateway/src/test/java/elmsail/gateway/EarlyResponseTest.java
@@ -5,23 +5,20 @@
 import static org.hamcrest.Matchers.lessThan;
 
 import elmsail.config.RoutingConfig;
-import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
 /** A server that answers before it has read a long body, and keeps the connection. */
-class EarlyResponseTest {
+class EarlyResponseTest extends GatewaySocketTest {
   private static final int BODY_BYTES = 6 << 20;
   private static final int REST_MS = 100;
   private static final int BODY_STALL_MS = 2_000;
 
-  private GatewayTestHarness harness;
   private RawConnection client;
   private RawConnection server;
 
   @BeforeEach
   void respondBeforeTheBodyIsRead() throws Exception {
-    harness = new GatewayTestHarness();
     harness.clusterState.limits = new RoutingConfig.ClientLimits(2_048, BODY_BYTES, 60_000, 60_000);
     harness.firstServer.limitReceiveBuffer();
     client = harness.connectClient();
@@ -41,11 +38,6 @@
     harness.timers.advance(REST_MS);
   }
 
-  @AfterEach
-  void close() {
-    harness.close();
-  }
-
   @Test
   void nextRequestDoesNotWaitForTheRestOfTheBody() {
     client.write(GatewayTestHarness.requestText("unsafe", "a2"));
--- a/gateway/src/test/java/elmsail/gateway/GatewayHttpTest.java
+++ b/gateway/src/test/java/elmsail/gateway/GatewayHttpTest.java
@@ -12,32 +12,18 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import org.junit.jupiter.api.AfterEach;
-import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What clients, the platform and calls about jobs get without a server. */
-class GatewayHttpTest {
+class GatewayHttpTest extends GatewaySocketTest {
   /** Of the grace time of the rig, 8 s. */
   private static final long FIVE_SIXTHS_MS = 6_660;
 
   private static final long LONG_MS = 20_000;
 
-  private GatewayTestHarness harness;
-
-  @BeforeEach
-  void open() throws Exception {
-    harness = new GatewayTestHarness();
-  }
-
-  @AfterEach
-  void close() {
-    harness.close();
-  }
-
   private Message ready() {
     try (RawConnection connection = RawConnection.connect(harness.gateway.readinessAddress())) {
       return connection.write("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").readMessage();
--- a/gateway/src/test/java/elmsail/gateway/RequestForwarderTest.java
+++ b/gateway/src/test/java/elmsail/gateway/RequestForwarderTest.java
@@ -10,25 +10,12 @@
 
 import elmsail.gateway.RawConnection.Message;
 import java.util.List;
-import org.junit.jupiter.api.AfterEach;
-import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Requests over sockets, from a client past the gateway to stand-in servers. */
-class RequestForwarderTest {
-  private GatewayTestHarness harness;
-
-  @BeforeEach
-  void open() throws Exception {
-    harness = new GatewayTestHarness();
-  }
-
-  @AfterEach
-  void close() throws Exception {
-    harness.close();
-  }
+class RequestForwarderTest extends GatewaySocketTest {
 
   @Test
   void requestAndResponsePassUnchanged() {
--- a/gateway/src/test/java/elmsail/gateway/RequestHandlingTest.java
+++ b/gateway/src/test/java/elmsail/gateway/RequestHandlingTest.java
@@ -14,32 +14,18 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import org.hamcrest.Matcher;
-import org.junit.jupiter.api.AfterEach;
-import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The rules about what a client may expect: times, headers, leaving, and refusals. */
-class RequestHandlingTest {
+class RequestHandlingTest extends GatewaySocketTest {
   private static final String DEADLINE = "Elmsail-Deadline-Ms";
 
   /** Of every route of the rig. */
   private static final int GIVE_UP_MS = 5_000;
 
-  private GatewayTestHarness harness;
-
-  @BeforeEach
-  void open() throws Exception {
-    harness = new GatewayTestHarness();
-  }
-
-  @AfterEach
-  void close() {
-    harness.close();
-  }
-
   private static int deadline(Message received) {
     return Integer.parseInt(received.header(DEADLINE));
   }
--- a/gateway/src/test/java/elmsail/gateway/ServerErrorRetryTest.java
+++ b/gateway/src/test/java/elmsail/gateway/ServerErrorRetryTest.java
@@ -15,30 +15,21 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Servers that answer with errors of their own while connections to them work. */
-class ServerErrorRetryTest {
+class ServerErrorRetryTest extends GatewaySocketTest {
   private static final BatchItem ITEM =
       new BatchItem("e5", "/sack/3/91", Map.of(), new byte[] {7}, 940);
 
-  private GatewayTestHarness harness;
-
   @BeforeEach
-  void open() throws Exception {
-    harness = new GatewayTestHarness();
+  void listBothServers() throws Exception {
     harness.listServers(harness.firstServer, harness.secondServer);
   }
 
-  @AfterEach
-  void close() {
-    harness.close();
-  }
-
   private static String error(int status, String id) {
     return GatewayTestHarness.response(status, id, "why", "Elmsail-Postmark: p-first");
   }
--- a/gateway/src/test/java/elmsail/gateway/TruncationAtEveryByteTest.java
+++ b/gateway/src/test/java/elmsail/gateway/TruncationAtEveryByteTest.java
@@ -7,7 +7,6 @@
 
 import elmsail.gateway.RawConnection.Message;
 import elmsail.gateway.http.RequestCounters;
-import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -19,7 +18,7 @@
  * answer. What may not be repeated reaches one server only and is never answered by a promise; no
  * part of an answer passes for a whole one.
  */
-class TruncationAtEveryByteTest {
+class TruncationAtEveryByteTest extends GatewaySocketTest {
   /** Longer than any server is avoided. */
   private static final int BACKOFF_OVER_MS = 4_000;
 
@@ -28,19 +27,11 @@
           + "Transfer-Encoding: chunked\r\n\r\n2\r\nwh\r\n3\r\nole\r\n0\r\nx-y: 1\r\n\r\n";
   private static final String FIXED_LENGTH = GatewayTestHarness.okResponse("a1", "whole");
 
-  private GatewayTestHarness harness;
-
   @BeforeEach
-  void open() throws Exception {
-    harness = new GatewayTestHarness();
+  void listBothServers() throws Exception {
     harness.listServers(harness.firstServer, harness.secondServer);
   }
 
-  @AfterEach
-  void close() {
-    harness.close();
-  }
-
   private void passBackoff() {
     harness.timers.advance(BACKOFF_OVER_MS);
   }
