--- a/batch/src/main/java/elmsail/batch/api/AdmissionCheck.java
+++ b/batch/src/main/java/elmsail/batch/api/AdmissionCheck.java
@@ -17,7 +17,7 @@
 record AdmissionCheck(String jobId, long tokens, long limit) {
 
   /** Judges the job by the tokens that were counted in this round. */
-  AdmissionVerdict judge(WaitingTokens counted, AdmissionRound round) {
+  AdmissionVerdict evaluate(WaitingTokens counted, AdmissionRound round) {
     if (limit == 0 || counted.totalExcept(jobId) + tokens <= limit) {
       return AdmissionVerdict.FITS;
     }
--- a/batch/src/main/java/elmsail/batch/api/BatchApi.java
+++ b/batch/src/main/java/elmsail/batch/api/BatchApi.java
@@ -144,10 +144,10 @@
     for (BatchItem item : items) {
       Optional<Route> itemRoute = config.match(route.host(), item.path());
       if (itemRoute.isEmpty()) {
-        return acceptedBeforeOr(tenant, jobId, BatchReplies.BAD_REQUEST);
+        return replyForExistingJob(tenant, jobId, BatchReplies.BAD_REQUEST);
       }
       if (config.requiresKeys() && tenant.isNone() && !itemRoute.get().isOpen()) {
-        return acceptedBeforeOr(tenant, jobId, BatchReplies.UNAUTHORIZED);
+        return replyForExistingJob(tenant, jobId, BatchReplies.UNAUTHORIZED);
       }
     }
     return submit(new Submission(tenant, jobId, route, items, Math.min(deadlineMs, MAX_SUBMIT_MS)));
@@ -161,7 +161,7 @@
   }
 
   /** A job that was accepted stays accepted, also after the routes of its items were removed. */
-  private CompletableFuture<Reply> acceptedBeforeOr(
+  private CompletableFuture<Reply> replyForExistingJob(
       TenantName tenant, String jobId, Reply fallback) {
     JobAccess access = new JobAccess(context, tenant);
     return jobClient
@@ -252,7 +252,7 @@
     List<ReadHandler> readsOfJob = pendingReads.get(jobId);
     if (readsOfJob != null) {
       for (ReadHandler handler : List.copyOf(readsOfJob)) {
-        handler.wake();
+        handler.onJobChanged();
       }
     }
   }
--- a/batch/src/main/java/elmsail/batch/api/JobAccess.java
+++ b/batch/src/main/java/elmsail/batch/api/JobAccess.java
@@ -19,7 +19,7 @@
    */
   boolean permits(JobRecord record) {
     RoutingConfig config = context.clusterState().config();
-    boolean callersAreKnown = config != null && config.requiresKeys();
-    return !callersAreKnown || record.tenant().isNone() || record.tenant().equals(tenant);
+    boolean callersAreAuthenticated = config != null && config.requiresKeys();
+    return !callersAreAuthenticated || record.tenant().isNone() || record.tenant().equals(tenant);
   }
 }
--- a/batch/src/main/java/elmsail/batch/api/ReadHandler.java
+++ b/batch/src/main/java/elmsail/batch/api/ReadHandler.java
@@ -62,7 +62,7 @@
   }
 
   /** The job has changed: reads its record at once. */
-  void wake() {
+  void onJobChanged() {
     if (replyFuture.isDone()) {
       return;
     }
--- a/batch/src/main/java/elmsail/batch/api/ResultPage.java
+++ b/batch/src/main/java/elmsail/batch/api/ResultPage.java
@@ -13,7 +13,7 @@
   private static final int MAX_PAGE_BYTES = 1_000_000;
 
   /** More than the JSON around the entries, and that around the text of one entry, takes. */
-  private static final int FRAME_BYTES = 100;
+  private static final int MAX_JSON_OVERHEAD_BYTES = 100;
 
   private static final byte[] HEX = "0123456789abcdef".getBytes(StandardCharsets.US_ASCII);
 
@@ -32,7 +32,7 @@
       JobRecord.Result result = results.get(i);
       String itemId = record.items().get(result.itemIndex()).id();
       byte[] entry = entry(itemId, result.succeeded(), texts[i]);
-      if (count > 0 && entries.size() + entry.length + FRAME_BYTES > MAX_PAGE_BYTES) {
+      if (count > 0 && entries.size() + entry.length + MAX_JSON_OVERHEAD_BYTES > MAX_PAGE_BYTES) {
         break;
       }
       if (count > 0) {
@@ -41,7 +41,8 @@
       count++;
       entries.writeBytes(entry);
     }
-    ByteArrayOutputStream page = new ByteArrayOutputStream(entries.size() + FRAME_BYTES);
+    ByteArrayOutputStream page =
+        new ByteArrayOutputStream(entries.size() + MAX_JSON_OVERHEAD_BYTES);
     append(page, "{\"total\":" + record.items().size());
     append(page, ",\"next_token\":" + (afterPosition + count));
     append(page, ",\"deliveries\":[");
@@ -51,7 +52,7 @@
   }
 
   private static byte[] entry(String itemId, boolean succeeded, byte[] text) {
-    ByteArrayOutputStream out = new ByteArrayOutputStream(text.length + FRAME_BYTES);
+    ByteArrayOutputStream out = new ByteArrayOutputStream(text.length + MAX_JSON_OVERHEAD_BYTES);
     append(out, "{\"id\":\"");
     appendEscaped(out, itemId.getBytes(StandardCharsets.UTF_8));
     append(out, "\",\"state\":\"" + (succeeded ? "delivered" : "undeliverable"));
--- a/batch/src/main/java/elmsail/batch/api/SubmitHandler.java
+++ b/batch/src/main/java/elmsail/batch/api/SubmitHandler.java
@@ -181,13 +181,13 @@
 
   /** Called again after each conflict with another proposer. */
   private Register.ProposedValue propose(Register.ObservedState found, AdmissionRound round) {
-    verdict = judge(found, round);
+    verdict = evaluate(found, round);
     boolean commit = round == AdmissionRound.COMMIT && verdict == AdmissionVerdict.FITS;
     commitProposed |= commit;
     return BatchJobClient.proposal(commit ? proposedRecord : null);
   }
 
-  private AdmissionVerdict judge(Register.ObservedState found, AdmissionRound round) {
+  private AdmissionVerdict evaluate(Register.ObservedState found, AdmissionRound round) {
     if (found.value() != null) {
       return AdmissionVerdict.ALREADY_ACCEPTED;
     }
@@ -196,7 +196,7 @@
       return AdmissionVerdict.UNKNOWN;
     }
     waitingTokens.mergeAll(found.sideEffects());
-    return admissionCheck().judge(waitingTokens, round);
+    return admissionCheck().evaluate(waitingTokens, round);
   }
 
   private void onRoundCompleted(Register.VersionedValue committed, AdmissionRound round) {
--- a/batch/src/main/java/elmsail/batch/client/BatchJobClient.java
+++ b/batch/src/main/java/elmsail/batch/client/BatchJobClient.java
@@ -116,11 +116,11 @@
     return record;
   }
 
-  private static boolean sameBallot(Ballot one, Ballot other) {
-    return one != null
-        && other != null
-        && one.round == other.round
-        && one.proposerId == other.proposerId;
+  private static boolean sameBallot(Ballot first, Ballot second) {
+    return first != null
+        && second != null
+        && first.round == second.round
+        && first.proposerId == second.proposerId;
   }
 
   /** The items of a job; fails if no store that has them responds. */
--- a/batch/src/main/java/elmsail/batch/messages/JobRecordCodec.java
+++ b/batch/src/main/java/elmsail/batch/messages/JobRecordCodec.java
@@ -76,7 +76,7 @@
         format <= FORMAT_WITHOUT_TENANT ? TenantName.NONE : new TenantName(reader.readString());
     return new JobRecord(
         version,
-        fields.describe(items, tenant),
+        fields.toDescription(items, tenant),
         results,
         cancelled,
         runner,
@@ -93,7 +93,7 @@
       long completionTargetMs,
       long itemTtlMs,
       String bodyBlobName) {
-    JobDescription describe(List<JobRecord.Item> items, TenantName tenant) {
+    JobDescription toDescription(List<JobRecord.Item> items, TenantName tenant) {
       return new JobDescription(
           routeName,
           host,
--- a/batch/src/main/java/elmsail/batch/store/JobStore.java
+++ b/batch/src/main/java/elmsail/batch/store/JobStore.java
@@ -21,7 +21,7 @@
    * How long jobs without waiting tokens are still counted, in ms, so that they overrule the counts
    * of stores that missed the change.
    */
-  private static final long REPORT_CLOSED_MS = 120_000;
+  private static final long CLOSED_JOB_COUNT_MS = 120_000;
 
   /** How long the data of a job that was never accepted here is kept, in ms. */
   private static final long NEVER_ACCEPTED_TTL_MS = 60_000;
@@ -67,12 +67,12 @@
     }
 
     boolean isCounted(QuotaKey key, long now) {
-      return key.equals(quotaKey) && (waitingTokens > 0 || now - changedAt < REPORT_CLOSED_MS);
+      return key.equals(quotaKey) && (waitingTokens > 0 || now - changedAt < CLOSED_JOB_COUNT_MS);
     }
 
-    boolean isExpired(long statusMs, long slackMs, long now) {
-      long keptMs = (open ? Math.max(itemTtlMs, 0) : 0) + statusMs + slackMs;
-      return now - firstSeenAt > keptMs && (!open || now - lastHeartbeatAt > statusMs);
+    boolean isExpired(long retentionMs, long slackMs, long now) {
+      long keptMs = (open ? Math.max(itemTtlMs, 0) : 0) + retentionMs + slackMs;
+      return now - firstSeenAt > keptMs && (!open || now - lastHeartbeatAt > retentionMs);
     }
   }
 
@@ -197,14 +197,14 @@
   /**
    * The ids of the jobs that may not be read any more, which the caller drops.
    *
-   * @param statusMs how long a job may be read after its completion
+   * @param retentionMs how long a job may be read after its completion
    * @param slackMs added to that, for clocks and messages that are late
    */
-  List<String> expired(long statusMs, long slackMs, long now) {
+  List<String> expired(long retentionMs, long slackMs, long now) {
     reservations.expire(now);
     List<String> expired = new ArrayList<>();
     for (Map.Entry<String, JobState> entry : jobs.entrySet()) {
-      if (entry.getValue().isExpired(statusMs, slackMs, now)) {
+      if (entry.getValue().isExpired(retentionMs, slackMs, now)) {
         expired.add(entry.getKey());
       }
     }
--- a/batch/src/main/java/elmsail/batch/store/JobStoreService.java
+++ b/batch/src/main/java/elmsail/batch/store/JobStoreService.java
@@ -32,7 +32,7 @@
   private final Timers timers;
   private final BooleanSupplier voting;
   private final Consumer<String> dropKey;
-  private final long statusMs;
+  private final long retentionMs;
   private final StoreCounters counters;
   private final JobStore jobs = new JobStore();
 
@@ -40,19 +40,19 @@
    * @param voting whether this process is a voter with complete state; if not, it responds with
    *     {@link BatchMessageTypes#NOT_A_VOTER}
    * @param dropKey drops a key and its blobs from the replica; may call {@link #onDropped}
-   * @param statusMs how long a job may be read after it was submitted, in ms
+   * @param retentionMs how long a job may be read after it was submitted, in ms
    * @param metrics of the process
    */
   public JobStoreService(
       Timers timers,
       BooleanSupplier voting,
       Consumer<String> dropKey,
-      long statusMs,
+      long retentionMs,
       ProcessMetrics metrics) {
     this.timers = timers;
     this.voting = voting;
     this.dropKey = dropKey;
-    this.statusMs = statusMs;
+    this.retentionMs = retentionMs;
     counters = new StoreCounters(metrics.counters());
     metrics.counters().registerGauge("store_batch_jobs_kept", jobs::size);
   }
@@ -156,7 +156,7 @@
   }
 
   private void dropExpiredJobs() {
-    for (String jobId : jobs.expired(statusMs, EXPIRY_SLACK_MS, timers.now())) {
+    for (String jobId : jobs.expired(retentionMs, EXPIRY_SLACK_MS, timers.now())) {
       dropKey.accept(JobRecord.registerKey(jobId));
       jobs.onDropped(jobId);
     }
--- a/batch/src/main/java/elmsail/batch/store/Reservations.java
+++ b/batch/src/main/java/elmsail/batch/store/Reservations.java
@@ -61,19 +61,20 @@
    * @return false if there are too many reservations
    */
   boolean add(WaitingTokens.Reservation reservation, long now) {
-    Map<Long, PendingReservation> ofJob = reservationsByJob.get(reservation.jobId());
-    boolean known = ofJob != null && ofJob.containsKey(reservation.attemptId());
+    Map<Long, PendingReservation> jobReservations = reservationsByJob.get(reservation.jobId());
+    boolean known = jobReservations != null && jobReservations.containsKey(reservation.attemptId());
     if (size >= MAX_RESERVATIONS && !known) {
       return false;
     }
-    if (ofJob == null) {
-      ofJob = new LinkedHashMap<>();
-      reservationsByJob.put(reservation.jobId(), ofJob);
+    if (jobReservations == null) {
+      jobReservations = new LinkedHashMap<>();
+      reservationsByJob.put(reservation.jobId(), jobReservations);
     }
-    PendingReservation previous = ofJob.remove(reservation.attemptId());
+    PendingReservation previous = jobReservations.remove(reservation.attemptId());
     boolean admitted = previous != null && previous.admitted();
     long expiresAt = now + (admitted ? ADMITTED_TTL_MS : TTL_MS);
-    ofJob.put(reservation.attemptId(), new PendingReservation(reservation, expiresAt, admitted));
+    jobReservations.put(
+        reservation.attemptId(), new PendingReservation(reservation, expiresAt, admitted));
     size += known ? 0 : 1;
     return true;
   }
@@ -83,15 +84,15 @@
     if (withdrawals.size() < MAX_WITHDRAWALS) {
       withdrawals.put(AttemptKey.of(reservation), now + TTL_MS);
     }
-    Map<Long, PendingReservation> ofJob = reservationsByJob.get(reservation.jobId());
-    if (ofJob == null) {
+    Map<Long, PendingReservation> jobReservations = reservationsByJob.get(reservation.jobId());
+    if (jobReservations == null) {
       return;
     }
-    PendingReservation existing = ofJob.get(reservation.attemptId());
+    PendingReservation existing = jobReservations.get(reservation.attemptId());
     if (existing != null && !existing.admitted()) {
-      ofJob.remove(reservation.attemptId());
+      jobReservations.remove(reservation.attemptId());
       size--;
-      if (ofJob.isEmpty()) {
+      if (jobReservations.isEmpty()) {
         reservationsByJob.remove(reservation.jobId());
       }
     }
@@ -102,11 +103,11 @@
    * it has, the reservation stands until the record is written.
    */
   boolean admit(String jobId, JobRecord record, long now) {
-    Map<Long, PendingReservation> ofJob = reservationsByJob.get(jobId);
-    if (ofJob == null) {
+    Map<Long, PendingReservation> jobReservations = reservationsByJob.get(jobId);
+    if (jobReservations == null) {
       return false;
     }
-    for (Map.Entry<Long, PendingReservation> entry : ofJob.entrySet()) {
+    for (Map.Entry<Long, PendingReservation> entry : jobReservations.entrySet()) {
       WaitingTokens.Reservation reservation = entry.getValue().reservation();
       if (reservation.quotaKey().equals(record.quotaKey())
           && reservation.tokens() >= record.waitingTokens()) {
@@ -119,8 +120,8 @@
 
   /** Adds the reservations under one key to its count. */
   void addTo(WaitingTokens waitingTokens, QuotaKey key) {
-    for (Map<Long, PendingReservation> ofJob : reservationsByJob.values()) {
-      for (PendingReservation pending : ofJob.values()) {
+    for (Map<Long, PendingReservation> jobReservations : reservationsByJob.values()) {
+      for (PendingReservation pending : jobReservations.values()) {
         WaitingTokens.Reservation reservation = pending.reservation();
         if (reservation.quotaKey().equals(key)) {
           waitingTokens.put(
@@ -152,11 +153,11 @@
     }
     Iterator<Map<Long, PendingReservation>> jobs = reservationsByJob.values().iterator();
     while (jobs.hasNext()) {
-      Map<Long, PendingReservation> ofJob = jobs.next();
-      int before = ofJob.size();
-      ofJob.values().removeIf(pending -> pending.expiresAt() <= now);
-      size -= before - ofJob.size();
-      if (ofJob.isEmpty()) {
+      Map<Long, PendingReservation> jobReservations = jobs.next();
+      int before = jobReservations.size();
+      jobReservations.values().removeIf(pending -> pending.expiresAt() <= now);
+      size -= before - jobReservations.size();
+      if (jobReservations.isEmpty()) {
         jobs.remove();
       }
     }
--- a/batch/src/test/java/elmsail/batch/BodyRelayFaultTest.java
+++ b/batch/src/test/java/elmsail/batch/BodyRelayFaultTest.java
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void aRelayThatFailsAtOnceToReachTheOthersDoesNotHoldAJobUp() {
+  void jobIsAcceptedInTimeWhenRelayCallsToOtherStoresAreRefused() {
     ReplicatedBatchCluster cluster = cluster(1, 1, 1_000_000);
     String relay = cluster.stores.get(0).address;
     for (int i = 1; i < STORES; i++) {
@@ -60,7 +60,7 @@
   }
 
   @Test
-  void aRelayThatIsCutOffFromTheOthersDoesNotHoldAJobUp() {
+  void jobIsAcceptedWhenRelayIsPartitionedFromOtherStores() {
     ReplicatedBatchCluster cluster = cluster(2, 1, 1_000_000);
     String relay = cluster.stores.get(0).address;
     for (int i = 1; i < STORES; i++) {
@@ -95,12 +95,12 @@
   }
 
   @Test
-  void fourJobsAtOnceLeaveTheGatewayOnceEach() {
+  void gatewaySendsEachOfFourConcurrentBodiesAboutOnce() {
     assertThat(measureBodiesSent(4), lessThanOrEqualTo(4 * 1.5));
   }
 
   @Test
-  void twelveJobsAtOnceLeaveTheGatewayOnceEach() {
+  void gatewaySendsEachOfTwelveConcurrentBodiesAboutOnce() {
     assertThat(measureBodiesSent(12), lessThanOrEqualTo(12 * 1.5));
   }
 
@@ -160,7 +160,7 @@
 
   /** One store of five responds 60 ms later than the others. */
   @Test
-  void aSlowStoreIsNotSentTheBodyByTheGatewayAgain() {
+  void gatewayDoesNotResendBodyToSlowStore() {
     ReplicatedBatchCluster cluster = cluster(4, 1, 1_000_000);
     String slow = cluster.stores.get(4).address;
     for (int i = 0; i < 4; i++) {
@@ -177,7 +177,7 @@
 
   /** The relay's message to one store is delayed, so that the withdrawal overtakes it. */
   @Test
-  void aRejectedJobIsNotCountedWhenItsRelayedRoundArrivesLate() {
+  void rejectedJobIsNotCountedWhenItsRelayedRoundArrivesLate() {
     for (int offset = 0; offset < 130; offset += 5) {
       ReplicatedBatchCluster cluster = cluster(50 + offset, 2, 1_000);
       ReplicatedBatchCluster.StoreNode behind = cluster.stores.get(4);
@@ -208,10 +208,9 @@
   }
 
   /**
-   * How many of twenty large jobs, one every 600 ms, took longer than {@code mostMs} to be
-   * accepted.
+   * How many of twenty large jobs, one every 600 ms, took longer than {@code maxMs} to be accepted.
    */
-  private static int countLateJobs(ReplicatedBatchCluster cluster, String what, long mostMs) {
+  private static int countLateJobs(ReplicatedBatchCluster cluster, String scenario, long maxMs) {
     int late = 0;
     long longest = 0;
     for (int i = 0; i < 20; i++) {
@@ -220,22 +219,22 @@
       long ms = cluster.timers.now() - startedAt;
       assertThat(status, is(202));
       longest = Math.max(longest, ms);
-      late += ms > mostMs ? 1 : 0;
+      late += ms > maxMs ? 1 : 0;
       cluster.timers.advance(Math.max(0, 600 - ms));
     }
-    System.out.println(what + ": late " + late + " of 20 jobs, the longest " + longest + " ms");
+    System.out.println(scenario + ": late " + late + " of 20 jobs, the longest " + longest + " ms");
     return late;
   }
 
   @Test
-  void whileARelayIsFrozenFewJobsAreLate() {
+  void fewJobsAreLateWhileRelayIsFrozen() {
     ReplicatedBatchCluster cluster = cluster(90, 1, 1_000_000);
     cluster.net.freeze(cluster.stores.get(0).address);
     assertThat(countLateJobs(cluster, "frozen relay", DIRECT_MS), lessThanOrEqualTo(5));
   }
 
   @Test
-  void whileARelayReachesNobodyFewJobsAreLate() {
+  void fewJobsAreLateWhileRelayCannotReachOtherStores() {
     ReplicatedBatchCluster cluster = cluster(91, 1, 1_000_000);
     String relay = cluster.stores.get(0).address;
     for (int i = 1; i < STORES; i++) {
--- a/batch/src/test/java/elmsail/batch/BurstAdmissionTest.java
+++ b/batch/src/test/java/elmsail/batch/BurstAdmissionTest.java
@@ -24,9 +24,9 @@
     List<CompletableFuture<BatchService.Reply>> replies = new ArrayList<>();
     List<Long> tokens = new ArrayList<>();
     for (int i = 0; i < JOBS; i++) {
-      long own = 60L + cluster.random.nextInt(140);
-      tokens.add(own);
-      replies.add(cluster.submit(i % GATEWAYS, "job" + i, 1, own));
+      long jobTokens = 60L + cluster.random.nextInt(140);
+      tokens.add(jobTokens);
+      replies.add(cluster.submit(i % GATEWAYS, "job" + i, 1, jobTokens));
       cluster.timers.advance(cluster.random.nextInt(1 + 2 * spreadMs / JOBS));
     }
     long accepted = 0;
@@ -36,7 +36,7 @@
     return accepted;
   }
 
-  private static void measure(int spreadMs, long minMean) {
+  private static void checkMeanAcceptedTokens(int spreadMs, long minMean) {
     long sum = 0;
     long minAccepted = LIMIT;
     for (int seed = 0; seed < SEEDS; seed++) {
@@ -60,11 +60,11 @@
 
   @Test
   void simultaneousJobsFillTheQuota() {
-    measure(0, LIMIT * 7 / 10);
+    checkMeanAcceptedTokens(0, LIMIT * 7 / 10);
   }
 
   @Test
   void jobsOfAShortBurstFillTheQuota() {
-    measure(100, LIMIT * 7 / 10);
+    checkMeanAcceptedTokens(100, LIMIT * 7 / 10);
   }
 }
--- a/batch/src/test/java/elmsail/batch/DoubleSubmissionTest.java
+++ b/batch/src/test/java/elmsail/batch/DoubleSubmissionTest.java
@@ -20,40 +20,42 @@
   private static final int SEEDS = 400;
 
   /** A job and the replies to its submissions. */
-  private static final class Submitted {
+  private static final class SubmittedJob {
     final String id;
     final long tokens;
     final List<CompletableFuture<BatchService.Reply>> replies = new ArrayList<>();
 
-    Submitted(String id, long tokens) {
+    SubmittedJob(String id, long tokens) {
       this.id = id;
       this.tokens = tokens;
     }
 
     boolean any(int status) {
-      return replies.stream().anyMatch(one -> one.isDone() && one.join().status() == status);
+      return replies.stream().anyMatch(reply -> reply.isDone() && reply.join().status() == status);
     }
 
     boolean allRejected() {
       return replies.stream()
           .allMatch(
-              one -> one.isDone() && (one.join().status() == 429 || one.join().status() == 503));
+              reply ->
+                  reply.isDone() && (reply.join().status() == 429 || reply.join().status() == 503));
     }
   }
 
   /** One run from one seed. */
   private static final class Run {
     final ReplicatedBatchCluster cluster;
-    final List<Submitted> jobs = new ArrayList<>();
-    private final boolean storesDie;
+    final List<SubmittedJob> jobs = new ArrayList<>();
+    private final boolean storesCrash;
 
-    Run(long seed, boolean storesDie) {
+    Run(long seed, boolean storesCrash) {
       cluster = new ReplicatedBatchCluster(seed, GATEWAYS, LIMIT);
-      this.storesDie = storesDie;
+      this.storesCrash = storesCrash;
       cluster.gateways.forEach(gateway -> gateway.servers.capacity = 0);
       cluster.timers.advance(500);
       for (int i = 0; i < JOBS; i++) {
-        Submitted job = new Submitted("s" + seed + "-" + i, 250 + cluster.random.nextInt(400));
+        SubmittedJob job =
+            new SubmittedJob("s" + seed + "-" + i, 250 + cluster.random.nextInt(400));
         jobs.add(job);
         int first = cluster.random.nextInt(GATEWAYS);
         cluster.timers.schedule(cluster.random.nextInt(60), () -> submit(job, first));
@@ -65,7 +67,7 @@
       cluster.timers.advance(9_000);
     }
 
-    private void submit(Submitted job, int gateway) {
+    private void submit(SubmittedJob job, int gateway) {
       job.replies.add(cluster.submit(cluster.gateways.get(gateway), job.id, 1, job.tokens));
     }
 
@@ -76,7 +78,7 @@
       }
       ReplicatedBatchCluster.StoreNode store = cluster.stores.get(cluster.random.nextInt(3));
       String gateway = cluster.gateways.get(cluster.random.nextInt(GATEWAYS)).address;
-      if (storesDie && cluster.random.nextInt(6) == 0 && cluster.allStoresVoting()) {
+      if (storesCrash && cluster.random.nextInt(6) == 0 && cluster.allStoresVoting()) {
         store.kill(false);
         cluster.timers.schedule(20 + cluster.random.nextInt(200), store::start);
       } else {
@@ -97,7 +99,7 @@
       cluster.gateways.forEach(gateway -> gateway.servers.capacity = JOBS);
       cluster.timers.advance(12_000);
       List<String> found = new ArrayList<>();
-      for (Submitted job : jobs) {
+      for (SubmittedJob job : jobs) {
         if (job.allRejected() && cluster.served.contains(job.id + "-0")) {
           found.add(job.id);
         }
@@ -106,20 +108,20 @@
     }
   }
 
-  private static void run(boolean storesDie) {
+  private static void run(boolean storesCrash) {
     long maxAccepted = 0;
     long sum = 0;
     int timesOverLimit = 0;
     List<String> rejectedAndRun = new ArrayList<>();
     for (int seed = 0; seed < SEEDS; seed++) {
-      Run run = new Run(seed, storesDie);
+      Run run = new Run(seed, storesCrash);
       maxAccepted = Math.max(maxAccepted, run.accepted());
       sum += run.accepted();
       timesOverLimit += run.accepted() > LIMIT ? 1 : 0;
       rejectedAndRun.addAll(run.rejectedAndRun());
     }
     System.out.println(
-        (storesDie ? "stores die" : "links cut")
+        (storesCrash ? "stores die" : "links cut")
             + ": accepted in the mean "
             + sum / SEEDS
             + ", at most "
--- a/batch/src/test/java/elmsail/batch/JobCleanupTest.java
+++ b/batch/src/test/java/elmsail/batch/JobCleanupTest.java
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void cancelledAndRejectedJobsLeaveNothingAtRestartedStores() {
+  void cancelledAndRejectedJobsLeaveNoRecordsAtRestartedStores() {
     for (boolean wipe : new boolean[] {false, true}) {
       ReplicatedBatchCluster cluster =
           new ReplicatedBatchCluster(wipe ? 2 : 1, 2, MAX_WAITING_TOKENS);
--- a/batch/src/test/java/elmsail/batch/JobStoreServiceTest.java
+++ b/batch/src/test/java/elmsail/batch/JobStoreServiceTest.java
@@ -39,7 +39,7 @@
             60_000,
             "body-1",
             List.of(new JobRecord.Item("i0", tokens), new JobRecord.Item("i1", tokens))),
-        "door");
+        "gateway-1");
   }
 
   private long waitingTokensOf(String route) {
@@ -82,7 +82,7 @@
     service.onSideEffect("lot/a", reservation.encode());
     service.onSideEffect("lot/a", reservation.encode());
     assertThat(waitingTokensOf("r"), is(30L));
-    assertThat(waitingTokensOf("else"), is(0L));
+    assertThat(waitingTokensOf("other"), is(0L));
     request(BatchMessageTypes.WITHDRAW, new WaitingTokens.Reservation("r", "a", 30, 8).encode());
     assertThat("another attempt's reservation", waitingTokensOf("r"), is(30L));
     request(BatchMessageTypes.WITHDRAW, reservation.encode());
@@ -99,7 +99,7 @@
     service.onSideEffect("lot/a", new WaitingTokens.Reservation("r", "a", 20, 7).encode());
     service.onSideEffect("lot/b", new WaitingTokens.Reservation("r", "b", 20, 7).encode());
     service.onSideEffect("lot/c", new WaitingTokens.Reservation("r", "c", 19, 7).encode());
-    service.onSideEffect("lot/d", new WaitingTokens.Reservation("else", "d", 20, 7).encode());
+    service.onSideEffect("lot/d", new WaitingTokens.Reservation("other", "d", 20, 7).encode());
     assertThat(service.admits("lot/a", value), is(true));
     assertThat("fewer tokens were reserved", service.admits("lot/c", value), is(false));
     assertThat("reserved on another route", service.admits("lot/d", value), is(false));
@@ -114,39 +114,39 @@
   private static JobRecord recordOf(TenantName tenant, long tokens) {
     List<JobRecord.Item> items = List.of(new JobRecord.Item("i", tokens));
     return JobRecord.accepted(
-        new JobDescription("r", "h", 1, 10_000, 60_000, "body-1", items, tenant), "door");
+        new JobDescription("r", "h", 1, 10_000, 60_000, "body-1", items, tenant), "gateway-1");
   }
 
   @Test
-  void eachTenantOfARouteHasACountOfItsOwn() {
-    QuotaKey ofArgus = new QuotaKey("r", new TenantName("argus"));
-    QuotaKey ofBora = new QuotaKey("r", new TenantName("bora"));
-    service.onSideEffect("lot/a", new WaitingTokens.Reservation(ofArgus, "a", 30, 7).encode());
-    service.onSideEffect("lot/b", new WaitingTokens.Reservation(ofBora, "b", 5, 8).encode());
+  void tokensAreCountedPerTenantAndRoute() {
+    QuotaKey argusKey = new QuotaKey("r", new TenantName("argus"));
+    QuotaKey boraKey = new QuotaKey("r", new TenantName("bora"));
+    service.onSideEffect("lot/a", new WaitingTokens.Reservation(argusKey, "a", 30, 7).encode());
+    service.onSideEffect("lot/b", new WaitingTokens.Reservation(boraKey, "b", 5, 8).encode());
     service.onSideEffect("lot/c", new WaitingTokens.Reservation("r", "c", 2, 9).encode());
-    assertThat(waitingTokensOf(ofArgus), is(30L));
-    assertThat(waitingTokensOf(ofBora), is(5L));
+    assertThat(waitingTokensOf(argusKey), is(30L));
+    assertThat(waitingTokensOf(boraKey), is(5L));
     assertThat("without a tenant", waitingTokensOf("r"), is(2L));
-    service.onAccepted("lot/a", recordOf(ofArgus.tenant(), 20).encode());
-    assertThat("accepted", waitingTokensOf(ofArgus), is(20L));
-    assertThat(waitingTokensOf(ofBora), is(5L));
+    service.onAccepted("lot/a", recordOf(argusKey.tenant(), 20).encode());
+    assertThat("accepted", waitingTokensOf(argusKey), is(20L));
+    assertThat(waitingTokensOf(boraKey), is(5L));
   }
 
   @Test
   void aFirstRecordIsNotAdmittedByTheReservationOfAnotherTenant() {
     TenantName argus = new TenantName("argus");
     byte[] value = recordOf(argus, 10).encode();
-    QuotaKey ofBora = new QuotaKey("r", new TenantName("bora"));
-    service.onSideEffect("lot/a", new WaitingTokens.Reservation(ofBora, "a", 10, 7).encode());
+    QuotaKey boraKey = new QuotaKey("r", new TenantName("bora"));
+    service.onSideEffect("lot/a", new WaitingTokens.Reservation(boraKey, "a", 10, 7).encode());
     service.onSideEffect("lot/a", new WaitingTokens.Reservation("r", "a", 10, 8).encode());
     assertThat(service.admits("lot/a", value), is(false));
-    QuotaKey ofArgus = new QuotaKey("r", argus);
-    service.onSideEffect("lot/a", new WaitingTokens.Reservation(ofArgus, "a", 10, 9).encode());
+    QuotaKey argusKey = new QuotaKey("r", argus);
+    service.onSideEffect("lot/a", new WaitingTokens.Reservation(argusKey, "a", 10, 9).encode());
     assertThat(service.admits("lot/a", value), is(true));
   }
 
   @Test
-  void anAdmittedJobCountsHoweverLongTheDiskTakes() {
+  void admittedJobIsCountedWhileItsWriteIsDelayed() {
     WaitingTokens.Reservation reservation = new WaitingTokens.Reservation("r", "a", 20, 7);
     service.onSideEffect("lot/a", reservation.encode());
     timers.advance(4_900);
@@ -175,21 +175,21 @@
   @Test
   void mergingKeepsTheNewestVersionOfEachJob() {
     WaitingTokens count = new WaitingTokens();
-    WaitingTokens one = new WaitingTokens();
-    one.put(1, 2, 10);
-    one.put(2, 0, 7);
-    WaitingTokens other = new WaitingTokens();
-    other.put(1, 3, 0);
-    count.mergeAll(List.of(one.encode(), other.encode()));
+    WaitingTokens first = new WaitingTokens();
+    first.put(1, 2, 10);
+    first.put(2, 0, 7);
+    WaitingTokens second = new WaitingTokens();
+    second.put(1, 3, 0);
+    count.mergeAll(List.of(first.encode(), second.encode()));
     assertThat(count.totalExcept("x"), is(7L));
   }
 
   @Test
-  void aRunnerThatSendsHeartbeatsKeepsItsJobs() {
+  void heartbeatsRenewJobLeases() {
     service.onAccepted("lot/a", record(10).encode());
     byte[] heartbeat =
         new HeartbeatMessage(
-                "door",
+                "gateway-1",
                 List.of(
                     new HeartbeatMessage.JobLease("a", 1), new HeartbeatMessage.JobLease("b", 1)))
             .encode();
@@ -211,7 +211,7 @@
   }
 
   @Test
-  void withoutAVoterSlotItRepliesNotAVoter() {
+  void nonVoterStoreRepliesNotAVoter() {
     service.onAccepted("lot/a", record(10).encode());
     voting = false;
     assertThat(
--- a/batch/src/test/java/elmsail/batch/MessageCodecTest.java
+++ b/batch/src/test/java/elmsail/batch/MessageCodecTest.java
@@ -30,12 +30,12 @@
     return JobRequestParser.parse(json.getBytes(StandardCharsets.UTF_8));
   }
 
-  private static String with(String part, String other) {
-    return "{\"pieces\":[" + ITEM.replace(part, other) + "]}";
+  private static String jobWithReplacedText(String original, String replacement) {
+    return "{\"pieces\":[" + ITEM.replace(original, replacement) + "]}";
   }
 
   @Test
-  void aValidJobRequestIsParsedAndItsItemsSurviveTheCodec() {
+  void validJobRequestIsParsedAndItsItemsRoundTrip() {
     List<BatchItem> items = parse("{\"more\":[1,{}],\"pieces\":[" + ITEM + "]}");
     assertThat(items, hasSize(1));
     assertThat(items.get(0).headers().get("A"), is("b c"));
@@ -59,24 +59,24 @@
             "{\"pieces\":[1]}",
             "{\"pieces\":[" + ITEM + "," + ITEM + "]}",
             "{\"pieces\":[" + ITEM + "]",
-            with("\"x\"", "7"),
+            jobWithReplacedText("\"x\"", "7"),
             "{\"pieces\":[" + ITEM + "]} {}",
-            with("/p/1", "p/1"),
-            with("/p/1", "/p 1"),
-            with("/p/1", "/p\\r\\n"),
-            with("b c", "b\\r\\nC: d"),
-            with("\"A\"", "\"A\\n\""),
-            with("940", "-1"),
-            with("940", "1.5"),
-            with("940", "\"940\""),
-            with("940", "99999999999999999999"),
-            with("q83vEjRWeJA=", "q83vE*"),
-            with("\"id\":\"x\",", ""),
-            with("\"lane\":\"/p/1\",", ""),
-            with(",\"tokens\":940", ""),
-            with("\"contents\":\"q83vEjRWeJA=\",", ""),
-            with("\"envelope\":{\"A\":\"b c\"},", ""),
-            with("\"id\":\"x\"", "\"id\":\"x\",\"id\":\"y\""));
+            jobWithReplacedText("/p/1", "p/1"),
+            jobWithReplacedText("/p/1", "/p 1"),
+            jobWithReplacedText("/p/1", "/p\\r\\n"),
+            jobWithReplacedText("b c", "b\\r\\nC: d"),
+            jobWithReplacedText("\"A\"", "\"A\\n\""),
+            jobWithReplacedText("940", "-1"),
+            jobWithReplacedText("940", "1.5"),
+            jobWithReplacedText("940", "\"940\""),
+            jobWithReplacedText("940", "99999999999999999999"),
+            jobWithReplacedText("q83vEjRWeJA=", "q83vE*"),
+            jobWithReplacedText("\"id\":\"x\",", ""),
+            jobWithReplacedText("\"lane\":\"/p/1\",", ""),
+            jobWithReplacedText(",\"tokens\":940", ""),
+            jobWithReplacedText("\"contents\":\"q83vEjRWeJA=\",", ""),
+            jobWithReplacedText("\"envelope\":{\"A\":\"b c\"},", ""),
+            jobWithReplacedText("\"id\":\"x\"", "\"id\":\"x\",\"id\":\"y\""));
     for (String json : malformed) {
       ElmsailException thrown = assertThrows(ElmsailException.class, () -> parse(json), json);
       assertThat(json, thrown.code(), is(ErrorCode.INVALID_ARGUMENT));
@@ -103,21 +103,21 @@
   }
 
   @Test
-  void aRecordSurvivesTheCodecAndATruncatedOneIsRejected() {
+  void recordRoundTripsAndTruncatedRecordIsRejected() {
     JobRecord record = recordWithAllFields(List.of());
     assertThat(JobRecord.decode(record.encode()), is(record));
-    byte[] packed = record.encode();
-    for (int cut = 0; cut < packed.length; cut++) {
-      byte[] part = Arrays.copyOf(packed, cut);
+    byte[] encoded = record.encode();
+    for (int length = 0; length < encoded.length; length++) {
+      byte[] truncated = Arrays.copyOf(encoded, length);
       assertThat(
-          assertThrows(ElmsailException.class, () -> JobRecord.decode(part)).code(),
+          assertThrows(ElmsailException.class, () -> JobRecord.decode(truncated)).code(),
           is(ErrorCode.MALFORMED));
     }
   }
 
   /** Later versions read what stores have on disk, so the bytes of a record are pinned. */
   @Test
-  void theEncodingOfARecordIsPinned() {
+  void recordEncodingIsPinned() {
     JobRecord record = recordWithAllFields(List.of(new JobRecord.FailedAttempts(0, 2)));
     byte[] bytes =
         HexFormat.of()
@@ -128,7 +128,7 @@
     assertThat(JobRecord.decode(bytes), is(record));
   }
 
-  private static JobRecord threeItems() {
+  private static JobRecord recordWithThreeItems() {
     List<JobRecord.Item> items = new ArrayList<>();
     for (String id : List.of("a", "b", "c")) {
       items.add(new JobRecord.Item(id, 5));
@@ -138,46 +138,47 @@
 
   @Test
   void failedAttemptsStayInARecordUntilTheirItemHasAResult() {
-    JobRecord.FailedAttempts ofA = new JobRecord.FailedAttempts(0, 2);
-    JobRecord.FailedAttempts ofC = new JobRecord.FailedAttempts(2, 1);
-    JobRecord failed = threeItems().withResults(List.of(), List.of(ofC, ofA), 0);
+    JobRecord.FailedAttempts attemptsOfA = new JobRecord.FailedAttempts(0, 2);
+    JobRecord.FailedAttempts attemptsOfC = new JobRecord.FailedAttempts(2, 1);
+    JobRecord failed =
+        recordWithThreeItems().withResults(List.of(), List.of(attemptsOfC, attemptsOfA), 0);
     JobRecord next = failed.withRunner("e", 10).rewritten();
     assertThat(JobRecord.decode(next.encode()), is(next));
-    assertThat(next.failedAttempts(), contains(ofA, ofC));
+    assertThat(next.failedAttempts(), contains(attemptsOfA, attemptsOfC));
     JobRecord lower = next.withResults(List.of(), List.of(new JobRecord.FailedAttempts(0, 1)), 0);
     assertThat("a lower count does not replace one", lower.failedAttemptsOf(0), is(2));
     JobRecord withResult = lower.withResults(List.of(new JobRecord.Result(0, false, 2, 0)), 0);
-    assertThat(withResult.failedAttempts(), contains(ofC));
+    assertThat(withResult.failedAttempts(), contains(attemptsOfC));
     assertThat(withResult.failedAttemptsOf(0), is(0));
-    assertThat(withResult.withCancellation().failedAttempts(), contains(ofC));
+    assertThat(withResult.withCancellation().failedAttempts(), contains(attemptsOfC));
   }
 
-  private static JobRecord withTenant() {
+  private static JobRecord recordWithTenant() {
     List<JobRecord.Item> items = List.of(new JobRecord.Item("a", 5));
     return JobRecord.accepted(
         new JobDescription("r", "h", 1, 1, 1, "b", items, new TenantName("t")), "d");
   }
 
   @Test
-  void theTenantOfARecordSurvivesTheCodecAndEachCutIsRejected() {
-    byte[] packed = withTenant().encode();
-    assertThat(JobRecord.decode(packed), is(withTenant()));
-    for (int cut = 0; cut < packed.length; cut++) {
-      byte[] part = Arrays.copyOf(packed, cut);
+  void recordWithTenantRoundTripsAndTruncatedRecordIsRejected() {
+    byte[] encoded = recordWithTenant().encode();
+    assertThat(JobRecord.decode(encoded), is(recordWithTenant()));
+    for (int length = 0; length < encoded.length; length++) {
+      byte[] truncated = Arrays.copyOf(encoded, length);
       assertThat(
-          assertThrows(ElmsailException.class, () -> JobRecord.decode(part)).code(),
+          assertThrows(ElmsailException.class, () -> JobRecord.decode(truncated)).code(),
           is(ErrorCode.MALFORMED));
     }
   }
 
   @Test
   void formatOneIsDecodedAndALaterFormatIsRejected() {
-    JobRecord record = threeItems();
-    byte[] first = Arrays.copyOf(record.encode(), record.encode().length - 1);
-    first[0] = 1;
-    assertThat(JobRecord.decode(first), is(record));
+    JobRecord record = recordWithThreeItems();
+    byte[] formatOne = Arrays.copyOf(record.encode(), record.encode().length - 1);
+    formatOne[0] = 1;
+    assertThat(JobRecord.decode(formatOne), is(record));
     for (byte later : new byte[] {4, 127}) {
-      byte[] bytes = withTenant().encode();
+      byte[] bytes = recordWithTenant().encode();
       bytes[0] = later;
       assertThat(
           assertThrows(ElmsailException.class, () -> JobRecord.decode(bytes)).code(),
@@ -191,7 +192,7 @@
   }
 
   @Test
-  void theFirstResultOfAnItemStays() {
+  void firstResultOfAnItemIsKept() {
     JobRecord record =
         JobRecord.accepted(
             new JobDescription(
@@ -214,15 +215,15 @@
   }
 
   @Test
-  void varintsSurviveTheCodec() {
+  void varintsRoundTrip() {
     long[] numbers = {0, 1, 127, 128, 300, Long.MAX_VALUE, -1, Long.MIN_VALUE};
     ByteWriter writer = new ByteWriter();
-    for (long one : numbers) {
-      writer.writeVarint(one);
+    for (long number : numbers) {
+      writer.writeVarint(number);
     }
     ByteReader reader = new ByteReader(writer.toByteArray());
-    for (long one : numbers) {
-      assertThat(reader.readVarint(), is(one));
+    for (long number : numbers) {
+      assertThat(reader.readVarint(), is(number));
     }
     assertThat(reader.hasRemaining(), is(false));
   }
--- a/batch/src/test/java/elmsail/batch/NarrowUplinkTest.java
+++ b/batch/src/test/java/elmsail/batch/NarrowUplinkTest.java
@@ -25,9 +25,9 @@
   private static final long STAGGER_MS = 16;
 
   /** Within which the reply to a submission is due on this route. */
-  private static final long DUE_MS = 500;
+  private static final long REPLY_DEADLINE_MS = 500;
 
-  private static long acceptMs(ReplicatedBatchCluster cluster, String id) {
+  private static long measureAcceptanceMs(ReplicatedBatchCluster cluster, String id) {
     ReplicatedBatchCluster.Gateway gateway = cluster.gateways.get(0);
     long startedAt = cluster.timers.now();
     CompletableFuture<BatchService.Reply> reply =
@@ -49,30 +49,33 @@
   }
 
   @Test
-  void aLargeJobIsAcceptedWhileItIsDue() {
+  void largeJobIsAcceptedWithinHalfTheReplyDeadline() {
     for (int seed = 0; seed < 5; seed++) {
-      assertThat("seed " + seed, acceptMs(cluster(seed), "large"), lessThan(DUE_MS / 2));
+      assertThat(
+          "seed " + seed,
+          measureAcceptanceMs(cluster(seed), "large"),
+          lessThan(REPLY_DEADLINE_MS / 2));
     }
   }
 
   @Test
-  void theBodyLeavesTheGatewayOnce() {
+  void gatewaySendsBodyAboutOnce() {
     ReplicatedBatchCluster cluster = cluster(7);
     cluster.net.countBytes(cluster.gateways.get(0).address);
-    acceptMs(cluster, "large");
+    measureAcceptanceMs(cluster, "large");
     long body = (long) ITEMS * ITEM_BYTES;
     assertThat(cluster.net.countedBytes(), lessThanOrEqualTo(body * 3 / 2));
   }
 
   @Test
-  void resultsLeaveTheGatewayFewTimes() {
+  void gatewaySendsResultTextsAtMostFourTimes() {
     ReplicatedBatchCluster cluster = cluster(8);
     SimServers servers = cluster.gateways.get(0).servers;
     servers.capacity = ITEMS;
     servers.serviceTimeMs = 1_000;
     servers.staggerMs = STAGGER_MS;
     servers.eventPadding = "y".repeat(TEXT_BYTES / 2);
-    acceptMs(cluster, "large");
+    measureAcceptanceMs(cluster, "large");
     cluster.net.countBytes(cluster.gateways.get(0).address);
     cluster.timers.advance(1_000 + (ITEMS + 10) * STAGGER_MS);
     assertThat(servers.served.size(), is(ITEMS));
@@ -87,22 +90,23 @@
   }
 
   @Test
-  void withTheNearestStoreDownALargeJobIsAcceptedNonetheless() {
+  void largeJobIsAcceptedWhileOneStoreIsDown() {
     for (int down = 0; down < STORES; down++) {
       ReplicatedBatchCluster cluster = cluster(20 + down);
       cluster.stores.get(down).kill(false);
       cluster.timers.advance(200);
-      acceptMs(cluster, "large");
+      measureAcceptanceMs(cluster, "large");
     }
   }
 
   @Test
-  void withAStoreFrozenALargeJobIsAcceptedNonetheless() {
+  void largeJobsAreAcceptedWhileOneStoreIsFrozen() {
     for (int frozen = 0; frozen < STORES; frozen++) {
       ReplicatedBatchCluster cluster = cluster(30 + frozen);
       cluster.net.freeze(cluster.stores.get(frozen).address);
-      acceptMs(cluster, "first");
-      assertThat("behind the first", acceptMs(cluster, "second"), lessThan(DUE_MS));
+      measureAcceptanceMs(cluster, "first");
+      assertThat(
+          "behind the first", measureAcceptanceMs(cluster, "second"), lessThan(REPLY_DEADLINE_MS));
     }
   }
 }
--- a/batch/src/test/java/elmsail/batch/PinnedJobBytesTest.java
+++ b/batch/src/test/java/elmsail/batch/PinnedJobBytesTest.java
@@ -40,9 +40,9 @@
           + "6578742f706c61696e";
   private static final String ABANDONED = "02026a31039423026a320100";
   private static final String HEARTBEAT = "0d31302e302e302e313a3737323002026a3103026a3201";
-  private static final String ADD = "0172026a31ac07f9ffffffffffffffff01";
-  private static final String ADD_OF_TENANT = ADD + "036bc3bc";
-  private static final String COUNT = "01d08a90839edcd8fd5602ac07";
+  private static final String RESERVATION = "0172026a31ac07f9ffffffffffffffff01";
+  private static final String RESERVATION_WITH_TENANT = RESERVATION + "036bc3bc";
+  private static final String WAITING_TOKENS = "01d08a90839edcd8fd5602ac07";
 
   private static byte[] bytes(String hex) {
     return HexFormat.of().parseHex(hex);
@@ -73,7 +73,7 @@
   }
 
   @Test
-  void aJobsRecordHasTheseBytes() {
+  void encodingOfRecordWithoutTenantIsPinned() {
     JobRecord record = job(List.of(new JobRecord.FailedAttempts(0, 2)));
     assertThat(record.encode(), equalTo(bytes(RECORD_OF_FORMAT_2)));
     assertThat(JobRecord.decode(bytes(RECORD_OF_FORMAT_2)), is(record));
@@ -81,7 +81,7 @@
 
   /** Stores of the former version do not know this format, and reject it. */
   @Test
-  void aRecordWithATenantHasTheseBytes() {
+  void encodingOfRecordWithTenantIsPinned() {
     JobRecord record = job(List.of(new JobRecord.FailedAttempts(0, 2)), new TenantName("k\u00fc"));
     assertThat(record.encode(), equalTo(bytes(RECORD_OF_FORMAT_3)));
     assertThat(JobRecord.decode(bytes(RECORD_OF_FORMAT_3)), is(record));
@@ -91,51 +91,51 @@
 
   @Test
   void recordsOfEarlierFormatsHaveNoTenant() {
-    for (String earlier : List.of(RECORD_OF_FORMAT_1, RECORD_OF_FORMAT_2)) {
-      assertThat(JobRecord.decode(bytes(earlier)).tenant(), is(TenantName.NONE));
+    for (String encoded : List.of(RECORD_OF_FORMAT_1, RECORD_OF_FORMAT_2)) {
+      assertThat(JobRecord.decode(bytes(encoded)).tenant(), is(TenantName.NONE));
     }
   }
 
   /** The layout before failures were kept. */
   @Test
-  void aRecordOfTheFirstFormatIsReadToo() {
+  void formatOneRecordIsDecoded() {
     assertThat(JobRecord.decode(bytes(RECORD_OF_FORMAT_1)), is(job(List.of())));
   }
 
   @Test
-  void aJobsBodyHasTheseBytesAndThisName() {
+  void encodingAndBlobNameOfJobBodyArePinned() {
     Map<String, String> headers = new LinkedHashMap<>();
     headers.put("A", "b c");
     headers.put("Content-Type", "text/plain");
     byte[] contents = {(byte) 0xab, 0, -1};
-    byte[] packed =
+    byte[] encoded =
         JobBodyCodec.encode(List.of(new BatchItem("x", "/p/1", headers, contents, 940)));
-    assertThat(packed, equalTo(bytes(BODY)));
-    assertThat(JobBodyCodec.blobName(packed), is("body-3111b8e4b20b43fb"));
-    BatchItem read = JobBodyCodec.decode(bytes(BODY)).get(0);
-    assertThat(read.id(), is("x"));
-    assertThat(read.path(), is("/p/1"));
-    assertThat(List.copyOf(read.headers().keySet()), contains("A", "Content-Type"));
-    assertThat(read.headers(), is(headers));
-    assertThat(read.body(), equalTo(contents));
-    assertThat(read.tokens(), is(940L));
+    assertThat(encoded, equalTo(bytes(BODY)));
+    assertThat(JobBodyCodec.blobName(encoded), is("body-3111b8e4b20b43fb"));
+    BatchItem decoded = JobBodyCodec.decode(bytes(BODY)).get(0);
+    assertThat(decoded.id(), is("x"));
+    assertThat(decoded.path(), is("/p/1"));
+    assertThat(List.copyOf(decoded.headers().keySet()), contains("A", "Content-Type"));
+    assertThat(decoded.headers(), is(headers));
+    assertThat(decoded.body(), equalTo(contents));
+    assertThat(decoded.tokens(), is(940L));
   }
 
   @Test
-  void jobsAndTextsAreKeptUnderTheseNames() {
+  void registerKeyAndTextBlobNameArePinned() {
     assertThat(JobRecord.registerKey("j1"), is("lot/j1"));
     assertThat(JobRecord.textBlobNameOf(7, 2), is("r-7-2"));
     assertThat(new JobRecord.Result(7, true, 2, 77).textBlobName(), is("r-7-2"));
   }
 
   @Test
-  void digestsAreAlikeInAllVersions() {
+  void digestsArePinned() {
     assertThat(ContentDigest.of("j1"), is(0x56fb62e1e0640550L));
     assertThat(ContentDigest.of("\u00fc"), is(0x9a8fa3aaaa09fd21L));
   }
 
   @Test
-  void messagesAreOfTheseKinds() {
+  void messageKindsAndLeaseStatusesArePinned() {
     assertThat(
         List.of(
             BatchMessageTypes.HEARTBEAT,
@@ -150,7 +150,7 @@
   }
 
   @Test
-  void aHeartbeatHasTheseBytes() {
+  void heartbeatEncodingIsPinned() {
     HeartbeatMessage heartbeat =
         new HeartbeatMessage(
             "10.0.0.1:7720",
@@ -161,7 +161,7 @@
   }
 
   @Test
-  void abandonedJobsHaveTheseBytes() {
+  void encodingOfAbandonedJobsIsPinned() {
     List<AbandonedJob> abandoned =
         List.of(new AbandonedJob("j1", 3, 4_500), new AbandonedJob("j2", 1, 0));
     assertThat(AbandonedJob.encode(abandoned), equalTo(bytes(ABANDONED)));
@@ -170,27 +170,27 @@
 
   /** A process of the former version reads the first four fields and ignores the tenant. */
   @Test
-  void aReservationOfATenantHasTheseBytes() {
+  void encodingOfReservationWithTenantIsPinned() {
     QuotaKey key = new QuotaKey("r", new TenantName("k\u00fc"));
-    WaitingTokens.Reservation add = new WaitingTokens.Reservation(key, "j1", 940, -7);
-    assertThat(add.encode(), equalTo(bytes(ADD_OF_TENANT)));
-    assertThat(WaitingTokens.Reservation.decode(bytes(ADD_OF_TENANT)), is(add));
-    assertThat(add.withoutTokens().quotaKey(), is(key));
-    QuotaKey keyOfEarlier = WaitingTokens.Reservation.decode(bytes(ADD)).quotaKey();
-    assertThat(keyOfEarlier, is(new QuotaKey("r", TenantName.NONE)));
+    WaitingTokens.Reservation reservation = new WaitingTokens.Reservation(key, "j1", 940, -7);
+    assertThat(reservation.encode(), equalTo(bytes(RESERVATION_WITH_TENANT)));
+    assertThat(WaitingTokens.Reservation.decode(bytes(RESERVATION_WITH_TENANT)), is(reservation));
+    assertThat(reservation.withoutTokens().quotaKey(), is(key));
+    QuotaKey keyWithoutTenant = WaitingTokens.Reservation.decode(bytes(RESERVATION)).quotaKey();
+    assertThat(keyWithoutTenant, is(new QuotaKey("r", TenantName.NONE)));
   }
 
   @Test
-  void countsOfWaitingTokensHaveTheseBytes() {
-    WaitingTokens.Reservation add = new WaitingTokens.Reservation("r", "j1", 940, -7);
-    assertThat(add.encode(), equalTo(bytes(ADD)));
-    assertThat(WaitingTokens.Reservation.decode(bytes(ADD)), is(add));
+  void encodingsOfReservationAndWaitingTokensArePinned() {
+    WaitingTokens.Reservation reservation = new WaitingTokens.Reservation("r", "j1", 940, -7);
+    assertThat(reservation.encode(), equalTo(bytes(RESERVATION)));
+    assertThat(WaitingTokens.Reservation.decode(bytes(RESERVATION)), is(reservation));
     WaitingTokens count = new WaitingTokens();
     count.put(ContentDigest.of("j1"), 2, 940);
-    assertThat(count.encode(), equalTo(bytes(COUNT)));
-    WaitingTokens read = new WaitingTokens();
-    read.mergeAll(List.of(bytes(COUNT)));
-    assertThat(read.totalExcept("j2"), is(940L));
-    assertThat(read.acceptedExcept("j2"), is(940L));
+    assertThat(count.encode(), equalTo(bytes(WAITING_TOKENS)));
+    WaitingTokens decoded = new WaitingTokens();
+    decoded.mergeAll(List.of(bytes(WAITING_TOKENS)));
+    assertThat(decoded.totalExcept("j2"), is(940L));
+    assertThat(decoded.acceptedExcept("j2"), is(940L));
   }
 }
--- a/batch/src/test/java/elmsail/batch/RejectedJobTest.java
+++ b/batch/src/test/java/elmsail/batch/RejectedJobTest.java
@@ -15,7 +15,7 @@
    * The accept reaches one store only; the next round reaches the two others, where another job is
    * being accepted.
    */
-  private static int statusIfRun(int cutAfter, String rival) {
+  private static int statusIfJobRan(int cutAfter, String rival) {
     ReplicatedBatchCluster cluster = new ReplicatedBatchCluster(cutAfter, 3, LIMIT);
     cluster.timers.advance(1_000);
     String first = cluster.gateways.get(0).address;
@@ -32,10 +32,10 @@
     cluster.net.cutBoth(first, onlyStore);
     cluster.net.cutBoth(second, onlyStore);
     cluster.timers.advance(25);
-    CompletableFuture<BatchService.Reply> other =
+    CompletableFuture<BatchService.Reply> rivalFuture =
         cluster.submit(cluster.gateways.get(1), rival, 1, TOKENS);
     BatchService.Reply firstReply = cluster.await(reply);
-    BatchService.Reply otherAnswered = cluster.await(other);
+    BatchService.Reply rivalReply = cluster.await(rivalFuture);
     cluster.net.healAll();
     cluster.timers.advance(15_000);
     boolean ran = cluster.served.contains("refused-0");
@@ -47,7 +47,7 @@
             + ": "
             + firstReply.status()
             + ", the rival "
-            + otherAnswered.status()
+            + rivalReply.status()
             + ", run: "
             + ran);
     return ran ? firstReply.status() : 0;
@@ -58,7 +58,7 @@
     int rejectedAndRun = 0;
     for (int cutAfter = 4; cutAfter < 48; cutAfter++) {
       for (String rival : new String[] {"rival", "other", "third"}) {
-        rejectedAndRun += statusIfRun(cutAfter, rival) == 429 ? 1 : 0;
+        rejectedAndRun += statusIfJobRan(cutAfter, rival) == 429 ? 1 : 0;
       }
     }
     assertThat(rejectedAndRun, is(0));
--- a/batch/src/test/java/elmsail/batch/ReusedJobIdTest.java
+++ b/batch/src/test/java/elmsail/batch/ReusedJobIdTest.java
@@ -21,7 +21,7 @@
         "gateway");
   }
 
-  private static Register.VersionedValue at(long round, JobRecord record) {
+  private static Register.VersionedValue committedAtRound(long round, JobRecord record) {
     Ballot ballot = new Ballot();
     ballot.round = round;
     return new Register.VersionedValue(ballot, record.encode());
@@ -31,10 +31,12 @@
   void aSecondJobWithTheSameIdViolatesNoInvariant() {
     BatchJobClient client = new BatchJobClient(null, ProcessMetrics.strict().invariants());
     JobRecord first = accepted(1);
-    client.onCommitted("job", at(1, first));
-    client.onCommitted("job", at(2, first.withCancellation()));
+    client.onCommitted("job", committedAtRound(1, first));
+    client.onCommitted("job", committedAtRound(2, first.withCancellation()));
     JobRecord second = accepted(2);
-    assertThat(client.onCommitted("job", at(3, second)).version(), is(1L));
-    assertThat(client.onCommitted("job", at(4, second.withRunner("other", 0))).version(), is(2L));
+    assertThat(client.onCommitted("job", committedAtRound(3, second)).version(), is(1L));
+    assertThat(
+        client.onCommitted("job", committedAtRound(4, second.withRunner("other", 0))).version(),
+        is(2L));
   }
 }
--- a/batch/src/test/java/elmsail/batch/SimJobStore.java
+++ b/batch/src/test/java/elmsail/batch/SimJobStore.java
@@ -47,48 +47,50 @@
             SimBatchCluster.STATUS_RETENTION_MS,
             ProcessMetrics.strict());
     service.start();
-    for (Map.Entry<String, StoredKey> one : keys.entrySet()) {
-      if (one.getValue().value != null) {
-        service.onAccepted(one.getKey(), one.getValue().value);
+    for (Map.Entry<String, StoredKey> entry : keys.entrySet()) {
+      if (entry.getValue().value != null) {
+        service.onAccepted(entry.getKey(), entry.getValue().value);
       }
     }
   }
 
   Response prepare(String key, Ballot ballot, List<Blob> blobs, byte[] sideEffect) {
-    StoredKey cell = keys.computeIfAbsent(key, k -> new StoredKey());
-    if (isLower(ballot, cell.promised)) {
-      return new Response(false, cell.promised, null, null, null);
+    StoredKey storedKey = keys.computeIfAbsent(key, k -> new StoredKey());
+    if (isLower(ballot, storedKey.promised)) {
+      return new Response(false, storedKey.promised, null, null, null);
     }
-    cell.promised = ballot;
-    storeBlobs(cell, blobs);
+    storedKey.promised = ballot;
+    storeBlobs(storedKey, blobs);
     return new Response(
         true,
         ballot,
-        cell.accepted,
-        cell.value,
+        storedKey.accepted,
+        storedKey.value,
         sideEffect == null ? null : service.onSideEffect(key, sideEffect));
   }
 
   Response accept(String key, Ballot ballot, byte[] value, List<Blob> blobs) {
-    StoredKey cell = keys.computeIfAbsent(key, k -> new StoredKey());
-    if (isLower(ballot, cell.promised) || !service.admits(key, value)) {
-      return new Response(false, cell.promised, null, null, null);
+    StoredKey storedKey = keys.computeIfAbsent(key, k -> new StoredKey());
+    if (isLower(ballot, storedKey.promised) || !service.admits(key, value)) {
+      return new Response(false, storedKey.promised, null, null, null);
     }
-    cell.promised = ballot;
-    cell.accepted = ballot;
-    cell.value = value;
-    storeBlobs(cell, blobs);
+    storedKey.promised = ballot;
+    storedKey.accepted = ballot;
+    storedKey.value = value;
+    storeBlobs(storedKey, blobs);
     service.onAccepted(key, value);
     return new Response(true, ballot, ballot, value, null);
   }
 
-  private static void storeBlobs(StoredKey cell, List<Blob> blobs) {
+  private static void storeBlobs(StoredKey storedKey, List<Blob> blobs) {
     for (Blob blob : blobs) {
-      cell.blobs.putIfAbsent(blob.name, blob.bytes);
+      storedKey.blobs.putIfAbsent(blob.name, blob.bytes);
     }
   }
 
-  static boolean isLower(Ballot one, Ballot other) {
-    return one.round != other.round ? one.round < other.round : one.proposerId < other.proposerId;
+  static boolean isLower(Ballot first, Ballot second) {
+    return first.round != second.round
+        ? first.round < second.round
+        : first.proposerId < second.proposerId;
   }
 }
--- a/batch/src/test/java/elmsail/batch/SimRegister.java
+++ b/batch/src/test/java/elmsail/batch/SimRegister.java
@@ -12,7 +12,7 @@
 import java.util.function.Function;
 
 /**
- * A simple proposer over simulated links: prepare and accept at a majority, as published for
+ * A simple proposer phaseEnded simulated links: prepare and accept at a majority, as published for
  * CASPaxos (Rystsov, 2018).
  */
 final class SimRegister implements Register {
@@ -65,21 +65,21 @@
       ballot.round = ++round;
       ballot.proposerId = proposerId;
       List<SimJobStore.Response> promises = new ArrayList<>();
-      boolean[] over = new boolean[1];
+      boolean[] phaseEnded = new boolean[1];
       for (SimJobStore store : cluster.stores) {
         send(
             store,
             () -> store.prepare(key, ballot, blobs, sideEffect),
             response -> {
               round = Math.max(round, response.promised().round);
-              if (!response.granted() && !over[0]) {
-                over[0] = true;
+              if (!response.granted() && !phaseEnded[0]) {
+                phaseEnded[0] = true;
                 retry();
               } else if (response.granted()
                   && promises.add(response)
                   && promises.size() == cluster.majority()
-                  && !over[0]) {
-                over[0] = true;
+                  && !phaseEnded[0]) {
+                phaseEnded[0] = true;
                 onPromised(ballot, promises);
               }
             });
@@ -93,7 +93,7 @@
       Ballot newest = new Ballot();
       byte[] value = null;
       List<byte[]> sideEffects = new ArrayList<>();
-      int same = 0;
+      int matching = 0;
       for (SimJobStore.Response promise : promises) {
         sideEffects.add(promise.sideEffect());
         if (SimJobStore.isLower(newest, promise.accepted())) {
@@ -102,7 +102,7 @@
         }
       }
       for (SimJobStore.Response promise : promises) {
-        same +=
+        matching +=
             promise.accepted().round == newest.round
                     && promise.accepted().proposerId == newest.proposerId
                 ? 1
@@ -111,26 +111,26 @@
       ProposedValue proposed = change.apply(new ObservedState(value, sideEffects));
       if (proposed.value() != null) {
         accept(ballot, proposed.value(), proposed.blobs(), true);
-      } else if (same < cluster.majority() && value != null) {
+      } else if (matching < cluster.majority() && value != null) {
         accept(ballot, value, List.of(), false);
       } else {
         result.complete(new CommittedState(new VersionedValue(newest, value), false));
       }
     }
 
-    void accept(Ballot ballot, byte[] value, List<Blob> with, boolean changed) {
+    void accept(Ballot ballot, byte[] value, List<Blob> acceptBlobs, boolean changed) {
       acceptSent = true;
-      int[] counts = new int[2];
+      int[] grantedAndRejected = new int[2];
       for (SimJobStore store : cluster.stores) {
         send(
             store,
-            () -> store.accept(key, ballot, value, with),
+            () -> store.accept(key, ballot, value, acceptBlobs),
             response -> {
               round = Math.max(round, response.promised().round);
-              if (response.granted() && ++counts[0] == cluster.majority()) {
+              if (response.granted() && ++grantedAndRejected[0] == cluster.majority()) {
                 result.complete(new CommittedState(new VersionedValue(ballot, value), changed));
               } else if (!response.granted()
-                  && ++counts[1] == cluster.stores.size() - cluster.majority() + 1) {
+                  && ++grantedAndRejected[1] == cluster.stores.size() - cluster.majority() + 1) {
                 retry();
               }
             });
@@ -186,19 +186,19 @@
     cluster.timers.schedule(
         timeoutMs,
         () -> blob.completeExceptionally(new ElmsailException(ErrorCode.NO_QUORUM, name)));
-    int[] none = new int[1];
+    int[] missing = new int[1];
     for (SimJobStore store : cluster.stores) {
       send(
           store,
           () -> {
-            SimJobStore.StoredKey cell = store.keys.get(key);
-            byte[] bytes = cell == null ? null : cell.blobs.get(name);
+            SimJobStore.StoredKey storedKey = store.keys.get(key);
+            byte[] bytes = storedKey == null ? null : storedKey.blobs.get(name);
             return java.util.Optional.ofNullable(bytes);
           },
           found -> {
             if (found.isPresent()) {
               blob.complete(found.get());
-            } else if (++none[0] == cluster.majority()) {
+            } else if (++missing[0] == cluster.majority()) {
               blob.complete(null);
             }
           });
--- a/batch/src/test/java/elmsail/batch/SteadyContentionTest.java
+++ b/batch/src/test/java/elmsail/batch/SteadyContentionTest.java
@@ -20,9 +20,9 @@
     List<CompletableFuture<BatchService.Reply>> replies = new ArrayList<>();
     List<Long> tokens = new ArrayList<>();
     for (int i = 0; (long) i * intervalMs < BURST_MS; i++) {
-      long own = 60L + cluster.random.nextInt(140);
-      tokens.add(own);
-      replies.add(cluster.submit(i % GATEWAYS, "job" + seed + "-" + i, 1, own));
+      long jobTokens = 60L + cluster.random.nextInt(140);
+      tokens.add(jobTokens);
+      replies.add(cluster.submit(i % GATEWAYS, "job" + seed + "-" + i, 1, jobTokens));
       cluster.timers.advance(intervalMs);
     }
     long accepted = 0;
@@ -32,7 +32,7 @@
     return accepted;
   }
 
-  private static void measure(int intervalMs) {
+  private static void checkMeanAcceptedTokens(int intervalMs) {
     long sum = 0;
     long minAccepted = LIMIT;
     for (int seed = 0; seed < 10; seed++) {
@@ -48,16 +48,16 @@
 
   @Test
   void aJobEvery20MsFillsTheQuota() {
-    measure(20);
+    checkMeanAcceptedTokens(20);
   }
 
   @Test
   void aJobEvery5MsFillsTheQuota() {
-    measure(5);
+    checkMeanAcceptedTokens(5);
   }
 
   @Test
   void aJobEvery2MsFillsTheQuota() {
-    measure(2);
+    checkMeanAcceptedTokens(2);
   }
 }
--- a/batch/src/test/java/elmsail/batch/SubmitHandlerTest.java
+++ b/batch/src/test/java/elmsail/batch/SubmitHandlerTest.java
@@ -30,14 +30,14 @@
   }
 
   @Test
-  void aJobIsAcceptedOnceFromTwoGatewaysAtOnce() {
+  void jobSubmittedToTwoGatewaysAtOnceRunsOnce() {
     for (int seed = 0; seed < 40; seed++) {
       SimBatchCluster cluster = new SimBatchCluster(seed, 2, 100);
       cluster.gateways.forEach(gateway -> gateway.servers.serviceTimeMs = 30);
-      CompletableFuture<Reply> one = cluster.submit(0, "a", 3, 20);
-      CompletableFuture<Reply> other = cluster.submit(1, "a", 3, 20);
-      assertThat(cluster.status(one), is(202));
-      assertThat(cluster.status(other), is(202));
+      CompletableFuture<Reply> first = cluster.submit(0, "a", 3, 20);
+      CompletableFuture<Reply> second = cluster.submit(1, "a", 3, 20);
+      assertThat(cluster.status(first), is(202));
+      assertThat(cluster.status(second), is(202));
       cluster.timers.advance(500);
       assertThat("runs with seed " + seed, runsOf(cluster, "a"), is(3));
       assertThat(cluster.read(1, "a", 0), containsString("\"total\":3,\"next_token\":3"));
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void aJobSentAgainIsAcceptedAgainAndCountedOnce() {
+  void resubmittedJobIsAcceptedAndCountedOnce() {
     SimBatchCluster cluster = new SimBatchCluster(1, 3, 100);
     assertThat(cluster.status(cluster.submit(0, "a", 6, 10)), is(202));
     assertThat(cluster.status(cluster.submit(1, "a", 6, 10)), is(202));
@@ -59,9 +59,9 @@
     SimBatchCluster cluster = new SimBatchCluster(2, 2, 100);
     cluster.gateways.forEach(gateway -> gateway.servers.serviceTimeMs = 400);
     assertThat(cluster.status(cluster.submit(0, "a", 8, 10)), is(202));
-    Reply refused = cluster.await(cluster.submit(1, "b", 3, 10));
-    assertThat(refused.status(), is(429));
-    assertThat(refused.retryAfterS(), greaterThan(0.0));
+    Reply rejected = cluster.await(cluster.submit(1, "b", 3, 10));
+    assertThat(rejected.status(), is(429));
+    assertThat(rejected.retryAfterS(), greaterThan(0.0));
     cluster.timers.advance(20_000);
     assertThat(runsOf(cluster, "b"), is(0));
     assertThat(cluster.read(0, "b", 0), containsString("404"));
@@ -75,7 +75,7 @@
   }
 
   @Test
-  void waitingTokensFallAsResultsAreRecorded() {
+  void waitingTokensDecreaseWhenResultsAreRecorded() {
     SimBatchCluster cluster = new SimBatchCluster(4, 2, 100);
     assertThat(cluster.status(cluster.submit(0, "a", 10, 10)), is(202));
     assertThat(cluster.status(cluster.submit(1, "b", 5, 10)), is(429));
@@ -89,7 +89,7 @@
   }
 
   @Test
-  void waitingTokensFallAsAJobIsCancelled() {
+  void waitingTokensDecreaseWhenAJobIsCancelled() {
     SimBatchCluster cluster = new SimBatchCluster(5, 2, 100);
     assertThat(cluster.status(cluster.submit(0, "a", 10, 10)), is(202));
     assertThat(cluster.status(cluster.submit(1, "b", 5, 10)), is(429));
@@ -99,8 +99,8 @@
   }
 
   @Test
-  void threeJobsThatEachMissAnotherDoNotExceedTheLimitTogether() {
-    int refused = 0;
+  void concurrentJobsCountedAtDifferentMajoritiesDoNotExceedTheLimit() {
+    int rejected = 0;
     for (int seed = 0; seed < 200; seed++) {
       SimBatchCluster cluster = new SimBatchCluster(seed, 3, 100);
       for (int i = 0; i < 3; i++) {
@@ -117,25 +117,25 @@
       for (CompletableFuture<Reply> reply : replies) {
         accepted += cluster.status(reply) == 202 ? 1 : 0;
       }
-      refused += 3 - accepted;
+      rejected += 3 - accepted;
       assertThat(
           "accepted of three lots of 40 at a limit of 100, seed " + seed,
           accepted,
           lessThanOrEqualTo(2));
     }
-    assertThat(refused, greaterThanOrEqualTo(200));
+    assertThat(rejected, greaterThanOrEqualTo(200));
   }
 
   @Test
-  void manyGatewaysAtOnceStayWithinTheLimitAndItsSlack() {
+  void concurrentJobsStayWithinTheLimitPlusTenPercent() {
     for (int seed = 0; seed < 60; seed++) {
       SimBatchCluster cluster = new SimBatchCluster(seed, 6, 1_000);
       List<CompletableFuture<Reply>> replies = new ArrayList<>();
       List<Long> tokens = new ArrayList<>();
       for (int i = 0; i < 40; i++) {
-        long each = 5L + cluster.random.nextInt(60);
-        tokens.add(each);
-        replies.add(cluster.submit(i % 6, "lot" + i, 1, each));
+        long jobTokens = 5L + cluster.random.nextInt(60);
+        tokens.add(jobTokens);
+        replies.add(cluster.submit(i % 6, "lot" + i, 1, jobTokens));
         cluster.timers.advance(cluster.random.nextInt(6));
       }
       long waiting = 0;
@@ -161,9 +161,9 @@
     SimBatchCluster cluster = new SimBatchCluster(7, 2, 100);
     cluster.stores.get(0).up = false;
     cluster.stores.get(1).up = false;
-    Reply refused = cluster.await(cluster.submit(0, "a", 3, 10));
-    assertThat(refused.status(), is(503));
-    assertThat(refused.retryAfterS(), greaterThan(0.0));
+    Reply rejected = cluster.await(cluster.submit(0, "a", 3, 10));
+    assertThat(rejected.status(), is(503));
+    assertThat(rejected.retryAfterS(), greaterThan(0.0));
     cluster.stores.get(0).up = true;
     cluster.stores.get(1).up = true;
     cluster.timers.advance(20_000);
@@ -204,7 +204,7 @@
         replies.add(cluster.submit(gateway, "b", 2, 10));
       }
       List<Integer> statuses = new ArrayList<>();
-      replies.forEach(one -> statuses.add(cluster.status(one)));
+      replies.forEach(reply -> statuses.add(cluster.status(reply)));
       assertThat(statuses, everyItem(is(429)));
       cluster.timers.advance(10_000);
       assertThat(runsOf(cluster, "b"), is(0));
@@ -212,7 +212,7 @@
   }
 
   @Test
-  void blobsAreAtAQuorumBeforeTheRecordThatNamesThem() {
+  void blobsReachAQuorumBeforeTheirRecordIsAccepted() {
     for (int seed = 0; seed < 120; seed++) {
       SimBatchCluster cluster = new SimBatchCluster(seed, 2, seed % 2 == 0 ? 0 : 100);
       cluster.gateways.get(0).servers.serviceTimeMs = 5;
@@ -220,17 +220,17 @@
       for (int ms = 0; ms < 200; ms++) {
         cluster.timers.advance(1);
         for (SimJobStore store : cluster.stores) {
-          SimJobStore.StoredKey cell = store.keys.get("lot/a");
-          if (cell != null && cell.value != null) {
-            JobRecord record = JobRecord.decode(cell.value);
+          SimJobStore.StoredKey storedKey = store.keys.get("lot/a");
+          if (storedKey != null && storedKey.value != null) {
+            JobRecord record = JobRecord.decode(storedKey.value);
             assertThat(
                 "seed " + seed,
                 cluster.storesWithBlob("lot/a", record.bodyBlobName()),
                 greaterThanOrEqualTo(2));
-            for (JobRecord.Result one : record.results()) {
+            for (JobRecord.Result result : record.results()) {
               assertThat(
                   "seed " + seed,
-                  cluster.storesWithBlob("lot/a", one.textBlobName()),
+                  cluster.storesWithBlob("lot/a", result.textBlobName()),
                   greaterThanOrEqualTo(2));
             }
           }
@@ -241,7 +241,7 @@
   }
 
   @Test
-  void aPartitionedGatewayRejects() {
+  void partitionedGatewayRejectsJobsAsUnavailable() {
     SimBatchCluster cluster = new SimBatchCluster(8, 2, 100);
     cluster.stores.forEach(
         store -> cluster.cut(cluster.gateways.get(0).address, store.address, true));
@@ -274,7 +274,7 @@
   }
 
   @Test
-  void theLimitIsThatOfTheNewestConfiguration() {
+  void newestConfigurationDeterminesTheLimit() {
     SimBatchCluster cluster = new SimBatchCluster(10, 2, 100);
     cluster.gateways.get(1).initialConfig = new SimConfig(2, List.of(SimBatchCluster.route(200)));
     assertThat(cluster.status(cluster.submit(0, "a", 10, 10)), is(202));
--- a/batch/src/test/java/elmsail/batch/TenantJobsTest.java
+++ b/batch/src/test/java/elmsail/batch/TenantJobsTest.java
@@ -55,7 +55,7 @@
   }
 
   @Test
-  void itemsRunInTheNameOfTheJobsTenantAlsoAfterATakeover() {
+  void itemsRunForTheJobsTenantAfterATakeover() {
     SimBatchCluster cluster = cluster(3, 2, 0);
     assertThat(cluster.status(cluster.submit(ARGUS, 0, "a", 2, 10)), is(202));
     cluster.timers.advance(100);
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void aJobDoesNotExistForAnotherTenant() {
+  void callsForAnotherTenantsJobAreAnsweredNotFound() {
     SimBatchCluster cluster = cluster(4, 2, 0);
     cluster.gateways.get(0).servers.serviceTimeMs = 2_000;
     assertThat(cluster.status(cluster.submit(ARGUS, 0, "a", 2, 10)), is(202));
@@ -92,7 +92,7 @@
 
   /** LOST: a gateway that cannot read the record does not know whose job it is. */
   @Test
-  void withoutAQuorumNobodysCallIsAnsweredNotFound() {
+  void withoutAQuorumNoCallIsAnsweredNotFound() {
     SimBatchCluster cluster = cluster(5, 1, 0);
     assertThat(cluster.status(cluster.submit(ARGUS, 0, "a", 2, 10)), is(202));
     String gateway = cluster.gateways.get(0).address;
@@ -107,7 +107,7 @@
   }
 
   @Test
-  void aJobIdOfAnotherTenantIsRefusedAsAConflictAndNotAcknowledged() {
+  void submissionUnderAnotherTenantsJobIdIsAnsweredConflict() {
     SimBatchCluster cluster = cluster(6, 2, 0);
     assertThat(cluster.status(cluster.submit(ARGUS, 0, "a", 2, 10)), is(202));
     for (int gateway = 0; gateway < 2; gateway++) {
@@ -127,13 +127,13 @@
 
   /** The gateway that lost the race must not run its own items under the other tenant's job. */
   @Test
-  void twoTenantsThatSubmitOneIdAtOnceGetOneJob() {
+  void concurrentSubmissionsOfOneIdByTwoTenantsCreateOneJob() {
     for (int seed = 0; seed < 60; seed++) {
       SimBatchCluster cluster = cluster(seed, 2, seed % 2 == 0 ? 0 : 100);
-      CompletableFuture<Reply> one = cluster.submit(ARGUS, 0, "a", 2, 10);
+      CompletableFuture<Reply> first = cluster.submit(ARGUS, 0, "a", 2, 10);
       cluster.timers.advance(seed % 10);
-      CompletableFuture<Reply> other = cluster.submit(BORA, seed / 10 % 2, "a", 3, 10);
-      List<Integer> statuses = List.of(cluster.status(one), cluster.status(other));
+      CompletableFuture<Reply> second = cluster.submit(BORA, seed / 10 % 2, "a", 3, 10);
+      List<Integer> statuses = List.of(cluster.status(first), cluster.status(second));
       cluster.timers.advance(100);
       boolean firstWon = statuses.equals(List.of(202, 409));
       assertThat("seed " + seed + statuses, firstWon || statuses.equals(List.of(409, 202)));
@@ -149,7 +149,7 @@
   }
 
   @Test
-  void aJobWithoutATenantIsReadableByWhoeverMayCall() {
+  void jobWithoutATenantIsAccessibleToAllCallers() {
     SimBatchCluster cluster = new SimBatchCluster(7, 2, 0);
     assertThat(cluster.status(cluster.submit(0, "a", 2, 10)), is(202));
     cluster.configure(cluster.initialConfig.withKeysRequired());
@@ -164,7 +164,7 @@
 
   /** Where nobody is asked for a key, nobody can show that a job is his. */
   @Test
-  void withoutTenantsInTheConfigurationEveryJobIsReadable() {
+  void everyJobIsAccessibleWhenTheConfigurationRequiresNoKeys() {
     SimBatchCluster cluster = cluster(8, 2, 0);
     assertThat(cluster.status(cluster.submit(ARGUS, 0, "a", 2, 10)), is(202));
     cluster.configure(cluster.initialConfig);
@@ -174,22 +174,23 @@
 
   /** ROUTE: the key that is not needed on an open route does not open the others to its items. */
   @Test
-  void aJobOfAnOpenRouteHasNoItemsOnRoutesThatNeedAKey() {
+  void jobWithoutAKeyIsUnauthorizedIfAnItemsRouteNeedsAKey() {
     SimBatchCluster cluster = cluster(9, 1, 0);
     cluster.configure(cluster.initialConfig.withKeysRequired().withOpenRoute("/open1/"));
     byte[] items = JobJson.job("a", 1, 1);
     byte[] openItems = new String(items, UTF_8).replace("/lots1/", "/open1/").getBytes(UTF_8);
     BatchService service = service(cluster, 0);
-    TenantName nobody = TenantName.NONE;
-    assertThat(cluster.status(service.submit(nobody, cluster.route(), "a", items, 1_000)), is(401));
+    TenantName noTenant = TenantName.NONE;
     assertThat(
-        cluster.status(service.submit(nobody, cluster.route(), "a", openItems, 1_000)), is(202));
+        cluster.status(service.submit(noTenant, cluster.route(), "a", items, 1_000)), is(401));
+    assertThat(
+        cluster.status(service.submit(noTenant, cluster.route(), "a", openItems, 1_000)), is(202));
     assertThat(cluster.status(service.submit(ARGUS, cluster.route(), "b", items, 1_000)), is(202));
   }
 
   /** Starved: the jobs that one tenant submitted before do not keep another's waiting. */
   @Test
-  void aFloodOfOneTenantsJobsLeavesSlotsToAnother() {
+  void floodOfOneTenantsJobsDoesNotStarveAnotherTenant() {
     SimBatchCluster cluster = cluster(10, 1, 0);
     SimServers servers = cluster.gateways.get(0).servers;
     servers.capacity = 4;
--- a/batch/src/test/java/elmsail/batch/api/AdmissionCheckTest.java
+++ b/batch/src/test/java/elmsail/batch/api/AdmissionCheckTest.java
@@ -41,46 +41,46 @@
   void withoutALimitEveryJobFits() {
     AdmissionCheck check = new AdmissionCheck(FIRST, Long.MAX_VALUE / 2, 0);
     assertThat(
-        check.judge(accepted(SECOND, Long.MAX_VALUE / 4), AdmissionRound.COMMIT),
+        check.evaluate(accepted(SECOND, Long.MAX_VALUE / 4), AdmissionRound.COMMIT),
         is(AdmissionVerdict.FITS));
   }
 
   @Test
   void aJobFitsUpToTheLimitAndNotBeyond() {
     WaitingTokens counted = accepted(SECOND, 60);
-    assertThat(check(FIRST, 40).judge(counted, AdmissionRound.READ), is(AdmissionVerdict.FITS));
+    assertThat(check(FIRST, 40).evaluate(counted, AdmissionRound.READ), is(AdmissionVerdict.FITS));
     assertThat(
-        check(FIRST, 41).judge(counted, AdmissionRound.READ), is(AdmissionVerdict.OVER_QUOTA));
+        check(FIRST, 41).evaluate(counted, AdmissionRound.READ), is(AdmissionVerdict.OVER_QUOTA));
   }
 
   @Test
   void theReservationOfTheJobItselfDoesNotCountAgainstIt() {
     assertThat(
-        check(FIRST, 100).judge(reserved(FIRST, 100), AdmissionRound.COMMIT),
+        check(FIRST, 100).evaluate(reserved(FIRST, 100), AdmissionRound.COMMIT),
         is(AdmissionVerdict.FITS));
   }
 
   @Test
-  void ofTwoReservedJobsTheOneThatPrecedesKeepsItsReservation() {
+  void firstOfTwoReservedJobsKeepsItsReservation() {
     assertThat(
-        check(FIRST, 60).judge(reserved(SECOND, 60), AdmissionRound.RESERVE),
+        check(FIRST, 60).evaluate(reserved(SECOND, 60), AdmissionRound.RESERVE),
         is(AdmissionVerdict.CONTENDED_FIRST));
     assertThat(
-        check(SECOND, 60).judge(reserved(FIRST, 60), AdmissionRound.RESERVE),
+        check(SECOND, 60).evaluate(reserved(FIRST, 60), AdmissionRound.RESERVE),
         is(AdmissionVerdict.CONTENDED));
   }
 
   @Test
-  void beforeItsReservationAJobHasNoPlaceInTheOrder() {
+  void jobWithoutAReservationIsContendedRegardlessOfTheOrder() {
     assertThat(
-        check(FIRST, 60).judge(reserved(SECOND, 60), AdmissionRound.READ),
+        check(FIRST, 60).evaluate(reserved(SECOND, 60), AdmissionRound.READ),
         is(AdmissionVerdict.CONTENDED));
   }
 
   @Test
-  void acceptedJobsCountWhateverTheirOrder() {
+  void acceptedJobsCountRegardlessOfTheOrder() {
     assertThat(
-        check(FIRST, 60).judge(accepted(SECOND, 60), AdmissionRound.RESERVE),
+        check(FIRST, 60).evaluate(accepted(SECOND, 60), AdmissionRound.RESERVE),
         is(AdmissionVerdict.OVER_QUOTA));
   }
 }
--- a/batch/src/test/java/elmsail/batch/api/PinnedNamesTest.java
+++ b/batch/src/test/java/elmsail/batch/api/PinnedNamesTest.java
@@ -29,20 +29,22 @@
   }
 
   @Test
-  void metrics() {
-    Counters ofGateway = new Counters();
-    new BatchCounters(ofGateway);
+  void metricNamesAndTypesArePinned() {
+    Counters gatewayCounters = new Counters();
+    new BatchCounters(gatewayCounters);
     assertThat(
-        exported(ofGateway),
+        exported(gatewayCounters),
         contains(
             "elmsail_batch_submit_accepted counter",
             "elmsail_batch_submit_refused counter",
             "elmsail_batch_submit_full counter",
             "elmsail_batch_submit_full_by_pending counter"));
-    ProcessMetrics ofStore = ProcessMetrics.strict();
-    new JobStoreService(new ManualTimers(), () -> true, key -> {}, 1, ofStore);
+    ProcessMetrics storeMetrics = ProcessMetrics.strict();
+    new JobStoreService(new ManualTimers(), () -> true, key -> {}, 1, storeMetrics);
     assertThat(
-        exported(ofStore.counters()).stream().filter(name -> name.contains("_store_")).toList(),
+        exported(storeMetrics.counters()).stream()
+            .filter(name -> name.contains("_store_"))
+            .toList(),
         contains(
             "elmsail_store_batch_messages_answered counter",
             "elmsail_store_batch_messages_not_seated counter",
@@ -51,7 +53,7 @@
   }
 
   @Test
-  void resultsAsJson() {
+  void resultPageJsonIsPinned() {
     List<JobRecord.Result> results =
         List.of(new JobRecord.Result(1, true, 1, 3), new JobRecord.Result(0, false, 1, 0));
     JobDescription description =
