--- a/batch/src/main/java/elmsail/batch/api/AdmissionCheck.java
+++ b/batch/src/main/java/elmsail/batch/api/AdmissionCheck.java
@@ -3,20 +3,20 @@
 import elmsail.batch.messages.WaitingTokens;
 
 /**
- * The judgement whether a job fits into the limit of its tenant on its route. A pure function of
- * the counted tokens.
+ * Checks whether a job fits within the limit on the waiting tokens of its tenant on its route. The
+ * result depends only on the counted tokens.
  *
- * <p>Jobs that are reserved at the same time count against each other, so that of several that
- * would fit one by one, each may find the limit reached. The order of {@link
- * WaitingTokens#totalAheadOf} breaks the tie: a job that fits behind those that precede it keeps
- * its reservation, and the others yield.
+ * <p>Jobs that reserve tokens at the same time count against each other. Several jobs of which each
+ * fits alone may therefore all exceed the limit. The order of {@link WaitingTokens#totalAheadOf}
+ * breaks the tie: a job that fits together with the jobs ahead of it keeps its reservation, and the
+ * other jobs withdraw theirs.
  *
- * @param tokens of the job
- * @param limit on the waiting tokens of the tenant on the route; 0 for none
+ * @param tokens the tokens of the job
+ * @param limit the limit on the waiting tokens of the tenant on the route; 0 means no limit
  */
 record AdmissionCheck(String jobId, long tokens, long limit) {
 
-  /** Judges the job by the tokens that were counted in this round. */
+  /** Evaluates the job against the tokens that were counted in this round. */
   AdmissionVerdict evaluate(WaitingTokens counted, AdmissionRound round) {
     if (limit == 0 || counted.totalExcept(jobId) + tokens <= limit) {
       return AdmissionVerdict.FITS;
@@ -24,7 +24,7 @@
     if (exceedsLimitByAccepted(counted)) {
       return AdmissionVerdict.OVER_QUOTA;
     }
-    // Before it has reserved its tokens, a job has no place in the order.
+    // A job takes part in the order only after it has reserved its tokens.
     boolean reserved = round != AdmissionRound.READ;
     return reserved && fitsInOrder(counted)
         ? AdmissionVerdict.CONTENDED_FIRST
@@ -36,7 +36,7 @@
     return counted.acceptedExcept(jobId) + tokens > limit;
   }
 
-  /** Whether the job fits together with the accepted jobs and the reserved ones that precede it. */
+  /** Whether the job fits together with the accepted jobs and the reserved jobs ahead of it. */
   boolean fitsInOrder(WaitingTokens counted) {
     return counted.totalAheadOf(jobId) + tokens <= limit;
   }
--- a/batch/src/main/java/elmsail/batch/api/AdmissionVerdict.java
+++ b/batch/src/main/java/elmsail/batch/api/AdmissionVerdict.java
@@ -1,21 +1,27 @@
 package elmsail.batch.api;
 
-/** What one round of a submission has found. */
+/** The outcome of one round of a submission. */
 enum AdmissionVerdict {
   /** The job has a record already: its submission was accepted before. */
   ALREADY_ACCEPTED,
-  /** The job fits into the limit of its tenant on its route. */
+  /** The job fits within the limit of its tenant on its route. */
   FITS,
-  /** It exceeds the limit only by reserved jobs that it precedes; it keeps its reservation. */
+  /**
+   * The job exceeds the limit only because of reserved jobs that come after it in the order. It
+   * keeps its reservation.
+   */
   CONTENDED_FIRST,
-  /** It exceeds the limit only by reserved jobs; it gives way to those that precede it. */
+  /**
+   * The job exceeds the limit because of reserved jobs, of which some are ahead of it in the order
+   * or the job has no reservation yet. It yields to them.
+   */
   CONTENDED,
-  /** It exceeds the limit with the accepted jobs alone. */
+  /** The job exceeds the limit together with the accepted jobs alone. */
   OVER_QUOTA,
-  /** No majority of the stores has counted the waiting tokens. */
+  /** Fewer than a majority of the stores have returned their count of the waiting tokens. */
   UNKNOWN;
 
-  /** Whether the job does not fit at present. */
+  /** Whether the job currently exceeds the limit. */
   boolean exceedsLimit() {
     return this == OVER_QUOTA || this == CONTENDED_FIRST || this == CONTENDED;
   }
--- a/batch/src/main/java/elmsail/batch/api/BatchApi.java
+++ b/batch/src/main/java/elmsail/batch/api/BatchApi.java
@@ -34,8 +34,8 @@
 import java.util.concurrent.CompletionStage;
 
 /**
- * The batch service of one gateway: validates and dispatches the calls of clients, and runs the
- * jobs whose lease this gateway holds. Confined to the gateway's event loop.
+ * The batch service of one gateway. Validates and dispatches client requests and runs the jobs
+ * whose lease this gateway holds. Confined to the gateway's event loop.
  */
 public final class BatchApi implements BatchService {
   private static final long MAX_SUBMIT_MS = 3_000;
@@ -43,7 +43,7 @@
   private static final long CALL_TIMEOUT_MS = 1_500;
   private static final int MAX_JOB_ID_LENGTH = 200;
 
-  /** The encoded bodies of all submissions in flight. */
+  /** Limit on the total size of the encoded bodies of all submissions in flight. */
   private static final long MAX_PENDING_SUBMIT_BYTES = 24L << 20;
 
   private static final int MAX_PENDING_READS = 2_000;
@@ -59,10 +59,10 @@
   private long pendingSubmitBytes;
 
   /**
-   * Makes a service that runs nothing before {@link #setServers} and {@link #start}.
+   * Creates a service that runs no jobs until {@link #setServers} and {@link #start} are called.
    *
-   * @param register of the voter set of the job stores
-   * @param metrics of the process
+   * @param register the register replicated by the voter set of the job stores
+   * @param metrics the metrics of the process
    */
   public BatchApi(
       Register register,
@@ -82,7 +82,7 @@
     cancelHandler = new CancelHandler(context, jobClient, replies, this::onCancelled);
   }
 
-  /** Sets the servers that items are sent to; before this none is started. */
+  /** Sets the servers that items are sent to. No item is started before this call. */
   public void setServers(ItemServers servers) {
     runner.setServers(servers);
   }
@@ -93,16 +93,16 @@
   }
 
   /**
-   * Registers {@link #handle} for all opaque messages. Where other services have opaque messages
-   * too, call {@link #handle} from a shared handler instead.
+   * Registers {@link #handle} for all opaque messages. If other services of the process receive
+   * opaque messages too, call {@link #handle} from a shared handler instead.
    */
   public void registerHandlers(RequestHandlers handlers) {
     handlers.register(OpaqueMessage.class, this::handle);
   }
 
   /**
-   * Responds to the message of another gateway that a job was cancelled. The future fails with
-   * {@link ErrorCode#MALFORMED} for a message of any other kind.
+   * Handles another gateway's notification that a job was cancelled. The future fails with {@link
+   * ErrorCode#MALFORMED} for a message of any other kind.
    */
   public CompletionStage<OpaqueMessage> handle(OpaqueMessage request) {
     if (!request.kind.equals(BatchMessageTypes.CANCELLED)) {
@@ -115,7 +115,7 @@
         BatchMessageTypes.message(BatchMessageTypes.CANCELLED, BatchReplies.EMPTY_BODY));
   }
 
-  /** The items of this gateway's jobs that wait for capacity, by the service of their route. */
+  /** The number of items of this gateway's jobs that wait for capacity, per service. */
   public Map<String, Integer> waitingItems() {
     return runner.waitingItems();
   }
@@ -160,7 +160,10 @@
     return handler.start().whenComplete((reply, failure) -> pendingSubmitBytes -= submitBytes);
   }
 
-  /** A job that was accepted stays accepted, also after the routes of its items were removed. */
+  /**
+   * Replies according to the job's record if there is one, and otherwise with the fallback. A job
+   * that was accepted before remains accepted even if the routes of its items have been removed.
+   */
   private CompletableFuture<Reply> replyForExistingJob(
       TenantName tenant, String jobId, Reply fallback) {
     JobAccess access = new JobAccess(context, tenant);
@@ -257,7 +260,7 @@
     }
   }
 
-  /** Whether the id has 1 to 200 printable ASCII characters, without a slash. */
+  /** Whether the id consists of 1 to 200 printable ASCII characters except space and slash. */
   private static boolean isValidJobId(String jobId) {
     if (jobId == null || jobId.isEmpty() || jobId.length() > MAX_JOB_ID_LENGTH) {
       return false;
--- a/batch/src/main/java/elmsail/batch/api/BatchReplies.java
+++ b/batch/src/main/java/elmsail/batch/api/BatchReplies.java
@@ -5,7 +5,7 @@
 import elmsail.runtime.ErrorCode;
 import java.util.Random;
 
-/** The replies that several batch calls have in common. */
+/** The replies shared by the handlers of batch calls. */
 final class BatchReplies {
   static final byte[] EMPTY_BODY = {};
   static final Reply ACCEPTED = new Reply(202, EMPTY_BODY, 0);
@@ -13,13 +13,13 @@
   static final Reply BAD_REQUEST = new Reply(400, EMPTY_BODY, 0);
   static final Reply NOT_FOUND = new Reply(404, EMPTY_BODY, 0);
 
-  /** A key is needed, and the caller has none. */
+  /** The call requires an API key, and the caller has sent none. */
   static final Reply UNAUTHORIZED = new Reply(401, EMPTY_BODY, 0);
 
-  /** The id is that of another tenant's job. The call takes no effect. */
+  /** The job id belongs to another tenant's job. The call has no effect. */
   static final Reply CONFLICT = new Reply(409, EMPTY_BODY, 0);
 
-  /** The call may have taken effect or not; this promises nothing. */
+  /** It is unknown whether the call has taken effect or will take effect later. */
   static final Reply OUTCOME_UNKNOWN = new Reply(504, EMPTY_BODY, 0);
 
   private static final double MIN_UNAVAILABLE_RETRY_S = 0.2;
@@ -33,7 +33,7 @@
     this.random = random;
   }
 
-  /** 503: the call has certainly taken no effect and never will. */
+  /** Returns a 503 reply: the call has not taken effect and never will. */
   Reply unavailable() {
     return new Reply(
         503,
@@ -42,15 +42,17 @@
   }
 
   /**
-   * 429: the job does not fit into the limit of its tenant on its route. Items run for seconds, so
-   * capacity comes late; the jitter keeps jobs that were rejected together from returning together.
+   * Returns a 429 reply: the job exceeds the limit of its tenant on its route. The retry delay is
+   * longer than that of {@link #unavailable} because items run for seconds before capacity becomes
+   * free. The jitter keeps clients whose jobs were rejected at the same time from retrying at the
+   * same time.
    */
   Reply overQuota() {
     return new Reply(
         429, EMPTY_BODY, MIN_OVER_QUOTA_RETRY_S + random.nextDouble() * OVER_QUOTA_RETRY_JITTER_S);
   }
 
-  /** Whether a change that failed so may have taken effect nonetheless, or may still do so. */
+  /** Whether a change that failed with this exception may have taken effect or may do so later. */
   static boolean mayHaveTakenEffect(Throwable failure) {
     ErrorCode code = ElmsailException.codeOf(failure);
     return code != ErrorCode.NO_QUORUM
--- a/batch/src/main/java/elmsail/batch/api/CancelHandler.java
+++ b/batch/src/main/java/elmsail/batch/api/CancelHandler.java
@@ -11,8 +11,9 @@
 import java.util.function.Consumer;
 
 /**
- * Cancels jobs: commits the cancellation and notifies the runner, which else learns of it by its
- * heartbeats. Confined to the gateway's event loop.
+ * Cancels jobs: commits the cancellation and notifies the runner. If the notification is lost, the
+ * responses to the runner's heartbeats report the cancellation. Confined to the gateway's event
+ * loop.
  */
 final class CancelHandler {
   private static final long CHANGE_TIMEOUT_MS = 1_500;
@@ -25,8 +26,8 @@
   private final Consumer<String> onCancelled;
 
   /**
-   * @param onCancelled receives the id of each job whose cancellation is committed, before the
-   *     reply
+   * @param onCancelled called with the id of each job whose cancellation is committed, before the
+   *     reply is returned
    */
   CancelHandler(
       BatchContext context,
@@ -39,7 +40,7 @@
     this.onCancelled = onCancelled;
   }
 
-  /** Cancels the job if the caller may access it; the future never fails. */
+  /** Cancels the job if the caller may access it. The future never fails. */
   CompletableFuture<Reply> cancel(JobAccess access, String jobId) {
     return cancel(access, jobId, ATTEMPTS)
         .exceptionally(
@@ -59,7 +60,10 @@
         : attempt;
   }
 
-  /** If the retry fails too, a failure that may have taken effect outweighs one that has not. */
+  /**
+   * Retries the cancellation. If the retry fails too, the future fails with the first failure if
+   * that attempt may have taken effect, and with the second failure otherwise.
+   */
   private CompletableFuture<Reply> retry(
       JobAccess access, String jobId, int attemptsLeft, Throwable firstFailure) {
     return cancel(access, jobId, attemptsLeft)
@@ -69,7 +73,7 @@
                     BatchReplies.mayHaveTakenEffect(firstFailure) ? firstFailure : failure));
   }
 
-  /** The cancelled record, or null if there is nothing to cancel. */
+  /** The record with the cancellation, or null if there is nothing to cancel. */
   private static JobRecord cancelled(JobAccess access, JobRecord current) {
     boolean cancellable = current != null && !current.cancelled() && access.permits(current);
     return cancellable ? current.withCancellation() : null;
--- a/batch/src/main/java/elmsail/batch/api/JobAccess.java
+++ b/batch/src/main/java/elmsail/batch/api/JobAccess.java
@@ -6,16 +6,18 @@
 import elmsail.config.RoutingConfig;
 
 /**
- * Which jobs a caller may read, cancel and submit again. To others a job does not exist, which is
- * known only once its record was read.
+ * Decides which jobs a caller may read, cancel and submit again. A caller without access to a job
+ * gets the same reply to a read or a cancellation as for a job that does not exist. The decision
+ * needs the record of the job, so the record must be read first.
  *
- * @param tenant of the caller
+ * @param tenant the tenant of the caller
  */
 record JobAccess(BatchContext context, TenantName tenant) {
 
   /**
-   * Whether the caller may access the job: it is the caller's own, or one without a tenant. Where
-   * the configuration has no tenants, callers cannot show who they are and may access all jobs.
+   * Whether the caller may access the job, which must belong to the caller's tenant or to no
+   * tenant. If the configuration requires no keys, callers cannot be authenticated and may access
+   * all jobs.
    */
   boolean permits(JobRecord record) {
     RoutingConfig config = context.clusterState().config();
--- a/batch/src/main/java/elmsail/batch/api/ReadHandler.java
+++ b/batch/src/main/java/elmsail/batch/api/ReadHandler.java
@@ -10,9 +10,10 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * One call that reads the results of a job from a position on. While there are none it waits for a
- * while: it reads the record again at each change that this gateway makes, and else periodically.
- * Confined to the gateway's event loop.
+ * Handles one call that reads the results of a job from a given position (long polling). While
+ * there are no such results, the handler reads the record again after each change that this gateway
+ * makes to the job, and periodically, until the wait time of the call ends. Confined to the
+ * gateway's event loop.
  */
 final class ReadHandler {
   private static final long READ_TIMEOUT_MS = 1_200;
@@ -34,8 +35,8 @@
   private boolean rereadRequested;
 
   /**
-   * @param access of the caller
-   * @param afterPosition the number of results that the client has
+   * @param access the access rights of the caller
+   * @param afterPosition the number of results that the client has already received
    * @param waitMs how long to wait for a further result, in ms
    */
   ReadHandler(
@@ -55,13 +56,13 @@
     this.deadline = context.timers().now() + waitMs;
   }
 
-  /** Starts the first read; the future never fails. */
+  /** Starts the first read. The future never fails. */
   CompletableFuture<Reply> start() {
     readRecord();
     return replyFuture;
   }
 
-  /** The job has changed: reads its record at once. */
+  /** Reads the record at once, or again as soon as the read in progress completes. */
   void onJobChanged() {
     if (replyFuture.isDone()) {
       return;
@@ -121,7 +122,8 @@
   }
 
   /**
-   * Gathers the texts of one page and replies with it; fails the call if any of them is missing.
+   * Collects the texts of one page of results and replies with the page. Replies 503 if any text
+   * cannot be read.
    */
   private final class PageReply {
     private final JobRecord record;
--- a/batch/src/main/java/elmsail/batch/api/ReservationWithdrawal.java
+++ b/batch/src/main/java/elmsail/batch/api/ReservationWithdrawal.java
@@ -8,8 +8,9 @@
 import java.util.List;
 
 /**
- * Withdraws a reservation from all stores. Stores that do not respond are called again a few times;
- * where that fails too the reservation expires. Confined to the gateway's event loop.
+ * Withdraws a reservation from all stores. Calls to stores that do not respond are retried a
+ * limited number of times. At a store that none of the calls reaches, the reservation expires by
+ * its time to live. Confined to the gateway's event loop.
  */
 final class ReservationWithdrawal {
   private static final int MAX_ATTEMPTS = 4;
@@ -24,7 +25,7 @@
     this.reservation = reservation;
   }
 
-  /** Sends the withdrawal to all stores that are known. */
+  /** Sends the withdrawal to all known stores. */
   void start() {
     send(context.stores(), MAX_ATTEMPTS);
   }
--- a/batch/src/main/java/elmsail/batch/api/ResultPage.java
+++ b/batch/src/main/java/elmsail/batch/api/ResultPage.java
@@ -6,13 +6,16 @@
 import java.util.List;
 
 /**
- * The JSON of one page of results, with as many of them as fit into 1 MB, and one at least. It is
- * assembled as bytes, since the texts are UTF-8 already.
+ * Encodes one page of results as JSON. A page holds as many results as fit into 1 MB, and at least
+ * one if there is any. The page is assembled as bytes because the texts are already UTF-8.
  */
 final class ResultPage {
   private static final int MAX_PAGE_BYTES = 1_000_000;
 
-  /** More than the JSON around the entries, and that around the text of one entry, takes. */
+  /**
+   * Upper bound on the size of the JSON around the list of entries. Also the initial buffer space
+   * for the JSON around the text of one entry.
+   */
   private static final int MAX_JSON_OVERHEAD_BYTES = 100;
 
   private static final byte[] HEX = "0123456789abcdef".getBytes(StandardCharsets.US_ASCII);
@@ -20,9 +23,11 @@
   private ResultPage() {}
 
   /**
+   * Encodes the longest prefix of these results that fits into one page.
+   *
    * @param afterPosition the number of results before this page
-   * @param results of the record, from that position on
-   * @param texts of these results, in the same order; of the failed ones empty
+   * @param results the results of the record from that position on
+   * @param texts the texts of these results in the same order; empty for failed items
    */
   static byte[] toJson(
       JobRecord record, long afterPosition, List<JobRecord.Result> results, byte[][] texts) {
@@ -62,7 +67,7 @@
     return out.toByteArray();
   }
 
-  /** Appends UTF-8 with quotes, backslashes and control characters escaped. */
+  /** Appends UTF-8 text with quotes, backslashes and control characters escaped. */
   private static void appendEscaped(ByteArrayOutputStream out, byte[] text) {
     for (byte c : text) {
       if (c == '"' || c == '\\') {
--- a/batch/src/main/java/elmsail/batch/api/Submission.java
+++ b/batch/src/main/java/elmsail/batch/api/Submission.java
@@ -6,16 +6,16 @@
 import java.util.List;
 
 /**
- * A valid job that a client submits.
+ * A validated request to submit a job.
  *
- * @param tenant of the caller
- * @param route that it is submitted on, as configured when the call arrived
- * @param timeoutMs within which the reply is due, in ms
+ * @param tenant the tenant of the caller
+ * @param route the route that the job is submitted on, as configured when the call arrived
+ * @param timeoutMs the time from the arrival of the call within which the reply is due, in ms
  */
 record Submission(
     TenantName tenant, String jobId, Route route, List<BatchItem> items, long timeoutMs) {
 
-  /** The tokens of all items. */
+  /** The sum of the tokens of all items. */
   long tokens() {
     long sum = 0;
     for (BatchItem item : items) {
--- a/batch/src/main/java/elmsail/batch/api/SubmissionReport.java
+++ b/batch/src/main/java/elmsail/batch/api/SubmissionReport.java
@@ -9,12 +9,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * How a submission ended, for the log, the counters and the invariants.
+ * The outcome of a submission, for the log, the counters and the invariants.
  *
- * @param check by the limit at the end
- * @param counted the tokens of the last rounds
- * @param verdict of the last round, or null if none was judged since the last wait
- * @param elapsedMs from the arrival of the call to the reply
+ * @param check the admission check with the limit in force at the time of the reply
+ * @param counted the waiting tokens counted in the rounds since the last wait
+ * @param verdict the verdict of the last round, or null if no round since the last wait reached one
+ * @param elapsedMs the time from the arrival of the call to the reply, in ms
  */
 record SubmissionReport(
     Reply reply,
@@ -26,6 +26,8 @@
   private static final Logger LOG = LoggerFactory.getLogger(SubmissionReport.class);
 
   /**
+   * Logs the outcome at debug level.
+   *
    * @param bodyBytes the size of the encoded body
    */
   void log(int bodyBytes) {
@@ -47,9 +49,10 @@
   }
 
   /**
-   * Counts the submission and checks that a job which fits is not rejected before it has waited.
+   * Counts the submission, and checks the invariant that a job which fits in the order of
+   * reservations is not rejected before it has waited.
    *
-   * @param maxContentionWaitMs how long a contended job waits
+   * @param maxContentionWaitMs how long a contended job waits before it is rejected, in ms
    */
   void count(BatchMetrics metrics, long maxContentionWaitMs) {
     BatchCounters counters = metrics.counters();
--- a/batch/src/main/java/elmsail/batch/api/SubmitHandler.java
+++ b/batch/src/main/java/elmsail/batch/api/SubmitHandler.java
@@ -16,32 +16,38 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * One call that submits a job, in three rounds at the stores. {@code READ} counts the waiting
- * tokens of the tenant on the route and reserves nothing, so that jobs without a chance are in
- * nobody's way. {@code RESERVE} adds the tokens of the job to the count of a majority. {@code
- * COMMIT} counts once more: of all jobs that are being accepted, the one whose reservation came
- * last sees the others. It carries the body, so that a majority has it before any store is asked to
- * accept the record.
+ * Handles one call that submits a job, in three rounds at the stores:
  *
- * <p>A job that does not fit because of other reservations waits for a while, see {@link
- * AdmissionCheck}: it keeps its reservation if it is first in the order, else it withdraws it and
- * begins again. Confined to the gateway's event loop.
+ * <ol>
+ *   <li>{@code READ} counts the waiting tokens of the tenant on the route and reserves nothing. A
+ *       job that exceeds the limit makes no reservation and does not block other jobs.
+ *   <li>{@code RESERVE} adds the tokens of the job to the counts of a majority of the stores.
+ *   <li>{@code COMMIT} counts again and proposes the record. Among jobs that are submitted
+ *       concurrently, the job whose reservation was made last counts the reservations of all the
+ *       others, so that they do not exceed the limit together. This round carries the body, so that
+ *       a majority has the body before any store receives the request to accept the record.
+ * </ol>
+ *
+ * <p>A job that exceeds the limit only because of other reservations retries for a limited time. If
+ * the job is first in the order of {@link AdmissionCheck}, it keeps its reservation. Otherwise it
+ * withdraws the reservation and starts again with {@code READ}. Confined to the gateway's event
+ * loop.
  */
 final class SubmitHandler {
   private static final long CHANGE_TIMEOUT_MS = 1_500;
 
-  /** With less time than this before its deadline no round is started. */
+  /** No round is started with less time than this before the deadline of the call. */
   private static final long MIN_ROUND_MS = 150;
 
   private static final long RETRY_DELAY_MS = 60;
 
-  /** How soon a contended job begins another round if it is first in the order. */
+  /** Delay before the next round of a contended job that is first in the order. */
   private static final long CONTENDED_FIRST_RETRY_MS = 25;
 
-  /** How soon it does if it is not. */
+  /** Delay before the next round of a contended job that is not first in the order. */
   private static final long CONTENDED_RETRY_MS = 60;
 
-  /** How long a job waits for others that are being accepted. */
+  /** How long a contended job retries while other jobs hold reservations. */
   private static final long MAX_CONTENTION_WAIT_MS = 600;
 
   private final BatchContext context;
@@ -58,19 +64,19 @@
   private final CompletableFuture<Reply> replyFuture = new CompletableFuture<>();
   private WaitingTokens.Reservation reservation;
 
-  /** Whether a store may have the reservation. */
+  /** Whether any store may hold the reservation. */
   private boolean mayBeReserved;
 
-  /** What was counted since the last wait, in all rounds together. */
+  /** The waiting tokens counted in all rounds since the last wait. */
   private WaitingTokens waitingTokens = new WaitingTokens();
 
-  /** Of the last round; null while none was judged since the last wait. */
+  /** The verdict of the last round; null if no round since the last wait has reached a verdict. */
   private AdmissionVerdict verdict;
 
-  /** Whether a store may have accepted the record, although this gateway does not know it. */
+  /** Whether a store may have accepted the record in a round whose outcome is unknown. */
   private boolean mayBeCommitted;
 
-  /** Whether the record was proposed in some round: then a committed one may be this call's. */
+  /** Whether any round has proposed the record. If not, a committed record is from another call. */
   private boolean commitProposed;
 
   private long roundStartedAt;
@@ -130,18 +136,21 @@
     return body.bytes.length;
   }
 
-  /** Starts the first round; the future never fails. */
+  /** Starts the first round. The future never fails. */
   CompletableFuture<Reply> start() {
     startRound(firstRound());
     return replyFuture;
   }
 
-  /** Without a limit there is nothing to count before. */
+  /** Without a limit no tokens need to be counted before the commit. */
   private AdmissionRound firstRound() {
     return limit() == 0 ? AdmissionRound.COMMIT : AdmissionRound.READ;
   }
 
-  /** By the newest configuration; if the route is gone, its limit when the call arrived. */
+  /**
+   * The limit of the newest configuration. If the route has been removed, the limit that was
+   * configured when the call arrived.
+   */
   private long limit() {
     Route current = context.clusterState().config().routeByName(submission.route().name());
     return current == null ? submission.route().maxWaitingTokens() : current.maxWaitingTokens();
@@ -179,7 +188,7 @@
             });
   }
 
-  /** Called again after each conflict with another proposer. */
+  /** Selects the value to propose. Called again after each conflict with another proposer. */
   private Register.ProposedValue propose(Register.ObservedState found, AdmissionRound round) {
     verdict = evaluate(found, round);
     boolean commit = round == AdmissionRound.COMMIT && verdict == AdmissionVerdict.FITS;
@@ -191,7 +200,7 @@
     if (found.value() != null) {
       return AdmissionVerdict.ALREADY_ACCEPTED;
     }
-    // A store that returns no count has not kept the reservation either.
+    // A store that returns no count has not stored the reservation either.
     if (found.sideEffects().size() < context.majority()) {
       return AdmissionVerdict.UNKNOWN;
     }
@@ -245,7 +254,10 @@
     }
   }
 
-  /** Begins a round after a delay, and counts anew, as other jobs may be withdrawn by then. */
+  /**
+   * Schedules a round and discards the counts, because other jobs may have withdrawn their
+   * reservations by the time the round starts.
+   */
   private void scheduleRound(long delayMs, AdmissionRound round) {
     waitingTokens = new WaitingTokens();
     verdict = null;
@@ -253,9 +265,10 @@
   }
 
   /**
-   * Rejects the job, which promises that it never runs. That cannot be promised once a commit may
-   * have been sent: one store may have accepted the record, and whoever finds it there completes
-   * it.
+   * Rejects the job, which guarantees to the client that the job never runs. If a commit may have
+   * been sent, there is no such guarantee, and the reply is that the outcome is unknown: one store
+   * may have accepted the record, and any proposer that finds the record there completes its
+   * commit.
    */
   private void reject(Reply reply) {
     if (mayBeCommitted) {
@@ -266,13 +279,13 @@
     respond(reply);
   }
 
-  /** Another tenant's job has the id, so that no record of this one can be committed any more. */
+  /** Another tenant's job has the id, so the record of this job can no longer be committed. */
   private void rejectAsConflict() {
     withdrawReservation();
     respond(BatchReplies.CONFLICT);
   }
 
-  /** Withdraws the reservation; a later one has another attempt id. */
+  /** Withdraws the reservation. A later reservation of this call has a new attempt id. */
   private void withdrawReservation() {
     if (mayBeReserved) {
       new ReservationWithdrawal(context, reservation).start();
--- a/batch/src/main/java/elmsail/batch/api/package-info.java
+++ b/batch/src/main/java/elmsail/batch/api/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The batch calls of clients at a gateway: a job is submitted, read and cancelled. Each call is
- * replied to within a bounded time, also where the stores do not respond.
+ * Handles the batch calls of clients at a gateway: submitting, reading and cancelling jobs. Each
+ * call gets a reply within a bounded time, even if the stores do not respond.
  */
 package elmsail.batch.api;
--- a/batch/src/main/java/elmsail/batch/client/BatchContext.java
+++ b/batch/src/main/java/elmsail/batch/client/BatchContext.java
@@ -13,9 +13,10 @@
 import java.util.function.Consumer;
 
 /**
- * What the parts of one gateway's batch service share. Confined to the gateway's event loop.
+ * The dependencies shared by the components of one gateway's batch service. Confined to the
+ * gateway's event loop.
  *
- * @param register of the voter set of the job stores
+ * @param register the register replicated by the voter set of the job stores
  */
 public record BatchContext(
     Register register,
@@ -27,9 +28,10 @@
     BatchMetrics metrics) {
 
   /**
-   * What became of a call to one store.
+   * The outcome of a call to one store.
    *
-   * @param message null if the store did not respond, or with a message of another kind
+   * @param message the response; null if the store did not respond or responded with a message of
+   *     another kind
    */
   public record StoreResponse(Voter store, OpaqueMessage message) {
     /** Whether the store responded with a message of the kind that was requested. */
@@ -38,7 +40,7 @@
     }
   }
 
-  /** Counts down the responses of one call to several stores. */
+  /** Counts the outstanding responses of one call to several stores. */
   private static final class PendingResponses {
     private int remaining;
     private final Runnable onAllCompleted;
@@ -66,28 +68,30 @@
     return metrics.counters();
   }
 
-  /** The invariants that are checked here. */
+  /** The invariants that this gateway's batch service checks. */
   public Invariants invariants() {
     return metrics.invariants();
   }
 
-  /** The voters of the job-store set, as far as it is known here; empty before it is known. */
+  /** The known voters of the job-store set; empty until this gateway has received the set. */
   public List<Voter> stores() {
     return clusterState.view().jobStoreVoters.voters;
   }
 
   /**
-   * The size of a majority of the stores; 1 if none is known, so that no quorum is ever reached.
+   * The size of a majority of the stores. It is 1 if no store is known, so that no quorum can be
+   * reached.
    */
   public int majority() {
     return stores().size() / 2 + 1;
   }
 
   /**
-   * Calls each of these stores.
+   * Calls each of these stores in parallel.
    *
-   * @param onResponse called once for each store, also if it did not respond
-   * @param onAllCompleted called once after the last {@code onResponse}; never without stores
+   * @param onResponse called once for each store, even if the store did not respond
+   * @param onAllCompleted called once after the last {@code onResponse}; never called if the list
+   *     of stores is empty
    */
   public void callEach(
       List<Voter> stores,
@@ -108,7 +112,7 @@
     }
   }
 
-  /** A random delay between half of this one and one and a half times it, in ms. */
+  /** A random delay between 0.5 and 1.5 times the given delay, in ms. */
   public long jittered(long ms) {
     return ms / 2 + (long) (random.nextDouble() * ms);
   }
--- a/batch/src/main/java/elmsail/batch/client/BatchCounters.java
+++ b/batch/src/main/java/elmsail/batch/client/BatchCounters.java
@@ -2,23 +2,24 @@
 
 import elmsail.runtime.Counters;
 
-/** The counters of a gateway's batch service; confined to its event loop. */
+/** The counters of a gateway's batch service. Confined to the gateway's event loop. */
 public final class BatchCounters {
   /** Submissions that were accepted. */
   public final Counters.Counter submitAccepted;
 
-  /** Submissions that were rejected, for whatever reason. */
+  /** Submissions that were answered with anything but acceptance, for any reason. */
   public final Counters.Counter submitRejected;
 
   /**
-   * Of the rejected: with the accepted jobs alone it exceeds the limit of its tenant on the route.
+   * Rejected submissions whose job exceeds the limit of its tenant on the route together with the
+   * accepted jobs alone.
    */
   public final Counters.Counter submitOverQuota;
 
-  /** Of the rejected: it fits, except for jobs that were being accepted at the same time. */
+  /** Rejected submissions whose job exceeds the limit only because of concurrent reservations. */
   public final Counters.Counter submitContended;
 
-  /** Registers the counters with those of the process. */
+  /** Registers the counters with the counters of the process. */
   public BatchCounters(Counters counters) {
     submitAccepted = counters.counter("batch_submit_accepted");
     submitRejected = counters.counter("batch_submit_refused");
--- a/batch/src/main/java/elmsail/batch/client/BatchJobClient.java
+++ b/batch/src/main/java/elmsail/batch/client/BatchJobClient.java
@@ -16,16 +16,16 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Reads and changes the committed records of jobs at the stores, and reads their bodies and result
- * texts, with a bounded cache of each. Confined to the gateway's event loop, on which all futures
- * complete; those fail with an {@link ElmsailException}, possibly as a cause.
+ * Reads and changes the committed records of jobs at the stores, and reads the bodies and result
+ * texts of jobs, each through a bounded cache. Confined to the gateway's event loop, on which all
+ * futures complete. A failed future has an {@link ElmsailException} as its exception or its cause.
  */
 public final class BatchJobClient {
   private static final long MAX_RECORDS_BYTES = 4L << 20;
   private static final long MAX_BODIES_BYTES = 8L << 20;
   private static final long MAX_TEXTS_BYTES = 8L << 20;
 
-  /** Estimates of what an entry of a cache takes beside its own bytes. */
+  /** Estimated memory overhead of the cache entries, in bytes. */
   private static final int RECORD_OVERHEAD_BYTES = 200;
 
   private static final int RECORD_ITEM_BYTES = 120;
@@ -48,15 +48,15 @@
       new LruCache<>(MAX_TEXTS_BYTES, text -> text.length + BLOB_OVERHEAD_BYTES);
   private final Map<String, CompletableFuture<byte[]>> pendingFetches = new HashMap<>();
 
-  /** A client with empty caches that reads through this register. */
+  /** Creates a client with empty caches that reads and writes through this register. */
   public BatchJobClient(Register register, Invariants invariants) {
     this.register = register;
     this.invariants = invariants;
   }
 
   /**
-   * The committed record of a job, at least as new as when this is called; null if there is
-   * certainly none.
+   * Reads the committed record of a job, at least as new as at the time of the call. The result is
+   * null if the job certainly has no record.
    */
   public CompletableFuture<JobRecord> read(String jobId, long timeoutMs) {
     CachedRecord cached = records.get(jobId);
@@ -68,8 +68,8 @@
   /**
    * Changes the record of a job.
    *
-   * @param change is given the current record, or null if there is none, and returns the record to
-   *     propose, or null to leave it; may be called more than once
+   * @param change maps the current record, or null if there is none, to the record to propose, or
+   *     to null to leave the current record unchanged; may be called more than once
    * @return the record that is committed afterwards, or null if there is none
    */
   public CompletableFuture<JobRecord> change(
@@ -84,13 +84,13 @@
         .thenApply(result -> onCommitted(jobId, result.current()));
   }
 
-  /** The value to propose for a record; null declines the change and leaves what is there. */
+  /** The value to propose for a record; null leaves the current value unchanged. */
   public static Register.ProposedValue proposal(JobRecord record) {
     return new Register.ProposedValue(record == null ? null : record.encode(), List.of());
   }
 
   /**
-   * Caches a record that a read or a change has found committed.
+   * Caches a committed record that a read or a change returned.
    *
    * @return the record, or null if there is none
    */
@@ -123,7 +123,7 @@
         && first.proposerId == second.proposerId;
   }
 
-  /** The items of a job; fails if no store that has them responds. */
+  /** Reads the items of a job. The future fails if no store that has the items responds. */
   public CompletableFuture<List<BatchItem>> readItems(
       String jobId, JobRecord record, long timeoutMs) {
     CachedItems cached = bodies.get(jobId);
@@ -142,13 +142,13 @@
   /**
    * Caches the items of a job.
    *
-   * @param bytes the size of their encoded form
+   * @param bytes the size of the encoded items
    */
   public void cacheItems(String jobId, List<BatchItem> items, int bytes) {
     bodies.put(jobId, new CachedItems(items, bytes + BLOB_OVERHEAD_BYTES));
   }
 
-  /** The text of a recorded result; fails if no store that has it responds. */
+  /** Reads the text of a result. The future fails if no store that has the text responds. */
   public CompletableFuture<byte[]> readText(String jobId, JobRecord.Result result, long timeoutMs) {
     String cacheKey = blobKey(jobId, result.textBlobName());
     byte[] cached = texts.get(cacheKey);
@@ -181,7 +181,7 @@
     texts.put(blobKey(jobId, result.textBlobName()), text);
   }
 
-  /** Fetches a blob; calls for one that is being fetched share the response. */
+  /** Fetches a blob. Concurrent calls for the same blob share one request. */
   private CompletableFuture<byte[]> fetch(String jobId, String blobName, long timeoutMs) {
     String blobKey = blobKey(jobId, blobName);
     CompletableFuture<byte[]> pending = pendingFetches.get(blobKey);
--- a/batch/src/main/java/elmsail/batch/client/LruCache.java
+++ b/batch/src/main/java/elmsail/batch/client/LruCache.java
@@ -6,8 +6,8 @@
 import java.util.function.ToIntFunction;
 
 /**
- * A map of bounded weight that evicts the least recently used entries. One entry stays, whatever
- * its weight. Not thread-safe.
+ * A cache of bounded weight that evicts the least recently used entries. The last entry is never
+ * evicted, whatever its weight. Not thread-safe.
  */
 final class LruCache<V> {
   private final long maxWeight;
@@ -16,20 +16,22 @@
   private long weight;
 
   /**
-   * @param maxWeight of all entries together, in the unit of the weigher
-   * @param weigher must give the same weight for a value each time
+   * Creates an empty cache.
+   *
+   * @param maxWeight the maximum total weight of all entries, in the unit of the weigher
+   * @param weigher must always return the same weight for the same value
    */
   LruCache(long maxWeight, ToIntFunction<V> weigher) {
     this.maxWeight = maxWeight;
     this.weigher = weigher;
   }
 
-  /** The value of the key, or null. */
+  /** The value of the key, or null if there is none. */
   V get(String key) {
     return map.get(key);
   }
 
-  /** Sets the value of the key and evicts others while the cache is too heavy. */
+  /** Sets the value of the key and evicts other entries while the total weight is too high. */
   void put(String key, V value) {
     V previous = map.put(key, value);
     weight += weigher.applyAsInt(value) - (previous == null ? 0 : weigher.applyAsInt(previous));
--- a/batch/src/main/java/elmsail/batch/client/package-info.java
+++ b/batch/src/main/java/elmsail/batch/client/package-info.java
@@ -1,5 +1,5 @@
 /**
- * How a gateway reads and changes job records at the stores, with bounded caches of records, bodies
- * and result texts, and what the parts of its batch service share.
+ * The gateway's client of the job stores, with bounded caches of records, bodies and result texts,
+ * and the dependencies shared by the components of the gateway's batch service.
  */
 package elmsail.batch.client;
--- a/batch/src/main/java/elmsail/batch/messages/AbandonedJob.java
+++ b/batch/src/main/java/elmsail/batch/messages/AbandonedJob.java
@@ -6,12 +6,13 @@
 /**
  * An open job whose runner has sent a store no heartbeat for some time.
  *
- * @param term of the runner that the store knows
- * @param sinceHeartbeatMs time since the last heartbeat, or since the store's start
+ * @param term the term of the newest runner that the store knows
+ * @param sinceHeartbeatMs the time since the last heartbeat, or since the store last accepted or
+ *     loaded a record of the job if that is more recent, in ms
  */
 public record AbandonedJob(String jobId, long term, long sinceHeartbeatMs) {
 
-  /** The bytes that {@link #decode} reads. */
+  /** Encodes these jobs for {@link #decode}. */
   public static byte[] encode(List<AbandonedJob> abandoned) {
     ByteWriter writer = new ByteWriter().writeVarint(abandoned.size());
     for (AbandonedJob job : abandoned) {
@@ -21,7 +22,7 @@
   }
 
   /**
-   * The jobs of these bytes.
+   * Decodes the jobs from these bytes.
    *
    * @throws elmsail.runtime.ElmsailException with {@code MALFORMED} if {@link #encode} did not
    *     write them
--- a/batch/src/main/java/elmsail/batch/messages/ByteReader.java
+++ b/batch/src/main/java/elmsail/batch/messages/ByteReader.java
@@ -7,18 +7,19 @@
 
 /**
  * Reads the encoding that {@link ByteWriter} writes. Each method throws an {@link ElmsailException}
- * with {@link ErrorCode#MALFORMED} where the bytes do not hold what is read. Not thread-safe.
+ * with {@link ErrorCode#MALFORMED} if the bytes at the current position do not encode the requested
+ * value. Not thread-safe.
  */
 public final class ByteReader {
   private final byte[] buffer;
   private int position;
 
-  /** A reader at the beginning of these bytes, which are not copied. */
+  /** Creates a reader at the beginning of these bytes, which are not copied. */
   public ByteReader(byte[] buffer) {
     this.buffer = buffer;
   }
 
-  /** The next number; it takes ten bytes at most. */
+  /** Reads the next number, which takes at most ten bytes. */
   public long readVarint() {
     long value = 0;
     for (int shift = 0; shift < 64; shift += 7) {
@@ -32,7 +33,7 @@
         ErrorCode.MALFORMED, "varint longer than ten bytes before offset " + position);
   }
 
-  /** The next number as a count of elements that follow, of a byte each at least. */
+  /** Reads the number of the elements that follow, each of which takes at least one byte. */
   public int readCount() {
     long value = readVarint();
     if (value < 0 || value > buffer.length - position) {
@@ -43,25 +44,25 @@
     return (int) value;
   }
 
-  /** The next number as a boolean: 0 is false, all others are true. */
+  /** Reads the next number as a boolean: 0 is false, all other numbers are true. */
   public boolean readBoolean() {
     return readVarint() != 0;
   }
 
-  /** The next string. */
+  /** Reads the next string. */
   public String readString() {
     int length = readCount();
     return new String(buffer, advance(length), length, StandardCharsets.UTF_8);
   }
 
-  /** The next byte array; a copy. */
+  /** Reads the next byte array and returns a copy. */
   public byte[] readBytes() {
     int length = readCount();
     int from = advance(length);
     return Arrays.copyOfRange(buffer, from, from + length);
   }
 
-  /** Whether there are bytes that have not been read. */
+  /** Whether unread bytes remain. */
   public boolean hasRemaining() {
     return position < buffer.length;
   }
--- a/batch/src/main/java/elmsail/batch/messages/ByteWriter.java
+++ b/batch/src/main/java/elmsail/batch/messages/ByteWriter.java
@@ -4,8 +4,9 @@
 import java.util.Arrays;
 
 /**
- * Writes numbers as varints (LEB128: seven bits a byte, the lowest first), and strings and byte
- * arrays with their length in bytes before them. {@link ByteReader} reads them. Not thread-safe.
+ * Writes numbers as varints (LEB128: seven bits per byte, lowest bits first), and strings and byte
+ * arrays prefixed with their length in bytes. {@link ByteReader} reads this encoding. Not
+ * thread-safe.
  */
 public final class ByteWriter {
   private static final int MAX_VARINT_BYTES = 10;
@@ -13,7 +14,7 @@
   private byte[] buffer = new byte[256];
   private int size;
 
-  /** Writes a number in one to ten bytes; a negative one takes ten. */
+  /** Writes a number in one to ten bytes. A negative number takes ten bytes. */
   public ByteWriter writeVarint(long value) {
     ensureCapacity(MAX_VARINT_BYTES);
     long remaining = value;
@@ -44,7 +45,7 @@
     return this;
   }
 
-  /** All that was written so far; a copy. */
+  /** A copy of the bytes written so far. */
   public byte[] toByteArray() {
     return Arrays.copyOf(buffer, size);
   }
--- a/batch/src/main/java/elmsail/batch/messages/ContentDigest.java
+++ b/batch/src/main/java/elmsail/batch/messages/ContentDigest.java
@@ -4,7 +4,7 @@
 
 /**
  * A 64-bit hash that is the same in all processes: FNV-1a, followed by the finalizer of
- * MurmurHash3. For names and for ordering; it is not cryptographic.
+ * MurmurHash3. It is used for names and for ordering and is not cryptographic.
  */
 public final class ContentDigest {
   private ContentDigest() {}
--- a/batch/src/main/java/elmsail/batch/messages/HeartbeatMessage.java
+++ b/batch/src/main/java/elmsail/batch/messages/HeartbeatMessage.java
@@ -4,27 +4,28 @@
 import java.util.List;
 
 /**
- * The heartbeat that a gateway sends to each store for the jobs that it runs. A store responds with
- * one of the constants below for each job, in the order of the message.
+ * The heartbeat that a gateway sends to each store for the jobs that the gateway runs. A store
+ * responds with one of the status constants below for each job, in the order of the message.
  *
  * @param gateway the RPC address of the sender
  */
 public record HeartbeatMessage(String gateway, List<JobLease> leases) {
   /**
-   * This store does not know the job, or only earlier terms of it; it says nothing of the lease.
+   * The store does not know the job, or knows only earlier terms of the job. The status does not
+   * tell whether the gateway holds the lease.
    */
   public static final int UNKNOWN = 0;
 
-  /** The job is open and is run by this gateway in this term. */
+  /** The job is open, and the gateway runs it in this term. */
   public static final int LEASE_HELD = 1;
 
   /** The job is complete or cancelled, or another gateway runs it. */
   public static final int LEASE_LOST = 2;
 
-  /** A job that the gateway runs, and the term in which it does. */
+  /** A job that the gateway runs, and the term of the gateway as the job's runner. */
   public record JobLease(String jobId, long term) {}
 
-  /** The bytes that {@link #decode} reads. */
+  /** Encodes this heartbeat for {@link #decode}. */
   public byte[] encode() {
     ByteWriter writer = new ByteWriter().writeString(gateway).writeVarint(leases.size());
     for (JobLease lease : leases) {
@@ -34,7 +35,7 @@
   }
 
   /**
-   * The heartbeat of these bytes.
+   * Decodes a heartbeat from these bytes.
    *
    * @throws elmsail.runtime.ElmsailException with {@code MALFORMED} if {@link #encode} did not
    *     write them
--- a/batch/src/main/java/elmsail/batch/messages/JobBodyCodec.java
+++ b/batch/src/main/java/elmsail/batch/messages/JobBodyCodec.java
@@ -7,14 +7,14 @@
 import java.util.Map;
 
 /**
- * The binary form of the items of a job. They are kept as one blob, which is written when the job
- * is accepted and never changed; stores keep blobs that earlier versions wrote, so the layout is
- * fixed.
+ * The binary encoding of the items of a job. The items are stored as one blob, which is written
+ * when the job is accepted and never changes. The layout is fixed because stores keep blobs that
+ * earlier software versions wrote.
  */
 public final class JobBodyCodec {
   private JobBodyCodec() {}
 
-  /** The bytes of these items, which {@link #decode} reads. */
+  /** Encodes these items for {@link #decode}. */
   public static byte[] encode(List<BatchItem> items) {
     ByteWriter writer = new ByteWriter().writeVarint(items.size());
     for (BatchItem item : items) {
@@ -31,13 +31,16 @@
     return writer.toByteArray();
   }
 
-  /** The name of the blob with these bytes: it holds their digest, so different bodies differ. */
+  /**
+   * The name of the blob with these bytes. The name contains the digest of the bytes, so different
+   * bodies get different names.
+   */
   public static String blobName(byte[] encoded) {
     return "body-" + Long.toHexString(ContentDigest.of(encoded));
   }
 
   /**
-   * The items of these bytes.
+   * Decodes the items from these bytes.
    *
    * @throws elmsail.runtime.ElmsailException with {@code MALFORMED} if {@link #encode} did not
    *     write them
--- a/batch/src/main/java/elmsail/batch/messages/JobDescription.java
+++ b/batch/src/main/java/elmsail/batch/messages/JobDescription.java
@@ -4,20 +4,20 @@
 import java.util.List;
 
 /**
- * What is fixed of a job when it is accepted.
+ * The properties of a job that are set when the job is accepted and never change.
  *
- * @param routeName the route that the job was submitted on; its tokens count against that route's
- *     limit
- * @param host the host of that route; the routes of the items are looked up under it
- * @param configVersion of the configuration at the acceptance; an earlier configuration says
- *     nothing of the routes of this job
- * @param completionTargetMs when the results are due, in ms after the acceptance
- * @param itemTtlMs when items without a result may be given up, in ms after the acceptance; 0 is
- *     never
- * @param bodyBlobName the blob that holds the requests of the items, see {@link JobBodyCodec}
- * @param items in the order in which the client submitted them
- * @param tenant whose key the job was submitted with; its tokens count together with the tenant's
- *     others, and its items are run in its name, also after its keys were taken away
+ * @param routeName the route that the job was submitted on; the tokens of the job count against the
+ *     limit of this route
+ * @param host the host of that route; the routes of the items are looked up under this host
+ * @param configVersion the version of the configuration when the job was accepted; an earlier
+ *     configuration may lack the routes of this job
+ * @param completionTargetMs when the results are due, in ms after the job was accepted
+ * @param itemTtlMs when items without a result may be given up, in ms after the job was accepted; 0
+ *     means never
+ * @param bodyBlobName the name of the blob with the requests of the items, see {@link JobBodyCodec}
+ * @param items the items in the order in which the client submitted them
+ * @param tenant the tenant whose key the job was submitted with; the job counts against the limit
+ *     of this tenant, and its items run for this tenant even after the tenant's keys were revoked
  */
 public record JobDescription(
     String routeName,
@@ -29,7 +29,7 @@
     List<JobRecord.Item> items,
     TenantName tenant) {
 
-  /** A job without a tenant. */
+  /** Creates the description of a job without a tenant. */
   public JobDescription(
       String routeName,
       String host,
--- a/batch/src/main/java/elmsail/batch/messages/JobRecord.java
+++ b/batch/src/main/java/elmsail/batch/messages/JobRecord.java
@@ -8,19 +8,20 @@
 
 /**
  * The replicated state of one batch job: its items, the results recorded so far and the gateway
- * that runs it. Immutable: each change gives a new record with the next version, which is proposed
- * through the register.
+ * that runs it. Immutable: each change creates a new record with the next version, which is
+ * proposed through the register.
  *
- * @param version 1 when the job is accepted, one higher with each change
- * @param description what was fixed when the job was accepted
- * @param results in the order of their positions, which clients read by; only appended to
+ * @param version 1 when the job is accepted, incremented by each change
+ * @param description the properties that were set when the job was accepted
+ * @param results the results in the order of their positions, which clients pass when they read;
+ *     results are only ever appended
  * @param cancelled whether the client has cancelled the job
  * @param runner the RPC address of the gateway that runs the job
- * @param term the fencing token of the runner, one higher with each takeover: a former runner
- *     cannot change the record any more
- * @param ageMs the least age of the job at this change, in ms since its acceptance
- * @param failedAttempts of items without a result, at most one entry an item: each runner continues
- *     these counts
+ * @param term the fencing token of the runner, incremented by each takeover, so that a former
+ *     runner can no longer change the record
+ * @param ageMs a lower bound on the time between the acceptance of the job and this change, in ms
+ * @param failedAttempts the failed attempts of items without a result, at most one entry per item;
+ *     each new runner continues these counts
  */
 public record JobRecord(
     long version,
@@ -32,22 +33,22 @@
     long ageMs,
     List<FailedAttempts> failedAttempts) {
 
-  /** On disk and on the wire: part of the key of each record. */
+  /** The prefix of the key of each record. The prefix is stored on disk and sent on the wire. */
   private static final String KEY_PREFIX = "lot/";
 
   private static final long FIRST_VERSION = 1;
   private static final long FIRST_TERM = 1;
 
-  /** The first record of a job: accepted by this gateway, which runs it in term 1. */
+  /** The first record of a job, which the accepting gateway runs in term 1. */
   public static JobRecord accepted(JobDescription description, String runner) {
     return new JobRecord(
         FIRST_VERSION, description, List.of(), false, runner, FIRST_TERM, 0, List.of());
   }
 
   /**
-   * An item as far as the record needs it.
+   * The part of an item that is stored in the record.
    *
-   * @param id unique in the job
+   * @param id unique within the job
    * @param tokens counted against the limit of the tenant on the route while the item has no result
    */
   public record Item(String id, long tokens) {}
@@ -56,9 +57,9 @@
    * A recorded result; its position in {@link JobRecord#results} never changes.
    *
    * @param itemIndex index of the item in the job
-   * @param succeeded false where the item was given up; then it has no text
-   * @param term of the runner that recorded it
-   * @param textBytes length of the text in bytes, 0 without one
+   * @param succeeded false if the item was given up; such a result has no text
+   * @param term the term of the runner that recorded the result
+   * @param textBytes length of the text in bytes; 0 if there is no text
    */
   public record Result(int itemIndex, boolean succeeded, long term, int textBytes) {
     /** The name of the blob that holds the text of this result. */
@@ -68,14 +69,14 @@
   }
 
   /**
-   * How often servers have answered 500 for an item.
+   * The number of times that servers have answered 500 for an item.
    *
    * @param itemIndex index of the item in the job
-   * @param count over all runners of the job
+   * @param count the number of such responses to all runners of the job
    */
   public record FailedAttempts(int itemIndex, int count) {}
 
-  /** The name of the blob with an item's text, as the runner of that term received it. */
+  /** The name of the blob with the text of an item, as received by the runner of this term. */
   public static String textBlobNameOf(int itemIndex, long term) {
     return "r-" + itemIndex + "-" + term;
   }
@@ -100,12 +101,12 @@
     return description.routeName();
   }
 
-  /** The count that the waiting tokens of the job are part of. */
+  /** The quota key that the waiting tokens of the job count under. */
   public QuotaKey quotaKey() {
     return new QuotaKey(description.routeName(), description.tenant());
   }
 
-  /** The host of that route. */
+  /** The host of the route that the job was submitted on. */
   public String host() {
     return description.host();
   }
@@ -120,12 +121,12 @@
     return description.configVersion();
   }
 
-  /** When the results are due, in ms after the acceptance. */
+  /** When the results are due, in ms after the job was accepted. */
   public long completionTargetMs() {
     return description.completionTargetMs();
   }
 
-  /** When items without a result may be given up, in ms after the acceptance; 0 is never. */
+  /** When items without a result may be given up, in ms after the acceptance; 0 means never. */
   public long itemTtlMs() {
     return description.itemTtlMs();
   }
@@ -154,7 +155,7 @@
     return sum;
   }
 
-  /** Whether items remain to be run. */
+  /** Whether the job is not cancelled and has items without a result. */
   public boolean isOpen() {
     return !cancelled && !isComplete();
   }
@@ -182,11 +183,11 @@
   }
 
   /**
-   * The next version, with results of further items. The first result of an item stays: later ones
-   * of the same item are ignored.
+   * The next version, with results of further items. The first result of an item is kept, and later
+   * results of the same item are ignored.
    *
-   * @param newFailedAttempts counts of items without a result, which replace lower ones
-   * @param newAgeMs the least age of the job now, in ms
+   * @param newFailedAttempts counts of items without a result, which replace lower counts
+   * @param newAgeMs a lower bound on the current age of the job, in ms
    */
   public JobRecord withResults(
       List<Result> newResults, List<FailedAttempts> newFailedAttempts, long newAgeMs) {
@@ -215,12 +216,12 @@
     return nextVersion(allResults, cancelled, runner, term, Math.max(ageMs, newAgeMs), remaining);
   }
 
-  /** As {@link #withResults(List, List, long)}, without new failed attempts. */
+  /** Like {@link #withResults(List, List, long)}, without new failed attempts. */
   public JobRecord withResults(List<Result> newResults, long newAgeMs) {
     return withResults(newResults, List.of(), newAgeMs);
   }
 
-  /** How often servers have answered 500 for the item, over all runners of the job. */
+  /** The number of times that servers have answered 500 for the item, to all runners of the job. */
   public int failedAttemptsOf(int itemIndex) {
     for (FailedAttempts attempts : failedAttempts) {
       if (attempts.itemIndex() == itemIndex) {
@@ -236,16 +237,16 @@
   }
 
   /**
-   * The next version, run by another gateway in the next term.
+   * The next version, run by the given gateway in the next term.
    *
-   * @param newAgeMs the least age of the job now, in ms
+   * @param newAgeMs a lower bound on the current age of the job, in ms
    */
   public JobRecord withRunner(String newRunner, long newAgeMs) {
     return nextVersion(
         results, cancelled, newRunner, term + 1, Math.max(ageMs, newAgeMs), failedAttempts);
   }
 
-  /** The next version with the same contents, for stores that missed the last change. */
+  /** The next version with the same contents, which updates stores that missed the last change. */
   public JobRecord rewritten() {
     return nextVersion(results, cancelled, runner, term, ageMs, failedAttempts);
   }
@@ -262,9 +263,10 @@
   }
 
   /**
-   * Whether this may follow the older record: results are only appended, a cancellation stays,
-   * terms do not fall (the invariant {@code DECIDED_JOB_KEEPS_ITS_RESULTS}). A record with another
-   * description is of another job with the same id and may follow any.
+   * Whether this record may follow the older record: results are only appended, a cancellation is
+   * never undone and terms do not decrease (the invariant {@code DECIDED_JOB_KEEPS_ITS_RESULTS}). A
+   * record with another description belongs to another job with the same id and may follow any
+   * record.
    */
   public boolean isSuccessorOf(JobRecord older) {
     boolean otherJob = !description.equals(older.description);
@@ -276,18 +278,18 @@
     return otherJob || consistent;
   }
 
-  /** This record in its binary form, which {@link #decode} reads. */
+  /** Encodes this record for {@link #decode}. */
   public byte[] encode() {
     return JobRecordCodec.encode(this);
   }
 
-  /** The record of a register value, or null if the value is null: there is no such job. */
+  /** Decodes the record from a register value. A null value means that the job has no record. */
   public static JobRecord decodeNullable(byte[] value) {
     return value == null ? null : decode(value);
   }
 
   /**
-   * The record of these bytes.
+   * Decodes a record from these bytes.
    *
    * @throws elmsail.runtime.ElmsailException with {@code MALFORMED} if they are not a job record
    */
--- a/batch/src/main/java/elmsail/batch/messages/JobRecordCodec.java
+++ b/batch/src/main/java/elmsail/batch/messages/JobRecordCodec.java
@@ -7,18 +7,19 @@
 import java.util.List;
 
 /**
- * The binary form of a {@link JobRecord}, as it is kept by the job stores and sent between
- * processes. The layout is fixed: stores read records that earlier versions wrote. A new layout
- * takes the next format number, and {@link #decode} goes on reading the earlier ones.
+ * The binary encoding of a {@link JobRecord}, as stored by the job stores and sent between
+ * processes. The layout is fixed because stores read records that earlier software versions wrote.
+ * A new layout takes the next format number, and {@link #decode} must keep reading the earlier
+ * formats.
  *
  * <p>Format 3: format number, version, route name, host, configuration version, completion target,
  * item time to live, name of the body blob, cancelled, runner, term, age; then the items, results
  * and failed attempts, each as a count followed by its entries; then the name of the tenant. Format
  * 2 ends after the failed attempts, format 1 after the results.
  *
- * <p>The record of a job without a tenant is written in format 2, which processes of the former
- * version read and write too. They reject one with a tenant, rather than lose the tenant with the
- * next change.
+ * <p>The record of a job without a tenant is written in format 2, which processes of the previous
+ * software version read and write too. Such processes reject a record in format 3; otherwise they
+ * would lose the tenant with the next change of the record.
  */
 final class JobRecordCodec {
   private static final int FORMAT_WITHOUT_FAILED_ATTEMPTS = 1;
@@ -27,7 +28,7 @@
 
   private JobRecordCodec() {}
 
-  /** The record in the oldest format that holds all of it. */
+  /** Encodes the record in format 2, or in format 3 if the job has a tenant. */
   static byte[] encode(JobRecord record) {
     boolean hasTenant = !record.tenant().isNone();
     ByteWriter writer =
@@ -50,9 +51,9 @@
   }
 
   /**
-   * Reads a record of any known format.
+   * Decodes a record of any known format.
    *
-   * @throws ElmsailException with {@link ErrorCode#MALFORMED} if the bytes are cut off or of an
+   * @throws ElmsailException with {@link ErrorCode#MALFORMED} if the bytes are truncated or in an
    *     unknown format
    */
   static JobRecord decode(byte[] bytes) {
@@ -85,7 +86,7 @@
         failedAttempts);
   }
 
-  /** The fields of a description that precede the others of the record. */
+  /** The fields of the job description that the encoding places before the other fields. */
   private record DescriptionFields(
       String routeName,
       String host,
--- a/batch/src/main/java/elmsail/batch/messages/JobRequestParser.java
+++ b/batch/src/main/java/elmsail/batch/messages/JobRequestParser.java
@@ -18,7 +18,7 @@
 
 /** Parses and validates the JSON of a job that a client submits. */
 public final class JobRequestParser {
-  /** The most items of one job. */
+  /** The maximum number of items of one job. */
   public static final int MAX_ITEMS = 200;
 
   private static final int MAX_ITEM_ID_LENGTH = 256;
@@ -30,14 +30,14 @@
   private JobRequestParser() {}
 
   /**
-   * The items of a submitted job, in its order.
+   * Parses the items of a submitted job, in the order of the request.
    *
    * @throws ElmsailException with {@link ErrorCode#INVALID_ARGUMENT} and the reason if the JSON is
    *     not a valid job
    */
   public static List<BatchItem> parse(byte[] body) {
     try (JsonParser parser = JSON.createParser(body)) {
-      require(parser.nextToken() == JsonToken.START_OBJECT, "an object");
+      require(parser.nextToken() == JsonToken.START_OBJECT, "a JSON object");
       List<BatchItem> items = null;
       while (parser.nextToken() != JsonToken.END_OBJECT) {
         String name = fieldName(parser);
@@ -48,7 +48,7 @@
           parser.skipChildren();
         }
       }
-      require(parser.nextToken() == null, "nothing behind the object");
+      require(parser.nextToken() == null, "no data after the JSON object");
       require(items != null && !items.isEmpty(), "pieces");
       return items;
     } catch (IOException | IllegalArgumentException malformed) {
@@ -58,12 +58,12 @@
   }
 
   private static List<BatchItem> parseItems(JsonParser parser) throws IOException {
-    require(parser.currentToken() == JsonToken.START_ARRAY, "a list of pieces");
+    require(parser.currentToken() == JsonToken.START_ARRAY, "the pieces to be a JSON array");
     List<BatchItem> items = new ArrayList<>();
     Set<String> ids = new HashSet<>();
     while (parser.nextToken() != JsonToken.END_ARRAY) {
       BatchItem item = parseItem(parser);
-      require(ids.add(item.id()), "ids that differ");
+      require(ids.add(item.id()), "unique piece ids");
       items.add(item);
       require(items.size() <= MAX_ITEMS, "at most " + MAX_ITEMS + " pieces");
     }
@@ -71,7 +71,7 @@
   }
 
   private static BatchItem parseItem(JsonParser parser) throws IOException {
-    require(parser.currentToken() == JsonToken.START_OBJECT, "a piece");
+    require(parser.currentToken() == JsonToken.START_OBJECT, "each piece to be a JSON object");
     String id = null;
     String path = null;
     Map<String, String> headers = null;
@@ -86,16 +86,20 @@
         case "envelope" -> headers = parseHeaders(parser);
         case "contents" -> itemBody = Base64.getDecoder().decode(stringValue(parser));
         case "tokens" -> {
-          require(value == JsonToken.VALUE_NUMBER_INT, "a whole number of tokens");
+          require(value == JsonToken.VALUE_NUMBER_INT, "the tokens to be an integer");
           tokens = parser.getLongValue();
-          require(tokens >= 0 && tokens <= MAX_ITEM_TOKENS, "tokens of at least 0");
+          require(tokens >= 0 && tokens <= MAX_ITEM_TOKENS, "tokens between 0 and 2^40");
         }
         default -> parser.skipChildren();
       }
     }
-    require(isValidId(id), "an id");
-    require(path != null && path.startsWith("/") && isPrintable(path, false), "a lane");
-    require(headers != null && itemBody != null && tokens >= 0, "all fields of a piece");
+    require(isValidId(id), "an id of 1 to 256 characters without spaces or control characters");
+    require(
+        path != null && path.startsWith("/") && isPrintable(path, false),
+        "a lane that starts with / and has no spaces or control characters");
+    require(
+        headers != null && itemBody != null && tokens >= 0,
+        "each piece to have envelope, contents and tokens");
     return new BatchItem(id, path, headers, itemBody, tokens);
   }
 
@@ -107,7 +111,7 @@
   }
 
   private static Map<String, String> parseHeaders(JsonParser parser) throws IOException {
-    require(parser.currentToken() == JsonToken.START_OBJECT, "an envelope");
+    require(parser.currentToken() == JsonToken.START_OBJECT, "the envelope to be a JSON object");
     Map<String, String> headers = new LinkedHashMap<>();
     while (parser.nextToken() != JsonToken.END_OBJECT) {
       String name = fieldName(parser);
@@ -125,8 +129,9 @@
   }
 
   /**
-   * Whether the string has no control characters, so that it cannot end a header line of the
-   * request that is sent to a server (request smuggling). Spaces and tabs only where allowed.
+   * Whether the string has no control characters. A string with a line break could end a header
+   * line of the request that is sent to a server (request smuggling). Spaces and tabs are accepted
+   * only if {@code spacesAllowed}.
    */
   private static boolean isPrintable(String text, boolean spacesAllowed) {
     for (int i = 0; i < text.length(); i++) {
@@ -142,12 +147,12 @@
   }
 
   private static String fieldName(JsonParser parser) throws IOException {
-    require(parser.currentToken() == JsonToken.FIELD_NAME, "a field");
+    require(parser.currentToken() == JsonToken.FIELD_NAME, "a field name");
     return parser.currentName();
   }
 
   private static String stringValue(JsonParser parser) throws IOException {
-    require(parser.currentToken() == JsonToken.VALUE_STRING, "a text");
+    require(parser.currentToken() == JsonToken.VALUE_STRING, "a JSON string");
     return parser.getText();
   }
 
--- a/batch/src/main/java/elmsail/batch/messages/QuotaKey.java
+++ b/batch/src/main/java/elmsail/batch/messages/QuotaKey.java
@@ -3,7 +3,7 @@
 import elmsail.batch.TenantName;
 
 /**
- * What is counted together: the jobs of one tenant on one route, at all gateways. Each key has the
- * route's limit of waiting tokens to itself.
+ * The key under which waiting tokens are counted: the jobs of one tenant on one route, over all
+ * gateways. The route's limit on waiting tokens applies to each key separately.
  */
 public record QuotaKey(String routeName, TenantName tenant) {}
--- a/batch/src/main/java/elmsail/batch/messages/WaitingTokens.java
+++ b/batch/src/main/java/elmsail/batch/messages/WaitingTokens.java
@@ -6,13 +6,13 @@
 import java.util.Map;
 
 /**
- * The waiting tokens of the jobs of one {@link QuotaKey}, as one store counts them or merged from
- * several stores. For each job the entry of the highest version stands, so that merging is
- * commutative and idempotent. A job with a reservation that is not accepted yet has version 0. Not
- * thread-safe.
+ * The waiting tokens of the jobs of one {@link QuotaKey}, as counted by one store or merged from
+ * several stores. For each job only the entry with the highest version is kept, and among entries
+ * of the same version the entry with the most tokens, so merging is commutative and idempotent. A
+ * job with a reservation that is not accepted yet has version 0. Not thread-safe.
  */
 public final class WaitingTokens {
-  /** The version of a job that is reserved and not accepted yet. */
+  /** The version of a job that has a reservation and is not accepted yet. */
   public static final long RESERVED_VERSION = 0;
 
   /**
@@ -30,32 +30,33 @@
     }
   }
 
-  /** By the digest of the job's id. */
+  /** Keyed by the digest of the job id. */
   private final Map<Long, Entry> entries = new HashMap<>();
 
   /**
-   * What a gateway sends to the stores with the first round of a submission: this job is about to
-   * wait with so many tokens, which count under that key.
+   * A reservation that a gateway sends to the stores with the rounds of a submission. The store
+   * counts the tokens of the job under the quota key before the job is accepted.
    *
-   * <p>The binary form ends with the name of the tenant, if there is one. A process of the former
-   * version writes none and ignores one: it counts all jobs of a route together.
+   * <p>The encoding ends with the name of the tenant, if there is one. A process of the previous
+   * software version does not write the tenant and ignores it when reading: such a process counts
+   * all jobs of a route together.
    *
-   * @param attemptId random, so that the withdrawal of one attempt leaves the reservations of
-   *     others
+   * @param attemptId a random number, so that the withdrawal of one attempt does not remove the
+   *     reservations of other attempts
    */
   public record Reservation(QuotaKey quotaKey, String jobId, long tokens, long attemptId) {
 
-    /** A reservation for a job without a tenant. */
+    /** Creates a reservation for a job without a tenant. */
     public Reservation(String routeName, String jobId, long tokens, long attemptId) {
       this(new QuotaKey(routeName, TenantName.NONE), jobId, tokens, attemptId);
     }
 
-    /** A reservation of no tokens: it only reads the count of its key. */
+    /** A reservation of 0 tokens, which only reads the waiting tokens of its quota key. */
     public Reservation withoutTokens() {
       return new Reservation(quotaKey, jobId, 0, attemptId);
     }
 
-    /** The bytes that {@link #decode} reads. */
+    /** Encodes this reservation for {@link #decode}. */
     public byte[] encode() {
       ByteWriter writer =
           new ByteWriter()
@@ -70,7 +71,7 @@
     }
 
     /**
-     * The reservation of these bytes.
+     * Decodes a reservation from these bytes.
      *
      * @throws elmsail.runtime.ElmsailException with {@code MALFORMED} if {@link #encode} did not
      *     write them
@@ -88,7 +89,8 @@
   }
 
   /**
-   * Sets the count of a job, unless a newer version of it, or a larger one of the same, is known.
+   * Sets the tokens of a job, unless the existing entry has a higher version, or the same version
+   * and at least as many tokens.
    */
   public void put(long jobDigest, long version, long tokens) {
     Entry existing = entries.get(jobDigest);
@@ -100,7 +102,7 @@
   /**
    * Merges the encoded counts of several stores.
    *
-   * @param counts null elements are of stores that gave none
+   * @param counts one element per store; null for a store that returned no count
    * @throws elmsail.runtime.ElmsailException with {@code MALFORMED} if {@link #encode} did not
    *     write one of them
    */
@@ -115,7 +117,7 @@
     }
   }
 
-  /** The tokens of all jobs except this one. */
+  /** The tokens of all jobs except this job. */
   public long totalExcept(String jobId) {
     long ownDigest = ContentDigest.of(jobId);
     long sum = 0;
@@ -126,8 +128,8 @@
   }
 
   /**
-   * The tokens of the accepted jobs except this one, and of the reserved jobs that precede it. The
-   * order is that of the digests: any total order does, provided that all submitters use the same.
+   * The tokens of the accepted jobs except this job, and of the reserved jobs ahead of it. Jobs are
+   * ordered by the digests of their ids. Any total order works if all gateways use the same order.
    */
   public long totalAheadOf(String jobId) {
     long ownDigest = ContentDigest.of(jobId);
@@ -140,12 +142,12 @@
     return sum;
   }
 
-  /** The tokens of accepted jobs except this one; part of {@link #totalExcept}. */
+  /** The tokens of the accepted jobs except this job; a part of {@link #totalExcept}. */
   public long acceptedExcept(String jobId) {
     return totalExcept(jobId) - pendingExcept(jobId);
   }
 
-  /** The tokens of other jobs that are reserved and not accepted; part of {@link #totalExcept}. */
+  /** The tokens of the reserved jobs except this job; a part of {@link #totalExcept}. */
   public long pendingExcept(String jobId) {
     long ownDigest = ContentDigest.of(jobId);
     long sum = 0;
@@ -156,7 +158,7 @@
     return sum;
   }
 
-  /** The bytes that {@link #mergeAll} reads. */
+  /** Encodes the entries for {@link #mergeAll}. */
   public byte[] encode() {
     ByteWriter writer = new ByteWriter().writeVarint(entries.size());
     for (Map.Entry<Long, Entry> entry : entries.entrySet()) {
--- a/batch/src/main/java/elmsail/batch/store/JobStore.java
+++ b/batch/src/main/java/elmsail/batch/store/JobStore.java
@@ -12,21 +12,21 @@
 import java.util.Map;
 
 /**
- * What one store knows of its jobs, derived from the records that it accepted, from reservations
- * and from heartbeats. A state machine without I/O: the time, in ms of the process's steady clock,
- * is given with each call. Confined to the store's event loop.
+ * The state of the jobs at one store, derived from the records that the store has accepted, from
+ * reservations and from heartbeats. A state machine without I/O: each call passes the current time,
+ * in ms of the process's monotonic clock. Confined to the store's event loop.
  */
 final class JobStore {
   /**
-   * How long jobs without waiting tokens are still counted, in ms, so that they overrule the counts
-   * of stores that missed the change.
+   * How long a job without waiting tokens is still part of the counts after its last change, in ms.
+   * The entry overrides the outdated entries of stores that missed the change.
    */
   private static final long CLOSED_JOB_COUNT_MS = 120_000;
 
-  /** How long the data of a job that was never accepted here is kept, in ms. */
+  /** How long the data of a job without an accepted record at this store is kept, in ms. */
   private static final long NEVER_ACCEPTED_TTL_MS = 60_000;
 
-  /** What the newest accepted record of a job says. */
+  /** The state derived from the newest accepted record of a job. */
   private static final class JobState {
     final long digest;
     final long firstSeenAt;
@@ -57,7 +57,7 @@
       lastHeartbeatAt = now;
     }
 
-    /** What a heartbeat for this lease is answered with. */
+    /** The status to return in the response to a heartbeat for this lease. */
     int leaseStatus(String gateway, long leaseTerm) {
       if (term < leaseTerm) {
         return HeartbeatMessage.UNKNOWN;
@@ -80,15 +80,16 @@
   private final Reservations reservations = new Reservations();
 
   /**
-   * When a round for a job was last seen here that was never accepted: such a round leaves blobs
-   * and a promise, which are dropped later.
+   * The jobs without an accepted record at this store, each with the time of its last reservation
+   * or of the first report of its promise. Such a job leaves blobs and a promise at the store,
+   * which are dropped later.
    */
   private final Map<String, Long> neverAccepted = new HashMap<>();
 
   /**
-   * Keeps a reservation and returns the count of its key.
+   * Stores a reservation and returns the waiting tokens of its quota key.
    *
-   * @return encoded {@link WaitingTokens}, or null if there are too many reservations
+   * @return encoded {@link WaitingTokens}, or null if the store has too many reservations
    */
   byte[] reserve(WaitingTokens.Reservation reservation, long now) {
     reservations.expire(now);
@@ -119,8 +120,8 @@
   }
 
   /**
-   * Whether the record may be accepted here. The first record of a job needs a reservation that is
-   * part of this store's count; later records follow from a committed one.
+   * Whether this store may accept the record. The first record of a job needs a reservation that is
+   * part of this store's count. Later records need none, as they follow from a committed record.
    */
   boolean admits(String jobId, JobRecord record, long now) {
     reservations.expire(now);
@@ -130,7 +131,10 @@
     return reservations.admit(jobId, record, now);
   }
 
-  /** A record was accepted and is on disk; an older one than is known is ignored. */
+  /**
+   * Applies a record that the store has accepted and written to disk. A record older than the known
+   * record of the job is ignored.
+   */
   void onAccepted(String jobId, JobRecord record, long now) {
     JobState state = jobs.get(jobId);
     if (state == null) {
@@ -145,14 +149,15 @@
   }
 
   /**
-   * A job was found with a promise and without a record, left by an earlier process or transferred.
-   * It is dropped later, like one that was reserved and never accepted.
+   * Registers a job with a promise but without a record. Such a job was left by an earlier process
+   * or transferred from another store. It is dropped later, like a job that was reserved but never
+   * accepted.
    */
   void onPromised(String jobId, long now) {
     neverAccepted.putIfAbsent(jobId, now);
   }
 
-  /** A job was dropped with all that is kept of it. */
+  /** Removes all state of a job that the replica has dropped. */
   void onDropped(String jobId) {
     jobs.remove(jobId);
     reservations.remove(jobId);
@@ -162,8 +167,8 @@
   /**
    * Renews the leases of a runner.
    *
-   * @return for each lease, in the order of the message, one of the constants of {@link
-   *     HeartbeatMessage}
+   * @return one of the status constants of {@link HeartbeatMessage} for each lease, in the order of
+   *     the message
    */
   int[] onHeartbeat(HeartbeatMessage heartbeat, long now) {
     int[] statuses = new int[heartbeat.leases().size()];
@@ -181,7 +186,7 @@
     return statuses;
   }
 
-  /** Open jobs without a heartbeat for so long, in ms; at most {@code maxCount}. */
+  /** At most {@code maxCount} open jobs without a heartbeat for at least the timeout, in ms. */
   List<AbandonedJob> abandoned(long heartbeatTimeoutMs, int maxCount, long now) {
     List<AbandonedJob> abandoned = new ArrayList<>();
     for (Map.Entry<String, JobState> entry : jobs.entrySet()) {
@@ -195,10 +200,13 @@
   }
 
   /**
-   * The ids of the jobs that may not be read any more, which the caller drops.
+   * The ids of the jobs whose retention time is over. The caller drops them.
    *
-   * @param retentionMs how long a job may be read after its completion
-   * @param slackMs added to that, for clocks and messages that are late
+   * @param retentionMs how long a closed job is kept after this store first accepted it, in ms; an
+   *     open job is kept longer by the time to live of its items, and at least until it has had no
+   *     heartbeat for this time
+   * @param slackMs added to the retention time to allow for clock differences and late messages, in
+   *     ms
    */
   List<String> expired(long retentionMs, long slackMs, long now) {
     reservations.expire(now);
@@ -209,7 +217,7 @@
       }
     }
     for (Map.Entry<String, Long> entry : neverAccepted.entrySet()) {
-      // Without a reservation its first record is not admitted, so the promise is not needed.
+      // Without a reservation the first record is not admitted, so the promise is not needed.
       if (now - entry.getValue() > NEVER_ACCEPTED_TTL_MS && !reservations.has(entry.getKey())) {
         expired.add(entry.getKey());
       }
--- a/batch/src/main/java/elmsail/batch/store/JobStoreService.java
+++ b/batch/src/main/java/elmsail/batch/store/JobStoreService.java
@@ -20,8 +20,9 @@
 import java.util.function.Consumer;
 
 /**
- * The batch part of a store process: follows the job records of its replica, responds to the
- * messages of gateways and drops jobs whose time is over. Confined to the process's event loop.
+ * The batch service of a store process: follows the job records of the process's replica, responds
+ * to the messages of gateways and drops jobs whose retention time is over. Confined to the
+ * process's event loop.
  */
 public final class JobStoreService implements ReplicaListener {
   private static final long EXPIRY_SCAN_INTERVAL_MS = 5_000;
@@ -37,11 +38,13 @@
   private final JobStore jobs = new JobStore();
 
   /**
-   * @param voting whether this process is a voter with complete state; if not, it responds with
-   *     {@link BatchMessageTypes#NOT_A_VOTER}
+   * Creates the service and registers its counters.
+   *
+   * @param voting whether this process is a voter with complete state; if not, the service responds
+   *     with {@link BatchMessageTypes#NOT_A_VOTER}
    * @param dropKey drops a key and its blobs from the replica; may call {@link #onDropped}
    * @param retentionMs how long a job may be read after it was submitted, in ms
-   * @param metrics of the process
+   * @param metrics the metrics of the process
    */
   public JobStoreService(
       Timers timers,
@@ -57,22 +60,22 @@
     metrics.counters().registerGauge("store_batch_jobs_kept", jobs::size);
   }
 
-  /** Starts the periodic search for jobs to drop. */
+  /** Starts the periodic scan for expired jobs. */
   public void start() {
     timers.schedule(EXPIRY_SCAN_INTERVAL_MS, this::dropExpiredJobs);
   }
 
   /**
-   * Registers {@link #handle} for all opaque messages. Where other services have opaque messages
-   * too, call {@link #handle} from a shared handler instead.
+   * Registers {@link #handle} for all opaque messages. If other services of the process receive
+   * opaque messages too, call {@link #handle} from a shared handler instead.
    */
   public void registerHandlers(RequestHandlers handlers) {
     handlers.register(OpaqueMessage.class, this::handle);
   }
 
   /**
-   * Responds to a message of a gateway about jobs. The future fails with {@link
-   * ErrorCode#MALFORMED} if the message cannot be decoded.
+   * Handles a message of a gateway about jobs. The future fails with {@link ErrorCode#MALFORMED} if
+   * the message cannot be decoded.
    */
   public CompletionStage<OpaqueMessage> handle(OpaqueMessage request) {
     if (!voting.getAsBoolean()) {
@@ -137,7 +140,7 @@
     }
   }
 
-  /** The number of jobs that this process keeps. */
+  /** The number of jobs with an accepted record at this store. */
   public int size() {
     return jobs.size();
   }
--- a/batch/src/main/java/elmsail/batch/store/Reservations.java
+++ b/batch/src/main/java/elmsail/batch/store/Reservations.java
@@ -10,24 +10,28 @@
 import java.util.Map;
 
 /**
- * The tokens that attempts to submit a job have reserved at one store, and the attempts that were
- * withdrawn. The time, in ms of the process's steady clock, is given with each call. Confined to
+ * The tokens that submission attempts have reserved at one store, and the attempts that were
+ * withdrawn. Each call passes the current time, in ms of the process's monotonic clock. Confined to
  * the store's event loop.
  */
 final class Reservations {
-  /** How long a reservation stands whose job is not accepted here, in ms. */
+  /** Lifetime of a reservation whose job this store has not admitted, in ms. */
   private static final long TTL_MS = 5_000;
 
-  /** How long it stands once its job has been admitted and is being written, in ms: disks stall. */
+  /**
+   * Lifetime of a reservation after its job was admitted, in ms. The record is being written during
+   * this time; the lifetime is longer than {@link #TTL_MS} because disks may stall.
+   */
   private static final long ADMITTED_TTL_MS = 30_000;
 
   private static final int MAX_RESERVATIONS = 4_096;
   private static final int MAX_WITHDRAWALS = 4_096;
 
   /**
-   * A reservation until its job is accepted.
+   * A reservation whose job is not accepted yet.
    *
-   * @param admitted whether its job is being written; then only its expiry removes it
+   * @param admitted whether the record of the job is being written; a withdrawal does not remove
+   *     such a reservation
    */
   private record PendingReservation(
       WaitingTokens.Reservation reservation, long expiresAt, boolean admitted) {}
@@ -39,26 +43,26 @@
     }
   }
 
-  /** By the id of the job, then by the id of the attempt, in the order of their arrival. */
+  /** Keyed by job id, then by attempt id in the order of arrival. */
   private final Map<String, Map<Long, PendingReservation>> reservationsByJob = new HashMap<>();
 
   /**
-   * Until when the reservations of withdrawn attempts are ignored: a first round may arrive after
-   * its withdrawal.
+   * The withdrawn attempts, each with the time until which its reservations are ignored. The
+   * message with a reservation may arrive after the withdrawal of the same attempt.
    */
   private final Map<AttemptKey, Long> withdrawals = new LinkedHashMap<>();
 
   private int size;
 
-  /** Whether a reservation of this attempt is to be ignored, since it was withdrawn before. */
+  /** Whether this attempt was withdrawn before, so that its reservation must be ignored. */
   boolean isWithdrawn(WaitingTokens.Reservation reservation) {
     return withdrawals.containsKey(AttemptKey.of(reservation));
   }
 
   /**
-   * Adds a reservation or extends the one of the same attempt.
+   * Adds a reservation, or extends the existing reservation of the same attempt.
    *
-   * @return false if there are too many reservations
+   * @return false if the store has too many reservations
    */
   boolean add(WaitingTokens.Reservation reservation, long now) {
     Map<Long, PendingReservation> jobReservations = reservationsByJob.get(reservation.jobId());
@@ -79,7 +83,7 @@
     return true;
   }
 
-  /** Removes the reservation of a rejected attempt, unless its job is being written. */
+  /** Removes the reservation of a rejected attempt, unless the job's record is being written. */
   void withdraw(WaitingTokens.Reservation reservation, long now) {
     if (withdrawals.size() < MAX_WITHDRAWALS) {
       withdrawals.put(AttemptKey.of(reservation), now + TTL_MS);
@@ -99,8 +103,9 @@
   }
 
   /**
-   * Whether the first record of a job has a reservation under its key and of enough tokens here. If
-   * it has, the reservation stands until the record is written.
+   * Whether this store has a reservation for the first record of a job, under the record's quota
+   * key and with enough tokens. If so, extends the lifetime of the reservation to cover the write
+   * of the record.
    */
   boolean admit(String jobId, JobRecord record, long now) {
     Map<Long, PendingReservation> jobReservations = reservationsByJob.get(jobId);
@@ -118,7 +123,7 @@
     return false;
   }
 
-  /** Adds the reservations under one key to its count. */
+  /** Adds the reservations under this quota key to the waiting tokens of the key. */
   void addTo(WaitingTokens waitingTokens, QuotaKey key) {
     for (Map<Long, PendingReservation> jobReservations : reservationsByJob.values()) {
       for (PendingReservation pending : jobReservations.values()) {
@@ -133,20 +138,20 @@
     }
   }
 
-  /** Whether any attempt has a reservation for this job. */
+  /** Whether any attempt to submit this job has a reservation. */
   boolean has(String jobId) {
     return reservationsByJob.containsKey(jobId);
   }
 
-  /** Removes the reservations of all attempts for a job: it was accepted or dropped. */
+  /** Removes the reservations of all attempts for a job that was accepted or dropped. */
   void remove(String jobId) {
     Map<Long, PendingReservation> removed = reservationsByJob.remove(jobId);
     size -= removed == null ? 0 : removed.size();
   }
 
-  /** Removes what has expired. */
+  /** Removes expired reservations and withdrawals. */
   void expire(long now) {
-    // Withdrawals stand equally long, so they expire in the order in which they were added.
+    // All withdrawals have the same lifetime, so they expire in the order of their insertion.
     Iterator<Long> oldest = withdrawals.values().iterator();
     while (oldest.hasNext() && oldest.next() <= now) {
       oldest.remove();
