--- a/batch/src/test/java/elmsail/batch/BodyRelayFaultTest.java
+++ b/batch/src/test/java/elmsail/batch/BodyRelayFaultTest.java
@@ -12,7 +12,11 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-/** Large jobs whose bodies are relayed, with faults of the relay, its links or the uplink. */
+/**
+ * Submits large jobs through a gateway with a slow uplink. The gateway sends the body of a job to
+ * one store, the relay, which forwards the body to the other stores. Faults of the relay or of its
+ * links must neither delay many jobs nor make the gateway send a body several times.
+ */
 class BodyRelayFaultTest {
   private static final double BYTES_PER_MS = 21_000_000 / 8.0 / 1_000;
   private static final int STORES = 5;
@@ -20,7 +24,9 @@
   private static final int ITEM_BYTES = 1_330;
   private static final long BODY_BYTES = (long) ITEMS * ITEM_BYTES;
 
-  /** More than a job takes to be accepted if its body is sent to every store directly. */
+  /**
+   * Upper bound on the time to accept a job if the gateway sends the body to every store itself.
+   */
   private static final long DIRECT_MS = 800;
 
   private static ReplicatedBatchCluster cluster(long seed, int gateways, long limit) {
@@ -54,7 +60,7 @@
     long startedAt = cluster.timers.now();
     int status = cluster.await(submit(cluster, "job")).status();
     long ms = cluster.timers.now() - startedAt;
-    System.out.println("relay alone: " + status + " in " + ms + " ms");
+    System.out.println("calls of the relay refused: " + status + " in " + ms + " ms");
     assertThat(status, is(202));
     assertThat("ms", ms, lessThanOrEqualTo(DIRECT_MS));
   }
@@ -69,11 +75,14 @@
     long startedAt = cluster.timers.now();
     int status = cluster.await(submit(cluster, "job")).status();
     System.out.println(
-        "relay cut: " + status + " in " + (cluster.timers.now() - startedAt) + " ms");
+        "relay partitioned: " + status + " in " + (cluster.timers.now() - startedAt) + " ms");
     assertThat(status, is(202));
   }
 
-  /** The bytes on the gateway's link, in body sizes, for so many jobs submitted at once. */
+  /**
+   * Submits this number of jobs at once and returns the bytes on the gateway's link, as a multiple
+   * of the size of one body.
+   */
   private static double measureBodiesSent(int jobs) {
     ReplicatedBatchCluster cluster = cluster(3, 1, 1_000_000);
     cluster.net.countBytes(cluster.gateways.get(0).address);
@@ -104,7 +113,7 @@
     assertThat(measureBodiesSent(12), lessThanOrEqualTo(12 * 1.5));
   }
 
-  /** Twelve large jobs, three at each of four gateways; five of them fit. */
+  /** Submits twelve large jobs, three at each of four gateways. The limit admits five of them. */
   @Test
   void mostContendingLargeJobsThatFitAreAccepted() {
     int sum = 0;
@@ -158,7 +167,7 @@
     assertThat("bodies sent by a gateway with three jobs", bodies / 10, lessThanOrEqualTo(6.0));
   }
 
-  /** One store of five responds 60 ms later than the others. */
+  /** The responses of one of the five stores arrive 60 to 70 ms later than those of the others. */
   @Test
   void gatewayDoesNotResendBodyToSlowStore() {
     ReplicatedBatchCluster cluster = cluster(4, 1, 1_000_000);
@@ -175,7 +184,10 @@
     assertThat(sent, lessThanOrEqualTo(1.5));
   }
 
-  /** The relay's message to one store is delayed, so that the withdrawal overtakes it. */
+  /**
+   * The relay's message with the reservation arrives at one store after the withdrawal of the same
+   * reservation. Without the record of the withdrawal, the store would count the rejected job.
+   */
   @Test
   void rejectedJobIsNotCountedWhenItsRelayedRoundArrivesLate() {
     for (int offset = 0; offset < 130; offset += 5) {
@@ -208,7 +220,8 @@
   }
 
   /**
-   * How many of twenty large jobs, one every 600 ms, took longer than {@code maxMs} to be accepted.
+   * Submits twenty large jobs, one every 600 ms, and returns the number of jobs that took longer
+   * than {@code maxMs} to be accepted.
    */
   private static int countLateJobs(ReplicatedBatchCluster cluster, String scenario, long maxMs) {
     int late = 0;
@@ -240,6 +253,6 @@
     for (int i = 1; i < STORES; i++) {
       cluster.net.refuseCalls(relay, cluster.stores.get(i).address);
     }
-    assertThat(countLateJobs(cluster, "lonely relay", DIRECT_MS), lessThanOrEqualTo(5));
+    assertThat(countLateJobs(cluster, "isolated relay", DIRECT_MS), lessThanOrEqualTo(5));
   }
 }
--- a/batch/src/test/java/elmsail/batch/BurstAdmissionTest.java
+++ b/batch/src/test/java/elmsail/batch/BurstAdmissionTest.java
@@ -10,7 +10,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Many jobs that are submitted at about the same time, on a route whose limit not all of them fit.
+ * Many jobs submitted at about the same time, whose tokens together exceed the limit of the route.
+ * If all of them withdrew their reservations because of each other, most of the limit would stay
+ * unused.
  */
 class BurstAdmissionTest {
   private static final int GATEWAYS = 8;
@@ -18,7 +20,7 @@
   private static final int JOBS = 24;
   private static final int SEEDS = 60;
 
-  /** The accepted tokens of jobs that are submitted within {@code spreadMs}; no item is run. */
+  /** The accepted tokens of jobs that are submitted within {@code spreadMs}. No item is run. */
   private static long acceptedTokens(long seed, int spreadMs) {
     SimBatchCluster cluster = new SimBatchCluster(seed, GATEWAYS, LIMIT);
     List<CompletableFuture<BatchService.Reply>> replies = new ArrayList<>();
@@ -49,11 +51,11 @@
         JOBS
             + " jobs in "
             + spreadMs
-            + " ms: accepted of a limit of "
+            + " ms: accepted tokens at a limit of "
             + LIMIT
-            + " in the mean "
+            + ": mean "
             + sum / SEEDS
-            + ", at least "
+            + ", minimum "
             + minAccepted);
     assertThat("jobs in " + spreadMs + " ms, mean", sum / SEEDS, greaterThanOrEqualTo(minMean));
   }
--- a/batch/src/test/java/elmsail/batch/DoubleSubmissionTest.java
+++ b/batch/src/test/java/elmsail/batch/DoubleSubmissionTest.java
@@ -10,8 +10,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A few jobs that contend for a route, each submitted to two gateways one after the other, while
- * stores crash and restart, and links are cut.
+ * A few jobs that together exceed the limit of a route, each submitted to two gateways one after
+ * the other, while links are cut or stores crash and restart. The accepted jobs must stay within
+ * the limit, and a job that both gateways rejected must not run.
  */
 class DoubleSubmissionTest {
   private static final long LIMIT = 1_000;
@@ -42,7 +43,7 @@
     }
   }
 
-  /** One run from one seed. */
+  /** One simulation run with one seed. */
   private static final class Run {
     final ReplicatedBatchCluster cluster;
     final List<SubmittedJob> jobs = new ArrayList<>();
@@ -121,14 +122,14 @@
       rejectedAndRun.addAll(run.rejectedAndRun());
     }
     System.out.println(
-        (storesCrash ? "stores die" : "links cut")
-            + ": accepted in the mean "
+        (storesCrash ? "stores crash" : "links cut")
+            + ": accepted tokens: mean "
             + sum / SEEDS
-            + ", at most "
+            + ", maximum "
             + maxAccepted
             + ", over the limit "
             + timesOverLimit
-            + " times; refused and run: "
+            + " times; rejected and run: "
             + rejectedAndRun);
     assertThat("accepted", maxAccepted, lessThanOrEqualTo(LIMIT));
     assertThat("rejected and run", rejectedAndRun, empty());
--- a/batch/src/test/java/elmsail/batch/JobCleanupTest.java
+++ b/batch/src/test/java/elmsail/batch/JobCleanupTest.java
@@ -8,14 +8,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Jobs that are cancelled or rejected, at stores that restart with or without their disks: in the
- * end no disk has any record of them.
+ * Cancelled and rejected jobs must leave no record on the disk of any store, including stores that
+ * restart with an empty disk or with their old disk. A store may have only a promise for such a job
+ * and no record.
  */
 class JobCleanupTest {
   private static final int JOBS = 60;
   private static final long MAX_WAITING_TOKENS = 1_500;
 
-  /** The records that a store keeps of itself, such as its voter set. */
+  /** The number of records that a store keeps about itself, such as its voter set. */
   private static final int OWN_RECORDS = 4;
 
   private static int countRecords(ReplicatedBatchCluster.StoreNode store) {
--- a/batch/src/test/java/elmsail/batch/JobJson.java
+++ b/batch/src/test/java/elmsail/batch/JobJson.java
@@ -3,12 +3,13 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Base64;
 
-/** The JSON of submitted jobs and of their results, as clients send and receive it. */
+/** Builds the JSON that clients send to submit jobs and receive as results. */
 final class JobJson {
   private JobJson() {}
 
   /**
-   * A job whose items have the ids JOB-0, JOB-1 and so on, and the bodies "body JOB0" and so on.
+   * A job whose items have the ids {@code <jobId>-0}, {@code <jobId>-1} and so on, and the bodies
+   * {@code body <jobId>0}, {@code body <jobId>1} and so on.
    */
   static byte[] job(String jobId, int items, long tokens) {
     StringBuilder json = new StringBuilder();
@@ -21,7 +22,10 @@
     return submission(json);
   }
 
-  /** A job whose items have the ids JOB-0, JOB-1 and so on, and bodies of this size each. */
+  /**
+   * A job whose items have the ids {@code <jobId>-0}, {@code <jobId>-1} and so on, and bodies of
+   * {@code itemBytes} each.
+   */
   static byte[] largeJob(String jobId, int items, long tokens, int itemBytes) {
     String body = base64("x".repeat(itemBytes));
     StringBuilder json = new StringBuilder();
@@ -32,7 +36,7 @@
     return submission(json);
   }
 
-  /** The result of an item that {@link SimServers.Run#complete} has completed. */
+  /** The JSON of the result of an item that {@link SimServers.Run#complete} has completed. */
   static String completedResult(String itemId) {
     return "{\"id\":\""
         + itemId
--- a/batch/src/test/java/elmsail/batch/MessageCodecTest.java
+++ b/batch/src/test/java/elmsail/batch/MessageCodecTest.java
@@ -115,7 +115,9 @@
     }
   }
 
-  /** Later versions read what stores have on disk, so the bytes of a record are pinned. */
+  /**
+   * Later software versions read the records on the disks of stores, so the bytes must not change.
+   */
   @Test
   void recordEncodingIsPinned() {
     JobRecord record = recordWithAllFields(List.of(new JobRecord.FailedAttempts(0, 2)));
@@ -146,7 +148,7 @@
     assertThat(JobRecord.decode(next.encode()), is(next));
     assertThat(next.failedAttempts(), contains(attemptsOfA, attemptsOfC));
     JobRecord lower = next.withResults(List.of(), List.of(new JobRecord.FailedAttempts(0, 1)), 0);
-    assertThat("a lower count does not replace one", lower.failedAttemptsOf(0), is(2));
+    assertThat("a lower count does not replace a higher one", lower.failedAttemptsOf(0), is(2));
     JobRecord withResult = lower.withResults(List.of(new JobRecord.Result(0, false, 2, 0)), 0);
     assertThat(withResult.failedAttempts(), contains(attemptsOfC));
     assertThat(withResult.failedAttemptsOf(0), is(0));
--- a/batch/src/test/java/elmsail/batch/NarrowUplinkTest.java
+++ b/batch/src/test/java/elmsail/batch/NarrowUplinkTest.java
@@ -9,8 +9,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Jobs at a gateway with a slow uplink, as on small machines: 21 Mbit/s, with five stores, which
- * tolerate two failures.
+ * Large jobs at a gateway with a slow uplink of 21 Mbit/s, as on small machines, and five stores,
+ * which tolerate two failures. If the gateway sent each body to every store itself, the uplink
+ * would delay the replies beyond their deadline.
  */
 class NarrowUplinkTest {
   private static final double BYTES_PER_MS = 21_000_000 / 8.0 / 1_000;
@@ -18,13 +19,13 @@
   private static final int ITEMS = 200;
   private static final int ITEM_BYTES = 1_330;
 
-  /** The length of the text of one result. */
+  /** The length of the text of one result, in bytes. */
   private static final int TEXT_BYTES = 3_300;
 
-  /** Items complete one after the other, 60 a second. */
+  /** Delay between the completions of consecutive items, which gives about 60 items per second. */
   private static final long STAGGER_MS = 16;
 
-  /** Within which the reply to a submission is due on this route. */
+  /** Time within which the reply to a submission is due on this route, in ms. */
   private static final long REPLY_DEADLINE_MS = 500;
 
   private static long measureAcceptanceMs(ReplicatedBatchCluster cluster, String id) {
@@ -106,7 +107,9 @@
       cluster.net.freeze(cluster.stores.get(frozen).address);
       measureAcceptanceMs(cluster, "first");
       assertThat(
-          "behind the first", measureAcceptanceMs(cluster, "second"), lessThan(REPLY_DEADLINE_MS));
+          "submitted after the first job",
+          measureAcceptanceMs(cluster, "second"),
+          lessThan(REPLY_DEADLINE_MS));
     }
   }
 }
--- a/batch/src/test/java/elmsail/batch/RejectedJobTest.java
+++ b/batch/src/test/java/elmsail/batch/RejectedJobTest.java
@@ -6,14 +6,19 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-/** A job that was rejected over quota is not run, even if one store has accepted its record. */
+/**
+ * A job that was rejected with 429 must not run, even if one store has accepted its record in an
+ * earlier round: a proposer that finds the record at that store would commit it.
+ */
 class RejectedJobTest {
   private static final long LIMIT = 1_000;
   private static final long TOKENS = 600;
 
   /**
-   * The accept reaches one store only; the next round reaches the two others, where another job is
-   * being accepted.
+   * Submits a job whose accept request reaches only one store. The next round reaches only the two
+   * other stores, where a rival job is being accepted.
+   *
+   * @return the status of the reply if the job ran, otherwise 0
    */
   private static int statusIfJobRan(int cutAfter, String rival) {
     ReplicatedBatchCluster cluster = new ReplicatedBatchCluster(cutAfter, 3, LIMIT);
--- a/batch/src/test/java/elmsail/batch/ReusedJobIdTest.java
+++ b/batch/src/test/java/elmsail/batch/ReusedJobIdTest.java
@@ -12,7 +12,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A job id that is submitted again after the stores have dropped its first job. */
+/**
+ * A client reuses a job id after the stores have dropped the first job. The second job starts again
+ * at version 1, which must not be reported as a violated invariant of the first job.
+ */
 class ReusedJobIdTest {
   private static JobRecord accepted(long configVersion) {
     return JobRecord.accepted(
--- a/batch/src/test/java/elmsail/batch/SimJobStore.java
+++ b/batch/src/test/java/elmsail/batch/SimJobStore.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 
 /**
- * A store with a simple acceptor. Its keys survive {@link #restart}, what the service derives from
- * them does not.
+ * A simulated store with a simple acceptor. Its keys survive {@link #restart}; the state that the
+ * service derives from them does not.
  */
 final class SimJobStore {
 
--- a/batch/src/test/java/elmsail/batch/SimRegister.java
+++ b/batch/src/test/java/elmsail/batch/SimRegister.java
@@ -12,8 +12,8 @@
 import java.util.function.Function;
 
 /**
- * A simple proposer phaseEnded simulated links: prepare and accept at a majority, as published for
- * CASPaxos (Rystsov, 2018).
+ * A simple proposer over simulated links. Each proposal runs a prepare and an accept phase at a
+ * majority of the stores, as in CASPaxos (Rystsov, 2018).
  */
 final class SimRegister implements Register {
   private final SimBatchCluster cluster;
--- a/batch/src/test/java/elmsail/batch/SteadyContentionTest.java
+++ b/batch/src/test/java/elmsail/batch/SteadyContentionTest.java
@@ -9,7 +9,10 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-/** Jobs that keep arriving while the first ones contend with each other. */
+/**
+ * Jobs keep arriving while the first jobs contend with each other for the limit. New arrivals must
+ * not keep all of the contending jobs from being accepted, which would leave the limit unused.
+ */
 class SteadyContentionTest {
   private static final int GATEWAYS = 8;
   private static final long LIMIT = 1_000;
@@ -42,7 +45,7 @@
       minAccepted = Math.min(minAccepted, accepted);
     }
     System.out.println(
-        "a job each " + intervalMs + " ms: mean " + sum / 10 + ", at least " + minAccepted);
+        "a job every " + intervalMs + " ms: mean " + sum / 10 + ", minimum " + minAccepted);
     assertThat(sum / 10, greaterThanOrEqualTo(LIMIT * 7 / 10));
   }
 
--- a/batch/src/test/java/elmsail/batch/SubmitHandlerTest.java
+++ b/batch/src/test/java/elmsail/batch/SubmitHandlerTest.java
@@ -119,7 +119,7 @@
       }
       rejected += 3 - accepted;
       assertThat(
-          "accepted of three lots of 40 at a limit of 100, seed " + seed,
+          "accepted of three jobs of 40 tokens at a limit of 100, seed " + seed,
           accepted,
           lessThanOrEqualTo(2));
     }
--- a/batch/src/test/java/elmsail/batch/TenantJobsTest.java
+++ b/batch/src/test/java/elmsail/batch/TenantJobsTest.java
@@ -14,7 +14,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Jobs of several tenants: who counts against which limit, in whose name items run, who may call.
+ * Jobs of several tenants: the limit that each job counts against, the tenant that items run for,
+ * and the callers that may access a job.
  */
 class TenantJobsTest {
   private static final TenantName ARGUS = new TenantName("argus");
@@ -39,9 +40,11 @@
     SimBatchCluster cluster = cluster(1, 3, 100);
     assertThat(cluster.status(cluster.submit(ARGUS, 0, "a", 10, 10)), is(202));
     assertThat("another tenant", cluster.status(cluster.submit(BORA, 1, "b", 10, 10)), is(202));
-    assertThat("the same", cluster.status(cluster.submit(ARGUS, 2, "c", 1, 1)), is(429));
-    assertThat("the other", cluster.status(cluster.submit(BORA, 2, "d", 1, 1)), is(429));
-    assertThat("without one", cluster.status(cluster.submit(0, "e", 10, 10)), is(401));
+    assertThat(
+        "the first tenant again", cluster.status(cluster.submit(ARGUS, 2, "c", 1, 1)), is(429));
+    assertThat(
+        "the other tenant again", cluster.status(cluster.submit(BORA, 2, "d", 1, 1)), is(429));
+    assertThat("without a tenant", cluster.status(cluster.submit(0, "e", 10, 10)), is(401));
   }
 
   @Test
@@ -90,7 +93,10 @@
     assertThat(cluster.status(service(cluster, 1).cancel(ARGUS, "a")), is(200));
   }
 
-  /** LOST: a gateway that cannot read the record does not know whose job it is. */
+  /**
+   * A gateway that cannot read the record does not know which tenant the job belongs to. A 404
+   * reply would make the owner believe that the job was lost.
+   */
   @Test
   void withoutAQuorumNoCallIsAnsweredNotFound() {
     SimBatchCluster cluster = cluster(5, 1, 0);
@@ -125,7 +131,10 @@
         cluster.status(service.submit(BORA, cluster.route(), "a", withoutRoute, 1_000)), is(409));
   }
 
-  /** The gateway that lost the race must not run its own items under the other tenant's job. */
+  /**
+   * The gateway whose submission lost the race must not run its own items under the other tenant's
+   * job.
+   */
   @Test
   void concurrentSubmissionsOfOneIdByTwoTenantsCreateOneJob() {
     for (int seed = 0; seed < 60; seed++) {
@@ -162,7 +171,7 @@
     assertThat(cluster.status(service(cluster, 1).cancel(BORA, "a")), is(200));
   }
 
-  /** Where nobody is asked for a key, nobody can show that a job is his. */
+  /** Without keys, callers cannot prove which tenant they belong to, so none is denied access. */
   @Test
   void everyJobIsAccessibleWhenTheConfigurationRequiresNoKeys() {
     SimBatchCluster cluster = cluster(8, 2, 0);
@@ -172,7 +181,10 @@
     assertThat(cluster.status(service(cluster, 1).cancel(TenantName.NONE, "a")), is(200));
   }
 
-  /** ROUTE: the key that is not needed on an open route does not open the others to its items. */
+  /**
+   * A job may be submitted on an open route without a key. Its items must still not reach routes
+   * that need a key.
+   */
   @Test
   void jobWithoutAKeyIsUnauthorizedIfAnItemsRouteNeedsAKey() {
     SimBatchCluster cluster = cluster(9, 1, 0);
@@ -188,7 +200,7 @@
     assertThat(cluster.status(service.submit(ARGUS, cluster.route(), "b", items, 1_000)), is(202));
   }
 
-  /** Starved: the jobs that one tenant submitted before do not keep another's waiting. */
+  /** Jobs that one tenant submitted earlier must not starve the jobs of another tenant. */
   @Test
   void floodOfOneTenantsJobsDoesNotStarveAnotherTenant() {
     SimBatchCluster cluster = cluster(10, 1, 0);
@@ -204,7 +216,7 @@
     assertThat("items of the other tenant within 1 s", completed, is(10L));
     int runsBefore = servers.runs.size();
     cluster.timers.advance(1_000);
-    // A run takes 100 ms, and its slot is noticed by the next look at the capacity, within 40 ms.
+    // A run takes 100 ms, and the next poll of the capacity, within 40 ms, finds the free slot.
     int runsPerSlot = 1_000 / 140;
     assertThat(
         "all slots are used",
--- a/batch/src/test/java/elmsail/batch/WithdrawnReservationTest.java
+++ b/batch/src/test/java/elmsail/batch/WithdrawnReservationTest.java
@@ -9,7 +9,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Reservations of several attempts at one store, in the orders in which a network may deliver them.
+ * Reservations and withdrawals of several attempts arrive at one store in the orders in which a
+ * network may deliver them. A reservation that arrives after its withdrawal must not count.
  */
 class WithdrawnReservationTest {
   private static final WaitingTokens.Reservation FIRST =
--- a/batch/src/test/java/elmsail/batch/api/AdmissionCheckTest.java
+++ b/batch/src/test/java/elmsail/batch/api/AdmissionCheckTest.java
@@ -10,7 +10,9 @@
 class AdmissionCheckTest {
   private static final long LIMIT = 100;
 
-  /** Two ids, of which the first precedes the second in the order of the reservations. */
+  /**
+   * Two job ids, of which {@code FIRST} is ahead of {@code SECOND} in the order of reservations.
+   */
   private static final String FIRST;
 
   private static final String SECOND;
--- a/batch/src/test/java/elmsail/batch/api/PinnedNamesTest.java
+++ b/batch/src/test/java/elmsail/batch/api/PinnedNamesTest.java
@@ -16,10 +16,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Names that are known outside of the program: in dashboards, scripts, settings and clients. */
+/** Pins the metric names and the JSON that dashboards, scripts and clients depend on. */
 class PinnedNamesTest {
 
-  /** The families as they are exported, each with its type. */
+  /** The exported metric families, each as its name and type. */
   private static List<String> exported(Counters counters) {
     return PrometheusText.format(counters)
         .lines()
