--- a/batch/src/main/java/elmsail/batch/api/AdmissionVerdict.java
+++ b/batch/src/main/java/elmsail/batch/api/AdmissionVerdict.java
@@ -12,8 +12,9 @@
    */
   CONTENDED_FIRST,
   /**
-   * The job exceeds the limit because of reserved jobs, of which some are ahead of it in the order
-   * or the job has no reservation yet. It yields to them.
+   * The job exceeds the limit only because of reserved jobs, and either has no reservation yet or
+   * does not fit together with the reserved jobs ahead of it. It withdraws any reservation and
+   * retries.
    */
   CONTENDED,
   /** The job exceeds the limit together with the accepted jobs alone. */
