--- a/batch/src/test/java/elmsail/batch/BurstAdmissionTest.java
+++ b/batch/src/test/java/elmsail/batch/BurstAdmissionTest.java
@@ -10,7 +10,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Many jobs that are submitted at about the same time, on a route whose limit not all of them fit.
+ * Many jobs submitted at about the same time, whose tokens together exceed the limit of the route.
+ * If all of them withdrew their reservations because of each other, most of the limit would stay
+ * unused.
  */
 class BurstAdmissionTest {
   private static final int GATEWAYS = 8;
@@ -18,15 +20,15 @@
   private static final int JOBS = 24;
   private static final int SEEDS = 60;
 
-  /** The accepted tokens of jobs that are submitted within {@code spreadMs}; no item is run. */
+  /** The accepted tokens of jobs that are submitted within {@code spreadMs}. No item is run. */
   private static long acceptedTokens(long seed, int spreadMs) {
     SimBatchCluster cluster = new SimBatchCluster(seed, GATEWAYS, LIMIT);
     List<CompletableFuture<BatchService.Reply>> replies = new ArrayList<>();
     List<Long> tokens = new ArrayList<>();
     for (int i = 0; i < JOBS; i++) {
-      long own = 60L + cluster.random.nextInt(140);
-      tokens.add(own);
-      replies.add(cluster.submit(i % GATEWAYS, "job" + i, 1, own));
+      long jobTokens = 60L + cluster.random.nextInt(140);
+      tokens.add(jobTokens);
+      replies.add(cluster.submit(i % GATEWAYS, "job" + i, 1, jobTokens));
       cluster.timers.advance(cluster.random.nextInt(1 + 2 * spreadMs / JOBS));
     }
     long accepted = 0;
@@ -36,7 +38,7 @@
     return accepted;
   }
 
-  private static void measure(int spreadMs, long minMean) {
+  private static void checkMeanAcceptedTokens(int spreadMs, long minMean) {
     long sum = 0;
     long minAccepted = LIMIT;
     for (int seed = 0; seed < SEEDS; seed++) {
@@ -49,22 +51,22 @@
         JOBS
             + " jobs in "
             + spreadMs
-            + " ms: accepted of a limit of "
+            + " ms: accepted tokens at a limit of "
             + LIMIT
-            + " in the mean "
+            + ": mean "
             + sum / SEEDS
-            + ", at least "
+            + ", minimum "
             + minAccepted);
     assertThat("jobs in " + spreadMs + " ms, mean", sum / SEEDS, greaterThanOrEqualTo(minMean));
   }
 
   @Test
   void simultaneousJobsFillTheQuota() {
-    measure(0, LIMIT * 7 / 10);
+    checkMeanAcceptedTokens(0, LIMIT * 7 / 10);
   }
 
   @Test
   void jobsOfAShortBurstFillTheQuota() {
-    measure(100, LIMIT * 7 / 10);
+    checkMeanAcceptedTokens(100, LIMIT * 7 / 10);
   }
 }
--- a/batch/src/test/java/elmsail/batch/NarrowUplinkTest.java
+++ b/batch/src/test/java/elmsail/batch/NarrowUplinkTest.java
@@ -9,8 +9,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Jobs at a gateway with a slow uplink, as on small machines: 21 Mbit/s, with five stores, which
- * tolerate two failures.
+ * Large jobs at a gateway with a slow uplink of 21 Mbit/s, as on small machines, and five stores,
+ * which tolerate two failures. If the gateway sent each body to every store itself, the uplink
+ * would delay the replies beyond their deadline.
  */
 class NarrowUplinkTest {
   private static final double BYTES_PER_MS = 21_000_000 / 8.0 / 1_000;
@@ -18,16 +19,16 @@
   private static final int ITEMS = 200;
   private static final int ITEM_BYTES = 1_330;
 
-  /** The length of the text of one result. */
+  /** The length of the text of one result, in bytes. */
   private static final int TEXT_BYTES = 3_300;
 
-  /** Items complete one after the other, 60 a second. */
+  /** Delay between the completions of consecutive items, which gives about 60 items per second. */
   private static final long STAGGER_MS = 16;
 
-  /** Within which the reply to a submission is due on this route. */
-  private static final long DUE_MS = 500;
+  /** Time within which the reply to a submission is due on this route, in ms. */
+  private static final long REPLY_DEADLINE_MS = 500;
 
-  private static long acceptMs(ReplicatedBatchCluster cluster, String id) {
+  private static long measureAcceptanceMs(ReplicatedBatchCluster cluster, String id) {
     ReplicatedBatchCluster.Gateway gateway = cluster.gateways.get(0);
     long startedAt = cluster.timers.now();
     CompletableFuture<BatchService.Reply> reply =
@@ -49,30 +50,33 @@
   }
 
   @Test
-  void aLargeJobIsAcceptedWhileItIsDue() {
+  void largeJobIsAcceptedWithinHalfTheReplyDeadline() {
     for (int seed = 0; seed < 5; seed++) {
-      assertThat("seed " + seed, acceptMs(cluster(seed), "large"), lessThan(DUE_MS / 2));
+      assertThat(
+          "seed " + seed,
+          measureAcceptanceMs(cluster(seed), "large"),
+          lessThan(REPLY_DEADLINE_MS / 2));
     }
   }
 
   @Test
-  void theBodyLeavesTheGatewayOnce() {
+  void gatewaySendsBodyAboutOnce() {
     ReplicatedBatchCluster cluster = cluster(7);
     cluster.net.countBytes(cluster.gateways.get(0).address);
-    acceptMs(cluster, "large");
+    measureAcceptanceMs(cluster, "large");
     long body = (long) ITEMS * ITEM_BYTES;
     assertThat(cluster.net.countedBytes(), lessThanOrEqualTo(body * 3 / 2));
   }
 
   @Test
-  void resultsLeaveTheGatewayFewTimes() {
+  void gatewaySendsResultTextsAtMostFourTimes() {
     ReplicatedBatchCluster cluster = cluster(8);
     SimServers servers = cluster.gateways.get(0).servers;
     servers.capacity = ITEMS;
     servers.serviceTimeMs = 1_000;
     servers.staggerMs = STAGGER_MS;
     servers.eventPadding = "y".repeat(TEXT_BYTES / 2);
-    acceptMs(cluster, "large");
+    measureAcceptanceMs(cluster, "large");
     cluster.net.countBytes(cluster.gateways.get(0).address);
     cluster.timers.advance(1_000 + (ITEMS + 10) * STAGGER_MS);
     assertThat(servers.served.size(), is(ITEMS));
@@ -87,22 +91,25 @@
   }
 
   @Test
-  void withTheNearestStoreDownALargeJobIsAcceptedNonetheless() {
+  void largeJobIsAcceptedWhileOneStoreIsDown() {
     for (int down = 0; down < STORES; down++) {
       ReplicatedBatchCluster cluster = cluster(20 + down);
       cluster.stores.get(down).kill(false);
       cluster.timers.advance(200);
-      acceptMs(cluster, "large");
+      measureAcceptanceMs(cluster, "large");
     }
   }
 
   @Test
-  void withAStoreFrozenALargeJobIsAcceptedNonetheless() {
+  void largeJobsAreAcceptedWhileOneStoreIsFrozen() {
     for (int frozen = 0; frozen < STORES; frozen++) {
       ReplicatedBatchCluster cluster = cluster(30 + frozen);
       cluster.net.freeze(cluster.stores.get(frozen).address);
-      acceptMs(cluster, "first");
-      assertThat("behind the first", acceptMs(cluster, "second"), lessThan(DUE_MS));
+      measureAcceptanceMs(cluster, "first");
+      assertThat(
+          "submitted after the first job",
+          measureAcceptanceMs(cluster, "second"),
+          lessThan(REPLY_DEADLINE_MS));
     }
   }
 }
--- a/batch/src/test/java/elmsail/batch/RejectedJobTest.java
+++ b/batch/src/test/java/elmsail/batch/RejectedJobTest.java
@@ -6,16 +6,21 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-/** A job that was rejected over quota is not run, even if one store has accepted its record. */
+/**
+ * A job that was rejected with 429 must not run, even if one store has accepted its record in an
+ * earlier round: a proposer that finds the record at that store would commit it.
+ */
 class RejectedJobTest {
   private static final long LIMIT = 1_000;
   private static final long TOKENS = 600;
 
   /**
-   * The accept reaches one store only; the next round reaches the two others, where another job is
-   * being accepted.
+   * Submits a job whose accept request reaches only one store. The next round reaches only the two
+   * other stores, where a rival job is being accepted.
+   *
+   * @return the status of the reply if the job ran, otherwise 0
    */
-  private static int statusIfRun(int cutAfter, String rival) {
+  private static int statusIfJobRan(int cutAfter, String rival) {
     ReplicatedBatchCluster cluster = new ReplicatedBatchCluster(cutAfter, 3, LIMIT);
     cluster.timers.advance(1_000);
     String first = cluster.gateways.get(0).address;
@@ -32,10 +37,10 @@
     cluster.net.cutBoth(first, onlyStore);
     cluster.net.cutBoth(second, onlyStore);
     cluster.timers.advance(25);
-    CompletableFuture<BatchService.Reply> other =
+    CompletableFuture<BatchService.Reply> rivalFuture =
         cluster.submit(cluster.gateways.get(1), rival, 1, TOKENS);
     BatchService.Reply firstReply = cluster.await(reply);
-    BatchService.Reply otherAnswered = cluster.await(other);
+    BatchService.Reply rivalReply = cluster.await(rivalFuture);
     cluster.net.healAll();
     cluster.timers.advance(15_000);
     boolean ran = cluster.served.contains("refused-0");
@@ -47,7 +52,7 @@
             + ": "
             + firstReply.status()
             + ", the rival "
-            + otherAnswered.status()
+            + rivalReply.status()
             + ", run: "
             + ran);
     return ran ? firstReply.status() : 0;
@@ -58,7 +63,7 @@
     int rejectedAndRun = 0;
     for (int cutAfter = 4; cutAfter < 48; cutAfter++) {
       for (String rival : new String[] {"rival", "other", "third"}) {
-        rejectedAndRun += statusIfRun(cutAfter, rival) == 429 ? 1 : 0;
+        rejectedAndRun += statusIfJobRan(cutAfter, rival) == 429 ? 1 : 0;
       }
     }
     assertThat(rejectedAndRun, is(0));
--- a/batch/src/test/java/elmsail/batch/ReusedJobIdTest.java
+++ b/batch/src/test/java/elmsail/batch/ReusedJobIdTest.java
@@ -12,7 +12,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A job id that is submitted again after the stores have dropped its first job. */
+/**
+ * A client reuses a job id after the stores have dropped the first job. The second job starts again
+ * at version 1, which must not be reported as a violated invariant of the first job.
+ */
 class ReusedJobIdTest {
   private static JobRecord accepted(long configVersion) {
     return JobRecord.accepted(
@@ -21,7 +24,7 @@
         "gateway");
   }
 
-  private static Register.VersionedValue at(long round, JobRecord record) {
+  private static Register.VersionedValue committedAtRound(long round, JobRecord record) {
     Ballot ballot = new Ballot();
     ballot.round = round;
     return new Register.VersionedValue(ballot, record.encode());
@@ -31,10 +34,12 @@
   void aSecondJobWithTheSameIdViolatesNoInvariant() {
     BatchJobClient client = new BatchJobClient(null, ProcessMetrics.strict().invariants());
     JobRecord first = accepted(1);
-    client.onCommitted("job", at(1, first));
-    client.onCommitted("job", at(2, first.withCancellation()));
+    client.onCommitted("job", committedAtRound(1, first));
+    client.onCommitted("job", committedAtRound(2, first.withCancellation()));
     JobRecord second = accepted(2);
-    assertThat(client.onCommitted("job", at(3, second)).version(), is(1L));
-    assertThat(client.onCommitted("job", at(4, second.withRunner("other", 0))).version(), is(2L));
+    assertThat(client.onCommitted("job", committedAtRound(3, second)).version(), is(1L));
+    assertThat(
+        client.onCommitted("job", committedAtRound(4, second.withRunner("other", 0))).version(),
+        is(2L));
   }
 }
--- a/batch/src/test/java/elmsail/batch/SteadyContentionTest.java
+++ b/batch/src/test/java/elmsail/batch/SteadyContentionTest.java
@@ -9,7 +9,10 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-/** Jobs that keep arriving while the first ones contend with each other. */
+/**
+ * Jobs keep arriving while the first jobs contend with each other for the limit. New arrivals must
+ * not keep all of the contending jobs from being accepted, which would leave the limit unused.
+ */
 class SteadyContentionTest {
   private static final int GATEWAYS = 8;
   private static final long LIMIT = 1_000;
@@ -20,9 +23,9 @@
     List<CompletableFuture<BatchService.Reply>> replies = new ArrayList<>();
     List<Long> tokens = new ArrayList<>();
     for (int i = 0; (long) i * intervalMs < BURST_MS; i++) {
-      long own = 60L + cluster.random.nextInt(140);
-      tokens.add(own);
-      replies.add(cluster.submit(i % GATEWAYS, "job" + seed + "-" + i, 1, own));
+      long jobTokens = 60L + cluster.random.nextInt(140);
+      tokens.add(jobTokens);
+      replies.add(cluster.submit(i % GATEWAYS, "job" + seed + "-" + i, 1, jobTokens));
       cluster.timers.advance(intervalMs);
     }
     long accepted = 0;
@@ -32,7 +35,7 @@
     return accepted;
   }
 
-  private static void measure(int intervalMs) {
+  private static void checkMeanAcceptedTokens(int intervalMs) {
     long sum = 0;
     long minAccepted = LIMIT;
     for (int seed = 0; seed < 10; seed++) {
@@ -42,22 +45,22 @@
       minAccepted = Math.min(minAccepted, accepted);
     }
     System.out.println(
-        "a job each " + intervalMs + " ms: mean " + sum / 10 + ", at least " + minAccepted);
+        "a job every " + intervalMs + " ms: mean " + sum / 10 + ", minimum " + minAccepted);
     assertThat(sum / 10, greaterThanOrEqualTo(LIMIT * 7 / 10));
   }
 
   @Test
   void aJobEvery20MsFillsTheQuota() {
-    measure(20);
+    checkMeanAcceptedTokens(20);
   }
 
   @Test
   void aJobEvery5MsFillsTheQuota() {
-    measure(5);
+    checkMeanAcceptedTokens(5);
   }
 
   @Test
   void aJobEvery2MsFillsTheQuota() {
-    measure(2);
+    checkMeanAcceptedTokens(2);
   }
 }
--- a/batch/src/test/java/elmsail/batch/TenantJobsTest.java
+++ b/batch/src/test/java/elmsail/batch/TenantJobsTest.java
@@ -14,7 +14,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Jobs of several tenants: who counts against which limit, in whose name items run, who may call.
+ * Jobs of several tenants: the limit that each job counts against, the tenant that items run for,
+ * and the callers that may access a job.
  */
 class TenantJobsTest {
   private static final TenantName ARGUS = new TenantName("argus");
@@ -39,9 +40,11 @@
     SimBatchCluster cluster = cluster(1, 3, 100);
     assertThat(cluster.status(cluster.submit(ARGUS, 0, "a", 10, 10)), is(202));
     assertThat("another tenant", cluster.status(cluster.submit(BORA, 1, "b", 10, 10)), is(202));
-    assertThat("the same", cluster.status(cluster.submit(ARGUS, 2, "c", 1, 1)), is(429));
-    assertThat("the other", cluster.status(cluster.submit(BORA, 2, "d", 1, 1)), is(429));
-    assertThat("without one", cluster.status(cluster.submit(0, "e", 10, 10)), is(401));
+    assertThat(
+        "the first tenant again", cluster.status(cluster.submit(ARGUS, 2, "c", 1, 1)), is(429));
+    assertThat(
+        "the other tenant again", cluster.status(cluster.submit(BORA, 2, "d", 1, 1)), is(429));
+    assertThat("without a tenant", cluster.status(cluster.submit(0, "e", 10, 10)), is(401));
   }
 
   @Test
@@ -55,7 +58,7 @@
   }
 
   @Test
-  void itemsRunInTheNameOfTheJobsTenantAlsoAfterATakeover() {
+  void itemsRunForTheJobsTenantAfterATakeover() {
     SimBatchCluster cluster = cluster(3, 2, 0);
     assertThat(cluster.status(cluster.submit(ARGUS, 0, "a", 2, 10)), is(202));
     cluster.timers.advance(100);
@@ -70,7 +73,7 @@
   }
 
   @Test
-  void aJobDoesNotExistForAnotherTenant() {
+  void callsForAnotherTenantsJobAreAnsweredNotFound() {
     SimBatchCluster cluster = cluster(4, 2, 0);
     cluster.gateways.get(0).servers.serviceTimeMs = 2_000;
     assertThat(cluster.status(cluster.submit(ARGUS, 0, "a", 2, 10)), is(202));
@@ -90,9 +93,12 @@
     assertThat(cluster.status(service(cluster, 1).cancel(ARGUS, "a")), is(200));
   }
 
-  /** LOST: a gateway that cannot read the record does not know whose job it is. */
+  /**
+   * A gateway that cannot read the record does not know which tenant the job belongs to. A 404
+   * reply would make the owner believe that the job was lost.
+   */
   @Test
-  void withoutAQuorumNobodysCallIsAnsweredNotFound() {
+  void withoutAQuorumNoCallIsAnsweredNotFound() {
     SimBatchCluster cluster = cluster(5, 1, 0);
     assertThat(cluster.status(cluster.submit(ARGUS, 0, "a", 2, 10)), is(202));
     String gateway = cluster.gateways.get(0).address;
@@ -107,7 +113,7 @@
   }
 
   @Test
-  void aJobIdOfAnotherTenantIsRefusedAsAConflictAndNotAcknowledged() {
+  void submissionUnderAnotherTenantsJobIdIsAnsweredConflict() {
     SimBatchCluster cluster = cluster(6, 2, 0);
     assertThat(cluster.status(cluster.submit(ARGUS, 0, "a", 2, 10)), is(202));
     for (int gateway = 0; gateway < 2; gateway++) {
@@ -125,15 +131,18 @@
         cluster.status(service.submit(BORA, cluster.route(), "a", withoutRoute, 1_000)), is(409));
   }
 
-  /** The gateway that lost the race must not run its own items under the other tenant's job. */
+  /**
+   * The gateway whose submission lost the race must not run its own items under the other tenant's
+   * job.
+   */
   @Test
-  void twoTenantsThatSubmitOneIdAtOnceGetOneJob() {
+  void concurrentSubmissionsOfOneIdByTwoTenantsCreateOneJob() {
     for (int seed = 0; seed < 60; seed++) {
       SimBatchCluster cluster = cluster(seed, 2, seed % 2 == 0 ? 0 : 100);
-      CompletableFuture<Reply> one = cluster.submit(ARGUS, 0, "a", 2, 10);
+      CompletableFuture<Reply> first = cluster.submit(ARGUS, 0, "a", 2, 10);
       cluster.timers.advance(seed % 10);
-      CompletableFuture<Reply> other = cluster.submit(BORA, seed / 10 % 2, "a", 3, 10);
-      List<Integer> statuses = List.of(cluster.status(one), cluster.status(other));
+      CompletableFuture<Reply> second = cluster.submit(BORA, seed / 10 % 2, "a", 3, 10);
+      List<Integer> statuses = List.of(cluster.status(first), cluster.status(second));
       cluster.timers.advance(100);
       boolean firstWon = statuses.equals(List.of(202, 409));
       assertThat("seed " + seed + statuses, firstWon || statuses.equals(List.of(409, 202)));
@@ -149,7 +158,7 @@
   }
 
   @Test
-  void aJobWithoutATenantIsReadableByWhoeverMayCall() {
+  void jobWithoutATenantIsAccessibleToAllCallers() {
     SimBatchCluster cluster = new SimBatchCluster(7, 2, 0);
     assertThat(cluster.status(cluster.submit(0, "a", 2, 10)), is(202));
     cluster.configure(cluster.initialConfig.withKeysRequired());
@@ -162,9 +171,9 @@
     assertThat(cluster.status(service(cluster, 1).cancel(BORA, "a")), is(200));
   }
 
-  /** Where nobody is asked for a key, nobody can show that a job is his. */
+  /** Without keys, callers cannot prove which tenant they belong to, so none is denied access. */
   @Test
-  void withoutTenantsInTheConfigurationEveryJobIsReadable() {
+  void everyJobIsAccessibleWhenTheConfigurationRequiresNoKeys() {
     SimBatchCluster cluster = cluster(8, 2, 0);
     assertThat(cluster.status(cluster.submit(ARGUS, 0, "a", 2, 10)), is(202));
     cluster.configure(cluster.initialConfig);
@@ -172,24 +181,28 @@
     assertThat(cluster.status(service(cluster, 1).cancel(TenantName.NONE, "a")), is(200));
   }
 
-  /** ROUTE: the key that is not needed on an open route does not open the others to its items. */
+  /**
+   * A job may be submitted on an open route without a key. Its items must still not reach routes
+   * that need a key.
+   */
   @Test
-  void aJobOfAnOpenRouteHasNoItemsOnRoutesThatNeedAKey() {
+  void jobWithoutAKeyIsUnauthorizedIfAnItemsRouteNeedsAKey() {
     SimBatchCluster cluster = cluster(9, 1, 0);
     cluster.configure(cluster.initialConfig.withKeysRequired().withOpenRoute("/open1/"));
     byte[] items = JobJson.job("a", 1, 1);
     byte[] openItems = new String(items, UTF_8).replace("/lots1/", "/open1/").getBytes(UTF_8);
     BatchService service = service(cluster, 0);
-    TenantName nobody = TenantName.NONE;
-    assertThat(cluster.status(service.submit(nobody, cluster.route(), "a", items, 1_000)), is(401));
+    TenantName noTenant = TenantName.NONE;
+    assertThat(
+        cluster.status(service.submit(noTenant, cluster.route(), "a", items, 1_000)), is(401));
     assertThat(
-        cluster.status(service.submit(nobody, cluster.route(), "a", openItems, 1_000)), is(202));
+        cluster.status(service.submit(noTenant, cluster.route(), "a", openItems, 1_000)), is(202));
     assertThat(cluster.status(service.submit(ARGUS, cluster.route(), "b", items, 1_000)), is(202));
   }
 
-  /** Starved: the jobs that one tenant submitted before do not keep another's waiting. */
+  /** Jobs that one tenant submitted earlier must not starve the jobs of another tenant. */
   @Test
-  void aFloodOfOneTenantsJobsLeavesSlotsToAnother() {
+  void floodOfOneTenantsJobsDoesNotStarveAnotherTenant() {
     SimBatchCluster cluster = cluster(10, 1, 0);
     SimServers servers = cluster.gateways.get(0).servers;
     servers.capacity = 4;
@@ -203,7 +216,7 @@
     assertThat("items of the other tenant within 1 s", completed, is(10L));
     int runsBefore = servers.runs.size();
     cluster.timers.advance(1_000);
-    // A run takes 100 ms, and its slot is noticed by the next look at the capacity, within 40 ms.
+    // A run takes 100 ms, and the next poll of the capacity, within 40 ms, finds the free slot.
     int runsPerSlot = 1_000 / 140;
     assertThat(
         "all slots are used",
