--- a/controlplane/src/main/java/elmsail/controlplane/CommittedValue.java
+++ b/controlplane/src/main/java/elmsail/controlplane/CommittedValue.java
@@ -62,16 +62,17 @@
     long sentAtMs = timers.now();
     register
         .read(key, ballot, READ_TIMEOUT_MS)
-        .whenComplete((now, failure) -> onReadCompleted(now, failure, sentAtMs));
+        .whenComplete((readResult, failure) -> onReadCompleted(readResult, failure, sentAtMs));
   }
 
-  private void onReadCompleted(Register.VersionedValue now, Throwable failure, long sentAtMs) {
+  private void onReadCompleted(
+      Register.VersionedValue readResult, Throwable failure, long sentAtMs) {
     readInFlight = false;
     if (closed) {
       return;
     }
     if (failure == null) {
-      offer(now);
+      offer(readResult);
       hasBeenRead = true;
       quorumContact.onRoundCompleted(sentAtMs);
     }
@@ -87,15 +88,15 @@
   }
 
   /** Learns the result of a read or a change; null and older ones are ignored. */
-  void offer(Register.VersionedValue now) {
-    if (now == null || now.value() == null || now.ballot() == null) {
+  void offer(Register.VersionedValue candidate) {
+    if (candidate == null || candidate.value() == null || candidate.ballot() == null) {
       return;
     }
-    if (ballot != null && compare(now.ballot(), ballot) <= 0) {
+    if (ballot != null && compare(candidate.ballot(), ballot) <= 0) {
       return;
     }
-    ballot = now.ballot();
-    value = now.value();
+    ballot = candidate.ballot();
+    value = candidate.value();
     for (Consumer<byte[]> listener : listeners) {
       listener.accept(value);
     }
@@ -106,12 +107,12 @@
    * newer. A newer one may have been learned here while that read was in flight; it was committed
    * since the read began, so it is returned instead.
    */
-  byte[] resolveValue(Register.VersionedValue now) {
+  byte[] resolveValue(Register.VersionedValue readResult) {
     boolean isUnchanged =
-        now.value() == null
+        readResult.value() == null
             && ballot != null
-            && (now.ballot() == null || compare(now.ballot(), ballot) <= 0);
-    return isUnchanged ? value : now.value();
+            && (readResult.ballot() == null || compare(readResult.ballot(), ballot) <= 0);
+    return isUnchanged ? value : readResult.value();
   }
 
   /** The ballot of the newest value seen; null if none. */
--- a/controlplane/src/main/java/elmsail/controlplane/ConfigHistory.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ConfigHistory.java
@@ -113,7 +113,7 @@
   }
 
   /** The history after a change on top of the current version; the oldest change may be dropped. */
-  ConfigHistory append(long number, byte[] body, byte[] digest) {
+  ConfigHistory append(long newVersion, byte[] newConfigBytes, byte[] digest) {
     int firstKept = Math.max(0, baseVersions.length + 1 - MAX_CHANGES);
     int keptCount = baseVersions.length - firstKept;
     long[] nextBases = Arrays.copyOfRange(baseVersions, firstKept, firstKept + keptCount + 1);
@@ -122,20 +122,20 @@
         Arrays.copyOfRange(
             digests, firstKept * DIGEST_BYTES, (firstKept + keptCount + 1) * DIGEST_BYTES);
     System.arraycopy(digest, 0, nextDigests, keptCount * DIGEST_BYTES, DIGEST_BYTES);
-    return new ConfigHistory(number, body, nextBases, nextDigests);
+    return new ConfigHistory(newVersion, newConfigBytes, nextBases, nextDigests);
   }
 
   /** Digest that identifies a replacement: of its base version and its body. */
   static byte[] replacementDigest(long baseVersion, byte[] body) {
-    return replacementDigest(REPLACEMENT_DIGEST_PREFIX, baseVersion, body);
+    return digest(REPLACEMENT_DIGEST_PREFIX, baseVersion, body);
   }
 
   /** Digest that identifies an amendment; never that of a replacement with the same body. */
   static byte[] amendmentDigest(long baseVersion, byte[] body) {
-    return replacementDigest(AMENDMENT_DIGEST_PREFIX, baseVersion, body);
+    return digest(AMENDMENT_DIGEST_PREFIX, baseVersion, body);
   }
 
-  private static byte[] replacementDigest(byte[] prefix, long baseVersion, byte[] body) {
+  private static byte[] digest(byte[] prefix, long baseVersion, byte[] body) {
     try {
       MessageDigest sha256 = MessageDigest.getInstance("SHA-256");
       sha256.update(prefix);
@@ -191,17 +191,17 @@
     int count = ValueCodec.readCount(in, VALUE_NAME, MAX_CHANGES);
     long[] baseVersions = new long[count];
     byte[] digests = new byte[count * DIGEST_BYTES];
-    long number = in.readLong();
+    long nextVersion = in.readLong();
     for (int i = 0; i < count; i++) {
-      baseVersions[i] = number;
-      number += readVarint(in);
+      baseVersions[i] = nextVersion;
+      nextVersion += readVarint(in);
       in.readFully(digests, i * DIGEST_BYTES, DIGEST_BYTES);
-      if (number <= baseVersions[i]) {
-        throw malformed("version " + number + " is not above its base " + baseVersions[i]);
+      if (nextVersion <= baseVersions[i]) {
+        throw malformed("version " + nextVersion + " is not above its base " + baseVersions[i]);
       }
     }
-    if (count > 0 && number != version) {
-      throw malformed("the last change makes version " + number + ", expected " + version);
+    if (count > 0 && nextVersion != version) {
+      throw malformed("the last change makes version " + nextVersion + ", expected " + version);
     }
     return new ConfigHistory(version, in.readAllBytes(), baseVersions, digests);
   }
@@ -235,7 +235,7 @@
     throw malformed("varint of more than 64 bits");
   }
 
-  private static ElmsailException malformed(String what) {
-    return new ElmsailException(ErrorCode.MALFORMED, VALUE_NAME + ": " + what);
+  private static ElmsailException malformed(String detail) {
+    return new ElmsailException(ErrorCode.MALFORMED, VALUE_NAME + ": " + detail);
   }
 }
--- a/controlplane/src/main/java/elmsail/controlplane/ControlPlaneNode.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ControlPlaneNode.java
@@ -169,14 +169,14 @@
   private Optional<UsageManager> createUsageManager(
       Register register, Optional<PlatformDutyClient> dutyClient) {
     return dutyClient
-        .filter(client -> UsageManager.isWanted(environment.settings()))
+        .filter(client -> UsageManager.isEnabled(environment.settings()))
         .map(client -> new UsageManager(environment, lease, register, voters::current, client));
   }
 
   private Optional<FleetSizeManager> createFleetSizeManager(
       Optional<PlatformDutyClient> dutyClient) {
     return dutyClient
-        .filter(client -> FleetSizeManager.isWanted(environment.settings()))
+        .filter(client -> FleetSizeManager.isEnabled(environment.settings()))
         .map(client -> new FleetSizeManager(timers, configWatcher, client, lease));
   }
 
--- a/controlplane/src/main/java/elmsail/controlplane/DemandTable.java
+++ b/controlplane/src/main/java/elmsail/controlplane/DemandTable.java
@@ -46,16 +46,20 @@
    * @param gatewayCount how many gateways there are
    */
   double openRequests(String service, String zone, int gatewayCount) {
-    long known = 0;
+    long knownOpenRequests = 0;
     for (Report report : reportsByGateway.values()) {
       for (ServiceDemand demand : report.demand()) {
         if (demand.service.equals(service) && demand.zone.equals(zone)) {
-          known += Math.max(0, demand.openRequests);
+          knownOpenRequests += Math.max(0, demand.openRequests);
         }
       }
     }
-    int reporting = reportsByGateway.size();
-    return reporting == 0 ? 0 : known * (double) Math.max(gatewayCount, reporting) / reporting;
+    int reportingGateways = reportsByGateway.size();
+    return reportingGateways == 0
+        ? 0
+        : knownOpenRequests
+            * (double) Math.max(gatewayCount, reportingGateways)
+            / reportingGateways;
   }
 
   /** Whether enough gateways have pulled lately for an estimate. */
--- a/controlplane/src/main/java/elmsail/controlplane/FleetSizeManager.java
+++ b/controlplane/src/main/java/elmsail/controlplane/FleetSizeManager.java
@@ -37,7 +37,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(FleetSizeManager.class);
 
   /** One number that is set: the servers of a service in a zone. */
-  private record Subject(String service, String zone) {}
+  private record FleetKey(String service, String zone) {}
 
   /** What is known of a subject at a moment. */
   private record Fleet(FleetSize bounds, int servers, int slotsPerServer) {}
@@ -53,7 +53,7 @@
     boolean isUncertain;
 
     boolean inFlight;
-    long notBeforeMs;
+    long nextAttemptAtMs;
   }
 
   private final Timers timers;
@@ -61,7 +61,7 @@
   private final PlatformDutyClient platform;
   private final DutyLease lease;
   private final DemandTable demand = new DemandTable();
-  private final Map<Subject, Order> orders = new HashMap<>();
+  private final Map<FleetKey, Order> orders = new HashMap<>();
   private long ordersTerm;
   private boolean closed;
 
@@ -79,7 +79,7 @@
   }
 
   /** Whether the platform expects the duty. */
-  static boolean isWanted(Settings settings) {
+  static boolean isEnabled(Settings settings) {
     return settings.platform() != null
         && settings.platform().duties().contains(Settings.Platform.FLEET_DUTY);
   }
@@ -110,13 +110,13 @@
       ordersTerm = term;
     }
     if (term > 0) {
-      fleets().forEach((subject, fleet) -> update(subject, fleet, term, now));
+      fleets().forEach((key, fleet) -> update(key, fleet, term, now));
     }
   }
 
   /** The fleets to be set: of services with bounds, in the zones that list servers of them. */
-  private Map<Subject, Fleet> fleets() {
-    Map<Subject, Fleet> fleets = new LinkedHashMap<>();
+  private Map<FleetKey, Fleet> fleets() {
+    Map<FleetKey, Fleet> fleets = new LinkedHashMap<>();
     RoutingConfig config = clusterState.config();
     if (config == null) {
       return fleets;
@@ -127,67 +127,69 @@
         Fleet counted =
             new Fleet(
                 service.fleetSize().get(), server.draining() ? 0 : 1, server.maxConcurrency());
-        fleets.merge(new Subject(server.service(), server.zone()), counted, FleetSizeManager::plus);
+        fleets.merge(
+            new FleetKey(server.service(), server.zone()), counted, FleetSizeManager::merge);
       }
     }
     return fleets;
   }
 
-  private static Fleet plus(Fleet left, Fleet right) {
+  private static Fleet merge(Fleet left, Fleet right) {
     return new Fleet(
         left.bounds(),
         left.servers() + right.servers(),
         Math.max(left.slotsPerServer(), right.slotsPerServer()));
   }
 
-  private void update(Subject subject, Fleet fleet, long term, long now) {
+  private void update(FleetKey key, Fleet fleet, long term, long now) {
     int gateways = clusterState.view().gateways.size();
     FleetSizePolicy.Observation observation =
         new FleetSizePolicy.Observation(
             fleet.servers(),
             fleet.slotsPerServer(),
-            demand.openRequests(subject.service(), subject.zone(), gateways),
+            demand.openRequests(key.service(), key.zone(), gateways),
             demand.isComplete(gateways));
-    Order order = orders.computeIfAbsent(subject, added -> new Order());
-    int wanted = order.policy.observe(observation, fleet.bounds(), now);
-    boolean holds = !order.isUncertain && order.acceptedSize.orElse(fleet.servers()) == wanted;
-    if (!holds && !order.inFlight && now >= order.notBeforeMs) {
-      send(subject, order, wanted, term);
+    Order order = orders.computeIfAbsent(key, newKey -> new Order());
+    int targetServers = order.policy.observe(observation, fleet.bounds(), now);
+    boolean isSatisfied =
+        !order.isUncertain && order.acceptedSize.orElse(fleet.servers()) == targetServers;
+    if (!isSatisfied && !order.inFlight && now >= order.nextAttemptAtMs) {
+      send(key, order, targetServers, term);
     }
   }
 
-  private void send(Subject subject, Order order, int wanted, long term) {
+  private void send(FleetKey key, Order order, int targetServers, long term) {
     order.inFlight = true;
     platform
-        .post(PATH, encode(subject, wanted), term)
-        .thenAccept(outcome -> onOutcome(subject, order, wanted, outcome));
+        .post(PATH, encode(key, targetServers), term)
+        .thenAccept(outcome -> onOutcome(key, order, targetServers, outcome));
   }
 
   private void onOutcome(
-      Subject subject, Order order, int wanted, PlatformDutyClient.Outcome outcome) {
+      FleetKey key, Order order, int targetServers, PlatformDutyClient.Outcome outcome) {
     order.inFlight = false;
     if (outcome == PlatformDutyClient.Outcome.ACCEPTED) {
-      order.acceptedSize = OptionalInt.of(wanted);
+      order.acceptedSize = OptionalInt.of(targetServers);
       order.isUncertain = false;
       LOG.info(
           "ordered {} servers of {} in {}, term {}",
-          wanted,
-          subject.service(),
-          subject.zone(),
+          targetServers,
+          key.service(),
+          key.zone(),
           ordersTerm);
     } else {
       order.isUncertain |= outcome == PlatformDutyClient.Outcome.UNKNOWN;
-      order.notBeforeMs = timers.now() + RETRY_DELAY_MS;
+      order.nextAttemptAtMs = timers.now() + RETRY_DELAY_MS;
     }
   }
 
-  private static byte[] encode(Subject subject, int wanted) {
+  private static byte[] encode(FleetKey key, int targetServers) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (JsonGenerator json = JSON.createGenerator(bytes)) {
       json.writeStartObject();
-      json.writeStringField("postal_line", subject.service());
-      json.writeStringField("zone", subject.zone());
-      json.writeNumberField("wanted", wanted);
+      json.writeStringField("postal_line", key.service());
+      json.writeStringField("zone", key.zone());
+      json.writeNumberField("wanted", targetServers);
       json.writeEndObject();
     } catch (IOException e) {
       throw new UncheckedIOException(e); // an array takes all that is written
--- a/controlplane/src/main/java/elmsail/controlplane/FleetSizePolicy.java
+++ b/controlplane/src/main/java/elmsail/controlplane/FleetSizePolicy.java
@@ -38,7 +38,7 @@
   private record Recommendation(long atMs, int servers) {}
 
   /** The last size that was wanted; empty before the first reading. */
-  private OptionalInt wanted = OptionalInt.empty();
+  private OptionalInt targetServers = OptionalInt.empty();
 
   private long firstReadingAtMs;
 
@@ -51,25 +51,27 @@
    * @return how many servers are wanted, within the bounds
    */
   int observe(Observation observation, FleetSize bounds, long now) {
-    if (wanted.isEmpty()) {
-      wanted = OptionalInt.of(observation.servers());
+    if (targetServers.isEmpty()) {
+      targetServers = OptionalInt.of(observation.servers());
       firstReadingAtMs = now;
     }
     boolean mayShrink =
         observation.isComplete() && now - firstReadingAtMs >= STABILIZATION_WINDOW_MS;
     int needed = (int) Math.ceil(observation.openRequests() / usableSlots(observation));
-    int recommended = mayShrink ? needed : Math.max(needed, present(observation, bounds, now));
-    wanted = OptionalInt.of(clamp(windowMaximum(recommended, now), bounds));
-    return wanted.getAsInt();
+    int recommended = mayShrink ? needed : Math.max(needed, sizeToKeep(observation, bounds, now));
+    targetServers = OptionalInt.of(clamp(windowMaximum(recommended, now), bounds));
+    return targetServers.getAsInt();
   }
 
   /**
    * The size to keep without need for more. At first, servers that an earlier holder ordered may
    * still boot and are no more listed than those that have crashed.
    */
-  private int present(Observation observation, FleetSize bounds, long now) {
+  private int sizeToKeep(Observation observation, FleetSize bounds, long now) {
     boolean mayBeBooting = now - firstReadingAtMs <= bounds.bootMs() + LIST_DELAY_MS;
-    return mayBeBooting ? Math.max(wanted.getAsInt(), observation.servers()) : wanted.getAsInt();
+    return mayBeBooting
+        ? Math.max(targetServers.getAsInt(), observation.servers())
+        : targetServers.getAsInt();
   }
 
   private static double usableSlots(Observation observation) {
--- a/controlplane/src/main/java/elmsail/controlplane/Lease.java
+++ b/controlplane/src/main/java/elmsail/controlplane/Lease.java
@@ -41,7 +41,7 @@
   private int voterCount;
   private long grantedByBits;
   private boolean roundWon = true;
-  private long otherHolderLeftMs;
+  private long otherHolderRemainingMs;
   private long heldUntilMs = Long.MIN_VALUE;
   private long nextRoundAtMs;
 
@@ -74,7 +74,7 @@
           now
               + RETRY_DELAY_MS
               + rankDelayMs
-              + Math.min(otherHolderLeftMs, LeaseVoter.LEASE_DURATION_MS) / 2;
+              + Math.min(otherHolderRemainingMs, LeaseVoter.LEASE_DURATION_MS) / 2;
       return Optional.of(new Round(round, Round.Kind.RELEASE));
     }
     round++;
@@ -82,7 +82,7 @@
     this.voterCount = voterCount;
     grantedByBits = 0;
     roundWon = false;
-    otherHolderLeftMs = 0;
+    otherHolderRemainingMs = 0;
     nextRoundAtMs = now + (isHeld ? RENEW_INTERVAL_MS / 2 : ROUND_TIMEOUT_MS);
     return Optional.of(new Round(round, Round.Kind.REQUEST));
   }
@@ -114,7 +114,7 @@
    */
   void onRefused(long responseRound, long remainingMs) {
     if (responseRound == round) {
-      otherHolderLeftMs = Math.max(otherHolderLeftMs, remainingMs);
+      otherHolderRemainingMs = Math.max(otherHolderRemainingMs, remainingMs);
     }
   }
 
@@ -122,7 +122,7 @@
    * Gives the lease up, and does not ask for it again for a whole lease: what another holder did
    * meanwhile is then older than any lease. Returns what is due to all voters.
    */
-  Optional<Round> standDown(long now) {
+  Optional<Round> releaseAndPause(long now) {
     Optional<Round> release = relinquish();
     nextRoundAtMs = now + LeaseVoter.LEASE_DURATION_MS + rankDelayMs;
     return release;
--- a/controlplane/src/main/java/elmsail/controlplane/SingletonLease.java
+++ b/controlplane/src/main/java/elmsail/controlplane/SingletonLease.java
@@ -38,7 +38,7 @@
   private static final long TERM_CHANGE_TIMEOUT_MS = 800;
 
   /** What a process did last in a term may take effect so much later. */
-  private static final long HAND_BACK_MARGIN_MS = 500;
+  private static final long TERM_REUSE_MARGIN_MS = 500;
 
   private final RpcClient rpcClient;
   private final Timers timers;
@@ -46,7 +46,7 @@
   private final Supplier<VoterSet> controlPlaneVoters;
   private final String localAddress;
   private final long processId;
-  private final TermHandBack handBack;
+  private final TermReuseDelay termReuseDelay;
   private Lease lease;
   private long term;
 
@@ -65,13 +65,13 @@
     this.controlPlaneVoters = controlPlaneVoters;
     this.localAddress = environment.localAddress();
     this.processId = environment.processId();
-    this.handBack = new TermHandBack(handBackMs(environment.settings()));
+    this.termReuseDelay = new TermReuseDelay(termReuseDelayMs(environment.settings()));
   }
 
   /** Only the platform's duties are bound by the time between two holders' uses. */
-  private static long handBackMs(Settings settings) {
+  private static long termReuseDelayMs(Settings settings) {
     boolean hasDuties = settings.platform() != null && !settings.platform().duties().isEmpty();
-    return hasDuties ? settings.bounds().leaseMs() + HAND_BACK_MARGIN_MS : 0;
+    return hasDuties ? settings.bounds().leaseMs() + TERM_REUSE_MARGIN_MS : 0;
   }
 
   /** Registers the voter's side: requests are granted by {@code leaseVoter} while it may vote. */
@@ -165,7 +165,7 @@
                   && outcome.changed()
                   && acquisition == acquisitions
                   && lease.isHeld(timers.now())) {
-                handBack.onAcquired(change.term);
+                termReuseDelay.onAcquired(change.term);
                 term = change.term;
                 LOG.info("holds the singleton lease, term {}", term);
               } else {
@@ -197,10 +197,10 @@
   @Override
   public long term() {
     long now = timers.now();
-    if (term == 0 || lease == null || !lease.isHeld(now) || !handBack.isUsable(now)) {
+    if (term == 0 || lease == null || !lease.isHeld(now) || !termReuseDelay.isUsable(now)) {
       return 0;
     }
-    handBack.onUsed(now);
+    termReuseDelay.onUsed(now);
     return term;
   }
 
@@ -219,7 +219,9 @@
         "another holder has used a higher term than {}: the singleton lease is given up", term);
     term = 0;
     acquisitions++;
-    lease.standDown(timers.now()).ifPresent(round -> sendRound(round, controlPlaneVoters.get()));
+    lease
+        .releaseAndPause(timers.now())
+        .ifPresent(round -> sendRound(round, controlPlaneVoters.get()));
   }
 
   /** Releases the lease, so that another process needn't wait for its end. */
--- a/controlplane/src/main/java/elmsail/controlplane/TermHandBack.java
+++ b/controlplane/src/main/java/elmsail/controlplane/TermReuseDelay.java
@@ -6,8 +6,8 @@
  * then: else the two would act by turns within that time. A wait that has begun is not cut short by
  * a further acquisition. Does no I/O; times are in ms of the steady clock. Runs on the event loop.
  */
-final class TermHandBack {
-  private final long handBackMs;
+final class TermReuseDelay {
+  private final long reuseDelayMs;
 
   /** The last term that this process acquired; 0 if none. */
   private long lastTerm;
@@ -18,18 +18,18 @@
   /**
    * Creates one without a term.
    *
-   * @param handBackMs from the last use to the next if another may have had a term between; 0 for
+   * @param reuseDelayMs from the last use to the next if another may have had a term between; 0 for
    *     no wait
    */
-  TermHandBack(long handBackMs) {
-    this.handBackMs = handBackMs;
+  TermReuseDelay(long reuseDelayMs) {
+    this.reuseDelayMs = reuseDelayMs;
   }
 
   /** A term was acquired; it is higher than all before. */
   void onAcquired(long newTerm) {
-    boolean othersBetween = lastTerm > 0 && newTerm > lastTerm + 1;
-    if (othersBetween) {
-      usableFromMs = Math.max(usableFromMs, lastUsedAtMs + handBackMs);
+    boolean mayHaveBeenHeldByOthers = lastTerm > 0 && newTerm > lastTerm + 1;
+    if (mayHaveBeenHeldByOthers) {
+      usableFromMs = Math.max(usableFromMs, lastUsedAtMs + reuseDelayMs);
     }
     lastTerm = newTerm;
   }
--- a/controlplane/src/main/java/elmsail/controlplane/TokenBucket.java
+++ b/controlplane/src/main/java/elmsail/controlplane/TokenBucket.java
@@ -14,7 +14,7 @@
   private final double tokensPerMs;
   private final double capacity;
   private double tokens;
-  private long filledAtMs;
+  private long lastRefillAtMs;
 
   /** Creates a full one. A rate that is not positive never gives a token. */
   TokenBucket(MonotonicClock clock, double tokensPerSecond) {
@@ -22,14 +22,14 @@
     this.tokensPerMs = Math.max(0, tokensPerSecond) / MS_PER_SECOND;
     this.capacity = tokensPerSecond > 0 ? Math.max(1, tokensPerSecond * BURST_SECONDS) : 0;
     this.tokens = capacity;
-    this.filledAtMs = clock.now();
+    this.lastRefillAtMs = clock.now();
   }
 
   /** Takes a token if there is one. */
   boolean tryTake() {
     long now = clock.now();
-    tokens = Math.min(capacity, tokens + (now - filledAtMs) * tokensPerMs);
-    filledAtMs = now;
+    tokens = Math.min(capacity, tokens + (now - lastRefillAtMs) * tokensPerMs);
+    lastRefillAtMs = now;
     if (tokens < 1) {
       return false;
     }
--- a/controlplane/src/main/java/elmsail/controlplane/UsageJson.java
+++ b/controlplane/src/main/java/elmsail/controlplane/UsageJson.java
@@ -26,13 +26,13 @@
   private static void appendString(StringBuilder json, String text) {
     json.append('"');
     for (int i = 0; i < text.length(); i++) {
-      char each = text.charAt(i);
-      if (each == '"' || each == '\\') {
-        json.append('\\').append(each);
-      } else if (each < FIRST_PRINTABLE) {
-        json.append(String.format("\\u%04x", (int) each));
+      char character = text.charAt(i);
+      if (character == '"' || character == '\\') {
+        json.append('\\').append(character);
+      } else if (character < FIRST_PRINTABLE) {
+        json.append(String.format("\\u%04x", (int) character));
       } else {
-        json.append(each);
+        json.append(character);
       }
     }
     json.append('"');
--- a/controlplane/src/main/java/elmsail/controlplane/UsageLedger.java
+++ b/controlplane/src/main/java/elmsail/controlplane/UsageLedger.java
@@ -49,9 +49,9 @@
   }
 
   /** This ledger without the windows that the platform has taken in. */
-  UsageLedger without(Collection<Long> accepted) {
+  UsageLedger without(Collection<Long> acceptedWindows) {
     SortedMap<Long, SortedMap<String, Long>> windows = new TreeMap<>(unsent);
-    windows.keySet().removeAll(accepted);
+    windows.keySet().removeAll(acceptedWindows);
     return new UsageLedger(lastDecided, Collections.unmodifiableSortedMap(windows));
   }
 
--- a/controlplane/src/main/java/elmsail/controlplane/UsageManager.java
+++ b/controlplane/src/main/java/elmsail/controlplane/UsageManager.java
@@ -70,7 +70,7 @@
   }
 
   /** Whether these settings ask for reports of use. */
-  static boolean isWanted(Settings settings) {
+  static boolean isEnabled(Settings settings) {
     return settings.platform() != null
         && settings.platform().duties().contains(Settings.Platform.USAGE_DUTY)
         && settings.bounds().usageWindowMs() > 0;
--- a/controlplane/src/main/java/elmsail/controlplane/UsageReporter.java
+++ b/controlplane/src/main/java/elmsail/controlplane/UsageReporter.java
@@ -38,10 +38,10 @@
   private static final double DECISION_DELAY_SHARE = 0.3;
 
   /** Gateways report once a second, to all nodes while they know of no holder. */
-  private static final long GATHERING_MS = 1_500;
+  private static final long REPORT_GATHERING_MS = 1_500;
 
   /** Gateways keep their counts of windows that closed less than so many times the bound ago. */
-  private static final int LATE_TIMES_REPORTED = 2;
+  private static final int MAX_REPORT_AGE_FACTOR = 2;
 
   private static final long MIN_BACKOFF_MS = 150;
   private static final long MAX_BACKOFF_MS = 1_200;
@@ -61,7 +61,7 @@
   private final long maxReportAgeMs;
 
   /** What this node does in the term in which it holds the lease; null while it does not. */
-  private Tenure tenure;
+  private HeldTerm heldTerm;
 
   private boolean closed;
 
@@ -93,12 +93,12 @@
     this.random = random;
     windowMs = bounds.usageWindowMs();
     decisionDelayMs = (long) (bounds.usageLateMs() * DECISION_DELAY_SHARE);
-    maxReportAgeMs = LATE_TIMES_REPORTED * bounds.usageLateMs();
+    maxReportAgeMs = MAX_REPORT_AGE_FACTOR * bounds.usageLateMs();
   }
 
   /** How many windows, closed or open, can be reported at any time. */
   static int reportableWindows(Settings.Bounds bounds) {
-    return (int) (LATE_TIMES_REPORTED * bounds.usageLateMs() / bounds.usageWindowMs()) + 2;
+    return (int) (MAX_REPORT_AGE_FACTOR * bounds.usageLateMs() / bounds.usageWindowMs()) + 2;
   }
 
   /** Looks at the lease and the clock now, and repeats that until closed. */
@@ -108,11 +108,11 @@
     }
     timers.schedule(TICK_INTERVAL_MS, this::start);
     long term = lease.term();
-    if (tenure == null || tenure.term != term) {
-      tenure = term == 0 ? null : new Tenure(term);
+    if (heldTerm == null || heldTerm.term != term) {
+      heldTerm = term == 0 ? null : new HeldTerm(term);
     }
-    if (tenure != null && clock.isAgreed()) {
-      tenure.advance();
+    if (heldTerm != null && clock.isAgreed()) {
+      heldTerm.advance();
     }
   }
 
@@ -126,69 +126,70 @@
   }
 
   /** The newest window that has been closed for so long. */
-  private long newestClosedFor(long ms) {
+  private long newestWindowClosedFor(long ms) {
     return windowAt(clock.now() - ms) - 1;
   }
 
   /** The oldest window that is still worth a report. */
-  private long oldestReportable() {
-    return newestClosedFor(maxReportAgeMs) + 1;
+  private long oldestReportableWindow() {
+    return newestWindowClosedFor(maxReportAgeMs) + 1;
   }
 
   /** One holding of the lease. What completes later than it does nothing. */
-  private final class Tenure {
+  private final class HeldTerm {
     private final long term;
     private final long startedAtMs = timers.now();
-    private final Set<Long> accepted = new HashSet<>();
+    private final Set<Long> acceptedWindows = new HashSet<>();
     private UsageLedger ledger;
     private boolean registerCallInFlight;
     private boolean platformCallInFlight;
     private long nextCallAtMs;
     private long backoffMs = MIN_BACKOFF_MS;
 
-    Tenure(long term) {
+    HeldTerm(long term) {
       this.term = term;
     }
 
     private boolean isCurrent() {
-      return !closed && tenure == this && lease.term() == term;
+      return !closed && heldTerm == this && lease.term() == term;
     }
 
     void advance() {
-      long target = newestClosedFor(decisionDelayMs);
-      boolean hasGathered = timers.now() - startedAtMs >= GATHERING_MS;
+      long target = newestWindowClosedFor(decisionDelayMs);
+      boolean hasGatheredReports = timers.now() - startedAtMs >= REPORT_GATHERING_MS;
       if (ledger == null && !registerCallInFlight) {
-        beginOrRead();
-      } else if (hasGathered && !registerCallInFlight && ledger.lastDecided() < target) {
+        readOrCreateLedger();
+      } else if (hasGatheredReports && !registerCallInFlight && ledger.lastDecided() < target) {
         decide(target);
       }
       send();
     }
 
     /** Reads the ledger; the first holder ever begins one with the window that is open now. */
-    private void beginOrRead() {
+    private void readOrCreateLedger() {
       long firstWindow = windowAt(clock.now());
       changeLedger(
-          found ->
-              found.isPresent()
+          observedLedger ->
+              observedLedger.isPresent()
                   ? Optional.empty()
                   : Optional.of(UsageLedger.startingAfter(firstWindow - 1)));
     }
 
     private void decide(long target) {
-      long oldest = oldestReportable();
+      long oldest = oldestReportableWindow();
       changeLedger(
-          found -> {
-            UsageLedger current = found.orElse(ledger);
+          observedLedger -> {
+            UsageLedger current = observedLedger.orElse(ledger);
             return current.lastDecided() >= target
                 ? Optional.empty()
-                : Optional.of(current.without(accepted).decide(oldest, target, table::totals));
+                : Optional.of(
+                    current.without(acceptedWindows).decide(oldest, target, table::totals));
           });
     }
 
     /** What a change makes of the ledger found, if there is one; empty to leave it as it is. */
     private interface LedgerChange {
-      Optional<UsageLedger> apply(Optional<UsageLedger> found);
+      Optional<UsageLedger> apply(Optional<UsageLedger> observedLedger);
     }
 
     private void changeLedger(LedgerChange change) {
@@ -197,9 +198,9 @@
           .change(
               UsageLedger.KEY,
               observed -> {
-                Optional<UsageLedger> found =
+                Optional<UsageLedger> observedLedger =
                     Optional.ofNullable(observed.value()).map(UsageLedger::decode);
-                byte[] value = change.apply(found).map(UsageLedger::encode).orElse(null);
+                byte[] value = change.apply(observedLedger).map(UsageLedger::encode).orElse(null);
                 return new Register.ProposedValue(value, List.of());
               },
               List.of(),
@@ -209,23 +210,26 @@
               (outcome, failure) -> {
                 registerCallInFlight = false;
                 if (failure == null && isCurrent()) {
-                  onLedger(UsageLedger.decode(outcome.current().value()), outcome.changed());
+                  onLedgerCommitted(
+                      UsageLedger.decode(outcome.current().value()), outcome.changed());
                 }
               });
     }
 
-    private void onLedger(UsageLedger committed, boolean changed) {
+    private void onLedgerCommitted(UsageLedger committed, boolean changed) {
       if (changed && ledger != null) {
-        long decided = committed.lastDecided() - ledger.lastDecided();
-        long kept = committed.unsent().tailMap(ledger.lastDecided() + 1).size();
-        counters.windowsDecided.add(kept);
-        counters.windowsSkipped.add(decided - kept);
-        if (decided > kept) {
-          LOG.warn("usage of {} windows is not reported: they closed too long ago", decided - kept);
+        long decidedCount = committed.lastDecided() - ledger.lastDecided();
+        long keptCount = committed.unsent().tailMap(ledger.lastDecided() + 1).size();
+        counters.windowsDecided.add(keptCount);
+        counters.windowsSkipped.add(decidedCount - keptCount);
+        if (decidedCount > keptCount) {
+          LOG.warn(
+              "usage of {} windows is not reported: they closed too long ago",
+              decidedCount - keptCount);
         }
       }
       ledger = committed;
-      accepted.retainAll(committed.unsent().keySet());
+      acceptedWindows.retainAll(committed.unsent().keySet());
       send();
     }
 
@@ -234,9 +238,9 @@
       if (ledger == null || platformCallInFlight || timers.now() < nextCallAtMs || !isCurrent()) {
         return;
       }
-      long oldest = oldestReportable();
+      long oldest = oldestReportableWindow();
       for (long window : ledger.unsent().tailMap(oldest).keySet()) {
-        if (!accepted.contains(window)) {
+        if (!acceptedWindows.contains(window)) {
           send(window);
           return;
         }
@@ -250,7 +254,7 @@
           .thenAccept(
               outcome -> {
                 platformCallInFlight = false;
-                if (!closed && tenure == this) {
+                if (!closed && heldTerm == this) {
                   onOutcome(window, outcome);
                 }
               });
@@ -259,7 +263,7 @@
     private void onOutcome(long window, Outcome outcome) {
       if (outcome == Outcome.ACCEPTED) {
         counters.windowsAccepted.add(1);
-        accepted.add(window);
+        acceptedWindows.add(window);
         backoffMs = MIN_BACKOFF_MS;
         timers.execute(this::send);
       } else {
--- a/controlplane/src/main/java/elmsail/controlplane/UsageTable.java
+++ b/controlplane/src/main/java/elmsail/controlplane/UsageTable.java
@@ -42,11 +42,11 @@
 
   private void merge(UsageWindow window, long instanceId) {
     Map<Long, Map<String, Long>> instances =
-        windows.computeIfAbsent(window.number, first -> new HashMap<>());
+        windows.computeIfAbsent(window.number, key -> new HashMap<>());
     if (instances.size() >= MAX_INSTANCES_PER_WINDOW && !instances.containsKey(instanceId)) {
       return;
     }
-    Map<String, Long> counts = instances.computeIfAbsent(instanceId, first -> new HashMap<>());
+    Map<String, Long> counts = instances.computeIfAbsent(instanceId, key -> new HashMap<>());
     for (UsageCount count : window.counts) {
       if (count.requests > 0
           && (counts.size() < MAX_TENANTS_PER_INSTANCE || counts.containsKey(count.tenant))) {
--- a/controlplane/src/main/java/elmsail/controlplane/VoterPlacement.java
+++ b/controlplane/src/main/java/elmsail/controlplane/VoterPlacement.java
@@ -64,13 +64,13 @@
     return changed;
   }
 
-  private void logAssignment(PlacementController.Assignment made) {
+  private void logAssignment(PlacementController.Assignment newAssignment) {
     LOG.info(
         "{}: {} shall take slot {}, epoch {}",
         voterSetName,
-        made.address(),
-        made.slot(),
-        made.epoch());
+        newAssignment.address(),
+        newAssignment.slot(),
+        newAssignment.epoch());
   }
 
   /** Whether a spare is to take over a slot at present. */
@@ -84,11 +84,11 @@
       return;
     }
     assignment
-        .filter(made -> made.address().equals(request.address))
+        .filter(current -> current.address().equals(request.address))
         .ifPresent(
-            made -> {
-              view.joinSlot = made.slot();
-              view.joinEpoch = made.epoch();
+            current -> {
+              view.joinSlot = current.slot();
+              view.joinEpoch = current.epoch();
             });
   }
 
--- a/controlplane/src/test/java/elmsail/controlplane/ConcurrentConfigChangesTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ConcurrentConfigChangesTest.java
@@ -21,7 +21,7 @@
 
   @Test
   void oneOfEightConcurrentChangesIsCommitted() {
-    int unclear = 0;
+    int unknownOutcomes = 0;
     for (int seed = 1; seed <= SEEDS; seed++) {
       ConfigChangeScenario scenario = ConfigChangeScenario.started("eight at once", seed, NODES);
       Set<ChangeRequest> requests = new LinkedHashSet<>();
@@ -33,9 +33,9 @@
       ChangeRequest won = scenario.awaitSingleWinner(requests);
       assertThat(scenario.current(5_000), is(won.number()));
       scenario.finish();
-      unclear += scenario.outcomesUnknown;
+      unknownOutcomes += scenario.outcomesUnknown;
     }
-    System.out.println("eight at once: " + SEEDS + " seeds, answers unclear " + unclear);
+    System.out.println("eight at once: " + SEEDS + " seeds, answers unclear " + unknownOutcomes);
   }
 
   @Test
@@ -62,10 +62,10 @@
     for (int seed = 1; seed <= SEEDS; seed++) {
       ConfigChangeScenario scenario = ConfigChangeScenario.started("two bases", seed, NODES);
       ChangeRequest mine = ConfigChangeScenario.replacement(1, 9, "same");
-      ChangeRequest taken = ConfigChangeScenario.replacement(1, 3, "");
+      ChangeRequest first = ConfigChangeScenario.replacement(1, 3, "");
       ChangeRequest between = ConfigChangeScenario.replacement(3, 9, "same");
-      scenario.send(taken);
-      assertThat(scenario.retryUntilAnswered(Set.of(taken), SETTLE_MS, () -> {}), is(true));
+      scenario.send(first);
+      assertThat(scenario.retryUntilAnswered(Set.of(first), SETTLE_MS, () -> {}), is(true));
       scenario.send(between, "n1");
       scenario.send(mine, "n2");
       assertThat(scenario.retryUntilAnswered(Set.of(mine, between), SETTLE_MS, () -> {}), is(true));
@@ -92,7 +92,7 @@
   }
 
   @Test
-  void changesHaveOneFinalReplyThoughMostRepliesAreLost() {
+  void eachChangeHasOneFinalReplyWhenMostRepliesAreLost() {
     int lost = 0;
     int confirmed = 0;
     for (int seed = 1; seed <= 6; seed++) {
@@ -119,11 +119,11 @@
   }
 
   @Test
-  void committedChangeIsAcknowledgedAgainAfterManyChangesAndAWipe() {
+  void committedChangeIsAcknowledgedAgainAfterManyChangesAndWipedNodes() {
     ConfigChangeScenario scenario = ConfigChangeScenario.started("old repeats", 1, NODES);
-    List<ChangeRequest> taken = new ArrayList<>();
+    List<ChangeRequest> committed = new ArrayList<>();
     List<ChangeRequest> lost = new ArrayList<>();
-    taken.add(ConfigChangeScenario.replacement(0, 1, ""));
+    committed.add(ConfigChangeScenario.replacement(0, 1, ""));
     for (int change = 1; change <= 310; change++) {
       ChangeRequest request = ConfigChangeScenario.replacement(change, change + 1, "a");
       scenario.send(request);
@@ -132,9 +132,9 @@
         scenario.send(rival);
         ChangeRequest won = scenario.awaitSingleWinner(Set.of(request, rival));
         lost.add(won.equals(request) ? rival : request);
-        taken.add(won);
+        committed.add(won);
       } else {
-        taken.add(scenario.awaitSingleWinner(Set.of(request)));
+        committed.add(scenario.awaitSingleWinner(Set.of(request)));
       }
       if (change % 70 == 0) {
         String node = "n" + (1 + change / 70 % NODES);
@@ -150,14 +150,14 @@
             scenario.cluster.awaitWithin(10_000, () -> scenario.cluster.read(node).startsWith("{")),
             is(true));
       }
-      for (int back : new int[] {1, 10, 300}) {
-        if (change >= back && (change % 10 == 0 || change > 300)) {
-          ChangeRequest old = taken.get(taken.size() - 1 - back);
-          assertThat("after " + back + ": " + old, scenario.repeat(old, SETTLE_MS), is(200));
+      for (int changesAgo : new int[] {1, 10, 300}) {
+        if (change >= changesAgo && (change % 10 == 0 || change > 300)) {
+          ChangeRequest old = committed.get(committed.size() - 1 - changesAgo);
+          assertThat("after " + changesAgo + ": " + old, scenario.repeat(old, SETTLE_MS), is(200));
         }
       }
     }
-    for (ChangeRequest each : taken) {
+    for (ChangeRequest each : committed) {
       assertThat(each.toString(), scenario.repeat(each, SETTLE_MS), is(200));
     }
     for (ChangeRequest each : lost) {
@@ -171,10 +171,10 @@
    * may have reached nobody, itself, one other or all; a rival comes before or after the repeat.
    */
   @Test
-  void changePartitionedHalfwayIsCommittedOrLostForAll() {
-    int finished = 0;
+  void changeInterruptedByAPartitionHasOneOutcomeForAll() {
+    int completedBeforeRival = 0;
     int lost = 0;
-    int stories = 0;
+    int scenarios = 0;
     for (int cutAt = 0; cutAt <= 70; cutAt++) {
       for (int variant = 0; variant < 6; variant++) {
         ConfigChangeScenario scenario =
@@ -195,28 +195,28 @@
         assertThat(scenario.repeat(mine, SETTLE_MS), is(mineWon ? 200 : 412));
         assertThat(scenario.repeat(rival, SETTLE_MS), is(mineWon ? 412 : 200));
         scenario.finish();
-        stories++;
-        finished += mineWon && rivalFirst ? 1 : 0;
+        scenarios++;
+        completedBeforeRival += mineWon && rivalFirst ? 1 : 0;
         lost += mineWon ? 0 : 1;
       }
     }
     System.out.printf(
         "cut off halfway: %d stories, first try lost %d, kept although a rival came first %d%n",
-        stories, lost, finished);
+        scenarios, lost, completedBeforeRival);
     assertThat(lost, greaterThan(20));
-    assertThat(finished, greaterThan(20));
+    assertThat(completedBeforeRival, greaterThan(20));
   }
 
-  private static void cut(SimulatedCluster cluster, String node, int how) {
+  private static void cut(SimulatedCluster cluster, String node, int variant) {
     for (int i = 1; i <= NODES; i++) {
       String other = "n" + i;
       if (other.equals(node)) {
         continue;
       }
-      if (how != 1) {
+      if (variant != 1) {
         cluster.net.cut(cluster.address(node), cluster.address(other));
       }
-      if (how != 2) {
+      if (variant != 2) {
         cluster.net.cut(cluster.address(other), cluster.address(node));
       }
     }
@@ -247,10 +247,10 @@
   @Test
   void finalRepliesUnderFaultsAreNeverWrong() {
     int confirmed = 0;
-    int refused = 0;
-    int unclear = 0;
+    int rejected = 0;
+    int unknownOutcomes = 0;
     int repeats = 0;
-    int troubles = 0;
+    int faultCount = 0;
     for (int seed = 1; seed <= 10; seed++) {
       ConfigChangeScenario scenario = ConfigChangeScenario.started("trouble", seed, NODES);
       NodeFaultInjector faults =
@@ -280,16 +280,16 @@
       }
       scenario.finish();
       confirmed += scenario.committed.size();
-      refused += scenario.rejected.size();
-      unclear += scenario.outcomesUnknown;
-      troubles += faults.faultCount();
+      rejected += scenario.rejected.size();
+      unknownOutcomes += scenario.outcomesUnknown;
+      faultCount += faults.faultCount();
     }
     System.out.printf(
         "trouble: confirmed %d, refused %d, unclear answers %d, old repeats %d, troubles %d%n",
-        confirmed, refused, unclear, repeats, troubles);
+        confirmed, rejected, unknownOutcomes, repeats, faultCount);
     assertThat(confirmed, greaterThan(200));
-    assertThat(refused, greaterThan(200));
-    assertThat(troubles, greaterThan(20));
-    assertThat(repeats, lessThan(refused + confirmed));
+    assertThat(rejected, greaterThan(200));
+    assertThat(faultCount, greaterThan(20));
+    assertThat(repeats, lessThan(rejected + confirmed));
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/ConfigAmendmentsTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ConfigAmendmentsTest.java
@@ -25,7 +25,7 @@
   private static final long SETTLE_MS = 20_000;
   private static final Pattern ROUTE = Pattern.compile("\\{\"name\":\"([ar]\\d+[a-z]*)\"");
 
-  private static Set<String> routesInForce(ConfigChangeScenario scenario) {
+  private static Set<String> committedRoutes(ConfigChangeScenario scenario) {
     String read = scenario.cluster.read("n1");
     Set<String> names = new TreeSet<>();
     for (Matcher found = ROUTE.matcher(read); found.find(); ) {
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void amendmentsUnderFaultsMakeTheirExpectedResult() {
+  void amendmentsUnderFaultsYieldTheExpectedRoutes() {
     ConfigChangeScenario scenario = ConfigChangeScenario.started("three hundred", 3, NODES);
     NodeFaultInjector faults = new NodeFaultInjector(scenario.cluster, new Random(17), NODES);
     scenario.replyLossRate = 0.3;
@@ -94,13 +94,13 @@
     assertThat(
         scenario.cluster.awaitWithin(SETTLE_MS, () -> scenario.cluster.read("n1").startsWith("{")),
         is(true));
-    assertThat(routesInForce(scenario), equalTo(routes));
+    assertThat(committedRoutes(scenario), equalTo(routes));
     assertThat(faults.faultCount(), greaterThan(10));
     scenario.finish();
   }
 
   @Test
-  void amendmentPartitionedHalfwayIsCommittedOrLostForAll() {
+  void amendmentInterruptedByAPartitionHasOneOutcomeForAll() {
     int lost = 0;
     for (int cutAt = 0; cutAt <= 70; cutAt += 2) {
       ConfigChangeScenario scenario =
@@ -127,7 +127,7 @@
   }
 
   @Test
-  void sameBodyByAnotherCallIsAnotherChange() {
+  void sameBodySentThroughAnotherCallIsAnotherChange() {
     ConfigChangeScenario scenario = ConfigChangeScenario.started("other call", 5, NODES);
     ChangeRequest amendment = ConfigChangeScenario.amendment(1, 2, "x", null);
     ChangeRequest same = new ChangeRequest(ChangeKind.REPLACE, 1, 2, amendment.body());
@@ -158,7 +158,7 @@
   }
 
   @Test
-  void incompleteAmendmentBeforeTheFirstConfigIsRejected() {
+  void amendmentBeforeTheFirstConfigIsRejected() {
     ConfigChangeScenario scenario = new ConfigChangeScenario("before the first", 9, NODES);
     scenario.cluster.timers.advance(3_000);
     ChangeRequest request = ConfigChangeScenario.amendment(0, 1, "x", null);
--- a/controlplane/src/test/java/elmsail/controlplane/ConfigHistoryTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ConfigHistoryTest.java
@@ -24,9 +24,9 @@
 class ConfigHistoryTest {
   private static final int CHAINS = 20;
   private static final int CHANGES = 1_500;
-  private static final int QUESTIONS_EACH = 6;
+  private static final int STATUS_CHECKS_PER_CHANGE = 6;
 
-  private record Order(long base, String body) {
+  private record Change(long base, String body) {
     byte[] bytes() {
       return body.getBytes(StandardCharsets.UTF_8);
     }
@@ -36,15 +36,15 @@
     }
   }
 
-  private static ConfigHistory followed(ConfigHistory last, long number, Order order) {
-    return ConfigHistory.decode(last.append(number, order.bytes(), order.digest()).encode());
+  private static ConfigHistory appendAndDecode(ConfigHistory last, long newVersion, Change change) {
+    return ConfigHistory.decode(last.append(newVersion, change.bytes(), change.digest()).encode());
   }
 
   @Test
   void statusAgreesWithUnboundedHistory() {
     Map<ConfigChangeStatus, Integer> counts = new EnumMap<>(ConfigChangeStatus.class);
     for (int seed = 1; seed <= CHAINS; seed++) {
-      chain(seed, counts);
+      checkRandomChain(seed, counts);
     }
     System.out.println("statuses of changes over " + CHAINS + " chains: " + counts);
     for (ConfigChangeStatus each : ConfigChangeStatus.values()) {
@@ -52,72 +52,75 @@
     }
   }
 
-  private static void chain(int seed, Map<ConfigChangeStatus, Integer> counts) {
+  private static void checkRandomChain(int seed, Map<ConfigChangeStatus, Integer> counts) {
     Random random = new Random(seed);
     // All committed changes, by base; never forgotten.
-    TreeMap<Long, Order> taken = new TreeMap<>();
-    List<Long> numbers = new ArrayList<>(List.of(0L));
+    TreeMap<Long, Change> committed = new TreeMap<>();
+    List<Long> versions = new ArrayList<>(List.of(0L));
     ConfigHistory last = ConfigHistory.EMPTY;
     for (int i = 0; i < CHANGES; i++) {
-      for (int q = 0; q < QUESTIONS_EACH; q++) {
-        Order asked = any(random, numbers, taken);
-        ConfigChangeStatus standing = last.statusOf(asked.base, asked.digest());
-        counts.merge(standing, 1, Integer::sum);
+      for (int q = 0; q < STATUS_CHECKS_PER_CHANGE; q++) {
+        Change queried = randomChange(random, versions, committed);
+        ConfigChangeStatus status = last.statusOf(queried.base, queried.digest());
+        counts.merge(status, 1, Integer::sum);
         assertThat(
-            "seed " + seed + " change " + i + " order " + asked,
-            standing,
-            is(expected(asked, last.version(), taken, numbers)));
+            "seed " + seed + " change " + i + " order " + queried,
+            status,
+            is(expectedStatus(queried, last.version(), committed, versions)));
       }
-      Order next = new Order(last.version(), "body " + i);
-      taken.put(next.base, next);
-      last = followed(last, last.version() + step(random), next);
-      numbers.add(last.version());
+      Change next = new Change(last.version(), "body " + i);
+      committed.put(next.base, next);
+      last = appendAndDecode(last, last.version() + randomVersionStep(random), next);
+      versions.add(last.version());
       assertThat(last.changeCount(), is(Math.min(i + 1, ConfigHistory.MAX_CHANGES)));
     }
   }
 
   /** Mostly steps of one byte, at times as large as a number can be. */
-  private static long step(Random random) {
+  private static long randomVersionStep(Random random) {
     return random.nextInt(50) == 0 ? 1 + random.nextLong(1L << 50) : 1 + random.nextInt(9);
   }
 
-  private static Order any(Random random, List<Long> numbers, TreeMap<Long, Order> taken) {
-    long base = numbers.get(random.nextInt(numbers.size()));
+  private static Change randomChange(
+      Random random, List<Long> versions, TreeMap<Long, Change> committed) {
+    long base = versions.get(random.nextInt(versions.size()));
     int kind = random.nextInt(10);
     if (kind == 0) {
-      base = numbers.get(numbers.size() - 1) + 1 + random.nextInt(9);
+      base = versions.get(versions.size() - 1) + 1 + random.nextInt(9);
     } else if (kind == 1) {
       base++;
     } else if (kind == 2) {
-      base = numbers.get(numbers.size() - 1);
+      base = versions.get(versions.size() - 1);
     }
-    Order there = taken.get(base);
-    return there != null && random.nextBoolean() ? there : new Order(base, "lost " + base);
+    Change committedOnBase = committed.get(base);
+    return committedOnBase != null && random.nextBoolean()
+        ? committedOnBase
+        : new Change(base, "lost " + base);
   }
 
-  private static ConfigChangeStatus expected(
-      Order asked, long edition, TreeMap<Long, Order> taken, List<Long> numbers) {
-    int oldest = Math.max(0, taken.size() - ConfigHistory.MAX_CHANGES);
-    if (asked.base == edition) {
+  private static ConfigChangeStatus expectedStatus(
+      Change queried, long currentVersion, TreeMap<Long, Change> committed, List<Long> versions) {
+    int oldest = Math.max(0, committed.size() - ConfigHistory.MAX_CHANGES);
+    if (queried.base == currentVersion) {
       return ConfigChangeStatus.APPLICABLE;
     }
-    if (asked.base > edition) {
+    if (queried.base > currentVersion) {
       return ConfigChangeStatus.BASE_NOT_COMMITTED;
     }
-    if (asked.base < numbers.get(oldest)) {
+    if (queried.base < versions.get(oldest)) {
       return ConfigChangeStatus.BASE_FORGOTTEN;
     }
-    return asked.equals(taken.get(asked.base))
+    return queried.equals(committed.get(queried.base))
         ? ConfigChangeStatus.COMMITTED
         : ConfigChangeStatus.SUPERSEDED;
   }
 
   @Test
-  void historyTakesFewBytes() {
+  void encodedHistoryStaysSmall() {
     ConfigHistory last = ConfigHistory.EMPTY;
     int[] sizes = new int[ConfigHistory.MAX_CHANGES * 2 + 1];
     for (int i = 1; i < sizes.length; i++) {
-      last = followed(last, last.version() + 2, new Order(last.version(), "b"));
+      last = appendAndDecode(last, last.version() + 2, new Change(last.version(), "b"));
       sizes[i] = last.encode().length - last.configBytes().length;
     }
     System.out.printf(
@@ -128,7 +131,7 @@
   }
 
   @Test
-  void legacyFormatKeepsNoChangesAndRejectsNone() {
+  void legacyFormatIsDecodedWithAllChangesForgotten() {
     byte[] body = "{}".getBytes(StandardCharsets.UTF_8);
     ByteBuffer old = ByteBuffer.allocate(8 + 4 + 2 * 24 + body.length);
     old.putLong(7).putInt(2).putLong(5).put(new byte[16]).putLong(7).put(new byte[16]).put(body);
@@ -137,16 +140,16 @@
     assertThat(read.configBytes(), equalTo(body));
     assertThat(read.statusOf(5, new byte[8]), is(ConfigChangeStatus.BASE_FORGOTTEN));
     assertThat(read.statusOf(7, new byte[8]), is(ConfigChangeStatus.APPLICABLE));
-    Order next = new Order(7, "next");
-    ConfigHistory after = followed(read, 9, next);
+    Change next = new Change(7, "next");
+    ConfigHistory after = appendAndDecode(read, 9, next);
     assertThat(after.statusOf(7, next.digest()), is(ConfigChangeStatus.COMMITTED));
     assertThat(after.statusOf(5, next.digest()), is(ConfigChangeStatus.BASE_FORGOTTEN));
   }
 
   @Test
-  void damagedValueIsMalformed() {
-    Order first = new Order(0, "a");
-    byte[] good = followed(ConfigHistory.EMPTY, 300, first).encode();
+  void corruptValueIsRejectedAsMalformed() {
+    Change first = new Change(0, "a");
+    byte[] good = appendAndDecode(ConfigHistory.EMPTY, 300, first).encode();
     int history = good.length - first.bytes().length;
     List<byte[]> damaged = new ArrayList<>();
     for (int length = 0; length < history; length++) {
--- a/controlplane/src/test/java/elmsail/controlplane/FakeRegister.java
+++ b/controlplane/src/test/java/elmsail/controlplane/FakeRegister.java
@@ -37,7 +37,7 @@
   boolean unreachable;
 
   /** How long a read takes. */
-  long readMs = 2;
+  long readDelayMs = 2;
 
   /** How long its answer is on its way then. */
   long responseDelayMs;
@@ -61,16 +61,17 @@
       return future;
     }
     timers.schedule(
-        readMs,
+        readDelayMs,
         () -> {
-          VersionedValue now = values.getOrDefault(key, new VersionedValue(new Ballot(), null));
-          boolean spared = known != null && known.round == now.ballot().round;
-          bytesRead += spared || now.value() == null ? 0 : now.value().length;
-          VersionedValue told = spared ? new VersionedValue(now.ballot(), null) : now;
+          VersionedValue current = values.getOrDefault(key, new VersionedValue(new Ballot(), null));
+          boolean isUnchanged = known != null && known.round == current.ballot().round;
+          bytesRead += isUnchanged || current.value() == null ? 0 : current.value().length;
+          VersionedValue result =
+              isUnchanged ? new VersionedValue(current.ballot(), null) : current;
           if (responseDelayMs == 0) {
-            future.complete(told);
+            future.complete(result);
           } else {
-            timers.schedule(responseDelayMs, () -> future.complete(told));
+            timers.schedule(responseDelayMs, () -> future.complete(result));
           }
         });
     return future;
@@ -84,29 +85,29 @@
       byte[] note,
       long timeoutMs) {
     CompletableFuture<CommittedState> future = new CompletableFuture<>();
-    Outcome fate = nextOutcomes.isEmpty() ? Outcome.COMMITTED : nextOutcomes.poll();
-    if (unreachable || fate == Outcome.NOT_REACHED) {
+    Outcome outcome = nextOutcomes.isEmpty() ? Outcome.COMMITTED : nextOutcomes.poll();
+    if (unreachable || outcome == Outcome.NOT_REACHED) {
       timers.schedule(Math.min(300, timeoutMs), () -> fail(future, ErrorCode.NO_QUORUM));
       return future;
     }
     timers.schedule(
         5,
         () -> {
-          if (fate == Outcome.OVERTAKEN) {
-            ProposedValue unused = change.apply(found(key));
+          if (outcome == Outcome.OVERTAKEN) {
+            ProposedValue unused = change.apply(observedState(key));
             put(key, concurrentValue);
           }
-          ProposedValue wanted = change.apply(found(key));
-          if (wanted.value() != null && fate != Outcome.UNKNOWN_LOST) {
-            put(key, wanted.value());
+          ProposedValue proposed = change.apply(observedState(key));
+          if (proposed.value() != null && outcome != Outcome.UNKNOWN_LOST) {
+            put(key, proposed.value());
           }
-          VersionedValue now = values.getOrDefault(key, new VersionedValue(new Ballot(), null));
-          CommittedState held = new CommittedState(now, wanted.value() != null);
-          if (fate == Outcome.UNKNOWN_COMMITTED || fate == Outcome.UNKNOWN_LOST) {
+          VersionedValue current = values.getOrDefault(key, new VersionedValue(new Ballot(), null));
+          CommittedState committedState = new CommittedState(current, proposed.value() != null);
+          if (outcome == Outcome.UNKNOWN_COMMITTED || outcome == Outcome.UNKNOWN_LOST) {
             timers.schedule(
                 Math.min(300, timeoutMs), () -> fail(future, ErrorCode.OUTCOME_UNKNOWN));
           } else {
-            timers.schedule(5, () -> future.complete(held));
+            timers.schedule(5, () -> future.complete(committedState));
           }
         });
     return future;
@@ -117,9 +118,9 @@
     return CompletableFuture.completedFuture(null);
   }
 
-  private ObservedState found(String key) {
-    VersionedValue now = values.get(key);
-    return new ObservedState(now == null ? null : now.value(), List.of());
+  private ObservedState observedState(String key) {
+    VersionedValue current = values.get(key);
+    return new ObservedState(current == null ? null : current.value(), List.of());
   }
 
   private void put(String key, byte[] value) {
--- a/controlplane/src/test/java/elmsail/controlplane/FencedLeaseTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/FencedLeaseTest.java
@@ -22,7 +22,7 @@
   private static final int NODES = 3;
   private static final long CALL_INTERVAL_MS = 50;
   private static final long MAX_DELAY_MS = 4_000;
-  private static final long STORY_MS = 60_000;
+  private static final long SCENARIO_MS = 60_000;
 
   private record Call(String holder, long token, long arrivedAt) {}
 
@@ -35,7 +35,7 @@
   private int refusals;
   private int freezes;
 
-  private void begin(long seed) {
+  private void startCluster(long seed) {
     cluster = new SimulatedCluster(seed, NODES);
     random = new Random(seed);
     accepted.clear();
@@ -44,33 +44,33 @@
     highestToken = 0;
     for (int i = 1; i <= NODES; i++) {
       cluster.controlPlane("n" + i, true);
-      callNowAndThen("n" + i);
+      scheduleCalls("n" + i);
     }
   }
 
-  private void callNowAndThen(String name) {
+  private void scheduleCalls(String name) {
     SimNode node = cluster.nodes.get(name);
     node.timers()
         .schedule(
             CALL_INTERVAL_MS,
             () -> {
-              callNowAndThen(name);
+              scheduleCalls(name);
               long token = cluster.controlPlaneNodes.get(name).leaseTerm();
               if (token > 0) {
                 assertThat(
                     name + " uses a refused token again",
                     token,
                     greaterThan(refusedToken.getOrDefault(name, 0L)));
-                cluster.timers.schedule(delay(), () -> arrive(name, token));
+                cluster.timers.schedule(randomDelayMs(), () -> onCallReceived(name, token));
               }
             });
   }
 
-  private long delay() {
+  private long randomDelayMs() {
     return random.nextInt(20) == 0 ? random.nextInt((int) MAX_DELAY_MS) : random.nextInt(20);
   }
 
-  private void arrive(String name, long token) {
+  private void onCallReceived(String name, long token) {
     assertThat("token " + token, holderByToken.computeIfAbsent(token, first -> name), is(name));
     if (token >= highestToken) {
       highestToken = token;
@@ -80,7 +80,7 @@
     refusals++;
     SimNode node = cluster.nodes.get(name);
     cluster.timers.schedule(
-        delay(),
+        randomDelayMs(),
         () ->
             node.timers()
                 .execute(
@@ -91,9 +91,9 @@
   }
 
   private void runWithFreezes() {
-    for (long end = cluster.timers.now() + STORY_MS; cluster.timers.now() < end; ) {
+    for (long end = cluster.timers.now() + SCENARIO_MS; cluster.timers.now() < end; ) {
       cluster.timers.advance(500 + random.nextInt(4_000));
-      String name = holder();
+      String name = currentHolder();
       if (name != null && random.nextInt(3) > 0) {
         freezes++;
         cluster.net.freeze(cluster.address(name));
@@ -103,7 +103,7 @@
     }
   }
 
-  private String holder() {
+  private String currentHolder() {
     for (Map.Entry<String, ControlPlaneNode> each : cluster.controlPlaneNodes.entrySet()) {
       if (each.getValue().leaseTerm() > 0) {
         return each.getKey();
@@ -113,7 +113,7 @@
   }
 
   /** Between two accepted calls of one holder no other's lies within the lease's time. */
-  private void assertNoHoldersByTurns() {
+  private void assertHoldersDoNotAlternate() {
     Map<String, Long> lastAt = new HashMap<>();
     String last = null;
     for (Call call : accepted) {
@@ -129,12 +129,12 @@
   }
 
   @Test
-  void refusedTokenIsNeverUsedAgainAndHoldersDoNotActByTurns() {
+  void refusedTokenIsNeverReusedAndHoldersDoNotAlternate() {
     int served = 0;
     for (long seed = 1; seed <= 40; seed++) {
-      begin(seed);
+      startCluster(seed);
       runWithFreezes();
-      assertNoHoldersByTurns();
+      assertHoldersDoNotAlternate();
       served += accepted.size();
     }
     assertThat("calls of superseded holders", refusals, greaterThan(20));
@@ -144,10 +144,10 @@
 
   /** As when the lease's own safety has failed: the token alone ends the holder's work. */
   @Test
-  void fencedHolderStopsAtOnceAndTakesAHigherTermLater() {
-    begin(7);
-    assertThat(cluster.awaitWithin(10_000, () -> holder() != null), is(true));
-    String name = holder();
+  void fencedHolderStopsAtOnceAndAnotherTakesOverWithAHigherTerm() {
+    startCluster(7);
+    assertThat(cluster.awaitWithin(10_000, () -> currentHolder() != null), is(true));
+    String name = currentHolder();
     ControlPlaneNode node = cluster.controlPlaneNodes.get(name);
     long term = node.leaseTerm();
     node.singletonLease().onFenced(term - 1);
@@ -155,10 +155,10 @@
     node.singletonLease().onFenced(term);
     assertThat(node.leaseTerm(), is(0L));
     long fencedAt = cluster.timers.now();
-    assertThat(cluster.awaitWithin(10_000, () -> holder() != null), is(true));
-    long next = cluster.controlPlaneNodes.get(holder()).leaseTerm();
+    assertThat(cluster.awaitWithin(10_000, () -> currentHolder() != null), is(true));
+    long next = cluster.controlPlaneNodes.get(currentHolder()).leaseTerm();
     assertThat(next, greaterThan(term));
-    assertThat("another takes over", holder().equals(name), is(false));
+    assertThat("another takes over", currentHolder().equals(name), is(false));
     assertThat(cluster.timers.now() - fencedAt, lessThanOrEqualTo(3_000L));
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/FleetSizeManagerTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/FleetSizeManagerTest.java
@@ -37,7 +37,7 @@
   private final List<String> orders = new ArrayList<>();
   private final List<String> terms = new ArrayList<>();
   private long term = 5;
-  private int answer = 200;
+  private int responseStatus = 200;
 
   private final DutyLease lease =
       new DutyLease() {
@@ -62,7 +62,7 @@
                 orders.add(new String(request.body(), StandardCharsets.UTF_8));
                 terms.add(request.headers().get(PlatformDutyClient.FENCE_HEADER));
                 return CompletableFuture.completedFuture(
-                    new SimpleHttpResponse(answer, Map.of(), new byte[0]));
+                    new SimpleHttpResponse(responseStatus, Map.of(), new byte[0]));
               },
               SimulatedCluster.settingsWithDuties("n1", 50),
               timers,
@@ -135,7 +135,7 @@
   }
 
   @Test
-  void demandOrdersServersOnceInItsZoneAlone() {
+  void demandOrdersServersOnceAndOnlyInItsZone() {
     manager.start();
     pull("sized", "a", 20);
     timers.advance(2_000);
@@ -153,7 +153,7 @@
   }
 
   @Test
-  void serviceWithoutBoundsIsLeftAlone() {
+  void serviceWithoutBoundsGetsNoOrder() {
     manager.start();
     pull("fixed", "a", 60);
     timers.advance(2_000);
@@ -161,13 +161,13 @@
   }
 
   @Test
-  void orderWithoutClearOutcomeIsRepeatedAfterABackoff() {
+  void orderWithUnknownOutcomeIsRepeatedAfterABackoff() {
     manager.start();
-    answer = 503;
+    responseStatus = 503;
     pull("sized", "b", 20);
     timers.advance(900);
     assertThat(orders, hasSize(1));
-    answer = 200;
+    responseStatus = 200;
     timers.advance(2_000);
     assertThat(orders, contains(order("b", 4), order("b", 4)));
     timers.advance(3_000);
@@ -175,16 +175,16 @@
   }
 
   @Test
-  void fencedHolderOrdersNoMore() {
+  void fencedHolderSendsNoFurtherOrder() {
     manager.start();
-    answer = 409;
+    responseStatus = 409;
     pull("sized", "a", 20);
     timers.advance(5_000);
     assertThat(orders, hasSize(1));
   }
 
   @Test
-  void demandOfGatewaysThatPullElsewhereIsEstimated() {
+  void demandOfGatewaysThatPullFromOtherNodesIsEstimated() {
     cluster.view.gateways.add("10.3.0.2:7720");
     manager.start();
     pull("sized", "a", 10);
--- a/controlplane/src/test/java/elmsail/controlplane/FleetSizePolicyTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/FleetSizePolicyTest.java
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void neverBeyondTheBounds() {
+  void targetIsLimitedToTheUpperBound() {
     assertThat(observe(8, 1_000, STARTED_AT_MS), is(20));
   }
 
@@ -46,14 +46,14 @@
   }
 
   @Test
-  void nothingIsTakenAwayBeforeAWholeWindowWasObserved() {
+  void fleetDoesNotShrinkBeforeAWholeWindowWasObserved() {
     for (long now = STARTED_AT_MS; now < WINDOW_FULL_MS; now += 500) {
       assertThat(observe(8, 0, now), is(8));
     }
   }
 
   @Test
-  void lullShorterThanTheWindowTakesNoServerAway() {
+  void lullShorterThanTheWindowDoesNotShrinkTheFleet() {
     observe(8, 1, STARTED_AT_MS);
     observe(8, 60, WINDOW_FULL_MS);
     long now = WINDOW_FULL_MS;
@@ -65,14 +65,14 @@
   }
 
   @Test
-  void missingReportsTakeNoServerAway() {
+  void missingReportsDoNotShrinkTheFleet() {
     observe(8, 30, WINDOW_FULL_MS);
     long later = WINDOW_FULL_MS + 2 * FleetSizePolicy.STABILIZATION_WINDOW_MS;
     assertThat(observeIncomplete(8, 0, later), is(8));
   }
 
   @Test
-  void missingReportsDoNotHinderGrowth() {
+  void missingReportsDoNotPreventGrowth() {
     assertThat(observeIncomplete(8, 70, STARTED_AT_MS), is(14));
   }
 
@@ -98,7 +98,7 @@
   }
 
   @Test
-  void serversThatBootAsTheHolderChangesAreNotTakenAway() {
+  void serversBootingDuringAHolderChangeAreKept() {
     assertThat(observe(9, 10, STARTED_AT_MS), is(9));
     assertThat(observe(12, 10, STARTED_AT_MS + BOUNDS.bootMs()), is(12));
     assertThat(observe(12, 10, STARTED_AT_MS + 20_000), is(12));
@@ -116,7 +116,7 @@
   }
 
   @Test
-  void crashOfServersLeavesTheWantedSize() {
+  void crashOfServersDoesNotLowerTheTarget() {
     assertThat(observe(8, 10, STARTED_AT_MS), is(8));
     assertThat(observe(5, 10, STARTED_AT_MS + 500), is(8));
   }
--- a/controlplane/src/test/java/elmsail/controlplane/LeaseTurnsTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/LeaseReacquisitionTest.java
@@ -14,7 +14,7 @@
  * as it is stopped: the first does not use the lease again within the time that the platform sets
  * for that.
  */
-class LeaseTurnsTest {
+class LeaseReacquisitionTest {
   private static final long LEASE_MS = 3_000;
   private static final int NODES = 3;
 
@@ -24,10 +24,10 @@
   private SimulatedCluster cluster;
   private final Map<String, Long> lastUseMs = new HashMap<>();
   private String lastUser;
-  private long shortestReturnMs;
-  private int returns;
+  private long shortestReuseGapMs;
+  private int reacquisitions;
 
-  private void useAlways(String name) {
+  private void useLeaseRepeatedly(String name) {
     cluster
         .nodes
         .get(name)
@@ -35,7 +35,7 @@
         .schedule(
             5,
             () -> {
-              useAlways(name);
+              useLeaseRepeatedly(name);
               if (cluster.controlPlaneNodes.get(name).leaseTerm() > 0) {
                 onUse(name);
               }
@@ -45,14 +45,14 @@
   private void onUse(String name) {
     long now = cluster.timers.now();
     if (lastUser != null && !lastUser.equals(name) && lastUseMs.containsKey(name)) {
-      returns++;
-      shortestReturnMs = Math.min(shortestReturnMs, now - lastUseMs.get(name));
+      reacquisitions++;
+      shortestReuseGapMs = Math.min(shortestReuseGapMs, now - lastUseMs.get(name));
     }
     lastUser = name;
     lastUseMs.put(name, now);
   }
 
-  private String holder() {
+  private String currentHolder() {
     for (Map.Entry<String, ControlPlaneNode> each : cluster.controlPlaneNodes.entrySet()) {
       if (each.getValue().leaseTerm() > 0) {
         return each.getKey();
@@ -61,19 +61,19 @@
     return null;
   }
 
-  private void takeTurns(long seed) {
+  private void alternateHolders(long seed) {
     cluster = new SimulatedCluster(seed, NODES);
     cluster.dutyCallsPerSecond = DUTY_CALLS_PER_SECOND;
     lastUseMs.clear();
     lastUser = null;
     for (int i = 1; i <= NODES; i++) {
       cluster.controlPlane("n" + i, true);
-      useAlways("n" + i);
+      useLeaseRepeatedly("n" + i);
     }
-    assertThat(cluster.awaitWithin(10_000, () -> holder() != null), is(true));
+    assertThat(cluster.awaitWithin(10_000, () -> currentHolder() != null), is(true));
     for (int i = 0; i < 4; i++) {
       cluster.timers.advance(3_000 + seed * 37 % 600);
-      String first = holder();
+      String first = currentHolder();
       cluster.net.freeze(cluster.address(first));
       cluster.awaitWithin(10_000, () -> lastUser != null && !lastUser.equals(first));
       String second = lastUser;
@@ -89,17 +89,17 @@
       cluster.awaitWithin(10_000, () -> first.equals(lastUser));
       cluster.kill(second);
       cluster.controlPlane(second, false);
-      useAlways(second);
+      useLeaseRepeatedly(second);
     }
   }
 
   @Test
-  void lostLeaseIsNotUsedAgainWithinTheTimeOfALeaseIfAnotherHadIt() {
-    shortestReturnMs = Long.MAX_VALUE;
+  void reacquiredLeaseIsNotUsedWithinALeaseTimeAfterAnotherHolder() {
+    shortestReuseGapMs = Long.MAX_VALUE;
     for (long seed = 1; seed <= 30; seed++) {
-      takeTurns(seed);
+      alternateHolders(seed);
     }
-    assertThat("returns", returns, greaterThan(30));
-    assertThat(shortestReturnMs, greaterThanOrEqualTo(LEASE_MS));
+    assertThat("returns", reacquisitions, greaterThan(30));
+    assertThat(shortestReuseGapMs, greaterThanOrEqualTo(LEASE_MS));
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/LeaseTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/LeaseTest.java
@@ -11,20 +11,20 @@
 
 /** Three voters that are candidates as well, under freezes, restarts, and lost or late messages. */
 class LeaseTest {
-  private static final int N = 3;
+  private static final int VOTERS = 3;
 
   private final ManualTimers timers = new ManualTimers();
-  private final LeaseVoter[] voters = new LeaseVoter[N];
-  private final Lease[] leases = new Lease[N];
-  private final long[] frozenUntil = new long[N];
-  private final long[] processIds = new long[N];
+  private final LeaseVoter[] voters = new LeaseVoter[VOTERS];
+  private final Lease[] leases = new Lease[VOTERS];
+  private final long[] frozenUntil = new long[VOTERS];
+  private final long[] processIds = new long[VOTERS];
   private Random random;
   private double lossRate;
 
-  private void begin(long seed, boolean founding) {
+  private void createVotersAndCandidates(long seed, boolean isFirstStart) {
     random = new Random(seed);
-    for (int i = 0; i < N; i++) {
-      voters[i] = new LeaseVoter(timers.now(), founding);
+    for (int i = 0; i < VOTERS; i++) {
+      voters[i] = new LeaseVoter(timers.now(), isFirstStart);
       leases[i] = new Lease(timers.now(), i);
       processIds[i] = i + 1L;
     }
@@ -33,42 +33,50 @@
   private void send(int candidate, Lease.Round round) {
     Lease lease = leases[candidate];
     long processId = processIds[candidate];
-    for (int v = 0; v < N; v++) {
+    for (int v = 0; v < VOTERS; v++) {
       int voter = v;
       if (random.nextDouble() < lossRate) {
         continue;
       }
-      long there = random.nextInt(random.nextInt(20) == 0 ? 3_000 : 20);
-      long back = random.nextInt(random.nextInt(20) == 0 ? 3_000 : 20);
-      timers.schedule(there, () -> arrive(voter, candidate, lease, processId, round, back));
+      long requestDelayMs = random.nextInt(random.nextInt(20) == 0 ? 3_000 : 20);
+      long responseDelayMs = random.nextInt(random.nextInt(20) == 0 ? 3_000 : 20);
+      timers.schedule(
+          requestDelayMs,
+          () -> onRequest(voter, candidate, lease, processId, round, responseDelayMs));
     }
   }
 
-  private void arrive(
-      int voter, int candidate, Lease lease, long processId, Lease.Round round, long back) {
+  private void onRequest(
+      int voter,
+      int candidate,
+      Lease lease,
+      long processId,
+      Lease.Round round,
+      long responseDelayMs) {
     if (timers.now() < frozenUntil[voter]) {
       timers.schedule(
           frozenUntil[voter] - timers.now(),
-          () -> arrive(voter, candidate, lease, processId, round, back));
+          () -> onRequest(voter, candidate, lease, processId, round, responseDelayMs));
       return;
     }
     if (round.kind() == Lease.Round.Kind.RELEASE) {
       voters[voter].release(processId, round.number(), timers.now());
       return;
     }
-    long left = voters[voter].tryGrant(processId, round.number(), timers.now());
-    timers.schedule(back, () -> onResponse(voter, candidate, lease, round, left));
+    long remainingMs = voters[voter].tryGrant(processId, round.number(), timers.now());
+    timers.schedule(responseDelayMs, () -> onResponse(voter, candidate, lease, round, remainingMs));
   }
 
-  private void onResponse(int voter, int candidate, Lease lease, Lease.Round round, long left) {
+  private void onResponse(
+      int voter, int candidate, Lease lease, Lease.Round round, long remainingMs) {
     if (timers.now() < frozenUntil[candidate]) {
       timers.schedule(
           frozenUntil[candidate] - timers.now(),
-          () -> onResponse(voter, candidate, lease, round, left));
-    } else if (left == 0) {
+          () -> onResponse(voter, candidate, lease, round, remainingMs));
+    } else if (remainingMs == 0) {
       lease.onGranted(round.number(), voter, timers.now());
     } else {
-      lease.onRefused(round.number(), left);
+      lease.onRefused(round.number(), remainingMs);
     }
   }
 
@@ -76,10 +84,10 @@
   private int step() {
     timers.advance(10);
     int holders = 0;
-    for (int i = 0; i < N; i++) {
+    for (int i = 0; i < VOTERS; i++) {
       if (timers.now() >= frozenUntil[i]) {
         int candidate = i;
-        leases[i].poll(timers.now(), N).ifPresent(round -> send(candidate, round));
+        leases[i].poll(timers.now(), VOTERS).ifPresent(round -> send(candidate, round));
       }
       holders += leases[i].isHeld(timers.now()) ? 1 : 0;
     }
@@ -88,7 +96,7 @@
 
   @Test
   void firstCandidateHoldsTheLeaseFromTheStartAndKeepsIt() {
-    begin(1, true);
+    createVotersAndCandidates(1, true);
     int held = 0;
     for (int i = 0; i < 1_000; i++) {
       step();
@@ -99,7 +107,7 @@
 
   @Test
   void restartedVotersGrantNothingForOneLeaseDuration() {
-    begin(1, false);
+    createVotersAndCandidates(1, false);
     int held = 0;
     for (int i = 0; i < 199; i++) {
       held += step();
@@ -113,17 +121,17 @@
 
   @Test
   void anotherCandidateTakesOverAfterTheHolderIsLost() {
-    begin(3, true);
+    createVotersAndCandidates(3, true);
     for (int i = 0; i < 200; i++) {
       step();
     }
     assertThat(leases[0].isHeld(timers.now()), is(true));
     frozenUntil[0] = Long.MAX_VALUE;
-    int without = 0;
+    int stepsWithoutHolder = 0;
     while (!leases[1].isHeld(timers.now()) && !leases[2].isHeld(timers.now())) {
       step();
-      without++;
-      assertThat(without, lessThanOrEqualTo(450));
+      stepsWithoutHolder++;
+      assertThat(stepsWithoutHolder, lessThanOrEqualTo(450));
     }
   }
 
@@ -131,14 +139,14 @@
   void neverTwoHoldersUnderRandomFaults() {
     long held = 0;
     for (int seed = 0; seed < 60; seed++) {
-      begin(seed, true);
-      for (int i = 0; i < N; i++) {
+      createVotersAndCandidates(seed, true);
+      for (int i = 0; i < VOTERS; i++) {
         frozenUntil[i] = 0;
       }
       lossRate = seed % 3 * 0.15;
       // The messages of the seed before are let go by.
       timers.advance(10_000);
-      begin(seed, true);
+      createVotersAndCandidates(seed, true);
       for (int i = 0; i < 4_000; i++) {
         int holders = step();
         assertThat("seed " + seed, holders, lessThanOrEqualTo(1));
@@ -151,14 +159,14 @@
 
   private void injectFaults() {
     if (random.nextInt(300) == 0) {
-      frozenUntil[random.nextInt(N)] = timers.now() + random.nextInt(4_000);
+      frozenUntil[random.nextInt(VOTERS)] = timers.now() + random.nextInt(4_000);
     }
     if (random.nextInt(500) == 0) {
-      int one = random.nextInt(N);
-      frozenUntil[one] = timers.now() + random.nextInt(500);
-      voters[one] = new LeaseVoter(timers.now(), false);
-      leases[one] = new Lease(timers.now(), one);
-      processIds[one] = random.nextLong();
+      int restarted = random.nextInt(VOTERS);
+      frozenUntil[restarted] = timers.now() + random.nextInt(500);
+      voters[restarted] = new LeaseVoter(timers.now(), false);
+      leases[restarted] = new Lease(timers.now(), restarted);
+      processIds[restarted] = random.nextLong();
     }
   }
 
--- a/controlplane/src/test/java/elmsail/controlplane/PlacementControllerTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/PlacementControllerTest.java
@@ -19,14 +19,14 @@
   private final HeartbeatTable heartbeats = new HeartbeatTable(PeerRole.STORE);
   private final PlacementController controller = new PlacementController(3, 0);
   private final Set<String> decommissioning = new HashSet<>();
-  private VoterSet storeSet = new VoterSet();
+  private VoterSet storeVoters = new VoterSet();
   private long now;
 
   private void receiveHeartbeat(String name, String zone, boolean voting) {
-    heartbeats.onHeartbeat(request(name, zone, voting, storeSet), now);
+    heartbeats.onHeartbeat(request(name, zone, voting, storeVoters), now);
   }
 
-  static PullRequest request(String name, String zone, boolean voting, VoterSet storeSet) {
+  static PullRequest request(String name, String zone, boolean voting, VoterSet storeVoters) {
     PullRequest request = new PullRequest();
     request.role = "store";
     request.machine = name;
@@ -34,7 +34,7 @@
     request.zone = zone;
     request.instanceId = name.hashCode();
     request.voting = voting;
-    request.jobStoreVoters = storeSet;
+    request.jobStoreVoters = storeVoters;
     return request;
   }
 
@@ -47,32 +47,32 @@
   }
 
   private void setVoters(String... names) {
-    storeSet = new VoterSet();
+    storeVoters = new VoterSet();
     for (String name : names) {
-      storeSet.voters.add(VoterSetValue.voter(name + ":1", name, name.hashCode(), 1));
+      storeVoters.voters.add(VoterSetValue.voter(name + ":1", name, name.hashCode(), 1));
     }
   }
 
   /** Time passes in steps, as those named are heard, voting where they hold a voter slot. */
-  private PlacementController.Assignment pass(long ms, String... names) {
-    PlacementController.Assignment order = null;
+  private PlacementController.Assignment advance(long ms, String... names) {
+    PlacementController.Assignment assignment = null;
     long end = now + ms;
     while (now < end) {
       now += 100;
       for (String name : names) {
-        receiveHeartbeat(name, "z" + name, VoterSetValue.slotOf(storeSet, name + ":1") >= 0);
+        receiveHeartbeat(name, "z" + name, VoterSetValue.slotOf(storeVoters, name + ":1") >= 0);
       }
-      order = assign(true, true);
+      assignment = assign(true, true);
     }
-    return order;
+    return assignment;
   }
 
   /**
    * What the controller orders now, as the leaseholder or not, in contact with a majority or not.
    */
-  private PlacementController.Assignment assign(boolean hears, boolean directs) {
+  private PlacementController.Assignment assign(boolean isObserving, boolean canAssign) {
     return controller
-        .assignment(heartbeats, storeSet, decommissioning, hears, directs, now)
+        .assignment(heartbeats, storeVoters, decommissioning, isObserving, canAssign, now)
         .orElse(null);
   }
 
@@ -90,7 +90,7 @@
   /** The voters "a", "b" and "c" were heard for a second, and the spare "d". */
   private void setVotersWithSpareAndHeartbeats() {
     setVoters("a", "b", "c");
-    pass(1_000, "a", "b", "c", "d");
+    advance(1_000, "a", "b", "c", "d");
   }
 
   @Test
@@ -136,7 +136,7 @@
   }
 
   @Test
-  void votingAndGoneStoresAreNoCandidates() {
+  void votingAndLostStoresAreNotCandidates() {
     receiveHeartbeat("a", "z1", true);
     receiveHeartbeat("b", "z2", false);
     receiveHeartbeat("c", "z3", false);
@@ -150,50 +150,51 @@
   @Test
   void spareReplacesVoterWithoutHeartbeats() {
     setVoters("a", "b", "c");
-    assertThat(pass(5_000, "a", "b", "c", "d"), is(nullValue()));
-    assertThat(pass(2_500, "a", "b", "d"), is(nullValue()));
-    PlacementController.Assignment order = pass(100, "a", "b", "d");
-    assertThat(order, equalTo(assignmentTo("d", 2, 2)));
-    assertThat("the same spare until it is done", pass(1_000, "a", "b", "d", "e"), equalTo(order));
+    assertThat(advance(5_000, "a", "b", "c", "d"), is(nullValue()));
+    assertThat(advance(2_500, "a", "b", "d"), is(nullValue()));
+    PlacementController.Assignment assignment = advance(100, "a", "b", "d");
+    assertThat(assignment, equalTo(assignmentTo("d", 2, 2)));
+    assertThat(
+        "the same spare until it is done", advance(1_000, "a", "b", "d", "e"), equalTo(assignment));
   }
 
   @Test
-  void noAssignmentWithoutSpare() {
+  void noAssignmentWithoutAnEligibleSpare() {
     setVoters("a", "b", "c");
-    pass(1_000, "a", "b", "c");
-    assertThat(pass(5_000, "a", "b"), is(nullValue()));
+    advance(1_000, "a", "b", "c");
+    assertThat(advance(5_000, "a", "b"), is(nullValue()));
     assertThat("a retiring one is no spare", decommissioning.add("d"), is(true));
-    assertThat(pass(1_000, "a", "b", "d"), is(nullValue()));
+    assertThat(advance(1_000, "a", "b", "d"), is(nullValue()));
   }
 
   @Test
   void returningVoterKeepsItsSlot() {
     setVoters("a", "b", "c");
-    assertThat(pass(3_000, "a", "b", "d"), equalTo(assignmentTo("d", 2, 2)));
-    assertThat(pass(200, "a", "b", "c", "d"), is(nullValue()));
+    assertThat(advance(3_000, "a", "b", "d"), equalTo(assignmentTo("d", 2, 2)));
+    assertThat(advance(200, "a", "b", "c", "d"), is(nullValue()));
   }
 
   @Test
   void secondSpareGetsHigherEpoch() {
     setVoters("a", "b", "c");
-    assertThat(pass(3_000, "a", "b", "d"), equalTo(assignmentTo("d", 2, 2)));
-    assertThat(pass(3_000, "a", "b", "e"), equalTo(assignmentTo("e", 2, 3)));
+    assertThat(advance(3_000, "a", "b", "d"), equalTo(assignmentTo("d", 2, 2)));
+    assertThat(advance(3_000, "a", "b", "e"), equalTo(assignmentTo("e", 2, 3)));
   }
 
   @Test
   void decommissionedVoterIsReplacedWhileAllOthersVote() {
     setVoters("a", "b", "c");
     decommissioning.add("b");
-    assertThat(pass(500, "a", "b", "c"), is(nullValue()));
-    assertThat(pass(500, "a", "b", "c", "d"), equalTo(assignmentTo("d", 1, 2)));
+    assertThat(advance(500, "a", "b", "c"), is(nullValue()));
+    assertThat(advance(500, "a", "b", "c", "d"), equalTo(assignmentTo("d", 1, 2)));
   }
 
   @Test
   void noSecondAssignmentDuringStateTransfer() {
     setVoters("a", "b", "c");
     decommissioning.add("a");
-    pass(500, "a", "b", "c", "d");
-    storeSet.voters.set(0, VoterSetValue.voter("d:1", "d", "d".hashCode(), 2));
+    advance(500, "a", "b", "c", "d");
+    storeVoters.voters.set(0, VoterSetValue.voter("d:1", "d", "d".hashCode(), 2));
     decommissioning.add("b");
     for (int i = 0; i < 10; i++) {
       now += 100;
@@ -204,22 +205,22 @@
       receiveHeartbeat("e", "ze", false);
       assertThat(assign(true, true), is(nullValue()));
     }
-    assertThat(pass(300, "a", "b", "c", "d", "e"), equalTo(assignmentTo("e", 1, 2)));
+    assertThat(advance(300, "a", "b", "c", "d", "e"), equalTo(assignmentTo("e", 1, 2)));
   }
 
   @Test
   void noAssignmentWhileTwoOfThreeAreGone() {
     setVotersWithSpareAndHeartbeats();
-    assertThat(pass(6_000, "a", "d"), is(nullValue()));
+    assertThat(advance(6_000, "a", "d"), is(nullValue()));
   }
 
   @Test
   void twoGoneOfFiveAreReplacedOneByOne() {
     setVoters("a", "b", "c", "d", "e");
-    pass(1_000, "a", "b", "c", "d", "e", "f");
-    assertThat(pass(3_000, "a", "b", "c", "f"), equalTo(assignmentTo("f", 3, 2)));
-    storeSet.voters.set(3, VoterSetValue.voter("f:1", "f", "f".hashCode(), 2));
-    assertThat(pass(300, "a", "b", "c", "f", "g"), equalTo(assignmentTo("g", 4, 2)));
+    advance(1_000, "a", "b", "c", "d", "e", "f");
+    assertThat(advance(3_000, "a", "b", "c", "f"), equalTo(assignmentTo("f", 3, 2)));
+    storeVoters.voters.set(3, VoterSetValue.voter("f:1", "f", "f".hashCode(), 2));
+    assertThat(advance(300, "a", "b", "c", "f", "g"), equalTo(assignmentTo("g", 4, 2)));
   }
 
   @Test
@@ -236,13 +237,13 @@
   }
 
   @Test
-  void controllerObservesAnewAfterFreeze() {
+  void observationRestartsAfterAFreeze() {
     setVotersWithSpareAndHeartbeats();
     now += 10_000;
     receiveHeartbeatsExceptFromC();
     assertThat(assign(true, true), is(nullValue()));
-    assertThat(pass(2_400, "a", "b", "d"), is(nullValue()));
-    assertThat(pass(300, "a", "b", "d"), equalTo(assignmentTo("d", 2, 2)));
+    assertThat(advance(2_400, "a", "b", "d"), is(nullValue()));
+    assertThat(advance(300, "a", "b", "d"), equalTo(assignmentTo("d", 2, 2)));
   }
 
   @Test
@@ -253,8 +254,8 @@
       receiveHeartbeatsExceptFromC();
       assertThat(assign(false, false), is(nullValue()));
     }
-    assertThat(pass(2_400, "a", "b", "d"), is(nullValue()));
-    assertThat(pass(300, "a", "b", "d"), equalTo(assignmentTo("d", 2, 2)));
+    assertThat(advance(2_400, "a", "b", "d"), is(nullValue()));
+    assertThat(advance(300, "a", "b", "d"), equalTo(assignmentTo("d", 2, 2)));
   }
 
   @Test
--- a/controlplane/src/test/java/elmsail/controlplane/PlatformDutyClientTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/PlatformDutyClientTest.java
@@ -26,10 +26,10 @@
   private static final double PLATFORM_RATE = 50;
 
   private final ManualTimers timers = new ManualTimers();
-  private final HeldLease lease = new HeldLease();
+  private final FakeLease lease = new FakeLease();
   private final List<HttpClientRequest> sent = new ArrayList<>();
   private final DutyCounters counters = new DutyCounters(new Counters());
-  private CompletableFuture<SimpleHttpResponse> reply = answer(200);
+  private CompletableFuture<SimpleHttpResponse> reply = completedReply(200);
 
   private final PlatformDutyClient client =
       new PlatformDutyClient(
@@ -44,9 +44,9 @@
           counters);
 
   /** A lease of which the test says in which term it is held. */
-  private static final class HeldLease implements DutyLease {
+  private static final class FakeLease implements DutyLease {
     private long term = 12;
-    private final List<Long> fenced = new ArrayList<>();
+    private final List<Long> fencedTerms = new ArrayList<>();
 
     @Override
     public long term() {
@@ -55,12 +55,12 @@
 
     @Override
     public void onFenced(long refusedTerm) {
-      fenced.add(refusedTerm);
+      fencedTerms.add(refusedTerm);
       term = 0;
     }
   }
 
-  private static CompletableFuture<SimpleHttpResponse> answer(int status) {
+  private static CompletableFuture<SimpleHttpResponse> completedReply(int status) {
     return CompletableFuture.completedFuture(new SimpleHttpResponse(status, Map.of(), new byte[0]));
   }
 
@@ -90,30 +90,30 @@
   }
 
   @Test
-  void refusedTermIsTakenFromTheLeaseAndNotUsedAgain() {
-    reply = answer(409);
+  void refusedTermFencesTheLeaseAndIsNotUsedAgain() {
+    reply = completedReply(409);
     assertThat(call(12), is(Outcome.FENCED));
-    assertThat(lease.fenced, contains(12L));
+    assertThat(lease.fencedTerms, contains(12L));
     assertThat(call(12), is(Outcome.NOT_HOLDER));
     assertThat(sent, hasSize(1));
   }
 
   @Test
-  void otherAnswersAndFailuresSayWhetherTheCallMayHaveBeenTakenIn() {
-    reply = answer(429);
+  void otherErrorsTellWhetherThePlatformMayHaveAcceptedTheCall() {
+    reply = completedReply(429);
     assertThat(call(12), is(Outcome.RATE_LIMITED));
-    reply = answer(500);
+    reply = completedReply(500);
     assertThat(call(12), is(Outcome.UNKNOWN));
     reply = CompletableFuture.failedFuture(new ElmsailException(ErrorCode.TIMEOUT, "test"));
     assertThat(call(12), is(Outcome.UNKNOWN));
     assertThat(counters.calls.value(), is(3L));
     assertThat(counters.callsRateLimited.value(), is(1L));
     assertThat(counters.callsUnknown.value(), is(2L));
-    assertThat(lease.fenced, empty());
+    assertThat(lease.fencedTerms, empty());
   }
 
   @Test
-  void callsOfOneSecondStayUnderThePlatformsRate() {
+  void callRateStaysBelowThePlatformsLimit() {
     for (int second = 0; second < 3; second++) {
       sent.clear();
       for (int i = 0; i < 1_000; i++) {
@@ -126,7 +126,7 @@
   }
 
   @Test
-  void slowRateStillLetsACallThrough() {
+  void rateBelowOnePerSecondStillAllowsACall() {
     TokenBucket bucket = new TokenBucket(timers, 0.5);
     assertThat(bucket.tryTake(), is(true));
     assertThat(bucket.tryTake(), is(false));
--- a/controlplane/src/test/java/elmsail/controlplane/QuorumContactTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/QuorumContactTest.java
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void responseReadAfterAFreezeProvesNoContact() {
+  void responseReadAfterAFreezeDoesNotCountAsContact() {
     long sentAt = timers.now();
     timers.advance(20_000);
     contact.onRoundCompleted(sentAt);
--- a/controlplane/src/test/java/elmsail/controlplane/SimulatedDutyPlatform.java
+++ b/controlplane/src/test/java/elmsail/controlplane/SimulatedDutyPlatform.java
@@ -29,31 +29,31 @@
   private static final long LEASE_MS = 3_000;
 
   /** How the platform treats calls while it is in trouble. */
-  enum Trouble {
+  enum FailureMode {
     NONE,
     SILENT,
     BUSY,
     RESET
   }
 
-  private record Act(String holder, long token, long atMs) {}
+  private record AcceptedCall(String holder, long token, long atMs) {}
 
   private final ManualTimers timers;
   private final Random random;
   private final Map<Long, String> holderByToken = new HashMap<>();
-  private final List<Act> acts = new ArrayList<>();
+  private final List<AcceptedCall> acceptedCalls = new ArrayList<>();
   private final TreeMap<Long, String> contents = new TreeMap<>();
   private final TreeMap<Long, Long> firstAcceptedAtMs = new TreeMap<>();
   final List<String> violations = new ArrayList<>();
   private long highestToken;
   int calls;
-  int refusals;
-  Trouble trouble = Trouble.NONE;
-  long minAnswerMs = 5;
-  long maxAnswerMs = 20;
+  int fencedCalls;
+  FailureMode failureMode = FailureMode.NONE;
+  long minReplyMs = 5;
+  long maxReplyMs = 20;
 
   /** The share of answers that are lost, 0 to 1. */
-  double lostAnswers;
+  double replyLossRate;
 
   SimulatedDutyPlatform(long seed, ManualTimers timers) {
     this.timers = timers;
@@ -65,26 +65,26 @@
       SimNode from, String machine, HttpClientRequest request, long timeoutMs) {
     CompletableFuture<SimpleHttpResponse> reply = new CompletableFuture<>();
     from.timers().schedule(timeoutMs, () -> fail(reply, ErrorCode.TIMEOUT));
-    timers.schedule(1 + random.nextInt(10), () -> arrive(from, machine, request, reply));
+    timers.schedule(1 + random.nextInt(10), () -> onCallReceived(from, machine, request, reply));
     return reply;
   }
 
-  private void arrive(
+  private void onCallReceived(
       SimNode from,
       String machine,
       HttpClientRequest request,
       CompletableFuture<SimpleHttpResponse> reply) {
     calls++;
-    if (trouble == Trouble.SILENT) {
+    if (failureMode == FailureMode.SILENT) {
       return;
     }
-    if (trouble == Trouble.RESET) {
+    if (failureMode == FailureMode.RESET) {
       from.timers().execute(() -> fail(reply, ErrorCode.CONNECTION_LOST));
       return;
     }
-    int status = trouble == Trouble.BUSY ? 503 : takeIn(machine, request);
-    if (random.nextDouble() >= lostAnswers) {
-      long delayMs = minAnswerMs + random.nextLong(maxAnswerMs - minAnswerMs + 1);
+    int status = failureMode == FailureMode.BUSY ? 503 : process(machine, request);
+    if (random.nextDouble() >= replyLossRate) {
+      long delayMs = minReplyMs + random.nextLong(maxReplyMs - minReplyMs + 1);
       timers.schedule(
           delayMs,
           () ->
@@ -98,7 +98,7 @@
     reply.completeExceptionally(new ElmsailException(code, "stand-in of the platform"));
   }
 
-  private int takeIn(String machine, HttpClientRequest request) {
+  private int process(String machine, HttpClientRequest request) {
     String holder = request.headers().get(PlatformDutyClient.HOLDER_HEADER);
     long token = Long.parseLong(request.headers().get(PlatformDutyClient.FENCE_HEADER));
     if (!holder.equals(machine)) {
@@ -109,11 +109,11 @@
       violations.add("token " + token + " of " + first + " and " + holder);
     }
     if (token < highestToken) {
-      refusals++;
+      fencedCalls++;
       return 409;
     }
     highestToken = token;
-    noteTurns(new Act(holder, token, timers.now()));
+    recordAndCheckAlternation(new AcceptedCall(holder, token, timers.now()));
     Matcher body = BODY.matcher(new String(request.body(), StandardCharsets.UTF_8));
     if (!body.matches()) {
       violations.add("not a report: " + new String(request.body(), StandardCharsets.UTF_8));
@@ -128,23 +128,23 @@
     return 200;
   }
 
-  private void noteTurns(Act act) {
-    boolean otherSince = false;
-    for (int i = acts.size() - 1; i >= 0; i--) {
-      Act earlier = acts.get(i);
-      if (act.atMs - earlier.atMs >= LEASE_MS) {
+  private void recordAndCheckAlternation(AcceptedCall call) {
+    boolean otherHolderSince = false;
+    for (int i = acceptedCalls.size() - 1; i >= 0; i--) {
+      AcceptedCall earlier = acceptedCalls.get(i);
+      if (call.atMs - earlier.atMs >= LEASE_MS) {
         break;
       }
-      if (!earlier.holder.equals(act.holder)) {
-        otherSince = true;
-      } else if (otherSince) {
-        violations.add(act.holder + " acts again, " + (act.atMs - earlier.atMs) + " ms later");
+      if (!earlier.holder.equals(call.holder)) {
+        otherHolderSince = true;
+      } else if (otherHolderSince) {
+        violations.add(call.holder + " acts again, " + (call.atMs - earlier.atMs) + " ms later");
         break;
       } else {
         continue;
       }
     }
-    acts.add(act);
+    acceptedCalls.add(call);
   }
 
   /** The windows that were taken in, in order. */
--- a/controlplane/src/test/java/elmsail/controlplane/UsageDutyTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/UsageDutyTest.java
@@ -8,7 +8,7 @@
 import static org.hamcrest.Matchers.lessThanOrEqualTo;
 import static org.hamcrest.Matchers.notNullValue;
 
-import elmsail.controlplane.SimulatedDutyPlatform.Trouble;
+import elmsail.controlplane.SimulatedDutyPlatform.FailureMode;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -22,35 +22,38 @@
   /** Of a window's count of a tenant: a request on either side of a bound, beside 5 %. */
   private static final long MAX_COUNT_ERROR = 3;
 
-  private UsageRig rig;
+  private UsageFixture fixture;
 
-  private void begin(long seed) {
-    rig = new UsageRig(seed, 3, 6);
-    rig.start();
-    rig.cluster.timers.advance(START_MS);
+  private void startFixture(long seed) {
+    fixture = new UsageFixture(seed, 3, 6);
+    fixture.start();
+    fixture.cluster.timers.advance(START_MS);
   }
 
   private void run(long ms) {
-    rig.cluster.timers.advance(ms);
+    fixture.cluster.timers.advance(ms);
   }
 
   /** Runs until all windows up to the present one are due, and checks the platform's rules. */
-  private void settle() {
-    run(UsageRig.WINDOW_MS + UsageRig.LATE_MS);
-    assertThat(rig.platform.violations, empty());
-    assertThat(rig.cluster.net.handlerFaults(), empty());
+  private void runUntilReportsAreDueAndCheckRules() {
+    run(UsageFixture.WINDOW_MS + UsageFixture.MAX_REPORT_DELAY_MS);
+    assertThat(fixture.platform.violations, empty());
+    assertThat(fixture.cluster.net.handlerFaults(), empty());
   }
 
   private void assertReportedInTime(long first, long last) {
     for (long window = first; window <= last; window++) {
-      assertThat("window " + window, rig.lateMs(window), lessThanOrEqualTo(UsageRig.LATE_MS));
+      assertThat(
+          "window " + window,
+          fixture.reportDelayMs(window),
+          lessThanOrEqualTo(UsageFixture.MAX_REPORT_DELAY_MS));
     }
   }
 
-  private void assertCountsRight(long first, long last) {
+  private void assertCountsCorrect(long first, long last) {
     for (long window = first; window <= last; window++) {
-      Map<String, Long> reported = rig.platform.counts(window);
-      for (Map.Entry<String, Long> each : rig.started(window).entrySet()) {
+      Map<String, Long> reported = fixture.platform.counts(window);
+      for (Map.Entry<String, Long> each : fixture.startedRequests(window).entrySet()) {
         long count = reported.getOrDefault(each.getKey().replace("\"", "\\\""), -1L);
         if (!each.getKey().contains("\"")) {
           assertThat(
@@ -64,133 +67,135 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void everyWindowIsReportedRightInCalm(long seed) {
-    begin(seed);
-    long first = rig.windowNow();
+  void everyWindowIsReportedCorrectlyWithoutFaults(long seed) {
+    startFixture(seed);
+    long first = fixture.currentWindow();
     run(60_000);
-    long last = rig.windowNow();
-    settle();
+    long last = fixture.currentWindow();
+    runUntilReportsAreDueAndCheckRules();
     assertReportedInTime(first, last);
-    assertCountsRight(first, last);
-    assertThat("one call a window", rig.platform.calls, lessThan(20));
+    assertCountsCorrect(first, last);
+    assertThat("one call a window", fixture.platform.calls, lessThan(20));
   }
 
   @Test
   void windowsWithoutRequestsAreReportedToo() {
-    rig = new UsageRig(1, 3, 2);
-    rig.hasTraffic = false;
-    rig.start();
+    fixture = new UsageFixture(1, 3, 2);
+    fixture.hasTraffic = false;
+    fixture.start();
     run(START_MS);
-    long first = rig.windowNow();
+    long first = fixture.currentWindow();
     run(20_000);
-    long last = rig.windowNow();
-    settle();
+    long last = fixture.currentWindow();
+    runUntilReportsAreDueAndCheckRules();
     assertReportedInTime(first, last);
-    assertThat(rig.platform.counts(first), is(Map.of()));
+    assertThat(fixture.platform.counts(first), is(Map.of()));
   }
 
   @Test
   void clusterOfOneVoterReportsToo() {
-    rig = new UsageRig(1, 1, 2);
-    rig.start();
+    fixture = new UsageFixture(1, 1, 2);
+    fixture.start();
     run(START_MS);
-    long first = rig.windowNow();
+    long first = fixture.currentWindow();
     run(20_000);
-    long last = rig.windowNow();
-    settle();
+    long last = fixture.currentWindow();
+    runUntilReportsAreDueAndCheckRules();
     assertReportedInTime(first, last);
-    assertCountsRight(first, last);
+    assertCountsCorrect(first, last);
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void windowsAreReportedInTimeWhenTheHolderIsKilled(long seed) {
-    begin(seed);
-    long first = rig.windowNow();
+    startFixture(seed);
+    long first = fixture.currentWindow();
     for (int i = 0; i < 4; i++) {
-      run(rig.random.nextInt(10_000));
-      rig.cluster.awaitWithin(10_000, () -> rig.holder() != null);
-      String holder = rig.holder();
-      rig.cluster.kill(holder);
+      run(fixture.random.nextInt(10_000));
+      fixture.cluster.awaitWithin(10_000, () -> fixture.currentHolder() != null);
+      String holder = fixture.currentHolder();
+      fixture.cluster.kill(holder);
       run(6_000);
-      rig.cluster.controlPlane(holder, true);
+      fixture.cluster.controlPlane(holder, true);
       run(8_000);
     }
-    long last = rig.windowNow();
-    settle();
+    long last = fixture.currentWindow();
+    runUntilReportsAreDueAndCheckRules();
     assertReportedInTime(first, last);
-    assertCountsRight(first, last);
+    assertCountsCorrect(first, last);
   }
 
   @ParameterizedTest
   @EnumSource(
-      value = Trouble.class,
+      value = FailureMode.class,
       names = {"SILENT", "BUSY", "RESET"})
-  void platformThatIsDownForFourSecondsGetsEveryWindowInTime(Trouble trouble) {
-    begin(4);
-    long first = rig.windowNow();
+  void everyWindowIsReportedInTimeWhenThePlatformIsDownForFourSeconds(FailureMode trouble) {
+    startFixture(4);
+    long first = fixture.currentWindow();
     for (int i = 0; i < 5; i++) {
-      run(3_000 + rig.random.nextInt(6_000));
-      rig.platform.trouble = trouble;
+      run(3_000 + fixture.random.nextInt(6_000));
+      fixture.platform.failureMode = trouble;
       run(4_000);
-      rig.platform.trouble = Trouble.NONE;
+      fixture.platform.failureMode = FailureMode.NONE;
     }
-    long last = rig.windowNow();
-    settle();
+    long last = fixture.currentWindow();
+    runUntilReportsAreDueAndCheckRules();
     assertReportedInTime(first, last);
-    assertCountsRight(first, last);
+    assertCountsCorrect(first, last);
   }
 
   @Test
-  void slowPlatformThatLosesAnswersGetsExactRepeatsOnly() {
-    begin(5);
-    long first = rig.windowNow();
-    rig.platform.minAnswerMs = 250;
-    rig.platform.maxAnswerMs = 1_000;
-    rig.platform.lostAnswers = 0.3;
+  void slowPlatformWithLostRepliesReceivesIdenticalRepeats() {
+    startFixture(5);
+    long first = fixture.currentWindow();
+    fixture.platform.minReplyMs = 250;
+    fixture.platform.maxReplyMs = 1_000;
+    fixture.platform.replyLossRate = 0.3;
     run(60_000);
-    long last = rig.windowNow();
-    settle();
+    long last = fixture.currentWindow();
+    runUntilReportsAreDueAndCheckRules();
     assertReportedInTime(first, last);
-    assertCountsRight(first, last);
+    assertCountsCorrect(first, last);
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void clocksThatJumpMoveNoWindow(long seed) {
-    begin(seed);
-    long first = rig.windowNow();
-    rig.cluster.clockSkewMs.put("n1", 7_000L);
-    rig.cluster.clockSkewMs.put("g1", -6_000L);
-    rig.cluster.clockSkewMs.put("g2", 4_000L);
+  void clockJumpsDoNotMoveWindows(long seed) {
+    startFixture(seed);
+    long first = fixture.currentWindow();
+    fixture.cluster.clockSkewMs.put("n1", 7_000L);
+    fixture.cluster.clockSkewMs.put("g1", -6_000L);
+    fixture.cluster.clockSkewMs.put("g2", 4_000L);
     run(40_000);
-    rig.cluster.clockSkewMs.put("n1", 0L);
-    rig.cluster.clockSkewMs.put("g1", 0L);
+    fixture.cluster.clockSkewMs.put("n1", 0L);
+    fixture.cluster.clockSkewMs.put("g1", 0L);
     run(20_000);
-    long last = rig.windowNow();
-    settle();
+    long last = fixture.currentWindow();
+    runUntilReportsAreDueAndCheckRules();
     assertReportedInTime(first, last);
-    assertCountsRight(first, last);
+    assertCountsCorrect(first, last);
   }
 
   @Test
   void killedGatewayLosesNoMoreThanItsLastReportInterval() {
-    begin(6);
-    long first = rig.windowNow();
+    startFixture(6);
+    long first = fixture.currentWindow();
     run(7_000);
-    rig.cluster.kill("g1");
+    fixture.cluster.kill("g1");
     run(3_000);
-    rig.startGateway("g1");
+    fixture.startGateway("g1");
     run(10_000);
-    long last = rig.windowNow();
-    settle();
+    long last = fixture.currentWindow();
+    runUntilReportsAreDueAndCheckRules();
     long lost = 0;
     for (long window = first; window <= last; window++) {
-      for (Map.Entry<String, Long> each : rig.started(window).entrySet()) {
+      for (Map.Entry<String, Long> each : fixture.startedRequests(window).entrySet()) {
         if (!each.getKey().contains("\"")) {
           lost +=
               Math.max(
-                  0, each.getValue() - rig.platform.counts(window).getOrDefault(each.getKey(), 0L));
+                  0,
+                  each.getValue()
+                      - fixture.platform.counts(window).getOrDefault(each.getKey(), 0L));
         }
       }
     }
@@ -198,29 +203,29 @@
   }
 
   @Test
-  void wholeClusterThatWasOffGoesOnWithoutASecondContent() {
-    begin(7);
+  void reportsContinueWithoutConflictAfterAFullClusterOutage() {
+    startFixture(7);
     run(20_000);
-    for (int i = 1; i <= rig.nodes; i++) {
-      rig.cluster.kill("n" + i);
+    for (int i = 1; i <= fixture.nodes; i++) {
+      fixture.cluster.kill("n" + i);
     }
     run(30_000);
-    for (int i = 1; i <= rig.nodes; i++) {
-      rig.cluster.controlPlane("n" + i, false);
+    for (int i = 1; i <= fixture.nodes; i++) {
+      fixture.cluster.controlPlane("n" + i, false);
     }
     run(10_000);
-    long first = rig.windowNow();
+    long first = fixture.currentWindow();
     run(20_000);
-    long last = rig.windowNow();
-    settle();
+    long last = fixture.currentWindow();
+    runUntilReportsAreDueAndCheckRules();
     assertReportedInTime(first, last);
-    assertCountsRight(first, last);
+    assertCountsCorrect(first, last);
   }
 
   /** Runs until so many ms after the close of a window, and returns its number. */
-  private long runUntilAfterAClose(long ms) {
-    long window = rig.windowNow();
-    long closesInMs = (window + 1) * UsageRig.WINDOW_MS - rig.cluster.trueTimeMs();
+  private long runPastWindowClose(long ms) {
+    long window = fixture.currentWindow();
+    long closesInMs = (window + 1) * UsageFixture.WINDOW_MS - fixture.cluster.trueTimeMs();
     run(closesInMs + ms);
     return window;
   }
@@ -231,110 +236,111 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {1_400, 1_800, 2_200, 2_600, 2_900})
-  void countsThatAreNotCommittedAreNotSent(long cutAfterCloseMs) {
-    begin(10);
-    runUntilAfterAClose(1_000);
-    String holder = rig.holder();
-    rig.cluster.net.cutBoth(rig.cluster.address("g1"), rig.cluster.address(holder));
-    run(UsageRig.WINDOW_MS);
-    long window = runUntilAfterAClose(cutAfterCloseMs);
-    for (int i = 1; i <= rig.nodes; i++) {
+  void uncommittedCountsAreNotSent(long cutAfterCloseMs) {
+    startFixture(10);
+    runPastWindowClose(1_000);
+    String holder = fixture.currentHolder();
+    fixture.cluster.net.cutBoth(fixture.cluster.address("g1"), fixture.cluster.address(holder));
+    run(UsageFixture.WINDOW_MS);
+    long window = runPastWindowClose(cutAfterCloseMs);
+    for (int i = 1; i <= fixture.nodes; i++) {
       if (!holder.equals("n" + i)) {
-        rig.cluster.net.cutBoth(rig.cluster.address(holder), rig.cluster.address("n" + i));
+        fixture.cluster.net.cutBoth(
+            fixture.cluster.address(holder), fixture.cluster.address("n" + i));
       }
     }
     run(8_000);
-    rig.cluster.net.healAll();
-    settle();
+    fixture.cluster.net.healAll();
+    runUntilReportsAreDueAndCheckRules();
     assertReportedInTime(window, window);
   }
 
   /** A gateway's counts that come after the decision change nothing. */
   @Test
-  void countsThatComeAfterTheDecisionAreNotSent() {
-    begin(11);
+  void countsReceivedAfterTheDecisionAreNotSent() {
+    startFixture(11);
     for (int i = 0; i < 4; i++) {
-      runUntilAfterAClose(-500);
-      rig.cluster.net.freeze(rig.cluster.address("g1"));
-      runUntilAfterAClose(4_000);
-      rig.cluster.net.thaw(rig.cluster.address("g1"));
+      runPastWindowClose(-500);
+      fixture.cluster.net.freeze(fixture.cluster.address("g1"));
+      runPastWindowClose(4_000);
+      fixture.cluster.net.thaw(fixture.cluster.address("g1"));
       run(4_000);
     }
-    settle();
+    runUntilReportsAreDueAndCheckRules();
   }
 
   /** Kills, freezes across the lease, cuts, lost answers and a platform in trouble, at random. */
   @ParameterizedTest
   @ValueSource(longs = {11, 12, 13, 14, 15, 16})
-  void noWindowHasTwoContentsUnderRandomFaults(long seed) {
+  void noWindowHasConflictingContentsUnderRandomFaults(long seed) {
     runRandomFaults(seed);
   }
 
   void runRandomFaults(long seed) {
-    begin(seed);
-    int before = rig.platform.windows().size();
-    for (long end = rig.cluster.timers.now() + 90_000; rig.cluster.timers.now() < end; ) {
-      run(500 + rig.random.nextInt(4_000));
+    startFixture(seed);
+    int before = fixture.platform.windows().size();
+    for (long end = fixture.cluster.timers.now() + 90_000; fixture.cluster.timers.now() < end; ) {
+      run(500 + fixture.random.nextInt(4_000));
       injectFault();
     }
-    rig.cluster.net.healAll();
-    rig.platform.trouble = Trouble.NONE;
-    rig.platform.lostAnswers = 0;
+    fixture.cluster.net.healAll();
+    fixture.platform.failureMode = FailureMode.NONE;
+    fixture.platform.replyLossRate = 0;
     run(20_000);
-    long first = rig.windowNow();
+    long first = fixture.currentWindow();
     run(15_000);
-    long last = rig.windowNow();
-    settle();
+    long last = fixture.currentWindow();
+    runUntilReportsAreDueAndCheckRules();
     assertReportedInTime(first, last);
-    assertThat(rig.platform.windows().size(), greaterThan(before + 5));
+    assertThat(fixture.platform.windows().size(), greaterThan(before + 5));
   }
 
   private void injectFault() {
-    String name = rig.holder();
-    if (name == null || rig.random.nextInt(4) == 0) {
-      name = "n" + (1 + rig.random.nextInt(rig.nodes));
+    String name = fixture.currentHolder();
+    if (name == null || fixture.random.nextInt(4) == 0) {
+      name = "n" + (1 + fixture.random.nextInt(fixture.nodes));
     }
-    String address = rig.cluster.address(name);
-    switch (rig.random.nextInt(7)) {
+    String address = fixture.cluster.address(name);
+    switch (fixture.random.nextInt(7)) {
       case 0 -> {
-        rig.cluster.kill(name);
-        run(500 + rig.random.nextInt(3_000));
-        rig.cluster.controlPlane(name, false);
+        fixture.cluster.kill(name);
+        run(500 + fixture.random.nextInt(3_000));
+        fixture.cluster.controlPlane(name, false);
       }
       case 1 -> {
-        rig.cluster.net.freeze(address);
-        run(200 + rig.random.nextInt(6_000));
-        rig.cluster.net.thaw(address);
+        fixture.cluster.net.freeze(address);
+        run(200 + fixture.random.nextInt(6_000));
+        fixture.cluster.net.thaw(address);
       }
       case 2 -> {
-        rig.cluster.net.isolate(address);
-        run(500 + rig.random.nextInt(5_000));
-        rig.cluster.net.healAll();
+        fixture.cluster.net.isolate(address);
+        run(500 + fixture.random.nextInt(5_000));
+        fixture.cluster.net.healAll();
       }
       case 3 -> {
-        rig.platform.trouble = Trouble.values()[1 + rig.random.nextInt(3)];
-        run(1_000 + rig.random.nextInt(4_000));
-        rig.platform.trouble = Trouble.NONE;
+        fixture.platform.failureMode = FailureMode.values()[1 + fixture.random.nextInt(3)];
+        run(1_000 + fixture.random.nextInt(4_000));
+        fixture.platform.failureMode = FailureMode.NONE;
       }
       case 4, 5 -> {
-        String gateway = rig.cluster.address("g" + (1 + rig.random.nextInt(6)));
-        if (rig.random.nextBoolean()) {
-          rig.cluster.net.freeze(gateway);
-          run(500 + rig.random.nextInt(6_000));
-          rig.cluster.net.thaw(gateway);
+        String gateway = fixture.cluster.address("g" + (1 + fixture.random.nextInt(6)));
+        if (fixture.random.nextBoolean()) {
+          fixture.cluster.net.freeze(gateway);
+          run(500 + fixture.random.nextInt(6_000));
+          fixture.cluster.net.thaw(gateway);
         } else {
-          rig.cluster.net.cutBoth(gateway, address);
+          fixture.cluster.net.cutBoth(gateway, address);
         }
       }
-      default -> rig.platform.lostAnswers = rig.random.nextInt(2) * 0.4;
+      default -> fixture.platform.replyLossRate = fixture.random.nextInt(2) * 0.4;
     }
   }
 
   @Test
   void oneHolderReportsAtATime() {
-    begin(9);
+    startFixture(9);
     run(10_000);
-    assertThat(rig.holder(), is(notNullValue()));
-    assertThat(rig.platform.refusals, is(0));
+    assertThat(fixture.currentHolder(), is(notNullValue()));
+    assertThat(fixture.platform.fencedCalls, is(0));
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/UsageRig.java
+++ b/controlplane/src/test/java/elmsail/controlplane/UsageFixture.java
@@ -12,9 +12,9 @@
 import java.util.TreeMap;
 
 /** Control-plane nodes, gateways whose requests start at random, and the platform's stand-in. */
-final class UsageRig {
+final class UsageFixture {
   static final long WINDOW_MS = 5_000;
-  static final long LATE_MS = 10_000;
+  static final long MAX_REPORT_DELAY_MS = 10_000;
   private static final long TRAFFIC_INTERVAL_MS = 50;
   private static final List<String> TENANTS = List.of("kaje80", "vopu11", "with \"quote\\");
 
@@ -23,12 +23,12 @@
   final Random random;
   final int nodes;
   private final int gateways;
-  private final Map<Long, Map<String, Long>> started = new TreeMap<>();
+  private final Map<Long, Map<String, Long>> startedRequests = new TreeMap<>();
   private final Map<String, SimNode> gatewayNodes = new HashMap<>();
   private long nextInstanceId = 1;
   boolean hasTraffic = true;
 
-  UsageRig(long seed, int nodes, int gateways) {
+  UsageFixture(long seed, int nodes, int gateways) {
     this.nodes = nodes;
     this.gateways = gateways;
     random = new Random(seed * 7 + 1);
@@ -85,31 +85,31 @@
               if (hasTraffic) {
                 String tenant = TENANTS.get(random.nextInt(TENANTS.size()));
                 meter.onRequestStarted(tenant);
-                started
-                    .computeIfAbsent(windowNow(), first -> new TreeMap<>())
+                startedRequests
+                    .computeIfAbsent(currentWindow(), first -> new TreeMap<>())
                     .merge(tenant, 1L, Long::sum);
               }
             });
   }
 
-  long windowNow() {
+  long currentWindow() {
     return Math.floorDiv(cluster.trueTimeMs(), WINDOW_MS);
   }
 
   /** The requests that started in that window of true time. */
-  Map<String, Long> started(long window) {
-    return started.getOrDefault(window, Map.of());
+  Map<String, Long> startedRequests(long window) {
+    return startedRequests.getOrDefault(window, Map.of());
   }
 
   /** How long after its close the window was taken in; Long.MAX_VALUE if it was not. */
-  long lateMs(long window) {
+  long reportDelayMs(long window) {
     Long acceptedAtMs = platform.acceptedAtMs(window);
     return acceptedAtMs == null
         ? Long.MAX_VALUE
         : cluster.trueTimeMs() - (cluster.timers.now() - acceptedAtMs) - (window + 1) * WINDOW_MS;
   }
 
-  String holder() {
+  String currentHolder() {
     for (Map.Entry<String, ControlPlaneNode> each : cluster.controlPlaneNodes.entrySet()) {
       if (each.getValue().leaseTerm() > 0 && isUp(each.getKey())) {
         return each.getKey();
--- a/controlplane/src/test/java/elmsail/controlplane/UsageLedgerTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/UsageLedgerTest.java
@@ -22,7 +22,7 @@
   }
 
   @Test
-  void windowOnceDecidedKeepsItsCounts() {
+  void decidedWindowKeepsItsCounts() {
     UsageLedger first = UsageLedger.startingAfter(9).decide(0, 11, window -> counts(window));
     UsageLedger second = first.decide(0, 12, window -> counts(100 + window));
     assertThat(second.unsent(), is(Map.of(10L, counts(10), 11L, counts(11), 12L, counts(112))));
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void windowsThatThePlatformHasAreLeftOutAndNotDecidedAgain() {
+  void acceptedWindowsAreRemovedAndNotDecidedAgain() {
     UsageLedger ledger =
         UsageLedger.startingAfter(9)
             .decide(0, 11, window -> counts(1))
@@ -41,14 +41,14 @@
   }
 
   @Test
-  void windowsThatNobodyKnowsAnyMoreArePassedOver() {
+  void windowsThatAreTooOldAreSkipped() {
     UsageLedger ledger = UsageLedger.startingAfter(9).decide(50, 51, window -> counts(1));
     assertThat(ledger.unsent().keySet(), contains(50L, 51L));
     assertThat(ledger.decide(51, 52, window -> counts(1)).unsent().keySet(), contains(51L, 52L));
   }
 
   @Test
-  void bytesInTheRegisterStayReadable() {
+  void registerValueKeepsItsFormat() {
     String pinned =
         "01"
             + "0000000015112233"
@@ -66,7 +66,7 @@
   }
 
   @Test
-  void otherBytesAreMalformed() {
+  void invalidBytesAreRejectedAsMalformed() {
     for (String bytes : List.of("", "02", "010000000015112233ffffffff", "01000000")) {
       ElmsailException refused =
           assertThrows(
@@ -78,7 +78,7 @@
   }
 
   @Test
-  void bodyIsThatOfTheProtocol() {
+  void jsonBodyMatchesThePlatformsApi() {
     assertThat(
         new String(
             UsageJson.encode(353_445_120, new TreeMap<>(Map.of("vopu11", 412L, "kaje80", 412L))),
--- a/controlplane/src/test/java/elmsail/controlplane/UsageTableTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/UsageTableTest.java
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void sumsUpOverGatewaysAndTheirInstances() {
+  void totalsSumOverGatewayInstances() {
     table.onReport(report(1, NOW, "a", 3), NOW);
     table.onReport(report(2, NOW, "a", 4), NOW);
     table.onReport(report(2, NOW, "b", 1), NOW);
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void repeatsAndReportsThatOvertakeEachOtherChangeNothing() {
+  void repeatedAndReorderedReportsDoNotLowerCounts() {
     table.onReport(report(1, NOW, "a", 5), NOW);
     table.onReport(report(1, NOW, "a", 3), NOW);
     table.onReport(report(1, NOW, "a", 5), NOW);
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void windowsAreBounded() {
+  void numberOfWindowsIsBounded() {
     table.onReport(report(1, NOW + 1, "a", 5), NOW);
     table.onReport(report(1, NOW - 4, "a", 5), NOW);
     table.onReport(report(1, Long.MIN_VALUE, "a", 5), NOW);
