--- a/controlplane/src/main/java/elmsail/controlplane/CommittedValue.java
+++ b/controlplane/src/main/java/elmsail/controlplane/CommittedValue.java
@@ -8,13 +8,17 @@
 import java.util.function.Consumer;
 
 /**
- * One key of the register as this process last saw it committed. Read at a majority at an interval,
- * which transfers no value while nothing is newer. Runs on the event loop.
+ * The newest committed value of one register key that this process has seen. The key is read from a
+ * majority at an interval; a read transfers no value while nothing newer is committed. Runs on the
+ * event loop.
  */
 final class CommittedValue {
   private static final long READ_TIMEOUT_MS = 600;
 
-  /** After a failed read, so that contact is back soon after a partition has healed. */
+  /**
+   * Delay before the next read after a failed one; short, so that contact is restored soon after a
+   * partition has healed.
+   */
   private static final long RETRY_DELAY_MS = 100;
 
   private final Register register;
@@ -31,7 +35,7 @@
   private boolean closed;
   private Timers.Timer nextReadTimer;
 
-  /** Creates one that reads nothing before {@link #refresh()}. */
+  /** Creates an instance that reads nothing before {@link #refresh()}. */
   CommittedValue(Register register, String key, Timers timers, long readIntervalMs) {
     this.register = register;
     this.key = key;
@@ -40,12 +44,12 @@
     this.quorumContact = new QuorumContact(timers);
   }
 
-  /** Calls the listener with each newer value; never with null. */
+  /** Adds a listener that is called with each newer value, never with null. */
   void addListener(Consumer<byte[]> listener) {
     listeners.add(listener);
   }
 
-  /** Reads now, or once more after the read in flight. */
+  /** Starts a read now, or after the read that is in flight. */
   void refresh() {
     if (closed) {
       return;
@@ -87,7 +91,9 @@
     }
   }
 
-  /** Learns the result of a read or a change; null and older ones are ignored. */
+  /**
+   * Takes the result of a read or a change; a missing value or one that is not newer is ignored.
+   */
   void offer(Register.VersionedValue candidate) {
     if (candidate == null || candidate.value() == null || candidate.ballot() == null) {
       return;
@@ -103,9 +109,9 @@
   }
 
   /**
-   * The value of a read that was made with {@link #ballot()}: the value kept here if nothing was
-   * newer. A newer one may have been learned here while that read was in flight; it was committed
-   * since the read began, so it is returned instead.
+   * Returns the value of a read that was made with {@link #ballot()}: the value kept here if the
+   * read found nothing newer. A newer value may have been kept here while the read was in flight.
+   * That value was committed after the read began, so it is a valid result and is returned.
    */
   byte[] resolveValue(Register.VersionedValue readResult) {
     boolean isUnchanged =
@@ -115,12 +121,12 @@
     return isUnchanged ? value : readResult.value();
   }
 
-  /** The ballot of the newest value seen; null if none. */
+  /** The ballot of the newest value seen; null before the first value. */
   Ballot ballot() {
     return ballot;
   }
 
-  /** The newest value seen; null if none. Not to be changed. */
+  /** The newest value seen; null before the first value. Callers must not modify the array. */
   byte[] value() {
     return value;
   }
@@ -130,7 +136,10 @@
     return hasBeenRead;
   }
 
-  /** Contact with a majority by reads of this key: nothing newer was committed by then. */
+  /**
+   * The contact with a majority by reads of this key. When a read that counts was sent, nothing
+   * newer than the kept value was committed.
+   */
   QuorumContact quorumContact() {
     return quorumContact;
   }
--- a/controlplane/src/main/java/elmsail/controlplane/ConfigChange.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ConfigChange.java
@@ -3,15 +3,15 @@
 import elmsail.config.ConfigAmendment;
 import elmsail.config.RoutingConfigReader;
 
-/** An operator's change of the routing configuration, parsed from the body of the call. */
+/** An operator's change to the routing configuration, parsed from the request body. */
 interface ConfigChange {
-  /** The version of the configuration that it makes. */
+  /** The version of the configuration that results from this change. */
   long version();
 
   /**
-   * The configuration that it makes of the current one, validated.
+   * Applies this change to the current configuration and validates the result.
    *
-   * @param current JSON of the current configuration; empty if there is none
+   * @param current the current configuration as JSON; empty if there is none
    * @throws elmsail.runtime.ElmsailException INVALID_ARGUMENT if the result would be invalid
    */
   byte[] applyTo(byte[] current);
@@ -19,7 +19,10 @@
   /** Parses the body of one kind of change. */
   @FunctionalInterface
   interface Reader {
-    /** Fails with INVALID_ARGUMENT or MALFORMED if no current configuration makes it valid. */
+    /**
+     * Fails with INVALID_ARGUMENT or MALFORMED if the change is invalid whatever the current
+     * configuration is.
+     */
     ConfigChange read(byte[] body);
   }
 
--- a/controlplane/src/main/java/elmsail/controlplane/ConfigChangeHandler.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ConfigChangeHandler.java
@@ -12,30 +12,33 @@
 import java.util.function.LongConsumer;
 
 /**
- * The operators' calls {@code POST /Timetable.Replace} and {@code POST /Timetable.Amend}: commits a
- * change of the routing configuration if it is valid and on top of the current version. There is
- * one handler for each call, on the same key of the register. Runs on the event loop.
+ * Handles the operators' calls {@code POST /Timetable.Replace} and {@code POST /Timetable.Amend}:
+ * commits a change to the routing configuration if the change is valid and based on the current
+ * version. Each call has its own handler; both change the same register key. Runs on the event
+ * loop.
  *
- * <p>200, 400 and 412 are final, so they are given only for what a committed value proves ({@link
- * ConfigHistory}); a change is declined only on a value that a majority accepted, or that was
- * written back to a majority at a higher ballot. All else is 503, or 504 where something was sent
- * that may have been accepted, and the operator may send the change again, here or elsewhere.
+ * <p>The statuses 200, 400 and 412 are final, so the handler returns them only if a committed value
+ * proves them ({@link ConfigHistory}). A change is declined only on the basis of a value that a
+ * majority accepted, or that was written back to a majority at a higher ballot. In all other cases
+ * the status is 503, or 504 if a proposal was sent that may have been accepted; the operator may
+ * then send the change again, to this node or to another.
  *
- * <p>The body is validated last. A change that is in the history is acknowledged again whatever
- * this version of the program makes of it; an invalid one on the current version is rejected, which
- * is final as long as all versions that run at the same time agree on what is valid. Only a call
- * whose base is no number is rejected at once, as no version ever committed one.
+ * <p>The body is validated last. A change that is in the history is acknowledged again even if this
+ * version of the program considers it invalid. An invalid change that is based on the current
+ * version is rejected; the rejection is final as long as all program versions that run at the same
+ * time agree on what is valid. Only a call whose base version is not a number is rejected at once,
+ * because no program version ever committed such a change.
  */
 final class ConfigChangeHandler implements HttpHandler {
   static final String KEY = "timetable";
 
-  /** Operators give up after 1,000 ms without a response. */
+  /** Below the operators' timeout of 1,000 ms. */
   private static final long REPLY_DEADLINE_MS = 900;
 
   private static final long MIN_ATTEMPT_MS = 150;
   private static final long RETRY_DELAY_MS = 20;
 
-  /** Which of the calls it came by; part of a change's identity. */
+  /** The call by which a change was sent; part of the change's identity. */
   enum ChangeKind {
     REPLACE,
     AMEND
@@ -53,9 +56,9 @@
    * Creates the handler of one call.
    *
    * @param register of the control-plane voters
-   * @param changeKind which call this handles
-   * @param changeReader parses its bodies
-   * @param committedConfig the key as last read; learns what the calls commit
+   * @param changeKind the kind of change that this handler takes
+   * @param changeReader parses the request bodies
+   * @param committedConfig the configuration as last read; receives the values that calls commit
    * @param commitListener called with each version that a call through this handler committed
    */
   ConfigChangeHandler(
@@ -76,16 +79,16 @@
   }
 
   /**
-   * The reply that a committed value proves.
+   * A reply that a committed value proves.
    *
-   * @param status 200 or an error of HTTP
-   * @param reason for an error
+   * @param status 200 or an HTTP error status
+   * @param reason of the error; empty for status 200
    */
   private record Decision(int status, String reason) {
-    /** The change is in the history, or is committed by this call. */
+    /** The change is in the history, or this call commits it. */
     static final Decision ACCEPTED = new Decision(200, "");
 
-    /** No committed value was seen yet. */
+    /** No committed value has been read yet. */
     static final Decision UNDECIDED = new Decision(503, "not reached");
 
     SimpleHttpResponse toReply() {
@@ -93,13 +96,13 @@
     }
   }
 
-  /** One call: its change, and what the last attempt decided. */
+  /** One call: its change and the decision of the last attempt. */
   private static final class PendingChange {
     final long baseVersion;
     final byte[] digest;
     final long deadlineMs;
 
-    /** Null if the body is invalid; {@link #validationError} says why. */
+    /** Null if the body is invalid; {@link #validationError} then holds the reason. */
     final ConfigChange change;
 
     final String validationError;
@@ -120,7 +123,7 @@
       this.deadlineMs = deadlineMs;
     }
 
-    /** Leaves the register's value as it is, with that decision. */
+    /** Records the decision and leaves the register's value unchanged. */
     Register.ProposedValue decline(Decision declined) {
       decision = declined;
       return new Register.ProposedValue(null, List.of());
@@ -155,7 +158,9 @@
     }
   }
 
-  /** Why the operator's body is invalid; failures of this process are thrown on. */
+  /**
+   * Returns why the operator's request body is invalid; rethrows any failure with another cause.
+   */
   private static String validationError(ElmsailException failure) {
     if (failure.code() != ErrorCode.INVALID_ARGUMENT && failure.code() != ErrorCode.MALFORMED) {
       throw failure;
@@ -185,9 +190,14 @@
       case APPLICABLE -> applyToCurrent(pending, current);
       case SUPERSEDED -> pending.decline(new Decision(412, "current: " + current.version()));
       case BASE_NOT_COMMITTED ->
-          pending.decline(new Decision(503, "not in force yet; current: " + current.version()));
+          pending.decline(
+              new Decision(
+                  503, "base version is not committed yet; current: " + current.version()));
       case BASE_FORGOTTEN ->
-          pending.decline(new Decision(503, "too old to tell; current: " + current.version()));
+          pending.decline(
+              new Decision(
+                  503,
+                  "base version is too old to tell the outcome; current: " + current.version()));
     };
   }
 
--- a/controlplane/src/main/java/elmsail/controlplane/ConfigChangeStatus.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ConfigChangeStatus.java
@@ -1,15 +1,20 @@
 package elmsail.controlplane;
 
-/** What a committed configuration proves of one change: see {@link ConfigHistory#statusOf}. */
+/** What a committed configuration proves about one change: see {@link ConfigHistory#statusOf}. */
 enum ConfigChangeStatus {
-  /** It was committed, and it is remembered. */
+  /** The change was committed and is in the history. */
   COMMITTED,
-  /** Its base is the current version: it was not committed before, and may be now. */
+  /**
+   * The base is the current version: the change has not been committed and may be committed now.
+   */
   APPLICABLE,
-  /** Another change was committed on its base: it was not committed and never will be. */
+  /**
+   * The change was not committed and never will be: another change was committed on its base, or
+   * its base was never a committed version.
+   */
   SUPERSEDED,
-  /** Its base is above the current version, which may still reach it. */
+  /** The base is above the current version; a later change may still commit it. */
   BASE_NOT_COMMITTED,
-  /** Its base is older than all changes that are remembered: nothing can be proved any more. */
+  /** The base is older than all changes in the history: the outcome can no longer be determined. */
   BASE_FORGOTTEN
 }
--- a/controlplane/src/main/java/elmsail/controlplane/ConfigHistory.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ConfigHistory.java
@@ -12,40 +12,44 @@
 import java.util.Arrays;
 
 /**
- * The register's value of the routing configuration: the current configuration, and the changes
- * that led to it, so that a change sent again is recognized.
+ * The register's value of the routing configuration: the current configuration and the latest
+ * changes that led to it, by which a repeated change is recognized.
  *
- * <p>A change is identified by its kind, its base version and its body, which holds the version
- * that it makes. It is committed only on top of the current version, and its version is higher than
- * its base, so the committed changes form a chain of rising versions in which each version is the
- * base of exactly one successor. The base and a digest of the last {@value #MAX_CHANGES} changes
- * are remembered. From one committed value this follows for a change with base B, where the current
- * version is V and the oldest remembered change has the base O:
+ * <p>A change is identified by its kind, its base version and its body, which contains the new
+ * version. A change is committed only if its base is the current version, and its new version is
+ * higher than its base. The committed changes therefore form a chain of rising versions, in which
+ * each version except the current one is the base of exactly one successor. The history keeps the
+ * base and a digest of the last {@value #MAX_CHANGES} changes. If the current version is V and the
+ * oldest change in the history has the base O, one committed value proves the following about a
+ * change with the base B:
  *
  * <ul>
- *   <li>B = V: no change on B is committed yet, this one included. It may be committed now.
- *   <li>O &lt;= B &lt; V: if it was committed, then on B, and it is remembered as B's successor. If
- *       B's successor is another, or B is no version of the chain, it was not committed and never
- *       will be: every later value descends from this one, and none of its descendants has base B.
- *       That is also true of an earlier attempt that only reached a minority, because no ballot
- *       above the committed one proposes anything but a descendant.
- *   <li>B &lt; O: it may have been committed and forgotten.
- *   <li>B &gt; V: B may be committed yet, and an attempt at this change may be under way elsewhere.
- *       Nothing is certain.
+ *   <li>B = V: no change based on B is committed yet, so neither is this change. It may be
+ *       committed now.
+ *   <li>O &lt;= B &lt; V: if the change was committed, the history contains it as B's successor. If
+ *       B's successor is another change, or B is not a version of the chain, the change was not
+ *       committed and never will be: every later value descends from this value, and no later
+ *       change has the base B. This also holds for an earlier attempt that reached only a minority,
+ *       because every ballot above the committed one proposes a descendant of the committed value.
+ *   <li>B &lt; O: the change may have been committed and dropped from the history.
+ *   <li>B &gt; V: B may still be committed, and another node may be attempting this change. Nothing
+ *       is proved.
  * </ul>
  *
- * <p>In the last two cases the only correct reply leaves the outcome open. Immutable.
+ * <p>In the last two cases the reply must leave the outcome open. Immutable.
  */
 final class ConfigHistory {
-  /** The most changes that are remembered. */
+  /** The maximum number of changes in the history. */
   static final int MAX_CHANGES = 1_024;
 
-  /** Short, as a digest is only compared with that of the one change with the same base. */
+  /**
+   * Short, because a digest is only compared with the digest of the one change with the same base.
+   */
   static final int DIGEST_BYTES = 8;
 
   static final ConfigHistory EMPTY = new ConfigHistory(0, new byte[0], new long[0], new byte[0]);
 
-  /** The first byte of a value; values in the legacy format begin with 0. */
+  /** The first byte of an encoded value; values in the legacy format begin with 0. */
   private static final byte FORMAT_VERSION = 2;
 
   /** Format, current version, count of changes, base version of the oldest change. */
@@ -64,10 +68,12 @@
   private final long version;
   private final byte[] configBytes;
 
-  /** Rising; each but the first is the version that the change before it made. */
+  /**
+   * In ascending order; each except the first is the version that the preceding change produced.
+   */
   private final long[] baseVersions;
 
-  /** {@value #DIGEST_BYTES} bytes for each of {@code bases}. */
+  /** {@value #DIGEST_BYTES} bytes for each element of {@code baseVersions}. */
   private final byte[] digests;
 
   private ConfigHistory(long version, byte[] configBytes, long[] baseVersions, byte[] digests) {
@@ -77,22 +83,25 @@
     this.digests = digests;
   }
 
-  /** The current version; 0 if none was ever committed. */
+  /** The current version; 0 if no configuration was ever committed. */
   long version() {
     return version;
   }
 
-  /** The current configuration as JSON; empty if none was ever committed. */
+  /** The current configuration as JSON; empty if no configuration was ever committed. */
   byte[] configBytes() {
     return configBytes;
   }
 
-  /** How many changes are remembered. */
+  /** The number of changes in the history. */
   int changeCount() {
     return baseVersions.length;
   }
 
-  /** What is certain of the change with that base version and digest: see the class comment. */
+  /**
+   * Returns what is proved about the change with that base version and digest: see the class
+   * comment.
+   */
   ConfigChangeStatus statusOf(long baseVersion, byte[] digest) {
     if (baseVersion >= version) {
       return baseVersion == version
@@ -112,7 +121,10 @@
     return Arrays.copyOfRange(digests, index * DIGEST_BYTES, (index + 1) * DIGEST_BYTES);
   }
 
-  /** The history after a change on top of the current version; the oldest change may be dropped. */
+  /**
+   * Returns the history with one more change, based on the current version; drops the oldest change
+   * if the history is full.
+   */
   ConfigHistory append(long newVersion, byte[] newConfigBytes, byte[] digest) {
     int firstKept = Math.max(0, baseVersions.length + 1 - MAX_CHANGES);
     int keptCount = baseVersions.length - firstKept;
@@ -125,12 +137,15 @@
     return new ConfigHistory(newVersion, newConfigBytes, nextBases, nextDigests);
   }
 
-  /** Digest that identifies a replacement: of its base version and its body. */
+  /** Digest of the base version and the body that identifies a replacement. */
   static byte[] replacementDigest(long baseVersion, byte[] body) {
     return digest(REPLACEMENT_DIGEST_PREFIX, baseVersion, body);
   }
 
-  /** Digest that identifies an amendment; never that of a replacement with the same body. */
+  /**
+   * Digest of the base version and the body that identifies an amendment; differs from the digest
+   * of a replacement with the same body.
+   */
   static byte[] amendmentDigest(long baseVersion, byte[] body) {
     return digest(AMENDMENT_DIGEST_PREFIX, baseVersion, body);
   }
@@ -146,7 +161,7 @@
     }
   }
 
-  /** The register's value, in the current format. */
+  /** Encodes the register's value in the current format. */
   byte[] encode() {
     int expectedBytes = HEADER_BYTES + MAX_CHANGE_BYTES * baseVersions.length + configBytes.length;
     return ValueCodec.encode(VALUE_NAME, expectedBytes, this::writeTo);
@@ -166,8 +181,9 @@
   }
 
   /**
-   * Decodes a value of the register; null gives the empty history. Of a value in the legacy format
-   * no change is kept, as its digests do not cover the base: they all count as forgotten.
+   * Decodes a value of the register; null yields the empty history. The changes in a value of the
+   * legacy format are discarded, because their digests do not cover the base version; their status
+   * is BASE_FORGOTTEN.
    *
    * @throws ElmsailException MALFORMED if the value cannot be decoded
    */
@@ -201,7 +217,7 @@
       }
     }
     if (count > 0 && nextVersion != version) {
-      throw malformed("the last change makes version " + nextVersion + ", expected " + version);
+      throw malformed("the last change produces version " + nextVersion + ", expected " + version);
     }
     return new ConfigHistory(version, in.readAllBytes(), baseVersions, digests);
   }
@@ -213,7 +229,9 @@
     return new ConfigHistory(version, in.readAllBytes(), new long[0], new byte[0]);
   }
 
-  /** Writes seven bits a byte, the low ones first, with the top bit set where more follow. */
+  /**
+   * Writes seven bits per byte, least significant first; the top bit is set if more bytes follow.
+   */
   private static void writeVarint(DataOutputStream out, long number) throws IOException {
     long remaining = number;
     while ((remaining & ~0x7FL) != 0) {
--- a/controlplane/src/main/java/elmsail/controlplane/ConfigurationManager.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ConfigurationManager.java
@@ -10,12 +10,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Owns the routing configuration, kept in the register under {@link ConfigChangeHandler#KEY}: reads
- * it at a majority at an interval, publishes it to the processes that watch this node, and creates
- * the handlers of the operators' calls. Runs on the event loop.
+ * Manages the routing configuration, which the register stores under {@link
+ * ConfigChangeHandler#KEY}: reads the configuration from a majority at an interval, publishes it to
+ * the processes that watch this node, and creates the handlers of the operators' calls. Runs on the
+ * event loop.
  *
- * <p>Its reads are the most frequent ones of this node, so their {@link #quorumContact()} says
- * whether the node may answer at all.
+ * <p>These reads are the most frequent register reads of this node, so their {@link
+ * #quorumContact()} determines whether the node may respond to requests.
  */
 final class ConfigurationManager {
   private static final Logger LOG = LoggerFactory.getLogger(ConfigurationManager.class);
@@ -31,10 +32,10 @@
   private final ControlPlaneCounters counters;
 
   /**
-   * Creates one that reads nothing before {@link #refresh()}.
+   * Creates a manager that reads nothing before {@link #refresh()}.
    *
    * @param register of the control-plane voters
-   * @param peerNotifier messages to the other control-plane voters
+   * @param peerNotifier sends notifications to the other control-plane voters
    * @param watchServer serves this node's state to the processes that watch it
    * @param configWatcher watches the other control-plane nodes
    */
@@ -55,13 +56,16 @@
         new CommittedValue(register, ConfigChangeHandler.KEY, timers, READ_INTERVAL_MS);
   }
 
-  /** Publishes what is committed, and reads the register at once when a peer notifies. */
+  /**
+   * Starts to publish committed configurations, and to read the register at once on a peer's
+   * notification.
+   */
   void registerNotifications() {
     committedConfig.addListener(this::onCommitted);
     peerNotifier.onNotification(PeerMessageKind.CONFIG_COMMITTED, committedConfig::refresh);
   }
 
-  /** Reads the configuration now, and from then on at an interval. */
+  /** Reads the configuration now and then repeatedly at an interval. */
   void refresh() {
     committedConfig.refresh();
   }
@@ -75,7 +79,7 @@
     return committedConfig.quorumContact();
   }
 
-  /** The newest committed value that this node has seen; null before the first. */
+  /** The newest committed register value that this node has seen; null before the first. */
   byte[] committedValue() {
     return committedConfig.value();
   }
@@ -121,7 +125,7 @@
       configWatcher.offerConfig(history.configBytes());
     } catch (ElmsailException e) {
       LOG.error(
-          "configuration {} was committed and cannot be read here: {}",
+          "configuration {} is committed but this node cannot parse it: {}",
           history.version(),
           e.getMessage());
     }
--- a/controlplane/src/main/java/elmsail/controlplane/DecommissionHandler.java
+++ b/controlplane/src/main/java/elmsail/controlplane/DecommissionHandler.java
@@ -6,11 +6,13 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The operators' calls {@code POST /Retire.Begin/MACHINE} and {@code GET /Retire.Read/MACHINE};
- * what they answer is decided by the {@link DecommissionManager}. Runs on the event loop.
+ * Handles the operators' calls {@code POST /Retire.Begin/MACHINE} and {@code GET
+ * /Retire.Read/MACHINE}; the {@link DecommissionManager} determines the responses. Runs on the
+ * event loop.
  *
- * <p>404 and 409 are final, so they are given only where a majority of the control-plane nodes
- * agrees; where that cannot be found out the reply is 503 and the operator tries again.
+ * <p>The statuses 404 and 409 are final, so the handler returns them only if a majority of the
+ * control-plane nodes agrees. If the majority cannot be queried, the status is 503 and the operator
+ * retries.
  */
 final class DecommissionHandler implements HttpHandler {
   static final String BEGIN_PATH = "/Retire.Begin/";
@@ -36,7 +38,8 @@
                 isKnown
                     ? respond(isBegin, machine)
                     : Replies.completed(Replies.error(404, "unknown")))
-        .exceptionally(failure -> Replies.error(503, "not sure who is there"));
+        .exceptionally(
+            failure -> Replies.error(503, "no majority can tell whether the machine exists"));
   }
 
   private CompletableFuture<SimpleHttpResponse> respond(boolean isBegin, String machine) {
@@ -53,8 +56,9 @@
   private static SimpleHttpResponse beginReply(DecommissionManager.BeginResult result) {
     return switch (result) {
       case LISTED -> Replies.json(200, "{}");
-      case TOO_FEW_STORES_REMAIN -> Replies.error(409, "too few would remain");
-      case TOO_FEW_STORES_SEEN -> Replies.error(503, "too few are heard at present");
+      case TOO_FEW_STORES_REMAIN -> Replies.error(409, "too few stores would remain");
+      case TOO_FEW_STORES_SEEN ->
+          Replies.error(503, "too few stores are sending heartbeats at present");
     };
   }
 
--- a/controlplane/src/main/java/elmsail/controlplane/DecommissionList.java
+++ b/controlplane/src/main/java/elmsail/controlplane/DecommissionList.java
@@ -8,13 +8,14 @@
 
 /**
  * Codec of the register's value under {@link #KEY}: the names of the machines whose stores are to
- * be decommissioned. Names are only ever added, as the call for one may be repeated at any time and
- * its state is read by name; so the list is bounded by {@value #MAX_MACHINES}.
+ * be decommissioned. Names are never removed, because operators may repeat a decommission call at
+ * any time and read the state by name; the list is therefore limited to {@value #MAX_MACHINES}
+ * names.
  */
 final class DecommissionList {
   static final String KEY = "retire";
 
-  /** The list never has more names. */
+  /** The maximum number of names in the list. */
   static final int MAX_MACHINES = 10_000;
 
   private static final String VALUE_NAME = "decommission list";
@@ -22,7 +23,7 @@
   private DecommissionList() {}
 
   /**
-   * The names in a value; none for null.
+   * Decodes the names; null yields an empty set.
    *
    * @throws ElmsailException MALFORMED if the value cannot be decoded
    */
@@ -44,9 +45,10 @@
   }
 
   /**
-   * The value with one more name.
+   * Encodes the list with one more name.
    *
-   * @throws ElmsailException RESOURCE_EXHAUSTED if there are {@value #MAX_MACHINES} already
+   * @throws ElmsailException RESOURCE_EXHAUSTED if the list already has {@value #MAX_MACHINES}
+   *     names
    */
   static byte[] encodeWith(Set<String> names, String added) {
     if (names.size() >= MAX_MACHINES) {
--- a/controlplane/src/main/java/elmsail/controlplane/DecommissionManager.java
+++ b/controlplane/src/main/java/elmsail/controlplane/DecommissionManager.java
@@ -15,35 +15,39 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Owns the list of stores to decommission, kept in the register under {@link DecommissionList#KEY}.
- * Runs on the event loop.
+ * Manages the list of stores to decommission, which the register stores under {@link
+ * DecommissionList#KEY}. Runs on the event loop.
  *
- * <p>A store is {@link DecommissionState#DECOMMISSIONED} only while this node is in contact with a
- * majority, and if every holder of a voter slot has just reported that it votes under one and the
- * same voter set, in which the store has no slot. The lease holder never gives a slot to a listed
- * store, so the state is final.
+ * <p>This node reports a store as {@link DecommissionState#DECOMMISSIONED} only while the node is
+ * in contact with a majority, and only if every holder of a voter slot has recently reported that
+ * it votes under the same voter set, in which the store has no slot. The lease holder never assigns
+ * a slot to a listed store, so the state is final.
  */
 final class DecommissionManager {
-  /** The lease holder has read the list within this time whenever it assigns slots. */
+  /** Maximum age of the list that the lease holder has read when it assigns slots. */
   static final long MAX_LIST_AGE_MS = 2_500;
 
   private static final long LIST_READ_INTERVAL_MS = 1_000;
   private static final long CHANGE_TIMEOUT_MS = 900;
 
-  /** Nodes in unbroken contact for a shorter time can't tell yet which stores don't exist. */
+  /**
+   * A node that has been in uninterrupted contact for a shorter time cannot tell yet which stores
+   * do not exist.
+   */
   private static final long MIN_OBSERVATION_MS = 3_000;
 
   /**
-   * Heartbeats prove a decommissioning only from so long after this node saw the store listed: by
-   * then the lease holder has read the list too ({@link #MAX_LIST_AGE_MS}), and a store that was
-   * assigned a slot before has reported that it joined.
+   * A heartbeat counts as evidence of a decommissioning only if it arrives at least this long after
+   * this node first read the store's name in the list. By then the lease holder has also read the
+   * list ({@link #MAX_LIST_AGE_MS}), and a store that was assigned a slot earlier has reported that
+   * it joined.
    */
   private static final long MIN_TIME_SINCE_LISTED_MS = 3_000;
 
   private static final long MAX_AVAILABLE_HEARTBEAT_AGE_MS = 2_500;
   private static final long MAX_VOTER_HEARTBEAT_AGE_MS = 1_500;
 
-  /** A store that was silent for longer does not come back by itself. */
+  /** A store without heartbeats for longer is not expected to return by itself. */
   private static final long MAX_POSSIBLE_HEARTBEAT_AGE_MS = 30_000;
 
   private final Register register;
@@ -58,26 +62,32 @@
   private final Map<String, Long> listedAtMs = new HashMap<>();
   private final Set<String> decommissioned = new HashSet<>();
 
-  /** What became of a request to decommission a store. */
+  /** The result of a request to decommission a store. */
   enum BeginResult {
-    /** The store is on the list, newly or since before. */
+    /** The store is on the list, added by this request or an earlier one. */
     LISTED,
-    /** Not listed, and final: a majority knows of too few stores that would remain. */
+    /**
+     * The store is not listed, which is final: according to a majority, too few stores would
+     * remain.
+     */
     TOO_FEW_STORES_REMAIN,
-    /** Not listed: enough stores may exist, but too few of them are seen at present. */
+    /**
+     * The store is not listed: enough stores may exist, but too few of them have sent a recent
+     * heartbeat to this node.
+     */
     TOO_FEW_STORES_SEEN
   }
 
   /**
-   * Creates one that reads nothing before {@link #refresh()}.
+   * Creates a manager that reads nothing before {@link #refresh()}.
    *
    * @param environment of this process
    * @param register of the control-plane voters
    * @param storeHeartbeats received by this node
    * @param jobStoreVoters as this node knows them
    * @param quorumContact of this node with a majority of the control-plane voters
-   * @param peerNotifier messages to the other control-plane voters
-   * @param heartbeatQuery to the other control-plane voters
+   * @param peerNotifier sends notifications to the other control-plane voters
+   * @param heartbeatQuery queries the heartbeats that the other control-plane voters received
    */
   DecommissionManager(
       NodeEnvironment environment,
@@ -100,14 +110,17 @@
     heartbeatQuery.setLocalHeartbeats(this::localHeartbeats);
   }
 
-  /** Notifies the peers of changes seen here, and reads the list at once when they notify. */
+  /**
+   * Starts to notify the peers of changes that this node reads, and to read the list at once on a
+   * peer's notification.
+   */
   void registerNotifications() {
     committedList.addListener(this::onListCommitted);
     peerNotifier.onNotification(PeerMessageKind.DECOMMISSIONS_CHANGED, committedList::refresh);
     peerNotifier.register(PeerMessageKind.STORE_HEARTBEATS, heartbeatQuery::respond);
   }
 
-  /** Reads the list now, and from then on at an interval. */
+  /** Reads the list now and then repeatedly at an interval. */
   void refresh() {
     committedList.refresh();
   }
@@ -116,17 +129,19 @@
     committedList.close();
   }
 
-  /** Names of the machines whose stores are to be decommissioned, as last read. */
+  /** Names of the machines whose stores are to be decommissioned, from the last read. */
   Set<String> listedMachines() {
     return DecommissionList.decode(committedList.value());
   }
 
-  /** Whether the list was read at a majority recently enough to assign voter slots by it. */
+  /**
+   * Whether the list was read from a majority recently enough for the assignment of voter slots.
+   */
   boolean isListCurrent() {
     return committedList.quorumContact().isWithin(MAX_LIST_AGE_MS);
   }
 
-  /** Whether this node by itself knows a store of that machine. */
+  /** Whether this node knows a store on that machine from its own state. */
   boolean isKnown(String machine) {
     if (machine.isEmpty()) {
       return false;
@@ -137,8 +152,8 @@
   }
 
   /**
-   * Whether a majority of the control-plane voters has had a heartbeat from a store of that
-   * machine; fails with NO_QUORUM if no majority can tell.
+   * Queries a majority of the control-plane voters and returns whether any of them received a
+   * heartbeat from a store on that machine; fails with NO_QUORUM if no majority can tell.
    */
   CompletableFuture<Boolean> isKnownToMajority(String machine) {
     return heartbeatQuery
@@ -147,8 +162,8 @@
   }
 
   /**
-   * Lists the store on that machine, unless too few stores would remain for the voter slots. Fails
-   * if the register cannot be changed, or if no majority can tell which stores exist.
+   * Adds the store on that machine to the list, unless too few stores would remain for the voter
+   * slots. Fails if the register cannot be changed, or if no majority can tell which stores exist.
    */
   CompletableFuture<BeginResult> begin(String machine) {
     ListChange change = new ListChange(machine);
@@ -163,7 +178,7 @@
             });
   }
 
-  /** One request to list a store; the last proposal is the one that counts. */
+  /** One request to list a store; the fields hold the outcome of the last proposal. */
   private final class ListChange {
     private final String machine;
     private Set<String> listed = Set.of();
@@ -183,7 +198,7 @@
     }
   }
 
-  /** Whether enough stores that remain have sent a heartbeat to this node lately. */
+  /** Whether enough of the remaining stores have sent a recent heartbeat to this node. */
   private boolean hasEnoughStoresWithout(String machine, Set<String> listed) {
     int available = 0;
     for (HeartbeatTable.Member store : storeHeartbeats.members()) {
@@ -232,7 +247,7 @@
     return Optional.of(DecommissionState.IN_SERVICE);
   }
 
-  /** Whether all voters vote under the known voter set, and the store itself votes no more. */
+  /** Whether all voters vote under the known voter set and the store itself no longer votes. */
   private boolean isReplaced(String machine) {
     VoterSet voterSet = jobStoreVoters.current();
     for (Voter voter : voterSet.voters) {
--- a/controlplane/src/main/java/elmsail/controlplane/DecommissionState.java
+++ b/controlplane/src/main/java/elmsail/controlplane/DecommissionState.java
@@ -1,6 +1,6 @@
 package elmsail.controlplane;
 
-/** How far a store's decommissioning is, as the operators' API reports it. */
+/** Progress of a store's decommissioning, as the operators' API reports it. */
 enum DecommissionState {
   /** The store may hold a voter slot now or later: its machine must stay. */
   IN_SERVICE("in_service"),
--- a/controlplane/src/main/java/elmsail/controlplane/DemandTable.java
+++ b/controlplane/src/main/java/elmsail/controlplane/DemandTable.java
@@ -9,29 +9,30 @@
 import java.util.Map;
 
 /**
- * What the gateways that pull from this control-plane node have open at the servers, by their last
- * pulls. A gateway pulls from a few of the nodes only, so the demand of all is estimated from those
- * that are known here. Times are in ms of the steady clock. Runs on the event loop.
+ * The open requests at the servers that each gateway reported in its last pull from this
+ * control-plane node. A gateway pulls from only a few of the nodes, so the demand of all gateways
+ * is estimated from the reports that this node has received. Times are in ms of the monotonic
+ * clock. Runs on the event loop.
  */
 final class DemandTable {
-  /** A gateway whose last pull is older has stopped, or is cut off. */
+  /** A gateway whose last pull is older has stopped or is partitioned from this node. */
   static final long MAX_AGE_MS = 3_000;
 
-  /** With fewer of the gateways known here, the estimate is not to be believed. */
+  /** Below this share of gateways with a recent report, the estimate is unreliable. */
   private static final double MIN_KNOWN_SHARE = 0.25;
 
   private record Report(List<ServiceDemand> demand, long receivedAtMs) {}
 
   private final Map<String, Report> reportsByGateway = new HashMap<>();
 
-  /** Takes the demand of a gateway's pull; it replaces what its last pull said. */
+  /** Records the demand in a gateway's pull; replaces the demand of its previous pull. */
   void onPull(PullRequest request, long now) {
     if (PeerRole.GATEWAY.isRoleOf(request)) {
       reportsByGateway.put(request.address, new Report(request.demand, now));
     }
   }
 
-  /** Drops the gateways that have not pulled lately. */
+  /** Removes the gateways without a recent pull. */
   void expire(long now) {
     for (Iterator<Report> all = reportsByGateway.values().iterator(); all.hasNext(); ) {
       if (now - all.next().receivedAtMs() > MAX_AGE_MS) {
@@ -41,9 +42,10 @@
   }
 
   /**
-   * The estimate of what all gateways have open, from those that pulled since {@link #expire}.
+   * Estimates the open requests of all gateways from the reports that the last {@link #expire}
+   * left.
    *
-   * @param gatewayCount how many gateways there are
+   * @param gatewayCount the number of gateways in the cluster
    */
   double openRequests(String service, String zone, int gatewayCount) {
     long knownOpenRequests = 0;
@@ -62,7 +64,7 @@
             / reportingGateways;
   }
 
-  /** Whether enough gateways have pulled lately for an estimate. */
+  /** Whether enough gateways have pulled recently for a reliable estimate. */
   boolean isComplete(int gatewayCount) {
     return !reportsByGateway.isEmpty() && reportsByGateway.size() >= gatewayCount * MIN_KNOWN_SHARE;
   }
--- a/controlplane/src/main/java/elmsail/controlplane/DutyCounters.java
+++ b/controlplane/src/main/java/elmsail/controlplane/DutyCounters.java
@@ -2,22 +2,22 @@
 
 import elmsail.runtime.Counters;
 
-/** The counters of the calls that the lease holder makes to the platform. Event loop only. */
+/** Counters of the calls that the lease holder makes to the platform. Updated on the event loop. */
 final class DutyCounters {
 
   /** Calls that were sent. */
   final Counters.Counter calls;
 
-  /** Calls that were refused since another holder has used a higher term: 409. */
+  /** Calls that the platform rejected with 409, because another holder has used a higher term. */
   final Counters.Counter callsFenced;
 
-  /** Calls that were refused for their rate: 429. */
+  /** Calls that the platform rejected with 429, because of their rate. */
   final Counters.Counter callsRateLimited;
 
-  /** Calls without an answer, or with one that says nothing. */
+  /** Calls without a response, or with a status that leaves the outcome unknown. */
   final Counters.Counter callsUnknown;
 
-  /** Registers the counters with those of the process. */
+  /** Registers the counters with the process's counters. */
   DutyCounters(Counters counters) {
     calls = counters.counter("control_duty_calls");
     callsFenced = counters.counter("control_duty_calls_fenced");
--- a/controlplane/src/main/java/elmsail/controlplane/DutyLease.java
+++ b/controlplane/src/main/java/elmsail/controlplane/DutyLease.java
@@ -1,10 +1,12 @@
 package elmsail.controlplane;
 
-/** The lease whose holder does the platform's singleton duties, as its holder sees it. */
+/** The lease whose holder performs the platform's singleton duties, from the holder's side. */
 interface DutyLease {
-  /** The term in which this process holds the lease at this very moment; 0 if it does not. */
+  /**
+   * The term in which this process holds the lease at this moment; 0 if it does not hold the lease.
+   */
   long term();
 
-  /** Somebody refused what this process did under that term, as a higher one was used. */
+  /** Called when a call under that term was rejected because a higher term has been used. */
   void onFenced(long refusedTerm);
 }
--- a/controlplane/src/main/java/elmsail/controlplane/FleetSizeManager.java
+++ b/controlplane/src/main/java/elmsail/controlplane/FleetSizeManager.java
@@ -21,14 +21,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The singleton duty to set the number of servers: while this node holds the singleton lease it
- * orders, for each service that allows it and each zone in which that service runs, as many servers
- * as {@link FleetSizePolicy} wants. An order that holds already is not repeated; one whose outcome
- * is unknown is, after a backoff, with what is wanted by then. Every node keeps the demand, so that
- * a new holder decides from its first moment on. Runs on the event loop.
+ * The singleton duty to set the number of servers. While this node holds the singleton lease, it
+ * orders the number of servers that {@link FleetSizePolicy} computes, for each service with a
+ * configured fleet size and each zone in which that service runs. An order that is already in
+ * effect is not repeated. An order that failed or whose outcome is unknown is sent again after a
+ * backoff, with the target at that time. Every node records the demand, so that a new holder can
+ * decide immediately. Runs on the event loop.
  */
 final class FleetSizeManager {
-  /** The path of the platform's call. */
+  /** The path of the platform's endpoint. */
   static final String PATH = "/fleet-size";
 
   private static final long TICK_INTERVAL_MS = 500;
@@ -36,20 +37,23 @@
   private static final JsonFactory JSON = new JsonFactory();
   private static final Logger LOG = LoggerFactory.getLogger(FleetSizeManager.class);
 
-  /** One number that is set: the servers of a service in a zone. */
+  /** Identifies a fleet: the servers of one service in one zone. */
   private record FleetKey(String service, String zone) {}
 
-  /** What is known of a subject at a moment. */
+  /** The observed state of a fleet. */
   private record Fleet(FleetSize bounds, int servers, int slotsPerServer) {}
 
-  /** What this holder has ordered. */
+  /** The orders of this holder for one fleet. */
   private static final class Order {
     final FleetSizePolicy policy = new FleetSizePolicy();
 
-    /** The size that the platform holds; empty while that is what the servers show, or unknown. */
+    /**
+     * The size that the platform last accepted; empty if this holder has no accepted order yet, in
+     * which case the listed servers are taken as the size.
+     */
     OptionalInt acceptedSize = OptionalInt.empty();
 
-    /** Whether an order may have been taken whose outcome is not known. */
+    /** Whether the platform may have accepted an order whose outcome is unknown. */
     boolean isUncertain;
 
     boolean inFlight;
@@ -66,7 +70,7 @@
   private boolean closed;
 
   /**
-   * Creates one that calls nobody before {@link #start()}.
+   * Creates a manager that sends nothing before {@link #start()}.
    *
    * @param clusterState the configuration, the servers and the gateways as this node knows them
    */
@@ -78,7 +82,7 @@
     this.lease = lease;
   }
 
-  /** Whether the platform expects the duty. */
+  /** Whether the settings assign this duty to the control plane. */
   static boolean isEnabled(Settings settings) {
     return settings.platform() != null
         && settings.platform().duties().contains(Settings.Platform.FLEET_DUTY);
@@ -92,7 +96,7 @@
     closed = true;
   }
 
-  /** Takes the demand of a gateway's pull. */
+  /** Records the demand in a gateway's pull. */
   void onPull(PullRequest request) {
     demand.onPull(request, timers.now());
   }
@@ -106,7 +110,7 @@
     demand.expire(now);
     long term = lease.term();
     if (term != ordersTerm) {
-      orders.clear(); // what another holder ordered meanwhile is not known
+      orders.clear(); // the orders of other holders in between are unknown
       ordersTerm = term;
     }
     if (term > 0) {
@@ -114,7 +118,10 @@
     }
   }
 
-  /** The fleets to be set: of services with bounds, in the zones that list servers of them. */
+  /**
+   * The fleets to size: services with fleet-size bounds, in each zone with listed servers of the
+   * service.
+   */
   private Map<FleetKey, Fleet> fleets() {
     Map<FleetKey, Fleet> fleets = new LinkedHashMap<>();
     RoutingConfig config = clusterState.config();
@@ -172,7 +179,7 @@
       order.acceptedSize = OptionalInt.of(targetServers);
       order.isUncertain = false;
       LOG.info(
-          "ordered {} servers of {} in {}, term {}",
+          "platform accepted an order of {} servers for service {} in zone {}, term {}",
           targetServers,
           key.service(),
           key.zone(),
@@ -192,7 +199,7 @@
       json.writeNumberField("wanted", targetServers);
       json.writeEndObject();
     } catch (IOException e) {
-      throw new UncheckedIOException(e); // an array takes all that is written
+      throw new UncheckedIOException(e); // a byte array stream never fails
     }
     return bytes.toByteArray();
   }
--- a/controlplane/src/main/java/elmsail/controlplane/FleetSizePolicy.java
+++ b/controlplane/src/main/java/elmsail/controlplane/FleetSizePolicy.java
@@ -6,57 +6,63 @@
 import java.util.OptionalInt;
 
 /**
- * Decides how many servers a service is to have in one zone. More are ordered as soon as the demand
- * asks for them, since new servers take their time to boot; fewer only after no moment of a whole
- * {@linkplain #STABILIZATION_WINDOW_MS window} would have needed as many, so that a short lull, or
- * a lost reading, takes no server away. Does no I/O; times are in ms of the steady clock. Runs on
- * the event loop.
+ * Computes the target number of servers of a service in one zone. The target rises as soon as the
+ * demand requires more servers, because new servers take time to boot. The target falls only if no
+ * observation within a whole {@linkplain #STABILIZATION_WINDOW_MS window} required as many servers,
+ * so that a short lull or a lost report removes no server. Does no I/O; times are in ms of the
+ * monotonic clock. Runs on the event loop.
  */
 final class FleetSizePolicy {
-  /** Share of all slots that the demand is to take: the rest is for what comes in clumps. */
+  /** Target share of the slots that are in use; the rest is headroom for bursts. */
   static final double TARGET_UTILIZATION = 0.5;
 
-  /** How long after a server has booted it may be missing from the list. */
+  /** Maximum time for which a booted server may be missing from the list. */
   private static final long LIST_DELAY_MS = 3_000;
 
-  /** A zone without servers shows no demand, and would never get any again. */
+  /**
+   * At least one, because a zone without servers shows no demand and would never get a server
+   * again.
+   */
   private static final int MIN_SERVERS = 1;
 
-  /** The largest size recommended within this time before now is the one that is wanted. */
+  /** The target is the largest size that was recommended within this time. */
   static final long STABILIZATION_WINDOW_MS = 30_000;
 
   /**
-   * What is known of a service in one zone at a moment.
+   * The observed state of a service in one zone.
    *
-   * @param servers that take requests; while servers are replaced one by one, some more
-   * @param slotsPerServer requests that one server runs at once, at least 1
-   * @param openRequests requests and items of all gateways that run or wait there
-   * @param isComplete whether enough gateways have reported lately for the demand to be believed
+   * @param servers that take requests; may exceed the fleet size while servers are replaced one by
+   *     one
+   * @param slotsPerServer requests that one server processes concurrently, at least 1
+   * @param openRequests running and waiting requests and batch items of all gateways
+   * @param isComplete whether enough gateways have reported recently for a reliable demand
    */
   record Observation(int servers, int slotsPerServer, double openRequests, boolean isComplete) {}
 
   private record Recommendation(long atMs, int servers) {}
 
-  /** The last size that was wanted; empty before the first reading. */
+  /** The last target; empty before the first observation. */
   private OptionalInt targetServers = OptionalInt.empty();
 
-  private long firstReadingAtMs;
+  private long firstObservationAtMs;
 
-  /** Oldest first; each is larger than all that follow it, so the first is the largest. */
+  /**
+   * Oldest first; each recommends more servers than all later ones, so the first is the maximum.
+   */
   private final Deque<Recommendation> recommendations = new ArrayDeque<>();
 
   /**
-   * Takes a reading.
+   * Records an observation and computes the target.
    *
-   * @return how many servers are wanted, within the bounds
+   * @return the target number of servers, within the bounds
    */
   int observe(Observation observation, FleetSize bounds, long now) {
     if (targetServers.isEmpty()) {
       targetServers = OptionalInt.of(observation.servers());
-      firstReadingAtMs = now;
+      firstObservationAtMs = now;
     }
     boolean mayShrink =
-        observation.isComplete() && now - firstReadingAtMs >= STABILIZATION_WINDOW_MS;
+        observation.isComplete() && now - firstObservationAtMs >= STABILIZATION_WINDOW_MS;
     int needed = (int) Math.ceil(observation.openRequests() / usableSlots(observation));
     int recommended = mayShrink ? needed : Math.max(needed, sizeToKeep(observation, bounds, now));
     targetServers = OptionalInt.of(clamp(windowMaximum(recommended, now), bounds));
@@ -64,11 +70,12 @@
   }
 
   /**
-   * The size to keep without need for more. At first, servers that an earlier holder ordered may
-   * still boot and are no more listed than those that have crashed.
+   * The size to keep if the demand does not require more. After a change of holder, servers that
+   * the previous holder ordered may still be booting; they are missing from the list just like
+   * crashed servers.
    */
   private int sizeToKeep(Observation observation, FleetSize bounds, long now) {
-    boolean mayBeBooting = now - firstReadingAtMs <= bounds.bootMs() + LIST_DELAY_MS;
+    boolean mayBeBooting = now - firstObservationAtMs <= bounds.bootMs() + LIST_DELAY_MS;
     return mayBeBooting
         ? Math.max(targetServers.getAsInt(), observation.servers())
         : targetServers.getAsInt();
--- a/controlplane/src/main/java/elmsail/controlplane/HeartbeatTable.java
+++ b/controlplane/src/main/java/elmsail/controlplane/HeartbeatTable.java
@@ -11,8 +11,8 @@
 import java.util.function.ToLongFunction;
 
 /**
- * When each process last pulled from this control-plane node, which counts as its heartbeat; of the
- * members and of the gateways the {@value #MAX_MEMBERS} most recent. Times are in ms of the
+ * The last heartbeat of each process; a pull from this control-plane node counts as a heartbeat.
+ * Keeps the {@value #MAX_MEMBERS} most recent members and as many gateways. Times are in ms of the
  * monotonic clock. Runs on the event loop.
  */
 final class HeartbeatTable {
@@ -36,7 +36,7 @@
 
   private final PeerRole role;
 
-  /** Creates an empty table of the processes of that role, beside the gateways. */
+  /** Creates an empty table of gateways and of members with that role. */
   HeartbeatTable(PeerRole role) {
     this.role = role;
   }
@@ -46,7 +46,10 @@
     return role;
   }
 
-  /** Records a pull as a heartbeat; pulls of other roles, and of members without disk, are not. */
+  /**
+   * Records a pull as a heartbeat. Pulls of other roles, and of control-plane nodes without a disk,
+   * are ignored.
+   */
   void onHeartbeat(PullRequest request, long now) {
     if (role.isRoleOf(request) && (request.hasDisk || role == PeerRole.STORE)) {
       Member previous = members.get(request.address);
@@ -112,7 +115,7 @@
     return latest;
   }
 
-  /** Addresses of the gateways whose last heartbeat is no older, in order. */
+  /** Sorted addresses of the gateways whose last heartbeat is at most {@code withinMs} old. */
   List<String> gatewaysWithin(long now, long withinMs) {
     List<String> recent = new ArrayList<>();
     gateways.values().removeIf(lastHeartbeatAtMs -> now - lastHeartbeatAtMs > GATEWAY_RETENTION_MS);
--- a/controlplane/src/main/java/elmsail/controlplane/KnownVoterSet.java
+++ b/controlplane/src/main/java/elmsail/controlplane/KnownVoterSet.java
@@ -5,20 +5,20 @@
 import elmsail.rpc.messages.VoterSet;
 
 /**
- * The newest voter set of the job stores that this node has seen, merged slot by slot from the
- * register, from the stores' pulls and from other control-plane nodes. Kept in memory only; runs on
- * the event loop.
+ * The newest voter set of the job stores that this node has seen. The voter set is merged slot by
+ * slot from the register, the stores' pulls and other control-plane nodes. Kept in memory only;
+ * runs on the event loop.
  */
 final class KnownVoterSet {
   private final Runnable changeListener;
   private VoterSet current = new VoterSet();
 
-  /** Creates an empty one; the listener is called after each change. */
+  /** Creates an empty voter set; the listener is called after each change. */
   KnownVoterSet(Runnable changeListener) {
     this.changeListener = changeListener;
   }
 
-  /** The voter set; without voters before the bootstrap. Not to be changed. */
+  /** The current voter set; has no voters before the bootstrap. Callers must not modify it. */
   VoterSet current() {
     return current;
   }
@@ -27,7 +27,7 @@
     return current.voters.isEmpty();
   }
 
-  /** Merges a voter set: in each slot the higher epoch is kept. */
+  /** Merges a voter set; each slot keeps the voter with the higher epoch. */
   void learn(VoterSet other) {
     VoterSet merged = VoterSets.merge(current, other);
     if (merged != current) {
@@ -36,7 +36,7 @@
     }
   }
 
-  /** Whether a store on that machine holds a voter slot, voting or not yet. */
+  /** Whether a store on that machine holds a voter slot, even if the store does not vote yet. */
   boolean hasVoterOnMachine(String machine) {
     for (Voter voter : current.voters) {
       if (voter.machine.equals(machine)) {
--- a/controlplane/src/main/java/elmsail/controlplane/Lease.java
+++ b/controlplane/src/main/java/elmsail/controlplane/Lease.java
@@ -3,18 +3,18 @@
 import java.util.Optional;
 
 /**
- * A candidate's or holder's side of a lease that a majority of voters grants. A won round makes the
- * lease held from the time at which the round was sent, for the lease's duration less a safety
- * margin. Whether it is held is decided by the monotonic clock at each use, so that a process that
- * was frozen finds that it has lost it. Times are in ms of the monotonic clock. Pure: the caller
- * sends the rounds; runs on the event loop.
+ * The candidate's and holder's side of a lease that a majority of voters grants. When a majority
+ * grants a round, the lease is held from the time at which the round was sent, for the lease
+ * duration minus a safety margin. The monotonic clock is checked at each use of the lease, so that
+ * a process that was frozen detects that its lease has expired. Times are in ms of the monotonic
+ * clock. Does no I/O: the caller sends the rounds. Runs on the event loop.
  */
 final class Lease {
   /**
-   * A message that is due to all voters at once.
+   * A message to be sent to all voters.
    *
    * @param number of the round, rising from 1
-   * @param kind whether the lease is requested, or what the round was granted is released
+   * @param kind whether the round requests the lease or releases the grants of the round
    */
   record Round(long number, Kind kind) {
     enum Kind {
@@ -26,13 +26,19 @@
   static final long RENEW_INTERVAL_MS = 600;
   static final long SAFETY_MARGIN_MS = 200;
 
-  /** A round without a majority by then is released, so that it doesn't block other candidates. */
+  /**
+   * A round without a majority after this time is released, so that its grants do not block other
+   * candidates.
+   */
   private static final long ROUND_TIMEOUT_MS = 250;
 
-  /** After a released round; later by rank. */
+  /** Delay after a released round; the delay by rank is added. */
   private static final long RETRY_DELAY_MS = 100;
 
-  /** Candidates of a higher rank begin so much later each, so that the first one mostly wins. */
+  /**
+   * Delay per rank before a candidate's requests, so that the candidate with the lowest rank
+   * usually wins.
+   */
   private static final long DELAY_PER_RANK_MS = 350;
 
   private final long rankDelayMs;
@@ -46,10 +52,10 @@
   private long nextRoundAtMs;
 
   /**
-   * Creates one that is not held.
+   * Creates a lease that is not held.
    *
    * @param startedAtMs the present time
-   * @param rank of this process among the candidates; 0 begins first
+   * @param rank of this process among the candidates; rank 0 sends the first request
    */
   Lease(long startedAtMs, int rank) {
     this.rankDelayMs = Math.max(0, rank) * DELAY_PER_RANK_MS;
@@ -61,7 +67,10 @@
     return now < heldUntilMs;
   }
 
-  /** What is due to all voters now: a new round, the release of the last one, or nothing. */
+  /**
+   * Returns the message to send to all voters now: a new round, the release of the last round, or
+   * nothing.
+   */
   Optional<Round> poll(long now, int voterCount) {
     if (now < nextRoundAtMs || voterCount == 0) {
       return Optional.empty();
@@ -91,7 +100,7 @@
    * Counts a voter's grant.
    *
    * @param voterIndex the voter's slot, below 64
-   * @return whether the lease, not held before, is held now
+   * @return whether this grant made the lease held
    */
   boolean onGranted(long responseRound, int voterIndex, long now) {
     if (responseRound != round || voterIndex >= voterCount) {
@@ -110,7 +119,8 @@
   }
 
   /**
-   * Notes that another candidate holds a voter's grant for so long: the next round waits for it.
+   * Records that another candidate holds a voter's grant for the remaining time, which delays the
+   * next round.
    */
   void onRefused(long responseRound, long remainingMs) {
     if (responseRound == round) {
@@ -119,8 +129,9 @@
   }
 
   /**
-   * Gives the lease up, and does not ask for it again for a whole lease: what another holder did
-   * meanwhile is then older than any lease. Returns what is due to all voters.
+   * Releases the lease and sends no new request for a whole lease duration, so that this process
+   * and another holder do not alternate within that time. Returns the message to send to all
+   * voters.
    */
   Optional<Round> releaseAndPause(long now) {
     Optional<Round> release = relinquish();
@@ -128,7 +139,7 @@
     return release;
   }
 
-  /** Gives the lease up for good; returns what is due to all voters. */
+  /** Releases the lease permanently; returns the message to send to all voters. */
   Optional<Round> relinquish() {
     heldUntilMs = Long.MIN_VALUE;
     roundWon = true;
--- a/controlplane/src/main/java/elmsail/controlplane/LeaseVoter.java
+++ b/controlplane/src/main/java/elmsail/controlplane/LeaseVoter.java
@@ -1,9 +1,9 @@
 package elmsail.controlplane;
 
 /**
- * One voter's grant of a lease, to one candidate at a time. It is kept in memory only, so a
- * restarted voter first waits for the end of what it may have granted before. Does no I/O; times
- * are in ms of the monotonic clock. Runs on the event loop.
+ * A voter's side of a lease: grants the lease to one candidate at a time. The grant is kept in
+ * memory only, so a restarted voter first waits until any grant by its previous process has
+ * expired. Does no I/O; times are in ms of the monotonic clock. Runs on the event loop.
  */
 final class LeaseVoter {
   static final long LEASE_DURATION_MS = 2_000;
@@ -14,7 +14,7 @@
   private boolean isGranted;
 
   /**
-   * Creates one that has granted nothing.
+   * Creates a voter that has granted nothing.
    *
    * @param startedAtMs when this process started
    * @param isFirstProcess whether no earlier process of this voter can have granted the lease
@@ -25,12 +25,12 @@
 
   /**
    * Grants the lease for {@value #LEASE_DURATION_MS} ms from now, unless another candidate holds
-   * it.
+   * the grant.
    *
    * @param candidateId process id of the candidate
-   * @param round of the candidate, rising
+   * @param round number of the candidate's round; rises with each request
    * @param now the present time
-   * @return 0 if granted, else for how many ms the lease is held yet
+   * @return 0 if granted, else the remaining time in ms until the current grant expires
    */
   long tryGrant(long candidateId, long round, long now) {
     boolean isHolder = isGranted && holderId == candidateId;
@@ -44,13 +44,16 @@
     return 0;
   }
 
-  /** Waits for the end of a lease, as the slot's holder before may have granted one until now. */
+  /**
+   * Refuses grants for one lease duration, because the slot's previous holder may have granted the
+   * lease up to now.
+   */
   void onSlotTakenOver(long now) {
     leaseEndMs = Math.max(leaseEndMs, now + LEASE_DURATION_MS);
     isGranted = false;
   }
 
-  /** Ends what that candidate was granted, unless in a later round. */
+  /** Ends the candidate's grant, unless the grant was renewed in a later round. */
   void release(long candidateId, long round, long now) {
     if (isGranted && holderId == candidateId && round >= holderRound) {
       leaseEndMs = Math.min(leaseEndMs, now);
--- a/controlplane/src/main/java/elmsail/controlplane/PlacementController.java
+++ b/controlplane/src/main/java/elmsail/controlplane/PlacementController.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 
 /**
- * Chooses who holds the slots of a voter set from the heartbeats: the initial voters, and the spare
+ * Chooses the holders of a voter set's slots from the heartbeats: the initial voters, and the spare
  * that takes over the slot of a voter that is gone or is to be decommissioned. Does no I/O; times
  * are in ms of the monotonic clock. Runs on the event loop.
  */
@@ -20,17 +20,20 @@
   static final long MAX_SPARE_HEARTBEAT_AGE_MS = 800;
 
   /**
-   * For control-plane voters: above the time of a restart after a short loss of power, and low
-   * enough that a successor votes within {@code catch_up_s} of its start even if its predecessor is
-   * lost only then. That takes 3.0 s, up to 0.2 s until the next tick, and the transfer of a few
-   * keys.
+   * Timeout for control-plane voters. It exceeds the time of a restart after a short power loss. It
+   * is low enough that a successor votes within {@code catch_up_s} of its start even if its
+   * predecessor is lost at the moment of that start: the replacement takes this timeout of 3.0 s,
+   * up to 0.2 s until the next tick, and the transfer of a few keys.
    */
   static final long CONTROL_PLANE_GONE_AFTER_MS = 3_000;
 
   private static final long REDUCED_SET_AFTER_MS = 6_000;
   private static final long ZONE_SPREAD_WAIT_MS = 1_000;
 
-  /** After a longer gap between ticks this process was frozen: missing heartbeats are its own. */
+  /**
+   * A longer gap between ticks means that this process was frozen, so missing heartbeats are not
+   * the members' fault.
+   */
   private static final long MAX_TICK_GAP_MS = 700;
 
   private static final int NO_SLOT = -1;
@@ -44,19 +47,19 @@
   private long replacedInstanceId;
   private int replacedSlot;
 
-  /** The process at that RPC address is to take over a voter slot at an epoch. */
+  /** Directs the process at that RPC address to take over a voter slot at that epoch. */
   record Assignment(int slot, String address, int epoch) {}
 
-  /** Creates one for job-store voters; heartbeats are missed from now on. */
+  /** Creates a controller for job-store voters that counts missing heartbeats from now on. */
   PlacementController(int targetVoterCount, long now) {
     this(targetVoterCount, STORE_GONE_AFTER_MS, now);
   }
 
   /**
-   * Creates one; heartbeats are missed from now on.
+   * Creates a controller that counts missing heartbeats from now on.
    *
    * @param targetVoterCount size of the initial voter set
-   * @param goneAfterMs a voter without heartbeats for longer is gone
+   * @param goneAfterMs time without heartbeats after which a voter counts as gone
    * @param now the present time
    */
   PlacementController(int targetVoterCount, long goneAfterMs, long now) {
@@ -66,7 +69,10 @@
     this.lastTickMs = now;
   }
 
-  /** The initial voter set; empty as long as too few candidates are there and it is too early. */
+  /**
+   * Returns the initial voter set; empty while there are too few candidates and it is too early for
+   * a reduced set.
+   */
   Optional<VoterSet> initialVoterSet(HeartbeatTable heartbeats, long now) {
     List<HeartbeatTable.Member> candidates = new ArrayList<>();
     long firstHeartbeatAtMs = Long.MAX_VALUE;
@@ -96,7 +102,10 @@
     return Optional.of(voterSet);
   }
 
-  /** Chooses one of each zone first, then others, in the order of addresses. */
+  /**
+   * Chooses one candidate of each zone first, then further candidates, both in the order of
+   * addresses.
+   */
   private List<HeartbeatTable.Member> spreadOverZones(List<HeartbeatTable.Member> candidates) {
     List<HeartbeatTable.Member> chosen = new ArrayList<>();
     Set<String> zones = new HashSet<>();
@@ -115,13 +124,14 @@
   }
 
   /**
-   * The assignment at present; empty if none is needed or no spare is there. Called at an interval,
-   * also while this node can't assign, so that missing heartbeats count from before.
+   * Returns the current assignment; empty if no assignment is needed or no spare is available.
+   * Called at an interval even while this node cannot assign slots, so that heartbeats that were
+   * missing before it could assign count as well.
    *
    * @param decommissioning machines whose stores are to be decommissioned
-   * @param isObserving whether missing heartbeats count against the members; they don't where this
-   *     node itself may be partitioned
-   * @param canAssign whether this node holds the lease and reads the register at a majority
+   * @param isObserving whether missing heartbeats count against the members; false while this node
+   *     itself may be partitioned
+   * @param canAssign whether this node holds the lease and can read the register from a majority
    */
   Optional<Assignment> assignment(
       HeartbeatTable heartbeats,
@@ -156,7 +166,10 @@
     return Optional.ofNullable(assignment);
   }
 
-  /** The slot assigned already while it needs a replacement, else the first that needs one. */
+  /**
+   * Returns the already assigned slot while it needs a new holder, else the first slot that needs a
+   * new holder.
+   */
   private int slotToReplace(
       HeartbeatTable heartbeats, VoterSet voterSet, Set<String> decommissioning, long now) {
     if (assignment != null
@@ -179,7 +192,10 @@
     }
   }
 
-  /** An epoch above the present holder's, and above that of each spare assigned before. */
+  /**
+   * Returns an epoch above the current holder's and above the epochs of all earlier assignments for
+   * that holder's slot.
+   */
   private int nextEpoch(VoterSet voterSet, int slot) {
     Voter voter = voterSet.voters.get(slot);
     boolean sameVoter = voter.instanceId == replacedInstanceId && slot == replacedSlot;
@@ -190,8 +206,10 @@
   }
 
   /**
-   * Whether the slot needs another holder and may get it now: the other slots' holders vote, except
-   * those that are gone too, and enough vote for the successor to copy the state.
+   * Whether the slot needs another holder and may be reassigned now. All holders of other slots
+   * must vote unless they are gone too, and enough of them must vote for the successor to copy the
+   * state. A slot whose holder is only to be decommissioned is not reassigned while another holder
+   * is gone.
    */
   private boolean shouldReplace(
       HeartbeatTable heartbeats,
--- a/controlplane/src/main/java/elmsail/controlplane/PlatformDutyClient.java
+++ b/controlplane/src/main/java/elmsail/controlplane/PlatformDutyClient.java
@@ -10,44 +10,53 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The calls to the platform that only the holder of the singleton lease may make. Each carries this
- * machine's name and, as its fencing token, the lease's term. All duties of a process share one
- * client, and thereby the platform's rate limit. Runs on the event loop.
+ * Sends the calls to the platform that only the holder of the singleton lease may make. Each call
+ * carries this machine's name and, as a fencing token, the lease's term. All duties of a process
+ * share one client and its rate limit. Runs on the event loop.
  *
- * <p>Nothing is retried here: a caller repeats a call whose outcome is not {@link
- * Outcome#ACCEPTED}, after a backoff, and with the same content unless the platform takes the last
- * call for what holds.
+ * <p>The client does not retry. The caller repeats a call whose outcome is not {@link
+ * Outcome#ACCEPTED} after a backoff. A repeated call must have the same content, except where the
+ * platform applies the last call that it accepts.
  */
 final class PlatformDutyClient {
 
-  /** What became of a call. */
+  /** The outcome of a call. */
   enum Outcome {
-    /** The platform has taken it in. */
+    /** The platform accepted the call. */
     ACCEPTED,
 
-    /** Not sent: this process does not hold the lease in that term, or no longer. */
+    /** The call was not sent, because this process does not hold the lease in that term. */
     NOT_HOLDER,
 
-    /** Refused, as another holder has used a higher term: the lease is given up. */
+    /**
+     * The platform rejected the call because another holder has used a higher term; the lease is
+     * released.
+     */
     FENCED,
 
-    /** Over the rate of this client, so not sent, or of the platform, which did not take it in. */
+    /**
+     * The call was not sent because it exceeds this client's rate limit, or the platform rejected
+     * it because of its own rate limit.
+     */
     RATE_LIMITED,
 
-    /** No answer, or one that says nothing: the platform may have taken it in, or may yet do so. */
+    /**
+     * No response, or a status that leaves the outcome open: the platform may have accepted the
+     * call or may still accept it.
+     */
     UNKNOWN
   }
 
-  /** Names the machine that holds the duty. */
+  /** Header with the name of the lease holder's machine. */
   static final String HOLDER_HEADER = "Elmsail-Duty-Holder";
 
-  /** The fencing token: the term of the lease. */
+  /** Header with the fencing token, which is the term of the lease. */
   static final String FENCE_HEADER = "Elmsail-Fence";
 
-  /** A platform that is slow answers within this time. */
+  /** A slow platform still responds within this time. */
   static final long CALL_TIMEOUT_MS = 2_500;
 
-  /** The rest of the platform's rate is for the holder before or after this one. */
+  /** The rest of the platform's rate limit is left to the previous or next holder. */
   private static final double RATE_SHARE = 0.5;
 
   private static final int OK = 200;
@@ -63,10 +72,10 @@
   private final TokenBucket rateLimit;
 
   /**
-   * Creates a client of the platform of these settings.
+   * Creates a client for the platform that the settings name.
    *
-   * @param settings of this process; they name a platform
-   * @param lease whose holder makes the calls; it learns of refused terms
+   * @param settings of this process; must name a platform
+   * @param lease whose holder makes the calls; notified of rejected terms
    */
   PlatformDutyClient(
       HttpClient client, Settings settings, Timers timers, DutyLease lease, DutyCounters counters) {
@@ -80,12 +89,12 @@
   }
 
   /**
-   * Makes a call, unless this process does not hold the lease in that term at this moment.
+   * Sends a call if this process holds the lease in that term at this moment.
    *
-   * @param path of the duty
-   * @param json the body
-   * @param term in which the caller decided to call
-   * @return completes on the loop, never fails
+   * @param path of the platform's endpoint
+   * @param json the request body
+   * @param term in which the caller decided to send the call
+   * @return the outcome; completes on the event loop and never fails
    */
   CompletableFuture<Outcome> post(String path, byte[] json, long term) {
     if (term <= 0 || lease.term() != term) {
@@ -120,7 +129,10 @@
       }
       case CONFLICT -> {
         counters.callsFenced.add(1);
-        LOG.warn("the platform has refused term {} at {}", term, path);
+        LOG.warn(
+            "platform rejected duty call as superseded: term {} at {}; releasing the singleton lease",
+            term,
+            path);
         lease.onFenced(term);
         return Outcome.FENCED;
       }
@@ -130,7 +142,10 @@
       }
       default -> {
         counters.callsUnknown.add(1);
-        LOG.warn("the platform has answered {} at {}", response.status(), path);
+        LOG.warn(
+            "platform responded with unexpected status {} to duty call {}; outcome unknown",
+            response.status(),
+            path);
         return Outcome.UNKNOWN;
       }
     }
--- a/controlplane/src/main/java/elmsail/controlplane/QuorumContact.java
+++ b/controlplane/src/main/java/elmsail/controlplane/QuorumContact.java
@@ -5,15 +5,16 @@
 import elmsail.runtime.Timers;
 
 /**
- * How long ago this process was last in contact with a majority of the voters, by the monotonic
- * clock at the moment of the question. A round counts from when it was sent, so a response that was
- * delayed, by the network or while the process was frozen, proves nothing about the present. Runs
- * on the event loop.
+ * Tracks how long ago this process was last in contact with a majority of the voters, by the
+ * monotonic clock. A round counts from the time at which it was sent, so a response that was
+ * delayed by the network or by a freeze of this process does not count as current contact. Runs on
+ * the event loop.
  */
 final class QuorumContact {
   /**
-   * Older contact does not count. Well above a read's period (300 ms) and timeout (600 ms)
-   * together, so that one failed read changes nothing; below {@code in_touch_ms} (3,000 ms).
+   * Maximum age of current contact. Well above the sum of a read's interval (300 ms) and timeout
+   * (600 ms), so that one failed read does not interrupt contact; below {@code in_touch_ms} (3,000
+   * ms).
    */
   static final long MAX_AGE_MS = 1_500;
 
@@ -27,7 +28,9 @@
     this.timers = timers;
   }
 
-  /** A majority has responded to a round that was sent at that time of the monotonic clock. */
+  /**
+   * Records that a majority responded to a round that was sent at that time of the monotonic clock.
+   */
   void onRoundCompleted(long roundSentAtMs) {
     if (roundSentAtMs <= lastRoundSentAtMs) {
       return;
@@ -44,17 +47,23 @@
     return isWithin(MAX_AGE_MS);
   }
 
-  /** Whether a majority has responded to a round sent within so many ms before now. */
+  /** Whether a majority has responded to a round sent within the last {@code maxAgeMs} ms. */
   boolean isWithin(long maxAgeMs) {
     return lastRoundSentAtMs != NEVER && timers.now() - lastRoundSentAtMs <= maxAgeMs;
   }
 
-  /** The time since the last round that a majority responded to was sent; -1 before the first. */
+  /**
+   * Time in ms since the last round with a majority of responses was sent; -1 before the first such
+   * round.
+   */
   long ageMs() {
     return lastRoundSentAtMs == NEVER ? -1 : timers.now() - lastRoundSentAtMs;
   }
 
-  /** For how many ms contact has been current without interruption; -1 if it is not current. */
+  /**
+   * Time in ms for which contact has been current without interruption; -1 if contact is not
+   * current.
+   */
   long unbrokenMs() {
     return isCurrent() ? timers.now() - unbrokenSinceMs : -1;
   }
@@ -62,7 +71,8 @@
   /**
    * Returns the response if contact is current.
    *
-   * @throws ElmsailException NOT_A_VOTER if it is not: the caller tries another process
+   * @throws ElmsailException NOT_A_VOTER if contact is not current, so that the caller tries
+   *     another process
    */
   <A> A requireCurrent(A response) {
     if (!isCurrent()) {
--- a/controlplane/src/main/java/elmsail/controlplane/RedundancyMonitor.java
+++ b/controlplane/src/main/java/elmsail/controlplane/RedundancyMonitor.java
@@ -6,14 +6,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Logs when a voter set is degraded, and when it is complete again so that the next loss is
- * tolerated: a slot is missing while its holder does not report that it votes. Times are in ms of
- * the monotonic clock. Runs on the event loop.
+ * Logs when a voter set becomes degraded and when it is complete again and tolerates the next loss.
+ * A voter set is degraded while the holder of at least one slot does not report that it votes.
+ * Times are in ms of the monotonic clock. Runs on the event loop.
  */
 final class RedundancyMonitor {
   private static final Logger LOG = LoggerFactory.getLogger(RedundancyMonitor.class);
 
-  /** Above the longest wait of a pull, 1,000 ms. */
+  /** Above the longest duration of a pull, 1,000 ms. */
   private static final long MAX_HEARTBEAT_AGE_MS = 1_800;
 
   private static final long NOT_DEGRADED = Long.MAX_VALUE;
@@ -31,8 +31,8 @@
   /**
    * Compares the heartbeats with the voter set; called at an interval.
    *
-   * @param canAssign whether this node holds the lease and so has the heartbeats; if not, what was
-   *     observed before is discarded
+   * @param canAssign whether this node may assign slots, and therefore receives the heartbeats; if
+   *     not, earlier observations are discarded
    */
   void observe(boolean canAssign, HeartbeatTable heartbeats, VoterSet voterSet, long now) {
     if (canAssign) {
@@ -58,14 +58,18 @@
     if (votingCount < voterSet.voters.size()) {
       if (degradedSinceMs == NOT_DEGRADED) {
         degradedSinceMs = Math.min(now, lastHeartbeatOfMissingMs);
-        LOG.warn("{}: {} of {} slots vote", voterSetName, votingCount, voterSet.voters.size());
+        LOG.warn(
+            "voter set {} degraded: {} of {} slots vote",
+            voterSetName,
+            votingCount,
+            voterSet.voters.size());
       }
     } else if (degradedSinceMs != NOT_DEGRADED) {
       lastRepairMs = now - degradedSinceMs;
       degradedSinceMs = NOT_DEGRADED;
       repairs++;
       LOG.info(
-          "{}: all {} slots vote, {} ms after one was missed: it bears {} losses",
+          "voter set {} complete: all {} slots vote again after {} ms; tolerates {} losses",
           voterSetName,
           votingCount,
           lastRepairMs,
@@ -77,7 +81,7 @@
     return member != null && member.isVoting() && member.instanceId() == voter.instanceId;
   }
 
-  /** How many voters reported that they vote; 0 while this node can't assign slots. */
+  /** The number of voters that reported that they vote; 0 while this node cannot assign slots. */
   int votingCount() {
     return votingCount;
   }
@@ -87,7 +91,7 @@
     return degradedSinceMs != NOT_DEGRADED;
   }
 
-  /** How many times the voter set became complete again. */
+  /** The number of times that the voter set became complete again. */
   int repairs() {
     return repairs;
   }
--- a/controlplane/src/main/java/elmsail/controlplane/RunningService.java
+++ b/controlplane/src/main/java/elmsail/controlplane/RunningService.java
@@ -4,15 +4,14 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A started process of the control plane. The RPC endpoint, the records and the event loop belong
- * to the caller, who closes them after {@link #shutdown()}. All methods are called on the event
- * loop.
+ * A running control-plane process. The caller owns the RPC endpoint, the records and the event
+ * loop, and closes them after {@link #shutdown()}. All methods are called on the event loop.
  */
 public interface RunningService {
 
-  /** Takes over the seed addresses of changed settings; all others need a restart. */
+  /** Applies the seed addresses of changed settings; all other settings require a restart. */
   void onSettingsChanged(Settings settings);
 
-  /** Stops serving; completes once that is done, and never fails. */
+  /** Stops serving; the future completes when the service has stopped, and never fails. */
   CompletableFuture<Void> shutdown();
 }
--- a/controlplane/src/main/java/elmsail/controlplane/ServerDiscovery.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ServerDiscovery.java
@@ -14,18 +14,19 @@
 
 /**
  * Polls the platform for the list of model servers while this process holds the singleton lease,
- * and publishes it under the lease's term. Backs off on failures, by more if the platform limits
- * the rate. Runs on the event loop.
+ * and publishes the list under the lease's term. Backs off after failures; the backoff is longer if
+ * the platform limits the rate. Runs on the event loop.
  */
 final class ServerDiscovery {
   private static final long POLL_INTERVAL_MS = 500;
   private static final long MAX_POLL_INTERVAL_MS = 4_000;
 
-  /** The rest of the platform's rate is for gateways that no published list reaches. */
+  /** The rest of the platform's rate limit is left to gateways that receive no published list. */
   private static final double PLATFORM_RATE_SHARE = 0.5;
 
   /**
-   * Remaining warm-up times are rounded up to this step, so that not each list is a new version.
+   * Remaining warm-up times are rounded up to this step, so that not every poll yields a new list
+   * version.
    */
   private static final long WARM_UP_STEP_MS = 1_000;
 
@@ -40,7 +41,10 @@
   private byte[] lastPublished;
   private long pollIntervalMs = POLL_INTERVAL_MS;
 
-  /** Before a first poll without the lease, which spares the wait for a lease at a cold start. */
+  /**
+   * Delay before the first poll, which does not require the lease, so that a cold start does not
+   * wait for a lease.
+   */
   private static final long INITIAL_POLL_DELAY_MS = 100;
 
   private static final long TERM_BEFORE_FIRST_LEASE = 0;
@@ -49,12 +53,13 @@
   private boolean closed;
 
   /**
-   * Creates one that polls nothing before {@link #start()}.
+   * Creates a poller that sends nothing before {@link #start()}.
    *
-   * @param platform to poll
-   * @param platformCallsPerSecond rate limit of the platform for all processes together
+   * @param platform client of the platform to poll
+   * @param platformCallsPerSecond the platform's rate limit for all processes together
    * @param watchServer publishes the list
-   * @param term in which this process holds the lease at the moment; 0 if it does not
+   * @param term the current term in which this process holds the lease; 0 if it does not hold the
+   *     lease
    */
   ServerDiscovery(
       PlatformClient platform,
@@ -76,7 +81,10 @@
     poll();
   }
 
-  /** Publishes a list unless there is one yet; any list of the lease holder is newer. */
+  /**
+   * Polls once and publishes the list unless a list is already published; any list of the lease
+   * holder is newer.
+   */
   private void pollOnceWithoutLease() {
     if (closed || initialPollSent || watchServer.hasServers() || term.getAsLong() != 0) {
       return;
@@ -126,7 +134,7 @@
     return isRateLimited ? pollIntervalMs * 2 : Math.max(POLL_INTERVAL_MS, pollIntervalMs * 3 / 2);
   }
 
-  /** The interval at which the calls of a poll, one for each page, keep to this node's rate. */
+  /** The shortest poll interval that keeps to this node's rate limit, given one call per page. */
   private long minIntervalMs() {
     if (platformCallsPerSecond <= 0) {
       return MAX_POLL_INTERVAL_MS;
--- a/controlplane/src/main/java/elmsail/controlplane/ServerListManager.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ServerListManager.java
@@ -5,9 +5,9 @@
 import java.util.Optional;
 
 /**
- * Publishes the list of model servers to the processes that watch this node: the one that this node
- * read from the platform, or a newer one of another control-plane node. Kept in memory only; runs
- * on the event loop.
+ * Publishes the list of model servers to the processes that watch this node: the list that this
+ * node read from the platform, or a newer list from another control-plane node. Kept in memory
+ * only; runs on the event loop.
  */
 final class ServerListManager {
   private final WatchServer watchServer;
@@ -15,11 +15,11 @@
   private final Optional<ServerDiscovery> discovery;
 
   /**
-   * Creates one that does nothing before {@link #start()}.
+   * Creates a manager that does nothing before {@link #start()}.
    *
    * @param watchServer serves this node's state to the processes that watch it
    * @param configWatcher watches the other control-plane nodes
-   * @param discovery polls the platform while this node holds the singleton lease; empty where the
+   * @param discovery polls the platform while this node holds the singleton lease; empty if the
    *     settings name no platform
    */
   ServerListManager(
@@ -37,7 +37,7 @@
     discovery.ifPresent(ServerDiscovery::close);
   }
 
-  /** Publishes a list that another control-plane node published, if it is newer. */
+  /** Publishes the list of another control-plane node if it is newer. */
   void relayFromPeers() {
     if (configWatcher.serverListBytes() != null) {
       watchServer.setServers(
--- a/controlplane/src/main/java/elmsail/controlplane/SingletonLease.java
+++ b/controlplane/src/main/java/elmsail/controlplane/SingletonLease.java
@@ -20,16 +20,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The control plane's only lease: its holder polls the platform for servers and assigns voter
- * slots. A new holder first takes the next term from the register; the epochs of the server lists
- * that it publishes are these terms. A term is used by one process, under one acquisition of the
- * lease, until the lease ends, is given up, or a higher term is seen ({@link #onFenced}); each of
- * these ends its use for good, as the next acquisition takes a higher one. A process that gets the
- * lease back after another had it waits until a whole lease has passed since its own last use. Runs
- * on the event loop.
+ * The control plane's only lease. Its holder polls the platform for servers, assigns voter slots
+ * and performs the platform's singleton duties. A new holder first takes the next term from the
+ * register; the term is the epoch of the server lists that the holder publishes. A term belongs to
+ * one process and one acquisition of the lease. Use of the term ends permanently when the lease
+ * expires, is released, or is fenced because another holder has used a higher term ({@link
+ * #onFenced}); the next acquisition takes a higher term. If duties are configured, a process that
+ * reacquires the lease after another holder waits until a whole lease time has passed since its own
+ * last use ({@link TermReuseDelay}). Runs on the event loop.
  */
 final class SingletonLease implements DutyLease {
-  /** The register's key of the term, and the lease's name on the wire. */
+  /** The register key of the term, and the lease's name on the wire. */
   static final String KEY = "duty";
 
   private static final Logger LOG = LoggerFactory.getLogger(SingletonLease.class);
@@ -37,7 +38,7 @@
   private static final long REQUEST_TIMEOUT_MS = 500;
   private static final long TERM_CHANGE_TIMEOUT_MS = 800;
 
-  /** What a process did last in a term may take effect so much later. */
+  /** Time for which a process's last call in a term may still take effect after it was sent. */
   private static final long TERM_REUSE_MARGIN_MS = 500;
 
   private final RpcClient rpcClient;
@@ -50,13 +51,16 @@
   private Lease lease;
   private long term;
 
-  /** How many times the lease was acquired; a term belongs to one of them. */
+  /**
+   * Incremented when the lease is acquired or fenced, so that a term change started earlier is
+   * discarded.
+   */
   private long acquisitions;
 
   private boolean termChangeInFlight;
   private boolean closed;
 
-  /** Creates one that is not held, and sends nothing before {@link #tick()}. */
+  /** Creates a lease that is not held and sends nothing before {@link #tick()}. */
   SingletonLease(
       NodeEnvironment environment, Register register, Supplier<VoterSet> controlPlaneVoters) {
     this.rpcClient = environment.rpcClient();
@@ -68,13 +72,18 @@
     this.termReuseDelay = new TermReuseDelay(termReuseDelayMs(environment.settings()));
   }
 
-  /** Only the platform's duties are bound by the time between two holders' uses. */
+  /**
+   * Returns 0 without duties: only the platform's duties require a minimum time between a process's
+   * uses of the lease.
+   */
   private static long termReuseDelayMs(Settings settings) {
     boolean hasDuties = settings.platform() != null && !settings.platform().duties().isEmpty();
     return hasDuties ? settings.bounds().leaseMs() + TERM_REUSE_MARGIN_MS : 0;
   }
 
-  /** Registers the voter's side: requests are granted by {@code leaseVoter} while it may vote. */
+  /**
+   * Registers the voter's side: {@code leaseVoter} handles lease requests while this node votes.
+   */
   static void registerVoteHandler(
       RequestHandlers handlers, Timers timers, LeaseVoter leaseVoter, BooleanSupplier isVoting) {
     handlers.register(
@@ -96,7 +105,10 @@
         });
   }
 
-  /** Requests or renews the lease where this process holds a slot; repeats itself until closed. */
+  /**
+   * Requests or renews the lease if this process holds a voter slot; reschedules itself until
+   * closed.
+   */
   void tick() {
     if (closed) {
       return;
@@ -113,7 +125,7 @@
     }
     if (term > 0 && !lease.isHeld(now)) {
       term = 0;
-      LOG.info("the singleton lease is lost");
+      LOG.info("singleton lease expired without renewal");
     }
     lease.poll(now, voterSet.voters.size()).ifPresent(round -> sendRound(round, voterSet));
   }
@@ -167,14 +179,14 @@
                   && lease.isHeld(timers.now())) {
                 termReuseDelay.onAcquired(change.term);
                 term = change.term;
-                LOG.info("holds the singleton lease, term {}", term);
+                LOG.info("acquired the singleton lease, term {}", term);
               } else {
                 timers.schedule(TICK_INTERVAL_MS, this::acquireTerm);
               }
             });
   }
 
-  /** One attempt to take the next term; the last proposal is the one that counts. */
+  /** One attempt to take the next term; {@code term} is that of the last proposal. */
   private static final class TermChange {
     private final long processId;
     private long term;
@@ -205,18 +217,17 @@
   }
 
   /**
-   * Somebody refused what this process did under that term, since another holder has used a higher
-   * one. The term is a fencing token: it is not used again, whoever still grants this lease, and
-   * the lease is given up for as long as one lasts, so that two holders do not act by turns. A
-   * refusal of an earlier term than the present one says nothing new.
+   * Handles the rejection of a call under that term, because another holder has used a higher term.
+   * The term is a fencing token: this process does not use it again, even if voters still grant the
+   * lease. The lease is released, and not requested again for one lease duration, so that two
+   * holders do not alternate. The rejection of a term other than the current one is ignored.
    */
   @Override
   public void onFenced(long refusedTerm) {
     if (closed || lease == null || term == 0 || refusedTerm != term) {
       return;
     }
-    LOG.warn(
-        "another holder has used a higher term than {}: the singleton lease is given up", term);
+    LOG.warn("releasing the singleton lease: another holder has used a higher term than {}", term);
     term = 0;
     acquisitions++;
     lease
@@ -224,7 +235,7 @@
         .ifPresent(round -> sendRound(round, controlPlaneVoters.get()));
   }
 
-  /** Releases the lease, so that another process needn't wait for its end. */
+  /** Releases the lease, so that another process does not have to wait for its expiry. */
   void close() {
     if (lease != null && !closed) {
       lease.relinquish().ifPresent(round -> sendRound(round, controlPlaneVoters.get()));
--- a/controlplane/src/main/java/elmsail/controlplane/TermReuseDelay.java
+++ b/controlplane/src/main/java/elmsail/controlplane/TermReuseDelay.java
@@ -1,31 +1,32 @@
 package elmsail.controlplane;
 
 /**
- * When a process may use a term of the lease that it has just acquired. If another process may have
- * had a term since this one last used one, that is not before the time of a lease has passed since
- * then: else the two would act by turns within that time. A wait that has begun is not cut short by
- * a further acquisition. Does no I/O; times are in ms of the steady clock. Runs on the event loop.
+ * Determines when a process may use a newly acquired term of the lease. If another process may have
+ * held a term since this process last used one, the new term is usable only after a delay from that
+ * last use. Without the delay, two holders could alternate within the time of one lease. A further
+ * acquisition does not shorten a delay that has begun. Does no I/O; times are in ms of the
+ * monotonic clock. Runs on the event loop.
  */
 final class TermReuseDelay {
   private final long reuseDelayMs;
 
-  /** The last term that this process acquired; 0 if none. */
+  /** The last term that this process acquired; 0 before the first. */
   private long lastTerm;
 
   private long lastUsedAtMs;
   private long usableFromMs;
 
   /**
-   * Creates one without a term.
+   * Creates an instance without a term.
    *
-   * @param reuseDelayMs from the last use to the next if another may have had a term between; 0 for
-   *     no wait
+   * @param reuseDelayMs time from the last use of a term to the next use if another process may
+   *     have held a term in between; 0 for no delay
    */
   TermReuseDelay(long reuseDelayMs) {
     this.reuseDelayMs = reuseDelayMs;
   }
 
-  /** A term was acquired; it is higher than all before. */
+  /** Records the acquisition of a term, which is higher than all earlier ones. */
   void onAcquired(long newTerm) {
     boolean mayHaveBeenHeldByOthers = lastTerm > 0 && newTerm > lastTerm + 1;
     if (mayHaveBeenHeldByOthers) {
@@ -34,12 +35,12 @@
     lastTerm = newTerm;
   }
 
-  /** Whether the last acquired term may be used now. */
+  /** Whether the last acquired term may be used at that time. */
   boolean isUsable(long now) {
     return now >= usableFromMs;
   }
 
-  /** The last acquired term is used now. */
+  /** Records a use of the last acquired term. */
   void onUsed(long now) {
     lastUsedAtMs = now;
   }
--- a/controlplane/src/main/java/elmsail/controlplane/TokenBucket.java
+++ b/controlplane/src/main/java/elmsail/controlplane/TokenBucket.java
@@ -3,8 +3,8 @@
 import elmsail.runtime.MonotonicClock;
 
 /**
- * Limits a rate, by the steady clock: never more than the burst of a fifth of a second's calls, at
- * least one, above the rate. Runs on the event loop.
+ * Token bucket rate limiter on the monotonic clock. The burst is a fifth of a second's tokens, at
+ * least one token. Runs on the event loop.
  */
 final class TokenBucket {
   private static final double BURST_SECONDS = 0.2;
@@ -16,7 +16,7 @@
   private double tokens;
   private long lastRefillAtMs;
 
-  /** Creates a full one. A rate that is not positive never gives a token. */
+  /** Creates a full bucket. A bucket whose rate is not positive never has a token. */
   TokenBucket(MonotonicClock clock, double tokensPerSecond) {
     this.clock = clock;
     this.tokensPerMs = Math.max(0, tokensPerSecond) / MS_PER_SECOND;
@@ -25,7 +25,7 @@
     this.lastRefillAtMs = clock.now();
   }
 
-  /** Takes a token if there is one. */
+  /** Takes a token if one is available; returns whether it did. */
   boolean tryTake() {
     long now = clock.now();
     tokens = Math.min(capacity, tokens + (now - lastRefillAtMs) * tokensPerMs);
--- a/controlplane/src/main/java/elmsail/controlplane/UsageCounters.java
+++ b/controlplane/src/main/java/elmsail/controlplane/UsageCounters.java
@@ -2,22 +2,22 @@
 
 import elmsail.runtime.Counters;
 
-/** The counters of the reports of use. Updated on the event loop. */
+/** Counters of the usage reports. Updated on the event loop. */
 final class UsageCounters {
 
-  /** Reports that gateways sent to this node. */
+  /** Usage reports that this node received from gateways. */
   final Counters.Counter reportsReceived;
 
-  /** Windows whose counts this node has decided. */
+  /** Windows whose counts this node has committed to the ledger. */
   final Counters.Counter windowsDecided;
 
-  /** Windows that the platform has taken in from this node. */
+  /** Windows whose report from this node the platform accepted. */
   final Counters.Counter windowsAccepted;
 
-  /** Windows that this node found too old to be reported. */
+  /** Windows that this node skipped because they were too old to be reported. */
   final Counters.Counter windowsSkipped;
 
-  /** Registers the counters with those of the process. */
+  /** Registers the counters with the process's counters. */
   UsageCounters(Counters counters) {
     reportsReceived = counters.counter("control_usage_reports_received");
     windowsDecided = counters.counter("control_usage_windows_decided");
--- a/controlplane/src/main/java/elmsail/controlplane/UsageJson.java
+++ b/controlplane/src/main/java/elmsail/controlplane/UsageJson.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.SortedMap;
 
-/** The body of a report of use, as the platform takes it; equal counts give equal bytes. */
+/** Encodes the body of a usage report to the platform; equal counts yield equal bytes. */
 final class UsageJson {
   private static final char FIRST_PRINTABLE = ' ';
 
--- a/controlplane/src/main/java/elmsail/controlplane/UsageLedger.java
+++ b/controlplane/src/main/java/elmsail/controlplane/UsageLedger.java
@@ -11,15 +11,15 @@
 import java.util.function.LongFunction;
 
 /**
- * The register's value under {@link #KEY}: up to which window the usage has been decided, and the
- * decided counts of the windows that the platform is not known to have. What is decided never
- * changes: a window's counts are set when the ledger first passes it, by whoever holds the lease
- * then, and are only left out again once the platform has taken them in, or when they are too old
- * to be wanted. Immutable.
+ * The register's value under {@link #KEY}: the newest window whose usage is decided, and the
+ * decided counts of the windows that the platform is not known to have accepted. Decided counts
+ * never change. The lease holder that first advances the ledger past a window sets its counts. The
+ * counts are removed only when the platform has accepted them or when they are too old to be
+ * reported. Immutable.
  *
- * @param lastDecided number of the newest window that is decided; older ones are decided too, or
- *     never will be
- * @param unsent counts by tenant of the windows still to be sent
+ * @param lastDecided number of the newest decided window; every older window is decided as well or
+ *     is never reported
+ * @param unsent counts by tenant of the windows that are still to be sent, by window number
  */
 record UsageLedger(long lastDecided, SortedMap<Long, SortedMap<String, Long>> unsent) {
   static final String KEY = "usage";
@@ -29,16 +29,19 @@
   private static final int MAX_WINDOWS = 1_000;
   private static final int MAX_TENANTS = 100_000;
 
-  /** A ledger that has decided nothing after that window. */
+  /**
+   * Returns a ledger without counts whose first window to decide is the one after {@code window}.
+   */
   static UsageLedger startingAfter(long window) {
     return new UsageLedger(window, Collections.emptySortedMap());
   }
 
   /**
-   * This ledger with all windows decided up to {@code last}.
+   * Returns this ledger with all windows up to {@code last} decided.
    *
-   * @param first windows before this one are passed over: nobody knows their counts any more
-   * @param counts the counts of a window
+   * @param first oldest window to report; older windows are skipped, because gateways no longer
+   *     keep their counts
+   * @param counts returns the counts of a window
    */
   UsageLedger decide(long first, long last, LongFunction<SortedMap<String, Long>> counts) {
     SortedMap<Long, SortedMap<String, Long>> windows = new TreeMap<>(unsent.tailMap(first));
@@ -48,14 +51,14 @@
     return new UsageLedger(Math.max(lastDecided, last), Collections.unmodifiableSortedMap(windows));
   }
 
-  /** This ledger without the windows that the platform has taken in. */
+  /** Returns this ledger without the windows that the platform has accepted. */
   UsageLedger without(Collection<Long> acceptedWindows) {
     SortedMap<Long, SortedMap<String, Long>> windows = new TreeMap<>(unsent);
     windows.keySet().removeAll(acceptedWindows);
     return new UsageLedger(lastDecided, Collections.unmodifiableSortedMap(windows));
   }
 
-  /** The value's bytes. */
+  /** Encodes this ledger as a register value. */
   byte[] encode() {
     return ValueCodec.encode(
         VALUE_NAME,
@@ -75,9 +78,9 @@
   }
 
   /**
-   * The ledger of these bytes.
+   * Decodes a register value.
    *
-   * @throws ElmsailException MALFORMED if they are none
+   * @throws ElmsailException MALFORMED if the bytes cannot be decoded
    */
   static UsageLedger decode(byte[] value) {
     return ValueCodec.decode(VALUE_NAME, value, UsageLedger::read);
@@ -85,7 +88,7 @@
 
   private static UsageLedger read(DataInputStream in) throws IOException {
     if (in.readByte() != FORMAT) {
-      throw new IOException("another format");
+      throw new IOException("unsupported format version");
     }
     long lastDecided = in.readLong();
     SortedMap<Long, SortedMap<String, Long>> windows = new TreeMap<>();
--- a/controlplane/src/main/java/elmsail/controlplane/UsageManager.java
+++ b/controlplane/src/main/java/elmsail/controlplane/UsageManager.java
@@ -14,12 +14,12 @@
 import java.util.function.Supplier;
 
 /**
- * A node's part in the duty to report the use of the servers: takes the gateways' counts, agrees
- * with the other machines on the time of day, and reports while it holds the lease ({@link
+ * A node's part in the usage reporting duty: receives the gateways' counts, agrees with the other
+ * machines on the time of day, and reports to the platform while this node holds the lease ({@link
  * UsageReporter}). Runs on the event loop.
  */
 final class UsageManager {
-  /** Clocks of gateways are a little ahead of this node's, at most by so many windows. */
+  /** Maximum number of windows by which a gateway's clock may be ahead of this node's clock. */
   private static final int MAX_WINDOWS_AHEAD = 1;
 
   private final NodeEnvironment environment;
@@ -31,11 +31,11 @@
   private final UsageReporter reporter;
 
   /**
-   * Creates one that does nothing before {@link #start}.
+   * Creates a manager that does nothing before {@link #start}.
    *
-   * @param environment of this process, whose settings ask for the duty
+   * @param environment of this process, whose settings enable the duty
    * @param register of the control-plane voters
-   * @param voters of the control plane as this node knows them
+   * @param voters the control-plane voters as this node knows them
    */
   UsageManager(
       NodeEnvironment environment,
@@ -69,7 +69,7 @@
             new Random(environment.processId()));
   }
 
-  /** Whether these settings ask for reports of use. */
+  /** Whether the settings enable usage reports. */
   static boolean isEnabled(Settings settings) {
     return settings.platform() != null
         && settings.platform().duties().contains(Settings.Platform.USAGE_DUTY)
@@ -87,7 +87,9 @@
     counters.reportsReceived.add(1);
     if (!clock.isAgreed()) {
       return CompletableFuture.failedFuture(
-          new ElmsailException(ErrorCode.NO_QUORUM, "the time of day is not agreed on yet"));
+          new ElmsailException(
+              ErrorCode.NO_QUORUM,
+              "usage report rejected: the cluster has not agreed on the time of day yet"));
     }
     table.onReport(report, reporter.windowAt(clock.now()) + MAX_WINDOWS_AHEAD);
     UsageReportResponse response = new UsageReportResponse();
--- a/controlplane/src/main/java/elmsail/controlplane/UsageReporter.java
+++ b/controlplane/src/main/java/elmsail/controlplane/UsageReporter.java
@@ -14,18 +14,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reports each window's usage to the platform, while this node holds the singleton lease.
+ * Reports each window's usage to the platform while this node holds the singleton lease.
  *
- * <p>A window's counts are first decided: the register's {@link UsageLedger} passes the window in
- * one compare-and-set, so that one node decides it, once. Only what is committed is sent, oldest
- * window first, and again until the platform has taken it in; so all that the platform ever gets of
- * a window is the same content, whoever sends it. A new holder reads the ledger, sends what is left
- * in it, and goes on with the windows after the last decided one.
+ * <p>A window's counts are first decided: one compare-and-set in the register advances the {@link
+ * UsageLedger} past the window, so that exactly one node decides the window, once. Only committed
+ * counts are sent, oldest window first, and repeatedly until the platform accepts them. The
+ * platform therefore receives the same content for a window from every sender. A new holder reads
+ * the ledger, sends the remaining windows in it, and continues with the windows after the last
+ * decided one.
  *
- * <p>Decided is a window some time after its close, when the gateways' reports are in. A new holder
- * moreover waits until they have sent it the counts of the last windows. What a gateway that was
- * killed had not reported is missing, and a window that closed so long ago that gateways do not
- * keep its counts is never reported. Runs on the event loop.
+ * <p>A window is decided some time after its close, when the gateways' reports have arrived. A new
+ * holder also waits until the gateways have sent it the counts of the last windows. Counts that a
+ * killed gateway had not reported are lost. A window that closed so long ago that gateways no
+ * longer keep its counts is never reported. Runs on the event loop.
  */
 final class UsageReporter {
   static final String PATH = "/usage";
@@ -34,13 +35,19 @@
   private static final long TICK_INTERVAL_MS = 100;
   private static final long REGISTER_TIMEOUT_MS = 800;
 
-  /** The part of the time allowed for a report after which its window is decided. */
+  /** Share of the allowed reporting time after which a closed window is decided. */
   private static final double DECISION_DELAY_SHARE = 0.3;
 
-  /** Gateways report once a second, to all nodes while they know of no holder. */
+  /**
+   * How long a new holder collects reports before it decides. Gateways report once a second, and
+   * report to all nodes while no holder is known to them.
+   */
   private static final long REPORT_GATHERING_MS = 1_500;
 
-  /** Gateways keep their counts of windows that closed less than so many times the bound ago. */
+  /**
+   * Gateways keep the counts of a window until this multiple of the allowed reporting time after
+   * its close.
+   */
   private static final int MAX_REPORT_AGE_FACTOR = 2;
 
   private static final long MIN_BACKOFF_MS = 150;
@@ -57,20 +64,23 @@
   private final long windowMs;
   private final long decisionDelayMs;
 
-  /** Windows that closed before this time are reported no more. */
+  /** Windows that closed longer ago than this are no longer reported. */
   private final long maxReportAgeMs;
 
-  /** What this node does in the term in which it holds the lease; null while it does not. */
+  /**
+   * This node's state in the term in which it holds the lease; null while it does not hold the
+   * lease.
+   */
   private HeldTerm heldTerm;
 
   private boolean closed;
 
   /**
-   * Does nothing before {@link #start}.
+   * Creates a reporter that does nothing before {@link #start}.
    *
-   * @param table of what gateways reported to this node
-   * @param clock by which windows begin and end
-   * @param bounds with the length of a window, above 0
+   * @param table of the counts that gateways reported to this node
+   * @param clock by which windows open and close
+   * @param bounds with a window length above 0
    * @param random for backoffs
    */
   UsageReporter(
@@ -96,12 +106,12 @@
     maxReportAgeMs = MAX_REPORT_AGE_FACTOR * bounds.usageLateMs();
   }
 
-  /** How many windows, closed or open, can be reported at any time. */
+  /** The maximum number of windows, open or closed, that can still be reported at one time. */
   static int reportableWindows(Settings.Bounds bounds) {
     return (int) (MAX_REPORT_AGE_FACTOR * bounds.usageLateMs() / bounds.usageWindowMs()) + 2;
   }
 
-  /** Looks at the lease and the clock now, and repeats that until closed. */
+  /** Checks the lease and the clock now, and reschedules itself until closed. */
   void start() {
     if (closed) {
       return;
@@ -120,22 +130,25 @@
     closed = true;
   }
 
-  /** The window of a time of day. */
+  /** Returns the number of the window that contains a time of day. */
   long windowAt(long timeOfDayMs) {
     return Math.floorDiv(timeOfDayMs, windowMs);
   }
 
-  /** The newest window that has been closed for so long. */
+  /** Returns the newest window that closed at least that long ago. */
   private long newestWindowClosedFor(long ms) {
     return windowAt(clock.now() - ms) - 1;
   }
 
-  /** The oldest window that is still worth a report. */
+  /** Returns the oldest window that may still be reported. */
   private long oldestReportableWindow() {
     return newestWindowClosedFor(maxReportAgeMs) + 1;
   }
 
-  /** One holding of the lease. What completes later than it does nothing. */
+  /**
+   * The state of this node in one term of the lease. Calls that complete after the term has ended
+   * have no effect.
+   */
   private final class HeldTerm {
     private final long term;
     private final long startedAtMs = timers.now();
@@ -165,7 +178,10 @@
       send();
     }
 
-    /** Reads the ledger; the first holder ever begins one with the window that is open now. */
+    /**
+     * Reads the ledger. If none exists yet, creates one that starts with the window that is open
+     * now.
+     */
     private void readOrCreateLedger() {
       long firstWindow = windowAt(clock.now());
       changeLedger(
@@ -187,7 +203,10 @@
           });
     }
 
-    /** What a change makes of the ledger found, if there is one; empty to leave it as it is. */
+    /**
+     * Computes a new ledger from the observed one, which is empty before the first; an empty result
+     * leaves the ledger unchanged.
+     */
     private interface LedgerChange {
       Optional<UsageLedger> apply(Optional<UsageLedger> observedLedger);
     }
@@ -224,7 +243,7 @@
         counters.windowsSkipped.add(decidedCount - keptCount);
         if (decidedCount > keptCount) {
           LOG.warn(
-              "usage of {} windows is not reported: they closed too long ago",
+              "skipping the usage reports of {} windows: they closed too long ago",
               decidedCount - keptCount);
         }
       }
@@ -233,7 +252,7 @@
       send();
     }
 
-    /** Sends the oldest decided window that the platform has not taken in. */
+    /** Sends the oldest decided window that the platform has not accepted. */
     private void send() {
       if (ledger == null || platformCallInFlight || timers.now() < nextCallAtMs || !isCurrent()) {
         return;
--- a/controlplane/src/main/java/elmsail/controlplane/UsageTable.java
+++ b/controlplane/src/main/java/elmsail/controlplane/UsageTable.java
@@ -10,9 +10,10 @@
 import java.util.TreeMap;
 
 /**
- * What the gateways have reported to this node: counts of started requests by window, gateway and
- * tenant. Of repeated and reordered reports the highest count of each holds, as counts only grow.
- * Keeps the newest few windows. Pure; runs on the event loop.
+ * The usage that gateways reported to this node: counts of started requests by window, gateway
+ * instance and tenant. Counts only grow, so the highest reported count is kept, whatever the order
+ * and repetition of reports. Keeps a limited number of the newest windows. Does no I/O; runs on the
+ * event loop.
  */
 final class UsageTable {
   private static final int MAX_INSTANCES_PER_WINDOW = 4_096;
@@ -21,15 +22,16 @@
   private final int maxWindows;
   private final TreeMap<Long, Map<Long, Map<String, Long>>> windows = new TreeMap<>();
 
-  /** Creates one without counts that keeps so many windows. */
+  /** Creates an empty table that keeps at most {@code maxWindows} windows. */
   UsageTable(int maxWindows) {
     this.maxWindows = maxWindows;
   }
 
   /**
-   * Takes a gateway's report.
+   * Records a gateway's report.
    *
-   * @param newestWindow windows after this one are ignored, as are those too old to be kept
+   * @param newestWindow the newest accepted window; later windows and windows too old to be kept
+   *     are ignored
    */
   void onReport(UsageReport report, long newestWindow) {
     windows.headMap(newestWindow - maxWindows + 1).clear();
@@ -55,7 +57,7 @@
     }
   }
 
-  /** The sum over all gateways, by tenant; empty for a window without counts. */
+  /** Returns the sum over all gateways, by tenant; empty for a window without counts. */
   SortedMap<String, Long> totals(long window) {
     SortedMap<String, Long> totals = new TreeMap<>();
     for (Map<String, Long> counts : windows.getOrDefault(window, Map.of()).values()) {
@@ -64,7 +66,7 @@
     return Collections.unmodifiableSortedMap(totals);
   }
 
-  /** How many windows have counts. */
+  /** The number of windows with counts. */
   int size() {
     return windows.size();
   }
--- a/controlplane/src/main/java/elmsail/controlplane/VoterPlacement.java
+++ b/controlplane/src/main/java/elmsail/controlplane/VoterPlacement.java
@@ -9,11 +9,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Assigns the slots of one voter set: a spare of the set's role takes over the slot of a voter that
- * is gone or is to be decommissioned. A partitioned voter is not distinguished from a lost one; if
- * it comes back, the voters that acknowledged its successor reject its votes, and it is a spare
- * from then on. The voter sets differ only in where their heartbeats come from. Runs on the event
- * loop.
+ * Assigns the slots of one voter set: a spare with the voter set's role takes over the slot of a
+ * voter that is gone or is to be decommissioned. A partitioned voter is treated like a lost voter.
+ * If the partitioned voter returns, the voters that acknowledged its successor reject its votes,
+ * and it becomes a spare. The voter sets differ only in the source of their heartbeats. Runs on the
+ * event loop.
  */
 final class VoterPlacement {
   private static final Logger LOG = LoggerFactory.getLogger(VoterPlacement.class);
@@ -25,11 +25,11 @@
   private Optional<PlacementController.Assignment> assignment = Optional.empty();
 
   /**
-   * Creates one without an assignment.
+   * Creates a placement without an assignment.
    *
-   * @param voterSetName as on the wire; in log lines
-   * @param heartbeats of the role that the voters have
-   * @param controller chooses the spare; no other caller takes assignments from it
+   * @param voterSetName the name on the wire, also used in log lines
+   * @param heartbeats of the processes with the voters' role
+   * @param controller chooses the spare; must not be used for assignments by another caller
    */
   VoterPlacement(String voterSetName, HeartbeatTable heartbeats, PlacementController controller) {
     this.voterSetName = voterSetName;
@@ -42,10 +42,10 @@
    * Renews the assignment; called at an interval.
    *
    * @param decommissioning machines whose stores are to be decommissioned
-   * @param isObserving whether missing heartbeats count against the members now; they don't where
-   *     this node itself may be partitioned
+   * @param isObserving whether missing heartbeats count against the members; false while this node
+   *     itself may be partitioned
    * @param canAssign whether this node may assign slots now
-   * @return whether the assignment is another than before
+   * @return whether the assignment changed
    */
   boolean refresh(
       VoterSet voterSet,
@@ -66,19 +66,19 @@
 
   private void logAssignment(PlacementController.Assignment newAssignment) {
     LOG.info(
-        "{}: {} shall take slot {}, epoch {}",
+        "voter set {}: assigning {} to slot {}, epoch {}",
         voterSetName,
         newAssignment.address(),
         newAssignment.slot(),
         newAssignment.epoch());
   }
 
-  /** Whether a spare is to take over a slot at present. */
+  /** Whether a spare is currently assigned to take over a slot. */
   boolean hasAssignment() {
     return assignment.isPresent();
   }
 
-  /** Adds the assignment to the view for the process that it is for. */
+  /** Adds the assignment to the view if the pull comes from the assigned process. */
   void addAssignmentTo(PullRequest request, ClusterView view) {
     if (!heartbeats.role().isRoleOf(request)) {
       return;
--- a/controlplane/src/main/java/elmsail/controlplane/VoterSetManager.java
+++ b/controlplane/src/main/java/elmsail/controlplane/VoterSetManager.java
@@ -12,17 +12,17 @@
 import java.util.Set;
 
 /**
- * Owns what this node knows of the two voter sets, the control-plane voters and the job-store
- * voters, and of the processes that send it heartbeats. While the node may, it bootstraps the
- * job-store voters and assigns the slots of lost voters to spares. Runs on the event loop.
+ * Manages this node's knowledge of the control-plane voters, the job-store voters and the processes
+ * that send heartbeats to this node. While this node may assign slots, it bootstraps the job-store
+ * voters and assigns the slots of lost voters to spares. Runs on the event loop.
  *
  * <p>The node may assign slots while it holds the singleton lease, is in contact with a majority of
- * the control-plane voters, and knows the current list of stores to decommission.
+ * the control-plane voters, and has a current list of stores to decommission.
  */
 final class VoterSetManager {
   private static final long VOTER_SET_READ_INTERVAL_MS = 1_000;
 
-  /** A gateway is published while its last heartbeat is no older. */
+  /** A gateway is published while its last heartbeat is not older than this. */
   private static final long GATEWAY_EXPIRY_MS = 4_000;
 
   private final Timers timers;
@@ -54,14 +54,15 @@
       HeartbeatTable storeHeartbeats) {}
 
   /**
-   * Creates one that reads and assigns nothing before {@link #refresh()} and {@link #tick}.
+   * Creates a manager that reads nothing before {@link #refresh()} and assigns nothing before
+   * {@link #tick}.
    *
    * @param environment of this process
    * @param register of the control-plane voters
    * @param membership shared with the other managers
-   * @param lease without which no slots are assigned
+   * @param lease that this node must hold to assign slots
    * @param quorumContact of this node with a majority of the control-plane voters
-   * @param decommissionManager knows which stores must not get a slot
+   * @param decommissionManager lists the stores that must not get a slot
    */
   VoterSetManager(
       NodeEnvironment environment,
@@ -100,12 +101,12 @@
         "control_head_voters_voting", controlPlanePlacement.redundancy()::votingCount);
   }
 
-  /** Learns the initial job-store voters once they are committed. */
+  /** Starts to merge the initial job-store voters when they are committed. */
   void addListeners() {
     committedInitialVoters.addListener(value -> jobStoreVoters.learn(VoterSetValue.decode(value)));
   }
 
-  /** Reads the initial job-store voters now, and from then on at an interval. */
+  /** Reads the initial job-store voters now and then repeatedly at an interval. */
   void refresh() {
     committedInitialVoters.refresh();
   }
@@ -114,12 +115,12 @@
     committedInitialVoters.close();
   }
 
-  /** Whether, and since when, the control-plane voters are fewer than they should be. */
+  /** The monitor of the control-plane voter set's redundancy. */
   RedundancyMonitor controlPlaneRedundancy() {
     return controlPlanePlacement.redundancy();
   }
 
-  /** Notes another process's pull, which is its heartbeat. */
+  /** Records another process's pull as its heartbeat. */
   void onHeartbeat(PullRequest request) {
     storeHeartbeats.onHeartbeat(request, timers.now());
     controlPlaneHeartbeats.onHeartbeat(request, timers.now());
@@ -128,7 +129,7 @@
     }
   }
 
-  /** Learns voter sets that another control-plane node published. */
+  /** Merges the voter sets that another control-plane node published. */
   void learn(ClusterView view) {
     jobStoreVoters.learn(view.jobStoreVoters);
     if (!view.controlPlaneVoters.voters.isEmpty()) {
@@ -136,7 +137,7 @@
     }
   }
 
-  /** The cluster as the sender of that pull is to see it, with its slot assignment. */
+  /** Returns the cluster view for the sender of that pull, including its slot assignment. */
   ClusterView view(PullRequest request) {
     ClusterView view = new ClusterView();
     view.controlPlaneVoters = controlPlaneVoters.current();
@@ -149,16 +150,16 @@
     return view;
   }
 
-  /** Whether this node may assign voter slots at this very moment. */
+  /** Whether this node may assign voter slots at this moment. */
   private boolean canAssignSlots() {
     return lease.term() > 0 && quorumContact.isCurrent() && decommissionManager.isListCurrent();
   }
 
   /**
-   * Bootstraps the job-store voters or renews the assignments, where this node may; called at an
+   * Bootstraps the job-store voters or renews the assignments, if this node may; called at an
    * interval.
    *
-   * @return whether the view is another than before
+   * @return whether the view changed
    */
   boolean tick(long now) {
     boolean isInContact = quorumContact.isCurrent();
--- a/controlplane/src/main/java/elmsail/controlplane/VoterSetValue.java
+++ b/controlplane/src/main/java/elmsail/controlplane/VoterSetValue.java
@@ -4,8 +4,9 @@
 import elmsail.rpc.messages.VoterSet;
 
 /**
- * Codec of voter sets as values of the register and in the bootstrap's record. Voter sets are never
- * changed once they were passed on. The replicas' own records of voter sets have another format.
+ * Codec of voter sets in register values and in the bootstrap record. A voter set must not be
+ * modified after it was passed to another component. The replicas' own voter-set records have
+ * another format.
  */
 final class VoterSetValue {
   private static final int MAX_VOTERS = 64;
@@ -13,7 +14,7 @@
 
   private VoterSetValue() {}
 
-  /** The bytes of a voter set; what its voters replaced is left out. */
+  /** Encodes a voter set without the information on the voters that its voters replaced. */
   static byte[] encode(VoterSet voterSet) {
     return ValueCodec.encode(
         VALUE_NAME,
@@ -29,7 +30,7 @@
   }
 
   /**
-   * Decodes what {@link #encode} wrote; null gives a voter set without voters.
+   * Decodes a voter set that {@link #encode} wrote; null yields a voter set without voters.
    *
    * @throws elmsail.runtime.ElmsailException MALFORMED if the bytes cannot be decoded
    */
@@ -51,7 +52,7 @@
         });
   }
 
-  /** A voter at that RPC address and of that machine, instance id and epoch. */
+  /** Creates a voter with that RPC address, machine, instance id and epoch. */
   static Voter voter(String address, String machine, long instanceId, int epoch) {
     Voter voter = new Voter();
     voter.address = address;
