--- a/controlplane/src/main/java/elmsail/controlplane/PlatformDutyClient.java
+++ b/controlplane/src/main/java/elmsail/controlplane/PlatformDutyClient.java
@@ -130,7 +130,7 @@
       case CONFLICT -> {
         counters.callsFenced.add(1);
         LOG.warn(
-            "platform rejected duty call as superseded: term {} at {}; releasing the singleton lease",
+            "platform rejected duty call: term {} superseded at {}; releasing the lease",
             term,
             path);
         lease.onFenced(term);
--- a/controlplane/src/test/java/elmsail/controlplane/BoundedStateTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/BoundedStateTest.java
@@ -17,7 +17,10 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Lists that grow with what comes and goes: what happens at their bounds. */
+/**
+ * Collections that grow as machines and gateways come and go are limited in size; covers the
+ * behaviour at the limits.
+ */
 class BoundedStateTest {
 
   @Test
@@ -55,9 +58,10 @@
     }
     List<HeartbeatTable.Member> stores = new ArrayList<>(heartbeats.members());
     assertThat(stores, hasSize(HeartbeatTable.MAX_MEMBERS));
-    assertThat("the newest", heartbeats.memberOnMachine("s" + (all - 1)), notNullValue());
-    assertThat("heard all the time", heartbeats.memberOnMachine("s0"), notNullValue());
-    assertThat("silent longest", heartbeats.memberOnMachine("s1"), nullValue());
+    assertThat("newest heartbeat", heartbeats.memberOnMachine("s" + (all - 1)), notNullValue());
+    assertThat(
+        "repeated heartbeats until the end", heartbeats.memberOnMachine("s0"), notNullValue());
+    assertThat("oldest heartbeat", heartbeats.memberOnMachine("s1"), nullValue());
     assertThat(heartbeats.gatewaysWithin(1_000 + all, 60_000), hasSize(HeartbeatTable.MAX_MEMBERS));
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/ConcurrentConfigChangesTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ConcurrentConfigChangesTest.java
@@ -13,7 +13,12 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Orders of several operators at several nodes, with lost answers, repeats, kills and wipes. */
+/**
+ * Configuration changes that several operators send to several nodes concurrently, with lost
+ * replies, repeats, partitions, and killed and wiped nodes. Guards against two committed changes on
+ * one base version, and against final replies (200, 400, 412) that contradict the committed
+ * history.
+ */
 class ConcurrentConfigChangesTest {
   private static final int NODES = 3;
   private static final int SEEDS = 20;
@@ -23,7 +28,8 @@
   void oneOfEightConcurrentChangesIsCommitted() {
     int unknownOutcomes = 0;
     for (int seed = 1; seed <= SEEDS; seed++) {
-      ConfigChangeScenario scenario = ConfigChangeScenario.started("eight at once", seed, NODES);
+      ConfigChangeScenario scenario =
+          ConfigChangeScenario.started("eight concurrent changes", seed, NODES);
       Set<ChangeRequest> requests = new LinkedHashSet<>();
       for (int i = 0; i < 8; i++) {
         ChangeRequest request = ConfigChangeScenario.replacement(1, 2 + i, "x");
@@ -35,13 +41,14 @@
       scenario.finish();
       unknownOutcomes += scenario.outcomesUnknown;
     }
-    System.out.println("eight at once: " + SEEDS + " seeds, answers unclear " + unknownOutcomes);
+    System.out.println(
+        "eight concurrent changes: " + SEEDS + " seeds, unknown outcomes " + unknownOutcomes);
   }
 
   @Test
   void oneOfTwoChangesToTheSameVersionIsCommitted() {
     for (int seed = 1; seed <= SEEDS; seed++) {
-      ConfigChangeScenario scenario = ConfigChangeScenario.started("one number", seed, NODES);
+      ConfigChangeScenario scenario = ConfigChangeScenario.started("same version", seed, NODES);
       ChangeRequest one = ConfigChangeScenario.replacement(1, 5, "one");
       ChangeRequest other = ConfigChangeScenario.replacement(1, 5, "other");
       scenario.send(one, "n1");
@@ -78,7 +85,7 @@
   @Test
   void sameChangeAtAllNodesIsAcknowledgedByAll() {
     for (int seed = 1; seed <= SEEDS; seed++) {
-      ConfigChangeScenario scenario = ConfigChangeScenario.started("same order", seed, NODES);
+      ConfigChangeScenario scenario = ConfigChangeScenario.started("same change", seed, NODES);
       ChangeRequest request = ConfigChangeScenario.replacement(1, 4, "");
       for (int i = 1; i <= NODES; i++) {
         scenario.send(request, "n" + i);
@@ -94,9 +101,9 @@
   @Test
   void eachChangeHasOneFinalReplyWhenMostRepliesAreLost() {
     int lost = 0;
-    int confirmed = 0;
+    int committed = 0;
     for (int seed = 1; seed <= 6; seed++) {
-      ConfigChangeScenario scenario = ConfigChangeScenario.started("lost answers", seed, NODES);
+      ConfigChangeScenario scenario = ConfigChangeScenario.started("lost replies", seed, NODES);
       scenario.replyLossRate = 0.7;
       long current = 1;
       for (int change = 0; change < 25; change++) {
@@ -112,10 +119,10 @@
       }
       scenario.finish();
       lost += scenario.repliesLost;
-      confirmed += scenario.committed.size();
+      committed += scenario.committed.size();
     }
-    System.out.println("lost answers: confirmed " + confirmed + ", answers lost " + lost);
-    assertThat(lost, greaterThan(2 * confirmed));
+    System.out.println("lost replies: committed " + committed + ", replies lost " + lost);
+    assertThat(lost, greaterThan(2 * committed));
   }
 
   @Test
@@ -167,23 +174,25 @@
   }
 
   /**
-   * The node that makes the change is cut off at each ms of it, one way or both, so that its accept
-   * may have reached nobody, itself, one other or all; a rival comes before or after the repeat.
+   * The node that commits the change is partitioned from the other nodes at each ms of the attempt,
+   * in one or both directions, so that its accept may have reached no voter, only itself, one other
+   * or all. A rival change is sent before or after the repeat. Either change may be committed, but
+   * all later replies must agree on the winner.
    */
   @Test
   void changeInterruptedByAPartitionHasOneOutcomeForAll() {
-    int completedBeforeRival = 0;
+    int committedDespiteRival = 0;
     int lost = 0;
     int scenarios = 0;
-    for (int cutAt = 0; cutAt <= 70; cutAt++) {
+    for (int cutAtMs = 0; cutAtMs <= 70; cutAtMs++) {
       for (int variant = 0; variant < 6; variant++) {
         ConfigChangeScenario scenario =
             ConfigChangeScenario.started(
-                "cut at " + cutAt + " ms, variant " + variant, 100 + cutAt, NODES);
+                "partitioned at " + cutAtMs + " ms, variant " + variant, 100 + cutAtMs, NODES);
         ChangeRequest mine = ConfigChangeScenario.replacement(1, 5, "mine");
         ChangeRequest rival = ConfigChangeScenario.replacement(1, 5, "rival");
         scenario.send(mine, "n1");
-        scenario.collectReplies(cutAt);
+        scenario.collectReplies(cutAtMs);
         cut(scenario.cluster, "n1", variant % 3);
         boolean rivalFirst = variant >= 3;
         scenario.send(rivalFirst ? rival : mine, "n2");
@@ -196,15 +205,15 @@
         assertThat(scenario.repeat(rival, SETTLE_MS), is(mineWon ? 412 : 200));
         scenario.finish();
         scenarios++;
-        completedBeforeRival += mineWon && rivalFirst ? 1 : 0;
+        committedDespiteRival += mineWon && rivalFirst ? 1 : 0;
         lost += mineWon ? 0 : 1;
       }
     }
     System.out.printf(
-        "cut off halfway: %d stories, first try lost %d, kept although a rival came first %d%n",
-        scenarios, lost, completedBeforeRival);
+        "partition during change: %d scenarios, first change lost %d, won despite rival %d%n",
+        scenarios, lost, committedDespiteRival);
     assertThat(lost, greaterThan(20));
-    assertThat(completedBeforeRival, greaterThan(20));
+    assertThat(committedDespiteRival, greaterThan(20));
   }
 
   private static void cut(SimulatedCluster cluster, String node, int variant) {
@@ -222,13 +231,13 @@
     }
   }
 
-  /** Sends up to eight changes near the current version, some twice. */
+  /** Sends up to eight changes based on or near the current version, some of them twice. */
   private static Set<ChangeRequest> sendRivals(
       ConfigChangeScenario scenario, int round, long current) {
     Set<ChangeRequest> requests = new LinkedHashSet<>();
     int rivals = 1 + scenario.random.nextInt(8);
     for (int i = 0; i < rivals; i++) {
-      // A base that is out of date or ahead at times; the same version at times.
+      // Some bases are older or newer than the current version; some changes share a version.
       long base = Math.max(0, current - (scenario.random.nextInt(6) == 0 ? 1 : 0));
       base += scenario.random.nextInt(12) == 0 ? 1 : 0;
       requests.add(
@@ -246,20 +255,20 @@
 
   @Test
   void finalRepliesUnderFaultsAreNeverWrong() {
-    int confirmed = 0;
+    int committed = 0;
     int rejected = 0;
     int unknownOutcomes = 0;
     int repeats = 0;
     int faultCount = 0;
     for (int seed = 1; seed <= 10; seed++) {
-      ConfigChangeScenario scenario = ConfigChangeScenario.started("trouble", seed, NODES);
+      ConfigChangeScenario scenario = ConfigChangeScenario.started("random faults", seed, NODES);
       NodeFaultInjector faults =
           new NodeFaultInjector(scenario.cluster, new Random(seed * 7L), NODES);
       scenario.replyLossRate = 0.4;
       long current = 1;
       for (int round = 0; round < 40; round++) {
         Set<ChangeRequest> requests = sendRivals(scenario, round, current);
-        // Not all get their reply in time: their operators give up, for now.
+        // Some operators give up before they receive a final reply.
         scenario.retryUntilAnswered(requests, 200 + scenario.random.nextInt(2_000), faults::step);
         if (scenario.random.nextInt(3) == 0) {
           List<ChangeRequest> all = new ArrayList<>(scenario.sent);
@@ -271,7 +280,8 @@
       }
       faults.end();
       scenario.collectReplies(2_000);
-      // Operators that gave up retry at the end; changes on a base never committed stay open.
+      // Operators that gave up retry at the end. A change whose base was never committed gets no
+      // final reply.
       scenario.retryUntilAnswered(new LinkedHashSet<>(scenario.sent), 3_000, () -> {});
       for (ChangeRequest request : scenario.sent) {
         if (!scenario.answered(request)) {
@@ -279,17 +289,17 @@
         }
       }
       scenario.finish();
-      confirmed += scenario.committed.size();
+      committed += scenario.committed.size();
       rejected += scenario.rejected.size();
       unknownOutcomes += scenario.outcomesUnknown;
       faultCount += faults.faultCount();
     }
     System.out.printf(
-        "trouble: confirmed %d, refused %d, unclear answers %d, old repeats %d, troubles %d%n",
-        confirmed, rejected, unknownOutcomes, repeats, faultCount);
-    assertThat(confirmed, greaterThan(200));
+        "random faults: committed %d, rejected %d, unknown %d, old repeats %d, faults %d%n",
+        committed, rejected, unknownOutcomes, repeats, faultCount);
+    assertThat(committed, greaterThan(200));
     assertThat(rejected, greaterThan(200));
     assertThat(faultCount, greaterThan(20));
-    assertThat(repeats, lessThan(rejected + confirmed));
+    assertThat(repeats, lessThan(rejected + committed));
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/ConfigAmendmentsTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ConfigAmendmentsTest.java
@@ -18,7 +18,11 @@
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
 
-/** Amendments of the configuration, alone and beside whole ones, at nodes in trouble. */
+/**
+ * Amendments of the configuration, alone and concurrent with replacements, under faults of nodes
+ * and network. Guards against two committed changes on one base version and against an amendment
+ * that is applied to another version than its base.
+ */
 class ConfigAmendmentsTest {
   private static final int NODES = 3;
   private static final int SEEDS = 20;
@@ -38,7 +42,8 @@
   void oneOfEightConcurrentReplacementsAndAmendmentsIsCommitted() {
     int amended = 0;
     for (int seed = 1; seed <= SEEDS; seed++) {
-      ConfigChangeScenario scenario = ConfigChangeScenario.started("eight at once", seed, NODES);
+      ConfigChangeScenario scenario =
+          ConfigChangeScenario.started("eight concurrent changes", seed, NODES);
       Set<ChangeRequest> requests = new LinkedHashSet<>();
       for (int i = 0; i < 8; i++) {
         ChangeRequest request =
@@ -57,12 +62,12 @@
       scenario.finish();
     }
     assertThat("amendments that won", amended, greaterThan(2));
-    assertThat("whole ones that won", SEEDS - amended, greaterThan(2));
+    assertThat("replacements that won", SEEDS - amended, greaterThan(2));
   }
 
   @Test
   void amendmentsUnderFaultsYieldTheExpectedRoutes() {
-    ConfigChangeScenario scenario = ConfigChangeScenario.started("three hundred", 3, NODES);
+    ConfigChangeScenario scenario = ConfigChangeScenario.started("300 amendments", 3, NODES);
     NodeFaultInjector faults = new NodeFaultInjector(scenario.cluster, new Random(17), NODES);
     scenario.replyLossRate = 0.3;
     Set<String> routes = new TreeSet<>(Set.of("r1"));
@@ -77,7 +82,7 @@
       assertThat(scenario.retryUntilAnswered(requests, SETTLE_MS, faults::step), is(true));
       List<ChangeRequest> won = new ArrayList<>(requests);
       won.retainAll(scenario.committed);
-      assertThat("confirmed at change " + change, won.size(), is(1));
+      assertThat("committed at change " + change, won.size(), is(1));
       current++;
       boolean first = won.get(0).equals(one);
       routes.add(ConfigChangeScenario.amendedRoute(current, first ? "v" : "w"));
@@ -102,16 +107,16 @@
   @Test
   void amendmentInterruptedByAPartitionHasOneOutcomeForAll() {
     int lost = 0;
-    for (int cutAt = 0; cutAt <= 70; cutAt += 2) {
+    for (int cutAtMs = 0; cutAtMs <= 70; cutAtMs += 2) {
       ConfigChangeScenario scenario =
-          ConfigChangeScenario.started("cut at " + cutAt + " ms", 200 + cutAt, NODES);
+          ConfigChangeScenario.started("partitioned at " + cutAtMs + " ms", 200 + cutAtMs, NODES);
       ChangeRequest mine = ConfigChangeScenario.amendment(1, 5, "mine", null);
       ChangeRequest rival =
-          cutAt % 4 == 0
+          cutAtMs % 4 == 0
               ? ConfigChangeScenario.replacement(1, 5, "rival")
               : ConfigChangeScenario.amendment(1, 5, "r", "r1");
       scenario.send(mine, "n1");
-      scenario.collectReplies(cutAt);
+      scenario.collectReplies(cutAtMs);
       scenario.cluster.net.isolate(scenario.cluster.address("n1"));
       scenario.send(rival, "n2");
       scenario.collectReplies(1_500);
@@ -159,7 +164,7 @@
 
   @Test
   void amendmentBeforeTheFirstConfigIsRejected() {
-    ConfigChangeScenario scenario = new ConfigChangeScenario("before the first", 9, NODES);
+    ConfigChangeScenario scenario = new ConfigChangeScenario("before the first config", 9, NODES);
     scenario.cluster.timers.advance(3_000);
     ChangeRequest request = ConfigChangeScenario.amendment(0, 1, "x", null);
     assertThat(scenario.repeat(request, SETTLE_MS), is(400));
--- a/controlplane/src/test/java/elmsail/controlplane/ConfigChangeHandlerTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ConfigChangeHandlerTest.java
@@ -18,7 +18,10 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-/** Replace and Read against the register's contract, its failures and its races. */
+/**
+ * The replace and read calls over a fake register that commits, fails, loses races or leaves
+ * outcomes unknown.
+ */
 class ConfigChangeHandlerTest {
   private final Counters counters = new Counters();
   private final ManualTimers timers = new ManualTimers();
@@ -37,7 +40,10 @@
           new ControlPlaneCounters(counters));
   private final ReadConfigHandler readHandler = new ReadConfigHandler(register, committedConfig);
 
-  /** "7 anything": the edition is the number in front; "bad" is no configuration. */
+  /**
+   * Parses a body such as "7 anything", whose leading number is the version; rejects a body that
+   * begins with "bad".
+   */
   private static ConfigChange parseChange(byte[] bytes) {
     String text = new String(bytes, StandardCharsets.UTF_8);
     if (text.startsWith("bad")) {
@@ -46,23 +52,24 @@
     return new ConfigChange.Replacement(Long.parseLong(text.split(" ")[0]), bytes);
   }
 
-  private static SimpleHttpRequest replaceRequest(String basedOn, String body) {
-    Map<String, String> headers = basedOn == null ? Map.of() : Map.of("elmsail-based-on", basedOn);
+  private static SimpleHttpRequest replaceRequest(String baseVersion, String body) {
+    Map<String, String> headers =
+        baseVersion == null ? Map.of() : Map.of("elmsail-based-on", baseVersion);
     byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
     return new SimpleHttpRequest("POST", "/Timetable.Replace", Map.of(), headers, bytes);
   }
 
-  private int replace(String basedOn, String body) {
-    return awaitReply(replaceHandler.handle(replaceRequest(basedOn, body))).status();
+  private int replace(String baseVersion, String body) {
+    return awaitReply(replaceHandler.handle(replaceRequest(baseVersion, body))).status();
   }
 
   private SimpleHttpResponse awaitReply(CompletableFuture<SimpleHttpResponse> reply) {
-    long begun = timers.now();
-    while (!reply.isDone() && timers.now() - begun < 5_000) {
+    long startedAtMs = timers.now();
+    while (!reply.isDone() && timers.now() - startedAtMs < 5_000) {
       timers.advance(1);
     }
     assertThat(reply.isDone(), is(true));
-    assertThat(timers.now() - begun, lessThanOrEqualTo(930L));
+    assertThat(timers.now() - startedAtMs, lessThanOrEqualTo(930L));
     return reply.join();
   }
 
@@ -86,12 +93,12 @@
   @Test
   void changeMustRaiseTheVersionOnTheCurrentBase() {
     assertThat(replace("0", "3 a"), is(200));
-    assertThat("not the current one", replace("0", "4 b"), is(412));
-    assertThat("not the current one", replace("2", "4 b"), is(412));
-    assertThat("not higher", replace("3", "3 b"), is(400));
-    assertThat("not higher", replace("3", "2 b"), is(400));
-    assertThat("no base", replace(null, "4 b"), is(400));
-    assertThat("garbled base", replace("3x", "4 b"), is(400));
+    assertThat("base is not the current version", replace("0", "4 b"), is(412));
+    assertThat("base is not the current version", replace("2", "4 b"), is(412));
+    assertThat("version not above the current one", replace("3", "3 b"), is(400));
+    assertThat("version not above the current one", replace("3", "2 b"), is(400));
+    assertThat("missing base", replace(null, "4 b"), is(400));
+    assertThat("malformed base", replace("3x", "4 b"), is(400));
     assertThat("invalid", replace("3", "bad"), is(400));
     assertThat(readConfig(), equalTo("200 3 a"));
     assertThat(committedVersions, equalTo(List.of(3L)));
@@ -102,8 +109,8 @@
     assertThat(replace("0", "3 a"), is(200));
     assertThat(replace("0", "3 a"), is(200));
     assertThat(replace("3", "5 b"), is(200));
-    assertThat("an older one that was taken", replace("0", "3 a"), is(200));
-    assertThat("another under its number", replace("0", "3 z"), is(412));
+    assertThat("older committed change", replace("0", "3 a"), is(200));
+    assertThat("another change with the same version", replace("0", "3 z"), is(412));
     assertThat(readConfig(), equalTo("200 5 b"));
     assertThat(committedVersions, equalTo(List.of(3L, 5L)));
   }
@@ -112,7 +119,7 @@
   void sameBodyOnAnotherBaseIsAnotherChange() {
     assertThat(replace("0", "3 a"), is(200));
     assertThat(replace("3", "5 b"), is(200));
-    assertThat("a second winner on base 3 would be one too many", replace("3", "3 a"), is(412));
+    assertThat("another change was committed on base 3", replace("3", "3 a"), is(412));
     assertThat(replace("5", "5 b"), is(400));
     assertThat(replace("2", "5 b"), is(412));
     assertThat(readConfig(), equalTo("200 5 b"));
@@ -120,11 +127,11 @@
 
   @Test
   void outcomeIsUndecidedWhileBaseIsNotCommitted() {
-    assertThat("before the first", replace("3", "5 b"), is(503));
+    assertThat("before the first configuration", replace("3", "5 b"), is(503));
     assertThat(replace("0", "3 a"), is(200));
     assertThat(replace("4", "5 b"), is(503));
     assertThat(replace("3", "4 c"), is(200));
-    assertThat("now it is", replace("4", "5 b"), is(200));
+    assertThat("base is committed now", replace("4", "5 b"), is(200));
   }
 
   @Test
@@ -196,16 +203,20 @@
     for (int i = 1; i <= ConfigHistory.MAX_CHANGES + 2; i++) {
       assertThat(replace(String.valueOf(i - 1), i + " x"), is(200));
     }
-    assertThat("the oldest remembered", replace("2", "3 x"), is(200));
-    assertThat("another on its base", replace("2", "3 y"), is(412));
-    assertThat("taken and forgotten", replace("1", "2 x"), is(503));
-    assertThat("never taken, but nobody can tell", replace("1", "2 y"), is(503));
+    assertThat("oldest change in the history", replace("2", "3 x"), is(200));
+    assertThat("another change on the same base", replace("2", "3 y"), is(412));
+    assertThat("committed and dropped from the history", replace("1", "2 x"), is(503));
+    assertThat(
+        "never committed, but base is dropped from the history", replace("1", "2 y"), is(503));
     ConfigHistory last = ConfigHistory.decode(register.values.get("timetable").value());
     assertThat(last.changeCount(), is(ConfigHistory.MAX_CHANGES));
     assertThat(last.encode().length - last.configBytes().length, lessThanOrEqualTo(9_300));
   }
 
-  /** The voters say that nothing is newer than what was known; then a change is taken here. */
+  /**
+   * The voters respond to a read that nothing newer is committed. Before the response arrives, this
+   * node commits a change; the read must return the new value.
+   */
   @Test
   void readOvertakenByChangeReturnsTheNewerConfig() {
     assertThat(replace("0", "3 a"), is(200));
--- a/controlplane/src/test/java/elmsail/controlplane/ConfigHistoryTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ConfigHistoryTest.java
@@ -20,7 +20,11 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** The status of changes by a bounded history, compared with a history that forgets nothing. */
+/**
+ * Compares the status of changes according to the bounded history with the status according to a
+ * history that drops nothing. Guards against a final status for a change whose outcome the bounded
+ * history cannot prove.
+ */
 class ConfigHistoryTest {
   private static final int CHAINS = 20;
   private static final int CHANGES = 1_500;
@@ -46,7 +50,7 @@
     for (int seed = 1; seed <= CHAINS; seed++) {
       checkRandomChain(seed, counts);
     }
-    System.out.println("statuses of changes over " + CHAINS + " chains: " + counts);
+    System.out.println("statuses of changes in " + CHAINS + " chains: " + counts);
     for (ConfigChangeStatus each : ConfigChangeStatus.values()) {
       assertThat(each.name(), counts.getOrDefault(each, 0), greaterThan(100));
     }
@@ -54,7 +58,7 @@
 
   private static void checkRandomChain(int seed, Map<ConfigChangeStatus, Integer> counts) {
     Random random = new Random(seed);
-    // All committed changes, by base; never forgotten.
+    // All committed changes by base; none is ever dropped.
     TreeMap<Long, Change> committed = new TreeMap<>();
     List<Long> versions = new ArrayList<>(List.of(0L));
     ConfigHistory last = ConfigHistory.EMPTY;
@@ -64,7 +68,7 @@
         ConfigChangeStatus status = last.statusOf(queried.base, queried.digest());
         counts.merge(status, 1, Integer::sum);
         assertThat(
-            "seed " + seed + " change " + i + " order " + queried,
+            "seed " + seed + " change " + i + " queried " + queried,
             status,
             is(expectedStatus(queried, last.version(), committed, versions)));
       }
@@ -76,7 +80,7 @@
     }
   }
 
-  /** Mostly steps of one byte, at times as large as a number can be. */
+  /** Mostly steps that encode to one byte, sometimes steps of up to 50 bits. */
   private static long randomVersionStep(Random random) {
     return random.nextInt(50) == 0 ? 1 + random.nextLong(1L << 50) : 1 + random.nextInt(9);
   }
@@ -124,10 +128,10 @@
       sizes[i] = last.encode().length - last.configBytes().length;
     }
     System.out.printf(
-        "bytes of history after 1, 64, 300, 1,024 and 2,048 changes: %d, %d, %d, %d, %d%n",
+        "history bytes after 1, 64, 300, 1,024 and 2,048 changes: %d, %d, %d, %d, %d%n",
         sizes[1], sizes[64], sizes[300], sizes[1_024], sizes[2_048]);
     assertThat(sizes[300], lessThanOrEqualTo(3_000));
-    assertThat("level", sizes[2_048], is(sizes[1_024]));
+    assertThat("no growth after the limit", sizes[2_048], is(sizes[1_024]));
   }
 
   @Test
@@ -151,20 +155,20 @@
     Change first = new Change(0, "a");
     byte[] good = appendAndDecode(ConfigHistory.EMPTY, 300, first).encode();
     int history = good.length - first.bytes().length;
-    List<byte[]> damaged = new ArrayList<>();
+    List<byte[]> corrupted = new ArrayList<>();
     for (int length = 0; length < history; length++) {
-      damaged.add(Arrays.copyOf(good, length));
+      corrupted.add(Arrays.copyOf(good, length));
     }
     byte[] unknownFormat = good.clone();
     unknownFormat[0] = 3;
-    damaged.add(unknownFormat);
+    corrupted.add(unknownFormat);
     byte[] tooMany = good.clone();
     ByteBuffer.wrap(tooMany).putInt(9, ConfigHistory.MAX_CHANGES + 1);
-    damaged.add(tooMany);
-    byte[] otherEnd = good.clone();
-    ByteBuffer.wrap(otherEnd).putLong(1, 301);
-    damaged.add(otherEnd);
-    for (byte[] each : damaged) {
+    corrupted.add(tooMany);
+    byte[] wrongCurrentVersion = good.clone();
+    ByteBuffer.wrap(wrongCurrentVersion).putLong(1, 301);
+    corrupted.add(wrongCurrentVersion);
+    for (byte[] each : corrupted) {
       ElmsailException thrown =
           assertThrows(
               ElmsailException.class, () -> ConfigHistory.decode(each), Arrays.toString(each));
--- a/controlplane/src/test/java/elmsail/controlplane/FakeRegister.java
+++ b/controlplane/src/test/java/elmsail/controlplane/FakeRegister.java
@@ -14,10 +14,10 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Function;
 
-/** A register in memory: each call takes some ms, and ends as the test says. */
+/** An in-memory register. Each call takes some ms, and the test determines its outcome. */
 final class FakeRegister implements Register {
 
-  /** How the next change ends. */
+  /** The outcome of a change. */
   enum Outcome {
     COMMITTED,
     /** Not committed: fails with NO_QUORUM after 300 ms. */
@@ -27,7 +27,8 @@
     /** Not committed, and never will be: fails with OUTCOME_UNKNOWN after 300 ms. */
     UNKNOWN_LOST,
     /**
-     * Another changes the key between the first round and the second: the function is called twice.
+     * Another proposer changes the key between the first and the second round, so the change
+     * function is called twice.
      */
     OVERTAKEN
   }
@@ -36,10 +37,10 @@
   final Deque<Outcome> nextOutcomes = new ArrayDeque<>();
   boolean unreachable;
 
-  /** How long a read takes. */
+  /** Time until a read observes the value. */
   long readDelayMs = 2;
 
-  /** How long its answer is on its way then. */
+  /** Time from then until the response arrives. */
   long responseDelayMs;
 
   byte[] concurrentValue;
@@ -130,6 +131,6 @@
   }
 
   private static void fail(CompletableFuture<?> future, ErrorCode code) {
-    future.completeExceptionally(new ElmsailException(code, "failure asked for by the test"));
+    future.completeExceptionally(new ElmsailException(code, "failure injected by the test"));
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/FencedLeaseTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/FencedLeaseTest.java
@@ -14,9 +14,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Holders of the singleton lease that send its term as a fencing token with each call to a platform
- * that refuses lower tokens than it has seen. Calls and refusals may be late by more than a lease,
- * and holders freeze between a look at the lease and the call's way out.
+ * Holders of the singleton lease send its term as a fencing token with each call to a platform that
+ * rejects tokens lower than the highest it has seen. Calls and rejections may be delayed by more
+ * than a lease duration, and holders freeze between the check of the lease and the call. Guards
+ * against a rejected token that is used again, and against two holders whose calls alternate within
+ * a lease duration.
  */
 class FencedLeaseTest {
   private static final int NODES = 3;
@@ -24,15 +26,15 @@
   private static final long MAX_DELAY_MS = 4_000;
   private static final long SCENARIO_MS = 60_000;
 
-  private record Call(String holder, long token, long arrivedAt) {}
+  private record Call(String holder, long token, long arrivedAtMs) {}
 
   private final List<Call> accepted = new ArrayList<>();
   private final Map<Long, String> holderByToken = new HashMap<>();
-  private final Map<String, Long> refusedToken = new HashMap<>();
+  private final Map<String, Long> rejectedToken = new HashMap<>();
   private SimulatedCluster cluster;
   private Random random;
   private long highestToken;
-  private int refusals;
+  private int rejections;
   private int freezes;
 
   private void startCluster(long seed) {
@@ -40,7 +42,7 @@
     random = new Random(seed);
     accepted.clear();
     holderByToken.clear();
-    refusedToken.clear();
+    rejectedToken.clear();
     highestToken = 0;
     for (int i = 1; i <= NODES; i++) {
       cluster.controlPlane("n" + i, true);
@@ -58,9 +60,9 @@
               long token = cluster.controlPlaneNodes.get(name).leaseTerm();
               if (token > 0) {
                 assertThat(
-                    name + " uses a refused token again",
+                    name + " uses a rejected token again",
                     token,
-                    greaterThan(refusedToken.getOrDefault(name, 0L)));
+                    greaterThan(rejectedToken.getOrDefault(name, 0L)));
                 cluster.timers.schedule(randomDelayMs(), () -> onCallReceived(name, token));
               }
             });
@@ -77,7 +79,7 @@
       accepted.add(new Call(name, token, cluster.timers.now()));
       return;
     }
-    refusals++;
+    rejections++;
     SimNode node = cluster.nodes.get(name);
     cluster.timers.schedule(
         randomDelayMs(),
@@ -85,7 +87,7 @@
             node.timers()
                 .execute(
                     () -> {
-                      refusedToken.merge(name, token, Math::max);
+                      rejectedToken.merge(name, token, Math::max);
                       cluster.controlPlaneNodes.get(name).singletonLease().onFenced(token);
                     }));
   }
@@ -112,7 +114,10 @@
     return null;
   }
 
-  /** Between two accepted calls of one holder no other's lies within the lease's time. */
+  /**
+   * Asserts that no call of another holder is accepted between two accepted calls of one holder
+   * within a lease duration.
+   */
   private void assertHoldersDoNotAlternate() {
     Map<String, Long> lastAt = new HashMap<>();
     String last = null;
@@ -120,29 +125,29 @@
       if (last != null && !last.equals(call.holder) && lastAt.containsKey(call.holder)) {
         assertThat(
             "token " + call.token + " " + call.holder + " after " + last,
-            call.arrivedAt - lastAt.get(call.holder),
+            call.arrivedAtMs - lastAt.get(call.holder),
             greaterThan(LeaseVoter.LEASE_DURATION_MS));
       }
-      lastAt.put(call.holder, call.arrivedAt);
+      lastAt.put(call.holder, call.arrivedAtMs);
       last = call.holder;
     }
   }
 
   @Test
-  void refusedTokenIsNeverReusedAndHoldersDoNotAlternate() {
-    int served = 0;
+  void rejectedTokenIsNeverReusedAndHoldersDoNotAlternate() {
+    int acceptedCalls = 0;
     for (long seed = 1; seed <= 40; seed++) {
       startCluster(seed);
       runWithFreezes();
       assertHoldersDoNotAlternate();
-      served += accepted.size();
+      acceptedCalls += accepted.size();
     }
-    assertThat("calls of superseded holders", refusals, greaterThan(20));
+    assertThat("calls of superseded holders", rejections, greaterThan(20));
     assertThat("freezes", freezes, greaterThan(200));
-    assertThat("calls accepted", served, greaterThan(40 * 300));
+    assertThat("calls accepted", acceptedCalls, greaterThan(40 * 300));
   }
 
-  /** As when the lease's own safety has failed: the token alone ends the holder's work. */
+  /** Simulates a failure of the lease's own safety: the rejected token alone stops the holder. */
   @Test
   void fencedHolderStopsAtOnceAndAnotherTakesOverWithAHigherTerm() {
     startCluster(7);
@@ -151,7 +156,7 @@
     ControlPlaneNode node = cluster.controlPlaneNodes.get(name);
     long term = node.leaseTerm();
     node.singletonLease().onFenced(term - 1);
-    assertThat("an older refusal says nothing", node.leaseTerm(), is(term));
+    assertThat("rejection of an older term is ignored", node.leaseTerm(), is(term));
     node.singletonLease().onFenced(term);
     assertThat(node.leaseTerm(), is(0L));
     long fencedAt = cluster.timers.now();
--- a/controlplane/src/test/java/elmsail/controlplane/FleetSizeManagerTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/FleetSizeManagerTest.java
@@ -70,7 +70,10 @@
               new DutyCounters(new Counters())),
           lease);
 
-  /** Four servers of the service that is sized, two in each zone, and one of the other. */
+  /**
+   * Four servers of the service with fleet-size bounds, two in each zone, and one server of a
+   * service without bounds.
+   */
   private static final class FixedCluster implements ClusterState {
     private final RoutingConfig config =
         RoutingConfigReader.read(CONFIG.getBytes(StandardCharsets.UTF_8));
--- a/controlplane/src/test/java/elmsail/controlplane/LeaseReacquisitionTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/LeaseReacquisitionTest.java
@@ -10,15 +10,18 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Holders of the singleton lease that stand still until another gets it, which releases it at once
- * as it is stopped: the first does not use the lease again within the time that the platform sets
- * for that.
+ * A holder of the singleton lease freezes until another node acquires the lease; that node is then
+ * stopped and releases the lease at once. Guards against the first holder's use of the reacquired
+ * lease within the platform's lease time after its own last use.
  */
 class LeaseReacquisitionTest {
   private static final long LEASE_MS = 3_000;
   private static final int NODES = 3;
 
-  /** The time between two holders' uses binds where the platform expects duties. */
+  /**
+   * The minimum time between a holder's uses applies only if the settings configure platform
+   * duties.
+   */
   private static final double DUTY_CALLS_PER_SECOND = 50;
 
   private SimulatedCluster cluster;
@@ -99,7 +102,7 @@
     for (long seed = 1; seed <= 30; seed++) {
       alternateHolders(seed);
     }
-    assertThat("returns", reacquisitions, greaterThan(30));
+    assertThat("reacquisitions", reacquisitions, greaterThan(30));
     assertThat(shortestReuseGapMs, greaterThanOrEqualTo(LEASE_MS));
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/LeaseTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/LeaseTest.java
@@ -9,7 +9,10 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Three voters that are candidates as well, under freezes, restarts, and lost or late messages. */
+/**
+ * Three voters that are also candidates, under freezes, restarts, and lost or delayed messages.
+ * Guards against two holders at one time.
+ */
 class LeaseTest {
   private static final int VOTERS = 3;
 
@@ -80,7 +83,7 @@
     }
   }
 
-  /** Moves on by 10 ms; returns how many hold the lease at that moment. */
+  /** Advances time by 10 ms; returns the number of lease holders at that moment. */
   private int step() {
     timers.advance(10);
     int holders = 0;
@@ -144,7 +147,7 @@
         frozenUntil[i] = 0;
       }
       lossRate = seed % 3 * 0.15;
-      // The messages of the seed before are let go by.
+      // Lets the remaining messages of the previous seed arrive.
       timers.advance(10_000);
       createVotersAndCandidates(seed, true);
       for (int i = 0; i < 4_000; i++) {
@@ -154,7 +157,7 @@
         injectFaults();
       }
     }
-    assertThat("held much of the time all the same", held, greaterThan(60 * 4_000L / 4));
+    assertThat("steps with a holder", held, greaterThan(60 * 4_000L / 4));
   }
 
   private void injectFaults() {
@@ -170,7 +173,7 @@
     }
   }
 
-  /** The slot's holder before may have granted the lease right before the take-over. */
+  /** The slot's previous holder may have granted the lease right before the takeover. */
   @Test
   void voterThatTookOverASlotWaitsForOneLeaseDuration() {
     LeaseVoter voter = new LeaseVoter(0, true);
--- a/controlplane/src/test/java/elmsail/controlplane/PlacementControllerTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/PlacementControllerTest.java
@@ -53,7 +53,10 @@
     }
   }
 
-  /** Time passes in steps, as those named are heard, voting where they hold a voter slot. */
+  /**
+   * Advances time in steps of 100 ms. In each step the named stores send a heartbeat, as voting if
+   * they hold a voter slot. Returns the last assignment.
+   */
   private PlacementController.Assignment advance(long ms, String... names) {
     PlacementController.Assignment assignment = null;
     long end = now + ms;
@@ -67,16 +70,16 @@
     return assignment;
   }
 
-  /**
-   * What the controller orders now, as the leaseholder or not, in contact with a majority or not.
-   */
+  /** Returns the controller's assignment at the current time; null if it makes none. */
   private PlacementController.Assignment assign(boolean isObserving, boolean canAssign) {
     return controller
         .assignment(heartbeats, storeVoters, decommissioning, isObserving, canAssign, now)
         .orElse(null);
   }
 
-  /** Two of three voters and a spare are heard at once; the voter "c" is not. */
+  /**
+   * Records heartbeats of the voters "a" and "b" and of the spare "d", but none of the voter "c".
+   */
   private void receiveHeartbeatsExceptFromC() {
     receiveHeartbeat("a", "za", true);
     receiveHeartbeat("b", "zb", true);
@@ -87,7 +90,10 @@
     return new PlacementController.Assignment(slot, name + ":1", epoch);
   }
 
-  /** The voters "a", "b" and "c" were heard for a second, and the spare "d". */
+  /**
+   * Sets the voters "a", "b" and "c", and records heartbeats of these and of the spare "d" for one
+   * second.
+   */
   private void setVotersWithSpareAndHeartbeats() {
     setVoters("a", "b", "c");
     advance(1_000, "a", "b", "c", "d");
@@ -155,7 +161,9 @@
     PlacementController.Assignment assignment = advance(100, "a", "b", "d");
     assertThat(assignment, equalTo(assignmentTo("d", 2, 2)));
     assertThat(
-        "the same spare until it is done", advance(1_000, "a", "b", "d", "e"), equalTo(assignment));
+        "same spare until the replacement is complete",
+        advance(1_000, "a", "b", "d", "e"),
+        equalTo(assignment));
   }
 
   @Test
@@ -163,7 +171,7 @@
     setVoters("a", "b", "c");
     advance(1_000, "a", "b", "c");
     assertThat(advance(5_000, "a", "b"), is(nullValue()));
-    assertThat("a retiring one is no spare", decommissioning.add("d"), is(true));
+    assertThat("decommissioned store is not a spare", decommissioning.add("d"), is(true));
     assertThat(advance(1_000, "a", "b", "d"), is(nullValue()));
   }
 
--- a/controlplane/src/test/java/elmsail/controlplane/PlatformDutyClientTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/PlatformDutyClientTest.java
@@ -43,7 +43,7 @@
           lease,
           counters);
 
-  /** A lease of which the test says in which term it is held. */
+  /** A lease whose term the test sets. */
   private static final class FakeLease implements DutyLease {
     private long term = 12;
     private final List<Long> fencedTerms = new ArrayList<>();
--- a/controlplane/src/test/java/elmsail/controlplane/SimulatedDutyPlatform.java
+++ b/controlplane/src/test/java/elmsail/controlplane/SimulatedDutyPlatform.java
@@ -18,9 +18,9 @@
 import java.util.regex.Pattern;
 
 /**
- * A stand-in for the platform that takes reports of use, and notes what breaks its rules: two
- * contents for one window, one fencing token of two holders, holders that act by turns within the
- * time of a lease.
+ * A simulated platform that accepts usage reports and records violations of its rules: two contents
+ * for one window, one fencing token of two holders, and holders whose calls alternate within a
+ * lease time.
  */
 final class SimulatedDutyPlatform {
   private static final Pattern BODY =
@@ -28,7 +28,7 @@
   private static final Pattern COUNT = Pattern.compile("\"([^\"]+)\":(\\d+)");
   private static final long LEASE_MS = 3_000;
 
-  /** How the platform treats calls while it is in trouble. */
+  /** How the platform fails calls. */
   enum FailureMode {
     NONE,
     SILENT,
@@ -52,7 +52,7 @@
   long minReplyMs = 5;
   long maxReplyMs = 20;
 
-  /** The share of answers that are lost, 0 to 1. */
+  /** Share of replies that are lost, 0 to 1. */
   double replyLossRate;
 
   SimulatedDutyPlatform(long seed, ManualTimers timers) {
@@ -60,7 +60,7 @@
     this.random = new Random(seed);
   }
 
-  /** A call that a process at that node sends now. */
+  /** Sends a call from a process on that node. */
   CompletableFuture<SimpleHttpResponse> call(
       SimNode from, String machine, HttpClientRequest request, long timeoutMs) {
     CompletableFuture<SimpleHttpResponse> reply = new CompletableFuture<>();
@@ -95,14 +95,14 @@
   }
 
   private static void fail(CompletableFuture<SimpleHttpResponse> reply, ErrorCode code) {
-    reply.completeExceptionally(new ElmsailException(code, "stand-in of the platform"));
+    reply.completeExceptionally(new ElmsailException(code, "simulated platform"));
   }
 
   private int process(String machine, HttpClientRequest request) {
     String holder = request.headers().get(PlatformDutyClient.HOLDER_HEADER);
     long token = Long.parseLong(request.headers().get(PlatformDutyClient.FENCE_HEADER));
     if (!holder.equals(machine)) {
-      violations.add(machine + " calls as " + holder);
+      violations.add(machine + " sends calls as " + holder);
     }
     String first = holderByToken.computeIfAbsent(token, unused -> holder);
     if (!first.equals(holder)) {
@@ -116,7 +116,7 @@
     recordAndCheckAlternation(new AcceptedCall(holder, token, timers.now()));
     Matcher body = BODY.matcher(new String(request.body(), StandardCharsets.UTF_8));
     if (!body.matches()) {
-      violations.add("not a report: " + new String(request.body(), StandardCharsets.UTF_8));
+      violations.add("malformed report: " + new String(request.body(), StandardCharsets.UTF_8));
       return 400;
     }
     long window = Long.parseLong(body.group(1));
@@ -138,7 +138,11 @@
       if (!earlier.holder.equals(call.holder)) {
         otherHolderSince = true;
       } else if (otherHolderSince) {
-        violations.add(call.holder + " acts again, " + (call.atMs - earlier.atMs) + " ms later");
+        violations.add(
+            call.holder
+                + " is accepted again after another holder, "
+                + (call.atMs - earlier.atMs)
+                + " ms after its last call");
         break;
       } else {
         continue;
@@ -147,17 +151,20 @@
     acceptedCalls.add(call);
   }
 
-  /** The windows that were taken in, in order. */
+  /** The accepted windows, in order. */
   List<Long> windows() {
     return List.copyOf(contents.keySet());
   }
 
-  /** When the window was first taken in, in ms of the test's clock; null if it was not. */
+  /**
+   * Time at which the window was first accepted, in ms of the test's clock; null if it was not
+   * accepted.
+   */
   Long acceptedAtMs(long window) {
     return firstAcceptedAtMs.get(window);
   }
 
-  /** The counts of a window that was taken in. */
+  /** The counts of an accepted window. */
   Map<String, Long> counts(long window) {
     Map<String, Long> counts = new TreeMap<>();
     Matcher each = COUNT.matcher(contents.get(window));
--- a/controlplane/src/test/java/elmsail/controlplane/UsageDutyTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/UsageDutyTest.java
@@ -15,11 +15,17 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Each window's usage reaches the platform once, in time, whoever fails meanwhile. */
+/**
+ * The usage of each window must reach the platform in time and with one content, under failures of
+ * holders, gateways, clocks, network and platform.
+ */
 class UsageDutyTest {
   private static final long START_MS = 8_000;
 
-  /** Of a window's count of a tenant: a request on either side of a bound, beside 5 %. */
+  /**
+   * Allowed error of a tenant's count in a window, in addition to 5 %: requests close to a window's
+   * bounds may count in the neighbouring window.
+   */
   private static final long MAX_COUNT_ERROR = 3;
 
   private UsageFixture fixture;
@@ -34,7 +40,10 @@
     fixture.cluster.timers.advance(ms);
   }
 
-  /** Runs until all windows up to the present one are due, and checks the platform's rules. */
+  /**
+   * Runs until the reports of all windows up to the current one are due, and checks that no
+   * platform rule was violated.
+   */
   private void runUntilReportsAreDueAndCheckRules() {
     run(UsageFixture.WINDOW_MS + UsageFixture.MAX_REPORT_DELAY_MS);
     assertThat(fixture.platform.violations, empty());
@@ -75,7 +84,7 @@
     runUntilReportsAreDueAndCheckRules();
     assertReportedInTime(first, last);
     assertCountsCorrect(first, last);
-    assertThat("one call a window", fixture.platform.calls, lessThan(20));
+    assertThat("about one call per window", fixture.platform.calls, lessThan(20));
   }
 
   @Test
@@ -222,7 +231,7 @@
     assertCountsCorrect(first, last);
   }
 
-  /** Runs until so many ms after the close of a window, and returns its number. */
+  /** Runs until {@code ms} after the close of the current window; returns the window's number. */
   private long runPastWindowClose(long ms) {
     long window = fixture.currentWindow();
     long closesInMs = (window + 1) * UsageFixture.WINDOW_MS - fixture.cluster.trueTimeMs();
@@ -231,18 +240,19 @@
   }
 
   /**
-   * The holder lacks the counts of a gateway that it cannot hear, and then cannot commit what it
-   * decides: the next holder decides, and has them.
+   * The holder is partitioned from a gateway and lacks its counts. Then the holder is partitioned
+   * from the other nodes and cannot commit the window's counts. The next holder has all counts and
+   * decides the window.
    */
   @ParameterizedTest
   @ValueSource(longs = {1_400, 1_800, 2_200, 2_600, 2_900})
-  void uncommittedCountsAreNotSent(long cutAfterCloseMs) {
+  void uncommittedCountsAreNotSent(long partitionAfterCloseMs) {
     startFixture(10);
     runPastWindowClose(1_000);
     String holder = fixture.currentHolder();
     fixture.cluster.net.cutBoth(fixture.cluster.address("g1"), fixture.cluster.address(holder));
     run(UsageFixture.WINDOW_MS);
-    long window = runPastWindowClose(cutAfterCloseMs);
+    long window = runPastWindowClose(partitionAfterCloseMs);
     for (int i = 1; i <= fixture.nodes; i++) {
       if (!holder.equals("n" + i)) {
         fixture.cluster.net.cutBoth(
@@ -255,7 +265,7 @@
     assertReportedInTime(window, window);
   }
 
-  /** A gateway's counts that come after the decision change nothing. */
+  /** A gateway's counts that arrive after the decision do not change the window's content. */
   @Test
   void countsReceivedAfterTheDecisionAreNotSent() {
     startFixture(11);
@@ -269,7 +279,9 @@
     runUntilReportsAreDueAndCheckRules();
   }
 
-  /** Kills, freezes across the lease, cuts, lost answers and a platform in trouble, at random. */
+  /**
+   * Random kills, freezes longer than the lease, partitions, lost replies and platform failures.
+   */
   @ParameterizedTest
   @ValueSource(longs = {11, 12, 13, 14, 15, 16})
   void noWindowHasConflictingContentsUnderRandomFaults(long seed) {
--- a/controlplane/src/test/java/elmsail/controlplane/UsageFixture.java
+++ b/controlplane/src/test/java/elmsail/controlplane/UsageFixture.java
@@ -11,7 +11,7 @@
 import java.util.Random;
 import java.util.TreeMap;
 
-/** Control-plane nodes, gateways whose requests start at random, and the platform's stand-in. */
+/** A cluster of control-plane nodes, gateways with random traffic, and a simulated platform. */
 final class UsageFixture {
   static final long WINDOW_MS = 5_000;
   static final long MAX_REPORT_DELAY_MS = 10_000;
@@ -49,7 +49,7 @@
     }
   }
 
-  /** Starts a gateway; to be called again after its process was killed. */
+  /** Starts a gateway, or restarts it after its process was killed. */
   void startGateway(String name) {
     cluster.gateway(name);
     SimNode node = cluster.nodes.get(name);
@@ -96,12 +96,15 @@
     return Math.floorDiv(cluster.trueTimeMs(), WINDOW_MS);
   }
 
-  /** The requests that started in that window of true time. */
+  /** The number of requests by tenant that started in that window of true time. */
   Map<String, Long> startedRequests(long window) {
     return startedRequests.getOrDefault(window, Map.of());
   }
 
-  /** How long after its close the window was taken in; Long.MAX_VALUE if it was not. */
+  /**
+   * Time in ms from the window's close to its acceptance by the platform; Long.MAX_VALUE if it was
+   * not accepted.
+   */
   long reportDelayMs(long window) {
     Long acceptedAtMs = platform.acceptedAtMs(window);
     return acceptedAtMs == null
