--- a/controlplane/src/main/java/elmsail/controlplane/ConfigHistory.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ConfigHistory.java
@@ -232,8 +232,8 @@
   /**
    * Writes seven bits per byte, least significant first; the top bit is set if more bytes follow.
    */
-  private static void writeVarint(DataOutputStream out, long number) throws IOException {
-    long remaining = number;
+  private static void writeVarint(DataOutputStream out, long value) throws IOException {
+    long remaining = value;
     while ((remaining & ~0x7FL) != 0) {
       out.writeByte((int) (remaining & 0x7F | 0x80));
       remaining >>>= 7;
@@ -242,12 +242,12 @@
   }
 
   private static long readVarint(DataInputStream in) throws IOException {
-    long number = 0;
+    long value = 0;
     for (int shift = 0; shift < Long.SIZE; shift += 7) {
       int next = in.readUnsignedByte();
-      number |= (long) (next & 0x7F) << shift;
+      value |= (long) (next & 0x7F) << shift;
       if ((next & 0x80) == 0) {
-        return number;
+        return value;
       }
     }
     throw malformed("varint of more than 64 bits");
--- a/controlplane/src/main/java/elmsail/controlplane/SingletonLease.java
+++ b/controlplane/src/main/java/elmsail/controlplane/SingletonLease.java
@@ -55,7 +55,7 @@
    * Incremented when the lease is acquired or fenced, so that a term change started earlier is
    * discarded.
    */
-  private long acquisitions;
+  private long leaseGeneration;
 
   private boolean termChangeInFlight;
   private boolean closed;
@@ -156,7 +156,7 @@
       lease.onRefused(round.number(), response.remainingMs);
     } else if (lease.onGranted(round.number(), voterIndex, timers.now())) {
       term = 0;
-      acquisitions++;
+      leaseGeneration++;
       acquireTerm();
     }
   }
@@ -166,7 +166,7 @@
       return;
     }
     termChangeInFlight = true;
-    long acquisition = acquisitions;
+    long startGeneration = leaseGeneration;
     TermChange change = new TermChange(processId);
     register
         .change(KEY, change::propose, List.of(), null, TERM_CHANGE_TIMEOUT_MS)
@@ -175,7 +175,7 @@
               termChangeInFlight = false;
               if (failure == null
                   && outcome.changed()
-                  && acquisition == acquisitions
+                  && startGeneration == leaseGeneration
                   && lease.isHeld(timers.now())) {
                 termReuseDelay.onAcquired(change.term);
                 term = change.term;
@@ -229,7 +229,7 @@
     }
     LOG.warn("releasing the singleton lease: another holder has used a higher term than {}", term);
     term = 0;
-    acquisitions++;
+    leaseGeneration++;
     lease
         .releaseAndPause(timers.now())
         .ifPresent(round -> sendRound(round, controlPlaneVoters.get()));
--- a/controlplane/src/main/java/elmsail/controlplane/UsageReporter.java
+++ b/controlplane/src/main/java/elmsail/controlplane/UsageReporter.java
@@ -168,12 +168,12 @@
     }
 
     void advance() {
-      long target = newestWindowClosedFor(decisionDelayMs);
+      long newestDue = newestWindowClosedFor(decisionDelayMs);
       boolean hasGatheredReports = timers.now() - startedAtMs >= REPORT_GATHERING_MS;
       if (ledger == null && !registerCallInFlight) {
         readOrCreateLedger();
-      } else if (hasGatheredReports && !registerCallInFlight && ledger.lastDecided() < target) {
-        decide(target);
+      } else if (hasGatheredReports && !registerCallInFlight && ledger.lastDecided() < newestDue) {
+        decide(newestDue);
       }
       send();
     }
@@ -191,15 +191,15 @@
                   : Optional.of(UsageLedger.startingAfter(firstWindow - 1)));
     }
 
-    private void decide(long target) {
+    private void decide(long newestDue) {
       long oldest = oldestReportableWindow();
       changeLedger(
           observedLedger -> {
             UsageLedger current = observedLedger.orElse(ledger);
-            return current.lastDecided() >= target
+            return current.lastDecided() >= newestDue
                 ? Optional.empty()
                 : Optional.of(
-                    current.without(acceptedWindows).decide(oldest, target, table::totals));
+                    current.without(acceptedWindows).decide(oldest, newestDue, table::totals));
           });
     }
 
--- a/controlplane/src/test/java/elmsail/controlplane/BoundedStateTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/BoundedStateTest.java
@@ -50,18 +50,20 @@
   @Test
   void memberWithOldestHeartbeatIsDropped() {
     HeartbeatTable heartbeats = new HeartbeatTable(PeerRole.STORE);
-    int all = HeartbeatTable.MAX_MEMBERS + 200;
-    for (int i = 0; i < all; i++) {
+    int storeCount = HeartbeatTable.MAX_MEMBERS + 200;
+    for (int i = 0; i < storeCount; i++) {
       heartbeats.onHeartbeat(pull("store", i), 1_000 + i);
       heartbeats.onHeartbeat(pull("gateway", i), 1_000 + i);
       heartbeats.onHeartbeat(pull("store", 0), 1_000 + i);
     }
     List<HeartbeatTable.Member> stores = new ArrayList<>(heartbeats.members());
     assertThat(stores, hasSize(HeartbeatTable.MAX_MEMBERS));
-    assertThat("newest heartbeat", heartbeats.memberOnMachine("s" + (all - 1)), notNullValue());
+    assertThat(
+        "newest heartbeat", heartbeats.memberOnMachine("s" + (storeCount - 1)), notNullValue());
     assertThat(
         "repeated heartbeats until the end", heartbeats.memberOnMachine("s0"), notNullValue());
     assertThat("oldest heartbeat", heartbeats.memberOnMachine("s1"), nullValue());
-    assertThat(heartbeats.gatewaysWithin(1_000 + all, 60_000), hasSize(HeartbeatTable.MAX_MEMBERS));
+    assertThat(
+        heartbeats.gatewaysWithin(1_000 + storeCount, 60_000), hasSize(HeartbeatTable.MAX_MEMBERS));
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/ConcurrentConfigChangesTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ConcurrentConfigChangesTest.java
@@ -49,17 +49,17 @@
   void oneOfTwoChangesToTheSameVersionIsCommitted() {
     for (int seed = 1; seed <= SEEDS; seed++) {
       ConfigChangeScenario scenario = ConfigChangeScenario.started("same version", seed, NODES);
-      ChangeRequest one = ConfigChangeScenario.replacement(1, 5, "one");
-      ChangeRequest other = ConfigChangeScenario.replacement(1, 5, "other");
-      scenario.send(one, "n1");
-      scenario.send(other, "n2");
-      ChangeRequest won = scenario.awaitSingleWinner(Set.of(one, other));
-      ChangeRequest lost = won.equals(one) ? other : one;
+      ChangeRequest first = ConfigChangeScenario.replacement(1, 5, "one");
+      ChangeRequest second = ConfigChangeScenario.replacement(1, 5, "other");
+      scenario.send(first, "n1");
+      scenario.send(second, "n2");
+      ChangeRequest winner = scenario.awaitSingleWinner(Set.of(first, second));
+      ChangeRequest loser = winner.equals(first) ? second : first;
       ChangeRequest next = ConfigChangeScenario.replacement(5, 6, "");
       scenario.send(next);
       assertThat(scenario.retryUntilAnswered(Set.of(next), SETTLE_MS, () -> {}), is(true));
-      assertThat(scenario.repeat(won, SETTLE_MS), is(200));
-      assertThat(scenario.repeat(lost, SETTLE_MS), is(412));
+      assertThat(scenario.repeat(winner, SETTLE_MS), is(200));
+      assertThat(scenario.repeat(loser, SETTLE_MS), is(412));
       scenario.finish();
     }
   }
@@ -193,7 +193,7 @@
         ChangeRequest rival = ConfigChangeScenario.replacement(1, 5, "rival");
         scenario.send(mine, "n1");
         scenario.collectReplies(cutAtMs);
-        cut(scenario.cluster, "n1", variant % 3);
+        partition(scenario.cluster, "n1", variant % 3);
         boolean rivalFirst = variant >= 3;
         scenario.send(rivalFirst ? rival : mine, "n2");
         scenario.collectReplies(1 + scenario.random.nextInt(30));
@@ -216,7 +216,7 @@
     assertThat(committedDespiteRival, greaterThan(20));
   }
 
-  private static void cut(SimulatedCluster cluster, String node, int variant) {
+  private static void partition(SimulatedCluster cluster, String node, int variant) {
     for (int i = 1; i <= NODES; i++) {
       String other = "n" + i;
       if (other.equals(node)) {
--- a/controlplane/src/test/java/elmsail/controlplane/ConfigAmendmentsTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ConfigAmendmentsTest.java
@@ -75,18 +75,21 @@
     long current = 1;
     for (int change = 0; change < 300; change++) {
       String withdrawn = routes.size() > 12 ? routes.iterator().next() : null;
-      ChangeRequest one = ConfigChangeScenario.amendment(current, current + 1, "v", withdrawn);
-      ChangeRequest other = ConfigChangeScenario.amendment(current, current + 1, "w", null);
-      Set<ChangeRequest> requests = new LinkedHashSet<>(List.of(one, other));
+      ChangeRequest withdrawingAmendment =
+          ConfigChangeScenario.amendment(current, current + 1, "v", withdrawn);
+      ChangeRequest addingAmendment =
+          ConfigChangeScenario.amendment(current, current + 1, "w", null);
+      Set<ChangeRequest> requests =
+          new LinkedHashSet<>(List.of(withdrawingAmendment, addingAmendment));
       requests.forEach(scenario::send);
       assertThat(scenario.retryUntilAnswered(requests, SETTLE_MS, faults::step), is(true));
       List<ChangeRequest> won = new ArrayList<>(requests);
       won.retainAll(scenario.committed);
       assertThat("committed at change " + change, won.size(), is(1));
       current++;
-      boolean first = won.get(0).equals(one);
-      routes.add(ConfigChangeScenario.amendedRoute(current, first ? "v" : "w"));
-      if (first && withdrawn != null) {
+      boolean withdrawingAmendmentWon = won.get(0).equals(withdrawingAmendment);
+      routes.add(ConfigChangeScenario.amendedRoute(current, withdrawingAmendmentWon ? "v" : "w"));
+      if (withdrawingAmendmentWon && withdrawn != null) {
         routes.remove(withdrawn);
       }
       if (last != null && change % 10 == 0) {
--- a/controlplane/src/test/java/elmsail/controlplane/ConfigHistoryTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ConfigHistoryTest.java
@@ -40,8 +40,10 @@
     }
   }
 
-  private static ConfigHistory appendAndDecode(ConfigHistory last, long newVersion, Change change) {
-    return ConfigHistory.decode(last.append(newVersion, change.bytes(), change.digest()).encode());
+  private static ConfigHistory appendAndDecode(
+      ConfigHistory history, long newVersion, Change change) {
+    return ConfigHistory.decode(
+        history.append(newVersion, change.bytes(), change.digest()).encode());
   }
 
   @Test
@@ -61,22 +63,22 @@
     // All committed changes by base; none is ever dropped.
     TreeMap<Long, Change> committed = new TreeMap<>();
     List<Long> versions = new ArrayList<>(List.of(0L));
-    ConfigHistory last = ConfigHistory.EMPTY;
+    ConfigHistory history = ConfigHistory.EMPTY;
     for (int i = 0; i < CHANGES; i++) {
       for (int q = 0; q < STATUS_CHECKS_PER_CHANGE; q++) {
         Change queried = randomChange(random, versions, committed);
-        ConfigChangeStatus status = last.statusOf(queried.base, queried.digest());
+        ConfigChangeStatus status = history.statusOf(queried.base, queried.digest());
         counts.merge(status, 1, Integer::sum);
         assertThat(
             "seed " + seed + " change " + i + " queried " + queried,
             status,
-            is(expectedStatus(queried, last.version(), committed, versions)));
+            is(expectedStatus(queried, history.version(), committed, versions)));
       }
-      Change next = new Change(last.version(), "body " + i);
+      Change next = new Change(history.version(), "body " + i);
       committed.put(next.base, next);
-      last = appendAndDecode(last, last.version() + randomVersionStep(random), next);
-      versions.add(last.version());
-      assertThat(last.changeCount(), is(Math.min(i + 1, ConfigHistory.MAX_CHANGES)));
+      history = appendAndDecode(history, history.version() + randomVersionStep(random), next);
+      versions.add(history.version());
+      assertThat(history.changeCount(), is(Math.min(i + 1, ConfigHistory.MAX_CHANGES)));
     }
   }
 
@@ -121,11 +123,11 @@
 
   @Test
   void encodedHistoryStaysSmall() {
-    ConfigHistory last = ConfigHistory.EMPTY;
+    ConfigHistory history = ConfigHistory.EMPTY;
     int[] sizes = new int[ConfigHistory.MAX_CHANGES * 2 + 1];
     for (int i = 1; i < sizes.length; i++) {
-      last = appendAndDecode(last, last.version() + 2, new Change(last.version(), "b"));
-      sizes[i] = last.encode().length - last.configBytes().length;
+      history = appendAndDecode(history, history.version() + 2, new Change(history.version(), "b"));
+      sizes[i] = history.encode().length - history.configBytes().length;
     }
     System.out.printf(
         "history bytes after 1, 64, 300, 1,024 and 2,048 changes: %d, %d, %d, %d, %d%n",
--- a/controlplane/src/test/java/elmsail/controlplane/FencedLeaseTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/FencedLeaseTest.java
@@ -119,17 +119,19 @@
    * within a lease duration.
    */
   private void assertHoldersDoNotAlternate() {
-    Map<String, Long> lastAt = new HashMap<>();
-    String last = null;
+    Map<String, Long> lastAcceptedAtMs = new HashMap<>();
+    String previousHolder = null;
     for (Call call : accepted) {
-      if (last != null && !last.equals(call.holder) && lastAt.containsKey(call.holder)) {
+      if (previousHolder != null
+          && !previousHolder.equals(call.holder)
+          && lastAcceptedAtMs.containsKey(call.holder)) {
         assertThat(
-            "token " + call.token + " " + call.holder + " after " + last,
-            call.arrivedAtMs - lastAt.get(call.holder),
+            "token " + call.token + " " + call.holder + " after " + previousHolder,
+            call.arrivedAtMs - lastAcceptedAtMs.get(call.holder),
             greaterThan(LeaseVoter.LEASE_DURATION_MS));
       }
-      lastAt.put(call.holder, call.arrivedAtMs);
-      last = call.holder;
+      lastAcceptedAtMs.put(call.holder, call.arrivedAtMs);
+      previousHolder = call.holder;
     }
   }
 
--- a/controlplane/src/test/java/elmsail/controlplane/LeaseTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/LeaseTest.java
@@ -19,7 +19,7 @@
   private final ManualTimers timers = new ManualTimers();
   private final LeaseVoter[] voters = new LeaseVoter[VOTERS];
   private final Lease[] leases = new Lease[VOTERS];
-  private final long[] frozenUntil = new long[VOTERS];
+  private final long[] frozenUntilMs = new long[VOTERS];
   private final long[] processIds = new long[VOTERS];
   private Random random;
   private double lossRate;
@@ -56,9 +56,9 @@
       long processId,
       Lease.Round round,
       long responseDelayMs) {
-    if (timers.now() < frozenUntil[voter]) {
+    if (timers.now() < frozenUntilMs[voter]) {
       timers.schedule(
-          frozenUntil[voter] - timers.now(),
+          frozenUntilMs[voter] - timers.now(),
           () -> onRequest(voter, candidate, lease, processId, round, responseDelayMs));
       return;
     }
@@ -72,9 +72,9 @@
 
   private void onResponse(
       int voter, int candidate, Lease lease, Lease.Round round, long remainingMs) {
-    if (timers.now() < frozenUntil[candidate]) {
+    if (timers.now() < frozenUntilMs[candidate]) {
       timers.schedule(
-          frozenUntil[candidate] - timers.now(),
+          frozenUntilMs[candidate] - timers.now(),
           () -> onResponse(voter, candidate, lease, round, remainingMs));
     } else if (remainingMs == 0) {
       lease.onGranted(round.number(), voter, timers.now());
@@ -88,7 +88,7 @@
     timers.advance(10);
     int holders = 0;
     for (int i = 0; i < VOTERS; i++) {
-      if (timers.now() >= frozenUntil[i]) {
+      if (timers.now() >= frozenUntilMs[i]) {
         int candidate = i;
         leases[i].poll(timers.now(), VOTERS).ifPresent(round -> send(candidate, round));
       }
@@ -129,7 +129,7 @@
       step();
     }
     assertThat(leases[0].isHeld(timers.now()), is(true));
-    frozenUntil[0] = Long.MAX_VALUE;
+    frozenUntilMs[0] = Long.MAX_VALUE;
     int stepsWithoutHolder = 0;
     while (!leases[1].isHeld(timers.now()) && !leases[2].isHeld(timers.now())) {
       step();
@@ -144,7 +144,7 @@
     for (int seed = 0; seed < 60; seed++) {
       createVotersAndCandidates(seed, true);
       for (int i = 0; i < VOTERS; i++) {
-        frozenUntil[i] = 0;
+        frozenUntilMs[i] = 0;
       }
       lossRate = seed % 3 * 0.15;
       // Lets the remaining messages of the previous seed arrive.
@@ -162,11 +162,11 @@
 
   private void injectFaults() {
     if (random.nextInt(300) == 0) {
-      frozenUntil[random.nextInt(VOTERS)] = timers.now() + random.nextInt(4_000);
+      frozenUntilMs[random.nextInt(VOTERS)] = timers.now() + random.nextInt(4_000);
     }
     if (random.nextInt(500) == 0) {
       int restarted = random.nextInt(VOTERS);
-      frozenUntil[restarted] = timers.now() + random.nextInt(500);
+      frozenUntilMs[restarted] = timers.now() + random.nextInt(500);
       voters[restarted] = new LeaseVoter(timers.now(), false);
       leases[restarted] = new Lease(timers.now(), restarted);
       processIds[restarted] = random.nextLong();
--- a/controlplane/src/test/java/elmsail/controlplane/UsageDutyTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/UsageDutyTest.java
@@ -138,12 +138,12 @@
   @EnumSource(
       value = FailureMode.class,
       names = {"SILENT", "BUSY", "RESET"})
-  void everyWindowIsReportedInTimeWhenThePlatformIsDownForFourSeconds(FailureMode trouble) {
+  void everyWindowIsReportedInTimeWhenThePlatformIsDownForFourSeconds(FailureMode failureMode) {
     startFixture(4);
     long first = fixture.currentWindow();
     for (int i = 0; i < 5; i++) {
       run(3_000 + fixture.random.nextInt(6_000));
-      fixture.platform.failureMode = trouble;
+      fixture.platform.failureMode = failureMode;
       run(4_000);
       fixture.platform.failureMode = FailureMode.NONE;
     }
