--- a/controlplane/src/main/java/elmsail/controlplane/FleetSizeManager.java
+++ b/controlplane/src/main/java/elmsail/controlplane/FleetSizeManager.java
@@ -21,14 +21,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The singleton duty to set the number of servers: while this node holds the singleton lease it
- * orders, for each service that allows it and each zone in which that service runs, as many servers
- * as {@link FleetSizePolicy} wants. An order that holds already is not repeated; one whose outcome
- * is unknown is, after a backoff, with what is wanted by then. Every node keeps the demand, so that
- * a new holder decides from its first moment on. Runs on the event loop.
+ * The singleton duty to set the number of servers. While this node holds the singleton lease, it
+ * orders the number of servers that {@link FleetSizePolicy} computes, for each service with a
+ * configured fleet size and each zone in which that service runs. An order that is already in
+ * effect is not repeated. An order that failed or whose outcome is unknown is sent again after a
+ * backoff, with the target at that time. Every node records the demand, so that a new holder can
+ * decide immediately. Runs on the event loop.
  */
 final class FleetSizeManager {
-  /** The path of the platform's call. */
+  /** The path of the platform's endpoint. */
   static final String PATH = "/fleet-size";
 
   private static final long TICK_INTERVAL_MS = 500;
@@ -36,24 +37,27 @@
   private static final JsonFactory JSON = new JsonFactory();
   private static final Logger LOG = LoggerFactory.getLogger(FleetSizeManager.class);
 
-  /** One number that is set: the servers of a service in a zone. */
-  private record Subject(String service, String zone) {}
+  /** Identifies a fleet: the servers of one service in one zone. */
+  private record FleetKey(String service, String zone) {}
 
-  /** What is known of a subject at a moment. */
+  /** The observed state of a fleet. */
   private record Fleet(FleetSize bounds, int servers, int slotsPerServer) {}
 
-  /** What this holder has ordered. */
+  /** The orders of this holder for one fleet. */
   private static final class Order {
     final FleetSizePolicy policy = new FleetSizePolicy();
 
-    /** The size that the platform holds; empty while that is what the servers show, or unknown. */
+    /**
+     * The size that the platform last accepted; empty if this holder has no accepted order yet, in
+     * which case the listed servers are taken as the size.
+     */
     OptionalInt acceptedSize = OptionalInt.empty();
 
-    /** Whether an order may have been taken whose outcome is not known. */
+    /** Whether the platform may have accepted an order whose outcome is unknown. */
     boolean isUncertain;
 
     boolean inFlight;
-    long notBeforeMs;
+    long nextAttemptAtMs;
   }
 
   private final Timers timers;
@@ -61,12 +65,12 @@
   private final PlatformDutyClient platform;
   private final DutyLease lease;
   private final DemandTable demand = new DemandTable();
-  private final Map<Subject, Order> orders = new HashMap<>();
+  private final Map<FleetKey, Order> orders = new HashMap<>();
   private long ordersTerm;
   private boolean closed;
 
   /**
-   * Creates one that calls nobody before {@link #start()}.
+   * Creates a manager that sends nothing before {@link #start()}.
    *
    * @param clusterState the configuration, the servers and the gateways as this node knows them
    */
@@ -78,8 +82,8 @@
     this.lease = lease;
   }
 
-  /** Whether the platform expects the duty. */
-  static boolean isWanted(Settings settings) {
+  /** Whether the settings assign this duty to the control plane. */
+  static boolean isEnabled(Settings settings) {
     return settings.platform() != null
         && settings.platform().duties().contains(Settings.Platform.FLEET_DUTY);
   }
@@ -92,7 +96,7 @@
     closed = true;
   }
 
-  /** Takes the demand of a gateway's pull. */
+  /** Records the demand in a gateway's pull. */
   void onPull(PullRequest request) {
     demand.onPull(request, timers.now());
   }
@@ -106,17 +110,20 @@
     demand.expire(now);
     long term = lease.term();
     if (term != ordersTerm) {
-      orders.clear(); // what another holder ordered meanwhile is not known
+      orders.clear(); // the orders of other holders in between are unknown
       ordersTerm = term;
     }
     if (term > 0) {
-      fleets().forEach((subject, fleet) -> update(subject, fleet, term, now));
+      fleets().forEach((key, fleet) -> update(key, fleet, term, now));
     }
   }
 
-  /** The fleets to be set: of services with bounds, in the zones that list servers of them. */
-  private Map<Subject, Fleet> fleets() {
-    Map<Subject, Fleet> fleets = new LinkedHashMap<>();
+  /**
+   * The fleets to size: services with fleet-size bounds, in each zone with listed servers of the
+   * service.
+   */
+  private Map<FleetKey, Fleet> fleets() {
+    Map<FleetKey, Fleet> fleets = new LinkedHashMap<>();
     RoutingConfig config = clusterState.config();
     if (config == null) {
       return fleets;
@@ -127,70 +134,72 @@
         Fleet counted =
             new Fleet(
                 service.fleetSize().get(), server.draining() ? 0 : 1, server.maxConcurrency());
-        fleets.merge(new Subject(server.service(), server.zone()), counted, FleetSizeManager::plus);
+        fleets.merge(
+            new FleetKey(server.service(), server.zone()), counted, FleetSizeManager::merge);
       }
     }
     return fleets;
   }
 
-  private static Fleet plus(Fleet left, Fleet right) {
+  private static Fleet merge(Fleet left, Fleet right) {
     return new Fleet(
         left.bounds(),
         left.servers() + right.servers(),
         Math.max(left.slotsPerServer(), right.slotsPerServer()));
   }
 
-  private void update(Subject subject, Fleet fleet, long term, long now) {
+  private void update(FleetKey key, Fleet fleet, long term, long now) {
     int gateways = clusterState.view().gateways.size();
     FleetSizePolicy.Observation observation =
         new FleetSizePolicy.Observation(
             fleet.servers(),
             fleet.slotsPerServer(),
-            demand.openRequests(subject.service(), subject.zone(), gateways),
+            demand.openRequests(key.service(), key.zone(), gateways),
             demand.isComplete(gateways));
-    Order order = orders.computeIfAbsent(subject, added -> new Order());
-    int wanted = order.policy.observe(observation, fleet.bounds(), now);
-    boolean holds = !order.isUncertain && order.acceptedSize.orElse(fleet.servers()) == wanted;
-    if (!holds && !order.inFlight && now >= order.notBeforeMs) {
-      send(subject, order, wanted, term);
+    Order order = orders.computeIfAbsent(key, newKey -> new Order());
+    int targetServers = order.policy.observe(observation, fleet.bounds(), now);
+    boolean isSatisfied =
+        !order.isUncertain && order.acceptedSize.orElse(fleet.servers()) == targetServers;
+    if (!isSatisfied && !order.inFlight && now >= order.nextAttemptAtMs) {
+      send(key, order, targetServers, term);
     }
   }
 
-  private void send(Subject subject, Order order, int wanted, long term) {
+  private void send(FleetKey key, Order order, int targetServers, long term) {
     order.inFlight = true;
     platform
-        .post(PATH, encode(subject, wanted), term)
-        .thenAccept(outcome -> onOutcome(subject, order, wanted, outcome));
+        .post(PATH, encode(key, targetServers), term)
+        .thenAccept(outcome -> onOutcome(key, order, targetServers, outcome));
   }
 
   private void onOutcome(
-      Subject subject, Order order, int wanted, PlatformDutyClient.Outcome outcome) {
+      FleetKey key, Order order, int targetServers, PlatformDutyClient.Outcome outcome) {
     order.inFlight = false;
     if (outcome == PlatformDutyClient.Outcome.ACCEPTED) {
-      order.acceptedSize = OptionalInt.of(wanted);
+      order.acceptedSize = OptionalInt.of(targetServers);
       order.isUncertain = false;
       LOG.info(
-          "ordered {} servers of {} in {}, term {}",
-          wanted,
-          subject.service(),
-          subject.zone(),
+          "platform accepted an order of {} servers for service {} in zone {}, term {}",
+          targetServers,
+          key.service(),
+          key.zone(),
           ordersTerm);
     } else {
       order.isUncertain |= outcome == PlatformDutyClient.Outcome.UNKNOWN;
-      order.notBeforeMs = timers.now() + RETRY_DELAY_MS;
+      order.nextAttemptAtMs = timers.now() + RETRY_DELAY_MS;
     }
   }
 
-  private static byte[] encode(Subject subject, int wanted) {
+  private static byte[] encode(FleetKey key, int targetServers) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (JsonGenerator json = JSON.createGenerator(bytes)) {
       json.writeStartObject();
-      json.writeStringField("postal_line", subject.service());
-      json.writeStringField("zone", subject.zone());
-      json.writeNumberField("wanted", wanted);
+      json.writeStringField("postal_line", key.service());
+      json.writeStringField("zone", key.zone());
+      json.writeNumberField("wanted", targetServers);
       json.writeEndObject();
     } catch (IOException e) {
-      throw new UncheckedIOException(e); // an array takes all that is written
+      throw new UncheckedIOException(e); // a byte array stream never fails
     }
     return bytes.toByteArray();
   }
--- a/controlplane/src/main/java/elmsail/controlplane/UsageReporter.java
+++ b/controlplane/src/main/java/elmsail/controlplane/UsageReporter.java
@@ -14,18 +14,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reports each window's usage to the platform, while this node holds the singleton lease.
+ * Reports each window's usage to the platform while this node holds the singleton lease.
  *
- * <p>A window's counts are first decided: the register's {@link UsageLedger} passes the window in
- * one compare-and-set, so that one node decides it, once. Only what is committed is sent, oldest
- * window first, and again until the platform has taken it in; so all that the platform ever gets of
- * a window is the same content, whoever sends it. A new holder reads the ledger, sends what is left
- * in it, and goes on with the windows after the last decided one.
+ * <p>A window's counts are first decided: one compare-and-set in the register advances the {@link
+ * UsageLedger} past the window, so that exactly one node decides the window, once. Only committed
+ * counts are sent, oldest window first, and repeatedly until the platform accepts them. The
+ * platform therefore receives the same content for a window from every sender. A new holder reads
+ * the ledger, sends the remaining windows in it, and continues with the windows after the last
+ * decided one.
  *
- * <p>Decided is a window some time after its close, when the gateways' reports are in. A new holder
- * moreover waits until they have sent it the counts of the last windows. What a gateway that was
- * killed had not reported is missing, and a window that closed so long ago that gateways do not
- * keep its counts is never reported. Runs on the event loop.
+ * <p>A window is decided some time after its close, when the gateways' reports have arrived. A new
+ * holder also waits until the gateways have sent it the counts of the last windows. Counts that a
+ * killed gateway had not reported are lost. A window that closed so long ago that gateways no
+ * longer keep its counts is never reported. Runs on the event loop.
  */
 final class UsageReporter {
   static final String PATH = "/usage";
@@ -34,14 +35,20 @@
   private static final long TICK_INTERVAL_MS = 100;
   private static final long REGISTER_TIMEOUT_MS = 800;
 
-  /** The part of the time allowed for a report after which its window is decided. */
+  /** Share of the allowed reporting time after which a closed window is decided. */
   private static final double DECISION_DELAY_SHARE = 0.3;
 
-  /** Gateways report once a second, to all nodes while they know of no holder. */
-  private static final long GATHERING_MS = 1_500;
+  /**
+   * How long a new holder collects reports before it decides. Gateways report once a second, and
+   * report to all nodes while no holder is known to them.
+   */
+  private static final long REPORT_GATHERING_MS = 1_500;
 
-  /** Gateways keep their counts of windows that closed less than so many times the bound ago. */
-  private static final int LATE_TIMES_REPORTED = 2;
+  /**
+   * Gateways keep the counts of a window until this multiple of the allowed reporting time after
+   * its close.
+   */
+  private static final int MAX_REPORT_AGE_FACTOR = 2;
 
   private static final long MIN_BACKOFF_MS = 150;
   private static final long MAX_BACKOFF_MS = 1_200;
@@ -57,20 +64,23 @@
   private final long windowMs;
   private final long decisionDelayMs;
 
-  /** Windows that closed before this time are reported no more. */
+  /** Windows that closed longer ago than this are no longer reported. */
   private final long maxReportAgeMs;
 
-  /** What this node does in the term in which it holds the lease; null while it does not. */
-  private Tenure tenure;
+  /**
+   * This node's state in the term in which it holds the lease; null while it does not hold the
+   * lease.
+   */
+  private HeldTerm heldTerm;
 
   private boolean closed;
 
   /**
-   * Does nothing before {@link #start}.
+   * Creates a reporter that does nothing before {@link #start}.
    *
-   * @param table of what gateways reported to this node
-   * @param clock by which windows begin and end
-   * @param bounds with the length of a window, above 0
+   * @param table of the counts that gateways reported to this node
+   * @param clock by which windows open and close
+   * @param bounds with a window length above 0
    * @param random for backoffs
    */
   UsageReporter(
@@ -93,26 +103,26 @@
     this.random = random;
     windowMs = bounds.usageWindowMs();
     decisionDelayMs = (long) (bounds.usageLateMs() * DECISION_DELAY_SHARE);
-    maxReportAgeMs = LATE_TIMES_REPORTED * bounds.usageLateMs();
+    maxReportAgeMs = MAX_REPORT_AGE_FACTOR * bounds.usageLateMs();
   }
 
-  /** How many windows, closed or open, can be reported at any time. */
+  /** The maximum number of windows, open or closed, that can still be reported at one time. */
   static int reportableWindows(Settings.Bounds bounds) {
-    return (int) (LATE_TIMES_REPORTED * bounds.usageLateMs() / bounds.usageWindowMs()) + 2;
+    return (int) (MAX_REPORT_AGE_FACTOR * bounds.usageLateMs() / bounds.usageWindowMs()) + 2;
   }
 
-  /** Looks at the lease and the clock now, and repeats that until closed. */
+  /** Checks the lease and the clock now, and reschedules itself until closed. */
   void start() {
     if (closed) {
       return;
     }
     timers.schedule(TICK_INTERVAL_MS, this::start);
     long term = lease.term();
-    if (tenure == null || tenure.term != term) {
-      tenure = term == 0 ? null : new Tenure(term);
+    if (heldTerm == null || heldTerm.term != term) {
+      heldTerm = term == 0 ? null : new HeldTerm(term);
     }
-    if (tenure != null && clock.isAgreed()) {
-      tenure.advance();
+    if (heldTerm != null && clock.isAgreed()) {
+      heldTerm.advance();
     }
   }
 
@@ -120,75 +130,85 @@
     closed = true;
   }
 
-  /** The window of a time of day. */
+  /** Returns the number of the window that contains a time of day. */
   long windowAt(long timeOfDayMs) {
     return Math.floorDiv(timeOfDayMs, windowMs);
   }
 
-  /** The newest window that has been closed for so long. */
-  private long newestClosedFor(long ms) {
+  /** Returns the newest window that closed at least that long ago. */
+  private long newestWindowClosedFor(long ms) {
     return windowAt(clock.now() - ms) - 1;
   }
 
-  /** The oldest window that is still worth a report. */
-  private long oldestReportable() {
-    return newestClosedFor(maxReportAgeMs) + 1;
+  /** Returns the oldest window that may still be reported. */
+  private long oldestReportableWindow() {
+    return newestWindowClosedFor(maxReportAgeMs) + 1;
   }
 
-  /** One holding of the lease. What completes later than it does nothing. */
-  private final class Tenure {
+  /**
+   * The state of this node in one term of the lease. Calls that complete after the term has ended
+   * have no effect.
+   */
+  private final class HeldTerm {
     private final long term;
     private final long startedAtMs = timers.now();
-    private final Set<Long> accepted = new HashSet<>();
+    private final Set<Long> acceptedWindows = new HashSet<>();
     private UsageLedger ledger;
     private boolean registerCallInFlight;
     private boolean platformCallInFlight;
     private long nextCallAtMs;
     private long backoffMs = MIN_BACKOFF_MS;
 
-    Tenure(long term) {
+    HeldTerm(long term) {
       this.term = term;
     }
 
     private boolean isCurrent() {
-      return !closed && tenure == this && lease.term() == term;
+      return !closed && heldTerm == this && lease.term() == term;
     }
 
     void advance() {
-      long target = newestClosedFor(decisionDelayMs);
-      boolean hasGathered = timers.now() - startedAtMs >= GATHERING_MS;
+      long newestDue = newestWindowClosedFor(decisionDelayMs);
+      boolean hasGatheredReports = timers.now() - startedAtMs >= REPORT_GATHERING_MS;
       if (ledger == null && !registerCallInFlight) {
-        beginOrRead();
-      } else if (hasGathered && !registerCallInFlight && ledger.lastDecided() < target) {
-        decide(target);
+        readOrCreateLedger();
+      } else if (hasGatheredReports && !registerCallInFlight && ledger.lastDecided() < newestDue) {
+        decide(newestDue);
       }
       send();
     }
 
-    /** Reads the ledger; the first holder ever begins one with the window that is open now. */
-    private void beginOrRead() {
+    /**
+     * Reads the ledger. If none exists yet, creates one that starts with the window that is open
+     * now.
+     */
+    private void readOrCreateLedger() {
       long firstWindow = windowAt(clock.now());
       changeLedger(
-          found ->
-              found.isPresent()
+          observedLedger ->
+              observedLedger.isPresent()
                   ? Optional.empty()
                   : Optional.of(UsageLedger.startingAfter(firstWindow - 1)));
     }
 
-    private void decide(long target) {
-      long oldest = oldestReportable();
+    private void decide(long newestDue) {
+      long oldest = oldestReportableWindow();
       changeLedger(
-          found -> {
-            UsageLedger current = found.orElse(ledger);
-            return current.lastDecided() >= target
+          observedLedger -> {
+            UsageLedger current = observedLedger.orElse(ledger);
+            return current.lastDecided() >= newestDue
                 ? Optional.empty()
-                : Optional.of(current.without(accepted).decide(oldest, target, table::totals));
+                : Optional.of(
+                    current.without(acceptedWindows).decide(oldest, newestDue, table::totals));
           });
     }
 
-    /** What a change makes of the ledger found, if there is one; empty to leave it as it is. */
+    /**
+     * Computes a new ledger from the observed one, which is empty before the first; an empty result
+     * leaves the ledger unchanged.
+     */
     private interface LedgerChange {
-      Optional<UsageLedger> apply(Optional<UsageLedger> found);
+      Optional<UsageLedger> apply(Optional<UsageLedger> observedLedger);
     }
 
     private void changeLedger(LedgerChange change) {
@@ -197,9 +217,9 @@
           .change(
               UsageLedger.KEY,
               observed -> {
-                Optional<UsageLedger> found =
+                Optional<UsageLedger> observedLedger =
                     Optional.ofNullable(observed.value()).map(UsageLedger::decode);
-                byte[] value = change.apply(found).map(UsageLedger::encode).orElse(null);
+                byte[] value = change.apply(observedLedger).map(UsageLedger::encode).orElse(null);
                 return new Register.ProposedValue(value, List.of());
               },
               List.of(),
@@ -209,34 +229,37 @@
               (outcome, failure) -> {
                 registerCallInFlight = false;
                 if (failure == null && isCurrent()) {
-                  onLedger(UsageLedger.decode(outcome.current().value()), outcome.changed());
+                  onLedgerCommitted(
+                      UsageLedger.decode(outcome.current().value()), outcome.changed());
                 }
               });
     }
 
-    private void onLedger(UsageLedger committed, boolean changed) {
+    private void onLedgerCommitted(UsageLedger committed, boolean changed) {
       if (changed && ledger != null) {
-        long decided = committed.lastDecided() - ledger.lastDecided();
-        long kept = committed.unsent().tailMap(ledger.lastDecided() + 1).size();
-        counters.windowsDecided.add(kept);
-        counters.windowsSkipped.add(decided - kept);
-        if (decided > kept) {
-          LOG.warn("usage of {} windows is not reported: they closed too long ago", decided - kept);
+        long decidedCount = committed.lastDecided() - ledger.lastDecided();
+        long keptCount = committed.unsent().tailMap(ledger.lastDecided() + 1).size();
+        counters.windowsDecided.add(keptCount);
+        counters.windowsSkipped.add(decidedCount - keptCount);
+        if (decidedCount > keptCount) {
+          LOG.warn(
+              "skipping the usage reports of {} windows: they closed too long ago",
+              decidedCount - keptCount);
         }
       }
       ledger = committed;
-      accepted.retainAll(committed.unsent().keySet());
+      acceptedWindows.retainAll(committed.unsent().keySet());
       send();
     }
 
-    /** Sends the oldest decided window that the platform has not taken in. */
+    /** Sends the oldest decided window that the platform has not accepted. */
     private void send() {
       if (ledger == null || platformCallInFlight || timers.now() < nextCallAtMs || !isCurrent()) {
         return;
       }
-      long oldest = oldestReportable();
+      long oldest = oldestReportableWindow();
       for (long window : ledger.unsent().tailMap(oldest).keySet()) {
-        if (!accepted.contains(window)) {
+        if (!acceptedWindows.contains(window)) {
           send(window);
           return;
         }
@@ -250,7 +273,7 @@
           .thenAccept(
               outcome -> {
                 platformCallInFlight = false;
-                if (!closed && tenure == this) {
+                if (!closed && heldTerm == this) {
                   onOutcome(window, outcome);
                 }
               });
@@ -259,7 +282,7 @@
     private void onOutcome(long window, Outcome outcome) {
       if (outcome == Outcome.ACCEPTED) {
         counters.windowsAccepted.add(1);
-        accepted.add(window);
+        acceptedWindows.add(window);
         backoffMs = MIN_BACKOFF_MS;
         timers.execute(this::send);
       } else {
--- a/controlplane/src/test/java/elmsail/controlplane/LeaseTurnsTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/LeaseReacquisitionTest.java
@@ -10,24 +10,27 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Holders of the singleton lease that stand still until another gets it, which releases it at once
- * as it is stopped: the first does not use the lease again within the time that the platform sets
- * for that.
+ * A holder of the singleton lease freezes until another node acquires the lease; that node is then
+ * stopped and releases the lease at once. Guards against the first holder's use of the reacquired
+ * lease within the platform's lease time after its own last use.
  */
-class LeaseTurnsTest {
+class LeaseReacquisitionTest {
   private static final long LEASE_MS = 3_000;
   private static final int NODES = 3;
 
-  /** The time between two holders' uses binds where the platform expects duties. */
+  /**
+   * The minimum time between a holder's uses applies only if the settings configure platform
+   * duties.
+   */
   private static final double DUTY_CALLS_PER_SECOND = 50;
 
   private SimulatedCluster cluster;
   private final Map<String, Long> lastUseMs = new HashMap<>();
   private String lastUser;
-  private long shortestReturnMs;
-  private int returns;
+  private long shortestReuseGapMs;
+  private int reacquisitions;
 
-  private void useAlways(String name) {
+  private void useLeaseRepeatedly(String name) {
     cluster
         .nodes
         .get(name)
@@ -35,7 +38,7 @@
         .schedule(
             5,
             () -> {
-              useAlways(name);
+              useLeaseRepeatedly(name);
               if (cluster.controlPlaneNodes.get(name).leaseTerm() > 0) {
                 onUse(name);
               }
@@ -45,14 +48,14 @@
   private void onUse(String name) {
     long now = cluster.timers.now();
     if (lastUser != null && !lastUser.equals(name) && lastUseMs.containsKey(name)) {
-      returns++;
-      shortestReturnMs = Math.min(shortestReturnMs, now - lastUseMs.get(name));
+      reacquisitions++;
+      shortestReuseGapMs = Math.min(shortestReuseGapMs, now - lastUseMs.get(name));
     }
     lastUser = name;
     lastUseMs.put(name, now);
   }
 
-  private String holder() {
+  private String currentHolder() {
     for (Map.Entry<String, ControlPlaneNode> each : cluster.controlPlaneNodes.entrySet()) {
       if (each.getValue().leaseTerm() > 0) {
         return each.getKey();
@@ -61,19 +64,19 @@
     return null;
   }
 
-  private void takeTurns(long seed) {
+  private void alternateHolders(long seed) {
     cluster = new SimulatedCluster(seed, NODES);
     cluster.dutyCallsPerSecond = DUTY_CALLS_PER_SECOND;
     lastUseMs.clear();
     lastUser = null;
     for (int i = 1; i <= NODES; i++) {
       cluster.controlPlane("n" + i, true);
-      useAlways("n" + i);
+      useLeaseRepeatedly("n" + i);
     }
-    assertThat(cluster.awaitWithin(10_000, () -> holder() != null), is(true));
+    assertThat(cluster.awaitWithin(10_000, () -> currentHolder() != null), is(true));
     for (int i = 0; i < 4; i++) {
       cluster.timers.advance(3_000 + seed * 37 % 600);
-      String first = holder();
+      String first = currentHolder();
       cluster.net.freeze(cluster.address(first));
       cluster.awaitWithin(10_000, () -> lastUser != null && !lastUser.equals(first));
       String second = lastUser;
@@ -89,17 +92,17 @@
       cluster.awaitWithin(10_000, () -> first.equals(lastUser));
       cluster.kill(second);
       cluster.controlPlane(second, false);
-      useAlways(second);
+      useLeaseRepeatedly(second);
     }
   }
 
   @Test
-  void lostLeaseIsNotUsedAgainWithinTheTimeOfALeaseIfAnotherHadIt() {
-    shortestReturnMs = Long.MAX_VALUE;
+  void reacquiredLeaseIsNotUsedWithinALeaseTimeAfterAnotherHolder() {
+    shortestReuseGapMs = Long.MAX_VALUE;
     for (long seed = 1; seed <= 30; seed++) {
-      takeTurns(seed);
+      alternateHolders(seed);
     }
-    assertThat("returns", returns, greaterThan(30));
-    assertThat(shortestReturnMs, greaterThanOrEqualTo(LEASE_MS));
+    assertThat("reacquisitions", reacquisitions, greaterThan(30));
+    assertThat(shortestReuseGapMs, greaterThanOrEqualTo(LEASE_MS));
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/LeaseTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/LeaseTest.java
@@ -9,22 +9,25 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Three voters that are candidates as well, under freezes, restarts, and lost or late messages. */
+/**
+ * Three voters that are also candidates, under freezes, restarts, and lost or delayed messages.
+ * Guards against two holders at one time.
+ */
 class LeaseTest {
-  private static final int N = 3;
+  private static final int VOTERS = 3;
 
   private final ManualTimers timers = new ManualTimers();
-  private final LeaseVoter[] voters = new LeaseVoter[N];
-  private final Lease[] leases = new Lease[N];
-  private final long[] frozenUntil = new long[N];
-  private final long[] processIds = new long[N];
+  private final LeaseVoter[] voters = new LeaseVoter[VOTERS];
+  private final Lease[] leases = new Lease[VOTERS];
+  private final long[] frozenUntilMs = new long[VOTERS];
+  private final long[] processIds = new long[VOTERS];
   private Random random;
   private double lossRate;
 
-  private void begin(long seed, boolean founding) {
+  private void createVotersAndCandidates(long seed, boolean isFirstStart) {
     random = new Random(seed);
-    for (int i = 0; i < N; i++) {
-      voters[i] = new LeaseVoter(timers.now(), founding);
+    for (int i = 0; i < VOTERS; i++) {
+      voters[i] = new LeaseVoter(timers.now(), isFirstStart);
       leases[i] = new Lease(timers.now(), i);
       processIds[i] = i + 1L;
     }
@@ -33,53 +36,61 @@
   private void send(int candidate, Lease.Round round) {
     Lease lease = leases[candidate];
     long processId = processIds[candidate];
-    for (int v = 0; v < N; v++) {
+    for (int v = 0; v < VOTERS; v++) {
       int voter = v;
       if (random.nextDouble() < lossRate) {
         continue;
       }
-      long there = random.nextInt(random.nextInt(20) == 0 ? 3_000 : 20);
-      long back = random.nextInt(random.nextInt(20) == 0 ? 3_000 : 20);
-      timers.schedule(there, () -> arrive(voter, candidate, lease, processId, round, back));
+      long requestDelayMs = random.nextInt(random.nextInt(20) == 0 ? 3_000 : 20);
+      long responseDelayMs = random.nextInt(random.nextInt(20) == 0 ? 3_000 : 20);
+      timers.schedule(
+          requestDelayMs,
+          () -> onRequest(voter, candidate, lease, processId, round, responseDelayMs));
     }
   }
 
-  private void arrive(
-      int voter, int candidate, Lease lease, long processId, Lease.Round round, long back) {
-    if (timers.now() < frozenUntil[voter]) {
+  private void onRequest(
+      int voter,
+      int candidate,
+      Lease lease,
+      long processId,
+      Lease.Round round,
+      long responseDelayMs) {
+    if (timers.now() < frozenUntilMs[voter]) {
       timers.schedule(
-          frozenUntil[voter] - timers.now(),
-          () -> arrive(voter, candidate, lease, processId, round, back));
+          frozenUntilMs[voter] - timers.now(),
+          () -> onRequest(voter, candidate, lease, processId, round, responseDelayMs));
       return;
     }
     if (round.kind() == Lease.Round.Kind.RELEASE) {
       voters[voter].release(processId, round.number(), timers.now());
       return;
     }
-    long left = voters[voter].tryGrant(processId, round.number(), timers.now());
-    timers.schedule(back, () -> onResponse(voter, candidate, lease, round, left));
+    long remainingMs = voters[voter].tryGrant(processId, round.number(), timers.now());
+    timers.schedule(responseDelayMs, () -> onResponse(voter, candidate, lease, round, remainingMs));
   }
 
-  private void onResponse(int voter, int candidate, Lease lease, Lease.Round round, long left) {
-    if (timers.now() < frozenUntil[candidate]) {
+  private void onResponse(
+      int voter, int candidate, Lease lease, Lease.Round round, long remainingMs) {
+    if (timers.now() < frozenUntilMs[candidate]) {
       timers.schedule(
-          frozenUntil[candidate] - timers.now(),
-          () -> onResponse(voter, candidate, lease, round, left));
-    } else if (left == 0) {
+          frozenUntilMs[candidate] - timers.now(),
+          () -> onResponse(voter, candidate, lease, round, remainingMs));
+    } else if (remainingMs == 0) {
       lease.onGranted(round.number(), voter, timers.now());
     } else {
-      lease.onRefused(round.number(), left);
+      lease.onRefused(round.number(), remainingMs);
     }
   }
 
-  /** Moves on by 10 ms; returns how many hold the lease at that moment. */
+  /** Advances time by 10 ms; returns the number of lease holders at that moment. */
   private int step() {
     timers.advance(10);
     int holders = 0;
-    for (int i = 0; i < N; i++) {
-      if (timers.now() >= frozenUntil[i]) {
+    for (int i = 0; i < VOTERS; i++) {
+      if (timers.now() >= frozenUntilMs[i]) {
         int candidate = i;
-        leases[i].poll(timers.now(), N).ifPresent(round -> send(candidate, round));
+        leases[i].poll(timers.now(), VOTERS).ifPresent(round -> send(candidate, round));
       }
       holders += leases[i].isHeld(timers.now()) ? 1 : 0;
     }
@@ -88,7 +99,7 @@
 
   @Test
   void firstCandidateHoldsTheLeaseFromTheStartAndKeepsIt() {
-    begin(1, true);
+    createVotersAndCandidates(1, true);
     int held = 0;
     for (int i = 0; i < 1_000; i++) {
       step();
@@ -99,7 +110,7 @@
 
   @Test
   void restartedVotersGrantNothingForOneLeaseDuration() {
-    begin(1, false);
+    createVotersAndCandidates(1, false);
     int held = 0;
     for (int i = 0; i < 199; i++) {
       held += step();
@@ -113,17 +124,17 @@
 
   @Test
   void anotherCandidateTakesOverAfterTheHolderIsLost() {
-    begin(3, true);
+    createVotersAndCandidates(3, true);
     for (int i = 0; i < 200; i++) {
       step();
     }
     assertThat(leases[0].isHeld(timers.now()), is(true));
-    frozenUntil[0] = Long.MAX_VALUE;
-    int without = 0;
+    frozenUntilMs[0] = Long.MAX_VALUE;
+    int stepsWithoutHolder = 0;
     while (!leases[1].isHeld(timers.now()) && !leases[2].isHeld(timers.now())) {
       step();
-      without++;
-      assertThat(without, lessThanOrEqualTo(450));
+      stepsWithoutHolder++;
+      assertThat(stepsWithoutHolder, lessThanOrEqualTo(450));
     }
   }
 
@@ -131,14 +142,14 @@
   void neverTwoHoldersUnderRandomFaults() {
     long held = 0;
     for (int seed = 0; seed < 60; seed++) {
-      begin(seed, true);
-      for (int i = 0; i < N; i++) {
-        frozenUntil[i] = 0;
+      createVotersAndCandidates(seed, true);
+      for (int i = 0; i < VOTERS; i++) {
+        frozenUntilMs[i] = 0;
       }
       lossRate = seed % 3 * 0.15;
-      // The messages of the seed before are let go by.
+      // Lets the remaining messages of the previous seed arrive.
       timers.advance(10_000);
-      begin(seed, true);
+      createVotersAndCandidates(seed, true);
       for (int i = 0; i < 4_000; i++) {
         int holders = step();
         assertThat("seed " + seed, holders, lessThanOrEqualTo(1));
@@ -146,23 +157,23 @@
         injectFaults();
       }
     }
-    assertThat("held much of the time all the same", held, greaterThan(60 * 4_000L / 4));
+    assertThat("steps with a holder", held, greaterThan(60 * 4_000L / 4));
   }
 
   private void injectFaults() {
     if (random.nextInt(300) == 0) {
-      frozenUntil[random.nextInt(N)] = timers.now() + random.nextInt(4_000);
+      frozenUntilMs[random.nextInt(VOTERS)] = timers.now() + random.nextInt(4_000);
     }
     if (random.nextInt(500) == 0) {
-      int one = random.nextInt(N);
-      frozenUntil[one] = timers.now() + random.nextInt(500);
-      voters[one] = new LeaseVoter(timers.now(), false);
-      leases[one] = new Lease(timers.now(), one);
-      processIds[one] = random.nextLong();
+      int restarted = random.nextInt(VOTERS);
+      frozenUntilMs[restarted] = timers.now() + random.nextInt(500);
+      voters[restarted] = new LeaseVoter(timers.now(), false);
+      leases[restarted] = new Lease(timers.now(), restarted);
+      processIds[restarted] = random.nextLong();
     }
   }
 
-  /** The slot's holder before may have granted the lease right before the take-over. */
+  /** The slot's previous holder may have granted the lease right before the takeover. */
   @Test
   void voterThatTookOverASlotWaitsForOneLeaseDuration() {
     LeaseVoter voter = new LeaseVoter(0, true);
--- a/controlplane/src/test/java/elmsail/controlplane/SimulatedDutyPlatform.java
+++ b/controlplane/src/test/java/elmsail/controlplane/SimulatedDutyPlatform.java
@@ -18,9 +18,9 @@
 import java.util.regex.Pattern;
 
 /**
- * A stand-in for the platform that takes reports of use, and notes what breaks its rules: two
- * contents for one window, one fencing token of two holders, holders that act by turns within the
- * time of a lease.
+ * A simulated platform that accepts usage reports and records violations of its rules: two contents
+ * for one window, one fencing token of two holders, and holders whose calls alternate within a
+ * lease time.
  */
 final class SimulatedDutyPlatform {
   private static final Pattern BODY =
@@ -28,63 +28,63 @@
   private static final Pattern COUNT = Pattern.compile("\"([^\"]+)\":(\\d+)");
   private static final long LEASE_MS = 3_000;
 
-  /** How the platform treats calls while it is in trouble. */
-  enum Trouble {
+  /** How the platform fails calls. */
+  enum FailureMode {
     NONE,
     SILENT,
     BUSY,
     RESET
   }
 
-  private record Act(String holder, long token, long atMs) {}
+  private record AcceptedCall(String holder, long token, long atMs) {}
 
   private final ManualTimers timers;
   private final Random random;
   private final Map<Long, String> holderByToken = new HashMap<>();
-  private final List<Act> acts = new ArrayList<>();
+  private final List<AcceptedCall> acceptedCalls = new ArrayList<>();
   private final TreeMap<Long, String> contents = new TreeMap<>();
   private final TreeMap<Long, Long> firstAcceptedAtMs = new TreeMap<>();
   final List<String> violations = new ArrayList<>();
   private long highestToken;
   int calls;
-  int refusals;
-  Trouble trouble = Trouble.NONE;
-  long minAnswerMs = 5;
-  long maxAnswerMs = 20;
+  int fencedCalls;
+  FailureMode failureMode = FailureMode.NONE;
+  long minReplyMs = 5;
+  long maxReplyMs = 20;
 
-  /** The share of answers that are lost, 0 to 1. */
-  double lostAnswers;
+  /** Share of replies that are lost, 0 to 1. */
+  double replyLossRate;
 
   SimulatedDutyPlatform(long seed, ManualTimers timers) {
     this.timers = timers;
     this.random = new Random(seed);
   }
 
-  /** A call that a process at that node sends now. */
+  /** Sends a call from a process on that node. */
   CompletableFuture<SimpleHttpResponse> call(
       SimNode from, String machine, HttpClientRequest request, long timeoutMs) {
     CompletableFuture<SimpleHttpResponse> reply = new CompletableFuture<>();
     from.timers().schedule(timeoutMs, () -> fail(reply, ErrorCode.TIMEOUT));
-    timers.schedule(1 + random.nextInt(10), () -> arrive(from, machine, request, reply));
+    timers.schedule(1 + random.nextInt(10), () -> onCallReceived(from, machine, request, reply));
     return reply;
   }
 
-  private void arrive(
+  private void onCallReceived(
       SimNode from,
       String machine,
       HttpClientRequest request,
       CompletableFuture<SimpleHttpResponse> reply) {
     calls++;
-    if (trouble == Trouble.SILENT) {
+    if (failureMode == FailureMode.SILENT) {
       return;
     }
-    if (trouble == Trouble.RESET) {
+    if (failureMode == FailureMode.RESET) {
       from.timers().execute(() -> fail(reply, ErrorCode.CONNECTION_LOST));
       return;
     }
-    int status = trouble == Trouble.BUSY ? 503 : takeIn(machine, request);
-    if (random.nextDouble() >= lostAnswers) {
-      long delayMs = minAnswerMs + random.nextLong(maxAnswerMs - minAnswerMs + 1);
+    int status = failureMode == FailureMode.BUSY ? 503 : process(machine, request);
+    if (random.nextDouble() >= replyLossRate) {
+      long delayMs = minReplyMs + random.nextLong(maxReplyMs - minReplyMs + 1);
       timers.schedule(
           delayMs,
           () ->
@@ -95,28 +95,28 @@
   }
 
   private static void fail(CompletableFuture<SimpleHttpResponse> reply, ErrorCode code) {
-    reply.completeExceptionally(new ElmsailException(code, "stand-in of the platform"));
+    reply.completeExceptionally(new ElmsailException(code, "simulated platform"));
   }
 
-  private int takeIn(String machine, HttpClientRequest request) {
+  private int process(String machine, HttpClientRequest request) {
     String holder = request.headers().get(PlatformDutyClient.HOLDER_HEADER);
     long token = Long.parseLong(request.headers().get(PlatformDutyClient.FENCE_HEADER));
     if (!holder.equals(machine)) {
-      violations.add(machine + " calls as " + holder);
+      violations.add(machine + " sends calls as " + holder);
     }
     String first = holderByToken.computeIfAbsent(token, unused -> holder);
     if (!first.equals(holder)) {
       violations.add("token " + token + " of " + first + " and " + holder);
     }
     if (token < highestToken) {
-      refusals++;
+      fencedCalls++;
       return 409;
     }
     highestToken = token;
-    noteTurns(new Act(holder, token, timers.now()));
+    recordAndCheckAlternation(new AcceptedCall(holder, token, timers.now()));
     Matcher body = BODY.matcher(new String(request.body(), StandardCharsets.UTF_8));
     if (!body.matches()) {
-      violations.add("not a report: " + new String(request.body(), StandardCharsets.UTF_8));
+      violations.add("malformed report: " + new String(request.body(), StandardCharsets.UTF_8));
       return 400;
     }
     long window = Long.parseLong(body.group(1));
@@ -128,36 +128,43 @@
     return 200;
   }
 
-  private void noteTurns(Act act) {
-    boolean otherSince = false;
-    for (int i = acts.size() - 1; i >= 0; i--) {
-      Act earlier = acts.get(i);
-      if (act.atMs - earlier.atMs >= LEASE_MS) {
+  private void recordAndCheckAlternation(AcceptedCall call) {
+    boolean otherHolderSince = false;
+    for (int i = acceptedCalls.size() - 1; i >= 0; i--) {
+      AcceptedCall earlier = acceptedCalls.get(i);
+      if (call.atMs - earlier.atMs >= LEASE_MS) {
         break;
       }
-      if (!earlier.holder.equals(act.holder)) {
-        otherSince = true;
-      } else if (otherSince) {
-        violations.add(act.holder + " acts again, " + (act.atMs - earlier.atMs) + " ms later");
+      if (!earlier.holder.equals(call.holder)) {
+        otherHolderSince = true;
+      } else if (otherHolderSince) {
+        violations.add(
+            call.holder
+                + " is accepted again after another holder, "
+                + (call.atMs - earlier.atMs)
+                + " ms after its last call");
         break;
       } else {
         continue;
       }
     }
-    acts.add(act);
+    acceptedCalls.add(call);
   }
 
-  /** The windows that were taken in, in order. */
+  /** The accepted windows, in order. */
   List<Long> windows() {
     return List.copyOf(contents.keySet());
   }
 
-  /** When the window was first taken in, in ms of the test's clock; null if it was not. */
+  /**
+   * Time at which the window was first accepted, in ms of the test's clock; null if it was not
+   * accepted.
+   */
   Long acceptedAtMs(long window) {
     return firstAcceptedAtMs.get(window);
   }
 
-  /** The counts of a window that was taken in. */
+  /** The counts of an accepted window. */
   Map<String, Long> counts(long window) {
     Map<String, Long> counts = new TreeMap<>();
     Matcher each = COUNT.matcher(contents.get(window));
