--- a/controlplane/src/main/java/elmsail/controlplane/ConfigChangeHandler.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ConfigChangeHandler.java
@@ -190,14 +190,9 @@
       case APPLICABLE -> applyToCurrent(pending, current);
       case SUPERSEDED -> pending.decline(new Decision(412, "current: " + current.version()));
       case BASE_NOT_COMMITTED ->
-          pending.decline(
-              new Decision(
-                  503, "base version is not committed yet; current: " + current.version()));
+          pending.decline(new Decision(503, "not in force yet; current: " + current.version()));
       case BASE_FORGOTTEN ->
-          pending.decline(
-              new Decision(
-                  503,
-                  "base version is too old to tell the outcome; current: " + current.version()));
+          pending.decline(new Decision(503, "too old to tell; current: " + current.version()));
     };
   }
 
--- a/controlplane/src/main/java/elmsail/controlplane/DecommissionHandler.java
+++ b/controlplane/src/main/java/elmsail/controlplane/DecommissionHandler.java
@@ -38,8 +38,7 @@
                 isKnown
                     ? respond(isBegin, machine)
                     : Replies.completed(Replies.error(404, "unknown")))
-        .exceptionally(
-            failure -> Replies.error(503, "no majority can tell whether the machine exists"));
+        .exceptionally(failure -> Replies.error(503, "not sure who is there"));
   }
 
   private CompletableFuture<SimpleHttpResponse> respond(boolean isBegin, String machine) {
@@ -56,9 +55,8 @@
   private static SimpleHttpResponse beginReply(DecommissionManager.BeginResult result) {
     return switch (result) {
       case LISTED -> Replies.json(200, "{}");
-      case TOO_FEW_STORES_REMAIN -> Replies.error(409, "too few stores would remain");
-      case TOO_FEW_STORES_SEEN ->
-          Replies.error(503, "too few stores are sending heartbeats at present");
+      case TOO_FEW_STORES_REMAIN -> Replies.error(409, "too few would remain");
+      case TOO_FEW_STORES_SEEN -> Replies.error(503, "too few are heard at present");
     };
   }
 
