--- a/gateway/src/main/java/elmsail/gateway/servers/Attempt.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/Attempt.java
@@ -20,11 +20,11 @@
   private boolean isPaused;
   private boolean hasResponse;
 
-  Attempt(Server server, OutgoingRequest out, AttemptListener listener, long since) {
+  Attempt(Server server, OutgoingRequest request, AttemptListener listener, long startedAt) {
     this.server = server;
-    this.request = out;
+    this.request = request;
     this.listener = listener;
-    this.startedAt = since;
+    this.startedAt = startedAt;
   }
 
   /** The server it was sent to. */
--- a/gateway/src/main/java/elmsail/gateway/servers/BodyWriteMonitor.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/BodyWriteMonitor.java
@@ -52,10 +52,10 @@
   /** Closes the channel unless the rest of the body goes on being written. */
   void closeIfStalled() {
     long unwrittenBytes = unwrittenBytes();
-    stallTimer = timers.schedule(STALL_TIMEOUT_MS, () -> check(unwrittenBytes));
+    stallTimer = timers.schedule(STALL_TIMEOUT_MS, () -> checkProgress(unwrittenBytes));
   }
 
-  private void check(long unwrittenBytesBefore) {
+  private void checkProgress(long unwrittenBytesBefore) {
     if (unwrittenBytes() < unwrittenBytesBefore) {
       closeIfStalled();
     } else {
--- a/gateway/src/main/java/elmsail/gateway/servers/DemandMeter.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/DemandMeter.java
@@ -21,7 +21,7 @@
    */
   private static final double SLOTS_PER_WAITING_ITEM = 0.25;
 
-  private record Subject(String service, String zone) {}
+  private record ServiceZone(String service, String zone) {}
 
   private DemandMeter() {}
 
@@ -34,33 +34,34 @@
    */
   static List<ServiceDemand> measure(
       Collection<Server> servers, RoutingConfig config, Map<String, Integer> waitingItems) {
-    Map<Subject, ServiceDemand> demands = new LinkedHashMap<>();
+    Map<ServiceZone, ServiceDemand> demands = new LinkedHashMap<>();
     for (Server server : servers) {
       String service = server.entry().service();
-      if (isSized(config, service)) {
-        Subject subject = new Subject(service, server.entry().zone());
-        demands.computeIfAbsent(subject, DemandMeter::newDemand).openRequests +=
+      if (isAutoscaled(config, service)) {
+        ServiceZone serviceZone = new ServiceZone(service, server.entry().zone());
+        demands.computeIfAbsent(serviceZone, DemandMeter::newDemand).openRequests +=
             server.openAttemptCount();
       }
     }
-    waitingItems.forEach((service, items) -> spread(demands.values(), service, items));
+    waitingItems.forEach((service, items) -> addWaitingItems(demands.values(), service, items));
     return new ArrayList<>(demands.values());
   }
 
-  private static boolean isSized(RoutingConfig config, String serviceName) {
+  private static boolean isAutoscaled(RoutingConfig config, String serviceName) {
     Service service = config.services().get(serviceName);
     return service != null && service.fleetSize().isPresent();
   }
 
-  private static ServiceDemand newDemand(Subject subject) {
+  private static ServiceDemand newDemand(ServiceZone serviceZone) {
     ServiceDemand demand = new ServiceDemand();
-    demand.service = subject.service();
-    demand.zone = subject.zone();
+    demand.service = serviceZone.service();
+    demand.zone = serviceZone.zone();
     return demand;
   }
 
   /** Adds what waiting items need to the zones of their service, as equally as it goes. */
-  private static void spread(Collection<ServiceDemand> demands, String service, int items) {
+  private static void addWaitingItems(
+      Collection<ServiceDemand> demands, String service, int items) {
     List<ServiceDemand> zones = new ArrayList<>();
     for (ServiceDemand demand : demands) {
       if (demand.service.equals(service)) {
--- a/gateway/src/main/java/elmsail/gateway/servers/ItemAdmission.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ItemAdmission.java
@@ -89,8 +89,8 @@
     return Math.max(0, Math.min(maxItems - server.ownItems(), freeSlots));
   }
 
-  private static double maxUtilization(LoadSource sight) {
-    return switch (sight) {
+  private static double maxUtilization(LoadSource loadSource) {
+    return switch (loadSource) {
       case REPORTED -> MAX_UTILIZATION_REPORTED;
       case SHARED -> MAX_UTILIZATION_SHARED;
       case SHARED_OTHER_ZONE -> MAX_UTILIZATION_OTHER_ZONE;
--- a/gateway/src/main/java/elmsail/gateway/servers/PromptAffinity.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/PromptAffinity.java
@@ -9,7 +9,7 @@
  */
 final class PromptAffinity {
   private final String zone;
-  private long turn;
+  private long orderSeed;
 
   /** Affinity as seen by a gateway of that zone. */
   PromptAffinity(String zone) {
@@ -21,7 +21,7 @@
    * different order each time.
    */
   long[] ranks(List<Server> open, Prompt prompt) {
-    long key = prompt.sharedPrefixKey() == 0 ? Prompt.mix(++turn) : prompt.sharedPrefixKey();
+    long key = prompt.sharedPrefixKey() == 0 ? Prompt.mix(++orderSeed) : prompt.sharedPrefixKey();
     long[] ranks = new long[open.size()];
     for (int i = 0; i < ranks.length; i++) {
       ranks[i] = rank(key, open.get(i));
@@ -33,7 +33,7 @@
    * The server that the prompt's shared prefix belongs to: the same one for all gateways of a zone
    * while the list is unchanged. Servers of the own zone come first. Null without a shared prefix.
    */
-  Server ownServer(List<Server> open, Prompt prompt) {
+  Server affinityServer(List<Server> open, Prompt prompt) {
     long key = prompt.sharedPrefixKey();
     Server best = null;
     boolean bestInZone = false;
--- a/gateway/src/main/java/elmsail/gateway/servers/ServerHealth.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ServerHealth.java
@@ -121,21 +121,21 @@
 
   /** Whether it is used only where no other server is left: it failed lately or is silent. */
   boolean isSuspect(long now) {
-    return failures.isAvoided(now) || silenceMs(now) > SUSPECT_AFTER_MS;
+    return failures.isAvoided(now) || inactivityMs(now) > SUSPECT_AFTER_MS;
   }
 
   /** Whether an idle connection may be dead, so that a new one is opened first. */
   boolean isConnectionDoubtful(long now) {
-    return failures.hasFailedSinceResponse() || silenceMs(now) > SUSPECT_AFTER_MS;
+    return failures.hasFailedSinceResponse() || inactivityMs(now) > SUSPECT_AFTER_MS;
   }
 
   /** Whether it has sent nothing for so long that open requests will hardly be answered. */
   boolean isUnresponsive(long now) {
-    return silenceMs(now) > UNRESPONSIVE_AFTER_MS;
+    return inactivityMs(now) > UNRESPONSIVE_AFTER_MS;
   }
 
   /** Time without any bytes since the oldest open request was sent, in ms; 0 with none open. */
-  private long silenceMs(long now) {
+  private long inactivityMs(long now) {
     for (Attempt attempt : openAttempts) {
       if (attempt.isSent()) {
         return now - Math.max(attempt.startedAt(), lastReceivedAt);
--- a/gateway/src/main/java/elmsail/gateway/servers/ServerLoadTracker.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ServerLoadTracker.java
@@ -89,10 +89,10 @@
   /**
    * Records a complete response.
    *
-   * @param holdMs from its first byte to its last
+   * @param holdTimeMs from its first byte to its last
    */
-  void recordSlotHoldTime(long holdMs) {
-    slotHoldTime.observe(holdMs);
+  void recordSlotHoldTime(long holdTimeMs) {
+    slotHoldTime.observe(holdTimeMs);
   }
 
   /** How many of this gateway's open attempts are batch items. */
@@ -137,13 +137,13 @@
   /** Estimate of the requests of all gateways that are queued there. */
   double queuedRequests(long now) {
     if (!reportsLoad()) {
-      return queueLengthForOneMore(sharedLoad().open());
+      return queueLengthForNextRequest(sharedLoad().open());
     }
     return reportedLoad.queued(now);
   }
 
   /** How many of the open requests one more would wait for. */
-  private int queueLengthForOneMore(int open) {
+  private int queueLengthForNextRequest(int open) {
     boolean full = entry.maxConcurrency() > 0 && open >= entry.maxConcurrency();
     return full ? open - entry.maxConcurrency() + 1 : 0;
   }
--- a/gateway/src/main/java/elmsail/gateway/servers/ServerPicker.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ServerPicker.java
@@ -24,7 +24,7 @@
   private final PromptAffinity affinity;
 
   /** Rotates the server that is compared first, so that equal costs are spread. */
-  private int turn;
+  private int rotation;
 
   /**
    * A picker for one gateway.
@@ -109,7 +109,7 @@
   private Optional<Server> pickCheapest(
       List<Server> usable, Prompt prompt, SelectionMode mode, long now) {
     SelectionMode effectiveMode = effectiveMode(mode, usable, now);
-    Server affinityServer = affinity.ownServer(usable, prompt);
+    Server affinityServer = affinity.affinityServer(usable, prompt);
     List<ServerSelector.Candidate> candidates = new ArrayList<>(usable.size());
     for (Server server : usable) {
       candidates.add(candidate(server, prompt, server == affinityServer, effectiveMode, now));
@@ -118,7 +118,7 @@
         peerLoads.isAvailable() && usable.stream().noneMatch(server -> server.load().reportsLoad())
             ? ServerSelector.pickSpread(
                 candidates, affinity.ranks(usable, prompt), prompt.totalTokens())
-            : ServerSelector.pick(candidates, prompt.totalTokens(), turn++);
+            : ServerSelector.pick(candidates, prompt.totalTokens(), rotation++);
     return index < 0 ? Optional.empty() : Optional.of(usable.get(index));
   }
 
--- a/gateway/src/main/java/elmsail/gateway/servers/ServerSelector.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ServerSelector.java
@@ -104,13 +104,13 @@
   /**
    * The index of the cheapest candidate, or -1 without any.
    *
-   * @param turn rotates the order of comparison, which spreads equal costs
+   * @param rotation rotates the order of comparison, which spreads equal costs
    */
-  public static int pick(List<Candidate> candidates, int promptTokens, int turn) {
+  public static int pick(List<Candidate> candidates, int promptTokens, int rotation) {
     int best = -1;
     double lowestCost = Double.POSITIVE_INFINITY;
     for (int i = 0; i < candidates.size(); i++) {
-      int at = Math.floorMod(turn + i, candidates.size());
+      int at = Math.floorMod(rotation + i, candidates.size());
       double cost = costMs(candidates.get(at), promptTokens);
       if (cost < lowestCost) {
         lowestCost = cost;
--- a/gateway/src/main/java/elmsail/gateway/servers/SlotHoldTime.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/SlotHoldTime.java
@@ -3,7 +3,7 @@
 /**
  * Mean time that servers of one service hold a slot for a request, as an exponentially weighted
  * average of completed responses. It gives the wait at a full server: with {@code maxConcurrency}
- * slots held for {@code meanHoldMs} each, one is released every {@code meanHoldMs /
+ * slots held for {@code meanHoldTimeMs} each, one is released every {@code meanHoldTimeMs /
  * maxConcurrency}. Owned by the gateway's event loop.
  */
 final class SlotHoldTime {
@@ -14,26 +14,27 @@
   private static final double SMOOTHING_FACTOR = 0.05;
 
   /** Longer ones say more of a client that reads slowly than of the server. */
-  private static final double MAX_HOLD_MS = 5_000;
+  private static final double MAX_HOLD_TIME_MS = 5_000;
 
-  private double meanHoldMs;
-  private boolean learned;
+  private double meanHoldTimeMs;
+  private boolean hasObservation;
 
   /**
    * Adds one response.
    *
-   * @param holdMs from its first byte to its last
+   * @param holdTimeMs from its first byte to its last
    */
-  void observe(long holdMs) {
-    double bounded = Math.max(0, Math.min(MAX_HOLD_MS, (double) holdMs));
-    meanHoldMs = learned ? meanHoldMs + SMOOTHING_FACTOR * (bounded - meanHoldMs) : bounded;
-    learned = true;
+  void observe(long holdTimeMs) {
+    double bounded = Math.max(0, Math.min(MAX_HOLD_TIME_MS, (double) holdTimeMs));
+    meanHoldTimeMs =
+        hasObservation ? meanHoldTimeMs + SMOOTHING_FACTOR * (bounded - meanHoldTimeMs) : bounded;
+    hasObservation = true;
   }
 
   /** Mean time between two released slots of a full server, in ms. */
   double releaseIntervalMs(int maxConcurrency) {
-    return learned && maxConcurrency > 0
-        ? meanHoldMs / maxConcurrency
+    return hasObservation && maxConcurrency > 0
+        ? meanHoldTimeMs / maxConcurrency
         : DEFAULT_RELEASE_INTERVAL_MS;
   }
 }
--- a/gateway/src/main/java/elmsail/gateway/servers/SmoothWeightedRoundRobin.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/SmoothWeightedRoundRobin.java
@@ -40,18 +40,18 @@
    * The share of the next request. A share without a usable server is passed again without it; it
    * counts as served, so that it does not get everything once it has a server again.
    *
-   * @param among the shares to choose from, at least one
+   * @param candidates the shares to choose from, at least one
    */
-  Route.WeightedService next(List<Route.WeightedService> among) {
-    if (among.size() == 1) {
-      return among.get(0);
+  Route.WeightedService next(List<Route.WeightedService> candidates) {
+    if (candidates.size() == 1) {
+      return candidates.get(0);
     }
     double totalWeight = 0;
-    for (Route.WeightedService share : among) {
+    for (Route.WeightedService share : candidates) {
       totalWeight += share.weight();
     }
     Route.WeightedService selected = null;
-    for (Route.WeightedService share : among) {
+    for (Route.WeightedService share : candidates) {
       if (share.weight() > 0) {
         currentWeights.merge(share, share.weight() / totalWeight, Double::sum);
         selected =
@@ -61,7 +61,7 @@
       }
     }
     if (selected == null) {
-      return among.get(0);
+      return candidates.get(0);
     }
     currentWeights.merge(selected, -1.0, Double::sum);
     return selected;
--- a/gateway/src/test/java/elmsail/gateway/servers/AdmissionPolicyTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/AdmissionPolicyTest.java
@@ -28,15 +28,16 @@
   }
 
   @Property
-  void noTargetRejectsNothingAndRejectionIsMonotonicInTheWait(
-      @ForAll @DoubleRange(max = 1e9) double wait,
-      @ForAll @DoubleRange(max = 1e9) double more,
-      @ForAll @LongRange(max = 100_000) long due,
+  void nothingIsRejectedWithoutATargetAndRejectionIsMonotonicInTheWait(
+      @ForAll @DoubleRange(max = 1e9) double waitMs,
+      @ForAll @DoubleRange(max = 1e9) double additionalWaitMs,
+      @ForAll @LongRange(max = 100_000) long latencyTargetMs,
       @ForAll boolean shared) {
-    assertThat(AdmissionPolicy.rejects(new Estimate(wait, shared), 0), is(false));
-    boolean refused = AdmissionPolicy.rejects(new Estimate(wait, shared), due);
-    boolean later = AdmissionPolicy.rejects(new Estimate(wait + more, shared), due);
-    assertThat(!refused || later, is(true));
+    assertThat(AdmissionPolicy.rejects(new Estimate(waitMs, shared), 0), is(false));
+    boolean rejected = AdmissionPolicy.rejects(new Estimate(waitMs, shared), latencyTargetMs);
+    boolean rejectedAtLongerWait =
+        AdmissionPolicy.rejects(new Estimate(waitMs + additionalWaitMs, shared), latencyTargetMs);
+    assertThat(!rejected || rejectedAtLongerWait, is(true));
   }
 
   @Test
--- a/gateway/src/test/java/elmsail/gateway/servers/ClassPriorityModelTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/ClassPriorityModelTest.java
@@ -29,30 +29,30 @@
  */
 class ClassPriorityModelTest {
   /** In the order of urgency. */
-  private enum Kind {
-    CHECK(1_800, 40, 0.75),
-    ANSWER(1_100, 190, 0.25),
-    ITEM(770, 700, 0);
+  private enum RequestType {
+    SHORT_INTERACTIVE(1_800, 40, 0.75),
+    LONG_INTERACTIVE(1_100, 190, 0.25),
+    BATCH_ITEM(770, 700, 0);
 
     final int tokens;
-    final int holdMs;
-    final double shareOfPeople;
+    final int decodeMs;
+    final double interactiveShare;
 
-    Kind(int tokens, int holdMs, double shareOfPeople) {
+    RequestType(int tokens, int decodeMs, double interactiveShare) {
       this.tokens = tokens;
-      this.holdMs = holdMs;
-      this.shareOfPeople = shareOfPeople;
+      this.decodeMs = decodeMs;
+      this.interactiveShare = interactiveShare;
     }
   }
 
   private static final long LATENCY_TARGET_MS = 300;
-  private static final long ITEM_DUE_MS = 8_000;
+  private static final long ITEM_DEADLINE_MS = 8_000;
   private static final long DURATION_MS = 16_000;
   private static final long BURST_AT_MS = 5_000;
   private static final int JOBS = 12;
   private static final int ITEMS_PER_JOB = 60;
-  private static final long RUNNER_INTERVAL_MS = 40;
-  private static final double MAX_LESS_URGENT_AHEAD = 0.05;
+  private static final long BATCH_RUNNER_INTERVAL_MS = 40;
+  private static final double MAX_ITEM_LEAD = 0.05;
 
   private static final HttpResponse OK =
       new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
@@ -75,8 +75,8 @@
           0);
 
   private final NettyEventLoop loop = new NettyEventLoop();
-  private final Map<Kind, Integer> sent = new EnumMap<>(Kind.class);
-  private final Map<Kind, Integer> inTime = new EnumMap<>(Kind.class);
+  private final Map<RequestType, Integer> sent = new EnumMap<>(RequestType.class);
+  private final Map<RequestType, Integer> onTime = new EnumMap<>(RequestType.class);
   private GatewayFleet fleet;
 
   @AfterEach
@@ -85,7 +85,7 @@
   }
 
   private final class Request extends NoOpRequest implements SimulatedServer.Client {
-    private final Kind kind;
+    private final RequestType type;
     private final Prompt prompt;
     private final long dueAt;
     private final Runnable onRejected;
@@ -93,25 +93,25 @@
     private Attempt attempt;
     private long firstTokenAt;
 
-    Request(Kind kind, long dueAt, Runnable onRejected) {
-      this.kind = kind;
+    Request(RequestType type, long dueAt, Runnable onRejected) {
+      this.type = type;
       this.dueAt = dueAt;
       this.onRejected = onRejected;
-      int tokens = kind.tokens / 4 + fleet.draws.nextInt(kind.tokens * 3 / 2);
-      int part = fleet.draws.nextInt(400);
-      prompt = Prompt.parse("top:100,p" + part + ":100,own:" + tokens, null);
+      int tokens = type.tokens / 4 + fleet.random.nextInt(type.tokens * 3 / 2);
+      int prefixId = fleet.random.nextInt(400);
+      prompt = Prompt.parse("top:100,p" + prefixId + ":100,own:" + tokens, null);
     }
 
-    void sendTo(Server chosen) {
-      server = chosen;
+    void sendTo(Server target) {
+      server = target;
       attempt = new Attempt(server, this, this, fleet.timers.now());
       server.onAttemptStarted(attempt);
       attempt.markSent();
-      double hold = kind.holdMs * (0.25 + 1.5 * fleet.draws.nextDouble());
+      double decodeMs = type.decodeMs * (0.25 + 1.5 * fleet.random.nextDouble());
       fleet
-          .models
+          .simulatedServers
           .get(server.id())
-          .submit(prompt.totalTokens() / GatewayFleet.TOKENS_PER_MS, hold, this);
+          .submit(prompt.totalTokens() / GatewayFleet.TOKENS_PER_MS, decodeMs, this);
     }
 
     @Override
@@ -125,23 +125,23 @@
       firstTokenAt = fleet.timers.now();
       server.health().recordResponse(firstTokenAt);
       attempt.onHead(OK);
-      if (kind != Kind.ITEM && firstTokenAt <= dueAt) {
-        inTime.merge(kind, 1, Integer::sum);
+      if (type != RequestType.BATCH_ITEM && firstTokenAt <= dueAt) {
+        onTime.merge(type, 1, Integer::sum);
       }
     }
 
     @Override
-    public void onEnded() {
+    public void onLastToken() {
       server.load().recordSlotHoldTime(fleet.timers.now() - firstTokenAt);
       attempt.onComplete();
-      if (kind == Kind.ITEM && fleet.timers.now() <= dueAt) {
-        inTime.merge(kind, 1, Integer::sum);
+      if (type == RequestType.BATCH_ITEM && fleet.timers.now() <= dueAt) {
+        onTime.merge(type, 1, Integer::sum);
       }
     }
 
     @Override
     public boolean isBatchItem() {
-      return kind == Kind.ITEM;
+      return type == RequestType.BATCH_ITEM;
     }
 
     @Override
@@ -151,17 +151,17 @@
   }
 
   /** Runs the items of the jobs that one gateway has accepted. */
-  private final class Runner {
+  private final class BatchRunner {
     private final Servers gateway;
     private final ArrayDeque<Long> dueTimes = new ArrayDeque<>();
 
-    Runner(Servers gateway) {
+    BatchRunner(Servers gateway) {
       this.gateway = gateway;
-      fleet.timers.schedule(RUNNER_INTERVAL_MS, this::startItems);
+      fleet.timers.schedule(BATCH_RUNNER_INTERVAL_MS, this::startItems);
     }
 
     private void startItems() {
-      fleet.timers.schedule(RUNNER_INTERVAL_MS, this::startItems);
+      fleet.timers.schedule(BATCH_RUNNER_INTERVAL_MS, this::startItems);
       while (!dueTimes.isEmpty() && startOne(dueTimes.peek())) {
         dueTimes.poll();
       }
@@ -175,7 +175,7 @@
           full.add(server);
         }
       }
-      Request item = new Request(Kind.ITEM, dueAt, () -> dueTimes.add(dueAt));
+      Request item = new Request(RequestType.BATCH_ITEM, dueAt, () -> dueTimes.add(dueAt));
       return gateway
           .picker()
           .pick(ROUTE, item.prompt(), full)
@@ -188,10 +188,10 @@
     }
   }
 
-  private void sendFromAPerson(Kind kind) {
-    sent.merge(kind, 1, Integer::sum);
-    Servers gateway = fleet.anyGateway();
-    Request request = new Request(kind, fleet.timers.now() + LATENCY_TARGET_MS, () -> {});
+  private void sendInteractiveRequest(RequestType type) {
+    sent.merge(type, 1, Integer::sum);
+    Servers gateway = fleet.randomGateway();
+    Request request = new Request(type, fleet.timers.now() + LATENCY_TARGET_MS, () -> {});
     gateway
         .picker()
         .pick(ROUTE, request.prompt(), Set.of())
@@ -199,62 +199,70 @@
         .ifPresent(request::sendTo);
   }
 
-  private static double peoplesCapacityPerSecond() {
+  private static double interactiveCapacityPerSecond() {
     double tokens = 0;
-    double holdMs = 0;
-    for (Kind kind : Kind.values()) {
-      tokens += kind.shareOfPeople * kind.tokens;
-      holdMs += kind.shareOfPeople * kind.holdMs;
+    double decodeMs = 0;
+    for (RequestType type : RequestType.values()) {
+      tokens += type.interactiveShare * type.tokens;
+      decodeMs += type.interactiveShare * type.decodeMs;
     }
-    return GatewayFleet.capacityPerSecond((int) tokens, (int) holdMs);
+    return GatewayFleet.capacityPerSecond((int) tokens, (int) decodeMs);
   }
 
-  private void play(double load, long seed) {
+  private void simulate(double load, long seed) {
     fleet = new GatewayFleet(loop.eventLoop(), new SplittableRandom(seed), true);
-    for (Kind kind : Kind.values()) {
-      sent.put(kind, 0);
-      inTime.put(kind, 0);
+    for (RequestType type : RequestType.values()) {
+      sent.put(type, 0);
+      onTime.put(type, 0);
     }
-    double perSecond = load * peoplesCapacityPerSecond();
+    double perSecond = load * interactiveCapacityPerSecond();
     for (double at = 0; at < DURATION_MS; ) {
-      at += -Math.log(1 - fleet.draws.nextDouble()) * 1_000 / perSecond;
-      Kind kind = fleet.draws.nextDouble() < Kind.CHECK.shareOfPeople ? Kind.CHECK : Kind.ANSWER;
-      fleet.timers.schedule((long) at, () -> sendFromAPerson(kind));
+      at += -Math.log(1 - fleet.random.nextDouble()) * 1_000 / perSecond;
+      RequestType type =
+          fleet.random.nextDouble() < RequestType.SHORT_INTERACTIVE.interactiveShare
+              ? RequestType.SHORT_INTERACTIVE
+              : RequestType.LONG_INTERACTIVE;
+      fleet.timers.schedule((long) at, () -> sendInteractiveRequest(type));
     }
-    List<Runner> runners = new ArrayList<>();
-    fleet.gateways.forEach(gateway -> runners.add(new Runner(gateway)));
-    fleet.timers.schedule(BURST_AT_MS, () -> handInJobs(runners));
+    List<BatchRunner> runners = new ArrayList<>();
+    fleet.gateways.forEach(gateway -> runners.add(new BatchRunner(gateway)));
+    fleet.timers.schedule(BURST_AT_MS, () -> submitJobs(runners));
     fleet.timers.advance(DURATION_MS + 1_000);
   }
 
-  private void handInJobs(List<Runner> runners) {
+  private void submitJobs(List<BatchRunner> runners) {
     for (int job = 0; job < JOBS; job++) {
-      Runner runner = runners.get(fleet.draws.nextInt(runners.size()));
+      BatchRunner runner = runners.get(fleet.random.nextInt(runners.size()));
       for (int item = 0; item < ITEMS_PER_JOB; item++) {
-        sent.merge(Kind.ITEM, 1, Integer::sum);
-        runner.dueTimes.add(fleet.timers.now() + ITEM_DUE_MS);
+        sent.merge(RequestType.BATCH_ITEM, 1, Integer::sum);
+        runner.dueTimes.add(fleet.timers.now() + ITEM_DEADLINE_MS);
       }
     }
   }
 
-  private double share(Kind kind) {
-    return (double) inTime.get(kind) / sent.get(kind);
+  private double onTimeShare(RequestType type) {
+    return (double) onTime.get(type) / sent.get(type);
   }
 
   @ParameterizedTest
   @ValueSource(doubles = {0.5, 0.8, 1.0, 1.3})
-  void itemsAreNotServedBetterThanWhatPeopleWaitFor(double load) {
+  void batchItemsAreNotServedBetterThanInteractiveRequests(double load) {
     for (long seed = 1; seed <= 3; seed++) {
-      play(load, seed);
+      simulate(load, seed);
       System.out.printf(
           "load %.1f, seed %d: in time %.3f of checks, %.3f of answers, %.3f of items%n",
-          load, seed, share(Kind.CHECK), share(Kind.ANSWER), share(Kind.ITEM));
-      assertThat(sent.get(Kind.ITEM), greaterThan(0));
-      for (Kind people : List.of(Kind.CHECK, Kind.ANSWER)) {
+          load,
+          seed,
+          onTimeShare(RequestType.SHORT_INTERACTIVE),
+          onTimeShare(RequestType.LONG_INTERACTIVE),
+          onTimeShare(RequestType.BATCH_ITEM));
+      assertThat(sent.get(RequestType.BATCH_ITEM), greaterThan(0));
+      for (RequestType interactive :
+          List.of(RequestType.SHORT_INTERACTIVE, RequestType.LONG_INTERACTIVE)) {
         assertThat(
-            "items ahead of " + people + " at " + load + ", seed " + seed,
-            share(Kind.ITEM) - share(people),
-            lessThanOrEqualTo(MAX_LESS_URGENT_AHEAD));
+            "items ahead of " + interactive + " at " + load + ", seed " + seed,
+            onTimeShare(RequestType.BATCH_ITEM) - onTimeShare(interactive),
+            lessThanOrEqualTo(MAX_ITEM_LEAD));
       }
     }
   }
--- a/gateway/src/test/java/elmsail/gateway/servers/DemandMeterTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/DemandMeterTest.java
@@ -27,30 +27,30 @@
     return new Server(entry, 1_000, new OutlierDetector());
   }
 
-  private static List<String> texts(List<ServiceDemand> demands) {
+  private static List<String> format(List<ServiceDemand> demands) {
     return demands.stream()
         .map(demand -> demand.service + " " + demand.zone + " " + demand.openRequests)
         .toList();
   }
 
   @Test
-  void idleZonesAreReportedToo() {
+  void idleZonesAreReported() {
     List<Server> servers =
         List.of(server("1", "sized", "a"), server("2", "sized", "a"), server("3", "sized", "b"));
     assertThat(
-        texts(DemandMeter.measure(servers, CONFIG, Map.of())), contains("sized a 0", "sized b 0"));
+        format(DemandMeter.measure(servers, CONFIG, Map.of())), contains("sized a 0", "sized b 0"));
   }
 
   @Test
-  void waitingItemsCountInPartAndInEqualPartsForEachZone() {
+  void waitingItemsCountPartiallyAndEquallyInEachZone() {
     List<Server> servers = List.of(server("1", "sized", "a"), server("3", "sized", "b"));
     assertThat(
-        texts(DemandMeter.measure(servers, CONFIG, Map.of("sized", 80))),
+        format(DemandMeter.measure(servers, CONFIG, Map.of("sized", 80))),
         contains("sized a 10", "sized b 10"));
   }
 
   @Test
-  void fewWaitingItemsAreNotCountedOnceInEachZone() {
+  void fewWaitingItemsAreNotRoundedUpInEachZone() {
     List<Server> servers =
         List.of(server("1", "sized", "a"), server("2", "sized", "b"), server("3", "sized", "c"));
     int sum = 0;
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void servicesWhoseSizeIsNotSetAreLeftOut() {
+  void servicesWithoutFleetSizeAreOmitted() {
     List<Server> servers = List.of(server("1", "fixed", "a"));
     assertThat(DemandMeter.measure(servers, CONFIG, Map.of("fixed", 80)), is(empty()));
   }
--- a/gateway/src/test/java/elmsail/gateway/servers/GatewayFleet.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/GatewayFleet.java
@@ -26,62 +26,62 @@
   static final double TOKENS_PER_MS = 100;
   private static final int MAX_QUEUED = 12;
   private static final double SLOW_SERVER_FACTOR = 1.3;
-  private static final long DATAGRAM_MS = 1;
-  private static final long FIRST_REPORTS_MS = 2_000;
+  private static final long DATAGRAM_DELAY_MS = 1;
+  private static final long WARM_UP_MS = 2_000;
 
   final ManualTimers timers = new ManualTimers();
-  final Map<String, SimulatedServer> models = new HashMap<>();
+  final Map<String, SimulatedServer> simulatedServers = new HashMap<>();
   final List<Servers> gateways = new ArrayList<>();
-  final SplittableRandom draws;
-  private final FakeClusterState known = new FakeClusterState();
+  final SplittableRandom random;
+  private final FakeClusterState clusterState = new FakeClusterState();
   private final Map<String, LoadExchange> exchanges = new HashMap<>();
 
   /**
-   * @param draws of the fleet and of what is laid on it
+   * @param random of the fleet and of what is laid on it
    * @param sharesLoads whether the gateways exchange their loads
    */
-  GatewayFleet(EventLoop loop, SplittableRandom draws, boolean sharesLoads) {
-    this(loop, draws, sharesLoads, GATEWAYS_PER_ZONE);
+  GatewayFleet(EventLoop loop, SplittableRandom random, boolean sharesLoads) {
+    this(loop, random, sharesLoads, GATEWAYS_PER_ZONE);
   }
 
   /**
    * @param gatewaysPerZone how many gateways the requests are spread over
    */
-  GatewayFleet(EventLoop loop, SplittableRandom draws, boolean sharesLoads, int gatewaysPerZone) {
-    this.draws = draws;
+  GatewayFleet(EventLoop loop, SplittableRandom random, boolean sharesLoads, int gatewaysPerZone) {
+    this.random = random;
     List<ServerEntry> entries = new ArrayList<>();
     for (int i = 0; i < ZONES * SERVERS_PER_ZONE; i++) {
       String id = "i-" + i;
       entries.add(new ServerEntry(id, "s", "127.0.0.1:1", "z" + i % ZONES, SLOTS, false, 0));
-      models.put(id, new SimulatedServer(timers, SLOTS, MAX_QUEUED, slowness(i)));
+      simulatedServers.put(id, new SimulatedServer(timers, SLOTS, MAX_QUEUED, slowdownFactor(i)));
     }
-    known.servers = entries;
+    clusterState.servers = entries;
     for (int g = 0; g < ZONES * gatewaysPerZone; g++) {
-      known.view.gateways.add("g" + g + ":1");
+      clusterState.view.gateways.add("g" + g + ":1");
     }
     for (int g = 0; g < ZONES * gatewaysPerZone; g++) {
       gateways.add(gateway(loop, "g" + g + ":1", "z" + g % ZONES, sharesLoads));
     }
-    timers.advance(FIRST_REPORTS_MS);
+    timers.advance(WARM_UP_MS);
   }
 
-  private static double slowness(int server) {
+  private static double slowdownFactor(int server) {
     return server % 3 == 0 ? SLOW_SERVER_FACTOR : 1;
   }
 
   private Servers gateway(EventLoop loop, String address, String zone, boolean sharesLoads) {
     RequestCounters counters = new RequestCounters(new Counters());
-    Servers servers = new Servers(timers, loop, known, zone, counters, draws.split());
+    Servers servers = new Servers(timers, loop, clusterState, zone, counters, random.split());
     if (sharesLoads) {
       LoadExchange exchange =
           new LoadExchange(
               timers,
-              known,
+              clusterState,
               address,
               zone,
-              draws.nextLong(),
+              random.nextLong(),
               servers::ownLoads,
-              this::carry,
+              this::deliver,
               new Counters());
       exchanges.put(address, exchange);
       servers.setPeerLoads(exchange, exchange::onLoadChanged);
@@ -90,29 +90,29 @@
     return servers;
   }
 
-  private void carry(String to, LoadReport report) {
-    timers.schedule(DATAGRAM_MS, () -> exchanges.get(to).onReport(report));
+  private void deliver(String to, LoadReport report) {
+    timers.schedule(DATAGRAM_DELAY_MS, () -> exchanges.get(to).onReport(report));
   }
 
   /** A gateway that a client's connection was given to. */
-  Servers anyGateway() {
-    return gateways.get(draws.nextInt(gateways.size()));
+  Servers randomGateway() {
+    return gateways.get(random.nextInt(gateways.size()));
   }
 
   /**
    * Requests a second at which either all slots are taken or all servers read all the time.
    *
    * @param tokens of a prompt, in the mean
-   * @param holdMs from the first token to the last, in the mean
+   * @param decodeMs from the first token to the last, in the mean
    */
-  static double capacityPerSecond(int tokens, int holdMs) {
-    double speed = 0;
+  static double capacityPerSecond(int tokens, int decodeMs) {
+    double totalSpeed = 0;
     for (int i = 0; i < ZONES * SERVERS_PER_ZONE; i++) {
-      speed += 1 / slowness(i);
+      totalSpeed += 1 / slowdownFactor(i);
     }
-    double readMs = tokens / TOKENS_PER_MS;
-    double byReading = 1_000 / readMs;
-    double bySlots = SLOTS * 1_000.0 / (readMs + holdMs);
-    return speed * Math.min(byReading, bySlots);
+    double prefillMs = tokens / TOKENS_PER_MS;
+    double prefillLimit = 1_000 / prefillMs;
+    double slotLimit = SLOTS * 1_000.0 / (prefillMs + decodeMs);
+    return totalSpeed * Math.min(prefillLimit, slotLimit);
   }
 }
--- a/gateway/src/test/java/elmsail/gateway/servers/ItemAdmissionTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/ItemAdmissionTest.java
@@ -15,8 +15,9 @@
 
 /** How many batch items may be started at a server, by what is known of it. */
 class ItemAdmissionTest {
-  private static ServerState server(double running, double waiting, int own, LoadSource sight) {
-    return new ServerState(8, running, waiting, own, 1_000, sight, 0);
+  private static ServerState server(
+      double running, double queued, int ownItems, LoadSource loadSource) {
+    return new ServerState(8, running, queued, ownItems, 1_000, loadSource, 0);
   }
 
   @Test
@@ -39,7 +40,7 @@
   }
 
   @Test
-  void queuedRequestsBlockItems() {
+  void queuePendingPrefillOrRecentStartBlocksItems() {
     assertThat(ItemAdmission.availableCapacity(server(0, 1, 0, LoadSource.REPORTED)), is(0));
     assertThat(
         ItemAdmission.availableCapacity(
@@ -56,18 +57,19 @@
 
   @Property
   void capacityIsNonNegativeAndNeverGrowsWithLoad(
-      @ForAll @IntRange(max = 64) int berths,
+      @ForAll @IntRange(max = 64) int slots,
       @ForAll @DoubleRange(max = 200) double running,
-      @ForAll @DoubleRange(max = 200) double more,
-      @ForAll @IntRange(max = 64) int own,
-      @ForAll LoadSource sight) {
-    int room =
-        ItemAdmission.availableCapacity(new ServerState(berths, running, 0, own, 1_000, sight, 0));
-    int after =
+      @ForAll @DoubleRange(max = 200) double additional,
+      @ForAll @IntRange(max = 64) int ownItems,
+      @ForAll LoadSource loadSource) {
+    int capacity =
         ItemAdmission.availableCapacity(
-            new ServerState(berths, running + more, 0, own, 1_000, sight, 0));
-    assertThat(room, greaterThanOrEqualTo(0));
-    assertThat(room, lessThanOrEqualTo(Math.max(2, berths / 2)));
-    assertThat(after, lessThanOrEqualTo(room));
+            new ServerState(slots, running, 0, ownItems, 1_000, loadSource, 0));
+    int capacityAtHigherLoad =
+        ItemAdmission.availableCapacity(
+            new ServerState(slots, running + additional, 0, ownItems, 1_000, loadSource, 0));
+    assertThat(capacity, greaterThanOrEqualTo(0));
+    assertThat(capacity, lessThanOrEqualTo(Math.max(2, slots / 2)));
+    assertThat(capacityAtHigherLoad, lessThanOrEqualTo(capacity));
   }
 }
--- a/gateway/src/test/java/elmsail/gateway/servers/OutlierDetectorTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/OutlierDetectorTest.java
@@ -17,7 +17,7 @@
   }
 
   @Test
-  void longestEjectedReturnsFirstAmongEqualErrors() {
+  void longestEjectedServerReturnsFirstAmongEqualErrors() {
     ErrorBackoff first = outliers.addServer();
     ErrorBackoff second = outliers.addServer();
     outliers.addServer();
@@ -28,13 +28,13 @@
   }
 
   @Test
-  void singleErrorDoesNotUnejectARepeatOffender() {
-    ErrorBackoff erring = outliers.addServer();
+  void singleErrorOfAnotherServerDoesNotUnejectAServerWithSeveralErrors() {
+    ErrorBackoff failing = outliers.addServer();
     ErrorBackoff other = outliers.addServer();
-    outliers.recordError(erring, 1_000);
-    outliers.recordError(erring, 2_000);
+    outliers.recordError(failing, 1_000);
+    outliers.recordError(failing, 2_000);
     assertThat(outliers.recordError(other, 2_100), is(false));
-    assertThat(erring.isAvoided(false, 2_100), is(true));
+    assertThat(failing.isAvoided(false, 2_100), is(true));
   }
 
   @Test
--- a/gateway/src/test/java/elmsail/gateway/servers/OutlierEjectionModelTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/OutlierEjectionModelTest.java
@@ -34,30 +34,31 @@
   private static final int REQUESTS_PER_SECOND = 7;
 
   /** All serve for so long, and then some err until the end. */
-  private static final long CALM_MS = 2_000;
+  private static final long HEALTHY_PHASE_MS = 2_000;
 
-  private static final long DURATION_MS = 6_000;
+  private static final long FAILURE_PHASE_MS = 6_000;
   private static final long SERVICE_TIME_MS = 60;
   private static final long ERROR_MS = 1;
   private static final int MAX_CONCURRENCY = 8;
-  private static final int REQUESTS_PER_GATEWAY = (int) (DURATION_MS * REQUESTS_PER_SECOND / 1_000);
+  private static final int REQUESTS_PER_GATEWAY =
+      (int) (FAILURE_PHASE_MS * REQUESTS_PER_SECOND / 1_000);
 
   /**
    * What may not be repeated finds a server out at its first error, once more by the late probe 3 s
    * after it, and not again before 7 s.
    */
-  private static final int ERRORS_PER_GATEWAY_AND_SERVER = 2;
+  private static final int MAX_ERRORS_PER_GATEWAY_AND_SERVER = 2;
 
   private static final double MAX_RATIO_TO_BASELINE = 0.6;
 
   private final NettyEventLoop loop = new NettyEventLoop();
   private final ManualTimers timers = new ManualTimers();
-  private final FakeClusterState known = new FakeClusterState();
-  private final SplittableRandom chance = new SplittableRandom(11);
+  private final FakeClusterState clusterState = new FakeClusterState();
+  private final SplittableRandom random = new SplittableRandom(11);
   private int[] running;
   private int errors;
   private int requests;
-  private int servedByErring;
+  private int attemptsAtFailingServers;
 
   @AfterEach
   void close() {
@@ -66,36 +67,40 @@
 
   /** What differs between runs. */
   private record Scenario(
-      int servers, int erring, double errorShare, double repeatableShare, boolean detecting) {}
+      int servers,
+      int failingServers,
+      double errorProbability,
+      double retryableShare,
+      boolean detectsOutliers) {}
 
-  private double errorShare(Scenario scenario) {
+  private double errorRate(Scenario scenario) {
     errors = 0;
     requests = 0;
-    servedByErring = 0;
+    attemptsAtFailingServers = 0;
     running = new int[scenario.servers()];
     List<ServerEntry> entries = new ArrayList<>();
     for (int i = 0; i < scenario.servers(); i++) {
       entries.add(new ServerEntry("i-" + i, "s", "127.0.0.1:1", "z", MAX_CONCURRENCY, false, 0));
     }
-    known.servers = entries;
+    clusterState.servers = entries;
     long intervalMs = 1_000 / REQUESTS_PER_SECOND;
     for (int g = 0; g < GATEWAYS; g++) {
       Servers servers =
           new Servers(
               timers,
               loop.eventLoop(),
-              known,
+              clusterState,
               "z",
               new RequestCounters(new Counters()),
-              chance.split());
-      long offset = chance.nextLong(intervalMs);
-      for (long at = offset; at < CALM_MS + DURATION_MS; at += intervalMs) {
-        boolean repeatable = chance.nextDouble() < scenario.repeatableShare();
-        boolean calm = at < CALM_MS;
-        timers.schedule(at, () -> new Request(servers, scenario, repeatable, calm).send());
+              random.split());
+      long offset = random.nextLong(intervalMs);
+      for (long at = offset; at < HEALTHY_PHASE_MS + FAILURE_PHASE_MS; at += intervalMs) {
+        boolean retryable = random.nextDouble() < scenario.retryableShare();
+        boolean inHealthyPhase = at < HEALTHY_PHASE_MS;
+        timers.schedule(at, () -> new Request(servers, scenario, retryable, inHealthyPhase).send());
       }
     }
-    timers.advance(CALM_MS + DURATION_MS + 10 * SERVICE_TIME_MS);
+    timers.advance(HEALTHY_PHASE_MS + FAILURE_PHASE_MS + 10 * SERVICE_TIME_MS);
     return (double) errors / requests;
   }
 
@@ -103,38 +108,40 @@
   private final class Request extends NoOpRequest {
     private final Servers servers;
     private final Scenario scenario;
-    private final boolean repeatable;
-    private final boolean calm;
+    private final boolean retryable;
+    private final boolean inHealthyPhase;
     private final Set<Server> attempted = new HashSet<>();
 
-    Request(Servers servers, Scenario scenario, boolean repeatable, boolean calm) {
+    Request(Servers servers, Scenario scenario, boolean retryable, boolean inHealthyPhase) {
       this.servers = servers;
-      this.calm = calm;
+      this.inHealthyPhase = inHealthyPhase;
       this.scenario = scenario;
-      this.repeatable = repeatable;
-      requests += calm ? 0 : 1;
+      this.retryable = retryable;
+      requests += inHealthyPhase ? 0 : 1;
     }
 
     void send() {
-      boolean retried = repeatable && attempted.isEmpty();
-      SelectionMode mode = retried ? SelectionMode.PROBE_PREFERRED : SelectionMode.NOT_RETRYABLE;
+      boolean probing = retryable && attempted.isEmpty();
+      SelectionMode mode = probing ? SelectionMode.PROBE_PREFERRED : SelectionMode.NOT_RETRYABLE;
       mode = attempted.isEmpty() ? mode : SelectionMode.AFTER_ERROR;
       Server server =
-          servers.picker().pick(route(repeatable), Prompt.NONE, attempted, mode).orElseThrow();
+          servers.picker().pick(route(retryable), Prompt.NONE, attempted, mode).orElseThrow();
       attempted.add(server);
       Attempt attempt = new Attempt(server, this, this, timers.now());
       server.onAttemptStarted(attempt);
       attempt.markSent();
       int index = Integer.parseInt(server.id().substring(2));
-      boolean errs =
-          !calm && index < scenario.erring() && chance.nextDouble() < scenario.errorShare();
+      boolean fails =
+          !inHealthyPhase
+              && index < scenario.failingServers()
+              && random.nextDouble() < scenario.errorProbability();
       running[index]++;
-      servedByErring += !calm && index < scenario.erring() ? 1 : 0;
+      attemptsAtFailingServers += !inHealthyPhase && index < scenario.failingServers() ? 1 : 0;
       timers.schedule(
-          errs ? ERROR_MS : SERVICE_TIME_MS, () -> answer(attempt, index, errs ? 500 : 200));
+          fails ? ERROR_MS : SERVICE_TIME_MS, () -> respond(attempt, index, fails ? 500 : 200));
     }
 
-    private void answer(Attempt attempt, int index, int status) {
+    private void respond(Attempt attempt, int index, int status) {
       running[index]--;
       HttpResponse head =
           new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status));
@@ -142,7 +149,7 @@
       Server server = attempt.server();
       server.health().recordResponse(timers.now());
       server.load().recordReport(running[index] + ",0," + MAX_CONCURRENCY, timers.now());
-      if (scenario.detecting()) {
+      if (scenario.detectsOutliers()) {
         attempt.recordResult(head, timers.now());
       }
       attempt.onHead(head);
@@ -151,7 +158,7 @@
         return;
       }
       Server other =
-          scenario.detecting() && repeatable && attempted.size() == 1
+          scenario.detectsOutliers() && retryable && attempted.size() == 1
               ? servers.picker().pick(route(true), Prompt.NONE, attempted).orElse(null)
               : null;
       if (other != null && !servers.picker().isUnhealthy(other)) {
@@ -162,40 +169,50 @@
     }
   }
 
-  private static Route route(boolean repeatable) {
-    Route.Kind kind = repeatable ? Route.Kind.SAFE : Route.Kind.UNSAFE;
+  private static Route route(boolean retryable) {
+    Route.Kind kind = retryable ? Route.Kind.SAFE : Route.Kind.UNSAFE;
     List<Route.WeightedService> shares = List.of(new Route.WeightedService("s", 1));
     return new Route("r", "h", "/r/", kind, 1_000, 100, 0, shares, 2, false, 0, 0, 0, 0);
   }
 
-  private void compared(String what, Scenario after, double mostAfter) {
-    Scenario without =
+  private void assertOutlierDetectionReducesErrors(
+      String description, Scenario withDetection, double maxErrorRate) {
+    Scenario withoutDetection =
         new Scenario(
-            after.servers(), after.erring(), after.errorShare(), after.repeatableShare(), false);
-    double before = errorShare(without);
-    double now = errorShare(after);
-    System.out.printf("%s: errors before %.4f, after %.4f%n", what, before, now);
-    assertThat(what, now, is(lessThan(mostAfter)));
-    assertThat(what, now, is(lessThan(before * MAX_RATIO_TO_BASELINE)));
+            withDetection.servers(),
+            withDetection.failingServers(),
+            withDetection.errorProbability(),
+            withDetection.retryableShare(),
+            false);
+    double baselineErrorRate = errorRate(withoutDetection);
+    double errorRate = errorRate(withDetection);
+    System.out.printf(
+        "%s: errors before %.4f, after %.4f%n", description, baselineErrorRate, errorRate);
+    assertThat(description, errorRate, is(lessThan(maxErrorRate)));
+    assertThat(description, errorRate, is(lessThan(baselineErrorRate * MAX_RATIO_TO_BASELINE)));
   }
 
   @Test
-  void fourOfThirtyOneServersAlwaysErrMostErrorsAreAvoided() {
-    double most = 4.0 * ERRORS_PER_GATEWAY_AND_SERVER / REQUESTS_PER_GATEWAY;
-    compared("4 of 31, none repeatable", new Scenario(31, 4, 1, 0, true), most);
-    compared("4 of 31, half repeatable", new Scenario(31, 4, 1, 0.5, true), 0.06);
-    compared("4 of 31, all repeatable", new Scenario(31, 4, 1, 1, true), 0.01);
+  void mostErrorsAreAvoidedIfFourOfThirtyOneServersAlwaysFail() {
+    double maxErrorRate = 4.0 * MAX_ERRORS_PER_GATEWAY_AND_SERVER / REQUESTS_PER_GATEWAY;
+    assertOutlierDetectionReducesErrors(
+        "4 of 31, none repeatable", new Scenario(31, 4, 1, 0, true), maxErrorRate);
+    assertOutlierDetectionReducesErrors(
+        "4 of 31, half repeatable", new Scenario(31, 4, 1, 0.5, true), 0.06);
+    assertOutlierDetectionReducesErrors(
+        "4 of 31, all repeatable", new Scenario(31, 4, 1, 1, true), 0.01);
   }
 
   @Test
-  void oneOfTwoServersErrsAtTimesErrorsAreReduced() {
-    compared("1 of 2 at 40 %, half repeatable", new Scenario(2, 1, 0.4, 0.5, true), 0.1);
-    assertThat("it is not shut out", servedByErring, is(greaterThan(requests / 50)));
+  void errorsAreReducedIfOneOfTwoServersFailsIntermittently() {
+    assertOutlierDetectionReducesErrors(
+        "1 of 2 at 40 %, half repeatable", new Scenario(2, 1, 0.4, 0.5, true), 0.1);
+    assertThat("it is not shut out", attemptsAtFailingServers, is(greaterThan(requests / 50)));
   }
 
   @Test
-  void allServersErrNoneIsShutOut() {
-    double share = errorShare(new Scenario(2, 2, 1, 0.5, true));
-    assertThat("each request was sent", share, is(1.0));
+  void everyRequestIsStillSentIfAllServersFail() {
+    double errorRate = errorRate(new Scenario(2, 2, 1, 0.5, true));
+    assertThat("each request was sent", errorRate, is(1.0));
   }
 }
--- a/gateway/src/test/java/elmsail/gateway/servers/PromptTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/PromptTest.java
@@ -27,7 +27,7 @@
   }
 
   @Test
-  void malformedHeaderYieldsNoPrompt() {
+  void malformedTokenCountsAreParsedAsZeroAndLargeOnesAreClamped() {
     assertThat(Prompt.parse(null, null).totalTokens(), is(0));
     assertThat(Prompt.parse("", "x,y").totalTokens(), is(0));
     assertThat(Prompt.parse("abc", "7").totalTokens(), is(7));
@@ -37,29 +37,29 @@
   }
 
   @Test
-  void cacheEstimateKeepsTheMostRecentlyUsed() {
-    PrefixCacheEstimate memory = new PrefixCacheEstimate(1_000);
+  void cacheEstimateKeepsTheMostRecentlyUsedSegments() {
+    PrefixCacheEstimate cache = new PrefixCacheEstimate(1_000);
     Prompt a = Prompt.parse("1:400,a:100", null);
     Prompt b = Prompt.parse("1:400,b:100", null);
-    memory.record(a);
-    assertThat(memory.cachedTokens(a), is(500));
-    assertThat(memory.cachedTokens(b), is(400));
-    memory.record(b);
+    cache.record(a);
+    assertThat(cache.cachedTokens(a), is(500));
+    assertThat(cache.cachedTokens(b), is(400));
+    cache.record(b);
     Prompt c = Prompt.parse("2:450", null);
-    memory.record(c);
-    assertThat(memory.cachedTokens(a), is(400)); // its own part was unused for longest
-    assertThat(memory.cachedTokens(b), is(500));
-    assertThat(memory.cachedTokens(c), is(450));
-    memory.clear();
-    assertThat(memory.cachedTokens(b), is(0));
+    cache.record(c);
+    assertThat(cache.cachedTokens(a), is(400)); // its own part was unused for longest
+    assertThat(cache.cachedTokens(b), is(500));
+    assertThat(cache.cachedTokens(c), is(450));
+    cache.clear();
+    assertThat(cache.cachedTokens(b), is(0));
   }
 
   @Test
   void cacheEstimateIsBounded() {
-    PrefixCacheEstimate memory = new PrefixCacheEstimate(Long.MAX_VALUE);
+    PrefixCacheEstimate cache = new PrefixCacheEstimate(Long.MAX_VALUE);
     for (int i = 0; i < 10_000; i++) {
-      memory.record(Prompt.parse("p" + i + ":1", null));
+      cache.record(Prompt.parse("p" + i + ":1", null));
     }
-    assertThat(memory.size(), is(4_096));
+    assertThat(cache.size(), is(4_096));
   }
 }
--- a/gateway/src/test/java/elmsail/gateway/servers/SelectionModeTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/SelectionModeTest.java
@@ -41,7 +41,7 @@
 
   private final NettyEventLoop loop = new NettyEventLoop();
   private final ManualTimers timers = new ManualTimers();
-  private final FakeClusterState known = new FakeClusterState();
+  private final FakeClusterState clusterState = new FakeClusterState();
   private Servers servers;
   private List<Server> all;
 
@@ -51,9 +51,10 @@
     for (int i = 0; i < 4; i++) {
       entries.add(new ServerEntry("i-" + i, "s", "127.0.0.1:1", "z", 24, false, 0));
     }
-    known.servers = entries;
+    clusterState.servers = entries;
     RequestCounters counters = new RequestCounters(new Counters());
-    servers = new Servers(timers, loop.eventLoop(), known, "z", counters, new SplittableRandom(3));
+    servers =
+        new Servers(timers, loop.eventLoop(), clusterState, "z", counters, new SplittableRandom(3));
     all = servers.serversOf("s");
   }
 
@@ -62,7 +63,7 @@
     loop.shutdown();
   }
 
-  private Server choose(SelectionMode mode, Server... attempted) {
+  private Server pick(SelectionMode mode, Server... attempted) {
     return servers.picker().pick(ROUTE, Prompt.NONE, Set.of(attempted), mode).orElse(null);
   }
 
@@ -71,7 +72,7 @@
     all.get(0).health().recordError(timers.now());
     for (SelectionMode mode : SelectionMode.values()) {
       for (int i = 0; i < 8; i++) {
-        assertThat(mode.name(), choose(mode), is(not(sameInstance(all.get(0)))));
+        assertThat(mode.name(), pick(mode), is(not(sameInstance(all.get(0)))));
       }
     }
   }
@@ -80,17 +81,17 @@
   void afterAnErrorARecentlySuccessfulServerIsPicked() {
     all.get(2).health().recordSuccess(timers.now());
     for (int i = 0; i < 8; i++) {
-      assertThat(choose(SelectionMode.AFTER_ERROR, all.get(0)), is(sameInstance(all.get(2))));
+      assertThat(pick(SelectionMode.AFTER_ERROR, all.get(0)), is(sameInstance(all.get(2))));
     }
   }
 
   @Test
-  void withoutRecentSuccessANonErringServerIsPicked() {
+  void withoutRecentSuccessAServerThatReturnedNoErrorIsPicked() {
     all.get(0).health().recordError(timers.now());
     all.get(1).health().recordError(timers.now());
     for (int i = 0; i < 8; i++) {
       assertThat(
-          choose(SelectionMode.AFTER_ERROR, all.get(0), all.get(2)), is(sameInstance(all.get(3))));
+          pick(SelectionMode.AFTER_ERROR, all.get(0), all.get(2)), is(sameInstance(all.get(3))));
     }
   }
 
@@ -99,15 +100,15 @@
     all.get(0).health().recordError(timers.now());
     timers.advance(ErrorBackoff.INITIAL_EJECTION_MS);
     for (int i = 0; i < 8; i++) {
-      assertThat(choose(SelectionMode.NOT_RETRYABLE), is(not(sameInstance(all.get(0)))));
-      assertThat(choose(SelectionMode.PROBE_PREFERRED), is(sameInstance(all.get(0))));
+      assertThat(pick(SelectionMode.NOT_RETRYABLE), is(not(sameInstance(all.get(0)))));
+      assertThat(pick(SelectionMode.PROBE_PREFERRED), is(sameInstance(all.get(0))));
     }
     timers.advance(ErrorBackoff.NON_RETRYABLE_PROBE_DELAY_MS);
-    boolean tried = false;
+    boolean picked = false;
     for (int i = 0; i < 8; i++) {
-      tried |= choose(SelectionMode.NOT_RETRYABLE) == all.get(0);
+      picked |= pick(SelectionMode.NOT_RETRYABLE) == all.get(0);
     }
-    assertThat("it is not shut out for good", tried, is(true));
+    assertThat("it is not shut out for good", picked, is(true));
   }
 
   @Test
@@ -115,7 +116,7 @@
     all.get(0).health().recordError(timers.now());
     timers.advance(ErrorBackoff.INITIAL_EJECTION_MS);
     all.get(0).recordFailure(timers.now());
-    assertThat(choose(SelectionMode.PROBE_PREFERRED), is(not(sameInstance(all.get(0)))));
+    assertThat(pick(SelectionMode.PROBE_PREFERRED), is(not(sameInstance(all.get(0)))));
   }
 
   @Test
--- a/gateway/src/test/java/elmsail/gateway/servers/ServerConnectionTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/ServerConnectionTest.java
@@ -33,9 +33,9 @@
 
   /** How the connection ends. */
   private enum End {
-    IN_ORDER,
+    ORDERLY_CLOSE,
     RESET,
-    CLOSED_HERE
+    LOCAL_CLOSE
   }
 
   /** Keeps what it hears. */
@@ -106,11 +106,11 @@
   }
 
   private RecordingRequest send(String id) {
-    RecordingRequest heard = new RecordingRequest(id);
-    Attempt one = new Attempt(server, heard, heard, loop.now());
-    server.onAttemptStarted(one);
-    connection.send(one);
-    return heard;
+    RecordingRequest request = new RecordingRequest(id);
+    Attempt attempt = new Attempt(server, request, request, loop.now());
+    server.onAttemptStarted(attempt);
+    connection.send(attempt);
+    return request;
   }
 
   private RecordingRequest sendOnNewConnection() {
@@ -126,12 +126,12 @@
     }
   }
 
-  private void end(End how) {
+  private void end(End end) {
     if (!channel.isActive()) {
       return;
     }
-    switch (how) {
-      case IN_ORDER ->
+    switch (end) {
+      case ORDERLY_CLOSE ->
           channel.pipeline().fireUserEventTriggered(ChannelInputShutdownEvent.INSTANCE);
       case RESET -> channel.pipeline().fireExceptionCaught(new IOException("reset"));
       default -> {
@@ -146,18 +146,18 @@
   @ParameterizedTest
   @EnumSource(End.class)
   void truncatedResponseFailsTheSentAttempt(End end) {
-    for (String answer : new String[] {FIXED_LENGTH, CHUNKED, CLOSE_DELIMITED}) {
-      for (int cut = 0; cut < answer.length(); cut++) {
-        RecordingRequest heard = sendOnNewConnection();
-        receive(answer.substring(0, cut));
+    for (String response : new String[] {FIXED_LENGTH, CHUNKED, CLOSE_DELIMITED}) {
+      for (int cut = 0; cut < response.length(); cut++) {
+        RecordingRequest request = sendOnNewConnection();
+        receive(response.substring(0, cut));
         end(end);
-        boolean ended = end == End.IN_ORDER && answer.equals(CLOSE_DELIMITED);
+        boolean completedByClose = end == End.ORDERLY_CLOSE && response.equals(CLOSE_DELIMITED);
         boolean inBody = cut >= CLOSE_DELIMITED.length() - "whole".length();
         String expected =
-            ended && inBody
-                ? "whole " + answer.substring(CLOSE_DELIMITED.length() - "whole".length(), cut)
+            completedByClose && inBody
+                ? "whole " + response.substring(CLOSE_DELIMITED.length() - "whole".length(), cut)
                 : "failed, sent true";
-        assertThat(answer + " cut at " + cut, heard.outcome, is(expected));
+        assertThat(response + " cut at " + cut, request.outcome, is(expected));
       }
     }
   }
@@ -165,14 +165,14 @@
   @ParameterizedTest
   @EnumSource(End.class)
   void completeResponseIsDeliveredOnceForEverySplit(End end) {
-    for (String answer : new String[] {FIXED_LENGTH, CHUNKED, CLOSE_DELIMITED}) {
-      for (int split = 0; split < answer.length(); split++) {
-        RecordingRequest heard = sendOnNewConnection();
-        receive(answer.substring(0, split));
-        receive(answer.substring(split));
+    for (String response : new String[] {FIXED_LENGTH, CHUNKED, CLOSE_DELIMITED}) {
+      for (int split = 0; split < response.length(); split++) {
+        RecordingRequest request = sendOnNewConnection();
+        receive(response.substring(0, split));
+        receive(response.substring(split));
         end(end);
-        boolean broken = answer.equals(CLOSE_DELIMITED) && end != End.IN_ORDER;
-        assertThat(heard.outcome, is(broken ? "failed, sent true" : "whole whole"));
+        boolean incomplete = response.equals(CLOSE_DELIMITED) && end != End.ORDERLY_CLOSE;
+        assertThat(request.outcome, is(incomplete ? "failed, sent true" : "whole whole"));
       }
     }
   }
@@ -180,14 +180,14 @@
   @ParameterizedTest
   @EnumSource(End.class)
   void bytesAfterAResponseCloseTheConnectionForEverySplit(End end) {
-    String both = FIXED_LENGTH + FIXED_LENGTH;
-    for (int split = 1; split < both.length(); split++) {
+    String twoResponses = FIXED_LENGTH + FIXED_LENGTH;
+    for (int split = 1; split < twoResponses.length(); split++) {
       server.idleConnections.clear();
       RecordingRequest first = sendOnNewConnection();
-      receive(both.substring(0, split));
-      boolean free = server.idleConnections.contains(connection);
-      assertThat("split at " + split, free, is(split == FIXED_LENGTH.length()));
-      receive(both.substring(split));
+      receive(twoResponses.substring(0, split));
+      boolean idle = server.idleConnections.contains(connection);
+      assertThat("split at " + split, idle, is(split == FIXED_LENGTH.length()));
+      receive(twoResponses.substring(split));
       assertThat("split at " + split, first.outcome, is("whole whole"));
       assertThat("split at " + split, channel.isActive(), is(false));
       assertThat("split at " + split, server.idleConnections.isEmpty(), is(true));
--- a/gateway/src/test/java/elmsail/gateway/servers/ServerSelectionModelTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/ServerSelectionModelTest.java
@@ -25,9 +25,9 @@
  * that sees every server as it is.
  */
 class ServerSelectionModelTest {
-  private enum Choice {
+  private enum SelectionStrategy {
     RANDOM,
-    OWN_SIGHT,
+    OWN_LOADS,
     SHARED_LOADS,
     SHARED_WITH_ADMISSION,
     ORACLE
@@ -42,9 +42,9 @@
   /** Of each request: prompt tokens, and ms from the first token to the last. */
   private static final int MEAN_TOKENS = 1_700;
 
-  private static final int MEAN_HOLD_MS = 160;
+  private static final int MEAN_DECODE_MS = 160;
 
-  private final SplittableRandom chance = new SplittableRandom(5);
+  private final SplittableRandom seeds = new SplittableRandom(5);
   private final List<NettyEventLoop> loops = new ArrayList<>();
 
   @AfterEach
@@ -53,43 +53,45 @@
   }
 
   /** One run: its own clock, servers and gateways. */
-  private final class World {
-    final Choice choice;
+  private final class Simulation {
+    final SelectionStrategy strategy;
     final GatewayFleet fleet;
     final ManualTimers timers;
-    final SplittableRandom draws;
+    final SplittableRandom random;
     int requests;
-    int inAim;
+    int onTime;
 
-    World(Choice choice, long seed) {
-      this.choice = choice;
-      draws = new SplittableRandom(seed);
+    Simulation(SelectionStrategy strategy, long seed) {
+      this.strategy = strategy;
+      random = new SplittableRandom(seed);
       NettyEventLoop loop = new NettyEventLoop();
       loops.add(loop);
-      boolean sharesLoads = choice == Choice.SHARED_LOADS || choice == Choice.SHARED_WITH_ADMISSION;
-      fleet = new GatewayFleet(loop.eventLoop(), draws, sharesLoads);
+      boolean sharesLoads =
+          strategy == SelectionStrategy.SHARED_LOADS
+              || strategy == SelectionStrategy.SHARED_WITH_ADMISSION;
+      fleet = new GatewayFleet(loop.eventLoop(), random, sharesLoads);
       timers = fleet.timers;
     }
 
     /** The share of requests whose first token came in time, at that share of capacity. */
-    double shareInAim(double load) {
-      double perSecond = load * GatewayFleet.capacityPerSecond(MEAN_TOKENS, MEAN_HOLD_MS);
+    double onTimeShare(double load) {
+      double perSecond = load * GatewayFleet.capacityPerSecond(MEAN_TOKENS, MEAN_DECODE_MS);
       double at = 0;
       while (at < DURATION_MS) {
-        at += -Math.log(1 - draws.nextDouble()) * 1_000 * BURST_SIZE / perSecond;
+        at += -Math.log(1 - random.nextDouble()) * 1_000 * BURST_SIZE / perSecond;
         for (int i = 0; i < BURST_SIZE; i++) {
           timers.schedule((long) at, () -> new Request(this).send());
         }
       }
       timers.advance(DURATION_MS + 5_000);
-      return (double) inAim / requests;
+      return (double) onTime / requests;
     }
 
     private Server pick(Servers gateway, Prompt prompt) {
-      return switch (choice) {
+      return switch (strategy) {
         case RANDOM -> {
           List<Server> all = gateway.serversOf("s");
-          yield all.get(draws.nextInt(all.size()));
+          yield all.get(random.nextInt(all.size()));
         }
         case ORACLE -> fastest(gateway.serversOf("s"));
         default -> gateway.picker().pick(ROUTE, prompt, Set.of()).orElse(null);
@@ -99,16 +101,16 @@
     /** Where the first token would come first, as the server really stands. */
     private Server fastest(List<Server> all) {
       Server best = null;
-      double least = Double.POSITIVE_INFINITY;
+      double lowestCost = Double.POSITIVE_INFINITY;
       for (Server server : all) {
-        SimulatedServer model = fleet.models.get(server.id());
-        double place =
-            Math.max(0, model.openRequests() + 1 - GatewayFleet.SLOTS)
-                * (double) MEAN_HOLD_MS
+        SimulatedServer simulated = fleet.simulatedServers.get(server.id());
+        double slotWaitMs =
+            Math.max(0, simulated.openRequests() + 1 - GatewayFleet.SLOTS)
+                * (double) MEAN_DECODE_MS
                 / GatewayFleet.SLOTS;
-        double cost = model.backlogMs() + place + model.openRequests() * 0.1;
-        if (cost < least) {
-          least = cost;
+        double cost = simulated.prefillBacklogMs() + slotWaitMs + simulated.openRequests() * 0.1;
+        if (cost < lowestCost) {
+          lowestCost = cost;
           best = server;
         }
       }
@@ -135,30 +137,30 @@
 
   /** One client's request, sent once. */
   private static final class Request extends NoOpRequest {
-    private final World world;
+    private final Simulation simulation;
     private final Prompt prompt;
-    private final long since;
-
-    Request(World world) {
-      this.world = world;
-      int tokens = 300 + world.draws.nextInt(2 * (MEAN_TOKENS - 300));
-      int part = world.draws.nextInt(400);
-      prompt = Prompt.parse("top:100,p" + part + ":100,own:" + (tokens - 200), null);
-      since = world.timers.now();
-      world.requests++;
+    private final long sentAt;
+
+    Request(Simulation simulation) {
+      this.simulation = simulation;
+      int tokens = 300 + simulation.random.nextInt(2 * (MEAN_TOKENS - 300));
+      int prefixId = simulation.random.nextInt(400);
+      prompt = Prompt.parse("top:100,p" + prefixId + ":100,own:" + (tokens - 200), null);
+      sentAt = simulation.timers.now();
+      simulation.requests++;
     }
 
     void send() {
-      Servers gateway = world.fleet.anyGateway();
-      Server server = world.pick(gateway, prompt);
-      boolean admission = world.choice == Choice.SHARED_WITH_ADMISSION;
-      if (admission && gateway.picker().rejects(server, prompt, LATENCY_TARGET_MS)) {
+      Servers gateway = simulation.fleet.randomGateway();
+      Server server = simulation.pick(gateway, prompt);
+      boolean appliesAdmission = simulation.strategy == SelectionStrategy.SHARED_WITH_ADMISSION;
+      if (appliesAdmission && gateway.picker().rejects(server, prompt, LATENCY_TARGET_MS)) {
         return;
       }
-      Attempt attempt = new Attempt(server, this, this, since);
+      Attempt attempt = new Attempt(server, this, this, sentAt);
       server.onAttemptStarted(attempt);
       attempt.markSent();
-      double hold = MEAN_HOLD_MS * (0.25 + 1.5 * world.draws.nextDouble());
+      double decodeMs = MEAN_DECODE_MS * (0.25 + 1.5 * simulation.random.nextDouble());
       SimulatedServer.Client client =
           new SimulatedServer.Client() {
             private long firstAt;
@@ -170,23 +172,23 @@
 
             @Override
             public void onFirstToken() {
-              firstAt = world.timers.now();
+              firstAt = simulation.timers.now();
               server.health().recordResponse(firstAt);
               attempt.onHead(OK);
-              world.inAim += world.timers.now() - since <= LATENCY_TARGET_MS ? 1 : 0;
+              simulation.onTime += simulation.timers.now() - sentAt <= LATENCY_TARGET_MS ? 1 : 0;
             }
 
             @Override
-            public void onEnded() {
-              server.load().recordSlotHoldTime(world.timers.now() - firstAt);
+            public void onLastToken() {
+              server.load().recordSlotHoldTime(simulation.timers.now() - firstAt);
               attempt.onComplete();
             }
           };
-      world
+      simulation
           .fleet
-          .models
+          .simulatedServers
           .get(server.id())
-          .submit(prompt.totalTokens() / GatewayFleet.TOKENS_PER_MS, hold, client);
+          .submit(prompt.totalTokens() / GatewayFleet.TOKENS_PER_MS, decodeMs, client);
     }
 
     @Override
@@ -198,11 +200,11 @@
   private static final HttpResponse OK =
       new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
 
-  private Map<Choice, Double> shares(double load) {
-    Map<Choice, Double> shares = new EnumMap<>(Choice.class);
-    long seed = chance.nextLong();
-    for (Choice choice : Choice.values()) {
-      shares.put(choice, new World(choice, seed).shareInAim(load));
+  private Map<SelectionStrategy, Double> onTimeShares(double load) {
+    Map<SelectionStrategy, Double> shares = new EnumMap<>(SelectionStrategy.class);
+    long seed = seeds.nextLong();
+    for (SelectionStrategy strategy : SelectionStrategy.values()) {
+      shares.put(strategy, new Simulation(strategy, seed).onTimeShare(load));
     }
     System.out.printf("choice, share in aim at load %.1f: %s%n", load, shares);
     return shares;
@@ -211,10 +213,10 @@
   @Test
   void sharedLoadsServeNearlyAsManyOnTimeAsAnOracle() {
     for (double load : new double[] {0.5, 0.7, 0.8, 0.9}) {
-      Map<Choice, Double> shares = shares(load);
-      double shared = shares.get(Choice.SHARED_LOADS);
-      assertThat("at " + load, shared, greaterThan(shares.get(Choice.ORACLE) - 0.04));
-      assertThat("at " + load, shared, greaterThan(shares.get(Choice.OWN_SIGHT) - 0.01));
+      Map<SelectionStrategy, Double> shares = onTimeShares(load);
+      double shared = shares.get(SelectionStrategy.SHARED_LOADS);
+      assertThat("at " + load, shared, greaterThan(shares.get(SelectionStrategy.ORACLE) - 0.04));
+      assertThat("at " + load, shared, greaterThan(shares.get(SelectionStrategy.OWN_LOADS) - 0.01));
     }
   }
 
@@ -222,11 +224,12 @@
   @Test
   void admittedRequestsAreServedOnTimeBeyondCapacity() {
     for (double load : new double[] {1.0, 1.1, 1.3}) {
-      Map<Choice, Double> shares = shares(load);
-      double admitted = shares.get(Choice.SHARED_WITH_ADMISSION);
+      Map<SelectionStrategy, Double> shares = onTimeShares(load);
+      double admitted = shares.get(SelectionStrategy.SHARED_WITH_ADMISSION);
       // At capacity itself hardly anything has to be refused.
       double gain = load > 1 ? 0.05 : -0.01;
-      assertThat("at " + load, admitted, greaterThan(shares.get(Choice.SHARED_LOADS) + gain));
+      assertThat(
+          "at " + load, admitted, greaterThan(shares.get(SelectionStrategy.SHARED_LOADS) + gain));
       assertThat("at " + load, admitted, greaterThan(0.85 / load));
     }
   }
--- a/gateway/src/test/java/elmsail/gateway/servers/ServerSelectorTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/ServerSelectorTest.java
@@ -13,8 +13,9 @@
   private static final Candidate EMPTY =
       new Candidate(0, 0, 0, 0, 24, 0, SLOT_RELEASE_INTERVAL_MS, true, false);
 
-  private static Candidate with(int known, double running, double waiting) {
-    return new Candidate(known, 0, running, waiting, 24, 0, SLOT_RELEASE_INTERVAL_MS, true, false);
+  private static Candidate with(int cachedTokens, double running, double queued) {
+    return new Candidate(
+        cachedTokens, 0, running, queued, 24, 0, SLOT_RELEASE_INTERVAL_MS, true, false);
   }
 
   @Test
@@ -44,15 +45,15 @@
   }
 
   @Test
-  void ownZoneIsPreferredSlightly() {
-    Candidate far = new Candidate(0, 0, 0, 0, 24, 0, SLOT_RELEASE_INTERVAL_MS, false, false);
-    assertThat(ServerSelector.pick(List.of(far, EMPTY), 2_000, 0), is(1));
-    Candidate farAndHardlyKnown =
+  void ownZoneIsPreferredUnlessAnotherHasMuchMoreCached() {
+    Candidate otherZone = new Candidate(0, 0, 0, 0, 24, 0, SLOT_RELEASE_INTERVAL_MS, false, false);
+    assertThat(ServerSelector.pick(List.of(otherZone, EMPTY), 2_000, 0), is(1));
+    Candidate otherZonePartlyCached =
         new Candidate(1_000, 0, 0, 0, 24, 0, SLOT_RELEASE_INTERVAL_MS, false, false);
-    assertThat(ServerSelector.pick(List.of(EMPTY, farAndHardlyKnown), 2_000, 1), is(0));
-    Candidate farAndKnown =
+    assertThat(ServerSelector.pick(List.of(EMPTY, otherZonePartlyCached), 2_000, 1), is(0));
+    Candidate otherZoneMostlyCached =
         new Candidate(1_500, 0, 0, 0, 24, 0, SLOT_RELEASE_INTERVAL_MS, false, false);
-    assertThat(ServerSelector.pick(List.of(EMPTY, farAndKnown), 2_000, 0), is(1));
+    assertThat(ServerSelector.pick(List.of(EMPTY, otherZoneMostlyCached), 2_000, 0), is(1));
   }
 
   @Test
@@ -73,11 +74,13 @@
   }
 
   @Test
-  void waitIsTheLongerOfReportedQueueAndKnownPrefill() {
-    Candidate own = new Candidate(0, 0, 0, 0, 24, 3_000, SLOT_RELEASE_INTERVAL_MS, true, false);
-    assertThat(ServerSelector.waitMs(own), is(closeTo(30, 1e-9)));
-    Candidate response =
+  void waitIsTheLongerOfQueueAndPendingPrefill() {
+    Candidate prefillOnly =
+        new Candidate(0, 0, 0, 0, 24, 3_000, SLOT_RELEASE_INTERVAL_MS, true, false);
+    assertThat(ServerSelector.waitMs(prefillOnly), is(closeTo(30, 1e-9)));
+    Candidate queuedAndPrefill =
         new Candidate(0, 0, 0, 2, 24, 3_000, SLOT_RELEASE_INTERVAL_MS, true, false);
-    assertThat(ServerSelector.waitMs(response), is(closeTo(2 * SLOT_RELEASE_INTERVAL_MS, 1e-9)));
+    assertThat(
+        ServerSelector.waitMs(queuedAndPrefill), is(closeTo(2 * SLOT_RELEASE_INTERVAL_MS, 1e-9)));
   }
 }
--- a/gateway/src/test/java/elmsail/gateway/servers/ServerTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/ServerTest.java
@@ -38,12 +38,12 @@
     }
   }
 
-  private Attempt begin(long now, boolean item) {
-    TestRequest one = new TestRequest(item);
-    Attempt begun = new Attempt(server, one, one, now);
-    server.onAttemptStarted(begun);
-    begun.markSent();
-    return begun;
+  private Attempt startAttempt(long now, boolean item) {
+    TestRequest request = new TestRequest(item);
+    Attempt attempt = new Attempt(server, request, request, now);
+    server.onAttemptStarted(attempt);
+    attempt.markSent();
+    return attempt;
   }
 
   private static HttpResponse head() {
@@ -51,7 +51,7 @@
   }
 
   @Test
-  void failedConnectsAreAvoidedWithGrowingBackoff() {
+  void failuresAreBackedOffExponentiallyUntilAResponse() {
     server.recordFailure(1_000);
     assertThat(server.health().isSuspect(1_249), is(true));
     assertThat(server.health().isSuspect(1_250), is(false));
@@ -80,25 +80,25 @@
   }
 
   @Test
-  void silenceWithOpenRequestsMakesTheServerSuspect() {
+  void inactivityWithOpenRequestsMakesTheServerSuspect() {
     assertThat(server.health().isSuspect(9_000), is(false));
-    Attempt one = begin(1_000, false);
+    Attempt attempt = startAttempt(1_000, false);
     assertThat(server.health().isSuspect(1_000 + ServerHealth.SUSPECT_AFTER_MS), is(false));
     assertThat(server.health().isSuspect(1_001 + ServerHealth.SUSPECT_AFTER_MS), is(true));
     server.health().recordBytes(1_400);
     assertThat(server.health().isSuspect(1_001 + ServerHealth.SUSPECT_AFTER_MS), is(false));
     assertThat(
         server.health().isUnresponsive(1_401 + ServerHealth.UNRESPONSIVE_AFTER_MS), is(true));
-    one.timedOut(2_900);
+    attempt.timedOut(2_900);
     assertThat(server.openAttempts().size(), is(0));
     assertThat(server.health().isSuspect(3_000), is(true));
   }
 
   @Test
-  void timeoutBesideServedRequestsIsIgnored() {
-    Attempt one = begin(1_000, false);
+  void timeoutWhileTheServerSendsBytesIsIgnored() {
+    Attempt attempt = startAttempt(1_000, false);
     server.health().recordBytes(2_900);
-    one.timedOut(3_000);
+    attempt.timedOut(3_000);
     assertThat(server.health().isSuspect(3_000), is(false));
   }
 
@@ -109,7 +109,7 @@
     assertThat(server.load().queuedRequests(1_000), is(closeTo(4, 1e-9)));
     assertThat(server.load().queuedRequests(1_200), is(closeTo(2, 1e-9)));
     assertThat(server.load().runningRequests(30_000), is(lessThan(1.0)));
-    begin(1_000, false);
+    startAttempt(1_000, false);
     assertThat(server.load().runningRequests(1_000), is(closeTo(11, 1e-9)));
     assertThat(server.load().runningRequests(90_000), is(closeTo(1, 0.5)));
   }
@@ -124,19 +124,19 @@
 
   @Test
   void prefillTokensAreCountedUntilTheResponseStarts() {
-    Attempt one = begin(1_000, false);
+    Attempt attempt = startAttempt(1_000, false);
     assertThat(server.load().ownLoad().pendingPrefillTokens(), is(500));
-    one.onHead(head());
+    attempt.onHead(head());
     assertThat(server.load().ownLoad().pendingPrefillTokens(), is(0));
-    one.cancel();
+    attempt.cancel();
     assertThat(server.load().ownLoad().pendingPrefillTokens(), is(0));
-    begin(1_000, false).cancel();
+    startAttempt(1_000, false).cancel();
     assertThat(server.load().ownLoad().pendingPrefillTokens(), is(0));
     assertThat(server.openAttempts().size(), is(0));
   }
 
   @Test
-  void itemsGetTheRemainingCapacity() {
+  void itemCapacityFollowsReportedLoadStartIntervalAndHealth() {
     assertThat(server.availableItemCapacity(1_000), is(12));
     server.load().recordReport("12,0,24", 1_000);
     assertThat(server.availableItemCapacity(1_000), is(4));
@@ -145,7 +145,7 @@
     server.load().recordReport("2,3,24", 1_000);
     assertThat(server.availableItemCapacity(1_000), is(0));
     server.load().recordReport("0,0,24", 1_000);
-    begin(1_000, true);
+    startAttempt(1_000, true);
     assertThat("prompts are not begun together", server.availableItemCapacity(1_079), is(0));
     assertThat(server.availableItemCapacity(1_080), is(11));
     server.health().markMisdirected();
--- a/gateway/src/test/java/elmsail/gateway/servers/ServersTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/ServersTest.java
@@ -32,16 +32,16 @@
 class ServersTest {
   private final NettyEventLoop loop = new NettyEventLoop();
   private final ManualTimers timers = new ManualTimers();
-  private final FakeClusterState known = new FakeClusterState();
+  private final FakeClusterState clusterState = new FakeClusterState();
   private final Servers servers = gateway("z1");
 
   private Servers gateway(String zone) {
     return gateway(zone, new SplittableRandom(3));
   }
 
-  private Servers gateway(String zone, SplittableRandom chance) {
+  private Servers gateway(String zone, SplittableRandom random) {
     return new Servers(
-        timers, loop.eventLoop(), known, zone, new RequestCounters(new Counters()), chance);
+        timers, loop.eventLoop(), clusterState, zone, new RequestCounters(new Counters()), random);
   }
 
   @AfterEach
@@ -49,8 +49,8 @@
     loop.shutdown();
   }
 
-  private static ServerEntry entry(String id, String service, String zone, boolean closing) {
-    return new ServerEntry(id, service, "127.0.0.1:1", zone, 24, closing, 0);
+  private static ServerEntry entry(String id, String service, String zone, boolean draining) {
+    return new ServerEntry(id, service, "127.0.0.1:1", zone, 24, draining, 0);
   }
 
   private static Route route(Route.WeightedService... shares) {
@@ -58,46 +58,46 @@
         "r", "h", "/r/", Route.Kind.SAFE, 1_000, 100, 0, List.of(shares), 1, false, 0, 0, 0, 0);
   }
 
-  private void list(ServerEntry... entries) {
-    known.servers = List.of(entries);
-    known.notifyListeners();
+  private void setServers(ServerEntry... entries) {
+    clusterState.servers = List.of(entries);
+    clusterState.notifyListeners();
   }
 
-  private Server choose(Route route) {
+  private Server pick(Route route) {
     return servers.picker().pick(route, Prompt.NONE, Set.of()).orElse(null);
   }
 
   @Test
-  void closingServersAndOtherServicesAreNotPicked() {
-    list(entry("a", "s", "z1", true), entry("b", "other", "z1", false));
-    assertThat(choose(route(new Route.WeightedService("s", 1))), is(nullValue()));
+  void drainingServersAndOtherServicesAreNotPicked() {
+    setServers(entry("a", "s", "z1", true), entry("b", "other", "z1", false));
+    assertThat(pick(route(new Route.WeightedService("s", 1))), is(nullValue()));
     assertThat(servers.hasAny(), is(true));
-    list(entry("a", "s", "z1", true));
+    setServers(entry("a", "s", "z1", true));
     assertThat(servers.hasAny(), is(false));
   }
 
   @Test
   void serverWithANewAddressIsANewServer() {
-    list(entry("a", "s", "z1", false));
-    Server before = choose(route(new Route.WeightedService("s", 1)));
-    list(new ServerEntry("a", "s", "127.0.0.1:2", "z1", 24, false, 0));
+    setServers(entry("a", "s", "z1", false));
+    Server before = pick(route(new Route.WeightedService("s", 1)));
+    setServers(new ServerEntry("a", "s", "127.0.0.1:2", "z1", 24, false, 0));
     assertThat(before.isRemoved(), is(true));
-    assertThat(choose(route(new Route.WeightedService("s", 1))).isRemoved(), is(false));
+    assertThat(pick(route(new Route.WeightedService("s", 1))).isRemoved(), is(false));
   }
 
   @Test
   void servicesArePickedByWeight() {
-    list(entry("a", "s", "z1", false), entry("b", "t", "z1", false));
+    setServers(entry("a", "s", "z1", false), entry("b", "t", "z1", false));
     Route route =
         route(
             new Route.WeightedService("s", 90),
             new Route.WeightedService("t", 10),
             new Route.WeightedService("u", 0));
-    int first = 0;
+    int picksOfA = 0;
     for (int i = 0; i < 2_000; i++) {
-      first += choose(route).id().equals("a") ? 1 : 0;
+      picksOfA += pick(route).id().equals("a") ? 1 : 0;
     }
-    assertThat(first / 2_000.0, is(closeTo(0.9, 0.03)));
+    assertThat(picksOfA / 2_000.0, is(closeTo(0.9, 0.03)));
   }
 
   /** Each gateway draws for itself, and gets a few of the requests only. */
@@ -110,39 +110,40 @@
     "6, 200, 0.025",
     "30, 200, 0.05"
   })
-  void fewHundredRequestsFollowTheWeights(int gateways, int requests, double mostOff) {
-    list(entry("a", "s", "z1", false), entry("b", "t", "z1", false));
-    SplittableRandom chance = new SplittableRandom(gateways);
+  void fewHundredRequestsFollowTheWeights(int gateways, int requests, double maxDeviation) {
+    setServers(entry("a", "s", "z1", false), entry("b", "t", "z1", false));
+    SplittableRandom random = new SplittableRandom(gateways);
     for (int weight : new int[] {5, 10, 30, 50, 90}) {
       Route route =
           route(
               new Route.WeightedService("s", weight), new Route.WeightedService("t", 100 - weight));
-      double farthest = 0;
+      double largestDeviation = 0;
       for (int trial = 0; trial < 100; trial++) {
-        List<Servers> doors = new ArrayList<>();
+        List<Servers> instances = new ArrayList<>();
         for (int i = 0; i < gateways; i++) {
-          doors.add(gateway("z1", chance.split()));
+          instances.add(gateway("z1", random.split()));
         }
-        int first = 0;
+        int picksOfA = 0;
         for (int i = 0; i < requests; i++) {
-          Servers door = doors.get(chance.nextInt(gateways));
-          first +=
-              door.picker().pick(route, Prompt.NONE, Set.of()).orElseThrow().id().equals("a")
+          Servers instance = instances.get(random.nextInt(gateways));
+          picksOfA +=
+              instance.picker().pick(route, Prompt.NONE, Set.of()).orElseThrow().id().equals("a")
                   ? 1
                   : 0;
         }
-        farthest = Math.max(farthest, Math.abs(first / (double) requests - weight / 100.0));
+        largestDeviation =
+            Math.max(largestDeviation, Math.abs(picksOfA / (double) requests - weight / 100.0));
       }
       System.out.printf(
           "%d requests, %d gateways, weight %d: off by %.3f at most%n",
-          requests, gateways, weight, farthest);
-      assertThat(weight + " of 100", farthest, is(lessThan(mostOff)));
+          requests, gateways, weight, largestDeviation);
+      assertThat(weight + " of 100", largestDeviation, is(lessThan(maxDeviation)));
     }
   }
 
   @Test
   void roundRobinsOfRoutesAreIndependent() {
-    list(entry("a", "s", "z1", false), entry("b", "t", "z1", false));
+    setServers(entry("a", "s", "z1", false), entry("b", "t", "z1", false));
     Route route = route(new Route.WeightedService("s", 50), new Route.WeightedService("t", 50));
     Route other =
         new Route(
@@ -160,12 +161,12 @@
             0,
             0,
             0);
-    int first = 0;
+    int picksOfA = 0;
     for (int i = 0; i < 300; i++) {
-      first += choose(route).id().equals("a") ? 1 : 0;
-      choose(other);
+      picksOfA += pick(route).id().equals("a") ? 1 : 0;
+      pick(other);
     }
-    assertThat(first / 300.0, is(closeTo(0.5, 0.01)));
+    assertThat(picksOfA / 300.0, is(closeTo(0.5, 0.01)));
   }
 
   /** Nothing is made up for: servers that come get their share, not all. */
@@ -176,74 +177,76 @@
             new Route.WeightedService("s", 50),
             new Route.WeightedService("t", 30),
             new Route.WeightedService("u", 20));
-    list(entry("b", "t", "z1", false), entry("c", "u", "z1", false));
+    setServers(entry("b", "t", "z1", false), entry("c", "u", "z1", false));
     for (int i = 0; i < 300; i++) {
-      choose(route);
+      pick(route);
     }
-    list(entry("a", "s", "z1", false), entry("b", "t", "z1", false), entry("c", "u", "z1", false));
-    Map<String, Integer> got = new HashMap<>();
+    setServers(
+        entry("a", "s", "z1", false), entry("b", "t", "z1", false), entry("c", "u", "z1", false));
+    Map<String, Integer> picksByServer = new HashMap<>();
     for (int i = 0; i < 20; i++) {
-      got.merge(choose(route).id(), 1, Integer::sum);
+      picksByServer.merge(pick(route).id(), 1, Integer::sum);
     }
-    assertThat(got.get("a") / 20.0, is(closeTo(0.5, 0.15)));
-    assertThat(got.get("b") / 20.0, is(closeTo(0.3, 0.15)));
-    assertThat(got.get("c") / 20.0, is(closeTo(0.2, 0.15)));
+    assertThat(picksByServer.get("a") / 20.0, is(closeTo(0.5, 0.15)));
+    assertThat(picksByServer.get("b") / 20.0, is(closeTo(0.3, 0.15)));
+    assertThat(picksByServer.get("c") / 20.0, is(closeTo(0.2, 0.15)));
   }
 
   @Test
   void newWeightsApplyFromTheNextRequest() {
-    list(entry("a", "s", "z1", false), entry("b", "t", "z1", false));
+    setServers(entry("a", "s", "z1", false), entry("b", "t", "z1", false));
     for (int i = 0; i < 50; i++) {
-      choose(route(new Route.WeightedService("s", 90), new Route.WeightedService("t", 10)));
+      pick(route(new Route.WeightedService("s", 90), new Route.WeightedService("t", 10)));
     }
     for (int i = 0; i < 50; i++) {
       assertThat(
-          choose(route(new Route.WeightedService("s", 0), new Route.WeightedService("t", 10))).id(),
+          pick(route(new Route.WeightedService("s", 0), new Route.WeightedService("t", 10))).id(),
           is("b"));
     }
   }
 
   @Test
   void serviceWithoutServersLeavesItsShareToOthers() {
-    list(entry("b", "t", "z1", false));
+    setServers(entry("b", "t", "z1", false));
     assertThat(
-        choose(route(new Route.WeightedService("s", 90), new Route.WeightedService("t", 10))).id(),
+        pick(route(new Route.WeightedService("s", 90), new Route.WeightedService("t", 10))).id(),
         is("b"));
     assertThat(
-        choose(route(new Route.WeightedService("s", 90), new Route.WeightedService("t", 0))),
+        pick(route(new Route.WeightedService("s", 90), new Route.WeightedService("t", 0))),
         is(nullValue()));
   }
 
   @Test
   void noCapacityAtTheConnectionLimit() {
-    known.services.put("s", new Service("s", "/health", 90, 24, 0));
-    known.view.gateways.addAll(List.of("c1", "c2", "c3", "c4", "c5", "c6", "c7", "c8", "c9"));
-    list(entry("a", "s", "z1", false));
-    Server a = choose(route(new Route.WeightedService("s", 1)));
+    clusterState.services.put("s", new Service("s", "/health", 90, 24, 0));
+    clusterState.view.gateways.addAll(
+        List.of("c1", "c2", "c3", "c4", "c5", "c6", "c7", "c8", "c9"));
+    setServers(entry("a", "s", "z1", false));
+    Server a = pick(route(new Route.WeightedService("s", 1)));
     assertThat(servers.maxConnections(a), is(10));
     a.connectionCount = 10;
-    assertThat(choose(route(new Route.WeightedService("s", 1))), is(nullValue()));
+    assertThat(pick(route(new Route.WeightedService("s", 1))), is(nullValue()));
     a.connectionCount = 9;
-    assertThat(choose(route(new Route.WeightedService("s", 1))), is(sameInstance(a)));
+    assertThat(pick(route(new Route.WeightedService("s", 1))), is(sameInstance(a)));
   }
 
   @Test
   void longPromptIsNotRejectedForItsOwnLength() {
-    list(entry("a", "s", "z1", false));
-    Server idle = choose(route(new Route.WeightedService("s", 1)));
+    setServers(entry("a", "s", "z1", false));
+    Server idle = pick(route(new Route.WeightedService("s", 1)));
     assertThat(servers.picker().rejects(idle, Prompt.parse("own:90000", null), 100), is(false));
   }
 
   @Test
   void excludedServerIsNotPickedAgain() {
-    list(entry("a", "s", "z1", false), entry("b", "s", "z1", false));
-    Set<Server> been = new HashSet<>();
+    setServers(entry("a", "s", "z1", false), entry("b", "s", "z1", false));
+    Set<Server> excluded = new HashSet<>();
     Route route = route(new Route.WeightedService("s", 1));
     for (int i = 0; i < 2; i++) {
-      been.add(servers.picker().pick(route, Prompt.NONE, been).orElseThrow());
+      excluded.add(servers.picker().pick(route, Prompt.NONE, excluded).orElseThrow());
     }
-    assertThat(been.size(), is(2));
-    assertThat(servers.picker().pick(route, Prompt.NONE, been), is(Optional.empty()));
+    assertThat(excluded.size(), is(2));
+    assertThat(servers.picker().pick(route, Prompt.NONE, excluded), is(Optional.empty()));
   }
 
   @Test
@@ -252,22 +255,22 @@
     for (int i = 0; i < 9; i++) {
       entries.add(entry("i-" + i, "s", "z" + i % 3, false));
     }
-    list(entries.toArray(new ServerEntry[0]));
-    Servers other = gateway("z1");
-    Set<String> homes = new HashSet<>();
+    setServers(entries.toArray(new ServerEntry[0]));
+    Servers otherGateway = gateway("z1");
+    Set<String> pickedIds = new HashSet<>();
     for (int i = 0; i < 60; i++) {
       Prompt prompt = Prompt.parse("top:300,part" + i + ":600,own" + i + ":100", null);
       Route route = route(new Route.WeightedService("s", 1));
-      Server mine = servers.picker().pick(route, prompt, Set.of()).orElseThrow();
-      Server others =
-          other
+      Server picked = servers.picker().pick(route, prompt, Set.of()).orElseThrow();
+      Server pickedByOther =
+          otherGateway
               .picker()
               .pick(route, Prompt.parse("top:300,part" + i + ":600,else:100", null), Set.of())
               .orElseThrow();
-      assertThat(mine.id(), is(others.id()));
-      assertThat(mine.entry().zone(), is("z1"));
-      homes.add(mine.id());
+      assertThat(picked.id(), is(pickedByOther.id()));
+      assertThat(picked.entry().zone(), is("z1"));
+      pickedIds.add(picked.id());
     }
-    assertThat(homes.size(), is(3));
+    assertThat(pickedIds.size(), is(3));
   }
 }
--- a/gateway/src/test/java/elmsail/gateway/servers/SimulatedServer.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/SimulatedServer.java
@@ -16,28 +16,28 @@
 
     void onFirstToken();
 
-    void onEnded();
+    void onLastToken();
   }
 
-  private record Waiting(double readMs, double holdMs, Client client) {}
+  private record SimulatedRequest(double prefillMs, double decodeMs, Client client) {}
 
   private final ManualTimers timers;
   private final int slots;
   private final int maxQueued;
 
   /** Of a server of usual speed: 1; of a slower one more. */
-  private final double slowness;
+  private final double slowdownFactor;
 
-  private final ArrayDeque<Waiting> queue = new ArrayDeque<>();
+  private final ArrayDeque<SimulatedRequest> queue = new ArrayDeque<>();
   private int running;
-  private double readUntil;
+  private double prefillBusyUntil;
   int rejections;
 
-  SimulatedServer(ManualTimers timers, int slots, int maxQueued, double slowness) {
+  SimulatedServer(ManualTimers timers, int slots, int maxQueued, double slowdownFactor) {
     this.timers = timers;
     this.slots = slots;
     this.maxQueued = maxQueued;
-    this.slowness = slowness;
+    this.slowdownFactor = slowdownFactor;
   }
 
   /** Requests there, running and waiting: what nobody but an oracle sees. */
@@ -51,35 +51,38 @@
   }
 
   /** How long a prompt that is let in now waits for those before it, in ms. */
-  double backlogMs() {
-    double queued = queue.stream().mapToDouble(Waiting::readMs).sum() * slowness;
-    return Math.max(0, readUntil - timers.now()) + queued;
+  double prefillBacklogMs() {
+    double queuedPrefillMs =
+        queue.stream().mapToDouble(SimulatedRequest::prefillMs).sum() * slowdownFactor;
+    return Math.max(0, prefillBusyUntil - timers.now()) + queuedPrefillMs;
   }
 
-  void submit(double readMs, double holdMs, Client client) {
+  void submit(double prefillMs, double decodeMs, Client client) {
     if (running < slots) {
-      run(new Waiting(readMs, holdMs, client));
+      run(new SimulatedRequest(prefillMs, decodeMs, client));
     } else if (queue.size() < maxQueued) {
-      queue.add(new Waiting(readMs, holdMs, client));
+      queue.add(new SimulatedRequest(prefillMs, decodeMs, client));
     } else {
       rejections++;
       timers.execute(client::onRejected);
     }
   }
 
-  private void run(Waiting one) {
+  private void run(SimulatedRequest request) {
     running++;
-    readUntil = Math.max(readUntil, (double) timers.now()) + one.readMs * slowness;
-    long first = Math.round(readUntil - timers.now());
-    timers.schedule(first, one.client::onFirstToken);
-    timers.schedule(first + Math.round(one.holdMs * slowness), () -> end(one));
+    prefillBusyUntil =
+        Math.max(prefillBusyUntil, (double) timers.now()) + request.prefillMs * slowdownFactor;
+    long firstTokenDelayMs = Math.round(prefillBusyUntil - timers.now());
+    timers.schedule(firstTokenDelayMs, request.client::onFirstToken);
+    timers.schedule(
+        firstTokenDelayMs + Math.round(request.decodeMs * slowdownFactor), () -> complete(request));
   }
 
-  private void end(Waiting one) {
+  private void complete(SimulatedRequest request) {
     running--;
     if (!queue.isEmpty()) {
       run(queue.poll());
     }
-    one.client.onEnded();
+    request.client.onLastToken();
   }
 }
--- a/gateway/src/test/java/elmsail/gateway/servers/StaleReportedLoadModelTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/StaleReportedLoadModelTest.java
@@ -31,7 +31,7 @@
   /** Of each request: prompt tokens, and ms from the first token to the last. */
   private static final int MEAN_TOKENS = 1_700;
 
-  private static final int MEAN_HOLD_MS = 160;
+  private static final int MEAN_DECODE_MS = 160;
 
   private static final HttpResponse OK =
       new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
@@ -56,7 +56,7 @@
   private final NettyEventLoop loop = new NettyEventLoop();
   private GatewayFleet fleet;
   private int sent;
-  private int inTime;
+  private int onTime;
 
   @AfterEach
   void close() {
@@ -66,38 +66,38 @@
   /** One client's request, sent once. */
   private final class Request extends NoOpRequest implements SimulatedServer.Client {
     private final Prompt prompt;
-    private final long since = fleet.timers.now();
+    private final long sentAt = fleet.timers.now();
     private Server server;
     private Attempt attempt;
     private long firstTokenAt;
 
     Request() {
-      int tokens = 300 + fleet.draws.nextInt(2 * (MEAN_TOKENS - 300));
-      int part = fleet.draws.nextInt(400);
-      prompt = Prompt.parse("top:100,p" + part + ":100,own:" + (tokens - 200), null);
+      int tokens = 300 + fleet.random.nextInt(2 * (MEAN_TOKENS - 300));
+      int prefixId = fleet.random.nextInt(400);
+      prompt = Prompt.parse("top:100,p" + prefixId + ":100,own:" + (tokens - 200), null);
     }
 
     void send() {
       sent++;
-      Servers gateway = fleet.anyGateway();
+      Servers gateway = fleet.randomGateway();
       server = gateway.picker().pick(ROUTE, prompt, Set.of()).orElseThrow();
       if (gateway.picker().rejects(server, prompt, LATENCY_TARGET_MS)) {
         return;
       }
-      attempt = new Attempt(server, this, this, since);
+      attempt = new Attempt(server, this, this, sentAt);
       server.onAttemptStarted(attempt);
       attempt.markSent();
-      double holdMs = MEAN_HOLD_MS * (0.25 + 1.5 * fleet.draws.nextDouble());
-      model().submit(prompt.totalTokens() / GatewayFleet.TOKENS_PER_MS, holdMs, this);
+      double decodeMs = MEAN_DECODE_MS * (0.25 + 1.5 * fleet.random.nextDouble());
+      simulatedServer().submit(prompt.totalTokens() / GatewayFleet.TOKENS_PER_MS, decodeMs, this);
     }
 
-    private SimulatedServer model() {
-      return fleet.models.get(server.id());
+    private SimulatedServer simulatedServer() {
+      return fleet.simulatedServers.get(server.id());
     }
 
     @Override
     public void onRejected() {
-      server.load().recordReport(model().loadHeader(), fleet.timers.now());
+      server.load().recordReport(simulatedServer().loadHeader(), fleet.timers.now());
       attempt.cancel();
     }
 
@@ -105,13 +105,13 @@
     public void onFirstToken() {
       firstTokenAt = fleet.timers.now();
       server.health().recordResponse(firstTokenAt);
-      server.load().recordReport(model().loadHeader(), firstTokenAt);
+      server.load().recordReport(simulatedServer().loadHeader(), firstTokenAt);
       attempt.onHead(OK);
-      inTime += firstTokenAt - since <= LATENCY_TARGET_MS ? 1 : 0;
+      onTime += firstTokenAt - sentAt <= LATENCY_TARGET_MS ? 1 : 0;
     }
 
     @Override
-    public void onEnded() {
+    public void onLastToken() {
       server.load().recordSlotHoldTime(fleet.timers.now() - firstTokenAt);
       attempt.onComplete();
     }
@@ -123,37 +123,37 @@
   }
 
   /** The share of requests whose first token came in time, at that share of capacity. */
-  private double shareInTime(double load, long seed, boolean sharesLoads) {
+  private double onTimeShare(double load, long seed, boolean sharesLoads) {
     fleet =
         new GatewayFleet(
             loop.eventLoop(), new SplittableRandom(seed), sharesLoads, GATEWAYS_PER_ZONE);
     sent = 0;
-    inTime = 0;
-    double perSecond = load * GatewayFleet.capacityPerSecond(MEAN_TOKENS, MEAN_HOLD_MS);
+    onTime = 0;
+    double perSecond = load * GatewayFleet.capacityPerSecond(MEAN_TOKENS, MEAN_DECODE_MS);
     double at = 0;
     while (at < DURATION_MS) {
-      at += -Math.log(1 - fleet.draws.nextDouble()) * 1_000 * BURST_SIZE / perSecond;
+      at += -Math.log(1 - fleet.random.nextDouble()) * 1_000 * BURST_SIZE / perSecond;
       for (int i = 0; i < BURST_SIZE; i++) {
         fleet.timers.schedule((long) at, () -> new Request().send());
       }
     }
     fleet.timers.advance(DURATION_MS + 5_000);
-    return (double) inTime / sent;
+    return (double) onTime / sent;
   }
 
   @Test
-  void oldReportsDoNotHideWhatAllGatewaysHaveOpen() {
+  void staleReportsDoNotHideTheLoadOfOtherGateways() {
     for (double load : new double[] {0.6, 0.8, 0.9, 1.1}) {
       for (long seed = 1; seed <= 3; seed++) {
-        double alone = shareInTime(load, seed, false);
-        double shared = shareInTime(load, seed, true);
+        double reportsOnly = onTimeShare(load, seed, false);
+        double shared = onTimeShare(load, seed, true);
         System.out.printf(
             "load %.1f, seed %d: in time %.3f by reports alone, %.3f with the loads of all%n",
-            load, seed, alone, shared);
-        String where = "at " + load + ", seed " + seed;
-        assertThat(where, shared, greaterThan(alone - 0.01));
+            load, seed, reportsOnly, shared);
+        String scenario = "at " + load + ", seed " + seed;
+        assertThat(scenario, shared, greaterThan(reportsOnly - 0.01));
         if (load < 1) {
-          assertThat(where, shared, greaterThan(0.9));
+          assertThat(scenario, shared, greaterThan(0.9));
         }
       }
     }
