--- a/gateway/src/main/java/elmsail/gateway/servers/Attempt.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/Attempt.java
@@ -27,7 +27,7 @@
     this.startedAt = startedAt;
   }
 
-  /** The server it was sent to. */
+  /** The server of this attempt. */
   public Server server() {
     return server;
   }
@@ -36,27 +36,27 @@
     return request;
   }
 
-  /** When it started, in ms on the loop's clock. */
+  /** When the attempt started, in ms on the event loop's clock. */
   long startedAt() {
     return startedAt;
   }
 
-  /** Whether any byte of it may have been sent. */
+  /** Whether any byte of the request may have been sent. */
   public boolean isSent() {
     return isSent;
   }
 
-  /** Whether it has ended; its listener is not called any more. */
+  /** Whether the attempt has ended; its listener receives no further events. */
   boolean isFinished() {
     return isFinished;
   }
 
-  /** Whether the head of its response has come. */
+  /** Whether the head of the response has been received. */
   boolean hasResponse() {
     return hasResponse;
   }
 
-  /** Whether the response is not read for now. */
+  /** Whether reading of the response is paused. */
   boolean isPaused() {
     return isPaused;
   }
@@ -66,14 +66,14 @@
     channel = boundChannel;
   }
 
-  /** From here on bytes of it may have been sent. */
+  /** Marks the request as sent: from now on, some of its bytes may have reached the server. */
   void markSent() {
     isSent = true;
   }
 
   /**
-   * Cancels the attempt because it had no response in time. The server is avoided for a while if it
-   * had enough time and is suspect already.
+   * Cancels the attempt because no response was received in time. Records a failure of the server
+   * if the attempt lasted at least {@link ServerHealth#SUSPECT_AFTER_MS} and the server is suspect.
    */
   public void timedOut(long now) {
     if (!isFinished
@@ -87,7 +87,7 @@
 
   /**
    * Ends the attempt and closes its connection, so that the server drops the request. The listener
-   * is not called any more.
+   * receives no further events.
    */
   public void cancel() {
     if (!isFinished) {
@@ -98,7 +98,7 @@
     }
   }
 
-  /** Stops reading the response, or reads on: back pressure of a slow client. */
+  /** Pauses or resumes reading of the response, as back pressure from a slow client. */
   public void setReadPaused(boolean paused) {
     isPaused = paused;
     if (channel != null && !isFinished) {
@@ -107,8 +107,8 @@
   }
 
   /**
-   * Records for outlier detection what the response says of the server; true if the server is
-   * ejected by it.
+   * Records the result of the response for outlier detection; returns true if the server is ejected
+   * because of it.
    */
   boolean recordResult(HttpResponse head, long now) {
     boolean notRun = head.headers().contains(Headers.NOT_RUN);
--- a/gateway/src/main/java/elmsail/gateway/servers/AttemptListener.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/AttemptListener.java
@@ -18,7 +18,7 @@
   void onComplete();
 
   /**
-   * There will be no complete response.
+   * The attempt failed without a complete response.
    *
    * @param sent whether any byte of the request may have been sent, so that it may have run
    */
--- a/gateway/src/main/java/elmsail/gateway/servers/BodyWriteMonitor.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/BodyWriteMonitor.java
@@ -5,18 +5,21 @@
 import io.netty.channel.ChannelOutboundBuffer;
 
 /**
- * Follows how a connection writes the present request. A server may respond before it has read the
- * whole body; the connection is used again only once the rest is written, and closed if the server
- * stops reading. Owned by the channel's event loop.
+ * Monitors the writing of the current request on a connection. A server may respond before it has
+ * read the whole body. The connection is then reused only after the rest of the body is written,
+ * and it is closed if the server stops reading. Owned by the channel's event loop.
  */
 final class BodyWriteMonitor {
-  /** A server that responded early must read some of the rest within this time. */
+  /**
+   * A server that responded early must read some of the remaining body within each interval of this
+   * length.
+   */
   private static final long STALL_TIMEOUT_MS = 2_000;
 
   private final Timers timers;
   private final Channel channel;
 
-  /** Runs once the request is written after {@link #closeIfStalled}. */
+  /** Runs when the request is completely written after a call of {@link #closeIfStalled}. */
   private final Runnable afterWrite;
 
   private boolean written;
@@ -49,7 +52,7 @@
     }
   }
 
-  /** Closes the channel unless the rest of the body goes on being written. */
+  /** Closes the channel as soon as writing the rest of the body stalls. */
   void closeIfStalled() {
     long unwrittenBytes = unwrittenBytes();
     stallTimer = timers.schedule(STALL_TIMEOUT_MS, () -> checkProgress(unwrittenBytes));
@@ -68,7 +71,7 @@
     return out == null ? 0 : out.totalPendingWriteBytes() - Math.max(0, out.currentProgress());
   }
 
-  /** Stops following; the connection is closed by its owner. */
+  /** Stops monitoring; closing the connection is left to the caller. */
   void cancel() {
     if (stallTimer != null) {
       stallTimer.cancel();
--- a/gateway/src/main/java/elmsail/gateway/servers/ConnectionPool.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ConnectionPool.java
@@ -23,12 +23,15 @@
   /** A connect that takes longer fails, and another server is tried. */
   private static final int CONNECT_TIMEOUT_MS = 150;
 
-  /** The same at a server that has failed lately. */
+  /**
+   * The connect timeout for a server whose connections are doubtful, see {@link
+   * ServerHealth#isConnectionDoubtful}.
+   */
   private static final int SUSPECT_CONNECT_TIMEOUT_MS = 80;
 
   /**
-   * An idle connection is used again only after this time, since a server at fault may send an
-   * extra response late.
+   * Minimum idle time before a connection is reused. A faulty server may send an extra response
+   * late, which is detected during this time.
    */
   private static final long REUSE_DELAY_MS = 20;
 
@@ -55,7 +58,7 @@
             .option(ChannelOption.TCP_NODELAY, true)
             // See startConnectTimer.
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 0)
-            // Tells an orderly end from a reset and from a close by this side.
+            // Distinguishes an orderly close by the server from a reset and from a local close.
             .option(ChannelOption.ALLOW_HALF_CLOSURE, true)
             .option(
                 ChannelOption.WRITE_BUFFER_WATER_MARK,
@@ -70,7 +73,7 @@
     return counters;
   }
 
-  /** Keeps no idle connections from here on. */
+  /** From now on, closes connections instead of keeping them idle. */
   void stop() {
     isStopped = true;
   }
@@ -98,12 +101,15 @@
     return Math.max(MIN_CONNECTIONS, cap / Math.max(1, clusterState.view().gateways.size()));
   }
 
-  /** Whether the server has a connection for one more request, or may get one. */
+  /** Whether one more request can be sent to the server, over an idle or a new connection. */
   boolean hasCapacity(Server server) {
     return !server.idleConnections.isEmpty() || server.connectionCount < maxConnections(server);
   }
 
-  /** Sends the attempt's request over an idle or a new connection. Its listener is called later. */
+  /**
+   * Sends the attempt's request over an idle or a new connection. The listener is called later,
+   * never within this call.
+   */
   void send(Server server, Attempt attempt) {
     boolean connectFirst =
         server.health().isConnectionDoubtful(timers.now())
@@ -117,8 +123,8 @@
   }
 
   /**
-   * Takes an idle connection that may carry a request of that id, or null. Expired ones met on the
-   * way are closed.
+   * Removes and returns an idle connection that may carry a request with this id, or returns null.
+   * Unusable connections found during the search are closed.
    */
   private ServerConnection pollReusable(Server server, String requestId) {
     long now = timers.now();
@@ -160,7 +166,7 @@
     connect.channel().closeFuture().addListener(f -> server.connectionCount--);
     startConnectTimer(connect, connectTimeoutMs);
     if (connect.isDone()) {
-      // Not within the call that starts the attempt.
+      // The listener must not be called within the call that starts the attempt.
       timers.execute(() -> onConnectDone(connect, server, connection, attempt));
     } else {
       connect.addListener(
@@ -169,8 +175,9 @@
   }
 
   /**
-   * Closes a connection that has not come about in time, which fails its connect. Not by the
-   * library's own timer, which fires before the sockets are read where this process stood still.
+   * Closes a connection that is not established in time, which fails the connect. Netty's own
+   * connect timeout is not used: after a pause of this process it fires before the sockets are
+   * processed, and so fails connects that have succeeded.
    */
   private void startConnectTimer(ChannelFuture connect, int connectTimeoutMs) {
     Timers.Timer timer =
@@ -189,7 +196,7 @@
     if (!connecting.isSuccess()) {
       connecting.channel().close();
       counters.count(RequestCounters.Event.CONNECT_FAILED);
-      if (!attempt.isFinished()) { // a cancelled attempt says nothing about the server
+      if (!attempt.isFinished()) { // a cancelled attempt is no evidence of a server failure
         server.recordFailure(timers.now());
         attempt.onFailure();
       }
--- a/gateway/src/main/java/elmsail/gateway/servers/DelegatingPeerLoads.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/DelegatingPeerLoads.java
@@ -3,13 +3,15 @@
 import elmsail.gateway.load.PeerLoads;
 import elmsail.gateway.load.ServerLoad;
 
-/** Loads of other gateways from a source that is set after construction; none before. */
+/**
+ * Peer loads from a source that is set after construction. No peer loads are available before that.
+ */
 final class DelegatingPeerLoads implements PeerLoads {
   private PeerLoads delegate = PeerLoads.NONE;
   private Runnable onLoadChanged = () -> {};
 
   /**
-   * Uses this source from here on.
+   * Sets the source of the peer loads.
    *
    * @param newOnLoadChanged runs when this gateway's own load has changed
    */
@@ -18,7 +20,7 @@
     onLoadChanged = newOnLoadChanged;
   }
 
-  /** Says that this gateway's own load has changed. */
+  /** Notifies the listener that this gateway's own load has changed. */
   void notifyLoadChanged() {
     onLoadChanged.run();
   }
--- a/gateway/src/main/java/elmsail/gateway/servers/DemandMeter.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/DemandMeter.java
@@ -10,14 +10,14 @@
 import java.util.Map;
 
 /**
- * Measures what this gateway has open at the services whose number of servers the tier sets: by
- * zone, the requests and items at the servers, and a part of the items that wait here for capacity.
- * Pure.
+ * Measures this gateway's demand by zone for the services whose number of servers is set by fleet
+ * size control: the open requests and batch items at the servers, and a part of the batch items
+ * that wait at this gateway for capacity. Pure functions.
  */
 final class DemandMeter {
   /**
-   * Items are due within several times the time that one runs, so that those that wait need fewer
-   * slots than there are of them.
+   * Slots needed for each waiting item. The deadline of an item is several times its run time, so
+   * that one slot can run several waiting items in turn.
    */
   private static final double SLOTS_PER_WAITING_ITEM = 0.25;
 
@@ -29,8 +29,8 @@
    * The demand by service and zone.
    *
    * @param servers in use
-   * @param waitingItems items by service that wait at this gateway for capacity
-   * @return nothing of services whose number of servers is not set
+   * @param waitingItems number of items by service that wait at this gateway for capacity
+   * @return the demands, without services that have no fleet size in the configuration
    */
   static List<ServiceDemand> measure(
       Collection<Server> servers, RoutingConfig config, Map<String, Integer> waitingItems) {
@@ -59,7 +59,10 @@
     return demand;
   }
 
-  /** Adds what waiting items need to the zones of their service, as equally as it goes. */
+  /**
+   * Distributes the slots that waiting items need over the zones of their service as equally as
+   * possible.
+   */
   private static void addWaitingItems(
       Collection<ServiceDemand> demands, String service, int items) {
     List<ServiceDemand> zones = new ArrayList<>();
--- a/gateway/src/main/java/elmsail/gateway/servers/ErrorBackoff.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ErrorBackoff.java
@@ -2,18 +2,21 @@
 
 /**
  * Outlier ejection of one server for its error responses. An error ejects the server for a time
- * that doubles with each further one. After that time the server is half-open and gets one probe at
- * a time, until a success ends the ejection. Pure; times in ms on the event loop's clock. The
- * scheme is that of a circuit breaker with exponential backoff.
+ * that doubles with each consecutive error. After that time the server is half-open and gets one
+ * probe at a time, until a success ends the ejection. Pure; times in ms on the event loop's clock.
+ * The scheme is that of a circuit breaker with exponential backoff.
  */
 final class ErrorBackoff {
   static final long INITIAL_EJECTION_MS = 1_000;
   static final long MAX_EJECTION_MS = 8_000;
 
-  /** Where no retryable request comes, any request may be the probe after so much more time. */
+  /**
+   * Additional time after which a non-retryable request may be the probe too, in case there are no
+   * retryable requests.
+   */
   static final long NON_RETRYABLE_PROBE_DELAY_MS = 2_000;
 
-  /** An older success says little of the server's present state. */
+  /** Maximum age of a recent success; an older one says little about the server's current state. */
   static final long RECENT_SUCCESS_MS = 1_000;
 
   private static final int MAX_DOUBLINGS = 3;
@@ -30,12 +33,12 @@
     return isEjected;
   }
 
-  /** Errors since the last success; those that come while it is ejected count as one. */
+  /** Number of errors since the last success. Errors during one ejection are not counted. */
   int consecutiveErrors() {
     return consecutiveErrors;
   }
 
-  /** When it was last ejected. */
+  /** When the server was last ejected. */
   long ejectedAt() {
     return ejectedAt;
   }
@@ -77,7 +80,7 @@
   }
 
   /**
-   * Whether a request may be sent to it as a probe.
+   * Whether a request may be sent to the server as a probe.
    *
    * @param retryable whether an error of this request would be retried at another server
    */
@@ -87,12 +90,17 @@
         && now >= (retryable ? probeAt : probeAt + NON_RETRYABLE_PROBE_DELAY_MS);
   }
 
-  /** Whether such a request avoids the server; see {@link #mayProbe}. */
+  /**
+   * Whether such a request must avoid the server because of the ejection; see {@link #mayProbe}.
+   */
   boolean isAvoided(boolean retryable, long now) {
     return isEjected && !mayProbe(retryable, now);
   }
 
-  /** Called for each request that is sent: true if it is the probe of the half-open server. */
+  /**
+   * Called for each request that is sent to the server; returns true if the request becomes the
+   * probe of the half-open server.
+   */
   boolean tryStartProbe(long now) {
     if (!mayProbe(true, now)) {
       return false;
@@ -101,7 +109,7 @@
     return true;
   }
 
-  /** The probe has its response, or ended without one. */
+  /** Called when the response to the probe starts or the probe ends without a response. */
   void endProbe() {
     probing = false;
   }
--- a/gateway/src/main/java/elmsail/gateway/servers/FailureBackoff.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/FailureBackoff.java
@@ -9,7 +9,8 @@
   private static final long MAX_BACKOFF_MS = 3_000;
 
   /**
-   * So many broken responses in a row count as a failure: single ones occur in normal operation.
+   * Number of consecutive broken responses that count as a failure. Single broken responses occur
+   * in normal operation.
    */
   private static final int BROKEN_RESPONSES_PER_FAILURE = 2;
 
@@ -17,7 +18,7 @@
   private long backoffMs;
   private int consecutiveBrokenResponses;
 
-  /** The server responded: ends the backoff. */
+  /** Records a response of the server, which ends the backoff. */
   void recordResponse() {
     consecutiveBrokenResponses = 0;
     backoffMs = 0;
@@ -32,7 +33,7 @@
     }
   }
 
-  /** Records a response that broke off; true if this counts as a failure. */
+  /** Records an incomplete response; returns true if this counts as a failure. */
   boolean recordBrokenResponse() {
     consecutiveBrokenResponses++;
     return consecutiveBrokenResponses >= BROKEN_RESPONSES_PER_FAILURE;
@@ -43,7 +44,7 @@
     return now < avoidedUntil;
   }
 
-  /** Whether it has failed since its last response. */
+  /** Whether the server has failed since its last response. */
   boolean hasFailedSinceResponse() {
     return backoffMs > 0;
   }
--- a/gateway/src/main/java/elmsail/gateway/servers/ItemAdmission.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ItemAdmission.java
@@ -1,43 +1,47 @@
 package elmsail.gateway.servers;
 
 /**
- * Admission control for batch items: how many this gateway may start at one server now, in slots
- * that the more urgent client requests leave free. Pure functions, safe on any thread.
+ * Admission control for batch items: how many items this gateway may start at one server now. Items
+ * use only slots that client requests, which have a higher priority, leave free. Pure functions,
+ * safe on any thread.
  */
 final class ItemAdmission {
   /**
-   * Items start while at most this share of the slots is taken, by the load that the server
+   * Maximum share of occupied slots up to which items start, if the load is known from the server's
    * reports.
    */
   private static final double MAX_UTILIZATION_REPORTED = 0.7;
 
   /**
-   * The same where the load of all gateways is known at once: few items then start beyond it, and a
-   * client request finds a free slot.
+   * The same limit if the load of all gateways is known. This load is up to date, so that few items
+   * start beyond the limit and client requests find a free slot.
    */
   private static final double MAX_UTILIZATION_SHARED = 0.9;
 
-  /** The same at a server of another zone, whose load reaches this gateway later. */
+  /** The same limit for a server in another zone, whose load is received later. */
   private static final double MAX_UTILIZATION_OTHER_ZONE = 0.5;
 
   /**
-   * With more prompt tokens waiting for prefill an item would delay them, and the tokens of what
-   * runs.
+   * Maximum number of prompt tokens that wait for prefill. With more, another item would delay
+   * these prompts and the tokens of running requests.
    */
   private static final int MAX_PENDING_PREFILL_TOKENS = 2_500;
 
-  /** Share of the slots for the items of one gateway: batch jobs run at few gateways at a time. */
+  /**
+   * Maximum share of a server's slots for the items of one gateway. Batch jobs run at few gateways
+   * at a time.
+   */
   private static final double MAX_SHARE_PER_GATEWAY = 0.5;
 
   private static final int MIN_ITEMS_PER_GATEWAY = 2;
 
   /**
-   * Prompts that start together are read between the tokens of all other requests, which are then
-   * late.
+   * Minimum time between two item starts at a server. Prefill is interleaved with token generation,
+   * so that prompts that start together delay the tokens of all other requests.
    */
   private static final long MIN_START_INTERVAL_MS = 80;
 
-  /** With more requests queued nothing of lower priority is added. */
+  /** No item starts if the estimated number of queued requests is at least this. */
   private static final double MAX_QUEUED = 0.5;
 
   private ItemAdmission() {}
@@ -45,13 +49,13 @@
   /**
    * State of one server.
    *
-   * @param maxConcurrency its slots
+   * @param maxConcurrency the server's slots
    * @param running estimate of running requests and items of all gateways
-   * @param queued estimate of queued ones
-   * @param ownItems this gateway's items there
-   * @param sinceLastItemMs since this gateway last started one there
+   * @param queued estimate of queued requests and items of all gateways
+   * @param ownItems this gateway's open items at the server
+   * @param sinceLastItemMs time since this gateway last started an item at the server
    * @param loadSource where the estimates come from
-   * @param pendingPrefillTokens prompt tokens that wait for prefill there
+   * @param pendingPrefillTokens prompt tokens that wait for prefill at the server
    */
   record ServerState(
       int maxConcurrency,
@@ -72,7 +76,9 @@
     SHARED_OTHER_ZONE
   }
 
-  /** How many more items may start; several gateways may start so many at the same time. */
+  /**
+   * How many more items this gateway may start. Other gateways may start as many at the same time.
+   */
   static int availableCapacity(ServerState server) {
     boolean shared = server.loadSource() != LoadSource.REPORTED;
     boolean prefillBacklogged =
--- a/gateway/src/main/java/elmsail/gateway/servers/KeepAlive.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/KeepAlive.java
@@ -3,17 +3,17 @@
 import elmsail.gateway.http.Headers;
 
 /**
- * For how long an idle connection may be used again, by the timeout that its server announced.
- * Times in ms on the event loop's clock; owned by that loop.
+ * Decides how long an idle connection may be reused, based on the timeout that its server
+ * announced. Times in ms on the event loop's clock; owned by that loop.
  */
 final class KeepAlive {
-  /** Without an announcement: the shortest timeout that can be announced, in ms. */
+  /** Timeout in ms if the server announces none: the shortest one that can be announced. */
   private static final long DEFAULT_TIMEOUT_MS = 1_000;
 
-  /** A connection expires here so long before its server closes it, at most. */
+  /** Maximum time by which a connection expires here before its server closes it. */
   private static final long MAX_EXPIRY_MARGIN_MS = 1_000;
 
-  /** The same for short timeouts, as a part of them. */
+  /** The same margin for short timeouts, as a fraction of the timeout. */
   private static final double EXPIRY_MARGIN_RATIO = 0.4;
 
   private static final String TIMEOUT = "timeout=";
@@ -21,12 +21,12 @@
   private long timeoutMs = DEFAULT_TIMEOUT_MS;
   private long idleSince;
 
-  /** Takes the {@code Keep-Alive} header of a response, or null if there is none. */
+  /** Records the {@code Keep-Alive} header of a response, which is null if there is none. */
   void onResponse(String header) {
     timeoutMs = header == null ? DEFAULT_TIMEOUT_MS : timeoutMs(header);
   }
 
-  /** The connection is idle from here on. */
+  /** Records that the connection is idle from now on. */
   void startIdle(long now) {
     idleSince = now;
   }
@@ -42,7 +42,8 @@
   }
 
   /**
-   * The timeout that a {@code Keep-Alive} header announces, in ms; the default where it has none.
+   * The timeout that a {@code Keep-Alive} header announces, in ms; the default if the header has
+   * none.
    */
   static long timeoutMs(String header) {
     int at = header.indexOf(TIMEOUT);
--- a/gateway/src/main/java/elmsail/gateway/servers/OutgoingRequest.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/OutgoingRequest.java
@@ -7,21 +7,22 @@
   /** The value of {@code Elmsail-Request-Id}. */
   String id();
 
-  /** Its prompt; servers with a cached prefix of it are preferred. */
+  /** The prompt of the request; servers that have a prefix of it cached are preferred. */
   Prompt prompt();
 
-  /** Whether it is an item of a batch job. */
+  /** Whether the request is an item of a batch job. */
   boolean isBatchItem();
 
-  /** Its deadline in ms on the loop's clock, or {@code Long.MAX_VALUE} for none. */
+  /** The deadline in ms on the event loop's clock, or {@code Long.MAX_VALUE} for none. */
   default long deadlineAt() {
     return Long.MAX_VALUE;
   }
 
   /**
-   * The message to be written; created just before that, so that the remaining time in it is right.
+   * Creates the HTTP message. Called just before the message is written, so that the remaining time
+   * in its headers is accurate.
    *
-   * @param serverId the server it is meant for, sent as {@code Elmsail-Expect-Server}
+   * @param serverId the intended server, sent as {@code Elmsail-Expect-Server}
    */
   FullHttpRequest toHttpRequest(String serverId);
 }
--- a/gateway/src/main/java/elmsail/gateway/servers/OutlierDetector.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/OutlierDetector.java
@@ -11,7 +11,7 @@
  * loop.
  */
 final class OutlierDetector {
-  /** One of so many servers may be ejected. */
+  /** One server may be ejected for each group of this many servers. */
   private static final int SERVERS_PER_EJECTION = 2;
 
   /** Order in which ejections end early: fewest errors first, then the longest ejected. */
@@ -34,7 +34,7 @@
     enforceEjectionLimit();
   }
 
-  /** Records an error response; true if the server is ejected by it. */
+  /** Records an error response; returns true if the server is ejected because of it. */
   boolean recordError(ErrorBackoff server, long now) {
     if (!server.recordError(now)) {
       return false;
--- a/gateway/src/main/java/elmsail/gateway/servers/PrefixCacheEstimate.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/PrefixCacheEstimate.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * Estimate of one server's prefix cache: the prompt segments that this gateway sent there, least
- * recently used ones evicted first. Owned by the gateway's event loop.
+ * Estimate of one server's prefix cache: the prompt segments that this gateway sent to the server,
+ * with least recently used eviction. Owned by the gateway's event loop.
  */
 final class PrefixCacheEstimate {
   private static final int MAX_SEGMENTS = 4_096;
@@ -27,7 +27,7 @@
     maxTokens = tokens;
   }
 
-  /** How many of the prompt's leading tokens the server has cached, if it evicted nothing else. */
+  /** How many of the prompt's leading tokens the server has cached according to this estimate. */
   int cachedTokens(Prompt prompt) {
     int sum = 0;
     for (int i = 0;
@@ -38,10 +38,9 @@
     return sum;
   }
 
-  /** Records that the server reads this prompt. */
+  /** Records that this prompt is sent to the server. */
   void record(Prompt prompt) {
-    // Last segments first: of two segments unused for equally long, the later one is evicted before
-    // its own prefix.
+    // Last segment first, so that a segment becomes older than its prefix and is evicted before it.
     for (int i = prompt.segmentKeys().length - 1; i >= 0; i--) {
       Integer before = tokensBySegment.put(prompt.segmentKeys()[i], prompt.segmentTokens()[i]);
       totalTokens += prompt.segmentTokens()[i] - (before == null ? 0 : before);
--- a/gateway/src/main/java/elmsail/gateway/servers/Prompt.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/Prompt.java
@@ -2,11 +2,11 @@
 
 /**
  * The prompt of a request as a chain of segments. The key of a segment covers all segments before
- * it as well, since a cached segment is of use only behind the same prefix.
+ * it as well, because a cached segment can be used only after the same prefix.
  *
- * @param segmentKeys one for each segment
- * @param segmentTokens of each segment
- * @param totalTokens of the whole prompt, at least the sum of the segments
+ * @param segmentKeys the key of each segment
+ * @param segmentTokens the number of tokens of each segment
+ * @param totalTokens the number of tokens of the whole prompt, at least the sum of the segments
  */
 public record Prompt(long[] segmentKeys, int[] segmentTokens, int totalTokens) {
   private static final int MAX_SEGMENTS = 64;
@@ -46,7 +46,8 @@
           key = mix(key * 31 + segments.charAt(c));
         }
       }
-      key = mix(key + 0x9e3779b97f4a7c15L); // where one part ends matters
+      key =
+          mix(key + 0x9e3779b97f4a7c15L); // the position of the segment boundary is part of the key
       keys[i] = key;
       tokens[i] = colon < to ? parseTokens(segments, colon + 1, to) : 0;
       sum += tokens[i];
@@ -60,7 +61,7 @@
     return segmentKeys.length > 1 ? segmentKeys[segmentKeys.length - 2] : 0;
   }
 
-  /** The tokens of that prefix. */
+  /** The number of tokens of the prefix that other prompts may share. */
   int sharedPrefixTokens() {
     int sum = 0;
     for (int i = 0; i + 1 < segmentTokens.length; i++) {
--- a/gateway/src/main/java/elmsail/gateway/servers/PromptAffinity.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/PromptAffinity.java
@@ -3,22 +3,22 @@
 import java.util.List;
 
 /**
- * Affinity of prompts to servers by rendezvous hashing: all gateways rank the servers alike for the
- * same shared prefix, so that prompts which share it meet where it is cached. Owned by the
- * gateway's event loop.
+ * Affinity of prompts to servers by rendezvous hashing: all gateways compute the same ranks of
+ * servers for the same shared prefix, so that prompts with this prefix are sent to the server that
+ * has it cached. Owned by the gateway's event loop.
  */
 final class PromptAffinity {
   private final String zone;
   private long orderSeed;
 
-  /** Affinity as seen by a gateway of that zone. */
+  /** Affinity for a gateway in the given zone. */
   PromptAffinity(String zone) {
     this.zone = zone;
   }
 
   /**
-   * The rank of each server for the prompt, highest first; a prompt without a shared prefix gets a
-   * different order each time.
+   * The rank of each server for the prompt, in the order of the list; the highest rank is
+   * preferred. For a prompt without a shared prefix the ranks differ at each call.
    */
   long[] ranks(List<Server> open, Prompt prompt) {
     long key = prompt.sharedPrefixKey() == 0 ? Prompt.mix(++orderSeed) : prompt.sharedPrefixKey();
@@ -30,8 +30,9 @@
   }
 
   /**
-   * The server that the prompt's shared prefix belongs to: the same one for all gateways of a zone
-   * while the list is unchanged. Servers of the own zone come first. Null without a shared prefix.
+   * The server with affinity to the prompt's shared prefix, or null without a shared prefix. All
+   * gateways of a zone choose the same server for the same list of servers. Servers in the
+   * gateway's own zone take precedence.
    */
   Server affinityServer(List<Server> open, Prompt prompt) {
     long key = prompt.sharedPrefixKey();
--- a/gateway/src/main/java/elmsail/gateway/servers/ReportedLoad.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ReportedLoad.java
@@ -1,20 +1,23 @@
 package elmsail.gateway.servers;
 
 /**
- * The load that a server last reported in a response, {@code RUNNING,WAITING,SLOTS}. It counts less
- * the older it is. Pure; times in ms on the event loop's clock.
+ * The load that a server last reported in a response, {@code RUNNING,WAITING,SLOTS}. The weight of
+ * a report decreases with its age. Pure; times in ms on the event loop's clock.
  */
 final class ReportedLoad {
-  /** The reported number of running requests counts half after this time. */
+  /** Age at which the reported number of running requests has half its weight. */
   private static final double RUNNING_HALF_LIFE_MS = 700;
 
-  /** The same for queued ones: a queue of prompts drains faster. */
+  /** The same for queued requests: a queue of prompts drains faster. */
   private static final double QUEUED_HALF_LIFE_MS = 200;
 
-  /** An older report says nothing of free slots. */
+  /** Maximum age of a report from which free slots are inferred. */
   private static final long IDLE_REPORT_VALID_MS = 1_000;
 
-  /** Below this share of its slots a server has free ones for all that come. */
+  /**
+   * Share of occupied slots below which a server is assumed to have a free slot for each new
+   * request.
+   */
   private static final double MAX_IDLE_UTILIZATION = 0.5;
 
   private boolean isKnown;
@@ -24,9 +27,10 @@
   private int ownOpenAtReport;
 
   /**
-   * Takes the value of a load header; a malformed one counts as no report.
+   * Records the value of a load header. A header with too few fields is ignored; after one with a
+   * malformed number the load counts as unknown.
    *
-   * @param ownOpen this gateway's open requests there
+   * @param ownOpen this gateway's open requests at the server
    */
   void update(String value, int ownOpen, long now) {
     int first = value.indexOf(',');
@@ -45,7 +49,7 @@
     }
   }
 
-  /** Whether the server reports its load. */
+  /** Whether the load is known from a report. */
   boolean isKnown() {
     return isKnown;
   }
@@ -61,7 +65,7 @@
     return queued * weight(now, QUEUED_HALF_LIFE_MS);
   }
 
-  /** Whether the server reported a moment ago that nothing is queued and many slots are free. */
+  /** Whether a recent report says that nothing is queued and many slots are free. */
   boolean isIdle(int maxConcurrency, long now) {
     return isKnown
         && now - reportedAt <= IDLE_REPORT_VALID_MS
--- a/gateway/src/main/java/elmsail/gateway/servers/ResponseClass.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ResponseClass.java
@@ -1,22 +1,22 @@
 package elmsail.gateway.servers;
 
-/** What the status of a response says of the server that sent it. */
+/** What the status of a response indicates about the health of the server. */
 enum ResponseClass {
-  /** The server works. */
+  /** The server works correctly. */
   SUCCESS,
-  /** The server fails at requests that it accepts. */
+  /** The server fails to process requests that it accepts. */
   SERVER_ERROR,
-  /** Nothing: the request was invalid, was not run, or had too little time. */
+  /** No indication: the request was invalid, was not run, or had too little time left. */
   NEUTRAL;
 
-  /** A 504 with less time left than this is due to the deadline. */
+  /** A 504 response with at most this much time left is attributed to the request's deadline. */
   static final long DEADLINE_SLACK_MS = 100;
 
   /**
    * Classifies the head of a response.
    *
-   * @param notRun whether it has the header {@code Elmsail-Not-Run}
-   * @param remainingMs until the request's deadline
+   * @param notRun whether the response has the header {@code Elmsail-Not-Run}
+   * @param remainingMs remaining time until the request's deadline
    */
   static ResponseClass of(int status, boolean notRun, long remainingMs) {
     if (notRun) {
--- a/gateway/src/main/java/elmsail/gateway/servers/RouteRoundRobins.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/RouteRoundRobins.java
@@ -6,11 +6,14 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The round robin of each route; it starts anew when the route's shares have changed. Owned by the
- * gateway's event loop.
+ * The weighted round robin of each route. It is created anew when the weights of the route's
+ * services change. Owned by the gateway's event loop.
  */
 final class RouteRoundRobins {
-  /** Beyond this the round robin of the least recently used route is dropped. */
+  /**
+   * Maximum number of routes; beyond it the round robin of the least recently used route is
+   * removed.
+   */
   private static final int MAX_ROUTES = 4_096;
 
   private final RandomGenerator random;
@@ -28,7 +31,7 @@
     this.random = random;
   }
 
-  /** The round robin of a route under its present shares. */
+  /** The round robin of a route with its current weights. */
   SmoothWeightedRoundRobin of(Route route) {
     SmoothWeightedRoundRobin roundRobin = byRoute.get(route.name());
     if (roundRobin == null || !roundRobin.hasShares(route.weightedServices())) {
--- a/gateway/src/main/java/elmsail/gateway/servers/Server.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/Server.java
@@ -23,10 +23,16 @@
   private final ServerHealth health;
   private final ServerLoadTracker load;
 
-  /** Connections without a request, the longest idle first; kept by the connections themselves. */
+  /**
+   * Connections without a request, the longest idle first; maintained by the connections
+   * themselves.
+   */
   final ArrayDeque<ServerConnection> idleConnections = new ArrayDeque<>();
 
-  /** Connections that are connecting, in use or idle; kept by {@link ConnectionPool}. */
+  /**
+   * Number of connections that are connecting, in use or idle; maintained by {@link
+   * ConnectionPool}.
+   */
   int connectionCount;
 
   private boolean isRemoved;
@@ -39,12 +45,12 @@
   /**
    * A server without open attempts or connections.
    *
-   * @param sameZone whether it is in this gateway's zone
-   * @param cacheTokens prompt tokens that its prefix cache is assumed to hold
-   * @param outliers of its service
-   * @param slotHoldTime of its service
-   * @param peerLoads what all gateways have open
-   * @param onLoadChanged runs when this gateway's load there has changed
+   * @param sameZone whether the server is in this gateway's zone
+   * @param cacheTokens assumed capacity of the server's prefix cache, in prompt tokens
+   * @param outliers outlier detection of the server's service
+   * @param slotHoldTime slot hold time of the server's service
+   * @param peerLoads loads of all gateways
+   * @param onLoadChanged runs when this gateway's load at the server has changed
    */
   Server(
       ServerEntry entry,
@@ -60,12 +66,12 @@
     load = new ServerLoadTracker(entry, sameZone, slotHoldTime, peerLoads, onLoadChanged);
   }
 
-  /** Its entry in the current server list. */
+  /** The server's entry in the server list. */
   public ServerEntry entry() {
     return entry;
   }
 
-  /** Its id in the server list. */
+  /** The server's id in the server list. */
   public String id() {
     return entry.id();
   }
@@ -82,12 +88,12 @@
     return load;
   }
 
-  /** Whether it is draining or no longer listed: no new request is sent to it. */
+  /** Whether the server is draining or no longer listed, so that no new request is sent to it. */
   public boolean isRemoved() {
     return isRemoved;
   }
 
-  /** Takes it out of use; open attempts continue. */
+  /** Marks the server as removed; open attempts continue. */
   void markRemoved() {
     isRemoved = true;
     health.stopOutlierDetection();
@@ -98,25 +104,28 @@
     return new ArrayList<>(openAttempts);
   }
 
-  /** How many of this gateway's attempts are open there, batch items included. */
+  /** Number of this gateway's open attempts at the server, including batch items. */
   public int openAttemptCount() {
     return openAttempts.size();
   }
 
-  /** Registers an attempt that starts; true if it is the probe of a half-open server. */
+  /**
+   * Registers an attempt that starts; returns true if the attempt is the probe of a half-open
+   * server.
+   */
   boolean onAttemptStarted(Attempt attempt) {
     openAttempts.add(attempt);
     load.onAttemptStarted(attempt);
     return health.tryStartProbe(attempt);
   }
 
-  /** The first byte of the attempt's response came. */
+  /** Called when the first byte of the attempt's response is received. */
   void onResponseStarted(Attempt attempt) {
     load.onResponseStarted(attempt);
     health.endProbe(attempt);
   }
 
-  /** The attempt ended, with or without a response. */
+  /** Called when the attempt has ended, with or without a response. */
   void onAttemptEnded(Attempt attempt) {
     health.endProbe(attempt);
     if (openAttempts.remove(attempt)) {
@@ -126,7 +135,8 @@
 
   /**
    * Records a failed connect or a request without a response in time. Idle connections may be dead
-   * as well: they are closed, so that the next request finds out before it is sent.
+   * as well. They are closed, so that the next request opens a new connection and a failed connect
+   * is detected before the request is sent.
    */
   void recordFailure(long now) {
     health.recordFailure(now);
@@ -135,24 +145,28 @@
     }
   }
 
-  /** Records a connection that broke under a request; several in a row count as a failure. */
+  /**
+   * Records a connection that broke during a request; several consecutive ones count as a failure.
+   */
   void recordBrokenResponse(long now) {
     if (health.recordBrokenResponse()) {
       recordFailure(now);
     }
   }
 
-  /** Whether it has sent nothing for so long that open requests will hardly be answered. */
+  /**
+   * Whether the server has sent nothing for so long that responses to open requests are unlikely.
+   */
   public boolean isUnresponsive(long now) {
     return health.isUnresponsive(now);
   }
 
-  /** Whether it reported a moment ago that nothing is queued and many slots are free. */
+  /** Whether the server recently reported that nothing is queued and many slots are free. */
   public boolean reportsIdle(long now) {
     return load.reportsIdle(now);
   }
 
-  /** How many batch items may be started there now; 0 while it is unhealthy. */
+  /** How many batch items may be started at the server now; 0 while it is unhealthy. */
   public int availableItemCapacity(long now) {
     if (isRemoved
         || health.isMisdirected()
--- a/gateway/src/main/java/elmsail/gateway/servers/ServerConnection.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ServerConnection.java
@@ -21,9 +21,9 @@
 import java.io.IOException;
 
 /**
- * One connection to a server, with at most one request at a time. Anything received that is not the
- * response to that request, complete and in its place, closes the connection. All methods run on
- * the channel's event loop.
+ * One connection to a server, with at most one request at a time. Any received data that is not
+ * part of the one complete response to this request closes the connection. All methods run on the
+ * channel's event loop.
  */
 final class ServerConnection extends SimpleChannelInboundHandler<HttpObject> {
   private final ConnectionPool pool;
@@ -36,20 +36,25 @@
   /** The attempt whose response is not complete yet, or null. */
   private Attempt current;
 
-  /** Of the last request, whose response may come a second time. */
+  /** Id of the last request, whose response may be sent a second time by a faulty server. */
   private String lastRequestId;
 
   private boolean inInformationalResponse;
   private boolean inResponse;
   private long responseStartedAt;
 
-  /** Whether the connection may be used again after the present response. */
+  /** Whether the connection may be reused after the current response. */
   private boolean reusable;
 
-  /** The response has neither a length nor chunks: it ends with the connection. */
+  /**
+   * Whether the response has neither a length nor chunks, so that it ends when the server closes
+   * the connection.
+   */
   private boolean closeDelimited;
 
-  /** The response is complete, but what was read together with it has not been looked at. */
+  /**
+   * Whether the response is complete but bytes read together with it may still have to be decoded.
+   */
   private boolean responseComplete;
 
   ServerConnection(ConnectionPool pool, Server server) {
@@ -74,9 +79,9 @@
   }
 
   /**
-   * Whether the last request had this id: a second response to it could be taken for the response
-   * to the next one. A second response to an earlier request came before the last response, and
-   * closed the connection.
+   * Whether the last request had this id. A second response to the last request would be mistaken
+   * for the response to a new request with the same id. A second response to an earlier request
+   * would have been received before the last response and would have closed the connection.
    */
   boolean lastCarried(String requestId) {
     return requestId.equals(lastRequestId);
@@ -95,7 +100,7 @@
     channel.close();
   }
 
-  /** Writes the attempt's request, which counts as sent from here on. */
+  /** Writes the attempt's request, which counts as sent from now on. */
   void send(Attempt attempt) {
     current = attempt;
     lastRequestId = attempt.request().id();
@@ -107,7 +112,7 @@
     decoder.expectHeadResponse(request.method().equals(HttpMethod.HEAD));
     ChannelFuture write = channel.writeAndFlush(request);
     if (write.isDone() && !write.isSuccess()) {
-      // Not within the call that starts the attempt.
+      // The listener must not be called within the call that starts the attempt.
       pool.timers().execute(() -> onWriteFailed(attempt));
     } else {
       write.addListener(
@@ -145,7 +150,7 @@
     }
   }
 
-  /** False if the connection was closed by it. */
+  /** Handles the head of a response; returns false if the connection was closed because of it. */
   private boolean onHead(HttpResponse head) {
     HttpResponseStatus status = head.status();
     inInformationalResponse = status.codeClass() == HttpStatusClass.INFORMATIONAL;
@@ -233,7 +238,10 @@
     attempt.onComplete();
   }
 
-  /** The connection is idle only once all that was read together with the response is handled. */
+  /**
+   * The connection becomes idle only after all bytes that were read together with the response are
+   * handled.
+   */
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
     if (responseComplete && !decoder.isInsideMessage()) {
@@ -245,7 +253,10 @@
     ctx.fireChannelReadComplete();
   }
 
-  /** Makes the connection idle, once the last request's body is written completely. */
+  /**
+   * Makes the connection idle, at the latest when the last request's body is completely written, or
+   * closes it.
+   */
   private void release() {
     if (!channel.isActive() || !pool.keepsConnections(server)) {
       channel.close();
@@ -271,7 +282,7 @@
     ctx.fireChannelInactive();
   }
 
-  /** A connection reset, or a defect of the gateway: the connection cannot be used any more. */
+  /** Handles a connection reset or an internal error of the gateway; the connection is closed. */
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
     fail(
--- a/gateway/src/main/java/elmsail/gateway/servers/ServerHealth.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ServerHealth.java
@@ -3,23 +3,23 @@
 import java.util.Collection;
 
 /**
- * Health of one server as this gateway observes it, without health checks of its own: connection
- * failures (backoff), error responses (outlier ejection), silence while requests are open, and
- * whether another server answers at its address. Owned by the gateway's event loop; all times in ms
- * on that loop's monotonic clock.
+ * Health of one server as this gateway observes it, without active health checks: connection
+ * failures (backoff), error responses (outlier ejection), inactivity while requests are open, and
+ * responses of another server at the address. Owned by the gateway's event loop; all times in ms on
+ * that loop's monotonic clock.
  */
 final class ServerHealth {
-  /** A server with open requests that sent nothing for longer than this is suspect. */
+  /** A server with open requests that has sent nothing for longer than this is suspect. */
   static final long SUSPECT_AFTER_MS = 450;
 
-  /** After this silence retryable requests leave the server. */
+  /** After this time without received bytes, retryable requests are moved to another server. */
   static final long UNRESPONSIVE_AFTER_MS = 800;
 
   private final OutlierDetector outliers;
   private final ErrorBackoff errors;
   private final FailureBackoff failures = new FailureBackoff();
 
-  /** Oldest first; the server's own collection, which it changes. */
+  /** The open attempts, oldest first; a live collection that is modified by {@link Server}. */
   private final Collection<Attempt> openAttempts;
 
   /** The attempt that probes the half-open server, or null. */
@@ -34,7 +34,7 @@
     errors = outliers.addServer();
   }
 
-  /** Ends outlier detection for this server, which is no longer listed. */
+  /** Ends outlier detection for this server because it is no longer listed. */
   void stopOutlierDetection() {
     outliers.removeServer(errors);
   }
@@ -55,7 +55,9 @@
     errors.recordSuccess(now);
   }
 
-  /** Records an error response of the server; true if it ejects the server. */
+  /**
+   * Records an error response of the server; returns true if the server is ejected because of it.
+   */
   boolean recordError(long now) {
     return outliers.recordError(errors, now);
   }
@@ -65,29 +67,31 @@
     failures.recordFailure(now);
   }
 
-  /** Records a connection that broke under a request; true if this counts as a failure. */
+  /** Records a connection that broke during a request; returns true if this counts as a failure. */
   boolean recordBrokenResponse() {
     return failures.recordBrokenResponse();
   }
 
-  /** Records that another server answers at this address; no further request is sent to it. */
+  /**
+   * Records that another server responds at this address; no further request is sent to the server.
+   */
   void markMisdirected() {
     isMisdirected = true;
   }
 
-  /** Whether another server answers at this address. */
+  /** Whether another server responds at this address. */
   boolean isMisdirected() {
     return isMisdirected;
   }
 
-  /** Makes the attempt the probe of a half-open server; false if none is due. */
+  /** Makes the attempt the probe of a half-open server; returns false if no probe is due. */
   boolean tryStartProbe(Attempt attempt) {
     boolean isProbe = errors.tryStartProbe(attempt.startedAt());
     probe = isProbe ? attempt : probe;
     return isProbe;
   }
 
-  /** Ends the probe if it is this attempt. */
+  /** Ends the probe if this attempt is the probe. */
   void endProbe(Attempt attempt) {
     if (attempt == probe) {
       probe = null;
@@ -100,7 +104,7 @@
     return errors.mayProbe(true, now);
   }
 
-  /** Whether the last responses were successes and one of them is recent. */
+  /** Whether the server has returned no error since its last success and this success is recent. */
   boolean servedRecently(long now) {
     return errors.servedRecently(now);
   }
@@ -111,7 +115,7 @@
   }
 
   /**
-   * Whether such a request avoids the server because it is ejected.
+   * Whether such a request must avoid the server because it is ejected.
    *
    * @param retryable whether an error of the server would be retried elsewhere
    */
@@ -119,22 +123,30 @@
     return errors.isAvoided(retryable, now);
   }
 
-  /** Whether it is used only where no other server is left: it failed lately or is silent. */
+  /**
+   * Whether the server is used only if there is no other, because it failed recently or is
+   * inactive.
+   */
   boolean isSuspect(long now) {
     return failures.isAvoided(now) || inactivityMs(now) > SUSPECT_AFTER_MS;
   }
 
-  /** Whether an idle connection may be dead, so that a new one is opened first. */
+  /** Whether idle connections may be dead, so that a new connection is preferred. */
   boolean isConnectionDoubtful(long now) {
     return failures.hasFailedSinceResponse() || inactivityMs(now) > SUSPECT_AFTER_MS;
   }
 
-  /** Whether it has sent nothing for so long that open requests will hardly be answered. */
+  /**
+   * Whether the server has sent nothing for so long that responses to open requests are unlikely.
+   */
   boolean isUnresponsive(long now) {
     return inactivityMs(now) > UNRESPONSIVE_AFTER_MS;
   }
 
-  /** Time without any bytes since the oldest open request was sent, in ms; 0 with none open. */
+  /**
+   * Time without received bytes while the oldest sent request has been open, in ms; 0 if none is
+   * open.
+   */
   private long inactivityMs(long now) {
     for (Attempt attempt : openAttempts) {
       if (attempt.isSent()) {
--- a/gateway/src/main/java/elmsail/gateway/servers/ServerLoadTracker.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ServerLoadTracker.java
@@ -5,9 +5,9 @@
 import elmsail.gateway.load.ServerLoad;
 
 /**
- * Load of one server: this gateway's own open attempts, combined with what the server reports in
- * its responses or, where it reports nothing, with what the other gateways have open there. Owned
- * by the gateway's event loop.
+ * Load of one server: this gateway's own open attempts, combined with the load that the server
+ * reports in its responses or, if it reports none, with the open requests of the other gateways at
+ * the server. Owned by the gateway's event loop.
  */
 final class ServerLoadTracker {
   private final ServerEntry entry;
@@ -22,11 +22,11 @@
   private int ownPendingPrefillTokens;
 
   /**
-   * Starts with nothing open.
+   * Creates a tracker without open attempts.
    *
    * @param sameZone whether the server is in this gateway's zone
    * @param slotHoldTime shared by all servers of the service
-   * @param peerLoads what all gateways have open
+   * @param peerLoads loads of all gateways
    * @param onLoadChanged runs after each change of this gateway's own load at a server that does
    *     not report its load itself
    */
@@ -54,7 +54,10 @@
     notifyLoadChanged();
   }
 
-  /** The first byte of the attempt's response came: its prompt has been read. */
+  /**
+   * Called when the first byte of the attempt's response is received: the server has read the
+   * prompt.
+   */
   void onResponseStarted(Attempt attempt) {
     ownPendingPrefillTokens -= uncachedTokens(attempt);
     notifyLoadChanged();
@@ -80,7 +83,7 @@
   }
 
   /**
-   * Records the value of a load header, {@code RUNNING,WAITING,SLOTS}; malformed ones are ignored.
+   * Records the value of a load header, {@code RUNNING,WAITING,SLOTS}; malformed ones are not used.
    */
   void recordReport(String headerValue, long now) {
     reportedLoad.update(headerValue, openAttempts, now);
@@ -89,7 +92,7 @@
   /**
    * Records a complete response.
    *
-   * @param holdTimeMs from its first byte to its last
+   * @param holdTimeMs time from the first byte of the response to the last
    */
   void recordSlotHoldTime(long holdTimeMs) {
     slotHoldTime.observe(holdTimeMs);
@@ -100,32 +103,35 @@
     return openItems;
   }
 
-  /** What this gateway has open there. */
+  /** This gateway's load at the server. */
   ServerLoad ownLoad() {
     return new ServerLoad(openAttempts - openItems, openItems, ownPendingPrefillTokens);
   }
 
-  /** Whether the server reports its load; what other gateways have open is not used then. */
+  /** Whether the server reports its load; the loads of other gateways are not used in this case. */
   boolean reportsLoad() {
     return reportedLoad.isKnown();
   }
 
-  /** Whether it reported a moment ago that nothing is queued and many slots are free. */
+  /** Whether the server recently reported that nothing is queued and many slots are free. */
   boolean reportsIdle(long now) {
     return reportedLoad.isIdle(entry.maxConcurrency(), now);
   }
 
-  /** What all known gateways have open there; at least this gateway's own load. */
+  /** The load of all known gateways at the server, at least this gateway's own load. */
   ServerLoad sharedLoad() {
     return ownLoad().max(peerLoads.loadOf(entry.id()));
   }
 
-  /** Prompt tokens of open requests without a response, as far as they are known. */
+  /**
+   * Prompt tokens of open requests without a response; only this gateway's if the server reports
+   * its load.
+   */
   int pendingPrefillTokens() {
     return reportsLoad() ? ownPendingPrefillTokens : sharedLoad().pendingPrefillTokens();
   }
 
-  /** Estimate of the requests of all gateways that run there. */
+  /** Estimate of the running requests of all gateways at the server. */
   double runningRequests(long now) {
     if (!reportsLoad()) {
       int open = sharedLoad().open();
@@ -134,7 +140,7 @@
     return reportedLoad.running(openAttempts, now);
   }
 
-  /** Estimate of the requests of all gateways that are queued there. */
+  /** Estimate of the queued requests of all gateways at the server. */
   double queuedRequests(long now) {
     if (!reportsLoad()) {
       return queueLengthForNextRequest(sharedLoad().open());
@@ -142,20 +148,23 @@
     return reportedLoad.queued(now);
   }
 
-  /** How many of the open requests one more would wait for. */
+  /** How many of the open requests must end before a new request gets a slot. */
   private int queueLengthForNextRequest(int open) {
     boolean full = entry.maxConcurrency() > 0 && open >= entry.maxConcurrency();
     return full ? open - entry.maxConcurrency() + 1 : 0;
   }
 
-  /** Mean time between two slots that become free while the server is full, in ms. */
+  /** Mean time between two slot releases while the server is full, in ms. */
   double slotReleaseIntervalMs() {
     return reportsLoad()
         ? SlotHoldTime.DEFAULT_RELEASE_INTERVAL_MS
         : slotHoldTime.releaseIntervalMs(entry.maxConcurrency());
   }
 
-  /** How many batch items may be started there now by load alone; see {@link ItemAdmission}. */
+  /**
+   * How many batch items the load allows to be started at the server now; see {@link
+   * ItemAdmission}.
+   */
   int availableItemCapacity(long now) {
     return ItemAdmission.availableCapacity(
         new ItemAdmission.ServerState(
--- a/gateway/src/main/java/elmsail/gateway/servers/ServerPicker.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ServerPicker.java
@@ -23,15 +23,18 @@
   private final RouteRoundRobins roundRobins;
   private final PromptAffinity affinity;
 
-  /** Rotates the server that is compared first, so that equal costs are spread. */
+  /**
+   * Rotates the server that is compared first, so that requests are spread over servers of equal
+   * cost.
+   */
   private int rotation;
 
   /**
    * A picker for one gateway.
    *
-   * @param zone the gateway's own
-   * @param serversByService the servers in use of a service, in a list of the picker's own
-   * @param pool tells which servers can get one more connection
+   * @param zone the gateway's zone
+   * @param serversByService returns the servers in use of a service, in a new list
+   * @param pool determines which servers have a free connection or may get a new one
    */
   ServerPicker(
       MonotonicClock clock,
@@ -55,8 +58,7 @@
   }
 
   /**
-   * Picks a server for the next attempt of a request. Each call takes one turn of the route's round
-   * robin.
+   * Picks a server for the next attempt of a request. Each call advances the route's round robin.
    *
    * @param excluded servers that must not be picked, such as those of earlier attempts
    * @param mode what an error of the server would cost the request
@@ -122,7 +124,10 @@
     return index < 0 ? Optional.empty() : Optional.of(usable.get(index));
   }
 
-  /** Without any recent success, servers that returned errors still differ from the others. */
+  /**
+   * Falls back from {@code AFTER_ERROR} if no server had a recent success, so that servers without
+   * errors are still preferred to those that returned errors.
+   */
   private static SelectionMode effectiveMode(SelectionMode mode, List<Server> usable, long now) {
     boolean noneServedRecently =
         mode == SelectionMode.AFTER_ERROR
@@ -153,7 +158,7 @@
   }
 
   /**
-   * Whether admission control rejects a request that was given this server.
+   * Whether admission control rejects a request for which this server was picked.
    *
    * @param latencyTargetMs the route's latency target, or 0 for none
    */
--- a/gateway/src/main/java/elmsail/gateway/servers/ServerResponseDecoder.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ServerResponseDecoder.java
@@ -6,8 +6,9 @@
 import io.netty.handler.codec.http.HttpMessage;
 
 /**
- * Decodes a server's responses: knows which request was a HEAD, and tells an orderly end of the
- * server's direction from a reset. Used on the channel's event loop only.
+ * Decodes a server's responses. Tracks whether the current request is a HEAD request, and
+ * distinguishes an orderly shutdown of the server's output from a reset. Used on the channel's
+ * event loop only.
  */
 final class ServerResponseDecoder extends StrictResponseDecoder {
   private static final int MAX_LINE_BYTES = 4_096;
@@ -21,7 +22,7 @@
     super(MAX_LINE_BYTES, MAX_HEAD_BYTES, MAX_CHUNK_BYTES);
   }
 
-  /** Says whether the request just sent is a HEAD, whose response has no body. */
+  /** Sets whether the current request is a HEAD request, whose response has no body. */
   void expectHeadResponse(boolean isHeadRequest) {
     expectsHeadResponse = isHeadRequest;
   }
@@ -30,7 +31,7 @@
     return expectsHeadResponse;
   }
 
-  /** Whether the server has ended its direction, and not by a reset. */
+  /** Whether the server has shut down its output in an orderly way, without a reset. */
   boolean isInputShutDown() {
     return inputShutDown;
   }
--- a/gateway/src/main/java/elmsail/gateway/servers/ServerSelector.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ServerSelector.java
@@ -7,48 +7,49 @@
  * Pure functions, safe on any thread.
  */
 public final class ServerSelector {
-  /** Prompt tokens that a server reads per ms. */
+  /** Assumed prefill speed of a server, in prompt tokens per ms. */
   static final double PREFILL_TOKENS_PER_MS = 100;
 
-  /** Each running request delays the tokens of all others. */
+  /** Cost of each running request, because it delays the tokens of all others. */
   static final double COST_PER_RUNNING_MS = 0.5;
 
-  /** Beyond this share of its slots a server slows down and may reject. */
+  /** Share of occupied slots beyond which a server slows down and may reject requests. */
   static final double NEARLY_FULL_UTILIZATION = 0.8;
 
-  /** Cost of the step from there to a full server. */
+  /** Cost of the range from {@link #NEARLY_FULL_UTILIZATION} to a full server. */
   static final double NEARLY_FULL_COST_MS = 80;
 
-  /** Round trip to another zone, and the price of its bytes. */
+  /** Cost of a request to another zone: the round trip and the price of the traffic. */
   static final double OTHER_ZONE_COST_MS = 12;
 
   /** Share of the affinity prefix that is assumed to be cached already. */
   static final double AFFINITY_CACHE_RATIO = 0.5;
 
   /**
-   * Costs that differ by less are equal where many gateways select by the same loads at once: what
-   * a server reads within the age of those loads, and some more (found by {@code
-   * ServerSelectionModelTest}).
+   * Costs that differ by at most this count as equal if many gateways select servers by the same
+   * loads at the same time. The value covers the prefill time that can be added at a server within
+   * the age of these loads, with some margin (determined with {@code ServerSelectionModelTest}).
    */
   static final double SPREAD_TOLERANCE_MS = 80;
 
-  /** Makes a suspect or ejected server the last choice. */
+  /** Cost that makes a suspect or ejected server the last choice. */
   static final double AVOIDED_COST_MS = 100_000;
 
   /**
    * One server as a candidate for a request.
    *
-   * @param cachedTokens leading tokens of the prompt that this gateway sent there before
-   * @param affinityTokens prefix tokens that other gateways have sent there, 0 unless the prompt's
-   *     affinity is to this server
+   * @param cachedTokens leading tokens of the prompt that this gateway sent to the server before
+   * @param affinityTokens tokens of the prompt's shared prefix, which other gateways may have sent
+   *     to the server; 0 unless the prompt has affinity to this server
    * @param running estimate of the running requests of all gateways
-   * @param queued estimate of the queued ones
-   * @param maxConcurrency its slots, 0 if unknown
-   * @param pendingPrefillTokens prompt tokens of requests there without a response; of this gateway
-   *     alone if the server reports its load
-   * @param slotReleaseIntervalMs mean time between two released slots while it is full
-   * @param sameZone whether it is in this gateway's zone
-   * @param avoided whether it is suspect or ejected
+   * @param queued estimate of the queued requests of all gateways
+   * @param maxConcurrency number of slots, 0 if unknown
+   * @param pendingPrefillTokens prompt tokens of requests at the server without a response; only
+   *     this gateway's if the server reports its load
+   * @param slotReleaseIntervalMs mean time between two slot releases while the server is full
+   * @param sameZone whether the server is in this gateway's zone
+   * @param avoided whether the server should be avoided, for example because it is suspect or
+   *     ejected
    */
   public record Candidate(
       int cachedTokens,
@@ -63,9 +64,7 @@
 
   private ServerSelector() {}
 
-  /**
-   * The estimated time until the request's first token, with what the request costs others, in ms.
-   */
+  /** The estimated time until the request's first token plus the cost to other requests, in ms. */
   public static double costMs(Candidate candidate, int promptTokens) {
     double cost =
         prefillMs(candidate, promptTokens)
@@ -92,8 +91,9 @@
   }
 
   /**
-   * The estimated time until what is queued there has been read, in ms. This gateway's requests may
-   * be among those reported, so the larger estimate counts, not the sum.
+   * The estimated time until the server can start to read the prompt of a new request, in ms. The
+   * reported queue may include this gateway's requests, so that the larger of the two estimates
+   * counts, not the sum.
    */
   public static double waitMs(Candidate candidate) {
     return Math.max(
@@ -102,9 +102,10 @@
   }
 
   /**
-   * The index of the cheapest candidate, or -1 without any.
+   * The index of the cheapest candidate, or -1 if there is none.
    *
-   * @param rotation rotates the order of comparison, which spreads equal costs
+   * @param rotation rotates the order of comparison, which spreads requests over candidates of
+   *     equal cost
    */
   public static int pick(List<Candidate> candidates, int promptTokens, int rotation) {
     int best = -1;
@@ -121,11 +122,12 @@
   }
 
   /**
-   * The same where loads are some ten ms old and other gateways select by the same ones: of the
-   * candidates that cost little more than the cheapest, those of the own zone first, the one with
-   * the highest rank. So simultaneous requests spread, and equal prompts meet again.
+   * The same for loads that are some tens of ms old and are used by other gateways at the same
+   * time. Of the candidates that cost at most {@link #SPREAD_TOLERANCE_MS} more than the cheapest,
+   * the one with the highest rank is selected, with precedence for the own zone. This spreads
+   * simultaneous requests over servers and sends prompts with the same prefix to the same server.
    *
-   * @param ranks of each candidate for this prompt
+   * @param ranks the rank of each candidate for this prompt
    */
   public static int pickSpread(List<Candidate> candidates, long[] ranks, int promptTokens) {
     double[] costs = new double[candidates.size()];
--- a/gateway/src/main/java/elmsail/gateway/servers/Servers.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/Servers.java
@@ -29,10 +29,13 @@
 public final class Servers {
   private static final long IDLE_SWEEP_INTERVAL_MS = 500;
 
-  /** Prefix cache of a server whose service tells no size. */
+  /** Assumed prefix cache capacity if the service's configuration has no KV cache size. */
   private static final int DEFAULT_CACHE_TOKENS = 200_000;
 
-  /** About half of the KV cache is taken by requests that run. */
+  /**
+   * Ratio of KV cache size to prefix cache size: about half of the KV cache is used by running
+   * requests.
+   */
   private static final int KV_CACHE_PER_PREFIX_CACHE = 2;
 
   private final Timers timers;
@@ -47,11 +50,11 @@
   private final Map<String, SlotHoldTime> slotHoldTimeByService = new HashMap<>();
 
   /**
-   * Follows the server list from here on.
+   * Starts to follow the server list.
    *
    * @param loop runs the connections
-   * @param zone the gateway's own
-   * @param random source of the round robins' starting points
+   * @param zone the gateway's zone
+   * @param random source of the starting points of the round robins
    */
   public Servers(
       Timers timers,
@@ -73,13 +76,13 @@
     timers.schedule(IDLE_SWEEP_INTERVAL_MS, this::closeExpiredConnections);
   }
 
-  /** Decides which server an attempt gets. */
+  /** The picker that decides which server an attempt gets. */
   public ServerPicker picker() {
     return picker;
   }
 
   /**
-   * Uses the loads of other gateways from here on.
+   * Sets the source of the loads of other gateways.
    *
    * @param onLoadChanged runs when this gateway's own load has changed
    */
@@ -100,21 +103,21 @@
   }
 
   /**
-   * What this gateway has open at the services whose number of servers the tier sets.
+   * This gateway's demand for the services whose number of servers is set by fleet size control.
    *
-   * @param waitingItems items by service that wait at this gateway for capacity
+   * @param waitingItems number of items by service that wait at this gateway for capacity
    */
   public List<ServiceDemand> demand(Map<String, Integer> waitingItems) {
     RoutingConfig config = clusterState.config();
     return config == null ? List.of() : DemandMeter.measure(byId.values(), config, waitingItems);
   }
 
-  /** Whether any server takes new requests. */
+  /** Whether any server is in use. */
   public boolean hasAny() {
     return !byId.isEmpty();
   }
 
-  /** Draining and unlisted servers get no new requests from here on. */
+  /** Applies a changed server list: draining and unlisted servers get no new requests. */
   private void onServerListChanged() {
     Set<String> inUse = new HashSet<>();
     for (ServerEntry entry : clusterState.servers()) {
@@ -159,7 +162,9 @@
         peerLoads::notifyLoadChanged);
   }
 
-  /** Attempts that were not sent yet fail; those that run continue. */
+  /**
+   * Removes a server: attempts that have not been sent fail, those that have been sent continue.
+   */
   private static void remove(Server server) {
     server.markRemoved();
     closeIdleConnections(server);
@@ -211,7 +216,7 @@
     return found;
   }
 
-  /** Starts an attempt; the listener is called later, never within this call. */
+  /** Starts an attempt. The listener is called later, never within this call. */
   public Attempt start(Server server, OutgoingRequest request, AttemptListener listener) {
     counters.count(RequestCounters.Event.ATTEMPT);
     Attempt attempt = new Attempt(server, request, listener, timers.now());
@@ -237,7 +242,10 @@
     }
   }
 
-  /** Closes the idle connections and keeps no further ones; open attempts continue. */
+  /**
+   * Closes idle connections now and further ones as soon as they become idle. Open attempts
+   * continue.
+   */
   public void stop() {
     pool.stop();
     for (Server server : byId.values()) {
--- a/gateway/src/main/java/elmsail/gateway/servers/SlotHoldTime.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/SlotHoldTime.java
@@ -10,19 +10,21 @@
   /** The release interval before the first observation, in ms. */
   static final double DEFAULT_RELEASE_INTERVAL_MS = 20;
 
-  /** Weight of one more response: about the last twenty count. */
+  /** Weight of the newest response: the average covers about the last twenty responses. */
   private static final double SMOOTHING_FACTOR = 0.05;
 
-  /** Longer ones say more of a client that reads slowly than of the server. */
+  /**
+   * Upper bound of an observation; longer times are due to slow clients rather than to the server.
+   */
   private static final double MAX_HOLD_TIME_MS = 5_000;
 
   private double meanHoldTimeMs;
   private boolean hasObservation;
 
   /**
-   * Adds one response.
+   * Adds the observation of one response.
    *
-   * @param holdTimeMs from its first byte to its last
+   * @param holdTimeMs time from the first byte of the response to the last
    */
   void observe(long holdTimeMs) {
     double bounded = Math.max(0, Math.min(MAX_HOLD_TIME_MS, (double) holdTimeMs));
@@ -31,7 +33,7 @@
     hasObservation = true;
   }
 
-  /** Mean time between two released slots of a full server, in ms. */
+  /** Mean time between two slot releases of a full server, in ms. */
   double releaseIntervalMs(int maxConcurrency) {
     return hasObservation && maxConcurrency > 0
         ? meanHoldTimeMs / maxConcurrency
--- a/gateway/src/main/java/elmsail/gateway/servers/SmoothWeightedRoundRobin.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/SmoothWeightedRoundRobin.java
@@ -7,19 +7,22 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Smooth weighted round robin over the services of one route (the algorithm of nginx): in any run
- * of requests each service gets its share to within about one request. With independent random
- * draws the share of some hundred requests would be off by several percent. It starts at a random
- * point, since otherwise all gateways would favour the same service at first. Owned by the
- * gateway's event loop.
+ * Smooth weighted round robin over the services of one route (the algorithm of nginx): in any
+ * sequence of requests the number of requests of each service deviates from its share by about one
+ * at most. With independent random selection the shares among some hundred requests would deviate
+ * by several percent. The sequence starts at a random point, because otherwise all gateways would
+ * start with the same service. Owned by the gateway's event loop.
  */
 final class SmoothWeightedRoundRobin {
-  /** More than the period of the usual weights. */
+  /** Upper bound of the random starting point, longer than the period of usual weights. */
   private static final int MAX_INITIAL_SKIP = 1_000;
 
   private final List<Route.WeightedService> shares;
 
-  /** Current weight of each service, in requests; negative where it was ahead of its share. */
+  /**
+   * Current weight of each service, in requests; negative if the service has received more than its
+   * share.
+   */
   private final Map<Route.WeightedService, Double> currentWeights = new HashMap<>();
 
   SmoothWeightedRoundRobin(List<Route.WeightedService> shares, RandomGenerator random) {
@@ -31,16 +34,17 @@
     }
   }
 
-  /** Whether it was created for these shares. */
+  /** Whether this round robin was created for these shares. */
   boolean hasShares(List<Route.WeightedService> others) {
     return shares.equals(others);
   }
 
   /**
-   * The share of the next request. A share without a usable server is passed again without it; it
-   * counts as served, so that it does not get everything once it has a server again.
+   * Selects the service share of the next request. If the selected service has no usable server,
+   * the caller calls this method again without its share. The selection still counts, so that the
+   * service does not receive all requests once it has a usable server again.
    *
-   * @param candidates the shares to choose from, at least one
+   * @param candidates the shares to select from, at least one
    */
   Route.WeightedService next(List<Route.WeightedService> candidates) {
     if (candidates.size() == 1) {
--- a/gateway/src/main/java/elmsail/gateway/servers/package-info.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The servers as the gateway sees them: which are listed, their load and health, which one an
- * attempt gets, and the connections to them.
+ * The gateway's servers: the listed servers, their load and health, the selection of a server for
+ * each attempt, and the connections to servers.
  */
 package elmsail.gateway.servers;
--- a/gateway/src/test/java/elmsail/gateway/servers/AdmissionPolicyTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/AdmissionPolicyTest.java
@@ -13,7 +13,10 @@
 import net.jqwik.api.constraints.LongRange;
 import org.junit.jupiter.api.Test;
 
-/** What is refused at once, and the wait that it is refused for. */
+/**
+ * Tests the estimated wait above which requests are rejected, and the slot hold time used by the
+ * estimate.
+ */
 class AdmissionPolicyTest {
   @Test
   void sharedLoadRejectsAboveHalfOfTheLatencyTarget() {
@@ -47,7 +50,9 @@
     time.observe(800);
     assertThat(time.releaseIntervalMs(8), is(100.0));
     assertThat(
-        "no places told", time.releaseIntervalMs(0), is(SlotHoldTime.DEFAULT_RELEASE_INTERVAL_MS));
+        "max concurrency unknown",
+        time.releaseIntervalMs(0),
+        is(SlotHoldTime.DEFAULT_RELEASE_INTERVAL_MS));
     for (int i = 0; i < 200; i++) {
       time.observe(80);
     }
--- a/gateway/src/test/java/elmsail/gateway/servers/ClassPriorityModelTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/ClassPriorityModelTest.java
@@ -23,12 +23,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Three kinds of requests before servers that know no priorities: checks and longer answers that
- * people wait for, and items of batch jobs, which come in a burst. Whatever the load, items are not
- * served more often in time than what people wait for, by more than 5 in 100.
+ * Simulates short and long interactive requests and a burst of batch items at servers without
+ * request priorities. Guards against batch items that occupy the slots which interactive requests
+ * need: at any load, the share of batch items served on time exceeds that of interactive requests
+ * by at most 5 percentage points.
  */
 class ClassPriorityModelTest {
-  /** In the order of urgency. */
+  /** Request types, the most urgent first. */
   private enum RequestType {
     SHORT_INTERACTIVE(1_800, 40, 0.75),
     LONG_INTERACTIVE(1_100, 190, 0.25),
@@ -150,7 +151,7 @@
     }
   }
 
-  /** Runs the items of the jobs that one gateway has accepted. */
+  /** Runs the items of the batch jobs that one gateway has accepted. */
   private final class BatchRunner {
     private final Servers gateway;
     private final ArrayDeque<Long> dueTimes = new ArrayDeque<>();
@@ -250,7 +251,7 @@
     for (long seed = 1; seed <= 3; seed++) {
       simulate(load, seed);
       System.out.printf(
-          "load %.1f, seed %d: in time %.3f of checks, %.3f of answers, %.3f of items%n",
+          "load %.1f, seed %d: on time %.3f of short, %.3f of long interactive requests, %.3f of items%n",
           load,
           seed,
           onTimeShare(RequestType.SHORT_INTERACTIVE),
@@ -260,7 +261,7 @@
       for (RequestType interactive :
           List.of(RequestType.SHORT_INTERACTIVE, RequestType.LONG_INTERACTIVE)) {
         assertThat(
-            "items ahead of " + interactive + " at " + load + ", seed " + seed,
+            "lead of batch items over " + interactive + " at " + load + ", seed " + seed,
             onTimeShare(RequestType.BATCH_ITEM) - onTimeShare(interactive),
             lessThanOrEqualTo(MAX_ITEM_LEAD));
       }
--- a/gateway/src/test/java/elmsail/gateway/servers/ErrorBackoffTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/ErrorBackoffTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The circuit breaker of a server, by a clock of numbers. */
+/** Tests the ejection, backoff and probes of one server with explicit timestamps. */
 class ErrorBackoffTest {
   private final ErrorBackoff server = new ErrorBackoff();
 
--- a/gateway/src/test/java/elmsail/gateway/servers/GatewayFleet.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/GatewayFleet.java
@@ -15,8 +15,9 @@
 import java.util.SplittableRandom;
 
 /**
- * Gateways of three zones before servers that tell no load, every third of them slower: the
- * production choice of servers over simulated ones, on one clock that the test moves.
+ * Gateways in three zones in front of simulated servers that report no load; every third server is
+ * slower. The gateways use the production server selection. All run on one clock that the test
+ * advances.
  */
 final class GatewayFleet {
   static final int ZONES = 3;
@@ -37,7 +38,7 @@
   private final Map<String, LoadExchange> exchanges = new HashMap<>();
 
   /**
-   * @param random of the fleet and of what is laid on it
+   * @param random random source of the fleet and of its traffic
    * @param sharesLoads whether the gateways exchange their loads
    */
   GatewayFleet(EventLoop loop, SplittableRandom random, boolean sharesLoads) {
@@ -45,7 +46,7 @@
   }
 
   /**
-   * @param gatewaysPerZone how many gateways the requests are spread over
+   * @param gatewaysPerZone number of gateways in each zone
    */
   GatewayFleet(EventLoop loop, SplittableRandom random, boolean sharesLoads, int gatewaysPerZone) {
     this.random = random;
@@ -94,16 +95,17 @@
     timers.schedule(DATAGRAM_DELAY_MS, () -> exchanges.get(to).onReport(report));
   }
 
-  /** A gateway that a client's connection was given to. */
+  /** A random gateway, such as a load balancer would assign to a client connection. */
   Servers randomGateway() {
     return gateways.get(random.nextInt(gateways.size()));
   }
 
   /**
-   * Requests a second at which either all slots are taken or all servers read all the time.
+   * Maximum requests per second: at this rate either all slots are occupied or all servers are
+   * always busy with prefill.
    *
-   * @param tokens of a prompt, in the mean
-   * @param decodeMs from the first token to the last, in the mean
+   * @param tokens mean number of tokens of a prompt
+   * @param decodeMs mean time from the first token to the last
    */
   static double capacityPerSecond(int tokens, int decodeMs) {
     double totalSpeed = 0;
--- a/gateway/src/test/java/elmsail/gateway/servers/ItemAdmissionTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/ItemAdmissionTest.java
@@ -13,7 +13,10 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** How many batch items may be started at a server, by what is known of it. */
+/**
+ * Tests how many batch items may be started at a server, depending on its load and the source of
+ * the load.
+ */
 class ItemAdmissionTest {
   private static ServerState server(
       double running, double queued, int ownItems, LoadSource loadSource) {
--- a/gateway/src/test/java/elmsail/gateway/servers/NoOpRequest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/NoOpRequest.java
@@ -4,7 +4,7 @@
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpResponse;
 
-/** A request that is never written to a connection, and that nobody waits for. */
+/** A request that is never written to a connection and ignores all events. */
 abstract class NoOpRequest implements OutgoingRequest, AttemptListener {
   @Override
   public String id() {
@@ -23,7 +23,7 @@
 
   @Override
   public FullHttpRequest toHttpRequest(String serverId) {
-    throw new AssertionError("not sent here");
+    throw new AssertionError("this request must not be written");
   }
 
   @Override
--- a/gateway/src/test/java/elmsail/gateway/servers/OutlierDetectorTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/OutlierDetectorTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How many servers of a service are ejected, and which statuses count. */
+/** Tests how many servers of a service are ejected, and which response statuses count as errors. */
 class OutlierDetectorTest {
   private final OutlierDetector outliers = new OutlierDetector();
 
@@ -64,7 +64,7 @@
     assertThat(ResponseClass.of(200, true, 1_000), is(ResponseClass.NEUTRAL));
   }
 
-  /** A server whose queue was too long for the deadline is slow, not erring. */
+  /** A 504 response at the deadline comes from a server that is slow, not faulty. */
   @Test
   void gatewayTimeoutAtTheDeadlineIsNeutral() {
     assertThat(
--- a/gateway/src/test/java/elmsail/gateway/servers/OutlierEjectionModelTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/OutlierEjectionModelTest.java
@@ -26,14 +26,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Many gateways before one service of which some servers err at once, by a clock of numbers: the
- * gateways choose by their own selectors and learn from answers alone.
+ * Simulates many gateways in front of one service of which some servers start to return errors at
+ * the same time. Each gateway detects the failing servers only by its own responses. Guards against
+ * errors that reach clients although healthy servers are available.
  */
 class OutlierEjectionModelTest {
   private static final int GATEWAYS = 59;
   private static final int REQUESTS_PER_SECOND = 7;
 
-  /** All serve for so long, and then some err until the end. */
+  /** During this phase all servers are healthy; afterwards some fail until the end. */
   private static final long HEALTHY_PHASE_MS = 2_000;
 
   private static final long FAILURE_PHASE_MS = 6_000;
@@ -44,8 +45,9 @@
       (int) (FAILURE_PHASE_MS * REQUESTS_PER_SECOND / 1_000);
 
   /**
-   * What may not be repeated finds a server out at its first error, once more by the late probe 3 s
-   * after it, and not again before 7 s.
+   * With non-retryable requests only, a gateway receives the first error of a server, and a second
+   * one from the probe 3 s later. The next probe would be sent 7 s after the first error, which is
+   * after the end of the simulation.
    */
   private static final int MAX_ERRORS_PER_GATEWAY_AND_SERVER = 2;
 
@@ -65,7 +67,7 @@
     loop.shutdown();
   }
 
-  /** What differs between runs. */
+  /** Parameters of one run. */
   private record Scenario(
       int servers,
       int failingServers,
@@ -104,7 +106,7 @@
     return (double) errors / requests;
   }
 
-  /** One request of a client, which is sent to two servers at most. */
+  /** One client request, which is sent to at most two servers. */
   private final class Request extends NoOpRequest {
     private final Servers servers;
     private final Scenario scenario;
@@ -187,7 +189,8 @@
     double baselineErrorRate = errorRate(withoutDetection);
     double errorRate = errorRate(withDetection);
     System.out.printf(
-        "%s: errors before %.4f, after %.4f%n", description, baselineErrorRate, errorRate);
+        "%s: error rate without detection %.4f, with detection %.4f%n",
+        description, baselineErrorRate, errorRate);
     assertThat(description, errorRate, is(lessThan(maxErrorRate)));
     assertThat(description, errorRate, is(lessThan(baselineErrorRate * MAX_RATIO_TO_BASELINE)));
   }
@@ -196,23 +199,26 @@
   void mostErrorsAreAvoidedIfFourOfThirtyOneServersAlwaysFail() {
     double maxErrorRate = 4.0 * MAX_ERRORS_PER_GATEWAY_AND_SERVER / REQUESTS_PER_GATEWAY;
     assertOutlierDetectionReducesErrors(
-        "4 of 31, none repeatable", new Scenario(31, 4, 1, 0, true), maxErrorRate);
+        "4 of 31, none retryable", new Scenario(31, 4, 1, 0, true), maxErrorRate);
     assertOutlierDetectionReducesErrors(
-        "4 of 31, half repeatable", new Scenario(31, 4, 1, 0.5, true), 0.06);
+        "4 of 31, half retryable", new Scenario(31, 4, 1, 0.5, true), 0.06);
     assertOutlierDetectionReducesErrors(
-        "4 of 31, all repeatable", new Scenario(31, 4, 1, 1, true), 0.01);
+        "4 of 31, all retryable", new Scenario(31, 4, 1, 1, true), 0.01);
   }
 
   @Test
   void errorsAreReducedIfOneOfTwoServersFailsIntermittently() {
     assertOutlierDetectionReducesErrors(
-        "1 of 2 at 40 %, half repeatable", new Scenario(2, 1, 0.4, 0.5, true), 0.1);
-    assertThat("it is not shut out", attemptsAtFailingServers, is(greaterThan(requests / 50)));
+        "1 of 2 at 40 %, half retryable", new Scenario(2, 1, 0.4, 0.5, true), 0.1);
+    assertThat(
+        "the failing server still gets requests",
+        attemptsAtFailingServers,
+        is(greaterThan(requests / 50)));
   }
 
   @Test
   void everyRequestIsStillSentIfAllServersFail() {
     double errorRate = errorRate(new Scenario(2, 2, 1, 0.5, true));
-    assertThat("each request was sent", errorRate, is(1.0));
+    assertThat("each request was sent and failed", errorRate, is(1.0));
   }
 }
--- a/gateway/src/test/java/elmsail/gateway/servers/PromptTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/PromptTest.java
@@ -47,7 +47,7 @@
     cache.record(b);
     Prompt c = Prompt.parse("2:450", null);
     cache.record(c);
-    assertThat(cache.cachedTokens(a), is(400)); // its own part was unused for longest
+    assertThat(cache.cachedTokens(a), is(400)); // its last segment was the least recently used
     assertThat(cache.cachedTokens(b), is(500));
     assertThat(cache.cachedTokens(c), is(450));
     cache.clear();
--- a/gateway/src/test/java/elmsail/gateway/servers/SelectionModeTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/SelectionModeTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Which of four servers is chosen once some have erred, with nothing sent. */
+/** Tests which of four servers is picked after some have returned errors; no request is sent. */
 class SelectionModeTest {
   private static final Route ROUTE =
       new Route(
@@ -108,7 +108,7 @@
     for (int i = 0; i < 8; i++) {
       picked |= pick(SelectionMode.NOT_RETRYABLE) == all.get(0);
     }
-    assertThat("it is not shut out for good", picked, is(true));
+    assertThat("the half-open server is eventually picked", picked, is(true));
   }
 
   @Test
--- a/gateway/src/test/java/elmsail/gateway/servers/ServerConnectionTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/ServerConnectionTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** What one connection makes of each kind of answer, cut or split at each of its bytes. */
+/** Tests how one connection handles each kind of response, truncated or split at every byte. */
 class ServerConnectionTest {
   private static final String HEAD = "HTTP/1.1 200 OK\r\nElmsail-Request-Id: a1\r\n";
   private static final String FIXED_LENGTH = HEAD + "Content-Length: 5\r\n\r\nwhole";
@@ -38,7 +38,7 @@
     LOCAL_CLOSE
   }
 
-  /** Keeps what it hears. */
+  /** Records the events of one attempt. */
   private static final class RecordingRequest implements OutgoingRequest, AttemptListener {
     private final String id;
     private final StringBuilder body = new StringBuilder();
@@ -79,12 +79,12 @@
 
     @Override
     public void onComplete() {
-      outcome = outcome.equals("open") ? "whole " + body : outcome + ", again";
+      outcome = outcome.equals("open") ? "complete " + body : outcome + ", called again";
     }
 
     @Override
     public void onFailure(boolean sent) {
-      outcome = outcome.equals("open") ? "failed, sent " + sent : outcome + ", again";
+      outcome = outcome.equals("open") ? "failed, sent " + sent : outcome + ", called again";
     }
   }
 
@@ -135,7 +135,7 @@
           channel.pipeline().fireUserEventTriggered(ChannelInputShutdownEvent.INSTANCE);
       case RESET -> channel.pipeline().fireExceptionCaught(new IOException("reset"));
       default -> {
-        // closed here, as at the end of the process
+        // closed locally, as at a shutdown of the gateway
       }
     }
     channel.close();
@@ -155,7 +155,7 @@
         boolean inBody = cut >= CLOSE_DELIMITED.length() - "whole".length();
         String expected =
             completedByClose && inBody
-                ? "whole " + response.substring(CLOSE_DELIMITED.length() - "whole".length(), cut)
+                ? "complete " + response.substring(CLOSE_DELIMITED.length() - "whole".length(), cut)
                 : "failed, sent true";
         assertThat(response + " cut at " + cut, request.outcome, is(expected));
       }
@@ -172,7 +172,7 @@
         receive(response.substring(split));
         end(end);
         boolean incomplete = response.equals(CLOSE_DELIMITED) && end != End.ORDERLY_CLOSE;
-        assertThat(request.outcome, is(incomplete ? "failed, sent true" : "whole whole"));
+        assertThat(request.outcome, is(incomplete ? "failed, sent true" : "complete whole"));
       }
     }
   }
@@ -188,11 +188,11 @@
       boolean idle = server.idleConnections.contains(connection);
       assertThat("split at " + split, idle, is(split == FIXED_LENGTH.length()));
       receive(twoResponses.substring(split));
-      assertThat("split at " + split, first.outcome, is("whole whole"));
+      assertThat("split at " + split, first.outcome, is("complete whole"));
       assertThat("split at " + split, channel.isActive(), is(false));
       assertThat("split at " + split, server.idleConnections.isEmpty(), is(true));
       end(end);
-      assertThat(first.outcome, is("whole whole"));
+      assertThat(first.outcome, is("complete whole"));
     }
   }
 
@@ -202,7 +202,7 @@
     for (int split = 0; split < FIXED_LENGTH.length(); split++) {
       RecordingRequest first = sendOnNewConnection();
       receive(FIXED_LENGTH);
-      assertThat(first.outcome, is("whole whole"));
+      assertThat(first.outcome, is("complete whole"));
       server.idleConnections.remove(connection);
       RecordingRequest second = send("a2");
       receive(FIXED_LENGTH.substring(0, split));
--- a/gateway/src/test/java/elmsail/gateway/servers/ServerSelectionModelTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/ServerSelectionModelTest.java
@@ -20,9 +20,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Gateways of three zones before servers that tell no load, some of them slower, by a clock of
- * numbers: the production choice with and without shared loads, beside random choice and an oracle
- * that sees every server as it is.
+ * Simulates gateways in three zones in front of servers that report no load, some of them slower.
+ * Compares the production server selection, with and without shared loads, with random selection
+ * and with an oracle that uses the actual state of every server.
  */
 class ServerSelectionModelTest {
   private enum SelectionStrategy {
@@ -36,10 +36,13 @@
   private static final long DURATION_MS = 10_000;
   private static final long LATENCY_TARGET_MS = 300;
 
-  /** So many requests come at the same moment. */
+  /** Number of requests that arrive at the same time. */
   private static final int BURST_SIZE = 3;
 
-  /** Of each request: prompt tokens, and ms from the first token to the last. */
+  /**
+   * Mean number of prompt tokens of a request; {@code MEAN_DECODE_MS} is its mean time from the
+   * first token to the last.
+   */
   private static final int MEAN_TOKENS = 1_700;
 
   private static final int MEAN_DECODE_MS = 160;
@@ -52,7 +55,7 @@
     loops.forEach(NettyEventLoop::shutdown);
   }
 
-  /** One run: its own clock, servers and gateways. */
+  /** One run with its own clock, servers and gateways. */
   private final class Simulation {
     final SelectionStrategy strategy;
     final GatewayFleet fleet;
@@ -73,7 +76,10 @@
       timers = fleet.timers;
     }
 
-    /** The share of requests whose first token came in time, at that share of capacity. */
+    /**
+     * The share of requests whose first token is on time if the load is the given share of the
+     * capacity.
+     */
     double onTimeShare(double load) {
       double perSecond = load * GatewayFleet.capacityPerSecond(MEAN_TOKENS, MEAN_DECODE_MS);
       double at = 0;
@@ -98,7 +104,7 @@
       };
     }
 
-    /** Where the first token would come first, as the server really stands. */
+    /** The server with the earliest first token according to the actual state of the servers. */
     private Server fastest(List<Server> all) {
       Server best = null;
       double lowestCost = Double.POSITIVE_INFINITY;
@@ -206,7 +212,7 @@
     for (SelectionStrategy strategy : SelectionStrategy.values()) {
       shares.put(strategy, new Simulation(strategy, seed).onTimeShare(load));
     }
-    System.out.printf("choice, share in aim at load %.1f: %s%n", load, shares);
+    System.out.printf("share of requests on time by strategy at load %.1f: %s%n", load, shares);
     return shares;
   }
 
@@ -220,13 +226,13 @@
     }
   }
 
-  /** Nobody comes back in this model: what is refused is lost. */
+  /** Clients do not retry in this model: a rejected request counts as not served on time. */
   @Test
   void admittedRequestsAreServedOnTimeBeyondCapacity() {
     for (double load : new double[] {1.0, 1.1, 1.3}) {
       Map<SelectionStrategy, Double> shares = onTimeShares(load);
       double admitted = shares.get(SelectionStrategy.SHARED_WITH_ADMISSION);
-      // At capacity itself hardly anything has to be refused.
+      // At a load equal to the capacity hardly any request has to be rejected.
       double gain = load > 1 ? 0.05 : -0.01;
       assertThat(
           "at " + load, admitted, greaterThan(shares.get(SelectionStrategy.SHARED_LOADS) + gain));
--- a/gateway/src/test/java/elmsail/gateway/servers/ServerTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/ServerTest.java
@@ -12,7 +12,7 @@
 import io.netty.handler.codec.http.HttpVersion;
 import org.junit.jupiter.api.Test;
 
-/** A server's health and load, by a clock of numbers. */
+/** Tests the health and load of a server with explicit timestamps. */
 class ServerTest {
   private final Server server =
       new Server(
@@ -146,10 +146,11 @@
     assertThat(server.availableItemCapacity(1_000), is(0));
     server.load().recordReport("0,0,24", 1_000);
     startAttempt(1_000, true);
-    assertThat("prompts are not begun together", server.availableItemCapacity(1_079), is(0));
+    assertThat("minimum interval between item starts", server.availableItemCapacity(1_079), is(0));
     assertThat(server.availableItemCapacity(1_080), is(11));
     server.health().markMisdirected();
-    assertThat("another has its address", server.availableItemCapacity(1_080), is(0));
+    assertThat(
+        "another server responds at its address", server.availableItemCapacity(1_080), is(0));
     server.markRemoved();
     assertThat(server.availableItemCapacity(1_000), is(0));
   }
--- a/gateway/src/test/java/elmsail/gateway/servers/ServersTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/ServersTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Which server is chosen, with nothing sent. */
+/** Tests which server is picked; no request is sent. */
 class ServersTest {
   private final NettyEventLoop loop = new NettyEventLoop();
   private final ManualTimers timers = new ManualTimers();
@@ -100,7 +100,10 @@
     assertThat(picksOfA / 2_000.0, is(closeTo(0.9, 0.03)));
   }
 
-  /** Each gateway draws for itself, and gets a few of the requests only. */
+  /**
+   * Each gateway has its own round robin with a random start and receives only a part of the
+   * requests.
+   */
   @ParameterizedTest
   @CsvSource({
     "1, 300, 0.01",
@@ -135,7 +138,7 @@
             Math.max(largestDeviation, Math.abs(picksOfA / (double) requests - weight / 100.0));
       }
       System.out.printf(
-          "%d requests, %d gateways, weight %d: off by %.3f at most%n",
+          "%d requests, %d gateways, weight %d: largest deviation %.3f%n",
           requests, gateways, weight, largestDeviation);
       assertThat(weight + " of 100", largestDeviation, is(lessThan(maxDeviation)));
     }
@@ -169,7 +172,10 @@
     assertThat(picksOfA / 300.0, is(closeTo(0.5, 0.01)));
   }
 
-  /** Nothing is made up for: servers that come get their share, not all. */
+  /**
+   * A service that had no servers gets its share once it has some; missed requests are not made up
+   * for.
+   */
   @Test
   void serviceGetsItsShareOnceItHasServers() {
     Route route =
--- a/gateway/src/test/java/elmsail/gateway/servers/SimulatedServer.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/SimulatedServer.java
@@ -4,14 +4,14 @@
 import java.util.ArrayDeque;
 
 /**
- * A model server that batches: some places, a queue before them in the order of arrival, prompts
- * read one after the other, and a place held until the last token. It tells no load and refuses
- * where its queue is full.
+ * A simulated model server with batching: requests wait in a FIFO queue for one of a number of
+ * slots, prefill runs for one prompt at a time, and a slot is held until the last token. The server
+ * rejects requests when its queue is full.
  */
 final class SimulatedServer {
-  /** What becomes of a request there. */
+  /** Receives the events of one request. */
   interface Client {
-    /** It was not taken, and will not run. */
+    /** The request was rejected and will not run. */
     void onRejected();
 
     void onFirstToken();
@@ -25,7 +25,7 @@
   private final int slots;
   private final int maxQueued;
 
-  /** Of a server of usual speed: 1; of a slower one more. */
+  /** Factor on all times: 1 for a server of normal speed, more for a slower one. */
   private final double slowdownFactor;
 
   private final ArrayDeque<SimulatedRequest> queue = new ArrayDeque<>();
@@ -40,17 +40,17 @@
     this.slowdownFactor = slowdownFactor;
   }
 
-  /** Requests there, running and waiting: what nobody but an oracle sees. */
+  /** Running and queued requests. Gateways cannot observe this number; only the oracle uses it. */
   int openRequests() {
     return running + queue.size();
   }
 
-  /** The value of the load header: requests that run, requests that wait, slots. */
+  /** The value of the load header: running requests, queued requests, slots. */
   String loadHeader() {
     return running + "," + queue.size() + "," + slots;
   }
 
-  /** How long a prompt that is let in now waits for those before it, in ms. */
+  /** Time until the prefill of a request submitted now could start, in ms. */
   double prefillBacklogMs() {
     double queuedPrefillMs =
         queue.stream().mapToDouble(SimulatedRequest::prefillMs).sum() * slowdownFactor;
--- a/gateway/src/test/java/elmsail/gateway/servers/StaleReportedLoadModelTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/StaleReportedLoadModelTest.java
@@ -16,19 +16,22 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Many gateways before servers that report their load: each gateway hears from a server so seldom
- * that the report is old when the next request is to be sent. What all gateways have open is known
- * sooner, and must be used.
+ * Simulates many gateways in front of servers that report their load. Each gateway receives
+ * responses of a server so rarely that the last report is old when the next request is sent. The
+ * loads that the gateways share are newer and must be used.
  */
 class StaleReportedLoadModelTest {
   private static final long DURATION_MS = 10_000;
   private static final long LATENCY_TARGET_MS = 300;
   private static final int GATEWAYS_PER_ZONE = 20;
 
-  /** So many requests come at the same moment. */
+  /** Number of requests that arrive at the same time. */
   private static final int BURST_SIZE = 3;
 
-  /** Of each request: prompt tokens, and ms from the first token to the last. */
+  /**
+   * Mean number of prompt tokens of a request; {@code MEAN_DECODE_MS} is its mean time from the
+   * first token to the last.
+   */
   private static final int MEAN_TOKENS = 1_700;
 
   private static final int MEAN_DECODE_MS = 160;
@@ -122,7 +125,10 @@
     }
   }
 
-  /** The share of requests whose first token came in time, at that share of capacity. */
+  /**
+   * The share of requests whose first token is on time if the load is the given share of the
+   * capacity.
+   */
   private double onTimeShare(double load, long seed, boolean sharesLoads) {
     fleet =
         new GatewayFleet(
@@ -148,7 +154,7 @@
         double reportsOnly = onTimeShare(load, seed, false);
         double shared = onTimeShare(load, seed, true);
         System.out.printf(
-            "load %.1f, seed %d: in time %.3f by reports alone, %.3f with the loads of all%n",
+            "load %.1f, seed %d: on time %.3f with reports only, %.3f with shared loads%n",
             load, seed, reportsOnly, shared);
         String scenario = "at " + load + ", seed " + seed;
         assertThat(scenario, shared, greaterThan(reportsOnly - 0.01));
