--- a/gateway/src/main/java/elmsail/gateway/servers/Prompt.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/Prompt.java
@@ -46,8 +46,7 @@
           key = mix(key * 31 + segments.charAt(c));
         }
       }
-      key =
-          mix(key + 0x9e3779b97f4a7c15L); // the position of the segment boundary is part of the key
+      key = mix(key + 0x9e3779b97f4a7c15L); // the segment boundary is part of the key
       keys[i] = key;
       tokens[i] = colon < to ? parseTokens(segments, colon + 1, to) : 0;
       sum += tokens[i];
--- a/gateway/src/test/java/elmsail/gateway/servers/ClassPriorityModelTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/ClassPriorityModelTest.java
@@ -251,7 +251,7 @@
     for (long seed = 1; seed <= 3; seed++) {
       simulate(load, seed);
       System.out.printf(
-          "load %.1f, seed %d: on time %.3f of short, %.3f of long interactive requests, %.3f of items%n",
+          "load %.1f, seed %d: on time %.3f of short, %.3f of long requests, %.3f of items%n",
           load,
           seed,
           onTimeShare(RequestType.SHORT_INTERACTIVE),
--- a/gateway/src/test/java/elmsail/gateway/servers/GatewayFleet.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/GatewayFleet.java
@@ -38,7 +38,7 @@
   private final Map<String, LoadExchange> exchanges = new HashMap<>();
 
   /**
-   * @param random random source of the fleet and of its traffic
+   * @param random source of random numbers for the fleet and its traffic
    * @param sharesLoads whether the gateways exchange their loads
    */
   GatewayFleet(EventLoop loop, SplittableRandom random, boolean sharesLoads) {
--- a/gateway/src/test/java/elmsail/gateway/servers/OutlierEjectionModelTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/OutlierEjectionModelTest.java
@@ -123,8 +123,8 @@
     }
 
     void send() {
-      boolean probing = retryable && attempted.isEmpty();
-      SelectionMode mode = probing ? SelectionMode.PROBE_PREFERRED : SelectionMode.NOT_RETRYABLE;
+      boolean willRetry = retryable && attempted.isEmpty();
+      SelectionMode mode = willRetry ? SelectionMode.PROBE_PREFERRED : SelectionMode.NOT_RETRYABLE;
       mode = attempted.isEmpty() ? mode : SelectionMode.AFTER_ERROR;
       Server server =
           servers.picker().pick(route(retryable), Prompt.NONE, attempted, mode).orElseThrow();
