--- a/gateway/src/main/java/elmsail/gateway/servers/DemandMeter.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/DemandMeter.java
@@ -10,18 +10,18 @@
 import java.util.Map;
 
 /**
- * Measures what this gateway has open at the services whose number of servers the tier sets: by
- * zone, the requests and items at the servers, and a part of the items that wait here for capacity.
- * Pure.
+ * Measures this gateway's demand by zone for the services whose number of servers is set by fleet
+ * size control: the open requests and batch items at the servers, and a part of the batch items
+ * that wait at this gateway for capacity. Pure functions.
  */
 final class DemandMeter {
   /**
-   * Items are due within several times the time that one runs, so that those that wait need fewer
-   * slots than there are of them.
+   * Slots needed for each waiting item. The deadline of an item is several times its run time, so
+   * that one slot can run several waiting items in turn.
    */
   private static final double SLOTS_PER_WAITING_ITEM = 0.25;
 
-  private record Subject(String service, String zone) {}
+  private record ServiceZone(String service, String zone) {}
 
   private DemandMeter() {}
 
@@ -29,38 +29,42 @@
    * The demand by service and zone.
    *
    * @param servers in use
-   * @param waitingItems items by service that wait at this gateway for capacity
-   * @return nothing of services whose number of servers is not set
+   * @param waitingItems number of items by service that wait at this gateway for capacity
+   * @return the demands, without services that have no fleet size in the configuration
    */
   static List<ServiceDemand> measure(
       Collection<Server> servers, RoutingConfig config, Map<String, Integer> waitingItems) {
-    Map<Subject, ServiceDemand> demands = new LinkedHashMap<>();
+    Map<ServiceZone, ServiceDemand> demands = new LinkedHashMap<>();
     for (Server server : servers) {
       String service = server.entry().service();
-      if (isSized(config, service)) {
-        Subject subject = new Subject(service, server.entry().zone());
-        demands.computeIfAbsent(subject, DemandMeter::newDemand).openRequests +=
+      if (isAutoscaled(config, service)) {
+        ServiceZone serviceZone = new ServiceZone(service, server.entry().zone());
+        demands.computeIfAbsent(serviceZone, DemandMeter::newDemand).openRequests +=
             server.openAttemptCount();
       }
     }
-    waitingItems.forEach((service, items) -> spread(demands.values(), service, items));
+    waitingItems.forEach((service, items) -> addWaitingItems(demands.values(), service, items));
     return new ArrayList<>(demands.values());
   }
 
-  private static boolean isSized(RoutingConfig config, String serviceName) {
+  private static boolean isAutoscaled(RoutingConfig config, String serviceName) {
     Service service = config.services().get(serviceName);
     return service != null && service.fleetSize().isPresent();
   }
 
-  private static ServiceDemand newDemand(Subject subject) {
+  private static ServiceDemand newDemand(ServiceZone serviceZone) {
     ServiceDemand demand = new ServiceDemand();
-    demand.service = subject.service();
-    demand.zone = subject.zone();
+    demand.service = serviceZone.service();
+    demand.zone = serviceZone.zone();
     return demand;
   }
 
-  /** Adds what waiting items need to the zones of their service, as equally as it goes. */
-  private static void spread(Collection<ServiceDemand> demands, String service, int items) {
+  /**
+   * Distributes the slots that waiting items need over the zones of their service as equally as
+   * possible.
+   */
+  private static void addWaitingItems(
+      Collection<ServiceDemand> demands, String service, int items) {
     List<ServiceDemand> zones = new ArrayList<>();
     for (ServiceDemand demand : demands) {
       if (demand.service.equals(service)) {
--- a/gateway/src/test/java/elmsail/gateway/servers/AdmissionPolicyTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/AdmissionPolicyTest.java
@@ -13,7 +13,10 @@
 import net.jqwik.api.constraints.LongRange;
 import org.junit.jupiter.api.Test;
 
-/** What is refused at once, and the wait that it is refused for. */
+/**
+ * Tests the estimated wait above which requests are rejected, and the slot hold time used by the
+ * estimate.
+ */
 class AdmissionPolicyTest {
   @Test
   void sharedLoadRejectsAboveHalfOfTheLatencyTarget() {
@@ -28,15 +31,16 @@
   }
 
   @Property
-  void noTargetRejectsNothingAndRejectionIsMonotonicInTheWait(
-      @ForAll @DoubleRange(max = 1e9) double wait,
-      @ForAll @DoubleRange(max = 1e9) double more,
-      @ForAll @LongRange(max = 100_000) long due,
+  void nothingIsRejectedWithoutATargetAndRejectionIsMonotonicInTheWait(
+      @ForAll @DoubleRange(max = 1e9) double waitMs,
+      @ForAll @DoubleRange(max = 1e9) double additionalWaitMs,
+      @ForAll @LongRange(max = 100_000) long latencyTargetMs,
       @ForAll boolean shared) {
-    assertThat(AdmissionPolicy.rejects(new Estimate(wait, shared), 0), is(false));
-    boolean refused = AdmissionPolicy.rejects(new Estimate(wait, shared), due);
-    boolean later = AdmissionPolicy.rejects(new Estimate(wait + more, shared), due);
-    assertThat(!refused || later, is(true));
+    assertThat(AdmissionPolicy.rejects(new Estimate(waitMs, shared), 0), is(false));
+    boolean rejected = AdmissionPolicy.rejects(new Estimate(waitMs, shared), latencyTargetMs);
+    boolean rejectedAtLongerWait =
+        AdmissionPolicy.rejects(new Estimate(waitMs + additionalWaitMs, shared), latencyTargetMs);
+    assertThat(!rejected || rejectedAtLongerWait, is(true));
   }
 
   @Test
@@ -46,7 +50,9 @@
     time.observe(800);
     assertThat(time.releaseIntervalMs(8), is(100.0));
     assertThat(
-        "no places told", time.releaseIntervalMs(0), is(SlotHoldTime.DEFAULT_RELEASE_INTERVAL_MS));
+        "max concurrency unknown",
+        time.releaseIntervalMs(0),
+        is(SlotHoldTime.DEFAULT_RELEASE_INTERVAL_MS));
     for (int i = 0; i < 200; i++) {
       time.observe(80);
     }
--- a/gateway/src/test/java/elmsail/gateway/servers/OutlierDetectorTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/OutlierDetectorTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How many servers of a service are ejected, and which statuses count. */
+/** Tests how many servers of a service are ejected, and which response statuses count as errors. */
 class OutlierDetectorTest {
   private final OutlierDetector outliers = new OutlierDetector();
 
@@ -17,7 +17,7 @@
   }
 
   @Test
-  void longestEjectedReturnsFirstAmongEqualErrors() {
+  void longestEjectedServerReturnsFirstAmongEqualErrors() {
     ErrorBackoff first = outliers.addServer();
     ErrorBackoff second = outliers.addServer();
     outliers.addServer();
@@ -28,13 +28,13 @@
   }
 
   @Test
-  void singleErrorDoesNotUnejectARepeatOffender() {
-    ErrorBackoff erring = outliers.addServer();
+  void singleErrorOfAnotherServerDoesNotUnejectAServerWithSeveralErrors() {
+    ErrorBackoff failing = outliers.addServer();
     ErrorBackoff other = outliers.addServer();
-    outliers.recordError(erring, 1_000);
-    outliers.recordError(erring, 2_000);
+    outliers.recordError(failing, 1_000);
+    outliers.recordError(failing, 2_000);
     assertThat(outliers.recordError(other, 2_100), is(false));
-    assertThat(erring.isAvoided(false, 2_100), is(true));
+    assertThat(failing.isAvoided(false, 2_100), is(true));
   }
 
   @Test
@@ -64,7 +64,7 @@
     assertThat(ResponseClass.of(200, true, 1_000), is(ResponseClass.NEUTRAL));
   }
 
-  /** A server whose queue was too long for the deadline is slow, not erring. */
+  /** A 504 response at the deadline comes from a server that is slow, not faulty. */
   @Test
   void gatewayTimeoutAtTheDeadlineIsNeutral() {
     assertThat(
--- a/gateway/src/test/java/elmsail/gateway/servers/ServerConnectionTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/ServerConnectionTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** What one connection makes of each kind of answer, cut or split at each of its bytes. */
+/** Tests how one connection handles each kind of response, truncated or split at every byte. */
 class ServerConnectionTest {
   private static final String HEAD = "HTTP/1.1 200 OK\r\nElmsail-Request-Id: a1\r\n";
   private static final String FIXED_LENGTH = HEAD + "Content-Length: 5\r\n\r\nwhole";
@@ -33,12 +33,12 @@
 
   /** How the connection ends. */
   private enum End {
-    IN_ORDER,
+    ORDERLY_CLOSE,
     RESET,
-    CLOSED_HERE
+    LOCAL_CLOSE
   }
 
-  /** Keeps what it hears. */
+  /** Records the events of one attempt. */
   private static final class RecordingRequest implements OutgoingRequest, AttemptListener {
     private final String id;
     private final StringBuilder body = new StringBuilder();
@@ -79,12 +79,12 @@
 
     @Override
     public void onComplete() {
-      outcome = outcome.equals("open") ? "whole " + body : outcome + ", again";
+      outcome = outcome.equals("open") ? "complete " + body : outcome + ", called again";
     }
 
     @Override
     public void onFailure(boolean sent) {
-      outcome = outcome.equals("open") ? "failed, sent " + sent : outcome + ", again";
+      outcome = outcome.equals("open") ? "failed, sent " + sent : outcome + ", called again";
     }
   }
 
@@ -106,11 +106,11 @@
   }
 
   private RecordingRequest send(String id) {
-    RecordingRequest heard = new RecordingRequest(id);
-    Attempt one = new Attempt(server, heard, heard, loop.now());
-    server.onAttemptStarted(one);
-    connection.send(one);
-    return heard;
+    RecordingRequest request = new RecordingRequest(id);
+    Attempt attempt = new Attempt(server, request, request, loop.now());
+    server.onAttemptStarted(attempt);
+    connection.send(attempt);
+    return request;
   }
 
   private RecordingRequest sendOnNewConnection() {
@@ -126,16 +126,16 @@
     }
   }
 
-  private void end(End how) {
+  private void end(End end) {
     if (!channel.isActive()) {
       return;
     }
-    switch (how) {
-      case IN_ORDER ->
+    switch (end) {
+      case ORDERLY_CLOSE ->
           channel.pipeline().fireUserEventTriggered(ChannelInputShutdownEvent.INSTANCE);
       case RESET -> channel.pipeline().fireExceptionCaught(new IOException("reset"));
       default -> {
-        // closed here, as at the end of the process
+        // closed locally, as at a shutdown of the gateway
       }
     }
     channel.close();
@@ -146,18 +146,18 @@
   @ParameterizedTest
   @EnumSource(End.class)
   void truncatedResponseFailsTheSentAttempt(End end) {
-    for (String answer : new String[] {FIXED_LENGTH, CHUNKED, CLOSE_DELIMITED}) {
-      for (int cut = 0; cut < answer.length(); cut++) {
-        RecordingRequest heard = sendOnNewConnection();
-        receive(answer.substring(0, cut));
+    for (String response : new String[] {FIXED_LENGTH, CHUNKED, CLOSE_DELIMITED}) {
+      for (int cut = 0; cut < response.length(); cut++) {
+        RecordingRequest request = sendOnNewConnection();
+        receive(response.substring(0, cut));
         end(end);
-        boolean ended = end == End.IN_ORDER && answer.equals(CLOSE_DELIMITED);
+        boolean completedByClose = end == End.ORDERLY_CLOSE && response.equals(CLOSE_DELIMITED);
         boolean inBody = cut >= CLOSE_DELIMITED.length() - "whole".length();
         String expected =
-            ended && inBody
-                ? "whole " + answer.substring(CLOSE_DELIMITED.length() - "whole".length(), cut)
+            completedByClose && inBody
+                ? "complete " + response.substring(CLOSE_DELIMITED.length() - "whole".length(), cut)
                 : "failed, sent true";
-        assertThat(answer + " cut at " + cut, heard.outcome, is(expected));
+        assertThat(response + " cut at " + cut, request.outcome, is(expected));
       }
     }
   }
@@ -165,14 +165,14 @@
   @ParameterizedTest
   @EnumSource(End.class)
   void completeResponseIsDeliveredOnceForEverySplit(End end) {
-    for (String answer : new String[] {FIXED_LENGTH, CHUNKED, CLOSE_DELIMITED}) {
-      for (int split = 0; split < answer.length(); split++) {
-        RecordingRequest heard = sendOnNewConnection();
-        receive(answer.substring(0, split));
-        receive(answer.substring(split));
+    for (String response : new String[] {FIXED_LENGTH, CHUNKED, CLOSE_DELIMITED}) {
+      for (int split = 0; split < response.length(); split++) {
+        RecordingRequest request = sendOnNewConnection();
+        receive(response.substring(0, split));
+        receive(response.substring(split));
         end(end);
-        boolean broken = answer.equals(CLOSE_DELIMITED) && end != End.IN_ORDER;
-        assertThat(heard.outcome, is(broken ? "failed, sent true" : "whole whole"));
+        boolean incomplete = response.equals(CLOSE_DELIMITED) && end != End.ORDERLY_CLOSE;
+        assertThat(request.outcome, is(incomplete ? "failed, sent true" : "complete whole"));
       }
     }
   }
@@ -180,19 +180,19 @@
   @ParameterizedTest
   @EnumSource(End.class)
   void bytesAfterAResponseCloseTheConnectionForEverySplit(End end) {
-    String both = FIXED_LENGTH + FIXED_LENGTH;
-    for (int split = 1; split < both.length(); split++) {
+    String twoResponses = FIXED_LENGTH + FIXED_LENGTH;
+    for (int split = 1; split < twoResponses.length(); split++) {
       server.idleConnections.clear();
       RecordingRequest first = sendOnNewConnection();
-      receive(both.substring(0, split));
-      boolean free = server.idleConnections.contains(connection);
-      assertThat("split at " + split, free, is(split == FIXED_LENGTH.length()));
-      receive(both.substring(split));
-      assertThat("split at " + split, first.outcome, is("whole whole"));
+      receive(twoResponses.substring(0, split));
+      boolean idle = server.idleConnections.contains(connection);
+      assertThat("split at " + split, idle, is(split == FIXED_LENGTH.length()));
+      receive(twoResponses.substring(split));
+      assertThat("split at " + split, first.outcome, is("complete whole"));
       assertThat("split at " + split, channel.isActive(), is(false));
       assertThat("split at " + split, server.idleConnections.isEmpty(), is(true));
       end(end);
-      assertThat(first.outcome, is("whole whole"));
+      assertThat(first.outcome, is("complete whole"));
     }
   }
 
@@ -202,7 +202,7 @@
     for (int split = 0; split < FIXED_LENGTH.length(); split++) {
       RecordingRequest first = sendOnNewConnection();
       receive(FIXED_LENGTH);
-      assertThat(first.outcome, is("whole whole"));
+      assertThat(first.outcome, is("complete whole"));
       server.idleConnections.remove(connection);
       RecordingRequest second = send("a2");
       receive(FIXED_LENGTH.substring(0, split));
--- a/gateway/src/test/java/elmsail/gateway/servers/SimulatedServer.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/SimulatedServer.java
@@ -4,82 +4,85 @@
 import java.util.ArrayDeque;
 
 /**
- * A model server that batches: some places, a queue before them in the order of arrival, prompts
- * read one after the other, and a place held until the last token. It tells no load and refuses
- * where its queue is full.
+ * A simulated model server with batching: requests wait in a FIFO queue for one of a number of
+ * slots, prefill runs for one prompt at a time, and a slot is held until the last token. The server
+ * rejects requests when its queue is full.
  */
 final class SimulatedServer {
-  /** What becomes of a request there. */
+  /** Receives the events of one request. */
   interface Client {
-    /** It was not taken, and will not run. */
+    /** The request was rejected and will not run. */
     void onRejected();
 
     void onFirstToken();
 
-    void onEnded();
+    void onLastToken();
   }
 
-  private record Waiting(double readMs, double holdMs, Client client) {}
+  private record SimulatedRequest(double prefillMs, double decodeMs, Client client) {}
 
   private final ManualTimers timers;
   private final int slots;
   private final int maxQueued;
 
-  /** Of a server of usual speed: 1; of a slower one more. */
-  private final double slowness;
+  /** Factor on all times: 1 for a server of normal speed, more for a slower one. */
+  private final double slowdownFactor;
 
-  private final ArrayDeque<Waiting> queue = new ArrayDeque<>();
+  private final ArrayDeque<SimulatedRequest> queue = new ArrayDeque<>();
   private int running;
-  private double readUntil;
+  private double prefillBusyUntil;
   int rejections;
 
-  SimulatedServer(ManualTimers timers, int slots, int maxQueued, double slowness) {
+  SimulatedServer(ManualTimers timers, int slots, int maxQueued, double slowdownFactor) {
     this.timers = timers;
     this.slots = slots;
     this.maxQueued = maxQueued;
-    this.slowness = slowness;
+    this.slowdownFactor = slowdownFactor;
   }
 
-  /** Requests there, running and waiting: what nobody but an oracle sees. */
+  /** Running and queued requests. Gateways cannot observe this number; only the oracle uses it. */
   int openRequests() {
     return running + queue.size();
   }
 
-  /** The value of the load header: requests that run, requests that wait, slots. */
+  /** The value of the load header: running requests, queued requests, slots. */
   String loadHeader() {
     return running + "," + queue.size() + "," + slots;
   }
 
-  /** How long a prompt that is let in now waits for those before it, in ms. */
-  double backlogMs() {
-    double queued = queue.stream().mapToDouble(Waiting::readMs).sum() * slowness;
-    return Math.max(0, readUntil - timers.now()) + queued;
+  /** Time until the prefill of a request submitted now could start, in ms. */
+  double prefillBacklogMs() {
+    double queuedPrefillMs =
+        queue.stream().mapToDouble(SimulatedRequest::prefillMs).sum() * slowdownFactor;
+    return Math.max(0, prefillBusyUntil - timers.now()) + queuedPrefillMs;
   }
 
-  void submit(double readMs, double holdMs, Client client) {
+  void submit(double prefillMs, double decodeMs, Client client) {
     if (running < slots) {
-      run(new Waiting(readMs, holdMs, client));
+      run(new SimulatedRequest(prefillMs, decodeMs, client));
     } else if (queue.size() < maxQueued) {
-      queue.add(new Waiting(readMs, holdMs, client));
+      queue.add(new SimulatedRequest(prefillMs, decodeMs, client));
     } else {
       rejections++;
       timers.execute(client::onRejected);
     }
   }
 
-  private void run(Waiting one) {
+  private void run(SimulatedRequest request) {
     running++;
-    readUntil = Math.max(readUntil, (double) timers.now()) + one.readMs * slowness;
-    long first = Math.round(readUntil - timers.now());
-    timers.schedule(first, one.client::onFirstToken);
-    timers.schedule(first + Math.round(one.holdMs * slowness), () -> end(one));
+    prefillBusyUntil =
+        Math.max(prefillBusyUntil, (double) timers.now()) + request.prefillMs * slowdownFactor;
+    long firstTokenDelayMs = Math.round(prefillBusyUntil - timers.now());
+    timers.schedule(firstTokenDelayMs, request.client::onFirstToken);
+    timers.schedule(
+        firstTokenDelayMs + Math.round(request.decodeMs * slowdownFactor), () -> complete(request));
   }
 
-  private void end(Waiting one) {
+  private void complete(SimulatedRequest request) {
     running--;
     if (!queue.isEmpty()) {
       run(queue.poll());
     }
-    one.client.onEnded();
+    request.client.onLastToken();
   }
 }
