--- a/consensus/src/main/java/elmsail/consensus/DurableRecords.java
+++ b/consensus/src/main/java/elmsail/consensus/DurableRecords.java
@@ -27,7 +27,7 @@
 
   /** The state of a key as last written, on disk or not. */
   AcceptorState state(String key) {
-    return AcceptorState.fromBytes(records.read(names.key(key)));
+    return AcceptorState.fromBytes(records.read(names.keyRecord(key)));
   }
 
   /**
@@ -58,13 +58,13 @@
   List<Change> changes(String key, Acceptor.Decision decision, List<Blob> blobs) {
     List<Change> changes = new ArrayList<>();
     for (Blob blob : blobs) {
-      String name = names.blob(key, blob.name);
+      String name = names.blobRecord(key, blob.name);
       if (!names.isStored(records, name)) {
         changes.add(new Change(name, blob.bytes));
       }
     }
     if (decision.newState() != null) {
-      changes.add(new Change(names.key(key), decision.newState().toBytes()));
+      changes.add(new Change(names.keyRecord(key), decision.newState().toBytes()));
     }
     return changes;
   }
@@ -72,8 +72,8 @@
   /** Removes a key and its blobs. */
   void removeKey(String key) {
     List<Change> changes = new ArrayList<>();
-    changes.add(new Change(names.key(key), null));
-    for (String name : records.names(names.blobs(key))) {
+    changes.add(new Change(names.keyRecord(key), null));
+    for (String name : records.names(names.blobPrefix(key))) {
       changes.add(new Change(name, null));
     }
     write(changes);
@@ -82,7 +82,7 @@
   /** Removes all keys and blobs. */
   void removeAll() {
     List<Change> changes = new ArrayList<>();
-    for (String prefix : new String[] {names.keys(), names.blobs()}) {
+    for (String prefix : new String[] {names.keyPrefix(), names.blobPrefix()}) {
       for (String name : records.names(prefix)) {
         changes.add(new Change(name, null));
       }
--- a/consensus/src/main/java/elmsail/consensus/Proposer.java
+++ b/consensus/src/main/java/elmsail/consensus/Proposer.java
@@ -33,7 +33,7 @@
   private final byte[] sideEffect;
   private boolean acceptSent;
   private int admissionRefusals;
-  private int outbidAttempts;
+  private int preemptedAttempts;
 
   /**
    * @param sideEffect sent with the prepare phase, which is then never skipped; null for none
@@ -194,8 +194,8 @@
 
     /** The first attempt that was outbid is retried at once, all others after a backoff. */
     private void retryAfter(VoteResponse lastResponse) {
-      boolean outbid = lastResponse != null && lastResponse.code == VoteResponse.BALLOT_TOO_LOW;
-      if (outbid && outbidAttempts++ == 0) {
+      boolean preempted = lastResponse != null && lastResponse.code == VoteResponse.BALLOT_TOO_LOW;
+      if (preempted && preemptedAttempts++ == 0) {
         retryNow();
       } else {
         retryAfterBackoff();
--- a/consensus/src/main/java/elmsail/consensus/RecordNames.java
+++ b/consensus/src/main/java/elmsail/consensus/RecordNames.java
@@ -58,27 +58,27 @@
   }
 
   /** The prefix of all keys' records. */
-  String keys() {
+  String keyPrefix() {
     return keyPrefix;
   }
 
   /** The prefix of all blobs' records. */
-  String blobs() {
+  String blobPrefix() {
     return blobPrefix;
   }
 
   /** The record of a key's state. */
-  String key(String key) {
+  String keyRecord(String key) {
     return keyPrefix + escape(key);
   }
 
   /** The prefix of the records of a key's blobs. */
-  String blobs(String key) {
+  String blobPrefix(String key) {
     return blobPrefix + escape(key) + "/";
   }
 
   /** The record of a blob. */
-  String blob(String key, String name) {
+  String blobRecord(String key, String name) {
     return blobPrefix + escape(key) + "/" + name;
   }
 
--- a/consensus/src/main/java/elmsail/consensus/Replica.java
+++ b/consensus/src/main/java/elmsail/consensus/Replica.java
@@ -65,8 +65,8 @@
   private void registerGauges(Counters counters) {
     counters.registerGauge("replica_voting", () -> isVoting() ? 1 : 0);
     counters.registerGauge("replica_join_under_way", () -> membership.isJoining() ? 1 : 0);
-    counters.registerGauge("replica_keys_kept", () -> records.count(names.keys()));
-    counters.registerGauge("replica_blobs_kept", () -> records.count(names.blobs()));
+    counters.registerGauge("replica_keys_kept", () -> records.count(names.keyPrefix()));
+    counters.registerGauge("replica_blobs_kept", () -> records.count(names.blobPrefix()));
   }
 
   /**
@@ -134,7 +134,7 @@
 
   /** The bytes of a blob as stored here; null if it isn't. */
   public byte[] blob(String key, String name) {
-    return records.read(names.blob(key, name));
+    return records.read(names.blobRecord(key, name));
   }
 
   /** Adds a listener, called on the loop after {@link #isVoting()} changed. */
--- a/consensus/src/main/java/elmsail/consensus/ReplicaCounters.java
+++ b/consensus/src/main/java/elmsail/consensus/ReplicaCounters.java
@@ -31,7 +31,7 @@
   private final Counters.Counter refusedNotAdmitted;
 
   /** Refused: what the response relies on could not be written. */
-  private final Counters.Counter refusedDisk;
+  private final Counters.Counter refusedFailedWrite;
 
   /** Registers the counters under their exported names. */
   ReplicaCounters(Counters counters) {
@@ -42,7 +42,7 @@
     refusedOldVoterSet = refused(counters, "old_voter_set");
     refusedNotVoting = refused(counters, "not_voting");
     refusedNotAdmitted = refused(counters, "not_admitted");
-    refusedDisk = refused(counters, "disk");
+    refusedFailedWrite = refused(counters, "disk");
   }
 
   private static Counters.Counter refused(Counters counters, String reason) {
@@ -65,7 +65,7 @@
   }
 
   /** Counts a response that could not be sent because a write failed. */
-  void refusedByDisk() {
-    refusedDisk.add(1);
+  void refusedOnFailedWrite() {
+    refusedFailedWrite.add(1);
   }
 }
--- a/consensus/src/main/java/elmsail/consensus/ReplicaRequestHandler.java
+++ b/consensus/src/main/java/elmsail/consensus/ReplicaRequestHandler.java
@@ -241,7 +241,7 @@
   /** As {@link DurableRecords#respondOnceDurable}, for responses that rely on the voter set too. */
   private <A> CompletableFuture<A> respondOnceDurable(List<Change> changes, Supplier<A> response) {
     if (!durableMembership.isWritten()) {
-      counters.refusedByDisk();
+      counters.refusedOnFailedWrite();
       return CompletableFuture.failedFuture(
           new ElmsailException(ErrorCode.STORAGE_FAILURE, set + ": the voter set is not on disk"));
     }
@@ -250,7 +250,7 @@
         .whenComplete(
             (none, failure) -> {
               if (failure != null) {
-                counters.refusedByDisk();
+                counters.refusedOnFailedWrite();
               }
             });
   }
--- a/consensus/src/main/java/elmsail/consensus/RestoredReplica.java
+++ b/consensus/src/main/java/elmsail/consensus/RestoredReplica.java
@@ -71,14 +71,14 @@
     ReplicaMembership membership =
         new ReplicaMembership("", "", records.instanceId(), voterSet, caughtUpEpoch);
     TreeSet<String> all = new TreeSet<>(names.keysIn(records));
-    for (String blob : records.names(names.blobs())) {
+    for (String blob : records.names(names.blobPrefix())) {
       all.add(names.keyOfBlob(blob));
     }
     List<StoredKey> keys = new ArrayList<>(all.size());
     for (String key : all) {
-      AcceptorState state = AcceptorState.fromBytes(records.read(names.key(key)));
+      AcceptorState state = AcceptorState.fromBytes(records.read(names.keyRecord(key)));
       int blobs = 0;
-      for (String blob : records.names(names.blobs(key))) {
+      for (String blob : records.names(names.blobPrefix(key))) {
         blobs += blob.isEmpty() ? 0 : 1;
       }
       keys.add(
--- a/consensus/src/main/java/elmsail/consensus/StateTransfer.java
+++ b/consensus/src/main/java/elmsail/consensus/StateTransfer.java
@@ -84,8 +84,8 @@
     }
     CompletableFuture<Void> nothingWritten = CompletableFuture.completedFuture(null);
     for (Voter source : sources) {
-      requestPage(source, names.keys(), false, nothingWritten);
-      requestPage(source, names.blobs(), source != sources.get(0), nothingWritten);
+      requestPage(source, names.keyPrefix(), false, nothingWritten);
+      requestPage(source, names.blobPrefix(), source != sources.get(0), nothingWritten);
     }
   }
 
--- a/consensus/src/main/java/elmsail/consensus/StateTransferPages.java
+++ b/consensus/src/main/java/elmsail/consensus/StateTransferPages.java
@@ -44,10 +44,10 @@
   /** Fills a response with the names of the blobs behind {@code after}, without their bytes. */
   void fillBlobNames(StateTransferResponse response, String after) {
     response.lastPage = true;
-    if (!after.startsWith(names.blobs())) {
+    if (!after.startsWith(names.blobPrefix())) {
       return;
     }
-    for (String name : records.names(names.blobs())) {
+    for (String name : records.names(names.blobPrefix())) {
       if (name.compareTo(after) <= 0) {
         continue;
       }
--- a/consensus/src/test/java/elmsail/consensus/BlobSecondLossTest.java
+++ b/consensus/src/test/java/elmsail/consensus/BlobDurabilityTest.java
@@ -14,38 +14,41 @@
  * so that each blob is at a majority again: checked for all placements and sources as sets of
  * slots, and with replicas.
  */
-class BlobSecondLossTest {
+class BlobDurabilityTest {
   private int states;
 
   @Test
   void joinFromBlockingSetLeavesEachBlobAtAMajority() {
     for (int voters : new int[] {1, 3, 5, 7}) {
       states = 0;
-      assertThat(voters + " voters", joinsLose(voters, VoterSets.blockingSize(voters)), is(false));
+      assertThat(
+          voters + " voters",
+          someJoinOrderLosesBlob(voters, VoterSets.blockingSize(voters)),
+          is(false));
       System.out.println(voters + " voters: " + states + " joins, each blob at a majority");
     }
   }
 
   @Test
-  void joinFromOneSourceLessLosesABlob() {
+  void joinFromOneSourceLessThanABlockingSetLosesABlob() {
     for (int voters : new int[] {3, 5, 7}) {
-      assertThat(joinsLose(voters, VoterSets.blockingSize(voters) - 1), is(true));
+      assertThat(someJoinOrderLosesBlob(voters, VoterSets.blockingSize(voters) - 1), is(true));
     }
   }
 
   /** Whether some order of joins leaves a blob at less than a majority. */
-  private boolean joinsLose(int voters, int sources) {
+  private boolean someJoinOrderLosesBlob(int voters, int sources) {
     Set<Integer> seen = new HashSet<>();
     for (int holders = 0; holders < 1 << voters; holders++) {
       if (Integer.bitCount(holders) == VoterSets.majoritySize(voters)
-          && loses(holders, voters, sources, seen)) {
+          && losesBlob(holders, voters, sources, seen)) {
         return true;
       }
     }
     return false;
   }
 
-  private boolean loses(int holders, int voters, int sources, Set<Integer> seen) {
+  private boolean losesBlob(int holders, int voters, int sources, Set<Integer> seen) {
     if (Integer.bitCount(holders) < VoterSets.majoritySize(voters)) {
       return true;
     }
@@ -54,12 +57,13 @@
     }
     for (int slot = 0; slot < voters; slot++) {
       int others = ((1 << voters) - 1) & ~(1 << slot);
-      for (int from = 0; from < 1 << voters; from++) {
-        if ((from & ~others) == 0 && Integer.bitCount(from) == Math.min(sources, voters - 1)) {
+      for (int sourceSlots = 0; sourceSlots < 1 << voters; sourceSlots++) {
+        if ((sourceSlots & ~others) == 0
+            && Integer.bitCount(sourceSlots) == Math.min(sources, voters - 1)) {
           states++;
-          int copied = (from & holders) != 0 ? 1 << slot : 0;
+          int copied = (sourceSlots & holders) != 0 ? 1 << slot : 0;
           int next = holders & others | (voters == 1 ? holders : copied);
-          if (loses(next, voters, sources, seen)) {
+          if (losesBlob(next, voters, sources, seen)) {
             return true;
           }
         }
@@ -70,16 +74,16 @@
 
   private SimCluster cluster;
 
-  private void putWithout(int without) {
+  private void commitBlobWithOneVoterDown(int voterDown) {
     cluster = new SimCluster().bootstrapped();
-    cluster.kill(without);
+    cluster.kill(voterDown);
     cluster.put("value", SimCluster.blob("body", 20_000));
-    cluster.start(without);
+    cluster.start(voterDown);
     cluster.timers.advance(50);
-    assertThat(cluster.replicas[without].blob("key", "body") == null, is(true));
+    assertThat(cluster.replicas[voterDown].blob("key", "body") == null, is(true));
   }
 
-  private void wiped(int lost) {
+  private void wipeDiskAndRejoin(int lost) {
     cluster.kill(lost);
     cluster.disks[lost].wipe();
     cluster.start(lost);
@@ -89,8 +93,8 @@
   }
 
   /** The spare takes the slot of one that is gone, or that is there and retires. */
-  private void replaced(int lost, boolean there) {
-    if (!there) {
+  private void replaceBySpare(int lost, boolean running) {
+    if (!running) {
       cluster.kill(lost);
     }
     cluster.replicas[3].learn(cluster.initialVoters);
@@ -104,34 +108,34 @@
    * One voter lacks the blob; one loses its disk and joins again; right after it another is lost.
    */
   @Test
-  void blobSurvivesALossRightAfterAJoin() {
-    int played = 0;
-    for (int without = 0; without < 3; without++) {
+  void blobSurvivesASecondDiskLossRightAfterAJoin() {
+    int scenarios = 0;
+    for (int voterDown = 0; voterDown < 3; voterDown++) {
       for (int first = 0; first < 3; first++) {
         for (int second = 0; second < 3; second++) {
           for (int kind = 0; kind < 3; kind++) {
             if (kind > 0 && second == first) {
               continue;
             }
-            putWithout(without);
+            commitBlobWithOneVoterDown(voterDown);
             if (kind == 0) {
-              wiped(first);
+              wipeDiskAndRejoin(first);
             } else {
-              replaced(first, kind == 2);
+              replaceBySpare(first, kind == 2);
             }
             cluster.kill(second);
             cluster.disks[second].wipe();
             byte[] read =
                 cluster.await(cluster.client(cluster.initialVoters).readBlob("key", "body", 5_000));
             String scenario =
-                without + " without, " + first + ", then " + second + ", kind " + kind;
+                voterDown + " without, " + first + ", then " + second + ", kind " + kind;
             assertThat(scenario, read != null && read.length == 20_000, is(true));
             assertThat(scenario, cluster.net.handlerFaults(), empty());
-            played++;
+            scenarios++;
           }
         }
       }
     }
-    assertThat(played, greaterThan(40));
+    assertThat(scenarios, greaterThan(40));
   }
 }
--- a/consensus/src/test/java/elmsail/consensus/ConcurrentJoinModel.java
+++ b/consensus/src/test/java/elmsail/consensus/ConcurrentJoinModel.java
@@ -13,7 +13,7 @@
  * silent for good from any moment on, which is what the loss of their disks is. The decisions on
  * claims and sources are the production classes'.
  */
-final class ConcurrentJoinModel extends BallotSearch {
+final class ConcurrentJoinModel extends RegisterModel {
   private static final int S = 3;
   private static final int X = 4;
   private static final int PROCESSES = 5;
@@ -92,10 +92,10 @@
       for (int join = S; join <= X; join++) {
         if ((known & bit(join)) != 0) {
           Voter holder = voter(NAMES[join], join, 2);
-          Voter before = initial.voters.get(slotOf(join));
-          holder.previousAddress = before.address;
-          holder.previousInstanceId = before.instanceId;
-          holder.previousEpoch = before.epoch;
+          Voter predecessor = initial.voters.get(slotOf(join));
+          holder.previousAddress = predecessor.address;
+          holder.previousInstanceId = predecessor.instanceId;
+          holder.previousEpoch = predecessor.epoch;
           voterSets[known] = VoterSets.withVoter(voterSets[known], slotOf(join), holder);
         }
       }
@@ -105,9 +105,9 @@
   @Override
   void visit(int[] state) {
     checkInvariants(state);
-    joiner(state, S);
-    joiner(state, X);
-    propose(state);
+    pushJoinSteps(state, S);
+    pushJoinSteps(state, X);
+    pushProposerSteps(state);
   }
 
   private static int bit(int join) {
@@ -123,7 +123,7 @@
     return slot == 0 && (known & 1) != 0 ? S : slot == 2 && (known & 2) != 0 ? X : slot;
   }
 
-  private static int at(int join) {
+  private static int joinOffset(int join) {
     return JOINS + (join - S) * JOIN_FIELDS;
   }
 
@@ -136,7 +136,7 @@
     state[process * FIELDS + KNOWN_CLAIMS] |= known;
     boolean replaced = process == 0 && (known & 1) != 0 || process == 2 && (known & 2) != 0;
     if (replaced && defect == Defect.RECORDS_DROPPED) {
-      put(state, process, AcceptorState.EMPTY);
+      putKey(state, process, AcceptorState.EMPTY);
     }
   }
 
@@ -146,7 +146,7 @@
   }
 
   private ReplicaMembership membership(int[] state, int process) {
-    int caughtUp = process < S ? 1 : 2 * state[at(process) + VOTING];
+    int caughtUp = process < S ? 1 : 2 * state[joinOffset(process) + VOTING];
     return new ReplicaMembership(
         NAMES[process],
         NAMES[process],
@@ -155,8 +155,8 @@
         caughtUp);
   }
 
-  private static boolean absent(int[] state, int process) {
-    return process >= S && state[at(process) + STARTED] == 0;
+  private static boolean isAbsent(int[] state, int process) {
+    return process >= S && state[joinOffset(process) + STARTED] == 0;
   }
 
   /** The code of a vote on a request under a voter set, which the voter may learn on the way. */
@@ -171,23 +171,23 @@
 
   @Override
   boolean votes(int[] state, int process, int requested) {
-    return !absent(state, process) && vote(state, process, requested) == VoteResponse.OK;
+    return !isAbsent(state, process) && vote(state, process, requested) == VoteResponse.OK;
   }
 
-  private void joiner(int[] state, int join) {
-    int at = at(join);
-    if (state[at + STARTED] == 0) {
+  private void pushJoinSteps(int[] state, int join) {
+    int offset = joinOffset(join);
+    if (state[offset + STARTED] == 0) {
       int other = join == S ? X : S;
-      for (int knowing = 0; knowing <= state[at(other) + STARTED]; knowing++) {
+      for (int knowing = 0; knowing <= state[joinOffset(other) + STARTED]; knowing++) {
         int[] next = state.clone();
-        next[at + STARTED] = 1;
-        next[at + SENT_KNOWING_OTHER] = knowing;
+        next[offset + STARTED] = 1;
+        next[offset + SENT_KNOWING_OTHER] = knowing;
         learn(next, join, bit(join) | knowing * bit(other));
         push(next);
       }
       return;
     }
-    if (state[at + VOTING] == 1) {
+    if (state[offset + VOTING] == 1) {
       return;
     }
     JoinQuorum quorum = quorum(state, join);
@@ -213,26 +213,26 @@
               bit(join));
         }
       }
-      if (state[at + COPIED_B] == 1 && state[at + COPIED_OTHER] == 1) {
+      if (state[offset + COPIED_B] == 1 && state[offset + COPIED_OTHER] == 1) {
         int[] next = state.clone();
-        clearAttempt(next, at);
-        next[at + VOTING] = 1;
+        clearAttempt(next, offset);
+        next[offset + VOTING] = 1;
         push(next);
       }
     }
-    if (restarts && state[at + RESTARTED] == 0) {
+    if (restarts && state[offset + RESTARTED] == 0) {
       int[] next = state.clone();
-      clearAttempt(next, at);
-      next[at + RESTARTED] = 1;
-      next[at + SENT_KNOWING_OTHER] = (knownClaims(state, join) & ~bit(join)) == 0 ? 0 : 1;
-      put(next, join, AcceptorState.EMPTY);
+      clearAttempt(next, offset);
+      next[offset + RESTARTED] = 1;
+      next[offset + SENT_KNOWING_OTHER] = (knownClaims(state, join) & ~bit(join)) == 0 ? 0 : 1;
+      putKey(next, join, AcceptorState.EMPTY);
       push(next);
     }
   }
 
-  private static void clearAttempt(int[] next, int at) {
+  private static void clearAttempt(int[] next, int offset) {
     for (int field = SENT_KNOWING_OTHER; field <= COPIED_OTHER; field++) {
-      next[at + field] = 0;
+      next[offset + field] = 0;
     }
   }
 
@@ -245,59 +245,59 @@
     if (field == RESPONSE_OF_B) {
       return 1;
     }
-    return field == RESPONSE_OF_OTHER && state[at(join) + SENT_KNOWING_OTHER] == 1
+    return field == RESPONSE_OF_OTHER && state[joinOffset(join) + SENT_KNOWING_OTHER] == 1
         ? other
         : slotOf(other);
   }
 
   private JoinQuorum quorum(int[] state, int join) {
-    int at = at(join);
+    int offset = joinOffset(join);
     int other = join == S ? X : S;
     int all = bit(join) | bit(other);
-    int known = bit(join) | state[at + SENT_KNOWING_OTHER] * bit(other);
+    int known = bit(join) | state[offset + SENT_KNOWING_OTHER] * bit(other);
     JoinQuorum quorum = new JoinQuorum(voterSets[known], slotOf(join), join + 1);
-    if (state[at + RESPONSE_OF_B] != 0) {
+    if (state[offset + RESPONSE_OF_B] != 0) {
       quorum.onHolderResponse(
-          1, response(1, true, state[at + RESPONSE_OF_B] == 2 ? all : bit(join)));
+          1, response(1, true, state[offset + RESPONSE_OF_B] == 2 ? all : bit(join)));
     }
-    if (state[at + RESPONSE_OF_OTHER] != 0) {
+    if (state[offset + RESPONSE_OF_OTHER] != 0) {
       quorum.onHolderResponse(
           slotOf(other),
           response(
               recipient(state, join, RESPONSE_OF_OTHER),
-              state[at + RESPONSE_OF_OTHER] == 1,
+              state[offset + RESPONSE_OF_OTHER] == 1,
               known));
-    } else if (defect == Defect.SUCCESSOR_NOT_QUERIED && state[at + SENT_KNOWING_OTHER] == 1) {
+    } else if (defect == Defect.SUCCESSOR_NOT_QUERIED && state[offset + SENT_KNOWING_OTHER] == 1) {
       quorum.onHolderResponse(slotOf(other), response(other, false, known));
     }
-    int before = slotOf(other);
-    if (state[at + RESPONSE_OF_PREDECESSOR] != 0) {
+    int predecessor = slotOf(other);
+    if (state[offset + RESPONSE_OF_PREDECESSOR] != 0) {
       quorum.onPredecessorResponse(
-          before,
+          predecessor,
           response(
-              before,
-              state[at + RESPONSE_OF_PREDECESSOR] == 1,
-              state[at + RESPONSE_OF_PREDECESSOR] == 1 ? bit(join) : all));
+              predecessor,
+              state[offset + RESPONSE_OF_PREDECESSOR] == 1,
+              state[offset + RESPONSE_OF_PREDECESSOR] == 1 ? bit(join) : all));
     }
     return quorum;
   }
 
-  private JoinResponse response(int by, boolean held, int known) {
+  private JoinResponse response(int responder, boolean accepted, int known) {
     JoinResponse response = new JoinResponse();
-    response.instanceId = by + 1L;
-    response.accepted = held;
-    response.recorded = !held;
-    response.replaced = !held && by < S;
+    response.instanceId = responder + 1L;
+    response.accepted = accepted;
+    response.recorded = !accepted;
+    response.replaced = !accepted && responder < S;
     response.voterSet = voterSets[known];
     return response;
   }
 
   private void request(int[] state, int join, int field) {
-    int at = at(join);
+    int offset = joinOffset(join);
     int process = recipient(state, join, field);
-    if (state[at + field] != 0
-        || field == RESPONSE_OF_PREDECESSOR && state[at + SENT_KNOWING_OTHER] == 0
-        || absent(state, process)) {
+    if (state[offset + field] != 0
+        || field == RESPONSE_OF_PREDECESSOR && state[offset + SENT_KNOWING_OTHER] == 0
+        || isAbsent(state, process)) {
       return;
     }
     JoinRequest request = new JoinRequest();
@@ -312,34 +312,34 @@
     push(next.clone());
     learn(next, join, known(membership.voterSet()));
     if (response.accepted && field == RESPONSE_OF_B) {
-      next[at + field] = known(membership.voterSet()) == 3 ? 2 : 1;
+      next[offset + field] = known(membership.voterSet()) == 3 ? 2 : 1;
     } else if (response.accepted) {
-      next[at + field] = 1;
+      next[offset + field] = 1;
     } else if (field == RESPONSE_OF_PREDECESSOR
         ? response.recorded && response.replaced
         : response.recorded && !response.replaced) {
-      next[at + field] = 2;
+      next[offset + field] = 2;
     }
     push(next);
   }
 
-  private void copy(int[] state, int join, int process, boolean ofReplaced, int voterSet) {
+  private void copy(int[] state, int join, int process, boolean allowReplaced, int voterSet) {
     int[] next = state.clone();
     int code = vote(next, process, voterSet);
     if (membership(next, process)
-        .servesTransfer(code, ofReplaced || defect == Defect.STALE_SOURCE)) {
-      put(next, join, key(next, join).mergeTransferred(key(next, process)));
-      next[at(join) + (process == 1 ? COPIED_B : COPIED_OTHER)] = 1;
+        .servesTransfer(code, allowReplaced || defect == Defect.STALE_SOURCE)) {
+      putKey(next, join, key(next, join).mergeTransferred(key(next, process)));
+      next[joinOffset(join) + (process == 1 ? COPIED_B : COPIED_OTHER)] = 1;
     }
     if (defect == Defect.REPLACED_NOT_QUERIED && process < S && process != 1) {
-      next[at(join) + COPIED_OTHER] = 1;
+      next[joinOffset(join) + COPIED_OTHER] = 1;
     }
     push(next);
   }
 
   @Override
-  boolean isProposed(int[] state, int voterSet) {
-    return (voterSet & ~(state[at(S) + STARTED] | 2 * state[at(X) + STARTED])) == 0;
+  boolean mayBeProposed(int[] state, int voterSet) {
+    return (voterSet & ~(state[joinOffset(S) + STARTED] | 2 * state[joinOffset(X) + STARTED])) == 0;
   }
 
   @Override
--- a/consensus/src/test/java/elmsail/consensus/JoinModelTest.java
+++ b/consensus/src/test/java/elmsail/consensus/ConcurrentJoinModelTest.java
@@ -12,17 +12,17 @@
  * All states of one ballot and two claims at once; with -Dregister.claimBallots=2 those of two
  * ballots.
  */
-class JoinModelTest {
+class ConcurrentJoinModelTest {
   private static final int MAX_STATES = 20_000_000;
   private static final int BALLOTS = Integer.getInteger("register.claimBallots", 1);
 
   @Test
-  void twoJoinsAtOnceLoseNothing() {
+  void twoConcurrentJoinsKeepInvariants() {
     assertThat(run(ConcurrentJoinModel.Defect.NONE, BALLOTS, false), nullValue());
   }
 
   @Test
-  void twoRestartedJoinsLoseNothing() {
+  void twoConcurrentJoinsWithRestartsKeepInvariants() {
     assertThat(run(ConcurrentJoinModel.Defect.NONE, 1, true), nullValue());
   }
 
--- a/consensus/src/test/java/elmsail/consensus/JoinInVainTest.java
+++ b/consensus/src/test/java/elmsail/consensus/ConflictingJoinTest.java
@@ -13,7 +13,7 @@
  * others up, late or down, the set keeps its majority, and the replica votes again where it has a
  * slot.
  */
-class JoinInVainTest {
+class ConflictingJoinTest {
   private static final long LATE_MS = 1_500;
   private static final long MAX_JOIN_MS = 20_000;
 
@@ -38,14 +38,14 @@
     cluster.put("new");
   }
 
-  private void restartAllWithOneWiped(boolean formerIsUp, boolean successorIsLate) {
+  private void restartAllWithOneWiped(boolean formerHolderIsUp, boolean successorIsLate) {
     for (int i = 0; i < SimCluster.ADDRESSES.length; i++) {
       cluster.kill(i);
     }
     cluster.disks[2].wipe();
     cluster.net.healAll();
     cluster.start(1);
-    if (formerIsUp) {
+    if (formerHolderIsUp) {
       cluster.start(0);
     }
     if (!successorIsLate) {
@@ -61,24 +61,24 @@
   }
 
   /** Makes the wiped replica's calls to 0, 1 and 3 fast or slow. */
-  private void delayResponses(int slow) {
+  private void delayResponses(int slowResponders) {
     int[] others = {0, 1, 3};
     for (int i = 0; i < others.length; i++) {
-      long ms = (slow >> i & 1) == 1 ? 30 : 1;
+      long ms = (slowResponders >> i & 1) == 1 ? 30 : 1;
       cluster.net.delay(SimCluster.ADDRESSES[2], SimCluster.ADDRESSES[others[i]], ms, ms);
       cluster.net.delay(SimCluster.ADDRESSES[others[i]], SimCluster.ADDRESSES[2], ms, ms);
     }
   }
 
   @Test
-  void wipedMemberOfTwoSlotsRejoinsItsLastSlot() {
-    int played = 0;
-    for (int slow = 0; slow < 8; slow++) {
-      for (int kind = 0; kind < 4; kind++) {
-        scenario = "slow " + slow + ", kind " + kind;
+  void wipedReplicaThatHeldTwoSlotsRejoinsItsLastSlot() {
+    int scenarios = 0;
+    for (int slowResponders = 0; slowResponders < 8; slowResponders++) {
+      for (int startOrder = 0; startOrder < 4; startOrder++) {
+        scenario = "slow " + slowResponders + ", kind " + startOrder;
         clusterWithMovedSlots();
-        delayResponses(slow);
-        restartAllWithOneWiped((kind & 1) == 1, (kind & 2) == 2);
+        delayResponses(slowResponders);
+        restartAllWithOneWiped((startOrder & 1) == 1, (startOrder & 2) == 2);
         cluster.awaitVoting(2, MAX_JOIN_MS);
         assertThat(scenario, cluster.replicas[2].isVoting(), is(true));
         assertThat(scenario, cluster.replicas[3].isVoting(), is(true));
@@ -89,18 +89,18 @@
         cluster.kill(1);
         assertThat(scenario, cluster.read(5_000), is("new"));
         assertThat(scenario, cluster.net.handlerFaults(), empty());
-        played++;
+        scenarios++;
       }
     }
-    System.out.println("join of a former slot: " + played + " orders, none failed");
+    System.out.println("join of a former slot: " + scenarios + " orders, none failed");
   }
 
   /** Its slot is another's for good: the others go on voting, and it can join as a spare. */
   @Test
-  void wipedMemberWhoseSlotWasTakenYieldsAndIsASpare() {
-    for (int slow = 0; slow < 8; slow++) {
-      for (int kind = 0; kind < 2; kind++) {
-        scenario = "slow " + slow + ", kind " + kind;
+  void wipedReplicaWhoseSlotWasTakenYieldsAndJoinsAsASpare() {
+    for (int slowResponders = 0; slowResponders < 8; slowResponders++) {
+      for (int startOrder = 0; startOrder < 2; startOrder++) {
+        scenario = "slow " + slowResponders + ", kind " + startOrder;
         cluster = new SimCluster().bootstrapped();
         cluster.put("old");
         cluster.net.isolate(SimCluster.ADDRESSES[2]);
@@ -108,7 +108,7 @@
         cluster.replicas[3].join(2, 2);
         cluster.awaitVoting(3, 5_000);
         cluster.put("new");
-        delayResponses(slow);
+        delayResponses(slowResponders);
         for (int i = 0; i < SimCluster.ADDRESSES.length; i++) {
           cluster.kill(i);
         }
@@ -117,7 +117,7 @@
         cluster.start(1);
         cluster.start(2);
         cluster.replicas[2].learn(cluster.initialVoters);
-        cluster.timers.advance(kind == 0 ? 0 : LATE_MS);
+        cluster.timers.advance(startOrder == 0 ? 0 : LATE_MS);
         cluster.start(3);
         cluster.timers.advance(6_000);
         assertThat(
@@ -138,28 +138,36 @@
    * that; each order of the responses to the wiped replica.
    */
   @Test
-  void unfinishedTakeOverAndOneLossRecoverInAllOrders() {
-    int played = 0;
-    for (int knows = 0; knows < 3; knows++) {
+  void setRecoversFromUnfinishedTakeOverAndOneDiskLossInAllOrders() {
+    int scenarios = 0;
+    for (int voterKnowingClaim = 0; voterKnowingClaim < 3; voterKnowingClaim++) {
       for (int wiped = 0; wiped < 4; wiped++) {
-        for (int gone = 0; gone < 2; gone++) {
-          boolean borne = gone == 0 || wiped >= 2 || knows == 2;
-          for (int slow = 0; slow < 8 && borne; slow++) {
-            scenario = knows + " knows, " + wiped + " wiped, gone " + gone + ", slow " + slow;
-            playUnfinishedTakeOver(knows, wiped, gone == 1, slow);
-            played++;
+        for (int spareGone = 0; spareGone < 2; spareGone++) {
+          boolean tolerated = spareGone == 0 || wiped >= 2 || voterKnowingClaim == 2;
+          for (int slowResponders = 0; slowResponders < 8 && tolerated; slowResponders++) {
+            scenario =
+                voterKnowingClaim
+                    + " knows, "
+                    + wiped
+                    + " wiped, gone "
+                    + spareGone
+                    + ", slow "
+                    + slowResponders;
+            runUnfinishedTakeOver(voterKnowingClaim, wiped, spareGone == 1, slowResponders);
+            scenarios++;
           }
         }
       }
     }
-    System.out.println("one unfinished take-over and one loss: " + played + " orders");
+    System.out.println("one unfinished take-over and one loss: " + scenarios + " orders");
   }
 
-  private void playUnfinishedTakeOver(int knows, int wiped, boolean gone, int slow) {
+  private void runUnfinishedTakeOver(
+      int voterKnowingClaim, int wiped, boolean spareGone, int slowResponders) {
     cluster = new SimCluster().bootstrapped();
     cluster.put("new");
     for (int i = 0; i < 2; i++) {
-      if (i != knows) {
+      if (i != voterKnowingClaim) {
         cluster.net.cutBoth(SimCluster.ADDRESSES[3], SimCluster.ADDRESSES[i]);
       }
     }
@@ -167,13 +175,13 @@
     cluster.replicas[3].join(2, 2);
     cluster.timers.advance(1_500);
     assertThat(scenario, cluster.replicas[3].isVoting(), is(false));
-    if (gone) {
+    if (spareGone) {
       cluster.kill(3);
     }
     if (wiped < 3) {
       for (int i = 0; i < 4; i++) {
         if (i != wiped) {
-          long ms = (slow >> Math.min(i, 2) & 1) == 1 ? 30 : 1;
+          long ms = (slowResponders >> Math.min(i, 2) & 1) == 1 ? 30 : 1;
           cluster.net.delay(SimCluster.ADDRESSES[wiped], SimCluster.ADDRESSES[i], ms, ms);
           cluster.net.delay(SimCluster.ADDRESSES[i], SimCluster.ADDRESSES[wiped], ms, ms);
         }
@@ -185,17 +193,19 @@
     }
     cluster.net.healAll();
     long end = cluster.timers.now() + MAX_JOIN_MS;
-    int least = gone && wiped == 3 ? 2 : 3;
-    while (votingSlots() < least && cluster.timers.now() < end && cluster.timers.runNext()) {
+    int minVotingSlots = spareGone && wiped == 3 ? 2 : 3;
+    while (countVotingSlots() < minVotingSlots
+        && cluster.timers.now() < end
+        && cluster.timers.runNext()) {
       continue;
     }
-    assertThat(scenario, votingSlots() >= least, is(true));
+    assertThat(scenario, countVotingSlots() >= minVotingSlots, is(true));
     assertThat(scenario, cluster.read(5_000), is("new"));
     assertThat(scenario, cluster.net.handlerFaults(), empty());
   }
 
   /** The number of slots of the newest voter set whose voters vote. */
-  private int votingSlots() {
+  private int countVotingSlots() {
     VoterSet newest = cluster.initialVoters;
     for (int i = 0; i < SimCluster.ADDRESSES.length; i++) {
       if (cluster.net.nodeAt(SimCluster.ADDRESSES[i]) != null) {
--- a/consensus/src/test/java/elmsail/consensus/FaultyCluster.java
+++ b/consensus/src/test/java/elmsail/consensus/FaultyCluster.java
@@ -38,7 +38,7 @@
   /** Whether an instance was ever known in two voter slots. */
   boolean instanceInTwoSlots;
 
-  UnaryOperator<RpcClient> replicaCaller = rpcClient -> rpcClient;
+  UnaryOperator<RpcClient> replicaClientWrapper = rpcClient -> rpcClient;
 
   FaultyCluster(long seed) {
     random = new Random(seed);
@@ -51,7 +51,7 @@
     LossyRecordStore records;
     Replica replica;
     Map<Class<?>, Function<Object, CompletionStage<?>>> handlers = new HashMap<>();
-    int starts;
+    int incarnation;
     boolean up;
 
     Node(String address) {
@@ -61,11 +61,11 @@
 
     void start() {
       up = true;
-      starts++;
+      incarnation++;
       handlers = new HashMap<>();
-      Timers own = timers(this);
-      records = new LossyRecordStore(disk, own, random);
-      RpcClient rpcClient = replicaCaller.apply(caller(address, own));
+      Timers nodeTimers = timers(this);
+      records = new LossyRecordStore(disk, nodeTimers, random);
+      RpcClient rpcClient = replicaClientWrapper.apply(rpcClient(address, nodeTimers));
       replica =
           new Replica(
               new ReplicaIdentity("set", address, "st-" + address),
@@ -73,17 +73,17 @@
               new ReplicaListener() {},
               this,
               rpcClient,
-              own,
+              nodeTimers,
               ProcessMetrics.strict());
     }
 
     void crash() {
       up = false;
-      starts++;
+      incarnation++;
       records.crash();
     }
 
-    void wipe() {
+    void wipeDisk() {
       disk = new LossyRecordStore.DiskImage();
     }
 
@@ -96,7 +96,7 @@
 
   /** Timers that end when the process does. */
   private Timers timers(Node node) {
-    int start = node.starts;
+    int incarnation = node.incarnation;
     return new Timers() {
       @Override
       public long now() {
@@ -108,7 +108,7 @@
         return timers.schedule(
             ms,
             () -> {
-              if (node.starts == start) {
+              if (node.incarnation == incarnation) {
                 then.run();
               }
             });
@@ -121,63 +121,64 @@
     };
   }
 
-  private boolean reaches(String from, String to) {
+  private boolean canReach(String from, String to) {
     return !cutLinks.contains(from + ">" + to);
   }
 
-  void cutOff(String one, boolean off) {
+  void setPartitioned(String one, boolean partitioned) {
     for (String other : nodes.keySet()) {
-      for (String way : new String[] {one + ">" + other, other + ">" + one}) {
-        if (off) {
-          cutLinks.add(way);
+      for (String link : new String[] {one + ">" + other, other + ">" + one}) {
+        if (partitioned) {
+          cutLinks.add(link);
         } else {
-          cutLinks.remove(way);
+          cutLinks.remove(link);
         }
       }
     }
   }
 
-  void cutOff(String one, String other, boolean off) {
-    for (String way : new String[] {one + ">" + other, other + ">" + one}) {
-      if (off) {
-        cutLinks.add(way);
+  void setPartitioned(String one, String other, boolean partitioned) {
+    for (String link : new String[] {one + ">" + other, other + ">" + one}) {
+      if (partitioned) {
+        cutLinks.add(link);
       } else {
-        cutLinks.remove(way);
+        cutLinks.remove(link);
       }
     }
   }
 
   /** A node that is up and doesn't vote, or null. */
-  Node idle() {
-    Node idle = null;
+  Node nonVotingNode() {
+    Node found = null;
     for (Node node : nodes.values()) {
       if (node.up && !node.replica.isVoting()) {
-        idle = node;
+        found = node;
       }
     }
-    return idle;
+    return found;
   }
 
-  RpcClient caller(String from, Timers own) {
+  RpcClient rpcClient(String from, Timers callerTimers) {
     return new RpcClient() {
       @Override
       public <A> CompletableFuture<A> call(
           String peer, Object request, Class<A> answer, long timeoutMs) {
         calls++;
         CompletableFuture<A> result = new CompletableFuture<>();
-        own.schedule(
+        callerTimers.schedule(
             timeoutMs,
             () -> result.completeExceptionally(new ElmsailException(ErrorCode.TIMEOUT, peer)));
         int copies = random.nextDouble() < duplicateRate ? 2 : 1;
         for (int i = 0; i < copies; i++) {
-          timers.schedule(delay(), () -> deliver(from, peer, request, own, answer, result));
+          timers.schedule(
+              randomDelayMs(), () -> deliver(from, peer, request, callerTimers, answer, result));
         }
         return result;
       }
     };
   }
 
-  private int delay() {
+  private int randomDelayMs() {
     // A few messages are very late.
     return 1 + random.nextInt(maxDelayMs) + (random.nextInt(40) == 0 ? random.nextInt(2_500) : 0);
   }
@@ -186,15 +187,15 @@
       String from,
       String peer,
       Object request,
-      Timers own,
+      Timers callerTimers,
       Class<A> answer,
       CompletableFuture<A> result) {
     Node node = nodes.get(peer);
-    if (random.nextDouble() < lossRate || !reaches(from, peer)) {
+    if (random.nextDouble() < lossRate || !canReach(from, peer)) {
       return;
     }
     if (node == null || !node.up) {
-      own.schedule(
+      callerTimers.schedule(
           1, () -> result.completeExceptionally(new ElmsailException(ErrorCode.NOT_SENT, peer)));
       return;
     }
@@ -204,14 +205,16 @@
     } catch (ElmsailException e) {
       stage = CompletableFuture.failedFuture(e);
     }
-    int start = node.starts;
+    int incarnation = node.incarnation;
     stage.whenComplete(
         (response, failure) -> {
-          if (node.starts != start || random.nextDouble() < lossRate || !reaches(peer, from)) {
+          if (node.incarnation != incarnation
+              || random.nextDouble() < lossRate
+              || !canReach(peer, from)) {
             return;
           }
-          own.schedule(
-              delay(),
+          callerTimers.schedule(
+              randomDelayMs(),
               () -> {
                 if (failure != null) {
                   result.completeExceptionally(failure);
@@ -243,19 +246,20 @@
   }
 
   /** A client that knows this voter set at first, and never crashes. */
-  RegisterClient client(String name, long who, VoterSet known, UnaryOperator<RpcClient> wrapped) {
+  RegisterClient client(
+      String name, long proposerId, VoterSet known, UnaryOperator<RpcClient> wrapper) {
     return new RegisterClient(
         "set",
-        wrapped.apply(caller(name, timers)),
+        wrapper.apply(rpcClient(name, timers)),
         timers,
         new KnownVoterSet(known),
-        who,
+        proposerId,
         "",
         address -> address.charAt(0));
   }
 
-  RegisterClient client(String name, long who, VoterSet known) {
-    return client(name, who, known, rpcClient -> rpcClient);
+  RegisterClient client(String name, long proposerId, VoterSet known) {
+    return client(name, proposerId, known, rpcClient -> rpcClient);
   }
 
   /** Lets each node that is up learn the voter set of another, as the polls of a process do. */
@@ -268,14 +272,14 @@
     }
     for (Node node : up) {
       Node other = up.get(random.nextInt(up.size()));
-      if (reaches(other.address, node.address) && random.nextDouble() >= lossRate) {
+      if (canReach(other.address, node.address) && random.nextDouble() >= lossRate) {
         node.replica.learn(other.replica.voterSet());
       }
     }
   }
 
   /** The newest voter set that any node knows or has on its disk. */
-  VoterSet newest() {
+  VoterSet newestVoterSet() {
     VoterSet newest = new VoterSet();
     for (Node node : nodes.values()) {
       newest = VoterSets.merge(newest, VoterSetCodec.decode(node.disk.durable.get("set/seating")));
@@ -290,19 +294,19 @@
   }
 
   /** Whether at most so many slots of the newest voter set have no voter that is up and votes. */
-  boolean isRedundant(int butFor) {
+  boolean hasAtMostMissingVoters(int maxMissing) {
     int missing = 0;
-    for (Voter voter : newest().voters) {
+    for (Voter voter : newestVoterSet().voters) {
       Node node = nodes.get(voter.address);
       if (!node.up
           || node.disk.instanceId != voter.instanceId
           || !node.replica.isVoting()
           || node.records.read("set/seated") == null
-          || !node.records.idle()) {
+          || !node.records.isIdle()) {
         missing++;
       }
     }
-    return missing <= butFor;
+    return missing <= maxMissing;
   }
 
   /**
@@ -310,22 +314,22 @@
    * that doesn't vote, and there the predecessor has its records and claims no slot, and the
    * successor still has its disk.
    */
-  boolean toleratesLossOf(Node lost) {
-    VoterSet newest = newest();
+  boolean toleratesDiskLossOf(Node lost) {
+    VoterSet newest = newestVoterSet();
     int missing = 0;
     for (Voter voter : newest.voters) {
       Node node = nodes.get(voter.address);
       if (node == lost || isVoterOnDisk(node, voter)) {
         continue;
       }
-      Node before = nodes.get(voter.previousAddress);
-      if (before == null
-          || before == lost
-          || before.disk.instanceId != voter.previousInstanceId
+      Node predecessor = nodes.get(voter.previousAddress);
+      if (predecessor == null
+          || predecessor == lost
+          || predecessor.disk.instanceId != voter.previousInstanceId
           || node.disk.instanceId != voter.instanceId
-          || RecordNames.epochFromBytes(before.disk.durable.get("set/seated"))
+          || RecordNames.epochFromBytes(predecessor.disk.durable.get("set/seated"))
               != voter.previousEpoch
-          || VoterSets.slotOfInstance(newest, before.disk.instanceId) >= 0) {
+          || VoterSets.slotOfInstance(newest, predecessor.disk.instanceId) >= 0) {
         return false;
       }
       missing++;
@@ -343,25 +347,24 @@
         && RecordNames.epochFromBytes(node.disk.durable.get("set/seated")) == voter.epoch;
   }
 
-  String state() {
-    StringBuilder state = new StringBuilder();
+  String describe() {
+    StringBuilder text = new StringBuilder();
     for (Node node : nodes.values()) {
-      state.append('\n').append(node.address).append(node.up ? " up" : " down");
+      text.append('\n').append(node.address).append(node.up ? " up" : " down");
       if (node.up) {
-        state.append(node.replica.isVoting() ? " voting, knows" : " knows");
+        text.append(node.replica.isVoting() ? " voting, knows" : " knows");
         for (Voter voter : node.replica.voterSet().voters) {
-          state
-              .append(' ')
+          text.append(' ')
               .append(voter.address)
               .append('#')
               .append(voter.epoch)
               .append('/')
               .append(voter.instanceId & 0xff);
         }
-        state.append(", is ").append(node.disk.instanceId & 0xff);
+        text.append(", is ").append(node.disk.instanceId & 0xff);
       }
     }
-    return state.toString();
+    return text.toString();
   }
 
   /** Runs until the future is done, or so much time has passed. */
--- a/consensus/src/test/java/elmsail/consensus/InjectedDefects.java
+++ b/consensus/src/test/java/elmsail/consensus/InjectedDefects.java
@@ -15,14 +15,14 @@
   private InjectedDefects() {}
 
   /** Each response leaves before its write is durable. */
-  static RandomHistory respondsBeforeSync(long seed) {
+  static RandomHistory responseBeforeSync(long seed) {
     RandomHistory history = new RandomHistory(seed);
     history.onNodeCreated = node -> node.disk.completesBeforeSync = true;
     return history;
   }
 
   /** A replica whose disk lost the keys goes on voting as the same instance. */
-  static RandomHistory votesAfterLostDisk(long seed) {
+  static RandomHistory voteAfterDiskLoss(long seed) {
     RandomHistory history = new RandomHistory(seed);
     history.onDiskWiped =
         (node, before) -> {
@@ -36,16 +36,16 @@
   }
 
   /** A claim that one voter acknowledged counts as if both had. */
-  static RandomHistory joinAcknowledgedByOne(long seed) {
+  static RandomHistory joinWithOneAcknowledgement(long seed) {
     RandomHistory history = new RandomHistory(seed);
-    FaultyCluster world = history.world;
-    world.replicaCaller =
+    FaultyCluster cluster = history.cluster;
+    cluster.replicaClientWrapper =
         rpcClient ->
             new RpcClient() {
               @Override
               public <A> CompletableFuture<A> call(
                   String peer, Object request, Class<A> answer, long timeoutMs) {
-                VoterSet newest = world.newest();
+                VoterSet newest = cluster.newestVoterSet();
                 int last = -1;
                 for (int i = 0; i < newest.voters.size(); i++) {
                   boolean other = !(request instanceof JoinRequest join) || join.slot != i;
@@ -61,7 +61,7 @@
                     JoinResponse held = new JoinResponse();
                     held.accepted = true;
                     held.voterSet = VoterSets.withVoter(newest, join.slot, join.voter);
-                    world.timers.schedule(1, () -> response.complete(answer.cast(held)));
+                    cluster.timers.schedule(1, () -> response.complete(answer.cast(held)));
                     return response;
                   }
                   if (request instanceof StateTransferRequest) {
@@ -69,7 +69,7 @@
                     empty.voting = true;
                     empty.lastPage = true;
                     empty.instanceId = newest.voters.get(last).instanceId;
-                    world.timers.schedule(1, () -> response.complete(answer.cast(empty)));
+                    cluster.timers.schedule(1, () -> response.complete(answer.cast(empty)));
                     return response;
                   }
                 }
@@ -83,12 +83,12 @@
   static Map<String, LongFunction<RandomHistory>> all() {
     return Map.of(
         "answers before the sync",
-        InjectedDefects::respondsBeforeSync,
+        InjectedDefects::responseBeforeSync,
         "relayed rounds are answered before the sync",
-        seed -> respondsBeforeSync(seed).withLargeBlobs(),
+        seed -> responseBeforeSync(seed).withLargeBlobs(),
         "votes after amnesia",
-        InjectedDefects::votesAfterLostDisk,
+        InjectedDefects::voteAfterDiskLoss,
         "a claim acknowledged by one",
-        InjectedDefects::joinAcknowledgedByOne);
+        InjectedDefects::joinWithOneAcknowledgement);
   }
 }
--- a/consensus/src/test/java/elmsail/consensus/DefectsTest.java
+++ b/consensus/src/test/java/elmsail/consensus/InjectedDefectsTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The checker of histories finds each deliberate defect. */
-class DefectsTest {
+class InjectedDefectsTest {
   private static final int SEEDS = Integer.getInteger("register.defectSeeds", 400);
 
   @Test
@@ -22,27 +22,27 @@
   }
 
   @Test
-  void voteAfterLostDiskIsDetected() {
+  void voteAfterDiskLossIsDetected() {
     assertDetected("votes after amnesia");
   }
 
   @Test
-  void joinAcknowledgedByOneIsDetected() {
+  void joinWithOneAcknowledgementIsDetected() {
     assertDetected("a claim acknowledged by one");
   }
 
   private static void assertDetected(String name) {
-    Map<String, LongFunction<RandomHistory>> all = InjectedDefects.all();
-    int caught = 0;
-    int first = -1;
+    Map<String, LongFunction<RandomHistory>> defects = InjectedDefects.all();
+    int detected = 0;
+    int firstSeed = -1;
     String fault = "";
     int seed = 0;
-    for (; seed < SEEDS && caught < 1; seed++) {
-      RandomHistory history = all.get(name).apply(seed).run();
-      for (String found : history.checker.faults) {
+    for (; seed < SEEDS && detected < 1; seed++) {
+      RandomHistory history = defects.get(name).apply(seed).run();
+      for (String found : history.checker.violations) {
         if (!found.startsWith("not voting") && !found.startsWith("no last")) {
-          caught++;
-          first = first < 0 ? seed : first;
+          detected++;
+          firstSeed = firstSeed < 0 ? seed : firstSeed;
           fault = found;
           break;
         }
@@ -51,13 +51,13 @@
     System.out.println(
         name
             + ": caught in "
-            + caught
+            + detected
             + " of "
             + seed
             + " histories, first "
-            + first
+            + firstSeed
             + ": "
             + fault.substring(0, Math.min(60, fault.length())));
-    assertThat(name, caught, greaterThan(0));
+    assertThat(name, detected, greaterThan(0));
   }
 }
--- a/consensus/src/test/java/elmsail/consensus/LinearizabilityChecker.java
+++ b/consensus/src/test/java/elmsail/consensus/LinearizabilityChecker.java
@@ -18,7 +18,7 @@
   private final TreeMap<Long, String> longestReportedBy = new TreeMap<>();
 
   private final Map<String, String> onNotApplied = new TreeMap<>();
-  final List<String> faults = new ArrayList<>();
+  final List<String> violations = new ArrayList<>();
 
   static String text(byte[] value) {
     return value == null ? "" : new String(value, StandardCharsets.US_ASCII);
@@ -28,11 +28,11 @@
   void onValueRead(long startedAt, long now, byte[] bytes) {
     String value = text(bytes);
     if (!value.startsWith(longest) && !longest.startsWith(value)) {
-      faults.add("two lists: " + longest + " and " + value);
+      violations.add("two lists: " + longest + " and " + value);
     }
     Map.Entry<Long, String> before = longestReportedBy.lowerEntry(startedAt);
     if (before != null && value.length() < before.getValue().length()) {
-      faults.add(
+      violations.add(
           "old at "
               + now
               + ": "
@@ -59,18 +59,18 @@
   void onFinalValue(byte[] last) {
     String value = text(last);
     if (!value.startsWith(longest)) {
-      faults.add("at the end " + value + " is without " + longest);
+      violations.add("at the end " + value + " is without " + longest);
     }
     for (String mark : onNotApplied.keySet()) {
       if (value.contains(mark)) {
-        faults.add("reported as not applied, and found: " + mark);
+        violations.add("reported as not applied, and found: " + mark);
       }
     }
     String[] marks = value.split(";");
     for (int i = 0; i < marks.length; i++) {
       for (int j = 0; j < i; j++) {
         if (marks[i].equals(marks[j])) {
-          faults.add("twice: " + marks[i]);
+          violations.add("twice: " + marks[i]);
         }
       }
     }
--- a/consensus/src/test/java/elmsail/consensus/HistoriesTest.java
+++ b/consensus/src/test/java/elmsail/consensus/LinearizabilityTest.java
@@ -8,60 +8,61 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class HistoriesTest {
+class LinearizabilityTest {
   private static final int SEEDS = Integer.getInteger("register.seeds", 160);
 
   @Test
   void historiesOfThreeVotersAreLinearizable() {
-    play(SEEDS, 3);
+    runHistories(SEEDS, 3);
   }
 
   @Test
   void historiesOfFiveVotersAreLinearizable() {
-    play(SEEDS / 4, 5);
+    runHistories(SEEDS / 4, 5);
   }
 
   @Test
   void historiesOfThreeVotersWithUnfinishedJoinsAreLinearizable() {
-    play(SEEDS, 3, true);
+    runHistories(SEEDS, 3, true);
   }
 
   @Test
   void historiesOfFiveVotersWithUnfinishedJoinsAreLinearizable() {
-    play(SEEDS / 4, 5, true);
+    runHistories(SEEDS / 4, 5, true);
   }
 
   @Test
   void relayedPreparesOfThreeVotersAreLinearizableAndKeepTheirBlobs() {
-    play(SEEDS / 4, 3, false, true);
+    runHistories(SEEDS / 4, 3, false, true);
   }
 
   @Test
   void relayedPreparesOfFiveVotersAreLinearizableAndKeepTheirBlobs() {
-    play(SEEDS / 8, 5, false, true);
+    runHistories(SEEDS / 8, 5, false, true);
   }
 
-  private static void play(int seeds, int voters) {
-    play(seeds, voters, false, false);
+  private static void runHistories(int seeds, int voters) {
+    runHistories(seeds, voters, false, false);
   }
 
-  private static void play(int seeds, int voters, boolean unfinished) {
-    play(seeds, voters, unfinished, false);
+  private static void runHistories(int seeds, int voters, boolean unfinishedClaims) {
+    runHistories(seeds, voters, unfinishedClaims, false);
   }
 
-  private static void play(int seeds, int voters, boolean unfinished, boolean largeBlobs) {
+  private static void runHistories(
+      int seeds, int voters, boolean unfinishedClaims, boolean largeBlobs) {
     List<String> faults = new ArrayList<>();
     Totals totals = new Totals();
     for (int seed = 0; seed < seeds; seed++) {
       RandomHistory history = new RandomHistory(seed, voters);
-      if (unfinished) {
+      if (unfinishedClaims) {
         history.withUnfinishedClaims();
       }
       if (largeBlobs) {
         history.withLargeBlobs();
       }
       history.run();
-      for (String fault : history.checker.faults) {
+      for (String fault : history.checker.violations) {
         faults.add("seed " + seed + ": " + fault);
       }
       totals.add(history);
@@ -70,7 +71,7 @@
     assertThat(faults, empty());
     assertThat(totals.wipes, greaterThan(seeds / 2));
     assertThat(totals.replacements, greaterThan(seeds / 2));
-    if (unfinished) {
+    if (unfinishedClaims) {
       assertThat(totals.wipesDuringClaims, greaterThan(seeds / 8));
     }
   }
@@ -87,9 +88,9 @@
     private int wipesDuringClaims;
 
     void add(RandomHistory history) {
-      changes += history.changed;
-      reads += history.read;
-      failures += history.failed;
+      changes += history.changes;
+      reads += history.reads;
+      failures += history.failures;
       crashes += history.crashes;
       wipes += history.wipes;
       replacements += history.replacements;
--- a/consensus/src/test/java/elmsail/consensus/LossyRecordStore.java
+++ b/consensus/src/test/java/elmsail/consensus/LossyRecordStore.java
@@ -34,27 +34,27 @@
   private final DiskImage disk;
   private final Timers timers;
   private final Random random;
-  private final boolean fresh;
+  private final boolean isNew;
   private final TreeMap<String, byte[]> visible;
   private final ArrayDeque<PendingWrite> queue = new ArrayDeque<>();
   private boolean busy;
 
   /** How many of the next batches fail, with all that is queued behind them. */
-  int writesToFail;
+  int batchesToFail;
 
   LossyRecordStore(DiskImage disk, Timers timers, Random random) {
     this.disk = disk;
     this.timers = timers;
     this.random = random;
-    fresh = !disk.everOpened;
-    if (fresh) {
+    isNew = !disk.everOpened;
+    if (isNew) {
       disk.instanceId = random.nextLong() | 1;
       disk.everOpened = true;
     }
     visible = new TreeMap<>(disk.durable);
   }
 
-  boolean idle() {
+  boolean isIdle() {
     return queue.isEmpty();
   }
 
@@ -65,7 +65,7 @@
 
   @Override
   public boolean isNew() {
-    return fresh;
+    return isNew;
   }
 
   @Override
@@ -76,11 +76,11 @@
     if (disk.completesBeforeSync) {
       timers.execute(() -> pending.done.complete(null));
     }
-    next();
+    writeNextBatch();
     return pending.done;
   }
 
-  private void next() {
+  private void writeNextBatch() {
     if (busy || queue.isEmpty()) {
       return;
     }
@@ -89,9 +89,9 @@
         1 + random.nextInt(12),
         () -> {
           busy = false;
-          if (writesToFail > 0) {
-            writesToFail--;
-            fail();
+          if (batchesToFail > 0) {
+            batchesToFail--;
+            failQueuedWrites();
             return;
           }
           int batch = 1 + random.nextInt(queue.size());
@@ -101,14 +101,14 @@
             apply(disk.durable, write.changes);
             written.add(write);
           }
-          next();
+          writeNextBatch();
           for (PendingWrite write : written) {
             write.done.complete(null);
           }
         });
   }
 
-  private void fail() {
+  private void failQueuedWrites() {
     List<PendingWrite> failed = new ArrayList<>(queue);
     queue.clear();
     visible.clear();
@@ -146,12 +146,12 @@
   public Map<String, byte[]> page(String after, int maxBytes) {
     Map<String, byte[]> page = new LinkedHashMap<>();
     int bytes = 0;
-    for (Map.Entry<String, byte[]> one : visible.tailMap(after, false).entrySet()) {
+    for (Map.Entry<String, byte[]> entry : visible.tailMap(after, false).entrySet()) {
       if (bytes >= maxBytes) {
         break;
       }
-      page.put(one.getKey(), one.getValue());
-      bytes += one.getValue().length;
+      page.put(entry.getKey(), entry.getValue());
+      bytes += entry.getValue().length;
     }
     return page;
   }
--- a/consensus/src/test/java/elmsail/consensus/StateSearch.java
+++ b/consensus/src/test/java/elmsail/consensus/ModelChecker.java
@@ -8,7 +8,7 @@
  * A model checker: visits all states that a model can reach, each once. A state is an array of
  * small numbers: first {@link #FIELDS} for each process, then the fields of the model.
  */
-abstract class StateSearch {
+abstract class ModelChecker {
   /** Fields of a process: promised, accepted, marks, copied, known claims. */
   static final int FIELDS = 5;
 
@@ -16,14 +16,14 @@
   static final int KNOWN_CLAIMS = 4;
 
   private final int[] bits;
-  private final LongPairs seen = new LongPairs();
+  private final LongPairSet seen = new LongPairSet();
   private final ArrayDeque<long[]> unvisited = new ArrayDeque<>();
 
   /** The invariant that was violated; null as long as none was. */
   String violation;
 
   /** A search whose fields have so many bits each, at most 128 in all. */
-  StateSearch(int[] bits) {
+  ModelChecker(int[] bits) {
     this.bits = bits;
   }
 
@@ -60,11 +60,11 @@
   /** Adds a state to those that will be visited, unless it was before. */
   final void push(int[] state) {
     long[] packed = {0, 0};
-    int at = 0;
+    int bit = 0;
     for (int i = 0; i < bits.length; i++) {
-      at = at < 64 && at + bits[i] > 64 ? 64 : at;
-      packed[at / 64] |= (long) state[i] << at % 64;
-      at += bits[i];
+      bit = bit < 64 && bit + bits[i] > 64 ? 64 : bit;
+      packed[bit / 64] |= (long) state[i] << bit % 64;
+      bit += bits[i];
     }
     if (seen.add(packed[0], packed[1])) {
       unvisited.addLast(packed);
@@ -73,11 +73,11 @@
 
   private int[] unpacked(long[] packed) {
     int[] state = new int[bits.length];
-    int at = 0;
+    int bit = 0;
     for (int i = 0; i < bits.length; i++) {
-      at = at < 64 && at + bits[i] > 64 ? 64 : at;
-      state[i] = (int) (packed[at / 64] >>> at % 64) & (1 << bits[i]) - 1;
-      at += bits[i];
+      bit = bit < 64 && bit + bits[i] > 64 ? 64 : bit;
+      state[i] = (int) (packed[bit / 64] >>> bit % 64) & (1 << bits[i]) - 1;
+      bit += bits[i];
     }
     return state;
   }
@@ -87,17 +87,18 @@
   }
 
   static AcceptorState key(int[] state, int process) {
-    int at = process * FIELDS;
-    byte[] value = state[at + 1] == 0 ? null : new byte[] {(byte) state[at + 2]};
-    return new AcceptorState(ballot(state[at]), ballot(state[at + 1]), state[at + 3] == 1, value);
+    int offset = process * FIELDS;
+    byte[] value = state[offset + 1] == 0 ? null : new byte[] {(byte) state[offset + 2]};
+    return new AcceptorState(
+        ballot(state[offset]), ballot(state[offset + 1]), state[offset + 3] == 1, value);
   }
 
-  static void put(int[] state, int process, AcceptorState key) {
-    int at = process * FIELDS;
-    state[at] = (int) key.promised().round;
-    state[at + 1] = (int) key.accepted().round;
-    state[at + 2] = key.value() == null ? 0 : key.value()[0];
-    state[at + 3] = key.fromStateTransfer() ? 1 : 0;
+  static void putKey(int[] state, int process, AcceptorState key) {
+    int offset = process * FIELDS;
+    state[offset] = (int) key.promised().round;
+    state[offset + 1] = (int) key.accepted().round;
+    state[offset + 2] = key.value() == null ? 0 : key.value()[0];
+    state[offset + 3] = key.fromStateTransfer() ? 1 : 0;
   }
 
   /** A voter for the process of this number. */
--- a/consensus/src/test/java/elmsail/consensus/PinnedNamesTest.java
+++ b/consensus/src/test/java/elmsail/consensus/PinnedNamesTest.java
@@ -10,7 +10,7 @@
 class PinnedNamesTest {
 
   @Test
-  void metrics() {
+  void metricsHaveTheseNames() {
     SimCluster cluster = new SimCluster();
     assertThat(
         PrometheusText.format(cluster.metrics[0].counters())
--- a/consensus/src/test/java/elmsail/consensus/PinnedRecordsTest.java
+++ b/consensus/src/test/java/elmsail/consensus/PinnedRecordsTest.java
@@ -67,12 +67,12 @@
             names.votingRecord(),
             names.voterSetRecord(),
             names.spareRecord(),
-            names.keys(),
-            names.blobs(),
-            names.key("timetable"),
-            names.key("lot/50%"),
-            names.blobs("lot/50%"),
-            names.blob("lot/50%", "r-0-1")),
+            names.keyPrefix(),
+            names.blobPrefix(),
+            names.keyRecord("timetable"),
+            names.keyRecord("lot/50%"),
+            names.blobPrefix("lot/50%"),
+            names.blobRecord("lot/50%", "r-0-1")),
         contains(
             "shelf/seated",
             "shelf/seating",
@@ -89,7 +89,7 @@
   }
 
   @Test
-  void anEpochIsFourBytes() {
+  void epochRecordIsFourBytes() {
     assertThat(RecordNames.epochToBytes(0x01020304), equalTo(bytes("01020304")));
     assertThat(RecordNames.epochFromBytes(bytes("01020304")), is(0x01020304));
     assertThat(RecordNames.epochFromBytes(null), is(0));
@@ -97,7 +97,7 @@
 
   /** That a holder was confirmed is not kept. */
   @Test
-  void aVoterSetIsTheVotersAndThenTheirPredecessors() {
+  void voterSetRecordHoldsTheVotersAndThenTheirPredecessors() {
     assertThat(VoterSetCodec.encode(twoVoters()), equalTo(bytes(TWO_VOTERS + THEIR_PREDECESSORS)));
     VoterSet read = VoterSetCodec.decode(bytes(TWO_VOTERS + THEIR_PREDECESSORS));
     assertThat(VoterSets.areEqual(read, twoVoters()), is(true));
@@ -114,7 +114,7 @@
 
   /** The layout before predecessors were kept. */
   @Test
-  void aVoterSetWithoutPredecessorsIsReadToo() {
+  void voterSetRecordWithoutPredecessorsIsDecoded() {
     VoterSet read = VoterSetCodec.decode(bytes(TWO_VOTERS));
     assertThat(VoterSets.areEqual(read, twoVoters()), is(true));
     assertThat(read.voters.get(0).previousAddress, is(""));
@@ -123,27 +123,29 @@
   }
 
   @Test
-  void aKeysStateIsTwoBallotsFlagsAndTheValue() {
+  void keyRecordHoldsTwoBallotsFlagsAndTheValue() {
     assertState(Ballots.of(0, 0), false, null, NO_BALLOT + "00");
     assertState(Ballots.of(5, 1_001), false, VALUE, ACCEPTED + "01" + "0a00ff");
     assertState(Ballots.of(5, 1_001), true, VALUE, ACCEPTED + "03" + "0a00ff");
     assertState(Ballots.of(5, 1_001), false, new byte[0], ACCEPTED + "01");
   }
 
-  private static void assertState(Ballot accepted, boolean copied, byte[] value, String rest) {
+  private static void assertState(
+      Ballot accepted, boolean fromStateTransfer, byte[] value, String rest) {
     byte[] pinned = bytes(PROMISED + rest);
     assertThat(
-        new AcceptorState(Ballots.of(7, -2), accepted, copied, value).toBytes(), equalTo(pinned));
+        new AcceptorState(Ballots.of(7, -2), accepted, fromStateTransfer, value).toBytes(),
+        equalTo(pinned));
     AcceptorState read = AcceptorState.fromBytes(pinned);
     assertThat(Ballots.areEqual(read.promised(), Ballots.of(7, -2)), is(true));
     assertThat(Ballots.areEqual(read.accepted(), accepted), is(true));
-    assertThat(read.fromStateTransfer(), is(copied));
+    assertThat(read.fromStateTransfer(), is(fromStateTransfer));
     assertThat(read.value(), value == null ? is(nullValue()) : equalTo(value));
   }
 
   /** The records of a founded replica after one change with a blob. */
   @Test
-  void aReplicaKeepsTheseRecords() {
+  void bootstrappedReplicaStoresTheseRecords() {
     SimCluster cluster = new SimCluster().bootstrapped();
     Blob blob = new Blob();
     blob.name = "body";
--- a/consensus/src/test/java/elmsail/consensus/RandomHistory.java
+++ b/consensus/src/test/java/elmsail/consensus/RandomHistory.java
@@ -24,17 +24,17 @@
 final class RandomHistory {
   private static final int CLIENTS = 3;
   private static final long FAULTS_MS = 12_000;
-  private static final byte[] LARGE = new byte[RelaySelector.MIN_RELAYED_BYTES];
+  private static final byte[] LARGE_BLOB_BYTES = new byte[RelaySelector.MIN_RELAYED_BYTES];
 
-  final FaultyCluster world;
+  final FaultyCluster cluster;
   final LinearizabilityChecker checker = new LinearizabilityChecker();
   final RegisterClient[] clients = new RegisterClient[CLIENTS];
   Consumer<FaultyCluster.Node> onNodeCreated = node -> {};
   BiConsumer<FaultyCluster.Node, LossyRecordStore.DiskImage> onDiskWiped = (node, before) -> {};
-  UnaryOperator<RpcClient> clientsCaller = rpcClient -> rpcClient;
-  int changed;
-  int read;
-  int failed;
+  UnaryOperator<RpcClient> rpcClientWrapper = rpcClient -> rpcClient;
+  int changes;
+  int reads;
+  int failures;
   int wipes;
   int crashes;
   int replacements;
@@ -45,7 +45,7 @@
   /** Disks of other voters that were lost meanwhile. */
   int wipesDuringClaims;
 
-  private boolean withSpares;
+  private boolean startsUnfinishedClaims;
 
   /** Whether each change carries a blob so large that its prepare is relayed. */
   private boolean largeBlobs;
@@ -60,12 +60,12 @@
   }
 
   RandomHistory(long seed, int voters) {
-    world = new FaultyCluster(seed);
+    cluster = new FaultyCluster(seed);
     addresses = Arrays.copyOf(new String[] {"a", "b", "c", "d", "e"}, voters);
   }
 
   RandomHistory withUnfinishedClaims() {
-    withSpares = true;
+    startsUnfinishedClaims = true;
     return this;
   }
 
@@ -76,46 +76,46 @@
   }
 
   RandomHistory run() {
-    VoterSet founding = world.bootstrap(addresses);
-    FaultyCluster.Node spare = world.new Node("s");
+    VoterSet initialVoters = cluster.bootstrap(addresses);
+    FaultyCluster.Node spare = cluster.new Node("s");
     spare.start();
-    for (FaultyCluster.Node node : world.nodes.values()) {
+    for (FaultyCluster.Node node : cluster.nodes.values()) {
       onNodeCreated.accept(node);
     }
-    world.timers.advance(100);
-    world.lossRate = world.random.nextInt(3) * 0.03;
-    world.duplicateRate = world.random.nextInt(3) * 0.05;
-    world.maxDelayMs = 2 + world.random.nextInt(30);
-    end = world.timers.now() + FAULTS_MS;
+    cluster.timers.advance(100);
+    cluster.lossRate = cluster.random.nextInt(3) * 0.03;
+    cluster.duplicateRate = cluster.random.nextInt(3) * 0.05;
+    cluster.maxDelayMs = 2 + cluster.random.nextInt(30);
+    end = cluster.timers.now() + FAULTS_MS;
     for (int i = 0; i < CLIENTS; i++) {
-      clients[i] = world.client("client" + i, 100 + i, founding, clientsCaller);
-      work(i);
+      clients[i] = cluster.client("client" + i, 100 + i, initialVoters, rpcClientWrapper);
+      runClient(i);
     }
     injectFault();
     gossip();
-    world.timers.advance(FAULTS_MS);
-    world.lossRate = 0;
-    world.duplicateRate = 0;
-    world.cutLinks.clear();
-    for (FaultyCluster.Node node : world.nodes.values()) {
+    cluster.timers.advance(FAULTS_MS);
+    cluster.lossRate = 0;
+    cluster.duplicateRate = 0;
+    cluster.cutLinks.clear();
+    for (FaultyCluster.Node node : cluster.nodes.values()) {
       if (!node.up) {
         node.start();
       }
     }
-    world.timers.advance(12_000);
-    if (world.instanceInTwoSlots) {
-      checker.faults.add("an instance in two voter slots");
+    cluster.timers.advance(12_000);
+    if (cluster.instanceInTwoSlots) {
+      checker.violations.add("an instance in two voter slots");
     }
-    if (!world.isRedundant(0)) {
-      checker.faults.add("not voting again: " + world.state());
+    if (!cluster.hasAtMostMissingVoters(0)) {
+      checker.violations.add("not voting again: " + cluster.describe());
     }
-    long from = world.timers.now();
+    long from = cluster.timers.now();
     try {
-      VersionedValue last = world.await(clients[0].read("key", null, 8_000), 9_000);
-      checker.onValueRead(from, world.timers.now(), last.value());
-      checker.onFinalValue(last.value());
+      VersionedValue finalValue = cluster.await(clients[0].read("key", null, 8_000), 9_000);
+      checker.onValueRead(from, cluster.timers.now(), finalValue.value());
+      checker.onFinalValue(finalValue.value());
     } catch (RuntimeException e) {
-      checker.faults.add("no last read: " + e);
+      checker.violations.add("no last read: " + e);
     }
     committedMarks.forEach(this::checkBlob);
     return this;
@@ -123,12 +123,12 @@
 
   private void checkBlob(String mark) {
     try {
-      byte[] bytes = world.await(clients[0].readBlob("key", mark, 3_000), 4_000);
+      byte[] bytes = cluster.await(clients[0].readBlob("key", mark, 3_000), 4_000);
       if (bytes == null || bytes.length != RelaySelector.MIN_RELAYED_BYTES) {
-        checker.faults.add("committed without its blob: " + mark);
+        checker.violations.add("committed without its blob: " + mark);
       }
     } catch (RuntimeException e) {
-      checker.faults.add("no read of the blob of " + mark + ": " + e);
+      checker.violations.add("no read of the blob of " + mark + ": " + e);
     }
   }
 
@@ -138,30 +138,30 @@
     }
     Blob blob = new Blob();
     blob.name = mark;
-    blob.bytes = LARGE;
+    blob.bytes = LARGE_BLOB_BYTES;
     return List.of(blob);
   }
 
   private void gossip() {
-    world.gossip();
-    world.timers.schedule(100, this::gossip);
+    cluster.gossip();
+    cluster.timers.schedule(100, this::gossip);
   }
 
-  private void work(int client) {
-    if (world.timers.now() >= end) {
+  private void runClient(int client) {
+    if (cluster.timers.now() >= end) {
       return;
     }
-    long from = world.timers.now();
+    long from = cluster.timers.now();
     CompletableFuture<?> done;
-    if (world.random.nextInt(3) == 0) {
+    if (cluster.random.nextInt(3) == 0) {
       done =
           clients[client]
               .read("key", null, 3_000)
               .whenComplete(
                   (response, failure) -> {
                     if (response != null) {
-                      read++;
-                      checker.onValueRead(from, world.timers.now(), response.value());
+                      reads++;
+                      checker.onValueRead(from, cluster.timers.now(), response.value());
                     }
                   });
     } else {
@@ -172,7 +172,8 @@
               .whenComplete((committed, failure) -> onChangeResult(mark, from, committed, failure));
     }
     done.whenComplete(
-        (response, failure) -> world.timers.schedule(world.random.nextInt(60), () -> work(client)));
+        (response, failure) ->
+            cluster.timers.schedule(cluster.random.nextInt(60), () -> runClient(client)));
   }
 
   private static ProposedValue append(byte[] value, String mark) {
@@ -184,107 +185,108 @@
 
   private void onChangeResult(String mark, long from, CommittedState committed, Throwable failure) {
     if (committed != null) {
-      changed++;
+      changes++;
       if (largeBlobs) {
         committedMarks.add(mark);
       }
-      checker.onValueRead(from, world.timers.now(), committed.current().value());
+      checker.onValueRead(from, cluster.timers.now(), committed.current().value());
       if (!LinearizabilityChecker.text(committed.current().value()).contains(mark)) {
-        checker.faults.add("committed without its mark: " + mark);
+        checker.violations.add("committed without its mark: " + mark);
       }
       return;
     }
-    failed++;
+    failures++;
     if (ElmsailException.codeOf(failure) == ErrorCode.NO_QUORUM) {
       checker.onNotApplied(mark);
     } else if (ElmsailException.codeOf(failure) != ErrorCode.OUTCOME_UNKNOWN) {
-      checker.faults.add("failed with " + failure);
+      checker.violations.add("failed with " + failure);
     }
   }
 
   private void injectFault() {
-    if (world.timers.now() >= end) {
+    if (cluster.timers.now() >= end) {
       return;
     }
-    int pick = world.random.nextInt(addresses.length + 1);
-    FaultyCluster.Node node = world.nodes.get(pick < addresses.length ? addresses[pick] : "s");
-    boolean redundant = world.isRedundant(addresses.length / 2 - 1);
-    switch (world.random.nextInt(withSpares ? 8 : 5)) {
+    int pick = cluster.random.nextInt(addresses.length + 1);
+    FaultyCluster.Node node = cluster.nodes.get(pick < addresses.length ? addresses[pick] : "s");
+    boolean toleratesLoss = cluster.hasAtMostMissingVoters(addresses.length / 2 - 1);
+    switch (cluster.random.nextInt(startsUnfinishedClaims ? 8 : 5)) {
       case 0 -> crash(node, false);
-      case 1 -> crash(node, redundant);
+      case 1 -> crash(node, toleratesLoss);
       case 2 -> {
-        world.cutOff(node.address, true);
-        world.timers.schedule(world.random.nextInt(1_500), () -> world.cutOff(node.address, false));
+        cluster.setPartitioned(node.address, true);
+        cluster.timers.schedule(
+            cluster.random.nextInt(1_500), () -> cluster.setPartitioned(node.address, false));
       }
-      case 3 -> replace(redundant);
-      case 5, 6, 7 -> claimWithoutEnd(redundant);
+      case 3 -> replaceBySpare(toleratesLoss);
+      case 5, 6, 7 -> startUnfinishedClaim(toleratesLoss);
       default -> {
         if (node.up) {
-          node.records.writesToFail = 1;
+          node.records.batchesToFail = 1;
         }
       }
     }
-    world.timers.schedule(world.random.nextInt(700), this::injectFault);
+    cluster.timers.schedule(cluster.random.nextInt(700), this::injectFault);
   }
 
   /**
    * Starts the join of a spare that lacks one or two acknowledgers, of which one may lose its disk.
    */
-  private void claimWithoutEnd(boolean redundant) {
-    FaultyCluster.Node spare = world.idle();
-    if (!redundant || spare == null) {
+  private void startUnfinishedClaim(boolean toleratesLoss) {
+    FaultyCluster.Node spare = cluster.nonVotingNode();
+    if (!toleratesLoss || spare == null) {
       return;
     }
-    int slot = world.random.nextInt(addresses.length);
-    VoterSet known = world.newest();
+    int slot = cluster.random.nextInt(addresses.length);
+    VoterSet known = cluster.newestVoterSet();
     spare.replica.learn(known);
     List<FaultyCluster.Node> cut = new ArrayList<>();
     for (int i = 1; i <= VoterSets.blockingSize(addresses.length) - 1; i++) {
-      cut.add(world.nodes.get(known.voters.get((slot + i) % addresses.length).address));
+      cut.add(cluster.nodes.get(known.voters.get((slot + i) % addresses.length).address));
     }
     for (FaultyCluster.Node one : cut) {
-      world.cutOff(spare.address, one.address, true);
+      cluster.setPartitioned(spare.address, one.address, true);
     }
     unfinishedClaims++;
     spare.replica.join(slot, known.voters.get(slot).epoch + 1);
-    world.timers.schedule(
-        50 + world.random.nextInt(400),
+    cluster.timers.schedule(
+        50 + cluster.random.nextInt(400),
         () -> {
-          FaultyCluster.Node lost = cut.get(world.random.nextInt(cut.size()));
-          if (lost.up && world.toleratesLossOf(lost)) {
+          FaultyCluster.Node lost = cut.get(cluster.random.nextInt(cut.size()));
+          if (lost.up && cluster.toleratesDiskLossOf(lost)) {
             wipesDuringClaims++;
             crash(lost, true);
           }
         });
-    if (world.random.nextInt(3) == 0) {
+    if (cluster.random.nextInt(3) == 0) {
       FaultyCluster.Node one =
-          world.random.nextBoolean() ? spare : world.nodes.get(known.voters.get(slot).address);
-      world.timers.schedule(50 + world.random.nextInt(800), () -> crash(one, false));
+          cluster.random.nextBoolean() ? spare : cluster.nodes.get(known.voters.get(slot).address);
+      cluster.timers.schedule(50 + cluster.random.nextInt(800), () -> crash(one, false));
     }
-    world.timers.schedule(
-        200 + world.random.nextInt(1_000),
+    cluster.timers.schedule(
+        200 + cluster.random.nextInt(1_000),
         () -> {
           for (FaultyCluster.Node one : cut) {
-            world.cutOff(spare.address, one.address, false);
+            cluster.setPartitioned(spare.address, one.address, false);
           }
         });
   }
 
-  private void crash(FaultyCluster.Node node, boolean wiped) {
+  private void crash(FaultyCluster.Node node, boolean withDiskLoss) {
     if (!node.up) {
       return;
     }
-    boolean wipe = wiped;
+    boolean wipe = withDiskLoss;
     node.crash();
     if (wipe) {
       wipes++;
       LossyRecordStore.DiskImage before = node.disk;
-      node.wipe();
+      node.wipeDisk();
       onDiskWiped.accept(node, before);
     }
     crashes++;
-    world.timers.schedule(
-        20 + world.random.nextInt(600),
+    cluster.timers.schedule(
+        20 + cluster.random.nextInt(600),
         () -> {
           if (!node.up) {
             node.start();
@@ -293,19 +295,19 @@
   }
 
   /** Lets a node without a slot take over that of one that is partitioned or down for a while. */
-  private void replace(boolean redundant) {
-    FaultyCluster.Node idle = world.idle();
-    if (!redundant || idle == null || idle.replica.voterSet().voters.isEmpty()) {
+  private void replaceBySpare(boolean toleratesLoss) {
+    FaultyCluster.Node spare = cluster.nonVotingNode();
+    if (!toleratesLoss || spare == null || spare.replica.voterSet().voters.isEmpty()) {
       return;
     }
-    int slot = world.random.nextInt(addresses.length);
-    FaultyCluster.Node old = world.nodes.get(idle.replica.voterSet().voters.get(slot).address);
-    if (world.random.nextBoolean()) {
-      world.cutOff(old.address, true);
-      world.timers.schedule(1_000, () -> world.cutOff(old.address, false));
+    int slot = cluster.random.nextInt(addresses.length);
+    FaultyCluster.Node old = cluster.nodes.get(spare.replica.voterSet().voters.get(slot).address);
+    if (cluster.random.nextBoolean()) {
+      cluster.setPartitioned(old.address, true);
+      cluster.timers.schedule(1_000, () -> cluster.setPartitioned(old.address, false));
     } else if (old.up) {
       old.crash();
-      world.timers.schedule(
+      cluster.timers.schedule(
           1_000,
           () -> {
             if (!old.up) {
@@ -314,6 +316,6 @@
           });
     }
     replacements++;
-    idle.replica.join(slot, idle.replica.voterSet().voters.get(slot).epoch + 1);
+    spare.replica.join(slot, spare.replica.voterSet().voters.get(slot).epoch + 1);
   }
 }
--- a/consensus/src/test/java/elmsail/consensus/BallotSearch.java
+++ b/consensus/src/test/java/elmsail/consensus/RegisterModel.java
@@ -11,7 +11,7 @@
  * <p>The value of a ballot is a set of marks, one bit for each ballot: what its prepare phase
  * found, with its own mark added. So of two committed values the later contains the earlier.
  */
-abstract class BallotSearch extends StateSearch {
+abstract class RegisterModel extends ModelChecker {
   static final int VOTERS = 3;
 
   /** The fields of a proposer; a model may append its own. */
@@ -37,7 +37,7 @@
    * @param firstProposer the field at which the proposers begin
    * @param proposerFields the number of fields of each
    */
-  BallotSearch(int[] bits, int firstProposer, int proposerFields, int ballots) {
+  RegisterModel(int[] bits, int firstProposer, int proposerFields, int ballots) {
     super(bits);
     this.firstProposer = firstProposer;
     this.proposerFields = proposerFields;
@@ -51,7 +51,7 @@
   abstract boolean votes(int[] state, int process, int voterSet);
 
   /** Whether a proposer may know the voter set. */
-  abstract boolean isProposed(int[] state, int voterSet);
+  abstract boolean mayBeProposed(int[] state, int voterSet);
 
   /** The number of voter sets under which reads are checked. */
   abstract int readVoterSets(int[] state);
@@ -70,7 +70,7 @@
   void onAccepted(int[] state, int ballot, int slot, VoteResponse response) {}
 
   /** What else a proposer may do between its phases. */
-  void proposeOtherwise(int[] state, int ballot) {}
+  void pushOtherProposerSteps(int[] state, int ballot) {}
 
   /** Whether a read counts the state of a key as a vote. */
   boolean isVote(AcceptorState key) {
@@ -96,31 +96,31 @@
   }
 
   /** Pushes all states that may follow by a step of a proposer. */
-  final void propose(int[] state) {
+  final void pushProposerSteps(int[] state) {
     for (int ballot = 0; ballot < ballots; ballot++) {
-      propose(state, ballot);
+      pushProposerSteps(state, ballot);
     }
   }
 
-  private void propose(int[] state, int ballot) {
-    int at = proposer(ballot);
-    if (state[at + PHASE] == IDLE) {
+  private void pushProposerSteps(int[] state, int ballot) {
+    int offset = proposer(ballot);
+    if (state[offset + PHASE] == IDLE) {
       start(state, ballot);
       return;
     }
-    if (state[at + PHASE] == PREPARE_PHASE && isMajority(state[at + PROMISES])) {
+    if (state[offset + PHASE] == PREPARE_PHASE && isMajority(state[offset + PROMISES])) {
       int[] next = state.clone();
-      next[at + PHASE] = ACCEPT_PHASE;
-      next[at + PROMISES] = 0;
-      next[at + MARKS] |= 1 << ballot;
+      next[offset + PHASE] = ACCEPT_PHASE;
+      next[offset + PROMISES] = 0;
+      next[offset + MARKS] |= 1 << ballot;
       push(next);
     }
-    proposeOtherwise(state, ballot);
+    pushOtherProposerSteps(state, ballot);
     for (int slot = 0; slot < VOTERS; slot++) {
       if (hasPreparePhase(ballot)) {
         prepare(state, ballot, slot);
       }
-      if (state[at + PHASE] == ACCEPT_PHASE) {
+      if (state[offset + PHASE] == ACCEPT_PHASE) {
         accept(state, ballot, slot);
       }
     }
@@ -129,7 +129,7 @@
   /** Starts a ballot under each voter set that a proposer may know. */
   void start(int[] state, int ballot) {
     for (int voterSet = 0; voterSet < 4; voterSet++) {
-      if (isProposed(state, voterSet)) {
+      if (mayBeProposed(state, voterSet)) {
         int[] next = state.clone();
         next[proposer(ballot) + PHASE] = PREPARE_PHASE;
         next[proposer(ballot) + VOTER_SET] = voterSet;
@@ -139,23 +139,23 @@
   }
 
   private void prepare(int[] state, int ballot, int slot) {
-    int at = proposer(ballot);
+    int offset = proposer(ballot);
     int[] next = state.clone();
-    int process = holder(slot, state[at + VOTER_SET]);
-    if (votes(next, process, state[at + VOTER_SET])) {
+    int process = holder(slot, state[offset + VOTER_SET]);
+    if (votes(next, process, state[offset + VOTER_SET])) {
       Acceptor.Decision decision = Acceptor.prepare(key(next, process), ballot(ballot + 1));
       if (decision.newState() != null) {
-        put(next, process, decision.newState());
+        putKey(next, process, decision.newState());
       }
       VoteResponse response = decision.response();
       if (response.code == VoteResponse.OK
-          && state[at + PHASE] == PREPARE_PHASE
-          && (state[at + PROMISES] >> slot & 1) == 0) {
+          && state[offset + PHASE] == PREPARE_PHASE
+          && (state[offset + PROMISES] >> slot & 1) == 0) {
         int[] received = next.clone();
-        received[at + PROMISES] |= 1 << slot;
-        if (response.accepted.round > received[at + HIGHEST_ACCEPTED]) {
-          received[at + HIGHEST_ACCEPTED] = (int) response.accepted.round;
-          received[at + MARKS] = response.value[0];
+        received[offset + PROMISES] |= 1 << slot;
+        if (response.accepted.round > received[offset + HIGHEST_ACCEPTED]) {
+          received[offset + HIGHEST_ACCEPTED] = (int) response.accepted.round;
+          received[offset + MARKS] = response.value[0];
         }
         push(received);
       }
@@ -165,18 +165,18 @@
   }
 
   private void accept(int[] state, int ballot, int slot) {
-    int at = proposer(ballot);
+    int offset = proposer(ballot);
     int[] next = state.clone();
-    int process = holder(slot, state[at + VOTER_SET]);
-    if (votes(next, process, state[at + VOTER_SET])) {
-      byte[] value = {(byte) state[at + MARKS]};
+    int process = holder(slot, state[offset + VOTER_SET]);
+    if (votes(next, process, state[offset + VOTER_SET])) {
+      byte[] value = {(byte) state[offset + MARKS]};
       Acceptor.Decision decision =
           Acceptor.accept(key(next, process), ballot(ballot + 1), nextBallot(ballot), value);
       if (decision.newState() != null) {
-        put(next, process, decision.newState());
+        putKey(next, process, decision.newState());
       }
       if (decision.response().code == VoteResponse.OK) {
-        next[at + ACCEPTS] |= 1 << slot;
+        next[offset + ACCEPTS] |= 1 << slot;
         onAccepted(next, ballot, slot, decision.response());
       }
     }
@@ -193,8 +193,8 @@
       }
     }
     for (int voterSet = 0; voterSet < readVoterSets(state); voterSet++) {
-      for (int without = 0; without < VOTERS; without++) {
-        checkRead(state, voterSet, without, newest);
+      for (int excludedSlot = 0; excludedSlot < VOTERS; excludedSlot++) {
+        checkRead(state, voterSet, excludedSlot, newest);
       }
     }
   }
@@ -215,10 +215,10 @@
   }
 
   /** A read by two voter slots at once. */
-  private void checkRead(int[] state, int voterSet, int without, int newest) {
+  private void checkRead(int[] state, int voterSet, int excludedSlot, int newest) {
     int found = -1;
     for (int slot = 0; slot < VOTERS; slot++) {
-      if (slot == without) {
+      if (slot == excludedSlot) {
         continue;
       }
       int process = holder(slot, voterSet);
--- a/consensus/src/test/java/elmsail/consensus/RegisterTest.java
+++ b/consensus/src/test/java/elmsail/consensus/RegisterTest.java
@@ -116,7 +116,7 @@
   }
 
   @Test
-  void onlyVoterThatLostItsDiskNeverVotes() {
+  void soleVoterThatLostItsDiskNeverVotes() {
     cluster.initialVoters.voters.subList(1, 3).clear();
     cluster.replicas[0].bootstrap(cluster.initialVoters);
     cluster.timers.advance(30);
@@ -303,13 +303,13 @@
     cluster.bootstrapped();
     Register client = cluster.client(cluster.initialVoters);
     cluster.await(put(client, "key", "1"));
-    List<Boolean> response = new ArrayList<>();
-    cluster.replicas[3].addVotingListener(() -> response.add(cluster.replicas[3].isVoting()));
+    List<Boolean> votingStates = new ArrayList<>();
+    cluster.replicas[3].addVotingListener(() -> votingStates.add(cluster.replicas[3].isVoting()));
     cluster.kill(0);
     cluster.replicas[3].learn(cluster.replicas[1].voterSet());
     cluster.replicas[3].join(0, 2);
     cluster.awaitVoting(3, 3_000);
-    assertThat(response, contains(true));
+    assertThat(votingStates, contains(true));
     cluster.start(0);
     cluster.timers.advance(20);
     assertThat(cluster.replicas[0].isVoting(), is(true));
@@ -354,7 +354,7 @@
       cluster.start(i);
     }
     cluster.timers.advance(20);
-    List<Integer> notes = new ArrayList<>();
+    List<Integer> sideEffects = new ArrayList<>();
     CompletableFuture<CommittedState> change =
         cluster
             .client(cluster.initialVoters)
@@ -362,7 +362,7 @@
                 "key",
                 observed -> {
                   for (byte[] sideEffect : observed.sideEffects()) {
-                    notes.add((int) sideEffect[0]);
+                    sideEffects.add((int) sideEffect[0]);
                   }
                   return new ProposedValue("x".getBytes(UTF_8), List.of());
                 },
@@ -370,7 +370,7 @@
                 new byte[] {4},
                 10_000);
     assertThat(failure(change), is(ErrorCode.OUTCOME_UNKNOWN));
-    assertThat(notes, equalTo(List.of(5, 5, 5, 5, 5, 5)));
+    assertThat(sideEffects, equalTo(List.of(5, 5, 5, 5, 5, 5)));
   }
 
   @Test
@@ -410,8 +410,8 @@
                   10_000));
     }
     long from = cluster.timers.now();
-    for (CompletableFuture<CommittedState> one : all) {
-      cluster.await(one);
+    for (CompletableFuture<CommittedState> change : all) {
+      cluster.await(change);
     }
     System.out.println("five changers of one key: " + (cluster.timers.now() - from) + " ms");
     assertThat(read(cluster.client(cluster.initialVoters), "key").length(), is(5));
--- a/consensus/src/test/java/elmsail/consensus/ReplacedVoterTest.java
+++ b/consensus/src/test/java/elmsail/consensus/ReplacedVoterTest.java
@@ -38,7 +38,7 @@
     assertThat(cluster.replicas[3].isVoting(), is(false));
   }
 
-  private void wipe(int i) {
+  private void wipeDiskAndRestart(int i) {
     cluster.kill(i);
     cluster.disks[i].wipe();
     cluster.start(i);
@@ -59,30 +59,30 @@
   }
 
   @Test
-  void replacedVoterStandsInForASpareThatDoesNotVote() {
+  void replacedVoterIsASourceInPlaceOfASpareThatDoesNotVote() {
     joinOfSpareKnownAtOneVoter();
-    wipe(2);
+    wipeDiskAndRestart(2);
     cluster.net.healAll();
     assertAllVoteAndNothingIsLost();
   }
 
   @Test
-  void replacedVoterStandsInAlsoIfItKnowsItsSuccessor() {
+  void replacedVoterThatKnowsItsSuccessorIsASource() {
     joinOfSpareKnownAtOneVoter();
     cluster.replicas[0].learn(cluster.replicas[1].voterSet());
     cluster.timers.advance(20);
     assertThat(cluster.replicas[0].isVoting(), is(false));
     cluster.kill(0);
     cluster.start(0);
-    wipe(2);
+    wipeDiskAndRestart(2);
     cluster.net.healAll();
     assertAllVoteAndNothingIsLost();
   }
 
   @Test
-  void replacedVoterStandsInAlsoIfBothJoinsAreRestarted() {
+  void replacedVoterIsASourceIfBothJoinsAreRestarted() {
     joinOfSpareKnownAtOneVoter();
-    wipe(2);
+    wipeDiskAndRestart(2);
     cluster.kill(3);
     cluster.timers.advance(700);
     cluster.start(3);
@@ -94,23 +94,23 @@
   }
 
   @Test
-  void replacedVoterThatLostItsDiskDoesNotStandIn() {
+  void replacedVoterThatLostItsDiskIsNoSource() {
     joinOfSpareKnownAtOneVoter();
     cluster.replicas[0].learn(cluster.replicas[1].voterSet());
     cluster.kill(0);
     cluster.disks[0].wipe();
     cluster.start(0);
-    wipe(2);
+    wipeDiskAndRestart(2);
     cluster.net.healAll();
     cluster.timers.advance(10_000);
     assertThat(cluster.replicas[2].isVoting() || cluster.replicas[3].isVoting(), is(false));
   }
 
   @Test
-  void replacedVoterWhoseSuccessorMayVoteDoesNotStandIn() {
+  void replacedVoterWhoseSuccessorMayVoteIsNoSource() {
     joinOfSpareKnownAtOneVoter();
     cluster.kill(3);
-    wipe(2);
+    wipeDiskAndRestart(2);
     cluster.net.healAll();
     cluster.timers.advance(10_000);
     assertThat(cluster.replicas[2].isVoting(), is(false));
@@ -161,7 +161,7 @@
 
   /** Otherwise it would raise its epoch, and take the slot from one that votes. */
   @Test
-  void restartedSpareStillYieldsToARival() {
+  void restartedSpareYieldsToARivalOfTheSameEpoch() {
     cluster.bootstrapped();
     put("new");
     cluster.net.cutBoth(SimCluster.ADDRESSES[3], SimCluster.ADDRESSES[1]);
@@ -169,7 +169,7 @@
     cluster.replicas[3].learn(cluster.initialVoters);
     cluster.replicas[3].join(0, 2);
     cluster.timers.advance(500);
-    wipe(0);
+    wipeDiskAndRestart(0);
     cluster.awaitVoting(0, 5_000);
     assertThat(cluster.replicas[0].isVoting(), is(true));
     cluster.kill(3);
@@ -206,12 +206,13 @@
     return voter;
   }
 
-  private static JoinResponse response(Voter by, VoterSet knows, boolean held, boolean replaced) {
+  private static JoinResponse response(
+      Voter responder, VoterSet voterSet, boolean accepted, boolean replaced) {
     JoinResponse response = new JoinResponse();
-    response.instanceId = by.instanceId;
-    response.voterSet = knows;
-    response.accepted = held;
-    response.recorded = !held;
+    response.instanceId = responder.instanceId;
+    response.voterSet = voterSet;
+    response.accepted = accepted;
+    response.recorded = !accepted;
     response.replaced = replaced;
     return response;
   }
@@ -226,14 +227,14 @@
     spare.previousEpoch = predecessor.epoch;
     known.voters.addAll(List.of(spare, voter("b", 1), voter("x", 2)));
     VoterSet rivals = VoterSets.withVoter(known, 0, voter("r", 2));
-    for (VoterSet knows : List.of(known, rivals)) {
+    for (VoterSet reported : List.of(known, rivals)) {
       JoinQuorum quorum = new JoinQuorum(known, 2, known.voters.get(2).instanceId);
       assertThat(quorum.awaitsHolder(2), is(false));
       quorum.onPredecessorResponse(0, response(predecessor, known, false, true));
       quorum.onHolderResponse(0, response(spare, known, false, false));
       assertThat(quorum.sources(), nullValue());
-      quorum.onHolderResponse(1, response(known.voters.get(1), knows, true, false));
-      if (knows == known) {
+      quorum.onHolderResponse(1, response(known.voters.get(1), reported, true, false));
+      if (reported == known) {
         assertThat(quorum.sources(), hasSize(2));
         assertThat(quorum.sources().get(1).instanceId, is(predecessor.instanceId));
       } else {
@@ -244,16 +245,16 @@
   }
 
   @Test
-  void twoReplacedVotersAreNotEnough() {
+  void twoReplacedVotersAreNoQuorumOfAJoin() {
     VoterSet known = new VoterSet();
     VoterSet old = new VoterSet();
     for (int i = 0; i < 2; i++) {
-      Voter one = voter("s" + i, 2);
+      Voter successor = voter("s" + i, 2);
       Voter predecessor = voter("a" + i, 1);
-      one.previousAddress = predecessor.address;
-      one.previousInstanceId = predecessor.instanceId;
-      one.previousEpoch = predecessor.epoch;
-      known.voters.add(one);
+      successor.previousAddress = predecessor.address;
+      successor.previousInstanceId = predecessor.instanceId;
+      successor.previousEpoch = predecessor.epoch;
+      known.voters.add(successor);
       old.voters.add(predecessor);
     }
     known.voters.add(voter("x", 2));
--- a/consensus/src/test/java/elmsail/consensus/ReplicaMetricsTest.java
+++ b/consensus/src/test/java/elmsail/consensus/ReplicaMetricsTest.java
@@ -85,7 +85,7 @@
     own.refused(VoteResponse.STALE_VOTER_SET);
     own.refused(VoteResponse.NOT_A_VOTER);
     own.refused(VoteResponse.NOT_ADMITTED);
-    own.refusedByDisk();
+    own.refusedOnFailedWrite();
     for (String reason : List.of("outbid", "old_voter_set", "not_voting", "not_admitted", "disk")) {
       MetricName name =
           new MetricName("replica_refused_" + reason, "replica_refused", "reason", reason);
--- a/consensus/src/test/java/elmsail/consensus/RivalClaimsTest.java
+++ b/consensus/src/test/java/elmsail/consensus/RivalClaimsTest.java
@@ -11,10 +11,10 @@
 
 /** Two claims of one slot under one epoch: whoever knew the loser first learns the winner. */
 class RivalClaimsTest {
-  private static Voter voter(String station, long instanceId, int epoch) {
+  private static Voter voter(String host, long instanceId, int epoch) {
     Voter voter = new Voter();
-    voter.address = station + ":7720";
-    voter.machine = station;
+    voter.address = host + ":7720";
+    voter.machine = host;
     voter.instanceId = instanceId;
     voter.epoch = epoch;
     return voter;
@@ -28,16 +28,15 @@
     return set;
   }
 
-  private static ReplicaMembership of(Voter itself, VoterSet known, int caughtUp) {
-    return new ReplicaMembership(
-        itself.address, itself.machine, itself.instanceId, known, caughtUp);
+  private static ReplicaMembership membership(Voter self, VoterSet known, int caughtUp) {
+    return new ReplicaMembership(self.address, self.machine, self.instanceId, known, caughtUp);
   }
 
   @Test
-  void votingClaimantSupersedesTheOther() {
+  void claimantThatVotesSupersedesTheOther() {
     Voter winner = voter("b", 22, 2);
     Voter loser = voter("d", 4, 2);
-    ReplicaMembership winning = of(winner, set(winner), 0);
+    ReplicaMembership winning = membership(winner, set(winner), 0);
     assertThat(VoterSets.merge(set(loser), winning.voterSet()).voters.get(1).instanceId, is(4L));
     winning.caughtUpEpoch(2);
     VoterSet published = winning.voterSet();
@@ -51,31 +50,32 @@
   @Test
   void restartedVoterStillSupersedesTheOther() {
     Voter winner = voter("b", 22, 2);
-    VoterSet published = of(winner, set(winner), 2).voterSet();
+    VoterSet published = membership(winner, set(winner), 2).voterSet();
     assertThat(VoterSets.merge(set(voter("d", 4, 2)), published).voters.get(1).instanceId, is(22L));
   }
 
   @Test
   void acknowledgerOfTheLoserLearnsTheWinner() {
     Voter winner = voter("b", 22, 2);
-    ReplicaMembership third = of(voter("c", 3, 1), set(voter("b", 2, 1)), 1);
-    JoinRequest lost = new JoinRequest();
-    lost.slot = 1;
-    lost.voter = voter("d", 4, 2);
-    assertThat(third.recordClaim(lost), is(ReplicaMembership.ClaimDecision.ADOPTED));
-    assertThat(third.learn(of(winner, set(winner), 2).voterSet()), is(true));
-    assertThat(third.voterSet().voters.get(1).instanceId, is(22L));
-    assertThat(third.isVoting(), is(true));
+    ReplicaMembership acknowledger = membership(voter("c", 3, 1), set(voter("b", 2, 1)), 1);
+    JoinRequest losingRequest = new JoinRequest();
+    losingRequest.slot = 1;
+    losingRequest.voter = voter("d", 4, 2);
+    assertThat(
+        acknowledger.recordClaim(losingRequest), is(ReplicaMembership.ClaimDecision.ADOPTED));
+    assertThat(acknowledger.learn(membership(winner, set(winner), 2).voterSet()), is(true));
+    assertThat(acknowledger.voterSet().voters.get(1).instanceId, is(22L));
+    assertThat(acknowledger.isVoting(), is(true));
   }
 
   /** The loser's own process gives up its claim. */
   @Test
-  void loserHoldsNoSlot() {
+  void losingClaimantGivesUpItsClaim() {
     Voter winner = voter("b", 22, 2);
-    ReplicaMembership losing = of(voter("d", 4, 2), set(voter("b", 2, 1)), 0);
+    ReplicaMembership losing = membership(voter("d", 4, 2), set(voter("b", 2, 1)), 0);
     losing.claim(1, 2);
     assertThat(losing.ownSlot(), is(1));
-    assertThat(losing.learn(of(winner, set(winner), 2).voterSet()), is(true));
+    assertThat(losing.learn(membership(winner, set(winner), 2).voterSet()), is(true));
     assertThat(losing.ownSlot(), is(-1));
   }
 }
--- a/consensus/src/test/java/elmsail/consensus/SingleJoinModel.java
+++ b/consensus/src/test/java/elmsail/consensus/SingleJoinModel.java
@@ -11,7 +11,7 @@
  * proposers: N may be restarted during its join, and the second ballot may be promised with the
  * first one's accepts.
  */
-final class SingleJoinModel extends BallotSearch {
+final class SingleJoinModel extends RegisterModel {
   private static final int A = 0;
   private static final int N = 3;
   private static final int BALLOTS = 3;
@@ -22,7 +22,7 @@
   private static final int COPIED = JOIN + 2;
   private static final int VOTING = JOIN + 3;
   private static final int RESTARTED = JOIN + 4;
-  private static final int FORGOT = JOIN + 5;
+  private static final int DISK_LOST = JOIN + 5;
   private static final int PROPOSERS = JOIN + 6;
 
   /** The slots that promised the next ballot together with an accept. */
@@ -42,12 +42,12 @@
   /** What the model does wrong on purpose. */
   enum Defect {
     NONE,
-    AMNESIA,
+    VOTE_AFTER_DISK_LOSS,
     ONE_ACKNOWLEDGER,
     COPY_BEFORE_CLAIM,
     PROMISES_NOT_COPIED,
     VOTER_SET_CHANGES_BETWEEN_PHASES,
-    PROMISE_OUTLIVES_INCARNATION,
+    VOTER_SET_CHANGES_AND_PROMISES_NOT_COPIED,
     COPIES_COUNT_AS_VOTES
   }
 
@@ -57,13 +57,13 @@
   private final VoterSet after;
 
   /**
-   * @param sticky the second ballot is promised with the first one's accepts, and has no prepare
-   *     phase
+   * @param promisedAhead whether the second ballot is promised with the first one's accepts, and
+   *     has no prepare phase
    */
-  SingleJoinModel(Defect defect, int ballots, boolean sticky) {
+  SingleJoinModel(Defect defect, int ballots, boolean promisedAhead) {
     super(BITS, PROPOSERS, PROPOSER_FIELDS, ballots);
     this.defect = defect;
-    this.promisedAhead = sticky;
+    this.promisedAhead = promisedAhead;
     for (int i = 0; i < N; i++) {
       before.voters.add(voter(NAMES[i], i, 1));
     }
@@ -85,8 +85,8 @@
   @Override
   void visit(int[] state) {
     checkInvariants(state);
-    joiner(state);
-    propose(state);
+    pushJoinSteps(state);
+    pushProposerSteps(state);
   }
 
   private ReplicaMembership membership(int[] state, int process) {
@@ -107,12 +107,12 @@
     return membership.voteCode(requested) == VoteResponse.OK;
   }
 
-  private void joiner(int[] state) {
-    if (defect == Defect.AMNESIA) {
-      if (state[FORGOT] == 0) {
+  private void pushJoinSteps(int[] state) {
+    if (defect == Defect.VOTE_AFTER_DISK_LOSS) {
+      if (state[DISK_LOST] == 0) {
         int[] next = state.clone();
-        next[FORGOT] = 1;
-        put(next, A, AcceptorState.EMPTY);
+        next[DISK_LOST] = 1;
+        putKey(next, A, AcceptorState.EMPTY);
         push(next);
       }
       return;
@@ -155,7 +155,7 @@
       next[RESTARTED] = 1;
       next[ACKED] = 0;
       next[COPIED] = 0;
-      put(next, N, AcceptorState.EMPTY);
+      putKey(next, N, AcceptorState.EMPTY);
       push(next);
     }
   }
@@ -163,12 +163,13 @@
   private void transferState(int[] state, int other, int bit) {
     int[] next = state.clone();
     AcceptorState theirs = key(state, other);
-    if (defect == Defect.PROMISES_NOT_COPIED || defect == Defect.PROMISE_OUTLIVES_INCARNATION) {
+    if (defect == Defect.PROMISES_NOT_COPIED
+        || defect == Defect.VOTER_SET_CHANGES_AND_PROMISES_NOT_COPIED) {
       theirs =
           new AcceptorState(
               theirs.accepted(), theirs.accepted(), theirs.fromStateTransfer(), theirs.value());
     }
-    put(next, N, key(state, N).mergeTransferred(theirs));
+    putKey(next, N, key(state, N).mergeTransferred(theirs));
     next[COPIED] |= bit;
     push(next);
   }
@@ -193,7 +194,7 @@
   }
 
   @Override
-  boolean isProposed(int[] state, int voterSet) {
+  boolean mayBeProposed(int[] state, int voterSet) {
     return voterSet <= state[STARTED];
   }
 
@@ -226,19 +227,19 @@
 
   /** With some defects a proposer changes its voter set in its accept phase. */
   @Override
-  void proposeOtherwise(int[] state, int ballot) {
-    int at = proposer(ballot);
+  void pushOtherProposerSteps(int[] state, int ballot) {
+    int offset = proposer(ballot);
     boolean changes =
         defect == Defect.VOTER_SET_CHANGES_BETWEEN_PHASES
-            || defect == Defect.PROMISE_OUTLIVES_INCARNATION;
+            || defect == Defect.VOTER_SET_CHANGES_AND_PROMISES_NOT_COPIED;
     if (changes
         && !isCommitted(state, ballot)
         && state[STARTED] == 1
-        && state[at + VOTER_SET] == BEFORE
-        && state[at + PHASE] == ACCEPT_PHASE) {
+        && state[offset + VOTER_SET] == BEFORE
+        && state[offset + PHASE] == ACCEPT_PHASE) {
       int[] next = state.clone();
-      next[at + VOTER_SET] = AFTER;
-      next[at + ACCEPTS] &= ~1;
+      next[offset + VOTER_SET] = AFTER;
+      next[offset + ACCEPTS] &= ~1;
       push(next);
     }
   }
--- a/consensus/src/test/java/elmsail/consensus/VoterSetCodecTest.java
+++ b/consensus/src/test/java/elmsail/consensus/VoterSetCodecTest.java
@@ -35,8 +35,8 @@
   @Test
   void recordWithoutPreviousVoterIsDecoded() {
     byte[] bytes = VoterSetCodec.encode(voterSet());
-    int before = 2 + "10.0.0.2:7".length() + Long.BYTES + Integer.BYTES;
-    VoterSet read = VoterSetCodec.decode(Arrays.copyOf(bytes, bytes.length - before));
+    int previousVoterBytes = 2 + "10.0.0.2:7".length() + Long.BYTES + Integer.BYTES;
+    VoterSet read = VoterSetCodec.decode(Arrays.copyOf(bytes, bytes.length - previousVoterBytes));
     assertThat(VoterSets.areEqual(read, voterSet()), is(true));
     assertThat(read.voters.get(0).previousInstanceId, is(0L));
   }
