--- a/consensus/src/main/java/elmsail/consensus/AcceptPhase.java
+++ b/consensus/src/main/java/elmsail/consensus/AcceptPhase.java
@@ -7,8 +7,9 @@
 import java.util.List;
 
 /**
- * Sends the accept of one ballot, once to each voter. A voter stores a value only together with all
- * its blobs: the accept brings those of the prepare phase to the voters that did not get them then.
+ * Sends the accept request of one ballot once to each voter. A voter stores a value only together
+ * with all its blobs, so the accept request carries the blobs of the prepare phase to the voters
+ * that did not receive them in that phase.
  */
 final class AcceptPhase {
   /** Sends an accept to the voter of a slot. */
@@ -24,8 +25,8 @@
 
   /**
    * @param request without blobs
-   * @param prepareBlobs those that were sent with the prepare phase
-   * @param valueBlobs those of the value, which no voter has yet
+   * @param prepareBlobs the blobs that were sent with the prepare phase
+   * @param valueBlobs the blobs of the value, which no voter has yet
    */
   AcceptPhase(
       VoterSet voterSet,
@@ -43,15 +44,16 @@
     }
   }
 
-  /** The accept as sent, but for its blobs. */
+  /** The accept request as sent, without its blobs. */
   AcceptRequest request() {
     return request;
   }
 
   /**
-   * Sends the accept to a voter, unless it was sent before or the slot doesn't count.
+   * Sends the accept request to a voter, unless the request was sent before or the slot doesn't
+   * count (see {@link VoterSets#isCounted}).
    *
-   * @param hasPrepareBlobs whether the voter got the blobs of the prepare phase
+   * @param hasPrepareBlobs whether the voter received the blobs of the prepare phase
    */
   void send(int slot, boolean hasPrepareBlobs) {
     if (sent[slot]) {
--- a/consensus/src/main/java/elmsail/consensus/Acceptor.java
+++ b/consensus/src/main/java/elmsail/consensus/Acceptor.java
@@ -4,23 +4,23 @@
 import elmsail.rpc.messages.VoteResponse;
 
 /**
- * The decisions of one voter (an acceptor of CASPaxos) at one key. Pure functions of the key's
- * state: they know neither time nor network nor disk.
+ * The decisions of one voter (an acceptor of CASPaxos) at one key. They are pure functions of the
+ * key's state and use neither time nor network nor disk.
  */
 final class Acceptor {
   private Acceptor() {}
 
   /**
-   * What to respond, and what must be durable before the response leaves.
+   * The response, and the state that must be durable before the response is sent.
    *
-   * @param newState the state to write; null if it doesn't change, but then all writes before this
-   *     decision must be durable nevertheless
+   * @param newState the state to write; null if the state doesn't change. In both cases all writes
+   *     before this decision must be durable before the response is sent
    */
   record Decision(VoteResponse response, AcceptorState newState) {}
 
   /**
-   * Promises the ballot unless a higher one was promised. A repeated prepare gets the same response
-   * as the first.
+   * Promises the ballot unless a higher ballot was promised. A repeated prepare request gets the
+   * same response as the first.
    */
   static Decision prepare(AcceptorState state, Ballot ballot) {
     int comparison = Ballots.compare(ballot, state.promised());
@@ -36,11 +36,11 @@
   }
 
   /**
-   * Accepts the value unless a higher ballot was promised. A repeated accept gets the same response
-   * as the first, also if a higher ballot has been promised since.
+   * Accepts the value unless a higher ballot was promised. A repeated accept request gets the same
+   * response as the first, even if a higher ballot has been promised since.
    *
-   * @param nextBallot promised together with the accept, so that the same proposer may skip its
-   *     next prepare phase; round 0 for none
+   * @param nextBallot the ballot to promise together with accepting the value, so that the same
+   *     proposer may skip its next prepare phase; round 0 for none
    */
   static Decision accept(AcceptorState state, Ballot ballot, Ballot nextBallot, byte[] value) {
     if (Ballots.areEqual(ballot, state.accepted())
@@ -57,10 +57,10 @@
   }
 
   /**
-   * Responds with the state as it is.
+   * Responds with the state and doesn't change it.
    *
-   * @param knownBallot the value is left out if this ballot was accepted last; may be null
-   * @param ballotOnly leaves the value out in any case
+   * @param knownBallot the response omits the value if this ballot was accepted last; may be null
+   * @param ballotOnly whether the response omits the value in any case
    */
   static VoteResponse read(AcceptorState state, Ballot knownBallot, boolean ballotOnly) {
     boolean omitValue =
--- a/consensus/src/main/java/elmsail/consensus/AcceptorState.java
+++ b/consensus/src/main/java/elmsail/consensus/AcceptorState.java
@@ -7,12 +7,12 @@
 
 /**
  * The state of one voter at one key, and its record on disk: the promised and the accepted ballot
- * (round and proposer, 8 bytes each), a byte of flags, the value.
+ * (round and proposer, 8 bytes each), one byte of flags, and the value.
  *
  * @param promised the highest ballot promised, never below {@code accepted}
  * @param accepted the ballot under which {@code value} was accepted
  * @param fromStateTransfer whether {@code accepted} was copied from another voter when this replica
- *     joined: such a record is no vote of this voter
+ *     joined; such a record is not a vote of this voter
  * @param value null if nothing was accepted
  */
 record AcceptorState(Ballot promised, Ballot accepted, boolean fromStateTransfer, byte[] value) {
@@ -20,7 +20,7 @@
   private static final int HAS_VALUE_FLAG = 1;
   private static final int FROM_STATE_TRANSFER_FLAG = 2;
 
-  /** Of a key that has no record: nothing promised, nothing accepted. */
+  /** The state of a key that has no record: nothing promised, nothing accepted. */
   static final AcceptorState EMPTY = new AcceptorState(new Ballot(), new Ballot(), false, null);
 
   byte[] toBytes() {
@@ -42,7 +42,7 @@
   /**
    * Decodes a record.
    *
-   * @param bytes null if there is no record, which gives {@link #EMPTY}
+   * @param bytes null if there is no record; the result is then {@link #EMPTY}
    * @throws ElmsailException of code {@code STORAGE_FAILURE} if the record is too short
    */
   static AcceptorState fromBytes(byte[] bytes) {
@@ -70,8 +70,9 @@
   }
 
   /**
-   * Merges what another voter sent in a state transfer: the highest promise and the highest
-   * accepted ballot of both. The result counts as transferred if its value is the other's.
+   * Merges the state that another voter sent in a state transfer: the result has the highest
+   * promised and the highest accepted ballot of both states. The result is marked as transferred if
+   * its value comes from {@code other}, or if this state was marked so before.
    */
   AcceptorState mergeTransferred(AcceptorState other) {
     boolean otherIsNewer = Ballots.compare(other.accepted, accepted) > 0;
--- a/consensus/src/main/java/elmsail/consensus/Ballots.java
+++ b/consensus/src/main/java/elmsail/consensus/Ballots.java
@@ -2,7 +2,7 @@
 
 import elmsail.rpc.messages.Ballot;
 
-/** The order of ballots: by round, then by proposer. A ballot of round 0 stands for none. */
+/** The order of ballots: by round, then by proposer. A ballot of round 0 means "no ballot". */
 final class Ballots {
   private Ballots() {}
 
@@ -23,12 +23,12 @@
     return one.round == other.round && one.proposerId == other.proposerId;
   }
 
-  /** The higher of both; the first if they are equal. */
+  /** The higher ballot; the first argument if both are equal. */
   static Ballot max(Ballot one, Ballot other) {
     return compare(one, other) >= 0 ? one : other;
   }
 
-  /** Whether there is no ballot: null or round 0. */
+  /** Whether the argument means "no ballot": null or round 0. */
   static boolean isNone(Ballot ballot) {
     return ballot == null || ballot.round == 0;
   }
--- a/consensus/src/main/java/elmsail/consensus/BlobRead.java
+++ b/consensus/src/main/java/elmsail/consensus/BlobRead.java
@@ -6,12 +6,12 @@
 import elmsail.runtime.ErrorCode;
 
 /**
- * One read of a blob: asks the voters one after the other, the nearest first, and the next one once
- * the one before lacks the blob, fails, or is late (a hedged request). Any response that has the
- * blob is as good as another, as blobs never change.
+ * One read of a blob. Requests the blob from the voters one after the other, the nearest voter
+ * first. The next request is sent when a voter lacks the blob or fails, or when its response is
+ * late (a hedged request). The first response with the blob is the result, as blobs never change.
  */
 final class BlobRead extends QuorumOperation<byte[]> {
-  /** After this time without a response the next voter is asked as well. */
+  /** After this time without a response, the blob is requested from the next voter as well. */
   private static final long HEDGE_DELAY_MS = 250;
 
   private final String name;
@@ -37,7 +37,7 @@
     private int requested;
     private int concluded;
 
-    /** Voters that responded as voting and lack the blob. */
+    /** The number of voters that responded as voting and lack the blob. */
     private int missing;
 
     BlobAttempt(VoterSet voterSet) {
--- a/consensus/src/main/java/elmsail/consensus/DurableMembership.java
+++ b/consensus/src/main/java/elmsail/consensus/DurableMembership.java
@@ -12,14 +12,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The records of a replica's membership, and what other classes and processes may know of it: only
- * what is on disk is published, so that no process learns of a claim that its maker may forget.
- * Used on the replica's event loop.
+ * The records of a replica's membership, and the part of the membership that other classes and
+ * processes may see. Only what is on disk is published: a claim in memory alone would be lost if
+ * this process restarted, so no other process may learn it. Used on the replica's event loop.
  */
 final class DurableMembership {
   private static final Logger LOG = LoggerFactory.getLogger(DurableMembership.class);
 
-  /** After a failed write. */
+  /** The delay before a failed write of the membership is repeated. */
   private static final long REWRITE_DELAY_MS = 300;
 
   private final String set;
@@ -29,16 +29,16 @@
   private final Timers timers;
   private final List<Runnable> votingListeners = new ArrayList<>();
 
-  /** Whether the membership as it is in memory is on disk or on its way there. */
+  /** Whether the membership in memory is on disk or is being written. */
   private boolean written = true;
 
   private boolean publishedVoting;
   private VoterSet publishedVoterSet;
 
   /**
-   * Publishes the membership as it was read from disk.
+   * Publishes the membership that was read from disk.
    *
-   * @param membership see {@link #read}
+   * @param membership the result of {@link #read}
    */
   DurableMembership(
       RecordNames names,
@@ -67,24 +67,24 @@
     return membership;
   }
 
-  /** Whether the replica votes, and its disk says so. */
+  /** Whether the replica votes, and the record of that is on disk. */
   boolean isVoting() {
     return publishedVoting && membership.isVoting();
   }
 
-  /** The voter set as it is on disk; without voters if none is known. */
+  /** The voter set on disk; without voters if none is known. */
   VoterSet voterSet() {
     return publishedVoterSet;
   }
 
-  /** Adds a listener, called after the replica started or stopped to vote. */
+  /** Adds a listener, called after the replica started or stopped voting. */
   void addVotingListener(Runnable listener) {
     votingListeners.add(listener);
   }
 
   /**
-   * Writes the membership as it is now. That the replica stopped voting is published at once, all
-   * else once it is on disk.
+   * Writes the current membership. If the replica stopped voting, this is published at once; every
+   * other change is published when it is on disk.
    */
   CompletableFuture<Void> onVoterSetChanged() {
     CompletableFuture<Void> write = write();
@@ -95,8 +95,8 @@
   }
 
   /**
-   * Writes the membership as it is now, as one batch: a vote is written behind it, so that an
-   * instance that voted never takes itself for a new one.
+   * Writes the current membership as one batch. Votes are written after this batch, so an instance
+   * that has voted always finds its membership on disk and never treats itself as new.
    */
   CompletableFuture<Void> write() {
     int caughtUpEpoch = membership.caughtUpEpoch();
@@ -127,12 +127,15 @@
     LOG.warn("voter set not written: set={} code={}", set, ElmsailException.codeOf(failure));
   }
 
-  /** Whether the membership as it is in memory is on disk or on its way there. */
+  /** Whether the membership in memory is on disk or is being written. */
   boolean isWritten() {
     return written;
   }
 
-  /** Writes again after a failed write: in time, or before a request that relies on it. */
+  /**
+   * Repeats a failed write. Called after {@link #REWRITE_DELAY_MS}, and before each request that
+   * relies on the membership.
+   */
   void rewriteIfFailed() {
     if (!written) {
       write();
--- a/consensus/src/main/java/elmsail/consensus/DurableRecords.java
+++ b/consensus/src/main/java/elmsail/consensus/DurableRecords.java
@@ -11,8 +11,8 @@
 import java.util.function.Supplier;
 
 /**
- * The records of one set, and responses that leave only once all that was written before them is on
- * disk. Used on the replica's event loop.
+ * The records of one set. Delays each response until all writes before it are on disk. Used on the
+ * replica's event loop.
  */
 final class DurableRecords {
   private final RecordStore records;
@@ -31,8 +31,9 @@
   }
 
   /**
-   * Writes changes, which are read at once. Writes are ordered: once one is on disk, all before it
-   * are; if one fails, what it changed is read as before again.
+   * Writes changes. Reads return the changed records at once. Writes are ordered: when a write is
+   * on disk, all writes before it are as well. If a write fails, reads return the records as they
+   * were before it.
    */
   CompletableFuture<Void> write(List<Change> changes) {
     CompletableFuture<Void> written = records.write(changes);
@@ -53,7 +54,8 @@
   }
 
   /**
-   * What a vote has to write: the blobs that aren't there yet, and the key's state if it changes.
+   * The changes that a vote writes: the blobs that are not stored yet, and the key's state if it
+   * changes.
    */
   List<Change> changes(String key, Acceptor.Decision decision, List<Blob> blobs) {
     List<Change> changes = new ArrayList<>();
@@ -93,9 +95,9 @@
   }
 
   /**
-   * Writes changes, and responds once they and all writes before them are on disk.
+   * Writes changes, and responds when these and all earlier writes are on disk.
    *
-   * @param response called on the loop then
+   * @param response called on the event loop when the writes are on disk
    * @return fails with {@code STORAGE_FAILURE} if one of those writes failed
    */
   <A> CompletableFuture<A> respondOnceDurable(List<Change> changes, Supplier<A> response) {
--- a/consensus/src/main/java/elmsail/consensus/JoinAttempt.java
+++ b/consensus/src/main/java/elmsail/consensus/JoinAttempt.java
@@ -15,21 +15,21 @@
  *
  * <ul>
  *   <li>{@link State#RECORDING}: the claim is being written to this replica's own disk, so that no
- *       other process learns of a claim that its maker may forget. Then {@code COLLECTING}; if the
- *       write fails, the attempt is retried.
- *   <li>{@link State#COLLECTING}: the claim was sent, and the responses go to the {@link
- *       JoinQuorum}. Then {@code TRANSFERRING} once there are enough acknowledgements, which is
- *       safe for the reasons given at {@link ReplicaJoin}; {@code FAILED} once there cannot be
- *       enough.
- *   <li>{@link State#TRANSFERRING}: the records are being copied from the acknowledgers. Then the
- *       join is complete; if the transfer fails, the attempt is retried.
- *   <li>{@link State#FAILED}: waits for its retry, and for responses that are still on their way:
- *       they may name a rival or a voter that votes.
+ *       other process learns a claim that this replica would lose in a restart. If the write
+ *       succeeds, the next state is {@code COLLECTING}; if the write fails, the attempt is retried.
+ *   <li>{@link State#COLLECTING}: the claim was sent, and the responses are passed to the {@link
+ *       JoinQuorum}. When there are enough acknowledgements, the next state is {@code
+ *       TRANSFERRING}; {@link ReplicaJoin} explains why this is safe. When the remaining responses
+ *       cannot be enough, the next state is {@code FAILED}.
+ *   <li>{@link State#TRANSFERRING}: the records are being copied from the acknowledgers. If the
+ *       transfer succeeds, the join is complete; if the transfer fails, the attempt is retried.
+ *   <li>{@link State#FAILED}: waits for its retry, and for responses that are still in flight:
+ *       these may name a rival, or report that their sender votes.
  * </ul>
  *
- * <p>A retry is a new attempt, or leaves the slot to a rival. From every state the attempt ends at
- * once if the membership changes so that {@link ReplicaJoin} starts another, or none; all that it
- * still has under way is then ignored.
+ * <p>A retry either starts a new attempt or leaves the slot to a rival. If the membership changes
+ * so that {@link ReplicaJoin} starts another attempt or none, this attempt ends at once, in every
+ * state, and the results of its calls and transfers are ignored.
  */
 final class JoinAttempt {
   private enum State {
@@ -78,7 +78,7 @@
     return join.isCurrent(this);
   }
 
-  /** The claim is on this replica's disk: sends it to the other voters and their predecessors. */
+  /** Sends the claim, which is on this replica's disk, to the other voters and predecessors. */
   void sendRequests() {
     if (!isCurrent()) {
       return;
@@ -100,7 +100,7 @@
       }
     }
     if (quorum.isUnattainable()) {
-      // Too few other voters to be asked, as in a set of one: there is nobody to copy from.
+      // There are too few other voters to acknowledge the claim, for example in a set of one voter.
       join.retryAfterBackoff(this);
     }
   }
@@ -115,7 +115,7 @@
   /**
    * Handles the response of a voter or of a predecessor.
    *
-   * @param response null if there was none
+   * @param response null if there was no response
    */
   private void onResponse(int other, boolean fromPredecessor, JoinResponse response) {
     if (!isCurrent()) {
@@ -128,7 +128,8 @@
         quorum.onHolderResponse(other, response);
       }
     }
-    // Responses after the attempt failed count here too: its first response may be a failure.
+    // Responses that arrive after the attempt failed count too: a failed call may end the attempt
+    // before voting instances have responded.
     if (response != null && !fromPredecessor && response.voting) {
       votingInstances.put(other, response.instanceId);
     }
@@ -160,9 +161,9 @@
   }
 
   /**
-   * Retries after a backoff. A rival that votes keeps the slot. It is outbid only if enough others
-   * vote for a higher claim to be completed: a claim that is known but can't be completed would
-   * take the rival's vote from the set, and give none.
+   * Retries after a backoff. A rival that votes keeps the slot. This replica claims a higher epoch
+   * only if so many other instances vote that the higher claim can be completed: a claim that other
+   * processes know but that cannot be completed would end the rival's voting and add no voter.
    */
   void retry() {
     if (rival == null) {
@@ -189,7 +190,7 @@
     }
   }
 
-  /** How many instances responded as voting and hold their slot in the newest voter set. */
+  /** The number of instances that responded as voting and hold their slot in the newest set. */
   private int countVotingHolders() {
     int count = 0;
     for (Map.Entry<Integer, Long> instance : votingInstances.entrySet()) {
--- a/consensus/src/main/java/elmsail/consensus/JoinContext.java
+++ b/consensus/src/main/java/elmsail/consensus/JoinContext.java
@@ -4,7 +4,7 @@
 import elmsail.runtime.Timers;
 import elmsail.storage.RecordStore;
 
-/** What the joins of one replica work with; all of it is used on the replica's event loop. */
+/** The collaborators of the joins of one replica. All are used on the replica's event loop. */
 record JoinContext(
     RecordNames names,
     RecordStore records,
--- a/consensus/src/main/java/elmsail/consensus/JoinQuorum.java
+++ b/consensus/src/main/java/elmsail/consensus/JoinQuorum.java
@@ -7,69 +7,74 @@
 import java.util.List;
 
 /**
- * The responses to one claim of a voter slot, and the decision whom to copy from: N - q + 1 voting
- * acknowledgers, or one less together with a replaced voter whose successor doesn't vote. Knows
- * neither time nor network.
+ * Collects the responses to one claim of a voter slot, and decides from which instances the records
+ * are copied: from N - q + 1 voting acknowledgers, or from N - q voting acknowledgers together with
+ * one replaced voter whose successor doesn't vote. Uses neither time nor network.
  *
- * <p>A voter slot whose new holder doesn't vote yet would otherwise block a second join for good,
- * if that one's slot was lost too: each would wait for the other. In the place of one voting
- * acknowledger a claim may therefore be acknowledged by both instances of one such slot: its new
- * holder S (the successor), and the instance R that voted there right before (the predecessor); R
- * is then copied from. Why that is as good, with k the epoch of R and k + 1 that of S:
+ * <p>Without the second alternative, two joins could block each other for good: if the holder of
+ * one slot doesn't vote yet and the voter of a second slot is lost too, the join of each slot waits
+ * for the other. Therefore both instances of one such slot may together replace one voting
+ * acknowledger of a claim: the slot's new holder S (the successor), and the instance R that voted
+ * in the slot right before S (the predecessor). The records are then copied from R. Let k be the
+ * epoch of R, and k + 1 the epoch of S. This alternative is as safe as a voting acknowledger:
  *
  * <ul>
- *   <li>S responds that it doesn't vote, and has the claim on its disk: S has cast no vote in this
- *       slot, and will cast none under a voter set without the claim.
- *   <li>R responds that it voted under k, votes no more (or still does, and acknowledges as such),
- *       and has the claim on its disk. It voted only under k, votes under no voter set that has S,
- *       and its records hold the result of all those votes: they are dropped only behind its own
- *       claim of a slot, which is on its disk first and ends what it responds here; and it claims
- *       another slot only once S responded that it votes. If R doesn't know of S yet, its later
- *       votes are under voter sets with this claim, so they need not be copied; the state transfer
- *       lets it learn of S.
- *   <li>Nobody else voted in the slot, nor will: there is no epoch between k and k + 1; of two
- *       instances that claim k only one can have become voting, and R did. A rival of S in k + 1,
- *       or the maker of a later claim, that was voting or will be without knowing this claim had
- *       acknowledgements from N - q + 1 slots. So did this claim: N - q of them are voting in the N
- *       - 2 slots besides both, of which the rival has N - q at least, and 2 (N - q) is more than N
- *       - 2. So one voter acknowledged both. It reported only S to this join, as the holder of the
- *       slot, and never goes back: so it can't have known the rival first, and if it acknowledges
- *       the rival later, it passes this claim on with its acknowledgement.
- *   <li>Only the one that was counted so is copied from though it was replaced. Any other source
- *       must be voting under what this join learned from all responses: one that acknowledged
- *       without knowing of its successor, which votes, doesn't count.
- *   <li>For the overlap above only one slot may be acknowledged so, and all voting acknowledgers
- *       must have reported just S.
- *   <li>What S copies later from this instance has all that was committed, as from any voter.
+ *   <li>S responds that it doesn't vote, and has the claim on its disk. So S has cast no vote in
+ *       this slot, and will cast no vote under a voter set without the claim.
+ *   <li>R responds that it voted under k, and has the claim on its disk. R either votes no more, or
+ *       still votes and acknowledges the claim as a voter. R voted only under k, and votes under no
+ *       voter set that contains S. The records of R hold the result of all its votes: R drops the
+ *       records only after a claim of its own is on its disk, and from then on R doesn't
+ *       acknowledge as the predecessor any more. R claims another slot only after S responded that
+ *       S votes. If R doesn't know S yet, the later votes of R are cast under voter sets with this
+ *       claim, so they need not be copied. R learns S through the state transfer.
+ *   <li>No other instance voted in the slot, and none will without knowing this claim. There is no
+ *       epoch between k and k + 1. Of two instances that claim k only one can have become a voter,
+ *       and R did. Suppose that an instance X claims the slot under k + 1 as a rival of S, or under
+ *       a later epoch, and votes without knowing this claim, now or later. Then the claim of X has
+ *       acknowledgements from N - q + 1 slots, as this claim has. Consider the N - 2 slots besides
+ *       the slot of S and the slot that is claimed here. N - q voting acknowledgers of this claim
+ *       are in these slots, and at least N - q acknowledgers of X; 2 (N - q) is more than N - 2. So
+ *       at least one voter acknowledged both claims. That voter reported S to this join as the
+ *       holder of the slot, and never returns to an older holder. So it can't have known X before
+ *       this claim; and if it acknowledges X after this claim, its acknowledgement carries this
+ *       claim to X.
+ *   <li>Of the replaced voters, only the R that is counted this way is a source. Every other source
+ *       must be a voter of the voter set that this join learned from all responses: an instance
+ *       that acknowledged without knowing its successor, which votes, doesn't count.
+ *   <li>Only one slot may be acknowledged this way, and all voting acknowledgers must have reported
+ *       exactly S as its holder; otherwise the overlap above isn't guaranteed.
+ *   <li>When S later copies its records from this instance, they contain all that was committed, as
+ *       those of any voter do.
  * </ul>
  *
- * <p>If S never comes back, this doesn't help: that it didn't vote is known to it alone.
+ * <p>This alternative doesn't help if S never comes back: only S can report that S didn't vote.
  */
 final class JoinQuorum {
   private final VoterSet knownVoterSet;
   private final int required;
 
-  /** By slot: the voter set that the voting holder reported with its acknowledgement, or null. */
+  /** By slot: the voter set that the voting holder sent with its acknowledgement, or null. */
   private final VoterSet[] acknowledged;
 
-  /** Slots whose holder doesn't vote, and has the claim on its disk. */
+  /** By slot: whether the holder doesn't vote, and has the claim on its disk. */
   private final boolean[] recordedByHolder;
 
-  /** Slots whose predecessor has the claim on its disk, and still has its records. */
+  /** By slot: whether the predecessor has the claim on its disk, and still has its records. */
   private final boolean[] recordedByPredecessor;
 
-  /** Slots whose holder is to be asked and hasn't responded. */
+  /** By slot: whether the claim is to be sent to the holder, which hasn't responded yet. */
   private final boolean[] awaitingHolder;
 
-  /** Slots whose predecessor is to be asked and hasn't responded. */
+  /** By slot: whether the claim is to be sent to the predecessor, which hasn't responded yet. */
   private final boolean[] awaitingPredecessor;
 
   private Voter replacedSource;
 
   /**
-   * The quorum of a claim that has no responses yet.
+   * Creates the quorum of a claim that has no responses yet.
    *
-   * @param knownVoterSet as known when the claim is sent
+   * @param knownVoterSet the voter set that is known when the claim is sent
    * @param slot the slot that is claimed
    */
   JoinQuorum(VoterSet knownVoterSet, int slot, long ownInstanceId) {
@@ -92,12 +97,12 @@
     }
   }
 
-  /** Whether the holder of the slot is to be asked, and hasn't responded. */
+  /** Whether the claim is to be sent to the holder of the slot, which hasn't responded yet. */
   boolean awaitsHolder(int slot) {
     return awaitingHolder[slot];
   }
 
-  /** Whether the predecessor of the slot's holder is to be asked, and hasn't responded. */
+  /** Whether the claim is to be sent to the slot's predecessor, which hasn't responded yet. */
   boolean awaitsPredecessor(int slot) {
     return awaitingPredecessor[slot];
   }
@@ -105,7 +110,7 @@
   /**
    * Counts the response of a slot's holder.
    *
-   * @param response null if there was none
+   * @param response null if there was no response
    */
   void onHolderResponse(int slot, JoinResponse response) {
     awaitingHolder[slot] = false;
@@ -126,7 +131,7 @@
   /**
    * Counts the response of the predecessor of a slot's holder.
    *
-   * @param response null if there was none
+   * @param response null if there was no response
    */
   void onPredecessorResponse(int slot, JoinResponse response) {
     awaitingPredecessor[slot] = false;
@@ -148,7 +153,7 @@
                 && VoterSets.areEqual(holderAtResponder, holder);
   }
 
-  /** The instances to copy from; null as long as too few acknowledged. */
+  /** The instances to copy from; null while too few instances have acknowledged. */
   List<Voter> sources() {
     List<Voter> sources = new ArrayList<>();
     for (int i = 0; i < acknowledged.length; i++) {
@@ -170,12 +175,12 @@
     return sources.size() >= required ? sources : null;
   }
 
-  /** The one of the {@link #sources()} that was replaced, or null; the others must still vote. */
+  /** The replaced voter among the {@link #sources()}, or null; the other sources must vote. */
   Voter replacedSource() {
     return replacedSource;
   }
 
-  /** Whether the responses that are still awaited can't be enough. */
+  /** Whether the claim can't get enough acknowledgements from the responses still awaited. */
   boolean isUnattainable() {
     int possible = 0;
     boolean pairPossible = false;
@@ -191,7 +196,7 @@
     return !awaitingAny || possible + (pairPossible ? 1 : 0) < required;
   }
 
-  /** Whether all voting acknowledgers reported just this holder of the slot. */
+  /** Whether all voting acknowledgers reported the known holder of the slot. */
   private boolean acknowledgersAgreeOn(int slot) {
     for (VoterSet known : acknowledged) {
       if (known != null
--- a/consensus/src/main/java/elmsail/consensus/PreparePhase.java
+++ b/consensus/src/main/java/elmsail/consensus/PreparePhase.java
@@ -10,34 +10,40 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * The prepare phase of one ballot: sends the prepare to all voters, directly or, if it carries
- * large blobs, through the nearest voter ({@link PrepareRelay}). If that voter fails or is late,
- * the same prepare is sent directly as well, which is safe as voters respond to a repeated prepare
- * as they did to the first. Runs on the client's event loop.
+ * The prepare phase of one ballot. Sends the prepare request to all voters: directly, or through
+ * the nearest voter ({@link PrepareRelay}) if the request carries large blobs. If the relay fails
+ * or is late, the same request is also sent directly. This is safe because voters give a repeated
+ * prepare request the same response as the first. Runs on the client's event loop.
  */
 final class PreparePhase {
-  /** Is notified once for each voter whose slot counts. */
+  /** Notified once for each voter whose slot counts (see {@link VoterSets#isCounted}). */
   interface VoteListener {
     /**
-     * The voter responded, or failed to.
+     * Called when the voter responded, or its call failed.
      *
      * @param vote null if the voter did not respond
      */
     void onVote(int slot, VoteResponse vote);
 
-    /** A majority promised through the relay, and the prepare is on its way to this voter too. */
+    /**
+     * Called when a majority promised through the relay, and the relay's request to this voter is
+     * still in flight.
+     */
     void onPending(int slot);
   }
 
   /**
-   * After this time, and that of the bytes at {@link #MIN_BYTES_PER_MS}, the prepare is sent
-   * directly too.
+   * The prepare request is also sent directly if the relay has not responded after this time plus
+   * the time that the bytes in flight take at {@link #MIN_BYTES_PER_MS}.
    */
   private static final long RELAY_WAIT_MS = 200;
 
   private static final long MIN_BYTES_PER_MS = 500;
 
-  /** By how much a relay's own timeout is shorter than a call's, so that its votes arrive. */
+  /**
+   * The relay's timeout for its calls to the voters is shorter than a call's timeout by this time,
+   * so that its response arrives in time.
+   */
   private static final long RELAY_MARGIN_MS = 100;
 
   private final RegisterClient client;
@@ -51,9 +57,11 @@
   private boolean sentDirectly;
 
   /**
-   * @param callTimeoutMs of a call to a voter
-   * @param relayTimeoutMs of the call to a relay; longer, as it may share a narrow link with others
-   * @param isCurrent whether the prepare still matters; if not, it is not sent directly any more
+   * @param callTimeoutMs the timeout of a call to a voter
+   * @param relayTimeoutMs the timeout of the call to a relay; longer than that of a voter, as the
+   *     request may share a link of low bandwidth with others
+   * @param isCurrent whether the prepare phase is still needed; if not, the request is not sent
+   *     directly any more
    */
   PreparePhase(
       RegisterClient client,
@@ -111,7 +119,10 @@
     sendDirectly();
   }
 
-  /** A relay that got no majority of votes may be partitioned itself: sends to the others. */
+  /**
+   * Passes on the votes. A relay that received votes from less than a majority may be partitioned
+   * itself, so the request is then sent directly to the other voters.
+   */
   private void onRelayResponse(Voter relay, RelayedPrepareResponse response) {
     int voteCount = Math.min(response.slots.size(), response.votes.size());
     for (int i = 0; i < voteCount; i++) {
@@ -148,7 +159,7 @@
         .whenComplete((vote, failure) -> onVote(slot, vote));
   }
 
-  /** The slot may come from a relay, so it is checked. */
+  /** Passes on a vote. The slot number may come from a relay, so its range is checked. */
   private void onVote(int slot, VoteResponse vote) {
     if (slot >= 0 && slot < responded.length && !responded[slot]) {
       responded[slot] = true;
--- a/consensus/src/main/java/elmsail/consensus/PrepareRelay.java
+++ b/consensus/src/main/java/elmsail/consensus/PrepareRelay.java
@@ -13,19 +13,20 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Relays prepares that carry large blobs: a voter sends them to all voters on behalf of a proposer,
- * so that the blobs cross the proposer's link once. A relay decides nothing: it sends the
- * proposer's own request, and returns each voter's own response.
+ * Relays prepare requests that carry large blobs. A voter sends such a request to all voters on
+ * behalf of a proposer, so that the blobs cross the proposer's link only once. The relay makes no
+ * decisions: it sends the proposer's request unchanged, and returns each voter's response
+ * unchanged.
  *
- * <p>The response to the proposer leaves once all voters have responded, or {@link #GRACE_MS} after
- * a majority promised, so that one slow voter doesn't delay it; the prepare that is on its way to
- * that voter goes on. Runs on the replica's event loop.
+ * <p>The relay responds to the proposer when all voters have responded, or {@link #GRACE_MS} after
+ * a majority promised, so that one slow voter doesn't delay the response. The request to the slow
+ * voter is not cancelled. Runs on the replica's event loop.
  */
 final class PrepareRelay {
   /** How long to wait for more voters once a majority has promised. */
   private static final long GRACE_MS = 30;
 
-  /** Limit on the bytes of blobs being sent at a time; a single prepare may exceed it. */
+  /** Limit on the bytes of blobs in flight; a single prepare request may exceed the limit. */
   private static final long MAX_BYTES_IN_FLIGHT = 32L << 20;
 
   private final RpcClient rpcClient;
@@ -37,7 +38,7 @@
     this.timers = timers;
   }
 
-  /** Registers the handler of relayed prepares. */
+  /** Registers the handler of relayed prepare requests. */
   void register(RequestHandlers handlers) {
     handlers.register(RelayedPrepareRequest.class, this::relay);
   }
@@ -57,7 +58,7 @@
     return relayed.response;
   }
 
-  /** One prepare being relayed. */
+  /** One prepare request that is being relayed. */
   private final class RelayedPrepare {
     private final PrepareRequest prepare;
     private final VoterSet voterSet;
--- a/consensus/src/main/java/elmsail/consensus/Proposer.java
+++ b/consensus/src/main/java/elmsail/consensus/Proposer.java
@@ -17,15 +17,15 @@
 import java.util.function.Function;
 
 /**
- * One change of a key (a proposer of CASPaxos): prepare and accept at a majority, again until one
- * attempt commits a value or the change is declined.
+ * One change of a key (a proposer of CASPaxos). Runs a prepare phase and an accept phase at a
+ * majority, and repeats both until one attempt commits a value or the change is declined.
  *
- * <p>A client that changes a key repeatedly skips the prepare phase: with each accept it asks for
- * the promise of its next ballot, and uses that for the next change if a majority gave it under the
- * same voter set.
+ * <p>A client that changes a key repeatedly skips the prepare phase: each of its accept requests
+ * also requests the promise of its next ballot. The next change uses this promise if a majority
+ * gave it under the same voter set.
  */
 final class Proposer extends QuorumOperation<CommittedState> {
-  /** How many attempts may end because voters did not admit the value, before that is reported. */
+  /** How many attempts are retried after voters did not admit the value. */
   private static final int MAX_ADMISSION_REFUSALS = 2;
 
   private final Function<ObservedState, ProposedValue> change;
@@ -36,7 +36,8 @@
   private int preemptedAttempts;
 
   /**
-   * @param sideEffect sent with the prepare phase, which is then never skipped; null for none
+   * @param sideEffect sent with the prepare request, so the prepare phase is never skipped if there
+   *     is one; null for none
    */
   Proposer(
       RegisterClient client,
@@ -69,18 +70,19 @@
             .accept(proposed.value(), true, proposed.blobs());
         return;
       }
-      // The cached value may be stale: a change is declined only on what a majority responds.
+      // The cached value may be stale: a change may only be declined for a value that a majority
+      // responded with.
       client.cachePromise(key, CachedPromise.none(voterSet));
     }
     new ChangeAttempt(voterSet, client.nextBallot(), promise != null).prepare();
   }
 
-  /** Calls the change function; null, and the operation failed, if that throws. */
+  /** Calls the change function. If it throws, the operation fails and the result is null. */
   private ProposedValue propose(ObservedState observed) {
     try {
       return change.apply(observed);
     } catch (RuntimeException e) {
-      // The function is the caller's: its failure is the result of the change.
+      // The function belongs to the caller, so its exception is the result of the change.
       fail(e);
       return null;
     }
@@ -93,12 +95,12 @@
   private final class ChangeAttempt extends Attempt {
     private final Ballot ballot;
 
-    /** Whether to ask for the promise of the next ballot, as this client changed the key before. */
+    /** Whether to request the promise of the next ballot: this client changed the key before. */
     private final boolean requestNextPromise;
 
     private final VoteResponse[] promises;
 
-    /** Voters that responded to the prepare, or to which it is on its way. */
+    /** By slot: whether the voter responded to the prepare request, or it is in flight there. */
     private final boolean[] prepareConcluded;
 
     private boolean prepareSent;
@@ -160,8 +162,8 @@
         client.observe(response.accepted);
       }
       if (acceptPhase != null && isLatest()) {
-        // A majority promised before it. Its accept was held back for this response, so that the
-        // blobs aren't sent twice.
+        // A majority promised before this voter responded. The accept request to this voter waited
+        // for its response, so that the blobs aren't sent twice.
         acceptPhase.send(slot, promised);
         return;
       }
@@ -182,7 +184,9 @@
       }
     }
 
-    /** The prepare, with its blobs, is on its way to the voter: its accept need not bring them. */
+    /**
+     * The prepare request and its blobs are in flight, so the accept request may omit the blobs.
+     */
     private void onPreparePending(int slot) {
       if (acceptPhase != null && isLatest()) {
         prepareConcluded[slot] = true;
@@ -192,7 +196,10 @@
       }
     }
 
-    /** The first attempt that was outbid is retried at once, all others after a backoff. */
+    /**
+     * Retries the first attempt that was preempted by a higher ballot at once, and all others after
+     * a backoff.
+     */
     private void retryAfter(VoteResponse lastResponse) {
       boolean preempted = lastResponse != null && lastResponse.code == VoteResponse.BALLOT_TOO_LOW;
       if (preempted && preemptedAttempts++ == 0) {
@@ -226,7 +233,8 @@
       } else if (Ballots.isNone(highest.accepted) || isAcceptedByMajority(highest.accepted)) {
         complete(new CommittedState(new VersionedValue(highest.accepted, highest.value), false));
       } else {
-        // Declined, but the value that it was declined for is not committed yet.
+        // The change was declined, but the value on which this decision is based is not committed
+        // yet, so that value is committed first.
         accept(highest.value, false, List.of());
       }
     }
@@ -244,8 +252,9 @@
     }
 
     /**
-     * Starts the accept phase. An accept is sent at once to the voters that promised, and to those
-     * whose prepare is concluded or carried no blobs; to the others once it is concluded.
+     * Starts the accept phase. The accept request is sent at once to the voters that promised, and
+     * to the voters whose prepare is concluded, was never sent, or carried no blobs. All other
+     * voters get it when their prepare is concluded.
      *
      * @param valueBlobs the blobs of the value itself; null counts as none
      */
--- a/consensus/src/main/java/elmsail/consensus/QuorumOperation.java
+++ b/consensus/src/main/java/elmsail/consensus/QuorumOperation.java
@@ -9,10 +9,10 @@
 
 /**
  * One call of a {@link RegisterClient}: a sequence of attempts, each under one voter set, until one
- * decides or the timeout expires. Runs on the client's event loop.
+ * attempt decides the operation or the timeout expires. Runs on the client's event loop.
  *
- * <p>An attempt ends, and the next begins, when too many voters refuse, or when a response carries
- * a newer voter set. Responses to earlier attempts are used for their voter set alone.
+ * <p>An attempt ends and the next one begins when too many voters refuse, or when a response
+ * carries a newer voter set. Of responses to earlier attempts, only the voter set is used.
  *
  * @param <R> the type of the result
  */
@@ -50,7 +50,7 @@
    */
   abstract void startAttempt(VoterSet voterSet);
 
-  /** The code of the failure if the timeout expires now. */
+  /** The error code with which the operation fails if the timeout expires now. */
   abstract ErrorCode timeoutErrorCode();
 
   final boolean isDone() {
@@ -82,7 +82,7 @@
     }
   }
 
-  /** Ends the attempt, and starts the next one after a random backoff, which grows. */
+  /** Ends the attempt, and starts the next one after a random, growing backoff. */
   final void retryAfterBackoff() {
     latestAttempt++;
     client.timers.schedule(client.backoffMs(backoffs++), this::retryNow);
@@ -120,7 +120,7 @@
       majority = VoterSets.majoritySize(voters);
     }
 
-    /** Whether no other attempt was begun since, be the operation done or not. */
+    /** Whether no later attempt was started; the operation may be done. */
     final boolean isLatest() {
       return number == latestAttempt;
     }
@@ -130,14 +130,14 @@
       return isLatest() && !isDone();
     }
 
-    /** Calls the voter of a slot, with the timeout of one call. */
+    /** Calls the voter of a slot with the timeout of one call. */
     final <A> CompletableFuture<A> call(int slot, Object request, Class<A> responseType) {
       String address = voterSet.voters.get(slot).address;
       return client.rpcClient.call(address, request, responseType, callTimeoutMs());
     }
 
     /**
-     * Retries if a voter refused this attempt for its voter set and sent a newer one.
+     * Retries if a voter refused this attempt because of its voter set and sent a newer one.
      *
      * @param response null if the voter did not respond
      * @return whether this attempt was ended
@@ -148,7 +148,7 @@
           && retryUnderNewerVoterSet(response.voterSet);
     }
 
-    /** As {@link #retryUnderNewerVoterSet(VoteResponse)}, with the voter set received. */
+    /** As {@link #retryUnderNewerVoterSet(VoteResponse)}, for the voter set of a response. */
     final boolean retryUnderNewerVoterSet(VoterSet received) {
       if (!VoterSets.isNewer(received, voterSet)) {
         return false;
@@ -163,8 +163,8 @@
     }
 
     /**
-     * Learns the voter set of a response that is too late for this attempt, as voters that did not
-     * respond may have ended that before.
+     * Learns the voter set of a response that arrives after this attempt ended. Failed calls may
+     * end an attempt before a slower response brings a newer voter set.
      *
      * @param response null if the voter did not respond
      */
--- a/consensus/src/main/java/elmsail/consensus/QuorumRead.java
+++ b/consensus/src/main/java/elmsail/consensus/QuorumRead.java
@@ -10,21 +10,23 @@
 import java.util.List;
 
 /**
- * One read of a key. It is decided in one round trip if a majority accepted the same ballot last,
- * or nothing at all. Otherwise the value found is committed first, by a change that changes nothing
- * (read repair). Only the nearest voter is asked for the value, the others for their ballots.
+ * One read of a key. The read completes in one round trip if a majority accepted the same ballot
+ * last, or accepted nothing at all. Otherwise the value that was found is committed first, by a
+ * change that keeps the value (read repair). Only the nearest voter is requested to send the value;
+ * the others send their ballots alone.
  */
 final class QuorumRead extends QuorumOperation<VersionedValue> {
-  /** How long to wait for the remaining voters once a majority has responded without agreement. */
+  /** How long to wait for the remaining voters after a majority responded without agreement. */
   private static final long DISAGREEMENT_GRACE_MS = 15;
 
   private final Ballot knownBallot;
 
-  /** The highest accepted ballot that the latest attempt without agreement saw; round 0: none. */
+  /** The highest accepted ballot found by the latest attempt without agreement; round 0: none. */
   private Ballot undecidedBallot = new Ballot();
 
   /**
-   * @param knownBallot the value of this ballot is not read again; round 0 for none
+   * @param knownBallot the ballot whose value the caller has, which is not read again; round 0 for
+   *     none
    */
   QuorumRead(RegisterClient client, String key, Ballot knownBallot, long timeoutMs) {
     super(client, key, timeoutMs);
@@ -62,7 +64,7 @@
     private int voteCount;
     private int refusals;
 
-    /** Whether the votes were evaluated for good: agreement was found, or given up. */
+    /** Whether the evaluation of the votes ended: with agreement, or without. */
     private boolean concluded;
 
     ReadAttempt(VoterSet voterSet) {
@@ -110,7 +112,10 @@
       }
     }
 
-    /** Gives the remaining voters a moment: an accept may be on its way to the first ones. */
+    /**
+     * Waits for the remaining voters for {@link #DISAGREEMENT_GRACE_MS}: when the first voters
+     * responded, an accept request may have been in flight to them.
+     */
     private void scheduleDisagreement() {
       client.timers.schedule(
           DISAGREEMENT_GRACE_MS,
@@ -122,9 +127,9 @@
     }
 
     /**
-     * Repairs only what an earlier attempt found undecided as well. Its proposer is most likely
-     * still at work, and a repair would outbid it: many readers would keep all proposers from
-     * success.
+     * Repairs a ballot only if the attempt before found the same ballot undecided. Otherwise the
+     * ballot's proposer is most likely still active, and a repair would preempt it with a higher
+     * ballot: many concurrent readers would then prevent all proposers from committing.
      */
     private void onDisagreement() {
       concluded = true;
@@ -166,7 +171,10 @@
       return highest;
     }
 
-    /** Transferred values are no votes, but that nothing was accepted is certain anyway. */
+    /**
+     * Whether a majority accepted this ballot last. A transferred value is not a vote. A voter
+     * without an accepted ballot counts in any case, as it certainly accepted nothing.
+     */
     private boolean isAcceptedByMajority(Ballot accepted) {
       int same = 0;
       for (VoteResponse vote : votes) {
@@ -179,7 +187,7 @@
       return same >= majority;
     }
 
-    /** Completes with the value of the ballot, read from a voter that has it if need be. */
+    /** Completes with the value of the ballot, which is read from a voter if no vote has it. */
     private void completeAt(Ballot accepted) {
       if (Ballots.isNone(accepted) || Ballots.areEqual(accepted, knownBallot)) {
         completeWith(accepted, null);
--- a/consensus/src/main/java/elmsail/consensus/RecordNames.java
+++ b/consensus/src/main/java/elmsail/consensus/RecordNames.java
@@ -7,7 +7,7 @@
 import java.util.List;
 
 /**
- * The names of a set's records on disk, which must not change:
+ * The names of a set's records on disk. The names must not change, as stored data has them:
  *
  * <ul>
  *   <li>{@code SET/seating}: the voter set ({@link VoterSetCodec})
@@ -17,8 +17,8 @@
  *   <li>{@code SET/b/KEY/NAME}: a blob of a key
  * </ul>
  *
- * <p>"%" and "/" in a key are escaped as "%25" and "%2F", so that the blobs of one key are never
- * among those of another.
+ * <p>"%" and "/" in a key are escaped as "%25" and "%2F", so that the prefix of one key's blobs
+ * never matches a blob of another key.
  */
 final class RecordNames {
   private final String set;
@@ -52,7 +52,7 @@
     return voterSetRecord;
   }
 
-  /** The record that is there while a join as a spare is under way; its content has no meaning. */
+  /** The record that exists while a join as a spare is under way; its content has no meaning. */
   String spareRecord() {
     return spareRecord;
   }
@@ -87,7 +87,7 @@
     return unescape(record.substring(keyPrefix.length()));
   }
 
-  /** The key that the blob of this record belongs to. */
+  /** The key to which the blob of this record belongs. */
   String keyOfBlob(String record) {
     return unescape(
         record.substring(blobPrefix.length(), record.indexOf('/', blobPrefix.length())));
@@ -103,7 +103,7 @@
     return record.startsWith(keyPrefix);
   }
 
-  /** The prefix of the keys' or of the blobs' records, whichever the name begins with; or null. */
+  /** The prefix (of keys' or of blobs' records) with which the name begins; null if neither. */
   String kindPrefixOf(String record) {
     if (record.startsWith(keyPrefix)) {
       return keyPrefix;
@@ -120,7 +120,7 @@
     return found;
   }
 
-  /** Whether there is a record of this name, found without reading its bytes. */
+  /** Whether there is a record of this name. Doesn't read the record's bytes. */
   boolean isStored(RecordStore records, String name) {
     Iterator<String> found = records.names(name).iterator();
     return found.hasNext() && found.next().equals(name);
@@ -131,7 +131,7 @@
     return ByteBuffer.allocate(Integer.BYTES).putInt(epoch).array();
   }
 
-  /** The epoch of a record; 0 if there is no record, or it has another length than 4 bytes. */
+  /** The epoch of a record; 0 if there is no record, or its length is not 4 bytes. */
   static int epochFromBytes(byte[] bytes) {
     return bytes == null || bytes.length != Integer.BYTES ? 0 : ByteBuffer.wrap(bytes).getInt();
   }
--- a/consensus/src/main/java/elmsail/consensus/RegisterClient.java
+++ b/consensus/src/main/java/elmsail/consensus/RegisterClient.java
@@ -15,8 +15,9 @@
 import java.util.function.ToIntFunction;
 
 /**
- * The client side of one set: makes an operation of each call, and holds what the operations share.
- * Runs on one event loop; what it caches is bounded, and only saves round trips.
+ * The client side of one set. Starts one {@link QuorumOperation} for each call, and holds the state
+ * that operations share. Runs on one event loop. Its caches are bounded, and are used only to save
+ * round trips.
  */
 public final class RegisterClient implements Register {
   /** The longest timeout of a single call to a voter. */
@@ -29,15 +30,16 @@
   private static final long MIN_BACKOFF_MS = 5;
 
   /**
-   * What this client's last change of a key left behind for its next one.
+   * The result of this client's last change of a key, which the next change of the key may use.
    *
-   * @param nextBallot promised by a majority together with that change; null if it was not
+   * @param nextBallot the ballot that a majority promised together with that change; null if no
+   *     majority did
    * @param value the value that was committed
-   * @param voterSet under which that happened
+   * @param voterSet the voter set under which that change was committed
    */
   record CachedPromise(Ballot nextBallot, byte[] value, VoterSet voterSet) {
 
-    /** Says only that the client changed the key before. */
+    /** Records only that the client changed the key before. */
     static CachedPromise none(VoterSet voterSet) {
       return new CachedPromise(null, null, voterSet);
     }
@@ -68,11 +70,12 @@
   private long highestRound;
 
   /**
-   * A client of one set.
+   * Creates a client of one set.
    *
-   * @param proposerId unique among all clients of the set ever: drawn at random
-   * @param ownAddress a voter at this address counts as the nearest
-   * @param distance of a voter's address: the lower, the earlier the voter is asked for bytes
+   * @param proposerId unique among all clients that the set ever has; drawn at random
+   * @param ownAddress the address whose voter counts as the nearest
+   * @param distance the distance of a voter's address; values and blobs are requested from the
+   *     voters of the lowest distance first
    */
   public RegisterClient(
       String set,
@@ -126,32 +129,32 @@
     return set;
   }
 
-  /** A ballot of this client above all it has seen. */
+  /** A ballot of this client that is higher than all ballots it has observed. */
   Ballot nextBallot() {
     highestRound++;
     return Ballots.of(highestRound, proposerId);
   }
 
-  /** A ballot of this client above all it has seen, and above this one. */
+  /** A ballot of this client that is higher than all ballots it has observed and than this one. */
   Ballot nextBallotAfter(Ballot ballot) {
     Ballot next = Ballots.of(Math.max(highestRound, ballot.round) + 1, proposerId);
     highestRound = next.round;
     return next;
   }
 
-  /** Keeps later ballots of this client above this one; null is ignored. */
+  /** Makes later ballots of this client higher than this one; null is ignored. */
   void observe(Ballot ballot) {
     if (ballot != null) {
       highestRound = Math.max(highestRound, ballot.round);
     }
   }
 
-  /** Takes the promise out of the cache, as it is good for one accept; null if there is none. */
+  /** Removes and returns the cached promise, as it is valid for one accept phase; null if none. */
   CachedPromise takeCachedPromise(String key) {
     return cachedPromises.remove(key);
   }
 
-  /** Caches a promise; of one with a large value only that there was a change. */
+  /** Caches a promise; if its value is large, caches only that this client changed the key. */
   void cachePromise(String key, CachedPromise promise) {
     boolean tooLarge = promise.value != null && promise.value.length > MAX_CACHED_VALUE_BYTES;
     cachedPromises.put(key, tooLarge ? CachedPromise.none(promise.voterSet) : promise);
@@ -177,7 +180,7 @@
   /**
    * A random backoff of 5 ms up to a limit that doubles from 40 ms to 150 ms.
    *
-   * @param retries how many backoffs the operation has had before
+   * @param retries the number of earlier backoffs of the operation
    */
   long backoffMs(int retries) {
     long maxMs = Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS << Math.min(retries, 4));
--- a/consensus/src/main/java/elmsail/consensus/RelaySelector.java
+++ b/consensus/src/main/java/elmsail/consensus/RelaySelector.java
@@ -9,11 +9,11 @@
 import java.util.Map;
 
 /**
- * Chooses the voter that relays a client's prepares to the others, and measures what is being
- * relayed. Runs on the client's event loop.
+ * Chooses the voter that relays a client's prepare requests to the others, and counts the bytes
+ * that are being relayed. Runs on the client's event loop.
  */
 final class RelaySelector {
-  /** Prepares with fewer bytes of blobs are sent to each voter directly. */
+  /** Prepare requests with fewer bytes of blobs are sent to each voter directly. */
   static final int MIN_RELAYED_BYTES = 16 << 10;
 
   /** How long a voter is avoided after it failed as a relay. */
@@ -21,10 +21,10 @@
 
   private final Timers timers;
 
-  /** The time until which a voter is avoided, by address; bounded by the voters there are. */
+  /** The time until which a voter is avoided, by address; bounded by the number of voters. */
   private final Map<String, Long> avoidedUntilMs = new HashMap<>();
 
-  /** Bytes of blobs in this client's relayed prepares that have not been responded to. */
+  /** The bytes of blobs in this client's relayed prepare requests that await a response. */
   private long bytesInFlight;
 
   RelaySelector(Timers timers) {
@@ -35,7 +35,7 @@
    * The nearest voter that is not avoided.
    *
    * @param nearestFirst voter slots in order of distance
-   * @return null if the prepare is to be sent directly
+   * @return null if the prepare request is to be sent directly
    */
   Voter select(VoterSet voterSet, int[] nearestFirst, List<Blob> blobs) {
     if (totalBytes(blobs) < MIN_RELAYED_BYTES) {
@@ -52,12 +52,12 @@
     return null;
   }
 
-  /** The voter did not respond in time, or got no majority of votes. */
+  /** The voter did not respond in time, or returned votes of less than a majority. */
   void onRelayFailed(Voter voter) {
     avoidedUntilMs.put(voter.address, timers.now() + AVOID_MS);
   }
 
-  /** A relayed prepare was sent; returns the bytes in flight, its own included. */
+  /** A relayed prepare request was sent; returns all bytes in flight, with this request's. */
   long onRelayStarted(long bytes) {
     bytesInFlight += bytes;
     return bytesInFlight;
@@ -68,7 +68,7 @@
     bytesInFlight -= bytes;
   }
 
-  /** The bytes of all blobs together. */
+  /** The total number of bytes of the blobs. */
   static long totalBytes(List<Blob> blobs) {
     long sum = 0;
     for (Blob blob : blobs) {
--- a/consensus/src/main/java/elmsail/consensus/Replica.java
+++ b/consensus/src/main/java/elmsail/consensus/Replica.java
@@ -13,7 +13,7 @@
 
 /**
  * The voter side of one set in one process: the records of its keys, its voter set, and whether it
- * votes. A response leaves only once all that it relies on is on disk.
+ * votes. A response is sent only when all records that it depends on are on disk.
  *
  * <p>Runs on one event loop, on which all methods are called. There is at most one replica for each
  * {@link RequestHandlers}.
@@ -32,8 +32,8 @@
    * this instance was voting when its process ended.
    *
    * @param listener notified within this call of the values on disk, if the replica votes
-   * @param rpcClient for the calls of joins, state transfers and relayed prepares
-   * @param metrics of the process, to which those of the replica are added
+   * @param rpcClient used by joins, state transfers and relayed prepare requests
+   * @param metrics the metrics of the process, to which the replica adds its own
    * @throws elmsail.runtime.ElmsailException of code {@code STORAGE_FAILURE} if a record cannot be
    *     read
    */
@@ -70,10 +70,10 @@
   }
 
   /**
-   * Bootstraps the set: takes its first voter set, if none is known here and if that names this
-   * instance under epoch 1. The replica votes as soon as the voter set is on disk. This is safe
-   * because an instance id ends with the content of its disk, so an instance that is named as an
-   * initial voter has never voted before.
+   * Bootstraps the set: adopts its first voter set, if no voter set is known here and the first one
+   * names this instance under epoch 1. The replica votes as soon as the voter set is on disk. This
+   * is safe because an instance id is lost together with the content of its disk, so an instance
+   * that is named as an initial voter has never voted before.
    */
   public void bootstrap(VoterSet initial) {
     int slot = VoterSets.slotOfInstance(initial, membership.instanceId());
@@ -84,20 +84,20 @@
     }
   }
 
-  /** Whether this replica votes, and its disk says so. */
+  /** Whether this replica votes, and the record of that is on disk. */
   public boolean isVoting() {
     return durableMembership.isVoting();
   }
 
-  /** The voter set as it is on disk here; without voters if none is known. */
+  /** The voter set on this replica's disk; without voters if none is known. */
   public VoterSet voterSet() {
     return durableMembership.voterSet();
   }
 
   /**
-   * Merges a voter set, which is on disk before any vote that relies on it. If another instance of
-   * this address or machine holds a slot, that is claimed; if this instance's slot is another's
-   * now, it votes no more.
+   * Merges a voter set. The result is on disk before any vote that depends on it. If an earlier
+   * instance of this address or machine holds a slot, this instance claims that slot. If another
+   * instance holds this instance's slot now, this instance stops voting.
    */
   public void learn(VoterSet received) {
     if (membership.learn(received)) {
@@ -110,29 +110,29 @@
    * Starts to take over the voter slot of another instance. Does nothing if this instance has a
    * slot or claims one, or if the slot is known under this or a higher epoch.
    *
-   * @param epoch of the claim: one above that of the present voter
+   * @param epoch the epoch of the claim: one above the epoch of the current voter
    */
   public void join(int slot, int epoch) {
     join.join(slot, epoch);
   }
 
-  /** Removes a key and its blobs here: only for keys that are never changed or read again. */
+  /** Removes a key and its blobs here. Allowed only for keys never changed or read again. */
   public void dropKey(String key) {
     durableRecords.removeKey(key);
     listener.onDropped(key);
   }
 
-  /** The keys that have a record here, those that were only promised included. */
+  /** The keys that have a record here, including keys with a promise and no value. */
   public Iterable<String> keys() {
     return names.keysIn(records);
   }
 
-  /** The value accepted here last, committed or not; null if there is none. */
+  /** The value that was accepted here last, committed or not; null if there is none. */
   public byte[] acceptedValue(String key) {
     return durableRecords.state(key).value();
   }
 
-  /** The bytes of a blob as stored here; null if it isn't. */
+  /** The bytes of a blob; null if the blob is not stored here. */
   public byte[] blob(String key, String name) {
     return records.read(names.blobRecord(key, name));
   }
@@ -142,12 +142,12 @@
     durableMembership.addVotingListener(votingListener);
   }
 
-  /** The published membership, with its records. */
+  /** The published membership and its records. */
   DurableMembership durableMembership() {
     return durableMembership;
   }
 
-  /** Removes what an earlier slot or an earlier join left, before a state transfer. */
+  /** Removes the keys of an earlier slot or join, before a state transfer. */
   void dropAllKeys() {
     for (String key : keys()) {
       listener.onDropped(key);
@@ -160,9 +160,9 @@
   }
 
   /**
-   * The voter set in memory changed: writes it.
+   * Writes the voter set after it changed in memory.
    *
-   * @return completes once it is on disk
+   * @return completes when the voter set is on disk
    */
   CompletableFuture<Void> onVoterSetChanged() {
     if (membership.isInitialVoter()) {
@@ -171,7 +171,10 @@
     return durableMembership.onVoterSetChanged();
   }
 
-  /** All records are copied and on disk: votes as soon as that is on disk too. */
+  /**
+   * Called when all records are copied and on disk. The replica votes as soon as the completion of
+   * the transfer is on disk too.
+   */
   void onTransferCompleted(int epoch) {
     notifyAcceptedValues();
     membership.caughtUpEpoch(epoch);
--- a/consensus/src/main/java/elmsail/consensus/ReplicaCounters.java
+++ b/consensus/src/main/java/elmsail/consensus/ReplicaCounters.java
@@ -18,7 +18,7 @@
   /** Reads of a key's state that were responded to. */
   final Counters.Counter readsAnswered;
 
-  /** Refused: a higher ballot was promised to another. */
+  /** Refused: a higher ballot was promised. */
   private final Counters.Counter refusedOutbid;
 
   /** Refused: the request has an older voter set. */
@@ -30,7 +30,7 @@
   /** Refused: the listener did not admit the value. */
   private final Counters.Counter refusedNotAdmitted;
 
-  /** Refused: what the response relies on could not be written. */
+  /** Refused: a write that the response depends on failed. */
   private final Counters.Counter refusedFailedWrite;
 
   /** Registers the counters under their exported names. */
@@ -52,7 +52,7 @@
   /**
    * Counts a refusal by the code of the response.
    *
-   * @throws IllegalArgumentException if the code is no refusal
+   * @throws IllegalArgumentException if the code is not that of a refusal
    */
   void refused(int code) {
     switch (code) {
--- a/consensus/src/main/java/elmsail/consensus/ReplicaIdentity.java
+++ b/consensus/src/main/java/elmsail/consensus/ReplicaIdentity.java
@@ -1,10 +1,10 @@
 package elmsail.consensus;
 
 /**
- * Which replica a process runs.
+ * The identity of the replica that a process runs.
  *
- * @param set the name of the set, with which the names of its records begin
- * @param address where other processes call this one
+ * @param set the name of the set; the names of its records begin with it
+ * @param address the address at which other processes call this one
  * @param machine the name of the machine; empty if it has none
  */
 public record ReplicaIdentity(String set, String address, String machine) {}
--- a/consensus/src/main/java/elmsail/consensus/ReplicaJoin.java
+++ b/consensus/src/main/java/elmsail/consensus/ReplicaJoin.java
@@ -10,44 +10,48 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Makes an instance without a voter slot a voter: it claims a slot, and copies the records of the
- * voters that acknowledged the claim. This class decides which slot is claimed, and when; a {@link
- * JoinAttempt} carries one claim out. Runs on the replica's event loop.
+ * Makes an instance without a voter slot a voter: the instance claims a slot, and copies the
+ * records of the voters that acknowledged the claim. This class decides which slot is claimed, and
+ * when; a {@link JoinAttempt} carries out one claim. Runs on the replica's event loop.
  *
  * <p>Let N be the number of voter slots and q the majority. A claim raises the epoch of its slot,
  * and needs acknowledgements from N - q + 1 voters of other slots ("acknowledgers"), each of which
- * is voting and has the new voter set on its disk. Why nothing that was committed is lost:
+ * is voting and has the new voter set on its disk. No committed value is lost, for these reasons:
  *
  * <ul>
- *   <li>A proposer sends the accepts of a ballot under the voter set under which the ballot was
- *       promised, and a voter votes only under exactly the voter set that it knows. So the votes of
- *       a commit, and the promises before it, were all made under one voter set.
+ *   <li>A proposer sends the accept requests of a ballot under the voter set under which the ballot
+ *       was promised, and a voter votes only under exactly the voter set that it knows. So the
+ *       votes of a commit, and the promises before it, were all made under one voter set.
  *   <li>After its acknowledgement a voter refuses all older voter sets. The remaining q - 1 slots,
- *       that of the former instance included, are no majority: nothing can be committed or promised
- *       under an older voter set any more. What was, was by a majority of which at least one voter
- *       other than the claimed slot's acknowledged, and had voted before that. A copy that is begun
- *       after the acknowledgement has that accept or a later one, and that promise or a higher one,
- *       and so has this instance once it merged the highest of both from all acknowledgers.
- *   <li>An accept that is in flight when a voter acknowledges the claim is refused if it arrives
- *       later, and its proposer starts over with a new promise under the new voter set.
- *   <li>A value that a single voter accepted may be copied. A majority had promised its ballot, so
- *       having it is as harmless as having accepted it. But it is not a vote: the record says so
- *       ({@link AcceptorState#fromStateTransfer}), and doesn't count towards a majority that
- *       accepted the value, as the promises that the lost instance made may have been known to it
- *       alone.
- *   <li>During the state transfer this slot doesn't vote, so whatever is committed then has its
- *       majority among the others; this instance is then like a voter that missed some messages. A
- *       key's state is one record, read at once at each voter and merged by its own ballots, so the
- *       pages of a transfer need not be of one moment.
- *   <li>If this process ends during a join, its instance id and its claim are on its disk, and that
- *       it completed the transfer is not. It makes the same claim again, drops what it copied, and
- *       copies anew: an acknowledger may have lost its disk meanwhile, so nothing that was copied
- *       earlier is relied on.
- *   <li>An acknowledger that doesn't vote any more, or responds as another instance, makes the join
- *       start over.
+ *       including the slot of the former instance, are no majority: nothing can be committed or
+ *       promised under an older voter set any more. Every earlier commit or promise under an older
+ *       voter set was made by a majority. At least one voter of this majority, in another slot than
+ *       the claimed one, is an acknowledger and had voted before its acknowledgement. A copy from
+ *       this voter that begins after the acknowledgement has the accepted ballot or a later one,
+ *       and the promised ballot or a higher one. So this instance has them too, after it merged the
+ *       highest accepted and promised ballots of all acknowledgers.
+ *   <li>An accept request that is in flight when a voter acknowledges the claim is refused if it
+ *       arrives after the acknowledgement. Its proposer starts over with a new promise under the
+ *       new voter set.
+ *   <li>A value that only a single voter accepted may be copied. A majority had promised the
+ *       value's ballot, so storing the value is as harmless as having accepted it. But a copied
+ *       value is not a vote: it is marked in the record ({@link AcceptorState#fromStateTransfer}),
+ *       and doesn't count towards a majority that accepted the value, as the lost instance may have
+ *       made promises that no other process knows.
+ *   <li>During the state transfer this slot doesn't vote, so every value that is committed
+ *       meanwhile has its majority among the other slots. Towards these values this instance is
+ *       like a voter that missed some messages. A key's state is one record, which each voter reads
+ *       atomically and which is merged by its own ballots, so the pages of a transfer need not be a
+ *       consistent snapshot.
+ *   <li>If this process ends during a join, its disk has its instance id and its claim, but not the
+ *       completion of the transfer. After a restart it makes the same claim again, drops the
+ *       records that it copied, and copies all records anew: an acknowledger may have lost its disk
+ *       meanwhile, so no record that was copied earlier can be relied on.
+ *   <li>If an acknowledger doesn't vote any more, or responds as another instance, the join starts
+ *       over.
  * </ul>
  *
- * <p>{@link JoinQuorum} says when a voter that was replaced stands in for its successor.
+ * <p>{@link JoinQuorum} describes when a replaced voter is a source in place of its successor.
  */
 final class ReplicaJoin {
   /** The timeout of one call of a join. */
@@ -61,7 +65,7 @@
   private final ReplicaMembership membership;
   private final SplittableRandom random;
 
-  /** The attempt under way, waiting for its retry included; null if this replica isn't joining. */
+  /** The current attempt, which may be waiting for its retry; null if there is no join. */
   private JoinAttempt attempt;
 
   private long backoffMs = INITIAL_BACKOFF_MS;
@@ -73,8 +77,8 @@
   }
 
   /**
-   * Continues a claim of this instance, or claims the slot of an earlier instance of this host;
-   * ends the attempt under way if neither is called for.
+   * Continues a claim of this instance, or claims the slot of an earlier instance of this host.
+   * Ends the current attempt if there is neither such a claim nor such a slot.
    */
   void onMembershipChanged() {
     int ownSlot = membership.ownSlot();
@@ -112,8 +116,9 @@
       startAsSpare(slot, epoch);
       return;
     }
-    // This instance's records may be the only ones of the slot that it left, until its successor
-    // there votes.
+    // Until the successor of this instance in its former slot votes, this instance may have the
+    // only
+    // records of that slot.
     checkVoting(
         known.voters.get(replacedSlot),
         known,
@@ -132,7 +137,7 @@
     startAttempt(slot, epoch);
   }
 
-  /** Asks a voter whether it votes under this voter set; no response counts as no. */
+  /** Checks whether a voter votes under this voter set; a missing response counts as no. */
   void checkVoting(Voter voter, VoterSet voterSet, Consumer<Boolean> listener) {
     ReadRequest request = new ReadRequest();
     request.set = context.names().set();
@@ -146,7 +151,7 @@
                 listener.accept(response != null && response.code == VoteResponse.OK));
   }
 
-  /** Replaces the attempt under way, if any, by one for this slot and epoch. */
+  /** Replaces the current attempt, if any, by an attempt for this slot and epoch. */
   void startAttempt(int slot, int epoch) {
     LOG.info("join started: set={} slot={} epoch={}", context.names().set(), slot, epoch);
     JoinAttempt next = new JoinAttempt(this, context, slot, membership.claim(slot, epoch));
@@ -164,12 +169,12 @@
             });
   }
 
-  /** Whether this is the attempt under way. */
+  /** Whether this is the current attempt. */
   boolean isCurrent(JoinAttempt candidate) {
     return attempt == candidate;
   }
 
-  /** Lets the attempt under way retry after a random backoff, which grows. */
+  /** Retries the current attempt after a random, growing backoff. */
   void retryAfterBackoff(JoinAttempt failed) {
     if (!isCurrent(failed)) {
       return;
@@ -187,7 +192,7 @@
             });
   }
 
-  /** Ends the attempt under way in favour of a rival of the same epoch. */
+  /** Ends the current attempt in favour of a rival of the same epoch. */
   void yieldTo(int slot, Voter rival) {
     attempt = null;
     membership.yieldTo(slot, rival);
@@ -195,7 +200,7 @@
     onMembershipChanged();
   }
 
-  /** Ends the attempt under way, as the state transfer is complete: the replica votes. */
+  /** Ends the current attempt after a complete state transfer: the replica starts to vote. */
   void complete(int epoch) {
     backoffMs = INITIAL_BACKOFF_MS;
     attempt = null;
--- a/consensus/src/main/java/elmsail/consensus/ReplicaListener.java
+++ b/consensus/src/main/java/elmsail/consensus/ReplicaListener.java
@@ -1,16 +1,16 @@
 package elmsail.consensus;
 
 /**
- * What an application of the register derives from the values of a replica. Called on the replica's
- * event loop, before the response of the vote in question leaves; must not block.
+ * Listener of an application for the values of a replica. Methods are called on the replica's event
+ * loop, before the response of the vote in question is sent, and must not block.
  */
 public interface ReplicaListener {
   /**
-   * A prepare was promised that carries a side effect: what the proposer lets the listener know of
-   * the change to come.
+   * A prepare request with a side effect was promised. A side effect is information on the coming
+   * change, which the proposer passes to the listener.
    *
    * @return sent back with the promise, for {@link Register.ObservedState#sideEffects}; null for
-   *     nothing
+   *     none
    */
   default byte[] onSideEffect(String key, byte[] sideEffect) {
     return null;
@@ -21,10 +21,12 @@
     return true;
   }
 
-  /** A value was accepted and is on disk, was found there at the start, or was copied in a join. */
+  /**
+   * A value was accepted and is on disk, was read from disk at the start, or was copied by a join.
+   */
   default void onAccepted(String key, byte[] value) {}
 
-  /** A key was found at the start, or copied in a join, that is promised and has no value. */
+  /** A key with a promise and no value was read from disk at the start, or was copied by a join. */
   default void onPromised(String key) {}
 
   /** The key was removed here. */
--- a/consensus/src/main/java/elmsail/consensus/ReplicaMembership.java
+++ b/consensus/src/main/java/elmsail/consensus/ReplicaMembership.java
@@ -7,9 +7,9 @@
 import elmsail.rpc.messages.VoterSet;
 
 /**
- * What one instance knows of its set's voter slots, and whether it votes. Decides without time,
- * network or disk: whatever changes here must be on disk before a response that relies on it
- * leaves. Used on the replica's event loop.
+ * The voter set that one instance knows, and whether the instance votes. Uses neither time nor
+ * network nor disk; the caller must write each change to disk before it sends a response that
+ * depends on the change. Used on the replica's event loop.
  *
  * <p>An instance is in one of these states:
  *
@@ -23,11 +23,11 @@
  *       under the next epoch. It casts no vote, but its records are still those of a voter.
  * </ul>
  *
- * <p>Idle or replaced becomes joining by {@link #claim}; joining becomes voting by {@link
- * #caughtUpEpoch(int)} after the state transfer, or at once for an initial voter, which never voted
- * before; voting becomes replaced, and joining idle, when a higher epoch of the slot is learned. A
- * vote under an older voter set is impossible in each state, as {@link #voteCode} compares the
- * request's voter set with the known one.
+ * <p>An idle or replaced instance becomes joining by {@link #claim}. A joining instance becomes
+ * voting by {@link #caughtUpEpoch(int)} after the state transfer; an initial voter, which never
+ * voted before, does so at once. When a higher epoch of its slot is learned, a voting instance
+ * becomes replaced, and a joining instance becomes idle. No state allows a vote under an older
+ * voter set, as {@link #voteCode} compares the request's voter set with the known one.
  */
 final class ReplicaMembership {
   private final String address;
@@ -41,10 +41,10 @@
   private boolean joiningAsSpare;
 
   /**
-   * The state as it was read from disk.
+   * Creates the membership from the state on disk.
    *
    * @param voterSet without voters if none is known
-   * @param caughtUpEpoch 0 if this instance neither is an initial voter nor completed a join
+   * @param caughtUpEpoch see {@link #caughtUpEpoch()}
    */
   ReplicaMembership(
       String address, String machine, long instanceId, VoterSet voterSet, int caughtUpEpoch) {
@@ -64,13 +64,13 @@
     return instanceId;
   }
 
-  /** Whether a slot names this instance under the epoch under which it caught up. */
+  /** Whether a slot names this instance under its {@link #caughtUpEpoch()}. */
   boolean isVoting() {
     int slot = ownSlot();
     return slot >= 0 && caughtUpEpoch > 0 && voterSet.voters.get(slot).epoch == caughtUpEpoch;
   }
 
-  /** Whether a slot names this instance, and it has not caught up yet. */
+  /** Whether a slot names this instance under an epoch whose join is not complete. */
   boolean isJoining() {
     return !isVoting() && ownSlot() >= 0;
   }
@@ -85,13 +85,16 @@
     return caughtUpEpoch;
   }
 
-  /** The state transfer for this epoch is complete, or this instance is an initial voter. */
+  /**
+   * Sets the {@link #caughtUpEpoch()}: the state transfer for this epoch is complete, or this
+   * instance is an initial voter.
+   */
   void caughtUpEpoch(int epoch) {
     caughtUpEpoch = epoch;
     confirmOwnVoter();
   }
 
-  /** Marks the own voter as confirmed, so that it supersedes a rival of the same epoch. */
+  /** Marks the voter of this instance as confirmed, to supersede a rival of the same epoch. */
   private void confirmOwnVoter() {
     if (!isVoting()) {
       return;
@@ -110,7 +113,10 @@
     voterSet = VoterSets.withVoter(voterSet, slot, holder);
   }
 
-  /** Whether the claim is of another host's slot: it yields to any rival of the same epoch. */
+  /**
+   * Whether this instance claims the slot of another host. Such a claim yields to any rival claim
+   * of the same epoch.
+   */
   boolean joiningAsSpare() {
     return joiningAsSpare;
   }
@@ -120,7 +126,8 @@
   }
 
   /**
-   * The voter slot whose holder names this instance, which voted there, as its predecessor; or -1.
+   * The voter slot in which this instance voted and whose holder names it as the predecessor; or
+   * -1.
    */
   int replacedSlot() {
     if (caughtUpEpoch == 0 || ownSlot() >= 0) {
@@ -140,7 +147,7 @@
     return replacedSlot() >= 0;
   }
 
-  /** Merges a voter set; returns whether anything changed, which must then be written. */
+  /** Merges a voter set; returns whether the known voter set changed and must be written. */
   boolean learn(VoterSet received) {
     VoterSet merged = VoterSets.merge(voterSet, received);
     boolean changed = merged != voterSet;
@@ -148,15 +155,15 @@
     return changed;
   }
 
-  /** Whether this instance is an initial voter that was not confirmed: there is nothing to copy. */
+  /** Whether this instance is an initial voter that has not voted yet: there is nothing to copy. */
   boolean isInitialVoter() {
     int slot = ownSlot();
     return slot >= 0 && voterSet.voters.get(slot).epoch == 1 && caughtUpEpoch == 0;
   }
 
   /**
-   * Whether this instance may vote on a request, by the request's voter set, which was learned
-   * before if it is newer.
+   * Whether this instance may vote on a request with this voter set. The caller learns the voter
+   * set before this call if it is newer.
    *
    * @return {@link VoteResponse#OK}, {@link VoteResponse#STALE_VOTER_SET} or {@link
    *     VoteResponse#NOT_A_VOTER}
@@ -169,21 +176,21 @@
     return isVoting() ? VoteResponse.OK : VoteResponse.NOT_A_VOTER;
   }
 
-  /** What becomes of another instance's claim. Never stored or sent. */
+  /** The decision on another instance's claim. Never stored or sent. */
   enum ClaimDecision {
-    /** Adopted by a voting instance: acknowledged once it is written. */
+    /** Adopted by a voting instance, which acknowledges the claim when it is on disk. */
     ADOPTED,
-    /** A voting instance knows this claim already: acknowledged too. */
+    /** Already known to this voting instance, which acknowledges the claim again. */
     ALREADY_ADOPTED,
-    /** Known from now on, but this instance doesn't vote: see {@link JoinQuorum}. */
+    /** Recorded by an instance that doesn't vote; see {@link JoinQuorum}. */
     RECORDED,
-    /** A higher epoch is known, or this instance is in no position to acknowledge. */
+    /** Refused: a higher epoch is known, or this instance may not acknowledge the claim. */
     REFUSED
   }
 
   /**
-   * Decides on a claim. The response is sent, with the voter set, once what changed here is on
-   * disk.
+   * Decides on a claim. The caller adds the voter set, and sends the response when the changes made
+   * here are on disk.
    */
   JoinResponse respond(JoinRequest request) {
     ClaimDecision decision = recordClaim(request);
@@ -200,8 +207,8 @@
   /**
    * Whether a joining instance may copy records from here.
    *
-   * @param code that a vote would get, see {@link #voteCode}
-   * @param allowReplaced whether a replaced instance will do
+   * @param code the code that a vote would get, see {@link #voteCode}
+   * @param allowReplaced whether the joining instance accepts a replaced instance as its source
    */
   boolean servesTransfer(int code, boolean allowReplaced) {
     return code == VoteResponse.OK
@@ -209,9 +216,9 @@
   }
 
   /**
-   * Records a claim. It is acknowledged only by a voting instance, whose records are complete, and
-   * only above the known epoch: of two claims of one epoch only one can get enough
-   * acknowledgements.
+   * Records a claim. Only a voting instance acknowledges a claim, as its records are complete. A
+   * new claim must have a higher epoch than the known voter, so that of two claims of one epoch
+   * only one can get enough acknowledgements.
    */
   ClaimDecision recordClaim(JoinRequest request) {
     boolean voting = isVoting();
@@ -240,7 +247,7 @@
         : voting ? ClaimDecision.ADOPTED : ClaimDecision.RECORDED;
   }
 
-  /** Makes this instance claim a slot under an epoch, which ends its voting; returns the claim. */
+  /** Makes this instance claim a slot under an epoch and stop voting; returns the claim. */
   Voter claim(int slot, int epoch) {
     Voter holder = new Voter();
     holder.address = address;
@@ -262,7 +269,7 @@
     return holder;
   }
 
-  /** Whether an earlier instance of this host holds another voter slot than this one. */
+  /** Whether an earlier instance of this host holds a voter slot other than this slot. */
   boolean hostHoldsOtherSlot(int slot) {
     for (int i = 0; i < voterSet.voters.size(); i++) {
       Voter holder = voterSet.voters.get(i);
@@ -275,14 +282,15 @@
     return false;
   }
 
-  /** Gives up a claim in favour of another instance's of the same epoch. */
+  /** Gives up a claim in favour of another instance's claim of the same epoch. */
   void yieldTo(int slot, Voter rival) {
     voterSet = VoterSets.withVoter(voterSet, slot, rival);
     joiningAsSpare = false;
   }
 
   /**
-   * The voter slot of an earlier instance of this host; -1 if there is none or this one has one.
+   * The voter slot of an earlier instance of this host; -1 if there is none, or if a slot names
+   * this instance.
    */
   int formerSlot() {
     return ownSlot() >= 0 ? -1 : VoterSets.slotOfHost(voterSet, address, machine);
--- a/consensus/src/main/java/elmsail/consensus/ReplicaRequestHandler.java
+++ b/consensus/src/main/java/elmsail/consensus/ReplicaRequestHandler.java
@@ -27,8 +27,8 @@
 
 /**
  * Handles the requests to a replica: prepares, accepts, reads, reads of blobs, joins of other
- * instances and state transfers. A response leaves only once all that it relies on is on disk. Runs
- * on the replica's event loop.
+ * instances and state transfers. A response is sent only when all records that it depends on are on
+ * disk. Runs on the replica's event loop.
  */
 final class ReplicaRequestHandler {
   private static final Logger LOG = LoggerFactory.getLogger(ReplicaRequestHandler.class);
@@ -138,14 +138,14 @@
         });
   }
 
-  /** The state of a key, its invariant checked. */
+  /** The state of a key, after a check of its invariant. */
   private AcceptorState checkedState(String key) {
     AcceptorState state = durableRecords.state(key);
     checkInvariant(invariants, set, key, state);
     return state;
   }
 
-  /** Reports a state whose accepted ballot is above the promised one. */
+  /** Reports a violation if the accepted ballot is higher than the promised one. */
   static void checkInvariant(Invariants invariants, String set, String key, AcceptorState state) {
     invariants.check(
         Invariant.ACCEPTED_BALLOT_PROMISED,
@@ -212,7 +212,7 @@
   }
 
   /**
-   * Decides whether this replica may vote on a request under that voter set. A newer voter set is
+   * Decides whether this replica may vote on a request with this voter set. A newer voter set is
    * learned first.
    *
    * @return the refusal, with the voter set known here; null if the replica may vote
@@ -238,7 +238,7 @@
     return response;
   }
 
-  /** As {@link DurableRecords#respondOnceDurable}, for responses that rely on the voter set too. */
+  /** As {@link DurableRecords#respondOnceDurable}, but fails if the voter set is not written. */
   private <A> CompletableFuture<A> respondOnceDurable(List<Change> changes, Supplier<A> response) {
     if (!durableMembership.isWritten()) {
       counters.refusedOnFailedWrite();
--- a/consensus/src/main/java/elmsail/consensus/RestoredReplica.java
+++ b/consensus/src/main/java/elmsail/consensus/RestoredReplica.java
@@ -8,14 +8,14 @@
 import java.util.TreeSet;
 
 /**
- * What a data directory holds of one set, read without running a replica: for reports.
+ * The content of a data directory for one set, read for reports without running a replica.
  *
  * @param voterSet without voters if none is known
  * @param ownSlot the voter slot that names this instance, or -1
  * @param caughtUpEpoch the epoch under which this instance is an initial voter or completed its
  *     join; 0: none
  * @param voting whether a process that is started on the directory votes at once
- * @param keys in order of their names
+ * @param keys the keys in the order of their names
  */
 public record RestoredReplica(
     String set,
@@ -27,9 +27,9 @@
   private static final String[] RECORD_KINDS = {"seating", "seated", "k/", "b/"};
 
   /**
-   * One key; a key without a ballot and a value has blobs only.
+   * One key. A key without a ballot and a value has blobs only.
    *
-   * @param fromStateTransfer whether the value was copied from another voter, and is no vote
+   * @param fromStateTransfer whether the value was copied from another voter and is not a vote
    * @param valueBytes the size of the value; -1 if nothing was accepted
    * @param blobs the number of its blobs
    */
--- a/consensus/src/main/java/elmsail/consensus/StateTransfer.java
+++ b/consensus/src/main/java/elmsail/consensus/StateTransfer.java
@@ -17,21 +17,21 @@
 import java.util.function.Consumer;
 
 /**
- * Copies all records of a set from several voters at once. Each source is read by two streams of
- * pages, one of keys and one of blobs; a stream requests its next page while the last one is being
- * written. The first source sends its blobs with their bytes, the others list the names of theirs,
- * and the blobs that the first source lacked are fetched one by one at the end.
+ * Copies all records of a set from several voters concurrently. Each source is read by two streams
+ * of pages: one of keys, one of blobs. A stream requests its next page while the previous page is
+ * being written. The first source sends its blobs with their bytes; the other sources list only the
+ * names of theirs. The blobs that the first source lacked are fetched individually at the end.
  *
- * <p>Every request carries the newest voter set known here, be it on disk yet or not: a source that
- * was replaced without knowing it learns so from the request, and refuses. Runs on the replica's
- * event loop.
+ * <p>Every request carries the newest voter set known here, whether it is on disk yet or not: a
+ * source that doesn't know that it was replaced learns this from the request, and refuses it. Runs
+ * on the replica's event loop.
  */
 final class StateTransfer {
   private static final int PAGE_BYTES = 1 << 20;
   private static final long CALL_TIMEOUT_MS = 2_000;
   private static final long RETRY_DELAY_MS = 50;
 
-  /** How many calls may fail before the transfer does. */
+  /** The number of failed calls that the transfer tolerates. */
   private static final int MAX_FAILURES = 5;
 
   private static final int MAX_BLOB_CALLS_IN_FLIGHT = 6;
@@ -45,21 +45,21 @@
   private final BooleanSupplier isCurrent;
   private final Consumer<Boolean> listener;
 
-  /** The records of blobs that sources listed, each with the source that did so last. */
+  /** The names of the blob records that sources listed, each with the last source that did. */
   private final Map<String, Voter> listedBlobs = new LinkedHashMap<>();
 
-  /** Streams of pages that have not ended, later blobs that are being fetched. */
+  /** The number of streams that have not ended; after that, of blobs that are being fetched. */
   private int pending;
 
   private int failures;
   private boolean ended;
 
   /**
-   * A transfer that is not started yet.
+   * Creates a transfer without starting it.
    *
-   * @param replacedSource the one of the sources that need not be voting, or null
-   * @param isCurrent false ends the transfer without notifying the listener
-   * @param listener notified once: whether all records are copied and on disk
+   * @param replacedSource the source that need not be voting, or null
+   * @param isCurrent once false, the transfer ends and doesn't notify the listener
+   * @param listener called once, with whether all records are copied and on disk
    */
   StateTransfer(
       JoinContext context,
@@ -89,7 +89,7 @@
     }
   }
 
-  /** Whether the transfer is over; it is as soon as it is no longer current. */
+  /** Whether the transfer has ended; it ends as soon as it is no longer current. */
   private boolean hasEnded() {
     if (!isCurrent.getAsBoolean()) {
       ended = true;
@@ -107,8 +107,8 @@
   /**
    * Requests a page of a stream.
    *
-   * @param after the record behind which the page begins
-   * @param written the write of the page before
+   * @param after the record after which the page begins
+   * @param written the write of the previous page
    */
   private void requestPage(
       Voter source, String after, boolean blobNamesOnly, CompletableFuture<Void> written) {
@@ -153,7 +153,7 @@
   /**
    * Stores a page.
    *
-   * @param writeFailure of the page before, or null
+   * @param writeFailure the failure of the write of the previous page, or null
    */
   private void onPage(
       Voter source, boolean blobNamesOnly, StateTransferResponse page, Throwable writeFailure) {
@@ -254,7 +254,7 @@
     } else if (failure != null || !response.voting) {
       end(false);
     } else if (!response.found) {
-      // Its key was dropped there meanwhile.
+      // The source dropped the blob's key after it listed the blob.
       onBlobStored(null);
     } else {
       replica
--- a/consensus/src/main/java/elmsail/consensus/StateTransferPages.java
+++ b/consensus/src/main/java/elmsail/consensus/StateTransferPages.java
@@ -19,10 +19,12 @@
   }
 
   /**
-   * Fills a response with the records behind {@code after}, of its kind alone: keys or blobs.
+   * Fills a response with the records after {@code after} that are of the same kind (keys or
+   * blobs).
    *
-   * @param after the name of a record, or the prefix of a kind; any other gets an empty last page
-   * @param maxBytes requested size of the page, which a single record may exceed
+   * @param after the name of a record, or the prefix of a kind; for any other text the response is
+   *     an empty last page
+   * @param maxBytes the requested size of the page, which a single record may exceed
    */
   void fill(StateTransferResponse response, String after, int maxBytes) {
     String kind = names.kindPrefixOf(after);
@@ -41,7 +43,7 @@
     }
   }
 
-  /** Fills a response with the names of the blobs behind {@code after}, without their bytes. */
+  /** Fills a response with the names of the blobs after {@code after}, without their bytes. */
   void fillBlobNames(StateTransferResponse response, String after) {
     response.lastPage = true;
     if (!after.startsWith(names.blobPrefix())) {
--- a/consensus/src/main/java/elmsail/consensus/VoterSetCodec.java
+++ b/consensus/src/main/java/elmsail/consensus/VoterSetCodec.java
@@ -12,7 +12,8 @@
 
 /**
  * The record of a voter set on disk: the number of voters, all voters, then the previous voter of
- * each slot, which records of earlier versions lack. Whether a voter is confirmed is not stored.
+ * each slot. Records of earlier versions lack the previous voters. Whether a voter is confirmed is
+ * not stored.
  */
 final class VoterSetCodec {
   private VoterSetCodec() {}
@@ -42,7 +43,7 @@
   /**
    * Decodes a record.
    *
-   * @param bytes null if there is no record, which gives a set without voters
+   * @param bytes null if there is no record; the result is then a set without voters
    * @throws ElmsailException of code {@code STORAGE_FAILURE} if the record cannot be decoded
    */
   static VoterSet decode(byte[] bytes) {
--- a/consensus/src/main/java/elmsail/consensus/VoterSets.java
+++ b/consensus/src/main/java/elmsail/consensus/VoterSets.java
@@ -4,22 +4,23 @@
 import elmsail.rpc.messages.VoterSet;
 
 /**
- * Comparison and merging of voter sets. In each voter slot the voter of the higher epoch is right;
- * of two with the same epoch the confirmed one, else the one that was known first.
+ * Comparison and merging of voter sets. In each voter slot the voter of the higher epoch wins. Of
+ * two voters of the same epoch, the confirmed one wins; if that doesn't decide, the voter that was
+ * known first.
  *
- * <p>Voter sets and voters are never changed once they are shared: every change makes a new set.
+ * <p>Voter sets and voters are never modified after they are shared: every change makes a new set.
  */
 public final class VoterSets {
   private VoterSets() {}
 
-  /** The size of the smallest majority of so many voters. */
+  /** The size of the smallest majority of this number of voters. */
   public static int majoritySize(int voters) {
     return voters / 2 + 1;
   }
 
   /**
-   * The size of the smallest blocking set: so many voters that every majority contains at least one
-   * of them (N - q + 1 of N voters, where q is the majority).
+   * The size of the smallest blocking set, which is a set of voters that intersects every majority:
+   * N - q + 1 of N voters, where q is the majority.
    */
   public static int blockingSize(int voters) {
     return voters - majoritySize(voters) + 1;
@@ -63,8 +64,8 @@
   }
 
   /**
-   * Merges slot by slot. A set of another size changes nothing, as the number of voter slots of a
-   * set never changes.
+   * Merges slot by slot. A received voter set of another size is ignored, as the number of voter
+   * slots of a set never changes.
    *
    * @return {@code known} itself if nothing in {@code received} supersedes it
    */
@@ -86,8 +87,8 @@
   }
 
   /**
-   * Whether votes from this voter slot count. An instance that is named in two voter slots counts
-   * in the first only, as one process would vote twice otherwise.
+   * Whether votes from this voter slot count. If an instance is named in two voter slots, only the
+   * first slot counts, as one process would vote twice otherwise.
    */
   static boolean isCounted(VoterSet voterSet, int slot) {
     return slotOfInstance(voterSet, voterSet.voters.get(slot).instanceId) == slot;
@@ -133,7 +134,7 @@
   /**
    * Whether the voter has this address or this machine.
    *
-   * @param machine empty if it isn't known: it then equals no other
+   * @param machine empty if it isn't known; an empty name equals no other machine's
    */
   static boolean isOnHost(Voter voter, String address, String machine) {
     return voter.address.equals(address) || !machine.isEmpty() && voter.machine.equals(machine);
