--- a/consensus/src/main/java/elmsail/consensus/JoinAttempt.java
+++ b/consensus/src/main/java/elmsail/consensus/JoinAttempt.java
@@ -162,7 +162,7 @@
 
   /**
    * Retries after a backoff. A rival that votes keeps the slot. This replica claims a higher epoch
-   * only if so many other instances vote that the higher claim can be completed: a claim that other
+   * only if enough other instances are voting for that claim to be completed: a claim that other
    * processes know but that cannot be completed would end the rival's voting and add no voter.
    */
   void retry() {
--- a/consensus/src/main/java/elmsail/consensus/ReplicaJoin.java
+++ b/consensus/src/main/java/elmsail/consensus/ReplicaJoin.java
@@ -117,8 +117,7 @@
       return;
     }
     // Until the successor of this instance in its former slot votes, this instance may have the
-    // only
-    // records of that slot.
+    // only records of that slot.
     checkVoting(
         known.voters.get(replacedSlot),
         known,
--- a/consensus/src/test/java/elmsail/consensus/BlobDurabilityTest.java
+++ b/consensus/src/test/java/elmsail/consensus/BlobDurabilityTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A blob is stored at a majority of the voters only. Each join copies from N - q + 1 other voters,
- * so that each blob is at a majority again: checked for all placements and sources as sets of
- * slots, and with replicas.
+ * A blob is stored at a majority of the voters only, so a voter that loses its disk may leave too
+ * few copies. A join copies from N - q + 1 other voters, after which each blob is at a majority
+ * again. The test checks this for all placements and sources as sets of slots, and with replicas.
  */
 class BlobDurabilityTest {
   private int states;
@@ -92,7 +92,7 @@
     assertThat(cluster.replicas[lost].isVoting(), is(true));
   }
 
-  /** The spare takes the slot of one that is gone, or that is there and retires. */
+  /** The spare takes over the slot of a voter, which is down or still running. */
   private void replaceBySpare(int lost, boolean running) {
     if (!running) {
       cluster.kill(lost);
@@ -105,7 +105,8 @@
   }
 
   /**
-   * One voter lacks the blob; one loses its disk and joins again; right after it another is lost.
+   * One voter lacks the blob. Then a voter loses its disk and rejoins, or is replaced by a spare;
+   * right after that join a voter loses its disk.
    */
   @Test
   void blobSurvivesASecondDiskLossRightAfterAJoin() {
@@ -113,22 +114,28 @@
     for (int voterDown = 0; voterDown < 3; voterDown++) {
       for (int first = 0; first < 3; first++) {
         for (int second = 0; second < 3; second++) {
-          for (int kind = 0; kind < 3; kind++) {
-            if (kind > 0 && second == first) {
+          for (int lossKind = 0; lossKind < 3; lossKind++) {
+            if (lossKind > 0 && second == first) {
               continue;
             }
             commitBlobWithOneVoterDown(voterDown);
-            if (kind == 0) {
+            if (lossKind == 0) {
               wipeDiskAndRejoin(first);
             } else {
-              replaceBySpare(first, kind == 2);
+              replaceBySpare(first, lossKind == 2);
             }
             cluster.kill(second);
             cluster.disks[second].wipe();
             byte[] read =
                 cluster.await(cluster.client(cluster.initialVoters).readBlob("key", "body", 5_000));
             String scenario =
-                voterDown + " without, " + first + ", then " + second + ", kind " + kind;
+                voterDown
+                    + " lacks the blob, lost "
+                    + first
+                    + ", then "
+                    + second
+                    + ", kind of loss "
+                    + lossKind;
             assertThat(scenario, read != null && read.length == 20_000, is(true));
             assertThat(scenario, cluster.net.handlerFaults(), empty());
             scenarios++;
--- a/consensus/src/test/java/elmsail/consensus/ConcurrentJoinModel.java
+++ b/consensus/src/test/java/elmsail/consensus/ConcurrentJoinModel.java
@@ -8,10 +8,10 @@
 import java.util.List;
 
 /**
- * All states that can be reached, in whatever order of events, with one key of three voter slots
- * (A, B, C) and two joins at once: S claims A's slot, X claims C's. A and C may still vote, or be
- * silent for good from any moment on, which is what the loss of their disks is. The decisions on
- * claims and sources are the production classes'.
+ * All states that are reachable by any order of events with one key of three voter slots (A, B, C)
+ * and two concurrent joins: S claims the slot of A, and X claims the slot of C. A and C may still
+ * vote, or send no response any more from any moment on, which models the loss of their disks. The
+ * production classes decide on claims and sources.
  */
 final class ConcurrentJoinModel extends RegisterModel {
   private static final int S = 3;
@@ -22,17 +22,17 @@
   private static final int STARTED = 0;
   private static final int VOTING = 1;
 
-  /** Whether the other claim was known when this one was sent. */
+  /** Whether the joining process knew the other claim when it sent its own. */
   private static final int SENT_KNOWING_OTHER = 2;
 
-  /** 1: B acknowledged; 2: and knew the other claim. */
+  /** 1: B acknowledged; 2: B acknowledged and knew the other claim. */
   private static final int RESPONSE_OF_B = 3;
 
-  /** 1: the other voter slot's holder acknowledged; 2: it doesn't vote, and recorded it. */
+  /** 1: the other slot's holder acknowledged; 2: it doesn't vote, and recorded the claim. */
   private static final int RESPONSE_OF_OTHER = 4;
 
   /**
-   * 1: the predecessor in the other voter slot acknowledged; 2: it is replaced, and recorded it.
+   * 1: the predecessor in the other slot acknowledged; 2: it is replaced, and recorded the claim.
    */
   private static final int RESPONSE_OF_PREDECESSOR = 5;
 
@@ -49,7 +49,7 @@
   private static final int[] BITS = new int[SIZE];
   private static final String[] NAMES = {"a", "b", "c", "s", "x"};
 
-  /** What the model does wrong on purpose. */
+  /** The defect that the model contains on purpose. */
   enum Defect {
     NONE,
     SUCCESSOR_NOT_QUERIED,
@@ -77,7 +77,7 @@
   private final VoterSet[] voterSets = new VoterSet[4];
 
   /**
-   * @param restarts each joining process may be restarted once during its join
+   * @param restarts whether each joining process may be restarted once during its join
    */
   ConcurrentJoinModel(Defect defect, int ballots, boolean restarts) {
     super(BITS, PROPOSERS, PROPOSER_FIELDS, ballots);
@@ -127,7 +127,7 @@
     return JOINS + (join - S) * JOIN_FIELDS;
   }
 
-  /** Which claims a process knows: 1 is that of S, 2 is that of X. */
+  /** The claims that a process knows, as a sum: 1 for the claim of S, 2 for the claim of X. */
   private static int knownClaims(int[] state, int process) {
     return state[process * FIELDS + KNOWN_CLAIMS];
   }
@@ -159,7 +159,7 @@
     return process >= S && state[joinOffset(process) + STARTED] == 0;
   }
 
-  /** The code of a vote on a request under a voter set, which the voter may learn on the way. */
+  /** The code of a vote on a request with a voter set, which the voter learns if it is newer. */
   private int vote(int[] state, int process, int requested) {
     ReplicaMembership membership = membership(state, process);
     if (membership.voteCode(voterSets[requested]) != VoteResponse.STALE_VOTER_SET
@@ -237,8 +237,8 @@
   }
 
   /**
-   * The process that a claim is sent to: the voter slot of B, the other claimed voter slot's
-   * holder, or the one before in that.
+   * The process to which a claim is sent: B, the holder of the other claimed slot, or that holder's
+   * predecessor.
    */
   private static int recipient(int[] state, int join, int field) {
     int other = join == S ? X : S;
--- a/consensus/src/test/java/elmsail/consensus/ConcurrentJoinModelTest.java
+++ b/consensus/src/test/java/elmsail/consensus/ConcurrentJoinModelTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * All states of one ballot and two claims at once; with -Dregister.claimBallots=2 those of two
- * ballots.
+ * Checks all states of two concurrent claims with one ballot, or with two ballots if run with
+ * -Dregister.claimBallots=2.
  */
 class ConcurrentJoinModelTest {
   private static final int MAX_STATES = 20_000_000;
--- a/consensus/src/test/java/elmsail/consensus/ConflictingJoinTest.java
+++ b/consensus/src/test/java/elmsail/consensus/ConflictingJoinTest.java
@@ -8,10 +8,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A replica comes back without its disk, knows the initial voters only, and claims a slot that it
- * held once and in which another votes now. For all orders of the responses, with each of the
- * others up, late or down, the set keeps its majority, and the replica votes again where it has a
- * slot.
+ * A replica restarts without its disk, knows only the initial voters, and claims a slot that it
+ * held before and in which another replica votes now. Such a claim must not end the voting of the
+ * other replica. For all orders of the responses, with the other replicas up, late or down, the set
+ * keeps its majority, and the replica votes again in its own slot if it has one.
  */
 class ConflictingJoinTest {
   private static final long LATE_MS = 1_500;
@@ -20,7 +20,10 @@
   private SimCluster cluster;
   private String scenario;
 
-  /** Slots 0 to 2 are those of replicas 2, 1 and 3; 0 doesn't know that it was replaced. */
+  /**
+   * Creates a cluster in which replicas 2, 1 and 3 hold the slots 0 to 2. Replica 0 doesn't know
+   * that it was replaced.
+   */
   private void clusterWithMovedSlots() {
     cluster = new SimCluster().bootstrapped();
     cluster.put("old");
@@ -60,7 +63,11 @@
     }
   }
 
-  /** Makes the wiped replica's calls to 0, 1 and 3 fast or slow. */
+  /**
+   * Makes the wiped replica's calls to the replicas 0, 1 and 3 fast or slow.
+   *
+   * @param slowResponders bit i is set if the i-th of these replicas is slow
+   */
   private void delayResponses(int slowResponders) {
     int[] others = {0, 1, 3};
     for (int i = 0; i < others.length; i++) {
@@ -75,7 +82,7 @@
     int scenarios = 0;
     for (int slowResponders = 0; slowResponders < 8; slowResponders++) {
       for (int startOrder = 0; startOrder < 4; startOrder++) {
-        scenario = "slow " + slowResponders + ", kind " + startOrder;
+        scenario = "slow responders " + slowResponders + ", start order " + startOrder;
         clusterWithMovedSlots();
         delayResponses(slowResponders);
         restartAllWithOneWiped((startOrder & 1) == 1, (startOrder & 2) == 2);
@@ -95,12 +102,12 @@
     System.out.println("join of a former slot: " + scenarios + " orders, none failed");
   }
 
-  /** Its slot is another's for good: the others go on voting, and it can join as a spare. */
+  /** Another replica keeps the slot: the others continue to vote, and this one joins as a spare. */
   @Test
   void wipedReplicaWhoseSlotWasTakenYieldsAndJoinsAsASpare() {
     for (int slowResponders = 0; slowResponders < 8; slowResponders++) {
       for (int startOrder = 0; startOrder < 2; startOrder++) {
-        scenario = "slow " + slowResponders + ", kind " + startOrder;
+        scenario = "slow responders " + slowResponders + ", start order " + startOrder;
         cluster = new SimCluster().bootstrapped();
         cluster.put("old");
         cluster.net.isolate(SimCluster.ADDRESSES[2]);
@@ -133,27 +140,27 @@
   }
 
   /**
-   * All combinations: a spare's take-over of slot 2 is known at 0, at 1, or nowhere; then one of
-   * the three loses its disk, or none; the spare goes on, or never comes back if the set tolerates
-   * that; each order of the responses to the wiped replica.
+   * All combinations of these: the spare's claim of slot 2 is known at voter 0, at voter 1, or at
+   * no voter; one of the three voters loses its disk, or none; the spare continues, or stays down
+   * if the set tolerates that; each order of the responses to the wiped replica.
    */
   @Test
   void setRecoversFromUnfinishedTakeOverAndOneDiskLossInAllOrders() {
     int scenarios = 0;
     for (int voterKnowingClaim = 0; voterKnowingClaim < 3; voterKnowingClaim++) {
-      for (int wiped = 0; wiped < 4; wiped++) {
+      for (int wipedReplica = 0; wipedReplica < 4; wipedReplica++) {
         for (int spareGone = 0; spareGone < 2; spareGone++) {
-          boolean tolerated = spareGone == 0 || wiped >= 2 || voterKnowingClaim == 2;
+          boolean tolerated = spareGone == 0 || wipedReplica >= 2 || voterKnowingClaim == 2;
           for (int slowResponders = 0; slowResponders < 8 && tolerated; slowResponders++) {
             scenario =
                 voterKnowingClaim
-                    + " knows, "
-                    + wiped
-                    + " wiped, gone "
+                    + " knows the claim, "
+                    + wipedReplica
+                    + " wiped, spare gone "
                     + spareGone
                     + ", slow "
                     + slowResponders;
-            runUnfinishedTakeOver(voterKnowingClaim, wiped, spareGone == 1, slowResponders);
+            runUnfinishedTakeOver(voterKnowingClaim, wipedReplica, spareGone == 1, slowResponders);
             scenarios++;
           }
         }
@@ -163,7 +170,7 @@
   }
 
   private void runUnfinishedTakeOver(
-      int voterKnowingClaim, int wiped, boolean spareGone, int slowResponders) {
+      int voterKnowingClaim, int wipedReplica, boolean spareGone, int slowResponders) {
     cluster = new SimCluster().bootstrapped();
     cluster.put("new");
     for (int i = 0; i < 2; i++) {
@@ -178,22 +185,22 @@
     if (spareGone) {
       cluster.kill(3);
     }
-    if (wiped < 3) {
+    if (wipedReplica < 3) {
       for (int i = 0; i < 4; i++) {
-        if (i != wiped) {
+        if (i != wipedReplica) {
           long ms = (slowResponders >> Math.min(i, 2) & 1) == 1 ? 30 : 1;
-          cluster.net.delay(SimCluster.ADDRESSES[wiped], SimCluster.ADDRESSES[i], ms, ms);
-          cluster.net.delay(SimCluster.ADDRESSES[i], SimCluster.ADDRESSES[wiped], ms, ms);
+          cluster.net.delay(SimCluster.ADDRESSES[wipedReplica], SimCluster.ADDRESSES[i], ms, ms);
+          cluster.net.delay(SimCluster.ADDRESSES[i], SimCluster.ADDRESSES[wipedReplica], ms, ms);
         }
       }
-      cluster.kill(wiped);
-      cluster.disks[wiped].wipe();
-      cluster.start(wiped);
-      cluster.replicas[wiped].learn(cluster.initialVoters);
+      cluster.kill(wipedReplica);
+      cluster.disks[wipedReplica].wipe();
+      cluster.start(wipedReplica);
+      cluster.replicas[wipedReplica].learn(cluster.initialVoters);
     }
     cluster.net.healAll();
     long end = cluster.timers.now() + MAX_JOIN_MS;
-    int minVotingSlots = spareGone && wiped == 3 ? 2 : 3;
+    int minVotingSlots = spareGone && wipedReplica == 3 ? 2 : 3;
     while (countVotingSlots() < minVotingSlots
         && cluster.timers.now() < end
         && cluster.timers.runNext()) {
--- a/consensus/src/test/java/elmsail/consensus/FaultyCluster.java
+++ b/consensus/src/test/java/elmsail/consensus/FaultyCluster.java
@@ -22,8 +22,8 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Replicas and clients of one set on one clock that is moved by hand, over a network that loses,
- * duplicates, delays and partitions, drawn from a seed.
+ * Replicas and clients of one set with a simulated clock. The network loses, duplicates and delays
+ * messages at random, by a seed, and links can be cut.
  */
 final class FaultyCluster {
   final ManualTimers timers = new ManualTimers();
@@ -35,7 +35,7 @@
   int maxDelayMs = 6;
   long calls;
 
-  /** Whether an instance was ever known in two voter slots. */
+  /** Whether a voter set ever named one instance in two voter slots. */
   boolean instanceInTwoSlots;
 
   UnaryOperator<RpcClient> replicaClientWrapper = rpcClient -> rpcClient;
@@ -94,7 +94,7 @@
     }
   }
 
-  /** Timers that end when the process does. */
+  /** Timers whose actions don't run after the process of the node ended. */
   private Timers timers(Node node) {
     int incarnation = node.incarnation;
     return new Timers() {
@@ -125,9 +125,10 @@
     return !cutLinks.contains(from + ">" + to);
   }
 
-  void setPartitioned(String one, boolean partitioned) {
+  /** Cuts or restores the links between this address and all nodes, in both directions. */
+  void setPartitioned(String address, boolean partitioned) {
     for (String other : nodes.keySet()) {
-      for (String link : new String[] {one + ">" + other, other + ">" + one}) {
+      for (String link : new String[] {address + ">" + other, other + ">" + address}) {
         if (partitioned) {
           cutLinks.add(link);
         } else {
@@ -137,8 +138,9 @@
     }
   }
 
-  void setPartitioned(String one, String other, boolean partitioned) {
-    for (String link : new String[] {one + ">" + other, other + ">" + one}) {
+  /** Cuts or restores the link between two addresses, in both directions. */
+  void setPartitioned(String address, String other, boolean partitioned) {
+    for (String link : new String[] {address + ">" + other, other + ">" + address}) {
       if (partitioned) {
         cutLinks.add(link);
       } else {
@@ -162,7 +164,7 @@
     return new RpcClient() {
       @Override
       public <A> CompletableFuture<A> call(
-          String peer, Object request, Class<A> answer, long timeoutMs) {
+          String peer, Object request, Class<A> responseType, long timeoutMs) {
         calls++;
         CompletableFuture<A> result = new CompletableFuture<>();
         callerTimers.schedule(
@@ -171,7 +173,8 @@
         int copies = random.nextDouble() < duplicateRate ? 2 : 1;
         for (int i = 0; i < copies; i++) {
           timers.schedule(
-              randomDelayMs(), () -> deliver(from, peer, request, callerTimers, answer, result));
+              randomDelayMs(),
+              () -> deliver(from, peer, request, callerTimers, responseType, result));
         }
         return result;
       }
@@ -179,7 +182,7 @@
   }
 
   private int randomDelayMs() {
-    // A few messages are very late.
+    // One of 40 messages is delayed by up to 2.5 s more.
     return 1 + random.nextInt(maxDelayMs) + (random.nextInt(40) == 0 ? random.nextInt(2_500) : 0);
   }
 
@@ -188,7 +191,7 @@
       String peer,
       Object request,
       Timers callerTimers,
-      Class<A> answer,
+      Class<A> responseType,
       CompletableFuture<A> result) {
     Node node = nodes.get(peer);
     if (random.nextDouble() < lossRate || !canReach(from, peer)) {
@@ -219,7 +222,7 @@
                 if (failure != null) {
                   result.completeExceptionally(failure);
                 } else {
-                  result.complete(answer.cast(response));
+                  result.complete(responseType.cast(response));
                 }
               });
         });
@@ -245,7 +248,7 @@
     return voterSet;
   }
 
-  /** A client that knows this voter set at first, and never crashes. */
+  /** A client that starts with this voter set and never crashes. */
   RegisterClient client(
       String name, long proposerId, VoterSet known, UnaryOperator<RpcClient> wrapper) {
     return new RegisterClient(
@@ -262,7 +265,10 @@
     return client(name, proposerId, known, rpcClient -> rpcClient);
   }
 
-  /** Lets each node that is up learn the voter set of another, as the polls of a process do. */
+  /**
+   * Makes each node that is up learn the voter set of another node, as the periodic polls between
+   * processes do.
+   */
   void gossip() {
     List<Node> up = new ArrayList<>();
     for (Node node : nodes.values()) {
@@ -293,7 +299,10 @@
     return newest;
   }
 
-  /** Whether at most so many slots of the newest voter set have no voter that is up and votes. */
+  /**
+   * Whether at most {@code maxMissing} slots of the newest voter set lack a voter that is up, votes
+   * and has written all its records.
+   */
   boolean hasAtMostMissingVoters(int maxMissing) {
     int missing = 0;
     for (Voter voter : newestVoterSet().voters) {
@@ -311,7 +320,7 @@
 
   /**
    * Whether the set must tolerate the loss of this node's disk: at most one other slot has a holder
-   * that doesn't vote, and there the predecessor has its records and claims no slot, and the
+   * that doesn't vote. In that slot the predecessor has its records and claims no slot, and the
    * successor still has its disk.
    */
   boolean toleratesDiskLossOf(Node lost) {
@@ -337,13 +346,13 @@
     return missing <= 1;
   }
 
-  /** Whether the node is the voter of its slot by its disk, be it up or not. */
+  /** Whether the node is this voter according to its disk; the node may be down. */
   private static boolean isVoterOnDisk(Node node, Voter voter) {
     VoterSet known = VoterSetCodec.decode(node.disk.durable.get("set/seating"));
-    int own = VoterSets.slotOfInstance(known, node.disk.instanceId);
+    int ownSlot = VoterSets.slotOfInstance(known, node.disk.instanceId);
     return node.disk.instanceId == voter.instanceId
-        && own >= 0
-        && known.voters.get(own).epoch == voter.epoch
+        && ownSlot >= 0
+        && known.voters.get(ownSlot).epoch == voter.epoch
         && RecordNames.epochFromBytes(node.disk.durable.get("set/seated")) == voter.epoch;
   }
 
@@ -367,7 +376,7 @@
     return text.toString();
   }
 
-  /** Runs until the future is done, or so much time has passed. */
+  /** Runs timers until the future is done or {@code maxMs} have passed. */
   <T> T await(CompletableFuture<T> future, long maxMs) {
     long end = timers.now() + maxMs;
     while (!future.isDone() && timers.now() < end && timers.runNext()) {
--- a/consensus/src/test/java/elmsail/consensus/InjectedDefects.java
+++ b/consensus/src/test/java/elmsail/consensus/InjectedDefects.java
@@ -10,18 +10,18 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.LongFunction;
 
-/** Defects injected into histories, each of which the checker has to detect. */
+/** Random histories with injected defects, which the checker has to detect. */
 final class InjectedDefects {
   private InjectedDefects() {}
 
-  /** Each response leaves before its write is durable. */
+  /** Replicas send each response before its write is durable. */
   static RandomHistory responseBeforeSync(long seed) {
     RandomHistory history = new RandomHistory(seed);
     history.onNodeCreated = node -> node.disk.completesBeforeSync = true;
     return history;
   }
 
-  /** A replica whose disk lost the keys goes on voting as the same instance. */
+  /** A replica whose disk lost the keys continues to vote as the same instance. */
   static RandomHistory voteAfterDiskLoss(long seed) {
     RandomHistory history = new RandomHistory(seed);
     history.onDiskWiped =
@@ -35,7 +35,7 @@
     return history;
   }
 
-  /** A claim that one voter acknowledged counts as if both had. */
+  /** A claim that one voter acknowledged counts as if both voters had acknowledged it. */
   static RandomHistory joinWithOneAcknowledgement(long seed) {
     RandomHistory history = new RandomHistory(seed);
     FaultyCluster cluster = history.cluster;
@@ -44,7 +44,7 @@
             new RpcClient() {
               @Override
               public <A> CompletableFuture<A> call(
-                  String peer, Object request, Class<A> answer, long timeoutMs) {
+                  String peer, Object request, Class<A> responseType, long timeoutMs) {
                 VoterSet newest = cluster.newestVoterSet();
                 int last = -1;
                 for (int i = 0; i < newest.voters.size(); i++) {
@@ -58,10 +58,11 @@
                 if (last >= 0 && newest.voters.get(last).address.equals(peer)) {
                   CompletableFuture<A> response = new CompletableFuture<>();
                   if (request instanceof JoinRequest join) {
-                    JoinResponse held = new JoinResponse();
-                    held.accepted = true;
-                    held.voterSet = VoterSets.withVoter(newest, join.slot, join.voter);
-                    cluster.timers.schedule(1, () -> response.complete(answer.cast(held)));
+                    JoinResponse acknowledgement = new JoinResponse();
+                    acknowledgement.accepted = true;
+                    acknowledgement.voterSet = VoterSets.withVoter(newest, join.slot, join.voter);
+                    cluster.timers.schedule(
+                        1, () -> response.complete(responseType.cast(acknowledgement)));
                     return response;
                   }
                   if (request instanceof StateTransferRequest) {
@@ -69,26 +70,26 @@
                     empty.voting = true;
                     empty.lastPage = true;
                     empty.instanceId = newest.voters.get(last).instanceId;
-                    cluster.timers.schedule(1, () -> response.complete(answer.cast(empty)));
+                    cluster.timers.schedule(1, () -> response.complete(responseType.cast(empty)));
                     return response;
                   }
                 }
-                return rpcClient.call(peer, request, answer, timeoutMs);
+                return rpcClient.call(peer, request, responseType, timeoutMs);
               }
             };
     return history;
   }
 
-  /** All defects by their names. */
+  /** All defects by name. */
   static Map<String, LongFunction<RandomHistory>> all() {
     return Map.of(
-        "answers before the sync",
+        "responds before the sync",
         InjectedDefects::responseBeforeSync,
-        "relayed rounds are answered before the sync",
+        "responds to relayed prepares before the sync",
         seed -> responseBeforeSync(seed).withLargeBlobs(),
-        "votes after amnesia",
+        "votes after disk loss",
         InjectedDefects::voteAfterDiskLoss,
-        "a claim acknowledged by one",
+        "join with one acknowledgement",
         InjectedDefects::joinWithOneAcknowledgement);
   }
 }
--- a/consensus/src/test/java/elmsail/consensus/InjectedDefectsTest.java
+++ b/consensus/src/test/java/elmsail/consensus/InjectedDefectsTest.java
@@ -7,28 +7,28 @@
 import java.util.function.LongFunction;
 import org.junit.jupiter.api.Test;
 
-/** The checker of histories finds each deliberate defect. */
+/** The checker of random histories detects each injected defect, so it is able to find faults. */
 class InjectedDefectsTest {
   private static final int SEEDS = Integer.getInteger("register.defectSeeds", 400);
 
   @Test
   void responseBeforeSyncIsDetected() {
-    assertDetected("answers before the sync");
+    assertDetected("responds before the sync");
   }
 
   @Test
   void relayedResponseBeforeSyncIsDetected() {
-    assertDetected("relayed rounds are answered before the sync");
+    assertDetected("responds to relayed prepares before the sync");
   }
 
   @Test
   void voteAfterDiskLossIsDetected() {
-    assertDetected("votes after amnesia");
+    assertDetected("votes after disk loss");
   }
 
   @Test
   void joinWithOneAcknowledgementIsDetected() {
-    assertDetected("a claim acknowledged by one");
+    assertDetected("join with one acknowledgement");
   }
 
   private static void assertDetected(String name) {
@@ -40,7 +40,7 @@
     for (; seed < SEEDS && detected < 1; seed++) {
       RandomHistory history = defects.get(name).apply(seed).run();
       for (String found : history.checker.violations) {
-        if (!found.startsWith("not voting") && !found.startsWith("no last")) {
+        if (!found.startsWith("not voting") && !found.startsWith("final read failed")) {
           detected++;
           firstSeed = firstSeed < 0 ? seed : firstSeed;
           fault = found;
@@ -50,11 +50,11 @@
     }
     System.out.println(
         name
-            + ": caught in "
+            + ": detected in "
             + detected
             + " of "
             + seed
-            + " histories, first "
+            + " histories, first seed "
             + firstSeed
             + ": "
             + fault.substring(0, Math.min(60, fault.length())));
--- a/consensus/src/test/java/elmsail/consensus/KnownVoterSet.java
+++ b/consensus/src/test/java/elmsail/consensus/KnownVoterSet.java
@@ -2,7 +2,7 @@
 
 import elmsail.rpc.messages.VoterSet;
 
-/** The voter set that a client of a test knows; it learns newer ones. */
+/** The voter set of a test's client, which merges newer voter sets. */
 final class KnownVoterSet implements VoterSetSource {
   private VoterSet current;
 
--- a/consensus/src/test/java/elmsail/consensus/LinearizabilityChecker.java
+++ b/consensus/src/test/java/elmsail/consensus/LinearizabilityChecker.java
@@ -7,14 +7,14 @@
 import java.util.TreeMap;
 
 /**
- * A linearizability checker for a key whose value is a list of marks, each appended once: a history
- * is linearizable if and only if all values read are prefixes of one list, and each contains what
- * was reported before its call began.
+ * A linearizability checker for a key whose value is a list of marks, each appended once. A history
+ * is linearizable if and only if all values read are prefixes of one list, and each value contains
+ * all values that were returned before its call began.
  */
 final class LinearizabilityChecker {
   private String longest = "";
 
-  /** The longest value that had been reported by a time, at each time when that changed. */
+  /** The longest value returned until a time, with an entry for each time at which it changed. */
   private final TreeMap<Long, String> longestReportedBy = new TreeMap<>();
 
   private final Map<String, String> onNotApplied = new TreeMap<>();
@@ -28,18 +28,18 @@
   void onValueRead(long startedAt, long now, byte[] bytes) {
     String value = text(bytes);
     if (!value.startsWith(longest) && !longest.startsWith(value)) {
-      violations.add("two lists: " + longest + " and " + value);
+      violations.add("values diverge: " + longest + " and " + value);
     }
     Map.Entry<Long, String> before = longestReportedBy.lowerEntry(startedAt);
     if (before != null && value.length() < before.getValue().length()) {
       violations.add(
-          "old at "
+          "stale value at "
               + now
               + ": "
               + value
               + " where "
               + before.getValue()
-              + " was reported before "
+              + " was returned before "
               + startedAt);
     }
     if (value.length() > longest.length()) {
@@ -51,7 +51,7 @@
     }
   }
 
-  /** The change of this mark failed in a way that excludes that it was applied. */
+  /** The change of this mark failed with an error that guarantees that it was not applied. */
   void onNotApplied(String mark) {
     onNotApplied.put(mark, mark);
   }
@@ -59,18 +59,18 @@
   void onFinalValue(byte[] last) {
     String value = text(last);
     if (!value.startsWith(longest)) {
-      violations.add("at the end " + value + " is without " + longest);
+      violations.add("the final value " + value + " lacks " + longest);
     }
     for (String mark : onNotApplied.keySet()) {
       if (value.contains(mark)) {
-        violations.add("reported as not applied, and found: " + mark);
+        violations.add("reported as not applied, but applied: " + mark);
       }
     }
     String[] marks = value.split(";");
     for (int i = 0; i < marks.length; i++) {
       for (int j = 0; j < i; j++) {
         if (marks[i].equals(marks[j])) {
-          violations.add("twice: " + marks[i]);
+          violations.add("applied twice: " + marks[i]);
         }
       }
     }
--- a/consensus/src/test/java/elmsail/consensus/LinearizabilityTest.java
+++ b/consensus/src/test/java/elmsail/consensus/LinearizabilityTest.java
@@ -8,6 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Random histories with injected faults are linearizable, with joins, disk losses and blobs. */
 class LinearizabilityTest {
   private static final int SEEDS = Integer.getInteger("register.seeds", 160);
 
@@ -76,7 +77,7 @@
     }
   }
 
-  /** What happened in all histories together. */
+  /** The counts of operations and faults of all histories. */
   private static final class Totals {
     private int changes;
     private int reads;
@@ -101,8 +102,8 @@
     @Override
     public String toString() {
       return String.format(
-          "%d changes, %d reads, %d failed, %d crashes, %d of them wipes, %d replacements,"
-              + " %d unfinished claims, with %d wipes of another meanwhile",
+          "%d changes, %d reads, %d failed, %d crashes, %d of them with disk loss, %d replacements,"
+              + " %d unfinished claims, with %d disk losses of other voters during them",
           changes,
           reads,
           failures,
--- a/consensus/src/test/java/elmsail/consensus/LongPairSet.java
+++ b/consensus/src/test/java/elmsail/consensus/LongPairSet.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-/** A set of pairs of longs, none of them (0, 0) but as the first. */
+/** A set of pairs of longs: an open-addressing hash table, with a flag for the pair (0, 0). */
 final class LongPairSet {
   private long[] table = new long[1 << 16];
   private int size;
--- a/consensus/src/test/java/elmsail/consensus/LossyRecordStore.java
+++ b/consensus/src/test/java/elmsail/consensus/LossyRecordStore.java
@@ -14,20 +14,20 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A store whose writes take a while. A crash loses the writes that were not reported as durable,
- * from some point on. Unlike {@code SimDisk} it draws its delays and batches from the random
- * numbers of the whole run.
+ * A store with delayed writes. A crash loses the writes after a random point among those that were
+ * not reported as durable. Unlike {@code SimDisk}, this store draws its delays and batches from the
+ * random generator of the whole run.
  */
 final class LossyRecordStore implements RecordStore {
   private record PendingWrite(List<Change> changes, CompletableFuture<Void> done) {}
 
-  /** The content of a disk, which outlives its process. */
+  /** The content of a disk, which survives the end of its process. */
   static final class DiskImage {
     long instanceId;
     boolean everOpened;
     TreeMap<String, byte[]> durable = new TreeMap<>();
 
-    /** A defect: writes complete before they are durable. */
+    /** An injected defect: writes complete before they are durable. */
     boolean completesBeforeSync;
   }
 
@@ -37,9 +37,9 @@
   private final boolean isNew;
   private final TreeMap<String, byte[]> visible;
   private final ArrayDeque<PendingWrite> queue = new ArrayDeque<>();
-  private boolean busy;
+  private boolean writing;
 
-  /** How many of the next batches fail, with all that is queued behind them. */
+  /** The number of the next batches that fail, together with all writes queued after them. */
   int batchesToFail;
 
   LossyRecordStore(DiskImage disk, Timers timers, Random random) {
@@ -81,14 +81,14 @@
   }
 
   private void writeNextBatch() {
-    if (busy || queue.isEmpty()) {
+    if (writing || queue.isEmpty()) {
       return;
     }
-    busy = true;
+    writing = true;
     timers.schedule(
         1 + random.nextInt(12),
         () -> {
-          busy = false;
+          writing = false;
           if (batchesToFail > 0) {
             batchesToFail--;
             failQueuedWrites();
@@ -114,11 +114,12 @@
     visible.clear();
     visible.putAll(disk.durable);
     for (PendingWrite write : failed) {
-      write.done.completeExceptionally(new ElmsailException(ErrorCode.STORAGE_FAILURE, "refused"));
+      write.done.completeExceptionally(
+          new ElmsailException(ErrorCode.STORAGE_FAILURE, "injected write failure"));
     }
   }
 
-  /** A power loss: some of the pending writes may be on the disk all the same, in order. */
+  /** Simulates a power loss: a random number of the pending writes, in order, are durable. */
   void crash() {
     int kept = disk.completesBeforeSync ? 0 : random.nextInt(queue.size() + 1);
     for (int i = 0; i < kept; i++) {
--- a/consensus/src/test/java/elmsail/consensus/ModelChecker.java
+++ b/consensus/src/test/java/elmsail/consensus/ModelChecker.java
@@ -5,24 +5,29 @@
 import java.util.ArrayDeque;
 
 /**
- * A model checker: visits all states that a model can reach, each once. A state is an array of
- * small numbers: first {@link #FIELDS} for each process, then the fields of the model.
+ * A model checker: visits each reachable state of a model once. A state is an array of small
+ * numbers: first {@link #FIELDS} numbers for each process, then the fields of the model.
  */
 abstract class ModelChecker {
-  /** Fields of a process: promised, accepted, marks, copied, known claims. */
+  /**
+   * The number of fields of a process: promised ballot, accepted ballot, marks, whether the value
+   * is from a state transfer, known claims.
+   */
   static final int FIELDS = 5;
 
-  /** The field of the claims that a process knows. */
+  /** The index of the field with the claims that a process knows. */
   static final int KNOWN_CLAIMS = 4;
 
   private final int[] bits;
   private final LongPairSet seen = new LongPairSet();
   private final ArrayDeque<long[]> unvisited = new ArrayDeque<>();
 
-  /** The invariant that was violated; null as long as none was. */
+  /** The violation of an invariant; null if none was found. */
   String violation;
 
-  /** A search whose fields have so many bits each, at most 128 in all. */
+  /**
+   * @param bits the number of bits of each field, at most 128 in total
+   */
   ModelChecker(int[] bits) {
     this.bits = bits;
   }
@@ -30,7 +35,7 @@
   /** Checks the invariants of a state, and pushes each state that may follow it. */
   abstract void visit(int[] state);
 
-  /** Visits all states, at most so many; returns the violation, or null. */
+  /** Visits all states, at most {@code maxStates}; returns the violation, or null. */
   final String check(int maxStates) {
     push(new int[bits.length]);
     while (!unvisited.isEmpty() && violation == null) {
@@ -53,11 +58,11 @@
             + " states in "
             + (System.nanoTime() - from) / 1_000_000
             + " ms, "
-            + (found == null ? "no fault" : found));
+            + (found == null ? "no violation" : found));
     return found;
   }
 
-  /** Adds a state to those that will be visited, unless it was before. */
+  /** Adds a state to the unvisited states, unless it was added before. */
   final void push(int[] state) {
     long[] packed = {0, 0};
     int bit = 0;
@@ -101,7 +106,7 @@
     state[offset + 3] = key.fromStateTransfer() ? 1 : 0;
   }
 
-  /** A voter for the process of this number. */
+  /** The voter of the process with this number. */
   static Voter voter(String name, int process, int epoch) {
     Voter voter = new Voter();
     voter.address = name;
--- a/consensus/src/test/java/elmsail/consensus/PinnedNamesTest.java
+++ b/consensus/src/test/java/elmsail/consensus/PinnedNamesTest.java
@@ -6,7 +6,7 @@
 import elmsail.runtime.PrometheusText;
 import org.junit.jupiter.api.Test;
 
-/** Names that are known outside of the program: in dashboards, scripts, settings and clients. */
+/** Metric names on which dashboards and scripts depend, so they must not change. */
 class PinnedNamesTest {
 
   @Test
--- a/consensus/src/test/java/elmsail/consensus/PinnedRecordsTest.java
+++ b/consensus/src/test/java/elmsail/consensus/PinnedRecordsTest.java
@@ -17,8 +17,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The names and bytes of a replica's records on disk, which later versions have to read: typed here
- * from the layout, not made by the code.
+ * The names and bytes of a replica's records on disk, which later versions must be able to read.
+ * The expected bytes are written out from the documented layout, not produced by the code under
+ * test.
  */
 class PinnedRecordsTest {
   private static final String SET = "shelf";
@@ -95,7 +96,7 @@
     assertThat(RecordNames.epochFromBytes(null), is(0));
   }
 
-  /** That a holder was confirmed is not kept. */
+  /** The record doesn't store whether a voter is confirmed. */
   @Test
   void voterSetRecordHoldsTheVotersAndThenTheirPredecessors() {
     assertThat(VoterSetCodec.encode(twoVoters()), equalTo(bytes(TWO_VOTERS + THEIR_PREDECESSORS)));
@@ -112,7 +113,7 @@
     assertThat(read.voters.get(1).machine, is("n2"));
   }
 
-  /** The layout before predecessors were kept. */
+  /** Records of earlier versions have no predecessors. */
   @Test
   void voterSetRecordWithoutPredecessorsIsDecoded() {
     VoterSet read = VoterSetCodec.decode(bytes(TWO_VOTERS));
@@ -143,7 +144,7 @@
     assertThat(read.value(), value == null ? is(nullValue()) : equalTo(value));
   }
 
-  /** The records of a founded replica after one change with a blob. */
+  /** The records of an initial voter after one change with a blob. */
   @Test
   void bootstrappedReplicaStoresTheseRecords() {
     SimCluster cluster = new SimCluster().bootstrapped();
--- a/consensus/src/test/java/elmsail/consensus/RandomHistory.java
+++ b/consensus/src/test/java/elmsail/consensus/RandomHistory.java
@@ -18,8 +18,8 @@
 import java.util.function.UnaryOperator;
 
 /**
- * One random run: clients append to a key and read it while faults are injected; then the faults
- * end, and a last read is checked.
+ * One random run. Clients append to a key and read it while faults are injected; then the faults
+ * end, and the value of a final read is checked.
  */
 final class RandomHistory {
   private static final int CLIENTS = 3;
@@ -39,10 +39,10 @@
   int crashes;
   int replacements;
 
-  /** Joins of spares that cannot complete. */
+  /** The number of joins of spares that could not complete at first. */
   int unfinishedClaims;
 
-  /** Disks of other voters that were lost meanwhile. */
+  /** The number of disks that other voters lost during such joins. */
   int wipesDuringClaims;
 
   private boolean startsUnfinishedClaims;
@@ -69,7 +69,7 @@
     return this;
   }
 
-  /** Lets every change carry a blob; at the end the blob of each committed change is read. */
+  /** Adds a blob to every change; at the end the blob of each committed change is read. */
   RandomHistory withLargeBlobs() {
     largeBlobs = true;
     return this;
@@ -109,13 +109,13 @@
     if (!cluster.hasAtMostMissingVoters(0)) {
       checker.violations.add("not voting again: " + cluster.describe());
     }
-    long from = cluster.timers.now();
+    long startedAt = cluster.timers.now();
     try {
       VersionedValue finalValue = cluster.await(clients[0].read("key", null, 8_000), 9_000);
-      checker.onValueRead(from, cluster.timers.now(), finalValue.value());
+      checker.onValueRead(startedAt, cluster.timers.now(), finalValue.value());
       checker.onFinalValue(finalValue.value());
     } catch (RuntimeException e) {
-      checker.violations.add("no last read: " + e);
+      checker.violations.add("final read failed: " + e);
     }
     committedMarks.forEach(this::checkBlob);
     return this;
@@ -125,10 +125,10 @@
     try {
       byte[] bytes = cluster.await(clients[0].readBlob("key", mark, 3_000), 4_000);
       if (bytes == null || bytes.length != RelaySelector.MIN_RELAYED_BYTES) {
-        checker.violations.add("committed without its blob: " + mark);
+        checker.violations.add("change was committed without its blob: " + mark);
       }
     } catch (RuntimeException e) {
-      checker.violations.add("no read of the blob of " + mark + ": " + e);
+      checker.violations.add("failed to read the blob of " + mark + ": " + e);
     }
   }
 
@@ -151,7 +151,7 @@
     if (cluster.timers.now() >= end) {
       return;
     }
-    long from = cluster.timers.now();
+    long startedAt = cluster.timers.now();
     CompletableFuture<?> done;
     if (cluster.random.nextInt(3) == 0) {
       done =
@@ -161,7 +161,7 @@
                   (response, failure) -> {
                     if (response != null) {
                       reads++;
-                      checker.onValueRead(from, cluster.timers.now(), response.value());
+                      checker.onValueRead(startedAt, cluster.timers.now(), response.value());
                     }
                   });
     } else {
@@ -169,7 +169,8 @@
       done =
           clients[client]
               .change("key", observed -> append(observed.value(), mark), blobs(mark), null, 3_000)
-              .whenComplete((committed, failure) -> onChangeResult(mark, from, committed, failure));
+              .whenComplete(
+                  (committed, failure) -> onChangeResult(mark, startedAt, committed, failure));
     }
     done.whenComplete(
         (response, failure) ->
@@ -183,15 +184,16 @@
         : new ProposedValue((now + mark).getBytes(StandardCharsets.US_ASCII), List.of());
   }
 
-  private void onChangeResult(String mark, long from, CommittedState committed, Throwable failure) {
+  private void onChangeResult(
+      String mark, long startedAt, CommittedState committed, Throwable failure) {
     if (committed != null) {
       changes++;
       if (largeBlobs) {
         committedMarks.add(mark);
       }
-      checker.onValueRead(from, cluster.timers.now(), committed.current().value());
+      checker.onValueRead(startedAt, cluster.timers.now(), committed.current().value());
       if (!LinearizabilityChecker.text(committed.current().value()).contains(mark)) {
-        checker.violations.add("committed without its mark: " + mark);
+        checker.violations.add("change was committed without its mark: " + mark);
       }
       return;
     }
@@ -199,7 +201,7 @@
     if (ElmsailException.codeOf(failure) == ErrorCode.NO_QUORUM) {
       checker.onNotApplied(mark);
     } else if (ElmsailException.codeOf(failure) != ErrorCode.OUTCOME_UNKNOWN) {
-      checker.violations.add("failed with " + failure);
+      checker.violations.add("change failed with " + failure);
     }
   }
 
@@ -230,7 +232,8 @@
   }
 
   /**
-   * Starts the join of a spare that lacks one or two acknowledgers, of which one may lose its disk.
+   * Starts the join of a spare that can't reach one or two acknowledgers, one of which may lose its
+   * disk.
    */
   private void startUnfinishedClaim(boolean toleratesLoss) {
     FaultyCluster.Node spare = cluster.nonVotingNode();
@@ -244,8 +247,8 @@
     for (int i = 1; i <= VoterSets.blockingSize(addresses.length) - 1; i++) {
       cut.add(cluster.nodes.get(known.voters.get((slot + i) % addresses.length).address));
     }
-    for (FaultyCluster.Node one : cut) {
-      cluster.setPartitioned(spare.address, one.address, true);
+    for (FaultyCluster.Node node : cut) {
+      cluster.setPartitioned(spare.address, node.address, true);
     }
     unfinishedClaims++;
     spare.replica.join(slot, known.voters.get(slot).epoch + 1);
@@ -259,15 +262,15 @@
           }
         });
     if (cluster.random.nextInt(3) == 0) {
-      FaultyCluster.Node one =
+      FaultyCluster.Node node =
           cluster.random.nextBoolean() ? spare : cluster.nodes.get(known.voters.get(slot).address);
-      cluster.timers.schedule(50 + cluster.random.nextInt(800), () -> crash(one, false));
+      cluster.timers.schedule(50 + cluster.random.nextInt(800), () -> crash(node, false));
     }
     cluster.timers.schedule(
         200 + cluster.random.nextInt(1_000),
         () -> {
-          for (FaultyCluster.Node one : cut) {
-            cluster.setPartitioned(spare.address, one.address, false);
+          for (FaultyCluster.Node node : cut) {
+            cluster.setPartitioned(spare.address, node.address, false);
           }
         });
   }
@@ -294,7 +297,7 @@
         });
   }
 
-  /** Lets a node without a slot take over that of one that is partitioned or down for a while. */
+  /** Replaces a voter that is partitioned or down for a while by a node without a slot. */
   private void replaceBySpare(boolean toleratesLoss) {
     FaultyCluster.Node spare = cluster.nonVotingNode();
     if (!toleratesLoss || spare == null || spare.replica.voterSet().voters.isEmpty()) {
--- a/consensus/src/test/java/elmsail/consensus/RegisterModel.java
+++ b/consensus/src/test/java/elmsail/consensus/RegisterModel.java
@@ -4,17 +4,17 @@
 import elmsail.rpc.messages.VoteResponse;
 
 /**
- * The part of a model that is the same for all: a key of three voter slots, ballots 1, 2, ... of
- * one proposer each, and reads by any two slots. Every request and response may be lost, late or
- * repeated. The votes are decided by the production classes.
+ * The common part of the models of a register: a key with three voter slots, ballots 1, 2, ... of
+ * one proposer each, and reads of any two slots. Every request and response may be lost, late or
+ * repeated. The production classes decide the votes.
  *
- * <p>The value of a ballot is a set of marks, one bit for each ballot: what its prepare phase
- * found, with its own mark added. So of two committed values the later contains the earlier.
+ * <p>The value of a ballot is a set of marks, one bit for each ballot: the marks that its prepare
+ * phase found, and its own mark. So of two committed values the later one must contain the earlier.
  */
 abstract class RegisterModel extends ModelChecker {
   static final int VOTERS = 3;
 
-  /** The fields of a proposer; a model may append its own. */
+  /** The fields of a proposer; a model may append more fields. */
   static final int PHASE = 0;
 
   static final int VOTER_SET = 1;
@@ -23,7 +23,7 @@
   static final int MARKS = 4;
   static final int ACCEPTS = 5;
 
-  /** The phases of a proposer, which begins idle. */
+  /** The phases of a proposer; the first phase is {@code IDLE}. */
   private static final int IDLE = 0;
 
   private static final int PREPARE_PHASE = 1;
@@ -34,8 +34,8 @@
   private final int proposerFields;
 
   /**
-   * @param firstProposer the field at which the proposers begin
-   * @param proposerFields the number of fields of each
+   * @param firstProposer the index of the first proposer's first field
+   * @param proposerFields the number of fields of each proposer
    */
   RegisterModel(int[] bits, int firstProposer, int proposerFields, int ballots) {
     super(bits);
@@ -44,13 +44,13 @@
     this.ballots = ballots;
   }
 
-  /** The process that holds a slot under a voter set, which is numbered by the model. */
+  /** The process that holds a slot under a voter set. The model numbers the voter sets. */
   abstract int holder(int slot, int voterSet);
 
-  /** Whether a process votes on a request under a voter set; it may learn that on the way. */
+  /** Whether a process votes on a request with a voter set, which it learns if newer. */
   abstract boolean votes(int[] state, int process, int voterSet);
 
-  /** Whether a proposer may know the voter set. */
+  /** Whether a proposer may use the voter set. */
   abstract boolean mayBeProposed(int[] state, int voterSet);
 
   /** The number of voter sets under which reads are checked. */
@@ -61,15 +61,15 @@
     return true;
   }
 
-  /** The ballot to be promised together with an accept. */
+  /** The ballot to promise together with accepting this ballot; round 0 for none. */
   Ballot nextBallot(int ballot) {
     return new Ballot();
   }
 
-  /** A voter accepted the ballot. */
+  /** Called after a voter accepted the ballot. */
   void onAccepted(int[] state, int ballot, int slot, VoteResponse response) {}
 
-  /** What else a proposer may do between its phases. */
+  /** Pushes the states after other steps that a model allows between a proposer's phases. */
   void pushOtherProposerSteps(int[] state, int ballot) {}
 
   /** Whether a read counts the state of a key as a vote. */
@@ -82,7 +82,7 @@
     return false;
   }
 
-  /** The field at which a proposer begins. */
+  /** The index of a proposer's first field. */
   final int proposer(int ballot) {
     return firstProposer + ballot * proposerFields;
   }
@@ -95,7 +95,7 @@
     return Integer.bitCount(slots) >= VoterSets.majoritySize(VOTERS);
   }
 
-  /** Pushes all states that may follow by a step of a proposer. */
+  /** Pushes all states that may follow by one step of a proposer. */
   final void pushProposerSteps(int[] state) {
     for (int ballot = 0; ballot < ballots; ballot++) {
       pushProposerSteps(state, ballot);
@@ -126,7 +126,7 @@
     }
   }
 
-  /** Starts a ballot under each voter set that a proposer may know. */
+  /** Starts a ballot under each voter set that a proposer may use. */
   void start(int[] state, int ballot) {
     for (int voterSet = 0; voterSet < 4; voterSet++) {
       if (mayBeProposed(state, voterSet)) {
@@ -160,7 +160,7 @@
         push(received);
       }
     }
-    // The response is lost, or late.
+    // The response is lost or late.
     push(next);
   }
 
@@ -183,7 +183,7 @@
     push(next);
   }
 
-  /** Checks that later commits contain earlier ones, and that reads return the newest. */
+  /** Checks that later commits contain earlier ones, and that reads return the newest commit. */
   final void checkInvariants(int[] state) {
     int newest = 0;
     for (int ballot = 0; ballot < ballots; ballot++) {
@@ -207,14 +207,14 @@
         violation =
             "ballot "
                 + (later + 1)
-                + " was committed without what ballot "
+                + " was committed without the marks of ballot "
                 + (ballot + 1)
-                + " committed";
+                + ", which was committed before";
       }
     }
   }
 
-  /** A read by two voter slots at once. */
+  /** Checks a read of the two voter slots other than the excluded one. */
   private void checkRead(int[] state, int voterSet, int excludedSlot, int newest) {
     int found = -1;
     for (int slot = 0; slot < VOTERS; slot++) {
--- a/consensus/src/test/java/elmsail/consensus/RegisterTest.java
+++ b/consensus/src/test/java/elmsail/consensus/RegisterTest.java
@@ -26,6 +26,7 @@
 import java.util.concurrent.CompletionException;
 import org.junit.jupiter.api.Test;
 
+/** Reads, changes, blobs and joins of one register on a simulated network. */
 class RegisterTest {
   private final SimCluster cluster = new SimCluster();
 
@@ -374,7 +375,7 @@
   }
 
   @Test
-  void failingDiskCastsNoVote() {
+  void voterWithFailingDiskCastsNoVote() {
     cluster.bootstrapped();
     cluster.disks[0].failWrites();
     cluster.disks[1].failWrites();
@@ -413,7 +414,8 @@
     for (CompletableFuture<CommittedState> change : all) {
       cluster.await(change);
     }
-    System.out.println("five changers of one key: " + (cluster.timers.now() - from) + " ms");
+    System.out.println(
+        "five concurrent changes of one key: " + (cluster.timers.now() - from) + " ms");
     assertThat(read(cluster.client(cluster.initialVoters), "key").length(), is(5));
     assertThat(cluster.timers.now() - from, lessThan(2_000L));
     assertThat(cluster.requestCounts.get("AcceptRequest"), greaterThanOrEqualTo(15));
--- a/consensus/src/test/java/elmsail/consensus/ReplacedVoterTest.java
+++ b/consensus/src/test/java/elmsail/consensus/ReplacedVoterTest.java
@@ -14,7 +14,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A spare's join that cannot complete, and another voter that loses its disk. */
+/**
+ * The join of a spare cannot complete, and another voter loses its disk. Without the records of the
+ * replaced voter each of the two joins would wait for the other. A replaced voter may be a source
+ * only while its successor doesn't vote, else committed values are lost.
+ */
 class ReplacedVoterTest {
   private final SimCluster cluster = new SimCluster();
 
@@ -22,7 +26,7 @@
     cluster.put(value, SimCluster.blob("blob " + value, 9));
   }
 
-  /** The last change is at voters 0 and 2 only; the spare's claim of slot 0 is known at 1 alone. */
+  /** Only voters 0 and 2 have the last change; only voter 1 knows the spare's claim of slot 0. */
   private void joinOfSpareKnownAtOneVoter() {
     cluster.bootstrapped();
     put("old");
@@ -136,7 +140,7 @@
     assertThat(cluster.read(3_000), is("new"));
   }
 
-  /** It acknowledges as a voter, and has nothing of what its successor voted for. */
+  /** The replaced voter acknowledges as a voter, but lacks the values its successor voted for. */
   @Test
   void replacedVoterIsNoSourceOnceItsSuccessorVotes() {
     cluster.bootstrapped();
@@ -159,7 +163,7 @@
     assertThat(cluster.read(3_000), is("new"));
   }
 
-  /** Otherwise it would raise its epoch, and take the slot from one that votes. */
+  /** Otherwise the spare would claim a higher epoch, and take the slot from a voter. */
   @Test
   void restartedSpareYieldsToARivalOfTheSameEpoch() {
     cluster.bootstrapped();
@@ -181,7 +185,10 @@
     assertThat(cluster.replicas[3].voterSet().voters.get(0).address, is(SimCluster.ADDRESSES[0]));
   }
 
-  /** The two that are down refuse its calls before the third responds with the newer voter set. */
+  /**
+   * Calls to the two replicas that are down fail before the third replica responds with the newer
+   * voter set.
+   */
   @Test
   void clientLearnsOfANewerVoterSetFromALateResponse() {
     cluster.bootstrapped();
--- a/consensus/src/test/java/elmsail/consensus/ReplicaMetricsTest.java
+++ b/consensus/src/test/java/elmsail/consensus/ReplicaMetricsTest.java
@@ -19,7 +19,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The metrics of a replica, and the invariant that it checks. */
+/** The metrics of a replica, and the invariant that a replica checks. */
 class ReplicaMetricsTest {
   private final SimCluster cluster = new SimCluster();
 
@@ -80,18 +80,18 @@
   @Test
   void refusalsAreCountedByResponseCode() {
     Counters counters = new Counters();
-    ReplicaCounters own = new ReplicaCounters(counters);
-    own.refused(VoteResponse.BALLOT_TOO_LOW);
-    own.refused(VoteResponse.STALE_VOTER_SET);
-    own.refused(VoteResponse.NOT_A_VOTER);
-    own.refused(VoteResponse.NOT_ADMITTED);
-    own.refusedOnFailedWrite();
+    ReplicaCounters replicaCounters = new ReplicaCounters(counters);
+    replicaCounters.refused(VoteResponse.BALLOT_TOO_LOW);
+    replicaCounters.refused(VoteResponse.STALE_VOTER_SET);
+    replicaCounters.refused(VoteResponse.NOT_A_VOTER);
+    replicaCounters.refused(VoteResponse.NOT_ADMITTED);
+    replicaCounters.refusedOnFailedWrite();
     for (String reason : List.of("outbid", "old_voter_set", "not_voting", "not_admitted", "disk")) {
       MetricName name =
           new MetricName("replica_refused_" + reason, "replica_refused", "reason", reason);
       assertThat(reason, counters.counter(name).value(), is(1L));
     }
-    assertThrows(IllegalArgumentException.class, () -> own.refused(VoteResponse.OK));
+    assertThrows(IllegalArgumentException.class, () -> replicaCounters.refused(VoteResponse.OK));
   }
 
   @Test
--- a/consensus/src/test/java/elmsail/consensus/RivalClaimsTest.java
+++ b/consensus/src/test/java/elmsail/consensus/RivalClaimsTest.java
@@ -9,7 +9,10 @@
 import elmsail.rpc.messages.VoterSet;
 import org.junit.jupiter.api.Test;
 
-/** Two claims of one slot under one epoch: whoever knew the loser first learns the winner. */
+/**
+ * Two claims of one slot under one epoch: a process that knew the losing claim first must learn the
+ * winning one, else it would keep the wrong voter until the next epoch.
+ */
 class RivalClaimsTest {
   private static Voter voter(String host, long instanceId, int epoch) {
     Voter voter = new Voter();
@@ -41,12 +44,18 @@
     winning.caughtUpEpoch(2);
     VoterSet published = winning.voterSet();
     assertThat(VoterSets.merge(set(loser), published).voters.get(1).instanceId, is(22L));
-    assertThat("and keeps it", VoterSets.merge(published, set(loser)), is(sameInstance(published)));
+    assertThat(
+        "the confirmed voter is kept",
+        VoterSets.merge(published, set(loser)),
+        is(sameInstance(published)));
     VoterSet next = set(voter("d", 4, 3));
-    assertThat("until the next epoch", VoterSets.merge(published, next).voters.get(1).epoch, is(3));
+    assertThat(
+        "a higher epoch supersedes the confirmed voter",
+        VoterSets.merge(published, next).voters.get(1).epoch,
+        is(3));
   }
 
-  /** Its disk has its epoch, so it is confirmed after a restart as well. */
+  /** The voter's epoch is on its disk, so the voter is confirmed after a restart as well. */
   @Test
   void restartedVoterStillSupersedesTheOther() {
     Voter winner = voter("b", 22, 2);
@@ -68,7 +77,7 @@
     assertThat(acknowledger.isVoting(), is(true));
   }
 
-  /** The loser's own process gives up its claim. */
+  /** The process of the losing claim gives up the slot. */
   @Test
   void losingClaimantGivesUpItsClaim() {
     Voter winner = voter("b", 22, 2);
--- a/consensus/src/test/java/elmsail/consensus/SimCluster.java
+++ b/consensus/src/test/java/elmsail/consensus/SimCluster.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 
-/** Three voters and a spare on the simulated network and disks. */
+/** Three voters and a spare on a simulated network with simulated disks. */
 final class SimCluster {
   static final String[] ADDRESSES = {"10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7", "10.0.0.4:7"};
 
@@ -85,7 +85,7 @@
         new KnownVoterSet(known),
         1_000 + clients,
         address,
-        to -> to.charAt(7) - '0');
+        voterAddress -> voterAddress.charAt(7) - '0');
   }
 
   final java.util.Map<String, Integer> requestCounts = new java.util.TreeMap<>();
@@ -99,13 +99,13 @@
 
     @Override
     public <A> CompletableFuture<A> call(
-        String peer, Object request, Class<A> answer, long timeoutMs) {
+        String peer, Object request, Class<A> responseType, long timeoutMs) {
       requestCounts.merge(request.getClass().getSimpleName(), 1, Integer::sum);
-      return rpcClient.call(peer, request, answer, timeoutMs);
+      return rpcClient.call(peer, request, responseType, timeoutMs);
     }
   }
 
-  /** Commits a value of the key "key", by a new client, together with these blobs. */
+  /** Commits a value of the key "key" together with these blobs, through a new client. */
   void put(String value, Blob... blobs) {
     await(
         client(initialVoters)
@@ -117,7 +117,7 @@
                 3_000));
   }
 
-  /** Reads the key "key", by a new client. */
+  /** Reads the key "key" through a new client. */
   String read(long timeoutMs) {
     return new String(await(client(initialVoters).read("key", null, timeoutMs)).value(), UTF_8);
   }
--- a/consensus/src/test/java/elmsail/consensus/SingleJoinModel.java
+++ b/consensus/src/test/java/elmsail/consensus/SingleJoinModel.java
@@ -6,10 +6,10 @@
 import elmsail.rpc.messages.VoterSet;
 
 /**
- * All states that can be reached, in whatever order of events, with one key of three voter slots
- * (A, B, C), a join N that claims A's slot while A may still vote, and three ballots of two
- * proposers: N may be restarted during its join, and the second ballot may be promised with the
- * first one's accepts.
+ * All states that are reachable by any order of events with one key of three voter slots (A, B, C),
+ * one join, and three ballots of two proposers. The joining process N claims the slot of A while A
+ * may still vote, and may be restarted during its join. The second ballot may be promised together
+ * with the accepts of the first.
  */
 final class SingleJoinModel extends RegisterModel {
   private static final int A = 0;
@@ -30,7 +30,7 @@
 
   private static final int PROPOSER_FIELDS = 7;
 
-  /** The voter sets: without the join's claim, and with it. */
+  /** The voter sets without the claim of the join, and with the claim. */
   private static final int BEFORE = 0;
 
   private static final int AFTER = 1;
@@ -39,7 +39,7 @@
   private static final int[] BITS = bits();
   private static final String[] NAMES = {"a", "b", "c", "n"};
 
-  /** What the model does wrong on purpose. */
+  /** The defect that the model contains on purpose. */
   enum Defect {
     NONE,
     VOTE_AFTER_DISK_LOSS,
@@ -208,7 +208,7 @@
     return !(promisedAhead && ballot == 1);
   }
 
-  /** The second ballot may begin with its accept phase, with the promises of the first. */
+  /** A ballot that was promised ahead starts with its accept phase. */
   @Override
   void start(int[] state, int ballot) {
     if (hasPreparePhase(ballot)) {
@@ -225,7 +225,7 @@
     }
   }
 
-  /** With some defects a proposer changes its voter set in its accept phase. */
+  /** With some defects a proposer switches to the newer voter set in its accept phase. */
   @Override
   void pushOtherProposerSteps(int[] state, int ballot) {
     int offset = proposer(ballot);
--- a/consensus/src/test/java/elmsail/consensus/SingleJoinModelTest.java
+++ b/consensus/src/test/java/elmsail/consensus/SingleJoinModelTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * All states of the small scope; with -Dregister.ballots=3 also those of three ballots with first
- * rounds.
+ * Checks all states of one join with two ballots, or with three ballots if run with
+ * -Dregister.ballots=3, and of three ballots of which the second is promised ahead.
  */
 class SingleJoinModelTest {
   private static final int MAX_STATES = 20_000_000;
@@ -39,7 +39,10 @@
     assertThat(run(defect, 2, false), notNullValue());
   }
 
-  /** Either of these alone is made good by the other; both are kept. */
+  /**
+   * The copying of promises and the fixed voter set of a ballot each suffice without the other, so
+   * neither defect alone is detected. The production code has both safeguards.
+   */
   @ParameterizedTest
   @EnumSource(
       value = SingleJoinModel.Defect.class,
--- a/consensus/src/test/java/elmsail/consensus/VoterSetsTest.java
+++ b/consensus/src/test/java/elmsail/consensus/VoterSetsTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Voter sets compared and merged slot by slot. */
+/** Comparison and merging of voter sets. */
 class VoterSetsTest {
   private static VoterSet set(Voter... voters) {
     VoterSet set = new VoterSet();
