--- a/consensus/src/main/java/elmsail/consensus/DurableRecords.java
+++ b/consensus/src/main/java/elmsail/consensus/DurableRecords.java
@@ -11,8 +11,8 @@
 import java.util.function.Supplier;
 
 /**
- * The records of one set, and responses that leave only once all that was written before them is on
- * disk. Used on the replica's event loop.
+ * The records of one set. Delays each response until all writes before it are on disk. Used on the
+ * replica's event loop.
  */
 final class DurableRecords {
   private final RecordStore records;
@@ -27,12 +27,13 @@
 
   /** The state of a key as last written, on disk or not. */
   AcceptorState state(String key) {
-    return AcceptorState.fromBytes(records.read(names.key(key)));
+    return AcceptorState.fromBytes(records.read(names.keyRecord(key)));
   }
 
   /**
-   * Writes changes, which are read at once. Writes are ordered: once one is on disk, all before it
-   * are; if one fails, what it changed is read as before again.
+   * Writes changes. Reads return the changed records at once. Writes are ordered: when a write is
+   * on disk, all writes before it are as well. If a write fails, reads return the records as they
+   * were before it.
    */
   CompletableFuture<Void> write(List<Change> changes) {
     CompletableFuture<Void> written = records.write(changes);
@@ -53,18 +54,19 @@
   }
 
   /**
-   * What a vote has to write: the blobs that aren't there yet, and the key's state if it changes.
+   * The changes that a vote writes: the blobs that are not stored yet, and the key's state if it
+   * changes.
    */
   List<Change> changes(String key, Acceptor.Decision decision, List<Blob> blobs) {
     List<Change> changes = new ArrayList<>();
     for (Blob blob : blobs) {
-      String name = names.blob(key, blob.name);
+      String name = names.blobRecord(key, blob.name);
       if (!names.isStored(records, name)) {
         changes.add(new Change(name, blob.bytes));
       }
     }
     if (decision.newState() != null) {
-      changes.add(new Change(names.key(key), decision.newState().toBytes()));
+      changes.add(new Change(names.keyRecord(key), decision.newState().toBytes()));
     }
     return changes;
   }
@@ -72,8 +74,8 @@
   /** Removes a key and its blobs. */
   void removeKey(String key) {
     List<Change> changes = new ArrayList<>();
-    changes.add(new Change(names.key(key), null));
-    for (String name : records.names(names.blobs(key))) {
+    changes.add(new Change(names.keyRecord(key), null));
+    for (String name : records.names(names.blobPrefix(key))) {
       changes.add(new Change(name, null));
     }
     write(changes);
@@ -82,7 +84,7 @@
   /** Removes all keys and blobs. */
   void removeAll() {
     List<Change> changes = new ArrayList<>();
-    for (String prefix : new String[] {names.keys(), names.blobs()}) {
+    for (String prefix : new String[] {names.keyPrefix(), names.blobPrefix()}) {
       for (String name : records.names(prefix)) {
         changes.add(new Change(name, null));
       }
@@ -93,9 +95,9 @@
   }
 
   /**
-   * Writes changes, and responds once they and all writes before them are on disk.
+   * Writes changes, and responds when these and all earlier writes are on disk.
    *
-   * @param response called on the loop then
+   * @param response called on the event loop when the writes are on disk
    * @return fails with {@code STORAGE_FAILURE} if one of those writes failed
    */
   <A> CompletableFuture<A> respondOnceDurable(List<Change> changes, Supplier<A> response) {
--- a/consensus/src/main/java/elmsail/consensus/ReplicaCounters.java
+++ b/consensus/src/main/java/elmsail/consensus/ReplicaCounters.java
@@ -18,7 +18,7 @@
   /** Reads of a key's state that were responded to. */
   final Counters.Counter readsAnswered;
 
-  /** Refused: a higher ballot was promised to another. */
+  /** Refused: a higher ballot was promised. */
   private final Counters.Counter refusedOutbid;
 
   /** Refused: the request has an older voter set. */
@@ -30,8 +30,8 @@
   /** Refused: the listener did not admit the value. */
   private final Counters.Counter refusedNotAdmitted;
 
-  /** Refused: what the response relies on could not be written. */
-  private final Counters.Counter refusedDisk;
+  /** Refused: a write that the response depends on failed. */
+  private final Counters.Counter refusedFailedWrite;
 
   /** Registers the counters under their exported names. */
   ReplicaCounters(Counters counters) {
@@ -42,7 +42,7 @@
     refusedOldVoterSet = refused(counters, "old_voter_set");
     refusedNotVoting = refused(counters, "not_voting");
     refusedNotAdmitted = refused(counters, "not_admitted");
-    refusedDisk = refused(counters, "disk");
+    refusedFailedWrite = refused(counters, "disk");
   }
 
   private static Counters.Counter refused(Counters counters, String reason) {
@@ -52,7 +52,7 @@
   /**
    * Counts a refusal by the code of the response.
    *
-   * @throws IllegalArgumentException if the code is no refusal
+   * @throws IllegalArgumentException if the code is not that of a refusal
    */
   void refused(int code) {
     switch (code) {
@@ -65,7 +65,7 @@
   }
 
   /** Counts a response that could not be sent because a write failed. */
-  void refusedByDisk() {
-    refusedDisk.add(1);
+  void refusedOnFailedWrite() {
+    refusedFailedWrite.add(1);
   }
 }
--- a/consensus/src/main/java/elmsail/consensus/RestoredReplica.java
+++ b/consensus/src/main/java/elmsail/consensus/RestoredReplica.java
@@ -8,14 +8,14 @@
 import java.util.TreeSet;
 
 /**
- * What a data directory holds of one set, read without running a replica: for reports.
+ * The content of a data directory for one set, read for reports without running a replica.
  *
  * @param voterSet without voters if none is known
  * @param ownSlot the voter slot that names this instance, or -1
  * @param caughtUpEpoch the epoch under which this instance is an initial voter or completed its
  *     join; 0: none
  * @param voting whether a process that is started on the directory votes at once
- * @param keys in order of their names
+ * @param keys the keys in the order of their names
  */
 public record RestoredReplica(
     String set,
@@ -27,9 +27,9 @@
   private static final String[] RECORD_KINDS = {"seating", "seated", "k/", "b/"};
 
   /**
-   * One key; a key without a ballot and a value has blobs only.
+   * One key. A key without a ballot and a value has blobs only.
    *
-   * @param fromStateTransfer whether the value was copied from another voter, and is no vote
+   * @param fromStateTransfer whether the value was copied from another voter and is not a vote
    * @param valueBytes the size of the value; -1 if nothing was accepted
    * @param blobs the number of its blobs
    */
@@ -71,14 +71,14 @@
     ReplicaMembership membership =
         new ReplicaMembership("", "", records.instanceId(), voterSet, caughtUpEpoch);
     TreeSet<String> all = new TreeSet<>(names.keysIn(records));
-    for (String blob : records.names(names.blobs())) {
+    for (String blob : records.names(names.blobPrefix())) {
       all.add(names.keyOfBlob(blob));
     }
     List<StoredKey> keys = new ArrayList<>(all.size());
     for (String key : all) {
-      AcceptorState state = AcceptorState.fromBytes(records.read(names.key(key)));
+      AcceptorState state = AcceptorState.fromBytes(records.read(names.keyRecord(key)));
       int blobs = 0;
-      for (String blob : records.names(names.blobs(key))) {
+      for (String blob : records.names(names.blobPrefix(key))) {
         blobs += blob.isEmpty() ? 0 : 1;
       }
       keys.add(
--- a/consensus/src/test/java/elmsail/consensus/JoinInVainTest.java
+++ b/consensus/src/test/java/elmsail/consensus/ConflictingJoinTest.java
@@ -8,19 +8,22 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A replica comes back without its disk, knows the initial voters only, and claims a slot that it
- * held once and in which another votes now. For all orders of the responses, with each of the
- * others up, late or down, the set keeps its majority, and the replica votes again where it has a
- * slot.
+ * A replica restarts without its disk, knows only the initial voters, and claims a slot that it
+ * held before and in which another replica votes now. Such a claim must not end the voting of the
+ * other replica. For all orders of the responses, with the other replicas up, late or down, the set
+ * keeps its majority, and the replica votes again in its own slot if it has one.
  */
-class JoinInVainTest {
+class ConflictingJoinTest {
   private static final long LATE_MS = 1_500;
   private static final long MAX_JOIN_MS = 20_000;
 
   private SimCluster cluster;
   private String scenario;
 
-  /** Slots 0 to 2 are those of replicas 2, 1 and 3; 0 doesn't know that it was replaced. */
+  /**
+   * Creates a cluster in which replicas 2, 1 and 3 hold the slots 0 to 2. Replica 0 doesn't know
+   * that it was replaced.
+   */
   private void clusterWithMovedSlots() {
     cluster = new SimCluster().bootstrapped();
     cluster.put("old");
@@ -38,14 +41,14 @@
     cluster.put("new");
   }
 
-  private void restartAllWithOneWiped(boolean formerIsUp, boolean successorIsLate) {
+  private void restartAllWithOneWiped(boolean formerHolderIsUp, boolean successorIsLate) {
     for (int i = 0; i < SimCluster.ADDRESSES.length; i++) {
       cluster.kill(i);
     }
     cluster.disks[2].wipe();
     cluster.net.healAll();
     cluster.start(1);
-    if (formerIsUp) {
+    if (formerHolderIsUp) {
       cluster.start(0);
     }
     if (!successorIsLate) {
@@ -60,25 +63,29 @@
     }
   }
 
-  /** Makes the wiped replica's calls to 0, 1 and 3 fast or slow. */
-  private void delayResponses(int slow) {
+  /**
+   * Makes the wiped replica's calls to the replicas 0, 1 and 3 fast or slow.
+   *
+   * @param slowResponders bit i is set if the i-th of these replicas is slow
+   */
+  private void delayResponses(int slowResponders) {
     int[] others = {0, 1, 3};
     for (int i = 0; i < others.length; i++) {
-      long ms = (slow >> i & 1) == 1 ? 30 : 1;
+      long ms = (slowResponders >> i & 1) == 1 ? 30 : 1;
       cluster.net.delay(SimCluster.ADDRESSES[2], SimCluster.ADDRESSES[others[i]], ms, ms);
       cluster.net.delay(SimCluster.ADDRESSES[others[i]], SimCluster.ADDRESSES[2], ms, ms);
     }
   }
 
   @Test
-  void wipedMemberOfTwoSlotsRejoinsItsLastSlot() {
-    int played = 0;
-    for (int slow = 0; slow < 8; slow++) {
-      for (int kind = 0; kind < 4; kind++) {
-        scenario = "slow " + slow + ", kind " + kind;
+  void wipedReplicaThatHeldTwoSlotsRejoinsItsLastSlot() {
+    int scenarios = 0;
+    for (int slowResponders = 0; slowResponders < 8; slowResponders++) {
+      for (int startOrder = 0; startOrder < 4; startOrder++) {
+        scenario = "slow responders " + slowResponders + ", start order " + startOrder;
         clusterWithMovedSlots();
-        delayResponses(slow);
-        restartAllWithOneWiped((kind & 1) == 1, (kind & 2) == 2);
+        delayResponses(slowResponders);
+        restartAllWithOneWiped((startOrder & 1) == 1, (startOrder & 2) == 2);
         cluster.awaitVoting(2, MAX_JOIN_MS);
         assertThat(scenario, cluster.replicas[2].isVoting(), is(true));
         assertThat(scenario, cluster.replicas[3].isVoting(), is(true));
@@ -89,18 +96,18 @@
         cluster.kill(1);
         assertThat(scenario, cluster.read(5_000), is("new"));
         assertThat(scenario, cluster.net.handlerFaults(), empty());
-        played++;
+        scenarios++;
       }
     }
-    System.out.println("join of a former slot: " + played + " orders, none failed");
+    System.out.println("join of a former slot: " + scenarios + " orders, none failed");
   }
 
-  /** Its slot is another's for good: the others go on voting, and it can join as a spare. */
+  /** Another replica keeps the slot: the others continue to vote, and this one joins as a spare. */
   @Test
-  void wipedMemberWhoseSlotWasTakenYieldsAndIsASpare() {
-    for (int slow = 0; slow < 8; slow++) {
-      for (int kind = 0; kind < 2; kind++) {
-        scenario = "slow " + slow + ", kind " + kind;
+  void wipedReplicaWhoseSlotWasTakenYieldsAndJoinsAsASpare() {
+    for (int slowResponders = 0; slowResponders < 8; slowResponders++) {
+      for (int startOrder = 0; startOrder < 2; startOrder++) {
+        scenario = "slow responders " + slowResponders + ", start order " + startOrder;
         cluster = new SimCluster().bootstrapped();
         cluster.put("old");
         cluster.net.isolate(SimCluster.ADDRESSES[2]);
@@ -108,7 +115,7 @@
         cluster.replicas[3].join(2, 2);
         cluster.awaitVoting(3, 5_000);
         cluster.put("new");
-        delayResponses(slow);
+        delayResponses(slowResponders);
         for (int i = 0; i < SimCluster.ADDRESSES.length; i++) {
           cluster.kill(i);
         }
@@ -117,7 +124,7 @@
         cluster.start(1);
         cluster.start(2);
         cluster.replicas[2].learn(cluster.initialVoters);
-        cluster.timers.advance(kind == 0 ? 0 : LATE_MS);
+        cluster.timers.advance(startOrder == 0 ? 0 : LATE_MS);
         cluster.start(3);
         cluster.timers.advance(6_000);
         assertThat(
@@ -133,33 +140,41 @@
   }
 
   /**
-   * All combinations: a spare's take-over of slot 2 is known at 0, at 1, or nowhere; then one of
-   * the three loses its disk, or none; the spare goes on, or never comes back if the set tolerates
-   * that; each order of the responses to the wiped replica.
+   * All combinations of these: the spare's claim of slot 2 is known at voter 0, at voter 1, or at
+   * no voter; one of the three voters loses its disk, or none; the spare continues, or stays down
+   * if the set tolerates that; each order of the responses to the wiped replica.
    */
   @Test
-  void unfinishedTakeOverAndOneLossRecoverInAllOrders() {
-    int played = 0;
-    for (int knows = 0; knows < 3; knows++) {
-      for (int wiped = 0; wiped < 4; wiped++) {
-        for (int gone = 0; gone < 2; gone++) {
-          boolean borne = gone == 0 || wiped >= 2 || knows == 2;
-          for (int slow = 0; slow < 8 && borne; slow++) {
-            scenario = knows + " knows, " + wiped + " wiped, gone " + gone + ", slow " + slow;
-            playUnfinishedTakeOver(knows, wiped, gone == 1, slow);
-            played++;
+  void setRecoversFromUnfinishedTakeOverAndOneDiskLossInAllOrders() {
+    int scenarios = 0;
+    for (int voterKnowingClaim = 0; voterKnowingClaim < 3; voterKnowingClaim++) {
+      for (int wipedReplica = 0; wipedReplica < 4; wipedReplica++) {
+        for (int spareGone = 0; spareGone < 2; spareGone++) {
+          boolean tolerated = spareGone == 0 || wipedReplica >= 2 || voterKnowingClaim == 2;
+          for (int slowResponders = 0; slowResponders < 8 && tolerated; slowResponders++) {
+            scenario =
+                voterKnowingClaim
+                    + " knows the claim, "
+                    + wipedReplica
+                    + " wiped, spare gone "
+                    + spareGone
+                    + ", slow "
+                    + slowResponders;
+            runUnfinishedTakeOver(voterKnowingClaim, wipedReplica, spareGone == 1, slowResponders);
+            scenarios++;
           }
         }
       }
     }
-    System.out.println("one unfinished take-over and one loss: " + played + " orders");
+    System.out.println("one unfinished take-over and one loss: " + scenarios + " orders");
   }
 
-  private void playUnfinishedTakeOver(int knows, int wiped, boolean gone, int slow) {
+  private void runUnfinishedTakeOver(
+      int voterKnowingClaim, int wipedReplica, boolean spareGone, int slowResponders) {
     cluster = new SimCluster().bootstrapped();
     cluster.put("new");
     for (int i = 0; i < 2; i++) {
-      if (i != knows) {
+      if (i != voterKnowingClaim) {
         cluster.net.cutBoth(SimCluster.ADDRESSES[3], SimCluster.ADDRESSES[i]);
       }
     }
@@ -167,35 +182,37 @@
     cluster.replicas[3].join(2, 2);
     cluster.timers.advance(1_500);
     assertThat(scenario, cluster.replicas[3].isVoting(), is(false));
-    if (gone) {
+    if (spareGone) {
       cluster.kill(3);
     }
-    if (wiped < 3) {
+    if (wipedReplica < 3) {
       for (int i = 0; i < 4; i++) {
-        if (i != wiped) {
-          long ms = (slow >> Math.min(i, 2) & 1) == 1 ? 30 : 1;
-          cluster.net.delay(SimCluster.ADDRESSES[wiped], SimCluster.ADDRESSES[i], ms, ms);
-          cluster.net.delay(SimCluster.ADDRESSES[i], SimCluster.ADDRESSES[wiped], ms, ms);
+        if (i != wipedReplica) {
+          long ms = (slowResponders >> Math.min(i, 2) & 1) == 1 ? 30 : 1;
+          cluster.net.delay(SimCluster.ADDRESSES[wipedReplica], SimCluster.ADDRESSES[i], ms, ms);
+          cluster.net.delay(SimCluster.ADDRESSES[i], SimCluster.ADDRESSES[wipedReplica], ms, ms);
         }
       }
-      cluster.kill(wiped);
-      cluster.disks[wiped].wipe();
-      cluster.start(wiped);
-      cluster.replicas[wiped].learn(cluster.initialVoters);
+      cluster.kill(wipedReplica);
+      cluster.disks[wipedReplica].wipe();
+      cluster.start(wipedReplica);
+      cluster.replicas[wipedReplica].learn(cluster.initialVoters);
     }
     cluster.net.healAll();
     long end = cluster.timers.now() + MAX_JOIN_MS;
-    int least = gone && wiped == 3 ? 2 : 3;
-    while (votingSlots() < least && cluster.timers.now() < end && cluster.timers.runNext()) {
+    int minVotingSlots = spareGone && wipedReplica == 3 ? 2 : 3;
+    while (countVotingSlots() < minVotingSlots
+        && cluster.timers.now() < end
+        && cluster.timers.runNext()) {
       continue;
     }
-    assertThat(scenario, votingSlots() >= least, is(true));
+    assertThat(scenario, countVotingSlots() >= minVotingSlots, is(true));
     assertThat(scenario, cluster.read(5_000), is("new"));
     assertThat(scenario, cluster.net.handlerFaults(), empty());
   }
 
   /** The number of slots of the newest voter set whose voters vote. */
-  private int votingSlots() {
+  private int countVotingSlots() {
     VoterSet newest = cluster.initialVoters;
     for (int i = 0; i < SimCluster.ADDRESSES.length; i++) {
       if (cluster.net.nodeAt(SimCluster.ADDRESSES[i]) != null) {
--- a/consensus/src/test/java/elmsail/consensus/LossyRecordStore.java
+++ b/consensus/src/test/java/elmsail/consensus/LossyRecordStore.java
@@ -14,47 +14,47 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A store whose writes take a while. A crash loses the writes that were not reported as durable,
- * from some point on. Unlike {@code SimDisk} it draws its delays and batches from the random
- * numbers of the whole run.
+ * A store with delayed writes. A crash loses the writes after a random point among those that were
+ * not reported as durable. Unlike {@code SimDisk}, this store draws its delays and batches from the
+ * random generator of the whole run.
  */
 final class LossyRecordStore implements RecordStore {
   private record PendingWrite(List<Change> changes, CompletableFuture<Void> done) {}
 
-  /** The content of a disk, which outlives its process. */
+  /** The content of a disk, which survives the end of its process. */
   static final class DiskImage {
     long instanceId;
     boolean everOpened;
     TreeMap<String, byte[]> durable = new TreeMap<>();
 
-    /** A defect: writes complete before they are durable. */
+    /** An injected defect: writes complete before they are durable. */
     boolean completesBeforeSync;
   }
 
   private final DiskImage disk;
   private final Timers timers;
   private final Random random;
-  private final boolean fresh;
+  private final boolean isNew;
   private final TreeMap<String, byte[]> visible;
   private final ArrayDeque<PendingWrite> queue = new ArrayDeque<>();
-  private boolean busy;
+  private boolean writing;
 
-  /** How many of the next batches fail, with all that is queued behind them. */
-  int writesToFail;
+  /** The number of the next batches that fail, together with all writes queued after them. */
+  int batchesToFail;
 
   LossyRecordStore(DiskImage disk, Timers timers, Random random) {
     this.disk = disk;
     this.timers = timers;
     this.random = random;
-    fresh = !disk.everOpened;
-    if (fresh) {
+    isNew = !disk.everOpened;
+    if (isNew) {
       disk.instanceId = random.nextLong() | 1;
       disk.everOpened = true;
     }
     visible = new TreeMap<>(disk.durable);
   }
 
-  boolean idle() {
+  boolean isIdle() {
     return queue.isEmpty();
   }
 
@@ -65,7 +65,7 @@
 
   @Override
   public boolean isNew() {
-    return fresh;
+    return isNew;
   }
 
   @Override
@@ -76,22 +76,22 @@
     if (disk.completesBeforeSync) {
       timers.execute(() -> pending.done.complete(null));
     }
-    next();
+    writeNextBatch();
     return pending.done;
   }
 
-  private void next() {
-    if (busy || queue.isEmpty()) {
+  private void writeNextBatch() {
+    if (writing || queue.isEmpty()) {
       return;
     }
-    busy = true;
+    writing = true;
     timers.schedule(
         1 + random.nextInt(12),
         () -> {
-          busy = false;
-          if (writesToFail > 0) {
-            writesToFail--;
-            fail();
+          writing = false;
+          if (batchesToFail > 0) {
+            batchesToFail--;
+            failQueuedWrites();
             return;
           }
           int batch = 1 + random.nextInt(queue.size());
@@ -101,24 +101,25 @@
             apply(disk.durable, write.changes);
             written.add(write);
           }
-          next();
+          writeNextBatch();
           for (PendingWrite write : written) {
             write.done.complete(null);
           }
         });
   }
 
-  private void fail() {
+  private void failQueuedWrites() {
     List<PendingWrite> failed = new ArrayList<>(queue);
     queue.clear();
     visible.clear();
     visible.putAll(disk.durable);
     for (PendingWrite write : failed) {
-      write.done.completeExceptionally(new ElmsailException(ErrorCode.STORAGE_FAILURE, "refused"));
+      write.done.completeExceptionally(
+          new ElmsailException(ErrorCode.STORAGE_FAILURE, "injected write failure"));
     }
   }
 
-  /** A power loss: some of the pending writes may be on the disk all the same, in order. */
+  /** Simulates a power loss: a random number of the pending writes, in order, are durable. */
   void crash() {
     int kept = disk.completesBeforeSync ? 0 : random.nextInt(queue.size() + 1);
     for (int i = 0; i < kept; i++) {
@@ -146,12 +147,12 @@
   public Map<String, byte[]> page(String after, int maxBytes) {
     Map<String, byte[]> page = new LinkedHashMap<>();
     int bytes = 0;
-    for (Map.Entry<String, byte[]> one : visible.tailMap(after, false).entrySet()) {
+    for (Map.Entry<String, byte[]> entry : visible.tailMap(after, false).entrySet()) {
       if (bytes >= maxBytes) {
         break;
       }
-      page.put(one.getKey(), one.getValue());
-      bytes += one.getValue().length;
+      page.put(entry.getKey(), entry.getValue());
+      bytes += entry.getValue().length;
     }
     return page;
   }
--- a/consensus/src/test/java/elmsail/consensus/StateSearch.java
+++ b/consensus/src/test/java/elmsail/consensus/ModelChecker.java
@@ -5,32 +5,37 @@
 import java.util.ArrayDeque;
 
 /**
- * A model checker: visits all states that a model can reach, each once. A state is an array of
- * small numbers: first {@link #FIELDS} for each process, then the fields of the model.
+ * A model checker: visits each reachable state of a model once. A state is an array of small
+ * numbers: first {@link #FIELDS} numbers for each process, then the fields of the model.
  */
-abstract class StateSearch {
-  /** Fields of a process: promised, accepted, marks, copied, known claims. */
+abstract class ModelChecker {
+  /**
+   * The number of fields of a process: promised ballot, accepted ballot, marks, whether the value
+   * is from a state transfer, known claims.
+   */
   static final int FIELDS = 5;
 
-  /** The field of the claims that a process knows. */
+  /** The index of the field with the claims that a process knows. */
   static final int KNOWN_CLAIMS = 4;
 
   private final int[] bits;
-  private final LongPairs seen = new LongPairs();
+  private final LongPairSet seen = new LongPairSet();
   private final ArrayDeque<long[]> unvisited = new ArrayDeque<>();
 
-  /** The invariant that was violated; null as long as none was. */
+  /** The violation of an invariant; null if none was found. */
   String violation;
 
-  /** A search whose fields have so many bits each, at most 128 in all. */
-  StateSearch(int[] bits) {
+  /**
+   * @param bits the number of bits of each field, at most 128 in total
+   */
+  ModelChecker(int[] bits) {
     this.bits = bits;
   }
 
   /** Checks the invariants of a state, and pushes each state that may follow it. */
   abstract void visit(int[] state);
 
-  /** Visits all states, at most so many; returns the violation, or null. */
+  /** Visits all states, at most {@code maxStates}; returns the violation, or null. */
   final String check(int maxStates) {
     push(new int[bits.length]);
     while (!unvisited.isEmpty() && violation == null) {
@@ -53,18 +58,18 @@
             + " states in "
             + (System.nanoTime() - from) / 1_000_000
             + " ms, "
-            + (found == null ? "no fault" : found));
+            + (found == null ? "no violation" : found));
     return found;
   }
 
-  /** Adds a state to those that will be visited, unless it was before. */
+  /** Adds a state to the unvisited states, unless it was added before. */
   final void push(int[] state) {
     long[] packed = {0, 0};
-    int at = 0;
+    int bit = 0;
     for (int i = 0; i < bits.length; i++) {
-      at = at < 64 && at + bits[i] > 64 ? 64 : at;
-      packed[at / 64] |= (long) state[i] << at % 64;
-      at += bits[i];
+      bit = bit < 64 && bit + bits[i] > 64 ? 64 : bit;
+      packed[bit / 64] |= (long) state[i] << bit % 64;
+      bit += bits[i];
     }
     if (seen.add(packed[0], packed[1])) {
       unvisited.addLast(packed);
@@ -73,11 +78,11 @@
 
   private int[] unpacked(long[] packed) {
     int[] state = new int[bits.length];
-    int at = 0;
+    int bit = 0;
     for (int i = 0; i < bits.length; i++) {
-      at = at < 64 && at + bits[i] > 64 ? 64 : at;
-      state[i] = (int) (packed[at / 64] >>> at % 64) & (1 << bits[i]) - 1;
-      at += bits[i];
+      bit = bit < 64 && bit + bits[i] > 64 ? 64 : bit;
+      state[i] = (int) (packed[bit / 64] >>> bit % 64) & (1 << bits[i]) - 1;
+      bit += bits[i];
     }
     return state;
   }
@@ -87,20 +92,21 @@
   }
 
   static AcceptorState key(int[] state, int process) {
-    int at = process * FIELDS;
-    byte[] value = state[at + 1] == 0 ? null : new byte[] {(byte) state[at + 2]};
-    return new AcceptorState(ballot(state[at]), ballot(state[at + 1]), state[at + 3] == 1, value);
+    int offset = process * FIELDS;
+    byte[] value = state[offset + 1] == 0 ? null : new byte[] {(byte) state[offset + 2]};
+    return new AcceptorState(
+        ballot(state[offset]), ballot(state[offset + 1]), state[offset + 3] == 1, value);
   }
 
-  static void put(int[] state, int process, AcceptorState key) {
-    int at = process * FIELDS;
-    state[at] = (int) key.promised().round;
-    state[at + 1] = (int) key.accepted().round;
-    state[at + 2] = key.value() == null ? 0 : key.value()[0];
-    state[at + 3] = key.fromStateTransfer() ? 1 : 0;
+  static void putKey(int[] state, int process, AcceptorState key) {
+    int offset = process * FIELDS;
+    state[offset] = (int) key.promised().round;
+    state[offset + 1] = (int) key.accepted().round;
+    state[offset + 2] = key.value() == null ? 0 : key.value()[0];
+    state[offset + 3] = key.fromStateTransfer() ? 1 : 0;
   }
 
-  /** A voter for the process of this number. */
+  /** The voter of the process with this number. */
   static Voter voter(String name, int process, int epoch) {
     Voter voter = new Voter();
     voter.address = name;
--- a/consensus/src/test/java/elmsail/consensus/PinnedNamesTest.java
+++ b/consensus/src/test/java/elmsail/consensus/PinnedNamesTest.java
@@ -6,11 +6,11 @@
 import elmsail.runtime.PrometheusText;
 import org.junit.jupiter.api.Test;
 
-/** Names that are known outside of the program: in dashboards, scripts, settings and clients. */
+/** Metric names on which dashboards and scripts depend, so they must not change. */
 class PinnedNamesTest {
 
   @Test
-  void metrics() {
+  void metricsHaveTheseNames() {
     SimCluster cluster = new SimCluster();
     assertThat(
         PrometheusText.format(cluster.metrics[0].counters())
--- a/consensus/src/test/java/elmsail/consensus/BallotSearch.java
+++ b/consensus/src/test/java/elmsail/consensus/RegisterModel.java
@@ -4,17 +4,17 @@
 import elmsail.rpc.messages.VoteResponse;
 
 /**
- * The part of a model that is the same for all: a key of three voter slots, ballots 1, 2, ... of
- * one proposer each, and reads by any two slots. Every request and response may be lost, late or
- * repeated. The votes are decided by the production classes.
+ * The common part of the models of a register: a key with three voter slots, ballots 1, 2, ... of
+ * one proposer each, and reads of any two slots. Every request and response may be lost, late or
+ * repeated. The production classes decide the votes.
  *
- * <p>The value of a ballot is a set of marks, one bit for each ballot: what its prepare phase
- * found, with its own mark added. So of two committed values the later contains the earlier.
+ * <p>The value of a ballot is a set of marks, one bit for each ballot: the marks that its prepare
+ * phase found, and its own mark. So of two committed values the later one must contain the earlier.
  */
-abstract class BallotSearch extends StateSearch {
+abstract class RegisterModel extends ModelChecker {
   static final int VOTERS = 3;
 
-  /** The fields of a proposer; a model may append its own. */
+  /** The fields of a proposer; a model may append more fields. */
   static final int PHASE = 0;
 
   static final int VOTER_SET = 1;
@@ -23,7 +23,7 @@
   static final int MARKS = 4;
   static final int ACCEPTS = 5;
 
-  /** The phases of a proposer, which begins idle. */
+  /** The phases of a proposer; the first phase is {@code IDLE}. */
   private static final int IDLE = 0;
 
   private static final int PREPARE_PHASE = 1;
@@ -34,24 +34,24 @@
   private final int proposerFields;
 
   /**
-   * @param firstProposer the field at which the proposers begin
-   * @param proposerFields the number of fields of each
+   * @param firstProposer the index of the first proposer's first field
+   * @param proposerFields the number of fields of each proposer
    */
-  BallotSearch(int[] bits, int firstProposer, int proposerFields, int ballots) {
+  RegisterModel(int[] bits, int firstProposer, int proposerFields, int ballots) {
     super(bits);
     this.firstProposer = firstProposer;
     this.proposerFields = proposerFields;
     this.ballots = ballots;
   }
 
-  /** The process that holds a slot under a voter set, which is numbered by the model. */
+  /** The process that holds a slot under a voter set. The model numbers the voter sets. */
   abstract int holder(int slot, int voterSet);
 
-  /** Whether a process votes on a request under a voter set; it may learn that on the way. */
+  /** Whether a process votes on a request with a voter set, which it learns if newer. */
   abstract boolean votes(int[] state, int process, int voterSet);
 
-  /** Whether a proposer may know the voter set. */
-  abstract boolean isProposed(int[] state, int voterSet);
+  /** Whether a proposer may use the voter set. */
+  abstract boolean mayBeProposed(int[] state, int voterSet);
 
   /** The number of voter sets under which reads are checked. */
   abstract int readVoterSets(int[] state);
@@ -61,16 +61,16 @@
     return true;
   }
 
-  /** The ballot to be promised together with an accept. */
+  /** The ballot to promise together with accepting this ballot; round 0 for none. */
   Ballot nextBallot(int ballot) {
     return new Ballot();
   }
 
-  /** A voter accepted the ballot. */
+  /** Called after a voter accepted the ballot. */
   void onAccepted(int[] state, int ballot, int slot, VoteResponse response) {}
 
-  /** What else a proposer may do between its phases. */
-  void proposeOtherwise(int[] state, int ballot) {}
+  /** Pushes the states after other steps that a model allows between a proposer's phases. */
+  void pushOtherProposerSteps(int[] state, int ballot) {}
 
   /** Whether a read counts the state of a key as a vote. */
   boolean isVote(AcceptorState key) {
@@ -82,7 +82,7 @@
     return false;
   }
 
-  /** The field at which a proposer begins. */
+  /** The index of a proposer's first field. */
   final int proposer(int ballot) {
     return firstProposer + ballot * proposerFields;
   }
@@ -95,41 +95,41 @@
     return Integer.bitCount(slots) >= VoterSets.majoritySize(VOTERS);
   }
 
-  /** Pushes all states that may follow by a step of a proposer. */
-  final void propose(int[] state) {
+  /** Pushes all states that may follow by one step of a proposer. */
+  final void pushProposerSteps(int[] state) {
     for (int ballot = 0; ballot < ballots; ballot++) {
-      propose(state, ballot);
+      pushProposerSteps(state, ballot);
     }
   }
 
-  private void propose(int[] state, int ballot) {
-    int at = proposer(ballot);
-    if (state[at + PHASE] == IDLE) {
+  private void pushProposerSteps(int[] state, int ballot) {
+    int offset = proposer(ballot);
+    if (state[offset + PHASE] == IDLE) {
       start(state, ballot);
       return;
     }
-    if (state[at + PHASE] == PREPARE_PHASE && isMajority(state[at + PROMISES])) {
+    if (state[offset + PHASE] == PREPARE_PHASE && isMajority(state[offset + PROMISES])) {
       int[] next = state.clone();
-      next[at + PHASE] = ACCEPT_PHASE;
-      next[at + PROMISES] = 0;
-      next[at + MARKS] |= 1 << ballot;
+      next[offset + PHASE] = ACCEPT_PHASE;
+      next[offset + PROMISES] = 0;
+      next[offset + MARKS] |= 1 << ballot;
       push(next);
     }
-    proposeOtherwise(state, ballot);
+    pushOtherProposerSteps(state, ballot);
     for (int slot = 0; slot < VOTERS; slot++) {
       if (hasPreparePhase(ballot)) {
         prepare(state, ballot, slot);
       }
-      if (state[at + PHASE] == ACCEPT_PHASE) {
+      if (state[offset + PHASE] == ACCEPT_PHASE) {
         accept(state, ballot, slot);
       }
     }
   }
 
-  /** Starts a ballot under each voter set that a proposer may know. */
+  /** Starts a ballot under each voter set that a proposer may use. */
   void start(int[] state, int ballot) {
     for (int voterSet = 0; voterSet < 4; voterSet++) {
-      if (isProposed(state, voterSet)) {
+      if (mayBeProposed(state, voterSet)) {
         int[] next = state.clone();
         next[proposer(ballot) + PHASE] = PREPARE_PHASE;
         next[proposer(ballot) + VOTER_SET] = voterSet;
@@ -139,51 +139,51 @@
   }
 
   private void prepare(int[] state, int ballot, int slot) {
-    int at = proposer(ballot);
+    int offset = proposer(ballot);
     int[] next = state.clone();
-    int process = holder(slot, state[at + VOTER_SET]);
-    if (votes(next, process, state[at + VOTER_SET])) {
+    int process = holder(slot, state[offset + VOTER_SET]);
+    if (votes(next, process, state[offset + VOTER_SET])) {
       Acceptor.Decision decision = Acceptor.prepare(key(next, process), ballot(ballot + 1));
       if (decision.newState() != null) {
-        put(next, process, decision.newState());
+        putKey(next, process, decision.newState());
       }
       VoteResponse response = decision.response();
       if (response.code == VoteResponse.OK
-          && state[at + PHASE] == PREPARE_PHASE
-          && (state[at + PROMISES] >> slot & 1) == 0) {
+          && state[offset + PHASE] == PREPARE_PHASE
+          && (state[offset + PROMISES] >> slot & 1) == 0) {
         int[] received = next.clone();
-        received[at + PROMISES] |= 1 << slot;
-        if (response.accepted.round > received[at + HIGHEST_ACCEPTED]) {
-          received[at + HIGHEST_ACCEPTED] = (int) response.accepted.round;
-          received[at + MARKS] = response.value[0];
+        received[offset + PROMISES] |= 1 << slot;
+        if (response.accepted.round > received[offset + HIGHEST_ACCEPTED]) {
+          received[offset + HIGHEST_ACCEPTED] = (int) response.accepted.round;
+          received[offset + MARKS] = response.value[0];
         }
         push(received);
       }
     }
-    // The response is lost, or late.
+    // The response is lost or late.
     push(next);
   }
 
   private void accept(int[] state, int ballot, int slot) {
-    int at = proposer(ballot);
+    int offset = proposer(ballot);
     int[] next = state.clone();
-    int process = holder(slot, state[at + VOTER_SET]);
-    if (votes(next, process, state[at + VOTER_SET])) {
-      byte[] value = {(byte) state[at + MARKS]};
+    int process = holder(slot, state[offset + VOTER_SET]);
+    if (votes(next, process, state[offset + VOTER_SET])) {
+      byte[] value = {(byte) state[offset + MARKS]};
       Acceptor.Decision decision =
           Acceptor.accept(key(next, process), ballot(ballot + 1), nextBallot(ballot), value);
       if (decision.newState() != null) {
-        put(next, process, decision.newState());
+        putKey(next, process, decision.newState());
       }
       if (decision.response().code == VoteResponse.OK) {
-        next[at + ACCEPTS] |= 1 << slot;
+        next[offset + ACCEPTS] |= 1 << slot;
         onAccepted(next, ballot, slot, decision.response());
       }
     }
     push(next);
   }
 
-  /** Checks that later commits contain earlier ones, and that reads return the newest. */
+  /** Checks that later commits contain earlier ones, and that reads return the newest commit. */
   final void checkInvariants(int[] state) {
     int newest = 0;
     for (int ballot = 0; ballot < ballots; ballot++) {
@@ -193,8 +193,8 @@
       }
     }
     for (int voterSet = 0; voterSet < readVoterSets(state); voterSet++) {
-      for (int without = 0; without < VOTERS; without++) {
-        checkRead(state, voterSet, without, newest);
+      for (int excludedSlot = 0; excludedSlot < VOTERS; excludedSlot++) {
+        checkRead(state, voterSet, excludedSlot, newest);
       }
     }
   }
@@ -207,18 +207,18 @@
         violation =
             "ballot "
                 + (later + 1)
-                + " was committed without what ballot "
+                + " was committed without the marks of ballot "
                 + (ballot + 1)
-                + " committed";
+                + ", which was committed before";
       }
     }
   }
 
-  /** A read by two voter slots at once. */
-  private void checkRead(int[] state, int voterSet, int without, int newest) {
+  /** Checks a read of the two voter slots other than the excluded one. */
+  private void checkRead(int[] state, int voterSet, int excludedSlot, int newest) {
     int found = -1;
     for (int slot = 0; slot < VOTERS; slot++) {
-      if (slot == without) {
+      if (slot == excludedSlot) {
         continue;
       }
       int process = holder(slot, voterSet);
--- a/consensus/src/test/java/elmsail/consensus/ReplacedVoterTest.java
+++ b/consensus/src/test/java/elmsail/consensus/ReplacedVoterTest.java
@@ -14,7 +14,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A spare's join that cannot complete, and another voter that loses its disk. */
+/**
+ * The join of a spare cannot complete, and another voter loses its disk. Without the records of the
+ * replaced voter each of the two joins would wait for the other. A replaced voter may be a source
+ * only while its successor doesn't vote, else committed values are lost.
+ */
 class ReplacedVoterTest {
   private final SimCluster cluster = new SimCluster();
 
@@ -22,7 +26,7 @@
     cluster.put(value, SimCluster.blob("blob " + value, 9));
   }
 
-  /** The last change is at voters 0 and 2 only; the spare's claim of slot 0 is known at 1 alone. */
+  /** Only voters 0 and 2 have the last change; only voter 1 knows the spare's claim of slot 0. */
   private void joinOfSpareKnownAtOneVoter() {
     cluster.bootstrapped();
     put("old");
@@ -38,7 +42,7 @@
     assertThat(cluster.replicas[3].isVoting(), is(false));
   }
 
-  private void wipe(int i) {
+  private void wipeDiskAndRestart(int i) {
     cluster.kill(i);
     cluster.disks[i].wipe();
     cluster.start(i);
@@ -59,30 +63,30 @@
   }
 
   @Test
-  void replacedVoterStandsInForASpareThatDoesNotVote() {
+  void replacedVoterIsASourceInPlaceOfASpareThatDoesNotVote() {
     joinOfSpareKnownAtOneVoter();
-    wipe(2);
+    wipeDiskAndRestart(2);
     cluster.net.healAll();
     assertAllVoteAndNothingIsLost();
   }
 
   @Test
-  void replacedVoterStandsInAlsoIfItKnowsItsSuccessor() {
+  void replacedVoterThatKnowsItsSuccessorIsASource() {
     joinOfSpareKnownAtOneVoter();
     cluster.replicas[0].learn(cluster.replicas[1].voterSet());
     cluster.timers.advance(20);
     assertThat(cluster.replicas[0].isVoting(), is(false));
     cluster.kill(0);
     cluster.start(0);
-    wipe(2);
+    wipeDiskAndRestart(2);
     cluster.net.healAll();
     assertAllVoteAndNothingIsLost();
   }
 
   @Test
-  void replacedVoterStandsInAlsoIfBothJoinsAreRestarted() {
+  void replacedVoterIsASourceIfBothJoinsAreRestarted() {
     joinOfSpareKnownAtOneVoter();
-    wipe(2);
+    wipeDiskAndRestart(2);
     cluster.kill(3);
     cluster.timers.advance(700);
     cluster.start(3);
@@ -94,23 +98,23 @@
   }
 
   @Test
-  void replacedVoterThatLostItsDiskDoesNotStandIn() {
+  void replacedVoterThatLostItsDiskIsNoSource() {
     joinOfSpareKnownAtOneVoter();
     cluster.replicas[0].learn(cluster.replicas[1].voterSet());
     cluster.kill(0);
     cluster.disks[0].wipe();
     cluster.start(0);
-    wipe(2);
+    wipeDiskAndRestart(2);
     cluster.net.healAll();
     cluster.timers.advance(10_000);
     assertThat(cluster.replicas[2].isVoting() || cluster.replicas[3].isVoting(), is(false));
   }
 
   @Test
-  void replacedVoterWhoseSuccessorMayVoteDoesNotStandIn() {
+  void replacedVoterWhoseSuccessorMayVoteIsNoSource() {
     joinOfSpareKnownAtOneVoter();
     cluster.kill(3);
-    wipe(2);
+    wipeDiskAndRestart(2);
     cluster.net.healAll();
     cluster.timers.advance(10_000);
     assertThat(cluster.replicas[2].isVoting(), is(false));
@@ -136,7 +140,7 @@
     assertThat(cluster.read(3_000), is("new"));
   }
 
-  /** It acknowledges as a voter, and has nothing of what its successor voted for. */
+  /** The replaced voter acknowledges as a voter, but lacks the values its successor voted for. */
   @Test
   void replacedVoterIsNoSourceOnceItsSuccessorVotes() {
     cluster.bootstrapped();
@@ -159,9 +163,9 @@
     assertThat(cluster.read(3_000), is("new"));
   }
 
-  /** Otherwise it would raise its epoch, and take the slot from one that votes. */
+  /** Otherwise the spare would claim a higher epoch, and take the slot from a voter. */
   @Test
-  void restartedSpareStillYieldsToARival() {
+  void restartedSpareYieldsToARivalOfTheSameEpoch() {
     cluster.bootstrapped();
     put("new");
     cluster.net.cutBoth(SimCluster.ADDRESSES[3], SimCluster.ADDRESSES[1]);
@@ -169,7 +173,7 @@
     cluster.replicas[3].learn(cluster.initialVoters);
     cluster.replicas[3].join(0, 2);
     cluster.timers.advance(500);
-    wipe(0);
+    wipeDiskAndRestart(0);
     cluster.awaitVoting(0, 5_000);
     assertThat(cluster.replicas[0].isVoting(), is(true));
     cluster.kill(3);
@@ -181,7 +185,10 @@
     assertThat(cluster.replicas[3].voterSet().voters.get(0).address, is(SimCluster.ADDRESSES[0]));
   }
 
-  /** The two that are down refuse its calls before the third responds with the newer voter set. */
+  /**
+   * Calls to the two replicas that are down fail before the third replica responds with the newer
+   * voter set.
+   */
   @Test
   void clientLearnsOfANewerVoterSetFromALateResponse() {
     cluster.bootstrapped();
@@ -206,12 +213,13 @@
     return voter;
   }
 
-  private static JoinResponse response(Voter by, VoterSet knows, boolean held, boolean replaced) {
+  private static JoinResponse response(
+      Voter responder, VoterSet voterSet, boolean accepted, boolean replaced) {
     JoinResponse response = new JoinResponse();
-    response.instanceId = by.instanceId;
-    response.voterSet = knows;
-    response.accepted = held;
-    response.recorded = !held;
+    response.instanceId = responder.instanceId;
+    response.voterSet = voterSet;
+    response.accepted = accepted;
+    response.recorded = !accepted;
     response.replaced = replaced;
     return response;
   }
@@ -226,14 +234,14 @@
     spare.previousEpoch = predecessor.epoch;
     known.voters.addAll(List.of(spare, voter("b", 1), voter("x", 2)));
     VoterSet rivals = VoterSets.withVoter(known, 0, voter("r", 2));
-    for (VoterSet knows : List.of(known, rivals)) {
+    for (VoterSet reported : List.of(known, rivals)) {
       JoinQuorum quorum = new JoinQuorum(known, 2, known.voters.get(2).instanceId);
       assertThat(quorum.awaitsHolder(2), is(false));
       quorum.onPredecessorResponse(0, response(predecessor, known, false, true));
       quorum.onHolderResponse(0, response(spare, known, false, false));
       assertThat(quorum.sources(), nullValue());
-      quorum.onHolderResponse(1, response(known.voters.get(1), knows, true, false));
-      if (knows == known) {
+      quorum.onHolderResponse(1, response(known.voters.get(1), reported, true, false));
+      if (reported == known) {
         assertThat(quorum.sources(), hasSize(2));
         assertThat(quorum.sources().get(1).instanceId, is(predecessor.instanceId));
       } else {
@@ -244,16 +252,16 @@
   }
 
   @Test
-  void twoReplacedVotersAreNotEnough() {
+  void twoReplacedVotersAreNoQuorumOfAJoin() {
     VoterSet known = new VoterSet();
     VoterSet old = new VoterSet();
     for (int i = 0; i < 2; i++) {
-      Voter one = voter("s" + i, 2);
+      Voter successor = voter("s" + i, 2);
       Voter predecessor = voter("a" + i, 1);
-      one.previousAddress = predecessor.address;
-      one.previousInstanceId = predecessor.instanceId;
-      one.previousEpoch = predecessor.epoch;
-      known.voters.add(one);
+      successor.previousAddress = predecessor.address;
+      successor.previousInstanceId = predecessor.instanceId;
+      successor.previousEpoch = predecessor.epoch;
+      known.voters.add(successor);
       old.voters.add(predecessor);
     }
     known.voters.add(voter("x", 2));
--- a/consensus/src/test/java/elmsail/consensus/RivalClaimsTest.java
+++ b/consensus/src/test/java/elmsail/consensus/RivalClaimsTest.java
@@ -9,12 +9,15 @@
 import elmsail.rpc.messages.VoterSet;
 import org.junit.jupiter.api.Test;
 
-/** Two claims of one slot under one epoch: whoever knew the loser first learns the winner. */
+/**
+ * Two claims of one slot under one epoch: a process that knew the losing claim first must learn the
+ * winning one, else it would keep the wrong voter until the next epoch.
+ */
 class RivalClaimsTest {
-  private static Voter voter(String station, long instanceId, int epoch) {
+  private static Voter voter(String host, long instanceId, int epoch) {
     Voter voter = new Voter();
-    voter.address = station + ":7720";
-    voter.machine = station;
+    voter.address = host + ":7720";
+    voter.machine = host;
     voter.instanceId = instanceId;
     voter.epoch = epoch;
     return voter;
@@ -28,54 +31,60 @@
     return set;
   }
 
-  private static ReplicaMembership of(Voter itself, VoterSet known, int caughtUp) {
-    return new ReplicaMembership(
-        itself.address, itself.machine, itself.instanceId, known, caughtUp);
+  private static ReplicaMembership membership(Voter self, VoterSet known, int caughtUp) {
+    return new ReplicaMembership(self.address, self.machine, self.instanceId, known, caughtUp);
   }
 
   @Test
-  void votingClaimantSupersedesTheOther() {
+  void claimantThatVotesSupersedesTheOther() {
     Voter winner = voter("b", 22, 2);
     Voter loser = voter("d", 4, 2);
-    ReplicaMembership winning = of(winner, set(winner), 0);
+    ReplicaMembership winning = membership(winner, set(winner), 0);
     assertThat(VoterSets.merge(set(loser), winning.voterSet()).voters.get(1).instanceId, is(4L));
     winning.caughtUpEpoch(2);
     VoterSet published = winning.voterSet();
     assertThat(VoterSets.merge(set(loser), published).voters.get(1).instanceId, is(22L));
-    assertThat("and keeps it", VoterSets.merge(published, set(loser)), is(sameInstance(published)));
+    assertThat(
+        "the confirmed voter is kept",
+        VoterSets.merge(published, set(loser)),
+        is(sameInstance(published)));
     VoterSet next = set(voter("d", 4, 3));
-    assertThat("until the next epoch", VoterSets.merge(published, next).voters.get(1).epoch, is(3));
+    assertThat(
+        "a higher epoch supersedes the confirmed voter",
+        VoterSets.merge(published, next).voters.get(1).epoch,
+        is(3));
   }
 
-  /** Its disk has its epoch, so it is confirmed after a restart as well. */
+  /** The voter's epoch is on its disk, so the voter is confirmed after a restart as well. */
   @Test
   void restartedVoterStillSupersedesTheOther() {
     Voter winner = voter("b", 22, 2);
-    VoterSet published = of(winner, set(winner), 2).voterSet();
+    VoterSet published = membership(winner, set(winner), 2).voterSet();
     assertThat(VoterSets.merge(set(voter("d", 4, 2)), published).voters.get(1).instanceId, is(22L));
   }
 
   @Test
   void acknowledgerOfTheLoserLearnsTheWinner() {
     Voter winner = voter("b", 22, 2);
-    ReplicaMembership third = of(voter("c", 3, 1), set(voter("b", 2, 1)), 1);
-    JoinRequest lost = new JoinRequest();
-    lost.slot = 1;
-    lost.voter = voter("d", 4, 2);
-    assertThat(third.recordClaim(lost), is(ReplicaMembership.ClaimDecision.ADOPTED));
-    assertThat(third.learn(of(winner, set(winner), 2).voterSet()), is(true));
-    assertThat(third.voterSet().voters.get(1).instanceId, is(22L));
-    assertThat(third.isVoting(), is(true));
+    ReplicaMembership acknowledger = membership(voter("c", 3, 1), set(voter("b", 2, 1)), 1);
+    JoinRequest losingRequest = new JoinRequest();
+    losingRequest.slot = 1;
+    losingRequest.voter = voter("d", 4, 2);
+    assertThat(
+        acknowledger.recordClaim(losingRequest), is(ReplicaMembership.ClaimDecision.ADOPTED));
+    assertThat(acknowledger.learn(membership(winner, set(winner), 2).voterSet()), is(true));
+    assertThat(acknowledger.voterSet().voters.get(1).instanceId, is(22L));
+    assertThat(acknowledger.isVoting(), is(true));
   }
 
-  /** The loser's own process gives up its claim. */
+  /** The process of the losing claim gives up the slot. */
   @Test
-  void loserHoldsNoSlot() {
+  void losingClaimantGivesUpItsClaim() {
     Voter winner = voter("b", 22, 2);
-    ReplicaMembership losing = of(voter("d", 4, 2), set(voter("b", 2, 1)), 0);
+    ReplicaMembership losing = membership(voter("d", 4, 2), set(voter("b", 2, 1)), 0);
     losing.claim(1, 2);
     assertThat(losing.ownSlot(), is(1));
-    assertThat(losing.learn(of(winner, set(winner), 2).voterSet()), is(true));
+    assertThat(losing.learn(membership(winner, set(winner), 2).voterSet()), is(true));
     assertThat(losing.ownSlot(), is(-1));
   }
 }
