--- a/front/src/main/java/willowdoor/benchlink/BenchLink.java
+++ b/front/src/main/java/willowdoor/benchlink/BenchLink.java
@@ -18,26 +18,26 @@
 import java.util.List;
 import java.util.Map;
 import willowdoor.policy.GatewayApi.Action;
-import willowdoor.policy.GatewayApi.Add;
+import willowdoor.policy.GatewayApi.AddToCounter;
 import willowdoor.policy.GatewayApi.BackendEntry;
+import willowdoor.policy.GatewayApi.BackendList;
+import willowdoor.policy.GatewayApi.BackendListKind;
 import willowdoor.policy.GatewayApi.Cancel;
-import willowdoor.policy.GatewayApi.ClientLeft;
-import willowdoor.policy.GatewayApi.Counted;
+import willowdoor.policy.GatewayApi.ClientDisconnected;
+import willowdoor.policy.GatewayApi.CounterResult;
 import willowdoor.policy.GatewayApi.Event;
 import willowdoor.policy.GatewayApi.Fail;
-import willowdoor.policy.GatewayApi.FollowRoster;
 import willowdoor.policy.GatewayApi.Load;
 import willowdoor.policy.GatewayApi.Outcome;
 import willowdoor.policy.GatewayApi.Phase;
 import willowdoor.policy.GatewayApi.Refuse;
 import willowdoor.policy.GatewayApi.Request;
-import willowdoor.policy.GatewayApi.Roster;
-import willowdoor.policy.GatewayApi.RosterForm;
 import willowdoor.policy.GatewayApi.Send;
+import willowdoor.policy.GatewayApi.SetTimer;
 import willowdoor.policy.GatewayApi.Status;
-import willowdoor.policy.GatewayApi.StreamBegan;
-import willowdoor.policy.GatewayApi.WakeAt;
-import willowdoor.policy.GatewayApi.Woken;
+import willowdoor.policy.GatewayApi.StreamStarted;
+import willowdoor.policy.GatewayApi.TimerFired;
+import willowdoor.policy.GatewayApi.WatchBackendList;
 import willowdoor.policy.QuotaPolicy;
 import willowdoor.wire.JsonFields;
 import willowdoor.wire.WireSettings;
@@ -138,12 +138,12 @@
   private Event event(String name, Map<String, Object> m) {
     return switch (name) {
       case "Discovery" ->
-          new Roster(
+          new BackendList(
               switch (text(m, "Form")) {
-                case "changes" -> RosterForm.CHANGES;
-                case "all" -> RosterForm.COMPLETE;
-                case "remembered" -> RosterForm.REMEMBERED;
-                default -> RosterForm.FAILED;
+                case "changes" -> BackendListKind.CHANGES;
+                case "all" -> BackendListKind.COMPLETE;
+                case "remembered" -> BackendListKind.CACHED;
+                default -> BackendListKind.FAILED;
               },
               lists.getOrDefault((int) number(m, "Bank"), List.of()));
       case "Req" ->
@@ -155,7 +155,7 @@
               (int) number(m, "EntryPoints"),
               number(m, "CostUnits"),
               number(m, "GiveUpAtMs"));
-      case "Accepted" -> new StreamBegan(text(m, "Tid"), (int) number(m, "SendNo"));
+      case "Accepted" -> new StreamStarted(text(m, "Tid"), (int) number(m, "SendNo"));
       case "Result" ->
           new Outcome(
               text(m, "Tid"),
@@ -166,14 +166,14 @@
               flag(m, "Last"),
               number(m, "FinalUnits"),
               load(child(m, "Load")));
-      case "Gone" -> new ClientLeft(text(m, "Tid"));
+      case "Gone" -> new ClientDisconnected(text(m, "Tid"));
       case "Reckoned" ->
-          new Counted(
+          new CounterResult(
               text(m, "Book"),
               STATUSES.getOrDefault(text(m, "StateCode"), Status.ERROR),
               number(m, "Value"),
               number(m, "LatencyMs"));
-      case "Elapsed" -> new Woken(text(m, "Label"));
+      case "Elapsed" -> new TimerFired(text(m, "Label"));
       default -> null;
     };
   }
@@ -215,8 +215,8 @@
     } else if (action instanceof Refuse a) {
       begin("Deny", door);
       out.writeStringField("Tid", a.request());
-      if (a.holdOffMs() > 0) {
-        out.writeNumberField("HoldOffMs", a.holdOffMs());
+      if (a.retryAfterMs() > 0) {
+        out.writeNumberField("HoldOffMs", a.retryAfterMs());
       }
     } else if (action instanceof Fail a) {
       begin("Lose", door);
@@ -225,16 +225,16 @@
       begin("UndoSend", door);
       out.writeStringField("Tid", a.request());
       out.writeNumberField("SendNo", a.attempt());
-    } else if (action instanceof Add a) {
+    } else if (action instanceof AddToCounter a) {
       begin("PostAmount", door);
       out.writeStringField("Book", a.name());
       out.writeNumberField("Qty", a.amount());
       out.writeNumberField("TtlMs", a.ttlMs());
-    } else if (action instanceof WakeAt a) {
+    } else if (action instanceof SetTimer a) {
       begin("After", door);
       out.writeNumberField("InstantMs", a.atMs());
       out.writeStringField("Label", a.label());
-    } else if (action instanceof FollowRoster) {
+    } else if (action instanceof WatchBackendList) {
       begin("Track", door);
       out.writeBooleanField("Active", true);
     }
--- a/front/src/main/java/willowdoor/front/Config.java
+++ b/front/src/main/java/willowdoor/front/Config.java
@@ -72,7 +72,7 @@
     requireNames(settings, "Tariffs");
     Map<String, Object> bounds = JsonFields.child(settings, "Bounds");
     InetSocketAddress counter =
-        fields.get("counter") == null && !parsed.allowed().sharedCount()
+        fields.get("counter") == null && !parsed.allowed().sharedCounter()
             ? null
             : address(fields, "counter");
     InetSocketAddress management =
@@ -114,11 +114,11 @@
   String describe() {
     StringBuilder text =
         new StringBuilder("front door ")
-            .append(settings.self())
+            .append(settings.selfIndex())
             .append(" of ")
             .append(settings.gateways())
             .append(", calls ")
-            .append(settings.allowed().countLimitMs());
+            .append(settings.allowed().counterTimeoutMs());
     settings
         .classes()
         .forEach(
@@ -126,7 +126,7 @@
                 text.append(", ")
                     .append(c.name())
                     .append(' ')
-                    .append(c.aimMs())
+                    .append(c.objectiveMs())
                     .append('/')
                     .append(c.deadlineMs()));
     settings
@@ -140,7 +140,7 @@
                     .append('/')
                     .append(p.burst())
                     .append(" open ")
-                    .append(p.openLimit()));
+                    .append(p.maxOpen()));
     return text.toString();
   }
 
--- a/front/src/main/java/willowdoor/front/FrontDoor.java
+++ b/front/src/main/java/willowdoor/front/FrontDoor.java
@@ -289,7 +289,7 @@
             transport,
             clock,
             tally,
-            policy::banned,
+            policy::isExcluded,
             descriptors.backends(),
             config.connectLimitMs(),
             config.idleLimitMs());
@@ -311,7 +311,7 @@
             transport,
             clock,
             newest.counter(),
-            config.settings().allowed().countLimitMs(),
+            config.settings().allowed().counterTimeoutMs(),
             tally,
             driver::onCounted);
     if (newest.counter() != null) {
--- a/front/src/main/java/willowdoor/front/clients/RequestReader.java
+++ b/front/src/main/java/willowdoor/front/clients/RequestReader.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 import willowdoor.front.requests.Asked;
 import willowdoor.front.requests.Headers;
-import willowdoor.policy.GatewayApi.Repeat;
 import willowdoor.policy.GatewayApi.RequestClass;
+import willowdoor.policy.GatewayApi.RetrySafety;
 import willowdoor.policy.GatewayApi.Settings;
 
 /**
@@ -54,11 +54,11 @@
     if (type == null || !type.name().equals(firstPart(uri))) {
       throw new BadRequest("unknown class");
     }
-    boolean safe = type.repeat() == Repeat.SAFE;
+    boolean safe = type.retrySafety() == RetrySafety.SAFE;
     if (!message.method().equals(safe ? HttpMethod.GET : HttpMethod.POST)) {
       throw new BadRequest("method does not fit the class");
     }
-    if (type.repeat() == Repeat.KEYED) {
+    if (type.retrySafety() == RetrySafety.KEYED) {
       text(headers, Headers.IDEMPOTENCY_KEY);
     }
     String plan = text(headers, Headers.PLAN);
--- a/front/src/main/java/willowdoor/front/counter/CounterClient.java
+++ b/front/src/main/java/willowdoor/front/counter/CounterClient.java
@@ -23,7 +23,7 @@
 import willowdoor.front.loop.Tally;
 import willowdoor.front.loop.Transport;
 import willowdoor.front.requests.ModuleDriver;
-import willowdoor.policy.GatewayApi.Counted;
+import willowdoor.policy.GatewayApi.CounterResult;
 import willowdoor.policy.GatewayApi.Status;
 
 /**
@@ -74,7 +74,7 @@
   private final Clock clock;
   private final double limitMs;
   private final Tally tally;
-  private final Consumer<Counted> listener;
+  private final Consumer<CounterResult> listener;
   private final Bootstrap bootstrap;
   private Link[] links = {};
 
@@ -97,7 +97,7 @@
       SocketAddress counter,
       double limitMs,
       Tally tally,
-      Consumer<Counted> listener) {
+      Consumer<CounterResult> listener) {
     this.loop = loop;
     this.counter = counter;
     this.clock = clock;
@@ -147,7 +147,7 @@
     Link link = before != null && before.link.open() ? before.link : leastOwing(links);
     link = link != null ? link : leastOwing(leaving);
     if (link == null || link.owed.size() >= MOST_OWED) {
-      listener.accept(new Counted(name, Status.UNREACHABLE, 0, 0));
+      listener.accept(new CounterResult(name, Status.UNREACHABLE, 0, 0));
       return;
     }
     lastOfName.put(name, call);
@@ -182,7 +182,7 @@
     call.done = true;
     lastOfName.remove(call.name, call);
     if (call.name != null) {
-      listener.accept(new Counted(call.name, status, total, clock.now() - call.startedAt));
+      listener.accept(new CounterResult(call.name, status, total, clock.now() - call.startedAt));
     }
   }
 
--- a/front/src/main/java/willowdoor/front/requests/Inbox.java
+++ b/front/src/main/java/willowdoor/front/requests/Inbox.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import willowdoor.front.loop.Clock;
+import willowdoor.policy.GatewayApi.BackendList;
 import willowdoor.policy.GatewayApi.Event;
-import willowdoor.policy.GatewayApi.Roster;
 
 /**
  * Events on their way to the module, one at a time: what comes up while one is worked on waits for
@@ -47,7 +47,7 @@
   }
 
   /** The events that come up as others take the list go behind it. */
-  void addList(Roster list, Runnable others) {
+  void addList(BackendList list, Runnable others) {
     lists.add(list);
     boolean within = delivering;
     delivering = true;
--- a/front/src/main/java/willowdoor/front/requests/ModuleDriver.java
+++ b/front/src/main/java/willowdoor/front/requests/ModuleDriver.java
@@ -14,22 +14,22 @@
 import willowdoor.front.loop.Clock;
 import willowdoor.front.loop.Tally;
 import willowdoor.policy.GatewayApi.Action;
-import willowdoor.policy.GatewayApi.Add;
-import willowdoor.policy.GatewayApi.Ban;
+import willowdoor.policy.GatewayApi.AddToCounter;
+import willowdoor.policy.GatewayApi.BackendExclusion;
+import willowdoor.policy.GatewayApi.BackendList;
+import willowdoor.policy.GatewayApi.BackendListKind;
 import willowdoor.policy.GatewayApi.Cancel;
-import willowdoor.policy.GatewayApi.ClientLeft;
-import willowdoor.policy.GatewayApi.Counted;
+import willowdoor.policy.GatewayApi.ClientDisconnected;
+import willowdoor.policy.GatewayApi.CounterResult;
 import willowdoor.policy.GatewayApi.Event;
 import willowdoor.policy.GatewayApi.Fail;
 import willowdoor.policy.GatewayApi.Outcome;
 import willowdoor.policy.GatewayApi.Refuse;
 import willowdoor.policy.GatewayApi.Request;
-import willowdoor.policy.GatewayApi.Roster;
-import willowdoor.policy.GatewayApi.RosterForm;
 import willowdoor.policy.GatewayApi.Send;
+import willowdoor.policy.GatewayApi.SetTimer;
 import willowdoor.policy.GatewayApi.Status;
-import willowdoor.policy.GatewayApi.WakeAt;
-import willowdoor.policy.GatewayApi.Woken;
+import willowdoor.policy.GatewayApi.TimerFired;
 import willowdoor.policy.QuotaPolicy;
 
 /**
@@ -109,7 +109,7 @@
     this.counter = counter;
     policy.start(clock.now()).forEach(this::execute);
     backends.onRoster(known);
-    deliver(new Roster(RosterForm.REMEMBERED, known.entries()));
+    deliver(new BackendList(BackendListKind.CACHED, known.entries()));
   }
 
   public int held() {
@@ -123,7 +123,7 @@
 
   /** What the module has to tell the log. */
   public String figures() {
-    return policy.figures();
+    return policy.summarizeStats();
   }
 
   public boolean holds(String id) {
@@ -164,7 +164,7 @@
   public void clientLeft(String id) {
     Live r = live.get(id);
     if (r != null && r.finish()) {
-      deliver(new ClientLeft(id));
+      deliver(new ClientDisconnected(id));
       if (r.begun != null || !r.message.whole()) {
         List.copyOf(r.attempts).forEach(a -> a.abandon(Status.CANCELLED));
       }
@@ -172,7 +172,7 @@
     }
   }
 
-  public void onCounted(Counted counted) {
+  public void onCounted(CounterResult counted) {
     deliver(counted);
   }
 
@@ -183,19 +183,20 @@
    */
   public void onRoster(RosterNews news) {
     inbox.addList(
-        new Roster(news.full() ? RosterForm.COMPLETE : RosterForm.CHANGES, news.entries()),
+        new BackendList(
+            news.full() ? BackendListKind.COMPLETE : BackendListKind.CHANGES, news.entries()),
         () -> backends.onRoster(news));
   }
 
   /** Whether operators may name this backend. */
   public boolean knows(String host) {
-    return policy.knows(RosterNews.number(host));
+    return policy.isKnown(RosterNews.number(host));
   }
 
   /** Takes a backend out or puts it back. */
   public void ban(String host, boolean out) {
     long id = RosterNews.number(host);
-    deliver(new Ban(id, out));
+    deliver(new BackendExclusion(id, out));
     if (out) {
       backends.cut(id);
     }
@@ -228,7 +229,7 @@
         r.client.cut();
         r.begun.abandon(Status.CANCELLED);
       }
-      deliver(new ClientLeft(r.asked.id()));
+      deliver(new ClientDisconnected(r.asked.id()));
       r.forgetIfDone();
     }
   }
@@ -261,7 +262,7 @@
       failId(e.id());
     } else if (event instanceof Outcome e) {
       failId(e.request());
-    } else if (event instanceof Woken) {
+    } else if (event instanceof TimerFired) {
       loop.schedule(() -> deliver(event), WAKE_AGAIN_MS, TimeUnit.MILLISECONDS);
     }
   }
@@ -276,14 +277,14 @@
   private void execute(Action action) {
     if (action instanceof Send a) {
       send(a);
-    } else if (action instanceof Add a) {
+    } else if (action instanceof AddToCounter a) {
       counter.add(a.name(), a.amount(), a.ttlMs());
-    } else if (action instanceof WakeAt a) {
+    } else if (action instanceof SetTimer a) {
       wake(a);
     } else if (action instanceof Refuse a) {
       Live r = live.get(a.request());
       if (r != null && r.finish()) {
-        r.client.refused(a.holdOffMs());
+        r.client.refused(a.retryAfterMs());
         r.forgetIfDone();
       }
     } else if (action instanceof Fail a) {
@@ -305,10 +306,10 @@
    * Never early: the module lets a wake-up pass that comes before its time, and then none would
    * follow.
    */
-  private void wake(WakeAt a) {
+  private void wake(SetTimer a) {
     double wait = Math.max(0, a.atMs() - clock.now());
     loop.schedule(
-        () -> deliver(new Woken(a.label())),
+        () -> deliver(new TimerFired(a.label())),
         (long) Math.ceil(wait * 1000) + 1,
         TimeUnit.MICROSECONDS);
   }
--- a/front/src/main/java/willowdoor/front/requests/Sent.java
+++ b/front/src/main/java/willowdoor/front/requests/Sent.java
@@ -4,7 +4,7 @@
 import io.netty.handler.codec.http.HttpResponse;
 import willowdoor.policy.GatewayApi.Outcome;
 import willowdoor.policy.GatewayApi.Status;
-import willowdoor.policy.GatewayApi.StreamBegan;
+import willowdoor.policy.GatewayApi.StreamStarted;
 
 /** An attempt of a request that is in the table. */
 final class Sent extends Attempt {
@@ -45,7 +45,7 @@
       streams = true;
       stopTimer();
       r.lastCall.cancel(false);
-      driver.deliver(new StreamBegan(r.asked.id(), number));
+      driver.deliver(new StreamStarted(r.asked.id(), number));
     }
   }
 
@@ -75,7 +75,7 @@
     stopTimer();
     r.lastCall.cancel(false);
     r.client.begin(head, carrier());
-    driver.deliver(new StreamBegan(r.asked.id(), number));
+    driver.deliver(new StreamStarted(r.asked.id(), number));
     return true;
   }
 
--- a/front/src/main/java/willowdoor/front/start/WarmUp.java
+++ b/front/src/main/java/willowdoor/front/start/WarmUp.java
@@ -12,8 +12,8 @@
 import willowdoor.policy.GatewayApi.BackendEntry;
 import willowdoor.policy.GatewayApi.Phase;
 import willowdoor.policy.GatewayApi.Plan;
-import willowdoor.policy.GatewayApi.Repeat;
 import willowdoor.policy.GatewayApi.RequestClass;
+import willowdoor.policy.GatewayApi.RetrySafety;
 import willowdoor.policy.GatewayApi.Settings;
 
 /**
@@ -67,7 +67,7 @@
   private String request(int number) {
     RequestClass type = settings.classes().get(number % settings.classes().size());
     Plan plan = settings.plans().get(number / settings.classes().size() % settings.plans().size());
-    boolean safe = type.repeat() == Repeat.SAFE;
+    boolean safe = type.retrySafety() == RetrySafety.SAFE;
     return (safe ? "GET /" : "POST /")
         + type.name()
         + "/warm-up HTTP/1.1\r\nHost: warm-up\r\n"
@@ -89,7 +89,9 @@
         + "\r\n"
         + Headers.TIMEOUT_MS
         + ": 10000\r\n"
-        + (type.repeat() == Repeat.KEYED ? Headers.IDEMPOTENCY_KEY + ": " + number + "\r\n" : "")
+        + (type.retrySafety() == RetrySafety.KEYED
+            ? Headers.IDEMPOTENCY_KEY + ": " + number + "\r\n"
+            : "")
         + Headers.QUOTA
         + ": units=1,spread="
         + settings.gateways()
--- a/front/src/main/java/willowdoor/wire/WireSettings.java
+++ b/front/src/main/java/willowdoor/wire/WireSettings.java
@@ -9,11 +9,11 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import willowdoor.policy.GatewayApi.Allowed;
-import willowdoor.policy.GatewayApi.Group;
+import willowdoor.policy.GatewayApi.DeduplicationScope;
+import willowdoor.policy.GatewayApi.GatewayOptions;
 import willowdoor.policy.GatewayApi.Plan;
-import willowdoor.policy.GatewayApi.Repeat;
 import willowdoor.policy.GatewayApi.RequestClass;
+import willowdoor.policy.GatewayApi.RetrySafety;
 import willowdoor.policy.GatewayApi.Rules;
 import willowdoor.policy.GatewayApi.Settings;
 
@@ -38,14 +38,14 @@
               number(c, "AimMs"),
               number(c, "DeadlineMs"),
               switch (text(c, "Repeat")) {
-                case "pure" -> Repeat.SAFE;
-                case "token" -> Repeat.KEYED;
-                default -> Repeat.UNSAFE;
+                case "pure" -> RetrySafety.SAFE;
+                case "token" -> RetrySafety.KEYED;
+                default -> RetrySafety.UNSAFE;
               },
               switch (text(c, "Group")) {
-                case "all" -> Group.ALL;
-                case "zone" -> Group.ZONE;
-                default -> Group.CELL;
+                case "all" -> DeduplicationScope.ALL;
+                case "zone" -> DeduplicationScope.ZONE;
+                default -> DeduplicationScope.CELL;
               },
               number(c, "RepeatWindowMs"),
               flag(c, "Stream")));
@@ -75,7 +75,7 @@
         weights.equals("nominal") || weights.equals("rough"),
         classes,
         plans,
-        new Allowed(
+        new GatewayOptions(
             flag(extra, "Counter"),
             number(extra, "CountLimitMs"),
             flag(bounds, "Cancel"),
--- a/front/src/test/java/willowdoor/front/counter/CounterClientTest.java
+++ b/front/src/test/java/willowdoor/front/counter/CounterClientTest.java
@@ -19,7 +19,7 @@
 import willowdoor.front.loop.Clock;
 import willowdoor.front.loop.Tally;
 import willowdoor.front.loop.Transport;
-import willowdoor.policy.GatewayApi.Counted;
+import willowdoor.policy.GatewayApi.CounterResult;
 import willowdoor.policy.GatewayApi.Status;
 
 /** The counter's client against a scripted counter. */
@@ -29,8 +29,8 @@
   private final Peers peers = new Peers();
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, Transport.BEST.ioHandler());
-  private final BlockingQueue<Counted> ends = new LinkedBlockingQueue<>();
-  private volatile Consumer<Counted> listener = ends::add;
+  private final BlockingQueue<CounterResult> ends = new LinkedBlockingQueue<>();
+  private volatile Consumer<CounterResult> listener = ends::add;
   private final Tally tally = new Tally();
   private CounterClient client;
 
@@ -67,7 +67,7 @@
     start(5_000);
     add("a", 2);
     assertEquals("incr a 2 4000", Peers.next(peers.atCounter));
-    assertEquals(new Counted("a", Status.OK, 2, 0).total(), Peers.next(ends).total());
+    assertEquals(new CounterResult("a", Status.OK, 2, 0).total(), Peers.next(ends).total());
     add("a", -0.0000125);
     assertEquals("incr a -0.000013 4000", Peers.next(peers.atCounter));
     Peers.next(ends);
@@ -115,7 +115,7 @@
     }
     add("x", 1);
     go.countDown();
-    Counted next = Peers.next(ends);
+    CounterResult next = Peers.next(ends);
     assertEquals(Status.OK, next.status());
     assertEquals(1, next.total());
   }
@@ -257,7 +257,7 @@
       add("c", 1);
       assertEquals("c", Peers.next(ends).name());
       go.countDown();
-      Counted owed = Peers.next(ends);
+      CounterResult owed = Peers.next(ends);
       assertEquals("a", owed.name());
       assertEquals(Status.OK, owed.status());
       assertTrue(ended.await(10, TimeUnit.SECONDS));
--- a/front/src/test/java/willowdoor/front/discovery/RosterNewsTest.java
+++ b/front/src/test/java/willowdoor/front/discovery/RosterNewsTest.java
@@ -61,7 +61,7 @@
   void whatIsNotSaidHasItsDefault() throws IOException {
     RosterNews news = parse(Peers.list(9, false, entry(""), Peers.entry("s-2", 80, "left")));
     assertEquals(2, news.entries().size());
-    assertEquals(1, news.entries().get(0).size());
+    assertEquals(1, news.entries().get(0).capacity());
     assertEquals(0, news.entries().get(0).startedMs());
     assertEquals(
         NOW + 5_000,
--- a/front/src/test/java/willowdoor/front/requests/InboxTest.java
+++ b/front/src/test/java/willowdoor/front/requests/InboxTest.java
@@ -11,11 +11,11 @@
 import org.junit.jupiter.api.Test;
 import willowdoor.front.loop.Clock;
 import willowdoor.policy.GatewayApi.BackendEntry;
+import willowdoor.policy.GatewayApi.BackendList;
+import willowdoor.policy.GatewayApi.BackendListKind;
 import willowdoor.policy.GatewayApi.Event;
 import willowdoor.policy.GatewayApi.Phase;
-import willowdoor.policy.GatewayApi.Roster;
-import willowdoor.policy.GatewayApi.RosterForm;
-import willowdoor.policy.GatewayApi.Woken;
+import willowdoor.policy.GatewayApi.TimerFired;
 
 /** The order in which the module hears of what came, on a clock moved by hand. */
 class InboxTest {
@@ -31,14 +31,15 @@
     channel.close();
   }
 
-  private static Roster list(Phase phase) {
-    return new Roster(RosterForm.CHANGES, List.of(new BackendEntry(1, "a", 0, phase, 1, 0)));
+  private static BackendList list(Phase phase) {
+    return new BackendList(
+        BackendListKind.CHANGES, List.of(new BackendEntry(1, "a", 0, phase, 1, 0)));
   }
 
   @Test
   void listsThatCameInAPauseGoFirstInTheirOrder() {
     nanos += TimeUnit.SECONDS.toNanos(1);
-    Woken event = new Woken("tick");
+    TimerFired event = new TimerFired("tick");
     inbox.add(event);
     inbox.addList(list(Phase.SERVING), () -> {});
     inbox.addList(list(Phase.DRAINING), () -> {});
@@ -49,7 +50,7 @@
 
   @Test
   void whatAListEndsIsHeardBehindIt() {
-    Woken event = new Woken("ended");
+    TimerFired event = new TimerFired("ended");
     inbox.addList(list(Phase.DRAINING), () -> inbox.add(event));
     assertEquals(List.of(list(Phase.DRAINING), event), heard);
   }
--- a/front/src/test/java/willowdoor/front/requests/WaitLimitsTest.java
+++ b/front/src/test/java/willowdoor/front/requests/WaitLimitsTest.java
@@ -32,7 +32,7 @@
 import willowdoor.front.discovery.RosterNews;
 import willowdoor.front.loop.Clock;
 import willowdoor.front.loop.Tally;
-import willowdoor.policy.GatewayApi.Counted;
+import willowdoor.policy.GatewayApi.CounterResult;
 import willowdoor.policy.GatewayApi.Status;
 import willowdoor.policy.QuotaPolicy;
 import willowdoor.wire.JsonFields;
@@ -165,7 +165,9 @@
   private void count(String name, double amount, double ttlMs) {
     adds.add(name + ' ' + amount);
     if (counterAnswers) {
-      channel.eventLoop().execute(() -> driver.onCounted(new Counted(name, Status.OK, amount, 1)));
+      channel
+          .eventLoop()
+          .execute(() -> driver.onCounted(new CounterResult(name, Status.OK, amount, 1)));
     }
   }
 
@@ -257,11 +259,11 @@
       Trouble trouble, boolean counted, int timeout, int age, String stage) throws Exception {
     set(trouble);
     counterAnswers = counted;
-    assertFalse(policy.figures().contains("expired " + stage));
+    assertFalse(policy.summarizeStats().contains("expired " + stage));
     take("r1", "seal", timeout, age);
     pass(timeout);
-    assertTrue(policy.figures().endsWith("expired " + stage + "=1"));
-    assertTrue(policy.figures().endsWith("expired"));
+    assertTrue(policy.summarizeStats().endsWith("expired " + stage + "=1"));
+    assertTrue(policy.summarizeStats().endsWith("expired"));
   }
 
   @Test
@@ -360,7 +362,7 @@
     counterAnswers = false;
     take("r1", "quote", 2_000, 0);
     driver.clientLeft("r1");
-    driver.onCounted(new Counted(adds.get(0).split(" ")[0], Status.OK, 2, 30));
+    driver.onCounted(new CounterResult(adds.get(0).split(" ")[0], Status.OK, 2, 30));
     counterAnswers = true;
     take("r2", "quote", 2_000, 0);
     assertTrue(adds.get(0).endsWith(" 2.0"), adds.toString());
--- a/policy/src/main/java/willowdoor/policy/Context.java
+++ b/policy/src/main/java/willowdoor/policy/Context.java
@@ -10,28 +10,36 @@
 final class Context {
   final Settings settings;
   final SplittableRandom random;
-  final Stalls stalls = new Stalls();
-  final Pressure pressure;
-  final Figures figures = new Figures();
+  final StallDetector stallDetector = new StallDetector();
+  final LoadEstimate load;
+  final DecisionStats stats = new DecisionStats();
   double now, startedAt;
-  List<Action> out = new ArrayList<>(); // what to do for the event at hand, in order
+  List<Action> actions = new ArrayList<>(); // what to do for the event at hand, in order
 
   private final Map<String, RequestClass> classes = new HashMap<>();
 
   Context(Settings settings, long seed) {
     this.settings = settings;
     random = new SplittableRandom(seed);
-    pressure = new Pressure(settings);
+    load = new LoadEstimate(settings);
     settings.classes().forEach(c -> classes.put(c.name(), c));
   }
 
   /** A class not in the settings is treated as one that must never run twice. */
-  RequestClass type(Request r) {
-    RequestClass known = classes.get(r.className());
-    double left = r.giveUpMs() - now;
+  RequestClass requestClass(Request request) {
+    RequestClass known = classes.get(request.className());
+    double remainingMs = request.deadlineMs() - now;
     return known != null
         ? known
         : new RequestClass(
-            r.className(), 1, 0, left / 2, left, Repeat.UNSAFE, Group.CELL, 0, false);
+            request.className(),
+            1,
+            0,
+            remainingMs / 2,
+            remainingMs,
+            RetrySafety.UNSAFE,
+            DeduplicationScope.CELL,
+            0,
+            false);
   }
 }
--- a/policy/src/main/java/willowdoor/policy/Figures.java
+++ b/policy/src/main/java/willowdoor/policy/DecisionStats.java
@@ -4,8 +4,8 @@
 import willowdoor.policy.GatewayApi.Status;
 
 /** What the log tells: how calls and requests ended since last asked. */
-final class Figures {
-  enum Refusal {
+final class DecisionStats {
+  enum RefusalReason {
     FULL,
     LATE,
     PRESSED,
@@ -18,7 +18,7 @@
   }
 
   /** What a request came to or waited for as its time ran out. */
-  enum Stage {
+  enum ExpiryStage {
     ARRIVAL,
     COUNTER,
     HELD,
@@ -26,28 +26,30 @@
     ANSWER
   }
 
-  final int[] refused = new int[Refusal.values().length], expired = new int[Stage.values().length];
-  final int[] callEnds = new int[Status.values().length];
+  final int[] refused = new int[RefusalReason.values().length],
+      expired = new int[ExpiryStage.values().length];
+  final int[] counterCalls = new int[Status.values().length];
 
   /** The counts, after what the guards see; they begin anew. */
-  String text(double pressure, double service, double pace, int serving, double heldUpMs) {
+  String summarizeAndReset(
+      double waitShare, double serviceMs, double callShare, int servingBackends, double pauseMs) {
     StringBuilder text =
         new StringBuilder(
             String.format(
                 Locale.ROOT,
                 "pressure=%.2f service=%.0f pace=%.2f serving=%d held_up_ms=%.0f calls",
-                pressure,
-                service,
-                pace,
-                serving,
-                heldUpMs));
-    append(text, Status.values(), callEnds);
-    append(text.append(" refused"), Refusal.values(), refused);
-    append(text.append(" expired"), Stage.values(), expired);
+                waitShare,
+                serviceMs,
+                callShare,
+                servingBackends,
+                pauseMs));
+    appendAndReset(text, Status.values(), counterCalls);
+    appendAndReset(text.append(" refused"), RefusalReason.values(), refused);
+    appendAndReset(text.append(" expired"), ExpiryStage.values(), expired);
     return text.toString();
   }
 
-  private static void append(StringBuilder text, Enum<?>[] names, int[] counts) {
+  private static void appendAndReset(StringBuilder text, Enum<?>[] names, int[] counts) {
     for (Enum<?> name : names) {
       if (counts[name.ordinal()] > 0) {
         text.append(' ').append(name).append('=').append(counts[name.ordinal()]);
--- a/policy/src/main/java/willowdoor/policy/GatewayApi.java
+++ b/policy/src/main/java/willowdoor/policy/GatewayApi.java
@@ -14,7 +14,7 @@
   /**
    * May a request run again: freely, within a group of backends that drops its repeats, or never.
    */
-  public enum Repeat {
+  public enum RetrySafety {
     SAFE,
     KEYED,
     UNSAFE
@@ -23,7 +23,7 @@
   /**
    * The backends that drop a keyed request's repeats: all, those of one zone, or those of one cell.
    */
-  public enum Group {
+  public enum DeduplicationScope {
     ALL,
     ZONE,
     CELL
@@ -56,10 +56,10 @@
    * A roster holds only what changed, all backends, all as seen in an earlier life, or is a
    * failure.
    */
-  public enum RosterForm {
+  public enum BackendListKind {
     CHANGES,
     COMPLETE,
-    REMEMBERED,
+    CACHED,
     FAILED
   }
 
@@ -68,61 +68,61 @@
       String name,
       double value,
       double lateValue,
-      double aimMs,
+      double objectiveMs,
       double deadlineMs,
-      Repeat repeat,
-      Group group,
-      double repeatWindowMs,
-      boolean stream) {}
+      RetrySafety retrySafety,
+      DeduplicationScope deduplicationScope,
+      double deduplicationWindowMs,
+      boolean streaming) {}
 
   /** One plan; a rate, open limit or ceiling rate of 0 means that there is none. */
   public record Plan(
       String name,
       double rate,
       double burst,
-      int openLimit,
-      double worthFactor,
-      double beyondEarns,
-      double beyondCost,
+      int maxOpen,
+      double valueFactor,
+      double overQuotaValue,
+      double overQuotaCost,
       double ceilingRate,
       double ceilingBurst,
       double ceilingSlack) {}
 
   /** What a gateway may use and do. */
-  public record Allowed(
-      boolean sharedCount,
-      double countLimitMs,
+  public record GatewayOptions(
+      boolean sharedCounter,
+      double counterTimeoutMs,
       boolean cancel,
       boolean duplicates,
-      int attempts,
-      int open,
-      boolean holdOff,
-      double maxHoldOffMs,
-      boolean rosterOnRequest) {}
+      int maxAttempts,
+      int maxOpen,
+      boolean retryAfter,
+      double maxRetryAfterMs,
+      boolean backendListOnRequest) {}
 
   /** Figures of the rules. */
   public record Rules(
       double answerSlackMs,
-      double coldFrom,
-      double coldMs,
-      double tipMultiple,
-      double tipAfterMs) {}
+      double warmUpStartShare,
+      double warmUpMs,
+      double overloadMultiple,
+      double overloadAfterMs) {}
 
   public record Settings(
       int gateways,
-      int self,
+      int selfIndex,
       String zone,
       double maxUnits,
-      double crossZonePrice,
-      boolean sizesTold,
+      double crossZoneCost,
+      boolean capacityHints,
       List<RequestClass> classes,
       List<Plan> plans,
-      Allowed allowed,
+      GatewayOptions allowed,
       Rules rules) {}
 
   /** One backend of a roster; startedMs is 0 when it started long ago. */
   public record BackendEntry(
-      long id, String zone, int cell, Phase phase, double size, double startedMs) {}
+      long id, String zone, int cell, Phase phase, double capacity, double startedMs) {}
 
   /** A load report; a value that was not reported is NaN. */
   public record Load(double inFlight, double serviceMs) {}
@@ -130,10 +130,10 @@
   /** What a gateway tells its module. */
   public sealed interface Event {}
 
-  public record Roster(RosterForm form, List<BackendEntry> entries) implements Event {}
+  public record BackendList(BackendListKind kind, List<BackendEntry> entries) implements Event {}
 
   /** Operators take a backend out, whatever the roster says, until they put it back. */
-  public record Ban(long backend, boolean out) implements Event {}
+  public record BackendExclusion(long backend, boolean excluded) implements Event {}
 
   public record Request(
       String id,
@@ -142,11 +142,11 @@
       long customer,
       int entryPoints,
       double units,
-      double giveUpMs)
+      double deadlineMs)
       implements Event {}
 
   /** A streamed answer has begun. */
-  public record StreamBegan(String request, int attempt) implements Event {}
+  public record StreamStarted(String request, int attempt) implements Event {}
 
   /** How an attempt ended; trueUnits is 0 when unknown, load is null when no report came. */
   public record Outcome(
@@ -155,19 +155,19 @@
       long backend,
       Status status,
       double latencyMs,
-      boolean over,
-      double trueUnits,
+      boolean requestDone,
+      double actualUnits,
       Load load)
       implements Event {}
 
   /** The request is over: its client has left. */
-  public record ClientLeft(String request) implements Event {}
+  public record ClientDisconnected(String request) implements Event {}
 
   /** The end of a call to the counter; total is valid with OK. */
-  public record Counted(String name, Status status, double total, double latencyMs)
+  public record CounterResult(String name, Status status, double total, double latencyMs)
       implements Event {}
 
-  public record Woken(String label) implements Event {}
+  public record TimerFired(String label) implements Event {}
 
   /** What a module has its gateway do. */
   public sealed interface Action {}
@@ -181,7 +181,7 @@
       implements Action {}
 
   /** Final answer: refused, trying again is harmless; holdOffMs of 0 gives no advice. */
-  public record Refuse(String request, double holdOffMs) implements Action {}
+  public record Refuse(String request, double retryAfterMs) implements Action {}
 
   /** Final answer: failed, nothing promised. */
   public record Fail(String request) implements Action {}
@@ -189,10 +189,10 @@
   public record Cancel(String request, int attempt) implements Action {}
 
   /** Add to a named count; a new name starts at 0 and is forgotten after ttlMs. */
-  public record Add(String name, double amount, double ttlMs) implements Action {}
+  public record AddToCounter(String name, double amount, double ttlMs) implements Action {}
 
-  public record WakeAt(double atMs, String label) implements Action {}
+  public record SetTimer(double atMs, String label) implements Action {}
 
   /** Ask for changes of the roster from now on. */
-  public record FollowRoster() implements Action {}
+  public record WatchBackendList() implements Action {}
 }
--- a/policy/src/main/java/willowdoor/policy/QuotaPolicy.java
+++ b/policy/src/main/java/willowdoor/policy/QuotaPolicy.java
@@ -12,94 +12,97 @@
  */
 public final class QuotaPolicy {
   /** Without open requests a slow pulse is enough: it shows when this gateway stood still. */
-  private static final double PULSE_MS = 250;
+  private static final double IDLE_TICK_MS = 250;
 
   private final Context ctx;
-  private final Fleet fleet;
-  private final Attempts attempts;
-  private final SharedCount count;
-  private final Admission admission;
+  private final BackendRegistry backends;
+  private final Dispatcher dispatcher;
+  private final CounterSync counterSync;
+  private final AdmissionControl admission;
 
   public QuotaPolicy(Settings settings, long seed) {
     ctx = new Context(settings, seed);
-    fleet = new Fleet(ctx);
-    attempts = new Attempts(ctx, fleet);
-    count = new SharedCount(ctx);
-    admission = new Admission(ctx, count, attempts);
+    backends = new BackendRegistry(ctx);
+    dispatcher = new Dispatcher(ctx, backends);
+    counterSync = new CounterSync(ctx);
+    admission = new AdmissionControl(ctx, counterSync, dispatcher);
   }
 
   /** To be called once, before any event. */
   public List<Action> start(double nowMs) {
     ctx.now = ctx.startedAt = nowMs;
-    arm(Job.TICK_MS);
-    if (ctx.settings.allowed().rosterOnRequest()) {
-      ctx.out.add(new FollowRoster());
+    setTimer(PendingRequest.TICK_MS);
+    if (ctx.settings.allowed().backendListOnRequest()) {
+      ctx.actions.add(new WatchBackendList());
     }
-    return ctx.out;
+    return ctx.actions;
   }
 
   /** Takes one event and gives what to do, in order. */
   public List<Action> on(double nowMs, Event event) {
     ctx.now = nowMs;
-    ctx.out = new ArrayList<>();
-    ctx.stalls.note(nowMs);
+    ctx.actions = new ArrayList<>();
+    ctx.stallDetector.onEvent(nowMs);
     if (event instanceof Request e) {
       admission.onRequest(e);
-      if (ctx.stalls.wakeAt > nowMs + Job.TICK_MS && !attempts.open.isEmpty()) {
-        arm(Job.TICK_MS);
+      if (ctx.stallDetector.nextWakeAt > nowMs + PendingRequest.TICK_MS
+          && !dispatcher.openRequests.isEmpty()) {
+        setTimer(PendingRequest.TICK_MS);
       }
     } else if (event instanceof Outcome e) {
-      attempts.onOutcome(e);
-    } else if (event instanceof Counted e) {
-      admission.onCounted(e);
-    } else if (event instanceof Woken e) {
-      onWoken(e);
-    } else if (event instanceof Roster e) {
-      fleet.onRoster(e);
-    } else if (event instanceof Ban e) {
-      fleet.onBan(e);
-    } else if (event instanceof ClientLeft e) {
-      attempts.onClientLeft(e.request());
-    } else if (event instanceof StreamBegan e) {
-      attempts.onStreamBegan(e);
+      dispatcher.onOutcome(e);
+    } else if (event instanceof CounterResult e) {
+      admission.onCounterResult(e);
+    } else if (event instanceof TimerFired e) {
+      onTimer(e);
+    } else if (event instanceof BackendList e) {
+      backends.onBackendList(e);
+    } else if (event instanceof BackendExclusion e) {
+      backends.onExclusion(e);
+    } else if (event instanceof ClientDisconnected e) {
+      dispatcher.onClientDisconnected(e.request());
+    } else if (event instanceof StreamStarted e) {
+      dispatcher.onStreamStarted(e);
     }
-    return ctx.out;
+    return ctx.actions;
   }
 
-  private void onWoken(Woken e) {
+  private void onTimer(TimerFired e) {
     if (e.label().equals("follow")) {
-      ctx.out.add(new FollowRoster());
-    } else if (ctx.now >= ctx.stalls.wakeAt) {
-      boolean stalled = ctx.stalls.stalled(ctx.now);
-      for (Job job : stalled ? List.<Job>of() : List.copyOf(attempts.open.values())) {
-        admission.look(job);
+      ctx.actions.add(new WatchBackendList());
+    } else if (ctx.now >= ctx.stallDetector.nextWakeAt) {
+      boolean stalled = ctx.stallDetector.isStalled(ctx.now);
+      for (PendingRequest pending :
+          stalled ? List.<PendingRequest>of() : List.copyOf(dispatcher.openRequests.values())) {
+        admission.onTick(pending);
       }
-      arm(stalled ? 1 : attempts.open.isEmpty() ? PULSE_MS : Job.TICK_MS);
+      setTimer(
+          stalled ? 1 : dispatcher.openRequests.isEmpty() ? IDLE_TICK_MS : PendingRequest.TICK_MS);
     }
   }
 
-  private void arm(double ms) {
-    ctx.stalls.wakeAt = ctx.now + ms;
-    ctx.out.add(new WakeAt(ctx.stalls.wakeAt, "tick"));
+  private void setTimer(double delayMs) {
+    ctx.stallDetector.nextWakeAt = ctx.now + delayMs;
+    ctx.actions.add(new SetTimer(ctx.stallDetector.nextWakeAt, "tick"));
   }
 
   /** Whether operators have taken it out. */
-  public boolean banned(long backend) {
-    return fleet.banned(backend);
+  public boolean isExcluded(long backend) {
+    return backends.excluded(backend);
   }
 
   /** Whether operators may name it: one of the roster, or one that they have taken out. */
-  public boolean knows(long backend) {
-    return fleet.knows(backend);
+  public boolean isKnown(long backend) {
+    return backends.isKnown(backend);
   }
 
   /** For the log: what the guards see, and how calls and requests ended since last asked. */
-  public String figures() {
-    return ctx.figures.text(
-        ctx.pressure.expectedOfAim(ctx.now),
-        ctx.pressure.service,
-        count.pace.pace,
-        ctx.pressure.serving,
-        ctx.stalls.heldUpInAll);
+  public String summarizeStats() {
+    return ctx.stats.summarizeAndReset(
+        ctx.load.expectedWaitShare(ctx.now),
+        ctx.load.serviceMs,
+        counterSync.throttle.callShare,
+        ctx.load.servingBackends,
+        ctx.stallDetector.totalPauseMs);
   }
 }
--- a/policy/src/test/java/willowdoor/policy/CeilingTest.java
+++ b/policy/src/test/java/willowdoor/policy/CeilingTest.java
@@ -8,8 +8,8 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 import willowdoor.policy.GatewayApi.Action;
-import willowdoor.policy.GatewayApi.Add;
-import willowdoor.policy.GatewayApi.Counted;
+import willowdoor.policy.GatewayApi.AddToCounter;
+import willowdoor.policy.GatewayApi.CounterResult;
 import willowdoor.policy.GatewayApi.Outcome;
 import willowdoor.policy.GatewayApi.Request;
 import willowdoor.policy.GatewayApi.Send;
@@ -30,7 +30,7 @@
     for (int seed = 0; seed < 40; seed++) {
       play(seed);
       assertTrue(
-          lowest >= -Fixtures.CEILED.ceilingSlack(), "seed " + seed + ": store at " + lowest);
+          lowest >= -PolicyHarness.CEILED.ceilingSlack(), "seed " + seed + ": store at " + lowest);
       assertTrue(sent > 50, "seed " + seed + ": only " + sent + " sent");
     }
   }
@@ -38,16 +38,16 @@
   private void play(int seed) {
     SplittableRandom random = new SplittableRandom(seed);
     counts.clear();
-    lowest = store = Fixtures.CEILED.ceilingBurst();
+    lowest = store = PolicyHarness.CEILED.ceilingBurst();
     storeAt = 1_000_000;
     sent = 0;
-    Fixtures[] gateways = new Fixtures[2];
+    PolicyHarness[] gateways = new PolicyHarness[2];
     double trouble = random.nextDouble();
     for (int step = 0; step < 3000; step++) {
       double now = 1_000_000 + step * 25.0;
       int i = random.nextInt(2);
       if (gateways[i] == null || random.nextDouble() < 0.001) {
-        gateways[i] = new Fixtures(Fixtures.settings(true, 2, false), now);
+        gateways[i] = new PolicyHarness(PolicyHarness.settings(true, 2, false), now);
         gateways[i].backends(4);
       }
       if (random.nextDouble() < 0.002) {
@@ -61,14 +61,14 @@
   }
 
   private void answer(
-      Fixtures gateway, List<Action> actions, SplittableRandom random, double trouble) {
+      PolicyHarness gateway, List<Action> actions, SplittableRandom random, double trouble) {
     for (Action action : actions) {
-      if (action instanceof Add a) {
+      if (action instanceof AddToCounter a) {
         boolean fails = random.nextDouble() < trouble;
         boolean adds = !fails || random.nextBoolean();
         double total = adds ? counts.merge(a.name(), a.amount(), Double::sum) : 0;
         Status status = fails ? Status.TIMED_OUT : Status.OK;
-        gateway.on(new Counted(a.name(), status, total, 2));
+        gateway.on(new CounterResult(a.name(), status, total, 2));
         answer(gateway, gateway.last, random, trouble);
       } else if (action instanceof Send s) {
         take(gateway.now, gateway, s);
@@ -76,9 +76,9 @@
     }
   }
 
-  private void take(double now, Fixtures gateway, Send s) {
-    double filled = store + Fixtures.CEILED.ceilingRate() * (now - storeAt) / 1000;
-    store = Math.min(Fixtures.CEILED.ceilingBurst(), filled);
+  private void take(double now, PolicyHarness gateway, Send s) {
+    double filled = store + PolicyHarness.CEILED.ceilingRate() * (now - storeAt) / 1000;
+    store = Math.min(PolicyHarness.CEILED.ceilingBurst(), filled);
     storeAt = now;
     store -= units;
     lowest = Math.min(lowest, store);
--- a/policy/src/test/java/willowdoor/policy/CounterPaceTest.java
+++ b/policy/src/test/java/willowdoor/policy/CounterThrottleTest.java
@@ -7,14 +7,14 @@
 import willowdoor.policy.GatewayApi.Status;
 
 /** How many requests call a counter that fails, is away, and comes back; time is moved by hand. */
-class CounterPaceTest {
+class CounterThrottleTest {
 
-  private final Context ctx = new Context(Fixtures.settings(true, 100, false), 5);
-  private final CounterPace pace = new CounterPace(ctx);
+  private final Context ctx = new Context(PolicyHarness.settings(true, 100, false), 5);
+  private final CounterThrottle pace = new CounterThrottle(ctx);
 
   private void ends(Status status) {
     ctx.now += 31;
-    pace.judge(status);
+    pace.onResult(status);
   }
 
   private int calls(int tries, double stepMs) {
@@ -29,14 +29,14 @@
   @Test
   void failuresCutTheShareOncePerLimitAndAnswersRaiseIt() {
     ends(Status.TIMED_OUT);
-    pace.judge(Status.TIMED_OUT);
-    assertEquals(0.7, pace.pace, 1e-9, "two at the same time are one sign of load");
+    pace.onResult(Status.TIMED_OUT);
+    assertEquals(0.7, pace.callShare, 1e-9, "two at the same time are one sign of load");
     int calls = calls(1000, 0);
     assertTrue(calls > 640 && calls < 760, calls + " of 1000 call");
     ends(Status.RESET);
-    assertEquals(0.7, pace.pace, 1e-9, "a broken answer tells of no load");
+    assertEquals(0.7, pace.callShare, 1e-9, "a broken answer tells of no load");
     ends(Status.OK);
-    assertTrue(pace.pace > 0.7 && pace.pace < 0.8);
+    assertTrue(pace.callShare > 0.7 && pace.callShare < 0.8);
   }
 
   @Test
@@ -47,6 +47,6 @@
     int trials = calls(4000, 5);
     assertTrue(trials >= 30 && trials <= 54, "trials in 20 s, spaced by 375 to 625 ms: " + trials);
     ends(Status.OK);
-    assertEquals(0.3, pace.pace, 1e-9);
+    assertEquals(0.3, pace.callShare, 1e-9);
   }
 }
--- a/policy/src/test/java/willowdoor/policy/EmbedExampleTest.java
+++ b/policy/src/test/java/willowdoor/policy/EmbedExampleTest.java
@@ -8,27 +8,27 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import willowdoor.policy.GatewayApi.Action;
-import willowdoor.policy.GatewayApi.Add;
-import willowdoor.policy.GatewayApi.Allowed;
+import willowdoor.policy.GatewayApi.AddToCounter;
 import willowdoor.policy.GatewayApi.BackendEntry;
-import willowdoor.policy.GatewayApi.Counted;
+import willowdoor.policy.GatewayApi.BackendList;
+import willowdoor.policy.GatewayApi.BackendListKind;
+import willowdoor.policy.GatewayApi.CounterResult;
+import willowdoor.policy.GatewayApi.DeduplicationScope;
 import willowdoor.policy.GatewayApi.Event;
 import willowdoor.policy.GatewayApi.Fail;
-import willowdoor.policy.GatewayApi.Group;
+import willowdoor.policy.GatewayApi.GatewayOptions;
 import willowdoor.policy.GatewayApi.Outcome;
 import willowdoor.policy.GatewayApi.Phase;
 import willowdoor.policy.GatewayApi.Plan;
 import willowdoor.policy.GatewayApi.Refuse;
-import willowdoor.policy.GatewayApi.Repeat;
 import willowdoor.policy.GatewayApi.Request;
 import willowdoor.policy.GatewayApi.RequestClass;
-import willowdoor.policy.GatewayApi.Roster;
-import willowdoor.policy.GatewayApi.RosterForm;
+import willowdoor.policy.GatewayApi.RetrySafety;
 import willowdoor.policy.GatewayApi.Rules;
 import willowdoor.policy.GatewayApi.Send;
+import willowdoor.policy.GatewayApi.SetTimer;
 import willowdoor.policy.GatewayApi.Settings;
 import willowdoor.policy.GatewayApi.Status;
-import willowdoor.policy.GatewayApi.WakeAt;
 
 /** The loop that the README shows, with a counter and a backend that answer at once. */
 class EmbedExampleTest {
@@ -39,9 +39,11 @@
 
   @Test
   void servesWithinTheQuotaAndRefusesTheRest() {
-    RequestClass read = new RequestClass("read", 1, 0, 500, 2000, Repeat.SAFE, Group.ALL, 0, false);
+    RequestClass read =
+        new RequestClass(
+            "read", 1, 0, 500, 2000, RetrySafety.SAFE, DeduplicationScope.ALL, 0, false);
     Plan basic = new Plan("basic", 2, 10, 0, 1, 0, 1, 0, 0, 0);
-    Allowed allowed = new Allowed(true, 30, true, false, 3, 1000, false, 0, false);
+    GatewayOptions allowed = new GatewayOptions(true, 30, true, false, 3, 1000, false, 0, false);
     Settings settings =
         new Settings(
             1,
@@ -60,7 +62,8 @@
     double now = 5_000;
     policy.start(now);
     events.add(
-        new Roster(RosterForm.COMPLETE, List.of(new BackendEntry(7, "a", 0, Phase.SERVING, 1, 0))));
+        new BackendList(
+            BackendListKind.COMPLETE, List.of(new BackendEntry(7, "a", 0, Phase.SERVING, 1, 0))));
     for (int i = 0; i < 20; i++) {
       events.add(new Request("r" + i, "read", "basic", 42, 1, 1, now + 2000));
     }
@@ -74,15 +77,15 @@
   }
 
   private void perform(Action action, ArrayDeque<Event> events) {
-    if (action instanceof Add a) {
+    if (action instanceof AddToCounter a) {
       double total = counter.merge(a.name(), a.amount(), Double::sum);
-      events.addFirst(new Counted(a.name(), Status.OK, total, 1));
+      events.addFirst(new CounterResult(a.name(), Status.OK, total, 1));
     } else if (action instanceof Send s) {
       served++;
       events.addFirst(new Outcome(s.request(), 0, s.backend(), Status.OK, 20, true, 1, null));
     } else if (action instanceof Refuse || action instanceof Fail) {
       refused++;
-    } else if (action instanceof WakeAt w) {
+    } else if (action instanceof SetTimer w) {
       assertEquals(
           "tick", w.label(), "a real gateway sets a timer here and sends Woken when it is due");
     }
--- a/policy/src/test/java/willowdoor/policy/ColdFleetModel.java
+++ b/policy/src/test/java/willowdoor/policy/FleetSlowStartModel.java
@@ -10,31 +10,31 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import willowdoor.policy.GatewayApi.Action;
-import willowdoor.policy.GatewayApi.Allowed;
 import willowdoor.policy.GatewayApi.BackendEntry;
-import willowdoor.policy.GatewayApi.Ban;
+import willowdoor.policy.GatewayApi.BackendExclusion;
+import willowdoor.policy.GatewayApi.BackendList;
+import willowdoor.policy.GatewayApi.BackendListKind;
 import willowdoor.policy.GatewayApi.Cancel;
+import willowdoor.policy.GatewayApi.DeduplicationScope;
 import willowdoor.policy.GatewayApi.Event;
-import willowdoor.policy.GatewayApi.Group;
+import willowdoor.policy.GatewayApi.GatewayOptions;
 import willowdoor.policy.GatewayApi.Outcome;
 import willowdoor.policy.GatewayApi.Phase;
-import willowdoor.policy.GatewayApi.Repeat;
 import willowdoor.policy.GatewayApi.Request;
 import willowdoor.policy.GatewayApi.RequestClass;
-import willowdoor.policy.GatewayApi.Roster;
-import willowdoor.policy.GatewayApi.RosterForm;
+import willowdoor.policy.GatewayApi.RetrySafety;
 import willowdoor.policy.GatewayApi.Rules;
 import willowdoor.policy.GatewayApi.Send;
+import willowdoor.policy.GatewayApi.SetTimer;
 import willowdoor.policy.GatewayApi.Settings;
 import willowdoor.policy.GatewayApi.Status;
-import willowdoor.policy.GatewayApi.WakeAt;
-import willowdoor.policy.GatewayApi.Woken;
+import willowdoor.policy.GatewayApi.TimerFired;
 
 /**
  * All processes of a fleet before the same backends, on a clock moved by hand, with seeded chance;
  * what each backend is sent is kept with its time, whoever sent it.
  */
-final class ColdFleetModel {
+final class FleetSlowStartModel {
   static final double SERVICE_MS = 100;
 
   private record Due(double at, long order, Runnable what) {}
@@ -56,7 +56,7 @@
   private final long seed;
   private long next;
 
-  ColdFleetModel(int processes, int backends, double perSecond, Rules rules, long seed) {
+  FleetSlowStartModel(int processes, int backends, double perSecond, Rules rules, long seed) {
     this.rules = rules;
     this.perSecond = perSecond;
     this.seed = seed;
@@ -71,7 +71,7 @@
   }
 
   /** A few processes get three quarters of the traffic, evenly; the others share the rest. */
-  ColdFleetModel uneven() {
+  FleetSlowStartModel uneven() {
     int few = Math.max(1, share.length / 10);
     for (int i = 0; i < share.length; i++) {
       share[i] = i % 10 == 0 && i < 10 * few ? 0.75 / few : 0.25 / (share.length - few);
@@ -93,9 +93,12 @@
     life[i]++;
     List<RequestClass> classes =
         List.of(
-            new RequestClass("safe", 1, 0, 1000, 4000, Repeat.SAFE, Group.ALL, 0, false),
-            new RequestClass("unsafe", 1, 0, 1000, 4000, Repeat.UNSAFE, Group.ALL, 0, false),
-            new RequestClass("cell", 1, 0, 1000, 4000, Repeat.KEYED, Group.CELL, 3000, false));
+            new RequestClass(
+                "safe", 1, 0, 1000, 4000, RetrySafety.SAFE, DeduplicationScope.ALL, 0, false),
+            new RequestClass(
+                "unsafe", 1, 0, 1000, 4000, RetrySafety.UNSAFE, DeduplicationScope.ALL, 0, false),
+            new RequestClass(
+                "cell", 1, 0, 1000, 4000, RetrySafety.KEYED, DeduplicationScope.CELL, 3000, false));
     Settings s =
         new Settings(
             fleet.length,
@@ -105,15 +108,15 @@
             0,
             false,
             classes,
-            List.of(Fixtures.FREE),
-            new Allowed(false, 30, true, false, 4, 1000, true, 2000, false),
+            List.of(PolicyHarness.FREE),
+            new GatewayOptions(false, 30, true, false, 4, 1000, true, 2000, false),
             rules);
     fleet[i] = new QuotaPolicy(s, seed * 1000 + i + 7919L * life[i]);
     act(i, fleet[i].start(now));
-    on(i, new Roster(RosterForm.REMEMBERED, List.copyOf(list.values())));
+    on(i, new BackendList(BackendListKind.CACHED, List.copyOf(list.values())));
   }
 
-  ColdFleetModel startAll() {
+  FleetSlowStartModel startAll() {
     for (int i = 0; i < fleet.length; i++) {
       start(i);
     }
@@ -123,13 +126,13 @@
 
   void tellAll() {
     for (int i = 0; i < fleet.length; i++) {
-      on(i, new Roster(RosterForm.COMPLETE, List.copyOf(list.values())));
+      on(i, new BackendList(BackendListKind.COMPLETE, List.copyOf(list.values())));
     }
   }
 
   void banAll(long id, boolean out) {
     for (int i = 0; i < fleet.length; i++) {
-      on(i, new Ban(id, out));
+      on(i, new BackendExclusion(id, out));
     }
   }
 
@@ -178,8 +181,8 @@
   private void act(int i, List<Action> actions) {
     int lives = life[i];
     for (Action action : actions) {
-      if (action instanceof WakeAt a) {
-        later(i, lives, Math.max(0, a.atMs() - now) + 0.01, new Woken(a.label()));
+      if (action instanceof SetTimer a) {
+        later(i, lives, Math.max(0, a.atMs() - now) + 0.01, new TimerFired(a.label()));
       } else if (action instanceof Send s) {
         sends.computeIfAbsent(s.backend(), b -> new ArrayList<>()).add(now);
         int number = numbers.merge(s.request(), 1, Integer::sum) - 1;
@@ -214,7 +217,9 @@
   /** The part of its capacity that the rules promise of a backend that started then. */
   private double warmShare(double started, double at) {
     return Math.min(
-        1, rules.coldFrom() + (1 - rules.coldFrom()) * Math.max(0, at - started) / rules.coldMs());
+        1,
+        rules.warmUpStartShare()
+            + (1 - rules.warmUpStartShare()) * Math.max(0, at - started) / rules.warmUpMs());
   }
 
   int sent(long backend, double from, double to) {
@@ -260,14 +265,14 @@
       double began = startedAt.get(id);
       List<Double> times =
           sends.getOrDefault(id, List.of()).stream()
-              .filter(t -> t >= began && t < began + rules.coldMs())
+              .filter(t -> t >= began && t < began + rules.warmUpMs())
               .toList();
       for (int last = 0, first = 0; last < times.size(); last++) {
         double end = times.get(last);
-        while (times.get(first) <= end - rules.tipAfterMs()) {
+        while (times.get(first) <= end - rules.overloadAfterMs()) {
           first++;
         }
-        double n = rules.tipMultiple() * due(id, capacity, end - rules.tipAfterMs(), end);
+        double n = rules.overloadMultiple() * due(id, capacity, end - rules.overloadAfterMs(), end);
         worst = Math.max(worst, last - first + 1 - (n + 2 * Math.sqrt(n) + 2));
       }
     }
--- a/policy/src/test/java/willowdoor/policy/ColdFleetTest.java
+++ b/policy/src/test/java/willowdoor/policy/FleetSlowStartTest.java
@@ -17,11 +17,11 @@
  * WIRE rule 4 for the sum of all processes: what they send to a cold backend in any window of
  * TipAfterMs.
  */
-class ColdFleetTest {
+class FleetSlowStartTest {
   private static final int BACKENDS = 24;
 
   /** A backend bears one request at a time at least, so this much a second. */
-  private static final double LEAST_CAPACITY = 1000 / ColdFleetModel.SERVICE_MS;
+  private static final double LEAST_CAPACITY = 1000 / FleetSlowStartModel.SERVICE_MS;
 
   private static final Rules USUAL = new Rules(8, 0.2, 10_000, 3, 2000);
   private static final List<Rules> SHAPES =
@@ -33,11 +33,11 @@
           new Rules(8, 1, 8_000, 2, 4000),
           new Rules(8, 0.18, 18_000, 2, 2000));
 
-  private static ColdFleetModel fleet(int processes) {
-    return new ColdFleetModel(processes, BACKENDS, 10.0 * BACKENDS, USUAL, 17 + processes);
+  private static FleetSlowStartModel fleet(int processes) {
+    return new FleetSlowStartModel(processes, BACKENDS, 10.0 * BACKENDS, USUAL, 17 + processes);
   }
 
-  private static Executable holds(String what, ColdFleetModel m, double capacity) {
+  private static Executable holds(String what, FleetSlowStartModel m, double capacity) {
     double excess = m.worstExcess(capacity);
     return () ->
         assertTrue(
@@ -53,7 +53,7 @@
   }
 
   /** Some start at once while all processes run. */
-  private static void replace(ColdFleetModel m, int several) {
+  private static void replace(FleetSlowStartModel m, int several) {
     for (int i = 0; i < several; i++) {
       m.put(i, m.now);
     }
@@ -99,9 +99,9 @@
   private static double excessOfSaved(
       int processes, Rules rules, double perSecond, boolean uneven, boolean restarted) {
     SplittableRandom random = new SplittableRandom(5);
-    double[] share = new ColdFleetModel(processes, 12, 1, rules, 1).share;
+    double[] share = new FleetSlowStartModel(processes, 12, 1, rules, 1).share;
     if (uneven) {
-      share = new ColdFleetModel(processes, 12, 1, rules, 1).uneven().share;
+      share = new FleetSlowStartModel(processes, 12, 1, rules, 1).uneven().share;
     }
     GatewayProcess[] all = new GatewayProcess[processes];
     for (int i = 0; i < processes; i++) {
@@ -116,8 +116,8 @@
     for (GatewayProcess p : all) {
       p.begin(began);
     }
-    double window = rules.tipAfterMs();
-    for (double t = 0; t < rules.coldMs(); t += 50) {
+    double window = rules.overloadAfterMs();
+    for (double t = 0; t < rules.warmUpMs(); t += 50) {
       double now = began + t;
       for (int i = 0; i < processes; i++) {
         if (restarted && random.nextDouble() < 0.02) { // every 2.5 s in the mean
@@ -126,21 +126,23 @@
         all[i].warm(now, 50 * perSecond * 11 * share[i] / 1000, random);
         boolean spends = t % (3 * window) > 2 * window;
         for (boolean room = all[i].room(now); spends && room; room = all[i].room(now)) {
-          all[i].coldRoom.sent(all[i].cold);
-          all[i].ctx.pressure.served(ColdFleetModel.SERVICE_MS, now);
+          all[i].coldRoom.onSend(all[i].cold);
+          all[i].ctx.load.onAnswer(FleetSlowStartModel.SERVICE_MS, now);
           sent.add(now);
         }
       }
       double n = 0;
       for (double at = now - window; at < now; at += 10) {
         n +=
-            rules.tipMultiple()
+            rules.overloadMultiple()
                 * 0.01
                 * perSecond
                 * Math.min(
                     1,
-                    rules.coldFrom()
-                        + (1 - rules.coldFrom()) * Math.max(0, at - began) / rules.coldMs());
+                    rules.warmUpStartShare()
+                        + (1 - rules.warmUpStartShare())
+                            * Math.max(0, at - began)
+                            / rules.warmUpMs());
       }
       long in = sent.stream().filter(at -> at > now - window).count();
       worst = Math.max(worst, in - (n + 2 * Math.sqrt(n) + 2));
@@ -152,31 +154,31 @@
   private static final class GatewayProcess {
     final Context ctx;
     final List<Backend> usual = new ArrayList<>();
-    final ColdRoom coldRoom;
+    final SlowStart coldRoom;
     final Backend cold;
     int turn;
 
     GatewayProcess(int processes, int self, Rules rules, double now, double began) {
-      Settings s = Fixtures.settings(false, processes, false, self);
+      Settings s = PolicyHarness.settings(false, processes, false, self);
       ctx =
           new Context(
               new Settings(
                   processes, self, "a", 4, 0, false, s.classes(), s.plans(), s.allowed(), rules),
               31 + self);
       ctx.now = now;
-      ctx.pressure.serving = 12;
+      ctx.load.servingBackends = 12;
       for (int i = 0; i < 12; i++) {
         usual.add(new Backend(ctx, i));
       }
       cold = usual.get(0);
-      coldRoom = new ColdRoom(ctx, usual);
+      coldRoom = new SlowStart(ctx, usual);
       begin(began);
     }
 
     void begin(double began) {
       cold.startedMs = began;
-      cold.coldAt = ctx.now;
-      coldRoom.listed();
+      cold.warmUpCreditedAt = ctx.now;
+      coldRoom.onSubsetChanged();
     }
 
     void warm(double now, double mean, SplittableRandom random) {
@@ -186,14 +188,14 @@
         n++;
       }
       for (int i = 0; i < n; i++) {
-        coldRoom.sent(usual.get(1 + turn++ % 11));
-        ctx.pressure.served(ColdFleetModel.SERVICE_MS, now);
+        coldRoom.onSend(usual.get(1 + turn++ % 11));
+        ctx.load.onAnswer(FleetSlowStartModel.SERVICE_MS, now);
       }
     }
 
     boolean room(double now) {
       ctx.now = now;
-      return coldRoom.has(cold);
+      return coldRoom.maySend(cold);
     }
   }
 
@@ -309,10 +311,10 @@
       String what,
       int processes,
       Rules rules,
-      Consumer<ColdFleetModel> change) {
+      Consumer<FleetSlowStartModel> change) {
     for (boolean uneven : new boolean[] {false, true}) {
-      ColdFleetModel m =
-          new ColdFleetModel(processes, BACKENDS, 3.0 * BACKENDS, rules, 17 + processes);
+      FleetSlowStartModel m =
+          new FleetSlowStartModel(processes, BACKENDS, 3.0 * BACKENDS, rules, 17 + processes);
       if (uneven) {
         m.uneven();
       }
@@ -329,7 +331,7 @@
   @ParameterizedTest
   @ValueSource(ints = {2, 14, 100})
   void thoseNotToldOfAreHeldToTheBudgetOnceTheirConnectsFailed(int processes) {
-    ColdFleetModel m = fleet(processes).startAll();
+    FleetSlowStartModel m = fleet(processes).startAll();
     m.run(10_000);
     double capacity = m.carried(m.now - 8000, m.now);
     m.down.addAll(List.of(0L, 1L, 2L, 3L));
@@ -346,7 +348,7 @@
   @ParameterizedTest
   @ValueSource(ints = {2, 14, 30, 100})
   void aFleetThatHasMeasuredNothingStaysInTheBudget(int processes) {
-    ColdFleetModel m = fleet(processes);
+    FleetSlowStartModel m = fleet(processes);
     replaceBefore(m);
     m.startAll().run(10_000);
     assertAll(holds("all new", m, LEAST_CAPACITY));
@@ -355,7 +357,7 @@
     assertTrue(sent > 0.3 * due, "they are used: " + sent + " of " + due);
   }
 
-  private static void replaceBefore(ColdFleetModel m) {
+  private static void replaceBefore(FleetSlowStartModel m) {
     for (int i = 0; i < BACKENDS; i++) {
       m.put(i, m.now);
     }
@@ -371,7 +373,7 @@
     for (double perSecond : new double[] {10, 3}) {
       for (int several : new int[] {6, 14}) {
         for (boolean uneven : new boolean[] {false, true}) {
-          ColdFleetModel m = fleet(processes);
+          FleetSlowStartModel m = fleet(processes);
           m.perSecond = perSecond * BACKENDS;
           if (uneven) {
             m.uneven();
@@ -396,7 +398,7 @@
     assertAll(checks);
   }
 
-  private static double shareOfDue(ColdFleetModel m, int several) {
+  private static double shareOfDue(FleetSlowStartModel m, int several) {
     m.startAll().run(18_000);
     double from = m.now;
     double before = 0; // a second
--- a/policy/src/test/java/willowdoor/policy/FleetTest.java
+++ b/policy/src/test/java/willowdoor/policy/GatewayFleetTest.java
@@ -15,35 +15,36 @@
 import java.util.function.BiConsumer;
 import org.junit.jupiter.api.Test;
 import willowdoor.policy.GatewayApi.Action;
-import willowdoor.policy.GatewayApi.Add;
+import willowdoor.policy.GatewayApi.AddToCounter;
 import willowdoor.policy.GatewayApi.BackendEntry;
+import willowdoor.policy.GatewayApi.BackendList;
+import willowdoor.policy.GatewayApi.BackendListKind;
 import willowdoor.policy.GatewayApi.Cancel;
-import willowdoor.policy.GatewayApi.Counted;
+import willowdoor.policy.GatewayApi.CounterResult;
 import willowdoor.policy.GatewayApi.Fail;
 import willowdoor.policy.GatewayApi.Outcome;
 import willowdoor.policy.GatewayApi.Phase;
 import willowdoor.policy.GatewayApi.Refuse;
 import willowdoor.policy.GatewayApi.Request;
-import willowdoor.policy.GatewayApi.Roster;
-import willowdoor.policy.GatewayApi.RosterForm;
 import willowdoor.policy.GatewayApi.Send;
 import willowdoor.policy.GatewayApi.Status;
-import willowdoor.policy.GatewayApi.Woken;
+import willowdoor.policy.GatewayApi.TimerFired;
 
 /**
  * Many gateways at once, with fixed seeds: what one may do alone is multiplied by all, so the sums
  * count.
  */
-class FleetTest {
+class GatewayFleetTest {
 
-  private final List<Fixtures> fleet = new ArrayList<>();
+  private final List<PolicyHarness> fleet = new ArrayList<>();
   private final SplittableRandom random = new SplittableRandom(11);
   private final Map<String, Integer> asked = new HashMap<>();
   private int next;
 
   private void fleet(int gateways, int backends) {
     for (int i = 0; i < gateways; i++) {
-      fleet.add(new Fixtures(Fixtures.settings(true, gateways, false, i)).backends(backends));
+      fleet.add(
+          new PolicyHarness(PolicyHarness.settings(true, gateways, false, i)).backends(backends));
     }
   }
 
@@ -52,12 +53,12 @@
    * world.
    */
   private void run(
-      double seconds, double perSecond, String plan, BiConsumer<Fixtures, Action> world) {
+      double seconds, double perSecond, String plan, BiConsumer<PolicyHarness, Action> world) {
     double begin = fleet.get(0).now;
     int total = (int) (seconds * perSecond);
     for (int k = 0; k < total; k++) {
       double now = begin + 1000 * k / perSecond;
-      Fixtures f = fleet.get(random.nextInt(fleet.size()));
+      PolicyHarness f = fleet.get(random.nextInt(fleet.size()));
       wake(f, now, world);
       int units = 1 + random.nextInt(4);
       asked.put("f" + next, units);
@@ -67,22 +68,23 @@
     fleet.forEach(f -> wake(f, begin + 1000 * seconds, world));
   }
 
-  private void wake(Fixtures f, double now, BiConsumer<Fixtures, Action> world) {
+  private void wake(PolicyHarness f, double now, BiConsumer<PolicyHarness, Action> world) {
     for (double t = f.now + 25; t <= now; t += 25) {
       f.now = t;
-      f.on(new Woken("tick"));
+      f.on(new TimerFired("tick"));
       hand(f, world);
     }
     f.now = now;
   }
 
-  private void hand(Fixtures f, BiConsumer<Fixtures, Action> world) {
+  private void hand(PolicyHarness f, BiConsumer<PolicyHarness, Action> world) {
     for (Action a : List.copyOf(f.last)) {
       world.accept(f, a);
     }
   }
 
-  private void answer(Fixtures f, Send s, Status status, BiConsumer<Fixtures, Action> world) {
+  private void answer(
+      PolicyHarness f, Send s, Status status, BiConsumer<PolicyHarness, Action> world) {
     f.on(new Outcome(s.request(), 0, s.backend(), status, 50, status == Status.OK, 0, null));
     hand(f, world);
   }
@@ -94,13 +96,13 @@
     fleet(300, 12);
     int[] calls = new int[1];
     boolean[] silent = {true};
-    BiConsumer<Fixtures, Action> world =
+    BiConsumer<PolicyHarness, Action> world =
         new BiConsumer<>() {
           @Override
-          public void accept(Fixtures f, Action a) {
-            if (a instanceof Add add) {
+          public void accept(PolicyHarness f, Action a) {
+            if (a instanceof AddToCounter add) {
               calls[0]++;
-              f.on(new Counted(add.name(), silent[0] ? Status.TIMED_OUT : Status.OK, 1, 2));
+              f.on(new CounterResult(add.name(), silent[0] ? Status.TIMED_OUT : Status.OK, 1, 2));
               hand(f, this);
             } else if (a instanceof Send s) {
               answer(f, s, Status.OK, this);
@@ -124,10 +126,10 @@
   void aColdBackendIsNotPushedOverByTheFleet() {
     fleet(300, 60);
     int[] cold = new int[1];
-    BiConsumer<Fixtures, Action> world =
+    BiConsumer<PolicyHarness, Action> world =
         new BiConsumer<>() {
           @Override
-          public void accept(Fixtures f, Action a) {
+          public void accept(PolicyHarness f, Action a) {
             if (a instanceof Send s) {
               cold[0] += s.backend() == 7 ? 1 : 0;
               answer(f, s, Status.OK, this);
@@ -140,8 +142,8 @@
     fleet.forEach(
         f ->
             f.on(
-                new Roster(
-                    RosterForm.CHANGES,
+                new BackendList(
+                    BackendListKind.CHANGES,
                     List.of(new BackendEntry(7, "b", 7, Phase.SERVING, 1, f.now)))));
     run(2, 600, "free", world);
     double share = 0.2 + 0.8 * 2 / 10;
@@ -155,10 +157,10 @@
     fleet(300, 60);
     int[] sent = new int[2];
     Map<String, Integer> attempts = new HashMap<>();
-    BiConsumer<Fixtures, Action> world =
+    BiConsumer<PolicyHarness, Action> world =
         new BiConsumer<>() {
           @Override
-          public void accept(Fixtures f, Action a) {
+          public void accept(PolicyHarness f, Action a) {
             if (a instanceof Send s) {
               int number = attempts.merge(s.request(), 1, Integer::sum) - 1;
               sent[number == 0 ? 0 : 1]++;
@@ -178,12 +180,12 @@
   void withoutACounterTheFleetKeepsToTheQuota() {
     fleet(100, 12);
     double[] units = new double[1];
-    BiConsumer<Fixtures, Action> world =
+    BiConsumer<PolicyHarness, Action> world =
         new BiConsumer<>() {
           @Override
-          public void accept(Fixtures f, Action a) {
-            if (a instanceof Add add) {
-              f.on(new Counted(add.name(), Status.REJECTED, 0, 2));
+          public void accept(PolicyHarness f, Action a) {
+            if (a instanceof AddToCounter add) {
+              f.on(new CounterResult(add.name(), Status.REJECTED, 0, 2));
               hand(f, this);
             } else if (a instanceof Send s) {
               units[0] += asked.get(s.request());
@@ -194,33 +196,33 @@
     run(20, 100, "broad", world);
     units[0] = 0;
     run(20, 100, "broad", world);
-    assertTrue(units[0] < 20 * Fixtures.BROAD.rate() * 1.3, units[0] + " units in 20 s");
-    assertTrue(units[0] > 20 * Fixtures.BROAD.rate() * 0.4, units[0] + " units in 20 s");
+    assertTrue(units[0] < 20 * PolicyHarness.BROAD.rate() * 1.3, units[0] + " units in 20 s");
+    assertTrue(units[0] > 20 * PolicyHarness.BROAD.rate() * 0.4, units[0] + " units in 20 s");
   }
 
   @Test
   void theCeilingHoldsThroughManyGatewaysAndThroughFew() {
-    assertTrue(lowestOfCeiling(200) >= -Fixtures.WIDE.ceilingSlack());
+    assertTrue(lowestOfCeiling(200) >= -PolicyHarness.WIDE.ceilingSlack());
     fleet.clear();
-    assertTrue(lowestOfCeiling(3) >= -Fixtures.WIDE.ceilingSlack());
+    assertTrue(lowestOfCeiling(3) >= -PolicyHarness.WIDE.ceilingSlack());
   }
 
   private double lowestOfCeiling(int gateways) {
     fleet(gateways, 12);
     Map<String, Double> counts = new HashMap<>();
-    double[] store = {Fixtures.WIDE.ceilingBurst(), fleet.get(0).now, Double.MAX_VALUE, 0};
-    BiConsumer<Fixtures, Action> world =
+    double[] store = {PolicyHarness.WIDE.ceilingBurst(), fleet.get(0).now, Double.MAX_VALUE, 0};
+    BiConsumer<PolicyHarness, Action> world =
         new BiConsumer<>() {
           @Override
-          public void accept(Fixtures f, Action a) {
-            if (a instanceof Add add) {
+          public void accept(PolicyHarness f, Action a) {
+            if (a instanceof AddToCounter add) {
               boolean fails = random.nextDouble() < 0.2;
               double total = counts.merge(add.name(), add.amount(), Double::sum);
-              f.on(new Counted(add.name(), fails ? Status.TIMED_OUT : Status.OK, total, 2));
+              f.on(new CounterResult(add.name(), fails ? Status.TIMED_OUT : Status.OK, total, 2));
               hand(f, this);
             } else if (a instanceof Send s) {
-              double full = store[0] + Fixtures.WIDE.ceilingRate() * (f.now - store[1]) / 1000;
-              store[0] = Math.min(Fixtures.WIDE.ceilingBurst(), full) - asked.get(s.request());
+              double full = store[0] + PolicyHarness.WIDE.ceilingRate() * (f.now - store[1]) / 1000;
+              store[0] = Math.min(PolicyHarness.WIDE.ceilingBurst(), full) - asked.get(s.request());
               store[1] = f.now;
               store[2] = Math.min(store[2], store[0]);
               store[3]++;
@@ -242,7 +244,8 @@
   }
 
   private int used(int gateways, int backends) {
-    Fixtures f = new Fixtures(Fixtures.settings(true, gateways, false)).backends(backends);
+    PolicyHarness f =
+        new PolicyHarness(PolicyHarness.settings(true, gateways, false)).backends(backends);
     Set<Long> seen = new HashSet<>();
     for (int i = 0; i < 400; i++) {
       f.run(25).request("safe", "free", 1);
@@ -260,10 +263,10 @@
   void replacedBackendsTakeTheirPartOfTheLoadAsTheyWarm() {
     fleet(14, 60);
     int[] sent = new int[2];
-    BiConsumer<Fixtures, Action> world =
+    BiConsumer<PolicyHarness, Action> world =
         new BiConsumer<>() {
           @Override
-          public void accept(Fixtures f, Action a) {
+          public void accept(PolicyHarness f, Action a) {
             if (a instanceof Send s) {
               sent[s.backend() < 24 ? 0 : 1]++;
               answer(f, s, Status.OK, this);
@@ -278,7 +281,7 @@
           new BackendEntry(
               old ? i : 1000 + i, "a", i, Phase.SERVING, 1, old ? 0 : fleet.get(0).now));
     }
-    fleet.forEach(f -> f.on(new Roster(RosterForm.COMPLETE, entries)));
+    fleet.forEach(f -> f.on(new BackendList(BackendListKind.COMPLETE, entries)));
     sent[0] = sent[1] = 0;
     run(4, 600, "free", world);
     double bears = 36 * (0.2 + 0.8 * 2 / 10);
@@ -293,12 +296,12 @@
   @Test
   void everyBackendIsKeptToByEquallyManyGateways() {
     fleet(14, 60);
-    Map<Long, Set<Fixtures>> usedBy = new HashMap<>();
-    Map<Fixtures, Set<Long>> uses = new HashMap<>();
-    BiConsumer<Fixtures, Action> world =
+    Map<Long, Set<PolicyHarness>> usedBy = new HashMap<>();
+    Map<PolicyHarness, Set<Long>> uses = new HashMap<>();
+    BiConsumer<PolicyHarness, Action> world =
         new BiConsumer<>() {
           @Override
-          public void accept(Fixtures f, Action a) {
+          public void accept(PolicyHarness f, Action a) {
             if (a instanceof Send s) {
               usedBy.computeIfAbsent(s.backend(), b -> new HashSet<>()).add(f);
               uses.computeIfAbsent(f, g -> new HashSet<>()).add(s.backend());
@@ -316,15 +319,15 @@
   // read.
   @Test
   void aGatewayThatStoodStillReadsFirstAndRefusesNobodyForIt() {
-    Fixtures f = new Fixtures(Fixtures.settings(true, 300, false)).backends(12);
+    PolicyHarness f = new PolicyHarness(PolicyHarness.settings(true, 300, false)).backends(12);
     for (int round = 0; round < 10; round++) {
       f.run(25).request("safe", "free", 1);
       Send s = f.only(Send.class);
       f.run(25);
-      f.pass(2000).on(new Woken("tick"));
+      f.pass(2000).on(new TimerFired("tick"));
       assertFalse(f.did(Cancel.class), "its answer may lie unread");
       f.on(new Outcome(s.request(), 0, s.backend(), Status.OK, 2020, true, 0, null));
-      f.pass(1).on(new Woken("tick"));
+      f.pass(1).on(new TimerFired("tick"));
     }
     f.request("safe", "free", 1);
     assertTrue(f.did(Send.class));
@@ -334,7 +337,7 @@
   // unseen.
   @Test
   void lostAnswersAreNoFullFleet() {
-    Fixtures f = new Fixtures(Fixtures.settings(true, 300, false)).backends(12);
+    PolicyHarness f = new PolicyHarness(PolicyHarness.settings(true, 300, false)).backends(12);
     for (int i = 0; i < 30; i++) {
       f.run(100).request("unsafe", "free", 1);
       Send lost = f.only(Send.class);
@@ -351,7 +354,8 @@
   void senselessInputIsStillAnsweredOnce() {
     for (int gateways : new int[] {0, 1, 400}) {
       for (int entryPoints : new int[] {-1, 0, 1, 1000}) {
-        Fixtures f = new Fixtures(Fixtures.settings(true, gateways, false)).backends(1000);
+        PolicyHarness f =
+            new PolicyHarness(PolicyHarness.settings(true, gateways, false)).backends(1000);
         int[] answers = new int[1];
         assertDoesNotThrow(
             () -> {
@@ -366,7 +370,7 @@
                 }
                 f.run(10);
               }
-              f.on(new Counted("never asked", Status.OK, 3, 1));
+              f.on(new CounterResult("never asked", Status.OK, 3, 1));
               f.on(new Outcome("never sent", 3, 1, Status.OK, 1, true, 0, null));
             });
         assertEquals(1, answers[0], gateways + " gateways, " + entryPoints + " entry points");
@@ -378,7 +382,7 @@
   // cold start.
   @Test
   void aBackendThatTookNoConnectionIsTakenToBeCold() {
-    Fixtures f = new Fixtures(Fixtures.settings(true, 300, false)).backends(1);
+    PolicyHarness f = new PolicyHarness(PolicyHarness.settings(true, 300, false)).backends(1);
     f.request("safe", "free", 1);
     f.outcome(f.only(Send.class), 0, Status.UNREACHABLE, false);
     f.run(9_000);
@@ -397,7 +401,7 @@
   // of them.
   @Test
   void aLostZoneIsLeftAfterAFewFailures() {
-    Fixtures f = new Fixtures(Fixtures.settings(true, 300, false)).backends(200);
+    PolicyHarness f = new PolicyHarness(PolicyHarness.settings(true, 300, false)).backends(200);
     int near = 0;
     int all = 0;
     for (int i = 0; i < 60; i++) {
@@ -414,11 +418,12 @@
   // Guards a customer's quota when its gateway restarts, or when it comes through another one.
   @Test
   void aRestartedGatewayKnowsTheQuotaFromTheCount() {
-    Fixtures f = Fixtures.counted();
+    PolicyHarness f = PolicyHarness.counted();
     f.request("safe", "rated", 4);
     f.total(4);
     assertTrue(f.did(Send.class));
-    Fixtures again = new Fixtures(Fixtures.settings(true, 2, false), f.now + 100).backends(4);
+    PolicyHarness again =
+        new PolicyHarness(PolicyHarness.settings(true, 2, false), f.now + 100).backends(4);
     again.request("safe", "rated", 4);
     again.total(200);
     assertTrue(again.did(Refuse.class));
@@ -426,7 +431,7 @@
 
   @Test
   void withoutBackendsEachRequestIsAnsweredOnceInTime() {
-    Fixtures f = new Fixtures(Fixtures.settings(true, 300, false)).backends(0);
+    PolicyHarness f = new PolicyHarness(PolicyHarness.settings(true, 300, false)).backends(0);
     f.request("safe", "free", 1);
     assertFalse(f.did(Send.class));
     f.run(3900);
--- a/policy/src/test/java/willowdoor/policy/Fixtures.java
+++ b/policy/src/test/java/willowdoor/policy/PolicyHarness.java
@@ -3,30 +3,30 @@
 import java.util.ArrayList;
 import java.util.List;
 import willowdoor.policy.GatewayApi.Action;
-import willowdoor.policy.GatewayApi.Add;
-import willowdoor.policy.GatewayApi.Allowed;
+import willowdoor.policy.GatewayApi.AddToCounter;
 import willowdoor.policy.GatewayApi.BackendEntry;
-import willowdoor.policy.GatewayApi.Counted;
+import willowdoor.policy.GatewayApi.BackendList;
+import willowdoor.policy.GatewayApi.BackendListKind;
+import willowdoor.policy.GatewayApi.CounterResult;
+import willowdoor.policy.GatewayApi.DeduplicationScope;
 import willowdoor.policy.GatewayApi.Event;
-import willowdoor.policy.GatewayApi.Group;
+import willowdoor.policy.GatewayApi.GatewayOptions;
 import willowdoor.policy.GatewayApi.Load;
 import willowdoor.policy.GatewayApi.Outcome;
 import willowdoor.policy.GatewayApi.Phase;
 import willowdoor.policy.GatewayApi.Plan;
-import willowdoor.policy.GatewayApi.Repeat;
 import willowdoor.policy.GatewayApi.Request;
 import willowdoor.policy.GatewayApi.RequestClass;
-import willowdoor.policy.GatewayApi.Roster;
-import willowdoor.policy.GatewayApi.RosterForm;
+import willowdoor.policy.GatewayApi.RetrySafety;
 import willowdoor.policy.GatewayApi.Rules;
 import willowdoor.policy.GatewayApi.Send;
+import willowdoor.policy.GatewayApi.SetTimer;
 import willowdoor.policy.GatewayApi.Settings;
 import willowdoor.policy.GatewayApi.Status;
-import willowdoor.policy.GatewayApi.WakeAt;
-import willowdoor.policy.GatewayApi.Woken;
+import willowdoor.policy.GatewayApi.TimerFired;
 
 /** A gateway under test: its module, a clock, and all that the module asked for. */
-final class Fixtures {
+final class PolicyHarness {
 
   static final Plan RATED = new Plan("rated", 2, 10, 0, 1, 0, 1, 0, 0, 0);
   static final Plan CEILED = new Plan("ceiled", 2, 10, 0, 1, 0, 1, 4, 20, 2);
@@ -42,13 +42,13 @@
   double now;
   private int next;
 
-  Fixtures(Settings settings) {
+  PolicyHarness(Settings settings) {
     this(settings, 1_000_000);
   }
 
-  Fixtures(Settings settings, double startMs) {
+  PolicyHarness(Settings settings, double startMs) {
     now = startMs;
-    policy = new QuotaPolicy(settings, 7 + settings.self());
+    policy = new QuotaPolicy(settings, 7 + settings.selfIndex());
     take(policy.start(now));
   }
 
@@ -59,11 +59,16 @@
   static Settings settings(boolean counter, int gateways, boolean ask, int self) {
     List<RequestClass> classes =
         List.of(
-            new RequestClass("safe", 1, 0, 1000, 4000, Repeat.SAFE, Group.ALL, 0, false),
-            new RequestClass("unsafe", 1, 0, 1000, 4000, Repeat.UNSAFE, Group.ALL, 0, false),
-            new RequestClass("cell", 1, 0, 1000, 4000, Repeat.KEYED, Group.CELL, 3000, false),
-            new RequestClass("zone", 1, 0, 1000, 4000, Repeat.KEYED, Group.ZONE, 3000, false),
-            new RequestClass("stream", 1, 0, 1000, 4000, Repeat.SAFE, Group.ALL, 0, true));
+            new RequestClass(
+                "safe", 1, 0, 1000, 4000, RetrySafety.SAFE, DeduplicationScope.ALL, 0, false),
+            new RequestClass(
+                "unsafe", 1, 0, 1000, 4000, RetrySafety.UNSAFE, DeduplicationScope.ALL, 0, false),
+            new RequestClass(
+                "cell", 1, 0, 1000, 4000, RetrySafety.KEYED, DeduplicationScope.CELL, 3000, false),
+            new RequestClass(
+                "zone", 1, 0, 1000, 4000, RetrySafety.KEYED, DeduplicationScope.ZONE, 3000, false),
+            new RequestClass(
+                "stream", 1, 0, 1000, 4000, RetrySafety.SAFE, DeduplicationScope.ALL, 0, true));
     return new Settings(
         gateways,
         self,
@@ -73,23 +78,23 @@
         false,
         classes,
         List.of(RATED, CEILED, FREE, NARROW, CAPPED, WIDE, BROAD),
-        new Allowed(counter, 30, true, false, 4, 1000, true, 2000, ask),
+        new GatewayOptions(counter, 30, true, false, 4, 1000, true, 2000, ask),
         new Rules(8, 0.2, 10_000, 3, 2000));
   }
 
-  static Fixtures counted() {
-    return new Fixtures(settings(true, 2, false)).backends(4);
+  static PolicyHarness counted() {
+    return new PolicyHarness(settings(true, 2, false)).backends(4);
   }
 
-  Fixtures backends(int n) {
+  PolicyHarness backends(int n) {
     List<BackendEntry> entries = new ArrayList<>();
     for (int i = 0; i < n; i++) {
       entries.add(new BackendEntry(i, i % 2 == 0 ? "a" : "b", i, Phase.SERVING, 1, 0));
     }
-    return on(new Roster(RosterForm.REMEMBERED, entries));
+    return on(new BackendList(BackendListKind.CACHED, entries));
   }
 
-  Fixtures on(Event event) {
+  PolicyHarness on(Event event) {
     take(policy.on(now, event));
     return this;
   }
@@ -99,20 +104,20 @@
     all.addAll(actions);
   }
 
-  Fixtures pass(double ms) {
+  PolicyHarness pass(double ms) {
     now += ms;
     return this;
   }
 
   /** Lets time go by with the module's own timer running. */
-  Fixtures run(double ms) {
+  PolicyHarness run(double ms) {
     List<Action> seen = new ArrayList<>();
     for (double end = now + ms; now < end; ) {
       now = Math.min(end, now + 25);
-      on(new Woken("tick"));
+      on(new TimerFired("tick"));
       seen.addAll(last);
     }
-    seen.removeIf(a -> a instanceof WakeAt);
+    seen.removeIf(a -> a instanceof SetTimer);
     last = seen;
     return this;
   }
@@ -123,19 +128,19 @@
     return id;
   }
 
-  Fixtures total(double total) {
-    return on(new Counted(lastAdd().name(), Status.OK, total, 2));
+  PolicyHarness total(double total) {
+    return on(new CounterResult(lastAdd().name(), Status.OK, total, 2));
   }
 
-  Fixtures callFails(Status status) {
-    return on(new Counted(lastAdd().name(), status, 0, 30));
+  PolicyHarness callFails(Status status) {
+    return on(new CounterResult(lastAdd().name(), status, 0, 30));
   }
 
-  Fixtures outcome(Send send, int attempt, Status status, boolean over) {
+  PolicyHarness outcome(Send send, int attempt, Status status, boolean over) {
     return on(new Outcome(send.request(), attempt, send.backend(), status, 50, over, 0, null));
   }
 
-  Fixtures report(Send send, int attempt, double inFlight) {
+  PolicyHarness report(Send send, int attempt, double inFlight) {
     return on(
         new Outcome(
             send.request(),
@@ -148,8 +153,8 @@
             new Load(inFlight, 50)));
   }
 
-  Add lastAdd() {
-    return find(all, Add.class);
+  AddToCounter lastAdd() {
+    return find(all, AddToCounter.class);
   }
 
   <T extends Action> T only(Class<T> type) {
--- a/policy/src/test/java/willowdoor/policy/StoreErrorTest.java
+++ b/policy/src/test/java/willowdoor/policy/QuotaAccuracyTest.java
@@ -10,16 +10,16 @@
 import willowdoor.policy.GatewayApi.Outcome;
 import willowdoor.policy.GatewayApi.Refuse;
 import willowdoor.policy.GatewayApi.Status;
-import willowdoor.policy.StoreModel.Result;
+import willowdoor.policy.QuotaSimulation.Result;
 
 /** What the module's estimate of each customer's store is worth, against the store itself. */
-class StoreErrorTest {
+class QuotaAccuracyTest {
 
   // Guards a wait that swings with two or three requests of one's own, as one of many gateways has
   // out.
   @Test
   void aFewRequestsOutAreNoPressure() {
-    Fixtures f = new Fixtures(Fixtures.settings(true, 100, false)).backends(60);
+    PolicyHarness f = new PolicyHarness(PolicyHarness.settings(true, 100, false)).backends(60);
     SplittableRandom random = new SplittableRandom(3);
     ArrayDeque<String> out = new ArrayDeque<>();
     int refused = 0;
@@ -66,7 +66,7 @@
       double beyond,
       double halfFull,
       double calls) {
-    Result r = new StoreModel(gateways, 60, guessSpread, callsPerSecond, 7).run(1, 40);
+    Result r = new QuotaSimulation(gateways, 60, guessSpread, callsPerSecond, 7).run(1, 40);
     assertTrue(r.gainShare() > gain, "gain " + r);
     assertTrue(r.servedShare() > served, "served " + r);
     assertTrue(r.beyondShare() < beyond, "beyond " + r);
--- a/policy/src/test/java/willowdoor/policy/QuotaPolicyTest.java
+++ b/policy/src/test/java/willowdoor/policy/QuotaPolicyTest.java
@@ -11,24 +11,24 @@
 import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import willowdoor.policy.GatewayApi.Add;
+import willowdoor.policy.GatewayApi.AddToCounter;
 import willowdoor.policy.GatewayApi.BackendEntry;
-import willowdoor.policy.GatewayApi.Ban;
+import willowdoor.policy.GatewayApi.BackendExclusion;
+import willowdoor.policy.GatewayApi.BackendList;
+import willowdoor.policy.GatewayApi.BackendListKind;
 import willowdoor.policy.GatewayApi.Cancel;
-import willowdoor.policy.GatewayApi.ClientLeft;
-import willowdoor.policy.GatewayApi.Counted;
+import willowdoor.policy.GatewayApi.ClientDisconnected;
+import willowdoor.policy.GatewayApi.CounterResult;
 import willowdoor.policy.GatewayApi.Fail;
-import willowdoor.policy.GatewayApi.FollowRoster;
 import willowdoor.policy.GatewayApi.Outcome;
 import willowdoor.policy.GatewayApi.Phase;
 import willowdoor.policy.GatewayApi.Refuse;
 import willowdoor.policy.GatewayApi.Request;
-import willowdoor.policy.GatewayApi.Roster;
-import willowdoor.policy.GatewayApi.RosterForm;
 import willowdoor.policy.GatewayApi.Send;
 import willowdoor.policy.GatewayApi.Status;
-import willowdoor.policy.GatewayApi.StreamBegan;
-import willowdoor.policy.GatewayApi.Woken;
+import willowdoor.policy.GatewayApi.StreamStarted;
+import willowdoor.policy.GatewayApi.TimerFired;
+import willowdoor.policy.GatewayApi.WatchBackendList;
 
 class QuotaPolicyTest {
 
@@ -36,9 +36,9 @@
 
   @Test
   void addsTheEstimateThenSends() {
-    Fixtures f = Fixtures.counted();
+    PolicyHarness f = PolicyHarness.counted();
     f.request("safe", "rated", 3);
-    assertEquals(3, f.only(Add.class).amount());
+    assertEquals(3, f.only(AddToCounter.class).amount());
     assertFalse(f.did(Send.class));
     f.total(3);
     assertTrue(f.did(Send.class));
@@ -46,42 +46,43 @@
 
   @Test
   void refusesWhatWouldPassTheQuotaAndOwesItBack() {
-    Fixtures f = Fixtures.counted();
+    PolicyHarness f = PolicyHarness.counted();
     f.request("safe", "rated", 3);
     f.total(200);
     assertTrue(f.did(Refuse.class));
     f.pass(500).request("safe", "rated", 1);
-    assertEquals(-3, f.only(Add.class).amount(), "only reads, and takes the refused 3 off");
+    assertEquals(
+        -3, f.only(AddToCounter.class).amount(), "only reads, and takes the refused 3 off");
   }
 
   @Test
   void settlesTheTrueUnitsWithTheNextAdd() {
-    Fixtures f = Fixtures.counted();
+    PolicyHarness f = PolicyHarness.counted();
     f.request("safe", "rated", 2);
     Send s = f.total(2).only(Send.class);
     f.on(new Outcome(s.request(), 0, s.backend(), Status.OK, 50, true, 4, null));
     f.request("safe", "rated", 1);
-    assertEquals(1 + 2, f.only(Add.class).amount());
+    assertEquals(1 + 2, f.only(AddToCounter.class).amount());
   }
 
   @Test
   void aSpentCustomerIsRefusedWithoutACall() {
-    Fixtures f = Fixtures.counted();
+    PolicyHarness f = PolicyHarness.counted();
     f.request("safe", "rated", 3);
     f.total(200);
     f.pass(10).request("safe", "rated", 3);
     assertTrue(f.did(Refuse.class));
-    assertFalse(f.did(Add.class));
+    assertFalse(f.did(AddToCounter.class));
   }
 
   @Test
   void twoBurstsDoNotPassAtTheEdgeOfAWindow() {
-    Fixtures f = Fixtures.counted();
+    PolicyHarness f = PolicyHarness.counted();
     String first = null;
     int sent = 0;
     for (double total = 2; f.all.size() < 4000; total += 2) {
       f.pass(50).request("safe", "rated", 2);
-      if (!f.did(Add.class)) {
+      if (!f.did(AddToCounter.class)) {
         continue;
       }
       String name = f.lastAdd().name();
@@ -103,15 +104,15 @@
 
   @Test
   void plansWithoutRateNeedNoCall() {
-    Fixtures f = Fixtures.counted();
+    PolicyHarness f = PolicyHarness.counted();
     f.request("safe", "free", 3);
     assertTrue(f.did(Send.class));
-    assertFalse(f.did(Add.class));
+    assertFalse(f.did(AddToCounter.class));
   }
 
   @Test
   void openLimitIsSplitAmongTheGateways() {
-    Fixtures f = Fixtures.counted();
+    PolicyHarness f = PolicyHarness.counted();
     f.request("safe", "narrow", 1);
     assertTrue(f.did(Send.class));
     f.request("safe", "narrow", 1);
@@ -121,10 +122,10 @@
   /** A customer whose use comes through one gateway alone has its whole limit there. */
   @Test
   void openLimitFollowsTheUse() {
-    Fixtures f = Fixtures.counted();
+    PolicyHarness f = PolicyHarness.counted();
     Map<String, Double> totals = new HashMap<>();
     for (int i = 0; i < 60; i++) {
-      f.pass(100).on(new Woken("tick"));
+      f.pass(100).on(new TimerFired("tick"));
       String id = f.request("safe", "capped", 1);
       Send s =
           f.total(totals.merge(f.lastAdd().name(), f.lastAdd().amount(), Double::sum))
@@ -142,8 +143,8 @@
    */
   @Test
   void whatOthersLeaveOfAnOpenLimitMayBeUsedHere() {
-    Fixtures idle = new Fixtures(Fixtures.settings(true, 14, false)).backends(60);
-    Fixtures busy = new Fixtures(Fixtures.settings(true, 14, false)).backends(60);
+    PolicyHarness idle = new PolicyHarness(PolicyHarness.settings(true, 14, false)).backends(60);
+    PolicyHarness busy = new PolicyHarness(PolicyHarness.settings(true, 14, false)).backends(60);
     assertEquals(2, openAtOnce(idle, 1), "more than its part of 4 for 14, and room for chance");
     assertEquals(1, openAtOnce(busy, 5), "the others use it");
   }
@@ -152,12 +153,12 @@
    * How many of three requests that come at once are sent, after a second in which others added as
    * much.
    */
-  private static int openAtOnce(Fixtures f, double totalPerAdd) {
+  private static int openAtOnce(PolicyHarness f, double totalPerAdd) {
     int sent = 0;
     double total = 0;
     for (int i = 0; i < 3; i++) {
       f.pass(10).on(new Request("r" + i, "safe", "capped", 42, 14, 1, f.now + 4000));
-      if (f.did(Add.class)) {
+      if (f.did(AddToCounter.class)) {
         total += totalPerAdd;
         f.total(total);
       }
@@ -168,7 +169,7 @@
 
   @Test
   void withoutACounterTheQuotaIsSplitEvenly() {
-    Fixtures f = new Fixtures(Fixtures.settings(false, 2, false)).backends(4);
+    PolicyHarness f = new PolicyHarness(PolicyHarness.settings(false, 2, false)).backends(4);
     f.request("safe", "rated", 4);
     assertTrue(f.did(Send.class));
     f.request("safe", "rated", 4);
@@ -177,7 +178,7 @@
 
   @Test
   void unknownPlanAndClassAreStillAnsweredOnce() {
-    Fixtures f = Fixtures.counted();
+    PolicyHarness f = PolicyHarness.counted();
     f.on(new Request("x", "no such class", "no such plan", 9, 2, 1, f.now + 4000));
     Send s = f.total(1).only(Send.class);
     f.outcome(s, 0, Status.ERROR, false);
@@ -188,7 +189,7 @@
 
   @Test
   void anUnansweredCallIsDecidedByTheReplica() {
-    Fixtures f = Fixtures.counted();
+    PolicyHarness f = PolicyHarness.counted();
     f.request("safe", "rated", 3);
     f.callFails(Status.TIMED_OUT);
     assertTrue(f.did(Send.class));
@@ -196,7 +197,7 @@
 
   @Test
   void aSilentCounterDoesNotHoldARequestPastItsBound() {
-    Fixtures f = Fixtures.counted();
+    PolicyHarness f = PolicyHarness.counted();
     f.request("safe", "rated", 3);
     f.run(100);
     assertTrue(f.did(Send.class));
@@ -208,26 +209,26 @@
    */
   @Test
   void unreadableAnswersDoNotSlowTheCalls() {
-    Fixtures f = Fixtures.counted();
+    PolicyHarness f = PolicyHarness.counted();
     for (int i = 0; i < 200; i++) {
       f.pass(60).on(new Request("q" + i, "safe", "rated", 1000 + i, 2, 1, f.now + 4000));
-      assertTrue(f.did(Add.class), "request " + i);
+      assertTrue(f.did(AddToCounter.class), "request " + i);
       if (i % 3 == 0) {
         f.callFails(Status.RESET);
       } else {
         f.total(1);
       }
-      f.outcome(f.only(Send.class), 0, Status.OK, true).on(new Woken("tick"));
+      f.outcome(f.only(Send.class), 0, Status.OK, true).on(new TimerFired("tick"));
     }
   }
 
   @Test
   void anAbsentCounterIsTriedRarelyAndComesBackAtOnce() {
-    Fixtures f = Fixtures.counted();
+    PolicyHarness f = PolicyHarness.counted();
     int calls = 0;
     for (int i = 0; i < 200; i++) {
       f.pass(20).on(new Request("q" + i, "safe", "rated", 1000 + i, 2, 1, f.now + 4000));
-      if (f.did(Add.class)) {
+      if (f.did(AddToCounter.class)) {
         calls++;
         f.callFails(Status.UNREACHABLE);
       }
@@ -236,7 +237,7 @@
     int answered = 0;
     for (int i = 0; i < 200; i++) {
       f.pass(20).on(new Request("p" + i, "safe", "rated", 5000 + i, 2, 1, f.now + 4000));
-      if (f.did(Add.class)) {
+      if (f.did(AddToCounter.class)) {
         answered++;
         f.total(1);
       }
@@ -246,17 +247,17 @@
 
   @Test
   void aFailedCallThatAddedNothingLeavesAnAdmittedRequestOwed() {
-    Fixtures f = Fixtures.counted();
+    PolicyHarness f = PolicyHarness.counted();
     f.request("safe", "rated", 3);
     f.callFails(Status.REJECTED);
     assertTrue(f.did(Send.class));
     f.request("safe", "rated", 1);
-    assertEquals(4, f.only(Add.class).amount());
+    assertEquals(4, f.only(AddToCounter.class).amount());
   }
 
   @Test
   void anAnswerTellsWhetherAnUnansweredCallWasAdded() {
-    Fixtures added = Fixtures.counted();
+    PolicyHarness added = PolicyHarness.counted();
     added.request("safe", "rated", 1);
     added.total(1);
     added.request("safe", "rated", 3);
@@ -264,9 +265,9 @@
     added.request("safe", "rated", 1);
     added.total(5);
     added.request("safe", "rated", 1);
-    assertEquals(1, added.only(Add.class).amount());
+    assertEquals(1, added.only(AddToCounter.class).amount());
 
-    Fixtures lost = Fixtures.counted();
+    PolicyHarness lost = PolicyHarness.counted();
     lost.request("safe", "rated", 1);
     lost.total(1);
     lost.request("safe", "rated", 3);
@@ -274,12 +275,12 @@
     lost.request("safe", "rated", 1);
     lost.total(2);
     lost.request("safe", "rated", 1);
-    assertEquals(1 + 3, lost.only(Add.class).amount());
+    assertEquals(1 + 3, lost.only(AddToCounter.class).amount());
   }
 
   @Test
   void anEmptiedCounterIsNoFreshQuota() {
-    Fixtures f = Fixtures.counted();
+    PolicyHarness f = PolicyHarness.counted();
     f.request("safe", "rated", 1);
     f.total(200);
     f.pass(500).request("safe", "rated", 1);
@@ -289,20 +290,20 @@
 
   @Test
   void aRequestThatLeftWhileWaitingIsNotSent() {
-    Fixtures f = Fixtures.counted();
+    PolicyHarness f = PolicyHarness.counted();
     String id = f.request("safe", "rated", 1);
-    f.on(new ClientLeft(id));
+    f.on(new ClientDisconnected(id));
     f.total(1);
     assertFalse(f.did(Send.class));
     f.request("safe", "rated", 2);
-    assertEquals(2 - 1, f.only(Add.class).amount(), "and its units are returned");
+    assertEquals(2 - 1, f.only(AddToCounter.class).amount(), "and its units are returned");
   }
 
   // Attempts
 
   @Test
   void anUnsafeRequestThatMayHaveRunFails() {
-    Fixtures f = Fixtures.counted();
+    PolicyHarness f = PolicyHarness.counted();
     f.request("unsafe", "free", 1);
     Send s = f.only(Send.class);
     f.outcome(s, 0, Status.RESET, false);
@@ -312,7 +313,7 @@
 
   @Test
   void anUnsafeRequestThatNeverRanIsSentAgainElsewhere() {
-    Fixtures f = Fixtures.counted();
+    PolicyHarness f = PolicyHarness.counted();
     f.request("unsafe", "free", 1);
     Send s = f.only(Send.class);
     f.outcome(s, 0, Status.UNREACHABLE, false);
@@ -321,7 +322,7 @@
 
   @Test
   void aKeyedRequestThatMayHaveRunStaysInItsGroupAndWindow() {
-    Fixtures f = Fixtures.counted();
+    PolicyHarness f = PolicyHarness.counted();
     f.request("cell", "free", 1);
     Send s = f.only(Send.class);
     f.outcome(s, 0, Status.ERROR, false);
@@ -340,7 +341,7 @@
 
   @Test
   void everyRequestIsAnsweredBeforeItsClientLeaves() {
-    Fixtures f = new Fixtures(Fixtures.settings(true, 2, false));
+    PolicyHarness f = new PolicyHarness(PolicyHarness.settings(true, 2, false));
     f.request("safe", "free", 1);
     assertFalse(f.did(Send.class), "no backend is known");
     f.run(1000);
@@ -351,22 +352,22 @@
 
   @Test
   void anAttemptStopsBeforeTheClientLeaves() {
-    Fixtures f = Fixtures.counted();
+    PolicyHarness f = PolicyHarness.counted();
     f.request("safe", "free", 1);
     assertTrue(f.only(Send.class).timeoutMs() < 4000);
   }
 
   @Test
   void aBegunStreamIsLeftAlone() {
-    Fixtures f = Fixtures.counted();
+    PolicyHarness f = PolicyHarness.counted();
     String id = f.request("stream", "free", 1);
-    f.on(new StreamBegan(id, 0)).run(6000);
+    f.on(new StreamStarted(id, 0)).run(6000);
     assertTrue(f.last.isEmpty(), f.last.toString());
   }
 
   @Test
   void aSilentBackendIsGivenUpOnWhereTheClassAllows() {
-    Fixtures f = Fixtures.counted();
+    PolicyHarness f = PolicyHarness.counted();
     f.request("safe", "free", 1);
     Send s = f.only(Send.class);
     f.run(700);
@@ -377,11 +378,11 @@
 
   @Test
   void answersForWhatIsOverAreIgnored() {
-    Fixtures f = Fixtures.counted();
+    PolicyHarness f = PolicyHarness.counted();
     f.on(new Outcome("nobody", 0, 1, Status.OK, 5, true, 0, null));
-    f.on(new Counted("nothing", Status.OK, 5, 1));
-    f.on(new ClientLeft("nobody"));
-    f.on(new Woken("unknown"));
+    f.on(new CounterResult("nothing", Status.OK, 5, 1));
+    f.on(new ClientDisconnected("nobody"));
+    f.on(new TimerFired("unknown"));
     assertTrue(f.last.isEmpty());
   }
 
@@ -389,10 +390,10 @@
 
   @Test
   void drainingAndGoneBackendsGetNothingNew() {
-    Fixtures f = Fixtures.counted();
+    PolicyHarness f = PolicyHarness.counted();
     f.on(
-        new Roster(
-            RosterForm.CHANGES,
+        new BackendList(
+            BackendListKind.CHANGES,
             List.of(
                 new BackendEntry(0, "a", 0, Phase.DRAINING, 1, 0),
                 new BackendEntry(1, "b", 1, Phase.REMOVED, 1, 0))));
@@ -409,13 +410,13 @@
   /** Operators' word stands above the list's, over all kinds of sends, until they take it back. */
   @Test
   void aBannedBackendGetsNothingWhateverTheRosterSays() {
-    Fixtures f = Fixtures.counted().backends(2);
-    f.on(new Ban(0, true)).on(new Ban(0, true));
-    assertTrue(f.policy.knows(0));
-    assertFalse(f.policy.knows(7));
-    for (RosterForm form : RosterForm.values()) {
+    PolicyHarness f = PolicyHarness.counted().backends(2);
+    f.on(new BackendExclusion(0, true)).on(new BackendExclusion(0, true));
+    assertTrue(f.policy.isKnown(0));
+    assertFalse(f.policy.isKnown(7));
+    for (BackendListKind form : BackendListKind.values()) {
       f.on(
-          new Roster(
+          new BackendList(
               form,
               List.of(
                   new BackendEntry(0, "a", 0, Phase.SERVING, 1, f.now),
@@ -427,18 +428,23 @@
       f.run(4000);
     }
     f.on(
-        new Roster(RosterForm.COMPLETE, List.of(new BackendEntry(1, "b", 1, Phase.SERVING, 1, 0))));
-    assertTrue(f.policy.knows(0), "one that left the list can still be put back");
-    f.on(new Ban(0, false));
-    assertFalse(f.policy.knows(0));
+        new BackendList(
+            BackendListKind.COMPLETE, List.of(new BackendEntry(1, "b", 1, Phase.SERVING, 1, 0))));
+    assertTrue(f.policy.isKnown(0), "one that left the list can still be put back");
+    f.on(new BackendExclusion(0, false));
+    assertFalse(f.policy.isKnown(0));
   }
 
   /** A ban ends with one call, and what failed before and during it is forgotten. */
   @Test
   void aBackendThatIsPutBackIsUsedAgainAsAColdOne() {
-    Fixtures f = Fixtures.counted();
+    PolicyHarness f = PolicyHarness.counted();
     failsFast(f, 100);
-    f.on(new Ban(0, true)).pass(100).on(new Ban(0, true)).pass(100).on(new Ban(0, false));
+    f.on(new BackendExclusion(0, true))
+        .pass(100)
+        .on(new BackendExclusion(0, true))
+        .pass(100)
+        .on(new BackendExclusion(0, false));
     int again = 0;
     int all = 0;
     for (int i = 0; i < 200; i++) {
@@ -456,10 +462,11 @@
 
   @Test
   void aColdBackendGetsLittle() {
-    Fixtures f = Fixtures.counted();
+    PolicyHarness f = PolicyHarness.counted();
     f.on(
-        new Roster(
-            RosterForm.CHANGES, List.of(new BackendEntry(0, "a", 0, Phase.SERVING, 1, f.now))));
+        new BackendList(
+            BackendListKind.CHANGES,
+            List.of(new BackendEntry(0, "a", 0, Phase.SERVING, 1, f.now))));
     int cold = 0;
     int all = 0;
     for (int i = 0; i < 200; i++) {
@@ -481,18 +488,18 @@
    */
   @Test
   void aLostConnectDoesNotMakeABackendCold() {
-    Fixtures f = new Fixtures(Fixtures.settings(true, 2, false)).backends(1);
+    PolicyHarness f = new PolicyHarness(PolicyHarness.settings(true, 2, false)).backends(1);
     for (int i = 0; i < 40; i++) {
       f.pass(20).request("unsafe", "free", 1);
       assertTrue(f.did(Send.class), "request " + i);
       Status status = i % 10 == 9 ? Status.UNREACHABLE : Status.OK;
-      f.outcome(f.only(Send.class), 0, status, true).on(new Woken("tick"));
+      f.outcome(f.only(Send.class), 0, status, true).on(new TimerFired("tick"));
     }
   }
 
   @Test
   void aBackendThatFailsFastRestsAndIsTriedAgain() {
-    Fixtures f = Fixtures.counted();
+    PolicyHarness f = PolicyHarness.counted();
     int early = failsFast(f, 100);
     assertTrue(early < 20, "sends to the failing backend: " + early);
     for (int i = 0, met = 0; met == 0; i++) {
@@ -504,7 +511,7 @@
     }
   }
 
-  private static int failsFast(Fixtures f, int requests) {
+  private static int failsFast(PolicyHarness f, int requests) {
     int failing = 0;
     for (int i = 0; i < requests; i++) {
       f.run(25).request("safe", "free", 1);
@@ -526,7 +533,7 @@
   /** Guards incidents ifcb77b and i3b6be0: an old bad report must not shun a backend for good. */
   @Test
   void anOldReportFades() {
-    Fixtures f = Fixtures.counted();
+    PolicyHarness f = PolicyHarness.counted();
     Send busy = null;
     for (int i = 0; i < 4; i++) {
       f.request("safe", "free", 1);
@@ -546,7 +553,7 @@
 
   @Test
   void aFullFleetRefusesEarly() {
-    Fixtures f = Fixtures.counted();
+    PolicyHarness f = PolicyHarness.counted();
     for (int i = 0; i < 60; i++) {
       f.request("safe", "free", 1);
       if (i >= 30 && f.did(Send.class)) {
@@ -561,7 +568,7 @@
   /** An answer that waited to be read while the gateway itself paused tells of no full fleet. */
   @Test
   void aPauseOfItsOwnIsNotTheFleetsWait() {
-    Fixtures f = Fixtures.counted();
+    PolicyHarness f = PolicyHarness.counted();
     for (int i = 0; i < 90; i++) {
       f.request("unsafe", "free", 1);
       assertTrue(f.did(Send.class), "request " + i);
@@ -569,17 +576,17 @@
       if (i >= 30) {
         f.run(275).pass(25 + 70);
         f.on(new Outcome(s.request(), 0, s.backend(), Status.OK, 370, true, 0, null));
-        f.on(new Woken("tick"));
+        f.on(new TimerFired("tick"));
       }
     }
   }
 
   @Test
   void aRosterThatMustBeAskedForIsFollowedAndAskedForAgain() {
-    Fixtures f = new Fixtures(Fixtures.settings(true, 2, true));
-    assertTrue(f.did(FollowRoster.class));
-    f.on(new Roster(RosterForm.FAILED, List.of()));
-    f.on(new Woken("follow"));
-    assertTrue(f.did(FollowRoster.class));
+    PolicyHarness f = new PolicyHarness(PolicyHarness.settings(true, 2, true));
+    assertTrue(f.did(WatchBackendList.class));
+    f.on(new BackendList(BackendListKind.FAILED, List.of()));
+    f.on(new TimerFired("follow"));
+    assertTrue(f.did(WatchBackendList.class));
   }
 }
--- a/policy/src/test/java/willowdoor/policy/StoreModel.java
+++ b/policy/src/test/java/willowdoor/policy/QuotaSimulation.java
@@ -11,35 +11,35 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import willowdoor.policy.GatewayApi.Action;
-import willowdoor.policy.GatewayApi.Add;
-import willowdoor.policy.GatewayApi.Allowed;
+import willowdoor.policy.GatewayApi.AddToCounter;
 import willowdoor.policy.GatewayApi.BackendEntry;
-import willowdoor.policy.GatewayApi.Counted;
+import willowdoor.policy.GatewayApi.BackendList;
+import willowdoor.policy.GatewayApi.BackendListKind;
+import willowdoor.policy.GatewayApi.CounterResult;
+import willowdoor.policy.GatewayApi.DeduplicationScope;
 import willowdoor.policy.GatewayApi.Event;
 import willowdoor.policy.GatewayApi.Fail;
-import willowdoor.policy.GatewayApi.Group;
+import willowdoor.policy.GatewayApi.GatewayOptions;
 import willowdoor.policy.GatewayApi.Outcome;
 import willowdoor.policy.GatewayApi.Phase;
 import willowdoor.policy.GatewayApi.Plan;
 import willowdoor.policy.GatewayApi.Refuse;
-import willowdoor.policy.GatewayApi.Repeat;
 import willowdoor.policy.GatewayApi.Request;
 import willowdoor.policy.GatewayApi.RequestClass;
-import willowdoor.policy.GatewayApi.Roster;
-import willowdoor.policy.GatewayApi.RosterForm;
+import willowdoor.policy.GatewayApi.RetrySafety;
 import willowdoor.policy.GatewayApi.Rules;
 import willowdoor.policy.GatewayApi.Send;
+import willowdoor.policy.GatewayApi.SetTimer;
 import willowdoor.policy.GatewayApi.Settings;
 import willowdoor.policy.GatewayApi.Status;
-import willowdoor.policy.GatewayApi.WakeAt;
-import willowdoor.policy.GatewayApi.Woken;
+import willowdoor.policy.GatewayApi.TimerFired;
 
 /**
  * Customers of several habits before many gateways, a counter that answers a little late, servers
  * with cores and a waiting room, and beside them the true store of each customer, which no gateway
  * sees.
  */
-final class StoreModel {
+final class QuotaSimulation {
 
   /** What came of the tries, in units; the room is the true store's at that moment. */
   static final class Result {
@@ -128,11 +128,14 @@
 
   private static final double MOST_LINE_MS = 40;
   private static final RequestClass PREVIEW =
-      new RequestClass("preview", 1, 0, 3872, 9680, Repeat.SAFE, Group.ALL, 0, false);
+      new RequestClass(
+          "preview", 1, 0, 3872, 9680, RetrySafety.SAFE, DeduplicationScope.ALL, 0, false);
   private static final RequestClass SIGN =
-      new RequestClass("sign", 5, 0, 1549, 4646, Repeat.KEYED, Group.CELL, 9700, false);
+      new RequestClass(
+          "sign", 5, 0, 1549, 4646, RetrySafety.KEYED, DeduplicationScope.CELL, 9700, false);
   private static final RequestClass SEAL =
-      new RequestClass("seal", 5, 0, 3098, 7744, Repeat.UNSAFE, Group.ALL, 0, false);
+      new RequestClass(
+          "seal", 5, 0, 3098, 7744, RetrySafety.UNSAFE, DeduplicationScope.ALL, 0, false);
 
   /** Cores that serve in turn; where more than the room holds wait, requests are turned away. */
   private static final class Server {
@@ -218,7 +221,7 @@
       RequestClass type,
       double since) {
     double worth() {
-      return units * type.value() * customer.plan.worthFactor();
+      return units * type.value() * customer.plan.valueFactor();
     }
   }
 
@@ -243,7 +246,7 @@
   private long next;
 
   /** The counter bears so many calls a second, on all its parts. */
-  StoreModel(
+  QuotaSimulation(
       int gateways, int howManyServers, double guessSpread, double callsPerSecond, long seed) {
     callMs = 1000 * PARTS / callsPerSecond;
     random = new SplittableRandom(seed);
@@ -263,7 +266,7 @@
               false,
               classes,
               PLANS,
-              new Allowed(true, 50, true, false, 4, 1000, true, 2000, false),
+              new GatewayOptions(true, 50, true, false, 4, 1000, true, 2000, false),
               new Rules(8, 0.2, 10_000, 3, 2000));
       fleet.add(new QuotaPolicy(s, seed * 1000 + i));
     }
@@ -281,7 +284,7 @@
     }
     for (int i = 0; i < fleet.size(); i++) {
       act(i, fleet.get(i).start(now));
-      on(i, new Roster(RosterForm.REMEMBERED, list));
+      on(i, new BackendList(BackendListKind.CACHED, list));
     }
     customers.forEach(this::arrive);
     measureFrom = now + 1000 * warmS;
@@ -317,7 +320,7 @@
                     r.offered += first.worth();
                   });
             } else {
-              tell(r -> r.offered += first.worth() * c.plan.beyondEarns());
+              tell(r -> r.offered += first.worth() * c.plan.overQuotaValue());
             }
             ask(first);
           }
@@ -357,9 +360,9 @@
 
   private void act(int gateway, List<Action> actions) {
     for (Action action : actions) {
-      if (action instanceof WakeAt a) {
-        in(Math.max(0, a.atMs() - now) + 0.01, () -> on(gateway, new Woken(a.label())));
-      } else if (action instanceof Add a) {
+      if (action instanceof SetTimer a) {
+        in(Math.max(0, a.atMs() - now) + 0.01, () -> on(gateway, new TimerFired(a.label())));
+      } else if (action instanceof AddToCounter a) {
         tell(r -> r.calls++);
         in(CALL_MS / 2, () -> count(gateway, a));
       } else if (action instanceof Send a) {
@@ -372,31 +375,31 @@
     }
   }
 
-  private void count(int gateway, Add a) {
+  private void count(int gateway, AddToCounter a) {
     int part = Math.floorMod(a.name().hashCode(), PARTS);
     double doneAt = Math.max(now, partFreeAt[part]) + callMs;
     if (doneAt - now > MOST_LINE_MS) {
-      in(CALL_MS / 2, () -> on(gateway, new Counted(a.name(), Status.REJECTED, 0, CALL_MS)));
+      in(CALL_MS / 2, () -> on(gateway, new CounterResult(a.name(), Status.REJECTED, 0, CALL_MS)));
       return;
     }
     partFreeAt[part] = doneAt;
     double total = counts.merge(a.name(), a.amount(), Double::sum);
     in(
         doneAt - now + CALL_MS / 2,
-        () -> on(gateway, new Counted(a.name(), Status.OK, total, CALL_MS)));
+        () -> on(gateway, new CounterResult(a.name(), Status.OK, total, CALL_MS)));
   }
 
   private void sent(int gateway, Send s) {
     Try t = open.get(s.request());
     int number = attempts.merge(s.request(), 1, Integer::sum) - 1;
-    boolean room = t.customer.plan.openLimit() == 0 || t.customer.out < t.customer.plan.openLimit();
+    boolean room = t.customer.plan.maxOpen() == 0 || t.customer.out < t.customer.plan.maxOpen();
     boolean inside = number == 0 && room && t.customer.store.take(t.units, now);
     t.customer.out++;
     if (number == 0) {
       tell(
           r -> {
             r.sent += t.units;
-            double cost = inside ? 0 : t.customer.plan.beyondCost();
+            double cost = inside ? 0 : t.customer.plan.overQuotaCost();
             r.sentBeyond += cost > 0 ? t.units : 0;
             r.gain -= t.worth() * cost;
             r.sentOverOpen += room ? 0 : t.units;
@@ -422,11 +425,11 @@
                     t.customer.store.level -= t.trueUnits - t.units;
                   }
                   if (first) {
-                    double earned = now - t.since <= t.type.aimMs() ? t.worth() : 0;
+                    double earned = now - t.since <= t.type.objectiveMs() ? t.worth() : 0;
                     tell(
                         r -> {
                           r.inTime += inside ? earned : 0;
-                          r.gain += earned * (inside ? 1 : t.customer.plan.beyondEarns());
+                          r.gain += earned * (inside ? 1 : t.customer.plan.overQuotaValue());
                           r.answered++;
                           r.waits += now - sentAt;
                         });
--- a/policy/src/test/java/willowdoor/policy/RepeatRulesTest.java
+++ b/policy/src/test/java/willowdoor/policy/RetryRulesTest.java
@@ -15,11 +15,11 @@
 import willowdoor.policy.GatewayApi.Status;
 
 /** What may follow an attempt that may have run, by the class's effect (rule 2 of the wire). */
-class RepeatRulesTest {
+class RetryRulesTest {
 
   private static final double WINDOW_MS = 3_000;
 
-  private final Fixtures f = Fixtures.counted();
+  private final PolicyHarness f = PolicyHarness.counted();
 
   /** Lets attempts end so until the request is answered; gives all sends. */
   private List<Send> play(String type, Status status) {
@@ -66,7 +66,7 @@
       assertEquals(Double.POSITIVE_INFINITY, sends.get(0).writtenByMs());
       repeats += sends.size() - 1;
       for (Send s : sends.subList(1, sends.size())) {
-        assertEquals(first + WINDOW_MS - Job.GUARD_MS, s.writtenByMs(), 1e-6);
+        assertEquals(first + WINDOW_MS - PendingRequest.DEADLINE_MARGIN_MS, s.writtenByMs(), 1e-6);
         assertTrue(
             type.equals("cell")
                 ? s.backend() == sends.get(0).backend()
@@ -85,7 +85,10 @@
     assertEquals(Double.POSITIVE_INFINITY, f.only(Send.class).writtenByMs());
     double began = f.now;
     f.pass(20).outcome(f.only(Send.class), 1, Status.ERROR, false);
-    assertEquals(began + WINDOW_MS - Job.GUARD_MS, f.only(Send.class).writtenByMs(), 1e-6);
+    assertEquals(
+        began + WINDOW_MS - PendingRequest.DEADLINE_MARGIN_MS,
+        f.only(Send.class).writtenByMs(),
+        1e-6);
   }
 
   @ParameterizedTest
@@ -95,7 +98,7 @@
     Send first = f.only(Send.class);
     f.now += after;
     f.outcome(first, 0, Status.ERROR, false);
-    assertEquals(after < WINDOW_MS - Job.GUARD_MS, f.did(Send.class));
+    assertEquals(after < WINDOW_MS - PendingRequest.DEADLINE_MARGIN_MS, f.did(Send.class));
     assertFalse(f.did(Refuse.class));
   }
 
@@ -104,10 +107,10 @@
   @EnumSource
   void nothingFollowsTheClientsLeave(Status status) {
     for (boolean over : new boolean[] {true, false}) {
-      Fixtures f = Fixtures.counted();
+      PolicyHarness f = PolicyHarness.counted();
       String id = f.request("safe", "free", 1);
       Send first = f.only(Send.class);
-      f.on(new GatewayApi.ClientLeft(id));
+      f.on(new GatewayApi.ClientDisconnected(id));
       f.outcome(first, 0, status, over);
       assertEquals(List.of(), f.last);
       assertFalse(f.run(1_000).did(Send.class));
--- a/policy/src/test/java/willowdoor/policy/ColdRoomTest.java
+++ b/policy/src/test/java/willowdoor/policy/SlowStartTest.java
@@ -11,33 +11,33 @@
 import willowdoor.policy.GatewayApi.Status;
 
 /** What a backend that has just started gets of a steady stream of sends; time is moved by hand. */
-class ColdRoomTest {
+class SlowStartTest {
 
   @Test
   void aColdBackendGetsTheShareThatTheRulesPromise() {
-    Context ctx = new Context(Fixtures.settings(true, 100, false), 5);
+    Context ctx = new Context(PolicyHarness.settings(true, 100, false), 5);
     ctx.now = 1_000_000;
-    ctx.pressure.serving = 10;
+    ctx.load.servingBackends = 10;
     List<Backend> usual = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
       usual.add(new Backend(ctx, i));
     }
-    ColdRoom room = new ColdRoom(ctx, usual);
+    SlowStart room = new SlowStart(ctx, usual);
     for (int i = 0; i < 2000; i++) {
       ctx.now += 10;
-      room.sent(usual.get(i % 10));
-      ctx.pressure.served(100, ctx.now);
-      assertTrue(room.has(usual.get(1)), "a warm one always has room");
+      room.onSend(usual.get(i % 10));
+      ctx.load.onAnswer(100, ctx.now);
+      assertTrue(room.maySend(usual.get(1)), "a warm one always has room");
     }
     Backend cold = usual.get(0);
-    cold.startedMs = cold.coldAt = ctx.now;
-    room.listed();
+    cold.startedMs = cold.warmUpCreditedAt = ctx.now;
+    room.onSubsetChanged();
     int sent = 0;
     for (int i = 0; i < 500; i++) {
       ctx.now += 10;
-      boolean has = room.has(cold);
-      room.sent(has ? cold : usual.get(1));
-      ctx.pressure.served(100, ctx.now);
+      boolean has = room.maySend(cold);
+      room.onSend(has ? cold : usual.get(1));
+      ctx.load.onAnswer(100, ctx.now);
       sent += has ? 1 : 0;
     }
     // 500 sends for ten, of which one bears 0.2 to 0.6 of a warm one: an even part is 50, the
@@ -49,13 +49,15 @@
   // long.
   @Test
   void aBackendIsColdFromTheLastConnectThatFailed() {
-    Context ctx = new Context(Fixtures.settings(true, 100, false), 5);
+    Context ctx = new Context(PolicyHarness.settings(true, 100, false), 5);
     ctx.now = 1_000_000;
     Backend away = new Backend(ctx, 1);
-    away.zoneFailing = away.cellFailing = new Mean(Backend.NEWEST, Pressure.LIFE_MS, ctx.now, 0);
+    away.zoneFailureRate =
+        away.cellFailureRate =
+            new MovingAverage(Backend.SAMPLE_WEIGHT, LoadEstimate.DECAY_MS, ctx.now, 0);
     for (int i = 0; i < 5; i++) {
-      away.learn(new Outcome("r" + i, 0, 1, Status.UNREACHABLE, 5, false, 0, null), ctx.now, 0);
-      assertEquals(ctx.settings.rules().coldFrom(), away.warmShare(), 1e-9);
+      away.onOutcome(new Outcome("r" + i, 0, 1, Status.UNREACHABLE, 5, false, 0, null), ctx.now, 0);
+      assertEquals(ctx.settings.rules().warmUpStartShare(), away.warmUpShare(), 1e-9);
       ctx.now += 2000;
     }
   }
@@ -66,8 +68,9 @@
     for (long id : new long[] {3, 0x7c1f_30d2_7a5b_e964L, Long.MAX_VALUE}) {
       double[] phases = new double[100];
       for (int self = 0; self < phases.length; self++) {
-        Context ctx = new Context(Fixtures.settings(true, phases.length, false, self), 5 + self);
-        phases[self] = new Backend(ctx, id).coldEarned;
+        Context ctx =
+            new Context(PolicyHarness.settings(true, phases.length, false, self), 5 + self);
+        phases[self] = new Backend(ctx, id).warmUpCredits;
       }
       Arrays.sort(phases);
       for (int i = 0; i < phases.length; i++) {
