--- a/front/src/main/java/willowdoor/front/Config.java
+++ b/front/src/main/java/willowdoor/front/Config.java
@@ -72,7 +72,7 @@
     requireNames(settings, "Tariffs");
     Map<String, Object> bounds = JsonFields.child(settings, "Bounds");
     InetSocketAddress counter =
-        fields.get("counter") == null && !parsed.allowed().sharedCounter()
+        fields.get("counter") == null && !parsed.options().sharedCounter()
             ? null
             : address(fields, "counter");
     InetSocketAddress management =
@@ -118,7 +118,7 @@
             .append(" of ")
             .append(settings.gateways())
             .append(", calls ")
-            .append(settings.allowed().counterTimeoutMs());
+            .append(settings.options().counterTimeoutMs());
     settings
         .classes()
         .forEach(
--- a/front/src/main/java/willowdoor/front/FrontDoor.java
+++ b/front/src/main/java/willowdoor/front/FrontDoor.java
@@ -311,7 +311,7 @@
             transport,
             clock,
             newest.counter(),
-            config.settings().allowed().counterTimeoutMs(),
+            config.settings().options().counterTimeoutMs(),
             tally,
             driver::onCounted);
     if (newest.counter() != null) {
--- a/front/src/test/java/willowdoor/front/DiscoveryTest.java
+++ b/front/src/test/java/willowdoor/front/DiscoveryTest.java
@@ -365,7 +365,7 @@
   @Test
   void saysWhatIsWrongWithAConfiguration() throws IOException {
     String good = peers.config();
-    assertEquals(50, Peers.parse(good).settings().allowed().counterTimeoutMs());
+    assertEquals(50, Peers.parse(good).settings().options().counterTimeoutMs());
     for (String[] bad :
         new String[][] {
           {"127.0.0.1:0", "somewhere:80", "listen"},
--- a/policy/src/main/java/willowdoor/policy/AdmissionControl.java
+++ b/policy/src/main/java/willowdoor/policy/AdmissionControl.java
@@ -19,7 +19,7 @@
             request, ctx.requestClass(request), counterSync.quotaOf(request), ctx.now);
     dispatcher.openRequests.put(request.id(), pending);
     ctx.load.onRequest(pending.value(), request.units(), ctx.now);
-    if (dispatcher.openRequests.size() >= ctx.settings.allowed().maxOpen()) {
+    if (dispatcher.openRequests.size() >= ctx.settings.options().maxOpen()) {
       dispatcher.refuse(pending, RefusalReason.FULL, 0);
     } else if (pending.deadlineNear(ctx.now)) {
       ctx.stats.expired[ExpiryStage.ARRIVAL.ordinal()]++;
--- a/policy/src/main/java/willowdoor/policy/CounterThrottle.java
+++ b/policy/src/main/java/willowdoor/policy/CounterThrottle.java
@@ -59,7 +59,7 @@
   void onResult(Status status) {
     ctx.stats.counterCalls[status.ordinal()]++;
     boolean ok = status == Status.OK, down = consecutiveFailures >= DOWN_AFTER_FAILURES;
-    boolean due = ctx.now - decreasedAt > ctx.settings.allowed().counterTimeoutMs();
+    boolean due = ctx.now - decreasedAt > ctx.settings.options().counterTimeoutMs();
     consecutiveFailures = ok ? 0 : consecutiveFailures + 1;
     nextProbeAt = consecutiveFailures == DOWN_AFTER_FAILURES ? nextProbeTime() : nextProbeAt;
     if (status == Status.RESET) {
--- a/policy/src/main/java/willowdoor/policy/CustomerQuota.java
+++ b/policy/src/main/java/willowdoor/policy/CustomerQuota.java
@@ -114,7 +114,7 @@
   }
 
   boolean usesSharedCounter() {
-    return ctx.settings.allowed().sharedCounter();
+    return ctx.settings.options().sharedCounter();
   }
 
   private double capacity() {
@@ -187,14 +187,14 @@
   }
 
   private void refillCeiling(double seconds) {
-    double burst = plan.ceilingBurst() + plan.ceilingSlack() / 2;
+    double capacity = plan.ceilingBurst() + plan.ceilingSlack() / 2;
     sharedCeiling =
         Math.min(
-            burst * (1 - ownCeilingShare()),
+            capacity * (1 - ownCeilingShare()),
             sharedCeiling + plan.ceilingRate() * (1 - ownCeilingShare()) * seconds);
     ownCeiling =
         Math.min(
-            burst * ownCeilingShare() / gateways,
+            capacity * ownCeilingShare() / gateways,
             ownCeiling + plan.ceilingRate() * ownCeilingShare() / gateways * seconds);
   }
 
--- a/policy/src/main/java/willowdoor/policy/Dispatcher.java
+++ b/policy/src/main/java/willowdoor/policy/Dispatcher.java
@@ -50,7 +50,7 @@
 
   private void send(PendingRequest pending, Backend backend) {
     double remainingMs = pending.request.deadlineMs() - ctx.now - PendingRequest.DEADLINE_MARGIN_MS;
-    if (remainingMs <= 0 || pending.attemptCount >= ctx.settings.allowed().maxAttempts()) {
+    if (remainingMs <= 0 || pending.attemptCount >= ctx.settings.options().maxAttempts()) {
       giveUp(pending);
       return;
     }
@@ -179,7 +179,7 @@
     ctx.stats.refused[reason.ordinal()]++;
     pending.refundUnits();
     openRequests.remove(pending.request.id());
-    GatewayOptions options = ctx.settings.allowed();
+    GatewayOptions options = ctx.settings.options();
     ctx.actions.add(
         new Refuse(
             pending.request.id(),
@@ -209,7 +209,7 @@
         && ctx.now - attempt.sentAt() > pending.objectiveMs() * FIRST_ATTEMPT_SHARE
         && !pending.cancelled
         && !pending.streaming
-        && ctx.settings.allowed().cancel()
+        && ctx.settings.options().cancel()
         && pending.requestClass.retrySafety() != RetrySafety.UNSAFE
         && retryTokens >= 1) {
       pending.cancelled = true;
--- a/policy/src/main/java/willowdoor/policy/GatewayApi.java
+++ b/policy/src/main/java/willowdoor/policy/GatewayApi.java
@@ -117,7 +117,7 @@
       boolean capacityHints,
       List<RequestClass> classes,
       List<Plan> plans,
-      GatewayOptions allowed,
+      GatewayOptions options,
       Rules rules) {}
 
   /** One backend of a roster; startedMs is 0 when it started long ago. */
--- a/policy/src/main/java/willowdoor/policy/QuotaPolicy.java
+++ b/policy/src/main/java/willowdoor/policy/QuotaPolicy.java
@@ -32,7 +32,7 @@
   public List<Action> start(double nowMs) {
     ctx.now = ctx.startedAt = nowMs;
     setTimer(PendingRequest.TICK_MS);
-    if (ctx.settings.allowed().backendListOnRequest()) {
+    if (ctx.settings.options().backendListOnRequest()) {
       ctx.actions.add(new WatchBackendList());
     }
     return ctx.actions;
--- a/policy/src/main/java/willowdoor/policy/SlowStart.java
+++ b/policy/src/main/java/willowdoor/policy/SlowStart.java
@@ -36,16 +36,16 @@
     }
     double gatewaysPerBackend =
         Math.max(1, ctx.settings.gateways() * subset.size() / (double) ctx.load.servingBackends);
-    double creditsPerMs = creditsPerMs(backend, gatewaysPerBackend),
+    double earnedPerMs = creditsPerMs(backend, gatewaysPerBackend),
         overloadMultiple = ctx.settings.rules().overloadMultiple();
-    double creditsPerWindow = creditsPerMs * ctx.settings.rules().overloadAfterMs();
+    double creditsPerWindow = earnedPerMs * ctx.settings.rules().overloadAfterMs();
     double maxSavedShare =
         (overloadMultiple - 1) * creditsPerWindow
             + (1 + Math.sqrt(overloadMultiple * creditsPerWindow * gatewaysPerBackend))
                 / 2
                 / gatewaysPerBackend;
     backend.warmUpCredits +=
-        creditsPerMs * Math.max(0, ctx.now - Math.max(backend.warmUpCreditedAt, backend.startedMs));
+        earnedPerMs * Math.max(0, ctx.now - Math.max(backend.warmUpCreditedAt, backend.startedMs));
     backend.warmUpCreditedAt = ctx.now;
     backend.warmUpCreditsUsed =
         Math.max(
--- a/policy/src/test/java/willowdoor/policy/CeilingTest.java
+++ b/policy/src/test/java/willowdoor/policy/CeilingTest.java
@@ -19,30 +19,31 @@
 class CeilingTest {
 
   private final Map<String, Double> counts = new HashMap<>();
-  private double store;
-  private double storeAt;
-  private double lowest;
-  private int sent;
+  private double bucket;
+  private double bucketUpdatedAt;
+  private double lowestLevel;
+  private int sentCount;
   private int units;
 
   @Test
-  void holdsWithFailingCallsRestartsAndEmptiedCounts() {
+  void ceilingHoldsDespiteFailedCallsRestartsAndLostCounts() {
     for (int seed = 0; seed < 40; seed++) {
-      play(seed);
+      simulate(seed);
       assertTrue(
-          lowest >= -PolicyHarness.CEILED.ceilingSlack(), "seed " + seed + ": store at " + lowest);
-      assertTrue(sent > 50, "seed " + seed + ": only " + sent + " sent");
+          lowestLevel >= -PolicyHarness.WITH_CEILING.ceilingSlack(),
+          "seed " + seed + ": store at " + lowestLevel);
+      assertTrue(sentCount > 50, "seed " + seed + ": only " + sentCount + " sent");
     }
   }
 
-  private void play(int seed) {
+  private void simulate(int seed) {
     SplittableRandom random = new SplittableRandom(seed);
     counts.clear();
-    lowest = store = PolicyHarness.CEILED.ceilingBurst();
-    storeAt = 1_000_000;
-    sent = 0;
+    lowestLevel = bucket = PolicyHarness.WITH_CEILING.ceilingBurst();
+    bucketUpdatedAt = 1_000_000;
+    sentCount = 0;
     PolicyHarness[] gateways = new PolicyHarness[2];
-    double trouble = random.nextDouble();
+    double failureRate = random.nextDouble();
     for (int step = 0; step < 3000; step++) {
       double now = 1_000_000 + step * 25.0;
       int i = random.nextInt(2);
@@ -56,33 +57,34 @@
       gateways[i].now = now;
       units = 1 + random.nextInt(4);
       gateways[i].on(new Request("s" + step, "safe", "ceiled", 42, 2, units, now + 4000));
-      answer(gateways[i], gateways[i].last, random, step % 400 < 200 ? trouble : 0);
+      perform(gateways[i], gateways[i].lastActions, random, step % 400 < 200 ? failureRate : 0);
     }
   }
 
-  private void answer(
-      PolicyHarness gateway, List<Action> actions, SplittableRandom random, double trouble) {
+  private void perform(
+      PolicyHarness gateway, List<Action> actions, SplittableRandom random, double failureRate) {
     for (Action action : actions) {
       if (action instanceof AddToCounter a) {
-        boolean fails = random.nextDouble() < trouble;
+        boolean fails = random.nextDouble() < failureRate;
         boolean adds = !fails || random.nextBoolean();
         double total = adds ? counts.merge(a.name(), a.amount(), Double::sum) : 0;
         Status status = fails ? Status.TIMED_OUT : Status.OK;
         gateway.on(new CounterResult(a.name(), status, total, 2));
-        answer(gateway, gateway.last, random, trouble);
+        perform(gateway, gateway.lastActions, random, failureRate);
       } else if (action instanceof Send s) {
-        take(gateway.now, gateway, s);
+        serve(gateway.now, gateway, s);
       }
     }
   }
 
-  private void take(double now, PolicyHarness gateway, Send s) {
-    double filled = store + PolicyHarness.CEILED.ceilingRate() * (now - storeAt) / 1000;
-    store = Math.min(PolicyHarness.CEILED.ceilingBurst(), filled);
-    storeAt = now;
-    store -= units;
-    lowest = Math.min(lowest, store);
-    sent++;
+  private void serve(double now, PolicyHarness gateway, Send s) {
+    double filled =
+        bucket + PolicyHarness.WITH_CEILING.ceilingRate() * (now - bucketUpdatedAt) / 1000;
+    bucket = Math.min(PolicyHarness.WITH_CEILING.ceilingBurst(), filled);
+    bucketUpdatedAt = now;
+    bucket -= units;
+    lowestLevel = Math.min(lowestLevel, bucket);
+    sentCount++;
     gateway.on(new Outcome(s.request(), 0, s.backend(), Status.OK, 50, true, 1, null));
   }
 }
--- a/policy/src/test/java/willowdoor/policy/CounterThrottleTest.java
+++ b/policy/src/test/java/willowdoor/policy/CounterThrottleTest.java
@@ -10,43 +10,43 @@
 class CounterThrottleTest {
 
   private final Context ctx = new Context(PolicyHarness.settings(true, 100, false), 5);
-  private final CounterThrottle pace = new CounterThrottle(ctx);
+  private final CounterThrottle throttle = new CounterThrottle(ctx);
 
-  private void ends(Status status) {
+  private void callEnds(Status status) {
     ctx.now += 31;
-    pace.onResult(status);
+    throttle.onResult(status);
   }
 
   private int calls(int tries, double stepMs) {
     int calls = 0;
     for (int i = 0; i < tries; i++) {
       ctx.now += stepMs;
-      calls += pace.mayCall() ? 1 : 0;
+      calls += throttle.mayCall() ? 1 : 0;
     }
     return calls;
   }
 
   @Test
-  void failuresCutTheShareOncePerLimitAndAnswersRaiseIt() {
-    ends(Status.TIMED_OUT);
-    pace.onResult(Status.TIMED_OUT);
-    assertEquals(0.7, pace.callShare, 1e-9, "two at the same time are one sign of load");
+  void failuresReduceCallShareOncePerTimeoutAndAnswersRaiseIt() {
+    callEnds(Status.TIMED_OUT);
+    throttle.onResult(Status.TIMED_OUT);
+    assertEquals(0.7, throttle.callShare, 1e-9, "two at the same time are one sign of load");
     int calls = calls(1000, 0);
     assertTrue(calls > 640 && calls < 760, calls + " of 1000 call");
-    ends(Status.RESET);
-    assertEquals(0.7, pace.callShare, 1e-9, "a broken answer tells of no load");
-    ends(Status.OK);
-    assertTrue(pace.callShare > 0.7 && pace.callShare < 0.8);
+    callEnds(Status.RESET);
+    assertEquals(0.7, throttle.callShare, 1e-9, "a broken answer tells of no load");
+    callEnds(Status.OK);
+    assertTrue(throttle.callShare > 0.7 && throttle.callShare < 0.8);
   }
 
   @Test
-  void anAbsentCounterIsTriedNowAndThenAndComesBackSlowly() {
+  void unreachableCounterIsProbedAndCallsResumeSlowly() {
     for (int i = 0; i < 4; i++) {
-      ends(Status.TIMED_OUT);
+      callEnds(Status.TIMED_OUT);
     }
     int trials = calls(4000, 5);
     assertTrue(trials >= 30 && trials <= 54, "trials in 20 s, spaced by 375 to 625 ms: " + trials);
-    ends(Status.OK);
-    assertEquals(0.3, pace.callShare, 1e-9);
+    callEnds(Status.OK);
+    assertEquals(0.3, throttle.callShare, 1e-9);
   }
 }
--- a/policy/src/test/java/willowdoor/policy/FleetSlowStartModel.java
+++ b/policy/src/test/java/willowdoor/policy/FleetSlowStartModel.java
@@ -37,60 +37,62 @@
 final class FleetSlowStartModel {
   static final double SERVICE_MS = 100;
 
-  private record Due(double at, long order, Runnable what) {}
+  private record ScheduledTask(double at, long order, Runnable task) {}
 
   final Rules rules;
   final SplittableRandom random;
-  final TreeMap<Long, BackendEntry> list = new TreeMap<>();
-  final TreeMap<Long, Double> startedAt = new TreeMap<>(); // of those that have started in truth
+  final TreeMap<Long, BackendEntry> entries = new TreeMap<>();
+  final TreeMap<Long, Double> startTimes = new TreeMap<>(); // of those that have started in truth
   final TreeMap<Long, List<Double>> sends = new TreeMap<>();
   final Set<Long> down = new HashSet<>();
-  final double[] share; // of the traffic, by process
-  double failing; // share of the attempts
-  double perSecond;
+  final double[] trafficShare; // of the traffic, by process
+  double errorRate; // share of the attempts
+  double requestsPerSecond;
   double now = 1_000_000;
-  private final QuotaPolicy[] fleet;
-  private final int[] life;
-  private final PriorityQueue<Due> queue =
-      new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::order));
+  private final QuotaPolicy[] gateways;
+  private final int[] incarnation;
+  private final PriorityQueue<ScheduledTask> queue =
+      new PriorityQueue<>(
+          Comparator.comparingDouble(ScheduledTask::at).thenComparingLong(ScheduledTask::order));
   private final long seed;
-  private long next;
+  private long nextSequence;
 
   FleetSlowStartModel(int processes, int backends, double perSecond, Rules rules, long seed) {
     this.rules = rules;
-    this.perSecond = perSecond;
+    this.requestsPerSecond = perSecond;
     this.seed = seed;
     random = new SplittableRandom(seed);
-    fleet = new QuotaPolicy[processes];
-    life = new int[processes];
-    share = new double[processes];
-    Arrays.fill(share, 1.0 / processes);
+    gateways = new QuotaPolicy[processes];
+    incarnation = new int[processes];
+    trafficShare = new double[processes];
+    Arrays.fill(trafficShare, 1.0 / processes);
     for (int i = 0; i < backends; i++) {
-      put(i, 0);
+      addBackend(i, 0);
     }
   }
 
   /** A few processes get three quarters of the traffic, evenly; the others share the rest. */
-  FleetSlowStartModel uneven() {
-    int few = Math.max(1, share.length / 10);
-    for (int i = 0; i < share.length; i++) {
-      share[i] = i % 10 == 0 && i < 10 * few ? 0.75 / few : 0.25 / (share.length - few);
+  FleetSlowStartModel withUnevenTraffic() {
+    int few = Math.max(1, trafficShare.length / 10);
+    for (int i = 0; i < trafficShare.length; i++) {
+      trafficShare[i] =
+          i % 10 == 0 && i < 10 * few ? 0.75 / few : 0.25 / (trafficShare.length - few);
     }
     return this;
   }
 
-  void put(long id, double startedMs) {
-    list.put(
+  void addBackend(long id, double startedMs) {
+    entries.put(
         id,
         new BackendEntry(id, id % 2 == 0 ? "a" : "b", (int) (id % 4), Phase.SERVING, 1, startedMs));
     if (startedMs > 0) {
-      startedAt.put(id, startedMs);
+      startTimes.put(id, startedMs);
     }
   }
 
   /** Starts the process, anew if it runs: what it knew and had out is gone. */
-  void start(int i) {
-    life[i]++;
+  void startGateway(int i) {
+    incarnation[i]++;
     List<RequestClass> classes =
         List.of(
             new RequestClass(
@@ -101,98 +103,99 @@
                 "cell", 1, 0, 1000, 4000, RetrySafety.KEYED, DeduplicationScope.CELL, 3000, false));
     Settings s =
         new Settings(
-            fleet.length,
+            gateways.length,
             i,
             "a",
             4,
             0,
             false,
             classes,
-            List.of(PolicyHarness.FREE),
+            List.of(PolicyHarness.UNLIMITED),
             new GatewayOptions(false, 30, true, false, 4, 1000, true, 2000, false),
             rules);
-    fleet[i] = new QuotaPolicy(s, seed * 1000 + i + 7919L * life[i]);
-    act(i, fleet[i].start(now));
-    on(i, new BackendList(BackendListKind.CACHED, List.copyOf(list.values())));
+    gateways[i] = new QuotaPolicy(s, seed * 1000 + i + 7919L * incarnation[i]);
+    perform(i, gateways[i].start(now));
+    on(i, new BackendList(BackendListKind.CACHED, List.copyOf(entries.values())));
   }
 
-  FleetSlowStartModel startAll() {
-    for (int i = 0; i < fleet.length; i++) {
-      start(i);
+  FleetSlowStartModel startAllGateways() {
+    for (int i = 0; i < gateways.length; i++) {
+      startGateway(i);
     }
-    arrive();
+    scheduleArrival();
     return this;
   }
 
-  void tellAll() {
-    for (int i = 0; i < fleet.length; i++) {
-      on(i, new BackendList(BackendListKind.COMPLETE, List.copyOf(list.values())));
+  void publishList() {
+    for (int i = 0; i < gateways.length; i++) {
+      on(i, new BackendList(BackendListKind.COMPLETE, List.copyOf(entries.values())));
     }
   }
 
-  void banAll(long id, boolean out) {
-    for (int i = 0; i < fleet.length; i++) {
+  void setExcluded(long id, boolean out) {
+    for (int i = 0; i < gateways.length; i++) {
       on(i, new BackendExclusion(id, out));
     }
   }
 
-  void run(double ms) {
+  void runFor(double ms) {
     double end = now + ms;
     while (!queue.isEmpty() && queue.peek().at < end) {
-      Due due = queue.poll();
+      ScheduledTask due = queue.poll();
       now = due.at;
-      due.what.run();
+      due.task.run();
     }
     now = end;
   }
 
-  void in(double ms, Runnable what) {
-    queue.add(new Due(now + ms, next++, what));
+  void schedule(double ms, Runnable task) {
+    queue.add(new ScheduledTask(now + ms, nextSequence++, task));
   }
 
-  private void arrive() {
-    in(
-        -Math.log(1 - random.nextDouble()) * 1000 / perSecond,
+  private void scheduleArrival() {
+    schedule(
+        -Math.log(1 - random.nextDouble()) * 1000 / requestsPerSecond,
         () -> {
           double draw = random.nextDouble();
           int at = 0;
-          while (at < share.length - 1 && draw >= share[at]) {
-            draw -= share[at++];
+          while (at < trafficShare.length - 1 && draw >= trafficShare[at]) {
+            draw -= trafficShare[at++];
           }
           double kind = random.nextDouble();
           on(
               at,
               new Request(
-                  "m" + next++,
+                  "m" + nextSequence++,
                   kind < 0.5 ? "safe" : kind < 0.8 ? "cell" : "unsafe",
                   "free",
                   42,
-                  fleet.length,
+                  gateways.length,
                   1,
                   now + 4000));
-          arrive();
+          scheduleArrival();
         });
   }
 
   private void on(int i, Event event) {
-    act(i, fleet[i].on(now, event));
+    perform(i, gateways[i].on(now, event));
   }
 
-  private void act(int i, List<Action> actions) {
-    int lives = life[i];
+  private void perform(int i, List<Action> actions) {
+    int runningIncarnation = incarnation[i];
     for (Action action : actions) {
       if (action instanceof SetTimer a) {
-        later(i, lives, Math.max(0, a.atMs() - now) + 0.01, new TimerFired(a.label()));
+        scheduleEvent(
+            i, runningIncarnation, Math.max(0, a.atMs() - now) + 0.01, new TimerFired(a.label()));
       } else if (action instanceof Send s) {
         sends.computeIfAbsent(s.backend(), b -> new ArrayList<>()).add(now);
-        int number = numbers.merge(s.request(), 1, Integer::sum) - 1;
-        boolean fails = random.nextDouble() < failing;
+        int number = attemptCounts.merge(s.request(), 1, Integer::sum) - 1;
+        boolean fails = random.nextDouble() < errorRate;
         Status status =
             down.contains(s.backend()) ? Status.UNREACHABLE : fails ? Status.ERROR : Status.OK;
         double took = status == Status.OK ? SERVICE_MS * (0.7 + 0.6 * random.nextDouble()) : 5;
-        later(
+        scheduleEvent(
             i,
-            lives,
+            runningIncarnation,
             took,
             new Outcome(
                 s.request(), number, s.backend(), status, took, status == Status.OK, 0, null));
@@ -202,20 +205,20 @@
     }
   }
 
-  private final TreeMap<String, Integer> numbers = new TreeMap<>();
+  private final TreeMap<String, Integer> attemptCounts = new TreeMap<>();
 
-  private void later(int i, int lives, double ms, Event event) {
-    in(
+  private void scheduleEvent(int i, int runningIncarnation, double ms, Event event) {
+    schedule(
         ms,
         () -> {
-          if (life[i] == lives) {
+          if (incarnation[i] == runningIncarnation) {
             on(i, event);
           }
         });
   }
 
   /** The part of its capacity that the rules promise of a backend that started then. */
-  private double warmShare(double started, double at) {
+  private double warmUpShare(double started, double at) {
     return Math.min(
         1,
         rules.warmUpStartShare()
@@ -228,9 +231,9 @@
   }
 
   /** What a backend that is warm got a second in the time, in the mean. */
-  double carried(double from, double to) {
-    return list.keySet().stream()
-            .filter(id -> !startedAt.containsKey(id))
+  double meanWarmRate(double from, double to) {
+    return entries.keySet().stream()
+            .filter(id -> !startTimes.containsKey(id))
             .mapToInt(id -> sent(id, from, to))
             .average()
             .orElse(0)
@@ -239,17 +242,17 @@
   }
 
   /** The most that one got a second in the time. */
-  double mostCarried(double from, double to) {
-    return list.keySet().stream().mapToInt(id -> sent(id, from, to)).max().orElse(0)
+  double maxRate(double from, double to) {
+    return entries.keySet().stream().mapToInt(id -> sent(id, from, to)).max().orElse(0)
         * 1000
         / (to - from);
   }
 
   /** What it would have got if it had been held to its share of the capacity at each moment. */
-  double due(long backend, double capacity, double from, double to) {
+  double expectedSends(long backend, double capacity, double from, double to) {
     double sum = 0;
     for (double t = from; t < to; t += 10) {
-      sum += capacity * warmShare(startedAt.get(backend), t) * 10 / 1000;
+      sum += capacity * warmUpShare(startTimes.get(backend), t) * 10 / 1000;
     }
     return sum;
   }
@@ -259,10 +262,10 @@
    * processes sent to it passes N + 2 x root of N + 2, N being the budget by a warm one's capacity
    * a second.
    */
-  double worstExcess(double capacity) {
+  double maxExcess(double capacity) {
     double worst = Double.NEGATIVE_INFINITY;
-    for (long id : startedAt.keySet()) {
-      double began = startedAt.get(id);
+    for (long id : startTimes.keySet()) {
+      double began = startTimes.get(id);
       List<Double> times =
           sends.getOrDefault(id, List.of()).stream()
               .filter(t -> t >= began && t < began + rules.warmUpMs())
@@ -272,7 +275,9 @@
         while (times.get(first) <= end - rules.overloadAfterMs()) {
           first++;
         }
-        double n = rules.overloadMultiple() * due(id, capacity, end - rules.overloadAfterMs(), end);
+        double n =
+            rules.overloadMultiple()
+                * expectedSends(id, capacity, end - rules.overloadAfterMs(), end);
         worst = Math.max(worst, last - first + 1 - (n + 2 * Math.sqrt(n) + 2));
       }
     }
--- a/policy/src/test/java/willowdoor/policy/GatewayFleetTest.java
+++ b/policy/src/test/java/willowdoor/policy/GatewayFleetTest.java
@@ -38,8 +38,8 @@
 
   private final List<PolicyHarness> fleet = new ArrayList<>();
   private final SplittableRandom random = new SplittableRandom(11);
-  private final Map<String, Integer> asked = new HashMap<>();
-  private int next;
+  private final Map<String, Integer> requestedUnits = new HashMap<>();
+  private int nextId;
 
   private void fleet(int gateways, int backends) {
     for (int i = 0; i < gateways; i++) {
@@ -53,46 +53,50 @@
    * world.
    */
   private void run(
-      double seconds, double perSecond, String plan, BiConsumer<PolicyHarness, Action> world) {
+      double seconds,
+      double perSecond,
+      String plan,
+      BiConsumer<PolicyHarness, Action> environment) {
     double begin = fleet.get(0).now;
     int total = (int) (seconds * perSecond);
     for (int k = 0; k < total; k++) {
       double now = begin + 1000 * k / perSecond;
       PolicyHarness f = fleet.get(random.nextInt(fleet.size()));
-      wake(f, now, world);
+      fireTimers(f, now, environment);
       int units = 1 + random.nextInt(4);
-      asked.put("f" + next, units);
-      f.on(new Request("f" + next++, "safe", plan, 42, fleet.size(), units, now + 4000));
-      hand(f, world);
+      requestedUnits.put("f" + nextId, units);
+      f.on(new Request("f" + nextId++, "safe", plan, 42, fleet.size(), units, now + 4000));
+      handActions(f, environment);
     }
-    fleet.forEach(f -> wake(f, begin + 1000 * seconds, world));
+    fleet.forEach(f -> fireTimers(f, begin + 1000 * seconds, environment));
   }
 
-  private void wake(PolicyHarness f, double now, BiConsumer<PolicyHarness, Action> world) {
+  private void fireTimers(
+      PolicyHarness f, double now, BiConsumer<PolicyHarness, Action> environment) {
     for (double t = f.now + 25; t <= now; t += 25) {
       f.now = t;
       f.on(new TimerFired("tick"));
-      hand(f, world);
+      handActions(f, environment);
     }
     f.now = now;
   }
 
-  private void hand(PolicyHarness f, BiConsumer<PolicyHarness, Action> world) {
-    for (Action a : List.copyOf(f.last)) {
-      world.accept(f, a);
+  private void handActions(PolicyHarness f, BiConsumer<PolicyHarness, Action> environment) {
+    for (Action a : List.copyOf(f.lastActions)) {
+      environment.accept(f, a);
     }
   }
 
-  private void answer(
-      PolicyHarness f, Send s, Status status, BiConsumer<PolicyHarness, Action> world) {
+  private void respond(
+      PolicyHarness f, Send s, Status status, BiConsumer<PolicyHarness, Action> environment) {
     f.on(new Outcome(s.request(), 0, s.backend(), status, 50, status == Status.OK, 0, null));
-    hand(f, world);
+    handActions(f, environment);
   }
 
   // Guards against every gateway trying a silent counter at its own pace: hundreds of calls a
   // second.
   @Test
-  void callsToASilentCounterAreBoundedForTheFleetAndComeBack() {
+  void callsToAnUnresponsiveCounterAreBoundedAcrossGatewaysAndResume() {
     fleet(300, 12);
     int[] calls = new int[1];
     boolean[] silent = {true};
@@ -103,9 +107,9 @@
             if (a instanceof AddToCounter add) {
               calls[0]++;
               f.on(new CounterResult(add.name(), silent[0] ? Status.TIMED_OUT : Status.OK, 1, 2));
-              hand(f, this);
+              handActions(f, this);
             } else if (a instanceof Send s) {
-              answer(f, s, Status.OK, this);
+              respond(f, s, Status.OK, this);
             }
           }
         };
@@ -123,7 +127,7 @@
   // Guards against the first token of a cold backend at every gateway: hundreds of first requests
   // at once.
   @Test
-  void aColdBackendIsNotPushedOverByTheFleet() {
+  void warmingBackendIsNotOverloadedByAllGateways() {
     fleet(300, 60);
     int[] cold = new int[1];
     BiConsumer<PolicyHarness, Action> world =
@@ -132,7 +136,7 @@
           public void accept(PolicyHarness f, Action a) {
             if (a instanceof Send s) {
               cold[0] += s.backend() == 7 ? 1 : 0;
-              answer(f, s, Status.OK, this);
+              respond(f, s, Status.OK, this);
             }
           }
         };
@@ -153,7 +157,7 @@
 
   // Guards against saved retries that are few for a gateway and thousands for the fleet.
   @Test
-  void furtherAttemptsAreBoundedForTheFleet() {
+  void retriesAreBoundedAcrossGateways() {
     fleet(300, 60);
     int[] sent = new int[2];
     Map<String, Integer> attempts = new HashMap<>();
@@ -165,7 +169,7 @@
               int number = attempts.merge(s.request(), 1, Integer::sum) - 1;
               sent[number == 0 ? 0 : 1]++;
               f.on(new Outcome(s.request(), number, s.backend(), Status.ERROR, 5, false, 0, null));
-              hand(f, this);
+              handActions(f, this);
             }
           }
         };
@@ -177,7 +181,7 @@
   // Guards against sends that nobody counted, each harmless alone, adding up to far more than the
   // quota.
   @Test
-  void withoutACounterTheFleetKeepsToTheQuota() {
+  void gatewaysKeepToTheQuotaWithoutACounter() {
     fleet(100, 12);
     double[] units = new double[1];
     BiConsumer<PolicyHarness, Action> world =
@@ -186,31 +190,33 @@
           public void accept(PolicyHarness f, Action a) {
             if (a instanceof AddToCounter add) {
               f.on(new CounterResult(add.name(), Status.REJECTED, 0, 2));
-              hand(f, this);
+              handActions(f, this);
             } else if (a instanceof Send s) {
-              units[0] += asked.get(s.request());
-              answer(f, s, Status.OK, this);
+              units[0] += requestedUnits.get(s.request());
+              respond(f, s, Status.OK, this);
             }
           }
         };
     run(20, 100, "broad", world);
     units[0] = 0;
     run(20, 100, "broad", world);
-    assertTrue(units[0] < 20 * PolicyHarness.BROAD.rate() * 1.3, units[0] + " units in 20 s");
-    assertTrue(units[0] > 20 * PolicyHarness.BROAD.rate() * 0.4, units[0] + " units in 20 s");
+    assertTrue(units[0] < 20 * PolicyHarness.HIGH_RATE.rate() * 1.3, units[0] + " units in 20 s");
+    assertTrue(units[0] > 20 * PolicyHarness.HIGH_RATE.rate() * 0.4, units[0] + " units in 20 s");
   }
 
   @Test
-  void theCeilingHoldsThroughManyGatewaysAndThroughFew() {
-    assertTrue(lowestOfCeiling(200) >= -PolicyHarness.WIDE.ceilingSlack());
+  void ceilingHoldsWithManyAndWithFewGateways() {
+    assertTrue(lowestCeilingLevel(200) >= -PolicyHarness.HIGH_CEILING.ceilingSlack());
     fleet.clear();
-    assertTrue(lowestOfCeiling(3) >= -PolicyHarness.WIDE.ceilingSlack());
+    assertTrue(lowestCeilingLevel(3) >= -PolicyHarness.HIGH_CEILING.ceilingSlack());
   }
 
-  private double lowestOfCeiling(int gateways) {
+  private double lowestCeilingLevel(int gateways) {
     fleet(gateways, 12);
     Map<String, Double> counts = new HashMap<>();
-    double[] store = {PolicyHarness.WIDE.ceilingBurst(), fleet.get(0).now, Double.MAX_VALUE, 0};
+    double[] store = {
+      PolicyHarness.HIGH_CEILING.ceilingBurst(), fleet.get(0).now, Double.MAX_VALUE, 0
+    };
     BiConsumer<PolicyHarness, Action> world =
         new BiConsumer<>() {
           @Override
@@ -219,14 +225,17 @@
               boolean fails = random.nextDouble() < 0.2;
               double total = counts.merge(add.name(), add.amount(), Double::sum);
               f.on(new CounterResult(add.name(), fails ? Status.TIMED_OUT : Status.OK, total, 2));
-              hand(f, this);
+              handActions(f, this);
             } else if (a instanceof Send s) {
-              double full = store[0] + PolicyHarness.WIDE.ceilingRate() * (f.now - store[1]) / 1000;
-              store[0] = Math.min(PolicyHarness.WIDE.ceilingBurst(), full) - asked.get(s.request());
+              double full =
+                  store[0] + PolicyHarness.HIGH_CEILING.ceilingRate() * (f.now - store[1]) / 1000;
+              store[0] =
+                  Math.min(PolicyHarness.HIGH_CEILING.ceilingBurst(), full)
+                      - requestedUnits.get(s.request());
               store[1] = f.now;
               store[2] = Math.min(store[2], store[0]);
               store[3]++;
-              answer(f, s, Status.OK, this);
+              respond(f, s, Status.OK, this);
             }
           }
         };
@@ -238,20 +247,21 @@
   // Guards against work and connections that grow with the fleet: of a thousand backends few are
   // used.
   @Test
-  void aGatewayKeepsToFewOfManyBackendsAndToAllOfFew() {
-    assertTrue(used(300, 1000) <= 40, "of a thousand: " + used(300, 1000));
-    assertEquals(10, used(3, 10));
+  void gatewayUsesASubsetOfManyBackendsAndAllOfFew() {
+    assertTrue(
+        countUsedBackends(300, 1000) <= 40, "of a thousand: " + countUsedBackends(300, 1000));
+    assertEquals(10, countUsedBackends(3, 10));
   }
 
-  private int used(int gateways, int backends) {
+  private int countUsedBackends(int gateways, int backends) {
     PolicyHarness f =
         new PolicyHarness(PolicyHarness.settings(true, gateways, false)).backends(backends);
     Set<Long> seen = new HashSet<>();
     for (int i = 0; i < 400; i++) {
-      f.run(25).request("safe", "free", 1);
-      if (f.did(Send.class)) {
-        seen.add(f.only(Send.class).backend());
-        f.outcome(f.only(Send.class), 0, Status.OK, true);
+      f.runTimer(25).request("safe", "free", 1);
+      if (f.emitted(Send.class)) {
+        seen.add(f.lastAction(Send.class).backend());
+        f.outcome(f.lastAction(Send.class), 0, Status.OK, true);
       }
     }
     return seen.size();
@@ -260,7 +270,7 @@
   // Guards against cold backends left idle, as each is kept to by a few gateways only, and against
   // too much.
   @Test
-  void replacedBackendsTakeTheirPartOfTheLoadAsTheyWarm() {
+  void replacedBackendsGetTheirShareWhileWarmingUp() {
     fleet(14, 60);
     int[] sent = new int[2];
     BiConsumer<PolicyHarness, Action> world =
@@ -269,7 +279,7 @@
           public void accept(PolicyHarness f, Action a) {
             if (a instanceof Send s) {
               sent[s.backend() < 24 ? 0 : 1]++;
-              answer(f, s, Status.OK, this);
+              respond(f, s, Status.OK, this);
             }
           }
         };
@@ -294,7 +304,7 @@
   // Guards against subsets drawn by each gateway alone: some backends kept to by many, and some by
   // none.
   @Test
-  void everyBackendIsKeptToByEquallyManyGateways() {
+  void everyBackendIsInEquallyManySubsets() {
     fleet(14, 60);
     Map<Long, Set<PolicyHarness>> usedBy = new HashMap<>();
     Map<PolicyHarness, Set<Long>> uses = new HashMap<>();
@@ -305,7 +315,7 @@
             if (a instanceof Send s) {
               usedBy.computeIfAbsent(s.backend(), b -> new HashSet<>()).add(f);
               uses.computeIfAbsent(f, g -> new HashSet<>()).add(s.backend());
-              answer(f, s, Status.OK, this);
+              respond(f, s, Status.OK, this);
             }
           }
         };
@@ -318,40 +328,40 @@
   // Guards against booking this gateway's own stand-still to the fleet, and acting before all was
   // read.
   @Test
-  void aGatewayThatStoodStillReadsFirstAndRefusesNobodyForIt() {
+  void stalledGatewayReadsPendingEventsFirstAndRefusesNoRequest() {
     PolicyHarness f = new PolicyHarness(PolicyHarness.settings(true, 300, false)).backends(12);
     for (int round = 0; round < 10; round++) {
-      f.run(25).request("safe", "free", 1);
-      Send s = f.only(Send.class);
-      f.run(25);
-      f.pass(2000).on(new TimerFired("tick"));
-      assertFalse(f.did(Cancel.class), "its answer may lie unread");
+      f.runTimer(25).request("safe", "free", 1);
+      Send s = f.lastAction(Send.class);
+      f.runTimer(25);
+      f.advanceClock(2000).on(new TimerFired("tick"));
+      assertFalse(f.emitted(Cancel.class), "its answer may lie unread");
       f.on(new Outcome(s.request(), 0, s.backend(), Status.OK, 2020, true, 0, null));
-      f.pass(1).on(new TimerFired("tick"));
+      f.advanceClock(1).on(new TimerFired("tick"));
     }
     f.request("safe", "free", 1);
-    assertTrue(f.did(Send.class));
+    assertTrue(f.emitted(Send.class));
   }
 
   // Guards against taking lost answers for a full fleet. A few slow backends look the same and stay
   // unseen.
   @Test
-  void lostAnswersAreNoFullFleet() {
+  void lostAnswersAreNotOverload() {
     PolicyHarness f = new PolicyHarness(PolicyHarness.settings(true, 300, false)).backends(12);
     for (int i = 0; i < 30; i++) {
-      f.run(100).request("unsafe", "free", 1);
-      Send lost = f.only(Send.class);
-      f.run(100).request("safe", "free", 1);
-      f.outcome(f.only(Send.class), 0, Status.OK, true);
+      f.runTimer(100).request("unsafe", "free", 1);
+      Send lost = f.lastAction(Send.class);
+      f.runTimer(100).request("safe", "free", 1);
+      f.outcome(f.lastAction(Send.class), 0, Status.OK, true);
       f.on(new Outcome(lost.request(), 0, lost.backend(), Status.TIMED_OUT, 3900, false, 0, null));
     }
-    f.run(50).request("safe", "free", 1);
-    assertTrue(f.did(Send.class));
+    f.runTimer(50).request("safe", "free", 1);
+    assertTrue(f.emitted(Send.class));
   }
 
   // Guards against settings and events that make no sense: one final answer each, and no exception.
   @Test
-  void senselessInputIsStillAnsweredOnce() {
+  void invalidInputIsAnsweredExactlyOnce() {
     for (int gateways : new int[] {0, 1, 400}) {
       for (int entryPoints : new int[] {-1, 0, 1, 1000}) {
         PolicyHarness f =
@@ -361,14 +371,21 @@
             () -> {
               f.on(new Request("x", "safe", "rated", 5, entryPoints, 1, f.now + 4000));
               for (int i = 0; i < 500; i++) {
-                answers[0] += f.did(Refuse.class) || f.did(Fail.class) ? 1 : 0;
-                if (f.did(Send.class)) {
+                answers[0] += f.emitted(Refuse.class) || f.emitted(Fail.class) ? 1 : 0;
+                if (f.emitted(Send.class)) {
                   f.on(
                       new Outcome(
-                          "x", 0, f.only(Send.class).backend(), Status.OK, 1e9, true, 0, null));
+                          "x",
+                          0,
+                          f.lastAction(Send.class).backend(),
+                          Status.OK,
+                          1e9,
+                          true,
+                          0,
+                          null));
                   answers[0]++;
                 }
-                f.run(10);
+                f.runTimer(10);
               }
               f.on(new CounterResult("never asked", Status.OK, 3, 1));
               f.on(new Outcome("never sent", 3, 1, Status.OK, 1, true, 0, null));
@@ -381,17 +398,17 @@
   // Guards a restarted backend of which the roster does not know yet: refused connections mean a
   // cold start.
   @Test
-  void aBackendThatTookNoConnectionIsTakenToBeCold() {
+  void backendThatRefusedAConnectionIsTreatedAsCold() {
     PolicyHarness f = new PolicyHarness(PolicyHarness.settings(true, 300, false)).backends(1);
     f.request("safe", "free", 1);
-    f.outcome(f.only(Send.class), 0, Status.UNREACHABLE, false);
-    f.run(9_000);
+    f.outcome(f.lastAction(Send.class), 0, Status.UNREACHABLE, false);
+    f.runTimer(9_000);
     int sent = 0;
     for (int i = 0; i < 40; i++) {
-      f.run(25).request("safe", "free", 1);
-      if (f.did(Send.class)) {
+      f.runTimer(25).request("safe", "free", 1);
+      if (f.emitted(Send.class)) {
         sent++;
-        f.outcome(f.only(Send.class), 0, Status.OK, true);
+        f.outcome(f.lastAction(Send.class), 0, Status.OK, true);
       }
     }
     assertTrue(sent < 20, sent + " of 40 sent at once");
@@ -400,13 +417,13 @@
   // Guards against meeting each dead backend of a lost zone by oneself: its failures count for all
   // of them.
   @Test
-  void aLostZoneIsLeftAfterAFewFailures() {
+  void unreachableZoneIsAvoidedAfterAFewFailures() {
     PolicyHarness f = new PolicyHarness(PolicyHarness.settings(true, 300, false)).backends(200);
     int near = 0;
     int all = 0;
     for (int i = 0; i < 60; i++) {
-      f.run(25).request("unsafe", "free", 1);
-      Send s = f.only(Send.class);
+      f.runTimer(25).request("unsafe", "free", 1);
+      Send s = f.lastAction(Send.class);
       boolean lost = s.backend() % 2 == 1;
       near += i >= 20 && !lost ? 1 : 0;
       all += i >= 20 ? 1 : 0;
@@ -417,24 +434,25 @@
 
   // Guards a customer's quota when its gateway restarts, or when it comes through another one.
   @Test
-  void aRestartedGatewayKnowsTheQuotaFromTheCount() {
-    PolicyHarness f = PolicyHarness.counted();
+  void restartedGatewayRestoresTheQuotaFromTheSharedCount() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
     f.request("safe", "rated", 4);
-    f.total(4);
-    assertTrue(f.did(Send.class));
+    f.counterReturns(4);
+    assertTrue(f.emitted(Send.class));
     PolicyHarness again =
         new PolicyHarness(PolicyHarness.settings(true, 2, false), f.now + 100).backends(4);
     again.request("safe", "rated", 4);
-    again.total(200);
-    assertTrue(again.did(Refuse.class));
+    again.counterReturns(200);
+    assertTrue(again.emitted(Refuse.class));
   }
 
   @Test
-  void withoutBackendsEachRequestIsAnsweredOnceInTime() {
+  void requestsWithoutBackendsAreAnsweredOnceBeforeTheDeadline() {
     PolicyHarness f = new PolicyHarness(PolicyHarness.settings(true, 300, false)).backends(0);
     f.request("safe", "free", 1);
-    assertFalse(f.did(Send.class));
-    f.run(3900);
-    assertEquals(1, f.all.stream().filter(a -> a instanceof Refuse || a instanceof Fail).count());
+    assertFalse(f.emitted(Send.class));
+    f.runTimer(3900);
+    assertEquals(
+        1, f.allActions.stream().filter(a -> a instanceof Refuse || a instanceof Fail).count());
   }
 }
--- a/policy/src/test/java/willowdoor/policy/LoadEstimateTest.java
+++ b/policy/src/test/java/willowdoor/policy/LoadEstimateTest.java
@@ -9,14 +9,14 @@
 class LoadEstimateTest {
 
   @Test
-  void theServiceTimeOfBeforeIsOverInSeconds() {
-    LoadEstimate pressure = new LoadEstimate(PolicyHarness.settings(true, 100, false));
+  void serviceTimeFollowsAChangeWithinSeconds() {
+    LoadEstimate load = new LoadEstimate(PolicyHarness.settings(true, 100, false));
     double now = 1_000_000;
     for (int i = 0; i < 200; i++, now += 250) {
-      pressure.onAnswer(i < 100 ? 400 : 200, now);
+      load.onAnswer(i < 100 ? 400 : 200, now);
     }
-    assertEquals(200, pressure.serviceMs, 1);
-    pressure.onAnswer(400, now);
-    assertTrue(pressure.serviceMs < 215, "one answer made it " + pressure.serviceMs);
+    assertEquals(200, load.serviceMs, 1);
+    load.onAnswer(400, now);
+    assertTrue(load.serviceMs < 215, "one answer made it " + load.serviceMs);
   }
 }
--- a/policy/src/test/java/willowdoor/policy/PolicyHarness.java
+++ b/policy/src/test/java/willowdoor/policy/PolicyHarness.java
@@ -28,19 +28,19 @@
 /** A gateway under test: its module, a clock, and all that the module asked for. */
 final class PolicyHarness {
 
-  static final Plan RATED = new Plan("rated", 2, 10, 0, 1, 0, 1, 0, 0, 0);
-  static final Plan CEILED = new Plan("ceiled", 2, 10, 0, 1, 0, 1, 4, 20, 2);
-  static final Plan WIDE = new Plan("wide", 40, 100, 0, 1, 0, 1, 80, 200, 20);
-  static final Plan BROAD = new Plan("broad", 40, 100, 0, 1, 0, 1, 0, 0, 0);
-  static final Plan FREE = new Plan("free", 0, 0, 0, 1, 0, 1, 0, 0, 0);
-  static final Plan CAPPED = new Plan("capped", 40, 100, 4, 1, 0, 1, 0, 0, 0);
-  static final Plan NARROW = new Plan("narrow", 0, 0, 2, 1, 0, 1, 0, 0, 0);
+  static final Plan BASIC = new Plan("rated", 2, 10, 0, 1, 0, 1, 0, 0, 0);
+  static final Plan WITH_CEILING = new Plan("ceiled", 2, 10, 0, 1, 0, 1, 4, 20, 2);
+  static final Plan HIGH_CEILING = new Plan("wide", 40, 100, 0, 1, 0, 1, 80, 200, 20);
+  static final Plan HIGH_RATE = new Plan("broad", 40, 100, 0, 1, 0, 1, 0, 0, 0);
+  static final Plan UNLIMITED = new Plan("free", 0, 0, 0, 1, 0, 1, 0, 0, 0);
+  static final Plan RATE_AND_OPEN_LIMIT = new Plan("capped", 40, 100, 4, 1, 0, 1, 0, 0, 0);
+  static final Plan OPEN_LIMIT = new Plan("narrow", 0, 0, 2, 1, 0, 1, 0, 0, 0);
 
   final QuotaPolicy policy;
-  final List<Action> all = new ArrayList<>();
-  List<Action> last = List.of();
+  final List<Action> allActions = new ArrayList<>();
+  List<Action> lastActions = List.of();
   double now;
-  private int next;
+  private int nextId;
 
   PolicyHarness(Settings settings) {
     this(settings, 1_000_000);
@@ -49,14 +49,14 @@
   PolicyHarness(Settings settings, double startMs) {
     now = startMs;
     policy = new QuotaPolicy(settings, 7 + settings.selfIndex());
-    take(policy.start(now));
+    record(policy.start(now));
   }
 
-  static Settings settings(boolean counter, int gateways, boolean ask) {
-    return settings(counter, gateways, ask, 0);
+  static Settings settings(boolean counter, int gateways, boolean listOnRequest) {
+    return settings(counter, gateways, listOnRequest, 0);
   }
 
-  static Settings settings(boolean counter, int gateways, boolean ask, int self) {
+  static Settings settings(boolean counter, int gateways, boolean listOnRequest, int self) {
     List<RequestClass> classes =
         List.of(
             new RequestClass(
@@ -77,12 +77,19 @@
         0,
         false,
         classes,
-        List.of(RATED, CEILED, FREE, NARROW, CAPPED, WIDE, BROAD),
-        new GatewayOptions(counter, 30, true, false, 4, 1000, true, 2000, ask),
+        List.of(
+            BASIC,
+            WITH_CEILING,
+            UNLIMITED,
+            OPEN_LIMIT,
+            RATE_AND_OPEN_LIMIT,
+            HIGH_CEILING,
+            HIGH_RATE),
+        new GatewayOptions(counter, 30, true, false, 4, 1000, true, 2000, listOnRequest),
         new Rules(8, 0.2, 10_000, 3, 2000));
   }
 
-  static PolicyHarness counted() {
+  static PolicyHarness withSharedCounter() {
     return new PolicyHarness(settings(true, 2, false)).backends(4);
   }
 
@@ -95,44 +102,44 @@
   }
 
   PolicyHarness on(Event event) {
-    take(policy.on(now, event));
+    record(policy.on(now, event));
     return this;
   }
 
-  private void take(List<Action> actions) {
-    last = actions;
-    all.addAll(actions);
+  private void record(List<Action> actions) {
+    lastActions = actions;
+    allActions.addAll(actions);
   }
 
-  PolicyHarness pass(double ms) {
+  PolicyHarness advanceClock(double ms) {
     now += ms;
     return this;
   }
 
   /** Lets time go by with the module's own timer running. */
-  PolicyHarness run(double ms) {
+  PolicyHarness runTimer(double ms) {
     List<Action> seen = new ArrayList<>();
     for (double end = now + ms; now < end; ) {
       now = Math.min(end, now + 25);
       on(new TimerFired("tick"));
-      seen.addAll(last);
+      seen.addAll(lastActions);
     }
     seen.removeIf(a -> a instanceof SetTimer);
-    last = seen;
+    lastActions = seen;
     return this;
   }
 
   String request(String className, String plan, double units) {
-    String id = "r" + next++;
+    String id = "r" + nextId++;
     on(new Request(id, className, plan, 42, 2, units, now + 4000));
     return id;
   }
 
-  PolicyHarness total(double total) {
+  PolicyHarness counterReturns(double total) {
     return on(new CounterResult(lastAdd().name(), Status.OK, total, 2));
   }
 
-  PolicyHarness callFails(Status status) {
+  PolicyHarness counterCallFails(Status status) {
     return on(new CounterResult(lastAdd().name(), status, 0, 30));
   }
 
@@ -140,7 +147,7 @@
     return on(new Outcome(send.request(), attempt, send.backend(), status, 50, over, 0, null));
   }
 
-  PolicyHarness report(Send send, int attempt, double inFlight) {
+  PolicyHarness respondWithLoad(Send send, int attempt, double inFlight) {
     return on(
         new Outcome(
             send.request(),
@@ -154,15 +161,15 @@
   }
 
   AddToCounter lastAdd() {
-    return find(all, AddToCounter.class);
+    return find(allActions, AddToCounter.class);
   }
 
-  <T extends Action> T only(Class<T> type) {
-    return find(last, type);
+  <T extends Action> T lastAction(Class<T> type) {
+    return find(lastActions, type);
   }
 
-  <T extends Action> boolean did(Class<T> type) {
-    return last.stream().anyMatch(type::isInstance);
+  <T extends Action> boolean emitted(Class<T> type) {
+    return lastActions.stream().anyMatch(type::isInstance);
   }
 
   private static <T extends Action> T find(List<Action> actions, Class<T> type) {
--- a/policy/src/test/java/willowdoor/policy/PolicySizeTest.java
+++ b/policy/src/test/java/willowdoor/policy/PolicySizeTest.java
@@ -30,7 +30,7 @@
   private static final long MAX_TOKENS_PER_FILE = 3_097;
 
   @Test
-  void theDecisionCodeIsSmallAndNamedWhole() throws IOException {
+  void decisionCodeIsWithinItsSizeAndFullyListed() throws IOException {
     Set<Path> named = new TreeSet<>();
     String policy =
         Files.readAllLines(ROOT.resolve("deploy/balancer.toml")).stream()
--- a/policy/src/test/java/willowdoor/policy/QuotaAccuracyTest.java
+++ b/policy/src/test/java/willowdoor/policy/QuotaAccuracyTest.java
@@ -18,7 +18,7 @@
   // Guards a wait that swings with two or three requests of one's own, as one of many gateways has
   // out.
   @Test
-  void aFewRequestsOutAreNoPressure() {
+  void fewRequestsInFlightAreNotOverload() {
     PolicyHarness f = new PolicyHarness(PolicyHarness.settings(true, 100, false)).backends(60);
     SplittableRandom random = new SplittableRandom(3);
     ArrayDeque<String> out = new ArrayDeque<>();
@@ -26,10 +26,10 @@
     for (int i = 0; i < 400; i++) {
       for (int most = 1 + random.nextInt(7); out.size() < most; ) {
         String id = f.request("safe", "free", 1);
-        refused += f.did(Refuse.class) ? 1 : 0;
+        refused += f.emitted(Refuse.class) ? 1 : 0;
         out.add(id);
       }
-      f.pass(100);
+      f.advanceClock(100);
       for (int left = random.nextInt(2); out.size() > left; ) {
         f.on(new Outcome(out.poll(), 0, 0, Status.OK, 230, true, 0, null));
       }
@@ -57,20 +57,20 @@
       100, 0.4, 20000, 0.88, 0.9,  0.076, 0.2,  1.2
       100, 0,   550,   0.83, 0.89, 0.105, 0.36, 0.8
       """)
-  void gatewaysKeepNearTheStore(
+  void gatewayDecisionsStayCloseToTheTrueQuota(
       int gateways,
-      double guessSpread,
+      double estimateSpread,
       double callsPerSecond,
       double gain,
       double served,
       double beyond,
-      double halfFull,
+      double refusedHalfFull,
       double calls) {
-    Result r = new QuotaSimulation(gateways, 60, guessSpread, callsPerSecond, 7).run(1, 40);
+    Result r = new QuotaSimulation(gateways, 60, estimateSpread, callsPerSecond, 7).run(1, 40);
     assertTrue(r.gainShare() > gain, "gain " + r);
     assertTrue(r.servedShare() > served, "served " + r);
-    assertTrue(r.beyondShare() < beyond, "beyond " + r);
-    assertTrue(r.halfFullShare() < halfFull, "refused with room " + r);
+    assertTrue(r.overQuotaShare() < beyond, "beyond " + r);
+    assertTrue(r.refusedHalfFullShare() < refusedHalfFull, "refused with room " + r);
     assertTrue(r.callsPerTry() < calls, "calls " + r);
   }
 }
--- a/policy/src/test/java/willowdoor/policy/QuotaPolicyTest.java
+++ b/policy/src/test/java/willowdoor/policy/QuotaPolicyTest.java
@@ -35,67 +35,67 @@
   // The ordinary path
 
   @Test
-  void addsTheEstimateThenSends() {
-    PolicyHarness f = PolicyHarness.counted();
+  void estimateIsAddedBeforeTheRequestIsSent() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
     f.request("safe", "rated", 3);
-    assertEquals(3, f.only(AddToCounter.class).amount());
-    assertFalse(f.did(Send.class));
-    f.total(3);
-    assertTrue(f.did(Send.class));
+    assertEquals(3, f.lastAction(AddToCounter.class).amount());
+    assertFalse(f.emitted(Send.class));
+    f.counterReturns(3);
+    assertTrue(f.emitted(Send.class));
   }
 
   @Test
-  void refusesWhatWouldPassTheQuotaAndOwesItBack() {
-    PolicyHarness f = PolicyHarness.counted();
+  void requestOverQuotaIsRefusedAndItsUnitsSubtractedLater() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
     f.request("safe", "rated", 3);
-    f.total(200);
-    assertTrue(f.did(Refuse.class));
-    f.pass(500).request("safe", "rated", 1);
+    f.counterReturns(200);
+    assertTrue(f.emitted(Refuse.class));
+    f.advanceClock(500).request("safe", "rated", 1);
     assertEquals(
-        -3, f.only(AddToCounter.class).amount(), "only reads, and takes the refused 3 off");
+        -3, f.lastAction(AddToCounter.class).amount(), "only reads, and takes the refused 3 off");
   }
 
   @Test
-  void settlesTheTrueUnitsWithTheNextAdd() {
-    PolicyHarness f = PolicyHarness.counted();
+  void actualUnitsAreSettledWithTheNextAdd() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
     f.request("safe", "rated", 2);
-    Send s = f.total(2).only(Send.class);
+    Send s = f.counterReturns(2).lastAction(Send.class);
     f.on(new Outcome(s.request(), 0, s.backend(), Status.OK, 50, true, 4, null));
     f.request("safe", "rated", 1);
-    assertEquals(1 + 2, f.only(AddToCounter.class).amount());
+    assertEquals(1 + 2, f.lastAction(AddToCounter.class).amount());
   }
 
   @Test
-  void aSpentCustomerIsRefusedWithoutACall() {
-    PolicyHarness f = PolicyHarness.counted();
+  void exhaustedCustomerIsRefusedWithoutACounterCall() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
     f.request("safe", "rated", 3);
-    f.total(200);
-    f.pass(10).request("safe", "rated", 3);
-    assertTrue(f.did(Refuse.class));
-    assertFalse(f.did(AddToCounter.class));
+    f.counterReturns(200);
+    f.advanceClock(10).request("safe", "rated", 3);
+    assertTrue(f.emitted(Refuse.class));
+    assertFalse(f.emitted(AddToCounter.class));
   }
 
   @Test
-  void twoBurstsDoNotPassAtTheEdgeOfAWindow() {
-    PolicyHarness f = PolicyHarness.counted();
+  void windowChangeGrantsNoSecondBurst() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
     String first = null;
     int sent = 0;
-    for (double total = 2; f.all.size() < 4000; total += 2) {
-      f.pass(50).request("safe", "rated", 2);
-      if (!f.did(AddToCounter.class)) {
+    for (double total = 2; f.allActions.size() < 4000; total += 2) {
+      f.advanceClock(50).request("safe", "rated", 2);
+      if (!f.emitted(AddToCounter.class)) {
         continue;
       }
       String name = f.lastAdd().name();
       if (first != null && !name.equals(first)) {
-        f.total(f.lastAdd().amount());
-        assertTrue(f.did(Refuse.class), "a new window is not a new burst");
+        f.counterReturns(f.lastAdd().amount());
+        assertTrue(f.emitted(Refuse.class), "a new window is not a new burst");
         return;
       }
       first = name;
-      f.total(total);
-      sent += f.did(Send.class) ? 1 : 0;
-      if (f.did(Send.class)) {
-        Send s = f.only(Send.class);
+      f.counterReturns(total);
+      sent += f.emitted(Send.class) ? 1 : 0;
+      if (f.emitted(Send.class)) {
+        Send s = f.lastAction(Send.class);
         f.outcome(s, 0, Status.OK, true);
       }
     }
@@ -104,32 +104,32 @@
 
   @Test
   void plansWithoutRateNeedNoCall() {
-    PolicyHarness f = PolicyHarness.counted();
+    PolicyHarness f = PolicyHarness.withSharedCounter();
     f.request("safe", "free", 3);
-    assertTrue(f.did(Send.class));
-    assertFalse(f.did(AddToCounter.class));
+    assertTrue(f.emitted(Send.class));
+    assertFalse(f.emitted(AddToCounter.class));
   }
 
   @Test
   void openLimitIsSplitAmongTheGateways() {
-    PolicyHarness f = PolicyHarness.counted();
+    PolicyHarness f = PolicyHarness.withSharedCounter();
     f.request("safe", "narrow", 1);
-    assertTrue(f.did(Send.class));
+    assertTrue(f.emitted(Send.class));
     f.request("safe", "narrow", 1);
-    assertTrue(f.did(Refuse.class));
+    assertTrue(f.emitted(Refuse.class));
   }
 
   /** A customer whose use comes through one gateway alone has its whole limit there. */
   @Test
-  void openLimitFollowsTheUse() {
-    PolicyHarness f = PolicyHarness.counted();
+  void openLimitFollowsTheCustomersUse() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
     Map<String, Double> totals = new HashMap<>();
     for (int i = 0; i < 60; i++) {
-      f.pass(100).on(new TimerFired("tick"));
+      f.advanceClock(100).on(new TimerFired("tick"));
       String id = f.request("safe", "capped", 1);
       Send s =
-          f.total(totals.merge(f.lastAdd().name(), f.lastAdd().amount(), Double::sum))
-              .only(Send.class);
+          f.counterReturns(totals.merge(f.lastAdd().name(), f.lastAdd().amount(), Double::sum))
+              .lastAction(Send.class);
       assertEquals(id, s.request());
       if (i < 57) {
         f.outcome(s, 0, Status.OK, true);
@@ -142,27 +142,28 @@
    * idle.
    */
   @Test
-  void whatOthersLeaveOfAnOpenLimitMayBeUsedHere() {
+  void openLimitUnusedByOtherGatewaysMayBeUsedHere() {
     PolicyHarness idle = new PolicyHarness(PolicyHarness.settings(true, 14, false)).backends(60);
     PolicyHarness busy = new PolicyHarness(PolicyHarness.settings(true, 14, false)).backends(60);
-    assertEquals(2, openAtOnce(idle, 1), "more than its part of 4 for 14, and room for chance");
-    assertEquals(1, openAtOnce(busy, 5), "the others use it");
+    assertEquals(
+        2, countSentOfThree(idle, 1), "more than its part of 4 for 14, and room for chance");
+    assertEquals(1, countSentOfThree(busy, 5), "the others use it");
   }
 
   /**
    * How many of three requests that come at once are sent, after a second in which others added as
    * much.
    */
-  private static int openAtOnce(PolicyHarness f, double totalPerAdd) {
+  private static int countSentOfThree(PolicyHarness f, double totalPerAdd) {
     int sent = 0;
     double total = 0;
     for (int i = 0; i < 3; i++) {
-      f.pass(10).on(new Request("r" + i, "safe", "capped", 42, 14, 1, f.now + 4000));
-      if (f.did(AddToCounter.class)) {
+      f.advanceClock(10).on(new Request("r" + i, "safe", "capped", 42, 14, 1, f.now + 4000));
+      if (f.emitted(AddToCounter.class)) {
         total += totalPerAdd;
-        f.total(total);
+        f.counterReturns(total);
       }
-      sent += f.did(Send.class) ? 1 : 0;
+      sent += f.emitted(Send.class) ? 1 : 0;
     }
     return sent;
   }
@@ -171,36 +172,36 @@
   void withoutACounterTheQuotaIsSplitEvenly() {
     PolicyHarness f = new PolicyHarness(PolicyHarness.settings(false, 2, false)).backends(4);
     f.request("safe", "rated", 4);
-    assertTrue(f.did(Send.class));
+    assertTrue(f.emitted(Send.class));
     f.request("safe", "rated", 4);
-    assertTrue(f.did(Refuse.class), "half of a burst of 10 holds one request of 4");
+    assertTrue(f.emitted(Refuse.class), "half of a burst of 10 holds one request of 4");
   }
 
   @Test
-  void unknownPlanAndClassAreStillAnsweredOnce() {
-    PolicyHarness f = PolicyHarness.counted();
+  void unknownPlanAndClassAreAnsweredOnce() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
     f.on(new Request("x", "no such class", "no such plan", 9, 2, 1, f.now + 4000));
-    Send s = f.total(1).only(Send.class);
+    Send s = f.counterReturns(1).lastAction(Send.class);
     f.outcome(s, 0, Status.ERROR, false);
-    assertTrue(f.did(Fail.class), "an unknown class may not run twice");
+    assertTrue(f.emitted(Fail.class), "an unknown class may not run twice");
   }
 
   // Counter trouble
 
   @Test
-  void anUnansweredCallIsDecidedByTheReplica() {
-    PolicyHarness f = PolicyHarness.counted();
+  void unansweredCounterCallIsDecidedByTheReplica() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
     f.request("safe", "rated", 3);
-    f.callFails(Status.TIMED_OUT);
-    assertTrue(f.did(Send.class));
+    f.counterCallFails(Status.TIMED_OUT);
+    assertTrue(f.emitted(Send.class));
   }
 
   @Test
-  void aSilentCounterDoesNotHoldARequestPastItsBound() {
-    PolicyHarness f = PolicyHarness.counted();
+  void unresponsiveCounterDelaysARequestOnlyUpToItsBound() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
     f.request("safe", "rated", 3);
-    f.run(100);
-    assertTrue(f.did(Send.class));
+    f.runTimer(100);
+    assertTrue(f.emitted(Send.class));
   }
 
   /**
@@ -208,189 +209,190 @@
    * unasked.
    */
   @Test
-  void unreadableAnswersDoNotSlowTheCalls() {
-    PolicyHarness f = PolicyHarness.counted();
+  void unreadableCounterAnswersDoNotReduceTheCalls() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
     for (int i = 0; i < 200; i++) {
-      f.pass(60).on(new Request("q" + i, "safe", "rated", 1000 + i, 2, 1, f.now + 4000));
-      assertTrue(f.did(AddToCounter.class), "request " + i);
+      f.advanceClock(60).on(new Request("q" + i, "safe", "rated", 1000 + i, 2, 1, f.now + 4000));
+      assertTrue(f.emitted(AddToCounter.class), "request " + i);
       if (i % 3 == 0) {
-        f.callFails(Status.RESET);
+        f.counterCallFails(Status.RESET);
       } else {
-        f.total(1);
+        f.counterReturns(1);
       }
-      f.outcome(f.only(Send.class), 0, Status.OK, true).on(new TimerFired("tick"));
+      f.outcome(f.lastAction(Send.class), 0, Status.OK, true).on(new TimerFired("tick"));
     }
   }
 
   @Test
-  void anAbsentCounterIsTriedRarelyAndComesBackAtOnce() {
-    PolicyHarness f = PolicyHarness.counted();
+  void unreachableCounterIsProbedRarelyAndUsedAgainOnRecovery() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
     int calls = 0;
     for (int i = 0; i < 200; i++) {
-      f.pass(20).on(new Request("q" + i, "safe", "rated", 1000 + i, 2, 1, f.now + 4000));
-      if (f.did(AddToCounter.class)) {
+      f.advanceClock(20).on(new Request("q" + i, "safe", "rated", 1000 + i, 2, 1, f.now + 4000));
+      if (f.emitted(AddToCounter.class)) {
         calls++;
-        f.callFails(Status.UNREACHABLE);
+        f.counterCallFails(Status.UNREACHABLE);
       }
     }
     assertTrue(calls < 40, "calls while the counter is away: " + calls);
     int answered = 0;
     for (int i = 0; i < 200; i++) {
-      f.pass(20).on(new Request("p" + i, "safe", "rated", 5000 + i, 2, 1, f.now + 4000));
-      if (f.did(AddToCounter.class)) {
+      f.advanceClock(20).on(new Request("p" + i, "safe", "rated", 5000 + i, 2, 1, f.now + 4000));
+      if (f.emitted(AddToCounter.class)) {
         answered++;
-        f.total(1);
+        f.counterReturns(1);
       }
     }
     assertTrue(answered > 100, "calls after its return: " + answered);
   }
 
   @Test
-  void aFailedCallThatAddedNothingLeavesAnAdmittedRequestOwed() {
-    PolicyHarness f = PolicyHarness.counted();
+  void failedCallThatAddedNothingLeavesUnitsForTheNextAdd() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
     f.request("safe", "rated", 3);
-    f.callFails(Status.REJECTED);
-    assertTrue(f.did(Send.class));
+    f.counterCallFails(Status.REJECTED);
+    assertTrue(f.emitted(Send.class));
     f.request("safe", "rated", 1);
-    assertEquals(4, f.only(AddToCounter.class).amount());
+    assertEquals(4, f.lastAction(AddToCounter.class).amount());
   }
 
   @Test
-  void anAnswerTellsWhetherAnUnansweredCallWasAdded() {
-    PolicyHarness added = PolicyHarness.counted();
+  void nextTotalShowsWhetherAnUnansweredCallWasAdded() {
+    PolicyHarness added = PolicyHarness.withSharedCounter();
     added.request("safe", "rated", 1);
-    added.total(1);
+    added.counterReturns(1);
     added.request("safe", "rated", 3);
-    added.callFails(Status.TIMED_OUT);
+    added.counterCallFails(Status.TIMED_OUT);
     added.request("safe", "rated", 1);
-    added.total(5);
+    added.counterReturns(5);
     added.request("safe", "rated", 1);
-    assertEquals(1, added.only(AddToCounter.class).amount());
+    assertEquals(1, added.lastAction(AddToCounter.class).amount());
 
-    PolicyHarness lost = PolicyHarness.counted();
+    PolicyHarness lost = PolicyHarness.withSharedCounter();
     lost.request("safe", "rated", 1);
-    lost.total(1);
+    lost.counterReturns(1);
     lost.request("safe", "rated", 3);
-    lost.callFails(Status.TIMED_OUT);
+    lost.counterCallFails(Status.TIMED_OUT);
     lost.request("safe", "rated", 1);
-    lost.total(2);
+    lost.counterReturns(2);
     lost.request("safe", "rated", 1);
-    assertEquals(1 + 3, lost.only(AddToCounter.class).amount());
+    assertEquals(1 + 3, lost.lastAction(AddToCounter.class).amount());
   }
 
   @Test
-  void anEmptiedCounterIsNoFreshQuota() {
-    PolicyHarness f = PolicyHarness.counted();
+  void lostCountsGrantNoFreshQuota() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
     f.request("safe", "rated", 1);
-    f.total(200);
-    f.pass(500).request("safe", "rated", 1);
-    f.total(f.lastAdd().amount());
-    assertTrue(f.did(Refuse.class));
+    f.counterReturns(200);
+    f.advanceClock(500).request("safe", "rated", 1);
+    f.counterReturns(f.lastAdd().amount());
+    assertTrue(f.emitted(Refuse.class));
   }
 
   @Test
-  void aRequestThatLeftWhileWaitingIsNotSent() {
-    PolicyHarness f = PolicyHarness.counted();
+  void disconnectedRequestIsNotSentAfterTheCounterAnswers() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
     String id = f.request("safe", "rated", 1);
     f.on(new ClientDisconnected(id));
-    f.total(1);
-    assertFalse(f.did(Send.class));
+    f.counterReturns(1);
+    assertFalse(f.emitted(Send.class));
     f.request("safe", "rated", 2);
-    assertEquals(2 - 1, f.only(AddToCounter.class).amount(), "and its units are returned");
+    assertEquals(2 - 1, f.lastAction(AddToCounter.class).amount(), "and its units are returned");
   }
 
   // Attempts
 
   @Test
-  void anUnsafeRequestThatMayHaveRunFails() {
-    PolicyHarness f = PolicyHarness.counted();
+  void unsafeRequestThatMayHaveRunFails() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
     f.request("unsafe", "free", 1);
-    Send s = f.only(Send.class);
+    Send s = f.lastAction(Send.class);
     f.outcome(s, 0, Status.RESET, false);
-    assertTrue(f.did(Fail.class));
-    assertFalse(f.did(Send.class));
+    assertTrue(f.emitted(Fail.class));
+    assertFalse(f.emitted(Send.class));
   }
 
   @Test
-  void anUnsafeRequestThatNeverRanIsSentAgainElsewhere() {
-    PolicyHarness f = PolicyHarness.counted();
+  void unsafeRequestThatNeverRanIsRetriedOnAnotherBackend() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
     f.request("unsafe", "free", 1);
-    Send s = f.only(Send.class);
+    Send s = f.lastAction(Send.class);
     f.outcome(s, 0, Status.UNREACHABLE, false);
-    assertNotEquals(s.backend(), f.only(Send.class).backend());
+    assertNotEquals(s.backend(), f.lastAction(Send.class).backend());
   }
 
   @Test
-  void aKeyedRequestThatMayHaveRunStaysInItsGroupAndWindow() {
-    PolicyHarness f = PolicyHarness.counted();
+  void keyedRequestThatMayHaveRunStaysInItsScopeAndWindow() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
     f.request("cell", "free", 1);
-    Send s = f.only(Send.class);
+    Send s = f.lastAction(Send.class);
     f.outcome(s, 0, Status.ERROR, false);
-    if (f.did(Send.class)) {
-      assertEquals(s.backend(), f.only(Send.class).backend(), "its cell has this backend alone");
+    if (f.emitted(Send.class)) {
+      assertEquals(
+          s.backend(), f.lastAction(Send.class).backend(), "its cell has this backend alone");
     }
     f.request("zone", "free", 1);
-    Send z = f.only(Send.class);
+    Send z = f.lastAction(Send.class);
     f.outcome(z, 0, Status.ERROR, false);
-    assertEquals(z.backend() % 2, f.only(Send.class).backend() % 2);
-    Send again = f.only(Send.class);
-    f.pass(3500).outcome(again, 1, Status.ERROR, false);
-    assertFalse(f.did(Send.class), "its repeats are no longer dropped");
-    assertTrue(f.did(Fail.class), "and a refusal would promise too much");
+    assertEquals(z.backend() % 2, f.lastAction(Send.class).backend() % 2);
+    Send again = f.lastAction(Send.class);
+    f.advanceClock(3500).outcome(again, 1, Status.ERROR, false);
+    assertFalse(f.emitted(Send.class), "its repeats are no longer dropped");
+    assertTrue(f.emitted(Fail.class), "and a refusal would promise too much");
   }
 
   @Test
-  void everyRequestIsAnsweredBeforeItsClientLeaves() {
+  void everyRequestIsAnsweredBeforeItsDeadline() {
     PolicyHarness f = new PolicyHarness(PolicyHarness.settings(true, 2, false));
     f.request("safe", "free", 1);
-    assertFalse(f.did(Send.class), "no backend is known");
-    f.run(1000);
-    assertTrue(f.did(Refuse.class));
+    assertFalse(f.emitted(Send.class), "no backend is known");
+    f.runTimer(1000);
+    assertTrue(f.emitted(Refuse.class));
     f.on(new Request("short", "safe", "free", 1, 2, 1, f.now + 5));
-    assertTrue(f.did(Refuse.class), "no time is left to look again");
+    assertTrue(f.emitted(Refuse.class), "no time is left to look again");
   }
 
   @Test
-  void anAttemptStopsBeforeTheClientLeaves() {
-    PolicyHarness f = PolicyHarness.counted();
+  void attemptTimeoutIsBeforeTheDeadline() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
     f.request("safe", "free", 1);
-    assertTrue(f.only(Send.class).timeoutMs() < 4000);
+    assertTrue(f.lastAction(Send.class).timeoutMs() < 4000);
   }
 
   @Test
-  void aBegunStreamIsLeftAlone() {
-    PolicyHarness f = PolicyHarness.counted();
+  void startedStreamIsNotInterrupted() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
     String id = f.request("stream", "free", 1);
-    f.on(new StreamStarted(id, 0)).run(6000);
-    assertTrue(f.last.isEmpty(), f.last.toString());
+    f.on(new StreamStarted(id, 0)).runTimer(6000);
+    assertTrue(f.lastActions.isEmpty(), f.lastActions.toString());
   }
 
   @Test
-  void aSilentBackendIsGivenUpOnWhereTheClassAllows() {
-    PolicyHarness f = PolicyHarness.counted();
+  void unresponsiveBackendIsCancelledAndRetriedElsewhere() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
     f.request("safe", "free", 1);
-    Send s = f.only(Send.class);
-    f.run(700);
-    assertEquals(new Cancel(s.request(), 0), f.only(Cancel.class));
+    Send s = f.lastAction(Send.class);
+    f.runTimer(700);
+    assertEquals(new Cancel(s.request(), 0), f.lastAction(Cancel.class));
     f.outcome(s, 0, Status.CANCELLED, false);
-    assertNotEquals(s.backend(), f.only(Send.class).backend());
+    assertNotEquals(s.backend(), f.lastAction(Send.class).backend());
   }
 
   @Test
-  void answersForWhatIsOverAreIgnored() {
-    PolicyHarness f = PolicyHarness.counted();
+  void eventsForUnknownRequestsAreIgnored() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
     f.on(new Outcome("nobody", 0, 1, Status.OK, 5, true, 0, null));
     f.on(new CounterResult("nothing", Status.OK, 5, 1));
     f.on(new ClientDisconnected("nobody"));
     f.on(new TimerFired("unknown"));
-    assertTrue(f.last.isEmpty());
+    assertTrue(f.lastActions.isEmpty());
   }
 
   // Backends
 
   @Test
-  void drainingAndGoneBackendsGetNothingNew() {
-    PolicyHarness f = PolicyHarness.counted();
+  void drainingAndRemovedBackendsGetNoRequests() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
     f.on(
         new BackendList(
             BackendListKind.CHANGES,
@@ -399,8 +401,8 @@
                 new BackendEntry(1, "b", 1, Phase.REMOVED, 1, 0))));
     Set<Long> met = new HashSet<>();
     for (int i = 0; i < 400; i++) {
-      f.run(25).request("safe", "free", 1);
-      Send s = f.only(Send.class);
+      f.runTimer(25).request("safe", "free", 1);
+      Send s = f.lastAction(Send.class);
       met.add(s.backend());
       f.outcome(s, 0, Status.OK, true);
     }
@@ -409,8 +411,8 @@
 
   /** Operators' word stands above the list's, over all kinds of sends, until they take it back. */
   @Test
-  void aBannedBackendGetsNothingWhateverTheRosterSays() {
-    PolicyHarness f = PolicyHarness.counted().backends(2);
+  void excludedBackendGetsNoRequestsWhateverTheListSays() {
+    PolicyHarness f = PolicyHarness.withSharedCounter().backends(2);
     f.on(new BackendExclusion(0, true)).on(new BackendExclusion(0, true));
     assertTrue(f.policy.isKnown(0));
     assertFalse(f.policy.isKnown(7));
@@ -422,10 +424,10 @@
                   new BackendEntry(0, "a", 0, Phase.SERVING, 1, f.now),
                   new BackendEntry(1, "b", 1, Phase.SERVING, 1, 0))));
       f.request("safe", "free", 1);
-      assertEquals(1, f.only(Send.class).backend());
-      f.outcome(f.only(Send.class), 0, Status.ERROR, false);
-      assertTrue(f.all.stream().allMatch(a -> !(a instanceof Send s) || s.backend() == 1));
-      f.run(4000);
+      assertEquals(1, f.lastAction(Send.class).backend());
+      f.outcome(f.lastAction(Send.class), 0, Status.ERROR, false);
+      assertTrue(f.allActions.stream().allMatch(a -> !(a instanceof Send s) || s.backend() == 1));
+      f.runTimer(4000);
     }
     f.on(
         new BackendList(
@@ -437,20 +439,20 @@
 
   /** A ban ends with one call, and what failed before and during it is forgotten. */
   @Test
-  void aBackendThatIsPutBackIsUsedAgainAsAColdOne() {
-    PolicyHarness f = PolicyHarness.counted();
-    failsFast(f, 100);
+  void readmittedBackendWarmsUpAgain() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
+    countSendsToFailingBackend(f, 100);
     f.on(new BackendExclusion(0, true))
-        .pass(100)
+        .advanceClock(100)
         .on(new BackendExclusion(0, true))
-        .pass(100)
+        .advanceClock(100)
         .on(new BackendExclusion(0, false));
     int again = 0;
     int all = 0;
     for (int i = 0; i < 200; i++) {
-      f.run(25).request("safe", "free", 1);
-      if (f.did(Send.class)) {
-        Send s = f.only(Send.class);
+      f.runTimer(25).request("safe", "free", 1);
+      if (f.emitted(Send.class)) {
+        Send s = f.lastAction(Send.class);
         again += s.backend() == 0 ? 1 : 0;
         all++;
         f.outcome(s, 0, Status.OK, true);
@@ -461,8 +463,8 @@
   }
 
   @Test
-  void aColdBackendGetsLittle() {
-    PolicyHarness f = PolicyHarness.counted();
+  void warmingBackendGetsFewRequests() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
     f.on(
         new BackendList(
             BackendListKind.CHANGES,
@@ -470,9 +472,9 @@
     int cold = 0;
     int all = 0;
     for (int i = 0; i < 200; i++) {
-      f.run(25).request("safe", "free", 1);
-      if (f.did(Send.class)) {
-        Send s = f.only(Send.class);
+      f.runTimer(25).request("safe", "free", 1);
+      if (f.emitted(Send.class)) {
+        Send s = f.lastAction(Send.class);
         cold += s.backend() == 0 ? 1 : 0;
         all++;
         f.outcome(s, 0, Status.OK, true);
@@ -487,43 +489,43 @@
    * part.
    */
   @Test
-  void aLostConnectDoesNotMakeABackendCold() {
+  void singleFailedConnectDoesNotRestartTheWarmUp() {
     PolicyHarness f = new PolicyHarness(PolicyHarness.settings(true, 2, false)).backends(1);
     for (int i = 0; i < 40; i++) {
-      f.pass(20).request("unsafe", "free", 1);
-      assertTrue(f.did(Send.class), "request " + i);
+      f.advanceClock(20).request("unsafe", "free", 1);
+      assertTrue(f.emitted(Send.class), "request " + i);
       Status status = i % 10 == 9 ? Status.UNREACHABLE : Status.OK;
-      f.outcome(f.only(Send.class), 0, status, true).on(new TimerFired("tick"));
+      f.outcome(f.lastAction(Send.class), 0, status, true).on(new TimerFired("tick"));
     }
   }
 
   @Test
-  void aBackendThatFailsFastRestsAndIsTriedAgain() {
-    PolicyHarness f = PolicyHarness.counted();
-    int early = failsFast(f, 100);
+  void failingBackendIsBackedOffAndProbedAgain() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
+    int early = countSendsToFailingBackend(f, 100);
     assertTrue(early < 20, "sends to the failing backend: " + early);
     for (int i = 0, met = 0; met == 0; i++) {
       assertTrue(i < 2000, "never tried again");
-      f.run(25).request("safe", "free", 1);
-      Send s = f.only(Send.class);
+      f.runTimer(25).request("safe", "free", 1);
+      Send s = f.lastAction(Send.class);
       met += s.backend() == 0 ? 1 : 0;
       f.outcome(s, 0, Status.OK, true);
     }
   }
 
-  private static int failsFast(PolicyHarness f, int requests) {
+  private static int countSendsToFailingBackend(PolicyHarness f, int requests) {
     int failing = 0;
     for (int i = 0; i < requests; i++) {
-      f.run(25).request("safe", "free", 1);
-      Send s = f.only(Send.class);
+      f.runTimer(25).request("safe", "free", 1);
+      Send s = f.lastAction(Send.class);
       int attempt = 0;
       while (s.backend() == 0) {
         failing++;
         f.outcome(s, attempt++, Status.ERROR, false);
-        if (!f.did(Send.class)) {
+        if (!f.emitted(Send.class)) {
           break;
         }
-        s = f.only(Send.class);
+        s = f.lastAction(Send.class);
       }
       f.outcome(s, attempt, Status.OK, true);
     }
@@ -532,49 +534,49 @@
 
   /** Guards incidents ifcb77b and i3b6be0: an old bad report must not shun a backend for good. */
   @Test
-  void anOldReportFades() {
-    PolicyHarness f = PolicyHarness.counted();
+  void oldLoadReportLosesItsWeight() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
     Send busy = null;
     for (int i = 0; i < 4; i++) {
       f.request("safe", "free", 1);
-      Send s = f.only(Send.class);
+      Send s = f.lastAction(Send.class);
       busy = busy == null ? s : busy;
-      f.report(s, 0, s == busy ? 30 : 0);
+      f.respondWithLoad(s, 0, s == busy ? 30 : 0);
     }
     Set<Long> met = new HashSet<>();
     for (int i = 0; i < 200; i++) {
-      f.run(25).request("safe", "free", 1);
-      Send s = f.only(Send.class);
+      f.runTimer(25).request("safe", "free", 1);
+      Send s = f.lastAction(Send.class);
       met.add(s.backend());
-      f.report(s, 0, 1);
+      f.respondWithLoad(s, 0, 1);
     }
     assertTrue(met.contains(busy.backend()));
   }
 
   @Test
-  void aFullFleetRefusesEarly() {
-    PolicyHarness f = PolicyHarness.counted();
+  void overloadRefusesRequestsEarly() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
     for (int i = 0; i < 60; i++) {
       f.request("safe", "free", 1);
-      if (i >= 30 && f.did(Send.class)) {
-        Send s = f.only(Send.class);
+      if (i >= 30 && f.emitted(Send.class)) {
+        Send s = f.lastAction(Send.class);
         f.on(new Outcome(s.request(), 0, s.backend(), Status.OK, 900, true, 0, null));
       }
     }
     f.request("safe", "free", 1);
-    assertTrue(f.did(Refuse.class));
+    assertTrue(f.emitted(Refuse.class));
   }
 
   /** An answer that waited to be read while the gateway itself paused tells of no full fleet. */
   @Test
-  void aPauseOfItsOwnIsNotTheFleetsWait() {
-    PolicyHarness f = PolicyHarness.counted();
+  void ownPauseDoesNotCountAsBackendLatency() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
     for (int i = 0; i < 90; i++) {
       f.request("unsafe", "free", 1);
-      assertTrue(f.did(Send.class), "request " + i);
-      Send s = f.only(Send.class);
+      assertTrue(f.emitted(Send.class), "request " + i);
+      Send s = f.lastAction(Send.class);
       if (i >= 30) {
-        f.run(275).pass(25 + 70);
+        f.runTimer(275).advanceClock(25 + 70);
         f.on(new Outcome(s.request(), 0, s.backend(), Status.OK, 370, true, 0, null));
         f.on(new TimerFired("tick"));
       }
@@ -582,11 +584,11 @@
   }
 
   @Test
-  void aRosterThatMustBeAskedForIsFollowedAndAskedForAgain() {
+  void backendListIsWatchedAndRequestedAgainAfterAFailure() {
     PolicyHarness f = new PolicyHarness(PolicyHarness.settings(true, 2, true));
-    assertTrue(f.did(WatchBackendList.class));
+    assertTrue(f.emitted(WatchBackendList.class));
     f.on(new BackendList(BackendListKind.FAILED, List.of()));
     f.on(new TimerFired("follow"));
-    assertTrue(f.did(WatchBackendList.class));
+    assertTrue(f.emitted(WatchBackendList.class));
   }
 }
--- a/policy/src/test/java/willowdoor/policy/QuotaSimulation.java
+++ b/policy/src/test/java/willowdoor/policy/QuotaSimulation.java
@@ -44,29 +44,29 @@
   /** What came of the tries, in units; the room is the true store's at that moment. */
   static final class Result {
     double sent;
-    double sentBeyond;
-    double sentOverOpen;
-    double offeredInside;
+    double sentOverQuota;
+    double sentOverOpenLimit;
+    double offeredWithinQuota;
     double offered;
     double gain;
-    long tries;
-    long triesHalfFull;
+    long tryCount;
+    long triesRefusedHalfFull;
     long calls;
-    double inTime;
+    double servedInTime;
     long answered;
-    double waits;
+    double totalLatencyMs;
 
     /**
      * Of the units sent on, those that the true store did not hold, where the plan has a price for
      * that.
      */
-    double beyondShare() {
-      return sentBeyond / Math.max(1, sent);
+    double overQuotaShare() {
+      return sentOverQuota / Math.max(1, sent);
     }
 
     /** Of all tries, those refused with half of the store unused. */
-    double halfFullShare() {
-      return triesHalfFull / (double) Math.max(1, tries);
+    double refusedHalfFullShare() {
+      return triesRefusedHalfFull / (double) Math.max(1, tryCount);
     }
 
     /**
@@ -74,7 +74,7 @@
      * in.
      */
     double servedShare() {
-      return inTime / Math.max(1, offeredInside);
+      return servedInTime / Math.max(1, offeredWithinQuota);
     }
 
     /**
@@ -86,7 +86,7 @@
     }
 
     double callsPerTry() {
-      return calls / (double) Math.max(1, tries);
+      return calls / (double) Math.max(1, tryCount);
     }
 
     @Override
@@ -97,12 +97,12 @@
               + " wait %.0f",
           gainShare(),
           servedShare(),
-          beyondShare(),
-          sentOverOpen / Math.max(1, sent),
-          halfFullShare(),
+          overQuotaShare(),
+          sentOverOpenLimit / Math.max(1, sent),
+          refusedHalfFullShare(),
           callsPerTry(),
-          tries,
-          waits / Math.max(1, answered));
+          tryCount,
+          totalLatencyMs / Math.max(1, answered));
     }
   }
 
@@ -119,14 +119,14 @@
   private static final int[] CUSTOMERS = {450, 65, 26};
   private static final double SERVICE_MS = 420;
   private static final int CORES = 3;
-  private static final int WAITING_ROOM = 24;
+  private static final int QUEUE_CAPACITY = 24;
 
   private static final double CALL_MS = 12;
 
   /** Parts of the counter, and how long a part's line may be before it turns calls away. */
-  private static final int PARTS = 2;
+  private static final int COUNTER_SHARDS = 2;
 
-  private static final double MOST_LINE_MS = 40;
+  private static final double MAX_COUNTER_QUEUE_MS = 40;
   private static final RequestClass PREVIEW =
       new RequestClass(
           "preview", 1, 0, 3872, 9680, RetrySafety.SAFE, DeduplicationScope.ALL, 0, false);
@@ -144,20 +144,20 @@
   }
 
   /** A store that fills at the rate and holds the burst. */
-  private static final class Store {
+  private static final class TokenBucket {
     private final Plan plan;
     private double level;
-    private double at;
+    private double updatedAt;
 
-    Store(Plan plan, double now) {
+    TokenBucket(Plan plan, double now) {
       this.plan = plan;
       level = plan.burst();
-      at = now;
+      updatedAt = now;
     }
 
     double level(double now) {
-      level = Math.min(plan.burst(), level + plan.rate() * (now - at) / 1000);
-      at = now;
+      level = Math.min(plan.burst(), level + plan.rate() * (now - updatedAt) / 1000);
+      updatedAt = now;
       return level;
     }
 
@@ -173,84 +173,85 @@
   private static final class Customer {
     final long id;
     final Plan plan;
-    final String habit;
-    final double use;
-    final Store store;
-    final Store ideal;
-    int out;
+    final String usagePattern;
+    final double utilization;
+    final TokenBucket bucket;
+    final TokenBucket idealBucket;
+    int inFlight;
     final double spikeEveryMs;
     final double spikeMs;
     final double spikePhase;
-    final int first;
-    final int spread;
+    final int firstGateway;
+    final int gatewayCount;
 
     Customer(long id, Plan plan, SplittableRandom random, double now, int gateways) {
       this.id = id;
       this.plan = plan;
       double kind = random.nextDouble();
-      habit = kind < 0.16 ? "full" : kind < 0.25 ? "heavy" : kind < 0.44 ? "spiky" : "calm";
-      use =
-          switch (habit) {
+      usagePattern = kind < 0.16 ? "full" : kind < 0.25 ? "heavy" : kind < 0.44 ? "spiky" : "calm";
+      utilization =
+          switch (usagePattern) {
             case "full" -> 0.9 + 0.1 * random.nextDouble();
             case "heavy" -> 1.6 + 3 * random.nextDouble();
             default -> 0.15 + 0.35 * random.nextDouble();
           };
-      store = new Store(plan, now);
-      ideal = new Store(plan, now);
+      bucket = new TokenBucket(plan, now);
+      idealBucket = new TokenBucket(plan, now);
       spikeEveryMs = 10_000 + 15_000 * random.nextDouble();
       spikeMs = 700 + 3_000 * random.nextDouble();
       spikePhase = spikeEveryMs * random.nextDouble();
       int through = (int) Math.round(gateways * (0.3 + 0.7 * random.nextDouble()));
-      spread = Math.max(Math.min(2, gateways), through);
-      first = random.nextInt(gateways);
+      gatewayCount = Math.max(Math.min(2, gateways), through);
+      firstGateway = random.nextInt(gateways);
     }
 
     double rate(double now) {
-      boolean spike = habit.equals("spiky") && (now + spikePhase) % spikeEveryMs < spikeMs;
-      return plan.rate() * (spike ? 5 : use);
+      boolean spike = usagePattern.equals("spiky") && (now + spikePhase) % spikeEveryMs < spikeMs;
+      return plan.rate() * (spike ? 5 : utilization);
     }
   }
 
-  private record Due(double at, long order, Runnable what) {}
+  private record ScheduledTask(double at, long order, Runnable task) {}
 
-  private record Try(
+  private record ClientTry(
       Customer customer,
       double units,
-      double trueUnits,
+      double actualUnits,
       int number,
       RequestClass type,
-      double since) {
-    double worth() {
+      double firstTriedAt) {
+    double value() {
       return units * type.value() * customer.plan.valueFactor();
     }
   }
 
   private final SplittableRandom random;
-  private final PriorityQueue<Due> queue =
-      new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::order));
-  private final List<QuotaPolicy> fleet = new ArrayList<>();
+  private final PriorityQueue<ScheduledTask> queue =
+      new PriorityQueue<>(
+          Comparator.comparingDouble(ScheduledTask::at).thenComparingLong(ScheduledTask::order));
+  private final List<QuotaPolicy> policies = new ArrayList<>();
   private final List<Customer> customers = new ArrayList<>();
   private final Map<String, Double> counts = new HashMap<>();
-  private final Map<String, Try> open = new HashMap<>();
+  private final Map<String, ClientTry> openTries = new HashMap<>();
   private final Map<String, Integer> attempts = new HashMap<>();
   private final Result result = new Result();
-  private final double guessSpread;
+  private final double estimateSpread;
   private final double callMs;
 
   /** When each part of the counter has done what waits in its line. */
-  private final double[] partFreeAt = new double[PARTS];
+  private final double[] shardFreeAt = new double[COUNTER_SHARDS];
 
   private final List<Server> servers = new ArrayList<>();
   private double now = 1_000_000;
-  private double measureFrom;
-  private long next;
+  private double measuredFrom;
+  private long nextSequence;
 
   /** The counter bears so many calls a second, on all its parts. */
   QuotaSimulation(
       int gateways, int howManyServers, double guessSpread, double callsPerSecond, long seed) {
-    callMs = 1000 * PARTS / callsPerSecond;
+    callMs = 1000 * COUNTER_SHARDS / callsPerSecond;
     random = new SplittableRandom(seed);
-    this.guessSpread = guessSpread;
+    this.estimateSpread = guessSpread;
     for (int i = 0; i < howManyServers; i++) {
       servers.add(new Server());
     }
@@ -268,7 +269,7 @@
               PLANS,
               new GatewayOptions(true, 50, true, false, 4, 1000, true, 2000, false),
               new Rules(8, 0.2, 10_000, 3, 2000));
-      fleet.add(new QuotaPolicy(s, seed * 1000 + i));
+      policies.add(new QuotaPolicy(s, seed * 1000 + i));
     }
     for (int p = 0; p < PLANS.size(); p++) {
       for (int i = 0; i < CUSTOMERS[p]; i++) {
@@ -282,27 +283,27 @@
     for (int i = 0; i < servers.size(); i++) {
       list.add(new BackendEntry(i, "a", i % 4, Phase.SERVING, 1, 0));
     }
-    for (int i = 0; i < fleet.size(); i++) {
-      act(i, fleet.get(i).start(now));
+    for (int i = 0; i < policies.size(); i++) {
+      perform(i, policies.get(i).start(now));
       on(i, new BackendList(BackendListKind.CACHED, list));
     }
-    customers.forEach(this::arrive);
-    measureFrom = now + 1000 * warmS;
-    double end = measureFrom + 1000 * seconds;
-    for (Due due = queue.poll(); due != null && due.at < end; due = queue.poll()) {
+    customers.forEach(this::scheduleArrival);
+    measuredFrom = now + 1000 * warmS;
+    double end = measuredFrom + 1000 * seconds;
+    for (ScheduledTask due = queue.poll(); due != null && due.at < end; due = queue.poll()) {
       now = due.at;
-      due.what.run();
+      due.task.run();
     }
     return result;
   }
 
-  private void in(double ms, Runnable what) {
-    queue.add(new Due(now + ms, next++, what));
+  private void schedule(double ms, Runnable task) {
+    queue.add(new ScheduledTask(now + ms, nextSequence++, task));
   }
 
-  private void arrive(Customer c) {
+  private void scheduleArrival(Customer c) {
     double most = 5 * c.plan.rate();
-    in(
+    schedule(
         -Math.log(1 - random.nextDouble()) * 1000 / (most / 2.5),
         () -> {
           if (random.nextDouble() < c.rate(now) / most) {
@@ -310,25 +311,26 @@
             RequestClass type = draw < 0.49 ? PREVIEW : draw < 0.77 ? SIGN : SEAL;
             double truth = 1 + random.nextInt(4);
             double guess =
-                Math.min(4, Math.max(1, Math.rint(truth * Math.exp(guessSpread * gauss()))));
-            Try first = new Try(c, guess, truth, 0, type, now);
-            if (c.ideal.take(guess, now)) {
-              c.ideal.level -= truth - guess;
-              tell(
+                Math.min(
+                    4, Math.max(1, Math.rint(truth * Math.exp(estimateSpread * normalSample()))));
+            ClientTry first = new ClientTry(c, guess, truth, 0, type, now);
+            if (c.idealBucket.take(guess, now)) {
+              c.idealBucket.level -= truth - guess;
+              record(
                   r -> {
-                    r.offeredInside += first.worth();
-                    r.offered += first.worth();
+                    r.offeredWithinQuota += first.value();
+                    r.offered += first.value();
                   });
             } else {
-              tell(r -> r.offered += first.worth() * c.plan.overQuotaValue());
+              record(r -> r.offered += first.value() * c.plan.overQuotaValue());
             }
-            ask(first);
+            sendRequest(first);
           }
-          arrive(c);
+          scheduleArrival(c);
         });
   }
 
-  private double gauss() {
+  private double normalSample() {
     double sum = -6;
     for (int i = 0; i < 12; i++) {
       sum += random.nextDouble();
@@ -336,73 +338,81 @@
     return sum;
   }
 
-  private void tell(Consumer<Result> what) {
-    if (now >= measureFrom) {
-      what.accept(result);
+  private void record(Consumer<Result> update) {
+    if (now >= measuredFrom) {
+      update.accept(result);
     }
   }
 
-  private void ask(Try t) {
+  private void sendRequest(ClientTry t) {
     Customer c = t.customer;
-    int at = Math.floorMod(c.first + random.nextInt(c.spread), fleet.size());
-    String id = "m" + next++;
-    open.put(id, t);
-    tell(r -> r.tries++);
+    int at = Math.floorMod(c.firstGateway + random.nextInt(c.gatewayCount), policies.size());
+    String id = "m" + nextSequence++;
+    openTries.put(id, t);
+    record(r -> r.tryCount++);
     on(
         at,
         new Request(
-            id, t.type.name(), c.plan.name(), c.id, c.spread, t.units, now + t.type.deadlineMs()));
+            id,
+            t.type.name(),
+            c.plan.name(),
+            c.id,
+            c.gatewayCount,
+            t.units,
+            now + t.type.deadlineMs()));
   }
 
   private void on(int gateway, Event event) {
-    act(gateway, fleet.get(gateway).on(now, event));
+    perform(gateway, policies.get(gateway).on(now, event));
   }
 
-  private void act(int gateway, List<Action> actions) {
+  private void perform(int gateway, List<Action> actions) {
     for (Action action : actions) {
       if (action instanceof SetTimer a) {
-        in(Math.max(0, a.atMs() - now) + 0.01, () -> on(gateway, new TimerFired(a.label())));
+        schedule(Math.max(0, a.atMs() - now) + 0.01, () -> on(gateway, new TimerFired(a.label())));
       } else if (action instanceof AddToCounter a) {
-        tell(r -> r.calls++);
-        in(CALL_MS / 2, () -> count(gateway, a));
+        record(r -> r.calls++);
+        schedule(CALL_MS / 2, () -> addToCounter(gateway, a));
       } else if (action instanceof Send a) {
-        sent(gateway, a);
+        onSend(gateway, a);
       } else if (action instanceof Refuse a) {
-        refused(a.request());
+        onRefused(a.request());
       } else if (action instanceof Fail a) {
-        open.remove(a.request());
+        openTries.remove(a.request());
       }
     }
   }
 
-  private void count(int gateway, AddToCounter a) {
-    int part = Math.floorMod(a.name().hashCode(), PARTS);
-    double doneAt = Math.max(now, partFreeAt[part]) + callMs;
-    if (doneAt - now > MOST_LINE_MS) {
-      in(CALL_MS / 2, () -> on(gateway, new CounterResult(a.name(), Status.REJECTED, 0, CALL_MS)));
+  private void addToCounter(int gateway, AddToCounter a) {
+    int part = Math.floorMod(a.name().hashCode(), COUNTER_SHARDS);
+    double doneAt = Math.max(now, shardFreeAt[part]) + callMs;
+    if (doneAt - now > MAX_COUNTER_QUEUE_MS) {
+      schedule(
+          CALL_MS / 2, () -> on(gateway, new CounterResult(a.name(), Status.REJECTED, 0, CALL_MS)));
       return;
     }
-    partFreeAt[part] = doneAt;
+    shardFreeAt[part] = doneAt;
     double total = counts.merge(a.name(), a.amount(), Double::sum);
-    in(
+    schedule(
         doneAt - now + CALL_MS / 2,
         () -> on(gateway, new CounterResult(a.name(), Status.OK, total, CALL_MS)));
   }
 
-  private void sent(int gateway, Send s) {
-    Try t = open.get(s.request());
+  private void onSend(int gateway, Send s) {
+    ClientTry t = openTries.get(s.request());
     int number = attempts.merge(s.request(), 1, Integer::sum) - 1;
-    boolean room = t.customer.plan.maxOpen() == 0 || t.customer.out < t.customer.plan.maxOpen();
-    boolean inside = number == 0 && room && t.customer.store.take(t.units, now);
-    t.customer.out++;
+    boolean room =
+        t.customer.plan.maxOpen() == 0 || t.customer.inFlight < t.customer.plan.maxOpen();
+    boolean inside = number == 0 && room && t.customer.bucket.take(t.units, now);
+    t.customer.inFlight++;
     if (number == 0) {
-      tell(
+      record(
           r -> {
             r.sent += t.units;
             double cost = inside ? 0 : t.customer.plan.overQuotaCost();
-            r.sentBeyond += cost > 0 ? t.units : 0;
-            r.gain -= t.worth() * cost;
-            r.sentOverOpen += room ? 0 : t.units;
+            r.sentOverQuota += cost > 0 ? t.units : 0;
+            r.gain -= t.value() * cost;
+            r.sentOverOpenLimit += room ? 0 : t.units;
           });
     }
     double sentAt = now;
@@ -410,7 +420,7 @@
     double needs = (t.type == SIGN ? 0.6 : 1) * SERVICE_MS * (0.73 + 0.54 * random.nextDouble());
     Runnable work =
         () ->
-            in(
+            schedule(
                 needs,
                 () -> {
                   server.busy--;
@@ -418,20 +428,20 @@
                     server.busy++;
                     server.waiting.poll().run();
                   }
-                  t.customer.out--;
-                  boolean first = open.remove(s.request()) != null;
+                  t.customer.inFlight--;
+                  boolean first = openTries.remove(s.request()) != null;
                   if (inside) {
-                    t.customer.store.level(now);
-                    t.customer.store.level -= t.trueUnits - t.units;
+                    t.customer.bucket.level(now);
+                    t.customer.bucket.level -= t.actualUnits - t.units;
                   }
                   if (first) {
-                    double earned = now - t.since <= t.type.objectiveMs() ? t.worth() : 0;
-                    tell(
+                    double earned = now - t.firstTriedAt <= t.type.objectiveMs() ? t.value() : 0;
+                    record(
                         r -> {
-                          r.inTime += inside ? earned : 0;
+                          r.servedInTime += inside ? earned : 0;
                           r.gain += earned * (inside ? 1 : t.customer.plan.overQuotaValue());
                           r.answered++;
-                          r.waits += now - sentAt;
+                          r.totalLatencyMs += now - sentAt;
                         });
                   }
                   on(
@@ -443,17 +453,17 @@
                           Status.OK,
                           now - sentAt,
                           true,
-                          t.trueUnits,
+                          t.actualUnits,
                           null));
                 });
     if (server.busy < CORES) {
       server.busy++;
       work.run();
-    } else if (server.waiting.size() < WAITING_ROOM) {
+    } else if (server.waiting.size() < QUEUE_CAPACITY) {
       server.waiting.add(work);
     } else {
-      t.customer.out--;
-      in(
+      t.customer.inFlight--;
+      schedule(
           2,
           () ->
               on(
@@ -464,17 +474,20 @@
   }
 
   /** A client comes again up to three times, through another gateway. */
-  private void refused(String id) {
-    Try t = open.remove(id);
+  private void onRefused(String id) {
+    ClientTry t = openTries.remove(id);
     if (t == null) {
       return;
     }
-    double level = t.customer.store.level(now);
-    tell(r -> r.triesHalfFull += level >= t.customer.plan.burst() / 2 ? 1 : 0);
+    double level = t.customer.bucket.level(now);
+    record(r -> r.triesRefusedHalfFull += level >= t.customer.plan.burst() / 2 ? 1 : 0);
     if (t.number < 3) {
-      in(
+      schedule(
           400 + 800 * random.nextDouble() * (1 << t.number),
-          () -> ask(new Try(t.customer, t.units, t.trueUnits, t.number + 1, t.type, t.since)));
+          () ->
+              sendRequest(
+                  new ClientTry(
+                      t.customer, t.units, t.actualUnits, t.number + 1, t.type, t.firstTriedAt)));
     }
   }
 }
--- a/policy/src/test/java/willowdoor/policy/RetryRulesTest.java
+++ b/policy/src/test/java/willowdoor/policy/RetryRulesTest.java
@@ -19,33 +19,33 @@
 
   private static final double WINDOW_MS = 3_000;
 
-  private final PolicyHarness f = PolicyHarness.counted();
+  private final PolicyHarness f = PolicyHarness.withSharedCounter();
 
   /** Lets attempts end so until the request is answered; gives all sends. */
-  private List<Send> play(String type, Status status) {
-    f.all.clear();
+  private List<Send> attemptUntilAnswered(String type, Status status) {
+    f.allActions.clear();
     f.request(type, "free", 1);
     for (int i = 0; i < sends().size(); i++) {
-      f.pass(10);
+      f.advanceClock(10);
       f.outcome(sends().get(i), i, status, false);
-      f.run(500);
+      f.runTimer(500);
     }
     return sends();
   }
 
   private List<Send> sends() {
-    return f.all.stream().filter(Send.class::isInstance).map(Send.class::cast).toList();
+    return f.allActions.stream().filter(Send.class::isInstance).map(Send.class::cast).toList();
   }
 
   private long count(Class<?> type) {
-    return f.all.stream().filter(type::isInstance).count();
+    return f.allActions.stream().filter(type::isInstance).count();
   }
 
   @ParameterizedTest
   @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "OK")
-  void oneNotToBeRepeatedIsSentAgainOrRefusedOnlyWhereItNeverRan(Status status) {
+  void unsafeRequestIsRetriedOrRefusedOnlyIfItNeverRan(Status status) {
     for (int i = 0; i < 50; i++) {
-      List<Send> sends = play("unsafe", status);
+      List<Send> sends = attemptUntilAnswered("unsafe", status);
       assertEquals(1, count(Refuse.class) + count(Fail.class));
       assertTrue(
           status.provesNotRun() || sends.size() == 1 && count(Refuse.class) == 0,
@@ -56,11 +56,11 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"cell", "zone"})
-  void aKeyedOneKeepsToItsGroupAndWindowAndIsNotRefused(String type) {
+  void keyedRequestIsRetriedOnlyInItsScopeAndWindowAndNeverRefused(String type) {
     int repeats = 0;
     for (int i = 0; i < 50; i++) {
       double first = f.now;
-      List<Send> sends = play(type, Status.RESET);
+      List<Send> sends = attemptUntilAnswered(type, Status.RESET);
       assertEquals(0, count(Refuse.class));
       assertEquals(1, count(Fail.class));
       assertEquals(Double.POSITIVE_INFINITY, sends.get(0).writtenByMs());
@@ -79,41 +79,41 @@
 
   /** What proves that it never ran binds nothing, and its send does not begin the window. */
   @Test
-  void theWindowBeginsWithTheFirstThatMayHaveRun() {
+  void windowBeginsWithTheFirstAttemptThatMayHaveRun() {
     f.request("zone", "free", 1);
-    f.pass(50).outcome(f.only(Send.class), 0, Status.REJECTED, false);
-    assertEquals(Double.POSITIVE_INFINITY, f.only(Send.class).writtenByMs());
+    f.advanceClock(50).outcome(f.lastAction(Send.class), 0, Status.REJECTED, false);
+    assertEquals(Double.POSITIVE_INFINITY, f.lastAction(Send.class).writtenByMs());
     double began = f.now;
-    f.pass(20).outcome(f.only(Send.class), 1, Status.ERROR, false);
+    f.advanceClock(20).outcome(f.lastAction(Send.class), 1, Status.ERROR, false);
     assertEquals(
         began + WINDOW_MS - PendingRequest.DEADLINE_MARGIN_MS,
-        f.only(Send.class).writtenByMs(),
+        f.lastAction(Send.class).writtenByMs(),
         1e-6);
   }
 
   @ParameterizedTest
   @ValueSource(ints = {2_984, 2_986})
-  void noFurtherOneBeginsPastTheWindow(int after) {
+  void noAttemptBeginsAfterTheWindow(int after) {
     f.request("zone", "free", 1);
-    Send first = f.only(Send.class);
+    Send first = f.lastAction(Send.class);
     f.now += after;
     f.outcome(first, 0, Status.ERROR, false);
-    assertEquals(after < WINDOW_MS - PendingRequest.DEADLINE_MARGIN_MS, f.did(Send.class));
-    assertFalse(f.did(Refuse.class));
+    assertEquals(after < WINDOW_MS - PendingRequest.DEADLINE_MARGIN_MS, f.emitted(Send.class));
+    assertFalse(f.emitted(Refuse.class));
   }
 
   /** An end that is told after the client has gone begins nothing. */
   @ParameterizedTest
   @EnumSource
-  void nothingFollowsTheClientsLeave(Status status) {
+  void outcomeAfterClientDisconnectStartsNothing(Status status) {
     for (boolean over : new boolean[] {true, false}) {
-      PolicyHarness f = PolicyHarness.counted();
+      PolicyHarness f = PolicyHarness.withSharedCounter();
       String id = f.request("safe", "free", 1);
-      Send first = f.only(Send.class);
+      Send first = f.lastAction(Send.class);
       f.on(new GatewayApi.ClientDisconnected(id));
       f.outcome(first, 0, status, over);
-      assertEquals(List.of(), f.last);
-      assertFalse(f.run(1_000).did(Send.class));
+      assertEquals(List.of(), f.lastActions);
+      assertFalse(f.runTimer(1_000).emitted(Send.class));
     }
   }
 }
--- a/policy/src/test/java/willowdoor/policy/SlowStartTest.java
+++ b/policy/src/test/java/willowdoor/policy/SlowStartTest.java
@@ -14,7 +14,7 @@
 class SlowStartTest {
 
   @Test
-  void aColdBackendGetsTheShareThatTheRulesPromise() {
+  void warmingBackendGetsItsShareOfRequests() {
     Context ctx = new Context(PolicyHarness.settings(true, 100, false), 5);
     ctx.now = 1_000_000;
     ctx.load.servingBackends = 10;
@@ -48,7 +48,7 @@
   // It starts after the last connect that failed, not after the first: it may have been away for
   // long.
   @Test
-  void aBackendIsColdFromTheLastConnectThatFailed() {
+  void warmUpBeginsAtTheLastFailedConnect() {
     Context ctx = new Context(PolicyHarness.settings(true, 100, false), 5);
     ctx.now = 1_000_000;
     Backend away = new Backend(ctx, 1);
@@ -64,7 +64,7 @@
 
   // Real ids fill 63 bits: what is added to one as a fraction must not be lost.
   @Test
-  void theFleetsPhasesAtABackendAreSpreadEvenlyWhateverItsId() {
+  void initialCreditsOfGatewaysAreSpreadEvenlyForAnyBackendId() {
     for (long id : new long[] {3, 0x7c1f_30d2_7a5b_e964L, Long.MAX_VALUE}) {
       double[] phases = new double[100];
       for (int self = 0; self < phases.length; self++) {
--- a/policy/src/test/java/willowdoor/policy/StallDetectorTest.java
+++ b/policy/src/test/java/willowdoor/policy/StallDetectorTest.java
@@ -9,23 +9,25 @@
 /** What late wake-ups tell of this gateway; time is moved by hand. */
 class StallDetectorTest {
 
-  private final StallDetector stalls = new StallDetector();
+  private final StallDetector detector = new StallDetector();
 
   @Test
-  void aLateWakeUpIsAPauseAndAVeryLateOneAStandStill() {
-    stalls.nextWakeAt = 1000;
-    stalls.onEvent(1030);
-    assertEquals(0, stalls.totalPauseMs, "30 ms late is in time");
-    stalls.onEvent(1070);
-    assertEquals(70, stalls.totalPauseMs);
-    assertFalse(stalls.isStalled(1070));
-    assertEquals(70, stalls.pauseAfter(900, 1080), "sent before the pause");
-    assertEquals(40, stalls.pauseAfter(1030, 1080), "sent within it");
+  void lateTimerIsAPauseAndVeryLateTimerIsAStall() {
+    detector.nextWakeAt = 1000;
+    detector.onEvent(1030);
+    assertEquals(0, detector.totalPauseMs, "30 ms late is in time");
+    detector.onEvent(1070);
+    assertEquals(70, detector.totalPauseMs);
+    assertFalse(detector.isStalled(1070));
+    assertEquals(70, detector.pauseAfter(900, 1080), "sent before the pause");
+    assertEquals(40, detector.pauseAfter(1030, 1080), "sent within it");
     assertEquals(
-        0, stalls.pauseAfter(900, 1101), "an answer that comes long after it did not wait for it");
-    stalls.nextWakeAt = 1100;
-    stalls.onEvent(1201);
-    assertTrue(stalls.isStalled(1201));
-    assertFalse(stalls.isStalled(1202));
+        0,
+        detector.pauseAfter(900, 1101),
+        "an answer that comes long after it did not wait for it");
+    detector.nextWakeAt = 1100;
+    detector.onEvent(1201);
+    assertTrue(detector.isStalled(1201));
+    assertFalse(detector.isStalled(1202));
   }
 }
