--- a/policy/src/main/java/willowdoor/policy/AdmissionControl.java
+++ b/policy/src/main/java/willowdoor/policy/AdmissionControl.java
@@ -4,12 +4,13 @@
 import willowdoor.policy.GatewayApi.*;
 
 /**
- * Which requests are let in: by the fleet's wait, the customer's open limit, its quota and its
+ * Admits or refuses requests by the expected wait, the customer's open limit, its quota and its
  * ceiling.
  */
 record AdmissionControl(Context ctx, CounterSync counterSync, Dispatcher dispatcher) {
   /**
-   * A request waits for the counter at most this share of its aim; the rest is for the backends.
+   * A request waits for the counter for at most this share of its latency objective; the rest is
+   * left for the backends.
    */
   private static final double COUNTER_WAIT_SHARE = 0.06;
 
@@ -58,8 +59,8 @@
   }
 
   /**
-   * By the answered total, or else by the replica with the share of the refill this gateway is used
-   * to.
+   * Decides by the confirmed total, or else by the replica with this gateway's usual share of the
+   * refill.
    */
   private void decide(PendingRequest pending, boolean confirmed) {
     CustomerQuota quota = pending.quota;
@@ -93,8 +94,8 @@
   }
 
   /**
-   * Beyond its quota a request goes on only where the plan earns by it, under no ceiling, fleet
-   * idle.
+   * Sends a request over quota only if that is profitable under its plan, the plan has no ceiling
+   * and the expected wait is short; else refuses it.
    */
   private void handleOverQuota(PendingRequest pending, RefusalReason reason) {
     double rate = pending.quota.plan.rate(), waitShare = ctx.load.expectedWaitShare(ctx.now);
@@ -108,7 +109,7 @@
     }
   }
 
-  /** Keeps every request moving: no wait for the counter or for a backend outlasts its bound. */
+  /** Ends waits for the counter or for a backend that exceed their limits. */
   void onTick(PendingRequest pending) {
     if (pending.currentAttempt != null || !pending.waitingForCounter) {
       dispatcher.onTick(pending);
--- a/policy/src/main/java/willowdoor/policy/Backend.java
+++ b/policy/src/main/java/willowdoor/policy/Backend.java
@@ -3,48 +3,76 @@
 import java.util.LinkedHashSet;
 import willowdoor.policy.GatewayApi.*;
 
-/** One backend as this gateway sees it: as told by the roster, and as learned from its answers. */
+/**
+ * One backend as seen by this gateway: its entry in the backend list, and estimates from its
+ * responses.
+ */
 final class Backend {
   /**
-   * Weight of the newest answer in a backend's failures; in service times, which differ more, half
+   * Weight of the newest response in a backend's failure rate. Service times vary more and use half
    * of it.
    */
   static final double SAMPLE_WEIGHT = 0.2;
 
   /**
-   * A backend failing more of its answers than this, as after three in a row, rests for a growing
-   * while.
+   * Above this failure rate, as after three failures in a row, the backend is backed off for an
+   * increasing time.
    */
   private static final double MAX_FAILURE_RATE = 0.4, BACKOFF_MS = 1_000;
 
-  /** Connects failing without an answer between, as when a backend is down that answered before. */
+  /**
+   * Failed connects in a row, without a response between, after which a backend that responded
+   * before counts as down.
+   */
   private static final int DOWN_AFTER_FAILED_CONNECTS = 3;
 
-  /** How long a backend's measured speed and failures are worth much without a further answer. */
+  /**
+   * Decay time of a backend's measured service time and failure rate while it sends no response.
+   */
   private static final double ESTIMATE_DECAY_MS = 3_000;
 
-  /** How long a load report is worth much: others' requests there are mostly answered by then. */
+  /**
+   * Decay time of a load report: most of the reported requests of other gateways are answered by
+   * then.
+   */
   private static final double REPORT_DECAY_MS = 700;
 
   private final Context ctx;
   final long id;
   final LinkedHashSet<PendingRequest.Attempt> inFlight = new LinkedHashSet<>();
-  BackendEntry entry; // as last told
+  BackendEntry entry;
   Phase phase;
-  double relativeCapacity = 1,
-      startedMs; // relative to the mean of all; when it started, as taken to be
-  MovingAverage zoneFailureRate, cellFailureRate; // shared by the backends of a zone, and of a cell
+
+  /** Capacity relative to the mean of all backends, and the assumed start time. */
+  double relativeCapacity = 1, startedMs;
+
+  /** Shared by the backends of a zone, and of a cell. */
+  MovingAverage zoneFailureRate, cellFailureRate;
+
   private double measuredServiceMs = Double.NaN, failureRate;
-  private int backoffs, failedConnects; // connects that failed since its last answer
-  boolean probing, inSubset = true; // left to one request that tries it; kept to by this gateway
+
+  /** Consecutive backoffs, and failed connects since the last response. */
+  private int backoffs, failedConnects;
+
+  /**
+   * Whether only one request at a time may try the backend, and whether it is in this gateway's
+   * subset.
+   */
+  boolean probing, inSubset = true;
+
   private double backoffUntil = Double.NEGATIVE_INFINITY, rejectingUntil = Double.NEGATIVE_INFINITY;
-  private double reportedInFlight = Double.NaN,
-      ownInFlightAtReport,
-      reportedAt; // requests held, of them from here, when
-  double lastAnswerAt,
-      warmUpCreditedAt,
-      warmUpCredits,
-      warmUpCreditsUsed; // while cold: requests it may get from here, and got
+
+  /**
+   * Requests at the backend by its last load report, those of this gateway among them, and the time
+   * of the report.
+   */
+  private double reportedInFlight = Double.NaN, ownInFlightAtReport, reportedAt;
+
+  /**
+   * Time of the last response; during warm-up, the requests that this gateway may send, as of a
+   * time, and those it has sent.
+   */
+  double lastAnswerAt, warmUpCreditedAt, warmUpCredits, warmUpCreditsUsed;
 
   Backend(Context ctx, long id) {
     this.ctx = ctx;
@@ -53,7 +81,7 @@
     double jitter = ctx.random.nextDouble() / Math.max(1, ctx.settings.gateways());
     warmUpCredits =
         (0.618034 * ctx.settings.selfIndex() + (ringHash() >>> 11) * 0x1p-53 + jitter)
-            % 1; // golden ratio
+            % 1; // multiples of the golden ratio spread the gateways' phases evenly
   }
 
   double reportedCapacity() {
@@ -61,8 +89,8 @@
   }
 
   /**
-   * Its place in the order that all gateways share: SplitMix64's finaliser spreads evenly, ever
-   * alike.
+   * Position of the backend in the order that all gateways share: the finalizer of SplitMix64,
+   * which is evenly distributed and the same at every gateway.
    */
   long ringHash() {
     long z = (id ^ (id >>> 30)) * 0xBF58476D1CE4E5B9L;
@@ -74,7 +102,7 @@
     return startedMs > 0 && ctx.now - startedMs < ctx.settings.rules().warmUpMs();
   }
 
-  /** The part of its capacity that the rules promise by now. */
+  /** The share of its full capacity that the backend has by now under the warm-up rules. */
   double warmUpShare() {
     Rules rules = ctx.settings.rules();
     return Math.min(
@@ -92,8 +120,8 @@
   }
 
   /**
-   * Whether it is spared after failures of its own or near it, or left to one request that tries
-   * it.
+   * Whether the backend gets no request now, because it or its zone or cell failed, or because a
+   * probe is in flight or this request must not be the probe.
    */
   boolean isBackingOff(RetrySafety retrySafety) {
     return ctx.now < backoffUntil
@@ -102,8 +130,8 @@
   }
 
   /**
-   * Requests here from all gateways; a report is trusted less as it ages, so no backend stays
-   * shunned.
+   * Estimated requests of all gateways at this backend. The weight of a load report decays, so that
+   * an old report does not keep requests away for good.
    */
   private double estimatedInFlight() {
     double meanOfOthers =
@@ -126,16 +154,17 @@
   }
 
   /**
-   * What was learned of a backend fades while it answers nothing. Guards against shunning one after
-   * a trouble of any kind that nobody sees end. Harm: a lasting trouble is met again once in a
-   * while.
+   * Weight of the estimates, which decays while the backend sends no response. Otherwise a backend
+   * would be avoided for good if the end of its fault is not observed. Cost: a lasting fault is met
+   * again now and then.
    */
   private double estimateWeight() {
     return Math.exp((lastAnswerAt - ctx.now) / ESTIMATE_DECAY_MS);
   }
 
   /**
-   * Expected time to an answer: service time by requests held, longer where the oldest is overdue.
+   * Expected time to a response: service time multiplied by the requests at the backend, longer if
+   * the oldest request is overdue.
    */
   double expectedWaitMs(double objectiveMs) {
     double overdueMs =
@@ -193,7 +222,7 @@
       boolean down =
           failedConnects >= DOWN_AFTER_FAILED_CONNECTS
               || failedConnects > 0 && Double.isNaN(measuredServiceMs);
-      startedMs = down ? ctx.now : startedMs; // at the earliest, as it is not up yet
+      startedMs = down ? ctx.now : startedMs; // it is not up yet, so it starts now at the earliest
       if (failureRate > MAX_FAILURE_RATE || probing) {
         backoffUntil =
             ctx.now
--- a/policy/src/main/java/willowdoor/policy/BackendRegistry.java
+++ b/policy/src/main/java/willowdoor/policy/BackendRegistry.java
@@ -4,21 +4,23 @@
 import willowdoor.policy.GatewayApi.*;
 
 /**
- * The backends: those of the roster, less those that operators took out, and those this gateway
- * keeps to.
+ * The backends of the list without those that operators excluded, and this gateway's subset of
+ * them.
  */
 final class BackendRegistry {
   /**
-   * Backends that a gateway keeps to (subsetting), so as to meet each often enough to know it, on
-   * few connections; and gateways that keep to each at least, so that it does not idle when one of
-   * them does.
+   * Size of a gateway's subset of backends: small, so that each is used often enough for good
+   * estimates and few connections are needed. And the minimum number of gateways per backend, so
+   * that a backend does not idle when one of its gateways does.
    */
   private static final int SUBSET_SIZE = 12, MIN_GATEWAYS_PER_BACKEND = 4;
 
   private final Context ctx;
   private final TreeMap<Long, Backend> backends = new TreeMap<>();
-  private final Set<Long> excluded =
-      new HashSet<>(); // by operators, whatever the roster says of them
+
+  /** Backends that operators excluded; has precedence over the backend list. */
+  private final Set<Long> excluded = new HashSet<>();
+
   private final Map<String, MovingAverage> failureRates = new HashMap<>();
   final List<Backend> serving = new ArrayList<>(), subset = new ArrayList<>();
   final SlowStart slowStart;
@@ -77,8 +79,8 @@
   }
 
   /**
-   * Deterministic subsetting: all gateways put the backends in the same order, and each keeps to
-   * the stretch that begins at its own place, so that every backend is kept to by equally many.
+   * Deterministic subsetting: all gateways sort the backends in the same order, and each takes the
+   * range that begins at its own position, so that every backend is in equally many subsets.
    */
   private void updateSubset() {
     int n = serving.size();
@@ -106,9 +108,9 @@
   }
 
   /**
-   * What is put back was restarted meanwhile, or may have been: cold, and nothing is known of it,
-   * so it is tried soon. Harm: where it is not well yet, one request that can be repeated finds
-   * out.
+   * A readmitted backend may have been restarted in the meantime. It starts cold and without
+   * estimates, and is probed soon. Cost: if the backend has not recovered, one repeatable request
+   * fails on it.
    */
   void onExclusion(BackendExclusion exclusion) {
     Backend previous = backends.get(exclusion.backend());
--- a/policy/src/main/java/willowdoor/policy/BackendSelector.java
+++ b/policy/src/main/java/willowdoor/policy/BackendSelector.java
@@ -3,25 +3,27 @@
 import java.util.List;
 import willowdoor.policy.GatewayApi.*;
 
-/** Which backend a request's next attempt goes to. */
+/** Selects the backend for the next attempt of a request. */
 record BackendSelector(Context ctx, BackendRegistry backends) {
   /**
-   * Backends compared for a request, over all gateways; two at least, as equal stale reports make a
-   * herd.
+   * Number of backends compared for a request, divided by the number of gateways; at least two.
+   * With more candidates, gateways with the same outdated reports would all choose the same
+   * backend.
    */
   private static final double FLEET_CANDIDATES = 30;
 
   /**
-   * Random spread of expected waits, so that gateways with the same reports pick different
+   * Random spread of the expected waits, so that gateways with the same reports choose different
    * backends.
    */
   private static final double RANDOM_SPREAD = 0.15;
 
   /**
-   * The most promising of a few backends drawn by chance (power of two choices): with many
-   * gateways, equal stale reports would send all to the same one. Beside them all cold ones that
-   * have room, and among equals these, as what they may get expires. Rests are ignored where all
-   * drawn rest.
+   * Selects the backend with the shortest expected wait of a few random ones (power of two
+   * choices). With many gateways, comparing all would send every request to the same backend,
+   * because their reports are equally outdated. All warming backends with credits are candidates
+   * too and win a tie, because their credits expire. If all candidates are backed off, the backoff
+   * is ignored.
    */
   Backend select(PendingRequest pending) {
     boolean restricted =
--- a/policy/src/main/java/willowdoor/policy/Context.java
+++ b/policy/src/main/java/willowdoor/policy/Context.java
@@ -4,8 +4,8 @@
 import willowdoor.policy.GatewayApi.*;
 
 /**
- * What all parts of one gateway's module share: settings, chance, the time, what to do, and what it
- * sees.
+ * State shared by the parts of one gateway's decision module: settings, random source, time,
+ * pending actions and observations.
  */
 final class Context {
   final Settings settings;
@@ -14,7 +14,9 @@
   final LoadEstimate load;
   final DecisionStats stats = new DecisionStats();
   double now, startedAt;
-  List<Action> actions = new ArrayList<>(); // what to do for the event at hand, in order
+
+  /** Actions for the current event, in order. */
+  List<Action> actions = new ArrayList<>();
 
   private final Map<String, RequestClass> classes = new HashMap<>();
 
@@ -25,7 +27,10 @@
     settings.classes().forEach(c -> classes.put(c.name(), c));
   }
 
-  /** A class not in the settings is treated as one that must never run twice. */
+  /**
+   * Returns the class of the request. A class that is not in the settings is treated as one that
+   * must never run twice.
+   */
   RequestClass requestClass(Request request) {
     RequestClass known = classes.get(request.className());
     double remainingMs = request.deadlineMs() - now;
--- a/policy/src/main/java/willowdoor/policy/CounterSync.java
+++ b/policy/src/main/java/willowdoor/policy/CounterSync.java
@@ -3,32 +3,35 @@
 import java.util.*;
 import willowdoor.policy.GatewayApi.*;
 
-/** The customers met, and the calls by which the counter's totals come to their replicas. */
+/** Keeps the customers' quotas, and synchronizes them with the shared counter. */
 final class CounterSync {
   /**
-   * A total so many bursts below what the rate has refilled is raised: a store holds one burst at
-   * most.
+   * A total is raised if the level derived from it exceeds a full bucket by more than this many
+   * bursts.
    */
   private static final double MIN_UNUSED_BURSTS = 0.25;
 
   /**
-   * So many bursts are unused only where a window has begun that its first caller is still to put
-   * right.
+   * More unused bursts than this occur only in a new window whose first caller has not corrected
+   * the total yet; then this share of the calls corrects it.
    */
   private static final double NEW_WINDOW_BURSTS = 3, NEW_WINDOW_CORRECTION_SHARE = 0.05;
 
-  /** The share of looks that raise it, as some come before another's raise has arrived. */
+  /**
+   * Share of the calls that raise a total, because some are made before the correction of another
+   * gateway has arrived.
+   */
   private static final double UNUSED_CORRECTION_SHARE = 0.3;
 
   /**
-   * The part of what a window ended with that the next begins with: what was counted twice is
-   * forgotten.
+   * Share of the use at the end of a window that is carried over into the next one; the rest covers
+   * units that were counted twice.
    */
   private static final double CARRY_OVER_SHARE = 0.7;
 
   private static final double COUNT_TTL_MS = 60_000;
 
-  /** One call to the counter: what it adds, and the request that waits for it, if one does. */
+  /** One call to the counter: the units that it adds, and the request that waits for it, if any. */
   private record Call(CustomerQuota quota, long window, double amount, PendingRequest pending) {
     double requestedUnits() {
       return pending == null ? 0 : pending.requestedUnits;
@@ -38,13 +41,15 @@
   private final Context ctx;
   final CounterThrottle throttle;
   private final Map<String, Plan> plans = new HashMap<>();
-  private final Map<String, MovingAverage> admittedShares =
-      new HashMap<>(); // of each plan's requests, by the answers of late
+
+  /** Share of each plan's requests that recent counter answers admitted. */
+  private final Map<String, MovingAverage> admittedShares = new HashMap<>();
+
   private final Map<String, ArrayDeque<Call>> openCalls = new HashMap<>();
 
   /**
-   * In order of use, so that the longest idle is dropped when another is met: nothing grows for
-   * ever.
+   * In order of use. When a new customer arrives, the one that has been idle for longest is removed
+   * if its counts have expired and it has no open attempts, so the map does not grow without bound.
    */
   private final Map<Long, CustomerQuota> quotas =
       new LinkedHashMap<>(16, 0.75f, true) {
@@ -84,7 +89,10 @@
         .orElse(new Plan("", 0, 0, 0, 0, 0, 0, 0, 0, 0));
   }
 
-  /** Adds the request's units, or only reads where the replica has no room; the request waits. */
+  /**
+   * Adds the units of the request to the count, or only reads the total if the replica has no room.
+   * The request waits for the answer.
+   */
   void call(PendingRequest pending) {
     CustomerQuota quota = pending.quota;
     pending.waitingForCounter = true;
@@ -109,7 +117,10 @@
     add(new Call(quota, window, amount, null));
   }
 
-  /** Takes a call's end; gives the request that has waited for it, if one still did. */
+  /**
+   * Handles the result of a call. Returns the request that waited for it, or null if no request
+   * waits.
+   */
   PendingRequest onCounterResult(CounterResult result) {
     ArrayDeque<Call> queue = openCalls.get(result.name());
     if (queue == null) {
@@ -127,12 +138,14 @@
     if (!ctx.stallDetector.isStalled(ctx.now) || ok) {
       throttle.onResult(result.status());
     }
-    if (ok && pending == null && call.amount == 0) { // it only read what the window ended with
+    if (ok
+        && pending == null
+        && call.amount == 0) { // the call only read the final total of a window
       initializeWindow(quota, call.window + 1, quota.levelFromTotal(result.total(), call.window));
     } else if (ok) {
       applyTotal(quota, call, result.total());
     } else if (added) {
-      quota.uncertainUnits += quota.usesTotals ? 0 : call.amount; // a total tells it by itself
+      quota.uncertainUnits += quota.usesTotals ? 0 : call.amount; // the next total includes them
     } else {
       quota.unreportedUnits += call.amount - call.requestedUnits();
     }
@@ -152,9 +165,9 @@
   }
 
   /**
-   * Replays the growth of the shared total into the replica. Growth beyond what was added here is
-   * others'. A total that halves is an emptied counter, not fresh quota: the replica keeps its
-   * level.
+   * Applies the growth of the shared total to the replica. Growth beyond the units of this gateway
+   * was added by other gateways. A total that drops by more than half means that the counter lost
+   * its data, not that there is new quota: the replica keeps its level.
    */
   private void applyTotal(CustomerQuota quota, Call call, double total) {
     boolean newWindow = quota.lastWindow != call.window;
@@ -185,11 +198,11 @@
   }
 
   /**
-   * Works the bucket's level out of a total, alike at every gateway. Two things that only the
-   * totals' history tells are put into the count itself, each by whom it concerns first: what was
-   * still owed as the window before ended, by the first to add to a window; and the rate's refill
-   * beyond a full bucket, by whoever sees much of it, half at a time, as another may too. An
-   * emptied counter looks like a refill.
+   * Derives the bucket level from a total, in the same way at every gateway. Two corrections that
+   * depend on the history of the totals are added to the count itself. The first caller of a window
+   * adds the use carried over from the previous window. A caller that sees refill beyond a full
+   * bucket adds half of it, because another gateway may do so as well. A counter that lost its data
+   * looks like a refill.
    */
   private void estimateLevel(CustomerQuota quota, Call call, double total) {
     double burst = quota.plan.burst();
@@ -210,8 +223,8 @@
   }
 
   /**
-   * Puts into a window's count what makes it tell the level that the bucket has by the window
-   * before.
+   * Adds to the count of a new window the units that make its level match the level at the end of
+   * the previous window.
    */
   private void initializeWindow(CustomerQuota quota, long window, double levelBefore) {
     double used =
--- a/policy/src/main/java/willowdoor/policy/CounterThrottle.java
+++ b/policy/src/main/java/willowdoor/policy/CounterThrottle.java
@@ -2,14 +2,19 @@
 
 import willowdoor.policy.GatewayApi.*;
 
-/** How many of the requests may call the counter, as in TCP by how its answers come. */
+/**
+ * Limits the share of requests that call the counter, with additive increase and multiplicative
+ * decrease by the outcomes of the calls, as in TCP.
+ */
 final class CounterThrottle {
-  /** Calls failing in a row before the counter is taken to be away; fewer is a lost packet. */
+  /**
+   * Consecutive failed calls after which the counter counts as down; fewer may be a lost packet.
+   */
   private static final int DOWN_AFTER_FAILURES = 4;
 
   /**
-   * Least spacing of trial calls while the counter is away: of a gateway's, and of the whole
-   * fleet's.
+   * Minimum interval between probe calls while the counter is down: of one gateway, and of all
+   * gateways together.
    */
   private static final double PROBE_INTERVAL_MS = 250, FLEET_PROBE_INTERVAL_MS = 5;
 
@@ -19,14 +24,14 @@
   private static final double DECREASE = 0.7, INCREASE = 0.02, MIN_CALL_SHARE = 0.02;
 
   /**
-   * Increase for each second between answers, so that gateways with few calls recover as soon as
+   * Increase for each second between answers, so that gateways with few calls recover as quickly as
    * others.
    */
   private static final double INCREASE_PER_S = 0.05;
 
   /**
-   * Where calling resumes when an absent counter is back, so that all gateways together do not
-   * flood it.
+   * Share of requests that call a counter that has just recovered, so that all gateways together do
+   * not overload it.
    */
   private static final double RECOVERY_CALL_SHARE = 0.3;
 
@@ -42,10 +47,10 @@
   }
 
   /**
-   * Whether to call the counter. Guards against a slow, full, silent or refusing counter, and any
-   * other cause of unanswered calls: fewer call, and spaced trials remain. Harm: where calls fail
-   * for a cause that calling less does not help, customers are held to the replica for longer than
-   * needed.
+   * Whether a request may call the counter. If calls fail for any cause, such as a slow,
+   * overloaded, unresponsive or refusing counter, fewer requests call it, down to spaced probes.
+   * Cost: if fewer calls do not remove the cause, customers are limited by the replica for longer
+   * than necessary.
    */
   boolean mayCall() {
     if (consecutiveFailures < DOWN_AFTER_FAILURES) {
@@ -64,7 +69,7 @@
     nextProbeAt = consecutiveFailures == DOWN_AFTER_FAILURES ? nextProbeTime() : nextProbeAt;
     if (status == Status.RESET) {
       return;
-    } // broken, but in time: tells of no load that fewer calls relieve
+    } // the answer was invalid but in time, so the counter is not overloaded
     if (!ok) {
       callShare *= due ? DECREASE : 1;
       decreasedAt = due ? ctx.now : decreasedAt;
@@ -80,8 +85,8 @@
   }
 
   /**
-   * Trials of the whole fleet are bounded, and spread by chance; each gateway's come within
-   * seconds.
+   * Time of the next probe. The rate of probes from all gateways together is bounded and randomly
+   * spread; each gateway still probes within seconds.
    */
   private double nextProbeTime() {
     double spacing = Math.max(PROBE_INTERVAL_MS, FLEET_PROBE_INTERVAL_MS * ctx.settings.gateways());
--- a/policy/src/main/java/willowdoor/policy/CustomerQuota.java
+++ b/policy/src/main/java/willowdoor/policy/CustomerQuota.java
@@ -3,91 +3,121 @@
 import willowdoor.policy.GatewayApi.Plan;
 
 /**
- * What this gateway knows of one customer: a replica of its plan's bucket, fed by the shared
- * totals.
+ * This gateway's view of one customer: a replica of the token bucket of its plan, kept up to date
+ * by the totals of the shared counter.
  */
 final class CustomerQuota {
-  /** Longest window of a count: many refills of any usual quota, so edges are rare. */
+  /**
+   * Longest window of a shared count. It spans many refills of a usual quota, so window changes are
+   * rare.
+   */
   private static final double MAX_WINDOW_MS = 25_000;
 
   /**
-   * Up to this many entry points each meets a customer often enough to follow its bucket that long.
+   * Up to this many gateways per customer, each gateway gets enough of the customer's requests to
+   * track its bucket for {@link #MAX_WINDOW_MS}.
    */
   private static final double REPLICA_MAX_GATEWAYS = 3;
 
   /**
-   * What a customer is taken to use of its rate before anything is known: most stay well under it.
+   * Assumed use of a new customer as a share of its rate; most customers stay well below their
+   * rate.
    */
   private static final double INITIAL_UTILIZATION = 0.5;
 
   /**
-   * Window of a count that tells the level: so that the window before is still known as one begins.
+   * Window of a count from whose total the bucket level is derived. The window is shorter than the
+   * lifetime of a count, so the previous count is still readable when a new window begins.
    */
   private static final double TOTALS_WINDOW_MS = 45_000;
 
   /**
-   * Totals are worked off so much faster than the rate, as some of what was counted took nothing.
+   * A level derived from totals refills faster than the rate by this share, because some counted
+   * units were never used.
    */
   private static final double EXTRA_REFILL = 0.06;
 
   /**
-   * By these the share asked about falls and rises, so that of ten answers some nine let a request
-   * in.
+   * Factors for the share of requests that call the counter after a refusal and after an admission;
+   * with them, about nine in ten calls admit a request.
    */
   private static final double CALL_SHARE_DECREASE = 0.5, CALL_SHARE_INCREASE = 1.1;
 
   /**
-   * A customer known to be spent is still asked about this often, as refunds of others may have
-   * come.
+   * Interval at which an exhausted customer is checked at the counter again, because other gateways
+   * may have returned units.
    */
   private static final double EXHAUSTED_RECHECK_MS = 400;
 
-  /**
-   * How long the spending of a customer is remembered for its rates: longer than a burst, a few
-   * refills.
-   */
+  /** Averaging time of a customer's rates of use: longer than a burst, a few refills. */
   static final double RATE_AVERAGING_MS = 5_000;
 
   /**
-   * How long a rarely met customer is taken to go on as last seen: heavy use comes in long spells.
+   * How long the last observed use of a rarely seen customer is assumed to continue; heavy use
+   * tends to last.
    */
   private static final double USAGE_PERSISTENCE_MS = 15_000;
 
   private final Context ctx;
   private final long customer;
   final Plan plan;
-  private final MovingAverage
-      admittedShare; // the share of its plan's requests that the answers of late let in
-  private final int gateways; // through how many its requests may come
 
-  /**
-   * Shift and length of its counts' windows; met too rarely to follow its bucket, which totals
-   * tell.
-   */
+  /** Share of the plan's requests that recent counter answers admitted. */
+  private final MovingAverage admittedShare;
+
+  /** Number of gateways through which the customer's requests may come. */
+  private final int gateways;
+
+  /** Offset and length of the windows of this customer's counts. */
   private final double windowOffsetMs, windowMs;
 
+  /**
+   * Whether the level is derived from totals, because this gateway gets too few requests of the
+   * customer to track its bucket.
+   */
   final boolean usesTotals;
-  double level, levelUpdatedAt; // units in the bucket as estimated, and when
-  private double assumedOthersUnits; // spending of others taken for granted since the last answer
-  private double othersRate,
-      ownRate,
-      ownUnitsSinceSync; // units a second; own units since the last answer
+
+  /** Estimated units in the bucket, and the time of the estimate. */
+  double level, levelUpdatedAt;
+
+  /** Units that other gateways are assumed to have used since the last answer. */
+  private double assumedOthersUnits;
+
+  /** Rates of use in units per second, and this gateway's units since the last answer. */
+  private double othersRate, ownRate, ownUnitsSinceSync;
+
   double syncedAt = Double.NaN;
-  double unreportedUnits,
-      uncertainUnits,
-      inFlightUnits; // units for the next add, perhaps added by unanswered calls, in calls under
-  // way
+
+  /**
+   * Units to include in the next add, units of unanswered calls that may have been added, and units
+   * of open calls.
+   */
+  double unreportedUnits, uncertainUnits, inFlightUnits;
+
+  /** Window of the last answer. */
   long lastWindow = Long.MIN_VALUE;
-  double lastTotal; // the window last answered for, and its total then
-  private double sharedCeiling,
-      ownCeiling; // the ceiling: for counted sends together, and this gateway's own part
-  private double
-      othersRecentUnits; // units that others added of late, each faded by the time a request is out
-  private double callShare =
-      1; // the share of its requests that are worth asking about, as the answers went
-  private double
-      unconfirmedAllowance; // this gateway's even part of the quota, which it may send on unasked
-  int openAttempts; // attempts
+
+  /** Total of the last answer. */
+  double lastTotal;
+
+  /**
+   * Units left of the ceiling: of the part shared by all confirmed sends, and of this gateway's own
+   * part.
+   */
+  private double sharedCeiling, ownCeiling;
+
+  /** Units that other gateways added recently, decayed over the mean duration of an attempt. */
+  private double othersRecentUnits;
+
+  /** Share of the customer's requests that call the counter, by the last answers. */
+  private double callShare = 1;
+
+  /**
+   * Units left of this gateway's even part of the quota, which it may send without confirmation.
+   */
+  private double unconfirmedAllowance;
+
+  int openAttempts;
 
   CustomerQuota(
       Context ctx, long customer, Plan plan, MovingAverage admittedShare, int entryPoints) {
@@ -134,9 +164,10 @@
   }
 
   /**
-   * Whether no more may be open here: this gateway's part of the limit by the customer's use is
-   * out, and so is what others leave of it, where told. Parts alone waste a limit that is small for
-   * so many gateways.
+   * Whether no further request may be open at this gateway: its part of the limit, in proportion to
+   * the customer's use, is taken, and so is the part that other gateways leave unused, if the
+   * shared count is current. Fixed parts alone waste a limit that is small for the number of
+   * gateways.
    */
   boolean openLimitReached() {
     double ownPart = Math.max(1, Math.round(plan.maxOpen() * ownUseShare()));
@@ -148,8 +179,9 @@
   }
 
   /**
-   * Whether the shared count was seen so lately that it held what the others have open, and answers
-   * come in time: what waits for a silent backend was added long ago.
+   * Whether the last answer is recent enough to include the requests that other gateways have open,
+   * and backends respond in time. Requests that wait for an unresponsive backend were added long
+   * before.
    */
   boolean sharedCountIsCurrent() {
     return ctx.now - syncedAt < ctx.load.attemptMs
@@ -157,8 +189,8 @@
   }
 
   /**
-   * The most that others likely have open: what they added to the shared count while a request is
-   * out.
+   * Upper estimate of the requests open at other gateways, from the units they added to the shared
+   * count within the duration of an attempt.
    */
   private double openAtOtherGateways() {
     double likely = decayedOthersUnits() / ctx.load.meanUnits;
@@ -169,7 +201,9 @@
     return othersRecentUnits * Math.exp((syncedAt - ctx.now) / ctx.load.attemptMs);
   }
 
-  /** This gateway's part of the customer's use as lately seen; an even one before anything was. */
+  /**
+   * This gateway's share of the customer's recent use; an even share before any use was observed.
+   */
   private double ownUseShare() {
     double minRate = plan.rate() * 0.05;
     return plan.rate() <= 0
@@ -178,8 +212,8 @@
   }
 
   /**
-   * The share of a ceiling for gateways by themselves: all for two, for more a largest request
-   * each.
+   * Share of the ceiling that is split among the gateways: all of it for two gateways, for more
+   * enough for one request of the maximum size at each.
    */
   private double ownCeilingShare() {
     return Math.min(
@@ -199,8 +233,8 @@
   }
 
   /**
-   * Refills to the present; others go on spending as they did, but this gateway keeps its own
-   * share.
+   * Refills the bucket up to the current time. Other gateways are assumed to keep their rate of
+   * use, but this gateway keeps its own share of the refill.
    */
   void refill() {
     double seconds = (ctx.now - levelUpdatedAt) / 1000;
@@ -221,9 +255,9 @@
   }
 
   /**
-   * Units in the bucket by a window's total, as if all that the rate gave since the window began
-   * were kept: more than a burst where the customer used less. What was counted and not used is
-   * forgotten in time.
+   * Units in the bucket by a window's total, without the limit of the burst: exceeds the burst if
+   * the customer used less than its rate. Units that were counted but not used lose their effect
+   * over time.
    */
   double levelFromTotal(double total, long window) {
     return plan.burst()
@@ -232,8 +266,8 @@
   }
 
   /**
-   * Whether it is spent even if others spent nothing since the last answer: a call would only add
-   * load.
+   * Whether the quota is exhausted even if other gateways used nothing since the last answer, so
+   * that a call would only add load.
    */
   boolean isCertainlyExhausted(double units) {
     return Math.min(plan.burst(), level + assumedOthersUnits) - inFlightUnits < units
@@ -241,9 +275,9 @@
   }
 
   /**
-   * The share of its requests to ask about: of a customer that asks for much more than it may have,
-   * most are refused whoever asks, and calls that are refused cost two. Grows back while nothing is
-   * heard.
+   * Share of the customer's requests that call the counter. Most requests of a customer far over
+   * its quota are refused at any gateway, and each refused call causes a second one. The share
+   * recovers while no answers arrive.
    */
   double callShare() {
     return Double.isNaN(syncedAt)
@@ -252,8 +286,8 @@
   }
 
   /**
-   * Whether there is room by the answered total, or else by the replica and what may be sent on
-   * unasked.
+   * Whether the request fits the quota: by the confirmed total, or else by the replica and the
+   * allowance for unconfirmed requests.
    */
   boolean isWithinQuota(double units, boolean confirmed, double ownInFlightUnits) {
     double room = confirmed ? level : level - inFlightUnits + ownInFlightUnits;
@@ -275,10 +309,10 @@
   }
 
   /**
-   * What a request that nobody confirmed brings in the mean, as a share of its worth: as likely
-   * inside the quota as those of its plan that were asked about. Without answers that falls to what
-   * lies beyond. Nothing where open requests are limited, as no answer tells how many the others
-   * have out.
+   * Expected value of an unconfirmed request, as a share of its full value. The probability that
+   * the request is within the quota is the admitted share of its plan, which decays without answers
+   * until only the value over quota counts. Zero for plans with an open limit, because the number
+   * of requests open at other gateways is unknown.
    */
   private double unconfirmedValue() {
     double admittedProbability = admittedShare.decayed(ctx.now) * callShare();
@@ -295,9 +329,9 @@
   }
 
   /**
-   * A hard ceiling: sends that the counter answered for come out of the part that is counted, all
-   * others out of this gateway's own part, so the sum holds whatever the counter answers or
-   * forgets.
+   * Enforces the hard ceiling. Confirmed sends are charged to the shared part and all others to
+   * this gateway's own part, so the sum stays below the ceiling whatever the counter returns or
+   * loses.
    */
   boolean tryTakeFromCeiling(double units, boolean confirmed) {
     boolean fromShared = plan.ceilingRate() > 0 && confirmed && sharedCeiling >= units;
@@ -328,8 +362,8 @@
   }
 
   /**
-   * Learns from what others added since then, which is taken to have come evenly; the earlier
-   * fades.
+   * Updates the rates of use with the units that other gateways added in the last {@code sinceMs},
+   * assumed to be evenly spread; older samples decay.
    */
   void updateRates(double others, double sinceMs) {
     boolean first = Double.isNaN(syncedAt);
--- a/policy/src/main/java/willowdoor/policy/DecisionStats.java
+++ b/policy/src/main/java/willowdoor/policy/DecisionStats.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 import willowdoor.policy.GatewayApi.Status;
 
-/** What the log tells: how calls and requests ended since last asked. */
+/** Counts for the log: how calls and requests ended since the last summary. */
 final class DecisionStats {
   enum RefusalReason {
     FULL,
@@ -17,7 +17,7 @@
     GIVEN_UP
   }
 
-  /** What a request came to or waited for as its time ran out. */
+  /** The stage in which the deadline of a request passed. */
   enum ExpiryStage {
     ARRIVAL,
     COUNTER,
@@ -30,7 +30,7 @@
       expired = new int[ExpiryStage.values().length];
   final int[] counterCalls = new int[Status.values().length];
 
-  /** The counts, after what the guards see; they begin anew. */
+  /** Returns the load figures and the counts as text, and resets the counts. */
   String summarizeAndReset(
       double waitShare, double serviceMs, double callShare, int servingBackends, double pauseMs) {
     StringBuilder text =
--- a/policy/src/main/java/willowdoor/policy/Dispatcher.java
+++ b/policy/src/main/java/willowdoor/policy/Dispatcher.java
@@ -5,21 +5,24 @@
 import willowdoor.policy.GatewayApi.*;
 import willowdoor.policy.PendingRequest.Attempt;
 
-/** The open requests that were let in: their attempts, repeats, and final answers. */
+/** Sends the admitted requests to backends: attempts, retries and final answers. */
 final class Dispatcher {
   /**
-   * Further attempts for each request, earned by first attempts, and how many the fleet may save
-   * up.
+   * Retry budget: tokens earned by each first attempt, and the most tokens that all gateways
+   * together may save.
    */
   private static final double RETRY_TOKENS_PER_REQUEST = 0.15, FLEET_RETRY_TOKENS = 30;
 
   /**
-   * A first attempt that can be repeated is given up after this share of the aim, so that a second
-   * fits.
+   * A repeatable first attempt is cancelled after this share of the latency objective, so that
+   * there is time for a second one.
    */
   private static final double FIRST_ATTEMPT_SHARE = 0.65;
 
-  /** Wait for any usable backend this share of the aim before refusing. */
+  /**
+   * A request waits for a usable backend for at most this share of its latency objective before it
+   * is refused.
+   */
   private static final double BACKEND_WAIT_SHARE = 0.4;
 
   private final Context ctx;
@@ -76,7 +79,8 @@
   }
 
   /**
-   * A request that ended while it waited for the counter must not be sent when the answer comes.
+   * Forgets the request. If it still waits for the counter, it must not be sent when the counter
+   * answers.
    */
   void onClientDisconnected(String id) {
     PendingRequest pending = openRequests.remove(id);
@@ -119,7 +123,9 @@
     }
   }
 
-  /** From now on the attempt takes the client's time, and is the request's last. */
+  /**
+   * From now on the duration of the attempt depends on the client, and no further attempt follows.
+   */
   void onStreamStarted(StreamStarted e) {
     Attempt attempt = attempts.get(e.request() + "#" + e.attempt());
     if (attempt != null) {
@@ -147,7 +153,7 @@
   }
 
   /**
-   * The final answer when no attempt will follow: a refusal where that promise holds, else a
+   * Sends the final answer if no attempt follows: a refusal if the client can safely retry, else a
    * failure.
    */
   private void giveUp(PendingRequest pending) {
@@ -199,9 +205,9 @@
   }
 
   /**
-   * Takes an attempt back from a backend that has answered nothing since it was sent, if a second
-   * fits. Guards against dead, cut off and stalled backends. Harm: one slow request looks the same;
-   * budgeted.
+   * Cancels an attempt if its backend has answered nothing since the attempt was sent and there is
+   * time for a second one. Covers crashed, unreachable and stalled backends. Cost: a single slow
+   * request looks the same; the retry budget limits such cancellations.
    */
   private void cancelUnresponsive(PendingRequest pending) {
     Attempt attempt = pending.currentAttempt;
--- a/policy/src/main/java/willowdoor/policy/GatewayApi.java
+++ b/policy/src/main/java/willowdoor/policy/GatewayApi.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * What passes between a gateway and its decision module, {@link QuotaPolicy}: the settings at the
- * start, then events in, actions out. Times are milliseconds on a clock that only moves forward.
- * Nothing is decided here.
+ * Interface between a gateway and its decision module, {@link QuotaPolicy}: settings at the start,
+ * then events in and actions out. Times are in milliseconds of a monotonic clock.
  */
 public final class GatewayApi {
 
   private GatewayApi() {}
 
   /**
-   * May a request run again: freely, within a group of backends that drops its repeats, or never.
+   * Whether a request may be sent again: always, only to backends that deduplicate it by its key,
+   * or never.
    */
   public enum RetrySafety {
     SAFE,
@@ -21,7 +21,8 @@
   }
 
   /**
-   * The backends that drop a keyed request's repeats: all, those of one zone, or those of one cell.
+   * The backends that share the deduplication of keyed requests: all, those of one zone, or those
+   * of one cell.
    */
   public enum DeduplicationScope {
     ALL,
@@ -29,7 +30,7 @@
     CELL
   }
 
-  /** How an attempt or a call ended. */
+  /** Outcome of an attempt or of a call to the counter. */
   public enum Status {
     OK,
     ERROR,
@@ -40,7 +41,9 @@
     CANCELLED,
     NOT_SENT;
 
-    /** True when this ending shows that the attempt never ran, or the call added nothing. */
+    /**
+     * Whether the outcome proves that the attempt was not executed, or that the call added nothing.
+     */
     public boolean provesNotRun() {
       return this == REJECTED || this == UNREACHABLE || this == NOT_SENT;
     }
@@ -53,8 +56,8 @@
   }
 
   /**
-   * A roster holds only what changed, all backends, all as seen in an earlier life, or is a
-   * failure.
+   * Content of a backend list: only the changes, all backends, all backends as saved by an earlier
+   * process, or a failed request for the list.
    */
   public enum BackendListKind {
     CHANGES,
@@ -63,7 +66,10 @@
     FAILED
   }
 
-  /** One class of requests: worth, time wanted, time allowed, and whether it may run again. */
+  /**
+   * A class of requests: its value, latency objective and deadline, and whether it may be sent
+   * again.
+   */
   public record RequestClass(
       String name,
       double value,
@@ -75,7 +81,7 @@
       double deduplicationWindowMs,
       boolean streaming) {}
 
-  /** One plan; a rate, open limit or ceiling rate of 0 means that there is none. */
+  /** A customer plan; a rate, open limit or ceiling rate of 0 means no limit. */
   public record Plan(
       String name,
       double rate,
@@ -88,7 +94,7 @@
       double ceilingBurst,
       double ceilingSlack) {}
 
-  /** What a gateway may use and do. */
+  /** Features and limits of a gateway. */
   public record GatewayOptions(
       boolean sharedCounter,
       double counterTimeoutMs,
@@ -100,7 +106,7 @@
       double maxRetryAfterMs,
       boolean backendListOnRequest) {}
 
-  /** Figures of the rules. */
+  /** Parameters of the warm-up and overload rules. */
   public record Rules(
       double answerSlackMs,
       double warmUpStartShare,
@@ -120,19 +126,19 @@
       GatewayOptions options,
       Rules rules) {}
 
-  /** One backend of a roster; startedMs is 0 when it started long ago. */
+  /** A backend in a list; startedMs is 0 if it started long ago. */
   public record BackendEntry(
       long id, String zone, int cell, Phase phase, double capacity, double startedMs) {}
 
-  /** A load report; a value that was not reported is NaN. */
+  /** A backend's load report; NaN means not reported. */
   public record Load(double inFlight, double serviceMs) {}
 
-  /** What a gateway tells its module. */
+  /** An event that a gateway passes to its decision module. */
   public sealed interface Event {}
 
   public record BackendList(BackendListKind kind, List<BackendEntry> entries) implements Event {}
 
-  /** Operators take a backend out, whatever the roster says, until they put it back. */
+  /** Operators exclude a backend, with precedence over the list, or admit it again. */
   public record BackendExclusion(long backend, boolean excluded) implements Event {}
 
   public record Request(
@@ -145,10 +151,10 @@
       double deadlineMs)
       implements Event {}
 
-  /** A streamed answer has begun. */
+  /** A streaming response has started. */
   public record StreamStarted(String request, int attempt) implements Event {}
 
-  /** How an attempt ended; trueUnits is 0 when unknown, load is null when no report came. */
+  /** Outcome of an attempt; actualUnits is 0 if unknown, load is null without a report. */
   public record Outcome(
       String request,
       int attempt,
@@ -160,39 +166,40 @@
       Load load)
       implements Event {}
 
-  /** The request is over: its client has left. */
+  /** The client has disconnected, which ends the request. */
   public record ClientDisconnected(String request) implements Event {}
 
-  /** The end of a call to the counter; total is valid with OK. */
+  /** Result of a call to the counter; total is valid only with status OK. */
   public record CounterResult(String name, Status status, double total, double latencyMs)
       implements Event {}
 
   public record TimerFired(String label) implements Event {}
 
-  /** What a module has its gateway do. */
+  /** An action that the decision module requests from its gateway. */
   public sealed interface Action {}
 
   /**
-   * Start an attempt; the n-th Send of a request, from 0, is its attempt n. Its last byte must be
-   * with the network by then on the clock (endless where any time will do), or else it must never
-   * be.
+   * Start an attempt; the n-th Send of a request, from 0, is its attempt n. The attempt must be
+   * written to the network completely by writtenByMs (infinity for no limit), or not be sent.
    */
   public record Send(String request, long backend, double timeoutMs, double writtenByMs)
       implements Action {}
 
-  /** Final answer: refused, trying again is harmless; holdOffMs of 0 gives no advice. */
+  /**
+   * Final answer: refused, and the client can safely retry; a retryAfterMs of 0 gives no advice.
+   */
   public record Refuse(String request, double retryAfterMs) implements Action {}
 
-  /** Final answer: failed, nothing promised. */
+  /** Final answer: failed; the request may have been executed. */
   public record Fail(String request) implements Action {}
 
   public record Cancel(String request, int attempt) implements Action {}
 
-  /** Add to a named count; a new name starts at 0 and is forgotten after ttlMs. */
+  /** Add to a named count; a new count starts at 0 and expires after ttlMs. */
   public record AddToCounter(String name, double amount, double ttlMs) implements Action {}
 
   public record SetTimer(double atMs, String label) implements Action {}
 
-  /** Ask for changes of the roster from now on. */
+  /** Request the changes of the backend list from now on. */
   public record WatchBackendList() implements Action {}
 }
--- a/policy/src/main/java/willowdoor/policy/LoadEstimate.java
+++ b/policy/src/main/java/willowdoor/policy/LoadEstimate.java
@@ -2,40 +2,54 @@
 
 import willowdoor.policy.GatewayApi.*;
 
-/** The wait for an answer that a request must expect, as this gateway's own attempts tell. */
+/**
+ * Estimates the wait for a response that a request must expect, from this gateway's own attempts.
+ */
 final class LoadEstimate {
   /**
-   * The least promising wait accepted, as shares of the aim, for the least and the most worthy
-   * request.
+   * The longest expected wait accepted, as a share of the latency objective, for the requests with
+   * the lowest and the highest value.
    */
   static final double MAX_WAIT_LOW_VALUE = 0.25, MAX_WAIT_HIGH_VALUE = 0.4;
 
-  /** So much less is accepted for a request that no answer of the counter has confirmed. */
+  /**
+   * The accepted wait is shorter by this share of the objective for a request that the counter has
+   * not confirmed.
+   */
   static final double UNCONFIRMED_MARGIN = 0.1;
 
   /**
-   * Weight of the newest answer in the fleet's wait: the last twenty count, or the last few
-   * seconds.
+   * Weight of the newest response in the expected wait, and its decay time: the average covers the
+   * last twenty responses or the last few seconds.
    */
   static final double SAMPLE_WEIGHT = 0.05, DECAY_MS = 4_000;
 
-  /** A backend with fewer requests than this, of all gateways, is not taken to queue. */
+  /** A backend with fewer requests than this, from all gateways, is assumed to have no queue. */
   private static final double IDLE_IN_FLIGHT = 3;
 
   /**
-   * So many requests more are taken to be out, now and then: of the few that one of many gateways
-   * has out, a change by two or three is chance and tells nothing of the fleet.
+   * Requests added to both sides of the ratio of current to earlier in-flight requests. One of many
+   * gateways has few in flight, so a change by two or three is random and says nothing about the
+   * fleet.
    */
   private static final double IN_FLIGHT_NOISE = 4;
 
-  /** What a backend is taken to need before anything was seen of it, as a share of the mean aim. */
+  /**
+   * Assumed service time before the first measurement, as a share of the mean latency objective.
+   */
   private static final double INITIAL_SERVICE_SHARE = 0.1;
 
   private final int gateways;
-  int servingBackends, inFlight; // backends that serve; attempts out
-  double serviceMs,
-      attemptMs; // mean service time of all; how long an attempt is out, whatever its end
-  final MovingAverage meanInFlight = new MovingAverage(0.3, 1000, 0, 0); // as new requests met them
+
+  /** Number of serving backends, and of this gateway's attempts in flight. */
+  int servingBackends, inFlight;
+
+  /** Mean service time of all backends, and mean duration of an attempt with any outcome. */
+  double serviceMs, attemptMs;
+
+  /** Attempts in flight at the arrival of requests. */
+  final MovingAverage meanInFlight = new MovingAverage(0.3, 1000, 0, 0);
+
   private final MovingAverage relativeLatency = new MovingAverage(SAMPLE_WEIGHT, DECAY_MS, 0, 0);
   private final MovingAverage inFlightAtAnswer = new MovingAverage(SAMPLE_WEIGHT, DECAY_MS, 0, 0),
       serviceAverage;
@@ -43,7 +57,9 @@
       meanValue = Double.NaN,
       answerRate,
       lastAnswerAt;
-  double meanUnits = 1; // of requests
+
+  /** Mean units of a request. */
+  double meanUnits = 1;
 
   LoadEstimate(Settings settings) {
     gateways = settings.gateways();
@@ -61,8 +77,8 @@
   }
 
   /**
-   * Of few answers, those of the last seconds count: a front door's last fifty are of before a
-   * release.
+   * Records a service time. If responses are rare, only those of the last seconds count: the last
+   * fifty responses at one gateway may be from before a release.
    */
   void onAnswer(double tookMs, double now) {
     serviceMs = serviceAverage.add(tookMs, now);
@@ -81,9 +97,9 @@
   }
 
   /**
-   * Whether the fleet is too full for this request to be answered within its aim; worthy ones stay
-   * longer. Guards against overload of any cause. Harm: after a stall, the first answers must
-   * correct the figure.
+   * Whether the load is too high for a response within the latency objective; requests of high
+   * value are admitted at a higher load. Covers overload of any cause. Cost: after a stall, the
+   * estimate is too high until the first responses correct it.
    */
   boolean isOverloaded(double value, double margin, double now) {
     double rank = Math.min(1, Math.max(0, value / Math.max(1e-9, meanValue) - 0.5));
@@ -92,8 +108,8 @@
   }
 
   /**
-   * Expected wait as a share of the aim: as lately measured, scaled by how many more are out by
-   * now.
+   * Expected wait as a share of the latency objective: the recently measured one, scaled by the
+   * change in in-flight requests since then.
    */
   double expectedWaitShare(double now) {
     double gatewaysPerBackend = gateways / (double) Math.max(1, servingBackends),
@@ -108,9 +124,9 @@
   }
 
   /**
-   * The time that this gateway itself was held up is not the fleet's. An attempt that timed out
-   * while others were answered lost its answer: that tells of no wait. Harm: a few slow backends
-   * stay unseen here.
+   * Updates the estimate with the outcome of an attempt. Pauses of this gateway itself are
+   * subtracted. An attempt that timed out while others were answered lost its response and is no
+   * measure of the wait. Cost: a few slow backends go unnoticed here.
    */
   void onOutcome(Outcome outcome, double sentAt, double objectiveMs, double pauseMs, double now) {
     inFlight--;
--- a/policy/src/main/java/willowdoor/policy/MovingAverage.java
+++ b/policy/src/main/java/willowdoor/policy/MovingAverage.java
@@ -1,16 +1,17 @@
 package willowdoor.policy;
 
-/** A mean that forgets: by samples where they come often, by time where they are rare. */
+/**
+ * A moving average that decays per sample if samples are frequent, and over time if they are rare.
+ */
 final class MovingAverage {
   private final double minWeight, decayMs;
   private double updatedAt;
   double value;
 
-  MovingAverage(
-      double minWeight,
-      double decayMs,
-      double now,
-      double value) { // where now is infinity, value is a sample
+  /**
+   * With {@code now} at infinity, the first sample only moves {@code value} by the minimum weight.
+   */
+  MovingAverage(double minWeight, double decayMs, double now, double value) {
     this.minWeight = minWeight;
     this.decayMs = decayMs;
     this.updatedAt = now;
@@ -23,7 +24,7 @@
     return value;
   }
 
-  /** The mean, less as it ages without samples. */
+  /** The average, decayed toward zero by the time since the last sample. */
   double decayed(double now) {
     return value * Math.exp((updatedAt - now) / decayMs);
   }
--- a/policy/src/main/java/willowdoor/policy/PendingRequest.java
+++ b/policy/src/main/java/willowdoor/policy/PendingRequest.java
@@ -2,9 +2,12 @@
 
 import willowdoor.policy.GatewayApi.*;
 
-/** One request taken and not yet finally answered. */
+/** A request that has been received and has no final answer yet. */
 final class PendingRequest {
-  /** Waiting requests are looked at this often, and answered so long before their end. */
+  /**
+   * Interval at which waiting requests are checked, and the margin before the deadline at which
+   * they are answered.
+   */
   static final double TICK_MS = 25, DEADLINE_MARGIN_MS = 15;
 
   final Request request;
@@ -13,17 +16,30 @@
   final double receivedAt;
 
   /**
-   * Waits for the counter; its call is unanswered; its units are, or may be, in the shared count.
+   * Whether the request waits for the counter; whether its call is unanswered; whether its units
+   * are, or may be, in the shared count.
    */
   boolean waitingForCounter, counterCallOpen, addedToCounter;
 
-  double requestedUnits; // units that its call adds
-  long counterWindow; // to whose count
+  /** Units that the call adds to the count. */
+  double requestedUnits;
+
+  /** Window of that count. */
+  long counterWindow;
+
   boolean chargedToQuota, waitingForBackend, streaming, mayHaveRun, cancelled;
-  boolean connectFailed; // its last attempt found no connection
+
+  /** Whether the last attempt failed to connect. */
+  boolean connectFailed;
+
   Backend firstBackend, lastBackend;
-  double deduplicatedUntil =
-      Double.POSITIVE_INFINITY; // a repeat has arrived; its way there is in GUARD_MS
+
+  /**
+   * Time by which a repeat must have reached a backend; {@link #DEADLINE_MARGIN_MS} covers the
+   * transfer.
+   */
+  double deduplicatedUntil = Double.POSITIVE_INFINITY;
+
   int attemptCount;
   Attempt currentAttempt;
 
@@ -46,7 +62,7 @@
     return requestClass.value() * quota.plan.valueFactor();
   }
 
-  /** True when the next look would come too late for an answer in time. */
+  /** Whether the next check would be too late for an answer before the deadline. */
   boolean deadlineNear(double now) {
     return now + DEADLINE_MARGIN_MS + TICK_MS >= request.deadlineMs();
   }
--- a/policy/src/main/java/willowdoor/policy/QuotaPolicy.java
+++ b/policy/src/main/java/willowdoor/policy/QuotaPolicy.java
@@ -4,14 +4,16 @@
 import willowdoor.policy.GatewayApi.*;
 
 /**
- * All decisions of one gateway. Its interface (settings, events, actions) is GatewayApi.java in
- * this folder. The ordinary path: each request's estimate is added to its customer's shared count,
- * refused if the answer shows that it passes the plan's quota, and settled by the true units
- * (docs/design.md tells the departures). One instance a gateway, one thread; time comes with the
- * events.
+ * Makes all decisions of one gateway. {@link GatewayApi} defines its settings, events and actions.
+ * In the normal case, the estimated units of a request are added to the shared count of its
+ * customer. The request is refused if the returned total exceeds the quota of the plan; otherwise
+ * the count is corrected by the actual units afterwards. docs/design.md describes the exceptions.
+ * Each gateway has one instance, used by one thread; the time is passed with each event.
  */
 public final class QuotaPolicy {
-  /** Without open requests a slow pulse is enough: it shows when this gateway stood still. */
+  /**
+   * Timer interval without open requests, which is short enough to detect stalls of this gateway.
+   */
   private static final double IDLE_TICK_MS = 250;
 
   private final Context ctx;
@@ -28,7 +30,7 @@
     admission = new AdmissionControl(ctx, counterSync, dispatcher);
   }
 
-  /** To be called once, before any event. */
+  /** Must be called once, before any event. */
   public List<Action> start(double nowMs) {
     ctx.now = ctx.startedAt = nowMs;
     setTimer(PendingRequest.TICK_MS);
@@ -38,7 +40,7 @@
     return ctx.actions;
   }
 
-  /** Takes one event and gives what to do, in order. */
+  /** Processes one event and returns the actions to perform, in order. */
   public List<Action> on(double nowMs, Event event) {
     ctx.now = nowMs;
     ctx.actions = new ArrayList<>();
@@ -86,17 +88,17 @@
     ctx.actions.add(new SetTimer(ctx.stallDetector.nextWakeAt, "tick"));
   }
 
-  /** Whether operators have taken it out. */
+  /** Whether operators have excluded the backend. */
   public boolean isExcluded(long backend) {
     return backends.excluded(backend);
   }
 
-  /** Whether operators may name it: one of the roster, or one that they have taken out. */
+  /** Whether the backend is in the list or excluded, so that operators may refer to it. */
   public boolean isKnown(long backend) {
     return backends.isKnown(backend);
   }
 
-  /** For the log: what the guards see, and how calls and requests ended since last asked. */
+  /** Returns the load figures for the log, and how calls and requests ended since the last call. */
   public String summarizeStats() {
     return ctx.stats.summarizeAndReset(
         ctx.load.expectedWaitShare(ctx.now),
--- a/policy/src/main/java/willowdoor/policy/SlowStart.java
+++ b/policy/src/main/java/willowdoor/policy/SlowStart.java
@@ -2,13 +2,18 @@
 
 import java.util.List;
 
-/** What backends that have just started may get from here. */
+/** Limits the requests that this gateway sends to backends that have just started. */
 final class SlowStart {
-  /** However few are warm, a cold backend gets no more than if this share of those kept to were. */
+  /**
+   * The credits of a cold backend are computed as if at least this share of the subset were warm.
+   */
   private static final double MIN_WARM_SHARE = 0.5;
 
   private final Context ctx;
-  private final List<Backend> subset; // those that this gateway keeps to, as they are at any moment
+
+  /** Backends of this gateway's subset; a live view of the registry's list. */
+  private final List<Backend> subset;
+
   private double subsetCapacity, unmeasuredShare, capacityComputedAt = Double.NEGATIVE_INFINITY;
 
   SlowStart(Context ctx, List<Backend> subset) {
@@ -25,10 +30,12 @@
   }
 
   /**
-   * Guards a backend that has just started (WIRE, rule 4): only gateways that keep to it send
-   * there. They earn its part of what a warm one gets, in whole requests that expire, each at its
-   * own phase: what all hold and earn in TipAfterMs is in the budget and half its chance. Harm: a
-   * fleet comes back slower.
+   * Protects a backend that has just started (WIRE, rule 4). Only gateways with the backend in
+   * their subset send to it. Each of them earns credits in proportion to the requests that a warm
+   * backend gets, with a phase of its own. A credit is one whole request; unused credits expire.
+   * For all gateways together, the saved credits and those earned in overloadAfterMs stay within
+   * the budget plus half of the allowance for random variation. Cost: a restarted fleet recovers
+   * more slowly.
    */
   boolean maySend(Backend backend) {
     if (!backend.isWarmingUp() || !backend.inSubset) {
@@ -56,8 +63,8 @@
   }
 
   /**
-   * By what is answered from here, shared as each bears; with no warm ones, by one request at a
-   * time.
+   * Credits per millisecond: this gateway's rate of responses, divided among the backends by their
+   * current capacity. If no backend is warm, the rate that one request at a time would give.
    */
   private double creditsPerMs(Backend backend, double gatewaysPerBackend) {
     if (ctx.now - capacityComputedAt > 500) {
--- a/policy/src/main/java/willowdoor/policy/StallDetector.java
+++ b/policy/src/main/java/willowdoor/policy/StallDetector.java
@@ -1,19 +1,22 @@
 package willowdoor.policy;
 
-/** Pauses of this gateway itself, which show as wake-ups that come late. */
+/** Detects pauses of this gateway's event loop by timers that fire late. */
 final class StallDetector {
   /**
-   * A wake-up this late: this gateway stood still; and: was held up, and answers may have waited.
+   * Timer delays that count as a stall, and as a pause after which responses may have waited to be
+   * read.
    */
   private static final double STALL_MS = 100, PAUSE_MS = 30;
 
   double nextWakeAt, stalledUntil = Double.NEGATIVE_INFINITY, totalPauseMs;
-  private double pauseStart, pauseEnd = Double.NEGATIVE_INFINITY; // the last pause
+
+  /** Start and end of the last pause. */
+  private double pauseStart, pauseEnd = Double.NEGATIVE_INFINITY;
 
   /**
-   * A wake-up that is long overdue shows that this gateway stood still. What came meanwhile is read
-   * first, and no wait seen over that time is booked to a backend or the counter. Harm: none but a
-   * later look.
+   * Checks at each event whether the timer is overdue. After a stall, the events that arrived
+   * during it are read first, and waits measured across it are not attributed to a backend or the
+   * counter. Cost: waiting requests are checked a little later.
    */
   void onEvent(double now) {
     if (now - nextWakeAt > PAUSE_MS && nextWakeAt > pauseEnd) {
@@ -27,8 +30,8 @@
   }
 
   /**
-   * How long an answer to what was sent then may have waited to be read: the pause that has just
-   * ended.
+   * How long the response to an attempt sent at {@code sentAt} may have waited to be read, because
+   * of a pause that has just ended.
    */
   double pauseAfter(double sentAt, double now) {
     return now - pauseEnd < PAUSE_MS ? Math.max(0, pauseEnd - Math.max(pauseStart, sentAt)) : 0;
