--- a/policy/src/test/java/willowdoor/policy/CeilingTest.java
+++ b/policy/src/test/java/willowdoor/policy/CeilingTest.java
@@ -15,7 +15,10 @@
 import willowdoor.policy.GatewayApi.Send;
 import willowdoor.policy.GatewayApi.Status;
 
-/** Several gateways against one count that fails in every way: the ceiling's store must hold. */
+/**
+ * Several gateways with one shared counter whose calls time out and whose counts get lost, and
+ * gateways that restart: the sends of all must stay below the ceiling.
+ */
 class CeilingTest {
 
   private final Map<String, Double> counts = new HashMap<>();
@@ -31,7 +34,7 @@
       simulate(seed);
       assertTrue(
           lowestLevel >= -PolicyHarness.WITH_CEILING.ceilingSlack(),
-          "seed " + seed + ": store at " + lowestLevel);
+          "seed " + seed + ": ceiling level " + lowestLevel);
       assertTrue(sentCount > 50, "seed " + seed + ": only " + sentCount + " sent");
     }
   }
--- a/policy/src/test/java/willowdoor/policy/CounterThrottleTest.java
+++ b/policy/src/test/java/willowdoor/policy/CounterThrottleTest.java
@@ -6,7 +6,9 @@
 import org.junit.jupiter.api.Test;
 import willowdoor.policy.GatewayApi.Status;
 
-/** How many requests call a counter that fails, is away, and comes back; time is moved by hand. */
+/**
+ * Share of requests that call a counter that fails, is down and recovers, with a simulated clock.
+ */
 class CounterThrottleTest {
 
   private final Context ctx = new Context(PolicyHarness.settings(true, 100, false), 5);
@@ -30,11 +32,12 @@
   void failuresReduceCallShareOncePerTimeoutAndAnswersRaiseIt() {
     callEnds(Status.TIMED_OUT);
     throttle.onResult(Status.TIMED_OUT);
-    assertEquals(0.7, throttle.callShare, 1e-9, "two at the same time are one sign of load");
+    assertEquals(
+        0.7, throttle.callShare, 1e-9, "two failures at the same time reduce the share once");
     int calls = calls(1000, 0);
     assertTrue(calls > 640 && calls < 760, calls + " of 1000 call");
     callEnds(Status.RESET);
-    assertEquals(0.7, throttle.callShare, 1e-9, "a broken answer tells of no load");
+    assertEquals(0.7, throttle.callShare, 1e-9, "an invalid answer is no sign of overload");
     callEnds(Status.OK);
     assertTrue(throttle.callShare > 0.7 && throttle.callShare < 0.8);
   }
@@ -45,7 +48,8 @@
       callEnds(Status.TIMED_OUT);
     }
     int trials = calls(4000, 5);
-    assertTrue(trials >= 30 && trials <= 54, "trials in 20 s, spaced by 375 to 625 ms: " + trials);
+    assertTrue(
+        trials >= 30 && trials <= 54, "probes in 20 s at intervals of 375 to 625 ms: " + trials);
     callEnds(Status.OK);
     assertEquals(0.3, throttle.callShare, 1e-9);
   }
--- a/policy/src/test/java/willowdoor/policy/EmbedExampleTest.java
+++ b/policy/src/test/java/willowdoor/policy/EmbedExampleTest.java
@@ -30,7 +30,9 @@
 import willowdoor.policy.GatewayApi.Settings;
 import willowdoor.policy.GatewayApi.Status;
 
-/** The loop that the README shows, with a counter and a backend that answer at once. */
+/**
+ * Runs the event loop shown in the README with a counter and a backend that respond immediately.
+ */
 class EmbedExampleTest {
 
   private final Map<String, Double> counter = new HashMap<>();
@@ -87,7 +89,9 @@
       refused++;
     } else if (action instanceof SetTimer w) {
       assertEquals(
-          "tick", w.label(), "a real gateway sets a timer here and sends Woken when it is due");
+          "tick",
+          w.label(),
+          "a real gateway sets a timer here and sends TimerFired when it expires");
     }
   }
 }
--- a/policy/src/test/java/willowdoor/policy/FleetSlowStartModel.java
+++ b/policy/src/test/java/willowdoor/policy/FleetSlowStartModel.java
@@ -31,8 +31,8 @@
 import willowdoor.policy.GatewayApi.TimerFired;
 
 /**
- * All processes of a fleet before the same backends, on a clock moved by hand, with seeded chance;
- * what each backend is sent is kept with its time, whoever sent it.
+ * Simulates all gateways of a fleet in front of the same backends, with a simulated clock and a
+ * seeded random source. Records the time of each send to each backend.
  */
 final class FleetSlowStartModel {
   static final double SERVICE_MS = 100;
@@ -42,11 +42,19 @@
   final Rules rules;
   final SplittableRandom random;
   final TreeMap<Long, BackendEntry> entries = new TreeMap<>();
-  final TreeMap<Long, Double> startTimes = new TreeMap<>(); // of those that have started in truth
+
+  /** Actual start times of the backends that have started during the test. */
+  final TreeMap<Long, Double> startTimes = new TreeMap<>();
+
   final TreeMap<Long, List<Double>> sends = new TreeMap<>();
   final Set<Long> down = new HashSet<>();
-  final double[] trafficShare; // of the traffic, by process
-  double errorRate; // share of the attempts
+
+  /** Share of the traffic, by gateway. */
+  final double[] trafficShare;
+
+  /** Share of the attempts that fail. */
+  double errorRate;
+
   double requestsPerSecond;
   double now = 1_000_000;
   private final QuotaPolicy[] gateways;
@@ -71,7 +79,7 @@
     }
   }
 
-  /** A few processes get three quarters of the traffic, evenly; the others share the rest. */
+  /** A few gateways share three quarters of the traffic evenly; the others share the rest. */
   FleetSlowStartModel withUnevenTraffic() {
     int few = Math.max(1, trafficShare.length / 10);
     for (int i = 0; i < trafficShare.length; i++) {
@@ -90,7 +98,7 @@
     }
   }
 
-  /** Starts the process, anew if it runs: what it knew and had out is gone. */
+  /** Starts the gateway, or restarts it: its state and its open attempts are lost. */
   void startGateway(int i) {
     incarnation[i]++;
     List<RequestClass> classes =
@@ -200,7 +208,7 @@
             new Outcome(
                 s.request(), number, s.backend(), status, took, status == Status.OK, 0, null));
       } else if (action instanceof Cancel) {
-        throw new AssertionError("nothing is that slow here");
+        throw new AssertionError("no simulated backend is slow enough for a cancellation");
       }
     }
   }
@@ -217,7 +225,7 @@
         });
   }
 
-  /** The part of its capacity that the rules promise of a backend that started then. */
+  /** The share of its capacity that a backend started at that time has under the warm-up rules. */
   private double warmUpShare(double started, double at) {
     return Math.min(
         1,
@@ -230,7 +238,7 @@
         sends.getOrDefault(backend, List.of()).stream().filter(t -> t > from && t <= to).count();
   }
 
-  /** What a backend that is warm got a second in the time, in the mean. */
+  /** Mean requests per second sent to a warm backend in the interval. */
   double meanWarmRate(double from, double to) {
     return entries.keySet().stream()
             .filter(id -> !startTimes.containsKey(id))
@@ -241,14 +249,16 @@
         / (to - from);
   }
 
-  /** The most that one got a second in the time. */
+  /** Maximum requests per second sent to one backend in the interval. */
   double maxRate(double from, double to) {
     return entries.keySet().stream().mapToInt(id -> sent(id, from, to)).max().orElse(0)
         * 1000
         / (to - from);
   }
 
-  /** What it would have got if it had been held to its share of the capacity at each moment. */
+  /**
+   * Number of requests for the backend if it always got exactly its warm-up share of the capacity.
+   */
   double expectedSends(long backend, double capacity, double from, double to) {
     double sum = 0;
     for (double t = from; t < to; t += 10) {
@@ -258,9 +268,9 @@
   }
 
   /**
-   * The most, over all windows of the rules that end while a backend is cold, by which what all
-   * processes sent to it passes N + 2 x root of N + 2, N being the budget by a warm one's capacity
-   * a second.
+   * The maximum excess of the requests from all gateways over N + 2 x sqrt(N) + 2, over all windows
+   * of overloadAfterMs that end while a backend warms up. N is the budget by the capacity of a warm
+   * backend in requests per second.
    */
   double maxExcess(double capacity) {
     double worst = Double.NEGATIVE_INFINITY;
--- a/policy/src/test/java/willowdoor/policy/FleetSlowStartTest.java
+++ b/policy/src/test/java/willowdoor/policy/FleetSlowStartTest.java
@@ -14,13 +14,13 @@
 import willowdoor.policy.GatewayApi.Settings;
 
 /**
- * WIRE rule 4 for the sum of all processes: what they send to a cold backend in any window of
- * TipAfterMs.
+ * Tests WIRE rule 4 for all gateways together: the requests sent to a cold backend in any window of
+ * overloadAfterMs.
  */
 class FleetSlowStartTest {
   private static final int BACKENDS = 24;
 
-  /** A backend bears one request at a time at least, so this much a second. */
+  /** Requests per second of a backend that processes one request at a time. */
   private static final double MIN_CAPACITY = 1000 / FleetSlowStartModel.SERVICE_MS;
 
   private static final Rules DEFAULT_RULES = new Rules(8, 0.2, 10_000, 3, 2000);
@@ -50,10 +50,10 @@
                 + m.rules
                 + ": "
                 + Math.round(excess * 10) / 10.0
-                + " over the budget and its chance");
+                + " over the budget and its random allowance");
   }
 
-  /** Some start at once while all processes run. */
+  /** Restarts some backends at the same time while all gateways run. */
   private static void restartBackends(FleetSlowStartModel m, int count) {
     for (int i = 0; i < count; i++) {
       m.addBackend(i, m.now);
@@ -61,14 +61,14 @@
     m.publishList();
   }
 
-  // Every process saves what it may send while it sends nothing there, then all send as much as
-  // they may.
+  // Gateways that send nothing to a cold backend save credits. The test guards against an overload
+  // if all gateways then spend their credits at the same time.
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 3, 4, 14, 20, 30, 100, 300})
   void savedCreditsOfAllGatewaysStayInTheBudget(int processes) {
     List<Executable> checks = new ArrayList<>();
     for (Rules rules : RULE_SETS) {
-      for (double perSecond : new double[] {1, 4, 30}) { // to a warm one, from all
+      for (double perSecond : new double[] {1, 4, 30}) { // to a warm backend, from all gateways
         for (boolean uneven : new boolean[] {false, true}) {
           for (boolean restarted : new boolean[] {false, true}) {
             double excess = excessOfSavedCredits(processes, rules, perSecond, uneven, restarted);
@@ -94,8 +94,8 @@
   }
 
   /**
-   * Twelve backends, of which one starts; the others are sent to throughout. All processes save for
-   * a while, then for a window they send to the cold one whenever they may.
+   * One of twelve backends starts; the others get requests throughout. All gateways repeatedly save
+   * credits for two windows, then send to the cold backend whenever they may for one window.
    */
   private static double excessOfSavedCredits(
       int processes, Rules rules, double perSecond, boolean uneven, boolean restarted) {
@@ -121,7 +121,7 @@
     for (double t = 0; t < rules.warmUpMs(); t += 50) {
       double now = began + t;
       for (int i = 0; i < processes; i++) {
-        if (restarted && random.nextDouble() < 0.02) { // every 2.5 s in the mean
+        if (restarted && random.nextDouble() < 0.02) { // every 2.5 s on average
           all[i] = new GatewayProcess(processes, i, rules, now, began);
         }
         all[i].sendToWarmBackends(now, 50 * perSecond * 11 * share[i] / 1000, random);
@@ -153,7 +153,7 @@
     return worst;
   }
 
-  /** The part of a process that bounds what a cold backend gets. */
+  /** The part of a gateway that limits the requests to a cold backend. */
   private static final class GatewayProcess {
     final Context ctx;
     final List<Backend> subset = new ArrayList<>();
@@ -202,25 +202,29 @@
     }
   }
 
-  // The whole module at every process, in each of the ways in which backends become cold.
+  // Runs the whole decision module at every gateway, in each way in which backends become cold.
   @ParameterizedTest
   @ValueSource(ints = {2, 14, 30, 100})
   void totalSendsOfAllGatewaysStayInTheBudget(int processes) {
     List<Executable> checks = new ArrayList<>();
     for (Rules rules : RULE_SETS) {
-      addScenario(checks, "one starts", processes, rules, m -> restartBackends(m, 1));
+      addScenario(checks, "one backend restarts", processes, rules, m -> restartBackends(m, 1));
       addScenario(
-          checks, "six in ten start", processes, rules, m -> restartBackends(m, BACKENDS * 6 / 10));
+          checks,
+          "60 % of the backends restart",
+          processes,
+          rules,
+          m -> restartBackends(m, BACKENDS * 6 / 10));
     }
     addScenario(
         checks,
-        "the whole fleet starts",
+        "all backends restart",
         processes,
         DEFAULT_RULES,
         m -> restartBackends(m, BACKENDS));
     addScenario(
         checks,
-        "one after another",
+        "backends are replaced one after another",
         processes,
         DEFAULT_RULES,
         m -> {
@@ -238,7 +242,7 @@
         });
     addScenario(
         checks,
-        "processes restart",
+        "gateways restart",
         processes,
         DEFAULT_RULES,
         m -> {
@@ -251,7 +255,7 @@
         });
     addScenario(
         checks,
-        "further attempts",
+        "retries",
         processes,
         DEFAULT_RULES,
         m -> {
@@ -260,7 +264,7 @@
         });
     addScenario(
         checks,
-        "out of reach when told of",
+        "restarted backends are unreachable at first",
         processes,
         DEFAULT_RULES,
         m -> {
@@ -271,7 +275,7 @@
     for (Rules rules : RULE_SETS) {
       addScenario(
           checks,
-          "the warm ones go",
+          "the warm backends go down",
           processes,
           rules,
           m -> {
@@ -282,7 +286,7 @@
           });
       addScenario(
           checks,
-          "few before many",
+          "traffic rises and the warm backends go down",
           processes,
           rules,
           m -> {
@@ -299,7 +303,7 @@
     }
     addScenario(
         checks,
-        "a ban ends",
+        "an exclusion ends",
         processes,
         DEFAULT_RULES,
         m -> {
@@ -315,8 +319,8 @@
   }
 
   /**
-   * Evenly used processes are held to what a warm one got in the mean, others to the most that one
-   * got.
+   * With even traffic the budget follows from the mean rate of a warm backend before the change,
+   * else from the maximum rate of one backend.
    */
   private static void addScenario(
       List<Executable> checks,
@@ -339,7 +343,8 @@
     }
   }
 
-  // None was told of, so it shows in failed connects; a few out of reach for long come back cold.
+  // The backend list does not report these restarts, so gateways see them only by failed connects.
+  // A few backends that were unreachable for long come back cold.
   @ParameterizedTest
   @ValueSource(ints = {2, 14, 100})
   void unannouncedRestartsStayInTheBudgetAfterFailedConnects(int processes) {
@@ -353,20 +358,20 @@
       m.startTimes.put(i, m.now);
     }
     m.runFor(8_000);
-    assertAll(staysInBudget("not told of", m, capacity));
+    assertAll(staysInBudget("unannounced restarts", m, capacity));
   }
 
-  // A fleet that has measured nothing before backends that have all just started.
+  // All gateways and all backends have just started, so there are no measurements yet.
   @ParameterizedTest
   @ValueSource(ints = {2, 14, 30, 100})
   void gatewaysWithoutMeasurementsStayInTheBudget(int processes) {
     FleetSlowStartModel m = fleet(processes);
     addColdBackends(m);
     m.startAllGateways().runFor(10_000);
-    assertAll(staysInBudget("all new", m, MIN_CAPACITY));
+    assertAll(staysInBudget("all gateways and backends are new", m, MIN_CAPACITY));
     double sent = m.startTimes.keySet().stream().mapToInt(id -> m.sent(id, 0, m.now)).sum();
     double due = BACKENDS * m.expectedSends(0, MIN_CAPACITY, m.now - 10_000, m.now);
-    assertTrue(sent > 0.3 * due, "they are used: " + sent + " of " + due);
+    assertTrue(sent > 0.3 * due, "cold backends get requests: " + sent + " of " + due);
   }
 
   private static void addColdBackends(FleetSlowStartModel m) {
@@ -375,9 +380,9 @@
     }
   }
 
-  // Few or many processes, evenly used or not: those that start get their share as they warm up, by
-  // what the
-  // same ones got before. A hundred processes get to use what they earn later, and lose some of it.
+  // With few or many gateways and even or uneven traffic, restarted backends get their warm-up
+  // share of the requests that they got before. A hundred gateways use their credits later and lose
+  // some, so their bound is lower.
   @ParameterizedTest
   @ValueSource(ints = {2, 3, 14, 30, 100})
   void warmingBackendsGetTheirShare(int processes) {
@@ -413,7 +418,7 @@
   private static double shareOfExpectedSends(FleetSlowStartModel m, int count) {
     m.startAllGateways().runFor(18_000);
     double from = m.now;
-    double before = 0; // a second
+    double before = 0; // requests per second
     for (long id = 0; id < count; id++) {
       before += m.sent(id, from - 16_000, from) / 16.0;
     }
--- a/policy/src/test/java/willowdoor/policy/GatewayFleetTest.java
+++ b/policy/src/test/java/willowdoor/policy/GatewayFleetTest.java
@@ -31,8 +31,8 @@
 import willowdoor.policy.GatewayApi.TimerFired;
 
 /**
- * Many gateways at once, with fixed seeds: what one may do alone is multiplied by all, so the sums
- * count.
+ * Many gateways with fixed seeds. What is harmless for one gateway may be too much for all
+ * together, so these tests check the totals.
  */
 class GatewayFleetTest {
 
@@ -49,8 +49,8 @@
   }
 
   /**
-   * Lets the fleet take so many requests a second, evenly drawn, and hands each action to the
-   * world.
+   * Sends the given number of requests per second to randomly drawn gateways, and passes each
+   * action to the environment.
    */
   private void run(
       double seconds,
@@ -93,8 +93,8 @@
     handActions(f, environment);
   }
 
-  // Guards against every gateway trying a silent counter at its own pace: hundreds of calls a
-  // second.
+  // If each gateway probed an unresponsive counter at its own rate, the counter would get hundreds
+  // of calls per second.
   @Test
   void callsToAnUnresponsiveCounterAreBoundedAcrossGatewaysAndResume() {
     fleet(300, 12);
@@ -121,11 +121,11 @@
     run(3, 900, "broad", world);
     calls[0] = 0;
     run(2, 900, "broad", world);
-    assertTrue(calls[0] > 2 * 200, "calls are back within 3 s: " + calls[0] + " in 2 s");
+    assertTrue(calls[0] > 2 * 200, "calls resume within 3 s: " + calls[0] + " in 2 s");
   }
 
-  // Guards against the first token of a cold backend at every gateway: hundreds of first requests
-  // at once.
+  // If every gateway could send a first request to a cold backend at once, the backend would get
+  // hundreds.
   @Test
   void warmingBackendIsNotOverloadedByAllGateways() {
     fleet(300, 60);
@@ -155,7 +155,7 @@
         cold[0] <= 1.5 * share * warm / 5, cold[0] + " sent to a cold backend, warm " + warm / 5);
   }
 
-  // Guards against saved retries that are few for a gateway and thousands for the fleet.
+  // A retry budget that is small for one gateway may add up to thousands of retries for the fleet.
   @Test
   void retriesAreBoundedAcrossGateways() {
     fleet(300, 60);
@@ -174,12 +174,12 @@
           }
         };
     run(10, 600, "free", world);
-    assertTrue(sent[1] < 300 + 0.2 * sent[0], sent[1] + " further attempts for " + sent[0]);
+    assertTrue(sent[1] < 300 + 0.2 * sent[0], sent[1] + " retries for " + sent[0]);
     assertTrue(sent[1] > 0);
   }
 
-  // Guards against sends that nobody counted, each harmless alone, adding up to far more than the
-  // quota.
+  // Without the shared counter, unconfirmed sends of many gateways could add up to far more than
+  // the quota.
   @Test
   void gatewaysKeepToTheQuotaWithoutACounter() {
     fleet(100, 12);
@@ -244,8 +244,7 @@
     return store[2];
   }
 
-  // Guards against work and connections that grow with the fleet: of a thousand backends few are
-  // used.
+  // The work and the connections of a gateway must not grow with the number of backends.
   @Test
   void gatewayUsesASubsetOfManyBackendsAndAllOfFew() {
     assertTrue(
@@ -267,8 +266,8 @@
     return seen.size();
   }
 
-  // Guards against cold backends left idle, as each is kept to by a few gateways only, and against
-  // too much.
+  // Each cold backend is in the subsets of only a few gateways, so it could stay idle; it must not
+  // get too many requests either.
   @Test
   void replacedBackendsGetTheirShareWhileWarmingUp() {
     fleet(14, 60);
@@ -298,10 +297,11 @@
     double part = bears / (24 + bears);
     double cold = sent[1] / (double) (sent[0] + sent[1]);
     assertTrue(
-        cold > 0.65 * part && cold < 1.2 * part, "cold ones got " + cold + ", fair is " + part);
+        cold > 0.65 * part && cold < 1.2 * part,
+        "share of the cold backends " + cold + ", expected " + part);
   }
 
-  // Guards against subsets drawn by each gateway alone: some backends kept to by many, and some by
+  // If each gateway drew its subset at random, some backends would be in many subsets and some in
   // none.
   @Test
   void everyBackendIsInEquallyManySubsets() {
@@ -322,11 +322,11 @@
     run(20, 600, "free", world);
     assertEquals(60, usedBy.size());
     usedBy.forEach((b, by) -> assertTrue(by.size() >= 3 && by.size() <= 5, b + " by " + by.size()));
-    uses.forEach((f, u) -> assertTrue(u.size() <= 20, "one gateway keeps to " + u.size()));
+    uses.forEach((f, u) -> assertTrue(u.size() <= 20, "size of a gateway's subset: " + u.size()));
   }
 
-  // Guards against booking this gateway's own stand-still to the fleet, and acting before all was
-  // read.
+  // After a stall of its own, a gateway must not count the delay as backend latency, nor act before
+  // it has read the events that arrived.
   @Test
   void stalledGatewayReadsPendingEventsFirstAndRefusesNoRequest() {
     PolicyHarness f = new PolicyHarness(PolicyHarness.settings(true, 300, false)).backends(12);
@@ -335,7 +335,7 @@
       Send s = f.lastAction(Send.class);
       f.runTimer(25);
       f.advanceClock(2000).on(new TimerFired("tick"));
-      assertFalse(f.emitted(Cancel.class), "its answer may lie unread");
+      assertFalse(f.emitted(Cancel.class), "the response may not have been read yet");
       f.on(new Outcome(s.request(), 0, s.backend(), Status.OK, 2020, true, 0, null));
       f.advanceClock(1).on(new TimerFired("tick"));
     }
@@ -343,8 +343,8 @@
     assertTrue(f.emitted(Send.class));
   }
 
-  // Guards against taking lost answers for a full fleet. A few slow backends look the same and stay
-  // unseen.
+  // Lost responses must not count as overload. A few slow backends look the same and are not
+  // detected here.
   @Test
   void lostAnswersAreNotOverload() {
     PolicyHarness f = new PolicyHarness(PolicyHarness.settings(true, 300, false)).backends(12);
@@ -359,7 +359,7 @@
     assertTrue(f.emitted(Send.class));
   }
 
-  // Guards against settings and events that make no sense: one final answer each, and no exception.
+  // Invalid settings and events must lead to one final answer and no exception.
   @Test
   void invalidInputIsAnsweredExactlyOnce() {
     for (int gateways : new int[] {0, 1, 400}) {
@@ -395,8 +395,8 @@
     }
   }
 
-  // Guards a restarted backend of which the roster does not know yet: refused connections mean a
-  // cold start.
+  // A backend may restart before the backend list reports it, so a refused connection counts as a
+  // restart.
   @Test
   void backendThatRefusedAConnectionIsTreatedAsCold() {
     PolicyHarness f = new PolicyHarness(PolicyHarness.settings(true, 300, false)).backends(1);
@@ -414,8 +414,8 @@
     assertTrue(sent < 20, sent + " of 40 sent at once");
   }
 
-  // Guards against meeting each dead backend of a lost zone by oneself: its failures count for all
-  // of them.
+  // If a zone is unreachable, a gateway must not learn it from each backend separately: failures
+  // count for the whole zone.
   @Test
   void unreachableZoneIsAvoidedAfterAFewFailures() {
     PolicyHarness f = new PolicyHarness(PolicyHarness.settings(true, 300, false)).backends(200);
@@ -429,10 +429,10 @@
       all += i >= 20 ? 1 : 0;
       f.outcome(s, 0, lost ? Status.RESET : Status.OK, !lost);
     }
-    assertTrue(near > 0.85 * all, near + " of " + all + " to the zone that answers");
+    assertTrue(near > 0.85 * all, near + " of " + all + " requests to the reachable zone");
   }
 
-  // Guards a customer's quota when its gateway restarts, or when it comes through another one.
+  // The quota of a customer must hold if its gateway restarts or if it changes to another gateway.
   @Test
   void restartedGatewayRestoresTheQuotaFromTheSharedCount() {
     PolicyHarness f = PolicyHarness.withSharedCounter();
--- a/policy/src/test/java/willowdoor/policy/LoadEstimateTest.java
+++ b/policy/src/test/java/willowdoor/policy/LoadEstimateTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The wait that a gateway expects; time is moved by hand. */
+/** Tests a gateway's load estimate with a simulated clock. */
 class LoadEstimateTest {
 
   @Test
@@ -17,6 +17,6 @@
     }
     assertEquals(200, load.serviceMs, 1);
     load.onAnswer(400, now);
-    assertTrue(load.serviceMs < 215, "one answer made it " + load.serviceMs);
+    assertTrue(load.serviceMs < 215, "service time after one slow response: " + load.serviceMs);
   }
 }
--- a/policy/src/test/java/willowdoor/policy/PolicyHarness.java
+++ b/policy/src/test/java/willowdoor/policy/PolicyHarness.java
@@ -25,7 +25,10 @@
 import willowdoor.policy.GatewayApi.Status;
 import willowdoor.policy.GatewayApi.TimerFired;
 
-/** A gateway under test: its module, a clock, and all that the module asked for. */
+/**
+ * A gateway under test: its decision module, a simulated clock, and all actions that the module has
+ * returned.
+ */
 final class PolicyHarness {
 
   static final Plan BASIC = new Plan("rated", 2, 10, 0, 1, 0, 1, 0, 0, 0);
@@ -116,7 +119,7 @@
     return this;
   }
 
-  /** Lets time go by with the module's own timer running. */
+  /** Advances the clock while the module's timer fires every 25 ms. */
   PolicyHarness runTimer(double ms) {
     List<Action> seen = new ArrayList<>();
     for (double end = now + ms; now < end; ) {
--- a/policy/src/test/java/willowdoor/policy/PolicySizeTest.java
+++ b/policy/src/test/java/willowdoor/policy/PolicySizeTest.java
@@ -15,18 +15,22 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The decision code is small, each file of it too, and the deployment names all of it. */
+/**
+ * Limits the size of the decision code and of each file, and checks that deploy/balancer.toml lists
+ * every file.
+ */
 class PolicySizeTest {
 
   private static final Path ROOT = Path.of("..");
   private static final Path SOURCES = ROOT.resolve("policy/src/main/java/willowdoor/policy");
 
   /**
-   * 1,200 lines at the 11,991 tokens in 1,193 lines that the files held before they were formatted.
+   * Equivalent of 1,200 lines: the files had 11,991 tokens in 1,193 lines before they were
+   * formatted.
    */
   private static final long MAX_TOKENS = 12_061;
 
-  /** 350 lines of a file, blank ones too, at the 11,991 tokens in 1,355 lines of before. */
+  /** Equivalent of 350 lines with blank ones: before formatting, 11,991 tokens in 1,355 lines. */
   private static final long MAX_TOKENS_PER_FILE = 3_097;
 
   @Test
@@ -54,7 +58,7 @@
     assertTrue(total <= MAX_TOKENS, total + " tokens in all");
   }
 
-  /** Counts words, literals and single signs; comments, blanks and line breaks count nothing. */
+  /** Counts words, literals and single punctuation characters, without comments and white space. */
   private static long countTokens(Path file) throws IOException {
     try (Reader reader = Files.newBufferedReader(file)) {
       StreamTokenizer tokenizer = new StreamTokenizer(reader);
--- a/policy/src/test/java/willowdoor/policy/QuotaAccuracyTest.java
+++ b/policy/src/test/java/willowdoor/policy/QuotaAccuracyTest.java
@@ -12,11 +12,10 @@
 import willowdoor.policy.GatewayApi.Status;
 import willowdoor.policy.QuotaSimulation.Result;
 
-/** What the module's estimate of each customer's store is worth, against the store itself. */
+/** Compares the decisions of the gateways with the true token bucket of each customer. */
 class QuotaAccuracyTest {
 
-  // Guards a wait that swings with two or three requests of one's own, as one of many gateways has
-  // out.
+  // One of many gateways has few requests in flight; two or three more must not count as overload.
   @Test
   void fewRequestsInFlightAreNotOverload() {
     PolicyHarness f = new PolicyHarness(PolicyHarness.settings(true, 100, false)).backends(60);
@@ -36,14 +35,16 @@
     }
     assertTrue(
         refused < 10,
-        refused + " requests refused by a fleet that answers in a quarter of the aim");
+        refused
+            + " requests refused by a fleet that responds within a quarter of the latency objective");
   }
 
   /**
-   * Gain and served are the least, the other shares the most. With windows of one burst, before,
-   * 0.52 of the tries were refused with room and 0.86 served at 100 gateways, 0.37 and 0.87 at 14.
-   * Guessed costs reach the count late where a gateway meets a customer rarely. What is left where
-   * the counter bears half of the calls stands in docs/front-open.md.
+   * Gain and served are lower bounds, the other shares are upper bounds. With the earlier windows
+   * of one burst, 0.52 of the tries were refused with room and 0.86 were served at 100 gateways;
+   * 0.37 and 0.87 at 14 gateways. Corrections of estimated costs reach the count late if a gateway
+   * rarely sees the customer. docs/front-open.md lists the open points for a counter that can
+   * process half of the calls.
    */
   @ParameterizedTest
   @CsvSource(
--- a/policy/src/test/java/willowdoor/policy/QuotaPolicyTest.java
+++ b/policy/src/test/java/willowdoor/policy/QuotaPolicyTest.java
@@ -32,7 +32,7 @@
 
 class QuotaPolicyTest {
 
-  // The ordinary path
+  // Normal case
 
   @Test
   void estimateIsAddedBeforeTheRequestIsSent() {
@@ -52,7 +52,9 @@
     assertTrue(f.emitted(Refuse.class));
     f.advanceClock(500).request("safe", "rated", 1);
     assertEquals(
-        -3, f.lastAction(AddToCounter.class).amount(), "only reads, and takes the refused 3 off");
+        -3,
+        f.lastAction(AddToCounter.class).amount(),
+        "reads the total and subtracts the 3 refused units");
   }
 
   @Test
@@ -119,7 +121,10 @@
     assertTrue(f.emitted(Refuse.class));
   }
 
-  /** A customer whose use comes through one gateway alone has its whole limit there. */
+  /**
+   * If all requests of a customer come through one gateway, this gateway may use the whole open
+   * limit.
+   */
   @Test
   void openLimitFollowsTheCustomersUse() {
     PolicyHarness f = PolicyHarness.withSharedCounter();
@@ -138,21 +143,23 @@
   }
 
   /**
-   * Of many gateways, one may have more than its part open while the count shows that others are
-   * idle.
+   * A gateway may have more than its part of the limit open if the shared count shows that the
+   * others are idle.
    */
   @Test
   void openLimitUnusedByOtherGatewaysMayBeUsedHere() {
     PolicyHarness idle = new PolicyHarness(PolicyHarness.settings(true, 14, false)).backends(60);
     PolicyHarness busy = new PolicyHarness(PolicyHarness.settings(true, 14, false)).backends(60);
     assertEquals(
-        2, countSentOfThree(idle, 1), "more than its part of 4 for 14, and room for chance");
-    assertEquals(1, countSentOfThree(busy, 5), "the others use it");
+        2,
+        countSentOfThree(idle, 1),
+        "more than its part of 4 for 14 gateways, with a margin for random variation");
+    assertEquals(1, countSentOfThree(busy, 5), "the other gateways use the limit");
   }
 
   /**
-   * How many of three requests that come at once are sent, after a second in which others added as
-   * much.
+   * Number of requests sent of three that arrive together, while other gateways add to the same
+   * count.
    */
   private static int countSentOfThree(PolicyHarness f, double totalPerAdd) {
     int sent = 0;
@@ -186,7 +193,7 @@
     assertTrue(f.emitted(Fail.class), "an unknown class may not run twice");
   }
 
-  // Counter trouble
+  // Counter failures
 
   @Test
   void unansweredCounterCallIsDecidedByTheReplica() {
@@ -205,8 +212,7 @@
   }
 
   /**
-   * What cannot be read was answered all the same: the counter is not full, so no request goes
-   * unasked.
+   * An unreadable answer still shows that the counter responds, so all requests keep calling it.
    */
   @Test
   void unreadableCounterAnswersDoNotReduceTheCalls() {
@@ -234,7 +240,7 @@
         f.counterCallFails(Status.UNREACHABLE);
       }
     }
-    assertTrue(calls < 40, "calls while the counter is away: " + calls);
+    assertTrue(calls < 40, "calls while the counter is down: " + calls);
     int answered = 0;
     for (int i = 0; i < 200; i++) {
       f.advanceClock(20).on(new Request("p" + i, "safe", "rated", 5000 + i, 2, 1, f.now + 4000));
@@ -243,7 +249,7 @@
         f.counterReturns(1);
       }
     }
-    assertTrue(answered > 100, "calls after its return: " + answered);
+    assertTrue(answered > 100, "calls after the recovery: " + answered);
   }
 
   @Test
@@ -329,7 +335,7 @@
     f.outcome(s, 0, Status.ERROR, false);
     if (f.emitted(Send.class)) {
       assertEquals(
-          s.backend(), f.lastAction(Send.class).backend(), "its cell has this backend alone");
+          s.backend(), f.lastAction(Send.class).backend(), "the cell has only this backend");
     }
     f.request("zone", "free", 1);
     Send z = f.lastAction(Send.class);
@@ -337,19 +343,19 @@
     assertEquals(z.backend() % 2, f.lastAction(Send.class).backend() % 2);
     Send again = f.lastAction(Send.class);
     f.advanceClock(3500).outcome(again, 1, Status.ERROR, false);
-    assertFalse(f.emitted(Send.class), "its repeats are no longer dropped");
-    assertTrue(f.emitted(Fail.class), "and a refusal would promise too much");
+    assertFalse(f.emitted(Send.class), "repeats are no longer deduplicated");
+    assertTrue(f.emitted(Fail.class), "a refusal would state that a retry is safe");
   }
 
   @Test
   void everyRequestIsAnsweredBeforeItsDeadline() {
     PolicyHarness f = new PolicyHarness(PolicyHarness.settings(true, 2, false));
     f.request("safe", "free", 1);
-    assertFalse(f.emitted(Send.class), "no backend is known");
+    assertFalse(f.emitted(Send.class), "there is no backend");
     f.runTimer(1000);
     assertTrue(f.emitted(Refuse.class));
     f.on(new Request("short", "safe", "free", 1, 2, 1, f.now + 5));
-    assertTrue(f.emitted(Refuse.class), "no time is left to look again");
+    assertTrue(f.emitted(Refuse.class), "no time is left for another check");
   }
 
   @Test
@@ -409,7 +415,10 @@
     assertEquals(Set.of(2L, 3L), met);
   }
 
-  /** Operators' word stands above the list's, over all kinds of sends, until they take it back. */
+  /**
+   * An exclusion by operators has precedence over the backend list, for first attempts and retries,
+   * until it is lifted.
+   */
   @Test
   void excludedBackendGetsNoRequestsWhateverTheListSays() {
     PolicyHarness f = PolicyHarness.withSharedCounter().backends(2);
@@ -432,12 +441,12 @@
     f.on(
         new BackendList(
             BackendListKind.COMPLETE, List.of(new BackendEntry(1, "b", 1, Phase.SERVING, 1, 0))));
-    assertTrue(f.policy.isKnown(0), "one that left the list can still be put back");
+    assertTrue(f.policy.isKnown(0), "a backend that left the list can still be readmitted");
     f.on(new BackendExclusion(0, false));
     assertFalse(f.policy.isKnown(0));
   }
 
-  /** A ban ends with one call, and what failed before and during it is forgotten. */
+  /** One event ends an exclusion, even a repeated one, and earlier failures are forgotten. */
   @Test
   void readmittedBackendWarmsUpAgain() {
     PolicyHarness f = PolicyHarness.withSharedCounter();
@@ -458,8 +467,8 @@
         f.outcome(s, 0, Status.OK, true);
       }
     }
-    assertTrue(again > 0, "it is used within 5 s");
-    assertTrue(again < all / 8, "no more than a cold one: " + again + " of " + all);
+    assertTrue(again > 0, "the backend is used within 5 s");
+    assertTrue(again < all / 8, "no more than a cold backend: " + again + " of " + all);
   }
 
   @Test
@@ -480,13 +489,13 @@
         f.outcome(s, 0, Status.OK, true);
       }
     }
-    assertTrue(cold > 0, "it is used at all");
+    assertTrue(cold > 0, "the cold backend gets requests");
     assertTrue(cold < all / 8, "under half of a warm backend's quarter: " + cold + " of " + all);
   }
 
   /**
-   * One connect that fails is no restart: the backend answers on, and is not held to a cold one's
-   * part.
+   * A single failed connect is no restart: the backend still responds and is not limited like a
+   * cold one.
    */
   @Test
   void singleFailedConnectDoesNotRestartTheWarmUp() {
@@ -505,7 +514,7 @@
     int early = countSendsToFailingBackend(f, 100);
     assertTrue(early < 20, "sends to the failing backend: " + early);
     for (int i = 0, met = 0; met == 0; i++) {
-      assertTrue(i < 2000, "never tried again");
+      assertTrue(i < 2000, "the backend is never probed");
       f.runTimer(25).request("safe", "free", 1);
       Send s = f.lastAction(Send.class);
       met += s.backend() == 0 ? 1 : 0;
@@ -532,7 +541,10 @@
     return failing;
   }
 
-  /** Guards incidents ifcb77b and i3b6be0: an old bad report must not shun a backend for good. */
+  /**
+   * Guards against incidents ifcb77b and i3b6be0: because of an old report of high load, a backend
+   * got no requests any more.
+   */
   @Test
   void oldLoadReportLosesItsWeight() {
     PolicyHarness f = PolicyHarness.withSharedCounter();
@@ -567,7 +579,7 @@
     assertTrue(f.emitted(Refuse.class));
   }
 
-  /** An answer that waited to be read while the gateway itself paused tells of no full fleet. */
+  /** A response that was read late because the gateway itself paused must not count as overload. */
   @Test
   void ownPauseDoesNotCountAsBackendLatency() {
     PolicyHarness f = PolicyHarness.withSharedCounter();
--- a/policy/src/test/java/willowdoor/policy/QuotaSimulation.java
+++ b/policy/src/test/java/willowdoor/policy/QuotaSimulation.java
@@ -35,13 +35,13 @@
 import willowdoor.policy.GatewayApi.TimerFired;
 
 /**
- * Customers of several habits before many gateways, a counter that answers a little late, servers
- * with cores and a waiting room, and beside them the true store of each customer, which no gateway
- * sees.
+ * Simulates customers with several usage patterns, many gateways, a counter with latency, and
+ * servers with cores and a queue. The true token bucket of each customer is tracked beside them; no
+ * gateway sees it.
  */
 final class QuotaSimulation {
 
-  /** What came of the tries, in units; the room is the true store's at that moment. */
+  /** Results of the tries, in units. Room is what the true token bucket holds at that time. */
   static final class Result {
     double sent;
     double sentOverQuota;
@@ -56,30 +56,28 @@
     long answered;
     double totalLatencyMs;
 
-    /**
-     * Of the units sent on, those that the true store did not hold, where the plan has a price for
-     * that.
-     */
+    /** Share of the sent units that exceeded the true bucket, for plans with a cost over quota. */
     double overQuotaShare() {
       return sentOverQuota / Math.max(1, sent);
     }
 
-    /** Of all tries, those refused with half of the store unused. */
+    /** Share of all tries that were refused with at least half of the true bucket unused. */
     double refusedHalfFullShare() {
       return triesRefusedHalfFull / (double) Math.max(1, tryCount);
     }
 
     /**
-     * Worth answered in its aim and inside the store, over what one gateway that saw all would let
-     * in.
+     * Value of requests within the true bucket that were answered within their latency objective,
+     * relative to what a single gateway with full knowledge would admit.
      */
     double servedShare() {
       return servedInTime / Math.max(1, offeredWithinQuota);
     }
 
     /**
-     * What inside the store and, at its plan's part, beyond it was answered in its aim, less the
-     * price of what was sent on beyond, over what one gateway that saw all would earn.
+     * Value of requests answered within their latency objective, where requests over quota count
+     * with the value that the plan gives them, minus the cost of requests sent over quota, relative
+     * to what a single gateway with full knowledge would gain.
      */
     double gainShare() {
       return gain / Math.max(1, offered);
@@ -107,8 +105,8 @@
   }
 
   /**
-   * Plans, and how many customers each has, as on a day of the whole fleet; one earns beyond its
-   * quota.
+   * Plans and their numbers of customers, as for the whole fleet on a usual day. One plan profits
+   * from requests over quota.
    */
   private static final List<Plan> PLANS =
       List.of(
@@ -123,10 +121,12 @@
 
   private static final double CALL_MS = 12;
 
-  /** Parts of the counter, and how long a part's line may be before it turns calls away. */
+  /** Shards of the counter. */
   private static final int COUNTER_SHARDS = 2;
 
+  /** A shard rejects calls that would have to wait for longer. */
   private static final double MAX_COUNTER_QUEUE_MS = 40;
+
   private static final RequestClass PREVIEW =
       new RequestClass(
           "preview", 1, 0, 3872, 9680, RetrySafety.SAFE, DeduplicationScope.ALL, 0, false);
@@ -137,13 +137,13 @@
       new RequestClass(
           "seal", 5, 0, 3098, 7744, RetrySafety.UNSAFE, DeduplicationScope.ALL, 0, false);
 
-  /** Cores that serve in turn; where more than the room holds wait, requests are turned away. */
+  /** A server with several cores and a queue; rejects requests when the queue is full. */
   private static final class Server {
     int busy;
     final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
   }
 
-  /** A store that fills at the rate and holds the burst. */
+  /** A token bucket with the rate and the burst of a plan. */
   private static final class TokenBucket {
     private final Plan plan;
     private double level;
@@ -238,7 +238,7 @@
   private final double estimateSpread;
   private final double callMs;
 
-  /** When each part of the counter has done what waits in its line. */
+  /** Time at which each shard has processed its queue. */
   private final double[] shardFreeAt = new double[COUNTER_SHARDS];
 
   private final List<Server> servers = new ArrayList<>();
@@ -246,7 +246,7 @@
   private double measuredFrom;
   private long nextSequence;
 
-  /** The counter bears so many calls a second, on all its parts. */
+  /** The counter processes {@code callsPerSecond} on all its shards together. */
   QuotaSimulation(
       int gateways, int howManyServers, double guessSpread, double callsPerSecond, long seed) {
     callMs = 1000 * COUNTER_SHARDS / callsPerSecond;
@@ -473,7 +473,7 @@
     }
   }
 
-  /** A client comes again up to three times, through another gateway. */
+  /** Retries up to three times, through another gateway. */
   private void onRefused(String id) {
     ClientTry t = openTries.remove(id);
     if (t == null) {
--- a/policy/src/test/java/willowdoor/policy/RetryRulesTest.java
+++ b/policy/src/test/java/willowdoor/policy/RetryRulesTest.java
@@ -14,14 +14,17 @@
 import willowdoor.policy.GatewayApi.Send;
 import willowdoor.policy.GatewayApi.Status;
 
-/** What may follow an attempt that may have run, by the class's effect (rule 2 of the wire). */
+/**
+ * Which retries may follow an attempt that may have run, by the class's retry safety (rule 2 of
+ * WIRE).
+ */
 class RetryRulesTest {
 
   private static final double WINDOW_MS = 3_000;
 
   private final PolicyHarness f = PolicyHarness.withSharedCounter();
 
-  /** Lets attempts end so until the request is answered; gives all sends. */
+  /** Ends every attempt with the given status until the request is answered. Returns all sends. */
   private List<Send> attemptUntilAnswered(String type, Status status) {
     f.allActions.clear();
     f.request(type, "free", 1);
@@ -71,13 +74,16 @@
             type.equals("cell")
                 ? s.backend() == sends.get(0).backend()
                 : s.backend() % 2 == sends.get(0).backend() % 2,
-            "left its group");
+            "retried outside the deduplication scope");
       }
     }
     assertTrue(repeats > 0);
   }
 
-  /** What proves that it never ran binds nothing, and its send does not begin the window. */
+  /**
+   * An attempt that provably never ran does not restrict the backends and does not begin the
+   * window.
+   */
   @Test
   void windowBeginsWithTheFirstAttemptThatMayHaveRun() {
     f.request("zone", "free", 1);
@@ -102,7 +108,7 @@
     assertFalse(f.emitted(Refuse.class));
   }
 
-  /** An end that is told after the client has gone begins nothing. */
+  /** An outcome that arrives after the client has disconnected starts no further attempt. */
   @ParameterizedTest
   @EnumSource
   void outcomeAfterClientDisconnectStartsNothing(Status status) {
--- a/policy/src/test/java/willowdoor/policy/SlowStartTest.java
+++ b/policy/src/test/java/willowdoor/policy/SlowStartTest.java
@@ -10,7 +10,10 @@
 import willowdoor.policy.GatewayApi.Outcome;
 import willowdoor.policy.GatewayApi.Status;
 
-/** What a backend that has just started gets of a steady stream of sends; time is moved by hand. */
+/**
+ * Share of a steady stream of requests that goes to a backend that has just started, with a
+ * simulated clock.
+ */
 class SlowStartTest {
 
   @Test
@@ -27,7 +30,7 @@
       ctx.now += 10;
       room.onSend(usual.get(i % 10));
       ctx.load.onAnswer(100, ctx.now);
-      assertTrue(room.maySend(usual.get(1)), "a warm one always has room");
+      assertTrue(room.maySend(usual.get(1)), "a warm backend is not limited");
     }
     Backend cold = usual.get(0);
     cold.startedMs = cold.warmUpCreditedAt = ctx.now;
@@ -40,13 +43,13 @@
       ctx.load.onAnswer(100, ctx.now);
       sent += has ? 1 : 0;
     }
-    // 500 sends for ten, of which one bears 0.2 to 0.6 of a warm one: an even part is 50, the
-    // promise 21.
-    assertTrue(sent >= 17 && sent <= 25, sent + " sent to the cold one");
+    // 500 requests for ten backends, one of which has 0.2 to 0.6 of a warm backend's capacity: an
+    // even share is 50 requests, its warm-up share is 21.
+    assertTrue(sent >= 17 && sent <= 25, sent + " requests sent to the cold backend");
   }
 
-  // It starts after the last connect that failed, not after the first: it may have been away for
-  // long.
+  // The warm-up begins after the last failed connect, not after the first, because the backend may
+  // have been down for long.
   @Test
   void warmUpBeginsAtTheLastFailedConnect() {
     Context ctx = new Context(PolicyHarness.settings(true, 100, false), 5);
@@ -62,7 +65,7 @@
     }
   }
 
-  // Real ids fill 63 bits: what is added to one as a fraction must not be lost.
+  // Real ids use 63 bits; a fraction added to such a number as a double would be lost.
   @Test
   void initialCreditsOfGatewaysAreSpreadEvenlyForAnyBackendId() {
     for (long id : new long[] {3, 0x7c1f_30d2_7a5b_e964L, Long.MAX_VALUE}) {
