--- a/policy/src/test/java/willowdoor/policy/QuotaPolicyTest.java
+++ b/policy/src/test/java/willowdoor/policy/QuotaPolicyTest.java
@@ -121,10 +121,7 @@
     assertTrue(f.emitted(Refuse.class));
   }
 
-  /**
-   * If all requests of a customer come through one gateway, this gateway may use the whole open
-   * limit.
-   */
+  /** A gateway that gets all requests of a customer may use the whole open limit. */
   @Test
   void openLimitFollowsTheCustomersUse() {
     PolicyHarness f = PolicyHarness.withSharedCounter();
@@ -142,10 +139,7 @@
     }
   }
 
-  /**
-   * A gateway may have more than its part of the limit open if the shared count shows that the
-   * others are idle.
-   */
+  /** A gateway may exceed its part if the shared count shows that the others are idle. */
   @Test
   void openLimitUnusedByOtherGatewaysMayBeUsedHere() {
     PolicyHarness idle = new PolicyHarness(PolicyHarness.settings(true, 14, false)).backends(60);
@@ -157,10 +151,7 @@
     assertEquals(1, countSentOfThree(busy, 5), "the other gateways use the limit");
   }
 
-  /**
-   * Number of requests sent of three that arrive together, while other gateways add to the same
-   * count.
-   */
+  /** Counts the sends of three requests while other gateways add to the same count. */
   private static int countSentOfThree(PolicyHarness f, double totalPerAdd) {
     int sent = 0;
     double total = 0;
@@ -212,9 +203,7 @@
     assertTrue(f.emitted(Send.class));
   }
 
-  /**
-   * An unreadable answer still shows that the counter responds, so all requests keep calling it.
-   */
+  /** An unreadable answer shows that the counter responds, so all requests still call it. */
   @Test
   void unreadableCounterAnswersDoNotReduceTheCalls() {
     PolicyHarness f = PolicyHarness.withSharedCounter();
@@ -416,10 +405,7 @@
     assertEquals(Set.of(2L, 3L), met);
   }
 
-  /**
-   * An exclusion by operators has precedence over the backend list, for first attempts and retries,
-   * until it is lifted.
-   */
+  /** An exclusion by operators precedes the backend list, also for retries, until it ends. */
   @Test
   void excludedBackendGetsNoRequestsWhateverTheListSays() {
     PolicyHarness f = PolicyHarness.withSharedCounter().backends(2);
@@ -494,10 +480,7 @@
     assertTrue(cold < all / 8, "under half of a warm backend's quarter: " + cold + " of " + all);
   }
 
-  /**
-   * A single failed connect is no restart: the backend still responds and is not limited like a
-   * cold one.
-   */
+  /** A backend that responds after a failed connect is not limited like a cold one. */
   @Test
   void singleFailedConnectDoesNotRestartTheWarmUp() {
     PolicyHarness f = new PolicyHarness(PolicyHarness.settings(true, 2, false)).backends(1);
--- a/policy/src/test/java/willowdoor/policy/QuotaSimulation.java
+++ b/policy/src/test/java/willowdoor/policy/QuotaSimulation.java
@@ -91,7 +91,7 @@
     public String toString() {
       return String.format(
           Locale.ROOT,
-          "gain %.3f served %.3f over-quota %.3f (open limit %.3f) refused-half-full %.3f calls/try %.2f tries %d"
+          "gain %.3f served %.3f over-quota %.3f (open %.3f) refused-half-full %.3f calls/try %.2f tries %d"
               + " wait %.0f",
           gainShare(),
           servedShare(),
