--- a/policy/src/main/java/willowdoor/policy/GatewayApi.java
+++ b/policy/src/main/java/willowdoor/policy/GatewayApi.java
@@ -3,33 +3,34 @@
 import java.util.List;
 
 /**
- * What passes between a gateway and its decision module, {@link QuotaPolicy}: the settings at the
- * start, then events in, actions out. Times are milliseconds on a clock that only moves forward.
- * Nothing is decided here.
+ * Interface between a gateway and its decision module, {@link QuotaPolicy}: settings at the start,
+ * then events in and actions out. Times are in milliseconds of a monotonic clock.
  */
 public final class GatewayApi {
 
   private GatewayApi() {}
 
   /**
-   * May a request run again: freely, within a group of backends that drops its repeats, or never.
+   * Whether a request may be sent again: always, only to backends that deduplicate it by its key,
+   * or never.
    */
-  public enum Repeat {
+  public enum RetrySafety {
     SAFE,
     KEYED,
     UNSAFE
   }
 
   /**
-   * The backends that drop a keyed request's repeats: all, those of one zone, or those of one cell.
+   * The backends that share the deduplication of keyed requests: all, those of one zone, or those
+   * of one cell.
    */
-  public enum Group {
+  public enum DeduplicationScope {
     ALL,
     ZONE,
     CELL
   }
 
-  /** How an attempt or a call ended. */
+  /** Outcome of an attempt or of a call to the counter. */
   public enum Status {
     OK,
     ERROR,
@@ -40,7 +41,9 @@
     CANCELLED,
     NOT_SENT;
 
-    /** True when this ending shows that the attempt never ran, or the call added nothing. */
+    /**
+     * Whether the outcome proves that the attempt was not executed, or that the call added nothing.
+     */
     public boolean provesNotRun() {
       return this == REJECTED || this == UNREACHABLE || this == NOT_SENT;
     }
@@ -53,87 +56,90 @@
   }
 
   /**
-   * A roster holds only what changed, all backends, all as seen in an earlier life, or is a
-   * failure.
+   * Content of a backend list: only the changes, all backends, all backends as saved by an earlier
+   * process, or a failed request for the list.
    */
-  public enum RosterForm {
+  public enum BackendListKind {
     CHANGES,
     COMPLETE,
-    REMEMBERED,
+    CACHED,
     FAILED
   }
 
-  /** One class of requests: worth, time wanted, time allowed, and whether it may run again. */
+  /**
+   * A class of requests: its value, latency objective and deadline, and whether it may be sent
+   * again.
+   */
   public record RequestClass(
       String name,
       double value,
       double lateValue,
-      double aimMs,
+      double objectiveMs,
       double deadlineMs,
-      Repeat repeat,
-      Group group,
-      double repeatWindowMs,
-      boolean stream) {}
+      RetrySafety retrySafety,
+      DeduplicationScope deduplicationScope,
+      double deduplicationWindowMs,
+      boolean streaming) {}
 
-  /** One plan; a rate, open limit or ceiling rate of 0 means that there is none. */
+  /** A customer plan; a rate, open limit or ceiling rate of 0 means no limit. */
   public record Plan(
       String name,
       double rate,
       double burst,
-      int openLimit,
-      double worthFactor,
-      double beyondEarns,
-      double beyondCost,
+      int maxOpen,
+      double valueFactor,
+      double overQuotaValue,
+      double overQuotaCost,
       double ceilingRate,
       double ceilingBurst,
       double ceilingSlack) {}
 
-  /** What a gateway may use and do. */
-  public record Allowed(
-      boolean sharedCount,
-      double countLimitMs,
+  /** Features and limits of a gateway. */
+  public record GatewayOptions(
+      boolean sharedCounter,
+      double counterTimeoutMs,
       boolean cancel,
       boolean duplicates,
-      int attempts,
-      int open,
-      boolean holdOff,
-      double maxHoldOffMs,
-      boolean rosterOnRequest) {}
+      int maxAttempts,
+      int maxOpen,
+      boolean retryAfter,
+      double maxRetryAfterMs,
+      boolean backendListOnRequest) {}
 
-  /** Figures of the rules. */
+  /** Parameters of the warm-up and overload rules. */
   public record Rules(
       double answerSlackMs,
-      double coldFrom,
-      double coldMs,
-      double tipMultiple,
-      double tipAfterMs) {}
+      double warmUpStartShare,
+      double warmUpMs,
+      double overloadMultiple,
+      double overloadAfterMs) {}
 
   public record Settings(
       int gateways,
-      int self,
+      int selfIndex,
       String zone,
       double maxUnits,
-      double crossZonePrice,
-      boolean sizesTold,
+      double crossZoneCost,
+      boolean capacityHints,
       List<RequestClass> classes,
       List<Plan> plans,
-      Allowed allowed,
+      GatewayOptions options,
       Rules rules) {}
 
-  /** One backend of a roster; startedMs is 0 when it started long ago. */
+  /** A backend in a list; startedMs is 0 if it started long ago. */
   public record BackendEntry(
-      long id, String zone, int cell, Phase phase, double size, double startedMs) {}
+      long id, String zone, int cell, Phase phase, double capacity, double startedMs) {}
 
-  /** A load report; a value that was not reported is NaN. */
+  /** A backend's load report; NaN means not reported. */
   public record Load(double inFlight, double serviceMs) {}
 
-  /** What a gateway tells its module. */
+  /** An event that a gateway passes to its decision module. */
   public sealed interface Event {}
 
-  public record Roster(RosterForm form, List<BackendEntry> entries) implements Event {}
+  public record BackendList(BackendListKind kind, List<BackendEntry> entries) implements Event {}
 
-  /** Operators take a backend out, whatever the roster says, until they put it back. */
-  public record Ban(long backend, boolean out) implements Event {}
+  /** Operators exclude a backend, with precedence over the list, or admit it again. */
+  public record BackendExclusion(long backend, boolean excluded) implements Event {}
 
   public record Request(
       String id,
@@ -142,57 +148,58 @@
       long customer,
       int entryPoints,
       double units,
-      double giveUpMs)
+      double deadlineMs)
       implements Event {}
 
-  /** A streamed answer has begun. */
-  public record StreamBegan(String request, int attempt) implements Event {}
+  /** A streaming response has started. */
+  public record StreamStarted(String request, int attempt) implements Event {}
 
-  /** How an attempt ended; trueUnits is 0 when unknown, load is null when no report came. */
+  /** Outcome of an attempt; actualUnits is 0 if unknown, load is null without a report. */
   public record Outcome(
       String request,
       int attempt,
       long backend,
       Status status,
       double latencyMs,
-      boolean over,
-      double trueUnits,
+      boolean requestDone,
+      double actualUnits,
       Load load)
       implements Event {}
 
-  /** The request is over: its client has left. */
-  public record ClientLeft(String request) implements Event {}
+  /** The client has disconnected, which ends the request. */
+  public record ClientDisconnected(String request) implements Event {}
 
-  /** The end of a call to the counter; total is valid with OK. */
-  public record Counted(String name, Status status, double total, double latencyMs)
+  /** Result of a call to the counter; total is valid only with status OK. */
+  public record CounterResult(String name, Status status, double total, double latencyMs)
       implements Event {}
 
-  public record Woken(String label) implements Event {}
+  public record TimerFired(String label) implements Event {}
 
-  /** What a module has its gateway do. */
+  /** An action that the decision module requests from its gateway. */
   public sealed interface Action {}
 
   /**
-   * Start an attempt; the n-th Send of a request, from 0, is its attempt n. Its last byte must be
-   * with the network by then on the clock (endless where any time will do), or else it must never
-   * be.
+   * Start an attempt; the n-th Send of a request, from 0, is its attempt n. The attempt must be
+   * written to the network completely by writtenByMs (infinity for no limit), or not be sent.
    */
   public record Send(String request, long backend, double timeoutMs, double writtenByMs)
       implements Action {}
 
-  /** Final answer: refused, trying again is harmless; holdOffMs of 0 gives no advice. */
-  public record Refuse(String request, double holdOffMs) implements Action {}
+  /**
+   * Final answer: refused, and the client can safely retry; a retryAfterMs of 0 gives no advice.
+   */
+  public record Refuse(String request, double retryAfterMs) implements Action {}
 
-  /** Final answer: failed, nothing promised. */
+  /** Final answer: failed; the request may have been executed. */
   public record Fail(String request) implements Action {}
 
   public record Cancel(String request, int attempt) implements Action {}
 
-  /** Add to a named count; a new name starts at 0 and is forgotten after ttlMs. */
-  public record Add(String name, double amount, double ttlMs) implements Action {}
+  /** Add to a named count; a new count starts at 0 and expires after ttlMs. */
+  public record AddToCounter(String name, double amount, double ttlMs) implements Action {}
 
-  public record WakeAt(double atMs, String label) implements Action {}
+  public record SetTimer(double atMs, String label) implements Action {}
 
-  /** Ask for changes of the roster from now on. */
-  public record FollowRoster() implements Action {}
+  /** Request the changes of the backend list from now on. */
+  public record WatchBackendList() implements Action {}
 }
--- a/policy/src/test/java/willowdoor/policy/QuotaPolicyTest.java
+++ b/policy/src/test/java/willowdoor/policy/QuotaPolicyTest.java
@@ -11,90 +11,93 @@
 import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import willowdoor.policy.GatewayApi.Add;
+import willowdoor.policy.GatewayApi.AddToCounter;
 import willowdoor.policy.GatewayApi.BackendEntry;
-import willowdoor.policy.GatewayApi.Ban;
+import willowdoor.policy.GatewayApi.BackendExclusion;
+import willowdoor.policy.GatewayApi.BackendList;
+import willowdoor.policy.GatewayApi.BackendListKind;
 import willowdoor.policy.GatewayApi.Cancel;
-import willowdoor.policy.GatewayApi.ClientLeft;
-import willowdoor.policy.GatewayApi.Counted;
+import willowdoor.policy.GatewayApi.ClientDisconnected;
+import willowdoor.policy.GatewayApi.CounterResult;
 import willowdoor.policy.GatewayApi.Fail;
-import willowdoor.policy.GatewayApi.FollowRoster;
 import willowdoor.policy.GatewayApi.Outcome;
 import willowdoor.policy.GatewayApi.Phase;
 import willowdoor.policy.GatewayApi.Refuse;
 import willowdoor.policy.GatewayApi.Request;
-import willowdoor.policy.GatewayApi.Roster;
-import willowdoor.policy.GatewayApi.RosterForm;
 import willowdoor.policy.GatewayApi.Send;
 import willowdoor.policy.GatewayApi.Status;
-import willowdoor.policy.GatewayApi.StreamBegan;
-import willowdoor.policy.GatewayApi.Woken;
+import willowdoor.policy.GatewayApi.StreamStarted;
+import willowdoor.policy.GatewayApi.TimerFired;
+import willowdoor.policy.GatewayApi.WatchBackendList;
 
 class QuotaPolicyTest {
 
-  // The ordinary path
+  // Normal case
 
   @Test
-  void addsTheEstimateThenSends() {
-    Fixtures f = Fixtures.counted();
-    f.request("safe", "rated", 3);
-    assertEquals(3, f.only(Add.class).amount());
-    assertFalse(f.did(Send.class));
-    f.total(3);
-    assertTrue(f.did(Send.class));
+  void estimateIsAddedBeforeTheRequestIsSent() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
+    f.request("safe", "basic", 3);
+    assertEquals(3, f.lastAction(AddToCounter.class).amount());
+    assertFalse(f.emitted(Send.class));
+    f.counterReturns(3);
+    assertTrue(f.emitted(Send.class));
   }
 
   @Test
-  void refusesWhatWouldPassTheQuotaAndOwesItBack() {
-    Fixtures f = Fixtures.counted();
-    f.request("safe", "rated", 3);
-    f.total(200);
-    assertTrue(f.did(Refuse.class));
-    f.pass(500).request("safe", "rated", 1);
-    assertEquals(-3, f.only(Add.class).amount(), "only reads, and takes the refused 3 off");
+  void requestOverQuotaIsRefusedAndItsUnitsSubtractedLater() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
+    f.request("safe", "basic", 3);
+    f.counterReturns(200);
+    assertTrue(f.emitted(Refuse.class));
+    f.advanceClock(500).request("safe", "basic", 1);
+    assertEquals(
+        -3,
+        f.lastAction(AddToCounter.class).amount(),
+        "reads the total and subtracts the 3 refused units");
   }
 
   @Test
-  void settlesTheTrueUnitsWithTheNextAdd() {
-    Fixtures f = Fixtures.counted();
-    f.request("safe", "rated", 2);
-    Send s = f.total(2).only(Send.class);
+  void actualUnitsAreSettledWithTheNextAdd() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
+    f.request("safe", "basic", 2);
+    Send s = f.counterReturns(2).lastAction(Send.class);
     f.on(new Outcome(s.request(), 0, s.backend(), Status.OK, 50, true, 4, null));
-    f.request("safe", "rated", 1);
-    assertEquals(1 + 2, f.only(Add.class).amount());
+    f.request("safe", "basic", 1);
+    assertEquals(1 + 2, f.lastAction(AddToCounter.class).amount());
   }
 
   @Test
-  void aSpentCustomerIsRefusedWithoutACall() {
-    Fixtures f = Fixtures.counted();
-    f.request("safe", "rated", 3);
-    f.total(200);
-    f.pass(10).request("safe", "rated", 3);
-    assertTrue(f.did(Refuse.class));
-    assertFalse(f.did(Add.class));
+  void exhaustedCustomerIsRefusedWithoutACounterCall() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
+    f.request("safe", "basic", 3);
+    f.counterReturns(200);
+    f.advanceClock(10).request("safe", "basic", 3);
+    assertTrue(f.emitted(Refuse.class));
+    assertFalse(f.emitted(AddToCounter.class));
   }
 
   @Test
-  void twoBurstsDoNotPassAtTheEdgeOfAWindow() {
-    Fixtures f = Fixtures.counted();
+  void windowChangeGrantsNoSecondBurst() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
     String first = null;
     int sent = 0;
-    for (double total = 2; f.all.size() < 4000; total += 2) {
-      f.pass(50).request("safe", "rated", 2);
-      if (!f.did(Add.class)) {
+    for (double total = 2; f.allActions.size() < 4000; total += 2) {
+      f.advanceClock(50).request("safe", "basic", 2);
+      if (!f.emitted(AddToCounter.class)) {
         continue;
       }
       String name = f.lastAdd().name();
       if (first != null && !name.equals(first)) {
-        f.total(f.lastAdd().amount());
-        assertTrue(f.did(Refuse.class), "a new window is not a new burst");
+        f.counterReturns(f.lastAdd().amount());
+        assertTrue(f.emitted(Refuse.class), "a new window is not a new burst");
         return;
       }
       first = name;
-      f.total(total);
-      sent += f.did(Send.class) ? 1 : 0;
-      if (f.did(Send.class)) {
-        Send s = f.only(Send.class);
+      f.counterReturns(total);
+      sent += f.emitted(Send.class) ? 1 : 0;
+      if (f.emitted(Send.class)) {
+        Send s = f.lastAction(Send.class);
         f.outcome(s, 0, Status.OK, true);
       }
     }
@@ -103,32 +106,32 @@
 
   @Test
   void plansWithoutRateNeedNoCall() {
-    Fixtures f = Fixtures.counted();
-    f.request("safe", "free", 3);
-    assertTrue(f.did(Send.class));
-    assertFalse(f.did(Add.class));
+    PolicyHarness f = PolicyHarness.withSharedCounter();
+    f.request("safe", "unlimited", 3);
+    assertTrue(f.emitted(Send.class));
+    assertFalse(f.emitted(AddToCounter.class));
   }
 
   @Test
   void openLimitIsSplitAmongTheGateways() {
-    Fixtures f = Fixtures.counted();
-    f.request("safe", "narrow", 1);
-    assertTrue(f.did(Send.class));
-    f.request("safe", "narrow", 1);
-    assertTrue(f.did(Refuse.class));
+    PolicyHarness f = PolicyHarness.withSharedCounter();
+    f.request("safe", "open-limit", 1);
+    assertTrue(f.emitted(Send.class));
+    f.request("safe", "open-limit", 1);
+    assertTrue(f.emitted(Refuse.class));
   }
 
-  /** A customer whose use comes through one gateway alone has its whole limit there. */
+  /** A gateway that gets all requests of a customer may use the whole open limit. */
   @Test
-  void openLimitFollowsTheUse() {
-    Fixtures f = Fixtures.counted();
+  void openLimitFollowsTheCustomersUse() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
     Map<String, Double> totals = new HashMap<>();
     for (int i = 0; i < 60; i++) {
-      f.pass(100).on(new Woken("tick"));
-      String id = f.request("safe", "capped", 1);
+      f.advanceClock(100).on(new TimerFired("tick"));
+      String id = f.request("safe", "rate-and-open-limit", 1);
       Send s =
-          f.total(totals.merge(f.lastAdd().name(), f.lastAdd().amount(), Double::sum))
-              .only(Send.class);
+          f.counterReturns(totals.merge(f.lastAdd().name(), f.lastAdd().amount(), Double::sum))
+              .lastAction(Send.class);
       assertEquals(id, s.request());
       if (i < 57) {
         f.outcome(s, 0, Status.OK, true);
@@ -136,450 +139,452 @@
     }
   }
 
-  /**
-   * Of many gateways, one may have more than its part open while the count shows that others are
-   * idle.
-   */
+  /** A gateway may exceed its part if the shared count shows that the others are idle. */
   @Test
-  void whatOthersLeaveOfAnOpenLimitMayBeUsedHere() {
-    Fixtures idle = new Fixtures(Fixtures.settings(true, 14, false)).backends(60);
-    Fixtures busy = new Fixtures(Fixtures.settings(true, 14, false)).backends(60);
-    assertEquals(2, openAtOnce(idle, 1), "more than its part of 4 for 14, and room for chance");
-    assertEquals(1, openAtOnce(busy, 5), "the others use it");
+  void openLimitUnusedByOtherGatewaysMayBeUsedHere() {
+    PolicyHarness idle = new PolicyHarness(PolicyHarness.settings(true, 14, false)).backends(60);
+    PolicyHarness busy = new PolicyHarness(PolicyHarness.settings(true, 14, false)).backends(60);
+    assertEquals(
+        2,
+        countSentOfThree(idle, 1),
+        "more than its part of 4 for 14 gateways, with a margin for random variation");
+    assertEquals(1, countSentOfThree(busy, 5), "the other gateways use the limit");
   }
 
-  /**
-   * How many of three requests that come at once are sent, after a second in which others added as
-   * much.
-   */
-  private static int openAtOnce(Fixtures f, double totalPerAdd) {
+  /** Counts the sends of three requests while other gateways add to the same count. */
+  private static int countSentOfThree(PolicyHarness f, double totalPerAdd) {
     int sent = 0;
     double total = 0;
     for (int i = 0; i < 3; i++) {
-      f.pass(10).on(new Request("r" + i, "safe", "capped", 42, 14, 1, f.now + 4000));
-      if (f.did(Add.class)) {
+      f.advanceClock(10)
+          .on(new Request("r" + i, "safe", "rate-and-open-limit", 42, 14, 1, f.now + 4000));
+      if (f.emitted(AddToCounter.class)) {
         total += totalPerAdd;
-        f.total(total);
+        f.counterReturns(total);
       }
-      sent += f.did(Send.class) ? 1 : 0;
+      sent += f.emitted(Send.class) ? 1 : 0;
     }
     return sent;
   }
 
   @Test
   void withoutACounterTheQuotaIsSplitEvenly() {
-    Fixtures f = new Fixtures(Fixtures.settings(false, 2, false)).backends(4);
-    f.request("safe", "rated", 4);
-    assertTrue(f.did(Send.class));
-    f.request("safe", "rated", 4);
-    assertTrue(f.did(Refuse.class), "half of a burst of 10 holds one request of 4");
+    PolicyHarness f = new PolicyHarness(PolicyHarness.settings(false, 2, false)).backends(4);
+    f.request("safe", "basic", 4);
+    assertTrue(f.emitted(Send.class));
+    f.request("safe", "basic", 4);
+    assertTrue(f.emitted(Refuse.class), "half of a burst of 10 holds one request of 4");
   }
 
   @Test
-  void unknownPlanAndClassAreStillAnsweredOnce() {
-    Fixtures f = Fixtures.counted();
+  void unknownPlanAndClassAreAnsweredOnce() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
     f.on(new Request("x", "no such class", "no such plan", 9, 2, 1, f.now + 4000));
-    Send s = f.total(1).only(Send.class);
+    Send s = f.counterReturns(1).lastAction(Send.class);
     f.outcome(s, 0, Status.ERROR, false);
-    assertTrue(f.did(Fail.class), "an unknown class may not run twice");
+    assertTrue(f.emitted(Fail.class), "an unknown class may not run twice");
   }
 
-  // Counter trouble
+  // Counter failures
 
   @Test
-  void anUnansweredCallIsDecidedByTheReplica() {
-    Fixtures f = Fixtures.counted();
-    f.request("safe", "rated", 3);
-    f.callFails(Status.TIMED_OUT);
-    assertTrue(f.did(Send.class));
+  void unansweredCounterCallIsDecidedByTheReplica() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
+    f.request("safe", "basic", 3);
+    f.counterCallFails(Status.TIMED_OUT);
+    assertTrue(f.emitted(Send.class));
   }
 
   @Test
-  void aSilentCounterDoesNotHoldARequestPastItsBound() {
-    Fixtures f = Fixtures.counted();
-    f.request("safe", "rated", 3);
-    f.run(100);
-    assertTrue(f.did(Send.class));
+  void unresponsiveCounterDelaysARequestOnlyUpToItsBound() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
+    f.request("safe", "basic", 3);
+    f.runTimer(100);
+    assertTrue(f.emitted(Send.class));
   }
 
-  /**
-   * What cannot be read was answered all the same: the counter is not full, so no request goes
-   * unasked.
-   */
+  /** An unreadable answer shows that the counter responds, so all requests still call it. */
   @Test
-  void unreadableAnswersDoNotSlowTheCalls() {
-    Fixtures f = Fixtures.counted();
+  void unreadableCounterAnswersDoNotReduceTheCalls() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
     for (int i = 0; i < 200; i++) {
-      f.pass(60).on(new Request("q" + i, "safe", "rated", 1000 + i, 2, 1, f.now + 4000));
-      assertTrue(f.did(Add.class), "request " + i);
+      f.advanceClock(60).on(new Request("q" + i, "safe", "basic", 1000 + i, 2, 1, f.now + 4000));
+      assertTrue(f.emitted(AddToCounter.class), "request " + i);
       if (i % 3 == 0) {
-        f.callFails(Status.RESET);
+        f.counterCallFails(Status.RESET);
       } else {
-        f.total(1);
+        f.counterReturns(1);
       }
-      f.outcome(f.only(Send.class), 0, Status.OK, true).on(new Woken("tick"));
+      f.outcome(f.lastAction(Send.class), 0, Status.OK, true).on(new TimerFired("tick"));
     }
   }
 
   @Test
-  void anAbsentCounterIsTriedRarelyAndComesBackAtOnce() {
-    Fixtures f = Fixtures.counted();
+  void unreachableCounterIsProbedRarelyAndUsedAgainOnRecovery() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
     int calls = 0;
     for (int i = 0; i < 200; i++) {
-      f.pass(20).on(new Request("q" + i, "safe", "rated", 1000 + i, 2, 1, f.now + 4000));
-      if (f.did(Add.class)) {
+      f.advanceClock(20).on(new Request("q" + i, "safe", "basic", 1000 + i, 2, 1, f.now + 4000));
+      if (f.emitted(AddToCounter.class)) {
         calls++;
-        f.callFails(Status.UNREACHABLE);
+        f.counterCallFails(Status.UNREACHABLE);
       }
     }
-    assertTrue(calls < 40, "calls while the counter is away: " + calls);
+    assertTrue(calls < 40, "calls while the counter is down: " + calls);
     int answered = 0;
     for (int i = 0; i < 200; i++) {
-      f.pass(20).on(new Request("p" + i, "safe", "rated", 5000 + i, 2, 1, f.now + 4000));
-      if (f.did(Add.class)) {
+      f.advanceClock(20).on(new Request("p" + i, "safe", "basic", 5000 + i, 2, 1, f.now + 4000));
+      if (f.emitted(AddToCounter.class)) {
         answered++;
-        f.total(1);
+        f.counterReturns(1);
       }
     }
-    assertTrue(answered > 100, "calls after its return: " + answered);
+    assertTrue(answered > 100, "calls after the recovery: " + answered);
   }
 
   @Test
-  void aFailedCallThatAddedNothingLeavesAnAdmittedRequestOwed() {
-    Fixtures f = Fixtures.counted();
-    f.request("safe", "rated", 3);
-    f.callFails(Status.REJECTED);
-    assertTrue(f.did(Send.class));
-    f.request("safe", "rated", 1);
-    assertEquals(4, f.only(Add.class).amount());
+  void failedCallThatAddedNothingLeavesUnitsForTheNextAdd() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
+    f.request("safe", "basic", 3);
+    f.counterCallFails(Status.REJECTED);
+    assertTrue(f.emitted(Send.class));
+    f.request("safe", "basic", 1);
+    assertEquals(4, f.lastAction(AddToCounter.class).amount());
   }
 
   @Test
-  void anAnswerTellsWhetherAnUnansweredCallWasAdded() {
-    Fixtures added = Fixtures.counted();
-    added.request("safe", "rated", 1);
-    added.total(1);
-    added.request("safe", "rated", 3);
-    added.callFails(Status.TIMED_OUT);
-    added.request("safe", "rated", 1);
-    added.total(5);
-    added.request("safe", "rated", 1);
-    assertEquals(1, added.only(Add.class).amount());
+  void nextTotalShowsWhetherAnUnansweredCallWasAdded() {
+    PolicyHarness added = PolicyHarness.withSharedCounter();
+    added.request("safe", "basic", 1);
+    added.counterReturns(1);
+    added.request("safe", "basic", 3);
+    added.counterCallFails(Status.TIMED_OUT);
+    added.request("safe", "basic", 1);
+    added.counterReturns(5);
+    added.request("safe", "basic", 1);
+    assertEquals(1, added.lastAction(AddToCounter.class).amount());
 
-    Fixtures lost = Fixtures.counted();
-    lost.request("safe", "rated", 1);
-    lost.total(1);
-    lost.request("safe", "rated", 3);
-    lost.callFails(Status.TIMED_OUT);
-    lost.request("safe", "rated", 1);
-    lost.total(2);
-    lost.request("safe", "rated", 1);
-    assertEquals(1 + 3, lost.only(Add.class).amount());
+    PolicyHarness lost = PolicyHarness.withSharedCounter();
+    lost.request("safe", "basic", 1);
+    lost.counterReturns(1);
+    lost.request("safe", "basic", 3);
+    lost.counterCallFails(Status.TIMED_OUT);
+    lost.request("safe", "basic", 1);
+    lost.counterReturns(2);
+    lost.request("safe", "basic", 1);
+    assertEquals(1 + 3, lost.lastAction(AddToCounter.class).amount());
   }
 
   @Test
-  void anEmptiedCounterIsNoFreshQuota() {
-    Fixtures f = Fixtures.counted();
-    f.request("safe", "rated", 1);
-    f.total(200);
-    f.pass(500).request("safe", "rated", 1);
-    f.total(f.lastAdd().amount());
-    assertTrue(f.did(Refuse.class));
+  void lostCountsGrantNoFreshQuota() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
+    f.request("safe", "basic", 1);
+    f.counterReturns(200);
+    f.advanceClock(500).request("safe", "basic", 1);
+    f.counterReturns(f.lastAdd().amount());
+    assertTrue(f.emitted(Refuse.class));
   }
 
   @Test
-  void aRequestThatLeftWhileWaitingIsNotSent() {
-    Fixtures f = Fixtures.counted();
-    String id = f.request("safe", "rated", 1);
-    f.on(new ClientLeft(id));
-    f.total(1);
-    assertFalse(f.did(Send.class));
-    f.request("safe", "rated", 2);
-    assertEquals(2 - 1, f.only(Add.class).amount(), "and its units are returned");
+  void disconnectedRequestIsNotSentAfterTheCounterAnswers() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
+    String id = f.request("safe", "basic", 1);
+    f.on(new ClientDisconnected(id));
+    f.counterReturns(1);
+    assertFalse(f.emitted(Send.class));
+    f.request("safe", "basic", 2);
+    assertEquals(2 - 1, f.lastAction(AddToCounter.class).amount(), "and its units are returned");
   }
 
   // Attempts
 
   @Test
-  void anUnsafeRequestThatMayHaveRunFails() {
-    Fixtures f = Fixtures.counted();
-    f.request("unsafe", "free", 1);
-    Send s = f.only(Send.class);
+  void unsafeRequestThatMayHaveRunFails() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
+    f.request("unsafe", "unlimited", 1);
+    Send s = f.lastAction(Send.class);
     f.outcome(s, 0, Status.RESET, false);
-    assertTrue(f.did(Fail.class));
-    assertFalse(f.did(Send.class));
+    assertTrue(f.emitted(Fail.class));
+    assertFalse(f.emitted(Send.class));
   }
 
   @Test
-  void anUnsafeRequestThatNeverRanIsSentAgainElsewhere() {
-    Fixtures f = Fixtures.counted();
-    f.request("unsafe", "free", 1);
-    Send s = f.only(Send.class);
+  void unsafeRequestThatNeverRanIsRetriedOnAnotherBackend() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
+    f.request("unsafe", "unlimited", 1);
+    Send s = f.lastAction(Send.class);
     f.outcome(s, 0, Status.UNREACHABLE, false);
-    assertNotEquals(s.backend(), f.only(Send.class).backend());
+    assertNotEquals(s.backend(), f.lastAction(Send.class).backend());
   }
 
   @Test
-  void aKeyedRequestThatMayHaveRunStaysInItsGroupAndWindow() {
-    Fixtures f = Fixtures.counted();
-    f.request("cell", "free", 1);
-    Send s = f.only(Send.class);
+  void keyedRequestThatMayHaveRunStaysInItsScopeAndWindow() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
+    f.request("cell", "unlimited", 1);
+    Send s = f.lastAction(Send.class);
     f.outcome(s, 0, Status.ERROR, false);
-    if (f.did(Send.class)) {
-      assertEquals(s.backend(), f.only(Send.class).backend(), "its cell has this backend alone");
+    if (f.emitted(Send.class)) {
+      assertEquals(
+          s.backend(), f.lastAction(Send.class).backend(), "the cell has only this backend");
     }
-    f.request("zone", "free", 1);
-    Send z = f.only(Send.class);
+    f.request("zone", "unlimited", 1);
+    Send z = f.lastAction(Send.class);
     f.outcome(z, 0, Status.ERROR, false);
-    assertEquals(z.backend() % 2, f.only(Send.class).backend() % 2);
-    Send again = f.only(Send.class);
-    f.pass(3500).outcome(again, 1, Status.ERROR, false);
-    assertFalse(f.did(Send.class), "its repeats are no longer dropped");
-    assertTrue(f.did(Fail.class), "and a refusal would promise too much");
+    assertEquals(z.backend() % 2, f.lastAction(Send.class).backend() % 2);
+    Send again = f.lastAction(Send.class);
+    f.advanceClock(3500).outcome(again, 1, Status.ERROR, false);
+    assertFalse(f.emitted(Send.class), "repeats are no longer deduplicated");
+    assertTrue(f.emitted(Fail.class), "a refusal would state that a retry is safe");
   }
 
   @Test
-  void everyRequestIsAnsweredBeforeItsClientLeaves() {
-    Fixtures f = new Fixtures(Fixtures.settings(true, 2, false));
-    f.request("safe", "free", 1);
-    assertFalse(f.did(Send.class), "no backend is known");
-    f.run(1000);
-    assertTrue(f.did(Refuse.class));
-    f.on(new Request("short", "safe", "free", 1, 2, 1, f.now + 5));
-    assertTrue(f.did(Refuse.class), "no time is left to look again");
+  void everyRequestIsAnsweredBeforeItsDeadline() {
+    PolicyHarness f = new PolicyHarness(PolicyHarness.settings(true, 2, false));
+    f.request("safe", "unlimited", 1);
+    assertFalse(f.emitted(Send.class), "there is no backend");
+    f.runTimer(1000);
+    assertTrue(f.emitted(Refuse.class));
+    f.on(new Request("short", "safe", "unlimited", 1, 2, 1, f.now + 5));
+    assertTrue(f.emitted(Refuse.class), "no time is left for another check");
   }
 
   @Test
-  void anAttemptStopsBeforeTheClientLeaves() {
-    Fixtures f = Fixtures.counted();
-    f.request("safe", "free", 1);
-    assertTrue(f.only(Send.class).timeoutMs() < 4000);
+  void attemptTimeoutIsBeforeTheDeadline() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
+    f.request("safe", "unlimited", 1);
+    assertTrue(f.lastAction(Send.class).timeoutMs() < 4000);
   }
 
   @Test
-  void aBegunStreamIsLeftAlone() {
-    Fixtures f = Fixtures.counted();
-    String id = f.request("stream", "free", 1);
-    f.on(new StreamBegan(id, 0)).run(6000);
-    assertTrue(f.last.isEmpty(), f.last.toString());
+  void startedStreamIsNotInterrupted() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
+    String id = f.request("stream", "unlimited", 1);
+    f.on(new StreamStarted(id, 0)).runTimer(6000);
+    assertTrue(f.lastActions.isEmpty(), f.lastActions.toString());
   }
 
   @Test
-  void aSilentBackendIsGivenUpOnWhereTheClassAllows() {
-    Fixtures f = Fixtures.counted();
-    f.request("safe", "free", 1);
-    Send s = f.only(Send.class);
-    f.run(700);
-    assertEquals(new Cancel(s.request(), 0), f.only(Cancel.class));
+  void unresponsiveBackendIsCancelledAndRetriedElsewhere() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
+    f.request("safe", "unlimited", 1);
+    Send s = f.lastAction(Send.class);
+    f.runTimer(700);
+    assertEquals(new Cancel(s.request(), 0), f.lastAction(Cancel.class));
     f.outcome(s, 0, Status.CANCELLED, false);
-    assertNotEquals(s.backend(), f.only(Send.class).backend());
+    assertNotEquals(s.backend(), f.lastAction(Send.class).backend());
   }
 
   @Test
-  void answersForWhatIsOverAreIgnored() {
-    Fixtures f = Fixtures.counted();
+  void eventsForUnknownRequestsAreIgnored() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
     f.on(new Outcome("nobody", 0, 1, Status.OK, 5, true, 0, null));
-    f.on(new Counted("nothing", Status.OK, 5, 1));
-    f.on(new ClientLeft("nobody"));
-    f.on(new Woken("unknown"));
-    assertTrue(f.last.isEmpty());
+    f.on(new CounterResult("nothing", Status.OK, 5, 1));
+    f.on(new ClientDisconnected("nobody"));
+    f.on(new TimerFired("unknown"));
+    assertTrue(f.lastActions.isEmpty());
   }
 
   // Backends
 
   @Test
-  void drainingAndGoneBackendsGetNothingNew() {
-    Fixtures f = Fixtures.counted();
+  void drainingAndRemovedBackendsGetNoRequests() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
     f.on(
-        new Roster(
-            RosterForm.CHANGES,
+        new BackendList(
+            BackendListKind.CHANGES,
             List.of(
                 new BackendEntry(0, "a", 0, Phase.DRAINING, 1, 0),
                 new BackendEntry(1, "b", 1, Phase.REMOVED, 1, 0))));
     Set<Long> met = new HashSet<>();
     for (int i = 0; i < 400; i++) {
-      f.run(25).request("safe", "free", 1);
-      Send s = f.only(Send.class);
+      f.runTimer(25).request("safe", "unlimited", 1);
+      Send s = f.lastAction(Send.class);
       met.add(s.backend());
       f.outcome(s, 0, Status.OK, true);
     }
     assertEquals(Set.of(2L, 3L), met);
   }
 
-  /** Operators' word stands above the list's, over all kinds of sends, until they take it back. */
+  /** An exclusion by operators precedes the backend list, also for retries, until it ends. */
   @Test
-  void aBannedBackendGetsNothingWhateverTheRosterSays() {
-    Fixtures f = Fixtures.counted().backends(2);
-    f.on(new Ban(0, true)).on(new Ban(0, true));
-    assertTrue(f.policy.knows(0));
-    assertFalse(f.policy.knows(7));
-    for (RosterForm form : RosterForm.values()) {
+  void excludedBackendGetsNoRequestsWhateverTheListSays() {
+    PolicyHarness f = PolicyHarness.withSharedCounter().backends(2);
+    f.on(new BackendExclusion(0, true)).on(new BackendExclusion(0, true));
+    assertTrue(f.policy.isKnown(0));
+    assertFalse(f.policy.isKnown(7));
+    for (BackendListKind form : BackendListKind.values()) {
       f.on(
-          new Roster(
+          new BackendList(
               form,
               List.of(
                   new BackendEntry(0, "a", 0, Phase.SERVING, 1, f.now),
                   new BackendEntry(1, "b", 1, Phase.SERVING, 1, 0))));
-      f.request("safe", "free", 1);
-      assertEquals(1, f.only(Send.class).backend());
-      f.outcome(f.only(Send.class), 0, Status.ERROR, false);
-      assertTrue(f.all.stream().allMatch(a -> !(a instanceof Send s) || s.backend() == 1));
-      f.run(4000);
+      f.request("safe", "unlimited", 1);
+      assertEquals(1, f.lastAction(Send.class).backend());
+      f.outcome(f.lastAction(Send.class), 0, Status.ERROR, false);
+      assertTrue(f.allActions.stream().allMatch(a -> !(a instanceof Send s) || s.backend() == 1));
+      f.runTimer(4000);
     }
     f.on(
-        new Roster(RosterForm.COMPLETE, List.of(new BackendEntry(1, "b", 1, Phase.SERVING, 1, 0))));
-    assertTrue(f.policy.knows(0), "one that left the list can still be put back");
-    f.on(new Ban(0, false));
-    assertFalse(f.policy.knows(0));
-  }
-
-  /** A ban ends with one call, and what failed before and during it is forgotten. */
-  @Test
-  void aBackendThatIsPutBackIsUsedAgainAsAColdOne() {
-    Fixtures f = Fixtures.counted();
-    failsFast(f, 100);
-    f.on(new Ban(0, true)).pass(100).on(new Ban(0, true)).pass(100).on(new Ban(0, false));
+        new BackendList(
+            BackendListKind.COMPLETE, List.of(new BackendEntry(1, "b", 1, Phase.SERVING, 1, 0))));
+    assertTrue(f.policy.isKnown(0), "a backend that left the list can still be readmitted");
+    f.on(new BackendExclusion(0, false));
+    assertFalse(f.policy.isKnown(0));
+  }
+
+  /** One event ends an exclusion, even a repeated one, and earlier failures are forgotten. */
+  @Test
+  void readmittedBackendWarmsUpAgain() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
+    countSendsToFailingBackend(f, 100);
+    f.on(new BackendExclusion(0, true))
+        .advanceClock(100)
+        .on(new BackendExclusion(0, true))
+        .advanceClock(100)
+        .on(new BackendExclusion(0, false));
     int again = 0;
     int all = 0;
     for (int i = 0; i < 200; i++) {
-      f.run(25).request("safe", "free", 1);
-      if (f.did(Send.class)) {
-        Send s = f.only(Send.class);
+      f.runTimer(25).request("safe", "unlimited", 1);
+      if (f.emitted(Send.class)) {
+        Send s = f.lastAction(Send.class);
         again += s.backend() == 0 ? 1 : 0;
         all++;
         f.outcome(s, 0, Status.OK, true);
       }
     }
-    assertTrue(again > 0, "it is used within 5 s");
-    assertTrue(again < all / 8, "no more than a cold one: " + again + " of " + all);
+    assertTrue(again > 0, "the backend is used within 5 s");
+    assertTrue(again < all / 8, "no more than a cold backend: " + again + " of " + all);
   }
 
   @Test
-  void aColdBackendGetsLittle() {
-    Fixtures f = Fixtures.counted();
+  void warmingBackendGetsFewRequests() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
     f.on(
-        new Roster(
-            RosterForm.CHANGES, List.of(new BackendEntry(0, "a", 0, Phase.SERVING, 1, f.now))));
+        new BackendList(
+            BackendListKind.CHANGES,
+            List.of(new BackendEntry(0, "a", 0, Phase.SERVING, 1, f.now))));
     int cold = 0;
     int all = 0;
     for (int i = 0; i < 200; i++) {
-      f.run(25).request("safe", "free", 1);
-      if (f.did(Send.class)) {
-        Send s = f.only(Send.class);
+      f.runTimer(25).request("safe", "unlimited", 1);
+      if (f.emitted(Send.class)) {
+        Send s = f.lastAction(Send.class);
         cold += s.backend() == 0 ? 1 : 0;
         all++;
         f.outcome(s, 0, Status.OK, true);
       }
     }
-    assertTrue(cold > 0, "it is used at all");
+    assertTrue(cold > 0, "the cold backend gets requests");
     assertTrue(cold < all / 8, "under half of a warm backend's quarter: " + cold + " of " + all);
   }
 
-  /**
-   * One connect that fails is no restart: the backend answers on, and is not held to a cold one's
-   * part.
-   */
+  /** A backend that responds after a failed connect is not limited like a cold one. */
   @Test
-  void aLostConnectDoesNotMakeABackendCold() {
-    Fixtures f = new Fixtures(Fixtures.settings(true, 2, false)).backends(1);
+  void singleFailedConnectDoesNotRestartTheWarmUp() {
+    PolicyHarness f = new PolicyHarness(PolicyHarness.settings(true, 2, false)).backends(1);
     for (int i = 0; i < 40; i++) {
-      f.pass(20).request("unsafe", "free", 1);
-      assertTrue(f.did(Send.class), "request " + i);
+      f.advanceClock(20).request("unsafe", "unlimited", 1);
+      assertTrue(f.emitted(Send.class), "request " + i);
       Status status = i % 10 == 9 ? Status.UNREACHABLE : Status.OK;
-      f.outcome(f.only(Send.class), 0, status, true).on(new Woken("tick"));
+      f.outcome(f.lastAction(Send.class), 0, status, true).on(new TimerFired("tick"));
     }
   }
 
   @Test
-  void aBackendThatFailsFastRestsAndIsTriedAgain() {
-    Fixtures f = Fixtures.counted();
-    int early = failsFast(f, 100);
+  void failingBackendIsBackedOffAndProbedAgain() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
+    int early = countSendsToFailingBackend(f, 100);
     assertTrue(early < 20, "sends to the failing backend: " + early);
     for (int i = 0, met = 0; met == 0; i++) {
-      assertTrue(i < 2000, "never tried again");
-      f.run(25).request("safe", "free", 1);
-      Send s = f.only(Send.class);
+      assertTrue(i < 2000, "the backend is never probed");
+      f.runTimer(25).request("safe", "unlimited", 1);
+      Send s = f.lastAction(Send.class);
       met += s.backend() == 0 ? 1 : 0;
       f.outcome(s, 0, Status.OK, true);
     }
   }
 
-  private static int failsFast(Fixtures f, int requests) {
+  private static int countSendsToFailingBackend(PolicyHarness f, int requests) {
     int failing = 0;
     for (int i = 0; i < requests; i++) {
-      f.run(25).request("safe", "free", 1);
-      Send s = f.only(Send.class);
+      f.runTimer(25).request("safe", "unlimited", 1);
+      Send s = f.lastAction(Send.class);
       int attempt = 0;
       while (s.backend() == 0) {
         failing++;
         f.outcome(s, attempt++, Status.ERROR, false);
-        if (!f.did(Send.class)) {
+        if (!f.emitted(Send.class)) {
           break;
         }
-        s = f.only(Send.class);
+        s = f.lastAction(Send.class);
       }
       f.outcome(s, attempt, Status.OK, true);
     }
     return failing;
   }
 
-  /** Guards incidents ifcb77b and i3b6be0: an old bad report must not shun a backend for good. */
+  /**
+   * Guards against incidents ifcb77b and i3b6be0: because of an old report of high load, a backend
+   * got no requests any more.
+   */
   @Test
-  void anOldReportFades() {
-    Fixtures f = Fixtures.counted();
+  void oldLoadReportLosesItsWeight() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
     Send busy = null;
     for (int i = 0; i < 4; i++) {
-      f.request("safe", "free", 1);
-      Send s = f.only(Send.class);
+      f.request("safe", "unlimited", 1);
+      Send s = f.lastAction(Send.class);
       busy = busy == null ? s : busy;
-      f.report(s, 0, s == busy ? 30 : 0);
+      f.respondWithLoad(s, 0, s == busy ? 30 : 0);
     }
     Set<Long> met = new HashSet<>();
     for (int i = 0; i < 200; i++) {
-      f.run(25).request("safe", "free", 1);
-      Send s = f.only(Send.class);
+      f.runTimer(25).request("safe", "unlimited", 1);
+      Send s = f.lastAction(Send.class);
       met.add(s.backend());
-      f.report(s, 0, 1);
+      f.respondWithLoad(s, 0, 1);
     }
     assertTrue(met.contains(busy.backend()));
   }
 
   @Test
-  void aFullFleetRefusesEarly() {
-    Fixtures f = Fixtures.counted();
+  void overloadRefusesRequestsEarly() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
     for (int i = 0; i < 60; i++) {
-      f.request("safe", "free", 1);
-      if (i >= 30 && f.did(Send.class)) {
-        Send s = f.only(Send.class);
+      f.request("safe", "unlimited", 1);
+      if (i >= 30 && f.emitted(Send.class)) {
+        Send s = f.lastAction(Send.class);
         f.on(new Outcome(s.request(), 0, s.backend(), Status.OK, 900, true, 0, null));
       }
     }
-    f.request("safe", "free", 1);
-    assertTrue(f.did(Refuse.class));
+    f.request("safe", "unlimited", 1);
+    assertTrue(f.emitted(Refuse.class));
   }
 
-  /** An answer that waited to be read while the gateway itself paused tells of no full fleet. */
+  /** A response that was read late because the gateway itself paused must not count as overload. */
   @Test
-  void aPauseOfItsOwnIsNotTheFleetsWait() {
-    Fixtures f = Fixtures.counted();
+  void ownPauseDoesNotCountAsBackendLatency() {
+    PolicyHarness f = PolicyHarness.withSharedCounter();
     for (int i = 0; i < 90; i++) {
-      f.request("unsafe", "free", 1);
-      assertTrue(f.did(Send.class), "request " + i);
-      Send s = f.only(Send.class);
+      f.request("unsafe", "unlimited", 1);
+      assertTrue(f.emitted(Send.class), "request " + i);
+      Send s = f.lastAction(Send.class);
       if (i >= 30) {
-        f.run(275).pass(25 + 70);
+        f.runTimer(275).advanceClock(25 + 70);
         f.on(new Outcome(s.request(), 0, s.backend(), Status.OK, 370, true, 0, null));
-        f.on(new Woken("tick"));
+        f.on(new TimerFired("tick"));
       }
     }
   }
 
   @Test
-  void aRosterThatMustBeAskedForIsFollowedAndAskedForAgain() {
-    Fixtures f = new Fixtures(Fixtures.settings(true, 2, true));
-    assertTrue(f.did(FollowRoster.class));
-    f.on(new Roster(RosterForm.FAILED, List.of()));
-    f.on(new Woken("follow"));
-    assertTrue(f.did(FollowRoster.class));
+  void backendListIsWatchedAndRequestedAgainAfterAFailure() {
+    PolicyHarness f = new PolicyHarness(PolicyHarness.settings(true, 2, true));
+    assertTrue(f.emitted(WatchBackendList.class));
+    f.on(new BackendList(BackendListKind.FAILED, List.of()));
+    f.on(new TimerFired("follow"));
+    assertTrue(f.emitted(WatchBackendList.class));
   }
 }
--- /dev/null
+++ b/policy/src/test/java/willowdoor/policy/RetryRulesTest.java
@@ -0,0 +1,125 @@
+package willowdoor.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.EnumSource;
+import org.junit.jupiter.params.provider.ValueSource;
+import willowdoor.policy.GatewayApi.Fail;
+import willowdoor.policy.GatewayApi.Refuse;
+import willowdoor.policy.GatewayApi.Send;
+import willowdoor.policy.GatewayApi.Status;
+
+/**
+ * Which retries may follow an attempt that may have run, by the class's retry safety (rule 2 of
+ * WIRE).
+ */
+class RetryRulesTest {
+
+  private static final double WINDOW_MS = 3_000;
+
+  private final PolicyHarness f = PolicyHarness.withSharedCounter();
+
+  /** Ends every attempt with the given status until the request is answered. Returns all sends. */
+  private List<Send> attemptUntilAnswered(String type, Status status) {
+    f.allActions.clear();
+    f.request(type, "unlimited", 1);
+    for (int i = 0; i < sends().size(); i++) {
+      f.advanceClock(10);
+      f.outcome(sends().get(i), i, status, false);
+      f.runTimer(500);
+    }
+    return sends();
+  }
+
+  private List<Send> sends() {
+    return f.allActions.stream().filter(Send.class::isInstance).map(Send.class::cast).toList();
+  }
+
+  private long count(Class<?> type) {
+    return f.allActions.stream().filter(type::isInstance).count();
+  }
+
+  @ParameterizedTest
+  @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "OK")
+  void unsafeRequestIsRetriedOrRefusedOnlyIfItNeverRan(Status status) {
+    for (int i = 0; i < 50; i++) {
+      List<Send> sends = attemptUntilAnswered("unsafe", status);
+      assertEquals(1, count(Refuse.class) + count(Fail.class));
+      assertTrue(
+          status.provesNotRun() || sends.size() == 1 && count(Refuse.class) == 0,
+          status.toString());
+      assertTrue(sends.size() <= 4, "MaxAttempts");
+    }
+  }
+
+  @ParameterizedTest
+  @ValueSource(strings = {"cell", "zone"})
+  void keyedRequestIsRetriedOnlyInItsScopeAndWindowAndNeverRefused(String type) {
+    int repeats = 0;
+    for (int i = 0; i < 50; i++) {
+      double first = f.now;
+      List<Send> sends = attemptUntilAnswered(type, Status.RESET);
+      assertEquals(0, count(Refuse.class));
+      assertEquals(1, count(Fail.class));
+      assertEquals(Double.POSITIVE_INFINITY, sends.get(0).writtenByMs());
+      repeats += sends.size() - 1;
+      for (Send s : sends.subList(1, sends.size())) {
+        assertEquals(first + WINDOW_MS - PendingRequest.DEADLINE_MARGIN_MS, s.writtenByMs(), 1e-6);
+        assertTrue(
+            type.equals("cell")
+                ? s.backend() == sends.get(0).backend()
+                : s.backend() % 2 == sends.get(0).backend() % 2,
+            "retried outside the deduplication scope");
+      }
+    }
+    assertTrue(repeats > 0);
+  }
+
+  /**
+   * An attempt that provably never ran does not restrict the backends and does not begin the
+   * window.
+   */
+  @Test
+  void windowBeginsWithTheFirstAttemptThatMayHaveRun() {
+    f.request("zone", "unlimited", 1);
+    f.advanceClock(50).outcome(f.lastAction(Send.class), 0, Status.REJECTED, false);
+    assertEquals(Double.POSITIVE_INFINITY, f.lastAction(Send.class).writtenByMs());
+    double began = f.now;
+    f.advanceClock(20).outcome(f.lastAction(Send.class), 1, Status.ERROR, false);
+    assertEquals(
+        began + WINDOW_MS - PendingRequest.DEADLINE_MARGIN_MS,
+        f.lastAction(Send.class).writtenByMs(),
+        1e-6);
+  }
+
+  @ParameterizedTest
+  @ValueSource(ints = {2_984, 2_986})
+  void noAttemptBeginsAfterTheWindow(int after) {
+    f.request("zone", "unlimited", 1);
+    Send first = f.lastAction(Send.class);
+    f.now += after;
+    f.outcome(first, 0, Status.ERROR, false);
+    assertEquals(after < WINDOW_MS - PendingRequest.DEADLINE_MARGIN_MS, f.emitted(Send.class));
+    assertFalse(f.emitted(Refuse.class));
+  }
+
+  /** An outcome that arrives after the client has disconnected starts no further attempt. */
+  @ParameterizedTest
+  @EnumSource
+  void outcomeAfterClientDisconnectStartsNothing(Status status) {
+    for (boolean over : new boolean[] {true, false}) {
+      PolicyHarness f = PolicyHarness.withSharedCounter();
+      String id = f.request("safe", "unlimited", 1);
+      Send first = f.lastAction(Send.class);
+      f.on(new GatewayApi.ClientDisconnected(id));
+      f.outcome(first, 0, status, over);
+      assertEquals(List.of(), f.lastActions);
+      assertFalse(f.runTimer(1_000).emitted(Send.class));
+    }
+  }
+}
