--- a/gateway/src/main/java/elmsail/gateway/requests/AttemptOutcome.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/AttemptOutcome.java
@@ -59,8 +59,8 @@
   }
 
   /** Whether a request may be sent to another server after such an attempt. */
-  public boolean mayRetry(boolean repeatable) {
-    return this != RESPONDED && (!mayHaveRun || repeatable);
+  public boolean mayRetry(boolean idempotent) {
+    return this != RESPONDED && (!mayHaveRun || idempotent);
   }
 
   /**
--- a/gateway/src/main/java/elmsail/gateway/requests/ItemDispatcher.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/ItemDispatcher.java
@@ -51,9 +51,9 @@
       long resumeAfterEventId,
       RunListener listener) {
     long now = context.timers().now();
-    List<Server> openServers = context.servers().serversOf(route);
-    Set<Server> excluded = serversThatFailed(item.id(), openServers);
-    for (Server server : openServers) {
+    List<Server> routeServers = context.servers().serversOf(route);
+    Set<Server> excluded = serversThatFailed(item.id(), routeServers);
+    for (Server server : routeServers) {
       if (server.availableItemCapacity(now) <= 0) {
         excluded.add(server);
       }
@@ -103,10 +103,10 @@
   }
 
   /** The servers that failed the item, as long as there are others that can be chosen. */
-  private Set<Server> serversThatFailed(String itemId, List<Server> openServers) {
+  private Set<Server> serversThatFailed(String itemId, List<Server> routeServers) {
     Set<Server> failed = new HashSet<>();
     boolean hasOthers = false;
-    for (Server server : openServers) {
+    for (Server server : routeServers) {
       if (failures.hasFailedAt(itemId, server.id())) {
         failed.add(server);
       } else {
@@ -134,13 +134,13 @@
     }
 
     @Override
-    public void onEnded(RunOutcome result) {
-      switch (result) {
+    public void onEnded(RunOutcome outcome) {
+      switch (outcome) {
         case FAILED -> failures.add(itemId, serverId);
         case COMPLETED, REJECTED -> failures.remove(itemId);
         default -> {}
       }
-      listener.onEnded(result);
+      listener.onEnded(outcome);
     }
   }
 }
--- a/gateway/src/main/java/elmsail/gateway/requests/ItemRun.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/ItemRun.java
@@ -27,7 +27,7 @@
 
   private final Timers timers;
   private final RunListener listener;
-  private final ServerSentEventSplitter events = new ServerSentEventSplitter(this::onEvent);
+  private final ServerSentEventSplitter splitter = new ServerSentEventSplitter(this::onEvent);
   private Attempt attempt;
   private AttemptOutcome outcome;
   private int status;
@@ -53,7 +53,7 @@
 
   private void checkServer() {
     if (isStuck(timers.now())) {
-      broken();
+      abort();
     }
   }
 
@@ -75,7 +75,7 @@
 
   private void finish() {
     finished = true;
-    events.discard();
+    splitter.discard();
     serverCheck.cancel();
   }
 
@@ -91,7 +91,7 @@
     boolean success = status >= 200 && status < 300;
     isEventStream = success && outcome == AttemptOutcome.RESPONDED;
     if (success && !isEventStream) {
-      broken();
+      abort();
     }
   }
 
@@ -100,8 +100,8 @@
     lastReceivedAt = timers.now();
     if (!isEventStream) {
       bytes.release();
-    } else if (!events.feed(bytes) && !finished) {
-      broken();
+    } else if (!splitter.feed(bytes) && !finished) {
+      abort();
     }
   }
 
@@ -123,7 +123,7 @@
     return !finished;
   }
 
-  private void broken() {
+  private void abort() {
     attempt.cancel();
     end(RunOutcome.OUTCOME_UNKNOWN);
   }
@@ -131,7 +131,7 @@
   @Override
   public void onComplete() {
     if (isEventStream) {
-      end(events.hasPartialEvent() ? RunOutcome.OUTCOME_UNKNOWN : RunOutcome.COMPLETED);
+      end(splitter.hasPartialEvent() ? RunOutcome.OUTCOME_UNKNOWN : RunOutcome.COMPLETED);
     } else if (outcome == AttemptOutcome.NOT_RUN) {
       end(RunOutcome.NOT_RUN);
     } else if (outcome == AttemptOutcome.RESPONDED && status == 500) {
@@ -148,10 +148,10 @@
     end(sent ? RunOutcome.OUTCOME_UNKNOWN : RunOutcome.NOT_RUN);
   }
 
-  private void end(RunOutcome result) {
+  private void end(RunOutcome runOutcome) {
     if (!finished) {
       finish();
-      listener.onEnded(result);
+      listener.onEnded(runOutcome);
     }
   }
 }
--- a/gateway/src/main/java/elmsail/gateway/requests/RequestForwarder.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/RequestForwarder.java
@@ -49,7 +49,7 @@
     this.route = route;
     this.request = request;
     boolean stream = route.kind() == Route.Kind.STREAM;
-    relay = new ResponseRelay(client, stream, stream && route.resumable(), this::onStarted);
+    relay = new ResponseRelay(client, stream, stream && route.resumable(), this::onResponseStarted);
     serverCheck = new PeriodicCheck(context.timers(), CHECK_INTERVAL_MS, this::checkServer);
   }
 
@@ -72,7 +72,7 @@
     return request.tenantName();
   }
 
-  private void onStarted() {
+  private void onResponseStarted() {
     tenantName().ifPresent(context.usage()::onRequestStarted);
   }
 
--- a/gateway/src/main/java/elmsail/gateway/requests/ResponseRelay.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/ResponseRelay.java
@@ -28,8 +28,8 @@
   private final ResponseSink client;
   private final boolean stream;
   private final boolean resumable;
-  private ServerSentEventSplitter events = new ServerSentEventSplitter(this::onEvent);
-  private HttpResponse onHead;
+  private ServerSentEventSplitter splitter = new ServerSentEventSplitter(this::onEvent);
+  private HttpResponse head;
   private AttemptOutcome outcome;
   private CompositeByteBuf buffered;
   private Mode mode = Mode.NONE;
@@ -93,15 +93,15 @@
       buffered.release();
       buffered = null;
     }
-    events.discard();
-    events = new ServerSentEventSplitter(this::onEvent);
+    splitter.discard();
+    splitter = new ServerSentEventSplitter(this::onEvent);
     mode = Mode.NONE;
-    onHead = null;
+    head = null;
   }
 
   /** Takes the head of a response; false if it must not be relayed. */
   boolean onHead(HttpResponse responseHead) {
-    onHead = responseHead;
+    head = responseHead;
     int status = responseHead.status().code();
     HttpHeaders headers = responseHead.headers();
     outcome =
@@ -112,9 +112,9 @@
       return false;
     }
     String type = headers.get("Content-Type");
-    boolean events = type != null && type.startsWith(Headers.EVENT_STREAM);
-    if (success && (events || stream)) {
-      mode = events && resumable ? Mode.EVENTS : Mode.RAW;
+    boolean isEventStream = type != null && type.startsWith(Headers.EVENT_STREAM);
+    if (success && (isEventStream || stream)) {
+      mode = isEventStream && resumable ? Mode.EVENTS : Mode.RAW;
     } else {
       mode = Mode.BUFFER;
     }
@@ -122,7 +122,7 @@
   }
 
   private void reportStartOnce() {
-    int status = onHead == null ? 0 : onHead.status().code();
+    int status = head == null ? 0 : head.status().code();
     if (!startReported && status >= 200 && status < 300) {
       startReported = true;
       startListener.run();
@@ -138,7 +138,7 @@
         client.sendData(bytes);
       }
       case EVENTS -> {
-        return events.feed(bytes);
+        return splitter.feed(bytes);
       }
       case BUFFER -> buffer(bytes);
       default -> bytes.release();
@@ -183,8 +183,8 @@
   private void sendHeadOnce() {
     if (!hasStarted) {
       hasStarted = true;
-      long length = mode == Mode.EVENTS ? -1 : HttpUtil.getContentLength(onHead, -1L);
-      client.sendHead(onHead.status().code(), Headers.endToEnd(onHead.headers()), length);
+      long length = mode == Mode.EVENTS ? -1 : HttpUtil.getContentLength(head, -1L);
+      client.sendHead(head.status().code(), Headers.endToEnd(head.headers()), length);
     }
   }
 
@@ -196,20 +196,20 @@
     return !hasStarted
         && mode == Mode.BUFFER
         && outcome == AttemptOutcome.RESPONDED
-        && RetainedErrorResponse.isRetryable(onHead.status().code());
+        && RetainedErrorResponse.isRetryable(head.status().code());
   }
 
   /** Takes the complete response out of the relay; see {@link #hasRetryableError}. */
   RetainedErrorResponse takeError() {
     RetainedErrorResponse error =
-        new RetainedErrorResponse(onHead, buffered == null ? Unpooled.EMPTY_BUFFER : buffered);
+        new RetainedErrorResponse(head, buffered == null ? Unpooled.EMPTY_BUFFER : buffered);
     buffered = null;
     return error;
   }
 
   /** The attempt's response is complete: returns its outcome, after relaying it if it is to be. */
   AttemptOutcome onComplete() {
-    if (mode == Mode.EVENTS && events.hasPartialEvent()) {
+    if (mode == Mode.EVENTS && splitter.hasPartialEvent()) {
       return AttemptOutcome.UNKNOWN;
     }
     if (hasStarted && (mode == Mode.RAW || mode == Mode.EVENTS)) {
@@ -225,7 +225,7 @@
     ByteBuf body = buffered == null ? Unpooled.EMPTY_BUFFER : buffered;
     buffered = null;
     hasStarted = true;
-    client.sendResponse(onHead.status().code(), Headers.endToEnd(onHead.headers()), body);
+    client.sendResponse(head.status().code(), Headers.endToEnd(head.headers()), body);
     return AttemptOutcome.RESPONDED;
   }
 }
--- a/gateway/src/test/java/elmsail/gateway/ApiKeyTest.java
+++ b/gateway/src/test/java/elmsail/gateway/ApiKeyTest.java
@@ -25,18 +25,18 @@
 class ApiKeyTest extends GatewaySocketTest {
   private static final String KEY = "irth5mgjy5rcpihhacru";
   private static final String OTHER_KEY = "ddedev3nax7u27gxprym";
-  private static final String KNOWN_KEY = "Authorization: Bearer " + KEY;
-  private static final Tenant KAJE = new Tenant("kaje80", 0);
-  private static final Tenant VOPU = new Tenant("vopu11", 0);
+  private static final String AUTHORIZATION = "Authorization: Bearer " + KEY;
+  private static final Tenant TENANT = new Tenant("kaje80", 0);
+  private static final Tenant OTHER_TENANT = new Tenant("vopu11", 0);
 
   @BeforeEach
   void requireKeys() {
-    harness.clusterState.tenantsByKey = Map.of(KEY, KAJE, OTHER_KEY, VOPU);
+    harness.clusterState.tenantsByKey = Map.of(KEY, TENANT, OTHER_KEY, OTHER_TENANT);
     harness.clusterState.addOpenRoute("open", Route.Kind.SAFE, 2, false);
   }
 
   /** The values of a header, of any spelling, among the lines of the next request's head. */
-  private List<String> valuesAtServer(String name) {
+  private List<String> headerValuesAtServer(String name) {
     RawConnection server = harness.firstServer.accept();
     List<String> values = new ArrayList<>();
     for (String line = server.readLine(); !line.isEmpty(); line = server.readLine()) {
@@ -64,28 +64,28 @@
   /** UNASKED: the server learns the tenant's name. */
   @ParameterizedTest
   @ValueSource(strings = {"safe", "unsafe", "stream", "resume"})
-  void serverLearnsTheTenantOfTheKey(String route) {
-    harness.request(route, "a1", KNOWN_KEY);
-    assertThat(valuesAtServer("Elmsail-Sender"), contains("kaje80"));
+  void tenantOfTheKeyIsSentToTheServer(String route) {
+    harness.request(route, "a1", AUTHORIZATION);
+    assertThat(headerValuesAtServer("Elmsail-Sender"), contains("kaje80"));
     harness.request(route, "a2", "Authorization: Bearer " + OTHER_KEY);
-    assertThat(valuesAtServer("Elmsail-Sender"), contains("vopu11"));
+    assertThat(headerValuesAtServer("Elmsail-Sender"), contains("vopu11"));
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"Authorization", "authorization", "AUTHORIZATION", "aUTHORIZATION"})
-  void serverDoesNotLearnTheKey(String name) {
+  void keyIsNotForwardedToTheServer(String name) {
     for (String route : List.of("safe", "unsafe", "stream", "resume", "open")) {
       harness.request(route, "a1", name + ": Bearer " + KEY);
-      assertThat(route, valuesAtServer("Authorization"), empty());
+      assertThat(route, headerValuesAtServer("Authorization"), empty());
     }
   }
 
   /** RFC 9110, section 11.1: the scheme's case does not matter. */
   @ParameterizedTest
   @ValueSource(strings = {"bearer ", "BEARER ", "Bearer   "})
-  void schemeIsReadInAnySpelling(String scheme) {
+  void authorizationSchemeIsCaseInsensitive(String scheme) {
     harness.request("safe", "a1", "authorization:" + scheme + KEY + " ");
-    assertThat(valuesAtServer("Elmsail-Sender"), contains("kaje80"));
+    assertThat(headerValuesAtServer("Elmsail-Sender"), contains("kaje80"));
   }
 
   /** ROUTE: no configuration held such a key. */
@@ -116,27 +116,27 @@
 
   @Test
   void repeatedKeyIsRefused() {
-    assertRefused(harness.request("safe", "a1", KNOWN_KEY, KNOWN_KEY), "a1");
-    assertRefused(harness.request("safe", "a2", KNOWN_KEY, "authorization: Basic x"), "a2");
-    assertRefused(harness.request("safe", "a3", "Authorization:", KNOWN_KEY), "a3");
+    assertRefused(harness.request("safe", "a1", AUTHORIZATION, AUTHORIZATION), "a1");
+    assertRefused(harness.request("safe", "a2", AUTHORIZATION, "authorization: Basic x"), "a2");
+    assertRefused(harness.request("safe", "a3", "Authorization:", AUTHORIZATION), "a3");
   }
 
   @Test
-  void keyInATrailerOrTheQueryIsNone() {
+  void keyInATrailerOrTheQueryIsIgnored() {
     String head =
         "POST /safe/2f?Authorization=Bearer%20" + KEY + " HTTP/1.1\r\nHost: nony24.example\r\n";
     RawConnection client =
         harness
             .connectClient()
             .write(head + "Elmsail-Request-Id: a1\r\nTransfer-Encoding: chunked\r\n\r\n")
-            .write("1\r\nx\r\n0\r\n" + KNOWN_KEY + "\r\n\r\n");
+            .write("1\r\nx\r\n0\r\n" + AUTHORIZATION + "\r\n\r\n");
     assertRefused(client, "a1");
   }
 
   @Test
-  void withoutAnyKeyInTheConfigurationNobodyIsAdmitted() {
+  void configurationWithoutKeysAdmitsNoRequest() {
     harness.clusterState.tenantsByKey = Map.of();
-    assertRefused(harness.request("safe", "a1", KNOWN_KEY), "a1");
+    assertRefused(harness.request("safe", "a1", AUTHORIZATION), "a1");
   }
 
   /** UNASKED: the name is the tenant's, whatever the client sent. */
@@ -151,16 +151,16 @@
         "Connection: Elmsail-Sender~Elmsail-Sender: vopu11",
         "Connection: elmsail-sender, Authorization",
       })
-  void tenantsNameIsNotTheClients(String headers) {
-    harness.request("safe", "a1", (KNOWN_KEY + "~" + headers).split("~"));
-    assertThat(valuesAtServer("Elmsail-Sender"), contains("kaje80"));
+  void tenantHeaderOfTheClientIsReplaced(String headers) {
+    harness.request("safe", "a1", (AUTHORIZATION + "~" + headers).split("~"));
+    assertThat(headerValuesAtServer("Elmsail-Sender"), contains("kaje80"));
   }
 
   @Test
-  void tenantsNameInATrailerIsNotForwarded() {
+  void tenantHeaderInATrailerIsNotForwarded() {
     harness
         .connectClient()
-        .write("POST /safe/ HTTP/1.1\r\nHost: nony24.example\r\n" + KNOWN_KEY)
+        .write("POST /safe/ HTTP/1.1\r\nHost: nony24.example\r\n" + AUTHORIZATION)
         .write("\r\nElmsail-Request-Id: a1\r\nTrailer: Elmsail-Sender\r\n")
         .write("Transfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\nElmsail-Sender: vopu11\r\n\r\n");
     RawConnection server = harness.firstServer.accept();
@@ -171,42 +171,43 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"Elmsail-Sender : vopu11", "Elmsail-Sender\t: vopu11"})
-  void tenantsNameWithASpaceBeforeItsColonIsABadRequest(String header) {
-    assertThat(harness.request("safe", "a1", KNOWN_KEY, header).readMessage().status(), is(400));
+  void tenantHeaderWithASpaceBeforeItsColonIsABadRequest(String header) {
+    assertThat(
+        harness.request("safe", "a1", AUTHORIZATION, header).readMessage().status(), is(400));
     assertThat(harness.firstServer.hasNoConnection(), is(true));
   }
 
   /** DENIED: an open route needs no key. */
   @ParameterizedTest
   @ValueSource(strings = {"X-None: 1", "Authorization: Bearer x", "Authorization: Basic x"})
-  void openRouteNeedsNoKeyAndNamesNoTenant(String header) {
+  void openRouteServesUnknownKeysWithoutATenantHeader(String header) {
     harness.request("open", "a1", header, "Elmsail-Sender: kaje80");
-    assertThat(valuesAtServer("Elmsail-Sender"), empty());
+    assertThat(headerValuesAtServer("Elmsail-Sender"), empty());
     harness.request("open", "a2", header, header);
-    assertThat(valuesAtServer("Authorization"), empty());
+    assertThat(headerValuesAtServer("Authorization"), empty());
   }
 
   @Test
-  void openRouteNamesTheTenantOfAKnownKey() {
-    harness.request("open", "a1", KNOWN_KEY, "Elmsail-Sender: vopu11");
-    assertThat(valuesAtServer("Elmsail-Sender"), contains("kaje80"));
+  void openRouteSendsTheTenantOfAKnownKey() {
+    harness.request("open", "a1", AUTHORIZATION, "Elmsail-Sender: vopu11");
+    assertThat(headerValuesAtServer("Elmsail-Sender"), contains("kaje80"));
   }
 
   /** DENIED: where the configuration has no tenants, nobody needs a key. */
   @Test
-  void withoutTenantsTheKeyIsPassedOnAndNoTenantIsNamed() {
+  void withoutTenantsAuthorizationIsForwardedAndNoTenantIsSent() {
     harness.clusterState.tenantsByKey = null;
     harness.request("safe", "a1", "Authorization: Basic x", "authorization: Bearer y");
-    assertThat(valuesAtServer("Authorization"), contains("Basic x", "Bearer y"));
+    assertThat(headerValuesAtServer("Authorization"), contains("Basic x", "Bearer y"));
     harness.request("safe", "a2", "Elmsail-Sender: kaje80");
-    assertThat(valuesAtServer("Elmsail-Sender"), empty());
+    assertThat(headerValuesAtServer("Elmsail-Sender"), empty());
     harness.request("safe", "a3");
     assertThat(harness.firstServer.acceptRequest(), is(notNullValue()));
   }
 
   /** DENIED: nothing is denied while nothing is known. */
   @Test
-  void unknownKeyIsNotDeniedBeforeTheFirstConfig() {
+  void unknownKeyIsAnsweredWith503BeforeTheFirstConfig() {
     harness.clusterState.configured = false;
     Message response = harness.request("safe", "a1", "Authorization: Bearer x").readMessage();
     assertThat(response.status(), is(503));
@@ -215,30 +216,30 @@
 
   /** CONFIG: a key that was taken away is refused on connections that are open already. */
   @Test
-  void keyRevokedOnAKeptConnectionIsRefused() {
-    RawConnection client = harness.request("safe", "a1", KNOWN_KEY);
+  void revokedKeyIsRefusedOnAnOpenConnection() {
+    RawConnection client = harness.request("safe", "a1", AUTHORIZATION);
     RawConnection server = harness.firstServer.acceptRequest();
     server.write(
         GatewayTestHarness.response(200, "a1", "x", "Elmsail-Postmark: p", "Connection: close"));
     assertThat(client.readMessage().status(), is(200));
-    harness.clusterState.tenantsByKey = Map.of(OTHER_KEY, KAJE);
-    assertRefused(client.write(GatewayTestHarness.requestText("safe", "a2", KNOWN_KEY)), "a2");
+    harness.clusterState.tenantsByKey = Map.of(OTHER_KEY, TENANT);
+    assertRefused(client.write(GatewayTestHarness.requestText("safe", "a2", AUTHORIZATION)), "a2");
     client.write(
         GatewayTestHarness.requestText("safe", "a3", "Authorization: Bearer " + OTHER_KEY));
-    assertThat(valuesAtServer("Elmsail-Sender"), contains("kaje80"));
+    assertThat(headerValuesAtServer("Elmsail-Sender"), contains("kaje80"));
   }
 
   /** CONFIG: a pipelined request is admitted when its turn comes, not when it was read. */
   @Test
-  void keyRevokedWhileARequestIsPipelinedIsRefused() {
+  void pipelinedRequestIsRefusedIfItsKeyIsRevokedMeanwhile() {
     RawConnection client =
         harness
             .connectClient()
             .write(
-                GatewayTestHarness.requestText("safe", "a1", KNOWN_KEY)
-                    + GatewayTestHarness.requestText("safe", "a2", KNOWN_KEY));
+                GatewayTestHarness.requestText("safe", "a1", AUTHORIZATION)
+                    + GatewayTestHarness.requestText("safe", "a2", AUTHORIZATION));
     RawConnection server = harness.firstServer.acceptRequest();
-    harness.clusterState.tenantsByKey = Map.of(OTHER_KEY, KAJE);
+    harness.clusterState.tenantsByKey = Map.of(OTHER_KEY, TENANT);
     server.write(
         GatewayTestHarness.response(200, "a1", "x", "Elmsail-Postmark: p", "Connection: close"));
     assertThat(client.readMessage().status(), is(200));
@@ -246,20 +247,20 @@
   }
 
   @Test
-  void tenantsPriorityComesBeforeThatOfTheRoute() {
+  void tenantPriorityTakesPrecedenceOverRoutePriority() {
     harness.clusterState.tenantsByKey =
         Map.of(KEY, new Tenant("kaje80", 0), OTHER_KEY, new Tenant("vopu11", 4));
-    harness.request("safe", "a1", KNOWN_KEY);
-    assertThat(valuesAtServer("Priority"), contains("1"));
+    harness.request("safe", "a1", AUTHORIZATION);
+    assertThat(headerValuesAtServer("Priority"), contains("1"));
     harness.request("safe", "a2", "Authorization: Bearer " + OTHER_KEY);
-    assertThat(valuesAtServer("Priority"), contains("5"));
+    assertThat(headerValuesAtServer("Priority"), contains("5"));
   }
 
   @Test
-  void refusalsAreCountedAndTellNoKey() {
+  void refusalsAreCountedAndRevealNoKey() {
     RawConnection client = harness.request("safe", "a1", "Authorization: Bearer not-a-known-key");
     assertThat(client.readMessage().toString(), not(containsString("not-a-known-key")));
-    harness.request("safe", "a2", KNOWN_KEY, KNOWN_KEY).readMessage();
+    harness.request("safe", "a2", AUTHORIZATION, AUTHORIZATION).readMessage();
     String metrics = metrics();
     assertThat(metrics, containsString("elmsail_requests_refused_key 2\n"));
     assertThat(metrics, not(containsString("not-a-known-key")));
--- a/gateway/src/test/java/elmsail/gateway/BatchCallKeyTest.java
+++ b/gateway/src/test/java/elmsail/gateway/BatchCallKeyTest.java
@@ -19,20 +19,20 @@
 class BatchCallKeyTest extends GatewaySocketTest {
   private static final String KEY = "irth5mgjy5rcpihhacru";
   private static final String SECOND_KEY = "q2xk4w7nd5fbpz3mtr6h";
-  private static final TenantName KAJE = new TenantName("kaje80");
+  private static final TenantName TENANT = new TenantName("kaje80");
 
   @BeforeEach
   void requireKeys() {
-    Tenant kaje = new Tenant("kaje80", 0);
-    harness.clusterState.tenantsByKey = Map.of(KEY, kaje, SECOND_KEY, kaje);
+    Tenant tenant = new Tenant("kaje80", 0);
+    harness.clusterState.tenantsByKey = Map.of(KEY, tenant, SECOND_KEY, tenant);
     harness.batchCalls.reply = new Reply(200, "{}".getBytes(StandardCharsets.US_ASCII), 0);
   }
 
-  private Message call(String line, String headers) {
+  private Message call(String methodAndPath, String headers) {
     return harness
         .connectClient()
         .write(
-            line
+            methodAndPath
                 + " HTTP/1.1\r\nHost: "
                 + FakeClusterState.HOST
                 + "\r\nElmsail-Request-Id: L1\r\n"
@@ -48,11 +48,11 @@
   @ParameterizedTest
   @ValueSource(
       strings = {"POST /sack/x", "GET /lots/L7?after=12", "DELETE /lots/L7", "GET /items/L7?id=e5"})
-  void batchCallIsMadeInTheNameOfTheKeysTenant(String line) {
+  void batchCallIsMadeForTheTenantOfTheKey(String line) {
     for (String key : new String[] {KEY, SECOND_KEY}) {
       harness.batchCalls.lastTenant = TenantName.NONE;
       assertThat(call(line, bearer(key) + "Elmsail-Sender: vopu11\r\n").status(), is(200));
-      assertThat(harness.batchCalls.lastTenant, is(KAJE));
+      assertThat(harness.batchCalls.lastTenant, is(TENANT));
     }
   }
 
@@ -71,11 +71,11 @@
 
   /** Taking a key away ends no job: the tenant's others serve for later calls. */
   @Test
-  void callsGoOnWithAnotherKeyOfTheTenant() {
+  void otherKeyOfTheTenantIsAcceptedAfterARevocation() {
     harness.clusterState.tenantsByKey = Map.of(SECOND_KEY, new Tenant("kaje80", 0));
     assertThat(call("GET /lots/L7", bearer(KEY)).status(), is(401));
     assertThat(call("GET /lots/L7", bearer(SECOND_KEY)).status(), is(200));
-    assertThat(harness.batchCalls.lastTenant, is(KAJE));
+    assertThat(harness.batchCalls.lastTenant, is(TENANT));
   }
 
   @Test
@@ -87,18 +87,18 @@
     assertThat(call("GET /lots/L7", "").status(), is(200));
     assertThat(harness.batchCalls.lastTenant, is(TenantName.NONE));
     assertThat(call("GET /lots/L7", bearer(KEY)).status(), is(200));
-    assertThat(harness.batchCalls.lastTenant, is(KAJE));
+    assertThat(harness.batchCalls.lastTenant, is(TENANT));
   }
 
   @Test
-  void withoutTenantsInTheConfigurationKeysAreNotLookedAt() {
+  void configurationWithoutTenantsIgnoresKeys() {
     harness.clusterState.tenantsByKey = null;
     assertThat(call("GET /lots/L7", bearer(KEY)).status(), is(200));
     assertThat(harness.batchCalls.lastTenant, is(TenantName.NONE));
   }
 
   @Test
-  void refusalByTheBatchServiceNamesTheScheme() {
+  void unauthorizedReplyOfTheBatchServiceCarriesAChallenge() {
     harness.batchCalls.reply = new Reply(401, new byte[0], 0);
     Message response = call("POST /sack/x", bearer(KEY));
     assertThat(response.status(), is(401));
--- a/gateway/src/test/java/elmsail/gateway/BatchItemExecutionTest.java
+++ b/gateway/src/test/java/elmsail/gateway/BatchItemExecutionTest.java
@@ -36,21 +36,21 @@
       new BatchItem(
           "e5", "/sack/3/91", Map.of("Elmsail-Tokens", "540,400"), new byte[] {7, 8}, 940);
 
-  private final BlockingQueue<String> response = new LinkedBlockingQueue<>();
+  private final BlockingQueue<String> listenerCalls = new LinkedBlockingQueue<>();
   private final RunListener listener =
       new RunListener() {
         @Override
         public void onEvent(long id, byte[] data) {
-          response.add(id + ":" + new String(data, StandardCharsets.ISO_8859_1));
+          listenerCalls.add(id + ":" + new String(data, StandardCharsets.ISO_8859_1));
         }
 
         @Override
         public void onEnded(RunOutcome result) {
-          response.add(result.name());
+          listenerCalls.add(result.name());
         }
       };
 
-  private RunHandle start(long behind) throws Exception {
+  private RunHandle startItem(long lastEventId) throws Exception {
     return harness.onLoop(
         () ->
             harness
@@ -60,17 +60,17 @@
                     TenantName.NONE,
                     harness.clusterState.routeByName("sack"),
                     ITEM,
-                    behind,
+                    lastEventId,
                     listener));
   }
 
-  private String next() throws Exception {
-    return response.poll(RawConnection.WAIT_MS, TimeUnit.MILLISECONDS);
+  private String nextListenerCall() throws Exception {
+    return listenerCalls.poll(RawConnection.WAIT_MS, TimeUnit.MILLISECONDS);
   }
 
   @Test
   void itemIsSentAndItsEventsAreDelivered() throws Exception {
-    start(-1);
+    startItem(-1);
     RawConnection server = harness.firstServer.accept();
     Message received = server.readMessage();
     assertThat(received.startLine(), is("POST /sack/3/91 HTTP/1.1"));
@@ -84,34 +84,34 @@
     server
         .write(GatewayTestHarness.streamHead("e5", "p"))
         .write(GatewayTestHarness.chunk("id: 0\ndata: a\ndata: b\n\nid: 1\nda"));
-    assertThat(next(), is("0:a\nb"));
+    assertThat(nextListenerCall(), is("0:a\nb"));
     server.write(GatewayTestHarness.chunk("ta: c\n\n")).write("0\r\n\r\n");
-    assertThat(next(), is("1:c"));
-    assertThat(next(), is(RunOutcome.COMPLETED.name()));
+    assertThat(nextListenerCall(), is("1:c"));
+    assertThat(nextListenerCall(), is(RunOutcome.COMPLETED.name()));
   }
 
   @Test
   void resumesAfterTheLastEvent() throws Exception {
-    start(3);
+    startItem(3);
     RawConnection server = harness.firstServer.accept();
     assertThat(server.readMessage().header("Last-Event-Id"), is("3"));
     server
         .write(GatewayTestHarness.streamHead("e5", "p"))
         .write(GatewayTestHarness.chunk(GatewayTestHarness.event(4)))
         .write("0\r\n\r\n");
-    assertThat(next(), is("4:e4"));
-    assertThat(next(), is(RunOutcome.COMPLETED.name()));
+    assertThat(nextListenerCall(), is("4:e4"));
+    assertThat(nextListenerCall(), is(RunOutcome.COMPLETED.name()));
   }
 
   @Test
-  void outOfOrderEventsEndTheRunAsBroken() throws Exception {
-    start(3);
+  void outOfOrderEventsEndTheRunWithAnUnknownOutcome() throws Exception {
+    startItem(3);
     RawConnection server = harness.firstServer.accept();
     server.readMessage();
     server
         .write(GatewayTestHarness.streamHead("e5", "p"))
         .write(GatewayTestHarness.chunk(GatewayTestHarness.event(5)));
-    assertThat(next(), is(RunOutcome.OUTCOME_UNKNOWN.name()));
+    assertThat(nextListenerCall(), is(RunOutcome.OUTCOME_UNKNOWN.name()));
     assertThat(server.isClosedByPeer(), is(true));
   }
 
@@ -127,57 +127,57 @@
 
   @ParameterizedTest
   @MethodSource("outcomesByStatus")
-  void responseStatusDeterminesTheResult(int status, RunOutcome outcome) throws Exception {
-    start(-1);
+  void responseStatusDeterminesTheOutcome(int status, RunOutcome outcome) throws Exception {
+    startItem(-1);
     RawConnection server = harness.firstServer.accept();
     server.readMessage();
     server.write(GatewayTestHarness.response(status, "e5", ""));
-    assertThat(next(), is(outcome.name()));
+    assertThat(nextListenerCall(), is(outcome.name()));
   }
 
   @Test
   void notRunResponseIsReportedAsNotRun() throws Exception {
-    start(-1);
+    startItem(-1);
     RawConnection server = harness.firstServer.accept();
     server.readMessage();
     server.write(GatewayTestHarness.notRunResponse(503, "e5"));
-    assertThat(next(), is(RunOutcome.NOT_RUN.name()));
+    assertThat(nextListenerCall(), is(RunOutcome.NOT_RUN.name()));
   }
 
   @Test
-  void truncatedStreamIsReportedAsBroken() throws Exception {
-    start(-1);
+  void truncatedStreamHasAnUnknownOutcome() throws Exception {
+    startItem(-1);
     RawConnection server = harness.firstServer.accept();
     server.readMessage();
     server
         .write(GatewayTestHarness.streamHead("e5", "p"))
         .write(GatewayTestHarness.chunk(GatewayTestHarness.event(0)));
-    assertThat(next(), is("0:e0"));
+    assertThat(nextListenerCall(), is("0:e0"));
     server.close();
-    assertThat(next(), is(RunOutcome.OUTCOME_UNKNOWN.name()));
+    assertThat(nextListenerCall(), is(RunOutcome.OUTCOME_UNKNOWN.name()));
   }
 
   @Test
-  void successWithoutPostmarkIsReportedAsBroken() throws Exception {
-    start(-1);
+  void successWithoutPostmarkHasAnUnknownOutcome() throws Exception {
+    startItem(-1);
     RawConnection server = harness.firstServer.accept();
     server.readMessage();
     server.write(
         GatewayTestHarness.response(
             200, "e5", GatewayTestHarness.event(0), "Content-Type: text/event-stream"));
-    assertThat(next(), is(RunOutcome.OUTCOME_UNKNOWN.name()));
+    assertThat(nextListenerCall(), is(RunOutcome.OUTCOME_UNKNOWN.name()));
   }
 
   @Test
   void unreachableServerIsReportedAsNotRun() throws Exception {
     harness.firstServer.close();
-    start(-1);
-    assertThat(next(), is(RunOutcome.NOT_RUN.name()));
+    startItem(-1);
+    assertThat(nextListenerCall(), is(RunOutcome.NOT_RUN.name()));
   }
 
   @Test
-  void cancelledItemIsDroppedAndReportsNothing() throws Exception {
-    RunHandle run = start(-1);
+  void cancelClosesTheConnectionAndCallsNoListener() throws Exception {
+    RunHandle run = startItem(-1);
     RawConnection server = harness.firstServer.accept();
     server.readMessage();
     harness.onLoop(
@@ -186,21 +186,21 @@
           return null;
         });
     assertThat(server.isClosedByPeer(), is(true));
-    assertThat(response.isEmpty(), is(true));
+    assertThat(listenerCalls.isEmpty(), is(true));
   }
 
   @Test
   void itemCapacityIsLimited() throws Exception {
-    int room =
+    int capacity =
         harness.onLoop(
             () ->
                 harness
                     .gateway
                     .itemServers()
                     .availableCapacity(harness.clusterState.routeByName("sack")));
-    assertThat(room, is(12));
-    for (int left = room; left > room - 4; left--) {
-      int now = left;
+    assertThat(capacity, is(12));
+    for (int remaining = capacity; remaining > capacity - 4; remaining--) {
+      int expected = remaining;
       assertThat(
           harness.onLoop(
               () ->
@@ -208,9 +208,9 @@
                       .gateway
                       .itemServers()
                       .availableCapacity(harness.clusterState.routeByName("sack"))),
-          is(now));
-      assertThat(start(-1), is(notNullValue()));
-      assertThat("prompts are not begun together", start(-1), is(nullValue()));
+          is(expected));
+      assertThat(startItem(-1), is(notNullValue()));
+      assertThat("prompts are not begun together", startItem(-1), is(nullValue()));
       // Connected, before the clock moves past the time-out of a connect.
       harness.firstServer.acceptRequest();
       harness.timers.advance(80);
@@ -235,40 +235,40 @@
                     .availableCapacity(harness.clusterState.routeByName("sack"))),
         is(0));
     harness.setServers(List.of());
-    assertThat(start(-1), is(nullValue()));
+    assertThat(startItem(-1), is(nullValue()));
   }
 
   /** LOST: an item at a server that has gone dark is free to run elsewhere. */
   @Test
   void itemAtAnUnresponsiveServerIsAborted() throws Exception {
-    start(-1);
+    startItem(-1);
     RawConnection server = harness.firstServer.accept();
     server.readMessage();
     server
         .write(GatewayTestHarness.streamHead("e5", "p"))
         .write(GatewayTestHarness.chunk(GatewayTestHarness.event(0)));
-    assertThat(next(), is("0:e0"));
+    assertThat(nextListenerCall(), is("0:e0"));
     advanceInSteps(4_000);
-    assertThat(next(), is(RunOutcome.OUTCOME_UNKNOWN.name()));
+    assertThat(nextListenerCall(), is(RunOutcome.OUTCOME_UNKNOWN.name()));
     assertThat(server.isClosedByPeer(), is(true));
   }
 
   /** LOST: likewise where the server is no more on the list. */
   @Test
-  void itemAtARemovedSilentServerIsAborted() throws Exception {
-    start(-1);
+  void itemAtARemovedUnresponsiveServerIsAborted() throws Exception {
+    startItem(-1);
     RawConnection server = harness.firstServer.accept();
     server.readMessage();
     harness.setServers(List.of());
     advanceInSteps(4_000);
-    assertThat(next(), is(RunOutcome.OUTCOME_UNKNOWN.name()));
+    assertThat(nextListenerCall(), is(RunOutcome.OUTCOME_UNKNOWN.name()));
     assertThat(server.isClosedByPeer(), is(true));
   }
 
   /** An item waits for its turn at a server that works on others. */
   @Test
-  void itemQueuedAtABusyServerIsLeftThere() throws Exception {
-    start(-1);
+  void itemQueuedAtABusyServerIsNotAborted() throws Exception {
+    startItem(-1);
     RawConnection server = harness.firstServer.accept();
     server.readMessage();
     RawConnection client = harness.request("stream", "a1", "Elmsail-Deadline-Ms: 5000");
@@ -289,20 +289,20 @@
         .write(GatewayTestHarness.streamHead("e5", "p"))
         .write(GatewayTestHarness.chunk(GatewayTestHarness.event(0)))
         .write("0\r\n\r\n");
-    assertThat(next(), is("0:e0"));
-    assertThat(next(), is(RunOutcome.COMPLETED.name()));
+    assertThat(nextListenerCall(), is("0:e0"));
+    assertThat(nextListenerCall(), is(RunOutcome.COMPLETED.name()));
   }
 
   /** UNASKED: what the envelope says of the prompt reaches the server byte for byte. */
   @Test
-  void envelopeHeadersPassUnchanged() throws Exception {
-    Map<String, String> envelope =
+  void itemHeadersAreForwardedUnchanged() throws Exception {
+    Map<String, String> itemHeaders =
         Map.of(
             "Elmsail-Model", "M odel;v=\"1\", x\u00e9/%20",
             "Elmsail-Tokens", "0540,400",
             "Elmsail-Prompt-Prefix", "9C2e41:300,,5d07b8:240",
             "Elmsail-Deadline-Ms", "70000");
-    BatchItem item = new BatchItem("e5", "/sack/3/91", envelope, new byte[] {7}, 940);
+    BatchItem item = new BatchItem("e5", "/sack/3/91", itemHeaders, new byte[] {7}, 940);
     harness.onLoop(
         () ->
             harness
@@ -311,12 +311,13 @@
                 .start(
                     TenantName.NONE, harness.clusterState.routeByName("sack"), item, -1, listener));
     Message received = harness.firstServer.accept().readMessage();
-    envelope.forEach((name, value) -> assertThat(received.header(name), is(value)));
+    itemHeaders.forEach((name, value) -> assertThat(received.header(name), is(value)));
   }
 
   /** The lines of the head with which an item is sent. */
-  private List<String> sentHead(TenantName tenant, Map<String, String> envelope) throws Exception {
-    BatchItem item = new BatchItem("e5", "/sack/3/91", envelope, new byte[] {7}, 940);
+  private List<String> headOfSentItem(TenantName tenant, Map<String, String> itemHeaders)
+      throws Exception {
+    BatchItem item = new BatchItem("e5", "/sack/3/91", itemHeaders, new byte[] {7}, 940);
     harness.onLoop(
         () ->
             harness
@@ -332,7 +333,7 @@
   }
 
   /** The values of a header, of any spelling. */
-  private static List<String> values(List<String> head, String name) {
+  private static List<String> headerValues(List<String> head, String name) {
     String start = name.toLowerCase(Locale.ROOT) + ":";
     return head.stream()
         .filter(line -> line.toLowerCase(Locale.ROOT).startsWith(start))
@@ -343,30 +344,31 @@
   /** UNASKED: the server learns the job's tenant, whatever the envelope says in any spelling. */
   @ParameterizedTest
   @ValueSource(strings = {"Elmsail-Sender", "elmsail-sender", "ELMSAIL-SENDER"})
-  void itemIsSentInTheNameOfTheJobsTenantAlone(String name) throws Exception {
+  void itemIsSentWithTheTenantOfItsJobOnly(String name) throws Exception {
     // The tenant of the job is not configured any more.
     harness.clusterState.tenantsByKey = Map.of("k", new Tenant("vopu11", 0));
     List<String> head =
-        sentHead(
+        headOfSentItem(
             new TenantName("kaje80"),
             Map.of(name, "vopu11", "authorization", "Bearer x", "AUTHORIZATION", "Bearer y"));
-    assertThat(values(head, "Elmsail-Sender"), contains("kaje80"));
-    assertThat(values(head, "Authorization"), empty());
+    assertThat(headerValues(head, "Elmsail-Sender"), contains("kaje80"));
+    assertThat(headerValues(head, "Authorization"), empty());
   }
 
   @Test
-  void itemWithoutATenantIsSentInNobodysName() throws Exception {
+  void itemOfAJobWithoutATenantIsSentWithoutATenant() throws Exception {
     harness.clusterState.tenantsByKey = Map.of("k", new Tenant("vopu11", 0));
     List<String> head =
-        sentHead(TenantName.NONE, Map.of("Elmsail-Sender", "vopu11", "Authorization", "Bearer k"));
-    assertThat(values(head, "Elmsail-Sender"), empty());
-    assertThat(values(head, "Authorization"), empty());
+        headOfSentItem(
+            TenantName.NONE, Map.of("Elmsail-Sender", "vopu11", "Authorization", "Bearer k"));
+    assertThat(headerValues(head, "Elmsail-Sender"), empty());
+    assertThat(headerValues(head, "Authorization"), empty());
   }
 
   @Test
-  void authorizationOfAnItemPassesWhereTheConfigurationHasNoTenants() throws Exception {
-    List<String> head = sentHead(TenantName.NONE, Map.of("Authorization", "Basic x"));
-    assertThat(values(head, "Authorization"), contains("Basic x"));
+  void authorizationOfAnItemIsForwardedIfTheConfigurationHasNoTenants() throws Exception {
+    List<String> head = headOfSentItem(TenantName.NONE, Map.of("Authorization", "Basic x"));
+    assertThat(headerValues(head, "Authorization"), contains("Basic x"));
   }
 
   /** UNASKED: an item that is cancelled before its connection is there is not sent. */
@@ -383,11 +385,11 @@
         });
     RawConnection server = harness.firstServer.pollConnection();
     assertThat(server == null || server.isClosedByPeer(), is(true));
-    assertThat(response.isEmpty(), is(true));
+    assertThat(listenerCalls.isEmpty(), is(true));
   }
 
   private void advanceInSteps(long ms) {
-    for (long passed = 0; passed < ms; passed += 250) {
+    for (long elapsed = 0; elapsed < ms; elapsed += 250) {
       harness.timers.advance(250);
     }
   }
--- a/gateway/src/test/java/elmsail/gateway/CloseDelimitedResponseTest.java
+++ b/gateway/src/test/java/elmsail/gateway/CloseDelimitedResponseTest.java
@@ -12,35 +12,35 @@
   private static final String HEAD =
       "HTTP/1.1 200 OK\r\nElmsail-Request-Id: a1\r\nElmsail-Postmark: p\r\n";
 
-  private RawConnection serverAsked() {
+  private RawConnection acceptRequest() {
     RawConnection server = harness.firstServer.accept();
     server.readMessage();
     return server;
   }
 
   @Test
-  void completeAfterAnOrderlyClose() {
+  void responseIsCompleteAfterAnOrderlyClose() {
     RawConnection client = harness.request("unsafe", "a1");
-    serverAsked().write(HEAD + "\r\nbytes").close();
-    Message answer = client.readMessage();
-    assertThat(answer.status(), is(200));
-    assertThat(answer.body(), is("bytes"));
-    assertThat(answer.header("Elmsail-Postmark"), is("p"));
+    acceptRequest().write(HEAD + "\r\nbytes").close();
+    Message response = client.readMessage();
+    assertThat(response.status(), is(200));
+    assertThat(response.body(), is("bytes"));
+    assertThat(response.header("Elmsail-Postmark"), is("p"));
   }
 
   @Test
-  void incompleteAfterAReset() throws Exception {
+  void responseIsIncompleteAfterAReset() throws Exception {
     harness.listServers(harness.firstServer, harness.secondServer);
     RawConnection client = harness.request("unsafe", "a1");
-    serverAsked().write(HEAD + "\r\nbytes").reset();
+    acceptRequest().write(HEAD + "\r\nbytes").reset();
     assertThat(client.readMessage().status(), is(502));
     assertThat(harness.secondServer.hasNoConnection(), is(true));
   }
 
   @Test
-  void incompleteWhenTheGatewayClosesTheConnection() {
+  void responseIsIncompleteIfTheGatewayClosesTheConnection() {
     RawConnection client = harness.request("stream", "a1", "Elmsail-Deadline-Ms: 4000");
-    RawConnection server = serverAsked();
+    RawConnection server = acceptRequest();
     server.write(HEAD + "Content-Type: text/event-stream\r\n\r\n" + GatewayTestHarness.event(0));
     client.readHead();
     assertThat(client.readChunk(), is(GatewayTestHarness.event(0)));
@@ -53,7 +53,7 @@
   void streamIsCompleteAfterAnOrderlyCloseAndAbortedByAReset() {
     for (boolean reset : new boolean[] {false, true}) {
       RawConnection client = harness.request("stream", "a1");
-      RawConnection server = serverAsked();
+      RawConnection server = acceptRequest();
       server.write(HEAD + "Content-Type: text/event-stream\r\n\r\n" + GatewayTestHarness.event(0));
       client.readHead();
       assertThat(client.readChunk(), is(GatewayTestHarness.event(0)));
@@ -70,7 +70,7 @@
   void partialLastEventOfAResumableStreamIsIncomplete() throws Exception {
     harness.listServers(harness.firstServer, harness.secondServer);
     RawConnection client = harness.request("resume", "a1");
-    serverAsked()
+    acceptRequest()
         .write(
             HEAD
                 + "Content-Type: text/event-stream\r\n\r\n"
--- a/gateway/src/test/java/elmsail/gateway/EarlyResponseTest.java
+++ b/gateway/src/test/java/elmsail/gateway/EarlyResponseTest.java
@@ -11,7 +11,7 @@
 /** A server that answers before it has read a long body, and keeps the connection. */
 class EarlyResponseTest extends GatewaySocketTest {
   private static final int BODY_BYTES = 6 << 20;
-  private static final int REST_MS = 100;
+  private static final int PAST_REUSE_DELAY_MS = 100;
   private static final int BODY_STALL_MS = 2_000;
 
   private RawConnection client;
@@ -35,7 +35,7 @@
         GatewayTestHarness.response(
             200, "a1", "early", "Elmsail-Postmark: p", "Keep-Alive: timeout=9"));
     assertThat(client.readMessage().body(), is("early"));
-    harness.timers.advance(REST_MS);
+    harness.timers.advance(PAST_REUSE_DELAY_MS);
   }
 
   @Test
@@ -51,7 +51,7 @@
   void restOfTheBodyArrivesIntactAndTheConnectionIsReused() throws Exception {
     assertThat(server.readBytes(BODY_BYTES), is("b".repeat(BODY_BYTES)));
     harness.onLoop(() -> null);
-    harness.timers.advance(REST_MS);
+    harness.timers.advance(PAST_REUSE_DELAY_MS);
     client.write(GatewayTestHarness.requestText("unsafe", "a2"));
     assertThat(server.readMessage().header("Elmsail-Request-Id"), is("a2"));
     server.write(GatewayTestHarness.okResponse("a2", "x"));
--- a/gateway/src/test/java/elmsail/gateway/KeyRevocationTest.java
+++ b/gateway/src/test/java/elmsail/gateway/KeyRevocationTest.java
@@ -19,17 +19,17 @@
 class KeyRevocationTest extends GatewaySocketTest {
   private static final String KEY = "irth5mgjy5rcpihhacru";
   private static final String AUTHORIZATION = "Authorization: Bearer " + KEY;
-  private static final Tenant KAJE = new Tenant("kaje80", 0);
+  private static final Tenant TENANT = new Tenant("kaje80", 0);
 
   @BeforeEach
-  void admitTheKey() throws Exception {
-    harness.clusterState.tenantsByKey = Map.of(KEY, KAJE);
+  void configureKeyAndServers() throws Exception {
+    harness.clusterState.tenantsByKey = Map.of(KEY, TENANT);
     harness.listServers(harness.firstServer, harness.secondServer);
   }
 
   /** Its tenant keeps another one. */
   private void revokeKey() {
-    harness.clusterState.tenantsByKey = Map.of("ddedev3nax7u27gxprym", KAJE);
+    harness.clusterState.tenantsByKey = Map.of("ddedev3nax7u27gxprym", TENANT);
   }
 
   private void assertNoFurtherAttempt() {
@@ -54,7 +54,7 @@
   /** REFUSED: what may have run is not answered as if it had not. */
   @ParameterizedTest
   @ValueSource(strings = {"safe", "resume"})
-  void requestThatMayHaveRunIsNotSentAgain(String route) {
+  void requestThatMayHaveRunIsNotRetried(String route) {
     RawConnection client = harness.request(route, "a1", AUTHORIZATION);
     RawConnection server = harness.firstServer.acceptRequest();
     revokeKey();
@@ -111,7 +111,7 @@
 
   /** A silent server may still answer; another one may not be asked. */
   @Test
-  void requestStaysWithASilentServer() {
+  void requestIsNotMovedFromAnUnresponsiveServer() {
     RawConnection client = harness.request("resume", "a1", AUTHORIZATION);
     RawConnection server = harness.firstServer.acceptRequest();
     revokeKey();
@@ -128,7 +128,7 @@
 
   /** UNASKED: a key passed on to another tenant speaks for that one from then on. */
   @Test
-  void furtherAttemptNamesTheTenantThatHasTheKeyNow() {
+  void furtherAttemptCarriesTheCurrentTenantOfTheKey() {
     RawConnection client = harness.request("safe", "a1", AUTHORIZATION);
     RawConnection server = harness.firstServer.accept();
     assertThat(server.readMessage().header("Elmsail-Sender"), is("kaje80"));
@@ -144,7 +144,7 @@
 
   /** The configuration may lose its tenants, or get its first, while a request is under way. */
   @Test
-  void keyStaysHiddenWhereTheNextConfigurationHasNoTenants() {
+  void keyIsNotForwardedAfterTheConfigurationLosesItsTenants() {
     harness.request("safe", "a1", AUTHORIZATION);
     RawConnection server = harness.firstServer.acceptRequest();
     harness.clusterState.tenantsByKey = null;
@@ -155,11 +155,11 @@
   }
 
   @Test
-  void keyIsHiddenWhereTheNextConfigurationHasTenants() {
+  void keyIsNotForwardedAfterTheConfigurationGainsTenants() {
     harness.clusterState.tenantsByKey = null;
     harness.request("safe", "a1", AUTHORIZATION);
     RawConnection server = harness.firstServer.acceptRequest();
-    harness.clusterState.tenantsByKey = Map.of(KEY, KAJE);
+    harness.clusterState.tenantsByKey = Map.of(KEY, TENANT);
     server.write(GatewayTestHarness.notRunResponse(503, "a1"));
     Message received = harness.secondServer.accept().readMessage();
     assertThat(received.header("Authorization"), is(nullValue()));
@@ -167,13 +167,13 @@
   }
 
   @Test
-  void revocationIsToldInTheMetrics() {
+  void revocationIsCountedInTheMetrics() {
     requestThatHasNotRunIsRefused("safe");
     try (RawConnection connection = RawConnection.connect(harness.gateway.readinessAddress())) {
-      String told =
+      String metrics =
           connection.write("GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n").readMessage().body();
-      assertThat(told, containsString("elmsail_requests_key_revoked 1\n"));
-      assertThat(told.contains(KEY), is(false));
+      assertThat(metrics, containsString("elmsail_requests_key_revoked 1\n"));
+      assertThat(metrics.contains(KEY), is(false));
     }
   }
 }
--- a/gateway/src/test/java/elmsail/gateway/RequestForwarderTest.java
+++ b/gateway/src/test/java/elmsail/gateway/RequestForwarderTest.java
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void chunkedBodyArrivesComplete() {
+  void chunkedRequestBodyIsForwardedWithAContentLength() {
     RawConnection client =
         harness
             .connectClient()
@@ -160,7 +160,7 @@
   }
 
   @Test
-  void safeRequestIsRetried() throws Exception {
+  void safeRequestIsRetriedAfterATruncatedResponse() throws Exception {
     harness.listServers(harness.firstServer, harness.secondServer);
     RawConnection client = harness.request("safe", "a1");
     RawConnection server = harness.firstServer.acceptRequest();
@@ -269,7 +269,7 @@
   }
 
   @Test
-  void resumedStreamWithWrongEventIdIsNotJoined() throws Exception {
+  void resumedStreamWithWrongEventIdIsAborted() throws Exception {
     harness.listServers(harness.firstServer, harness.secondServer);
     RawConnection client = harness.request("resume", "a1");
     RawConnection server = harness.firstServer.acceptRequest();
@@ -336,7 +336,7 @@
   }
 
   @Test
-  void closingServerGetsNoNewRequestsAndItsIdleConnectionsClose() throws Exception {
+  void removedServerGetsNoNewRequestsAndItsIdleConnectionsClose() throws Exception {
     RawConnection client = harness.request("unsafe", "a1");
     RawConnection server = harness.firstServer.acceptRequest();
     server.write(GatewayTestHarness.okResponse("a1", "x"));
@@ -350,7 +350,7 @@
   }
 
   @Test
-  void openRequestsAtAClosingServerContinue() throws Exception {
+  void openRequestsAtARemovedServerComplete() throws Exception {
     RawConnection client = harness.request("unsafe", "a1");
     RawConnection server = harness.firstServer.acceptRequest();
     harness.setServers(List.of());
@@ -360,7 +360,7 @@
   }
 
   @Test
-  void safeRequestLeavesAnUnresponsiveServer() throws Exception {
+  void resumableStreamMovesFromAnUnresponsiveServer() throws Exception {
     harness.listServers(harness.firstServer, harness.secondServer);
     RawConnection client = harness.request("resume", "a1");
     RawConnection server = harness.firstServer.acceptRequest();
@@ -384,7 +384,7 @@
   }
 
   @Test
-  void unsafeRequestStaysWithASilentServer() throws Exception {
+  void unsafeRequestIsNotMovedFromAnUnresponsiveServer() throws Exception {
     harness.listServers(harness.firstServer, harness.secondServer);
     RawConnection client = harness.request("stream", "a1");
     RawConnection server = harness.firstServer.acceptRequest();
@@ -400,7 +400,7 @@
   }
 
   @Test
-  void suspectServerIsReachedByANewConnectionFirst() throws Exception {
+  void requestToASuspectServerUsesANewConnection() throws Exception {
     RawConnection client = harness.request("unsafe", "a1", "Elmsail-Deadline-Ms: 4000");
     harness.firstServer.acceptRequest();
     harness.timers.advance(4_000);
--- a/gateway/src/test/java/elmsail/gateway/ServerErrorRetryTest.java
+++ b/gateway/src/test/java/elmsail/gateway/ServerErrorRetryTest.java
@@ -31,7 +31,7 @@
     harness.listServers(harness.firstServer, harness.secondServer);
   }
 
-  private static String error(int status, String id) {
+  private static String errorResponse(int status, String id) {
     return GatewayTestHarness.response(status, id, "why", "Elmsail-Postmark: p-first");
   }
 
@@ -45,7 +45,7 @@
   @ValueSource(ints = {500, 502, 504})
   void retryableErrorIsRetriedAtAnotherServer(int status) {
     RawConnection client = harness.request("safe", "a1");
-    harness.firstServer.accept().write(error(status, "a1")).readMessage();
+    harness.firstServer.accept().write(errorResponse(status, "a1")).readMessage();
     RawConnection other = harness.secondServer.accept();
     assertThat(other.readMessage().header("Elmsail-Expect-Server"), is("i-1"));
     other.write(GatewayTestHarness.okResponse("a1", "x"));
@@ -58,7 +58,7 @@
   @Test
   void resumableStreamIsRetriedBeforeItsFirstEvent() {
     RawConnection client = harness.request("resume", "a1");
-    harness.firstServer.accept().write(error(500, "a1")).readMessage();
+    harness.firstServer.accept().write(errorResponse(500, "a1")).readMessage();
     RawConnection other = harness.secondServer.accept();
     other.readMessage();
     other
@@ -74,15 +74,15 @@
   @Test
   void firstErrorIsRelayedWhenTheRetryDoesNotRun() {
     RawConnection client = harness.request("safe", "a1");
-    harness.firstServer.accept().write(error(500, "a1")).readMessage();
+    harness.firstServer.accept().write(errorResponse(500, "a1")).readMessage();
     harness.secondServer.accept().write(GatewayTestHarness.notRunResponse(503, "a1")).readMessage();
     assertFirstServersError(client.readMessage());
   }
 
   @Test
-  void firstErrorIsRelayedWhenTheRetryBreaks() {
+  void firstErrorIsRelayedWhenTheRetryIsReset() {
     RawConnection client = harness.request("safe", "a1");
-    harness.firstServer.accept().write(error(500, "a1")).readMessage();
+    harness.firstServer.accept().write(errorResponse(500, "a1")).readMessage();
     RawConnection other = harness.secondServer.accept();
     other.readMessage();
     other.reset();
@@ -92,7 +92,7 @@
   @Test
   void firstErrorIsRelayedWhenTheRetryTimesOut() {
     RawConnection client = harness.request("safe", "a1", "Elmsail-Deadline-Ms: 4000");
-    harness.firstServer.accept().write(error(500, "a1")).readMessage();
+    harness.firstServer.accept().write(errorResponse(500, "a1")).readMessage();
     RawConnection other = harness.secondServer.accept();
     other.readMessage();
     harness.timers.advance(4_000);
@@ -107,7 +107,7 @@
     RawConnection server = harness.firstServer.accept();
     server.readMessage();
     harness.timers.advance(400);
-    server.write(error(500, "a1"));
+    server.write(errorResponse(500, "a1"));
     Message retried = harness.secondServer.accept().readMessage();
     assertThat(Long.parseLong(retried.header("Elmsail-Deadline-Ms")), lessThanOrEqualTo(3_600L));
   }
@@ -117,7 +117,7 @@
   void noRetryBeyondTheRoutesAttempts() {
     harness.clusterState.addRoute("single", Route.Kind.SAFE, 1, false);
     RawConnection client = harness.request("single", "a1");
-    harness.firstServer.accept().write(error(500, "a1")).readMessage();
+    harness.firstServer.accept().write(errorResponse(500, "a1")).readMessage();
     assertFirstServersError(client.readMessage());
     assertThat(harness.secondServer.hasNoConnection(), is(true));
   }
@@ -125,9 +125,9 @@
   /** TWICE: what may not be repeated has its error at once. */
   @ParameterizedTest
   @ValueSource(strings = {"unsafe", "stream"})
-  void nonRetryableErrorIsRelayedAtOnce(String route) {
+  void errorOfANonIdempotentRouteIsRelayedWithoutRetry(String route) {
     RawConnection client = harness.request(route, "a1");
-    harness.firstServer.accept().write(error(500, "a1")).readMessage();
+    harness.firstServer.accept().write(errorResponse(500, "a1")).readMessage();
     assertFirstServersError(client.readMessage());
     assertThat(harness.secondServer.hasNoConnection(), is(true));
   }
@@ -136,7 +136,7 @@
   @Test
   void clientDisconnectCancelsTheRetry() {
     RawConnection client = harness.request("safe", "a1");
-    harness.firstServer.accept().write(error(500, "a1")).readMessage();
+    harness.firstServer.accept().write(errorResponse(500, "a1")).readMessage();
     RawConnection other = harness.secondServer.accept();
     other.readMessage();
     client.close();
@@ -144,9 +144,9 @@
   }
 
   @Test
-  void erringServerIsEjectedForAWhile() {
+  void serverIsEjectedAfterAnError() {
     RawConnection client = harness.request("unsafe", "a1");
-    harness.firstServer.accept().write(error(500, "a1")).readMessage();
+    harness.firstServer.accept().write(errorResponse(500, "a1")).readMessage();
     assertFirstServersError(client.readMessage());
     client.write(GatewayTestHarness.requestText("unsafe", "a2"));
     RawConnection other = harness.secondServer.accept();
@@ -156,12 +156,12 @@
   }
 
   @Test
-  void erringServerIsUsedWhenItIsTheOnlyOne() throws Exception {
+  void ejectedServerIsUsedIfItIsTheOnlyOne() throws Exception {
     harness.listServers(harness.firstServer);
     RawConnection client = harness.request("unsafe", "a1");
     RawConnection server = harness.firstServer.accept();
     server.readMessage();
-    server.write(error(500, "a1"));
+    server.write(errorResponse(500, "a1"));
     assertFirstServersError(client.readMessage());
     harness.timers.advance(100);
     client.write(GatewayTestHarness.requestText("unsafe", "a2"));
@@ -175,7 +175,7 @@
     RawConnection client = harness.request("unsafe", "a1");
     RawConnection server = harness.firstServer.accept();
     server.readMessage();
-    server.write(error(500, "a1"));
+    server.write(errorResponse(500, "a1"));
     assertFirstServersError(client.readMessage());
     harness.timers.advance(1_000);
     client.write(GatewayTestHarness.requestText("unsafe", "a2"));
@@ -188,7 +188,7 @@
         harness
             .firstServer
             .accept()
-            .write(error(500, "a3"))
+            .write(errorResponse(500, "a3"))
             .readMessage()
             .header("Elmsail-Request-Id"),
         is("a3"));
@@ -204,20 +204,20 @@
   /** One erring server does not use up the tries of an item. */
   @Test
   void itemIsNotRetriedAtTheServerThatFailedIt() throws Exception {
-    BlockingQueue<RunOutcome> ends = new LinkedBlockingQueue<>();
-    start(ends);
+    BlockingQueue<RunOutcome> outcomes = new LinkedBlockingQueue<>();
+    startItem(outcomes);
     RawConnection server = harness.firstServer.accept();
     server.readMessage();
-    server.write(error(500, "e5"));
-    assertThat(ends.poll(RawConnection.WAIT_MS, TimeUnit.MILLISECONDS), is(RunOutcome.FAILED));
+    server.write(errorResponse(500, "e5"));
+    assertThat(outcomes.poll(RawConnection.WAIT_MS, TimeUnit.MILLISECONDS), is(RunOutcome.FAILED));
     harness.timers.advance(10_000); // the avoidance of the server is over as well
-    start(ends);
+    startItem(outcomes);
     RawConnection other = harness.secondServer.accept();
     assertThat(other, is(notNullValue()));
     assertThat(other.readMessage().header("Elmsail-Expect-Server"), is("i-1"));
   }
 
-  private void start(BlockingQueue<RunOutcome> ends) throws Exception {
+  private void startItem(BlockingQueue<RunOutcome> outcomes) throws Exception {
     RunListener listener =
         new RunListener() {
           @Override
@@ -225,7 +225,7 @@
 
           @Override
           public void onEnded(RunOutcome result) {
-            ends.add(result);
+            outcomes.add(result);
           }
         };
     Object run =
--- a/gateway/src/test/java/elmsail/gateway/TruncationAtEveryByteTest.java
+++ b/gateway/src/test/java/elmsail/gateway/TruncationAtEveryByteTest.java
@@ -20,7 +20,7 @@
  */
 class TruncationAtEveryByteTest extends GatewaySocketTest {
   /** Longer than any server is avoided. */
-  private static final int BACKOFF_OVER_MS = 4_000;
+  private static final int PAST_BACKOFF_MS = 4_000;
 
   private static final String CHUNKED =
       "HTTP/1.1 200 OK\r\nElmsail-Request-Id: a1\r\nElmsail-Postmark: p\r\n"
@@ -32,11 +32,11 @@
     harness.listServers(harness.firstServer, harness.secondServer);
   }
 
-  private void passBackoff() {
-    harness.timers.advance(BACKOFF_OVER_MS);
+  private void advancePastBackoff() {
+    harness.timers.advance(PAST_BACKOFF_MS);
   }
 
-  private static void end(RawConnection server, boolean reset) {
+  private static void endConnection(RawConnection server, boolean reset) {
     if (reset) {
       server.reset();
     } else {
@@ -47,22 +47,22 @@
   @ParameterizedTest
   @CsvSource({"LENGTH, false", "LENGTH, true", "CHUNKED, false", "CHUNKED, true"})
   void truncatedUnsafeResponseIsNeverCompleteNorRetried(String kind, boolean reset) {
-    String answer = kind.equals("LENGTH") ? FIXED_LENGTH : CHUNKED;
-    for (int cut = 0; cut <= answer.length(); cut++) {
+    String sent = kind.equals("LENGTH") ? FIXED_LENGTH : CHUNKED;
+    for (int cut = 0; cut <= sent.length(); cut++) {
       try (RawConnection client = harness.request("unsafe", "a1")) {
         RawConnection server = harness.firstServer.accept();
         server.readMessage();
-        server.write(answer.substring(0, cut));
-        end(server, reset);
-        Message got = client.readMessage();
-        boolean whole = cut == answer.length();
-        assertThat("cut at " + cut, got.status(), is(whole ? oneOf(200, 502) : is(502)));
-        if (got.status() == 200) {
-          assertThat(got.body(), is("whole"));
+        server.write(sent.substring(0, cut));
+        endConnection(server, reset);
+        Message response = client.readMessage();
+        boolean complete = cut == sent.length();
+        assertThat("cut at " + cut, response.status(), is(complete ? oneOf(200, 502) : is(502)));
+        if (response.status() == 200) {
+          assertThat(response.body(), is("whole"));
         }
         assertThat("cut at " + cut, harness.secondServer.hasNoConnection(), is(true));
       }
-      passBackoff();
+      advancePastBackoff();
     }
   }
 
@@ -74,37 +74,37 @@
         RawConnection server = harness.firstServer.accept();
         server.readMessage();
         server.write(FIXED_LENGTH.substring(0, cut));
-        end(server, reset);
+        endConnection(server, reset);
         RawConnection other = harness.secondServer.accept();
         assertThat(other.readMessage().header("Elmsail-Request-Id"), is("a1"));
         other.write(
             GatewayTestHarness.response(
                 200, "a1", "again", "Elmsail-Postmark: q", "Connection: close"));
-        Message got = client.readMessage();
-        assertThat("cut at " + cut, got.body(), is("again"));
-        assertThat(got.header("Elmsail-Postmark"), is("q"));
+        Message response = client.readMessage();
+        assertThat("cut at " + cut, response.body(), is("again"));
+        assertThat(response.header("Elmsail-Postmark"), is("q"));
         assertThat(
             harness.firstServer.hasNoConnection() && harness.secondServer.hasNoConnection(),
             is(true));
       }
-      passBackoff();
+      advancePastBackoff();
     }
   }
 
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void truncatedNonResumableStreamIsAborted(boolean reset) {
-    String answer =
+    String sent =
         GatewayTestHarness.streamHead("a1", "p")
             + GatewayTestHarness.chunk(GatewayTestHarness.event(0))
             + GatewayTestHarness.chunk(GatewayTestHarness.event(1))
             + "0\r\n\r\n";
-    for (int cut = 0; cut < answer.length(); cut++) {
+    for (int cut = 0; cut < sent.length(); cut++) {
       try (RawConnection client = harness.request("stream", "a1")) {
         RawConnection server = harness.firstServer.accept();
         server.readMessage();
-        server.write(answer.substring(0, cut));
-        end(server, reset);
+        server.write(sent.substring(0, cut));
+        endConnection(server, reset);
         Message head = client.readHead();
         assertThat("cut at " + cut, head.status(), is(either(is(200)).or(is(502))));
         if (head.status() == 200) {
@@ -112,7 +112,7 @@
         }
         assertThat("cut at " + cut, harness.secondServer.hasNoConnection(), is(true));
       }
-      passBackoff();
+      advancePastBackoff();
     }
   }
 
@@ -132,11 +132,11 @@
       try (RawConnection client = harness.request("unsafe", "a1")) {
         RawConnection server = harness.firstServer.accept();
         server.readBytes(cut);
-        end(server, reset);
+        endConnection(server, reset);
         assertThat("cut at " + cut, client.readMessage().status(), is(502));
         assertThat("cut at " + cut, harness.secondServer.hasNoConnection(), is(true));
       }
-      passBackoff();
+      advancePastBackoff();
     }
   }
 
@@ -148,12 +148,12 @@
     for (int i = 0; i < 20; i++) {
       long before = failedConnectionCount();
       try (RawConnection client = harness.request("unsafe", "a1")) {
-        end(harness.firstServer.accept(), reset);
+        endConnection(harness.firstServer.accept(), reset);
         int status = client.readMessage().status();
         boolean failed = failedConnectionCount() > before;
         assertThat(status, is(failed ? 503 : 502));
       }
-      passBackoff();
+      advancePastBackoff();
     }
   }
 
@@ -179,7 +179,7 @@
   }
 
   @Test
-  void reusedConnectionResetUnderItsNextRequestIsNotRetried() {
+  void requestOnAReusedConnectionIsNotRetriedAfterAReset() {
     RawConnection client = harness.request("unsafe", "a1");
     RawConnection server = harness.firstServer.accept();
     server.readMessage();
@@ -197,7 +197,7 @@
   }
 
   @Test
-  void extraResponseIsNotTakenForTheNextAttemptOfTheSameId() {
+  void repeatedRequestIdIsSentOnANewConnection() {
     RawConnection client = harness.request("unsafe", "a1");
     RawConnection server = harness.firstServer.accept();
     server.readMessage();
--- a/gateway/src/test/java/elmsail/gateway/requests/AttemptOutcomeTest.java
+++ b/gateway/src/test/java/elmsail/gateway/requests/AttemptOutcomeTest.java
@@ -45,7 +45,8 @@
     "UNKNOWN, false, false", "UNKNOWN, true, true", "RESPONDED, false, false",
         "RESPONDED, true, false"
   })
-  void retriesOnlyWhatMayBeRetried(AttemptOutcome outcome, boolean idempotent, boolean mayRetry) {
+  void mayRetryDependsOnOutcomeAndIdempotence(
+      AttemptOutcome outcome, boolean idempotent, boolean mayRetry) {
     assertThat(outcome.mayRetry(idempotent), is(mayRetry));
   }
 
--- a/gateway/src/test/java/elmsail/gateway/requests/RequestAuthenticatorTest.java
+++ b/gateway/src/test/java/elmsail/gateway/requests/RequestAuthenticatorTest.java
@@ -51,7 +51,7 @@
     return Credentials.of(headers);
   }
 
-  private static Credentials none() {
+  private static Credentials noCredentials() {
     return Credentials.of(new DefaultHttpHeaders());
   }
 
@@ -96,22 +96,22 @@
   }
 
   @Test
-  void closedRouteAdmitsTenantsAlone() {
+  void closedRouteAdmitsKnownKeysOnly() {
     assertThat(authenticate("jobs", bearer("k1")), equalTo(OF_TENANT));
     assertThat(authenticate("jobs", bearer("k2")), equalTo(UNKNOWN_KEY));
     assertThat(authenticate("jobs", bearer("")), equalTo(UNKNOWN_KEY));
-    assertThat(authenticate("jobs", none()), equalTo(UNKNOWN_KEY));
+    assertThat(authenticate("jobs", noCredentials()), equalTo(UNKNOWN_KEY));
   }
 
   @Test
-  void openRouteAdmitsEverybody() {
+  void openRouteAdmitsAnyRequest() {
     assertThat(authenticate("open", bearer("k1")), equalTo(OF_TENANT));
     assertThat(authenticate("open", bearer("k2")), equalTo(Authentication.Anonymous.OPEN_ROUTE));
-    assertThat(authenticate("open", none()), equalTo(Authentication.Anonymous.OPEN_ROUTE));
+    assertThat(authenticate("open", noCredentials()), equalTo(Authentication.Anonymous.OPEN_ROUTE));
   }
 
   @Test
-  void withoutTenantsNoKeyIsLookedAt() {
+  void configurationWithoutTenantsIgnoresKeys() {
     RoutingConfig config = read(ROUTES + "}");
     Route route = config.routeByName("jobs");
     RequestAuthenticator authenticator = authenticator(config);
@@ -120,7 +120,7 @@
         authenticator.authenticate(route, bearer("k1")),
         equalTo(Authentication.Anonymous.NO_TENANTS));
     assertThat(
-        authenticator.authenticateBatchCall("a.example", none()),
+        authenticator.authenticateBatchCall("a.example", noCredentials()),
         equalTo(Authentication.Anonymous.NO_TENANTS));
   }
 
@@ -128,21 +128,23 @@
   void batchCallNeedsAKeyUnlessABatchRouteOfItsHostIsOpen() {
     RequestAuthenticator authenticator = authenticator(WITH_TENANTS);
     assertThat(authenticator.authenticateBatchCall("a.example", bearer("k1")), equalTo(OF_TENANT));
-    assertThat(authenticator.authenticateBatchCall("a.example", none()), equalTo(UNKNOWN_KEY));
-    assertThat(authenticator.authenticateBatchCall("c.example", none()), equalTo(UNKNOWN_KEY));
     assertThat(
-        authenticator.authenticateBatchCall("B.example:80", none()),
+        authenticator.authenticateBatchCall("a.example", noCredentials()), equalTo(UNKNOWN_KEY));
+    assertThat(
+        authenticator.authenticateBatchCall("c.example", noCredentials()), equalTo(UNKNOWN_KEY));
+    assertThat(
+        authenticator.authenticateBatchCall("B.example:80", noCredentials()),
         equalTo(Authentication.Anonymous.OPEN_ROUTE));
     assertThat(authenticator.authenticateBatchCall("b.example", bearer("k1")), equalTo(OF_TENANT));
   }
 
   /** CONFIG: nobody is admitted by a key that may have been revoked; nobody is denied either. */
   @Test
-  void withoutAConfirmedConfigurationNoKeyIsJudged() {
+  void keysAreNeitherAdmittedNorDeniedByAnUnconfirmedConfiguration() {
     confirmed.set(false);
     assertThat(authenticate("jobs", bearer("k1")), equalTo(NOT_CONFIRMED));
     assertThat(authenticate("jobs", bearer("k2")), equalTo(NOT_CONFIRMED));
-    assertThat(authenticate("jobs", none()), equalTo(NOT_CONFIRMED));
+    assertThat(authenticate("jobs", noCredentials()), equalTo(NOT_CONFIRMED));
     assertThat(authenticate("open", bearer("k1")), equalTo(Authentication.Anonymous.OPEN_ROUTE));
     assertThat(
         authenticator(WITH_TENANTS).authenticateBatchCall("a.example", bearer("k1")),
@@ -150,7 +152,7 @@
   }
 
   @Test
-  void beforeTheFirstConfigurationNoKeyIsJudged() {
+  void keysAreNeitherAdmittedNorDeniedBeforeTheFirstConfiguration() {
     RequestAuthenticator authenticator = authenticator(null);
     Route route = WITH_TENANTS.routeByName("jobs");
     assertThat(authenticator.authenticate(route, bearer("k1")), equalTo(NOT_CONFIRMED));
@@ -159,7 +161,7 @@
   }
 
   @Test
-  void credentialsDoNotShowTheirKey() {
+  void textFormsDoNotContainKeys() {
     assertThat(bearer("secret").toString(), not(containsString("secret")));
     assertThat(authenticate("jobs", bearer("secret")).toString(), not(containsString("secret")));
     assertThat(authenticate("jobs", bearer("k1")).toString(), not(containsString("k1")));
--- a/gateway/src/test/java/elmsail/gateway/requests/RequestPriorityTest.java
+++ b/gateway/src/test/java/elmsail/gateway/requests/RequestPriorityTest.java
@@ -51,7 +51,7 @@
   }
 
   @Test
-  void tenantDecidesBeforeTheRoute() {
+  void tenantPriorityTakesPrecedenceOverRoutePriority() {
     List<Integer> tenants = List.of(0, 1);
     List<Integer> routes = List.of(0, 1, 2);
     assertThat(ofAllPairs(tenants, routes), is(List.of(1, 2, 3, 5, 6, 7)));
@@ -65,7 +65,7 @@
   }
 
   @Test
-  void priorityThatTheConfigurationDoesNotHaveRanksBetweenItsNeighbours() {
+  void unconfiguredPriorityRanksBetweenItsNeighbours() {
     List<Integer> tenants = List.of(2, 4);
     List<Integer> routes = List.of(2, 4);
     assertThat(RequestPriority.of(0, tenants, 0, routes), is(1));
--- a/gateway/src/test/java/elmsail/gateway/requests/RetryPolicyTest.java
+++ b/gateway/src/test/java/elmsail/gateway/requests/RetryPolicyTest.java
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void nothingStartsInTheLastMilliseconds() {
+  void noAttemptStartsInTheLastMilliseconds() {
     assertThat(RetryPolicy.isExhausted(IDEMPOTENT, 0, 0, false, 5), is(false));
     assertThat(RetryPolicy.isExhausted(IDEMPOTENT, 0, 0, false, 4), is(true));
     assertThat(RetryPolicy.allowsErrorRetry(IDEMPOTENT, 5), is(true));
@@ -55,7 +55,7 @@
   }
 
   @Test
-  void halfOpenServersAreProbedOnlyByWhatCanBeRetried() {
+  void halfOpenServersAreProbedByRetryableRequestsOnly() {
     assertThat(
         RetryPolicy.selectionMode(IDEMPOTENT, 1, false, false), is(SelectionMode.PROBE_PREFERRED));
     assertThat(
--- a/gateway/src/test/java/elmsail/gateway/requests/ServerSentEventSplitterTest.java
+++ b/gateway/src/test/java/elmsail/gateway/requests/ServerSentEventSplitterTest.java
@@ -88,8 +88,8 @@
       })
   void joinsDataLines(String event, String data) {
     byte[] joined = ServerSentEventSplitter.data(bytes(event.replace('~', '\n')));
-    String wanted = data.startsWith("~") || !event.contains(":  ") ? data : " " + data.trim();
-    assertThat(new String(joined, StandardCharsets.ISO_8859_1), is(wanted.replace('~', '\n')));
+    String expected = data.startsWith("~") || !event.contains(":  ") ? data : " " + data.trim();
+    assertThat(new String(joined, StandardCharsets.ISO_8859_1), is(expected.replace('~', '\n')));
   }
 
   @Test
