--- a/gateway/src/main/java/elmsail/gateway/requests/AttemptOutcome.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/AttemptOutcome.java
@@ -1,14 +1,14 @@
 package elmsail.gateway.requests;
 
-/** How one attempt at a server ended. */
+/** How one attempt to send a request to a server ended. */
 public enum AttemptOutcome {
   /** No byte of the request was sent. */
   NOT_SENT(false, false),
-  /** It was sent, and the outcome is unknown. */
+  /** Bytes of the request may have been sent, and it is unknown whether the server ran it. */
   UNKNOWN(true, false),
-  /** The server says that it neither has run nor will run it. */
+  /** The server reported that it has not run the request and will not run it. */
   NOT_RUN(false, false),
-  /** The server's own response, which is relayed. */
+  /** The server sent a response that is relayed to the client. */
   RESPONDED(true, true);
 
   private final boolean mayHaveRun;
@@ -20,27 +20,28 @@
   }
 
   /**
-   * Whether the server may have run the request, so that a non-idempotent one must not be retried.
+   * Whether the server may have run the request, so that a non-idempotent request must not be
+   * retried.
    */
   public boolean mayHaveRun() {
     return mayHaveRun;
   }
 
-  /** Whether a response of the server is relayed. */
+  /** Whether the response of the server is relayed to the client. */
   public boolean isRelayed() {
     return isRelayed;
   }
 
-  /** Of an attempt without a complete response. */
+  /** Returns the outcome of an attempt that ended without a complete response. */
   public static AttemptOutcome ofFailure(boolean sent) {
     return sent ? UNKNOWN : NOT_SENT;
   }
 
   /**
-   * Of a response.
+   * Returns the outcome of an attempt by the head of its response.
    *
-   * @param notRun whether it has the header {@code Elmsail-Not-Run}
-   * @param hasPostmark whether it has a postmark
+   * @param notRun whether the response has the header {@code Elmsail-Not-Run}
+   * @param hasPostmark whether the response has the header {@code Elmsail-Postmark}
    */
   public static AttemptOutcome ofResponse(int status, boolean notRun, boolean hasPostmark) {
     if (status == 421) {
@@ -52,21 +53,21 @@
     if (notRun) {
       return NOT_RUN;
     }
-    // Relayed, these would tell the client that the request has not run, which the server did not
-    // say.
+    // These statuses are not relayed: they would report to the client that the request has not run,
+    // which the server did not report.
     boolean claimsNotRun = status == 429 || status == 503 || status == 408;
     return claimsNotRun ? UNKNOWN : RESPONDED;
   }
 
-  /** Whether a request may be sent to another server after such an attempt. */
+  /** Whether a request may be sent to another server after an attempt with this outcome. */
   public boolean mayRetry(boolean idempotent) {
     return this != RESPONDED && (!mayHaveRun || idempotent);
   }
 
   /**
-   * The status of a local reply.
+   * Returns the status of a local reply.
    *
-   * @param anyMayHaveRun whether a server may have run any of the attempts
+   * @param anyMayHaveRun whether a server may have run the request in any attempt
    * @param timedOut whether the request's deadline has passed
    */
   public static int localReplyStatus(boolean anyMayHaveRun, boolean timedOut) {
--- a/gateway/src/main/java/elmsail/gateway/requests/Authentication.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/Authentication.java
@@ -5,14 +5,14 @@
 import elmsail.gateway.http.RequestCounters;
 import java.util.Optional;
 
-/** Whether a request may be served, and in whose name. Immutable. */
+/** Whether a request may be served, and for which tenant. Immutable. */
 public sealed interface Authentication {
-  /** The name of the tenant that is served; empty if none is. */
+  /** The name of the tenant that the request is served for; empty if there is none. */
   default Optional<String> tenantName() {
     return Optional.empty();
   }
 
-  /** Served in the name of the tenant whose key the request carries. */
+  /** The request is served for the tenant whose key it carries. */
   record OfTenant(Tenant tenant) implements Authentication {
     @Override
     public Optional<String> tenantName() {
@@ -20,7 +20,10 @@
     }
   }
 
-  /** An item of a batch job, served in the name of the job's tenant, whatever became of its key. */
+  /**
+   * An item of a batch job is served for the job's tenant, even if the key that submitted the job
+   * has been revoked since.
+   */
   record OfJob(TenantName tenant) implements Authentication {
     @Override
     public Optional<String> tenantName() {
@@ -28,22 +31,23 @@
     }
   }
 
-  /** Served in nobody's name. */
+  /** The request is served for no tenant. */
   enum Anonymous implements Authentication {
     /**
-     * The route is open and the request carries no known key, or it is an item without a tenant.
+     * The request carries no known key and its route is open, or it is an item of a batch job
+     * without a tenant.
      */
     OPEN_ROUTE,
-    /** The configuration has no tenants, and no key is looked at. */
+    /** The configuration has no tenants, so keys are ignored. */
     NO_TENANTS
   }
 
-  /** Not served. */
+  /** The request is not served. */
   record Refused(Reason reason) implements Authentication {}
 
   /** Why a request is not served. */
   enum Reason {
-    /** No tenant has its key, or it carries none, several or a malformed one. */
+    /** The request carries a key of no tenant, no key, several keys or a malformed key. */
     UNKNOWN_KEY(401, RequestCounters.Event.REJECTED_KEY),
     /** The gateway cannot tell which keys are in force. */
     NOT_CONFIRMED(503, RequestCounters.Event.REJECTED_NOT_CONFIRMED);
@@ -61,7 +65,7 @@
       return status;
     }
 
-    /** What is counted. */
+    /** The event that is counted for the refusal. */
     public RequestCounters.Event event() {
       return event;
     }
--- a/gateway/src/main/java/elmsail/gateway/requests/ClientRequest.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/ClientRequest.java
@@ -14,8 +14,8 @@
 import java.util.Optional;
 
 /**
- * A request of a client, or an item of a batch job, as it is sent to servers: method, target,
- * headers and body as they were received. Owned by the gateway's event loop.
+ * A request of a client, or an item of a batch job, as it is sent to servers: with the method,
+ * target, headers and body that were received. Owned by the gateway's event loop.
  */
 final class ClientRequest implements OutgoingRequest {
   private final String id;
@@ -28,21 +28,21 @@
   private final boolean isBatchItem;
   private final MonotonicClock clock;
 
-  /** In ms on the loop's clock; {@code Long.MAX_VALUE} for none. */
+  /** In ms on the event loop's clock; {@code Long.MAX_VALUE} for no deadline. */
   private final long deadlineAt;
 
   private long lastEventId = -1;
   private final Credentials credentials;
 
-  /** In whose name it is served. */
+  /** Determines the tenant that the request is served for. */
   private Authentication authentication;
 
   /**
-   * A client's request.
+   * Creates the request of a client.
    *
-   * @param authentication in whose name it is served; none that refuses it
-   * @param priority on the wire; 0 is the most urgent
-   * @param deadlineAt in ms on this clock
+   * @param authentication must not be {@link Authentication.Refused}
+   * @param priority the value of the {@code Priority} header; 0 is the most urgent
+   * @param deadlineAt in ms on {@code clock}
    */
   ClientRequest(
       String id,
@@ -67,9 +67,9 @@
   }
 
   /**
-   * An item of a batch job, without a deadline.
+   * Creates the request of a batch item, which has no deadline.
    *
-   * @param authentication in whose name it is served; none that refuses it
+   * @param authentication must not be {@link Authentication.Refused}
    */
   ClientRequest(
       BatchItem item,
@@ -96,7 +96,10 @@
     return Prompt.parse(headers.get(Headers.PROMPT_PREFIX), headers.get(Headers.TOKENS));
   }
 
-  /** The next attempt is made in this name. A key that was hidden once stays so. */
+  /**
+   * Sets the authentication of the next attempt. Once the {@code Authorization} header has been
+   * removed, later attempts are sent without it, too.
+   */
   void authenticateAs(Authentication newAuthentication) {
     authentication = newAuthentication;
     if (!newAuthentication.equals(Authentication.Anonymous.NO_TENANTS)) {
@@ -104,19 +107,19 @@
     }
   }
 
-  /** The key that it carries, if any. */
+  /** The credentials of the request as received. */
   Credentials credentials() {
     return credentials;
   }
 
-  /** The tenant in whose name it is served; empty if there is none. */
+  /** The name of the tenant that the request is served for; empty if there is none. */
   Optional<String> tenantName() {
     return authentication.tenantName();
   }
 
   /**
-   * The next attempt resumes the stream after this event. A client that has part of its response is
-   * the most urgent.
+   * Makes the next attempt resume the stream after this event. A client request gets the most
+   * urgent priority, because the client already has a part of its response.
    */
   void resumeAfter(long eventId) {
     lastEventId = eventId;
--- a/gateway/src/main/java/elmsail/gateway/requests/Credentials.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/Credentials.java
@@ -6,8 +6,8 @@
 import java.util.Optional;
 
 /**
- * The key that a request carries: {@code Authorization: Bearer KEY} (RFC 6750), once. Its text
- * never shows the key. Immutable.
+ * The key that a request carries in exactly one header {@code Authorization: Bearer KEY} (RFC
+ * 6750). {@link #toString} does not reveal the key. Immutable.
  */
 public final class Credentials {
   private static final String SCHEME_PREFIX = "Bearer ";
@@ -19,7 +19,10 @@
     this.key = key;
   }
 
-  /** The credentials of a request; without a key if it has none, several or a malformed one. */
+  /**
+   * Returns the credentials of a request. They have no key if the request has no {@code
+   * Authorization} header, several of them or a malformed one.
+   */
   public static Credentials of(HttpHeaders headers) {
     List<String> values = headers.getAll(Headers.AUTHORIZATION);
     if (values.size() != 1) {
--- a/gateway/src/main/java/elmsail/gateway/requests/ItemDispatcher.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/ItemDispatcher.java
@@ -18,17 +18,17 @@
 import java.util.Set;
 
 /**
- * Runs items of batch jobs at servers, in slots that client requests leave free. Owned by the
+ * Sends items of batch jobs to servers that have capacity not used by client requests. Owned by the
  * gateway's event loop.
  */
 public final class ItemDispatcher implements ItemServers {
-  /** Less urgent than any client request. */
+  /** Less urgent than the priority of any client request. */
   private static final int ITEM_PRIORITY = 8;
 
   private final RequestContext context;
   private final ItemFailures failures = new ItemFailures();
 
-  /** Uses the same servers and counters as client requests. */
+  /** Creates a dispatcher that shares the servers and counters of client requests. */
   public ItemDispatcher(RequestContext context) {
     this.context = context;
   }
@@ -92,7 +92,7 @@
     return run;
   }
 
-  /** In whose name an item is served: no key is asked for, as its job was accepted with one. */
+  /** An item needs no key, because the key was checked when its job was submitted. */
   private Authentication authenticationOf(TenantName tenant) {
     if (!tenant.isNone()) {
       return new Authentication.OfJob(tenant);
@@ -102,7 +102,7 @@
         : Authentication.Anonymous.NO_TENANTS;
   }
 
-  /** The servers that failed the item, as long as there are others that can be chosen. */
+  /** The servers that failed the item; empty if no other server is available. */
   private Set<Server> serversThatFailed(String itemId, List<Server> routeServers) {
     Set<Server> failed = new HashSet<>();
     boolean hasOthers = false;
@@ -116,7 +116,7 @@
     return hasOthers ? failed : new HashSet<>();
   }
 
-  /** Remembers the server that failed an item, and passes all events on. */
+  /** Records the server that failed an item, and forwards all calls to the run's listener. */
   private final class FailureRecorder implements RunListener {
     private final String itemId;
     private final String serverId;
--- a/gateway/src/main/java/elmsail/gateway/requests/ItemFailures.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/ItemFailures.java
@@ -6,8 +6,8 @@
 import java.util.Set;
 
 /**
- * Which servers responded to an item with an error, so that it is retried elsewhere. Keeps the
- * newest items only. Owned by the gateway's event loop.
+ * Records which servers responded to an item with an error, so that the item is retried at other
+ * servers. Keeps a limited number of items, the newest ones. Owned by the gateway's event loop.
  */
 final class ItemFailures {
   private static final int MAX_ITEMS = 4_096;
@@ -22,12 +22,12 @@
         }
       };
 
-  /** The server failed the item. */
+  /** Records that the server failed the item. */
   void add(String itemId, String serverId) {
     serversByItem.computeIfAbsent(itemId, id -> new HashSet<>()).add(serverId);
   }
 
-  /** The item needs no further attempt. */
+  /** Removes the failures of an item that needs no further attempt. */
   void remove(String itemId) {
     serversByItem.remove(itemId);
   }
--- a/gateway/src/main/java/elmsail/gateway/requests/ItemRun.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/ItemRun.java
@@ -13,16 +13,20 @@
 
 /**
  * One attempt of a batch item at one server: delivers the complete events of the response in order.
- * An item has no deadline, and a server that is partitioned or removed never closes the connection;
- * so the run checks by itself whether more is to be expected. Owned by the gateway's event loop.
+ * An item has no deadline, and a server that is partitioned or removed may never close the
+ * connection; so the run checks periodically whether the server can still be expected to respond.
+ * Owned by the gateway's event loop.
  */
 final class ItemRun implements RunHandle, AttemptListener {
   private static final long CHECK_INTERVAL_MS = 250;
 
-  /** A run without bytes for so long ends if its server is unresponsive or removed. */
+  /** A run that receives no bytes for this time ends if its server is unresponsive or removed. */
   private static final long UNRESPONSIVE_SERVER_TIMEOUT_MS = 3_000;
 
-  /** The same if its server reports free slots: the item is not queued there. */
+  /**
+   * A run that receives no bytes for this time ends if its server reports no queue and free slots,
+   * because the item is not queued there.
+   */
   private static final long IDLE_SERVER_TIMEOUT_MS = 4_000;
 
   private final Timers timers;
@@ -37,7 +41,7 @@
   private long lastReceivedAt;
   private final PeriodicCheck serverCheck;
 
-  /** Expects events after this id, or from any id if it is -1. */
+  /** Creates a run that expects the event after {@code lastEventId}, or any first event if -1. */
   ItemRun(Timers timers, long lastEventId, RunListener listener) {
     this.timers = timers;
     this.lastEventId = lastEventId;
@@ -105,7 +109,7 @@
     }
   }
 
-  /** Event ids must be consecutive; the first of all may have any number. */
+  /** Event ids must be consecutive; the first event of an item may have any id. */
   private boolean onEvent(long id, ByteBuf raw) {
     byte[] data = ServerSentEventSplitter.data(raw);
     raw.release();
@@ -113,7 +117,7 @@
       return false;
     }
     if (id < 0) {
-      return data == null; // a comment; data that stands nowhere cannot be joined
+      return data == null; // accepts a comment; data without an id has no position among the events
     }
     if (lastEventId >= 0 && id != lastEventId + 1) {
       return false;
--- a/gateway/src/main/java/elmsail/gateway/requests/LocalReplies.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/LocalReplies.java
@@ -15,19 +15,19 @@
 
   private static final int UNAUTHORIZED = 401;
 
-  /** The request has not run; the client may retry it. */
+  /** Reports that the request has not run, so that the client may retry it. */
   static final int SERVICE_UNAVAILABLE = 503;
 
   private LocalReplies() {}
 
-  /** When a rejected client is to retry, in s, with jitter. */
+  /** The delay after which a rejected client is to retry, in s, with jitter. */
   static double retryAfterSeconds(RandomGenerator random) {
     return MIN_RETRY_AFTER_S + RETRY_AFTER_JITTER_S * random.nextDouble();
   }
 
   /**
-   * The same while the gateway has not yet received what it needs, in s: about a third of the time
-   * that a client waits at most.
+   * The delay after which a client is to retry while the gateway has not received its configuration
+   * or its servers, in s, with jitter: about a third of the longest time that a client waits.
    */
   static double startupRetryAfterSeconds(RandomGenerator random) {
     return STARTUP_RETRY_AFTER_S + 2 * RETRY_AFTER_JITTER_S * random.nextDouble();
@@ -36,8 +36,8 @@
   /**
    * Sends an empty response.
    *
-   * @param id of the request, or null
-   * @param retryAfterS in s, or 0 for none
+   * @param id the request's id, or null
+   * @param retryAfterS the value of {@code Retry-After} in s, or 0 for no such header
    */
   public static void send(ResponseSink client, int status, String id, double retryAfterS) {
     HttpHeaders headers = new DefaultHttpHeaders();
@@ -50,8 +50,8 @@
   }
 
   /**
-   * Sends the reply to a batch call; a body that starts like JSON is typed as such. Status 0 stands
-   * for an unknown outcome and aborts the response.
+   * Sends the reply to a batch call. A body that starts with a brace is sent as {@code
+   * application/json}. Status 0 stands for an unknown outcome: the response is aborted.
    */
   static void sendBatchReply(ResponseSink client, BatchService.Reply reply) {
     if (reply.status() == 0) {
@@ -68,7 +68,7 @@
     client.sendResponse(reply.status(), headers, Unpooled.wrappedBuffer(body));
   }
 
-  /** What a 401 has to name (RFC 9110, section 15.5.2). */
+  /** A response with status 401 must have a challenge (RFC 9110, section 15.5.2). */
   private static void setChallenge(HttpHeaders headers, int status) {
     if (status == UNAUTHORIZED) {
       headers.set(Headers.WWW_AUTHENTICATE, "Bearer");
--- a/gateway/src/main/java/elmsail/gateway/requests/PeriodicCheck.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/PeriodicCheck.java
@@ -3,11 +3,12 @@
 import elmsail.runtime.Timers;
 
 /**
- * Runs a check at an interval until it is cancelled. A check that would run late is left out: the
- * process stood still, and what its connections hold is not read yet. Owned by the event loop.
+ * Runs a check at an interval until cancelled. A check that is late is skipped: the process was
+ * stalled, and bytes that its connections received meanwhile are not read yet. Owned by the event
+ * loop.
  */
 final class PeriodicCheck {
-  /** A check that runs later than this says more of this process than of the server. */
+  /** A check that is later than this is skipped. */
   private static final long MAX_DELAY_MS = 150;
 
   private final Timers timers;
@@ -17,9 +18,9 @@
   private boolean cancelled;
 
   /**
-   * Checks nothing before {@link #start}.
+   * Creates a check that does not run before {@link #start}.
    *
-   * @param check may cancel this
+   * @param check may call {@link #cancel}
    */
   PeriodicCheck(Timers timers, long intervalMs, Runnable check) {
     this.timers = timers;
@@ -27,7 +28,7 @@
     this.check = check;
   }
 
-  /** Begins; the first check runs after one interval. */
+  /** Starts the checks; the first one runs after one interval. */
   void start() {
     long dueAt = timers.now() + intervalMs;
     timer = timers.schedule(intervalMs, () -> run(dueAt));
--- a/gateway/src/main/java/elmsail/gateway/requests/ReceivedRequest.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/ReceivedRequest.java
@@ -5,19 +5,19 @@
 /**
  * A complete request as received from a client.
  *
- * @param uri path and query as received
- * @param arrivedAt when its first byte was read, in ms on the loop's clock
+ * @param uri the path and query as received
+ * @param arrivedAt when the first byte of the request was read, in ms on the event loop's clock
  */
 public record ReceivedRequest(
     String method, String uri, HttpHeaders headers, byte[] body, long arrivedAt) {
 
-  /** Without its headers, which may contain a key. */
+  /** Method and path; not the headers and the query, which may contain a key. */
   @Override
   public String toString() {
     return method + " " + path();
   }
 
-  /** The key that it carries, if any. */
+  /** The credentials of the request. */
   public Credentials credentials() {
     return Credentials.of(headers);
   }
--- a/gateway/src/main/java/elmsail/gateway/requests/RequestAuthenticator.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/RequestAuthenticator.java
@@ -8,35 +8,38 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Decides by the configuration in force who may have a request served. Where the configuration has
- * tenants, a request carries the key of one of them unless its route is open. Owned by the
- * gateway's event loop.
+ * Decides by the current configuration whether a request may be served, and for which tenant. If
+ * the configuration has tenants, a request must carry the key of a tenant unless its route is open.
+ * Owned by the gateway's event loop.
  */
 public final class RequestAuthenticator {
   private final ClusterState clusterState;
   private final BooleanSupplier isConfigConfirmed;
 
   /**
-   * An authenticator for one gateway.
+   * Creates the authenticator of a gateway.
    *
-   * @param isConfigConfirmed whether the configuration in force is recent enough to admit by its
-   *     keys
+   * @param isConfigConfirmed whether the current configuration was confirmed recently enough to
+   *     admit requests by its keys
    */
   public RequestAuthenticator(ClusterState clusterState, BooleanSupplier isConfigConfirmed) {
     this.clusterState = clusterState;
     this.isConfigConfirmed = isConfigConfirmed;
   }
 
-  /** Authenticates a request of the route, at its dispatch and before each further attempt. */
+  /**
+   * Authenticates a request of the route. To be called when the request is dispatched and before
+   * each further attempt.
+   */
   public Authentication authenticate(Route route, Credentials credentials) {
     return authenticate(clusterState.config(), route.isOpen(), credentials);
   }
 
   /**
-   * Authenticates a call about a batch job, whose path names no route: it needs a key unless a
-   * batch route of its host is open.
+   * Authenticates a call about a batch job, whose path identifies no route. The call needs a key
+   * unless a batch route of its host is open.
    *
-   * @param host as of the {@code Host} header
+   * @param host the value of the {@code Host} header
    */
   public Authentication authenticateBatchCall(String host, Credentials credentials) {
     RoutingConfig config = clusterState.config();
--- a/gateway/src/main/java/elmsail/gateway/requests/RequestContext.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/RequestContext.java
@@ -8,7 +8,7 @@
 import elmsail.runtime.Timers;
 import java.util.random.RandomGenerator;
 
-/** What is shared by all requests of a gateway. */
+/** The objects that all requests of a gateway share. */
 public record RequestContext(
     Timers timers,
     ClusterState clusterState,
@@ -18,7 +18,7 @@
     UsageListener usage,
     RandomGenerator random) {
 
-  /** Picks the servers of attempts. */
+  /** The picker that selects the server of each attempt. */
   ServerPicker picker() {
     return servers.picker();
   }
--- a/gateway/src/main/java/elmsail/gateway/requests/RequestDispatcher.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/RequestDispatcher.java
@@ -12,27 +12,29 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Dispatches each complete request: to servers, to the batch service, or to a local reply if it is
- * invalid. Owned by the gateway's event loop.
+ * Dispatches each complete request to a server or to the batch service, or sends a local reply if
+ * the request cannot be dispatched. Owned by the gateway's event loop.
  */
 public final class RequestDispatcher {
   private static final String JOBS_PATH = "/lots/";
   private static final String ITEMS_PATH = "/items/";
   private static final long MAX_WAIT_MS = 5_000;
 
-  /** Where neither the client nor the route sets a timeout. */
+  /** The timeout if neither the client nor the route sets one. */
   private static final long MAX_REQUEST_MS = 600_000;
 
   private final RequestContext context;
   private final BatchService jobs;
 
-  /** Passes batch calls to the batch service and forwards all other requests. */
+  /**
+   * Creates a dispatcher that passes batch calls to {@code jobs} and all other requests to servers.
+   */
   public RequestDispatcher(RequestContext context, BatchService jobs) {
     this.context = context;
     this.jobs = jobs;
   }
 
-  /** Takes a request; exactly one response is sent, now or later. */
+  /** Dispatches a request. Exactly one response is sent, before or after this method returns. */
   public RequestHandle dispatch(ReceivedRequest request, ResponseSink client) {
     RoutingConfig config = context.clusterState().config();
     String host = request.headers().get("Host");
@@ -103,7 +105,7 @@
     return authentication.tenantName().map(TenantName::new).orElse(TenantName.NONE);
   }
 
-  /** A call about a job that was submitted before; its path names no route. */
+  /** Handles a call about a job that was submitted before. The path identifies no route. */
   private RequestHandle handleBatchCall(
       ReceivedRequest request, String host, boolean readsItem, ResponseSink client) {
     Authentication authentication =
@@ -158,7 +160,7 @@
           if (fault == null) {
             LocalReplies.sendBatchReply(client, r);
           } else {
-            client.abort(); // nothing is sure
+            client.abort(); // the outcome is unknown
           }
         });
     return RequestHandle.NONE;
--- a/gateway/src/main/java/elmsail/gateway/requests/RequestForwarder.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/RequestForwarder.java
@@ -13,10 +13,10 @@
 import java.util.Set;
 
 /**
- * Forwards one client request: picks servers, makes one attempt after the other and ends with
- * exactly one response, that of a server or a local reply. An attempt that may have run is repeated
- * only on idempotent routes, and is never answered with a status that says it has not run. Whether
- * to try again is decided by {@link RetryPolicy}. Owned by the gateway's event loop.
+ * Forwards one client request: makes one attempt after the other, each at a server that is picked
+ * for it, and ends with exactly one response, that of a server or a local reply. A request that may
+ * have run is retried only on idempotent routes, and never gets a status that reports that it has
+ * not run. {@link RetryPolicy} decides about retries. Owned by the gateway's event loop.
  */
 final class RequestForwarder implements RequestHandle, AttemptListener {
   private static final long CHECK_INTERVAL_MS = 200;
@@ -30,7 +30,7 @@
   private Timer deadlineTimer;
   private final PeriodicCheck serverCheck;
 
-  /** The attempt that runs, or null. */
+  /** The attempt in flight, or null. */
   private Attempt attempt;
 
   private int sentAttempts;
@@ -42,7 +42,7 @@
 
   private boolean finished;
 
-  /** Forwards nothing before {@link #start}. */
+  /** Creates a forwarder that makes no attempt before {@link #start}. */
   RequestForwarder(
       RequestContext context, Route route, ClientRequest request, ResponseSink client) {
     this.context = context;
@@ -53,7 +53,7 @@
     serverCheck = new PeriodicCheck(context.timers(), CHECK_INTERVAL_MS, this::checkServer);
   }
 
-  /** Starts the first attempt, or replies at once if none can be made. */
+  /** Starts the first attempt, or sends a local reply if no attempt can be made. */
   void start() {
     long remainingMs = remainingMs();
     if (remainingMs <= 0) {
@@ -67,7 +67,7 @@
     }
   }
 
-  /** The tenant in whose name the request is served; empty if there is none. */
+  /** The name of the tenant that the request is served for; empty if there is none. */
   Optional<String> tenantName() {
     return request.tenantName();
   }
@@ -80,7 +80,10 @@
     return request.deadlineAt() - context.timers().now();
   }
 
-  /** Leaves a server that has become unresponsive if the request can be retried elsewhere. */
+  /**
+   * Fails the current attempt if its server has become unresponsive and the request can be retried
+   * at another server.
+   */
   private void checkServer() {
     long now = context.timers().now();
     if (attempt != null
@@ -94,8 +97,8 @@
   }
 
   /**
-   * Whether the key and the route allow one more attempt and a healthy server is there for it.
-   * Picks that server and thereby takes a turn of the route's round robin.
+   * Whether the key and the route allow one more attempt and a healthy server is available for it.
+   * The pick counts as a turn in the route's round robin.
    */
   private boolean hasRetryTarget() {
     return !(authenticate() instanceof Authentication.Refused)
@@ -107,7 +110,7 @@
             .isPresent();
   }
 
-  /** By the configuration in force now. */
+  /** Authenticates the request by the current configuration. */
   private Authentication authenticate() {
     return context.authenticator().authenticate(route, request.credentials());
   }
@@ -153,7 +156,7 @@
     attempt.setReadPaused(!relay.clientAcceptsData());
   }
 
-  /** The next attempt's server; empty if no attempt may start or no server can be had. */
+  /** The next attempt's server; empty if no attempt may start or no server can be picked. */
   private Optional<Server> pickServer() {
     if (RetryPolicy.isExhausted(route, sentAttempts, notSentAttempts, mayHaveRun, remainingMs())) {
       return Optional.empty();
@@ -207,7 +210,7 @@
     }
   }
 
-  /** The retry failed: the first server's error response is the request's response. */
+  /** Relays the first server's error response after the retry has failed. */
   private void relayFirstError() {
     RetainedErrorResponse error = firstError;
     firstError = null;
@@ -283,7 +286,7 @@
     }
   }
 
-  /** The response must not be relayed: the attempt counts as failed after it was sent. */
+  /** Handles a response that must not be relayed as a failure of an attempt that was sent. */
   private void onUnusableResponse() {
     if (attempt != null) {
       attempt.cancel();
@@ -310,7 +313,7 @@
     }
   }
 
-  /** Retries the request if the response is a server error that another server may not return. */
+  /** Retries the request if the response is an error that another server might not return. */
   private boolean retryAfterError() {
     boolean mayRetry = firstError == null && RetryPolicy.allowsErrorRetry(route, remainingMs());
     if (!mayRetry || !relay.hasRetryableError() || !hasRetryTarget()) {
--- a/gateway/src/main/java/elmsail/gateway/requests/RequestHandle.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/RequestHandle.java
@@ -1,14 +1,14 @@
 package elmsail.gateway.requests;
 
-/** An open request as seen by its client's connection. */
+/** Receives the events of a client's connection that concern one open request. */
 public interface RequestHandle {
-  /** The client has disconnected: the request is cancelled. */
+  /** Cancels the request because the client has disconnected. */
   void onClientDisconnect();
 
-  /** The client reads again, or does not for now. */
+  /** Called when the connection to the client becomes writable or stops being writable. */
   void onWritabilityChanged(boolean writable);
 
-  /** A request that is not affected by either. */
+  /** The handle of a request that ignores these events. */
   RequestHandle NONE =
       new RequestHandle() {
         @Override
--- a/gateway/src/main/java/elmsail/gateway/requests/RequestPriority.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/RequestPriority.java
@@ -5,26 +5,29 @@
 import java.util.List;
 
 /**
- * Maps the priorities of a request's tenant and route, which are unbounded, to the few values that
- * servers know for client requests. The tenant decides before the route. A more urgent request
- * never gets a less urgent value; the values are distinct as far as there are enough of them.
- * Stateless.
+ * Maps the priorities of a request's tenant and route, which are unbounded, to the few levels that
+ * servers support for client requests. The tenant's priority takes precedence over the route's. A
+ * more urgent request never gets a less urgent level. Different priorities get different levels as
+ * long as there are enough levels. Stateless.
  */
 final class RequestPriority {
-  /** Of a client request; 0 is kept for resumed streams. */
+  /** The most urgent level of a client request; 0 is reserved for resumed streams. */
   static final int MOST_URGENT = 1;
 
-  /** Of a client request; batch items rank behind it. */
+  /** The least urgent level of a client request; batch items are less urgent. */
   static final int LEAST_URGENT = 7;
 
   private static final int LEVELS = LEAST_URGENT - MOST_URGENT + 1;
 
-  /** Of a request in nobody's name, as of a tenant for which the configuration gives none. */
+  /** The priority of a request without a tenant: the default priority of tenants. */
   private static final int ANONYMOUS_PRIORITY = 0;
 
   private RequestPriority() {}
 
-  /** The priority on the wire of a request under this configuration; 0 would be the most urgent. */
+  /**
+   * The value of a request's {@code Priority} header under this configuration; lower values are
+   * more urgent.
+   */
   static int of(RoutingConfig config, Authentication authentication, int routePriority) {
     int tenantPriority =
         authentication instanceof Authentication.OfTenant ofTenant
@@ -34,11 +37,12 @@
   }
 
   /**
-   * Divides the levels among the tenants' priorities, and each part among the routes' priorities.
+   * Divides the levels into one band per tenant priority, and each band among the routes'
+   * priorities.
    *
-   * @param tenantPriorities all that occur, distinct and ascending; without any, the routes'
-   *     priorities are taken as levels
-   * @param routePriorities likewise
+   * @param tenantPriorities all tenant priorities of the configuration, distinct and ascending; if
+   *     empty, the levels are the routes' priorities, limited to the number of levels
+   * @param routePriorities all route priorities of the configuration, distinct and ascending
    */
   static int of(
       int tenantPriority,
@@ -55,12 +59,14 @@
     return MOST_URGENT + start + Math.min(width - 1, rank(routePriority, routePriorities));
   }
 
-  /** The first level of a band; those that come first are wider by one where it does not divide. */
+  /**
+   * The first level of a band; the first bands are wider by one if the levels do not divide evenly.
+   */
   private static int startOfBand(int band, int bands) {
     return band * (LEVELS / bands) + Math.min(band, LEVELS % bands);
   }
 
-  /** How many of these are more urgent. */
+  /** The number of priorities in the list that are more urgent. */
   private static int rank(int priority, List<Integer> ascending) {
     int index = Collections.binarySearch(ascending, priority);
     return index >= 0 ? index : -index - 1;
--- a/gateway/src/main/java/elmsail/gateway/requests/ResponseRelay.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/ResponseRelay.java
@@ -10,12 +10,12 @@
 
 /**
  * Relays the responses of a request's attempts to the client as one response. Short responses are
- * buffered until they are complete, so that a truncated one can be retried; streams are relayed as
- * they arrive. Of a resumable stream only complete events are relayed, and the response keeps the
- * head and postmark of the first server. Owned by the gateway's event loop.
+ * buffered until they are complete, so that a truncated response can be retried; streams are
+ * relayed as they arrive. Of a resumable stream only complete events are relayed, and the response
+ * keeps the head and the postmark of the first server. Owned by the gateway's event loop.
  */
 final class ResponseRelay {
-  /** A response that is no stream is buffered up to this size. */
+  /** A response that is not a stream is buffered up to this size. */
   static final int MAX_BUFFERED_BYTES = 64 * 1024;
 
   private enum Mode {
@@ -41,11 +41,11 @@
   private boolean startReported;
 
   /**
-   * Relays to one client.
+   * Creates the relay of one request.
    *
-   * @param stream whether successes are relayed as they arrive, whatever their type
-   * @param resumable whether another attempt may continue the stream
-   * @param startListener runs once, when the first byte of a server's success has come
+   * @param stream whether successful responses of any content type are relayed as they arrive
+   * @param resumable whether another attempt may resume the stream
+   * @param startListener called once, at the first byte of the body of a successful response
    */
   ResponseRelay(ResponseSink client, boolean stream, boolean resumable, Runnable startListener) {
     this.startListener = startListener;
@@ -58,36 +58,38 @@
     return client;
   }
 
-  /** Whether the client has the head of a response. */
+  /** Whether the head of a response was sent to the client. */
   boolean hasStarted() {
     return hasStarted;
   }
 
-  /** The last event that was relayed, or -1. */
+  /** The id of the last event that was relayed, or -1. */
   long lastEventId() {
     return lastEventId;
   }
 
   /**
-   * Whether an attempt that should have resumed the stream did not continue where it ended; the
-   * response cannot be completed.
+   * Whether an attempt that should have resumed the stream did not continue with the event after
+   * the last relayed one, so that the response cannot be completed.
    */
   boolean isOutOfOrder() {
     return isOutOfOrder;
   }
 
-  /** Whether the client accepts more data for now. */
+  /** Whether more data can be sent to the client without long buffering. */
   boolean clientAcceptsData() {
     return !hasStarted || client.isWritable();
   }
 
-  /** Drops what is buffered of the last attempt's response and expects another one. */
+  /**
+   * Releases the buffered part of the last attempt's response and prepares for the next attempt.
+   */
   void prepareNextAttempt() {
     discard();
     resuming = lastEventId >= 0;
   }
 
-  /** Releases what is buffered. */
+  /** Releases the buffered part of the response. */
   void discard() {
     if (buffered != null) {
       buffered.release();
@@ -99,7 +101,7 @@
     head = null;
   }
 
-  /** Takes the head of a response; false if it must not be relayed. */
+  /** Receives the head of a response; returns false if the response must not be relayed. */
   boolean onHead(HttpResponse responseHead) {
     head = responseHead;
     int status = responseHead.status().code();
@@ -129,7 +131,7 @@
     }
   }
 
-  /** Takes bytes of the body; false if they must not be relayed. */
+  /** Takes ownership of bytes of the body; returns false if they must not be relayed. */
   boolean onData(ByteBuf bytes) {
     reportStartOnce();
     switch (mode) {
@@ -189,8 +191,8 @@
   }
 
   /**
-   * Whether the response is an error that another server may not return, and nothing of it was
-   * relayed.
+   * Whether the response is an error that another server might not return, and no part of it has
+   * been relayed.
    */
   boolean hasRetryableError() {
     return !hasStarted
@@ -199,7 +201,7 @@
         && RetainedErrorResponse.isRetryable(head.status().code());
   }
 
-  /** Takes the complete response out of the relay; see {@link #hasRetryableError}. */
+  /** Removes the complete response from the relay; see {@link #hasRetryableError}. */
   RetainedErrorResponse takeError() {
     RetainedErrorResponse error =
         new RetainedErrorResponse(head, buffered == null ? Unpooled.EMPTY_BUFFER : buffered);
@@ -207,7 +209,10 @@
     return error;
   }
 
-  /** The attempt's response is complete: returns its outcome, after relaying it if it is to be. */
+  /**
+   * Handles the end of an attempt's complete response: relays what has not been relayed yet, if its
+   * outcome allows, and returns the outcome.
+   */
   AttemptOutcome onComplete() {
     if (mode == Mode.EVENTS && splitter.hasPartialEvent()) {
       return AttemptOutcome.UNKNOWN;
@@ -220,7 +225,7 @@
       return outcome;
     }
     if (hasStarted) {
-      return AttemptOutcome.UNKNOWN; // a response of another kind in the middle of a stream
+      return AttemptOutcome.UNKNOWN; // a response that is not an event stream cannot resume one
     }
     ByteBuf body = buffered == null ? Unpooled.EMPTY_BUFFER : buffered;
     buffered = null;
--- a/gateway/src/main/java/elmsail/gateway/requests/RetainedErrorResponse.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/RetainedErrorResponse.java
@@ -5,17 +5,17 @@
 import io.netty.handler.codec.http.HttpResponse;
 
 /**
- * A server's complete error response, retained while its request is retried at another server. Its
- * owner either sends or releases it.
+ * A server's complete error response, retained while its request is retried at another server. The
+ * owner must either send or release it.
  */
 record RetainedErrorResponse(HttpResponse head, ByteBuf body) {
 
-  /** Whether another server may respond better than with this status. */
+  /** Whether another server might not return this error status. */
   static boolean isRetryable(int status) {
     return status == 500 || status == 502 || status == 504;
   }
 
-  /** Sends it to the client, which releases the body. */
+  /** Sends the response to the client, which releases the body. */
   void sendTo(ResponseSink client) {
     client.sendResponse(head.status().code(), Headers.endToEnd(head.headers()), body);
   }
--- a/gateway/src/main/java/elmsail/gateway/requests/RetryPolicy.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/RetryPolicy.java
@@ -4,15 +4,18 @@
 import elmsail.gateway.servers.SelectionMode;
 
 /**
- * Decides whether a request may be attempted once more: within the route's number of attempts and
- * the remaining time, and never after an attempt that may have run unless the route is idempotent.
- * Pure functions, safe on any thread.
+ * Decides whether a request may be attempted once more: only within the route's maximum number of
+ * attempts and the remaining time, and after an attempt that may have run only if the route is
+ * idempotent. Pure functions, safe on any thread.
  */
 final class RetryPolicy {
-  /** Attempts without a byte sent; they do not count against the route's number of attempts. */
+  /**
+   * The maximum number of attempts that ended before a byte was sent; they do not count against the
+   * route's maximum number of attempts.
+   */
   private static final int MAX_NOT_SENT_ATTEMPTS = 6;
 
-  /** With less time left no further attempt starts. */
+  /** No further attempt starts if less time remains. */
   private static final long MIN_REMAINING_MS = 5;
 
   private RetryPolicy() {}
@@ -22,8 +25,8 @@
    *
    * @param sentAttempts attempts that were sent and have ended
    * @param notSentAttempts attempts that ended before a byte was sent
-   * @param mayHaveRun whether a server may have run one of them
-   * @param remainingMs until the request's deadline
+   * @param mayHaveRun whether a server may have run the request in one of them
+   * @param remainingMs the time until the request's deadline
    */
   static boolean isExhausted(
       Route route, int sentAttempts, int notSentAttempts, boolean mayHaveRun, long remainingMs) {
@@ -33,7 +36,7 @@
         || remainingMs < MIN_REMAINING_MS;
   }
 
-  /** Whether the route allows another attempt after the one that runs now. */
+  /** Whether the route allows another attempt after the current one. */
   static boolean allowsOneMore(Route route, int sentAttempts) {
     return sentAttempts + 1 < route.maxAttempts();
   }
@@ -44,10 +47,10 @@
   }
 
   /**
-   * Which servers the next attempt may get.
+   * Returns which servers may be picked for the next attempt.
    *
-   * @param afterError whether a server has already answered this request with an error
-   * @param resumes whether the attempt continues a stream
+   * @param afterError whether a server has already responded to this request with an error
+   * @param resumes whether the attempt resumes a stream
    */
   static SelectionMode selectionMode(
       Route route, int sentAttempts, boolean afterError, boolean resumes) {
--- a/gateway/src/main/java/elmsail/gateway/requests/ServerSentEventSplitter.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/ServerSentEventSplitter.java
@@ -9,16 +9,17 @@
  * that is not the last byte received so far. Owned by one event loop.
  */
 final class ServerSentEventSplitter {
-  /** A longer event is malformed. */
+  /** An event with more bytes is rejected as malformed. */
   static final int MAX_EVENT_BYTES = 1 << 20;
 
-  /** Receives the complete events; returns false to receive no more. */
+  /** Receives the complete events. */
   interface Sink {
     /**
-     * One event.
+     * Called for each event.
      *
-     * @param id the number in its {@code id} line, or -1 if there is none
+     * @param id the number in the event's {@code id} line, or -1 if there is none
      * @param raw all bytes of the event with its empty line; released by the sink
+     * @return false to receive no more events
      */
     boolean onEvent(long id, ByteBuf raw);
   }
@@ -31,9 +32,9 @@
   }
 
   /**
-   * Takes and releases the bytes.
+   * Receives and releases bytes of the stream.
    *
-   * @return false if an event is too long or the sink wants no more
+   * @return false if an event is too long or the sink has returned false
    */
   boolean feed(ByteBuf bytes) {
     ByteBuf all;
@@ -65,7 +66,7 @@
     }
   }
 
-  /** Whether bytes of an incomplete event have come. */
+  /** Whether bytes of an incomplete event were received. */
   boolean hasPartialEvent() {
     return remainder.isReadable();
   }
@@ -76,7 +77,7 @@
     remainder = Unpooled.EMPTY_BUFFER;
   }
 
-  /** The index after the first event, or -1 if it is incomplete. */
+  /** The index after the first event, or -1 if the event is incomplete. */
   private static int findEventEnd(ByteBuf in) {
     boolean lineStarted = false;
     int to = in.writerIndex();
@@ -142,7 +143,9 @@
     return at;
   }
 
-  /** The {@code data} lines of an event joined by line feeds, or null if there are none. */
+  /**
+   * The values of an event's {@code data} lines, joined by line feeds; null if it has no such line.
+   */
   static byte[] data(ByteBuf raw) {
     byte[] joined = new byte[raw.readableBytes()];
     int length = 0;
--- a/gateway/src/main/java/elmsail/gateway/requests/package-info.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The way of a request through the gateway: its route is found, attempts are made at servers until
- * one responds or the deadline passes, and one response is relayed. A request that must not run
- * twice is retried only where it certainly has not run.
+ * Handles a request in the gateway: matches its route, attempts it at servers until one of them
+ * responds or the deadline passes, and relays one response. A request that must not run twice is
+ * retried only if it certainly has not run.
  */
 package elmsail.gateway.requests;
--- a/gateway/src/test/java/elmsail/gateway/ApiKeyTest.java
+++ b/gateway/src/test/java/elmsail/gateway/ApiKeyTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Who may have a request run, and what a server learns of the client. */
+/** Which requests are admitted by their keys, and which headers with key or tenant servers get. */
 class ApiKeyTest extends GatewaySocketTest {
   private static final String KEY = "irth5mgjy5rcpihhacru";
   private static final String OTHER_KEY = "ddedev3nax7u27gxprym";
@@ -35,7 +35,7 @@
     harness.clusterState.addOpenRoute("open", Route.Kind.SAFE, 2, false);
   }
 
-  /** The values of a header, of any spelling, among the lines of the next request's head. */
+  /** The values of a header, in any case of its name, in the next request that the server gets. */
   private List<String> headerValuesAtServer(String name) {
     RawConnection server = harness.firstServer.accept();
     List<String> values = new ArrayList<>();
@@ -61,7 +61,6 @@
     }
   }
 
-  /** UNASKED: the server learns the tenant's name. */
   @ParameterizedTest
   @ValueSource(strings = {"safe", "unsafe", "stream", "resume"})
   void tenantOfTheKeyIsSentToTheServer(String route) {
@@ -80,7 +79,7 @@
     }
   }
 
-  /** RFC 9110, section 11.1: the scheme's case does not matter. */
+  /** RFC 9110, section 11.1: the name of the scheme is case-insensitive. */
   @ParameterizedTest
   @ValueSource(strings = {"bearer ", "BEARER ", "Bearer   "})
   void authorizationSchemeIsCaseInsensitive(String scheme) {
@@ -88,7 +87,7 @@
     assertThat(headerValuesAtServer("Elmsail-Sender"), contains("kaje80"));
   }
 
-  /** ROUTE: no configuration held such a key. */
+  /** None of these headers carries exactly one key of the configuration. */
   @ParameterizedTest
   @ValueSource(
       strings = {
@@ -139,7 +138,7 @@
     assertRefused(harness.request("safe", "a1", AUTHORIZATION), "a1");
   }
 
-  /** UNASKED: the name is the tenant's, whatever the client sent. */
+  /** Guards against a client that sends the name of another tenant in the tenant header. */
   @ParameterizedTest
   @ValueSource(
       strings = {
@@ -166,7 +165,7 @@
     RawConnection server = harness.firstServer.accept();
     Message received = server.readMessage();
     assertThat(received.header("Elmsail-Sender"), is("kaje80"));
-    assertThat("sent with a length, so without trailers", received.body(), is("x"));
+    assertThat("forwarded with a length, so without trailers", received.body(), is("x"));
   }
 
   @ParameterizedTest
@@ -177,7 +176,6 @@
     assertThat(harness.firstServer.hasNoConnection(), is(true));
   }
 
-  /** DENIED: an open route needs no key. */
   @ParameterizedTest
   @ValueSource(strings = {"X-None: 1", "Authorization: Bearer x", "Authorization: Basic x"})
   void openRouteServesUnknownKeysWithoutATenantHeader(String header) {
@@ -193,7 +191,7 @@
     assertThat(headerValuesAtServer("Elmsail-Sender"), contains("kaje80"));
   }
 
-  /** DENIED: where the configuration has no tenants, nobody needs a key. */
+  /** If the configuration has no tenants, no request needs a key. */
   @Test
   void withoutTenantsAuthorizationIsForwardedAndNoTenantIsSent() {
     harness.clusterState.tenantsByKey = null;
@@ -205,7 +203,7 @@
     assertThat(harness.firstServer.acceptRequest(), is(notNullValue()));
   }
 
-  /** DENIED: nothing is denied while nothing is known. */
+  /** Before its first configuration, the gateway must not deny a key that may be valid. */
   @Test
   void unknownKeyIsAnsweredWith503BeforeTheFirstConfig() {
     harness.clusterState.configured = false;
@@ -214,7 +212,7 @@
     assertThat(response.header("Retry-After"), is(notNullValue()));
   }
 
-  /** CONFIG: a key that was taken away is refused on connections that are open already. */
+  /** Guards against a key that stays admitted on connections opened before its revocation. */
   @Test
   void revokedKeyIsRefusedOnAnOpenConnection() {
     RawConnection client = harness.request("safe", "a1", AUTHORIZATION);
@@ -229,7 +227,7 @@
     assertThat(headerValuesAtServer("Elmsail-Sender"), contains("kaje80"));
   }
 
-  /** CONFIG: a pipelined request is admitted when its turn comes, not when it was read. */
+  /** A pipelined request is authenticated when it is dispatched, not when it is read. */
   @Test
   void pipelinedRequestIsRefusedIfItsKeyIsRevokedMeanwhile() {
     RawConnection client =
--- a/gateway/src/test/java/elmsail/gateway/BatchCallKeyTest.java
+++ b/gateway/src/test/java/elmsail/gateway/BatchCallKeyTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Batch calls over HTTP where the configuration has tenants. */
+/** Authentication of batch calls over HTTP if the configuration has tenants. */
 class BatchCallKeyTest extends GatewaySocketTest {
   private static final String KEY = "irth5mgjy5rcpihhacru";
   private static final String SECOND_KEY = "q2xk4w7nd5fbpz3mtr6h";
@@ -56,7 +56,7 @@
     }
   }
 
-  /** ROUTE: nobody without a known key submits, reads or cancels a job. */
+  /** Jobs must not be submitted, read or cancelled without a known key. */
   @ParameterizedTest
   @ValueSource(
       strings = {"POST /sack/x", "GET /lots/L7?after=12", "DELETE /lots/L7", "GET /items/L7?id=e5"})
@@ -69,7 +69,7 @@
     }
   }
 
-  /** Taking a key away ends no job: the tenant's others serve for later calls. */
+  /** The revocation of a key ends no job: later calls may use another key of the tenant. */
   @Test
   void otherKeyOfTheTenantIsAcceptedAfterARevocation() {
     harness.clusterState.tenantsByKey = Map.of(SECOND_KEY, new Tenant("kaje80", 0));
--- a/gateway/src/test/java/elmsail/gateway/BatchItemExecutionTest.java
+++ b/gateway/src/test/java/elmsail/gateway/BatchItemExecutionTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Jobs' items at stand-in servers. */
+/** Items of batch jobs, sent over sockets to fake servers. */
 class BatchItemExecutionTest extends GatewaySocketTest {
   private static final BatchItem ITEM =
       new BatchItem(
@@ -210,8 +210,8 @@
                       .availableCapacity(harness.clusterState.routeByName("sack"))),
           is(expected));
       assertThat(startItem(-1), is(notNullValue()));
-      assertThat("prompts are not begun together", startItem(-1), is(nullValue()));
-      // Connected, before the clock moves past the time-out of a connect.
+      assertThat("prompts do not start at the same time", startItem(-1), is(nullValue()));
+      // Waits until the item is sent, because the clock is advanced past the connect timeout next.
       harness.firstServer.acceptRequest();
       harness.timers.advance(80);
     }
@@ -238,7 +238,7 @@
     assertThat(startItem(-1), is(nullValue()));
   }
 
-  /** LOST: an item at a server that has gone dark is free to run elsewhere. */
+  /** Guards against an item that waits forever for a server that has become unresponsive. */
   @Test
   void itemAtAnUnresponsiveServerIsAborted() throws Exception {
     startItem(-1);
@@ -253,7 +253,7 @@
     assertThat(server.isClosedByPeer(), is(true));
   }
 
-  /** LOST: likewise where the server is no more on the list. */
+  /** Guards against an item that waits forever for a server that is no longer listed. */
   @Test
   void itemAtARemovedUnresponsiveServerIsAborted() throws Exception {
     startItem(-1);
@@ -265,7 +265,7 @@
     assertThat(server.isClosedByPeer(), is(true));
   }
 
-  /** An item waits for its turn at a server that works on others. */
+  /** A server that sends bytes of other responses is responsive: its queued items are kept. */
   @Test
   void itemQueuedAtABusyServerIsNotAborted() throws Exception {
     startItem(-1);
@@ -293,7 +293,7 @@
     assertThat(nextListenerCall(), is(RunOutcome.COMPLETED.name()));
   }
 
-  /** UNASKED: what the envelope says of the prompt reaches the server byte for byte. */
+  /** The headers of an item reach the server byte for byte, even if they are malformed. */
   @Test
   void itemHeadersAreForwardedUnchanged() throws Exception {
     Map<String, String> itemHeaders =
@@ -314,7 +314,7 @@
     itemHeaders.forEach((name, value) -> assertThat(received.header(name), is(value)));
   }
 
-  /** The lines of the head with which an item is sent. */
+  /** Starts an item and returns the lines of the request head that the server gets. */
   private List<String> headOfSentItem(TenantName tenant, Map<String, String> itemHeaders)
       throws Exception {
     BatchItem item = new BatchItem("e5", "/sack/3/91", itemHeaders, new byte[] {7}, 940);
@@ -332,7 +332,7 @@
     return lines;
   }
 
-  /** The values of a header, of any spelling. */
+  /** The values of a header, in any case of its name. */
   private static List<String> headerValues(List<String> head, String name) {
     String start = name.toLowerCase(Locale.ROOT) + ":";
     return head.stream()
@@ -341,11 +341,11 @@
         .toList();
   }
 
-  /** UNASKED: the server learns the job's tenant, whatever the envelope says in any spelling. */
+  /** Guards against an item that sends the name of another tenant in its own headers. */
   @ParameterizedTest
   @ValueSource(strings = {"Elmsail-Sender", "elmsail-sender", "ELMSAIL-SENDER"})
   void itemIsSentWithTheTenantOfItsJobOnly(String name) throws Exception {
-    // The tenant of the job is not configured any more.
+    // The configuration no longer has the tenant of the job.
     harness.clusterState.tenantsByKey = Map.of("k", new Tenant("vopu11", 0));
     List<String> head =
         headOfSentItem(
@@ -371,7 +371,7 @@
     assertThat(headerValues(head, "Authorization"), contains("Basic x"));
   }
 
-  /** UNASKED: an item that is cancelled before its connection is there is not sent. */
+  /** Guards against sending an item that was cancelled while its connection was being opened. */
   @Test
   void itemCancelledBeforeSendingDoesNotReachTheServer() throws Exception {
     harness.onLoop(
--- a/gateway/src/test/java/elmsail/gateway/CloseDelimitedResponseTest.java
+++ b/gateway/src/test/java/elmsail/gateway/CloseDelimitedResponseTest.java
@@ -7,7 +7,10 @@
 import elmsail.gateway.RawConnection.Message;
 import org.junit.jupiter.api.Test;
 
-/** Answers without a length, which end with their connection: whole after its end, not a reset. */
+/**
+ * Responses without a length, which end when the server closes the connection. They are complete
+ * after an orderly close, and truncated after a reset or a close by the gateway.
+ */
 class CloseDelimitedResponseTest extends GatewaySocketTest {
   private static final String HEAD =
       "HTTP/1.1 200 OK\r\nElmsail-Request-Id: a1\r\nElmsail-Postmark: p\r\n";
--- a/gateway/src/test/java/elmsail/gateway/EarlyResponseTest.java
+++ b/gateway/src/test/java/elmsail/gateway/EarlyResponseTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A server that answers before it has read a long body, and keeps the connection. */
+/** A server that responds before it has read a long request body, and keeps the connection open. */
 class EarlyResponseTest extends GatewaySocketTest {
   private static final int BODY_BYTES = 6 << 20;
   private static final int PAST_REUSE_DELAY_MS = 100;
--- a/gateway/src/test/java/elmsail/gateway/KeyRevocationTest.java
+++ b/gateway/src/test/java/elmsail/gateway/KeyRevocationTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** CONFIG: a key that is taken away while its request is under way admits no further attempt. */
+/** A key that is revoked while its request is in flight must not admit a further attempt. */
 class KeyRevocationTest extends GatewaySocketTest {
   private static final String KEY = "irth5mgjy5rcpihhacru";
   private static final String AUTHORIZATION = "Authorization: Bearer " + KEY;
@@ -27,7 +27,7 @@
     harness.listServers(harness.firstServer, harness.secondServer);
   }
 
-  /** Its tenant keeps another one. */
+  /** Revokes the key; its tenant still has another one. */
   private void revokeKey() {
     harness.clusterState.tenantsByKey = Map.of("ddedev3nax7u27gxprym", TENANT);
   }
@@ -51,7 +51,7 @@
     assertNoFurtherAttempt();
   }
 
-  /** REFUSED: what may have run is not answered as if it had not. */
+  /** Guards against a response that reports a request as not run although it may have run. */
   @ParameterizedTest
   @ValueSource(strings = {"safe", "resume"})
   void requestThatMayHaveRunIsNotRetried(String route) {
@@ -109,7 +109,9 @@
     }
   }
 
-  /** A silent server may still answer; another one may not be asked. */
+  /**
+   * An unresponsive server may still respond, while the key admits no attempt at another server.
+   */
   @Test
   void requestIsNotMovedFromAnUnresponsiveServer() {
     RawConnection client = harness.request("resume", "a1", AUTHORIZATION);
@@ -126,7 +128,7 @@
     assertThat(harness.secondServer.hasNoConnection(), is(true));
   }
 
-  /** UNASKED: a key passed on to another tenant speaks for that one from then on. */
+  /** After a key is moved to another tenant, further attempts are made for that tenant. */
   @Test
   void furtherAttemptCarriesTheCurrentTenantOfTheKey() {
     RawConnection client = harness.request("safe", "a1", AUTHORIZATION);
@@ -142,7 +144,9 @@
     assertThat(client.readMessage().status(), is(200));
   }
 
-  /** The configuration may lose its tenants, or get its first, while a request is under way. */
+  /**
+   * Guards against a key that leaks to a server when the configuration changes during a request.
+   */
   @Test
   void keyIsNotForwardedAfterTheConfigurationLosesItsTenants() {
     harness.request("safe", "a1", AUTHORIZATION);
--- a/gateway/src/test/java/elmsail/gateway/RequestForwarderTest.java
+++ b/gateway/src/test/java/elmsail/gateway/RequestForwarderTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Requests over sockets, from a client past the gateway to stand-in servers. */
+/** Requests over sockets, from a client through the gateway to fake servers. */
 class RequestForwarderTest extends GatewaySocketTest {
 
   @Test
--- a/gateway/src/test/java/elmsail/gateway/ServerErrorRetryTest.java
+++ b/gateway/src/test/java/elmsail/gateway/ServerErrorRetryTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Servers that answer with errors of their own while connections to them work. */
+/** Servers that are reachable and respond with errors. */
 class ServerErrorRetryTest extends GatewaySocketTest {
   private static final BatchItem ITEM =
       new BatchItem("e5", "/sack/3/91", Map.of(), new byte[] {7}, 940);
@@ -70,7 +70,7 @@
     assertThat(response.body(), is(GatewayTestHarness.event(0)));
   }
 
-  /** MIXED: status, stamp and body are those of one server. */
+  /** Guards against a response that mixes status, postmark and body of two servers. */
   @Test
   void firstErrorIsRelayedWhenTheRetryDoesNotRun() {
     RawConnection client = harness.request("safe", "a1");
@@ -100,7 +100,7 @@
     assertThat(other.isClosedByPeer(), is(true));
   }
 
-  /** BUDGET: the retry is told the time that is left. */
+  /** Guards against a retry that is sent with the request's original deadline. */
   @Test
   void retryCarriesTheRemainingDeadline() {
     harness.request("safe", "a1", "Elmsail-Deadline-Ms: 4000");
@@ -112,7 +112,6 @@
     assertThat(Long.parseLong(retried.header("Elmsail-Deadline-Ms")), lessThanOrEqualTo(3_600L));
   }
 
-  /** BUDGET: a route that allows one server gets one. */
   @Test
   void noRetryBeyondTheRoutesAttempts() {
     harness.clusterState.addRoute("single", Route.Kind.SAFE, 1, false);
@@ -122,7 +121,7 @@
     assertThat(harness.secondServer.hasNoConnection(), is(true));
   }
 
-  /** TWICE: what may not be repeated has its error at once. */
+  /** Guards against running a request twice on a route that is not idempotent. */
   @ParameterizedTest
   @ValueSource(strings = {"unsafe", "stream"})
   void errorOfANonIdempotentRouteIsRelayedWithoutRetry(String route) {
@@ -132,7 +131,6 @@
     assertThat(harness.secondServer.hasNoConnection(), is(true));
   }
 
-  /** GONE: a client that leaves ends its retry as well. */
   @Test
   void clientDisconnectCancelsTheRetry() {
     RawConnection client = harness.request("safe", "a1");
@@ -201,7 +199,7 @@
     assertThat(harness.gateway.counters().total(RequestCounters.Event.RETRIED_AFTER_ERROR), is(1L));
   }
 
-  /** One erring server does not use up the tries of an item. */
+  /** Guards against one failing server that uses up all attempts of an item. */
   @Test
   void itemIsNotRetriedAtTheServerThatFailedIt() throws Exception {
     BlockingQueue<RunOutcome> outcomes = new LinkedBlockingQueue<>();
@@ -210,7 +208,7 @@
     server.readMessage();
     server.write(errorResponse(500, "e5"));
     assertThat(outcomes.poll(RawConnection.WAIT_MS, TimeUnit.MILLISECONDS), is(RunOutcome.FAILED));
-    harness.timers.advance(10_000); // the avoidance of the server is over as well
+    harness.timers.advance(10_000); // the server's ejection is over, too
     startItem(outcomes);
     RawConnection other = harness.secondServer.accept();
     assertThat(other, is(notNullValue()));
--- a/gateway/src/test/java/elmsail/gateway/TruncationAtEveryByteTest.java
+++ b/gateway/src/test/java/elmsail/gateway/TruncationAtEveryByteTest.java
@@ -14,12 +14,12 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Connections to a server that end, in order or by a reset, at each byte of a request and of an
- * answer. What may not be repeated reaches one server only and is never answered by a promise; no
- * part of an answer passes for a whole one.
+ * Connections to a server that end, by an orderly close or a reset, at each byte of a request and
+ * of a response. A request that is not idempotent must reach one server only and must not be
+ * reported as not run; a truncated response must not look complete.
  */
 class TruncationAtEveryByteTest extends GatewaySocketTest {
-  /** Longer than any server is avoided. */
+  /** Longer than the longest backoff of a server. */
   private static final int PAST_BACKOFF_MS = 4_000;
 
   private static final String CHUNKED =
@@ -47,15 +47,15 @@
   @ParameterizedTest
   @CsvSource({"LENGTH, false", "LENGTH, true", "CHUNKED, false", "CHUNKED, true"})
   void truncatedUnsafeResponseIsNeverCompleteNorRetried(String kind, boolean reset) {
-    String sent = kind.equals("LENGTH") ? FIXED_LENGTH : CHUNKED;
-    for (int cut = 0; cut <= sent.length(); cut++) {
+    String fullResponse = kind.equals("LENGTH") ? FIXED_LENGTH : CHUNKED;
+    for (int cut = 0; cut <= fullResponse.length(); cut++) {
       try (RawConnection client = harness.request("unsafe", "a1")) {
         RawConnection server = harness.firstServer.accept();
         server.readMessage();
-        server.write(sent.substring(0, cut));
+        server.write(fullResponse.substring(0, cut));
         endConnection(server, reset);
         Message response = client.readMessage();
-        boolean complete = cut == sent.length();
+        boolean complete = cut == fullResponse.length();
         assertThat("cut at " + cut, response.status(), is(complete ? oneOf(200, 502) : is(502)));
         if (response.status() == 200) {
           assertThat(response.body(), is("whole"));
@@ -94,16 +94,16 @@
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void truncatedNonResumableStreamIsAborted(boolean reset) {
-    String sent =
+    String fullResponse =
         GatewayTestHarness.streamHead("a1", "p")
             + GatewayTestHarness.chunk(GatewayTestHarness.event(0))
             + GatewayTestHarness.chunk(GatewayTestHarness.event(1))
             + "0\r\n\r\n";
-    for (int cut = 0; cut < sent.length(); cut++) {
+    for (int cut = 0; cut < fullResponse.length(); cut++) {
       try (RawConnection client = harness.request("stream", "a1")) {
         RawConnection server = harness.firstServer.accept();
         server.readMessage();
-        server.write(sent.substring(0, cut));
+        server.write(fullResponse.substring(0, cut));
         endConnection(server, reset);
         Message head = client.readHead();
         assertThat("cut at " + cut, head.status(), is(either(is(200)).or(is(502))));
@@ -140,7 +140,10 @@
     }
   }
 
-  /** A promise is given only where the connection did not come about, so that no byte has left. */
+  /**
+   * The gateway may report the request as not run (503) only if it could not connect to the server,
+   * so that no byte of the request was sent.
+   */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void connectionClosedBeforeTheRequestIsReadIsNotRetried(boolean reset) throws Exception {
--- a/gateway/src/test/java/elmsail/gateway/requests/RequestPriorityTest.java
+++ b/gateway/src/test/java/elmsail/gateway/requests/RequestPriorityTest.java
@@ -26,7 +26,7 @@
     return priorities.stream().sorted().toList();
   }
 
-  /** The priorities of all pairs, in the order of tenants first and routes second. */
+  /** The levels of all pairs of a tenant and a route, ordered by tenant and then by route. */
   private static List<Integer> ofAllPairs(List<Integer> tenants, List<Integer> routes) {
     List<Integer> all = new ArrayList<>();
     for (int tenant : tenants) {
@@ -97,8 +97,11 @@
       assertThat(Set.copyOf(priorities).size(), is(priorities.size()));
     }
     for (int i = 1; i < tenantCount; i++) {
-      int lastOfBefore = priorities.get(i * routeCount - 1);
-      assertThat("tenants stay apart", lastOfBefore, lessThan(priorities.get(i * routeCount)));
+      int lastOfPreviousTenant = priorities.get(i * routeCount - 1);
+      assertThat(
+          "levels of different tenants do not overlap",
+          lastOfPreviousTenant,
+          lessThan(priorities.get(i * routeCount)));
     }
   }
 }
