--- a/gateway/src/main/java/elmsail/gateway/requests/RequestForwarder.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/RequestForwarder.java
@@ -80,10 +80,7 @@
     return request.deadlineAt() - context.timers().now();
   }
 
-  /**
-   * Fails the current attempt if its server has become unresponsive and the request can be retried
-   * at another server.
-   */
+  /** Fails an attempt at an unresponsive server if the request can be retried at another one. */
   private void checkServer() {
     long now = context.timers().now();
     if (attempt != null
--- a/gateway/src/test/java/elmsail/gateway/BatchItemExecutionTest.java
+++ b/gateway/src/test/java/elmsail/gateway/BatchItemExecutionTest.java
@@ -265,7 +265,7 @@
     assertThat(server.isClosedByPeer(), is(true));
   }
 
-  /** A server that sends bytes of other responses is responsive: its queued items are kept. */
+  /** A server that sends other responses is responsive, so an item that it has queued is kept. */
   @Test
   void itemQueuedAtABusyServerIsNotAborted() throws Exception {
     startItem(-1);
--- a/gateway/src/test/java/elmsail/gateway/TruncationAtEveryByteTest.java
+++ b/gateway/src/test/java/elmsail/gateway/TruncationAtEveryByteTest.java
@@ -199,6 +199,7 @@
         harness.firstServer.hasNoConnection() && harness.secondServer.hasNoConnection(), is(true));
   }
 
+  /** Guards against taking an extra response for the response to a later request of the same id. */
   @Test
   void repeatedRequestIdIsSentOnANewConnection() {
     RawConnection client = harness.request("unsafe", "a1");
--- a/gateway/src/test/java/elmsail/gateway/requests/RequestAuthenticatorTest.java
+++ b/gateway/src/test/java/elmsail/gateway/requests/RequestAuthenticatorTest.java
@@ -138,7 +138,7 @@
     assertThat(authenticator.authenticateBatchCall("b.example", bearer("k1")), equalTo(OF_TENANT));
   }
 
-  /** CONFIG: nobody is admitted by a key that may have been revoked; nobody is denied either. */
+  /** A key may have been revoked or added since the configuration was last confirmed. */
   @Test
   void keysAreNeitherAdmittedNorDeniedByAnUnconfirmedConfiguration() {
     confirmed.set(false);
