--- a/gateway/src/main/java/elmsail/gateway/requests/ItemDispatcher.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/ItemDispatcher.java
@@ -18,17 +18,17 @@
 import java.util.Set;
 
 /**
- * Runs items of batch jobs at servers, in slots that client requests leave free. Owned by the
+ * Sends items of batch jobs to servers that have capacity not used by client requests. Owned by the
  * gateway's event loop.
  */
 public final class ItemDispatcher implements ItemServers {
-  /** Less urgent than any client request. */
+  /** Less urgent than the priority of any client request. */
   private static final int ITEM_PRIORITY = 8;
 
   private final RequestContext context;
   private final ItemFailures failures = new ItemFailures();
 
-  /** Uses the same servers and counters as client requests. */
+  /** Creates a dispatcher that shares the servers and counters of client requests. */
   public ItemDispatcher(RequestContext context) {
     this.context = context;
   }
@@ -51,9 +51,9 @@
       long resumeAfterEventId,
       RunListener listener) {
     long now = context.timers().now();
-    List<Server> openServers = context.servers().serversOf(route);
-    Set<Server> excluded = serversThatFailed(item.id(), openServers);
-    for (Server server : openServers) {
+    List<Server> routeServers = context.servers().serversOf(route);
+    Set<Server> excluded = serversThatFailed(item.id(), routeServers);
+    for (Server server : routeServers) {
       if (server.availableItemCapacity(now) <= 0) {
         excluded.add(server);
       }
@@ -92,7 +92,7 @@
     return run;
   }
 
-  /** In whose name an item is served: no key is asked for, as its job was accepted with one. */
+  /** An item needs no key, because the key was checked when its job was submitted. */
   private Authentication authenticationOf(TenantName tenant) {
     if (!tenant.isNone()) {
       return new Authentication.OfJob(tenant);
@@ -102,11 +102,11 @@
         : Authentication.Anonymous.NO_TENANTS;
   }
 
-  /** The servers that failed the item, as long as there are others that can be chosen. */
-  private Set<Server> serversThatFailed(String itemId, List<Server> openServers) {
+  /** The servers that failed the item; empty if no other server is available. */
+  private Set<Server> serversThatFailed(String itemId, List<Server> routeServers) {
     Set<Server> failed = new HashSet<>();
     boolean hasOthers = false;
-    for (Server server : openServers) {
+    for (Server server : routeServers) {
       if (failures.hasFailedAt(itemId, server.id())) {
         failed.add(server);
       } else {
@@ -116,7 +116,7 @@
     return hasOthers ? failed : new HashSet<>();
   }
 
-  /** Remembers the server that failed an item, and passes all events on. */
+  /** Records the server that failed an item, and forwards all calls to the run's listener. */
   private final class FailureRecorder implements RunListener {
     private final String itemId;
     private final String serverId;
@@ -134,13 +134,13 @@
     }
 
     @Override
-    public void onEnded(RunOutcome result) {
-      switch (result) {
+    public void onEnded(RunOutcome outcome) {
+      switch (outcome) {
         case FAILED -> failures.add(itemId, serverId);
         case COMPLETED, REJECTED -> failures.remove(itemId);
         default -> {}
       }
-      listener.onEnded(result);
+      listener.onEnded(outcome);
     }
   }
 }
--- a/gateway/src/main/java/elmsail/gateway/requests/ResponseRelay.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/ResponseRelay.java
@@ -10,12 +10,12 @@
 
 /**
  * Relays the responses of a request's attempts to the client as one response. Short responses are
- * buffered until they are complete, so that a truncated one can be retried; streams are relayed as
- * they arrive. Of a resumable stream only complete events are relayed, and the response keeps the
- * head and postmark of the first server. Owned by the gateway's event loop.
+ * buffered until they are complete, so that a truncated response can be retried; streams are
+ * relayed as they arrive. Of a resumable stream only complete events are relayed, and the response
+ * keeps the head and the postmark of the first server. Owned by the gateway's event loop.
  */
 final class ResponseRelay {
-  /** A response that is no stream is buffered up to this size. */
+  /** A response that is not a stream is buffered up to this size. */
   static final int MAX_BUFFERED_BYTES = 64 * 1024;
 
   private enum Mode {
@@ -28,8 +28,8 @@
   private final ResponseSink client;
   private final boolean stream;
   private final boolean resumable;
-  private ServerSentEventSplitter events = new ServerSentEventSplitter(this::onEvent);
-  private HttpResponse onHead;
+  private ServerSentEventSplitter splitter = new ServerSentEventSplitter(this::onEvent);
+  private HttpResponse head;
   private AttemptOutcome outcome;
   private CompositeByteBuf buffered;
   private Mode mode = Mode.NONE;
@@ -41,11 +41,11 @@
   private boolean startReported;
 
   /**
-   * Relays to one client.
+   * Creates the relay of one request.
    *
-   * @param stream whether successes are relayed as they arrive, whatever their type
-   * @param resumable whether another attempt may continue the stream
-   * @param startListener runs once, when the first byte of a server's success has come
+   * @param stream whether successful responses of any content type are relayed as they arrive
+   * @param resumable whether another attempt may resume the stream
+   * @param startListener called once, at the first byte of the body of a successful response
    */
   ResponseRelay(ResponseSink client, boolean stream, boolean resumable, Runnable startListener) {
     this.startListener = startListener;
@@ -58,50 +58,52 @@
     return client;
   }
 
-  /** Whether the client has the head of a response. */
+  /** Whether the head of a response was sent to the client. */
   boolean hasStarted() {
     return hasStarted;
   }
 
-  /** The last event that was relayed, or -1. */
+  /** The id of the last event that was relayed, or -1. */
   long lastEventId() {
     return lastEventId;
   }
 
   /**
-   * Whether an attempt that should have resumed the stream did not continue where it ended; the
-   * response cannot be completed.
+   * Whether an attempt that should have resumed the stream did not continue with the event after
+   * the last relayed one, so that the response cannot be completed.
    */
   boolean isOutOfOrder() {
     return isOutOfOrder;
   }
 
-  /** Whether the client accepts more data for now. */
+  /** Whether more data can be sent to the client without long buffering. */
   boolean clientAcceptsData() {
     return !hasStarted || client.isWritable();
   }
 
-  /** Drops what is buffered of the last attempt's response and expects another one. */
+  /**
+   * Releases the buffered part of the last attempt's response and prepares for the next attempt.
+   */
   void prepareNextAttempt() {
     discard();
     resuming = lastEventId >= 0;
   }
 
-  /** Releases what is buffered. */
+  /** Releases the buffered part of the response. */
   void discard() {
     if (buffered != null) {
       buffered.release();
       buffered = null;
     }
-    events.discard();
-    events = new ServerSentEventSplitter(this::onEvent);
+    splitter.discard();
+    splitter = new ServerSentEventSplitter(this::onEvent);
     mode = Mode.NONE;
-    onHead = null;
+    head = null;
   }
 
-  /** Takes the head of a response; false if it must not be relayed. */
+  /** Receives the head of a response; returns false if the response must not be relayed. */
   boolean onHead(HttpResponse responseHead) {
-    onHead = responseHead;
+    head = responseHead;
     int status = responseHead.status().code();
     HttpHeaders headers = responseHead.headers();
     outcome =
@@ -112,9 +114,9 @@
       return false;
     }
     String type = headers.get("Content-Type");
-    boolean events = type != null && type.startsWith(Headers.EVENT_STREAM);
-    if (success && (events || stream)) {
-      mode = events && resumable ? Mode.EVENTS : Mode.RAW;
+    boolean isEventStream = type != null && type.startsWith(Headers.EVENT_STREAM);
+    if (success && (isEventStream || stream)) {
+      mode = isEventStream && resumable ? Mode.EVENTS : Mode.RAW;
     } else {
       mode = Mode.BUFFER;
     }
@@ -122,14 +124,14 @@
   }
 
   private void reportStartOnce() {
-    int status = onHead == null ? 0 : onHead.status().code();
+    int status = head == null ? 0 : head.status().code();
     if (!startReported && status >= 200 && status < 300) {
       startReported = true;
       startListener.run();
     }
   }
 
-  /** Takes bytes of the body; false if they must not be relayed. */
+  /** Takes ownership of bytes of the body; returns false if they must not be relayed. */
   boolean onData(ByteBuf bytes) {
     reportStartOnce();
     switch (mode) {
@@ -138,7 +140,7 @@
         client.sendData(bytes);
       }
       case EVENTS -> {
-        return events.feed(bytes);
+        return splitter.feed(bytes);
       }
       case BUFFER -> buffer(bytes);
       default -> bytes.release();
@@ -183,33 +185,36 @@
   private void sendHeadOnce() {
     if (!hasStarted) {
       hasStarted = true;
-      long length = mode == Mode.EVENTS ? -1 : HttpUtil.getContentLength(onHead, -1L);
-      client.sendHead(onHead.status().code(), Headers.endToEnd(onHead.headers()), length);
+      long length = mode == Mode.EVENTS ? -1 : HttpUtil.getContentLength(head, -1L);
+      client.sendHead(head.status().code(), Headers.endToEnd(head.headers()), length);
     }
   }
 
   /**
-   * Whether the response is an error that another server may not return, and nothing of it was
-   * relayed.
+   * Whether the response is an error that another server might not return, and no part of it has
+   * been relayed.
    */
   boolean hasRetryableError() {
     return !hasStarted
         && mode == Mode.BUFFER
         && outcome == AttemptOutcome.RESPONDED
-        && RetainedErrorResponse.isRetryable(onHead.status().code());
+        && RetainedErrorResponse.isRetryable(head.status().code());
   }
 
-  /** Takes the complete response out of the relay; see {@link #hasRetryableError}. */
+  /** Removes the complete response from the relay; see {@link #hasRetryableError}. */
   RetainedErrorResponse takeError() {
     RetainedErrorResponse error =
-        new RetainedErrorResponse(onHead, buffered == null ? Unpooled.EMPTY_BUFFER : buffered);
+        new RetainedErrorResponse(head, buffered == null ? Unpooled.EMPTY_BUFFER : buffered);
     buffered = null;
     return error;
   }
 
-  /** The attempt's response is complete: returns its outcome, after relaying it if it is to be. */
+  /**
+   * Handles the end of an attempt's complete response: relays what has not been relayed yet, if its
+   * outcome allows, and returns the outcome.
+   */
   AttemptOutcome onComplete() {
-    if (mode == Mode.EVENTS && events.hasPartialEvent()) {
+    if (mode == Mode.EVENTS && splitter.hasPartialEvent()) {
       return AttemptOutcome.UNKNOWN;
     }
     if (hasStarted && (mode == Mode.RAW || mode == Mode.EVENTS)) {
@@ -220,12 +225,12 @@
       return outcome;
     }
     if (hasStarted) {
-      return AttemptOutcome.UNKNOWN; // a response of another kind in the middle of a stream
+      return AttemptOutcome.UNKNOWN; // a response that is not an event stream cannot resume one
     }
     ByteBuf body = buffered == null ? Unpooled.EMPTY_BUFFER : buffered;
     buffered = null;
     hasStarted = true;
-    client.sendResponse(onHead.status().code(), Headers.endToEnd(onHead.headers()), body);
+    client.sendResponse(head.status().code(), Headers.endToEnd(head.headers()), body);
     return AttemptOutcome.RESPONDED;
   }
 }
--- a/gateway/src/test/java/elmsail/gateway/KeyRevocationTest.java
+++ b/gateway/src/test/java/elmsail/gateway/KeyRevocationTest.java
@@ -15,21 +15,21 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** CONFIG: a key that is taken away while its request is under way admits no further attempt. */
+/** A key that is revoked while its request is in flight must not admit a further attempt. */
 class KeyRevocationTest extends GatewaySocketTest {
   private static final String KEY = "irth5mgjy5rcpihhacru";
   private static final String AUTHORIZATION = "Authorization: Bearer " + KEY;
-  private static final Tenant KAJE = new Tenant("kaje80", 0);
+  private static final Tenant TENANT = new Tenant("kaje80", 0);
 
   @BeforeEach
-  void admitTheKey() throws Exception {
-    harness.clusterState.tenantsByKey = Map.of(KEY, KAJE);
+  void configureKeyAndServers() throws Exception {
+    harness.clusterState.tenantsByKey = Map.of(KEY, TENANT);
     harness.listServers(harness.firstServer, harness.secondServer);
   }
 
-  /** Its tenant keeps another one. */
+  /** Revokes the key; its tenant still has another one. */
   private void revokeKey() {
-    harness.clusterState.tenantsByKey = Map.of("ddedev3nax7u27gxprym", KAJE);
+    harness.clusterState.tenantsByKey = Map.of("ddedev3nax7u27gxprym", TENANT);
   }
 
   private void assertNoFurtherAttempt() {
@@ -51,10 +51,10 @@
     assertNoFurtherAttempt();
   }
 
-  /** REFUSED: what may have run is not answered as if it had not. */
+  /** Guards against a response that reports a request as not run although it may have run. */
   @ParameterizedTest
   @ValueSource(strings = {"safe", "resume"})
-  void requestThatMayHaveRunIsNotSentAgain(String route) {
+  void requestThatMayHaveRunIsNotRetried(String route) {
     RawConnection client = harness.request(route, "a1", AUTHORIZATION);
     RawConnection server = harness.firstServer.acceptRequest();
     revokeKey();
@@ -109,9 +109,11 @@
     }
   }
 
-  /** A silent server may still answer; another one may not be asked. */
+  /**
+   * An unresponsive server may still respond, while the key admits no attempt at another server.
+   */
   @Test
-  void requestStaysWithASilentServer() {
+  void requestIsNotMovedFromAnUnresponsiveServer() {
     RawConnection client = harness.request("resume", "a1", AUTHORIZATION);
     RawConnection server = harness.firstServer.acceptRequest();
     revokeKey();
@@ -126,9 +128,9 @@
     assertThat(harness.secondServer.hasNoConnection(), is(true));
   }
 
-  /** UNASKED: a key passed on to another tenant speaks for that one from then on. */
+  /** After a key is moved to another tenant, further attempts are made for that tenant. */
   @Test
-  void furtherAttemptNamesTheTenantThatHasTheKeyNow() {
+  void furtherAttemptCarriesTheCurrentTenantOfTheKey() {
     RawConnection client = harness.request("safe", "a1", AUTHORIZATION);
     RawConnection server = harness.firstServer.accept();
     assertThat(server.readMessage().header("Elmsail-Sender"), is("kaje80"));
@@ -142,9 +144,11 @@
     assertThat(client.readMessage().status(), is(200));
   }
 
-  /** The configuration may lose its tenants, or get its first, while a request is under way. */
+  /**
+   * Guards against a key that leaks to a server when the configuration changes during a request.
+   */
   @Test
-  void keyStaysHiddenWhereTheNextConfigurationHasNoTenants() {
+  void keyIsNotForwardedAfterTheConfigurationLosesItsTenants() {
     harness.request("safe", "a1", AUTHORIZATION);
     RawConnection server = harness.firstServer.acceptRequest();
     harness.clusterState.tenantsByKey = null;
@@ -155,11 +159,11 @@
   }
 
   @Test
-  void keyIsHiddenWhereTheNextConfigurationHasTenants() {
+  void keyIsNotForwardedAfterTheConfigurationGainsTenants() {
     harness.clusterState.tenantsByKey = null;
     harness.request("safe", "a1", AUTHORIZATION);
     RawConnection server = harness.firstServer.acceptRequest();
-    harness.clusterState.tenantsByKey = Map.of(KEY, KAJE);
+    harness.clusterState.tenantsByKey = Map.of(KEY, TENANT);
     server.write(GatewayTestHarness.notRunResponse(503, "a1"));
     Message received = harness.secondServer.accept().readMessage();
     assertThat(received.header("Authorization"), is(nullValue()));
@@ -167,13 +171,13 @@
   }
 
   @Test
-  void revocationIsToldInTheMetrics() {
+  void revocationIsCountedInTheMetrics() {
     requestThatHasNotRunIsRefused("safe");
     try (RawConnection connection = RawConnection.connect(harness.gateway.readinessAddress())) {
-      String told =
+      String metrics =
           connection.write("GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n").readMessage().body();
-      assertThat(told, containsString("elmsail_requests_key_revoked 1\n"));
-      assertThat(told.contains(KEY), is(false));
+      assertThat(metrics, containsString("elmsail_requests_key_revoked 1\n"));
+      assertThat(metrics.contains(KEY), is(false));
     }
   }
 }
--- a/gateway/src/test/java/elmsail/gateway/requests/RequestPriorityTest.java
+++ b/gateway/src/test/java/elmsail/gateway/requests/RequestPriorityTest.java
@@ -26,7 +26,7 @@
     return priorities.stream().sorted().toList();
   }
 
-  /** The priorities of all pairs, in the order of tenants first and routes second. */
+  /** The levels of all pairs of a tenant and a route, ordered by tenant and then by route. */
   private static List<Integer> ofAllPairs(List<Integer> tenants, List<Integer> routes) {
     List<Integer> all = new ArrayList<>();
     for (int tenant : tenants) {
@@ -51,7 +51,7 @@
   }
 
   @Test
-  void tenantDecidesBeforeTheRoute() {
+  void tenantPriorityTakesPrecedenceOverRoutePriority() {
     List<Integer> tenants = List.of(0, 1);
     List<Integer> routes = List.of(0, 1, 2);
     assertThat(ofAllPairs(tenants, routes), is(List.of(1, 2, 3, 5, 6, 7)));
@@ -65,7 +65,7 @@
   }
 
   @Test
-  void priorityThatTheConfigurationDoesNotHaveRanksBetweenItsNeighbours() {
+  void unconfiguredPriorityRanksBetweenItsNeighbours() {
     List<Integer> tenants = List.of(2, 4);
     List<Integer> routes = List.of(2, 4);
     assertThat(RequestPriority.of(0, tenants, 0, routes), is(1));
@@ -97,8 +97,11 @@
       assertThat(Set.copyOf(priorities).size(), is(priorities.size()));
     }
     for (int i = 1; i < tenantCount; i++) {
-      int lastOfBefore = priorities.get(i * routeCount - 1);
-      assertThat("tenants stay apart", lastOfBefore, lessThan(priorities.get(i * routeCount)));
+      int lastOfPreviousTenant = priorities.get(i * routeCount - 1);
+      assertThat(
+          "levels of different tenants do not overlap",
+          lastOfPreviousTenant,
+          lessThan(priorities.get(i * routeCount)));
     }
   }
 }
