--- a/batch/src/main/java/elmsail/batch/run/ItemRun.java
+++ b/batch/src/main/java/elmsail/batch/run/ItemRun.java
@@ -74,11 +74,11 @@
   }
 
   /** The run was sent; cancels it at once if it is no longer the current one. */
-  void onSent(int run, ItemServers.RunHandle sent) {
+  void onSent(int run, ItemServers.RunHandle sentHandle) {
     if (isCurrent(run) && inFlight) {
-      handle = sent;
+      handle = sentHandle;
     } else if (runNumber > run) {
-      sent.cancel();
+      sentHandle.cancel();
     }
   }
 
--- a/batch/src/main/java/elmsail/batch/run/ItemRunner.java
+++ b/batch/src/main/java/elmsail/batch/run/ItemRunner.java
@@ -74,7 +74,7 @@
     @Override
     public void onEvent(long eventId, byte[] data) {
       if (itemRun.isCurrent(run)) {
-        keepEvent(job, itemRun, eventId, data);
+        appendEvent(job, itemRun, eventId, data);
       }
     }
 
@@ -88,7 +88,7 @@
     }
   }
 
-  private void keepEvent(RunningJob job, ItemRun itemRun, long eventId, byte[] data) {
+  private void appendEvent(RunningJob job, ItemRun itemRun, long eventId, byte[] data) {
     int bytesBefore = itemRun.textBytes();
     boolean inSequence = itemRun.appendEvent(eventId, data);
     job.timeline.onEvent(context.timers().now());
--- a/batch/src/main/java/elmsail/batch/run/JobRunner.java
+++ b/batch/src/main/java/elmsail/batch/run/JobRunner.java
@@ -29,10 +29,10 @@
   private static final long CAPACITY_POLL_INTERVAL_MS = 40;
 
   /** Items are started within this part of {@code cancel_ms} after a confirmation of the lease. */
-  private static final long START_LEASE_TENTHS = 6;
+  private static final long START_WINDOW_TENTHS = 6;
 
   /** Behind this part of it, runs that may not have reached a server are cancelled. */
-  private static final long CANCEL_LEASE_TENTHS = 8;
+  private static final long CANCEL_AFTER_TENTHS = 8;
 
   private final BatchContext context;
   private final BodyLoader bodyLoader;
@@ -41,8 +41,8 @@
   private final ItemRunner itemRunner;
   private final Map<String, RunningJob> jobs = new HashMap<>();
   private final TreeSet<RunningJob> jobsByDueTime = new TreeSet<>();
-  private final long startLeaseMs;
-  private final long cancelLeaseMs;
+  private final long startWindowMs;
+  private final long cancelAfterMs;
   private ItemServers servers;
   private boolean dispatchScheduled;
 
@@ -56,8 +56,8 @@
     this.bodyLoader = new BodyLoader(context, jobClient, this::dispatchSoon);
     this.recorder = new ResultRecorder(context, jobClient, this, onJobChanged);
     this.itemRunner = new ItemRunner(context, unrecordedBytes, new ItemListener());
-    this.startLeaseMs = context.settings().cancelMs() * START_LEASE_TENTHS / 10;
-    this.cancelLeaseMs = context.settings().cancelMs() * CANCEL_LEASE_TENTHS / 10;
+    this.startWindowMs = context.settings().cancelMs() * START_WINDOW_TENTHS / 10;
+    this.cancelAfterMs = context.settings().cancelMs() * CANCEL_AFTER_TENTHS / 10;
   }
 
   private final class ItemListener implements ItemRunner.Listener {
@@ -127,7 +127,7 @@
       stop(jobId);
       return;
     }
-    job.confirm(readAt);
+    job.confirmLease(readAt);
     dispatchSoon();
   }
 
@@ -173,7 +173,7 @@
 
   /** Cancels runs that may not have reached a server, if the lease of the job is in doubt. */
   void cancelUnansweredRuns(RunningJob job) {
-    if (context.timers().now() - job.confirmedAt <= cancelLeaseMs) {
+    if (context.timers().now() - job.leaseConfirmedAt <= cancelAfterMs) {
       return;
     }
     for (ItemRun itemRun : job.itemRuns) {
@@ -226,9 +226,9 @@
       return;
     }
     CapacityBudget budget = new CapacityBudget(servers);
-    List<RunningJob> dispatched = jobsByDueTime();
-    new TenantShares(dispatched).giveTurns(job -> dispatchNextItem(job, config, budget));
-    if (dispatched.stream().anyMatch(RunningJob::hasReadyItems)) {
+    List<RunningJob> runningJobs = jobsByDueTime();
+    new TenantShares(runningJobs).giveTurns(job -> dispatchNextItem(job, config, budget));
+    if (runningJobs.stream().anyMatch(RunningJob::hasReadyItems)) {
       scheduleDispatch(CAPACITY_POLL_INTERVAL_MS);
     }
   }
@@ -267,7 +267,7 @@
 
   private boolean startNextItem(RunningJob job, RoutingConfig config, CapacityBudget budget) {
     long now = context.timers().now();
-    boolean leaseConfirmed = now - job.confirmedAt <= startLeaseMs;
+    boolean leaseConfirmed = now - job.leaseConfirmedAt <= startWindowMs;
     JobDispatch dispatch = new JobDispatch(config, budget, now, leaseConfirmed);
     while (job.hasReadyItems()) {
       ItemRun itemRun = job.itemRuns[job.ready.peek()];
--- a/batch/src/main/java/elmsail/batch/run/JobTimeline.java
+++ b/batch/src/main/java/elmsail/batch/run/JobTimeline.java
@@ -39,29 +39,29 @@
     /**
      * Why an item of a job whose body is loaded is not started.
      *
-     * @param confirmed whether a majority of the stores has confirmed the lease lately
+     * @param leaseConfirmed whether a majority of the stores has confirmed the lease lately
      * @param capacity how many items of the route the servers can take
      */
-    static Stall of(boolean confirmed, int capacity) {
-      if (!confirmed) {
+    static Stall of(boolean leaseConfirmed, int capacity) {
+      if (!leaseConfirmed) {
         return LEASE_UNCONFIRMED;
       }
       return capacity <= 0 ? NO_CAPACITY : MEMORY_FULL;
     }
   }
 
-  private static final long NOT_YET = -1;
+  private static final long NOT_REACHED = -1;
 
   private final long acceptedAt;
   private final long adoptedAt;
   private final Map<Stall, Integer> stalls = new EnumMap<>(Stall.class);
   private final Map<ItemServers.RunOutcome, Integer> outcomes =
       new EnumMap<>(ItemServers.RunOutcome.class);
-  private long bodyAt = NOT_YET;
-  private long firstSentAt = NOT_YET;
-  private long lastSentAt = NOT_YET;
-  private long firstEventAt = NOT_YET;
-  private long lastEndAt = NOT_YET;
+  private long bodyAt = NOT_REACHED;
+  private long firstSentAt = NOT_REACHED;
+  private long lastSentAt = NOT_REACHED;
+  private long firstEventAt = NOT_REACHED;
+  private long lastEndAt = NOT_REACHED;
   private long longestRunMs;
   private int runsSent;
   private int runsCancelled;
@@ -77,7 +77,7 @@
 
   /** The body was loaded; only the first time counts. */
   void onBodyLoaded(long now) {
-    bodyAt = bodyAt == NOT_YET ? now : bodyAt;
+    bodyAt = bodyAt == NOT_REACHED ? now : bodyAt;
   }
 
   /** Ready items were not started in a dispatch. */
@@ -87,14 +87,14 @@
 
   /** A run was sent to a server. */
   void onSent(long now) {
-    firstSentAt = firstSentAt == NOT_YET ? now : firstSentAt;
+    firstSentAt = firstSentAt == NOT_REACHED ? now : firstSentAt;
     lastSentAt = now;
     runsSent++;
   }
 
   /** An event of a run was received. */
   void onEvent(long now) {
-    firstEventAt = firstEventAt == NOT_YET ? now : firstEventAt;
+    firstEventAt = firstEventAt == NOT_REACHED ? now : firstEventAt;
   }
 
   /** A run that was sent at {@code sentAt} has ended by itself. */
@@ -138,6 +138,6 @@
   }
 
   private String since(long at) {
-    return at == NOT_YET ? "never" : Long.toString(at - acceptedAt);
+    return at == NOT_REACHED ? "never" : Long.toString(at - acceptedAt);
   }
 }
--- a/batch/src/main/java/elmsail/batch/run/LeaseKeeper.java
+++ b/batch/src/main/java/elmsail/batch/run/LeaseKeeper.java
@@ -76,7 +76,7 @@
       if (status == HeartbeatMessage.LEASE_HELD) {
         confirmations[index]++;
         if (confirmations[index] == majority) {
-          job.confirm(sentAt);
+          job.confirmLease(sentAt);
         }
       } else if (status == HeartbeatMessage.LEASE_LOST) {
         confirmByRead(job);
@@ -96,23 +96,23 @@
         context.stores(), renewal.request(), RESPONSE_TIMEOUT_MS, renewal::onResponse, () -> {});
     for (RunningJob job : jobs) {
       runner.cancelUnansweredRuns(job);
-      if (renewal.sentAt - job.confirmedAt > UNCONFIRMED_MS) {
+      if (renewal.sentAt - job.leaseConfirmedAt > UNCONFIRMED_MS) {
         confirmByRead(job);
       }
     }
   }
 
   private void confirmByRead(RunningJob job) {
-    if (job.confirmingRead || job.stopped) {
+    if (job.confirmingLeaseByRead || job.stopped) {
       return;
     }
-    job.confirmingRead = true;
+    job.confirmingLeaseByRead = true;
     long startedAt = context.timers().now();
     jobClient
         .read(job.id, RESPONSE_TIMEOUT_MS)
         .whenComplete(
             (record, failure) -> {
-              job.confirmingRead = false;
+              job.confirmingLeaseByRead = false;
               if (failure == null && !job.stopped) {
                 runner.onRecordRead(job.id, record, startedAt);
               }
--- a/batch/src/main/java/elmsail/batch/run/ResultRecorder.java
+++ b/batch/src/main/java/elmsail/batch/run/ResultRecorder.java
@@ -166,7 +166,7 @@
     }
     job.record = record;
     job.recordedAt = context.timers().now();
-    job.confirm(startedAt);
+    job.confirmLease(startedAt);
     releaseRecorded(job, update);
     runner.onFailuresRecorded(job);
     if (record.isComplete()) {
--- a/batch/src/main/java/elmsail/batch/run/RunningJob.java
+++ b/batch/src/main/java/elmsail/batch/run/RunningJob.java
@@ -54,10 +54,10 @@
   long recordedAt;
 
   /** When the job last certainly was open and run by this gateway, in ms of the steady clock. */
-  long confirmedAt;
+  long leaseConfirmedAt;
 
   /** Whether the record is being read to confirm the lease. */
-  boolean confirmingRead;
+  boolean confirmingLeaseByRead;
 
   /** Set for good once this gateway no longer runs the job. */
   boolean stopped;
@@ -70,7 +70,7 @@
     this.record = record;
     this.term = record.term();
     this.acceptedAt = acceptedAt;
-    this.confirmedAt = confirmedAt;
+    this.leaseConfirmedAt = confirmedAt;
     this.recordedAt = acceptedAt;
     this.timeline = new JobTimeline(acceptedAt, now);
     this.itemRuns = new ItemRun[record.items().size()];
@@ -117,8 +117,8 @@
   }
 
   /** The lease was certainly held at this time, in ms of the steady clock. */
-  void confirm(long at) {
-    confirmedAt = Math.max(confirmedAt, at);
+  void confirmLease(long at) {
+    leaseConfirmedAt = Math.max(leaseConfirmedAt, at);
   }
 
   /** Adds the result of the item to those that are to be recorded. */
@@ -208,7 +208,7 @@
 
   @Override
   public int compareTo(RunningJob other) {
-    int byDue = Long.compare(dueAt(), other.dueAt());
-    return byDue != 0 ? byDue : id.compareTo(other.id);
+    int byDueTime = Long.compare(dueAt(), other.dueAt());
+    return byDueTime != 0 ? byDueTime : id.compareTo(other.id);
   }
 }
--- a/batch/src/test/java/elmsail/batch/BatchFaultSimulationTest.java
+++ b/batch/src/test/java/elmsail/batch/BatchFaultSimulationTest.java
@@ -25,9 +25,9 @@
  * and are partitioned at random; all invariants of the protocol are checked.
  */
 class BatchFaultSimulationTest {
-  private static final long LIMIT = 100;
-  private static final long TOKENS = 10;
-  private static final int ITEMS = 5;
+  private static final long MAX_WAITING_TOKENS = 100;
+  private static final long TOKENS_PER_ITEM = 10;
+  private static final int ITEMS_PER_JOB = 5;
   private static final List<TenantName> TWO_TENANTS =
       List.of(new TenantName("argus"), new TenantName("bora"));
 
@@ -49,11 +49,11 @@
     final Map<String, ObservedJob> jobs = new LinkedHashMap<>();
     final List<Throwable> violations = new ArrayList<>();
     final List<TenantName> tenants;
-    int numbers;
+    int nextJobNumber;
 
     /** The jobs belong to these tenants in turns. */
     FaultRun(long seed, List<TenantName> tenants) {
-      cluster = new ReplicatedBatchCluster(seed, 3, LIMIT);
+      cluster = new ReplicatedBatchCluster(seed, 3, MAX_WAITING_TOKENS);
       this.tenants = tenants;
       if (tenants.size() > 1) {
         cluster.config = cluster.config.withKeysRequired();
@@ -64,21 +64,21 @@
       return tenants.get(Integer.parseInt(id.substring("lot".length())) % tenants.size());
     }
 
-    ReplicatedBatchCluster.Gateway gateway() {
+    ReplicatedBatchCluster.Gateway randomGatewayIfUp() {
       ReplicatedBatchCluster.Gateway gateway = cluster.gateways.get(cluster.random.nextInt(3));
       return gateway.up ? gateway : null;
     }
 
     void submit(String id) {
-      ReplicatedBatchCluster.Gateway gateway = gateway();
+      ReplicatedBatchCluster.Gateway gateway = randomGatewayIfUp();
       if (gateway == null) {
         return;
       }
       ObservedJob observed = jobs.computeIfAbsent(id, job -> new ObservedJob());
       int attempt = observed.statuses.size();
       observed.statuses.add(0);
-      check(
-          cluster.submit(tenantOf(id), gateway, id, ITEMS, TOKENS),
+      checkReply(
+          cluster.submit(tenantOf(id), gateway, id, ITEMS_PER_JOB, TOKENS_PER_ITEM),
           reply -> {
             observed.statuses.set(attempt, reply.status());
             if (reply.status() == 202) {
@@ -89,7 +89,7 @@
     }
 
     /** Runs the check and keeps its failure, which the future would swallow. */
-    private void check(
+    private void checkReply(
         CompletableFuture<BatchService.Reply> reply, Consumer<BatchService.Reply> check) {
       reply
           .thenAccept(check)
@@ -106,23 +106,24 @@
         if (tenantOf(job.getKey()).equals(tenant)
             && job.getValue().accepted
             && !job.getValue().cancelRequested) {
-          for (int i = 0; i < ITEMS; i++) {
-            waiting += cluster.served.contains(job.getKey() + "-" + i) ? 0 : TOKENS;
+          for (int i = 0; i < ITEMS_PER_JOB; i++) {
+            waiting +=
+                cluster.completedItemIds.contains(job.getKey() + "-" + i) ? 0 : TOKENS_PER_ITEM;
           }
         }
       }
       assertThat(
           "waiting of '" + tenant.value() + "', seed " + cluster.seed,
           waiting,
-          lessThanOrEqualTo(LIMIT * 11 / 10));
+          lessThanOrEqualTo(MAX_WAITING_TOKENS * 11 / 10));
     }
 
-    void end(String id) {
-      ReplicatedBatchCluster.Gateway gateway = gateway();
+    void cancel(String id) {
+      ReplicatedBatchCluster.Gateway gateway = randomGatewayIfUp();
       if (gateway != null) {
         ObservedJob observed = jobs.get(id);
         observed.cancelRequested = true;
-        check(
+        checkReply(
             gateway.batchApi.cancel(tenantOf(id), id),
             reply -> {
               if (reply.status() == 200 && observed.cancelledAt < 0) {
@@ -134,20 +135,22 @@
     }
 
     void read(String id) {
-      ReplicatedBatchCluster.Gateway gateway = gateway();
+      ReplicatedBatchCluster.Gateway gateway = randomGatewayIfUp();
       if (gateway != null) {
-        check(gateway.batchApi.readResults(tenantOf(id), id, 0, 0), reply -> check(id, reply));
+        checkReply(
+            gateway.batchApi.readResults(tenantOf(id), id, 0, 0),
+            reply -> checkReadReply(id, reply));
       }
       if (gateway != null && tenants.size() > 1) {
-        readByAnother(gateway, id);
+        readAsOtherTenants(gateway, id);
       }
     }
 
     /** What is another tenant's is never shown. */
-    private void readByAnother(ReplicatedBatchCluster.Gateway gateway, String id) {
+    private void readAsOtherTenants(ReplicatedBatchCluster.Gateway gateway, String id) {
       for (TenantName other : tenants) {
         if (!other.equals(tenantOf(id))) {
-          check(
+          checkReply(
               gateway.batchApi.readResults(other, id, 0, 0),
               reply ->
                   assertThat(
@@ -158,12 +161,12 @@
       }
     }
 
-    void check(String id, BatchService.Reply reply) {
+    void checkReadReply(String id, BatchService.Reply reply) {
       ObservedJob observed = jobs.get(id);
       assertThat(id + " seed " + cluster.seed, reply.status(), not(is(404)));
       if (reply.status() == 200) {
         String body = new String(reply.body(), StandardCharsets.UTF_8);
-        assertThat(body, containsString("\"total\":" + ITEMS));
+        assertThat(body, containsString("\"total\":" + ITEMS_PER_JOB));
         String results = body.substring(body.indexOf('[') + 1, body.length() - 2);
         boolean longer = results.length() >= observed.results.length();
         assertThat(
@@ -207,7 +210,7 @@
       for (int step = 0; step < 60; step++) {
         for (int i = 0; i < tenants.size(); i++) {
           if (cluster.random.nextInt(3) > 0) {
-            submit("lot" + numbers++);
+            submit("lot" + nextJobNumber++);
           }
         }
         for (Map.Entry<String, ObservedJob> job : jobs.entrySet()) {
@@ -217,7 +220,7 @@
             read(job.getKey());
           }
           if (job.getValue().accepted && cluster.random.nextInt(80) == 0) {
-            end(job.getKey());
+            cancel(job.getKey());
           }
         }
         if (step % 6 == 2 && cluster.allStoresVoting()) {
@@ -234,7 +237,7 @@
     }
   }
 
-  private static void checkEnd(FaultRun faultRun) {
+  private static void checkFinalState(FaultRun faultRun) {
     for (SimServers servers : faultRun.cluster.allServers) {
       for (SimServers.Run run : servers.runs) {
         checkRun(faultRun, run);
@@ -250,31 +253,31 @@
 
   /** No item of a rejected job runs, and none of a cancelled one long after its cancellation. */
   private static void checkRun(FaultRun faultRun, SimServers.Run run) {
-    String where = ", seed " + faultRun.cluster.seed;
+    String seedSuffix = ", seed " + faultRun.cluster.seed;
     String jobId = run.item.id().substring(0, run.item.id().indexOf('-'));
     ObservedJob observed = faultRun.jobs.get(jobId);
     boolean rejected = observed.statuses.stream().allMatch(s -> s == 429 || s == 503);
-    assertThat(jobId + where, run.tenant, is(faultRun.tenantOf(jobId)));
-    assertThat(jobId + " ran though each attempt was rejected" + where, rejected, is(false));
+    assertThat(jobId + seedSuffix, run.tenant, is(faultRun.tenantOf(jobId)));
+    assertThat(jobId + " ran though each attempt was rejected" + seedSuffix, rejected, is(false));
     if (observed.cancelledAt >= 0) {
       assertThat(
-          jobId + " ran after its cancellation" + where,
+          jobId + " ran after its cancellation" + seedSuffix,
           run.startedAt - observed.cancelledAt,
           lessThanOrEqualTo(3_000L));
     }
   }
 
   private static void checkResults(FaultRun faultRun, String jobId, ObservedJob observed) {
-    String where = ", seed " + faultRun.cluster.seed;
+    String seedSuffix = ", seed " + faultRun.cluster.seed;
     BatchApi batchApi = faultRun.cluster.gateways.get(0).batchApi;
     BatchService.Reply reply =
         faultRun.cluster.await(batchApi.readResults(faultRun.tenantOf(jobId), jobId, 0, 0));
-    assertThat(jobId + where, reply.status(), is(200));
-    faultRun.check(jobId, reply);
+    assertThat(jobId + seedSuffix, reply.status(), is(200));
+    faultRun.checkReadReply(jobId, reply);
     String body = new String(reply.body(), StandardCharsets.UTF_8);
     if (!observed.cancelRequested) {
-      for (int i = 0; i < ITEMS; i++) {
-        assertThat(where, body, containsString(JobJson.completedResult(jobId + "-" + i)));
+      for (int i = 0; i < ITEMS_PER_JOB; i++) {
+        assertThat(seedSuffix, body, containsString(JobJson.completedResult(jobId + "-" + i)));
       }
     }
   }
@@ -284,23 +287,25 @@
     BatchService.Reply item =
         faultRun.cluster.await(
             batchApi.readItemBody(faultRun.tenantOf(jobId), jobId, jobId + "-1"));
-    String where = ", seed " + faultRun.cluster.seed;
-    assertThat(jobId + where, item.status(), is(200));
+    String seedSuffix = ", seed " + faultRun.cluster.seed;
+    assertThat(jobId + seedSuffix, item.status(), is(200));
     assertThat(
-        jobId + where, new String(item.body(), StandardCharsets.UTF_8), is("body " + jobId + "1"));
+        jobId + seedSuffix,
+        new String(item.body(), StandardCharsets.UTF_8),
+        is("body " + jobId + "1"));
   }
 
   /** How many jobs were accepted, refused at least once, and cancelled. */
   private static final class Outcomes {
     int accepted;
-    int refused;
-    int ended;
+    int rejected;
+    int cancelled;
 
     void add(FaultRun faultRun) {
       for (ObservedJob observed : faultRun.jobs.values()) {
         accepted += observed.accepted ? 1 : 0;
-        ended += observed.cancelledAt >= 0 ? 1 : 0;
-        refused += observed.statuses.contains(429) ? 1 : 0;
+        cancelled += observed.cancelledAt >= 0 ? 1 : 0;
+        rejected += observed.statuses.contains(429) ? 1 : 0;
       }
     }
   }
@@ -312,7 +317,7 @@
       faultRun.run();
       assertThat("faults, seed " + seed, faultRun.cluster.net.handlerFaults(), is(empty()));
       assertThat("seed " + seed, faultRun.violations, is(empty()));
-      checkEnd(faultRun);
+      checkFinalState(faultRun);
       outcomes.add(faultRun);
     }
     return outcomes;
@@ -322,8 +327,8 @@
   void invariantsHoldUnderRandomFaults() {
     Outcomes outcomes = runSeeds(16, List.of(TenantName.NONE));
     assertThat(outcomes.accepted, greaterThan(200));
-    assertThat(outcomes.refused, greaterThan(20));
-    assertThat(outcomes.ended, greaterThan(10));
+    assertThat(outcomes.rejected, greaterThan(20));
+    assertThat(outcomes.cancelled, greaterThan(10));
   }
 
   /** QUOTA and the others for each of two tenants that share the route, gateways and stores. */
@@ -331,19 +336,20 @@
   void invariantsHoldForEachTenantUnderRandomFaults() {
     Outcomes outcomes = runSeeds(TENANT_SEEDS, TWO_TENANTS);
     assertThat(outcomes.accepted, greaterThan(20 * TENANT_SEEDS));
-    assertThat(outcomes.refused, greaterThan(TENANT_SEEDS));
-    assertThat(outcomes.ended, greaterThan(TENANT_SEEDS / 2));
+    assertThat(outcomes.rejected, greaterThan(TENANT_SEEDS));
+    assertThat(outcomes.cancelled, greaterThan(TENANT_SEEDS / 2));
     System.out.printf(
         "two tenants, %d seeds: %d jobs accepted, %d refused at least once, %d cancelled%n",
-        TENANT_SEEDS, outcomes.accepted, outcomes.refused, outcomes.ended);
+        TENANT_SEEDS, outcomes.accepted, outcomes.rejected, outcomes.cancelled);
   }
 
   @Test
-  void anAcceptedJobSurvivesItsGatewayAndAnyOneDisk() {
+  void anAcceptedJobSurvivesTheLossOfItsGatewayAndOfAnyOneDisk() {
     for (int seed = 0; seed < 9; seed++) {
-      ReplicatedBatchCluster cluster = new ReplicatedBatchCluster(seed, 3, LIMIT);
+      ReplicatedBatchCluster cluster = new ReplicatedBatchCluster(seed, 3, MAX_WAITING_TOKENS);
       ReplicatedBatchCluster.Gateway gateway = cluster.gateways.get(0);
-      CompletableFuture<BatchService.Reply> reply = cluster.submit(gateway, "a", ITEMS, TOKENS);
+      CompletableFuture<BatchService.Reply> reply =
+          cluster.submit(gateway, "a", ITEMS_PER_JOB, TOKENS_PER_ITEM);
       assertThat(cluster.await(reply).status(), is(202));
       gateway.kill();
       cluster.stores.get(seed % 3).kill(true);
@@ -356,7 +362,7 @@
                   .await(cluster.gateways.get(1).batchApi.readResults(TenantName.NONE, "a", 0, 0))
                   .body(),
               StandardCharsets.UTF_8);
-      assertThat("seed " + seed, body, containsString("\"next_token\":" + ITEMS));
+      assertThat("seed " + seed, body, containsString("\"next_token\":" + ITEMS_PER_JOB));
     }
   }
 }
--- a/batch/src/test/java/elmsail/batch/DoubleSubmissionTest.java
+++ b/batch/src/test/java/elmsail/batch/DoubleSubmissionTest.java
@@ -101,7 +101,7 @@
       cluster.timers.advance(12_000);
       List<String> found = new ArrayList<>();
       for (SubmittedJob job : jobs) {
-        if (job.allRejected() && cluster.served.contains(job.id + "-0")) {
+        if (job.allRejected() && cluster.completedItemIds.contains(job.id + "-0")) {
           found.add(job.id);
         }
       }
--- a/batch/src/test/java/elmsail/batch/FailingItemsTest.java
+++ b/batch/src/test/java/elmsail/batch/FailingItemsTest.java
@@ -16,14 +16,14 @@
   private static final String NO_RESULTS = "\"next_token\":0,\"deliveries\":[]";
   private static final String FAILED_STATE = "\"state\":\"undeliverable\"";
 
-  private static SimBatchCluster accepted(long seed, int gateways, int items) {
+  private static SimBatchCluster clusterWithAcceptedJob(long seed, int gateways, int items) {
     SimBatchCluster cluster = new SimBatchCluster(seed, gateways, 1_000);
     assertThat(cluster.status(cluster.submit(0, "a", items, 10)), is(202));
     cluster.timers.advance(30);
     return cluster;
   }
 
-  private static SimBatchCluster.Gateway runner(SimBatchCluster cluster) {
+  private static SimBatchCluster.Gateway gatewayWithOpenRun(SimBatchCluster cluster) {
     for (SimBatchCluster.Gateway gateway : cluster.gateways) {
       if (gateway.up && gateway.servers.openRuns() > 0) {
         return gateway;
@@ -41,13 +41,13 @@
   @Test
   void theNextRunnerContinuesTheCountOfFailedAttempts() {
     for (int seed = 0; seed < 20; seed++) {
-      SimBatchCluster cluster = accepted(seed, 3, 1);
+      SimBatchCluster cluster = clusterWithAcceptedJob(seed, 3, 1);
       cluster.gateways.get(0).servers.lastRun().end(RunOutcome.FAILED);
       cluster.timers.advance(300);
       assertThat(cluster.read(1, "a", 0), containsString(NO_RESULTS));
       kill(cluster.gateways.get(0));
       cluster.timers.advance(6_000);
-      runner(cluster).servers.lastRun().end(RunOutcome.FAILED);
+      gatewayWithOpenRun(cluster).servers.lastRun().end(RunOutcome.FAILED);
       cluster.timers.advance(500);
       assertThat(
           "two failed attempts, seed " + seed,
@@ -59,9 +59,9 @@
   /** BUDGET: a takeover in between hides one failed attempt at most. */
   @Test
   void aFailedItemIsRetriedOnlyOnceItsFailureIsRecorded() {
-    SimBatchCluster cluster = accepted(31, 1, 1);
+    SimBatchCluster cluster = clusterWithAcceptedJob(31, 1, 1);
     SimBatchCluster.Gateway gateway = cluster.gateways.get(0);
-    cluster.stores.forEach(store -> cluster.cut(gateway.address, store.address, true));
+    cluster.stores.forEach(store -> cluster.setLinkCut(gateway.address, store.address, true));
     gateway.servers.lastRun().end(RunOutcome.FAILED);
     cluster.timers.advance(1_000);
     assertThat(gateway.servers.runs, hasSize(1));
@@ -76,14 +76,14 @@
   /** MIXED: neither lost connections nor rejections by servers count as failed attempts. */
   @Test
   void onlyResponsesOf500CountAsFailedAttempts() {
-    SimBatchCluster cluster = accepted(32, 2, 1);
+    SimBatchCluster cluster = clusterWithAcceptedJob(32, 2, 1);
     cluster.gateways.get(0).servers.lastRun().end(RunOutcome.OUTCOME_UNKNOWN);
     cluster.timers.advance(500);
     cluster.gateways.get(0).servers.lastRun().end(RunOutcome.NOT_RUN);
     cluster.timers.advance(500);
     kill(cluster.gateways.get(0));
     cluster.timers.advance(6_000);
-    SimBatchCluster.Gateway next = runner(cluster);
+    SimBatchCluster.Gateway next = gatewayWithOpenRun(cluster);
     next.servers.lastRun().end(RunOutcome.FAILED);
     cluster.timers.advance(500);
     assertThat(cluster.read(1, "a", 0), containsString(NO_RESULTS));
@@ -94,7 +94,7 @@
 
   /** LOST: a job whose body is lost is not stuck for ever. */
   @Test
-  void anItemWithoutABodyFailsAfterItsShelfLife() {
+  void anItemWhoseBodyIsLostFailsAfterItsTimeToLive() {
     SimBatchCluster cluster = new SimBatchCluster(33, 2, 1_000);
     cluster.gateways.get(0).servers.capacity = 0;
     assertThat(cluster.status(cluster.submit(0, "a", 2, 10)), is(202));
@@ -108,8 +108,8 @@
 
   /** LOST: an item whose runs all break is retried, and given up in the end. */
   @Test
-  void anItemWhoseRunsAllBreakFailsAfterItsShelfLife() {
-    SimBatchCluster cluster = accepted(34, 1, 1);
+  void anItemWhoseRunsAllEndWithAnUnknownOutcomeFailsAfterItsTimeToLive() {
+    SimBatchCluster cluster = clusterWithAcceptedJob(34, 1, 1);
     SimServers servers = cluster.gateways.get(0).servers;
     for (int i = 0; i < 120; i++) {
       servers.lastRun().end(RunOutcome.OUTCOME_UNKNOWN);
@@ -124,18 +124,21 @@
 
   /** LOST: an accepted job stays accepted, also after its routes were removed. */
   @Test
-  void aResubmittedJobIsAcceptedThoughItsRoutesAreGone() {
-    SimBatchCluster cluster = accepted(35, 2, 1);
+  void aResubmittedJobIsAcceptedAfterItsRoutesWereRemoved() {
+    SimBatchCluster cluster = clusterWithAcceptedJob(35, 2, 1);
     Route route = cluster.route();
-    cluster.gateways.get(1).initialConfig = new SimConfig(2, List.of());
-    byte[] same = JobJson.job("a", 1, 10);
-    byte[] other = JobJson.job("b", 1, 10);
-    BatchService second = cluster.gateways.get(1).batchApi;
-    assertThat(cluster.status(second.submit(TenantName.NONE, route, "a", same, 3_000)), is(202));
-    assertThat(cluster.status(second.submit(TenantName.NONE, route, "b", other, 3_000)), is(400));
+    cluster.gateways.get(1).config = new SimConfig(2, List.of());
+    byte[] jobA = JobJson.job("a", 1, 10);
+    byte[] jobB = JobJson.job("b", 1, 10);
+    BatchService secondGateway = cluster.gateways.get(1).batchApi;
+    assertThat(
+        cluster.status(secondGateway.submit(TenantName.NONE, route, "a", jobA, 3_000)), is(202));
+    assertThat(
+        cluster.status(secondGateway.submit(TenantName.NONE, route, "b", jobB, 3_000)), is(400));
     cluster.stores.get(0).up = false;
     cluster.stores.get(1).up = false;
-    assertThat(cluster.status(second.submit(TenantName.NONE, route, "b", other, 3_000)), is(503));
+    assertThat(
+        cluster.status(secondGateway.submit(TenantName.NONE, route, "b", jobB, 3_000)), is(503));
   }
 
   /** LOST: a resubmission is accepted over quota, after completion and after cancellation. */
--- a/batch/src/test/java/elmsail/batch/IdleItemsTest.java
+++ b/batch/src/test/java/elmsail/batch/IdleItemsTest.java
@@ -21,58 +21,59 @@
 class IdleItemsTest {
   private static final int GATEWAYS = 3;
   private static final int JOBS = 4;
-  private static final int ITEMS = 12;
+  private static final int ITEMS_PER_JOB = 12;
   private static final int CAPACITY = 6;
-  private static final long TROUBLE_MS = 6_000;
+  private static final long FAULT_PHASE_MS = 6_000;
   private static final long STEP_MS = 20;
 
   /** A runner that died is missed for 2 s and more; the rule allows 5 s. */
   private static final long MAX_IDLE_MS = 4_000;
 
-  private static final long MAX_CALM_MS = 20_000;
+  private static final long MAX_RECOVERY_MS = 20_000;
 
   private SimBatchCluster cluster;
   private Random random;
-  private SimBatchCluster.Gateway dead;
+  private SimBatchCluster.Gateway crashedGateway;
 
-  private void begin(long seed) {
+  private void submitJobs(long seed) {
     cluster = new SimBatchCluster(seed, GATEWAYS, 1_000_000);
     random = new Random(seed);
-    dead = null;
+    crashedGateway = null;
     for (SimBatchCluster.Gateway gateway : cluster.gateways) {
       gateway.servers.capacity = CAPACITY;
     }
     for (int job = 0; job < JOBS; job++) {
-      assertThat(cluster.status(cluster.submit(job % GATEWAYS, "j" + job, ITEMS, 10)), is(202));
+      assertThat(
+          cluster.status(cluster.submit(job % GATEWAYS, "j" + job, ITEMS_PER_JOB, 10)), is(202));
     }
   }
 
-  private void causeTrouble() {
-    for (long end = cluster.timers.now() + TROUBLE_MS; cluster.timers.now() < end; ) {
+  private void injectFaults() {
+    for (long end = cluster.timers.now() + FAULT_PHASE_MS; cluster.timers.now() < end; ) {
       cluster.timers.advance(STEP_MS);
-      endSomeRuns();
+      endRandomRuns();
       if (random.nextInt(40) == 0) {
-        cutOrHealALink();
+        cutOrRestoreRandomLink();
       }
-      if (dead == null && random.nextInt(400) == 0) {
-        dead = cluster.gateways.get(random.nextInt(GATEWAYS));
-        dead.up = false;
-        dead.servers.closeConnections();
+      if (crashedGateway == null && random.nextInt(400) == 0) {
+        crashedGateway = cluster.gateways.get(random.nextInt(GATEWAYS));
+        crashedGateway.up = false;
+        crashedGateway.servers.closeConnections();
       }
     }
   }
 
-  private void endSomeRuns() {
+  private void endRandomRuns() {
     for (SimBatchCluster.Gateway gateway : cluster.gateways) {
       for (SimServers.Run run : new ArrayList<>(gateway.servers.runs)) {
         if (gateway.up && !run.ended && random.nextInt(30) == 0) {
-          endSomehow(run);
+          endWithRandomOutcome(run);
         }
       }
     }
   }
 
-  private void endSomehow(SimServers.Run run) {
+  private void endWithRandomOutcome(SimServers.Run run) {
     switch (random.nextInt(6)) {
       case 0 -> run.end(RunOutcome.NOT_RUN);
       case 1 -> run.end(RunOutcome.OUTCOME_UNKNOWN);
@@ -81,13 +82,13 @@
     }
   }
 
-  private void cutOrHealALink() {
+  private void cutOrRestoreRandomLink() {
     String gateway = cluster.gateways.get(random.nextInt(GATEWAYS)).address;
     String other =
         random.nextBoolean()
             ? cluster.stores.get(random.nextInt(cluster.stores.size())).address
             : cluster.gateways.get(random.nextInt(GATEWAYS)).address;
-    cluster.cut(gateway, other, random.nextInt(3) > 0);
+    cluster.setLinkCut(gateway, other, random.nextInt(3) > 0);
   }
 
   private void heal() {
@@ -98,8 +99,8 @@
     }
   }
 
-  private int survivor() {
-    return cluster.gateways.get(0) == dead ? 1 : 0;
+  private int liveGatewayIndex() {
+    return cluster.gateways.get(0) == crashedGateway ? 1 : 0;
   }
 
   private boolean hasRun(String item) {
@@ -109,62 +110,67 @@
         .anyMatch(run -> run.item.id().equals(item) && !run.ended && !run.cancelled);
   }
 
-  private List<String> unlistedItems() {
-    List<String> unlisted = new ArrayList<>();
+  private List<String> itemsWithoutResult() {
+    List<String> withoutResult = new ArrayList<>();
     for (int job = 0; job < JOBS; job++) {
-      String results = cluster.read(survivor(), "j" + job, 0);
+      String results = cluster.read(liveGatewayIndex(), "j" + job, 0);
       assertThat(results.substring(0, 3), is("200"));
-      for (int item = 0; item < ITEMS; item++) {
+      for (int item = 0; item < ITEMS_PER_JOB; item++) {
         String id = "j" + job + "-" + item;
         if (!results.contains("\"id\":\"" + id + "\"")) {
-          unlisted.add(id);
+          withoutResult.add(id);
         }
       }
     }
-    return unlisted;
+    return withoutResult;
   }
 
   /** Watches until all items are listed; returns for how long one idled at most. */
   private long longestIdleMs(long seed) {
     Map<String, Long> lastBusyAt = new HashMap<>();
     long healedAt = cluster.timers.now();
-    long longest = 0;
-    List<String> unlisted = unlistedItems();
-    while (!unlisted.isEmpty()) {
+    long longestMs = 0;
+    List<String> withoutResult = itemsWithoutResult();
+    while (!withoutResult.isEmpty()) {
       assertThat(
-          "seed " + seed + " waits for " + unlisted,
+          "seed " + seed + " waits for " + withoutResult,
           cluster.timers.now() - healedAt,
-          lessThanOrEqualTo(MAX_CALM_MS));
-      for (String item : unlisted) {
+          lessThanOrEqualTo(MAX_RECOVERY_MS));
+      for (String item : withoutResult) {
         if (hasRun(item)) {
           lastBusyAt.put(item, cluster.timers.now());
         }
-        long idle = cluster.timers.now() - lastBusyAt.getOrDefault(item, healedAt);
-        longest = Math.max(longest, idle);
+        long idleMs = cluster.timers.now() - lastBusyAt.getOrDefault(item, healedAt);
+        longestMs = Math.max(longestMs, idleMs);
       }
       cluster.timers.advance(STEP_MS);
-      unlisted = unlistedItems();
+      withoutResult = itemsWithoutResult();
     }
-    return longest;
+    return longestMs;
   }
 
   @Test
-  void noUnlistedItemIdlesAfterTroubleHasEnded() {
-    long longest = 0;
-    int deaths = 0;
-    int leftBehind = 0;
+  void everyItemWithoutResultIsRunAgainInTimeAfterFaultsEnd() {
+    long longestMs = 0;
+    int crashes = 0;
+    int unfinishedItems = 0;
     for (long seed = 0; seed < 60; seed++) {
-      begin(seed);
-      causeTrouble();
+      submitJobs(seed);
+      injectFaults();
       heal();
-      leftBehind += unlistedItems().size();
-      longest = Math.max(longest, longestIdleMs(seed));
-      deaths += dead == null ? 0 : 1;
+      unfinishedItems += itemsWithoutResult().size();
+      longestMs = Math.max(longestMs, longestIdleMs(seed));
+      crashes += crashedGateway == null ? 0 : 1;
     }
-    assertThat("items unlisted when trouble ended", leftBehind, greaterThan(60));
-    assertThat("gateways that died", deaths, greaterThan(10));
-    assertThat("longest time without a run, in ms", longest, lessThanOrEqualTo(MAX_IDLE_MS));
+    assertThat("items unlisted when trouble ended", unfinishedItems, greaterThan(60));
+    assertThat("gateways that died", crashes, greaterThan(10));
+    assertThat("longest time without a run, in ms", longestMs, lessThanOrEqualTo(MAX_IDLE_MS));
     System.out.println(
-        leftBehind + " items left, " + deaths + " deaths, idle for " + longest + " ms at most");
+        unfinishedItems
+            + " items left, "
+            + crashes
+            + " deaths, idle for "
+            + longestMs
+            + " ms at most");
   }
 }
--- a/batch/src/test/java/elmsail/batch/JobLeaseTest.java
+++ b/batch/src/test/java/elmsail/batch/JobLeaseTest.java
@@ -16,7 +16,7 @@
   private static final String NO_RESULTS = "\"next_token\":0,\"deliveries\":[]";
 
   @Test
-  void aCancelledJobStopsAtOnceAtItsRunner() {
+  void aCancelledJobIsStoppedAtOnceByItsRunner() {
     SimBatchCluster cluster = new SimBatchCluster(10, 2, 1_000);
     SimServers servers = cluster.gateways.get(0).servers;
     servers.capacity = 2;
@@ -35,7 +35,7 @@
   }
 
   @Test
-  void aCancellationThatDoesNotReachTheRunnerStopsItInTime() {
+  void aCancellationThatDoesNotReachTheRunnerStopsItsRunsWithinTheBound() {
     for (int seed = 0; seed < 30; seed++) {
       SimBatchCluster cluster = new SimBatchCluster(seed, 2, 1_000);
       SimBatchCluster.Gateway runner = cluster.gateways.get(0);
@@ -43,39 +43,41 @@
       runner.servers.serviceTimeMs = 60;
       assertThat(cluster.status(cluster.submit(0, "a", 200, 1)), is(202));
       cluster.timers.advance(200);
-      cluster.cut(runner.address, cluster.gateways.get(1).address, true);
+      cluster.setLinkCut(runner.address, cluster.gateways.get(1).address, true);
       if (seed % 2 == 0) {
-        cluster.stores.forEach(store -> cluster.cut(runner.address, store.address, true));
+        cluster.stores.forEach(store -> cluster.setLinkCut(runner.address, store.address, true));
       }
       assertThat(
           cluster.status(cluster.gateways.get(1).batchApi.cancel(TenantName.NONE, "a")), is(200));
-      long ended = cluster.timers.now();
+      long cancelledAt = cluster.timers.now();
       cluster.timers.advance(10_000);
       assertThat(
-          "seed " + seed, runner.servers.lastRun().startedAt - ended, lessThanOrEqualTo(2_400L));
+          "seed " + seed,
+          runner.servers.lastRun().startedAt - cancelledAt,
+          lessThanOrEqualTo(2_400L));
     }
   }
 
   @Test
-  void aRunnerThatLosesItsLeaseStartsNothingMore() {
+  void aRunnerWithoutConfirmedLeaseStartsNoItemsUntilTheStoresAreReachable() {
     SimBatchCluster cluster = new SimBatchCluster(11, 1, 1_000);
     SimBatchCluster.Gateway runner = cluster.gateways.get(0);
     runner.servers.capacity = 1;
     runner.servers.serviceTimeMs = 50;
     assertThat(cluster.status(cluster.submit(0, "a", 200, 1)), is(202));
     cluster.timers.advance(300);
-    cluster.stores.forEach(store -> cluster.cut(runner.address, store.address, true));
+    cluster.stores.forEach(store -> cluster.setLinkCut(runner.address, store.address, true));
     long cutAt = cluster.timers.now();
     cluster.timers.advance(6_000);
     assertThat(runner.servers.lastRun().startedAt - cutAt, lessThanOrEqualTo(1_800L));
     cluster.cutLinks.clear();
-    int before = runner.servers.runs.size();
+    int runsBefore = runner.servers.runs.size();
     cluster.timers.advance(3_000);
-    assertThat(runner.servers.runs.size(), greaterThan(before));
+    assertThat(runner.servers.runs.size(), greaterThan(runsBefore));
   }
 
   @Test
-  void aJobWhoseRunnerDiedIsTakenOverAndItsResultsStay() {
+  void aJobWhoseRunnerCrashedIsTakenOverAndItsRecordedResultsStay() {
     for (int seed = 0; seed < 20; seed++) {
       SimBatchCluster cluster = new SimBatchCluster(seed, 3, 1_000);
       cluster.gateways.get(0).servers.capacity = 2;
@@ -83,17 +85,18 @@
       cluster.timers.advance(50);
       cluster.gateways.get(0).servers.runs.get(1).complete();
       cluster.timers.advance(200);
-      String first = cluster.read(1, "a", 0);
-      assertThat(first, containsString("\"next_token\":1"));
+      String resultsBefore = cluster.read(1, "a", 0);
+      assertThat(resultsBefore, containsString("\"next_token\":1"));
       cluster.gateways.get(0).up = false;
       cluster.gateways.get(1).servers.serviceTimeMs = 40;
       cluster.gateways.get(2).servers.serviceTimeMs = 40;
       cluster.timers.advance(6_000);
-      String later = cluster.read(2, "a", 0);
-      assertThat(later, containsString("\"next_token\":5"));
+      String resultsAfter = cluster.read(2, "a", 0);
+      assertThat(resultsAfter, containsString("\"next_token\":5"));
       assertThat(
-          later.substring(later.indexOf('[')),
-          startsWith(first.substring(first.indexOf('['), first.length() - 2)));
+          resultsAfter.substring(resultsAfter.indexOf('[')),
+          startsWith(
+              resultsBefore.substring(resultsBefore.indexOf('['), resultsBefore.length() - 2)));
       int runs =
           cluster.gateways.get(1).servers.runs.size() + cluster.gateways.get(2).servers.runs.size();
       assertThat("each remaining item ran once, seed " + seed, runs, is(4));
@@ -107,13 +110,13 @@
     assertThat(cluster.status(cluster.submit(0, "a", 1, 10)), is(202));
     cluster.timers.advance(30);
     former.servers.lastRun().event(0, "former");
-    cluster.stores.forEach(store -> cluster.cut(former.address, store.address, true));
+    cluster.stores.forEach(store -> cluster.setLinkCut(former.address, store.address, true));
     cluster.timers.advance(5_000);
-    SimServers later = cluster.gateways.get(1).servers;
-    assertThat(later.runs, hasSize(1));
+    SimServers newServers = cluster.gateways.get(1).servers;
+    assertThat(newServers.runs, hasSize(1));
     former.servers.runs.get(0).event(1, "former");
     former.servers.runs.get(0).end(RunOutcome.COMPLETED);
-    later.lastRun().complete();
+    newServers.lastRun().complete();
     cluster.timers.advance(200);
     String results = cluster.read(1, "a", 0);
     assertThat(results, containsString("a-0/0"));
@@ -130,7 +133,7 @@
     SimBatchCluster.Gateway former = cluster.gateways.get(0);
     assertThat(cluster.status(cluster.submit(0, "a", 2, 10)), is(202));
     cluster.timers.advance(30);
-    cluster.stores.forEach(store -> cluster.cut(former.address, store.address, true));
+    cluster.stores.forEach(store -> cluster.setLinkCut(former.address, store.address, true));
     cluster.timers.advance(4_000);
     assertThat(cluster.gateways.get(1).batchApi.runningJobs(), is(1));
     former.servers.runs.forEach(
@@ -143,12 +146,12 @@
   }
 
   @Test
-  void aFormerRunnerWithoutResultsStopsToo() {
+  void aFormerRunnerWithoutResultsStopsTheJob() {
     SimBatchCluster cluster = new SimBatchCluster(21, 2, 1_000);
     SimBatchCluster.Gateway former = cluster.gateways.get(0);
     former.servers.capacity = 0;
     assertThat(cluster.status(cluster.submit(0, "a", 2, 10)), is(202));
-    cluster.stores.forEach(store -> cluster.cut(former.address, store.address, true));
+    cluster.stores.forEach(store -> cluster.setLinkCut(former.address, store.address, true));
     cluster.timers.advance(5_000);
     cluster.cutLinks.clear();
     cluster.timers.advance(2_000);
@@ -162,7 +165,7 @@
     SimBatchCluster.Gateway runner = cluster.gateways.get(0);
     assertThat(cluster.status(cluster.submit(0, "a", 2, 10)), is(202));
     cluster.timers.advance(30);
-    cluster.cut(runner.address, cluster.stores.get(1).address, true);
+    cluster.setLinkCut(runner.address, cluster.stores.get(1).address, true);
     cluster.timers.advance(20_000);
     assertThat(runner.batchApi.runningJobs(), is(1));
     assertThat(
@@ -180,7 +183,7 @@
     assertThat(cluster.status(cluster.submit(0, "a", 2, 10)), is(202));
     cluster.timers.advance(30);
     SimJobStore stale = cluster.stores.get(2);
-    cluster.gateways.forEach(gateway -> cluster.cut(gateway.address, stale.address, true));
+    cluster.gateways.forEach(gateway -> cluster.setLinkCut(gateway.address, stale.address, true));
     cluster.gateways.get(0).servers.runs.forEach(SimServers.Run::complete);
     cluster.timers.advance(3_000);
     assertThat(SimBatchCluster.waitingTokens(stale), is(20L));
@@ -190,7 +193,7 @@
   }
 
   @Test
-  void aLiveRunnerKeepsItsJobsWhenAStoreRestarts() {
+  void aLiveRunnerKeepsItsJobWhenStoresRestartOrFail() {
     SimBatchCluster cluster = new SimBatchCluster(13, 3, 1_000);
     assertThat(cluster.status(cluster.submit(0, "a", 1, 10)), is(202));
     for (int i = 0; i < 12; i++) {
@@ -228,30 +231,31 @@
             gateway.servers.capacity = 3;
           });
       assertThat(cluster.status(cluster.submit(0, "a", 20, 10)), is(202));
-      String before = "";
+      String resultsBefore = "";
       for (int step = 0; step < 40; step++) {
         cluster.cutLinks.clear();
         cluster.stores.forEach(store -> store.up = true);
         cluster.stores.get(cluster.random.nextInt(3)).up = cluster.random.nextBoolean();
         SimBatchCluster.Gateway cutOff = cluster.gateways.get(cluster.random.nextInt(3));
         if (step % 8 < 5) {
-          cluster.stores.forEach(store -> cluster.cut(cutOff.address, store.address, true));
+          cluster.stores.forEach(store -> cluster.setLinkCut(cutOff.address, store.address, true));
         }
         cluster.timers.advance(700);
-        String now = cluster.read(step % 3, "a", 0);
-        if (now.startsWith("200")) {
-          String results = now.substring(now.indexOf('[') + 1, now.length() - 2);
-          assertThat("seed " + seed, results, startsWith(before));
-          before = results;
+        String response = cluster.read(step % 3, "a", 0);
+        if (response.startsWith("200")) {
+          String results = response.substring(response.indexOf('[') + 1, response.length() - 2);
+          assertThat("seed " + seed, results, startsWith(resultsBefore));
+          resultsBefore = results;
         }
       }
       cluster.cutLinks.clear();
       cluster.stores.forEach(store -> store.up = true);
       cluster.timers.advance(20_000);
-      String end = cluster.read(0, "a", 0);
-      assertThat("seed " + seed, end, containsString("\"next_token\":20"));
+      String finalResponse = cluster.read(0, "a", 0);
+      assertThat("seed " + seed, finalResponse, containsString("\"next_token\":20"));
       for (int i = 0; i < 20; i++) {
-        assertThat("seed " + seed, end, containsString(JobJson.completedResult("a-" + i)));
+        assertThat(
+            "seed " + seed, finalResponse, containsString(JobJson.completedResult("a-" + i)));
       }
     }
   }
--- a/batch/src/test/java/elmsail/batch/JobRunnerTest.java
+++ b/batch/src/test/java/elmsail/batch/JobRunnerTest.java
@@ -18,7 +18,7 @@
 class JobRunnerTest {
   private static final String NO_RESULTS = "\"next_token\":0,\"deliveries\":[]";
 
-  private static SimBatchCluster accepted(long seed, int gateways, int items) {
+  private static SimBatchCluster clusterWithAcceptedJob(long seed, int gateways, int items) {
     SimBatchCluster cluster = new SimBatchCluster(seed, gateways, 1_000);
     assertThat(cluster.status(cluster.submit(0, "a", items, 10)), is(202));
     cluster.timers.advance(30);
@@ -27,7 +27,7 @@
 
   @Test
   void aCompletedRunIsReadableAtEveryGateway() {
-    SimBatchCluster cluster = accepted(1, 2, 1);
+    SimBatchCluster cluster = clusterWithAcceptedJob(1, 2, 1);
     cluster.gateways.get(0).servers.lastRun().complete();
     cluster.timers.advance(100);
     assertThat(
@@ -41,7 +41,7 @@
 
   @Test
   void aBrokenRunResumesAfterTheLastEvent() {
-    SimBatchCluster cluster = accepted(2, 1, 1);
+    SimBatchCluster cluster = clusterWithAcceptedJob(2, 1, 1);
     cluster.gateways.get(0).servers.lastRun().event(0, "one");
     cluster.gateways.get(0).servers.lastRun().end(RunOutcome.OUTCOME_UNKNOWN);
     cluster.timers.advance(400);
@@ -54,11 +54,11 @@
 
   @Test
   void aGapOrARepeatedEventCancelsTheRunAndDiscardsItsText() {
-    for (long wrong : new long[] {0, 2, 7}) {
-      SimBatchCluster cluster = accepted(3, 1, 1);
+    for (long wrongEventId : new long[] {0, 2, 7}) {
+      SimBatchCluster cluster = clusterWithAcceptedJob(3, 1, 1);
       SimServers servers = cluster.gateways.get(0).servers;
       servers.lastRun().event(0, "one");
-      servers.lastRun().event(wrong, "wrong");
+      servers.lastRun().event(wrongEventId, "wrong");
       assertThat(servers.lastRun().cancelled, is(true));
       servers.lastRun().end(RunOutcome.COMPLETED);
       cluster.timers.advance(400);
@@ -71,15 +71,15 @@
   }
 
   @Test
-  void aRunThatResumesAtTheWrongEventIsNotJoined() {
-    for (long wrong : new long[] {0, 1, 3}) {
-      SimBatchCluster cluster = accepted(4, 1, 1);
+  void theTextIsDiscardedIfARunResumesAtAWrongEvent() {
+    for (long wrongEventId : new long[] {0, 1, 3}) {
+      SimBatchCluster cluster = clusterWithAcceptedJob(4, 1, 1);
       SimServers servers = cluster.gateways.get(0).servers;
       servers.lastRun().event(0, "one");
       servers.lastRun().event(1, "two");
       servers.lastRun().end(RunOutcome.OUTCOME_UNKNOWN);
       cluster.timers.advance(400);
-      servers.lastRun().event(wrong, "else");
+      servers.lastRun().event(wrongEventId, "else");
       servers.lastRun().end(RunOutcome.COMPLETED);
       cluster.timers.advance(400);
       servers.lastRun().complete();
@@ -89,8 +89,8 @@
   }
 
   @Test
-  void aRunThatNeverStartedIsNoFailedAttempt() {
-    SimBatchCluster cluster = accepted(5, 1, 1);
+  void anItemThatTheServerDidNotRunHasNoFailedAttempt() {
+    SimBatchCluster cluster = clusterWithAcceptedJob(5, 1, 1);
     SimServers servers = cluster.gateways.get(0).servers;
     for (int i = 0; i < 10; i++) {
       servers.lastRun().end(RunOutcome.NOT_RUN);
@@ -102,7 +102,7 @@
 
   @Test
   void anItemFailsAfterTheLimitOfFailedAttempts() {
-    SimBatchCluster cluster = accepted(6, 1, 1);
+    SimBatchCluster cluster = clusterWithAcceptedJob(6, 1, 1);
     SimServers servers = cluster.gateways.get(0).servers;
     servers.lastRun().end(RunOutcome.FAILED);
     cluster.timers.advance(400);
@@ -118,14 +118,14 @@
 
   @Test
   void anItemRejectedByItsServerFailsAtOnce() {
-    SimBatchCluster cluster = accepted(7, 1, 1);
+    SimBatchCluster cluster = clusterWithAcceptedJob(7, 1, 1);
     cluster.gateways.get(0).servers.lastRun().end(RunOutcome.REJECTED);
     cluster.timers.advance(100);
     assertThat(cluster.read(0, "a", 0), containsString("\"state\":\"undeliverable\""));
   }
 
   @Test
-  void anItemFailsAfterItsShelfLifeAndNotBefore() {
+  void anItemFailsAfterItsTimeToLiveAndNotBefore() {
     SimBatchCluster cluster = new SimBatchCluster(8, 1, 1_000);
     cluster.gateways.get(0).servers.capacity = 0;
     assertThat(cluster.status(cluster.submit(0, "a", 2, 10)), is(202));
@@ -136,43 +136,44 @@
   }
 
   @Test
-  void anItemWithoutARouteFailsButNotByAnOlderConfiguration() {
+  void anItemWithoutARouteFailsOnlyUnderAConfigurationNewerThanItsJob() {
     SimBatchCluster cluster = new SimBatchCluster(9, 1, 1_000);
     SimServers servers = cluster.gateways.get(0).servers;
     servers.capacity = 0;
     assertThat(cluster.status(cluster.submit(0, "a", 1, 10)), is(202));
-    cluster.gateways.get(0).initialConfig = new SimConfig(1, List.of());
+    cluster.gateways.get(0).config = new SimConfig(1, List.of());
     cluster.timers.advance(1_000);
     assertThat(cluster.read(0, "a", 0), containsString(NO_RESULTS));
-    cluster.gateways.get(0).initialConfig = new SimConfig(2, List.of());
+    cluster.gateways.get(0).config = new SimConfig(2, List.of());
     cluster.timers.advance(1_000);
     assertThat(cluster.read(0, "a", 0), containsString("\"state\":\"undeliverable\""));
     assertThat(servers.runs, hasSize(0));
   }
 
   @Test
-  void aWaitingReadIsAnsweredAsSoonAsAResultIsRecorded() {
-    SimBatchCluster cluster = accepted(15, 1, 2);
-    CompletableFuture<Reply> held =
+  void aWaitingReadCompletesAsSoonAsAResultIsRecorded() {
+    SimBatchCluster cluster = clusterWithAcceptedJob(15, 1, 2);
+    CompletableFuture<Reply> readWithResult =
         cluster.gateways.get(0).batchApi.readResults(TenantName.NONE, "a", 0, 1_000);
     cluster.timers.advance(300);
-    assertThat(held.isDone(), is(false));
+    assertThat(readWithResult.isDone(), is(false));
     cluster.gateways.get(0).servers.lastRun().complete();
     cluster.timers.advance(90);
-    assertThat(held.isDone(), is(true));
+    assertThat(readWithResult.isDone(), is(true));
     assertThat(
-        new String(held.join().body(), StandardCharsets.UTF_8), containsString("\"next_token\":1"));
-    CompletableFuture<Reply> empty =
+        new String(readWithResult.join().body(), StandardCharsets.UTF_8),
+        containsString("\"next_token\":1"));
+    CompletableFuture<Reply> readWithoutResult =
         cluster.gateways.get(0).batchApi.readResults(TenantName.NONE, "a", 1, 5_000);
     cluster.timers.advance(1_100);
     assertThat(
-        new String(empty.join().body(), StandardCharsets.UTF_8),
+        new String(readWithoutResult.join().body(), StandardCharsets.UTF_8),
         containsString("\"next_token\":1"));
   }
 
   @Test
-  void withoutAQuorumAReadIsUnavailableNotNotFound() {
-    SimBatchCluster cluster = accepted(16, 2, 1);
+  void aReadWithoutAQuorumIsUnavailableNotNotFound() {
+    SimBatchCluster cluster = clusterWithAcceptedJob(16, 2, 1);
     assertThat(cluster.read(1, "b", 0), startsWith("404"));
     cluster.stores.get(0).up = false;
     cluster.stores.get(1).up = false;
@@ -185,7 +186,7 @@
 
   @Test
   void anItemBodyIsReadUnchangedAtEveryGateway() {
-    SimBatchCluster cluster = accepted(17, 2, 3);
+    SimBatchCluster cluster = clusterWithAcceptedJob(17, 2, 3);
     for (SimBatchCluster.Gateway gateway : cluster.gateways) {
       Reply reply = cluster.await(gateway.batchApi.readItemBody(TenantName.NONE, "a", "a-2"));
       assertThat(new String(reply.body(), StandardCharsets.UTF_8), is("body a2"));
@@ -198,11 +199,11 @@
   }
 
   @Test
-  void aLongJobIsReadInPagesBelowTheLargestResponse() {
-    SimBatchCluster cluster = accepted(18, 1, 3);
-    String big = "\"".repeat(300_000);
+  void longResultsAreReadInPagesBelowTheMaxResponseSize() {
+    SimBatchCluster cluster = clusterWithAcceptedJob(18, 1, 3);
+    String longText = "\"".repeat(300_000);
     for (SimServers.Run run : List.copyOf(cluster.gateways.get(0).servers.runs)) {
-      run.event(0, big);
+      run.event(0, longText);
       run.end(RunOutcome.COMPLETED);
     }
     cluster.timers.advance(300);
--- a/batch/src/test/java/elmsail/batch/NarrowUplinkTest.java
+++ b/batch/src/test/java/elmsail/batch/NarrowUplinkTest.java
@@ -79,7 +79,7 @@
     measureAcceptanceMs(cluster, "large");
     cluster.net.countBytes(cluster.gateways.get(0).address);
     cluster.timers.advance(1_000 + (ITEMS + 10) * STAGGER_MS);
-    assertThat(servers.served.size(), is(ITEMS));
+    assertThat(servers.completedItemIds.size(), is(ITEMS));
     long texts = (long) ITEMS * TEXT_BYTES;
     System.out.println(
         "results of "
--- a/batch/src/test/java/elmsail/batch/RejectedJobTest.java
+++ b/batch/src/test/java/elmsail/batch/RejectedJobTest.java
@@ -43,7 +43,7 @@
     BatchService.Reply rivalReply = cluster.await(rivalFuture);
     cluster.net.healAll();
     cluster.timers.advance(15_000);
-    boolean ran = cluster.served.contains("refused-0");
+    boolean ran = cluster.completedItemIds.contains("refused-0");
     System.out.println(
         "cut after "
             + cutAfter
--- a/batch/src/test/java/elmsail/batch/ReplicatedBatchCluster.java
+++ b/batch/src/test/java/elmsail/batch/ReplicatedBatchCluster.java
@@ -69,10 +69,10 @@
       service.start();
     }
 
-    void kill(boolean wipe) {
+    void kill(boolean wipeDisk) {
       up = false;
       net.kill(address);
-      if (wipe) {
+      if (wipeDisk) {
         disk.wipe();
       }
     }
@@ -93,7 +93,7 @@
     void start() {
       up = true;
       node = net.startNode(address);
-      VoterSet[] known = {voterSet()};
+      VoterSet[] knownVoterSet = {newestVoterSet()};
       RegisterClient register =
           new RegisterClient(
               VOTER_SET_NAME,
@@ -102,12 +102,12 @@
               new VoterSetSource() {
                 @Override
                 public VoterSet current() {
-                  return known[0];
+                  return knownVoterSet[0];
                 }
 
                 @Override
                 public void learn(VoterSet newer) {
-                  known[0] = newer;
+                  knownVoterSet[0] = newer;
                 }
               },
               random.nextLong(),
@@ -118,13 +118,13 @@
               register,
               node.rpcClient(),
               node.timers(),
-              known(known),
+              clusterState(knownVoterSet),
               new BatchSettings(address, 3_000, random.nextLong()),
               ProcessMetrics.strict());
       servers = new SimServers(timers);
       servers.capacity = 3;
       servers.serviceTimeMs = 700;
-      servers.served = served;
+      servers.completedItemIds = completedItemIds;
       allServers.add(servers);
       batchApi.setServers(servers);
       batchApi.registerHandlers(node.requestHandlers());
@@ -150,23 +150,23 @@
   final List<SimServers> allServers = new ArrayList<>();
 
   /** The ids of the items that a server has completed. */
-  final Set<String> served = new HashSet<>();
+  final Set<String> completedItemIds = new HashSet<>();
 
   final ClusterView view = new ClusterView();
 
   /** In force at all gateways. */
   SimConfig config;
 
-  ReplicatedBatchCluster(long seed, int gatewayCount, long mostWaiting) {
-    this(seed, gatewayCount, mostWaiting, 3);
+  ReplicatedBatchCluster(long seed, int gatewayCount, long maxWaitingTokens) {
+    this(seed, gatewayCount, maxWaitingTokens, 3);
   }
 
-  ReplicatedBatchCluster(long seed, int gatewayCount, long mostWaiting, int storeCount) {
+  ReplicatedBatchCluster(long seed, int gatewayCount, long maxWaitingTokens, int storeCount) {
     this.seed = seed;
     random = new Random(seed);
     net = new SimNetwork(seed, timers);
-    config = new SimConfig(1, List.of(SimBatchCluster.route(mostWaiting)));
-    VoterSet founding = new VoterSet();
+    config = new SimConfig(1, List.of(SimBatchCluster.route(maxWaitingTokens)));
+    VoterSet initialVoterSet = new VoterSet();
     for (int i = 0; i < storeCount; i++) {
       StoreNode store = new StoreNode(i);
       stores.add(store);
@@ -176,10 +176,10 @@
       voter.machine = "st-" + store.address;
       voter.instanceId = store.disk.instanceId();
       voter.epoch = 1;
-      founding.voters.add(voter);
+      initialVoterSet.voters.add(voter);
     }
-    view.jobStoreVoters = founding;
-    stores.forEach(store -> store.replica.bootstrap(founding));
+    view.jobStoreVoters = initialVoterSet;
+    stores.forEach(store -> store.replica.bootstrap(initialVoterSet));
     timers.advance(100);
     for (int i = 0; i < gatewayCount; i++) {
       gateways.add(new Gateway(i));
@@ -191,7 +191,7 @@
 
   /** Distributes the newest voter set, as watching the control plane does. */
   private void distributeVoterSet() {
-    VoterSet newest = voterSet();
+    VoterSet newest = newestVoterSet();
     view.jobStoreVoters = newest;
     for (StoreNode store : stores) {
       if (store.up) {
@@ -201,13 +201,13 @@
     timers.schedule(300, this::distributeVoterSet);
   }
 
-  private VoterSet voterSet() {
+  private VoterSet newestVoterSet() {
     VoterSet newest = view.jobStoreVoters;
-    int best = epochSum(newest);
+    int highestEpochSum = epochSum(newest);
     for (StoreNode store : stores) {
-      if (store.up && epochSum(store.replica.voterSet()) > best) {
+      if (store.up && epochSum(store.replica.voterSet()) > highestEpochSum) {
         newest = store.replica.voterSet();
-        best = epochSum(newest);
+        highestEpochSum = epochSum(newest);
       }
     }
     return newest;
@@ -221,7 +221,7 @@
     return sum;
   }
 
-  private ClusterState known(VoterSet[] voterSet) {
+  private ClusterState clusterState(VoterSet[] voterSet) {
     return new ClusterState() {
       @Override
       public RoutingConfig config() {
--- a/batch/src/test/java/elmsail/batch/SimBatchCluster.java
+++ b/batch/src/test/java/elmsail/batch/SimBatchCluster.java
@@ -42,7 +42,7 @@
     final String address;
     BatchApi batchApi;
     SimServers servers;
-    SimConfig initialConfig;
+    SimConfig config;
     boolean up = true;
 
     Gateway(String address) {
@@ -64,9 +64,9 @@
 
   final SimConfig initialConfig;
 
-  SimBatchCluster(long seed, int gatewayCount, long mostWaiting) {
+  SimBatchCluster(long seed, int gatewayCount, long maxWaitingTokens) {
     random = new Random(seed);
-    initialConfig = new SimConfig(1, List.of(route(mostWaiting)));
+    initialConfig = new SimConfig(1, List.of(route(maxWaitingTokens)));
     for (int i = 0; i < 3; i++) {
       SimJobStore store = new SimJobStore("10.0.1." + i + ":7000", this);
       stores.add(store);
@@ -82,7 +82,7 @@
     }
   }
 
-  static Route route(long mostWaiting) {
+  static Route route(long maxWaitingTokens) {
     return new Route(
         "r-lots",
         HOST,
@@ -97,7 +97,7 @@
         150,
         10_000,
         60_000,
-        mostWaiting);
+        maxWaitingTokens);
   }
 
   Route route() {
@@ -105,11 +105,11 @@
   }
 
   private Gateway startGateway(Gateway gateway, int number) {
-    ClusterState known =
+    ClusterState clusterState =
         new ClusterState() {
           @Override
           public RoutingConfig config() {
-            return gateway.initialConfig;
+            return gateway.config;
           }
 
           @Override
@@ -135,15 +135,15 @@
           @Override
           public void addListener(Runnable then) {}
         };
-    gateway.initialConfig = initialConfig;
+    gateway.config = initialConfig;
     gateway.servers = new SimServers(timers);
-    Timers own = timersOf(gateway);
+    Timers gatewayTimers = timersOf(gateway);
     gateway.batchApi =
         new BatchApi(
             new SimRegister(this, gateway.address, number + 1),
-            caller(gateway.address),
-            own,
-            known,
+            rpcClient(gateway.address),
+            gatewayTimers,
+            clusterState,
             new BatchSettings(gateway.address, 3_000, random.nextLong()),
             ProcessMetrics.strict());
     gateway.batchApi.setServers(gateway.servers);
@@ -179,7 +179,7 @@
 
   /** Puts a configuration in force at all gateways. */
   void configure(SimConfig config) {
-    gateways.forEach(gateway -> gateway.initialConfig = config);
+    gateways.forEach(gateway -> gateway.config = config);
   }
 
   int majority() {
@@ -215,9 +215,9 @@
         });
   }
 
-  void cut(String one, String other, boolean off) {
+  void setLinkCut(String one, String other, boolean cut) {
     for (String link : List.of(one + ">" + other, other + ">" + one)) {
-      if (off) {
+      if (cut) {
         cutLinks.add(link);
       } else {
         cutLinks.remove(link);
@@ -239,7 +239,7 @@
     return CompletableFuture.failedFuture(new ElmsailException(ErrorCode.NOT_SENT, peer));
   }
 
-  private RpcClient caller(String from) {
+  private RpcClient rpcClient(String from) {
     return new RpcClient() {
       @Override
       public <A> CompletableFuture<A> call(
@@ -305,8 +305,8 @@
   int storesWithBlob(String key, String blob) {
     int count = 0;
     for (SimJobStore store : stores) {
-      SimJobStore.StoredKey cell = store.keys.get(key);
-      count += cell != null && cell.blobs.containsKey(blob) ? 1 : 0;
+      SimJobStore.StoredKey storedKey = store.keys.get(key);
+      count += storedKey != null && storedKey.blobs.containsKey(blob) ? 1 : 0;
     }
     return count;
   }
--- a/batch/src/test/java/elmsail/batch/SimConfig.java
+++ b/batch/src/test/java/elmsail/batch/SimConfig.java
@@ -24,8 +24,8 @@
   /** The next version, with a copy of the first route that needs no key. */
   SimConfig withOpenRoute(String prefix) {
     Route first = routes.get(0);
-    List<Route> more = new ArrayList<>(routes);
-    more.add(
+    List<Route> extended = new ArrayList<>(routes);
+    extended.add(
         new Route(
             first.name() + "-open",
             first.host(),
@@ -42,7 +42,7 @@
             first.itemTtlMs(),
             first.maxWaitingTokens(),
             true));
-    return new SimConfig(version + 1, more, requiresKeys);
+    return new SimConfig(version + 1, extended, requiresKeys);
   }
 
   @Override
--- a/batch/src/test/java/elmsail/batch/SimServers.java
+++ b/batch/src/test/java/elmsail/batch/SimServers.java
@@ -41,7 +41,7 @@
       if (!cancelled && !ended) {
         ended = true;
         if (outcome == RunOutcome.COMPLETED) {
-          served.add(item.id());
+          completedItemIds.add(item.id());
         }
         listener.onEnded(outcome);
       }
@@ -66,7 +66,7 @@
   int capacity = 1_000;
 
   /** The ids of the items that were completed. */
-  Set<String> served = new HashSet<>();
+  Set<String> completedItemIds = new HashSet<>();
 
   /** Appended to the data of each event, where long texts matter. */
   String eventPadding = "";
--- a/batch/src/test/java/elmsail/batch/SubmitHandlerTest.java
+++ b/batch/src/test/java/elmsail/batch/SubmitHandlerTest.java
@@ -244,7 +244,7 @@
   void partitionedGatewayRejectsJobsAsUnavailable() {
     SimBatchCluster cluster = new SimBatchCluster(8, 2, 100);
     cluster.stores.forEach(
-        store -> cluster.cut(cluster.gateways.get(0).address, store.address, true));
+        store -> cluster.setLinkCut(cluster.gateways.get(0).address, store.address, true));
     assertThat(cluster.status(cluster.submit(0, "a", 1, 1)), is(503));
     assertThat(cluster.status(cluster.submit(1, "a", 1, 1)), is(202));
   }
@@ -276,7 +276,7 @@
   @Test
   void newestConfigurationDeterminesTheLimit() {
     SimBatchCluster cluster = new SimBatchCluster(10, 2, 100);
-    cluster.gateways.get(1).initialConfig = new SimConfig(2, List.of(SimBatchCluster.route(200)));
+    cluster.gateways.get(1).config = new SimConfig(2, List.of(SimBatchCluster.route(200)));
     assertThat(cluster.status(cluster.submit(0, "a", 10, 10)), is(202));
     assertThat(cluster.status(cluster.submit(0, "b", 1, 10)), is(429));
     assertThat(cluster.status(cluster.submit(1, "b", 1, 10)), is(202));
--- a/batch/src/test/java/elmsail/batch/TenantJobsTest.java
+++ b/batch/src/test/java/elmsail/batch/TenantJobsTest.java
@@ -102,7 +102,7 @@
     SimBatchCluster cluster = cluster(5, 1, 0);
     assertThat(cluster.status(cluster.submit(ARGUS, 0, "a", 2, 10)), is(202));
     String gateway = cluster.gateways.get(0).address;
-    cluster.stores.forEach(store -> cluster.cut(gateway, store.address, true));
+    cluster.stores.forEach(store -> cluster.setLinkCut(gateway, store.address, true));
     for (TenantName caller : List.of(ARGUS, BORA)) {
       BatchService service = service(cluster, 0);
       assertThat(results(cluster, caller, 0).status(), is(503));
@@ -212,7 +212,8 @@
     }
     assertThat(cluster.status(cluster.submit(BORA, 0, "b", 10, 10)), is(202));
     cluster.timers.advance(1_000);
-    long completed = servers.served.stream().filter(item -> item.startsWith("b-")).count();
+    long completed =
+        servers.completedItemIds.stream().filter(item -> item.startsWith("b-")).count();
     assertThat("items of the other tenant within 1 s", completed, is(10L));
     int runsBefore = servers.runs.size();
     cluster.timers.advance(1_000);
--- a/batch/src/test/java/elmsail/batch/run/JobTimelineTest.java
+++ b/batch/src/test/java/elmsail/batch/run/JobTimelineTest.java
@@ -9,7 +9,7 @@
 class JobTimelineTest {
   /** Operators read these texts in the line of a late job: docs/tier-operations.md. */
   @Test
-  void theStagesAreDescribedInTheWordsOfTheOperatorsPage() {
+  void theStagesAreDescribedInTheFormatThatOperatorsRead() {
     JobTimeline timeline = new JobTimeline(1_000, 1_010);
     for (JobTimeline.Stall stall : JobTimeline.Stall.values()) {
       timeline.onStalled(stall);
--- a/batch/src/test/java/elmsail/batch/run/TenantSharesTest.java
+++ b/batch/src/test/java/elmsail/batch/run/TenantSharesTest.java
@@ -75,14 +75,14 @@
 
   @Test
   void aJobThatCannotStartAnItemLeavesItsTurnToTheNext() {
-    List<String> asked = new ArrayList<>();
+    List<String> jobsWithTurn = new ArrayList<>();
     new TenantShares(List.of(job("a1", "a", 1), job("b1", "b", 2), job("a2", "a", 3)))
         .giveTurns(
             job -> {
-              asked.add(job.id);
+              jobsWithTurn.add(job.id);
               return false;
             });
-    assertThat(asked, contains("a1", "b1", "a2"));
+    assertThat(jobsWithTurn, contains("a1", "b1", "a2"));
     assertThat(turns(3, inFlight(job("a1", "a", 1), 3)), empty());
   }
 }
