--- a/batch/src/main/java/elmsail/batch/TenantName.java
+++ b/batch/src/main/java/elmsail/batch/TenantName.java
@@ -3,16 +3,16 @@
 import java.util.Objects;
 
 /**
- * The name of the tenant that a job belongs to, or whose key a caller has shown. It is kept with
- * the job; keys are not.
+ * The name of the tenant that owns a job, or whose key a caller has presented. The name is stored
+ * with the job; keys are not stored.
  *
- * @param value as configured; empty for {@link #NONE}
+ * @param value the configured name; empty for {@link #NONE}
  */
 public record TenantName(String value) {
-  /** No tenant: of an open route, or where the configuration has no tenants. */
+  /** No tenant: for routes that need no key and for configurations without tenants. */
   public static final TenantName NONE = new TenantName("");
 
-  /** The name as configured; not null. */
+  /** Rejects null. */
   public TenantName {
     Objects.requireNonNull(value);
   }
--- a/batch/src/main/java/elmsail/batch/run/BodyLoader.java
+++ b/batch/src/main/java/elmsail/batch/run/BodyLoader.java
@@ -4,8 +4,8 @@
 import elmsail.batch.client.BatchJobClient;
 
 /**
- * Loads the bodies of the jobs that this gateway runs, a few at a time. Confined to the gateway's
- * event loop.
+ * Loads the bodies of the jobs that this gateway runs, with a limit on concurrent fetches. Confined
+ * to the gateway's event loop.
  */
 final class BodyLoader {
   private static final long FETCH_TIMEOUT_MS = 1_500;
@@ -18,7 +18,7 @@
   private int fetchesInFlight;
 
   /**
-   * @param onFetchEnded called whenever a further fetch may be started
+   * @param onFetchEnded called whenever another fetch may be started
    */
   BodyLoader(BatchContext context, BatchJobClient jobClient, Runnable onFetchEnded) {
     this.context = context;
@@ -26,7 +26,7 @@
     this.onFetchEnded = onFetchEnded;
   }
 
-  /** Fetches the items of a job, unless this or too many other fetches are in flight. */
+  /** Fetches the items of a job, unless this fetch or too many other fetches are in flight. */
   void fetch(RunningJob job) {
     if (job.fetching || fetchesInFlight >= MAX_CONCURRENT_FETCHES) {
       return;
--- a/batch/src/main/java/elmsail/batch/run/CapacityBudget.java
+++ b/batch/src/main/java/elmsail/batch/run/CapacityBudget.java
@@ -5,7 +5,10 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** How many items may still be started in one dispatch, by route. Each route is queried once. */
+/**
+ * The number of items that one dispatch may still start on each route. The servers' capacity is
+ * queried once per route.
+ */
 final class CapacityBudget {
   private final ItemServers servers;
   private final Map<String, Integer> remainingByRoute = new HashMap<>();
@@ -14,17 +17,17 @@
     this.servers = servers;
   }
 
-  /** How many items of the route may still be started; zero or less for none. */
+  /** The number of items of the route that may still be started; zero or negative for none. */
   int remaining(Route route) {
     return remainingByRoute.computeIfAbsent(route.name(), name -> servers.availableCapacity(route));
   }
 
-  /** An item of the route was started. */
+  /** Accounts for one started item of the route. */
   void take(Route route) {
     remainingByRoute.merge(route.name(), -1, Integer::sum);
   }
 
-  /** The servers had no capacity after all. */
+  /** Sets the remaining capacity of the route to zero, after the servers took no further item. */
   void exhaust(Route route) {
     remainingByRoute.put(route.name(), 0);
   }
--- a/batch/src/main/java/elmsail/batch/run/FailoverMonitor.java
+++ b/batch/src/main/java/elmsail/batch/run/FailoverMonitor.java
@@ -16,21 +16,24 @@
 import java.util.Set;
 
 /**
- * Keeps the leases of this gateway's jobs, and takes over jobs whose runner sends no heartbeats any
- * more. A job is taken over once a majority of the stores reports it as abandoned. For each job the
- * gateways have another order (rendezvous hashing), in which they wait ever longer, so that mostly
- * one proposes to take it over; the register decides between several. Confined to the gateway's
- * event loop.
+ * Keeps the leases of this gateway's jobs, and takes over jobs whose runner no longer sends
+ * heartbeats. A job is taken over once a majority of the stores reports it as abandoned. Rendezvous
+ * hashing ranks the gateways separately for each job, and a gateway that is ranked later waits
+ * longer. Usually only one gateway therefore proposes to take over a job; among several, the
+ * register decides. Confined to the gateway's event loop.
  */
 public final class FailoverMonitor {
   private static final long SCAN_INTERVAL_MS = 700;
   private static final long RESPONSE_TIMEOUT_MS = 600;
   private static final long HEARTBEAT_TIMEOUT_MS = 2_000;
 
-  /** How much longer each gateway of the job's order waits than the one before it. */
+  /** The additional time that a gateway waits per gateway that is ranked before it for the job. */
   private static final long RANK_DELAY_MS = 400;
 
-  /** A store that alone lacks heartbeats of a job for so long has missed a change of the record. */
+  /**
+   * If only a minority of the stores has received no heartbeat of a job for this time, these stores
+   * are assumed to have missed a change of the record.
+   */
   private static final long STALE_STORE_MS = 6_000;
 
   private static final long CHANGE_TIMEOUT_MS = 1_500;
@@ -42,7 +45,7 @@
   private final LeaseKeeper leaseKeeper;
   private final Set<String> takeoversInFlight = new HashSet<>();
 
-  /** A monitor that does nothing before {@link #start}. */
+  /** Creates a monitor that is idle until {@link #start}. */
   public FailoverMonitor(BatchContext context, BatchJobClient jobClient, JobRunner runner) {
     this.context = context;
     this.jobClient = jobClient;
@@ -51,8 +54,8 @@
   }
 
   /**
-   * Starts the heartbeats and the scans, each after a random delay so that gateways do not act in
-   * step.
+   * Starts the heartbeats and the scans, each after a random delay so that the gateways are not
+   * synchronized.
    */
   public void start() {
     leaseKeeper.start();
@@ -81,7 +84,9 @@
   }
 
   /**
-   * The reports of the stores that this gateway acts on: those that are old enough for its rank.
+   * A summary of the stores' reports about one job: how many stores have received no heartbeat for
+   * longer than this gateway's rank makes it wait, the newest reported term, and the shortest time
+   * since a heartbeat among these stores.
    */
   private record OverdueReports(int count, long term, long sinceHeartbeatMs) {
     static OverdueReports of(List<AbandonedJob> reports, int rank) {
@@ -115,7 +120,7 @@
     }
   }
 
-  /** How many gateways precede this one in the order of the job. */
+  /** The number of gateways that are ranked before this gateway for the job. */
   private int rank(String jobId) {
     long ownDigest = ContentDigest.of(context.localAddress() + "|" + jobId);
     int gatewaysAhead = 0;
@@ -128,7 +133,7 @@
     return gatewaysAhead;
   }
 
-  /** One attempt to become the runner of an abandoned job. */
+  /** One attempt of this gateway to become the runner of an abandoned job. */
   private final class Takeover {
     private final String jobId;
     private final OverdueReports overdue;
@@ -157,7 +162,7 @@
     }
 
     /**
-     * @param committed null if the change failed or there is no such job
+     * @param committed the committed record; null if the change failed or there is no such job
      */
     private void onCompleted(JobRecord committed) {
       takeoversInFlight.remove(jobId);
@@ -170,7 +175,9 @@
     }
   }
 
-  /** Commits the record of a job once more, unchanged, for a store that missed it. */
+  /**
+   * Commits the record of a job again without changes, so that stores that missed it receive it.
+   */
   private void rewriteRecord(String jobId) {
     takeoversInFlight.add(jobId);
     jobClient
--- a/batch/src/main/java/elmsail/batch/run/ItemRun.java
+++ b/batch/src/main/java/elmsail/batch/run/ItemRun.java
@@ -5,8 +5,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The way of one item to its result at this gateway: the text of the events received so far, and
- * the run in flight if there is one. A run is resumed after the last event. Confined to the
+ * The progress of one item at this gateway: the text of the events received so far, and the run in
+ * flight if there is one. A new run resumes after the last event received. Confined to the
  * gateway's event loop.
  */
 final class ItemRun {
@@ -17,13 +17,13 @@
   /** The index of the item in the job. */
   final int itemIndex;
 
-  /** Responses of 500, including those that former runners recorded. */
+  /** The number of responses with status 500, including those that former runners recorded. */
   int failedAttempts;
 
-  /** How many of them are in the record of the job. */
+  /** The number of failed attempts that the record of the job contains. */
   int recordedFailedAttempts;
 
-  /** Consecutive runs without an event, for the backoff. */
+  /** The number of consecutive runs without an event, which determines the backoff. */
   int runsWithoutEvents;
 
   /** Whether the item has a result. */
@@ -34,7 +34,9 @@
 
   private ItemServers.RunHandle handle;
 
-  /** Raised by each start and each cancellation, so that a listener of an earlier run is stale. */
+  /**
+   * Incremented by each start, end and cancellation, so that events of an earlier run are ignored.
+   */
   private int runNumber;
 
   private boolean inFlight;
@@ -48,7 +50,7 @@
   /**
    * Starts a run.
    *
-   * @return its number, by which the other methods tell whether it is still the current one
+   * @return the number of the run, which identifies it in the other methods
    */
   int begin(long now) {
     runNumber++;
@@ -59,13 +61,14 @@
   }
 
   /**
-   * Whether the run of this number has been neither ended, nor cancelled, nor followed by another.
+   * Whether the run with this number has not ended, was not cancelled and was not followed by
+   * another run.
    */
   boolean isCurrent(int run) {
     return runNumber == run;
   }
 
-  /** The run could not be sent. */
+  /** Ends a run that could not be sent. */
   void abortStart(int run) {
     if (isCurrent(run)) {
       runNumber++;
@@ -73,7 +76,7 @@
     }
   }
 
-  /** The run was sent; cancels it at once if it is no longer the current one. */
+  /** Stores the handle of a run that was sent, or cancels the run if it is no longer current. */
   void onSent(int run, ItemServers.RunHandle sentHandle) {
     if (isCurrent(run) && inFlight) {
       handle = sentHandle;
@@ -82,13 +85,13 @@
     }
   }
 
-  /** The run has ended by itself. */
+  /** Marks the run in flight as ended; its connection is not closed. */
   void end() {
     handle = null;
     cancel();
   }
 
-  /** Cancels the run in flight; its listener is stale from now on. */
+  /** Cancels the run in flight; later events of this run are ignored. */
   void cancel() {
     runNumber++;
     inFlight = false;
@@ -98,22 +101,22 @@
     }
   }
 
-  /** Whether a run has been started that has neither ended nor been cancelled. */
+  /** Whether a run was started that has neither ended nor been cancelled. */
   boolean isInFlight() {
     return inFlight;
   }
 
-  /** Whether the current run, or the last one, has received an event. */
+  /** Whether an event of the current run, or else of the last run, was received. */
   boolean hasReceivedEvent() {
     return eventReceived;
   }
 
-  /** When the current run, or the last one, was sent, in ms of the steady clock. */
+  /** When the current run, or else the last run, was sent, in ms of the steady clock. */
   long sentAt() {
     return sentAt;
   }
 
-  /** The last event received, after which a run resumes; -1 if there is none. */
+  /** The id of the last event received, after which a run resumes; -1 if there is none. */
   long lastEventId() {
     return lastEventId;
   }
@@ -121,8 +124,8 @@
   /**
    * Appends the data of an event to the text.
    *
-   * @return false if the event is not the next one or the text gets too long; the run is to be
-   *     cancelled then
+   * @return false if the event is not the next event in sequence or the text would be too long; the
+   *     caller must then cancel the run
    */
   boolean appendEvent(long id, byte[] data) {
     if (id < 0
@@ -151,13 +154,13 @@
     return text == null ? 0 : text.size();
   }
 
-  /** The text as valid UTF-8: malformed sequences are replaced. */
+  /** The text as valid UTF-8, with malformed sequences replaced. */
   byte[] text() {
     byte[] bytes = text == null ? new byte[0] : text.toByteArray();
     return new String(bytes, StandardCharsets.UTF_8).getBytes(StandardCharsets.UTF_8);
   }
 
-  /** Discards the text, so that the next run begins anew. */
+  /** Discards the text, so that the next run starts from the beginning. */
   void discardText() {
     text = null;
     lastEventId = NO_EVENT;
--- a/batch/src/main/java/elmsail/batch/run/ItemRunner.java
+++ b/batch/src/main/java/elmsail/batch/run/ItemRunner.java
@@ -6,21 +6,21 @@
 import elmsail.config.Route;
 
 /**
- * Runs single items at the model servers: starts a run, gathers its events, and decides by its
- * outcome whether the item has a result or is run again, after a backoff. Confined to the gateway's
- * event loop.
+ * Runs single items at the model servers: starts a run and collects its events. The outcome of the
+ * run determines whether the item has a result or is run again after a backoff. Confined to the
+ * gateway's event loop.
  */
 final class ItemRunner {
   private static final long MIN_BACKOFF_MS = 20;
   private static final long MAX_BACKOFF_MS = 200;
   private static final int MAX_BACKOFF_DOUBLINGS = 5;
 
-  /** What the items' ends mean for their job. */
+  /** Receives the consequences of ended runs for the jobs. */
   interface Listener {
     /** The job has a result or a failed attempt that is not recorded yet. */
     void onUnrecorded(RunningJob job);
 
-    /** An item of some job may be started: one is ready again, or a run has ended. */
+    /** An item may be started, as an item has become ready again or a run has ended. */
     void onDispatchable();
   }
 
@@ -57,7 +57,7 @@
     return true;
   }
 
-  /** Passes on what a run reports, as long as it is the current run of its item. */
+  /** Processes the events and the outcome of a run while it is the current run of its item. */
   private final class CurrentRunListener implements ItemServers.RunListener {
     private final RunningJob job;
     private final ItemRun itemRun;
@@ -108,7 +108,7 @@
       case COMPLETED -> onCompleted(job, itemRun);
       case REJECTED -> finish(job, itemRun, false);
       case FAILED -> onFailed(job, itemRun, route);
-      default -> retryLater(job, itemRun); // not run, or the outcome is unknown
+      default -> retryLater(job, itemRun); // NOT_RUN or OUTCOME_UNKNOWN
     }
     listener.onDispatchable();
   }
@@ -121,7 +121,7 @@
     }
   }
 
-  /** Counts the failed attempt. The item is run again once that is recorded. */
+  /** Counts the failed attempt. The item is run again only once the attempt is recorded. */
   private void onFailed(RunningJob job, ItemRun itemRun, Route route) {
     itemRun.failedAttempts++;
     if (itemRun.failedAttempts >= Math.max(1, route.maxAttempts())) {
@@ -131,7 +131,7 @@
     }
   }
 
-  /** The item has its result: the text received, or none if it failed for good. */
+  /** Sets the result of the item: the text received, or no text if the item has finally failed. */
   void finish(RunningJob job, ItemRun itemRun, boolean succeeded) {
     unrecordedBytes.release(itemRun.textBytes());
     RunningJob.FinishedItem finished = job.finish(itemRun, succeeded);
@@ -139,7 +139,7 @@
     listener.onUnrecorded(job);
   }
 
-  /** Makes the item ready again after a backoff that doubles with each run without an event. */
+  /** Makes the item ready again after a backoff, which doubles with each run without an event. */
   void retryLater(RunningJob job, ItemRun itemRun) {
     itemRun.runsWithoutEvents = itemRun.hasReceivedEvent() ? 0 : itemRun.runsWithoutEvents + 1;
     int doublings = Math.min(itemRun.runsWithoutEvents, MAX_BACKOFF_DOUBLINGS);
--- a/batch/src/main/java/elmsail/batch/run/JobRunner.java
+++ b/batch/src/main/java/elmsail/batch/run/JobRunner.java
@@ -18,20 +18,28 @@
 import java.util.function.Consumer;
 
 /**
- * Runs the jobs whose lease this gateway holds. Items are dispatched as the servers have capacity:
- * tenants share it ({@link TenantShares}), and of one tenant's jobs those that are due first come
- * before the others. An item is started only while the lease was confirmed lately, so that no item
- * of a cancelled or taken-over job is started later than the bound {@code cancel_ms}. Confined to
- * the gateway's event loop.
+ * Runs the jobs whose lease this gateway holds. Items are dispatched when the servers have
+ * capacity. Tenants share the capacity ({@link TenantShares}); among the jobs of one tenant, the
+ * job that is due first takes precedence. An item is started only if the lease was confirmed
+ * recently, so that no item of a cancelled or taken-over job is started later than the bound {@code
+ * cancel_ms}. Confined to the gateway's event loop.
  */
 public final class JobRunner {
-  /** How soon capacity is queried again if there was none; a run that ends dispatches at once. */
+  /**
+   * The interval at which capacity is queried again; the end of a run causes a dispatch at once.
+   */
   private static final long CAPACITY_POLL_INTERVAL_MS = 40;
 
-  /** Items are started within this part of {@code cancel_ms} after a confirmation of the lease. */
+  /**
+   * Items are started only within this number of tenths of {@code cancel_ms} after a confirmation
+   * of the lease.
+   */
   private static final long START_WINDOW_TENTHS = 6;
 
-  /** Behind this part of it, runs that may not have reached a server are cancelled. */
+  /**
+   * Once the last confirmation of the lease is older than this number of tenths of {@code
+   * cancel_ms}, runs that may not have reached a server are cancelled.
+   */
   private static final long CANCEL_AFTER_TENTHS = 8;
 
   private final BatchContext context;
@@ -47,8 +55,8 @@
   private boolean dispatchScheduled;
 
   /**
-   * @param onJobChanged receives the id of each job of which results were recorded, or which was
-   *     stopped by its record
+   * @param onJobChanged receives the id of a job when a change of its record was committed, or when
+   *     the committed record showed that this gateway must stop the job
    */
   public JobRunner(BatchContext context, BatchJobClient jobClient, Consumer<String> onJobChanged) {
     this.context = context;
@@ -72,7 +80,7 @@
     }
   }
 
-  /** Sets the servers that items are sent to from now on; no item is started before. */
+  /** Sets the servers that items are sent to. No item is started before this call. */
   public void setServers(ItemServers servers) {
     this.servers = servers;
     dispatchSoon();
@@ -81,9 +89,9 @@
   /**
    * Starts to run a job whose record names this gateway as its runner.
    *
-   * @param ageMs the least age of the job, in ms
-   * @param confirmedAt when the job certainly was open and run by this gateway, in ms of the steady
-   *     clock
+   * @param ageMs a lower bound on the age of the job, in ms
+   * @param confirmedAt a time, in ms of the steady clock, at which the job was certainly open and
+   *     this gateway was its runner
    */
   public void adopt(String jobId, JobRecord record, long ageMs, long confirmedAt) {
     RunningJob previous = jobs.get(jobId);
@@ -98,7 +106,7 @@
     dispatchSoon();
   }
 
-  /** Stops running a job: cancels its runs and discards results that are not recorded. */
+  /** Stops running a job: cancels its runs and discards its unrecorded results. */
   public void stop(String jobId) {
     RunningJob job = jobs.remove(jobId);
     if (job == null) {
@@ -112,10 +120,10 @@
   }
 
   /**
-   * Takes note of a committed record of a job: confirms the lease, or stops the job if it is closed
-   * or run by another gateway.
+   * Processes a committed record of a job that was read: confirms the lease, or stops the job if it
+   * is closed or run by another gateway.
    *
-   * @param record null if there is none any more
+   * @param record the record; null if the job no longer has a record
    * @param readAt when the read was started, in ms of the steady clock
    */
   public void onRecordRead(String jobId, JobRecord record, long readAt) {
@@ -142,8 +150,8 @@
   }
 
   /**
-   * The items that could be started now, by the service that has the largest weight on the route of
-   * their job.
+   * The number of items that are ready to start, by the service that has the largest weight on the
+   * route of their job.
    */
   public Map<String, Integer> waitingItems() {
     Map<String, Integer> waiting = new HashMap<>();
@@ -166,12 +174,15 @@
         .service();
   }
 
-  /** The jobs that this gateway runs, those that are due first at the head; a copy. */
+  /** A copy of the list of jobs that this gateway runs, in the order of their due times. */
   List<RunningJob> jobsByDueTime() {
     return new ArrayList<>(jobsByDueTime);
   }
 
-  /** Cancels runs that may not have reached a server, if the lease of the job is in doubt. */
+  /**
+   * Cancels the job's runs that have received no event, and so may not have reached a server, if
+   * the lease was not confirmed recently enough.
+   */
   void cancelUnansweredRuns(RunningJob job) {
     if (context.timers().now() - job.leaseConfirmedAt <= cancelAfterMs) {
       return;
@@ -185,15 +196,15 @@
     }
   }
 
-  /** Releases the memory of a text that is recorded. */
+  /** Stops counting the bytes of a text that was recorded. */
   void onTextRecorded(long bytes) {
     unrecordedBytes.release(bytes);
   }
 
   /**
-   * Applies the failed attempts that the record has now. An item that failed may run again only
-   * then: the next runner continues the recorded count, so a takeover hides one failed attempt at
-   * most.
+   * Applies the failed attempts that the record now contains. A failed item may run again only once
+   * its failed attempt is recorded: the next runner continues the recorded count, so a takeover
+   * loses at most one failed attempt.
    */
   void onFailuresRecorded(RunningJob job) {
     for (ItemRun itemRun : job.applyRecordedFailedAttempts()) {
@@ -234,9 +245,9 @@
   }
 
   /**
-   * Starts the next item of a job, or fails what can be run no more.
+   * Starts the next item of a job, or fails items that can no longer be run.
    *
-   * @return whether the one after it may be tried
+   * @return whether a further item of the job may be tried
    */
   private boolean dispatchNextItem(RunningJob job, RoutingConfig config, CapacityBudget budget) {
     if (job.items != null) {
@@ -251,7 +262,9 @@
     return false;
   }
 
-  /** The body could not be read within the time to live of the items. */
+  /**
+   * Fails all ready items of a job whose body was not read within the time to live of the items.
+   */
   private void failReadyItems(RunningJob job) {
     while (!job.ready.isEmpty()) {
       ItemRun itemRun = job.itemRuns[job.ready.poll()];
@@ -261,7 +274,7 @@
     }
   }
 
-  /** What holds for an item that is dispatched. */
+  /** The state under which the items of a job are dispatched. */
   private record JobDispatch(
       RoutingConfig config, CapacityBudget budget, long now, boolean leaseConfirmed) {}
 
@@ -280,15 +293,15 @@
   }
 
   /**
-   * Starts the first ready item of a job, or fails it if it can be run no more.
+   * Starts the first ready item of a job, or fails the item if it can no longer be run.
    *
-   * @return whether the next one may be tried
+   * @return whether the next item may be tried
    */
   private boolean startItem(RunningJob job, ItemRun itemRun, JobDispatch dispatch) {
     BatchItem item = job.items.get(itemRun.itemIndex);
     Optional<Route> matched = dispatch.config().match(job.record.host(), item.path());
     if (matched.isEmpty() && dispatch.config().version() <= job.record.configVersion()) {
-      return false; // this configuration is older than the job's and does not know its routes
+      return false; // this configuration may be older than the job's and lack the route
     }
     if (matched.isEmpty() || job.isExpired(dispatch.now())) {
       job.ready.poll();
--- a/batch/src/main/java/elmsail/batch/run/JobTimeline.java
+++ b/batch/src/main/java/elmsail/batch/run/JobTimeline.java
@@ -5,23 +5,23 @@
 import java.util.Map;
 
 /**
- * When a job reached the stages of its run at this gateway, how the runs of its items ended and why
- * items were not started. Times are in ms of the steady clock, and are printed relative to the
- * job's acceptance. Confined to the gateway's event loop.
+ * Records when a job reached each stage of its execution at this gateway, how the runs of its items
+ * ended and why items were not started. Times are in ms of the steady clock, and are printed
+ * relative to the job's acceptance. Confined to the gateway's event loop.
  */
 final class JobTimeline {
   /**
-   * Why ready items were not started in a dispatch. Operators see the log text, which stays as it
-   * is when a constant is renamed.
+   * Why ready items were not started in a dispatch. Operators read the log text, which must not
+   * change when a constant is renamed.
    */
   enum Stall {
     /** The body of the job is not loaded yet. */
     BODY_NOT_LOADED("BODY"),
-    /** No majority of the stores has confirmed the lease lately. */
+    /** No majority of the stores has confirmed the lease recently. */
     LEASE_UNCONFIRMED("UNCONFIRMED"),
     /** No server has capacity for a batch item. */
     NO_CAPACITY("NO_ROOM"),
-    /** Results that are not recorded yet take too much memory. */
+    /** Unrecorded results take too much memory. */
     MEMORY_FULL("MEMORY");
 
     private final String logText;
@@ -37,10 +37,10 @@
     }
 
     /**
-     * Why an item of a job whose body is loaded is not started.
+     * Returns the reason why an item of a job whose body is loaded was not started.
      *
-     * @param leaseConfirmed whether a majority of the stores has confirmed the lease lately
-     * @param capacity how many items of the route the servers can take
+     * @param leaseConfirmed whether a majority of the stores has confirmed the lease recently
+     * @param capacity the number of items of the route that the servers can accept
      */
     static Stall of(boolean leaseConfirmed, int capacity) {
       if (!leaseConfirmed) {
@@ -67,15 +67,15 @@
   private int runsCancelled;
 
   /**
-   * @param acceptedAt when the job was accepted, or later
-   * @param adoptedAt when this gateway started to run it
+   * @param acceptedAt an upper bound on the time when the job was accepted
+   * @param adoptedAt when this gateway started to run the job
    */
   JobTimeline(long acceptedAt, long adoptedAt) {
     this.acceptedAt = acceptedAt;
     this.adoptedAt = adoptedAt;
   }
 
-  /** The body was loaded; only the first time counts. */
+  /** The body was loaded; only the first call has an effect. */
   void onBodyLoaded(long now) {
     bodyAt = bodyAt == NOT_REACHED ? now : bodyAt;
   }
@@ -97,14 +97,14 @@
     firstEventAt = firstEventAt == NOT_REACHED ? now : firstEventAt;
   }
 
-  /** A run that was sent at {@code sentAt} has ended by itself. */
+  /** A run that was sent at {@code sentAt} ended without being cancelled. */
   void onEnded(ItemServers.RunOutcome outcome, long sentAt, long now) {
     outcomes.merge(outcome, 1, Integer::sum);
     longestRunMs = Math.max(longestRunMs, now - sentAt);
     lastEndAt = now;
   }
 
-  /** This gateway has cancelled a run. */
+  /** This gateway cancelled a run. */
   void onCancelled() {
     runsCancelled++;
   }
--- a/batch/src/main/java/elmsail/batch/run/LeaseKeeper.java
+++ b/batch/src/main/java/elmsail/batch/run/LeaseKeeper.java
@@ -10,19 +10,19 @@
 import java.util.List;
 
 /**
- * Keeps the leases of the jobs that this gateway runs. It sends a heartbeat to all stores; a job
- * whose lease a majority confirms was held when the heartbeat was sent. Where no majority confirms
- * it, or a store says that the lease is lost, the record is read. Confined to the gateway's event
- * loop.
+ * Keeps the leases of the jobs that this gateway runs by sending heartbeats to all stores. If a
+ * majority of the stores confirms the lease of a job, this gateway held the lease when it sent the
+ * heartbeat. If no majority confirms the lease, or a store reports that the lease is lost, the
+ * record of the job is read. Confined to the gateway's event loop.
  */
 final class LeaseKeeper {
   private static final long HEARTBEAT_INTERVAL_MS = 500;
   private static final long RESPONSE_TIMEOUT_MS = 600;
 
-  /** After so long without a confirmation the record is read. */
+  /** The time without a confirmation of the lease after which the record is read. */
   private static final long UNCONFIRMED_MS = 2 * HEARTBEAT_INTERVAL_MS;
 
-  /** The jobs of one heartbeat; the leases of the others are confirmed by reads. */
+  /** The number of jobs in one heartbeat; the leases of further jobs are confirmed by reads. */
   private static final int MAX_HEARTBEAT_JOBS = 1_000;
 
   private final BatchContext context;
@@ -35,12 +35,12 @@
     this.runner = runner;
   }
 
-  /** Starts the heartbeats, after a random delay so that gateways do not send in step. */
+  /** Starts the heartbeats after a random delay, so that the gateways are not synchronized. */
   void start() {
     context.timers().schedule(context.jittered(HEARTBEAT_INTERVAL_MS), this::sendHeartbeat);
   }
 
-  /** One heartbeat under way: counts the confirmations of each job. */
+  /** One heartbeat in flight; counts the confirmations of each job. */
   private final class Renewal {
     private final List<RunningJob> jobs;
     private final int[] confirmations;
--- a/batch/src/main/java/elmsail/batch/run/ResultRecorder.java
+++ b/batch/src/main/java/elmsail/batch/run/ResultRecorder.java
@@ -11,20 +11,23 @@
 import java.util.function.Consumer;
 
 /**
- * Records the results of finished items and the failed attempts of the others, with one change of a
- * job's record at a time. The texts are sent with the first round, so that a majority has them
- * before any store is asked to accept the record that names them. Confined to the gateway's event
- * loop.
+ * Records the results of finished items and the failed attempts of the other items, with at most
+ * one change of a job's record in flight. The texts are sent with the prepare phase, so that a
+ * majority has stored them before any store is requested to accept the record that names them.
+ * Confined to the gateway's event loop.
  */
 final class ResultRecorder {
-  /** Results that finish within this time of the last change are recorded together. */
+  /** Results of items that finish within this time after the last change are recorded together. */
   private static final long BATCH_DELAY_MS = 150;
 
   private static final long CHANGE_TIMEOUT_MS = 2_000;
   private static final long BACKOFF_MS = 150;
   private static final int MAX_BATCH_BYTES = 1 << 20;
 
-  /** With a side effect, even an empty one, there is always a first round, which the texts need. */
+  /**
+   * Forces the register to run the prepare phase, which the texts are sent with: any side effect,
+   * even an empty array, prevents the register from skipping that phase.
+   */
   private static final byte[] EMPTY_SIDE_EFFECT = {};
 
   private final BatchContext context;
@@ -43,7 +46,7 @@
     this.onJobChanged = onJobChanged;
   }
 
-  /** What one change of a record adds to it. */
+  /** The results and failed attempts that one change adds to a record. */
   private record Update(
       List<RunningJob.FinishedItem> finished, List<JobRecord.FailedAttempts> failedAttempts) {
 
@@ -60,7 +63,7 @@
       return blobs;
     }
 
-    /** The results that the record lacks. */
+    /** The results that the record does not contain yet. */
     List<JobRecord.Result> newResults(JobRecord record) {
       BitSet recorded = record.recordedItems();
       List<JobRecord.Result> newResults = new ArrayList<>();
@@ -78,7 +81,7 @@
     }
   }
 
-  /** Records what is unrecorded: at once if every item is done, else after a delay. */
+  /** Schedules the recording of unrecorded data: at once if all items are done, else delayed. */
   void scheduleRecording(RunningJob job) {
     if (job.recording || job.stopped || !job.hasUnrecorded()) {
       return;
@@ -129,7 +132,7 @@
   }
 
   /**
-   * @return the record to propose, or null if there is nothing to add to the current one
+   * @return the record to propose, or null if there is nothing to add to the current record
    */
   private JobRecord propose(RunningJob job, Update update, byte[] current) {
     JobRecord record = recordIfOwned(job, current);
@@ -144,7 +147,7 @@
     return record.withResults(newResults, update.failedAttempts(), ageMs);
   }
 
-  /** The record, or null if this gateway is no longer the runner of the job in this term. */
+  /** Returns the record, or null if this gateway is no longer the job's runner in this term. */
   private JobRecord recordIfOwned(RunningJob job, byte[] value) {
     JobRecord record = JobRecord.decodeNullable(value);
     boolean owned =
--- a/batch/src/main/java/elmsail/batch/run/RunningJob.java
+++ b/batch/src/main/java/elmsail/batch/run/RunningJob.java
@@ -10,9 +10,9 @@
 import java.util.PriorityQueue;
 
 /**
- * One job that this gateway runs in one term: the newest record known, the runs of its items and
- * the results that are not recorded yet. Ordered by due time. Shared by the classes of this package
- * and confined to the gateway's event loop.
+ * One job that this gateway runs in one term: the newest known record, the runs of the items and
+ * the unrecorded results. Ordered by due time. Shared by the classes of this package and confined
+ * to the gateway's event loop.
  */
 final class RunningJob implements Comparable<RunningJob> {
   /** An item whose result is not recorded yet; the text is empty if the item failed. */
@@ -23,25 +23,25 @@
   /** The term of this gateway's lease. */
   final long term;
 
-  /** When the job was accepted, or later, in ms of the steady clock. */
+  /** An upper bound on the time when the job was accepted, in ms of the steady clock. */
   final long acceptedAt;
 
-  /** The newest committed record that this gateway has seen as the runner. */
+  /** The newest committed record that this gateway has received as the runner. */
   JobRecord record;
 
-  /** Null until the body is loaded. */
+  /** The items with their requests; null until the body is loaded. */
   List<BatchItem> items;
 
-  /** Whether the body is being loaded. */
+  /** Whether a fetch of the body is in flight. */
   boolean fetching;
 
-  /** One for each item, by its index. */
+  /** One element per item, by item index. */
   final ItemRun[] itemRuns;
 
   /** The indexes of the items that may be started, the lowest first. */
   final PriorityQueue<Integer> ready = new PriorityQueue<>();
 
-  /** By item index, in the order in which they finished. */
+  /** The items whose results are not recorded yet, by item index, in the order of finishing. */
   final Map<Integer, FinishedItem> finished = new LinkedHashMap<>();
 
   /** Whether a change of the record is in flight. */
@@ -53,16 +53,19 @@
   /** When the record was last changed, in ms of the steady clock. */
   long recordedAt;
 
-  /** When the job last certainly was open and run by this gateway, in ms of the steady clock. */
+  /**
+   * The latest time at which the job was certainly open and this gateway was its runner, in ms of
+   * the steady clock.
+   */
   long leaseConfirmedAt;
 
-  /** Whether the record is being read to confirm the lease. */
+  /** Whether a read of the record is in flight that confirms the lease. */
   boolean confirmingLeaseByRead;
 
-  /** Set for good once this gateway no longer runs the job. */
+  /** Whether this gateway has stopped running the job; never reset. */
   boolean stopped;
 
-  /** For the log: why the job was late. */
+  /** The course of the execution, which is logged if the job is late. */
   final JobTimeline timeline;
 
   RunningJob(String id, JobRecord record, long acceptedAt, long confirmedAt, long now) {
@@ -92,7 +95,7 @@
     return acceptedAt + record.completionTargetMs();
   }
 
-  /** The least age of the job, in ms. */
+  /** A lower bound on the age of the job, in ms. */
   long ageMs(long now) {
     return now - acceptedAt;
   }
@@ -116,12 +119,12 @@
     return inFlight;
   }
 
-  /** The lease was certainly held at this time, in ms of the steady clock. */
+  /** Confirms that this gateway held the lease at this time, in ms of the steady clock. */
   void confirmLease(long at) {
     leaseConfirmedAt = Math.max(leaseConfirmedAt, at);
   }
 
-  /** Adds the result of the item to those that are to be recorded. */
+  /** Marks the item as done and adds its result to the unrecorded results. */
   FinishedItem finish(ItemRun itemRun, boolean succeeded) {
     byte[] text = succeeded ? itemRun.text() : new byte[0];
     itemRun.discardText();
@@ -135,7 +138,7 @@
   /**
    * Cancels all runs and discards all texts.
    *
-   * @return the length of these texts in bytes
+   * @return the total length of the discarded texts, in bytes
    */
   long discard() {
     long bytes = 0;
@@ -151,12 +154,12 @@
     return bytes;
   }
 
-  /** Whether there are results or failed attempts that the record lacks. */
+  /** Whether there are results or failed attempts that the record does not contain. */
   boolean hasUnrecorded() {
     return !finished.isEmpty() || !unrecordedFailedAttempts().isEmpty();
   }
 
-  /** The failed attempts that the record lacks, of items without a result. */
+  /** The failed attempts of items without a result that the record does not contain. */
   List<JobRecord.FailedAttempts> unrecordedFailedAttempts() {
     List<JobRecord.FailedAttempts> failedAttempts = new ArrayList<>();
     for (ItemRun itemRun : itemRuns) {
@@ -167,7 +170,7 @@
     return failedAttempts;
   }
 
-  /** Applies the failed attempts of the record; returns the items that may run again by it. */
+  /** Applies the failed attempts in the record; returns the items that may now run again. */
   List<ItemRun> applyRecordedFailedAttempts() {
     List<ItemRun> retryable = new ArrayList<>();
     for (ItemRun itemRun : itemRuns) {
@@ -182,7 +185,7 @@
     return retryable;
   }
 
-  /** Whether every item has a result, so that only the recording remains. */
+  /** Whether every item has a result, recorded or not. */
   boolean allItemsDone() {
     for (ItemRun itemRun : itemRuns) {
       if (!itemRun.done) {
@@ -192,7 +195,7 @@
     return true;
   }
 
-  /** The next results to record: one at least, and further ones up to so many bytes in all. */
+  /** The next results to record: at least one, and more up to {@code maxBytes} of text in total. */
   List<FinishedItem> nextBatch(int maxBytes) {
     List<FinishedItem> batch = new ArrayList<>();
     int bytes = 0;
--- a/batch/src/main/java/elmsail/batch/run/TenantShares.java
+++ b/batch/src/main/java/elmsail/batch/run/TenantShares.java
@@ -11,15 +11,15 @@
 import java.util.function.Predicate;
 
 /**
- * Shares the slots of one dispatch among the tenants whose jobs wait (max-min fairness): each turn
- * goes to the tenant with the fewest items in flight at this gateway, however many jobs it has.
- * Among equals, and among the jobs of one tenant, the job that is due first is served first. Used
- * once; without I/O.
+ * Shares the capacity of one dispatch among the tenants with ready items (max-min fairness). Each
+ * turn goes to the tenant with the fewest items in flight at this gateway, however many jobs the
+ * tenant has. Among tenants with equally many, and among the jobs of one tenant, the job that is
+ * due first takes precedence. An instance serves a single dispatch and does no I/O.
  */
 final class TenantShares {
-  /** The waiting jobs of one tenant. */
+  /** The jobs of one tenant that have ready items. */
   private static final class TenantQueue {
-    /** Those that are due first at the head; never empty while the queue is in {@link #waiting}. */
+    /** In the order of their due times; never empty while this queue is in {@link #waiting}. */
     final Queue<RunningJob> jobs = new ArrayDeque<>();
 
     int itemsInFlight;
@@ -32,7 +32,7 @@
   private final PriorityQueue<TenantQueue> waiting = new PriorityQueue<>(FEWEST_IN_FLIGHT);
 
   /**
-   * @param jobs all that this gateway runs, those that are due first at the head
+   * @param jobs all jobs that this gateway runs, in the order of their due times
    */
   TenantShares(List<RunningJob> jobs) {
     Map<TenantName, TenantQueue> tenants = new LinkedHashMap<>();
@@ -53,9 +53,9 @@
   }
 
   /**
-   * Gives the turns until no job can use one.
+   * Gives turns to the jobs until no job can start another item.
    *
-   * @param turn starts an item of the job; false if the job can start no further one
+   * @param turn starts an item of the job; returns false if the job can start no further item
    */
   void giveTurns(Predicate<RunningJob> turn) {
     while (!waiting.isEmpty()) {
--- a/batch/src/main/java/elmsail/batch/run/UnrecordedBytes.java
+++ b/batch/src/main/java/elmsail/batch/run/UnrecordedBytes.java
@@ -4,8 +4,9 @@
 import elmsail.runtime.Invariants;
 
 /**
- * The memory that result texts take until they are recorded, over all jobs that this gateway runs.
- * While it is full no further item is started. Confined to the gateway's event loop.
+ * Counts the bytes of result texts that are not recorded yet, over all jobs that this gateway runs.
+ * While the count exceeds its limit, no further item is started. Confined to the gateway's event
+ * loop.
  */
 final class UnrecordedBytes {
   private static final long MAX_BYTES = 16L << 20;
@@ -22,21 +23,23 @@
     return bytes > MAX_BYTES;
   }
 
-  /** Adds bytes that were received. */
+  /** Adds bytes that were received from servers. */
   void add(long received) {
     bytes += received;
   }
 
-  /** Releases bytes that were recorded or discarded. */
+  /** Subtracts bytes that were recorded or discarded. */
   void release(long released) {
     bytes -= released;
   }
 
-  /** Checks, after a job was removed, that what is left can belong to the other jobs. */
+  /**
+   * Checks the invariant after a job was removed: the count is not negative, and zero without jobs.
+   */
   void check(int jobs) {
     invariants.check(
         Invariant.HELD_BYTES_BELONG_TO_JOBS,
         bytes >= 0 && (bytes == 0 || jobs > 0),
-        () -> bytes + " bytes held for " + jobs + " jobs");
+        () -> bytes + " bytes of unrecorded results counted for " + jobs + " jobs");
   }
 }
--- a/batch/src/main/java/elmsail/batch/run/package-info.java
+++ b/batch/src/main/java/elmsail/batch/run/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The running of batch items at a gateway: which item is started when ({@code JobRunner}), how a
- * run ends ({@code ItemRunner}), how results are recorded ({@code ResultRecorder}), and how leases
- * are kept and jobs of failed gateways taken over ({@code LeaseKeeper}, {@code FailoverMonitor}).
+ * The execution of batch items at a gateway: {@code JobRunner} dispatches items, {@code ItemRunner}
+ * processes the outcome of runs, {@code ResultRecorder} records results, {@code LeaseKeeper} keeps
+ * leases, and {@code FailoverMonitor} takes over the jobs of failed gateways.
  */
 package elmsail.batch.run;
--- a/batch/src/test/java/elmsail/batch/BatchFaultSimulationTest.java
+++ b/batch/src/test/java/elmsail/batch/BatchFaultSimulationTest.java
@@ -21,8 +21,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The batch service on real replicas, with gateways and stores that crash, lose their disks, stall
- * and are partitioned at random; all invariants of the protocol are checked.
+ * Checks the invariants of the batch protocol on real replicas under random faults: gateways and
+ * stores crash or are partitioned, stores lose their disks, and disk writes stall.
  */
 class BatchFaultSimulationTest {
   private static final long MAX_WAITING_TOKENS = 100;
@@ -31,10 +31,12 @@
   private static final List<TenantName> TWO_TENANTS =
       List.of(new TenantName("argus"), new TenantName("bora"));
 
-  /** Of the run with two tenants, which has twice the jobs. */
+  /**
+   * The number of seeds for the test with two tenants, which submits twice as many jobs per run.
+   */
   private static final int TENANT_SEEDS = Integer.getInteger("batch.tenantSeeds", 6);
 
-  /** What clients have observed of one job. */
+  /** The replies that clients have received for one job. */
   private static final class ObservedJob {
     final List<Integer> statuses = new ArrayList<>();
     boolean accepted;
@@ -43,7 +45,7 @@
     String results = "";
   }
 
-  /** One simulated run of clients and faults, from one seed. */
+  /** One simulation of clients and faults with one seed. */
   private static final class FaultRun {
     final ReplicatedBatchCluster cluster;
     final Map<String, ObservedJob> jobs = new LinkedHashMap<>();
@@ -51,7 +53,7 @@
     final List<TenantName> tenants;
     int nextJobNumber;
 
-    /** The jobs belong to these tenants in turns. */
+    /** Creates the cluster; the jobs are assigned to these tenants in turn. */
     FaultRun(long seed, List<TenantName> tenants) {
       cluster = new ReplicatedBatchCluster(seed, 3, MAX_WAITING_TOKENS);
       this.tenants = tenants;
@@ -88,7 +90,9 @@
           });
     }
 
-    /** Runs the check and keeps its failure, which the future would swallow. */
+    /**
+     * Runs the check on the reply and stores its failure, which the future would otherwise hide.
+     */
     private void checkReply(
         CompletableFuture<BatchService.Reply> reply, Consumer<BatchService.Reply> check) {
       reply
@@ -113,7 +117,7 @@
         }
       }
       assertThat(
-          "waiting of '" + tenant.value() + "', seed " + cluster.seed,
+          "waiting tokens of tenant '" + tenant.value() + "', seed " + cluster.seed,
           waiting,
           lessThanOrEqualTo(MAX_WAITING_TOKENS * 11 / 10));
     }
@@ -129,7 +133,7 @@
               if (reply.status() == 200 && observed.cancelledAt < 0) {
                 observed.cancelledAt = cluster.timers.now();
               }
-              assertThat("the cancellation of " + id, reply.status(), not(is(404)));
+              assertThat("status of the cancellation of " + id, reply.status(), not(is(404)));
             });
       }
     }
@@ -146,7 +150,7 @@
       }
     }
 
-    /** What is another tenant's is never shown. */
+    /** Checks that a job does not exist for any other tenant than its own. */
     private void readAsOtherTenants(ReplicatedBatchCluster.Gateway gateway, String id) {
       for (TenantName other : tenants) {
         if (!other.equals(tenantOf(id))) {
@@ -177,7 +181,7 @@
       }
     }
 
-    /** Injects a fault at one store, or at any gateway. */
+    /** Injects a random fault at a random store, a random gateway or the link between the two. */
     void injectFault() {
       ReplicatedBatchCluster.StoreNode store = cluster.stores.get(cluster.random.nextInt(3));
       ReplicatedBatchCluster.Gateway gateway = cluster.gateways.get(cluster.random.nextInt(3));
@@ -251,14 +255,20 @@
     }
   }
 
-  /** No item of a rejected job runs, and none of a cancelled one long after its cancellation. */
+  /**
+   * Checks that no item of a rejected job runs, and that no item of a cancelled job starts later
+   * than 3 s after the cancellation.
+   */
   private static void checkRun(FaultRun faultRun, SimServers.Run run) {
     String seedSuffix = ", seed " + faultRun.cluster.seed;
     String jobId = run.item.id().substring(0, run.item.id().indexOf('-'));
     ObservedJob observed = faultRun.jobs.get(jobId);
     boolean rejected = observed.statuses.stream().allMatch(s -> s == 429 || s == 503);
     assertThat(jobId + seedSuffix, run.tenant, is(faultRun.tenantOf(jobId)));
-    assertThat(jobId + " ran though each attempt was rejected" + seedSuffix, rejected, is(false));
+    assertThat(
+        jobId + " ran although all its submissions were rejected" + seedSuffix,
+        rejected,
+        is(false));
     if (observed.cancelledAt >= 0) {
       assertThat(
           jobId + " ran after its cancellation" + seedSuffix,
@@ -295,7 +305,7 @@
         is("body " + jobId + "1"));
   }
 
-  /** How many jobs were accepted, refused at least once, and cancelled. */
+  /** The numbers of jobs that were accepted, rejected with 429 at least once, and cancelled. */
   private static final class Outcomes {
     int accepted;
     int rejected;
@@ -315,7 +325,10 @@
     for (int seed = 0; seed < seeds; seed++) {
       FaultRun faultRun = new FaultRun(seed, tenants);
       faultRun.run();
-      assertThat("faults, seed " + seed, faultRun.cluster.net.handlerFaults(), is(empty()));
+      assertThat(
+          "faults of request handlers, seed " + seed,
+          faultRun.cluster.net.handlerFaults(),
+          is(empty()));
       assertThat("seed " + seed, faultRun.violations, is(empty()));
       checkFinalState(faultRun);
       outcomes.add(faultRun);
@@ -331,7 +344,7 @@
     assertThat(outcomes.cancelled, greaterThan(10));
   }
 
-  /** QUOTA and the others for each of two tenants that share the route, gateways and stores. */
+  /** The quota and the other invariants hold for each of two tenants that share a route. */
   @Test
   void invariantsHoldForEachTenantUnderRandomFaults() {
     Outcomes outcomes = runSeeds(TENANT_SEEDS, TWO_TENANTS);
@@ -339,7 +352,7 @@
     assertThat(outcomes.rejected, greaterThan(TENANT_SEEDS));
     assertThat(outcomes.cancelled, greaterThan(TENANT_SEEDS / 2));
     System.out.printf(
-        "two tenants, %d seeds: %d jobs accepted, %d refused at least once, %d cancelled%n",
+        "two tenants, %d seeds: %d jobs accepted, %d rejected at least once, %d cancelled%n",
         TENANT_SEEDS, outcomes.accepted, outcomes.rejected, outcomes.cancelled);
   }
 
--- a/batch/src/test/java/elmsail/batch/FailingItemsTest.java
+++ b/batch/src/test/java/elmsail/batch/FailingItemsTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Items that fail, items that cannot be run, and jobs that are submitted again. */
+/** Tests items that fail, items that cannot be run, and jobs that are submitted again. */
 class FailingItemsTest {
   private static final String NO_RESULTS = "\"next_token\":0,\"deliveries\":[]";
   private static final String FAILED_STATE = "\"state\":\"undeliverable\"";
@@ -29,7 +29,7 @@
         return gateway;
       }
     }
-    throw new AssertionError("no gateway runs the item");
+    throw new AssertionError("no live gateway has an open run");
   }
 
   private static void kill(SimBatchCluster.Gateway gateway) {
@@ -37,7 +37,7 @@
     gateway.servers.closeConnections();
   }
 
-  /** BUDGET: responses of 500 are counted over all gateways that run the job in turn. */
+  /** Guards against a takeover that resets the count of responses with status 500. */
   @Test
   void theNextRunnerContinuesTheCountOfFailedAttempts() {
     for (int seed = 0; seed < 20; seed++) {
@@ -56,7 +56,10 @@
     }
   }
 
-  /** BUDGET: a takeover in between hides one failed attempt at most. */
+  /**
+   * Guards against retries before the failed attempt is recorded: a takeover would then lose more
+   * than one failed attempt.
+   */
   @Test
   void aFailedItemIsRetriedOnlyOnceItsFailureIsRecorded() {
     SimBatchCluster cluster = clusterWithAcceptedJob(31, 1, 1);
@@ -73,7 +76,7 @@
     assertThat(cluster.read(0, "a", 0), containsString(FAILED_STATE));
   }
 
-  /** MIXED: neither lost connections nor rejections by servers count as failed attempts. */
+  /** Runs with an unknown outcome and runs that a server did not start are not failed attempts. */
   @Test
   void onlyResponsesOf500CountAsFailedAttempts() {
     SimBatchCluster cluster = clusterWithAcceptedJob(32, 2, 1);
@@ -92,7 +95,7 @@
     assertThat(cluster.read(1, "a", 0), containsString(FAILED_STATE));
   }
 
-  /** LOST: a job whose body is lost is not stuck for ever. */
+  /** Guards against a job that never completes because no store has its body. */
   @Test
   void anItemWhoseBodyIsLostFailsAfterItsTimeToLive() {
     SimBatchCluster cluster = new SimBatchCluster(33, 2, 1_000);
@@ -106,7 +109,9 @@
     assertThat(cluster.read(1, "a", 0), containsString("\"next_token\":2"));
   }
 
-  /** LOST: an item whose runs all break is retried, and given up in the end. */
+  /**
+   * An item whose runs all end with an unknown outcome is retried until its time to live is over.
+   */
   @Test
   void anItemWhoseRunsAllEndWithAnUnknownOutcomeFailsAfterItsTimeToLive() {
     SimBatchCluster cluster = clusterWithAcceptedJob(34, 1, 1);
@@ -122,7 +127,7 @@
     assertThat(cluster.read(0, "a", 0), containsString(FAILED_STATE));
   }
 
-  /** LOST: an accepted job stays accepted, also after its routes were removed. */
+  /** An accepted job stays accepted after its routes were removed from the configuration. */
   @Test
   void aResubmittedJobIsAcceptedAfterItsRoutesWereRemoved() {
     SimBatchCluster cluster = clusterWithAcceptedJob(35, 2, 1);
@@ -141,26 +146,34 @@
         cluster.status(secondGateway.submit(TenantName.NONE, route, "b", jobB, 3_000)), is(503));
   }
 
-  /** LOST: a resubmission is accepted over quota, after completion and after cancellation. */
+  /** A resubmission is accepted over quota, after completion and after cancellation. */
   @Test
   void aResubmittedJobIsAcceptedInAnyState() {
     SimBatchCluster cluster = new SimBatchCluster(36, 2, 100);
     assertThat(cluster.status(cluster.submit(0, "a", 10, 10)), is(202));
     assertThat("over quota", cluster.status(cluster.submit(1, "b", 1, 10)), is(429));
     assertThat(
-        "while the route is over quota", cluster.status(cluster.submit(1, "a", 10, 10)), is(202));
+        "resubmitted while the route is over quota",
+        cluster.status(cluster.submit(1, "a", 10, 10)),
+        is(202));
     cluster.timers.advance(100);
     List.copyOf(cluster.gateways.get(0).servers.runs).forEach(SimServers.Run::complete);
     cluster.timers.advance(500);
     assertThat(cluster.read(1, "a", 9), containsString("\"next_token\":10"));
-    assertThat("after its completion", cluster.status(cluster.submit(1, "a", 10, 10)), is(202));
+    assertThat(
+        "resubmitted after its completion",
+        cluster.status(cluster.submit(1, "a", 10, 10)),
+        is(202));
     assertThat(
         cluster.status(cluster.gateways.get(1).batchApi.cancel(TenantName.NONE, "a")), is(200));
     assertThat(
-        "again",
+        "cancelled a second time",
         cluster.status(cluster.gateways.get(0).batchApi.cancel(TenantName.NONE, "a")),
         is(200));
-    assertThat("after its cancellation", cluster.status(cluster.submit(0, "a", 10, 10)), is(202));
+    assertThat(
+        "resubmitted after its cancellation",
+        cluster.status(cluster.submit(0, "a", 10, 10)),
+        is(202));
     int runs =
         cluster.gateways.get(0).servers.runs.size() + cluster.gateways.get(1).servers.runs.size();
     assertThat("each item ran once", runs, is(10));
--- a/batch/src/test/java/elmsail/batch/IdleItemsTest.java
+++ b/batch/src/test/java/elmsail/batch/IdleItemsTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Once trouble has ended, no item that is not listed yet stays without a run at a server while
- * there is capacity: a job whose items idle for 5 s of calm is lost by the users' rules. Trouble is
- * cut links, a gateway that dies with its jobs, and runs that end in every way.
+ * Guards against items that stay without a run after faults have ended, although servers have
+ * capacity. The requirements count a job as lost if its items idle for 5 s without faults. The
+ * faults are cut links, a gateway that crashes with its jobs, and runs that end with any outcome.
  */
 class IdleItemsTest {
   private static final int GATEWAYS = 3;
@@ -26,7 +26,7 @@
   private static final long FAULT_PHASE_MS = 6_000;
   private static final long STEP_MS = 20;
 
-  /** A runner that died is missed for 2 s and more; the rule allows 5 s. */
+  /** A takeover starts 2 s or more after the last heartbeat; the requirements allow 5 s. */
   private static final long MAX_IDLE_MS = 4_000;
 
   private static final long MAX_RECOVERY_MS = 20_000;
@@ -125,7 +125,7 @@
     return withoutResult;
   }
 
-  /** Watches until all items are listed; returns for how long one idled at most. */
+  /** Waits until all items have a result; returns the longest time that any item had no run. */
   private long longestIdleMs(long seed) {
     Map<String, Long> lastBusyAt = new HashMap<>();
     long healedAt = cluster.timers.now();
@@ -133,7 +133,7 @@
     List<String> withoutResult = itemsWithoutResult();
     while (!withoutResult.isEmpty()) {
       assertThat(
-          "seed " + seed + " waits for " + withoutResult,
+          "seed " + seed + ", items without result: " + withoutResult,
           cluster.timers.now() - healedAt,
           lessThanOrEqualTo(MAX_RECOVERY_MS));
       for (String item : withoutResult) {
@@ -162,15 +162,15 @@
       longestMs = Math.max(longestMs, longestIdleMs(seed));
       crashes += crashedGateway == null ? 0 : 1;
     }
-    assertThat("items unlisted when trouble ended", unfinishedItems, greaterThan(60));
-    assertThat("gateways that died", crashes, greaterThan(10));
+    assertThat("items without result when the faults ended", unfinishedItems, greaterThan(60));
+    assertThat("crashed gateways", crashes, greaterThan(10));
     assertThat("longest time without a run, in ms", longestMs, lessThanOrEqualTo(MAX_IDLE_MS));
     System.out.println(
         unfinishedItems
-            + " items left, "
+            + " items without result when the faults ended, "
             + crashes
-            + " deaths, idle for "
+            + " gateway crashes, longest time without a run: "
             + longestMs
-            + " ms at most");
+            + " ms");
   }
 }
--- a/batch/src/test/java/elmsail/batch/JobLeaseTest.java
+++ b/batch/src/test/java/elmsail/batch/JobLeaseTest.java
@@ -99,7 +99,7 @@
               resultsBefore.substring(resultsBefore.indexOf('['), resultsBefore.length() - 2)));
       int runs =
           cluster.gateways.get(1).servers.runs.size() + cluster.gateways.get(2).servers.runs.size();
-      assertThat("each remaining item ran once, seed " + seed, runs, is(4));
+      assertThat("runs of the 4 remaining items, seed " + seed, runs, is(4));
     }
   }
 
--- a/batch/src/test/java/elmsail/batch/ReplicatedBatchCluster.java
+++ b/batch/src/test/java/elmsail/batch/ReplicatedBatchCluster.java
@@ -26,13 +26,13 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Gateways and stores with real replicas, on simulated links and disks. One manual clock and one
- * seed drive everything, so a run can be repeated.
+ * Simulates gateways and stores with real replicas over simulated links and disks. One manual clock
+ * and one seed determine the whole simulation, so that it is reproducible.
  */
 final class ReplicatedBatchCluster {
   static final String VOTER_SET_NAME = "shelf";
 
-  /** A store process and its disk, which survives a crash. */
+  /** A store process and its disk; the disk survives a crash of the process. */
   final class StoreNode {
     final String address;
     final SimDisk disk;
@@ -78,7 +78,7 @@
     }
   }
 
-  /** A gateway; each start is a new incarnation with servers of its own. */
+  /** A gateway; each start creates a new incarnation with its own servers. */
   final class Gateway {
     final String address;
     SimNode node;
@@ -131,7 +131,7 @@
       batchApi.start();
     }
 
-    /** Crashes; its servers abort what it had sent them. */
+    /** Crashes the gateway; its servers abort its runs. */
     void kill() {
       up = false;
       net.kill(address);
@@ -146,15 +146,15 @@
   final List<StoreNode> stores = new ArrayList<>();
   final List<Gateway> gateways = new ArrayList<>();
 
-  /** Those of all incarnations of all gateways. */
+  /** The servers of all incarnations of all gateways. */
   final List<SimServers> allServers = new ArrayList<>();
 
-  /** The ids of the items that a server has completed. */
+  /** The ids of the items that any server has completed. */
   final Set<String> completedItemIds = new HashSet<>();
 
   final ClusterView view = new ClusterView();
 
-  /** In force at all gateways. */
+  /** The configuration in force at all gateways. */
   SimConfig config;
 
   ReplicatedBatchCluster(long seed, int gatewayCount, long maxWaitingTokens) {
@@ -189,7 +189,7 @@
     distributeVoterSet();
   }
 
-  /** Distributes the newest voter set, as watching the control plane does. */
+  /** Periodically distributes the newest voter set, in place of the watch at the control plane. */
   private void distributeVoterSet() {
     VoterSet newest = newestVoterSet();
     view.jobStoreVoters = newest;
@@ -279,7 +279,10 @@
     return gateway.batchApi.submit(tenant, route(), id, JobJson.job(id, items, tokens), 3_000);
   }
 
-  /** The reply, or null if there is none within 6 s, as the gateway has crashed. */
+  /**
+   * Advances the clock until the reply is present, by at most 6 s. Returns null if there is no
+   * reply by then, because the gateway has crashed.
+   */
   BatchService.Reply await(CompletableFuture<BatchService.Reply> reply) {
     for (int i = 0; i < 6_000 && !reply.isDone(); i++) {
       timers.advance(1);
--- a/batch/src/test/java/elmsail/batch/SimBatchCluster.java
+++ b/batch/src/test/java/elmsail/batch/SimBatchCluster.java
@@ -30,14 +30,15 @@
 import java.util.concurrent.CompletionStage;
 
 /**
- * Gateways and stores with a simple register, on simulated links. One manual clock and one seed
- * drive everything, so a run can be repeated. {@link ReplicatedBatchCluster} has real replicas.
+ * Simulates gateways and stores with a simple register over simulated links. One manual clock and
+ * one seed determine the whole simulation, so that it is reproducible. {@link
+ * ReplicatedBatchCluster} has real replicas.
  */
 final class SimBatchCluster {
   static final long STATUS_RETENTION_MS = 120_000;
   static final String HOST = "h.example";
 
-  /** A gateway with its servers; while it is down it neither receives nor sends. */
+  /** A gateway with its servers; while it is down, it neither receives nor sends messages. */
   static final class Gateway {
     final String address;
     BatchApi batchApi;
@@ -56,10 +57,10 @@
   final List<Gateway> gateways = new ArrayList<>();
   final ClusterView view = new ClusterView();
 
-  /** Links that are cut: "from>to". */
+  /** The cut links, each as "from>to". */
   final Set<String> cutLinks = new HashSet<>();
 
-  /** Delays of single links, in ms; the others have 1 to 5. */
+  /** The fixed delays of some links, in ms; on other links each message takes 1 to 5 ms. */
   final Map<String, Long> linkDelays = new HashMap<>();
 
   final SimConfig initialConfig;
@@ -200,7 +201,10 @@
     return false;
   }
 
-  /** Delivers a message, unless the link is cut or the receiver is down on arrival. */
+  /**
+   * Delivers a message, unless the sender is down now, or the link is cut or the receiver is down
+   * when the message arrives.
+   */
   void deliver(String from, String to, Runnable message) {
     if (!isUp(from)) {
       return;
@@ -282,16 +286,16 @@
         .submit(tenant, route(), id, JobJson.job(id, items, tokens), 3_000);
   }
 
-  /** Advances the clock until there is a reply, by 10 s at most. */
+  /** Advances the clock until the reply is present, by at most 10 s. */
   BatchService.Reply await(CompletableFuture<BatchService.Reply> reply) {
     for (int i = 0; i < 10_000 && !reply.isDone(); i++) {
       timers.advance(1);
     }
-    assertThat("answered within 10 s", reply.isDone(), is(true));
+    assertThat("replied within 10 s", reply.isDone(), is(true));
     return reply.join();
   }
 
-  /** The waiting tokens of the route, as this store counts them. */
+  /** The waiting tokens of the route according to this store. */
   static long waitingTokens(SimJobStore store) {
     WaitingTokens count = new WaitingTokens();
     count.mergeAll(
@@ -301,7 +305,7 @@
     return count.totalExcept("probe");
   }
 
-  /** How many stores have the blob. */
+  /** The number of stores that have the blob. */
   int storesWithBlob(String key, String blob) {
     int count = 0;
     for (SimJobStore store : stores) {
--- a/batch/src/test/java/elmsail/batch/SimConfig.java
+++ b/batch/src/test/java/elmsail/batch/SimConfig.java
@@ -8,20 +8,20 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** A routing configuration of these routes only. */
+/** A routing configuration that contains only routes. */
 record SimConfig(long version, List<Route> routes, boolean requiresKeys) implements RoutingConfig {
 
-  /** Without tenants. */
+  /** Creates a configuration without tenants. */
   SimConfig(long version, List<Route> routes) {
     this(version, routes, false);
   }
 
-  /** The next version, with tenants. */
+  /** The next version of this configuration, with tenants. */
   SimConfig withKeysRequired() {
     return new SimConfig(version + 1, routes, true);
   }
 
-  /** The next version, with a copy of the first route that needs no key. */
+  /** The next version of this configuration, with a copy of the first route that needs no key. */
   SimConfig withOpenRoute(String prefix) {
     Route first = routes.get(0);
     List<Route> extended = new ArrayList<>(routes);
--- a/batch/src/test/java/elmsail/batch/SimServers.java
+++ b/batch/src/test/java/elmsail/batch/SimServers.java
@@ -9,7 +9,8 @@
 import java.util.Set;
 
 /**
- * The servers of one gateway: each run is kept, and is completed by the test or after a set time.
+ * Simulates the servers of one gateway. Each run is recorded, and completes on a call by the test
+ * or after a set time.
  */
 final class SimServers implements ItemServers {
 
@@ -47,7 +48,10 @@
       }
     }
 
-    /** Sends the complete output, two events by the item's id, and ends the run. */
+    /**
+     * Sends the events of the complete output that the gateway lacks and ends the run. The output
+     * is two events, derived from the item's id.
+     */
     void complete() {
       for (long id = lastEventId + 1; id < 2; id++) {
         event(id, item.id() + "/" + id + eventPadding);
@@ -68,15 +72,16 @@
   /** The ids of the items that were completed. */
   Set<String> completedItemIds = new HashSet<>();
 
-  /** Appended to the data of each event, where long texts matter. */
+  /** Text that is appended to the data of each event, for tests with long texts. */
   String eventPadding = "";
 
   /**
-   * By how much each run takes longer than the one before it, beyond {@link #serviceTimeMs}, in ms.
+   * The difference between the durations of consecutive runs, which is added to {@link
+   * #serviceTimeMs}, in ms.
    */
   long staggerMs;
 
-  /** After how long a run completes, in ms; with -1 only the test completes it. */
+  /** The time after which a run completes, in ms; with -1, runs complete only by the test. */
   long serviceTimeMs = -1;
 
   SimServers(ManualTimers timers) {
@@ -110,7 +115,7 @@
     return run;
   }
 
-  /** The gateway has crashed: its connections close and no listener is called. */
+  /** Closes the connections of a crashed gateway; no listener is called any more. */
   void closeConnections() {
     runs.forEach(Run::cancel);
   }
--- a/batch/src/test/java/elmsail/batch/run/JobTimelineTest.java
+++ b/batch/src/test/java/elmsail/batch/run/JobTimelineTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 class JobTimelineTest {
-  /** Operators read these texts in the line of a late job: docs/tier-operations.md. */
+  /** Operators read these texts in the log line of a late job, see docs/tier-operations.md. */
   @Test
   void theStagesAreDescribedInTheFormatThatOperatorsRead() {
     JobTimeline timeline = new JobTimeline(1_000, 1_010);
--- a/batch/src/test/java/elmsail/batch/run/TenantSharesTest.java
+++ b/batch/src/test/java/elmsail/batch/run/TenantSharesTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 class TenantSharesTest {
-  /** A job of three items; the later it was accepted, the later it is due. */
+  /** A job with three items that is due a fixed time after its acceptance. */
   private static RunningJob job(String id, String tenant, long acceptedAt) {
     List<JobRecord.Item> items =
         IntStream.range(0, 3).mapToObj(i -> new JobRecord.Item(id + i, 1)).toList();
@@ -31,7 +31,7 @@
     return job;
   }
 
-  /** The jobs in the order of their turns, if there are so many slots. */
+  /** The jobs that start an item, in the order of their turns, with this number of slots. */
   private static List<String> turns(int slots, RunningJob... jobs) {
     List<String> started = new ArrayList<>();
     new TenantShares(List.of(jobs))
@@ -68,7 +68,7 @@
         turns(5, inFlight(job("a1", "a", 1), 2), job("a2", "a", 2), job("b1", "b", 3)),
         contains("b1", "b1", "a1", "b1", "a2"));
     assertThat(
-        "a job with no item left to start counts too",
+        "items in flight of a job without ready items count too",
         turns(3, inFlight(job("a1", "a", 1), 3), job("a2", "a", 2), job("b1", "b", 3)),
         contains("b1", "b1", "b1"));
   }
