--- a/batch/src/main/java/elmsail/batch/run/BodyLoader.java
+++ b/batch/src/main/java/elmsail/batch/run/BodyLoader.java
@@ -28,10 +28,10 @@
 
   /** Fetches the items of a job, unless this fetch or too many other fetches are in flight. */
   void fetch(RunningJob job) {
-    if (job.fetching || fetchesInFlight >= MAX_CONCURRENT_FETCHES) {
+    if (job.fetchingBody || fetchesInFlight >= MAX_CONCURRENT_FETCHES) {
       return;
     }
-    job.fetching = true;
+    job.fetchingBody = true;
     fetchesInFlight++;
     jobClient
         .readItems(job.id, job.record, FETCH_TIMEOUT_MS)
@@ -49,7 +49,7 @@
   }
 
   private void endFetch(RunningJob job) {
-    job.fetching = false;
+    job.fetchingBody = false;
     onFetchEnded.run();
   }
 }
--- a/batch/src/main/java/elmsail/batch/run/CapacityBudget.java
+++ b/batch/src/main/java/elmsail/batch/run/CapacityBudget.java
@@ -23,7 +23,7 @@
   }
 
   /** Accounts for one started item of the route. */
-  void take(Route route) {
+  void consume(Route route) {
     remainingByRoute.merge(route.name(), -1, Integer::sum);
   }
 
--- a/batch/src/main/java/elmsail/batch/run/ItemRunner.java
+++ b/batch/src/main/java/elmsail/batch/run/ItemRunner.java
@@ -150,7 +150,7 @@
             context.jittered(backoffMs),
             () -> {
               if (!job.stopped && !itemRun.done && !itemRun.isInFlight()) {
-                job.ready.add(itemRun.itemIndex);
+                job.readyItems.add(itemRun.itemIndex);
                 listener.onDispatchable();
               }
             });
--- a/batch/src/main/java/elmsail/batch/run/JobRunner.java
+++ b/batch/src/main/java/elmsail/batch/run/JobRunner.java
@@ -162,7 +162,7 @@
     for (RunningJob job : jobs.values()) {
       Route route = config.routeByName(job.record.routeName());
       if (route != null && job.hasReadyItems()) {
-        waiting.merge(mainService(route), job.ready.size(), Integer::sum);
+        waiting.merge(mainService(route), job.readyItems.size(), Integer::sum);
       }
     }
     return waiting;
@@ -191,7 +191,7 @@
       if (itemRun.isInFlight() && !itemRun.hasReceivedEvent()) {
         itemRun.cancel();
         job.timeline.onCancelled();
-        job.ready.add(itemRun.itemIndex);
+        job.readyItems.add(itemRun.itemIndex);
       }
     }
   }
@@ -266,8 +266,8 @@
    * Fails all ready items of a job whose body was not read within the time to live of the items.
    */
   private void failReadyItems(RunningJob job) {
-    while (!job.ready.isEmpty()) {
-      ItemRun itemRun = job.itemRuns[job.ready.poll()];
+    while (!job.readyItems.isEmpty()) {
+      ItemRun itemRun = job.itemRuns[job.readyItems.poll()];
       if (!itemRun.done) {
         itemRunner.finish(job, itemRun, false);
       }
@@ -283,11 +283,11 @@
     boolean leaseConfirmed = now - job.leaseConfirmedAt <= startWindowMs;
     JobDispatch dispatch = new JobDispatch(config, budget, now, leaseConfirmed);
     while (job.hasReadyItems()) {
-      ItemRun itemRun = job.itemRuns[job.ready.peek()];
+      ItemRun itemRun = job.itemRuns[job.readyItems.peek()];
       if (!itemRun.done && !itemRun.isInFlight()) {
         return startItem(job, itemRun, dispatch);
       }
-      job.ready.poll();
+      job.readyItems.poll();
     }
     return false;
   }
@@ -304,7 +304,7 @@
       return false; // this configuration may be older than the job's and lack the route
     }
     if (matched.isEmpty() || job.isExpired(dispatch.now())) {
-      job.ready.poll();
+      job.readyItems.poll();
       itemRunner.finish(job, itemRun, false);
       return true;
     }
@@ -314,12 +314,12 @@
       job.timeline.onStalled(JobTimeline.Stall.of(dispatch.leaseConfirmed(), capacity));
       return false;
     }
-    job.ready.poll();
+    job.readyItems.poll();
     if (itemRunner.start(servers, job, itemRun, route, item)) {
-      dispatch.budget().take(route);
+      dispatch.budget().consume(route);
       return true;
     }
-    job.ready.add(itemRun.itemIndex);
+    job.readyItems.add(itemRun.itemIndex);
     dispatch.budget().exhaust(route);
     return false;
   }
--- a/batch/src/main/java/elmsail/batch/run/ResultRecorder.java
+++ b/batch/src/main/java/elmsail/batch/run/ResultRecorder.java
@@ -48,11 +48,11 @@
 
   /** The results and failed attempts that one change adds to a record. */
   private record Update(
-      List<RunningJob.FinishedItem> finished, List<JobRecord.FailedAttempts> failedAttempts) {
+      List<RunningJob.FinishedItem> finishedItems, List<JobRecord.FailedAttempts> failedAttempts) {
 
     List<Blob> textBlobs() {
       List<Blob> blobs = new ArrayList<>();
-      for (RunningJob.FinishedItem item : finished) {
+      for (RunningJob.FinishedItem item : finishedItems) {
         if (item.result().succeeded()) {
           Blob blob = new Blob();
           blob.name = item.result().textBlobName();
@@ -67,7 +67,7 @@
     List<JobRecord.Result> newResults(JobRecord record) {
       BitSet recorded = record.recordedItems();
       List<JobRecord.Result> newResults = new ArrayList<>();
-      for (RunningJob.FinishedItem item : finished) {
+      for (RunningJob.FinishedItem item : finishedItems) {
         if (!recorded.get(item.result().itemIndex())) {
           newResults.add(item.result());
         }
@@ -182,9 +182,9 @@
 
   private void releaseRecorded(RunningJob job, Update update) {
     BitSet recorded = job.record.recordedItems();
-    for (RunningJob.FinishedItem item : update.finished()) {
+    for (RunningJob.FinishedItem item : update.finishedItems()) {
       int index = item.result().itemIndex();
-      if (recorded.get(index) && job.finished.remove(index) != null) {
+      if (recorded.get(index) && job.unrecordedItems.remove(index) != null) {
         runner.onTextRecorded(item.text().length);
         if (item.result().succeeded()) {
           jobClient.cacheText(job.id, item.result(), item.text());
--- a/batch/src/main/java/elmsail/batch/run/RunningJob.java
+++ b/batch/src/main/java/elmsail/batch/run/RunningJob.java
@@ -33,16 +33,16 @@
   List<BatchItem> items;
 
   /** Whether a fetch of the body is in flight. */
-  boolean fetching;
+  boolean fetchingBody;
 
   /** One element per item, by item index. */
   final ItemRun[] itemRuns;
 
   /** The indexes of the items that may be started, the lowest first. */
-  final PriorityQueue<Integer> ready = new PriorityQueue<>();
+  final PriorityQueue<Integer> readyItems = new PriorityQueue<>();
 
   /** The items whose results are not recorded yet, by item index, in the order of finishing. */
-  final Map<Integer, FinishedItem> finished = new LinkedHashMap<>();
+  final Map<Integer, FinishedItem> unrecordedItems = new LinkedHashMap<>();
 
   /** Whether a change of the record is in flight. */
   boolean recording;
@@ -85,7 +85,7 @@
       if (recorded.get(i)) {
         itemRuns[i].done = true;
       } else {
-        ready.add(i);
+        readyItems.add(i);
       }
     }
   }
@@ -107,7 +107,7 @@
 
   /** Whether there are items to start. */
   boolean hasReadyItems() {
-    return !stopped && !ready.isEmpty();
+    return !stopped && !readyItems.isEmpty();
   }
 
   /** The number of items that are being run. */
@@ -131,7 +131,7 @@
     itemRun.done = true;
     JobRecord.Result result = new JobRecord.Result(itemRun.itemIndex, succeeded, term, text.length);
     FinishedItem finishedItem = new FinishedItem(result, text);
-    finished.put(itemRun.itemIndex, finishedItem);
+    unrecordedItems.put(itemRun.itemIndex, finishedItem);
     return finishedItem;
   }
 
@@ -147,16 +147,16 @@
       itemRun.discardText();
       itemRun.cancel();
     }
-    for (FinishedItem finishedItem : finished.values()) {
+    for (FinishedItem finishedItem : unrecordedItems.values()) {
       bytes += finishedItem.text().length;
     }
-    finished.clear();
+    unrecordedItems.clear();
     return bytes;
   }
 
   /** Whether there are results or failed attempts that the record does not contain. */
   boolean hasUnrecorded() {
-    return !finished.isEmpty() || !unrecordedFailedAttempts().isEmpty();
+    return !unrecordedItems.isEmpty() || !unrecordedFailedAttempts().isEmpty();
   }
 
   /** The failed attempts of items without a result that the record does not contain. */
@@ -199,7 +199,7 @@
   List<FinishedItem> nextBatch(int maxBytes) {
     List<FinishedItem> batch = new ArrayList<>();
     int bytes = 0;
-    for (FinishedItem finishedItem : finished.values()) {
+    for (FinishedItem finishedItem : unrecordedItems.values()) {
       bytes += finishedItem.text().length;
       if (!batch.isEmpty() && bytes > maxBytes) {
         break;
--- a/batch/src/test/java/elmsail/batch/BatchFaultSimulationTest.java
+++ b/batch/src/test/java/elmsail/batch/BatchFaultSimulationTest.java
@@ -105,20 +105,20 @@
     }
 
     void checkQuota(TenantName tenant) {
-      long waiting = 0;
+      long waitingTokens = 0;
       for (Map.Entry<String, ObservedJob> job : jobs.entrySet()) {
         if (tenantOf(job.getKey()).equals(tenant)
             && job.getValue().accepted
             && !job.getValue().cancelRequested) {
           for (int i = 0; i < ITEMS_PER_JOB; i++) {
-            waiting +=
+            waitingTokens +=
                 cluster.completedItemIds.contains(job.getKey() + "-" + i) ? 0 : TOKENS_PER_ITEM;
           }
         }
       }
       assertThat(
           "waiting tokens of tenant '" + tenant.value() + "', seed " + cluster.seed,
-          waiting,
+          waitingTokens,
           lessThanOrEqualTo(MAX_WAITING_TOKENS * 11 / 10));
     }
 
--- a/batch/src/test/java/elmsail/batch/SimBatchCluster.java
+++ b/batch/src/test/java/elmsail/batch/SimBatchCluster.java
@@ -219,8 +219,8 @@
         });
   }
 
-  void setLinkCut(String one, String other, boolean cut) {
-    for (String link : List.of(one + ">" + other, other + ">" + one)) {
+  void setLinkCut(String first, String second, boolean cut) {
+    for (String link : List.of(first + ">" + second, second + ">" + first)) {
       if (cut) {
         cutLinks.add(link);
       } else {
--- a/batch/src/test/java/elmsail/batch/run/TenantSharesTest.java
+++ b/batch/src/test/java/elmsail/batch/run/TenantSharesTest.java
@@ -25,7 +25,7 @@
 
   private static RunningJob inFlight(RunningJob job, int items) {
     for (int i = 0; i < items; i++) {
-      job.ready.poll();
+      job.readyItems.poll();
       job.itemRuns[i].begin(0);
     }
     return job;
@@ -40,7 +40,7 @@
               if (started.size() >= slots || !job.hasReadyItems()) {
                 return false;
               }
-              job.ready.poll();
+              job.readyItems.poll();
               started.add(job.id);
               return true;
             });
