--- a/batch/src/main/java/elmsail/batch/run/LeaseKeeper.java
+++ b/batch/src/main/java/elmsail/batch/run/LeaseKeeper.java
@@ -10,19 +10,19 @@
 import java.util.List;
 
 /**
- * Keeps the leases of the jobs that this gateway runs. It sends a heartbeat to all stores; a job
- * whose lease a majority confirms was held when the heartbeat was sent. Where no majority confirms
- * it, or a store says that the lease is lost, the record is read. Confined to the gateway's event
- * loop.
+ * Keeps the leases of the jobs that this gateway runs by sending heartbeats to all stores. If a
+ * majority of the stores confirms the lease of a job, this gateway held the lease when it sent the
+ * heartbeat. If no majority confirms the lease, or a store reports that the lease is lost, the
+ * record of the job is read. Confined to the gateway's event loop.
  */
 final class LeaseKeeper {
   private static final long HEARTBEAT_INTERVAL_MS = 500;
   private static final long RESPONSE_TIMEOUT_MS = 600;
 
-  /** After so long without a confirmation the record is read. */
+  /** The time without a confirmation of the lease after which the record is read. */
   private static final long UNCONFIRMED_MS = 2 * HEARTBEAT_INTERVAL_MS;
 
-  /** The jobs of one heartbeat; the leases of the others are confirmed by reads. */
+  /** The number of jobs in one heartbeat; the leases of further jobs are confirmed by reads. */
   private static final int MAX_HEARTBEAT_JOBS = 1_000;
 
   private final BatchContext context;
@@ -35,12 +35,12 @@
     this.runner = runner;
   }
 
-  /** Starts the heartbeats, after a random delay so that gateways do not send in step. */
+  /** Starts the heartbeats after a random delay, so that the gateways are not synchronized. */
   void start() {
     context.timers().schedule(context.jittered(HEARTBEAT_INTERVAL_MS), this::sendHeartbeat);
   }
 
-  /** One heartbeat under way: counts the confirmations of each job. */
+  /** One heartbeat in flight; counts the confirmations of each job. */
   private final class Renewal {
     private final List<RunningJob> jobs;
     private final int[] confirmations;
@@ -76,7 +76,7 @@
       if (status == HeartbeatMessage.LEASE_HELD) {
         confirmations[index]++;
         if (confirmations[index] == majority) {
-          job.confirm(sentAt);
+          job.confirmLease(sentAt);
         }
       } else if (status == HeartbeatMessage.LEASE_LOST) {
         confirmByRead(job);
@@ -96,23 +96,23 @@
         context.stores(), renewal.request(), RESPONSE_TIMEOUT_MS, renewal::onResponse, () -> {});
     for (RunningJob job : jobs) {
       runner.cancelUnansweredRuns(job);
-      if (renewal.sentAt - job.confirmedAt > UNCONFIRMED_MS) {
+      if (renewal.sentAt - job.leaseConfirmedAt > UNCONFIRMED_MS) {
         confirmByRead(job);
       }
     }
   }
 
   private void confirmByRead(RunningJob job) {
-    if (job.confirmingRead || job.stopped) {
+    if (job.confirmingLeaseByRead || job.stopped) {
       return;
     }
-    job.confirmingRead = true;
+    job.confirmingLeaseByRead = true;
     long startedAt = context.timers().now();
     jobClient
         .read(job.id, RESPONSE_TIMEOUT_MS)
         .whenComplete(
             (record, failure) -> {
-              job.confirmingRead = false;
+              job.confirmingLeaseByRead = false;
               if (failure == null && !job.stopped) {
                 runner.onRecordRead(job.id, record, startedAt);
               }
--- a/batch/src/main/java/elmsail/batch/run/RunningJob.java
+++ b/batch/src/main/java/elmsail/batch/run/RunningJob.java
@@ -10,9 +10,9 @@
 import java.util.PriorityQueue;
 
 /**
- * One job that this gateway runs in one term: the newest record known, the runs of its items and
- * the results that are not recorded yet. Ordered by due time. Shared by the classes of this package
- * and confined to the gateway's event loop.
+ * One job that this gateway runs in one term: the newest known record, the runs of the items and
+ * the unrecorded results. Ordered by due time. Shared by the classes of this package and confined
+ * to the gateway's event loop.
  */
 final class RunningJob implements Comparable<RunningJob> {
   /** An item whose result is not recorded yet; the text is empty if the item failed. */
@@ -23,26 +23,26 @@
   /** The term of this gateway's lease. */
   final long term;
 
-  /** When the job was accepted, or later, in ms of the steady clock. */
+  /** An upper bound on the time when the job was accepted, in ms of the steady clock. */
   final long acceptedAt;
 
-  /** The newest committed record that this gateway has seen as the runner. */
+  /** The newest committed record that this gateway has received as the runner. */
   JobRecord record;
 
-  /** Null until the body is loaded. */
+  /** The items with their requests; null until the body is loaded. */
   List<BatchItem> items;
 
-  /** Whether the body is being loaded. */
-  boolean fetching;
+  /** Whether a fetch of the body is in flight. */
+  boolean fetchingBody;
 
-  /** One for each item, by its index. */
+  /** One element per item, by item index. */
   final ItemRun[] itemRuns;
 
   /** The indexes of the items that may be started, the lowest first. */
-  final PriorityQueue<Integer> ready = new PriorityQueue<>();
+  final PriorityQueue<Integer> readyItems = new PriorityQueue<>();
 
-  /** By item index, in the order in which they finished. */
-  final Map<Integer, FinishedItem> finished = new LinkedHashMap<>();
+  /** The items whose results are not recorded yet, by item index, in the order of finishing. */
+  final Map<Integer, FinishedItem> unrecordedItems = new LinkedHashMap<>();
 
   /** Whether a change of the record is in flight. */
   boolean recording;
@@ -53,16 +53,19 @@
   /** When the record was last changed, in ms of the steady clock. */
   long recordedAt;
 
-  /** When the job last certainly was open and run by this gateway, in ms of the steady clock. */
-  long confirmedAt;
+  /**
+   * The latest time at which the job was certainly open and this gateway was its runner, in ms of
+   * the steady clock.
+   */
+  long leaseConfirmedAt;
 
-  /** Whether the record is being read to confirm the lease. */
-  boolean confirmingRead;
+  /** Whether a read of the record is in flight that confirms the lease. */
+  boolean confirmingLeaseByRead;
 
-  /** Set for good once this gateway no longer runs the job. */
+  /** Whether this gateway has stopped running the job; never reset. */
   boolean stopped;
 
-  /** For the log: why the job was late. */
+  /** The course of the execution, which is logged if the job is late. */
   final JobTimeline timeline;
 
   RunningJob(String id, JobRecord record, long acceptedAt, long confirmedAt, long now) {
@@ -70,7 +73,7 @@
     this.record = record;
     this.term = record.term();
     this.acceptedAt = acceptedAt;
-    this.confirmedAt = confirmedAt;
+    this.leaseConfirmedAt = confirmedAt;
     this.recordedAt = acceptedAt;
     this.timeline = new JobTimeline(acceptedAt, now);
     this.itemRuns = new ItemRun[record.items().size()];
@@ -82,7 +85,7 @@
       if (recorded.get(i)) {
         itemRuns[i].done = true;
       } else {
-        ready.add(i);
+        readyItems.add(i);
       }
     }
   }
@@ -92,7 +95,7 @@
     return acceptedAt + record.completionTargetMs();
   }
 
-  /** The least age of the job, in ms. */
+  /** A lower bound on the age of the job, in ms. */
   long ageMs(long now) {
     return now - acceptedAt;
   }
@@ -104,7 +107,7 @@
 
   /** Whether there are items to start. */
   boolean hasReadyItems() {
-    return !stopped && !ready.isEmpty();
+    return !stopped && !readyItems.isEmpty();
   }
 
   /** The number of items that are being run. */
@@ -116,26 +119,26 @@
     return inFlight;
   }
 
-  /** The lease was certainly held at this time, in ms of the steady clock. */
-  void confirm(long at) {
-    confirmedAt = Math.max(confirmedAt, at);
+  /** Confirms that this gateway held the lease at this time, in ms of the steady clock. */
+  void confirmLease(long at) {
+    leaseConfirmedAt = Math.max(leaseConfirmedAt, at);
   }
 
-  /** Adds the result of the item to those that are to be recorded. */
+  /** Marks the item as done and adds its result to the unrecorded results. */
   FinishedItem finish(ItemRun itemRun, boolean succeeded) {
     byte[] text = succeeded ? itemRun.text() : new byte[0];
     itemRun.discardText();
     itemRun.done = true;
     JobRecord.Result result = new JobRecord.Result(itemRun.itemIndex, succeeded, term, text.length);
     FinishedItem finishedItem = new FinishedItem(result, text);
-    finished.put(itemRun.itemIndex, finishedItem);
+    unrecordedItems.put(itemRun.itemIndex, finishedItem);
     return finishedItem;
   }
 
   /**
    * Cancels all runs and discards all texts.
    *
-   * @return the length of these texts in bytes
+   * @return the total length of the discarded texts, in bytes
    */
   long discard() {
     long bytes = 0;
@@ -144,19 +147,19 @@
       itemRun.discardText();
       itemRun.cancel();
     }
-    for (FinishedItem finishedItem : finished.values()) {
+    for (FinishedItem finishedItem : unrecordedItems.values()) {
       bytes += finishedItem.text().length;
     }
-    finished.clear();
+    unrecordedItems.clear();
     return bytes;
   }
 
-  /** Whether there are results or failed attempts that the record lacks. */
+  /** Whether there are results or failed attempts that the record does not contain. */
   boolean hasUnrecorded() {
-    return !finished.isEmpty() || !unrecordedFailedAttempts().isEmpty();
+    return !unrecordedItems.isEmpty() || !unrecordedFailedAttempts().isEmpty();
   }
 
-  /** The failed attempts that the record lacks, of items without a result. */
+  /** The failed attempts of items without a result that the record does not contain. */
   List<JobRecord.FailedAttempts> unrecordedFailedAttempts() {
     List<JobRecord.FailedAttempts> failedAttempts = new ArrayList<>();
     for (ItemRun itemRun : itemRuns) {
@@ -167,7 +170,7 @@
     return failedAttempts;
   }
 
-  /** Applies the failed attempts of the record; returns the items that may run again by it. */
+  /** Applies the failed attempts in the record; returns the items that may now run again. */
   List<ItemRun> applyRecordedFailedAttempts() {
     List<ItemRun> retryable = new ArrayList<>();
     for (ItemRun itemRun : itemRuns) {
@@ -182,7 +185,7 @@
     return retryable;
   }
 
-  /** Whether every item has a result, so that only the recording remains. */
+  /** Whether every item has a result, recorded or not. */
   boolean allItemsDone() {
     for (ItemRun itemRun : itemRuns) {
       if (!itemRun.done) {
@@ -192,11 +195,11 @@
     return true;
   }
 
-  /** The next results to record: one at least, and further ones up to so many bytes in all. */
+  /** The next results to record: at least one, and more up to {@code maxBytes} of text in total. */
   List<FinishedItem> nextBatch(int maxBytes) {
     List<FinishedItem> batch = new ArrayList<>();
     int bytes = 0;
-    for (FinishedItem finishedItem : finished.values()) {
+    for (FinishedItem finishedItem : unrecordedItems.values()) {
       bytes += finishedItem.text().length;
       if (!batch.isEmpty() && bytes > maxBytes) {
         break;
@@ -208,7 +211,7 @@
 
   @Override
   public int compareTo(RunningJob other) {
-    int byDue = Long.compare(dueAt(), other.dueAt());
-    return byDue != 0 ? byDue : id.compareTo(other.id);
+    int byDueTime = Long.compare(dueAt(), other.dueAt());
+    return byDueTime != 0 ? byDueTime : id.compareTo(other.id);
   }
 }
--- a/batch/src/test/java/elmsail/batch/BatchFaultSimulationTest.java
+++ b/batch/src/test/java/elmsail/batch/BatchFaultSimulationTest.java
@@ -21,20 +21,22 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The batch service on real replicas, with gateways and stores that crash, lose their disks, stall
- * and are partitioned at random; all invariants of the protocol are checked.
+ * Checks the invariants of the batch protocol on real replicas under random faults: gateways and
+ * stores crash or are partitioned, stores lose their disks, and disk writes stall.
  */
 class BatchFaultSimulationTest {
-  private static final long LIMIT = 100;
-  private static final long TOKENS = 10;
-  private static final int ITEMS = 5;
+  private static final long MAX_WAITING_TOKENS = 100;
+  private static final long TOKENS_PER_ITEM = 10;
+  private static final int ITEMS_PER_JOB = 5;
   private static final List<TenantName> TWO_TENANTS =
       List.of(new TenantName("argus"), new TenantName("bora"));
 
-  /** Of the run with two tenants, which has twice the jobs. */
+  /**
+   * The number of seeds for the test with two tenants, which submits twice as many jobs per run.
+   */
   private static final int TENANT_SEEDS = Integer.getInteger("batch.tenantSeeds", 6);
 
-  /** What clients have observed of one job. */
+  /** The replies that clients have received for one job. */
   private static final class ObservedJob {
     final List<Integer> statuses = new ArrayList<>();
     boolean accepted;
@@ -43,17 +45,17 @@
     String results = "";
   }
 
-  /** One simulated run of clients and faults, from one seed. */
+  /** One simulation of clients and faults with one seed. */
   private static final class FaultRun {
     final ReplicatedBatchCluster cluster;
     final Map<String, ObservedJob> jobs = new LinkedHashMap<>();
     final List<Throwable> violations = new ArrayList<>();
     final List<TenantName> tenants;
-    int numbers;
+    int nextJobNumber;
 
-    /** The jobs belong to these tenants in turns. */
+    /** Creates the cluster; the jobs are assigned to these tenants in turn. */
     FaultRun(long seed, List<TenantName> tenants) {
-      cluster = new ReplicatedBatchCluster(seed, 3, LIMIT);
+      cluster = new ReplicatedBatchCluster(seed, 3, MAX_WAITING_TOKENS);
       this.tenants = tenants;
       if (tenants.size() > 1) {
         cluster.config = cluster.config.withKeysRequired();
@@ -64,21 +66,21 @@
       return tenants.get(Integer.parseInt(id.substring("lot".length())) % tenants.size());
     }
 
-    ReplicatedBatchCluster.Gateway gateway() {
+    ReplicatedBatchCluster.Gateway randomGatewayIfUp() {
       ReplicatedBatchCluster.Gateway gateway = cluster.gateways.get(cluster.random.nextInt(3));
       return gateway.up ? gateway : null;
     }
 
     void submit(String id) {
-      ReplicatedBatchCluster.Gateway gateway = gateway();
+      ReplicatedBatchCluster.Gateway gateway = randomGatewayIfUp();
       if (gateway == null) {
         return;
       }
       ObservedJob observed = jobs.computeIfAbsent(id, job -> new ObservedJob());
       int attempt = observed.statuses.size();
       observed.statuses.add(0);
-      check(
-          cluster.submit(tenantOf(id), gateway, id, ITEMS, TOKENS),
+      checkReply(
+          cluster.submit(tenantOf(id), gateway, id, ITEMS_PER_JOB, TOKENS_PER_ITEM),
           reply -> {
             observed.statuses.set(attempt, reply.status());
             if (reply.status() == 202) {
@@ -88,8 +90,10 @@
           });
     }
 
-    /** Runs the check and keeps its failure, which the future would swallow. */
-    private void check(
+    /**
+     * Runs the check on the reply and stores its failure, which the future would otherwise hide.
+     */
+    private void checkReply(
         CompletableFuture<BatchService.Reply> reply, Consumer<BatchService.Reply> check) {
       reply
           .thenAccept(check)
@@ -101,53 +105,56 @@
     }
 
     void checkQuota(TenantName tenant) {
-      long waiting = 0;
+      long waitingTokens = 0;
       for (Map.Entry<String, ObservedJob> job : jobs.entrySet()) {
         if (tenantOf(job.getKey()).equals(tenant)
             && job.getValue().accepted
             && !job.getValue().cancelRequested) {
-          for (int i = 0; i < ITEMS; i++) {
-            waiting += cluster.served.contains(job.getKey() + "-" + i) ? 0 : TOKENS;
+          for (int i = 0; i < ITEMS_PER_JOB; i++) {
+            waitingTokens +=
+                cluster.completedItemIds.contains(job.getKey() + "-" + i) ? 0 : TOKENS_PER_ITEM;
           }
         }
       }
       assertThat(
-          "waiting of '" + tenant.value() + "', seed " + cluster.seed,
-          waiting,
-          lessThanOrEqualTo(LIMIT * 11 / 10));
+          "waiting tokens of tenant '" + tenant.value() + "', seed " + cluster.seed,
+          waitingTokens,
+          lessThanOrEqualTo(MAX_WAITING_TOKENS * 11 / 10));
     }
 
-    void end(String id) {
-      ReplicatedBatchCluster.Gateway gateway = gateway();
+    void cancel(String id) {
+      ReplicatedBatchCluster.Gateway gateway = randomGatewayIfUp();
       if (gateway != null) {
         ObservedJob observed = jobs.get(id);
         observed.cancelRequested = true;
-        check(
+        checkReply(
             gateway.batchApi.cancel(tenantOf(id), id),
             reply -> {
               if (reply.status() == 200 && observed.cancelledAt < 0) {
                 observed.cancelledAt = cluster.timers.now();
               }
-              assertThat("the cancellation of " + id, reply.status(), not(is(404)));
+              assertThat("status of the cancellation of " + id, reply.status(), not(is(404)));
             });
       }
     }
 
     void read(String id) {
-      ReplicatedBatchCluster.Gateway gateway = gateway();
+      ReplicatedBatchCluster.Gateway gateway = randomGatewayIfUp();
       if (gateway != null) {
-        check(gateway.batchApi.readResults(tenantOf(id), id, 0, 0), reply -> check(id, reply));
+        checkReply(
+            gateway.batchApi.readResults(tenantOf(id), id, 0, 0),
+            reply -> checkReadReply(id, reply));
       }
       if (gateway != null && tenants.size() > 1) {
-        readByAnother(gateway, id);
+        readAsOtherTenants(gateway, id);
       }
     }
 
-    /** What is another tenant's is never shown. */
-    private void readByAnother(ReplicatedBatchCluster.Gateway gateway, String id) {
+    /** Checks that a job does not exist for any other tenant than its own. */
+    private void readAsOtherTenants(ReplicatedBatchCluster.Gateway gateway, String id) {
       for (TenantName other : tenants) {
         if (!other.equals(tenantOf(id))) {
-          check(
+          checkReply(
               gateway.batchApi.readResults(other, id, 0, 0),
               reply ->
                   assertThat(
@@ -158,12 +165,12 @@
       }
     }
 
-    void check(String id, BatchService.Reply reply) {
+    void checkReadReply(String id, BatchService.Reply reply) {
       ObservedJob observed = jobs.get(id);
       assertThat(id + " seed " + cluster.seed, reply.status(), not(is(404)));
       if (reply.status() == 200) {
         String body = new String(reply.body(), StandardCharsets.UTF_8);
-        assertThat(body, containsString("\"total\":" + ITEMS));
+        assertThat(body, containsString("\"total\":" + ITEMS_PER_JOB));
         String results = body.substring(body.indexOf('[') + 1, body.length() - 2);
         boolean longer = results.length() >= observed.results.length();
         assertThat(
@@ -174,7 +181,7 @@
       }
     }
 
-    /** Injects a fault at one store, or at any gateway. */
+    /** Injects a random fault at a random store, a random gateway or the link between the two. */
     void injectFault() {
       ReplicatedBatchCluster.StoreNode store = cluster.stores.get(cluster.random.nextInt(3));
       ReplicatedBatchCluster.Gateway gateway = cluster.gateways.get(cluster.random.nextInt(3));
@@ -207,7 +214,7 @@
       for (int step = 0; step < 60; step++) {
         for (int i = 0; i < tenants.size(); i++) {
           if (cluster.random.nextInt(3) > 0) {
-            submit("lot" + numbers++);
+            submit("lot" + nextJobNumber++);
           }
         }
         for (Map.Entry<String, ObservedJob> job : jobs.entrySet()) {
@@ -217,7 +224,7 @@
             read(job.getKey());
           }
           if (job.getValue().accepted && cluster.random.nextInt(80) == 0) {
-            end(job.getKey());
+            cancel(job.getKey());
           }
         }
         if (step % 6 == 2 && cluster.allStoresVoting()) {
@@ -234,7 +241,7 @@
     }
   }
 
-  private static void checkEnd(FaultRun faultRun) {
+  private static void checkFinalState(FaultRun faultRun) {
     for (SimServers servers : faultRun.cluster.allServers) {
       for (SimServers.Run run : servers.runs) {
         checkRun(faultRun, run);
@@ -248,33 +255,39 @@
     }
   }
 
-  /** No item of a rejected job runs, and none of a cancelled one long after its cancellation. */
+  /**
+   * Checks that no item of a rejected job runs, and that no item of a cancelled job starts later
+   * than 3 s after the cancellation.
+   */
   private static void checkRun(FaultRun faultRun, SimServers.Run run) {
-    String where = ", seed " + faultRun.cluster.seed;
+    String seedSuffix = ", seed " + faultRun.cluster.seed;
     String jobId = run.item.id().substring(0, run.item.id().indexOf('-'));
     ObservedJob observed = faultRun.jobs.get(jobId);
     boolean rejected = observed.statuses.stream().allMatch(s -> s == 429 || s == 503);
-    assertThat(jobId + where, run.tenant, is(faultRun.tenantOf(jobId)));
-    assertThat(jobId + " ran though each attempt was rejected" + where, rejected, is(false));
+    assertThat(jobId + seedSuffix, run.tenant, is(faultRun.tenantOf(jobId)));
+    assertThat(
+        jobId + " ran although all its submissions were rejected" + seedSuffix,
+        rejected,
+        is(false));
     if (observed.cancelledAt >= 0) {
       assertThat(
-          jobId + " ran after its cancellation" + where,
+          jobId + " ran after its cancellation" + seedSuffix,
           run.startedAt - observed.cancelledAt,
           lessThanOrEqualTo(3_000L));
     }
   }
 
   private static void checkResults(FaultRun faultRun, String jobId, ObservedJob observed) {
-    String where = ", seed " + faultRun.cluster.seed;
+    String seedSuffix = ", seed " + faultRun.cluster.seed;
     BatchApi batchApi = faultRun.cluster.gateways.get(0).batchApi;
     BatchService.Reply reply =
         faultRun.cluster.await(batchApi.readResults(faultRun.tenantOf(jobId), jobId, 0, 0));
-    assertThat(jobId + where, reply.status(), is(200));
-    faultRun.check(jobId, reply);
+    assertThat(jobId + seedSuffix, reply.status(), is(200));
+    faultRun.checkReadReply(jobId, reply);
     String body = new String(reply.body(), StandardCharsets.UTF_8);
     if (!observed.cancelRequested) {
-      for (int i = 0; i < ITEMS; i++) {
-        assertThat(where, body, containsString(JobJson.completedResult(jobId + "-" + i)));
+      for (int i = 0; i < ITEMS_PER_JOB; i++) {
+        assertThat(seedSuffix, body, containsString(JobJson.completedResult(jobId + "-" + i)));
       }
     }
   }
@@ -284,23 +297,25 @@
     BatchService.Reply item =
         faultRun.cluster.await(
             batchApi.readItemBody(faultRun.tenantOf(jobId), jobId, jobId + "-1"));
-    String where = ", seed " + faultRun.cluster.seed;
-    assertThat(jobId + where, item.status(), is(200));
+    String seedSuffix = ", seed " + faultRun.cluster.seed;
+    assertThat(jobId + seedSuffix, item.status(), is(200));
     assertThat(
-        jobId + where, new String(item.body(), StandardCharsets.UTF_8), is("body " + jobId + "1"));
+        jobId + seedSuffix,
+        new String(item.body(), StandardCharsets.UTF_8),
+        is("body " + jobId + "1"));
   }
 
-  /** How many jobs were accepted, refused at least once, and cancelled. */
+  /** The numbers of jobs that were accepted, rejected with 429 at least once, and cancelled. */
   private static final class Outcomes {
     int accepted;
-    int refused;
-    int ended;
+    int rejected;
+    int cancelled;
 
     void add(FaultRun faultRun) {
       for (ObservedJob observed : faultRun.jobs.values()) {
         accepted += observed.accepted ? 1 : 0;
-        ended += observed.cancelledAt >= 0 ? 1 : 0;
-        refused += observed.statuses.contains(429) ? 1 : 0;
+        cancelled += observed.cancelledAt >= 0 ? 1 : 0;
+        rejected += observed.statuses.contains(429) ? 1 : 0;
       }
     }
   }
@@ -310,9 +325,12 @@
     for (int seed = 0; seed < seeds; seed++) {
       FaultRun faultRun = new FaultRun(seed, tenants);
       faultRun.run();
-      assertThat("faults, seed " + seed, faultRun.cluster.net.handlerFaults(), is(empty()));
+      assertThat(
+          "faults of request handlers, seed " + seed,
+          faultRun.cluster.net.handlerFaults(),
+          is(empty()));
       assertThat("seed " + seed, faultRun.violations, is(empty()));
-      checkEnd(faultRun);
+      checkFinalState(faultRun);
       outcomes.add(faultRun);
     }
     return outcomes;
@@ -322,28 +340,29 @@
   void invariantsHoldUnderRandomFaults() {
     Outcomes outcomes = runSeeds(16, List.of(TenantName.NONE));
     assertThat(outcomes.accepted, greaterThan(200));
-    assertThat(outcomes.refused, greaterThan(20));
-    assertThat(outcomes.ended, greaterThan(10));
+    assertThat(outcomes.rejected, greaterThan(20));
+    assertThat(outcomes.cancelled, greaterThan(10));
   }
 
-  /** QUOTA and the others for each of two tenants that share the route, gateways and stores. */
+  /** The quota and the other invariants hold for each of two tenants that share a route. */
   @Test
   void invariantsHoldForEachTenantUnderRandomFaults() {
     Outcomes outcomes = runSeeds(TENANT_SEEDS, TWO_TENANTS);
     assertThat(outcomes.accepted, greaterThan(20 * TENANT_SEEDS));
-    assertThat(outcomes.refused, greaterThan(TENANT_SEEDS));
-    assertThat(outcomes.ended, greaterThan(TENANT_SEEDS / 2));
+    assertThat(outcomes.rejected, greaterThan(TENANT_SEEDS));
+    assertThat(outcomes.cancelled, greaterThan(TENANT_SEEDS / 2));
     System.out.printf(
-        "two tenants, %d seeds: %d jobs accepted, %d refused at least once, %d cancelled%n",
-        TENANT_SEEDS, outcomes.accepted, outcomes.refused, outcomes.ended);
+        "two tenants, %d seeds: %d jobs accepted, %d rejected at least once, %d cancelled%n",
+        TENANT_SEEDS, outcomes.accepted, outcomes.rejected, outcomes.cancelled);
   }
 
   @Test
-  void anAcceptedJobSurvivesItsGatewayAndAnyOneDisk() {
+  void anAcceptedJobSurvivesTheLossOfItsGatewayAndOfAnyOneDisk() {
     for (int seed = 0; seed < 9; seed++) {
-      ReplicatedBatchCluster cluster = new ReplicatedBatchCluster(seed, 3, LIMIT);
+      ReplicatedBatchCluster cluster = new ReplicatedBatchCluster(seed, 3, MAX_WAITING_TOKENS);
       ReplicatedBatchCluster.Gateway gateway = cluster.gateways.get(0);
-      CompletableFuture<BatchService.Reply> reply = cluster.submit(gateway, "a", ITEMS, TOKENS);
+      CompletableFuture<BatchService.Reply> reply =
+          cluster.submit(gateway, "a", ITEMS_PER_JOB, TOKENS_PER_ITEM);
       assertThat(cluster.await(reply).status(), is(202));
       gateway.kill();
       cluster.stores.get(seed % 3).kill(true);
@@ -356,7 +375,7 @@
                   .await(cluster.gateways.get(1).batchApi.readResults(TenantName.NONE, "a", 0, 0))
                   .body(),
               StandardCharsets.UTF_8);
-      assertThat("seed " + seed, body, containsString("\"next_token\":" + ITEMS));
+      assertThat("seed " + seed, body, containsString("\"next_token\":" + ITEMS_PER_JOB));
     }
   }
 }
--- a/batch/src/test/java/elmsail/batch/ReplicatedBatchCluster.java
+++ b/batch/src/test/java/elmsail/batch/ReplicatedBatchCluster.java
@@ -26,13 +26,13 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Gateways and stores with real replicas, on simulated links and disks. One manual clock and one
- * seed drive everything, so a run can be repeated.
+ * Simulates gateways and stores with real replicas over simulated links and disks. One manual clock
+ * and one seed determine the whole simulation, so that it is reproducible.
  */
 final class ReplicatedBatchCluster {
   static final String VOTER_SET_NAME = "shelf";
 
-  /** A store process and its disk, which survives a crash. */
+  /** A store process and its disk; the disk survives a crash of the process. */
   final class StoreNode {
     final String address;
     final SimDisk disk;
@@ -69,16 +69,16 @@
       service.start();
     }
 
-    void kill(boolean wipe) {
+    void kill(boolean wipeDisk) {
       up = false;
       net.kill(address);
-      if (wipe) {
+      if (wipeDisk) {
         disk.wipe();
       }
     }
   }
 
-  /** A gateway; each start is a new incarnation with servers of its own. */
+  /** A gateway; each start creates a new incarnation with its own servers. */
   final class Gateway {
     final String address;
     SimNode node;
@@ -93,7 +93,7 @@
     void start() {
       up = true;
       node = net.startNode(address);
-      VoterSet[] known = {voterSet()};
+      VoterSet[] knownVoterSet = {newestVoterSet()};
       RegisterClient register =
           new RegisterClient(
               VOTER_SET_NAME,
@@ -102,12 +102,12 @@
               new VoterSetSource() {
                 @Override
                 public VoterSet current() {
-                  return known[0];
+                  return knownVoterSet[0];
                 }
 
                 @Override
                 public void learn(VoterSet newer) {
-                  known[0] = newer;
+                  knownVoterSet[0] = newer;
                 }
               },
               random.nextLong(),
@@ -118,20 +118,20 @@
               register,
               node.rpcClient(),
               node.timers(),
-              known(known),
+              clusterState(knownVoterSet),
               new BatchSettings(address, 3_000, random.nextLong()),
               ProcessMetrics.strict());
       servers = new SimServers(timers);
       servers.capacity = 3;
       servers.serviceTimeMs = 700;
-      servers.served = served;
+      servers.completedItemIds = completedItemIds;
       allServers.add(servers);
       batchApi.setServers(servers);
       batchApi.registerHandlers(node.requestHandlers());
       batchApi.start();
     }
 
-    /** Crashes; its servers abort what it had sent them. */
+    /** Crashes the gateway; its servers abort its runs. */
     void kill() {
       up = false;
       net.kill(address);
@@ -146,27 +146,27 @@
   final List<StoreNode> stores = new ArrayList<>();
   final List<Gateway> gateways = new ArrayList<>();
 
-  /** Those of all incarnations of all gateways. */
+  /** The servers of all incarnations of all gateways. */
   final List<SimServers> allServers = new ArrayList<>();
 
-  /** The ids of the items that a server has completed. */
-  final Set<String> served = new HashSet<>();
+  /** The ids of the items that any server has completed. */
+  final Set<String> completedItemIds = new HashSet<>();
 
   final ClusterView view = new ClusterView();
 
-  /** In force at all gateways. */
+  /** The configuration in force at all gateways. */
   SimConfig config;
 
-  ReplicatedBatchCluster(long seed, int gatewayCount, long mostWaiting) {
-    this(seed, gatewayCount, mostWaiting, 3);
+  ReplicatedBatchCluster(long seed, int gatewayCount, long maxWaitingTokens) {
+    this(seed, gatewayCount, maxWaitingTokens, 3);
   }
 
-  ReplicatedBatchCluster(long seed, int gatewayCount, long mostWaiting, int storeCount) {
+  ReplicatedBatchCluster(long seed, int gatewayCount, long maxWaitingTokens, int storeCount) {
     this.seed = seed;
     random = new Random(seed);
     net = new SimNetwork(seed, timers);
-    config = new SimConfig(1, List.of(SimBatchCluster.route(mostWaiting)));
-    VoterSet founding = new VoterSet();
+    config = new SimConfig(1, List.of(SimBatchCluster.route(maxWaitingTokens)));
+    VoterSet initialVoterSet = new VoterSet();
     for (int i = 0; i < storeCount; i++) {
       StoreNode store = new StoreNode(i);
       stores.add(store);
@@ -176,10 +176,10 @@
       voter.machine = "st-" + store.address;
       voter.instanceId = store.disk.instanceId();
       voter.epoch = 1;
-      founding.voters.add(voter);
+      initialVoterSet.voters.add(voter);
     }
-    view.jobStoreVoters = founding;
-    stores.forEach(store -> store.replica.bootstrap(founding));
+    view.jobStoreVoters = initialVoterSet;
+    stores.forEach(store -> store.replica.bootstrap(initialVoterSet));
     timers.advance(100);
     for (int i = 0; i < gatewayCount; i++) {
       gateways.add(new Gateway(i));
@@ -189,9 +189,9 @@
     distributeVoterSet();
   }
 
-  /** Distributes the newest voter set, as watching the control plane does. */
+  /** Periodically distributes the newest voter set, in place of the watch at the control plane. */
   private void distributeVoterSet() {
-    VoterSet newest = voterSet();
+    VoterSet newest = newestVoterSet();
     view.jobStoreVoters = newest;
     for (StoreNode store : stores) {
       if (store.up) {
@@ -201,13 +201,13 @@
     timers.schedule(300, this::distributeVoterSet);
   }
 
-  private VoterSet voterSet() {
+  private VoterSet newestVoterSet() {
     VoterSet newest = view.jobStoreVoters;
-    int best = epochSum(newest);
+    int highestEpochSum = epochSum(newest);
     for (StoreNode store : stores) {
-      if (store.up && epochSum(store.replica.voterSet()) > best) {
+      if (store.up && epochSum(store.replica.voterSet()) > highestEpochSum) {
         newest = store.replica.voterSet();
-        best = epochSum(newest);
+        highestEpochSum = epochSum(newest);
       }
     }
     return newest;
@@ -221,7 +221,7 @@
     return sum;
   }
 
-  private ClusterState known(VoterSet[] voterSet) {
+  private ClusterState clusterState(VoterSet[] voterSet) {
     return new ClusterState() {
       @Override
       public RoutingConfig config() {
@@ -279,7 +279,10 @@
     return gateway.batchApi.submit(tenant, route(), id, JobJson.job(id, items, tokens), 3_000);
   }
 
-  /** The reply, or null if there is none within 6 s, as the gateway has crashed. */
+  /**
+   * Advances the clock until the reply is present, by at most 6 s. Returns null if there is no
+   * reply by then, because the gateway has crashed.
+   */
   BatchService.Reply await(CompletableFuture<BatchService.Reply> reply) {
     for (int i = 0; i < 6_000 && !reply.isDone(); i++) {
       timers.advance(1);
--- a/batch/src/test/java/elmsail/batch/SimBatchCluster.java
+++ b/batch/src/test/java/elmsail/batch/SimBatchCluster.java
@@ -30,19 +30,20 @@
 import java.util.concurrent.CompletionStage;
 
 /**
- * Gateways and stores with a simple register, on simulated links. One manual clock and one seed
- * drive everything, so a run can be repeated. {@link ReplicatedBatchCluster} has real replicas.
+ * Simulates gateways and stores with a simple register over simulated links. One manual clock and
+ * one seed determine the whole simulation, so that it is reproducible. {@link
+ * ReplicatedBatchCluster} has real replicas.
  */
 final class SimBatchCluster {
   static final long STATUS_RETENTION_MS = 120_000;
   static final String HOST = "h.example";
 
-  /** A gateway with its servers; while it is down it neither receives nor sends. */
+  /** A gateway with its servers; while it is down, it neither receives nor sends messages. */
   static final class Gateway {
     final String address;
     BatchApi batchApi;
     SimServers servers;
-    SimConfig initialConfig;
+    SimConfig config;
     boolean up = true;
 
     Gateway(String address) {
@@ -56,17 +57,17 @@
   final List<Gateway> gateways = new ArrayList<>();
   final ClusterView view = new ClusterView();
 
-  /** Links that are cut: "from>to". */
+  /** The cut links, each as "from>to". */
   final Set<String> cutLinks = new HashSet<>();
 
-  /** Delays of single links, in ms; the others have 1 to 5. */
+  /** The fixed delays of some links, in ms; on other links each message takes 1 to 5 ms. */
   final Map<String, Long> linkDelays = new HashMap<>();
 
   final SimConfig initialConfig;
 
-  SimBatchCluster(long seed, int gatewayCount, long mostWaiting) {
+  SimBatchCluster(long seed, int gatewayCount, long maxWaitingTokens) {
     random = new Random(seed);
-    initialConfig = new SimConfig(1, List.of(route(mostWaiting)));
+    initialConfig = new SimConfig(1, List.of(route(maxWaitingTokens)));
     for (int i = 0; i < 3; i++) {
       SimJobStore store = new SimJobStore("10.0.1." + i + ":7000", this);
       stores.add(store);
@@ -82,7 +83,7 @@
     }
   }
 
-  static Route route(long mostWaiting) {
+  static Route route(long maxWaitingTokens) {
     return new Route(
         "r-lots",
         HOST,
@@ -97,7 +98,7 @@
         150,
         10_000,
         60_000,
-        mostWaiting);
+        maxWaitingTokens);
   }
 
   Route route() {
@@ -105,11 +106,11 @@
   }
 
   private Gateway startGateway(Gateway gateway, int number) {
-    ClusterState known =
+    ClusterState clusterState =
         new ClusterState() {
           @Override
           public RoutingConfig config() {
-            return gateway.initialConfig;
+            return gateway.config;
           }
 
           @Override
@@ -135,15 +136,15 @@
           @Override
           public void addListener(Runnable then) {}
         };
-    gateway.initialConfig = initialConfig;
+    gateway.config = initialConfig;
     gateway.servers = new SimServers(timers);
-    Timers own = timersOf(gateway);
+    Timers gatewayTimers = timersOf(gateway);
     gateway.batchApi =
         new BatchApi(
             new SimRegister(this, gateway.address, number + 1),
-            caller(gateway.address),
-            own,
-            known,
+            rpcClient(gateway.address),
+            gatewayTimers,
+            clusterState,
             new BatchSettings(gateway.address, 3_000, random.nextLong()),
             ProcessMetrics.strict());
     gateway.batchApi.setServers(gateway.servers);
@@ -179,7 +180,7 @@
 
   /** Puts a configuration in force at all gateways. */
   void configure(SimConfig config) {
-    gateways.forEach(gateway -> gateway.initialConfig = config);
+    gateways.forEach(gateway -> gateway.config = config);
   }
 
   int majority() {
@@ -200,7 +201,10 @@
     return false;
   }
 
-  /** Delivers a message, unless the link is cut or the receiver is down on arrival. */
+  /**
+   * Delivers a message, unless the sender is down now, or the link is cut or the receiver is down
+   * when the message arrives.
+   */
   void deliver(String from, String to, Runnable message) {
     if (!isUp(from)) {
       return;
@@ -215,9 +219,9 @@
         });
   }
 
-  void cut(String one, String other, boolean off) {
-    for (String link : List.of(one + ">" + other, other + ">" + one)) {
-      if (off) {
+  void setLinkCut(String first, String second, boolean cut) {
+    for (String link : List.of(first + ">" + second, second + ">" + first)) {
+      if (cut) {
         cutLinks.add(link);
       } else {
         cutLinks.remove(link);
@@ -239,7 +243,7 @@
     return CompletableFuture.failedFuture(new ElmsailException(ErrorCode.NOT_SENT, peer));
   }
 
-  private RpcClient caller(String from) {
+  private RpcClient rpcClient(String from) {
     return new RpcClient() {
       @Override
       public <A> CompletableFuture<A> call(
@@ -282,16 +286,16 @@
         .submit(tenant, route(), id, JobJson.job(id, items, tokens), 3_000);
   }
 
-  /** Advances the clock until there is a reply, by 10 s at most. */
+  /** Advances the clock until the reply is present, by at most 10 s. */
   BatchService.Reply await(CompletableFuture<BatchService.Reply> reply) {
     for (int i = 0; i < 10_000 && !reply.isDone(); i++) {
       timers.advance(1);
     }
-    assertThat("answered within 10 s", reply.isDone(), is(true));
+    assertThat("replied within 10 s", reply.isDone(), is(true));
     return reply.join();
   }
 
-  /** The waiting tokens of the route, as this store counts them. */
+  /** The waiting tokens of the route according to this store. */
   static long waitingTokens(SimJobStore store) {
     WaitingTokens count = new WaitingTokens();
     count.mergeAll(
@@ -301,12 +305,12 @@
     return count.totalExcept("probe");
   }
 
-  /** How many stores have the blob. */
+  /** The number of stores that have the blob. */
   int storesWithBlob(String key, String blob) {
     int count = 0;
     for (SimJobStore store : stores) {
-      SimJobStore.StoredKey cell = store.keys.get(key);
-      count += cell != null && cell.blobs.containsKey(blob) ? 1 : 0;
+      SimJobStore.StoredKey storedKey = store.keys.get(key);
+      count += storedKey != null && storedKey.blobs.containsKey(blob) ? 1 : 0;
     }
     return count;
   }
