--- a/config/src/main/java/elmsail/config/RevocationBound.java
+++ b/config/src/main/java/elmsail/config/RevocationBound.java
@@ -8,7 +8,7 @@
  * plane must stop admitting them in time, as it cannot know which ones were removed since.
  *
  * <p>Why it holds: a request that is admitted at D finds that nothing newer than this process's
- * configuration was acknowledged before D - {@code revokeMs} + {@link #MARGIN_MS} ({@link
+ * configuration was acknowledged before D - {@code revokeMs} + {@link #SAFETY_MARGIN_MS} ({@link
  * ClusterState#configConfirmedAgeMs}). If the acknowledgement of a key's removal was more than
  * {@code revokeMs} before the client sent the request, it was that much before D as well, so the
  * configuration here is at least as new and does not have the key. To be asked after a request was
@@ -17,7 +17,7 @@
  */
 public final class RevocationBound {
   /** For the rounding of three times to whole ms and the drift of two clocks over the bound. */
-  static final long MARGIN_MS = 100;
+  static final long SAFETY_MARGIN_MS = 100;
 
   private final ClusterState clusterState;
   private final long maxAgeMs;
@@ -29,7 +29,7 @@
    */
   public RevocationBound(ClusterState clusterState, long revokeMs) {
     this.clusterState = clusterState;
-    maxAgeMs = revokeMs == 0 ? Long.MAX_VALUE : Math.max(0, revokeMs - MARGIN_MS);
+    maxAgeMs = revokeMs == 0 ? Long.MAX_VALUE : Math.max(0, revokeMs - SAFETY_MARGIN_MS);
   }
 
   /** Whether keys may be admitted now; if not, the request is refused and has not run. */
--- a/config/src/main/java/elmsail/config/watch/ClockExchange.java
+++ b/config/src/main/java/elmsail/config/watch/ClockExchange.java
@@ -77,18 +77,18 @@
     }
     timers.schedule(clusterClock.isAgreed() ? INTERVAL_MS : FIRST_INTERVAL_MS, this::start);
     clusterClock.onSample(OWN_CLOCK, ownClock.currentMs());
-    List<Voter> known = voters.get().voters;
-    if (known.size() == 1 && known.get(0).address.equals(ownAddress)) {
-      clusterClock.agreeAlone();
+    List<Voter> knownVoters = voters.get().voters;
+    if (knownVoters.size() == 1 && knownVoters.get(0).address.equals(ownAddress)) {
+      clusterClock.acceptOwnClock();
     }
-    for (Voter voter : known) {
+    for (Voter voter : knownVoters) {
       if (!voter.address.isEmpty() && !voter.address.equals(ownAddress)) {
-        ask(voter.address);
+        requestSample(voter.address);
       }
     }
   }
 
-  private void ask(String address) {
+  private void requestSample(String address) {
     long sentAtMs = timers.now();
     rpcClient
         .call(address, new WallClockRequest(), WallClockResponse.class, CALL_TIMEOUT_MS)
--- a/config/src/main/java/elmsail/config/watch/ClusterClock.java
+++ b/config/src/main/java/elmsail/config/watch/ClusterClock.java
@@ -54,19 +54,19 @@
     samples.values().removeIf(sample -> now - sample.takenAtMs > MAX_SAMPLE_AGE_MS);
     long[] offsets = samples.values().stream().mapToLong(Sample::offsetMs).sorted().toArray();
     long median = offsets[(offsets.length - 1) / 2];
-    long inAgreement =
+    long agreeingSources =
         Arrays.stream(offsets).filter(each -> Math.abs(each - median) <= AGREEMENT_MS).count();
-    boolean isMajority = inAgreement * 2 > offsets.length;
+    boolean isMajority = agreeingSources * 2 > offsets.length;
     if (!agreed) {
       offsetMs = median;
       hasOffset = true;
       agreed = offsets.length > 1 && isMajority;
     } else {
-      follow(median, isMajority, now);
+      adjustOffset(median, isMajority, now);
     }
   }
 
-  private void follow(long median, boolean isMajority, long now) {
+  private void adjustOffset(long median, boolean isMajority, long now) {
     long difference = median - offsetMs;
     if (!isMajority || Math.abs(difference) <= AGREEMENT_MS) {
       jumpSeenAtMs = -1;
@@ -80,7 +80,7 @@
   }
 
   /** There is no other machine to agree with: what this one says holds. */
-  void agreeAlone() {
+  void acceptOwnClock() {
     agreed = hasOffset;
   }
 
--- a/config/src/main/java/elmsail/config/watch/UpstreamSelector.java
+++ b/config/src/main/java/elmsail/config/watch/UpstreamSelector.java
@@ -65,7 +65,7 @@
   }
 
   /** All candidates, the seed addresses included, are to be watched for a while. */
-  void onSearch(long nowMs) {
+  void startSearch(long nowMs) {
     searchUntilMs = nowMs + SEARCH_MS;
   }
 
--- a/config/src/main/java/elmsail/config/watch/WatchRequestFactory.java
+++ b/config/src/main/java/elmsail/config/watch/WatchRequestFactory.java
@@ -12,11 +12,11 @@
  */
 final class WatchRequestFactory {
   private static final long LONG_POLL_MS = 1_000;
-  private static final long ANSWER_AT_ONCE_MS = 0;
+  private static final long NO_WAIT_MS = 0;
   private static final long FRESH_LIST_AGE_MS = 1_500;
 
   /** Sent in place of the known epoch: no list is newer, so the response brings its age alone. */
-  private static final long EPOCH_ABOVE_ALL = Long.MAX_VALUE;
+  private static final long AGE_ONLY_EPOCH = Long.MAX_VALUE;
 
   private final Settings settings;
   private final PeerRole role;
@@ -68,10 +68,10 @@
     request.jobStoreVoters = status.jobStoreVoters();
     request.configVersion = configVersion;
     request.serverListEpoch =
-        wantsServerList(stream, nearest, servers.ageMs(nowMs)) ? servers.epoch() : EPOCH_ABOVE_ALL;
+        wantsServerList(stream, nearest, servers.ageMs(nowMs)) ? servers.epoch() : AGE_ONLY_EPOCH;
     request.serverListVersion = servers.version();
     request.viewVersion = stream.viewVersion;
-    request.maxWaitMs = urgent ? ANSWER_AT_ONCE_MS : LONG_POLL_MS;
+    request.maxWaitMs = urgent ? NO_WAIT_MS : LONG_POLL_MS;
     request.hasDisk = settings.dataDir() != null;
     request.demand = demand.get();
     return request;
--- a/config/src/main/java/elmsail/config/watch/WatchStreams.java
+++ b/config/src/main/java/elmsail/config/watch/WatchStreams.java
@@ -23,7 +23,7 @@
 final class WatchStreams {
   private static final Logger LOG = LoggerFactory.getLogger(WatchStreams.class);
 
-  private static final long RECENT_MS = 1_500;
+  private static final long RECENT_RESPONSE_MS = 1_500;
   private static final long CALL_TIMEOUT_MS = 1_800;
 
   /** Applies the responses. */
@@ -77,7 +77,7 @@
     }
     long nowMs = timers.now();
     if (searching) {
-      selector.onSearch(nowMs);
+      selector.startSearch(nowMs);
     }
     List<String> selected = selector.select(controlPlaneVoters, streams, nowMs);
     Iterator<WatchStream> open = streams.values().iterator();
@@ -117,7 +117,7 @@
     int bestProximity = -1;
     for (WatchStream stream : streams.values()) {
       int proximity = selector.proximity(stream.address);
-      if (hasRespondedWithin(stream, RECENT_MS) && proximity > bestProximity) {
+      if (hasRespondedWithin(stream, RECENT_RESPONSE_MS) && proximity > bestProximity) {
         nearest = stream;
         bestProximity = proximity;
       }
--- a/config/src/test/java/elmsail/config/ConfigAmendmentTest.java
+++ b/config/src/test/java/elmsail/config/ConfigAmendmentTest.java
@@ -32,7 +32,7 @@
     return new String(after, StandardCharsets.UTF_8);
   }
 
-  private static String rejection(String before, String amendment) {
+  private static String rejectionMessage(String before, String amendment) {
     ElmsailException failure =
         assertThrows(ElmsailException.class, () -> amended(before, amendment));
     assertThat(failure.code(), is(ErrorCode.INVALID_ARGUMENT));
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void keepsUnknownFieldsOfItemsThatAreNotNamed() {
+  void keepsUnknownFieldsOfItemsThatAreNotAmended() {
     String after = amended(BEFORE, "{\"edition\":9,\"withdraw\":{\"routes\":[\"r-1\"]}}");
     assertThat(
         after,
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void changesOnlyTheVersionIfNothingIsNamed() {
+  void changesOnlyTheVersionIfNoItemIsNamed() {
     assertThat(amended(BEFORE, "{\"edition\":9}"), containsString("{\"edition\":9,\"strange\""));
   }
 
@@ -101,8 +101,8 @@
         "{\"edition\":9,\"edition\":9} | the configuration is not whole JSON",
         "[] | the configuration is not a JSON object"
       })
-  void rejectsInvalidAmendmentsWithThePath(String amendment, String why) {
-    assertThat(rejection(BEFORE, amendment), containsString(why));
+  void rejectsInvalidAmendmentsWithThePath(String amendment, String expectedReason) {
+    assertThat(rejectionMessage(BEFORE, amendment), containsString(expectedReason));
   }
 
   @Test
--- a/config/src/test/java/elmsail/config/PlatformClientTest.java
+++ b/config/src/test/java/elmsail/config/PlatformClientTest.java
@@ -56,7 +56,7 @@
         + "}";
   }
 
-  private static List<String> ids(CompletableFuture<List<ServerEntry>> fetched) {
+  private static List<String> idsOf(CompletableFuture<List<ServerEntry>> fetched) {
     List<String> ids = new ArrayList<>();
     for (ServerEntry server : fetched.join()) {
       ids.add(server.id());
@@ -64,7 +64,7 @@
     return ids;
   }
 
-  private static ErrorCode code(CompletableFuture<List<ServerEntry>> failed) {
+  private static ErrorCode errorCodeOf(CompletableFuture<List<ServerEntry>> failed) {
     try {
       failed.join();
     } catch (CompletionException e) {
@@ -81,18 +81,18 @@
     timers.advance(100);
     reply(200, page("", "i-3", "i-1"));
     assertThat(requestedPaths, contains("/servers", "/servers?page_token=p+50%26%3D"));
-    assertThat(ids(all), contains("i-1", "i-2", "i-3"));
+    assertThat(idsOf(all), contains("i-1", "i-2", "i-3"));
     assertThat(platformClient.fetchedAtMs(), equalTo(1_000L));
     assertThat(platformClient.lastPageCount(), equalTo(2));
   }
 
   @Test
-  void concurrentFetchesShareOne() {
+  void concurrentFetchesShareOneRequest() {
     CompletableFuture<List<ServerEntry>> first = platformClient.fetch();
     assertThat(platformClient.fetch(), sameInstance(first));
     assertThat(requestedPaths, hasSize(1));
     reply(200, page(null));
-    assertThat(ids(first), hasSize(0));
+    assertThat(idsOf(first), hasSize(0));
     platformClient.fetch();
     assertThat(requestedPaths, hasSize(2));
   }
@@ -102,25 +102,25 @@
     CompletableFuture<List<ServerEntry>> all = platformClient.fetch();
     reply(200, page("p", "i-1"));
     reply(429, "");
-    assertThat(code(all), equalTo(ErrorCode.RESOURCE_EXHAUSTED));
+    assertThat(errorCodeOf(all), equalTo(ErrorCode.RESOURCE_EXHAUSTED));
     CompletableFuture<List<ServerEntry>> again = platformClient.fetch();
     reply(200, page(null, "i-2"));
-    assertThat(ids(again), contains("i-2"));
+    assertThat(idsOf(again), contains("i-2"));
   }
 
   @Test
   void failsOnOtherStatusesTruncatedPagesAndTimeouts() {
     CompletableFuture<List<ServerEntry>> all = platformClient.fetch();
     reply(500, page(null));
-    assertThat(code(all), equalTo(ErrorCode.MALFORMED));
+    assertThat(errorCodeOf(all), equalTo(ErrorCode.MALFORMED));
     all = platformClient.fetch();
     reply(200, "{\"servers\":[");
-    assertThat(code(all), equalTo(ErrorCode.MALFORMED));
+    assertThat(errorCodeOf(all), equalTo(ErrorCode.MALFORMED));
     all = platformClient.fetch();
     pendingReplies
         .get(2)
         .completeExceptionally(new ElmsailException(ErrorCode.TIMEOUT, "no answer"));
-    assertThat(code(all), equalTo(ErrorCode.TIMEOUT));
+    assertThat(errorCodeOf(all), equalTo(ErrorCode.TIMEOUT));
   }
 
   @Test
@@ -130,7 +130,7 @@
       assertThat(all.isDone(), equalTo(false));
       reply(200, page("p", "i-" + i));
     }
-    assertThat(code(all), equalTo(ErrorCode.MALFORMED));
+    assertThat(errorCodeOf(all), equalTo(ErrorCode.MALFORMED));
     assertThat(requestedPaths, hasSize(500));
   }
 }
--- a/config/src/test/java/elmsail/config/RoutingConfigReaderTest.java
+++ b/config/src/test/java/elmsail/config/RoutingConfigReaderTest.java
@@ -19,27 +19,27 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class RoutingConfigReaderTest {
-  private static final String GOOD = SampleConfigs.config(7);
+  private static final String VALID = SampleConfigs.config(7);
 
   private static RoutingConfig read(String text) {
     return RoutingConfigReader.read(SampleConfigs.bytes(text));
   }
 
-  private static String rejection(byte[] bytes) {
+  private static String rejectionMessage(byte[] bytes) {
     ElmsailException thrown =
         assertThrows(ElmsailException.class, () -> RoutingConfigReader.read(bytes));
     assertThat(thrown.code(), equalTo(ErrorCode.INVALID_ARGUMENT));
     return thrown.getMessage();
   }
 
-  private static String rejection(String from, String to) {
-    assertThat(GOOD, containsString(from));
-    return rejection(SampleConfigs.bytes(GOOD.replace(from, to)));
+  private static String rejectionMessage(String from, String to) {
+    assertThat(VALID, containsString(from));
+    return rejectionMessage(SampleConfigs.bytes(VALID.replace(from, to)));
   }
 
   @Test
   void readsAllFields() {
-    RoutingConfig config = read(GOOD);
+    RoutingConfig config = read(VALID);
     assertThat(config.version(), equalTo(7L));
     Route stream = config.routeByName("r-1");
     assertThat(stream.kind(), equalTo(Route.Kind.STREAM));
@@ -81,29 +81,30 @@
   @Test
   void batchRouteNeedsNoTimeout() {
     assertThat(
-        read(GOOD.replace("\"give_up_ms\":5000,", "")).routeByName("r-2").timeoutMs(), equalTo(0L));
+        read(VALID.replace("\"give_up_ms\":5000,", "")).routeByName("r-2").timeoutMs(),
+        equalTo(0L));
   }
 
   @Test
   void ignoresUnknownFields() {
     read(
-        GOOD.replace(
+        VALID.replace(
             "\"edition\":7", "\"edition\":7,\"newer\":{\"a\":[1,null,{\"b\":\"\\u00e9\"}]}"));
   }
 
   @Test
   void rejectsEveryTruncation() {
-    byte[] whole = SampleConfigs.bytes(GOOD);
-    for (int length = 0; length < whole.length; length++) {
-      rejection(Arrays.copyOf(whole, length));
+    byte[] complete = SampleConfigs.bytes(VALID);
+    for (int length = 0; length < complete.length; length++) {
+      rejectionMessage(Arrays.copyOf(complete, length));
     }
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"}", "{}", "x", ",", "\u0000", "// end", "# end", "\u00a0", "1", "null"})
-  void rejectsTrailingContent(String more) {
-    rejection(SampleConfigs.bytes(GOOD + more));
-    read(GOOD + " \r\n\t");
+  void rejectsTrailingContent(String trailing) {
+    rejectionMessage(SampleConfigs.bytes(VALID + trailing));
+    read(VALID + " \r\n\t");
   }
 
   @ParameterizedTest
@@ -140,27 +141,28 @@
         "{\"a\":\"x\" \"y\"}"
       })
   void rejectsInvalidJson(String text) {
-    rejection(SampleConfigs.bytes(text));
+    rejectionMessage(SampleConfigs.bytes(text));
     if (text.startsWith("{\"a\"")) {
-      rejection("{\"edition\"", text.substring(0, text.length() - 1) + ",\"edition\"");
+      rejectionMessage("{\"edition\"", text.substring(0, text.length() - 1) + ",\"edition\"");
     }
   }
 
   @Test
   void rejectsInvalidUtf8() {
-    byte[] bytes = GOOD.getBytes(StandardCharsets.UTF_8);
-    for (byte bad : new byte[] {(byte) 0xff, (byte) 0xc3, (byte) 0x80}) {
-      byte[] one = bytes.clone();
-      one[GOOD.indexOf("r-1") + 1] = bad;
-      assertThat(rejection(one), containsString("UTF-8"));
+    byte[] bytes = VALID.getBytes(StandardCharsets.UTF_8);
+    for (byte invalidByte : new byte[] {(byte) 0xff, (byte) 0xc3, (byte) 0x80}) {
+      byte[] corrupted = bytes.clone();
+      corrupted[VALID.indexOf("r-1") + 1] = invalidByte;
+      assertThat(rejectionMessage(corrupted), containsString("UTF-8"));
     }
-    rejection(GOOD.getBytes(StandardCharsets.UTF_16));
+    rejectionMessage(VALID.getBytes(StandardCharsets.UTF_16));
   }
 
   @Test
   void rejectsDeepNesting() {
-    rejection(SampleConfigs.bytes("[".repeat(100_000)));
-    rejection("\"edition\":7", "\"deep\":" + "[".repeat(60) + "]".repeat(60) + ",\"edition\":7");
+    rejectionMessage(SampleConfigs.bytes("[".repeat(100_000)));
+    rejectionMessage(
+        "\"edition\":7", "\"deep\":" + "[".repeat(60) + "]".repeat(60) + ",\"edition\":7");
   }
 
   @ParameterizedTest
@@ -217,38 +219,40 @@
         "\"limits\":{                  | \"limits\":[],\"l\":{ | limits: is not an object",
         "\"idle_ms\":15000             | \"idle_ms\":\"x\" | limits.idle_ms: is not a number"
       })
-  void rejectsInvalidFieldsWithThePath(String from, String to, String words) {
-    assertThat(rejection(from, to), containsString(words));
+  void rejectsInvalidFieldsWithThePath(String from, String to, String expectedReason) {
+    assertThat(rejectionMessage(from, to), containsString(expectedReason));
   }
 
   @Test
-  void rejectsTwoRoutesWithOneHostAndPrefix() {
-    String same = GOOD.replace("/pufi791/", "/lohu930/");
+  void rejectsTwoRoutesWithTheSameHostAndPrefix() {
+    String samePrefix = VALID.replace("/pufi791/", "/lohu930/");
     assertThat(
-        rejection(SampleConfigs.bytes(same.replace("ficu95.example", "nony24.example"))),
+        rejectionMessage(
+            SampleConfigs.bytes(samePrefix.replace("ficu95.example", "nony24.example"))),
         containsString("routes[1].lane_prefix: two routes"));
     assertThat(
-        rejection(SampleConfigs.bytes(same.replace("ficu95.example", "NONY24.example:8080"))),
+        rejectionMessage(
+            SampleConfigs.bytes(samePrefix.replace("ficu95.example", "NONY24.example:8080"))),
         containsString("routes[1].lane_prefix: two routes"));
-    read(same);
+    read(samePrefix);
   }
 
   @Test
   void rejectsWeightsThatAddUpToZero() {
-    String none = GOOD.replace("\"share\":90", "\"share\":0");
-    read(none);
+    String oneZeroWeight = VALID.replace("\"share\":90", "\"share\":0");
+    read(oneZeroWeight);
     assertThat(
-        rejection(SampleConfigs.bytes(none.replace("\"share\":10", "\"share\":0"))),
+        rejectionMessage(SampleConfigs.bytes(oneZeroWeight.replace("\"share\":10", "\"share\":0"))),
         containsString("routes[0].share_out: the weights"));
     assertThat(
-        rejection("\"share_out\":[", "\"share_out\":[],\"x\":["),
+        rejectionMessage("\"share_out\":[", "\"share_out\":[],\"x\":["),
         containsString("routes[0].share_out: the weights"));
   }
 
   @Test
-  void rejectsTwoServicesOfOneName() {
+  void rejectsTwoServicesWithTheSameName() {
     assertThat(
-        rejection("\"postal_lines\":[", "\"postal_lines\":[{\"name\":\"huvo11a\"},"),
+        rejectionMessage("\"postal_lines\":[", "\"postal_lines\":[{\"name\":\"huvo11a\"},"),
         containsString("postal_lines[1].name: two services"));
   }
 
@@ -258,8 +262,8 @@
         ConfigDigest.of(new byte[0]),
         equalTo("e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855"));
     assertThat(
-        ConfigDigest.of(SampleConfigs.bytes(GOOD))
-            .equals(ConfigDigest.of(SampleConfigs.bytes(GOOD + " "))),
+        ConfigDigest.of(SampleConfigs.bytes(VALID))
+            .equals(ConfigDigest.of(SampleConfigs.bytes(VALID + " "))),
         equalTo(false));
   }
 
@@ -276,7 +280,7 @@
   }
 
   @Test
-  void unstampedRouteIsOpen() {
+  void unstampedRouteRequiresNoKey() {
     RoutingConfig config =
         read(
             """
--- a/config/src/test/java/elmsail/config/ServerListCodecTest.java
+++ b/config/src/test/java/elmsail/config/ServerListCodecTest.java
@@ -40,9 +40,9 @@
 
   @Test
   void everyTruncationOfAPageIsMalformed() {
-    byte[] whole = SampleConfigs.bytes(PAGE);
-    for (int length = 0; length < whole.length; length++) {
-      assertMalformed(Arrays.copyOf(whole, length));
+    byte[] complete = SampleConfigs.bytes(PAGE);
+    for (int length = 0; length < complete.length; length++) {
+      assertMalformed(Arrays.copyOf(complete, length));
     }
     assertMalformed(SampleConfigs.bytes(PAGE + "{}"));
   }
@@ -88,7 +88,7 @@
   }
 
   @Test
-  void onlyTheRemainingWarmUpTimeIsNoChange() {
+  void differenceInRemainingWarmUpTimeAloneIsNotAChange() {
     ServerEntry cold = new ServerEntry("i-1", "s", "10.0.0.1:1", "z", 3, false, 900);
     ServerEntry colder = new ServerEntry("i-1", "s", "10.0.0.1:1", "z", 3, false, 1_900);
     ServerEntry warm = new ServerEntry("i-1", "s", "10.0.0.1:1", "z", 3, false, 0);
--- a/config/src/test/java/elmsail/config/TenantsReaderTest.java
+++ b/config/src/test/java/elmsail/config/TenantsReaderTest.java
@@ -23,7 +23,7 @@
   }
 
   @Test
-  void everyKeyOfATenantIsKnown() {
+  void findsTheTenantOfEachKey() {
     RoutingConfig config =
         read(
             """
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void prioritiesAreListedOnceAndAscending() {
+  void prioritiesAreDistinctAndAscending() {
     RoutingConfig config =
         read(
             """
@@ -57,7 +57,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"[]", "[{\"name\":\"a\",\"passes\":[]}]", "[{\"name\":\"a\"}]"})
-  void tenantsThatLostAllKeysAreAdmittedNoMore(String senders) {
+  void tenantListWithoutKeysStillRequiresKeys(String senders) {
     RoutingConfig config = read(senders);
     assertThat(config.requiresKeys(), is(true));
     assertThat(config.tenantByKey("k1"), equalTo(Optional.empty()));
@@ -74,15 +74,15 @@
         "[{\"name\":\"a\",\"passes\":[\"secret\",\"\"]}]",
         "{\"secret\":7}",
       })
-  void invalidTenantsAreRefusedWithoutNamingAKey(String senders) {
-    ElmsailException refusal = assertThrows(ElmsailException.class, () -> read(senders));
-    assertThat(refusal.code(), is(ErrorCode.INVALID_ARGUMENT));
-    assertThat(refusal.getMessage(), containsString("senders"));
-    assertThat(refusal.getMessage(), not(containsString("secret")));
+  void rejectionOfInvalidTenantsContainsNoKey(String senders) {
+    ElmsailException rejection = assertThrows(ElmsailException.class, () -> read(senders));
+    assertThat(rejection.code(), is(ErrorCode.INVALID_ARGUMENT));
+    assertThat(rejection.getMessage(), containsString("senders"));
+    assertThat(rejection.getMessage(), not(containsString("secret")));
   }
 
   @Test
-  void keyListedTwiceByOneTenantIsItsOwn() {
+  void acceptsAKeyListedTwiceByOneTenant() {
     RoutingConfig config = read("[{\"name\":\"a\",\"passes\":[\"k1\",\"k1\"]}]");
     assertThat(config.tenantByKey("k1"), equalTo(Optional.of(new Tenant("a", 0))));
   }
--- a/config/src/test/java/elmsail/config/watch/ClusterClockTest.java
+++ b/config/src/test/java/elmsail/config/watch/ClusterClockTest.java
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void knowsNoTimeBeforeASampleAndAgreesWithASecondSource() {
+  void hasNoTimeBeforeTheFirstSampleAndAgreesAfterASecondSource() {
     assertThat(clock.hasTime(), is(false));
     sample(OWN);
     assertThat(clock.hasTime(), is(true));
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void machineWhoseOwnClockHasJumpedTakesThatOfTheOthers() {
+  void machineWhoseOwnClockIsWrongAdoptsTheTimeOfTheOthers() {
     skewMs.put(OWN, 7_000L);
     sample(OWN);
     assertThat(errorMs(), is(7_000L));
@@ -68,7 +68,7 @@
   }
 
   @Test
-  void clocksThatJumpForAWhileMoveNothing() {
+  void temporaryClockJumpsDoNotChangeTheTime() {
     runFor(20_000);
     skewMs.put(OWN, 5_000L);
     skewMs.put("n1", -8_000L);
@@ -84,7 +84,7 @@
   }
 
   @Test
-  void timeThatMostSourcesTellForLongIsTakenOver() {
+  void offsetThatMostSourcesReportForLongIsAdopted() {
     runFor(20_000);
     for (String source : NODES) {
       skewMs.put(source, 5_000L);
@@ -94,7 +94,7 @@
   }
 
   @Test
-  void smallDifferencesAreFollowedSlowly() {
+  void smallDifferencesAreCorrectedGradually() {
     runFor(10_000);
     NODES.forEach(node -> skewMs.put(node, 100L));
     skewMs.put(OWN, 100L);
@@ -109,7 +109,7 @@
   }
 
   @Test
-  void sourcesThatAreSilentForLongDoNotCount() {
+  void expiredSamplesAreIgnored() {
     sampleAll();
     timers.advance(ClusterClock.MAX_SAMPLE_AGE_MS + 1);
     skewMs.put(OWN, 100L);
--- a/config/src/test/java/elmsail/config/watch/ConfigConfirmationTest.java
+++ b/config/src/test/java/elmsail/config/watch/ConfigConfirmationTest.java
@@ -17,24 +17,24 @@
   }
 
   @Test
-  void nothingIsConfirmedAtFirst() {
+  void nothingIsConfirmedBeforeTheFirstResponse() {
     assertThat(confirmation.ageMs(1_000), is(Long.MAX_VALUE));
   }
 
   @Test
-  void countsFromWhenTheRequestWasSentLessTheAge() {
+  void ageIsMeasuredFromTheSendTimeOfTheRequestMinusTheStatedAge() {
     confirmation.onResponse(response(7, 300), 7, 5_000);
     assertThat(confirmation.ageMs(6_100), is(1_400L));
   }
 
   @Test
-  void isKnownOnAMachineThatHasJustStarted() {
+  void confirmsAlsoIfTheMomentPrecedesTheStartOfTheSteadyClock() {
     confirmation.onResponse(response(7, 300), 7, 100);
     assertThat(confirmation.ageMs(110), is(310L));
   }
 
   @Test
-  void latestMomentCountsInWhateverOrderResponsesCome() {
+  void latestConfirmedMomentIsKeptInAnyOrderOfResponses() {
     confirmation.onResponse(response(7, 100), 7, 5_000);
     confirmation.onResponse(response(7, 1_400), 7, 5_200);
     assertThat(confirmation.ageMs(6_000), is(1_100L));
@@ -47,13 +47,13 @@
   }
 
   @Test
-  void newerVersionOfAnotherNodeIsConfirmedByAnOlderOne() {
+  void responseWithAnOlderVersionConfirmsANewerKnownOne() {
     confirmation.onResponse(response(7, 50), 8, 5_000);
     assertThat(confirmation.ageMs(5_000), is(50L));
   }
 
   @Test
-  void responseOfAnEarlierVersionOfTheProgramConfirmsNothing() {
+  void responseWithoutAnAgeConfirmsNothing() {
     confirmation.onResponse(response(7, -1), 7, 5_000);
     assertThat(confirmation.ageMs(5_000), is(Long.MAX_VALUE));
   }
--- a/config/src/test/java/elmsail/config/watch/ConfigWatcherSeedsTest.java
+++ b/config/src/test/java/elmsail/config/watch/ConfigWatcherSeedsTest.java
@@ -11,11 +11,11 @@
 import org.junit.jupiter.api.Test;
 
 /** The settings file names other seed addresses while the process runs. */
-class ConfigWatcherSeedsTest extends ConfigWatcherRig {
+class ConfigWatcherSeedsTest extends ConfigWatcherTestBase {
   private static final String D = "10.4.0.40:7721";
   private static final String E = "10.4.0.41:7721";
 
-  static Settings changed() {
+  static Settings settingsWithChangedSeeds() {
     Settings before = settings(Set.of("counter"));
     return new Settings(
         before.machine(),
@@ -41,14 +41,14 @@
   }
 
   @Test
-  void changedSeedsAreWatchedOnceNoOtherNodeResponds() {
+  void watchesChangedSeedsOnceNoOtherNodeResponds() {
     watcher.start();
     timers.advance(500);
-    List.of(A, B, C).forEach(links.controlPlanes::remove);
-    WatchServer d = links.controlPlane(D);
-    links.controlPlane(E);
+    List.of(A, B, C).forEach(network.controlPlanes::remove);
+    WatchServer d = network.controlPlane(D);
+    network.controlPlane(E);
     d.setConfig(8, config(8));
-    watcher.onSettingsChanged(changed());
+    watcher.onSettingsChanged(settingsWithChangedSeeds());
     timers.advance(12_000);
     assertThat(watcher.upstreams(), hasItems(D, E));
     assertThat(watcher.config().version(), equalTo(8L));
--- a/config/src/test/java/elmsail/config/watch/ConfigWatcherServersTest.java
+++ b/config/src/test/java/elmsail/config/watch/ConfigWatcherServersTest.java
@@ -13,107 +13,107 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-class ConfigWatcherServersTest extends ConfigWatcherRig {
-  private int completeLists;
+class ConfigWatcherServersTest extends ConfigWatcherTestBase {
+  private int completeListCount;
 
   /** Counts the responses that bring a complete list. */
-  private void count(String address, WatchServer controlPlane) {
-    links.controlPlanes.put(
+  private void countCompleteLists(String address, WatchServer controlPlane) {
+    network.controlPlanes.put(
         address,
         request ->
             controlPlane
                 .watch(request)
                 .thenApply(
                     response -> {
-                      completeLists += response.servers == null ? 0 : 1;
+                      completeListCount += response.servers == null ? 0 : 1;
                       return response;
                     }));
   }
 
   /** Number of complete lists that the nodes send within a second of a new version. */
-  private int listsSent(long version, WatchServer... notaries) {
-    completeLists = 0;
-    for (WatchServer controlPlane : notaries) {
-      controlPlane.setServers(1, version, list("i-" + version), timers.now());
+  private int publishAndCountLists(long version, WatchServer... controlPlanes) {
+    completeListCount = 0;
+    for (WatchServer controlPlane : controlPlanes) {
+      controlPlane.setServers(1, version, encodedList("i-" + version), timers.now());
     }
     timers.advance(1_000);
-    return completeLists;
+    return completeListCount;
   }
 
   @BeforeEach
-  void countLists() {
-    count(A, a);
-    count(B, b);
-    count(C, c);
+  void countListsOfAllNodes() {
+    countCompleteLists(A, a);
+    countCompleteLists(B, b);
+    countCompleteLists(C, c);
   }
 
   @Test
   void tracksTheAgeOfTheListFromUpdates() {
-    a.setServers(1, 1, list("i-1"), timers.now() - 400);
+    a.setServers(1, 1, encodedList("i-1"), timers.now() - 400);
     watcher.start();
     timers.advance(10);
     assertThat(watcher.serverListAgeMs(), equalTo(405L));
     assertThat(watcher.serverListFetchedAtMs(), equalTo(605L));
     timers.advance(600);
     assertThat(watcher.serverListAgeMs(), equalTo(1_005L));
-    int before = changes;
-    a.setServers(1, 1, list("i-1"), timers.now());
+    int before = changeCount;
+    a.setServers(1, 1, encodedList("i-1"), timers.now());
     timers.advance(900);
     assertThat(watcher.serverListAgeMs(), lessThanOrEqualTo(1_000L));
-    assertThat(changes, equalTo(before));
+    assertThat(changeCount, equalTo(before));
   }
 
   @Test
   void ignoresAListOfALowerEpoch() {
-    a.setServers(2, 1, list("i-2"), timers.now());
-    b.setServers(1, 50, list("i-1"), timers.now());
+    a.setServers(2, 1, encodedList("i-2"), timers.now());
+    b.setServers(1, 50, encodedList("i-1"), timers.now());
     watcher.start();
     timers.advance(2_000);
-    assertThat(watcher.servers(), equalTo(ServerListCodec.decode(list("i-2"))));
+    assertThat(watcher.servers(), equalTo(ServerListCodec.decode(encodedList("i-2"))));
     assertThat(watcher.serverListEpoch(), equalTo(2L));
     assertThat(watcher.serverListVersion(), equalTo(1L));
-    watcher.offerServers(2, 2, list("i-3"), timers.now());
-    assertThat(watcher.servers(), equalTo(ServerListCodec.decode(list("i-3"))));
-    assertThat(watcher.serverListBytes(), equalTo(list("i-3")));
+    watcher.offerServers(2, 2, encodedList("i-3"), timers.now());
+    assertThat(watcher.servers(), equalTo(ServerListCodec.decode(encodedList("i-3"))));
+    assertThat(watcher.serverListBytes(), equalTo(encodedList("i-3")));
   }
 
   @Test
-  void gatewayTakesListsFromTheNearestNodeWhileTheyAreFresh() {
+  void gatewayRequestsListsOnlyFromTheNearestNodeWhileTheyAreFresh() {
     watcher.start();
     for (int version = 1; version <= 3; version++) {
-      listsSent(version, a, b, c);
+      publishAndCountLists(version, a, b, c);
     }
     for (int version = 4; version <= 9; version++) {
-      assertThat(listsSent(version, a, b, c), equalTo(1));
+      assertThat(publishAndCountLists(version, a, b, c), equalTo(1));
       assertThat(watcher.serverListVersion(), equalTo((long) version));
-      assertThat(links.lastRequest(A).serverListEpoch, equalTo(1L));
-      assertThat(links.lastRequest(B).serverListEpoch, equalTo(Long.MAX_VALUE));
-      assertThat(links.lastRequest(C).serverListEpoch, equalTo(Long.MAX_VALUE));
+      assertThat(network.lastRequest(A).serverListEpoch, equalTo(1L));
+      assertThat(network.lastRequest(B).serverListEpoch, equalTo(Long.MAX_VALUE));
+      assertThat(network.lastRequest(C).serverListEpoch, equalTo(Long.MAX_VALUE));
     }
   }
 
   @Test
-  void gatewayDoesNotWaitForANearestNodeThatIsPartitionedOrBehind() {
+  void gatewayTakesListsFromOtherNodesIfTheNearestIsPartitionedOrOutdated() {
     watcher.start();
     for (int version = 1; version <= 3; version++) {
-      listsSent(version, a, b, c);
+      publishAndCountLists(version, a, b, c);
     }
     for (int version = 4; version <= 9; version++) {
-      listsSent(version, b, c);
+      publishAndCountLists(version, b, c);
       assertThat(watcher.serverListAgeMs(), lessThan(2_500L));
     }
     assertThat(watcher.serverListVersion(), greaterThan(7L));
-    links.droppedResponses.add(A);
+    network.droppedResponses.add(A);
     for (int version = 10; version <= 15; version++) {
-      listsSent(version, a, b, c);
+      publishAndCountLists(version, a, b, c);
       assertThat(watcher.serverListAgeMs(), lessThan(2_500L));
     }
     assertThat(watcher.serverListVersion(), equalTo(15L));
   }
 
   @Test
-  void storeTakesNoListAndControlPlaneNodeTakesItFromAll() {
-    a.setServers(1, 1, list("i-1"), timers.now());
+  void storeRequestsNoListAndControlPlaneNodeRequestsItFromAllNodes() {
+    a.setServers(1, 1, encodedList("i-1"), timers.now());
     ConfigWatcher store = watcher(PeerRole.STORE, Set.of("vault"), () -> StoreStatus.NONE);
     store.start();
     timers.advance(1_500);
@@ -122,10 +122,10 @@
         watcher(PeerRole.CONTROL_PLANE, Set.of("head_office"), () -> StoreStatus.NONE);
     controlPlane.start();
     timers.advance(1_500);
-    b.setServers(1, 1, list("i-1"), timers.now());
+    b.setServers(1, 1, encodedList("i-1"), timers.now());
     timers.advance(10);
     assertThat(controlPlane.servers(), hasSize(1));
-    c.setServers(1, 2, list("i-2"), timers.now());
+    c.setServers(1, 2, encodedList("i-2"), timers.now());
     timers.advance(10);
     assertThat(controlPlane.serverListVersion(), equalTo(2L));
   }
--- a/config/src/test/java/elmsail/config/watch/ConfigWatcherTest.java
+++ b/config/src/test/java/elmsail/config/watch/ConfigWatcherTest.java
@@ -19,12 +19,12 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-class ConfigWatcherTest extends ConfigWatcherRig {
+class ConfigWatcherTest extends ConfigWatcherTestBase {
   @Test
   void watchesEachSeedAndReportsItsIdentity() {
     watcher.start();
     assertThat(watcher.upstreams(), containsInAnyOrder(A, B, C));
-    PullRequest request = links.lastRequest(A);
+    PullRequest request = network.lastRequest(A);
     assertThat(request.machine, equalTo("counter-x-1"));
     assertThat(request.address, equalTo("10.1.0.13:7720"));
     assertThat(request.role, equalTo("gateway"));
@@ -48,20 +48,20 @@
     List<StoreStatus> status = new ArrayList<>(List.of(StoreStatus.NONE));
     ConfigWatcher store = watcher(PeerRole.STORE, Set.of("vault"), () -> status.get(0));
     store.start();
-    assertThat(links.lastRequest(A).voting, equalTo(false));
+    assertThat(network.lastRequest(A).voting, equalTo(false));
     VoterSet jobStoreVoters = voterSet("v:1", 4);
     status.set(0, new StoreStatus(true, true, jobStoreVoters));
     timers.advance(1_100);
-    assertThat(links.lastRequest(A).voting, equalTo(true));
-    assertThat(links.lastRequest(A).drained, equalTo(true));
-    assertThat(links.lastRequest(A).jobStoreVoters, equalTo(jobStoreVoters));
+    assertThat(network.lastRequest(A).voting, equalTo(true));
+    assertThat(network.lastRequest(A).drained, equalTo(true));
+    assertThat(network.lastRequest(A).jobStoreVoters, equalTo(jobStoreVoters));
   }
 
   @Test
   void changeIsAppliedAtOnceAndNotifiedOnce() {
     watcher.start();
     timers.advance(300);
-    int before = changes;
+    int before = changeCount;
     for (WatchServer controlPlane : List.of(a, b, c)) {
       controlPlane.setConfig(7, config(7));
     }
@@ -69,18 +69,18 @@
     assertThat(watcher.config().version(), equalTo(7L));
     assertThat(watcher.configBytes(), equalTo(config(7)));
     timers.advance(2_000);
-    assertThat(changes, equalTo(before + 1));
+    assertThat(changeCount, equalTo(before + 1));
   }
 
   @Test
-  void olderVersionNeverWins() {
+  void olderVersionNeverReplacesANewerOne() {
     a.setConfig(9, config(9));
     b.setConfig(7, config(7));
     watcher.start();
     timers.advance(100);
     assertThat(watcher.config().version(), equalTo(9L));
     c.setConfig(8, config(8));
-    links.controlPlane(A).setConfig(5, config(5));
+    network.controlPlane(A).setConfig(5, config(5));
     timers.advance(5_000);
     assertThat(watcher.config().version(), equalTo(9L));
     watcher.offerConfig(config(8));
@@ -92,7 +92,7 @@
   @Test
   void ignoresAnOlderVersionThatArrivesLate() {
     CompletableFuture<PullResponse> late = new CompletableFuture<>();
-    links.controlPlanes.put(A, request -> late);
+    network.controlPlanes.put(A, request -> late);
     b.setConfig(9, config(9));
     watcher.start();
     timers.advance(100);
@@ -108,32 +108,32 @@
   void requestsFollowAtOnceButAtLeastTwentyMsApart() {
     watcher.start();
     timers.advance(300);
-    List<Long> times = links.requestTimes(A);
+    List<Long> times = network.requestTimes(A);
     assertThat(times.subList(0, 2), contains(1_000L, 1_020L));
     assertThat(times, hasSize(2));
     a.setConfig(7, config(7));
     timers.advance(5);
-    assertThat(links.requestTimes(A), hasSize(3));
-    assertThat(links.requestTimes(A).get(2), equalTo(1_305L));
+    assertThat(network.requestTimes(A), hasSize(3));
+    assertThat(network.requestTimes(A).get(2), equalTo(1_305L));
   }
 
   @Test
   void backsOffAfterFailures() {
-    links.controlPlanes.remove(A);
+    network.controlPlanes.remove(A);
     watcher.start();
     timers.advance(2_000);
-    assertThat(links.requestTimes(A), contains(1_000L, 1_105L, 1_310L, 1_715L, 2_220L, 2_725L));
+    assertThat(network.requestTimes(A), contains(1_000L, 1_105L, 1_310L, 1_715L, 2_220L, 2_725L));
     assertThat(watcher.failedRequests(), greaterThan(4L));
     assertThat(watcher.lastResponseAgeMs(A), equalTo(Long.MAX_VALUE));
     assertThat(watcher.lastResponseAgeMs(B), lessThan(1_100L));
   }
 
   @Test
-  void oneWayPartitionToOneNodeLeavesTheOthersUpdates() {
+  void updatesOfOtherNodesArriveDuringAOneWayPartitionOfOneNode() {
     watcher.start();
     timers.advance(100);
-    links.droppedResponses.add(A);
-    a.setServers(1, 1, list("i-1"), timers.now());
+    network.droppedResponses.add(A);
+    a.setServers(1, 1, encodedList("i-1"), timers.now());
     a.setConfig(7, config(7));
     timers.advance(2_500);
     assertThat(watcher.config(), nullValue());
@@ -142,31 +142,31 @@
     timers.advance(10);
     assertThat(watcher.config().version(), equalTo(7L));
     assertThat(a.peersSeenWithin(2_000), hasSize(1));
-    links.droppedResponses.clear();
+    network.droppedResponses.clear();
     timers.advance(4_000);
     assertThat(watcher.servers(), hasSize(1));
-    links.droppedRequests.add(A);
+    network.droppedRequests.add(A);
     timers.advance(4_000);
     assertThat(a.peersSeenWithin(1_500), empty());
     assertThat(b.peersSeenWithin(1_500), hasSize(1));
   }
 
   @Test
-  void rejectsUndecodableUpdatesAndBacksOff() {
+  void rejectsMalformedUpdatesAndBacksOff() {
     a.setConfig(7, new byte[] {'{'});
-    a.setServers(1, 1, list("i-1"), timers.now());
+    a.setServers(1, 1, encodedList("i-1"), timers.now());
     b.setConfig(6, config(6));
-    links.controlPlanes.remove(C);
+    network.controlPlanes.remove(C);
     watcher.start();
     timers.advance(3_000);
     assertThat(watcher.config().version(), equalTo(6L));
     assertThat(watcher.servers(), hasSize(1));
     assertThat(watcher.rejectedUpdates(), greaterThan(3L));
-    assertThat(links.requestTimes(A).size(), lessThan(12));
+    assertThat(network.requestTimes(A).size(), lessThan(12));
   }
 
   @Test
-  void rejectsAnotherVersionThanAnnounced() {
+  void rejectsAConfigWhoseVersionDiffersFromTheAnnouncedOne() {
     a.setConfig(9, config(7));
     watcher.start();
     timers.advance(500);
@@ -175,7 +175,7 @@
   }
 
   @Test
-  void listenerFaultDoesNotEndTheWatch() {
+  void listenerExceptionDoesNotEndTheWatch() {
     watcher.addListener(
         () -> {
           throw new IllegalStateException("a listener's fault");
@@ -193,10 +193,10 @@
     watcher.start();
     timers.advance(500);
     watcher.close();
-    int requestsBeforeClose = links.requests.size();
+    int requestsBeforeClose = network.requests.size();
     a.setConfig(7, config(7));
     timers.advance(10_000);
-    assertThat(links.requests, hasSize(requestsBeforeClose));
+    assertThat(network.requests, hasSize(requestsBeforeClose));
     assertThat(watcher.config(), nullValue());
     assertThat(timers.runNext(), equalTo(false));
   }
--- a/config/src/test/java/elmsail/config/watch/ConfigWatcherRig.java
+++ b/config/src/test/java/elmsail/config/watch/ConfigWatcherTestBase.java
@@ -16,19 +16,19 @@
 import org.junit.jupiter.api.BeforeEach;
 
 /** A watcher, three control-plane nodes and a network that tests partition; the clock is manual. */
-abstract class ConfigWatcherRig {
+abstract class ConfigWatcherTestBase {
   static final String A = "10.1.0.13:7721";
   static final String B = "10.2.0.30:7721";
   static final String C = "10.3.0.36:7721";
 
   final ManualTimers timers = new ManualTimers();
-  final FakeNetwork links = new FakeNetwork(timers);
-  final WatchServer a = links.controlPlane(A);
-  final WatchServer b = links.controlPlane(B);
-  final WatchServer c = links.controlPlane(C);
+  final FakeNetwork network = new FakeNetwork(timers);
+  final WatchServer a = network.controlPlane(A);
+  final WatchServer b = network.controlPlane(B);
+  final WatchServer c = network.controlPlane(C);
   final ConfigWatcher watcher =
       watcher(PeerRole.GATEWAY, Set.of("counter"), () -> StoreStatus.NONE);
-  int changes;
+  int changeCount;
 
   static Settings settings(Set<String> serves) {
     return settings(serves, null);
@@ -59,7 +59,7 @@
   }
 
   ConfigWatcher watcher(PeerRole role, Set<String> serves, Supplier<StoreStatus> store) {
-    return new ConfigWatcher(links, timers, settings(serves), role, 77, store, null);
+    return new ConfigWatcher(network, timers, settings(serves), role, 77, store, null);
   }
 
   /** A gateway's watcher where keys are to be revoked everywhere within so many ms. */
@@ -69,7 +69,7 @@
             4_000, 5_000, 6_000, 4_000, 8_000, 200, 2_500, 200, 120_000, 3_000, 1_000, 0.1, 2_000,
             revokeMs, 5_000, 10_000, 3_000);
     return new ConfigWatcher(
-        links,
+        network,
         timers,
         settings(Set.of("counter"), bounds),
         PeerRole.GATEWAY,
@@ -79,15 +79,15 @@
   }
 
   @BeforeEach
-  void count() {
-    watcher.addListener(() -> changes++);
+  void countChanges() {
+    watcher.addListener(() -> changeCount++);
   }
 
   static byte[] config(long edition) {
     return SampleConfigs.bytes(SampleConfigs.config(edition));
   }
 
-  static byte[] list(String... ids) {
+  static byte[] encodedList(String... ids) {
     List<ServerEntry> servers = new ArrayList<>();
     for (String id : ids) {
       servers.add(SampleConfigs.server(id));
@@ -95,13 +95,13 @@
     return ServerListCodec.encode(servers);
   }
 
-  static VoterSet voterSet(Object... addressesAndIncarnations) {
+  static VoterSet voterSet(Object... addressesAndEpochs) {
     VoterSet voterSet = new VoterSet();
-    for (int i = 0; i < addressesAndIncarnations.length; i += 2) {
-      Voter slot = new Voter();
-      slot.address = (String) addressesAndIncarnations[i];
-      slot.epoch = (Integer) addressesAndIncarnations[i + 1];
-      voterSet.voters.add(slot);
+    for (int i = 0; i < addressesAndEpochs.length; i += 2) {
+      Voter voter = new Voter();
+      voter.address = (String) addressesAndEpochs[i];
+      voter.epoch = (Integer) addressesAndEpochs[i + 1];
+      voterSet.voters.add(voter);
     }
     return voterSet;
   }
@@ -115,7 +115,7 @@
     return view;
   }
 
-  static List<String> addresses(VoterSet voterSet) {
+  static List<String> addressesWithEpochs(VoterSet voterSet) {
     List<String> all = new ArrayList<>();
     for (Voter slot : voterSet.voters) {
       all.add(slot.address + "#" + slot.epoch);
--- a/config/src/test/java/elmsail/config/watch/ConfigWatcherViewTest.java
+++ b/config/src/test/java/elmsail/config/watch/ConfigWatcherViewTest.java
@@ -18,9 +18,9 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-class ConfigWatcherViewTest extends ConfigWatcherRig {
+class ConfigWatcherViewTest extends ConfigWatcherTestBase {
   @Test
-  void mergesVotersByEpochAndUnitesGateways() {
+  void mergesVotersByEpochAndGatewaysByUnion() {
     VoterSet controlPlaneVoters = voterSet(A, 1, B, 1, C, 1);
     a.setViewFactory(
         request ->
@@ -31,15 +31,18 @@
     c.setViewFactory(request -> view(controlPlaneVoters, new VoterSet(), "c4:1"));
     watcher.start();
     timers.advance(100);
-    assertThat(addresses(watcher.view().jobStoreVoters), contains("v4:1#2", "v2:1#3", "v3:1#1"));
     assertThat(
-        addresses(watcher.view().controlPlaneVoters), contains(A + "#1", B + "#1", C + "#1"));
+        addressesWithEpochs(watcher.view().jobStoreVoters), contains("v4:1#2", "v2:1#3", "v3:1#1"));
+    assertThat(
+        addressesWithEpochs(watcher.view().controlPlaneVoters),
+        contains(A + "#1", B + "#1", C + "#1"));
     assertThat(watcher.view().gateways, contains("c1:1", "c2:1", "c3:1", "c4:1"));
     a.setViewFactory(
         request -> view(controlPlaneVoters, voterSet("v1:1", 1, "v2:1", 1, "v3:1", 1), "c1:1"));
     b.setViewFactory(request -> view(controlPlaneVoters, new VoterSet()));
     timers.advance(100);
-    assertThat(addresses(watcher.view().jobStoreVoters), contains("v4:1#2", "v2:1#3", "v3:1#1"));
+    assertThat(
+        addressesWithEpochs(watcher.view().jobStoreVoters), contains("v4:1#2", "v2:1#3", "v3:1#1"));
     assertThat(watcher.view().gateways, contains("c1:1", "c4:1"));
   }
 
@@ -50,10 +53,10 @@
     watcher.start();
     timers.advance(100);
     assertThat(watcher.view().gateways, contains("c1:1", "c2:1"));
-    links.controlPlanes.remove(A);
+    network.controlPlanes.remove(A);
     timers.advance(8_000);
     assertThat(watcher.view().gateways, contains("c2:1"));
-    links.controlPlanes.clear();
+    network.controlPlanes.clear();
     timers.advance(10_000);
     assertThat(watcher.view().gateways, contains("c2:1"));
   }
@@ -62,7 +65,7 @@
   void acceptsLowerViewVersionsOfARestartedNode() {
     long[] version = {500};
     String[] gateway = {"c1:1"};
-    links.controlPlanes.put(
+    network.controlPlanes.put(
         A,
         request -> {
           PullResponse response = new PullResponse();
@@ -78,18 +81,18 @@
         });
     watcher.start();
     timers.advance(100);
-    assertThat(links.lastRequest(A).viewVersion, equalTo(500L));
+    assertThat(network.lastRequest(A).viewVersion, equalTo(500L));
     version[0] = 1;
     gateway[0] = "c9:1";
     timers.advance(2_200);
     assertThat(watcher.view().gateways, contains("c9:1"));
-    assertThat(links.lastRequest(A).viewVersion, equalTo(1L));
+    assertThat(network.lastRequest(A).viewVersion, equalTo(1L));
   }
 
   @Test
-  void requestsTheViewAgainAfterALowerVersionWithoutOne() {
+  void requestsTheViewAgainAfterALowerViewVersionWithoutAView() {
     long[] version = {500};
-    links.controlPlanes.put(
+    network.controlPlanes.put(
         A,
         request -> {
           PullResponse response = new PullResponse();
@@ -111,7 +114,7 @@
   }
 
   @Test
-  void forwardsAJoinOrderOfAnyNode() {
+  void joinOrderOfAnyNodeReachesTheListener() {
     List<String> joins = new ArrayList<>();
     watcher.setJoinListener((slot, epoch) -> joins.add(slot + "#" + epoch));
     watcher.start();
@@ -131,7 +134,7 @@
   @Test
   void votersReplaceTheSeeds() {
     String moved = "10.9.0.1:7721";
-    WatchServer movedControlPlane = links.controlPlane(moved);
+    WatchServer movedControlPlane = network.controlPlane(moved);
     a.setViewFactory(request -> view(voterSet(A, 1, B, 1, moved, 2), new VoterSet()));
     watcher.start();
     timers.advance(50);
@@ -139,13 +142,13 @@
     movedControlPlane.setConfig(7, config(7));
     timers.advance(50);
     assertThat(watcher.config().version(), equalTo(7L));
-    int requestsToC = links.requestTimes(C).size();
+    int requestsToC = network.requestTimes(C).size();
     timers.advance(3_000);
-    assertThat(links.requestTimes(C), hasSize(requestsToC));
+    assertThat(network.requestTimes(C), hasSize(requestsToC));
   }
 
   @Test
-  void returnsToTheSeedsWhileNoNodeResponds() {
+  void watchesTheSeedsAgainWhileNoVoterResponds() {
     a.setViewFactory(
         request ->
             view(voterSet("10.9.0.1:1", 1, "10.9.0.2:1", 1, "10.9.0.3:1", 1), new VoterSet()));
@@ -161,32 +164,32 @@
   void watchesThreeOfFiveAndReplacesAnUnresponsiveOne() {
     String d = "10.4.0.1:7721";
     String e = "10.5.0.1:7721";
-    links.controlPlane(d);
-    links.controlPlane(e);
+    network.controlPlane(d);
+    network.controlPlane(e);
     a.setViewFactory(request -> view(voterSet(A, 1, B, 1, C, 1, d, 1, e, 1), new VoterSet()));
     watcher.start();
     timers.advance(2_000);
     List<String> first = watcher.upstreams();
     assertThat(first, hasSize(3));
-    String gone = first.get(0);
-    links.droppedRequests.add(gone);
+    String unresponsive = first.get(0);
+    network.droppedRequests.add(unresponsive);
     timers.advance(9_000);
     assertThat(watcher.upstreams(), hasSize(3));
-    assertThat(watcher.upstreams(), not(hasItem(gone)));
-    for (String stays : first.subList(1, 3)) {
-      assertThat(watcher.upstreams(), hasItem(stays));
+    assertThat(watcher.upstreams(), not(hasItem(unresponsive)));
+    for (String responsive : first.subList(1, 3)) {
+      assertThat(watcher.upstreams(), hasItem(responsive));
     }
-    links.droppedRequests.clear();
+    network.droppedRequests.clear();
     timers.advance(32_000);
     assertThat(watcher.upstreams(), containsInAnyOrder(first.toArray()));
   }
 
   @Test
-  void storeWatchesAllVotersAndGatewayThreeOfThem() {
+  void storeWatchesAllVotersAndGatewayWatchesThree() {
     String d = "10.4.0.41:7721";
     String e = "10.5.0.52:7721";
-    links.controlPlane(d);
-    links.controlPlane(e);
+    network.controlPlane(d);
+    network.controlPlane(e);
     VoterSet five = voterSet(A, 1, B, 1, C, 1, d, 1, e, 1);
     a.setViewFactory(request -> view(five, new VoterSet()));
     ConfigWatcher store = watcher(PeerRole.STORE, Set.of("vault"), () -> StoreStatus.NONE);
@@ -195,7 +198,7 @@
     timers.advance(2_000);
     assertThat(store.upstreams(), containsInAnyOrder(A, B, C, d, e));
     assertThat(watcher.upstreams(), hasSize(3));
-    links.droppedRequests.add(d);
+    network.droppedRequests.add(d);
     timers.advance(20_000);
     assertThat("silent or not", store.upstreams(), containsInAnyOrder(A, B, C, d, e));
   }
--- a/config/src/test/java/elmsail/config/watch/FakeNetwork.java
+++ b/config/src/test/java/elmsail/config/watch/FakeNetwork.java
@@ -23,7 +23,7 @@
   private static final long ONE_WAY_MS = 5;
 
   /** One request that the watcher sent. */
-  record Sent(String peer, long sentAtMs, PullRequest request) {}
+  record SentRequest(String peer, long sentAtMs, PullRequest request) {}
 
   final Map<String, Function<PullRequest, CompletableFuture<PullResponse>>> controlPlanes =
       new HashMap<>();
@@ -33,7 +33,7 @@
 
   final Set<String> droppedRequests = new HashSet<>();
   final Set<String> droppedResponses = new HashSet<>();
-  final List<Sent> requests = new ArrayList<>();
+  final List<SentRequest> requests = new ArrayList<>();
   private final ManualTimers timers;
 
   FakeNetwork(ManualTimers timers) {
@@ -41,19 +41,19 @@
   }
 
   WatchServer controlPlane(String address) {
-    WatchServer sources = new WatchServer(timers);
-    controlPlanes.put(address, sources::watch);
-    return sources;
+    WatchServer server = new WatchServer(timers);
+    controlPlanes.put(address, server::watch);
+    return server;
   }
 
-  private PullResponse confirm(String peer, PullResponse response) {
+  private PullResponse withConfirmedAge(String peer, PullResponse response) {
     response.configConfirmedAgeMs = configConfirmedAges.getOrDefault(peer, -1L);
     return response;
   }
 
   List<Long> requestTimes(String peer) {
     List<Long> times = new ArrayList<>();
-    for (Sent sent : requests) {
+    for (SentRequest sent : requests) {
       if (sent.peer().equals(peer)) {
         times.add(sent.sentAtMs());
       }
@@ -63,7 +63,7 @@
 
   PullRequest lastRequest(String peer) {
     PullRequest last = null;
-    for (Sent sent : requests) {
+    for (SentRequest sent : requests) {
       last = sent.peer().equals(peer) ? sent.request() : last;
     }
     return last;
@@ -73,7 +73,7 @@
   public <A> CompletableFuture<A> call(
       String peer, Object request, Class<A> responseType, long timeoutMs) {
     CompletableFuture<A> future = new CompletableFuture<>();
-    requests.add(new Sent(peer, timers.now(), (PullRequest) request));
+    requests.add(new SentRequest(peer, timers.now(), (PullRequest) request));
     timers.schedule(
         timeoutMs,
         () -> future.completeExceptionally(new ElmsailException(ErrorCode.TIMEOUT, peer)));
@@ -91,7 +91,7 @@
           }
           controlPlane
               .apply((PullRequest) request)
-              .thenApply(response -> confirm(peer, response))
+              .thenApply(response -> withConfirmedAge(peer, response))
               .thenAccept(
                   response ->
                       timers.schedule(
--- a/config/src/test/java/elmsail/config/watch/FallbackDiscoveryTest.java
+++ b/config/src/test/java/elmsail/config/watch/FallbackDiscoveryTest.java
@@ -27,16 +27,16 @@
 
 class FallbackDiscoveryTest {
   private static final String A = "10.1.0.13:7721";
-  private static final List<ServerEntry> OWN = List.of(SampleConfigs.server("i-own"));
+  private static final List<ServerEntry> FETCHED = List.of(SampleConfigs.server("i-own"));
   private static final List<ServerEntry> PUBLISHED = List.of(SampleConfigs.server("i-told"));
 
   private final ManualTimers timers = new ManualTimers();
-  private final FakeNetwork links = new FakeNetwork(timers);
+  private final FakeNetwork network = new FakeNetwork(timers);
   private final List<Long> fetchTimes = new ArrayList<>();
   private int status = 200;
 
   private ConfigWatcher watcher(PeerRole role, long instanceId) {
-    HttpClient asker =
+    HttpClient httpClient =
         (address, request, timeoutMs) -> {
           fetchTimes.add(timers.now());
           CompletableFuture<SimpleHttpResponse> reply = new CompletableFuture<>();
@@ -44,18 +44,18 @@
               10,
               () ->
                   reply.complete(
-                      new SimpleHttpResponse(status, Map.of(), ServerListCodec.encode(OWN))));
+                      new SimpleHttpResponse(status, Map.of(), ServerListCodec.encode(FETCHED))));
           return reply;
         };
-    PlatformClient call = new PlatformClient(asker, "10.200.0.79:8169", timers);
+    PlatformClient platformClient = new PlatformClient(httpClient, "10.200.0.79:8169", timers);
     return new ConfigWatcher(
-        links,
+        network,
         timers,
-        ConfigWatcherRig.settings(Set.of("counter")),
+        ConfigWatcherTestBase.settings(Set.of("counter")),
         role,
         instanceId,
         () -> StoreStatus.NONE,
-        call);
+        platformClient);
   }
 
   @Test
@@ -66,7 +66,7 @@
     assertThat(fetchTimes, empty());
     timers.advance(1_300);
     assertThat(fetchTimes, hasSize(1));
-    assertThat(watcher.servers(), equalTo(OWN));
+    assertThat(watcher.servers(), equalTo(FETCHED));
     assertThat(watcher.serverListEpoch(), equalTo(0L));
     assertThat(watcher.serverListVersion(), equalTo(0L));
     assertThat(watcher.serverListAgeMs(), equalTo(timers.now() - fetchTimes.get(0)));
@@ -83,7 +83,7 @@
 
   @Test
   void fetchesNothingWhileTheListIsFresh() {
-    WatchServer a = links.controlPlane(A);
+    WatchServer a = network.controlPlane(A);
     ConfigWatcher watcher = watcher(PeerRole.GATEWAY, 77);
     watcher.start();
     for (int i = 0; i < 20; i++) {
@@ -96,7 +96,7 @@
 
   @Test
   void replacesAnOldListUntilAFresherOneIsPublished() {
-    WatchServer a = links.controlPlane(A);
+    WatchServer a = network.controlPlane(A);
     a.setServers(1, 1, ServerListCodec.encode(PUBLISHED), timers.now());
     ConfigWatcher watcher = watcher(PeerRole.GATEWAY, 77);
     watcher.start();
@@ -104,7 +104,7 @@
     assertThat(fetchTimes, empty());
     timers.advance(1_500);
     assertThat(fetchTimes, hasSize(1));
-    assertThat(watcher.servers(), equalTo(OWN));
+    assertThat(watcher.servers(), equalTo(FETCHED));
     assertThat(watcher.serverListVersion(), equalTo(1L));
     a.setServers(1, 1, ServerListCodec.encode(PUBLISHED), timers.now());
     timers.advance(1_100);
@@ -112,8 +112,8 @@
   }
 
   @Test
-  void keepsToItsShareOfTheRateLimit() {
-    WatchServer a = links.controlPlane(A);
+  void fetchIntervalRespectsTheGatewaysShareOfTheRateLimit() {
+    WatchServer a = network.controlPlane(A);
     a.setViewFactory(
         request -> {
           ClusterView view = new ClusterView();
@@ -131,7 +131,7 @@
   }
 
   @Test
-  void soleGatewayFetchesAsSoonAsTheListIsOldAgain() {
+  void soleGatewayFetchesAgainWheneverTheListIsTooOld() {
     ConfigWatcher watcher = watcher(PeerRole.GATEWAY, 77);
     watcher.start();
     timers.advance(4_300);
--- a/config/src/test/java/elmsail/config/watch/RendezvousHashTest.java
+++ b/config/src/test/java/elmsail/config/watch/RendezvousHashTest.java
@@ -25,35 +25,35 @@
 class RendezvousHashTest {
 
   @Property(tries = 300)
-  void choiceIsIndependentOfTheOrder(
+  void choiceDoesNotDependOnTheOrderOfCandidates(
       @ForAll String key,
       @ForAll @Size(max = 12) List<@StringLength(max = 8) String> candidates,
-      @ForAll @IntRange(max = 5) int n,
+      @ForAll @IntRange(max = 5) int count,
       @ForAll long seed) {
-    List<String> chosen = RendezvousHash.choose(key, candidates, n);
+    List<String> chosen = RendezvousHash.choose(key, candidates, count);
     Set<String> distinct = new HashSet<>(candidates);
-    assertThat(chosen, hasSize(Math.min(n, distinct.size())));
+    assertThat(chosen, hasSize(Math.min(count, distinct.size())));
     assertThat(new HashSet<>(chosen), hasSize(chosen.size()));
     assertThat(distinct.containsAll(chosen), equalTo(true));
     List<String> shuffled = new ArrayList<>(candidates);
     Collections.shuffle(shuffled, new Random(seed));
-    assertThat(RendezvousHash.choose(key, shuffled, n), equalTo(chosen));
+    assertThat(RendezvousHash.choose(key, shuffled, count), equalTo(chosen));
   }
 
   @Property(tries = 300)
-  void removedCandidateDisplacesOnlyItself(
+  void removalOfACandidateKeepsAllOtherChoices(
       @ForAll String key,
       @ForAll @Size(min = 1, max = 12) Set<@StringLength(max = 8) String> candidates,
-      @ForAll @IntRange(min = 1, max = 4) int n,
-      @ForAll @IntRange(max = 11) int pick) {
+      @ForAll @IntRange(min = 1, max = 4) int count,
+      @ForAll @IntRange(max = 11) int removedIndex) {
     List<String> before = new ArrayList<>(candidates);
-    String gone = before.get(pick % before.size());
+    String removed = before.get(removedIndex % before.size());
     List<String> after = new ArrayList<>(before);
-    after.remove(gone);
-    List<String> chosen = new ArrayList<>(RendezvousHash.choose(key, before, n));
-    List<String> now = RendezvousHash.choose(key, after, n);
-    chosen.remove(gone);
-    assertThat(now.subList(0, chosen.size()), equalTo(chosen));
+    after.remove(removed);
+    List<String> chosen = new ArrayList<>(RendezvousHash.choose(key, before, count));
+    List<String> chosenAfter = RendezvousHash.choose(key, after, count);
+    chosen.remove(removed);
+    assertThat(chosenAfter.subList(0, chosen.size()), equalTo(chosen));
   }
 
   @Test
@@ -64,8 +64,8 @@
     }
     Map<String, Integer> counts = new HashMap<>();
     for (int i = 0; i < 3_000; i++) {
-      for (String one : RendezvousHash.choose("counter-bayanzurkh-hall-" + i, candidates, 3)) {
-        counts.merge(one, 1, Integer::sum);
+      for (String chosen : RendezvousHash.choose("counter-bayanzurkh-hall-" + i, candidates, 3)) {
+        counts.merge(chosen, 1, Integer::sum);
       }
     }
     for (String candidate : candidates) {
--- a/config/src/test/java/elmsail/config/watch/RevokedKeyOutOfTouchTest.java
+++ b/config/src/test/java/elmsail/config/watch/RevocationBoundTest.java
@@ -20,7 +20,7 @@
  * A gateway that does not hear of the configuration's changes admits no key once one could have
  * been removed {@code revoke_ms} ago; one that hears of them never stops.
  */
-class RevokedKeyOutOfTouchTest extends ConfigWatcherRig {
+class RevocationBoundTest extends ConfigWatcherTestBase {
   private static final long REVOKE_MS = 5_000;
   private static final String D = "10.4.0.40:7721";
   private static final String E = "10.5.0.50:7721";
@@ -33,34 +33,34 @@
     for (WatchServer node : List.of(a, b, c)) {
       node.setConfig(7, config(7));
     }
-    confirmAll(300);
+    setConfirmedAgeOfAllNodes(300);
   }
 
-  private void confirmAll(long ageMs) {
+  private void setConfirmedAgeOfAllNodes(long ageMs) {
     for (String address : List.of(A, B, C)) {
-      links.configConfirmedAges.put(address, ageMs);
+      network.configConfirmedAges.put(address, ageMs);
     }
   }
 
-  private void refuseAt(String address) {
-    links.controlPlanes.put(
+  private void rejectRequestsAt(String address) {
+    network.controlPlanes.put(
         address,
         request ->
             CompletableFuture.failedFuture(new ElmsailException(ErrorCode.NOT_A_VOTER, "cut off")));
   }
 
   /** The most that the confirmation's age comes to within so many ms. */
-  private long worstAgeWithin(long ms) {
-    long worst = 0;
+  private long maxConfirmedAgeWithin(long ms) {
+    long maxAgeMs = 0;
     for (long i = 0; i < ms; i++) {
       timers.advance(1);
-      worst = Math.max(worst, gateway.configConfirmedAgeMs());
+      maxAgeMs = Math.max(maxAgeMs, gateway.configConfirmedAgeMs());
     }
-    return worst;
+    return maxAgeMs;
   }
 
   @Test
-  void nothingIsAdmittedBeforeTheFirstResponse() {
+  void noKeyIsAdmittedBeforeTheFirstResponse() {
     gateway.start();
     assertThat(bound.mayAdmitKeys(), is(false));
     timers.advance(20);
@@ -68,50 +68,50 @@
   }
 
   @Test
-  void gatewayInTouchNeverStops() {
+  void connectedGatewayAlwaysAdmitsKeys() {
     gateway.start();
     timers.advance(100);
-    assertThat(worstAgeWithin(20_000), lessThan(2_500L));
+    assertThat(maxConfirmedAgeWithin(20_000), lessThan(2_500L));
   }
 
   @Test
-  void oneNodeWithTheOldestAgeThatItMayStateIsEnough() {
+  void oneReachableNodeWithTheMaximumStatedAgeIsEnough() {
     gateway.start();
     timers.advance(100);
-    confirmAll(1_500);
-    links.droppedRequests.add(A);
-    links.droppedResponses.add(B);
-    assertThat(worstAgeWithin(20_000), lessThan(REVOKE_MS - 100));
+    setConfirmedAgeOfAllNodes(1_500);
+    network.droppedRequests.add(A);
+    network.droppedResponses.add(B);
+    assertThat(maxConfirmedAgeWithin(20_000), lessThan(REVOKE_MS - 100));
   }
 
   @Test
-  void gatewayThatIsCutOffStopsInTime() {
+  void disconnectedGatewayStopsAdmittingKeysInTime() {
     gateway.start();
     timers.advance(3_000);
-    links.droppedResponses.addAll(List.of(A, B, C));
-    long cutAtMs = timers.now();
+    network.droppedResponses.addAll(List.of(A, B, C));
+    long disconnectedAtMs = timers.now();
     while (bound.mayAdmitKeys()) {
       timers.advance(1);
     }
-    assertThat(timers.now() - cutAtMs, lessThanOrEqualTo(REVOKE_MS - 100));
+    assertThat(timers.now() - disconnectedAtMs, lessThanOrEqualTo(REVOKE_MS - 100));
     timers.advance(60_000);
     assertThat(bound.mayAdmitKeys(), is(false));
-    links.droppedResponses.clear();
+    network.droppedResponses.clear();
     timers.advance(3_000);
     assertThat(bound.mayAdmitKeys(), is(true));
   }
 
   @Test
-  void responseThatWasDelayedCountsFromItsRequest() {
+  void ageOfADelayedResponseIsMeasuredFromItsRequest() {
     CompletableFuture<PullResponse> late = new CompletableFuture<>();
-    refuseAt(B);
-    refuseAt(C);
+    rejectRequestsAt(B);
+    rejectRequestsAt(C);
     gateway.start();
     timers.advance(100);
-    links.controlPlanes.put(A, request -> late);
+    network.controlPlanes.put(A, request -> late);
     timers.advance(1_000);
     timers.advance(200);
-    List<Long> requestTimes = links.requestTimes(A);
+    List<Long> requestTimes = network.requestTimes(A);
     long requestedAtMs = requestTimes.get(requestTimes.size() - 1);
     PullResponse response = new PullResponse();
     response.configVersion = 7;
@@ -122,7 +122,7 @@
   }
 
   @Test
-  void suspendedGatewayAdmitsNothingUntilANodeHasAnsweredAnew() {
+  void suspendedGatewayAdmitsNoKeyUntilANewResponse() {
     gateway.start();
     timers.advance(3_000);
     timers.advanceRunningLate(10_000);
@@ -132,7 +132,7 @@
   }
 
   @Test
-  void versionThatCannotBeDecodedStopsTheGateway() {
+  void gatewayThatCannotDecodeANewVersionStopsAdmittingKeys() {
     gateway.start();
     timers.advance(3_000);
     for (WatchServer node : List.of(a, b, c)) {
@@ -146,11 +146,11 @@
   /** Three of five voters are watched; those three lose the majority, and two others have it. */
   @Test
   void gatewayFindsTheNodesThatStillReachAMajority() {
-    WatchServer d = links.controlPlane(D);
-    WatchServer e = links.controlPlane(E);
+    WatchServer d = network.controlPlane(D);
+    WatchServer e = network.controlPlane(E);
     List.of(d, e).forEach(node -> node.setConfig(7, config(7)));
-    links.configConfirmedAges.put(D, 300L);
-    links.configConfirmedAges.put(E, 300L);
+    network.configConfirmedAges.put(D, 300L);
+    network.configConfirmedAges.put(E, 300L);
     for (WatchServer node : List.of(a, b, c, d, e)) {
       node.setViewFactory(
           request -> view(voterSet(A, 1, B, 1, C, 1, D, 1, E, 1), voterSet(), "10.1.0.13:7720"));
@@ -158,8 +158,8 @@
     gateway.start();
     timers.advance(3_000);
     List<String> watched = gateway.upstreams();
-    watched.forEach(this::refuseAt);
-    assertThat(worstAgeWithin(30_000), lessThan(REVOKE_MS - 100));
+    watched.forEach(this::rejectRequestsAt);
+    assertThat(maxConfirmedAgeWithin(30_000), lessThan(REVOKE_MS - 100));
     List<String> others = new ArrayList<>(List.of(A, B, C, D, E));
     others.removeAll(watched);
     assertThat(gateway.upstreams().containsAll(others), is(true));
@@ -167,32 +167,32 @@
   }
 
   @Test
-  void changedSeedsBringAConfirmationInTime() {
+  void changedSeedsProvideAConfirmationInTime() {
     gateway.start();
     timers.advance(3_000);
-    List.of(A, B, C).forEach(links.controlPlanes::remove);
+    List.of(A, B, C).forEach(network.controlPlanes::remove);
     String seed = "10.4.0.40:7721";
-    links.controlPlane(seed).setConfig(7, config(7));
-    links.configConfirmedAges.put(seed, 300L);
-    gateway.onSettingsChanged(ConfigWatcherSeedsTest.changed());
-    assertThat(worstAgeWithin(20_000), lessThan(REVOKE_MS - 100));
+    network.controlPlane(seed).setConfig(7, config(7));
+    network.configConfirmedAges.put(seed, 300L);
+    gateway.onSettingsChanged(ConfigWatcherSeedsTest.settingsWithChangedSeeds());
+    assertThat(maxConfirmedAgeWithin(20_000), lessThan(REVOKE_MS - 100));
   }
 
   @Test
-  void nodesThatStateNoAgeAreNotAskedWithoutPause() {
+  void nodesThatStateNoAgeAreNotPolledContinuously() {
     gateway.start();
     timers.advance(500);
-    links.configConfirmedAges.clear();
+    network.configConfirmedAges.clear();
     timers.advance(10_000);
-    assertThat(links.requestTimes(A).size(), lessThan(20));
+    assertThat(network.requestTimes(A).size(), lessThan(20));
     assertThat(bound.mayAdmitKeys(), is(false));
   }
 
   @Test
-  void withoutTheBoundNothingIsSearchedAndNothingRefused() {
+  void withoutARevocationBoundNoSearchStartsAndKeysAreAdmitted() {
     watcher.start();
     timers.advance(3_000);
-    links.droppedResponses.addAll(List.of(A, B, C));
+    network.droppedResponses.addAll(List.of(A, B, C));
     timers.advance(3_500);
     assertThat(watcher.upstreams(), containsInAnyOrder(A, B, C));
     assertThat(new RevocationBound(watcher, 0).mayAdmitKeys(), is(true));
--- a/config/src/test/java/elmsail/config/watch/ServerListCacheTest.java
+++ b/config/src/test/java/elmsail/config/watch/ServerListCacheTest.java
@@ -16,9 +16,9 @@
   private static final List<ServerEntry> B = List.of(SampleConfigs.server("i-b"));
   private final ServerListCache cache = new ServerListCache();
 
-  private boolean offerWatched(long epoch, long version, List<ServerEntry> list, long takenAt) {
+  private boolean offerWatched(long epoch, long version, List<ServerEntry> list, long fetchedAtMs) {
     return cache.offerWatched(
-        epoch, version, list == null ? null : ServerListCodec.encode(list), takenAt);
+        epoch, version, list == null ? null : ServerListCodec.encode(list), fetchedAtMs);
   }
 
   @Test
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void undecodableListChangesNothing() {
+  void malformedListChangesNothing() {
     offerWatched(1, 1, A, 100);
     assertThrows(ElmsailException.class, () -> cache.offerWatched(1, 2, new byte[] {'{'}, 200));
     assertThat(cache.version(), equalTo(1L));
--- a/config/src/test/java/elmsail/config/watch/WatchServerTest.java
+++ b/config/src/test/java/elmsail/config/watch/WatchServerTest.java
@@ -32,7 +32,7 @@
   }
 
   /** A request that names the versions of all that is published. */
-  private PullRequest upToDate(String key, long waitMs) {
+  private PullRequest upToDateRequest(String key, long waitMs) {
     PullResponse all = server.watch(request(key, 0)).join();
     PullRequest request = request(key, waitMs);
     request.configVersion = all.configVersion;
@@ -60,7 +60,7 @@
   void respondsWithTheAgeAloneWhenTheWaitElapses() {
     server.setConfig(5, FIVE);
     server.setServers(1, 1, SEVEN, timers.now());
-    CompletableFuture<PullResponse> pending = server.watch(upToDate("c-1", 1_000));
+    CompletableFuture<PullResponse> pending = server.watch(upToDateRequest("c-1", 1_000));
     timers.advance(999);
     assertThat(pending.isDone(), equalTo(false));
     timers.advance(1);
@@ -74,25 +74,25 @@
   }
 
   @Test
-  void changeCompletesTheWatchesThatLackIt() {
-    CompletableFuture<PullResponse> lacks = server.watch(upToDate("c-1", 1_000));
-    PullRequest ahead = upToDate("c-2", 1_000);
-    ahead.configVersion = 6;
-    CompletableFuture<PullResponse> has = server.watch(ahead);
+  void changeCompletesOnlyTheWatchesWithOlderVersions() {
+    CompletableFuture<PullResponse> behind = server.watch(upToDateRequest("c-1", 1_000));
+    PullRequest aheadRequest = upToDateRequest("c-2", 1_000);
+    aheadRequest.configVersion = 6;
+    CompletableFuture<PullResponse> ahead = server.watch(aheadRequest);
     timers.advance(400);
     server.setConfig(5, FIVE);
     timers.advance(0);
-    assertThat(lacks.join().config, equalTo(FIVE));
-    assertThat(has.isDone(), equalTo(false));
+    assertThat(behind.join().config, equalTo(FIVE));
+    assertThat(ahead.isDone(), equalTo(false));
     server.setConfig(7, SEVEN);
     timers.advance(0);
-    assertThat(has.join().config, equalTo(SEVEN));
+    assertThat(ahead.join().config, equalTo(SEVEN));
     assertThat(timers.runNext(), equalTo(false));
   }
 
   @Test
-  void changesOfOneTurnArePublishedTogether() {
-    CompletableFuture<PullResponse> pending = server.watch(upToDate("c-1", 1_000));
+  void changesOfOneLoopIterationArePublishedTogether() {
+    CompletableFuture<PullResponse> pending = server.watch(upToDateRequest("c-1", 1_000));
     server.setConfig(5, FIVE);
     server.setServers(1, 1, SEVEN, timers.now());
     timers.advance(0);
@@ -116,7 +116,7 @@
   @Test
   void sameListOnlyRefreshesTheAge() {
     server.setServers(1, 1, SEVEN, timers.now());
-    CompletableFuture<PullResponse> pending = server.watch(upToDate("c-1", 1_000));
+    CompletableFuture<PullResponse> pending = server.watch(upToDateRequest("c-1", 1_000));
     timers.advance(600);
     server.setServers(1, 1, SEVEN, timers.now());
     timers.advance(0);
@@ -129,7 +129,7 @@
   void watcherAheadOfThisNodeReceivesNothingOlder() {
     server.setConfig(5, FIVE);
     server.setServers(1, 8, SEVEN, timers.now());
-    PullRequest ahead = upToDate("c-1", 1_000);
+    PullRequest ahead = upToDateRequest("c-1", 1_000);
     ahead.configVersion = 9;
     ahead.serverListEpoch = 2;
     ahead.serverListVersion = 1;
@@ -149,8 +149,8 @@
           return view;
         });
     timers.advance(0);
-    CompletableFuture<PullResponse> one = server.watch(upToDate("v-1", 1_000));
-    CompletableFuture<PullResponse> two = server.watch(upToDate("v-2", 1_000));
+    CompletableFuture<PullResponse> one = server.watch(upToDateRequest("v-1", 1_000));
+    CompletableFuture<PullResponse> two = server.watch(upToDateRequest("v-2", 1_000));
     timers.advance(10);
     assertThat(one.isDone(), equalTo(false));
     server.onViewChanged();
@@ -160,8 +160,8 @@
   }
 
   @Test
-  void viewVersionOfAnotherIncarnationIsAnsweredWithTheView() {
-    PullRequest other = upToDate("c-1", 1_000);
+  void viewVersionOfAnotherIncarnationIsAnsweredWithACompleteView() {
+    PullRequest other = upToDateRequest("c-1", 1_000);
     other.viewVersion += 100_000;
     assertThat(server.watch(other).join().view, notNullValue());
     timers.advance(5);
@@ -172,8 +172,8 @@
 
   @Test
   void secondRequestOfAWatcherEndsItsFirst() {
-    CompletableFuture<PullResponse> first = server.watch(upToDate("c-1", 1_000));
-    CompletableFuture<PullResponse> second = server.watch(upToDate("c-1", 1_000));
+    CompletableFuture<PullResponse> first = server.watch(upToDateRequest("c-1", 1_000));
+    CompletableFuture<PullResponse> second = server.watch(upToDateRequest("c-1", 1_000));
     assertThat(first.isDone(), equalTo(true));
     assertThat(second.isDone(), equalTo(false));
     assertThat(server.pendingWatches(), equalTo(1));
@@ -185,7 +185,7 @@
   void keepsAtMostTwoThousandPendingWatches() {
     List<CompletableFuture<PullResponse>> pendingResponses = new ArrayList<>();
     for (int i = 0; i < 2_001; i++) {
-      pendingResponses.add(server.watch(upToDate("c-" + i, 1_000)));
+      pendingResponses.add(server.watch(upToDateRequest("c-" + i, 1_000)));
     }
     assertThat(server.pendingWatches(), equalTo(2_000));
     assertThat(pendingResponses.get(1_999).isDone(), equalTo(false));
@@ -194,7 +194,7 @@
 
   @Test
   void waitsAtMostTenSeconds() {
-    CompletableFuture<PullResponse> pending = server.watch(upToDate("c-1", Long.MAX_VALUE));
+    CompletableFuture<PullResponse> pending = server.watch(upToDateRequest("c-1", Long.MAX_VALUE));
     timers.advance(10_000);
     assertThat(pending.isDone(), equalTo(true));
   }
@@ -236,7 +236,7 @@
   }
 
   @Test
-  void forgetsThePeerSeenLongestAgo() {
+  void removesThePeerSeenLongestAgoAboveTheLimit() {
     for (int i = 0; i < 4_005; i++) {
       server.watch(request("c-" + i, 0));
     }
