--- a/config/src/main/java/elmsail/config/ClusterState.java
+++ b/config/src/main/java/elmsail/config/ClusterState.java
@@ -4,16 +4,16 @@
 import java.util.List;
 
 /**
- * What this process knows of the cluster at present. Updated and read on the process's event loop
- * only.
+ * The cluster state that this process currently knows. Updated and read only on the process's event
+ * loop.
  */
 public interface ClusterState {
   /** The newest configuration received; null before the first. Its version never goes down. */
   RoutingConfig config();
 
   /**
-   * An upper bound of the time since {@link #config()} was the newest committed configuration, by
-   * the steady clock at the moment of the call; Long.MAX_VALUE while that is not known.
+   * An upper bound, in ms of the steady clock, of the time since {@link #config()} was the newest
+   * committed configuration; Long.MAX_VALUE while no bound is known.
    */
   long configConfirmedAgeMs();
 
@@ -23,9 +23,15 @@
   /** Time since the list was fetched from the platform, in ms; Long.MAX_VALUE before the first. */
   long serverListAgeMs();
 
-  /** The cluster membership; never null, its voter sets may be empty. Not to be changed. */
+  /**
+   * The cluster membership; never null, but its voter sets may be empty. Callers must not modify
+   * it.
+   */
   ClusterView view();
 
-  /** Adds a listener that is called on the loop after any of these changed. */
+  /**
+   * Adds a listener that runs on the event loop after a change of the configuration, the server
+   * list or the view.
+   */
   void addListener(Runnable listener);
 }
--- a/config/src/main/java/elmsail/config/ConfigAmendment.java
+++ b/config/src/main/java/elmsail/config/ConfigAmendment.java
@@ -15,8 +15,8 @@
 /**
  * An operator's change of single named items of the configuration. Its JSON has {@code edition},
  * the version of the result, {@code deliver}, lists of items to add or to replace by {@code name},
- * and {@code withdraw}, lists of names to remove. Lists and items that it does not name stay as
- * they are. Immutable.
+ * and {@code withdraw}, lists of names to remove. Lists and items that the amendment does not name
+ * stay unchanged. Immutable.
  */
 public final class ConfigAmendment {
   private static final String VERSION_FIELD = "edition";
@@ -35,11 +35,12 @@
   }
 
   /**
-   * Reads an amendment and validates what does not depend on the configuration that it applies to.
+   * Parses an amendment and makes all checks that do not need the configuration to which the
+   * amendment applies.
    *
-   * @throws elmsail.runtime.ElmsailException INVALID_ARGUMENT with the path at fault: no complete
-   *     JSON, no version, an item without a name or with the name of another, a name that is
-   *     removed twice or added as well
+   * @throws elmsail.runtime.ElmsailException INVALID_ARGUMENT with the path of the invalid field:
+   *     the JSON is incomplete, the version is missing, an item has no name or the same name as
+   *     another item, or a name is removed twice or both removed and added
    */
   public static ConfigAmendment read(byte[] bytes) {
     Map<String, Object> root = StrictJson.read(bytes);
@@ -93,7 +94,7 @@
     return names;
   }
 
-  /** The version of the configuration that results. */
+  /** The version of the resulting configuration. */
   public long version() {
     return version;
   }
@@ -102,8 +103,8 @@
    * Applies the change. The result is complete JSON, but is not validated as a configuration.
    *
    * @param current the configuration to change
-   * @throws elmsail.runtime.ElmsailException INVALID_ARGUMENT if a name to remove is not there, or
-   *     if what is named is no list of named objects
+   * @throws elmsail.runtime.ElmsailException INVALID_ARGUMENT if an item to remove does not exist,
+   *     or if a field to amend is not a list of objects with unique names
    */
   public byte[] applyTo(byte[] current) {
     Map<String, String> fields = new LinkedHashMap<>();
--- a/config/src/main/java/elmsail/config/ConfigDigest.java
+++ b/config/src/main/java/elmsail/config/ConfigDigest.java
@@ -15,7 +15,10 @@
     try {
       return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(bytes));
     } catch (NoSuchAlgorithmException e) {
-      throw new ElmsailException(ErrorCode.INTERNAL, "every Java platform has SHA-256", e);
+      throw new ElmsailException(
+          ErrorCode.INTERNAL,
+          "SHA-256 is not available, although every Java platform has to provide it",
+          e);
     }
   }
 }
--- a/config/src/main/java/elmsail/config/ConfigDocument.java
+++ b/config/src/main/java/elmsail/config/ConfigDocument.java
@@ -11,9 +11,9 @@
 import java.util.Map;
 
 /**
- * The text of a configuration, split into its fields and the named items of its lists. Single items
- * can be replaced while all others keep every character that the operator wrote, also in fields
- * that this version of the program does not know. Immutable.
+ * The text of a configuration, split into its fields and the named items of its lists. Callers can
+ * replace single items while all others keep every character that the operator wrote, including
+ * fields that this version of the program does not know. Immutable.
  */
 final class ConfigDocument {
   private static final JsonFactory JSON = new JsonFactory();
@@ -25,9 +25,9 @@
   /**
    * The value of one field.
    *
-   * @param text as it was written
-   * @param items by their names in the order written; null where the value is no list of objects
-   *     that each have a name of their own
+   * @param text the JSON text of the value, as written
+   * @param items the items of a list by name, in the order written; null if the value is not a list
+   *     of objects with unique names
    */
   record Value(String text, Map<String, Item> items) {}
 
@@ -56,7 +56,7 @@
     }
   }
 
-  /** The fields by key, in the order written; not to be changed. */
+  /** The fields by key, in the order written; callers must not modify the map. */
   Map<String, Value> fields() {
     return fields;
   }
@@ -78,7 +78,10 @@
     return fields;
   }
 
-  /** Reads to the list's end; null if an element is no object or shares its name. */
+  /**
+   * Reads to the end of the list; returns null if an element is not an object, has no name or has
+   * the same name as another element.
+   */
   private static Map<String, Item> items(JsonParser parser, String text) throws IOException {
     Map<String, Item> items = new LinkedHashMap<>();
     boolean allNamed = true;
@@ -96,7 +99,7 @@
     return allNamed ? items : null;
   }
 
-  /** Reads to the object's end; null if it has no name. */
+  /** Reads to the end of the object and returns its name; null if it has none. */
   private static String readName(JsonParser parser) throws IOException {
     String name = null;
     while (parser.nextToken() == JsonToken.FIELD_NAME) {
@@ -114,7 +117,7 @@
   private static void skipValue(JsonParser parser) throws IOException {
     parser.skipChildren();
     if (parser.currentToken().isScalarValue()) {
-      parser.getText(); // The parser is lazy: without this it stops within the string.
+      parser.getText(); // The parser reads strings lazily; this call moves it to the end.
     }
   }
 
--- a/config/src/main/java/elmsail/config/ConfigFields.java
+++ b/config/src/main/java/elmsail/config/ConfigFields.java
@@ -9,12 +9,12 @@
 /**
  * Typed access to the fields of one object of a configuration. Types are not converted: a string is
  * never read as a number. A field that is null counts as absent. All methods throw {@link
- * ElmsailException} INVALID_ARGUMENT with the path of the key if the field does not fit.
+ * ElmsailException} INVALID_ARGUMENT with the path of the key if the field is invalid.
  *
  * @param path of the object within the document, empty for the root
  */
 record ConfigFields(String path, Map<String, Object> object) {
-  /** 2^53: JSON readers agree on all integers up to it. */
+  /** 2^53: all JSON parsers represent integers up to this value exactly. */
   private static final double MAX_EXACT_INTEGER = 9_007_199_254_740_992.0;
 
   /** The fields of a document's root object. */
@@ -27,7 +27,7 @@
     return path.isEmpty() ? key : path + "." + key;
   }
 
-  /** The exception to throw for a key whose value does not fit. */
+  /** The exception to throw for a key with an invalid value. */
   ElmsailException invalid(String key, String reason) {
     return new ElmsailException(ErrorCode.INVALID_ARGUMENT, pathOf(key) + ": " + reason);
   }
@@ -94,7 +94,7 @@
     return (long) number;
   }
 
-  /** An object, which has to be present: see {@link #has}. */
+  /** An object; the caller has to check with {@link #has} that it is present. */
   ConfigFields requiredObject(String key) {
     return new ConfigFields(pathOf(key), asObject(valueOfType(key, Map.class, "an object")));
   }
@@ -132,7 +132,7 @@
     return elements;
   }
 
-  // Objects that were read have strings for keys alone.
+  // The keys of all parsed objects are strings.
   @SuppressWarnings("unchecked")
   private static Map<String, Object> asObject(Map<?, ?> value) {
     return (Map<String, Object>) value;
--- a/config/src/main/java/elmsail/config/PlatformClient.java
+++ b/config/src/main/java/elmsail/config/PlatformClient.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Fetches the complete server list from the platform, page by page. One fetch runs at a time; a
- * caller meanwhile shares it. Owned by the event loop.
+ * Fetches the complete server list from the platform, page by page. Only one fetch runs at a time;
+ * concurrent callers share its result. Owned by the event loop.
  */
 public final class PlatformClient {
   private static final int MAX_PAGES = 500;
@@ -40,11 +40,11 @@
   }
 
   /**
-   * Fetches all servers, each id once, in the order of their ids.
+   * Fetches all servers, one entry for each id, sorted by id.
    *
-   * @return completes on the loop; fails with RESOURCE_EXHAUSTED if the platform limits the rate
-   *     (429), MALFORMED on any other response than a complete page or on more than 500 pages, and
-   *     as the HTTP client does
+   * @return a future that completes on the event loop; fails with RESOURCE_EXHAUSTED if the
+   *     platform limits the rate (429), with MALFORMED on any response other than a complete page
+   *     and on more than 500 pages, and with the failures of the HTTP client
    */
   public CompletableFuture<List<ServerEntry>> fetch() {
     if (inFlight != null) {
@@ -59,12 +59,15 @@
     return result;
   }
 
-  /** When the last successful fetch started, in ms of the steady clock: the list may be as old. */
+  /**
+   * When the last successful fetch started, in ms of the steady clock; the list may date from that
+   * time.
+   */
   public long fetchedAtMs() {
     return fetchedAtMs;
   }
 
-  /** Number of calls that the last successful fetch took, at least 1. */
+  /** Number of HTTP calls that the last successful fetch made, at least 1. */
   public int lastPageCount() {
     return lastPageCount;
   }
--- a/config/src/main/java/elmsail/config/RoutingConfig.java
+++ b/config/src/main/java/elmsail/config/RoutingConfig.java
@@ -13,15 +13,16 @@
   long version();
 
   /**
-   * Matches a request to a route: of the host's routes whose prefix the path starts with, the one
-   * with the longest.
+   * Finds the route of a request: among the host's routes whose prefix the path starts with, the
+   * route with the longest prefix.
    *
-   * @param host as of the {@code Host} header, with or without a port, in any case; may be null
+   * @param host the value of the {@code Host} header, with or without a port, in upper or lower
+   *     case; may be null
    * @return empty if no route matches
    */
   Optional<Route> match(String host, String path);
 
-  /** The route of that name; null if there is none. */
+  /** The route with this name; null if there is none. */
   Route routeByName(String name);
 
   /**
@@ -38,20 +39,23 @@
   }
 
   /**
-   * Whether a batch route of the host is open ({@link Route#isOpen}).
+   * Whether the host has an open batch route ({@link Route#isOpen}).
    *
-   * @param host as of the {@code Host} header; may be null
+   * @param host the value of the {@code Host} header; may be null
    */
   default boolean hasOpenBatchRoute(String host) {
     return false;
   }
 
-  /** The priorities of tenants that have a key, distinct and ascending; empty without tenants. */
+  /**
+   * The priorities of tenants that have a key, distinct and ascending; empty if there are no
+   * tenants.
+   */
   default List<Integer> tenantPriorities() {
     return List.of();
   }
 
-  /** The priorities of all routes that take requests for a server, distinct and ascending. */
+  /** The priorities of all routes but batch routes, distinct and ascending. */
   default List<Integer> routePriorities() {
     return List.of();
   }
@@ -63,12 +67,14 @@
   ClientLimits limits();
 
   /**
-   * What a client may send, and how long it may take.
+   * The limits of the size and duration of a client's requests.
    *
-   * @param maxHeaderBytes of a request's line and headers ({@code envelope_bytes})
-   * @param maxBodyBytes of a request's body ({@code parcel_bytes})
-   * @param headerTimeoutMs from the first to the last byte of the headers ({@code envelope_ms})
-   * @param idleTimeoutMs of a connection between requests ({@code idle_ms})
+   * @param maxHeaderBytes maximum size of a request's start line and headers ({@code
+   *     envelope_bytes})
+   * @param maxBodyBytes maximum size of a request's body ({@code parcel_bytes})
+   * @param headerTimeoutMs maximum time from the first to the last byte of the headers ({@code
+   *     envelope_ms})
+   * @param idleTimeoutMs maximum idle time of a connection between requests ({@code idle_ms})
    */
   record ClientLimits(
       int maxHeaderBytes, int maxBodyBytes, long headerTimeoutMs, long idleTimeoutMs) {}
--- a/config/src/main/java/elmsail/config/RoutingConfigReader.java
+++ b/config/src/main/java/elmsail/config/RoutingConfigReader.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 
 /**
- * Parses and validates an operator's configuration. That its version is above the current one is
- * for the caller to check. Unknown fields are ignored. Stateless.
+ * Parses and validates an operator's configuration. The caller has to check that its version is
+ * higher than the current one. Unknown fields are ignored. Stateless.
  */
 public final class RoutingConfigReader {
   private static final int MS_PER_SECOND = 1_000;
@@ -25,11 +25,12 @@
    * Reads a configuration.
    *
    * @param bytes one JSON object in UTF-8
-   * @throws elmsail.runtime.ElmsailException INVALID_ARGUMENT, with the path of the first fault: no
-   *     complete JSON, no version, a field of a wrong type, an unknown service, two routes or
-   *     services of one name, two routes with one host and prefix, weights that add up to 0, a
-   *     route other than a batch route without {@code give_up_ms}, a prefix without its slashes,
-   *     two tenants of one name or with one key, a fleet size whose floor is above its ceiling
+   * @throws elmsail.runtime.ElmsailException INVALID_ARGUMENT, with the path of the first invalid
+   *     field: incomplete JSON, a missing version, a field of a wrong type, an unknown service, two
+   *     routes or services with the same name, two routes with the same host and prefix, weights
+   *     that add up to 0, a route other than a batch route without {@code give_up_ms}, a prefix
+   *     that does not begin and end with a slash, two tenants with the same name or the same key, a
+   *     fleet size whose floor is above its ceiling
    */
   public static RoutingConfig read(byte[] bytes) {
     ConfigFields root = ConfigFields.root(StrictJson.read(bytes));
--- a/config/src/main/java/elmsail/config/ServerEntry.java
+++ b/config/src/main/java/elmsail/config/ServerEntry.java
@@ -5,10 +5,12 @@
  *
  * @param service the name of its service ({@code postal_line})
  * @param address "ip:port"
- * @param maxConcurrency requests that it runs at once ({@code berths}); 0: not known
- * @param draining whether it accepts no new requests ({@code state} is not {@code open_for_post})
- * @param warmUpRemainingMs how much longer it is slow from its start ({@code cold_left_ms}); 0:
- *     warm
+ * @param maxConcurrency number of requests that the server runs concurrently ({@code berths}); 0:
+ *     not known
+ * @param draining whether the server accepts no new requests ({@code state} is not {@code
+ *     open_for_post})
+ * @param warmUpRemainingMs how much longer the server is slow after its start ({@code
+ *     cold_left_ms}); 0: the server has warmed up
  */
 public record ServerEntry(
     String id,
--- a/config/src/main/java/elmsail/config/ServerListCodec.java
+++ b/config/src/main/java/elmsail/config/ServerListCodec.java
@@ -54,7 +54,7 @@
       }
       require(
           parser.currentToken() == JsonToken.END_OBJECT && parser.nextToken() == null,
-          "page: truncated, or followed by more");
+          "page: truncated, or followed by further content");
       require(servers != null, "servers: missing");
       return new Page(List.copyOf(servers), nextToken);
     } catch (IOException e) {
@@ -89,17 +89,18 @@
   }
 
   /**
-   * Decodes a complete list as of {@link #encode}.
+   * Decodes a complete list that was encoded with {@link #encode}.
    *
-   * @throws ElmsailException MALFORMED if it is none
+   * @throws ElmsailException MALFORMED if the bytes are not a valid list
    */
   public static List<ServerEntry> decode(byte[] bytes) {
     return decodePage(bytes).servers();
   }
 
   /**
-   * Whether two lists are equal but for the remaining time of servers that warm up in both. A list
-   * that differs by no more need not be published; the end of a warm-up counts as a change.
+   * Whether two lists are equal except for the remaining warm-up times of servers that are warming
+   * up in both. A list without other differences need not be published; the end of a warm-up counts
+   * as a change.
    */
   public static boolean equalsExceptWarmUp(List<ServerEntry> before, List<ServerEntry> after) {
     if (before.size() != after.size()) {
--- a/config/src/main/java/elmsail/config/Service.java
+++ b/config/src/main/java/elmsail/config/Service.java
@@ -6,11 +6,14 @@
  * One service of a configuration, an entry of {@code postal_lines}.
  *
  * @param healthPath path of the health check
- * @param maxConnections that one server accepts from all callers ({@code berth_cap}); 0: not known
- * @param maxConcurrency requests that one server runs at once ({@code berths}); 0: not known
- * @param kvCacheTokens tokens that one server's KV cache holds ({@code kv_tokens}); 0: not known
- * @param fleetSize if the number of its servers is set by calls to the platform ({@code
- *     fleet_size})
+ * @param maxConnections number of connections that one server accepts from all callers ({@code
+ *     berth_cap}); 0: not known
+ * @param maxConcurrency number of requests that one server runs concurrently ({@code berths}); 0:
+ *     not known
+ * @param kvCacheTokens number of tokens that one server's KV cache holds ({@code kv_tokens}); 0:
+ *     not known
+ * @param fleetSize present if the number of the service's servers is set by calls to the platform
+ *     ({@code fleet_size})
  */
 public record Service(
     String name,
@@ -20,7 +23,7 @@
     long kvCacheTokens,
     Optional<FleetSize> fleetSize) {
 
-  /** A service whose number of servers the platform alone decides. */
+  /** Creates a service whose number of servers only the platform decides. */
   public Service(
       String name, String healthPath, int maxConnections, int maxConcurrency, long kvCacheTokens) {
     this(name, healthPath, maxConnections, maxConcurrency, kvCacheTokens, Optional.empty());
--- a/config/src/main/java/elmsail/config/StrictJson.java
+++ b/config/src/main/java/elmsail/config/StrictJson.java
@@ -18,9 +18,9 @@
 import java.util.Map;
 
 /**
- * Reads a document that is exactly one JSON object, in one pass, as a gateway does it on its event
- * loop. Objects are maps by key, lists are lists, and values are strings, booleans, numbers or
- * null. Stateless.
+ * Parses a document that is exactly one JSON object. Parsing takes one pass, because gateways parse
+ * configurations on their event loop. Objects become maps by key, arrays become lists, and other
+ * values become strings, booleans, numbers or null. Stateless.
  */
 final class StrictJson {
   private static final int MAX_NESTING_DEPTH = 50;
@@ -37,7 +37,8 @@
    * Parses a document.
    *
    * @throws ElmsailException INVALID_ARGUMENT if the bytes are not one complete JSON object in
-   *     UTF-8 with each key once, nested at most 50 deep, or hold an integer beyond 64 bits
+   *     UTF-8, an object has a key twice, the nesting is deeper than 50 levels, or an integer does
+   *     not fit in 64 bits
    */
   static Map<String, Object> read(byte[] bytes) {
     try (JsonParser parser = JSON.createParser(decodeUtf8(bytes))) {
--- a/config/src/main/java/elmsail/config/TenantsReader.java
+++ b/config/src/main/java/elmsail/config/TenantsReader.java
@@ -11,10 +11,10 @@
   private TenantsReader() {}
 
   /**
-   * The tenants by each of their keys; empty if the configuration has no list of tenants. A list
-   * without any key is present, and admits nobody.
+   * The tenants by each of their keys; empty if the configuration has no list of tenants. For a
+   * list without any key the result is an empty map, and no request is admitted by a key.
    *
-   * <p>No key stands in the message of an exception, as operators' tools log them.
+   * <p>The messages of exceptions contain no keys, because operators' tools log these messages.
    */
   static Optional<Map<String, Tenant>> read(ConfigFields root) {
     if (!root.has("senders")) {
--- a/config/src/main/java/elmsail/config/ValidatedConfig.java
+++ b/config/src/main/java/elmsail/config/ValidatedConfig.java
@@ -23,7 +23,7 @@
   private final ClientLimits limits;
 
   /**
-   * Creates a configuration of validated parts.
+   * Creates a configuration from validated parts.
    *
    * @param tenantsByKey empty if requests need no keys
    */
--- a/config/src/main/java/elmsail/config/watch/ClockExchange.java
+++ b/config/src/main/java/elmsail/config/watch/ClockExchange.java
@@ -13,15 +13,16 @@
 import java.util.function.Supplier;
 
 /**
- * Feeds a {@link ClusterClock}: reads this machine's clock, and asks the control-plane voters for
- * theirs, often until the clock is agreed and seldom from then on. Runs on the event loop.
+ * Supplies a {@link ClusterClock} with samples of this machine's clock and of the clocks of the
+ * control-plane voters: every second until the sources agree, and every 15 s from then on. Runs on
+ * the event loop.
  */
 public final class ClockExchange {
   private static final long FIRST_INTERVAL_MS = 1_000;
   private static final long INTERVAL_MS = 15_000;
   private static final long CALL_TIMEOUT_MS = 800;
 
-  /** A response that took longer says too little about the present moment. */
+  /** Samples with a longer round trip are discarded: the sampled time would be too inaccurate. */
   private static final long MAX_ROUND_TRIP_MS = 150;
 
   private static final String OWN_CLOCK = "";
@@ -35,10 +36,10 @@
   private boolean closed;
 
   /**
-   * Asks nobody before {@link #start}.
+   * Creates an exchange that sends nothing before {@link #start}.
    *
-   * @param voters of the control plane as this process knows them
-   * @param ownAddress the RPC address of this process, which is not asked
+   * @param voters supplies the control-plane voters that this process knows
+   * @param ownAddress the RPC address of this process, to which it sends no requests
    */
   public ClockExchange(
       RpcClient rpcClient,
@@ -54,7 +55,9 @@
     clusterClock = new ClusterClock(timers);
   }
 
-  /** Registers a control-plane node's side: it tells the time of day as its machine has it. */
+  /**
+   * Registers a control-plane node's request handler, which returns the time of day of its machine.
+   */
   public static void registerHandler(RequestHandlers handlers, WallClock ownClock) {
     handlers.register(
         WallClockRequest.class,
@@ -65,12 +68,12 @@
         });
   }
 
-  /** The clock that is fed. */
+  /** The clock that receives the samples. */
   public ClusterClock clusterClock() {
     return clusterClock;
   }
 
-  /** Reads and asks now, and repeats that until closed. */
+  /** Samples all clocks now, and periodically until this exchange is closed. */
   public void start() {
     if (closed) {
       return;
@@ -101,7 +104,7 @@
             });
   }
 
-  /** Asks no more; the clock goes on. */
+  /** Stops the sampling; the cluster clock remains usable. */
   public void close() {
     closed = true;
   }
--- a/config/src/main/java/elmsail/config/watch/ClusterClock.java
+++ b/config/src/main/java/elmsail/config/watch/ClusterClock.java
@@ -6,24 +6,28 @@
 import java.util.Map;
 
 /**
- * The time of day on which the machines of the cluster agree: the steady clock, plus an offset to
- * which no single machine's clock is decisive. Each source, this machine and the control-plane
- * nodes, says what it takes the offset to be; the offset is their median once most of them agree.
- * From then on it only follows small differences. A larger one is taken over when most sources have
- * said the same for {@value #MIN_JUMP_MS} ms, so that clocks that jump for a while move nothing.
- * Pure; runs on the event loop.
+ * The time of day on which the machines of the cluster agree: the steady clock plus an offset that
+ * no single machine's clock determines. The sources are this machine and the control-plane nodes.
+ * Each source reports its time of day, from which its offset follows. Until a majority of the
+ * sources agrees, the offset in use is the median of the sources' offsets. From then on, small
+ * differences from the median are corrected gradually. A larger difference is adopted only after a
+ * majority has reported one for {@value #MIN_JUMP_MS} ms, so that temporary jumps of clocks have no
+ * effect. Does no I/O; runs on the event loop.
  */
 public final class ClusterClock implements MonotonicClock {
-  /** Clocks of machines differ by less, unless one has jumped. */
+  /**
+   * A source agrees if its offset differs from the median by at most this. Clocks of machines
+   * differ by less, unless a clock has jumped.
+   */
   static final long AGREEMENT_MS = 400;
 
-  /** A jump that most sources report for so long stays. */
+  /** How long a majority must report a larger difference until it is adopted. */
   static final long MIN_JUMP_MS = 60_000;
 
-  /** What a source said longer ago does not count. */
+  /** Samples older than this are discarded. */
   static final long MAX_SAMPLE_AGE_MS = 40_000;
 
-  /** The part of a small difference that each sample takes away. */
+  /** Each sample corrects a small difference by its quotient with this divisor. */
   private static final int SLEW_DIVISOR = 8;
 
   private record Sample(long offsetMs, long takenAtMs) {}
@@ -34,19 +38,22 @@
   private boolean hasOffset;
   private boolean agreed;
 
-  /** Since when most sources report another offset; -1 if they do not. */
+  /**
+   * When a majority began to report a larger difference, in ms of the steady clock; -1 if it does
+   * not.
+   */
   private long jumpSeenAtMs = -1;
 
-  /** Creates one that knows of no time of day. */
+  /** Creates a clock that has no time of day before the first sample. */
   public ClusterClock(MonotonicClock steadyClock) {
     this.steadyClock = steadyClock;
   }
 
   /**
-   * Takes what a source says now.
+   * Adds a sample of a source's clock, taken now.
    *
-   * @param source names it; its earlier samples are replaced
-   * @param wallClockMs its time of day at this moment
+   * @param source the name of the source, whose earlier sample is replaced
+   * @param wallClockMs the time of day that the source's clock shows now
    */
   public void onSample(String source, long wallClockMs) {
     long now = steadyClock.now();
@@ -79,17 +86,22 @@
     }
   }
 
-  /** There is no other machine to agree with: what this one says holds. */
+  /**
+   * Treats this machine's clock as agreed, because there is no other machine to compare it with.
+   */
   void acceptOwnClock() {
     agreed = hasOffset;
   }
 
-  /** Whether two sources or more have agreed; before, the time is that of the sources known. */
+  /**
+   * Whether the time is agreed: by a majority of two or more sources, or because this machine is
+   * the only one. Before, the time is the median of the known sources.
+   */
   public boolean isAgreed() {
     return agreed;
   }
 
-  /** Whether any source has said anything; before, {@link #now()} is meaningless. */
+  /** Whether there has been any sample; before the first, {@link #now()} is meaningless. */
   public boolean hasTime() {
     return hasOffset;
   }
--- a/config/src/main/java/elmsail/config/watch/ClusterViewCache.java
+++ b/config/src/main/java/elmsail/config/watch/ClusterViewCache.java
@@ -10,8 +10,8 @@
 
 /**
  * The cluster membership that this process knows: both voter sets and the gateways. Views of
- * several control-plane nodes are merged; voters as {@link VoterSets#merge} does, gateways as the
- * union of what each node reports. Owned by the event loop.
+ * several control-plane nodes are merged: voter sets by {@link VoterSets#merge}, gateways by the
+ * union of the lists that the nodes report. Owned by the event loop.
  */
 final class ClusterViewCache {
   private final Runnable onControlPlaneVotersChanged;
@@ -26,7 +26,7 @@
     this.onControlPlaneVotersChanged = onControlPlaneVotersChanged;
   }
 
-  /** The merged view; never null and not to be changed. */
+  /** The merged view; never null. Callers must not modify it. */
   ClusterView view() {
     return view;
   }
@@ -34,8 +34,8 @@
   /**
    * Merges the voter sets of a received view.
    *
-   * @param gatewayLists the gateways that each responsive node reports; empty if there is none, and
-   *     the known gateways stay then
+   * @param gatewayLists the gateways that each responsive node reports; if empty, the known
+   *     gateways are kept
    * @return whether the view changed
    */
   boolean merge(ClusterView received, Collection<List<String>> gatewayLists) {
@@ -45,7 +45,7 @@
         gatewayLists);
   }
 
-  /** Replaces the gateways alone, as {@link #merge} does; returns whether the view changed. */
+  /** Replaces only the gateways, as {@link #merge} does; returns whether the view changed. */
   boolean updateGateways(Collection<List<String>> gatewayLists) {
     return update(view.controlPlaneVoters, view.jobStoreVoters, gatewayLists);
   }
--- a/config/src/main/java/elmsail/config/watch/ConfigCache.java
+++ b/config/src/main/java/elmsail/config/watch/ConfigCache.java
@@ -6,8 +6,8 @@
 import elmsail.runtime.ErrorCode;
 
 /**
- * The newest routing configuration that this process has received. Its version only goes up, so a
- * late or repeated update never brings an older configuration back. Owned by the event loop.
+ * The newest routing configuration that this process has received. Its version only increases, so a
+ * late or repeated update never restores an older configuration. Owned by the event loop.
  */
 final class ConfigCache {
   private RoutingConfig config;
@@ -18,7 +18,7 @@
     return config;
   }
 
-  /** The newest configuration in the bytes that the operator sent; null before the first. */
+  /** The newest configuration as the bytes that the operator sent; null before the first. */
   byte[] bytes() {
     return bytes;
   }
@@ -32,8 +32,8 @@
    * Offers an update that was announced with a version.
    *
    * @return whether it is newer than the cached configuration and replaced it
-   * @throws ElmsailException INVALID_ARGUMENT if it is not a valid configuration, MALFORMED if it
-   *     has another version than the announced one; the cache is unchanged then
+   * @throws ElmsailException INVALID_ARGUMENT if it is not a valid configuration, MALFORMED if its
+   *     version differs from the announced one; the cache then stays unchanged
    */
   boolean offer(long announcedVersion, byte[] newBytes) {
     if (announcedVersion <= version()) {
@@ -49,7 +49,7 @@
   }
 
   /**
-   * Offers a configuration whose version is known from its content alone.
+   * Offers a configuration whose version is known only from its content.
    *
    * @return whether it is newer than the cached configuration and replaced it
    * @throws ElmsailException INVALID_ARGUMENT if it is not a valid configuration
--- a/config/src/main/java/elmsail/config/watch/ConfigConfirmation.java
+++ b/config/src/main/java/elmsail/config/watch/ConfigConfirmation.java
@@ -3,32 +3,35 @@
 import elmsail.rpc.messages.PullResponse;
 
 /**
- * Until when the configuration of this process is known to have been the newest committed one.
+ * The latest time at which the configuration of this process is known to have been the newest
+ * committed one.
  *
- * <p>A control-plane node says with each response how old its last completed read of the register
- * is: the time from when that read was sent to a majority until the response was built. A request
- * that this process sent at P is received, and so answered, at P or later. With an age of A the
- * read was therefore sent at P - A or later, whatever the delays in between. A configuration that
- * was committed before a read was sent is seen by it, and the node names a version at least as new
- * in the same response. So if this process has a version at least as new as the named one, nothing
- * newer was committed, and nothing newer was acknowledged to an operator, before P - A.
+ * <p>A control-plane node states in each response the age A of its last completed read of the
+ * configuration register: the time from when the read was sent to a majority until the response was
+ * built. If this process sends a request at time P, the response is built at P or later. The read
+ * was therefore sent at P - A or later, regardless of the delays in between. The read returns any
+ * configuration that was committed before the read was sent, and the response names a version at
+ * least as new. So if this process has a version at least as new as the named one, no newer version
+ * was committed, or acknowledged to an operator, before P - A.
  *
- * <p>Both times are durations of one machine's steady clock, which goes on while a process is
- * suspended; no two machines compare their clocks. A suspension only makes the result more
- * cautious: of this process, as P was read before the request was sent; of the node before it
- * builds the response, as its age grows; of the node or this process after that, as P and A are
- * fixed by then.
+ * <p>P and A are each measured on one machine's steady clock, which keeps running while a process
+ * is suspended; clocks of different machines are never compared. A suspension can only make the
+ * confirmed time earlier than necessary, never too late. If this process is suspended after it has
+ * read P and before it sends the request, P is earlier than the request. If the node is suspended
+ * before it builds the response, A is larger. Any later suspension of the node or of this process
+ * changes neither P nor A.
  *
- * <p>A response that names a version that this process could not decode confirms nothing, nor does
- * one of a node that does not state the age. The latest confirmation is kept, so that responses may
- * come in any order. Owned by the event loop.
+ * <p>A response confirms nothing if this process could not decode the version that the response
+ * names, or if the node does not state the age. The latest confirmed time is kept, so responses may
+ * arrive in any order. Owned by the event loop.
  */
 final class ConfigConfirmation {
   private boolean isKnown;
   private long confirmedAtMs;
 
   /**
-   * Takes over what a response confirms, once its configuration has been applied.
+   * Records what a response confirms. To be called after the response's configuration has been
+   * applied.
    *
    * @param knownVersion the version that this process has now; 0 if none
    * @param requestedAtMs when the request was sent, in ms of the steady clock
@@ -45,7 +48,7 @@
     isKnown = true;
   }
 
-  /** Time since the latest confirmed moment in ms; Long.MAX_VALUE before the first. */
+  /** Time since the latest confirmed time in ms; Long.MAX_VALUE before the first. */
   long ageMs(long nowMs) {
     return isKnown ? nowMs - confirmedAtMs : Long.MAX_VALUE;
   }
--- a/config/src/main/java/elmsail/config/watch/ConfigWatcher.java
+++ b/config/src/main/java/elmsail/config/watch/ConfigWatcher.java
@@ -21,33 +21,34 @@
  * Watches the control-plane nodes for the routing configuration, the server list and the cluster
  * membership, and keeps the newest of each that any of them reports.
  *
- * <p>A gateway watches up to three control-plane nodes, a store or a control-plane node all that
- * vote. What is known is kept by {@link ConfigCache}, {@link ServerListCache} and {@link
- * ClusterViewCache}; {@link WatchStreams} holds the long polls. A gateway whose server list grows
- * too old fetches one from the platform itself ({@link FallbackDiscovery}).
+ * <p>A gateway watches up to three control-plane nodes; a store or a control-plane node watches all
+ * control-plane voters. The received data is kept by {@link ConfigCache}, {@link ServerListCache}
+ * and {@link ClusterViewCache}; {@link WatchStreams} sends the long polls. A gateway whose server
+ * list is too old fetches a list directly from the platform ({@link FallbackDiscovery}).
  *
  * <p>Not thread-safe: all methods and callbacks run on the process's event loop. Listeners run
- * inside the call that changed something.
+ * inside the call that makes the change.
  */
 public final class ConfigWatcher implements ClusterState {
   private static final long REFRESH_INTERVAL_MS = 1_000;
 
   /**
-   * A confirmation that is older is urgent. Above the age that one stream alone comes to in calm (a
-   * long poll of 1,000 ms while another one is waited for, and the age of a node's last read, 300
-   * ms and its round trip); with the refresh interval and an answer it stays below {@code
-   * revoke_ms}.
+   * Above this age of the latest confirmation, a new one is requested urgently. The value is above
+   * the age that a single stream reaches in normal operation: one long poll of 1,000 ms until the
+   * response arrives, another 1,000 ms until the next response, and the age of the node's last
+   * read, which is 300 ms and a round trip. The value plus the refresh interval and the time of one
+   * response is below {@code revoke_ms}.
    */
   private static final long CONFIRMATION_OVERDUE_MS = 2_500;
 
-  /** Told by a control-plane node that this process is to join its voter set. */
+  /** Receives the orders of control-plane nodes that this process join its voter set. */
   @FunctionalInterface
   public interface JoinListener {
     /**
-     * Take over a voter slot of this process's set.
+     * Takes over a voter slot of the set that this process belongs to.
      *
      * @param slot index of the slot in the voter set
-     * @param epoch the epoch to take it over with; the same call may be repeated
+     * @param epoch the epoch with which to take the slot over; the same call may be repeated
      */
     void join(int slot, int epoch);
   }
@@ -70,7 +71,7 @@
    * Creates a watcher that sends nothing before {@link #start}.
    *
    * @param instanceId the incarnation of this process, sent with each request
-   * @param storeStatus what a store reports of itself; {@code StoreStatus.NONE} in others
+   * @param storeStatus the status that a store reports; {@code StoreStatus.NONE} in other processes
    * @param platform for a gateway's fallback discovery; null if there is none
    */
   public ConfigWatcher(
@@ -115,15 +116,13 @@
     }
   }
 
-  /**
-   * Takes over the seed addresses of the changed settings; all other settings stay as they were.
-   */
+  /** Applies the seed addresses of the changed settings; all other settings stay unchanged. */
   public void onSettingsChanged(Settings newSettings) {
     streams.setSeeds(newSettings);
     selectUpstreams();
   }
 
-  /** Ends all streams and timers; what is known stays readable. */
+  /** Closes all streams and cancels all timers; the received data stays readable. */
   public void close() {
     if (refresh != null) {
       refresh.cancel();
@@ -142,7 +141,10 @@
     joinListener = newJoinListener;
   }
 
-  /** Sets what a gateway reports, with each request, of what it has open at the servers. */
+  /**
+   * Sets the supplier of the demand that a gateway reports with each request: its open requests at
+   * servers.
+   */
   public void setDemandSource(Supplier<List<ServiceDemand>> demand) {
     requests.setDemandSource(demand);
   }
@@ -162,7 +164,7 @@
     return confirmation.ageMs(timers.now());
   }
 
-  /** The configuration in the bytes that the operator sent; null before the first. */
+  /** The configuration as the bytes that the operator sent; null before the first. */
   public byte[] configBytes() {
     return configs.bytes();
   }
@@ -205,7 +207,9 @@
     return views.view();
   }
 
-  /** Time since a node at this RPC address responded, in ms; Long.MAX_VALUE if it has not. */
+  /**
+   * Time since the node at this RPC address last responded, in ms; Long.MAX_VALUE if it has not.
+   */
   public long lastResponseAgeMs(String address) {
     return streams.lastResponseAgeMs(address);
   }
@@ -226,8 +230,8 @@
   }
 
   /**
-   * Offers a committed configuration that this process learned otherwise than by watching; ignored
-   * unless it is newer.
+   * Offers a committed configuration that this process received by other means than a watch;
+   * ignored unless it is newer.
    *
    * @throws ElmsailException INVALID_ARGUMENT if it is not a valid configuration
    */
@@ -254,9 +258,10 @@
   }
 
   /**
-   * Whether a gateway that may have to refuse requests soon has waited too long for a confirmation.
-   * It then watches all nodes and lets none of them wait, as any of them may be the one that is
-   * still in contact with a majority. Before the first confirmation nothing is overdue.
+   * Whether a gateway has waited too long for a confirmation and may have to reject requests soon.
+   * The gateway then watches all nodes and requests immediate responses, because any of the nodes
+   * may be the only one that still reaches a majority. Before the first confirmation, none is
+   * overdue.
    */
   private boolean isConfirmationOverdue() {
     long ageMs = configConfirmedAgeMs();
@@ -277,7 +282,7 @@
         stream, streams.nearest(), configs.version(), servers, urgent, timers.now());
   }
 
-  /** Returns false if a part could not be decoded; the other parts are applied all the same. */
+  /** Returns false if a part could not be decoded; the other parts are still applied. */
   private boolean onResponse(PullResponse response, long requestedAtMs) {
     Update configUpdate = applyConfig(response);
     confirmation.onResponse(response, configs.version(), requestedAtMs);
@@ -297,11 +302,11 @@
     return decoded;
   }
 
-  /** What became of one part of a response. */
+  /** The result of applying one part of a response. */
   private enum Update {
     CHANGED,
     UNCHANGED,
-    /** It could not be decoded. */
+    /** The part could not be decoded. */
     REJECTED;
 
     static Update of(boolean changed) {
--- a/config/src/main/java/elmsail/config/watch/FallbackDiscovery.java
+++ b/config/src/main/java/elmsail/config/watch/FallbackDiscovery.java
@@ -9,9 +9,10 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Fetches the server list from the platform itself while the list that the control-plane nodes
- * publish is too old. All gateways may do so at once, so fetches are spread by a random delay and
- * together keep to a third of the platform's rate limit. Owned by the event loop.
+ * Fetches the server list directly from the platform while the list that the control-plane nodes
+ * publish is too old. All gateways may do this at the same time, so a random delay spreads their
+ * fetches, and together they use at most a third of the platform's rate limit. Owned by the event
+ * loop.
  */
 final class FallbackDiscovery {
   private static final long CHECK_INTERVAL_MS = 250;
@@ -21,7 +22,7 @@
 
   /** Receives the fetched lists. */
   interface Listener {
-    /** {@code fetchedAtMs} is when the platform was asked, in ms of the steady clock. */
+    /** {@code fetchedAtMs} is when the fetch started, in ms of the steady clock. */
     void onServers(List<ServerEntry> servers, long fetchedAtMs);
   }
 
@@ -41,7 +42,7 @@
    * Creates a discovery that fetches nothing before {@link #start}.
    *
    * @param maxCallsPerSecond the platform's rate limit for all gateways; 0: not known
-   * @param listAgeMs age of the list in force; Long.MAX_VALUE while there is none
+   * @param listAgeMs age of the list in use; Long.MAX_VALUE while there is none
    * @param gatewayCount number of gateways known
    */
   FallbackDiscovery(
@@ -68,7 +69,7 @@
     nextStep = timers.schedule(CHECK_INTERVAL_MS, this::check);
   }
 
-  /** Ends the checks; a fetch that is in flight is ignored. */
+  /** Stops the checks; the result of a fetch in flight is ignored. */
   void close() {
     closed = true;
     if (nextStep != null) {
@@ -112,7 +113,7 @@
             });
   }
 
-  /** Each page is a call; all gateways together may make a third of the calls allowed. */
+  /** Each page takes one call; all gateways together may make a third of the allowed calls. */
   private long fetchIntervalMs() {
     double calls = 3.0 * Math.max(1, gatewayCount.getAsInt()) * platform.lastPageCount();
     return maxCallsPerSecond > 0
--- a/config/src/main/java/elmsail/config/watch/LastResponseTimes.java
+++ b/config/src/main/java/elmsail/config/watch/LastResponseTimes.java
@@ -4,15 +4,15 @@
 import java.util.Map;
 
 /**
- * When each control-plane node last responded, also after its stream was closed. Bounded: the node
- * that responded longest ago is forgotten first. Owned by the event loop.
+ * When each control-plane node last responded, kept after its stream is closed. Bounded: the node
+ * that responded longest ago is removed first. Owned by the event loop.
  */
 final class LastResponseTimes {
   private static final int MAX_ADDRESSES = 64;
 
   private final Map<String, Long> responseAtMsByAddress = new LinkedHashMap<>();
 
-  /** Records a response; {@code nowMs} is of the steady clock. */
+  /** Records a response at {@code nowMs} of the steady clock. */
   void record(String address, long nowMs) {
     responseAtMsByAddress.remove(address);
     responseAtMsByAddress.put(address, nowMs);
--- a/config/src/main/java/elmsail/config/watch/PeerTable.java
+++ b/config/src/main/java/elmsail/config/watch/PeerTable.java
@@ -8,23 +8,23 @@
 
 /**
  * The last status that each process reported with a watch request, by its role and machine.
- * Bounded: the process seen longest ago is forgotten first. Owned by the event loop.
+ * Bounded: the process whose last request is oldest is removed first. Owned by the event loop.
  */
 final class PeerTable {
   private static final int MAX_PEERS = 4_000;
 
   private final Map<String, PeerStatus> peers = new LinkedHashMap<>();
 
-  /** Identifies the sender of a request among the peers. */
+  /** The key that identifies the sender of a request among the peers. */
   static String keyOf(PullRequest request) {
     return request.role + '@' + request.machine;
   }
 
   /**
-   * Records what a request reports of its sender.
+   * Records the status that a request reports of its sender.
    *
    * @param nowMs of the steady clock
-   * @return whether the peer is new or reports another status than before
+   * @return whether the peer is new or its status differs from the previous one
    */
   boolean record(PullRequest request, long nowMs) {
     String key = keyOf(request);
@@ -47,7 +47,7 @@
     return previous == null || !previous.equalsExceptTime(current);
   }
 
-  /** The peers that sent a request at {@code sinceMs} or later, in no order. */
+  /** The peers that sent a request at {@code sinceMs} or later, in no particular order. */
   List<PeerStatus> seenSince(long sinceMs) {
     List<PeerStatus> recent = new ArrayList<>();
     for (PeerStatus peer : peers.values()) {
--- a/config/src/main/java/elmsail/config/watch/RendezvousHash.java
+++ b/config/src/main/java/elmsail/config/watch/RendezvousHash.java
@@ -11,13 +11,13 @@
   private RendezvousHash() {}
 
   /**
-   * Chooses the first candidates in the key's order. A candidate that is added or removed displaces
-   * at most one of a choice.
+   * Chooses the first candidates in the key's order. Adding or removing a candidate replaces at
+   * most one chosen candidate.
    *
-   * @param key who chooses, such as a machine's name
+   * @param key identifies the process that chooses, such as a machine's name
    * @param candidates in any order; duplicates count once
    * @param count how many to choose; all if there are fewer
-   * @return best first; unmodifiable
+   * @return the chosen candidates, highest rank first; unmodifiable
    */
   public static List<String> choose(String key, List<String> candidates, int count) {
     List<String> ranked = new ArrayList<>();
@@ -43,7 +43,7 @@
     return score != otherScore ? score > otherScore : name.compareTo(otherName) < 0;
   }
 
-  /** FNV-1a over the characters, then the finalizer of SplitMix64 to spread near names. */
+  /** FNV-1a over the characters, then the finalizer of SplitMix64 to spread similar names. */
   private static long hash(long seed, String text) {
     long hash = 0xcbf29ce484222325L ^ seed;
     for (int i = 0; i < text.length(); i++) {
--- a/config/src/main/java/elmsail/config/watch/ServerListCache.java
+++ b/config/src/main/java/elmsail/config/watch/ServerListCache.java
@@ -5,9 +5,10 @@
 import java.util.List;
 
 /**
- * The server lists that a process knows: the watched one, ordered by epoch and version, and the one
- * that it fetched from the platform itself. The list that was fetched later is in force. Owned by
- * the event loop; all times are ms of the steady clock.
+ * The server lists that a process has: the watched list, which control-plane nodes send and which
+ * is ordered by epoch and version, and the list that the process fetched directly from the
+ * platform. The list that was fetched later is in use. Owned by the event loop; all times are ms of
+ * the steady clock.
  */
 final class ServerListCache {
   private static final long NEVER = Long.MIN_VALUE;
@@ -40,25 +41,26 @@
     return watchedFetchedAtMs;
   }
 
-  /** The servers in force; empty before the first list. */
+  /** The servers of the list in use; empty before the first list. */
   List<ServerEntry> servers() {
     return ownFetchedAtMs > watchedFetchedAtMs ? ownServers : watchedServers;
   }
 
-  /** The age of the list in force, in ms; Long.MAX_VALUE before the first. */
+  /** The age of the list in use, in ms; Long.MAX_VALUE before the first. */
   long ageMs(long nowMs) {
     long fetchedAtMs = Math.max(ownFetchedAtMs, watchedFetchedAtMs);
     return fetchedAtMs == NEVER ? Long.MAX_VALUE : Math.max(0, nowMs - fetchedAtMs);
   }
 
   /**
-   * Offers a watched list. One with a lower epoch or version is ignored; the same version again
-   * only refreshes the age.
+   * Offers a watched list. A list with a lower epoch or version is ignored; the same version only
+   * refreshes the age.
    *
-   * @param newEncoded as of {@code ServerListCodec.encode}; null if the update brings the age alone
-   * @return whether the servers in force changed
-   * @throws elmsail.runtime.ElmsailException MALFORMED if the list cannot be decoded; the cache is
-   *     unchanged then
+   * @param newEncoded as of {@code ServerListCodec.encode}; null if the update contains only the
+   *     age
+   * @return whether the servers in use changed
+   * @throws elmsail.runtime.ElmsailException MALFORMED if the list cannot be decoded; the cache
+   *     then stays unchanged
    */
   boolean offerWatched(long newEpoch, long newVersion, byte[] newEncoded, long fetchedAtMs) {
     List<ServerEntry> before = servers();
@@ -77,9 +79,10 @@
   }
 
   /**
-   * Offers a list that this process fetched itself; ignored if an earlier one was fetched later.
+   * Offers a list that this process fetched itself; ignored if a previously offered list was
+   * fetched later.
    *
-   * @return whether the servers in force changed
+   * @return whether the servers in use changed
    */
   boolean offerOwn(List<ServerEntry> newServers, long fetchedAtMs) {
     List<ServerEntry> before = servers();
--- a/config/src/main/java/elmsail/config/watch/UpstreamSelector.java
+++ b/config/src/main/java/elmsail/config/watch/UpstreamSelector.java
@@ -9,16 +9,20 @@
 import java.util.Map;
 
 /**
- * Selects the control-plane nodes that a process watches. Candidates are the voters, and the seed
- * addresses before voters are known and while no node responds; they are ranked by rendezvous
- * hashing, and a gateway takes the first few. A node that has not responded for {@link
- * #UNRESPONSIVE_MS} is ejected for a while: it is taken only if too few others are left. A search
- * takes all candidates for {@link #SEARCH_MS}, by whose end those that do not respond are ejected.
+ * Selects the control-plane nodes that a process watches. The candidates are the voters; the seed
+ * addresses are candidates too before voters are known, while no node responds and during a search.
+ * Rendezvous hashing ranks the candidates, and a gateway selects the first {@link
+ * #MAX_GATEWAY_UPSTREAMS}. A node that has not responded for {@link #UNRESPONSIVE_MS} is ejected
+ * for {@link #EJECTION_MS}: it is selected only if too few other candidates are left. A search
+ * selects all candidates for {@link #SEARCH_MS}; by its end, nodes that do not respond are ejected.
  *
  * <p>Owned by the event loop; all times are ms of the steady clock.
  */
 final class UpstreamSelector {
-  /** A node without a response for so long is replaced, and its report of the gateways expires. */
+  /**
+   * A node that has not responded for this long is replaced, and the gateways that it reported
+   * expire.
+   */
   static final long UNRESPONSIVE_MS = 5_000;
 
   /** Stores and control-plane nodes watch all voters, so that each voter knows of them. */
@@ -26,7 +30,10 @@
 
   private static final long EJECTION_MS = 30_000;
 
-  /** Longer than {@link #UNRESPONSIVE_MS}, so that nodes without a response stay out afterwards. */
+  /**
+   * Longer than {@link #UNRESPONSIVE_MS}, so that nodes without a response are ejected by the end
+   * of a search.
+   */
   private static final long SEARCH_MS = 6_000;
 
   private static final String GATEWAY_SERVICE = "counter";
@@ -39,7 +46,7 @@
   private long lastResponseAtMs;
   private long searchUntilMs;
 
-  /** Creates a selector that counts the time without any response from {@code nowMs}. */
+  /** Creates a selector that measures the time without any response from {@code nowMs} on. */
   UpstreamSelector(Settings settings, long nowMs) {
     machine = settings.machine();
     ownAddress = settings.rpcAddress();
@@ -58,13 +65,13 @@
     }
   }
 
-  /** Notes that a node responded, which ends its ejection. */
+  /** Records that a node responded, which ends its ejection. */
   void onResponse(String address, long nowMs) {
     lastResponseAtMs = nowMs;
     ejectedUntilMs.remove(address);
   }
 
-  /** All candidates, the seed addresses included, are to be watched for a while. */
+  /** Starts a search, which selects all candidates, including the seed addresses. */
   void startSearch(long nowMs) {
     searchUntilMs = nowMs + SEARCH_MS;
   }
@@ -113,8 +120,8 @@
   }
 
   /**
-   * How near a node is: the number of leading parts that its address shares with this process's
-   * own, so the same machine or network ranks above others.
+   * The proximity of a node: the number of leading parts that its address has in common with the
+   * address of this process. Nodes on the same machine or network are nearer than others.
    */
   int proximity(String address) {
     int parts = 0;
--- a/config/src/main/java/elmsail/config/watch/WatchRequestFactory.java
+++ b/config/src/main/java/elmsail/config/watch/WatchRequestFactory.java
@@ -7,15 +7,18 @@
 import java.util.function.Supplier;
 
 /**
- * Builds the requests of the watch streams: who this process is, and which versions it has. Owned
- * by the event loop.
+ * Builds the requests of the watch streams, which contain the identity, the status and the known
+ * versions of this process. Owned by the event loop.
  */
 final class WatchRequestFactory {
   private static final long LONG_POLL_MS = 1_000;
   private static final long NO_WAIT_MS = 0;
   private static final long FRESH_LIST_AGE_MS = 1_500;
 
-  /** Sent in place of the known epoch: no list is newer, so the response brings its age alone. */
+  /**
+   * Sent instead of the known epoch: no list is newer, so the response contains only the list's
+   * age.
+   */
   private static final long AGE_ONLY_EPOCH = Long.MAX_VALUE;
 
   private final Settings settings;
@@ -37,7 +40,7 @@
     this.storeStatus = storeStatus;
   }
 
-  /** Sets what a gateway reports of its open requests; read at each request. */
+  /** Sets the supplier of the open requests that a gateway reports; read at each request. */
   void setDemandSource(Supplier<List<ServiceDemand>> newDemand) {
     demand = newDemand;
   }
@@ -45,9 +48,9 @@
   /**
    * The next request of a stream.
    *
-   * @param nearest the stream that complete lists are best taken from; null if there is none
+   * @param nearest the preferred stream for complete lists; null if there is none
    * @param configVersion the version of the known configuration; 0 if there is none
-   * @param urgent whether the response is needed at once, even if nothing is newer
+   * @param urgent whether the response is needed immediately, even if nothing is newer
    */
   PullRequest newRequest(
       WatchStream stream,
@@ -78,10 +81,11 @@
   }
 
   /**
-   * Whether the response should bring the complete server list. Traffic between zones is charged
-   * for and all control-plane nodes have the same list, so a gateway takes it from the nearest node
-   * while that keeps it fresh, and only its age from the others. Control-plane nodes take it from
-   * all, so that no two wait for each other. Stores send no requests to servers and take none.
+   * Whether the response should contain the complete server list. Traffic between zones is charged
+   * for, and all control-plane nodes have the same list. A gateway therefore requests the list from
+   * the nearest node and only the list's age from the others, as long as its list stays fresh.
+   * Control-plane nodes request the list from all nodes, so that no two nodes wait for each other.
+   * Stores send no requests to servers and need no list.
    */
   private boolean wantsServerList(WatchStream stream, WatchStream nearest, long listAgeMs) {
     return switch (role) {
--- a/config/src/main/java/elmsail/config/watch/WatchServer.java
+++ b/config/src/main/java/elmsail/config/watch/WatchServer.java
@@ -12,11 +12,11 @@
 import java.util.function.Function;
 
 /**
- * A control-plane node's side of the watch streams: publishes the configuration, the server list
- * and the cluster view to all who watch, and keeps what they report of themselves.
+ * The server side of the watch streams, on a control-plane node: publishes the configuration, the
+ * server list and the cluster view to all watchers, and keeps the status that each watcher reports.
  *
- * <p>A watch is a long poll. It is answered at once if the node has something newer than the
- * request names, else with the next change or when its wait is over.
+ * <p>A watch is a long poll. The node responds immediately if it has a newer version than the
+ * request names; otherwise it responds at the next change or when the wait elapses.
  *
  * <p>Not thread-safe: all methods run on the process's event loop.
  */
@@ -42,15 +42,18 @@
   private boolean flushScheduled;
 
   /**
-   * Creates a server that has nothing to publish yet. Its view version starts at the steady clock,
-   * above that of any earlier process of this machine.
+   * Creates a server that has nothing to publish yet. Its view version starts at the time of the
+   * steady clock, and so above the view version of any earlier process on this machine.
    */
   public WatchServer(Timers timers) {
     this.timers = timers;
     viewVersion = Math.max(1, timers.now());
   }
 
-  /** Publishes a committed configuration in the operator's bytes; ignored unless it is newer. */
+  /**
+   * Publishes a committed configuration as the bytes that the operator sent; ignored unless it is
+   * newer.
+   */
   public void setConfig(long newVersion, byte[] bytes) {
     if (newVersion > configVersion) {
       configVersion = newVersion;
@@ -60,12 +63,12 @@
   }
 
   /**
-   * Publishes a server list. One with a lower epoch or version is ignored; the same version again
-   * only refreshes its age.
+   * Publishes a server list. A list with a lower epoch or version is ignored; the same version only
+   * refreshes the age.
    *
-   * @param version from 1, as a watcher without a list has 0
+   * @param version at least 1, because a watcher without a list sends 0
    * @param bytes as of {@code ServerListCodec.encode}
-   * @param fetchedAtMs when the platform was asked for it, in ms of the steady clock
+   * @param fetchedAtMs when the fetch from the platform started, in ms of the steady clock
    */
   public void setServers(long epoch, long version, byte[] bytes, long fetchedAtMs) {
     int order = Long.compare(epoch, serverListEpoch);
@@ -86,28 +89,34 @@
     return servers != null;
   }
 
-  /** Sets how a watcher's view is built; views differ by watcher, as one may be ordered to join. */
+  /**
+   * Sets the function that builds a watcher's view. Views differ between watchers, because a view
+   * may order its watcher to join a voter set.
+   */
   public void setViewFactory(Function<PullRequest, ClusterView> newViewFactory) {
     viewFactory = newViewFactory;
     onViewChanged();
   }
 
-  /** To be called when any view has changed: it is published to all who watch. */
+  /** To be called when any view has changed; publishes the views to all watchers. */
   public void onViewChanged() {
     viewVersion = Math.max(viewVersion + 1, timers.now());
     scheduleFlush();
   }
 
-  /** Sets the one listener that runs after a request of a new peer, or of one that changed. */
+  /**
+   * Sets the single listener, which runs after a request of a peer that is new or whose status
+   * changed.
+   */
   public void setPeerListener(Runnable listener) {
     peerListener = listener;
   }
 
   /**
-   * Serves a watch request. A second request of a process ends its first. With 2,000 pending,
-   * further ones are answered at once.
+   * Handles a watch request. A second request of a process completes its first. While 2,000 watches
+   * are pending, further requests are answered immediately.
    *
-   * @return completes on the loop, at the latest after 10 s
+   * @return a future that completes on the event loop after at most 10 s
    */
   public CompletableFuture<PullResponse> watch(PullRequest request) {
     if (peers.record(request, timers.now())) {
@@ -131,7 +140,10 @@
     return response;
   }
 
-  /** The last status of each process that sent a request in the last so many ms, in no order. */
+  /**
+   * The last status of each process that sent a request within the last {@code windowMs}, in no
+   * particular order.
+   */
   public List<PeerStatus> peersSeenWithin(long windowMs) {
     return peers.seenSince(timers.now() - windowMs);
   }
@@ -176,7 +188,7 @@
     }
   }
 
-  /** Changes of one turn of the loop are published together. */
+  /** Schedules one flush for all changes of one event-loop iteration. */
   private void scheduleFlush() {
     if (!flushScheduled) {
       flushScheduled = true;
--- a/config/src/main/java/elmsail/config/watch/WatchStream.java
+++ b/config/src/main/java/elmsail/config/watch/WatchStream.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * The state of the watch at one control-plane node: when the next request is due, and the versions
- * that belong to this node alone. Owned by the event loop; all times are ms of the steady clock.
+ * The state of the watch at one control-plane node: when the next request is due, and the version
+ * of the node's view. Owned by the event loop; all times are ms of the steady clock.
  */
 final class WatchStream {
   private static final long MIN_REQUEST_INTERVAL_MS = 20;
@@ -19,17 +19,20 @@
 
   /**
    * The version of the node's view that was last received; 0 requests the view. Versions of other
-   * nodes, or of other incarnations of this one, are not comparable.
+   * nodes, or of other incarnations of this node, are not comparable.
    */
   long viewVersion;
 
   /** The gateways that the node last reported. */
   List<String> gateways = new ArrayList<>();
 
-  /** -1 before the first response. */
+  /** When the node last responded; -1 before the first response. */
   long lastResponseAtMs = -1;
 
-  /** Whether the node may say how old its configuration is: unknown before the first response. */
+  /**
+   * Whether the node states the age of its configuration; true before the first response, when this
+   * is not known.
+   */
   boolean confirmsConfig = true;
 
   boolean open = true;
@@ -45,12 +48,12 @@
     this.openedAtMs = nowMs;
   }
 
-  /** Notes that a request is sent. */
+  /** Records that a request is sent. */
   void onRequest(long nowMs) {
     requestedAtMs = nowMs;
   }
 
-  /** Resets the backoff; returns the delay of the next request after a response that was used. */
+  /** Resets the backoff; returns the delay of the next request after an accepted response. */
   long delayAfterResponseMs(long nowMs) {
     backoffMs = INITIAL_BACKOFF_MS;
     return Math.max(0, requestedAtMs + MIN_REQUEST_INTERVAL_MS - nowMs);
@@ -64,8 +67,8 @@
   }
 
   /**
-   * Notes a response. If the node's view changed and the response did not bring it, the next
-   * request fetches it.
+   * Records a response. If the node's view changed and the response does not contain it, the next
+   * request fetches the view.
    */
   void onResponse(PullResponse response, long nowMs) {
     lastResponseAtMs = nowMs;
@@ -78,7 +81,7 @@
     }
   }
 
-  /** When the node last responded; when the stream was opened if it has not. */
+  /** When the node last responded; if it has not, when the stream was opened. */
   long lastActivityAtMs() {
     return lastResponseAtMs < 0 ? openedAtMs : lastResponseAtMs;
   }
--- a/config/src/main/java/elmsail/config/watch/WatchStreams.java
+++ b/config/src/main/java/elmsail/config/watch/WatchStreams.java
@@ -16,9 +16,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The watch streams of a process: one long poll at each selected control-plane node, repeated at
- * once after a response and with a backoff after a failure. Owned by the event loop; all times are
- * ms of the steady clock.
+ * The watch streams of a process: one long poll at each selected control-plane node, repeated
+ * immediately after a response and with a backoff after a failure. Owned by the event loop; all
+ * times are ms of the steady clock.
  */
 final class WatchStreams {
   private static final Logger LOG = LoggerFactory.getLogger(WatchStreams.class);
@@ -68,8 +68,8 @@
   /**
    * Closes the streams to nodes that are no longer selected, and opens those that are missing.
    *
-   * @param searching whether none of the present streams brings what this process needs: all nodes
-   *     are watched for a while
+   * @param searching whether to watch all nodes for a while, because no current stream provides
+   *     what this process needs
    */
   void selectUpstreams(VoterSet controlPlaneVoters, boolean searching) {
     if (closed) {
@@ -109,8 +109,8 @@
   }
 
   /**
-   * The stream that complete lists are best taken from: the nearest of those that responded
-   * recently, the first one of equals. Null if none did.
+   * The preferred stream for complete lists: the nearest node that responded recently, and the
+   * first of equally near nodes. Null if no node responded recently.
    */
   WatchStream nearest() {
     WatchStream nearest = null;
@@ -171,7 +171,7 @@
 
   private void onCallEnd(
       WatchStream stream, long requestedAtMs, PullResponse response, Throwable failure) {
-    // A process that was suspended finds a response that was true before that: it is out of date.
+    // A response that arrived while this process was suspended is outdated.
     boolean inTime = timers.now() - requestedAtMs <= CALL_TIMEOUT_MS;
     boolean accepted = failure == null && inTime && applyResponse(stream, response, requestedAtMs);
     if (!accepted) {
@@ -197,7 +197,7 @@
     try {
       return responseHandler.onResponse(stream, response, requestedAtMs);
     } catch (RuntimeException e) {
-      // A listener's fault must not end the stream: the next request follows after a backoff.
+      // A listener's exception must not end the stream: the next request follows after a backoff.
       LOG.error("watch response not applied, address={}", stream.address, e);
       return false;
     }
--- a/config/src/test/java/elmsail/config/ConfigAmendmentTest.java
+++ b/config/src/test/java/elmsail/config/ConfigAmendmentTest.java
@@ -127,7 +127,10 @@
     assertThat(read.routeByName("r-2"), nullValue());
   }
 
-  /** Model test: any sequence of amendments leaves the items that a map holds. */
+  /**
+   * Model test: after any sequence of amendments, the list has the same items as a map with the
+   * same changes.
+   */
   @Test
   void sequencesOfAmendmentsAgreeWithAMapModel() {
     for (int seed = 1; seed <= 50; seed++) {
--- a/config/src/test/java/elmsail/config/PlatformClientTest.java
+++ b/config/src/test/java/elmsail/config/PlatformClientTest.java
@@ -70,7 +70,7 @@
     } catch (CompletionException e) {
       return ElmsailException.codeOf(e);
     }
-    throw new AssertionError("it did not fail");
+    throw new AssertionError("the fetch did not fail");
   }
 
   @Test
@@ -119,7 +119,7 @@
     all = platformClient.fetch();
     pendingReplies
         .get(2)
-        .completeExceptionally(new ElmsailException(ErrorCode.TIMEOUT, "no answer"));
+        .completeExceptionally(new ElmsailException(ErrorCode.TIMEOUT, "no response"));
     assertThat(errorCodeOf(all), equalTo(ErrorCode.TIMEOUT));
   }
 
--- a/config/src/test/java/elmsail/config/watch/ClusterClockTest.java
+++ b/config/src/test/java/elmsail/config/watch/ClusterClockTest.java
@@ -61,7 +61,7 @@
     sample(OWN);
     assertThat(errorMs(), is(7_000L));
     sample("n1");
-    assertThat("two that differ do not agree", clock.isAgreed(), is(false));
+    assertThat("two sources that differ do not agree", clock.isAgreed(), is(false));
     sample("n2");
     assertThat(clock.isAgreed(), is(true));
     assertThat(errorMs(), is(0L));
@@ -77,7 +77,7 @@
     skewMs.put("n2", 5_000L);
     skewMs.put("n3", 5_000L);
     runFor(ClusterClock.MIN_JUMP_MS - 10_000);
-    assertThat("most have jumped, but not for long", errorMs(), is(0L));
+    assertThat("most clocks have jumped, but for less than MIN_JUMP_MS", errorMs(), is(0L));
     skewMs.clear();
     runFor(20_000);
     assertThat(errorMs(), is(0L));
--- a/config/src/test/java/elmsail/config/watch/ConfigWatcherSeedsTest.java
+++ b/config/src/test/java/elmsail/config/watch/ConfigWatcherSeedsTest.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The settings file names other seed addresses while the process runs. */
+/** The seed addresses in the settings file change while the process runs. */
 class ConfigWatcherSeedsTest extends ConfigWatcherTestBase {
   private static final String D = "10.4.0.40:7721";
   private static final String E = "10.4.0.41:7721";
--- a/config/src/test/java/elmsail/config/watch/ConfigWatcherServersTest.java
+++ b/config/src/test/java/elmsail/config/watch/ConfigWatcherServersTest.java
@@ -16,7 +16,7 @@
 class ConfigWatcherServersTest extends ConfigWatcherTestBase {
   private int completeListCount;
 
-  /** Counts the responses that bring a complete list. */
+  /** Counts the responses of a node that contain a complete list. */
   private void countCompleteLists(String address, WatchServer controlPlane) {
     network.controlPlanes.put(
         address,
@@ -30,7 +30,10 @@
                     }));
   }
 
-  /** Number of complete lists that the nodes send within a second of a new version. */
+  /**
+   * Publishes a new version; returns the number of complete lists that the nodes send within a
+   * second.
+   */
   private int publishAndCountLists(long version, WatchServer... controlPlanes) {
     completeListCount = 0;
     for (WatchServer controlPlane : controlPlanes) {
--- a/config/src/test/java/elmsail/config/watch/ConfigWatcherTest.java
+++ b/config/src/test/java/elmsail/config/watch/ConfigWatcherTest.java
@@ -178,7 +178,7 @@
   void listenerExceptionDoesNotEndTheWatch() {
     watcher.addListener(
         () -> {
-          throw new IllegalStateException("a listener's fault");
+          throw new IllegalStateException("listener failed");
         });
     a.setConfig(7, config(7));
     watcher.start();
--- a/config/src/test/java/elmsail/config/watch/ConfigWatcherTestBase.java
+++ b/config/src/test/java/elmsail/config/watch/ConfigWatcherTestBase.java
@@ -15,7 +15,10 @@
 import java.util.function.Supplier;
 import org.junit.jupiter.api.BeforeEach;
 
-/** A watcher, three control-plane nodes and a network that tests partition; the clock is manual. */
+/**
+ * Base class of tests of {@link ConfigWatcher}: a watcher, three control-plane nodes, a network
+ * that tests can partition, and a manual clock.
+ */
 abstract class ConfigWatcherTestBase {
   static final String A = "10.1.0.13:7721";
   static final String B = "10.2.0.30:7721";
@@ -62,7 +65,7 @@
     return new ConfigWatcher(network, timers, settings(serves), role, 77, store, null);
   }
 
-  /** A gateway's watcher where keys are to be revoked everywhere within so many ms. */
+  /** A gateway's watcher with a bound of {@code revokeMs} for the revocation of keys. */
   ConfigWatcher watcherWithRevocation(long revokeMs) {
     Settings.Bounds bounds =
         new Settings.Bounds(
--- a/config/src/test/java/elmsail/config/watch/ConfigWatcherViewTest.java
+++ b/config/src/test/java/elmsail/config/watch/ConfigWatcherViewTest.java
@@ -200,6 +200,6 @@
     assertThat(watcher.upstreams(), hasSize(3));
     network.droppedRequests.add(d);
     timers.advance(20_000);
-    assertThat("silent or not", store.upstreams(), containsInAnyOrder(A, B, C, d, e));
+    assertThat("unresponsive nodes included", store.upstreams(), containsInAnyOrder(A, B, C, d, e));
   }
 }
--- a/config/src/test/java/elmsail/config/watch/FakeNetwork.java
+++ b/config/src/test/java/elmsail/config/watch/FakeNetwork.java
@@ -28,7 +28,10 @@
   final Map<String, Function<PullRequest, CompletableFuture<PullResponse>>> controlPlanes =
       new HashMap<>();
 
-  /** The age of the configuration that a node states when it responds; absent: it states none. */
+  /**
+   * The age of the configuration that each node states in its responses; a node without an entry
+   * states no age.
+   */
   final Map<String, Long> configConfirmedAges = new HashMap<>();
 
   final Set<String> droppedRequests = new HashSet<>();
--- a/config/src/test/java/elmsail/config/watch/FallbackDiscoveryTest.java
+++ b/config/src/test/java/elmsail/config/watch/FallbackDiscoveryTest.java
@@ -27,8 +27,8 @@
 
 class FallbackDiscoveryTest {
   private static final String A = "10.1.0.13:7721";
-  private static final List<ServerEntry> FETCHED = List.of(SampleConfigs.server("i-own"));
-  private static final List<ServerEntry> PUBLISHED = List.of(SampleConfigs.server("i-told"));
+  private static final List<ServerEntry> FETCHED = List.of(SampleConfigs.server("i-fetched"));
+  private static final List<ServerEntry> PUBLISHED = List.of(SampleConfigs.server("i-published"));
 
   private final ManualTimers timers = new ManualTimers();
   private final FakeNetwork network = new FakeNetwork(timers);
--- a/config/src/test/java/elmsail/config/watch/RevocationBoundTest.java
+++ b/config/src/test/java/elmsail/config/watch/RevocationBoundTest.java
@@ -17,8 +17,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A gateway that does not hear of the configuration's changes admits no key once one could have
- * been removed {@code revoke_ms} ago; one that hears of them never stops.
+ * Guards against a gateway that still admits a key more than {@code revoke_ms} after the key was
+ * removed, because the gateway has lost contact with the control plane and does not receive the
+ * change. Also guards against a gateway that rejects keys although it receives changes.
  */
 class RevocationBoundTest extends ConfigWatcherTestBase {
   private static final long REVOKE_MS = 5_000;
@@ -46,10 +47,11 @@
     network.controlPlanes.put(
         address,
         request ->
-            CompletableFuture.failedFuture(new ElmsailException(ErrorCode.NOT_A_VOTER, "cut off")));
+            CompletableFuture.failedFuture(
+                new ElmsailException(ErrorCode.NOT_A_VOTER, "disconnected")));
   }
 
-  /** The most that the confirmation's age comes to within so many ms. */
+  /** The maximum age of the confirmation during the next {@code ms}. */
   private long maxConfirmedAgeWithin(long ms) {
     long maxAgeMs = 0;
     for (long i = 0; i < ms; i++) {
@@ -143,7 +145,10 @@
     assertThat(bound.mayAdmitKeys(), is(false));
   }
 
-  /** Three of five voters are watched; those three lose the majority, and two others have it. */
+  /**
+   * The gateway watches three of five voters. These three no longer reach a majority; the other two
+   * do.
+   */
   @Test
   void gatewayFindsTheNodesThatStillReachAMajority() {
     WatchServer d = network.controlPlane(D);
--- a/config/src/test/java/elmsail/config/watch/ServerListCacheTest.java
+++ b/config/src/test/java/elmsail/config/watch/ServerListCacheTest.java
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void listFetchedLaterIsInForceAndVersionStays() {
+  void listFetchedLaterIsUsedAndTheWatchedVersionStays() {
     assertThat(cache.ageMs(50), equalTo(Long.MAX_VALUE));
     offerWatched(1, 1, A, 100);
     assertThat(cache.offerOwn(B, 200), equalTo(true));
--- a/config/src/test/java/elmsail/config/watch/WatchServerTest.java
+++ b/config/src/test/java/elmsail/config/watch/WatchServerTest.java
@@ -31,7 +31,7 @@
     return request;
   }
 
-  /** A request that names the versions of all that is published. */
+  /** A request that names the current versions of all published data. */
   private PullRequest upToDateRequest(String key, long waitMs) {
     PullResponse all = server.watch(request(key, 0)).join();
     PullRequest request = request(key, waitMs);
