--- a/config/src/main/java/elmsail/config/ClusterState.java
+++ b/config/src/main/java/elmsail/config/ClusterState.java
@@ -8,7 +8,7 @@
  * loop.
  */
 public interface ClusterState {
-  /** The newest configuration received; null before the first. Its version never goes down. */
+  /** The newest configuration received; null before the first. Its version never decreases. */
   RoutingConfig config();
 
   /**
--- a/config/src/main/java/elmsail/config/RevocationBound.java
+++ b/config/src/main/java/elmsail/config/RevocationBound.java
@@ -30,7 +30,7 @@
   /**
    * Creates the check for a process.
    *
-   * @param revokeMs as of {@link Settings.Bounds#revokeMs}; 0 if there is no bound
+   * @param revokeMs the value of {@link Settings.Bounds#revokeMs}; 0 if there is no bound
    */
   public RevocationBound(ClusterState clusterState, long revokeMs) {
     this.clusterState = clusterState;
--- a/config/src/main/java/elmsail/config/watch/ConfigWatcher.java
+++ b/config/src/main/java/elmsail/config/watch/ConfigWatcher.java
@@ -70,7 +70,7 @@
   /**
    * Creates a watcher that sends nothing before {@link #start}.
    *
-   * @param instanceId the incarnation of this process, sent with each request
+   * @param instanceId identifies the incarnation of this process; sent with each request
    * @param storeStatus the status that a store reports; {@code StoreStatus.NONE} in other processes
    * @param platform for a gateway's fallback discovery; null if there is none
    */
@@ -134,7 +134,7 @@
   }
 
   /**
-   * Sets the one listener that is called whenever a response of a control-plane node orders this
+   * Sets the single listener that is called whenever a response of a control-plane node orders this
    * process to join a voter set.
    */
   public void setJoinListener(JoinListener newJoinListener) {
@@ -242,8 +242,8 @@
   }
 
   /**
-   * Offers the list that this process fetched as the lease holder of server discovery; parameters
-   * as of {@link WatchServer#setServers}.
+   * Offers the list that this process fetched as the lease holder of server discovery; the
+   * parameters are those of {@link WatchServer#setServers}.
    *
    * @throws ElmsailException MALFORMED if the list cannot be decoded
    */
--- a/config/src/main/java/elmsail/config/watch/PeerStatus.java
+++ b/config/src/main/java/elmsail/config/watch/PeerStatus.java
@@ -8,12 +8,12 @@
  *
  * @param machine the name of its machine
  * @param address its RPC address, "ip:port"
- * @param role as of {@link PeerRole#wireName}
- * @param instanceId its incarnation
+ * @param role the value of {@link PeerRole#wireName}
+ * @param instanceId identifies the incarnation of the process
  * @param voting whether it holds a voter slot and has caught up
  * @param drained whether no job needs its disk any more
  * @param jobStoreVoters the voter set that a store knows; empty for other roles
- * @param receivedAtMs ms of the steady clock
+ * @param receivedAtMs when the request was received, in ms of the steady clock
  */
 public record PeerStatus(
     String machine,
--- a/config/src/main/java/elmsail/config/watch/ServerListCache.java
+++ b/config/src/main/java/elmsail/config/watch/ServerListCache.java
@@ -56,8 +56,8 @@
    * Offers a watched list. A list with a lower epoch or version is ignored; the same version only
    * refreshes the age.
    *
-   * @param newEncoded as of {@code ServerListCodec.encode}; null if the update contains only the
-   *     age
+   * @param newEncoded the list encoded by {@code ServerListCodec.encode}; null if the update
+   *     contains only the age
    * @return whether the servers in use changed
    * @throws elmsail.runtime.ElmsailException MALFORMED if the list cannot be decoded; the cache
    *     then stays unchanged
--- a/config/src/main/java/elmsail/config/watch/UpstreamSelector.java
+++ b/config/src/main/java/elmsail/config/watch/UpstreamSelector.java
@@ -25,7 +25,7 @@
    */
   static final long UNRESPONSIVE_MS = 5_000;
 
-  /** Stores and control-plane nodes watch all voters, so that each voter knows of them. */
+  /** Stores and control-plane nodes watch all voters, so that each voter receives their status. */
   private static final int MAX_GATEWAY_UPSTREAMS = 3;
 
   private static final long EJECTION_MS = 30_000;
--- a/config/src/main/java/elmsail/config/watch/WatchServer.java
+++ b/config/src/main/java/elmsail/config/watch/WatchServer.java
@@ -67,7 +67,7 @@
    * refreshes the age.
    *
    * @param version at least 1, because a watcher without a list sends 0
-   * @param bytes as of {@code ServerListCodec.encode}
+   * @param bytes the list encoded by {@code ServerListCodec.encode}
    * @param fetchedAtMs when the fetch from the platform started, in ms of the steady clock
    */
   public void setServers(long epoch, long version, byte[] bytes, long fetchedAtMs) {
