--- a/config/src/main/java/elmsail/config/watch/ConfigWatcher.java
+++ b/config/src/main/java/elmsail/config/watch/ConfigWatcher.java
@@ -141,10 +141,7 @@
     joinListener = newJoinListener;
   }
 
-  /**
-   * Sets the supplier of the demand that a gateway reports with each request: its open requests at
-   * servers.
-   */
+  /** Sets the supplier of a gateway's open requests at servers, reported with each request. */
   public void setDemandSource(Supplier<List<ServiceDemand>> demand) {
     requests.setDemandSource(demand);
   }
@@ -207,9 +204,7 @@
     return views.view();
   }
 
-  /**
-   * Time since the node at this RPC address last responded, in ms; Long.MAX_VALUE if it has not.
-   */
+  /** Time since the node at this RPC address responded, in ms; Long.MAX_VALUE if it has not. */
   public long lastResponseAgeMs(String address) {
     return streams.lastResponseAgeMs(address);
   }
@@ -260,8 +255,7 @@
   /**
    * Whether a gateway has waited too long for a confirmation and may have to reject requests soon.
    * The gateway then watches all nodes and requests immediate responses, because any of the nodes
-   * may be the only one that still reaches a majority. Before the first confirmation, none is
-   * overdue.
+   * may be the only one that still reaches a majority. False before the first confirmation.
    */
   private boolean isConfirmationOverdue() {
     long ageMs = configConfirmedAgeMs();
