--- a/config/src/test/java/elmsail/config/watch/ClusterClockTest.java
+++ b/config/src/test/java/elmsail/config/watch/ClusterClockTest.java
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void knowsNoTimeBeforeASampleAndAgreesWithASecondSource() {
+  void hasNoTimeBeforeTheFirstSampleAndAgreesAfterASecondSource() {
     assertThat(clock.hasTime(), is(false));
     sample(OWN);
     assertThat(clock.hasTime(), is(true));
@@ -56,19 +56,19 @@
   }
 
   @Test
-  void machineWhoseOwnClockHasJumpedTakesThatOfTheOthers() {
+  void machineWhoseOwnClockIsWrongAdoptsTheTimeOfTheOthers() {
     skewMs.put(OWN, 7_000L);
     sample(OWN);
     assertThat(errorMs(), is(7_000L));
     sample("n1");
-    assertThat("two that differ do not agree", clock.isAgreed(), is(false));
+    assertThat("two sources that differ do not agree", clock.isAgreed(), is(false));
     sample("n2");
     assertThat(clock.isAgreed(), is(true));
     assertThat(errorMs(), is(0L));
   }
 
   @Test
-  void clocksThatJumpForAWhileMoveNothing() {
+  void temporaryClockJumpsDoNotChangeTheTime() {
     runFor(20_000);
     skewMs.put(OWN, 5_000L);
     skewMs.put("n1", -8_000L);
@@ -77,14 +77,14 @@
     skewMs.put("n2", 5_000L);
     skewMs.put("n3", 5_000L);
     runFor(ClusterClock.MIN_JUMP_MS - 10_000);
-    assertThat("most have jumped, but not for long", errorMs(), is(0L));
+    assertThat("most clocks have jumped, but for less than MIN_JUMP_MS", errorMs(), is(0L));
     skewMs.clear();
     runFor(20_000);
     assertThat(errorMs(), is(0L));
   }
 
   @Test
-  void timeThatMostSourcesTellForLongIsTakenOver() {
+  void offsetThatMostSourcesReportForLongIsAdopted() {
     runFor(20_000);
     for (String source : NODES) {
       skewMs.put(source, 5_000L);
@@ -94,7 +94,7 @@
   }
 
   @Test
-  void smallDifferencesAreFollowedSlowly() {
+  void smallDifferencesAreCorrectedGradually() {
     runFor(10_000);
     NODES.forEach(node -> skewMs.put(node, 100L));
     skewMs.put(OWN, 100L);
@@ -109,7 +109,7 @@
   }
 
   @Test
-  void sourcesThatAreSilentForLongDoNotCount() {
+  void expiredSamplesAreIgnored() {
     sampleAll();
     timers.advance(ClusterClock.MAX_SAMPLE_AGE_MS + 1);
     skewMs.put(OWN, 100L);
