--- a/controlplane/src/main/java/elmsail/controlplane/ReadConfigHandler.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ReadConfigHandler.java
@@ -26,12 +26,12 @@
     return register
         .read(ConfigChangeHandler.KEY, committedConfig.ballot(), READ_TIMEOUT_MS)
         .handle(
-            (now, failure) -> {
+            (current, failure) -> {
               if (failure != null) {
                 return Replies.error(503, "not reached");
               }
-              byte[] value = committedConfig.resolveValue(now);
-              committedConfig.offer(now);
+              byte[] value = committedConfig.resolveValue(current);
+              committedConfig.offer(current);
               return value == null
                   ? Replies.error(404, "none yet")
                   : Replies.json(200, ConfigHistory.decode(value).configBytes());
--- a/controlplane/src/main/java/elmsail/controlplane/StoreHeartbeatQuery.java
+++ b/controlplane/src/main/java/elmsail/controlplane/StoreHeartbeatQuery.java
@@ -73,8 +73,8 @@
     private final CompletableFuture<StoreHeartbeats> result = new CompletableFuture<>();
     private final Map<String, Long> heartbeatAgesMs = new TreeMap<>();
     private final int voterCount;
-    private int conclusive;
-    private int inconclusive;
+    private int conclusiveResponses;
+    private int inconclusiveResponses;
 
     PendingQuery(int voterCount) {
       this.voterCount = voterCount;
@@ -91,13 +91,13 @@
             .forEach((store, ageMs) -> heartbeatAgesMs.merge(store, ageMs, Math::min));
       }
       if (heartbeats != null && heartbeats.isConclusive()) {
-        conclusive++;
+        conclusiveResponses++;
       } else {
-        inconclusive++;
+        inconclusiveResponses++;
       }
-      if (conclusive >= VoterSets.majoritySize(voterCount)) {
+      if (conclusiveResponses >= VoterSets.majoritySize(voterCount)) {
         result.complete(new StoreHeartbeats(true, heartbeatAgesMs));
-      } else if (inconclusive > voterCount - VoterSets.majoritySize(voterCount)) {
+      } else if (inconclusiveResponses > voterCount - VoterSets.majoritySize(voterCount)) {
         fail();
       }
     }
@@ -107,7 +107,7 @@
           new ElmsailException(
               ErrorCode.NO_QUORUM,
               "no majority can tell which stores exist, conclusive responses: "
-                  + conclusive
+                  + conclusiveResponses
                   + " of "
                   + voterCount));
     }
--- a/controlplane/src/test/java/elmsail/controlplane/ClusterPowerLossTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ClusterPowerLossTest.java
@@ -19,10 +19,10 @@
  * within the time to recover, and nothing older before.
  */
 class ClusterPowerLossTest {
-  private static final int STORIES = 30;
+  private static final int SEED_COUNT = 30;
 
   /** The bound of the small sites. */
-  private static final long RECOVER_MS = 12_000;
+  private static final long MAX_RECOVERY_MS = 12_000;
 
   private SimulatedCluster cluster;
   private Random random;
@@ -37,110 +37,117 @@
     "6, 8, 2, 400",
     "6, 8, 2, 3000"
   })
-  void acknowledgedStateIsServedAfterPowerLossOfAll(int nodes, int stores, int bear, int apartMs) {
-    long longest = 0;
-    int jobsSeen = 0;
-    for (int seed = 1; seed <= STORIES; seed++) {
-      String name = nodes + " nodes, " + apartMs + " ms apart, seed " + seed;
-      start(seed, nodes, stores, bear);
-      ConfigChangeScenario changes = new ConfigChangeScenario(name, cluster, random, nodes);
-      JobRecordWriter jobs = new JobRecordWriter(name, cluster, random);
-      ConfigReadChecker reads = new ConfigReadChecker(name, changes);
-      assertThat(name, cluster.awaitWithin(8_000, () -> !jobs.newest().voters.isEmpty()), is(true));
-      assertThat(name, cluster.replaceAnywhere(0, 1), is(200));
+  void acknowledgedStateIsServedAfterPowerLossOfAll(
+      int nodeCount, int storeCount, int toleratedLosses, int maxGapMs) {
+    long longestRecoveryMs = 0;
+    int jobsRead = 0;
+    for (int seed = 1; seed <= SEED_COUNT; seed++) {
+      String scenario = nodeCount + " nodes, " + maxGapMs + " ms apart, seed " + seed;
+      start(seed, nodeCount, storeCount, toleratedLosses);
+      ConfigChangeScenario changes = new ConfigChangeScenario(scenario, cluster, random, nodeCount);
+      JobRecordWriter jobs = new JobRecordWriter(scenario, cluster, random);
+      ConfigReadChecker reads = new ConfigReadChecker(scenario, changes);
+      assertThat(
+          scenario,
+          cluster.awaitWithin(8_000, () -> !jobs.newestVoterSet().voters.isEmpty()),
+          is(true));
+      assertThat(scenario, cluster.replaceAnywhere(0, 1), is(200));
       ConfigChangeScenario.ChangeRequest first = ConfigChangeScenario.replacement(0, 1, "");
       changes.sent.add(first);
       changes.committed.add(first);
-      run(1_500 + random.nextInt(500), jobs, changes, reads);
+      runFor(1_500 + random.nextInt(500), jobs, changes, reads);
       changes.send(ConfigChangeScenario.replacement(1, 2, "a"));
-      run(random.nextInt(80), jobs, changes, reads);
-      loseAll(bear, apartMs, changes, reads);
-      long back = cluster.timers.now();
-      long newest = changes.committed.size();
-      while (!served(newest) && cluster.timers.now() < back + RECOVER_MS) {
-        run(50, jobs, changes, reads);
+      runFor(random.nextInt(80), jobs, changes, reads);
+      powerOffAndRestartAll(toleratedLosses, maxGapMs, changes, reads);
+      long restartedAtMs = cluster.timers.now();
+      long committedCount = changes.committed.size();
+      while (!isServed(committedCount) && cluster.timers.now() < restartedAtMs + MAX_RECOVERY_MS) {
+        runFor(50, jobs, changes, reads);
       }
-      assertThat(name, served(newest), is(true));
-      longest = Math.max(longest, cluster.timers.now() - back);
-      long left = back + RECOVER_MS - cluster.timers.now();
-      assertThat(name, cluster.awaitWithin(left, () -> voting(jobs) == 2 * bear + 1), is(true));
-      jobs.readAll();
-      jobsSeen += jobs.written();
+      assertThat(scenario, isServed(committedCount), is(true));
+      longestRecoveryMs = Math.max(longestRecoveryMs, cluster.timers.now() - restartedAtMs);
+      long remainingMs = restartedAtMs + MAX_RECOVERY_MS - cluster.timers.now();
+      assertThat(
+          scenario,
+          cluster.awaitWithin(remainingMs, () -> votingStoreCount(jobs) == 2 * toleratedLosses + 1),
+          is(true));
+      jobs.assertAllJobsReadable();
+      jobsRead += jobs.written();
     }
     System.out.printf(
         "%d nodes, %d stores, %d ms apart: configuration after %d ms, %d jobs there%n",
-        nodes, stores, apartMs, longest, jobsSeen);
-    assertThat(jobsSeen, greaterThan(STORIES));
+        nodeCount, storeCount, maxGapMs, longestRecoveryMs, jobsRead);
+    assertThat(jobsRead, greaterThan(SEED_COUNT));
   }
 
-  private void start(int seed, int nodes, int stores, int bear) {
-    cluster = new SimulatedCluster(seed, 3, bear);
+  private void start(int seed, int nodeCount, int storeCount, int toleratedLosses) {
+    cluster = new SimulatedCluster(seed, 3, toleratedLosses);
     random = new Random(seed);
     cluster.net.delay(1, 8);
     machines.clear();
-    for (int i = 1; i <= nodes; i++) {
-      cluster.controlPlane("n" + i, true);
+    for (int i = 1; i <= nodeCount; i++) {
+      cluster.startControlPlane("n" + i, true);
       machines.add("n" + i);
     }
-    for (int i = 1; i <= stores; i++) {
-      cluster.store("v" + i, true);
+    for (int i = 1; i <= storeCount; i++) {
+      cluster.startStore("v" + i, true);
       machines.add("v" + i);
     }
   }
 
-  private void run(
+  private void runFor(
       long ms, JobRecordWriter jobs, ConfigChangeScenario changes, ConfigReadChecker reads) {
     for (long end = cluster.timers.now() + ms; cluster.timers.now() < end; ) {
       jobs.step();
       reads.read("n" + (1 + random.nextInt(3)));
       changes.collectReplies(10);
-      reads.check();
+      reads.checkReplies();
     }
   }
 
   /** Each loses power; as many as is borne lose their disks; all come back in another order. */
-  private void loseAll(
-      int bear, int apartMs, ConfigChangeScenario changes, ConfigReadChecker reads) {
+  private void powerOffAndRestartAll(
+      int toleratedLosses, int maxGapMs, ConfigChangeScenario changes, ConfigReadChecker reads) {
     Collections.shuffle(machines, random);
     for (int i = 0; i < machines.size(); i++) {
-      if (i < bear) {
+      if (i < toleratedLosses) {
         cluster.wipe(machines.get(i));
       } else {
         cluster.net.kill(cluster.address(machines.get(i)), false);
         cluster.disks.get(machines.get(i)).powerLoss();
       }
-      changes.collectReplies(apartMs == 0 ? 0 : random.nextInt(apartMs));
-      reads.check();
+      changes.collectReplies(maxGapMs == 0 ? 0 : random.nextInt(maxGapMs));
+      reads.checkReplies();
     }
     Collections.shuffle(machines, random);
     for (String machine : machines) {
-      cluster.timers.advance(apartMs == 0 ? 0 : random.nextInt(apartMs));
+      cluster.timers.advance(maxGapMs == 0 ? 0 : random.nextInt(maxGapMs));
       if (machine.startsWith("n")) {
-        cluster.controlPlane(machine, false);
+        cluster.startControlPlane(machine, false);
       } else {
-        cluster.store(machine, false);
+        cluster.startStore(machine, false);
       }
     }
   }
 
   /** Whether the first node reads what was confirmed, or the order that was under way. */
-  private boolean served(long confirmed) {
+  private boolean isServed(long committedCount) {
     String read = cluster.read("n1");
     if (!read.startsWith("{")) {
       return false;
     }
-    boolean second = read.contains("\"edition\":2");
-    if (confirmed == 2) {
-      assertThat(second, is(true));
+    boolean isSecondConfig = read.contains("\"edition\":2");
+    if (committedCount == 2) {
+      assertThat(isSecondConfig, is(true));
     }
-    if (!second) {
+    if (!isSecondConfig) {
       assertThat(read, equalTo(SimulatedCluster.config(1)));
     }
     return true;
   }
 
-  private long voting(JobRecordWriter jobs) {
-    return jobs.newest().voters.stream()
+  private long votingStoreCount(JobRecordWriter jobs) {
+    return jobs.newestVoterSet().voters.stream()
         .filter(voter -> cluster.stores.get(voter.machine).replica().isVoting())
         .filter(voter -> cluster.disks.get(voter.machine).instanceId() == voter.instanceId)
         .count();
--- a/controlplane/src/test/java/elmsail/controlplane/ConcurrentConfigChangesTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ConcurrentConfigChangesTest.java
@@ -37,8 +37,8 @@
         scenario.send(request, "n" + (1 + i % NODES));
       }
       ChangeRequest won = scenario.awaitSingleWinner(requests);
-      assertThat(scenario.current(5_000), is(won.number()));
-      scenario.finish();
+      assertThat(scenario.readVersion(5_000), is(won.version()));
+      scenario.assertHistoryMatchesReplies();
       unknownOutcomes += scenario.outcomesUnknown;
     }
     System.out.println(
@@ -57,10 +57,10 @@
       ChangeRequest loser = winner.equals(first) ? second : first;
       ChangeRequest next = ConfigChangeScenario.replacement(5, 6, "");
       scenario.send(next);
-      assertThat(scenario.retryUntilAnswered(Set.of(next), SETTLE_MS, () -> {}), is(true));
-      assertThat(scenario.repeat(winner, SETTLE_MS), is(200));
-      assertThat(scenario.repeat(loser, SETTLE_MS), is(412));
-      scenario.finish();
+      assertThat(scenario.retryUntilFinalReplies(Set.of(next), SETTLE_MS, () -> {}), is(true));
+      assertThat(scenario.resend(winner, SETTLE_MS), is(200));
+      assertThat(scenario.resend(loser, SETTLE_MS), is(412));
+      scenario.assertHistoryMatchesReplies();
     }
   }
 
@@ -72,13 +72,14 @@
       ChangeRequest first = ConfigChangeScenario.replacement(1, 3, "");
       ChangeRequest between = ConfigChangeScenario.replacement(3, 9, "same");
       scenario.send(first);
-      assertThat(scenario.retryUntilAnswered(Set.of(first), SETTLE_MS, () -> {}), is(true));
+      assertThat(scenario.retryUntilFinalReplies(Set.of(first), SETTLE_MS, () -> {}), is(true));
       scenario.send(between, "n1");
       scenario.send(mine, "n2");
-      assertThat(scenario.retryUntilAnswered(Set.of(mine, between), SETTLE_MS, () -> {}), is(true));
+      assertThat(
+          scenario.retryUntilFinalReplies(Set.of(mine, between), SETTLE_MS, () -> {}), is(true));
       assertThat(scenario.committed.contains(between), is(true));
-      assertThat(scenario.repeat(mine, SETTLE_MS), is(412));
-      scenario.finish();
+      assertThat(scenario.resend(mine, SETTLE_MS), is(412));
+      scenario.assertHistoryMatchesReplies();
     }
   }
 
@@ -90,11 +91,11 @@
       for (int i = 1; i <= NODES; i++) {
         scenario.send(request, "n" + i);
       }
-      assertThat(scenario.retryUntilAnswered(Set.of(request), SETTLE_MS, () -> {}), is(true));
+      assertThat(scenario.retryUntilFinalReplies(Set.of(request), SETTLE_MS, () -> {}), is(true));
       scenario.collectReplies(2_000);
       assertThat(scenario.committed.contains(request), is(true));
-      assertThat(scenario.current(5_000), is(4L));
-      scenario.finish();
+      assertThat(scenario.readVersion(5_000), is(4L));
+      scenario.assertHistoryMatchesReplies();
     }
   }
 
@@ -115,9 +116,9 @@
                   current, current + 1 + scenario.random.nextInt(3), "v" + i));
         }
         requests.forEach(scenario::send);
-        current = scenario.awaitSingleWinner(requests).number();
+        current = scenario.awaitSingleWinner(requests).version();
       }
-      scenario.finish();
+      scenario.assertHistoryMatchesReplies();
       lost += scenario.repliesLost;
       committed += scenario.committed.size();
     }
@@ -152,7 +153,7 @@
           scenario.cluster.kill(node);
         }
         scenario.cluster.timers.advance(1_500);
-        scenario.cluster.controlPlane(node, false);
+        scenario.cluster.startControlPlane(node, false);
         assertThat(
             scenario.cluster.awaitWithin(10_000, () -> scenario.cluster.read(node).startsWith("{")),
             is(true));
@@ -160,17 +161,17 @@
       for (int changesAgo : new int[] {1, 10, 300}) {
         if (change >= changesAgo && (change % 10 == 0 || change > 300)) {
           ChangeRequest old = committed.get(committed.size() - 1 - changesAgo);
-          assertThat("after " + changesAgo + ": " + old, scenario.repeat(old, SETTLE_MS), is(200));
+          assertThat("after " + changesAgo + ": " + old, scenario.resend(old, SETTLE_MS), is(200));
         }
       }
     }
     for (ChangeRequest each : committed) {
-      assertThat(each.toString(), scenario.repeat(each, SETTLE_MS), is(200));
+      assertThat(each.toString(), scenario.resend(each, SETTLE_MS), is(200));
     }
     for (ChangeRequest each : lost) {
-      assertThat(each.toString(), scenario.repeat(each, SETTLE_MS), is(412));
+      assertThat(each.toString(), scenario.resend(each, SETTLE_MS), is(412));
     }
-    scenario.finish();
+    scenario.assertHistoryMatchesReplies();
   }
 
   /**
@@ -201,9 +202,9 @@
         scenario.collectReplies(1_500);
         scenario.cluster.net.healAll();
         boolean mineWon = scenario.awaitSingleWinner(Set.of(mine, rival)).equals(mine);
-        assertThat(scenario.repeat(mine, SETTLE_MS), is(mineWon ? 200 : 412));
-        assertThat(scenario.repeat(rival, SETTLE_MS), is(mineWon ? 412 : 200));
-        scenario.finish();
+        assertThat(scenario.resend(mine, SETTLE_MS), is(mineWon ? 200 : 412));
+        assertThat(scenario.resend(rival, SETTLE_MS), is(mineWon ? 412 : 200));
+        scenario.assertHistoryMatchesReplies();
         scenarios++;
         committedDespiteRival += mineWon && rivalFirst ? 1 : 0;
         lost += mineWon ? 0 : 1;
@@ -269,26 +270,27 @@
       for (int round = 0; round < 40; round++) {
         Set<ChangeRequest> requests = sendRivals(scenario, round, current);
         // Some operators give up before they receive a final reply.
-        scenario.retryUntilAnswered(requests, 200 + scenario.random.nextInt(2_000), faults::step);
+        scenario.retryUntilFinalReplies(
+            requests, 200 + scenario.random.nextInt(2_000), faults::step);
         if (scenario.random.nextInt(3) == 0) {
           List<ChangeRequest> all = new ArrayList<>(scenario.sent);
           ChangeRequest old = all.get(scenario.random.nextInt(all.size()));
-          scenario.repeat(old, 300);
+          scenario.resend(old, 300);
           repeats++;
         }
-        current = scenario.current(15_000);
+        current = scenario.readVersion(15_000);
       }
-      faults.end();
+      faults.endFault();
       scenario.collectReplies(2_000);
       // Operators that gave up retry at the end. A change whose base was never committed gets no
       // final reply.
-      scenario.retryUntilAnswered(new LinkedHashSet<>(scenario.sent), 3_000, () -> {});
+      scenario.retryUntilFinalReplies(new LinkedHashSet<>(scenario.sent), 3_000, () -> {});
       for (ChangeRequest request : scenario.sent) {
-        if (!scenario.answered(request)) {
-          scenario.repeat(request, 300);
+        if (!scenario.hasFinalReply(request)) {
+          scenario.resend(request, 300);
         }
       }
-      scenario.finish();
+      scenario.assertHistoryMatchesReplies();
       committed += scenario.committed.size();
       rejected += scenario.rejected.size();
       unknownOutcomes += scenario.outcomesUnknown;
--- a/controlplane/src/test/java/elmsail/controlplane/ConfigAmendmentsTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ConfigAmendmentsTest.java
@@ -54,12 +54,12 @@
         scenario.send(request, "n" + (1 + (seed + i) % NODES));
       }
       ChangeRequest won = scenario.awaitSingleWinner(requests);
-      assertThat(scenario.current(5_000), is(won.number()));
-      amended += won.call() == ChangeKind.AMEND ? 1 : 0;
+      assertThat(scenario.readVersion(5_000), is(won.version()));
+      amended += won.kind() == ChangeKind.AMEND ? 1 : 0;
       for (ChangeRequest request : requests) {
-        assertThat(scenario.repeat(request, SETTLE_MS), is(request.equals(won) ? 200 : 412));
+        assertThat(scenario.resend(request, SETTLE_MS), is(request.equals(won) ? 200 : 412));
       }
-      scenario.finish();
+      scenario.assertHistoryMatchesReplies();
     }
     assertThat("amendments that won", amended, greaterThan(2));
     assertThat("replacements that won", SEEDS - amended, greaterThan(2));
@@ -82,7 +82,7 @@
       Set<ChangeRequest> requests =
           new LinkedHashSet<>(List.of(withdrawingAmendment, addingAmendment));
       requests.forEach(scenario::send);
-      assertThat(scenario.retryUntilAnswered(requests, SETTLE_MS, faults::step), is(true));
+      assertThat(scenario.retryUntilFinalReplies(requests, SETTLE_MS, faults::step), is(true));
       List<ChangeRequest> won = new ArrayList<>(requests);
       won.retainAll(scenario.committed);
       assertThat("committed at change " + change, won.size(), is(1));
@@ -93,18 +93,18 @@
         routes.remove(withdrawn);
       }
       if (last != null && change % 10 == 0) {
-        assertThat("repeated", scenario.repeat(last, SETTLE_MS), is(200));
+        assertThat("repeated", scenario.resend(last, SETTLE_MS), is(200));
       }
       last = won.get(0);
     }
-    faults.end();
-    assertThat(scenario.current(SETTLE_MS), is(current));
+    faults.endFault();
+    assertThat(scenario.readVersion(SETTLE_MS), is(current));
     assertThat(
         scenario.cluster.awaitWithin(SETTLE_MS, () -> scenario.cluster.read("n1").startsWith("{")),
         is(true));
     assertThat(committedRoutes(scenario), equalTo(routes));
     assertThat(faults.faultCount(), greaterThan(10));
-    scenario.finish();
+    scenario.assertHistoryMatchesReplies();
   }
 
   @Test
@@ -125,9 +125,9 @@
       scenario.collectReplies(1_500);
       scenario.cluster.net.healAll();
       boolean mineWon = scenario.awaitSingleWinner(Set.of(mine, rival)).equals(mine);
-      assertThat(scenario.repeat(mine, SETTLE_MS), is(mineWon ? 200 : 412));
-      assertThat(scenario.repeat(rival, SETTLE_MS), is(mineWon ? 412 : 200));
-      scenario.finish();
+      assertThat(scenario.resend(mine, SETTLE_MS), is(mineWon ? 200 : 412));
+      assertThat(scenario.resend(rival, SETTLE_MS), is(mineWon ? 412 : 200));
+      scenario.assertHistoryMatchesReplies();
       lost += mineWon ? 0 : 1;
     }
     assertThat("rivals that won", lost, greaterThan(5));
@@ -140,9 +140,9 @@
     ChangeRequest amendment = ConfigChangeScenario.amendment(1, 2, "x", null);
     ChangeRequest same = new ChangeRequest(ChangeKind.REPLACE, 1, 2, amendment.body());
     scenario.send(amendment);
-    assertThat(scenario.retryUntilAnswered(Set.of(amendment), SETTLE_MS, () -> {}), is(true));
-    assertThat(scenario.repeat(amendment, SETTLE_MS), is(200));
-    assertThat(scenario.repeat(same, SETTLE_MS), is(412));
+    assertThat(scenario.retryUntilFinalReplies(Set.of(amendment), SETTLE_MS, () -> {}), is(true));
+    assertThat(scenario.resend(amendment, SETTLE_MS), is(200));
+    assertThat(scenario.resend(same, SETTLE_MS), is(412));
   }
 
   @Test
@@ -160,7 +160,7 @@
                 + "\"postal_line\":\"p\"}]}}",
             "no json")) {
       ChangeRequest request = new ChangeRequest(ChangeKind.AMEND, 1, 2, body);
-      assertThat(body, scenario.repeat(request, SETTLE_MS), is(400));
+      assertThat(body, scenario.resend(request, SETTLE_MS), is(400));
     }
     assertThat(scenario.cluster.read("n1"), equalTo(before));
   }
@@ -170,6 +170,6 @@
     ConfigChangeScenario scenario = new ConfigChangeScenario("before the first config", 9, NODES);
     scenario.cluster.timers.advance(3_000);
     ChangeRequest request = ConfigChangeScenario.amendment(0, 1, "x", null);
-    assertThat(scenario.repeat(request, SETTLE_MS), is(400));
+    assertThat(scenario.resend(request, SETTLE_MS), is(400));
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/ConfigChangeScenario.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ConfigChangeScenario.java
@@ -27,92 +27,103 @@
  */
 final class ConfigChangeScenario {
   /** What an operator sends; two with the same fields are the same change. */
-  record ChangeRequest(ChangeKind call, long base, long number, String body) {
+  record ChangeRequest(ChangeKind kind, long baseVersion, long version, String body) {
     String path() {
-      return call == ChangeKind.AMEND ? "/Timetable.Amend" : "/Timetable.Replace";
+      return kind == ChangeKind.AMEND ? "/Timetable.Amend" : "/Timetable.Replace";
     }
 
     byte[] digest() {
       byte[] sent = body.getBytes(StandardCharsets.UTF_8);
-      return call == ChangeKind.AMEND
-          ? ConfigHistory.amendmentDigest(base, sent)
-          : ConfigHistory.replacementDigest(base, sent);
+      return kind == ChangeKind.AMEND
+          ? ConfigHistory.amendmentDigest(baseVersion, sent)
+          : ConfigHistory.replacementDigest(baseVersion, sent);
     }
   }
 
-  private static final int ANSWER_MS = 1_000;
-  private static final int PAUSE_MS = 60;
-  private static final long SETTLE_MS = 20_000;
-  private static final Pattern EDITION = Pattern.compile("\"edition\":(\\d+)");
+  private static final int REPLY_TIMEOUT_MS = 1_000;
+  private static final int RETRY_DELAY_MS = 60;
+  private static final long FINAL_REPLY_TIMEOUT_MS = 20_000;
+  private static final Pattern VERSION_FIELD = Pattern.compile("\"edition\":(\\d+)");
 
   private record PendingRequest(
-      ChangeRequest request, CompletableFuture<SimpleHttpResponse> reply, long end, boolean lost) {}
+      ChangeRequest request,
+      CompletableFuture<SimpleHttpResponse> reply,
+      long deadlineMs,
+      boolean isReplyLost) {}
 
   final SimulatedCluster cluster;
   final Random random;
   final Set<ChangeRequest> committed = new LinkedHashSet<>();
   final Map<ChangeRequest, Integer> rejected = new HashMap<>();
   final Set<ChangeRequest> sent = new LinkedHashSet<>();
-  private final Map<Long, ChangeRequest> confirmedOn = new HashMap<>();
-  private final List<PendingRequest> calls = new ArrayList<>();
-  private final int nodes;
-  private final String name;
+  private final Map<Long, ChangeRequest> committedByBase = new HashMap<>();
+  private final List<PendingRequest> pendingRequests = new ArrayList<>();
+  private final int nodeCount;
+  private final String scenario;
   double replyLossRate;
   int repliesLost;
   int outcomesUnknown;
 
-  ConfigChangeScenario(String name, int seed, int nodes) {
-    this(name + ", seed " + seed, new SimulatedCluster(seed, nodes), new Random(seed), nodes);
+  ConfigChangeScenario(String scenario, int seed, int nodeCount) {
+    this(
+        scenario + ", seed " + seed,
+        new SimulatedCluster(seed, nodeCount),
+        new Random(seed),
+        nodeCount);
     cluster.net.delay(1, 15);
-    for (int i = 1; i <= nodes; i++) {
-      cluster.controlPlane("n" + i, true);
+    for (int i = 1; i <= nodeCount; i++) {
+      cluster.startControlPlane("n" + i, true);
     }
   }
 
   /** In a world whose nodes n1 to that number are started by others. */
-  ConfigChangeScenario(String name, SimulatedCluster cluster, Random random, int nodes) {
-    this.name = name;
-    this.nodes = nodes;
+  ConfigChangeScenario(String scenario, SimulatedCluster cluster, Random random, int nodeCount) {
+    this.scenario = scenario;
+    this.nodeCount = nodeCount;
     this.random = random;
     this.cluster = cluster;
   }
 
   /** A story of nodes in which the first configuration, of number 1, is in force. */
-  static ConfigChangeScenario started(String name, int seed, int nodes) {
-    ConfigChangeScenario scenario = new ConfigChangeScenario(name, seed, nodes);
+  static ConfigChangeScenario started(String scenarioName, int seed, int nodeCount) {
+    ConfigChangeScenario scenario = new ConfigChangeScenario(scenarioName, seed, nodeCount);
     ChangeRequest first = replacement(0, 1, "");
     scenario.send(first);
-    assertThat(scenario.retryUntilAnswered(Set.of(first), SETTLE_MS, () -> {}), is(true));
+    assertThat(
+        scenario.retryUntilFinalReplies(Set.of(first), FINAL_REPLY_TIMEOUT_MS, () -> {}), is(true));
     assertThat(scenario.committed.contains(first), is(true));
     return scenario;
   }
 
   /** One of them is confirmed, the others are refused. */
   ChangeRequest awaitSingleWinner(Set<ChangeRequest> requests) {
-    assertThat("answered", retryUntilAnswered(requests, SETTLE_MS, () -> {}), is(true));
-    List<ChangeRequest> won = new ArrayList<>(requests);
-    won.retainAll(committed);
-    assertThat("confirmed of " + requests.size(), won.size(), is(1));
-    return won.get(0);
+    assertThat(
+        "answered", retryUntilFinalReplies(requests, FINAL_REPLY_TIMEOUT_MS, () -> {}), is(true));
+    List<ChangeRequest> winners = new ArrayList<>(requests);
+    winners.retainAll(committed);
+    assertThat("confirmed of " + requests.size(), winners.size(), is(1));
+    return winners.get(0);
   }
 
   /** A valid configuration; {@code variant} tells those of one number apart. */
-  static ChangeRequest replacement(long base, long number, String variant) {
-    String body = SimulatedCluster.config(number);
+  static ChangeRequest replacement(long baseVersion, long version, String variant) {
+    String body = SimulatedCluster.config(version);
     return new ChangeRequest(
         ChangeKind.REPLACE,
-        base,
-        number,
-        body.replace("\"r" + number + "\"", "\"r" + number + variant + "\""));
+        baseVersion,
+        version,
+        body.replace("\"r" + version + "\"", "\"r" + version + variant + "\""));
   }
 
   /** An amendment that adds the route of its number and variant, and may remove another. */
-  static ChangeRequest amendment(long base, long number, String variant, String withdrawn) {
-    String route = amendedRoute(number, variant);
-    String withdraw = withdrawn == null ? "" : ",\"withdraw\":{\"routes\":[\"" + withdrawn + "\"]}";
+  static ChangeRequest amendment(
+      long baseVersion, long version, String variant, String removedRoute) {
+    String route = amendedRoute(version, variant);
+    String withdraw =
+        removedRoute == null ? "" : ",\"withdraw\":{\"routes\":[\"" + removedRoute + "\"]}";
     String body =
         "{\"edition\":"
-            + number
+            + version
             + ",\"deliver\":{\"routes\":[{\"name\":\""
             + route
             + "\",\"depot\":\"a.example\",\"lane_prefix\":\"/"
@@ -120,69 +131,75 @@
             + "/\",\"route_class\":\"safe\",\"give_up_ms\":2000,\"postal_line\":\"p\"}]}"
             + withdraw
             + "}";
-    return new ChangeRequest(ChangeKind.AMEND, base, number, body);
+    return new ChangeRequest(ChangeKind.AMEND, baseVersion, version, body);
   }
 
   /** The name of the route that such an amendment adds. */
-  static String amendedRoute(long number, String variant) {
-    return "a" + number + variant;
+  static String amendedRoute(long version, String variant) {
+    return "a" + version + variant;
   }
 
-  private boolean serves(String node) {
-    SimNode there = cluster.net.nodeAt(cluster.address(node));
-    return there != null && there.isAlive() && !there.isFrozen();
+  private boolean isResponsive(String node) {
+    SimNode simNode = cluster.net.nodeAt(cluster.address(node));
+    return simNode != null && simNode.isAlive() && !simNode.isFrozen();
   }
 
-  private String anyNode() {
+  private String randomResponsiveNode() {
     String node;
     do {
-      node = "n" + (1 + random.nextInt(nodes));
-    } while (!serves(node));
+      node = "n" + (1 + random.nextInt(nodeCount));
+    } while (!isResponsive(node));
     return node;
   }
 
   void send(ChangeRequest request) {
-    send(request, anyNode());
+    send(request, randomResponsiveNode());
   }
 
   void send(ChangeRequest request, String node) {
     sent.add(request);
     CompletableFuture<SimpleHttpResponse> reply =
-        cluster.call(node, "POST", request.path(), String.valueOf(request.base), request.body);
-    calls.add(
+        cluster.call(
+            node, "POST", request.path(), String.valueOf(request.baseVersion), request.body);
+    pendingRequests.add(
         new PendingRequest(
-            request, reply, cluster.timers.now() + ANSWER_MS, random.nextDouble() < replyLossRate));
+            request,
+            reply,
+            cluster.timers.now() + REPLY_TIMEOUT_MS,
+            random.nextDouble() < replyLossRate));
   }
 
   /** Some ms pass, and the answers that came are heard; returns orders without a clear answer. */
   List<ChangeRequest> collectReplies(int ms) {
     cluster.timers.advance(ms);
-    List<ChangeRequest> open = new ArrayList<>();
-    for (PendingRequest call : List.copyOf(calls)) {
-      if (!call.reply.isDone() && cluster.timers.now() < call.end) {
+    List<ChangeRequest> unresolved = new ArrayList<>();
+    for (PendingRequest call : List.copyOf(pendingRequests)) {
+      if (!call.reply.isDone() && cluster.timers.now() < call.deadlineMs) {
         continue;
       }
-      calls.remove(call);
-      int status = call.reply.isDone() && !call.lost ? call.reply.join().status() : -1;
-      repliesLost += call.lost ? 1 : 0;
+      pendingRequests.remove(call);
+      int status = call.reply.isDone() && !call.isReplyLost ? call.reply.join().status() : -1;
+      repliesLost += call.isReplyLost ? 1 : 0;
       if (status == 200) {
         onCommitted(call.request);
       } else if (status >= 400 && status < 500) {
         onRejected(call.request, status);
       } else {
         outcomesUnknown++;
-        open.add(call.request);
+        unresolved.add(call.request);
       }
     }
-    return open;
+    return unresolved;
   }
 
   private void onCommitted(ChangeRequest request) {
     assertThat(
-        name + ": refused, then confirmed: " + request, rejected.containsKey(request), is(false));
-    ChangeRequest other = confirmedOn.putIfAbsent(request.base, request);
+        scenario + ": refused, then confirmed: " + request,
+        rejected.containsKey(request),
+        is(false));
+    ChangeRequest other = committedByBase.putIfAbsent(request.baseVersion, request);
     assertThat(
-        name + ": two on one base: " + other + " and " + request,
+        scenario + ": two on one base: " + other + " and " + request,
         other == null || other.equals(request),
         is(true));
     committed.add(request);
@@ -190,19 +207,19 @@
 
   private void onRejected(ChangeRequest request, int status) {
     assertThat(
-        name + ": confirmed, then refused by " + status + ": " + request,
+        scenario + ": confirmed, then refused by " + status + ": " + request,
         committed.contains(request),
         is(false));
     rejected.put(request, status);
   }
 
   /** How many calls have no answer yet. */
-  int pending() {
-    return calls.size();
+  int pendingCount() {
+    return pendingRequests.size();
   }
 
-  private boolean pending(ChangeRequest request) {
-    for (PendingRequest call : calls) {
+  private boolean isPending(ChangeRequest request) {
+    for (PendingRequest call : pendingRequests) {
       if (call.request.equals(request)) {
         return true;
       }
@@ -210,27 +227,29 @@
     return false;
   }
 
-  boolean answered(ChangeRequest request) {
+  boolean hasFinalReply(ChangeRequest request) {
     return committed.contains(request) || rejected.containsKey(request);
   }
 
   /** Sends each again until all of them have a final answer; false if the time is over. */
-  boolean retryUntilAnswered(Set<ChangeRequest> requests, long withinMs, Runnable meanwhile) {
-    long end = cluster.timers.now() + withinMs;
-    Map<ChangeRequest, Long> again = new HashMap<>();
-    while (cluster.timers.now() < end) {
-      meanwhile.run();
-      for (ChangeRequest open : collectReplies(1 + random.nextInt(10))) {
-        again.put(open, cluster.timers.now() + PAUSE_MS + random.nextInt(PAUSE_MS));
+  boolean retryUntilFinalReplies(
+      Set<ChangeRequest> requests, long timeoutMs, Runnable beforeEachStep) {
+    long deadlineMs = cluster.timers.now() + timeoutMs;
+    Map<ChangeRequest, Long> retryAtMs = new HashMap<>();
+    while (cluster.timers.now() < deadlineMs) {
+      beforeEachStep.run();
+      for (ChangeRequest unresolved : collectReplies(1 + random.nextInt(10))) {
+        retryAtMs.put(
+            unresolved, cluster.timers.now() + RETRY_DELAY_MS + random.nextInt(RETRY_DELAY_MS));
       }
       boolean done = true;
       for (ChangeRequest request : requests) {
-        if (answered(request)) {
+        if (hasFinalReply(request)) {
           continue;
         }
         done = false;
-        if (!pending(request) && again.getOrDefault(request, 0L) <= cluster.timers.now()) {
-          again.remove(request);
+        if (!isPending(request) && retryAtMs.getOrDefault(request, 0L) <= cluster.timers.now()) {
+          retryAtMs.remove(request);
           send(request);
         }
       }
@@ -242,12 +261,16 @@
   }
 
   /** Sends one that had its answer once more and gives what is answered at last, or 503. */
-  int repeat(ChangeRequest request, long withinMs) {
-    long end = cluster.timers.now() + withinMs;
-    while (cluster.timers.now() < end) {
+  int resend(ChangeRequest request, long timeoutMs) {
+    long deadlineMs = cluster.timers.now() + timeoutMs;
+    while (cluster.timers.now() < deadlineMs) {
       CompletableFuture<SimpleHttpResponse> reply =
           cluster.call(
-              anyNode(), "POST", request.path(), String.valueOf(request.base), request.body);
+              randomResponsiveNode(),
+              "POST",
+              request.path(),
+              String.valueOf(request.baseVersion),
+              request.body);
       int status = cluster.status(reply);
       if (status == 200) {
         onCommitted(request);
@@ -258,52 +281,54 @@
         return status;
       }
       outcomesUnknown++;
-      collectReplies(PAUSE_MS);
+      collectReplies(RETRY_DELAY_MS);
     }
     return 503;
   }
 
   /** The number in force as some node reads it. */
-  long current(long withinMs) {
-    long end = cluster.timers.now() + withinMs;
-    String read = cluster.read(anyNode());
-    while (!read.startsWith("{") && cluster.timers.now() < end) {
-      cluster.timers.advance(PAUSE_MS);
-      read = cluster.read(anyNode());
+  long readVersion(long timeoutMs) {
+    long deadlineMs = cluster.timers.now() + timeoutMs;
+    String read = cluster.read(randomResponsiveNode());
+    while (!read.startsWith("{") && cluster.timers.now() < deadlineMs) {
+      cluster.timers.advance(RETRY_DELAY_MS);
+      read = cluster.read(randomResponsiveNode());
     }
-    assertThat(name + ": read back: " + read, read.startsWith("{"), is(true));
-    Matcher edition = EDITION.matcher(read);
-    assertThat(edition.find(), is(true));
-    return Long.parseLong(edition.group(1));
+    assertThat(scenario + ": read back: " + read, read.startsWith("{"), is(true));
+    Matcher version = VERSION_FIELD.matcher(read);
+    assertThat(version.find(), is(true));
+    return Long.parseLong(version.group(1));
   }
 
   /** All that was confirmed is in the chain of what was in force, and nothing that was refused. */
-  void finish() {
-    long current = current(10_000);
-    ConfigHistory last = null;
+  void assertHistoryMatchesReplies() {
+    long current = readVersion(10_000);
+    ConfigHistory history = null;
     for (ControlPlaneNode controlPlaneNode : cluster.controlPlaneNodes.values()) {
       byte[] value = controlPlaneNode.committedConfigBytes();
       if (value != null && ConfigHistory.decode(value).version() == current) {
-        last = ConfigHistory.decode(value);
+        history = ConfigHistory.decode(value);
       }
     }
-    assertThat(name + ": seen by no node: " + current, last, notNullValue());
-    assertThat(name, last.changeCount() < ConfigHistory.MAX_CHANGES, is(true));
-    Set<ChangeRequest> taken = new HashSet<>();
+    assertThat(scenario + ": seen by no node: " + current, history, notNullValue());
+    assertThat(scenario, history.changeCount() < ConfigHistory.MAX_CHANGES, is(true));
+    Set<ChangeRequest> inHistory = new HashSet<>();
     for (ChangeRequest request : sent) {
-      if (taken(last, request)) {
-        taken.add(request);
+      if (isInHistory(history, request)) {
+        inHistory.add(request);
       }
     }
     for (ChangeRequest request : committed) {
-      assertThat(name + ": confirmed and lost: " + request, taken.contains(request), is(true));
+      assertThat(
+          scenario + ": confirmed and lost: " + request, inHistory.contains(request), is(true));
     }
     for (ChangeRequest request : rejected.keySet()) {
-      assertThat(name + ": refused and in force: " + request, taken.contains(request), is(false));
+      assertThat(
+          scenario + ": refused and in force: " + request, inHistory.contains(request), is(false));
     }
   }
 
-  private static boolean taken(ConfigHistory last, ChangeRequest request) {
-    return last.statusOf(request.base, request.digest()) == ConfigChangeStatus.COMMITTED;
+  private static boolean isInHistory(ConfigHistory history, ChangeRequest request) {
+    return history.statusOf(request.baseVersion, request.digest()) == ConfigChangeStatus.COMMITTED;
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/ConfigFaultScenarioTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ConfigFaultScenarioTest.java
@@ -25,93 +25,94 @@
  * one, and no gateway ever sees one that isn't there in the end.
  */
 class ConfigFaultScenarioTest {
-  private static final int STORIES = 12;
+  private static final int SEED_COUNT = 12;
 
   /** One call of an operator. */
-  private record Sent(long basedOn, long version, CompletableFuture<SimpleHttpResponse> reply) {}
+  private record PendingChange(
+      long baseVersion, long version, CompletableFuture<SimpleHttpResponse> reply) {}
 
   private SimulatedCluster cluster;
   private Random random;
-  private final List<Sent> open = new ArrayList<>();
+  private final List<PendingChange> pendingChanges = new ArrayList<>();
 
   /** What each acknowledged edition was based on. */
-  private final Map<Long, Long> acknowledged = new TreeMap<>();
+  private final Map<Long, Long> baseByAcknowledgedVersion = new TreeMap<>();
 
   private final Set<Long> rejected = new HashSet<>();
   private final Set<Long> outcomeUnknown = new HashSet<>();
-  private final Set<Long> seen = new HashSet<>();
-  private final Map<String, Long> lastSeen = new HashMap<>();
+  private final Set<Long> versionsSeenByGateways = new HashSet<>();
+  private final Map<String, Long> lastVersionByGateway = new HashMap<>();
 
   /** What each edition sent was based on. */
-  private final Map<Long, Long> bases = new HashMap<>();
+  private final Map<Long, Long> baseBySentVersion = new HashMap<>();
 
-  private long numbers;
-  private long current;
+  private long lastSentVersion;
+  private long currentVersion;
 
   @Test
   void acknowledgedConfigsSurviveRandomFaults() {
-    int taken = 0;
-    int refused = 0;
-    for (int seed = 1; seed <= STORIES; seed++) {
-      play(seed);
-      taken += acknowledged.size();
-      refused += rejected.size();
+    int acknowledgedCount = 0;
+    int rejectedCount = 0;
+    for (int seed = 1; seed <= SEED_COUNT; seed++) {
+      runScenario(seed);
+      acknowledgedCount += baseByAcknowledgedVersion.size();
+      rejectedCount += rejected.size();
     }
-    assertThat("acknowledged", taken, greaterThan(STORIES * 5));
-    assertThat("lost races", refused, greaterThan(STORIES));
+    assertThat("acknowledged", acknowledgedCount, greaterThan(SEED_COUNT * 5));
+    assertThat("lost races", rejectedCount, greaterThan(SEED_COUNT));
   }
 
-  private void play(int seed) {
+  private void runScenario(int seed) {
     cluster = new SimulatedCluster(seed, 3);
     random = new Random(seed);
-    open.clear();
-    acknowledged.clear();
+    pendingChanges.clear();
+    baseByAcknowledgedVersion.clear();
     rejected.clear();
     outcomeUnknown.clear();
-    seen.clear();
-    lastSeen.clear();
-    bases.clear();
-    numbers = 0;
-    current = 0;
+    versionsSeenByGateways.clear();
+    lastVersionByGateway.clear();
+    baseBySentVersion.clear();
+    lastSentVersion = 0;
+    currentVersion = 0;
     cluster.net.delay(1, 15);
     for (int i = 1; i <= 3; i++) {
-      cluster.controlPlane("n" + i, true);
+      cluster.startControlPlane("n" + i, true);
       cluster.timers.advance(random.nextInt(150));
     }
-    cluster.gateway("c1");
-    cluster.gateway("c2");
-    String trouble = null;
-    long troubleEnds = 0;
+    cluster.startGateway("c1");
+    cluster.startGateway("c2");
+    String faultyNode = null;
+    long faultEndsAtMs = 0;
     for (int step = 0; step < 800; step++) {
       cluster.timers.advance(1 + random.nextInt(60));
-      if (trouble == null && random.nextInt(80) == 0) {
-        trouble = "n" + (1 + random.nextInt(3));
-        begin(trouble);
-        troubleEnds = cluster.timers.now() + 200 + random.nextInt(4_000);
-      } else if (trouble != null && cluster.timers.now() >= troubleEnds) {
-        end(trouble);
-        trouble = null;
+      if (faultyNode == null && random.nextInt(80) == 0) {
+        faultyNode = "n" + (1 + random.nextInt(3));
+        beginFault(faultyNode);
+        faultEndsAtMs = cluster.timers.now() + 200 + random.nextInt(4_000);
+      } else if (faultyNode != null && cluster.timers.now() >= faultEndsAtMs) {
+        endFault(faultyNode);
+        faultyNode = null;
       }
-      if (open.size() < 2 && random.nextInt(16) == 0) {
-        send();
+      if (pendingChanges.size() < 2 && random.nextInt(16) == 0) {
+        sendChanges();
       }
       collectReplies(seed);
       checkGateways(seed);
     }
-    if (trouble != null) {
-      end(trouble);
+    if (faultyNode != null) {
+      endFault(faultyNode);
     }
     cluster.timers.advance(6_000);
     collectReplies(seed);
     checkGateways(seed);
-    finish(seed);
+    checkHistory(seed);
   }
 
-  private int fault;
+  private int faultKind;
 
-  private void begin(String name) {
-    fault = random.nextInt(5);
-    switch (fault) {
+  private void beginFault(String name) {
+    faultKind = random.nextInt(5);
+    switch (faultKind) {
       case 0 -> cluster.kill(name);
       case 1 -> {
         cluster.net.kill(cluster.address(name), false);
@@ -123,91 +124,97 @@
     }
   }
 
-  private void end(String name) {
-    if (fault <= 2) {
-      cluster.controlPlane(name, false);
+  private void endFault(String name) {
+    if (faultKind <= 2) {
+      cluster.startControlPlane(name, false);
       // A disk is lost one at a time: the next only once this one has all copied.
-      cluster.awaitWithin(fault == 2 ? 8_000 : 0, () -> cluster.read(name).startsWith("{"));
-    } else if (fault == 3) {
+      cluster.awaitWithin(faultKind == 2 ? 8_000 : 0, () -> cluster.read(name).startsWith("{"));
+    } else if (faultKind == 3) {
       cluster.net.thaw(cluster.address(name));
     } else {
       cluster.net.healAll();
     }
   }
 
-  private void send() {
-    String to = "n" + (1 + random.nextInt(3));
-    if (cluster.net.nodeAt(cluster.address(to)) == null
-        || !cluster.net.nodeAt(cluster.address(to)).isAlive()
-        || cluster.net.nodeAt(cluster.address(to)).isFrozen()) {
+  private void sendChanges() {
+    String node = "n" + (1 + random.nextInt(3));
+    if (cluster.net.nodeAt(cluster.address(node)) == null
+        || !cluster.net.nodeAt(cluster.address(node)).isAlive()
+        || cluster.net.nodeAt(cluster.address(node)).isFrozen()) {
       return;
     }
-    numbers += 1 + random.nextInt(3);
-    bases.put(numbers, current);
-    open.add(new Sent(current, numbers, cluster.sendReplace(to, String.valueOf(current), numbers)));
+    lastSentVersion += 1 + random.nextInt(3);
+    baseBySentVersion.put(lastSentVersion, currentVersion);
+    pendingChanges.add(
+        new PendingChange(
+            currentVersion,
+            lastSentVersion,
+            cluster.sendReplace(node, String.valueOf(currentVersion), lastSentVersion)));
     if (random.nextBoolean()) {
-      String other = "n" + (1 + random.nextInt(3));
-      if (cluster.net.nodeAt(cluster.address(other)) != null
-          && !cluster.net.nodeAt(cluster.address(other)).isFrozen()
-          && cluster.net.nodeAt(cluster.address(other)).isAlive()) {
-        numbers += 1 + random.nextInt(3);
-        bases.put(numbers, current);
-        open.add(
-            new Sent(
-                current, numbers, cluster.sendReplace(other, String.valueOf(current), numbers)));
+      String otherNode = "n" + (1 + random.nextInt(3));
+      if (cluster.net.nodeAt(cluster.address(otherNode)) != null
+          && !cluster.net.nodeAt(cluster.address(otherNode)).isFrozen()
+          && cluster.net.nodeAt(cluster.address(otherNode)).isAlive()) {
+        lastSentVersion += 1 + random.nextInt(3);
+        baseBySentVersion.put(lastSentVersion, currentVersion);
+        pendingChanges.add(
+            new PendingChange(
+                currentVersion,
+                lastSentVersion,
+                cluster.sendReplace(otherNode, String.valueOf(currentVersion), lastSentVersion)));
       }
     }
   }
 
   private void collectReplies(int seed) {
-    List<Sent> done = new ArrayList<>();
-    for (Sent sent : open) {
+    List<PendingChange> done = new ArrayList<>();
+    for (PendingChange sent : pendingChanges) {
       if (sent.reply().isDone() || cluster.timers.now() % 7 == 0 && random.nextInt(40) == 0) {
         done.add(sent);
       }
     }
-    open.removeAll(done);
-    for (Sent sent : done) {
+    pendingChanges.removeAll(done);
+    for (PendingChange sent : done) {
       int status = sent.reply().isDone() ? sent.reply().join().status() : -1;
       if (status == 200) {
-        Long other = sameBase(sent.basedOn());
+        Long other = acknowledgedVersionOnBase(sent.baseVersion());
         assertThat(
             "seed "
                 + seed
                 + ": two on top of "
-                + sent.basedOn()
+                + sent.baseVersion()
                 + ": "
                 + other
                 + " and "
                 + sent.version(),
             other == null,
             is(true));
-        acknowledged.put(sent.version(), sent.basedOn());
-        current = Math.max(current, sent.version());
+        baseByAcknowledgedVersion.put(sent.version(), sent.baseVersion());
+        currentVersion = Math.max(currentVersion, sent.version());
       } else if (status == 412 || status == 400) {
         rejected.add(sent.version());
-        refresh();
+        adoptGatewayVersion();
       } else {
         outcomeUnknown.add(sent.version());
-        refresh();
+        adoptGatewayVersion();
       }
     }
   }
 
-  private Long sameBase(long basedOn) {
-    for (Map.Entry<Long, Long> one : acknowledged.entrySet()) {
-      if (one.getValue() == basedOn) {
-        return one.getKey();
+  private Long acknowledgedVersionOnBase(long baseVersion) {
+    for (Map.Entry<Long, Long> acknowledged : baseByAcknowledgedVersion.entrySet()) {
+      if (acknowledged.getValue() == baseVersion) {
+        return acknowledged.getKey();
       }
     }
     return null;
   }
 
   /** The operator takes what a gateway has as current, as an unclear one may have been taken. */
-  private void refresh() {
+  private void adoptGatewayVersion() {
     for (ConfigWatcher gateway : cluster.gateways.values()) {
       if (gateway.config() != null) {
-        current = Math.max(current, gateway.config().version());
+        currentVersion = Math.max(currentVersion, gateway.config().version());
       }
     }
   }
@@ -215,16 +222,18 @@
   private void checkGateways(int seed) {
     for (Map.Entry<String, ConfigWatcher> gateway : cluster.gateways.entrySet()) {
       if (gateway.getValue().config() != null) {
-        long edition = gateway.getValue().config().version();
+        long version = gateway.getValue().config().version();
         assertThat(
-            "seed " + seed, edition >= lastSeen.getOrDefault(gateway.getKey(), 0L), is(true));
-        lastSeen.put(gateway.getKey(), edition);
-        seen.add(edition);
+            "seed " + seed,
+            version >= lastVersionByGateway.getOrDefault(gateway.getKey(), 0L),
+            is(true));
+        lastVersionByGateway.put(gateway.getKey(), version);
+        versionsSeenByGateways.add(version);
       }
     }
   }
 
-  private void finish(int seed) {
+  private void checkHistory(int seed) {
     String[] read = {""};
     assertThat(
         "seed " + seed,
@@ -237,30 +246,33 @@
         is(true));
     byte[] value = null;
     for (ControlPlaneNode controlPlaneNode : cluster.controlPlaneNodes.values()) {
-      ConfigHistory editions = ConfigHistory.decode(controlPlaneNode.committedConfigBytes());
-      if (SimulatedCluster.config(editions.version()).equals(read[0])) {
+      ConfigHistory history = ConfigHistory.decode(controlPlaneNode.committedConfigBytes());
+      if (SimulatedCluster.config(history.version()).equals(read[0])) {
         value = controlPlaneNode.committedConfigBytes();
       }
     }
-    ConfigHistory last = ConfigHistory.decode(value);
-    assertThat("seed " + seed, read[0], is(SimulatedCluster.config(last.version())));
-    assertThat("all are kept", last.changeCount() < ConfigHistory.MAX_CHANGES, is(true));
-    for (long edition : acknowledged.keySet()) {
-      assertThat("seed " + seed + ": lost " + edition, has(last, edition), is(true));
+    ConfigHistory history = ConfigHistory.decode(value);
+    assertThat("seed " + seed, read[0], is(SimulatedCluster.config(history.version())));
+    assertThat("all are kept", history.changeCount() < ConfigHistory.MAX_CHANGES, is(true));
+    for (long version : baseByAcknowledgedVersion.keySet()) {
+      assertThat("seed " + seed + ": lost " + version, isInHistory(history, version), is(true));
     }
-    for (long edition : seen) {
-      assertThat("seed " + seed + ": seen, not there " + edition, has(last, edition), is(true));
+    for (long version : versionsSeenByGateways) {
+      assertThat(
+          "seed " + seed + ": seen, not there " + version, isInHistory(history, version), is(true));
     }
-    for (long edition : rejected) {
+    for (long version : rejected) {
       assertThat(
-          "seed " + seed + ": refused, yet there " + edition, has(last, edition), is(not(true)));
+          "seed " + seed + ": refused, yet there " + version,
+          isInHistory(history, version),
+          is(not(true)));
     }
   }
 
-  private boolean has(ConfigHistory last, long edition) {
-    byte[] sent = SimulatedCluster.config(edition).getBytes(StandardCharsets.UTF_8);
-    long base = bases.get(edition);
-    return last.statusOf(base, ConfigHistory.replacementDigest(base, sent))
+  private boolean isInHistory(ConfigHistory history, long version) {
+    byte[] sent = SimulatedCluster.config(version).getBytes(StandardCharsets.UTF_8);
+    long baseVersion = baseBySentVersion.get(version);
+    return history.statusOf(baseVersion, ConfigHistory.replacementDigest(baseVersion, sent))
         == ConfigChangeStatus.COMMITTED;
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/ConfigReadChecker.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ConfigReadChecker.java
@@ -20,20 +20,20 @@
  * is no older than the newest that was acknowledged when the read was sent, or a 5xx.
  */
 final class ConfigReadChecker {
-  private static final Pattern EDITION = Pattern.compile("\"edition\":(\\d+)");
+  private static final Pattern VERSION_FIELD = Pattern.compile("\"edition\":(\\d+)");
   private static final int MAX_PENDING = 4_000;
 
-  private record Read(
-      String node, long sentAt, long least, CompletableFuture<SimpleHttpResponse> reply) {}
+  private record PendingRead(
+      String node, long sentAtMs, long minVersion, CompletableFuture<SimpleHttpResponse> reply) {}
 
-  private final String name;
+  private final String scenario;
   private final ConfigChangeScenario changes;
-  private final List<Read> open = new ArrayList<>();
+  private final List<PendingRead> pendingReads = new ArrayList<>();
   private int configsRead;
-  private int unavailable;
+  private int unavailableReplies;
 
-  ConfigReadChecker(String name, ConfigChangeScenario changes) {
-    this.name = name;
+  ConfigReadChecker(String scenario, ConfigChangeScenario changes) {
+    this.scenario = scenario;
     this.changes = changes;
   }
 
@@ -43,28 +43,29 @@
   }
 
   /** Answers of 5xx. */
-  int unavailable() {
-    return unavailable;
+  int unavailableReplies() {
+    return unavailableReplies;
   }
 
-  private long newest() {
+  private long newestCommittedVersion() {
     long newest = 0;
     for (ConfigChangeScenario.ChangeRequest request : changes.committed) {
-      newest = Math.max(newest, request.number());
+      newest = Math.max(newest, request.version());
     }
     return newest;
   }
 
   /** Sends a read to that node, if it runs; a frozen one finds it when it is thawed. */
-  void read(String name) {
+  void read(String nodeName) {
     SimulatedCluster cluster = changes.cluster;
-    ControlPlaneNode controlPlaneNode = cluster.controlPlaneNodes.get(name);
-    SimNode node = cluster.net.nodeAt(cluster.address(name));
-    if (controlPlaneNode == null || node == null || open.size() >= MAX_PENDING) {
+    ControlPlaneNode controlPlaneNode = cluster.controlPlaneNodes.get(nodeName);
+    SimNode node = cluster.net.nodeAt(cluster.address(nodeName));
+    if (controlPlaneNode == null || node == null || pendingReads.size() >= MAX_PENDING) {
       return;
     }
     CompletableFuture<SimpleHttpResponse> reply = new CompletableFuture<>();
-    open.add(new Read(name, cluster.timers.now(), newest(), reply));
+    pendingReads.add(
+        new PendingRead(nodeName, cluster.timers.now(), newestCommittedVersion(), reply));
     SimpleHttpRequest call =
         new SimpleHttpRequest("GET", "/Timetable.Read", Map.of(), Map.of(), new byte[0]);
     node.timers()
@@ -72,26 +73,27 @@
   }
 
   /** Checks what has been answered. */
-  void check() {
-    for (Read read : List.copyOf(open)) {
+  void checkReplies() {
+    for (PendingRead read : List.copyOf(pendingReads)) {
       if (!read.reply.isDone()) {
         continue;
       }
-      open.remove(read);
-      String about = name + ": " + read.node + " asked at " + read.sentAt;
+      pendingReads.remove(read);
+      String description = scenario + ": " + read.node + " asked at " + read.sentAtMs;
       int status = read.reply.join().status();
       if (status >= 500) {
-        unavailable++;
+        unavailableReplies++;
         continue;
       }
-      if (read.least == 0 && status == 404) {
+      if (read.minVersion == 0 && status == 404) {
         continue;
       }
-      assertThat(about, status, is(200));
+      assertThat(description, status, is(200));
       String body = new String(read.reply.join().body(), StandardCharsets.UTF_8);
-      Matcher edition = EDITION.matcher(body);
-      assertThat(about, edition.find(), is(true));
-      assertThat(about, Long.parseLong(edition.group(1)), greaterThanOrEqualTo(read.least));
+      Matcher version = VERSION_FIELD.matcher(body);
+      assertThat(description, version.find(), is(true));
+      assertThat(
+          description, Long.parseLong(version.group(1)), greaterThanOrEqualTo(read.minVersion));
       configsRead++;
     }
   }
--- a/controlplane/src/test/java/elmsail/controlplane/ControlPlaneBootstrapTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ControlPlaneBootstrapTest.java
@@ -19,30 +19,30 @@
 
 /** The bootstrap of the control-plane voters on a simulated network and disks. */
 class ControlPlaneBootstrapTest {
-  private static final int HISTORIES = 300;
+  private static final int SEED_COUNT = 300;
 
   /** A history in which a seed may end is given so long; it isn't bound to the usual time. */
-  private static final long LONGEST_MS = 8_000;
+  private static final long SCENARIO_MS = 8_000;
 
-  private static TreeSet<String> voters(SimulatedCluster cluster, String name) {
-    TreeSet<String> stations = new TreeSet<>();
+  private static TreeSet<String> voterMachines(SimulatedCluster cluster, String name) {
+    TreeSet<String> machines = new TreeSet<>();
     for (Voter voter : cluster.controlPlaneVoters(name).voters) {
-      stations.add(voter.machine);
+      machines.add(voter.machine);
     }
-    return stations;
+    return machines;
   }
 
-  private static boolean knownByAll(SimulatedCluster cluster, int size) {
-    Set<Set<String>> all = new HashSet<>();
+  private static boolean allKnowTheSameVoters(SimulatedCluster cluster, int size) {
+    Set<Set<String>> knownVoterSets = new HashSet<>();
     for (String name : cluster.controlPlaneNodes.keySet()) {
-      all.add(voters(cluster, name));
+      knownVoterSets.add(voterMachines(cluster, name));
     }
-    return all.size() == 1 && all.iterator().next().size() == size;
+    return knownVoterSets.size() == 1 && knownVoterSets.iterator().next().size() == size;
   }
 
-  private static void sixNodes(SimulatedCluster cluster, Random random) {
+  private static void startSixNodes(SimulatedCluster cluster, Random random) {
     for (int i = 1; i <= 6; i++) {
-      cluster.controlPlane("n" + i, true);
+      cluster.startControlPlane("n" + i, true);
       cluster.timers.advance(random.nextInt(50));
     }
   }
@@ -51,8 +51,8 @@
   void fiveVotersBootstrapWithinTwoSecondsOnASlowDisk() {
     SimulatedCluster cluster = new SimulatedCluster(3, 3, 2);
     cluster.syncMs = 5;
-    sixNodes(cluster, new Random(3));
-    assertThat(cluster.awaitWithin(2_000, () -> knownByAll(cluster, 5)), is(true));
+    startSixNodes(cluster, new Random(3));
+    assertThat(cluster.awaitWithin(2_000, () -> allKnowTheSameVoters(cluster, 5)), is(true));
     assertThat(cluster.replaceAnywhere(0, 3), is(200));
     assertThat(cluster.timers.now(), lessThan(2_500L));
   }
@@ -62,8 +62,8 @@
   void acknowledgedConfigSurvivesTwoLossesAtOnce() {
     for (int kind = 0; kind < 3; kind++) {
       SimulatedCluster cluster = new SimulatedCluster(kind, 3, 2);
-      sixNodes(cluster, new Random(kind));
-      assertThat(cluster.awaitWithin(2_000, () -> knownByAll(cluster, 5)), is(true));
+      startSixNodes(cluster, new Random(kind));
+      assertThat(cluster.awaitWithin(2_000, () -> allKnowTheSameVoters(cluster, 5)), is(true));
       assertThat(cluster.replaceAnywhere(0, 3), is(200));
       for (int i = 0; i < 2; i++) {
         String name = "n" + (1 + i);
@@ -78,8 +78,8 @@
           cluster.awaitWithin(3_000, () -> cluster.read("n3").equals(SimulatedCluster.config(3))),
           is(true));
       assertThat("kind " + kind, cluster.replace("n4", 3, 7), is(200));
-      cluster.controlPlane("n1", false);
-      cluster.controlPlane("n2", false);
+      cluster.startControlPlane("n1", false);
+      cluster.startControlPlane("n2", false);
       assertThat(
           cluster.awaitWithin(4_800, () -> cluster.allControlPlaneVotersVote("n3")), is(true));
       cluster.kill("n3");
@@ -94,10 +94,10 @@
   void disklessSeedsBootstrapVotersWithDisks() {
     SimulatedCluster cluster = new SimulatedCluster(5, 3, 1);
     for (int i = 1; i <= 6; i++) {
-      cluster.controlPlane("n" + i, true, i > 3);
+      cluster.startControlPlane("n" + i, true, i > 3);
     }
-    assertThat(cluster.awaitWithin(2_000, () -> knownByAll(cluster, 3)), is(true));
-    assertThat(voters(cluster, "n1"), equalTo(new TreeSet<>(Set.of("n4", "n5", "n6"))));
+    assertThat(cluster.awaitWithin(2_000, () -> allKnowTheSameVoters(cluster, 3)), is(true));
+    assertThat(voterMachines(cluster, "n1"), equalTo(new TreeSet<>(Set.of("n4", "n5", "n6"))));
     assertThat(cluster.status(cluster.sendReplace("n4", "0", 3)), is(200));
   }
 
@@ -105,91 +105,91 @@
   void reducedVoterSetIsOddAndBootstrapsAfterDelay() {
     SimulatedCluster cluster = new SimulatedCluster(6, 3, 2);
     for (int i = 1; i <= 4; i++) {
-      cluster.controlPlane("n" + i, true);
+      cluster.startControlPlane("n" + i, true);
     }
     cluster.timers.advance(2_500);
-    assertThat(voters(cluster, "n1"), hasSize(0));
-    assertThat(cluster.awaitWithin(2_000, () -> knownByAll(cluster, 3)), is(true));
+    assertThat(voterMachines(cluster, "n1"), hasSize(0));
+    assertThat(cluster.awaitWithin(2_000, () -> allKnowTheSameVoters(cluster, 3)), is(true));
   }
 
   @Test
   void laterInstancesNeverBootstrap() {
     SimulatedCluster cluster = new SimulatedCluster(7, 3, 2);
     for (int i = 1; i <= 6; i++) {
-      cluster.controlPlane("n" + i, false);
+      cluster.startControlPlane("n" + i, false);
     }
     cluster.timers.advance(10_000);
-    assertThat(voters(cluster, "n1"), hasSize(0));
+    assertThat(voterMachines(cluster, "n1"), hasSize(0));
   }
 
   /** Losses, delays, and a seed that ends at any moment, with its disk or without. */
   @Test
   void bootstrapsOnceUnderRandomFaults() {
-    int founded = 0;
-    int ended = 0;
-    for (int seed = 1; seed <= HISTORIES; seed++) {
+    int bootstrapped = 0;
+    int seedFailures = 0;
+    for (int seed = 1; seed <= SEED_COUNT; seed++) {
       Random random = new Random(seed);
       SimulatedCluster cluster = new SimulatedCluster(seed, 3, 2);
       cluster.net.delay(1, 1 + random.nextInt(120));
       cluster.net.loss(random.nextInt(3) * 0.15);
       boolean diskless = random.nextInt(3) == 0;
       for (int i = 1; i <= 7; i++) {
-        cluster.controlPlane("n" + i, true, !(diskless && i <= 2));
+        cluster.startControlPlane("n" + i, true, !(diskless && i <= 2));
         cluster.timers.advance(random.nextInt(50));
       }
-      boolean ends = random.nextBoolean();
-      long endsAt = cluster.timers.now() + random.nextInt(900);
-      Map<Integer, Set<Long>> seen = new TreeMap<>();
-      Set<Integer> sizes = new HashSet<>();
-      String victim = "n" + (1 + random.nextInt(3));
-      boolean disk = !(diskless && !victim.equals("n3"));
-      long restartsAt = endsAt + 300 + random.nextInt(1_000);
-      long end = cluster.timers.now() + LONGEST_MS;
+      boolean seedFails = random.nextBoolean();
+      long failsAtMs = cluster.timers.now() + random.nextInt(900);
+      Map<Integer, Set<Long>> initialVotersBySlot = new TreeMap<>();
+      Set<Integer> voterSetSizes = new HashSet<>();
+      String failingSeed = "n" + (1 + random.nextInt(3));
+      boolean disk = !(diskless && !failingSeed.equals("n3"));
+      long restartsAtMs = failsAtMs + 300 + random.nextInt(1_000);
+      long endMs = cluster.timers.now() + SCENARIO_MS;
       boolean wiped = disk && random.nextBoolean();
-      while (cluster.timers.now() < end) {
+      while (cluster.timers.now() < endMs) {
         cluster.timers.advance(5);
-        if (ends && endsAt <= cluster.timers.now()) {
-          endsAt = Long.MAX_VALUE;
-          ended++;
+        if (seedFails && failsAtMs <= cluster.timers.now()) {
+          failsAtMs = Long.MAX_VALUE;
+          seedFailures++;
           if (wiped) {
-            cluster.wipe(victim);
+            cluster.wipe(failingSeed);
           } else {
-            cluster.kill(victim);
+            cluster.kill(failingSeed);
           }
-          cluster.controlPlaneNodes.remove(victim);
+          cluster.controlPlaneNodes.remove(failingSeed);
         }
-        if (ends && endsAt == Long.MAX_VALUE && restartsAt <= cluster.timers.now()) {
-          restartsAt = Long.MAX_VALUE;
-          cluster.controlPlane(victim, false, disk);
+        if (seedFails && failsAtMs == Long.MAX_VALUE && restartsAtMs <= cluster.timers.now()) {
+          restartsAtMs = Long.MAX_VALUE;
+          cluster.startControlPlane(failingSeed, false, disk);
         }
         for (String name : cluster.controlPlaneNodes.keySet()) {
-          noteFounding(cluster.controlPlaneVoters(name), seen, sizes);
+          recordInitialVoters(cluster.controlPlaneVoters(name), initialVotersBySlot, voterSetSizes);
         }
       }
-      assertThat("seed " + seed + ": " + sizes, sizes.size() < 2, is(true));
-      for (Set<Long> holders : seen.values()) {
-        assertThat("seed " + seed + ": " + seen, holders, hasSize(1));
+      assertThat("seed " + seed + ": " + voterSetSizes, voterSetSizes.size() < 2, is(true));
+      for (Set<Long> initialVoters : initialVotersBySlot.values()) {
+        assertThat("seed " + seed + ": " + initialVotersBySlot, initialVoters, hasSize(1));
       }
-      founded += sizes.size();
+      bootstrapped += voterSetSizes.size();
     }
     System.out.printf(
         "%d foundings under loss and delay: %d founded, %d with a seed that ended%n",
-        HISTORIES, founded, ended);
-    assertThat(ended, is(not(0)));
-    assertThat(founded, is(HISTORIES));
+        SEED_COUNT, bootstrapped, seedFailures);
+    assertThat(seedFailures, is(not(0)));
+    assertThat(bootstrapped, is(SEED_COUNT));
   }
 
   /** Collects the initial voter of each slot, as epochs 1 and 2 show it. */
-  private static void noteFounding(
-      VoterSet head, Map<Integer, Set<Long>> founded, Set<Integer> sizes) {
-    for (int i = 0; i < head.voters.size(); i++) {
-      Voter voter = head.voters.get(i);
+  private static void recordInitialVoters(
+      VoterSet voterSet, Map<Integer, Set<Long>> initialVotersBySlot, Set<Integer> voterSetSizes) {
+    for (int i = 0; i < voterSet.voters.size(); i++) {
+      Voter voter = voterSet.voters.get(i);
       long first =
           voter.epoch == 1 ? voter.instanceId : voter.epoch == 2 ? voter.previousInstanceId : 0;
       if (first != 0) {
-        founded.computeIfAbsent(i, slot -> new HashSet<>()).add(first);
+        initialVotersBySlot.computeIfAbsent(i, slot -> new HashSet<>()).add(first);
       }
-      sizes.add(head.voters.size());
+      voterSetSizes.add(voterSet.voters.size());
     }
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/ControlPlaneCountersTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ControlPlaneCountersTest.java
@@ -8,16 +8,16 @@
 
 class ControlPlaneCountersTest {
   private final Counters counters = new Counters();
-  private final ControlPlaneCounters own = new ControlPlaneCounters(counters);
+  private final ControlPlaneCounters controlPlaneCounters = new ControlPlaneCounters(counters);
 
   @Test
   void countsChangesByOutcome() {
-    own.countChange(200);
+    controlPlaneCounters.countChange(200);
     for (int status : new int[] {400, 412, 503}) {
-      own.countChange(status);
+      controlPlaneCounters.countChange(status);
     }
-    own.countChange(504);
-    own.countChange(504);
+    controlPlaneCounters.countChange(504);
+    controlPlaneCounters.countChange(504);
     assertThat(counters.counter("control_orders_acknowledged").value(), is(1L));
     assertThat(counters.counter("control_orders_refused").value(), is(3L));
     assertThat(counters.counter("control_orders_unclear").value(), is(2L));
--- a/controlplane/src/test/java/elmsail/controlplane/ControlPlaneNodeTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ControlPlaneNodeTest.java
@@ -17,15 +17,15 @@
   private final SimulatedCluster cluster = new SimulatedCluster(7, 3);
 
   private void startControlPlane() {
-    cluster.controlPlane("n1", true);
-    cluster.controlPlane("n2", true);
-    cluster.controlPlane("n3", true);
+    cluster.startControlPlane("n1", true);
+    cluster.startControlPlane("n2", true);
+    cluster.startControlPlane("n3", true);
   }
 
   private void startControlPlaneAndStores(int stores) {
     startControlPlane();
     for (int i = 1; i <= stores; i++) {
-      cluster.store("v" + i, true);
+      cluster.startStore("v" + i, true);
     }
   }
 
@@ -40,7 +40,7 @@
   @Test
   void configIsCommittedSoonAfterStartAndReachesGateways() {
     startControlPlane();
-    cluster.gateway("c1");
+    cluster.startGateway("c1");
     assertThat(cluster.replaceAnywhere(0, 3), is(200));
     assertThat(cluster.timers.now(), lessThan(3_500L));
     assertThat(
@@ -59,11 +59,11 @@
       SimulatedCluster other = new SimulatedCluster(order, 3);
       int first = order % 3 + 1;
       int second = order < 3 ? first % 3 + 1 : (first + 1) % 3 + 1;
-      other.controlPlane("n" + first, true);
+      other.startControlPlane("n" + first, true);
       other.timers.advance(100);
-      other.controlPlane("n" + second, true);
+      other.startControlPlane("n" + second, true);
       other.timers.advance(200);
-      other.controlPlane("n" + (6 - first - second), true);
+      other.startControlPlane("n" + (6 - first - second), true);
       assertThat("order " + order, other.replaceAnywhere(0, 3), is(200));
     }
   }
@@ -71,7 +71,7 @@
   @Test
   void singleSeedBootstrapsAlone() {
     SimulatedCluster other = new SimulatedCluster(1, 1);
-    other.controlPlane("n1", true);
+    other.startControlPlane("n1", true);
     assertThat(other.replaceAnywhere(0, 3), is(200));
     assertThat(other.read("n1"), equalTo(SimulatedCluster.config(3)));
   }
@@ -106,8 +106,8 @@
     cluster.kill("n3");
     assertThat(cluster.replace("n1", 1, 2), anyOf(is(503), is(504)));
     assertThat(cluster.read("n1"), equalTo("503"));
-    cluster.controlPlane("n2", false);
-    cluster.controlPlane("n3", false);
+    cluster.startControlPlane("n2", false);
+    cluster.startControlPlane("n3", false);
     assertThat(cluster.replaceAnywhere(1, 2), is(200));
     assertThat(cluster.read("n2"), equalTo(SimulatedCluster.config(2)));
   }
@@ -119,12 +119,12 @@
     for (int i = 1; i <= 3; i++) {
       cluster.kill("n" + i);
     }
-    cluster.controlPlane("n1", false);
-    cluster.gateway("c1");
+    cluster.startControlPlane("n1", false);
+    cluster.startGateway("c1");
     cluster.timers.advance(3_000);
     assertThat(cluster.gateways.get("c1").view().controlPlaneVoters.voters.isEmpty(), is(true));
     assertThat(cluster.gateways.get("c1").config() == null, is(true));
-    cluster.controlPlane("n2", false);
+    cluster.startControlPlane("n2", false);
     assertThat(
         cluster.awaitWithin(2_000, () -> cluster.gateways.get("c1").config() != null), is(true));
   }
@@ -132,7 +132,7 @@
   @Test
   void partitionedNodeRejectsChangesAndCatchesUpAfterHeal() {
     startControlPlane();
-    cluster.gateway("c1");
+    cluster.startGateway("c1");
     assertThat(cluster.replaceAnywhere(0, 1), is(200));
     cluster.timers.advance(1_000);
     cluster.net.cutBoth(cluster.address("n1"), cluster.address("n2"));
@@ -160,12 +160,12 @@
       cluster.disks.get("n" + i).powerLoss();
     }
     for (int i = 1; i <= 3; i++) {
-      cluster.controlPlane("n" + i, false);
+      cluster.startControlPlane("n" + i, false);
     }
     assertThat(
         cluster.awaitWithin(3_000, () -> cluster.read("n1").equals(SimulatedCluster.config(5))),
         is(true));
-    cluster.gateway("c1");
+    cluster.startGateway("c1");
     assertThat(
         cluster.awaitWithin(1_000, () -> cluster.gateways.get("c1").config() != null), is(true));
   }
@@ -178,7 +178,7 @@
       String name = "n" + i;
       cluster.wipe(name);
       cluster.timers.advance(500);
-      cluster.controlPlane(name, false);
+      cluster.startControlPlane(name, false);
       cluster.timers.advance(5_000);
       assertThat("after " + name, cluster.read(name), equalTo(SimulatedCluster.config(1)));
     }
@@ -188,20 +188,20 @@
   @Test
   void disklessNodeProposesChangesAndRedirectsDecommissioning() {
     startControlPlane();
-    cluster.controlPlane("n4", true, false);
+    cluster.startControlPlane("n4", true, false);
     assertThat(cluster.replaceAnywhere(0, 1), is(200));
     assertThat(cluster.awaitWithin(2_000, () -> cluster.replace("n4", 1, 2) == 200), is(true));
     assertThat(cluster.read("n4"), equalTo(SimulatedCluster.config(2)));
-    CompletableFuture<SimpleHttpResponse> sentOn =
+    CompletableFuture<SimpleHttpResponse> redirect =
         cluster.call("n4", "GET", "/Retire.Read/v1", null, "");
-    assertThat(cluster.status(sentOn), is(307));
-    assertThat(sentOn.join().headers().get("location"), containsString(":8166/Retire.Read/v1"));
+    assertThat(cluster.status(redirect), is(307));
+    assertThat(redirect.join().headers().get("location"), containsString(":8166/Retire.Read/v1"));
   }
 
   @Test
   void serverListIsPolledByOneNodeAndReachesGateways() {
     startControlPlane();
-    cluster.gateway("c1");
+    cluster.startGateway("c1");
     cluster.platformReply =
         "{\"servers\":[{\"postal_line\":\"p\",\"address\":\"10.8.0.1:80\",\"zone\":\"z1\","
             + "\"edition\":\"v1\",\"berths\":4,\"state\":\"open_for_post\","
@@ -225,7 +225,7 @@
   @Test
   void anotherNodePollsPlatformAfterLeaseHolderIsLost() {
     startControlPlane();
-    cluster.gateway("c1");
+    cluster.startGateway("c1");
     cluster.timers.advance(3_000);
     cluster.net.kill(cluster.address("n1"), false);
     cluster.timers.advance(5_000);
@@ -246,10 +246,10 @@
       cluster.kill("v" + i);
     }
     for (int i = 1; i <= 3; i++) {
-      cluster.controlPlane("n" + i, false);
+      cluster.startControlPlane("n" + i, false);
     }
     for (int i = 1; i <= 4; i++) {
-      cluster.store("v" + i, false);
+      cluster.startStore("v" + i, false);
     }
     cluster.timers.advance(6_000);
     assertThat(cluster.describeJobStoreVoters("v1"), equalTo("v1/1 v2/1 v3/1"));
@@ -275,7 +275,7 @@
         cluster.awaitWithin(
             6_000, () -> cluster.describeJobStoreVoters("v1").equals("v1/1 v4/2 v3/1")),
         is(true));
-    cluster.store("v2", false);
+    cluster.startStore("v2", false);
     cluster.timers.advance(4_000);
     assertThat(cluster.describeJobStoreVoters("v1"), equalTo("v1/1 v4/2 v3/1"));
     assertThat(cluster.stores.get("v2").replica().isVoting(), is(false));
@@ -286,7 +286,7 @@
     startUntilStoresAreVoters(3);
     cluster.timers.advance(1_000);
     cluster.wipe("v2");
-    cluster.store("v2", false);
+    cluster.startStore("v2", false);
     assertThat(
         cluster.awaitWithin(
             3_000, () -> cluster.describeJobStoreVoters("v1").equals("v1/1 v2/2 v3/1")),
--- a/controlplane/src/test/java/elmsail/controlplane/ControlPlanePartitionTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ControlPlanePartitionTest.java
@@ -24,24 +24,24 @@
  * meanwhile stands once it is back.
  */
 class ControlPlanePartitionTest extends PartitionTestBase {
-  private static final long IN_FORCE_MS = 2_000;
+  private static final long MAX_PROPAGATION_MS = 2_000;
 
   /** A gateway that reaches only n1. */
-  private void gatewayAtN1(String name) {
+  private void startGatewayReachingOnlyN1(String name) {
     cluster.net.cutBoth(cluster.address(name), cluster.address("n2"));
     cluster.net.cutBoth(cluster.address(name), cluster.address("n3"));
-    cluster.gateway(name);
+    cluster.startGateway(name);
   }
 
   @ParameterizedTest
   @EnumSource
-  void startingGatewayDoesNotGetAnOldConfig(Partition cut) {
+  void startingGatewayDoesNotReceiveAnOutdatedConfig(Partition partition) {
     startControlPlane();
-    cut.begin(cluster);
+    partition.begin(cluster);
     assertThat(cluster.replace("n2", 1, 3), is(200));
     cluster.timers.advance(CONTACT_MAX_AGE_MS);
-    gatewayAtN1("c1");
-    long end = cluster.timers.now() + CUT_MS;
+    startGatewayReachingOnlyN1("c1");
+    long end = cluster.timers.now() + PARTITION_MS;
     while (cluster.timers.now() < end) {
       cluster.timers.advance(50);
       assertThat(cluster.gateways.get("c1").config(), nullValue());
@@ -51,22 +51,24 @@
     }
     long healedAt = cluster.timers.now();
     assertThat(
-        cluster.awaitWithin(IN_FORCE_MS, () -> cluster.gateways.get("c1").config() != null),
+        cluster.awaitWithin(MAX_PROPAGATION_MS, () -> cluster.gateways.get("c1").config() != null),
         is(true));
     assertThat(cluster.gateways.get("c1").config().version(), is(3L));
-    System.out.println(cut + ": configuration " + (cluster.timers.now() - healedAt) + " ms after");
+    System.out.println(
+        partition + ": configuration " + (cluster.timers.now() - healedAt) + " ms after");
   }
 
   @Test
   void runningGatewayKeepsItsConfigAndFollowsOtherNodes() {
     startControlPlane();
-    cluster.gateway("c1");
-    gatewayAtN1("c2");
+    cluster.startGateway("c1");
+    startGatewayReachingOnlyN1("c2");
     cluster.timers.advance(1_000);
     Partition.BOTH_WAYS.begin(cluster);
     assertThat(cluster.replace("n2", 1, 3), is(200));
     assertThat(
-        cluster.awaitWithin(IN_FORCE_MS, () -> cluster.gateways.get("c1").config().version() == 3),
+        cluster.awaitWithin(
+            MAX_PROPAGATION_MS, () -> cluster.gateways.get("c1").config().version() == 3),
         is(true));
     for (int i = 0; i < 200; i++) {
       cluster.timers.advance(100);
@@ -78,78 +80,79 @@
   @Test
   void pendingPullFailsOnceContactHasLapsed() {
     startControlPlane();
-    pull(request("gateway", "c9"), 1_000);
+    pull(pullRequest("gateway", "c9"), 1_000);
     cluster.timers.advance(500);
-    CompletableFuture<PullResponse> first = pull(request("gateway", "c9"), 1_000);
+    CompletableFuture<PullResponse> first = pull(pullRequest("gateway", "c9"), 1_000);
     assertThat(cluster.awaitWithin(1_000, first::isDone), is(true));
-    PullRequest held = request("gateway", "c9");
-    held.configVersion = first.join().configVersion;
-    held.serverListEpoch = Long.MAX_VALUE;
-    held.viewVersion = first.join().viewVersion;
-    held.maxWaitMs = 5_000;
-    CompletableFuture<PullResponse> answer = pull(held, 30_000);
+    PullRequest longPoll = pullRequest("gateway", "c9");
+    longPoll.configVersion = first.join().configVersion;
+    longPoll.serverListEpoch = Long.MAX_VALUE;
+    longPoll.viewVersion = first.join().viewVersion;
+    longPoll.maxWaitMs = 5_000;
+    CompletableFuture<PullResponse> response = pull(longPoll, 30_000);
     cluster.timers.advance(100);
-    assertThat(answer.isDone(), is(false));
+    assertThat(response.isDone(), is(false));
     Partition.BOTH_WAYS.begin(cluster);
     cluster.timers.advance(6_000);
-    assertThat(answer.isDone(), is(true));
-    assertThat(failed(answer), is(true));
+    assertThat(response.isDone(), is(true));
+    assertThat(hasFailed(response), is(true));
   }
 
   /** At any moment of a read's period, so that some freezes come upon a read under way. */
   @Test
-  void nothingFromBeforeAFreezeIsPublishedAfterIt() {
-    for (int early = 0; early < 300; early += 4) {
-      newCluster(early);
+  void thawedNodePublishesNoOutdatedConfig() {
+    for (int offsetMs = 0; offsetMs < 300; offsetMs += 4) {
+      newCluster(offsetMs);
       startControlPlane();
-      cluster.timers.advance(early);
-      frozenAndThawed();
+      cluster.timers.advance(offsetMs);
+      freezeThawAndPull();
     }
   }
 
-  private void frozenAndThawed() {
+  private void freezeThawAndPull() {
     cluster.net.freeze(cluster.address("n1"));
     cluster.timers.advance(10);
-    CompletableFuture<PullResponse> early = pull(request("gateway", "c9"), 60_000);
+    CompletableFuture<PullResponse> pullDuringFreeze = pull(pullRequest("gateway", "c9"), 60_000);
     cluster.timers.advance(10);
     assertThat(cluster.replace("n2", 1, 3), is(200));
-    cluster.timers.advance(CUT_MS);
+    cluster.timers.advance(PARTITION_MS);
     cluster.net.thaw(cluster.address("n1"));
     cluster.timers.advance(0);
     for (int ms = 0; ms < 100; ms++) {
-      CompletableFuture<PullResponse> one = pull(request("gateway", "c8"), 1_000);
+      CompletableFuture<PullResponse> pullAfterThaw = pull(pullRequest("gateway", "c8"), 1_000);
       cluster.timers.advance(1);
-      assertNothingOlderThan(3, early);
-      assertNothingOlderThan(3, one);
+      assertNoConfigOlderThan(3, pullDuringFreeze);
+      assertNoConfigOlderThan(3, pullAfterThaw);
     }
-    CompletableFuture<PullResponse> later = pull(request("gateway", "c9"), 1_000);
-    assertThat(cluster.awaitWithin(1_000, later::isDone), is(true));
-    assertThat(later.join().configVersion, is(3L));
+    CompletableFuture<PullResponse> laterPull = pull(pullRequest("gateway", "c9"), 1_000);
+    assertThat(cluster.awaitWithin(1_000, laterPull::isDone), is(true));
+    assertThat(laterPull.join().configVersion, is(3L));
   }
 
-  private static void assertNothingOlderThan(long edition, CompletableFuture<PullResponse> answer) {
-    if (answer.isDone() && !failed(answer) && answer.join().config != null) {
-      assertThat(answer.join().configVersion, greaterThanOrEqualTo(edition));
+  private static void assertNoConfigOlderThan(
+      long minVersion, CompletableFuture<PullResponse> response) {
+    if (response.isDone() && !hasFailed(response) && response.join().config != null) {
+      assertThat(response.join().configVersion, greaterThanOrEqualTo(minVersion));
     }
   }
 
   @Test
-  void frozenGatewayDoesNotTakeAnOldListForAFreshOne() {
+  void thawedGatewayReportsItsServerListAsOutdated() {
     startControlPlane();
     cluster.platformReply =
         "{\"servers\":[{\"postal_line\":\"p\",\"address\":\"10.8.0.1:80\",\"zone\":\"z1\","
             + "\"edition\":\"v1\",\"berths\":4,\"state\":\"open_for_post\",\"cold_left_ms\":0,"
             + "\"id\":\"i-1\"}],\"next_token\":null}";
-    cluster.gateway("c1");
+    cluster.startGateway("c1");
     assertThat(
         cluster.awaitWithin(3_000, () -> cluster.gateways.get("c1").servers().size() == 1),
         is(true));
     cluster.timers.advance(100);
     cluster.net.freeze(cluster.address("c1"));
-    cluster.timers.advance(CUT_MS);
+    cluster.timers.advance(PARTITION_MS);
     cluster.net.thaw(cluster.address("c1"));
     cluster.timers.advance(0);
-    assertThat(cluster.gateways.get("c1").serverListAgeMs(), greaterThanOrEqualTo(CUT_MS));
+    assertThat(cluster.gateways.get("c1").serverListAgeMs(), greaterThanOrEqualTo(PARTITION_MS));
     assertThat(
         cluster.awaitWithin(700, () -> cluster.gateways.get("c1").serverListAgeMs() < 2_500),
         is(true));
@@ -169,30 +172,37 @@
   }
 
   @Test
-  void changesRacingAtTheHealHaveOneWinner() {
-    for (int early = 0; early <= 800; early += 100) {
-      SimulatedCluster other = new SimulatedCluster(early, 3);
+  void changesRacingWithTheHealHaveOneWinner() {
+    for (int sentBeforeHealMs = 0; sentBeforeHealMs <= 800; sentBeforeHealMs += 100) {
+      SimulatedCluster other = new SimulatedCluster(sentBeforeHealMs, 3);
       for (int i = 1; i <= 3; i++) {
-        other.controlPlane("n" + i, true);
+        other.startControlPlane("n" + i, true);
       }
       assertThat(other.replaceAnywhere(0, 1), is(200));
       Partition.BOTH_WAYS.begin(other);
-      other.timers.advance(CUT_MS);
-      CompletableFuture<SimpleHttpResponse> waiting = other.sendReplace("n1", "1", 4);
-      other.timers.advance(early);
+      other.timers.advance(PARTITION_MS);
+      CompletableFuture<SimpleHttpResponse> sentBeforeHeal = other.sendReplace("n1", "1", 4);
+      other.timers.advance(sentBeforeHealMs);
       other.net.healAll();
-      CompletableFuture<SimpleHttpResponse> race = other.sendReplace("n2", "1", 3);
-      CompletableFuture<SimpleHttpResponse> late = other.sendReplace("n1", "1", 6);
-      int waited = other.status(waiting);
-      int raced = other.status(race);
-      int came = other.status(late);
-      int taken = (waited == 200 ? 1 : 0) + (raced == 200 ? 1 : 0) + (came == 200 ? 1 : 0);
-      assertThat(waited + " " + raced + " " + came, taken, lessThanOrEqualTo(1));
-      if (taken == 1) {
-        long winner = waited == 200 ? 4 : raced == 200 ? 3 : 6;
+      CompletableFuture<SimpleHttpResponse> sentToMajority = other.sendReplace("n2", "1", 3);
+      CompletableFuture<SimpleHttpResponse> sentAfterHeal = other.sendReplace("n1", "1", 6);
+      int statusBeforeHeal = other.status(sentBeforeHeal);
+      int statusAtMajority = other.status(sentToMajority);
+      int statusAfterHeal = other.status(sentAfterHeal);
+      int committedCount =
+          (statusBeforeHeal == 200 ? 1 : 0)
+              + (statusAtMajority == 200 ? 1 : 0)
+              + (statusAfterHeal == 200 ? 1 : 0);
+      assertThat(
+          statusBeforeHeal + " " + statusAtMajority + " " + statusAfterHeal,
+          committedCount,
+          lessThanOrEqualTo(1));
+      if (committedCount == 1) {
+        long winner = statusBeforeHeal == 200 ? 4 : statusAtMajority == 200 ? 3 : 6;
         assertThat(other.read("n3"), equalTo(SimulatedCluster.config(winner)));
       }
-      assertThat(waited + " " + raced + " " + came, taken, is(1));
+      assertThat(
+          statusBeforeHeal + " " + statusAtMajority + " " + statusAfterHeal, committedCount, is(1));
     }
   }
 
@@ -205,32 +215,32 @@
     assertThat(read.isDone(), is(false));
     cluster.net.freeze(cluster.address("n1"));
     assertThat(cluster.replace("n2", 1, 3), is(200));
-    cluster.timers.advance(CUT_MS);
+    cluster.timers.advance(PARTITION_MS);
     cluster.net.thaw(cluster.address("n1"));
     assertThat(cluster.status(read), is(503));
   }
 
   @Test
-  void configIsServedSoonAfterRestartOfAllWithOneLost() {
+  void configIsServedSoonAfterAllRestartWithAtMostOneLost() {
     for (int lost = 0; lost <= 1; lost++) {
       SimulatedCluster other = new SimulatedCluster(5 + lost, 3);
       for (int i = 1; i <= 3; i++) {
-        other.controlPlane("n" + i, true);
+        other.startControlPlane("n" + i, true);
       }
       assertThat(other.replaceAnywhere(0, 1), is(200));
       for (int i = 1; i <= 3; i++) {
         other.net.kill(other.address("n" + i), false);
       }
       other.timers.advance(2_000);
-      long begun = other.timers.now();
+      long restartedAtMs = other.timers.now();
       for (int i = 1; i <= 3 - lost; i++) {
-        other.controlPlane("n" + i, false);
+        other.startControlPlane("n" + i, false);
       }
-      other.gateway("c1");
+      other.startGateway("c1");
       assertThat(
           other.awaitWithin(1_000, () -> other.gateways.get("c1").config() != null), is(true));
       System.out.println(
-          lost + " lost: configuration " + (other.timers.now() - begun) + " ms after");
+          lost + " lost: configuration " + (other.timers.now() - restartedAtMs) + " ms after");
     }
   }
 
@@ -239,24 +249,24 @@
     startControlPlane();
     cluster.net.kill(cluster.address("n3"), false);
     cluster.net.loss(0.02);
-    int refused = 0;
+    int refusedPulls = 0;
     for (int i = 0; i < 600; i++) {
-      PullRequest request = request("gateway", "c9");
+      PullRequest request = pullRequest("gateway", "c9");
       request.maxWaitMs = 0;
-      CompletableFuture<PullResponse> answer = pull(request, 1_000);
-      cluster.net.loss(PROBE, cluster.address("n1"), 0);
-      cluster.net.loss(cluster.address("n1"), PROBE, 0);
+      CompletableFuture<PullResponse> response = pull(request, 1_000);
+      cluster.net.loss(PROBE_ADDRESS, cluster.address("n1"), 0);
+      cluster.net.loss(cluster.address("n1"), PROBE_ADDRESS, 0);
       cluster.timers.advance(100);
-      refused += answer.isDone() && !failed(answer) ? 0 : 1;
+      refusedPulls += response.isDone() && !hasFailed(response) ? 0 : 1;
     }
-    System.out.println("pulls refused with one voter lost and 2 % of messages: " + refused);
-    assertThat(refused, lessThan(6));
+    System.out.println("pulls refused with one voter lost and 2 % of messages: " + refusedPulls);
+    assertThat(refusedPulls, lessThan(6));
   }
 
   @Test
   void partitionedNonVoterPublishesNothing() {
     startControlPlane();
-    cluster.controlPlane("n4", true, false);
+    cluster.startControlPlane("n4", true, false);
     cluster.timers.advance(2_000);
     for (int i = 1; i <= 3; i++) {
       cluster.net.cutBoth(cluster.address("n4"), cluster.address("n" + i));
@@ -264,14 +274,14 @@
     }
     assertThat(cluster.replace("n2", 1, 3), is(200));
     cluster.timers.advance(CONTACT_MAX_AGE_MS);
-    SimNode asker = cluster.net.startNode(PROBE);
+    SimNode puller = cluster.net.startNode(PROBE_ADDRESS);
     for (int i = 0; i < 20; i++) {
-      CompletableFuture<PullResponse> answer =
-          asker
+      CompletableFuture<PullResponse> response =
+          puller
               .rpcClient()
-              .call(cluster.address("n4"), request("gateway", "c9"), PullResponse.class, 900);
+              .call(cluster.address("n4"), pullRequest("gateway", "c9"), PullResponse.class, 900);
       cluster.timers.advance(1_000);
-      assertThat(failed(answer), is(true));
+      assertThat(hasFailed(response), is(true));
       assertThat(cluster.read("n4"), equalTo("503"));
       assertThat(cluster.replace("n4", 1, 4), anyOf(is(503), is(504)));
     }
@@ -285,7 +295,7 @@
         "{\"servers\":[{\"postal_line\":\"p\",\"address\":\"10.8.0.1:80\",\"zone\":\"z1\","
             + "\"edition\":\"v1\",\"berths\":4,\"state\":\"open_for_post\",\"cold_left_ms\":0,"
             + "\"id\":\"i-1\"}],\"next_token\":null}";
-    cluster.gatewayWithPlatform("c1");
+    cluster.startGatewayWithPlatform("c1");
     assertThat(
         cluster.awaitWithin(3_000, () -> cluster.gateways.get("c1").servers().size() == 1),
         is(true));
@@ -296,13 +306,13 @@
     assertThat(
         cluster.awaitWithin(4_000, () -> cluster.gateways.get("c1").servers().get(0).draining()),
         is(true));
-    long oldest = 0;
-    for (int ms = 0; ms < CUT_MS; ms += 50) {
+    long maxListAgeMs = 0;
+    for (int ms = 0; ms < PARTITION_MS; ms += 50) {
       cluster.timers.advance(50);
-      oldest = Math.max(oldest, cluster.gateways.get("c1").serverListAgeMs());
+      maxListAgeMs = Math.max(maxListAgeMs, cluster.gateways.get("c1").serverListAgeMs());
       assertThat(cluster.gateways.get("c1").config().version(), is(1L));
     }
-    System.out.println("no majority anywhere: the list is " + oldest + " ms old at most");
-    assertThat(oldest, lessThan(4_000L));
+    System.out.println("no majority anywhere: the list is " + maxListAgeMs + " ms old at most");
+    assertThat(maxListAgeMs, lessThan(4_000L));
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/ControlPlaneTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ControlPlaneTest.java
@@ -33,21 +33,22 @@
 class ControlPlaneTest {
   @TempDir Path dir;
 
-  private final List<HeldPort> held = new ArrayList<>();
+  private final List<HeldPort> heldPorts = new ArrayList<>();
 
   @BeforeEach
   void holdPorts() throws IOException {
-    held.addAll(HeldPort.consecutive(4));
+    heldPorts.addAll(HeldPort.consecutive(4));
   }
 
   @AfterEach
   void releasePorts() throws IOException {
-    for (HeldPort port : held) {
+    for (HeldPort port : heldPorts) {
       port.close();
     }
   }
 
-  private static Settings settings(Path dir, boolean firstStart, int controlPort, int innerPort) {
+  private static Settings settings(
+      Path dir, boolean firstStart, int controlPort, int lastInternalPort) {
     String control = "127.0.0.1:" + controlPort;
     return new Settings(
         "n1",
@@ -59,8 +60,8 @@
         "r",
         Map.of(),
         Map.of("control", control),
-        innerPort - 1,
-        innerPort,
+        lastInternalPort - 1,
+        lastInternalPort,
         List.of(control),
         firstStart,
         true,
@@ -95,10 +96,10 @@
   }
 
   private interface Calls {
-    void to(String control) throws IOException;
+    void sendTo(String control) throws IOException;
   }
 
-  private static void running(Settings settings, Calls calls) throws Exception {
+  private static void runServer(Settings settings, Calls calls) throws Exception {
     NettyEventLoop loop = new NettyEventLoop();
     RpcEndpoint rpc = new RpcEndpoint(loop.eventLoop(), loop, settings.rpcAddress());
     DirectoryRecordStore records =
@@ -121,7 +122,7 @@
                     }));
     try {
       ControlPlaneServer controlPlane = started.get(10, TimeUnit.SECONDS);
-      calls.to(settings.listenAddresses().get("control"));
+      calls.sendTo(settings.listenAddresses().get("control"));
       CompletableFuture<Void> ended = new CompletableFuture<>();
       loop.execute(() -> controlPlane.shutdown().thenRun(() -> ended.complete(null)));
       ended.get(1, TimeUnit.SECONDS);
@@ -135,28 +136,28 @@
   @Test
   @Timeout(60)
   void committedConfigSurvivesRestart() throws Exception {
-    int controlPort = held.get(0).port();
-    int inner = held.get(2).port();
-    running(
-        settings(dir, true, controlPort, inner),
+    int controlPort = heldPorts.get(0).port();
+    int lastInternalPort = heldPorts.get(2).port();
+    runServer(
+        settings(dir, true, controlPort, lastInternalPort),
         control -> {
           assertThat(call(control, "GET", "/Nothing", null), equalTo("404"));
           // The voter slot is founded within some hundred ms; each call waits for it for up to 0.9
           // s.
-          String taken = call(control, "POST", "/Timetable.Replace", SimulatedCluster.config(4));
-          for (int i = 0; i < 5 && !taken.equals("{}"); i++) {
-            taken = call(control, "POST", "/Timetable.Replace", SimulatedCluster.config(4));
+          String reply = call(control, "POST", "/Timetable.Replace", SimulatedCluster.config(4));
+          for (int i = 0; i < 5 && !reply.equals("{}"); i++) {
+            reply = call(control, "POST", "/Timetable.Replace", SimulatedCluster.config(4));
           }
-          assertThat(taken, is("{}"));
+          assertThat(reply, is("{}"));
           assertThat(
               call(control, "GET", "/Timetable.Read", null), equalTo(SimulatedCluster.config(4)));
-          String figures = call(control, "GET", "/metrics", null);
-          assertThat(figures, containsString("elmsail_control_orders_acknowledged 1\n"));
-          assertThat(figures, containsString("elmsail_replica_voting 1\n"));
+          String metrics = call(control, "GET", "/metrics", null);
+          assertThat(metrics, containsString("elmsail_control_orders_acknowledged 1\n"));
+          assertThat(metrics, containsString("elmsail_replica_voting 1\n"));
           assertThat(call(control, "POST", "/metrics", ""), equalTo("405"));
         });
-    running(
-        settings(dir, false, controlPort, inner),
+    runServer(
+        settings(dir, false, controlPort, lastInternalPort),
         control -> {
           assertThat(
               call(control, "GET", "/Timetable.Read", null), equalTo(SimulatedCluster.config(4)));
@@ -168,7 +169,7 @@
   @Test
   @Timeout(60)
   void storeServesMetricsAtItsThirdInternalPort() throws Exception {
-    Settings settings = settings(dir, true, held.get(0).port(), held.get(2).port());
+    Settings settings = settings(dir, true, heldPorts.get(0).port(), heldPorts.get(2).port());
     NettyEventLoop loop = new NettyEventLoop();
     RpcEndpoint rpc = new RpcEndpoint(loop.eventLoop(), loop, "127.0.0.1:0");
     DirectoryRecordStore records =
@@ -180,9 +181,9 @@
                 .thenAccept(started::complete));
     try {
       StoreServer store = started.get(10, TimeUnit.SECONDS);
-      String figures = call(settings.metricsAddress(), "GET", "/metrics", null);
-      assertThat(figures, containsString("elmsail_replica_voting 0\n"));
-      assertThat(figures, containsString("elmsail_store_batch_jobs_kept 0\n"));
+      String metrics = call(settings.metricsAddress(), "GET", "/metrics", null);
+      assertThat(metrics, containsString("elmsail_replica_voting 0\n"));
+      assertThat(metrics, containsString("elmsail_store_batch_jobs_kept 0\n"));
       assertThat(call(settings.metricsAddress(), "GET", "/ready", null), equalTo("404"));
       CompletableFuture<Void> ended = new CompletableFuture<>();
       loop.execute(() -> store.shutdown().thenRun(() -> ended.complete(null)));
--- a/controlplane/src/test/java/elmsail/controlplane/ControlPlaneVoterReplacementTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ControlPlaneVoterReplacementTest.java
@@ -15,30 +15,30 @@
   private static final long CATCH_UP_MS = 4_800 - 900;
 
   /** Losses of power shorter than this move nobody. */
-  private static final long SHORT_LOSS_MS = 2_500;
+  private static final long SHORT_OUTAGE_MS = 2_500;
 
   private SimulatedCluster cluster;
 
-  private void startVoters(int bear, int nodes, int voters) {
-    cluster = new SimulatedCluster(11, 3, bear);
-    for (int i = 1; i <= nodes; i++) {
-      cluster.controlPlane("n" + i, true);
+  private void startVoters(int toleratedLosses, int nodeCount, int voterCount) {
+    cluster = new SimulatedCluster(11, 3, toleratedLosses);
+    for (int i = 1; i <= nodeCount; i++) {
+      cluster.startControlPlane("n" + i, true);
     }
     assertThat(cluster.awaitWithin(2_000, () -> cluster.allControlPlaneVotersVote("n1")), is(true));
-    assertThat(cluster.controlPlaneVoters("n1").voters.size(), is(voters));
+    assertThat(cluster.controlPlaneVoters("n1").voters.size(), is(voterCount));
     assertThat(cluster.replaceAnywhere(0, 1), is(200));
   }
 
-  private String holders(String name) {
-    StringBuilder holders = new StringBuilder();
+  private String describeVoters(String name) {
+    StringBuilder voters = new StringBuilder();
     for (Voter voter : cluster.controlPlaneVoters(name).voters) {
-      holders.append(holders.isEmpty() ? "" : " ").append(voter.machine).append('/');
-      holders.append(voter.epoch);
+      voters.append(voters.isEmpty() ? "" : " ").append(voter.machine).append('/');
+      voters.append(voter.epoch);
     }
-    return holders.toString();
+    return voters.toString();
   }
 
-  private void loseForGood(String name) {
+  private void losePermanently(String name) {
     cluster.net.kill(cluster.address(name), false);
     cluster.controlPlaneNodes.remove(name);
   }
@@ -46,30 +46,30 @@
   /** An empty machine at another address follows, at once or later, whoever holds the lease. */
   @Test
   void lostVoterIsReplacedAndTheNextLossIsTolerated() {
-    for (int gone = 1; gone <= 3; gone++) {
-      for (long later : new long[] {0, 2_000, 8_000}) {
+    for (int lost = 1; lost <= 3; lost++) {
+      for (long delayMs : new long[] {0, 2_000, 8_000}) {
         startVoters(1, 3, 3);
-        String about = "n" + gone + ", " + later;
-        loseForGood("n" + gone);
-        cluster.timers.advance(later);
-        long start = cluster.timers.now();
-        cluster.controlPlane("n4", false);
-        String asked = gone == 1 ? "n2" : "n1";
+        String scenario = "n" + lost + ", " + delayMs;
+        losePermanently("n" + lost);
+        cluster.timers.advance(delayMs);
+        long startedAtMs = cluster.timers.now();
+        cluster.startControlPlane("n4", false);
+        String observer = lost == 1 ? "n2" : "n1";
         assertThat(
-            about,
-            cluster.awaitWithin(CATCH_UP_MS, () -> cluster.allControlPlaneVotersVote(asked)),
+            scenario,
+            cluster.awaitWithin(CATCH_UP_MS, () -> cluster.allControlPlaneVotersVote(observer)),
             is(true));
-        long whole = cluster.timers.now() - start;
-        System.out.println("replaced " + about + " ms later: whole after " + whole + " ms");
-        cluster.timers.advance(CATCH_UP_MS - whole);
+        long repairMs = cluster.timers.now() - startedAtMs;
+        System.out.println("replaced " + scenario + " ms later: whole after " + repairMs + " ms");
+        cluster.timers.advance(CATCH_UP_MS - repairMs);
         // The oldest goes first: what was acknowledged before it joined is at the successor.
-        String oldest = gone == 1 ? "n2" : "n1";
-        loseForGood(oldest);
+        String oldest = lost == 1 ? "n2" : "n1";
+        losePermanently(oldest);
         assertThat(
-            about,
+            scenario,
             cluster.awaitWithin(4_000, () -> cluster.read("n4").equals(SimulatedCluster.config(1))),
             is(true));
-        assertThat(about, cluster.replace("n4", 1, 5), is(200));
+        assertThat(scenario, cluster.replace("n4", 1, 5), is(200));
       }
     }
   }
@@ -77,13 +77,13 @@
   @Test
   void shortPowerLossMovesNoSlot() {
     startVoters(2, 6, 5);
-    String before = holders("n1");
+    String before = describeVoters("n1");
     cluster.net.kill(cluster.address("n2"), false);
     cluster.disks.get("n2").powerLoss();
-    cluster.timers.advance(SHORT_LOSS_MS);
-    cluster.controlPlane("n2", false);
+    cluster.timers.advance(SHORT_OUTAGE_MS);
+    cluster.startControlPlane("n2", false);
     cluster.timers.advance(5_000);
-    assertThat(holders("n1"), equalTo(before));
+    assertThat(describeVoters("n1"), equalTo(before));
     assertThat(cluster.allControlPlaneVotersVote("n1"), is(true));
   }
 
@@ -92,7 +92,7 @@
   void returningVoterIsASpareAndTakesOverTheNextSlot() {
     startVoters(1, 4, 3);
     cluster.net.isolate(cluster.address("n1"));
-    assertThat(cluster.awaitWithin(8_000, () -> holders("n2").contains("n4")), is(true));
+    assertThat(cluster.awaitWithin(8_000, () -> describeVoters("n2").contains("n4")), is(true));
     assertThat(cluster.awaitWithin(2_000, () -> cluster.allControlPlaneVotersVote("n2")), is(true));
     assertThat(cluster.replace("n2", 1, 2), is(200));
     assertThat(cluster.replace("n1", 1, 3) == 200, is(false));
@@ -100,11 +100,13 @@
     assertThat(
         cluster.awaitWithin(3_000, () -> !cluster.controlPlaneNodes.get("n1").voters().isVoting()),
         is(true));
-    assertThat(cluster.awaitWithin(3_000, () -> holders("n1").equals(holders("n2"))), is(true));
-    loseForGood("n2");
-    assertThat(cluster.awaitWithin(8_000, () -> holders("n3").contains("n1")), is(true));
+    assertThat(
+        cluster.awaitWithin(3_000, () -> describeVoters("n1").equals(describeVoters("n2"))),
+        is(true));
+    losePermanently("n2");
+    assertThat(cluster.awaitWithin(8_000, () -> describeVoters("n3").contains("n1")), is(true));
     assertThat(cluster.awaitWithin(2_000, () -> cluster.allControlPlaneVotersVote("n3")), is(true));
-    loseForGood("n3");
+    losePermanently("n3");
     assertThat(
         cluster.awaitWithin(4_000, () -> cluster.read("n1").equals(SimulatedCluster.config(2))),
         is(true));
@@ -112,24 +114,25 @@
 
   /** Two at once, then two more, oldest first, then all lose power: nothing is lost. */
   @Test
-  void lossesRightAfterRepairsLoseNothing() {
+  void repeatedLossesRightAfterRepairsLoseNoConfig() {
     startVoters(2, 6, 5);
     int version = 1;
-    int next = 7;
+    int nextNode = 7;
     for (int round = 0; round < 3; round++) {
-      String first = cluster.controlPlaneVoters("n" + (next - 1)).voters.get(0).machine;
-      String second = cluster.controlPlaneVoters("n" + (next - 1)).voters.get(1).machine;
-      loseForGood(first);
-      loseForGood(second);
-      cluster.controlPlane("n" + next++, false);
-      cluster.controlPlane("n" + next++, false);
-      String asked = "n" + (next - 1);
+      String first = cluster.controlPlaneVoters("n" + (nextNode - 1)).voters.get(0).machine;
+      String second = cluster.controlPlaneVoters("n" + (nextNode - 1)).voters.get(1).machine;
+      losePermanently(first);
+      losePermanently(second);
+      cluster.startControlPlane("n" + nextNode++, false);
+      cluster.startControlPlane("n" + nextNode++, false);
+      String observer = "n" + (nextNode - 1);
       assertThat(
-          cluster.awaitWithin(2 * CATCH_UP_MS, () -> cluster.allControlPlaneVotersVote(asked)),
+          cluster.awaitWithin(2 * CATCH_UP_MS, () -> cluster.allControlPlaneVotersVote(observer)),
           is(true));
-      assertThat(cluster.awaitWithin(4_000, () -> cluster.read(asked).startsWith("{")), is(true));
-      assertThat(cluster.read(asked), equalTo(SimulatedCluster.config(version)));
-      assertThat(cluster.status(cluster.sendReplace(asked, "" + version, version + 1)), is(200));
+      assertThat(
+          cluster.awaitWithin(4_000, () -> cluster.read(observer).startsWith("{")), is(true));
+      assertThat(cluster.read(observer), equalTo(SimulatedCluster.config(version)));
+      assertThat(cluster.status(cluster.sendReplace(observer, "" + version, version + 1)), is(200));
       version++;
     }
     for (String name : cluster.controlPlaneNodes.keySet()) {
@@ -137,9 +140,9 @@
       cluster.disks.get(name).powerLoss();
     }
     for (String name : cluster.controlPlaneNodes.keySet().toArray(new String[0])) {
-      cluster.controlPlane(name, false);
+      cluster.startControlPlane(name, false);
     }
-    String last = "n" + (next - 1);
+    String last = "n" + (nextNode - 1);
     String expected = SimulatedCluster.config(version);
     assertThat(cluster.awaitWithin(6_000, () -> cluster.read(last).equals(expected)), is(true));
   }
@@ -149,13 +152,13 @@
     for (String victim : new String[] {"n1", "n2", "n3"}) {
       startVoters(1, 3, 3);
       cluster.timers.advance(2_000);
-      loseForGood(victim);
+      losePermanently(victim);
       assertThat(victim, cluster.awaitWithin(4_500, () -> degradedLeaseHolder() != null), is(true));
       RedundancyMonitor monitor = degradedLeaseHolder().controlPlaneRedundancy();
       int repairs = monitor.repairs();
       cluster.timers.advance(5_000);
       assertThat("no spare, no repair", monitor.isDegraded(), is(true));
-      cluster.controlPlane("n4", false);
+      cluster.startControlPlane("n4", false);
       assertThat(cluster.awaitWithin(CATCH_UP_MS, () -> !monitor.isDegraded()), is(true));
       assertThat(cluster.allControlPlaneVotersVote("n4"), is(true));
       assertThat(monitor.repairs(), is(repairs + 1));
@@ -166,9 +169,9 @@
 
   /** Who holds the lease and misses a voter; null if nobody does. */
   private ControlPlaneNode degradedLeaseHolder() {
-    for (ControlPlaneNode one : cluster.controlPlaneNodes.values()) {
-      if (one.controlPlaneRedundancy().isDegraded()) {
-        return one;
+    for (ControlPlaneNode node : cluster.controlPlaneNodes.values()) {
+      if (node.controlPlaneRedundancy().isDegraded()) {
+        return node;
       }
     }
     return null;
--- a/controlplane/src/test/java/elmsail/controlplane/FencedLeaseTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/FencedLeaseTest.java
@@ -45,7 +45,7 @@
     rejectedToken.clear();
     highestToken = 0;
     for (int i = 1; i <= NODES; i++) {
-      cluster.controlPlane("n" + i, true);
+      cluster.startControlPlane("n" + i, true);
       scheduleCalls("n" + i);
     }
   }
--- a/controlplane/src/test/java/elmsail/controlplane/JobRecordWriter.java
+++ b/controlplane/src/test/java/elmsail/controlplane/JobRecordWriter.java
@@ -21,22 +21,22 @@
  */
 final class JobRecordWriter {
   private static final int MAX_PENDING = 3;
-  private static final int CALL_MS = 1_500;
+  private static final int CALL_TIMEOUT_MS = 1_500;
   private static final byte[] BODY = new byte[3_000];
   private static final byte[] RECORD = {1};
 
-  private final String name;
+  private final String scenario;
   private final SimulatedCluster cluster;
   private final Random random;
   private final JobStoreClient client;
   private final Register register;
   private final Set<String> lostStores = new HashSet<>();
   private final List<Integer> written = new ArrayList<>();
-  private int next;
-  private int open;
+  private int nextJob;
+  private int pendingCalls;
 
-  JobRecordWriter(String name, SimulatedCluster cluster, Random random) {
-    this.name = name;
+  JobRecordWriter(String scenario, SimulatedCluster cluster, Random random) {
+    this.scenario = scenario;
     this.cluster = cluster;
     this.random = random;
     client = new JobStoreClient(cluster, this::votingStores);
@@ -44,12 +44,12 @@
   }
 
   /** Reads no voter set from that store any more, as it is lost for good. */
-  void forget(String store) {
+  void ignoreStore(String store) {
     lostStores.add(store);
   }
 
   /** The newest voter set of the running stores that vote. */
-  VoterSet newest() {
+  VoterSet newestVoterSet() {
     return client.current();
   }
 
@@ -72,12 +72,12 @@
 
   /** Begins a write or a read, if few are under way. */
   void step() {
-    if (open >= MAX_PENDING || newest().voters.isEmpty()) {
+    if (pendingCalls >= MAX_PENDING || newestVoterSet().voters.isEmpty()) {
       return;
     }
-    open++;
+    pendingCalls++;
     if (written.isEmpty() || random.nextBoolean()) {
-      write(next++);
+      write(nextJob++);
     } else {
       read(written.get(random.nextInt(written.size())));
     }
@@ -93,11 +93,11 @@
             found -> new Register.ProposedValue(RECORD, List.of()),
             List.of(body),
             null,
-            CALL_MS)
+            CALL_TIMEOUT_MS)
         .whenComplete(
-            (held, failed) -> {
-              open--;
-              if (failed == null) {
+            (outcome, failure) -> {
+              pendingCalls--;
+              if (failure == null) {
                 written.add(job);
               }
             });
@@ -105,31 +105,32 @@
 
   private void read(int job) {
     register
-        .read("lot/" + job, null, CALL_MS)
+        .read("lot/" + job, null, CALL_TIMEOUT_MS)
         .whenComplete(
-            (now, failed) -> {
-              open--;
-              if (failed == null && now.value() == null) {
-                lost.add(job);
+            (current, failure) -> {
+              pendingCalls--;
+              if (failure == null && current.value() == null) {
+                jobsReadAsAbsent.add(job);
               }
             });
   }
 
   /** Jobs read as absent although they were acknowledged. */
-  private final List<Integer> lost = new ArrayList<>();
+  private final List<Integer> jobsReadAsAbsent = new ArrayList<>();
 
   /** Asserts that each acknowledged job has its body now, and was never read as absent. */
-  void readAll() {
-    assertThat(name + ": read as absent", lost, equalTo(List.of()));
+  void assertAllJobsReadable() {
+    assertThat(scenario + ": read as absent", jobsReadAsAbsent, equalTo(List.of()));
     for (int job : List.copyOf(written)) {
-      String about = name + ": job " + job;
-      CompletableFuture<Register.VersionedValue> value = register.read("lot/" + job, null, CALL_MS);
-      assertThat(about, cluster.awaitWithin(2 * CALL_MS, value::isDone), is(true));
-      assertThat(about, value.join().value(), equalTo(RECORD));
-      CompletableFuture<byte[]> body = register.readBlob("lot/" + job, "body", CALL_MS);
-      assertThat(about, cluster.awaitWithin(2 * CALL_MS, body::isDone), is(true));
-      assertThat(about, body.join(), notNullValue());
-      assertThat(about, body.join().length, is(BODY.length));
+      String description = scenario + ": job " + job;
+      CompletableFuture<Register.VersionedValue> value =
+          register.read("lot/" + job, null, CALL_TIMEOUT_MS);
+      assertThat(description, cluster.awaitWithin(2 * CALL_TIMEOUT_MS, value::isDone), is(true));
+      assertThat(description, value.join().value(), equalTo(RECORD));
+      CompletableFuture<byte[]> body = register.readBlob("lot/" + job, "body", CALL_TIMEOUT_MS);
+      assertThat(description, cluster.awaitWithin(2 * CALL_TIMEOUT_MS, body::isDone), is(true));
+      assertThat(description, body.join(), notNullValue());
+      assertThat(description, body.join().length, is(BODY.length));
     }
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/KeysAdmittedThroughLossesTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/KeyAdmissionDuringLossesTest.java
@@ -19,12 +19,12 @@
  * Losses that the control plane bears stop no gateway: while two of five nodes are away, every
  * gateway that reaches one of the others hears of the configuration in time.
  */
-class KeysAdmittedThroughLossesTest {
+class KeyAdmissionDuringLossesTest {
   private static final int SEEDS = Integer.getInteger("elmsail.revocation.seeds", 4);
-  private static final int NODES = 5;
-  private static final int GATEWAYS = 6;
+  private static final int NODE_COUNT = 5;
+  private static final int GATEWAY_COUNT = 6;
   private static final long REVOKE_MS = 5_000;
-  private static final long LOSS_MS = 12_000;
+  private static final long LOSS_DURATION_MS = 12_000;
 
   /** What befalls the nodes that are lost. */
   enum Loss {
@@ -32,38 +32,38 @@
     POWERED_OFF,
     FROZEN,
     CUT_FROM_ALL,
-    CUT_FROM_NODES_ALONE,
+    CUT_FROM_OTHER_NODES,
     /** Each gateway loses the three nodes that it watches; the nodes reach each other. */
     WATCHED_NODES_CUT_FROM_GATEWAYS
   }
 
   private SimulatedCluster cluster;
   private final Map<String, RevocationBound> bounds = new TreeMap<>();
-  private long oldestMs;
+  private long maxConfirmationAgeMs;
 
   @ParameterizedTest
   @EnumSource(Loss.class)
-  void gatewaysAdmitKeys(Loss loss) {
+  void gatewaysAdmitKeysWhileTwoNodesAreLost(Loss loss) {
     for (int seed = 1; seed <= SEEDS; seed++) {
       start(seed);
-      begin(loss, lostNodes(seed));
-      awaitAdmitting(loss + ", seed " + seed, LOSS_MS);
+      beginLoss(loss, lostNodes(seed));
+      assertKeysAdmittedFor(loss + ", seed " + seed, LOSS_DURATION_MS);
     }
-    assertThat("the loss is felt", oldestMs, greaterThan(1_000L));
+    assertThat("the loss is felt", maxConfirmationAgeMs, greaterThan(1_000L));
   }
 
   private void start(long seed) {
-    cluster = new SimulatedCluster(seed, NODES, 2);
+    cluster = new SimulatedCluster(seed, NODE_COUNT, 2);
     cluster.revokeMs = REVOKE_MS;
     bounds.clear();
-    for (int i = 1; i <= NODES; i++) {
+    for (int i = 1; i <= NODE_COUNT; i++) {
       cluster.net.limitProcessor(cluster.address("n" + i), 0.72);
-      cluster.controlPlane("n" + i, true);
+      cluster.startControlPlane("n" + i, true);
     }
-    for (int i = 1; i <= GATEWAYS; i++) {
+    for (int i = 1; i <= GATEWAY_COUNT; i++) {
       String name = "c" + i;
       cluster.net.limitProcessor(cluster.address(name), 0.12);
-      cluster.gateway(name);
+      cluster.startGateway(name);
       bounds.put(name, new RevocationBound(cluster.gateways.get(name), REVOKE_MS));
     }
     assertThat(cluster.replaceAnywhere(0, 1), is(200));
@@ -72,14 +72,14 @@
 
   private static List<String> lostNodes(long seed) {
     List<String> nodes = new ArrayList<>();
-    for (int i = 1; i <= NODES; i++) {
+    for (int i = 1; i <= NODE_COUNT; i++) {
       nodes.add("n" + i);
     }
     Collections.shuffle(nodes, new Random(seed));
     return nodes.subList(0, 2);
   }
 
-  private void begin(Loss loss, List<String> lost) {
+  private void beginLoss(Loss loss, List<String> lost) {
     if (loss == Loss.WATCHED_NODES_CUT_FROM_GATEWAYS) {
       cluster.gateways.forEach(
           (name, gateway) -> {
@@ -96,8 +96,8 @@
         case POWERED_OFF -> cluster.net.kill(address, false);
         case FROZEN -> cluster.net.freeze(address);
         case CUT_FROM_ALL -> cluster.net.isolate(address);
-        case CUT_FROM_NODES_ALONE -> {
-          for (int i = 1; i <= NODES; i++) {
+        case CUT_FROM_OTHER_NODES -> {
+          for (int i = 1; i <= NODE_COUNT; i++) {
             if (!node.equals("n" + i)) {
               cluster.net.cutBoth(address, cluster.address("n" + i));
             }
@@ -108,14 +108,14 @@
     }
   }
 
-  private void awaitAdmitting(String story, long ms) {
-    for (long end = cluster.timers.now() + ms; cluster.timers.now() < end; ) {
+  private void assertKeysAdmittedFor(String scenario, long durationMs) {
+    for (long end = cluster.timers.now() + durationMs; cluster.timers.now() < end; ) {
       cluster.timers.advance(2);
       bounds.forEach(
           (name, bound) -> {
             ConfigWatcher gateway = cluster.gateways.get(name);
-            oldestMs = Math.max(oldestMs, gateway.configConfirmedAgeMs());
-            assertThat(story + ": " + name, bound.mayAdmitKeys(), is(true));
+            maxConfirmationAgeMs = Math.max(maxConfirmationAgeMs, gateway.configConfirmedAgeMs());
+            assertThat(scenario + ": " + name, bound.mayAdmitKeys(), is(true));
           });
     }
   }
--- a/controlplane/src/test/java/elmsail/controlplane/RevokedKeyEverywhereTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/KeyRevocationScenarioTest.java
@@ -22,42 +22,42 @@
  * a minority. No gateway admits a key later than {@code revoke_ms} after the acknowledgement of its
  * removal, and gateways in touch do not stop admitting the others.
  */
-class RevokedKeyEverywhereTest {
-  private static final int STORIES = Integer.getInteger("elmsail.revocation.stories", 8);
+class KeyRevocationScenarioTest {
+  private static final int SEED_COUNT = Integer.getInteger("elmsail.revocation.stories", 8);
   private static final long FIRST_SEED = Long.getLong("elmsail.revocation.seed", 1);
-  private static final int NODES = 5;
-  private static final int GATEWAYS = 5;
+  private static final int NODE_COUNT = 5;
+  private static final int GATEWAY_COUNT = 5;
   private static final long REVOKE_MS = 5_000;
 
   private SimulatedCluster cluster;
   private Random random;
 
   /** When each version was acknowledged. */
-  private final TreeMap<Long, Long> acknowledgedAt = new TreeMap<>();
+  private final TreeMap<Long, Long> acknowledgedAtMs = new TreeMap<>();
 
   /** Faults of processes and links, by what they befell, and when they end. */
-  private final Map<String, Long> faultEnds = new LinkedHashMap<>();
+  private final Map<String, Long> faultEndsAtMs = new LinkedHashMap<>();
 
   private final Map<String, RevocationBound> bounds = new TreeMap<>();
-  private CompletableFuture<SimpleHttpResponse> openCall;
+  private CompletableFuture<SimpleHttpResponse> pendingCall;
 
   /**
    * Moments at which a gateway had an outdated key and only the bound kept it from admitting it.
    */
-  private long refusedOutdated;
+  private long outdatedKeysRejected;
 
-  private long oldestConfirmationInCalm;
+  private long maxConfirmationAgeAfterFaultsMs;
 
   @Test
-  void noGatewayAdmitsAKeyLaterThanItsBound() {
+  void noGatewayAdmitsARevokedKeyAfterTheBound() {
     int changes = 0;
-    for (long seed = FIRST_SEED; seed < FIRST_SEED + STORIES; seed++) {
-      play(seed);
-      changes += acknowledgedAt.size();
+    for (long seed = FIRST_SEED; seed < FIRST_SEED + SEED_COUNT; seed++) {
+      runScenario(seed);
+      changes += acknowledgedAtMs.size();
     }
-    assertThat("acknowledged", changes, greaterThan(STORIES * 5));
-    assertThat("refused by the bound alone", refusedOutdated, greaterThan(0L));
-    assertThat("oldest in calm", oldestConfirmationInCalm, lessThan(REVOKE_MS - 1_000));
+    assertThat("acknowledged", changes, greaterThan(SEED_COUNT * 5));
+    assertThat("refused by the bound alone", outdatedKeysRejected, greaterThan(0L));
+    assertThat("oldest in calm", maxConfirmationAgeAfterFaultsMs, lessThan(REVOKE_MS - 1_000));
   }
 
   /**
@@ -65,51 +65,53 @@
    * other node while its last read is young enough; then it loses the gateway too.
    */
   @Test
-  void nodeWithoutTheMajorityVouchesForNoMoreThanItsLastRead() {
+  void partitionedNodeConfirmsNoMoreThanItsLastMajorityRead() {
     long admitted = 0;
     for (int cutAtMs = 0; cutAtMs < 1_000; cutAtMs += 50) {
-      SimulatedCluster three = new SimulatedCluster(cutAtMs, 3);
-      three.revokeMs = REVOKE_MS;
+      SimulatedCluster threeNodes = new SimulatedCluster(cutAtMs, 3);
+      threeNodes.revokeMs = REVOKE_MS;
       for (int i = 1; i <= 3; i++) {
-        three.controlPlane("n" + i, true);
+        threeNodes.startControlPlane("n" + i, true);
       }
-      three.gateway("c1");
-      assertThat(three.replaceAnywhere(0, 1), is(200));
-      three.timers.advance(3_000 + cutAtMs);
+      threeNodes.startGateway("c1");
+      assertThat(threeNodes.replaceAnywhere(0, 1), is(200));
+      threeNodes.timers.advance(3_000 + cutAtMs);
       for (String other : List.of("n2", "n3")) {
-        three.net.cutBoth(three.address("n1"), three.address(other));
-        three.net.cutBoth(three.address("c1"), three.address(other));
+        threeNodes.net.cutBoth(threeNodes.address("n1"), threeNodes.address(other));
+        threeNodes.net.cutBoth(threeNodes.address("c1"), threeNodes.address(other));
       }
-      assertThat(three.replace("n2", 1, 2), is(200));
-      long removedAtMs = three.timers.now();
-      ConfigWatcher gateway = three.gateways.get("c1");
+      assertThat(threeNodes.replace("n2", 1, 2), is(200));
+      long removedAtMs = threeNodes.timers.now();
+      ConfigWatcher gateway = threeNodes.gateways.get("c1");
       RevocationBound bound = new RevocationBound(gateway, REVOKE_MS);
-      for (long nowMs = removedAtMs; nowMs <= removedAtMs + 20_000; nowMs = three.timers.now()) {
+      for (long nowMs = removedAtMs;
+          nowMs <= removedAtMs + 20_000;
+          nowMs = threeNodes.timers.now()) {
         assertThat("has the key", gateway.config().version(), is(1L));
         if (bound.mayAdmitKeys()) {
           admitted++;
           assertThat("cut at " + cutAtMs, nowMs - removedAtMs, lessThanOrEqualTo(REVOKE_MS));
         }
-        three.timers.advance(1);
+        threeNodes.timers.advance(1);
       }
     }
     assertThat("admitted while that was allowed", admitted, greaterThan(20_000L));
   }
 
-  private void play(long seed) {
-    cluster = new SimulatedCluster(seed, NODES, 2);
+  private void runScenario(long seed) {
+    cluster = new SimulatedCluster(seed, NODE_COUNT, 2);
     cluster.revokeMs = REVOKE_MS;
     random = new Random(seed);
-    acknowledgedAt.clear();
-    faultEnds.clear();
+    acknowledgedAtMs.clear();
+    faultEndsAtMs.clear();
     bounds.clear();
-    openCall = null;
+    pendingCall = null;
     cluster.net.delay(1, 1 + random.nextInt(30));
     start();
     for (int step = 0; step < 1_200; step++) {
       cluster.timers.advance(1 + random.nextInt(50));
       endFaults();
-      if (faultEnds.size() < 4 && random.nextInt(25) == 0) {
+      if (faultEndsAtMs.size() < 4 && random.nextInt(25) == 0) {
         beginFault();
       }
       if (random.nextInt(30) == 0) {
@@ -117,17 +119,17 @@
       }
       checkGateways(seed);
     }
-    calmDown(seed);
+    checkAfterFaults(seed);
   }
 
   private void start() {
-    for (int i = 1; i <= NODES; i++) {
-      cluster.controlPlane("n" + i, true);
+    for (int i = 1; i <= NODE_COUNT; i++) {
+      cluster.startControlPlane("n" + i, true);
       if (random.nextBoolean()) {
         cluster.net.limitProcessor(cluster.address("n" + i), 0.72);
       }
     }
-    for (int i = 1; i <= GATEWAYS; i++) {
+    for (int i = 1; i <= GATEWAY_COUNT; i++) {
       startGateway("c" + i);
       if (random.nextBoolean()) {
         cluster.net.limitProcessor(cluster.address("c" + i), 0.12);
@@ -138,7 +140,7 @@
   }
 
   private void startGateway(String name) {
-    cluster.gateway(name);
+    cluster.startGateway(name);
     bounds.put(name, new RevocationBound(cluster.gateways.get(name), REVOKE_MS));
   }
 
@@ -152,40 +154,43 @@
   }
 
   private void sendChange() {
-    if (openCall != null && !openCall.isDone()) {
+    if (pendingCall != null && !pendingCall.isDone()) {
       return;
     }
-    long base = acknowledgedAt.isEmpty() ? 0 : acknowledgedAt.lastKey();
+    long base = acknowledgedAtMs.isEmpty() ? 0 : acknowledgedAtMs.lastKey();
     // A change without a clear answer is sent again as it was.
     long version = base + 1;
-    openCall =
+    pendingCall =
         cluster.call(
-            "n" + (1 + random.nextInt(NODES)),
+            "n" + (1 + random.nextInt(NODE_COUNT)),
             "POST",
             "/Timetable.Replace",
             String.valueOf(base),
             config(version));
-    openCall.thenAccept(
+    pendingCall.thenAccept(
         reply -> {
           if (reply.status() == 200) {
-            acknowledgedAt.putIfAbsent(version, cluster.timers.now());
+            acknowledgedAtMs.putIfAbsent(version, cluster.timers.now());
           }
         });
-    cluster.timers.schedule(1_000, () -> openCall = null);
+    cluster.timers.schedule(1_000, () -> pendingCall = null);
   }
 
   private void beginFault() {
-    boolean atNode = random.nextInt(3) == 0;
-    String name = atNode ? "n" + (1 + random.nextInt(NODES)) : "c" + (1 + random.nextInt(GATEWAYS));
+    boolean isAtControlPlane = random.nextInt(3) == 0;
+    String name =
+        isAtControlPlane
+            ? "n" + (1 + random.nextInt(NODE_COUNT))
+            : "c" + (1 + random.nextInt(GATEWAY_COUNT));
     String kind =
-        switch (random.nextInt(atNode ? 3 : 5)) {
+        switch (random.nextInt(isAtControlPlane ? 3 : 5)) {
           case 0 -> "kill";
           case 1 -> "freeze";
           case 2 -> "isolate";
           case 3 -> "some";
           default -> "deaf";
         };
-    if (faultEnds.keySet().stream().anyMatch(fault -> fault.endsWith(" " + name))) {
+    if (faultEndsAtMs.keySet().stream().anyMatch(fault -> fault.endsWith(" " + name))) {
       return;
     }
     String address = cluster.address(name);
@@ -194,7 +199,7 @@
       case "freeze" -> cluster.net.freeze(address);
       case "isolate" -> cluster.net.isolate(address);
       default -> {
-        int nodes = 1 + random.nextInt(NODES);
+        int nodes = 1 + random.nextInt(NODE_COUNT);
         for (int i = 1; i <= nodes; i++) {
           String node = cluster.address("n" + i);
           cluster.net.cut(node, address);
@@ -204,11 +209,11 @@
         }
       }
     }
-    faultEnds.put(kind + " " + name, cluster.timers.now() + 200 + random.nextInt(9_000));
+    faultEndsAtMs.put(kind + " " + name, cluster.timers.now() + 200 + random.nextInt(9_000));
   }
 
   private void endFaults() {
-    faultEnds
+    faultEndsAtMs
         .entrySet()
         .removeIf(
             fault -> {
@@ -226,7 +231,7 @@
     switch (kind) {
       case "kill" -> {
         if (name.startsWith("n")) {
-          cluster.controlPlane(name, false);
+          cluster.startControlPlane(name, false);
         } else {
           startGateway(name);
         }
@@ -246,15 +251,15 @@
     bounds.forEach(
         (name, bound) -> {
           ConfigWatcher gateway = cluster.gateways.get(name);
-          if (faultEnds.containsKey("kill " + name) || gateway.config() == null) {
+          if (faultEndsAtMs.containsKey("kill " + name) || gateway.config() == null) {
             return;
           }
-          acknowledgedAt.forEach(
+          acknowledgedAtMs.forEach(
               (version, at) -> {
                 String removedKey = "key-" + (version - 1);
                 if (nowMs - at > REVOKE_MS
                     && gateway.config().tenantByKey(removedKey).isPresent()) {
-                  refusedOutdated++;
+                  outdatedKeysRejected++;
                   assertThat(
                       "seed " + seed + ": " + name + " admits " + removedKey + " at " + nowMs,
                       bound.mayAdmitKeys(),
@@ -265,11 +270,11 @@
   }
 
   /** All faults end; after some seconds every gateway admits keys at every moment. */
-  private void calmDown(long seed) {
-    for (String fault : faultEnds.keySet()) {
+  private void checkAfterFaults(long seed) {
+    for (String fault : faultEndsAtMs.keySet()) {
       endFault(fault);
     }
-    faultEnds.clear();
+    faultEndsAtMs.clear();
     cluster.net.healAll();
     cluster.timers.advance(6_000);
     for (int i = 0; i < 2_000; i++) {
@@ -280,9 +285,10 @@
       checkGateways(seed);
       bounds.forEach(
           (name, bound) -> {
-            oldestConfirmationInCalm =
+            maxConfirmationAgeAfterFaultsMs =
                 Math.max(
-                    oldestConfirmationInCalm, cluster.gateways.get(name).configConfirmedAgeMs());
+                    maxConfirmationAgeAfterFaultsMs,
+                    cluster.gateways.get(name).configConfirmedAgeMs());
             assertThat("seed " + seed + ": " + name + " admits", bound.mayAdmitKeys(), is(true));
           });
     }
--- a/controlplane/src/test/java/elmsail/controlplane/LeaseReacquisitionTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/LeaseReacquisitionTest.java
@@ -70,7 +70,7 @@
     lastUseMs.clear();
     lastUser = null;
     for (int i = 1; i <= NODES; i++) {
-      cluster.controlPlane("n" + i, true);
+      cluster.startControlPlane("n" + i, true);
       useLeaseRepeatedly("n" + i);
     }
     assertThat(cluster.awaitWithin(10_000, () -> currentHolder() != null), is(true));
@@ -91,7 +91,7 @@
       }
       cluster.awaitWithin(10_000, () -> first.equals(lastUser));
       cluster.kill(second);
-      cluster.controlPlane(second, false);
+      cluster.startControlPlane(second, false);
       useLeaseRepeatedly(second);
     }
   }
--- a/controlplane/src/test/java/elmsail/controlplane/MonotonicClockOnlyTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/MonotonicClockOnlyTest.java
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void onlyTheExchangeOfClocksUsesTheWallClock() throws IOException {
+  void onlyTheClockExchangeUsesTheWallClock() throws IOException {
     assertThat(
         sourcesWith(WALL_CLOCK),
         containsInAnyOrder("WallClock.java", "ClockExchange.java", "NodeEnvironment.java"));
@@ -44,18 +44,18 @@
 
   private static List<String> sourcesWith(Pattern pattern) throws IOException {
     List<String> found = new ArrayList<>();
-    int read = 0;
+    int filesRead = 0;
     for (String module : MODULES) {
       try (Stream<Path> files = Files.walk(Path.of("..", module, "src", "main", "java"))) {
-        for (Path file : files.filter(one -> one.toString().endsWith(".java")).toList()) {
-          read++;
+        for (Path file : files.filter(path -> path.toString().endsWith(".java")).toList()) {
+          filesRead++;
           if (pattern.matcher(Files.readString(file)).find()) {
             found.add(file.getFileName().toString());
           }
         }
       }
     }
-    assertThat(read, greaterThan(100));
+    assertThat(filesRead, greaterThan(100));
     return found;
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/NodeFaultInjector.java
+++ b/controlplane/src/test/java/elmsail/controlplane/NodeFaultInjector.java
@@ -9,7 +9,7 @@
     POWER_LOSS,
     WIPE,
     FREEZE,
-    CUT_OFF
+    ISOLATE
   }
 
   /** A replica whose disk was lost counts as lost until it has copied all, within this time. */
@@ -17,25 +17,25 @@
 
   private final SimulatedCluster cluster;
   private final Random random;
-  private final int nodes;
+  private final int nodeCount;
   private String faultyNode;
   private Kind kind;
   private long faultEndsAtMs;
   private long nextFaultAtMs;
   private int faultCount;
 
-  NodeFaultInjector(SimulatedCluster cluster, Random random, int nodes) {
+  NodeFaultInjector(SimulatedCluster cluster, Random random, int nodeCount) {
     this.cluster = cluster;
     this.random = random;
-    this.nodes = nodes;
+    this.nodeCount = nodeCount;
   }
 
   /** Begins or ends a fault, or does nothing; called every few ms. */
   void step() {
     if (faultyNode == null && cluster.timers.now() >= nextFaultAtMs && random.nextInt(150) == 0) {
-      begin();
+      beginFault();
     } else if (faultyNode != null && cluster.timers.now() >= faultEndsAtMs) {
-      end();
+      endFault();
     }
   }
 
@@ -43,8 +43,8 @@
     return faultCount;
   }
 
-  private void begin() {
-    faultyNode = "n" + (1 + random.nextInt(nodes));
+  private void beginFault() {
+    faultyNode = "n" + (1 + random.nextInt(nodeCount));
     kind = Kind.values()[random.nextInt(Kind.values().length)];
     faultEndsAtMs = cluster.timers.now() + 100 + random.nextInt(3_000);
     faultCount++;
@@ -61,7 +61,7 @@
   }
 
   /** Ends the present fault, if there is one. */
-  void end() {
+  void endFault() {
     if (faultyNode == null) {
       return;
     }
@@ -69,9 +69,9 @@
     faultyNode = null;
     switch (kind) {
       case FREEZE -> cluster.net.thaw(cluster.address(node));
-      case CUT_OFF -> cluster.net.healAll();
+      case ISOLATE -> cluster.net.healAll();
       default -> {
-        cluster.controlPlane(node, false);
+        cluster.startControlPlane(node, false);
         nextFaultAtMs = cluster.timers.now() + (kind == Kind.WIPE ? CATCH_UP_MS : 0);
       }
     }
--- a/controlplane/src/test/java/elmsail/controlplane/PartitionTestBase.java
+++ b/controlplane/src/test/java/elmsail/controlplane/PartitionTestBase.java
@@ -10,12 +10,12 @@
 
 /** Three control-plane nodes, of which n1 gets partitioned, and a process that pulls from it. */
 abstract class PartitionTestBase {
-  static final long CUT_MS = 20_000;
+  static final long PARTITION_MS = 20_000;
 
   /** Older than this, contact is none: as {@code QuorumContact.BOUND_MS}. */
   static final long CONTACT_MAX_AGE_MS = 1_500;
 
-  static final String PROBE = "10.3.0.99:7720";
+  static final String PROBE_ADDRESS = "10.3.0.99:7720";
 
   SimulatedCluster cluster = new SimulatedCluster(11, 3);
 
@@ -31,15 +31,15 @@
 
     void begin(SimulatedCluster cluster) {
       for (String other : new String[] {"n2", "n3"}) {
-        String there = cluster.address("n1");
-        String here = cluster.address(other);
+        String n1Address = cluster.address("n1");
+        String otherAddress = cluster.address(other);
         switch (this) {
-          case BOTH_WAYS -> cluster.net.cutBoth(there, here);
-          case REQUESTS_LOST -> cluster.net.cut(there, here);
-          case RESPONSES_LOST -> cluster.net.cut(here, there);
+          case BOTH_WAYS -> cluster.net.cutBoth(n1Address, otherAddress);
+          case REQUESTS_LOST -> cluster.net.cut(n1Address, otherAddress);
+          case RESPONSES_LOST -> cluster.net.cut(otherAddress, n1Address);
           case RESET -> {
-            cluster.net.resetCalls(there, here);
-            cluster.net.resetCalls(here, there);
+            cluster.net.resetCalls(n1Address, otherAddress);
+            cluster.net.resetCalls(otherAddress, n1Address);
           }
           default -> throw new AssertionError(this);
         }
@@ -55,7 +55,7 @@
 
   void startControlPlane() {
     for (int i = 1; i <= 3; i++) {
-      cluster.controlPlane("n" + i, true);
+      cluster.startControlPlane("n" + i, true);
     }
     assertThat(cluster.replaceAnywhere(0, 1), is(200));
     cluster.timers.advance(1_000);
@@ -63,21 +63,21 @@
 
   CompletableFuture<PullResponse> pull(PullRequest request, long timeoutMs) {
     if (probe == null) {
-      probe = cluster.net.startNode(PROBE);
+      probe = cluster.net.startNode(PROBE_ADDRESS);
     }
     return probe.rpcClient().call(cluster.address("n1"), request, PullResponse.class, timeoutMs);
   }
 
-  PullRequest request(String role, String station) {
+  PullRequest pullRequest(String role, String machine) {
     PullRequest request = new PullRequest();
     request.role = role;
-    request.machine = station;
-    request.address = cluster.address(station);
+    request.machine = machine;
+    request.address = cluster.address(machine);
     request.maxWaitMs = 400;
     return request;
   }
 
-  static boolean failed(CompletableFuture<?> future) {
+  static boolean hasFailed(CompletableFuture<?> future) {
     return future.isCompletedExceptionally();
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/PinnedDataDirectories.java
+++ b/controlplane/src/test/java/elmsail/controlplane/PinnedDataDirectories.java
@@ -43,7 +43,7 @@
   static final String CONTROL_PLANE = "controlplane";
 
   static final String OWN_ADDRESS = "10.0.0.1:7720";
-  static final String OWN_STATION = "n1";
+  static final String OWN_MACHINE = "n1";
 
   /** A job with a listed result, one given up, and one that failed. */
   static final String OPEN_JOB = "open-job";
@@ -73,8 +73,8 @@
                   + "0000000000000005000102030405060708090a0b0c0d0e0f"
                   + "7b7d");
 
-  private static final long MOST_BYTES = 1 << 24;
-  private static final long PROPOSER = 0x0a0b0c0d0e0fL;
+  private static final long MAX_BYTES = 1 << 24;
+  private static final long PROPOSER_ID = 0x0a0b0c0d0e0fL;
   private static final int COPIED_FLAGS = 3;
 
   private PinnedDataDirectories() {}
@@ -88,21 +88,21 @@
   }
 
   static DirectoryRecordStore open(Path folder) {
-    return DirectoryRecordStore.open(folder, MOST_BYTES, Runnable::run);
+    return DirectoryRecordStore.open(folder, MAX_BYTES, Runnable::run);
   }
 
   /** A store with jobs in each of their states. */
   static void writeStore(Path folder) {
     try (DirectoryRecordStore disk = open(folder)) {
-      Member member = new Member(StoreNode.VOTER_SET_NAME, disk);
-      member.replica.bootstrap(voterSet(disk.instanceId()));
+      IsolatedReplica writer = new IsolatedReplica(StoreNode.VOTER_SET_NAME, disk);
+      writer.replica.bootstrap(voterSet(disk.instanceId()));
       Blob body = blob(JobBodyCodec.blobName(body()), body());
-      member.decide(JobRecord.registerKey(OPEN_JOB), openJob().encode(), List.of(body, text()));
-      member.decide(JobRecord.registerKey(ENDED_JOB), endedJob().encode(), List.of(body));
-      member.decide(JobRecord.registerKey(OLD_JOB), oldJobBytes(), List.of());
-      member.prepare(JobRecord.registerKey(REFUSED_JOB), List.of());
-      member.decide(JobRecord.registerKey(DROPPED_JOB), endedJob().encode(), List.of(body));
-      member.replica.dropKey(JobRecord.registerKey(DROPPED_JOB));
+      writer.commit(JobRecord.registerKey(OPEN_JOB), openJob().encode(), List.of(body, text()));
+      writer.commit(JobRecord.registerKey(ENDED_JOB), endedJob().encode(), List.of(body));
+      writer.commit(JobRecord.registerKey(OLD_JOB), oldJobBytes(), List.of());
+      writer.prepare(JobRecord.registerKey(REFUSED_JOB), List.of());
+      writer.commit(JobRecord.registerKey(DROPPED_JOB), endedJob().encode(), List.of(body));
+      writer.replica.dropKey(JobRecord.registerKey(DROPPED_JOB));
       disk.write(List.of(new Change("shelf/k/lot%2F" + COPIED_JOB, copiedState()))).join();
     }
   }
@@ -110,12 +110,12 @@
   /** A store that has begun to take over the slot of another one. */
   static void writeJoiningStore(Path folder) {
     try (DirectoryRecordStore disk = open(folder)) {
-      Member member = new Member(StoreNode.VOTER_SET_NAME, disk);
+      IsolatedReplica writer = new IsolatedReplica(StoreNode.VOTER_SET_NAME, disk);
       VoterSet others = voterSet(1);
       others.voters.get(0).address = "10.0.0.4:7720";
       others.voters.get(0).machine = "n4";
-      member.replica.learn(others);
-      member.replica.join(0, 2);
+      writer.replica.learn(others);
+      writer.replica.join(0, 2);
     }
   }
 
@@ -125,24 +125,24 @@
       RecordStore records = new SynchronousRecords(disk, disk.instanceId());
       records.write(List.of(new Change("notary/born", new byte[] {1})));
       VoterSet voters = voterSet(disk.instanceId());
-      BootstrapAcceptor founding = new BootstrapAcceptor();
-      founding.prepare(5);
-      founding.accept(5, voters);
-      founding.prepare(9);
-      records.write(List.of(new Change("head-founding", founding.encode())));
-      Member member = new Member(ControlPlaneVoters.VOTER_SET_NAME, disk);
-      member.replica.bootstrap(voters);
-      member.decide(ConfigChangeHandler.KEY, config().encode(), List.of());
-      member.decide(DecommissionList.KEY, decommissioned(), List.of());
-      member.decide(StoreBootstrap.KEY, VoterSetValue.encode(voters), List.of());
-      member.decide(SingletonLease.KEY, leaseTerm(), List.of());
-      member.decide("timetable-of-old", OLD_CONFIG, List.of());
+      BootstrapAcceptor acceptor = new BootstrapAcceptor();
+      acceptor.prepare(5);
+      acceptor.accept(5, voters);
+      acceptor.prepare(9);
+      records.write(List.of(new Change("head-founding", acceptor.encode())));
+      IsolatedReplica writer = new IsolatedReplica(ControlPlaneVoters.VOTER_SET_NAME, disk);
+      writer.replica.bootstrap(voters);
+      writer.commit(ConfigChangeHandler.KEY, config().encode(), List.of());
+      writer.commit(DecommissionList.KEY, decommissioned(), List.of());
+      writer.commit(StoreBootstrap.KEY, VoterSetValue.encode(voters), List.of());
+      writer.commit(SingletonLease.KEY, leaseTerm(), List.of());
+      writer.commit("timetable-of-old", OLD_CONFIG, List.of());
     }
   }
 
-  static VoterSet voterSet(long ownInstance) {
+  static VoterSet voterSet(long ownInstanceId) {
     VoterSet voterSet = new VoterSet();
-    voterSet.voters.add(VoterSetValue.voter(OWN_ADDRESS, OWN_STATION, ownInstance, 1));
+    voterSet.voters.add(VoterSetValue.voter(OWN_ADDRESS, OWN_MACHINE, ownInstanceId, 1));
     voterSet.voters.add(VoterSetValue.voter("10.0.0.2:7720", "n2", 22, 1));
     voterSet.voters.add(VoterSetValue.voter("10.0.0.3:7720", "n3", -33, 1));
     return voterSet;
@@ -161,7 +161,7 @@
   }
 
   static byte[] leaseTerm() {
-    return ByteBuffer.allocate(2 * Long.BYTES).putLong(4).putLong(PROPOSER).array();
+    return ByteBuffer.allocate(2 * Long.BYTES).putLong(4).putLong(PROPOSER_ID).array();
   }
 
   static byte[] body() {
@@ -195,8 +195,8 @@
 
   /** The same as {@link #endedJob} in the first format, which kept no failures. */
   private static byte[] oldJobBytes() {
-    byte[] present = endedJob().encode();
-    byte[] old = java.util.Arrays.copyOf(present, present.length - 1);
+    byte[] current = endedJob().encode();
+    byte[] old = java.util.Arrays.copyOf(current, current.length - 1);
     old[0] = 1;
     return old;
   }
@@ -206,9 +206,9 @@
     byte[] value = endedJob().encode();
     return ByteBuffer.allocate(4 * Long.BYTES + 1 + value.length)
         .putLong(6)
-        .putLong(PROPOSER)
+        .putLong(PROPOSER_ID)
         .putLong(5)
-        .putLong(PROPOSER)
+        .putLong(PROPOSER_ID)
         .put((byte) COPIED_FLAGS)
         .put(value)
         .array();
@@ -236,30 +236,30 @@
   }
 
   /** A replica that hears the votes that are asked of it, and reaches nobody. */
-  private static final class Member {
-    private final String set;
+  private static final class IsolatedReplica {
+    private final String voterSetName;
     private final HandlerRegistry handlers = new HandlerRegistry();
     private final Replica replica;
     private long round;
 
-    Member(String set, DirectoryRecordStore disk) {
-      this.set = set;
+    IsolatedReplica(String voterSetName, DirectoryRecordStore disk) {
+      this.voterSetName = voterSetName;
       replica =
           new Replica(
-              new ReplicaIdentity(set, OWN_ADDRESS, OWN_STATION),
+              new ReplicaIdentity(voterSetName, OWN_ADDRESS, OWN_MACHINE),
               new SynchronousRecords(disk, disk.instanceId()),
               new ReplicaListener() {},
               handlers,
-              new NoCalls(),
+              new UnansweredRpcClient(),
               new ManualTimers(),
               ProcessMetrics.strict());
     }
 
     /** Both rounds at a key; the blobs go with the first. */
-    void decide(String key, byte[] value, List<Blob> blobs) {
+    void commit(String key, byte[] value, List<Blob> blobs) {
       prepare(key, blobs);
       AcceptRequest request = new AcceptRequest();
-      request.set = set;
+      request.set = voterSetName;
       request.key = key;
       request.ballot = ballot(round);
       request.nextBallot = ballot(round + 1);
@@ -270,7 +270,7 @@
 
     void prepare(String key, List<Blob> blobs) {
       PrepareRequest request = new PrepareRequest();
-      request.set = set;
+      request.set = voterSetName;
       request.key = key;
       request.ballot = ballot(++round);
       request.voterSet = replica.voterSet();
@@ -285,12 +285,12 @@
     private static Ballot ballot(long round) {
       Ballot ballot = new Ballot();
       ballot.round = round;
-      ballot.proposerId = PROPOSER;
+      ballot.proposerId = PROPOSER_ID;
       return ballot;
     }
   }
 
-  private static final class NoCalls implements RpcClient {
+  private static final class UnansweredRpcClient implements RpcClient {
     @Override
     public <A> CompletableFuture<A> call(
         String address, Object request, Class<A> answer, long timeoutMs) {
--- a/controlplane/src/test/java/elmsail/controlplane/PinnedDataDirectoriesStartTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/PinnedDataDirectoriesStartTest.java
@@ -52,9 +52,9 @@
  * starts on a copy of it, the third stays down.
  */
 class PinnedDataDirectoriesStartTest {
-  private static final long CALL_MS = 2_000;
+  private static final long CALL_TIMEOUT_MS = 2_000;
   private static final long SETTLE_MS = 5_000;
-  private static final Map<String, Long> COPIED_INSTANCES = Map.of("n2", 22L);
+  private static final Map<String, Long> INSTANCE_IDS_OF_COPIES = Map.of("n2", 22L);
 
   @TempDir Path temp;
 
@@ -108,7 +108,7 @@
     Path folder = Files.createDirectories(temp.resolve(machine));
     copyFiles(pinned, folder);
     DirectoryRecordStore disk = PinnedDataDirectories.open(folder);
-    long instanceId = COPIED_INSTANCES.getOrDefault(machine, disk.instanceId());
+    long instanceId = INSTANCE_IDS_OF_COPIES.getOrDefault(machine, disk.instanceId());
     RecordStore records = new SynchronousRecords(disk, instanceId);
     disks.put(machine, records);
     return records;
@@ -171,7 +171,7 @@
   }
 
   private <T> T await(CompletableFuture<T> reply) {
-    long endMs = timers.now() + 2 * CALL_MS;
+    long endMs = timers.now() + 2 * CALL_TIMEOUT_MS;
     while (!reply.isDone() && timers.now() < endMs) {
       timers.advance(1);
     }
@@ -249,27 +249,30 @@
     request.role = "gateway";
     request.instanceId = 9;
     PullResponse response =
-        await(gateway.rpcClient().call("10.0.0.2:7720", request, PullResponse.class, CALL_MS));
+        await(
+            gateway
+                .rpcClient()
+                .call("10.0.0.2:7720", request, PullResponse.class, CALL_TIMEOUT_MS));
     assertThat(response.configVersion, is(400L));
     assertThat(textOf(response.config), is("{\"edition\":400}"));
     assertThat(
-        described(response.view.jobStoreVoters),
+        describe(response.view.jobStoreVoters),
         contains("10.0.0.1:7720 n1/1", "10.0.0.2:7720 n2/1", "10.0.0.3:7720 n3/1"));
     assertThat(
-        described(response.view.controlPlaneVoters),
+        describe(response.view.controlPlaneVoters),
         contains("10.0.0.1:7720 n1/1", "10.0.0.2:7720 n2/1", "10.0.0.3:7720 n3/1"));
     assertThat(response.view.controlPlaneVoters.voters.get(1).instanceId, is(22L));
     assertThat(response.view.controlPlaneVoters.voters.get(2).instanceId, is(-33L));
   }
 
-  private static List<String> described(VoterSet voterSet) {
+  private static List<String> describe(VoterSet voterSet) {
     return voterSet.voters.stream()
         .map(voter -> voter.address + " " + voter.machine + "/" + voter.epoch)
         .toList();
   }
 
   @Test
-  void theSingletonLeaseGoesOnFromThePinnedTerm() throws Exception {
+  void singletonLeaseContinuesFromThePinnedTerm() throws Exception {
     startControlPlane();
     List<Long> terms =
         controlPlaneNodes.values().stream()
@@ -319,7 +322,7 @@
   void storesAnswerReadsOfJobsFromThePinnedDirectory() throws Exception {
     startStores();
     BatchJobClient jobs = jobClient();
-    JobRecord open = await(jobs.read("open-job", CALL_MS));
+    JobRecord open = await(jobs.read("open-job", CALL_TIMEOUT_MS));
     assertThat(
         open,
         is(
@@ -343,10 +346,10 @@
             5,
             List.of());
     for (String jobId : List.of("ended/50%", "old-job", "copied-job")) {
-      assertThat(jobId, await(jobs.read(jobId, CALL_MS)), is(ended));
+      assertThat(jobId, await(jobs.read(jobId, CALL_TIMEOUT_MS)), is(ended));
     }
     for (String jobId : List.of("refused-job", "dropped-job")) {
-      assertThat(jobId, await(jobs.read(jobId, CALL_MS)), is(nullValue()));
+      assertThat(jobId, await(jobs.read(jobId, CALL_TIMEOUT_MS)), is(nullValue()));
     }
     assertThat(jobStores.get("n1").size(), greaterThanOrEqualTo(4));
   }
@@ -355,10 +358,10 @@
   void storesAnswerReadsOfBodiesAndTextsFromThePinnedDirectory() throws Exception {
     startStores();
     BatchJobClient jobs = jobClient();
-    JobRecord open = await(jobs.read("open-job", CALL_MS));
-    byte[] text = await(jobs.readText("open-job", open.results().get(0), CALL_MS));
+    JobRecord open = await(jobs.read("open-job", CALL_TIMEOUT_MS));
+    byte[] text = await(jobs.readText("open-job", open.results().get(0), CALL_TIMEOUT_MS));
     assertThat(textOf(text), is("the text of a result"));
-    List<BatchItem> items = await(jobs.readItems("open-job", open, CALL_MS));
+    List<BatchItem> items = await(jobs.readItems("open-job", open, CALL_TIMEOUT_MS));
     assertThat(items.stream().map(BatchItem::path).toList(), contains("/p/1", "/p/2", "/p/3"));
     assertThat(items.get(0).headers(), is(Map.of("Content-Type", "t/p")));
     assertThat(items.get(0).body(), equalTo(new byte[] {1, 2}));
@@ -367,7 +370,7 @@
   }
 
   @Test
-  void storesNameTheOpenPinnedJobAsAbandoned() throws Exception {
+  void storesReportTheOpenPinnedJobAsAbandoned() throws Exception {
     startStores();
     SimNode gateway = net.startNode("10.0.0.9:7720");
     byte[] afterMs = new ByteWriter().writeVarint(1_000).toByteArray();
@@ -379,7 +382,7 @@
                     "10.0.0.2:7720",
                     BatchMessageTypes.message(BatchMessageTypes.ABANDONED, afterMs),
                     OpaqueMessage.class,
-                    CALL_MS));
+                    CALL_TIMEOUT_MS));
     assertThat(reply.kind, is("lots/orphans"));
     List<String> abandoned = new ArrayList<>();
     for (AbandonedJob job : AbandonedJob.decode(reply.bytes)) {
@@ -401,7 +404,7 @@
                         JobRecord.decode(found.value()).withCancellation().encode(), List.of()),
                 List.of(),
                 null,
-                CALL_MS));
+                CALL_TIMEOUT_MS));
     assertThat(outcome.changed(), is(true));
     for (String machine : List.of("n1", "n2")) {
       JobRecord kept =
--- a/controlplane/src/test/java/elmsail/controlplane/PinnedDataDirectoriesTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/PinnedDataDirectoriesTest.java
@@ -30,9 +30,9 @@
 /** Data directories of earlier versions are read, and the same bytes are written today. */
 class PinnedDataDirectoriesTest {
   /** It holds nothing but the instance id, which is drawn by chance. */
-  private static final String FIRST_FILE = "v-0000000000000001";
+  private static final String INSTANCE_ID_FILE = "v-0000000000000001";
 
-  private static final int STATE_HEAD_BYTES = 4 * Long.BYTES + 1;
+  private static final int STATE_HEADER_BYTES = 4 * Long.BYTES + 1;
 
   /** Format, edition, count and first base; a step and a digest an order; the configuration. */
   private static final String CONFIG_VALUE =
@@ -58,7 +58,7 @@
         Path.of(PinnedDataDirectoriesTest.class.getResource("pinned-data/" + directory).toURI()));
   }
 
-  private DirectoryRecordStore opened(String directory) throws Exception {
+  private DirectoryRecordStore openPinned(String directory) throws Exception {
     for (Map.Entry<String, byte[]> file : pinned(directory).entrySet()) {
       Files.write(temp.resolve(file.getKey()), file.getValue());
     }
@@ -74,12 +74,12 @@
   /** The value of a key's record, behind its ballots and flags. */
   private static byte[] value(DirectoryRecordStore records, String name) {
     byte[] record = records.read(name);
-    return Arrays.copyOfRange(record, STATE_HEAD_BYTES, record.length);
+    return Arrays.copyOfRange(record, STATE_HEADER_BYTES, record.length);
   }
 
   private void assertWrittenAsPinned(String directory, Consumer<Path> writer) throws Exception {
     Map<String, byte[]> expected = pinned(directory);
-    Files.write(temp.resolve(FIRST_FILE), expected.get(FIRST_FILE));
+    Files.write(temp.resolve(INSTANCE_ID_FILE), expected.get(INSTANCE_ID_FILE));
     writer.accept(temp);
     Map<String, byte[]> written = files(temp);
     assertThat(written.keySet(), equalTo(expected.keySet()));
@@ -89,25 +89,25 @@
   }
 
   @Test
-  void aStoresDirectoryIsWrittenAsPinned() throws Exception {
+  void storeDirectoryIsWrittenAsPinned() throws Exception {
     assertWrittenAsPinned(PinnedDataDirectories.STORE, PinnedDataDirectories::writeStore);
   }
 
   @Test
-  void aJoiningStoresDirectoryIsWrittenAsPinned() throws Exception {
+  void joiningStoreDirectoryIsWrittenAsPinned() throws Exception {
     assertWrittenAsPinned(
         PinnedDataDirectories.JOINING_STORE, PinnedDataDirectories::writeJoiningStore);
   }
 
   @Test
-  void aControlPlaneNodesDirectoryIsWrittenAsPinned() throws Exception {
+  void controlPlaneDirectoryIsWrittenAsPinned() throws Exception {
     assertWrittenAsPinned(
         PinnedDataDirectories.CONTROL_PLANE, PinnedDataDirectories::writeControlPlane);
   }
 
   @Test
-  void aStoresDirectoryIsRead() throws Exception {
-    try (DirectoryRecordStore records = opened(PinnedDataDirectories.STORE)) {
+  void pinnedStoreDirectoryIsRead() throws Exception {
+    try (DirectoryRecordStore records = openPinned(PinnedDataDirectories.STORE)) {
       assertThat(
           names(records),
           contains(
@@ -140,7 +140,7 @@
       assertThat(store.set(), is("shelf"));
       assertVotes(store, records.instanceId());
       assertThat(
-          store.keys().stream().map(PinnedDataDirectoriesTest::described).toList(),
+          store.keys().stream().map(PinnedDataDirectoriesTest::describe).toList(),
           contains(
               "lot/copied-job 6 5 copied blobs=0",
               "lot/ended/50% 3 2 voted blobs=1",
@@ -150,7 +150,7 @@
     }
   }
 
-  private static String described(RestoredReplica.StoredKey key) {
+  private static String describe(RestoredReplica.StoredKey key) {
     return "%s %d %d %s blobs=%d"
         .formatted(
             key.name(),
@@ -173,8 +173,8 @@
   }
 
   @Test
-  void aJoiningStoresDirectoryIsRead() throws Exception {
-    try (DirectoryRecordStore records = opened(PinnedDataDirectories.JOINING_STORE)) {
+  void pinnedJoiningStoreDirectoryIsRead() throws Exception {
+    try (DirectoryRecordStore records = openPinned(PinnedDataDirectories.JOINING_STORE)) {
       assertThat(names(records), contains("shelf/seating", "shelf/spare"));
       RestoredReplica store = RestoredReplica.of(records).get(0);
       assertThat(store.ownSlot(), is(0));
@@ -190,8 +190,8 @@
   }
 
   @Test
-  void aControlPlaneNodesDirectoryIsRead() throws Exception {
-    try (DirectoryRecordStore records = opened(PinnedDataDirectories.CONTROL_PLANE)) {
+  void pinnedControlPlaneDirectoryIsRead() throws Exception {
+    try (DirectoryRecordStore records = openPinned(PinnedDataDirectories.CONTROL_PLANE)) {
       assertThat(
           names(records),
           contains(
@@ -207,7 +207,7 @@
       ConfigHistory config = ConfigHistory.decode(value(records, "head/k/timetable"));
       assertThat(config.version(), is(400L));
       assertThat(config.changeCount(), is(2));
-      assertThat(utf(config.configBytes()), is(PinnedDataDirectories.CONFIGS.get(1)));
+      assertThat(utf8(config.configBytes()), is(PinnedDataDirectories.CONFIGS.get(1)));
       byte[] first = PinnedDataDirectories.CONFIGS.get(0).getBytes(StandardCharsets.UTF_8);
       assertThat(
           config.statusOf(0, ConfigHistory.replacementDigest(0, first)),
@@ -220,7 +220,7 @@
           is(ConfigChangeStatus.SUPERSEDED));
       ConfigHistory old = ConfigHistory.decode(value(records, "head/k/timetable-of-old"));
       assertThat(old.version(), is(7L));
-      assertThat(utf(old.configBytes()), is("{}"));
+      assertThat(utf8(old.configBytes()), is("{}"));
       assertThat(
           DecommissionList.decode(value(records, "head/k/retire")),
           equalTo(java.util.Set.of("n2", "n5")));
@@ -229,26 +229,26 @@
           VoterSets.areEqual(VoterSetValue.decode(value(records, "head/k/shelf")), voters),
           is(true));
       assertThat(value(records, "head/k/duty"), equalTo(PinnedDataDirectories.leaseTerm()));
-      BootstrapAcceptor founding = BootstrapAcceptor.decode(records.read("head-founding"));
-      assertThat(founding.prepare(1).promisedBallot, is(9L));
-      assertThat(founding.prepare(1).acceptedBallot, is(5L));
-      assertThat(VoterSets.areEqual(founding.prepare(1).acceptedVoterSet, voters), is(true));
+      BootstrapAcceptor acceptor = BootstrapAcceptor.decode(records.read("head-founding"));
+      assertThat(acceptor.prepare(1).promisedBallot, is(9L));
+      assertThat(acceptor.prepare(1).acceptedBallot, is(5L));
+      assertThat(VoterSets.areEqual(acceptor.prepare(1).acceptedVoterSet, voters), is(true));
       assertThat(records.read("notary/born"), equalTo(new byte[] {1}));
       RestoredReplica head =
           RestoredReplica.of(records).stream()
-              .filter(one -> one.set().equals("head"))
+              .filter(replica -> replica.set().equals("head"))
               .findAny()
               .orElseThrow();
       assertVotes(head, records.instanceId());
     }
   }
 
-  private static String utf(byte[] bytes) {
+  private static String utf8(byte[] bytes) {
     return new String(bytes, StandardCharsets.UTF_8);
   }
 
   @Test
-  void valuesHaveTheseBytes() {
+  void valuesAreEncodedAsPinned() {
     HexFormat hex = HexFormat.of();
     assertThat(hex.formatHex(PinnedDataDirectories.config().encode()), is(CONFIG_VALUE));
     assertThat(
@@ -257,11 +257,11 @@
     voters.voters.add(VoterSetValue.voter("10.0.0.1:7720", "n1", -2, 3));
     String voterSetValue = "00000001000d31302e302e302e313a3737323000026e31fffffffffffffffe00000003";
     assertThat(hex.formatHex(VoterSetValue.encode(voters)), is(voterSetValue));
-    BootstrapAcceptor founding = new BootstrapAcceptor();
-    founding.accept(5, voters);
-    founding.prepare(9);
+    BootstrapAcceptor acceptor = new BootstrapAcceptor();
+    acceptor.accept(5, voters);
+    acceptor.prepare(9);
     assertThat(
-        hex.formatHex(founding.encode()), is("00000000000000090000000000000005" + voterSetValue));
+        hex.formatHex(acceptor.encode()), is("00000000000000090000000000000005" + voterSetValue));
     assertThat(
         hex.formatHex(new StoreHeartbeats(true, Map.of("n1", 1_500L)).encode()),
         is("010000000100026e3100000000000005dc"));
--- a/controlplane/src/test/java/elmsail/controlplane/PinnedNamesTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/PinnedNamesTest.java
@@ -31,7 +31,7 @@
           + "\"mail_slots\":{\"control\":\"10.0.0.1:8166\"},\"inner_ports\":[7720,7735],"
           + "\"carrier_api\":{\"address\":\"10.9.0.1:8169\"}}";
 
-  private static final class NoCalls implements RpcClient {
+  private static final class UnansweredRpcClient implements RpcClient {
     @Override
     public <A> CompletableFuture<A> call(
         String address, Object request, Class<A> answer, long timeoutMs) {
@@ -39,7 +39,7 @@
     }
   }
 
-  private static HttpHandler routeByName(String name) {
+  private static HttpHandler handlerReplyingWith(String name) {
     return call -> Replies.completed(Replies.json(200, name));
   }
 
@@ -55,29 +55,29 @@
     "POST, /Retire.Begin/n1, retire",
     "GET, /Retire.Read/n1, retire"
   })
-  void callsOfOperators(String method, String path, String handler) {
-    OperatorApi operators =
+  void operatorCallsAreRoutedByMethodAndPath(String method, String path, String handler) {
+    OperatorApi operatorApi =
         new OperatorApi(
-            routeByName("replace"),
-            routeByName("amend"),
-            routeByName("read"),
-            routeByName("retire"));
+            handlerReplyingWith("replace"),
+            handlerReplyingWith("amend"),
+            handlerReplyingWith("read"),
+            handlerReplyingWith("retire"));
     SimpleHttpRequest call = new SimpleHttpRequest(method, path, Map.of(), Map.of(), new byte[0]);
-    assertThat(body(operators.handle(call).join()), is(handler));
+    assertThat(body(operatorApi.handle(call).join()), is(handler));
     String other = method.equals("GET") ? "POST" : "GET";
     SimpleHttpRequest wrong = new SimpleHttpRequest(other, path, Map.of(), Map.of(), new byte[0]);
-    assertThat(operators.handle(wrong).join().status(), is(405));
+    assertThat(operatorApi.handle(wrong).join().status(), is(405));
   }
 
   @Test
-  void repliesToOperators() {
+  void errorRepliesAreJsonWithAnEscapedReason() {
     SimpleHttpResponse reply = Replies.error(409, "a \"reason\"");
     assertThat(body(reply), is("{\"why\":\"a \\\"reason\\\"\"}"));
     assertThat(reply.headers(), is(Map.of("content-type", "application/json")));
   }
 
   @Test
-  void setsKeysAndRoles() {
+  void voterSetsRegisterKeysAndRolesKeepTheirNames() {
     assertThat(
         List.of(
             ControlPlaneVoters.VOTER_SET_NAME,
@@ -93,21 +93,21 @@
   }
 
   @Test
-  void kindsOfPeerMessages() {
+  void peerMessageKindsKeepTheirWireNames() {
     assertThat(
         Stream.of(PeerMessageKind.values()).map(PeerMessageKind::wireName).toList(),
         contains("decided", "retire", "stores-heard"));
   }
 
   @Test
-  void statesOfADecommissioning() {
+  void decommissionStatesKeepTheirJsonNames() {
     assertThat(
         Stream.of(DecommissionState.values()).map(DecommissionState::jsonName).toList(),
         contains("in_service", "delivered"));
   }
 
   @Test
-  void metricsOfTheDuties() {
+  void dutyMetricsKeepTheirNames() {
     assertThat(
         metricTypes(
                 SETTINGS.replace(
@@ -129,7 +129,7 @@
   }
 
   @Test
-  void metrics() {
+  void metricsKeepTheirNames() {
     assertThat(
         metricTypes(SETTINGS),
         contains(
@@ -153,7 +153,7 @@
         new NodeEnvironment(
             SettingsFile.parse(settings),
             new ManualTimers(),
-            new NoCalls(),
+            new UnansweredRpcClient(),
             new HandlerRegistry(),
             null,
             1,
--- a/controlplane/src/test/java/elmsail/controlplane/ProcessorQuotaTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ProcessorQuotaTest.java
@@ -22,8 +22,8 @@
   private static final int STORES = 5;
   private static final int GATEWAYS = 4;
   private static final long RUN_MS = 60_000;
-  private static final long IN_FORCE_MS = 2_000;
-  private static final long ACK_MS = 4_000;
+  private static final long MAX_PROPAGATION_MS = 2_000;
+  private static final long MAX_ACKNOWLEDGEMENT_MS = 4_000;
 
   private SimulatedCluster cluster;
 
@@ -44,9 +44,9 @@
     }
     for (String name : names) {
       switch (name.charAt(0)) {
-        case 'n' -> cluster.controlPlane(name, true);
-        case 'v' -> cluster.store(name, true);
-        default -> cluster.gateway(name);
+        case 'n' -> cluster.startControlPlane(name, true);
+        case 'v' -> cluster.startStore(name, true);
+        default -> cluster.startGateway(name);
       }
     }
     assertThat(cluster.awaitWithin(8_000, () -> cluster.allControlPlaneVotersVote("n1")), is(true));
@@ -69,7 +69,7 @@
         .orElse(0);
   }
 
-  private List<String> voters() {
+  private List<String> describeVoters() {
     List<String> found = new ArrayList<>();
     for (Voter voter : cluster.controlPlaneVoters("n1").voters) {
       found.add(voter.machine + "/" + voter.epoch);
@@ -85,30 +85,30 @@
 
   @ParameterizedTest
   @ValueSource(doubles = {0.12, 0.36, 0.9})
-  void nobodyIsTakenForLostAndChangesAreInForceInTime(double share) {
+  void throttledProcessesAreNotReplacedAndChangesTakeEffectInTime(double share) {
     for (long seed = 1; seed <= 4; seed++) {
       start(seed, share);
       long term = leaseTerm();
-      List<String> voters = voters();
+      List<String> voters = describeVoters();
       long refusedBefore = pullsRefused();
       long slowestAckMs = 0;
       long slowestInForceMs = 0;
       long end = cluster.timers.now() + RUN_MS;
       for (long version = 2; cluster.timers.now() < end; version++) {
-        long sentAt = cluster.timers.now();
+        long sentAtMs = cluster.timers.now();
         assertThat(cluster.replaceAnywhere(version - 1, version), is(200));
-        long acknowledgedAt = cluster.timers.now();
+        long acknowledgedAtMs = cluster.timers.now();
         long expected = version;
-        assertThat(cluster.awaitWithin(IN_FORCE_MS, () -> isInForce(expected)), is(true));
-        slowestAckMs = Math.max(slowestAckMs, acknowledgedAt - sentAt);
-        slowestInForceMs = Math.max(slowestInForceMs, cluster.timers.now() - acknowledgedAt);
+        assertThat(cluster.awaitWithin(MAX_PROPAGATION_MS, () -> isInForce(expected)), is(true));
+        slowestAckMs = Math.max(slowestAckMs, acknowledgedAtMs - sentAtMs);
+        slowestInForceMs = Math.max(slowestInForceMs, cluster.timers.now() - acknowledgedAtMs);
         cluster.timers.advance(1_700);
         assertThat("term of the lease", leaseTerm(), is(term));
-        assertThat(voters(), is(voters));
+        assertThat(describeVoters(), is(voters));
       }
-      assertThat(slowestAckMs, lessThan(ACK_MS));
+      assertThat(slowestAckMs, lessThan(MAX_ACKNOWLEDGEMENT_MS));
       assertThat("pulls refused without contact", pullsRefused() - refusedBefore, is(0L));
-      assertThat(oldestServerListMs(), lessThanOrEqualTo(2_500L));
+      assertThat(maxServerListAgeMs(), lessThanOrEqualTo(2_500L));
       assertThat(term, greaterThan(0L));
       System.out.printf(
           "%.2f of a core, seed %d: acknowledged after %d ms, in force %d ms later at most%n",
@@ -116,7 +116,7 @@
     }
   }
 
-  private long oldestServerListMs() {
+  private long maxServerListAgeMs() {
     return cluster.gateways.values().stream()
         .mapToLong(gateway -> gateway.serverListAgeMs())
         .max()
--- a/controlplane/src/test/java/elmsail/controlplane/RepeatedDoubleLossTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/RepeatedDoubleLossTest.java
@@ -22,7 +22,7 @@
  * retirement. All that was acknowledged, blobs included, is there at the end.
  */
 class RepeatedDoubleLossTest {
-  private static final int STORIES = 8;
+  private static final int SEED_COUNT = 8;
   private static final int ROUNDS = 6;
   private static final long CATCH_UP_MS = 4_800;
   private static final byte[] BODY = new byte[9_000];
@@ -30,93 +30,93 @@
   private SimulatedCluster cluster;
   private Random random;
   private Register writer;
-  private int written;
-  private int stores;
+  private int writtenJobs;
+  private int startedStores;
   private final List<String> oldestStores = new ArrayList<>();
   private final List<String> oldestControlPlaneNodes = new ArrayList<>();
 
   @Test
-  void twoLossesRightAfterEachRepairLoseNothing() {
-    long longest = 0;
-    for (int seed = 1; seed <= STORIES; seed++) {
+  void twoLossesRightAfterEachRepairLoseNoAcknowledgedState() {
+    long longestRepairMs = 0;
+    for (int seed = 1; seed <= SEED_COUNT; seed++) {
       start(seed);
       for (int round = 0; round < ROUNDS; round++) {
-        write();
-        String about = "seed " + seed + " round " + round;
+        writeJobs();
+        String scenario = "seed " + seed + " round " + round;
         if (random.nextInt(3) == 0) {
-          decommissionThenLoseTwo(about);
+          decommissionThenLoseTwo(scenario);
         } else {
           loseTwo(random.nextBoolean(), random.nextBoolean());
         }
-        long restarted = cluster.timers.now();
+        long restartedAtMs = cluster.timers.now();
         assertThat(
-            about + " " + storeSet(),
+            scenario + " " + describeVoterSet(),
             cluster.awaitWithin(CATCH_UP_MS, this::allVotersVote),
             is(true));
-        longest = Math.max(longest, cluster.timers.now() - restarted);
+        longestRepairMs = Math.max(longestRepairMs, cluster.timers.now() - restartedAtMs);
       }
-      readAll("seed " + seed);
+      assertAllReadable("seed " + seed);
     }
-    System.out.println("whole again at the latest " + longest + " ms after the restarts");
+    System.out.println("whole again at the latest " + longestRepairMs + " ms after the restarts");
   }
 
   private void start(int seed) {
     cluster = new SimulatedCluster(seed, 3, 2);
     random = new Random(seed);
-    written = 0;
-    stores = 0;
+    writtenJobs = 0;
+    startedStores = 0;
     oldestStores.clear();
     oldestControlPlaneNodes.clear();
     cluster.net.delay(1, 8);
     for (int i = 1; i <= 5; i++) {
-      cluster.controlPlane("n" + i, true);
+      cluster.startControlPlane("n" + i, true);
       oldestControlPlaneNodes.add("n" + i);
     }
     for (int i = 0; i < 6; i++) {
-      add(true);
+      startStore(true);
     }
     writer = new JobStoreClient(cluster, () -> oldestStores).register();
     assertThat(cluster.awaitWithin(8_000, this::allVotersVote), is(true));
     assertThat(cluster.replaceAnywhere(0, 1), is(200));
   }
 
-  private void add(boolean firstStart) {
-    String name = "v" + ++stores;
-    cluster.store(name, firstStart);
+  private void startStore(boolean firstStart) {
+    String name = "v" + ++startedStores;
+    cluster.startStore(name, firstStart);
     oldestStores.add(name);
   }
 
   /** Three jobs with a body each. */
-  private void write() {
+  private void writeJobs() {
     for (int i = 0; i < 3; i++) {
       Blob body = new Blob();
       body.name = "body";
       body.bytes = BODY;
       CompletableFuture<?> change =
           writer.change(
-              "lot/" + written,
+              "lot/" + writtenJobs,
               found -> new Register.ProposedValue(new byte[] {1}, List.of()),
               List.of(body),
               null,
               3_000);
       assertThat(cluster.awaitWithin(3_000, change::isDone), is(true));
       change.join();
-      written++;
+      writtenJobs++;
     }
   }
 
-  private void loseTwo(boolean stores, boolean wiped) {
-    List<String> oldest = stores ? oldestStores : oldestControlPlaneNodes;
+  private void loseTwo(boolean loseStores, boolean wiped) {
+    List<String> oldest = loseStores ? oldestStores : oldestControlPlaneNodes;
     List<String> victims = List.copyOf(oldest.subList(0, 2));
     for (String name : victims) {
       lose(name, wiped);
     }
     cluster.timers.advance(100 + random.nextInt(1_500));
     for (String name : victims) {
-      if (stores) {
-        cluster.store(name, false);
+      if (loseStores) {
+        cluster.startStore(name, false);
       } else {
-        cluster.controlPlane(name, false);
+        cluster.startControlPlane(name, false);
       }
       oldest.remove(name);
       oldest.add(name);
@@ -133,17 +133,17 @@
   }
 
   /** One is emptied and removed as soon as it is said to be; two others lose their disks then. */
-  private void decommissionThenLoseTwo(String about) {
-    add(false);
+  private void decommissionThenLoseTwo(String scenario) {
+    startStore(false);
     cluster.timers.advance(1_500);
     String leaving = oldestStores.get(0);
     assertThat(
-        about,
+        scenario,
         cluster.awaitWithin(4_000, () -> cluster.beginDecommission("n1", leaving) == 200),
         is(true));
     String delivered = "{\"state\":\"delivered\"}";
     assertThat(
-        about,
+        scenario,
         cluster.awaitWithin(
             12_000, () -> cluster.decommissionState("n2", leaving).equals(delivered)),
         is(true));
@@ -170,22 +170,22 @@
             oldestControlPlaneNodes.get(oldestControlPlaneNodes.size() - 1));
   }
 
-  private String storeSet() {
+  private String describeVoterSet() {
     return cluster.describeJobStoreVoters(oldestStores.get(0));
   }
 
-  private void readAll(String about) {
-    for (int i = 0; i < written; i++) {
+  private void assertAllReadable(String scenario) {
+    for (int i = 0; i < writtenJobs; i++) {
       CompletableFuture<Register.VersionedValue> value = writer.read("lot/" + i, null, 2_000);
-      assertThat(about, cluster.awaitWithin(3_000, value::isDone), is(true));
-      assertThat(about + " job " + i, value.join().value(), equalTo(new byte[] {1}));
+      assertThat(scenario, cluster.awaitWithin(3_000, value::isDone), is(true));
+      assertThat(scenario + " job " + i, value.join().value(), equalTo(new byte[] {1}));
       CompletableFuture<byte[]> body = writer.readBlob("lot/" + i, "body", 2_000);
-      assertThat(about, cluster.awaitWithin(3_000, body::isDone), is(true));
-      assertThat(about + " body " + i, body.join().length, is(BODY.length));
+      assertThat(scenario, cluster.awaitWithin(3_000, body::isDone), is(true));
+      assertThat(scenario + " body " + i, body.join().length, is(BODY.length));
     }
     String last = oldestControlPlaneNodes.get(oldestControlPlaneNodes.size() - 1);
     assertThat(
-        about,
+        scenario,
         cluster.awaitWithin(2_000, () -> cluster.read(last).equals(SimulatedCluster.config(1))),
         is(true));
   }
--- a/controlplane/src/test/java/elmsail/controlplane/SharedKeyAcknowledgedTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/SharedKeyRejectionTest.java
@@ -21,7 +21,7 @@
  * A configuration in which two tenants share a key is never acknowledged, whether it is sent whole
  * or comes about by an amendment.
  */
-class SharedKeyAcknowledgedTest {
+class SharedKeyRejectionTest {
   private static final String REPLACE = "/Timetable.Replace";
   private static final String AMEND = "/Timetable.Amend";
   private static final String TWO_TENANTS = tenants(tenant("t1", "k1", "k2"), tenant("t2", "k3"));
@@ -31,7 +31,7 @@
   @BeforeEach
   void start() {
     for (int i = 1; i <= 3; i++) {
-      cluster.controlPlane("n" + i, true);
+      cluster.startControlPlane("n" + i, true);
     }
     cluster.timers.advance(2_000);
     assertThat(status(REPLACE, 0, configWith(1, TWO_TENANTS)), is(200));
@@ -54,13 +54,13 @@
     return config.substring(0, config.length() - 1) + ",\"senders\":" + tenants + "}";
   }
 
-  private static String amendment(long version, String delivered, String withdrawn) {
+  private static String amendment(long version, String added, String removed) {
     return "{\"edition\":"
         + version
         + ",\"deliver\":{\"senders\":"
-        + delivered
+        + added
         + "},\"withdraw\":{\"senders\":"
-        + withdrawn
+        + removed
         + "}}";
   }
 
@@ -75,15 +75,15 @@
     return send(path, basedOn, body).status();
   }
 
-  private RoutingConfig inForce() {
+  private RoutingConfig currentConfig() {
     return RoutingConfigReader.read(cluster.read("n1").getBytes(StandardCharsets.UTF_8));
   }
 
   private Optional<String> tenantOf(String key) {
-    return inForce().tenantByKey(key).map(Tenant::name);
+    return currentConfig().tenantByKey(key).map(Tenant::name);
   }
 
-  private void assertRefused(String path, String body) {
+  private void assertRejected(String path, String body) {
     String before = cluster.read("n3");
     assertThat(body, status(path, 1, body), is(400));
     cluster.timers.advance(1_000);
@@ -91,14 +91,14 @@
   }
 
   @Test
-  void wholeConfigurationWithASharedKeyIsRefused() {
-    assertRefused(REPLACE, configWith(2, tenants(tenant("t1", "k1"), tenant("t2", "k1"))));
-    assertRefused(
+  void replacementWithASharedKeyIsRejected() {
+    assertRejected(REPLACE, configWith(2, tenants(tenant("t1", "k1"), tenant("t2", "k1"))));
+    assertRejected(
         REPLACE, configWith(2, tenants(tenant("t1", "k1", "k9"), tenant("t2", "k8", "k9"))));
   }
 
   @Test
-  void refusalNamesTheTenantAndNotTheKey() {
+  void rejectionNamesTheTenantAndNotTheKey() {
     SimpleHttpResponse response =
         send(REPLACE, 1, configWith(2, tenants(tenant("t1", "k1"), tenant("t2", "k1"))));
     assertThat(
@@ -107,10 +107,10 @@
   }
 
   @Test
-  void amendmentThatGivesATenantAnotherTenantsKeyIsRefused() {
-    assertRefused(AMEND, amendment(2, tenants(tenant("t2", "k3", "k1")), "[]"));
-    assertRefused(AMEND, amendment(2, tenants(tenant("t3", "k2")), "[]"));
-    assertRefused(AMEND, amendment(2, tenants(tenant("t3", "k9"), tenant("t4", "k9")), "[]"));
+  void amendmentThatGivesATenantAnotherTenantsKeyIsRejected() {
+    assertRejected(AMEND, amendment(2, tenants(tenant("t2", "k3", "k1")), "[]"));
+    assertRejected(AMEND, amendment(2, tenants(tenant("t3", "k2")), "[]"));
+    assertRejected(AMEND, amendment(2, tenants(tenant("t3", "k9"), tenant("t4", "k9")), "[]"));
   }
 
   @Test
@@ -128,11 +128,11 @@
     assertThat(tenantOf("k1"), is(Optional.empty()));
     assertThat(tenantOf("k3"), is(Optional.of("t2")));
     assertThat(status(AMEND, 2, amendment(3, "[]", "[\"t2\"]")), is(200));
-    assertThat("keys are required though nobody has one", inForce().requiresKeys(), is(true));
+    assertThat("keys are required though nobody has one", currentConfig().requiresKeys(), is(true));
   }
 
   @Test
-  void keyMayPassToAnotherTenantInOneAmendment() {
+  void oneAmendmentMayMoveAKeyToAnotherTenant() {
     assertThat(
         status(AMEND, 1, amendment(2, tenants(tenant("t1", "k2"), tenant("t2", "k1", "k3")), "[]")),
         is(200));
@@ -153,9 +153,9 @@
   }
 
   @Test
-  void amendmentOfAnUnknownTenantOrOfTwoAtOnceIsRefused() {
-    assertRefused(AMEND, amendment(2, "[]", "[\"t9\"]"));
-    assertRefused(AMEND, amendment(2, tenants(tenant("t1", "k1")), "[\"t1\"]"));
-    assertRefused(AMEND, amendment(2, tenants(tenant("t3", "k8"), tenant("t3", "k9")), "[]"));
+  void amendmentOfAnUnknownTenantOrOfOneTenantTwiceIsRejected() {
+    assertRejected(AMEND, amendment(2, "[]", "[\"t9\"]"));
+    assertRejected(AMEND, amendment(2, tenants(tenant("t1", "k1")), "[\"t1\"]"));
+    assertRejected(AMEND, amendment(2, tenants(tenant("t3", "k8"), tenant("t3", "k9")), "[]"));
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/SimulatedCluster.java
+++ b/controlplane/src/test/java/elmsail/controlplane/SimulatedCluster.java
@@ -33,7 +33,7 @@
  * hand.
  */
 final class SimulatedCluster {
-  static final String EMPTY = "{\"servers\":[],\"next_token\":null}";
+  static final String EMPTY_SERVER_LIST = "{\"servers\":[],\"next_token\":null}";
 
   private static final long TIME_OF_DAY_AT_START_MS = 1_767_225_600_000L;
 
@@ -44,7 +44,7 @@
   final Map<String, StoreNode> stores = new TreeMap<>();
   final Map<String, ConfigWatcher> gateways = new TreeMap<>();
   final Map<String, SimNode> nodes = new TreeMap<>();
-  String platformReply = EMPTY;
+  String platformReply = EMPTY_SERVER_LIST;
   int platformCalls;
 
   /** How long each sync takes on disks that are made from now on; 0: the disk's own way. */
@@ -66,7 +66,7 @@
   final SimulatedDutyPlatform dutyPlatform;
 
   private final long seed;
-  private final int bearMachines;
+  private final int toleratedMachineLosses;
   private final List<String> seeds = new ArrayList<>();
   private long nextProcessId = 1_000;
 
@@ -75,9 +75,9 @@
   }
 
   /** Creates one that tolerates the loss of so many machines at once. */
-  SimulatedCluster(long seed, int seedCount, int bearMachines) {
+  SimulatedCluster(long seed, int seedCount, int toleratedMachineLosses) {
     this.seed = seed;
-    this.bearMachines = bearMachines;
+    this.toleratedMachineLosses = toleratedMachineLosses;
     net = new SimNetwork(seed, timers);
     dutyPlatform = new SimulatedDutyPlatform(seed, timers);
     for (int i = 1; i <= seedCount; i++) {
@@ -102,28 +102,28 @@
     return cluster.settings(name, true, true);
   }
 
-  private Settings settings(String name, boolean firstStart, boolean disk) {
-    boolean head = name.startsWith("n");
-    boolean store = name.startsWith("v");
+  private Settings settings(String name, boolean firstStart, boolean hasDisk) {
+    boolean isControlPlane = name.startsWith("n");
+    boolean isStore = name.startsWith("v");
     return new Settings(
         name,
         "r",
-        store ? "vault" : "counter",
-        Set.of(head ? "head_office" : store ? "vault" : "counter"),
+        isStore ? "vault" : "counter",
+        Set.of(isControlPlane ? "head_office" : isStore ? "vault" : "counter"),
         ip(name),
         "z" + name.substring(1),
         "r",
         Map.of(),
-        head ? Map.of("control", ip(name) + ":8166") : Map.of(),
+        isControlPlane ? Map.of("control", ip(name) + ":8166") : Map.of(),
         7720,
         7735,
         seeds,
         firstStart,
         true,
         new Settings.Limits(1, 400, 4_000, 1_000, 64),
-        disk ? "/data" : null,
+        hasDisk ? "/data" : null,
         Set.of(),
-        bearMachines,
+        toleratedMachineLosses,
         new Settings.Bounds(
             3_000,
             4_000,
@@ -166,7 +166,7 @@
     return settings(name, true, false);
   }
 
-  private SimDisk disk(String name, SimNode node) {
+  private SimDisk openDisk(String name, SimNode node) {
     SimDisk disk = disks.get(name);
     if (disk == null) {
       disk = new SimDisk(seed * 31 + name.hashCode(), timers);
@@ -182,25 +182,25 @@
     return ip(name) + (name.startsWith("n") ? ":7721" : ":7720");
   }
 
-  private SimNode node(String name) {
+  private SimNode startNode(String name) {
     SimNode node = net.startNode(address(name));
     nodes.put(name, node);
     return node;
   }
 
-  void controlPlane(String name, boolean firstStart) {
-    controlPlane(name, firstStart, true);
+  void startControlPlane(String name, boolean firstStart) {
+    startControlPlane(name, firstStart, true);
   }
 
-  void controlPlane(String name, boolean firstStart, boolean disk) {
-    SimNode node = node(name);
+  void startControlPlane(String name, boolean firstStart, boolean hasDisk) {
+    SimNode node = startNode(name);
     NodeEnvironment environment =
         new NodeEnvironment(
-            settings(name, firstStart, disk),
+            settings(name, firstStart, hasDisk),
             node.timers(),
             node.rpcClient(),
             node.requestHandlers(),
-            disk ? disk(name, node) : null,
+            hasDisk ? openDisk(name, node) : null,
             nextProcessId++,
             ProcessMetrics.strict(),
             wallClock(name));
@@ -208,7 +208,7 @@
         (address, request, timeoutMs) ->
             request.method().equals("POST")
                 ? dutyPlatform.call(node, name, request, timeoutMs)
-                : platform(address, request, timeoutMs);
+                : callPlatform(address, request, timeoutMs);
     ControlPlaneNode controlPlaneNode = new ControlPlaneNode(environment, platform);
     controlPlaneNodes.put(name, controlPlaneNode);
     controlPlaneNode.start();
@@ -233,7 +233,7 @@
     return !controlPlaneVoters(controlPlane).voters.isEmpty();
   }
 
-  private CompletableFuture<SimpleHttpResponse> platform(
+  private CompletableFuture<SimpleHttpResponse> callPlatform(
       String address, HttpClientRequest request, long timeoutMs) {
     platformCalls++;
     CompletableFuture<SimpleHttpResponse> reply = new CompletableFuture<>();
@@ -242,32 +242,33 @@
     return reply;
   }
 
-  void store(String name, boolean firstStart) {
-    SimNode node = node(name);
+  void startStore(String name, boolean firstStart) {
+    SimNode node = startNode(name);
     StoreNode storeNode =
         new StoreNode(
             settings(name, firstStart, true),
             node.timers(),
             node.rpcClient(),
             node.requestHandlers(),
-            disk(name, node),
+            openDisk(name, node),
             new ReplicaListener() {},
             ProcessMetrics.strict());
     stores.put(name, storeNode);
     storeNode.start();
   }
 
-  void gateway(String name) {
-    gateway(name, node(name), null);
+  void startGateway(String name) {
+    startGateway(name, startNode(name), null);
   }
 
   /** Starts a gateway that may poll the platform itself. */
-  void gatewayWithPlatform(String name) {
-    SimNode node = node(name);
-    gateway(name, node, new PlatformClient(this::platform, "10.9.0.1:8169", node.timers()));
+  void startGatewayWithPlatform(String name) {
+    SimNode node = startNode(name);
+    startGateway(
+        name, node, new PlatformClient(this::callPlatform, "10.9.0.1:8169", node.timers()));
   }
 
-  private void gateway(String name, SimNode node, PlatformClient platform) {
+  private void startGateway(String name, SimNode node, PlatformClient platform) {
     ConfigWatcher watcher =
         new ConfigWatcher(
             node.rpcClient(),
@@ -291,12 +292,12 @@
   }
 
   /** Advances the clock until the condition holds; false if it does not within so many ms. */
-  boolean awaitWithin(long ms, BooleanSupplier holds) {
-    long end = timers.now() + ms;
-    while (!holds.getAsBoolean() && timers.now() < end) {
+  boolean awaitWithin(long timeoutMs, BooleanSupplier condition) {
+    long deadlineMs = timers.now() + timeoutMs;
+    while (!condition.getAsBoolean() && timers.now() < deadlineMs) {
       timers.advance(1);
     }
-    return holds.getAsBoolean();
+    return condition.getAsBoolean();
   }
 
   CompletableFuture<SimpleHttpResponse> call(
@@ -311,8 +312,8 @@
   }
 
   CompletableFuture<SimpleHttpResponse> sendReplace(
-      String controlPlane, String basedOn, long edition) {
-    return call(controlPlane, "POST", "/Timetable.Replace", basedOn, config(edition));
+      String controlPlane, String basedOn, long version) {
+    return call(controlPlane, "POST", "/Timetable.Replace", basedOn, config(version));
   }
 
   /** The reply's status; -1 if there was none within 1,000 ms. */
@@ -320,15 +321,15 @@
     return awaitWithin(1_000, reply::isDone) ? reply.join().status() : -1;
   }
 
-  int replace(String controlPlane, long basedOn, long edition) {
+  int replace(String controlPlane, long basedOn, long version) {
     return status(
-        call(controlPlane, "POST", "/Timetable.Replace", String.valueOf(basedOn), config(edition)));
+        call(controlPlane, "POST", "/Timetable.Replace", String.valueOf(basedOn), config(version)));
   }
 
   /** The operator goes from gateway to gateway. */
-  int replaceAnywhere(long basedOn, long edition) {
+  int replaceAnywhere(long basedOn, long version) {
     for (int i = 0; i < 30; i++) {
-      int status = replace("n" + (i % seeds.size() + 1), basedOn, edition);
+      int status = replace("n" + (i % seeds.size() + 1), basedOn, version);
       if (status == 200 || status == 400 || status == 412) {
         return status;
       }
@@ -377,11 +378,11 @@
     return voters.toString();
   }
 
-  static String config(long edition) {
+  static String config(long version) {
     return "{\"edition\":"
-        + edition
+        + version
         + ",\"routes\":[{\"name\":\"r"
-        + edition
+        + version
         + "\",\"depot\":\"a.example\",\"lane_prefix\":\"/a/\",\"route_class\":\"safe\",\"give_up_ms\":2000,"
         + "\"due_ms\":250,\"precedence\":0,\"postal_line\":\"p\",\"tries\":2}],\"postal_lines\":[{\"name\":"
         + "\"p\","
