--- a/controlplane/src/test/java/elmsail/controlplane/SplitPartitionScenario.java
+++ b/controlplane/src/test/java/elmsail/controlplane/SplitPartitionScenario.java
@@ -25,14 +25,14 @@
 /** One cut of the counted machines into two halves, with all that goes on around it. */
 final class SplitPartitionScenario {
   /** How the machines are divided, by their place among all nodes and stores. */
-  enum Halves {
+  enum Split {
     /** Nodes and stores by turns. */
-    BY_TURNS,
+    ALTERNATING,
     /** The first nodes and the last stores: the two majorities may lie on different sides. */
     CROSSED,
     /** The first nodes and the first stores. */
     IN_ORDER,
-    DRAWN
+    RANDOM
   }
 
   /** What has begun shortly before the cut. */
@@ -40,82 +40,87 @@
     NOTHING,
     STORE_JOINS,
     NODE_JOINS,
-    RETIRE,
+    STORE_DECOMMISSIONED,
     WIPED_STORE_REJOINS,
     WIPED_NODE_REJOINS,
     NODE_FROZEN
   }
 
   /** The bound of the small sites. */
-  private static final long RECOVER_MS = 12_000;
+  private static final long MAX_RECOVERY_MS = 12_000;
 
-  private static final long GONE_MS = 3_000;
+  private static final long LOST_AFTER_MS = 3_000;
 
   /** So many orders are under way at once at most. */
   private static final int MAX_PENDING_CHANGES = 8;
 
   private static final int STEP_MS = 40;
-  private static final int PAUSE_MS = 200;
-  private static final int RACE_INTERVAL_MS = 300;
+  private static final int RETRY_DELAY_MS = 200;
+  private static final int SEND_INTERVAL_MS = 300;
   private static final String DELIVERED = "{\"state\":\"delivered\"}";
 
-  private final String name;
+  private final String scenario;
   private final SimulatedCluster cluster;
   private final Random random;
-  private final Halves halves;
+  private final Split split;
   private final ConcurrentChange concurrentChange;
-  private final int nodes;
-  private final int voters;
+  private final int nodeCount;
+  private final int voterCount;
   private final ConfigChangeScenario changes;
   private final ConfigReadChecker reads;
   private final JobRecordWriter jobs;
-  private final List<String> counted = new ArrayList<>();
+  private final List<String> machines = new ArrayList<>();
   private final Set<String> lostMachines = new HashSet<>();
   private final Set<String> decommissioning = new HashSet<>();
   private final Set<String> delivered = new HashSet<>();
-  private final Map<String, Long> holderOf = new HashMap<>();
+  private final Map<String, Long> instanceBySlotAndEpoch = new HashMap<>();
   private final Map<String, CompletableFuture<SimpleHttpResponse>> pendingStateReads =
       new LinkedHashMap<>();
   private final Map<ConfigChangeScenario.ChangeRequest, Long> retryAtMs = new LinkedHashMap<>();
-  private long number = 1;
-  private final Set<String> notAcceptedYet = new LinkedHashSet<>();
-  private final List<String> wrong = new ArrayList<>();
-  private long nextRace;
-  private long nextRetire;
-  private int acknowledgedInTheCut;
-  private int readsInTheCut;
+  private long lastVersion = 1;
+  private final Set<String> unacceptedDecommissions = new LinkedHashSet<>();
+  private final List<String> unexpectedReplies = new ArrayList<>();
+  private long nextChangesAtMs;
+  private long nextDecommissionAtMs;
+  private int acknowledgedDuringSplit;
+  private int readsDuringSplit;
   private long recoveredAfterMs;
-  private long ackedAfterMs;
+  private long acknowledgedAfterMs;
 
   SplitPartitionScenario(
-      int seed, int nodes, int stores, int bear, Halves halves, ConcurrentChange underWay) {
-    this.name = halves + ", " + underWay + ", seed " + seed;
-    this.nodes = nodes;
-    this.halves = halves;
-    this.concurrentChange = underWay;
-    voters = 2 * bear + 1;
-    random = new Random(seed * 31L + halves.ordinal());
-    cluster = new SimulatedCluster(seed, 3, bear);
+      int seed,
+      int nodeCount,
+      int storeCount,
+      int toleratedLosses,
+      Split split,
+      ConcurrentChange concurrentChange) {
+    this.scenario = split + ", " + concurrentChange + ", seed " + seed;
+    this.nodeCount = nodeCount;
+    this.split = split;
+    this.concurrentChange = concurrentChange;
+    voterCount = 2 * toleratedLosses + 1;
+    random = new Random(seed * 31L + split.ordinal());
+    cluster = new SimulatedCluster(seed, 3, toleratedLosses);
     cluster.net.delay(1, 8);
-    changes = new ConfigChangeScenario(name, cluster, random, nodes);
-    reads = new ConfigReadChecker(name, changes);
-    for (int i = 1; i <= nodes; i++) {
-      counted.add("n" + i);
-      cluster.controlPlane("n" + i, true);
+    changes = new ConfigChangeScenario(scenario, cluster, random, nodeCount);
+    reads = new ConfigReadChecker(scenario, changes);
+    for (int i = 1; i <= nodeCount; i++) {
+      machines.add("n" + i);
+      cluster.startControlPlane("n" + i, true);
     }
-    for (int i = 1; i <= stores; i++) {
-      counted.add("v" + i);
-      cluster.store("v" + i, true);
+    for (int i = 1; i <= storeCount; i++) {
+      machines.add("v" + i);
+      cluster.startStore("v" + i, true);
     }
-    jobs = new JobRecordWriter(name, cluster, random);
+    jobs = new JobRecordWriter(scenario, cluster, random);
   }
 
-  int acknowledgedInTheCut() {
-    return acknowledgedInTheCut;
+  int acknowledgedDuringSplit() {
+    return acknowledgedDuringSplit;
   }
 
-  int readsAnsweredInTheCut() {
-    return readsInTheCut;
+  int readsAnsweredDuringSplit() {
+    return readsDuringSplit;
   }
 
   int delivered() {
@@ -126,70 +131,72 @@
     return recoveredAfterMs;
   }
 
-  long ackedAfterMs() {
-    return ackedAfterMs;
+  long acknowledgedAfterMs() {
+    return acknowledgedAfterMs;
   }
 
-  void play() {
-    assertThat(name + ": founded", cluster.awaitWithin(10_000, this::allVotersVote), is(true));
-    assertThat(name, cluster.replaceAnywhere(0, 1), is(200));
+  void runScenario() {
+    assertThat(scenario + ": founded", cluster.awaitWithin(10_000, this::allVotersVote), is(true));
+    assertThat(scenario, cluster.replaceAnywhere(0, 1), is(200));
     changes.sent.add(ConfigChangeScenario.replacement(0, 1, ""));
     changes.committed.add(ConfigChangeScenario.replacement(0, 1, ""));
-    run(1_000);
-    begin();
-    int confirmed = changes.committed.size();
-    int answered = reads.configsRead();
-    split();
-    run(1_000 + random.nextInt(2_000));
-    requestDecommission(anyStore());
-    run(2_000 + random.nextInt(6_000));
-    acknowledgedInTheCut = changes.committed.size() - confirmed;
-    readsInTheCut = reads.configsRead() - answered;
+    runFor(1_000);
+    beginConcurrentChange();
+    int committedBeforeSplit = changes.committed.size();
+    int readsBeforeSplit = reads.configsRead();
+    partition();
+    runFor(1_000 + random.nextInt(2_000));
+    requestDecommission(randomRunningStore());
+    runFor(2_000 + random.nextInt(6_000));
+    acknowledgedDuringSplit = changes.committed.size() - committedBeforeSplit;
+    readsDuringSplit = reads.configsRead() - readsBeforeSplit;
     heal();
-    int before = changes.committed.size();
-    long healedAt = cluster.timers.now();
-    while (!allVotersVote() && cluster.timers.now() < healedAt + RECOVER_MS) {
-      run(50);
+    int committedBeforeHeal = changes.committed.size();
+    long healedAtMs = cluster.timers.now();
+    while (!allVotersVote() && cluster.timers.now() < healedAtMs + MAX_RECOVERY_MS) {
+      runFor(50);
     }
-    assertThat(name + ": whole after the heal " + state(), allVotersVote(), is(true));
-    recoveredAfterMs = cluster.timers.now() - healedAt;
-    run(2_000);
+    assertThat(scenario + ": whole after the heal " + describeState(), allVotersVote(), is(true));
+    recoveredAfterMs = cluster.timers.now() - healedAtMs;
+    runFor(2_000);
     assertThat(
-        name + ": orders after the heal " + state(), changes.committed.size() > before, is(true));
-    end();
+        scenario + ": orders after the heal " + describeState(),
+        changes.committed.size() > committedBeforeHeal,
+        is(true));
+    finish();
   }
 
   /** What is to be under way when the cut comes. */
-  private void begin() {
-    String store = holders().get(random.nextInt(voters));
+  private void beginConcurrentChange() {
+    String store = jobStoreVoterMachines().get(random.nextInt(voterCount));
     String node = "n" + (1 + random.nextInt(3));
     switch (concurrentChange) {
       case STORE_JOINS -> {
         lose(store);
-        run(GONE_MS - 200 + random.nextInt(500));
+        runFor(LOST_AFTER_MS - 200 + random.nextInt(500));
       }
       case NODE_JOINS -> {
         lose(node);
-        run(GONE_MS - 200 + random.nextInt(500));
+        runFor(LOST_AFTER_MS - 200 + random.nextInt(500));
       }
-      case RETIRE -> {
+      case STORE_DECOMMISSIONED -> {
         requestDecommission(store);
-        run(random.nextInt(800));
+        runFor(random.nextInt(800));
       }
       case WIPED_STORE_REJOINS -> {
         cluster.wipe(store);
-        run(500);
-        cluster.store(store, false);
-        run(random.nextInt(60));
+        runFor(500);
+        cluster.startStore(store, false);
+        runFor(random.nextInt(60));
       }
       case WIPED_NODE_REJOINS -> {
         cluster.wipe(node);
-        run(500);
-        cluster.controlPlane(node, false);
-        run(random.nextInt(60));
+        runFor(500);
+        cluster.startControlPlane(node, false);
+        runFor(random.nextInt(60));
       }
       case NODE_FROZEN -> cluster.net.freeze(cluster.address(node));
-      default -> run(random.nextInt(500));
+      default -> runFor(random.nextInt(500));
     }
   }
 
@@ -197,31 +204,31 @@
     cluster.net.kill(cluster.address(machine), false);
     lostMachines.add(machine);
     cluster.controlPlaneNodes.remove(machine);
-    jobs.forget(machine);
+    jobs.ignoreStore(machine);
   }
 
-  private boolean firstHalf(String machine, Set<String> drawn) {
-    int place = Integer.parseInt(machine.substring(1));
-    boolean node = machine.startsWith("n");
-    int half = (node ? nodes : counted.size() - nodes) / 2;
-    return switch (halves) {
-      case BY_TURNS -> place % 2 == 0;
-      case CROSSED -> node == (place <= half);
-      case IN_ORDER -> place <= half;
-      case DRAWN -> drawn.contains(machine);
+  private boolean isInFirstHalf(String machine, Set<String> randomHalf) {
+    int index = Integer.parseInt(machine.substring(1));
+    boolean isControlPlane = machine.startsWith("n");
+    int halfCount = (isControlPlane ? nodeCount : machines.size() - nodeCount) / 2;
+    return switch (split) {
+      case ALTERNATING -> index % 2 == 0;
+      case CROSSED -> isControlPlane == (index <= halfCount);
+      case IN_ORDER -> index <= halfCount;
+      case RANDOM -> randomHalf.contains(machine);
     };
   }
 
-  private void split() {
-    Set<String> drawn = new HashSet<>();
-    for (String machine : counted) {
+  private void partition() {
+    Set<String> randomHalf = new HashSet<>();
+    for (String machine : machines) {
       if (random.nextBoolean()) {
-        drawn.add(machine);
+        randomHalf.add(machine);
       }
     }
-    for (String one : counted) {
-      for (String other : counted) {
-        if (firstHalf(one, drawn) && !firstHalf(other, drawn)) {
+    for (String one : machines) {
+      for (String other : machines) {
+        if (isInFirstHalf(one, randomHalf) && !isInFirstHalf(other, randomHalf)) {
           cluster.net.cutBoth(cluster.address(one), cluster.address(other));
         }
       }
@@ -230,35 +237,35 @@
 
   private void heal() {
     cluster.net.healAll();
-    for (int i = 1; i <= nodes; i++) {
+    for (int i = 1; i <= nodeCount; i++) {
       if (cluster.net.nodeAt(cluster.address("n" + i)) != null) {
         cluster.net.thaw(cluster.address("n" + i));
       }
     }
   }
 
-  private String anyStore() {
+  private String randomRunningStore() {
     String store;
     do {
-      store = counted.get(nodes + random.nextInt(counted.size() - nodes));
+      store = machines.get(nodeCount + random.nextInt(machines.size() - nodeCount));
     } while (lostMachines.contains(store));
     return store;
   }
 
   /** To be asked at any node until one takes it. */
   private void requestDecommission(String store) {
-    notAcceptedYet.add(store);
+    unacceptedDecommissions.add(store);
   }
 
   private void sendDecommissionRequests() {
-    if (cluster.timers.now() < nextRetire) {
+    if (cluster.timers.now() < nextDecommissionAtMs) {
       return;
     }
-    nextRetire = cluster.timers.now() + RACE_INTERVAL_MS;
-    for (String store : List.copyOf(notAcceptedYet)) {
-      String node = "n" + (1 + random.nextInt(nodes));
-      SimNode there = cluster.net.nodeAt(cluster.address(node));
-      if (lostMachines.contains(node) || there == null || there.isFrozen()) {
+    nextDecommissionAtMs = cluster.timers.now() + SEND_INTERVAL_MS;
+    for (String store : List.copyOf(unacceptedDecommissions)) {
+      String node = "n" + (1 + random.nextInt(nodeCount));
+      SimNode simNode = cluster.net.nodeAt(cluster.address(node));
+      if (lostMachines.contains(node) || simNode == null || simNode.isFrozen()) {
         continue;
       }
       cluster
@@ -269,37 +276,38 @@
 
   private void onDecommissionReply(String store, int status) {
     if (status == 200) {
-      notAcceptedYet.remove(store);
+      unacceptedDecommissions.remove(store);
       decommissioning.add(store);
     } else if (status < 500 && status != 307) {
-      wrong.add("Retire.Begin " + store + ": " + status);
+      unexpectedReplies.add("Retire.Begin " + store + ": " + status);
     }
   }
 
-  private void run(long ms) {
-    long end = cluster.timers.now() + ms;
-    while (cluster.timers.now() < end) {
+  private void runFor(long ms) {
+    long endMs = cluster.timers.now() + ms;
+    while (cluster.timers.now() < endMs) {
       sendRacingChanges();
-      reads.read("n" + (1 + random.nextInt(nodes)));
+      reads.read("n" + (1 + random.nextInt(nodeCount)));
       jobs.step();
       sendDecommissionRequests();
       pollDecommissionStates();
       collectReplies();
-      reads.check();
-      check();
+      reads.checkReplies();
+      checkInvariants();
     }
   }
 
   private void collectReplies() {
-    for (ConfigChangeScenario.ChangeRequest unclear : changes.collectReplies(STEP_MS)) {
-      retryAtMs.put(unclear, cluster.timers.now() + PAUSE_MS + random.nextInt(PAUSE_MS));
+    for (ConfigChangeScenario.ChangeRequest unresolved : changes.collectReplies(STEP_MS)) {
+      retryAtMs.put(
+          unresolved, cluster.timers.now() + RETRY_DELAY_MS + random.nextInt(RETRY_DELAY_MS));
     }
-    for (Map.Entry<ConfigChangeScenario.ChangeRequest, Long> one :
+    for (Map.Entry<ConfigChangeScenario.ChangeRequest, Long> retry :
         List.copyOf(retryAtMs.entrySet())) {
-      if (one.getValue() <= cluster.timers.now()) {
-        retryAtMs.remove(one.getKey());
-        if (!changes.answered(one.getKey())) {
-          changes.send(one.getKey());
+      if (retry.getValue() <= cluster.timers.now()) {
+        retryAtMs.remove(retry.getKey());
+        if (!changes.hasFinalReply(retry.getKey())) {
+          changes.send(retry.getKey());
         }
       }
     }
@@ -307,18 +315,19 @@
 
   /** Two orders on the newest base at any two nodes, and some of those before them once more. */
   private void sendRacingChanges() {
-    boolean many = changes.pending() + retryAtMs.size() + 2 > MAX_PENDING_CHANGES;
-    if (many || cluster.timers.now() < nextRace) {
+    boolean isLimitReached = changes.pendingCount() + retryAtMs.size() + 2 > MAX_PENDING_CHANGES;
+    if (isLimitReached || cluster.timers.now() < nextChangesAtMs) {
       return;
     }
-    nextRace = cluster.timers.now() + RACE_INTERVAL_MS;
-    long base = 0;
+    nextChangesAtMs = cluster.timers.now() + SEND_INTERVAL_MS;
+    long baseVersion = 0;
     for (ConfigChangeScenario.ChangeRequest request : changes.committed) {
-      base = Math.max(base, request.number());
+      baseVersion = Math.max(baseVersion, request.version());
     }
-    number = Math.max(number, base) + 1;
-    changes.send(ConfigChangeScenario.replacement(base, number, "a"));
-    changes.send(ConfigChangeScenario.replacement(base, number + random.nextInt(2), "b"));
+    lastVersion = Math.max(lastVersion, baseVersion) + 1;
+    changes.send(ConfigChangeScenario.replacement(baseVersion, lastVersion, "a"));
+    changes.send(
+        ConfigChangeScenario.replacement(baseVersion, lastVersion + random.nextInt(2), "b"));
     if (random.nextInt(4) == 0) {
       List<ConfigChangeScenario.ChangeRequest> earlier = new ArrayList<>(changes.sent);
       changes.send(earlier.get(Math.max(0, earlier.size() - 1 - random.nextInt(8))));
@@ -338,13 +347,13 @@
     pendingStateReads
         .entrySet()
         .removeIf(
-            one -> {
-              if (!one.getValue().isDone()) {
+            pendingRead -> {
+              if (!pendingRead.getValue().isDone()) {
                 return false;
               }
-              SimpleHttpResponse reply = one.getValue().join();
-              String store = one.getKey().split(" ")[1];
-              assertThat(name + ": unknown: " + store, reply.status(), not(is(404)));
+              SimpleHttpResponse reply = pendingRead.getValue().join();
+              String store = pendingRead.getKey().split(" ")[1];
+              assertThat(scenario + ": unknown: " + store, reply.status(), not(is(404)));
               if (DELIVERED.equals(new String(reply.body(), StandardCharsets.UTF_8))) {
                 delivered.add(store);
               }
@@ -352,16 +361,16 @@
             });
   }
 
-  private void check() {
-    for (Voter voter : jobs.newest().voters) {
-      assertThat(name + ": delivered", delivered, not(hasItem(voter.machine)));
+  private void checkInvariants() {
+    for (Voter voter : jobs.newestVoterSet().voters) {
+      assertThat(scenario + ": delivered", delivered, not(hasItem(voter.machine)));
     }
     int leases = 0;
-    for (Map.Entry<String, ControlPlaneNode> office : cluster.controlPlaneNodes.entrySet()) {
-      boolean up = cluster.net.nodeAt(cluster.address(office.getKey())) != null;
-      leases += up && office.getValue().leaseTerm() > 0 ? 1 : 0;
+    for (Map.Entry<String, ControlPlaneNode> node : cluster.controlPlaneNodes.entrySet()) {
+      boolean isRunning = cluster.net.nodeAt(cluster.address(node.getKey())) != null;
+      leases += isRunning && node.getValue().leaseTerm() > 0 ? 1 : 0;
     }
-    assertThat(name + ": leases", leases, lessThanOrEqualTo(1));
+    assertThat(scenario + ": leases", leases, lessThanOrEqualTo(1));
     for (Map.Entry<String, StoreNode> store : cluster.stores.entrySet()) {
       if (!store.getValue().replica().isVoting()) {
         continue;
@@ -369,47 +378,48 @@
       List<Voter> slots = store.getValue().replica().voterSet().voters;
       for (int i = 0; i < slots.size(); i++) {
         Voter voter = slots.get(i);
-        boolean itself = voter.machine.equals(store.getKey());
-        if (itself) {
-          Long before = holderOf.putIfAbsent(i + "/" + voter.epoch, voter.instanceId);
+        boolean holdsSlot = voter.machine.equals(store.getKey());
+        if (holdsSlot) {
+          Long previousInstanceId =
+              instanceBySlotAndEpoch.putIfAbsent(i + "/" + voter.epoch, voter.instanceId);
           assertThat(
-              name + ": two hold slot " + i,
-              before == null || before == voter.instanceId,
+              scenario + ": two hold slot " + i,
+              previousInstanceId == null || previousInstanceId == voter.instanceId,
               is(true));
         }
       }
     }
   }
 
-  private List<String> holders() {
-    List<String> holders = new ArrayList<>();
-    for (Voter voter : jobs.newest().voters) {
-      holders.add(voter.machine);
+  private List<String> jobStoreVoterMachines() {
+    List<String> machines = new ArrayList<>();
+    for (Voter voter : jobs.newestVoterSet().voters) {
+      machines.add(voter.machine);
     }
-    return holders;
+    return machines;
   }
 
   private boolean allVotersVote() {
-    if (jobs.newest().voters.isEmpty()) {
+    if (jobs.newestVoterSet().voters.isEmpty()) {
       return false;
     }
     int voting = 0;
-    for (Voter voter : jobs.newest().voters) {
+    for (Voter voter : jobs.newestVoterSet().voters) {
       StoreNode store = cluster.stores.get(voter.machine);
-      boolean there =
+      boolean isRunning =
           cluster.net.nodeAt(voter.address) != null && !lostMachines.contains(voter.machine);
-      boolean same = cluster.disks.get(voter.machine).instanceId() == voter.instanceId;
-      voting += there && same && store.replica().isVoting() ? 1 : 0;
+      boolean isSameInstance = cluster.disks.get(voter.machine).instanceId() == voter.instanceId;
+      voting += isRunning && isSameInstance && store.replica().isVoting() ? 1 : 0;
     }
     for (String node : cluster.controlPlaneNodes.keySet()) {
       if (!lostMachines.contains(node) && !cluster.allControlPlaneVotersVote(node)) {
         return false;
       }
     }
-    return voting == voters;
+    return voting == voterCount;
   }
 
-  private String state() {
+  private String describeState() {
     StringBuilder state =
         new StringBuilder("gone " + lostMachines + ", retired " + decommissioning);
     for (String node : cluster.controlPlaneNodes.keySet()) {
@@ -431,18 +441,21 @@
   }
 
   /** All that was asked to leave has left; all that was acknowledged is there. */
-  private void end() {
-    long end = cluster.timers.now() + RECOVER_MS;
-    while (!(notAcceptedYet.isEmpty() && delivered.containsAll(decommissioning))
-        && cluster.timers.now() < end) {
-      run(100);
+  private void finish() {
+    long deadlineMs = cluster.timers.now() + MAX_RECOVERY_MS;
+    while (!(unacceptedDecommissions.isEmpty() && delivered.containsAll(decommissioning))
+        && cluster.timers.now() < deadlineMs) {
+      runFor(100);
     }
-    String leaving = name + ": asked " + decommissioning + ", delivered " + delivered + state();
+    String leaving =
+        scenario + ": asked " + decommissioning + ", delivered " + delivered + describeState();
     assertThat(
-        leaving, notAcceptedYet.isEmpty() && delivered.containsAll(decommissioning), is(true));
-    assertThat(name, wrong, is(empty()));
-    jobs.readAll();
-    changes.finish();
-    assertThat(name, cluster.net.handlerFaults().isEmpty(), is(true));
+        leaving,
+        unacceptedDecommissions.isEmpty() && delivered.containsAll(decommissioning),
+        is(true));
+    assertThat(scenario, unexpectedReplies, is(empty()));
+    jobs.assertAllJobsReadable();
+    changes.assertHistoryMatchesReplies();
+    assertThat(scenario, cluster.net.handlerFaults().isEmpty(), is(true));
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/SplitPartitionTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/SplitPartitionTest.java
@@ -14,45 +14,58 @@
  * for all machines holds throughout, and all is well again soon after the cut has healed.
  */
 class SplitPartitionTest {
-  private static final int STORIES = 6;
+  private static final int SEED_COUNT = 6;
 
   @ParameterizedTest
   @EnumSource
   void fourNodesAndSevenStoresWithThreeVotersEach(
-      SplitPartitionScenario.ConcurrentChange underWay) {
-    play(4, 7, 1, underWay);
+      SplitPartitionScenario.ConcurrentChange concurrentChange) {
+    runScenarios(4, 7, 1, concurrentChange);
   }
 
   @ParameterizedTest
   @EnumSource
-  void sixNodesAndTenStoresWithFiveVotersEach(SplitPartitionScenario.ConcurrentChange underWay) {
-    play(6, 10, 2, underWay);
+  void sixNodesAndTenStoresWithFiveVotersEach(
+      SplitPartitionScenario.ConcurrentChange concurrentChange) {
+    runScenarios(6, 10, 2, concurrentChange);
   }
 
-  private static void play(
-      int nodes, int stores, int bear, SplitPartitionScenario.ConcurrentChange underWay) {
+  private static void runScenarios(
+      int nodeCount,
+      int storeCount,
+      int toleratedLosses,
+      SplitPartitionScenario.ConcurrentChange concurrentChange) {
     int acknowledged = 0;
-    int answers = 0;
+    int readsAnswered = 0;
     int delivered = 0;
-    long longest = 0;
-    long acked = 0;
-    for (SplitPartitionScenario.Halves halves : SplitPartitionScenario.Halves.values()) {
-      for (int seed = 1; seed <= STORIES; seed++) {
+    long longestRecoveryMs = 0;
+    long longestAcknowledgementMs = 0;
+    for (SplitPartitionScenario.Split split : SplitPartitionScenario.Split.values()) {
+      for (int seed = 1; seed <= SEED_COUNT; seed++) {
         SplitPartitionScenario scenario =
-            new SplitPartitionScenario(seed, nodes, stores, bear, halves, underWay);
-        scenario.play();
-        acknowledged += scenario.acknowledgedInTheCut();
-        answers += scenario.readsAnsweredInTheCut();
+            new SplitPartitionScenario(
+                seed, nodeCount, storeCount, toleratedLosses, split, concurrentChange);
+        scenario.runScenario();
+        acknowledged += scenario.acknowledgedDuringSplit();
+        readsAnswered += scenario.readsAnsweredDuringSplit();
         delivered += scenario.delivered();
-        acked = Math.max(acked, scenario.ackedAfterMs());
-        longest = Math.max(longest, scenario.recoveredAfterMs());
+        longestAcknowledgementMs =
+            Math.max(longestAcknowledgementMs, scenario.acknowledgedAfterMs());
+        longestRecoveryMs = Math.max(longestRecoveryMs, scenario.recoveredAfterMs());
       }
     }
     System.out.printf(
         "%d nodes, %d stores, %s: %d orders and %d reads answered in the cuts, %d delivered,"
             + " whole %d ms after the heal at the latest, an order confirmed after %d%n",
-        nodes, stores, underWay, acknowledged, answers, delivered, longest, acked);
+        nodeCount,
+        storeCount,
+        concurrentChange,
+        acknowledged,
+        readsAnswered,
+        delivered,
+        longestRecoveryMs,
+        longestAcknowledgementMs);
     assertThat("orders acknowledged in the cut", acknowledged > 0, is(true));
-    assertThat("reads answered in the cut", answers, greaterThan(50));
+    assertThat("reads answered in the cut", readsAnswered, greaterThan(50));
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/StorePlacementPartitionTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/StorePlacementPartitionTest.java
@@ -21,53 +21,53 @@
   private static final String DELIVERED = "{\"state\":\"delivered\"}";
 
   /** The first three hold the slots, the others are spares. */
-  private void stores(int count) {
+  private void startStores(int count) {
     for (int i = 1; i <= 3; i++) {
-      cluster.store("v" + i, true);
+      cluster.startStore("v" + i, true);
     }
     assertThat(
         cluster.awaitWithin(
             6_000, () -> cluster.describeJobStoreVoters("v1").equals("v1/1 v2/1 v3/1")),
         is(true));
     for (int i = 4; i <= count; i++) {
-      cluster.store("v" + i, true);
+      cluster.startStore("v" + i, true);
     }
     cluster.timers.advance(4_000);
   }
 
   @Test
-  void noStoreJoinsByAnAssignmentFromBeforeAFreeze() {
+  void thawedNodeSendsNoSlotAssignmentFromBeforeTheFreeze() {
     startControlPlane();
-    stores(4);
+    startStores(4);
     cluster.net.cut(cluster.address("n1"), cluster.address("v4"));
     cluster.net.kill(cluster.address("v2"), false);
     cluster.timers.advance(3_200);
-    CompletableFuture<PullResponse> before = pull(request("store", "v4"), 1_000);
-    assertThat(cluster.awaitWithin(1_000, before::isDone), is(true));
-    assertThat("n1 directs", before.join().view.joinSlot, is(1));
+    CompletableFuture<PullResponse> pullBeforeFreeze = pull(pullRequest("store", "v4"), 1_000);
+    assertThat(cluster.awaitWithin(1_000, pullBeforeFreeze::isDone), is(true));
+    assertThat("n1 directs", pullBeforeFreeze.join().view.joinSlot, is(1));
     cluster.net.freeze(cluster.address("n1"));
-    CompletableFuture<PullResponse> early = pull(request("store", "v4"), 60_000);
-    cluster.timers.advance(CUT_MS);
+    CompletableFuture<PullResponse> pullDuringFreeze = pull(pullRequest("store", "v4"), 60_000);
+    cluster.timers.advance(PARTITION_MS);
     cluster.net.thaw(cluster.address("n1"));
     for (int ms = 0; ms < 100; ms++) {
       cluster.timers.advance(1);
-      CompletableFuture<PullResponse> one = pull(request("store", "v4"), 1_000);
-      assertAssignsNothing(early);
-      assertAssignsNothing(one);
+      CompletableFuture<PullResponse> pullAfterThaw = pull(pullRequest("store", "v4"), 1_000);
+      assertNoSlotAssigned(pullDuringFreeze);
+      assertNoSlotAssigned(pullAfterThaw);
     }
-    assertThat(early.isDone(), is(true));
+    assertThat(pullDuringFreeze.isDone(), is(true));
   }
 
-  private static void assertAssignsNothing(CompletableFuture<PullResponse> answer) {
-    if (answer.isDone() && !failed(answer) && answer.join().view != null) {
-      assertThat(answer.join().view.joinSlot, is(-1));
+  private static void assertNoSlotAssigned(CompletableFuture<PullResponse> response) {
+    if (response.isDone() && !hasFailed(response) && response.join().view != null) {
+      assertThat(response.join().view.joinSlot, is(-1));
     }
   }
 
   @Test
   void partitionedNodeAssignsNoSlots() {
     startControlPlane();
-    stores(4);
+    startStores(4);
     Partition.BOTH_WAYS.begin(cluster);
     cluster.timers.advance(CONTACT_MAX_AGE_MS);
     for (int i = 1; i <= 4; i++) {
@@ -75,7 +75,7 @@
       cluster.net.cutBoth(cluster.address("v" + i), cluster.address("n3"));
     }
     cluster.net.kill(cluster.address("v2"), false);
-    long end = cluster.timers.now() + CUT_MS;
+    long end = cluster.timers.now() + PARTITION_MS;
     while (cluster.timers.now() < end) {
       cluster.timers.advance(50);
       assertThat(cluster.describeJobStoreVoters("v1"), equalTo("v1/1 v2/1 v3/1"));
@@ -90,7 +90,7 @@
   @Test
   void partitionedNodeReportsNoStoreDelivered() {
     startControlPlane();
-    stores(5);
+    startStores(5);
     assertThat(cluster.beginDecommission("n2", "v4"), is(200));
     assertThat(
         cluster.awaitWithin(6_000, () -> cluster.decommissionState("n1", "v4").equals(DELIVERED)),
@@ -108,9 +108,9 @@
   }
 
   @Test
-  void deliveredIsNotReportedByHeartbeatsAlone() {
+  void storeIsNotReportedDeliveredFromHeartbeatsAlone() {
     startControlPlane();
-    stores(5);
+    startStores(5);
     assertThat(cluster.beginDecommission("n2", "v4"), is(200));
     cluster.timers.advance(100);
     Partition.BOTH_WAYS.begin(cluster);
@@ -124,10 +124,10 @@
   @Test
   void storeStartedDuringPartitionIsNotUnknown() {
     startControlPlane();
-    stores(4);
+    startStores(4);
     cluster.net.isolate(cluster.address("n1"));
     cluster.net.cutBoth(cluster.address("n1"), cluster.address("v5"));
-    cluster.store("v5", true);
+    cluster.startStore("v5", true);
     cluster.timers.advance(CONTACT_MAX_AGE_MS);
     for (int i = 0; i < 20; i++) {
       cluster.timers.advance(1_000);
@@ -147,7 +147,7 @@
   void storeSeenOnlyByPeersIsNeitherUnknownNorMissing() {
     startControlPlane();
     cluster.net.cutBoth(cluster.address("n1"), cluster.address("v4"));
-    stores(4);
+    startStores(4);
     assertThat(
         "no heartbeats here, so it may exist", cluster.beginDecommission("n1", "v2"), is(503));
     assertThat(cluster.beginDecommission("n1", "v4"), is(200));
@@ -155,14 +155,14 @@
   }
 
   @Test
-  void frozenNodeCallsNoStoreUnknownAfterwards() {
+  void thawedNodeReportsNoRunningStoreAsUnknown() {
     startControlPlane();
-    stores(4);
+    startStores(4);
     cluster.net.freeze(cluster.address("n1"));
     cluster.timers.advance(1_000);
-    cluster.store("v5", true);
+    cluster.startStore("v5", true);
     cluster.net.cutBoth(cluster.address("n1"), cluster.address("v5"));
-    cluster.timers.advance(CUT_MS);
+    cluster.timers.advance(PARTITION_MS);
     cluster.net.thaw(cluster.address("n1"));
     assertThat(cluster.beginDecommission("n1", "v5"), anyOf(is(503), is(200)));
     assertThat("all others are sure", cluster.beginDecommission("n1", "v9"), is(404));
@@ -174,29 +174,29 @@
    * of it, it never holds a slot later.
    */
   @Test
-  void spareAssignedBeforeItsDecommissioningIsNotDelivered() {
-    int said = 0;
-    for (int apart = 0; apart < 600; apart += 5) {
-      newCluster(apart);
+  void storeReportedDeliveredNeverTakesAnEarlierAssignment() {
+    int deliveredCount = 0;
+    for (int gapMs = 0; gapMs < 600; gapMs += 5) {
+      newCluster(gapMs);
       startControlPlane();
-      stores(5);
+      startStores(5);
       cluster.net.delay(cluster.address("n1"), cluster.address("v4"), 300, 350);
       assertThat(cluster.beginDecommission("n2", "v2"), is(200));
-      cluster.timers.advance(apart);
+      cluster.timers.advance(gapMs);
       assertThat(cluster.beginDecommission("n3", "v4"), is(200));
       if (cluster.awaitWithin(
           8_000, () -> cluster.decommissionState("n3", "v4").equals(DELIVERED))) {
-        said++;
+        deliveredCount++;
         long end = cluster.timers.now() + 2_000;
         while (cluster.timers.now() < end) {
           assertThat(
-              apart + " ms apart", cluster.describeJobStoreVoters("v1"), not(containsString("v4")));
+              gapMs + " ms apart", cluster.describeJobStoreVoters("v1"), not(containsString("v4")));
           cluster.timers.advance(20);
         }
       }
     }
-    System.out.println("delivered was said " + said + " times of 120");
-    assertThat(said, greaterThan(100));
+    System.out.println("delivered was said " + deliveredCount + " times of 120");
+    assertThat(deliveredCount, greaterThan(100));
   }
 
   @Test
@@ -204,9 +204,9 @@
     for (int seed = 1; seed <= 5; seed++) {
       cluster = new SimulatedCluster(seed, 5);
       for (int i = 1; i <= 5; i++) {
-        cluster.controlPlane("n" + i, true);
+        cluster.startControlPlane("n" + i, true);
       }
-      stores(4);
+      startStores(4);
       cluster.timers.advance(10_000);
       assertThat(cluster.describeJobStoreVoters("v1"), equalTo("v1/1 v2/1 v3/1"));
       assertThat(cluster.beginDecommission("n" + seed, "v4"), is(200));
--- a/controlplane/src/test/java/elmsail/controlplane/SynchronousRecords.java
+++ b/controlplane/src/test/java/elmsail/controlplane/SynchronousRecords.java
@@ -32,8 +32,8 @@
   }
 
   @Override
-  public Map<String, byte[]> page(String after, int mostBytes) {
-    return disk.page(after, mostBytes);
+  public Map<String, byte[]> page(String after, int maxBytes) {
+    return disk.page(after, maxBytes);
   }
 
   @Override
--- a/controlplane/src/test/java/elmsail/controlplane/UsageDutyTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/UsageDutyTest.java
@@ -125,7 +125,7 @@
       String holder = fixture.currentHolder();
       fixture.cluster.kill(holder);
       run(6_000);
-      fixture.cluster.controlPlane(holder, true);
+      fixture.cluster.startControlPlane(holder, true);
       run(8_000);
     }
     long last = fixture.currentWindow();
@@ -220,7 +220,7 @@
     }
     run(30_000);
     for (int i = 1; i <= fixture.nodes; i++) {
-      fixture.cluster.controlPlane("n" + i, false);
+      fixture.cluster.startControlPlane("n" + i, false);
     }
     run(10_000);
     long first = fixture.currentWindow();
@@ -317,7 +317,7 @@
       case 0 -> {
         fixture.cluster.kill(name);
         run(500 + fixture.random.nextInt(3_000));
-        fixture.cluster.controlPlane(name, false);
+        fixture.cluster.startControlPlane(name, false);
       }
       case 1 -> {
         fixture.cluster.net.freeze(address);
--- a/controlplane/src/test/java/elmsail/controlplane/UsageFixture.java
+++ b/controlplane/src/test/java/elmsail/controlplane/UsageFixture.java
@@ -41,7 +41,7 @@
   void start() {
     for (int i = 1; i <= nodes; i++) {
       cluster.clockSkewMs.put("n" + i, (long) random.nextInt(40) - 20);
-      cluster.controlPlane("n" + i, true);
+      cluster.startControlPlane("n" + i, true);
     }
     for (int i = 1; i <= gateways; i++) {
       cluster.clockSkewMs.put("g" + i, (long) random.nextInt(40) - 20);
@@ -51,7 +51,7 @@
 
   /** Starts a gateway, or restarts it after its process was killed. */
   void startGateway(String name) {
-    cluster.gateway(name);
+    cluster.startGateway(name);
     SimNode node = cluster.nodes.get(name);
     ConfigWatcher watcher = cluster.gateways.get(name);
     gatewayNodes.put(name, node);
