--- a/controlplane/src/main/java/elmsail/controlplane/BootstrapAcceptor.java
+++ b/controlplane/src/main/java/elmsail/controlplane/BootstrapAcceptor.java
@@ -7,21 +7,23 @@
 /**
  * One seed's acceptor in the agreement on the initial control-plane voters: single-decree Paxos.
  * Does no I/O: where there is a disk, the caller writes the state before it sends a response that
- * grants.
+ * grants the request.
  */
 final class BootstrapAcceptor {
   private long promisedBallot;
   private long acceptedBallot;
   private VoterSet acceptedVoterSet = new VoterSet();
 
-  /** Promises to accept no lower ballot; the response carries what was accepted last. */
+  /**
+   * Promises to accept no lower ballot. The response carries the voter set that was accepted last.
+   */
   FoundingResponse prepare(long ballot) {
     boolean granted = ballot > promisedBallot;
     promisedBallot = Math.max(promisedBallot, ballot);
     return response(granted);
   }
 
-  /** Accepts unless a higher ballot was promised. */
+  /** Accepts the proposal unless a higher ballot was promised. */
   FoundingResponse accept(long ballot, VoterSet proposal) {
     boolean granted = ballot >= promisedBallot && !proposal.voters.isEmpty();
     if (granted) {
@@ -41,7 +43,7 @@
     return response;
   }
 
-  /** The record on disk. */
+  /** Encodes the state as a record on disk. */
   byte[] encode() {
     byte[] encodedVoterSet = VoterSetValue.encode(acceptedVoterSet);
     return ByteBuffer.allocate(2 * Long.BYTES + encodedVoterSet.length)
--- a/controlplane/src/main/java/elmsail/controlplane/BootstrapAgreement.java
+++ b/controlplane/src/main/java/elmsail/controlplane/BootstrapAgreement.java
@@ -16,15 +16,18 @@
 
 /**
  * The seeds' agreement on the initial control-plane voters, by a majority of the seeds. A seed
- * without a disk keeps its promises in memory: an instance that was restarted is not of the first
- * start and votes no more, so no promise is ever forgotten. Runs on the event loop.
+ * without a disk keeps its promises in memory. After a restart such a seed no longer belongs to the
+ * first start and does not vote again, so no promise is broken. Runs on the event loop.
  */
 final class BootstrapAgreement {
   private static final String RECORD = "head-founding";
   private static final long CALL_TIMEOUT_MS = 400;
   private static final long RETRY_DELAY_MS = 200;
 
-  /** Later seeds begin and repeat later, so that rounds don't outbid each other for long. */
+  /**
+   * Extra delay per seed index before each round, so that the seeds do not keep preempting each
+   * other's ballots.
+   */
   private static final long DELAY_PER_SEED_MS = 170;
 
   private final RpcClient rpcClient;
@@ -38,11 +41,11 @@
   private long nextRoundAtMs = Long.MIN_VALUE;
 
   /**
-   * Creates one that proposes nothing before {@link #propose}.
+   * Creates an agreement that proposes nothing before {@link #propose}.
    *
-   * @param records on this process's disk; null where there is none
+   * @param records on this process's disk; null if it has none
    * @param seeds RPC addresses of all seeds, in the same order at each of them
-   * @param agreedListener called with the voter set that this seed saw agreed on
+   * @param agreedListener called with the voter set once this seed has seen a majority accept it
    */
   BootstrapAgreement(
       RpcClient rpcClient,
@@ -61,7 +64,10 @@
     proposer = new BootstrapProposer(seeds.size(), localSeedIndex);
   }
 
-  /** Answers proposers from now on; rejects them unless this is a seed's first instance. */
+  /**
+   * Registers the handler of proposers' requests. It rejects them unless this process is a seed
+   * that takes part in the first start.
+   */
   void registerVoteHandler(RequestHandlers handlers, boolean isFromFirstStart) {
     handlers.register(
         FoundingRequest.class,
@@ -71,7 +77,7 @@
                 : CompletableFuture.failedFuture(
                     new ElmsailException(
                         ErrorCode.NOT_A_VOTER,
-                        "not voting on the initial voter set: no seed, or restarted since")));
+                        "not voting on the initial voter set: not a seed of the first start")));
   }
 
   private CompletableFuture<FoundingResponse> handle(FoundingRequest request) {
@@ -86,7 +92,7 @@
             .thenApply(written -> response);
   }
 
-  /** Starts a round, unless the last one may still succeed. */
+  /** Starts a round unless the previous round may still succeed. */
   void propose(VoterSet candidateVoterSet) {
     long now = timers.now();
     if (nextRoundAtMs == Long.MIN_VALUE) {
--- a/controlplane/src/main/java/elmsail/controlplane/BootstrapCandidates.java
+++ b/controlplane/src/main/java/elmsail/controlplane/BootstrapCandidates.java
@@ -11,15 +11,18 @@
 import java.util.TreeMap;
 
 /**
- * The control-plane nodes that may become initial voters: those with a disk whose instance took
- * part in the first start, and which sent a hello lately. Does no I/O; times are in ms of the
+ * The control-plane nodes that may become initial voters: nodes with a disk whose instance took
+ * part in the first start and which sent a hello recently. Does no I/O; times are in ms of the
  * monotonic clock. Runs on the event loop.
  */
 final class BootstrapCandidates {
-  /** Fewer voters than the target are proposed only after so long. */
+  /** A voter set below the target size is proposed only this long after the start. */
   static final long REDUCED_SET_AFTER_MS = 3_000;
 
-  /** Once there are enough candidates, so long is waited for more, to spread over more zones. */
+  /**
+   * Time to wait for more candidates once there are enough, so that the voters spread over more
+   * zones.
+   */
   static final long ZONE_SPREAD_WAIT_MS = 300;
 
   private static final long MAX_HELLO_AGE_MS = 1_000;
@@ -32,13 +35,13 @@
   private final TreeMap<String, Candidate> candidates = new TreeMap<>();
   private long enoughSinceMs = Long.MAX_VALUE;
 
-  /** Creates one without candidates that waits from now on. */
+  /** Creates an empty set of candidates whose waiting times start at {@code now}. */
   BootstrapCandidates(int targetVoterCount, long now) {
     this.targetVoterCount = targetVoterCount;
     this.startedAtMs = now;
   }
 
-  /** Notes a node's hello, if it may become an initial voter. */
+  /** Records a node's hello if the node may become an initial voter. */
   void onHello(HelloRequest hello, long now) {
     if (hello.hasDisk
         && hello.firstStart
@@ -48,7 +51,7 @@
     }
   }
 
-  /** The voter set to propose; empty as long as it is too early. */
+  /** The voter set to propose; empty while it is too early to propose one. */
   Optional<VoterSet> proposal(long now) {
     List<HelloRequest> fresh = new ArrayList<>();
     for (Candidate candidate : candidates.values()) {
@@ -68,14 +71,20 @@
     return Optional.of(spreadOverZones(fresh, setSize(fresh.size())));
   }
 
-  /** The target, or else the largest odd number: one more would tolerate no more losses. */
+  /**
+   * The target size, or else the largest odd size available: adding one voter to an odd set does
+   * not increase the number of tolerated losses.
+   */
   private int setSize(int available) {
     return available >= targetVoterCount
         ? targetVoterCount
         : available % 2 == 0 ? available - 1 : available;
   }
 
-  /** Chooses repeatedly from the zone with the fewest chosen so far, in the order of addresses. */
+  /**
+   * Repeatedly chooses a node of the zone with the fewest chosen nodes so far, in the order of
+   * addresses.
+   */
   private static VoterSet spreadOverZones(List<HelloRequest> fresh, int size) {
     Map<String, Integer> chosenPerZone = new HashMap<>();
     List<HelloRequest> remaining = new ArrayList<>(fresh);
--- a/controlplane/src/main/java/elmsail/controlplane/BootstrapProposer.java
+++ b/controlplane/src/main/java/elmsail/controlplane/BootstrapProposer.java
@@ -12,7 +12,10 @@
  * Does no I/O; responses to earlier rounds are ignored.
  */
 final class BootstrapProposer {
-  /** Ballots of different seeds differ in their lowest part. */
+  /**
+   * A ballot modulo this number is the proposing seed's index, so ballots of different seeds
+   * differ.
+   */
   private static final int MAX_SEEDS = 64;
 
   private final int seedCount;
@@ -30,7 +33,7 @@
     this.localSeedIndex = localSeedIndex;
   }
 
-  /** Starts a round with a ballot above all that were seen; returns the ballot, to be prepared. */
+  /** Starts a round with a ballot above all ballots seen so far; returns the ballot to prepare. */
   long startRound(VoterSet candidateVoterSet) {
     ballot = (highestBallot / MAX_SEEDS + 1) * MAX_SEEDS + localSeedIndex;
     highestBallot = ballot;
@@ -44,7 +47,7 @@
   /**
    * Counts a seed's response to prepare.
    *
-   * @return the proposal to be accepted once a majority has promised: what was accepted in the
+   * @return the proposal to be accepted once a majority has promised: the voter set accepted in the
    *     highest ballot, or else the candidate voter set of this round; empty before
    */
   Optional<VoterSet> onPrepareResponse(int seed, long responseBallot, FoundingResponse response) {
--- a/controlplane/src/main/java/elmsail/controlplane/ClusterBootstrap.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ClusterBootstrap.java
@@ -15,16 +15,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * How a control-plane node gets the voter set of the control plane. It polls the seeds until one of
- * them knows the voter set or, at the first start of the cluster, bootstraps it with them.
- * Instances that did not take part in the first start neither bootstrap nor become initial voters.
- * Runs on the event loop.
+ * Obtains the voter set of the control plane for a control-plane node. Polls the seeds until one of
+ * them knows the voter set or, at the first start of the cluster, bootstraps the voter set together
+ * with the seeds. Instances that did not take part in the first start neither bootstrap nor become
+ * initial voters. Runs on the event loop.
  *
- * <p>Where the seeds all have disks and are as many as the voters that are needed (or all nodes
- * that there are), they become the voters: each seed computes the same set once it has the instance
- * ids of all. Otherwise a majority of the seeds agrees on one proposal, once ({@link
- * BootstrapAgreement}): the needed number of control-plane nodes with a disk, spread over the
- * zones.
+ * <p>The seeds become the voters if all of them have disks and either there are enough of them for
+ * the target number of voters or the cluster has no other control-plane nodes. Each seed then
+ * computes the same voter set once it has the instance ids of all seeds. Otherwise a majority of
+ * the seeds agrees once on one proposal ({@link BootstrapAgreement}): the target number of
+ * control-plane nodes with a disk, spread over the zones.
  */
 final class ClusterBootstrap {
   private static final Logger LOG = LoggerFactory.getLogger(ClusterBootstrap.class);
@@ -32,7 +32,7 @@
   private static final long HELLO_TIMEOUT_MS = 400;
   private static final long MAX_POLL_INTERVAL_MS = 1_000;
 
-  /** The settings name so many seeds, or fewer where the cluster has no more nodes. */
+  /** The settings name this many seeds, or fewer if the cluster has fewer control-plane nodes. */
   private static final int MAX_SEEDS = 3;
 
   private final RpcClient rpcClient;
@@ -50,13 +50,13 @@
   private boolean closed;
 
   /**
-   * Creates one that sends nothing before {@link #start}.
+   * Creates a bootstrap that sends nothing before {@link #start}.
    *
    * @param environment of this process
-   * @param localHello how this process presents itself; {@code firstStart} only once that is on its
-   *     disk, if it has one
+   * @param localHello the hello that this process sends; {@code firstStart} is set only once the
+   *     first start is recorded on its disk, if it has one
    * @param seeds RPC addresses of the seeds, this process's own included if it is one
-   * @param voterSetSource what this process knows of the voters; learns the result
+   * @param voterSetSource the voter set as known to this process; receives the result
    */
   ClusterBootstrap(
       NodeEnvironment environment,
@@ -80,7 +80,7 @@
     candidates = new BootstrapCandidates(targetVoterCount, timers.now());
   }
 
-  /** Begins to poll the seeds, and to answer other nodes that do. */
+  /** Begins to poll the seeds and to answer the hellos of other nodes. */
   void start(RequestHandlers handlers) {
     handlers.register(
         HelloRequest.class,
@@ -165,7 +165,10 @@
     }
   }
 
-  /** Whether the seeds must agree on a proposal; the same at all seeds, and for good. */
+  /**
+   * Whether the seeds must agree on a proposal. Once all seeds have responded, the result is the
+   * same at all seeds and does not change.
+   */
   private boolean needsAgreement() {
     return hasDisklessSeed || targetVoterCount > seeds.size() && seeds.size() >= MAX_SEEDS;
   }
@@ -174,7 +177,8 @@
     if (!closed && !agreed) {
       agreed = true;
       LOG.info(
-          "head is founded by agreement of the seeds: {} voters", initialVoterSet.voters.size());
+          "the seeds have agreed on the initial control-plane voters: {} voters",
+          initialVoterSet.voters.size());
       voterSetSource.learn(initialVoterSet);
     }
   }
--- a/controlplane/src/main/java/elmsail/controlplane/ControlPlaneCounters.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ControlPlaneCounters.java
@@ -8,16 +8,16 @@
   /** Pulls that were answered. */
   final Counters.Counter pullsAnswered;
 
-  /** Pulls that were refused without contact with a majority of the voters. */
+  /** Pulls that were rejected for lack of contact with a majority of the voters. */
   final Counters.Counter pullsRefused;
 
-  /** Operators' configuration changes that are committed: 200. */
+  /** Operators' configuration changes that were committed: status 200. */
   final Counters.Counter changesCommitted;
 
-  /** Changes that were rejected and not committed by that call: 400, 412 and 503. */
+  /** Changes that were rejected and not committed by that call: status 400, 412 or 503. */
   final Counters.Counter changesRejected;
 
-  /** Changes that may be committed or not: 504. */
+  /** Changes whose outcome is unknown, so that they may be committed or not: status 504. */
   final Counters.Counter changesOutcomeUnknown;
 
   /** Server lists that were read from the platform. */
--- a/controlplane/src/main/java/elmsail/controlplane/ControlPlaneNode.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ControlPlaneNode.java
@@ -34,13 +34,16 @@
  *   <li>{@link DecommissionManager}: the stores to decommission,
  *   <li>{@link FleetSizeManager}: the number of model servers in each zone, where the platform
  *       expects it,
- *   <li>{@link UsageManager}: the reports of use, where the platform expects them.
+ *   <li>{@link UsageManager}: the usage reports, where the platform expects them.
  * </ul>
  */
 final class ControlPlaneNode {
   private static final long TICK_INTERVAL_MS = 200;
 
-  /** A store pulls at least so often; it is notified of changes at once anyway. */
+  /**
+   * Limits the wait of a store's pull, so that the store sends a heartbeat at least this often. A
+   * change ends the wait at once.
+   */
   private static final long MAX_STORE_PULL_WAIT_MS = 400;
 
   private final NodeEnvironment environment;
@@ -134,7 +137,10 @@
         null);
   }
 
-  /** Whether no process on this disk, or of this cluster, can have granted a lease before. */
+  /**
+   * Whether neither an earlier process on this disk nor an earlier start of this cluster can have
+   * granted a lease.
+   */
   private boolean isFirstProcess() {
     return environment.hasDisk()
         && environment.settings().firstStart()
@@ -156,7 +162,7 @@
             counters));
   }
 
-  /** One client for the calls of all duties; empty where the platform expects none. */
+  /** The client for the calls of all duties; empty if the platform expects no duties. */
   private Optional<PlatformDutyClient> createDutyClient(HttpClient platform) {
     Settings settings = environment.settings();
     if (settings.platform() == null || settings.platform().duties().isEmpty()) {
@@ -199,7 +205,10 @@
     voterSetManager.registerGauges(gauges);
   }
 
-  /** Registers the handlers of other processes' calls, and begins to read, pull and lead. */
+  /**
+   * Registers the handlers of other processes' calls and begins to read the register, to pull and
+   * to compete for the lease.
+   */
   void start() {
     registerListeners();
     RequestHandlers handlers = environment.handlers();
@@ -228,7 +237,10 @@
     configWatcher.setJoinListener(voters::join);
   }
 
-  /** Takes over the seed addresses for pulling; the voters are those of the register. */
+  /**
+   * Adopts the seed addresses of the new settings for pulling. The voters do not depend on the
+   * settings.
+   */
   void onSettingsChanged(Settings settings) {
     configWatcher.onSettingsChanged(settings);
   }
@@ -238,7 +250,9 @@
     return operatorApi;
   }
 
-  /** The newest committed value of the configuration seen by this node; null before the first. */
+  /**
+   * The newest committed value of the configuration seen by this node; null if it has seen none.
+   */
   byte[] committedConfigBytes() {
     return configurationManager.committedValue();
   }
@@ -258,17 +272,19 @@
     return lease;
   }
 
-  /** How many pulls were refused for want of contact with a majority, since the start. */
+  /** Number of pulls rejected since the start for lack of contact with a majority. */
   long pullsRefused() {
     return counters.pullsRefused.value();
   }
 
-  /** Whether, and since when, the control-plane voters are fewer than they should be. */
+  /** Reports whether, and since when, some control-plane voters are missing. */
   RedundancyMonitor controlPlaneRedundancy() {
     return voterSetManager.controlPlaneRedundancy();
   }
 
-  /** A pull is answered only in contact with a majority, before the wait and after it. */
+  /**
+   * Answers a pull only if this node is in contact with a majority both before and after the wait.
+   */
   private CompletableFuture<PullResponse> onPull(PullRequest request) {
     voterSetManager.onHeartbeat(request);
     fleetSizeManager.ifPresent(manager -> manager.onPull(request));
@@ -289,9 +305,9 @@
   }
 
   /**
-   * Says how long ago a majority confirmed that nothing newer than the response's configuration is
-   * committed. Runs in the same turn of the loop in which the response was built: a read that
-   * completed in between would vouch for a version that the response does not name.
+   * Sets how long ago a majority confirmed that nothing newer than the response's configuration is
+   * committed. Runs in the same event-loop task that built the response: a read that completed in
+   * between would confirm a version that the response does not carry.
    */
   private PullResponse confirmConfig(PullResponse response) {
     response.configConfirmedAgeMs = configurationManager.quorumContact().ageMs();
@@ -302,7 +318,10 @@
     (failure == null ? counters.pullsAnswered : counters.pullsRefused).add(1);
   }
 
-  /** Passes on what other control-plane nodes published, where it is newer. */
+  /**
+   * Adopts and publishes the state that other control-plane nodes have published, where it is
+   * newer.
+   */
   private void relayFromPeers() {
     configurationManager.relayFromPeers();
     serverListManager.relayFromPeers();
@@ -310,7 +329,10 @@
     voterSetManager.learn(configWatcher.view());
   }
 
-  /** A list published under a higher term shows that another process held the lease later. */
+  /**
+   * Gives up the lease if a list was published under a higher term: another process has held the
+   * lease since.
+   */
   private void fenceByPublishedList() {
     long term = lease.term();
     if (term > 0 && configWatcher.serverListEpoch() > term) {
@@ -329,7 +351,7 @@
     relayFromPeers();
   }
 
-  /** Stops leading, reading and pulling; calls that come in later are refused or fail. */
+  /** Releases the lease and stops reading and pulling; later calls are rejected or fail. */
   void close() {
     closed = true;
     lease.close();
--- a/controlplane/src/main/java/elmsail/controlplane/ControlPlaneServer.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ControlPlaneServer.java
@@ -15,8 +15,8 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A control-plane node as a process: serves the operators at its control address, and votes, leads
- * and publishes as {@link ControlPlaneNode}. Runs on the event loop.
+ * Runs a {@link ControlPlaneNode} with its sockets and serves the operators at the control address.
+ * Runs on the event loop.
  */
 public final class ControlPlaneServer implements RunningService {
   private static final int MAX_BODY_BYTES = 8 << 20;
@@ -41,11 +41,11 @@
    * Starts a control-plane node, after {@code rpc.listen()}.
    *
    * @param settings of this process; its listen address "control" serves the operators
-   * @param records null where the machine has no disk: the node never votes, and redirects the
-   *     operators' calls that only voters can answer
+   * @param records this process's records on disk; null if the machine has no disk. A node without
+   *     a disk never votes, and redirects the operators' calls that only voters can answer.
    * @param metrics the process's counters, gauges and invariants
    * @return completes once the control address is bound; fails with {@link
-   *     elmsail.runtime.AddressUnavailableException} if it can't be
+   *     elmsail.runtime.AddressUnavailableException} if it cannot be bound
    */
   public static CompletableFuture<ControlPlaneServer> start(
       Settings settings,
@@ -102,7 +102,7 @@
 
   private void awaitInFlightCalls(CompletableFuture<Void> shutdownComplete, long deadlineMs) {
     if (callsInFlight == 0 || loop.now() >= deadlineMs) {
-      // A little later, so that the last response has been sent.
+      // Completes with a delay, so that the last response is sent first.
       loop.schedule(SHUTDOWN_POLL_INTERVAL_MS, () -> shutdownComplete.complete(null));
     } else {
       loop.schedule(
--- a/controlplane/src/main/java/elmsail/controlplane/ControlPlaneVoters.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ControlPlaneVoters.java
@@ -18,8 +18,8 @@
 
 /**
  * This process's part in the control-plane voters, the voter set named "head" on the wire and on
- * disk: a replica where the process has a disk, else only the knowledge of who votes. Runs on the
- * event loop.
+ * disk: a replica if the process has a disk, else only the voter set learned from other nodes. Runs
+ * on the event loop.
  */
 final class ControlPlaneVoters implements VoterSetSource {
   static final String VOTER_SET_NAME = "head";
@@ -30,7 +30,7 @@
   private final NodeEnvironment environment;
   private final Settings settings;
 
-  /** Null where this process has no disk, as is the replica. */
+  /** Null if this process has no disk; the replica is null then, too. */
   private final RecordStore records;
 
   private final Replica replica;
@@ -40,7 +40,7 @@
   private final boolean isFromFirstStart;
 
   /**
-   * Creates one that answers no calls before {@link #start}, except those of its replica.
+   * Creates an instance that answers no calls before {@link #start}, except those of its replica.
    *
    * @param environment of this process; without a disk it never votes
    */
@@ -73,8 +73,9 @@
   }
 
   /**
-   * Begins to learn or to bootstrap the voter set. Others are answered only once it is on disk that
-   * this instance took part in the first start, so that it may still bootstrap after a restart.
+   * Begins to learn or to bootstrap the voter set. Other nodes are answered only once the disk
+   * records that this instance took part in the first start, so that this instance can still
+   * bootstrap after a restart.
    */
   void start(RequestHandlers handlers) {
     if (isFromFirstStart && records.read(FIRST_START_RECORD) == null) {
@@ -116,13 +117,13 @@
     return replica != null && replica.isVoting();
   }
 
-  /** The heartbeat that this node counts for itself, as it does not pull from itself. */
+  /** The heartbeat that this node records for itself, because it sends no pulls to itself. */
   PullRequest heartbeat() {
     heartbeat.voting = isVoting();
     return heartbeat;
   }
 
-  /** Whether this process holds a voter slot, voting or not yet. */
+  /** Whether this process holds a voter slot, even if it does not vote yet. */
   boolean holdsVoterSlot() {
     return replica != null && VoterSetValue.slotOf(current(), settings.rpcAddress()) >= 0;
   }
@@ -154,7 +155,7 @@
     }
   }
 
-  /** Takes over a voter slot at that epoch; does nothing where there is no disk. */
+  /** Takes over the voter slot at the given epoch; does nothing if this process has no disk. */
   void join(int slot, int epoch) {
     if (replica != null) {
       replica.join(slot, epoch);
--- a/controlplane/src/main/java/elmsail/controlplane/NodeEnvironment.java
+++ b/controlplane/src/main/java/elmsail/controlplane/NodeEnvironment.java
@@ -9,17 +9,17 @@
 import elmsail.storage.RecordStore;
 
 /**
- * What the process gives to a control-plane node: its settings, its event loop, its RPC and its
- * disk. All of it belongs to the caller, who closes it after the node.
+ * The settings, event loop, RPC and disk that the process provides to a control-plane node. The
+ * caller owns them and closes them after the node.
  *
  * @param settings of this process
  * @param timers of the event loop, on which everything in this package runs
  * @param rpcClient calls to other processes
  * @param handlers where the handlers of other processes' calls are registered
- * @param records this process's records on disk; null where it has no disk
+ * @param records this process's records on disk; null if it has no disk
  * @param processId identifies this process, drawn at random at each start
  * @param metrics the process's counters, gauges and invariants
- * @param wallClock the machine's time of day, which nothing is timed by
+ * @param wallClock the machine's time of day; no timeout or interval depends on it
  */
 record NodeEnvironment(
     Settings settings,
@@ -31,7 +31,7 @@
     ProcessMetrics metrics,
     WallClock wallClock) {
 
-  /** With the machine's own time of day. */
+  /** Creates an environment with the machine's own time of day. */
   NodeEnvironment(
       Settings settings,
       Timers timers,
@@ -57,7 +57,10 @@
     return settings.rpcAddress();
   }
 
-  /** How many voters a voter set has, so that a majority is left after the losses to tolerate. */
+  /**
+   * The number of voters in a voter set such that a majority remains after the tolerated machine
+   * losses.
+   */
   int targetVoterCount() {
     return 2 * settings.toleratedMachineLosses() + 1;
   }
--- a/controlplane/src/main/java/elmsail/controlplane/PeerMessageKind.java
+++ b/controlplane/src/main/java/elmsail/controlplane/PeerMessageKind.java
@@ -12,7 +12,10 @@
   /** The list of stores to decommission was changed: the receiver reads it at once. */
   DECOMMISSIONS_CHANGED("retire"),
 
-  /** Asks which stores the receiver has had heartbeats from; see {@link StoreHeartbeatQuery}. */
+  /**
+   * Requests the stores from which the receiver has had heartbeats; see {@link
+   * StoreHeartbeatQuery}.
+   */
   STORE_HEARTBEATS("stores-heard");
 
   private static final Map<String, PeerMessageKind> BY_WIRE_NAME = new HashMap<>();
@@ -34,7 +37,7 @@
     return wireName;
   }
 
-  /** The kind of that name on the wire; empty if this version knows none. */
+  /** The kind with that name on the wire; empty if this version has no such kind. */
   static Optional<PeerMessageKind> ofWireName(String wireName) {
     return Optional.ofNullable(BY_WIRE_NAME.get(wireName));
   }
--- a/controlplane/src/main/java/elmsail/controlplane/PeerNotifier.java
+++ b/controlplane/src/main/java/elmsail/controlplane/PeerNotifier.java
@@ -13,10 +13,11 @@
 import java.util.function.Supplier;
 
 /**
- * Short messages between the control-plane voters, by their kind. Runs on the event loop.
+ * Sends and handles short messages between the control-plane voters, distinguished by their kind.
+ * Runs on the event loop.
  *
- * <p>A notification only shortens the time until a peer sees a change: whoever misses it reads the
- * register at its next interval.
+ * <p>A notification only shortens the time until a peer sees a change: a peer that misses the
+ * notification reads the register at its next interval.
  */
 final class PeerNotifier {
   private static final long CALL_TIMEOUT_MS = 300;
@@ -33,7 +34,10 @@
     this.localAddress = localAddress;
   }
 
-  /** Runs the action at each message of that kind, and responds with the kind alone. */
+  /**
+   * Runs the action for each message of that kind and responds with a message of the same kind
+   * without content.
+   */
   void onNotification(PeerMessageKind kind, Runnable action) {
     register(
         kind,
--- a/controlplane/src/main/java/elmsail/controlplane/ReadConfigHandler.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ReadConfigHandler.java
@@ -7,8 +7,9 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The operators' call {@code GET /Timetable.Read}: the current configuration, read at a majority;
- * 503 without one, 404 before the first configuration. Runs on the event loop.
+ * The operators' call {@code GET /Timetable.Read}: the current configuration, read from a majority.
+ * Replies 503 if no majority responds and 404 before the first configuration. Runs on the event
+ * loop.
  */
 final class ReadConfigHandler implements HttpHandler {
   private static final long READ_TIMEOUT_MS = 900;
@@ -33,7 +34,7 @@
               byte[] value = committedConfig.resolveValue(current);
               committedConfig.offer(current);
               return value == null
-                  ? Replies.error(404, "none yet")
+                  ? Replies.error(404, "no configuration has been committed yet")
                   : Replies.json(200, ConfigHistory.decode(value).configBytes());
             });
   }
--- a/controlplane/src/main/java/elmsail/controlplane/StaleReplyFilter.java
+++ b/controlplane/src/main/java/elmsail/controlplane/StaleReplyFilter.java
@@ -7,9 +7,9 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Replaces replies that come too long after their call by 503: they rest on what a majority said
- * then, and this process may have been frozen since. The acknowledgement of a change stays, as what
- * was committed holds for good.
+ * Replaces replies that come too long after their call with 503: they reflect the state that a
+ * majority reported earlier, and this process may have been frozen since. The acknowledgement of a
+ * change is passed on unchanged, because a committed change stays committed.
  *
  * @param timers of the event loop, on which this runs
  * @param handler of the calls
@@ -28,6 +28,8 @@
       SimpleHttpRequest request, SimpleHttpResponse response, long receivedAtMs) {
     boolean acknowledged = response.status() == 200 && "POST".equals(request.method());
     boolean late = timers.now() - receivedAtMs > QuorumContact.MAX_AGE_MS;
-    return late && !acknowledged ? Replies.error(503, "answered too late") : response;
+    return late && !acknowledged
+        ? Replies.error(503, "the reply took too long and may be outdated")
+        : response;
   }
 }
--- a/controlplane/src/main/java/elmsail/controlplane/StoreBootstrap.java
+++ b/controlplane/src/main/java/elmsail/controlplane/StoreBootstrap.java
@@ -24,9 +24,9 @@
   private boolean changeInFlight;
 
   /**
-   * Creates one that proposes nothing before {@link #tryBootstrap}.
+   * Creates a bootstrap that proposes nothing before {@link #tryBootstrap}.
    *
-   * @param committedStoreVoters the key as last read
+   * @param committedStoreVoters the value of the key as last read
    * @param placementController chooses the initial voters
    * @param storeHeartbeats the candidates
    */
@@ -71,7 +71,7 @@
   private void onChangeCompleted(Register.CommittedState outcome, Throwable failure) {
     changeInFlight = false;
     if (failure == null) {
-      LOG.info("the store set is founded");
+      LOG.info("the initial job-store voter set is committed");
       committedStoreVoters.offer(outcome.current());
     }
   }
--- a/controlplane/src/main/java/elmsail/controlplane/StoreHeartbeatQuery.java
+++ b/controlplane/src/main/java/elmsail/controlplane/StoreHeartbeatQuery.java
@@ -13,9 +13,9 @@
 import java.util.function.Supplier;
 
 /**
- * Asks the other control-plane voters which stores they have had heartbeats from, so that a final
- * rejection rests on a majority and not on this node alone, which may be partitioned from a store
- * that all others see. Runs on the event loop.
+ * Queries the other control-plane voters for the stores whose heartbeats they have received. A
+ * final rejection then rests on a majority and not on this node alone, which may be partitioned
+ * from a store that all other voters see. Runs on the event loop.
  */
 final class StoreHeartbeatQuery {
   private static final long CALL_TIMEOUT_MS = 300;
@@ -31,7 +31,7 @@
     this.localAddress = localAddress;
   }
 
-  /** Sets where this node's own heartbeats are read from at each query. */
+  /** Sets the source of this node's own heartbeats, which is read at each query. */
   void setLocalHeartbeats(Supplier<StoreHeartbeats> localHeartbeats) {
     this.localHeartbeats = localHeartbeats;
   }
@@ -80,7 +80,10 @@
       this.voterCount = voterCount;
     }
 
-    /** Counts one voter's response, null if it failed; inconclusive heartbeats count as well. */
+    /**
+     * Counts one voter's response; null if the call failed. The heartbeats of an inconclusive
+     * response are merged as well.
+     */
     void onResponse(StoreHeartbeats heartbeats) {
       if (result.isDone()) {
         return;
@@ -106,7 +109,7 @@
       result.completeExceptionally(
           new ElmsailException(
               ErrorCode.NO_QUORUM,
-              "no majority can tell which stores exist, conclusive responses: "
+              "no majority has observed the stores for long enough, conclusive responses: "
                   + conclusiveResponses
                   + " of "
                   + voterCount));
--- a/controlplane/src/main/java/elmsail/controlplane/StoreHeartbeats.java
+++ b/controlplane/src/main/java/elmsail/controlplane/StoreHeartbeats.java
@@ -4,11 +4,11 @@
 import java.util.TreeMap;
 
 /**
- * Which stores a control-plane node has had heartbeats from since it started.
+ * The stores from which a control-plane node has received heartbeats since it started.
  *
  * @param isConclusive whether the node has been in unbroken contact with a majority for so long
  *     that every running store would have sent it a heartbeat
- * @param heartbeatAgesMs by the store's machine, the age in ms of its last heartbeat
+ * @param heartbeatAgesMs the age in ms of each store's last heartbeat, by the store's machine
  */
 record StoreHeartbeats(boolean isConclusive, Map<String, Long> heartbeatAgesMs) {
   private static final int MAX_STORES = 1_000;
--- a/controlplane/src/main/java/elmsail/controlplane/StoreNode.java
+++ b/controlplane/src/main/java/elmsail/controlplane/StoreNode.java
@@ -77,7 +77,7 @@
     replica.learn(jobStoreVoters);
   }
 
-  /** Takes over the seed addresses. */
+  /** Adopts the seed addresses of the new settings. */
   void onSettingsChanged(Settings settings) {
     configWatcher.onSettingsChanged(settings);
   }
--- a/controlplane/src/main/java/elmsail/controlplane/StoreServer.java
+++ b/controlplane/src/main/java/elmsail/controlplane/StoreServer.java
@@ -13,7 +13,10 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.atomic.AtomicReference;
 
-/** A store as a process: keeps batch jobs, and serves its metrics. Runs on the event loop. */
+/**
+ * Runs a {@link StoreNode} with its sockets: stores batch jobs and serves the store's metrics. Runs
+ * on the event loop.
+ */
 public final class StoreServer implements RunningService {
   private static final int MAX_METRICS_BODY_BYTES = 1_024;
 
@@ -31,7 +34,7 @@
    * @param records this store's records on disk; not null
    * @param metrics the process's counters, gauges and invariants
    * @return completes once the metrics address is bound; fails with {@link
-   *     elmsail.runtime.AddressUnavailableException} if it can't be
+   *     elmsail.runtime.AddressUnavailableException} if it cannot be bound
    */
   public static CompletableFuture<StoreServer> start(
       Settings settings,
@@ -54,7 +57,7 @@
       RpcEndpoint rpc,
       RecordStore records,
       ProcessMetrics metrics) {
-    // The replica reports its records to the job store service, which asks back for the replica.
+    // The replica reports its records to the job store service, which in turn calls the replica.
     AtomicReference<Replica> replica = new AtomicReference<>();
     JobStoreService jobStoreService =
         new JobStoreService(
@@ -76,7 +79,7 @@
     return node.replica();
   }
 
-  /** What the store knows of the cluster. */
+  /** The state of the cluster as the store knows it. */
   public ClusterState clusterState() {
     return node.configWatcher();
   }
--- a/controlplane/src/main/java/elmsail/controlplane/ValueCodec.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ValueCodec.java
@@ -27,16 +27,20 @@
   private ValueCodec() {}
 
   /**
-   * The bytes that the encoder writes.
+   * Returns the bytes that the encoder writes.
    *
    * @param valueName names the value in errors
-   * @throws ElmsailException INTERNAL if the value has no encoding, as a string too long
+   * @throws ElmsailException INTERNAL if the value cannot be encoded, for example because a string
+   *     is too long
    */
   static byte[] encode(String valueName, Encoder encoder) {
     return encode(valueName, INITIAL_BYTES, encoder);
   }
 
-  /** Likewise, with a buffer for the bytes that are expected. */
+  /**
+   * Returns the bytes that the encoder writes; the buffer initially holds the expected number of
+   * bytes.
+   */
   static byte[] encode(String valueName, int expectedBytes, Encoder encoder) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream(expectedBytes);
     try (DataOutputStream out = new DataOutputStream(bytes)) {
@@ -48,10 +52,10 @@
   }
 
   /**
-   * What the decoder reads; bytes that it leaves are ignored.
+   * Returns the value that the decoder reads; remaining bytes are ignored.
    *
    * @param valueName names the value in errors
-   * @throws ElmsailException MALFORMED if the bytes end too early or are no such value
+   * @throws ElmsailException MALFORMED if the bytes end too early or do not hold such a value
    */
   static <T> T decode(String valueName, byte[] bytes, Decoder<T> decoder) {
     try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
--- a/controlplane/src/main/java/elmsail/controlplane/VoterRedirect.java
+++ b/controlplane/src/main/java/elmsail/controlplane/VoterRedirect.java
@@ -10,14 +10,14 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Handles calls that only control-plane voters can answer, as stores send heartbeats just to them.
- * Other nodes redirect the caller to a voter, with 307: the control port is the same on all
+ * Handles calls that only control-plane voters can answer, because stores send heartbeats only to
+ * voters. Other nodes redirect the caller to a voter with 307; the control port is the same on all
  * machines.
  *
- * @param handler of the calls where this process holds a voter slot
+ * @param handler handles the calls if this process holds a voter slot
  * @param settings of this process
  * @param voters this process's part in the control-plane voters
- * @param configWatcher knows which control-plane node responded last
+ * @param configWatcher reports how long ago each control-plane node responded
  */
 record VoterRedirect(
     HttpHandler handler, Settings settings, ControlPlaneVoters voters, ConfigWatcher configWatcher)
@@ -40,7 +40,7 @@
     }
     String controlAddress = settings.listenAddresses().get("control");
     if (target == null || controlAddress == null) {
-      return Replies.completed(Replies.error(503, "no other control-plane node is in touch"));
+      return Replies.completed(Replies.error(503, "no control-plane voter has responded recently"));
     }
     String targetAddress =
         target.substring(0, target.lastIndexOf(':'))
--- a/controlplane/src/test/java/elmsail/controlplane/BootstrapCandidatesTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/BootstrapCandidatesTest.java
@@ -46,7 +46,7 @@
   @Test
   void votersAreSpreadOverZones() {
     receiveHellos(0, "a1", "a2", "a3", "a4", "a5");
-    assertThat("others may still come", proposed(0), is(nullValue()));
+    assertThat("more candidates may still arrive", proposed(0), is(nullValue()));
     receiveHellos(250, "a1", "a2", "b1", "b2", "c1", "c2");
     assertThat(proposed(BootstrapCandidates.ZONE_SPREAD_WAIT_MS), equalTo("a1 a2 b1 b2 c1"));
   }
--- a/controlplane/src/test/java/elmsail/controlplane/CatchUpTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/CatchUpTest.java
@@ -15,17 +15,18 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Hundreds of changes while members are down, come back with the disk they had, or with none: what
- * it takes to catch up does not grow with the number of changes that were missed.
+ * Hundreds of changes are committed while nodes are down. The nodes restart with their old disk or
+ * with an empty one. Guards against a catch-up time or traffic that grows with the number of missed
+ * changes, and against outdated state being served from an old disk.
  */
 class CatchUpTest {
-  /** From the start of a process until it has all that a majority has. */
+  /** Time limit from the start of a process until it has the state of a majority. */
   private static final long MAX_CATCH_UP_MS = 4_900;
 
-  /** What a member that comes back may send and receive until it has caught up. */
+  /** Limit of the bytes that a restarted node sends and receives until it has caught up. */
   private static final long MAX_CATCH_UP_BYTES = 150_000;
 
-  /** What one run differs from another by the times at which it reads and is read. */
+  /** Difference in traffic between two runs that is due only to the timing of reads. */
   private static final long CATCH_UP_VARIATION_BYTES = 30_000;
 
   private long version;
@@ -56,14 +57,14 @@
 
   private record CaughtUp(long ms, long bytes) {}
 
-  /** Starts the node and waits until it gives out the newest configuration. */
+  /** Starts the node and waits until it serves the newest configuration. */
   private CaughtUp catchUp(SimulatedCluster cluster, String node) {
     long startedAtMs = cluster.timers.now();
     cluster.net.countBytes(cluster.address(node));
     cluster.startControlPlane(node, false);
     assertThat(cluster.awaitWithin(MAX_CATCH_UP_MS, () -> isCurrent(cluster, node)), is(true));
     long ms = cluster.timers.now() - startedAtMs;
-    // A wiped one copies the records, which its own reads do not wait for.
+    // A wiped node also copies all records, for which its own reads do not wait.
     cluster.timers.advance(MAX_CATCH_UP_MS - ms);
     long bytes = cluster.net.countedBytes();
     assertThat(cluster.read(node), is(SimulatedCluster.config(version)));
@@ -72,7 +73,7 @@
 
   private CaughtUp catchUpAfterMissing(int changes, boolean wiped) {
     SimulatedCluster cluster = startCluster();
-    // From here on the history of changes has its full length.
+    // From here on the change history has its full length.
     commitChanges(cluster, ConfigHistory.MAX_CHANGES);
     if (wiped) {
       cluster.wipe("n3");
@@ -81,7 +82,7 @@
     }
     commitChanges(cluster, changes);
     CaughtUp caughtUp = catchUp(cluster, "n3");
-    // It counts again: with it the system bears the loss of another.
+    // n3 votes again: with n3 the cluster tolerates the loss of another node.
     cluster.kill("n1");
     commitChanges(cluster, 3);
     assertThat(cluster.awaitWithin(MAX_CATCH_UP_MS, () -> isCurrent(cluster, "n3")), is(true));
@@ -106,7 +107,8 @@
         all.add(caughtUp);
       }
       long growth = all.get(3).bytes - all.get(0).bytes;
-      assertThat("growth over 1,000 changes", growth, lessThan(CATCH_UP_VARIATION_BYTES));
+      assertThat(
+          "growth in bytes over 1,000 missed changes", growth, lessThan(CATCH_UP_VARIATION_BYTES));
     }
   }
 
@@ -170,7 +172,7 @@
     return count;
   }
 
-  /** It reaches a gateway and no voter: what it has on its disk is not what is in force. */
+  /** The node reaches a gateway but no other voter. The configuration on its disk is outdated. */
   @Test
   void isolatedNodeWithAnOutdatedDiskServesNothing() {
     SimulatedCluster cluster = startCluster();
@@ -206,7 +208,9 @@
         is(true));
   }
 
-  /** The one with an old disk and one that is up to date are a majority: the newer value counts. */
+  /**
+   * A node with an outdated disk and an up-to-date node form a majority: the newer value counts.
+   */
   @Test
   void majorityWithAnOutdatedDiskContinuesFromTheNewestChange() {
     SimulatedCluster cluster = startCluster();
@@ -220,7 +224,7 @@
     assertThat(cluster.awaitWithin(MAX_CATCH_UP_MS, () -> isCurrent(cluster, "n3")), is(true));
   }
 
-  /** Each loses its disk, one after the other: the term only rises. */
+  /** The lease holder of each round loses its disk; the term of the lease must only increase. */
   @Test
   void leaseTermNeverDecreasesWhenHoldersLoseTheirDisks() {
     SimulatedCluster cluster = startCluster();
@@ -228,7 +232,10 @@
     List<Long> terms = new ArrayList<>();
     for (int round = 0; round < 9; round++) {
       long previousHighest = highest;
-      assertThat("a holder", cluster.awaitWithin(15_000, () -> leaseTerm(cluster) > 0), is(true));
+      assertThat(
+          "a node holds the lease",
+          cluster.awaitWithin(15_000, () -> leaseTerm(cluster) > 0),
+          is(true));
       highest = leaseTerm(cluster);
       assertThat(highest, greaterThanOrEqualTo(previousHighest));
       terms.add(highest);
@@ -236,7 +243,7 @@
       cluster.wipe(node);
       long lostTerm = highest;
       assertThat(
-          "the next one's",
+          "another node holds the lease in a higher term",
           cluster.awaitWithin(15_000, () -> leaseTerm(cluster) > lostTerm),
           is(true));
       catchUp(cluster, node);
--- a/controlplane/src/test/java/elmsail/controlplane/ClusterPowerLossTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ClusterPowerLossTest.java
@@ -13,15 +13,15 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * More machines are lost than is borne, but no more disks: all control-plane nodes and all stores
- * lose power, one after the other in any order or at one moment, while writes are under way, and as
- * many of them as is borne lose their disks. Once all are back everything acknowledged is served
- * within the time to recover, and nothing older before.
+ * All control-plane nodes and all stores lose power while writes are in flight, one after the other
+ * in random order or all at the same moment. As many machines as the cluster tolerates to lose also
+ * lose their disks. Once all machines are back, everything acknowledged must be served within the
+ * recovery time, and nothing older may be served before.
  */
 class ClusterPowerLossTest {
   private static final int SEED_COUNT = 30;
 
-  /** The bound of the small sites. */
+  /** The recovery time allowed on the small sites. */
   private static final long MAX_RECOVERY_MS = 12_000;
 
   private SimulatedCluster cluster;
@@ -75,7 +75,7 @@
       jobsRead += jobs.written();
     }
     System.out.printf(
-        "%d nodes, %d stores, %d ms apart: configuration after %d ms, %d jobs there%n",
+        "%d nodes, %d stores, gaps of up to %d ms: configuration served after %d ms, %d jobs read back%n",
         nodeCount, storeCount, maxGapMs, longestRecoveryMs, jobsRead);
     assertThat(jobsRead, greaterThan(SEED_COUNT));
   }
@@ -105,7 +105,10 @@
     }
   }
 
-  /** Each loses power; as many as is borne lose their disks; all come back in another order. */
+  /**
+   * All machines lose power, and the tolerated number of them also lose their disks; all restart in
+   * another order.
+   */
   private void powerOffAndRestartAll(
       int toleratedLosses, int maxGapMs, ConfigChangeScenario changes, ConfigReadChecker reads) {
     Collections.shuffle(machines, random);
@@ -130,7 +133,7 @@
     }
   }
 
-  /** Whether the first node reads what was confirmed, or the order that was under way. */
+  /** Whether n1 serves the committed configuration, or the one whose change was in flight. */
   private boolean isServed(long committedCount) {
     String read = cluster.read("n1");
     if (!read.startsWith("{")) {
--- a/controlplane/src/test/java/elmsail/controlplane/ConfigChangeScenario.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ConfigChangeScenario.java
@@ -21,12 +21,13 @@
 import java.util.regex.Pattern;
 
 /**
- * Operators with orders under way at control-plane nodes. Each order is sent again, at any node,
- * until a final answer is heard. Checked at each answer: never are two orders confirmed on one
- * base; one that was confirmed is never refused, and the other way round.
+ * Operators who send configuration changes to control-plane nodes. Each change is sent again, to
+ * any node, until a final reply arrives. Checks at each reply that no two changes are committed on
+ * the same base version, that a committed change is never rejected, and that a rejected change is
+ * never committed.
  */
 final class ConfigChangeScenario {
-  /** What an operator sends; two with the same fields are the same change. */
+  /** A change as an operator sends it; requests with equal fields are the same change. */
   record ChangeRequest(ChangeKind kind, long baseVersion, long version, String body) {
     String path() {
       return kind == ChangeKind.AMEND ? "/Timetable.Amend" : "/Timetable.Replace";
@@ -76,7 +77,9 @@
     }
   }
 
-  /** In a world whose nodes n1 to that number are started by others. */
+  /**
+   * Creates a scenario in a cluster whose nodes n1 to n{@code nodeCount} are started by the caller.
+   */
   ConfigChangeScenario(String scenario, SimulatedCluster cluster, Random random, int nodeCount) {
     this.scenario = scenario;
     this.nodeCount = nodeCount;
@@ -84,7 +87,9 @@
     this.cluster = cluster;
   }
 
-  /** A story of nodes in which the first configuration, of number 1, is in force. */
+  /**
+   * Starts a scenario with running nodes in which the first configuration, version 1, is committed.
+   */
   static ConfigChangeScenario started(String scenarioName, int seed, int nodeCount) {
     ConfigChangeScenario scenario = new ConfigChangeScenario(scenarioName, seed, nodeCount);
     ChangeRequest first = replacement(0, 1, "");
@@ -95,17 +100,21 @@
     return scenario;
   }
 
-  /** One of them is confirmed, the others are refused. */
+  /** Retries the requests until each has a final reply; asserts that exactly one is committed. */
   ChangeRequest awaitSingleWinner(Set<ChangeRequest> requests) {
     assertThat(
-        "answered", retryUntilFinalReplies(requests, FINAL_REPLY_TIMEOUT_MS, () -> {}), is(true));
+        "all requests have a final reply",
+        retryUntilFinalReplies(requests, FINAL_REPLY_TIMEOUT_MS, () -> {}),
+        is(true));
     List<ChangeRequest> winners = new ArrayList<>(requests);
     winners.retainAll(committed);
-    assertThat("confirmed of " + requests.size(), winners.size(), is(1));
+    assertThat("committed changes of " + requests.size(), winners.size(), is(1));
     return winners.get(0);
   }
 
-  /** A valid configuration; {@code variant} tells those of one number apart. */
+  /**
+   * Replaces the configuration; {@code variant} distinguishes configurations of the same version.
+   */
   static ChangeRequest replacement(long baseVersion, long version, String variant) {
     String body = SimulatedCluster.config(version);
     return new ChangeRequest(
@@ -115,7 +124,7 @@
         body.replace("\"r" + version + "\"", "\"r" + version + variant + "\""));
   }
 
-  /** An amendment that adds the route of its number and variant, and may remove another. */
+  /** An amendment that adds the route of its version and variant, and may remove another route. */
   static ChangeRequest amendment(
       long baseVersion, long version, String variant, String removedRoute) {
     String route = amendedRoute(version, variant);
@@ -134,7 +143,7 @@
     return new ChangeRequest(ChangeKind.AMEND, baseVersion, version, body);
   }
 
-  /** The name of the route that such an amendment adds. */
+  /** The name of the route that the amendment of that version and variant adds. */
   static String amendedRoute(long version, String variant) {
     return "a" + version + variant;
   }
@@ -169,7 +178,7 @@
             random.nextDouble() < replyLossRate));
   }
 
-  /** Some ms pass, and the answers that came are heard; returns orders without a clear answer. */
+  /** Advances the clock and collects replies; returns requests without a conclusive reply. */
   List<ChangeRequest> collectReplies(int ms) {
     cluster.timers.advance(ms);
     List<ChangeRequest> unresolved = new ArrayList<>();
@@ -194,12 +203,12 @@
 
   private void onCommitted(ChangeRequest request) {
     assertThat(
-        scenario + ": refused, then confirmed: " + request,
+        scenario + ": rejected, then committed: " + request,
         rejected.containsKey(request),
         is(false));
     ChangeRequest other = committedByBase.putIfAbsent(request.baseVersion, request);
     assertThat(
-        scenario + ": two on one base: " + other + " and " + request,
+        scenario + ": two changes committed on one base version: " + other + " and " + request,
         other == null || other.equals(request),
         is(true));
     committed.add(request);
@@ -207,13 +216,13 @@
 
   private void onRejected(ChangeRequest request, int status) {
     assertThat(
-        scenario + ": confirmed, then refused by " + status + ": " + request,
+        scenario + ": committed, then rejected with status " + status + ": " + request,
         committed.contains(request),
         is(false));
     rejected.put(request, status);
   }
 
-  /** How many calls have no answer yet. */
+  /** The number of calls without a reply. */
   int pendingCount() {
     return pendingRequests.size();
   }
@@ -231,7 +240,7 @@
     return committed.contains(request) || rejected.containsKey(request);
   }
 
-  /** Sends each again until all of them have a final answer; false if the time is over. */
+  /** Sends each request again until all have a final reply; false if the timeout expires before. */
   boolean retryUntilFinalReplies(
       Set<ChangeRequest> requests, long timeoutMs, Runnable beforeEachStep) {
     long deadlineMs = cluster.timers.now() + timeoutMs;
@@ -260,7 +269,10 @@
     return false;
   }
 
-  /** Sends one that had its answer once more and gives what is answered at last, or 503. */
+  /**
+   * Sends a request that already had its final reply again; returns the status of the final reply,
+   * or 503 if there is none in time.
+   */
   int resend(ChangeRequest request, long timeoutMs) {
     long deadlineMs = cluster.timers.now() + timeoutMs;
     while (cluster.timers.now() < deadlineMs) {
@@ -286,7 +298,7 @@
     return 503;
   }
 
-  /** The number in force as some node reads it. */
+  /** The current version as read from a random node. */
   long readVersion(long timeoutMs) {
     long deadlineMs = cluster.timers.now() + timeoutMs;
     String read = cluster.read(randomResponsiveNode());
@@ -294,13 +306,13 @@
       cluster.timers.advance(RETRY_DELAY_MS);
       read = cluster.read(randomResponsiveNode());
     }
-    assertThat(scenario + ": read back: " + read, read.startsWith("{"), is(true));
+    assertThat(scenario + ": configuration read: " + read, read.startsWith("{"), is(true));
     Matcher version = VERSION_FIELD.matcher(read);
     assertThat(version.find(), is(true));
     return Long.parseLong(version.group(1));
   }
 
-  /** All that was confirmed is in the chain of what was in force, and nothing that was refused. */
+  /** Asserts that the history of changes contains all committed changes and no rejected one. */
   void assertHistoryMatchesReplies() {
     long current = readVersion(10_000);
     ConfigHistory history = null;
@@ -310,7 +322,7 @@
         history = ConfigHistory.decode(value);
       }
     }
-    assertThat(scenario + ": seen by no node: " + current, history, notNullValue());
+    assertThat(scenario + ": no node has version " + current, history, notNullValue());
     assertThat(scenario, history.changeCount() < ConfigHistory.MAX_CHANGES, is(true));
     Set<ChangeRequest> inHistory = new HashSet<>();
     for (ChangeRequest request : sent) {
@@ -320,11 +332,15 @@
     }
     for (ChangeRequest request : committed) {
       assertThat(
-          scenario + ": confirmed and lost: " + request, inHistory.contains(request), is(true));
+          scenario + ": committed and then lost: " + request,
+          inHistory.contains(request),
+          is(true));
     }
     for (ChangeRequest request : rejected.keySet()) {
       assertThat(
-          scenario + ": refused and in force: " + request, inHistory.contains(request), is(false));
+          scenario + ": rejected but in the history: " + request,
+          inHistory.contains(request),
+          is(false));
     }
   }
 
--- a/controlplane/src/test/java/elmsail/controlplane/ConfigFaultScenarioTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ConfigFaultScenarioTest.java
@@ -20,14 +20,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Two operators change the configuration while control-plane nodes are killed, frozen, cut off,
- * lose their power or a disk. What was acknowledged is never lost, no two are on top of the same
- * one, and no gateway ever sees one that isn't there in the end.
+ * Two operators change the configuration while control-plane nodes are killed, frozen or isolated,
+ * or lose their power or a disk. No acknowledged change may be lost, no two changes may be
+ * committed on the same base version, and no gateway may ever see a version that is missing from
+ * the final history.
  */
 class ConfigFaultScenarioTest {
   private static final int SEED_COUNT = 12;
 
-  /** One call of an operator. */
+  /** An operator's call that has no reply yet. */
   private record PendingChange(
       long baseVersion, long version, CompletableFuture<SimpleHttpResponse> reply) {}
 
@@ -35,7 +36,7 @@
   private Random random;
   private final List<PendingChange> pendingChanges = new ArrayList<>();
 
-  /** What each acknowledged edition was based on. */
+  /** The base version of each acknowledged version. */
   private final Map<Long, Long> baseByAcknowledgedVersion = new TreeMap<>();
 
   private final Set<Long> rejected = new HashSet<>();
@@ -43,7 +44,7 @@
   private final Set<Long> versionsSeenByGateways = new HashSet<>();
   private final Map<String, Long> lastVersionByGateway = new HashMap<>();
 
-  /** What each edition sent was based on. */
+  /** The base version of each version that was sent. */
   private final Map<Long, Long> baseBySentVersion = new HashMap<>();
 
   private long lastSentVersion;
@@ -58,8 +59,8 @@
       acknowledgedCount += baseByAcknowledgedVersion.size();
       rejectedCount += rejected.size();
     }
-    assertThat("acknowledged", acknowledgedCount, greaterThan(SEED_COUNT * 5));
-    assertThat("lost races", rejectedCount, greaterThan(SEED_COUNT));
+    assertThat("acknowledged changes", acknowledgedCount, greaterThan(SEED_COUNT * 5));
+    assertThat("changes that lost a race", rejectedCount, greaterThan(SEED_COUNT));
   }
 
   private void runScenario(int seed) {
@@ -127,7 +128,7 @@
   private void endFault(String name) {
     if (faultKind <= 2) {
       cluster.startControlPlane(name, false);
-      // A disk is lost one at a time: the next only once this one has all copied.
+      // Only one disk is lost at a time: the next one only once this node has copied all records.
       cluster.awaitWithin(faultKind == 2 ? 8_000 : 0, () -> cluster.read(name).startsWith("{"));
     } else if (faultKind == 3) {
       cluster.net.thaw(cluster.address(name));
@@ -181,7 +182,7 @@
         assertThat(
             "seed "
                 + seed
-                + ": two on top of "
+                + ": two changes committed on base version "
                 + sent.baseVersion()
                 + ": "
                 + other
@@ -210,7 +211,10 @@
     return null;
   }
 
-  /** The operator takes what a gateway has as current, as an unclear one may have been taken. */
+  /**
+   * Adopts the newest version of the gateways, because a change of unknown outcome may have been
+   * committed.
+   */
   private void adoptGatewayVersion() {
     for (ConfigWatcher gateway : cluster.gateways.values()) {
       if (gateway.config() != null) {
@@ -253,17 +257,25 @@
     }
     ConfigHistory history = ConfigHistory.decode(value);
     assertThat("seed " + seed, read[0], is(SimulatedCluster.config(history.version())));
-    assertThat("all are kept", history.changeCount() < ConfigHistory.MAX_CHANGES, is(true));
+    assertThat(
+        "the history still holds all changes",
+        history.changeCount() < ConfigHistory.MAX_CHANGES,
+        is(true));
     for (long version : baseByAcknowledgedVersion.keySet()) {
-      assertThat("seed " + seed + ": lost " + version, isInHistory(history, version), is(true));
+      assertThat(
+          "seed " + seed + ": acknowledged, but not in the history: " + version,
+          isInHistory(history, version),
+          is(true));
     }
     for (long version : versionsSeenByGateways) {
       assertThat(
-          "seed " + seed + ": seen, not there " + version, isInHistory(history, version), is(true));
+          "seed " + seed + ": seen by a gateway, but not in the history: " + version,
+          isInHistory(history, version),
+          is(true));
     }
     for (long version : rejected) {
       assertThat(
-          "seed " + seed + ": refused, yet there " + version,
+          "seed " + seed + ": rejected, but in the history: " + version,
           isInHistory(history, version),
           is(not(true)));
     }
--- a/controlplane/src/test/java/elmsail/controlplane/ConfigReadChecker.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ConfigReadChecker.java
@@ -16,8 +16,8 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads the configuration at nodes, whatever state they are in. Each answer is a configuration that
- * is no older than the newest that was acknowledged when the read was sent, or a 5xx.
+ * Reads the configuration from nodes in any state. Asserts that each reply is either a
+ * configuration no older than the newest one acknowledged when the read was sent, or a 5xx status.
  */
 final class ConfigReadChecker {
   private static final Pattern VERSION_FIELD = Pattern.compile("\"edition\":(\\d+)");
@@ -37,12 +37,12 @@
     this.changes = changes;
   }
 
-  /** Answers that held a configuration. */
+  /** The number of replies with a configuration. */
   int configsRead() {
     return configsRead;
   }
 
-  /** Answers of 5xx. */
+  /** The number of replies with a 5xx status. */
   int unavailableReplies() {
     return unavailableReplies;
   }
@@ -55,7 +55,9 @@
     return newest;
   }
 
-  /** Sends a read to that node, if it runs; a frozen one finds it when it is thawed. */
+  /**
+   * Sends a read to that node if the node runs; a frozen node handles the read after it is thawed.
+   */
   void read(String nodeName) {
     SimulatedCluster cluster = changes.cluster;
     ControlPlaneNode controlPlaneNode = cluster.controlPlaneNodes.get(nodeName);
@@ -72,14 +74,14 @@
         .execute(() -> controlPlaneNode.operatorApi().handle(call).thenAccept(reply::complete));
   }
 
-  /** Checks what has been answered. */
+  /** Checks the replies that have arrived. */
   void checkReplies() {
     for (PendingRead read : List.copyOf(pendingReads)) {
       if (!read.reply.isDone()) {
         continue;
       }
       pendingReads.remove(read);
-      String description = scenario + ": " + read.node + " asked at " + read.sentAtMs;
+      String description = scenario + ": " + read.node + ", read sent at " + read.sentAtMs;
       int status = read.reply.join().status();
       if (status >= 500) {
         unavailableReplies++;
--- a/controlplane/src/test/java/elmsail/controlplane/ControlPlaneBootstrapTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ControlPlaneBootstrapTest.java
@@ -21,7 +21,7 @@
 class ControlPlaneBootstrapTest {
   private static final int SEED_COUNT = 300;
 
-  /** A history in which a seed may end is given so long; it isn't bound to the usual time. */
+  /** Duration of a scenario in which a seed may fail; the usual time limit does not apply then. */
   private static final long SCENARIO_MS = 8_000;
 
   private static TreeSet<String> voterMachines(SimulatedCluster cluster, String name) {
@@ -57,7 +57,9 @@
     assertThat(cluster.timers.now(), lessThan(2_500L));
   }
 
-  /** Both lose power, both lose their disks, or one of each. */
+  /**
+   * Both nodes lose power, both lose their disks, or one node loses power and the other its disk.
+   */
   @Test
   void acknowledgedConfigSurvivesTwoLossesAtOnce() {
     for (int kind = 0; kind < 3; kind++) {
@@ -122,7 +124,10 @@
     assertThat(voterMachines(cluster, "n1"), hasSize(0));
   }
 
-  /** Losses, delays, and a seed that ends at any moment, with its disk or without. */
+  /**
+   * Messages are lost and delayed, and a seed may fail at any moment, with or without losing its
+   * disk.
+   */
   @Test
   void bootstrapsOnceUnderRandomFaults() {
     int bootstrapped = 0;
@@ -173,13 +178,13 @@
       bootstrapped += voterSetSizes.size();
     }
     System.out.printf(
-        "%d foundings under loss and delay: %d founded, %d with a seed that ended%n",
+        "%d bootstraps under loss and delay: %d succeeded, %d with a seed that failed%n",
         SEED_COUNT, bootstrapped, seedFailures);
     assertThat(seedFailures, is(not(0)));
     assertThat(bootstrapped, is(SEED_COUNT));
   }
 
-  /** Collects the initial voter of each slot, as epochs 1 and 2 show it. */
+  /** Collects the instance id of each slot's initial voter, which epochs 1 and 2 show. */
   private static void recordInitialVoters(
       VoterSet voterSet, Map<Integer, Set<Long>> initialVotersBySlot, Set<Integer> voterSetSizes) {
     for (int i = 0; i < voterSet.voters.size(); i++) {
--- a/controlplane/src/test/java/elmsail/controlplane/ControlPlaneNodeTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ControlPlaneNodeTest.java
@@ -94,7 +94,9 @@
       current = statusOne == 200 ? a : b;
       assertThat(cluster.read("n3"), equalTo(SimulatedCluster.config(current)));
       assertThat(
-          "sent again anywhere", cluster.replace("n3", Long.parseLong(base), current), is(200));
+          "the same change sent again to another node",
+          cluster.replace("n3", Long.parseLong(base), current),
+          is(200));
     }
   }
 
--- a/controlplane/src/test/java/elmsail/controlplane/ControlPlanePartitionTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ControlPlanePartitionTest.java
@@ -19,14 +19,14 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * A control-plane node that has no contact with a majority for 20 s, whatever keeps it from it: it
- * gives out no configuration, acknowledges no order and refuses none finally. What others do
- * meanwhile stands once it is back.
+ * A control-plane node has no contact with a majority for 20 s because of a partition or a freeze.
+ * Meanwhile it must serve no configuration, acknowledge no change and reject none with a final
+ * status. Afterwards it must adopt what the other nodes have committed meanwhile.
  */
 class ControlPlanePartitionTest extends PartitionTestBase {
   private static final long MAX_PROPAGATION_MS = 2_000;
 
-  /** A gateway that reaches only n1. */
+  /** Starts a gateway that reaches only n1. */
   private void startGatewayReachingOnlyN1(String name) {
     cluster.net.cutBoth(cluster.address(name), cluster.address("n2"));
     cluster.net.cutBoth(cluster.address(name), cluster.address("n3"));
@@ -55,7 +55,10 @@
         is(true));
     assertThat(cluster.gateways.get("c1").config().version(), is(3L));
     System.out.println(
-        partition + ": configuration " + (cluster.timers.now() - healedAt) + " ms after");
+        partition
+            + ": configuration received "
+            + (cluster.timers.now() - healedAt)
+            + " ms after the heal");
   }
 
   @Test
@@ -98,7 +101,10 @@
     assertThat(hasFailed(response), is(true));
   }
 
-  /** At any moment of a read's period, so that some freezes come upon a read under way. */
+  /**
+   * Freezes n1 at various offsets within its read interval, so that some freezes hit a read in
+   * flight.
+   */
   @Test
   void thawedNodePublishesNoOutdatedConfig() {
     for (int offsetMs = 0; offsetMs < 300; offsetMs += 4) {
@@ -164,9 +170,15 @@
     Partition.BOTH_WAYS.begin(cluster);
     assertThat(cluster.replace("n2", 1, 3), is(200));
     for (int i = 0; i < 20; i++) {
-      assertThat("a lost race", cluster.replace("n1", 1, 4), anyOf(is(503), is(504)));
-      assertThat("a repeat", cluster.replace("n1", 1, 3), anyOf(is(503), is(504)));
-      assertThat("the next", cluster.replace("n1", 3, 5), anyOf(is(503), is(504)));
+      assertThat(
+          "a change on an outdated base version",
+          cluster.replace("n1", 1, 4),
+          anyOf(is(503), is(504)));
+      assertThat("a repeated change", cluster.replace("n1", 1, 3), anyOf(is(503), is(504)));
+      assertThat(
+          "a change on the current base version",
+          cluster.replace("n1", 3, 5),
+          anyOf(is(503), is(504)));
       assertThat(cluster.read("n1"), equalTo("503"));
     }
   }
@@ -240,7 +252,10 @@
       assertThat(
           other.awaitWithin(1_000, () -> other.gateways.get("c1").config() != null), is(true));
       System.out.println(
-          lost + " lost: configuration " + (other.timers.now() - restartedAtMs) + " ms after");
+          lost
+              + " lost: configuration received "
+              + (other.timers.now() - restartedAtMs)
+              + " ms after the restart");
     }
   }
 
@@ -259,7 +274,8 @@
       cluster.timers.advance(100);
       refusedPulls += response.isDone() && !hasFailed(response) ? 0 : 1;
     }
-    System.out.println("pulls refused with one voter lost and 2 % of messages: " + refusedPulls);
+    System.out.println(
+        "pulls rejected with one voter and 2 % of the messages lost: " + refusedPulls);
     assertThat(refusedPulls, lessThan(6));
   }
 
@@ -312,7 +328,8 @@
       maxListAgeMs = Math.max(maxListAgeMs, cluster.gateways.get("c1").serverListAgeMs());
       assertThat(cluster.gateways.get("c1").config().version(), is(1L));
     }
-    System.out.println("no majority anywhere: the list is " + maxListAgeMs + " ms old at most");
+    System.out.println(
+        "no majority on any side: the server list is at most " + maxListAgeMs + " ms old");
     assertThat(maxListAgeMs, lessThan(4_000L));
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/ControlPlaneTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ControlPlaneTest.java
@@ -142,8 +142,8 @@
         settings(dir, true, controlPort, lastInternalPort),
         control -> {
           assertThat(call(control, "GET", "/Nothing", null), equalTo("404"));
-          // The voter slot is founded within some hundred ms; each call waits for it for up to 0.9
-          // s.
+          // The node becomes a voter within some hundred ms; each call waits for a majority for up
+          // to 0.9 s.
           String reply = call(control, "POST", "/Timetable.Replace", SimulatedCluster.config(4));
           for (int i = 0; i < 5 && !reply.equals("{}"); i++) {
             reply = call(control, "POST", "/Timetable.Replace", SimulatedCluster.config(4));
--- a/controlplane/src/test/java/elmsail/controlplane/ControlPlaneVoterReplacementTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ControlPlaneVoterReplacementTest.java
@@ -9,12 +9,15 @@
 import elmsail.rpc.messages.Voter;
 import org.junit.jupiter.api.Test;
 
-/** Control-plane voters that are lost for good, and the next loss right after the repair. */
+/**
+ * Control-plane voters are lost permanently, and the next voter is lost right after the repair.
+ * Guards against losing committed changes, and against repairs that take too long.
+ */
 class ControlPlaneVoterReplacementTest {
-  /** The shorter of the sites' {@code catch_up_s}, less what a process takes to start. */
+  /** The shortest {@code catch_up_s} of all sites, less the start time of a process. */
   private static final long CATCH_UP_MS = 4_800 - 900;
 
-  /** Losses of power shorter than this move nobody. */
+  /** A power loss shorter than this does not move a voter slot. */
   private static final long SHORT_OUTAGE_MS = 2_500;
 
   private SimulatedCluster cluster;
@@ -43,7 +46,10 @@
     cluster.controlPlaneNodes.remove(name);
   }
 
-  /** An empty machine at another address follows, at once or later, whoever holds the lease. */
+  /**
+   * An empty machine at another address starts at once or later. Each voter is lost in turn, the
+   * lease holder included.
+   */
   @Test
   void lostVoterIsReplacedAndTheNextLossIsTolerated() {
     for (int lost = 1; lost <= 3; lost++) {
@@ -60,9 +66,15 @@
             cluster.awaitWithin(CATCH_UP_MS, () -> cluster.allControlPlaneVotersVote(observer)),
             is(true));
         long repairMs = cluster.timers.now() - startedAtMs;
-        System.out.println("replaced " + scenario + " ms later: whole after " + repairMs + " ms");
+        System.out.println(
+            "lost "
+                + scenario
+                + " ms until the replacement: all voters vote after "
+                + repairMs
+                + " ms");
         cluster.timers.advance(CATCH_UP_MS - repairMs);
-        // The oldest goes first: what was acknowledged before it joined is at the successor.
+        // The oldest voter is lost next: its changes from before the replacement must be at the new
+        // voter.
         String oldest = lost == 1 ? "n2" : "n1";
         losePermanently(oldest);
         assertThat(
@@ -87,7 +99,9 @@
     assertThat(cluster.allControlPlaneVotersVote("n1"), is(true));
   }
 
-  /** A partitioned voter is not distinguished from a lost one: it comes back as a spare. */
+  /**
+   * A partitioned voter is treated like a lost one: it becomes a spare when the partition heals.
+   */
   @Test
   void returningVoterIsASpareAndTakesOverTheNextSlot() {
     startVoters(1, 4, 3);
@@ -112,7 +126,7 @@
         is(true));
   }
 
-  /** Two at once, then two more, oldest first, then all lose power: nothing is lost. */
+  /** Two voters at once are lost in each round, the oldest first; finally all nodes lose power. */
   @Test
   void repeatedLossesRightAfterRepairsLoseNoConfig() {
     startVoters(2, 6, 5);
@@ -157,7 +171,7 @@
       RedundancyMonitor monitor = degradedLeaseHolder().controlPlaneRedundancy();
       int repairs = monitor.repairs();
       cluster.timers.advance(5_000);
-      assertThat("no spare, no repair", monitor.isDegraded(), is(true));
+      assertThat("degraded while there is no spare", monitor.isDegraded(), is(true));
       cluster.startControlPlane("n4", false);
       assertThat(cluster.awaitWithin(CATCH_UP_MS, () -> !monitor.isDegraded()), is(true));
       assertThat(cluster.allControlPlaneVotersVote("n4"), is(true));
@@ -167,7 +181,7 @@
     }
   }
 
-  /** Who holds the lease and misses a voter; null if nobody does. */
+  /** The lease holder if it reports a missing voter; null otherwise. */
   private ControlPlaneNode degradedLeaseHolder() {
     for (ControlPlaneNode node : cluster.controlPlaneNodes.values()) {
       if (node.controlPlaneRedundancy().isDegraded()) {
--- a/controlplane/src/test/java/elmsail/controlplane/JobRecordWriter.java
+++ b/controlplane/src/test/java/elmsail/controlplane/JobRecordWriter.java
@@ -16,8 +16,8 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Writes keys with a body each to the stores, as a gateway that reaches all of them, and reads them
- * again: one that was acknowledged is never read as absent.
+ * Writes jobs with a body each to the stores, like a gateway that reaches all stores, and reads
+ * them back. Checks that an acknowledged job is never read as absent.
  */
 final class JobRecordWriter {
   private static final int MAX_PENDING = 3;
@@ -43,7 +43,7 @@
     register = client.register();
   }
 
-  /** Reads no voter set from that store any more, as it is lost for good. */
+  /** Stops reading the voter set of that store, which is lost permanently. */
   void ignoreStore(String store) {
     lostStores.add(store);
   }
@@ -70,7 +70,7 @@
     return written.size();
   }
 
-  /** Begins a write or a read, if few are under way. */
+  /** Begins a write or a read unless the limit of pending calls is reached. */
   void step() {
     if (pendingCalls >= MAX_PENDING || newestVoterSet().voters.isEmpty()) {
       return;
--- a/controlplane/src/test/java/elmsail/controlplane/JobStoreClient.java
+++ b/controlplane/src/test/java/elmsail/controlplane/JobStoreClient.java
@@ -10,8 +10,8 @@
 import java.util.function.Supplier;
 
 /**
- * A client of the job stores' register on a machine of its own, which reads the voter set straight
- * from the stores that it is given.
+ * A client of the job stores' register on a machine of its own. Reads the voter set directly from
+ * the given stores.
  */
 final class JobStoreClient implements VoterSetSource {
   private static final String ADDRESS = "10.3.0.9:7720";
@@ -21,13 +21,13 @@
   private final Supplier<Collection<String>> stores;
   private VoterSet known = new VoterSet();
 
-  /** Creates a client that merges the voter sets of those stores, asked for at each use. */
+  /** Creates a client that merges the voter sets of the supplied stores at each use. */
   JobStoreClient(SimulatedCluster cluster, Supplier<Collection<String>> stores) {
     this.cluster = cluster;
     this.stores = stores;
   }
 
-  /** Starts the client's machine, and returns the register as it sees it. */
+  /** Starts the client's machine and returns its client of the register. */
   Register register() {
     SimNode node = cluster.net.startNode(ADDRESS);
     return new RegisterClient(
--- a/controlplane/src/test/java/elmsail/controlplane/JobStoreVotersScenarioTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/JobStoreVotersScenarioTest.java
@@ -19,9 +19,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A writer counts at keys of the store set while stores are lost, wiped, retired and added, one
- * trouble at a time and the control-plane nodes' lease holder now and then with it: what was
- * acknowledged is read back, and a machine that was told to be delivered is removed at once.
+ * A writer increments counters in the job stores while stores are lost, wiped, frozen,
+ * decommissioned and added, one fault at a time; sometimes a control-plane node is killed together
+ * with a store. All acknowledged increments must be read back at the end. A machine that is
+ * reported as delivered is removed at once, so the report must not come too early.
  */
 class JobStoreVotersScenarioTest {
   private static final int SEED_COUNT = 6;
@@ -42,7 +43,7 @@
     for (int seed = 1; seed <= SEED_COUNT; seed++) {
       runScenario(seed);
     }
-    assertThat("seats that moved", slotMoves, greaterThan(SEED_COUNT));
+    assertThat("slot moves", slotMoves, greaterThan(SEED_COUNT));
   }
 
   private void runScenario(int seed) {
@@ -175,7 +176,7 @@
     cluster.wipe(name);
     runningStores.remove(name);
     removed.add(name);
-    // Right after it another disk may be lost.
+    // Another disk may be lost right after the removal.
     String other = runningStores.get(random.nextInt(runningStores.size()));
     cluster.wipe(other);
     cluster.startStore(other, false);
--- a/controlplane/src/test/java/elmsail/controlplane/KeyAdmissionDuringLossesTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/KeyAdmissionDuringLossesTest.java
@@ -16,8 +16,9 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Losses that the control plane bears stop no gateway: while two of five nodes are away, every
- * gateway that reaches one of the others hears of the configuration in time.
+ * Losses that the control plane tolerates must not stop gateways from admitting keys. While two of
+ * five control-plane nodes are lost, every gateway that reaches another node must receive the
+ * confirmation of its configuration in time.
  */
 class KeyAdmissionDuringLossesTest {
   private static final int SEEDS = Integer.getInteger("elmsail.revocation.seeds", 4);
@@ -26,14 +27,14 @@
   private static final long REVOKE_MS = 5_000;
   private static final long LOSS_DURATION_MS = 12_000;
 
-  /** What befalls the nodes that are lost. */
+  /** The fault that makes the nodes unavailable. */
   enum Loss {
     KILLED,
     POWERED_OFF,
     FROZEN,
     CUT_FROM_ALL,
     CUT_FROM_OTHER_NODES,
-    /** Each gateway loses the three nodes that it watches; the nodes reach each other. */
+    /** Each gateway is cut off from the three nodes that it watches; the nodes reach each other. */
     WATCHED_NODES_CUT_FROM_GATEWAYS
   }
 
@@ -49,7 +50,7 @@
       beginLoss(loss, lostNodes(seed));
       assertKeysAdmittedFor(loss + ", seed " + seed, LOSS_DURATION_MS);
     }
-    assertThat("the loss is felt", maxConfirmationAgeMs, greaterThan(1_000L));
+    assertThat("the loss delays confirmations", maxConfirmationAgeMs, greaterThan(1_000L));
   }
 
   private void start(long seed) {
--- a/controlplane/src/test/java/elmsail/controlplane/KeyRevocationScenarioTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/KeyRevocationScenarioTest.java
@@ -18,9 +18,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Keys are removed while control-plane nodes and gateways are killed, frozen, cut off or left with
- * a minority. No gateway admits a key later than {@code revoke_ms} after the acknowledgement of its
- * removal, and gateways in touch do not stop admitting the others.
+ * Keys are removed while control-plane nodes and gateways are killed, frozen, isolated or cut off
+ * from some nodes. No gateway may admit a key later than {@code revoke_ms} after the
+ * acknowledgement of its removal, and gateways in contact with the control plane must continue to
+ * admit the other keys.
  */
 class KeyRevocationScenarioTest {
   private static final int SEED_COUNT = Integer.getInteger("elmsail.revocation.stories", 8);
@@ -32,17 +33,21 @@
   private SimulatedCluster cluster;
   private Random random;
 
-  /** When each version was acknowledged. */
+  /** The time at which each version was acknowledged. */
   private final TreeMap<Long, Long> acknowledgedAtMs = new TreeMap<>();
 
-  /** Faults of processes and links, by what they befell, and when they end. */
+  /**
+   * End times of the faults of processes and links, by the kind of fault and the name of the
+   * process.
+   */
   private final Map<String, Long> faultEndsAtMs = new LinkedHashMap<>();
 
   private final Map<String, RevocationBound> bounds = new TreeMap<>();
   private CompletableFuture<SimpleHttpResponse> pendingCall;
 
   /**
-   * Moments at which a gateway had an outdated key and only the bound kept it from admitting it.
+   * Number of checks at which a gateway still had a removed key and only the bound prevented its
+   * admission.
    */
   private long outdatedKeysRejected;
 
@@ -55,14 +60,18 @@
       runScenario(seed);
       changes += acknowledgedAtMs.size();
     }
-    assertThat("acknowledged", changes, greaterThan(SEED_COUNT * 5));
-    assertThat("refused by the bound alone", outdatedKeysRejected, greaterThan(0L));
-    assertThat("oldest in calm", maxConfirmationAgeAfterFaultsMs, lessThan(REVOKE_MS - 1_000));
+    assertThat("acknowledged changes", changes, greaterThan(SEED_COUNT * 5));
+    assertThat("removed keys rejected only by the bound", outdatedKeysRejected, greaterThan(0L));
+    assertThat(
+        "maximum age of a confirmation after all faults",
+        maxConfirmationAgeAfterFaultsMs,
+        lessThan(REVOKE_MS - 1_000));
   }
 
   /**
-   * A node loses the majority just before a key is removed, and answers a gateway that reaches no
-   * other node while its last read is young enough; then it loses the gateway too.
+   * n1 loses contact with the majority just before a key is removed. The gateway reaches only n1,
+   * which answers it while the last majority read of n1 is recent enough. The gateway must then
+   * stop admitting the key within the bound.
    */
   @Test
   void partitionedNodeConfirmsNoMoreThanItsLastMajorityRead() {
@@ -87,7 +96,7 @@
       for (long nowMs = removedAtMs;
           nowMs <= removedAtMs + 20_000;
           nowMs = threeNodes.timers.now()) {
-        assertThat("has the key", gateway.config().version(), is(1L));
+        assertThat("the gateway still has the removed key", gateway.config().version(), is(1L));
         if (bound.mayAdmitKeys()) {
           admitted++;
           assertThat("cut at " + cutAtMs, nowMs - removedAtMs, lessThanOrEqualTo(REVOKE_MS));
@@ -95,7 +104,8 @@
         threeNodes.timers.advance(1);
       }
     }
-    assertThat("admitted while that was allowed", admitted, greaterThan(20_000L));
+    assertThat(
+        "checks at which the key was admitted within the bound", admitted, greaterThan(20_000L));
   }
 
   private void runScenario(long seed) {
@@ -144,7 +154,7 @@
     bounds.put(name, new RevocationBound(cluster.gateways.get(name), REVOKE_MS));
   }
 
-  /** The key of a version is removed by the next one. */
+  /** A configuration with a key of its own, which the next version removes. */
   private static String config(long version) {
     String config = SimulatedCluster.config(version);
     return config.substring(0, config.length() - 1)
@@ -158,7 +168,7 @@
       return;
     }
     long base = acknowledgedAtMs.isEmpty() ? 0 : acknowledgedAtMs.lastKey();
-    // A change without a clear answer is sent again as it was.
+    // A change of unknown outcome is sent again unchanged.
     long version = base + 1;
     pendingCall =
         cluster.call(
@@ -187,8 +197,8 @@
           case 0 -> "kill";
           case 1 -> "freeze";
           case 2 -> "isolate";
-          case 3 -> "some";
-          default -> "deaf";
+          case 3 -> "cut-both-ways";
+          default -> "cut-inbound";
         };
     if (faultEndsAtMs.keySet().stream().anyMatch(fault -> fault.endsWith(" " + name))) {
       return;
@@ -203,7 +213,7 @@
         for (int i = 1; i <= nodes; i++) {
           String node = cluster.address("n" + i);
           cluster.net.cut(node, address);
-          if (kind.equals("some")) {
+          if (kind.equals("cut-both-ways")) {
             cluster.net.cut(address, node);
           }
         }
@@ -245,7 +255,7 @@
     }
   }
 
-  /** Also while they are frozen: what they would do if they ran on at this moment. */
+  /** Also checks frozen gateways: what they would admit if they resumed at this moment. */
   private void checkGateways(long seed) {
     long nowMs = cluster.timers.now();
     bounds.forEach(
@@ -269,7 +279,7 @@
         });
   }
 
-  /** All faults end; after some seconds every gateway admits keys at every moment. */
+  /** Ends all faults; after 6 s every gateway must admit keys at every check. */
   private void checkAfterFaults(long seed) {
     for (String fault : faultEndsAtMs.keySet()) {
       endFault(fault);
--- a/controlplane/src/test/java/elmsail/controlplane/MonotonicClockOnlyTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/MonotonicClockOnlyTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The time of day may jump by seconds: nothing that agrees, leases or ages may look at it. It is
- * read in one place, and from there only by what agrees with other machines on the time of day that
- * the platform is told.
+ * The time of day may jump by seconds, so consensus, leases and ages must not depend on it. The
+ * time of day is read in one class. Only the clock exchange uses that class, to agree with the
+ * other machines on the time of day that is reported to the platform.
  */
 class MonotonicClockOnlyTest {
   private static final List<String> MODULES =
--- a/controlplane/src/test/java/elmsail/controlplane/NodeFaultInjector.java
+++ b/controlplane/src/test/java/elmsail/controlplane/NodeFaultInjector.java
@@ -2,7 +2,7 @@
 
 import java.util.Random;
 
-/** Kills one node at a time, or takes its power or its disk, freezes it or partitions it. */
+/** Injects faults into one node at a time: kill, power loss, disk loss, freeze or isolation. */
 final class NodeFaultInjector {
   private enum Kind {
     KILL,
@@ -12,7 +12,10 @@
     ISOLATE
   }
 
-  /** A replica whose disk was lost counts as lost until it has copied all, within this time. */
+  /**
+   * A replica that lost its disk counts as lost until it has copied all records, which takes at
+   * most this long.
+   */
   private static final long CATCH_UP_MS = 4_900;
 
   private final SimulatedCluster cluster;
@@ -60,7 +63,7 @@
     }
   }
 
-  /** Ends the present fault, if there is one. */
+  /** Ends the current fault, if there is one. */
   void endFault() {
     if (faultyNode == null) {
       return;
--- a/controlplane/src/test/java/elmsail/controlplane/PartitionTestBase.java
+++ b/controlplane/src/test/java/elmsail/controlplane/PartitionTestBase.java
@@ -8,21 +8,21 @@
 import elmsail.simulation.SimNode;
 import java.util.concurrent.CompletableFuture;
 
-/** Three control-plane nodes, of which n1 gets partitioned, and a process that pulls from it. */
+/** Three control-plane nodes, of which n1 is partitioned, and a process that pulls from n1. */
 abstract class PartitionTestBase {
   static final long PARTITION_MS = 20_000;
 
-  /** Older than this, contact is none: as {@code QuorumContact.BOUND_MS}. */
+  /** The age at which contact with a majority has lapsed, as {@link QuorumContact#MAX_AGE_MS}. */
   static final long CONTACT_MAX_AGE_MS = 1_500;
 
   static final String PROBE_ADDRESS = "10.3.0.99:7720";
 
   SimulatedCluster cluster = new SimulatedCluster(11, 3);
 
-  /** A process that pulls from n1; started with the first pull. */
+  /** The process that pulls from n1; started with the first pull. */
   private SimNode probe;
 
-  /** What keeps n1 from the two other voters. */
+  /** The fault that separates n1 from the two other voters. */
   enum Partition {
     BOTH_WAYS,
     REQUESTS_LOST,
@@ -47,7 +47,7 @@
     }
   }
 
-  /** Another world, to try the same at another time. */
+  /** Replaces the cluster by a new one, to repeat a test with other timing. */
   void newCluster(long seed) {
     cluster = new SimulatedCluster(seed, 3);
     probe = null;
--- a/controlplane/src/test/java/elmsail/controlplane/PinnedDataDirectories.java
+++ b/controlplane/src/test/java/elmsail/controlplane/PinnedDataDirectories.java
@@ -30,12 +30,12 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Whole data directories of a store, of a store that is joining and of a control-plane node,
- * written by the real classes. A replica is asked as others would ask it, so what is in the records
- * is what its own code puts there.
+ * Writes the data directories of a store, of a joining store and of a control-plane node with the
+ * production classes. The replica receives the same requests as from other processes, so its own
+ * code writes the records.
  *
- * <p>{@link #main} wrote the directories that the tests' resources hold. Those are never written
- * anew: they stand for the disks of processes that ran before.
+ * <p>{@link #main} wrote the directories in the test resources. Those directories are never
+ * regenerated, because they represent the disks of processes of earlier versions.
  */
 final class PinnedDataDirectories {
   static final String STORE = "store";
@@ -45,7 +45,7 @@
   static final String OWN_ADDRESS = "10.0.0.1:7720";
   static final String OWN_MACHINE = "n1";
 
-  /** A job with a listed result, one given up, and one that failed. */
+  /** A job with an answered item, an item that was given up, and an item with failed attempts. */
   static final String OPEN_JOB = "open-job";
 
   static final String ENDED_JOB = "ended/50%";
@@ -53,19 +53,19 @@
   /** Written in the first format of job records. */
   static final String OLD_JOB = "old-job";
 
-  /** Refused: a promise is all that is left of it. */
+  /** A job that was not accepted: the replica holds only a promise for its key. */
   static final String REFUSED_JOB = "refused-job";
 
-  /** Copied from another store when this one joined. */
+  /** A job that the store copied from another store when it joined. */
   static final String COPIED_JOB = "copied-job";
 
-  /** Dropped after its time. */
+  /** A job that was dropped after its retention time. */
   static final String DROPPED_JOB = "dropped-job";
 
   static final String TEXT = "the text of a result";
   static final List<String> CONFIGS = List.of("{\"edition\":3}", "{\"edition\":400}");
 
-  /** A configuration's value in the format before the present one, edition 7. */
+  /** The value of a configuration of version 7 in the format before the current one. */
   static final byte[] OLD_CONFIG =
       HexFormat.of()
           .parseHex(
@@ -79,7 +79,7 @@
 
   private PinnedDataDirectories() {}
 
-  /** Writes the directories into the folder given. */
+  /** Writes the directories into the folder that is the first argument. */
   public static void main(String[] args) {
     Path folder = Path.of(args[0]);
     writeStore(folder.resolve(STORE));
@@ -119,7 +119,7 @@
     }
   }
 
-  /** A control-plane node that has voted on each of the keys there are. */
+  /** A control-plane node that has voted on each of the register's keys. */
   static void writeControlPlane(Path folder) {
     try (DirectoryRecordStore disk = open(folder)) {
       RecordStore records = new SynchronousRecords(disk, disk.instanceId());
@@ -193,7 +193,7 @@
     return new JobRecord(2, description(), List.of(), true, OWN_ADDRESS, 1, 5, List.of());
   }
 
-  /** The same as {@link #endedJob} in the first format, which kept no failures. */
+  /** {@link #endedJob} in the first format, which did not store failed attempts. */
   private static byte[] oldJobBytes() {
     byte[] current = endedJob().encode();
     byte[] old = java.util.Arrays.copyOf(current, current.length - 1);
@@ -201,7 +201,9 @@
     return old;
   }
 
-  /** As a replica keeps what it copied: promised, accepted, flags, value. */
+  /**
+   * The record of a key that a replica has copied: promised ballot, accepted ballot, flags, value.
+   */
   private static byte[] copiedState() {
     byte[] value = endedJob().encode();
     return ByteBuffer.allocate(4 * Long.BYTES + 1 + value.length)
@@ -235,7 +237,7 @@
     return blob;
   }
 
-  /** A replica that hears the votes that are asked of it, and reaches nobody. */
+  /** A replica that handles the requests of this test and whose own calls are never answered. */
   private static final class IsolatedReplica {
     private final String voterSetName;
     private final HandlerRegistry handlers = new HandlerRegistry();
@@ -255,7 +257,9 @@
               ProcessMetrics.strict());
     }
 
-    /** Both rounds at a key; the blobs go with the first. */
+    /**
+     * Runs the prepare and the accept phase for a key; the blobs are sent with the prepare request.
+     */
     void commit(String key, byte[] value, List<Blob> blobs) {
       prepare(key, blobs);
       AcceptRequest request = new AcceptRequest();
--- a/controlplane/src/test/java/elmsail/controlplane/PinnedDataDirectoriesStartTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/PinnedDataDirectoriesStartTest.java
@@ -47,9 +47,10 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Control-plane nodes and stores start on the data directories that an earlier version wrote, and
- * answer calls from what is there. The directory is that of the first of three voters; the second
- * starts on a copy of it, the third stays down.
+ * Control-plane nodes and stores start on the data directories that an earlier version wrote and
+ * answer calls from that state. Guards against a change that makes such directories unreadable. The
+ * directory belongs to the first of three voters; the second voter starts on a copy of it, the
+ * third stays down.
  */
 class PinnedDataDirectoriesStartTest {
   private static final long CALL_TIMEOUT_MS = 2_000;
@@ -75,7 +76,10 @@
     return "10.0.0." + machine.substring(1);
   }
 
-  /** The pinned voters answer at the port 7720, which is the second one of a control-plane node. */
+  /**
+   * The pinned voters have RPC port 7720, which is the second internal port of a control-plane
+   * node.
+   */
   private Settings settings(String machine, String service, int firstInternalPort) {
     return new Settings(
         machine,
@@ -144,7 +148,7 @@
     controlPlaneNodes.put(machine, controlPlaneNode);
   }
 
-  /** As {@link StoreServer#start} puts a store together. */
+  /** Assembles a store in the same way as {@link StoreServer#start}. */
   private void startStore(String machine) throws Exception {
     SimNode node = startNode(machine);
     JobStoreService jobStore =
@@ -293,7 +297,7 @@
 
           @Override
           public void learn(VoterSet newer) {
-            // The stores' own is always the newest.
+            // The voter set of store n1 is always the newest.
           }
         };
     return new RegisterClient(
--- a/controlplane/src/test/java/elmsail/controlplane/PinnedDataDirectoriesTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/PinnedDataDirectoriesTest.java
@@ -27,14 +27,20 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Data directories of earlier versions are read, and the same bytes are written today. */
+/**
+ * Data directories of earlier versions are read, and the current version writes the same bytes.
+ * Guards against accidental changes of the formats on disk.
+ */
 class PinnedDataDirectoriesTest {
-  /** It holds nothing but the instance id, which is drawn by chance. */
+  /** The file that holds only the instance id, which is drawn at random. */
   private static final String INSTANCE_ID_FILE = "v-0000000000000001";
 
   private static final int STATE_HEADER_BYTES = 4 * Long.BYTES + 1;
 
-  /** Format, edition, count and first base; a step and a digest an order; the configuration. */
+  /**
+   * Format, version, change count and first base version; per change a version step and a digest;
+   * then the configuration.
+   */
   private static final String CONFIG_VALUE =
       "020000000000000190000000020000000000000000"
           + "0326e1364e7e183813"
@@ -71,7 +77,7 @@
     return names;
   }
 
-  /** The value of a key's record, behind its ballots and flags. */
+  /** The value in a key's record, which follows the ballots and flags. */
   private static byte[] value(DirectoryRecordStore records, String name) {
     byte[] record = records.read(name);
     return Arrays.copyOfRange(record, STATE_HEADER_BYTES, record.length);
--- a/controlplane/src/test/java/elmsail/controlplane/PinnedNamesTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/PinnedNamesTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Names that are known outside of the program: in dashboards, scripts, settings and clients. */
+/** Names that dashboards, scripts, settings and clients outside this code base depend on. */
 class PinnedNamesTest {
 
   private static final String SETTINGS =
--- a/controlplane/src/test/java/elmsail/controlplane/ProcessorQuotaTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ProcessorQuotaTest.java
@@ -13,9 +13,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Processes that run for a part of each tenth of a second and stand still for the rest of it, each
- * at its own time: nobody is taken for lost, nothing is taken over, and changes are in force in
- * time.
+ * A processor quota lets each process run for only a part of every 100 ms period and pauses it for
+ * the rest; the periods of different processes are not aligned. Such pauses must not make a running
+ * process count as lost or move the lease or a voter slot, and changes must still reach all
+ * gateways in time.
  */
 class ProcessorQuotaTest {
   private static final int CONTROL_PLANE_NODES = 5;
@@ -61,7 +62,7 @@
         && cluster.gateways.values().stream().allMatch(gateway -> gateway.config() != null);
   }
 
-  /** The term of the lease; 0 if nobody holds it. */
+  /** The term of the lease; 0 if no node holds the lease. */
   private long leaseTerm() {
     return cluster.controlPlaneNodes.values().stream()
         .mapToLong(ControlPlaneNode::leaseTerm)
@@ -107,11 +108,14 @@
         assertThat(describeVoters(), is(voters));
       }
       assertThat(slowestAckMs, lessThan(MAX_ACKNOWLEDGEMENT_MS));
-      assertThat("pulls refused without contact", pullsRefused() - refusedBefore, is(0L));
+      assertThat(
+          "pulls rejected for lack of contact with a majority",
+          pullsRefused() - refusedBefore,
+          is(0L));
       assertThat(maxServerListAgeMs(), lessThanOrEqualTo(2_500L));
       assertThat(term, greaterThan(0L));
       System.out.printf(
-          "%.2f of a core, seed %d: acknowledged after %d ms, in force %d ms later at most%n",
+          "%.2f of a core, seed %d: acknowledged after at most %d ms, at all gateways at most %d ms later%n",
           share, seed, slowestAckMs, slowestInForceMs);
     }
   }
--- a/controlplane/src/test/java/elmsail/controlplane/RepeatedDoubleLossTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/RepeatedDoubleLossTest.java
@@ -17,9 +17,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Two losses are borne: stores and control-plane nodes are lost two at once, each time as soon as
- * the loss before is repaired, those whose disks have lasted longest first; also right behind a
- * retirement. All that was acknowledged, blobs included, is there at the end.
+ * In a cluster that tolerates two losses, two stores or two control-plane nodes at a time are lost
+ * as soon as the previous loss is repaired, those with the oldest disks first, and also right after
+ * a decommissioning. Everything acknowledged, blobs included, must still be readable at the end.
  */
 class RepeatedDoubleLossTest {
   private static final int SEED_COUNT = 8;
@@ -57,7 +57,8 @@
       }
       assertAllReadable("seed " + seed);
     }
-    System.out.println("whole again at the latest " + longestRepairMs + " ms after the restarts");
+    System.out.println(
+        "all voters vote again at most " + longestRepairMs + " ms after the restarts");
   }
 
   private void start(int seed) {
@@ -86,7 +87,7 @@
     oldestStores.add(name);
   }
 
-  /** Three jobs with a body each. */
+  /** Writes three jobs with a body each. */
   private void writeJobs() {
     for (int i = 0; i < 3; i++) {
       Blob body = new Blob();
@@ -132,7 +133,10 @@
     }
   }
 
-  /** One is emptied and removed as soon as it is said to be; two others lose their disks then. */
+  /**
+   * Decommissions a store and removes it as soon as it is reported delivered; then two other stores
+   * lose their disks.
+   */
   private void decommissionThenLoseTwo(String scenario) {
     startStore(false);
     cluster.timers.advance(1_500);
--- a/controlplane/src/test/java/elmsail/controlplane/SharedKeyRejectionTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/SharedKeyRejectionTest.java
@@ -18,8 +18,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A configuration in which two tenants share a key is never acknowledged, whether it is sent whole
- * or comes about by an amendment.
+ * A configuration in which two tenants share a key must never be acknowledged, whether it is sent
+ * as a replacement or results from an amendment. The gateways could not tell the two tenants apart.
  */
 class SharedKeyRejectionTest {
   private static final String REPLACE = "/Timetable.Replace";
@@ -128,7 +128,8 @@
     assertThat(tenantOf("k1"), is(Optional.empty()));
     assertThat(tenantOf("k3"), is(Optional.of("t2")));
     assertThat(status(AMEND, 2, amendment(3, "[]", "[\"t2\"]")), is(200));
-    assertThat("keys are required though nobody has one", currentConfig().requiresKeys(), is(true));
+    assertThat(
+        "keys are required although no tenant has one", currentConfig().requiresKeys(), is(true));
   }
 
   @Test
--- a/controlplane/src/test/java/elmsail/controlplane/SimulatedCluster.java
+++ b/controlplane/src/test/java/elmsail/controlplane/SimulatedCluster.java
@@ -29,8 +29,8 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Control-plane nodes, stores and gateways on simulated links and disks, on one clock moved by
- * hand.
+ * Control-plane nodes, stores and gateways on simulated links and disks, with one clock that the
+ * test advances.
  */
 final class SimulatedCluster {
   static final String EMPTY_SERVER_LIST = "{\"servers\":[],\"next_token\":null}";
@@ -47,22 +47,22 @@
   String platformReply = EMPTY_SERVER_LIST;
   int platformCalls;
 
-  /** How long each sync takes on disks that are made from now on; 0: the disk's own way. */
+  /** Duration of each sync on disks created from now on; 0 for the default of {@link SimDisk}. */
   long syncMs;
 
-  /** Rate of the platform's duties; 0: it expects none. */
+  /** Rate of the calls of the platform's duties; 0 if the platform expects no duties. */
   double dutyCallsPerSecond;
 
-  /** Length of the windows whose usage is reported; 0: none is. */
+  /** Length of the windows whose usage is reported; 0 for no usage reports. */
   long usageWindowMs;
 
-  /** Within which keys are to be revoked everywhere, of processes started from now on; 0: not. */
+  /** The {@code revoke_ms} setting of processes started from now on; 0 for no bound. */
   long revokeMs;
 
-  /** How far each machine's time of day is off; by its name. */
+  /** The error of each machine's time of day, by machine name. */
   final Map<String, Long> clockSkewMs = new HashMap<>();
 
-  /** Takes the calls of the platform's duties. */
+  /** Handles the calls of the platform's duties. */
   final SimulatedDutyPlatform dutyPlatform;
 
   private final long seed;
@@ -74,7 +74,7 @@
     this(seed, seedCount, 1);
   }
 
-  /** Creates one that tolerates the loss of so many machines at once. */
+  /** Creates a cluster that tolerates the loss of that number of machines at once. */
   SimulatedCluster(long seed, int seedCount, int toleratedMachineLosses) {
     this.seed = seed;
     this.toleratedMachineLosses = toleratedMachineLosses;
@@ -95,7 +95,7 @@
     return "10." + kind + ".0." + name.substring(1);
   }
 
-  /** Settings of a control-plane node whose platform expects both duties at that rate. */
+  /** The settings of a control-plane node whose platform expects both duties at that rate. */
   static Settings settingsWithDuties(String name, double dutyCallsPerSecond) {
     SimulatedCluster cluster = new SimulatedCluster(1, 1);
     cluster.dutyCallsPerSecond = dutyCallsPerSecond;
@@ -291,7 +291,7 @@
     disks.get(name).wipe();
   }
 
-  /** Advances the clock until the condition holds; false if it does not within so many ms. */
+  /** Advances the clock until the condition holds; false if it does not hold within the timeout. */
   boolean awaitWithin(long timeoutMs, BooleanSupplier condition) {
     long deadlineMs = timers.now() + timeoutMs;
     while (!condition.getAsBoolean() && timers.now() < deadlineMs) {
@@ -326,7 +326,10 @@
         call(controlPlane, "POST", "/Timetable.Replace", String.valueOf(basedOn), config(version)));
   }
 
-  /** The operator goes from gateway to gateway. */
+  /**
+   * Sends a replacement to the seeds in turn until one gives a final reply; returns -1 if none
+   * does.
+   */
   int replaceAnywhere(long basedOn, long version) {
     for (int i = 0; i < 30; i++) {
       int status = replace("n" + (i % seeds.size() + 1), basedOn, version);
@@ -361,8 +364,8 @@
   }
 
   /**
-   * DecommissionList and epochs of the voter slots as the store knows them, with a star where one
-   * is not voting.
+   * The machine and epoch of each voter slot as the store knows them; a star marks a voter that
+   * does not vote.
    */
   String describeJobStoreVoters(String store) {
     StringBuilder voters = new StringBuilder();
--- a/controlplane/src/test/java/elmsail/controlplane/SplitPartitionScenario.java
+++ b/controlplane/src/test/java/elmsail/controlplane/SplitPartitionScenario.java
@@ -22,11 +22,14 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 
-/** One cut of the counted machines into two halves, with all that goes on around it. */
+/**
+ * One partition of the control-plane nodes and stores into two halves, with changes, reads, job
+ * writes and decommissionings before, during and after it.
+ */
 final class SplitPartitionScenario {
-  /** How the machines are divided, by their place among all nodes and stores. */
+  /** How the machines are divided, by their numbers. */
   enum Split {
-    /** Nodes and stores by turns. */
+    /** Even-numbered nodes and stores against odd-numbered ones. */
     ALTERNATING,
     /** The first nodes and the last stores: the two majorities may lie on different sides. */
     CROSSED,
@@ -35,7 +38,7 @@
     RANDOM
   }
 
-  /** What has begun shortly before the cut. */
+  /** The change that begins shortly before the partition. */
   enum ConcurrentChange {
     NOTHING,
     STORE_JOINS,
@@ -46,12 +49,12 @@
     NODE_FROZEN
   }
 
-  /** The bound of the small sites. */
+  /** The recovery time allowed on the small sites. */
   private static final long MAX_RECOVERY_MS = 12_000;
 
   private static final long LOST_AFTER_MS = 3_000;
 
-  /** So many orders are under way at once at most. */
+  /** The maximum number of changes in flight. */
   private static final int MAX_PENDING_CHANGES = 8;
 
   private static final int STEP_MS = 40;
@@ -136,7 +139,10 @@
   }
 
   void runScenario() {
-    assertThat(scenario + ": founded", cluster.awaitWithin(10_000, this::allVotersVote), is(true));
+    assertThat(
+        scenario + ": all initial voters vote",
+        cluster.awaitWithin(10_000, this::allVotersVote),
+        is(true));
     assertThat(scenario, cluster.replaceAnywhere(0, 1), is(200));
     changes.sent.add(ConfigChangeScenario.replacement(0, 1, ""));
     changes.committed.add(ConfigChangeScenario.replacement(0, 1, ""));
@@ -156,17 +162,20 @@
     while (!allVotersVote() && cluster.timers.now() < healedAtMs + MAX_RECOVERY_MS) {
       runFor(50);
     }
-    assertThat(scenario + ": whole after the heal " + describeState(), allVotersVote(), is(true));
+    assertThat(
+        scenario + ": all voters vote after the heal " + describeState(),
+        allVotersVote(),
+        is(true));
     recoveredAfterMs = cluster.timers.now() - healedAtMs;
     runFor(2_000);
     assertThat(
-        scenario + ": orders after the heal " + describeState(),
+        scenario + ": changes committed after the heal " + describeState(),
         changes.committed.size() > committedBeforeHeal,
         is(true));
     finish();
   }
 
-  /** What is to be under way when the cut comes. */
+  /** Begins the change that is to be in progress when the partition starts. */
   private void beginConcurrentChange() {
     String store = jobStoreVoterMachines().get(random.nextInt(voterCount));
     String node = "n" + (1 + random.nextInt(3));
@@ -252,7 +261,7 @@
     return store;
   }
 
-  /** To be asked at any node until one takes it. */
+  /** Registers a decommissioning, to be sent to random nodes until one accepts it. */
   private void requestDecommission(String store) {
     unacceptedDecommissions.add(store);
   }
@@ -313,7 +322,10 @@
     }
   }
 
-  /** Two orders on the newest base at any two nodes, and some of those before them once more. */
+  /**
+   * Sends two changes on the newest base version to random nodes, and sometimes repeats an earlier
+   * change.
+   */
   private void sendRacingChanges() {
     boolean isLimitReached = changes.pendingCount() + retryAtMs.size() + 2 > MAX_PENDING_CHANGES;
     if (isLimitReached || cluster.timers.now() < nextChangesAtMs) {
@@ -353,7 +365,10 @@
               }
               SimpleHttpResponse reply = pendingRead.getValue().join();
               String store = pendingRead.getKey().split(" ")[1];
-              assertThat(scenario + ": unknown: " + store, reply.status(), not(is(404)));
+              assertThat(
+                  scenario + ": decommissioned store is unknown: " + store,
+                  reply.status(),
+                  not(is(404)));
               if (DELIVERED.equals(new String(reply.body(), StandardCharsets.UTF_8))) {
                 delivered.add(store);
               }
@@ -363,14 +378,17 @@
 
   private void checkInvariants() {
     for (Voter voter : jobs.newestVoterSet().voters) {
-      assertThat(scenario + ": delivered", delivered, not(hasItem(voter.machine)));
+      assertThat(
+          scenario + ": delivered stores that still hold a slot",
+          delivered,
+          not(hasItem(voter.machine)));
     }
     int leases = 0;
     for (Map.Entry<String, ControlPlaneNode> node : cluster.controlPlaneNodes.entrySet()) {
       boolean isRunning = cluster.net.nodeAt(cluster.address(node.getKey())) != null;
       leases += isRunning && node.getValue().leaseTerm() > 0 ? 1 : 0;
     }
-    assertThat(scenario + ": leases", leases, lessThanOrEqualTo(1));
+    assertThat(scenario + ": lease holders", leases, lessThanOrEqualTo(1));
     for (Map.Entry<String, StoreNode> store : cluster.stores.entrySet()) {
       if (!store.getValue().replica().isVoting()) {
         continue;
@@ -383,7 +401,7 @@
           Long previousInstanceId =
               instanceBySlotAndEpoch.putIfAbsent(i + "/" + voter.epoch, voter.instanceId);
           assertThat(
-              scenario + ": two hold slot " + i,
+              scenario + ": two instances hold slot " + i,
               previousInstanceId == null || previousInstanceId == voter.instanceId,
               is(true));
         }
@@ -421,7 +439,7 @@
 
   private String describeState() {
     StringBuilder state =
-        new StringBuilder("gone " + lostMachines + ", retired " + decommissioning);
+        new StringBuilder("lost " + lostMachines + ", decommissioning " + decommissioning);
     for (String node : cluster.controlPlaneNodes.keySet()) {
       state.append("; ").append(node).append(' ');
       for (Voter voter : cluster.controlPlaneVoters(node).voters) {
@@ -440,7 +458,7 @@
     return state.toString();
   }
 
-  /** All that was asked to leave has left; all that was acknowledged is there. */
+  /** Asserts that all decommissioned stores are delivered and everything acknowledged is there. */
   private void finish() {
     long deadlineMs = cluster.timers.now() + MAX_RECOVERY_MS;
     while (!(unacceptedDecommissions.isEmpty() && delivered.containsAll(decommissioning))
@@ -448,7 +466,12 @@
       runFor(100);
     }
     String leaving =
-        scenario + ": asked " + decommissioning + ", delivered " + delivered + describeState();
+        scenario
+            + ": decommissioning "
+            + decommissioning
+            + ", delivered "
+            + delivered
+            + describeState();
     assertThat(
         leaving,
         unacceptedDecommissions.isEmpty() && delivered.containsAll(decommissioning),
--- a/controlplane/src/test/java/elmsail/controlplane/SplitPartitionTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/SplitPartitionTest.java
@@ -8,10 +8,11 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * For some seconds the control-plane nodes and the stores are cut into two halves; operators and
- * gateways reach both. Orders race at both halves, the configuration is read everywhere, jobs are
- * written and read, and stores are retired, while a change of voters may be under way. What holds
- * for all machines holds throughout, and all is well again soon after the cut has healed.
+ * For some seconds a partition splits the control-plane nodes and the stores into two halves, while
+ * operators and gateways reach both halves. Changes race in both halves, the configuration is read
+ * from all nodes, jobs are written and read, and stores are decommissioned, while a voter change
+ * may be in progress. Acknowledged state and the invariants on leases and slots must hold
+ * throughout, and all voters must vote again soon after the heal.
  */
 class SplitPartitionTest {
   private static final int SEED_COUNT = 6;
@@ -55,8 +56,8 @@
       }
     }
     System.out.printf(
-        "%d nodes, %d stores, %s: %d orders and %d reads answered in the cuts, %d delivered,"
-            + " whole %d ms after the heal at the latest, an order confirmed after %d%n",
+        "%d nodes, %d stores, %s: %d changes and %d reads answered during partitions, %d delivered,"
+            + " all voters vote at most %d ms after the heal, a change committed after %d%n",
         nodeCount,
         storeCount,
         concurrentChange,
@@ -65,7 +66,7 @@
         delivered,
         longestRecoveryMs,
         longestAcknowledgementMs);
-    assertThat("orders acknowledged in the cut", acknowledged > 0, is(true));
-    assertThat("reads answered in the cut", readsAnswered, greaterThan(50));
+    assertThat("changes acknowledged during the partition", acknowledged > 0, is(true));
+    assertThat("reads answered during the partition", readsAnswered, greaterThan(50));
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/StorePlacementPartitionTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/StorePlacementPartitionTest.java
@@ -13,14 +13,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A control-plane node that has no contact with a majority for 20 s directs no placement, says
- * "delivered" of no store, and calls none unknown; one that is cut off just from a store asks those
- * who hear it.
+ * A control-plane node that has no contact with a majority for 20 s must assign no slot, report no
+ * store as delivered and reject no store as unknown. A node that is partitioned only from a store
+ * must query the nodes that receive the store's heartbeats.
  */
 class StorePlacementPartitionTest extends PartitionTestBase {
   private static final String DELIVERED = "{\"state\":\"delivered\"}";
 
-  /** The first three hold the slots, the others are spares. */
+  /** Starts stores; the first three hold the slots, the others are spares. */
   private void startStores(int count) {
     for (int i = 1; i <= 3; i++) {
       cluster.startStore("v" + i, true);
@@ -44,7 +44,7 @@
     cluster.timers.advance(3_200);
     CompletableFuture<PullResponse> pullBeforeFreeze = pull(pullRequest("store", "v4"), 1_000);
     assertThat(cluster.awaitWithin(1_000, pullBeforeFreeze::isDone), is(true));
-    assertThat("n1 directs", pullBeforeFreeze.join().view.joinSlot, is(1));
+    assertThat("n1 assigns the slot", pullBeforeFreeze.join().view.joinSlot, is(1));
     cluster.net.freeze(cluster.address("n1"));
     CompletableFuture<PullResponse> pullDuringFreeze = pull(pullRequest("store", "v4"), 60_000);
     cluster.timers.advance(PARTITION_MS);
@@ -149,7 +149,9 @@
     cluster.net.cutBoth(cluster.address("n1"), cluster.address("v4"));
     startStores(4);
     assertThat(
-        "no heartbeats here, so it may exist", cluster.beginDecommission("n1", "v2"), is(503));
+        "n1 has no heartbeats of v4, so it cannot decide",
+        cluster.beginDecommission("n1", "v2"),
+        is(503));
     assertThat(cluster.beginDecommission("n1", "v4"), is(200));
     assertThat(cluster.beginDecommission("n2", "v2"), is(409));
   }
@@ -165,13 +167,13 @@
     cluster.timers.advance(PARTITION_MS);
     cluster.net.thaw(cluster.address("n1"));
     assertThat(cluster.beginDecommission("n1", "v5"), anyOf(is(503), is(200)));
-    assertThat("all others are sure", cluster.beginDecommission("n1", "v9"), is(404));
+    assertThat("all other nodes are conclusive", cluster.beginDecommission("n1", "v9"), is(404));
   }
 
   /**
-   * v4 is told to take the slot of v2, which is retired, by an answer that is slow to arrive; then
-   * it is retired itself, at a node that has not heard of its joining. Wherever "delivered" is said
-   * of it, it never holds a slot later.
+   * v2 is decommissioned, and v4 is assigned its slot by a response that arrives late. Then v4
+   * itself is decommissioned through a node that does not know of the assignment. Once v4 is
+   * reported as delivered, it must never hold a slot.
    */
   @Test
   void storeReportedDeliveredNeverTakesAnEarlierAssignment() {
@@ -195,7 +197,7 @@
         }
       }
     }
-    System.out.println("delivered was said " + deliveredCount + " times of 120");
+    System.out.println("v4 was reported delivered " + deliveredCount + " times of 120");
     assertThat(deliveredCount, greaterThan(100));
   }
 
--- a/controlplane/src/test/java/elmsail/controlplane/SynchronousRecords.java
+++ b/controlplane/src/test/java/elmsail/controlplane/SynchronousRecords.java
@@ -7,11 +7,11 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A data directory that waits for each write, so that each is a file of its own and is done in the
- * thread that asked for it.
+ * A data directory that waits for each write, so that each write creates a file of its own and
+ * completes in the calling thread.
  *
- * @param instanceId the instance that the process believes to be: the directory's own, or that of
- *     the voter that a copy of the directory stands for
+ * @param instanceId the instance id that the process uses: the directory's own, or that of the
+ *     voter that a copy of the directory represents
  */
 record SynchronousRecords(DirectoryRecordStore disk, long instanceId) implements RecordStore {
   @Override
