--- a/controlplane/src/test/java/elmsail/controlplane/ClusterPowerLossTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ClusterPowerLossTest.java
@@ -75,7 +75,7 @@
       jobsRead += jobs.written();
     }
     System.out.printf(
-        "%d nodes, %d stores, gaps of up to %d ms: configuration served after %d ms, %d jobs read back%n",
+        "%d nodes, %d stores, gaps of up to %d ms: served after %d ms, %d jobs read back%n",
         nodeCount, storeCount, maxGapMs, longestRecoveryMs, jobsRead);
     assertThat(jobsRead, greaterThan(SEED_COUNT));
   }
--- a/controlplane/src/test/java/elmsail/controlplane/ConfigChangeScenario.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ConfigChangeScenario.java
@@ -112,9 +112,7 @@
     return winners.get(0);
   }
 
-  /**
-   * Replaces the configuration; {@code variant} distinguishes configurations of the same version.
-   */
+  /** A replacement; {@code variant} distinguishes configurations of the same version. */
   static ChangeRequest replacement(long baseVersion, long version, String variant) {
     String body = SimulatedCluster.config(version);
     return new ChangeRequest(
