--- a/controlplane/src/test/java/elmsail/controlplane/KeyAdmissionDuringLossesTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/KeyAdmissionDuringLossesTest.java
@@ -44,7 +44,7 @@
 
   @ParameterizedTest
   @EnumSource(Loss.class)
-  void gatewaysAdmitKeysWhileTwoNodesAreLost(Loss loss) {
+  void gatewaysAdmitKeysDuringToleratedLosses(Loss loss) {
     for (int seed = 1; seed <= SEEDS; seed++) {
       start(seed);
       beginLoss(loss, lostNodes(seed));
--- a/controlplane/src/test/java/elmsail/controlplane/RepeatedDoubleLossTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/RepeatedDoubleLossTest.java
@@ -32,8 +32,8 @@
   private Register writer;
   private int writtenJobs;
   private int startedStores;
-  private final List<String> oldestStores = new ArrayList<>();
-  private final List<String> oldestControlPlaneNodes = new ArrayList<>();
+  private final List<String> storesOldestFirst = new ArrayList<>();
+  private final List<String> controlPlaneNodesOldestFirst = new ArrayList<>();
 
   @Test
   void twoLossesRightAfterEachRepairLoseNoAcknowledgedState() {
@@ -66,17 +66,17 @@
     random = new Random(seed);
     writtenJobs = 0;
     startedStores = 0;
-    oldestStores.clear();
-    oldestControlPlaneNodes.clear();
+    storesOldestFirst.clear();
+    controlPlaneNodesOldestFirst.clear();
     cluster.net.delay(1, 8);
     for (int i = 1; i <= 5; i++) {
       cluster.startControlPlane("n" + i, true);
-      oldestControlPlaneNodes.add("n" + i);
+      controlPlaneNodesOldestFirst.add("n" + i);
     }
     for (int i = 0; i < 6; i++) {
       startStore(true);
     }
-    writer = new JobStoreClient(cluster, () -> oldestStores).register();
+    writer = new JobStoreClient(cluster, () -> storesOldestFirst).register();
     assertThat(cluster.awaitWithin(8_000, this::allVotersVote), is(true));
     assertThat(cluster.replaceAnywhere(0, 1), is(200));
   }
@@ -84,7 +84,7 @@
   private void startStore(boolean firstStart) {
     String name = "v" + ++startedStores;
     cluster.startStore(name, firstStart);
-    oldestStores.add(name);
+    storesOldestFirst.add(name);
   }
 
   /** Writes three jobs with a body each. */
@@ -107,7 +107,7 @@
   }
 
   private void loseTwo(boolean loseStores, boolean wiped) {
-    List<String> oldest = loseStores ? oldestStores : oldestControlPlaneNodes;
+    List<String> oldest = loseStores ? storesOldestFirst : controlPlaneNodesOldestFirst;
     List<String> victims = List.copyOf(oldest.subList(0, 2));
     for (String name : victims) {
       lose(name, wiped);
@@ -140,7 +140,7 @@
   private void decommissionThenLoseTwo(String scenario) {
     startStore(false);
     cluster.timers.advance(1_500);
-    String leaving = oldestStores.get(0);
+    String leaving = storesOldestFirst.get(0);
     assertThat(
         scenario,
         cluster.awaitWithin(4_000, () -> cluster.beginDecommission("n1", leaving) == 200),
@@ -152,18 +152,18 @@
             12_000, () -> cluster.decommissionState("n2", leaving).equals(delivered)),
         is(true));
     cluster.wipe(leaving);
-    oldestStores.remove(leaving);
+    storesOldestFirst.remove(leaving);
     loseTwo(true, true);
   }
 
   private boolean allVotersVote() {
     VoterSet newest = new VoterSet();
-    for (String name : oldestStores) {
+    for (String name : storesOldestFirst) {
       newest = VoterSets.merge(newest, cluster.stores.get(name).replica().voterSet());
     }
     TreeSet<String> voting = new TreeSet<>();
     for (Voter voter : newest.voters) {
-      if (oldestStores.contains(voter.machine)
+      if (storesOldestFirst.contains(voter.machine)
           && cluster.stores.get(voter.machine).replica().isVoting()
           && cluster.disks.get(voter.machine).instanceId() == voter.instanceId) {
         voting.add(voter.machine);
@@ -171,11 +171,11 @@
     }
     return voting.size() == 5
         && cluster.allControlPlaneVotersVote(
-            oldestControlPlaneNodes.get(oldestControlPlaneNodes.size() - 1));
+            controlPlaneNodesOldestFirst.get(controlPlaneNodesOldestFirst.size() - 1));
   }
 
   private String describeVoterSet() {
-    return cluster.describeJobStoreVoters(oldestStores.get(0));
+    return cluster.describeJobStoreVoters(storesOldestFirst.get(0));
   }
 
   private void assertAllReadable(String scenario) {
@@ -187,7 +187,7 @@
       assertThat(scenario, cluster.awaitWithin(3_000, body::isDone), is(true));
       assertThat(scenario + " body " + i, body.join().length, is(BODY.length));
     }
-    String last = oldestControlPlaneNodes.get(oldestControlPlaneNodes.size() - 1);
+    String last = controlPlaneNodesOldestFirst.get(controlPlaneNodesOldestFirst.size() - 1);
     assertThat(
         scenario,
         cluster.awaitWithin(2_000, () -> cluster.read(last).equals(SimulatedCluster.config(1))),
