--- a/controlplane/src/main/java/elmsail/controlplane/StoreHeartbeatQuery.java
+++ b/controlplane/src/main/java/elmsail/controlplane/StoreHeartbeatQuery.java
@@ -13,9 +13,9 @@
 import java.util.function.Supplier;
 
 /**
- * Asks the other control-plane voters which stores they have had heartbeats from, so that a final
- * rejection rests on a majority and not on this node alone, which may be partitioned from a store
- * that all others see. Runs on the event loop.
+ * Queries the other control-plane voters for the stores whose heartbeats they have received. A
+ * final rejection then rests on a majority and not on this node alone, which may be partitioned
+ * from a store that all other voters see. Runs on the event loop.
  */
 final class StoreHeartbeatQuery {
   private static final long CALL_TIMEOUT_MS = 300;
@@ -31,7 +31,7 @@
     this.localAddress = localAddress;
   }
 
-  /** Sets where this node's own heartbeats are read from at each query. */
+  /** Sets the source of this node's own heartbeats, which is read at each query. */
   void setLocalHeartbeats(Supplier<StoreHeartbeats> localHeartbeats) {
     this.localHeartbeats = localHeartbeats;
   }
@@ -73,14 +73,17 @@
     private final CompletableFuture<StoreHeartbeats> result = new CompletableFuture<>();
     private final Map<String, Long> heartbeatAgesMs = new TreeMap<>();
     private final int voterCount;
-    private int conclusive;
-    private int inconclusive;
+    private int conclusiveResponses;
+    private int inconclusiveResponses;
 
     PendingQuery(int voterCount) {
       this.voterCount = voterCount;
     }
 
-    /** Counts one voter's response, null if it failed; inconclusive heartbeats count as well. */
+    /**
+     * Counts one voter's response; null if the call failed. The heartbeats of an inconclusive
+     * response are merged as well.
+     */
     void onResponse(StoreHeartbeats heartbeats) {
       if (result.isDone()) {
         return;
@@ -91,13 +94,13 @@
             .forEach((store, ageMs) -> heartbeatAgesMs.merge(store, ageMs, Math::min));
       }
       if (heartbeats != null && heartbeats.isConclusive()) {
-        conclusive++;
+        conclusiveResponses++;
       } else {
-        inconclusive++;
+        inconclusiveResponses++;
       }
-      if (conclusive >= VoterSets.majoritySize(voterCount)) {
+      if (conclusiveResponses >= VoterSets.majoritySize(voterCount)) {
         result.complete(new StoreHeartbeats(true, heartbeatAgesMs));
-      } else if (inconclusive > voterCount - VoterSets.majoritySize(voterCount)) {
+      } else if (inconclusiveResponses > voterCount - VoterSets.majoritySize(voterCount)) {
         fail();
       }
     }
@@ -106,8 +109,8 @@
       result.completeExceptionally(
           new ElmsailException(
               ErrorCode.NO_QUORUM,
-              "no majority can tell which stores exist, conclusive responses: "
-                  + conclusive
+              "no majority has observed the stores for long enough, conclusive responses: "
+                  + conclusiveResponses
                   + " of "
                   + voterCount));
     }
--- a/controlplane/src/test/java/elmsail/controlplane/MonotonicClockOnlyTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/MonotonicClockOnlyTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The time of day may jump by seconds: nothing that agrees, leases or ages may look at it. It is
- * read in one place, and from there only by what agrees with other machines on the time of day that
- * the platform is told.
+ * The time of day may jump by seconds, so consensus, leases and ages must not depend on it. The
+ * time of day is read in one class. Only the clock exchange uses that class, to agree with the
+ * other machines on the time of day that is reported to the platform.
  */
 class MonotonicClockOnlyTest {
   private static final List<String> MODULES =
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void onlyTheExchangeOfClocksUsesTheWallClock() throws IOException {
+  void onlyTheClockExchangeUsesTheWallClock() throws IOException {
     assertThat(
         sourcesWith(WALL_CLOCK),
         containsInAnyOrder("WallClock.java", "ClockExchange.java", "NodeEnvironment.java"));
@@ -44,18 +44,18 @@
 
   private static List<String> sourcesWith(Pattern pattern) throws IOException {
     List<String> found = new ArrayList<>();
-    int read = 0;
+    int filesRead = 0;
     for (String module : MODULES) {
       try (Stream<Path> files = Files.walk(Path.of("..", module, "src", "main", "java"))) {
-        for (Path file : files.filter(one -> one.toString().endsWith(".java")).toList()) {
-          read++;
+        for (Path file : files.filter(path -> path.toString().endsWith(".java")).toList()) {
+          filesRead++;
           if (pattern.matcher(Files.readString(file)).find()) {
             found.add(file.getFileName().toString());
           }
         }
       }
     }
-    assertThat(read, greaterThan(100));
+    assertThat(filesRead, greaterThan(100));
     return found;
   }
 }
--- a/controlplane/src/test/java/elmsail/controlplane/SplitPartitionTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/SplitPartitionTest.java
@@ -8,51 +8,65 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * For some seconds the control-plane nodes and the stores are cut into two halves; operators and
- * gateways reach both. Orders race at both halves, the configuration is read everywhere, jobs are
- * written and read, and stores are retired, while a change of voters may be under way. What holds
- * for all machines holds throughout, and all is well again soon after the cut has healed.
+ * For some seconds a partition splits the control-plane nodes and the stores into two halves, while
+ * operators and gateways reach both halves. Changes race in both halves, the configuration is read
+ * from all nodes, jobs are written and read, and stores are decommissioned, while a voter change
+ * may be in progress. Acknowledged state and the invariants on leases and slots must hold
+ * throughout, and all voters must vote again soon after the heal.
  */
 class SplitPartitionTest {
-  private static final int STORIES = 6;
+  private static final int SEED_COUNT = 6;
 
   @ParameterizedTest
   @EnumSource
   void fourNodesAndSevenStoresWithThreeVotersEach(
-      SplitPartitionScenario.ConcurrentChange underWay) {
-    play(4, 7, 1, underWay);
+      SplitPartitionScenario.ConcurrentChange concurrentChange) {
+    runScenarios(4, 7, 1, concurrentChange);
   }
 
   @ParameterizedTest
   @EnumSource
-  void sixNodesAndTenStoresWithFiveVotersEach(SplitPartitionScenario.ConcurrentChange underWay) {
-    play(6, 10, 2, underWay);
+  void sixNodesAndTenStoresWithFiveVotersEach(
+      SplitPartitionScenario.ConcurrentChange concurrentChange) {
+    runScenarios(6, 10, 2, concurrentChange);
   }
 
-  private static void play(
-      int nodes, int stores, int bear, SplitPartitionScenario.ConcurrentChange underWay) {
+  private static void runScenarios(
+      int nodeCount,
+      int storeCount,
+      int toleratedLosses,
+      SplitPartitionScenario.ConcurrentChange concurrentChange) {
     int acknowledged = 0;
-    int answers = 0;
+    int readsAnswered = 0;
     int delivered = 0;
-    long longest = 0;
-    long acked = 0;
-    for (SplitPartitionScenario.Halves halves : SplitPartitionScenario.Halves.values()) {
-      for (int seed = 1; seed <= STORIES; seed++) {
+    long longestRecoveryMs = 0;
+    long longestAcknowledgementMs = 0;
+    for (SplitPartitionScenario.Split split : SplitPartitionScenario.Split.values()) {
+      for (int seed = 1; seed <= SEED_COUNT; seed++) {
         SplitPartitionScenario scenario =
-            new SplitPartitionScenario(seed, nodes, stores, bear, halves, underWay);
-        scenario.play();
-        acknowledged += scenario.acknowledgedInTheCut();
-        answers += scenario.readsAnsweredInTheCut();
+            new SplitPartitionScenario(
+                seed, nodeCount, storeCount, toleratedLosses, split, concurrentChange);
+        scenario.runScenario();
+        acknowledged += scenario.acknowledgedDuringSplit();
+        readsAnswered += scenario.readsAnsweredDuringSplit();
         delivered += scenario.delivered();
-        acked = Math.max(acked, scenario.ackedAfterMs());
-        longest = Math.max(longest, scenario.recoveredAfterMs());
+        longestAcknowledgementMs =
+            Math.max(longestAcknowledgementMs, scenario.acknowledgedAfterMs());
+        longestRecoveryMs = Math.max(longestRecoveryMs, scenario.recoveredAfterMs());
       }
     }
     System.out.printf(
-        "%d nodes, %d stores, %s: %d orders and %d reads answered in the cuts, %d delivered,"
-            + " whole %d ms after the heal at the latest, an order confirmed after %d%n",
-        nodes, stores, underWay, acknowledged, answers, delivered, longest, acked);
-    assertThat("orders acknowledged in the cut", acknowledged > 0, is(true));
-    assertThat("reads answered in the cut", answers, greaterThan(50));
+        "%d nodes, %d stores, %s: %d changes and %d reads answered during partitions, %d delivered,"
+            + " all voters vote at most %d ms after the heal, a change committed after %d%n",
+        nodeCount,
+        storeCount,
+        concurrentChange,
+        acknowledged,
+        readsAnswered,
+        delivered,
+        longestRecoveryMs,
+        longestAcknowledgementMs);
+    assertThat("changes acknowledged during the partition", acknowledged > 0, is(true));
+    assertThat("reads answered during the partition", readsAnswered, greaterThan(50));
   }
 }
