--- a/controlplane/src/main/java/elmsail/controlplane/ReadConfigHandler.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ReadConfigHandler.java
@@ -34,7 +34,7 @@
               byte[] value = committedConfig.resolveValue(current);
               committedConfig.offer(current);
               return value == null
-                  ? Replies.error(404, "no configuration has been committed yet")
+                  ? Replies.error(404, "none yet")
                   : Replies.json(200, ConfigHistory.decode(value).configBytes());
             });
   }
--- a/controlplane/src/main/java/elmsail/controlplane/StaleReplyFilter.java
+++ b/controlplane/src/main/java/elmsail/controlplane/StaleReplyFilter.java
@@ -28,8 +28,6 @@
       SimpleHttpRequest request, SimpleHttpResponse response, long receivedAtMs) {
     boolean acknowledged = response.status() == 200 && "POST".equals(request.method());
     boolean late = timers.now() - receivedAtMs > QuorumContact.MAX_AGE_MS;
-    return late && !acknowledged
-        ? Replies.error(503, "the reply took too long and may be outdated")
-        : response;
+    return late && !acknowledged ? Replies.error(503, "answered too late") : response;
   }
 }
--- a/controlplane/src/main/java/elmsail/controlplane/VoterRedirect.java
+++ b/controlplane/src/main/java/elmsail/controlplane/VoterRedirect.java
@@ -40,7 +40,7 @@
     }
     String controlAddress = settings.listenAddresses().get("control");
     if (target == null || controlAddress == null) {
-      return Replies.completed(Replies.error(503, "no control-plane voter has responded recently"));
+      return Replies.completed(Replies.error(503, "no other control-plane node is in touch"));
     }
     String targetAddress =
         target.substring(0, target.lastIndexOf(':'))
