--- a/gateway/src/main/java/elmsail/gateway/GatewayWarmUp.java
+++ b/gateway/src/main/java/elmsail/gateway/GatewayWarmUp.java
@@ -47,7 +47,7 @@
    * @return completes on the loop with the bytes that the client received, when its connection ends
    */
   public static CompletableFuture<String> run(NettyEventLoop loop) {
-    CompletableFuture<String> got = new CompletableFuture<>();
+    CompletableFuture<String> received = new CompletableFuture<>();
     HttpServer.listen(
             loop,
             LOOPBACK,
@@ -75,18 +75,19 @@
                     new NoBatchJobs(),
                     ProcessMetrics.unlogged()))
         .whenComplete(
-            (gateway, fault) -> {
-              if (fault == null) {
-                request(loop, gateway, got);
+            (gateway, failure) -> {
+              if (failure == null) {
+                sendRequest(loop, gateway, received);
               } else {
-                got.completeExceptionally(fault);
+                received.completeExceptionally(failure);
               }
             });
-    return got;
+    return received;
   }
 
-  private static void request(NettyEventLoop loop, Gateway gateway, CompletableFuture<String> got) {
-    StringBuilder all = new StringBuilder();
+  private static void sendRequest(
+      NettyEventLoop loop, Gateway gateway, CompletableFuture<String> received) {
+    StringBuilder text = new StringBuilder();
     new Bootstrap()
         .group(loop.eventLoop())
         .channel(NioSocketChannel.class)
@@ -109,19 +110,19 @@
 
               @Override
               protected void channelRead0(ChannelHandlerContext ctx, ByteBuf bytes) {
-                all.append(bytes.toString(StandardCharsets.US_ASCII));
+                text.append(bytes.toString(StandardCharsets.US_ASCII));
               }
 
               @Override
               public void channelInactive(ChannelHandlerContext ctx) {
-                got.complete(all.toString());
+                received.complete(text.toString());
               }
             })
         .connect(Addresses.parse(gateway.clientAddress()))
         .addListener(
             f -> {
               if (!f.isSuccess()) {
-                got.completeExceptionally(f.cause());
+                received.completeExceptionally(f.cause());
               }
             });
   }
@@ -200,7 +201,7 @@
     }
 
     @Override
-    public void addListener(Runnable then) {}
+    public void addListener(Runnable listener) {}
 
     @Override
     public long version() {
@@ -240,30 +241,30 @@
 
   /** A batch service without any jobs. */
   private static final class NoBatchJobs implements BatchService {
-    private static CompletableFuture<Reply> none() {
+    private static CompletableFuture<Reply> unavailable() {
       return CompletableFuture.completedFuture(new Reply(503, new byte[0], 1));
     }
 
     @Override
     public CompletableFuture<Reply> submit(
         TenantName tenant, Route route, String jobId, byte[] body, long deadlineMs) {
-      return none();
+      return unavailable();
     }
 
     @Override
     public CompletableFuture<Reply> readResults(
         TenantName tenant, String jobId, long after, long waitMs) {
-      return none();
+      return unavailable();
     }
 
     @Override
     public CompletableFuture<Reply> readItemBody(TenantName tenant, String jobId, String itemId) {
-      return none();
+      return unavailable();
     }
 
     @Override
     public CompletableFuture<Reply> cancel(TenantName tenant, String jobId) {
-      return none();
+      return unavailable();
     }
   }
 }
--- a/gateway/src/main/java/elmsail/gateway/frontend/ClientListener.java
+++ b/gateway/src/main/java/elmsail/gateway/frontend/ClientListener.java
@@ -132,8 +132,8 @@
 
   /** The limits in force now. */
   ClientLimits limits() {
-    RoutingConfig now = clusterState.config();
-    return now == null || now.limits() == null ? DEFAULT_LIMITS : now.limits();
+    RoutingConfig config = clusterState.config();
+    return config == null || config.limits() == null ? DEFAULT_LIMITS : config.limits();
   }
 
   /** Whether responses announce that the connection closes. */
--- a/gateway/src/main/java/elmsail/gateway/http/Headers.java
+++ b/gateway/src/main/java/elmsail/gateway/http/Headers.java
@@ -39,10 +39,11 @@
     for (String value : headers.getAll("Connection")) {
       connectionTokens += "," + value.toLowerCase(Locale.ROOT);
     }
-    for (Iterator<Map.Entry<String, String>> all = headers.iteratorAsString(); all.hasNext(); ) {
-      Map.Entry<String, String> one = all.next();
-      if (!isHopByHop(one.getKey().toLowerCase(Locale.ROOT), connectionTokens)) {
-        endToEnd.add(one.getKey(), one.getValue());
+    for (Iterator<Map.Entry<String, String>> iterator = headers.iteratorAsString();
+        iterator.hasNext(); ) {
+      Map.Entry<String, String> header = iterator.next();
+      if (!isHopByHop(header.getKey().toLowerCase(Locale.ROOT), connectionTokens)) {
+        endToEnd.add(header.getKey(), header.getValue());
       }
     }
     return endToEnd;
@@ -68,8 +69,8 @@
   }
 
   private static boolean containsToken(String list, String name) {
-    for (String one : list.split(",")) {
-      if (one.trim().equals(name)) {
+    for (String token : list.split(",")) {
+      if (token.trim().equals(name)) {
         return true;
       }
     }
--- a/gateway/src/main/java/elmsail/gateway/usage/ReportedCounts.java
+++ b/gateway/src/main/java/elmsail/gateway/usage/ReportedCounts.java
@@ -31,12 +31,12 @@
   }
 
   private UsageWindow changedCounts(long number, Map<String, Long> counts) {
-    Map<String, Long> known = acknowledged.getOrDefault(number, Map.of());
+    Map<String, Long> acknowledgedCounts = acknowledged.getOrDefault(number, Map.of());
     UsageWindow window = new UsageWindow();
     window.number = number;
     counts.forEach(
         (tenant, requests) -> {
-          if (!Objects.equals(known.get(tenant), requests)) {
+          if (!Objects.equals(acknowledgedCounts.get(tenant), requests)) {
             UsageCount count = new UsageCount();
             count.tenant = tenant;
             count.requests = requests;
@@ -58,9 +58,10 @@
       processId = respondingProcessId;
     }
     for (UsageWindow window : report.windows) {
-      Map<String, Long> known = acknowledged.computeIfAbsent(window.number, k -> new HashMap<>());
+      Map<String, Long> acknowledgedCounts =
+          acknowledged.computeIfAbsent(window.number, k -> new HashMap<>());
       for (UsageCount count : window.counts) {
-        known.merge(count.tenant, count.requests, Math::max);
+        acknowledgedCounts.merge(count.tenant, count.requests, Math::max);
       }
     }
   }
--- a/gateway/src/main/java/elmsail/gateway/usage/UsageMeter.java
+++ b/gateway/src/main/java/elmsail/gateway/usage/UsageMeter.java
@@ -28,7 +28,7 @@
   private static final long CALL_TIMEOUT_MS = 1_000;
 
   /** Windows that may yet be reported: those closed for up to twice the time allowed for it. */
-  private static final int LATE_TIMES_KEPT = 2;
+  private static final int LATE_PERIODS_KEPT = 2;
 
   private final RpcClient rpcClient;
   private final Timers timers;
@@ -67,7 +67,7 @@
     this.voters = voters;
     this.instanceId = instanceId;
     windowMs = bounds.usageWindowMs();
-    maxWindows = (int) (LATE_TIMES_KEPT * bounds.usageLateMs() / windowMs) + 2;
+    maxWindows = (int) (LATE_PERIODS_KEPT * bounds.usageLateMs() / windowMs) + 2;
     counter = new UsageCounter(maxWindows);
   }
 
@@ -139,11 +139,11 @@
               if (failure == null) {
                 reported.onAcknowledged(report, response.processId);
               }
-              onHolderKnown(address, failure == null && response.holdsLease);
+              onLeaseStatus(address, failure == null && response.holdsLease);
             });
   }
 
-  private void onHolderKnown(String address, boolean holdsLease) {
+  private void onLeaseStatus(String address, boolean holdsLease) {
     if (holdsLease) {
       holder = address;
     } else if (address.equals(holder)) {
--- a/gateway/src/test/java/elmsail/gateway/AdvanceableTimers.java
+++ b/gateway/src/test/java/elmsail/gateway/AdvanceableTimers.java
@@ -16,9 +16,9 @@
     private Timer realTimer;
     private boolean done;
 
-    PendingTimer(long at, Runnable then) {
-      this.dueAt = at;
-      this.task = then;
+    PendingTimer(long dueAt, Runnable task) {
+      this.dueAt = dueAt;
+      this.task = task;
     }
 
     private void runOnRealTime() {
@@ -47,7 +47,7 @@
   private static final int MAX_WAIT_S = 60;
 
   /** Long enough for the loop to read its sockets once. */
-  private static final long SOCKET_TURN_MS = 1;
+  private static final long SOCKET_READ_DELAY_MS = 1;
 
   private final Timers delegate;
   private final List<PendingTimer> pending = new ArrayList<>();
@@ -65,16 +65,16 @@
   }
 
   @Override
-  public Timer schedule(long ms, Runnable then) {
-    PendingTimer one = new PendingTimer(now() + ms, then);
-    pending.add(one);
-    one.realTimer = delegate.schedule(ms, one::runOnRealTime);
-    return one;
+  public Timer schedule(long ms, Runnable task) {
+    PendingTimer timer = new PendingTimer(now() + ms, task);
+    pending.add(timer);
+    timer.realTimer = delegate.schedule(ms, timer::runOnRealTime);
+    return timer;
   }
 
   @Override
-  public void execute(Runnable then) {
-    delegate.execute(then);
+  public void execute(Runnable task) {
+    delegate.execute(task);
   }
 
   /**
@@ -95,10 +95,10 @@
   public void advance(long ms) {
     CountDownLatch done = new CountDownLatch(1);
     delegate.schedule(
-        SOCKET_TURN_MS,
+        SOCKET_READ_DELAY_MS,
         () -> {
           try {
-            moveAhead(ms);
+            advanceOnLoop(ms);
           } finally {
             done.countDown();
           }
@@ -112,11 +112,11 @@
     }
   }
 
-  private void moveAhead(long ms) {
+  private void advanceOnLoop(long ms) {
     advancedMs.addAndGet(ms);
-    for (PendingTimer one : new ArrayList<>(pending)) {
-      if (one.dueAt <= now()) {
-        one.run();
+    for (PendingTimer timer : new ArrayList<>(pending)) {
+      if (timer.dueAt <= now()) {
+        timer.run();
       }
     }
   }
--- a/gateway/src/test/java/elmsail/gateway/FakeClusterState.java
+++ b/gateway/src/test/java/elmsail/gateway/FakeClusterState.java
@@ -31,7 +31,7 @@
   private final List<Runnable> listeners = new ArrayList<>();
 
   /** A route of the name and prefix {@code /name/} to service "s". */
-  public void addRoute(String name, Route.Kind kind, int tries, boolean resume) {
+  public void addRoute(String name, Route.Kind kind, int maxAttempts, boolean resumable) {
     routes.put(
         "/" + name + "/",
         new Route(
@@ -43,8 +43,8 @@
             250,
             1,
             List.of(new Route.WeightedService("s", 1)),
-            tries,
-            resume,
+            maxAttempts,
+            resumable,
             150,
             0,
             0,
@@ -52,48 +52,48 @@
   }
 
   /** Likewise a route whose requests need no key. */
-  public void addOpenRoute(String name, Route.Kind kind, int tries, boolean resume) {
-    addRoute(name, kind, tries, resume);
+  public void addOpenRoute(String name, Route.Kind kind, int maxAttempts, boolean resumable) {
+    addRoute(name, kind, maxAttempts, resumable);
     routes.computeIfPresent(
         "/" + name + "/",
-        (prefix, one) ->
+        (prefix, route) ->
             new Route(
-                one.name(),
-                one.host(),
-                one.prefix(),
-                one.kind(),
-                one.timeoutMs(),
-                one.latencyTargetMs(),
-                one.priority(),
-                one.weightedServices(),
-                one.maxAttempts(),
-                one.resumable(),
-                one.tokenGapTargetMs(),
-                one.completionTargetMs(),
-                one.itemTtlMs(),
-                one.maxWaitingTokens(),
+                route.name(),
+                route.host(),
+                route.prefix(),
+                route.kind(),
+                route.timeoutMs(),
+                route.latencyTargetMs(),
+                route.priority(),
+                route.weightedServices(),
+                route.maxAttempts(),
+                route.resumable(),
+                route.tokenGapTargetMs(),
+                route.completionTargetMs(),
+                route.itemTtlMs(),
+                route.maxWaitingTokens(),
                 true));
   }
 
   /** All routes hold a request for so long. */
   public void setRouteTimeoutMs(long ms) {
     routes.replaceAll(
-        (prefix, one) ->
+        (prefix, route) ->
             new Route(
-                one.name(),
-                one.host(),
-                one.prefix(),
-                one.kind(),
+                route.name(),
+                route.host(),
+                route.prefix(),
+                route.kind(),
                 ms,
-                one.latencyTargetMs(),
-                one.priority(),
-                one.weightedServices(),
-                one.maxAttempts(),
-                one.resumable(),
-                one.tokenGapTargetMs(),
-                one.completionTargetMs(),
-                one.itemTtlMs(),
-                one.maxWaitingTokens()));
+                route.latencyTargetMs(),
+                route.priority(),
+                route.weightedServices(),
+                route.maxAttempts(),
+                route.resumable(),
+                route.tokenGapTargetMs(),
+                route.completionTargetMs(),
+                route.itemTtlMs(),
+                route.maxWaitingTokens()));
   }
 
   public void notifyListeners() {
@@ -126,8 +126,8 @@
   }
 
   @Override
-  public void addListener(Runnable then) {
-    listeners.add(then);
+  public void addListener(Runnable listener) {
+    listeners.add(listener);
   }
 
   @Override
--- a/gateway/src/test/java/elmsail/gateway/FaultInjectionTest.java
+++ b/gateway/src/test/java/elmsail/gateway/FaultInjectionTest.java
@@ -22,7 +22,7 @@
  */
 class FaultInjectionTest {
   private static final int REQUESTS = 120;
-  private static final int EVENTS = 4;
+  private static final int EVENTS_PER_STREAM = 4;
 
   /** Runs of each request, counted where a server begins to work on it. */
   private final Map<String, Integer> runs = new ConcurrentHashMap<>();
@@ -32,14 +32,15 @@
     Thread thread =
         new Thread(
             () -> {
-              SplittableRandom chance = new SplittableRandom(seed);
+              SplittableRandom random = new SplittableRandom(seed);
               try {
                 while (true) {
                   RawConnection connection = fakeServer.accept();
-                  SplittableRandom own = chance.split();
-                  Thread one = new Thread(() -> connection(connection, own));
-                  one.setDaemon(true);
-                  one.start();
+                  SplittableRandom connectionRandom = random.split();
+                  Thread connectionThread =
+                      new Thread(() -> serveConnection(connection, connectionRandom));
+                  connectionThread.setDaemon(true);
+                  connectionThread.start();
                 }
               } catch (UncheckedIOException e) {
                 return; // the rig has closed
@@ -50,12 +51,12 @@
     return thread;
   }
 
-  private void connection(RawConnection connection, SplittableRandom chance) {
+  private void serveConnection(RawConnection connection, SplittableRandom random) {
     try (connection) {
       for (Message received = connection.readMessage();
           received != null;
           received = connection.readMessage()) {
-        if (!answer(connection, received, chance)) {
+        if (!respond(connection, received, random)) {
           return;
         }
       }
@@ -65,19 +66,19 @@
   }
 
   /** False to end the connection. */
-  private boolean answer(RawConnection connection, Message received, SplittableRandom chance) {
+  private boolean respond(RawConnection connection, Message received, SplittableRandom random) {
     String id = received.header("Elmsail-Request-Id");
-    int trouble = chance.nextInt(12);
-    if (trouble == 0) {
+    int fault = random.nextInt(12);
+    if (fault == 0) {
       connection.write(GatewayTestHarness.notRunResponse(503, id));
       return true;
     }
-    if (trouble == 1) {
+    if (fault == 1) {
       connection.write(GatewayTestHarness.response(421, id, ""));
       return true;
     }
     runs.merge(id, 1, Integer::sum);
-    switch (trouble) {
+    switch (fault) {
       case 2 -> {
         connection.reset();
         return false;
@@ -99,28 +100,30 @@
         return true;
       }
       default -> {
-        return proper(connection, received, id, trouble);
+        return respondToRoute(connection, received, id, fault);
       }
     }
   }
 
-  private static boolean proper(
-      RawConnection connection, Message received, String id, int trouble) {
+  private static boolean respondToRoute(
+      RawConnection connection, Message received, String id, int fault) {
     if (received.startLine().contains("/stream/") || received.startLine().contains("/resume/")) {
-      String last = received.header("Last-Event-Id");
+      String lastEventId = received.header("Last-Event-Id");
       connection.write(GatewayTestHarness.streamHead(id, "p"));
-      for (int i = last == null ? 0 : Integer.parseInt(last) + 1; i < EVENTS; i++) {
-        if (trouble == 7 && i == 2) {
+      for (int i = lastEventId == null ? 0 : Integer.parseInt(lastEventId) + 1;
+          i < EVENTS_PER_STREAM;
+          i++) {
+        if (fault == 7 && i == 2) {
           connection.write("e\r\nid: 2\nda").reset();
           return false;
         }
         connection.write(GatewayTestHarness.chunk(GatewayTestHarness.event(i)));
       }
       connection.write("0\r\n\r\n");
-    } else if (trouble == 7) {
+    } else if (fault == 7) {
       connection.write(GatewayTestHarness.okResponse(id, "whole-" + id).substring(0, 40)).reset();
       return false;
-    } else if (trouble == 8) {
+    } else if (fault == 8) {
       connection.write(
           GatewayTestHarness.response(
               200, id, "whole-" + id, "Elmsail-Postmark: p", "Connection: close"));
@@ -128,7 +131,7 @@
     } else {
       connection.write(
           GatewayTestHarness.okResponse(id, "whole-" + id)
-              + (trouble == 9 ? GatewayTestHarness.okResponse(id, "extra") : ""));
+              + (fault == 9 ? GatewayTestHarness.okResponse(id, "extra") : ""));
     }
     return true;
   }
@@ -140,17 +143,17 @@
       harness.listServers(harness.firstServer, harness.secondServer);
       serve(harness.firstServer, 2 * seed);
       serve(harness.secondServer, 2 * seed + 1);
-      SplittableRandom chance = new SplittableRandom(seed);
+      SplittableRandom random = new SplittableRandom(seed);
       String[] routes = {"safe", "unsafe", "once", "stream", "resume"};
       Map<String, Integer> served = new HashMap<>();
       RawConnection client = harness.connectClient();
       for (int i = 0; i < REQUESTS; i++) {
-        String route = routes[chance.nextInt(routes.length)];
+        String route = routes[random.nextInt(routes.length)];
         String id = route + i;
         client.write(GatewayTestHarness.requestText(route, id));
-        boolean kept = check(client, route, id);
-        served.merge(route + (kept ? "" : " cut"), 1, Integer::sum);
-        if (!kept) {
+        boolean complete = checkResponse(client, route, id);
+        served.merge(route + (complete ? "" : " cut"), 1, Integer::sum);
+        if (!complete) {
           client = harness.connectClient();
         }
       }
@@ -159,17 +162,17 @@
   }
 
   /** Whether the connection goes on. */
-  private boolean check(RawConnection client, String route, String id) {
-    boolean repeatable = route.equals("safe") || route.equals("resume");
+  private boolean checkResponse(RawConnection client, String route, String id) {
+    boolean retryable = route.equals("safe") || route.equals("resume");
     Message head = client.readHead();
     int status = head.status();
-    int ran = runs.getOrDefault(id, 0);
+    int runCount = runs.getOrDefault(id, 0);
     assertThat(id, status, is(oneOf(200, 502, 503)));
-    assertThat(id, ran, is(lessThanOrEqualTo(repeatable ? 2 : 1)));
+    assertThat(id, runCount, is(lessThanOrEqualTo(retryable ? 2 : 1)));
     if (status == 503) {
-      assertThat(id + " was promised not to have run", ran, is(0));
+      assertThat(id + " was promised not to have run", runCount, is(0));
     }
-    String all =
+    String allEvents =
         GatewayTestHarness.event(0)
             + GatewayTestHarness.event(1)
             + GatewayTestHarness.event(2)
@@ -183,10 +186,10 @@
         chunk = client.readChunk();
       }
       if (chunk == null) {
-        assertThat(all, startsWith(body.toString().replaceAll("id: 2\nda$", "")));
+        assertThat(allEvents, startsWith(body.toString().replaceAll("id: 2\nda$", "")));
         return false;
       }
-      assertThat(id, body.toString(), is(all));
+      assertThat(id, body.toString(), is(allEvents));
       return true;
     }
     String body = client.readBytes(Integer.parseInt(head.header("Content-Length")));
--- a/gateway/src/test/java/elmsail/gateway/GatewayHttpTest.java
+++ b/gateway/src/test/java/elmsail/gateway/GatewayHttpTest.java
@@ -20,11 +20,11 @@
 /** What clients, the platform and calls about jobs get without a server. */
 class GatewayHttpTest extends GatewaySocketTest {
   /** Of the grace time of the rig, 8 s. */
-  private static final long FIVE_SIXTHS_MS = 6_660;
+  private static final long FIVE_SIXTHS_OF_GRACE_MS = 6_660;
 
-  private static final long LONG_MS = 20_000;
+  private static final long LONG_TIMEOUT_MS = 20_000;
 
-  private Message ready() {
+  private Message probeReadiness() {
     try (RawConnection connection = RawConnection.connect(harness.gateway.readinessAddress())) {
       return connection.write("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").readMessage();
     }
@@ -32,38 +32,40 @@
 
   @Test
   void readyOnlyWithConfigAndServers() throws Exception {
-    assertThat(ready().status(), is(200));
+    assertThat(probeReadiness().status(), is(200));
     harness.setServers(List.of());
-    assertThat(ready().status(), is(503));
+    assertThat(probeReadiness().status(), is(503));
     harness.listServers(harness.firstServer);
     harness.clusterState.configured = false;
-    assertThat(ready().status(), is(503));
+    assertThat(probeReadiness().status(), is(503));
   }
 
   @Test
   void servesMetricsOnTheReadinessAddress() throws Exception {
     harness.request("nowhere", "a1").readMessage();
-    String asked = "GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n";
+    String metricsRequest = "GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n";
     try (RawConnection connection = RawConnection.connect(harness.gateway.readinessAddress())) {
-      Message told = connection.write(asked).readMessage();
-      assertThat(told.status(), is(200));
-      assertThat(told.body(), containsString("# TYPE elmsail_requests_no_route counter\n"));
-      assertThat(told.body(), containsString("elmsail_requests_no_route 1\n"));
+      Message metrics = connection.write(metricsRequest).readMessage();
+      assertThat(metrics.status(), is(200));
+      assertThat(metrics.body(), containsString("# TYPE elmsail_requests_no_route counter\n"));
+      assertThat(metrics.body(), containsString("elmsail_requests_no_route 1\n"));
     }
     harness.setServers(List.of());
-    assertThat("no reason to be ready", ready().status(), is(503));
+    assertThat("no reason to be ready", probeReadiness().status(), is(503));
     try (RawConnection connection = RawConnection.connect(harness.gateway.readinessAddress())) {
       assertThat(
-          "told also while not ready", connection.write(asked).readMessage().status(), is(200));
+          "told also while not ready",
+          connection.write(metricsRequest).readMessage().status(),
+          is(200));
     }
     try (RawConnection connection = RawConnection.connect(harness.gateway.readinessAddress())) {
-      String posted = "POST /metrics HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n";
-      assertThat(connection.write(posted).readMessage().status(), is(405));
+      String postRequest = "POST /metrics HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n";
+      assertThat(connection.write(postRequest).readMessage().status(), is(405));
     }
   }
 
   @Test
-  void noRequestIsDeniedBeforeTheFirstConfig() {
+  void requestBeforeTheFirstConfigIsRejectedWithRetryAfter() {
     harness.clusterState.configured = false;
     Message response = harness.request("nowhere", "a1").readMessage();
     assertThat(response.status(), is(503));
@@ -192,7 +194,7 @@
   }
 
   private void advanceUntilDone(CompletableFuture<Void> stopped) {
-    for (int ms = 0; ms < LONG_MS && !stopped.isDone(); ms += 20) {
+    for (int ms = 0; ms < LONG_TIMEOUT_MS && !stopped.isDone(); ms += 20) {
       harness.timers.advance(20);
     }
     assertThat(stopped.isDone(), is(true));
@@ -252,7 +254,7 @@
         "DELETE /lots/L7 | end L7",
         "GET /items/L7?id=e5 | item L7 e5"
       })
-  void batchCallsAreDispatched(String call, String made) {
+  void batchCallsAreDispatched(String call, String expectedCall) {
     harness.batchCalls.reply = new Reply(200, "{}".getBytes(StandardCharsets.US_ASCII), 0);
     RawConnection client =
         harness
@@ -265,7 +267,7 @@
     Message response = client.readMessage();
     assertThat(response.status(), is(200));
     assertThat(response.body(), is("{}"));
-    assertThat(harness.batchCalls.lastCall, is(made));
+    assertThat(harness.batchCalls.lastCall, is(expectedCall));
   }
 
   @Test
@@ -295,7 +297,7 @@
     busy.readHead();
     busy.readChunk();
     CompletableFuture<Void> stopped = harness.onLoop(harness.gateway::stop);
-    assertThat(ready().status(), is(503));
+    assertThat(probeReadiness().status(), is(503));
     Message response = idle.write(GatewayTestHarness.requestText("nowhere", "a2")).readMessage();
     assertThat(response.status(), is(404));
     assertThat(response.header("Connection"), is("close"));
@@ -313,13 +315,13 @@
 
   @Test
   void shutdownEndsSoonAfterFiveSixthsOfTheGracePeriod() throws Exception {
-    harness.clusterState.setRouteTimeoutMs(LONG_MS);
+    harness.clusterState.setRouteTimeoutMs(LONG_TIMEOUT_MS);
     RawConnection busy = harness.request("stream", "a1");
     RawConnection server = harness.firstServer.accept();
     server.readMessage();
     CompletableFuture<Void> stopped = harness.onLoop(harness.gateway::stop);
     harness.timers.advance(2_600);
-    harness.timers.advance(FIVE_SIXTHS_MS - 2_600);
+    harness.timers.advance(FIVE_SIXTHS_OF_GRACE_MS - 2_600);
     assertThat(harness.onLoop(stopped::isDone), is(false));
     harness.timers.advance(300);
     stopped.get(RawConnection.WAIT_MS, TimeUnit.MILLISECONDS);
@@ -332,7 +334,7 @@
   @ParameterizedTest
   @ValueSource(strings = {"safe", "unsafe", "stream", "resume"})
   void responseBeforeTheLastSixthOfTheGracePeriodIsRelayedComplete(String route) throws Exception {
-    harness.clusterState.setRouteTimeoutMs(LONG_MS);
+    harness.clusterState.setRouteTimeoutMs(LONG_TIMEOUT_MS);
     RawConnection before = harness.request(route, "a1");
     RawConnection first = harness.firstServer.accept();
     first.readMessage();
@@ -343,7 +345,7 @@
     RawConnection second = harness.firstServer.accept();
     second.readMessage();
     harness.timers.advance(200);
-    harness.timers.advance(FIVE_SIXTHS_MS - 2_600);
+    harness.timers.advance(FIVE_SIXTHS_OF_GRACE_MS - 2_600);
     first.write(GatewayTestHarness.okResponse("a1", "one"));
     second.write(GatewayTestHarness.okResponse("a2", "two"));
     assertThat(before.readMessage().body(), is("one"));
@@ -353,16 +355,16 @@
 
   @ParameterizedTest
   @ValueSource(ints = {1, 40})
-  void slowReaderAppliesBackpressureToTheServer(int bursts) {
+  void slowReaderAppliesBackpressureToTheServer(int events) {
     RawConnection client = harness.request("stream", "a1");
     RawConnection server = harness.firstServer.accept();
     server.readMessage();
     server.write(GatewayTestHarness.streamHead("a1", "p"));
-    String big = "id: 0\ndata: " + "z".repeat(4_000) + "\n\n";
-    for (int i = 0; i < bursts; i++) {
-      server.write(GatewayTestHarness.chunk(big));
+    String largeEvent = "id: 0\ndata: " + "z".repeat(4_000) + "\n\n";
+    for (int i = 0; i < events; i++) {
+      server.write(GatewayTestHarness.chunk(largeEvent));
     }
     server.write("0\r\n\r\n");
-    assertThat(client.readMessage().body().length(), is(bursts * big.length()));
+    assertThat(client.readMessage().body().length(), is(events * largeEvent.length()));
   }
 }
--- a/gateway/src/test/java/elmsail/gateway/GatewayTestHarness.java
+++ b/gateway/src/test/java/elmsail/gateway/GatewayTestHarness.java
@@ -33,9 +33,9 @@
     public volatile String lastCall = "";
     public volatile TenantName lastTenant = TenantName.NONE;
 
-    private CompletableFuture<Reply> response(TenantName tenant, String what) {
+    private CompletableFuture<Reply> response(TenantName tenant, String call) {
       lastTenant = tenant;
-      lastCall = what;
+      lastCall = call;
       return CompletableFuture.completedFuture(reply);
     }
 
@@ -98,11 +98,12 @@
    * The list has these, as i-0, i-1... The first one is in the gateway's zone, so it is chosen
    * first.
    */
-  public void listServers(RawConnection.FakeServer... stalls) throws Exception {
+  public void listServers(RawConnection.FakeServer... fakeServers) throws Exception {
     List<ServerEntry> entries = new ArrayList<>();
-    for (int i = 0; i < stalls.length; i++) {
+    for (int i = 0; i < fakeServers.length; i++) {
       entries.add(
-          new ServerEntry("i-" + i, "s", stalls[i].address(), i == 0 ? "z" : "far", 24, false, 0));
+          new ServerEntry(
+              "i-" + i, "s", fakeServers[i].address(), i == 0 ? "z" : "far", 24, false, 0));
     }
     setServers(entries);
   }
@@ -162,11 +163,11 @@
   }
 
   /** The head of a stream. */
-  public static String streamHead(String id, String stamp) {
+  public static String streamHead(String id, String postmark) {
     return "HTTP/1.1 200 OK\r\nElmsail-Request-Id: "
         + id
         + "\r\nElmsail-Postmark: "
-        + stamp
+        + postmark
         + "\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
   }
 
--- a/gateway/src/test/java/elmsail/gateway/GatewayWarmUpTest.java
+++ b/gateway/src/test/java/elmsail/gateway/GatewayWarmUpTest.java
@@ -16,20 +16,20 @@
   void servesOneStream() throws Exception {
     NettyEventLoop loop = new NettyEventLoop();
     try {
-      CompletableFuture<String> got = new CompletableFuture<>();
+      CompletableFuture<String> received = new CompletableFuture<>();
       loop.execute(
           () ->
               GatewayWarmUp.run(loop)
                   .whenComplete(
-                      (text, fault) -> {
-                        if (fault == null) {
-                          got.complete(text);
+                      (text, failure) -> {
+                        if (failure == null) {
+                          received.complete(text);
                         } else {
-                          got.completeExceptionally(fault);
+                          received.completeExceptionally(failure);
                         }
                       }));
       assertThat(
-          got.get(RawConnection.WAIT_MS, TimeUnit.MILLISECONDS),
+          received.get(RawConnection.WAIT_MS, TimeUnit.MILLISECONDS),
           allOf(
               startsWith("HTTP/1.1 200"),
               containsString("data: a"),
--- a/gateway/src/test/java/elmsail/gateway/RawConnection.java
+++ b/gateway/src/test/java/elmsail/gateway/RawConnection.java
@@ -55,24 +55,24 @@
   public static final class FakeServer implements AutoCloseable {
     private static final int SMALL_RECEIVE_BUFFER_BYTES = 4_096;
 
-    private final ServerSocket listening;
+    private final ServerSocket serverSocket;
 
     public FakeServer() {
       try {
-        listening = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
+        serverSocket = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
       } catch (IOException e) {
         throw new UncheckedIOException(e);
       }
     }
 
     public String address() {
-      return "127.0.0.1:" + listening.getLocalPort();
+      return "127.0.0.1:" + serverSocket.getLocalPort();
     }
 
     public RawConnection accept() {
       try {
-        listening.setSoTimeout(WAIT_MS);
-        return new RawConnection(listening.accept());
+        serverSocket.setSoTimeout(WAIT_MS);
+        return new RawConnection(serverSocket.accept());
       } catch (IOException e) {
         throw new UncheckedIOException(e);
       }
@@ -88,7 +88,7 @@
     /** Connections accepted from here on take few bytes that are not read yet. */
     public void limitReceiveBuffer() {
       try {
-        listening.setReceiveBufferSize(SMALL_RECEIVE_BUFFER_BYTES);
+        serverSocket.setReceiveBufferSize(SMALL_RECEIVE_BUFFER_BYTES);
       } catch (IOException e) {
         throw new UncheckedIOException(e);
       }
@@ -97,8 +97,8 @@
     /** Who has connected by now, or null. */
     public RawConnection pollConnection() {
       try {
-        listening.setSoTimeout(1);
-        return new RawConnection(listening.accept());
+        serverSocket.setSoTimeout(1);
+        return new RawConnection(serverSocket.accept());
       } catch (SocketTimeoutException e) {
         return null;
       } catch (IOException e) {
@@ -109,8 +109,8 @@
     /** Whether nobody has connected so far. */
     public boolean hasNoConnection() {
       try {
-        listening.setSoTimeout(1);
-        listening.accept().close();
+        serverSocket.setSoTimeout(1);
+        serverSocket.accept().close();
         return false;
       } catch (SocketTimeoutException e) {
         return true;
@@ -122,7 +122,7 @@
     @Override
     public void close() {
       try {
-        listening.close();
+        serverSocket.close();
       } catch (IOException e) {
         throw new UncheckedIOException(e);
       }
@@ -163,15 +163,15 @@
 
   /** Exactly so many bytes. */
   public String readBytes(int count) {
-    ByteArrayOutputStream some = new ByteArrayOutputStream();
-    while (some.size() < count) {
+    ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+    while (bytes.size() < count) {
       int b = read();
       if (b < 0) {
-        throw new UncheckedIOException(new IOException("cut after " + some));
+        throw new UncheckedIOException(new IOException("cut after " + bytes));
       }
-      some.write(b);
+      bytes.write(b);
     }
-    return some.toString(StandardCharsets.ISO_8859_1);
+    return bytes.toString(StandardCharsets.ISO_8859_1);
   }
 
   /** The head of a message; its body is still to be read. Null at the connection's end. */
--- a/gateway/src/test/java/elmsail/gateway/RequestHandlingTest.java
+++ b/gateway/src/test/java/elmsail/gateway/RequestHandlingTest.java
@@ -24,14 +24,14 @@
   private static final String DEADLINE = "Elmsail-Deadline-Ms";
 
   /** Of every route of the rig. */
-  private static final int GIVE_UP_MS = 5_000;
+  private static final int ROUTE_TIMEOUT_MS = 5_000;
 
-  private static int deadline(Message received) {
+  private static int deadlineMs(Message received) {
     return Integer.parseInt(received.header(DEADLINE));
   }
 
-  private static Matcher<Integer> within(int most) {
-    return allOf(greaterThan(0), lessThanOrEqualTo(most));
+  private static Matcher<Integer> positiveUpTo(int max) {
+    return allOf(greaterThan(0), lessThanOrEqualTo(max));
   }
 
   /** BUDGET: what is left is counted from the client's arrival. */
@@ -41,10 +41,10 @@
     harness.listServers(harness.firstServer, harness.secondServer);
     harness.request(route, "a1", DEADLINE + ": 4000");
     RawConnection server = harness.firstServer.accept();
-    assertThat(deadline(server.readMessage()), within(4_000));
+    assertThat(deadlineMs(server.readMessage()), positiveUpTo(4_000));
     harness.timers.advance(1_500);
     server.reset();
-    assertThat(deadline(harness.secondServer.accept().readMessage()), within(2_500));
+    assertThat(deadlineMs(harness.secondServer.accept().readMessage()), positiveUpTo(2_500));
   }
 
   /** BUDGET: without a deadline that can be read, the route's own time is told. */
@@ -53,7 +53,8 @@
   void routeTimeoutIsSentWithoutAClientDeadline(String header) {
     for (String route : List.of("safe", "unsafe", "stream")) {
       harness.request(route, "a1", header);
-      assertThat(deadline(harness.firstServer.accept().readMessage()), within(GIVE_UP_MS));
+      assertThat(
+          deadlineMs(harness.firstServer.accept().readMessage()), positiveUpTo(ROUTE_TIMEOUT_MS));
     }
   }
 
@@ -61,7 +62,8 @@
   @Test
   void deadlineIsCappedAtTheRouteTimeout() {
     harness.request("unsafe", "a1", DEADLINE + ": 600000");
-    assertThat(deadline(harness.firstServer.accept().readMessage()), within(GIVE_UP_MS));
+    assertThat(
+        deadlineMs(harness.firstServer.accept().readMessage()), positiveUpTo(ROUTE_TIMEOUT_MS));
   }
 
   /** BUDGET: a request that waits behind another uses up its time meanwhile. */
@@ -79,17 +81,17 @@
     server.write(
         GatewayTestHarness.response(200, "a1", "x", "Elmsail-Postmark: p", "Connection: close"));
     assertThat(client.readMessage().status(), is(200));
-    assertThat(deadline(harness.firstServer.accept().readMessage()), within(1_000));
+    assertThat(deadlineMs(harness.firstServer.accept().readMessage()), positiveUpTo(1_000));
   }
 
   /** BUDGET: tries bound the servers that got the request. */
   @Test
-  void requestReachesNoMoreServersThanItsAttempts() throws Exception {
+  void requestReachesNoMoreServersThanItsRoutesAttempts() throws Exception {
     try (RawConnection.FakeServer third = new RawConnection.FakeServer()) {
       harness.listServers(harness.firstServer, harness.secondServer, third);
       RawConnection client = harness.request("safe", "a1");
-      for (int tries = 0; tries < 2; tries++) {
-        RawConnection server = acceptedBy(harness.firstServer, harness.secondServer, third);
+      for (int attempt = 0; attempt < 2; attempt++) {
+        RawConnection server = acceptFromAny(harness.firstServer, harness.secondServer, third);
         server.readMessage();
         server.reset();
       }
@@ -103,12 +105,12 @@
   }
 
   /** The connection of whichever of these got the next one. */
-  private static RawConnection acceptedBy(RawConnection.FakeServer... stalls) {
+  private static RawConnection acceptFromAny(RawConnection.FakeServer... fakeServers) {
     for (long end = System.nanoTime() + 5_000_000_000L; System.nanoTime() < end; ) {
-      for (RawConnection.FakeServer fakeServer : stalls) {
-        RawConnection one = fakeServer.pollConnection();
-        if (one != null) {
-          return one;
+      for (RawConnection.FakeServer fakeServer : fakeServers) {
+        RawConnection connection = fakeServer.pollConnection();
+        if (connection != null) {
+          return connection;
         }
       }
     }
@@ -169,7 +171,7 @@
   void silentRequestIsAnsweredAtTheRouteTimeout(String route, int status) {
     RawConnection client = harness.request(route, "a1");
     RawConnection server = harness.firstServer.acceptRequest();
-    harness.timers.advance(GIVE_UP_MS);
+    harness.timers.advance(ROUTE_TIMEOUT_MS);
     assertThat(client.readMessage().status(), is(status));
     assertThat(server.isClosedByPeer(), is(true));
   }
@@ -185,7 +187,7 @@
         .write(GatewayTestHarness.chunk(GatewayTestHarness.event(0)));
     client.readHead();
     client.readChunk();
-    harness.timers.advance(GIVE_UP_MS);
+    harness.timers.advance(ROUTE_TIMEOUT_MS);
     assertThat(client.readChunk(), is(nullValue()));
     assertThat(server.isClosedByPeer(), is(true));
   }
@@ -292,15 +294,15 @@
     assertThat(client.readChunk(), is(""));
   }
 
-  private static Route routeWith(Route route, long giveUpMs, int precedence) {
+  private static Route routeWith(Route route, long timeoutMs, int priority) {
     return new Route(
         route.name(),
         route.host(),
         route.prefix(),
         route.kind(),
-        giveUpMs,
+        timeoutMs,
         route.latencyTargetMs(),
-        precedence,
+        priority,
         route.weightedServices(),
         route.maxAttempts(),
         route.resumable(),
@@ -313,13 +315,13 @@
   /** Each rank of the routes has its own urgency, before those of items. */
   @ParameterizedTest
   @CsvSource({"0, 1", "1, 2", "3, 4", "5, 6", "9, 7"})
-  void routePrecedenceMapsToADistinctPriority(int precedence, int priority) {
+  void routePriorityMapsToADistinctPriorityHeader(int routePriority, int priorityHeader) {
     harness.clusterState.routes.computeIfPresent(
-        "/unsafe/", (prefix, r) -> routeWith(r, GIVE_UP_MS, precedence));
+        "/unsafe/", (prefix, r) -> routeWith(r, ROUTE_TIMEOUT_MS, routePriority));
     harness.request("unsafe", "a1");
     assertThat(
         harness.firstServer.accept().readMessage().header("Priority"),
-        is(Integer.toString(priority)));
+        is(Integer.toString(priorityHeader)));
   }
 
   /** LOST: what is read whole too late for the grace time is refused and not begun. */
--- a/gateway/src/test/java/elmsail/gateway/UsageCountingTest.java
+++ b/gateway/src/test/java/elmsail/gateway/UsageCountingTest.java
@@ -21,7 +21,7 @@
   private final List<String> started = new ArrayList<>();
 
   @BeforeEach
-  void countStarts() throws Exception {
+  void recordStartedRequests() throws Exception {
     harness.clusterState.tenantsByKey = Map.of(KEY, new Tenant("kaje80", 0));
     harness.clusterState.addOpenRoute("open", Route.Kind.SAFE, 2, false);
     harness.onLoop(
@@ -35,7 +35,7 @@
     return harness.onLoop(() -> List.copyOf(started));
   }
 
-  private static String success(String id, String body) {
+  private static String successResponse(String id, String body) {
     return "HTTP/1.1 200 OK\r\nElmsail-Request-Id: "
         + id
         + "\r\nElmsail-Postmark: p\r\nContent-Length: "
@@ -45,22 +45,22 @@
   }
 
   @Test
-  void successCountsOnce() throws Exception {
+  void successfulRequestIsCountedOnce() throws Exception {
     RawConnection client = harness.request("safe", "a1", KNOWN_KEY);
     RawConnection server = harness.firstServer.accept();
     server.readMessage();
     assertThat("not before the response begins", started(), empty());
-    server.write(success("a1", "done"));
+    server.write(successResponse("a1", "done"));
     assertThat(client.readMessage().status(), is(200));
     assertThat(started(), contains("kaje80"));
   }
 
   @Test
-  void streamCountsWithItsFirstByte() throws Exception {
+  void streamIsCountedAtItsFirstByte() throws Exception {
     RawConnection client = harness.request("stream", "a1", KNOWN_KEY);
     RawConnection server = harness.firstServer.accept();
     server.readMessage();
-    server.write(success("a1", "data").replace("Length: 4", "Length: 8"));
+    server.write(successResponse("a1", "data").replace("Length: 4", "Length: 8"));
     client.readLine();
     assertThat(started(), contains("kaje80"));
     server.write("more");
@@ -69,21 +69,21 @@
   }
 
   @Test
-  void errorOfAServerDoesNotCount() throws Exception {
+  void requestWithServerErrorIsNotCounted() throws Exception {
     RawConnection client = harness.request("unsafe", "a1", KNOWN_KEY);
     RawConnection server = harness.firstServer.accept();
     server.readMessage();
-    server.write(success("a1", "oops").replace("200 OK", "500 Internal Server Error"));
+    server.write(successResponse("a1", "oops").replace("200 OK", "500 Internal Server Error"));
     assertThat(client.readMessage().status(), is(500));
     assertThat(started(), empty());
   }
 
   @Test
-  void requestWithoutATenantDoesNotCount() throws Exception {
+  void requestWithoutATenantIsNotCounted() throws Exception {
     RawConnection client = harness.request("open", "a2");
     RawConnection server = harness.firstServer.accept();
     server.readMessage();
-    server.write(success("a2", "done"));
+    server.write(successResponse("a2", "done"));
     assertThat(client.readMessage().status(), is(200));
     assertThat(started(), empty());
   }
--- a/gateway/src/test/java/elmsail/gateway/frontend/PipelinedRequestQueueTest.java
+++ b/gateway/src/test/java/elmsail/gateway/frontend/PipelinedRequestQueueTest.java
@@ -59,7 +59,7 @@
     add(5, 1);
     add(5, 2);
     queue.releaseAll();
-    buffers.forEach(one -> assertThat(one.refCnt(), is(0)));
+    buffers.forEach(buffer -> assertThat(buffer.refCnt(), is(0)));
     assertThat(queue.isEmpty(), is(true));
   }
 }
--- a/gateway/src/test/java/elmsail/gateway/http/PinnedNamesTest.java
+++ b/gateway/src/test/java/elmsail/gateway/http/PinnedNamesTest.java
@@ -14,7 +14,7 @@
 class PinnedNamesTest {
 
   /** The families as they are exported, each with its type. */
-  private static List<String> exported(Counters counters) {
+  private static List<String> exportedFamilies(Counters counters) {
     return PrometheusText.format(counters)
         .lines()
         .filter(line -> line.startsWith("# TYPE "))
@@ -23,11 +23,11 @@
   }
 
   @Test
-  void metrics() {
+  void metricNamesAreUnchanged() {
     Counters counters = new Counters();
     new RequestCounters(counters);
     assertThat(
-        exported(counters),
+        exportedFamilies(counters),
         contains(
             "elmsail_requests_served counter",
             "elmsail_requests_refused_no_configuration counter",
@@ -68,7 +68,7 @@
 
   /** By their values alone, in the order of their declaration. */
   @Test
-  void headers() throws IllegalAccessException {
+  void headerNamesAreUnchanged() throws IllegalAccessException {
     List<String> names = new ArrayList<>();
     for (Field field : Headers.class.getFields()) {
       names.add((String) field.get(null));
--- a/gateway/src/test/java/elmsail/gateway/load/LoadChannelTest.java
+++ b/gateway/src/test/java/elmsail/gateway/load/LoadChannelTest.java
@@ -33,7 +33,7 @@
 /** Datagrams over loopback, among them such as no gateway sends. */
 @Timeout(60)
 class LoadChannelTest {
-  private static final int REPORTS_IN_A_PAUSE = 160;
+  private static final int REPORTS_DURING_A_PAUSE = 160;
 
   private final NettyEventLoop loop = new NettyEventLoop();
   private final MessageCodec codec = new MessageCodec();
@@ -109,7 +109,7 @@
     lastReceived.get(30, TimeUnit.SECONDS);
   }
 
-  private List<String> counted() throws Exception {
+  private List<String> reportCounters() throws Exception {
     CompletableFuture<List<String>> lines = new CompletableFuture<>();
     loop.execute(
         () ->
@@ -122,7 +122,7 @@
   }
 
   @Test
-  void senderThatIsNotTheSourceOfTheDatagramIsDroppedAndCounted() throws Exception {
+  void reportWhoseSenderIsNotItsSourceAddressIsDroppedAndCounted() throws Exception {
     sendToChannel(report("", 1));
     sendToChannel(report("not an address", 2));
     sendToChannel(report("127.0.0.1:99999", 3));
@@ -132,12 +132,12 @@
     sendLastAndAwait();
     assertThat(senders, contains(peerAddress() + "#6", peerAddress() + "#" + Long.MAX_VALUE));
     assertThat(
-        counted(),
+        reportCounters(),
         contains("elmsail_load_reports_malformed 0", "elmsail_load_reports_misattributed 5"));
   }
 
   @Test
-  void datagramThatIsNoReportIsDroppedAndCounted() throws Exception {
+  void malformedDatagramIsDroppedAndCounted() throws Exception {
     sendToChannel(new byte[0]);
     sendToChannel("GET / HTTP/1.1".getBytes(StandardCharsets.US_ASCII));
     byte[] cut = report(peerAddress(), 1);
@@ -145,12 +145,12 @@
     sendLastAndAwait();
     assertThat(senders, contains(peerAddress() + "#" + Long.MAX_VALUE));
     assertThat(
-        counted(),
+        reportCounters(),
         contains("elmsail_load_reports_malformed 3", "elmsail_load_reports_misattributed 0"));
   }
 
   @Test
-  void everySenderThatIsPassedOnCanBeRepliedTo() throws Exception {
+  void senderOfAnAcceptedReportCanBeRepliedTo() throws Exception {
     sendLastAndAwait();
     LoadReport reply = new LoadReport();
     reply.sender = address;
@@ -173,21 +173,21 @@
 
   /** The aggregator of a zone of 14 gateways gets some 150 reports in a tenth of a second. */
   @Test
-  void reportsThatArriveWhileTheProcessStandsStillAreRead() throws Exception {
-    CountDownLatch stands = new CountDownLatch(1);
-    CountDownLatch goesOn = new CountDownLatch(1);
+  void reportsThatArriveWhileTheProcessIsPausedAreRead() throws Exception {
+    CountDownLatch paused = new CountDownLatch(1);
+    CountDownLatch resumed = new CountDownLatch(1);
     loop.execute(
         () -> {
-          stands.countDown();
-          awaitUninterrupted(goesOn);
+          paused.countDown();
+          awaitUninterrupted(resumed);
         });
-    stands.await();
-    for (int i = 0; i < REPORTS_IN_A_PAUSE; i++) {
+    paused.await();
+    for (int i = 0; i < REPORTS_DURING_A_PAUSE; i++) {
       sendToChannel(reportOfManyServers(i));
     }
-    goesOn.countDown();
+    resumed.countDown();
     sendLastAndAwait();
-    assertThat(senders.size(), is(REPORTS_IN_A_PAUSE + 1));
+    assertThat(senders.size(), is(REPORTS_DURING_A_PAUSE + 1));
   }
 
   private byte[] reportOfManyServers(long sequence) {
--- a/gateway/src/test/java/elmsail/gateway/load/LoadExchangeTest.java
+++ b/gateway/src/test/java/elmsail/gateway/load/LoadExchangeTest.java
@@ -23,18 +23,18 @@
 
 /** Gateways of three zones that tell each other their loads over links that lose datagrams. */
 class LoadExchangeTest {
-  private static final int PER_ZONE = 5;
+  private static final int GATEWAYS_PER_ZONE = 5;
   private static final List<String> ZONES = List.of("z1", "z2", "z3");
 
   private final ManualTimers timers = new ManualTimers();
-  private final FakeClusterState known = new FakeClusterState();
+  private final FakeClusterState clusterState = new FakeClusterState();
   private final MessageCodec codec = new MessageCodec();
-  private final Random chance = new Random(7);
+  private final Random random = new Random(7);
   private final Counters counters = new Counters();
   private final Map<String, Member> members = new LinkedHashMap<>();
   private final Set<String> partitioned = new HashSet<>();
   private double lossRate;
-  private int largestBytes;
+  private int largestDatagramBytes;
 
   private final class Member {
     final String address;
@@ -52,19 +52,26 @@
     void restart() {
       exchange =
           new LoadExchange(
-              timers, known, address, zone, chance.nextLong(), () -> open, this::carry, counters);
+              timers,
+              clusterState,
+              address,
+              zone,
+              random.nextLong(),
+              () -> open,
+              this::send,
+              counters);
       exchange.start();
     }
 
-    private void carry(String to, LoadReport report) {
+    private void send(String to, LoadReport report) {
       byte[] datagram = codec.toDatagram(report);
-      largestBytes = Math.max(largestBytes, datagram.length);
-      boolean cut = partitioned.contains(address) != partitioned.contains(to);
-      if (cut || chance.nextDouble() < lossRate) {
+      largestDatagramBytes = Math.max(largestDatagramBytes, datagram.length);
+      boolean crossesPartition = partitioned.contains(address) != partitioned.contains(to);
+      if (crossesPartition || random.nextDouble() < lossRate) {
         return;
       }
       timers.schedule(
-          chance.nextInt(3),
+          random.nextInt(3),
           () -> {
             Member receiver = members.get(to);
             receiver.received++;
@@ -80,23 +87,23 @@
 
   private void start() {
     for (String zone : ZONES) {
-      for (int i = 0; i < PER_ZONE; i++) {
-        known.view.gateways.add(zone + "-" + i + ":1");
+      for (int i = 0; i < GATEWAYS_PER_ZONE; i++) {
+        clusterState.view.gateways.add(zone + "-" + i + ":1");
       }
     }
     for (String zone : ZONES) {
-      for (int i = 0; i < PER_ZONE; i++) {
+      for (int i = 0; i < GATEWAYS_PER_ZONE; i++) {
         members.put(zone + "-" + i + ":1", new Member(zone + "-" + i + ":1", zone));
       }
     }
     timers.advance(3_000);
   }
 
-  private int openSeenBy(Member member, String server) {
+  private int requestsSeenBy(Member member, String server) {
     return member.exchange.loadOf(server).requests();
   }
 
-  private int open(String server) {
+  private int openRequests(String server) {
     int sum = 0;
     for (Member member : members.values()) {
       sum += member.open.getOrDefault(server, ServerLoad.NONE).requests();
@@ -107,13 +114,16 @@
   private void assertEveryGatewaySeesTheTotal() {
     for (Member member : members.values()) {
       for (String server : List.of("a", "b")) {
-        assertThat(member.address + " of " + server, openSeenBy(member, server), is(open(server)));
+        assertThat(
+            member.address + " of " + server,
+            requestsSeenBy(member, server),
+            is(openRequests(server)));
       }
     }
   }
 
   @Test
-  void everyGatewaySeesTheTotalOfAll() {
+  void everyGatewaySeesTheTotalOfAllGateways() {
     start();
     int opened = 0;
     for (Member member : members.values()) {
@@ -129,10 +139,10 @@
     Member first = members.get("z1-0:1");
     first.open("a", 3);
     timers.advance(250);
-    assertThat(openSeenBy(members.get("z1-4:1"), "a"), is(3));
+    assertThat(requestsSeenBy(members.get("z1-4:1"), "a"), is(3));
     first.open("a", 0);
     timers.advance(70);
-    assertThat(openSeenBy(members.get("z1-4:1"), "a"), is(0));
+    assertThat(requestsSeenBy(members.get("z1-4:1"), "a"), is(0));
   }
 
   @Test
@@ -141,7 +151,7 @@
     start();
     for (int i = 0; i < 200; i++) {
       List<Member> all = new ArrayList<>(members.values());
-      all.get(chance.nextInt(all.size())).open(chance.nextBoolean() ? "a" : "b", chance.nextInt(9));
+      all.get(random.nextInt(all.size())).open(random.nextBoolean() ? "a" : "b", random.nextInt(9));
       timers.advance(10);
     }
     lossRate = 0;
@@ -150,18 +160,18 @@
   }
 
   @Test
-  void partitionedGatewayExpiresAndCountsAgainAfterItHeals() {
+  void partitionedGatewayExpiresAndIsCountedAgainAfterThePartition() {
     start();
-    Member gone = members.get("z1-2:1");
-    gone.open("a", 50);
+    Member isolated = members.get("z1-2:1");
+    isolated.open("a", 50);
     members.get("z1-1:1").open("a", 2);
     timers.advance(400);
-    assertThat(openSeenBy(members.get("z1-0:1"), "a"), is(52));
-    partitioned.add(gone.address);
+    assertThat(requestsSeenBy(members.get("z1-0:1"), "a"), is(52));
+    partitioned.add(isolated.address);
     timers.advance(LoadTable.VALID_MS + 600);
-    assertThat(openSeenBy(members.get("z1-0:1"), "a"), is(2));
-    assertThat(openSeenBy(members.get("z3-0:1"), "a"), is(2));
-    assertThat("goes by its own sight", openSeenBy(gone, "a"), lessThanOrEqualTo(50));
+    assertThat(requestsSeenBy(members.get("z1-0:1"), "a"), is(2));
+    assertThat(requestsSeenBy(members.get("z3-0:1"), "a"), is(2));
+    assertThat("goes by its own sight", requestsSeenBy(isolated, "a"), lessThanOrEqualTo(50));
     partitioned.clear();
     timers.advance(9_000);
     assertEveryGatewaySeesTheTotal();
@@ -171,17 +181,18 @@
   @Test
   void zonesKeepExchangingSumsWhenAnyGatewayFails() {
     start();
-    for (Member gone : members.values()) {
+    for (Member failed : members.values()) {
       partitioned.clear();
-      partitioned.add(gone.address);
-      Member other = members.get(gone.zone.equals("z1") ? "z2-1:1" : "z1-1:1");
-      other.open("a", 1 + chance.nextInt(90));
+      partitioned.add(failed.address);
+      Member reporter = members.get(failed.zone.equals("z1") ? "z2-1:1" : "z1-1:1");
+      reporter.open("a", 1 + random.nextInt(90));
       timers.advance(2_500);
-      Member far = members.get(gone.zone.equals("z3") ? "z2-4:1" : "z3-4:1");
-      if (far != gone && other != gone && far != other) {
-        assertThat("without " + gone.address, openSeenBy(far, "a"), is(open("a")));
+      Member observer = members.get(failed.zone.equals("z3") ? "z2-4:1" : "z3-4:1");
+      if (observer != failed && reporter != failed && observer != reporter) {
+        assertThat(
+            "without " + failed.address, requestsSeenBy(observer, "a"), is(openRequests("a")));
       }
-      other.open("a", 0);
+      reporter.open("a", 0);
     }
   }
 
@@ -194,10 +205,10 @@
     timers.advance(2_000);
     restarted.restart();
     timers.advance(200);
-    assertThat(openSeenBy(restarted, "a"), is(4));
+    assertThat(requestsSeenBy(restarted, "a"), is(4));
     restarted.open("b", 6);
     timers.advance(200);
-    assertThat(openSeenBy(members.get("z1-1:1"), "b"), is(6));
+    assertThat(requestsSeenBy(members.get("z1-1:1"), "b"), is(6));
   }
 
   @Test
@@ -205,7 +216,7 @@
     start();
     members.values().forEach(member -> member.received = 0);
     for (int ms = 0; ms < 1_000; ms++) {
-      members.values().forEach(member -> member.open("a", chance.nextInt(9)));
+      members.values().forEach(member -> member.open("a", random.nextInt(9)));
       timers.advance(1);
     }
     for (Member member : members.values()) {
@@ -214,7 +225,7 @@
   }
 
   @Test
-  void idleGatewaysSendAlmostNothing() {
+  void idleGatewaysSendFewDatagrams() {
     start();
     members.values().forEach(member -> member.open("a", 2));
     timers.advance(500);
@@ -227,8 +238,8 @@
     }
     members.get("z2-3:1").open("a", 5);
     timers.advance(900);
-    assertThat(openSeenBy(members.get("z2-0:1"), "a"), is(5));
-    assertThat(openSeenBy(members.get("z2-4:1"), "a"), is(5));
+    assertThat(requestsSeenBy(members.get("z2-0:1"), "a"), is(5));
+    assertThat(requestsSeenBy(members.get("z2-4:1"), "a"), is(5));
   }
 
   @Test
@@ -240,7 +251,7 @@
     }
     first.exchange.onLoadChanged();
     timers.advance(500);
-    assertThat(largestBytes, lessThan(2_200));
+    assertThat(largestDatagramBytes, lessThan(2_200));
   }
 
   private LoadReport reportOf(String sender, int scope, int requests) {
@@ -260,7 +271,7 @@
   }
 
   @Test
-  void reportsOfASenderOutsideTheFleetAreDroppedAndCounted() {
+  void reportsOfAnUnlistedSenderAreDroppedAndCounted() {
     start();
     members.get("z1-1:1").open("a", 2);
     timers.advance(400);
@@ -275,11 +286,11 @@
   }
 
   @Test
-  void gatewayThatLeftTheListCountsForAWhileAndThenNoMore() {
+  void reportsOfARemovedGatewayAreAcceptedUntilItsExpiry() {
     start();
     Member receiver = members.get("z1-0:1");
-    known.view.gateways = new ArrayList<>(known.view.gateways);
-    known.view.gateways.remove("z1-3:1");
+    clusterState.view.gateways = new ArrayList<>(clusterState.view.gateways);
+    clusterState.view.gateways.remove("z1-3:1");
     timers.advance(1_000);
     receiver.exchange.onReport(reportOf("z1-3:1", LoadReport.OWN, 5));
     assertThat(foreignReports(), is(0L));
--- a/gateway/src/test/java/elmsail/gateway/load/ProcessorQuotaTest.java
+++ b/gateway/src/test/java/elmsail/gateway/load/ProcessorQuotaTest.java
@@ -29,14 +29,14 @@
 class ProcessorQuotaTest {
   private static final int ZONES = 3;
   private static final int GATEWAYS_PER_ZONE = 6;
-  private static final int DATAGRAM_MS = 2;
+  private static final int DATAGRAM_DELAY_MS = 2;
 
   /** Two pauses, of the reporter and of the aggregator, two intervals, and a third pause. */
-  private static final long TOTAL_SEEN_MS = 450;
+  private static final long TOTAL_PROPAGATION_MS = 450;
 
   private final ManualTimers timers = new ManualTimers();
-  private final SimNetwork net = new SimNetwork(5, timers);
-  private final FakeClusterState known = new FakeClusterState();
+  private final SimNetwork network = new SimNetwork(5, timers);
+  private final FakeClusterState clusterState = new FakeClusterState();
   private final MessageCodec codec = new MessageCodec();
   private final Random random = new Random(11);
   private final Map<String, Gateway> gateways = new LinkedHashMap<>();
@@ -48,28 +48,28 @@
     final LoadExchange exchange;
 
     Gateway(String address, String zone, double share) {
-      node = net.startNode(address);
-      net.limitProcessor(address, share);
+      node = network.startNode(address);
+      network.limitProcessor(address, share);
       exchange =
           new LoadExchange(
               node.timers(),
-              known,
+              clusterState,
               address,
               zone,
               random.nextLong(),
               () -> open,
-              (to, report) -> carry(zone, to, report),
+              (to, report) -> send(zone, to, report),
               new Counters());
       exchange.start();
     }
 
-    void carry(String zone, String to, LoadReport report) {
+    void send(String zone, String to, LoadReport report) {
       if (report.scope == LoadReport.TOTAL) {
         totalSendersByZone.computeIfAbsent(zone, name -> new TreeSet<>()).add(report.sender);
       }
       byte[] datagram = codec.toDatagram(report);
       timers.schedule(
-          DATAGRAM_MS,
+          DATAGRAM_DELAY_MS,
           () -> {
             Gateway receiver = gateways.get(to);
             receiver
@@ -81,7 +81,7 @@
           });
     }
 
-    void change() {
+    void changeLoad() {
       node.timers()
           .execute(
               () -> {
@@ -93,10 +93,10 @@
 
   private void start(double share) {
     for (int g = 0; g < ZONES * GATEWAYS_PER_ZONE; g++) {
-      known.view.gateways.add("10.0." + g % ZONES + "." + g + ":7720");
+      clusterState.view.gateways.add("10.0." + g % ZONES + "." + g + ":7720");
     }
     for (int g = 0; g < ZONES * GATEWAYS_PER_ZONE; g++) {
-      String address = known.view.gateways.get(g);
+      String address = clusterState.view.gateways.get(g);
       gateways.put(address, new Gateway(address, "z" + g % ZONES, share));
     }
     changeLoadsFor(3_000);
@@ -105,18 +105,18 @@
 
   private void changeLoadsFor(long ms) {
     for (long end = timers.now() + ms; timers.now() < end; ) {
-      gateways.values().forEach(Gateway::change);
+      gateways.values().forEach(Gateway::changeLoad);
       timers.advance(20);
     }
   }
 
   @ParameterizedTest
   @ValueSource(doubles = {0.12, 0.36, 0.9})
-  void noAggregatorIsPassedOverAndAllSeeTheTotal(double share) {
+  void noAggregatorIsSuspendedAndAllGatewaysSeeTheTotal(double share) {
     start(share);
     for (int round = 0; round < 40; round++) {
       changeLoadsFor(500);
-      timers.advance(TOTAL_SEEN_MS);
+      timers.advance(TOTAL_PROPAGATION_MS);
       int total = 0;
       for (Gateway gateway : gateways.values()) {
         total += gateway.open.get("a").requests();
--- a/gateway/src/test/java/elmsail/gateway/load/ZoneMembersTest.java
+++ b/gateway/src/test/java/elmsail/gateway/load/ZoneMembersTest.java
@@ -16,60 +16,60 @@
 /** Who sums a zone's loads up, by a clock of numbers. */
 class ZoneMembersTest {
   private static final List<String> ALL = List.of("a", "b", "c", "d");
-  private static final List<String> ORDER = RendezvousHash.choose("z1", ALL, ALL.size());
+  private static final List<String> RANKED = RendezvousHash.choose("z1", ALL, ALL.size());
 
   private final ManualTimers timers = new ManualTimers();
 
   /** Of the last in the zone's order, so that all others come before it. */
-  private final ZoneMembers members = new ZoneMembers(ORDER.get(3), "z1", timers);
+  private final ZoneMembers members = new ZoneMembers(RANKED.get(3), "z1", timers);
 
   private void reportFromAll() {
-    ORDER.subList(0, 3).forEach(address -> members.onReport(address, "z1", 1));
+    RANKED.subList(0, 3).forEach(address -> members.onReport(address, "z1", 1));
   }
 
   /** All are heard, and the aggregator tells totals, for so long. */
-  private void pass(long ms, String telling) {
-    for (long passed = 0; passed < ms; passed += 100) {
+  private void advanceWithReports(long ms, String totalSender) {
+    for (long elapsedMs = 0; elapsedMs < ms; elapsedMs += 100) {
       timers.advance(100);
       reportFromAll();
-      members.onTotal(telling);
+      members.onTotal(totalSender);
       members.aggregator();
     }
   }
 
   @Test
   void loneGatewayIsItsOwnAggregator() {
-    assertThat(members.aggregator(), is(ORDER.get(3)));
+    assertThat(members.aggregator(), is(RANKED.get(3)));
     assertThat(members.zonePeers(), is(empty()));
   }
 
   @Test
   void aggregatorIsTheFirstRankedGatewayThatSendsTotals() {
     reportFromAll();
-    assertThat(members.aggregator(), is(ORDER.get(0)));
-    pass(5_000, ORDER.get(0));
-    assertThat(members.aggregator(), is(ORDER.get(0)));
+    assertThat(members.aggregator(), is(RANKED.get(0)));
+    advanceWithReports(5_000, RANKED.get(0));
+    assertThat(members.aggregator(), is(RANKED.get(0)));
   }
 
   @Test
   void aggregatorWithoutTotalsIsSuspendedUntilItSendsOne() {
     reportFromAll();
-    assertThat(members.aggregator(), is(ORDER.get(0)));
-    pass(ZoneMembers.TOTAL_TIMEOUT_MS + 200, ORDER.get(1));
-    assertThat(members.aggregator(), is(ORDER.get(1)));
-    members.onTotal(ORDER.get(0));
-    assertThat(members.aggregator(), is(ORDER.get(0)));
+    assertThat(members.aggregator(), is(RANKED.get(0)));
+    advanceWithReports(ZoneMembers.TOTAL_TIMEOUT_MS + 200, RANKED.get(1));
+    assertThat(members.aggregator(), is(RANKED.get(1)));
+    members.onTotal(RANKED.get(0));
+    assertThat(members.aggregator(), is(RANKED.get(0)));
   }
 
   @Test
   void suspendedAggregatorIsTriedAgainLater() {
     reportFromAll();
     members.aggregator();
-    pass(ZoneMembers.TOTAL_TIMEOUT_MS + 200, ORDER.get(1));
-    pass(ZoneMembers.AGGREGATOR_SUSPENSION_MS - 600, ORDER.get(1));
-    assertThat(members.aggregator(), is(ORDER.get(1)));
-    pass(800, ORDER.get(1));
-    assertThat(members.aggregator(), not(ORDER.get(3)));
+    advanceWithReports(ZoneMembers.TOTAL_TIMEOUT_MS + 200, RANKED.get(1));
+    advanceWithReports(ZoneMembers.AGGREGATOR_SUSPENSION_MS - 600, RANKED.get(1));
+    assertThat(members.aggregator(), is(RANKED.get(1)));
+    advanceWithReports(800, RANKED.get(1));
+    assertThat(members.aggregator(), not(RANKED.get(3)));
   }
 
   @Test
@@ -79,13 +79,13 @@
       members.aggregator();
       timers.advance(100);
     }
-    assertThat(members.aggregator(), is(ORDER.get(3)));
+    assertThat(members.aggregator(), is(RANKED.get(3)));
   }
 
   @Test
-  void gatewaysOfOtherZonesAreKnownButNeverAggregateHere() {
+  void gatewaysOfOtherZonesAreRecordedButNeverBecomeAggregator() {
     members.onReport("far", "z2", 1);
-    assertThat(members.aggregator(), is(ORDER.get(3)));
+    assertThat(members.aggregator(), is(RANKED.get(3)));
     assertThat(members.peersByOtherZone().get("z2"), contains("far"));
     assertThat(members.zoneOf("far"), is("z2"));
     timers.advance(ZoneMembers.ZONE_EXPIRY_MS + 1);
@@ -95,15 +95,15 @@
 
   @Test
   void silentMemberExpiresAndNewInstanceIsDetected() {
-    String other = ORDER.get(0);
+    String other = RANKED.get(0);
     assertThat(members.onReport(other, "z1", 1), is(true));
     assertThat(members.onReport(other, "z1", 1), is(false));
     assertThat(members.onReport(other, "z1", 2), is(true));
     reportFromAll();
-    assertThat(members.zonePeers(), containsInAnyOrder(ORDER.subList(0, 3).toArray()));
+    assertThat(members.zonePeers(), containsInAnyOrder(RANKED.subList(0, 3).toArray()));
     timers.advance(ZoneMembers.MEMBER_EXPIRY_MS + 1);
     assertThat(members.zonePeers(), is(empty()));
-    assertThat(members.aggregator(), is(ORDER.get(3)));
+    assertThat(members.aggregator(), is(RANKED.get(3)));
     members.expireUnlisted(List.of());
   }
 }
--- a/gateway/src/test/java/elmsail/gateway/usage/UsageMeterTest.java
+++ b/gateway/src/test/java/elmsail/gateway/usage/UsageMeterTest.java
@@ -38,10 +38,10 @@
   private final VoterSet voters = new VoterSet();
   private final List<String> calls = new ArrayList<>();
   private final Set<String> unreachable = new HashSet<>();
-  private String holder = N1;
+  private String leaseHolder = N1;
   private long processId = 1;
 
-  private final RpcClient network =
+  private final RpcClient rpcClient =
       new RpcClient() {
         @Override
         public <A> CompletableFuture<A> call(
@@ -56,7 +56,7 @@
                         new ElmsailException(ErrorCode.TIMEOUT, "test")));
           } else {
             UsageReportResponse answer = new UsageReportResponse();
-            answer.holdsLease = address.equals(holder);
+            answer.holdsLease = address.equals(leaseHolder);
             answer.processId = processId;
             timers.schedule(5, () -> response.complete(responseType.cast(answer)));
           }
@@ -65,7 +65,7 @@
       };
 
   private final UsageMeter meter =
-      new UsageMeter(network, timers, clock, () -> voters, 7, bounds());
+      new UsageMeter(rpcClient, timers, clock, () -> voters, 7, bounds());
 
   private static Settings.Bounds bounds() {
     return new Settings.Bounds(
@@ -87,7 +87,7 @@
     return text.toString().trim();
   }
 
-  private void begin() {
+  private void startMeter() {
     for (String address : List.of(N1, N2, N3)) {
       Voter voter = new Voter();
       voter.address = address;
@@ -99,7 +99,7 @@
     timers.advance(500);
   }
 
-  private void start(String tenant, int times) {
+  private void startRequests(String tenant, int times) {
     for (int i = 0; i < times; i++) {
       meter.onRequestStarted(tenant);
     }
@@ -112,28 +112,28 @@
   }
 
   @Test
-  void allVotersAreToldUntilOneHoldsTheLeaseThenThatOneAlone() {
-    begin();
+  void reportsGoToAllVotersUntilTheLeaseHolderIsKnown() {
+    startMeter();
     assertThat("nothing counted, nothing reported", calls, empty());
-    start("a", 2);
+    startRequests("a", 2);
     assertThat(
         callsOfNextSecond(), containsInAnyOrder(N1 + " 0:a=2", N2 + " 0:a=2", N3 + " 0:a=2"));
-    start("a", 1);
-    start("b", 1);
+    startRequests("a", 1);
+    startRequests("b", 1);
     assertThat("changes alone, as totals", callsOfNextSecond(), contains(N1 + " 0:a=3 0:b=1"));
     assertThat(
         "an empty report still finds out who holds", callsOfNextSecond(), contains(N1 + " "));
   }
 
   @Test
-  void newHolderGetsWhatItLacks() {
-    begin();
-    start("a", 2);
+  void newLeaseHolderReceivesTheCountsItLacks() {
+    startMeter();
+    startRequests("a", 2);
     callsOfNextSecond();
-    start("a", 1);
+    startRequests("a", 1);
     callsOfNextSecond();
-    holder = N2;
-    start("a", 1);
+    leaseHolder = N2;
+    startRequests("a", 1);
     assertThat(
         "told at once that the lease is held no more",
         callsOfNextSecond(),
@@ -142,14 +142,14 @@
   }
 
   @Test
-  void holderThatDoesNotAnswerIsNotWaitedFor() {
-    begin();
-    start("a", 2);
+  void unresponsiveLeaseHolderDoesNotDelayReportsToItsSuccessor() {
+    startMeter();
+    startRequests("a", 2);
     callsOfNextSecond();
     unreachable.add(N1);
-    holder = N3;
+    leaseHolder = N3;
     callsOfNextSecond();
-    start("a", 1);
+    startRequests("a", 1);
     timers.advance(10);
     callsOfNextSecond();
     assertThat(calls.contains(N3 + " 0:a=3") || calls.contains(N3 + " "), is(true));
@@ -157,21 +157,21 @@
   }
 
   @Test
-  void nodeThatWasRestartedGetsAllCountsAgain() {
-    begin();
-    start("a", 2);
+  void restartedNodeReceivesAllCountsAgain() {
+    startMeter();
+    startRequests("a", 2);
     callsOfNextSecond();
     processId = 2;
-    start("b", 1);
+    startRequests("b", 1);
     assertThat(callsOfNextSecond(), contains(N1 + " 0:b=1"));
     assertThat("all but what it has", callsOfNextSecond(), contains(N1 + " 0:a=2"));
   }
 
   @Test
   void countsOfOldWindowsAreDropped() {
-    begin();
+    startMeter();
     for (int i = 0; i < 200; i++) {
-      start("a", 1);
+      startRequests("a", 1);
       for (String call : callsOfNextSecond()) {
         assertThat(call.split(" ").length, lessThanOrEqualTo(3));
       }
@@ -181,11 +181,11 @@
   }
 
   @Test
-  void windowOfAMomentIsThatOfTheClusterClock() {
-    begin();
-    start("a", 1);
+  void requestIsCountedInTheWindowOfTheClusterClock() {
+    startMeter();
+    startRequests("a", 1);
     timers.advance(WINDOW_MS);
-    start("a", 1);
+    startRequests("a", 1);
     callsOfNextSecond();
     assertThat(calls, contains(N1 + " 1:a=1"));
   }
