--- a/gateway/src/main/java/elmsail/gateway/Gateway.java
+++ b/gateway/src/main/java/elmsail/gateway/Gateway.java
@@ -34,7 +34,7 @@
 
 /**
  * The data plane of one process: listens for clients, forwards their requests to servers and runs
- * batch items. Owned by one event loop, on which all methods are to be called.
+ * batch items. Owned by one event loop; all methods must be called on that loop.
  */
 public final class Gateway {
   private static final Logger LOG = LoggerFactory.getLogger(Gateway.class);
@@ -42,23 +42,26 @@
   private static final byte[] EMPTY_BODY = new byte[0];
 
   /**
-   * The platform stops sending clients after two readiness probes a second apart; idle connections
-   * are closed after that.
+   * The platform sends readiness probes a second apart and stops sending clients after two failed
+   * probes. Idle connections are closed only after this time.
    */
   private static final long READINESS_PROPAGATION_MS = 2_500;
 
   private static final long DRAIN_CHECK_INTERVAL_MS = 20;
 
   /**
-   * Requests are served until the last sixth of the grace period begins: a response that started
-   * before is not cut.
+   * The grace period has this many parts, and requests are served until the last part begins. A
+   * response that starts before then is not truncated.
    */
   private static final int GRACE_PARTS = 6;
 
-  /** Until a response that its server had just completed has been relayed. */
+  /** The time for relaying responses that servers completed at the end of the drain. */
   private static final long MAX_FINAL_RESPONSES_MS = 250;
 
-  /** The process needs the rest of a short grace period to end by itself. */
+  /**
+   * The final responses get at most the grace period divided by this number. The process needs the
+   * rest of a short grace period to exit on its own.
+   */
   private static final int FINAL_RESPONSES_GRACE_DIVISOR = 24;
 
   private final NettyEventLoop loop;
@@ -120,12 +123,12 @@
   }
 
   /**
-   * Begins to listen at the RPC address, for load reports, and at the slots "front" and "ready"; to
-   * be called on the loop.
+   * Listens at the RPC address for load reports, at the address named "front" for clients and at
+   * the address named "ready" for readiness probes. Must be called on the loop.
    *
-   * @param metrics the process's figures and invariants
-   * @return completes on the loop once all are bound, the readiness probe's last; fails with {@link
-   *     elmsail.runtime.AddressUnavailableException}
+   * @param metrics the metrics and invariants of the process
+   * @return completes on the loop once all addresses are bound, the readiness address last; fails
+   *     with {@link elmsail.runtime.AddressUnavailableException}
    */
   public static CompletableFuture<Gateway> start(
       Settings settings,
@@ -136,7 +139,7 @@
     return start(settings, loop, loop, clusterState, jobs, metrics);
   }
 
-  /** Likewise by another clock. */
+  /** Starts a gateway with other timers than those of the loop. */
   static CompletableFuture<Gateway> start(
       Settings settings,
       NettyEventLoop loop,
@@ -151,7 +154,7 @@
     usageListener.onRequestStarted(tenant);
   }
 
-  /** Sets the one listener that learns of requests that servers have started. */
+  /** Sets the listener that is notified of each request that a server has started. */
   public void setUsageListener(UsageListener listener) {
     usageListener = listener;
   }
@@ -184,7 +187,7 @@
         .thenAccept(listener -> clientListener = listener);
   }
 
-  /** The last address that is bound: whoever is answered "ready" can connect. */
+  /** Binds this address last, so that clients can connect once a probe reports "ready". */
   private CompletableFuture<Void> listenForReadinessProbes() {
     return HttpServer.listen(
             loop,
@@ -194,7 +197,9 @@
         .thenAccept(server -> readinessServer = server);
   }
 
-  /** Serves the readiness probe, and the metrics at all other paths. */
+  /**
+   * Responds to readiness probes at {@code /ready} and passes other paths to the metrics endpoint.
+   */
   private CompletableFuture<SimpleHttpResponse> handleReadinessCall(SimpleHttpRequest call) {
     if (!call.path().equals("/ready")) {
       return metricsEndpoint.handle(call);
@@ -204,12 +209,12 @@
   }
 
   /**
-   * Whether the platform is to send clients here: with a configuration and a server, and not
-   * shutting down.
+   * Whether the platform should send clients to this gateway. A gateway is ready while it has a
+   * configuration and at least one server, and is not shutting down.
    *
-   * <p>A gateway that would refuse every request with a key is not ready: clients that come by
-   * another gateway are served. Where all of them have lost the control plane nothing is lost by
-   * it, as the platform uses all while fewer than half of a zone are ready.
+   * <p>A gateway that would reject every request with a key is not ready, as other gateways can
+   * serve those clients. If all gateways have lost the control plane, being not ready does no harm:
+   * the platform uses all gateways of a zone while fewer than half of them are ready.
    */
   public boolean isReady() {
     RoutingConfig config = clusterState.config();
@@ -220,9 +225,9 @@
   }
 
   /**
-   * What this gateway has open at the services whose number of servers the tier sets.
+   * The demand of this gateway at the services whose number of servers the control plane sets.
    *
-   * @param waitingItems items by service that wait at this gateway for capacity
+   * @param waitingItems number of items, by service, that wait at this gateway for capacity
    */
   public List<ServiceDemand> demand(Map<String, Integer> waitingItems) {
     return servers.demand(waitingItems);
@@ -233,7 +238,7 @@
     return itemDispatcher;
   }
 
-  /** Counts of what happened to requests since the start. */
+  /** Counters of request events since the start. */
   public RequestCounters counters() {
     return counters;
   }
@@ -249,10 +254,10 @@
   }
 
   /**
-   * Shuts down gracefully: is not ready from here on, serves open and new requests, and ends soon
-   * after five sixths of the grace period.
+   * Shuts down gracefully. The gateway is not ready from now on, continues to serve open and new
+   * requests, and stops soon after five sixths of the grace period.
    *
-   * @return completes on the loop when nothing is open any more
+   * @return completes on the loop once all connections and listeners are closed
    */
   public CompletableFuture<Void> stop() {
     CompletableFuture<Void> done = new CompletableFuture<>();
@@ -261,7 +266,8 @@
       return done;
     }
     stopping = true;
-    LOG.info("stopping; {} connections of clients are open", clientListener.connectionCount());
+    LOG.info(
+        "gateway is stopping; {} client connections are open", clientListener.connectionCount());
     clientListener.startDrain();
     long graceMs = settings.bounds().graceMs();
     long drainUntil = timers.now() + drainMs(graceMs);
@@ -274,7 +280,7 @@
     return done;
   }
 
-  /** For how long after the start of a shutdown open requests are served. */
+  /** The time after the start of a shutdown during which open requests are served. */
   private static long drainMs(long graceMs) {
     return graceMs * (GRACE_PARTS - 1) / GRACE_PARTS
         + Math.min(MAX_FINAL_RESPONSES_MS, graceMs / FINAL_RESPONSES_GRACE_DIVISOR);
@@ -290,7 +296,7 @@
     readinessServer.close();
     loadExchange.close();
     loadChannel.close();
-    LOG.info("stopped: {}", counters);
+    LOG.info("gateway stopped; request counters: {}", counters);
     done.complete(null);
   }
 }
--- a/gateway/src/main/java/elmsail/gateway/GatewayWarmUp.java
+++ b/gateway/src/main/java/elmsail/gateway/GatewayWarmUp.java
@@ -29,8 +29,8 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Serves one made-up stream from a stand-in server over loopback, so that a build can archive the
- * classes that a first request needs. Not for a process in service.
+ * Serves one synthetic stream from a fake server over loopback, so that a build can archive the
+ * classes that the first request loads. Must not run in a process that serves clients.
  */
 public final class GatewayWarmUp {
   private static final String LOOPBACK = "127.0.0.1:0";
@@ -42,9 +42,10 @@
   private GatewayWarmUp() {}
 
   /**
-   * Serves the stream; to be called on the loop.
+   * Serves the stream. Must be called on the loop.
    *
-   * @return completes on the loop with the bytes that the client received, when its connection ends
+   * @return completes on the loop, when the client's connection closes, with the bytes that the
+   *     client received
    */
   public static CompletableFuture<String> run(NettyEventLoop loop) {
     CompletableFuture<String> received = new CompletableFuture<>();
@@ -151,7 +152,7 @@
         null);
   }
 
-  /** A configuration with one route, and a list of one server. */
+  /** A cluster state with one route and one server. */
   private static final class SingleServerState implements ClusterState, RoutingConfig {
     private final List<ServerEntry> servers;
     private final Route route =
@@ -239,7 +240,7 @@
     }
   }
 
-  /** A batch service without any jobs. */
+  /** A batch service that responds to each call with status 503. */
   private static final class NoBatchJobs implements BatchService {
     private static CompletableFuture<Reply> unavailable() {
       return CompletableFuture.completedFuture(new Reply(503, new byte[0], 1));
--- a/gateway/src/main/java/elmsail/gateway/frontend/ClientConnection.java
+++ b/gateway/src/main/java/elmsail/gateway/frontend/ClientConnection.java
@@ -27,10 +27,10 @@
 import java.io.IOException;
 
 /**
- * One client's connection. It serves one request at a time, which is dispatched once it is
- * complete; pipelined requests wait in a queue. The connection is read while a request is served,
- * since only a read shows that the client has disconnected. All methods run on the channel's event
- * loop.
+ * A connection of one client. The connection serves one request at a time and dispatches each
+ * request once the request is complete; pipelined requests wait in a queue. The connection is also
+ * read while a request is served, since only a read detects that the client has disconnected. All
+ * methods run on the channel's event loop.
  */
 final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> {
   private static final int MAX_LINE_BYTES = 8_192;
@@ -45,15 +45,15 @@
   private final PipelinedRequestQueue pipelined = new PipelinedRequestQueue();
   private Channel channel;
 
-  /** Of the request that is being received, or null. */
+  /** The head of the request that is being received, or null. */
   private HttpRequest head;
 
-  /** To the request that is being served, or null. */
+  /** The response to the request that is being served, or null. */
   private ClientResponse response;
 
   private RequestHandle activeRequest = RequestHandle.NONE;
 
-  /** When the first byte of the present request came. */
+  /** When the first byte of the current request arrived. */
   private long arrivedAt;
 
   private long idleSince;
@@ -61,9 +61,9 @@
   private boolean closing;
   private Timer timeoutCheck;
 
-  /** A connection under the limits that are in force now. */
+  /** Creates a connection with the limits that are currently in force. */
   ClientConnection(ClientListener listener) {
-    super(false); // messages are released here, as some are queued
+    super(false); // this class releases the messages, as some of them are queued
     this.listener = listener;
     limits = listener.limits();
     timeouts = new ClientTimeouts(limits);
@@ -101,7 +101,9 @@
     ctx.fireChannelActive();
   }
 
-  /** Rejects a request that comes too slowly, and closes a connection that is idle for too long. */
+  /**
+   * Rejects a request that arrives too slowly, and closes a connection that is idle for too long.
+   */
   private void checkTimeouts() {
     if (closing) {
       return;
@@ -125,7 +127,7 @@
         listener.timers().schedule(timeouts.nextCheckMs(remainingMs), this::checkTimeouts);
   }
 
-  /** The idle time announced to the client, in s. */
+  /** The keep-alive timeout that is announced to the client, in seconds. */
   long keepAliveSeconds() {
     return timeouts.keepAliveSeconds();
   }
@@ -211,7 +213,7 @@
     }
   }
 
-  /** A response is written completely: the connection is closed, or serves the next request. */
+  /** Called once a response has ended: the connection closes or serves the next request. */
   void onResponseWritten(ClientResponse written, boolean keepAlive) {
     if (response != written) {
       return;
@@ -228,8 +230,8 @@
     }
     if (!pipelined.isEmpty() || decoder.isInsideMessage()) {
       onBytes();
-      // Not within this call: responses that come at once would nest as deep as there are
-      // pipelined requests.
+      // Runs as a separate task: responses that are sent immediately would otherwise recurse once
+      // for each pipelined request.
       channel.eventLoop().execute(this::processPipelined);
     }
   }
@@ -247,7 +249,7 @@
     }
   }
 
-  /** Rejects a request that is not complete, and so has not run, and closes the connection. */
+  /** Rejects a request that has not been dispatched, and so has not run; closes the connection. */
   private void reject(HttpResponseStatus status, RequestCounters.Event reason) {
     listener.counters().count(reason);
     ClientResponse rejection = new ClientResponse(this, listener, channel, false, true, false);
@@ -259,7 +261,7 @@
     LocalReplies.send(rejection, status.code(), null, mayRetry ? REJECTED_RETRY_AFTER_S : 0);
   }
 
-  /** Closes the connection if it neither serves nor receives a request. */
+  /** Closes the connection unless a request is being served or received. */
   void closeIfIdle() {
     if (response == null && !decoder.isInsideMessage()) {
       close();
@@ -297,7 +299,7 @@
     ctx.fireChannelInactive();
   }
 
-  /** A connection reset, or a defect of the gateway: the connection cannot be used any more. */
+  /** Closes the connection after a connection reset or a defect of the gateway. */
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
     if (!(cause instanceof IOException)) {
--- a/gateway/src/main/java/elmsail/gateway/frontend/ClientListener.java
+++ b/gateway/src/main/java/elmsail/gateway/frontend/ClientListener.java
@@ -26,16 +26,16 @@
 public final class ClientListener {
   private static final int BACKLOG = 1_024;
 
-  /** Before the first configuration. */
+  /** The limits before the first configuration. */
   private static final ClientLimits DEFAULT_LIMITS =
       new ClientLimits(16_384, 4 << 20, 3_000, 15_000);
 
-  /** File descriptors reserved for everything but clients. */
+  /** File descriptors that are reserved for uses other than client connections. */
   private static final int RESERVED_DESCRIPTORS = 600;
 
   private static final int MIN_CONNECTIONS = 200;
 
-  /** Limit for the bodies of all open requests together. */
+  /** Limit for the total size of the bodies of all open requests. */
   private static final long MAX_BODY_BYTES = 48L << 20;
 
   private final Timers timers;
@@ -130,25 +130,26 @@
     return counters;
   }
 
-  /** The limits in force now. */
+  /** The limits that are currently in force. */
   ClientLimits limits() {
     RoutingConfig config = clusterState.config();
     return config == null || config.limits() == null ? DEFAULT_LIMITS : config.limits();
   }
 
-  /** Whether responses announce that the connection closes. */
+  /** Whether each response announces that its connection closes. */
   boolean isDraining() {
     return isDraining;
   }
 
   /**
-   * Whether requests that complete from here on come too late to be served before the process ends.
+   * Whether requests whose last byte arrives now are rejected, as the process may exit before it
+   * has served them.
    */
   boolean rejectsNewRequests() {
     return rejectsNewRequests;
   }
 
-  /** Reserves bytes of the limit for all bodies; false if it would be exceeded. */
+  /** Reserves bytes of the limit for all bodies; returns false if the limit would be exceeded. */
   boolean tryReserveBodyBytes(int bytes) {
     if (bodyBytes + bytes > MAX_BODY_BYTES) {
       return false;
@@ -157,7 +158,7 @@
     return true;
   }
 
-  /** Returns reserved bytes. */
+  /** Releases reserved bytes. */
   void releaseBodyBytes(int bytes) {
     bodyBytes -= bytes;
   }
@@ -167,17 +168,17 @@
     return Addresses.format((InetSocketAddress) serverChannel.localAddress());
   }
 
-  /** How many connections are open. */
+  /** The number of open connections. */
   public int connectionCount() {
     return openConnections.size();
   }
 
-  /** From here on each response closes its connection. */
+  /** From now on each response closes its connection. */
   public void startDrain() {
     isDraining = true;
   }
 
-  /** Accepts no new connections and closes those without a request. */
+  /** Stops listening, rejects further requests and closes the connections without a request. */
   public void closeIdle() {
     serverChannel.close();
     rejectsNewRequests = true;
--- a/gateway/src/main/java/elmsail/gateway/frontend/ClientResponse.java
+++ b/gateway/src/main/java/elmsail/gateway/frontend/ClientResponse.java
@@ -19,11 +19,11 @@
 import io.netty.handler.codec.http.LastHttpContent;
 
 /**
- * The one response to one request. A response that is not ended never looks complete to the client.
- * To be called on the event loop.
+ * The response to one request. A response that has not ended never looks complete to the client.
+ * All methods must be called on the event loop.
  */
 final class ClientResponse implements ResponseSink {
-  /** How long a client that is still sending has to read the response and close its side. */
+  /** A client that is still sending has this time to read the response and close its side. */
   private static final long LINGER_MS = 500;
 
   private final ClientConnection connection;
@@ -53,14 +53,14 @@
   }
 
   /**
-   * Its client may still be sending: closing over unread bytes would reset the connection and lose
-   * the response.
+   * Delays the close of the connection after the response, as the client may still be sending. A
+   * close with unread bytes would reset the connection, and the client would lose the response.
    */
   void linger() {
     lingers = true;
   }
 
-  /** The client has disconnected; nothing is written any more. */
+  /** Drops all further writes, as the client has disconnected. */
   void onClientDisconnect() {
     finished = true;
   }
@@ -106,8 +106,8 @@
   }
 
   /**
-   * Announces a keep-alive timeout or the close. A client without support for chunks sees the end
-   * of the body by the close.
+   * Announces either a keep-alive timeout or that the connection closes. For a client without
+   * support for chunked encoding, the close marks the end of the body.
    */
   private void setConnectionHeaders(HttpHeaders headers) {
     keepAlive = clientKeepsAlive && !listener.isDraining();
@@ -171,7 +171,8 @@
     if (!supportsChunks) {
       channel
           .config()
-          .setOption(ChannelOption.SO_LINGER, 0); // else the close would be the answer's end
+          .setOption(
+              ChannelOption.SO_LINGER, 0); // a normal close would mark the end of the response
     }
     channel.flush();
     connection.onResponseWritten(this, false);
--- a/gateway/src/main/java/elmsail/gateway/frontend/ClientTimeouts.java
+++ b/gateway/src/main/java/elmsail/gateway/frontend/ClientTimeouts.java
@@ -3,14 +3,17 @@
 import elmsail.config.RoutingConfig.ClientLimits;
 
 /**
- * How long a client connection waits for a request, and for the next one while it is idle. Pure;
- * all times in ms on the event loop's clock.
+ * The timeouts of a client connection: for receiving a request, and for staying idle between
+ * requests. Pure; all times in ms on the event loop's clock.
  */
 final class ClientTimeouts {
-  /** A body may take as long as a head, and a second more for each of so many bytes. */
+  /** A body has the same timeout as a head, plus one second for each of this many bytes. */
   private static final int MIN_BODY_BYTES_PER_SECOND = 64 * 1024;
 
-  /** A connection is closed so much later than announced, so that no request crosses the close. */
+  /**
+   * An idle connection is closed this much later than announced, so that no request is sent while
+   * the connection closes.
+   */
   private static final long KEEP_ALIVE_GRACE_MS = 1_000;
 
   private static final long MIN_CHECK_INTERVAL_MS = 50;
@@ -22,11 +25,11 @@
   }
 
   /**
-   * Time left for a request that is being received; 0 or less if it is over.
+   * The remaining time for receiving a request; 0 or less if the request has timed out.
    *
-   * @param arrivedAt when its first byte came
-   * @param bodyBytes bytes of its body received so far
-   * @param headComplete whether its head is complete
+   * @param arrivedAt when the first byte of the request arrived
+   * @param bodyBytes bytes of the request's body received so far
+   * @param headComplete whether the request's head is complete
    */
   long requestRemainingMs(long arrivedAt, int bodyBytes, boolean headComplete, long now) {
     return arrivedAt
@@ -36,22 +39,22 @@
         - now;
   }
 
-  /** Time left until an idle connection is closed; 0 or less if it is over. */
+  /** The remaining time until an idle connection is closed; 0 or less if it must be closed now. */
   long idleRemainingMs(long idleSince, long now) {
     return idleSince + limits.idleTimeoutMs() + KEEP_ALIVE_GRACE_MS - now;
   }
 
-  /** Delay of the first check, and the longest one: a request may begin right after a check. */
+  /** The delay of the first check and the longest delay, as a request may begin after a check. */
   long maxCheckIntervalMs() {
     return limits.headerTimeoutMs();
   }
 
-  /** Delay of the next check of a connection with so much time left. */
+  /** The delay of the next check of a connection with the given remaining time. */
   long nextCheckMs(long remainingMs) {
     return Math.max(MIN_CHECK_INTERVAL_MS, Math.min(remainingMs, maxCheckIntervalMs()));
   }
 
-  /** The idle time announced to the client, in s, at least 1. */
+  /** The keep-alive timeout that is announced to the client, in seconds; at least 1. */
   long keepAliveSeconds() {
     return Math.max(1, limits.idleTimeoutMs() / 1_000 - 1);
   }
--- a/gateway/src/main/java/elmsail/gateway/frontend/PipelinedRequestQueue.java
+++ b/gateway/src/main/java/elmsail/gateway/frontend/PipelinedRequestQueue.java
@@ -6,20 +6,20 @@
 import java.util.ArrayDeque;
 
 /**
- * Parts of pipelined requests, which wait until the present one is served, with the time at which
- * each came. Owned by the connection's event loop.
+ * Queue of the parts of pipelined requests, with the arrival time of each part. The parts wait
+ * until the current request has been served. Owned by the connection's event loop.
  */
 final class PipelinedRequestQueue {
   /**
-   * At this size reading stops. Some are read ahead, since a disconnect is noticed only while the
-   * connection is read.
+   * The connection is not read while the queue has this many entries. Requests are read ahead,
+   * since a disconnect is detected only while the connection is read.
    */
   private static final int MAX_ENTRIES = 64;
 
-  /** The same for the bytes of bodies. */
+  /** The connection is not read while the queue holds this many bytes of bodies. */
   private static final int MAX_BODY_BYTES = 64 * 1024;
 
-  /** A part, released by whoever polls it. */
+  /** A part of a request. The caller of {@link #poll} must release the message. */
   record Entry(HttpObject message, long arrivedAt) {}
 
   private final ArrayDeque<Entry> entries = new ArrayDeque<>();
@@ -30,7 +30,7 @@
     bodyBytes += bytesOf(message);
   }
 
-  /** Takes the oldest entry, or null. */
+  /** Removes and returns the oldest entry; null if the queue is empty. */
   Entry poll() {
     Entry oldest = entries.poll();
     bodyBytes -= oldest == null ? 0 : bytesOf(oldest.message());
@@ -41,7 +41,7 @@
     return entries.isEmpty();
   }
 
-  /** Whether reading is to stop. */
+  /** Whether the connection must not be read any further. */
   boolean isFull() {
     return entries.size() >= MAX_ENTRIES || bodyBytes >= MAX_BODY_BYTES;
   }
--- a/gateway/src/main/java/elmsail/gateway/frontend/RequestBodyBuffer.java
+++ b/gateway/src/main/java/elmsail/gateway/frontend/RequestBodyBuffer.java
@@ -6,8 +6,8 @@
 import io.netty.handler.codec.http.HttpUtil;
 
 /**
- * Collects the body of the request that a connection receives. Its bytes count against the
- * listener's limit for all bodies until {@link #releaseReservation}, which comes after the
+ * Collects the body of the request that a connection receives. The bytes of the body count against
+ * the listener's limit for all bodies until {@link #releaseReservation}, which is called after the
  * response. Owned by the connection's event loop.
  */
 final class RequestBodyBuffer {
@@ -15,7 +15,7 @@
 
   private final ClientListener listener;
 
-  /** On the heap, or null without any bytes. */
+  /** A heap buffer, or null if no byte of the body has been received. */
   private ByteBuf buffer;
 
   private int reservedBytes;
@@ -30,9 +30,9 @@
   }
 
   /**
-   * Appends a part of the body, which stays the caller's.
+   * Copies a part of the body to the buffer; the caller must still release the part.
    *
-   * @param head of the request; its length decides the capacity
+   * @param head the request's head; its Content-Length sets the capacity of the buffer
    * @return false if the bodies of all requests together would exceed their limit
    */
   boolean append(ByteBuf bytes, HttpRequest head) {
@@ -51,7 +51,10 @@
     return true;
   }
 
-  /** The complete body, not copied where its length was announced; the buffer is empty then. */
+  /**
+   * Returns the complete body and empties the buffer. The bytes are not copied if the request's
+   * Content-Length was known.
+   */
   byte[] take() {
     if (buffer == null) {
       return EMPTY_BODY;
@@ -65,12 +68,12 @@
     return bytes;
   }
 
-  /** Drops the bytes; they stay reserved. */
+  /** Discards the bytes of the body; their reservation remains. */
   void discard() {
     buffer = null;
   }
 
-  /** Frees this request's part of the limit for all bodies. */
+  /** Releases the bytes that this request has reserved of the limit for all bodies. */
   void releaseReservation() {
     listener.releaseBodyBytes(reservedBytes);
     reservedBytes = 0;
--- a/gateway/src/main/java/elmsail/gateway/frontend/package-info.java
+++ b/gateway/src/main/java/elmsail/gateway/frontend/package-info.java
@@ -1,2 +1,2 @@
-/** The side of clients: the listener, connections with their timeouts and limits, and responses. */
+/** Client connections: the listener, connections with their timeouts and limits, and responses. */
 package elmsail.gateway.frontend;
--- a/gateway/src/main/java/elmsail/gateway/http/Headers.java
+++ b/gateway/src/main/java/elmsail/gateway/http/Headers.java
@@ -6,7 +6,7 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Header names of the protocol, and which headers of a message are end-to-end. */
+/** The protocol's header names, and the selection of a message's end-to-end headers. */
 public final class Headers {
   public static final String REQUEST_ID = "Elmsail-Request-Id";
   public static final String DEADLINE_MS = "Elmsail-Deadline-Ms";
@@ -22,17 +22,17 @@
   public static final String RETRY_AFTER = "Retry-After";
   public static final String EVENT_STREAM = "text/event-stream";
 
-  /** The name of the tenant, for the server; set by the gateway alone. */
+  /** The name of the tenant, for the server. Only the gateway sets this header. */
   public static final String SENDER = "Elmsail-Sender";
 
-  /** A client's key, for the gateway alone. */
+  /** A client's key. The gateway does not forward this header to servers. */
   public static final String AUTHORIZATION = "Authorization";
 
   public static final String WWW_AUTHENTICATE = "WWW-Authenticate";
 
   private Headers() {}
 
-  /** A copy without hop-by-hop headers (RFC 9110, section 7.6.1) and without the body's length. */
+  /** Copies the headers without hop-by-hop headers (RFC 9110, section 7.6.1) and Content-Length. */
   public static HttpHeaders endToEnd(HttpHeaders headers) {
     HttpHeaders endToEnd = new DefaultHttpHeaders();
     String connectionTokens = "";
@@ -80,7 +80,7 @@
   /**
    * Parses a decimal number.
    *
-   * @return the number, 0 or more, or the default if the text is none
+   * @return the number, 0 or more, or the default if the text is not a decimal number
    */
   public static long parseNonNegative(String text, long defaultValue) {
     if (text == null || text.isEmpty() || text.length() > 18) {
--- a/gateway/src/main/java/elmsail/gateway/http/RequestCounters.java
+++ b/gateway/src/main/java/elmsail/gateway/http/RequestCounters.java
@@ -3,16 +3,16 @@
 import elmsail.runtime.Counters;
 import java.util.Locale;
 
-/** Counts of what happened to requests since the start, among the figures of the process. */
+/** Counters of request events since the start, registered among the metrics of the process. */
 public final class RequestCounters {
 
-  /** What is counted. The metric's name is known to dashboards and does not follow the constant. */
+  /** The counted events. Dashboards use the metric names, which differ from the constants. */
   public enum Event {
-    /** Complete responses of servers that were relayed. */
+    /** Complete responses of servers that were relayed to clients. */
     SERVED("served"),
     /** 503 before the first configuration. */
     REJECTED_NO_CONFIG("refused_no_configuration"),
-    /** 503 because no server could be used, or the limit for all bodies was reached. */
+    /** 503 because no server was available, or the limit for all bodies was reached. */
     REJECTED_NO_SERVER("refused_no_server"),
     /** 503 because no server ran the request before its deadline. */
     REJECTED_NOT_RUN("refused_not_run"),
@@ -26,7 +26,7 @@
     BAD_REQUEST("bad_request"),
     /** 413 for a body beyond the limit. */
     TOO_LARGE("too_large"),
-    /** 408 for a request that came too slowly. */
+    /** 408 for a request that arrived too slowly. */
     CLIENT_TIMEOUT("client_slow"),
     /** Clients that disconnected before the end of their response. */
     CLIENT_DISCONNECTED("client_left"),
@@ -44,15 +44,15 @@
     RETRIED_AFTER_ERROR("retried_after_error"),
     /** Probes of half-open servers. */
     PROBED("probed"),
-    /** Requests that left an unresponsive server. */
+    /** Requests that were moved away from an unresponsive server. */
     SERVER_UNRESPONSIVE("gone_dark"),
     /** Calls to the batch API. */
     BATCH_CALL("lot_call"),
-    /** Attempts at servers. */
+    /** Attempts to run a request at a server. */
     ATTEMPT("try"),
-    /** Attempts that failed before a byte was sent. */
+    /** Attempts that failed before any byte was sent. */
     ATTEMPT_NOT_SENT("try_unsent"),
-    /** Attempts that the server says it did not run. */
+    /** Attempts that the server reported as not run. */
     ATTEMPT_NOT_RUN("try_not_run"),
     /** Attempts that failed after they were sent. */
     ATTEMPT_SENT_FAILED("try_sent_failed"),
@@ -60,13 +60,13 @@
     ATTEMPT_ANSWERED("try_answered"),
     /** Connections opened to servers. */
     CONNECTED("connected"),
-    /** Connects to servers that failed. */
+    /** Failed attempts to connect to servers. */
     CONNECT_FAILED("connect_failed"),
-    /** Connections that a server closed under a request. */
+    /** Connections that a server closed during a request. */
     CLOSED_BY_SERVER("closed_by_server"),
-    /** Connections closed for a response to another request. */
+    /** Connections closed because a response belonged to another request. */
     FOREIGN_RESPONSE("foreign_answer"),
-    /** Connections closed for a malformed response. */
+    /** Connections closed because a response was malformed. */
     UNREADABLE_RESPONSE("unreadable_answer"),
     /** Batch items started at servers. */
     ITEM_STARTED("item"),
@@ -74,9 +74,9 @@
     FAULT("fault"),
     /** 401 for requests without a known key. */
     REJECTED_KEY("refused_key"),
-    /** 503 because the keys in force are not known for sure. */
+    /** 503 because the gateway's configuration, and so its set of valid keys, is not confirmed. */
     REJECTED_NOT_CONFIRMED("refused_not_confirmed"),
-    /** Requests without a further attempt because their key did not admit them any more. */
+    /** Requests that were not retried because their key had been revoked. */
     KEY_REVOKED("key_revoked");
 
     private final String metricName;
@@ -92,24 +92,24 @@
 
   private final Counters.Counter[] counters = new Counters.Counter[ALL.length];
 
-  /** Registers its counters among those of the process. */
+  /** Registers the counters of all events. */
   public RequestCounters(Counters registry) {
     for (Event event : ALL) {
       counters[event.ordinal()] = registry.counter(PREFIX + event.metricName);
     }
   }
 
-  /** Counts one such event. */
+  /** Counts one event. */
   public void count(Event event) {
     counters[event.ordinal()].add(1);
   }
 
-  /** How many such events there were since the start. */
+  /** The number of these events since the start. */
   public long total(Event event) {
     return counters[event.ordinal()].value();
   }
 
-  /** The events that occurred, as {@code NAME=COUNT}, by their metrics' names in capitals. */
+  /** The events that occurred, as {@code NAME=COUNT} with the metric name in upper case. */
   @Override
   public String toString() {
     StringBuilder line = new StringBuilder();
--- a/gateway/src/main/java/elmsail/gateway/http/package-info.java
+++ b/gateway/src/main/java/elmsail/gateway/http/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What the packages of the gateway share of HTTP: header names, and the counters of what happens to
- * requests.
+ * HTTP classes that the packages of the gateway share: header names, and the counters of request
+ * events.
  */
 package elmsail.gateway.http;
--- a/gateway/src/main/java/elmsail/gateway/load/ListedPeers.java
+++ b/gateway/src/main/java/elmsail/gateway/load/ListedPeers.java
@@ -7,12 +7,12 @@
 import java.util.Map;
 
 /**
- * The gateways whose load reports are taken: those that the control plane lists, and those that it
- * listed lately, as a gateway that the control plane cannot reach for a moment still serves. Owned
- * by the event loop; times in ms on its clock.
+ * The gateways whose load reports are accepted: those that the control plane lists or has listed
+ * recently. A gateway that the control plane temporarily cannot reach still serves requests. Owned
+ * by the event loop; times in ms on the loop's clock.
  */
 final class ListedPeers {
-  /** A gateway counts for this time after it was last seen in the list. */
+  /** Reports of a gateway are accepted for this time after the list last contained the gateway. */
   static final long EXPIRY_MS = 30_000;
 
   /** An unchanged list is read again after this time. */
@@ -22,7 +22,7 @@
   private final MonotonicClock clock;
   private final Map<String, Long> lastListedAt = new HashMap<>();
 
-  /** The list that was read last: it is replaced as a whole when it changes. */
+  /** The list that was read last. The cluster state replaces the whole list when it changes. */
   private List<String> lastList = List.of();
 
   private long lastReadAt;
@@ -32,7 +32,7 @@
     this.clock = clock;
   }
 
-  /** Whether a gateway at that RPC address is, or was lately, a member of the fleet. */
+  /** Whether the list contains, or recently contained, a gateway with this RPC address. */
   boolean includes(String address) {
     readList();
     Long listedAt = lastListedAt.get(address);
--- a/gateway/src/main/java/elmsail/gateway/load/LoadAggregator.java
+++ b/gateway/src/main/java/elmsail/gateway/load/LoadAggregator.java
@@ -10,14 +10,14 @@
 import java.util.function.Supplier;
 
 /**
- * Sums up the loads of a zone while this gateway is the zone's aggregator: sends the zone's sum to
- * other zones and the total of all zones to the gateways of its own. Idle otherwise. Owned by the
- * event loop; all times in ms on its clock.
+ * Sums up the loads of a zone while this gateway is the zone's aggregator. The aggregator sends the
+ * sum of its zone to other zones, and the total of all zones to the gateways of its own zone. Idle
+ * otherwise. Owned by the event loop; all times in ms on the loop's clock.
  */
 final class LoadAggregator {
   private static final long MIN_TOTAL_INTERVAL_MS = 25;
 
-  /** Between two checks of who aggregates; each wakes an idle process. */
+  /** The interval of checks which gateway is the aggregator; each check wakes an idle process. */
   private static final long AGGREGATOR_CHECK_INTERVAL_MS = 130;
 
   /** An unchanged total is repeated after this time, as datagrams may be lost. */
@@ -25,7 +25,7 @@
 
   private static final long ZONE_SUM_INTERVAL_MS = 90;
 
-  /** Gateways of each other zone that get this zone's sum: the first of them may have failed. */
+  /** Number of gateways in each other zone that receive this zone's sum, as one may have failed. */
   private static final int RECEIVERS_PER_ZONE = 2;
 
   private final Timers timers;
@@ -47,8 +47,8 @@
    * Does nothing before {@link #start}.
    *
    * @param ownLoads this gateway's own load by server id
-   * @param send sends a report to an address; it may be lost
-   * @param isActive whether any load was seen lately; without, nothing is aggregated
+   * @param send sends a report to an address; the report may be lost
+   * @param isActive whether any load was seen recently; otherwise nothing is aggregated
    */
   LoadAggregator(
       Timers timers,
@@ -75,12 +75,12 @@
     closed = true;
   }
 
-  /** A load has changed, here or elsewhere: the total is sent again soon. */
+  /** Schedules a new total, as the load of this or of another gateway has changed. */
   void onLoadsChanged() {
     totalChanged = true;
   }
 
-  /** Whether this gateway is its zone's aggregator and uses its own total. */
+  /** Whether this gateway is its zone's aggregator, and so uses the total that it computed. */
   boolean isAggregating() {
     return isAggregating;
   }
@@ -90,7 +90,7 @@
     return hasZonePeers;
   }
 
-  /** The load of a server in the last total; never null. */
+  /** The load of a server in the last computed total; never null. */
   ServerLoad totalOf(String serverId) {
     return total.getOrDefault(serverId, ServerLoad.NONE);
   }
--- a/gateway/src/main/java/elmsail/gateway/load/LoadChannel.java
+++ b/gateway/src/main/java/elmsail/gateway/load/LoadChannel.java
@@ -27,9 +27,9 @@
 
 /**
  * Sends and receives load reports as UDP datagrams at the port of the internal address. A datagram
- * that is no report, or that names another sender than the address it came from, is dropped and
- * counted. So every sender that is passed on has an address that can be replied to. Owned by the
- * gateway's event loop.
+ * is dropped and counted if it is not a valid report, or if the report's sender differs from the
+ * datagram's source address. So the sender of each accepted report has an address to which a reply
+ * can be sent. Owned by the gateway's event loop.
  */
 public final class LoadChannel {
   private static final Logger LOG = LoggerFactory.getLogger(LoadChannel.class);
@@ -39,8 +39,8 @@
   private static final int MAX_ADDRESSES = 4_096;
 
   /**
-   * Holds what arrives while this process stands still for a tenth of a second: some hundred
-   * reports. The system may grant less.
+   * Holds the reports that arrive while this process is paused for a tenth of a second: some
+   * hundred reports. The operating system may grant a smaller buffer.
    */
   private static final int RECEIVE_BUFFER_BYTES = 1 << 20;
 
@@ -55,9 +55,10 @@
   private boolean closed;
 
   /**
-   * Passes each received report on; opened by {@link #open}.
+   * Creates a closed channel; {@link #open} opens it.
    *
-   * @param counters where dropped datagrams are counted
+   * @param onReport receives each accepted report
+   * @param counters counters for dropped datagrams
    */
   public LoadChannel(Consumer<LoadReport> onReport, Counters counters) {
     this.onReport = onReport;
@@ -66,8 +67,8 @@
   }
 
   /**
-   * Binds the address, ip:port. Completes on the loop; fails with {@link
-   * elmsail.runtime.AddressUnavailableException}.
+   * Binds the address, given as {@code ip:port}. Completes on the loop; fails with {@link
+   * elmsail.runtime.AddressUnavailableException} if the address cannot be bound.
    */
   public CompletableFuture<Void> open(EventLoop loop, String address) {
     Bootstrap bootstrap =
@@ -89,7 +90,7 @@
     }
   }
 
-  /** Sends a report. It is lost if the channel is closed or its buffer is full. */
+  /** Sends a report. The report is lost if the channel is closed or its write buffer is full. */
   public void send(String to, LoadReport report) {
     if (channel == null || !channel.isWritable()) {
       return;
@@ -106,7 +107,7 @@
         new DatagramPacket(Unpooled.wrappedBuffer(lastSentBytes), address), channel.voidPromise());
   }
 
-  /** Sends and receives nothing more. */
+  /** Closes the channel: reports are neither sent nor received any more. */
   public void close() {
     closed = true;
     if (channel != null) {
@@ -134,7 +135,8 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      LOG.debug("load report", cause); // such as "port unreachable" from a peer that has ended
+      // for example "port unreachable" after a peer has exited
+      LOG.debug("load report could not be sent or received; it is lost", cause);
     }
   }
 }
--- a/gateway/src/main/java/elmsail/gateway/load/LoadExchange.java
+++ b/gateway/src/main/java/elmsail/gateway/load/LoadExchange.java
@@ -11,11 +11,11 @@
 /**
  * Exchanges loads with the other gateways. Each gateway reports its own load to the aggregator of
  * its zone ({@link ZoneMembers}) after each change. The aggregator ({@link LoadAggregator}) sends
- * the sum of its zone to other zones, and the total to all gateways of its zone, so that the
- * datagrams that a gateway sends and receives do not grow with the number of gateways. While
- * nothing is open, as when all servers report their load themselves, gateways only introduce
- * themselves now and then ({@link PeerIntroducer}). Owned by the event loop; all times in ms on its
- * clock.
+ * the sum of its zone to other zones, and the total to all gateways of its zone. So the number of
+ * datagrams that a gateway sends and receives does not grow with the number of gateways. While no
+ * gateway has a load to report, for example because all servers report their load themselves,
+ * gateways only introduce themselves periodically ({@link PeerIntroducer}). Owned by the event
+ * loop; all times in ms on the loop's clock.
  */
 public final class LoadExchange implements PeerLoads {
   private static final String FOREIGN = "load_reports_foreign";
@@ -24,7 +24,7 @@
   /** An unchanged report is repeated after this time, as datagrams may be lost. */
   private static final long REPORT_REPEAT_INTERVAL_MS = 350;
 
-  /** Without any load for so long, neither reports nor totals are sent. */
+  /** After this time without any load, neither reports nor totals are sent. */
   private static final long ACTIVITY_TIMEOUT_MS = 2_000;
 
   private final Timers timers;
@@ -47,10 +47,10 @@
    * Sends nothing before {@link #start}.
    *
    * @param ownAddress this gateway's internal address
-   * @param instanceId different after each start of the process
+   * @param instanceId an id that differs after each start of the process
    * @param ownLoads this gateway's own load by server id
-   * @param send sends a report to an internal address; it may be lost
-   * @param counters where reports of unknown senders are counted
+   * @param send sends a report to an internal address; the report may be lost
+   * @param counters counters for dropped reports of unlisted senders
    */
   public LoadExchange(
       Timers timers,
@@ -76,21 +76,24 @@
         new PeerIntroducer(timers, clusterState, members, this::ownReport, send, this::isActive);
   }
 
-  /** Starts to report. */
+  /** Starts the periodic tasks. */
   public void start() {
     timers.schedule(REPORT_REPEAT_INTERVAL_MS, this::repeatReport);
     aggregator.start();
     introducer.start();
   }
 
-  /** Sends nothing more. */
+  /** Stops sending and receiving reports. */
   public void close() {
     closed = true;
     aggregator.close();
     introducer.close();
   }
 
-  /** This gateway's own load has changed: it is reported after the minimum interval. */
+  /**
+   * Schedules a report of this gateway's own load, which has changed. Reports are sent no more
+   * often than the minimum interval.
+   */
   public void onLoadChanged() {
     aggregator.onLoadsChanged();
     markActive();
@@ -103,8 +106,8 @@
   }
 
   /**
-   * Takes a received report. One of this gateway itself is ignored; one of a sender that is not
-   * among the gateways listed by the control plane, and was not lately, is dropped and counted.
+   * Processes a received report. A report of this gateway itself is ignored. A report is dropped
+   * and counted if the control plane neither lists nor has recently listed its sender.
    */
   public void onReport(LoadReport report) {
     if (closed || report.sender.equals(ownAddress)) {
--- a/gateway/src/main/java/elmsail/gateway/load/LoadReports.java
+++ b/gateway/src/main/java/elmsail/gateway/load/LoadReports.java
@@ -6,7 +6,10 @@
 
 /** Creates this gateway's load reports, numbered in sequence. Owned by the event loop. */
 final class LoadReports {
-  /** Servers in one report: those with the most open, so that a datagram stays small. */
+  /**
+   * The limit of servers in one report, so that a datagram stays small. Servers with the most open
+   * requests and items are kept.
+   */
   private static final int MAX_SERVERS_PER_REPORT = 64;
 
   private final String ownAddress;
@@ -21,7 +24,7 @@
   }
 
   /**
-   * The next report.
+   * Creates the next report.
    *
    * @param scope {@link LoadReport#OWN}, {@link LoadReport#ZONE} or {@link LoadReport#TOTAL}
    * @param loads by server id
--- a/gateway/src/main/java/elmsail/gateway/load/LoadTable.java
+++ b/gateway/src/main/java/elmsail/gateway/load/LoadTable.java
@@ -9,14 +9,14 @@
 import java.util.TreeMap;
 
 /**
- * The newest load reports: of each gateway of this zone, of each other zone, and of the total.
- * Reports that are not repeated expire. Owned by the event loop; times in ms on its clock.
+ * The latest load reports: of each gateway of this zone, of each other zone, and of the total.
+ * Reports that are not repeated expire. Owned by the event loop; times in ms on the loop's clock.
  */
 final class LoadTable {
-  /** A report counts for this time; it is repeated well within it. */
+  /** A report is valid for this time; its sender repeats it at much shorter intervals. */
   static final long VALID_MS = 1_000;
 
-  /** Bounds what a faulty peer can make this process store. */
+  /** Limits the memory that a faulty peer can make this process use. */
   private static final int MAX_SENDERS = 2_048;
 
   private static final int MAX_ENTRIES = 4_096;
@@ -28,23 +28,23 @@
   private final MonotonicClock clock;
   private final Map<String, Report> bySender = new HashMap<>();
 
-  /** By the zone whose gateways are summed up. */
+  /** The sums of the other zones, by zone. */
   private final Map<String, Report> byOtherZone = new TreeMap<>();
 
   private Report total;
   private Map<String, ServerLoad> totalLoads = Map.of();
 
   /**
-   * An empty table.
+   * Creates an empty table.
    *
-   * @param zone this gateway's own
+   * @param zone this gateway's zone
    */
   LoadTable(String zone, MonotonicClock clock) {
     this.zone = zone;
     this.clock = clock;
   }
 
-  /** Stores a report unless a newer one of the same sender and scope is known. */
+  /** Stores a report unless a newer report of the same sender and scope was received. */
   void onReport(LoadReport report) {
     if (report.servers.size() > MAX_ENTRIES) {
       return;
@@ -68,19 +68,19 @@
     }
   }
 
-  /** Datagrams may overtake each other. */
+  /** Whether a received report is older than the current one, as datagrams may be reordered. */
   private static boolean isStale(Report current, Report received) {
     return current != null
         && current.instanceId == received.instanceId
         && current.sequence >= received.sequence;
   }
 
-  /** Whether a valid total was received. */
+  /** Whether the last received total is still valid. */
   boolean hasRecentTotal() {
     return isValid(total);
   }
 
-  /** The load of a server in the last total; none if that has expired. */
+  /** The load of a server in the last received total; no load if that total has expired. */
   ServerLoad totalOf(String serverId) {
     return isValid(total) ? totalLoads.getOrDefault(serverId, ServerLoad.NONE) : ServerLoad.NONE;
   }
--- a/gateway/src/main/java/elmsail/gateway/load/PeerIntroducer.java
+++ b/gateway/src/main/java/elmsail/gateway/load/PeerIntroducer.java
@@ -11,8 +11,9 @@
 import java.util.function.Supplier;
 
 /**
- * Makes this gateway and its zone known to the other gateways: sends each listed one a report now
- * and then, to which an unknown one replies with its own. Owned by the event loop; all times in ms.
+ * Introduces this gateway and its zone to the other gateways by sending a report to each listed
+ * gateway periodically. A gateway that did not know this gateway replies with a report of its own.
+ * Owned by the event loop; all times in ms.
  */
 final class PeerIntroducer {
   private static final long FIRST_INTRODUCTION_MS = 10;
@@ -20,7 +21,7 @@
   private static final long UNKNOWN_PEER_INTERVAL_MS = 500;
   private static final long ZONE_PEER_INTERVAL_MS = 3_000;
 
-  /** To gateways of other zones, and to all while nothing is open anywhere. */
+  /** For gateways of other zones, and for all gateways while no load was seen recently. */
   private static final long OTHER_PEER_INTERVAL_MS = 8_000;
 
   private final Timers timers;
@@ -36,8 +37,8 @@
    * Sends nothing before {@link #start}.
    *
    * @param ownReport creates a report of this gateway's own load
-   * @param send sends a report to an address; it may be lost
-   * @param isActive whether any load was seen lately
+   * @param send sends a report to an address; the report may be lost
+   * @param isActive whether any load was seen recently
    */
   PeerIntroducer(
       Timers timers,
@@ -62,7 +63,7 @@
     closed = true;
   }
 
-  /** Sends this gateway's own report to another one. */
+  /** Sends this gateway's own report to another gateway. */
   void introduceTo(String gateway) {
     lastIntroducedAt.put(gateway, timers.now());
     send.accept(gateway, ownReport.get());
--- a/gateway/src/main/java/elmsail/gateway/load/PeerLoads.java
+++ b/gateway/src/main/java/elmsail/gateway/load/PeerLoads.java
@@ -1,8 +1,8 @@
 package elmsail.gateway.load;
 
-/** The load of all gateways together at each server. */
+/** The total load of all gateways at each server. */
 public interface PeerLoads {
-  /** Without any other gateway. */
+  /** No loads of other gateways. */
   PeerLoads NONE =
       new PeerLoads() {
         @Override
@@ -20,8 +20,8 @@
   boolean isAvailable();
 
   /**
-   * The load of all known gateways at a server, this one's as last reported; some ten ms old. Never
-   * null.
+   * The total load of all known gateways at a server. The total includes this gateway's load as
+   * last reported, and is some tens of ms old. Never null.
    */
   ServerLoad loadOf(String serverId);
 }
--- a/gateway/src/main/java/elmsail/gateway/load/ServerLoad.java
+++ b/gateway/src/main/java/elmsail/gateway/load/ServerLoad.java
@@ -3,28 +3,29 @@
 import elmsail.rpc.messages.ServerLoadEntry;
 
 /**
- * What is open at one server.
+ * The load at one server.
  *
- * @param requests client requests without a complete response
+ * @param requests open client requests, which are those without a complete response
  * @param items open batch items
- * @param pendingPrefillTokens prompt tokens of those without the first byte of a response
+ * @param pendingPrefillTokens prompt tokens of the open requests and items whose response has not
+ *     started
  */
 public record ServerLoad(int requests, int items, int pendingPrefillTokens) {
   /** Nothing is open. */
   public static final ServerLoad NONE = new ServerLoad(0, 0, 0);
 
   /**
-   * Larger numbers are malformed or hostile; they must neither block a server for good nor
-   * overflow.
+   * Larger numbers come from malformed or hostile reports. Numbers are clamped to this value, so
+   * that they neither block a server permanently nor overflow.
    */
   private static final int MAX_VALUE = 1_000_000;
 
-  /** Requests and items together. */
+  /** The number of open requests and items. */
   public int open() {
     return requests + items;
   }
 
-  /** The sum of both. */
+  /** The sum of this load and another load. */
   public ServerLoad plus(ServerLoad other) {
     return new ServerLoad(
         clamp(requests + other.requests),
@@ -32,7 +33,7 @@
         clamp(pendingPrefillTokens + other.pendingPrefillTokens));
   }
 
-  /** The larger of each number. */
+  /** The maximum of each number of this load and another load. */
   public ServerLoad max(ServerLoad other) {
     return new ServerLoad(
         Math.max(requests, other.requests),
--- a/gateway/src/main/java/elmsail/gateway/load/ZoneMembers.java
+++ b/gateway/src/main/java/elmsail/gateway/load/ZoneMembers.java
@@ -9,21 +9,21 @@
 import java.util.TreeMap;
 
 /**
- * The gateways known by their reports, and which gateway of this zone aggregates its loads: the
- * first by rendezvous hashing that is alive and keeps sending the total. Owned by the event loop;
- * times in ms on its clock.
+ * Tracks the gateways from which reports were received, and selects the gateway of this zone that
+ * aggregates the zone's loads. The aggregator is the first gateway by rendezvous hashing that is
+ * alive and keeps sending the total. Owned by the event loop; times in ms on the loop's clock.
  */
 final class ZoneMembers {
   /** A gateway of the zone is a member for this time after its last report. */
   static final long MEMBER_EXPIRY_MS = 8_000;
 
-  /** The zone of a silent gateway is remembered for this time. */
+  /** The zone of a gateway is remembered for this time after the gateway's last report. */
   static final long ZONE_EXPIRY_MS = 30_000;
 
   /** An aggregator that sends no total for this time is suspended. */
   static final long TOTAL_TIMEOUT_MS = 300;
 
-  /** A suspended aggregator is tried again after this time, or once it sends a total. */
+  /** A suspended aggregator can be selected again after this time, or once it sends a total. */
   static final long AGGREGATOR_SUSPENSION_MS = 4_000;
 
   private static final int MAX_MEMBERS = 4_096;
@@ -64,7 +64,7 @@
     return aggregator().equals(ownAddress);
   }
 
-  /** Records a report of a gateway; true if its instance was not known. */
+  /** Records a report of a gateway; returns true if the gateway's instance was not known. */
   boolean onReport(String address, String peerZone, long instanceId) {
     Member member = members.get(address);
     if (member == null) {
@@ -81,7 +81,7 @@
     return isNew;
   }
 
-  /** The gateway sent the total of the zone. */
+  /** Records that a gateway has sent the total. */
   void onTotal(String address) {
     Member member = members.get(address);
     if (member != null) {
@@ -92,12 +92,12 @@
     }
   }
 
-  /** Totals are expected from here on, after a time without any load. */
+  /** Restarts the timeout for the next total, after a time without any load. */
   void expectTotal() {
     totalExpectedBy = clock.now() + TOTAL_TIMEOUT_MS;
   }
 
-  /** The address of the present aggregator: this gateway itself if none ranks before it. */
+  /** The address of the current aggregator: this gateway itself if no candidate ranks before it. */
   String aggregator() {
     long now = clock.now();
     if (!aggregator.equals(ownAddress) && now > totalExpectedBy) {
@@ -149,7 +149,7 @@
     return found;
   }
 
-  /** The zone of a gateway, or null if it is unknown or the gateway should report again. */
+  /** The zone of a gateway, or null if the gateway is unknown or its last report has expired. */
   String zoneOf(String address) {
     Member member = members.get(address);
     if (member == null) {
@@ -160,7 +160,7 @@
     return now - member.lastReceivedAt > validMs ? null : member.zone;
   }
 
-  /** Forgets silent gateways that are not listed. */
+  /** Removes gateways that are not listed and have sent no report for {@link #ZONE_EXPIRY_MS}. */
   void expireUnlisted(List<String> listed) {
     long now = clock.now();
     members
--- a/gateway/src/main/java/elmsail/gateway/load/package-info.java
+++ b/gateway/src/main/java/elmsail/gateway/load/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The exchange of loads between gateways: how many requests all of them have open at each server,
- * for servers that do not report their load themselves.
+ * The exchange of loads between gateways. Each gateway learns how many requests all gateways have
+ * open at each server that does not report its load itself.
  */
 package elmsail.gateway.load;
--- a/gateway/src/main/java/elmsail/gateway/package-info.java
+++ b/gateway/src/main/java/elmsail/gateway/package-info.java
@@ -1,2 +1,2 @@
-/** The data plane: client requests, streams and batch calls, forwarded to servers. */
+/** The data plane: forwards client requests and streams to servers, and serves batch calls. */
 package elmsail.gateway;
--- a/gateway/src/main/java/elmsail/gateway/usage/ReportedCounts.java
+++ b/gateway/src/main/java/elmsail/gateway/usage/ReportedCounts.java
@@ -8,14 +8,14 @@
 import java.util.Objects;
 
 /**
- * What one control-plane node has acknowledged of a gateway's counts, and the reports that make up
- * for the rest. Pure; runs on the event loop.
+ * The counts of a gateway that one control-plane node has acknowledged. Creates reports of the
+ * counts that the node has not acknowledged. Pure; runs on the event loop.
  */
 final class ReportedCounts {
   private final Map<Long, Map<String, Long>> acknowledged = new HashMap<>();
   private long processId;
 
-  /** A report of all counts that the node has not acknowledged as they are; it may be empty. */
+  /** Creates a report, possibly empty, of all counts whose current value is not acknowledged. */
   UsageReport newReport(long instanceId, Map<Long, Map<String, Long>> windows) {
     acknowledged.keySet().retainAll(windows.keySet());
     UsageReport report = new UsageReport();
@@ -47,10 +47,13 @@
   }
 
   /**
-   * The node has acknowledged that report.
+   * Records that the node has acknowledged a report.
    *
-   * @param respondingProcessId another one than before knows nothing of what that acknowledged, and
-   *     may be older than the report as well: all is reported again
+   * @param respondingProcessId the id of the process that responded. If the id differs from that of
+   *     the previous response, another process has responded, which has none of the counts that the
+   *     previous process acknowledged. That process may have started before the report was created,
+   *     so the report may omit counts that this process lacks. All counts that are not in the
+   *     report are reported again.
    */
   void onAcknowledged(UsageReport report, long respondingProcessId) {
     if (respondingProcessId != processId) {
--- a/gateway/src/main/java/elmsail/gateway/usage/UsageListener.java
+++ b/gateway/src/main/java/elmsail/gateway/usage/UsageListener.java
@@ -1,8 +1,8 @@
 package elmsail.gateway.usage;
 
-/** Learns of each request of a client that a server has started. Called on the event loop. */
+/** Notified of each client request that a server has started. Called on the event loop. */
 @FunctionalInterface
 public interface UsageListener {
-  /** The first byte of a server's successful response to a request of that tenant has come. */
+  /** Called when the first byte of a successful response to a request of the tenant has arrived. */
   void onRequestStarted(String tenant);
 }
--- a/gateway/src/main/java/elmsail/gateway/usage/UsageMeter.java
+++ b/gateway/src/main/java/elmsail/gateway/usage/UsageMeter.java
@@ -16,18 +16,21 @@
 import java.util.function.Supplier;
 
 /**
- * Counts the requests of clients that servers have started, with the first byte of their response,
- * and reports the counts about once a second to the control-plane node that holds the singleton
- * lease. While none is known to hold it, all voters get the reports, so that a new holder soon has
- * the counts of the last windows. What a gateway counted after its last report is lost if it is
- * killed: the requests of {@value #REPORT_INTERVAL_MS} ms at most, and of a call on its way. Runs
- * on the event loop.
+ * Counts the client requests that servers have started. A request is counted at the first byte of
+ * its response. The counts are reported about once a second to the control-plane node that holds
+ * the singleton lease. While no node is known to hold the lease, all voters receive the reports, so
+ * that a new holder soon has the counts of the last windows. If the gateway is killed, the counts
+ * since its last report are lost: at most those of {@value #REPORT_INTERVAL_MS} ms, and those of a
+ * call in flight. Runs on the event loop.
  */
 public final class UsageMeter implements UsageListener {
   private static final long REPORT_INTERVAL_MS = 1_000;
   private static final long CALL_TIMEOUT_MS = 1_000;
 
-  /** Windows that may yet be reported: those closed for up to twice the time allowed for it. */
+  /**
+   * Windows are kept, and reported, for up to this many times the period in which the control plane
+   * accepts reports of a closed window.
+   */
   private static final int LATE_PERIODS_KEPT = 2;
 
   private final RpcClient rpcClient;
@@ -41,7 +44,7 @@
   private final Map<String, ReportedCounts> reportedByAddress = new HashMap<>();
   private final Set<String> callsInFlight = new HashSet<>();
 
-  /** The address of the node that said last that it holds the lease; null if none does. */
+  /** The address of the last node that reported to hold the lease; null if no holder is known. */
   private String holder;
 
   private boolean closed;
@@ -49,10 +52,10 @@
   /**
    * Reports nothing before {@link #start}.
    *
-   * @param clusterClock by which windows begin and end
-   * @param voters of the control plane as this process knows them
-   * @param instanceId of this process, drawn at random at each start
-   * @param bounds with the length of a window, above 0
+   * @param clusterClock the clock that determines the current window
+   * @param voters supplies the control-plane voters that this process knows
+   * @param instanceId the id of this process, which is chosen at random at each start
+   * @param bounds contain the length of a window, above 0
    */
   public UsageMeter(
       RpcClient rpcClient,
@@ -71,14 +74,14 @@
     counter = new UsageCounter(maxWindows);
   }
 
-  /** Whether these settings ask for reports of use. */
+  /** Whether these settings require usage reports. */
   public static boolean isWanted(Settings settings) {
     return settings.platform() != null
         && settings.platform().duties().contains(Settings.Platform.USAGE_DUTY)
         && settings.bounds().usageWindowMs() > 0;
   }
 
-  /** Begins to report; repeats itself until closed. */
+  /** Starts the periodic reports, which continue until the meter is closed. */
   public void start() {
     if (!closed) {
       timers.schedule(REPORT_INTERVAL_MS, this::start);
@@ -154,7 +157,7 @@
     }
   }
 
-  /** Reports once more what is not acknowledged, and then no more. */
+  /** Sends a final report of the unacknowledged counts, and stops reporting. */
   public void close() {
     if (!closed) {
       report();
--- a/gateway/src/test/java/elmsail/gateway/AdvanceableTimers.java
+++ b/gateway/src/test/java/elmsail/gateway/AdvanceableTimers.java
@@ -7,7 +7,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Another's timers, which a test may move ahead: what falls due on the way runs on the loop. */
+/**
+ * Wraps other timers with a clock that a test can advance. Tasks that become due by an advance run
+ * on the loop.
+ */
 public final class AdvanceableTimers implements Timers {
 
   private final class PendingTimer implements Timer {
@@ -46,7 +49,7 @@
 
   private static final int MAX_WAIT_S = 60;
 
-  /** Long enough for the loop to read its sockets once. */
+  /** Within this time the loop reads its sockets once. */
   private static final long SOCKET_READ_DELAY_MS = 1;
 
   private final Timers delegate;
@@ -78,8 +81,8 @@
   }
 
   /**
-   * From now on only {@link #advance} moves the clock: for tests of what is done in time, which
-   * then hold however slowly the machine runs them. From a test's thread.
+   * Stops the real clock, so that from now on only {@link #advance} changes the time. Tests of
+   * deadlines then pass no matter how slowly the machine runs them. Called from the test's thread.
    */
   public void stopRealTime() {
     stoppedAt = delegate.now();
@@ -87,10 +90,11 @@
   }
 
   /**
-   * From a test's thread; done once it returns. Were it only on its way to the loop, bytes that the
-   * test writes next could be read before it, as the loop reads its sockets before it runs tasks.
-   * What the sockets hold by now is read first, such as the end of a connect: a time-out counts
-   * what happens on this clock, not how slowly the machine runs the loop.
+   * Advances the clock and runs the tasks that become due. Called from the test's thread; returns
+   * once the loop has done so. If the call returned earlier, the loop could read bytes that the
+   * test writes next before the clock advances, as the loop reads its sockets before it runs tasks.
+   * The loop first handles the socket events that are pending now, such as the completion of a
+   * connect, so that timeouts depend on this clock and not on how slowly the machine runs the loop.
    */
   public void advance(long ms) {
     CountDownLatch done = new CountDownLatch(1);
@@ -105,7 +109,7 @@
         });
     try {
       if (!done.await(MAX_WAIT_S, TimeUnit.SECONDS)) {
-        throw new AssertionError("the loop does not run what it was given");
+        throw new AssertionError("the event loop did not advance the clock within the wait time");
       }
     } catch (InterruptedException e) {
       throw new AssertionError(e);
--- a/gateway/src/test/java/elmsail/gateway/FakeClusterState.java
+++ b/gateway/src/test/java/elmsail/gateway/FakeClusterState.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** What a test says is known. */
+/** A cluster state and configuration that a test sets. */
 public final class FakeClusterState implements ClusterState, RoutingConfig {
   public static final String HOST = "nony24.example";
 
@@ -22,7 +22,7 @@
   public volatile List<ServerEntry> servers = List.of();
   public volatile boolean configured = true;
 
-  /** Tenants by their keys; null where requests need no keys. */
+  /** Tenants by key; null if requests need no keys. */
   public volatile Map<String, Tenant> tenantsByKey;
 
   public volatile long configConfirmedAgeMs;
@@ -30,7 +30,7 @@
   public final ClusterView view = new ClusterView();
   private final List<Runnable> listeners = new ArrayList<>();
 
-  /** A route of the name and prefix {@code /name/} to service "s". */
+  /** Adds a route with the given name and the prefix {@code /name/} to service "s". */
   public void addRoute(String name, Route.Kind kind, int maxAttempts, boolean resumable) {
     routes.put(
         "/" + name + "/",
@@ -51,7 +51,7 @@
             0));
   }
 
-  /** Likewise a route whose requests need no key. */
+  /** Adds a route whose requests need no key. */
   public void addOpenRoute(String name, Route.Kind kind, int maxAttempts, boolean resumable) {
     addRoute(name, kind, maxAttempts, resumable);
     routes.computeIfPresent(
@@ -75,7 +75,7 @@
                 true));
   }
 
-  /** All routes hold a request for so long. */
+  /** Sets the request timeout of all routes. */
   public void setRouteTimeoutMs(long ms) {
     routes.replaceAll(
         (prefix, route) ->
--- a/gateway/src/test/java/elmsail/gateway/FaultInjectionTest.java
+++ b/gateway/src/test/java/elmsail/gateway/FaultInjectionTest.java
@@ -18,16 +18,19 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Many requests past two servers in every kind of trouble, drawn from a seed, against the rules.
+ * Sends many requests to two servers that inject random faults, chosen from a seed, and checks the
+ * protocol rules on each response. The rules: a request whose route does not allow retries runs at
+ * most once, a 503 is sent only if the request has not run, and an incomplete or foreign response
+ * is never passed off as complete.
  */
 class FaultInjectionTest {
   private static final int REQUESTS = 120;
   private static final int EVENTS_PER_STREAM = 4;
 
-  /** Runs of each request, counted where a server begins to work on it. */
+  /** The number of runs of each request, counted when a server starts to process the request. */
   private final Map<String, Integer> runs = new ConcurrentHashMap<>();
 
-  /** Speaks for one server, a thread for each connection, until the rig closes. */
+  /** Runs one fake server, with a thread for each connection, until the harness closes. */
   private Thread serve(RawConnection.FakeServer fakeServer, long seed) {
     Thread thread =
         new Thread(
@@ -43,7 +46,7 @@
                   connectionThread.start();
                 }
               } catch (UncheckedIOException e) {
-                return; // the rig has closed
+                return; // the harness has closed
               }
             });
     thread.setDaemon(true);
@@ -61,11 +64,11 @@
         }
       }
     } catch (UncheckedIOException e) {
-      return; // the gateway has closed it
+      return; // the gateway has closed the connection
     }
   }
 
-  /** False to end the connection. */
+  /** Responds to one request; returns false if the connection must be closed. */
   private boolean respond(RawConnection connection, Message received, SplittableRandom random) {
     String id = received.header("Elmsail-Request-Id");
     int fault = random.nextInt(12);
@@ -152,7 +155,7 @@
         String id = route + i;
         client.write(GatewayTestHarness.requestText(route, id));
         boolean complete = checkResponse(client, route, id);
-        served.merge(route + (complete ? "" : " cut"), 1, Integer::sum);
+        served.merge(route + (complete ? "" : " truncated"), 1, Integer::sum);
         if (!complete) {
           client = harness.connectClient();
         }
@@ -161,7 +164,7 @@
     }
   }
 
-  /** Whether the connection goes on. */
+  /** Checks one response; returns whether the response was complete and the connection is open. */
   private boolean checkResponse(RawConnection client, String route, String id) {
     boolean retryable = route.equals("safe") || route.equals("resume");
     Message head = client.readHead();
@@ -170,7 +173,7 @@
     assertThat(id, status, is(oneOf(200, 502, 503)));
     assertThat(id, runCount, is(lessThanOrEqualTo(retryable ? 2 : 1)));
     if (status == 503) {
-      assertThat(id + " was promised not to have run", runCount, is(0));
+      assertThat(id + " was rejected as not run", runCount, is(0));
     }
     String allEvents =
         GatewayTestHarness.event(0)
--- a/gateway/src/test/java/elmsail/gateway/GatewayHttpTest.java
+++ b/gateway/src/test/java/elmsail/gateway/GatewayHttpTest.java
@@ -17,9 +17,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What clients, the platform and calls about jobs get without a server. */
+/**
+ * HTTP behavior of the gateway toward clients and the platform: readiness, rejected requests,
+ * timeouts, pipelining, batch calls and graceful shutdown.
+ */
 class GatewayHttpTest extends GatewaySocketTest {
-  /** Of the grace time of the rig, 8 s. */
+  /** Five sixths of the harness's grace period of 8 s. */
   private static final long FIVE_SIXTHS_OF_GRACE_MS = 6_660;
 
   private static final long LONG_TIMEOUT_MS = 20_000;
@@ -51,10 +54,10 @@
       assertThat(metrics.body(), containsString("elmsail_requests_no_route 1\n"));
     }
     harness.setServers(List.of());
-    assertThat("no reason to be ready", probeReadiness().status(), is(503));
+    assertThat("not ready without servers", probeReadiness().status(), is(503));
     try (RawConnection connection = RawConnection.connect(harness.gateway.readinessAddress())) {
       assertThat(
-          "told also while not ready",
+          "metrics are also served while not ready",
           connection.write(metricsRequest).readMessage().status(),
           is(200));
     }
@@ -111,7 +114,8 @@
   @Test
   void slowRequestTimesOut() {
     RawConnection client = harness.connectClient().write("POST /safe/x HTTP/1.1\r\nHo");
-    // Where the first of these comes before the part, the second one is behind it.
+    // The first advance may happen before the partial request is read; the second one happens
+    // after.
     harness.timers.advance(3_100);
     assertThat(harness.request("nowhere", "a").readMessage().status(), is(404));
     harness.timers.advance(3_100);
@@ -131,7 +135,7 @@
     assertThat(client.isClosedByPeer(), is(true));
   }
 
-  /** Idle is what has no request on it: one whose head or body is still coming isn't. */
+  /** A connection on which the head or body of a request is still arriving is not idle. */
   @Test
   void requestStartedBeforeTheIdleTimeoutIsServed() {
     harness.timers.stopRealTime();
@@ -141,7 +145,7 @@
       assertThat(client.readMessage().status(), is(404));
       harness.timers.advance(14_000);
       client.write(text.substring(0, cut));
-      // The answer comes behind the part, which came on its own connection before.
+      // After this response the gateway has read the partial request, which was sent earlier.
       assertThat(harness.request("nowhere", "a9").readMessage().status(), is(404));
       harness.timers.advance(2_500);
       client.write(text.substring(cut));
@@ -174,7 +178,7 @@
     }
   }
 
-  /** The end of idle connections in a stop passes over one whose request was just passed on. */
+  /** The shutdown closes idle connections, but not one whose request was just forwarded. */
   @Test
   void requestForwardedDuringShutdownIsAnswered() throws Exception {
     harness.timers.stopRealTime();
@@ -200,7 +204,7 @@
     assertThat(stopped.isDone(), is(true));
   }
 
-  /** What a client still writes behind a request that ends its connection isn't passed on. */
+  /** Bytes that a client sends after a request with {@code Connection: close} are not forwarded. */
   @Test
   void bytesAfterTheLastRequestAreNotForwarded() throws Exception {
     RawConnection client =
@@ -248,10 +252,10 @@
   @CsvSource(
       delimiter = '|',
       value = {
-        "POST /sack/x | handIn sack L1 4",
+        "POST /sack/x | submit sack L1 4",
         "GET /lots/L7?after=12 | read L7 12 900",
         "GET /lots/L7 | read L7 0 900",
-        "DELETE /lots/L7 | end L7",
+        "DELETE /lots/L7 | cancel L7",
         "GET /items/L7?id=e5 | item L7 e5"
       })
   void batchCallsAreDispatched(String call, String expectedCall) {
@@ -329,7 +333,7 @@
   }
 
   /**
-   * The server is at work until the last sixth of the grace time begins, in all kinds of routes.
+   * On routes of each kind, servers respond just before the last sixth of the grace period begins.
    */
   @ParameterizedTest
   @ValueSource(strings = {"safe", "unsafe", "stream", "resume"})
--- a/gateway/src/test/java/elmsail/gateway/GatewayListenTest.java
+++ b/gateway/src/test/java/elmsail/gateway/GatewayListenTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What a gateway does about listen addresses that it cannot have. */
+/** The start of a gateway fails if a listen address is in use, and names that address. */
 @Timeout(60)
 class GatewayListenTest {
   private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
@@ -53,7 +53,7 @@
     return "127.0.0.1:" + socket.getLocalPort();
   }
 
-  /** The address that kept the gateway from starting. */
+  /** The unavailable address that the failed start reports. */
   private static String unavailableAddress(CompletableFuture<Gateway> starting) {
     Throwable failure = assertThrows(ExecutionException.class, starting::get);
     return AddressUnavailableException.findIn(failure).orElseThrow().address();
--- a/gateway/src/test/java/elmsail/gateway/GatewaySettings.java
+++ b/gateway/src/test/java/elmsail/gateway/GatewaySettings.java
@@ -7,12 +7,12 @@
 
 /** Settings of a gateway on loopback, for tests. */
 public final class GatewaySettings {
-  /** Within which a key that was removed is refused. */
+  /** The time limit after which a removed key must be rejected. */
   public static final long REVOKE_MS = 5_000;
 
   private GatewaySettings() {}
 
-  /** Of a gateway in zone "z" that listens at these addresses, ip:port. */
+  /** Settings of a gateway in zone "z" that listens at these addresses, given as ip:port. */
   public static Settings listeningAt(String front, String ready) {
     return new Settings(
         "c1",
--- a/gateway/src/test/java/elmsail/gateway/GatewaySocketTest.java
+++ b/gateway/src/test/java/elmsail/gateway/GatewaySocketTest.java
@@ -3,7 +3,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 
-/** A test of a gateway over sockets: starts a harness before each test and closes it after it. */
+/** Base class of tests with a gateway over sockets; each test gets a harness of its own. */
 abstract class GatewaySocketTest {
   GatewayTestHarness harness;
 
--- a/gateway/src/test/java/elmsail/gateway/GatewayTestHarness.java
+++ b/gateway/src/test/java/elmsail/gateway/GatewayTestHarness.java
@@ -13,11 +13,11 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 
-/** A gateway over loopback with two stand-in servers that the test speaks for. */
+/** A gateway over loopback with two fake servers whose responses the test writes. */
 public final class GatewayTestHarness implements AutoCloseable {
   public final NettyEventLoop loop = new NettyEventLoop();
 
-  /** The loop's, ahead by what the test has passed. */
+  /** The loop's timers, which the test can advance. */
   public final AdvanceableTimers timers = new AdvanceableTimers(loop);
 
   public final FakeClusterState clusterState = new FakeClusterState();
@@ -27,7 +27,7 @@
   public final Gateway gateway;
   private final List<RawConnection> clients = new ArrayList<>();
 
-  /** Answers calls about jobs with what the test has set. */
+  /** Replies to batch calls with the reply that the test has set. */
   public static final class FakeBatchCalls implements BatchService {
     public volatile Reply reply = new Reply(202, new byte[0], 0);
     public volatile String lastCall = "";
@@ -42,7 +42,7 @@
     @Override
     public CompletableFuture<Reply> submit(
         TenantName tenant, Route route, String jobId, byte[] body, long deadlineMs) {
-      return response(tenant, "handIn " + route.name() + " " + jobId + " " + body.length);
+      return response(tenant, "submit " + route.name() + " " + jobId + " " + body.length);
     }
 
     @Override
@@ -58,7 +58,7 @@
 
     @Override
     public CompletableFuture<Reply> cancel(TenantName tenant, String jobId) {
-      return response(tenant, "end " + jobId);
+      return response(tenant, "cancel " + jobId);
     }
   }
 
@@ -80,7 +80,7 @@
             .get(RawConnection.WAIT_MS, TimeUnit.MILLISECONDS);
   }
 
-  /** Runs on the loop and waits for it. */
+  /** Runs an action on the loop and waits for its result. */
   public <T> T onLoop(Callable<T> action) throws Exception {
     CompletableFuture<T> done = new CompletableFuture<>();
     loop.execute(
@@ -95,8 +95,8 @@
   }
 
   /**
-   * The list has these, as i-0, i-1... The first one is in the gateway's zone, so it is chosen
-   * first.
+   * Sets the server list to these servers, with the ids i-0, i-1 and so on. The first server is in
+   * the gateway's zone, so the gateway chooses that server first.
    */
   public void listServers(RawConnection.FakeServer... fakeServers) throws Exception {
     List<ServerEntry> entries = new ArrayList<>();
@@ -123,7 +123,7 @@
     return connection;
   }
 
-  /** A client that has asked on a route. */
+  /** Connects a client and sends a request on a route. */
   public RawConnection request(String route, String id, String... headers) {
     return connectClient().write(requestText(route, id, headers));
   }
@@ -144,7 +144,7 @@
     return text + "Content-Length: 4\r\n\r\nbody";
   }
 
-  /** A server's answer with a length. */
+  /** A server's response with a Content-Length. */
   public static String response(int status, String id, String body, String... headers) {
     StringBuilder text =
         new StringBuilder("HTTP/1.1 " + status + " X\r\nElmsail-Request-Id: " + id + "\r\n");
@@ -162,7 +162,7 @@
     return response(status, id, "", "Elmsail-Not-Run: 1");
   }
 
-  /** The head of a stream. */
+  /** The head of a streamed response. */
   public static String streamHead(String id, String postmark) {
     return "HTTP/1.1 200 OK\r\nElmsail-Request-Id: "
         + id
--- a/gateway/src/test/java/elmsail/gateway/RawConnection.java
+++ b/gateway/src/test/java/elmsail/gateway/RawConnection.java
@@ -13,9 +13,9 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** One end of a connection over loopback, spoken byte by byte; each wait is bounded. */
+/** One end of a loopback connection that a test reads and writes as raw bytes, with timeouts. */
 public final class RawConnection implements AutoCloseable {
-  /** What a test waits for comes well within this time unless something hangs. */
+  /** The timeout of each wait. An expected event takes much less time unless something hangs. */
   public static final int WAIT_MS = 60_000;
 
   private final Socket socket;
@@ -26,7 +26,7 @@
     socket.setTcpNoDelay(true);
   }
 
-  /** A message with a whole body. */
+  /** An HTTP message with its complete body. */
   public record Message(String startLine, Map<String, String> headers, String body) {
     public String header(String name) {
       return headers.get(name.toLowerCase(Locale.ROOT));
@@ -51,7 +51,7 @@
     }
   }
 
-  /** Where a stand-in server listens. */
+  /** The listening socket of a fake server. */
   public static final class FakeServer implements AutoCloseable {
     private static final int SMALL_RECEIVE_BUFFER_BYTES = 4_096;
 
@@ -78,14 +78,14 @@
       }
     }
 
-    /** The next connection, with the request on it read whole. */
+    /** Accepts the next connection and reads one complete request from the connection. */
     public RawConnection acceptRequest() {
       RawConnection server = accept();
       server.readMessage();
       return server;
     }
 
-    /** Connections accepted from here on take few bytes that are not read yet. */
+    /** Limits the receive buffer of the connections that are accepted from now on. */
     public void limitReceiveBuffer() {
       try {
         serverSocket.setReceiveBufferSize(SMALL_RECEIVE_BUFFER_BYTES);
@@ -94,7 +94,7 @@
       }
     }
 
-    /** Who has connected by now, or null. */
+    /** Accepts a connection that is already pending; returns null if there is none. */
     public RawConnection pollConnection() {
       try {
         serverSocket.setSoTimeout(1);
@@ -106,7 +106,7 @@
       }
     }
 
-    /** Whether nobody has connected so far. */
+    /** Whether no connection is pending. Closes a pending connection. */
     public boolean hasNoConnection() {
       try {
         serverSocket.setSoTimeout(1);
@@ -142,13 +142,13 @@
     try {
       return socket.getInputStream().read();
     } catch (SocketTimeoutException e) {
-      throw new UncheckedIOException("nothing came", e);
+      throw new UncheckedIOException("no byte received within the read timeout", e);
     } catch (IOException e) {
-      return -1; // a reset is an end as well
+      return -1; // a reset also ends the connection
     }
   }
 
-  /** The next line without its end; null at the end of the connection. */
+  /** Reads the next line without its line end; returns null at the end of the connection. */
   public String readLine() {
     ByteArrayOutputStream line = new ByteArrayOutputStream();
     for (int b = read(); b != '\n'; b = read()) {
@@ -161,20 +161,20 @@
     return text.endsWith("\r") ? text.substring(0, text.length() - 1) : text;
   }
 
-  /** Exactly so many bytes. */
+  /** Reads exactly {@code count} bytes. */
   public String readBytes(int count) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     while (bytes.size() < count) {
       int b = read();
       if (b < 0) {
-        throw new UncheckedIOException(new IOException("cut after " + bytes));
+        throw new UncheckedIOException(new IOException("connection ended after " + bytes));
       }
       bytes.write(b);
     }
     return bytes.toString(StandardCharsets.ISO_8859_1);
   }
 
-  /** The head of a message; its body is still to be read. Null at the connection's end. */
+  /** Reads the head of a message but not its body; returns null at the end of the connection. */
   public Message readHead() {
     String first = readLine();
     if (first == null) {
@@ -189,7 +189,7 @@
     return new Message(first, headers, "");
   }
 
-  /** A whole message; null at the connection's end before it. */
+  /** Reads a complete message; returns null at the end of the connection. */
   public Message readMessage() {
     Message head = readHead();
     if (head == null) {
@@ -203,7 +203,7 @@
       StringBuilder all = new StringBuilder();
       for (String chunk = readChunk(); chunk == null || !chunk.isEmpty(); chunk = readChunk()) {
         if (chunk == null) {
-          throw new UncheckedIOException(new IOException("cut after " + all));
+          throw new UncheckedIOException(new IOException("connection ended after " + all));
         }
         all.append(chunk);
       }
@@ -212,7 +212,7 @@
     return new Message(head.startLine(), head.headers(), body);
   }
 
-  /** The next chunk, empty for the last; null at the connection's end. */
+  /** Reads the next chunk, which is empty for the last one; null at the end of the connection. */
   public String readChunk() {
     String size = readLine();
     if (size == null) {
@@ -223,7 +223,7 @@
     return data;
   }
 
-  /** How many bytes still come before the peer's end or reset. */
+  /** Reads and counts the bytes up to the peer's close or reset. */
   public long countBytesUntilEnd() {
     long count = 0;
     while (read() >= 0) {
@@ -232,7 +232,7 @@
     return count;
   }
 
-  /** Whether the peer has ended the connection and sent nothing more. */
+  /** Waits for a byte or the peer's close; returns true if the peer closed without another byte. */
   public boolean isClosedByPeer() {
     return read() < 0;
   }
@@ -246,7 +246,7 @@
     }
   }
 
-  /** Sends nothing more, but goes on reading. */
+  /** Closes the sending direction; the connection can still be read. */
   public void shutdownOutput() {
     try {
       socket.shutdownOutput();
@@ -255,7 +255,7 @@
     }
   }
 
-  /** Ends it by a reset. */
+  /** Closes the connection by a TCP reset. */
   public void reset() {
     try {
       socket.setSoLinger(true, 0);
--- a/gateway/src/test/java/elmsail/gateway/RequestHandlingTest.java
+++ b/gateway/src/test/java/elmsail/gateway/RequestHandlingTest.java
@@ -19,11 +19,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The rules about what a client may expect: times, headers, leaving, and refusals. */
+/** Handling of requests: deadlines, forwarded headers, client disconnects and rejections. */
 class RequestHandlingTest extends GatewaySocketTest {
   private static final String DEADLINE = "Elmsail-Deadline-Ms";
 
-  /** Of every route of the rig. */
+  /** The timeout of each route of the harness. */
   private static final int ROUTE_TIMEOUT_MS = 5_000;
 
   private static int deadlineMs(Message received) {
@@ -34,7 +34,7 @@
     return allOf(greaterThan(0), lessThanOrEqualTo(max));
   }
 
-  /** BUDGET: what is left is counted from the client's arrival. */
+  /** The remaining deadline is counted from the arrival of the client's request. */
   @ParameterizedTest
   @ValueSource(strings = {"safe", "resume"})
   void retriedRequestCarriesTheRemainingDeadline(String route) throws Exception {
@@ -47,7 +47,7 @@
     assertThat(deadlineMs(harness.secondServer.accept().readMessage()), positiveUpTo(2_500));
   }
 
-  /** BUDGET: without a deadline that can be read, the route's own time is told. */
+  /** Without a valid deadline of the client, the route's timeout is sent to the server. */
   @ParameterizedTest
   @ValueSource(strings = {"X-None: 1", DEADLINE + ": soon", DEADLINE + ": -7", DEADLINE + ":"})
   void routeTimeoutIsSentWithoutAClientDeadline(String header) {
@@ -58,7 +58,7 @@
     }
   }
 
-  /** BUDGET: a client's deadline beyond the route's time is cut down to that. */
+  /** A client's deadline that exceeds the route's timeout is reduced to the timeout. */
   @Test
   void deadlineIsCappedAtTheRouteTimeout() {
     harness.request("unsafe", "a1", DEADLINE + ": 600000");
@@ -66,7 +66,9 @@
         deadlineMs(harness.firstServer.accept().readMessage()), positiveUpTo(ROUTE_TIMEOUT_MS));
   }
 
-  /** BUDGET: a request that waits behind another uses up its time meanwhile. */
+  /**
+   * The time that a pipelined request waits for the previous request counts against its deadline.
+   */
   @Test
   void pipelinedRequestsDeadlineCountsFromItsArrival() throws Exception {
     RawConnection client =
@@ -77,14 +79,14 @@
                     + GatewayTestHarness.requestText("unsafe", "a2", DEADLINE + ": 4000"));
     RawConnection server = harness.firstServer.acceptRequest();
     harness.timers.advance(3_000);
-    harness.onLoop(() -> null); // before the answer comes
+    harness.onLoop(() -> null); // the loop has handled the advance before the response arrives
     server.write(
         GatewayTestHarness.response(200, "a1", "x", "Elmsail-Postmark: p", "Connection: close"));
     assertThat(client.readMessage().status(), is(200));
     assertThat(deadlineMs(harness.firstServer.accept().readMessage()), positiveUpTo(1_000));
   }
 
-  /** BUDGET: tries bound the servers that got the request. */
+  /** The route's limit of attempts bounds the number of servers that receive the request. */
   @Test
   void requestReachesNoMoreServersThanItsRoutesAttempts() throws Exception {
     try (RawConnection.FakeServer third = new RawConnection.FakeServer()) {
@@ -104,7 +106,7 @@
     }
   }
 
-  /** The connection of whichever of these got the next one. */
+  /** Accepts the next connection that arrives at any of the servers. */
   private static RawConnection acceptFromAny(RawConnection.FakeServer... fakeServers) {
     for (long end = System.nanoTime() + 5_000_000_000L; System.nanoTime() < end; ) {
       for (RawConnection.FakeServer fakeServer : fakeServers) {
@@ -114,10 +116,10 @@
         }
       }
     }
-    throw new AssertionError("no server got it");
+    throw new AssertionError("no server received a connection within 5 s");
   }
 
-  /** GONE: a client that has sent more behind its request is seen to leave as well. */
+  /** A disconnect is also detected if the client has sent pipelined requests. */
   @ParameterizedTest
   @ValueSource(strings = {"safe", "unsafe", "stream", "resume"})
   void disconnectIsNoticedWithPipelinedRequests(String route) {
@@ -133,10 +135,13 @@
     RawConnection server = harness.firstServer.acceptRequest();
     client.close();
     assertThat(server.isClosedByPeer(), is(true));
-    assertThat("the others are not sent", harness.firstServer.hasNoConnection(), is(true));
+    assertThat(
+        "the pipelined requests are not forwarded",
+        harness.firstServer.hasNoConnection(),
+        is(true));
   }
 
-  /** GONE: who ends his side alone has left as well. */
+  /** A client that closes only its sending direction is treated as disconnected. */
   @ParameterizedTest
   @ValueSource(strings = {"safe", "stream", "resume"})
   void clientHalfCloseCountsAsDisconnect(String route) {
@@ -146,7 +151,7 @@
     assertThat(server.isClosedByPeer(), is(true));
   }
 
-  /** GONE: a stream under way is cut at the server, and is not taken up elsewhere. */
+  /** The open stream is closed at its server and not resumed at another server. */
   @Test
   void streamOfADisconnectedClientIsNotResumed() throws Exception {
     harness.listServers(harness.firstServer, harness.secondServer);
@@ -165,7 +170,7 @@
     assertThat(harness.secondServer.hasNoConnection(), is(true));
   }
 
-  /** CONFIG: at the route's time there is a final answer, whatever the client allows. */
+  /** Without a response of the server, the client receives 504 at the route's timeout. */
   @ParameterizedTest
   @CsvSource({"unsafe, 504", "safe, 504", "stream, 504"})
   void silentRequestIsAnsweredAtTheRouteTimeout(String route, int status) {
@@ -176,7 +181,7 @@
     assertThat(server.isClosedByPeer(), is(true));
   }
 
-  /** CONFIG: a stream under way at the route's time ends there, and does not look complete. */
+  /** A stream that is open at the route's timeout is aborted and does not look complete. */
   @ParameterizedTest
   @ValueSource(strings = {"stream", "resume"})
   void streamIsAbortedAtTheRouteTimeout(String route) {
@@ -192,7 +197,10 @@
     assertThat(server.isClosedByPeer(), is(true));
   }
 
-  /** DENIED: without a configuration nothing is denied, on no path. */
+  /**
+   * Without a configuration every path returns 503 with Retry-After, and no path returns a final
+   * rejection such as 404.
+   */
   @ParameterizedTest
   @ValueSource(
       strings = {
@@ -217,7 +225,7 @@
     assertThat(response.header("Retry-After"), is(notNullValue()));
   }
 
-  /** UNASKED: what describes the prompt reaches the server byte for byte. */
+  /** Headers that describe the prompt are forwarded to the server byte for byte. */
   @Test
   void promptHeadersPassUnchanged() {
     String model = "M odel;v=\"1\", x\u00e9\u00ff/%20";
@@ -239,7 +247,7 @@
     assertThat(received.header("Last-Event-Id"), is("3"));
   }
 
-  /** MIXED: a refusal of our own bears no server's stamp, whatever servers said. */
+  /** A rejection by the gateway itself has no postmark, whatever the server responded. */
   @ParameterizedTest
   @CsvSource({"Elmsail-Not-Run: 1, 503", "X-None: 1, 502"})
   void localReplyHasNoPostmark(String header, int status) {
@@ -252,7 +260,7 @@
     assertThat(response.body(), is(""));
   }
 
-  /** MIXED: a failure that bears a server's stamp has that server's status. */
+  /** An error response with a server's postmark is relayed with that server's status. */
   @ParameterizedTest
   @ValueSource(ints = {500, 422, 504, 400})
   void serverErrorKeepsItsStatusAndPostmark(int status) {
@@ -266,7 +274,10 @@
     assertThat(response.header("Versions"), is("4"));
   }
 
-  /** ORDER: versions pass, in the head and inside events; a resumed stream keeps its first head. */
+  /**
+   * Version fields in the head and in events are relayed. After a resumption the client still has
+   * the head of the first server.
+   */
   @Test
   void resumedStreamKeepsTheFirstResponseHead() throws Exception {
     harness.listServers(harness.firstServer, harness.secondServer);
@@ -312,7 +323,9 @@
         route.maxWaitingTokens());
   }
 
-  /** Each rank of the routes has its own urgency, before those of items. */
+  /**
+   * Each route priority maps to a distinct Priority header, more urgent than that of batch items.
+   */
   @ParameterizedTest
   @CsvSource({"0, 1", "1, 2", "3, 4", "5, 6", "9, 7"})
   void routePriorityMapsToADistinctPriorityHeader(int routePriority, int priorityHeader) {
@@ -324,16 +337,16 @@
         is(Integer.toString(priorityHeader)));
   }
 
-  /** LOST: what is read whole too late for the grace time is refused and not begun. */
+  /** A request that is completed too late in the grace period is rejected and not forwarded. */
   @Test
   void requestCompletedLateInAShutdownIsRejectedAndNotSent() throws Exception {
     String text = GatewayTestHarness.requestText("unsafe", "a1", "Expect: 100-continue");
     RawConnection client = harness.connectClient().write(text.substring(0, text.length() - 2));
-    assertThat("its head has come", client.readHead().status(), is(100));
+    assertThat("the gateway has received the request's head", client.readHead().status(), is(100));
     CompletableFuture<Void> stopped = harness.onLoop(harness.gateway::stop);
     harness.timers.advance(2_600);
     harness.timers.advance(500);
-    harness.onLoop(() -> null); // the time has passed before the rest comes
+    harness.onLoop(() -> null); // the loop has handled the advance before the rest arrives
     client.write(text.substring(text.length() - 2));
     Message response = client.readMessage();
     assertThat(response.status(), is(503));
--- a/gateway/src/test/java/elmsail/gateway/UsageCountingTest.java
+++ b/gateway/src/test/java/elmsail/gateway/UsageCountingTest.java
@@ -13,7 +13,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A request counts for its tenant once, with the first byte of a server's success. */
+/**
+ * A request is counted once for its tenant, at the first byte of a server's successful response.
+ */
 class UsageCountingTest extends GatewaySocketTest {
   private static final String KEY = "irth5mgjy5rcpihhacru";
   private static final String KNOWN_KEY = "Authorization: Bearer " + KEY;
@@ -49,7 +51,7 @@
     RawConnection client = harness.request("safe", "a1", KNOWN_KEY);
     RawConnection server = harness.firstServer.accept();
     server.readMessage();
-    assertThat("not before the response begins", started(), empty());
+    assertThat("not counted before the response starts", started(), empty());
     server.write(successResponse("a1", "done"));
     assertThat(client.readMessage().status(), is(200));
     assertThat(started(), contains("kaje80"));
--- a/gateway/src/test/java/elmsail/gateway/frontend/PipelinedRequestQueueTest.java
+++ b/gateway/src/test/java/elmsail/gateway/frontend/PipelinedRequestQueueTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What is read ahead of a client is bounded, and freed with it. */
+/** The queue of a client's pipelined requests is bounded, and its buffers are released. */
 class PipelinedRequestQueueTest {
   private final PipelinedRequestQueue queue = new PipelinedRequestQueue();
   private final List<ByteBuf> buffers = new ArrayList<>();
--- a/gateway/src/test/java/elmsail/gateway/http/PinnedNamesTest.java
+++ b/gateway/src/test/java/elmsail/gateway/http/PinnedNamesTest.java
@@ -10,10 +10,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Names that are known outside of the program: in dashboards, scripts, settings and clients. */
+/** Pins names that dashboards, scripts and clients use, so that a rename in the code fails here. */
 class PinnedNamesTest {
 
-  /** The families as they are exported, each with its type. */
+  /** The exported metric families, each with its type. */
   private static List<String> exportedFamilies(Counters counters) {
     return PrometheusText.format(counters)
         .lines()
@@ -66,7 +66,7 @@
             "elmsail_requests_key_revoked counter"));
   }
 
-  /** By their values alone, in the order of their declaration. */
+  /** Compares the values of the constants in the order of their declaration. */
   @Test
   void headerNamesAreUnchanged() throws IllegalAccessException {
     List<String> names = new ArrayList<>();
--- a/gateway/src/test/java/elmsail/gateway/load/LoadChannelTest.java
+++ b/gateway/src/test/java/elmsail/gateway/load/LoadChannelTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Datagrams over loopback, among them such as no gateway sends. */
+/** Sends datagrams over loopback to a channel, including datagrams that no gateway sends. */
 @Timeout(60)
 class LoadChannelTest {
   private static final int REPORTS_DURING_A_PAUSE = 160;
@@ -103,7 +103,7 @@
             bytes, bytes.length, new InetSocketAddress(InetAddress.getLoopbackAddress(), port)));
   }
 
-  /** Datagrams on one loopback socket arrive in order: the last one shows that all were read. */
+  /** Datagrams on one loopback socket arrive in order, so the last one shows that all were read. */
   private void sendLastAndAwait() throws Exception {
     sendToChannel(report(peerAddress(), Long.MAX_VALUE));
     lastReceived.get(30, TimeUnit.SECONDS);
@@ -171,7 +171,10 @@
     assertThat(AddressUnavailableException.findIn(failure).orElseThrow().address(), is(address));
   }
 
-  /** The aggregator of a zone of 14 gateways gets some 150 reports in a tenth of a second. */
+  /**
+   * The aggregator of a zone of 14 gateways receives some 150 reports in a tenth of a second. The
+   * receive buffer must hold the reports that arrive while the process is paused that long.
+   */
   @Test
   void reportsThatArriveWhileTheProcessIsPausedAreRead() throws Exception {
     CountDownLatch paused = new CountDownLatch(1);
--- a/gateway/src/test/java/elmsail/gateway/load/LoadExchangeTest.java
+++ b/gateway/src/test/java/elmsail/gateway/load/LoadExchangeTest.java
@@ -21,7 +21,9 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Gateways of three zones that tell each other their loads over links that lose datagrams. */
+/**
+ * Gateways of three zones exchange their loads over a simulated network that can lose datagrams.
+ */
 class LoadExchangeTest {
   private static final int GATEWAYS_PER_ZONE = 5;
   private static final List<String> ZONES = List.of("z1", "z2", "z3");
@@ -171,13 +173,16 @@
     timers.advance(LoadTable.VALID_MS + 600);
     assertThat(requestsSeenBy(members.get("z1-0:1"), "a"), is(2));
     assertThat(requestsSeenBy(members.get("z3-0:1"), "a"), is(2));
-    assertThat("goes by its own sight", requestsSeenBy(isolated, "a"), lessThanOrEqualTo(50));
+    assertThat(
+        "the isolated gateway sees no more than its own load",
+        requestsSeenBy(isolated, "a"),
+        lessThanOrEqualTo(50));
     partitioned.clear();
     timers.advance(9_000);
     assertEveryGatewaySeesTheTotal();
   }
 
-  /** Whichever it is: the one that speaks for its zone may be among them. */
+  /** Each gateway fails in turn, so each zone's aggregator is among the failed gateways. */
   @Test
   void zonesKeepExchangingSumsWhenAnyGatewayFails() {
     start();
@@ -190,7 +195,9 @@
       Member observer = members.get(failed.zone.equals("z3") ? "z2-4:1" : "z3-4:1");
       if (observer != failed && reporter != failed && observer != reporter) {
         assertThat(
-            "without " + failed.address, requestsSeenBy(observer, "a"), is(openRequests("a")));
+            "while failed: " + failed.address,
+            requestsSeenBy(observer, "a"),
+            is(openRequests("a")));
       }
       reporter.open("a", 0);
     }
--- a/gateway/src/test/java/elmsail/gateway/load/LoadTableTest.java
+++ b/gateway/src/test/java/elmsail/gateway/load/LoadTableTest.java
@@ -10,7 +10,7 @@
 import elmsail.runtime.ManualTimers;
 import org.junit.jupiter.api.Test;
 
-/** What is kept of other gateways' reports, by a clock of numbers. */
+/** Storage and expiry of other gateways' load reports, with a manual clock. */
 class LoadTableTest {
   private final ManualTimers timers = new ManualTimers();
   private final LoadTable table = new LoadTable("z1", timers);
--- a/gateway/src/test/java/elmsail/gateway/load/ProcessorQuotaTest.java
+++ b/gateway/src/test/java/elmsail/gateway/load/ProcessorQuotaTest.java
@@ -23,15 +23,19 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Gateways that run for a part of each tenth of a second exchange their loads: no aggregator is
- * passed over for a pause, and all see the total soon after it stops changing.
+ * Gateways whose processor quota lets them run only for a part of each tenth of a second exchange
+ * their loads. No aggregator may be suspended because of a pause by the quota, and all gateways
+ * must see the total soon after the loads stop changing.
  */
 class ProcessorQuotaTest {
   private static final int ZONES = 3;
   private static final int GATEWAYS_PER_ZONE = 6;
   private static final int DATAGRAM_DELAY_MS = 2;
 
-  /** Two pauses, of the reporter and of the aggregator, two intervals, and a third pause. */
+  /**
+   * The time within which all gateways see a changed total: a pause of the reporter, a pause of the
+   * aggregator, two intervals between reports, and a third pause.
+   */
   private static final long TOTAL_PROPAGATION_MS = 450;
 
   private final ManualTimers timers = new ManualTimers();
--- a/gateway/src/test/java/elmsail/gateway/load/ZoneMembersTest.java
+++ b/gateway/src/test/java/elmsail/gateway/load/ZoneMembersTest.java
@@ -13,21 +13,23 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Who sums a zone's loads up, by a clock of numbers. */
+/** Selection of the gateway that aggregates a zone's loads, with a manual clock. */
 class ZoneMembersTest {
   private static final List<String> ALL = List.of("a", "b", "c", "d");
   private static final List<String> RANKED = RendezvousHash.choose("z1", ALL, ALL.size());
 
   private final ManualTimers timers = new ManualTimers();
 
-  /** Of the last in the zone's order, so that all others come before it. */
+  /**
+   * The members as tracked by the last-ranked gateway, so that all other gateways rank before it.
+   */
   private final ZoneMembers members = new ZoneMembers(RANKED.get(3), "z1", timers);
 
   private void reportFromAll() {
     RANKED.subList(0, 3).forEach(address -> members.onReport(address, "z1", 1));
   }
 
-  /** All are heard, and the aggregator tells totals, for so long. */
+  /** Advances the clock while all gateways send reports and one gateway sends totals. */
   private void advanceWithReports(long ms, String totalSender) {
     for (long elapsedMs = 0; elapsedMs < ms; elapsedMs += 100) {
       timers.advance(100);
--- a/gateway/src/test/java/elmsail/gateway/usage/UsageMeterTest.java
+++ b/gateway/src/test/java/elmsail/gateway/usage/UsageMeterTest.java
@@ -120,9 +120,12 @@
         callsOfNextSecond(), containsInAnyOrder(N1 + " 0:a=2", N2 + " 0:a=2", N3 + " 0:a=2"));
     startRequests("a", 1);
     startRequests("b", 1);
-    assertThat("changes alone, as totals", callsOfNextSecond(), contains(N1 + " 0:a=3 0:b=1"));
     assertThat(
-        "an empty report still finds out who holds", callsOfNextSecond(), contains(N1 + " "));
+        "only changed counts, as totals", callsOfNextSecond(), contains(N1 + " 0:a=3 0:b=1"));
+    assertThat(
+        "an empty report is still sent, to find the lease holder",
+        callsOfNextSecond(),
+        contains(N1 + " "));
   }
 
   @Test
@@ -135,7 +138,7 @@
     leaseHolder = N2;
     startRequests("a", 1);
     assertThat(
-        "told at once that the lease is held no more",
+        "a former holder's response triggers reports to all voters immediately",
         callsOfNextSecond(),
         contains(N1 + " 0:a=4", N1 + " ", N2 + " 0:a=4", N3 + " 0:a=4"));
     assertThat(callsOfNextSecond(), contains(N2 + " "));
@@ -164,7 +167,8 @@
     processId = 2;
     startRequests("b", 1);
     assertThat(callsOfNextSecond(), contains(N1 + " 0:b=1"));
-    assertThat("all but what it has", callsOfNextSecond(), contains(N1 + " 0:a=2"));
+    assertThat(
+        "all counts that the restarted node lacks", callsOfNextSecond(), contains(N1 + " 0:a=2"));
   }
 
   @Test
@@ -177,7 +181,7 @@
       }
     }
     timers.advance(60_000);
-    assertThat("without counts nothing is reported", callsOfNextSecond(), empty());
+    assertThat("nothing is reported without counts", callsOfNextSecond(), empty());
   }
 
   @Test
