--- a/gateway/src/main/java/elmsail/gateway/frontend/ClientTimeouts.java
+++ b/gateway/src/main/java/elmsail/gateway/frontend/ClientTimeouts.java
@@ -44,7 +44,7 @@
     return idleSince + limits.idleTimeoutMs() + KEEP_ALIVE_GRACE_MS - now;
   }
 
-  /** The delay of the first check and the longest delay, as a request may begin after a check. */
+  /** The delay of the first check and the maximum: a request may begin right after a check. */
   long maxCheckIntervalMs() {
     return limits.headerTimeoutMs();
   }
--- a/gateway/src/main/java/elmsail/gateway/http/RequestCounters.java
+++ b/gateway/src/main/java/elmsail/gateway/http/RequestCounters.java
@@ -6,7 +6,10 @@
 /** Counters of request events since the start, registered among the metrics of the process. */
 public final class RequestCounters {
 
-  /** The counted events. Dashboards use the metric names, which differ from the constants. */
+  /**
+   * The counted events. Dashboards use the metric names, so a renamed constant keeps its metric
+   * name.
+   */
   public enum Event {
     /** Complete responses of servers that were relayed to clients. */
     SERVED("served"),
--- a/gateway/src/main/java/elmsail/gateway/load/LoadAggregator.java
+++ b/gateway/src/main/java/elmsail/gateway/load/LoadAggregator.java
@@ -17,7 +17,7 @@
 final class LoadAggregator {
   private static final long MIN_TOTAL_INTERVAL_MS = 25;
 
-  /** The interval of checks which gateway is the aggregator; each check wakes an idle process. */
+  /** The interval between checks for the current aggregator; each check wakes an idle process. */
   private static final long AGGREGATOR_CHECK_INTERVAL_MS = 130;
 
   /** An unchanged total is repeated after this time, as datagrams may be lost. */
--- a/gateway/src/main/java/elmsail/gateway/usage/ReportedCounts.java
+++ b/gateway/src/main/java/elmsail/gateway/usage/ReportedCounts.java
@@ -52,8 +52,8 @@
    * @param respondingProcessId the id of the process that responded. If the id differs from that of
    *     the previous response, another process has responded, which has none of the counts that the
    *     previous process acknowledged. That process may have started before the report was created,
-   *     so the report may omit counts that this process lacks. All counts that are not in the
-   *     report are reported again.
+   *     so the report may omit counts that the responding process lacks. All counts that are not in
+   *     the report are reported again.
    */
   void onAcknowledged(UsageReport report, long respondingProcessId) {
     if (respondingProcessId != processId) {
--- a/gateway/src/main/java/elmsail/gateway/usage/UsageMeter.java
+++ b/gateway/src/main/java/elmsail/gateway/usage/UsageMeter.java
@@ -55,7 +55,7 @@
    * @param clusterClock the clock that determines the current window
    * @param voters supplies the control-plane voters that this process knows
    * @param instanceId the id of this process, which is chosen at random at each start
-   * @param bounds contain the length of a window, above 0
+   * @param bounds the bounds with the length of a window, which is above 0
    */
   public UsageMeter(
       RpcClient rpcClient,
--- a/gateway/src/test/java/elmsail/gateway/GatewayListenTest.java
+++ b/gateway/src/test/java/elmsail/gateway/GatewayListenTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The start of a gateway fails if a listen address is in use, and names that address. */
+/** A gateway fails to start if a listen address is in use; the failure names that address. */
 @Timeout(60)
 class GatewayListenTest {
   private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
@@ -60,7 +60,7 @@
   }
 
   @Test
-  void clientAddressInUseFailsTheStartBeforeReadinessIsAnswered() throws Exception {
+  void clientAddressInUseFailsTheStartBeforeTheReadinessAddressIsBound() throws Exception {
     HeldPort free = HeldPort.any();
     String ready = "127.0.0.1:" + free.port();
     try (ServerSocket taken = new ServerSocket(0, 1, LOOPBACK)) {
--- a/gateway/src/test/java/elmsail/gateway/RawConnection.java
+++ b/gateway/src/test/java/elmsail/gateway/RawConnection.java
@@ -106,7 +106,7 @@
       }
     }
 
-    /** Whether no connection is pending. Closes a pending connection. */
+    /** Whether no connection is pending; a pending connection is accepted and closed. */
     public boolean hasNoConnection() {
       try {
         serverSocket.setSoTimeout(1);
--- a/gateway/src/test/java/elmsail/gateway/frontend/ClientTimeoutsTest.java
+++ b/gateway/src/test/java/elmsail/gateway/frontend/ClientTimeoutsTest.java
@@ -11,13 +11,13 @@
       new ClientTimeouts(new ClientLimits(2_048, 1 << 20, 3_000, 15_000));
 
   @Test
-  void headHasItsTimeoutFromTheFirstByte() {
+  void headTimeoutCountsFromTheFirstByte() {
     assertThat(timeouts.requestRemainingMs(1_000, 0, false, 1_000), is(3_000L));
     assertThat(timeouts.requestRemainingMs(1_000, 0, false, 4_000), is(0L));
   }
 
   @Test
-  void bodyHasAsLongAgainAndASecondForEach64KiB() {
+  void bodyTimeoutIsTheHeadTimeoutPlusASecondForEach64KiB() {
     assertThat(timeouts.requestRemainingMs(0, 0, true, 0), is(6_000L));
     assertThat(timeouts.requestRemainingMs(0, 2 * 64 * 1024, true, 0), is(8_000L));
   }
