--- a/gateway/src/main/java/elmsail/gateway/GatewayWarmUp.java
+++ b/gateway/src/main/java/elmsail/gateway/GatewayWarmUp.java
@@ -29,8 +29,8 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Serves one made-up stream from a stand-in server over loopback, so that a build can archive the
- * classes that a first request needs. Not for a process in service.
+ * Serves one synthetic stream from a fake server over loopback, so that a build can archive the
+ * classes that the first request loads. Must not run in a process that serves clients.
  */
 public final class GatewayWarmUp {
   private static final String LOOPBACK = "127.0.0.1:0";
@@ -42,12 +42,13 @@
   private GatewayWarmUp() {}
 
   /**
-   * Serves the stream; to be called on the loop.
+   * Serves the stream. Must be called on the loop.
    *
-   * @return completes on the loop with the bytes that the client received, when its connection ends
+   * @return completes on the loop, when the client's connection closes, with the bytes that the
+   *     client received
    */
   public static CompletableFuture<String> run(NettyEventLoop loop) {
-    CompletableFuture<String> got = new CompletableFuture<>();
+    CompletableFuture<String> received = new CompletableFuture<>();
     HttpServer.listen(
             loop,
             LOOPBACK,
@@ -75,18 +76,19 @@
                     new NoBatchJobs(),
                     ProcessMetrics.unlogged()))
         .whenComplete(
-            (gateway, fault) -> {
-              if (fault == null) {
-                request(loop, gateway, got);
+            (gateway, failure) -> {
+              if (failure == null) {
+                sendRequest(loop, gateway, received);
               } else {
-                got.completeExceptionally(fault);
+                received.completeExceptionally(failure);
               }
             });
-    return got;
+    return received;
   }
 
-  private static void request(NettyEventLoop loop, Gateway gateway, CompletableFuture<String> got) {
-    StringBuilder all = new StringBuilder();
+  private static void sendRequest(
+      NettyEventLoop loop, Gateway gateway, CompletableFuture<String> received) {
+    StringBuilder text = new StringBuilder();
     new Bootstrap()
         .group(loop.eventLoop())
         .channel(NioSocketChannel.class)
@@ -109,19 +111,19 @@
 
               @Override
               protected void channelRead0(ChannelHandlerContext ctx, ByteBuf bytes) {
-                all.append(bytes.toString(StandardCharsets.US_ASCII));
+                text.append(bytes.toString(StandardCharsets.US_ASCII));
               }
 
               @Override
               public void channelInactive(ChannelHandlerContext ctx) {
-                got.complete(all.toString());
+                received.complete(text.toString());
               }
             })
         .connect(Addresses.parse(gateway.clientAddress()))
         .addListener(
             f -> {
               if (!f.isSuccess()) {
-                got.completeExceptionally(f.cause());
+                received.completeExceptionally(f.cause());
               }
             });
   }
@@ -150,7 +152,7 @@
         null);
   }
 
-  /** A configuration with one route, and a list of one server. */
+  /** A cluster state with one route and one server. */
   private static final class SingleServerState implements ClusterState, RoutingConfig {
     private final List<ServerEntry> servers;
     private final Route route =
@@ -200,7 +202,7 @@
     }
 
     @Override
-    public void addListener(Runnable then) {}
+    public void addListener(Runnable listener) {}
 
     @Override
     public long version() {
@@ -238,32 +240,32 @@
     }
   }
 
-  /** A batch service without any jobs. */
+  /** A batch service that responds to each call with status 503. */
   private static final class NoBatchJobs implements BatchService {
-    private static CompletableFuture<Reply> none() {
+    private static CompletableFuture<Reply> unavailable() {
       return CompletableFuture.completedFuture(new Reply(503, new byte[0], 1));
     }
 
     @Override
     public CompletableFuture<Reply> submit(
         TenantName tenant, Route route, String jobId, byte[] body, long deadlineMs) {
-      return none();
+      return unavailable();
     }
 
     @Override
     public CompletableFuture<Reply> readResults(
         TenantName tenant, String jobId, long after, long waitMs) {
-      return none();
+      return unavailable();
     }
 
     @Override
     public CompletableFuture<Reply> readItemBody(TenantName tenant, String jobId, String itemId) {
-      return none();
+      return unavailable();
     }
 
     @Override
     public CompletableFuture<Reply> cancel(TenantName tenant, String jobId) {
-      return none();
+      return unavailable();
     }
   }
 }
--- a/gateway/src/main/java/elmsail/gateway/http/Headers.java
+++ b/gateway/src/main/java/elmsail/gateway/http/Headers.java
@@ -6,7 +6,7 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Header names of the protocol, and which headers of a message are end-to-end. */
+/** The protocol's header names, and the selection of a message's end-to-end headers. */
 public final class Headers {
   public static final String REQUEST_ID = "Elmsail-Request-Id";
   public static final String DEADLINE_MS = "Elmsail-Deadline-Ms";
@@ -22,27 +22,28 @@
   public static final String RETRY_AFTER = "Retry-After";
   public static final String EVENT_STREAM = "text/event-stream";
 
-  /** The name of the tenant, for the server; set by the gateway alone. */
+  /** The name of the tenant, for the server. Only the gateway sets this header. */
   public static final String SENDER = "Elmsail-Sender";
 
-  /** A client's key, for the gateway alone. */
+  /** A client's key. The gateway does not forward this header to servers. */
   public static final String AUTHORIZATION = "Authorization";
 
   public static final String WWW_AUTHENTICATE = "WWW-Authenticate";
 
   private Headers() {}
 
-  /** A copy without hop-by-hop headers (RFC 9110, section 7.6.1) and without the body's length. */
+  /** Copies the headers without hop-by-hop headers (RFC 9110, section 7.6.1) and Content-Length. */
   public static HttpHeaders endToEnd(HttpHeaders headers) {
     HttpHeaders endToEnd = new DefaultHttpHeaders();
     String connectionTokens = "";
     for (String value : headers.getAll("Connection")) {
       connectionTokens += "," + value.toLowerCase(Locale.ROOT);
     }
-    for (Iterator<Map.Entry<String, String>> all = headers.iteratorAsString(); all.hasNext(); ) {
-      Map.Entry<String, String> one = all.next();
-      if (!isHopByHop(one.getKey().toLowerCase(Locale.ROOT), connectionTokens)) {
-        endToEnd.add(one.getKey(), one.getValue());
+    for (Iterator<Map.Entry<String, String>> iterator = headers.iteratorAsString();
+        iterator.hasNext(); ) {
+      Map.Entry<String, String> header = iterator.next();
+      if (!isHopByHop(header.getKey().toLowerCase(Locale.ROOT), connectionTokens)) {
+        endToEnd.add(header.getKey(), header.getValue());
       }
     }
     return endToEnd;
@@ -68,8 +69,8 @@
   }
 
   private static boolean containsToken(String list, String name) {
-    for (String one : list.split(",")) {
-      if (one.trim().equals(name)) {
+    for (String token : list.split(",")) {
+      if (token.trim().equals(name)) {
         return true;
       }
     }
@@ -79,7 +80,7 @@
   /**
    * Parses a decimal number.
    *
-   * @return the number, 0 or more, or the default if the text is none
+   * @return the number, 0 or more, or the default if the text is not a decimal number
    */
   public static long parseNonNegative(String text, long defaultValue) {
     if (text == null || text.isEmpty() || text.length() > 18) {
--- a/gateway/src/test/java/elmsail/gateway/FakeClusterState.java
+++ b/gateway/src/test/java/elmsail/gateway/FakeClusterState.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** What a test says is known. */
+/** A cluster state and configuration that a test sets. */
 public final class FakeClusterState implements ClusterState, RoutingConfig {
   public static final String HOST = "nony24.example";
 
@@ -22,7 +22,7 @@
   public volatile List<ServerEntry> servers = List.of();
   public volatile boolean configured = true;
 
-  /** Tenants by their keys; null where requests need no keys. */
+  /** Tenants by key; null if requests need no keys. */
   public volatile Map<String, Tenant> tenantsByKey;
 
   public volatile long configConfirmedAgeMs;
@@ -30,8 +30,8 @@
   public final ClusterView view = new ClusterView();
   private final List<Runnable> listeners = new ArrayList<>();
 
-  /** A route of the name and prefix {@code /name/} to service "s". */
-  public void addRoute(String name, Route.Kind kind, int tries, boolean resume) {
+  /** Adds a route with the given name and the prefix {@code /name/} to service "s". */
+  public void addRoute(String name, Route.Kind kind, int maxAttempts, boolean resumable) {
     routes.put(
         "/" + name + "/",
         new Route(
@@ -43,57 +43,57 @@
             250,
             1,
             List.of(new Route.WeightedService("s", 1)),
-            tries,
-            resume,
+            maxAttempts,
+            resumable,
             150,
             0,
             0,
             0));
   }
 
-  /** Likewise a route whose requests need no key. */
-  public void addOpenRoute(String name, Route.Kind kind, int tries, boolean resume) {
-    addRoute(name, kind, tries, resume);
+  /** Adds a route whose requests need no key. */
+  public void addOpenRoute(String name, Route.Kind kind, int maxAttempts, boolean resumable) {
+    addRoute(name, kind, maxAttempts, resumable);
     routes.computeIfPresent(
         "/" + name + "/",
-        (prefix, one) ->
+        (prefix, route) ->
             new Route(
-                one.name(),
-                one.host(),
-                one.prefix(),
-                one.kind(),
-                one.timeoutMs(),
-                one.latencyTargetMs(),
-                one.priority(),
-                one.weightedServices(),
-                one.maxAttempts(),
-                one.resumable(),
-                one.tokenGapTargetMs(),
-                one.completionTargetMs(),
-                one.itemTtlMs(),
-                one.maxWaitingTokens(),
+                route.name(),
+                route.host(),
+                route.prefix(),
+                route.kind(),
+                route.timeoutMs(),
+                route.latencyTargetMs(),
+                route.priority(),
+                route.weightedServices(),
+                route.maxAttempts(),
+                route.resumable(),
+                route.tokenGapTargetMs(),
+                route.completionTargetMs(),
+                route.itemTtlMs(),
+                route.maxWaitingTokens(),
                 true));
   }
 
-  /** All routes hold a request for so long. */
+  /** Sets the request timeout of all routes. */
   public void setRouteTimeoutMs(long ms) {
     routes.replaceAll(
-        (prefix, one) ->
+        (prefix, route) ->
             new Route(
-                one.name(),
-                one.host(),
-                one.prefix(),
-                one.kind(),
+                route.name(),
+                route.host(),
+                route.prefix(),
+                route.kind(),
                 ms,
-                one.latencyTargetMs(),
-                one.priority(),
-                one.weightedServices(),
-                one.maxAttempts(),
-                one.resumable(),
-                one.tokenGapTargetMs(),
-                one.completionTargetMs(),
-                one.itemTtlMs(),
-                one.maxWaitingTokens()));
+                route.latencyTargetMs(),
+                route.priority(),
+                route.weightedServices(),
+                route.maxAttempts(),
+                route.resumable(),
+                route.tokenGapTargetMs(),
+                route.completionTargetMs(),
+                route.itemTtlMs(),
+                route.maxWaitingTokens()));
   }
 
   public void notifyListeners() {
@@ -126,8 +126,8 @@
   }
 
   @Override
-  public void addListener(Runnable then) {
-    listeners.add(then);
+  public void addListener(Runnable listener) {
+    listeners.add(listener);
   }
 
   @Override
--- a/gateway/src/test/java/elmsail/gateway/GatewayListenTest.java
+++ b/gateway/src/test/java/elmsail/gateway/GatewayListenTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What a gateway does about listen addresses that it cannot have. */
+/** A gateway fails to start if a listen address is in use; the failure names that address. */
 @Timeout(60)
 class GatewayListenTest {
   private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
@@ -53,14 +53,14 @@
     return "127.0.0.1:" + socket.getLocalPort();
   }
 
-  /** The address that kept the gateway from starting. */
+  /** The unavailable address that the failed start reports. */
   private static String unavailableAddress(CompletableFuture<Gateway> starting) {
     Throwable failure = assertThrows(ExecutionException.class, starting::get);
     return AddressUnavailableException.findIn(failure).orElseThrow().address();
   }
 
   @Test
-  void clientAddressInUseFailsTheStartBeforeReadinessIsAnswered() throws Exception {
+  void clientAddressInUseFailsTheStartBeforeTheReadinessAddressIsBound() throws Exception {
     HeldPort free = HeldPort.any();
     String ready = "127.0.0.1:" + free.port();
     try (ServerSocket taken = new ServerSocket(0, 1, LOOPBACK)) {
--- a/gateway/src/test/java/elmsail/gateway/RequestHandlingTest.java
+++ b/gateway/src/test/java/elmsail/gateway/RequestHandlingTest.java
@@ -19,52 +19,56 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The rules about what a client may expect: times, headers, leaving, and refusals. */
+/** Handling of requests: deadlines, forwarded headers, client disconnects and rejections. */
 class RequestHandlingTest extends GatewaySocketTest {
   private static final String DEADLINE = "Elmsail-Deadline-Ms";
 
-  /** Of every route of the rig. */
-  private static final int GIVE_UP_MS = 5_000;
+  /** The timeout of each route of the harness. */
+  private static final int ROUTE_TIMEOUT_MS = 5_000;
 
-  private static int deadline(Message received) {
+  private static int deadlineMs(Message received) {
     return Integer.parseInt(received.header(DEADLINE));
   }
 
-  private static Matcher<Integer> within(int most) {
-    return allOf(greaterThan(0), lessThanOrEqualTo(most));
+  private static Matcher<Integer> positiveUpTo(int max) {
+    return allOf(greaterThan(0), lessThanOrEqualTo(max));
   }
 
-  /** BUDGET: what is left is counted from the client's arrival. */
+  /** The remaining deadline is counted from the arrival of the client's request. */
   @ParameterizedTest
   @ValueSource(strings = {"safe", "resume"})
   void retriedRequestCarriesTheRemainingDeadline(String route) throws Exception {
     harness.listServers(harness.firstServer, harness.secondServer);
     harness.request(route, "a1", DEADLINE + ": 4000");
     RawConnection server = harness.firstServer.accept();
-    assertThat(deadline(server.readMessage()), within(4_000));
+    assertThat(deadlineMs(server.readMessage()), positiveUpTo(4_000));
     harness.timers.advance(1_500);
     server.reset();
-    assertThat(deadline(harness.secondServer.accept().readMessage()), within(2_500));
+    assertThat(deadlineMs(harness.secondServer.accept().readMessage()), positiveUpTo(2_500));
   }
 
-  /** BUDGET: without a deadline that can be read, the route's own time is told. */
+  /** Without a valid deadline of the client, the route's timeout is sent to the server. */
   @ParameterizedTest
   @ValueSource(strings = {"X-None: 1", DEADLINE + ": soon", DEADLINE + ": -7", DEADLINE + ":"})
   void routeTimeoutIsSentWithoutAClientDeadline(String header) {
     for (String route : List.of("safe", "unsafe", "stream")) {
       harness.request(route, "a1", header);
-      assertThat(deadline(harness.firstServer.accept().readMessage()), within(GIVE_UP_MS));
+      assertThat(
+          deadlineMs(harness.firstServer.accept().readMessage()), positiveUpTo(ROUTE_TIMEOUT_MS));
     }
   }
 
-  /** BUDGET: a client's deadline beyond the route's time is cut down to that. */
+  /** A client's deadline that exceeds the route's timeout is reduced to the timeout. */
   @Test
   void deadlineIsCappedAtTheRouteTimeout() {
     harness.request("unsafe", "a1", DEADLINE + ": 600000");
-    assertThat(deadline(harness.firstServer.accept().readMessage()), within(GIVE_UP_MS));
+    assertThat(
+        deadlineMs(harness.firstServer.accept().readMessage()), positiveUpTo(ROUTE_TIMEOUT_MS));
   }
 
-  /** BUDGET: a request that waits behind another uses up its time meanwhile. */
+  /**
+   * The time that a pipelined request waits for the previous request counts against its deadline.
+   */
   @Test
   void pipelinedRequestsDeadlineCountsFromItsArrival() throws Exception {
     RawConnection client =
@@ -75,21 +79,21 @@
                     + GatewayTestHarness.requestText("unsafe", "a2", DEADLINE + ": 4000"));
     RawConnection server = harness.firstServer.acceptRequest();
     harness.timers.advance(3_000);
-    harness.onLoop(() -> null); // before the answer comes
+    harness.onLoop(() -> null); // the loop has handled the advance before the response arrives
     server.write(
         GatewayTestHarness.response(200, "a1", "x", "Elmsail-Postmark: p", "Connection: close"));
     assertThat(client.readMessage().status(), is(200));
-    assertThat(deadline(harness.firstServer.accept().readMessage()), within(1_000));
+    assertThat(deadlineMs(harness.firstServer.accept().readMessage()), positiveUpTo(1_000));
   }
 
-  /** BUDGET: tries bound the servers that got the request. */
+  /** The route's limit of attempts bounds the number of servers that receive the request. */
   @Test
-  void requestReachesNoMoreServersThanItsAttempts() throws Exception {
+  void requestReachesNoMoreServersThanItsRoutesAttempts() throws Exception {
     try (RawConnection.FakeServer third = new RawConnection.FakeServer()) {
       harness.listServers(harness.firstServer, harness.secondServer, third);
       RawConnection client = harness.request("safe", "a1");
-      for (int tries = 0; tries < 2; tries++) {
-        RawConnection server = acceptedBy(harness.firstServer, harness.secondServer, third);
+      for (int attempt = 0; attempt < 2; attempt++) {
+        RawConnection server = acceptFromAny(harness.firstServer, harness.secondServer, third);
         server.readMessage();
         server.reset();
       }
@@ -102,20 +106,20 @@
     }
   }
 
-  /** The connection of whichever of these got the next one. */
-  private static RawConnection acceptedBy(RawConnection.FakeServer... stalls) {
+  /** Accepts the next connection that arrives at any of the servers. */
+  private static RawConnection acceptFromAny(RawConnection.FakeServer... fakeServers) {
     for (long end = System.nanoTime() + 5_000_000_000L; System.nanoTime() < end; ) {
-      for (RawConnection.FakeServer fakeServer : stalls) {
-        RawConnection one = fakeServer.pollConnection();
-        if (one != null) {
-          return one;
+      for (RawConnection.FakeServer fakeServer : fakeServers) {
+        RawConnection connection = fakeServer.pollConnection();
+        if (connection != null) {
+          return connection;
         }
       }
     }
-    throw new AssertionError("no server got it");
+    throw new AssertionError("no server received a connection within 5 s");
   }
 
-  /** GONE: a client that has sent more behind its request is seen to leave as well. */
+  /** A disconnect is also detected if the client has sent pipelined requests. */
   @ParameterizedTest
   @ValueSource(strings = {"safe", "unsafe", "stream", "resume"})
   void disconnectIsNoticedWithPipelinedRequests(String route) {
@@ -131,10 +135,13 @@
     RawConnection server = harness.firstServer.acceptRequest();
     client.close();
     assertThat(server.isClosedByPeer(), is(true));
-    assertThat("the others are not sent", harness.firstServer.hasNoConnection(), is(true));
+    assertThat(
+        "the pipelined requests are not forwarded",
+        harness.firstServer.hasNoConnection(),
+        is(true));
   }
 
-  /** GONE: who ends his side alone has left as well. */
+  /** A client that closes only its sending direction is treated as disconnected. */
   @ParameterizedTest
   @ValueSource(strings = {"safe", "stream", "resume"})
   void clientHalfCloseCountsAsDisconnect(String route) {
@@ -144,7 +151,7 @@
     assertThat(server.isClosedByPeer(), is(true));
   }
 
-  /** GONE: a stream under way is cut at the server, and is not taken up elsewhere. */
+  /** The open stream is closed at its server and not resumed at another server. */
   @Test
   void streamOfADisconnectedClientIsNotResumed() throws Exception {
     harness.listServers(harness.firstServer, harness.secondServer);
@@ -163,18 +170,18 @@
     assertThat(harness.secondServer.hasNoConnection(), is(true));
   }
 
-  /** CONFIG: at the route's time there is a final answer, whatever the client allows. */
+  /** Without a response of the server, the client receives 504 at the route's timeout. */
   @ParameterizedTest
   @CsvSource({"unsafe, 504", "safe, 504", "stream, 504"})
   void silentRequestIsAnsweredAtTheRouteTimeout(String route, int status) {
     RawConnection client = harness.request(route, "a1");
     RawConnection server = harness.firstServer.acceptRequest();
-    harness.timers.advance(GIVE_UP_MS);
+    harness.timers.advance(ROUTE_TIMEOUT_MS);
     assertThat(client.readMessage().status(), is(status));
     assertThat(server.isClosedByPeer(), is(true));
   }
 
-  /** CONFIG: a stream under way at the route's time ends there, and does not look complete. */
+  /** A stream that is open at the route's timeout is aborted and does not look complete. */
   @ParameterizedTest
   @ValueSource(strings = {"stream", "resume"})
   void streamIsAbortedAtTheRouteTimeout(String route) {
@@ -185,12 +192,15 @@
         .write(GatewayTestHarness.chunk(GatewayTestHarness.event(0)));
     client.readHead();
     client.readChunk();
-    harness.timers.advance(GIVE_UP_MS);
+    harness.timers.advance(ROUTE_TIMEOUT_MS);
     assertThat(client.readChunk(), is(nullValue()));
     assertThat(server.isClosedByPeer(), is(true));
   }
 
-  /** DENIED: without a configuration nothing is denied, on no path. */
+  /**
+   * Without a configuration every path returns 503 with Retry-After, and no path returns a final
+   * rejection such as 404.
+   */
   @ParameterizedTest
   @ValueSource(
       strings = {
@@ -215,7 +225,7 @@
     assertThat(response.header("Retry-After"), is(notNullValue()));
   }
 
-  /** UNASKED: what describes the prompt reaches the server byte for byte. */
+  /** Headers that describe the prompt are forwarded to the server byte for byte. */
   @Test
   void promptHeadersPassUnchanged() {
     String model = "M odel;v=\"1\", x\u00e9\u00ff/%20";
@@ -237,7 +247,7 @@
     assertThat(received.header("Last-Event-Id"), is("3"));
   }
 
-  /** MIXED: a refusal of our own bears no server's stamp, whatever servers said. */
+  /** A rejection by the gateway itself has no postmark, whatever the server responded. */
   @ParameterizedTest
   @CsvSource({"Elmsail-Not-Run: 1, 503", "X-None: 1, 502"})
   void localReplyHasNoPostmark(String header, int status) {
@@ -250,7 +260,7 @@
     assertThat(response.body(), is(""));
   }
 
-  /** MIXED: a failure that bears a server's stamp has that server's status. */
+  /** An error response with a server's postmark is relayed with that server's status. */
   @ParameterizedTest
   @ValueSource(ints = {500, 422, 504, 400})
   void serverErrorKeepsItsStatusAndPostmark(int status) {
@@ -264,7 +274,10 @@
     assertThat(response.header("Versions"), is("4"));
   }
 
-  /** ORDER: versions pass, in the head and inside events; a resumed stream keeps its first head. */
+  /**
+   * Version fields in the head and in events are relayed. After a resumption the client still has
+   * the head of the first server.
+   */
   @Test
   void resumedStreamKeepsTheFirstResponseHead() throws Exception {
     harness.listServers(harness.firstServer, harness.secondServer);
@@ -292,15 +305,15 @@
     assertThat(client.readChunk(), is(""));
   }
 
-  private static Route routeWith(Route route, long giveUpMs, int precedence) {
+  private static Route routeWith(Route route, long timeoutMs, int priority) {
     return new Route(
         route.name(),
         route.host(),
         route.prefix(),
         route.kind(),
-        giveUpMs,
+        timeoutMs,
         route.latencyTargetMs(),
-        precedence,
+        priority,
         route.weightedServices(),
         route.maxAttempts(),
         route.resumable(),
@@ -310,28 +323,30 @@
         route.maxWaitingTokens());
   }
 
-  /** Each rank of the routes has its own urgency, before those of items. */
+  /**
+   * Each route priority maps to a distinct Priority header, more urgent than that of batch items.
+   */
   @ParameterizedTest
   @CsvSource({"0, 1", "1, 2", "3, 4", "5, 6", "9, 7"})
-  void routePrecedenceMapsToADistinctPriority(int precedence, int priority) {
+  void routePriorityMapsToADistinctPriorityHeader(int routePriority, int priorityHeader) {
     harness.clusterState.routes.computeIfPresent(
-        "/unsafe/", (prefix, r) -> routeWith(r, GIVE_UP_MS, precedence));
+        "/unsafe/", (prefix, r) -> routeWith(r, ROUTE_TIMEOUT_MS, routePriority));
     harness.request("unsafe", "a1");
     assertThat(
         harness.firstServer.accept().readMessage().header("Priority"),
-        is(Integer.toString(priority)));
+        is(Integer.toString(priorityHeader)));
   }
 
-  /** LOST: what is read whole too late for the grace time is refused and not begun. */
+  /** A request that is completed too late in the grace period is rejected and not forwarded. */
   @Test
   void requestCompletedLateInAShutdownIsRejectedAndNotSent() throws Exception {
     String text = GatewayTestHarness.requestText("unsafe", "a1", "Expect: 100-continue");
     RawConnection client = harness.connectClient().write(text.substring(0, text.length() - 2));
-    assertThat("its head has come", client.readHead().status(), is(100));
+    assertThat("the gateway has received the request's head", client.readHead().status(), is(100));
     CompletableFuture<Void> stopped = harness.onLoop(harness.gateway::stop);
     harness.timers.advance(2_600);
     harness.timers.advance(500);
-    harness.onLoop(() -> null); // the time has passed before the rest comes
+    harness.onLoop(() -> null); // the loop has handled the advance before the rest arrives
     client.write(text.substring(text.length() - 2));
     Message response = client.readMessage();
     assertThat(response.status(), is(503));
--- a/gateway/src/test/java/elmsail/gateway/http/PinnedNamesTest.java
+++ b/gateway/src/test/java/elmsail/gateway/http/PinnedNamesTest.java
@@ -10,11 +10,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Names that are known outside of the program: in dashboards, scripts, settings and clients. */
+/** Pins names that dashboards, scripts and clients use, so that a rename in the code fails here. */
 class PinnedNamesTest {
 
-  /** The families as they are exported, each with its type. */
-  private static List<String> exported(Counters counters) {
+  /** The exported metric families, each with its type. */
+  private static List<String> exportedFamilies(Counters counters) {
     return PrometheusText.format(counters)
         .lines()
         .filter(line -> line.startsWith("# TYPE "))
@@ -23,11 +23,11 @@
   }
 
   @Test
-  void metrics() {
+  void metricNamesAreUnchanged() {
     Counters counters = new Counters();
     new RequestCounters(counters);
     assertThat(
-        exported(counters),
+        exportedFamilies(counters),
         contains(
             "elmsail_requests_served counter",
             "elmsail_requests_refused_no_configuration counter",
@@ -66,9 +66,9 @@
             "elmsail_requests_key_revoked counter"));
   }
 
-  /** By their values alone, in the order of their declaration. */
+  /** Compares the values of the constants in the order of their declaration. */
   @Test
-  void headers() throws IllegalAccessException {
+  void headerNamesAreUnchanged() throws IllegalAccessException {
     List<String> names = new ArrayList<>();
     for (Field field : Headers.class.getFields()) {
       names.add((String) field.get(null));
