--- a/controlplane/src/test/java/elmsail/controlplane/ProcessorQuotaTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ProcessorQuotaTest.java
@@ -115,7 +115,7 @@
       assertThat(maxServerListAgeMs(), lessThanOrEqualTo(2_500L));
       assertThat(term, greaterThan(0L));
       System.out.printf(
-          "%.2f of a core, seed %d: acknowledged after %d ms, at all gateways %d ms later at most%n",
+          "%.2f of a core, seed %d: acknowledged after %d ms, at gateways %d ms later at most%n",
           share, seed, slowestAckMs, slowestInForceMs);
     }
   }
