--- /dev/null
+++ b/members/src/main/java/willowdoor/members/AntiEntropy.java
@@ -0,0 +1,240 @@
+package willowdoor.members;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.random.RandomGenerator;
+
+/**
+ * Exchanges views: regularly with one random member, out of turn where views differ, and to join.
+ * The asker sends prints of its pages, the other what it has on those that differ, the asker what
+ * it knows better.
+ */
+final class AntiEntropy {
+
+  /** Datagrams of one answer at most; what is left is asked for again. */
+  private static final int MAX_RESPONSE_PARTS = 4;
+
+  /** Answers within one gap between exchanges at most, and members told of a dispute. */
+  private static final int MAX_PER_GAP = 4;
+
+  /** Members asked at once to join. */
+  private static final int JOIN_REQUESTS = 2;
+
+  /** Answers to exchanges before these are not answered in turn. */
+  private static final int RECENT_REQUESTS = 8;
+
+  private final ProtocolContext context;
+  private final View view;
+  private final int self;
+  private final Timing timing;
+  private final EncodedSizes sizes;
+  private final RandomGenerator random;
+  private final long joinAloneAt;
+
+  /** Parts that have come of the answers that a join waits for, as bits. */
+  private final Map<Long, Integer> receivedParts = new HashMap<>();
+
+  private long seq;
+  private long nextJoin;
+  private long nextExchange;
+
+  /** From when an exchange out of turn may be. */
+  private long nextExtraExchange;
+
+  private final RateLimiter responseLimiter;
+  private final RateLimiter failureNoticeLimiter;
+
+  AntiEntropy(
+      ProtocolContext context,
+      View view,
+      int self,
+      Timing timing,
+      EncodedSizes sizes,
+      RandomGenerator random,
+      long now) {
+    this.context = context;
+    this.view = view;
+    this.self = self;
+    this.timing = timing;
+    this.sizes = sizes;
+    this.random = random;
+    nextJoin = now;
+    nextExchange = now + random.nextLong(timing.exchangeMs());
+    nextExtraExchange = now;
+    joinAloneAt = now + timing.joinAloneMs();
+    responseLimiter = new RateLimiter(MAX_PER_GAP, timing.exchangeGapMs(), now);
+    failureNoticeLimiter = new RateLimiter(MAX_PER_GAP, timing.exchangeGapMs(), now);
+  }
+
+  long nextWake(boolean joined) {
+    return joined ? nextExchange : Math.min(nextJoin, joinAloneAt);
+  }
+
+  void tick(boolean joined, long now) {
+    if (!joined) {
+      join(now);
+    } else if (now >= nextExchange) {
+      nextExchange = now + timing.exchangeMs();
+      int other = randomMember(true);
+      if (other >= 0) {
+        sendRequest(other, now);
+      }
+    }
+  }
+
+  /** The process was held up for so long. */
+  void postpone(long ms) {
+    nextExchange += ms;
+    nextJoin += ms;
+  }
+
+  private void join(long now) {
+    if (now >= joinAloneAt || view.size() == 1) {
+      context.joinCompleted();
+      return;
+    }
+    if (now >= nextJoin) {
+      nextJoin = now + timing.joinRetryMs();
+      receivedParts.clear();
+      for (int i = 0; i < JOIN_REQUESTS; i++) {
+        sendRequest(randomMember(false), now);
+      }
+    }
+  }
+
+  /** Another member by chance, of the present ones only or of all; -1 where none is present. */
+  private int randomMember(boolean presentOnly) {
+    int candidates =
+        presentOnly ? view.present() - (view.get(self).state().present() ? 1 : 0) : view.size() - 1;
+    int chosen = candidates <= 0 ? -1 : random.nextInt(candidates);
+    for (int i = 0; chosen >= 0 && i < view.size(); i++) {
+      if (i != self && (!presentOnly || view.get(i).state().present()) && chosen-- == 0) {
+        return i;
+      }
+    }
+    return -1;
+  }
+
+  private void sendRequest(int other, long now) {
+    nextExtraExchange =
+        now + timing.exchangeGapMs() + random.nextLong(timing.exchangeGapMs() / 2 + 1);
+    context.count(Count.EXCHANGES);
+    context.send(other, new Message.ExchangeRequest(++seq, view.pageChecksums(seq)));
+  }
+
+  /**
+   * A member was heard whose view differs: it was absent until now, or nobody has the own view any
+   * more.
+   */
+  void handleDifferingView(int from, boolean absent, boolean noEqualView, long now) {
+    if ((absent || noEqualView) && now >= nextExtraExchange) {
+      sendRequest(from, now);
+    }
+  }
+
+  /** Whether one more answer is within the rate. */
+  boolean tryAcquireResponse(long now) {
+    boolean may = responseLimiter.tryAcquire(now);
+    if (!may) {
+      context.count(Count.ANSWERS_SPARED);
+    }
+    return may;
+  }
+
+  /** Whether one more member may be told at once that others hold it for failed. */
+  boolean tryAcquireFailureNotice(long now) {
+    return failureNoticeLimiter.tryAcquire(now);
+  }
+
+  /** Answers with all that differs, from a place by chance on, as far as it may be sent at once. */
+  void handleRequest(int from, Message.ExchangeRequest exchange, boolean sameRoster, long now) {
+    if (!tryAcquireResponse(now)) {
+      return;
+    }
+    context.count(Count.ANSWERS);
+    List<Statement> all = new ArrayList<>();
+    for (int page :
+        view.differingPages(sameRoster ? exchange.pageChecksums() : new byte[0], exchange.seq())) {
+      view.page(page).stream()
+          .filter(s -> s.generation() > 0 && s.member() != from)
+          .forEach(all::add);
+    }
+    int begin = all.isEmpty() ? 0 : random.nextInt(all.size());
+    List<Statement> inOrder = new ArrayList<>();
+    // What is known of the asker decides whether it may go by its generation.
+    if (view.get(from).generation() > 0) {
+      inOrder.add(view.get(from));
+    }
+    inOrder.addAll(all.subList(begin, all.size()));
+    inOrder.addAll(all.subList(0, begin));
+    List<List<Statement>> responseParts = splitIntoParts(inOrder);
+    int sent = responseParts.stream().mapToInt(List::size).sum();
+    for (int i = 0; i < responseParts.size(); i++) {
+      Message.ExchangeResponse part =
+          new Message.ExchangeResponse(
+              exchange.seq(), i, responseParts.size(), inOrder.size() - sent);
+      context.send(from, part, responseParts.get(i));
+    }
+  }
+
+  /** One part at least, and no more than may be sent at once. */
+  private List<List<Statement>> splitIntoParts(List<Statement> statements) {
+    List<List<Statement>> parts = new ArrayList<>();
+    parts.add(new ArrayList<>());
+    int room = sizes.statementRoom();
+    for (Statement statement : statements) {
+      int size = sizes.of(statement);
+      if (size > room || parts.get(parts.size() - 1).size() == Message.MAX_STATEMENTS) {
+        if (parts.size() == MAX_RESPONSE_PARTS) {
+          return parts;
+        }
+        parts.add(new ArrayList<>());
+        room = sizes.statementRoom();
+      }
+      parts.get(parts.size() - 1).add(statement);
+      room -= size;
+    }
+    return parts;
+  }
+
+  /** Of what one part of an answer tells, what is known better here; before it is taken over. */
+  List<Statement> newerThan(List<Statement> received) {
+    List<Statement> newer = new ArrayList<>();
+    for (Statement statement : received) {
+      Statement known = view.get(statement.member());
+      if (known.supersedes(statement)) {
+        newer.add(known);
+      }
+    }
+    return newer;
+  }
+
+  /** One part of an answer has come and was taken over. */
+  void handleResponse(
+      int from,
+      Message.ExchangeResponse response,
+      List<Statement> newer,
+      boolean joined,
+      long now) {
+    if (response.seq() > seq || response.seq() <= seq - RECENT_REQUESTS) {
+      return;
+    }
+    if (!newer.isEmpty()) {
+      splitIntoParts(newer)
+          .forEach(b -> context.send(from, new Message.ExchangeUpdate(response.seq()), b));
+    }
+    if (joined) {
+      return;
+    }
+    int received = receivedParts.merge(response.seq(), 1 << response.part(), (a, b) -> a | b);
+    if (Integer.bitCount(received) == response.parts()) {
+      if (response.remaining() == 0) {
+        context.joinCompleted();
+      } else {
+        nextJoin = now;
+      }
+    }
+  }
+}
--- a/members/src/main/java/willowdoor/members/CborReader.java
+++ b/members/src/main/java/willowdoor/members/CborReader.java
@@ -47,10 +47,10 @@
     return next != JsonToken.END_ARRAY;
   }
 
-  String text(int most) throws IOException {
+  String text(int max) throws IOException {
     expect(JsonToken.VALUE_STRING);
     String text = in.getText();
-    if (text.isEmpty() || text.length() > most) {
+    if (text.isEmpty() || text.length() > max) {
       throw new IOException("a text of " + text.length() + " characters");
     }
     return text;
@@ -60,37 +60,37 @@
     return number(Long.MIN_VALUE, Long.MAX_VALUE);
   }
 
-  int whole(int least) throws IOException {
-    return (int) number(least, Integer.MAX_VALUE - 1);
+  int integer(int min) throws IOException {
+    return (int) number(min, Integer.MAX_VALUE - 1);
   }
 
-  long number(long least, long most) throws IOException {
+  long number(long min, long max) throws IOException {
     expect(JsonToken.VALUE_NUMBER_INT);
     if (in.getNumberType() == JsonParser.NumberType.BIG_INTEGER) {
       throw new IOException("a number out of bounds");
     }
     long number = in.getLongValue();
-    if (number < least || number > most) {
+    if (number < min || number > max) {
       throw new IOException("a number out of bounds");
     }
     return number;
   }
 
-  byte[] bytes(int most) throws IOException {
+  byte[] bytes(int max) throws IOException {
     expect(JsonToken.VALUE_EMBEDDED_OBJECT);
     byte[] bytes = in.getBinaryValue();
-    if (bytes.length > most) {
+    if (bytes.length > max) {
       throw new IOException("too many bytes");
     }
     return bytes;
   }
 
-  /** An array of so many items at most; those that are read as null are left out. */
-  <T> List<T> list(int most, Item<T> item) throws IOException {
+  /** An array of so many items at max; those that are read as null are left out. */
+  <T> List<T> list(int max, Item<T> item) throws IOException {
     begin();
     List<T> items = new ArrayList<>();
     for (int i = 0; more(); i++) {
-      if (i == most) {
+      if (i == max) {
         throw new IOException("too many items");
       }
       T read = item.read(this);
--- a/members/src/main/java/willowdoor/members/Codec.java
+++ b/members/src/main/java/willowdoor/members/Codec.java
@@ -33,11 +33,11 @@
   }
 
   /** Why a datagram was dropped. */
-  static final class Dropped extends Exception {
+  static final class DroppedDatagramException extends Exception {
     private static final long serialVersionUID = 1;
     final Count reason;
 
-    Dropped(Count reason) {
+    DroppedDatagramException(Count reason) {
       super(reason.name(), null, false, false);
       this.reason = reason;
     }
@@ -69,8 +69,8 @@
         out.writeNumber(header.rosterVersion());
         out.writeNumber(header.rosterHash());
         body(out, message.body());
-        out.writeStartArray(message, message.news().size());
-        for (Statement statement : message.news()) {
+        out.writeStartArray(message, message.statements().size());
+        for (Statement statement : message.statements()) {
           statement(out, statement);
         }
         out.writeEndArray();
@@ -80,11 +80,11 @@
       throw new IllegalStateException("writing to memory failed", e);
     }
     byte[] datagram = bytes.toByteArray();
-    return seal(datagram, datagram.length);
+    return writeChecksum(datagram, datagram.length);
   }
 
   /** Puts the checksum in front of so many bytes. */
-  static byte[] seal(byte[] datagram, int length) {
+  static byte[] writeChecksum(byte[] datagram, int length) {
     ByteBuffer.wrap(datagram).putInt(checksum(datagram, length));
     return datagram;
   }
@@ -109,17 +109,17 @@
     } else if (body instanceof Message.Nack nack) {
       kind(out, Kind.NACK, nack.seq(), 1);
       out.writeString(roster.name(nack.subject()));
-    } else if (body instanceof Message.News) {
+    } else if (body instanceof Message.Gossip) {
       kind(out, Kind.NEWS, 0, 0);
-    } else if (body instanceof Message.Exchange exchange) {
+    } else if (body instanceof Message.ExchangeRequest exchange) {
       kind(out, Kind.EXCHANGE, exchange.seq(), 1);
-      out.writeBinary(exchange.prints());
-    } else if (body instanceof Message.Pages pages) {
+      out.writeBinary(exchange.pageChecksums());
+    } else if (body instanceof Message.ExchangeResponse pages) {
       kind(out, Kind.PAGES, pages.seq(), 3);
       out.writeNumber(pages.part());
       out.writeNumber(pages.parts());
-      out.writeNumber(pages.left());
-    } else if (body instanceof Message.Better better) {
+      out.writeNumber(pages.remaining());
+    } else if (body instanceof Message.ExchangeUpdate better) {
       kind(out, Kind.BETTER, better.seq(), 0);
     }
     out.writeEndArray();
@@ -164,43 +164,43 @@
    * A datagram of so many bytes that came from the member at the place; its sender's address tells
    * who that is.
    */
-  Message decode(byte[] datagram, int length, int from) throws Dropped {
-    if (length > Sizes.DATAGRAM) {
-      throw new Dropped(Count.TOO_LONG);
+  Message decode(byte[] datagram, int length, int from) throws DroppedDatagramException {
+    if (length > EncodedSizes.MAX_DATAGRAM_BYTES) {
+      throw new DroppedDatagramException(Count.TOO_LONG);
     }
     if (length <= CHECKSUM_BYTES
         || ByteBuffer.wrap(datagram).getInt() != checksum(datagram, length)) {
-      throw new Dropped(Count.CHECKSUM);
+      throw new DroppedDatagramException(Count.CHECKSUM);
     }
     try (CborReader in = new CborReader(datagram, CHECKSUM_BYTES, length - CHECKSUM_BYTES)) {
       in.begin();
       if (in.number(0, Integer.MAX_VALUE) != PROTOCOL) {
-        throw new Dropped(Count.OTHER_PROTOCOL);
+        throw new DroppedDatagramException(Count.OTHER_PROTOCOL);
       }
-      if (!in.text(Roster.MOST_NAME).equals(roster.fleet())) {
-        throw new Dropped(Count.OTHER_FLEET);
+      if (!in.text(Roster.MAX_NAME_LENGTH).equals(roster.fleet())) {
+        throw new DroppedDatagramException(Count.OTHER_FLEET);
       }
-      if (!in.text(Roster.MOST_NAME).equals(roster.name(from))) {
-        throw new Dropped(Count.OTHER_NAME);
+      if (!in.text(Roster.MAX_NAME_LENGTH).equals(roster.name(from))) {
+        throw new DroppedDatagramException(Count.OTHER_NAME);
       }
-      if (!in.text(Roster.MOST_NAME).equals(roster.name(self))) {
-        throw new Dropped(Count.NOT_FOR_ME);
+      if (!in.text(Roster.MAX_NAME_LENGTH).equals(roster.name(self))) {
+        throw new DroppedDatagramException(Count.NOT_FOR_ME);
       }
       Message.Header header =
           new Message.Header(
               from,
               self,
-              in.number(1, Generation.MOST),
+              in.number(1, Generation.MAX),
               in.number(),
-              in.whole(0),
+              in.integer(0),
               (int) in.number(Integer.MIN_VALUE, Integer.MAX_VALUE));
       Message.Body body = body(in);
-      List<Statement> news = in.list(Message.MOST_NEWS, this::statement);
+      List<Statement> news = in.list(Message.MAX_STATEMENTS, this::statement);
       in.end();
       in.atEnd();
       return new Message(header, body, news);
     } catch (IOException | RuntimeException e) {
-      throw new Dropped(Count.MALFORMED);
+      throw new DroppedDatagramException(Count.MALFORMED);
     }
   }
 
@@ -214,26 +214,28 @@
           case ACK -> new Message.Ack(seq, subject(in));
           case PING_REQUEST ->
               new Message.PingRequest(
-                  seq, subject(in), (int) in.number(1, Message.PingRequest.MOST_WAIT_MS));
+                  seq, subject(in), (int) in.number(1, Message.PingRequest.MAX_WAIT_MS));
           case NACK -> new Message.Nack(seq, subject(in));
-          case PAGES -> pages(seq, (int) in.number(0, 30), (int) in.number(1, 31), in.whole(0));
-          case EXCHANGE -> new Message.Exchange(seq, in.bytes(View.MOST_PAGES * View.PRINT_BYTES));
-          case BETTER -> new Message.Better(seq);
-          default -> new Message.News();
+          case PAGES -> pages(seq, (int) in.number(0, 30), (int) in.number(1, 31), in.integer(0));
+          case EXCHANGE ->
+              new Message.ExchangeRequest(seq, in.bytes(View.MAX_PAGES * View.PAGE_CHECKSUM_BYTES));
+          case BETTER -> new Message.ExchangeUpdate(seq);
+          default -> new Message.Gossip();
         };
     in.end();
     return body;
   }
 
-  private static Message.Pages pages(long seq, int part, int parts, int left) throws IOException {
+  private static Message.ExchangeResponse pages(long seq, int part, int parts, int left)
+      throws IOException {
     if (part >= parts) {
       throw new IOException("a part behind the last one");
     }
-    return new Message.Pages(seq, part, parts, left);
+    return new Message.ExchangeResponse(seq, part, parts, left);
   }
 
   private int subject(CborReader in) throws IOException {
-    int place = roster.place(in.text(Roster.MOST_NAME));
+    int place = roster.indexOf(in.text(Roster.MAX_NAME_LENGTH));
     if (place < 0) {
       throw new IOException("a subject that the roster does not have");
     }
@@ -243,18 +245,18 @@
   /** Null where the roster does not have the name: the sender may have another one. */
   private Statement statement(CborReader in) throws IOException {
     in.begin();
-    int member = roster.place(in.text(Roster.MOST_NAME));
-    long generation = in.number(1, Generation.MOST);
-    long life = in.number(0, (long) Statement.MOST_INCARNATION * MemberState.count());
+    int member = roster.indexOf(in.text(Roster.MAX_NAME_LENGTH));
+    long generation = in.number(1, Generation.MAX);
+    long life = in.number(0, (long) Statement.MAX_INCARNATION * MemberState.count());
     int incarnation = (int) (life / MemberState.count());
     MemberState state = MemberState.of((int) (life % MemberState.count()));
     List<Integer> accusers =
         !in.more()
             ? List.of()
             : in.list(
-                Statement.MOST_ACCUSERS,
+                Statement.MAX_ACCUSERS,
                 i -> {
-                  int accuser = roster.place(i.text(Roster.MOST_NAME));
+                  int accuser = roster.indexOf(i.text(Roster.MAX_NAME_LENGTH));
                   return accuser < 0 ? null : accuser;
                 });
     Tags tags = in.more() ? tags(in) : Tags.NONE;
@@ -276,7 +278,7 @@
     in.begin();
     Tags tags = Tags.NONE;
     while (in.more()) {
-      tags = tags.with(in.text(Tags.MOST_NAME), in.bytes(Tags.MOST_BYTES));
+      tags = tags.with(in.text(Tags.MAX_NAME_LENGTH), in.bytes(Tags.MAX_BYTES));
     }
     in.end();
     return tags;
--- a/members/src/main/java/willowdoor/members/Effects.java
+++ b/members/src/main/java/willowdoor/members/Effects.java
@@ -7,10 +7,10 @@
   void send(int to, Message message);
 
   /** A statement holds instead of another; also of this process itself. */
-  void changed(Statement was, Statement is);
+  void changed(Statement previous, Statement current);
 
-  void cutOff(boolean cutOff);
+  void isolationChanged(boolean isolated);
 
   /** Another process runs under the name of this one, which goes on or falls silent. */
-  void twin(boolean superseded);
+  void duplicateNameFound(boolean superseded);
 }
--- a/members/src/main/java/willowdoor/members/Generation.java
+++ b/members/src/main/java/willowdoor/members/Generation.java
@@ -9,27 +9,27 @@
  */
 final class Generation {
 
-  private static final int DRAWN_BITS = 20;
-  private static final long DRAWN = (1L << DRAWN_BITS) - 1;
+  private static final int RANDOM_BITS = 20;
+  private static final long RANDOM_MASK = (1L << RANDOM_BITS) - 1;
 
   /** The largest that is accepted: there must be some above it. */
-  static final long MOST = 1L << 61;
+  static final long MAX = 1L << 61;
 
   private Generation() {}
 
   /** Of a process that starts; any wall clock in milliseconds will do. */
   static long first(long wallMs, RandomGenerator random) {
-    long count = Math.max(1, Math.min(wallMs, MOST >> DRAWN_BITS + 1));
-    return count << DRAWN_BITS | random.nextLong(DRAWN + 1);
+    long count = Math.max(1, Math.min(wallMs, MAX >> RANDOM_BITS + 1));
+    return count << RANDOM_BITS | random.nextLong(RANDOM_MASK + 1);
   }
 
   /** The next one above another's, of the same process. */
   static long above(long other, long own) {
-    return (other >> DRAWN_BITS) + 1 << DRAWN_BITS | drawn(own);
+    return (other >> RANDOM_BITS) + 1 << RANDOM_BITS | randomPart(own);
   }
 
   /** What its process has drawn. */
-  static long drawn(long generation) {
-    return generation & DRAWN;
+  static long randomPart(long generation) {
+    return generation & RANDOM_MASK;
   }
 }
--- a/members/src/main/java/willowdoor/members/Health.java
+++ b/members/src/main/java/willowdoor/members/LocalHealth.java
@@ -1,18 +1,18 @@
 package willowdoor.members;
 
 /** The local health score: how little this process may trust its own judgement, from 0. */
-final class Health {
+final class LocalHealth {
 
-  private final int most;
+  private final int maxScore;
   private int score;
 
   /** With 0 at most it stays there. */
-  Health(int most) {
-    this.most = most;
+  LocalHealth(int maxScore) {
+    this.maxScore = maxScore;
   }
 
   void change(long by) {
-    score = (int) Math.max(0, Math.min(most, score + by));
+    score = (int) Math.max(0, Math.min(maxScore, score + by));
   }
 
   int score() {
--- a/members/src/main/java/willowdoor/members/MemberState.java
+++ b/members/src/main/java/willowdoor/members/MemberState.java
@@ -32,7 +32,7 @@
   }
 
   /** Counted for a majority: one that joins knows too little to be. */
-  boolean reached() {
+  boolean countsForMajority() {
     return this == ALIVE || this == SUSPECT;
   }
 }
--- a/members/src/main/java/willowdoor/members/MembersConfig.java
+++ b/members/src/main/java/willowdoor/members/MembersConfig.java
@@ -7,20 +7,20 @@
  *
  * @param self this front door's place in the roster
  * @param holdMs after how long an absent member is left out of what routing goes by, see {@link
- *     Places}
+ *     WorkAllocation}
  */
 record MembersConfig(Roster roster, int self, Timing timing, long holdMs) {
 
   static MembersConfig of(Object configured) throws IOException {
-    Fields fields = new Fields(configured, "members");
+    ConfigObject fields = new ConfigObject(configured, "members");
     Roster roster = Roster.read(fields);
     MembersConfig config =
         new MembersConfig(
             roster,
-            roster.place(fields, "self"),
+            roster.indexOf(fields, "self"),
             Timing.read(fields.child("timing")),
-            fields.whole("hold_ms", 100, 3_600_000, 10_000));
-    fields.end();
+            fields.integer("hold_ms", 100, 3_600_000, 10_000));
+    fields.requireAllKeysRead();
     return config;
   }
 }
--- a/members/src/main/java/willowdoor/members/Membership.java
+++ b/members/src/main/java/willowdoor/members/Membership.java
@@ -6,233 +6,247 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One member of the fleet: its view of the others, and what it says to them. A plain state machine:
- * whoever drives it tells the time, in milliseconds of a clock that never goes back, and hands it
- * the datagrams that came, decoded and from the address of whom they name. It answers through
- * {@link Effects}, within the call. Not thread-safe.
+ * The group membership protocol of one member: SWIM with the Lifeguard extensions, gossip and
+ * anti-entropy. A plain state machine: the caller passes the time, in milliseconds of a monotonic
+ * clock, and the decoded datagrams whose source address belongs to the member that they name as
+ * sender. Results are reported through {@link Effects} within the call. Not thread-safe.
  */
-final class Membership implements Core {
+final class Membership implements ProtocolContext {
 
-  /** Members that are told of a leave at once; the others hear it from them. */
-  private static final int FAREWELLS = 32;
+  /** Maximum number of members that are notified of a leave directly; gossip reaches the others. */
+  private static final int MAX_LEAVE_NOTICES = 32;
 
   private final Timing timing;
   private final RandomGenerator random;
   private final Effects effects;
   private final Counts counts;
-  private final Self self;
-  private final int place;
+  private final LocalMember localMember;
+  private final int selfIndex;
   private final View view;
-  private final Speaker speaker;
-  private final Gossip gossip;
+  private final MessageSender sender;
+  private final GossipQueue gossip;
   private final Suspicions suspicions;
-  private final Health health;
-  private final Contact contact;
+  private final LocalHealth health;
+  private final Connectivity connectivity;
   private final Prober prober;
-  private final Exchanger exchanger;
+  private final AntiEntropy antiEntropy;
   private long now;
 
   /**
-   * Begins joining with the first tick, which is due at once.
+   * Starts the join with the first tick, which is due at once.
    *
-   * @param place its own in the roster
-   * @param wallMs where its generation begins; any will do
+   * @param selfIndex this process's index in the roster
+   * @param wallMs wall-clock time from which the first generation is derived; the protocol
+   *     tolerates any value
    */
   Membership(
       Roster roster,
-      int place,
+      int selfIndex,
       Timing timing,
       long wallMs,
       RandomGenerator random,
       Effects effects,
       Counts counts,
       long now) {
-    this.place = place;
+    this.selfIndex = selfIndex;
     this.timing = timing;
     this.random = random;
     this.effects = effects;
     this.counts = counts;
     this.now = now;
-    self = new Self(place, Generation.first(wallMs, random), timing.twin());
+    localMember =
+        new LocalMember(selfIndex, Generation.first(wallMs, random), timing.duplicateWindowMs());
     view = new View(roster);
-    Sizes sizes = new Sizes(roster);
-    gossip = new Gossip(view, sizes, timing.tellings(roster.size()));
-    speaker = new Speaker(roster, timing, self, view, gossip, sizes, effects);
+    EncodedSizes sizes = new EncodedSizes(roster);
+    gossip = new GossipQueue(view, sizes, timing.transmitLimit(roster.size()));
+    sender = new MessageSender(roster, timing, localMember, view, gossip, sizes, effects);
     suspicions = new Suspicions(timing);
-    health = new Health(timing.lifeguard() ? timing.healthMost() : 0);
-    contact = new Contact(roster, timing.noAnswer(), timing.suspicionLeast(roster.size()), now);
-    prober = new Prober(this, view, place, timing, health, contact, random);
-    exchanger = new Exchanger(this, view, place, timing, sizes, random, now);
-    say();
+    health = new LocalHealth(timing.lifeguard() ? timing.maxHealthScore() : 0);
+    connectivity =
+        new Connectivity(roster, timing.noAnswerMs(), timing.minSuspicionMs(roster.size()), now);
+    prober = new Prober(this, view, selfIndex, timing, health, connectivity, random);
+    antiEntropy = new AntiEntropy(this, view, selfIndex, timing, sizes, random, now);
+    publishOwnStatement();
   }
 
-  /** When {@link #tick} is due; {@link Long#MAX_VALUE} where it need not be called. */
+  /** When {@link #tick} is due; {@link Long#MAX_VALUE} if it need not be called. */
   long nextWake() {
-    if (quiet()) {
+    if (inactive()) {
       return Long.MAX_VALUE;
     }
     return Math.min(
-        suspicions.next(), Math.min(prober.next(hasJoined()), exchanger.next(hasJoined())));
+        suspicions.nextExpiry(),
+        Math.min(prober.nextWake(hasJoined()), antiEntropy.nextWake(hasJoined())));
   }
 
   void tick(long at) {
-    enter(at);
-    if (quiet()) {
+    advanceTo(at);
+    if (inactive()) {
       return;
     }
-    for (int member = suspicions.ended(now); member >= 0; member = suspicions.ended(now)) {
+    for (int member = suspicions.pollExpired(now);
+        member >= 0;
+        member = suspicions.pollExpired(now)) {
       count(Count.FOUND_FAILED);
-      apply(view.get(member).as(MemberState.FAILED));
+      apply(view.get(member).withState(MemberState.FAILED));
       gossip.add(member);
     }
     prober.tick(hasJoined(), now);
-    exchanger.tick(hasJoined(), now);
-    look();
+    antiEntropy.tick(hasJoined(), now);
+    updateConnectivity();
   }
 
-  /** A datagram that the codec let through. */
+  /** Handles a message that {@link Codec} has accepted. */
   void receive(Message message, long at) {
-    enter(at);
+    advanceTo(at);
     Message.Header header = message.header();
-    if (self.superseded()) {
-      message.news().stream().filter(s -> s.member() == place).forEach(this::heardOfSelf);
+    if (localMember.superseded()) {
+      message.statements().stream()
+          .filter(s -> s.member() == selfIndex)
+          .forEach(this::handleOwnStatement);
       return;
     }
     Statement known = view.get(header.from());
     if (header.generation() < known.generation()) {
       count(Count.OLD_GENERATION);
-      // It may be new, with a clock that stepped back: then it must hear what its name has been.
-      boolean asks =
-          message.body() instanceof Message.Exchange || message.body() instanceof Message.Ping;
-      if (asks && exchanger.mayAnswer(now)) {
-        send(header.from(), new Message.News(), List.of(known));
+      // The sender may be a new process whose clock stepped back. The statement known here makes it
+      // choose a larger generation.
+      boolean isRequest =
+          message.body() instanceof Message.ExchangeRequest
+              || message.body() instanceof Message.Ping;
+      if (isRequest && antiEntropy.tryAcquireResponse(now)) {
+        send(header.from(), new Message.Gossip(), List.of(known));
       }
       return;
     }
-    boolean differs = contact.heard(header, view.digest(), now);
-    boolean isPages = message.body() instanceof Message.Pages;
-    List<Statement> better = isPages ? exchanger.better(message.news()) : List.of();
-    boolean exchanged = isPages || message.body() instanceof Message.Better;
-    message.news().forEach(s -> merge(s, exchanged));
-    take(message, better);
-    if (differs && hasJoined() && !quiet()) {
-      boolean outOfStep = contact.outOfStepMs(now) > timing.outOfStep();
-      exchanger.differs(header.from(), !known.state().present(), outOfStep, now);
+    boolean differs = connectivity.recordHeader(header, view.digest(), now);
+    boolean isResponse = message.body() instanceof Message.ExchangeResponse;
+    List<Statement> newer = isResponse ? antiEntropy.newerThan(message.statements()) : List.of();
+    boolean exchanged = isResponse || message.body() instanceof Message.ExchangeUpdate;
+    message.statements().forEach(s -> merge(s, exchanged));
+    handleBody(message, newer);
+    if (differs && hasJoined() && !inactive()) {
+      boolean noEqualView = connectivity.noEqualViewMs(now) > timing.noEqualViewMs();
+      antiEntropy.handleDifferingView(header.from(), !known.state().present(), noEqualView, now);
     }
-    look();
+    updateConnectivity();
   }
 
-  private void take(Message message, List<Statement> better) {
+  private void handleBody(Message message, List<Statement> newer) {
     int from = message.header().from();
     Message.Body body = message.body();
     if (body instanceof Message.Ping ping) {
-      send(from, new Message.Ack(ping.seq(), place));
+      send(from, new Message.Ack(ping.seq(), selfIndex));
     } else if (body instanceof Message.Ack ack) {
-      prober.acked(from, ack, now);
+      prober.handleAck(from, ack, now);
     } else if (body instanceof Message.PingRequest request) {
-      prober.asked(from, request, now);
+      prober.handlePingRequest(from, request, now);
     } else if (body instanceof Message.Nack nack) {
-      prober.nacked(nack);
-    } else if (body instanceof Message.Exchange exchange) {
-      exchanger.asked(from, exchange, contact.sameRoster(message.header()), now);
-    } else if (body instanceof Message.Pages pages) {
-      exchanger.answered(from, pages, better, hasJoined(), now);
+      prober.handleNack(nack);
+    } else if (body instanceof Message.ExchangeRequest exchange) {
+      antiEntropy.handleRequest(from, exchange, connectivity.sameRoster(message.header()), now);
+    } else if (body instanceof Message.ExchangeResponse response) {
+      antiEntropy.handleResponse(from, response, newer, hasJoined(), now);
     }
   }
 
-  /** Says to the others that this process ends. It goes on answering. */
+  /** Announces that this process leaves. It still responds to messages. */
   void leave(long at) {
-    enter(at);
-    if (quiet()) {
+    advanceTo(at);
+    if (inactive()) {
       return;
     }
-    self.state(MemberState.LEFT);
-    say();
+    localMember.state(MemberState.LEFT);
+    publishOwnStatement();
     List<Integer> others = new ArrayList<>();
     for (int i = 0; i < view.size(); i++) {
-      if (i != place && view.get(i).state().present()) {
+      if (i != selfIndex && view.get(i).state().present()) {
         others.add(i);
       }
     }
-    for (int i = 0; i < FAREWELLS && !others.isEmpty(); i++) {
+    for (int i = 0; i < MAX_LEAVE_NOTICES && !others.isEmpty(); i++) {
       int to = others.remove(random.nextInt(others.size()));
-      send(to, new Message.News(), List.of(self.statement()));
+      send(to, new Message.Gossip(), List.of(localMember.statement()));
     }
   }
 
-  /** Tells these of itself from now on. */
+  /** Replaces the tags that this process publishes. */
   void tags(Tags tags, long at) {
-    enter(at);
-    self.tags(tags);
-    say();
+    advanceTo(at);
+    localMember.tags(tags);
+    publishOwnStatement();
   }
 
-  /** Where the time was let pass, this process was held up: that tells nothing of the others. */
-  private void enter(long at) {
+  /**
+   * Sets the time. A late call means that this process was stalled, so silence of other members in
+   * that time is no evidence of failure: all time-outs are extended by the delay.
+   */
+  private void advanceTo(long at) {
     long due = nextWake();
     now = Math.max(now, at);
     long late = due == Long.MAX_VALUE ? 0 : now - due;
-    if (late > timing.heldUp() && timing.lifeguard()) {
+    if (late > timing.stallMs() && timing.lifeguard()) {
       count(Count.HELD_UP);
-      health.change(1 + late / timing.probe());
-      suspicions.putOff(late);
-      contact.putOff(late);
-      exchanger.putOff(late);
-      prober.heldUp(late, now);
+      health.change(1 + late / timing.probeMs());
+      suspicions.postpone(late);
+      connectivity.postpone(late);
+      antiEntropy.postpone(late);
+      prober.handleStall(late, now);
     }
   }
 
-  private void merge(Statement told, boolean exchanged) {
-    if (told.member() == place) {
-      heardOfSelf(told);
+  private void merge(Statement received, boolean exchanged) {
+    if (received.member() == selfIndex) {
+      handleOwnStatement(received);
       return;
     }
-    Statement mine = view.get(told.member());
+    Statement known = view.get(received.member());
     if (exchanged
-        && told.state() == MemberState.FAILED
-        && told.sameLife(mine)
-        && mine.state().present()) {
-      // Heard from the other side of a cut, for instance: it may answer that before anybody takes
-      // it over.
-      if (speaker.owe(told) && exchanger.mayTell(now)) {
-        send(told.member(), new Message.News(), List.of(told));
+        && received.state() == MemberState.FAILED
+        && received.sameIncarnation(known)
+        && known.state().present()) {
+      // The report may come from the other side of a healed partition. The member is notified and
+      // can
+      // refute the failure before other members adopt it.
+      if (sender.addFailureReport(received) && antiEntropy.tryAcquireFailureNotice(now)) {
+        send(received.member(), new Message.Gossip(), List.of(received));
       }
-    } else if (told.supersedes(mine)) {
-      apply(told);
+    } else if (received.supersedes(known)) {
+      apply(received);
       if (!exchanged || hasJoined()) {
-        gossip.add(told.member());
+        gossip.add(received.member());
       }
-    } else if (told.sameLife(mine) && told.state() == MemberState.SUSPECT) {
-      confirm(mine, told.accusers());
+    } else if (received.sameIncarnation(known) && received.state() == MemberState.SUSPECT) {
+      addAccusers(known, received.accusers());
     }
   }
 
-  private void confirm(Statement mine, List<Integer> accusers) {
-    boolean open =
-        mine.state() == MemberState.SUSPECT && mine.accusers().size() <= timing.confirmations();
-    Statement more = open ? mine.suspectedBy(accusers) : mine;
-    if (more != mine) {
+  private void addAccusers(Statement known, List<Integer> accusers) {
+    boolean acceptsAccusers =
+        known.state() == MemberState.SUSPECT && known.accusers().size() <= timing.confirmations();
+    Statement updated = acceptsAccusers ? known.suspectedBy(accusers) : known;
+    if (updated != known) {
       count(Count.CONFIRMED);
-      view.put(more);
-      suspicions.confirmed(more);
-      gossip.add(more.member());
+      view.put(updated);
+      suspicions.updateAccusers(updated);
+      gossip.add(updated.member());
     }
   }
 
-  private void apply(Statement is) {
-    Statement was = view.put(is);
-    speaker.settled(is.member());
-    suspicions.end(is.member());
-    if (is.state() == MemberState.SUSPECT) {
+  private void apply(Statement current) {
+    Statement previous = view.put(current);
+    sender.clearFailureReport(current.member());
+    suspicions.end(current.member());
+    if (current.state() == MemberState.SUSPECT) {
       count(Count.SUSPECTED);
-      suspicions.begin(is, view.present(), now);
+      suspicions.begin(current, view.present(), now);
     }
-    effects.changed(was, is);
+    effects.changed(previous, current);
   }
 
-  private void heardOfSelf(Statement said) {
-    boolean silent = self.superseded();
-    switch (self.hear(said, now)) {
+  private void handleOwnStatement(Statement received) {
+    boolean wasSuperseded = localMember.superseded();
+    switch (localMember.handleStatement(received, now)) {
       case NOTHING -> {
         return;
       }
@@ -241,57 +255,57 @@
         health.change(1);
       }
       case RAISED, RESUMED -> count(Count.RAISED_GENERATION);
-      case TWIN -> {
+      case DUPLICATE -> {
         count(Count.RAISED_GENERATION);
         count(Count.TWIN);
-        effects.twin(false);
+        effects.duplicateNameFound(false);
       }
       case SUPERSEDED -> {
         count(Count.TWIN);
         count(Count.SUPERSEDED);
-        effects.twin(true);
+        effects.duplicateNameFound(true);
         return;
       }
     }
-    if (silent) {
+    if (wasSuperseded) {
       prober.restart(now);
     }
-    say();
+    publishOwnStatement();
   }
 
-  /** What this process says of itself has changed. */
-  private void say() {
-    apply(self.statement());
-    gossip.add(place);
+  /** Applies this process's own changed statement and queues it for gossip. */
+  private void publishOwnStatement() {
+    apply(localMember.statement());
+    gossip.add(selfIndex);
   }
 
   @Override
-  public void joined() {
-    self.state(MemberState.ALIVE);
-    contact.answered(now);
+  public void joinCompleted() {
+    localMember.state(MemberState.ALIVE);
+    connectivity.probeAnswered(now);
     prober.restart(now);
-    say();
+    publishOwnStatement();
   }
 
   @Override
-  public boolean hasNews() {
+  public boolean hasPendingGossip() {
     return gossip.size() > 0;
   }
 
   @Override
   public void accuse(int member) {
     count(Count.ACCUSED);
-    merge(view.get(member).suspectedBy(List.of(place)), false);
+    merge(view.get(member).suspectedBy(List.of(selfIndex)), false);
   }
 
   @Override
   public void send(int to, Message.Body body) {
-    speaker.say(to, body);
+    sender.send(to, body);
   }
 
   @Override
   public void send(int to, Message.Body body, List<Statement> statements) {
-    speaker.say(to, body, statements);
+    sender.send(to, body, statements);
   }
 
   @Override
@@ -299,34 +313,34 @@
     counts.add(count);
   }
 
-  private void look() {
-    if (contact.look(view, hasJoined(), now)) {
-      effects.cutOff(contact.cutOff());
+  private void updateConnectivity() {
+    if (connectivity.update(view, hasJoined(), now)) {
+      effects.isolationChanged(connectivity.isolated());
     }
   }
 
-  private boolean quiet() {
-    return self.superseded() || self.state() == MemberState.LEFT;
+  private boolean inactive() {
+    return localMember.superseded() || localMember.state() == MemberState.LEFT;
   }
 
   boolean hasJoined() {
-    return self.state() != MemberState.JOINING;
+    return localMember.state() != MemberState.JOINING;
   }
 
   Statement statement(int member) {
     return view.get(member);
   }
 
-  int place() {
-    return place;
+  int selfIndex() {
+    return selfIndex;
   }
 
   long digest() {
     return view.digest();
   }
 
-  int reached() {
-    return view.reached();
+  int reachable() {
+    return view.reachable();
   }
 
   int present() {
@@ -338,24 +352,24 @@
   }
 
   boolean superseded() {
-    return self.superseded();
+    return localMember.superseded();
   }
 
-  boolean cutOff() {
-    return contact.cutOff() || self.superseded();
+  boolean isolated() {
+    return connectivity.isolated() || localMember.superseded();
   }
 
-  /** Since when it is cut off or not. */
-  long cutOffSince() {
-    return contact.since();
+  /** When {@link #isolated} last changed. */
+  long isolationChangedAt() {
+    return connectivity.lastChangeAt();
   }
 
-  /** Whose view was last heard to differ, by place, and since when. */
-  Map<Integer, Long> differing() {
-    return contact.differing(view.digest());
+  /** Members whose last received view digest differs, by index, with the time since when. */
+  Map<Integer, Long> differingSince() {
+    return connectivity.differingSince(view.digest());
   }
 
-  Map<Integer, Contact.OtherRoster> otherRosters() {
-    return contact.otherRosters();
+  Map<Integer, Connectivity.OtherRoster> otherRosters() {
+    return connectivity.otherRosters();
   }
 }
--- a/members/src/main/java/willowdoor/members/Message.java
+++ b/members/src/main/java/willowdoor/members/Message.java
@@ -3,53 +3,63 @@
 import java.util.List;
 
 /**
- * One datagram. Members are told by their place in the roster of whoever holds the object; on the
- * wire by name.
+ * The contents of one datagram. The objects identify members by their index in the local roster;
+ * the wire format identifies them by name.
  *
- * @param news what it tells besides
+ * @param statements the gossip that the message carries
  */
-record Message(Header header, Body body, List<Statement> news) {
+record Message(Header header, Body body, List<Statement> statements) {
 
-  /** More than fit into a datagram. */
-  static final int MOST_NEWS = 256;
+  /** More statements than fit into a datagram. */
+  static final int MAX_STATEMENTS = 256;
 
   /**
-   * Who says it, and what it goes by.
+   * Sender, receiver and the state of the sender.
    *
-   * @param digest of its view
-   * @param rosterVersion and the hash of the names there
+   * @param generation the sender's generation
+   * @param digest the digest of the sender's view
+   * @param rosterVersion the version of the sender's roster
+   * @param rosterHash the hash of the names and numbers in the sender's roster
    */
   record Header(
       int from, int to, long generation, long digest, int rosterVersion, int rosterHash) {}
 
-  /** What it is about. */
+  /** The fields specific to the kind of message. */
   sealed interface Body {}
 
-  /** Are you there? */
+  /** Probes the receiver. */
   record Ping(long seq) implements Body {}
 
-  /** I am; or, to one that asked for a probe, the subject is. */
+  /** Acknowledges a ping; as the response to a ping request, reports that the subject acked. */
   record Ack(long seq, int subject) implements Body {}
 
-  /** Probe the subject for me; the answer is of use for so many milliseconds. */
+  /** Requests an indirect probe of the subject; the response is useful for {@code waitMs}. */
   record PingRequest(long seq, int subject, int waitMs) implements Body {
-    static final int MOST_WAIT_MS = 60_000;
+    static final int MAX_WAIT_MS = 60_000;
   }
 
-  /** The subject did not answer me. */
+  /** The response to a ping request whose subject did not ack. */
   record Nack(long seq, int subject) implements Body {}
 
-  /** News only. */
-  record News() implements Body {}
+  /** Carries gossip only. */
+  record Gossip() implements Body {}
 
-  /** Tell me what differs from these prints of my view's pages, which the number salts. */
-  record Exchange(long seq, byte[] prints) implements Body {}
+  /**
+   * Requests the pages of the receiver's view that differ from the sender's.
+   *
+   * @param pageChecksums checksums of the sender's pages, salted with {@code seq}
+   */
+  record ExchangeRequest(long seq, byte[] pageChecksums) implements Body {}
 
   /**
-   * One part of the answer, from 0; so many of the pages that differ were left out of all of it.
+   * One part of the response to an exchange request.
+   *
+   * @param part the number of this part, from 0
+   * @param parts number of parts of the response
+   * @param remaining number of statements on differing pages that the whole response omits
    */
-  record Pages(long seq, int part, int parts, int left) implements Body {}
+  record ExchangeResponse(long seq, int part, int parts, int remaining) implements Body {}
 
-  /** What the asker knows better than the answer. */
-  record Better(long seq) implements Body {}
+  /** Statements of the requester that supersede those in an exchange response. */
+  record ExchangeUpdate(long seq) implements Body {}
 }
--- /dev/null
+++ b/members/src/main/java/willowdoor/members/MessageSender.java
@@ -0,0 +1,79 @@
+package willowdoor.members;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * Puts messages together: what the receiver should hear of itself first, then what was told least.
+ */
+final class MessageSender {
+
+  private final Roster roster;
+  private final Timing timing;
+  private final LocalMember localMember;
+  private final View view;
+  private final GossipQueue gossip;
+  private final EncodedSizes sizes;
+  private final Effects effects;
+
+  /**
+   * Failures that others told in an exchange of members that are present here; these are told of
+   * them.
+   */
+  private final Map<Integer, Statement> pendingFailureReports = new HashMap<>();
+
+  MessageSender(
+      Roster roster,
+      Timing timing,
+      LocalMember localMember,
+      View view,
+      GossipQueue gossip,
+      EncodedSizes sizes,
+      Effects effects) {
+    this.roster = roster;
+    this.timing = timing;
+    this.localMember = localMember;
+    this.view = view;
+    this.gossip = gossip;
+    this.sizes = sizes;
+    this.effects = effects;
+  }
+
+  /** The member is to hear this of itself; false where it was owed something before. */
+  boolean addFailureReport(Statement received) {
+    return pendingFailureReports.put(received.member(), received) == null;
+  }
+
+  /** Something else holds of the member now. */
+  void clearFailureReport(int member) {
+    pendingFailureReports.remove(member);
+  }
+
+  void send(int to, Message.Body body) {
+    List<Statement> statements = new ArrayList<>();
+    int room =
+        sizes.statementRoom()
+            - (body instanceof Message.ExchangeRequest e ? e.pageChecksums().length : 0);
+    Statement known = pendingFailureReports.getOrDefault(to, view.get(to));
+    boolean suspected = known.state() == MemberState.SUSPECT && timing.lifeguard();
+    if (suspected || !known.state().present() && known.generation() > 0) {
+      statements.add(known);
+      room -= sizes.of(known);
+    }
+    gossip.fill(
+        Math.min(room, timing.gossipBytes()),
+        Math.min(room, timing.urgentGossipBytes()),
+        statements);
+    send(to, body, statements);
+  }
+
+  void send(int to, Message.Body body, List<Statement> statements) {
+    Statement own = localMember.statement();
+    Message.Header header =
+        new Message.Header(
+            own.member(), to, own.generation(), view.digest(), roster.version(), roster.hash());
+    effects.send(to, new Message(header, body, statements));
+  }
+}
--- a/members/src/main/java/willowdoor/members/Prober.java
+++ b/members/src/main/java/willowdoor/members/Prober.java
@@ -15,20 +15,20 @@
 final class Prober {
 
   /** So many probes for others are out at most. */
-  private static final int MOST_RELAYS = 64;
+  private static final int MAX_RELAYED_PROBES = 64;
 
   /** A helper sends its nack after this share of the time in which it is of use. */
-  private static final double NACK_AT = 0.7;
+  private static final double NACK_FRACTION = 0.7;
 
   /** A probe for another: whom to tell, and when there is no more to wait for. */
-  private record Relay(int asker, long askerSeq, int subject, long nackAt) {}
+  private record RelayedProbe(int requester, long requesterSeq, int subject, long nackAt) {}
 
   /** The own probe that is out. */
   private static final class Probe {
     final int target;
     final long firstSeq;
-    long askAt;
-    boolean asked;
+    long pingRequestsAt;
+    boolean pingRequestsSent;
     boolean answered;
     int helpers;
     int nacks;
@@ -38,91 +38,95 @@
       this.firstSeq = firstSeq;
     }
 
-    boolean isOf(int subject, long seq) {
+    boolean matches(int subject, long seq) {
       return !answered && subject == target && seq >= firstSeq;
     }
   }
 
-  private final Core core;
+  private final ProtocolContext context;
   private final View view;
   private final int self;
   private final Timing timing;
-  private final Health health;
-  private final Contact contact;
+  private final LocalHealth health;
+  private final Connectivity connectivity;
   private final RandomGenerator random;
   private final int[] order;
-  private int turn;
+  private int position;
   private Probe probe;
   private long seq;
   private long nextProbe;
-  private long nextAbsent;
-  private long nextNews;
-  private final Map<Long, Relay> relays = new LinkedHashMap<>();
+  private long nextAbsentProbe;
+  private long nextGossip;
+  private final Map<Long, RelayedProbe> relayedProbes = new LinkedHashMap<>();
 
   Prober(
-      Core core,
+      ProtocolContext context,
       View view,
       int self,
       Timing timing,
-      Health health,
-      Contact contact,
+      LocalHealth health,
+      Connectivity connectivity,
       RandomGenerator random) {
-    this.core = core;
+    this.context = context;
     this.view = view;
     this.self = self;
     this.timing = timing;
     this.health = health;
-    this.contact = contact;
+    this.connectivity = connectivity;
     this.random = random;
     order = new int[view.size() - 1];
     for (int i = 0; i < order.length; i++) {
       order[i] = i < self ? i : i + 1;
     }
-    turn = order.length;
+    position = order.length;
   }
 
   /** Begins anew at a moment within the next interval, so that members do not move in step. */
   void restart(long now) {
     probe = null;
-    nextProbe = now + random.nextLong(timing.probe());
-    nextAbsent = now + random.nextLong(timing.absent());
-    nextNews = nextProbe;
+    nextProbe = now + random.nextLong(timing.probeMs());
+    nextAbsentProbe = now + random.nextLong(timing.absentProbeMs());
+    nextGossip = nextProbe;
   }
 
-  long next(boolean joined) {
-    long next = joined ? Math.min(nextProbe, Math.min(nextAbsent, nextNews)) : Long.MAX_VALUE;
-    if (joined && probe != null && !probe.answered && !probe.asked) {
-      next = Math.min(next, probe.askAt);
+  long nextWake(boolean joined) {
+    long next =
+        joined ? Math.min(nextProbe, Math.min(nextAbsentProbe, nextGossip)) : Long.MAX_VALUE;
+    if (joined && probe != null && !probe.answered && !probe.pingRequestsSent) {
+      next = Math.min(next, probe.pingRequestsAt);
     }
-    for (Relay relay : relays.values()) {
+    for (RelayedProbe relay : relayedProbes.values()) {
       next = Math.min(next, relay.nackAt());
     }
     return next;
   }
 
   void tick(boolean joined, long now) {
-    giveUpRelays(now);
+    expireRelayedProbes(now);
     if (!joined) {
       return;
     }
-    if (probe != null && !probe.answered && !probe.asked && now >= probe.askAt) {
-      askOthers(now);
+    if (probe != null
+        && !probe.answered
+        && !probe.pingRequestsSent
+        && now >= probe.pingRequestsAt) {
+      sendPingRequests(now);
     }
     if (now >= nextProbe) {
       if (probe != null && !probe.answered) {
-        failed();
+        handleFailedProbe();
       }
       int target = nextTarget();
       probe = target < 0 ? null : new Probe(target, seq + 1);
-      nextProbe = now + health.scaled(timing.probe());
+      nextProbe = now + health.scaled(timing.probeMs());
       ping(now);
     }
-    if (now >= nextNews) {
-      nextNews = now + timing.probe();
-      tellNews();
+    if (now >= nextGossip) {
+      nextGossip = now + timing.probeMs();
+      sendGossip();
     }
-    if (now >= nextAbsent) {
-      nextAbsent = now + timing.absent();
+    if (now >= nextAbsentProbe) {
+      nextAbsentProbe = now + timing.absentProbeMs();
       probeAbsent();
     }
   }
@@ -131,11 +135,11 @@
    * This process was held up: its probe begins anew, and those it was asked for are of no use any
    * more.
    */
-  void heldUp(long ms, long now) {
-    relays.clear();
-    nextAbsent += ms;
-    nextNews += ms;
-    nextProbe = now + health.scaled(timing.probe());
+  void handleStall(long ms, long now) {
+    relayedProbes.clear();
+    nextAbsentProbe += ms;
+    nextGossip += ms;
+    nextProbe = now + health.scaled(timing.probeMs());
     if (probe != null && !probe.answered) {
       ping(now);
     }
@@ -143,50 +147,50 @@
 
   private void ping(long now) {
     if (probe != null) {
-      probe.asked = false;
+      probe.pingRequestsSent = false;
       probe.helpers = 0;
       probe.nacks = 0;
-      probe.askAt = now + health.scaled(timing.ackWithin());
-      core.count(Count.PROBES);
-      core.send(probe.target, new Message.Ping(++seq));
+      probe.pingRequestsAt = now + health.scaled(timing.ackTimeoutMs());
+      context.count(Count.PROBES);
+      context.send(probe.target, new Message.Ping(++seq));
     }
   }
 
-  private void askOthers(long now) {
-    probe.asked = true;
+  private void sendPingRequests(long now) {
+    probe.pingRequestsSent = true;
     List<Integer> helpers = new ArrayList<>();
     for (int i = 0; i < view.size(); i++) {
       if (i != self && i != probe.target && view.get(i).state() == MemberState.ALIVE) {
         helpers.add(i);
       }
     }
-    int wait = (int) Math.min(Message.PingRequest.MOST_WAIT_MS, Math.max(1, nextProbe - now));
+    int wait = (int) Math.min(Message.PingRequest.MAX_WAIT_MS, Math.max(1, nextProbe - now));
     while (probe.helpers < timing.helpers() && !helpers.isEmpty()) {
       int chosen = random.nextInt(helpers.size());
       int helper = helpers.get(chosen);
       helpers.set(chosen, helpers.get(helpers.size() - 1));
       helpers.remove(helpers.size() - 1);
       probe.helpers++;
-      core.count(Count.ASKED_OTHERS);
-      core.send(helper, new Message.PingRequest(seq, probe.target, wait));
+      context.count(Count.ASKED_OTHERS);
+      context.send(helper, new Message.PingRequest(seq, probe.target, wait));
     }
   }
 
-  private void failed() {
+  private void handleFailedProbe() {
     if (!view.get(probe.target).state().present()) {
       return;
     }
-    core.count(Count.FAILED_PROBES);
+    context.count(Count.FAILED_PROBES);
     health.change(probe.helpers > 0 ? probe.helpers - probe.nacks : 1);
-    core.accuse(probe.target);
+    context.accuse(probe.target);
   }
 
   /** Where the own probes come more slowly than usual, news does not wait for them. */
-  private void tellNews() {
-    if (health.score() > 0 && core.hasNews() && order.length > 0) {
+  private void sendGossip() {
+    if (health.score() > 0 && context.hasPendingGossip() && order.length > 0) {
       int to = order[random.nextInt(order.length)];
       if (view.get(to).state().present()) {
-        core.send(to, new Message.News());
+        context.send(to, new Message.Gossip());
       }
     }
   }
@@ -194,11 +198,11 @@
   /** The next present member of the round; -1 where there is none. */
   private int nextTarget() {
     for (int i = 0; i < order.length; i++) {
-      if (turn >= order.length) {
+      if (position >= order.length) {
         shuffle();
-        turn = 0;
+        position = 0;
       }
-      int target = order[turn++];
+      int target = order[position++];
       if (view.get(target).state().present()) {
         return target;
       }
@@ -223,53 +227,54 @@
     int chosen = random.nextInt(absent);
     for (int i = 0; i < view.size(); i++) {
       if (!view.get(i).state().present() && chosen-- == 0 && i != self) {
-        core.count(Count.ABSENT_PROBES);
-        core.send(i, new Message.Ping(++seq));
+        context.count(Count.ABSENT_PROBES);
+        context.send(i, new Message.Ping(++seq));
       }
     }
   }
 
-  private void giveUpRelays(long now) {
-    for (Iterator<Relay> i = relays.values().iterator(); i.hasNext(); ) {
-      Relay relay = i.next();
+  private void expireRelayedProbes(long now) {
+    for (Iterator<RelayedProbe> i = relayedProbes.values().iterator(); i.hasNext(); ) {
+      RelayedProbe relay = i.next();
       if (now >= relay.nackAt()) {
         i.remove();
-        core.count(Count.NACKS);
-        core.send(relay.asker(), new Message.Nack(relay.askerSeq(), relay.subject()));
+        context.count(Count.NACKS);
+        context.send(relay.requester(), new Message.Nack(relay.requesterSeq(), relay.subject()));
       }
     }
   }
 
-  void asked(int asker, Message.PingRequest request, long now) {
+  void handlePingRequest(int requester, Message.PingRequest request, long now) {
     if (request.subject() == self) {
-      core.send(asker, new Message.Ack(request.seq(), self));
-    } else if (relays.size() >= MOST_RELAYS) {
-      core.count(Count.RELAY_FULL);
+      context.send(requester, new Message.Ack(request.seq(), self));
+    } else if (relayedProbes.size() >= MAX_RELAYED_PROBES) {
+      context.count(Count.RELAY_FULL);
     } else {
-      long nackAt = now + (long) Math.max(1, request.waitMs() * NACK_AT);
-      relays.put(++seq, new Relay(asker, request.seq(), request.subject(), nackAt));
-      core.send(request.subject(), new Message.Ping(seq));
+      long nackAt = now + (long) Math.max(1, request.waitMs() * NACK_FRACTION);
+      relayedProbes.put(
+          ++seq, new RelayedProbe(requester, request.seq(), request.subject(), nackAt));
+      context.send(request.subject(), new Message.Ping(seq));
     }
   }
 
-  void acked(int from, Message.Ack ack, long now) {
-    Relay relay = relays.get(ack.seq());
+  void handleAck(int from, Message.Ack ack, long now) {
+    RelayedProbe relay = relayedProbes.get(ack.seq());
     if (relay != null && relay.subject() == ack.subject() && from == ack.subject()) {
-      relays.remove(ack.seq());
-      core.count(Count.RELAYED);
-      core.send(relay.asker(), new Message.Ack(relay.askerSeq(), relay.subject()));
+      relayedProbes.remove(ack.seq());
+      context.count(Count.RELAYED);
+      context.send(relay.requester(), new Message.Ack(relay.requesterSeq(), relay.subject()));
     } else if (ack.seq() <= seq) {
-      contact.answered(now);
-      if (probe != null && probe.isOf(ack.subject(), ack.seq())) {
+      connectivity.probeAnswered(now);
+      if (probe != null && probe.matches(ack.subject(), ack.seq())) {
         probe.answered = true;
-        core.count(Count.ACKED);
+        context.count(Count.ACKED);
         health.change(-1);
       }
     }
   }
 
-  void nacked(Message.Nack nack) {
-    if (probe != null && probe.isOf(nack.subject(), nack.seq())) {
+  void handleNack(Message.Nack nack) {
+    if (probe != null && probe.matches(nack.subject(), nack.seq())) {
       probe.nacks++;
     }
   }
--- a/members/src/main/java/willowdoor/members/Core.java
+++ b/members/src/main/java/willowdoor/members/ProtocolContext.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /** What the parts of a {@link Membership} ask of it. */
-interface Core {
+interface ProtocolContext {
 
   /**
    * Sends it with news: what the receiver should hear of itself first, then what was told least.
@@ -14,13 +14,13 @@
   void send(int to, Message.Body body, List<Statement> statements);
 
   /** Whether there is news that was not told often enough. */
-  boolean hasNews();
+  boolean hasPendingGossip();
 
   /** This process found that the member does not answer. */
   void accuse(int member);
 
   /** All that others know was heard, or nobody answers: this process is there now. */
-  void joined();
+  void joinCompleted();
 
   void count(Count count);
 }
--- a/members/src/main/java/willowdoor/members/Roster.java
+++ b/members/src/main/java/willowdoor/members/Roster.java
@@ -17,12 +17,12 @@
 public final class Roster {
 
   /** Bounds all that is kept of members. */
-  static final int MOST = 10_000;
+  static final int MAX_MEMBERS = 10_000;
 
-  static final int MOST_NAME = 32;
-  private static final Pattern NAME = Pattern.compile("[A-Za-z0-9._-]{1," + MOST_NAME + "}");
-  private static final String NAMED =
-      "a name of 1 to " + MOST_NAME + " letters, digits, '.', '_', '-'";
+  static final int MAX_NAME_LENGTH = 32;
+  private static final Pattern NAME = Pattern.compile("[A-Za-z0-9._-]{1," + MAX_NAME_LENGTH + "}");
+  private static final String NAME_RULE =
+      "a name of 1 to " + MAX_NAME_LENGTH + " letters, digits, '.', '_', '-'";
   private static final Pattern ADDRESS = Pattern.compile("(.+):(\\d{1,5})");
 
   /**
@@ -37,8 +37,8 @@
   private final int version;
   private final List<Peer> peers;
   private final int hash;
-  private final Map<String, Integer> places = new HashMap<>();
-  private final List<Statement> unheard = new ArrayList<>();
+  private final Map<String, Integer> indexByName = new HashMap<>();
+  private final List<Statement> initialStatement = new ArrayList<>();
 
   Roster(String fleet, int version, List<Peer> peers) {
     this.fleet = fleet;
@@ -46,36 +46,41 @@
     this.peers = peers.stream().sorted(Comparator.comparingInt(Peer::number)).toList();
     CRC32C sum = new CRC32C();
     for (Peer peer : this.peers) {
-      places.put(peer.name(), unheard.size());
-      unheard.add(Statement.unheard(unheard.size()));
+      indexByName.put(peer.name(), initialStatement.size());
+      initialStatement.add(Statement.initial(initialStatement.size()));
       sum.update((peer.number() + " " + peer.name() + "\n").getBytes(StandardCharsets.UTF_8));
     }
     hash = (int) sum.getValue();
   }
 
-  static Roster read(Fields fields) throws IOException {
-    String fleet = fields.text("fleet", NAME, NAMED);
-    int version = (int) fields.whole("version", 0, Integer.MAX_VALUE);
-    List<Fields> entries = fields.children("peers");
-    if (entries.isEmpty() || entries.size() > MOST) {
+  static Roster read(ConfigObject fields) throws IOException {
+    String fleet = fields.text("fleet", NAME, NAME_RULE);
+    int version = (int) fields.integer("version", 0, Integer.MAX_VALUE);
+    List<ConfigObject> entries = fields.children("peers");
+    if (entries.isEmpty() || entries.size() > MAX_MEMBERS) {
       throw new IOException(
-          fields.path("peers") + " has " + entries.size() + " entries: 1 to " + MOST + " may be");
+          fields.path("peers")
+              + " has "
+              + entries.size()
+              + " entries: 1 to "
+              + MAX_MEMBERS
+              + " may be");
     }
     List<Peer> peers = new ArrayList<>();
     Set<Object> taken = new HashSet<>();
-    for (Fields entry : entries) {
+    for (ConfigObject entry : entries) {
       Peer peer = peer(entry);
-      unique(taken, peer.name(), entry, "name");
-      unique(taken, peer.number(), entry, "number");
-      unique(taken, peer.host() + ':' + peer.port(), entry, "addr");
+      requireUnique(taken, peer.name(), entry, "name");
+      requireUnique(taken, peer.number(), entry, "number");
+      requireUnique(taken, peer.host() + ':' + peer.port(), entry, "addr");
       peers.add(peer);
     }
     return new Roster(fleet, version, peers);
   }
 
-  private static Peer peer(Fields entry) throws IOException {
-    String name = entry.text("name", NAME, NAMED);
-    int number = (int) entry.whole("number", 0, 1_000_000);
+  private static Peer peer(ConfigObject entry) throws IOException {
+    String name = entry.text("name", NAME, NAME_RULE);
+    int number = (int) entry.integer("number", 0, 1_000_000);
     String address = entry.text("addr", ADDRESS, "an address and port");
     int colon = address.lastIndexOf(':');
     String host = address.substring(0, colon);
@@ -85,11 +90,11 @@
       throw new IOException(
           entry.path("addr") + " is not a numeric address and port: '" + address + "'");
     }
-    entry.end();
+    entry.requireAllKeysRead();
     return new Peer(name, number, host, port);
   }
 
-  private static void unique(Set<Object> taken, Object value, Fields entry, String key)
+  private static void requireUnique(Set<Object> taken, Object value, ConfigObject entry, String key)
       throws IOException {
     if (!taken.add(value)) {
       throw new IOException(entry.path(key) + " is there twice: '" + value + "'");
@@ -97,9 +102,9 @@
   }
 
   /** The place of the member that the key names. */
-  int place(Fields fields, String key) throws IOException {
-    String name = fields.text(key, NAME, NAMED);
-    int place = place(name);
+  int indexOf(ConfigObject fields, String key) throws IOException {
+    String name = fields.text(key, NAME, NAME_RULE);
+    int place = indexOf(name);
     if (place < 0) {
       throw new IOException(fields.path(key) + " is not among the peers: '" + name + "'");
     }
@@ -119,17 +124,17 @@
   }
 
   /** By place, from 0. */
-  public Peer peer(int place) {
-    return peers.get(place);
+  public Peer peer(int index) {
+    return peers.get(index);
   }
 
-  String name(int place) {
-    return peers.get(place).name();
+  String name(int index) {
+    return peers.get(index).name();
   }
 
   /** Or -1 where the roster has no such name. */
-  public int place(String name) {
-    return places.getOrDefault(name, -1);
+  public int indexOf(String name) {
+    return indexByName.getOrDefault(name, -1);
   }
 
   /** Of names and numbers, not of addresses, which may differ by where one stands. */
@@ -143,7 +148,7 @@
   }
 
   /** What holds of a member before anything was heard of it. */
-  Statement unheard(int place) {
-    return unheard.get(place);
+  Statement initialStatement(int place) {
+    return initialStatement.get(place);
   }
 }
--- a/members/src/main/java/willowdoor/members/Statement.java
+++ b/members/src/main/java/willowdoor/members/Statement.java
@@ -10,7 +10,7 @@
  * @param member the member's place in the roster, from 0
  * @param generation of its process; 0 where none was ever heard of
  * @param incarnation raised by the process itself, from 0
- * @param accusers who found on their own that it did not answer, at most {@link #MOST_ACCUSERS};
+ * @param accusers who found on their own that it did not answer, at most {@link #MAX_ACCUSERS};
  *     only of a suspect
  * @param tags what it tells of itself in that incarnation
  */
@@ -23,13 +23,13 @@
     Tags tags) {
 
   /** More confirmations than any time-out goes by. */
-  static final int MOST_ACCUSERS = 8;
+  static final int MAX_ACCUSERS = 8;
 
   /** The largest that is accepted: there must be some above it. */
-  static final int MOST_INCARNATION = 1 << 30;
+  static final int MAX_INCARNATION = 1 << 30;
 
   /** What holds of a member before anything was heard of it. */
-  static Statement unheard(int member) {
+  static Statement initial(int member) {
     return new Statement(member, 0, 0, MemberState.FAILED, List.of(), Tags.NONE);
   }
 
@@ -43,11 +43,11 @@
         : state.compareTo(other.state) > 0;
   }
 
-  boolean sameLife(Statement other) {
+  boolean sameIncarnation(Statement other) {
     return generation == other.generation && incarnation == other.incarnation;
   }
 
-  Statement as(MemberState changed) {
+  Statement withState(MemberState changed) {
     return new Statement(member, generation, incarnation, changed, List.of(), tags);
   }
 
@@ -55,7 +55,7 @@
   Statement suspectedBy(List<Integer> others) {
     List<Integer> all = new ArrayList<>(state == MemberState.SUSPECT ? accusers : List.of());
     for (int other : others) {
-      if (all.size() < MOST_ACCUSERS && !all.contains(other)) {
+      if (all.size() < MAX_ACCUSERS && !all.contains(other)) {
         all.add(other);
       }
     }
--- a/members/src/main/java/willowdoor/members/Suspicions.java
+++ b/members/src/main/java/willowdoor/members/Suspicions.java
@@ -30,7 +30,7 @@
   }
 
   /** More members accuse it now. */
-  void confirmed(Statement suspect) {
+  void updateAccusers(Statement suspect) {
     Timer timer = timers.get(suspect.member());
     if (timer != null) {
       put(timer, suspect.accusers().size());
@@ -46,7 +46,7 @@
             timer.began(),
             timer.members(),
             timer.expected(),
-            timer.began() + timing.suspicionFor(timer.members(), confirmed, timer.expected())));
+            timer.began() + timing.suspicionMs(timer.members(), confirmed, timer.expected())));
   }
 
   private void add(Timer timer) {
@@ -62,13 +62,13 @@
   }
 
   /** When the next one ends. */
-  long next() {
+  long nextExpiry() {
     return order.isEmpty() ? Long.MAX_VALUE : order.first().ends();
   }
 
   /** Takes one that has ended out; -1 where there is none. */
-  int ended(long now) {
-    if (next() > now) {
+  int pollExpired(long now) {
+    if (nextExpiry() > now) {
       return -1;
     }
     int member = order.first().member();
@@ -77,7 +77,7 @@
   }
 
   /** All have that much more time: this process was held up. */
-  void putOff(long ms) {
+  void postpone(long ms) {
     List<Timer> all = new ArrayList<>(order);
     order.clear();
     all.forEach(
--- a/members/src/main/java/willowdoor/members/Tags.java
+++ b/members/src/main/java/willowdoor/members/Tags.java
@@ -12,9 +12,9 @@
 public final class Tags {
 
   public static final Tags NONE = new Tags(new TreeMap<>());
-  static final int MOST = 8;
-  static final int MOST_NAME = 16;
-  static final int MOST_BYTES = 128;
+  static final int MAX_TAGS = 8;
+  static final int MAX_NAME_LENGTH = 16;
+  static final int MAX_BYTES = 128;
 
   private final TreeMap<String, byte[]> values;
 
@@ -29,16 +29,16 @@
     for (Map.Entry<String, byte[]> e : values.entrySet()) {
       String name = e.getKey();
       boolean ascii = StandardCharsets.US_ASCII.newEncoder().canEncode(name);
-      if (name.isEmpty() || name.length() > MOST_NAME || !ascii) {
+      if (name.isEmpty() || name.length() > MAX_NAME_LENGTH || !ascii) {
         throw new IllegalArgumentException(
             "a tag's name is not 1 to 16 ASCII characters: '" + name + "'");
       }
       bytes += name.length() + e.getValue().length;
       copy.put(name, e.getValue().clone());
     }
-    if (bytes > MOST_BYTES || copy.size() > MOST) {
+    if (bytes > MAX_BYTES || copy.size() > MAX_TAGS) {
       throw new IllegalArgumentException(
-          "more than " + MOST + " tags or " + MOST_BYTES + " bytes of them");
+          "more than " + MAX_TAGS + " tags or " + MAX_BYTES + " bytes of them");
     }
     return copy.isEmpty() ? NONE : new Tags(copy);
   }
@@ -66,7 +66,7 @@
   }
 
   /** What they take in a datagram at most. */
-  int size() {
+  int maxEncodedBytes() {
     int size = 1;
     for (Map.Entry<String, byte[]> e : values.entrySet()) {
       size += 1 + e.getKey().length() + 2 + e.getValue().length;
--- a/members/src/main/java/willowdoor/members/Timing.java
+++ b/members/src/main/java/willowdoor/members/Timing.java
@@ -4,106 +4,113 @@
 import java.util.Map;
 
 /**
- * All times and bounds of the protocol, in milliseconds where nothing else is said. The defaults
- * are for a fleet on one network: a killed member of 100 is known to all within 3 s, see {@code
- * docs/members.md}.
+ * All time-outs and limits of the protocol, in milliseconds unless stated otherwise. The defaults
+ * are for a fleet on one network: in a fleet of 100 members, every other member marks a killed
+ * member as failed within 3 s, see {@code docs/members.md}.
  *
- * @param probe from one probe to the next
- * @param ackWithin after this without an ack others are asked to probe; less than {@code probe}
- * @param helpers how many are asked
- * @param suspicion the least time of a suspicion, in intervals, times log10 of the members, of 100
- *     where there are fewer
- * @param suspicionMost the longest, in least ones
- * @param confirmations how many further accusers bring it down to the least
- * @param healthMost the largest local health score
- * @param retell how often a member tells one piece of news, times ln(members + 1)
- * @param newsBytes of news on a probe or its answer, at most, unless one statement takes more
- * @param urgentBytes the same while it tells of failures and suspicions: a fleet that heals tells
- *     few of these
- * @param absent from one probe of an absent member to the next
- * @param exchange from one regular exchange to the next
- * @param exchangeGap least time between exchanges out of turn
- * @param outOfStep for so long nobody heard had the own view: an exchange out of turn is due
- * @param joinRetry from one asking to the next while joining
- * @param joinAlone when a joining process goes on alone
- * @param noAnswer no probe was answered for so long: cut off
- * @param heldUp a wake-up that is late by more shows that the process was held up
- * @param twin this long is looked back for one that was started under the same name
- * @param lifeguard whether the extensions named Lifeguard are in force
+ * @param probeMs interval between probes
+ * @param ackTimeoutMs time without an ack after which other members are requested to probe; less
+ *     than {@code probeMs}
+ * @param helpers number of members that are requested to probe
+ * @param suspicionFactor the minimum suspicion time-out, in probe intervals per log10 of the fleet
+ *     size; a fleet of fewer than 100 members counts as 100
+ * @param maxSuspicionFactor the maximum suspicion time-out, as a multiple of the minimum
+ * @param confirmations number of further accusers that reduce the time-out to the minimum
+ * @param maxHealthScore the largest local health score
+ * @param retransmitFactor how often a member sends one gossip entry, times ln(members + 1)
+ * @param gossipBytes maximum bytes of gossip in a message with gossip; a single larger statement is
+ *     still sent
+ * @param urgentGossipBytes the same limit for statements about failures and suspicions; a fleet
+ *     whose partition heals sends few of these
+ * @param absentProbeMs interval between probes of absent members
+ * @param exchangeMs interval between regular exchanges
+ * @param exchangeGapMs minimum time between extra exchanges
+ * @param noEqualViewMs an extra exchange is due when no message with the own view's digest has
+ *     arrived for this long
+ * @param joinRetryMs interval between requests while joining
+ * @param joinAloneMs time after which a joining process completes the join without a response
+ * @param noAnswerMs this process is isolated when no probe was acknowledged for this long
+ * @param stallMs a wake-up that is later than this shows that the process was stalled
+ * @param duplicateWindowMs how far back a second process with the same name is looked for
+ * @param lifeguard whether the Lifeguard extensions of SWIM are enabled
  */
 record Timing(
-    long probe,
-    long ackWithin,
+    long probeMs,
+    long ackTimeoutMs,
     int helpers,
-    double suspicion,
-    double suspicionMost,
+    double suspicionFactor,
+    double maxSuspicionFactor,
     int confirmations,
-    int healthMost,
-    double retell,
-    int newsBytes,
-    int urgentBytes,
-    long absent,
-    long exchange,
-    long exchangeGap,
-    long outOfStep,
-    long joinRetry,
-    long joinAlone,
-    long noAnswer,
-    long heldUp,
-    long twin,
+    int maxHealthScore,
+    double retransmitFactor,
+    int gossipBytes,
+    int urgentGossipBytes,
+    long absentProbeMs,
+    long exchangeMs,
+    long exchangeGapMs,
+    long noEqualViewMs,
+    long joinRetryMs,
+    long joinAloneMs,
+    long noAnswerMs,
+    long stallMs,
+    long duplicateWindowMs,
     boolean lifeguard) {
 
   private static final long HOUR = 3_600_000;
 
   static Timing of(Map<String, Object> fields) throws IOException {
-    return read(new Fields(fields, "timing"));
+    return read(new ConfigObject(fields, "timing"));
   }
 
-  static Timing read(Fields in) throws IOException {
-    long probe = in.whole("probe_ms", 10, HOUR, 150);
+  static Timing read(ConfigObject in) throws IOException {
+    long probe = in.integer("probe_ms", 10, HOUR, 150);
     Timing timing =
         new Timing(
             probe,
-            in.whole("ack_within_ms", 1, probe - 1, Math.max(1, probe * 2 / 5)),
-            (int) in.whole("helpers", 0, 16, 3),
+            in.integer("ack_within_ms", 1, probe - 1, Math.max(1, probe * 2 / 5)),
+            (int) in.integer("helpers", 0, 16, 3),
             in.decimal("suspicion", 0.1, 1_000, 4),
             in.decimal("suspicion_most", 1, 100, 6),
-            (int) in.whole("confirmations", 0, Statement.MOST_ACCUSERS - 1, 3),
-            (int) in.whole("health_most", 0, 100, 8),
+            (int) in.integer("confirmations", 0, Statement.MAX_ACCUSERS - 1, 3),
+            (int) in.integer("health_most", 0, 100, 8),
             in.decimal("retell", 0.1, 100, 2),
-            (int) in.whole("news_bytes", 0, 1_000, 80),
-            (int) in.whole("urgent_bytes", 0, 1_000, 300),
-            in.whole("absent_ms", 10, HOUR, 10 * probe),
-            in.whole("exchange_ms", 10, HOUR, 50 * probe),
-            in.whole("exchange_gap_ms", 1, HOUR, 5 * probe),
-            in.whole("out_of_step_ms", 1, HOUR, 3 * probe),
-            in.whole("join_retry_ms", 10, HOUR, 2 * probe),
-            in.whole("join_alone_ms", 0, HOUR, 20 * probe),
-            in.whole("no_answer_ms", 10, HOUR, 20 * probe),
-            in.whole("held_up_ms", 1, HOUR, probe),
-            in.whole("twin_ms", 10, HOUR, 200 * probe),
-            in.flag("lifeguard", true));
-    in.end();
+            (int) in.integer("news_bytes", 0, 1_000, 80),
+            (int) in.integer("urgent_bytes", 0, 1_000, 300),
+            in.integer("absent_ms", 10, HOUR, 10 * probe),
+            in.integer("exchange_ms", 10, HOUR, 50 * probe),
+            in.integer("exchange_gap_ms", 1, HOUR, 5 * probe),
+            in.integer("out_of_step_ms", 1, HOUR, 3 * probe),
+            in.integer("join_retry_ms", 10, HOUR, 2 * probe),
+            in.integer("join_alone_ms", 0, HOUR, 20 * probe),
+            in.integer("no_answer_ms", 10, HOUR, 20 * probe),
+            in.integer("held_up_ms", 1, HOUR, probe),
+            in.integer("twin_ms", 10, HOUR, 200 * probe),
+            in.bool("lifeguard", true));
+    in.requireAllKeysRead();
     return timing;
   }
 
-  /** The least time of a suspicion among so many members. */
-  long suspicionLeast(int members) {
-    return (long) Math.ceil(suspicion * Math.log10(Math.max(100, members)) * probe);
+  /** The minimum suspicion time-out in a fleet of {@code members}. */
+  long minSuspicionMs(int members) {
+    return (long) Math.ceil(suspicionFactor * Math.log10(Math.max(100, members)) * probeMs);
   }
 
-  /** The time of a suspicion among so many that so many have confirmed, of those that might. */
-  long suspicionFor(int members, int confirmed, int expected) {
-    double least = suspicionLeast(members);
+  /**
+   * The suspicion time-out in a fleet of {@code members} after {@code confirmed} of the {@code
+   * expected} confirmations.
+   */
+  long suspicionMs(int members, int confirmed, int expected) {
+    double min = minSuspicionMs(members);
     if (!lifeguard || expected <= 0) {
-      return (long) least;
+      return (long) min;
     }
-    double most = least * suspicionMost;
+    double max = min * maxSuspicionFactor;
     return (long)
-        Math.max(least, most - (most - least) * Math.log(confirmed + 1) / Math.log(expected + 1));
+        Math.max(min, max - (max - min) * Math.log(confirmed + 1) / Math.log(expected + 1));
   }
 
-  int tellings(int members) {
-    return (int) Math.ceil(retell * Math.log(members + 1));
+  /** How often a member sends one gossip entry in a fleet of {@code members}. */
+  int transmitLimit(int members) {
+    return (int) Math.ceil(retransmitFactor * Math.log(members + 1));
   }
 }
--- a/members/src/main/java/willowdoor/members/View.java
+++ b/members/src/main/java/willowdoor/members/View.java
@@ -11,10 +11,10 @@
  */
 final class View {
 
-  static final int MOST_PAGES = 256;
+  static final int MAX_PAGES = 256;
 
   /** A page's print: enough to tell pages apart, as the next exchange salts it anew. */
-  static final int PRINT_BYTES = 2;
+  static final int PAGE_CHECKSUM_BYTES = 2;
 
   private final Statement[] statements;
   private final long[] pages;
@@ -24,11 +24,11 @@
 
   View(Roster roster) {
     int size = roster.size();
-    pageSize = (size + MOST_PAGES - 1) / MOST_PAGES;
+    pageSize = (size + MAX_PAGES - 1) / MAX_PAGES;
     pages = new long[(size + pageSize - 1) / pageSize];
     statements = new Statement[size];
     for (int i = 0; i < size; i++) {
-      statements[i] = roster.unheard(i);
+      statements[i] = roster.initialStatement(i);
       counts[statements[i].state().ordinal()]++;
       digest(statements[i]);
     }
@@ -43,16 +43,16 @@
   }
 
   /** Takes it whatever was known before; that comes back. */
-  Statement put(Statement is) {
-    Statement was = statements[is.member()];
-    statements[is.member()] = is;
-    counts[was.state().ordinal()]--;
-    counts[is.state().ordinal()]++;
-    if (!was.sameLife(is) || was.state() != is.state()) {
-      undigest(was);
-      digest(is);
+  Statement put(Statement current) {
+    Statement previous = statements[current.member()];
+    statements[current.member()] = current;
+    counts[previous.state().ordinal()]--;
+    counts[current.state().ordinal()]++;
+    if (!previous.sameIncarnation(current) || previous.state() != current.state()) {
+      undigest(previous);
+      digest(current);
     }
-    return was;
+    return previous;
   }
 
   int count(MemberState state) {
@@ -64,7 +64,7 @@
   }
 
   /** How many count for a majority. */
-  int reached() {
+  int reachable() {
     return count(MemberState.ALIVE) + count(MemberState.SUSPECT);
   }
 
@@ -73,8 +73,8 @@
   }
 
   /** Short prints of the pages' digests, in order. */
-  byte[] prints(long salt) {
-    ByteBuffer prints = ByteBuffer.allocate(pages.length * PRINT_BYTES);
+  byte[] pageChecksums(long salt) {
+    ByteBuffer prints = ByteBuffer.allocate(pages.length * PAGE_CHECKSUM_BYTES);
     for (long page : pages) {
       prints.putShort((short) mix(page ^ mix(salt)));
     }
@@ -82,13 +82,14 @@
   }
 
   /** The pages whose prints differ from those of another view; all where that has other pages. */
-  List<Integer> differing(byte[] others, long salt) {
-    byte[] own = prints(salt);
+  List<Integer> differingPages(byte[] others, long salt) {
+    byte[] own = pageChecksums(salt);
     List<Integer> found = new ArrayList<>();
     for (int i = 0; i < pages.length; i++) {
-      int at = i * PRINT_BYTES;
+      int at = i * PAGE_CHECKSUM_BYTES;
       if (others.length != own.length
-          || !Arrays.equals(own, at, at + PRINT_BYTES, others, at, at + PRINT_BYTES)) {
+          || !Arrays.equals(
+              own, at, at + PAGE_CHECKSUM_BYTES, others, at, at + PAGE_CHECKSUM_BYTES)) {
         found.add(i);
       }
     }
@@ -101,18 +102,18 @@
   }
 
   private void digest(Statement s) {
-    long word = word(s);
+    long word = hash(s);
     digest += word;
     pages[s.member() / pageSize] += word;
   }
 
   private void undigest(Statement s) {
-    long word = word(s);
+    long word = hash(s);
     digest -= word;
     pages[s.member() / pageSize] -= word;
   }
 
-  private static long word(Statement s) {
+  private static long hash(Statement s) {
     return mix(
         mix(mix(s.member() + 1L) ^ s.generation())
             + (long) s.incarnation() * MemberState.count()
--- a/members/src/test/java/willowdoor/members/CodecTest.java
+++ b/members/src/test/java/willowdoor/members/CodecTest.java
@@ -26,13 +26,13 @@
 
   private static ModelFleet fleet() {
     try {
-      return ModelFleet.calm(5, 1);
+      return ModelFleet.converged(5, 1);
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
   }
 
-  private List<Message> one() {
+  private List<Message> messageOfEachKind() {
     Statement plain = new Statement(2, 5L << 20, 1, MemberState.ALIVE, List.of(), Tags.NONE);
     Statement tagged =
         new Statement(
@@ -48,57 +48,61 @@
             new Message.Ack(2, 1),
             new Message.PingRequest(3, 4, 90),
             new Message.Nack(4, 2),
-            new Message.News(),
-            new Message.Exchange(5, new byte[] {1, -2}),
-            new Message.Pages(6, 1, 2, 3),
-            new Message.Better(7));
+            new Message.Gossip(),
+            new Message.ExchangeRequest(5, new byte[] {1, -2}),
+            new Message.ExchangeResponse(6, 1, 2, 3),
+            new Message.ExchangeUpdate(7));
     return bodies.stream().map(b -> new Message(header, b, List.of(plain, tagged))).toList();
   }
 
-  private Count dropped(Codec by, byte[] datagram, int from) {
-    return assertThrows(Codec.Dropped.class, () -> by.decode(datagram, datagram.length, from))
+  private Count dropReason(Codec by, byte[] datagram, int from) {
+    return assertThrows(
+            Codec.DroppedDatagramException.class, () -> by.decode(datagram, datagram.length, from))
         .reason;
   }
 
   @Test
-  void whatIsWrittenIsReadAgain() throws Exception {
-    for (Message message : one()) {
+  void everyMessageKindSurvivesARoundTrip() throws Exception {
+    for (Message message : messageOfEachKind()) {
       byte[] datagram = sender.encode(message);
       Message read = codec.decode(datagram, datagram.length, 0);
       assertEquals(header, read.header());
-      assertEquals(message.news().get(0), read.news().get(0));
-      assertEquals(List.of(0, 4), read.news().get(1).accusers());
-      assertEquals(List.of("a", "b"), new ArrayList<>(read.news().get(1).tags().values().keySet()));
+      assertEquals(message.statements().get(0), read.statements().get(0));
+      assertEquals(List.of(0, 4), read.statements().get(1).accusers());
+      assertEquals(
+          List.of("a", "b"), new ArrayList<>(read.statements().get(1).tags().values().keySet()));
       assertTrue(Arrays.equals(datagram, sender.encode(read)));
     }
   }
 
   @Test
-  void whatIsNotForThisMemberIsDroppedByItsReason() {
-    byte[] datagram = sender.encode(one().get(0));
-    assertEquals(Count.OTHER_NAME, dropped(codec, datagram, 2));
-    assertEquals(Count.NOT_FOR_ME, dropped(new Codec(roster, 2, counts), datagram, 0));
+  void invalidOrMisaddressedDatagramIsDroppedWithItsReason() {
+    byte[] datagram = sender.encode(messageOfEachKind().get(0));
+    assertEquals(Count.OTHER_NAME, dropReason(codec, datagram, 2));
+    assertEquals(Count.NOT_FOR_ME, dropReason(new Codec(roster, 2, counts), datagram, 0));
     Roster other = new Roster("other", 1, List.of(roster.peer(0), roster.peer(1)));
-    assertEquals(Count.OTHER_FLEET, dropped(new Codec(other, 1, counts), datagram, 0));
-    assertEquals(Count.TOO_LONG, dropped(codec, new byte[Sizes.DATAGRAM + 1], 0));
+    assertEquals(Count.OTHER_FLEET, dropReason(new Codec(other, 1, counts), datagram, 0));
+    assertEquals(
+        Count.TOO_LONG, dropReason(codec, new byte[EncodedSizes.MAX_DATAGRAM_BYTES + 1], 0));
     datagram[5] ^= 3;
-    assertEquals(Count.CHECKSUM, dropped(codec, datagram, 0));
-    assertEquals(Count.OTHER_PROTOCOL, dropped(codec, Codec.seal(datagram, datagram.length), 0));
+    assertEquals(Count.CHECKSUM, dropReason(codec, datagram, 0));
+    assertEquals(
+        Count.OTHER_PROTOCOL, dropReason(codec, Codec.writeChecksum(datagram, datagram.length), 0));
   }
 
   @Test
-  void namesOfAnotherRosterAreLeftOut() throws Exception {
+  void namesMissingFromTheRosterAreIgnored() throws Exception {
     Roster smaller =
         new Roster("model", 2, List.of(roster.peer(0), roster.peer(1), roster.peer(3)));
-    byte[] datagram = sender.encode(one().get(0));
+    byte[] datagram = sender.encode(messageOfEachKind().get(0));
     Message read = new Codec(smaller, 1, counts).decode(datagram, datagram.length, 0);
-    assertEquals(List.of(2), read.news().stream().map(Statement::member).toList());
-    assertEquals(List.of(0), read.news().get(0).accusers());
+    assertEquals(List.of(2), read.statements().stream().map(Statement::member).toList());
+    assertEquals(List.of(0), read.statements().get(0).accusers());
     assertEquals(1, counts.get(Count.UNKNOWN_MEMBER));
   }
 
   @Test
-  void theLongestNamesTagsAndListsKeepToOneDatagram() throws Exception {
+  void longestNamesTagsAndListsFitIntoOneDatagram() throws Exception {
     List<Roster.Peer> peers = new ArrayList<>();
     for (int i = 0; i < 600; i++) {
       peers.add(
@@ -107,22 +111,22 @@
     }
     Roster long600 = new Roster("f".repeat(32), 1, peers);
     Tags tags = Tags.of(Map.of("n".repeat(16), new byte[112]));
-    List<Integer> most = new ArrayList<>();
+    List<Integer> lengths = new ArrayList<>();
     Effects effects =
         new Effects() {
           @Override
           public void send(int to, Message message) {
-            most.add(new Codec(long600, 0, counts).encode(message).length);
+            lengths.add(new Codec(long600, 0, counts).encode(message).length);
           }
 
           @Override
           public void changed(Statement was, Statement is) {}
 
           @Override
-          public void cutOff(boolean cutOff) {}
+          public void isolationChanged(boolean cutOff) {}
 
           @Override
-          public void twin(boolean superseded) {}
+          public void duplicateNameFound(boolean superseded) {}
         };
     Membership member =
         new Membership(
@@ -139,23 +143,25 @@
       Statement s =
           new Statement(
               i, 1L << 60, 1 << 29, MemberState.SUSPECT, List.of(1, 2, 3, 4, 5, 6, 7, 8), tags);
-      Message.Exchange all = new Message.Exchange(Long.MAX_VALUE, new byte[0]);
+      Message.ExchangeRequest all = new Message.ExchangeRequest(Long.MAX_VALUE, new byte[0]);
       member.receive(new Message(from, all, List.of(s)), i * 1_000L);
       member.tick(i * 1_000L);
     }
-    assertTrue(most.size() > 1_000);
-    assertTrue(Collections.max(most) <= Sizes.DATAGRAM, "longest " + Collections.max(most));
+    assertTrue(lengths.size() > 1_000);
+    assertTrue(
+        Collections.max(lengths) <= EncodedSizes.MAX_DATAGRAM_BYTES,
+        "longest " + Collections.max(lengths));
   }
 
   /** Feeds many mutations of whole datagrams; how many were let through. */
-  private int fed(UnaryOperator<byte[]> change) {
+  private int countAccepted(UnaryOperator<byte[]> change) {
     int taken = 0;
     for (int i = 0; i < 40_000; i++) {
-      byte[] datagram = change.apply(sender.encode(one().get(i % 8)));
+      byte[] datagram = change.apply(sender.encode(messageOfEachKind().get(i % 8)));
       try {
         fleet.node(1).member.receive(codec.decode(datagram, datagram.length, 0), fleet.now);
         taken++;
-      } catch (Codec.Dropped e) {
+      } catch (Codec.DroppedDatagramException e) {
         counts.add(e.reason);
       }
     }
@@ -163,23 +169,26 @@
   }
 
   @Test
-  void garbageNeverThrowsAndChangesNoView() {
+  void corruptDatagramsNeitherThrowNorChangeTheView() {
     SplittableRandom random = new SplittableRandom(11);
     long digest = fleet.node(1).member.digest();
     assertEquals(
         0,
-        fed(
+        countAccepted(
             d -> {
               byte[] noise = new byte[random.nextInt(1_500)];
               random.nextBytes(noise);
               return noise;
             }));
-    assertEquals(0, fed(d -> Arrays.copyOf(d, random.nextInt(d.length))));
-    assertEquals(0, fed(d -> mutated(d, random)));
+    assertEquals(0, countAccepted(d -> Arrays.copyOf(d, random.nextInt(d.length))));
+    assertEquals(0, countAccepted(d -> mutated(d, random)));
     assertEquals(digest, fleet.node(1).member.digest());
     // Under a right checksum the rest of the reader meets it, and the member what is let through.
-    assertTrue(fed(d -> Codec.seal(mutated(d, random), d.length)) > 0);
-    assertTrue(fed(d -> Codec.seal(Arrays.copyOf(d, 5 + random.nextInt(d.length - 5)), 5)) >= 0);
+    assertTrue(countAccepted(d -> Codec.writeChecksum(mutated(d, random), d.length)) > 0);
+    assertTrue(
+        countAccepted(
+                d -> Codec.writeChecksum(Arrays.copyOf(d, 5 + random.nextInt(d.length - 5)), 5))
+            >= 0);
     assertTrue(counts.get(Count.MALFORMED) > 10_000);
   }
 
--- a/members/src/test/java/willowdoor/members/Measure.java
+++ b/members/src/test/java/willowdoor/members/Measure.java
@@ -24,15 +24,17 @@
                 timing.put(
                     a[0], a[1].contains(".") ? (Object) Double.valueOf(a[1]) : Long.valueOf(a[1])));
     switch (args[0]) {
-      case "members" -> members(size, timing);
-      case "cuts" -> cuts(size, timing);
-      default -> loss(size, timing);
+      case "members" -> measureFailureDetection(size, timing);
+      case "cuts" -> measurePartitions(size, timing);
+      default -> measureLoss(size, timing);
     }
   }
 
   /** Bytes a second and member, calm, and how long until a kill is known to all. */
-  private static void members(int size, Map<String, Object> timing) throws IOException {
-    ModelFleet fleet = size <= 200 ? ModelFleet.calm(size, 1, timing) : known(size, timing);
+  private static void measureFailureDetection(int size, Map<String, Object> timing)
+      throws IOException {
+    ModelFleet fleet =
+        size <= 200 ? ModelFleet.converged(size, 1, timing) : convergedAtStart(size, timing);
     fleet.run(60_000);
     fleet.bytes = 0;
     fleet.datagrams = 0;
@@ -75,36 +77,37 @@
   }
 
   /** A fleet that is told of itself, as all start at once. */
-  private static ModelFleet known(int size, Map<String, Object> timing) throws IOException {
+  private static ModelFleet convergedAtStart(int size, Map<String, Object> timing)
+      throws IOException {
     ModelFleet fleet = new ModelFleet(size, 1, timing);
     List<Statement> all = new ArrayList<>();
-    fleet.path = (from, to) -> false;
+    fleet.network = (from, to) -> false;
     for (int i = 0; i < size; i++) {
       Statement s = fleet.start(i, 0).member.statement(i);
-      all.add(s.as(MemberState.ALIVE));
+      all.add(s.withState(MemberState.ALIVE));
     }
     for (ModelFleet.Node node : fleet.nodes) {
       node.member.tick(fleet.now);
-      int from = node.place == 0 ? 1 : 0;
+      int from = node.index == 0 ? 1 : 0;
       node.member.receive(
           new Message(
               new Message.Header(
-                  from, node.place, all.get(from).generation(), 0, 1, fleet.roster.hash()),
-              new Message.Pages(1, 0, 1, 0),
+                  from, node.index, all.get(from).generation(), 0, 1, fleet.roster.hash()),
+              new Message.ExchangeResponse(1, 0, 1, 0),
               all),
           fleet.now);
-      node.wake();
+      node.scheduleWake();
     }
-    fleet.path = (from, to) -> true;
+    fleet.network = (from, to) -> true;
     return fleet;
   }
 
   /**
    * How long until all views are equal after a cut in two, and the bytes of that time against calm.
    */
-  private static void cuts(int size, Map<String, Object> timing) throws IOException {
+  private static void measurePartitions(int size, Map<String, Object> timing) throws IOException {
     for (int part : new int[] {size / 2, size * 49 / 100, 1}) {
-      ModelFleet fleet = ModelFleet.calm(size, 2, timing);
+      ModelFleet fleet = ModelFleet.converged(size, 2, timing);
       fleet.run(60_000);
       fleet.bytes = 0;
       fleet.run(10_000);
@@ -114,18 +117,18 @@
       double[] ratio = new double[cuts];
       long[] noticed = new long[cuts];
       for (int i = 0; i < cuts; i++) {
-        fleet.path = (from, to) -> from < part == to < part;
+        fleet.network = (from, to) -> from < part == to < part;
         long began = fleet.now;
         while (fleet.now - began < 40_000) {
           fleet.run(100);
           if (noticed[i] == 0
-              && fleet.nodes.stream().allMatch(n -> n.place >= part || n.member.cutOff())) {
+              && fleet.nodes.stream().allMatch(n -> n.index >= part || n.member.isolated())) {
             noticed[i] = fleet.now - began;
           }
         }
-        fleet.path = (from, to) -> true;
+        fleet.network = (from, to) -> true;
         fleet.bytes = 0;
-        healed[i] = fleet.untilEqual(60_000);
+        healed[i] = fleet.runUntilViewsEqual(60_000);
         long healing = fleet.bytes;
         ratio[i] = healing / (Math.max(1, healed[i]) / 1e3) / calm;
         fleet.run(20_000);
@@ -145,11 +148,11 @@
   }
 
   /** False accusations and failures in ten minutes of loss. */
-  private static void loss(int size, Map<String, Object> timing) throws IOException {
+  private static void measureLoss(int size, Map<String, Object> timing) throws IOException {
     for (boolean lifeguard : new boolean[] {true, false}) {
       for (double loss : new double[] {0.05, 0.3}) {
         timing.put("lifeguard", lifeguard);
-        ModelFleet fleet = ModelFleet.calm(size, 3, timing);
+        ModelFleet fleet = ModelFleet.converged(size, 3, timing);
         fleet.loss = loss;
         fleet.delayMs = loss > 0.1 ? 200 : 2;
         fleet.run(600_000);
--- a/members/src/test/java/willowdoor/members/ModelFleet.java
+++ b/members/src/test/java/willowdoor/members/ModelFleet.java
@@ -16,46 +16,46 @@
   private static final long WALL_MS = 1_700_000_000_000L;
 
   /** Datagrams that a stopped process's socket holds. */
-  private static final int SOCKET_HOLDS = 256;
+  private static final int SOCKET_QUEUE_DATAGRAMS = 256;
 
   /** Whether the network takes a datagram. */
-  interface Path {
-    boolean open(int from, int to);
+  interface Network {
+    boolean delivers(int from, int to);
   }
 
   private record Event(long at, long order, Node to, byte[] datagram, Message message) {}
 
   /** One process. */
   final class Node implements Effects {
-    final int place;
+    final int index;
     final Counts counts = new Counts();
     final Codec codec;
     final Membership member;
-    boolean dead;
+    boolean killed;
     long stoppedUntil = -1;
     long wakesAt = Long.MAX_VALUE;
     final Deque<Event> held = new ArrayDeque<>();
 
     Node(int place, Timing timing, long wallMs) {
-      this.place = place;
+      this.index = place;
       codec = new Codec(roster, place, counts);
       member = new Membership(roster, place, timing, wallMs, random.split(), this, counts, now);
-      wake();
+      scheduleWake();
     }
 
     @Override
     public void send(int to, Message message) {
-      byte[] datagram = encodes ? codec.encode(message) : null;
-      bytes += encodes ? datagram.length : 0;
+      byte[] datagram = encodesMessages ? codec.encode(message) : null;
+      bytes += encodesMessages ? datagram.length : 0;
       datagrams++;
-      if (encodes && datagram.length > Sizes.DATAGRAM) {
+      if (encodesMessages && datagram.length > EncodedSizes.MAX_DATAGRAM_BYTES) {
         throw new IllegalStateException("a datagram of " + datagram.length);
       }
-      if (!path.open(place, to) || random.nextDouble() < loss) {
+      if (!network.delivers(index, to) || random.nextDouble() < loss) {
         return;
       }
       for (Node node : nodes) {
-        if (node.place == to && !node.dead) {
+        if (node.index == to && !node.killed) {
           events.add(
               new Event(now + 1 + random.nextInt(delayMs), order++, node, datagram, message));
         }
@@ -68,19 +68,19 @@
     }
 
     @Override
-    public void cutOff(boolean cutOff) {}
+    public void isolationChanged(boolean cutOff) {}
 
     @Override
-    public void twin(boolean superseded) {}
+    public void duplicateNameFound(boolean superseded) {}
 
-    void take(Event event) {
-      if (dead) {
+    void process(Event event) {
+      if (killed) {
         return;
       }
       if (stoppedUntil > now) {
         if (event.datagram == null && event.message == null) {
           events.add(new Event(stoppedUntil, order++, this, null, null));
-        } else if (held.size() < SOCKET_HOLDS) {
+        } else if (held.size() < SOCKET_QUEUE_DATAGRAMS) {
           held.add(event);
         }
         return;
@@ -100,7 +100,7 @@
           member.tick(now);
         }
       }
-      wake();
+      scheduleWake();
     }
 
     private void receive(Event event) {
@@ -111,19 +111,19 @@
                 : codec.decode(
                     event.datagram, event.datagram.length, event.message.header().from()),
             now);
-      } catch (Codec.Dropped e) {
+      } catch (Codec.DroppedDatagramException e) {
         counts.add(e.reason);
       }
     }
 
-    void wake() {
+    void scheduleWake() {
       if (member != null && member.nextWake() < wakesAt) {
         wakesAt = member.nextWake();
         events.add(new Event(Math.max(now, wakesAt), order++, this, null, null));
       }
     }
 
-    MemberState of(int other) {
+    MemberState stateOf(int other) {
       return member.statement(other).state();
     }
   }
@@ -144,13 +144,13 @@
   long now = 1_000;
   double loss;
   int delayMs = 2;
-  Path path = (from, to) -> true;
+  Network network = (from, to) -> true;
   Watcher watcher = (node, was, is) -> {};
   long bytes;
   long datagrams;
 
   /** Off for thousands: messages are handed on as objects then, and bytes are not counted. */
-  boolean encodes = true;
+  boolean encodesMessages = true;
 
   ModelFleet(int size, long seed, Map<String, Object> timing) throws IOException {
     List<Roster.Peer> peers = new ArrayList<>();
@@ -163,34 +163,34 @@
   }
 
   /** All started within a second, and in step. */
-  static ModelFleet calm(int size, long seed) throws IOException {
-    return calm(size, seed, Map.of());
+  static ModelFleet converged(int size, long seed) throws IOException {
+    return converged(size, seed, Map.of());
   }
 
-  static ModelFleet calm(int size, long seed, Map<String, Object> timing) throws IOException {
+  static ModelFleet converged(int size, long seed, Map<String, Object> timing) throws IOException {
     ModelFleet fleet = new ModelFleet(size, seed, timing);
     for (int i = 0; i < size; i++) {
       fleet.start(i, 0);
       fleet.run(1_000 / size);
     }
-    if (fleet.untilEqual(20_000) < 0) {
+    if (fleet.runUntilViewsEqual(20_000) < 0) {
       throw new IllegalStateException("not in step at the start");
     }
     return fleet;
   }
 
-  Node start(int place, long clockStepMs) {
-    Node node = new Node(place, timing, WALL_MS + now + clockStepMs);
+  Node start(int index, long clockStepMs) {
+    Node node = new Node(index, timing, WALL_MS + now + clockStepMs);
     nodes.add(node);
     return node;
   }
 
-  void kill(int place) {
-    nodes.removeIf(n -> n.place == place && (n.dead = true));
+  void kill(int index) {
+    nodes.removeIf(n -> n.index == index && (n.killed = true));
   }
 
-  Node node(int place) {
-    return nodes.stream().filter(n -> n.place == place).findFirst().orElseThrow();
+  Node node(int index) {
+    return nodes.stream().filter(n -> n.index == index).findFirst().orElseThrow();
   }
 
   void run(long ms) {
@@ -198,7 +198,7 @@
     while (!events.isEmpty() && events.peek().at <= end) {
       Event event = events.remove();
       now = event.at;
-      event.to.take(event);
+      event.to.process(event);
     }
     now = end;
   }
@@ -207,9 +207,9 @@
    * Runs until all views are equal and all that live are alive there; the time, or -1 where it ran
    * out.
    */
-  long untilEqual(long mostMs) {
+  long runUntilViewsEqual(long mostMs) {
     for (long t = 0; t <= mostMs; t += 20) {
-      if (equal()) {
+      if (viewsEqual()) {
         return t;
       }
       run(20);
@@ -217,17 +217,17 @@
     return -1;
   }
 
-  boolean equal() {
+  boolean viewsEqual() {
     long digest = nodes.get(0).member.digest();
     return nodes.stream()
         .allMatch(
-            n -> n.member.digest() == digest && nodes.get(0).of(n.place) == MemberState.ALIVE);
+            n -> n.member.digest() == digest && nodes.get(0).stateOf(n.index) == MemberState.ALIVE);
   }
 
   /** Runs until every other one holds the member for such; the time, or -1 where it ran out. */
-  long untilAll(int member, MemberState state, long mostMs) {
+  long runUntilAllSee(int member, MemberState state, long mostMs) {
     for (long t = 0; t <= mostMs; t += 20) {
-      if (nodes.stream().allMatch(n -> n.place == member || n.of(member) == state)) {
+      if (nodes.stream().allMatch(n -> n.index == member || n.stateOf(member) == state)) {
         return t;
       }
       run(20);
--- a/members/src/test/java/willowdoor/members/RosterTest.java
+++ b/members/src/test/java/willowdoor/members/RosterTest.java
@@ -34,12 +34,12 @@
   }
 
   @Test
-  void theOrderIsByNumber() throws IOException {
+  void peersAreOrderedByNumber() throws IOException {
     MembersConfig config = MembersConfig.of(fields());
     assertEquals("a", config.roster().name(0));
     assertEquals(1, config.self());
     assertEquals(2, config.roster().majority());
-    assertEquals(1_200, config.timing().suspicionLeast(100));
+    assertEquals(1_200, config.timing().minSuspicionMs(100));
   }
 
   @ParameterizedTest
@@ -53,7 +53,7 @@
         "peers|x|members.peers is not a list",
         "timing|x|members.timing is not an object"
       })
-  void whatIsWrongIsToldByItsPath(String key, String value, String message) {
+  void invalidFieldIsReportedWithItsPath(String key, String value, String message) {
     Map<String, Object> fields = fields();
     fields.put(key, value);
     assertEquals(
@@ -70,7 +70,7 @@
         "c|3|host:7000|members.peers[2].addr is not a numeric address and port: 'host:7000'",
         "c|3|10.0.0.3:0|members.peers[2].addr is not a numeric address and port: '10.0.0.3:0'"
       })
-  void soIsWhatIsWrongWithAPeer(String name, long number, String addr, String message) {
+  void invalidPeerIsReportedWithItsPath(String name, long number, String addr, String message) {
     Map<String, Object> fields = fields();
     List<Object> peers = new ArrayList<>((List<?>) fields.get("peers"));
     peers.add(peer(name, number, addr));
@@ -80,11 +80,11 @@
   }
 
   @Test
-  void timingsAreReadAndBounded() throws IOException {
+  void timingIsReadAndItsBoundsAreChecked() throws IOException {
     Map<String, Object> fields = fields();
     fields.put("timing", Map.of("probe_ms", 1_000L, "lifeguard", false));
-    assertEquals(1_000, MembersConfig.of(fields).timing().probe());
-    assertEquals(400, MembersConfig.of(fields).timing().ackWithin());
+    assertEquals(1_000, MembersConfig.of(fields).timing().probeMs());
+    assertEquals(400, MembersConfig.of(fields).timing().ackTimeoutMs());
     fields.put("timing", Map.of("probe_ms", 5L));
     assertEquals(
         "members.timing.probe_ms is not a whole number from 10 to 3600000: '5'",
--- a/members/src/test/java/willowdoor/members/PlacesTest.java
+++ b/members/src/test/java/willowdoor/members/WorkAllocationTest.java
@@ -8,34 +8,34 @@
 import org.junit.jupiter.api.Test;
 
 /** What routing and limits go by. */
-class PlacesTest {
+class WorkAllocationTest {
 
-  private static final long HOLD = 10_000;
+  private static final long HOLD_MS = 10_000;
 
   @Test
-  void theAbsentAreLeftOutLateAndTakenInAtOnce() {
-    Places places = new Places(10, 7, HOLD);
+  void absentMembersAreExcludedAfterTheHoldTimeAndReturningOnesIncludedAtOnce() {
+    WorkAllocation places = new WorkAllocation(10, 7, HOLD_MS);
     places.changed(3, MemberState.FAILED, 0);
     places.changed(4, MemberState.LEFT, 0);
-    assertFalse(places.look(HOLD), "still cut off");
-    places.cutOff(false);
-    assertTrue(places.look(HOLD));
-    assertEquals(new Places.Place(8, 5, 9), places.place());
-    places.changed(4, MemberState.JOINING, HOLD + 1);
-    assertTrue(places.look(HOLD + 1));
-    assertEquals(new Places.Place(9, 6, 10), places.place());
-    places.cutOff(true);
-    assertTrue(places.look(HOLD + 2));
-    assertEquals(new Places.Place(10, 7, 10), places.place());
+    assertFalse(places.update(HOLD_MS), "still cut off");
+    places.isolated(false);
+    assertTrue(places.update(HOLD_MS));
+    assertEquals(new WorkAllocation.Share(8, 5, 9), places.share());
+    places.changed(4, MemberState.JOINING, HOLD_MS + 1);
+    assertTrue(places.update(HOLD_MS + 1));
+    assertEquals(new WorkAllocation.Share(9, 6, 10), places.share());
+    places.isolated(true);
+    assertTrue(places.update(HOLD_MS + 2));
+    assertEquals(new WorkAllocation.Share(10, 7, 10), places.share());
   }
 
   @Test
-  void oneThatFlapsChangesNothing() {
-    Places places = new Places(10, 7, HOLD);
-    places.cutOff(false);
+  void flappingMemberDoesNotChangeTheShare() {
+    WorkAllocation places = new WorkAllocation(10, 7, HOLD_MS);
+    places.isolated(false);
     for (int s = 0; s < 100; s++) {
       places.changed(3, s % 2 == 0 ? MemberState.FAILED : MemberState.ALIVE, s * 1_000L);
-      assertFalse(places.look(s * 1_000L));
+      assertFalse(places.update(s * 1_000L));
     }
   }
 
@@ -44,7 +44,7 @@
    * the whole.
    */
   @Test
-  void twoSidesNeverTakeMoreThanTheWhole() {
+  void sharesOnBothSidesOfAPartitionNeverExceedTheWhole() {
     SplittableRandom random = new SplittableRandom(5);
     for (int round = 0; round < 300; round++) {
       int size = 3 + random.nextInt(20);
@@ -55,7 +55,7 @@
         truth[i] = MemberState.of(random.nextInt(10) < 7 ? 1 : 3 + random.nextInt(2));
       }
       for (int i = 0; i < size; i++) {
-        Places places = new Places(size, i, HOLD);
+        WorkAllocation places = new WorkAllocation(size, i, HOLD_MS);
         int there = 0;
         for (int j = 0; j < size; j++) {
           boolean seen = i < cut == j < cut;
@@ -63,10 +63,10 @@
           MemberState known = seen || truth[j] == MemberState.LEFT ? truth[j] : MemberState.FAILED;
           places.changed(j, known, random.nextInt(50));
         }
-        places.cutOff(there <= size / 2);
-        places.look(HOLD + random.nextInt(100));
-        taken += truth[i].present() ? 1.0 / places.place().sharers() : 0;
-        assertTrue(places.place().place() < places.place().count());
+        places.isolated(there <= size / 2);
+        places.update(HOLD_MS + random.nextInt(100));
+        taken += truth[i].present() ? 1.0 / places.share().limitDivisor() : 0;
+        assertTrue(places.share().index() < places.share().count());
       }
       assertTrue(taken <= 1 + 1e-9, "took " + taken);
     }
