--- a/members/src/main/java/willowdoor/members/AntiEntropy.java
+++ b/members/src/main/java/willowdoor/members/AntiEntropy.java
@@ -7,22 +7,25 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Exchanges views: regularly with one random member, out of turn where views differ, and to join.
- * The asker sends prints of its pages, the other what it has on those that differ, the asker what
- * it knows better.
+ * Anti-entropy: exchanges views at a regular interval with a random member, additionally when views
+ * differ, and to join. The requester sends checksums of its pages, the responder sends its
+ * statements on the pages that differ, and the requester sends back its statements that supersede
+ * those.
  */
 final class AntiEntropy {
 
-  /** Datagrams of one answer at most; what is left is asked for again. */
+  /**
+   * Maximum number of datagrams of a response; later exchanges transfer the remaining statements.
+   */
   private static final int MAX_RESPONSE_PARTS = 4;
 
-  /** Answers within one gap between exchanges at most, and members told of a dispute. */
+  /** Maximum number of responses, and of direct failure notices, per exchange gap. */
   private static final int MAX_PER_GAP = 4;
 
-  /** Members asked at once to join. */
+  /** Number of members that receive a request in each attempt to join. */
   private static final int JOIN_REQUESTS = 2;
 
-  /** Answers to exchanges before these are not answered in turn. */
+  /** Responses to requests older than the latest of this number are ignored. */
   private static final int RECENT_REQUESTS = 8;
 
   private final ProtocolContext context;
@@ -33,14 +36,14 @@
   private final RandomGenerator random;
   private final long joinAloneAt;
 
-  /** Parts that have come of the answers that a join waits for, as bits. */
+  /** Received parts of the responses that a join waits for: a bit set by request number. */
   private final Map<Long, Integer> receivedParts = new HashMap<>();
 
   private long seq;
   private long nextJoin;
   private long nextExchange;
 
-  /** From when an exchange out of turn may be. */
+  /** The earliest time of the next extra exchange. */
   private long nextExtraExchange;
 
   private final RateLimiter responseLimiter;
@@ -84,7 +87,7 @@
     }
   }
 
-  /** The process was held up for so long. */
+  /** Delays the timers by the time for which this process was stalled. */
   void postpone(long ms) {
     nextExchange += ms;
     nextJoin += ms;
@@ -104,7 +107,7 @@
     }
   }
 
-  /** Another member by chance, of the present ones only or of all; -1 where none is present. */
+  /** A random other member, of all or of the present ones only; -1 if there is none. */
   private int randomMember(boolean presentOnly) {
     int candidates =
         presentOnly ? view.present() - (view.get(self).state().present() ? 1 : 0) : view.size() - 1;
@@ -125,8 +128,8 @@
   }
 
   /**
-   * A member was heard whose view differs: it was absent until now, or nobody has the own view any
-   * more.
+   * Starts an extra exchange with a member whose view differs, if the member was absent until now
+   * or if no member has sent the own view's digest for too long.
    */
   void handleDifferingView(int from, boolean absent, boolean noEqualView, long now) {
     if ((absent || noEqualView) && now >= nextExtraExchange) {
@@ -134,21 +137,24 @@
     }
   }
 
-  /** Whether one more answer is within the rate. */
+  /** Whether the rate limit allows one more response. */
   boolean tryAcquireResponse(long now) {
-    boolean may = responseLimiter.tryAcquire(now);
-    if (!may) {
+    boolean allowed = responseLimiter.tryAcquire(now);
+    if (!allowed) {
       context.count(Count.ANSWERS_SPARED);
     }
-    return may;
+    return allowed;
   }
 
-  /** Whether one more member may be told at once that others hold it for failed. */
+  /** Whether the rate limit allows one more notice to a member that others regard as failed. */
   boolean tryAcquireFailureNotice(long now) {
     return failureNoticeLimiter.tryAcquire(now);
   }
 
-  /** Answers with all that differs, from a place by chance on, as far as it may be sent at once. */
+  /**
+   * Responds with the statements on the pages that differ, starting at a random statement, within
+   * the limit of datagrams.
+   */
   void handleRequest(int from, Message.ExchangeRequest exchange, boolean sameRoster, long now) {
     if (!tryAcquireResponse(now)) {
       return;
@@ -163,7 +169,9 @@
     }
     int begin = all.isEmpty() ? 0 : random.nextInt(all.size());
     List<Statement> inOrder = new ArrayList<>();
-    // What is known of the asker decides whether it may go by its generation.
+    // The statement about the requester comes first: the requester uses it to decide whether it
+    // must
+    // raise its generation.
     if (view.get(from).generation() > 0) {
       inOrder.add(view.get(from));
     }
@@ -179,7 +187,7 @@
     }
   }
 
-  /** One part at least, and no more than may be sent at once. */
+  /** Splits into at least one and at most {@link #MAX_RESPONSE_PARTS} parts; omits the rest. */
   private List<List<Statement>> splitIntoParts(List<Statement> statements) {
     List<List<Statement>> parts = new ArrayList<>();
     parts.add(new ArrayList<>());
@@ -199,7 +207,10 @@
     return parts;
   }
 
-  /** Of what one part of an answer tells, what is known better here; before it is taken over. */
+  /**
+   * The own statements that supersede those in one part of a response. To be called before that
+   * part is merged.
+   */
   List<Statement> newerThan(List<Statement> received) {
     List<Statement> newer = new ArrayList<>();
     for (Statement statement : received) {
@@ -211,7 +222,7 @@
     return newer;
   }
 
-  /** One part of an answer has come and was taken over. */
+  /** Handles one part of a response after its statements were merged. */
   void handleResponse(
       int from,
       Message.ExchangeResponse response,
--- a/members/src/main/java/willowdoor/members/CborReader.java
+++ b/members/src/main/java/willowdoor/members/CborReader.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads nested arrays strictly: anything but what is asked for is an IOException. */
+/** A strict reader of nested CBOR arrays: an unexpected token or value is an IOException. */
 final class CborReader implements AutoCloseable {
 
   /** Reads one item of a list. */
@@ -16,7 +16,7 @@
 
   private final JsonParser in;
 
-  /** Looked at, and not yet taken. */
+  /** The token that was peeked at and not yet consumed, or null. */
   private JsonToken next;
 
   CborReader(byte[] bytes, int offset, int length) throws IOException {
@@ -39,7 +39,7 @@
     expect(JsonToken.END_ARRAY);
   }
 
-  /** Whether the array goes on. */
+  /** Whether the array has another item. */
   boolean more() throws IOException {
     if (next == null) {
       next = in.nextToken();
@@ -51,7 +51,7 @@
     expect(JsonToken.VALUE_STRING);
     String text = in.getText();
     if (text.isEmpty() || text.length() > max) {
-      throw new IOException("a text of " + text.length() + " characters");
+      throw new IOException("text has an invalid length of " + text.length() + " characters");
     }
     return text;
   }
@@ -67,11 +67,11 @@
   long number(long min, long max) throws IOException {
     expect(JsonToken.VALUE_NUMBER_INT);
     if (in.getNumberType() == JsonParser.NumberType.BIG_INTEGER) {
-      throw new IOException("a number out of bounds");
+      throw new IOException("number is out of bounds");
     }
     long number = in.getLongValue();
     if (number < min || number > max) {
-      throw new IOException("a number out of bounds");
+      throw new IOException("number is out of bounds");
     }
     return number;
   }
@@ -80,18 +80,18 @@
     expect(JsonToken.VALUE_EMBEDDED_OBJECT);
     byte[] bytes = in.getBinaryValue();
     if (bytes.length > max) {
-      throw new IOException("too many bytes");
+      throw new IOException("byte string is too long");
     }
     return bytes;
   }
 
-  /** An array of so many items at max; those that are read as null are left out. */
+  /** Reads an array of at most {@code max} items; omits items that are read as null. */
   <T> List<T> list(int max, Item<T> item) throws IOException {
     begin();
     List<T> items = new ArrayList<>();
     for (int i = 0; more(); i++) {
       if (i == max) {
-        throw new IOException("too many items");
+        throw new IOException("array has too many items");
       }
       T read = item.read(this);
       if (read != null) {
@@ -102,10 +102,10 @@
     return items;
   }
 
-  /** Nothing follows. */
+  /** Requires that nothing follows the message. */
   void atEnd() throws IOException {
     if (in.nextToken() != null) {
-      throw new IOException("more than one message");
+      throw new IOException("data follows the message");
     }
   }
 
--- a/members/src/main/java/willowdoor/members/Codec.java
+++ b/members/src/main/java/willowdoor/members/Codec.java
@@ -10,9 +10,9 @@
 import java.util.zip.CRC32C;
 
 /**
- * Messages as datagrams: four bytes of CRC-32C over what follows, and one CBOR array. Strict in
- * both directions: what {@link #decode} lets through is whole, of this protocol and fleet, from who
- * may say it and to this member.
+ * Encodes and decodes messages as datagrams: a CRC-32C of four bytes over the rest, and one CBOR
+ * array. {@link #decode} accepts only well-formed datagrams of this protocol and fleet whose sender
+ * name matches the source address and whose receiver is this member.
  */
 final class Codec {
 
@@ -20,7 +20,11 @@
   static final int CHECKSUM_BYTES = 4;
   static final CBORFactory CBOR = new CBORFactory();
 
-  /** The wire's number of what a message is about. */
+  /**
+   * The kinds of messages; the ordinals are the numbers in the wire format. NEWS stands for {@link
+   * Message.Gossip}, EXCHANGE, PAGES and BETTER for {@link Message.ExchangeRequest}, {@link
+   * Message.ExchangeResponse} and {@link Message.ExchangeUpdate}.
+   */
   enum Kind {
     PING,
     ACK,
@@ -32,7 +36,7 @@
     BETTER
   }
 
-  /** Why a datagram was dropped. */
+  /** Thrown for a datagram that is dropped; holds the counter of the reason. */
   static final class DroppedDatagramException extends Exception {
     private static final long serialVersionUID = 1;
     final Count reason;
@@ -77,13 +81,13 @@
         out.writeEndArray();
       }
     } catch (IOException e) {
-      throw new IllegalStateException("writing to memory failed", e);
+      throw new IllegalStateException("encoding a message in memory failed", e);
     }
     byte[] datagram = bytes.toByteArray();
     return writeChecksum(datagram, datagram.length);
   }
 
-  /** Puts the checksum in front of so many bytes. */
+  /** Writes the checksum of the datagram's first {@code length} bytes to its start. */
   static byte[] writeChecksum(byte[] datagram, int length) {
     ByteBuffer.wrap(datagram).putInt(checksum(datagram, length));
     return datagram;
@@ -95,7 +99,7 @@
     return (int) sum.getValue();
   }
 
-  /** Kind, number and what else the kind has: two fields after the number at most, as an array. */
+  /** Writes the kind, the sequence number and an array of the other fields of the kind. */
   private void body(JsonGenerator out, Message.Body body) throws IOException {
     if (body instanceof Message.Ping ping) {
       kind(out, Kind.PING, ping.seq(), 0);
@@ -132,8 +136,8 @@
   }
 
   /**
-   * Name, generation, incarnation and state in one, and then accusers and tags where there are
-   * some.
+   * Writes the name, the generation and one number for incarnation and state, followed by accusers
+   * and tags if there are any.
    */
   private void statement(JsonGenerator out, Statement s) throws IOException {
     Map<String, byte[]> tags = s.tags().values();
@@ -161,8 +165,9 @@
   }
 
   /**
-   * A datagram of so many bytes that came from the member at the place; its sender's address tells
-   * who that is.
+   * Decodes the first {@code length} bytes.
+   *
+   * @param from the index of the member that the source address of the datagram belongs to
    */
   Message decode(byte[] datagram, int length, int from) throws DroppedDatagramException {
     if (length > EncodedSizes.MAX_DATAGRAM_BYTES) {
@@ -229,27 +234,27 @@
   private static Message.ExchangeResponse pages(long seq, int part, int parts, int left)
       throws IOException {
     if (part >= parts) {
-      throw new IOException("a part behind the last one");
+      throw new IOException("part number exceeds the number of parts");
     }
     return new Message.ExchangeResponse(seq, part, parts, left);
   }
 
   private int subject(CborReader in) throws IOException {
-    int place = roster.indexOf(in.text(Roster.MAX_NAME_LENGTH));
-    if (place < 0) {
-      throw new IOException("a subject that the roster does not have");
+    int index = roster.indexOf(in.text(Roster.MAX_NAME_LENGTH));
+    if (index < 0) {
+      throw new IOException("subject is not in the roster");
     }
-    return place;
+    return index;
   }
 
-  /** Null where the roster does not have the name: the sender may have another one. */
+  /** Null if the roster does not contain the name: the sender may use another roster. */
   private Statement statement(CborReader in) throws IOException {
     in.begin();
     int member = roster.indexOf(in.text(Roster.MAX_NAME_LENGTH));
     long generation = in.number(1, Generation.MAX);
-    long life = in.number(0, (long) Statement.MAX_INCARNATION * MemberState.count());
-    int incarnation = (int) (life / MemberState.count());
-    MemberState state = MemberState.of((int) (life % MemberState.count()));
+    long incarnationAndState = in.number(0, (long) Statement.MAX_INCARNATION * MemberState.count());
+    int incarnation = (int) (incarnationAndState / MemberState.count());
+    MemberState state = MemberState.of((int) (incarnationAndState % MemberState.count()));
     List<Integer> accusers =
         !in.more()
             ? List.of()
--- a/members/src/main/java/willowdoor/members/ConfigObject.java
+++ b/members/src/main/java/willowdoor/members/ConfigObject.java
@@ -9,8 +9,8 @@
 import java.util.regex.Pattern;
 
 /**
- * A strict look into an object of the configuration: keys are asked for by name, and one that
- * nobody asked for is an error. Messages name the key by its path.
+ * A strict reader of a configuration object: keys are read by name, and a key that was not read is
+ * an error. Error messages contain the path of the key.
  */
 final class ConfigObject {
 
@@ -44,7 +44,7 @@
     return text;
   }
 
-  /** A whole number within the bounds. */
+  /** An integer within the bounds. */
   long integer(String key, long min, long max) throws IOException {
     Object value = read(key);
     if (!(value instanceof Long number) || number < min || number > max) {
@@ -82,7 +82,7 @@
     return flag;
   }
 
-  /** An object, or an empty one where the key is absent. */
+  /** The object under the key, or an empty object if the key is absent. */
   ConfigObject child(String key) throws IOException {
     return new ConfigObject(fields.containsKey(key) ? read(key) : Map.of(), path(key));
   }
@@ -98,7 +98,7 @@
     return children;
   }
 
-  /** All has been asked for. */
+  /** Rejects keys that were not read. */
   void requireAllKeysRead() throws IOException {
     if (!unreadKeys.isEmpty()) {
       throw new IOException(
--- a/members/src/main/java/willowdoor/members/Connectivity.java
+++ b/members/src/main/java/willowdoor/members/Connectivity.java
@@ -3,13 +3,13 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Whether this process is cut off, and whose view differs from its own. */
+/** Whether this process is isolated from the majority, and which members have a different view. */
 final class Connectivity {
 
-  /** A view that is not the own one, since when, and what was last told of it. */
+  /** A view other than the own one: since when it differs, and its last received digest. */
   private record DifferingView(long since, long digest) {}
 
-  /** Another roster than the own one. */
+  /** A roster other than the own one. */
   record OtherRoster(int version, int hash) {}
 
   private final Roster roster;
@@ -20,7 +20,7 @@
   private long lastAckAt;
   private long lastEqualViewAt;
 
-  /** When a majority was last alive and not even suspected. */
+  /** When a majority of the roster was last alive, without the suspected members. */
   private long lastMajorityAt;
 
   private boolean isolated = true;
@@ -36,19 +36,19 @@
     isolationChangedAt = now;
   }
 
-  /** A probe was answered. */
+  /** Records that a probe was acknowledged. */
   void probeAnswered(long now) {
     lastAckAt = now;
   }
 
-  /** The process was held up: what it did not do in that time tells nothing. */
+  /** Excludes the time for which this process was stalled from all periods without contact. */
   void postpone(long ms) {
     lastAckAt += ms;
     lastEqualViewAt += ms;
     lastMajorityAt += ms;
   }
 
-  /** Notes whose digest was heard; whether it is of the own roster and differs. */
+  /** Records the sender's digest; returns whether it differs and is based on the same roster. */
   boolean recordHeader(Message.Header header, long ownDigest, long now) {
     int from = header.from();
     if (!sameRoster(header)) {
@@ -72,12 +72,12 @@
     return header.rosterVersion() == roster.version() && header.rosterHash() == roster.hash();
   }
 
-  /** For how long nobody was heard that sees what this process sees. */
+  /** The time since a message with the own view's digest was last received. */
   long noEqualViewMs(long now) {
     return now - lastEqualViewAt;
   }
 
-  /** Looks again; true where it has changed. */
+  /** Re-evaluates the isolation; returns whether it has changed. */
   boolean update(View view, boolean joined, long now) {
     boolean silent = roster.size() > 1 && now - lastAckAt > noAnswerMs;
     if (view.count(MemberState.ALIVE) >= roster.majority()) {
@@ -100,12 +100,12 @@
     return isolated;
   }
 
-  /** Since when it is as it is. */
+  /** When the isolation last changed. */
   long lastChangeAt() {
     return isolationChangedAt;
   }
 
-  /** Whose view was last told to be another than this digest, and since when. */
+  /** Members whose last received digest differs from {@code ownDigest}, and since when. */
   Map<Integer, Long> differingSince(long ownDigest) {
     Map<Integer, Long> found = new HashMap<>();
     differingViews.forEach(
--- a/members/src/main/java/willowdoor/members/Count.java
+++ b/members/src/main/java/willowdoor/members/Count.java
@@ -1,6 +1,6 @@
 package willowdoor.members;
 
-/** What is counted. */
+/** Protocol counters; the constant names in lower case are the metric keys. */
 enum Count {
   PROBES,
   ACKED,
@@ -8,10 +8,13 @@
   FAILED_PROBES,
   ABSENT_PROBES,
   RELAYED,
-  /** Probes for others that were not taken on, as too many were. */
+  /** Ping requests that were ignored because too many probes on behalf of others were running. */
   RELAY_FULL,
   NACKS,
-  /** Suspicions begun here and heard, and what became of them. */
+  /**
+   * From here to {@link #REFUTED}: suspicions that this process started or received, and their
+   * outcome.
+   */
   ACCUSED,
   SUSPECTED,
   CONFIRMED,
@@ -20,18 +23,21 @@
   HELD_UP,
   EXCHANGES,
   ANSWERS,
-  /** Answers that were asked for too fast. */
+  /** Responses that were suppressed by the rate limit. */
   ANSWERS_SPARED,
   RAISED_GENERATION,
   TWIN,
   SUPERSEDED,
-  /** Datagrams, and what was not sent as the socket's queue was full or refused it. */
+  /**
+   * From here to {@link #SEND_DROPPED}: datagrams and their bytes, and datagrams that were not sent
+   * because the socket's queue was full or the socket rejected them.
+   */
   SENT,
   RECEIVED,
   SENT_BYTES,
   RECEIVED_BYTES,
   SEND_DROPPED,
-  /** Dropped, by reason. */
+  /** From here to {@link #OLD_GENERATION}: dropped datagrams, by reason. */
   TOO_LONG,
   CHECKSUM,
   MALFORMED,
@@ -41,8 +47,8 @@
   OTHER_NAME,
   NOT_FOR_ME,
   OLD_GENERATION,
-  /** Statements of names that this roster does not have. */
+  /** Statements about names that this roster does not contain. */
   UNKNOWN_MEMBER,
-  /** Changes that the log left out, as there were too many. */
+  /** Changes that were not logged because there were too many. */
   UNLOGGED
 }
--- a/members/src/main/java/willowdoor/members/Counts.java
+++ b/members/src/main/java/willowdoor/members/Counts.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Counts since the start. */
+/** The values of the counters since the start of the process. */
 final class Counts {
 
   private static final Count[] ALL = Count.values();
@@ -23,7 +23,7 @@
     return counts[count.ordinal()];
   }
 
-  /** Those that are not nought, by name. */
+  /** The counters that are not zero, by metric key. */
   Map<String, Long> all() {
     Map<String, Long> all = new TreeMap<>();
     for (Count count : ALL) {
--- a/members/src/main/java/willowdoor/members/Effects.java
+++ b/members/src/main/java/willowdoor/members/Effects.java
@@ -1,16 +1,23 @@
 package willowdoor.members;
 
-/** What a {@link Membership} has done, in order, within the call that made it do so. */
+/**
+ * Receives the outputs of a {@link Membership}, in order, within the call to the membership that
+ * causes them.
+ */
 interface Effects {
 
-  /** To the member at the place; it may be lost, and must not wait. */
+  /** Sends to the member with the index; must not block. The message may be lost. */
   void send(int to, Message message);
 
-  /** A statement holds instead of another; also of this process itself. */
+  /** A statement has replaced the previous one of a member, including this process. */
   void changed(Statement previous, Statement current);
 
   void isolationChanged(boolean isolated);
 
-  /** Another process runs under the name of this one, which goes on or falls silent. */
+  /**
+   * Another process runs under the name of this process.
+   *
+   * @param superseded whether this process becomes silent; otherwise it continues
+   */
   void duplicateNameFound(boolean superseded);
 }
--- a/members/src/main/java/willowdoor/members/EncodedSizes.java
+++ b/members/src/main/java/willowdoor/members/EncodedSizes.java
@@ -1,15 +1,17 @@
 package willowdoor.members;
 
 /**
- * What things take in a datagram at most, so that messages can be filled before they are encoded.
+ * Upper bounds of the encoded sizes, in bytes, so that messages can be filled before they are
+ * encoded.
  */
 final class EncodedSizes {
 
-  /** No datagram is longer: it passes every usual network in one piece. */
+  /** Maximum length of a datagram; common networks carry it without fragmentation. */
   static final int MAX_DATAGRAM_BYTES = 1_400;
 
   /**
-   * All but the news, the pages' prints and the names: checksum, numbers, the arrays around them.
+   * Everything but statements, page checksums and names: the datagram's checksum, numbers and the
+   * headers of arrays.
    */
   private static final int FIXED_BYTES = 96;
 
@@ -19,7 +21,7 @@
     this.roster = roster;
   }
 
-  /** Room for news in a message without prints. */
+  /** Room for statements in a message without page checksums. */
   int statementRoom() {
     return MAX_DATAGRAM_BYTES
         - FIXED_BYTES
@@ -27,7 +29,7 @@
         - roster.fleet().length();
   }
 
-  /** Of a statement: heads, generation, life, names, tags. */
+  /** Size of a statement: CBOR headers, generation, incarnation and state, names, tags. */
   int of(Statement s) {
     int size = 1 + name(s.member()) + 9 + 5 + 1 + s.tags().maxEncodedBytes();
     for (int accuser : s.accusers()) {
--- a/members/src/main/java/willowdoor/members/Generation.java
+++ b/members/src/main/java/willowdoor/members/Generation.java
@@ -3,32 +3,32 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A process's place among those of its name: 42 bits that count up, and 20 bits that the process
- * draws once. The count begins at the wall clock, and is raised above whatever is heard of the
- * name.
+ * Orders the processes that use one name: a counter of 42 bits, followed by 20 random bits that the
+ * process chooses once. The counter starts at the wall-clock time and is raised above every
+ * generation that is received for the name.
  */
 final class Generation {
 
   private static final int RANDOM_BITS = 20;
   private static final long RANDOM_MASK = (1L << RANDOM_BITS) - 1;
 
-  /** The largest that is accepted: there must be some above it. */
+  /** The largest accepted generation; the margin above it allows a process to raise its own. */
   static final long MAX = 1L << 61;
 
   private Generation() {}
 
-  /** Of a process that starts; any wall clock in milliseconds will do. */
+  /** The generation of a starting process; any wall-clock time in milliseconds is valid. */
   static long first(long wallMs, RandomGenerator random) {
     long count = Math.max(1, Math.min(wallMs, MAX >> RANDOM_BITS + 1));
     return count << RANDOM_BITS | random.nextLong(RANDOM_MASK + 1);
   }
 
-  /** The next one above another's, of the same process. */
+  /** The next generation above {@code other}, with the random part of {@code own}. */
   static long above(long other, long own) {
     return (other >> RANDOM_BITS) + 1 << RANDOM_BITS | randomPart(own);
   }
 
-  /** What its process has drawn. */
+  /** The random bits of the process. */
   static long randomPart(long generation) {
     return generation & RANDOM_MASK;
   }
--- a/members/src/main/java/willowdoor/members/GossipQueue.java
+++ b/members/src/main/java/willowdoor/members/GossipQueue.java
@@ -7,18 +7,21 @@
 import java.util.Map;
 import java.util.TreeSet;
 
-/** Of which members there is news to tell: one piece for each, what is told is what holds then. */
+/**
+ * The members whose statements are to be gossiped, one entry each. A message carries the statement
+ * that is current when the message is sent.
+ */
 final class GossipQueue {
 
-  /** One piece of news: how often it was told, and when it came. */
+  /** A queued member: how often its statement was sent, and the order of arrival. */
   private record Entry(int member, int transmissions, long order) {}
 
-  /** The least told first, and of those the newest. */
+  /** Entries with the fewest transmissions first, among those the newest first. */
   private static final Comparator<Entry> NEXT =
       Comparator.comparingInt(Entry::transmissions)
           .thenComparing(Comparator.comparingLong(Entry::order).reversed());
 
-  /** So many that do not fit are passed over. */
+  /** Maximum number of entries that are skipped while a message is filled. */
   private static final int MAX_SKIPPED = 32;
 
   private final View view;
@@ -34,7 +37,7 @@
     this.transmitLimit = transmitLimit;
   }
 
-  /** There is news of the member, in place of any that was to be told of it. */
+  /** Queues the member's statement; replaces an existing entry of the member. */
   void add(int member) {
     put(new Entry(member, 0, nextOrder++));
   }
@@ -52,8 +55,9 @@
   }
 
   /**
-   * Adds what fits into so many bytes, and counts it as told once; one piece where told is empty.
-   * Failures and suspicions may take more.
+   * Adds queued statements up to {@code maxBytes} in total and counts one transmission for each.
+   * Statements about suspected and failed members may use up to {@code maxUrgentBytes}. If {@code
+   * statements} is empty, one statement is added whatever its size.
    */
   void fill(int maxBytes, int maxUrgentBytes, List<Statement> statements) {
     if (entries.isEmpty()) {
--- a/members/src/main/java/willowdoor/members/LocalHealth.java
+++ b/members/src/main/java/willowdoor/members/LocalHealth.java
@@ -1,12 +1,15 @@
 package willowdoor.members;
 
-/** The local health score: how little this process may trust its own judgement, from 0. */
+/**
+ * Lifeguard's local health score, from 0 (healthy). The higher the score, the less reliable are
+ * this process's own failure detections and the longer are its time-outs.
+ */
 final class LocalHealth {
 
   private final int maxScore;
   private int score;
 
-  /** With 0 at most it stays there. */
+  /** With a maximum of 0 the score stays 0. */
   LocalHealth(int maxScore) {
     this.maxScore = maxScore;
   }
--- a/members/src/main/java/willowdoor/members/LocalMember.java
+++ b/members/src/main/java/willowdoor/members/LocalMember.java
@@ -4,10 +4,10 @@
 import java.util.Deque;
 import java.util.List;
 
-/** What a process says of itself, and how it answers what others say of its name. */
+/** The own statement of this process, and how it reacts to statements of others about its name. */
 final class LocalMember {
 
-  /** What came of something that was said of this process. */
+  /** The effect of a received statement about this process. */
   enum Outcome {
     NOTHING,
     REFUTED,
@@ -18,8 +18,8 @@
   }
 
   /**
-   * Generations above the own one in the time that a twin is looked for: more than one that was
-   * here before.
+   * Number of newer statements within the duplicate window that indicates a second running process
+   * with the same name. An earlier process that has ended causes fewer.
    */
   private static final int DUPLICATE_THRESHOLD = 3;
 
@@ -31,7 +31,7 @@
   private Tags tags = Tags.NONE;
   private boolean superseded;
 
-  /** When a larger generation was heard of, the latest ones. */
+  /** Times at which statements newer than the own one arrived, within the duplicate window. */
   private final Deque<Long> raisedAt = new ArrayDeque<>();
 
   LocalMember(int index, long generation, long duplicateWindowMs) {
@@ -48,7 +48,7 @@
     return state;
   }
 
-  /** Whether it is silent, as another process runs under its name. */
+  /** Whether this process is silent because another process runs under its name. */
   boolean superseded() {
     return superseded;
   }
@@ -57,13 +57,13 @@
     state = changed;
   }
 
-  /** A change of what it tells is a new incarnation. */
+  /** Replaces the tags; this starts a new incarnation. */
   void tags(Tags changed) {
     tags = changed;
     incarnation++;
   }
 
-  /** Hears what is said of its name. */
+  /** Handles a received statement about this process's name. */
   Outcome handleStatement(Statement received, long now) {
     if (received.generation() < generation || state == MemberState.LEFT) {
       return Outcome.NOTHING;
@@ -82,8 +82,8 @@
   }
 
   /**
-   * What it has never said of itself was said by another process, which may be over or still be
-   * there.
+   * Handles a statement that this process never published: another process under the same name
+   * published it, and may have ended or still be running.
    */
   private Outcome handleNewerStatement(Statement received, long now) {
     while (!raisedAt.isEmpty() && now - raisedAt.peekFirst() > duplicateWindowMs) {
--- a/members/src/main/java/willowdoor/members/MemberState.java
+++ b/members/src/main/java/willowdoor/members/MemberState.java
@@ -1,21 +1,21 @@
 package willowdoor.members;
 
 /**
- * What a member is said to be. The order matters: of two statements of the same generation and
- * incarnation the one with the later state holds.
+ * The state of a member. The order matters: of two statements of the same generation and
+ * incarnation the one with the later state supersedes the other.
  */
 public enum MemberState {
-  /** Its process has started, and has not yet been told what the others know. */
+  /** The process has started and has not yet received the view of another member. */
   JOINING,
   ALIVE,
-  /** It did not answer, and has time left to say that it is alive. */
+  /** The member did not ack a probe and can still refute the suspicion. */
   SUSPECT,
-  /** It let that time pass, or was never heard of. */
+  /** The suspicion time-out has passed, or no statement of the member was ever received. */
   FAILED,
-  /** It said itself that it ends. */
+  /** The member announced that it leaves. */
   LEFT;
 
-  /** The wire's numbers are the ordinals. */
+  /** The ordinals are the numbers in the wire format. */
   private static final MemberState[] ALL = values();
 
   static MemberState of(int number) {
@@ -26,12 +26,14 @@
     return ALL.length;
   }
 
-  /** Not found to have failed, and not gone: it is probed with all others. */
+  /** Whether the member has neither failed nor left. Present members are probed regularly. */
   public boolean present() {
     return this != FAILED && this != LEFT;
   }
 
-  /** Counted for a majority: one that joins knows too little to be. */
+  /**
+   * Whether the member counts for a majority. A joining member does not: its view is incomplete.
+   */
   boolean countsForMajority() {
     return this == ALIVE || this == SUSPECT;
   }
--- a/members/src/main/java/willowdoor/members/MembersConfig.java
+++ b/members/src/main/java/willowdoor/members/MembersConfig.java
@@ -3,10 +3,10 @@
 import java.io.IOException;
 
 /**
- * What is configured under {@code members}.
+ * The settings under {@code members}.
  *
- * @param self this front door's place in the roster
- * @param holdMs after how long an absent member is left out of what routing goes by, see {@link
+ * @param self this front door's index in the roster
+ * @param holdMs how long a member must be absent before routing and limits exclude it, see {@link
  *     WorkAllocation}
  */
 record MembersConfig(Roster roster, int self, Timing timing, long holdMs) {
--- a/members/src/main/java/willowdoor/members/MessageSender.java
+++ b/members/src/main/java/willowdoor/members/MessageSender.java
@@ -6,7 +6,8 @@
 import java.util.Map;
 
 /**
- * Puts messages together: what the receiver should hear of itself first, then what was told least.
+ * Composes and sends messages. A message with gossip carries a suspicion or failure of the receiver
+ * first, so that the receiver can refute it, and then the least transmitted statements.
  */
 final class MessageSender {
 
@@ -19,8 +20,8 @@
   private final Effects effects;
 
   /**
-   * Failures that others told in an exchange of members that are present here; these are told of
-   * them.
+   * Failures of members that are present in the own view, as reported by others in an exchange.
+   * Messages to such a member carry the report until its statement changes.
    */
   private final Map<Integer, Statement> pendingFailureReports = new HashMap<>();
 
@@ -41,12 +42,12 @@
     this.effects = effects;
   }
 
-  /** The member is to hear this of itself; false where it was owed something before. */
+  /** Adds a report for the member that it concerns; false if one was pending already. */
   boolean addFailureReport(Statement received) {
     return pendingFailureReports.put(received.member(), received) == null;
   }
 
-  /** Something else holds of the member now. */
+  /** Removes the report for the member after the member's statement has changed. */
   void clearFailureReport(int member) {
     pendingFailureReports.remove(member);
   }
--- a/members/src/main/java/willowdoor/members/Prober.java
+++ b/members/src/main/java/willowdoor/members/Prober.java
@@ -8,22 +8,22 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Probes one member at a time, in an order shuffled anew for each round, lets others probe those
- * that do not answer, and probes on behalf of others. Absent ones are probed rarely, and nothing
- * follows from their silence.
+ * Failure detection: probes one member at a time, in an order that is shuffled for each round,
+ * requests indirect probes of a member that does not ack, and probes on behalf of others. Absent
+ * members are probed rarely, and a missing ack of theirs has no effect.
  */
 final class Prober {
 
-  /** So many probes for others are out at most. */
+  /** Maximum number of concurrent probes on behalf of others. */
   private static final int MAX_RELAYED_PROBES = 64;
 
-  /** A helper sends its nack after this share of the time in which it is of use. */
+  /** A helper sends its nack after this fraction of the time for which the requester waits. */
   private static final double NACK_FRACTION = 0.7;
 
-  /** A probe for another: whom to tell, and when there is no more to wait for. */
+  /** A probe on behalf of another member: the requester, and when to send the nack. */
   private record RelayedProbe(int requester, long requesterSeq, int subject, long nackAt) {}
 
-  /** The own probe that is out. */
+  /** The current probe of this process. */
   private static final class Probe {
     final int target;
     final long firstSeq;
@@ -81,7 +81,9 @@
     position = order.length;
   }
 
-  /** Begins anew at a moment within the next interval, so that members do not move in step. */
+  /**
+   * Restarts at a random time within the next interval, so that members do not probe in lockstep.
+   */
   void restart(long now) {
     probe = null;
     nextProbe = now + random.nextLong(timing.probeMs());
@@ -132,8 +134,8 @@
   }
 
   /**
-   * This process was held up: its probe begins anew, and those it was asked for are of no use any
-   * more.
+   * Handles a stall of this process: restarts the current probe and drops the probes on behalf of
+   * others, whose requesters no longer wait.
    */
   void handleStall(long ms, long now) {
     relayedProbes.clear();
@@ -185,7 +187,7 @@
     context.accuse(probe.target);
   }
 
-  /** Where the own probes come more slowly than usual, news does not wait for them. */
+  /** Sends gossip without a probe while a poor health score slows down the own probes. */
   private void sendGossip() {
     if (health.score() > 0 && context.hasPendingGossip() && order.length > 0) {
       int to = order[random.nextInt(order.length)];
@@ -195,7 +197,7 @@
     }
   }
 
-  /** The next present member of the round; -1 where there is none. */
+  /** The next present member of the round; -1 if there is none. */
   private int nextTarget() {
     for (int i = 0; i < order.length; i++) {
       if (position >= order.length) {
--- a/members/src/main/java/willowdoor/members/ProtocolContext.java
+++ b/members/src/main/java/willowdoor/members/ProtocolContext.java
@@ -2,24 +2,25 @@
 
 import java.util.List;
 
-/** What the parts of a {@link Membership} ask of it. */
+/** The operations of a {@link Membership} that its components use. */
 interface ProtocolContext {
 
   /**
-   * Sends it with news: what the receiver should hear of itself first, then what was told least.
+   * Sends the body with gossip: a suspicion or failure of the receiver first, then the least
+   * transmitted statements.
    */
   void send(int to, Message.Body body);
 
-  /** Sends it with these statements only, which fit. */
+  /** Sends the body with exactly these statements, which must fit into the datagram. */
   void send(int to, Message.Body body, List<Statement> statements);
 
-  /** Whether there is news that was not told often enough. */
+  /** Whether the gossip queue has entries. */
   boolean hasPendingGossip();
 
-  /** This process found that the member does not answer. */
+  /** Suspects the member because a probe by this process failed. */
   void accuse(int member);
 
-  /** All that others know was heard, or nobody answers: this process is there now. */
+  /** Completes the join: another member's view was received in full, or none responded in time. */
   void joinCompleted();
 
   void count(Count count);
--- a/members/src/main/java/willowdoor/members/RateLimiter.java
+++ b/members/src/main/java/willowdoor/members/RateLimiter.java
@@ -1,6 +1,6 @@
 package willowdoor.members;
 
-/** At most so many in each stretch of time. */
+/** Allows up to a fixed number of operations per time window. */
 final class RateLimiter {
 
   private final int limit;
@@ -14,7 +14,7 @@
     windowStart = now;
   }
 
-  /** Whether one more may be; it is counted then. */
+  /** Whether one more operation is allowed; counts the operation if it is. */
   boolean tryAcquire(long now) {
     if (now - windowStart >= windowMs) {
       windowStart = now;
--- a/members/src/main/java/willowdoor/members/Roster.java
+++ b/members/src/main/java/willowdoor/members/Roster.java
@@ -13,10 +13,10 @@
 import java.util.regex.Pattern;
 import java.util.zip.CRC32C;
 
-/** All front doors that may be there, as configured: immutable, the same for all members. */
+/** The configured front doors of the fleet: immutable, the same for all members. */
 public final class Roster {
 
-  /** Bounds all that is kept of members. */
+  /** Maximum number of members; limits the memory for the state of members. */
   static final int MAX_MEMBERS = 10_000;
 
   static final int MAX_NAME_LENGTH = 32;
@@ -28,7 +28,7 @@
   /**
    * One front door.
    *
-   * @param number its number in the fleet, from 0; the roster's order is by it
+   * @param number the number in the fleet, from 0; peers are ordered by number
    * @param host a numeric address
    */
   public record Peer(String name, int number, String host, int port) {}
@@ -64,15 +64,15 @@
               + entries.size()
               + " entries: 1 to "
               + MAX_MEMBERS
-              + " may be");
+              + " are allowed");
     }
     List<Peer> peers = new ArrayList<>();
-    Set<Object> taken = new HashSet<>();
+    Set<Object> seen = new HashSet<>();
     for (ConfigObject entry : entries) {
       Peer peer = peer(entry);
-      requireUnique(taken, peer.name(), entry, "name");
-      requireUnique(taken, peer.number(), entry, "number");
-      requireUnique(taken, peer.host() + ':' + peer.port(), entry, "addr");
+      requireUnique(seen, peer.name(), entry, "name");
+      requireUnique(seen, peer.number(), entry, "number");
+      requireUnique(seen, peer.host() + ':' + peer.port(), entry, "addr");
       peers.add(peer);
     }
     return new Roster(fleet, version, peers);
@@ -94,21 +94,21 @@
     return new Peer(name, number, host, port);
   }
 
-  private static void requireUnique(Set<Object> taken, Object value, ConfigObject entry, String key)
+  private static void requireUnique(Set<Object> seen, Object value, ConfigObject entry, String key)
       throws IOException {
-    if (!taken.add(value)) {
-      throw new IOException(entry.path(key) + " is there twice: '" + value + "'");
+    if (!seen.add(value)) {
+      throw new IOException(entry.path(key) + " is a duplicate: '" + value + "'");
     }
   }
 
-  /** The place of the member that the key names. */
+  /** The index of the member whose name the key contains. */
   int indexOf(ConfigObject fields, String key) throws IOException {
     String name = fields.text(key, NAME, NAME_RULE);
-    int place = indexOf(name);
-    if (place < 0) {
+    int index = indexOf(name);
+    if (index < 0) {
       throw new IOException(fields.path(key) + " is not among the peers: '" + name + "'");
     }
-    return place;
+    return index;
   }
 
   public String fleet() {
@@ -123,7 +123,7 @@
     return peers.size();
   }
 
-  /** By place, from 0. */
+  /** The peer with the index, from 0. */
   public Peer peer(int index) {
     return peers.get(index);
   }
@@ -132,23 +132,23 @@
     return peers.get(index).name();
   }
 
-  /** Or -1 where the roster has no such name. */
+  /** The index of the peer with the name; -1 if there is none. */
   public int indexOf(String name) {
     return indexByName.getOrDefault(name, -1);
   }
 
-  /** Of names and numbers, not of addresses, which may differ by where one stands. */
+  /** Hash of names and numbers. Addresses are excluded: they may differ between networks. */
   int hash() {
     return hash;
   }
 
-  /** How many are more than half. */
+  /** The smallest number of members that is more than half. */
   public int majority() {
     return peers.size() / 2 + 1;
   }
 
-  /** What holds of a member before anything was heard of it. */
-  Statement initialStatement(int place) {
-    return initialStatement.get(place);
+  /** The statement about a member before any was received. */
+  Statement initialStatement(int index) {
+    return initialStatement.get(index);
   }
 }
--- a/members/src/main/java/willowdoor/members/Statement.java
+++ b/members/src/main/java/willowdoor/members/Statement.java
@@ -4,15 +4,15 @@
 import java.util.List;
 
 /**
- * What is said of a member. Statements of one member are totally ordered by generation, incarnation
- * and state; who accuses and the tags are not part of that order.
+ * A statement about the state of one member. Statements about a member are totally ordered by
+ * generation, incarnation and state; accusers and tags are not part of that order.
  *
- * @param member the member's place in the roster, from 0
- * @param generation of its process; 0 where none was ever heard of
- * @param incarnation raised by the process itself, from 0
- * @param accusers who found on their own that it did not answer, at most {@link #MAX_ACCUSERS};
- *     only of a suspect
- * @param tags what it tells of itself in that incarnation
+ * @param member the member's index in the roster, from 0
+ * @param generation the generation of the member's process; 0 if none was ever received
+ * @param incarnation a number that only the member itself raises, from 0
+ * @param accusers members whose own probes of the member failed, at most {@link #MAX_ACCUSERS};
+ *     only for a suspect
+ * @param tags the tags that the member publishes in that incarnation
  */
 public record Statement(
     int member,
@@ -22,18 +22,18 @@
     List<Integer> accusers,
     Tags tags) {
 
-  /** More confirmations than any time-out goes by. */
+  /** More accusers than any suspicion time-out takes into account. */
   static final int MAX_ACCUSERS = 8;
 
-  /** The largest that is accepted: there must be some above it. */
+  /** The largest accepted incarnation; the margin above it allows a member to raise its own. */
   static final int MAX_INCARNATION = 1 << 30;
 
-  /** What holds of a member before anything was heard of it. */
+  /** The statement about a member before any was received. */
   static Statement initial(int member) {
     return new Statement(member, 0, 0, MemberState.FAILED, List.of(), Tags.NONE);
   }
 
-  /** Whether it holds instead of the other, which is of the same member. */
+  /** Whether this statement is newer than the other one about the same member. */
   boolean supersedes(Statement other) {
     if (generation != other.generation) {
       return generation > other.generation;
@@ -51,7 +51,7 @@
     return new Statement(member, generation, incarnation, changed, List.of(), tags);
   }
 
-  /** The same member suspected, by these as well; the same object where they were known. */
+  /** The member as suspected by {@code others} too; this object if it contains all of them. */
   Statement suspectedBy(List<Integer> others) {
     List<Integer> all = new ArrayList<>(state == MemberState.SUSPECT ? accusers : List.of());
     for (int other : others) {
--- a/members/src/main/java/willowdoor/members/Suspicions.java
+++ b/members/src/main/java/willowdoor/members/Suspicions.java
@@ -7,7 +7,10 @@
 import java.util.Map;
 import java.util.TreeSet;
 
-/** When those suspected have failed: the time shrinks with each member that accuses on its own. */
+/**
+ * Timers after which suspected members are regarded as failed. Each further accuser shortens the
+ * time-out.
+ */
 final class Suspicions {
 
   private record Timer(int member, long began, int members, int expected, long ends) {}
@@ -23,13 +26,17 @@
     this.timing = timing;
   }
 
-  /** Begins anew; members are those that are present, this one and the suspected one among them. */
+  /**
+   * Starts the timer.
+   *
+   * @param members number of present members, including this one and the suspected one
+   */
   void begin(Statement suspect, int members, long now) {
     int expected = Math.max(0, Math.min(timing.confirmations(), members - 2));
     put(new Timer(suspect.member(), now, members, expected, 0), suspect.accusers().size());
   }
 
-  /** More members accuse it now. */
+  /** Shortens the time-out after further members have accused the suspect. */
   void updateAccusers(Statement suspect) {
     Timer timer = timers.get(suspect.member());
     if (timer != null) {
@@ -61,12 +68,12 @@
     }
   }
 
-  /** When the next one ends. */
+  /** When the next timer expires; {@link Long#MAX_VALUE} if there is none. */
   long nextExpiry() {
     return order.isEmpty() ? Long.MAX_VALUE : order.first().ends();
   }
 
-  /** Takes one that has ended out; -1 where there is none. */
+  /** Removes an expired timer and returns its member; -1 if there is none. */
   int pollExpired(long now) {
     if (nextExpiry() > now) {
       return -1;
@@ -76,7 +83,7 @@
     return member;
   }
 
-  /** All have that much more time: this process was held up. */
+  /** Extends all timers by the time for which this process was stalled. */
   void postpone(long ms) {
     List<Timer> all = new ArrayList<>(order);
     order.clear();
--- a/members/src/main/java/willowdoor/members/Tags.java
+++ b/members/src/main/java/willowdoor/members/Tags.java
@@ -5,9 +5,9 @@
 import java.util.TreeMap;
 
 /**
- * What other parts let a member tell of itself: names with a few bytes each. Immutable, at most 8
- * names of 1 to 16 ASCII characters and 128 bytes in all, names included. They spread with the
- * member's statement, a change is a new incarnation.
+ * Small name-value pairs that a member publishes about itself for other components. Immutable; at
+ * most 8 names of 1 to 16 ASCII characters, and 128 bytes in total, including the names. Tags
+ * spread with the member's statement; a change starts a new incarnation.
  */
 public final class Tags {
 
@@ -22,7 +22,7 @@
     this.values = values;
   }
 
-  /** Copies the map; IllegalArgumentException where it is over a bound. */
+  /** Copies the map; throws IllegalArgumentException if the map exceeds a limit. */
   public static Tags of(Map<String, byte[]> values) {
     TreeMap<String, byte[]> copy = new TreeMap<>();
     int bytes = 0;
@@ -31,7 +31,7 @@
       boolean ascii = StandardCharsets.US_ASCII.newEncoder().canEncode(name);
       if (name.isEmpty() || name.length() > MAX_NAME_LENGTH || !ascii) {
         throw new IllegalArgumentException(
-            "a tag's name is not 1 to 16 ASCII characters: '" + name + "'");
+            "tag name is not 1 to 16 ASCII characters: '" + name + "'");
       }
       bytes += name.length() + e.getValue().length;
       copy.put(name, e.getValue().clone());
@@ -43,7 +43,7 @@
     return copy.isEmpty() ? NONE : new Tags(copy);
   }
 
-  /** These and one more; null takes it away. */
+  /** A copy with the tag set; a null value removes the tag. */
   public Tags with(String name, byte[] value) {
     Map<String, byte[]> changed = new TreeMap<>(values);
     if (value == null) {
@@ -54,18 +54,18 @@
     return of(changed);
   }
 
-  /** A copy of the bytes, or null. */
+  /** A copy of the tag's bytes; null if there is no such tag. */
   public byte[] get(String name) {
     byte[] value = values.get(name);
     return value == null ? null : value.clone();
   }
 
-  /** In the order of names; the bytes are not to be changed. */
+  /** The tags ordered by name; callers must not modify the bytes. */
   Map<String, byte[]> values() {
     return values;
   }
 
-  /** What they take in a datagram at most. */
+  /** Upper bound of the encoded size in a datagram. */
   int maxEncodedBytes() {
     int size = 1;
     for (Map.Entry<String, byte[]> e : values.entrySet()) {
--- a/members/src/main/java/willowdoor/members/View.java
+++ b/members/src/main/java/willowdoor/members/View.java
@@ -6,14 +6,14 @@
 import java.util.List;
 
 /**
- * The newest statement of each member of the roster, with digests of all of it and of its pages
- * that are kept up with each change.
+ * The newest statement about each member of the roster, with incrementally updated digests of the
+ * whole view and of its pages. A page is a range of consecutive members.
  */
 final class View {
 
   static final int MAX_PAGES = 256;
 
-  /** A page's print: enough to tell pages apart, as the next exchange salts it anew. */
+  /** Length of a page checksum. A collision is harmless: the next exchange uses another salt. */
   static final int PAGE_CHECKSUM_BYTES = 2;
 
   private final Statement[] statements;
@@ -42,7 +42,7 @@
     return statements[member];
   }
 
-  /** Takes it whatever was known before; that comes back. */
+  /** Stores the statement, even if an existing one is newer; returns the previous statement. */
   Statement put(Statement current) {
     Statement previous = statements[current.member()];
     statements[current.member()] = current;
@@ -63,7 +63,7 @@
     return size() - count(MemberState.FAILED) - count(MemberState.LEFT);
   }
 
-  /** How many count for a majority. */
+  /** Number of members that count for a majority. */
   int reachable() {
     return count(MemberState.ALIVE) + count(MemberState.SUSPECT);
   }
@@ -72,16 +72,18 @@
     return digest;
   }
 
-  /** Short prints of the pages' digests, in order. */
+  /** Short salted checksums of the pages' digests, in order. */
   byte[] pageChecksums(long salt) {
-    ByteBuffer prints = ByteBuffer.allocate(pages.length * PAGE_CHECKSUM_BYTES);
+    ByteBuffer checksums = ByteBuffer.allocate(pages.length * PAGE_CHECKSUM_BYTES);
     for (long page : pages) {
-      prints.putShort((short) mix(page ^ mix(salt)));
+      checksums.putShort((short) mix(page ^ mix(salt)));
     }
-    return prints.array();
+    return checksums.array();
   }
 
-  /** The pages whose prints differ from those of another view; all where that has other pages. */
+  /**
+   * Pages whose checksums differ from those of another view; all if the numbers of pages differ.
+   */
   List<Integer> differingPages(byte[] others, long salt) {
     byte[] own = pageChecksums(salt);
     List<Integer> found = new ArrayList<>();
@@ -120,7 +122,7 @@
             + s.state().ordinal());
   }
 
-  /** The finaliser of MurmurHash3, 64 bit. */
+  /** The finalizer of MurmurHash3, 64 bit. */
   private static long mix(long word) {
     long h = word;
     h = (h ^ h >>> 33) * 0xff51afd7ed558ccdL;
--- a/members/src/test/java/willowdoor/members/RosterTest.java
+++ b/members/src/test/java/willowdoor/members/RosterTest.java
@@ -64,9 +64,9 @@
   @CsvSource(
       delimiter = '|',
       value = {
-        "a|3|10.0.0.3:7000|members.peers[2].name is there twice: 'a'",
-        "c|1|10.0.0.3:7000|members.peers[2].number is there twice: '1'",
-        "c|3|10.0.0.1:7000|members.peers[2].addr is there twice: '10.0.0.1:7000'",
+        "a|3|10.0.0.3:7000|members.peers[2].name is a duplicate: 'a'",
+        "c|1|10.0.0.3:7000|members.peers[2].number is a duplicate: '1'",
+        "c|3|10.0.0.1:7000|members.peers[2].addr is a duplicate: '10.0.0.1:7000'",
         "c|3|host:7000|members.peers[2].addr is not a numeric address and port: 'host:7000'",
         "c|3|10.0.0.3:0|members.peers[2].addr is not a numeric address and port: '10.0.0.3:0'"
       })
