--- a/members/src/main/java/willowdoor/members/AntiEntropy.java
+++ b/members/src/main/java/willowdoor/members/AntiEntropy.java
@@ -25,7 +25,7 @@
   /** Number of members that receive a request in each attempt to join. */
   private static final int JOIN_REQUESTS = 2;
 
-  /** Responses to requests older than the latest of this number are ignored. */
+  /** Only responses to this number of latest requests are processed; older ones are ignored. */
   private static final int RECENT_REQUESTS = 8;
 
   private final ProtocolContext context;
--- a/members/src/main/java/willowdoor/members/Roster.java
+++ b/members/src/main/java/willowdoor/members/Roster.java
@@ -38,7 +38,7 @@
   private final List<Peer> peers;
   private final int hash;
   private final Map<String, Integer> indexByName = new HashMap<>();
-  private final List<Statement> initialStatement = new ArrayList<>();
+  private final List<Statement> initialStatements = new ArrayList<>();
 
   Roster(String fleet, int version, List<Peer> peers) {
     this.fleet = fleet;
@@ -46,8 +46,8 @@
     this.peers = peers.stream().sorted(Comparator.comparingInt(Peer::number)).toList();
     CRC32C sum = new CRC32C();
     for (Peer peer : this.peers) {
-      indexByName.put(peer.name(), initialStatement.size());
-      initialStatement.add(Statement.initial(initialStatement.size()));
+      indexByName.put(peer.name(), initialStatements.size());
+      initialStatements.add(Statement.initial(initialStatements.size()));
       sum.update((peer.number() + " " + peer.name() + "\n").getBytes(StandardCharsets.UTF_8));
     }
     hash = (int) sum.getValue();
@@ -149,6 +149,6 @@
 
   /** The statement about a member before any was received. */
   Statement initialStatement(int index) {
-    return initialStatement.get(index);
+    return initialStatements.get(index);
   }
 }
--- a/members/src/test/java/willowdoor/members/CodecTest.java
+++ b/members/src/test/java/willowdoor/members/CodecTest.java
@@ -14,7 +14,7 @@
 import java.util.function.UnaryOperator;
 import org.junit.jupiter.api.Test;
 
-/** What goes over the wire, and what of it is let through. */
+/** Round trips of messages, and the datagrams that the codec drops. */
 class CodecTest {
 
   private final ModelFleet fleet = fleet();
@@ -55,9 +55,10 @@
     return bodies.stream().map(b -> new Message(header, b, List.of(plain, tagged))).toList();
   }
 
-  private Count dropReason(Codec by, byte[] datagram, int from) {
+  private Count dropReason(Codec receiver, byte[] datagram, int from) {
     return assertThrows(
-            Codec.DroppedDatagramException.class, () -> by.decode(datagram, datagram.length, from))
+            Codec.DroppedDatagramException.class,
+            () -> receiver.decode(datagram, datagram.length, from))
         .reason;
   }
 
@@ -109,14 +110,14 @@
           new Roster.Peer(
               "m".repeat(28) + (1_000 + i), i, "10.1." + i / 250 + '.' + i % 250, 7_946));
     }
-    Roster long600 = new Roster("f".repeat(32), 1, peers);
+    Roster longNames = new Roster("f".repeat(32), 1, peers);
     Tags tags = Tags.of(Map.of("n".repeat(16), new byte[112]));
     List<Integer> lengths = new ArrayList<>();
     Effects effects =
         new Effects() {
           @Override
           public void send(int to, Message message) {
-            lengths.add(new Codec(long600, 0, counts).encode(message).length);
+            lengths.add(new Codec(longNames, 0, counts).encode(message).length);
           }
 
           @Override
@@ -130,7 +131,7 @@
         };
     Membership member =
         new Membership(
-            long600,
+            longNames,
             0,
             Timing.of(Map.of("urgent_bytes", 1_000L)),
             1L << 40,
@@ -139,7 +140,7 @@
             counts,
             0);
     for (int i = 1; i < 600; i++) {
-      Message.Header from = new Message.Header(i, 0, 1L << 60, 0, 1, long600.hash());
+      Message.Header from = new Message.Header(i, 0, 1L << 60, 0, 1, longNames.hash());
       Statement s =
           new Statement(
               i, 1L << 60, 1 << 29, MemberState.SUSPECT, List.of(1, 2, 3, 4, 5, 6, 7, 8), tags);
@@ -150,22 +151,22 @@
     assertTrue(lengths.size() > 1_000);
     assertTrue(
         Collections.max(lengths) <= EncodedSizes.MAX_DATAGRAM_BYTES,
-        "longest " + Collections.max(lengths));
+        "longest datagram in bytes: " + Collections.max(lengths));
   }
 
-  /** Feeds many mutations of whole datagrams; how many were let through. */
+  /** Decodes many changed datagrams and delivers the accepted ones; returns their number. */
   private int countAccepted(UnaryOperator<byte[]> change) {
-    int taken = 0;
+    int accepted = 0;
     for (int i = 0; i < 40_000; i++) {
       byte[] datagram = change.apply(sender.encode(messageOfEachKind().get(i % 8)));
       try {
         fleet.node(1).member.receive(codec.decode(datagram, datagram.length, 0), fleet.now);
-        taken++;
+        accepted++;
       } catch (Codec.DroppedDatagramException e) {
         counts.add(e.reason);
       }
     }
-    return taken;
+    return accepted;
   }
 
   @Test
@@ -183,7 +184,8 @@
     assertEquals(0, countAccepted(d -> Arrays.copyOf(d, random.nextInt(d.length))));
     assertEquals(0, countAccepted(d -> mutated(d, random)));
     assertEquals(digest, fleet.node(1).member.digest());
-    // Under a right checksum the rest of the reader meets it, and the member what is let through.
+    // With a valid checksum the corruption reaches the rest of the decoder, and accepted messages
+    // reach the member.
     assertTrue(countAccepted(d -> Codec.writeChecksum(mutated(d, random), d.length)) > 0);
     assertTrue(
         countAccepted(
--- a/members/src/test/java/willowdoor/members/Measure.java
+++ b/members/src/test/java/willowdoor/members/Measure.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 
 /**
- * Measures a fleet of the model: {@code Measure members|cuts|loss SIZE [key=value...]}. Not a test.
+ * Measures a simulated fleet: {@code Measure members|cuts|loss SIZE [key=value...]}. Not a test.
  */
 final class Measure {
 
@@ -30,7 +30,7 @@
     }
   }
 
-  /** Bytes a second and member, calm, and how long until a kill is known to all. */
+  /** Traffic per member without faults, and the time until all members detect a kill. */
   private static void measureFailureDetection(int size, Map<String, Object> timing)
       throws IOException {
     ModelFleet fleet =
@@ -40,7 +40,7 @@
     fleet.datagrams = 0;
     fleet.run(10_000);
     System.out.printf(
-        "%d members, calm: %.0f bytes/s and %.1f datagrams/s a member%n",
+        "%d members without faults: %.0f bytes/s and %.1f datagrams/s per member%n",
         size, fleet.bytes / 10.0 / size, fleet.datagrams / 10.0 / size);
     int kills = size <= 200 ? 200 : size <= 2_000 ? 60 : 20;
     long[] first = new long[kills];
@@ -69,14 +69,14 @@
       fleet.run(6_000);
     }
     System.out.printf(
-        "killed, %d times: found in the middle after %d ms, all know: middle %d, p99 %d ms%n",
+        "%d kills: first detection median %d ms, detection by all median %d, p99 %d ms%n",
         kills,
         ModelFleet.quantile(first, 0.5),
         ModelFleet.quantile(all, 0.5),
         ModelFleet.quantile(all, 0.99));
   }
 
-  /** A fleet that is told of itself, as all start at once. */
+  /** A fleet whose members start at once and receive the full view, without the join protocol. */
   private static ModelFleet convergedAtStart(int size, Map<String, Object> timing)
       throws IOException {
     ModelFleet fleet = new ModelFleet(size, 1, timing);
@@ -103,7 +103,8 @@
   }
 
   /**
-   * How long until all views are equal after a cut in two, and the bytes of that time against calm.
+   * Time until all views are equal after a partition has healed, and the traffic of that time
+   * relative to the traffic without faults.
    */
   private static void measurePartitions(int size, Map<String, Object> timing) throws IOException {
     for (int part : new int[] {size / 2, size * 49 / 100, 1}) {
@@ -135,8 +136,8 @@
       }
       Arrays.sort(ratio);
       System.out.printf(
-          "%d|%d: the smaller side knows that it is cut off after %d ms at most; healed: middle"
-              + " %d, p99 %d ms; bytes/s against calm: middle %.1f, most %.1f%n",
+          "%d|%d: the smaller side is isolated after %d ms at most; views equal after healing: median"
+              + " %d, p99 %d ms; bytes/s relative to no faults: median %.1f, max %.1f%n",
           part,
           size - part,
           ModelFleet.quantile(noticed, 1),
@@ -147,7 +148,7 @@
     }
   }
 
-  /** False accusations and failures in ten minutes of loss. */
+  /** False accusations and failures in ten minutes of datagram loss. */
   private static void measureLoss(int size, Map<String, Object> timing) throws IOException {
     for (boolean lifeguard : new boolean[] {true, false}) {
       for (double loss : new double[] {0.05, 0.3}) {
--- a/members/src/test/java/willowdoor/members/ModelFleet.java
+++ b/members/src/test/java/willowdoor/members/ModelFleet.java
@@ -10,15 +10,18 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 
-/** Members on a hand-moved clock, and a network between them that delays, loses and cuts. */
+/**
+ * A simulated fleet on a manual clock, with a simulated network that delays and loses datagrams and
+ * can be partitioned.
+ */
 final class ModelFleet {
 
   private static final long WALL_MS = 1_700_000_000_000L;
 
-  /** Datagrams that a stopped process's socket holds. */
+  /** Number of datagrams that the socket of a stopped process queues. */
   private static final int SOCKET_QUEUE_DATAGRAMS = 256;
 
-  /** Whether the network takes a datagram. */
+  /** Decides whether the network delivers a datagram. */
   interface Network {
     boolean delivers(int from, int to);
   }
@@ -34,12 +37,12 @@
     boolean killed;
     long stoppedUntil = -1;
     long wakesAt = Long.MAX_VALUE;
-    final Deque<Event> held = new ArrayDeque<>();
+    final Deque<Event> queued = new ArrayDeque<>();
 
-    Node(int place, Timing timing, long wallMs) {
-      this.index = place;
-      codec = new Codec(roster, place, counts);
-      member = new Membership(roster, place, timing, wallMs, random.split(), this, counts, now);
+    Node(int index, Timing timing, long wallMs) {
+      this.index = index;
+      codec = new Codec(roster, index, counts);
+      member = new Membership(roster, index, timing, wallMs, random.split(), this, counts, now);
       scheduleWake();
     }
 
@@ -49,7 +52,7 @@
       bytes += encodesMessages ? datagram.length : 0;
       datagrams++;
       if (encodesMessages && datagram.length > EncodedSizes.MAX_DATAGRAM_BYTES) {
-        throw new IllegalStateException("a datagram of " + datagram.length);
+        throw new IllegalStateException("datagram exceeds the limit, bytes: " + datagram.length);
       }
       if (!network.delivers(index, to) || random.nextDouble() < loss) {
         return;
@@ -80,17 +83,17 @@
       if (stoppedUntil > now) {
         if (event.datagram == null && event.message == null) {
           events.add(new Event(stoppedUntil, order++, this, null, null));
-        } else if (held.size() < SOCKET_QUEUE_DATAGRAMS) {
-          held.add(event);
+        } else if (queued.size() < SOCKET_QUEUE_DATAGRAMS) {
+          queued.add(event);
         }
         return;
       }
-      // The worst order: its timers see how late it is before what came is read.
-      if (!held.isEmpty() && member.nextWake() <= now) {
+      // The worst order: after the stop, timers run before the queued datagrams are read.
+      if (!queued.isEmpty() && member.nextWake() <= now) {
         member.tick(now);
       }
-      while (!held.isEmpty()) {
-        receive(held.remove());
+      while (!queued.isEmpty()) {
+        receive(queued.remove());
       }
       if (event.message != null) {
         receive(event);
@@ -128,7 +131,7 @@
     }
   }
 
-  /** Told of each change of each view. */
+  /** Notified of each change in each view. */
   interface Watcher {
     void changed(Node node, Statement was, Statement is);
   }
@@ -149,7 +152,10 @@
   long bytes;
   long datagrams;
 
-  /** Off for thousands: messages are handed on as objects then, and bytes are not counted. */
+  /**
+   * Disabled for fleets of thousands of members: messages are then passed on as objects, and bytes
+   * are not counted.
+   */
   boolean encodesMessages = true;
 
   ModelFleet(int size, long seed, Map<String, Object> timing) throws IOException {
@@ -162,7 +168,7 @@
     random = new SplittableRandom(seed);
   }
 
-  /** All started within a second, and in step. */
+  /** A fleet whose members all start within a second, run until all views are equal. */
   static ModelFleet converged(int size, long seed) throws IOException {
     return converged(size, seed, Map.of());
   }
@@ -174,7 +180,7 @@
       fleet.run(1_000 / size);
     }
     if (fleet.runUntilViewsEqual(20_000) < 0) {
-      throw new IllegalStateException("not in step at the start");
+      throw new IllegalStateException("views are not equal 20 s after the start");
     }
     return fleet;
   }
@@ -204,11 +210,11 @@
   }
 
   /**
-   * Runs until all views are equal and all that live are alive there; the time, or -1 where it ran
-   * out.
+   * Runs until all views are equal and contain every running member as alive. Returns the elapsed
+   * time, or -1 after {@code maxMs}.
    */
-  long runUntilViewsEqual(long mostMs) {
-    for (long t = 0; t <= mostMs; t += 20) {
+  long runUntilViewsEqual(long maxMs) {
+    for (long t = 0; t <= maxMs; t += 20) {
       if (viewsEqual()) {
         return t;
       }
@@ -224,9 +230,12 @@
             n -> n.member.digest() == digest && nodes.get(0).stateOf(n.index) == MemberState.ALIVE);
   }
 
-  /** Runs until every other one holds the member for such; the time, or -1 where it ran out. */
-  long runUntilAllSee(int member, MemberState state, long mostMs) {
-    for (long t = 0; t <= mostMs; t += 20) {
+  /**
+   * Runs until every other member sees the member in the state. Returns the elapsed time, or -1
+   * after {@code maxMs}.
+   */
+  long runUntilAllSee(int member, MemberState state, long maxMs) {
+    for (long t = 0; t <= maxMs; t += 20) {
       if (nodes.stream().allMatch(n -> n.index == member || n.stateOf(member) == state)) {
         return t;
       }
@@ -239,7 +248,7 @@
     return nodes.stream().mapToLong(n -> n.counts.get(count)).sum();
   }
 
-  /** The value that so large a share does not pass. */
+  /** The smallest value that at least the given share of the values does not exceed. */
   static long quantile(long[] values, double share) {
     long[] sorted = values.clone();
     Arrays.sort(sorted);
--- a/members/src/test/java/willowdoor/members/ModelTest.java
+++ b/members/src/test/java/willowdoor/members/ModelTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Fleets on a hand-moved clock, and what may happen to them. */
+/** Simulated fleets under kills, stalls, loss, partitions and duplicate names. */
 class ModelTest {
 
   private static final long SEED = 7;
@@ -27,7 +27,8 @@
       fleet.kill(i * 5);
       took[i] = fleet.runUntilAllSee(i * 5, MemberState.FAILED, 10_000);
       assertTrue(
-          took[i] >= fleet.timing.minSuspicionMs(100), "it had no time to answer: " + took[i]);
+          took[i] >= fleet.timing.minSuspicionMs(100),
+          "failed before the minimum suspicion time-out: " + took[i]);
       fleet.start(i * 5, 0);
       assertTrue(fleet.runUntilViewsEqual(10_000) >= 0);
     }
@@ -40,13 +41,13 @@
     ModelFleet fleet = ModelFleet.converged(100, SEED);
     fleet.loss = 0.05;
     fleet.run(60_000);
-    assertTrue(fleet.count(Count.ACCUSED) > 0, "nothing was lost");
+    assertTrue(fleet.count(Count.ACCUSED) > 0, "no probe failed: the loss had no effect");
     assertEquals(0, fleet.count(Count.FOUND_FAILED));
     fleet.loss = 0;
     assertTrue(fleet.runUntilViewsEqual(5_000) >= 0);
   }
 
-  /** How many members one that stands still again and again accuses. */
+  /** Number of accusations by a member that stalls again and again. */
   private static long accusationsByStalledMember(boolean lifeguard) throws IOException {
     ModelFleet fleet = ModelFleet.converged(30, SEED, Map.of("lifeguard", lifeguard));
     fleet.delayMs = 80;
@@ -61,7 +62,9 @@
   @Test
   void stalledMemberAccusesNoOtherMember() throws IOException {
     assertEquals(0, accusationsByStalledMember(true));
-    assertTrue(accusationsByStalledMember(false) > 3, "without Lifeguard's parts it does");
+    assertTrue(
+        accusationsByStalledMember(false) > 3,
+        "without Lifeguard the stalled member accuses others");
   }
 
   @Test
@@ -108,19 +111,23 @@
     fleet.run(60_000);
     fleet.bytes = 0;
     fleet.run(10_000);
-    long calm = fleet.bytes / 10;
+    long normalBytesPerSecond = fleet.bytes / 10;
     fleet.network = (from, to) -> side.applyAsInt(from) == side.applyAsInt(to);
     fleet.run(30_000);
     for (ModelFleet.Node node : fleet.nodes) {
-      boolean is = Arrays.stream(isolatedSides).anyMatch(s -> s == side.applyAsInt(node.index));
-      assertEquals(is, node.member.isolated(), "member " + node.index);
+      boolean expected =
+          Arrays.stream(isolatedSides).anyMatch(s -> s == side.applyAsInt(node.index));
+      assertEquals(expected, node.member.isolated(), "member " + node.index);
     }
     fleet.network = (from, to) -> true;
     fleet.bytes = 0;
     long healed = fleet.runUntilViewsEqual(20_000);
-    assertTrue(healed >= 0 && healed <= 5_000, "healed after " + healed);
+    assertTrue(healed >= 0 && healed <= 5_000, "views equal after ms: " + healed);
     assertTrue(
-        fleet.bytes * 1_000 / healed <= 4 * calm, fleet.bytes * 1_000 / healed + " for " + calm);
+        fleet.bytes * 1_000 / healed <= 4 * normalBytesPerSecond,
+        fleet.bytes * 1_000 / healed
+            + " bytes/s while healing, without faults "
+            + normalBytesPerSecond);
     assertTrue(fleet.nodes.stream().noneMatch(n -> n.member.isolated()));
     fleet.run(60_000);
     assertTrue(fleet.nodes.stream().allMatch(n -> n.member.differingSince().isEmpty()));
@@ -147,7 +154,7 @@
     long old = fleet.node(5).member.statement(5).generation();
     fleet.kill(5);
     assertTrue(fleet.runUntilAllSee(5, MemberState.SUSPECT, 3_000) >= 0);
-    // Its clock has stepped back by an hour meanwhile.
+    // The clock of the new process is an hour behind.
     ModelFleet.Node again = fleet.start(5, -3_600_000);
     assertTrue(fleet.runUntilViewsEqual(3_000) >= 0);
     assertTrue(again.member.statement(5).generation() > old);
@@ -173,7 +180,7 @@
     winner.killed = true;
     fleet.nodes.remove(winner);
     fleet.run(20_000);
-    assertTrue(fleet.viewsEqual(), "the other one has its name back");
+    assertTrue(fleet.viewsEqual(), "the superseded process resumes under its name");
   }
 
   @Test
--- a/members/src/test/java/willowdoor/members/RosterTest.java
+++ b/members/src/test/java/willowdoor/members/RosterTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What may stand in a configuration. */
+/** Parsing and validation of the members configuration. */
 class RosterTest {
 
   private static Map<String, Object> peer(String name, long number, String addr) {
