--- a/members/src/main/java/willowdoor/members/Codec.java
+++ b/members/src/main/java/willowdoor/members/Codec.java
@@ -10,9 +10,9 @@
 import java.util.zip.CRC32C;
 
 /**
- * Messages as datagrams: four bytes of CRC-32C over what follows, and one CBOR array. Strict in
- * both directions: what {@link #decode} lets through is whole, of this protocol and fleet, from who
- * may say it and to this member.
+ * Encodes and decodes messages as datagrams: a CRC-32C of four bytes over the rest, and one CBOR
+ * array. {@link #decode} accepts only well-formed datagrams of this protocol and fleet whose sender
+ * name matches the source address and whose receiver is this member.
  */
 final class Codec {
 
@@ -20,7 +20,11 @@
   static final int CHECKSUM_BYTES = 4;
   static final CBORFactory CBOR = new CBORFactory();
 
-  /** The wire's number of what a message is about. */
+  /**
+   * The kinds of messages; the ordinals are the numbers in the wire format. NEWS stands for {@link
+   * Message.Gossip}, EXCHANGE, PAGES and BETTER for {@link Message.ExchangeRequest}, {@link
+   * Message.ExchangeResponse} and {@link Message.ExchangeUpdate}.
+   */
   enum Kind {
     PING,
     ACK,
@@ -32,12 +36,12 @@
     BETTER
   }
 
-  /** Why a datagram was dropped. */
-  static final class Dropped extends Exception {
+  /** Thrown for a datagram that is dropped; holds the counter of the reason. */
+  static final class DroppedDatagramException extends Exception {
     private static final long serialVersionUID = 1;
     final Count reason;
 
-    Dropped(Count reason) {
+    DroppedDatagramException(Count reason) {
       super(reason.name(), null, false, false);
       this.reason = reason;
     }
@@ -69,22 +73,22 @@
         out.writeNumber(header.rosterVersion());
         out.writeNumber(header.rosterHash());
         body(out, message.body());
-        out.writeStartArray(message, message.news().size());
-        for (Statement statement : message.news()) {
+        out.writeStartArray(message, message.statements().size());
+        for (Statement statement : message.statements()) {
           statement(out, statement);
         }
         out.writeEndArray();
         out.writeEndArray();
       }
     } catch (IOException e) {
-      throw new IllegalStateException("writing to memory failed", e);
+      throw new IllegalStateException("encoding a message in memory failed", e);
     }
     byte[] datagram = bytes.toByteArray();
-    return seal(datagram, datagram.length);
+    return writeChecksum(datagram, datagram.length);
   }
 
-  /** Puts the checksum in front of so many bytes. */
-  static byte[] seal(byte[] datagram, int length) {
+  /** Writes the checksum of the datagram's first {@code length} bytes to its start. */
+  static byte[] writeChecksum(byte[] datagram, int length) {
     ByteBuffer.wrap(datagram).putInt(checksum(datagram, length));
     return datagram;
   }
@@ -95,7 +99,7 @@
     return (int) sum.getValue();
   }
 
-  /** Kind, number and what else the kind has: two fields after the number at most, as an array. */
+  /** Writes the kind, the sequence number and an array of the other fields of the kind. */
   private void body(JsonGenerator out, Message.Body body) throws IOException {
     if (body instanceof Message.Ping ping) {
       kind(out, Kind.PING, ping.seq(), 0);
@@ -109,17 +113,17 @@
     } else if (body instanceof Message.Nack nack) {
       kind(out, Kind.NACK, nack.seq(), 1);
       out.writeString(roster.name(nack.subject()));
-    } else if (body instanceof Message.News) {
+    } else if (body instanceof Message.Gossip) {
       kind(out, Kind.NEWS, 0, 0);
-    } else if (body instanceof Message.Exchange exchange) {
+    } else if (body instanceof Message.ExchangeRequest exchange) {
       kind(out, Kind.EXCHANGE, exchange.seq(), 1);
-      out.writeBinary(exchange.prints());
-    } else if (body instanceof Message.Pages pages) {
+      out.writeBinary(exchange.pageChecksums());
+    } else if (body instanceof Message.ExchangeResponse pages) {
       kind(out, Kind.PAGES, pages.seq(), 3);
       out.writeNumber(pages.part());
       out.writeNumber(pages.parts());
-      out.writeNumber(pages.left());
-    } else if (body instanceof Message.Better better) {
+      out.writeNumber(pages.remaining());
+    } else if (body instanceof Message.ExchangeUpdate better) {
       kind(out, Kind.BETTER, better.seq(), 0);
     }
     out.writeEndArray();
@@ -132,8 +136,8 @@
   }
 
   /**
-   * Name, generation, incarnation and state in one, and then accusers and tags where there are
-   * some.
+   * Writes the name, the generation and one number for incarnation and state, followed by accusers
+   * and tags if there are any.
    */
   private void statement(JsonGenerator out, Statement s) throws IOException {
     Map<String, byte[]> tags = s.tags().values();
@@ -161,46 +165,47 @@
   }
 
   /**
-   * A datagram of so many bytes that came from the member at the place; its sender's address tells
-   * who that is.
+   * Decodes the first {@code length} bytes.
+   *
+   * @param from the index of the member that the source address of the datagram belongs to
    */
-  Message decode(byte[] datagram, int length, int from) throws Dropped {
-    if (length > Sizes.DATAGRAM) {
-      throw new Dropped(Count.TOO_LONG);
+  Message decode(byte[] datagram, int length, int from) throws DroppedDatagramException {
+    if (length > EncodedSizes.MAX_DATAGRAM_BYTES) {
+      throw new DroppedDatagramException(Count.TOO_LONG);
     }
     if (length <= CHECKSUM_BYTES
         || ByteBuffer.wrap(datagram).getInt() != checksum(datagram, length)) {
-      throw new Dropped(Count.CHECKSUM);
+      throw new DroppedDatagramException(Count.CHECKSUM);
     }
     try (CborReader in = new CborReader(datagram, CHECKSUM_BYTES, length - CHECKSUM_BYTES)) {
       in.begin();
       if (in.number(0, Integer.MAX_VALUE) != PROTOCOL) {
-        throw new Dropped(Count.OTHER_PROTOCOL);
+        throw new DroppedDatagramException(Count.OTHER_PROTOCOL);
       }
-      if (!in.text(Roster.MOST_NAME).equals(roster.fleet())) {
-        throw new Dropped(Count.OTHER_FLEET);
+      if (!in.text(Roster.MAX_NAME_LENGTH).equals(roster.fleet())) {
+        throw new DroppedDatagramException(Count.OTHER_FLEET);
       }
-      if (!in.text(Roster.MOST_NAME).equals(roster.name(from))) {
-        throw new Dropped(Count.OTHER_NAME);
+      if (!in.text(Roster.MAX_NAME_LENGTH).equals(roster.name(from))) {
+        throw new DroppedDatagramException(Count.OTHER_NAME);
       }
-      if (!in.text(Roster.MOST_NAME).equals(roster.name(self))) {
-        throw new Dropped(Count.NOT_FOR_ME);
+      if (!in.text(Roster.MAX_NAME_LENGTH).equals(roster.name(self))) {
+        throw new DroppedDatagramException(Count.NOT_FOR_ME);
       }
       Message.Header header =
           new Message.Header(
               from,
               self,
-              in.number(1, Generation.MOST),
+              in.number(1, Generation.MAX),
               in.number(),
-              in.whole(0),
+              in.integer(0),
               (int) in.number(Integer.MIN_VALUE, Integer.MAX_VALUE));
       Message.Body body = body(in);
-      List<Statement> news = in.list(Message.MOST_NEWS, this::statement);
+      List<Statement> news = in.list(Message.MAX_STATEMENTS, this::statement);
       in.end();
       in.atEnd();
       return new Message(header, body, news);
     } catch (IOException | RuntimeException e) {
-      throw new Dropped(Count.MALFORMED);
+      throw new DroppedDatagramException(Count.MALFORMED);
     }
   }
 
@@ -214,47 +219,49 @@
           case ACK -> new Message.Ack(seq, subject(in));
           case PING_REQUEST ->
               new Message.PingRequest(
-                  seq, subject(in), (int) in.number(1, Message.PingRequest.MOST_WAIT_MS));
+                  seq, subject(in), (int) in.number(1, Message.PingRequest.MAX_WAIT_MS));
           case NACK -> new Message.Nack(seq, subject(in));
-          case PAGES -> pages(seq, (int) in.number(0, 30), (int) in.number(1, 31), in.whole(0));
-          case EXCHANGE -> new Message.Exchange(seq, in.bytes(View.MOST_PAGES * View.PRINT_BYTES));
-          case BETTER -> new Message.Better(seq);
-          default -> new Message.News();
+          case PAGES -> pages(seq, (int) in.number(0, 30), (int) in.number(1, 31), in.integer(0));
+          case EXCHANGE ->
+              new Message.ExchangeRequest(seq, in.bytes(View.MAX_PAGES * View.PAGE_CHECKSUM_BYTES));
+          case BETTER -> new Message.ExchangeUpdate(seq);
+          default -> new Message.Gossip();
         };
     in.end();
     return body;
   }
 
-  private static Message.Pages pages(long seq, int part, int parts, int left) throws IOException {
+  private static Message.ExchangeResponse pages(long seq, int part, int parts, int left)
+      throws IOException {
     if (part >= parts) {
-      throw new IOException("a part behind the last one");
+      throw new IOException("part number exceeds the number of parts");
     }
-    return new Message.Pages(seq, part, parts, left);
+    return new Message.ExchangeResponse(seq, part, parts, left);
   }
 
   private int subject(CborReader in) throws IOException {
-    int place = roster.place(in.text(Roster.MOST_NAME));
-    if (place < 0) {
-      throw new IOException("a subject that the roster does not have");
+    int index = roster.indexOf(in.text(Roster.MAX_NAME_LENGTH));
+    if (index < 0) {
+      throw new IOException("subject is not in the roster");
     }
-    return place;
+    return index;
   }
 
-  /** Null where the roster does not have the name: the sender may have another one. */
+  /** Null if the roster does not contain the name: the sender may use another roster. */
   private Statement statement(CborReader in) throws IOException {
     in.begin();
-    int member = roster.place(in.text(Roster.MOST_NAME));
-    long generation = in.number(1, Generation.MOST);
-    long life = in.number(0, (long) Statement.MOST_INCARNATION * MemberState.count());
-    int incarnation = (int) (life / MemberState.count());
-    MemberState state = MemberState.of((int) (life % MemberState.count()));
+    int member = roster.indexOf(in.text(Roster.MAX_NAME_LENGTH));
+    long generation = in.number(1, Generation.MAX);
+    long incarnationAndState = in.number(0, (long) Statement.MAX_INCARNATION * MemberState.count());
+    int incarnation = (int) (incarnationAndState / MemberState.count());
+    MemberState state = MemberState.of((int) (incarnationAndState % MemberState.count()));
     List<Integer> accusers =
         !in.more()
             ? List.of()
             : in.list(
-                Statement.MOST_ACCUSERS,
+                Statement.MAX_ACCUSERS,
                 i -> {
-                  int accuser = roster.place(i.text(Roster.MOST_NAME));
+                  int accuser = roster.indexOf(i.text(Roster.MAX_NAME_LENGTH));
                   return accuser < 0 ? null : accuser;
                 });
     Tags tags = in.more() ? tags(in) : Tags.NONE;
@@ -276,7 +283,7 @@
     in.begin();
     Tags tags = Tags.NONE;
     while (in.more()) {
-      tags = tags.with(in.text(Tags.MOST_NAME), in.bytes(Tags.MOST_BYTES));
+      tags = tags.with(in.text(Tags.MAX_NAME_LENGTH), in.bytes(Tags.MAX_BYTES));
     }
     in.end();
     return tags;
--- a/members/src/test/java/willowdoor/members/Measure.java
+++ b/members/src/test/java/willowdoor/members/Measure.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 
 /**
- * Measures a fleet of the model: {@code Measure members|cuts|loss SIZE [key=value...]}. Not a test.
+ * Measures a simulated fleet: {@code Measure members|cuts|loss SIZE [key=value...]}. Not a test.
  */
 final class Measure {
 
@@ -24,21 +24,23 @@
                 timing.put(
                     a[0], a[1].contains(".") ? (Object) Double.valueOf(a[1]) : Long.valueOf(a[1])));
     switch (args[0]) {
-      case "members" -> members(size, timing);
-      case "cuts" -> cuts(size, timing);
-      default -> loss(size, timing);
+      case "members" -> measureFailureDetection(size, timing);
+      case "cuts" -> measurePartitions(size, timing);
+      default -> measureLoss(size, timing);
     }
   }
 
-  /** Bytes a second and member, calm, and how long until a kill is known to all. */
-  private static void members(int size, Map<String, Object> timing) throws IOException {
-    ModelFleet fleet = size <= 200 ? ModelFleet.calm(size, 1, timing) : known(size, timing);
+  /** Traffic per member without faults, and the time until all members detect a kill. */
+  private static void measureFailureDetection(int size, Map<String, Object> timing)
+      throws IOException {
+    ModelFleet fleet =
+        size <= 200 ? ModelFleet.converged(size, 1, timing) : convergedAtStart(size, timing);
     fleet.run(60_000);
     fleet.bytes = 0;
     fleet.datagrams = 0;
     fleet.run(10_000);
     System.out.printf(
-        "%d members, calm: %.0f bytes/s and %.1f datagrams/s a member%n",
+        "%d members without faults: %.0f bytes/s and %.1f datagrams/s per member%n",
         size, fleet.bytes / 10.0 / size, fleet.datagrams / 10.0 / size);
     int kills = size <= 200 ? 200 : size <= 2_000 ? 60 : 20;
     long[] first = new long[kills];
@@ -67,44 +69,46 @@
       fleet.run(6_000);
     }
     System.out.printf(
-        "killed, %d times: found in the middle after %d ms, all know: middle %d, p99 %d ms%n",
+        "%d kills: first detection median %d ms, detection by all median %d, p99 %d ms%n",
         kills,
         ModelFleet.quantile(first, 0.5),
         ModelFleet.quantile(all, 0.5),
         ModelFleet.quantile(all, 0.99));
   }
 
-  /** A fleet that is told of itself, as all start at once. */
-  private static ModelFleet known(int size, Map<String, Object> timing) throws IOException {
+  /** A fleet whose members start at once and receive the full view, without the join protocol. */
+  private static ModelFleet convergedAtStart(int size, Map<String, Object> timing)
+      throws IOException {
     ModelFleet fleet = new ModelFleet(size, 1, timing);
     List<Statement> all = new ArrayList<>();
-    fleet.path = (from, to) -> false;
+    fleet.network = (from, to) -> false;
     for (int i = 0; i < size; i++) {
       Statement s = fleet.start(i, 0).member.statement(i);
-      all.add(s.as(MemberState.ALIVE));
+      all.add(s.withState(MemberState.ALIVE));
     }
     for (ModelFleet.Node node : fleet.nodes) {
       node.member.tick(fleet.now);
-      int from = node.place == 0 ? 1 : 0;
+      int from = node.index == 0 ? 1 : 0;
       node.member.receive(
           new Message(
               new Message.Header(
-                  from, node.place, all.get(from).generation(), 0, 1, fleet.roster.hash()),
-              new Message.Pages(1, 0, 1, 0),
+                  from, node.index, all.get(from).generation(), 0, 1, fleet.roster.hash()),
+              new Message.ExchangeResponse(1, 0, 1, 0),
               all),
           fleet.now);
-      node.wake();
+      node.scheduleWake();
     }
-    fleet.path = (from, to) -> true;
+    fleet.network = (from, to) -> true;
     return fleet;
   }
 
   /**
-   * How long until all views are equal after a cut in two, and the bytes of that time against calm.
+   * Time until all views are equal after a partition has healed, and the traffic of that time
+   * relative to the traffic without faults.
    */
-  private static void cuts(int size, Map<String, Object> timing) throws IOException {
+  private static void measurePartitions(int size, Map<String, Object> timing) throws IOException {
     for (int part : new int[] {size / 2, size * 49 / 100, 1}) {
-      ModelFleet fleet = ModelFleet.calm(size, 2, timing);
+      ModelFleet fleet = ModelFleet.converged(size, 2, timing);
       fleet.run(60_000);
       fleet.bytes = 0;
       fleet.run(10_000);
@@ -114,26 +118,26 @@
       double[] ratio = new double[cuts];
       long[] noticed = new long[cuts];
       for (int i = 0; i < cuts; i++) {
-        fleet.path = (from, to) -> from < part == to < part;
+        fleet.network = (from, to) -> from < part == to < part;
         long began = fleet.now;
         while (fleet.now - began < 40_000) {
           fleet.run(100);
           if (noticed[i] == 0
-              && fleet.nodes.stream().allMatch(n -> n.place >= part || n.member.cutOff())) {
+              && fleet.nodes.stream().allMatch(n -> n.index >= part || n.member.isolated())) {
             noticed[i] = fleet.now - began;
           }
         }
-        fleet.path = (from, to) -> true;
+        fleet.network = (from, to) -> true;
         fleet.bytes = 0;
-        healed[i] = fleet.untilEqual(60_000);
+        healed[i] = fleet.runUntilViewsEqual(60_000);
         long healing = fleet.bytes;
         ratio[i] = healing / (Math.max(1, healed[i]) / 1e3) / calm;
         fleet.run(20_000);
       }
       Arrays.sort(ratio);
       System.out.printf(
-          "%d|%d: the smaller side knows that it is cut off after %d ms at most; healed: middle"
-              + " %d, p99 %d ms; bytes/s against calm: middle %.1f, most %.1f%n",
+          "%d|%d: the smaller side is isolated after %d ms at most; views equal after healing: median"
+              + " %d, p99 %d ms; bytes/s relative to no faults: median %.1f, max %.1f%n",
           part,
           size - part,
           ModelFleet.quantile(noticed, 1),
@@ -144,12 +148,12 @@
     }
   }
 
-  /** False accusations and failures in ten minutes of loss. */
-  private static void loss(int size, Map<String, Object> timing) throws IOException {
+  /** False accusations and failures in ten minutes of datagram loss. */
+  private static void measureLoss(int size, Map<String, Object> timing) throws IOException {
     for (boolean lifeguard : new boolean[] {true, false}) {
       for (double loss : new double[] {0.05, 0.3}) {
         timing.put("lifeguard", lifeguard);
-        ModelFleet fleet = ModelFleet.calm(size, 3, timing);
+        ModelFleet fleet = ModelFleet.converged(size, 3, timing);
         fleet.loss = loss;
         fleet.delayMs = loss > 0.1 ? 200 : 2;
         fleet.run(600_000);
--- a/members/src/test/java/willowdoor/members/ModelFleet.java
+++ b/members/src/test/java/willowdoor/members/ModelFleet.java
@@ -10,52 +10,55 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 
-/** Members on a hand-moved clock, and a network between them that delays, loses and cuts. */
+/**
+ * A simulated fleet on a manual clock, with a simulated network that delays and loses datagrams and
+ * can be partitioned.
+ */
 final class ModelFleet {
 
   private static final long WALL_MS = 1_700_000_000_000L;
 
-  /** Datagrams that a stopped process's socket holds. */
-  private static final int SOCKET_HOLDS = 256;
+  /** Number of datagrams that the socket of a stopped process queues. */
+  private static final int SOCKET_QUEUE_DATAGRAMS = 256;
 
-  /** Whether the network takes a datagram. */
-  interface Path {
-    boolean open(int from, int to);
+  /** Decides whether the network delivers a datagram. */
+  interface Network {
+    boolean delivers(int from, int to);
   }
 
   private record Event(long at, long order, Node to, byte[] datagram, Message message) {}
 
   /** One process. */
   final class Node implements Effects {
-    final int place;
+    final int index;
     final Counts counts = new Counts();
     final Codec codec;
     final Membership member;
-    boolean dead;
+    boolean killed;
     long stoppedUntil = -1;
     long wakesAt = Long.MAX_VALUE;
-    final Deque<Event> held = new ArrayDeque<>();
+    final Deque<Event> queued = new ArrayDeque<>();
 
-    Node(int place, Timing timing, long wallMs) {
-      this.place = place;
-      codec = new Codec(roster, place, counts);
-      member = new Membership(roster, place, timing, wallMs, random.split(), this, counts, now);
-      wake();
+    Node(int index, Timing timing, long wallMs) {
+      this.index = index;
+      codec = new Codec(roster, index, counts);
+      member = new Membership(roster, index, timing, wallMs, random.split(), this, counts, now);
+      scheduleWake();
     }
 
     @Override
     public void send(int to, Message message) {
-      byte[] datagram = encodes ? codec.encode(message) : null;
-      bytes += encodes ? datagram.length : 0;
+      byte[] datagram = encodesMessages ? codec.encode(message) : null;
+      bytes += encodesMessages ? datagram.length : 0;
       datagrams++;
-      if (encodes && datagram.length > Sizes.DATAGRAM) {
-        throw new IllegalStateException("a datagram of " + datagram.length);
+      if (encodesMessages && datagram.length > EncodedSizes.MAX_DATAGRAM_BYTES) {
+        throw new IllegalStateException("datagram exceeds the limit, bytes: " + datagram.length);
       }
-      if (!path.open(place, to) || random.nextDouble() < loss) {
+      if (!network.delivers(index, to) || random.nextDouble() < loss) {
         return;
       }
       for (Node node : nodes) {
-        if (node.place == to && !node.dead) {
+        if (node.index == to && !node.killed) {
           events.add(
               new Event(now + 1 + random.nextInt(delayMs), order++, node, datagram, message));
         }
@@ -68,29 +71,29 @@
     }
 
     @Override
-    public void cutOff(boolean cutOff) {}
+    public void isolationChanged(boolean cutOff) {}
 
     @Override
-    public void twin(boolean superseded) {}
+    public void duplicateNameFound(boolean superseded) {}
 
-    void take(Event event) {
-      if (dead) {
+    void process(Event event) {
+      if (killed) {
         return;
       }
       if (stoppedUntil > now) {
         if (event.datagram == null && event.message == null) {
           events.add(new Event(stoppedUntil, order++, this, null, null));
-        } else if (held.size() < SOCKET_HOLDS) {
-          held.add(event);
+        } else if (queued.size() < SOCKET_QUEUE_DATAGRAMS) {
+          queued.add(event);
         }
         return;
       }
-      // The worst order: its timers see how late it is before what came is read.
-      if (!held.isEmpty() && member.nextWake() <= now) {
+      // The worst order: after the stop, timers run before the queued datagrams are read.
+      if (!queued.isEmpty() && member.nextWake() <= now) {
         member.tick(now);
       }
-      while (!held.isEmpty()) {
-        receive(held.remove());
+      while (!queued.isEmpty()) {
+        receive(queued.remove());
       }
       if (event.message != null) {
         receive(event);
@@ -100,7 +103,7 @@
           member.tick(now);
         }
       }
-      wake();
+      scheduleWake();
     }
 
     private void receive(Event event) {
@@ -111,24 +114,24 @@
                 : codec.decode(
                     event.datagram, event.datagram.length, event.message.header().from()),
             now);
-      } catch (Codec.Dropped e) {
+      } catch (Codec.DroppedDatagramException e) {
         counts.add(e.reason);
       }
     }
 
-    void wake() {
+    void scheduleWake() {
       if (member != null && member.nextWake() < wakesAt) {
         wakesAt = member.nextWake();
         events.add(new Event(Math.max(now, wakesAt), order++, this, null, null));
       }
     }
 
-    MemberState of(int other) {
+    MemberState stateOf(int other) {
       return member.statement(other).state();
     }
   }
 
-  /** Told of each change of each view. */
+  /** Notified of each change in each view. */
   interface Watcher {
     void changed(Node node, Statement was, Statement is);
   }
@@ -144,13 +147,16 @@
   long now = 1_000;
   double loss;
   int delayMs = 2;
-  Path path = (from, to) -> true;
+  Network network = (from, to) -> true;
   Watcher watcher = (node, was, is) -> {};
   long bytes;
   long datagrams;
 
-  /** Off for thousands: messages are handed on as objects then, and bytes are not counted. */
-  boolean encodes = true;
+  /**
+   * Disabled for fleets of thousands of members: messages are then passed on as objects, and bytes
+   * are not counted.
+   */
+  boolean encodesMessages = true;
 
   ModelFleet(int size, long seed, Map<String, Object> timing) throws IOException {
     List<Roster.Peer> peers = new ArrayList<>();
@@ -162,35 +168,35 @@
     random = new SplittableRandom(seed);
   }
 
-  /** All started within a second, and in step. */
-  static ModelFleet calm(int size, long seed) throws IOException {
-    return calm(size, seed, Map.of());
+  /** A fleet whose members all start within a second, run until all views are equal. */
+  static ModelFleet converged(int size, long seed) throws IOException {
+    return converged(size, seed, Map.of());
   }
 
-  static ModelFleet calm(int size, long seed, Map<String, Object> timing) throws IOException {
+  static ModelFleet converged(int size, long seed, Map<String, Object> timing) throws IOException {
     ModelFleet fleet = new ModelFleet(size, seed, timing);
     for (int i = 0; i < size; i++) {
       fleet.start(i, 0);
       fleet.run(1_000 / size);
     }
-    if (fleet.untilEqual(20_000) < 0) {
-      throw new IllegalStateException("not in step at the start");
+    if (fleet.runUntilViewsEqual(20_000) < 0) {
+      throw new IllegalStateException("views are not equal 20 s after the start");
     }
     return fleet;
   }
 
-  Node start(int place, long clockStepMs) {
-    Node node = new Node(place, timing, WALL_MS + now + clockStepMs);
+  Node start(int index, long clockStepMs) {
+    Node node = new Node(index, timing, WALL_MS + now + clockStepMs);
     nodes.add(node);
     return node;
   }
 
-  void kill(int place) {
-    nodes.removeIf(n -> n.place == place && (n.dead = true));
+  void kill(int index) {
+    nodes.removeIf(n -> n.index == index && (n.killed = true));
   }
 
-  Node node(int place) {
-    return nodes.stream().filter(n -> n.place == place).findFirst().orElseThrow();
+  Node node(int index) {
+    return nodes.stream().filter(n -> n.index == index).findFirst().orElseThrow();
   }
 
   void run(long ms) {
@@ -198,18 +204,18 @@
     while (!events.isEmpty() && events.peek().at <= end) {
       Event event = events.remove();
       now = event.at;
-      event.to.take(event);
+      event.to.process(event);
     }
     now = end;
   }
 
   /**
-   * Runs until all views are equal and all that live are alive there; the time, or -1 where it ran
-   * out.
+   * Runs until all views are equal and contain every running member as alive. Returns the elapsed
+   * time, or -1 after {@code maxMs}.
    */
-  long untilEqual(long mostMs) {
-    for (long t = 0; t <= mostMs; t += 20) {
-      if (equal()) {
+  long runUntilViewsEqual(long maxMs) {
+    for (long t = 0; t <= maxMs; t += 20) {
+      if (viewsEqual()) {
         return t;
       }
       run(20);
@@ -217,17 +223,20 @@
     return -1;
   }
 
-  boolean equal() {
+  boolean viewsEqual() {
     long digest = nodes.get(0).member.digest();
     return nodes.stream()
         .allMatch(
-            n -> n.member.digest() == digest && nodes.get(0).of(n.place) == MemberState.ALIVE);
+            n -> n.member.digest() == digest && nodes.get(0).stateOf(n.index) == MemberState.ALIVE);
   }
 
-  /** Runs until every other one holds the member for such; the time, or -1 where it ran out. */
-  long untilAll(int member, MemberState state, long mostMs) {
-    for (long t = 0; t <= mostMs; t += 20) {
-      if (nodes.stream().allMatch(n -> n.place == member || n.of(member) == state)) {
+  /**
+   * Runs until every other member sees the member in the state. Returns the elapsed time, or -1
+   * after {@code maxMs}.
+   */
+  long runUntilAllSee(int member, MemberState state, long maxMs) {
+    for (long t = 0; t <= maxMs; t += 20) {
+      if (nodes.stream().allMatch(n -> n.index == member || n.stateOf(member) == state)) {
         return t;
       }
       run(20);
@@ -239,7 +248,7 @@
     return nodes.stream().mapToLong(n -> n.counts.get(count)).sum();
   }
 
-  /** The value that so large a share does not pass. */
+  /** The smallest value that at least the given share of the values does not exceed. */
   static long quantile(long[] values, double share) {
     long[] sorted = values.clone();
     Arrays.sort(sorted);
