--- a/front/src/main/java/willowdoor/front/FrontDoor.java
+++ b/front/src/main/java/willowdoor/front/FrontDoor.java
@@ -27,7 +27,7 @@
 import willowdoor.front.loop.Transport;
 import willowdoor.front.operators.Management;
 import willowdoor.front.operators.OperatorFile;
-import willowdoor.front.requests.ModuleDriver;
+import willowdoor.front.requests.PolicyDriver;
 import willowdoor.front.servers.BackendPool;
 import willowdoor.front.start.WarmUp;
 import willowdoor.policy.GatewayApi.RequestClass;
@@ -66,7 +66,7 @@
   private final EventLoopGroup group;
   private final EventLoop loop;
   private final CountDownLatch ended = new CountDownLatch(1);
-  private ModuleDriver driver;
+  private PolicyDriver driver;
   private ClientServer clients;
   private CounterClient counter;
   private DiscoveryClient discovery;
@@ -215,7 +215,7 @@
 
   /** What the module tells the log, asked for on the loop. */
   String figures() throws InterruptedException {
-    return loop.submit(driver::figures).sync().getNow();
+    return loop.submit(driver::policyStats).sync().getNow();
   }
 
   @Override
@@ -240,7 +240,7 @@
           if (clients == null) {
             throw new IllegalStateException("still starting");
           }
-          if (host != null && !driver.knows(host)) {
+          if (host != null && !driver.isKnownBackend(host)) {
             return false;
           }
           follow(file.change(change));
@@ -257,12 +257,12 @@
     operators = told;
     told.excluded().stream()
         .filter(h -> !before.excluded().contains(h))
-        .forEach(h -> driver.ban(h, true));
+        .forEach(h -> driver.setExcluded(h, true));
     before.excluded().stream()
         .filter(h -> !told.excluded().contains(h))
-        .forEach(h -> driver.ban(h, false));
+        .forEach(h -> driver.setExcluded(h, false));
     if (told.drained() != before.drained()) {
-      clients.evacuate(told.drained());
+      clients.setOperatorDrain(told.drained());
     }
     LOG.info(
         () ->
@@ -293,7 +293,7 @@
             descriptors.backends(),
             config.connectLimitMs(),
             config.idleLimitMs());
-    driver = new ModuleDriver(loop, clock, policy, backends, tally);
+    driver = new PolicyDriver(loop, clock, policy, backends, tally);
     clients =
         new ClientServer(
             transport,
@@ -313,7 +313,7 @@
             newest.counter(),
             config.settings().options().counterTimeoutMs(),
             tally,
-            driver::onCounted);
+            driver::onCounterResult);
     if (newest.counter() != null) {
       counter.start();
     }
@@ -342,13 +342,13 @@
         () ->
             tally.log(
                 "clients="
-                    + clients.open()
+                    + clients.openConnections()
                     + " backends="
                     + backends.connections()
                     + " held="
-                    + driver.held()
+                    + driver.requestCount()
                     + ' '
-                    + driver.figures()),
+                    + driver.policyStats()),
         TALLY_S,
         TALLY_S,
         TimeUnit.SECONDS);
@@ -375,7 +375,7 @@
   }
 
   private void serving() {
-    clients.serve();
+    clients.markReady();
     watch();
     loop.scheduleWithFixedDelay(this::watch, DRAIN_STEP_MS, DRAIN_STEP_MS, TimeUnit.MILLISECONDS);
   }
@@ -384,8 +384,8 @@
   private void watch() {
     clients.acceptIfReady();
     canServe = clients.canServe();
-    clients.partWithIdle();
-    if (clients.ended()) {
+    clients.closeIdleConnections();
+    if (clients.isTerminated()) {
       ended.countDown();
     }
   }
@@ -413,8 +413,8 @@
     if (!listens) {
       return 0;
     }
-    clients.end();
-    driver.endWithin(endMs);
+    clients.shutDown();
+    driver.shutDownWithin(endMs);
     return endMs + LEAVE_MS;
   }
 
--- a/front/src/main/java/willowdoor/front/clients/Arrival.java
+++ b/front/src/main/java/willowdoor/front/clients/ArrivalTime.java
@@ -8,46 +8,46 @@
  * was asked of it, that is the moment at which it was last known to be empty: when it was read, or
  * when the answer before was written, as a client sends one request at a time.
  */
-final class Arrival {
+final class ArrivalTime {
 
-  private final Looks looks;
+  private final Looks polls;
 
   /** Nothing that is still unread came before this. */
   private double emptyAt;
 
-  private double cameAt;
+  private double arrivedAt;
   private boolean asked;
-  private long askedAt;
+  private long requestedAtPoll;
 
   /** A connection that was accepted now, and made no earlier than what this look finds. */
-  Arrival(Looks looks) {
-    this.looks = looks;
-    emptyAt = looks.since();
-    cameAt = emptyAt;
+  ArrivalTime(Looks polls) {
+    this.polls = polls;
+    emptyAt = polls.since();
+    arrivedAt = emptyAt;
   }
 
   /** From the next look on it is seen whether anything has come. */
   void asked() {
     if (!asked) {
       asked = true;
-      askedAt = looks.count();
+      requestedAtPoll = polls.count();
     }
   }
 
   /** Bytes were read; drained, where that left none behind. */
-  void read(boolean drained) {
-    boolean watched = asked && looks.count() - askedAt >= 2;
-    cameAt = watched ? Math.max(emptyAt, looks.since()) : emptyAt;
-    emptyAt = drained ? looks.begunAt() : cameAt;
+  void onRead(boolean drained) {
+    boolean polled = asked && polls.count() - requestedAtPoll >= 2;
+    arrivedAt = polled ? Math.max(emptyAt, polls.since()) : emptyAt;
+    emptyAt = drained ? polls.begunAt() : arrivedAt;
     asked = false;
   }
 
   /** The answer to all that was read has been written. */
-  void answered(double now) {
+  void onAnswered(double now) {
     emptyAt = Math.max(emptyAt, now);
   }
 
-  double cameAt() {
-    return cameAt;
+  double arrivedAt() {
+    return arrivedAt;
   }
 }
--- a/front/src/main/java/willowdoor/front/clients/ClientConnection.java
+++ b/front/src/main/java/willowdoor/front/clients/ClientConnection.java
@@ -19,46 +19,46 @@
 /**
  * One client's connection: a request at a time, each with the one final answer. Requests written
  * behind the present one wait. What it reads comes from {@link ReadAhead}, what it answers goes
- * through {@link AnswerWriter}, and it is ended by {@link LingeringClose} alone.
+ * through {@link ResponseWriter}, and it is ended by {@link LingeringClose} alone.
  */
 final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> {
 
   private static final Logger LOG = Logger.getLogger(ClientConnection.class.getName());
 
   private final ClientServer server;
-  private final Arrival arrival;
+  private final ArrivalTime arrivalTime;
   private final ReadAhead input;
-  private final ReceiveLimit receiveLimit;
+  private final ReceiveTimeout receiveTimeout;
   private final RequestDecoder decoder = new RequestDecoder();
   private Channel channel;
   private LingeringClose closing;
-  private AnswerWriter answers;
+  private ResponseWriter responseWriter;
   private Exchange exchange;
   private double openedAt;
 
   /** One connection too many: its first request is refused, and it ends. */
-  private boolean over;
+  private boolean overLimit;
 
   /** A part was asked for that has not come. */
-  private boolean wanted;
+  private boolean readPending;
 
   /** The next request waits until there is room for its answer. */
-  private boolean full;
+  private boolean writeBlocked;
 
   /** How many requests have come to their turn. */
-  private long heads;
+  private long requestsStarted;
 
-  ClientConnection(ClientServer server, Looks looks) {
+  ClientConnection(ClientServer server, Looks polls) {
     this.server = server;
-    arrival = new Arrival(looks);
-    input = new ReadAhead(looks, arrival, this::receiving, server::keeps);
-    receiveLimit = new ReceiveLimit(this::overdue);
+    arrivalTime = new ArrivalTime(polls);
+    input = new ReadAhead(polls, arrivalTime, this::receiving, server::addBufferedBytes);
+    receiveTimeout = new ReceiveTimeout(this::onReceiveTimeout);
   }
 
   /** The bytes' way to this and back. */
   ChannelHandler[] handlers() {
     return new ChannelHandler[] {
-      input, receiveLimit, decoder, new HttpResponseEncoder(), new FlowControlHandler(), this
+      input, receiveTimeout, decoder, new HttpResponseEncoder(), new FlowControlHandler(), this
     };
   }
 
@@ -66,21 +66,21 @@
     return openedAt;
   }
 
-  private void overdue() {
-    if (!closing.begun() && (!exchange.open() || exchange.receiving())) {
+  private void onReceiveTimeout() {
+    if (!closing.begun() && (!exchange.isOpen() || exchange.receiving())) {
       server.count(Tally.Event.CLIENT_SLOW);
-      endWith(HttpResponseStatus.REQUEST_TIMEOUT, "request did not come in time");
+      endWithError(HttpResponseStatus.REQUEST_TIMEOUT, "request did not come in time");
     }
   }
 
   @Override
   public void handlerAdded(ChannelHandlerContext ctx) {
     channel = ctx.channel();
-    closing = new LingeringClose(channel, input, () -> server.lingers(this));
-    answers = new AnswerWriter(channel, this::mayBeKept);
-    exchange = new Exchange(server, this, channel, arrival, answers);
+    closing = new LingeringClose(channel, input, () -> server.onLingering(this));
+    responseWriter = new ResponseWriter(channel, this::mayKeepAlive);
+    exchange = new Exchange(server, this, channel, arrivalTime, responseWriter);
     openedAt = server.now();
-    over = server.opened(this);
+    overLimit = server.register(this);
   }
 
   @Override
@@ -95,17 +95,17 @@
 
   /** Asks for the next part: the pieces of a request, or the head of the next one. */
   void read() {
-    wanted = true;
+    readPending = true;
     channel.read();
     if (exchange.receiving()) {
-      receiveLimit.waits();
+      receiveTimeout.onBodyReadRequested();
     }
   }
 
   /** What was read last may not have been a whole part. */
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
-    if (wanted) {
+    if (readPending) {
       channel.read();
     }
     ctx.fireChannelReadComplete();
@@ -113,20 +113,20 @@
 
   @Override
   protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
-    wanted = false;
+    readPending = false;
     if (closing.begun()) {
       return;
     }
     if (part.decoderResult().isFailure()) {
-      endWith(HttpResponseStatus.BAD_REQUEST, "malformed request");
+      endWithError(HttpResponseStatus.BAD_REQUEST, "malformed request");
       return;
     }
     try {
       if (part instanceof HttpRequest request) {
-        receiveLimit.headCame();
-        server.took(this);
-        heads++;
-        exchange.head(request, over);
+        receiveTimeout.onHeadEnd();
+        server.markBusy(this);
+        requestsStarted++;
+        exchange.head(request, overLimit);
       }
       if (part instanceof HttpContent piece) {
         exchange.piece(piece);
@@ -134,15 +134,15 @@
         read();
       }
     } catch (RuntimeException e) {
-      exchange.faulty(e);
+      exchange.onFault(e);
     }
   }
 
   @Override
   public void channelWritabilityChanged(ChannelHandlerContext ctx) {
     if (channel.isWritable()) {
-      exchange.writable();
-      if (full) {
+      exchange.onWritable();
+      if (writeBlocked) {
         readNext();
       }
     }
@@ -150,15 +150,15 @@
   }
 
   /** The body of the present request has come whole. */
-  void bodyCame() {
-    receiveLimit.bodyCame();
-    input.watch();
+  void onBodyEnd() {
+    receiveTimeout.onBodyEnd();
+    input.watchForClose();
   }
 
   /** The present request is read and answered: the connection ends, or waits for the next one. */
-  void next(boolean kept) {
-    if (kept && (!input.overflowed() || begunBehind())) {
-      server.answered(this);
+  void onExchangeEnd(boolean keepAlive) {
+    if (keepAlive && (!input.overflowed() || nextRequestBegun())) {
+      server.markIdle(this);
       // Not at once: answers that come at once would nest as deep as the requests behind each
       // other.
       channel.eventLoop().execute(this::readNext);
@@ -169,67 +169,69 @@
 
   /** Once the client has read its answers so far, but for what the sockets take. */
   private void readNext() {
-    full = !channel.isWritable();
-    if (!closing.begun() && !full) {
+    writeBlocked = !channel.isWritable();
+    if (!closing.begun() && !writeBlocked) {
       read();
-      if (!exchange.open() && decoder.begun()) {
-        receiveLimit.begunAhead();
+      if (!exchange.isOpen() && decoder.hasPartialInput()) {
+        receiveTimeout.onNextHeadBegun();
       }
     }
   }
 
   /** In a drain the connection is kept for what has come already, and ends behind that. */
-  private boolean mayBeKept() {
-    return !server.draining() && !input.overflowed() || begunBehind();
+  private boolean mayKeepAlive() {
+    return !server.draining() && !input.overflowed() || nextRequestBegun();
   }
 
   /** Whether anything has come behind the present request. */
-  private boolean begunBehind() {
-    return decoder.heads() > heads || decoder.begun() || input.holds();
+  private boolean nextRequestBegun() {
+    return decoder.decodedHeads() > requestsStarted
+        || decoder.hasPartialInput()
+        || input.hasBuffered();
   }
 
   /**
    * Answers what cannot be read any further, and lets the client read that before the connection
    * ends.
    */
-  void endWith(HttpResponseStatus status, String reason) {
-    exchange.release();
-    boolean begun = exchange.answering();
-    exchange.leave();
-    if (begun) {
+  void endWithError(HttpResponseStatus status, String reason) {
+    exchange.releasePrefix();
+    boolean responseBegun = exchange.answering();
+    exchange.cancel();
+    if (responseBegun) {
       closing.reset();
     } else if (exchange.answered()) {
       end();
     } else {
-      server.took(this);
-      answers.end(status, reason);
-      closing.beginWithin();
+      server.markBusy(this);
+      responseWriter.sendLastError(status, reason);
+      closing.beginWithTimeout();
     }
   }
 
   private void end() {
-    server.took(this);
+    server.markBusy(this);
     closing.begin();
   }
 
   /** Ends it so that its client sees that the answer is not whole. */
-  void cut() {
+  void reset() {
     closing.reset();
   }
 
   /** Whether its end has begun. */
-  boolean ending() {
+  boolean isClosing() {
     return closing.begun();
   }
 
   /** Whether neither a request is on it nor a part of one has come. */
-  boolean waits() {
-    return unasked() && !receiveLimit.partial() && !begunBehind();
+  boolean isIdle() {
+    return hasNoRequest() && !receiveTimeout.partialHead() && !nextRequestBegun();
   }
 
   /** Ends the connection if no request is on it, and tells whether that is so. */
   boolean closeIfIdle() {
-    boolean idle = waits() && !input.lastRead();
+    boolean idle = isIdle() && !input.readDirectly();
     if (idle) {
       end();
     }
@@ -237,28 +239,28 @@
   }
 
   /** Ends the connection though a part of a request may have come. */
-  void closeIfUnasked() {
-    if (unasked()) {
+  void closeIfNoRequest() {
+    if (hasNoRequest()) {
       end();
     }
   }
 
   /** Whether no whole head of a request is on it. */
-  boolean unasked() {
-    return !exchange.open() && !closing.begun();
+  boolean hasNoRequest() {
+    return !exchange.isOpen() && !closing.begun();
   }
 
   /** Ends it at once, as descriptors run out. */
-  void closeOutright() {
-    closing.outright();
+  void closeNow() {
+    closing.closeNow();
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    closing.over();
-    exchange.release();
-    server.closed(this);
-    exchange.leave();
+    closing.onClosed();
+    exchange.releasePrefix();
+    server.remove(this);
+    exchange.cancel();
   }
 
   @Override
@@ -267,9 +269,9 @@
       if (exchange.answering() || exchange.receiving()) {
         server.count(Tally.Event.STREAM_IDLE);
       }
-      if (!unasked() || full) {
-        closing.outright();
-      } else if (!input.lastRead()) {
+      if (!hasNoRequest() || writeBlocked) {
+        closing.closeNow();
+      } else if (!input.readDirectly()) {
         end();
       }
     } else {
@@ -282,6 +284,6 @@
     if (cause instanceof RuntimeException) {
       LOG.log(Level.SEVERE, "request failed", cause);
     }
-    closing.outright();
+    closing.closeNow();
   }
 }
--- a/front/src/main/java/willowdoor/front/clients/ClientServer.java
+++ b/front/src/main/java/willowdoor/front/clients/ClientServer.java
@@ -22,14 +22,14 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 import java.util.stream.Stream;
-import willowdoor.front.clients.RequestReader.BadRequest;
+import willowdoor.front.clients.RequestReader.BadRequestException;
 import willowdoor.front.loop.Clock;
 import willowdoor.front.loop.Descriptors;
 import willowdoor.front.loop.Looks;
 import willowdoor.front.loop.Tally;
 import willowdoor.front.loop.Transport;
-import willowdoor.front.requests.Asked;
-import willowdoor.front.requests.ModuleDriver;
+import willowdoor.front.requests.ParsedRequest;
+import willowdoor.front.requests.PolicyDriver;
 
 /** Accepts clients, and tells their connections what all of them share. */
 public final class ClientServer {
@@ -37,7 +37,7 @@
   private static final Logger LOG = Logger.getLogger(ClientServer.class.getName());
 
   /** A client's connection on which nothing moves for so long ends. */
-  private static final int IDLE_S = 30;
+  private static final int IDLE_TIMEOUT_S = 30;
 
   /** A new connection is opened for a request: one without any after this gives way first. */
   private static final double SILENT_MS = 500;
@@ -47,33 +47,33 @@
    * news that it is the last; new connections go on coming for the first 0.4 s. What is idle then
    * is closed.
    */
-  private static final double PARTING_MS = 550;
+  private static final double DRAIN_NOTICE_MS = 550;
 
   /** A connection that was made shortly before the end gets so long for its request. */
-  private static final double FIRST_MS = 100;
+  private static final double FIRST_REQUEST_MS = 100;
 
   /** Idle connections are closed a few at a time: what came meanwhile is read in between. */
-  private static final int CLOSED_AT_ONCE = 8;
+  private static final int MAX_CLOSED_PER_ROUND = 8;
 
   /** So many of those that might make room for a new connection are tried. */
-  private static final int MOST_TRIED = 8;
+  private static final int MAX_EVICTION_TRIES = 8;
 
-  private static final int MOST_HELD = 400;
-  private static final int MOST_HELD_BYTES = 8 << 20;
+  private static final int MAX_REQUESTS = 400;
+  private static final int MAX_REQUEST_BYTES = 8 << 20;
 
   /** Bytes that tell a peer's address of any family, with their count. */
-  private static final int MOST_ADDRESS = 26;
+  private static final int MAX_ADDRESS_BYTES = 26;
 
   private final Transport transport;
   private final Clock clock;
-  private final Looks looks;
-  private final ModuleDriver driver;
+  private final Looks polls;
+  private final PolicyDriver driver;
   private final RequestReader reader;
   private final Descriptors descriptors;
   private final Tally tally;
 
   /** Whether the list of template servers is as new as can be had, and names any. */
-  private final BooleanSupplier listed;
+  private final BooleanSupplier hasBackends;
 
   private final Set<ClientConnection> connections = new HashSet<>();
 
@@ -86,14 +86,14 @@
    * Those of them that no request is on, the longest idle first: without a request so far, and
    * after one.
    */
-  private final LinkedHashSet<ClientConnection> fresh = new LinkedHashSet<>();
+  private final LinkedHashSet<ClientConnection> unused = new LinkedHashSet<>();
 
   private final LinkedHashSet<ClientConnection> idle = new LinkedHashSet<>();
-  private int kept;
-  private Channel listening;
+  private int bufferedBytes;
+  private Channel listener;
 
   /** Whether the listening socket is the platform's, and other processes accept on it too. */
-  private boolean shared;
+  private boolean sharedListener;
 
   private boolean accepting = true;
   private boolean ready;
@@ -101,42 +101,42 @@
   /**
    * The two reasons for a drain: the operators', who may take it back, and the end of the process.
    */
-  private boolean evacuated;
+  private boolean operatorDrain;
 
-  private boolean ending;
-  private double drainingSince;
-  private final Rounds rounds = new Rounds();
+  private boolean shuttingDown;
+  private double drainStartMs;
+  private final DrainRounds drainRounds = new DrainRounds();
 
   public ClientServer(
       Transport transport,
       Clock clock,
-      Looks looks,
-      ModuleDriver driver,
+      Looks polls,
+      PolicyDriver driver,
       RequestReader reader,
       Descriptors descriptors,
       Tally tally,
-      BooleanSupplier listed) {
+      BooleanSupplier hasBackends) {
     this.transport = transport;
     this.clock = clock;
-    this.looks = looks;
+    this.polls = polls;
     this.driver = driver;
     this.reader = reader;
     this.descriptors = descriptors;
     this.tally = tally;
-    this.listed = listed;
+    this.hasBackends = hasBackends;
   }
 
   public ChannelFuture listen(EventLoopGroup group, SocketAddress address) {
     ChannelFuture bound = bootstrap(group).channel(transport.serverSocket()).bind(address);
-    listening = bound.channel();
+    listener = bound.channel();
     return bound;
   }
 
   /** Adopts a listening socket; nothing is accepted on it before this process can serve. */
   public ChannelFuture adopt(EventLoopGroup group, ServerSocketChannel socket) {
-    shared = true;
+    sharedListener = true;
     accepting = false;
-    listening = socket;
+    listener = socket;
     return bootstrap(group)
         .channelFactory(() -> socket)
         .option(ChannelOption.AUTO_READ, false)
@@ -155,13 +155,13 @@
               protected void initChannel(Channel channel) {
                 channel
                     .pipeline()
-                    .addLast(new IdleStateHandler(true, 0, 0, IDLE_S, TimeUnit.SECONDS))
-                    .addLast(new ClientConnection(ClientServer.this, looks).handlers());
+                    .addLast(new IdleStateHandler(true, 0, 0, IDLE_TIMEOUT_S, TimeUnit.SECONDS))
+                    .addLast(new ClientConnection(ClientServer.this, polls).handlers());
               }
             });
   }
 
-  public void serve() {
+  public void markReady() {
     ready = true;
   }
 
@@ -169,7 +169,7 @@
   public void acceptIfReady() {
     if (!accepting && canServe()) {
       accepting = true;
-      listening.config().setAutoRead(true);
+      listener.config().setAutoRead(true);
     }
   }
 
@@ -179,36 +179,36 @@
    */
   private void stopAccepting() {
     accepting = false;
-    if (shared) {
-      listening.config().setAutoRead(false);
+    if (sharedListener) {
+      listener.config().setAutoRead(false);
     } else {
-      acceptLast();
-      listening.close();
+      acceptBacklog();
+      listener.close();
     }
   }
 
   /** Closing the socket would reset what the system has accepted for it. */
-  private void acceptLast() {
-    if (!(listening instanceof EpollServerSocketChannel epoll)) {
+  private void acceptBacklog() {
+    if (!(listener instanceof EpollServerSocketChannel epoll)) {
       return;
     }
     Socket socket = (Socket) epoll.fd();
-    byte[] peer = new byte[MOST_ADDRESS];
+    byte[] peer = new byte[MAX_ADDRESS_BYTES];
     try {
       for (int fd = socket.accept(peer); fd >= 0; fd = socket.accept(peer)) {
-        listening.pipeline().fireChannelRead(new EpollSocketChannel(fd));
+        listener.pipeline().fireChannelRead(new EpollSocketChannel(fd));
       }
     } catch (IOException e) {
       LOG.log(Level.WARNING, "could not accept all that had come", e);
     }
-    listening.pipeline().fireChannelReadComplete();
+    listener.pipeline().fireChannelReadComplete();
   }
 
-  ModuleDriver driver() {
+  PolicyDriver driver() {
     return driver;
   }
 
-  Asked read(HttpRequest message, String target) throws BadRequest {
+  ParsedRequest read(HttpRequest message, String target) throws BadRequestException {
     return reader.read(message, target);
   }
 
@@ -218,23 +218,24 @@
 
   /** Whether it could serve, drained by the operators or not. */
   public boolean canServe() {
-    return ready && !ending && listed.getAsBoolean();
+    return ready && !shuttingDown && hasBackends.getAsBoolean();
   }
 
   boolean draining() {
-    return evacuated || ending;
+    return operatorDrain || shuttingDown;
   }
 
   /** Over these bounds requests are refused, so that the process stays within its memory. */
-  boolean full() {
-    return driver.held() >= MOST_HELD || driver.heldBytes() + kept >= MOST_HELD_BYTES;
+  boolean isOverloaded() {
+    return driver.requestCount() >= MAX_REQUESTS
+        || driver.heldBytes() + bufferedBytes >= MAX_REQUEST_BYTES;
   }
 
   /**
    * Counts bytes of requests that are still coming, which are kept until those go to the module.
    */
-  void keeps(int bytes) {
-    kept += bytes;
+  void addBufferedBytes(int bytes) {
+    bufferedBytes += bytes;
   }
 
   /**
@@ -242,44 +243,46 @@
    * one too many; far beyond that it ends at once, as descriptors run out. Those that are being
    * closed hold half of what is left beyond the bound.
    */
-  boolean opened(ClientConnection connection) {
+  boolean register(ClientConnection connection) {
     if (connections.size() >= descriptors.clients()) {
       evict();
     }
     connections.add(connection);
-    fresh.add(connection);
-    boolean over = connections.size() > descriptors.clients();
-    while (!lingering.isEmpty() && open() > descriptors.clients() + descriptors.refused() / 2) {
+    unused.add(connection);
+    boolean overLimit = connections.size() > descriptors.clients();
+    while (!lingering.isEmpty()
+        && openConnections() > descriptors.clients() + descriptors.refused() / 2) {
       ClientConnection first = lingering.iterator().next();
       lingering.remove(first);
-      first.closeOutright();
+      first.closeNow();
     }
-    if (open() > descriptors.clients() + descriptors.refused()) {
-      connection.closeOutright();
+    if (openConnections() > descriptors.clients() + descriptors.refused()) {
+      connection.closeNow();
     }
-    if (over) {
+    if (overLimit) {
       tally.count(Tally.Event.CLIENT_REFUSED);
     }
-    return over;
+    return overLimit;
   }
 
   /**
    * Those on which something has come in this very moment go last, those with a whole request stay.
    */
   private void evict() {
-    ClientConnection begun = null;
-    ClientConnection spare = spare();
-    for (int i = 0; i < MOST_TRIED && spare != null; i++) {
-      if (spare.closeIfIdle()) {
+    ClientConnection withPartialRequest = null;
+    ClientConnection candidate = evictionCandidate();
+    for (int i = 0; i < MAX_EVICTION_TRIES && candidate != null; i++) {
+      if (candidate.closeIfIdle()) {
         tally.count(Tally.Event.CLIENT_EVICTED);
         return;
       }
-      begun = begun == null && spare.unasked() ? spare : begun;
-      took(spare);
-      spare = spare();
+      withPartialRequest =
+          withPartialRequest == null && candidate.hasNoRequest() ? candidate : withPartialRequest;
+      markBusy(candidate);
+      candidate = evictionCandidate();
     }
-    if (begun != null) {
-      begun.closeIfUnasked();
+    if (withPartialRequest != null) {
+      withPartialRequest.closeIfNoRequest();
       tally.count(Tally.Event.CLIENT_EVICTED);
     }
   }
@@ -288,8 +291,8 @@
    * One that has sent nothing though it had the time to, or else the longest idle, or the first to
    * come.
    */
-  private ClientConnection spare() {
-    ClientConnection first = fresh.isEmpty() ? null : fresh.iterator().next();
+  private ClientConnection evictionCandidate() {
+    ClientConnection first = unused.isEmpty() ? null : unused.iterator().next();
     boolean silent = first != null && clock.now() - first.openedAt() > SILENT_MS;
     return silent || idle.isEmpty() ? first : idle.iterator().next();
   }
@@ -298,17 +301,17 @@
     return clock.now();
   }
 
-  void closed(ClientConnection connection) {
+  void remove(ClientConnection connection) {
     connections.remove(connection);
     lingering.remove(connection);
-    fresh.remove(connection);
+    unused.remove(connection);
     idle.remove(connection);
   }
 
   /** All is sent on it, and only the client's end is waited for. */
-  void lingers(ClientConnection connection) {
+  void onLingering(ClientConnection connection) {
     if (connections.contains(connection)) {
-      closed(connection);
+      remove(connection);
       lingering.add(connection);
     }
   }
@@ -318,23 +321,23 @@
     tally.count(event);
   }
 
-  void took(ClientConnection connection) {
-    fresh.remove(connection);
+  void markBusy(ClientConnection connection) {
+    unused.remove(connection);
     idle.remove(connection);
   }
 
-  void answered(ClientConnection connection) {
-    fresh.remove(connection);
+  void markIdle(ClientConnection connection) {
+    unused.remove(connection);
     idle.remove(connection);
     idle.add(connection);
   }
 
   /** The operators' drain, or its end: from here on every answer ends its connection. */
-  public void evacuate(boolean on) {
+  public void setOperatorDrain(boolean on) {
     if (!draining()) {
-      drainingSince = clock.now();
+      drainStartMs = clock.now();
     }
-    evacuated = on;
+    operatorDrain = on;
   }
 
   /**
@@ -342,40 +345,40 @@
    * and no new connections are taken: from now on where another process takes them, else once those
    * on their way have come.
    */
-  public void end() {
-    if (ending) {
+  public void shutDown() {
+    if (shuttingDown) {
       return;
     }
-    drainingSince = clock.now();
-    ending = true;
-    if (shared) {
+    drainStartMs = clock.now();
+    shuttingDown = true;
+    if (sharedListener) {
       stopAccepting();
     }
   }
 
   /** Closes a few connections that no request is on, those that wait the longest first. */
-  public void partWithIdle() {
+  public void closeIdleConnections() {
     double now = clock.now();
-    if (!rounds.acts(now) || !draining() || now - drainingSince < PARTING_MS) {
+    if (!drainRounds.shouldAct(now) || !draining() || now - drainStartMs < DRAIN_NOTICE_MS) {
       return;
     }
-    if (ending && accepting) {
+    if (shuttingDown && accepting) {
       stopAccepting();
     }
-    double silentBefore = now - (ending ? FIRST_MS : SILENT_MS);
-    Stream.concat(idle.stream(), fresh.stream().takeWhile(c -> c.openedAt() < silentBefore))
-        .filter(ClientConnection::waits)
-        .limit(CLOSED_AT_ONCE)
+    double openedBefore = now - (shuttingDown ? FIRST_REQUEST_MS : SILENT_MS);
+    Stream.concat(idle.stream(), unused.stream().takeWhile(c -> c.openedAt() < openedBefore))
+        .filter(ClientConnection::isIdle)
+        .limit(MAX_CLOSED_PER_ROUND)
         .toList()
         .forEach(ClientConnection::closeIfIdle);
   }
 
-  public int open() {
+  public int openConnections() {
     return connections.size() + lingering.size();
   }
 
   /** The end has come: no more connections are taken and none is left. */
-  public boolean ended() {
-    return ending && !accepting && open() == 0;
+  public boolean isTerminated() {
+    return shuttingDown && !accepting && openConnections() == 0;
   }
 }
--- a/front/src/main/java/willowdoor/front/clients/Rounds.java
+++ b/front/src/main/java/willowdoor/front/clients/DrainRounds.java
@@ -6,18 +6,18 @@
  * it is, and what came is accepted and read before the next. Of two rounds in a row one acts,
  * however busy the process is.
  */
-final class Rounds {
+final class DrainRounds {
 
   /** Rounds follow each other every 10 ms. */
-  private static final double STOOD_STILL_MS = 30;
+  private static final double STALL_MS = 30;
 
-  private double last = Double.NEGATIVE_INFINITY;
-  private boolean passedOver;
+  private double lastRoundMs = Double.NEGATIVE_INFINITY;
+  private boolean skipped;
 
   /** To be asked once in each round, at this time in milliseconds. */
-  boolean acts(double now) {
-    passedOver = !passedOver && now - last > STOOD_STILL_MS;
-    last = now;
-    return !passedOver;
+  boolean shouldAct(double now) {
+    skipped = !skipped && now - lastRoundMs > STALL_MS;
+    lastRoundMs = now;
+    return !skipped;
   }
 }
--- a/front/src/main/java/willowdoor/front/clients/Exchange.java
+++ b/front/src/main/java/willowdoor/front/clients/Exchange.java
@@ -15,32 +15,32 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import willowdoor.front.clients.RequestReader.BadRequest;
-import willowdoor.front.requests.Asked;
+import willowdoor.front.clients.RequestReader.BadRequestException;
 import willowdoor.front.requests.Attempt;
 import willowdoor.front.requests.Headers;
-import willowdoor.front.requests.ModuleDriver;
-import willowdoor.front.requests.Outgoing;
+import willowdoor.front.requests.OutgoingRequest;
+import willowdoor.front.requests.ParsedRequest;
+import willowdoor.front.requests.PolicyDriver;
 
 /**
  * The request that a client's connection is at, from its head on until it is read and answered:
  * takes it to the module and writes the one final answer. Owns what is kept of its body until that
  * goes to the module.
  */
-final class Exchange implements ModuleDriver.Client {
+final class Exchange implements PolicyDriver.Client {
 
   private static final Logger LOG = Logger.getLogger(Exchange.class.getName());
 
   /** So much of a body is kept until no further attempt may need it. */
-  private static final int PREFIX = 64 * 1024;
+  private static final int MAX_PREFIX_BYTES = 64 * 1024;
 
-  private static final long MOST_BODY = 48L << 20;
+  private static final long MAX_BODY_BYTES = 48L << 20;
 
   private final ClientServer server;
   private final ClientConnection connection;
   private final Channel channel;
-  private final Arrival arrival;
-  private final AnswerWriter answers;
+  private final ArrivalTime arrivalTime;
+  private final ResponseWriter responseWriter;
 
   /**
    * The request that is being read or answered, null between requests, and its target in origin
@@ -49,7 +49,7 @@
   private HttpRequest head;
 
   private String target;
-  private Asked asked;
+  private ParsedRequest parsed;
 
   /**
    * Its body has not ended; the bytes of it so far; those that are kept; and where the rest goes.
@@ -58,31 +58,31 @@
 
   private long bodyBytes;
   private ByteBuf prefix = Unpooled.EMPTY_BUFFER;
-  private Outgoing onward;
+  private OutgoingRequest outgoing;
 
   /**
    * Its id while the module works on it, and whether its answer is under way, or written in whole.
    */
-  private String current;
+  private String pendingId;
 
-  private Attempt.Carrier answering;
+  private Attempt.Connection answering;
   private boolean answered;
 
   Exchange(
       ClientServer server,
       ClientConnection connection,
       Channel channel,
-      Arrival arrival,
-      AnswerWriter answers) {
+      ArrivalTime arrivalTime,
+      ResponseWriter responseWriter) {
     this.server = server;
     this.connection = connection;
     this.channel = channel;
-    this.arrival = arrival;
-    this.answers = answers;
+    this.arrivalTime = arrivalTime;
+    this.responseWriter = responseWriter;
   }
 
   /** Whether a request is being read or answered. */
-  boolean open() {
+  boolean isOpen() {
     return head != null;
   }
 
@@ -105,43 +105,43 @@
   void head(HttpRequest request, boolean over) {
     head = request;
     target = RequestReader.originForm(request.uri());
-    answers.answers(request);
+    responseWriter.setRequest(request);
     receiving = true;
     answered = false;
     bodyBytes = 0;
-    onward = null;
+    outgoing = null;
     HttpHeaders headers = request.headers();
     String coding = headers.get(HttpHeaderNames.TRANSFER_ENCODING);
     String expects = headers.get(HttpHeaderNames.EXPECT);
     if (coding != null && !coding.equalsIgnoreCase("chunked")) {
-      connection.endWith(HttpResponseStatus.NOT_IMPLEMENTED, "unknown transfer coding");
+      connection.endWithError(HttpResponseStatus.NOT_IMPLEMENTED, "unknown transfer coding");
     } else if (expects != null && !expects.equalsIgnoreCase("100-continue")) {
-      connection.endWith(HttpResponseStatus.EXPECTATION_FAILED, "unknown expectation");
-    } else if (HttpUtil.getContentLength(request, 0L) > MOST_BODY) {
-      connection.endWith(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body is too large");
+      connection.endWithError(HttpResponseStatus.EXPECTATION_FAILED, "unknown expectation");
+    } else if (HttpUtil.getContentLength(request, 0L) > MAX_BODY_BYTES) {
+      connection.endWithError(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body is too large");
     } else if (target.equals("/up")) {
-      up();
-    } else if (over || server.full()) {
+      answerReadinessCheck();
+    } else if (over || server.isOverloaded()) {
       if (over) {
-        answers.last();
+        responseWriter.closeAfterResponse();
       }
-      refused(0);
+      sendRefusal(0);
     } else {
-      ask(expects != null);
+      parse(expects != null);
     }
   }
 
   /** What is not a request is told so at once, whatever is still to come of it. */
-  private void ask(boolean expects) {
+  private void parse(boolean expects) {
     try {
-      asked = server.read(head, target);
-    } catch (BadRequest e) {
-      answers.status(HttpResponseStatus.BAD_REQUEST, e.getMessage());
-      written();
+      parsed = server.read(head, target);
+    } catch (BadRequestException e) {
+      responseWriter.sendStatus(HttpResponseStatus.BAD_REQUEST, e.getMessage());
+      onResponseWritten();
       return;
     }
     if (expects) {
-      answers.goOn();
+      responseWriter.sendContinue();
     }
   }
 
@@ -151,28 +151,28 @@
     bodyBytes += piece.content().readableBytes();
     if (last) {
       receiving = false;
-      connection.bodyCame();
-    } else if (bodyBytes > MOST_BODY) {
-      connection.endWith(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body is too large");
+      connection.onBodyEnd();
+    } else if (bodyBytes > MAX_BODY_BYTES) {
+      connection.endWithError(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body is too large");
       return;
     }
     if (answered) {
-      next();
-    } else if (onward != null) {
-      if (current == null) {
+      endIfReceived();
+    } else if (outgoing != null) {
+      if (pendingId == null) {
         // Its answer is under way already, and the rest of the request of no use.
         if (!last) {
           connection.read();
         }
       } else {
-        onward.pass(piece.retain());
+        outgoing.onClientPiece(piece.retain());
       }
     } else {
-      keep(piece.content());
-      if (last || prefix.readableBytes() >= PREFIX) {
-        take(last);
-        if (onward == null) {
-          more();
+      bufferPiece(piece.content());
+      if (last || prefix.readableBytes() >= MAX_PREFIX_BYTES) {
+        submit(last);
+        if (outgoing == null) {
+          requestMore();
         }
       } else {
         connection.read();
@@ -181,36 +181,36 @@
   }
 
   /** Copied, as small pieces would keep the larger buffers that they were read into. */
-  private void keep(ByteBuf piece) {
+  private void bufferPiece(ByteBuf piece) {
     if (piece.isReadable()) {
-      server.keeps(piece.readableBytes());
+      server.addBufferedBytes(piece.readableBytes());
       prefix = prefix.isReadable() ? prefix : channel.alloc().buffer(piece.readableBytes());
       prefix.writeBytes(piece);
     }
   }
 
   private ByteBuf takePrefix() {
-    ByteBuf kept = prefix;
+    ByteBuf taken = prefix;
     prefix = Unpooled.EMPTY_BUFFER;
-    server.keeps(-kept.readableBytes());
-    return kept;
+    server.addBufferedBytes(-taken.readableBytes());
+    return taken;
   }
 
   /**
    * A fault of ours costs this request, not the connection or the process; its cause goes to the
    * log.
    */
-  void faulty(RuntimeException cause) {
+  void onFault(RuntimeException cause) {
     LOG.log(Level.SEVERE, "request failed", cause);
-    if (current != null && answering == null) {
-      leave();
+    if (pendingId != null && answering == null) {
+      cancel();
       answer(HttpResponseStatus.INTERNAL_SERVER_ERROR);
     } else {
-      connection.closeOutright();
+      connection.closeNow();
     }
   }
 
-  private void up() {
+  private void answerReadinessCheck() {
     boolean get = head.method().equals(HttpMethod.GET);
     answer(
         !get
@@ -219,11 +219,11 @@
   }
 
   /** Hands the request to the module: whole, or with as much of its body as can be kept. */
-  private void take(boolean whole) {
-    if (server.driver().holds(asked.id())) {
+  private void submit(boolean whole) {
+    if (server.driver().isPending(parsed.id())) {
       takePrefix().release();
-      answers.status(HttpResponseStatus.BAD_REQUEST, "Request-Id is in use");
-      written();
+      responseWriter.sendStatus(HttpResponseStatus.BAD_REQUEST, "Request-Id is in use");
+      onResponseWritten();
       return;
     }
     HttpHeaders headers = DefaultHttpHeadersFactory.headersFactory().newHeaders();
@@ -240,126 +240,127 @@
         headers.set(name, value);
       }
     }
-    Outgoing.frame(
+    OutgoingRequest.setFraming(
         headers,
         head.headers(),
         whole,
         prefix.readableBytes(),
         head.method().equals(HttpMethod.POST));
-    ByteBuf kept = takePrefix();
-    onward = new Outgoing(head.method(), target, headers, kept, whole, this::more);
-    current = asked.id();
-    server.driver().take(asked, onward, this);
+    ByteBuf submitted = takePrefix();
+    outgoing =
+        new OutgoingRequest(head.method(), target, headers, submitted, whole, this::requestMore);
+    pendingId = parsed.id();
+    server.driver().submit(parsed, outgoing, this);
   }
 
   /** The backend has room for the next piece. */
-  private void more() {
-    if (receiving && !connection.ending()) {
+  private void requestMore() {
+    if (receiving && !connection.isClosing()) {
       connection.read();
     }
   }
 
   @Override
-  public double cameAt() {
-    return arrival.cameAt();
+  public double arrivedAt() {
+    return arrivalTime.arrivedAt();
   }
 
   @Override
-  public void served(HttpResponse from, ByteBuf body) {
-    current = null;
-    answers.served(from, body);
-    written();
+  public void sendResponse(HttpResponse from, ByteBuf body) {
+    pendingId = null;
+    responseWriter.sendResponse(from, body);
+    onResponseWritten();
   }
 
   @Override
-  public void refused(double holdOffMs) {
-    current = null;
-    answers.refused(holdOffMs);
-    written();
+  public void sendRefusal(double holdOffMs) {
+    pendingId = null;
+    responseWriter.sendRefusal(holdOffMs);
+    onResponseWritten();
   }
 
   @Override
-  public void failed() {
-    current = null;
+  public void sendFailure() {
+    pendingId = null;
     answer(HttpResponseStatus.BAD_GATEWAY);
   }
 
   @Override
-  public void begin(HttpResponse from, Attempt.Carrier carrier) {
+  public void beginResponse(HttpResponse from, Attempt.Connection carrier) {
     answering = carrier;
-    answers.begin(from);
+    responseWriter.beginResponse(from);
   }
 
   @Override
-  public void piece(ByteBuf piece) {
-    answers.piece(piece);
+  public void sendPiece(ByteBuf piece) {
+    responseWriter.sendPiece(piece);
     if (!channel.isWritable()) {
-      answering.read(false);
+      answering.setReading(false);
     }
   }
 
   @Override
-  public void finish() {
-    current = null;
+  public void finishResponse() {
+    pendingId = null;
     answering = null;
-    answers.finish();
-    written();
+    responseWriter.finishResponse();
+    onResponseWritten();
   }
 
   @Override
-  public void cut() {
-    current = null;
+  public void abortResponse() {
+    pendingId = null;
     answering = null;
-    connection.cut();
+    connection.reset();
   }
 
   private void answer(HttpResponseStatus status) {
-    answers.status(status);
-    written();
+    responseWriter.sendStatus(status);
+    onResponseWritten();
   }
 
   /** The answer is written. What is left of its request is read and dropped before the next one. */
-  private void written() {
+  private void onResponseWritten() {
     answered = true;
-    arrival.answered(server.now());
+    arrivalTime.onAnswered(server.now());
     if (!receiving) {
-      next();
-    } else if (onward != null) {
+      endIfReceived();
+    } else if (outgoing != null) {
       connection.read();
     }
   }
 
   /** It is read and answered. */
-  private void next() {
+  private void endIfReceived() {
     if (receiving) {
       connection.read();
     } else {
-      boolean kept = answers.keepAlive();
+      boolean keepAlive = responseWriter.keepAlive();
       head = null;
       answered = false;
-      connection.next(kept);
+      connection.onExchangeEnd(keepAlive);
     }
   }
 
   /** Nobody waits for the present request's answer any more. */
-  void leave() {
+  void cancel() {
     answering = null;
-    if (current != null) {
-      String id = current;
-      current = null;
-      server.driver().clientLeft(id);
+    if (pendingId != null) {
+      String id = pendingId;
+      pendingId = null;
+      server.driver().onClientDisconnected(id);
     }
   }
 
   /** Nothing of it will be read any more. */
-  void release() {
+  void releasePrefix() {
     takePrefix().release();
   }
 
   /** There is room for more of the answer. */
-  void writable() {
+  void onWritable() {
     if (answering != null) {
-      answering.read(true);
+      answering.setReading(true);
     }
   }
 }
--- a/front/src/main/java/willowdoor/front/clients/LingeringClose.java
+++ b/front/src/main/java/willowdoor/front/clients/LingeringClose.java
@@ -23,15 +23,15 @@
 
   private final Channel channel;
   private final ReadAhead input;
-  private final Runnable sent;
+  private final Runnable onSendingEnded;
   private Future<?> timer;
   private boolean begun;
 
   /** Tells when all is sent and only the client's end is waited for. */
-  LingeringClose(Channel channel, ReadAhead input, Runnable sent) {
+  LingeringClose(Channel channel, ReadAhead input, Runnable onSendingEnded) {
     this.channel = channel;
     this.input = input;
-    this.sent = sent;
+    this.onSendingEnded = onSendingEnded;
   }
 
   boolean begun() {
@@ -42,7 +42,7 @@
   void begin() {
     if (!begun) {
       begun = true;
-      input.drop();
+      input.discard();
       channel
           .writeAndFlush(Unpooled.EMPTY_BUFFER)
           .addListener((ChannelFuture f) -> endSending(f.isSuccess()));
@@ -50,29 +50,29 @@
   }
 
   /** Likewise, but what the peer does not read in time is lost to it: it owed a request. */
-  void beginWithin() {
+  void beginWithTimeout() {
     begin();
-    arm();
+    startTimer();
   }
 
   private void endSending(boolean written) {
     if (written && channel instanceof SocketChannel socket) {
-      arm();
-      sent.run();
+      startTimer();
+      onSendingEnded.run();
       socket.shutdownOutput();
     } else {
       channel.close();
     }
   }
 
-  private void arm() {
+  private void startTimer() {
     if (timer == null && channel.isOpen()) {
-      timer = channel.eventLoop().schedule(this::outright, LINGER_MS, TimeUnit.MILLISECONDS);
+      timer = channel.eventLoop().schedule(this::closeNow, LINGER_MS, TimeUnit.MILLISECONDS);
     }
   }
 
   /** Where the descriptor is needed, or no byte has come that a reset could answer. */
-  void outright() {
+  void closeNow() {
     begun = true;
     channel.close();
   }
@@ -85,7 +85,7 @@
   }
 
   /** The connection has ended. */
-  void over() {
+  void onClosed() {
     begun = true;
     if (timer != null) {
       timer.cancel(false);
--- a/front/src/main/java/willowdoor/front/clients/ReadAhead.java
+++ b/front/src/main/java/willowdoor/front/clients/ReadAhead.java
@@ -22,35 +22,39 @@
 final class ReadAhead extends ChannelDuplexHandler {
 
   /** The longest body of the protocol, and the longest head that is read. */
-  static final int MOST_AHEAD = 64 * 1024 + 24 * 1024;
+  static final int MAX_BUFFERED_BYTES = 64 * 1024 + 24 * 1024;
 
-  private static final int LAST_READ = 16 * 1024;
+  private static final int DIRECT_READ_BYTES = 16 * 1024;
 
-  private final Looks looks;
-  private final Arrival arrival;
+  private final Looks polls;
+  private final ArrivalTime arrivalTime;
 
   /** Whether the rest of a body comes next, which waits in the socket until it is asked for. */
   private final BooleanSupplier insideBody;
 
-  private final IntConsumer counts;
+  private final IntConsumer onBufferedChange;
   private ChannelHandlerContext context;
 
   /** Whether the connection is asked for more, and whether this is. */
-  private boolean asked;
+  private boolean readRequested;
 
-  private boolean wanted;
-  private boolean passing;
-  private ByteBuf ahead = Unpooled.EMPTY_BUFFER;
+  private boolean downstreamWaiting;
+  private boolean forwarding;
+  private ByteBuf buffered = Unpooled.EMPTY_BUFFER;
   private boolean overflowed;
-  private boolean dropping;
-  private long lastLook = -1;
+  private boolean discarding;
+  private long lastPoll = -1;
 
   /** Bytes that are kept, and those no longer kept, are told to the last one. */
-  ReadAhead(Looks looks, Arrival arrival, BooleanSupplier insideBody, IntConsumer counts) {
-    this.looks = looks;
-    this.arrival = arrival;
+  ReadAhead(
+      Looks polls,
+      ArrivalTime arrivalTime,
+      BooleanSupplier insideBody,
+      IntConsumer onBufferedChange) {
+    this.polls = polls;
+    this.arrivalTime = arrivalTime;
     this.insideBody = insideBody;
-    this.counts = counts;
+    this.onBufferedChange = onBufferedChange;
   }
 
   @Override
@@ -59,8 +63,8 @@
   }
 
   /** Whether bytes have come that nobody has asked for yet. */
-  boolean holds() {
-    return ahead.isReadable();
+  boolean hasBuffered() {
+    return buffered.isReadable();
   }
 
   /** Whether bytes were dropped, so that nothing can be read behind those that are kept. */
@@ -69,47 +73,47 @@
   }
 
   /** Goes on reading as nothing more of a body is to come. */
-  void watch() {
-    ask();
+  void watchForClose() {
+    requestRead();
   }
 
   /** From here on whatever comes is read and dropped. */
-  void drop() {
-    dropping = true;
+  void discard() {
+    discarding = true;
     release();
-    ask();
+    requestRead();
   }
 
-  private void ask() {
-    if (!asked) {
-      asked = true;
-      arrival.asked();
+  private void requestRead() {
+    if (!readRequested) {
+      readRequested = true;
+      arrivalTime.asked();
       context.read();
     }
   }
 
   @Override
   public void read(ChannelHandlerContext ctx) {
-    wanted = true;
-    if (!passing) {
-      passAhead();
+    downstreamWaiting = true;
+    if (!forwarding) {
+      forwardBuffered();
     }
   }
 
   /** In a loop, as what is passed on may make its taker ask for more at once. */
-  private void passAhead() {
-    passing = true;
-    while (wanted && ahead.isReadable()) {
-      ByteBuf bytes = ahead;
-      counts.accept(-bytes.readableBytes());
-      ahead = Unpooled.EMPTY_BUFFER;
-      wanted = false;
+  private void forwardBuffered() {
+    forwarding = true;
+    while (downstreamWaiting && buffered.isReadable()) {
+      ByteBuf bytes = buffered;
+      onBufferedChange.accept(-bytes.readableBytes());
+      buffered = Unpooled.EMPTY_BUFFER;
+      downstreamWaiting = false;
       context.fireChannelRead(bytes);
       context.fireChannelReadComplete();
     }
-    passing = false;
-    if (wanted) {
-      ask();
+    forwarding = false;
+    if (downstreamWaiting) {
+      requestRead();
     }
   }
 
@@ -122,42 +126,43 @@
   public void channelRead(ChannelHandlerContext ctx, Object message) {
     ByteBuf bytes = (ByteBuf) message;
     boolean ended =
-        ctx.channel() instanceof EpollSocketChannel && (!asked || lastLook == looks.count());
-    lastLook = looks.count();
-    asked = false;
-    if (dropping) {
+        ctx.channel() instanceof EpollSocketChannel
+            && (!readRequested || lastPoll == polls.count());
+    lastPoll = polls.count();
+    readRequested = false;
+    if (discarding) {
       bytes.release();
     } else if (ended) {
       bytes.release();
       ctx.close();
     } else {
-      arrival.read(bytes.isWritable());
-      take(bytes);
+      arrivalTime.onRead(bytes.isWritable());
+      forwardOrBuffer(bytes);
     }
   }
 
-  private void take(ByteBuf bytes) {
+  private void forwardOrBuffer(ByteBuf bytes) {
     if (overflowed) {
       bytes.release();
-    } else if (wanted && !ahead.isReadable()) {
-      wanted = false;
+    } else if (downstreamWaiting && !buffered.isReadable()) {
+      downstreamWaiting = false;
       context.fireChannelRead(bytes);
     } else {
-      keep(bytes);
+      buffer(bytes);
     }
   }
 
   /** Copied, as small pieces would keep the larger buffers that they were read into. */
-  private void keep(ByteBuf bytes) {
-    int room = MOST_AHEAD - ahead.readableBytes();
-    int kept = Math.min(room, bytes.readableBytes());
-    overflowed |= kept < bytes.readableBytes();
-    if (kept > 0 && !ahead.isReadable()) {
-      ahead = context.alloc().buffer(kept);
+  private void buffer(ByteBuf bytes) {
+    int room = MAX_BUFFERED_BYTES - buffered.readableBytes();
+    int accepted = Math.min(room, bytes.readableBytes());
+    overflowed |= accepted < bytes.readableBytes();
+    if (accepted > 0 && !buffered.isReadable()) {
+      buffered = context.alloc().buffer(accepted);
     }
-    if (kept > 0) {
-      ahead.writeBytes(bytes, kept);
-      counts.accept(kept);
+    if (accepted > 0) {
+      buffered.writeBytes(bytes, accepted);
+      onBufferedChange.accept(accepted);
     }
     bytes.release();
   }
@@ -165,8 +170,8 @@
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
     ctx.fireChannelReadComplete();
-    if (dropping || wanted || !insideBody.getAsBoolean()) {
-      ask();
+    if (discarding || downstreamWaiting || !insideBody.getAsBoolean()) {
+      requestRead();
     }
   }
 
@@ -174,17 +179,18 @@
    * Reads once more what came since the loop last looked; true when that was anything, or the end.
    * Tells nothing where the transport has no way to.
    */
-  boolean lastRead() {
-    if (holds()) {
+  boolean readDirectly() {
+    if (hasBuffered()) {
       return true;
     }
     if (!(context.channel() instanceof EpollSocketChannel channel) || !channel.isOpen()) {
       return false;
     }
-    ByteBuf bytes = context.alloc().directBuffer(LAST_READ);
+    ByteBuf bytes = context.alloc().directBuffer(DIRECT_READ_BYTES);
     int read;
     try {
-      read = ((Socket) channel.fd()).recv(bytes.nioBuffer(0, LAST_READ), 0, LAST_READ);
+      read =
+          ((Socket) channel.fd()).recv(bytes.nioBuffer(0, DIRECT_READ_BYTES), 0, DIRECT_READ_BYTES);
     } catch (IOException e) {
       // Reset: the loop finds that, too.
       read = -1;
@@ -194,9 +200,9 @@
       return read < 0;
     }
     bytes.writerIndex(read);
-    arrival.read(bytes.isWritable());
-    arrival.asked();
-    take(bytes);
+    arrivalTime.onRead(bytes.isWritable());
+    arrivalTime.asked();
+    forwardOrBuffer(bytes);
     context.fireChannelReadComplete();
     return true;
   }
@@ -213,8 +219,8 @@
   }
 
   private void release() {
-    counts.accept(-ahead.readableBytes());
-    ahead.release();
-    ahead = Unpooled.EMPTY_BUFFER;
+    onBufferedChange.accept(-buffered.readableBytes());
+    buffered.release();
+    buffered = Unpooled.EMPTY_BUFFER;
   }
 }
--- a/front/src/main/java/willowdoor/front/clients/ReceiveLimit.java
+++ b/front/src/main/java/willowdoor/front/clients/ReceiveTimeout.java
@@ -12,7 +12,7 @@
  * more bytes do not extend it. Its body: the time in which the client is waited for, which grows
  * with the bytes that come.
  */
-final class ReceiveLimit extends ChannelInboundHandlerAdapter {
+final class ReceiveTimeout extends ChannelInboundHandlerAdapter {
 
   /**
    * A peer without a proper request is owed an error or a close within 3 s; a proper one may take 2
@@ -21,15 +21,15 @@
   private static final long LIMIT_MS = 2_500;
 
   /** Half the pace that is asked of clients. */
-  private static final double LEAST_BYTES_PER_MS = 32;
+  private static final double MIN_BYTES_PER_MS = 32;
 
-  private static final long BODY_STEP_MS = 500;
+  private static final long BODY_CHECK_MS = 500;
 
-  private final Runnable overdue;
+  private final Runnable onTimeout;
   private ChannelHandlerContext context;
   private Future<?> timer;
   private boolean insideBody;
-  private boolean partial;
+  private boolean partialHead;
 
   /**
    * Of the body that is being read: its bytes, the time waited for them, and since when it is
@@ -38,10 +38,10 @@
   private long bytes;
 
   private double waitedMs;
-  private double waitsSince = Double.NaN;
+  private double waitingSince = Double.NaN;
 
-  ReceiveLimit(Runnable overdue) {
-    this.overdue = overdue;
+  ReceiveTimeout(Runnable onTimeout) {
+    this.onTimeout = onTimeout;
   }
 
   @Override
@@ -51,96 +51,96 @@
 
   @Override
   public void channelActive(ChannelHandlerContext ctx) {
-    arm(LIMIT_MS);
+    startTimer(LIMIT_MS);
     ctx.fireChannelActive();
   }
 
   @Override
   public void channelRead(ChannelHandlerContext ctx, Object message) {
     ByteBuf read = (ByteBuf) message;
-    partial = !insideBody;
+    partialHead = !insideBody;
     bytes += read.readableBytes();
-    if (!Double.isNaN(waitsSince)) {
-      waitedMs += now() - waitsSince;
-      waitsSince = Double.NaN;
+    if (!Double.isNaN(waitingSince)) {
+      waitedMs += now() - waitingSince;
+      waitingSince = Double.NaN;
     }
     ctx.fireChannelRead(message);
-    if (partial && timer == null) {
-      arm(LIMIT_MS);
+    if (partialHead && timer == null) {
+      startTimer(LIMIT_MS);
     }
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    disarm();
+    stopTimer();
     ctx.fireChannelInactive();
   }
 
   /** Whether a part of a request's head has come and its rest has not. */
-  boolean partial() {
-    return partial;
+  boolean partialHead() {
+    return partialHead;
   }
 
-  void headCame() {
+  void onHeadEnd() {
     insideBody = true;
-    partial = false;
+    partialHead = false;
     bytes = 0;
     waitedMs = 0;
-    disarm();
+    stopTimer();
   }
 
   /** More of the body is asked for, and has not come yet. */
-  void waits() {
-    if (insideBody && Double.isNaN(waitsSince)) {
-      waitsSince = now();
+  void onBodyReadRequested() {
+    if (insideBody && Double.isNaN(waitingSince)) {
+      waitingSince = now();
       if (timer == null) {
-        arm(BODY_STEP_MS);
+        startTimer(BODY_CHECK_MS);
       }
     }
   }
 
-  void bodyCame() {
+  void onBodyEnd() {
     insideBody = false;
-    waitsSince = Double.NaN;
-    disarm();
+    waitingSince = Double.NaN;
+    stopTimer();
   }
 
   /** The answer is written, and the beginning of the next head has come already. */
-  void begunAhead() {
-    partial = true;
+  void onNextHeadBegun() {
+    partialHead = true;
     if (timer == null) {
-      arm(LIMIT_MS);
+      startTimer(LIMIT_MS);
     }
   }
 
-  private boolean late() {
+  private boolean isLate() {
     return !insideBody
-        || !Double.isNaN(waitsSince)
-            && waitedMs + now() - waitsSince > LIMIT_MS + bytes / LEAST_BYTES_PER_MS;
+        || !Double.isNaN(waitingSince)
+            && waitedMs + now() - waitingSince > LIMIT_MS + bytes / MIN_BYTES_PER_MS;
   }
 
   private static double now() {
     return System.nanoTime() / 1e6;
   }
 
-  private void arm(long ms) {
+  private void startTimer(long ms) {
     timer =
         context
             .executor()
             .schedule(
                 () -> {
                   timer = null;
-                  if (late()) {
-                    overdue.run();
+                  if (isLate()) {
+                    onTimeout.run();
                   } else {
-                    arm(BODY_STEP_MS);
+                    startTimer(BODY_CHECK_MS);
                   }
                 },
                 ms,
                 TimeUnit.MILLISECONDS);
   }
 
-  private void disarm() {
+  private void stopTimer() {
     if (timer != null) {
       timer.cancel(false);
       timer = null;
--- a/front/src/main/java/willowdoor/front/clients/RequestDecoder.java
+++ b/front/src/main/java/willowdoor/front/clients/RequestDecoder.java
@@ -12,23 +12,23 @@
  */
 final class RequestDecoder extends HttpRequestDecoder {
 
-  private static final int MOST_LINE = 8_192;
-  private static final int MOST_HEADERS = 16_384;
-  private static final int MOST_PIECE = 32 * 1024;
+  private static final int MAX_LINE_BYTES = 8_192;
+  private static final int MAX_HEADER_BYTES = 16_384;
+  private static final int MAX_PIECE_BYTES = 32 * 1024;
 
-  private long heads;
+  private long decodedHeads;
 
   RequestDecoder() {
-    super(MOST_LINE, MOST_HEADERS, MOST_PIECE);
+    super(MAX_LINE_BYTES, MAX_HEADER_BYTES, MAX_PIECE_BYTES);
   }
 
   /** How many requests have begun, each with its whole head. */
-  long heads() {
-    return heads;
+  long decodedHeads() {
+    return decodedHeads;
   }
 
   /** Whether bytes have come that are no whole part of a message yet. */
-  boolean begun() {
+  boolean hasPartialInput() {
     return actualReadableBytes() > 0;
   }
 
@@ -37,7 +37,7 @@
     int before = out.size();
     super.decode(ctx, in, out);
     for (int i = before; i < out.size(); i++) {
-      heads += out.get(i) instanceof HttpRequest ? 1 : 0;
+      decodedHeads += out.get(i) instanceof HttpRequest ? 1 : 0;
     }
   }
 
--- a/front/src/main/java/willowdoor/front/clients/RequestReader.java
+++ b/front/src/main/java/willowdoor/front/clients/RequestReader.java
@@ -6,8 +6,8 @@
 import java.util.HashMap;
 import java.util.Iterator;
 import java.util.Map;
-import willowdoor.front.requests.Asked;
 import willowdoor.front.requests.Headers;
+import willowdoor.front.requests.ParsedRequest;
 import willowdoor.policy.GatewayApi.RequestClass;
 import willowdoor.policy.GatewayApi.RetrySafety;
 import willowdoor.policy.GatewayApi.Settings;
@@ -18,16 +18,16 @@
  */
 public final class RequestReader {
 
-  private static final int MOST_ID = 128;
+  private static final int MAX_ID_LENGTH = 128;
 
   /** The longest time that a request may take where its class tells none. */
-  private static final double MOST_TIMEOUT_MS = 3_600_000;
+  private static final double MAX_TIMEOUT_MS = 3_600_000;
 
   /** A message that is no request of this protocol. */
-  static final class BadRequest extends Exception {
+  static final class BadRequestException extends Exception {
     private static final long serialVersionUID = 1;
 
-    BadRequest(String reason) {
+    BadRequestException(String reason) {
       super(reason, null, false, false);
     }
   }
@@ -44,26 +44,26 @@
     gateways = settings.gateways();
   }
 
-  Asked read(HttpRequest message, String uri) throws BadRequest {
+  ParsedRequest read(HttpRequest message, String uri) throws BadRequestException {
     HttpHeaders headers = message.headers();
     String id = text(headers, Headers.REQUEST_ID);
-    if (id.length() > MOST_ID) {
-      throw new BadRequest("Request-Id is too long");
+    if (id.length() > MAX_ID_LENGTH) {
+      throw new BadRequestException("Request-Id is too long");
     }
     RequestClass type = classes.get(text(headers, Headers.REQUEST_CLASS));
-    if (type == null || !type.name().equals(firstPart(uri))) {
-      throw new BadRequest("unknown class");
+    if (type == null || !type.name().equals(firstSegment(uri))) {
+      throw new BadRequestException("unknown class");
     }
     boolean safe = type.retrySafety() == RetrySafety.SAFE;
     if (!message.method().equals(safe ? HttpMethod.GET : HttpMethod.POST)) {
-      throw new BadRequest("method does not fit the class");
+      throw new BadRequestException("method does not fit the class");
     }
     if (type.retrySafety() == RetrySafety.KEYED) {
       text(headers, Headers.IDEMPOTENCY_KEY);
     }
     String plan = text(headers, Headers.PLAN);
     if (!plans.containsKey(plan)) {
-      throw new BadRequest("unknown plan");
+      throw new BadRequestException("unknown plan");
     }
     double timeout = timeout(headers, type);
     long customer = number(text(headers, Headers.CUSTOMER), 16, Headers.CUSTOMER);
@@ -73,30 +73,30 @@
   /**
    * How long the client will wait: no longer than any client of the class does over all its tries.
    */
-  private static double timeout(HttpHeaders headers, RequestClass type) throws BadRequest {
+  private static double timeout(HttpHeaders headers, RequestClass type) throws BadRequestException {
     Iterator<String> values = headers.valueStringIterator(Headers.TIMEOUT_MS);
     String text = values.hasNext() ? values.next() : "";
     if (values.hasNext()) {
-      throw new BadRequest("Request-Timeout-Ms is given twice");
+      throw new BadRequestException("Request-Timeout-Ms is given twice");
     }
     double timeout = 0;
     for (int i = 0; i < text.length(); i++) {
       int digit = text.charAt(i) - '0';
       if (digit < 0 || digit > 9) {
-        throw new BadRequest("Request-Timeout-Ms is not a whole number");
+        throw new BadRequestException("Request-Timeout-Ms is not a whole number");
       }
-      timeout = Math.min(MOST_TIMEOUT_MS, 10 * timeout + digit);
+      timeout = Math.min(MAX_TIMEOUT_MS, 10 * timeout + digit);
     }
     if (timeout == 0) {
-      throw new BadRequest("Request-Timeout-Ms is missing or nought");
+      throw new BadRequestException("Request-Timeout-Ms is missing or nought");
     }
     return type.deadlineMs() > 0 ? Math.min(type.deadlineMs(), timeout) : timeout;
   }
 
   /** The field {@code units=2,spread=3,first=1}. */
-  private Asked quota(
+  private ParsedRequest quota(
       String field, String id, String type, String plan, long customer, double timeoutMs)
-      throws BadRequest {
+      throws BadRequestException {
     long units = 0;
     long spread = gateways;
     for (String part : field.split(",")) {
@@ -110,9 +110,10 @@
       }
     }
     if (units <= 0 || spread <= 0) {
-      throw new BadRequest("X-Quota is broken");
+      throw new BadRequestException("X-Quota is broken");
     }
-    return new Asked(id, type, plan, customer, (int) Math.min(spread, gateways), units, timeoutMs);
+    return new ParsedRequest(
+        id, type, plan, customer, (int) Math.min(spread, gateways), units, timeoutMs);
   }
 
   /**
@@ -131,10 +132,10 @@
     return rest.startsWith("/") ? rest : '/' + rest;
   }
 
-  private static String firstPart(String uri) throws BadRequest {
+  private static String firstSegment(String uri) throws BadRequestException {
     for (int i = 0; i < uri.length(); i++) {
       if (uri.charAt(i) <= ' ' || uri.charAt(i) > '~') {
-        throw new BadRequest("path is not plain ASCII");
+        throw new BadRequestException("path is not plain ASCII");
       }
     }
     int end = 1;
@@ -144,15 +145,15 @@
     return uri.startsWith("/") ? uri.substring(1, end) : "";
   }
 
-  private static String text(HttpHeaders headers, CharSequence name) throws BadRequest {
+  private static String text(HttpHeaders headers, CharSequence name) throws BadRequestException {
     String value = headers.get(name);
     if (value == null || value.isEmpty()) {
-      throw new BadRequest(name + " is missing");
+      throw new BadRequestException(name + " is missing");
     }
     return value;
   }
 
-  private static long number(String text, int radix, CharSequence name) throws BadRequest {
+  private static long number(String text, int radix, CharSequence name) throws BadRequestException {
     try {
       long value = text.length() > 16 ? -1 : Long.parseLong(text, radix);
       if (value >= 0 && text.charAt(0) != '+') {
@@ -161,6 +162,6 @@
     } catch (NumberFormatException e) {
       // Falls through to the one message for all that is no number.
     }
-    throw new BadRequest(name + " is not a number");
+    throw new BadRequestException(name + " is not a number");
   }
 }
--- a/front/src/main/java/willowdoor/front/clients/AnswerWriter.java
+++ b/front/src/main/java/willowdoor/front/clients/ResponseWriter.java
@@ -24,29 +24,29 @@
 import willowdoor.front.requests.Headers;
 
 /** Words a client's answers, and decides with each whether its connection is kept behind it. */
-final class AnswerWriter {
+final class ResponseWriter {
 
   private final Channel channel;
-  private final BooleanSupplier mayBeKept;
-  private boolean head;
-  private boolean chunks;
+  private final BooleanSupplier mayKeepAlive;
+  private boolean headRequest;
+  private boolean chunksAllowed;
   private boolean keepAlive;
 
   /** It may be kept for as long as that says so when an answer begins. */
-  AnswerWriter(Channel channel, BooleanSupplier mayBeKept) {
+  ResponseWriter(Channel channel, BooleanSupplier mayKeepAlive) {
     this.channel = channel;
-    this.mayBeKept = mayBeKept;
+    this.mayKeepAlive = mayKeepAlive;
   }
 
   /** The next answer is to this one. */
-  void answers(HttpRequest request) {
-    head = request.method().equals(HttpMethod.HEAD);
-    chunks = request.protocolVersion().equals(HttpVersion.HTTP_1_1);
+  void setRequest(HttpRequest request) {
+    headRequest = request.method().equals(HttpMethod.HEAD);
+    chunksAllowed = request.protocolVersion().equals(HttpVersion.HTTP_1_1);
     keepAlive = HttpUtil.isKeepAlive(request);
   }
 
   /** The connection ends behind the next answer. */
-  void last() {
+  void closeAfterResponse() {
     keepAlive = false;
   }
 
@@ -54,14 +54,14 @@
     return keepAlive;
   }
 
-  void goOn() {
+  void sendContinue() {
     channel.writeAndFlush(
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
   }
 
   /** A template server's answer; both are only lent, and the body is null where it is empty. */
-  void served(HttpResponse from, ByteBuf body) {
+  void sendResponse(HttpResponse from, ByteBuf body) {
     DefaultFullHttpResponse answer =
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1,
@@ -78,82 +78,83 @@
     }
   }
 
-  void refused(double holdOffMs) {
+  void sendRefusal(double retryAfterMs) {
     FullHttpResponse answer =
-        empty(
-            holdOffMs > 0
+        emptyResponse(
+            retryAfterMs > 0
                 ? HttpResponseStatus.TOO_MANY_REQUESTS
                 : HttpResponseStatus.SERVICE_UNAVAILABLE);
-    if (holdOffMs > 0) {
+    if (retryAfterMs > 0) {
       answer
           .headers()
-          .set(HttpHeaderNames.RETRY_AFTER, String.format(Locale.ROOT, "%.3f", holdOffMs / 1000));
+          .set(
+              HttpHeaderNames.RETRY_AFTER, String.format(Locale.ROOT, "%.3f", retryAfterMs / 1000));
     }
     write(answer);
   }
 
-  void status(HttpResponseStatus status) {
-    write(empty(status));
+  void sendStatus(HttpResponseStatus status) {
+    write(emptyResponse(status));
   }
 
-  void status(HttpResponseStatus status, String reason) {
-    write(worded(status, reason));
+  void sendStatus(HttpResponseStatus status, String reason) {
+    write(textResponse(status, reason));
   }
 
   /** What cannot be read any further is answered so, whatever it was: the connection ends. */
-  ChannelFuture end(HttpResponseStatus status, String reason) {
-    FullHttpResponse answer = worded(status, reason);
+  ChannelFuture sendLastError(HttpResponseStatus status, String reason) {
+    FullHttpResponse answer = textResponse(status, reason);
     answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, answer.content().readableBytes());
     answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
     return channel.writeAndFlush(answer);
   }
 
-  private static FullHttpResponse worded(HttpResponseStatus status, String reason) {
+  private static FullHttpResponse textResponse(HttpResponseStatus status, String reason) {
     ByteBuf text = Unpooled.copiedBuffer(reason + "\n", StandardCharsets.US_ASCII);
     return new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, text);
   }
 
-  private static FullHttpResponse empty(HttpResponseStatus status) {
+  private static FullHttpResponse emptyResponse(HttpResponseStatus status) {
     return new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.EMPTY_BUFFER);
   }
 
   private void write(FullHttpResponse answer) {
     answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, answer.content().readableBytes());
-    if (head) {
+    if (headRequest) {
       answer.content().clear();
     }
-    tellWhetherKept(answer);
+    setConnectionHeader(answer);
     channel.writeAndFlush(answer).addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
   }
 
   /** Begins an answer that is passed on as it comes, framed as it was told, or in chunks. */
-  void begin(HttpResponse from) {
+  void beginResponse(HttpResponse from) {
     HttpResponse answer = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
     copyType(from, answer);
     long length = Headers.bodyLength(from);
     if (length >= 0) {
       answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, length);
-    } else if (chunks) {
+    } else if (chunksAllowed) {
       HttpUtil.setTransferEncodingChunked(answer, true);
     } else {
       keepAlive = false;
     }
-    tellWhetherKept(answer);
+    setConnectionHeader(answer);
     channel.write(answer);
   }
 
-  void piece(ByteBuf piece) {
+  void sendPiece(ByteBuf piece) {
     channel.writeAndFlush(new DefaultHttpContent(piece));
   }
 
-  void finish() {
+  void finishResponse() {
     channel
         .writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT)
         .addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
   }
 
-  private void tellWhetherKept(HttpResponse answer) {
-    keepAlive &= mayBeKept.getAsBoolean();
+  private void setConnectionHeader(HttpResponse answer) {
+    keepAlive &= mayKeepAlive.getAsBoolean();
     if (!keepAlive) {
       answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
     }
--- a/front/src/main/java/willowdoor/front/counter/CounterClient.java
+++ b/front/src/main/java/willowdoor/front/counter/CounterClient.java
@@ -22,7 +22,7 @@
 import willowdoor.front.loop.Clock;
 import willowdoor.front.loop.Tally;
 import willowdoor.front.loop.Transport;
-import willowdoor.front.requests.ModuleDriver;
+import willowdoor.front.requests.PolicyDriver;
 import willowdoor.policy.GatewayApi.CounterResult;
 import willowdoor.policy.GatewayApi.Status;
 
@@ -31,7 +31,7 @@
  * fewest answers owed, so that one slow part of the counter holds up only what already waits behind
  * it; calls for one name keep their order.
  */
-public final class CounterClient implements ModuleDriver.Calls {
+public final class CounterClient implements PolicyDriver.Counter {
 
   private static final int CONNECTIONS = 12;
 
--- a/front/src/main/java/willowdoor/front/requests/Attempt.java
+++ b/front/src/main/java/willowdoor/front/requests/Attempt.java
@@ -10,9 +10,9 @@
 public abstract class Attempt {
 
   /** The connection that takes an attempt to its backend, and the answer back. */
-  public interface Carrier extends Outgoing.Sink {
+  public interface Connection extends OutgoingRequest.Sink {
     /** Reads on, or no more for now: what is not read holds back the backend. */
-    void read(boolean on);
+    void setReading(boolean on);
 
     /**
      * Gives the connection up: none of the request's bytes that have not left yet leaves any more.
@@ -20,19 +20,19 @@
     void abort();
   }
 
-  private final Outgoing message;
+  private final OutgoingRequest message;
 
   /**
    * When it is given up, and by when its last byte must be written, on the clock in milliseconds.
    */
-  private final double endsAt;
+  private final double deadlineMs;
 
-  private final double writtenBy;
+  private final double writeDeadlineMs;
 
   /** The connection that is being opened for it, and the one that it is on. */
-  private Channel connecting;
+  private Channel connectingChannel;
 
-  private Carrier carrier;
+  private Connection connection;
   private boolean written;
 
   /** Fires when the attempt's time is up. */
@@ -40,42 +40,42 @@
 
   private boolean ended;
 
-  protected Attempt(Outgoing message, double endsAt, double writtenBy) {
+  protected Attempt(OutgoingRequest message, double deadlineMs, double writeDeadlineMs) {
     this.message = message;
-    this.endsAt = endsAt;
-    this.writtenBy = writtenBy;
+    this.deadlineMs = deadlineMs;
+    this.writeDeadlineMs = writeDeadlineMs;
   }
 
-  public final Outgoing message() {
+  public final OutgoingRequest message() {
     return message;
   }
 
   /** When it is given up, on the clock, in milliseconds. */
-  public final double endsAt() {
-    return endsAt;
+  public final double deadlineMs() {
+    return deadlineMs;
   }
 
   /**
    * By when its last byte must be written or else never be, on the clock, in milliseconds; infinite
    * where any time will do. A repeat has such a time (rule 2 of the wire).
    */
-  public final double writtenBy() {
-    return writtenBy;
+  public final double writeDeadlineMs() {
+    return writeDeadlineMs;
   }
 
   /** A connection is being opened for it. */
-  public final void connecting(Channel channel) {
-    connecting = channel;
+  public final void connectingChannel(Channel channel) {
+    connectingChannel = channel;
   }
 
   /** From now on it is on this connection. */
-  public final void carriedBy(Carrier by) {
-    carrier = by;
+  public final void assignConnection(Connection assigned) {
+    connection = assigned;
   }
 
   /** The connection that it is on, or null. */
-  final Carrier carrier() {
-    return carrier;
+  final Connection connection() {
+    return connection;
   }
 
   /**
@@ -101,12 +101,12 @@
   /**
    * How a broken connection ends this attempt: whether it may have run is told by the write alone.
    */
-  public final Status broken() {
+  public final Status statusIfBroken() {
     return written ? Status.RESET : Status.UNREACHABLE;
   }
 
   /** How running out of time ends this attempt. */
-  final Status overdue() {
+  final Status statusIfTimedOut() {
     return written ? Status.TIMED_OUT : Status.UNREACHABLE;
   }
 
@@ -119,14 +119,14 @@
 
   /** Ends the attempt; later endings are ignored, so that the module gets exactly one outcome. */
   public final void end(Status status, HttpResponse head, ByteBuf body) {
-    if (stop()) {
+    if (markEnded()) {
       onEnd(status, head, body);
     }
   }
 
   /** Stops waiting. The connection is given up with it, as an answer may still come on it. */
   public final void abandon(Status status) {
-    endClosed(status, null, null);
+    endAndClose(status, null, null);
   }
 
   /**
@@ -134,27 +134,27 @@
    * may send the request again at once, and a copy must not be out while this one is on an open
    * connection.
    */
-  public final void endClosed(Status status, HttpResponse head, ByteBuf body) {
-    if (!stop()) {
+  public final void endAndClose(Status status, HttpResponse head, ByteBuf body) {
+    if (!markEnded()) {
       return;
     }
-    if (carrier != null) {
-      carrier.abort();
-    } else if (connecting != null) {
-      connecting.close();
+    if (connection != null) {
+      connection.abort();
+    } else if (connectingChannel != null) {
+      connectingChannel.close();
     }
     onEnd(status, head, body);
   }
 
   /** True for the first caller only. */
-  private boolean stop() {
+  private boolean markEnded() {
     if (ended) {
       return false;
     }
     ended = true;
     stopTimer();
-    if (carrier != null) {
-      message.detach(carrier);
+    if (connection != null) {
+      message.detach(connection);
     }
     return true;
   }
@@ -162,24 +162,24 @@
   /**
    * The first piece behind the message's prefix is being written: there can be no other attempt.
    */
-  public abstract void onSpent();
+  public abstract void onBeyondPrefix();
 
   /** The last piece of a message that came in pieces is being written. */
-  public abstract void onSent();
+  public abstract void onLastPiece();
 
   /**
    * The answer's head has come; how long its body takes to come tells nothing of the backend's
    * load.
    */
-  public abstract void onHead();
+  public abstract void onResponseHead();
 
   /**
    * The head of an answer that is passed on as it comes; false where nobody waits for it any more.
    */
-  public abstract boolean onBegin(HttpResponse head);
+  public abstract boolean onStreamedResponse(HttpResponse head);
 
   /** A piece of that answer, which is taken over. */
-  public abstract void onPiece(ByteBuf piece);
+  public abstract void onResponsePiece(ByteBuf piece);
 
   /**
    * The head and the body are only lent; they are null unless the status is OK, the body if it was
--- a/front/src/main/java/willowdoor/front/requests/Budget.java
+++ b/front/src/main/java/willowdoor/front/requests/Budget.java
@@ -5,13 +5,13 @@
  * last byte came, and passed along. Every wait of the request takes its limit from here: the
  * smaller of the wait's own limit and of what is left.
  */
-record Budget(double fromMs, double endMs) {
+record Budget(double startMs, double endMs) {
 
   /**
    * The last moment for a final answer, ahead of the client's own: later than any answer of the
    * module.
    */
-  private static final double LAST_CALL_MS = 6;
+  private static final double FINAL_ANSWER_MARGIN_MS = 6;
 
   /** The time of a request that came at the moment, with so long to live. */
   static Budget of(double fromMs, double lengthMs) {
@@ -24,19 +24,19 @@
   }
 
   /** What is left for the final answer to be decided on. */
-  double lastCallMs(double now) {
-    return limitMs(Double.POSITIVE_INFINITY, now + LAST_CALL_MS);
+  double finalAnswerDelayMs(double now) {
+    return limitMs(Double.POSITIVE_INFINITY, now + FINAL_ANSWER_MARGIN_MS);
   }
 
   /** The part of the whole time that is left, from 0 to 1. */
-  double shareLeft(double now) {
-    return endMs > fromMs
-        ? Math.min(1, limitMs(Double.POSITIVE_INFINITY, now) / (endMs - fromMs))
+  double fractionLeft(double now) {
+    return endMs > startMs
+        ? Math.min(1, limitMs(Double.POSITIVE_INFINITY, now) / (endMs - startMs))
         : 0;
   }
 
   /** The same time, cut off where something else ends earlier. */
-  Budget cutAt(double endsAt) {
-    return endsAt < endMs ? new Budget(fromMs, endsAt) : this;
+  Budget cappedAt(double endsAt) {
+    return endsAt < endMs ? new Budget(startMs, endsAt) : this;
   }
 }
--- a/front/src/main/java/willowdoor/front/requests/Inbox.java
+++ b/front/src/main/java/willowdoor/front/requests/EventQueue.java
@@ -14,13 +14,13 @@
  * before all that came meanwhile is read, and a list goes first: a drain that was told in the pause
  * binds what is sent behind it.
  */
-final class Inbox {
+final class EventQueue {
 
   /**
    * The module is woken every 250 ms at least: when it was not for so long, the process stood
    * still.
    */
-  private static final double STOOD_STILL_MS = 500;
+  private static final double STALL_MS = 500;
 
   private final EventLoop loop;
   private final Clock clock;
@@ -34,7 +34,7 @@
   private boolean holding;
   private double deliveredAt;
 
-  Inbox(EventLoop loop, Clock clock, Consumer<Event> module) {
+  EventQueue(EventLoop loop, Clock clock, Consumer<Event> module) {
     this.loop = loop;
     this.clock = clock;
     this.module = module;
@@ -47,14 +47,14 @@
   }
 
   /** The events that come up as others take the list go behind it. */
-  void addList(BackendList list, Runnable others) {
+  void addList(BackendList list, Runnable endAttempts) {
     lists.add(list);
-    boolean within = delivering;
+    boolean wasDelivering = delivering;
     delivering = true;
     try {
-      others.run();
+      endAttempts.run();
     } finally {
-      delivering = within;
+      delivering = wasDelivering;
     }
     drain();
   }
@@ -64,7 +64,7 @@
       return;
     }
     double now = clock.now();
-    holding = now - deliveredAt > STOOD_STILL_MS;
+    holding = now - deliveredAt > STALL_MS;
     deliveredAt = now;
     if (holding) {
       // A timer's turn, also one set by another timer, comes behind the next look at the sockets.
--- a/front/src/main/java/willowdoor/front/requests/Outgoing.java
+++ b/front/src/main/java/willowdoor/front/requests/OutgoingRequest.java
@@ -16,53 +16,53 @@
  * again, and the rest, which passes by once, piece by piece as the backend takes it. Owned by the
  * table of requests.
  */
-public final class Outgoing {
+public final class OutgoingRequest {
 
   /** Where the pieces behind the prefix go. */
   public interface Sink {
     /** Takes a piece over, and asks for the next one once there is room. */
-    void piece(HttpContent piece);
+    void accept(HttpContent piece);
   }
 
   /** Bytes of a body: ten segments of 1,460 bytes, less room for the head. */
-  private static final int FIRST_FLIGHT = 8_000;
+  private static final int INITIAL_WINDOW_BYTES = 8_000;
 
   private final HttpMethod method;
   private final String uri;
   private final HttpHeaders headers;
   private final ByteBuf prefix;
   private final boolean whole;
-  private final Runnable more;
+  private final Runnable requestPiece;
   private Sink sink;
 
   /** A piece that was asked for by an attempt which ended before it came. */
-  private HttpContent waiting;
+  private HttpContent heldPiece;
 
   private boolean released;
 
   /**
    * Takes the prefix over; more asks the client for the next piece, where the prefix is not all.
    */
-  public Outgoing(
+  public OutgoingRequest(
       HttpMethod method,
       String uri,
       HttpHeaders headers,
       ByteBuf prefix,
       boolean whole,
-      Runnable more) {
+      Runnable requestPiece) {
     this.method = method;
     this.uri = uri;
     this.headers = headers;
     this.prefix = prefix;
     this.whole = whole;
-    this.more = more;
+    this.requestPiece = requestPiece;
   }
 
   public boolean whole() {
     return whole;
   }
 
-  int held() {
+  int prefixBytes() {
     return prefix.readableBytes();
   }
 
@@ -71,14 +71,14 @@
    * ten segments (RFC 6928). More waits for the other side, and goes out behind a close too,
    * whenever that reads.
    */
-  public boolean leavesAtOnce() {
-    return whole && prefix.readableBytes() <= FIRST_FLIGHT;
+  public boolean fitsInitialWindow() {
+    return whole && prefix.readableBytes() <= INITIAL_WINDOW_BYTES;
   }
 
   /** The head alone, or with the body where that is whole; it tells no more time than there is. */
-  public HttpRequest message(double leftMs) {
+  public HttpRequest message(double remainingMs) {
     HttpHeaders copy =
-        headers.copy().set(Headers.TIMEOUT_MS, Long.toString((long) Math.max(1, leftMs)));
+        headers.copy().set(Headers.TIMEOUT_MS, Long.toString((long) Math.max(1, remainingMs)));
     return whole
         ? new DefaultFullHttpRequest(
             HttpVersion.HTTP_1_1,
@@ -95,62 +95,62 @@
   }
 
   /** Lets the rest pass to the sink from now on. */
-  public void passTo(Sink taker) {
-    sink = taker;
-    if (waiting != null) {
-      HttpContent piece = waiting;
-      waiting = null;
-      pass(piece);
+  public void streamTo(Sink target) {
+    sink = target;
+    if (heldPiece != null) {
+      HttpContent piece = heldPiece;
+      heldPiece = null;
+      onClientPiece(piece);
     } else {
-      more.run();
+      requestPiece.run();
     }
   }
 
-  public void detach(Sink taker) {
-    if (sink == taker) {
+  public void detach(Sink target) {
+    if (sink == target) {
       sink = null;
     }
   }
 
-  public boolean passesTo(Sink taker) {
-    return sink == taker;
+  public boolean streamsTo(Sink target) {
+    return sink == target;
   }
 
-  public void wantMore() {
-    more.run();
+  public void requestMore() {
+    requestPiece.run();
   }
 
   /** A piece from the client, which is taken over. */
-  public void pass(HttpContent piece) {
+  public void onClientPiece(HttpContent piece) {
     if (released) {
       piece.release();
     } else if (sink == null) {
-      waiting = piece;
+      heldPiece = piece;
     } else {
-      sink.piece(piece);
+      sink.accept(piece);
     }
   }
 
   void release() {
     released = true;
     prefix.release();
-    if (waiting != null) {
-      waiting.release();
-      waiting = null;
+    if (heldPiece != null) {
+      heldPiece.release();
+      heldPiece = null;
     }
   }
 
   /** Tells how long the body is, as its client told. */
-  public static void frame(
-      HttpHeaders onward, HttpHeaders told, boolean whole, int length, boolean mayHaveBody) {
+  public static void setFraming(
+      HttpHeaders outgoing, HttpHeaders received, boolean whole, int length, boolean mayHaveBody) {
     if (whole) {
       if (length > 0 || mayHaveBody) {
-        onward.set(HttpHeaderNames.CONTENT_LENGTH, length);
+        outgoing.set(HttpHeaderNames.CONTENT_LENGTH, length);
       }
-    } else if (told.contains(HttpHeaderNames.CONTENT_LENGTH)) {
-      onward.set(HttpHeaderNames.CONTENT_LENGTH, told.get(HttpHeaderNames.CONTENT_LENGTH));
+    } else if (received.contains(HttpHeaderNames.CONTENT_LENGTH)) {
+      outgoing.set(HttpHeaderNames.CONTENT_LENGTH, received.get(HttpHeaderNames.CONTENT_LENGTH));
     } else {
-      onward.set(HttpHeaderNames.TRANSFER_ENCODING, "chunked");
+      outgoing.set(HttpHeaderNames.TRANSFER_ENCODING, "chunked");
     }
   }
 }
--- a/front/src/main/java/willowdoor/front/requests/Asked.java
+++ b/front/src/main/java/willowdoor/front/requests/ParsedRequest.java
@@ -5,7 +5,7 @@
 /**
  * A request as its head tells it; what is left of its time is known once its last byte has come.
  */
-public record Asked(
+public record ParsedRequest(
     String id,
     String className,
     String plan,
@@ -14,7 +14,7 @@
     double units,
     double timeoutMs) {
 
-  Request within(Budget budget) {
+  Request toRequest(Budget budget) {
     return new Request(id, className, plan, customer, entryPoints, units, budget.endMs());
   }
 }
--- a/front/src/main/java/willowdoor/front/requests/Live.java
+++ b/front/src/main/java/willowdoor/front/requests/PendingRequest.java
@@ -6,43 +6,50 @@
 import willowdoor.policy.GatewayApi.Status;
 
 /** One request from its taking until it is answered and none of its attempts is out. */
-final class Live {
-  final ModuleDriver driver;
-  final Asked asked;
-  final Outgoing message;
-  final ModuleDriver.Client client;
+final class PendingRequest {
+  final PolicyDriver driver;
+  final ParsedRequest parsed;
+  final OutgoingRequest message;
+  final PolicyDriver.Client client;
   final List<Attempt> attempts = new ArrayList<>(1);
 
   /** From its last byte on; until that has come, from the moment it was taken. */
   Budget budget;
 
-  Future<?> lastCall;
-  final int held;
+  Future<?> finalAnswerTimer;
+  final int prefixBytes;
   boolean finished;
-  int out;
+  int attemptsInFlight;
 
   /** The attempt whose answer is being passed on as it comes. */
-  Attempt begun;
+  Attempt streamingAttempt;
 
-  Live(ModuleDriver driver, Asked asked, Outgoing message, ModuleDriver.Client client) {
+  PendingRequest(
+      PolicyDriver driver,
+      ParsedRequest parsed,
+      OutgoingRequest message,
+      PolicyDriver.Client client) {
     this.driver = driver;
-    this.asked = asked;
+    this.parsed = parsed;
     this.message = message;
     this.client = client;
-    held = message.held();
+    prefixBytes = message.prefixBytes();
   }
 
   /** Its time begins; it ends with the process at the latest. */
-  void begins() {
-    budget = Budget.of(client.cameAt(), asked.timeoutMs()).cutAt(driver.processEndsAt());
-    lastCall = driver.after(budget.lastCallMs(driver.now()), () -> driver.lastCall(this));
+  void startBudget() {
+    budget = Budget.of(client.arrivedAt(), parsed.timeoutMs()).cappedAt(driver.processDeadlineMs());
+    finalAnswerTimer =
+        driver.schedule(budget.finalAnswerDelayMs(driver.now()), () -> driver.failAtDeadline(this));
   }
 
   /** The process ends: so does the time, unless none runs as a stream is under way. */
-  void cut() {
-    budget = budget.cutAt(driver.processEndsAt());
-    if (lastCall.cancel(false)) {
-      lastCall = driver.after(budget.lastCallMs(driver.now()), () -> driver.lastCall(this));
+  void capBudget() {
+    budget = budget.cappedAt(driver.processDeadlineMs());
+    if (finalAnswerTimer.cancel(false)) {
+      finalAnswerTimer =
+          driver.schedule(
+              budget.finalAnswerDelayMs(driver.now()), () -> driver.failAtDeadline(this));
     }
   }
 
@@ -55,13 +62,13 @@
       return false;
     }
     finished = true;
-    lastCall.cancel(false);
+    finalAnswerTimer.cancel(false);
     for (int i = 0; i < attempts.size(); i++) {
       if (!attempts.get(i).written()) {
         attempts.get(i).abandon(Status.NOT_SENT);
       }
     }
-    driver.freed(held);
+    driver.releaseBytes(prefixBytes);
     message.release();
     return true;
   }
@@ -69,9 +76,9 @@
   /**
    * A request stays in the table while an attempt of it is out: the module still gets that outcome.
    */
-  void forgetIfDone() {
-    if (finished && out == 0) {
-      driver.forget(this);
+  void removeIfDone() {
+    if (finished && attemptsInFlight == 0) {
+      driver.remove(this);
     }
   }
 }
--- a/front/src/main/java/willowdoor/front/requests/ModuleDriver.java
+++ b/front/src/main/java/willowdoor/front/requests/PolicyDriver.java
@@ -36,84 +36,84 @@
  * Takes events to the module and its actions to the sockets; the only caller of the module. Holds
  * the table of requests taken and attempts out. All on the event loop's thread.
  */
-public final class ModuleDriver {
+public final class PolicyDriver {
 
-  private static final Logger LOG = Logger.getLogger(ModuleDriver.class.getName());
+  private static final Logger LOG = Logger.getLogger(PolicyDriver.class.getName());
 
   /** A module that failed on its wake-up is woken again after this. */
-  private static final long WAKE_AGAIN_MS = 100;
+  private static final long TIMER_RETRY_MS = 100;
 
   /** Where attempts go, each to its one end. */
-  public interface Servers {
+  public interface Backends {
     void onRoster(RosterNews news);
 
     /** Ends all that has not reached the backend yet. */
-    void cut(long backend);
+    void cancelUnsent(long backend);
 
     void start(long backend, Attempt attempt);
   }
 
   /** Where calls to the counter go; the end of each comes back as an event. */
-  public interface Calls {
+  public interface Counter {
     void add(String name, double amount, double ttlMs);
   }
 
   /** Who waits for the one final answer. */
   public interface Client {
     /** When the last bytes that were read of the request can have come at the earliest. */
-    double cameAt();
+    double arrivedAt();
 
     /** The whole answer; both are only lent, and the body is null where it is empty. */
-    void served(HttpResponse head, ByteBuf body);
+    void sendResponse(HttpResponse head, ByteBuf body);
 
-    void refused(double holdOffMs);
+    void sendRefusal(double retryAfterMs);
 
-    void failed();
+    void sendFailure();
 
     /**
      * An answer that comes in pieces, each of which is taken over; from is held back where they
      * pile up.
      */
-    void begin(HttpResponse head, Attempt.Carrier from);
+    void beginResponse(HttpResponse head, Attempt.Connection connection);
 
-    void piece(ByteBuf piece);
+    void sendPiece(ByteBuf piece);
 
-    void finish();
+    void finishResponse();
 
     /** It will not be finished, and the client must see that. */
-    void cut();
+    void abortResponse();
   }
 
   private final EventLoop loop;
   private final Clock clock;
   private final QuotaPolicy policy;
-  private final Servers backends;
+  private final Backends backends;
   private final Tally tally;
-  private Calls counter;
-  private final Map<String, Live> live = new HashMap<>();
-  private final Inbox inbox;
+  private Counter counter;
+  private final Map<String, PendingRequest> requests = new HashMap<>();
+  private final EventQueue eventQueue;
   private int heldBytes;
-  private double processEndsAt = Double.POSITIVE_INFINITY;
+  private double processDeadlineMs = Double.POSITIVE_INFINITY;
 
-  public ModuleDriver(
-      EventLoop loop, Clock clock, QuotaPolicy policy, Servers backends, Tally tally) {
+  public PolicyDriver(
+      EventLoop loop, Clock clock, QuotaPolicy policy, Backends backends, Tally tally) {
     this.tally = tally;
     this.loop = loop;
     this.clock = clock;
     this.policy = policy;
     this.backends = backends;
-    inbox = new Inbox(loop, clock, this::step);
+    eventQueue = new EventQueue(loop, clock, this::handle);
   }
 
-  public void start(Calls counter, RosterNews known) {
+  public void start(Counter counter, RosterNews known) {
     this.counter = counter;
     policy.start(clock.now()).forEach(this::execute);
     backends.onRoster(known);
     deliver(new BackendList(BackendListKind.CACHED, known.entries()));
   }
 
-  public int held() {
-    return live.size();
+  public int requestCount() {
+    return requests.size();
   }
 
   /** Bytes of the bodies held. */
@@ -122,21 +122,21 @@
   }
 
   /** What the module has to tell the log. */
-  public String figures() {
+  public String policyStats() {
     return policy.summarizeStats();
   }
 
-  public boolean holds(String id) {
-    return live.containsKey(id);
+  public boolean isPending(String id) {
+    return requests.containsKey(id);
   }
 
   /** Takes a request and its message, which is kept until no attempt needs it. */
-  public void take(Asked asked, Outgoing message, Client client) {
-    Live r = new Live(this, asked, message, client);
-    live.put(asked.id(), r);
-    heldBytes += r.held;
-    r.begins();
-    deliver(asked.within(r.budget));
+  public void submit(ParsedRequest parsed, OutgoingRequest message, Client client) {
+    PendingRequest r = new PendingRequest(this, parsed, message, client);
+    requests.put(parsed.id(), r);
+    heldBytes += r.prefixBytes;
+    r.startBudget();
+    deliver(parsed.toRequest(r.budget));
   }
 
   double now() {
@@ -144,36 +144,36 @@
   }
 
   /** When the process ends at the latest, on the clock. */
-  double processEndsAt() {
-    return processEndsAt;
+  double processDeadlineMs() {
+    return processDeadlineMs;
   }
 
   /** So many bytes of bodies are kept no more. */
-  void freed(int bytes) {
+  void releaseBytes(int bytes) {
     heldBytes -= bytes;
   }
 
-  void forget(Live r) {
-    live.remove(r.asked.id(), r);
+  void remove(PendingRequest r) {
+    requests.remove(r.parsed.id(), r);
   }
 
-  Future<?> after(double ms, Runnable task) {
+  Future<?> schedule(double ms, Runnable task) {
     return loop.schedule(task, (long) (ms * 1000), TimeUnit.MICROSECONDS);
   }
 
-  public void clientLeft(String id) {
-    Live r = live.get(id);
+  public void onClientDisconnected(String id) {
+    PendingRequest r = requests.get(id);
     if (r != null && r.finish()) {
       deliver(new ClientDisconnected(id));
-      if (r.begun != null || !r.message.whole()) {
+      if (r.streamingAttempt != null || !r.message.whole()) {
         List.copyOf(r.attempts).forEach(a -> a.abandon(Status.CANCELLED));
       }
-      r.forgetIfDone();
+      r.removeIfDone();
     }
   }
 
-  public void onCounted(CounterResult counted) {
-    deliver(counted);
+  public void onCounterResult(CounterResult result) {
+    deliver(result);
   }
 
   /**
@@ -182,23 +182,23 @@
    * again.
    */
   public void onRoster(RosterNews news) {
-    inbox.addList(
+    eventQueue.addList(
         new BackendList(
             news.full() ? BackendListKind.COMPLETE : BackendListKind.CHANGES, news.entries()),
         () -> backends.onRoster(news));
   }
 
   /** Whether operators may name this backend. */
-  public boolean knows(String host) {
+  public boolean isKnownBackend(String host) {
     return policy.isKnown(RosterNews.number(host));
   }
 
   /** Takes a backend out or puts it back. */
-  public void ban(String host, boolean out) {
+  public void setExcluded(String host, boolean excluded) {
     long id = RosterNews.number(host);
-    deliver(new BackendExclusion(id, out));
-    if (out) {
-      backends.cut(id);
+    deliver(new BackendExclusion(id, excluded));
+    if (excluded) {
+      backends.cancelUnsent(id);
     }
   }
 
@@ -206,13 +206,13 @@
    * The process is about to end: all that is unanswered by then fails, and so does what still
    * comes.
    */
-  public void endWithin(double ms) {
-    processEndsAt = clock.now() + ms;
-    live.values().forEach(Live::cut);
-    after(ms, () -> List.copyOf(live.values()).forEach(this::fail));
+  public void shutDownWithin(double ms) {
+    processDeadlineMs = clock.now() + ms;
+    requests.values().forEach(PendingRequest::capBudget);
+    schedule(ms, () -> List.copyOf(requests.values()).forEach(this::fail));
   }
 
-  void lastCall(Live r) {
+  void failAtDeadline(PendingRequest r) {
     tally.count(Tally.Event.LAST_CALL);
     fail(r);
   }
@@ -221,24 +221,24 @@
    * The net under the module: a request that it left unanswered fails while its client still
    * listens.
    */
-  private void fail(Live r) {
+  private void fail(PendingRequest r) {
     if (r.finish()) {
-      if (r.begun == null) {
-        r.client.failed();
+      if (r.streamingAttempt == null) {
+        r.client.sendFailure();
       } else {
-        r.client.cut();
-        r.begun.abandon(Status.CANCELLED);
+        r.client.abortResponse();
+        r.streamingAttempt.abandon(Status.CANCELLED);
       }
-      deliver(new ClientDisconnected(r.asked.id()));
-      r.forgetIfDone();
+      deliver(new ClientDisconnected(r.parsed.id()));
+      r.removeIfDone();
     }
   }
 
   void deliver(Event event) {
-    inbox.add(event);
+    eventQueue.add(event);
   }
 
-  private void step(Event event) {
+  private void handle(Event event) {
     List<Action> actions;
     try {
       actions = policy.on(clock.now(), event);
@@ -263,12 +263,12 @@
     } else if (event instanceof Outcome e) {
       failId(e.request());
     } else if (event instanceof TimerFired) {
-      loop.schedule(() -> deliver(event), WAKE_AGAIN_MS, TimeUnit.MILLISECONDS);
+      loop.schedule(() -> deliver(event), TIMER_RETRY_MS, TimeUnit.MILLISECONDS);
     }
   }
 
   private void failId(String id) {
-    Live r = live.get(id);
+    PendingRequest r = requests.get(id);
     if (r != null) {
       fail(r);
     }
@@ -280,22 +280,24 @@
     } else if (action instanceof AddToCounter a) {
       counter.add(a.name(), a.amount(), a.ttlMs());
     } else if (action instanceof SetTimer a) {
-      wake(a);
+      startTimer(a);
     } else if (action instanceof Refuse a) {
-      Live r = live.get(a.request());
+      PendingRequest r = requests.get(a.request());
       if (r != null && r.finish()) {
-        r.client.refused(a.retryAfterMs());
-        r.forgetIfDone();
+        r.client.sendRefusal(a.retryAfterMs());
+        r.removeIfDone();
       }
     } else if (action instanceof Fail a) {
-      Live r = live.get(a.request());
+      PendingRequest r = requests.get(a.request());
       if (r != null && r.finish()) {
-        r.client.failed();
-        r.forgetIfDone();
+        r.client.sendFailure();
+        r.removeIfDone();
       }
     } else if (action instanceof Cancel a) {
-      Live r = live.get(a.request());
-      if (r != null && a.attempt() < r.attempts.size() && r.attempts.get(a.attempt()) != r.begun) {
+      PendingRequest r = requests.get(a.request());
+      if (r != null
+          && a.attempt() < r.attempts.size()
+          && r.attempts.get(a.attempt()) != r.streamingAttempt) {
         r.attempts.get(a.attempt()).abandon(Status.CANCELLED);
       }
     }
@@ -306,16 +308,16 @@
    * Never early: the module lets a wake-up pass that comes before its time, and then none would
    * follow.
    */
-  private void wake(SetTimer a) {
-    double wait = Math.max(0, a.atMs() - clock.now());
+  private void startTimer(SetTimer a) {
+    double delayMs = Math.max(0, a.atMs() - clock.now());
     loop.schedule(
         () -> deliver(new TimerFired(a.label())),
-        (long) Math.ceil(wait * 1000) + 1,
+        (long) Math.ceil(delayMs * 1000) + 1,
         TimeUnit.MICROSECONDS);
   }
 
   private void send(Send a) {
-    Live r = live.get(a.request());
+    PendingRequest r = requests.get(a.request());
     if (r == null || r.finished) {
       int attempt = r == null ? 0 : r.attempts.size();
       deliver(new Outcome(a.request(), attempt, a.backend(), Status.NOT_SENT, 0, true, 0, null));
@@ -323,15 +325,16 @@
     }
     int number = r.attempts.size();
     double now = clock.now();
-    double own = a.timeoutMs() > 0 ? a.timeoutMs() : Double.POSITIVE_INFINITY;
-    double limit = r.budget.limitMs(own, now);
-    tally.began(r.budget.shareLeft(now));
-    Sent attempt = new Sent(r, number, a.backend(), now + limit, a.writtenByMs());
-    attempt.startTimer(after(limit, () -> attempt.abandon(attempt.overdue())));
+    double ownLimitMs = a.timeoutMs() > 0 ? a.timeoutMs() : Double.POSITIVE_INFINITY;
+    double limitMs = r.budget.limitMs(ownLimitMs, now);
+    tally.began(r.budget.fractionLeft(now));
+    RequestAttempt attempt =
+        new RequestAttempt(r, number, a.backend(), now + limitMs, a.writtenByMs());
+    attempt.startTimer(schedule(limitMs, () -> attempt.abandon(attempt.statusIfTimedOut())));
     r.attempts.add(attempt);
-    r.out++;
-    if (a.writtenByMs() < now + limit) {
-      after(Math.max(0, a.writtenByMs() - now), attempt::lastByteDue);
+    r.attemptsInFlight++;
+    if (a.writtenByMs() < now + limitMs) {
+      schedule(Math.max(0, a.writtenByMs() - now), attempt::onWriteDeadline);
     }
     backends.start(a.backend(), attempt);
   }
--- a/front/src/main/java/willowdoor/front/servers/BackendConnection.java
+++ b/front/src/main/java/willowdoor/front/servers/BackendConnection.java
@@ -27,7 +27,7 @@
 
 /** One connection to a backend: at most one attempt at a time, and what its answer means. */
 final class BackendConnection extends SimpleChannelInboundHandler<HttpObject>
-    implements Attempt.Carrier {
+    implements Attempt.Connection {
 
   /**
    * Answers that tell a length up to this are passed on when whole, so that a cut one can be tried
@@ -116,7 +116,7 @@
    */
   @Override
   public void abort() {
-    if (latest != null && latest.written() && !latest.message().leavesAtOnce()) {
+    if (latest != null && latest.written() && !latest.message().fitsInitialWindow()) {
       try {
         channel.config().setOption(ChannelOption.SO_LINGER, 0);
       } catch (ChannelException e) {
@@ -127,7 +127,7 @@
   }
 
   @Override
-  public void read(boolean on) {
+  public void setReading(boolean on) {
     channel.config().setAutoRead(on);
   }
 
@@ -135,12 +135,12 @@
   void carry(Attempt attempt) {
     current = attempt;
     latest = attempt;
-    attempt.carriedBy(this);
+    attempt.assignConnection(this);
     HttpRequest request = attempt.message().message(pool.leftMs(attempt));
     if (attempt.message().whole()) {
       written(attempt, channel.writeAndFlush(request), true);
       // What the kernel takes later would be written at a time that nobody looks at.
-      if (!attempt.written() && attempt.writtenBy() < Double.POSITIVE_INFINITY) {
+      if (!attempt.written() && attempt.writeDeadlineMs() < Double.POSITIVE_INFINITY) {
         attempt.abandon(Status.UNREACHABLE);
       }
       return;
@@ -149,7 +149,7 @@
     written(
         attempt, channel.writeAndFlush(new DefaultHttpContent(attempt.message().prefix())), false);
     if (!attempt.ended()) {
-      attempt.message().passTo(this);
+      attempt.message().streamTo(this);
     }
   }
 
@@ -170,26 +170,26 @@
   }
 
   @Override
-  public void piece(HttpContent piece) {
+  public void accept(HttpContent piece) {
     Attempt attempt = current;
     boolean last = piece instanceof LastHttpContent;
-    attempt.onSpent();
+    attempt.onBeyondPrefix();
     written(attempt, channel.writeAndFlush(piece), last);
     if (attempt.ended()) {
       return;
     }
     if (last) {
       attempt.message().detach(this);
-      attempt.onSent();
+      attempt.onLastPiece();
     } else if (channel.isWritable()) {
-      attempt.message().wantMore();
+      attempt.message().requestMore();
     }
   }
 
   @Override
   public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-    if (channel.isWritable() && current != null && current.message().passesTo(this)) {
-      current.message().wantMore();
+    if (channel.isWritable() && current != null && current.message().streamsTo(this)) {
+      current.message().requestMore();
     }
     ctx.fireChannelWritabilityChanged();
   }
@@ -207,7 +207,7 @@
       }
       head = response;
       if (head.status().codeClass() != HttpStatusClass.INFORMATIONAL) {
-        current.onHead();
+        current.onResponseHead();
       }
       if (served() && !current.written() && (used || current.message().whole())) {
         junk(Tally.Event.ANSWER_UNASKED); // a backend begins a request once its last byte has come
@@ -238,7 +238,7 @@
     }
     if (served() && content.content().isReadable()) {
       if (begun) {
-        current.onPiece(content.content().retain());
+        current.onResponsePiece(content.content().retain());
       } else {
         hold(content.content());
       }
@@ -260,7 +260,7 @@
 
   /** Passes the answer on from here on as it comes. */
   private void begin() {
-    if (!current.onBegin(head)) {
+    if (!current.onStreamedResponse(head)) {
       Attempt attempt = current;
       forget();
       attempt.abandon(Status.CANCELLED);
@@ -271,7 +271,7 @@
     if (held != null) {
       ByteBuf piece = held;
       held = null;
-      current.onPiece(piece);
+      current.onResponsePiece(piece);
     }
   }
 
@@ -296,10 +296,10 @@
     HttpResponse told = status == Status.OK ? answer : null;
     try {
       if (answered) {
-        read(true);
+        setReading(true);
         attempt.end(status, told, body);
       } else {
-        attempt.endClosed(status, told, body);
+        attempt.endAndClose(status, told, body);
         abort();
       }
     } finally {
@@ -363,7 +363,7 @@
     Attempt attempt = current;
     forget();
     if (attempt != null) {
-      attempt.abandon(attempt.broken());
+      attempt.abandon(attempt.statusIfBroken());
     }
     abort();
   }
--- a/front/src/main/java/willowdoor/front/servers/BackendPool.java
+++ b/front/src/main/java/willowdoor/front/servers/BackendPool.java
@@ -22,7 +22,7 @@
 import willowdoor.front.loop.Tally;
 import willowdoor.front.loop.Transport;
 import willowdoor.front.requests.Attempt;
-import willowdoor.front.requests.ModuleDriver;
+import willowdoor.front.requests.PolicyDriver;
 import willowdoor.policy.GatewayApi.BackendEntry;
 import willowdoor.policy.GatewayApi.Phase;
 import willowdoor.policy.GatewayApi.Status;
@@ -31,7 +31,7 @@
  * The connections to the backends, and the attempts on them. It picks no backend and repeats
  * nothing.
  */
-public final class BackendPool implements ModuleDriver.Servers {
+public final class BackendPool implements PolicyDriver.Backends {
 
   /**
    * An idle connection is retired at this share of the backends' own limit, well before they close
@@ -150,7 +150,7 @@
       if (!place.equals(b.place) || b.startedMs != e.startedMs()) {
         b.place = place;
         b.startedMs = e.startedMs();
-        cut(e.id());
+        cancelUnsent(e.id());
       }
     }
     if (news.full()) {
@@ -165,13 +165,13 @@
    * more.
    */
   private void remove(long id) {
-    cut(id);
+    cancelUnsent(id);
     backends.remove(id);
   }
 
   /** Ends all that has not reached the backend yet; what is under way goes on. */
   @Override
-  public void cut(long id) {
+  public void cancelUnsent(long id) {
     Backend b = backends.get(id);
     if (b != null) {
       b.generation++;
@@ -210,7 +210,7 @@
 
   /** What is left of an attempt's time. */
   double leftMs(Attempt attempt) {
-    return Math.max(0, attempt.endsAt() - clock.now());
+    return Math.max(0, attempt.deadlineMs() - clock.now());
   }
 
   /**
@@ -218,9 +218,9 @@
    * late.
    */
   private boolean tooLate(Attempt attempt) {
-    boolean bound = attempt.writtenBy() < Double.POSITIVE_INFINITY;
+    boolean bound = attempt.writeDeadlineMs() < Double.POSITIVE_INFINITY;
     return leftMs(attempt) == 0
-        || clock.now() > attempt.writtenBy()
+        || clock.now() > attempt.writeDeadlineMs()
         || bound && !attempt.message().whole();
   }
 
@@ -254,7 +254,7 @@
   private void connect(Backend b, Attempt attempt) {
     b.connecting.add(attempt);
     BackendConnection c = new BackendConnection(this, b, b.generation, tally);
-    double left = Math.min(leftMs(attempt), attempt.writtenBy() - clock.now());
+    double left = Math.min(leftMs(attempt), attempt.writeDeadlineMs() - clock.now());
     int limit = (int) Math.ceil(Math.min(connectLimitMs, Math.max(1, left)));
     double upBy = clock.now() + limit + CONNECT_SLACK_MS;
     Bootstrap limited = bootstrap.clone().option(ChannelOption.CONNECT_TIMEOUT_MILLIS, limit);
@@ -270,7 +270,7 @@
                   }
                 })
             .connect(b.place);
-    attempt.connecting(connected.channel());
+    attempt.connectingChannel(connected.channel());
     Transport.whenConnected(
         connected,
         f -> {
--- a/front/src/test/java/willowdoor/front/ClientLeavesTest.java
+++ b/front/src/test/java/willowdoor/front/ClientDisconnectTest.java
@@ -20,7 +20,7 @@
 
 /** Clients that leave while their request waits, with bytes behind it that nobody has read. */
 @Timeout(300)
-class ClientLeavesTest {
+class ClientDisconnectTest {
 
   private static final String UP = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
 
@@ -41,7 +41,7 @@
     RESETS,
     ENDS_SENDING;
 
-    void leave(Client client) throws IOException {
+    void disconnect(Client client) throws IOException {
       switch (this) {
         case CLOSES -> client.close();
         case RESETS -> {
@@ -62,7 +62,7 @@
   }
 
   /** So many times around the loop: what had come to it before has been seen. */
-  private void goRound() throws IOException {
+  private void runLoop() throws IOException {
     Client other = peers.client();
     for (int i = 0; i < 300; i++) {
       assertEquals(200, other.ask(UP).status());
@@ -72,9 +72,9 @@
   /**
    * What it sends is no request, and may be more than the sockets take: its end comes behind that.
    */
-  private static void sendAndLeave(Client client, int bytes, Way way) throws IOException {
+  private static void sendAndDisconnect(Client client, int bytes, Way way) throws IOException {
     client.socket.getOutputStream().write(new byte[bytes]);
-    way.leave(client);
+    way.disconnect(client);
   }
 
   /** Its attempt comes back as turned away, and would be followed by another. */
@@ -104,8 +104,8 @@
     Client client = peers.client();
     client.send(Peers.get("r1", UNHURRIED_MS));
     Peers.next(peers.atBackend);
-    sendAndLeave(client, bytes, way);
-    goRound();
+    sendAndDisconnect(client, bytes, way);
+    runLoop();
     left.countDown();
     // Under pressure, as behind an attempt that was turned away, others may be refused for a while.
     Client other = peers.client();
@@ -141,12 +141,12 @@
               ? Peers.post("r1", "", UNHURRIED_MS)
                   .replace("Content-Length: 0", "Content-Length: 300000")
               : Peers.get("r1", UNHURRIED_MS));
-      sendAndLeave(client, bytes, way);
-      goRound();
+      sendAndDisconnect(client, bytes, way);
+      runLoop();
       // Its connect is tried again by the system after that of the one that left.
       Client other = peers.client();
       other.send(Peers.get("other", UNHURRIED_MS));
-      goRound();
+      runLoop();
       for (SocketChannel c : fill) {
         c.close();
       }
--- a/front/src/test/java/willowdoor/front/ClientEndTest.java
+++ b/front/src/test/java/willowdoor/front/ConnectionCloseTest.java
@@ -18,7 +18,7 @@
 
 /** How the front door ends clients' connections, with bytes that cross the end. */
 @Timeout(30)
-class ClientEndTest {
+class ConnectionCloseTest {
 
   /** More than is read at once: some of it is still unread when the connection ends. */
   private static final String HALF_A_LINE = "GET /" + "x".repeat(10_000);
@@ -86,7 +86,7 @@
     CountDownLatch told = new CountDownLatch(1);
     peers.answer =
         (request, out) -> {
-          ClientLeavesTest.await(told);
+          ClientDisconnectTest.await(told);
           return Peers.write(out, Peers.OK);
         };
     startWithFewDescriptors();
@@ -171,7 +171,7 @@
     CountDownLatch told = new CountDownLatch(1);
     peers.answer =
         (request, out) -> {
-          ClientLeavesTest.await(told);
+          ClientDisconnectTest.await(told);
           return Peers.write(out, Peers.OK);
         };
     Client client = peers.client();
--- a/front/src/test/java/willowdoor/front/BadClientTest.java
+++ b/front/src/test/java/willowdoor/front/MisbehavingClientTest.java
@@ -19,7 +19,7 @@
 
 /** Peers that send no proper requests: each is told so, and costs nobody else a request. */
 @Timeout(30)
-class BadClientTest {
+class MisbehavingClientTest {
 
   private static final int SOCKETS = 128;
 
@@ -80,7 +80,7 @@
     CountDownLatch told = new CountDownLatch(1);
     peers.answer =
         (request, out) -> {
-          ClientLeavesTest.await(told);
+          ClientDisconnectTest.await(told);
           return Peers.write(out, Peers.OK);
         };
     Client proper = peers.client();
@@ -101,13 +101,13 @@
   /** Much at once, and gone: neither what they sent nor their number is in anybody's way. */
   @ParameterizedTest
   @CsvSource({"CLOSES", "RESETS"})
-  void peersThatSendMuchAndGoAreForgotten(ClientLeavesTest.Way way) throws Exception {
+  void peersThatSendMuchAndGoAreForgotten(ClientDisconnectTest.Way way) throws Exception {
     peers.start(withFewDescriptors());
     Client proper = peers.client();
     for (int i = 0; i < 3 * SOCKETS; i++) {
       Client client = peers.client();
       client.send("x".repeat(100_000));
-      way.leave(client);
+      way.disconnect(client);
     }
     assertEquals(200, proper.ask("GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status());
     assertEquals(200, peers.client().ask(Peers.get("r1", 3000)).status());
--- a/front/src/test/java/willowdoor/front/PauseTest.java
+++ b/front/src/test/java/willowdoor/front/ProcessPauseTest.java
@@ -11,7 +11,7 @@
 
 /** The process stands still while a request and then a change of the list come. */
 @Timeout(value = 40, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-class PauseTest {
+class ProcessPauseTest {
 
   private final Peers peers = new Peers();
 
--- a/front/src/test/java/willowdoor/front/RequestTimeTest.java
+++ b/front/src/test/java/willowdoor/front/RequestTimeoutTest.java
@@ -22,7 +22,7 @@
 
 /** What a request tells of its time, and what a backend is told of it. */
 @Timeout(30)
-class RequestTimeTest {
+class RequestTimeoutTest {
 
   private static final String TIME = "Request-Timeout-Ms: 3000\r\n";
 
--- a/front/src/test/java/willowdoor/front/AnswerTimeTest.java
+++ b/front/src/test/java/willowdoor/front/ResponseLatencyTest.java
@@ -11,7 +11,7 @@
 
 /** What the module is told of the time that an answer took. */
 @Timeout(30)
-class AnswerTimeTest {
+class ResponseLatencyTest {
 
   private final Peers peers = new Peers();
 
--- a/front/src/test/java/willowdoor/front/TimeFiguresTest.java
+++ b/front/src/test/java/willowdoor/front/TimeoutMeasurementTest.java
@@ -29,7 +29,7 @@
  * asserted.
  */
 @Timeout(60)
-class TimeFiguresTest {
+class TimeoutMeasurementTest {
 
   private static final int CLIENTS = 8;
   private static final int REQUESTS = 15;
--- a/front/src/test/java/willowdoor/front/clients/ArrivalTest.java
+++ b/front/src/test/java/willowdoor/front/clients/ArrivalTimeTest.java
@@ -6,36 +6,36 @@
 import willowdoor.front.loop.Looks;
 
 /** From when a request's time is counted, with the looks of the loop moved by hand. */
-class ArrivalTest {
+class ArrivalTimeTest {
 
   private final Looks looks = new Looks(1_000);
 
-  private Arrival accepted() {
+  private ArrivalTime accepted() {
     looks.begins(1_010);
     looks.foundNothing(1_020);
     looks.begins(1_020);
-    return new Arrival(looks);
+    return new ArrivalTime(looks);
   }
 
   @Test
   void whatComesToAnIdleLoopIsNoOlderThanTheLastLook() {
-    Arrival arrival = accepted();
+    ArrivalTime arrival = accepted();
     arrival.asked();
     looks.begins(1_030);
     looks.foundNothing(1_040);
     looks.begins(1_041);
-    arrival.read(true);
-    assertEquals(1_040, arrival.cameAt());
+    arrival.onRead(true);
+    assertEquals(1_040, arrival.arrivedAt());
   }
 
   @Test
   void whatComesWhileTheLoopStandsStillIsAsOldAsThat() {
-    Arrival arrival = accepted();
+    ArrivalTime arrival = accepted();
     arrival.asked();
     looks.begins(1_030);
     looks.begins(1_600);
-    arrival.read(true);
-    assertEquals(1_030, arrival.cameAt());
+    arrival.onRead(true);
+    assertEquals(1_030, arrival.arrivedAt());
   }
 
   /** A connection may have waited with its request to be accepted. */
@@ -43,53 +43,53 @@
   void whatComesWithAConnectionIsAsOldAsThatCanBe() {
     looks.begins(1_010);
     looks.begins(1_700);
-    Arrival arrival = new Arrival(looks);
+    ArrivalTime arrival = new ArrivalTime(looks);
     arrival.asked();
     looks.begins(1_701);
-    arrival.read(true);
-    assertEquals(1_010, arrival.cameAt());
+    arrival.onRead(true);
+    assertEquals(1_010, arrival.arrivedAt());
   }
 
   @Test
   void theTimeIsThatOfTheLastPiece() {
-    Arrival arrival = accepted();
+    ArrivalTime arrival = accepted();
     for (int at = 1_100; at < 1_500; at += 100) {
       arrival.asked();
       looks.begins(at);
       looks.foundNothing(at + 50);
       looks.begins(at + 60);
-      arrival.read(true);
+      arrival.onRead(true);
     }
-    assertEquals(1_450, arrival.cameAt());
+    assertEquals(1_450, arrival.arrivedAt());
   }
 
   /** Nobody looked while the answer before was awaited, and what came then is read at once. */
   @Test
   void whatIsReadUnwatchedCameAfterTheAnswerBefore() {
-    Arrival arrival = accepted();
+    ArrivalTime arrival = accepted();
     arrival.asked();
     looks.begins(1_100);
-    arrival.read(true);
+    arrival.onRead(true);
     looks.begins(1_300);
-    arrival.answered(1_301);
+    arrival.onAnswered(1_301);
     arrival.asked();
     looks.begins(1_400);
-    arrival.read(true);
-    assertEquals(1_301, arrival.cameAt());
+    arrival.onRead(true);
+    assertEquals(1_301, arrival.arrivedAt());
   }
 
   /** What a full buffer left behind came with it, however late it is read. */
   @Test
   void whatWasLeftBehindIsAsOldAsWhatWasRead() {
-    Arrival arrival = accepted();
+    ArrivalTime arrival = accepted();
     arrival.asked();
     looks.begins(1_100);
     looks.foundNothing(1_110);
     looks.begins(1_120);
-    arrival.read(false);
+    arrival.onRead(false);
     looks.begins(1_500);
     arrival.asked();
-    arrival.read(true);
-    assertEquals(1_110, arrival.cameAt());
+    arrival.onRead(true);
+    assertEquals(1_110, arrival.arrivedAt());
   }
 }
--- a/front/src/test/java/willowdoor/front/clients/ClientDrainTest.java
+++ b/front/src/test/java/willowdoor/front/clients/ClientDrainTest.java
@@ -43,29 +43,29 @@
 
   private void round(int afterMs) {
     nanos += TimeUnit.MILLISECONDS.toNanos(afterMs);
-    server.partWithIdle();
+    server.closeIdleConnections();
   }
 
   /** New connections come for 0.4 s after the signal. */
   @Test
   void thePlannedEndTakesNewConnectionsThoughTheOperatorsDrainIsOld() {
-    server.evacuate(true);
+    server.setOperatorDrain(true);
     rounds(5_000);
-    server.end();
+    server.shutDown();
     rounds(500);
-    assertFalse(server.ended());
+    assertFalse(server.isTerminated());
     rounds(100);
-    assertTrue(server.ended());
+    assertTrue(server.isTerminated());
   }
 
   /** Those that came in a pause of this process are accepted and read first. */
   @Test
   void theRoundBehindAPauseEndsNothing() {
     rounds(100);
-    server.end();
+    server.shutDown();
     round(900);
-    assertFalse(server.ended());
+    assertFalse(server.isTerminated());
     round(10);
-    assertTrue(server.ended());
+    assertTrue(server.isTerminated());
   }
 }
--- a/front/src/test/java/willowdoor/front/clients/ClientCrossingTest.java
+++ b/front/src/test/java/willowdoor/front/clients/DrainRaceTest.java
@@ -44,7 +44,7 @@
  * thread, which does not look at its sockets meanwhile. The clock is moved by hand.
  */
 @Timeout(30)
-class ClientCrossingTest {
+class DrainRaceTest {
 
   private static final String UP = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
 
@@ -83,7 +83,7 @@
     address = (InetSocketAddress) listening.localAddress();
     onLoop(
         () -> {
-          server.serve();
+          server.markReady();
           return null;
         });
     return listening;
@@ -123,7 +123,7 @@
   private void rounds(int ms) {
     for (int i = 0; i < ms / 10; i++) {
       nanos.addAndGet(TimeUnit.MILLISECONDS.toNanos(10));
-      server.partWithIdle();
+      server.closeIdleConnections();
     }
   }
 
@@ -137,7 +137,7 @@
     assertTrue(receive(resting).contains(" 200 "));
     onLoop(
         () -> {
-          server.end();
+          server.shutDown();
           rounds(540);
           return null;
         });
@@ -185,13 +185,13 @@
     onLoop(
         () -> {
           rounds(50);
-          assertFalse(server.ended());
+          assertFalse(server.isTerminated());
           send(resting, UP);
           return null;
         });
     assertTrue(ended(resting));
     resting.close();
-    while (!onLoop(server::ended)) {
+    while (!onLoop(server::isTerminated)) {
       Thread.onSpinWait();
     }
   }
@@ -204,13 +204,13 @@
     assertTrue(receive(resting).contains(" 200 "));
     onLoop(
         () -> {
-          server.evacuate(true);
+          server.setOperatorDrain(true);
           rounds(540);
-          server.evacuate(false);
+          server.setOperatorDrain(false);
           rounds(500);
-          server.evacuate(true);
+          server.setOperatorDrain(true);
           rounds(540);
-          server.evacuate(false);
+          server.setOperatorDrain(false);
           return null;
         });
     send(resting, UP);
@@ -223,11 +223,11 @@
     listen(Transport.BEST);
     onLoop(
         () -> {
-          server.end();
+          server.shutDown();
           rounds(300);
-          server.end();
+          server.shutDown();
           rounds(300);
-          assertTrue(server.ended());
+          assertTrue(server.isTerminated());
           return null;
         });
   }
@@ -240,7 +240,7 @@
     Socket waiting =
         onLoop(
             () -> {
-              server.end();
+              server.shutDown();
               rounds(540);
               Socket socket = connect();
               send(socket, UP);
@@ -298,7 +298,7 @@
     server.adopt(group, adopted).sync();
     onLoop(
         () -> {
-          server.serve();
+          server.markReady();
           server.acceptIfReady();
           return null;
         });
--- a/front/src/test/java/willowdoor/front/clients/RoundsTest.java
+++ b/front/src/test/java/willowdoor/front/clients/DrainRoundsTest.java
@@ -4,14 +4,14 @@
 
 import org.junit.jupiter.api.Test;
 
-class RoundsTest {
+class DrainRoundsTest {
 
   @Test
   void aProcessThatIsAlwaysSlowStillEnds() {
-    Rounds rounds = new Rounds();
+    DrainRounds rounds = new DrainRounds();
     int acted = 0;
     for (int i = 0; i < 10; i++) {
-      acted += rounds.acts(100 * i) ? 1 : 0;
+      acted += rounds.shouldAct(100 * i) ? 1 : 0;
     }
     assertEquals(5, acted);
   }
--- a/front/src/test/java/willowdoor/front/clients/ReadAheadTest.java
+++ b/front/src/test/java/willowdoor/front/clients/ReadAheadTest.java
@@ -66,7 +66,7 @@
                         input =
                             new ReadAhead(
                                 looks,
-                                new Arrival(looks),
+                                new ArrivalTime(looks),
                                 () -> insideBody,
                                 ReadAheadTest.this::count);
                         channel.pipeline().addLast(input, new Taker());
@@ -129,7 +129,7 @@
     send(bytes);
     client.close();
     assertTrue(ended.await(10, TimeUnit.SECONDS));
-    assertTrue(most <= ReadAhead.MOST_AHEAD);
+    assertTrue(most <= ReadAhead.MAX_BUFFERED_BYTES);
     assertEquals(0, counted.get());
   }
 
@@ -153,7 +153,7 @@
       Thread.onSpinWait();
     }
     client.getOutputStream().write("second,third".getBytes(StandardCharsets.US_ASCII));
-    while (!group.next().submit(input::holds).sync().getNow()) {
+    while (!group.next().submit(input::hasBuffered).sync().getNow()) {
       Thread.onSpinWait();
     }
     group.next().submit(() -> accepted.read()).sync();
--- a/front/src/test/java/willowdoor/front/requests/BudgetTest.java
+++ b/front/src/test/java/willowdoor/front/requests/BudgetTest.java
@@ -19,21 +19,21 @@
 
   @Test
   void theLastCallComesAheadOfTheEndAndNeverLate() {
-    assertEquals(394, budget.lastCallMs(1_000));
-    assertEquals(0, budget.lastCallMs(1_395));
+    assertEquals(394, budget.finalAnswerDelayMs(1_000));
+    assertEquals(0, budget.finalAnswerDelayMs(1_395));
   }
 
   @Test
   void theShareLeftFallsFromOneToNought() {
-    assertEquals(1, budget.shareLeft(990));
-    assertEquals(0.25, budget.shareLeft(1_300));
-    assertEquals(0, budget.shareLeft(2_000));
-    assertEquals(0, Budget.of(1_000, 0).shareLeft(1_000));
+    assertEquals(1, budget.fractionLeft(990));
+    assertEquals(0.25, budget.fractionLeft(1_300));
+    assertEquals(0, budget.fractionLeft(2_000));
+    assertEquals(0, Budget.of(1_000, 0).fractionLeft(1_000));
   }
 
   @Test
   void whatEndsEarlierCutsItAndWhatEndsLaterDoesNotExtendIt() {
-    assertEquals(new Budget(1_000, 1_200), budget.cutAt(1_200));
-    assertEquals(budget, budget.cutAt(5_000));
+    assertEquals(new Budget(1_000, 1_200), budget.cappedAt(1_200));
+    assertEquals(budget, budget.cappedAt(5_000));
   }
 }
--- a/front/src/test/java/willowdoor/front/requests/InboxTest.java
+++ b/front/src/test/java/willowdoor/front/requests/EventQueueTest.java
@@ -18,13 +18,13 @@
 import willowdoor.policy.GatewayApi.TimerFired;
 
 /** The order in which the module hears of what came, on a clock moved by hand. */
-class InboxTest {
+class EventQueueTest {
 
   private long nanos;
   private final Clock clock = new Clock(Instant.EPOCH, () -> nanos);
   private final EmbeddedChannel channel = new EmbeddedChannel();
-  private final List<Event> heard = new ArrayList<>();
-  private final Inbox inbox = new Inbox(channel.eventLoop(), clock, heard::add);
+  private final List<Event> delivered = new ArrayList<>();
+  private final EventQueue inbox = new EventQueue(channel.eventLoop(), clock, delivered::add);
 
   @AfterEach
   void close() {
@@ -43,15 +43,15 @@
     inbox.add(event);
     inbox.addList(list(Phase.SERVING), () -> {});
     inbox.addList(list(Phase.DRAINING), () -> {});
-    assertEquals(List.of(), heard);
+    assertEquals(List.of(), delivered);
     channel.runScheduledPendingTasks();
-    assertEquals(List.of(list(Phase.SERVING), list(Phase.DRAINING), event), heard);
+    assertEquals(List.of(list(Phase.SERVING), list(Phase.DRAINING), event), delivered);
   }
 
   @Test
   void whatAListEndsIsHeardBehindIt() {
     TimerFired event = new TimerFired("ended");
     inbox.addList(list(Phase.DRAINING), () -> inbox.add(event));
-    assertEquals(List.of(list(Phase.DRAINING), event), heard);
+    assertEquals(List.of(list(Phase.DRAINING), event), delivered);
   }
 }
--- a/front/src/test/java/willowdoor/front/requests/WaitLimitsTest.java
+++ b/front/src/test/java/willowdoor/front/requests/RequestDeadlineTest.java
@@ -41,10 +41,10 @@
 /**
  * Every wait of a request ends within its time, with the clock moved by hand and the real module.
  */
-class WaitLimitsTest {
+class RequestDeadlineTest {
 
   /** What the peers of the front door do with all that is asked of them. */
-  private enum Trouble {
+  private enum Fault {
     NO_SERVER,
     CONNECTING,
     UNREACHABLE,
@@ -62,72 +62,72 @@
   private boolean counterAnswers = true;
   private final Tally tally = new Tally();
   private QuotaPolicy policy;
-  private ModuleDriver driver;
+  private PolicyDriver driver;
 
   /** A client that notes how it was answered, and when. */
-  private class Heard implements ModuleDriver.Client {
+  private class RecordingClient implements PolicyDriver.Client {
     final double cameAt;
     final List<String> answers = new ArrayList<>();
-    double at = Double.NaN;
+    double answeredAt = Double.NaN;
 
-    Heard(double cameAt) {
+    RecordingClient(double cameAt) {
       this.cameAt = cameAt;
     }
 
     private void note(String answer) {
       answers.add(answer);
-      at = clock.now();
+      answeredAt = clock.now();
     }
 
     @Override
-    public double cameAt() {
+    public double arrivedAt() {
       return cameAt;
     }
 
     @Override
-    public void served(HttpResponse head, ByteBuf body) {
+    public void sendResponse(HttpResponse head, ByteBuf body) {
       note("served");
     }
 
     @Override
-    public void refused(double holdOffMs) {
+    public void sendRefusal(double holdOffMs) {
       note("refused");
     }
 
     @Override
-    public void failed() {
+    public void sendFailure() {
       note("failed");
     }
 
     @Override
-    public void begin(HttpResponse head, Attempt.Carrier from) {
+    public void beginResponse(HttpResponse head, Attempt.Connection from) {
       throw new AssertionError("no answer comes in pieces here");
     }
 
     @Override
-    public void piece(ByteBuf piece) {
+    public void sendPiece(ByteBuf piece) {
       piece.release();
     }
 
     @Override
-    public void finish() {
+    public void finishResponse() {
       note("finished");
     }
 
     @Override
-    public void cut() {
+    public void abortResponse() {
       note("cut");
     }
   }
 
-  private final class Servers implements ModuleDriver.Servers {
+  private final class RecordingBackends implements PolicyDriver.Backends {
     @Override
     public void onRoster(RosterNews news) {
       List.copyOf(started).forEach(a -> a.abandon(Status.UNREACHABLE));
     }
 
     @Override
-    public void cut(long backend) {}
+    public void cancelUnsent(long backend) {}
 
     @Override
     public void start(long backend, Attempt attempt) {
@@ -157,7 +157,7 @@
                           + "\"AimMs\":1500,\"DeadlineMs\":4000,"
                           + "\"Value\":5},"));
       policy = new QuotaPolicy(WireSettings.read(JsonFields.child(config, "settings")), 7);
-      driver = new ModuleDriver(channel.eventLoop(), clock, policy, new Servers(), tally);
+      driver = new PolicyDriver(channel.eventLoop(), clock, policy, new RecordingBackends(), tally);
       driver.start(this::count, RosterNews.of(JsonFields.child(config, "known")));
     }
   }
@@ -167,7 +167,7 @@
     if (counterAnswers) {
       channel
           .eventLoop()
-          .execute(() -> driver.onCounted(new CounterResult(name, Status.OK, amount, 1)));
+          .execute(() -> driver.onCounterResult(new CounterResult(name, Status.OK, amount, 1)));
     }
   }
 
@@ -176,28 +176,28 @@
     channel.close();
   }
 
-  private void pass(double ms) {
+  private void advance(double ms) {
     for (double end = clock.now() + ms; clock.now() < end; ) {
       ticker.advanceMillis(1);
       channel.runPendingTasks();
     }
   }
 
-  private Heard take(String id, String type, double timeoutMs, double ageMs) {
-    Outgoing message =
-        new Outgoing(
+  private RecordingClient submit(String id, String type, double timeoutMs, double ageMs) {
+    OutgoingRequest message =
+        new OutgoingRequest(
             HttpMethod.POST,
             "/" + type,
             new DefaultHttpHeaders(),
             Unpooled.copiedBuffer(new byte[10]),
             true,
             () -> {});
-    Heard heard = new Heard(clock.now() - ageMs);
-    driver.take(new Asked(id, type, "basic", 42, 2, 2, timeoutMs), message, heard);
+    RecordingClient heard = new RecordingClient(clock.now() - ageMs);
+    driver.submit(new ParsedRequest(id, type, "basic", 42, 2, 2, timeoutMs), message, heard);
     return heard;
   }
 
-  private void set(Trouble trouble) throws Exception {
+  private void set(Fault trouble) throws Exception {
     switch (trouble) {
       case NO_SERVER -> begin(0);
       case UNREACHABLE ->
@@ -216,7 +216,7 @@
 
   @ParameterizedTest
   @EnumSource
-  void eachRequestIsAnsweredOnceWithinItsTime(Trouble trouble) throws Exception {
+  void eachRequestIsAnsweredOnceWithinItsTime(Fault trouble) throws Exception {
     set(trouble);
     for (boolean counted : new boolean[] {true, false}) {
       counterAnswers = counted;
@@ -225,20 +225,22 @@
           for (int age : new int[] {0, 50, 400}) {
             started.clear();
             String what = trouble + " " + type + " " + timeout + " " + age + " " + counted;
-            Heard client = take(what, type, timeout, age);
+            RecordingClient client = submit(what, type, timeout, age);
             double endsAt = client.cameAt + timeout;
-            pass(timeout + 20);
+            advance(timeout + 20);
             assertEquals(1, client.answers.size(), what + " " + client.answers);
-            assertTrue(client.at <= Math.max(endsAt, client.cameAt + age), what + " " + client.at);
+            assertTrue(
+                client.answeredAt <= Math.max(endsAt, client.cameAt + age),
+                what + " " + client.answeredAt);
             assertFalse(client.answers.contains("served"), what);
             boolean written = started.stream().anyMatch(Attempt::written);
-            boolean mayHaveRun = written && trouble != Trouble.TURNED_AWAY;
+            boolean mayHaveRun = written && trouble != Fault.TURNED_AWAY;
             assertFalse(
                 mayHaveRun && type.equals("seal") && client.answers.contains("refused"), what);
-            assertTrue(started.stream().allMatch(a -> a.endsAt() <= endsAt), what);
+            assertTrue(started.stream().allMatch(a -> a.deadlineMs() <= endsAt), what);
             assertTrue(started.isEmpty() || age < timeout, what);
-            pass(4_000);
-            assertEquals(0, driver.held(), what);
+            advance(4_000);
+            assertEquals(0, driver.requestCount(), what);
             assertEquals(0, driver.heldBytes(), what);
           }
         }
@@ -256,21 +258,21 @@
     "SILENT, true, 300, 0, ANSWER"
   })
   void theStageAtWhichTimeRanOutIsCounted(
-      Trouble trouble, boolean counted, int timeout, int age, String stage) throws Exception {
+      Fault trouble, boolean counted, int timeout, int age, String stage) throws Exception {
     set(trouble);
     counterAnswers = counted;
     assertFalse(policy.summarizeStats().contains("expired " + stage));
-    take("r1", "seal", timeout, age);
-    pass(timeout);
+    submit("r1", "seal", timeout, age);
+    advance(timeout);
     assertTrue(policy.summarizeStats().endsWith("expired " + stage + "=1"));
     assertTrue(policy.summarizeStats().endsWith("expired"));
   }
 
   @Test
   void howMuchTimeWasLeftAsAttemptsBeganIsCounted() throws Exception {
-    set(Trouble.SILENT);
+    set(Fault.SILENT);
     for (int age : new int[] {0, 100, 300, 600, 600}) {
-      take("r" + age + started.size(), "quote", 1_000, age);
+      submit("r" + age + started.size(), "quote", 1_000, age);
       channel.runPendingTasks();
     }
     assertEquals("now began_with_75%=2 began_with_50%=1 began_with_25%=2", tally.line("now"));
@@ -280,50 +282,51 @@
   /** A body beyond what is kept has no end while it comes; its time begins with its last byte. */
   @Test
   void theTimeOfALargeBodyBeginsWithItsLastByte() {
-    Outgoing message =
-        new Outgoing(
+    OutgoingRequest message =
+        new OutgoingRequest(
             HttpMethod.POST,
             "/buy",
             new DefaultHttpHeaders(),
             Unpooled.copiedBuffer(new byte[10]),
             false,
             () -> {});
-    Heard client =
-        new Heard(clock.now()) {
+    RecordingClient client =
+        new RecordingClient(clock.now()) {
           @Override
-          public double cameAt() {
+          public double arrivedAt() {
             return clock.now() - 100;
           }
         };
-    driver.take(new Asked("r1", "buy", "basic", 42, 2, 2, 1_000), message, client);
+    driver.submit(new ParsedRequest("r1", "buy", "basic", 42, 2, 2, 1_000), message, client);
     channel.runPendingTasks();
-    started.get(0).onSpent();
-    pass(10_000);
+    started.get(0).onBeyondPrefix();
+    advance(10_000);
     assertEquals(List.of(), client.answers);
     double lastByte = clock.now() - 100;
     started.get(0).written(true);
-    started.get(0).onSent();
-    pass(800);
+    started.get(0).onLastPiece();
+    advance(800);
     assertEquals(List.of(), client.answers);
-    pass(200);
+    advance(200);
     assertEquals(List.of("failed"), client.answers);
-    assertTrue(client.at <= lastByte + 1_000);
+    assertTrue(client.answeredAt <= lastByte + 1_000);
   }
 
   /** The process's end bounds what is under way and what still comes, and extends nothing. */
   @ParameterizedTest
   @CsvSource({"4000, 494", "300, 294"})
   void theEndOfTheProcessEndsEveryWait(double timeout, double answeredBy) throws Exception {
-    set(Trouble.SILENT);
-    Heard before = take("r1", "seal", timeout, 0);
-    driver.endWithin(500);
-    Heard after = take("r2", "seal", timeout, 0);
+    set(Fault.SILENT);
+    RecordingClient before = submit("r1", "seal", timeout, 0);
+    driver.shutDownWithin(500);
+    RecordingClient after = submit("r2", "seal", timeout, 0);
     double told = clock.now();
-    pass(510);
-    assertTrue(started.get(1).endsAt() <= told + 500);
-    for (Heard client : List.of(before, after)) {
+    advance(510);
+    assertTrue(started.get(1).deadlineMs() <= told + 500);
+    for (RecordingClient client : List.of(before, after)) {
       assertEquals(List.of("failed"), client.answers);
-      assertTrue(client.at <= told + answeredBy, "answered after " + (client.at - told));
+      assertTrue(
+          client.answeredAt <= told + answeredBy, "answered after " + (client.answeredAt - told));
     }
   }
 
@@ -335,20 +338,20 @@
   void aClientThatLeavesEndsWhatHasNotReachedAServer(boolean reached) {
     for (int i = 0; i < 200; i++) {
       started.clear();
-      Heard client = take("r" + i, "quote", 2_000, 0);
+      RecordingClient client = submit("r" + i, "quote", 2_000, 0);
       channel.runPendingTasks();
       started.get(0).written(reached);
-      driver.clientLeft("r" + i);
+      driver.onClientDisconnected("r" + i);
       assertEquals(!reached, started.get(0).ended());
       assertEquals(0, driver.heldBytes());
-      assertEquals(reached ? 1 : 0, driver.held());
+      assertEquals(reached ? 1 : 0, driver.requestCount());
       started
           .get(0)
           .end(
               Status.OK,
               new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK),
               null);
-      assertEquals(0, driver.held());
+      assertEquals(0, driver.requestCount());
       assertEquals(List.of(), client.answers);
     }
   }
@@ -360,11 +363,11 @@
   @Test
   void anAnswerOfTheCounterAfterTheEndKeepsTheBooks() {
     counterAnswers = false;
-    take("r1", "quote", 2_000, 0);
-    driver.clientLeft("r1");
-    driver.onCounted(new CounterResult(adds.get(0).split(" ")[0], Status.OK, 2, 30));
+    submit("r1", "quote", 2_000, 0);
+    driver.onClientDisconnected("r1");
+    driver.onCounterResult(new CounterResult(adds.get(0).split(" ")[0], Status.OK, 2, 30));
     counterAnswers = true;
-    take("r2", "quote", 2_000, 0);
+    submit("r2", "quote", 2_000, 0);
     assertTrue(adds.get(0).endsWith(" 2.0"), adds.toString());
     assertTrue(adds.get(1).endsWith(" 0.0"), adds.toString());
   }
@@ -373,12 +376,12 @@
   @Test
   void whatADrainEndsIsNotSentThereAgain() throws Exception {
     begin(2);
-    Heard client = take("r1", "quote", 2_000, 0);
+    RecordingClient client = submit("r1", "quote", 2_000, 0);
     channel.runPendingTasks();
     String news = Peers.list(8, true, Peers.entry("s-9", 7009, "leaving"));
     driver.onRoster(RosterNews.parse(news.getBytes(StandardCharsets.UTF_8), clock.now()));
     assertEquals(1, started.size());
-    pass(2_000);
+    advance(2_000);
     assertEquals(1, started.size());
     assertEquals(List.of("refused"), client.answers);
   }
@@ -389,7 +392,7 @@
   @Test
   void theWallClockMovesNothing() {
     double before = clock.now();
-    pass(5_000);
+    advance(5_000);
     assertEquals(5_000, clock.now() - before, 1e-3);
   }
 }
--- a/front/src/test/java/willowdoor/front/servers/MovedServerTest.java
+++ b/front/src/test/java/willowdoor/front/servers/MovedServerTest.java
@@ -74,7 +74,7 @@
   private void tell(News news, RosterNews... messages) {
     if (news == News.TAKEN_OUT_AND_BACK) {
       peers.banned.add(id);
-      peers.pool.cut(id);
+      peers.pool.cancelUnsent(id);
       peers.banned.remove(id);
     } else {
       for (RosterNews message : messages) {
--- a/front/src/test/java/willowdoor/front/servers/NotedAttempt.java
+++ b/front/src/test/java/willowdoor/front/servers/NotedAttempt.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.function.Consumer;
 import willowdoor.front.requests.Attempt;
-import willowdoor.front.requests.Outgoing;
+import willowdoor.front.requests.OutgoingRequest;
 import willowdoor.policy.GatewayApi.Status;
 
 /** An attempt that notes its end, without the table of requests above it. */
@@ -25,47 +25,47 @@
   /** What the module does on its end. */
   Consumer<Status> next = status -> {};
 
-  NotedAttempt(Outgoing message, double endsAt) {
+  NotedAttempt(OutgoingRequest message, double endsAt) {
     this(message, endsAt, Double.POSITIVE_INFINITY);
   }
 
-  NotedAttempt(Outgoing message, double endsAt, double writtenBy) {
+  NotedAttempt(OutgoingRequest message, double endsAt, double writtenBy) {
     super(message, endsAt, writtenBy);
   }
 
   /** A request that is whole, with so many bytes of body. */
-  static Outgoing message(int length) {
+  static OutgoingRequest message(int length) {
     return message(length, true);
   }
 
   /** A request of which the rest has still to come. */
-  static Outgoing inPieces() {
+  static OutgoingRequest inPieces() {
     return message(10, false);
   }
 
-  private static Outgoing message(int length, boolean whole) {
+  private static OutgoingRequest message(int length, boolean whole) {
     DefaultHttpHeaders headers = new DefaultHttpHeaders();
-    Outgoing.frame(headers, headers, whole, length, true);
-    return new Outgoing(
+    OutgoingRequest.setFraming(headers, headers, whole, length, true);
+    return new OutgoingRequest(
         HttpMethod.POST, "/buy", headers, Unpooled.copiedBuffer(new byte[length]), whole, () -> {});
   }
 
   @Override
-  public void onSpent() {}
+  public void onBeyondPrefix() {}
 
   @Override
-  public void onSent() {}
+  public void onLastPiece() {}
 
   @Override
-  public void onHead() {}
+  public void onResponseHead() {}
 
   @Override
-  public boolean onBegin(HttpResponse head) {
+  public boolean onStreamedResponse(HttpResponse head) {
     return false;
   }
 
   @Override
-  public void onPiece(ByteBuf piece) {
+  public void onResponsePiece(ByteBuf piece) {
     piece.release();
   }
 
