--- a/front/src/main/java/willowdoor/front/clients/ArrivalTime.java
+++ b/front/src/main/java/willowdoor/front/clients/ArrivalTime.java
@@ -3,46 +3,55 @@
 import willowdoor.front.loop.Looks;
 
 /**
- * When the bytes that were last read from a client can have come at the earliest, as far as it was
- * seen. Where the connection was looked at, that is the look before. Where it was not, as nothing
- * was asked of it, that is the moment at which it was last known to be empty: when it was read, or
- * when the answer before was written, as a client sends one request at a time.
+ * The earliest time at which the bytes last read from a client can have arrived, as far as the
+ * event loop can tell. If the loop polled the connection for input, this is the time of the poll
+ * before the one that found the bytes. If no read was requested, the connection was not polled.
+ * Then it is the time at which the connection was last known to be empty: when it was read, or when
+ * the previous response was written, because a client sends one request at a time.
  */
 final class ArrivalTime {
 
   private final Looks polls;
 
-  /** Nothing that is still unread came before this. */
+  /** No byte that is still unread arrived before this time. */
   private double emptyAt;
 
   private double arrivedAt;
-  private boolean asked;
+  private boolean readRequested;
   private long requestedAtPoll;
 
-  /** A connection that was accepted now, and made no earlier than what this look finds. */
+  /**
+   * For a connection that is accepted now. It was opened no earlier than the earliest time that the
+   * present poll covers.
+   */
   ArrivalTime(Looks polls) {
     this.polls = polls;
     emptyAt = polls.since();
     arrivedAt = emptyAt;
   }
 
-  /** From the next look on it is seen whether anything has come. */
-  void asked() {
-    if (!asked) {
-      asked = true;
+  /**
+   * Records that a read was requested: from the next poll on, the loop detects whether bytes have
+   * arrived.
+   */
+  void onReadRequested() {
+    if (!readRequested) {
+      readRequested = true;
       requestedAtPoll = polls.count();
     }
   }
 
-  /** Bytes were read; drained, where that left none behind. */
+  /**
+   * Records that bytes were read. {@code drained} says that the read left no bytes in the socket.
+   */
   void onRead(boolean drained) {
-    boolean polled = asked && polls.count() - requestedAtPoll >= 2;
+    boolean polled = readRequested && polls.count() - requestedAtPoll >= 2;
     arrivedAt = polled ? Math.max(emptyAt, polls.since()) : emptyAt;
     emptyAt = drained ? polls.begunAt() : arrivedAt;
-    asked = false;
+    readRequested = false;
   }
 
-  /** The answer to all that was read has been written. */
+  /** Records that the response to everything read so far was written. */
   void onAnswered(double now) {
     emptyAt = Math.max(emptyAt, now);
   }
--- a/front/src/main/java/willowdoor/front/clients/ClientConnection.java
+++ b/front/src/main/java/willowdoor/front/clients/ClientConnection.java
@@ -17,9 +17,10 @@
 import willowdoor.front.loop.Tally;
 
 /**
- * One client's connection: a request at a time, each with the one final answer. Requests written
- * behind the present one wait. What it reads comes from {@link ReadAhead}, what it answers goes
- * through {@link ResponseWriter}, and it is ended by {@link LingeringClose} alone.
+ * One client's connection. It handles one request at a time, and each gets exactly one final
+ * answer; requests that are pipelined behind the present one wait. Input comes from {@link
+ * ReadAhead}, responses go through {@link ResponseWriter}, and only {@link LingeringClose} ends the
+ * connection.
  */
 final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> {
 
@@ -36,16 +37,19 @@
   private Exchange exchange;
   private double openedAt;
 
-  /** One connection too many: its first request is refused, and it ends. */
+  /**
+   * The connection exceeds the limit on connections: its first request is refused, and the
+   * connection ends.
+   */
   private boolean overLimit;
 
-  /** A part was asked for that has not come. */
+  /** The next part of a request was requested from the pipeline and has not arrived. */
   private boolean readPending;
 
-  /** The next request waits until there is room for its answer. */
+  /** The next request is not read until there is room for its response. */
   private boolean writeBlocked;
 
-  /** How many requests have come to their turn. */
+  /** The number of requests whose handling has begun. */
   private long requestsStarted;
 
   ClientConnection(ClientServer server, Looks polls) {
@@ -55,7 +59,7 @@
     receiveTimeout = new ReceiveTimeout(this::onReceiveTimeout);
   }
 
-  /** The bytes' way to this and back. */
+  /** The handlers of the pipeline, from the socket to this handler. */
   ChannelHandler[] handlers() {
     return new ChannelHandler[] {
       input, receiveTimeout, decoder, new HttpResponseEncoder(), new FlowControlHandler(), this
@@ -93,7 +97,9 @@
     return exchange.receiving();
   }
 
-  /** Asks for the next part: the pieces of a request, or the head of the next one. */
+  /**
+   * Requests the next part: a piece of the present request's body, or the head of the next request.
+   */
   void read() {
     readPending = true;
     channel.read();
@@ -102,7 +108,7 @@
     }
   }
 
-  /** What was read last may not have been a whole part. */
+  /** The bytes that were read last may not have completed a part. */
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
     if (readPending) {
@@ -126,10 +132,10 @@
         receiveTimeout.onHeadEnd();
         server.markBusy(this);
         requestsStarted++;
-        exchange.head(request, overLimit);
+        exchange.onHead(request, overLimit);
       }
       if (part instanceof HttpContent piece) {
-        exchange.piece(piece);
+        exchange.onBodyPiece(piece);
       } else if (!closing.begun()) {
         read();
       }
@@ -149,25 +155,30 @@
     ctx.fireChannelWritabilityChanged();
   }
 
-  /** The body of the present request has come whole. */
+  /** Called when the body of the present request has arrived in full. */
   void onBodyEnd() {
     receiveTimeout.onBodyEnd();
     input.watchForClose();
   }
 
-  /** The present request is read and answered: the connection ends, or waits for the next one. */
+  /**
+   * Called when the present request is read and answered. The connection then ends or waits for the
+   * next request.
+   */
   void onExchangeEnd(boolean keepAlive) {
     if (keepAlive && (!input.overflowed() || nextRequestBegun())) {
       server.markIdle(this);
-      // Not at once: answers that come at once would nest as deep as the requests behind each
-      // other.
+      // Deferred: a direct call would recurse once for each pipelined request that is answered at
+      // once.
       channel.eventLoop().execute(this::readNext);
     } else {
       end();
     }
   }
 
-  /** Once the client has read its answers so far, but for what the sockets take. */
+  /**
+   * Reads the next request, unless responses that the client has not read fill the output buffer.
+   */
   private void readNext() {
     writeBlocked = !channel.isWritable();
     if (!closing.begun() && !writeBlocked) {
@@ -178,12 +189,15 @@
     }
   }
 
-  /** In a drain the connection is kept for what has come already, and ends behind that. */
+  /**
+   * Whether the connection may stay open after the response. In a drain it stays open for requests
+   * that have already arrived, and ends after them.
+   */
   private boolean mayKeepAlive() {
     return !server.draining() && !input.overflowed() || nextRequestBegun();
   }
 
-  /** Whether anything has come behind the present request. */
+  /** Whether any byte of the next request has arrived. */
   private boolean nextRequestBegun() {
     return decoder.decodedHeads() > requestsStarted
         || decoder.hasPartialInput()
@@ -191,8 +205,8 @@
   }
 
   /**
-   * Answers what cannot be read any further, and lets the client read that before the connection
-   * ends.
+   * Answers input that cannot be read any further with an error, and lets the client read the error
+   * before the connection ends.
    */
   void endWithError(HttpResponseStatus status, String reason) {
     exchange.releasePrefix();
@@ -214,22 +228,22 @@
     closing.begin();
   }
 
-  /** Ends it so that its client sees that the answer is not whole. */
+  /** Resets the connection, so that the client can tell that the response is incomplete. */
   void reset() {
     closing.reset();
   }
 
-  /** Whether its end has begun. */
+  /** Whether the close of the connection has begun. */
   boolean isClosing() {
     return closing.begun();
   }
 
-  /** Whether neither a request is on it nor a part of one has come. */
+  /** Whether there is no request on the connection and no part of one has arrived. */
   boolean isIdle() {
     return hasNoRequest() && !receiveTimeout.partialHead() && !nextRequestBegun();
   }
 
-  /** Ends the connection if no request is on it, and tells whether that is so. */
+  /** Ends the connection if it is idle. Returns whether it was. */
   boolean closeIfIdle() {
     boolean idle = isIdle() && !input.readDirectly();
     if (idle) {
@@ -238,19 +252,21 @@
     return idle;
   }
 
-  /** Ends the connection though a part of a request may have come. */
+  /**
+   * Ends the connection unless a request's complete head has arrived, even if a part of a head has.
+   */
   void closeIfNoRequest() {
     if (hasNoRequest()) {
       end();
     }
   }
 
-  /** Whether no whole head of a request is on it. */
+  /** Whether no request with a complete head is on the connection, and its close has not begun. */
   boolean hasNoRequest() {
     return !exchange.isOpen() && !closing.begun();
   }
 
-  /** Ends it at once, as descriptors run out. */
+  /** Closes the connection at once, as descriptors run out. */
   void closeNow() {
     closing.closeNow();
   }
@@ -282,7 +298,7 @@
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
     if (cause instanceof RuntimeException) {
-      LOG.log(Level.SEVERE, "request failed", cause);
+      LOG.log(Level.SEVERE, "handling of a client's connection failed", cause);
     }
     closing.closeNow();
   }
--- a/front/src/main/java/willowdoor/front/clients/ClientServer.java
+++ b/front/src/main/java/willowdoor/front/clients/ClientServer.java
@@ -31,37 +31,45 @@
 import willowdoor.front.requests.ParsedRequest;
 import willowdoor.front.requests.PolicyDriver;
 
-/** Accepts clients, and tells their connections what all of them share. */
+/** Accepts clients and holds the state that their connections share. */
 public final class ClientServer {
 
   private static final Logger LOG = Logger.getLogger(ClientServer.class.getName());
 
-  /** A client's connection on which nothing moves for so long ends. */
+  /** A client's connection without any traffic for this long is closed. */
   private static final int IDLE_TIMEOUT_S = 30;
 
-  /** A new connection is opened for a request: one without any after this gives way first. */
+  /**
+   * Clients open a connection in order to send a request. A connection that has had no request for
+   * this long is evicted first.
+   */
   private static final double SILENT_MS = 500;
 
   /**
-   * For so long after the beginning of a drain clients that are at work get their answer with the
-   * news that it is the last; new connections go on coming for the first 0.4 s. What is idle then
-   * is closed.
+   * For this long after a drain begins, the responses to active clients say that they are the last
+   * on their connection. New connections go on arriving for the first 0.4 s. Connections that are
+   * idle after this time are closed.
    */
   private static final double DRAIN_NOTICE_MS = 550;
 
-  /** A connection that was made shortly before the end gets so long for its request. */
+  /**
+   * The time that a connection which was opened shortly before the shutdown has for its first
+   * request.
+   */
   private static final double FIRST_REQUEST_MS = 100;
 
-  /** Idle connections are closed a few at a time: what came meanwhile is read in between. */
+  /**
+   * Idle connections are closed a few at a time; input that arrived meanwhile is read in between.
+   */
   private static final int MAX_CLOSED_PER_ROUND = 8;
 
-  /** So many of those that might make room for a new connection are tried. */
+  /** The number of connections that are tried in order to make room for a new one. */
   private static final int MAX_EVICTION_TRIES = 8;
 
   private static final int MAX_REQUESTS = 400;
   private static final int MAX_REQUEST_BYTES = 8 << 20;
 
-  /** Bytes that tell a peer's address of any family, with their count. */
+  /** Size in bytes of a peer address of any family, with its length. */
   private static final int MAX_ADDRESS_BYTES = 26;
 
   private final Transport transport;
@@ -72,34 +80,37 @@
   private final Descriptors descriptors;
   private final Tally tally;
 
-  /** Whether the list of template servers is as new as can be had, and names any. */
+  /** Whether the list of template servers is as recent as possible and not empty. */
   private final BooleanSupplier hasBackends;
 
   private final Set<ClientConnection> connections = new HashSet<>();
 
   /**
-   * Those that are being closed, the first of them first: they give way where descriptors run out.
+   * Connections that are being closed, oldest first. They are closed at once if descriptors run
+   * out.
    */
   private final LinkedHashSet<ClientConnection> lingering = new LinkedHashSet<>();
 
-  /**
-   * Those of them that no request is on, the longest idle first: without a request so far, and
-   * after one.
-   */
+  /** Connections that have not had a request yet, the oldest first. */
   private final LinkedHashSet<ClientConnection> unused = new LinkedHashSet<>();
 
+  /** Connections that have had a request and have none now, the longest idle first. */
   private final LinkedHashSet<ClientConnection> idle = new LinkedHashSet<>();
+
   private int bufferedBytes;
   private Channel listener;
 
-  /** Whether the listening socket is the platform's, and other processes accept on it too. */
+  /**
+   * Whether the listening socket belongs to the platform, so that other processes accept on it too.
+   */
   private boolean sharedListener;
 
   private boolean accepting = true;
   private boolean ready;
 
   /**
-   * The two reasons for a drain: the operators', who may take it back, and the end of the process.
+   * A drain has one of two reasons: the operators' request, which they may withdraw, or the
+   * shutdown.
    */
   private boolean operatorDrain;
 
@@ -132,7 +143,7 @@
     return bound;
   }
 
-  /** Adopts a listening socket; nothing is accepted on it before this process can serve. */
+  /** Adopts a listening socket. No connection is accepted on it before this process can serve. */
   public ChannelFuture adopt(EventLoopGroup group, ServerSocketChannel socket) {
     sharedListener = true;
     accepting = false;
@@ -165,7 +176,7 @@
     ready = true;
   }
 
-  /** Begins to accept on an adopted socket once it can serve. */
+  /** Starts accepting on an adopted socket once this process can serve. */
   public void acceptIfReady() {
     if (!accepting && canServe()) {
       accepting = true;
@@ -174,8 +185,7 @@
   }
 
   /**
-   * Another process may be accepting on a shared socket: this one only stops to, and leaves it
-   * open.
+   * Stops accepting. A shared socket stays open, because another process may be accepting on it.
    */
   private void stopAccepting() {
     accepting = false;
@@ -187,7 +197,9 @@
     }
   }
 
-  /** Closing the socket would reset what the system has accepted for it. */
+  /**
+   * Accepts the connections in the backlog, because closing the listening socket would reset them.
+   */
   private void acceptBacklog() {
     if (!(listener instanceof EpollServerSocketChannel epoll)) {
       return;
@@ -199,7 +211,7 @@
         listener.pipeline().fireChannelRead(new EpollSocketChannel(fd));
       }
     } catch (IOException e) {
-      LOG.log(Level.WARNING, "could not accept all that had come", e);
+      LOG.log(Level.WARNING, "could not accept all connections in the backlog", e);
     }
     listener.pipeline().fireChannelReadComplete();
   }
@@ -216,7 +228,7 @@
     return canServe() && !draining();
   }
 
-  /** Whether it could serve, drained by the operators or not. */
+  /** Whether this process can serve, apart from a drain by the operators. */
   public boolean canServe() {
     return ready && !shuttingDown && hasBackends.getAsBoolean();
   }
@@ -225,23 +237,28 @@
     return operatorDrain || shuttingDown;
   }
 
-  /** Over these bounds requests are refused, so that the process stays within its memory. */
+  /**
+   * Whether the bounds are reached above which requests are refused, so that the process stays
+   * within its memory.
+   */
   boolean isOverloaded() {
     return driver.requestCount() >= MAX_REQUESTS
         || driver.heldBytes() + bufferedBytes >= MAX_REQUEST_BYTES;
   }
 
   /**
-   * Counts bytes of requests that are still coming, which are kept until those go to the module.
+   * Adds to the count of bytes kept of requests that are still arriving. The bytes are kept until
+   * the request is submitted to the policy.
    */
   void addBufferedBytes(int bytes) {
     bufferedBytes += bytes;
   }
 
   /**
-   * Makes room by ending a connection without a request. True when there is none and the new one is
-   * one too many; far beyond that it ends at once, as descriptors run out. Those that are being
-   * closed hold half of what is left beyond the bound.
+   * Registers a connection. At the limit, a connection without a request is evicted first. Returns
+   * true if none could be evicted and the new connection exceeds the limit. Far beyond the limit
+   * the new connection is closed at once, as descriptors run out. Connections that are being closed
+   * may use half of the descriptors that remain beyond the limit.
    */
   boolean register(ClientConnection connection) {
     if (connections.size() >= descriptors.clients()) {
@@ -266,7 +283,8 @@
   }
 
   /**
-   * Those on which something has come in this very moment go last, those with a whole request stay.
+   * Ends a connection without a request. Connections on which bytes have just arrived are ended
+   * last; those with a complete request are kept.
    */
   private void evict() {
     ClientConnection withPartialRequest = null;
@@ -288,8 +306,8 @@
   }
 
   /**
-   * One that has sent nothing though it had the time to, or else the longest idle, or the first to
-   * come.
+   * The next connection to evict: the oldest unused one if it has been silent for too long, else
+   * the one that has been idle for the longest time, else the oldest unused one.
    */
   private ClientConnection evictionCandidate() {
     ClientConnection first = unused.isEmpty() ? null : unused.iterator().next();
@@ -308,7 +326,10 @@
     idle.remove(connection);
   }
 
-  /** All is sent on it, and only the client's end is waited for. */
+  /**
+   * Called when everything is sent on the connection and only the client's end of it is
+   * outstanding.
+   */
   void onLingering(ClientConnection connection) {
     if (connections.contains(connection)) {
       remove(connection);
@@ -316,7 +337,7 @@
     }
   }
 
-  /** Counts what a client's connection ended of. */
+  /** Counts the reason for which a client's connection ended. */
   void count(Tally.Event event) {
     tally.count(event);
   }
@@ -332,7 +353,9 @@
     idle.add(connection);
   }
 
-  /** The operators' drain, or its end: from here on every answer ends its connection. */
+  /**
+   * Starts or withdraws the operators' drain. While it is on, every response ends its connection.
+   */
   public void setOperatorDrain(boolean on) {
     if (!draining()) {
       drainStartMs = clock.now();
@@ -341,9 +364,9 @@
   }
 
   /**
-   * The planned end: as a drain that begins now, also where the operators' has been on for long,
-   * and no new connections are taken: from now on where another process takes them, else once those
-   * on their way have come.
+   * Starts the planned shutdown. It acts as a drain that begins now, even if the operators' drain
+   * has been on for long. New connections are no longer accepted: from now on if another process
+   * accepts them, else once those that are on their way have arrived.
    */
   public void shutDown() {
     if (shuttingDown) {
@@ -356,7 +379,7 @@
     }
   }
 
-  /** Closes a few connections that no request is on, those that wait the longest first. */
+  /** Closes a few connections that have no request, those that have been idle the longest first. */
   public void closeIdleConnections() {
     double now = clock.now();
     if (!drainRounds.shouldAct(now) || !draining() || now - drainStartMs < DRAIN_NOTICE_MS) {
@@ -377,7 +400,7 @@
     return connections.size() + lingering.size();
   }
 
-  /** The end has come: no more connections are taken and none is left. */
+  /** Whether the shutdown is complete: no more connections are accepted and none is left. */
   public boolean isTerminated() {
     return shuttingDown && !accepting && openConnections() == 0;
   }
--- a/front/src/main/java/willowdoor/front/clients/DrainRounds.java
+++ b/front/src/main/java/willowdoor/front/clients/DrainRounds.java
@@ -1,20 +1,20 @@
 package willowdoor.front.clients;
 
 /**
- * Which rounds of a drain act. A round closes what no request seems to be on, and after a pause of
- * this process requests have come that were not read: so the first round behind one leaves all as
- * it is, and what came is accepted and read before the next. Of two rounds in a row one acts,
- * however busy the process is.
+ * Decides which rounds of a drain act. A round closes connections that seem to have no request.
+ * After a pause of this process, requests may have arrived that are not read yet, so the first
+ * round after a pause closes nothing: those requests are accepted and read before the next round.
+ * At least one of two consecutive rounds acts, however busy the process is.
  */
 final class DrainRounds {
 
-  /** Rounds follow each other every 10 ms. */
+  /** Rounds are 10 ms apart; a longer gap than this counts as a pause. */
   private static final double STALL_MS = 30;
 
   private double lastRoundMs = Double.NEGATIVE_INFINITY;
   private boolean skipped;
 
-  /** To be asked once in each round, at this time in milliseconds. */
+  /** Whether the present round acts. Called once per round, with the time in milliseconds. */
   boolean shouldAct(double now) {
     skipped = !skipped && now - lastRoundMs > STALL_MS;
     lastRoundMs = now;
--- a/front/src/main/java/willowdoor/front/clients/Exchange.java
+++ b/front/src/main/java/willowdoor/front/clients/Exchange.java
@@ -23,15 +23,15 @@
 import willowdoor.front.requests.PolicyDriver;
 
 /**
- * The request that a client's connection is at, from its head on until it is read and answered:
- * takes it to the module and writes the one final answer. Owns what is kept of its body until that
- * goes to the module.
+ * The present request of a client's connection, from its head until it is read and answered.
+ * Submits the request to the policy and writes the single final answer. Owns the kept bytes of the
+ * body until the request is submitted.
  */
 final class Exchange implements PolicyDriver.Client {
 
   private static final Logger LOG = Logger.getLogger(Exchange.class.getName());
 
-  /** So much of a body is kept until no further attempt may need it. */
+  /** This much of a body is kept until no further attempt may need it. */
   private static final int MAX_PREFIX_BYTES = 64 * 1024;
 
   private static final long MAX_BODY_BYTES = 48L << 20;
@@ -42,30 +42,33 @@
   private final ArrivalTime arrivalTime;
   private final ResponseWriter responseWriter;
 
-  /**
-   * The request that is being read or answered, null between requests, and its target in origin
-   * form.
-   */
+  /** The request that is being read or answered; null between requests. */
   private HttpRequest head;
 
+  /** The request's target in origin form. */
   private String target;
+
   private ParsedRequest parsed;
 
-  /**
-   * Its body has not ended; the bytes of it so far; those that are kept; and where the rest goes.
-   */
+  /** Whether the end of the body has not arrived. */
   private boolean receiving;
 
+  /** The number of body bytes that have arrived. */
   private long bodyBytes;
+
+  /** The first bytes of the body, which are kept until the request is submitted. */
   private ByteBuf prefix = Unpooled.EMPTY_BUFFER;
+
+  /** Receives the rest of the body; null before the request is submitted. */
   private OutgoingRequest outgoing;
 
-  /**
-   * Its id while the module works on it, and whether its answer is under way, or written in whole.
-   */
+  /** The request's id while the policy handles the request, else null. */
   private String pendingId;
 
-  private Attempt.Connection answering;
+  /** The backend's connection whose response is being streamed to the client, or null. */
+  private Attempt.Connection streamSource;
+
+  /** Whether the response has been written in full. */
   private boolean answered;
 
   Exchange(
@@ -86,23 +89,26 @@
     return head != null;
   }
 
-  /** Whether its body has not ended. */
+  /** Whether the end of the body has not arrived. */
   boolean receiving() {
     return receiving;
   }
 
-  /** Whether an answer is being passed on as it comes. */
+  /** Whether a response is being streamed to the client. */
   boolean answering() {
-    return answering != null;
+    return streamSource != null;
   }
 
-  /** Whether its answer is written in whole. */
+  /** Whether the response has been written in full. */
   boolean answered() {
     return answered;
   }
 
-  /** Begins with the head of a request, which is refused where the connection is one too many. */
-  void head(HttpRequest request, boolean over) {
+  /**
+   * Starts with the head of a request. The request is refused if the connection exceeds the limit
+   * on connections.
+   */
+  void onHead(HttpRequest request, boolean overLimit) {
     head = request;
     target = RequestReader.originForm(request.uri());
     responseWriter.setRequest(request);
@@ -121,8 +127,8 @@
       connection.endWithError(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body is too large");
     } else if (target.equals("/up")) {
       answerReadinessCheck();
-    } else if (over || server.isOverloaded()) {
-      if (over) {
+    } else if (overLimit || server.isOverloaded()) {
+      if (overLimit) {
         responseWriter.closeAfterResponse();
       }
       sendRefusal(0);
@@ -131,7 +137,7 @@
     }
   }
 
-  /** What is not a request is told so at once, whatever is still to come of it. */
+  /** Parses the head. A malformed request is answered at once, without waiting for its body. */
   private void parse(boolean expects) {
     try {
       parsed = server.read(head, target);
@@ -145,8 +151,8 @@
     }
   }
 
-  /** A piece of its body, or the end of that. */
-  void piece(HttpContent piece) {
+  /** Handles a piece of the request's body, or the end of the body. */
+  void onBodyPiece(HttpContent piece) {
     boolean last = piece instanceof LastHttpContent;
     bodyBytes += piece.content().readableBytes();
     if (last) {
@@ -160,7 +166,7 @@
       endIfReceived();
     } else if (outgoing != null) {
       if (pendingId == null) {
-        // Its answer is under way already, and the rest of the request of no use.
+        // The response is already being sent, and the rest of the request is not needed.
         if (!last) {
           connection.read();
         }
@@ -180,7 +186,10 @@
     }
   }
 
-  /** Copied, as small pieces would keep the larger buffers that they were read into. */
+  /**
+   * Copies the piece, because a small piece that is retained would keep alive the larger buffer
+   * that it was read into.
+   */
   private void bufferPiece(ByteBuf piece) {
     if (piece.isReadable()) {
       server.addBufferedBytes(piece.readableBytes());
@@ -196,13 +205,10 @@
     return taken;
   }
 
-  /**
-   * A fault of ours costs this request, not the connection or the process; its cause goes to the
-   * log.
-   */
+  /** An internal fault fails only this request, not the process; its cause is logged. */
   void onFault(RuntimeException cause) {
-    LOG.log(Level.SEVERE, "request failed", cause);
-    if (pendingId != null && answering == null) {
+    LOG.log(Level.SEVERE, "handling of a request failed", cause);
+    if (pendingId != null && streamSource == null) {
       cancel();
       answer(HttpResponseStatus.INTERNAL_SERVER_ERROR);
     } else {
@@ -218,7 +224,7 @@
             : server.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE);
   }
 
-  /** Hands the request to the module: whole, or with as much of its body as can be kept. */
+  /** Submits the request to the policy, either complete or with as much of its body as is kept. */
   private void submit(boolean whole) {
     if (server.driver().isPending(parsed.id())) {
       takePrefix().release();
@@ -253,7 +259,7 @@
     server.driver().submit(parsed, outgoing, this);
   }
 
-  /** The backend has room for the next piece. */
+  /** Called when the backend has room for the next piece. */
   private void requestMore() {
     if (receiving && !connection.isClosing()) {
       connection.read();
@@ -286,8 +292,8 @@
   }
 
   @Override
-  public void beginResponse(HttpResponse from, Attempt.Connection carrier) {
-    answering = carrier;
+  public void beginResponse(HttpResponse from, Attempt.Connection source) {
+    streamSource = source;
     responseWriter.beginResponse(from);
   }
 
@@ -295,14 +301,14 @@
   public void sendPiece(ByteBuf piece) {
     responseWriter.sendPiece(piece);
     if (!channel.isWritable()) {
-      answering.setReading(false);
+      streamSource.setReading(false);
     }
   }
 
   @Override
   public void finishResponse() {
     pendingId = null;
-    answering = null;
+    streamSource = null;
     responseWriter.finishResponse();
     onResponseWritten();
   }
@@ -310,7 +316,7 @@
   @Override
   public void abortResponse() {
     pendingId = null;
-    answering = null;
+    streamSource = null;
     connection.reset();
   }
 
@@ -319,7 +325,10 @@
     onResponseWritten();
   }
 
-  /** The answer is written. What is left of its request is read and dropped before the next one. */
+  /**
+   * Called when the response is written. The rest of the request is read and dropped before the
+   * next one.
+   */
   private void onResponseWritten() {
     answered = true;
     arrivalTime.onAnswered(server.now());
@@ -330,7 +339,7 @@
     }
   }
 
-  /** It is read and answered. */
+  /** Ends the exchange if the request has arrived in full; else reads on. */
   private void endIfReceived() {
     if (receiving) {
       connection.read();
@@ -342,9 +351,9 @@
     }
   }
 
-  /** Nobody waits for the present request's answer any more. */
+  /** Cancels the request, because its client no longer waits for the response. */
   void cancel() {
-    answering = null;
+    streamSource = null;
     if (pendingId != null) {
       String id = pendingId;
       pendingId = null;
@@ -352,15 +361,15 @@
     }
   }
 
-  /** Nothing of it will be read any more. */
+  /** Releases the kept bytes of the body, because the request will not be read any further. */
   void releasePrefix() {
     takePrefix().release();
   }
 
-  /** There is room for more of the answer. */
+  /** Called when there is room for more of the response. */
   void onWritable() {
-    if (answering != null) {
-      answering.setReading(true);
+    if (streamSource != null) {
+      streamSource.setReading(true);
     }
   }
 }
--- a/front/src/main/java/willowdoor/front/clients/LingeringClose.java
+++ b/front/src/main/java/willowdoor/front/clients/LingeringClose.java
@@ -9,15 +9,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Ends a client's connection so that the client gets all that was written: a close over bytes that
- * are not read resets the connection, which may take the last answer with it. So the sending ends
- * first; what still comes is read and dropped until the client has ended its side, too, or a bound
- * passes.
+ * Ends a client's connection so that the client receives everything that was written. Closing a
+ * socket with unread bytes resets the connection, and the reset may discard the last response.
+ * Therefore only the sending side is shut down first. Input is then read and dropped until the
+ * client has ended its side too or a time limit passes.
  */
 final class LingeringClose {
 
   /**
-   * So long the client has to end its side: a peer that is there does so within some round trips.
+   * The time that the client has to end its side. A peer that is still connected does so within
+   * some round trips.
    */
   static final long LINGER_MS = 500;
 
@@ -27,7 +28,10 @@
   private Future<?> timer;
   private boolean begun;
 
-  /** Tells when all is sent and only the client's end is waited for. */
+  /**
+   * {@code onSendingEnded} runs when everything is sent and only the client's end of the connection
+   * is outstanding.
+   */
   LingeringClose(Channel channel, ReadAhead input, Runnable onSendingEnded) {
     this.channel = channel;
     this.input = input;
@@ -38,7 +42,7 @@
     return begun;
   }
 
-  /** Once all that was written before has gone out. */
+  /** Begins the close once everything that was written before is sent. */
   void begin() {
     if (!begun) {
       begun = true;
@@ -49,7 +53,10 @@
     }
   }
 
-  /** Likewise, but what the peer does not read in time is lost to it: it owed a request. */
+  /**
+   * Like {@link #begin()}, but bounds the sending too: bytes that the peer does not read in time
+   * are lost. Used for a peer that has not sent a proper request.
+   */
   void beginWithTimeout() {
     begin();
     startTimer();
@@ -71,20 +78,26 @@
     }
   }
 
-  /** Where the descriptor is needed, or no byte has come that a reset could answer. */
+  /**
+   * Closes the connection at once. Used if the descriptor is needed, the time limit has passed, or
+   * there is no input for which a close would cause a reset.
+   */
   void closeNow() {
     begun = true;
     channel.close();
   }
 
-  /** Tells even a client that takes the connection's end for the answer's that it is not whole. */
+  /**
+   * Resets the connection, so that even a client that takes the end of the connection for the end
+   * of the response can tell that the response is incomplete.
+   */
   void reset() {
     begun = true;
     channel.config().setOption(ChannelOption.SO_LINGER, 0);
     channel.close();
   }
 
-  /** The connection has ended. */
+  /** Called when the connection has ended. */
   void onClosed() {
     begun = true;
     if (timer != null) {
--- a/front/src/main/java/willowdoor/front/clients/ReadAhead.java
+++ b/front/src/main/java/willowdoor/front/clients/ReadAhead.java
@@ -12,16 +12,17 @@
 import willowdoor.front.loop.Looks;
 
 /**
- * Reads a client's connection, also while nobody asks for more: only what is read to its end shows
- * that the client has left. What comes behind a request is kept for its turn, as much as the next
- * request may have. Of more than that the rest is dropped, as clients send one request at a time:
- * the connection ends once what is kept is answered. A body that nobody takes is left unread.
+ * Reads a client's connection even while the pipeline requests no input, because the client's close
+ * is seen only once everything before it is read. Bytes of later requests are kept until they are
+ * requested, up to the size of one request. Bytes beyond that are dropped, because clients send one
+ * request at a time; the connection ends once the kept requests are answered. A body that is not
+ * requested is left unread in the socket.
  *
- * <p>Owns the bytes that it keeps, until they are asked for or the connection ends.
+ * <p>Owns the kept bytes until they are requested or the connection ends.
  */
 final class ReadAhead extends ChannelDuplexHandler {
 
-  /** The longest body of the protocol, and the longest head that is read. */
+  /** The longest body of the protocol and the longest head that is read, together. */
   static final int MAX_BUFFERED_BYTES = 64 * 1024 + 24 * 1024;
 
   private static final int DIRECT_READ_BYTES = 16 * 1024;
@@ -29,23 +30,30 @@
   private final Looks polls;
   private final ArrivalTime arrivalTime;
 
-  /** Whether the rest of a body comes next, which waits in the socket until it is asked for. */
+  /**
+   * Whether the next bytes are the rest of a body, which stays in the socket until it is requested.
+   */
   private final BooleanSupplier insideBody;
 
   private final IntConsumer onBufferedChange;
   private ChannelHandlerContext context;
 
-  /** Whether the connection is asked for more, and whether this is. */
+  /** Whether a read of the socket is outstanding. */
   private boolean readRequested;
 
+  /** Whether the next handler has requested input that it has not received. */
   private boolean downstreamWaiting;
+
   private boolean forwarding;
   private ByteBuf buffered = Unpooled.EMPTY_BUFFER;
   private boolean overflowed;
   private boolean discarding;
   private long lastPoll = -1;
 
-  /** Bytes that are kept, and those no longer kept, are told to the last one. */
+  /**
+   * {@code onBufferedChange} gets the number of bytes that are newly kept, or its negative for
+   * those no longer kept.
+   */
   ReadAhead(
       Looks polls,
       ArrivalTime arrivalTime,
@@ -62,22 +70,22 @@
     context = ctx;
   }
 
-  /** Whether bytes have come that nobody has asked for yet. */
+  /** Whether bytes are kept that have not been requested yet. */
   boolean hasBuffered() {
     return buffered.isReadable();
   }
 
-  /** Whether bytes were dropped, so that nothing can be read behind those that are kept. */
+  /** Whether bytes were dropped, so that nothing after the kept bytes can be read. */
   boolean overflowed() {
     return overflowed;
   }
 
-  /** Goes on reading as nothing more of a body is to come. */
+  /** Resumes reading, because the body has ended. */
   void watchForClose() {
     requestRead();
   }
 
-  /** From here on whatever comes is read and dropped. */
+  /** Reads and drops all further input. */
   void discard() {
     discarding = true;
     release();
@@ -87,7 +95,7 @@
   private void requestRead() {
     if (!readRequested) {
       readRequested = true;
-      arrivalTime.asked();
+      arrivalTime.onReadRequested();
       context.read();
     }
   }
@@ -100,7 +108,7 @@
     }
   }
 
-  /** In a loop, as what is passed on may make its taker ask for more at once. */
+  /** A loop, because the next handler may request more from within its read. */
   private void forwardBuffered() {
     forwarding = true;
     while (downstreamWaiting && buffered.isReadable()) {
@@ -118,9 +126,9 @@
   }
 
   /**
-   * A read that was not asked for, or a second one of the same look, comes from epoll alone: the
-   * client has ended its sending, or reset the connection. It has gone, and what is left is not
-   * read to find that out.
+   * Only epoll delivers a read that was not requested, or a second read in one poll. Such a read
+   * means that the client has shut down its sending side or reset the connection. The client has
+   * left, so the connection is closed without reading the remaining bytes.
    */
   @Override
   public void channelRead(ChannelHandlerContext ctx, Object message) {
@@ -152,7 +160,10 @@
     }
   }
 
-  /** Copied, as small pieces would keep the larger buffers that they were read into. */
+  /**
+   * Copies the bytes, because small pieces that are retained would keep alive the larger buffers
+   * that they were read into.
+   */
   private void buffer(ByteBuf bytes) {
     int room = MAX_BUFFERED_BYTES - buffered.readableBytes();
     int accepted = Math.min(room, bytes.readableBytes());
@@ -176,8 +187,9 @@
   }
 
   /**
-   * Reads once more what came since the loop last looked; true when that was anything, or the end.
-   * Tells nothing where the transport has no way to.
+   * Reads bytes that have arrived since the loop's last poll directly from the socket. Returns true
+   * if bytes are kept or have arrived, or if the connection has ended. Returns false if the
+   * transport does not support such a read.
    */
   boolean readDirectly() {
     if (hasBuffered()) {
@@ -192,7 +204,7 @@
       read =
           ((Socket) channel.fd()).recv(bytes.nioBuffer(0, DIRECT_READ_BYTES), 0, DIRECT_READ_BYTES);
     } catch (IOException e) {
-      // Reset: the loop finds that, too.
+      // The connection was reset; the loop detects that too.
       read = -1;
     }
     if (read <= 0) {
@@ -201,7 +213,7 @@
     }
     bytes.writerIndex(read);
     arrivalTime.onRead(bytes.isWritable());
-    arrivalTime.asked();
+    arrivalTime.onReadRequested();
     forwardOrBuffer(bytes);
     context.fireChannelReadComplete();
     return true;
--- a/front/src/main/java/willowdoor/front/clients/ReceiveTimeout.java
+++ b/front/src/main/java/willowdoor/front/clients/ReceiveTimeout.java
@@ -7,20 +7,19 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Bounds the time that a client takes to send a request. Its head: the first one from the connect
- * on, so that a silent peer does not hold a descriptor, each later one from its first bytes on;
- * more bytes do not extend it. Its body: the time in which the client is waited for, which grows
- * with the bytes that come.
+ * Bounds the time that a client takes to send a request. For the head of the first request, the
+ * time counts from the connect, so that a silent peer does not hold a descriptor; for each later
+ * head, from its first bytes. Further bytes do not extend it. For a body, only the time spent
+ * waiting for the client counts, and the limit grows with the bytes received.
  */
 final class ReceiveTimeout extends ChannelInboundHandlerAdapter {
 
   /**
-   * A peer without a proper request is owed an error or a close within 3 s; a proper one may take 2
-   * s.
+   * A proper request may take 2 s. A peer that sends none must get an error or a close within 3 s.
    */
   private static final long LIMIT_MS = 2_500;
 
-  /** Half the pace that is asked of clients. */
+  /** Half the rate that clients are required to reach. */
   private static final double MIN_BYTES_PER_MS = 32;
 
   private static final long BODY_CHECK_MS = 500;
@@ -31,13 +30,13 @@
   private boolean insideBody;
   private boolean partialHead;
 
-  /**
-   * Of the body that is being read: its bytes, the time waited for them, and since when it is
-   * waited now.
-   */
+  /** The bytes received of the present body. */
   private long bytes;
 
+  /** The time spent waiting for them. */
   private double waitedMs;
+
+  /** When the present wait began; NaN if there is none. */
   private double waitingSince = Double.NaN;
 
   ReceiveTimeout(Runnable onTimeout) {
@@ -76,7 +75,7 @@
     ctx.fireChannelInactive();
   }
 
-  /** Whether a part of a request's head has come and its rest has not. */
+  /** Whether a part of a request's head has arrived and the rest has not. */
   boolean partialHead() {
     return partialHead;
   }
@@ -89,7 +88,7 @@
     stopTimer();
   }
 
-  /** More of the body is asked for, and has not come yet. */
+  /** Called when more of the body is requested and has not arrived yet. */
   void onBodyReadRequested() {
     if (insideBody && Double.isNaN(waitingSince)) {
       waitingSince = now();
@@ -105,7 +104,7 @@
     stopTimer();
   }
 
-  /** The answer is written, and the beginning of the next head has come already. */
+  /** Called when the response is written and the beginning of the next head has already arrived. */
   void onNextHeadBegun() {
     partialHead = true;
     if (timer == null) {
--- a/front/src/main/java/willowdoor/front/clients/RequestDecoder.java
+++ b/front/src/main/java/willowdoor/front/clients/RequestDecoder.java
@@ -8,7 +8,8 @@
 import java.util.List;
 
 /**
- * Refuses requests whose end could be told in two ways, and tells what has come ahead of its turn.
+ * Decodes requests. Refuses a request whose framing is ambiguous, and reports input that has
+ * arrived ahead of its turn.
  */
 final class RequestDecoder extends HttpRequestDecoder {
 
@@ -22,12 +23,12 @@
     super(MAX_LINE_BYTES, MAX_HEADER_BYTES, MAX_PIECE_BYTES);
   }
 
-  /** How many requests have begun, each with its whole head. */
+  /** The number of requests whose complete head has been decoded. */
   long decodedHeads() {
     return decodedHeads;
   }
 
-  /** Whether bytes have come that are no whole part of a message yet. */
+  /** Whether bytes have arrived that do not form a complete part of a message yet. */
   boolean hasPartialInput() {
     return actualReadableBytes() > 0;
   }
@@ -43,6 +44,7 @@
 
   @Override
   protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-    throw new IllegalArgumentException("both a length and chunks");
+    throw new IllegalArgumentException(
+        "request has both Content-Length and Transfer-Encoding: chunked");
   }
 }
--- a/front/src/main/java/willowdoor/front/clients/RequestReader.java
+++ b/front/src/main/java/willowdoor/front/clients/RequestReader.java
@@ -13,17 +13,17 @@
 import willowdoor.policy.GatewayApi.Settings;
 
 /**
- * Reads a client's message as a request for the module; what is not one is refused here with its
- * reason.
+ * Parses a client's message into a request for the policy. Throws an exception with the reason if
+ * the message is not a valid request.
  */
 public final class RequestReader {
 
   private static final int MAX_ID_LENGTH = 128;
 
-  /** The longest time that a request may take where its class tells none. */
+  /** The longest time that a request may take if its class has no deadline. */
   private static final double MAX_TIMEOUT_MS = 3_600_000;
 
-  /** A message that is no request of this protocol. */
+  /** Reports a message that is not a valid request of this protocol. */
   static final class BadRequestException extends Exception {
     private static final long serialVersionUID = 1;
 
@@ -71,7 +71,8 @@
   }
 
   /**
-   * How long the client will wait: no longer than any client of the class does over all its tries.
+   * The time that the client allows for the request, capped at the longest time that a client of
+   * the class allows over all its tries.
    */
   private static double timeout(HttpHeaders headers, RequestClass type) throws BadRequestException {
     Iterator<String> values = headers.valueStringIterator(Headers.TIMEOUT_MS);
@@ -93,7 +94,7 @@
     return type.deadlineMs() > 0 ? Math.min(type.deadlineMs(), timeout) : timeout;
   }
 
-  /** The field {@code units=2,spread=3,first=1}. */
+  /** Parses the quota field, {@code units=2,spread=3,first=1}. */
   private ParsedRequest quota(
       String field, String id, String type, String plan, long customer, double timeoutMs)
       throws BadRequestException {
@@ -117,7 +118,8 @@
   }
 
   /**
-   * The target as a server is asked for it: clients may name the host in it as they do to a proxy.
+   * The target in origin form, as a server receives it. Clients may include the host in the target,
+   * as they do in requests to a proxy.
    */
   static String originForm(String target) {
     String scheme = "http://";
@@ -160,7 +162,7 @@
         return value;
       }
     } catch (NumberFormatException e) {
-      // Falls through to the one message for all that is no number.
+      // Falls through to the common message for everything that is not a number.
     }
     throw new BadRequestException(name + " is not a number");
   }
--- a/front/src/main/java/willowdoor/front/clients/ResponseWriter.java
+++ b/front/src/main/java/willowdoor/front/clients/ResponseWriter.java
@@ -23,7 +23,10 @@
 import java.util.function.BooleanSupplier;
 import willowdoor.front.requests.Headers;
 
-/** Words a client's answers, and decides with each whether its connection is kept behind it. */
+/**
+ * Writes the responses to a client, and decides for each whether the connection stays open after
+ * it.
+ */
 final class ResponseWriter {
 
   private final Channel channel;
@@ -32,20 +35,23 @@
   private boolean chunksAllowed;
   private boolean keepAlive;
 
-  /** It may be kept for as long as that says so when an answer begins. */
+  /**
+   * {@code mayKeepAlive} is evaluated when a response begins; if it is false, the connection ends
+   * after that response.
+   */
   ResponseWriter(Channel channel, BooleanSupplier mayKeepAlive) {
     this.channel = channel;
     this.mayKeepAlive = mayKeepAlive;
   }
 
-  /** The next answer is to this one. */
+  /** Sets the request that the next response answers. */
   void setRequest(HttpRequest request) {
     headRequest = request.method().equals(HttpMethod.HEAD);
     chunksAllowed = request.protocolVersion().equals(HttpVersion.HTTP_1_1);
     keepAlive = HttpUtil.isKeepAlive(request);
   }
 
-  /** The connection ends behind the next answer. */
+  /** Ends the connection after the next response. */
   void closeAfterResponse() {
     keepAlive = false;
   }
@@ -60,7 +66,10 @@
             HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
   }
 
-  /** A template server's answer; both are only lent, and the body is null where it is empty. */
+  /**
+   * Sends a template server's response. The caller keeps ownership of the head and the body; the
+   * body is null if it is empty.
+   */
   void sendResponse(HttpResponse from, ByteBuf body) {
     DefaultFullHttpResponse answer =
         new DefaultFullHttpResponse(
@@ -101,7 +110,10 @@
     write(textResponse(status, reason));
   }
 
-  /** What cannot be read any further is answered so, whatever it was: the connection ends. */
+  /**
+   * Sends an error for input that cannot be read any further, whatever the request was. The
+   * connection ends after it.
+   */
   ChannelFuture sendLastError(HttpResponseStatus status, String reason) {
     FullHttpResponse answer = textResponse(status, reason);
     answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, answer.content().readableBytes());
@@ -127,7 +139,10 @@
     channel.writeAndFlush(answer).addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
   }
 
-  /** Begins an answer that is passed on as it comes, framed as it was told, or in chunks. */
+  /**
+   * Begins a streamed response. It has the declared length of the backend's response, or is sent in
+   * chunks.
+   */
   void beginResponse(HttpResponse from) {
     HttpResponse answer = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
     copyType(from, answer);
--- a/front/src/main/java/willowdoor/front/requests/Attempt.java
+++ b/front/src/main/java/willowdoor/front/requests/Attempt.java
@@ -6,36 +6,38 @@
 import io.netty.util.concurrent.Future;
 import willowdoor.policy.GatewayApi.Status;
 
-/** One attempt of a request at one backend, from the module's send to its one outcome. */
+/**
+ * One attempt to send a request to one backend, from the policy's send action to the attempt's
+ * single outcome.
+ */
 public abstract class Attempt {
 
-  /** The connection that takes an attempt to its backend, and the answer back. */
+  /** The connection that carries the attempt's request to its backend and the response back. */
   public interface Connection extends OutgoingRequest.Sink {
-    /** Reads on, or no more for now: what is not read holds back the backend. */
+    /** Turns reading on or off. Bytes that are not read put back-pressure on the backend. */
     void setReading(boolean on);
 
-    /**
-     * Gives the connection up: none of the request's bytes that have not left yet leaves any more.
-     */
+    /** Drops the connection. Bytes of the request that have not been sent yet are discarded. */
     void abort();
   }
 
   private final OutgoingRequest message;
 
-  /**
-   * When it is given up, and by when its last byte must be written, on the clock in milliseconds.
-   */
+  /** When the attempt is abandoned, on the clock in milliseconds. */
   private final double deadlineMs;
 
+  /** When the request's last byte must have been written, on the clock in milliseconds. */
   private final double writeDeadlineMs;
 
-  /** The connection that is being opened for it, and the one that it is on. */
+  /** The connection that is being opened for the attempt, or null. */
   private Channel connectingChannel;
 
+  /** The connection that carries the attempt, or null. */
   private Connection connection;
+
   private boolean written;
 
-  /** Fires when the attempt's time is up. */
+  /** Fires when the attempt's deadline passes. */
   private Future<?> timer;
 
   private boolean ended;
@@ -50,42 +52,44 @@
     return message;
   }
 
-  /** When it is given up, on the clock, in milliseconds. */
+  /** When the attempt is abandoned, on the clock, in milliseconds. */
   public final double deadlineMs() {
     return deadlineMs;
   }
 
   /**
-   * By when its last byte must be written or else never be, on the clock, in milliseconds; infinite
-   * where any time will do. A repeat has such a time (rule 2 of the wire).
+   * When the request's last byte must have been written, on the clock, in milliseconds; if it has
+   * not been by then, it must never be. Infinite if there is no such limit. An attempt that repeats
+   * a request has one (rule 2 of the wire protocol).
    */
   public final double writeDeadlineMs() {
     return writeDeadlineMs;
   }
 
-  /** A connection is being opened for it. */
+  /** Records the connection that is being opened for the attempt. */
   public final void connectingChannel(Channel channel) {
     connectingChannel = channel;
   }
 
-  /** From now on it is on this connection. */
+  /** Records the connection that carries the attempt from now on. */
   public final void assignConnection(Connection assigned) {
     connection = assigned;
   }
 
-  /** The connection that it is on, or null. */
+  /** The connection that carries the attempt, or null. */
   final Connection connection() {
     return connection;
   }
 
   /**
-   * True once the request's last byte went to the kernel: from then on the backend may have run it.
+   * True once the request's last byte was written to the kernel. From then on the backend may have
+   * run the request.
    */
   public final boolean written() {
     return written;
   }
 
-  /** A write has ended: with the request's last byte at the kernel, or not. */
+  /** Records whether the write that has ended passed the request's last byte to the kernel. */
   public final void written(boolean whole) {
     written = whole;
   }
@@ -99,13 +103,14 @@
   }
 
   /**
-   * How a broken connection ends this attempt: whether it may have run is told by the write alone.
+   * The status with which a broken connection ends this attempt. Only the write tells whether the
+   * backend may have run the request.
    */
   public final Status statusIfBroken() {
     return written ? Status.RESET : Status.UNREACHABLE;
   }
 
-  /** How running out of time ends this attempt. */
+  /** The status with which the deadline ends this attempt. */
   final Status statusIfTimedOut() {
     return written ? Status.TIMED_OUT : Status.UNREACHABLE;
   }
@@ -117,22 +122,25 @@
     }
   }
 
-  /** Ends the attempt; later endings are ignored, so that the module gets exactly one outcome. */
+  /** Ends the attempt. Later calls are ignored, so that the policy gets exactly one outcome. */
   public final void end(Status status, HttpResponse head, ByteBuf body) {
     if (markEnded()) {
       onEnd(status, head, body);
     }
   }
 
-  /** Stops waiting. The connection is given up with it, as an answer may still come on it. */
+  /**
+   * Ends the attempt without waiting for its response, and closes the connection, because a
+   * response may still arrive on it.
+   */
   public final void abandon(Status status) {
     endAndClose(status, null, null);
   }
 
   /**
-   * Ends the attempt with its connection. That is closed before the module hears of the end, as it
-   * may send the request again at once, and a copy must not be out while this one is on an open
-   * connection.
+   * Ends the attempt and closes its connection. The connection is closed before the policy gets the
+   * outcome: the policy may send the request again at once, and no copy may be sent while this one
+   * is on an open connection.
    */
   public final void endAndClose(Status status, HttpResponse head, ByteBuf body) {
     if (!markEnded()) {
@@ -146,7 +154,7 @@
     onEnd(status, head, body);
   }
 
-  /** True for the first caller only. */
+  /** Marks the attempt as ended. Returns true for the first call only. */
   private boolean markEnded() {
     if (ended) {
       return false;
@@ -160,30 +168,32 @@
   }
 
   /**
-   * The first piece behind the message's prefix is being written: there can be no other attempt.
+   * Called when the first piece beyond the message's prefix is being written. From then on no other
+   * attempt is possible, as that piece is not kept.
    */
   public abstract void onBeyondPrefix();
 
-  /** The last piece of a message that came in pieces is being written. */
+  /** Called when the last piece of a message that is sent in pieces is being written. */
   public abstract void onLastPiece();
 
   /**
-   * The answer's head has come; how long its body takes to come tells nothing of the backend's
-   * load.
+   * Called when the response's head has arrived. The time that the body takes says nothing about
+   * the backend's load.
    */
   public abstract void onResponseHead();
 
   /**
-   * The head of an answer that is passed on as it comes; false where nobody waits for it any more.
+   * Called with the head of a response that is streamed to the client. Returns false if no client
+   * waits for the response any more.
    */
   public abstract boolean onStreamedResponse(HttpResponse head);
 
-  /** A piece of that answer, which is taken over. */
+  /** Called with a piece of a streamed response. Takes ownership of the piece. */
   public abstract void onResponsePiece(ByteBuf piece);
 
   /**
-   * The head and the body are only lent; they are null unless the status is OK, the body if it was
-   * begun.
+   * Called once when the attempt ends. The caller keeps ownership of the head and the body. Both
+   * are null unless the status is OK; the body is also null if the response was streamed.
    */
   protected abstract void onEnd(Status status, HttpResponse head, ByteBuf body);
 }
--- a/front/src/main/java/willowdoor/front/requests/EventQueue.java
+++ b/front/src/main/java/willowdoor/front/requests/EventQueue.java
@@ -9,16 +9,17 @@
 import willowdoor.policy.GatewayApi.Event;
 
 /**
- * Events on their way to the module, one at a time: what comes up while one is worked on waits for
- * its turn, as the module is not re-entered. Behind a pause of the process nothing is decided
- * before all that came meanwhile is read, and a list goes first: a drain that was told in the pause
- * binds what is sent behind it.
+ * Queues events for the policy and delivers them one at a time: an event that is added while
+ * another is handled waits, because the policy is not reentrant. After a pause of the process, no
+ * event is delivered before all input that arrived during the pause is read. Backend lists are
+ * delivered first: a drain that was announced during the pause then applies to everything that is
+ * sent after it.
  */
 final class EventQueue {
 
   /**
-   * The module is woken every 250 ms at least: when it was not for so long, the process stood
-   * still.
+   * The policy gets an event at least every 250 ms. A longer gap than this means that the process
+   * stood still.
    */
   private static final double STALL_MS = 500;
 
@@ -26,7 +27,7 @@
   private final Clock clock;
   private final Consumer<Event> module;
 
-  /** Lists go before all else, in their order. */
+  /** Backend lists, in their order. They are delivered before all other events. */
   private final ArrayDeque<Event> lists = new ArrayDeque<>(1);
 
   private final ArrayDeque<Event> events = new ArrayDeque<>();
@@ -46,7 +47,7 @@
     drain();
   }
 
-  /** The events that come up as others take the list go behind it. */
+  /** Adds a list and runs the task. Events that the task adds are delivered after the list. */
   void addList(BackendList list, Runnable endAttempts) {
     lists.add(list);
     boolean wasDelivering = delivering;
@@ -67,7 +68,8 @@
     holding = now - deliveredAt > STALL_MS;
     deliveredAt = now;
     if (holding) {
-      // A timer's turn, also one set by another timer, comes behind the next look at the sockets.
+      // The loop runs a scheduled task, even one that another scheduled task adds, only after its
+      // next poll of the sockets.
       loop.schedule(
           () -> {
             holding = false;
--- a/front/src/main/java/willowdoor/front/requests/Headers.java
+++ b/front/src/main/java/willowdoor/front/requests/Headers.java
@@ -4,7 +4,7 @@
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.util.AsciiString;
 
-/** The protocol's own header names, and what headers tell of a body. */
+/** The protocol's own header names, and the body length that headers declare. */
 public final class Headers {
 
   public static final AsciiString REQUEST_ID = AsciiString.cached("Request-Id");
@@ -19,7 +19,10 @@
 
   private Headers() {}
 
-  /** The body's length in bytes as told, or -1: then its chunks or the connection's end tell it. */
+  /**
+   * The declared length of the body in bytes, or -1 if the body ends with its last chunk or with
+   * the connection.
+   */
   public static long bodyLength(HttpResponse head) {
     return HttpUtil.isTransferEncodingChunked(head) ? -1 : HttpUtil.getContentLength(head, -1L);
   }
--- a/front/src/main/java/willowdoor/front/requests/OutgoingRequest.java
+++ b/front/src/main/java/willowdoor/front/requests/OutgoingRequest.java
@@ -12,19 +12,19 @@
 import io.netty.handler.codec.http.HttpVersion;
 
 /**
- * A request on its way to a backend: its head and the first bytes of its body, which can be sent
- * again, and the rest, which passes by once, piece by piece as the backend takes it. Owned by the
- * table of requests.
+ * A request to a backend. Its head and the first bytes of its body (the prefix) are kept and can be
+ * sent again. The rest of the body is streamed once, piece by piece, as the backend takes it. The
+ * table of requests owns this object.
  */
 public final class OutgoingRequest {
 
-  /** Where the pieces behind the prefix go. */
+  /** Receives the pieces beyond the prefix. */
   public interface Sink {
-    /** Takes a piece over, and asks for the next one once there is room. */
+    /** Takes ownership of a piece, and requests the next one once there is room. */
     void accept(HttpContent piece);
   }
 
-  /** Bytes of a body: ten segments of 1,460 bytes, less room for the head. */
+  /** Bytes of a body that fit into ten segments of 1,460 bytes, less room for the head. */
   private static final int INITIAL_WINDOW_BYTES = 8_000;
 
   private final HttpMethod method;
@@ -35,13 +35,14 @@
   private final Runnable requestPiece;
   private Sink sink;
 
-  /** A piece that was asked for by an attempt which ended before it came. */
+  /** A piece that was requested by an attempt which ended before the piece arrived. */
   private HttpContent heldPiece;
 
   private boolean released;
 
   /**
-   * Takes the prefix over; more asks the client for the next piece, where the prefix is not all.
+   * Takes ownership of the prefix. If the prefix is not the whole body, {@code requestPiece}
+   * requests the next piece from the client.
    */
   public OutgoingRequest(
       HttpMethod method,
@@ -67,15 +68,18 @@
   }
 
   /**
-   * Whether TCP sends all of it at once on a connection on which nothing else is under way: that is
-   * ten segments (RFC 6928). More waits for the other side, and goes out behind a close too,
-   * whenever that reads.
+   * Whether TCP sends the whole request at once on a connection that carries nothing else: the
+   * initial window is ten segments (RFC 6928). Bytes beyond the window wait for the peer. Even
+   * after a close, the kernel still sends them once the peer reads.
    */
   public boolean fitsInitialWindow() {
     return whole && prefix.readableBytes() <= INITIAL_WINDOW_BYTES;
   }
 
-  /** The head alone, or with the body where that is whole; it tells no more time than there is. */
+  /**
+   * The head alone, or with the body if the prefix is the whole body. The timeout header holds the
+   * remaining time.
+   */
   public HttpRequest message(double remainingMs) {
     HttpHeaders copy =
         headers.copy().set(Headers.TIMEOUT_MS, Long.toString((long) Math.max(1, remainingMs)));
@@ -94,7 +98,7 @@
     return prefix.retainedDuplicate();
   }
 
-  /** Lets the rest pass to the sink from now on. */
+  /** Streams the rest of the body to the sink from now on. */
   public void streamTo(Sink target) {
     sink = target;
     if (heldPiece != null) {
@@ -120,7 +124,7 @@
     requestPiece.run();
   }
 
-  /** A piece from the client, which is taken over. */
+  /** Forwards or holds a piece from the client. Takes ownership of the piece. */
   public void onClientPiece(HttpContent piece) {
     if (released) {
       piece.release();
@@ -140,7 +144,7 @@
     }
   }
 
-  /** Tells how long the body is, as its client told. */
+  /** Sets the headers that declare the body's length, as the client's request declares it. */
   public static void setFraming(
       HttpHeaders outgoing, HttpHeaders received, boolean whole, int length, boolean mayHaveBody) {
     if (whole) {
--- a/front/src/main/java/willowdoor/front/requests/ParsedRequest.java
+++ b/front/src/main/java/willowdoor/front/requests/ParsedRequest.java
@@ -3,7 +3,8 @@
 import willowdoor.policy.GatewayApi.Request;
 
 /**
- * A request as its head tells it; what is left of its time is known once its last byte has come.
+ * The fields of a request's head. How much of the request's time remains is known only once its
+ * last byte has arrived.
  */
 public record ParsedRequest(
     String id,
--- a/front/src/main/java/willowdoor/front/requests/PendingRequest.java
+++ b/front/src/main/java/willowdoor/front/requests/PendingRequest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import willowdoor.policy.GatewayApi.Status;
 
-/** One request from its taking until it is answered and none of its attempts is out. */
+/** One request, from its submission until it is answered and none of its attempts is in flight. */
 final class PendingRequest {
   final PolicyDriver driver;
   final ParsedRequest parsed;
@@ -13,7 +13,10 @@
   final PolicyDriver.Client client;
   final List<Attempt> attempts = new ArrayList<>(1);
 
-  /** From its last byte on; until that has come, from the moment it was taken. */
+  /**
+   * Counted from the arrival of the request's last byte; until that has arrived, from the
+   * submission.
+   */
   Budget budget;
 
   Future<?> finalAnswerTimer;
@@ -21,7 +24,7 @@
   boolean finished;
   int attemptsInFlight;
 
-  /** The attempt whose answer is being passed on as it comes. */
+  /** The attempt whose response is being streamed to the client, or null. */
   Attempt streamingAttempt;
 
   PendingRequest(
@@ -36,14 +39,17 @@
     prefixBytes = message.prefixBytes();
   }
 
-  /** Its time begins; it ends with the process at the latest. */
+  /** Starts the request's time budget, which ends no later than the process. */
   void startBudget() {
     budget = Budget.of(client.arrivedAt(), parsed.timeoutMs()).cappedAt(driver.processDeadlineMs());
     finalAnswerTimer =
         driver.schedule(budget.finalAnswerDelayMs(driver.now()), () -> driver.failAtDeadline(this));
   }
 
-  /** The process ends: so does the time, unless none runs as a stream is under way. */
+  /**
+   * Ends the budget no later than the process. The final-answer timer is restarted only if it was
+   * running; it does not run while a body or a response is streamed.
+   */
   void capBudget() {
     budget = budget.cappedAt(driver.processDeadlineMs());
     if (finalAnswerTimer.cancel(false)) {
@@ -54,8 +60,9 @@
   }
 
   /**
-   * Marks the final answer; true for the first caller only. What has not reached a backend whole by
-   * now never will, and nothing is kept to be sent again.
+   * Marks the request as answered. Returns true for the first call only. Attempts whose last byte
+   * has not been written are abandoned, and the kept prefix is released, so that no further attempt
+   * can begin.
    */
   boolean finish() {
     if (finished) {
@@ -74,7 +81,8 @@
   }
 
   /**
-   * A request stays in the table while an attempt of it is out: the module still gets that outcome.
+   * Removes the request from the table once it is answered and no attempt is in flight. Until then
+   * the request stays, because the policy must still get the attempts' outcomes.
    */
   void removeIfDone() {
     if (finished && attemptsInFlight == 0) {
--- a/front/src/main/java/willowdoor/front/requests/PolicyDriver.java
+++ b/front/src/main/java/willowdoor/front/requests/PolicyDriver.java
@@ -33,37 +33,41 @@
 import willowdoor.policy.QuotaPolicy;
 
 /**
- * Takes events to the module and its actions to the sockets; the only caller of the module. Holds
- * the table of requests taken and attempts out. All on the event loop's thread.
+ * Passes events to the policy and executes the actions that it returns; the only caller of the
+ * policy. Holds the table of pending requests and of their attempts in flight. Everything runs on
+ * the event loop's thread.
  */
 public final class PolicyDriver {
 
   private static final Logger LOG = Logger.getLogger(PolicyDriver.class.getName());
 
-  /** A module that failed on its wake-up is woken again after this. */
+  /** Delay before a timer event is delivered again after the policy failed on it. */
   private static final long TIMER_RETRY_MS = 100;
 
-  /** Where attempts go, each to its one end. */
+  /** Starts attempts at backends. Each attempt ends exactly once. */
   public interface Backends {
     void onRoster(RosterNews news);
 
-    /** Ends all that has not reached the backend yet. */
+    /** Ends the attempts that have not been written to the backend yet. */
     void cancelUnsent(long backend);
 
     void start(long backend, Attempt attempt);
   }
 
-  /** Where calls to the counter go; the end of each comes back as an event. */
+  /** Sends calls to the counter. The result of each call comes back as an event. */
   public interface Counter {
     void add(String name, double amount, double ttlMs);
   }
 
-  /** Who waits for the one final answer. */
+  /** Receives the single final answer of a request. */
   public interface Client {
-    /** When the last bytes that were read of the request can have come at the earliest. */
+    /** The earliest time at which the last bytes read of the request can have arrived. */
     double arrivedAt();
 
-    /** The whole answer; both are only lent, and the body is null where it is empty. */
+    /**
+     * Sends a complete response. The caller keeps ownership of the head and the body; the body is
+     * null if it is empty.
+     */
     void sendResponse(HttpResponse head, ByteBuf body);
 
     void sendRefusal(double retryAfterMs);
@@ -71,8 +75,8 @@
     void sendFailure();
 
     /**
-     * An answer that comes in pieces, each of which is taken over; from is held back where they
-     * pile up.
+     * Begins a response that is streamed in pieces, each of which this client takes ownership of.
+     * Reading from the connection is paused while unsent pieces accumulate.
      */
     void beginResponse(HttpResponse head, Attempt.Connection connection);
 
@@ -80,7 +84,7 @@
 
     void finishResponse();
 
-    /** It will not be finished, and the client must see that. */
+    /** Aborts a streamed response in a way that the client can detect. */
     void abortResponse();
   }
 
@@ -116,12 +120,12 @@
     return requests.size();
   }
 
-  /** Bytes of the bodies held. */
+  /** Bytes of request bodies that are kept in memory. */
   public int heldBytes() {
     return heldBytes;
   }
 
-  /** What the module has to tell the log. */
+  /** The policy's statistics for the log. */
   public String policyStats() {
     return policy.summarizeStats();
   }
@@ -130,7 +134,7 @@
     return requests.containsKey(id);
   }
 
-  /** Takes a request and its message, which is kept until no attempt needs it. */
+  /** Submits a request to the policy. Its message is kept until no attempt needs it. */
   public void submit(ParsedRequest parsed, OutgoingRequest message, Client client) {
     PendingRequest r = new PendingRequest(this, parsed, message, client);
     requests.put(parsed.id(), r);
@@ -143,12 +147,12 @@
     return clock.now();
   }
 
-  /** When the process ends at the latest, on the clock. */
+  /** The latest time at which the process ends, on the clock. */
   double processDeadlineMs() {
     return processDeadlineMs;
   }
 
-  /** So many bytes of bodies are kept no more. */
+  /** Subtracts bytes of request bodies that are no longer kept. */
   void releaseBytes(int bytes) {
     heldBytes -= bytes;
   }
@@ -177,9 +181,9 @@
   }
 
   /**
-   * The connections know the list first, as the module sends by it at once; the module knows it
-   * before it hears of the attempts that the list ends, or it would send them to the same places
-   * again.
+   * Applies a backend list. The connections to the backends get the list first, because the policy
+   * uses it for sending at once. The policy gets the list before the outcomes of the attempts that
+   * the list ends; otherwise it would send those requests to the same backends again.
    */
   public void onRoster(RosterNews news) {
     eventQueue.addList(
@@ -188,12 +192,12 @@
         () -> backends.onRoster(news));
   }
 
-  /** Whether operators may name this backend. */
+  /** Whether the policy knows this backend, so that operators may name it. */
   public boolean isKnownBackend(String host) {
     return policy.isKnown(RosterNews.number(host));
   }
 
-  /** Takes a backend out or puts it back. */
+  /** Excludes a backend or includes it again. */
   public void setExcluded(String host, boolean excluded) {
     long id = RosterNews.number(host);
     deliver(new BackendExclusion(id, excluded));
@@ -203,8 +207,8 @@
   }
 
   /**
-   * The process is about to end: all that is unanswered by then fails, and so does what still
-   * comes.
+   * Bounds all requests by the end of the process, which is due in the given time. Requests that
+   * are unanswered by then fail, and so do requests that arrive until then.
    */
   public void shutDownWithin(double ms) {
     processDeadlineMs = clock.now() + ms;
@@ -217,10 +221,7 @@
     fail(r);
   }
 
-  /**
-   * The net under the module: a request that it left unanswered fails while its client still
-   * listens.
-   */
+  /** Fails a request that the policy left unanswered, while its client still waits. */
   private void fail(PendingRequest r) {
     if (r.finish()) {
       if (r.streamingAttempt == null) {
@@ -243,7 +244,7 @@
     try {
       actions = policy.on(clock.now(), event);
     } catch (RuntimeException e) {
-      LOG.log(Level.SEVERE, "the module failed on " + event, e);
+      LOG.log(Level.SEVERE, "policy failed on event " + event, e);
       recover(event);
       return;
     }
@@ -251,12 +252,12 @@
       try {
         execute(action);
       } catch (RuntimeException e) {
-        LOG.log(Level.SEVERE, "could not do " + action, e);
+        LOG.log(Level.SEVERE, "could not execute action " + action, e);
       }
     }
   }
 
-  /** A fault in the module costs the request it came up with, never the process. */
+  /** A fault in the policy fails only the request whose event caused it; the process goes on. */
   private void recover(Event event) {
     if (event instanceof Request e) {
       failId(e.id());
@@ -301,12 +302,12 @@
         r.attempts.get(a.attempt()).abandon(Status.CANCELLED);
       }
     }
-    // FollowRoster needs nothing: the list is watched from the start.
+    // FollowRoster needs no action: the list of backends is watched from the start.
   }
 
   /**
-   * Never early: the module lets a wake-up pass that comes before its time, and then none would
-   * follow.
+   * Delivers a timer event, never early: the policy ignores an event that arrives before its time,
+   * and no further event would follow.
    */
   private void startTimer(SetTimer a) {
     double delayMs = Math.max(0, a.atMs() - clock.now());
--- a/front/src/main/java/willowdoor/front/requests/RequestAttempt.java
+++ b/front/src/main/java/willowdoor/front/requests/RequestAttempt.java
@@ -6,7 +6,7 @@
 import willowdoor.policy.GatewayApi.Status;
 import willowdoor.policy.GatewayApi.StreamStarted;
 
-/** An attempt of a request that is in the table. */
+/** An attempt of a request that is in the driver's table. */
 final class RequestAttempt extends Attempt {
   private final PolicyDriver driver;
   private final PendingRequest request;
@@ -14,7 +14,7 @@
   private final long backend;
   private double sentAt;
 
-  /** When its answer's head came. */
+  /** When the response's head arrived; NaN before. */
   private double headAt = Double.NaN;
 
   private boolean streamingBody;
@@ -30,8 +30,9 @@
   }
 
   /**
-   * From now on its last byte must not arrive any more. A short one that is with the kernel has
-   * arrived; of a long one only the answer tells.
+   * Called at the write deadline: the last byte must not reach the backend from now on. A short
+   * request that was written to the kernel counts as arrived. For a long one, only the response's
+   * head proves that it arrived.
    */
   void onWriteDeadline() {
     if (!written() || !request.message.fitsInitialWindow() && Double.isNaN(headAt)) {
@@ -39,7 +40,7 @@
     }
   }
 
-  /** No time runs while the client sends on. */
+  /** Stops the timers, because no time limit applies while the client still sends the body. */
   @Override
   public void onBeyondPrefix() {
     if (!streamingBody) {
@@ -50,7 +51,7 @@
     }
   }
 
-  /** The request's time counts from its last byte. */
+  /** Starts the request's time, which counts from its last byte. */
   @Override
   public void onLastPiece() {
     sentAt = driver.now();
--- a/front/src/test/java/willowdoor/front/clients/ArrivalTimeTest.java
+++ b/front/src/test/java/willowdoor/front/clients/ArrivalTimeTest.java
@@ -20,7 +20,7 @@
   @Test
   void whatComesToAnIdleLoopIsNoOlderThanTheLastLook() {
     ArrivalTime arrival = accepted();
-    arrival.asked();
+    arrival.onReadRequested();
     looks.begins(1_030);
     looks.foundNothing(1_040);
     looks.begins(1_041);
@@ -31,7 +31,7 @@
   @Test
   void whatComesWhileTheLoopStandsStillIsAsOldAsThat() {
     ArrivalTime arrival = accepted();
-    arrival.asked();
+    arrival.onReadRequested();
     looks.begins(1_030);
     looks.begins(1_600);
     arrival.onRead(true);
@@ -44,7 +44,7 @@
     looks.begins(1_010);
     looks.begins(1_700);
     ArrivalTime arrival = new ArrivalTime(looks);
-    arrival.asked();
+    arrival.onReadRequested();
     looks.begins(1_701);
     arrival.onRead(true);
     assertEquals(1_010, arrival.arrivedAt());
@@ -54,7 +54,7 @@
   void theTimeIsThatOfTheLastPiece() {
     ArrivalTime arrival = accepted();
     for (int at = 1_100; at < 1_500; at += 100) {
-      arrival.asked();
+      arrival.onReadRequested();
       looks.begins(at);
       looks.foundNothing(at + 50);
       looks.begins(at + 60);
@@ -67,12 +67,12 @@
   @Test
   void whatIsReadUnwatchedCameAfterTheAnswerBefore() {
     ArrivalTime arrival = accepted();
-    arrival.asked();
+    arrival.onReadRequested();
     looks.begins(1_100);
     arrival.onRead(true);
     looks.begins(1_300);
     arrival.onAnswered(1_301);
-    arrival.asked();
+    arrival.onReadRequested();
     looks.begins(1_400);
     arrival.onRead(true);
     assertEquals(1_301, arrival.arrivedAt());
@@ -82,13 +82,13 @@
   @Test
   void whatWasLeftBehindIsAsOldAsWhatWasRead() {
     ArrivalTime arrival = accepted();
-    arrival.asked();
+    arrival.onReadRequested();
     looks.begins(1_100);
     looks.foundNothing(1_110);
     looks.begins(1_120);
     arrival.onRead(false);
     looks.begins(1_500);
-    arrival.asked();
+    arrival.onReadRequested();
     arrival.onRead(true);
     assertEquals(1_110, arrival.arrivedAt());
   }
