--- a/front/src/main/java/willowdoor/front/clients/Exchange.java
+++ b/front/src/main/java/willowdoor/front/clients/Exchange.java
@@ -272,16 +272,16 @@
   }
 
   @Override
-  public void sendResponse(HttpResponse from, ByteBuf body) {
+  public void sendResponse(HttpResponse response, ByteBuf body) {
     pendingId = null;
-    responseWriter.sendResponse(from, body);
+    responseWriter.sendResponse(response, body);
     onResponseWritten();
   }
 
   @Override
-  public void sendRefusal(double holdOffMs) {
+  public void sendRefusal(double retryAfterMs) {
     pendingId = null;
-    responseWriter.sendRefusal(holdOffMs);
+    responseWriter.sendRefusal(retryAfterMs);
     onResponseWritten();
   }
 
@@ -292,9 +292,9 @@
   }
 
   @Override
-  public void beginResponse(HttpResponse from, Attempt.Connection source) {
+  public void beginResponse(HttpResponse response, Attempt.Connection source) {
     streamSource = source;
-    responseWriter.beginResponse(from);
+    responseWriter.beginResponse(response);
   }
 
   @Override
--- a/front/src/main/java/willowdoor/front/clients/ReceiveTimeout.java
+++ b/front/src/main/java/willowdoor/front/clients/ReceiveTimeout.java
@@ -15,7 +15,8 @@
 final class ReceiveTimeout extends ChannelInboundHandlerAdapter {
 
   /**
-   * A proper request may take 2 s. A peer that sends none must get an error or a close within 3 s.
+   * Between two bounds: a proper request may take 2 s, and a peer that sends none must get an error
+   * or a close within 3 s.
    */
   private static final long LIMIT_MS = 2_500;
 
--- a/front/src/main/java/willowdoor/front/clients/ResponseWriter.java
+++ b/front/src/main/java/willowdoor/front/clients/ResponseWriter.java
@@ -70,13 +70,13 @@
    * Sends a template server's response. The caller keeps ownership of the head and the body; the
    * body is null if it is empty.
    */
-  void sendResponse(HttpResponse from, ByteBuf body) {
+  void sendResponse(HttpResponse response, ByteBuf body) {
     DefaultFullHttpResponse answer =
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1,
             HttpResponseStatus.OK,
             body == null ? Unpooled.EMPTY_BUFFER : body.retain());
-    copyType(from, answer);
+    copyType(response, answer);
     write(answer);
   }
 
@@ -143,10 +143,10 @@
    * Begins a streamed response. It has the declared length of the backend's response, or is sent in
    * chunks.
    */
-  void beginResponse(HttpResponse from) {
+  void beginResponse(HttpResponse response) {
     HttpResponse answer = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-    copyType(from, answer);
-    long length = Headers.bodyLength(from);
+    copyType(response, answer);
+    long length = Headers.bodyLength(response);
     if (length >= 0) {
       answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, length);
     } else if (chunksAllowed) {
--- a/front/src/main/java/willowdoor/front/requests/EventQueue.java
+++ b/front/src/main/java/willowdoor/front/requests/EventQueue.java
@@ -18,7 +18,7 @@
 final class EventQueue {
 
   /**
-   * The policy gets an event at least every 250 ms. A longer gap than this means that the process
+   * The policy gets an event at least every 250 ms. A gap above this limit means that the process
    * stood still.
    */
   private static final double STALL_MS = 500;
--- a/front/src/test/java/willowdoor/front/ClientDisconnectTest.java
+++ b/front/src/test/java/willowdoor/front/ClientDisconnectTest.java
@@ -18,13 +18,16 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import willowdoor.front.Peers.Client;
 
-/** Clients that leave while their request waits, with bytes behind it that nobody has read. */
+/**
+ * Clients that disconnect while their request waits, with unread bytes after the request. No
+ * attempt may begin for such a client; the unread bytes could hide the disconnect.
+ */
 @Timeout(300)
 class ClientDisconnectTest {
 
   private static final String UP = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
 
-  /** For requests of which only the outcome counts. */
+  /** A timeout for requests of which only the outcome matters. */
   private static final int UNHURRIED_MS = 100_000;
 
   private final Peers peers = new Peers();
@@ -35,8 +38,7 @@
     peers.close();
   }
 
-  /** Ways of leaving. */
-  enum Way {
+  enum DisconnectKind {
     CLOSES,
     RESETS,
     ENDS_SENDING;
@@ -61,7 +63,7 @@
     }
   }
 
-  /** So many times around the loop: what had come to it before has been seen. */
+  /** Runs the event loop often enough that it has handled everything that arrived before. */
   private void runLoop() throws IOException {
     Client other = peers.client();
     for (int i = 0; i < 300; i++) {
@@ -70,14 +72,19 @@
   }
 
   /**
-   * What it sends is no request, and may be more than the sockets take: its end comes behind that.
+   * Sends bytes that form no request and may exceed the socket buffers, then disconnects after
+   * them.
    */
-  private static void sendAndDisconnect(Client client, int bytes, Way way) throws IOException {
+  private static void sendAndDisconnect(Client client, int bytes, DisconnectKind kind)
+      throws IOException {
     client.socket.getOutputStream().write(new byte[bytes]);
-    way.disconnect(client);
+    kind.disconnect(client);
   }
 
-  /** Its attempt comes back as turned away, and would be followed by another. */
+  /**
+   * The backend rejects the attempt without starting it; for a connected client a retry would
+   * follow.
+   */
   @ParameterizedTest
   @CsvSource({
     "CLOSES, 0",
@@ -92,11 +99,11 @@
     "ENDS_SENDING, 10000",
     "ENDS_SENDING, 4000000"
   })
-  void noFurtherAttemptBeginsForAClientThatLeft(Way way, int bytes) throws Exception {
-    CountDownLatch left = new CountDownLatch(1);
+  void noRetryBeginsForADisconnectedClient(DisconnectKind kind, int bytes) throws Exception {
+    CountDownLatch disconnected = new CountDownLatch(1);
     peers.answer =
         (request, out) -> {
-          await(left);
+          await(disconnected);
           return Peers.write(
               out, "r1".equals(request.header("Request-Id")) ? Peers.NOT_STARTED : Peers.OK);
         };
@@ -104,10 +111,10 @@
     Client client = peers.client();
     client.send(Peers.get("r1", UNHURRIED_MS));
     Peers.next(peers.atBackend);
-    sendAndDisconnect(client, bytes, way);
+    sendAndDisconnect(client, bytes, kind);
     runLoop();
-    left.countDown();
-    // Under pressure, as behind an attempt that was turned away, others may be refused for a while.
+    disconnected.countDown();
+    // After a rejected attempt the pressure is up, and other requests may be refused for a while.
     Client other = peers.client();
     for (int i = 0; other.ask(Peers.get("other" + i, UNHURRIED_MS)).status() != 200; i++) {
       Thread.onSpinWait();
@@ -115,7 +122,10 @@
     assertTrue(Peers.next(peers.atBackend).header("Request-Id").startsWith("other"));
   }
 
-  /** Its connect comes up once it has left; a body is larger than what is kept of it. */
+  /**
+   * The connect to the backend completes only after the client has disconnected. With a body, the
+   * body exceeds the kept prefix.
+   */
   @ParameterizedTest
   @CsvSource({
     "CLOSES, false, 0",
@@ -129,8 +139,8 @@
     "RESETS, true, 100000",
     "ENDS_SENDING, true, 100000"
   })
-  void noAttemptBeginsForAClientThatLeftDuringAConnect(Way way, boolean body, int bytes)
-      throws Exception {
+  void noAttemptBeginsForAClientThatDisconnectedDuringTheConnect(
+      DisconnectKind kind, boolean body, int bytes) throws Exception {
     try (HeldPort port = HeldPort.any();
         ServerSocket full = new ServerSocket(port.port(), 1, InetAddress.getLoopbackAddress())) {
       List<SocketChannel> fill = Peers.fill(full);
@@ -141,9 +151,9 @@
               ? Peers.post("r1", "", UNHURRIED_MS)
                   .replace("Content-Length: 0", "Content-Length: 300000")
               : Peers.get("r1", UNHURRIED_MS));
-      sendAndDisconnect(client, bytes, way);
+      sendAndDisconnect(client, bytes, kind);
       runLoop();
-      // Its connect is tried again by the system after that of the one that left.
+      // The system retries this connect after that of the disconnected client.
       Client other = peers.client();
       other.send(Peers.get("other", UNHURRIED_MS));
       runLoop();
@@ -160,14 +170,14 @@
     assertTrue(arrived.stream().allMatch(id -> id.startsWith("other")), arrived::toString);
   }
 
-  /** Serves every connection in turn with one request. */
+  /** Serves one request on each connection, one connection after another. */
   private void accept(ServerSocket server) {
     while (!server.isClosed()) {
       try (Socket socket = server.accept()) {
         arrived.add(Peers.read(socket.getInputStream()).header("Request-Id"));
         Peers.write(socket.getOutputStream(), Peers.OK);
       } catch (IOException e) {
-        // One that filled the queue, or that was given up.
+        // The connection filled the queue or was abandoned.
       }
     }
   }
--- a/front/src/test/java/willowdoor/front/ConnectionCloseTest.java
+++ b/front/src/test/java/willowdoor/front/ConnectionCloseTest.java
@@ -16,11 +16,13 @@
 import willowdoor.front.Peers.Client;
 import willowdoor.front.loop.Descriptors;
 
-/** How the front door ends clients' connections, with bytes that cross the end. */
+/**
+ * Tests how the front door closes clients' connections while bytes from the client are in transit.
+ */
 @Timeout(30)
 class ConnectionCloseTest {
 
-  /** More than is read at once: some of it is still unread when the connection ends. */
+  /** More than one read takes, so that some bytes are unread when the connection ends. */
   private static final String HALF_A_LINE = "GET /" + "x".repeat(10_000);
 
   private static final String UP = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
@@ -40,12 +42,12 @@
             .replace("\"settings\"", "\"limits\":{\"sockets\":" + SOCKETS + "},\"settings\""));
   }
 
-  private static String last(String id) {
+  private static String lastRequest(String id) {
     return Peers.get(id, 3000).replace("Host:", "Connection: close\r\nHost:");
   }
 
-  /** Clients with a connection each, which has been used once: as many as there may be. */
-  private List<Client> fill() throws IOException {
+  /** Opens as many connections as the limit allows, and uses each once. */
+  private List<Client> fillConnections() throws IOException {
     List<Client> idle = new ArrayList<>();
     for (int i = 0; i < Descriptors.of(SOCKETS).clients(); i++) {
       idle.add(peers.client());
@@ -54,39 +56,45 @@
     return idle;
   }
 
-  /** Holds the loop until the latch is down, so that what comes meanwhile comes at once. */
-  private static CountDownLatch hold(FrontDoor door) throws InterruptedException {
-    CountDownLatch held = new CountDownLatch(1);
-    CountDownLatch on = new CountDownLatch(1);
+  /**
+   * Blocks the event loop until the returned latch is released, so that input that arrives
+   * meanwhile is seen at once.
+   */
+  private static CountDownLatch blockLoop(FrontDoor door) throws InterruptedException {
+    CountDownLatch blocked = new CountDownLatch(1);
+    CountDownLatch resume = new CountDownLatch(1);
     door.loop()
         .execute(
             () -> {
-              held.countDown();
+              blocked.countDown();
               try {
-                on.await(10, TimeUnit.SECONDS);
+                resume.await(10, TimeUnit.SECONDS);
               } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
               }
             });
-    assertTrue(held.await(10, TimeUnit.SECONDS));
-    return on;
+    assertTrue(blocked.await(10, TimeUnit.SECONDS));
+    return resume;
   }
 
-  /** A close over unread bytes is a reset, which may take the answer with it. */
+  /**
+   * Closing a socket with unread bytes resets the connection, and the reset may discard the
+   * response.
+   */
   @Test
-  void bytesBehindTheLastAnswerDoNotResetTheConnection() throws Exception {
+  void bytesAfterTheLastResponseDoNotResetTheConnection() throws Exception {
     peers.start();
     Client client = peers.client();
-    assertEquals(200, client.ask(last("r1") + HALF_A_LINE).status());
+    assertEquals(200, client.ask(lastRequest("r1") + HALF_A_LINE).status());
     assertTrue(client.ended());
   }
 
   @Test
-  void bytesBehindARefusalDoNotResetTheConnection() throws Exception {
-    CountDownLatch told = new CountDownLatch(1);
+  void bytesAfterARefusalDoNotResetTheConnection() throws Exception {
+    CountDownLatch release = new CountDownLatch(1);
     peers.answer =
         (request, out) -> {
-          ClientDisconnectTest.await(told);
+          ClientDisconnectTest.await(release);
           return Peers.write(out, Peers.OK);
         };
     startWithFewDescriptors();
@@ -97,17 +105,15 @@
     Client tooMany = peers.client();
     assertEquals(503, tooMany.ask(Peers.get("more", 3000) + HALF_A_LINE).status());
     assertTrue(tooMany.ended());
-    told.countDown();
+    release.countDown();
   }
 
-  /**
-   * What is written behind the last answer is dropped; peers that keep their side open are cut off.
-   */
+  /** Input after the last response is dropped. Peers that keep their side open are disconnected. */
   @Test
-  void whatComesBehindTheLastAnswerIsNotSentOn() throws Exception {
+  void requestsAfterTheLastResponseAreNotForwarded() throws Exception {
     peers.start();
     Client client = peers.client();
-    assertEquals(200, client.ask(last("r1")).status());
+    assertEquals(200, client.ask(lastRequest("r1")).status());
     assertTrue(client.ended());
     assertEquals("r1", Peers.next(peers.atBackend).header("Request-Id"));
     assertThrows(
@@ -123,55 +129,60 @@
     assertNull(peers.atBackend.poll());
   }
 
-  /** Peers that keep their side open cost no other client its connection. */
+  /** Peers that keep their side open do not take connections from other clients. */
   @Test
-  void connectionsThatAreBeingClosedGiveWay() throws Exception {
+  void closingConnectionsMakeRoomForNewOnes() throws Exception {
     startWithFewDescriptors();
     for (int i = 0; i < 4 * SOCKETS; i++) {
       Client client = peers.client();
-      assertEquals(200, client.ask(last("r" + i)).status());
+      assertEquals(200, client.ask(lastRequest("r" + i)).status());
       assertTrue(client.ended());
     }
   }
 
-  /** The request is there when its connection is chosen to make room, and has not been read. */
+  /** The request has arrived but is unread when its connection is chosen for eviction. */
   @Test
-  void aRequestThatCameBeforeTheEvictionIsServed() throws Exception {
+  void requestThatArrivedBeforeTheEvictionIsServed() throws Exception {
     FrontDoor door = startWithFewDescriptors();
-    List<Client> idle = fill();
-    CountDownLatch on = hold(door);
+    List<Client> idle = fillConnections();
+    CountDownLatch resume = blockLoop(door);
     Client another = peers.client();
     idle.get(0).send(Peers.get("crossing", 3000));
-    on.countDown();
+    resume.countDown();
     assertEquals(200, idle.get(0).receive().status());
     assertEquals(200, another.ask(Peers.get("another", 3000)).status());
     assertTrue(idle.get(1).ended());
   }
 
-  /** Likewise a part of one: its rest may come. */
+  /**
+   * A part of a request has arrived when its connection is chosen for eviction; the rest may still
+   * arrive.
+   */
   @Test
-  void aPartOfARequestThatCameBeforeTheEvictionIsReadOn() throws Exception {
+  void partialRequestThatArrivedBeforeTheEvictionIsCompleted() throws Exception {
     FrontDoor door = startWithFewDescriptors();
-    List<Client> idle = fill();
+    List<Client> idle = fillConnections();
     String request = Peers.get("crossing", 3000);
-    CountDownLatch on = hold(door);
+    CountDownLatch resume = blockLoop(door);
     Client another = peers.client();
     idle.get(0).send(request.substring(0, 20));
-    on.countDown();
+    resume.countDown();
     assertEquals(200, another.ask(Peers.get("another", 3000)).status());
     idle.get(0).send(request.substring(20));
     assertEquals(200, idle.get(0).receive().status());
     assertTrue(idle.get(1).ended());
   }
 
-  /** The second has come by the time at which the first one's answer would end the connection. */
+  /**
+   * The later requests have arrived before the response to the first one would end the connection.
+   */
   @Test
-  void aRequestBehindAnotherIsAnsweredThoughTheFrontDoorDrains() throws Exception {
+  void pipelinedRequestsAreAnsweredDuringADrain() throws Exception {
     FrontDoor door = peers.start();
-    CountDownLatch told = new CountDownLatch(1);
+    CountDownLatch release = new CountDownLatch(1);
     peers.answer =
         (request, out) -> {
-          ClientDisconnectTest.await(told);
+          ClientDisconnectTest.await(release);
           return Peers.write(out, Peers.OK);
         };
     Client client = peers.client();
@@ -179,7 +190,7 @@
     Peers.next(peers.atBackend);
     Thread end = new Thread(door::end);
     end.start();
-    told.countDown();
+    release.countDown();
     for (int i = 0; i < 3; i++) {
       assertEquals(200, client.receive().status());
     }
@@ -188,9 +199,12 @@
     assertTrue(!end.isAlive());
   }
 
-  /** The rest of a request that begins behind another one's answer has its time to come, too. */
+  /**
+   * The time limit for a partial request also applies if the request begins while another one is
+   * answered.
+   */
   @Test
-  void halfARequestBehindAnotherIsEndedInTime() throws Exception {
+  void partialPipelinedRequestTimesOut() throws Exception {
     peers.start();
     Client client = peers.client();
     assertEquals(200, client.ask(Peers.get("r1", 3000) + "GET /quote").status());
--- a/front/src/test/java/willowdoor/front/MisbehavingClientTest.java
+++ b/front/src/test/java/willowdoor/front/MisbehavingClientTest.java
@@ -17,14 +17,18 @@
 import willowdoor.front.Peers.Message;
 import willowdoor.front.loop.Descriptors;
 
-/** Peers that send no proper requests: each is told so, and costs nobody else a request. */
+/**
+ * Peers that send no proper requests: each gets an error, and no other client loses a request
+ * because of them.
+ */
 @Timeout(30)
 class MisbehavingClientTest {
 
   private static final int SOCKETS = 128;
 
   /**
-   * Their answers are more than the sockets take, and they themselves fit in what is read ahead.
+   * The responses to this many requests exceed the socket buffers, while the requests fit into the
+   * read-ahead buffer.
    */
   private static final int UNREAD = 300;
 
@@ -35,7 +39,7 @@
     peers.close();
   }
 
-  private static String bad(String kind) {
+  private static String malformed(String kind) {
     String post = Peers.post("bad", "body");
     return switch (kind) {
       case "no request" -> "\u0016\u0003\u0001 hello\r\n\r\n";
@@ -60,7 +64,10 @@
     };
   }
 
-  /** The error is in plain words, whole, and followed by the connection's end without a reset. */
+  /**
+   * The error has a readable text, is complete, and is followed by the end of the connection
+   * without a reset.
+   */
   @ParameterizedTest
   @CsvSource({
     "no request",
@@ -75,56 +82,61 @@
     "unknown expectation",
     "too large"
   })
-  void whatIsNoRequestIsToldSoWhateverComesBehindIt(String kind) throws Exception {
+  void malformedRequestGetsAnErrorWhateverFollowsIt(String kind) throws Exception {
     peers.start();
-    CountDownLatch told = new CountDownLatch(1);
+    CountDownLatch release = new CountDownLatch(1);
     peers.answer =
         (request, out) -> {
-          ClientDisconnectTest.await(told);
+          ClientDisconnectTest.await(release);
           return Peers.write(out, Peers.OK);
         };
     Client proper = peers.client();
     proper.send(Peers.get("proper", 9000));
     Peers.next(peers.atBackend);
     Client client = peers.client();
-    client.send(bad(kind) + "x".repeat(400_000));
+    client.send(malformed(kind) + "x".repeat(400_000));
     Message answer = client.receive();
     assertTrue(answer.status() >= 400 && answer.status() < 502, answer.head());
     assertEquals("close", answer.header("Connection"));
     assertFalse(answer.text().isBlank());
     assertTrue(client.ended());
-    told.countDown();
+    release.countDown();
     assertEquals(200, proper.receive().status());
     assertTrue(peers.atBackend.isEmpty());
   }
 
-  /** Much at once, and gone: neither what they sent nor their number is in anybody's way. */
+  /**
+   * Peers send many bytes at once and disconnect. Neither those bytes nor the number of peers may
+   * affect other clients.
+   */
   @ParameterizedTest
   @CsvSource({"CLOSES", "RESETS"})
-  void peersThatSendMuchAndGoAreForgotten(ClientDisconnectTest.Way way) throws Exception {
-    peers.start(withFewDescriptors());
+  void peersThatSendMuchAndDisconnectLeaveNothingBehind(ClientDisconnectTest.DisconnectKind kind)
+      throws Exception {
+    peers.start(configWithFewDescriptors());
     Client proper = peers.client();
     for (int i = 0; i < 3 * SOCKETS; i++) {
       Client client = peers.client();
       client.send("x".repeat(100_000));
-      way.disconnect(client);
+      kind.disconnect(client);
     }
     assertEquals(200, proper.ask("GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status());
     assertEquals(200, peers.client().ask(Peers.get("r1", 3000)).status());
   }
 
-  private String withFewDescriptors() {
+  private String configWithFewDescriptors() {
     return peers
         .config(Peers.entry("s-1", peers.backend.getLocalPort(), "active"))
         .replace("\"settings\"", "\"limits\":{\"sockets\":" + SOCKETS + "},\"settings\"");
   }
 
   /**
-   * Heads that come byte by byte are requests as others are, and give way to those that come whole.
+   * A head that arrives byte by byte is served like any other. At the connection limit, connections
+   * with partial heads are evicted in favour of a complete request.
    */
   @Test
-  void peersThatSendBytesOneByOneCostNobodyARequest() throws Exception {
-    peers.start(withFewDescriptors());
+  void peersThatSendByteByByteDoNotBlockOtherRequests() throws Exception {
+    peers.start(configWithFewDescriptors());
     String request = Peers.get("slow", 3000);
     List<Client> trickling = new ArrayList<>();
     for (int i = 0; i < 2 * Descriptors.of(SOCKETS).clients(); i++) {
@@ -138,11 +150,11 @@
     }
     assertEquals(200, last.receive().status());
     for (Client c : trickling) {
-      assertTrue(toldOrEnded(c));
+      assertTrue(gotTimeoutOrClose(c));
     }
   }
 
-  private static boolean toldOrEnded(Client client) throws IOException {
+  private static boolean gotTimeoutOrClose(Client client) throws IOException {
     try {
       return client.receive().status() == 408 && client.ended();
     } catch (java.io.EOFException e) {
@@ -151,12 +163,12 @@
   }
 
   /**
-   * Clients that rest on all connections there may be make room for one that works, again and
+   * Idle clients on all available connections are evicted for one that sends requests, again and
    * again.
    */
   @Test
-  void restingClientsMakeRoomForThoseThatWork() throws Exception {
-    peers.start(withFewDescriptors());
+  void idleClientsAreEvictedForActiveOnes() throws Exception {
+    peers.start(configWithFewDescriptors());
     for (int i = 0; i < 2 * Descriptors.of(SOCKETS).clients(); i++) {
       assertEquals(200, peers.client().ask("GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status());
     }
@@ -167,9 +179,12 @@
     }
   }
 
-  /** Answers that nobody reads pile up no further than one beyond what the sockets take. */
+  /**
+   * At most one response beyond the capacity of the socket buffers accumulates for a client that
+   * does not read.
+   */
   @Test
-  void requestsBehindAnswersThatAreNotReadWait() throws Exception {
+  void pipelinedRequestsWaitUntilResponsesAreRead() throws Exception {
     String answer = "HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + "x".repeat(60_000);
     peers.answer = (request, out) -> Peers.write(out, answer);
     peers.start();
@@ -187,7 +202,7 @@
         other.ask("GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
       }
     }
-    assertTrue(peers.atBackend.size() < UNREAD - 1, "all were sent on");
+    assertTrue(peers.atBackend.size() < UNREAD - 1, "every request was sent to the backend");
     for (int i = 0; i < UNREAD; i++) {
       assertTrue(client.receive().status() >= 200);
     }
--- a/front/src/test/java/willowdoor/front/ProcessPauseTest.java
+++ b/front/src/test/java/willowdoor/front/ProcessPauseTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Timeout;
 import willowdoor.front.Peers.Client;
 
-/** The process stands still while a request and then a change of the list come. */
+/** The process pauses while a request and then a change of the backend list arrive. */
 @Timeout(value = 40, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class ProcessPauseTest {
 
@@ -20,10 +20,13 @@
     peers.close();
   }
 
-  /** The request is read first, and the drain that was told meanwhile still binds it. */
+  /**
+   * The request is read before the list, but the drain that arrived during the pause must apply to
+   * it.
+   */
   @Test
-  void aDrainThatCameInThePauseIsReadBeforeAnythingIsSent() throws Exception {
-    // Without a call to the counter a request is sent as it is read.
+  void drainThatArrivedDuringAPauseAppliesBeforeAnythingIsSent() throws Exception {
+    // Without a call to the counter, a request is sent in the same pass that reads it.
     FrontDoor door =
         peers.start(
             peers
@@ -33,24 +36,24 @@
     Client client = peers.client();
     assertEquals(200, client.ask(Peers.get("r0", 3_000)).status());
     Peers.next(peers.atBackend);
-    CountDownLatch stands = new CountDownLatch(1);
-    CountDownLatch goesOn = new CountDownLatch(1);
+    CountDownLatch paused = new CountDownLatch(1);
+    CountDownLatch resume = new CountDownLatch(1);
     door.loop()
         .execute(
             () -> {
-              stands.countDown();
+              paused.countDown();
               try {
-                goesOn.await();
+                resume.await();
               } catch (InterruptedException e) {
                 throw new AssertionError(e);
               }
             });
-    stands.await();
+    paused.await();
     client.send(Peers.get("r1", 3_000));
     peers.tell(
         Peers.list(8, false, Peers.entry("s-1", peers.backend.getLocalPort(), "leaving")) + "\n");
-    Thread.sleep(1_100); // longer than the grace
-    goesOn.countDown();
+    Thread.sleep(1_100); // longer than the grace period
+    resume.countDown();
     assertEquals(503, client.receive().status());
     assertNull(peers.atBackend.poll());
   }
--- a/front/src/test/java/willowdoor/front/RequestTimeoutTest.java
+++ b/front/src/test/java/willowdoor/front/RequestTimeoutTest.java
@@ -20,11 +20,11 @@
 import willowdoor.front.Peers.Client;
 import willowdoor.front.Peers.Message;
 
-/** What a request tells of its time, and what a backend is told of it. */
+/** Tests the timeout that a request declares and the timeout that is sent to the backend. */
 @Timeout(30)
 class RequestTimeoutTest {
 
-  private static final String TIME = "Request-Timeout-Ms: 3000\r\n";
+  private static final String TIMEOUT_LINE = "Request-Timeout-Ms: 3000\r\n";
 
   private final Peers peers = new Peers();
 
@@ -34,7 +34,8 @@
   }
 
   /**
-   * The answer does not wait for a body that may never come, and nothing of the request is sent on.
+   * The error does not wait for a body that may never arrive, and nothing of the request is
+   * forwarded.
    */
   @ParameterizedTest
   @ValueSource(
@@ -48,14 +49,16 @@
         "Request-Timeout-Ms: 1e3\r\n",
         "Request-Timeout-Ms: soon\r\n",
         "Request-Timeout-Ms: 3000, 3000\r\n",
-        TIME + TIME,
-        TIME + "request-timeout-ms: 9\r\n"
+        TIMEOUT_LINE + TIMEOUT_LINE,
+        TIMEOUT_LINE + "request-timeout-ms: 9\r\n"
       })
-  void aTimeThatIsNoneIsToldAtOnce(String time) throws Exception {
+  void invalidTimeoutIsRejectedAtOnce(String timeout) throws Exception {
     peers.start();
     Client client = peers.client();
     client.send(
-        Peers.post("r1", "").replace(TIME, time).replace("Content-Length: 0", "Content-Length: 9"));
+        Peers.post("r1", "")
+            .replace(TIMEOUT_LINE, timeout)
+            .replace("Content-Length: 0", "Content-Length: 9"));
     assertEquals(400, client.receive().status());
     client.send("the body.");
     assertEquals(200, client.ask(Peers.get("r2", 3000)).status());
@@ -63,7 +66,7 @@
     assertNull(peers.atBackend.poll());
   }
 
-  /** No client waits longer than its class allows, however much it asks for. */
+  /** A client cannot have a longer timeout than its class allows. */
   @ParameterizedTest
   @ValueSource(
       strings = {
@@ -72,21 +75,23 @@
         "9223372036854775807",
         "99999999999999999999999999999999999999"
       })
-  void aTimeBeyondThatOfTheClassIsCutToIt(String time) throws Exception {
+  void timeoutAboveThatOfTheClassIsCapped(String timeout) throws Exception {
     peers.start();
     Client client = peers.client();
     assertEquals(
         200,
         client
-            .ask(Peers.get("r1", 3000).replace(TIME, "Request-Timeout-Ms: " + time + "\r\n"))
+            .ask(
+                Peers.get("r1", 3000)
+                    .replace(TIMEOUT_LINE, "Request-Timeout-Ms: " + timeout + "\r\n"))
             .status());
-    int told = Integer.parseInt(Peers.next(peers.atBackend).header("Request-Timeout-Ms"));
-    assertTrue(told > 0 && told <= 4000, "told: " + told);
+    int sentTimeoutMs = Integer.parseInt(Peers.next(peers.atBackend).header("Request-Timeout-Ms"));
+    assertTrue(sentTimeoutMs > 0 && sentTimeoutMs <= 4000, "sentTimeoutMs: " + sentTimeoutMs);
   }
 
-  /** Time that went by while the connection came up is not given to the backend a second time. */
+  /** The time that the connect took is subtracted from the timeout that is sent to the backend. */
   @Test
-  void aBackendIsToldWhatIsLeftWhenTheRequestIsWritten() throws Exception {
+  void backendGetsTheTimeLeftWhenTheRequestIsWritten() throws Exception {
     try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       List<SocketChannel> fill = Peers.fill(full);
       peers.start(
@@ -106,26 +111,24 @@
         Socket socket = full.accept();
         sent = read(socket);
       }
-      int told = Integer.parseInt(sent.header("Request-Timeout-Ms"));
-      assertTrue(told <= 15_000 - 300, "told: " + told);
+      int sentTimeoutMs = Integer.parseInt(sent.header("Request-Timeout-Ms"));
+      assertTrue(sentTimeoutMs <= 15_000 - 300, "sentTimeoutMs: " + sentTimeoutMs);
     }
   }
 
-  /**
-   * A client's time runs while its request waits in the socket of a front door that stands still.
-   */
+  /** A request's time also runs while the request waits in the socket of a paused front door. */
   @Test
-  void theTimeInWhichTheLoopStoodStillIsNotGivenAgain() throws Exception {
+  void timeOfALoopPauseCountsAgainstTheTimeout() throws Exception {
     FrontDoor door = peers.start();
-    Client kept = peers.client();
-    assertEquals(200, kept.ask(Peers.get("r0", 3000)).status());
+    Client used = peers.client();
+    assertEquals(200, used.ask(Peers.get("r0", 3000)).status());
     Peers.next(peers.atBackend);
-    CountDownLatch stands = new CountDownLatch(1);
+    CountDownLatch paused = new CountDownLatch(1);
     CountDownLatch sent = new CountDownLatch(1);
     door.loop()
         .execute(
             () -> {
-              stands.countDown();
+              paused.countDown();
               try {
                 sent.await();
                 TimeUnit.MILLISECONDS.sleep(400);
@@ -133,21 +136,24 @@
                 Thread.currentThread().interrupt();
               }
             });
-    stands.await();
+    paused.await();
     Client fresh = peers.client();
-    kept.send(Peers.get("r1", 400));
+    used.send(Peers.get("r1", 400));
     fresh.send(Peers.get("r2", 3000));
     sent.countDown();
-    assertEquals(503, kept.receive().status());
+    assertEquals(503, used.receive().status());
     assertEquals(200, fresh.receive().status());
-    Message onward = Peers.next(peers.atBackend);
-    assertEquals("r2", onward.header("Request-Id"));
-    int told = Integer.parseInt(onward.header("Request-Timeout-Ms"));
-    assertTrue(told <= 3000 - 400, "told: " + told);
+    Message forwarded = Peers.next(peers.atBackend);
+    assertEquals("r2", forwarded.header("Request-Id"));
+    int sentTimeoutMs = Integer.parseInt(forwarded.header("Request-Timeout-Ms"));
+    assertTrue(sentTimeoutMs <= 3000 - 400, "sentTimeoutMs: " + sentTimeoutMs);
     assertNull(peers.atBackend.poll());
   }
 
-  /** The request that comes over it, or null: one of those that filled the queue. */
+  /**
+   * Reads the request from the connection. Returns null if the connection is one of those that
+   * filled the queue.
+   */
   private static Message read(Socket socket) {
     try (socket) {
       return Peers.read(socket.getInputStream());
--- a/front/src/test/java/willowdoor/front/ResponseLatencyTest.java
+++ b/front/src/test/java/willowdoor/front/ResponseLatencyTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Timeout;
 import willowdoor.front.Peers.Client;
 
-/** What the module is told of the time that an answer took. */
+/** Tests the response times that the policy gets. */
 @Timeout(30)
 class ResponseLatencyTest {
 
@@ -21,11 +21,11 @@
   }
 
   /**
-   * A body that comes slowly is no sign of load: the expected wait stays that of the answers'
-   * heads.
+   * A body that arrives slowly is no sign of load: the expected wait is measured up to the
+   * response's head. Guards against refusals for load that the backend does not have.
    */
   @Test
-  void bodiesThatComeSlowlyAreNoPressure() throws Exception {
+  void slowResponseBodiesDoNotRaisePressure() throws Exception {
     CountDownLatch never = new CountDownLatch(1);
     peers.answer =
         (request, out) -> {
--- a/front/src/test/java/willowdoor/front/SlowClientTest.java
+++ b/front/src/test/java/willowdoor/front/SlowClientTest.java
@@ -11,7 +11,7 @@
 import willowdoor.front.Peers.Client;
 import willowdoor.front.loop.Descriptors;
 
-/** Clients that take their time over a request. */
+/** Clients that send their requests slowly. */
 @Timeout(30)
 class SlowClientTest {
 
@@ -22,12 +22,15 @@
     peers.close();
   }
 
-  /** A silent peer and one whose bytes trickle are told so, and hold no descriptor for long. */
+  /**
+   * A silent peer and one that sends a few bytes at a time get an error, and hold no descriptor for
+   * long.
+   */
   @Test
-  void peersWithoutAWholeRequestAreEndedInTime() throws Exception {
+  void peersWithoutACompleteRequestTimeOut() throws Exception {
     peers.start();
-    Client kept = peers.client();
-    assertEquals(200, kept.ask(Peers.get("r1", 3000)).status());
+    Client used = peers.client();
+    assertEquals(200, used.ask(Peers.get("r1", 3000)).status());
     Client silent = peers.client();
     Client trickling = peers.client();
     trickling.send("GET /quote/17 HTTP/1.1\r\n");
@@ -38,20 +41,20 @@
     assertEquals(408, trickling.receive().status());
     assertEquals(408, silent.receive().status());
     assertTrue(silent.ended());
-    kept.send("GET /quote/17 HTTP/1.1\r\n");
-    assertEquals(408, kept.receive().status());
-    assertTrue(kept.ended());
+    used.send("GET /quote/17 HTTP/1.1\r\n");
+    assertEquals(408, used.receive().status());
+    assertTrue(used.ended());
   }
 
-  /** A flood of silent peers does not cost proper clients their connections. */
+  /** Many silent peers do not cause the eviction of connections that have been used. */
   @Test
-  void silentPeersGiveWayBeforeKeptConnections() throws Exception {
+  void silentPeersAreEvictedBeforeUsedConnections() throws Exception {
     peers.start(
         peers
             .config(Peers.entry("s-1", peers.backend.getLocalPort(), "active"))
             .replace("\"settings\"", "\"limits\":{\"sockets\":128},\"settings\""));
-    Client kept = peers.client();
-    assertEquals(200, kept.ask(Peers.get("r0", 3000)).status());
+    Client used = peers.client();
+    assertEquals(200, used.ask(Peers.get("r0", 3000)).status());
     Client silent = peers.client();
     for (int i = 2; i < Descriptors.of(128).clients(); i++) {
       peers.client();
@@ -59,12 +62,15 @@
     pause(600);
     assertEquals(200, peers.client().ask(Peers.get("r1", 3000)).status());
     assertTrue(silent.ended());
-    assertEquals(200, kept.ask(Peers.get("r2", 3000)).status());
+    assertEquals(200, used.ask(Peers.get("r2", 3000)).status());
   }
 
-  /** The time to send a request is not the time to answer it, and ends with the request. */
+  /**
+   * The time limit for sending a request does not apply to its response or to the idle time after
+   * it.
+   */
   @Test
-  void aRequestThatIsWholeMayTakeLongerThanItsSending() throws Exception {
+  void completeRequestMayTakeLongerThanTheReceiveTimeout() throws Exception {
     peers.start(
         peers
             .config(Peers.entry("s-1", peers.backend.getLocalPort(), "active"))
--- a/front/src/test/java/willowdoor/front/SlowConnectTest.java
+++ b/front/src/test/java/willowdoor/front/SlowConnectTest.java
@@ -22,7 +22,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A connect comes up only when its request must not be sent any more, through the whole front door.
+ * Tests the whole front door with a connect that completes only when its request must not be sent
+ * any more.
  */
 @Timeout(value = 40, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class SlowConnectTest {
@@ -49,8 +50,8 @@
   }
 
   /**
-   * The repeat's connect comes up only when its window is over: it is not written, and its client
-   * hears.
+   * The connect for a retry completes only after the retry's time window. The retry is not sent,
+   * and its client gets an answer.
    */
   @ParameterizedTest
   @CsvSource({
@@ -60,8 +61,7 @@
     "all, 0, 3000",
     "zone, 0, 3000"
   })
-  void aRepeatThatItsConnectHoldsUpIsNotSent(String group, int window, int deadline)
-      throws Exception {
+  void retryDelayedByItsConnectIsNotSent(String group, int window, int deadline) throws Exception {
     try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       server.setSoTimeout(10_000);
       peers.start(
@@ -79,8 +79,8 @@
       List<SocketChannel> queue = Peers.fill(server);
       Peers.write(first.getOutputStream(), FAILED);
       int status = client.receive().status();
-      // A refusal promises that another try is harmless: only the group of all and an open window
-      // bear that.
+      // A refusal promises that another try is harmless. Only the group of all gateways and an open
+      // window permit that promise.
       assertTrue(
           status == 502 || status == 503 && group.equals("all") && window > 0,
           "answered " + status);
@@ -89,14 +89,14 @@
       for (SocketChannel c : queue) {
         c.close();
       }
-      nothingComesOf("r1", server);
+      assertNothingArrives("r1", server);
     }
   }
 
-  /** A first attempt, and a further one: neither is begun for a client that has left. */
+  /** Neither a first attempt nor a retry begins for a client that has disconnected. */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void nothingIsSentForAClientThatLeft(boolean further) throws Exception {
+  void nothingIsSentForADisconnectedClient(boolean retry) throws Exception {
     try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       server.setSoTimeout(10_000);
       FrontDoor door =
@@ -104,36 +104,39 @@
               peers
                   .config(Peers.entry("s-1", server.getLocalPort(), "active"))
                   .replace("\"DialTimeoutMs\":250", "\"DialTimeoutMs\":2500"));
-      List<SocketChannel> queue = further ? List.of() : Peers.fill(server);
+      List<SocketChannel> queue = retry ? List.of() : Peers.fill(server);
       Peers.Client client = peers.client();
       client.send(Peers.post("r1", "body"));
-      if (further) {
+      if (retry) {
         Socket first = accept(server);
         assertEquals("body", Peers.read(first.getInputStream()).text());
         queue = Peers.fill(server);
         Peers.write(first.getOutputStream(), FAILED);
       }
       Thread.sleep(
-          200); // the connect is under way, and its first packet is sent again only after 1 s
+          200); // the connect is in progress, and TCP sends its first packet again only after 1 s
       client.close();
       door.loop().submit(() -> {}).sync();
       for (SocketChannel c : queue) {
         c.close();
       }
-      nothingComesOf("r1", server);
+      assertNothingArrives("r1", server);
     }
   }
 
-  /** A retry of the connect's first packet, 1 s on, would bring it. */
-  private void nothingComesOf(String id, ServerSocket server) throws IOException {
+  /**
+   * Asserts that nothing with this id arrives, for long enough that TCP's retry of the connect's
+   * first packet after 1 s would deliver it.
+   */
+  private void assertNothingArrives(String id, ServerSocket server) throws IOException {
     server.setSoTimeout(1_500);
-    for (String came = next(server); came != null; came = next(server)) {
-      assertFalse(came.contains(id), came);
+    for (String received = nextBytes(server); received != null; received = nextBytes(server)) {
+      assertFalse(received.contains(id), received);
     }
   }
 
-  /** What comes on the next connection, or null where none comes. */
-  private String next(ServerSocket server) throws IOException {
+  /** The bytes that arrive on the next connection, or null if there is none. */
+  private String nextBytes(ServerSocket server) throws IOException {
     try {
       Socket socket = accept(server);
       socket.setSoTimeout(300);
--- a/front/src/test/java/willowdoor/front/StreamingTest.java
+++ b/front/src/test/java/willowdoor/front/StreamingTest.java
@@ -20,7 +20,7 @@
 import willowdoor.front.Peers.Client;
 import willowdoor.front.Peers.Message;
 
-/** Messages of all sizes and forms. */
+/** Requests and responses of all sizes and framings. */
 @Timeout(value = 40, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class StreamingTest {
 
@@ -63,11 +63,9 @@
     assertEquals(200, client.ask(Peers.get("small", 3000)).status());
   }
 
-  /**
-   * An answer is read no faster than its client takes it, so the backend's writes come to a stop.
-   */
+  /** A response is read no faster than its client reads it, so the backend's writes block. */
   @Test
-  void anAnswerThatItsClientDoesNotReadIsHeldBack() throws Exception {
+  void responseThatIsNotReadPutsBackPressureOnTheBackend() throws Exception {
     peers.start();
     AtomicLong written = new AtomicLong();
     byte[] part = bytes(1 << 20);
@@ -88,20 +86,25 @@
       before = written.get();
       Thread.sleep(300);
     }
-    assertTrue(written.get() < 48L << 20, "only what sockets hold is on its way: " + written.get());
+    assertTrue(
+        written.get() < 48L << 20,
+        "bytes in transit must fit into the socket buffers: " + written.get());
     assertEquals(64 << 20, slow.receive().body().length);
   }
 
-  /** The first 64 KiB can be sent again; a refused connection costs a large request nothing. */
+  /**
+   * The first 64 KiB of a body are kept and can be sent again, so a refused connection does not
+   * fail a large request.
+   */
   @Test
-  void aLargeRequestThatNeverLeftIsTriedAgainElsewhere() throws Exception {
-    AtomicInteger turnedAway = new AtomicInteger();
+  void largeRequestThatWasNotSentIsRetriedElsewhere() throws Exception {
+    AtomicInteger refused = new AtomicInteger();
     int port =
         peers
             .listen(
                 50,
                 (in, out, socket) -> {
-                  turnedAway.incrementAndGet();
+                  refused.incrementAndGet();
                   socket.close();
                 })
             .getLocalPort();
@@ -111,7 +114,7 @@
             Peers.entry("s-2", port, "active")));
     byte[] body = bytes(LARGE);
     Client client = peers.client();
-    for (int i = 0; turnedAway.get() == 0; i++) {
+    for (int i = 0; refused.get() == 0; i++) {
       client.send(Peers.post("r" + i, "").replace("Content-Length: 0", "Content-Length: " + LARGE));
       client.socket.getOutputStream().write(body);
       int status = client.receive().status();
@@ -119,11 +122,9 @@
     }
   }
 
-  /**
-   * Requests that do not come to their end count too: what all clients can have kept is bounded.
-   */
+  /** Incomplete requests count too: the bytes kept for all clients together are bounded. */
   @Test
-  void bodiesThatAreStillComingAreBoundedOverAllConnections() throws Exception {
+  void incompleteBodiesAreBoundedOverAllConnections() throws Exception {
     peers.start();
     String part = "x".repeat(60_000);
     for (int i = 0; i < (8 << 20) / part.length() + 1; i++) {
@@ -140,7 +141,7 @@
   }
 
   @Test
-  void chunksInPiecesWithTrailersAreOneBody() throws Exception {
+  void chunkedRequestInPiecesWithTrailersIsOneBody() throws Exception {
     peers.start();
     Client client = peers.client();
     String request =
@@ -153,7 +154,7 @@
   }
 
   @Test
-  void aChunkedAnswerWithTrailersIsServed() throws Exception {
+  void chunkedResponseWithTrailersIsServed() throws Exception {
     peers.start();
     peers.answer =
         (request, out) ->
@@ -169,9 +170,12 @@
     }
   }
 
-  /** A backend that says that it closes has ended its answer so; a reset would be a cut. */
+  /**
+   * A response without a length ends with the connection if the backend announces the close; a
+   * reset would mean that the response is cut off.
+   */
   @Test
-  void anAnswerThatEndsWithItsConnectionIsServed() throws Exception {
+  void responseThatEndsWithItsConnectionIsServed() throws Exception {
     peers.start();
     peers.answer =
         (request, out) -> {
@@ -182,7 +186,7 @@
   }
 
   @Test
-  void aClientThatExpectsIsToldToContinue() throws Exception {
+  void expect100ContinueIsAnswered() throws Exception {
     peers.start();
     Client client = peers.client();
     String request = Peers.post("r1", "body");
@@ -198,7 +202,7 @@
   }
 
   @Test
-  void theAbsoluteFormNamesTheSameTarget() throws Exception {
+  void absoluteFormIsForwardedInOriginForm() throws Exception {
     peers.start();
     Client client = peers.client();
     assertEquals(
@@ -211,10 +215,10 @@
   }
 
   @Test
-  void framingThatCanBeReadInTwoWaysIsRefused() throws Exception {
+  void ambiguousFramingIsRefused() throws Exception {
     peers.start();
     String post = Peers.post("r1", "abcd");
-    for (String bad :
+    for (String ambiguous :
         new String[] {
           post.replace("Content-Length: 4", "Content-Length: 4\r\nTransfer-Encoding: chunked"),
           post.replace("Content-Length: 4", "Content-Length: 4\r\nContent-Length: 2"),
@@ -223,16 +227,19 @@
           post.replace("Content-Length: 4", "Transfer-Encoding: gzip, chunked")
         }) {
       Client client = peers.client();
-      int status = client.ask(bad).status();
-      assertTrue(status == 400 || status == 501, bad);
+      int status = client.ask(ambiguous).status();
+      assertTrue(status == 400 || status == 501, ambiguous);
       assertTrue(client.ended());
     }
     assertNull(peers.atBackend.poll());
   }
 
-  /** An answer ahead of the request's end is the answer; the rest of the request is of no use. */
+  /**
+   * A response may arrive before the end of the request. It is forwarded, and the rest of the
+   * request is dropped.
+   */
   @Test
-  void anEarlyAnswerIsPassedOnAndTheRestOfTheRequestDropped() throws Exception {
+  void earlyResponseIsForwardedAndTheRestOfTheRequestDropped() throws Exception {
     int port =
         peers
             .listen(
@@ -253,9 +260,12 @@
     assertEquals(200, client.ask("GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status());
   }
 
-  /** An answer that fails under way ends so that its client can tell, whatever its framing. */
+  /**
+   * A response that breaks off ends the client's connection, so that the client can tell whatever
+   * the framing.
+   */
   @Test
-  void aCutLargeAnswerEndsTheConnection() throws Exception {
+  void incompleteLargeResponseEndsTheConnection() throws Exception {
     peers.start();
     for (String framing : new String[] {"Content-Length: 200000", "Transfer-Encoding: chunked"}) {
       peers.answer =
@@ -277,17 +287,20 @@
           IOException.class,
           () -> {
             client.receive();
-            throw new AssertionError("taken for whole");
+            throw new AssertionError("the incomplete response was taken for complete");
           });
     }
     peers.answer = (request, out) -> Peers.write(out, Peers.OK);
     assertEquals(200, peers.client().ask(Peers.get("after", 3000)).status());
   }
 
-  /** A client that leaves in the middle of its request leaves nothing behind at the backend. */
+  /**
+   * A client that disconnects within its request must not leave an unfinished request at the
+   * backend.
+   */
   @Test
-  void aClientThatLeavesInsideItsBodyEndsTheAttempt() throws Exception {
-    BlockingQueue<String> ends = new LinkedBlockingQueue<>();
+  void clientThatDisconnectsWithinItsBodyEndsTheAttempt() throws Exception {
+    BlockingQueue<String> outcomes = new LinkedBlockingQueue<>();
     int port =
         peers
             .listen(
@@ -295,9 +308,9 @@
                 (in, out, socket) -> {
                   try {
                     Message request = Peers.read(in);
-                    ends.add("whole " + request.body().length);
+                    outcomes.add("whole " + request.body().length);
                   } catch (EOFException e) {
-                    ends.add("cut");
+                    outcomes.add("cut");
                   }
                 })
             .getLocalPort();
@@ -306,6 +319,6 @@
     client.send(Peers.post("r1", "").replace("Content-Length: 0", "Content-Length: " + LARGE));
     client.socket.getOutputStream().write(bytes(LARGE / 2));
     client.close();
-    assertEquals("cut", Peers.next(ends));
+    assertEquals("cut", Peers.next(outcomes));
   }
 }
--- a/front/src/test/java/willowdoor/front/TimeoutMeasurementTest.java
+++ b/front/src/test/java/willowdoor/front/TimeoutMeasurementTest.java
@@ -25,7 +25,7 @@
 import willowdoor.front.Peers.Client;
 
 /**
- * Figures of time limits over real sockets: what they come to is printed, what must not be is
+ * Measures time limits over real sockets. Measured values are printed; hard requirements are
  * asserted.
  */
 @Timeout(60)
@@ -35,7 +35,7 @@
   private static final int REQUESTS = 15;
   private static final int TIMEOUT_MS = 300;
 
-  /** What a backend does with a request. */
+  /** How a backend handles a request. */
   private enum Server {
     SILENT,
     SLOW,
@@ -67,10 +67,10 @@
     return true;
   }
 
-  /** The front door stands still for 80 ms now and then, as one does that shares its core. */
+  /** The front door pauses for 80 ms now and then, like a process that shares its core. */
   @ParameterizedTest
   @EnumSource
-  void everyRequestIsAnsweredOnceHoweverItsServerActs(Server server) throws Exception {
+  void everyRequestIsAnsweredOnceWhateverItsServerDoes(Server server) throws Exception {
     FrontDoor door = peers.start();
     peers.answer =
         switch (server) {
@@ -82,32 +82,32 @@
               };
           case DRIPPING -> (request, out) -> drip(out);
         };
-    standStill(door.loop(), new Random(5));
+    pauseRepeatedly(door.loop(), new Random(5));
     List<Callable<double[]>> clients = new ArrayList<>();
     for (int i = 0; i < CLIENTS; i++) {
       String name = "c" + i;
       Client client = peers.client();
-      clients.add(() -> latePerRequest(client, name));
+      clients.add(() -> overrunsMs(client, name));
     }
-    List<Double> late = new ArrayList<>();
+    List<Double> overruns = new ArrayList<>();
     for (Future<double[]> f : threads.invokeAll(clients)) {
-      Arrays.stream(f.get()).forEach(late::add);
+      Arrays.stream(f.get()).forEach(overruns::add);
     }
-    assertEquals(CLIENTS * REQUESTS, late.size());
+    assertEquals(CLIENTS * REQUESTS, overruns.size());
     System.out.printf(
         "%s: %d of %d answered past their time, the latest by %.0f ms%n",
         server,
-        late.stream().filter(ms -> ms > 0).count(),
-        late.size(),
-        late.stream().mapToDouble(ms -> ms).max().orElse(0));
+        overruns.stream().filter(ms -> ms > 0).count(),
+        overruns.size(),
+        overruns.stream().mapToDouble(ms -> ms).max().orElse(0));
   }
 
-  private static void standStill(EventLoop loop, Random random) {
+  private static void pauseRepeatedly(EventLoop loop, Random random) {
     loop.schedule(
         () -> {
           try {
             TimeUnit.MILLISECONDS.sleep(80);
-            standStill(loop, random);
+            pauseRepeatedly(loop, random);
           } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
           }
@@ -116,20 +116,20 @@
         TimeUnit.MILLISECONDS);
   }
 
-  private static double[] latePerRequest(Client client, String name) throws IOException {
-    double[] late = new double[REQUESTS];
+  private static double[] overrunsMs(Client client, String name) throws IOException {
+    double[] overruns = new double[REQUESTS];
     Random random = new Random(name.hashCode());
     for (int i = 0; i < REQUESTS; i++) {
       long from = System.nanoTime();
       assertTrue(client.ask(Peers.get(name + "-" + i, TIMEOUT_MS)).status() > 0);
-      late[i] = (System.nanoTime() - from) / 1e6 - TIMEOUT_MS;
+      overruns[i] = (System.nanoTime() - from) / 1e6 - TIMEOUT_MS;
       pause(random.nextInt(100));
     }
-    return late;
+    return overruns;
   }
 
   @Test
-  void aRequestCostsTheLoopSomeAllocations() throws Exception {
+  void allocationsOnTheLoopPerRequest() throws Exception {
     FrontDoor door = peers.start();
     long loop = door.loop().submit(() -> Thread.currentThread().getId()).get();
     ThreadMXBean thread = (ThreadMXBean) ManagementFactory.getThreadMXBean();
--- a/front/src/test/java/willowdoor/front/clients/ArrivalTimeTest.java
+++ b/front/src/test/java/willowdoor/front/clients/ArrivalTimeTest.java
@@ -5,91 +5,100 @@
 import org.junit.jupiter.api.Test;
 import willowdoor.front.loop.Looks;
 
-/** From when a request's time is counted, with the looks of the loop moved by hand. */
+/**
+ * Tests the time from which a request's time is counted. The test drives the polls of the loop
+ * itself.
+ */
 class ArrivalTimeTest {
 
-  private final Looks looks = new Looks(1_000);
+  private final Looks polls = new Looks(1_000);
 
   private ArrivalTime accepted() {
-    looks.begins(1_010);
-    looks.foundNothing(1_020);
-    looks.begins(1_020);
-    return new ArrivalTime(looks);
+    polls.begins(1_010);
+    polls.foundNothing(1_020);
+    polls.begins(1_020);
+    return new ArrivalTime(polls);
   }
 
   @Test
-  void whatComesToAnIdleLoopIsNoOlderThanTheLastLook() {
-    ArrivalTime arrival = accepted();
-    arrival.onReadRequested();
-    looks.begins(1_030);
-    looks.foundNothing(1_040);
-    looks.begins(1_041);
-    arrival.onRead(true);
-    assertEquals(1_040, arrival.arrivedAt());
+  void inputOfAnIdleLoopIsNoOlderThanTheLastPoll() {
+    ArrivalTime arrivalTime = accepted();
+    arrivalTime.onReadRequested();
+    polls.begins(1_030);
+    polls.foundNothing(1_040);
+    polls.begins(1_041);
+    arrivalTime.onRead(true);
+    assertEquals(1_040, arrivalTime.arrivedAt());
   }
 
   @Test
-  void whatComesWhileTheLoopStandsStillIsAsOldAsThat() {
-    ArrivalTime arrival = accepted();
-    arrival.onReadRequested();
-    looks.begins(1_030);
-    looks.begins(1_600);
-    arrival.onRead(true);
-    assertEquals(1_030, arrival.arrivedAt());
+  void inputDuringAPauseIsDatedToTheStartOfThePause() {
+    ArrivalTime arrivalTime = accepted();
+    arrivalTime.onReadRequested();
+    polls.begins(1_030);
+    polls.begins(1_600);
+    arrivalTime.onRead(true);
+    assertEquals(1_030, arrivalTime.arrivedAt());
   }
 
-  /** A connection may have waited with its request to be accepted. */
+  /** A connection may have waited with its request before it was accepted. */
   @Test
-  void whatComesWithAConnectionIsAsOldAsThatCanBe() {
-    looks.begins(1_010);
-    looks.begins(1_700);
-    ArrivalTime arrival = new ArrivalTime(looks);
-    arrival.onReadRequested();
-    looks.begins(1_701);
-    arrival.onRead(true);
-    assertEquals(1_010, arrival.arrivedAt());
+  void inputOfANewConnectionHasTheConnectionsEarliestTime() {
+    polls.begins(1_010);
+    polls.begins(1_700);
+    ArrivalTime arrivalTime = new ArrivalTime(polls);
+    arrivalTime.onReadRequested();
+    polls.begins(1_701);
+    arrivalTime.onRead(true);
+    assertEquals(1_010, arrivalTime.arrivedAt());
   }
 
   @Test
-  void theTimeIsThatOfTheLastPiece() {
-    ArrivalTime arrival = accepted();
+  void arrivalTimeIsThatOfTheLastPiece() {
+    ArrivalTime arrivalTime = accepted();
     for (int at = 1_100; at < 1_500; at += 100) {
-      arrival.onReadRequested();
-      looks.begins(at);
-      looks.foundNothing(at + 50);
-      looks.begins(at + 60);
-      arrival.onRead(true);
+      arrivalTime.onReadRequested();
+      polls.begins(at);
+      polls.foundNothing(at + 50);
+      polls.begins(at + 60);
+      arrivalTime.onRead(true);
     }
-    assertEquals(1_450, arrival.arrivedAt());
+    assertEquals(1_450, arrivalTime.arrivedAt());
   }
 
-  /** Nobody looked while the answer before was awaited, and what came then is read at once. */
+  /**
+   * The loop does not poll the connection while a response is outstanding. Input that arrived then
+   * is read at once afterwards.
+   */
   @Test
-  void whatIsReadUnwatchedCameAfterTheAnswerBefore() {
-    ArrivalTime arrival = accepted();
-    arrival.onReadRequested();
-    looks.begins(1_100);
-    arrival.onRead(true);
-    looks.begins(1_300);
-    arrival.onAnswered(1_301);
-    arrival.onReadRequested();
-    looks.begins(1_400);
-    arrival.onRead(true);
-    assertEquals(1_301, arrival.arrivedAt());
+  void inputThatWasNotPolledForIsDatedToThePreviousResponse() {
+    ArrivalTime arrivalTime = accepted();
+    arrivalTime.onReadRequested();
+    polls.begins(1_100);
+    arrivalTime.onRead(true);
+    polls.begins(1_300);
+    arrivalTime.onAnswered(1_301);
+    arrivalTime.onReadRequested();
+    polls.begins(1_400);
+    arrivalTime.onRead(true);
+    assertEquals(1_301, arrivalTime.arrivedAt());
   }
 
-  /** What a full buffer left behind came with it, however late it is read. */
+  /**
+   * Bytes that a full buffer left in the socket arrived together with those that were read, however
+   * late they are read.
+   */
   @Test
-  void whatWasLeftBehindIsAsOldAsWhatWasRead() {
-    ArrivalTime arrival = accepted();
-    arrival.onReadRequested();
-    looks.begins(1_100);
-    looks.foundNothing(1_110);
-    looks.begins(1_120);
-    arrival.onRead(false);
-    looks.begins(1_500);
-    arrival.onReadRequested();
-    arrival.onRead(true);
-    assertEquals(1_110, arrival.arrivedAt());
+  void leftoverInputIsAsOldAsTheInputReadBeforeIt() {
+    ArrivalTime arrivalTime = accepted();
+    arrivalTime.onReadRequested();
+    polls.begins(1_100);
+    polls.foundNothing(1_110);
+    polls.begins(1_120);
+    arrivalTime.onRead(false);
+    polls.begins(1_500);
+    arrivalTime.onReadRequested();
+    arrivalTime.onRead(true);
+    assertEquals(1_110, arrivalTime.arrivedAt());
   }
 }
--- a/front/src/test/java/willowdoor/front/clients/ClientDrainTest.java
+++ b/front/src/test/java/willowdoor/front/clients/ClientDrainTest.java
@@ -15,7 +15,7 @@
 import willowdoor.front.loop.Looks;
 import willowdoor.front.loop.Transport;
 
-/** How long a drain takes new connections, on a clock moved by hand. */
+/** Tests how long a drain accepts new connections. The test advances the clock itself. */
 class ClientDrainTest {
 
   private final EventLoopGroup group =
@@ -35,37 +35,43 @@
     group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).sync();
   }
 
-  private void rounds(int ms) {
+  private void runRounds(int ms) {
     for (int i = 0; i < ms / 10; i++) {
-      round(10);
+      runRound(10);
     }
   }
 
-  private void round(int afterMs) {
+  private void runRound(int afterMs) {
     nanos += TimeUnit.MILLISECONDS.toNanos(afterMs);
     server.closeIdleConnections();
   }
 
-  /** New connections come for 0.4 s after the signal. */
+  /**
+   * New connections arrive for 0.4 s after the signal, even if the operators' drain began long
+   * before.
+   */
   @Test
-  void thePlannedEndTakesNewConnectionsThoughTheOperatorsDrainIsOld() {
+  void shutdownAcceptsNewConnectionsDespiteAnOldOperatorDrain() {
     server.setOperatorDrain(true);
-    rounds(5_000);
+    runRounds(5_000);
     server.shutDown();
-    rounds(500);
+    runRounds(500);
     assertFalse(server.isTerminated());
-    rounds(100);
+    runRounds(100);
     assertTrue(server.isTerminated());
   }
 
-  /** Those that came in a pause of this process are accepted and read first. */
+  /**
+   * Connections that arrived during a pause of this process are accepted and read before the drain
+   * acts.
+   */
   @Test
-  void theRoundBehindAPauseEndsNothing() {
-    rounds(100);
+  void roundAfterAPauseClosesNothing() {
+    runRounds(100);
     server.shutDown();
-    round(900);
+    runRound(900);
     assertFalse(server.isTerminated());
-    round(10);
+    runRound(10);
     assertTrue(server.isTerminated());
   }
 }
--- a/front/src/test/java/willowdoor/front/clients/DrainRaceTest.java
+++ b/front/src/test/java/willowdoor/front/clients/DrainRaceTest.java
@@ -40,8 +40,9 @@
 import willowdoor.front.loop.Transport;
 
 /**
- * What comes from clients in the very moment in which a drain acts: it is sent on the loop's
- * thread, which does not look at its sockets meanwhile. The clock is moved by hand.
+ * Tests input that clients send at the moment at which a drain acts. The test sends on the event
+ * loop's thread, so the loop does not poll its sockets meanwhile. The test advances the clock
+ * itself.
  */
 @Timeout(30)
 class DrainRaceTest {
@@ -50,10 +51,10 @@
 
   private final AtomicLong nanos = new AtomicLong();
   private final Clock clock = new Clock(Instant.EPOCH, nanos::get);
-  private final Looks looks = new Looks(0);
+  private final Looks polls = new Looks(0);
   private EventLoopGroup group;
 
-  /** Holds the listening socket that is adopted. */
+  /** The loop of the platform's listening socket, which the server adopts. */
   private EventLoopGroup platform;
 
   private EventLoop loop;
@@ -69,11 +70,11 @@
   }
 
   private void make(Transport transport) throws Exception {
-    group = new LoopGroup(transport.ioHandler(), clock, looks);
+    group = new LoopGroup(transport.ioHandler(), clock, polls);
     loop = group.next();
     server =
         new ClientServer(
-            transport, clock, looks, null, null, Descriptors.of(128), new Tally(), () -> true);
+            transport, clock, polls, null, null, Descriptors.of(128), new Tally(), () -> true);
   }
 
   private Channel listen(Transport transport) throws Exception {
@@ -103,7 +104,7 @@
     socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
   }
 
-  /** The next answer, which has no body. */
+  /** Reads the next response, which has no body. */
   private static String receive(Socket socket) throws IOException {
     StringBuilder answer = new StringBuilder();
     while (answer.indexOf("\r\n\r\n") < 0) {
@@ -120,7 +121,7 @@
     return socket.getInputStream().read() < 0;
   }
 
-  private void rounds(int ms) {
+  private void runRounds(int ms) {
     for (int i = 0; i < ms / 10; i++) {
       nanos.addAndGet(TimeUnit.MILLISECONDS.toNanos(10));
       server.closeIdleConnections();
@@ -128,130 +129,131 @@
   }
 
   /**
-   * The first rounds that end idle connections have gone by, and the client has sent nothing yet.
+   * Returns an idle connection at a time at which the first rounds that close idle connections have
+   * passed.
    */
-  private Socket restingAtTheEnd() throws Exception {
+  private Socket idleConnectionInDrain() throws Exception {
     listen(Transport.BEST);
-    Socket resting = connect();
-    send(resting, UP);
-    assertTrue(receive(resting).contains(" 200 "));
+    Socket idle = connect();
+    send(idle, UP);
+    assertTrue(receive(idle).contains(" 200 "));
     onLoop(
         () -> {
           server.shutDown();
-          rounds(540);
+          runRounds(540);
           return null;
         });
-    return resting;
+    return idle;
   }
 
   @Test
-  void aRequestInTheMomentOfTheDrainIsAnswered() throws Exception {
-    Socket resting = restingAtTheEnd();
+  void requestAtTheMomentOfTheDrainIsAnswered() throws Exception {
+    Socket idle = idleConnectionInDrain();
     onLoop(
         () -> {
-          send(resting, UP);
-          rounds(50);
+          send(idle, UP);
+          runRounds(50);
           return null;
         });
-    String answer = receive(resting);
+    String answer = receive(idle);
     assertTrue(
         answer.contains(" 503 ") && answer.toLowerCase(Locale.ROOT).contains("connection: close"),
         answer);
-    assertTrue(ended(resting));
+    assertTrue(ended(idle));
   }
 
   @Test
-  void aRequestInPiecesInTheMomentOfTheDrainIsAnswered() throws Exception {
-    Socket resting = restingAtTheEnd();
+  void requestInPiecesAtTheMomentOfTheDrainIsAnswered() throws Exception {
+    Socket idle = idleConnectionInDrain();
     onLoop(
         () -> {
-          send(resting, UP.substring(0, 10));
-          rounds(50);
+          send(idle, UP.substring(0, 10));
+          runRounds(50);
           return null;
         });
     onLoop(
         () -> {
-          send(resting, UP.substring(10));
-          rounds(50);
+          send(idle, UP.substring(10));
+          runRounds(50);
           return null;
         });
-    assertTrue(receive(resting).contains(" 503 "));
-    assertTrue(ended(resting));
+    assertTrue(receive(idle).contains(" 503 "));
+    assertTrue(ended(idle));
   }
 
   @Test
-  void aConnectionThatRestsIsEndedWithoutAReset() throws Exception {
-    Socket resting = restingAtTheEnd();
+  void idleConnectionIsClosedWithoutAReset() throws Exception {
+    Socket idle = idleConnectionInDrain();
     onLoop(
         () -> {
-          rounds(50);
+          runRounds(50);
           assertFalse(server.isTerminated());
-          send(resting, UP);
+          send(idle, UP);
           return null;
         });
-    assertTrue(ended(resting));
-    resting.close();
+    assertTrue(ended(idle));
+    idle.close();
     while (!onLoop(server::isTerminated)) {
       Thread.onSpinWait();
     }
   }
 
   @Test
-  void aDrainThatIsTakenBackEndsNothing() throws Exception {
+  void withdrawnDrainClosesNoConnection() throws Exception {
     listen(Transport.BEST);
-    Socket resting = connect();
-    send(resting, UP);
-    assertTrue(receive(resting).contains(" 200 "));
+    Socket idle = connect();
+    send(idle, UP);
+    assertTrue(receive(idle).contains(" 200 "));
     onLoop(
         () -> {
           server.setOperatorDrain(true);
-          rounds(540);
+          runRounds(540);
           server.setOperatorDrain(false);
-          rounds(500);
+          runRounds(500);
           server.setOperatorDrain(true);
-          rounds(540);
+          runRounds(540);
           server.setOperatorDrain(false);
           return null;
         });
-    send(resting, UP);
-    assertTrue(receive(resting).contains(" 200 "));
+    send(idle, UP);
+    assertTrue(receive(idle).contains(" 200 "));
   }
 
-  /** The planned end told twice ends no later. */
+  /** A second shutdown request does not delay the shutdown. */
   @Test
-  void aSecondEndChangesNothing() throws Exception {
+  void secondShutDownChangesNothing() throws Exception {
     listen(Transport.BEST);
     onLoop(
         () -> {
           server.shutDown();
-          rounds(300);
+          runRounds(300);
           server.shutDown();
-          rounds(300);
+          runRounds(300);
           assertTrue(server.isTerminated());
           return null;
         });
   }
 
-  /** The system has accepted it; closing the listening socket would reset it. */
+  /** The connection is in the backlog; closing the listening socket would reset it. */
   @Test
-  void aConnectionThatWaitsToBeAcceptedWhenListeningEndsIsServed() throws Exception {
+  void connectionInTheBacklogIsServedWhenListeningEnds() throws Exception {
     assumeTrue(Epoll.isAvailable());
     listen(Transport.BEST);
     Socket waiting =
         onLoop(
             () -> {
               server.shutDown();
-              rounds(540);
+              runRounds(540);
               Socket socket = connect();
               send(socket, UP);
-              rounds(50);
+              runRounds(50);
               return socket;
             });
     assertTrue(receive(waiting).contains(" 503 "));
     assertTrue(ended(waiting));
   }
 
-  /** Small writes are not held back. */
+  /** Asserts that small writes are sent without delay (TCP_NODELAY). */
   private void assertNoDelay(Channel listening) throws Exception {
     BlockingQueue<Channel> accepted = new LinkedBlockingQueue<>();
     onLoop(
@@ -274,12 +276,12 @@
   }
 
   @Test
-  void smallWritesAreNotHeldBack() throws Exception {
+  void smallWritesAreNotDelayed() throws Exception {
     assertNoDelay(listen(Transport.BEST));
   }
 
   @Test
-  void smallWritesAreNotHeldBackOnAnAdoptedSocket() throws Exception {
+  void smallWritesAreNotDelayedOnAnAdoptedSocket() throws Exception {
     assumeTrue(Epoll.isAvailable());
     make(Transport.BEST);
     platform = new MultiThreadIoEventLoopGroup(1, EpollIoHandler.newFactory());
--- a/front/src/test/java/willowdoor/front/clients/DrainRoundsTest.java
+++ b/front/src/test/java/willowdoor/front/clients/DrainRoundsTest.java
@@ -7,11 +7,11 @@
 class DrainRoundsTest {
 
   @Test
-  void aProcessThatIsAlwaysSlowStillEnds() {
-    DrainRounds rounds = new DrainRounds();
+  void everySecondRoundActsIfTheProcessIsAlwaysSlow() {
+    DrainRounds drainRounds = new DrainRounds();
     int acted = 0;
     for (int i = 0; i < 10; i++) {
-      acted += rounds.shouldAct(100 * i) ? 1 : 0;
+      acted += drainRounds.shouldAct(100 * i) ? 1 : 0;
     }
     assertEquals(5, acted);
   }
--- a/front/src/test/java/willowdoor/front/clients/ReadAheadTest.java
+++ b/front/src/test/java/willowdoor/front/clients/ReadAheadTest.java
@@ -31,7 +31,8 @@
 import willowdoor.front.loop.Transport;
 
 /**
- * What is read while nobody asks for it, on both transports; the taker asks for nothing by itself.
+ * Tests input that is read before the pipeline requests it, on both transports. The last handler
+ * requests nothing on its own.
  */
 @Timeout(30)
 class ReadAheadTest {
@@ -40,19 +41,19 @@
       new Transport(
           NioIoHandler.newFactory(), NioSocketChannel.class, NioServerSocketChannel.class, true);
 
-  private final Looks looks = new Looks(0);
+  private final Looks polls = new Looks(0);
   private final CountDownLatch ended = new CountDownLatch(1);
-  private final StringBuilder taken = new StringBuilder();
+  private final StringBuilder received = new StringBuilder();
   private volatile boolean insideBody;
-  private final AtomicInteger counted = new AtomicInteger();
-  private volatile int most;
+  private final AtomicInteger bufferedBytes = new AtomicInteger();
+  private volatile int maxBuffered;
   private volatile Channel accepted;
   private ReadAhead input;
   private EventLoopGroup group;
   private Socket client;
 
   private void start(Transport transport) throws Exception {
-    group = new LoopGroup(transport.ioHandler(), new Clock(), looks);
+    group = new LoopGroup(transport.ioHandler(), new Clock(), polls);
     InetSocketAddress address =
         (InetSocketAddress)
             transport
@@ -65,11 +66,11 @@
                       protected void initChannel(Channel channel) {
                         input =
                             new ReadAhead(
-                                looks,
-                                new ArrivalTime(looks),
+                                polls,
+                                new ArrivalTime(polls),
                                 () -> insideBody,
                                 ReadAheadTest.this::count);
-                        channel.pipeline().addLast(input, new Taker());
+                        channel.pipeline().addLast(input, new RecordingHandler());
                         accepted = channel;
                       }
                     })
@@ -81,11 +82,11 @@
   }
 
   private void count(int bytes) {
-    most = Math.max(most, counted.addAndGet(bytes));
+    maxBuffered = Math.max(maxBuffered, bufferedBytes.addAndGet(bytes));
   }
 
-  /** Asks once, for the beginning. */
-  private final class Taker extends ChannelInboundHandlerAdapter {
+  /** Requests input once, at the beginning. */
+  private final class RecordingHandler extends ChannelInboundHandlerAdapter {
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
       ctx.read();
@@ -94,7 +95,7 @@
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
       ByteBuf bytes = (ByteBuf) message;
-      taken.append(bytes.toString(StandardCharsets.US_ASCII));
+      received.append(bytes.toString(StandardCharsets.US_ASCII));
       bytes.release();
     }
 
@@ -123,33 +124,33 @@
     "true, 3000",
     "true, 4000000"
   })
-  void theClientsEndIsSeenBehindWhatItSentAhead(boolean best, int bytes) throws Exception {
+  void closeIsDetectedAfterUnrequestedInput(boolean best, int bytes) throws Exception {
     start(best ? Transport.BEST : NIO);
     send(10);
     send(bytes);
     client.close();
     assertTrue(ended.await(10, TimeUnit.SECONDS));
-    assertTrue(most <= ReadAhead.MAX_BUFFERED_BYTES);
-    assertEquals(0, counted.get());
+    assertTrue(maxBuffered <= ReadAhead.MAX_BUFFERED_BYTES);
+    assertEquals(0, bufferedBytes.get());
   }
 
-  /** Its rest is not read, and the system tells of the end all the same. */
+  /** The rest of the body is not read; epoll reports the close all the same. */
   @Test
-  void theClientsEndIsSeenBehindABodyThatNobodyTakes() throws Exception {
+  void closeIsDetectedBehindAnUnrequestedBody() throws Exception {
     insideBody = true;
     start(Transport.BEST);
     send(50_000);
     client.close();
     assertTrue(ended.await(10, TimeUnit.SECONDS));
-    assertEquals(0, most);
+    assertEquals(0, maxBuffered);
   }
 
-  /** In its order, whenever it is asked for. */
+  /** Buffered input is forwarded in order, whenever it is requested. */
   @Test
-  void whatCameAheadIsPassedOn() throws Exception {
+  void bufferedInputIsForwardedInOrder() throws Exception {
     start(Transport.BEST);
     client.getOutputStream().write("first,".getBytes(StandardCharsets.US_ASCII));
-    while (!group.next().submit(() -> taken.length() == 6).sync().getNow()) {
+    while (!group.next().submit(() -> received.length() == 6).sync().getNow()) {
       Thread.onSpinWait();
     }
     client.getOutputStream().write("second,third".getBytes(StandardCharsets.US_ASCII));
@@ -157,10 +158,10 @@
       Thread.onSpinWait();
     }
     group.next().submit(() -> accepted.read()).sync();
-    while (group.next().submit(() -> taken.length() < 18).sync().getNow()) {
+    while (group.next().submit(() -> received.length() < 18).sync().getNow()) {
       group.next().submit(() -> accepted.read()).sync();
     }
-    assertEquals("first,second,third", taken.toString());
-    assertEquals(0, counted.get());
+    assertEquals("first,second,third", received.toString());
+    assertEquals(0, bufferedBytes.get());
   }
 }
--- a/front/src/test/java/willowdoor/front/requests/EventQueueTest.java
+++ b/front/src/test/java/willowdoor/front/requests/EventQueueTest.java
@@ -17,14 +17,14 @@
 import willowdoor.policy.GatewayApi.Phase;
 import willowdoor.policy.GatewayApi.TimerFired;
 
-/** The order in which the module hears of what came, on a clock moved by hand. */
+/** Tests the order in which the policy gets events. The test advances the clock itself. */
 class EventQueueTest {
 
   private long nanos;
   private final Clock clock = new Clock(Instant.EPOCH, () -> nanos);
   private final EmbeddedChannel channel = new EmbeddedChannel();
   private final List<Event> delivered = new ArrayList<>();
-  private final EventQueue inbox = new EventQueue(channel.eventLoop(), clock, delivered::add);
+  private final EventQueue eventQueue = new EventQueue(channel.eventLoop(), clock, delivered::add);
 
   @AfterEach
   void close() {
@@ -37,21 +37,21 @@
   }
 
   @Test
-  void listsThatCameInAPauseGoFirstInTheirOrder() {
+  void listsThatArrivedDuringAPauseAreDeliveredFirstInOrder() {
     nanos += TimeUnit.SECONDS.toNanos(1);
     TimerFired event = new TimerFired("tick");
-    inbox.add(event);
-    inbox.addList(list(Phase.SERVING), () -> {});
-    inbox.addList(list(Phase.DRAINING), () -> {});
+    eventQueue.add(event);
+    eventQueue.addList(list(Phase.SERVING), () -> {});
+    eventQueue.addList(list(Phase.DRAINING), () -> {});
     assertEquals(List.of(), delivered);
     channel.runScheduledPendingTasks();
     assertEquals(List.of(list(Phase.SERVING), list(Phase.DRAINING), event), delivered);
   }
 
   @Test
-  void whatAListEndsIsHeardBehindIt() {
+  void eventsCausedByAListAreDeliveredAfterIt() {
     TimerFired event = new TimerFired("ended");
-    inbox.addList(list(Phase.DRAINING), () -> inbox.add(event));
+    eventQueue.addList(list(Phase.DRAINING), () -> eventQueue.add(event));
     assertEquals(List.of(list(Phase.DRAINING), event), delivered);
   }
 }
--- a/front/src/test/java/willowdoor/front/requests/RequestDeadlineTest.java
+++ b/front/src/test/java/willowdoor/front/requests/RequestDeadlineTest.java
@@ -39,17 +39,18 @@
 import willowdoor.wire.WireSettings;
 
 /**
- * Every wait of a request ends within its time, with the clock moved by hand and the real module.
+ * Every wait of a request ends within the request's time. The test uses the real policy and
+ * advances the clock itself.
  */
 class RequestDeadlineTest {
 
-  /** What the peers of the front door do with all that is asked of them. */
+  /** How the peers of the front door fail. */
   private enum Fault {
     NO_SERVER,
     CONNECTING,
     UNREACHABLE,
     SILENT,
-    TURNED_AWAY,
+    REJECTED,
     FAILING
   }
 
@@ -64,44 +65,44 @@
   private QuotaPolicy policy;
   private PolicyDriver driver;
 
-  /** A client that notes how it was answered, and when. */
+  /** A client that records its answers and the time of the last one. */
   private class RecordingClient implements PolicyDriver.Client {
-    final double cameAt;
+    final double arrivedAt;
     final List<String> answers = new ArrayList<>();
     double answeredAt = Double.NaN;
 
-    RecordingClient(double cameAt) {
-      this.cameAt = cameAt;
+    RecordingClient(double arrivedAt) {
+      this.arrivedAt = arrivedAt;
     }
 
-    private void note(String answer) {
+    private void record(String answer) {
       answers.add(answer);
       answeredAt = clock.now();
     }
 
     @Override
     public double arrivedAt() {
-      return cameAt;
+      return arrivedAt;
     }
 
     @Override
     public void sendResponse(HttpResponse head, ByteBuf body) {
-      note("served");
+      record("served");
     }
 
     @Override
-    public void sendRefusal(double holdOffMs) {
-      note("refused");
+    public void sendRefusal(double retryAfterMs) {
+      record("refused");
     }
 
     @Override
     public void sendFailure() {
-      note("failed");
+      record("failed");
     }
 
     @Override
-    public void beginResponse(HttpResponse head, Attempt.Connection from) {
-      throw new AssertionError("no answer comes in pieces here");
+    public void beginResponse(HttpResponse head, Attempt.Connection connection) {
+      throw new AssertionError("no streamed response is expected");
     }
 
     @Override
@@ -111,12 +112,12 @@
 
     @Override
     public void finishResponse() {
-      note("finished");
+      record("finished");
     }
 
     @Override
     public void abortResponse() {
-      note("cut");
+      record("cut");
     }
   }
 
@@ -192,18 +193,19 @@
             Unpooled.copiedBuffer(new byte[10]),
             true,
             () -> {});
-    RecordingClient heard = new RecordingClient(clock.now() - ageMs);
-    driver.submit(new ParsedRequest(id, type, "basic", 42, 2, 2, timeoutMs), message, heard);
-    return heard;
+    RecordingClient recordingClient = new RecordingClient(clock.now() - ageMs);
+    driver.submit(
+        new ParsedRequest(id, type, "basic", 42, 2, 2, timeoutMs), message, recordingClient);
+    return recordingClient;
   }
 
-  private void set(Fault trouble) throws Exception {
-    switch (trouble) {
+  private void setFault(Fault fault) throws Exception {
+    switch (fault) {
       case NO_SERVER -> begin(0);
       case UNREACHABLE ->
           server = a -> channel.eventLoop().execute(() -> a.end(Status.UNREACHABLE, null, null));
       case SILENT -> server = a -> a.written(true);
-      case TURNED_AWAY -> server = a -> answer(a, Status.REJECTED);
+      case REJECTED -> server = a -> answer(a, Status.REJECTED);
       case FAILING -> server = a -> answer(a, Status.ERROR);
       default -> {}
     }
@@ -216,39 +218,40 @@
 
   @ParameterizedTest
   @EnumSource
-  void eachRequestIsAnsweredOnceWithinItsTime(Fault trouble) throws Exception {
-    set(trouble);
+  void eachRequestIsAnsweredOnceWithinItsTime(Fault fault) throws Exception {
+    setFault(fault);
     for (boolean counted : new boolean[] {true, false}) {
       counterAnswers = counted;
       for (String type : new String[] {"quote", "buy", "seal"}) {
         for (int timeout : new int[] {1, 20, 60, 300, 1_000, 4_000}) {
           for (int age : new int[] {0, 50, 400}) {
             started.clear();
-            String what = trouble + " " + type + " " + timeout + " " + age + " " + counted;
-            RecordingClient client = submit(what, type, timeout, age);
-            double endsAt = client.cameAt + timeout;
+            String description = fault + " " + type + " " + timeout + " " + age + " " + counted;
+            RecordingClient client = submit(description, type, timeout, age);
+            double endsAt = client.arrivedAt + timeout;
             advance(timeout + 20);
-            assertEquals(1, client.answers.size(), what + " " + client.answers);
+            assertEquals(1, client.answers.size(), description + " " + client.answers);
             assertTrue(
-                client.answeredAt <= Math.max(endsAt, client.cameAt + age),
-                what + " " + client.answeredAt);
-            assertFalse(client.answers.contains("served"), what);
+                client.answeredAt <= Math.max(endsAt, client.arrivedAt + age),
+                description + " " + client.answeredAt);
+            assertFalse(client.answers.contains("served"), description);
             boolean written = started.stream().anyMatch(Attempt::written);
-            boolean mayHaveRun = written && trouble != Fault.TURNED_AWAY;
+            boolean mayHaveRun = written && fault != Fault.REJECTED;
             assertFalse(
-                mayHaveRun && type.equals("seal") && client.answers.contains("refused"), what);
-            assertTrue(started.stream().allMatch(a -> a.deadlineMs() <= endsAt), what);
-            assertTrue(started.isEmpty() || age < timeout, what);
+                mayHaveRun && type.equals("seal") && client.answers.contains("refused"),
+                description);
+            assertTrue(started.stream().allMatch(a -> a.deadlineMs() <= endsAt), description);
+            assertTrue(started.isEmpty() || age < timeout, description);
             advance(4_000);
-            assertEquals(0, driver.requestCount(), what);
-            assertEquals(0, driver.heldBytes(), what);
+            assertEquals(0, driver.requestCount(), description);
+            assertEquals(0, driver.heldBytes(), description);
           }
         }
       }
     }
   }
 
-  /** The log tells where requests were as their time ran out. */
+  /** The log shows at which stage requests were when their time ran out. */
   @ParameterizedTest
   @CsvSource({
     "SILENT, true, 300, 290, ARRIVAL",
@@ -257,9 +260,9 @@
     "CONNECTING, true, 300, 0, CONNECT",
     "SILENT, true, 300, 0, ANSWER"
   })
-  void theStageAtWhichTimeRanOutIsCounted(
-      Fault trouble, boolean counted, int timeout, int age, String stage) throws Exception {
-    set(trouble);
+  void stageAtWhichTimeRanOutIsCounted(
+      Fault fault, boolean counted, int timeout, int age, String stage) throws Exception {
+    setFault(fault);
     counterAnswers = counted;
     assertFalse(policy.summarizeStats().contains("expired " + stage));
     submit("r1", "seal", timeout, age);
@@ -269,8 +272,8 @@
   }
 
   @Test
-  void howMuchTimeWasLeftAsAttemptsBeganIsCounted() throws Exception {
-    set(Fault.SILENT);
+  void timeLeftWhenAttemptsBeganIsCounted() throws Exception {
+    setFault(Fault.SILENT);
     for (int age : new int[] {0, 100, 300, 600, 600}) {
       submit("r" + age + started.size(), "quote", 1_000, age);
       channel.runPendingTasks();
@@ -279,9 +282,9 @@
     assertEquals("then", tally.line("then"));
   }
 
-  /** A body beyond what is kept has no end while it comes; its time begins with its last byte. */
+  /** The time of a request whose body exceeds the kept prefix begins when the last byte arrives. */
   @Test
-  void theTimeOfALargeBodyBeginsWithItsLastByte() {
+  void timeOfALargeBodyBeginsWithItsLastByte() {
     OutgoingRequest message =
         new OutgoingRequest(
             HttpMethod.POST,
@@ -312,30 +315,32 @@
     assertTrue(client.answeredAt <= lastByte + 1_000);
   }
 
-  /** The process's end bounds what is under way and what still comes, and extends nothing. */
+  /** The end of the process bounds pending and later requests, and extends no deadline. */
   @ParameterizedTest
   @CsvSource({"4000, 494", "300, 294"})
-  void theEndOfTheProcessEndsEveryWait(double timeout, double answeredBy) throws Exception {
-    set(Fault.SILENT);
+  void endOfTheProcessEndsEveryWait(double timeout, double answeredBy) throws Exception {
+    setFault(Fault.SILENT);
     RecordingClient before = submit("r1", "seal", timeout, 0);
     driver.shutDownWithin(500);
     RecordingClient after = submit("r2", "seal", timeout, 0);
-    double told = clock.now();
+    double shutDownAt = clock.now();
     advance(510);
-    assertTrue(started.get(1).deadlineMs() <= told + 500);
+    assertTrue(started.get(1).deadlineMs() <= shutDownAt + 500);
     for (RecordingClient client : List.of(before, after)) {
       assertEquals(List.of("failed"), client.answers);
       assertTrue(
-          client.answeredAt <= told + answeredBy, "answered after " + (client.answeredAt - told));
+          client.answeredAt <= shutDownAt + answeredBy,
+          "answered after " + (client.answeredAt - shutDownAt));
     }
   }
 
   /**
-   * Where a client leaves, nothing is begun for it any more; its answer still settles the count.
+   * After a client disconnects, no attempt begins for it. The response to an attempt that was sent
+   * still completes the accounting.
    */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void aClientThatLeavesEndsWhatHasNotReachedAServer(boolean reached) {
+  void disconnectEndsAttemptsThatHaveNotReachedAServer(boolean reached) {
     for (int i = 0; i < 200; i++) {
       started.clear();
       RecordingClient client = submit("r" + i, "quote", 2_000, 0);
@@ -357,11 +362,11 @@
   }
 
   /**
-   * A count that is told after its request's end is known: what it added is taken off with the next
-   * call.
+   * A result of the counter that arrives after its request has ended is used: the amount that it
+   * added is subtracted from the next call.
    */
   @Test
-  void anAnswerOfTheCounterAfterTheEndKeepsTheBooks() {
+  void counterResultAfterTheRequestsEndIsAccounted() {
     counterAnswers = false;
     submit("r1", "quote", 2_000, 0);
     driver.onClientDisconnected("r1");
@@ -372,9 +377,12 @@
     assertTrue(adds.get(1).endsWith(" 0.0"), adds.toString());
   }
 
-  /** What the list ends is not sent to another server that the same list drains. */
+  /**
+   * A request whose attempt is ended by a list is not sent to another server that the same list
+   * drains.
+   */
   @Test
-  void whatADrainEndsIsNotSentThereAgain() throws Exception {
+  void attemptEndedByADrainIsNotSentToADrainedServer() throws Exception {
     begin(2);
     RecordingClient client = submit("r1", "quote", 2_000, 0);
     channel.runPendingTasks();
@@ -387,10 +395,11 @@
   }
 
   /**
-   * Only the monotonic clock moves it: here that runs by hand, and far from the wall clock's time.
+   * The clock follows the monotonic time only. The test advances that by hand, and it is far from
+   * the wall clock's time.
    */
   @Test
-  void theWallClockMovesNothing() {
+  void wallClockHasNoEffect() {
     double before = clock.now();
     advance(5_000);
     assertEquals(5_000, clock.now() - before, 1e-3);
