--- a/front/src/main/java/willowdoor/front/clients/ClientConnection.java
+++ b/front/src/main/java/willowdoor/front/clients/ClientConnection.java
@@ -17,48 +17,52 @@
 import willowdoor.front.loop.Tally;
 
 /**
- * One client's connection: a request at a time, each with the one final answer. Requests written
- * behind the present one wait. What it reads comes from {@link ReadAhead}, what it answers goes
- * through {@link AnswerWriter}, and it is ended by {@link LingeringClose} alone.
+ * One client's connection. It handles one request at a time, and each gets exactly one final
+ * answer; requests that are pipelined behind the present one wait. Input comes from {@link
+ * ReadAhead}, responses go through {@link ResponseWriter}, and only {@link LingeringClose} ends the
+ * connection.
  */
 final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> {
 
   private static final Logger LOG = Logger.getLogger(ClientConnection.class.getName());
 
   private final ClientServer server;
-  private final Arrival arrival;
+  private final ArrivalTime arrivalTime;
   private final ReadAhead input;
-  private final ReceiveLimit receiveLimit;
+  private final ReceiveTimeout receiveTimeout;
   private final RequestDecoder decoder = new RequestDecoder();
   private Channel channel;
   private LingeringClose closing;
-  private AnswerWriter answers;
+  private ResponseWriter responseWriter;
   private Exchange exchange;
   private double openedAt;
 
-  /** One connection too many: its first request is refused, and it ends. */
-  private boolean over;
+  /**
+   * The connection exceeds the limit on connections: its first request is refused, and the
+   * connection ends.
+   */
+  private boolean overLimit;
 
-  /** A part was asked for that has not come. */
-  private boolean wanted;
+  /** The next part of a request was requested from the pipeline and has not arrived. */
+  private boolean readPending;
 
-  /** The next request waits until there is room for its answer. */
-  private boolean full;
+  /** The next request is not read until there is room for its response. */
+  private boolean writeBlocked;
 
-  /** How many requests have come to their turn. */
-  private long heads;
+  /** The number of requests whose handling has begun. */
+  private long requestsStarted;
 
-  ClientConnection(ClientServer server, Looks looks) {
+  ClientConnection(ClientServer server, Looks polls) {
     this.server = server;
-    arrival = new Arrival(looks);
-    input = new ReadAhead(looks, arrival, this::receiving, server::keeps);
-    receiveLimit = new ReceiveLimit(this::overdue);
+    arrivalTime = new ArrivalTime(polls);
+    input = new ReadAhead(polls, arrivalTime, this::receiving, server::addBufferedBytes);
+    receiveTimeout = new ReceiveTimeout(this::onReceiveTimeout);
   }
 
-  /** The bytes' way to this and back. */
+  /** The handlers of the pipeline, from the socket to this handler. */
   ChannelHandler[] handlers() {
     return new ChannelHandler[] {
-      input, receiveLimit, decoder, new HttpResponseEncoder(), new FlowControlHandler(), this
+      input, receiveTimeout, decoder, new HttpResponseEncoder(), new FlowControlHandler(), this
     };
   }
 
@@ -66,21 +70,21 @@
     return openedAt;
   }
 
-  private void overdue() {
-    if (!closing.begun() && (!exchange.open() || exchange.receiving())) {
+  private void onReceiveTimeout() {
+    if (!closing.begun() && (!exchange.isOpen() || exchange.receiving())) {
       server.count(Tally.Event.CLIENT_SLOW);
-      endWith(HttpResponseStatus.REQUEST_TIMEOUT, "request did not come in time");
+      endWithError(HttpResponseStatus.REQUEST_TIMEOUT, "request did not come in time");
     }
   }
 
   @Override
   public void handlerAdded(ChannelHandlerContext ctx) {
     channel = ctx.channel();
-    closing = new LingeringClose(channel, input, () -> server.lingers(this));
-    answers = new AnswerWriter(channel, this::mayBeKept);
-    exchange = new Exchange(server, this, channel, arrival, answers);
+    closing = new LingeringClose(channel, input, () -> server.onLingering(this));
+    responseWriter = new ResponseWriter(channel, this::mayKeepAlive);
+    exchange = new Exchange(server, this, channel, arrivalTime, responseWriter);
     openedAt = server.now();
-    over = server.opened(this);
+    overLimit = server.register(this);
   }
 
   @Override
@@ -93,19 +97,21 @@
     return exchange.receiving();
   }
 
-  /** Asks for the next part: the pieces of a request, or the head of the next one. */
+  /**
+   * Requests the next part: a piece of the present request's body, or the head of the next request.
+   */
   void read() {
-    wanted = true;
+    readPending = true;
     channel.read();
     if (exchange.receiving()) {
-      receiveLimit.waits();
+      receiveTimeout.onBodyReadRequested();
     }
   }
 
-  /** What was read last may not have been a whole part. */
+  /** The bytes that were read last may not have completed a part. */
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
-    if (wanted) {
+    if (readPending) {
       channel.read();
     }
     ctx.fireChannelReadComplete();
@@ -113,152 +119,164 @@
 
   @Override
   protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
-    wanted = false;
+    readPending = false;
     if (closing.begun()) {
       return;
     }
     if (part.decoderResult().isFailure()) {
-      endWith(HttpResponseStatus.BAD_REQUEST, "malformed request");
+      endWithError(HttpResponseStatus.BAD_REQUEST, "malformed request");
       return;
     }
     try {
       if (part instanceof HttpRequest request) {
-        receiveLimit.headCame();
-        server.took(this);
-        heads++;
-        exchange.head(request, over);
+        receiveTimeout.onHeadEnd();
+        server.markBusy(this);
+        requestsStarted++;
+        exchange.onHead(request, overLimit);
       }
       if (part instanceof HttpContent piece) {
-        exchange.piece(piece);
+        exchange.onBodyPiece(piece);
       } else if (!closing.begun()) {
         read();
       }
     } catch (RuntimeException e) {
-      exchange.faulty(e);
+      exchange.onFault(e);
     }
   }
 
   @Override
   public void channelWritabilityChanged(ChannelHandlerContext ctx) {
     if (channel.isWritable()) {
-      exchange.writable();
-      if (full) {
+      exchange.onWritable();
+      if (writeBlocked) {
         readNext();
       }
     }
     ctx.fireChannelWritabilityChanged();
   }
 
-  /** The body of the present request has come whole. */
-  void bodyCame() {
-    receiveLimit.bodyCame();
-    input.watch();
+  /** Called when the body of the present request has arrived in full. */
+  void onBodyEnd() {
+    receiveTimeout.onBodyEnd();
+    input.watchForClose();
   }
 
-  /** The present request is read and answered: the connection ends, or waits for the next one. */
-  void next(boolean kept) {
-    if (kept && (!input.overflowed() || begunBehind())) {
-      server.answered(this);
-      // Not at once: answers that come at once would nest as deep as the requests behind each
-      // other.
+  /**
+   * Called when the present request is read and answered. The connection then ends or waits for the
+   * next request.
+   */
+  void onExchangeEnd(boolean keepAlive) {
+    if (keepAlive && (!input.overflowed() || nextRequestBegun())) {
+      server.markIdle(this);
+      // Deferred: a direct call would recurse once for each pipelined request that is answered at
+      // once.
       channel.eventLoop().execute(this::readNext);
     } else {
       end();
     }
   }
 
-  /** Once the client has read its answers so far, but for what the sockets take. */
+  /**
+   * Reads the next request, unless responses that the client has not read fill the output buffer.
+   */
   private void readNext() {
-    full = !channel.isWritable();
-    if (!closing.begun() && !full) {
+    writeBlocked = !channel.isWritable();
+    if (!closing.begun() && !writeBlocked) {
       read();
-      if (!exchange.open() && decoder.begun()) {
-        receiveLimit.begunAhead();
+      if (!exchange.isOpen() && decoder.hasPartialInput()) {
+        receiveTimeout.onNextHeadBegun();
       }
     }
   }
 
-  /** In a drain the connection is kept for what has come already, and ends behind that. */
-  private boolean mayBeKept() {
-    return !server.draining() && !input.overflowed() || begunBehind();
+  /**
+   * Whether the connection may stay open after the response. In a drain it stays open for requests
+   * that have already arrived, and ends after them.
+   */
+  private boolean mayKeepAlive() {
+    return !server.draining() && !input.overflowed() || nextRequestBegun();
   }
 
-  /** Whether anything has come behind the present request. */
-  private boolean begunBehind() {
-    return decoder.heads() > heads || decoder.begun() || input.holds();
+  /** Whether any byte of the next request has arrived. */
+  private boolean nextRequestBegun() {
+    return decoder.decodedHeads() > requestsStarted
+        || decoder.hasPartialInput()
+        || input.hasBuffered();
   }
 
   /**
-   * Answers what cannot be read any further, and lets the client read that before the connection
-   * ends.
+   * Answers input that cannot be read any further with an error, and lets the client read the error
+   * before the connection ends.
    */
-  void endWith(HttpResponseStatus status, String reason) {
-    exchange.release();
-    boolean begun = exchange.answering();
-    exchange.leave();
-    if (begun) {
+  void endWithError(HttpResponseStatus status, String reason) {
+    exchange.releasePrefix();
+    boolean responseBegun = exchange.answering();
+    exchange.cancel();
+    if (responseBegun) {
       closing.reset();
     } else if (exchange.answered()) {
       end();
     } else {
-      server.took(this);
-      answers.end(status, reason);
-      closing.beginWithin();
+      server.markBusy(this);
+      responseWriter.sendLastError(status, reason);
+      closing.beginWithTimeout();
     }
   }
 
   private void end() {
-    server.took(this);
+    server.markBusy(this);
     closing.begin();
   }
 
-  /** Ends it so that its client sees that the answer is not whole. */
-  void cut() {
+  /** Resets the connection, so that the client can tell that the response is incomplete. */
+  void reset() {
     closing.reset();
   }
 
-  /** Whether its end has begun. */
-  boolean ending() {
+  /** Whether the close of the connection has begun. */
+  boolean isClosing() {
     return closing.begun();
   }
 
-  /** Whether neither a request is on it nor a part of one has come. */
-  boolean waits() {
-    return unasked() && !receiveLimit.partial() && !begunBehind();
+  /** Whether there is no request on the connection and no part of one has arrived. */
+  boolean isIdle() {
+    return hasNoRequest() && !receiveTimeout.partialHead() && !nextRequestBegun();
   }
 
-  /** Ends the connection if no request is on it, and tells whether that is so. */
+  /** Ends the connection if it is idle. Returns whether it was. */
   boolean closeIfIdle() {
-    boolean idle = waits() && !input.lastRead();
+    boolean idle = isIdle() && !input.readDirectly();
     if (idle) {
       end();
     }
     return idle;
   }
 
-  /** Ends the connection though a part of a request may have come. */
-  void closeIfUnasked() {
-    if (unasked()) {
+  /**
+   * Ends the connection unless a request's complete head has arrived, even if a part of a head has.
+   */
+  void closeIfNoRequest() {
+    if (hasNoRequest()) {
       end();
     }
   }
 
-  /** Whether no whole head of a request is on it. */
-  boolean unasked() {
-    return !exchange.open() && !closing.begun();
+  /** Whether no request with a complete head is on the connection, and its close has not begun. */
+  boolean hasNoRequest() {
+    return !exchange.isOpen() && !closing.begun();
   }
 
-  /** Ends it at once, as descriptors run out. */
-  void closeOutright() {
-    closing.outright();
+  /** Closes the connection at once, as descriptors run out. */
+  void closeNow() {
+    closing.closeNow();
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    closing.over();
-    exchange.release();
-    server.closed(this);
-    exchange.leave();
+    closing.onClosed();
+    exchange.releasePrefix();
+    server.remove(this);
+    exchange.cancel();
   }
 
   @Override
@@ -267,9 +285,9 @@
       if (exchange.answering() || exchange.receiving()) {
         server.count(Tally.Event.STREAM_IDLE);
       }
-      if (!unasked() || full) {
-        closing.outright();
-      } else if (!input.lastRead()) {
+      if (!hasNoRequest() || writeBlocked) {
+        closing.closeNow();
+      } else if (!input.readDirectly()) {
         end();
       }
     } else {
@@ -280,8 +298,8 @@
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
     if (cause instanceof RuntimeException) {
-      LOG.log(Level.SEVERE, "request failed", cause);
+      LOG.log(Level.SEVERE, "handling of a client's connection failed", cause);
     }
-    closing.outright();
+    closing.closeNow();
   }
 }
--- a/front/src/main/java/willowdoor/front/clients/ReadAhead.java
+++ b/front/src/main/java/willowdoor/front/clients/ReadAhead.java
@@ -12,45 +12,57 @@
 import willowdoor.front.loop.Looks;
 
 /**
- * Reads a client's connection, also while nobody asks for more: only what is read to its end shows
- * that the client has left. What comes behind a request is kept for its turn, as much as the next
- * request may have. Of more than that the rest is dropped, as clients send one request at a time:
- * the connection ends once what is kept is answered. A body that nobody takes is left unread.
+ * Reads a client's connection even while the pipeline requests no input, because the client's close
+ * is seen only once everything before it is read. Bytes of later requests are kept until they are
+ * requested, up to the size of one request. Bytes beyond that are dropped, because clients send one
+ * request at a time; the connection ends once the kept requests are answered. A body that is not
+ * requested is left unread in the socket.
  *
- * <p>Owns the bytes that it keeps, until they are asked for or the connection ends.
+ * <p>Owns the kept bytes until they are requested or the connection ends.
  */
 final class ReadAhead extends ChannelDuplexHandler {
 
-  /** The longest body of the protocol, and the longest head that is read. */
-  static final int MOST_AHEAD = 64 * 1024 + 24 * 1024;
+  /** The longest body of the protocol and the longest head that is read, together. */
+  static final int MAX_BUFFERED_BYTES = 64 * 1024 + 24 * 1024;
 
-  private static final int LAST_READ = 16 * 1024;
+  private static final int DIRECT_READ_BYTES = 16 * 1024;
 
-  private final Looks looks;
-  private final Arrival arrival;
+  private final Looks polls;
+  private final ArrivalTime arrivalTime;
 
-  /** Whether the rest of a body comes next, which waits in the socket until it is asked for. */
+  /**
+   * Whether the next bytes are the rest of a body, which stays in the socket until it is requested.
+   */
   private final BooleanSupplier insideBody;
 
-  private final IntConsumer counts;
+  private final IntConsumer onBufferedChange;
   private ChannelHandlerContext context;
 
-  /** Whether the connection is asked for more, and whether this is. */
-  private boolean asked;
+  /** Whether a read of the socket is outstanding. */
+  private boolean readRequested;
 
-  private boolean wanted;
-  private boolean passing;
-  private ByteBuf ahead = Unpooled.EMPTY_BUFFER;
+  /** Whether the next handler has requested input that it has not received. */
+  private boolean downstreamWaiting;
+
+  private boolean forwarding;
+  private ByteBuf buffered = Unpooled.EMPTY_BUFFER;
   private boolean overflowed;
-  private boolean dropping;
-  private long lastLook = -1;
+  private boolean discarding;
+  private long lastPoll = -1;
 
-  /** Bytes that are kept, and those no longer kept, are told to the last one. */
-  ReadAhead(Looks looks, Arrival arrival, BooleanSupplier insideBody, IntConsumer counts) {
-    this.looks = looks;
-    this.arrival = arrival;
+  /**
+   * {@code onBufferedChange} gets the number of bytes that are newly kept, or its negative for
+   * those no longer kept.
+   */
+  ReadAhead(
+      Looks polls,
+      ArrivalTime arrivalTime,
+      BooleanSupplier insideBody,
+      IntConsumer onBufferedChange) {
+    this.polls = polls;
+    this.arrivalTime = arrivalTime;
     this.insideBody = insideBody;
-    this.counts = counts;
+    this.onBufferedChange = onBufferedChange;
   }
 
   @Override
@@ -58,106 +70,110 @@
     context = ctx;
   }
 
-  /** Whether bytes have come that nobody has asked for yet. */
-  boolean holds() {
-    return ahead.isReadable();
+  /** Whether bytes are kept that have not been requested yet. */
+  boolean hasBuffered() {
+    return buffered.isReadable();
   }
 
-  /** Whether bytes were dropped, so that nothing can be read behind those that are kept. */
+  /** Whether bytes were dropped, so that nothing after the kept bytes can be read. */
   boolean overflowed() {
     return overflowed;
   }
 
-  /** Goes on reading as nothing more of a body is to come. */
-  void watch() {
-    ask();
+  /** Resumes reading, because the body has ended. */
+  void watchForClose() {
+    requestRead();
   }
 
-  /** From here on whatever comes is read and dropped. */
-  void drop() {
-    dropping = true;
+  /** Reads and drops all further input. */
+  void discard() {
+    discarding = true;
     release();
-    ask();
+    requestRead();
   }
 
-  private void ask() {
-    if (!asked) {
-      asked = true;
-      arrival.asked();
+  private void requestRead() {
+    if (!readRequested) {
+      readRequested = true;
+      arrivalTime.onReadRequested();
       context.read();
     }
   }
 
   @Override
   public void read(ChannelHandlerContext ctx) {
-    wanted = true;
-    if (!passing) {
-      passAhead();
+    downstreamWaiting = true;
+    if (!forwarding) {
+      forwardBuffered();
     }
   }
 
-  /** In a loop, as what is passed on may make its taker ask for more at once. */
-  private void passAhead() {
-    passing = true;
-    while (wanted && ahead.isReadable()) {
-      ByteBuf bytes = ahead;
-      counts.accept(-bytes.readableBytes());
-      ahead = Unpooled.EMPTY_BUFFER;
-      wanted = false;
+  /** A loop, because the next handler may request more from within its read. */
+  private void forwardBuffered() {
+    forwarding = true;
+    while (downstreamWaiting && buffered.isReadable()) {
+      ByteBuf bytes = buffered;
+      onBufferedChange.accept(-bytes.readableBytes());
+      buffered = Unpooled.EMPTY_BUFFER;
+      downstreamWaiting = false;
       context.fireChannelRead(bytes);
       context.fireChannelReadComplete();
     }
-    passing = false;
-    if (wanted) {
-      ask();
+    forwarding = false;
+    if (downstreamWaiting) {
+      requestRead();
     }
   }
 
   /**
-   * A read that was not asked for, or a second one of the same look, comes from epoll alone: the
-   * client has ended its sending, or reset the connection. It has gone, and what is left is not
-   * read to find that out.
+   * Only epoll delivers a read that was not requested, or a second read in one poll. Such a read
+   * means that the client has shut down its sending side or reset the connection. The client has
+   * left, so the connection is closed without reading the remaining bytes.
    */
   @Override
   public void channelRead(ChannelHandlerContext ctx, Object message) {
     ByteBuf bytes = (ByteBuf) message;
     boolean ended =
-        ctx.channel() instanceof EpollSocketChannel && (!asked || lastLook == looks.count());
-    lastLook = looks.count();
-    asked = false;
-    if (dropping) {
+        ctx.channel() instanceof EpollSocketChannel
+            && (!readRequested || lastPoll == polls.count());
+    lastPoll = polls.count();
+    readRequested = false;
+    if (discarding) {
       bytes.release();
     } else if (ended) {
       bytes.release();
       ctx.close();
     } else {
-      arrival.read(bytes.isWritable());
-      take(bytes);
+      arrivalTime.onRead(bytes.isWritable());
+      forwardOrBuffer(bytes);
     }
   }
 
-  private void take(ByteBuf bytes) {
+  private void forwardOrBuffer(ByteBuf bytes) {
     if (overflowed) {
       bytes.release();
-    } else if (wanted && !ahead.isReadable()) {
-      wanted = false;
+    } else if (downstreamWaiting && !buffered.isReadable()) {
+      downstreamWaiting = false;
       context.fireChannelRead(bytes);
     } else {
-      keep(bytes);
+      buffer(bytes);
     }
   }
 
-  /** Copied, as small pieces would keep the larger buffers that they were read into. */
-  private void keep(ByteBuf bytes) {
-    int room = MOST_AHEAD - ahead.readableBytes();
-    int kept = Math.min(room, bytes.readableBytes());
-    overflowed |= kept < bytes.readableBytes();
-    if (kept > 0 && !ahead.isReadable()) {
-      ahead = context.alloc().buffer(kept);
+  /**
+   * Copies the bytes, because small pieces that are retained would keep alive the larger buffers
+   * that they were read into.
+   */
+  private void buffer(ByteBuf bytes) {
+    int room = MAX_BUFFERED_BYTES - buffered.readableBytes();
+    int accepted = Math.min(room, bytes.readableBytes());
+    overflowed |= accepted < bytes.readableBytes();
+    if (accepted > 0 && !buffered.isReadable()) {
+      buffered = context.alloc().buffer(accepted);
     }
-    if (kept > 0) {
-      ahead.writeBytes(bytes, kept);
-      counts.accept(kept);
+    if (accepted > 0) {
+      buffered.writeBytes(bytes, accepted);
+      onBufferedChange.accept(accepted);
     }
     bytes.release();
   }
@@ -165,28 +181,30 @@
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
     ctx.fireChannelReadComplete();
-    if (dropping || wanted || !insideBody.getAsBoolean()) {
-      ask();
+    if (discarding || downstreamWaiting || !insideBody.getAsBoolean()) {
+      requestRead();
     }
   }
 
   /**
-   * Reads once more what came since the loop last looked; true when that was anything, or the end.
-   * Tells nothing where the transport has no way to.
+   * Reads bytes that have arrived since the loop's last poll directly from the socket. Returns true
+   * if bytes are kept or have arrived, or if the connection has ended. Returns false if the
+   * transport does not support such a read.
    */
-  boolean lastRead() {
-    if (holds()) {
+  boolean readDirectly() {
+    if (hasBuffered()) {
       return true;
     }
     if (!(context.channel() instanceof EpollSocketChannel channel) || !channel.isOpen()) {
       return false;
     }
-    ByteBuf bytes = context.alloc().directBuffer(LAST_READ);
+    ByteBuf bytes = context.alloc().directBuffer(DIRECT_READ_BYTES);
     int read;
     try {
-      read = ((Socket) channel.fd()).recv(bytes.nioBuffer(0, LAST_READ), 0, LAST_READ);
+      read =
+          ((Socket) channel.fd()).recv(bytes.nioBuffer(0, DIRECT_READ_BYTES), 0, DIRECT_READ_BYTES);
     } catch (IOException e) {
-      // Reset: the loop finds that, too.
+      // The connection was reset; the loop detects that too.
       read = -1;
     }
     if (read <= 0) {
@@ -194,9 +212,9 @@
       return read < 0;
     }
     bytes.writerIndex(read);
-    arrival.read(bytes.isWritable());
-    arrival.asked();
-    take(bytes);
+    arrivalTime.onRead(bytes.isWritable());
+    arrivalTime.onReadRequested();
+    forwardOrBuffer(bytes);
     context.fireChannelReadComplete();
     return true;
   }
@@ -213,8 +231,8 @@
   }
 
   private void release() {
-    counts.accept(-ahead.readableBytes());
-    ahead.release();
-    ahead = Unpooled.EMPTY_BUFFER;
+    onBufferedChange.accept(-buffered.readableBytes());
+    buffered.release();
+    buffered = Unpooled.EMPTY_BUFFER;
   }
 }
--- a/front/src/main/java/willowdoor/front/clients/RequestDecoder.java
+++ b/front/src/main/java/willowdoor/front/clients/RequestDecoder.java
@@ -8,27 +8,28 @@
 import java.util.List;
 
 /**
- * Refuses requests whose end could be told in two ways, and tells what has come ahead of its turn.
+ * Decodes requests. Refuses a request whose framing is ambiguous, and reports input that has
+ * arrived ahead of its turn.
  */
 final class RequestDecoder extends HttpRequestDecoder {
 
-  private static final int MOST_LINE = 8_192;
-  private static final int MOST_HEADERS = 16_384;
-  private static final int MOST_PIECE = 32 * 1024;
+  private static final int MAX_LINE_BYTES = 8_192;
+  private static final int MAX_HEADER_BYTES = 16_384;
+  private static final int MAX_PIECE_BYTES = 32 * 1024;
 
-  private long heads;
+  private long decodedHeads;
 
   RequestDecoder() {
-    super(MOST_LINE, MOST_HEADERS, MOST_PIECE);
+    super(MAX_LINE_BYTES, MAX_HEADER_BYTES, MAX_PIECE_BYTES);
   }
 
-  /** How many requests have begun, each with its whole head. */
-  long heads() {
-    return heads;
+  /** The number of requests whose complete head has been decoded. */
+  long decodedHeads() {
+    return decodedHeads;
   }
 
-  /** Whether bytes have come that are no whole part of a message yet. */
-  boolean begun() {
+  /** Whether bytes have arrived that do not form a complete part of a message yet. */
+  boolean hasPartialInput() {
     return actualReadableBytes() > 0;
   }
 
@@ -37,12 +38,13 @@
     int before = out.size();
     super.decode(ctx, in, out);
     for (int i = before; i < out.size(); i++) {
-      heads += out.get(i) instanceof HttpRequest ? 1 : 0;
+      decodedHeads += out.get(i) instanceof HttpRequest ? 1 : 0;
     }
   }
 
   @Override
   protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-    throw new IllegalArgumentException("both a length and chunks");
+    throw new IllegalArgumentException(
+        "request has both Content-Length and Transfer-Encoding: chunked");
   }
 }
--- a/front/src/main/java/willowdoor/front/clients/AnswerWriter.java
+++ b/front/src/main/java/willowdoor/front/clients/ResponseWriter.java
@@ -23,30 +23,36 @@
 import java.util.function.BooleanSupplier;
 import willowdoor.front.requests.Headers;
 
-/** Words a client's answers, and decides with each whether its connection is kept behind it. */
-final class AnswerWriter {
+/**
+ * Writes the responses to a client, and decides for each whether the connection stays open after
+ * it.
+ */
+final class ResponseWriter {
 
   private final Channel channel;
-  private final BooleanSupplier mayBeKept;
-  private boolean head;
-  private boolean chunks;
+  private final BooleanSupplier mayKeepAlive;
+  private boolean headRequest;
+  private boolean chunksAllowed;
   private boolean keepAlive;
 
-  /** It may be kept for as long as that says so when an answer begins. */
-  AnswerWriter(Channel channel, BooleanSupplier mayBeKept) {
+  /**
+   * {@code mayKeepAlive} is evaluated when a response begins; if it is false, the connection ends
+   * after that response.
+   */
+  ResponseWriter(Channel channel, BooleanSupplier mayKeepAlive) {
     this.channel = channel;
-    this.mayBeKept = mayBeKept;
+    this.mayKeepAlive = mayKeepAlive;
   }
 
-  /** The next answer is to this one. */
-  void answers(HttpRequest request) {
-    head = request.method().equals(HttpMethod.HEAD);
-    chunks = request.protocolVersion().equals(HttpVersion.HTTP_1_1);
+  /** Sets the request that the next response answers. */
+  void setRequest(HttpRequest request) {
+    headRequest = request.method().equals(HttpMethod.HEAD);
+    chunksAllowed = request.protocolVersion().equals(HttpVersion.HTTP_1_1);
     keepAlive = HttpUtil.isKeepAlive(request);
   }
 
-  /** The connection ends behind the next answer. */
-  void last() {
+  /** Ends the connection after the next response. */
+  void closeAfterResponse() {
     keepAlive = false;
   }
 
@@ -54,20 +60,23 @@
     return keepAlive;
   }
 
-  void goOn() {
+  void sendContinue() {
     channel.writeAndFlush(
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
   }
 
-  /** A template server's answer; both are only lent, and the body is null where it is empty. */
-  void served(HttpResponse from, ByteBuf body) {
+  /**
+   * Sends a template server's response. The caller keeps ownership of the head and the body; the
+   * body is null if it is empty.
+   */
+  void sendResponse(HttpResponse response, ByteBuf body) {
     DefaultFullHttpResponse answer =
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1,
             HttpResponseStatus.OK,
             body == null ? Unpooled.EMPTY_BUFFER : body.retain());
-    copyType(from, answer);
+    copyType(response, answer);
     write(answer);
   }
 
@@ -78,82 +87,89 @@
     }
   }
 
-  void refused(double holdOffMs) {
+  void sendRefusal(double retryAfterMs) {
     FullHttpResponse answer =
-        empty(
-            holdOffMs > 0
+        emptyResponse(
+            retryAfterMs > 0
                 ? HttpResponseStatus.TOO_MANY_REQUESTS
                 : HttpResponseStatus.SERVICE_UNAVAILABLE);
-    if (holdOffMs > 0) {
+    if (retryAfterMs > 0) {
       answer
           .headers()
-          .set(HttpHeaderNames.RETRY_AFTER, String.format(Locale.ROOT, "%.3f", holdOffMs / 1000));
+          .set(
+              HttpHeaderNames.RETRY_AFTER, String.format(Locale.ROOT, "%.3f", retryAfterMs / 1000));
     }
     write(answer);
   }
 
-  void status(HttpResponseStatus status) {
-    write(empty(status));
+  void sendStatus(HttpResponseStatus status) {
+    write(emptyResponse(status));
   }
 
-  void status(HttpResponseStatus status, String reason) {
-    write(worded(status, reason));
+  void sendStatus(HttpResponseStatus status, String reason) {
+    write(textResponse(status, reason));
   }
 
-  /** What cannot be read any further is answered so, whatever it was: the connection ends. */
-  ChannelFuture end(HttpResponseStatus status, String reason) {
-    FullHttpResponse answer = worded(status, reason);
+  /**
+   * Sends an error for input that cannot be read any further, whatever the request was. The
+   * connection ends after it.
+   */
+  ChannelFuture sendLastError(HttpResponseStatus status, String reason) {
+    FullHttpResponse answer = textResponse(status, reason);
     answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, answer.content().readableBytes());
     answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
     return channel.writeAndFlush(answer);
   }
 
-  private static FullHttpResponse worded(HttpResponseStatus status, String reason) {
+  private static FullHttpResponse textResponse(HttpResponseStatus status, String reason) {
     ByteBuf text = Unpooled.copiedBuffer(reason + "\n", StandardCharsets.US_ASCII);
     return new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, text);
   }
 
-  private static FullHttpResponse empty(HttpResponseStatus status) {
+  private static FullHttpResponse emptyResponse(HttpResponseStatus status) {
     return new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.EMPTY_BUFFER);
   }
 
   private void write(FullHttpResponse answer) {
     answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, answer.content().readableBytes());
-    if (head) {
+    if (headRequest) {
       answer.content().clear();
     }
-    tellWhetherKept(answer);
+    setConnectionHeader(answer);
     channel.writeAndFlush(answer).addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
   }
 
-  /** Begins an answer that is passed on as it comes, framed as it was told, or in chunks. */
-  void begin(HttpResponse from) {
+  /**
+   * Begins a streamed response. It has the declared length of the backend's response, or is sent in
+   * chunks.
+   */
+  void beginResponse(HttpResponse response) {
     HttpResponse answer = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-    copyType(from, answer);
-    long length = Headers.bodyLength(from);
+    copyType(response, answer);
+    long length = Headers.bodyLength(response);
     if (length >= 0) {
       answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, length);
-    } else if (chunks) {
+    } else if (chunksAllowed) {
       HttpUtil.setTransferEncodingChunked(answer, true);
     } else {
       keepAlive = false;
     }
-    tellWhetherKept(answer);
+    setConnectionHeader(answer);
     channel.write(answer);
   }
 
-  void piece(ByteBuf piece) {
+  void sendPiece(ByteBuf piece) {
     channel.writeAndFlush(new DefaultHttpContent(piece));
   }
 
-  void finish() {
+  void finishResponse() {
     channel
         .writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT)
         .addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
   }
 
-  private void tellWhetherKept(HttpResponse answer) {
-    keepAlive &= mayBeKept.getAsBoolean();
+  private void setConnectionHeader(HttpResponse answer) {
+    keepAlive &= mayKeepAlive.getAsBoolean();
     if (!keepAlive) {
       answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
     }
--- a/front/src/main/java/willowdoor/front/requests/Asked.java
+++ b/front/src/main/java/willowdoor/front/requests/ParsedRequest.java
@@ -3,9 +3,10 @@
 import willowdoor.policy.GatewayApi.Request;
 
 /**
- * A request as its head tells it; what is left of its time is known once its last byte has come.
+ * The fields of a request's head. How much of the request's time remains is known only once its
+ * last byte has arrived.
  */
-public record Asked(
+public record ParsedRequest(
     String id,
     String className,
     String plan,
@@ -14,7 +15,7 @@
     double units,
     double timeoutMs) {
 
-  Request within(Budget budget) {
+  Request toRequest(Budget budget) {
     return new Request(id, className, plan, customer, entryPoints, units, budget.endMs());
   }
 }
--- a/front/src/test/java/willowdoor/front/clients/ClientDrainTest.java
+++ b/front/src/test/java/willowdoor/front/clients/ClientDrainTest.java
@@ -15,7 +15,7 @@
 import willowdoor.front.loop.Looks;
 import willowdoor.front.loop.Transport;
 
-/** How long a drain takes new connections, on a clock moved by hand. */
+/** Tests how long a drain accepts new connections. The test advances the clock itself. */
 class ClientDrainTest {
 
   private final EventLoopGroup group =
@@ -35,37 +35,43 @@
     group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).sync();
   }
 
-  private void rounds(int ms) {
+  private void runRounds(int ms) {
     for (int i = 0; i < ms / 10; i++) {
-      round(10);
+      runRound(10);
     }
   }
 
-  private void round(int afterMs) {
+  private void runRound(int afterMs) {
     nanos += TimeUnit.MILLISECONDS.toNanos(afterMs);
-    server.partWithIdle();
+    server.closeIdleConnections();
   }
 
-  /** New connections come for 0.4 s after the signal. */
+  /**
+   * New connections arrive for 0.4 s after the signal, even if the operators' drain began long
+   * before.
+   */
   @Test
-  void thePlannedEndTakesNewConnectionsThoughTheOperatorsDrainIsOld() {
-    server.evacuate(true);
-    rounds(5_000);
-    server.end();
-    rounds(500);
-    assertFalse(server.ended());
-    rounds(100);
-    assertTrue(server.ended());
+  void shutdownAcceptsNewConnectionsDespiteAnOldOperatorDrain() {
+    server.setOperatorDrain(true);
+    runRounds(5_000);
+    server.shutDown();
+    runRounds(500);
+    assertFalse(server.isTerminated());
+    runRounds(100);
+    assertTrue(server.isTerminated());
   }
 
-  /** Those that came in a pause of this process are accepted and read first. */
+  /**
+   * Connections that arrived during a pause of this process are accepted and read before the drain
+   * acts.
+   */
   @Test
-  void theRoundBehindAPauseEndsNothing() {
-    rounds(100);
-    server.end();
-    round(900);
-    assertFalse(server.ended());
-    round(10);
-    assertTrue(server.ended());
+  void roundAfterAPauseClosesNothing() {
+    runRounds(100);
+    server.shutDown();
+    runRound(900);
+    assertFalse(server.isTerminated());
+    runRound(10);
+    assertTrue(server.isTerminated());
   }
 }
--- a/front/src/test/java/willowdoor/front/requests/WaitLimitsTest.java
+++ b/front/src/test/java/willowdoor/front/requests/RequestDeadlineTest.java
@@ -39,17 +39,18 @@
 import willowdoor.wire.WireSettings;
 
 /**
- * Every wait of a request ends within its time, with the clock moved by hand and the real module.
+ * Every wait of a request ends within the request's time. The test uses the real policy and
+ * advances the clock itself.
  */
-class WaitLimitsTest {
+class RequestDeadlineTest {
 
-  /** What the peers of the front door do with all that is asked of them. */
-  private enum Trouble {
+  /** How the peers of the front door fail. */
+  private enum Fault {
     NO_SERVER,
     CONNECTING,
     UNREACHABLE,
     SILENT,
-    TURNED_AWAY,
+    REJECTED,
     FAILING
   }
 
@@ -62,72 +63,72 @@
   private boolean counterAnswers = true;
   private final Tally tally = new Tally();
   private QuotaPolicy policy;
-  private ModuleDriver driver;
+  private PolicyDriver driver;
 
-  /** A client that notes how it was answered, and when. */
-  private class Heard implements ModuleDriver.Client {
-    final double cameAt;
+  /** A client that records its answers and the time of the last one. */
+  private class RecordingClient implements PolicyDriver.Client {
+    final double arrivedAt;
     final List<String> answers = new ArrayList<>();
-    double at = Double.NaN;
+    double answeredAt = Double.NaN;
 
-    Heard(double cameAt) {
-      this.cameAt = cameAt;
+    RecordingClient(double arrivedAt) {
+      this.arrivedAt = arrivedAt;
     }
 
-    private void note(String answer) {
+    private void record(String answer) {
       answers.add(answer);
-      at = clock.now();
+      answeredAt = clock.now();
     }
 
     @Override
-    public double cameAt() {
-      return cameAt;
+    public double arrivedAt() {
+      return arrivedAt;
     }
 
     @Override
-    public void served(HttpResponse head, ByteBuf body) {
-      note("served");
+    public void sendResponse(HttpResponse head, ByteBuf body) {
+      record("served");
     }
 
     @Override
-    public void refused(double holdOffMs) {
-      note("refused");
+    public void sendRefusal(double retryAfterMs) {
+      record("refused");
     }
 
     @Override
-    public void failed() {
-      note("failed");
+    public void sendFailure() {
+      record("failed");
     }
 
     @Override
-    public void begin(HttpResponse head, Attempt.Carrier from) {
-      throw new AssertionError("no answer comes in pieces here");
+    public void beginResponse(HttpResponse head, Attempt.Connection connection) {
+      throw new AssertionError("no streamed response is expected");
     }
 
     @Override
-    public void piece(ByteBuf piece) {
+    public void sendPiece(ByteBuf piece) {
       piece.release();
     }
 
     @Override
-    public void finish() {
-      note("finished");
+    public void finishResponse() {
+      record("finished");
     }
 
     @Override
-    public void cut() {
-      note("cut");
+    public void abortResponse() {
+      record("cut");
     }
   }
 
-  private final class Servers implements ModuleDriver.Servers {
+  private final class RecordingBackends implements PolicyDriver.Backends {
     @Override
     public void onRoster(RosterNews news) {
       List.copyOf(started).forEach(a -> a.abandon(Status.UNREACHABLE));
     }
 
     @Override
-    public void cut(long backend) {}
+    public void cancelUnsent(long backend) {}
 
     @Override
     public void start(long backend, Attempt attempt) {
@@ -157,7 +158,7 @@
                           + "\"AimMs\":1500,\"DeadlineMs\":4000,"
                           + "\"Value\":5},"));
       policy = new QuotaPolicy(WireSettings.read(JsonFields.child(config, "settings")), 7);
-      driver = new ModuleDriver(channel.eventLoop(), clock, policy, new Servers(), tally);
+      driver = new PolicyDriver(channel.eventLoop(), clock, policy, new RecordingBackends(), tally);
       driver.start(this::count, RosterNews.of(JsonFields.child(config, "known")));
     }
   }
@@ -167,7 +168,7 @@
     if (counterAnswers) {
       channel
           .eventLoop()
-          .execute(() -> driver.onCounted(new CounterResult(name, Status.OK, amount, 1)));
+          .execute(() -> driver.onCounterResult(new CounterResult(name, Status.OK, amount, 1)));
     }
   }
 
@@ -176,34 +177,35 @@
     channel.close();
   }
 
-  private void pass(double ms) {
+  private void advance(double ms) {
     for (double end = clock.now() + ms; clock.now() < end; ) {
       ticker.advanceMillis(1);
       channel.runPendingTasks();
     }
   }
 
-  private Heard take(String id, String type, double timeoutMs, double ageMs) {
-    Outgoing message =
-        new Outgoing(
+  private RecordingClient submit(String id, String type, double timeoutMs, double ageMs) {
+    OutgoingRequest message =
+        new OutgoingRequest(
             HttpMethod.POST,
             "/" + type,
             new DefaultHttpHeaders(),
             Unpooled.copiedBuffer(new byte[10]),
             true,
             () -> {});
-    Heard heard = new Heard(clock.now() - ageMs);
-    driver.take(new Asked(id, type, "basic", 42, 2, 2, timeoutMs), message, heard);
-    return heard;
+    RecordingClient recordingClient = new RecordingClient(clock.now() - ageMs);
+    driver.submit(
+        new ParsedRequest(id, type, "basic", 42, 2, 2, timeoutMs), message, recordingClient);
+    return recordingClient;
   }
 
-  private void set(Trouble trouble) throws Exception {
-    switch (trouble) {
+  private void setFault(Fault fault) throws Exception {
+    switch (fault) {
       case NO_SERVER -> begin(0);
       case UNREACHABLE ->
           server = a -> channel.eventLoop().execute(() -> a.end(Status.UNREACHABLE, null, null));
       case SILENT -> server = a -> a.written(true);
-      case TURNED_AWAY -> server = a -> answer(a, Status.REJECTED);
+      case REJECTED -> server = a -> answer(a, Status.REJECTED);
       case FAILING -> server = a -> answer(a, Status.ERROR);
       default -> {}
     }
@@ -216,37 +218,40 @@
 
   @ParameterizedTest
   @EnumSource
-  void eachRequestIsAnsweredOnceWithinItsTime(Trouble trouble) throws Exception {
-    set(trouble);
+  void eachRequestIsAnsweredOnceWithinItsTime(Fault fault) throws Exception {
+    setFault(fault);
     for (boolean counted : new boolean[] {true, false}) {
       counterAnswers = counted;
       for (String type : new String[] {"quote", "buy", "seal"}) {
         for (int timeout : new int[] {1, 20, 60, 300, 1_000, 4_000}) {
           for (int age : new int[] {0, 50, 400}) {
             started.clear();
-            String what = trouble + " " + type + " " + timeout + " " + age + " " + counted;
-            Heard client = take(what, type, timeout, age);
-            double endsAt = client.cameAt + timeout;
-            pass(timeout + 20);
-            assertEquals(1, client.answers.size(), what + " " + client.answers);
-            assertTrue(client.at <= Math.max(endsAt, client.cameAt + age), what + " " + client.at);
-            assertFalse(client.answers.contains("served"), what);
+            String description = fault + " " + type + " " + timeout + " " + age + " " + counted;
+            RecordingClient client = submit(description, type, timeout, age);
+            double endsAt = client.arrivedAt + timeout;
+            advance(timeout + 20);
+            assertEquals(1, client.answers.size(), description + " " + client.answers);
+            assertTrue(
+                client.answeredAt <= Math.max(endsAt, client.arrivedAt + age),
+                description + " " + client.answeredAt);
+            assertFalse(client.answers.contains("served"), description);
             boolean written = started.stream().anyMatch(Attempt::written);
-            boolean mayHaveRun = written && trouble != Trouble.TURNED_AWAY;
+            boolean mayHaveRun = written && fault != Fault.REJECTED;
             assertFalse(
-                mayHaveRun && type.equals("seal") && client.answers.contains("refused"), what);
-            assertTrue(started.stream().allMatch(a -> a.endsAt() <= endsAt), what);
-            assertTrue(started.isEmpty() || age < timeout, what);
-            pass(4_000);
-            assertEquals(0, driver.held(), what);
-            assertEquals(0, driver.heldBytes(), what);
+                mayHaveRun && type.equals("seal") && client.answers.contains("refused"),
+                description);
+            assertTrue(started.stream().allMatch(a -> a.deadlineMs() <= endsAt), description);
+            assertTrue(started.isEmpty() || age < timeout, description);
+            advance(4_000);
+            assertEquals(0, driver.requestCount(), description);
+            assertEquals(0, driver.heldBytes(), description);
           }
         }
       }
     }
   }
 
-  /** The log tells where requests were as their time ran out. */
+  /** The log shows at which stage requests were when their time ran out. */
   @ParameterizedTest
   @CsvSource({
     "SILENT, true, 300, 290, ARRIVAL",
@@ -255,141 +260,148 @@
     "CONNECTING, true, 300, 0, CONNECT",
     "SILENT, true, 300, 0, ANSWER"
   })
-  void theStageAtWhichTimeRanOutIsCounted(
-      Trouble trouble, boolean counted, int timeout, int age, String stage) throws Exception {
-    set(trouble);
+  void stageAtWhichTimeRanOutIsCounted(
+      Fault fault, boolean counted, int timeout, int age, String stage) throws Exception {
+    setFault(fault);
     counterAnswers = counted;
     assertFalse(policy.summarizeStats().contains("expired " + stage));
-    take("r1", "seal", timeout, age);
-    pass(timeout);
+    submit("r1", "seal", timeout, age);
+    advance(timeout);
     assertTrue(policy.summarizeStats().endsWith("expired " + stage + "=1"));
     assertTrue(policy.summarizeStats().endsWith("expired"));
   }
 
   @Test
-  void howMuchTimeWasLeftAsAttemptsBeganIsCounted() throws Exception {
-    set(Trouble.SILENT);
+  void timeLeftWhenAttemptsBeganIsCounted() throws Exception {
+    setFault(Fault.SILENT);
     for (int age : new int[] {0, 100, 300, 600, 600}) {
-      take("r" + age + started.size(), "quote", 1_000, age);
+      submit("r" + age + started.size(), "quote", 1_000, age);
       channel.runPendingTasks();
     }
     assertEquals("now began_with_75%=2 began_with_50%=1 began_with_25%=2", tally.line("now"));
     assertEquals("then", tally.line("then"));
   }
 
-  /** A body beyond what is kept has no end while it comes; its time begins with its last byte. */
+  /** The time of a request whose body exceeds the kept prefix begins when the last byte arrives. */
   @Test
-  void theTimeOfALargeBodyBeginsWithItsLastByte() {
-    Outgoing message =
-        new Outgoing(
+  void timeOfALargeBodyBeginsWithItsLastByte() {
+    OutgoingRequest message =
+        new OutgoingRequest(
             HttpMethod.POST,
             "/buy",
             new DefaultHttpHeaders(),
             Unpooled.copiedBuffer(new byte[10]),
             false,
             () -> {});
-    Heard client =
-        new Heard(clock.now()) {
+    RecordingClient client =
+        new RecordingClient(clock.now()) {
           @Override
-          public double cameAt() {
+          public double arrivedAt() {
             return clock.now() - 100;
           }
         };
-    driver.take(new Asked("r1", "buy", "basic", 42, 2, 2, 1_000), message, client);
+    driver.submit(new ParsedRequest("r1", "buy", "basic", 42, 2, 2, 1_000), message, client);
     channel.runPendingTasks();
-    started.get(0).onSpent();
-    pass(10_000);
+    started.get(0).onBeyondPrefix();
+    advance(10_000);
     assertEquals(List.of(), client.answers);
     double lastByte = clock.now() - 100;
     started.get(0).written(true);
-    started.get(0).onSent();
-    pass(800);
+    started.get(0).onLastPiece();
+    advance(800);
     assertEquals(List.of(), client.answers);
-    pass(200);
+    advance(200);
     assertEquals(List.of("failed"), client.answers);
-    assertTrue(client.at <= lastByte + 1_000);
+    assertTrue(client.answeredAt <= lastByte + 1_000);
   }
 
-  /** The process's end bounds what is under way and what still comes, and extends nothing. */
+  /** The end of the process bounds pending and later requests, and extends no deadline. */
   @ParameterizedTest
   @CsvSource({"4000, 494", "300, 294"})
-  void theEndOfTheProcessEndsEveryWait(double timeout, double answeredBy) throws Exception {
-    set(Trouble.SILENT);
-    Heard before = take("r1", "seal", timeout, 0);
-    driver.endWithin(500);
-    Heard after = take("r2", "seal", timeout, 0);
-    double told = clock.now();
-    pass(510);
-    assertTrue(started.get(1).endsAt() <= told + 500);
-    for (Heard client : List.of(before, after)) {
+  void endOfTheProcessEndsEveryWait(double timeout, double answeredBy) throws Exception {
+    setFault(Fault.SILENT);
+    RecordingClient before = submit("r1", "seal", timeout, 0);
+    driver.shutDownWithin(500);
+    RecordingClient after = submit("r2", "seal", timeout, 0);
+    double shutDownAt = clock.now();
+    advance(510);
+    assertTrue(started.get(1).deadlineMs() <= shutDownAt + 500);
+    for (RecordingClient client : List.of(before, after)) {
       assertEquals(List.of("failed"), client.answers);
-      assertTrue(client.at <= told + answeredBy, "answered after " + (client.at - told));
+      assertTrue(
+          client.answeredAt <= shutDownAt + answeredBy,
+          "answered after " + (client.answeredAt - shutDownAt));
     }
   }
 
   /**
-   * Where a client leaves, nothing is begun for it any more; its answer still settles the count.
+   * After a client disconnects, no attempt begins for it. The response to an attempt that was sent
+   * still completes the accounting.
    */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void aClientThatLeavesEndsWhatHasNotReachedAServer(boolean reached) {
+  void disconnectEndsAttemptsThatHaveNotReachedAServer(boolean reached) {
     for (int i = 0; i < 200; i++) {
       started.clear();
-      Heard client = take("r" + i, "quote", 2_000, 0);
+      RecordingClient client = submit("r" + i, "quote", 2_000, 0);
       channel.runPendingTasks();
       started.get(0).written(reached);
-      driver.clientLeft("r" + i);
+      driver.onClientDisconnected("r" + i);
       assertEquals(!reached, started.get(0).ended());
       assertEquals(0, driver.heldBytes());
-      assertEquals(reached ? 1 : 0, driver.held());
+      assertEquals(reached ? 1 : 0, driver.requestCount());
       started
           .get(0)
           .end(
               Status.OK,
               new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK),
               null);
-      assertEquals(0, driver.held());
+      assertEquals(0, driver.requestCount());
       assertEquals(List.of(), client.answers);
     }
   }
 
   /**
-   * A count that is told after its request's end is known: what it added is taken off with the next
-   * call.
+   * A result of the counter that arrives after its request has ended is used: the amount that it
+   * added is subtracted from the next call.
    */
   @Test
-  void anAnswerOfTheCounterAfterTheEndKeepsTheBooks() {
+  void counterResultAfterTheRequestsEndIsAccounted() {
     counterAnswers = false;
-    take("r1", "quote", 2_000, 0);
-    driver.clientLeft("r1");
-    driver.onCounted(new CounterResult(adds.get(0).split(" ")[0], Status.OK, 2, 30));
+    submit("r1", "quote", 2_000, 0);
+    driver.onClientDisconnected("r1");
+    driver.onCounterResult(new CounterResult(adds.get(0).split(" ")[0], Status.OK, 2, 30));
     counterAnswers = true;
-    take("r2", "quote", 2_000, 0);
+    submit("r2", "quote", 2_000, 0);
     assertTrue(adds.get(0).endsWith(" 2.0"), adds.toString());
     assertTrue(adds.get(1).endsWith(" 0.0"), adds.toString());
   }
 
-  /** What the list ends is not sent to another server that the same list drains. */
+  /**
+   * A request whose attempt is ended by a list is not sent to another server that the same list
+   * drains.
+   */
   @Test
-  void whatADrainEndsIsNotSentThereAgain() throws Exception {
+  void attemptEndedByADrainIsNotSentToADrainedServer() throws Exception {
     begin(2);
-    Heard client = take("r1", "quote", 2_000, 0);
+    RecordingClient client = submit("r1", "quote", 2_000, 0);
     channel.runPendingTasks();
     String news = Peers.list(8, true, Peers.entry("s-9", 7009, "leaving"));
     driver.onRoster(RosterNews.parse(news.getBytes(StandardCharsets.UTF_8), clock.now()));
     assertEquals(1, started.size());
-    pass(2_000);
+    advance(2_000);
     assertEquals(1, started.size());
     assertEquals(List.of("refused"), client.answers);
   }
 
   /**
-   * Only the monotonic clock moves it: here that runs by hand, and far from the wall clock's time.
+   * The clock follows the monotonic time only. The test advances that by hand, and it is far from
+   * the wall clock's time.
    */
   @Test
-  void theWallClockMovesNothing() {
+  void wallClockHasNoEffect() {
     double before = clock.now();
-    pass(5_000);
+    advance(5_000);
     assertEquals(5_000, clock.now() - before, 1e-3);
   }
 }
