--- a/front/src/main/java/willowdoor/front/requests/EventQueue.java
+++ b/front/src/main/java/willowdoor/front/requests/EventQueue.java
@@ -25,20 +25,20 @@
 
   private final EventLoop loop;
   private final Clock clock;
-  private final Consumer<Event> module;
+  private final Consumer<Event> policy;
 
   /** Backend lists, in their order. They are delivered before all other events. */
   private final ArrayDeque<Event> lists = new ArrayDeque<>(1);
 
   private final ArrayDeque<Event> events = new ArrayDeque<>();
   private boolean delivering;
-  private boolean holding;
+  private boolean paused;
   private double deliveredAt;
 
-  EventQueue(EventLoop loop, Clock clock, Consumer<Event> module) {
+  EventQueue(EventLoop loop, Clock clock, Consumer<Event> policy) {
     this.loop = loop;
     this.clock = clock;
-    this.module = module;
+    this.policy = policy;
     deliveredAt = clock.now();
   }
 
@@ -61,18 +61,18 @@
   }
 
   private void drain() {
-    if (delivering || holding) {
+    if (delivering || paused) {
       return;
     }
     double now = clock.now();
-    holding = now - deliveredAt > STALL_MS;
+    paused = now - deliveredAt > STALL_MS;
     deliveredAt = now;
-    if (holding) {
+    if (paused) {
       // The loop runs a scheduled task, even one that another scheduled task adds, only after its
       // next poll of the sockets.
       loop.schedule(
           () -> {
-            holding = false;
+            paused = false;
             drain();
           },
           0,
@@ -82,7 +82,7 @@
     delivering = true;
     try {
       for (Event e = next(); e != null; e = next()) {
-        module.accept(e);
+        policy.accept(e);
       }
     } finally {
       delivering = false;
