--- a/members/src/main/java/willowdoor/members/AntiEntropy.java
+++ b/members/src/main/java/willowdoor/members/AntiEntropy.java
@@ -169,9 +169,8 @@
     }
     int begin = all.isEmpty() ? 0 : random.nextInt(all.size());
     List<Statement> inOrder = new ArrayList<>();
-    // The statement about the requester comes first: the requester uses it to decide whether it
-    // must
-    // raise its generation.
+    // The statement about the requester comes first: the requester uses the statement to decide
+    // whether to raise its generation.
     if (view.get(from).generation() > 0) {
       inOrder.add(view.get(from));
     }
--- a/members/src/main/java/willowdoor/members/Membership.java
+++ b/members/src/main/java/willowdoor/members/Membership.java
@@ -205,9 +205,8 @@
         && received.state() == MemberState.FAILED
         && received.sameIncarnation(known)
         && known.state().present()) {
-      // The report may come from the other side of a healed partition. The member is notified and
-      // can
-      // refute the failure before other members adopt it.
+      // The report may come from the other side of a healed partition. The member is notified, so
+      // that it can refute the failure before other members adopt the report.
       if (sender.addFailureReport(received) && antiEntropy.tryAcquireFailureNotice(now)) {
         send(received.member(), new Message.Gossip(), List.of(received));
       }
--- a/members/src/main/java/willowdoor/members/Timing.java
+++ b/members/src/main/java/willowdoor/members/Timing.java
@@ -18,8 +18,7 @@
  * @param confirmations number of further accusers that reduce the time-out to the minimum
  * @param maxHealthScore the largest local health score
  * @param retransmitFactor how often a member sends one gossip entry, times ln(members + 1)
- * @param gossipBytes maximum bytes of gossip in a message with gossip; a single larger statement is
- *     still sent
+ * @param gossipBytes maximum bytes of gossip in a message, unless a single statement is larger
  * @param urgentGossipBytes the same limit for statements about failures and suspicions; a fleet
  *     whose partition heals sends few of these
  * @param absentProbeMs interval between probes of absent members
@@ -31,7 +30,8 @@
  * @param joinAloneMs time after which a joining process completes the join without a response
  * @param noAnswerMs this process is isolated when no probe was acknowledged for this long
  * @param stallMs a wake-up that is later than this shows that the process was stalled
- * @param duplicateWindowMs how far back a second process with the same name is looked for
+ * @param duplicateWindowMs the period within which newer statements about this process are counted
+ *     to detect a second process with the same name
  * @param lifeguard whether the Lifeguard extensions of SWIM are enabled
  */
 record Timing(
--- a/members/src/test/java/willowdoor/members/Measure.java
+++ b/members/src/test/java/willowdoor/members/Measure.java
@@ -53,8 +53,8 @@
       long began = fleet.now;
       long[] seen = {0, 0};
       fleet.watcher =
-          (node, was, is) -> {
-            if (is.member() == victim && is.state() == MemberState.FAILED) {
+          (node, previous, current) -> {
+            if (current.member() == victim && current.state() == MemberState.FAILED) {
               seen[0] = seen[0] == 0 ? fleet.now - began : seen[0];
               seen[1]++;
               known[0] = fleet.now - began;
@@ -112,26 +112,26 @@
       fleet.run(60_000);
       fleet.bytes = 0;
       fleet.run(10_000);
-      double calm = fleet.bytes / 10.0;
-      int cuts = 20;
-      long[] healed = new long[cuts];
-      double[] ratio = new double[cuts];
-      long[] noticed = new long[cuts];
-      for (int i = 0; i < cuts; i++) {
+      double normalBytesPerSecond = fleet.bytes / 10.0;
+      int partitions = 20;
+      long[] healed = new long[partitions];
+      double[] ratio = new double[partitions];
+      long[] isolatedAfter = new long[partitions];
+      for (int i = 0; i < partitions; i++) {
         fleet.network = (from, to) -> from < part == to < part;
         long began = fleet.now;
         while (fleet.now - began < 40_000) {
           fleet.run(100);
-          if (noticed[i] == 0
+          if (isolatedAfter[i] == 0
               && fleet.nodes.stream().allMatch(n -> n.index >= part || n.member.isolated())) {
-            noticed[i] = fleet.now - began;
+            isolatedAfter[i] = fleet.now - began;
           }
         }
         fleet.network = (from, to) -> true;
         fleet.bytes = 0;
         healed[i] = fleet.runUntilViewsEqual(60_000);
         long healing = fleet.bytes;
-        ratio[i] = healing / (Math.max(1, healed[i]) / 1e3) / calm;
+        ratio[i] = healing / (Math.max(1, healed[i]) / 1e3) / normalBytesPerSecond;
         fleet.run(20_000);
       }
       Arrays.sort(ratio);
@@ -140,11 +140,11 @@
               + " %d, p99 %d ms; bytes/s relative to no faults: median %.1f, max %.1f%n",
           part,
           size - part,
-          ModelFleet.quantile(noticed, 1),
+          ModelFleet.quantile(isolatedAfter, 1),
           ModelFleet.quantile(healed, 0.5),
           ModelFleet.quantile(healed, 0.99),
-          ratio[cuts / 2],
-          ratio[cuts - 1]);
+          ratio[partitions / 2],
+          ratio[partitions - 1]);
     }
   }
 
