--- a/batch/src/main/java/elmsail/batch/api/SubmissionReport.java
+++ b/batch/src/main/java/elmsail/batch/api/SubmissionReport.java
@@ -39,7 +39,7 @@
           reply.status(),
           check.tokens(),
           counted.totalExcept(check.jobId()),
-          counted.pendingExcept(check.jobId()),
+          counted.reservedExcept(check.jobId()),
           check.limit(),
           verdict,
           rounds,
--- a/batch/src/main/java/elmsail/batch/messages/WaitingTokens.java
+++ b/batch/src/main/java/elmsail/batch/messages/WaitingTokens.java
@@ -144,16 +144,16 @@
 
   /** The tokens of the accepted jobs except this job; a part of {@link #totalExcept}. */
   public long acceptedExcept(String jobId) {
-    return totalExcept(jobId) - pendingExcept(jobId);
+    return totalExcept(jobId) - reservedExcept(jobId);
   }
 
   /** The tokens of the reserved jobs except this job; a part of {@link #totalExcept}. */
-  public long pendingExcept(String jobId) {
+  public long reservedExcept(String jobId) {
     long ownDigest = ContentDigest.of(jobId);
     long sum = 0;
     for (Map.Entry<Long, Entry> entry : entries.entrySet()) {
-      boolean pending = entry.getValue().isReservation() && entry.getKey() != ownDigest;
-      sum += pending ? entry.getValue().tokens() : 0;
+      boolean reserved = entry.getValue().isReservation() && entry.getKey() != ownDigest;
+      sum += reserved ? entry.getValue().tokens() : 0;
     }
     return sum;
   }
--- a/batch/src/main/java/elmsail/batch/run/JobRunner.java
+++ b/batch/src/main/java/elmsail/batch/run/JobRunner.java
@@ -238,7 +238,7 @@
     }
     CapacityBudget budget = new CapacityBudget(servers);
     List<RunningJob> runningJobs = jobsByDueTime();
-    new TenantShares(runningJobs).giveTurns(job -> dispatchNextItem(job, config, budget));
+    new TenantShares(runningJobs).dispatchFairly(job -> dispatchNextItem(job, config, budget));
     if (runningJobs.stream().anyMatch(RunningJob::hasReadyItems)) {
       scheduleDispatch(CAPACITY_POLL_INTERVAL_MS);
     }
--- a/batch/src/main/java/elmsail/batch/run/TenantShares.java
+++ b/batch/src/main/java/elmsail/batch/run/TenantShares.java
@@ -57,7 +57,7 @@
    *
    * @param turn starts an item of the job; returns false if the job can start no further item
    */
-  void giveTurns(Predicate<RunningJob> turn) {
+  void dispatchFairly(Predicate<RunningJob> turn) {
     while (!waiting.isEmpty()) {
       TenantQueue tenant = waiting.poll();
       if (turn.test(tenant.jobs.peek())) {
--- a/batch/src/main/java/elmsail/batch/store/JobStore.java
+++ b/batch/src/main/java/elmsail/batch/store/JobStore.java
@@ -29,7 +29,7 @@
   /** The state derived from the newest accepted record of a job. */
   private static final class JobState {
     final long digest;
-    final long firstSeenAt;
+    final long firstAcceptedAt;
     long version;
     QuotaKey quotaKey;
     long waitingTokens;
@@ -42,7 +42,7 @@
 
     JobState(String jobId, long now) {
       this.digest = ContentDigest.of(jobId);
-      this.firstSeenAt = now;
+      this.firstAcceptedAt = now;
     }
 
     void apply(JobRecord record, long now) {
@@ -72,7 +72,7 @@
 
     boolean isExpired(long retentionMs, long slackMs, long now) {
       long keptMs = (open ? Math.max(itemTtlMs, 0) : 0) + retentionMs + slackMs;
-      return now - firstSeenAt > keptMs && (!open || now - lastHeartbeatAt > retentionMs);
+      return now - firstAcceptedAt > keptMs && (!open || now - lastHeartbeatAt > retentionMs);
     }
   }
 
--- a/batch/src/test/java/elmsail/batch/BodyRelayFaultTest.java
+++ b/batch/src/test/java/elmsail/batch/BodyRelayFaultTest.java
@@ -214,7 +214,7 @@
         byte[] probe = new WaitingTokens.Reservation("r-lots", "probe", 0, 1).encode();
         WaitingTokens count = new WaitingTokens();
         count.mergeAll(List.of(behind.service.onSideEffect(key, probe)));
-        assertThat("offset " + offset, count.pendingExcept("probe"), is(0L));
+        assertThat("offset " + offset, count.reservedExcept("probe"), is(0L));
       }
     }
   }
--- a/batch/src/test/java/elmsail/batch/DoubleSubmissionTest.java
+++ b/batch/src/test/java/elmsail/batch/DoubleSubmissionTest.java
@@ -92,11 +92,11 @@
       cluster.timers.schedule(10 + cluster.random.nextInt(120), () -> injectFaults(deadline));
     }
 
-    long accepted() {
+    long acceptedTokens() {
       return jobs.stream().filter(job -> job.any(202)).mapToLong(job -> job.tokens).sum();
     }
 
-    List<String> rejectedAndRun() {
+    List<String> runItemsAndFindRejectedJobsThatRan() {
       cluster.gateways.forEach(gateway -> gateway.servers.capacity = JOBS);
       cluster.timers.advance(12_000);
       List<String> found = new ArrayList<>();
@@ -116,10 +116,10 @@
     List<String> rejectedAndRun = new ArrayList<>();
     for (int seed = 0; seed < SEEDS; seed++) {
       Run run = new Run(seed, storesCrash);
-      maxAccepted = Math.max(maxAccepted, run.accepted());
-      sum += run.accepted();
-      timesOverLimit += run.accepted() > LIMIT ? 1 : 0;
-      rejectedAndRun.addAll(run.rejectedAndRun());
+      maxAccepted = Math.max(maxAccepted, run.acceptedTokens());
+      sum += run.acceptedTokens();
+      timesOverLimit += run.acceptedTokens() > LIMIT ? 1 : 0;
+      rejectedAndRun.addAll(run.runItemsAndFindRejectedJobsThatRan());
     }
     System.out.println(
         (storesCrash ? "stores crash" : "links cut")
--- a/batch/src/test/java/elmsail/batch/run/TenantSharesTest.java
+++ b/batch/src/test/java/elmsail/batch/run/TenantSharesTest.java
@@ -35,7 +35,7 @@
   private static List<String> turns(int slots, RunningJob... jobs) {
     List<String> started = new ArrayList<>();
     new TenantShares(List.of(jobs))
-        .giveTurns(
+        .dispatchFairly(
             job -> {
               if (started.size() >= slots || !job.hasReadyItems()) {
                 return false;
@@ -63,7 +63,7 @@
   }
 
   @Test
-  void aTenantWithItemsInFlightWaitsForTheOthers() {
+  void tenantsWithFewerItemsInFlightAreServedFirst() {
     assertThat(
         turns(5, inFlight(job("a1", "a", 1), 2), job("a2", "a", 2), job("b1", "b", 3)),
         contains("b1", "b1", "a1", "b1", "a2"));
@@ -74,10 +74,10 @@
   }
 
   @Test
-  void aJobThatCannotStartAnItemLeavesItsTurnToTheNext() {
+  void nextJobIsTriedIfAJobCannotStartAnItem() {
     List<String> jobsWithTurn = new ArrayList<>();
     new TenantShares(List.of(job("a1", "a", 1), job("b1", "b", 2), job("a2", "a", 3)))
-        .giveTurns(
+        .dispatchFairly(
             job -> {
               jobsWithTurn.add(job.id);
               return false;
--- a/config/src/test/java/elmsail/config/watch/RevocationBoundTest.java
+++ b/config/src/test/java/elmsail/config/watch/RevocationBoundTest.java
@@ -77,7 +77,7 @@
   }
 
   @Test
-  void oneReachableNodeWithTheMaximumStatedAgeIsEnough() {
+  void oneReachableNodeKeepsTheConfirmationRecentEnough() {
     gateway.start();
     timers.advance(100);
     setConfirmedAgeOfAllNodes(1_500);
@@ -184,7 +184,7 @@
   }
 
   @Test
-  void nodesThatStateNoAgeAreNotPolledContinuously() {
+  void nodesThatReturnNoConfirmationAgeAreNotPolledContinuously() {
     gateway.start();
     timers.advance(500);
     network.configConfirmedAges.clear();
--- a/controlplane/src/main/java/elmsail/controlplane/ConfigChangeHandler.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ConfigChangeHandler.java
@@ -191,7 +191,7 @@
       case SUPERSEDED -> pending.decline(new Decision(412, "current: " + current.version()));
       case BASE_NOT_COMMITTED ->
           pending.decline(new Decision(503, "not in force yet; current: " + current.version()));
-      case BASE_FORGOTTEN ->
+      case BASE_DROPPED_FROM_HISTORY ->
           pending.decline(new Decision(503, "too old to tell; current: " + current.version()));
     };
   }
--- a/controlplane/src/main/java/elmsail/controlplane/ConfigChangeStatus.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ConfigChangeStatus.java
@@ -16,5 +16,5 @@
   /** The base is above the current version; a later change may still commit it. */
   BASE_NOT_COMMITTED,
   /** The base is older than all changes in the history: the outcome can no longer be determined. */
-  BASE_FORGOTTEN
+  BASE_DROPPED_FROM_HISTORY
 }
--- a/controlplane/src/main/java/elmsail/controlplane/ConfigHistory.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ConfigHistory.java
@@ -109,7 +109,7 @@
           : ConfigChangeStatus.BASE_NOT_COMMITTED;
     }
     if (baseVersions.length == 0 || baseVersion < baseVersions[0]) {
-      return ConfigChangeStatus.BASE_FORGOTTEN;
+      return ConfigChangeStatus.BASE_DROPPED_FROM_HISTORY;
     }
     int index = Arrays.binarySearch(baseVersions, baseVersion);
     return index >= 0 && Arrays.equals(digestAt(index), digest)
@@ -183,7 +183,7 @@
   /**
    * Decodes a value of the register; null yields the empty history. The changes in a value of the
    * legacy format are discarded, because their digests do not cover the base version; their status
-   * is BASE_FORGOTTEN.
+   * is BASE_DROPPED_FROM_HISTORY.
    *
    * @throws ElmsailException MALFORMED if the value cannot be decoded
    */
--- a/controlplane/src/main/java/elmsail/controlplane/ControlPlaneNode.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ControlPlaneNode.java
@@ -325,7 +325,7 @@
   private void relayFromPeers() {
     configurationManager.relayFromPeers();
     serverListManager.relayFromPeers();
-    fenceByPublishedList();
+    giveUpLeaseIfServerListHasHigherTerm();
     voterSetManager.learn(configWatcher.view());
   }
 
@@ -333,7 +333,7 @@
    * Gives up the lease if a list was published under a higher term: another process has held the
    * lease since.
    */
-  private void fenceByPublishedList() {
+  private void giveUpLeaseIfServerListHasHigherTerm() {
     long term = lease.term();
     if (term > 0 && configWatcher.serverListEpoch() > term) {
       lease.onFenced(term);
--- a/controlplane/src/main/java/elmsail/controlplane/DecommissionHandler.java
+++ b/controlplane/src/main/java/elmsail/controlplane/DecommissionHandler.java
@@ -56,7 +56,7 @@
     return switch (result) {
       case LISTED -> Replies.json(200, "{}");
       case TOO_FEW_STORES_REMAIN -> Replies.error(409, "too few would remain");
-      case TOO_FEW_STORES_SEEN -> Replies.error(503, "too few are heard at present");
+      case TOO_FEW_RECENT_HEARTBEATS -> Replies.error(503, "too few are heard at present");
     };
   }
 
--- a/controlplane/src/main/java/elmsail/controlplane/DecommissionManager.java
+++ b/controlplane/src/main/java/elmsail/controlplane/DecommissionManager.java
@@ -48,7 +48,7 @@
   private static final long MAX_VOTER_HEARTBEAT_AGE_MS = 1_500;
 
   /** A store without heartbeats for longer is not expected to return by itself. */
-  private static final long MAX_POSSIBLE_HEARTBEAT_AGE_MS = 30_000;
+  private static final long MAX_RETURNING_HEARTBEAT_AGE_MS = 30_000;
 
   private final Register register;
   private final Timers timers;
@@ -75,7 +75,7 @@
      * The store is not listed: enough stores may exist, but too few of them have sent a recent
      * heartbeat to this node.
      */
-    TOO_FEW_STORES_SEEN
+    TOO_FEW_RECENT_HEARTBEATS
   }
 
   /**
@@ -214,19 +214,19 @@
         .query()
         .thenApply(
             heartbeats ->
-                countPossibleStores(heartbeats, machine, listed) >= requiredStores()
-                    ? BeginResult.TOO_FEW_STORES_SEEN
+                countStoresThatMayReturn(heartbeats, machine, listed) >= requiredStores()
+                    ? BeginResult.TOO_FEW_RECENT_HEARTBEATS
                     : BeginResult.TOO_FEW_STORES_REMAIN);
   }
 
-  private static int countPossibleStores(
+  private static int countStoresThatMayReturn(
       StoreHeartbeats heartbeats, String machine, Set<String> listed) {
-    int possible = 0;
+    int count = 0;
     for (Map.Entry<String, Long> store : heartbeats.heartbeatAgesMs().entrySet()) {
       boolean remains = !store.getKey().equals(machine) && !listed.contains(store.getKey());
-      possible += remains && store.getValue() <= MAX_POSSIBLE_HEARTBEAT_AGE_MS ? 1 : 0;
+      count += remains && store.getValue() <= MAX_RETURNING_HEARTBEAT_AGE_MS ? 1 : 0;
     }
-    return possible;
+    return count;
   }
 
   private int requiredStores() {
--- a/controlplane/src/main/java/elmsail/controlplane/UsageLedger.java
+++ b/controlplane/src/main/java/elmsail/controlplane/UsageLedger.java
@@ -17,11 +17,11 @@
  * counts are removed only when the platform has accepted them or when they are too old to be
  * reported. Immutable.
  *
- * @param lastDecided number of the newest decided window; every older window is decided as well or
+ * @param lastFinalizedWindow number of the newest decided window; every older window is decided as well or
  *     is never reported
  * @param unsent counts by tenant of the windows that are still to be sent, by window number
  */
-record UsageLedger(long lastDecided, SortedMap<Long, SortedMap<String, Long>> unsent) {
+record UsageLedger(long lastFinalizedWindow, SortedMap<Long, SortedMap<String, Long>> unsent) {
   static final String KEY = "usage";
 
   private static final String VALUE_NAME = "usage ledger";
@@ -43,19 +43,20 @@
    *     keep their counts
    * @param counts returns the counts of a window
    */
-  UsageLedger decide(long first, long last, LongFunction<SortedMap<String, Long>> counts) {
+  UsageLedger finalizeCounts(long first, long last, LongFunction<SortedMap<String, Long>> counts) {
     SortedMap<Long, SortedMap<String, Long>> windows = new TreeMap<>(unsent.tailMap(first));
-    for (long window = Math.max(first, lastDecided + 1); window <= last; window++) {
+    for (long window = Math.max(first, lastFinalizedWindow + 1); window <= last; window++) {
       windows.put(window, counts.apply(window));
     }
-    return new UsageLedger(Math.max(lastDecided, last), Collections.unmodifiableSortedMap(windows));
+    return new UsageLedger(
+        Math.max(lastFinalizedWindow, last), Collections.unmodifiableSortedMap(windows));
   }
 
   /** Returns this ledger without the windows that the platform has accepted. */
   UsageLedger without(Collection<Long> acceptedWindows) {
     SortedMap<Long, SortedMap<String, Long>> windows = new TreeMap<>(unsent);
     windows.keySet().removeAll(acceptedWindows);
-    return new UsageLedger(lastDecided, Collections.unmodifiableSortedMap(windows));
+    return new UsageLedger(lastFinalizedWindow, Collections.unmodifiableSortedMap(windows));
   }
 
   /** Encodes this ledger as a register value. */
@@ -64,7 +65,7 @@
         VALUE_NAME,
         out -> {
           out.writeByte(FORMAT);
-          out.writeLong(lastDecided);
+          out.writeLong(lastFinalizedWindow);
           out.writeInt(unsent.size());
           for (Map.Entry<Long, SortedMap<String, Long>> window : unsent.entrySet()) {
             out.writeLong(window.getKey());
@@ -90,7 +91,7 @@
     if (in.readByte() != FORMAT) {
       throw new IOException("unsupported format version");
     }
-    long lastDecided = in.readLong();
+    long lastFinalizedWindow = in.readLong();
     SortedMap<Long, SortedMap<String, Long>> windows = new TreeMap<>();
     int count = ValueCodec.readCount(in, VALUE_NAME, MAX_WINDOWS);
     for (int i = 0; i < count; i++) {
@@ -103,6 +104,6 @@
       }
       windows.put(window, Collections.unmodifiableSortedMap(counts));
     }
-    return new UsageLedger(lastDecided, Collections.unmodifiableSortedMap(windows));
+    return new UsageLedger(lastFinalizedWindow, Collections.unmodifiableSortedMap(windows));
   }
 }
--- a/controlplane/src/main/java/elmsail/controlplane/UsageReporter.java
+++ b/controlplane/src/main/java/elmsail/controlplane/UsageReporter.java
@@ -172,8 +172,10 @@
       boolean hasGatheredReports = timers.now() - startedAtMs >= REPORT_GATHERING_MS;
       if (ledger == null && !registerCallInFlight) {
         readOrCreateLedger();
-      } else if (hasGatheredReports && !registerCallInFlight && ledger.lastDecided() < newestDue) {
-        decide(newestDue);
+      } else if (hasGatheredReports
+          && !registerCallInFlight
+          && ledger.lastFinalizedWindow() < newestDue) {
+        finalizeWindows(newestDue);
       }
       send();
     }
@@ -191,15 +193,17 @@
                   : Optional.of(UsageLedger.startingAfter(firstWindow - 1)));
     }
 
-    private void decide(long newestDue) {
+    private void finalizeWindows(long newestDue) {
       long oldest = oldestReportableWindow();
       changeLedger(
           observedLedger -> {
             UsageLedger current = observedLedger.orElse(ledger);
-            return current.lastDecided() >= newestDue
+            return current.lastFinalizedWindow() >= newestDue
                 ? Optional.empty()
                 : Optional.of(
-                    current.without(acceptedWindows).decide(oldest, newestDue, table::totals));
+                    current
+                        .without(acceptedWindows)
+                        .finalizeCounts(oldest, newestDue, table::totals));
           });
     }
 
@@ -237,14 +241,14 @@
 
     private void onLedgerCommitted(UsageLedger committed, boolean changed) {
       if (changed && ledger != null) {
-        long decidedCount = committed.lastDecided() - ledger.lastDecided();
-        long keptCount = committed.unsent().tailMap(ledger.lastDecided() + 1).size();
+        long finalizedCount = committed.lastFinalizedWindow() - ledger.lastFinalizedWindow();
+        long keptCount = committed.unsent().tailMap(ledger.lastFinalizedWindow() + 1).size();
         counters.windowsDecided.add(keptCount);
-        counters.windowsSkipped.add(decidedCount - keptCount);
-        if (decidedCount > keptCount) {
+        counters.windowsSkipped.add(finalizedCount - keptCount);
+        if (finalizedCount > keptCount) {
           LOG.warn(
               "skipping the usage reports of {} windows: they closed too long ago",
-              decidedCount - keptCount);
+              finalizedCount - keptCount);
         }
       }
       ledger = committed;
--- a/controlplane/src/test/java/elmsail/controlplane/ConfigHistoryTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/ConfigHistoryTest.java
@@ -114,7 +114,7 @@
       return ConfigChangeStatus.BASE_NOT_COMMITTED;
     }
     if (queried.base < versions.get(oldest)) {
-      return ConfigChangeStatus.BASE_FORGOTTEN;
+      return ConfigChangeStatus.BASE_DROPPED_FROM_HISTORY;
     }
     return queried.equals(committed.get(queried.base))
         ? ConfigChangeStatus.COMMITTED
@@ -144,12 +144,12 @@
     ConfigHistory read = ConfigHistory.decode(old.array());
     assertThat(read.version(), is(7L));
     assertThat(read.configBytes(), equalTo(body));
-    assertThat(read.statusOf(5, new byte[8]), is(ConfigChangeStatus.BASE_FORGOTTEN));
+    assertThat(read.statusOf(5, new byte[8]), is(ConfigChangeStatus.BASE_DROPPED_FROM_HISTORY));
     assertThat(read.statusOf(7, new byte[8]), is(ConfigChangeStatus.APPLICABLE));
     Change next = new Change(7, "next");
     ConfigHistory after = appendAndDecode(read, 9, next);
     assertThat(after.statusOf(7, next.digest()), is(ConfigChangeStatus.COMMITTED));
-    assertThat(after.statusOf(5, next.digest()), is(ConfigChangeStatus.BASE_FORGOTTEN));
+    assertThat(after.statusOf(5, next.digest()), is(ConfigChangeStatus.BASE_DROPPED_FROM_HISTORY));
   }
 
   @Test
--- a/controlplane/src/test/java/elmsail/controlplane/SplitPartitionScenario.java
+++ b/controlplane/src/test/java/elmsail/controlplane/SplitPartitionScenario.java
@@ -75,7 +75,7 @@
   private final List<String> machines = new ArrayList<>();
   private final Set<String> lostMachines = new HashSet<>();
   private final Set<String> decommissioning = new HashSet<>();
-  private final Set<String> delivered = new HashSet<>();
+  private final Set<String> storesReportedAsDecommissioned = new HashSet<>();
   private final Map<String, Long> instanceBySlotAndEpoch = new HashMap<>();
   private final Map<String, CompletableFuture<SimpleHttpResponse>> pendingStateReads =
       new LinkedHashMap<>();
@@ -126,8 +126,8 @@
     return readsDuringSplit;
   }
 
-  int delivered() {
-    return delivered.size();
+  int storesReportedAsDecommissioned() {
+    return storesReportedAsDecommissioned.size();
   }
 
   long recoveredAfterMs() {
@@ -370,7 +370,7 @@
                   reply.status(),
                   not(is(404)));
               if (DELIVERED.equals(new String(reply.body(), StandardCharsets.UTF_8))) {
-                delivered.add(store);
+                storesReportedAsDecommissioned.add(store);
               }
               return true;
             });
@@ -380,7 +380,7 @@
     for (Voter voter : jobs.newestVoterSet().voters) {
       assertThat(
           scenario + ": delivered stores that still hold a slot",
-          delivered,
+          storesReportedAsDecommissioned,
           not(hasItem(voter.machine)));
     }
     int leases = 0;
@@ -461,7 +461,8 @@
   /** Asserts that all decommissioned stores are delivered and everything acknowledged is there. */
   private void finish() {
     long deadlineMs = cluster.timers.now() + MAX_RECOVERY_MS;
-    while (!(unacceptedDecommissions.isEmpty() && delivered.containsAll(decommissioning))
+    while (!(unacceptedDecommissions.isEmpty()
+            && storesReportedAsDecommissioned.containsAll(decommissioning))
         && cluster.timers.now() < deadlineMs) {
       runFor(100);
     }
@@ -470,11 +471,12 @@
             + ": decommissioning "
             + decommissioning
             + ", delivered "
-            + delivered
+            + storesReportedAsDecommissioned
             + describeState();
     assertThat(
         leaving,
-        unacceptedDecommissions.isEmpty() && delivered.containsAll(decommissioning),
+        unacceptedDecommissions.isEmpty()
+            && storesReportedAsDecommissioned.containsAll(decommissioning),
         is(true));
     assertThat(scenario, unexpectedReplies, is(empty()));
     jobs.assertAllJobsReadable();
--- a/controlplane/src/test/java/elmsail/controlplane/SplitPartitionTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/SplitPartitionTest.java
@@ -38,7 +38,7 @@
       SplitPartitionScenario.ConcurrentChange concurrentChange) {
     int acknowledged = 0;
     int readsAnswered = 0;
-    int delivered = 0;
+    int decommissioned = 0;
     long longestRecoveryMs = 0;
     long longestAcknowledgementMs = 0;
     for (SplitPartitionScenario.Split split : SplitPartitionScenario.Split.values()) {
@@ -49,7 +49,7 @@
         scenario.runScenario();
         acknowledged += scenario.acknowledgedDuringSplit();
         readsAnswered += scenario.readsAnsweredDuringSplit();
-        delivered += scenario.delivered();
+        decommissioned += scenario.storesReportedAsDecommissioned();
         longestAcknowledgementMs =
             Math.max(longestAcknowledgementMs, scenario.acknowledgedAfterMs());
         longestRecoveryMs = Math.max(longestRecoveryMs, scenario.recoveredAfterMs());
@@ -63,7 +63,7 @@
         concurrentChange,
         acknowledged,
         readsAnswered,
-        delivered,
+        decommissioned,
         longestRecoveryMs,
         longestAcknowledgementMs);
     assertThat("changes acknowledged during the partition", acknowledged > 0, is(true));
--- a/controlplane/src/test/java/elmsail/controlplane/UsageLedgerTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/UsageLedgerTest.java
@@ -22,29 +22,31 @@
   }
 
   @Test
-  void decidedWindowKeepsItsCounts() {
-    UsageLedger first = UsageLedger.startingAfter(9).decide(0, 11, window -> counts(window));
-    UsageLedger second = first.decide(0, 12, window -> counts(100 + window));
+  void countsOfAFinalizedWindowDoNotChange() {
+    UsageLedger first =
+        UsageLedger.startingAfter(9).finalizeCounts(0, 11, window -> counts(window));
+    UsageLedger second = first.finalizeCounts(0, 12, window -> counts(100 + window));
     assertThat(second.unsent(), is(Map.of(10L, counts(10), 11L, counts(11), 12L, counts(112))));
-    assertThat(second.decide(0, 5, window -> counts(0)), is(second));
+    assertThat(second.finalizeCounts(0, 5, window -> counts(0)), is(second));
   }
 
   @Test
-  void acceptedWindowsAreRemovedAndNotDecidedAgain() {
+  void acceptedWindowsAreRemovedAndNotFinalizedAgain() {
     UsageLedger ledger =
         UsageLedger.startingAfter(9)
-            .decide(0, 11, window -> counts(1))
+            .finalizeCounts(0, 11, window -> counts(1))
             .without(List.of(10L, 11L))
-            .decide(0, 11, window -> counts(2));
+            .finalizeCounts(0, 11, window -> counts(2));
     assertThat(ledger.unsent().keySet(), empty());
-    assertThat(ledger.lastDecided(), is(11L));
+    assertThat(ledger.lastFinalizedWindow(), is(11L));
   }
 
   @Test
   void windowsThatAreTooOldAreSkipped() {
-    UsageLedger ledger = UsageLedger.startingAfter(9).decide(50, 51, window -> counts(1));
+    UsageLedger ledger = UsageLedger.startingAfter(9).finalizeCounts(50, 51, window -> counts(1));
     assertThat(ledger.unsent().keySet(), contains(50L, 51L));
-    assertThat(ledger.decide(51, 52, window -> counts(1)).unsent().keySet(), contains(51L, 52L));
+    assertThat(
+        ledger.finalizeCounts(51, 52, window -> counts(1)).unsent().keySet(), contains(51L, 52L));
   }
 
   @Test
--- a/gateway/src/main/java/elmsail/gateway/load/LoadAggregator.java
+++ b/gateway/src/main/java/elmsail/gateway/load/LoadAggregator.java
@@ -34,7 +34,7 @@
   private final LoadReports reports;
   private final Supplier<Map<String, ServerLoad>> ownLoads;
   private final BiConsumer<String, LoadReport> send;
-  private final BooleanSupplier isActive;
+  private final BooleanSupplier hasRecentLoadActivity;
   private Map<String, ServerLoad> total = Map.of();
   private boolean isAggregating;
   private boolean hasZonePeers;
@@ -48,7 +48,7 @@
    *
    * @param ownLoads this gateway's own load by server id
    * @param send sends a report to an address; the report may be lost
-   * @param isActive whether any load was seen recently; otherwise nothing is aggregated
+   * @param hasRecentLoadActivity whether any load was seen recently; otherwise nothing is aggregated
    */
   LoadAggregator(
       Timers timers,
@@ -57,14 +57,14 @@
       LoadReports reports,
       Supplier<Map<String, ServerLoad>> ownLoads,
       BiConsumer<String, LoadReport> send,
-      BooleanSupplier isActive) {
+      BooleanSupplier hasRecentLoadActivity) {
     this.timers = timers;
     this.members = members;
     this.table = table;
     this.reports = reports;
     this.ownLoads = ownLoads;
     this.send = send;
-    this.isActive = isActive;
+    this.hasRecentLoadActivity = hasRecentLoadActivity;
   }
 
   void start() {
@@ -99,7 +99,7 @@
     if (closed) {
       return;
     }
-    isAggregating = isActive.getAsBoolean() && members.isAggregator();
+    isAggregating = hasRecentLoadActivity.getAsBoolean() && members.isAggregator();
     timers.schedule(
         isAggregating ? MIN_TOTAL_INTERVAL_MS : AGGREGATOR_CHECK_INTERVAL_MS, this::aggregate);
     if (!isAggregating) {
--- a/gateway/src/main/java/elmsail/gateway/load/LoadExchange.java
+++ b/gateway/src/main/java/elmsail/gateway/load/LoadExchange.java
@@ -14,8 +14,8 @@
  * the sum of its zone to other zones, and the total to all gateways of its zone. So the number of
  * datagrams that a gateway sends and receives does not grow with the number of gateways. While no
  * gateway has a load to report, for example because all servers report their load themselves,
- * gateways only introduce themselves periodically ({@link PeerIntroducer}). Owned by the event
- * loop; all times in ms on the loop's clock.
+ * gateways only introduce themselves periodically ({@link PeriodicReportSender}). Owned by the
+ * event loop; all times in ms on the loop's clock.
  */
 public final class LoadExchange implements PeerLoads {
   private static final String FOREIGN = "load_reports_foreign";
@@ -35,7 +35,7 @@
   private final LoadTable table;
   private final LoadReports reports;
   private final LoadAggregator aggregator;
-  private final PeerIntroducer introducer;
+  private final PeriodicReportSender periodicReportSender;
   private final ListedPeers listedPeers;
   private final Counters.Counter foreignReports;
   private long lastReportAt = Long.MIN_VALUE / 2;
@@ -71,23 +71,25 @@
     foreignReports = counters.counter(FOREIGN);
     reports = new LoadReports(ownAddress, zone, instanceId);
     aggregator =
-        new LoadAggregator(timers, members, table, reports, ownLoads, send, this::isActive);
-    introducer =
-        new PeerIntroducer(timers, clusterState, members, this::ownReport, send, this::isActive);
+        new LoadAggregator(
+            timers, members, table, reports, ownLoads, send, this::hasRecentLoadActivity);
+    periodicReportSender =
+        new PeriodicReportSender(
+            timers, clusterState, members, this::ownReport, send, this::hasRecentLoadActivity);
   }
 
   /** Starts the periodic tasks. */
   public void start() {
     timers.schedule(REPORT_REPEAT_INTERVAL_MS, this::repeatReport);
     aggregator.start();
-    introducer.start();
+    periodicReportSender.start();
   }
 
   /** Stops sending and receiving reports. */
   public void close() {
     closed = true;
     aggregator.close();
-    introducer.close();
+    periodicReportSender.close();
   }
 
   /**
@@ -96,7 +98,7 @@
    */
   public void onLoadChanged() {
     aggregator.onLoadsChanged();
-    markActive();
+    recordLoadActivity();
     if (reportScheduled || closed) {
       return;
     }
@@ -120,14 +122,14 @@
     boolean isNewInstance = members.onReport(report.sender, report.zone, report.instanceId);
     table.onReport(report);
     if (!report.servers.isEmpty()) {
-      markActive();
+      recordLoadActivity();
     }
     if (report.scope == LoadReport.TOTAL) {
       members.onTotal(report.sender);
     }
     aggregator.onLoadsChanged();
     if (isNewInstance) {
-      introducer.introduceTo(report.sender);
+      periodicReportSender.sendOwnReport(report.sender);
     }
   }
 
@@ -141,12 +143,12 @@
     return aggregator.isAggregating() ? aggregator.totalOf(serverId) : table.totalOf(serverId);
   }
 
-  private boolean isActive() {
+  private boolean hasRecentLoadActivity() {
     return timers.now() - lastActiveAt <= ACTIVITY_TIMEOUT_MS;
   }
 
-  private void markActive() {
-    if (!isActive()) {
+  private void recordLoadActivity() {
+    if (!hasRecentLoadActivity()) {
       members.expectTotal();
     }
     lastActiveAt = timers.now();
@@ -173,7 +175,7 @@
       return;
     }
     timers.schedule(REPORT_REPEAT_INTERVAL_MS, this::repeatReport);
-    if (isActive() && timers.now() - lastReportAt >= REPORT_REPEAT_INTERVAL_MS / 2) {
+    if (hasRecentLoadActivity() && timers.now() - lastReportAt >= REPORT_REPEAT_INTERVAL_MS / 2) {
       report();
     }
   }
--- a/gateway/src/main/java/elmsail/gateway/load/PeerIntroducer.java
+++ b/gateway/src/main/java/elmsail/gateway/load/PeriodicReportSender.java
@@ -15,8 +15,8 @@
  * gateway periodically. A gateway that did not know this gateway replies with a report of its own.
  * Owned by the event loop; all times in ms.
  */
-final class PeerIntroducer {
-  private static final long FIRST_INTRODUCTION_MS = 10;
+final class PeriodicReportSender {
+  private static final long FIRST_REPORT_DELAY_MS = 10;
 
   private static final long UNKNOWN_PEER_INTERVAL_MS = 500;
   private static final long ZONE_PEER_INTERVAL_MS = 3_000;
@@ -29,8 +29,8 @@
   private final ZoneMembers members;
   private final Supplier<LoadReport> ownReport;
   private final BiConsumer<String, LoadReport> send;
-  private final BooleanSupplier isActive;
-  private final Map<String, Long> lastIntroducedAt = new HashMap<>();
+  private final BooleanSupplier hasRecentLoadActivity;
+  private final Map<String, Long> lastSentAt = new HashMap<>();
   private boolean closed;
 
   /**
@@ -38,25 +38,25 @@
    *
    * @param ownReport creates a report of this gateway's own load
    * @param send sends a report to an address; the report may be lost
-   * @param isActive whether any load was seen recently
+   * @param hasRecentLoadActivity whether any load was seen recently
    */
-  PeerIntroducer(
+  PeriodicReportSender(
       Timers timers,
       ClusterState clusterState,
       ZoneMembers members,
       Supplier<LoadReport> ownReport,
       BiConsumer<String, LoadReport> send,
-      BooleanSupplier isActive) {
+      BooleanSupplier hasRecentLoadActivity) {
     this.timers = timers;
     this.clusterState = clusterState;
     this.members = members;
     this.ownReport = ownReport;
     this.send = send;
-    this.isActive = isActive;
+    this.hasRecentLoadActivity = hasRecentLoadActivity;
   }
 
   void start() {
-    timers.schedule(FIRST_INTRODUCTION_MS, this::introduceToListed);
+    timers.schedule(FIRST_REPORT_DELAY_MS, this::sendOwnReportToListed);
   }
 
   void close() {
@@ -64,32 +64,32 @@
   }
 
   /** Sends this gateway's own report to another gateway. */
-  void introduceTo(String gateway) {
-    lastIntroducedAt.put(gateway, timers.now());
+  void sendOwnReport(String gateway) {
+    lastSentAt.put(gateway, timers.now());
     send.accept(gateway, ownReport.get());
   }
 
-  private void introduceToListed() {
+  private void sendOwnReportToListed() {
     if (closed) {
       return;
     }
-    timers.schedule(UNKNOWN_PEER_INTERVAL_MS, this::introduceToListed);
+    timers.schedule(UNKNOWN_PEER_INTERVAL_MS, this::sendOwnReportToListed);
     List<String> listed = clusterState.view().gateways;
     members.expireUnlisted(listed);
-    lastIntroducedAt.keySet().retainAll(listed);
+    lastSentAt.keySet().retainAll(listed);
     long now = timers.now();
     for (String gateway : listed) {
       boolean due =
-          now - lastIntroducedAt.getOrDefault(gateway, Long.MIN_VALUE / 2) >= intervalMs(gateway);
+          now - lastSentAt.getOrDefault(gateway, Long.MIN_VALUE / 2) >= intervalMs(gateway);
       if (due && !gateway.equals(members.ownAddress())) {
-        introduceTo(gateway);
+        sendOwnReport(gateway);
       }
     }
   }
 
   private long intervalMs(String gateway) {
     String peerZone = members.zoneOf(gateway);
-    if (!isActive.getAsBoolean()) {
+    if (!hasRecentLoadActivity.getAsBoolean()) {
       return OTHER_PEER_INTERVAL_MS;
     }
     if (peerZone == null) {
--- a/gateway/src/main/java/elmsail/gateway/servers/Server.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/Server.java
@@ -169,9 +169,9 @@
   /** How many batch items may be started at the server now; 0 while it is unhealthy. */
   public int availableItemCapacity(long now) {
     if (isRemoved
-        || health.isMisdirected()
+        || health.hasReturnedMisdirected()
         || health.isSuspect(now)
-        || health.isEjected(true, now)) {
+        || health.mustBeAvoided(true, now)) {
       return 0;
     }
     int capacity = load.availableItemCapacity(now);
--- a/gateway/src/main/java/elmsail/gateway/servers/ServerConnection.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ServerConnection.java
@@ -192,7 +192,7 @@
       pool.counters().count(RequestCounters.Event.SERVER_EJECTED);
     }
     if (head.status().code() == HttpResponseStatus.MISDIRECTED_REQUEST.code()) {
-      server.health().markMisdirected();
+      server.health().recordMisdirected();
     }
     String load = head.headers().get(Headers.SERVER_LOAD);
     if (load != null) {
--- a/gateway/src/main/java/elmsail/gateway/servers/ServerHealth.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ServerHealth.java
@@ -25,7 +25,7 @@
   /** The attempt that probes the half-open server, or null. */
   private Attempt probe;
 
-  private boolean isMisdirected;
+  private boolean hasReturnedMisdirected;
   private long lastReceivedAt = Long.MIN_VALUE;
 
   ServerHealth(OutlierDetector outliers, Collection<Attempt> openAttempts) {
@@ -75,13 +75,13 @@
   /**
    * Records that another server responds at this address; no further request is sent to the server.
    */
-  void markMisdirected() {
-    isMisdirected = true;
+  void recordMisdirected() {
+    hasReturnedMisdirected = true;
   }
 
   /** Whether another server responds at this address. */
-  boolean isMisdirected() {
-    return isMisdirected;
+  boolean hasReturnedMisdirected() {
+    return hasReturnedMisdirected;
   }
 
   /** Makes the attempt the probe of a half-open server; returns false if no probe is due. */
@@ -100,7 +100,7 @@
   }
 
   /** Whether the ejection time is over and no probe has been sent yet. */
-  boolean awaitsProbe(long now) {
+  boolean isProbeDue(long now) {
     return errors.mayProbe(true, now);
   }
 
@@ -119,7 +119,7 @@
    *
    * @param retryable whether an error of the server would be retried elsewhere
    */
-  boolean isEjected(boolean retryable, long now) {
+  boolean mustBeAvoided(boolean retryable, long now) {
     return errors.isAvoided(retryable, now);
   }
 
--- a/gateway/src/main/java/elmsail/gateway/servers/ServerLoadTracker.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ServerLoadTracker.java
@@ -50,7 +50,7 @@
       openItems++;
       lastItemStartedAt = attempt.startedAt();
     }
-    ownPendingPrefillTokens += uncachedTokens(attempt);
+    ownPendingPrefillTokens += tokensAfterSharedPrefix(attempt);
     notifyLoadChanged();
   }
 
@@ -59,7 +59,7 @@
    * prompt.
    */
   void onResponseStarted(Attempt attempt) {
-    ownPendingPrefillTokens -= uncachedTokens(attempt);
+    ownPendingPrefillTokens -= tokensAfterSharedPrefix(attempt);
     notifyLoadChanged();
   }
 
@@ -67,7 +67,7 @@
   void onAttemptEnded(Attempt attempt) {
     openAttempts--;
     openItems -= attempt.request().isBatchItem() ? 1 : 0;
-    ownPendingPrefillTokens -= attempt.hasResponse() ? 0 : uncachedTokens(attempt);
+    ownPendingPrefillTokens -= attempt.hasResponse() ? 0 : tokensAfterSharedPrefix(attempt);
     notifyLoadChanged();
   }
 
@@ -77,7 +77,7 @@
     }
   }
 
-  private static int uncachedTokens(Attempt attempt) {
+  private static int tokensAfterSharedPrefix(Attempt attempt) {
     Prompt prompt = attempt.request().prompt();
     return prompt.totalTokens() - prompt.sharedPrefixTokens();
   }
--- a/gateway/src/main/java/elmsail/gateway/servers/ServerPicker.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ServerPicker.java
@@ -89,7 +89,7 @@
     for (Server server : servers) {
       if (!excluded.contains(server)
           && !server.isRemoved()
-          && !server.health().isMisdirected()
+          && !server.health().hasReturnedMisdirected()
           && pool.hasCapacity(server)) {
         usable.add(server);
       }
@@ -101,7 +101,7 @@
 
   private static Optional<Server> firstAwaitingProbe(List<Server> usable, long now) {
     for (Server server : usable) {
-      if (server.health().awaitsProbe(now) && !server.health().isSuspect(now)) {
+      if (server.health().isProbeDue(now) && !server.health().isSuspect(now)) {
         return Optional.of(server);
       }
     }
@@ -153,7 +153,7 @@
   private static boolean isAvoided(Server server, SelectionMode mode, long now) {
     ServerHealth health = server.health();
     return health.isSuspect(now)
-        || health.isEjected(mode.probesEarly(), now)
+        || health.mustBeAvoided(mode.probesEarly(), now)
         || mode == SelectionMode.AFTER_ERROR && !health.servedRecently(now);
   }
 
@@ -174,11 +174,11 @@
   /** Whether the server is suspect or ejected. */
   public boolean isUnhealthy(Server server) {
     long now = clock.now();
-    return server.health().isSuspect(now) || server.health().isEjected(false, now);
+    return server.health().isSuspect(now) || server.health().mustBeAvoided(false, now);
   }
 
   /** Whether the server may be picked and is healthy. */
   public boolean isAvailable(Server server) {
-    return !server.isRemoved() && !server.health().isMisdirected() && !isUnhealthy(server);
+    return !server.isRemoved() && !server.health().hasReturnedMisdirected() && !isUnhealthy(server);
   }
 }
--- a/gateway/src/test/java/elmsail/gateway/load/ZoneMembersTest.java
+++ b/gateway/src/test/java/elmsail/gateway/load/ZoneMembersTest.java
@@ -64,7 +64,7 @@
   }
 
   @Test
-  void suspendedAggregatorIsTriedAgainLater() {
+  void gatewayDoesNotSelectItselfAfterASuspension() {
     reportFromAll();
     members.aggregator();
     advanceWithReports(ZoneMembers.TOTAL_TIMEOUT_MS + 200, RANKED.get(1));
@@ -96,7 +96,7 @@
   }
 
   @Test
-  void silentMemberExpiresAndNewInstanceIsDetected() {
+  void memberWithoutReportsExpiresAndNewInstanceIsDetected() {
     String other = RANKED.get(0);
     assertThat(members.onReport(other, "z1", 1), is(true));
     assertThat(members.onReport(other, "z1", 1), is(false));
--- a/gateway/src/test/java/elmsail/gateway/requests/RetryPolicyTest.java
+++ b/gateway/src/test/java/elmsail/gateway/requests/RetryPolicyTest.java
@@ -20,13 +20,13 @@
   }
 
   @Test
-  void exhaustedAtTheRoutesNumberOfSentAttempts() {
+  void isExhaustedAfterTheRoutesMaximumOfSentAttempts() {
     assertThat(RetryPolicy.isExhausted(IDEMPOTENT, 2, 0, true, ENOUGH_MS), is(false));
     assertThat(RetryPolicy.isExhausted(IDEMPOTENT, 3, 0, true, ENOUGH_MS), is(true));
   }
 
   @Test
-  void oneAttemptIsMadeWhereTheRouteAllowsNone() {
+  void oneAttemptIsAllowedIfMaxAttemptsIsZero() {
     Route none = route(Route.Kind.SAFE, 0);
     assertThat(RetryPolicy.isExhausted(none, 0, 0, false, ENOUGH_MS), is(false));
     assertThat(RetryPolicy.isExhausted(none, 1, 0, false, ENOUGH_MS), is(true));
--- a/gateway/src/test/java/elmsail/gateway/servers/ErrorBackoffTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/ErrorBackoffTest.java
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void errorsWhileEjectedCountOnce() {
+  void errorsDuringAnEjectionAreNotCounted() {
     server.recordError(1_000);
     assertThat(server.recordError(1_001), is(false));
     assertThat(server.recordError(1_999), is(false));
--- a/gateway/src/test/java/elmsail/gateway/servers/SelectionModeTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/SelectionModeTest.java
@@ -124,7 +124,7 @@
     for (Server server : all) {
       server.health().recordError(timers.now());
     }
-    long ejected = all.stream().filter(s -> s.health().isEjected(false, timers.now())).count();
+    long ejected = all.stream().filter(s -> s.health().mustBeAvoided(false, timers.now())).count();
     assertThat(ejected, is(2L));
   }
 }
--- a/gateway/src/test/java/elmsail/gateway/servers/ServerTest.java
+++ b/gateway/src/test/java/elmsail/gateway/servers/ServerTest.java
@@ -148,7 +148,7 @@
     startAttempt(1_000, true);
     assertThat("minimum interval between item starts", server.availableItemCapacity(1_079), is(0));
     assertThat(server.availableItemCapacity(1_080), is(11));
-    server.health().markMisdirected();
+    server.health().recordMisdirected();
     assertThat(
         "another server responds at its address", server.availableItemCapacity(1_080), is(0));
     server.markRemoved();
--- a/policy/src/main/java/willowdoor/policy/CounterSync.java
+++ b/policy/src/main/java/willowdoor/policy/CounterSync.java
@@ -192,7 +192,7 @@
       others -= ownUnits;
       quota.unreportedUnits += quota.uncertainUnits - ownUnits;
       quota.uncertainUnits = 0;
-      quota.replayOthers(others, sinceMs);
+      quota.applyOthersUse(others, sinceMs);
     }
     quota.updateRates(others, sinceMs);
   }
--- a/policy/src/main/java/willowdoor/policy/CustomerQuota.java
+++ b/policy/src/main/java/willowdoor/policy/CustomerQuota.java
@@ -351,7 +351,7 @@
     unreportedUnits += difference;
   }
 
-  void replayOthers(double others, double sinceMs) {
+  void applyOthersUse(double others, double sinceMs) {
     double refilled =
         Double.isNaN(syncedAt)
             ? plan.rate() * sinceMs / 1000
--- a/policy/src/test/java/willowdoor/policy/PolicyHarness.java
+++ b/policy/src/test/java/willowdoor/policy/PolicyHarness.java
@@ -147,8 +147,9 @@
     return on(new CounterResult(lastAdd().name(), status, 0, 30));
   }
 
-  PolicyHarness outcome(Send send, int attempt, Status status, boolean over) {
-    return on(new Outcome(send.request(), attempt, send.backend(), status, 50, over, 0, null));
+  PolicyHarness outcome(Send send, int attempt, Status status, boolean requestDone) {
+    return on(
+        new Outcome(send.request(), attempt, send.backend(), status, 50, requestDone, 0, null));
   }
 
   PolicyHarness respondWithLoad(Send send, int attempt, double inFlight) {
--- a/policy/src/test/java/willowdoor/policy/RetryRulesTest.java
+++ b/policy/src/test/java/willowdoor/policy/RetryRulesTest.java
@@ -22,26 +22,26 @@
 
   private static final double WINDOW_MS = 3_000;
 
-  private final PolicyHarness f = PolicyHarness.withSharedCounter();
+  private final PolicyHarness policy = PolicyHarness.withSharedCounter();
 
   /** Ends every attempt with the given status until the request is answered. Returns all sends. */
   private List<Send> attemptUntilAnswered(String type, Status status) {
-    f.allActions.clear();
-    f.request(type, "unlimited", 1);
+    policy.allActions.clear();
+    policy.request(type, "unlimited", 1);
     for (int i = 0; i < sends().size(); i++) {
-      f.advanceClock(10);
-      f.outcome(sends().get(i), i, status, false);
-      f.runTimer(500);
+      policy.advanceClock(10);
+      policy.outcome(sends().get(i), i, status, false);
+      policy.runTimer(500);
     }
     return sends();
   }
 
   private List<Send> sends() {
-    return f.allActions.stream().filter(Send.class::isInstance).map(Send.class::cast).toList();
+    return policy.allActions.stream().filter(Send.class::isInstance).map(Send.class::cast).toList();
   }
 
   private long count(Class<?> type) {
-    return f.allActions.stream().filter(type::isInstance).count();
+    return policy.allActions.stream().filter(type::isInstance).count();
   }
 
   @ParameterizedTest
@@ -62,7 +62,7 @@
   void keyedRequestIsRetriedOnlyInItsScopeAndWindowAndNeverRefused(String type) {
     int repeats = 0;
     for (int i = 0; i < 50; i++) {
-      double first = f.now;
+      double first = policy.now;
       List<Send> sends = attemptUntilAnswered(type, Status.RESET);
       assertEquals(0, count(Refuse.class));
       assertEquals(1, count(Fail.class));
@@ -86,40 +86,40 @@
    */
   @Test
   void windowBeginsWithTheFirstAttemptThatMayHaveRun() {
-    f.request("zone", "unlimited", 1);
-    f.advanceClock(50).outcome(f.lastAction(Send.class), 0, Status.REJECTED, false);
-    assertEquals(Double.POSITIVE_INFINITY, f.lastAction(Send.class).writtenByMs());
-    double began = f.now;
-    f.advanceClock(20).outcome(f.lastAction(Send.class), 1, Status.ERROR, false);
+    policy.request("zone", "unlimited", 1);
+    policy.advanceClock(50).outcome(policy.lastAction(Send.class), 0, Status.REJECTED, false);
+    assertEquals(Double.POSITIVE_INFINITY, policy.lastAction(Send.class).writtenByMs());
+    double began = policy.now;
+    policy.advanceClock(20).outcome(policy.lastAction(Send.class), 1, Status.ERROR, false);
     assertEquals(
         began + WINDOW_MS - PendingRequest.DEADLINE_MARGIN_MS,
-        f.lastAction(Send.class).writtenByMs(),
+        policy.lastAction(Send.class).writtenByMs(),
         1e-6);
   }
 
   @ParameterizedTest
   @ValueSource(ints = {2_984, 2_986})
   void noAttemptBeginsAfterTheWindow(int after) {
-    f.request("zone", "unlimited", 1);
-    Send first = f.lastAction(Send.class);
-    f.now += after;
-    f.outcome(first, 0, Status.ERROR, false);
-    assertEquals(after < WINDOW_MS - PendingRequest.DEADLINE_MARGIN_MS, f.emitted(Send.class));
-    assertFalse(f.emitted(Refuse.class));
+    policy.request("zone", "unlimited", 1);
+    Send first = policy.lastAction(Send.class);
+    policy.now += after;
+    policy.outcome(first, 0, Status.ERROR, false);
+    assertEquals(after < WINDOW_MS - PendingRequest.DEADLINE_MARGIN_MS, policy.emitted(Send.class));
+    assertFalse(policy.emitted(Refuse.class));
   }
 
   /** An outcome that arrives after the client has disconnected starts no further attempt. */
   @ParameterizedTest
   @EnumSource
   void outcomeAfterClientDisconnectStartsNothing(Status status) {
-    for (boolean over : new boolean[] {true, false}) {
-      PolicyHarness f = PolicyHarness.withSharedCounter();
-      String id = f.request("safe", "unlimited", 1);
-      Send first = f.lastAction(Send.class);
-      f.on(new GatewayApi.ClientDisconnected(id));
-      f.outcome(first, 0, status, over);
-      assertEquals(List.of(), f.lastActions);
-      assertFalse(f.runTimer(1_000).emitted(Send.class));
+    for (boolean requestDone : new boolean[] {true, false}) {
+      PolicyHarness policy = PolicyHarness.withSharedCounter();
+      String id = policy.request("safe", "unlimited", 1);
+      Send first = policy.lastAction(Send.class);
+      policy.on(new GatewayApi.ClientDisconnected(id));
+      policy.outcome(first, 0, status, requestDone);
+      assertEquals(List.of(), policy.lastActions);
+      assertFalse(policy.runTimer(1_000).emitted(Send.class));
     }
   }
 }
