--- a/batch/src/main/java/elmsail/batch/api/SubmitHandler.java
+++ b/batch/src/main/java/elmsail/batch/api/SubmitHandler.java
@@ -24,8 +24,9 @@
  *   <li>{@code RESERVE} adds the tokens of the job to the counts of a majority of the stores.
  *   <li>{@code COMMIT} counts again and proposes the record. Among jobs that are submitted
  *       concurrently, the job whose reservation was made last counts the reservations of all the
- *       others, so that they do not exceed the limit together. This round carries the body, so that
- *       a majority has the body before any store receives the request to accept the record.
+ *       others, so that the accepted jobs do not exceed the limit in total. This round carries the
+ *       body, so that a majority has the body before any store receives the request to accept the
+ *       record.
  * </ol>
  *
  * <p>A job that exceeds the limit only because of other reservations retries for a limited time. If
--- a/batch/src/main/java/elmsail/batch/messages/WaitingTokens.java
+++ b/batch/src/main/java/elmsail/batch/messages/WaitingTokens.java
@@ -51,7 +51,10 @@
       this(new QuotaKey(routeName, TenantName.NONE), jobId, tokens, attemptId);
     }
 
-    /** A reservation of 0 tokens, which only reads the waiting tokens of its quota key. */
+    /**
+     * Returns this reservation with 0 tokens. A gateway sends it only to obtain the waiting tokens
+     * of the quota key; the store adds nothing to its count.
+     */
     public Reservation withoutTokens() {
       return new Reservation(quotaKey, jobId, 0, attemptId);
     }
--- a/batch/src/main/java/elmsail/batch/run/FailoverMonitor.java
+++ b/batch/src/main/java/elmsail/batch/run/FailoverMonitor.java
@@ -19,8 +19,8 @@
  * Keeps the leases of this gateway's jobs, and takes over jobs whose runner no longer sends
  * heartbeats. A job is taken over once a majority of the stores reports it as abandoned. Rendezvous
  * hashing ranks the gateways separately for each job, and a gateway that is ranked later waits
- * longer. Usually only one gateway therefore proposes to take over a job; among several, the
- * register decides. Confined to the gateway's event loop.
+ * longer. Usually therefore only one gateway proposes to take over a job. If several do, the
+ * register commits only one of the proposals. Confined to the gateway's event loop.
  */
 public final class FailoverMonitor {
   private static final long SCAN_INTERVAL_MS = 700;
@@ -84,9 +84,12 @@
   }
 
   /**
-   * A summary of the stores' reports about one job: how many stores have received no heartbeat for
-   * longer than this gateway's rank makes it wait, the newest reported term, and the shortest time
-   * since a heartbeat among these stores.
+   * A summary of the stores' reports about one job.
+   *
+   * @param count the number of stores that have received no heartbeat for at least {@link
+   *     #HEARTBEAT_TIMEOUT_MS} plus {@link #RANK_DELAY_MS} times this gateway's rank
+   * @param term the highest term that any store reports
+   * @param sinceHeartbeatMs the shortest time since a heartbeat among the counted stores
    */
   private record OverdueReports(int count, long term, long sinceHeartbeatMs) {
     static OverdueReports of(List<AbandonedJob> reports, int rank) {
--- a/batch/src/main/java/elmsail/batch/run/JobRunner.java
+++ b/batch/src/main/java/elmsail/batch/run/JobRunner.java
@@ -38,7 +38,8 @@
 
   /**
    * Once the last confirmation of the lease is older than this number of tenths of {@code
-   * cancel_ms}, runs that may not have reached a server are cancelled.
+   * cancel_ms}, the runs without any event from a server are cancelled; it is unknown whether such
+   * a run has reached a server.
    */
   private static final long CANCEL_AFTER_TENTHS = 8;
 
@@ -180,8 +181,8 @@
   }
 
   /**
-   * Cancels the job's runs that have received no event, and so may not have reached a server, if
-   * the lease was not confirmed recently enough.
+   * If the lease was not confirmed recently enough, cancels the job's runs that have received no
+   * event. It is unknown whether such a run has reached a server.
    */
   void cancelUnansweredRuns(RunningJob job) {
     if (context.timers().now() - job.leaseConfirmedAt <= cancelAfterMs) {
@@ -203,8 +204,8 @@
 
   /**
    * Applies the failed attempts that the record now contains. A failed item may run again only once
-   * its failed attempt is recorded: the next runner continues the recorded count, so a takeover
-   * loses at most one failed attempt.
+   * its failed attempt is recorded: after a takeover the new runner starts from the recorded number
+   * of failed attempts, so at most one failed attempt of each item is not counted.
    */
   void onFailuresRecorded(RunningJob job) {
     for (ItemRun itemRun : job.applyRecordedFailedAttempts()) {
@@ -301,7 +302,8 @@
     BatchItem item = job.items.get(itemRun.itemIndex);
     Optional<Route> matched = dispatch.config().match(job.record.host(), item.path());
     if (matched.isEmpty() && dispatch.config().version() <= job.record.configVersion()) {
-      return false; // this configuration may be older than the job's and lack the route
+      return false; // the job was accepted under this or a newer configuration, which may have the
+      // route
     }
     if (matched.isEmpty() || job.isExpired(dispatch.now())) {
       job.readyItems.poll();
--- a/batch/src/main/java/elmsail/batch/run/TenantShares.java
+++ b/batch/src/main/java/elmsail/batch/run/TenantShares.java
@@ -53,7 +53,7 @@
   }
 
   /**
-   * Gives turns to the jobs until no job can start another item.
+   * Lets the jobs start items, one item in each turn, until no job can start another item.
    *
    * @param turn starts an item of the job; returns false if the job can start no further item
    */
--- a/batch/src/main/java/elmsail/batch/store/JobStore.java
+++ b/batch/src/main/java/elmsail/batch/store/JobStore.java
@@ -19,7 +19,9 @@
 final class JobStore {
   /**
    * How long a job without waiting tokens is still part of the counts after its last change, in ms.
-   * The entry overrides the outdated entries of stores that missed the change.
+   * The count of this store then contains an entry of 0 tokens for the job. When the counts of
+   * several stores are merged, this entry replaces the older entry of a store that missed the
+   * change.
    */
   private static final long CLOSED_JOB_COUNT_MS = 120_000;
 
@@ -203,8 +205,8 @@
    * The ids of the jobs whose retention time is over. The caller drops them.
    *
    * @param retentionMs how long a closed job is kept after this store first accepted it, in ms; an
-   *     open job is kept longer by the time to live of its items, and at least until it has had no
-   *     heartbeat for this time
+   *     open job is kept longer by the time to live of its items, and in any case while its last
+   *     heartbeat is at most {@code retentionMs} old
    * @param slackMs added to the retention time to allow for clock differences and late messages, in
    *     ms
    */
--- a/config/src/main/java/elmsail/config/ConfigAmendment.java
+++ b/config/src/main/java/elmsail/config/ConfigAmendment.java
@@ -39,8 +39,8 @@
    * amendment applies.
    *
    * @throws elmsail.runtime.ElmsailException INVALID_ARGUMENT with the path of the invalid field:
-   *     the JSON is incomplete, the version is missing, an item has no name or the same name as
-   *     another item, or a name is removed twice or both removed and added
+   *     the bytes are not one complete JSON object, the version is missing, an item has no name or
+   *     the same name as another item, or a name is removed twice or both removed and added
    */
   public static ConfigAmendment read(byte[] bytes) {
     Map<String, Object> root = StrictJson.read(bytes);
@@ -100,7 +100,8 @@
   }
 
   /**
-   * Applies the change. The result is complete JSON, but is not validated as a configuration.
+   * Applies the change. The result is a well-formed JSON object; the caller must validate it as a
+   * configuration.
    *
    * @param current the configuration to change
    * @throws elmsail.runtime.ElmsailException INVALID_ARGUMENT if an item to remove does not exist,
--- a/config/src/main/java/elmsail/config/watch/ConfigWatcher.java
+++ b/config/src/main/java/elmsail/config/watch/ConfigWatcher.java
@@ -33,15 +33,15 @@
   private static final long REFRESH_INTERVAL_MS = 1_000;
 
   /**
-   * Above this age of the latest confirmation, a new one is requested urgently. The value is above
-   * the age that a single stream reaches in normal operation: one long poll of 1,000 ms until the
-   * response arrives, another 1,000 ms until the next response, and the age of the node's last
-   * read, which is 300 ms and a round trip. The value plus the refresh interval and the time of one
-   * response is below {@code revoke_ms}.
+   * If the latest confirmation is older than this, a new confirmation is requested urgently. The
+   * age stays below this value in normal operation, even with a single stream: its maximum is two
+   * long polls of 1,000 ms each, plus the age of the node's last read, which is at most 300 ms and
+   * a round trip. The value plus the refresh interval and the time of one response is below {@code
+   * revoke_ms}.
    */
   private static final long CONFIRMATION_OVERDUE_MS = 2_500;
 
-  /** Receives the orders of control-plane nodes that this process join its voter set. */
+  /** Called when a control-plane node requests that this process joins its voter set. */
   @FunctionalInterface
   public interface JoinListener {
     /**
@@ -134,8 +134,8 @@
   }
 
   /**
-   * Sets the single listener that is called whenever a response of a control-plane node orders this
-   * process to join a voter set.
+   * Sets the single listener that is called whenever a response of a control-plane node requests
+   * that this process joins a voter set.
    */
   public void setJoinListener(JoinListener newJoinListener) {
     joinListener = newJoinListener;
--- a/config/src/main/java/elmsail/config/watch/PeerStatus.java
+++ b/config/src/main/java/elmsail/config/watch/PeerStatus.java
@@ -11,7 +11,8 @@
  * @param role the value of {@link PeerRole#wireName}
  * @param instanceId identifies the incarnation of the process
  * @param voting whether it holds a voter slot and has caught up
- * @param drained whether no job needs its disk any more
+ * @param drained whether all jobs that needed the disk of this process have ended; processes of
+ *     this version always report false
  * @param jobStoreVoters the voter set that a store knows; empty for other roles
  * @param receivedAtMs when the request was received, in ms of the steady clock
  */
--- a/config/src/main/java/elmsail/config/watch/UpstreamSelector.java
+++ b/config/src/main/java/elmsail/config/watch/UpstreamSelector.java
@@ -13,8 +13,10 @@
  * addresses are candidates too before voters are known, while no node responds and during a search.
  * Rendezvous hashing ranks the candidates, and a gateway selects the first {@link
  * #MAX_GATEWAY_UPSTREAMS}. A node that has not responded for {@link #UNRESPONSIVE_MS} is ejected
- * for {@link #EJECTION_MS}: it is selected only if too few other candidates are left. A search
- * selects all candidates for {@link #SEARCH_MS}; by its end, nodes that do not respond are ejected.
+ * for {@link #EJECTION_MS}: it is selected only if too few other candidates are left. During a
+ * search, which lasts {@link #SEARCH_MS}, all candidates are selected and none is ejected. The
+ * first selection after the search ejects the nodes that have not responded for {@link
+ * #UNRESPONSIVE_MS}.
  *
  * <p>Owned by the event loop; all times are ms of the steady clock.
  */
@@ -31,8 +33,8 @@
   private static final long EJECTION_MS = 30_000;
 
   /**
-   * Longer than {@link #UNRESPONSIVE_MS}, so that nodes without a response are ejected by the end
-   * of a search.
+   * Longer than {@link #UNRESPONSIVE_MS}, so that the first selection after a search can eject the
+   * nodes that did not respond during the search.
    */
   private static final long SEARCH_MS = 6_000;
 
--- a/consensus/src/main/java/elmsail/consensus/JoinAttempt.java
+++ b/consensus/src/main/java/elmsail/consensus/JoinAttempt.java
@@ -14,9 +14,10 @@
  * <p>Its states, and the transitions between them:
  *
  * <ul>
- *   <li>{@link State#RECORDING}: the claim is being written to this replica's own disk, so that no
- *       other process learns a claim that this replica would lose in a restart. If the write
- *       succeeds, the next state is {@code COLLECTING}; if the write fails, the attempt is retried.
+ *   <li>{@link State#RECORDING}: the claim is being written to this replica's own disk. The claim
+ *       is sent only afterwards, so that a restart of this replica cannot lose a claim that other
+ *       processes have stored. If the write succeeds, the next state is {@code COLLECTING}; if the
+ *       write fails, the attempt is retried.
  *   <li>{@link State#COLLECTING}: the claim was sent, and the responses are passed to the {@link
  *       JoinQuorum}. When there are enough acknowledgements, the next state is {@code
  *       TRANSFERRING}; {@link ReplicaJoin} explains why this is safe. When the remaining responses
@@ -162,8 +163,9 @@
 
   /**
    * Retries after a backoff. A rival that votes keeps the slot. This replica claims a higher epoch
-   * only if enough other instances are voting for that claim to be completed: a claim that other
-   * processes know but that cannot be completed would end the rival's voting and add no voter.
+   * only if enough other slots have a voting instance ({@link VoterSets#blockingSize}), because
+   * otherwise the new claim cannot be completed. A claim that other processes have received but
+   * that cannot be completed would stop the rival from voting without adding a voter.
    */
   void retry() {
     if (rival == null) {
--- a/consensus/src/main/java/elmsail/consensus/Replica.java
+++ b/consensus/src/main/java/elmsail/consensus/Replica.java
@@ -116,7 +116,10 @@
     join.join(slot, epoch);
   }
 
-  /** Removes a key and its blobs here. Allowed only for keys never changed or read again. */
+  /**
+   * Removes a key and its blobs here. The caller guarantees that the key is never changed or read
+   * after this call.
+   */
   public void dropKey(String key) {
     durableRecords.removeKey(key);
     listener.onDropped(key);
--- a/consensus/src/main/java/elmsail/consensus/ReplicaMembership.java
+++ b/consensus/src/main/java/elmsail/consensus/ReplicaMembership.java
@@ -162,8 +162,8 @@
   }
 
   /**
-   * Whether this instance may vote on a request with this voter set. The caller learns the voter
-   * set before this call if it is newer.
+   * Whether this instance may vote on a request with this voter set. If the request's voter set is
+   * newer than the known one, the caller merges it ({@link #learn}) before this call.
    *
    * @return {@link VoteResponse#OK}, {@link VoteResponse#STALE_VOTER_SET} or {@link
    *     VoteResponse#NOT_A_VOTER}
@@ -184,7 +184,12 @@
     ALREADY_ADOPTED,
     /** Recorded by an instance that doesn't vote; see {@link JoinQuorum}. */
     RECORDED,
-    /** Refused: a higher epoch is known, or this instance may not acknowledge the claim. */
+    /**
+     * Refused: the same or a higher epoch is known, or this instance may not acknowledge the claim.
+     * Also the decision on a new claim of this instance's own slot while it votes: the claim is
+     * recorded in the voter set, so that this instance stops voting, but the claim is not
+     * acknowledged.
+     */
     REFUSED
   }
 
@@ -217,8 +222,8 @@
 
   /**
    * Records a claim. Only a voting instance acknowledges a claim, as its records are complete. A
-   * new claim must have a higher epoch than the known voter, so that of two claims of one epoch
-   * only one can get enough acknowledgements.
+   * new claim must have a higher epoch than the known voter of the slot. Therefore, if two
+   * instances claim a slot under the same epoch, at most one of them gets enough acknowledgements.
    */
   ClaimDecision recordClaim(JoinRequest request) {
     boolean voting = isVoting();
--- a/consensus/src/test/java/elmsail/consensus/ReplacedVoterTest.java
+++ b/consensus/src/test/java/elmsail/consensus/ReplacedVoterTest.java
@@ -15,9 +15,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The join of a spare cannot complete, and another voter loses its disk. Without the records of the
- * replaced voter each of the two joins would wait for the other. A replaced voter may be a source
- * only while its successor doesn't vote, else committed values are lost.
+ * The join of a spare is blocked, and a voter of another slot loses its disk and joins again. Each
+ * of the two joins waits for the other, unless the voter that the spare replaces may be a source of
+ * records. A replaced voter may be a source only while its successor doesn't vote, else committed
+ * values are lost.
  */
 class ReplacedVoterTest {
   private final SimCluster cluster = new SimCluster();
@@ -163,7 +164,10 @@
     assertThat(cluster.read(3_000), is("new"));
   }
 
-  /** Otherwise the spare would claim a higher epoch, and take the slot from a voter. */
+  /**
+   * A restarted spare that finds a rival voting under the same epoch gives up its claim. If it
+   * claimed a higher epoch instead, it would take the slot from a voting instance.
+   */
   @Test
   void restartedSpareYieldsToARivalOfTheSameEpoch() {
     cluster.bootstrapped();
--- a/controlplane/src/main/java/elmsail/controlplane/BootstrapAgreement.java
+++ b/controlplane/src/main/java/elmsail/controlplane/BootstrapAgreement.java
@@ -16,8 +16,9 @@
 
 /**
  * The seeds' agreement on the initial control-plane voters, by a majority of the seeds. A seed
- * without a disk keeps its promises in memory. After a restart such a seed no longer belongs to the
- * first start and does not vote again, so no promise is broken. Runs on the event loop.
+ * without a disk keeps its promises in memory. After a restart such a seed no longer takes part in
+ * the first start and rejects all requests of the agreement, so it cannot break a promise that it
+ * lost. Runs on the event loop.
  */
 final class BootstrapAgreement {
   private static final String RECORD = "head-founding";
@@ -65,8 +66,8 @@
   }
 
   /**
-   * Registers the handler of proposers' requests. It rejects them unless this process is a seed
-   * that takes part in the first start.
+   * Registers the handler of proposers' requests. The handler rejects all requests unless this
+   * process is a seed that takes part in the first start.
    */
   void registerVoteHandler(RequestHandlers handlers, boolean isFromFirstStart) {
     handlers.register(
--- a/controlplane/src/main/java/elmsail/controlplane/ClusterBootstrap.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ClusterBootstrap.java
@@ -53,9 +53,10 @@
    * Creates a bootstrap that sends nothing before {@link #start}.
    *
    * @param environment of this process
-   * @param localHello the hello that this process sends; {@code firstStart} is set only once the
-   *     first start is recorded on its disk, if it has one
-   * @param seeds RPC addresses of the seeds, this process's own included if it is one
+   * @param localHello the hello that this process sends; on a process with a disk, {@code
+   *     firstStart} is set only after the first start was recorded on that disk
+   * @param seeds RPC addresses of all seeds; if this process is a seed, they include its own
+   *     address
    * @param voterSetSource the voter set as known to this process; receives the result
    */
   ClusterBootstrap(
--- a/controlplane/src/main/java/elmsail/controlplane/ConfigChangeHandler.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ConfigChangeHandler.java
@@ -79,7 +79,8 @@
   }
 
   /**
-   * A reply that a committed value proves.
+   * The status and the reason of the reply, decided on the basis of the value that the last attempt
+   * read from the register.
    *
    * @param status 200 or an HTTP error status
    * @param reason of the error; empty for status 200
--- a/controlplane/src/main/java/elmsail/controlplane/ControlPlaneNode.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ControlPlaneNode.java
@@ -32,9 +32,9 @@
  *   <li>{@link ServerListManager}: the list of model servers,
  *   <li>{@link VoterSetManager}: the two voter sets and the heartbeats,
  *   <li>{@link DecommissionManager}: the stores to decommission,
- *   <li>{@link FleetSizeManager}: the number of model servers in each zone, where the platform
- *       expects it,
- *   <li>{@link UsageManager}: the usage reports, where the platform expects them.
+ *   <li>{@link FleetSizeManager}: the number of model servers in each zone, if the settings list
+ *       this duty of the platform,
+ *   <li>{@link UsageManager}: the usage reports, if the settings list this duty of the platform.
  * </ul>
  */
 final class ControlPlaneNode {
@@ -251,7 +251,8 @@
   }
 
   /**
-   * The newest committed value of the configuration seen by this node; null if it has seen none.
+   * The newest committed register value of the configuration that this node has read or received;
+   * null before the first.
    */
   byte[] committedConfigBytes() {
     return configurationManager.committedValue();
@@ -330,8 +331,8 @@
   }
 
   /**
-   * Gives up the lease if a list was published under a higher term: another process has held the
-   * lease since.
+   * Gives up the lease if a server list was published under a higher term, which proves that
+   * another process has acquired the lease after this process.
    */
   private void giveUpLeaseIfServerListHasHigherTerm() {
     long term = lease.term();
--- a/controlplane/src/main/java/elmsail/controlplane/DecommissionManager.java
+++ b/controlplane/src/main/java/elmsail/controlplane/DecommissionManager.java
@@ -31,8 +31,8 @@
   private static final long CHANGE_TIMEOUT_MS = 900;
 
   /**
-   * A node that has been in uninterrupted contact for a shorter time cannot tell yet which stores
-   * do not exist.
+   * Until this node has been in uninterrupted contact with a majority for this time, its heartbeat
+   * table is not complete, so the absence of a store from the table proves nothing.
    */
   private static final long MIN_OBSERVATION_MS = 3_000;
 
@@ -47,7 +47,10 @@
   private static final long MAX_AVAILABLE_HEARTBEAT_AGE_MS = 2_500;
   private static final long MAX_VOTER_HEARTBEAT_AGE_MS = 1_500;
 
-  /** A store without heartbeats for longer is not expected to return by itself. */
+  /**
+   * A store whose last heartbeat is older than this is assumed to be lost; another store may still
+   * return by itself.
+   */
   private static final long MAX_RETURNING_HEARTBEAT_AGE_MS = 30_000;
 
   private final Register register;
@@ -141,7 +144,10 @@
     return committedList.quorumContact().isWithin(MAX_LIST_AGE_MS);
   }
 
-  /** Whether this node knows a store on that machine from its own state. */
+  /**
+   * Whether this node has a heartbeat of a store on that machine, the machine is in the list, or a
+   * voter of the job store is on the machine.
+   */
   boolean isKnown(String machine) {
     if (machine.isEmpty()) {
       return false;
@@ -153,7 +159,8 @@
 
   /**
    * Queries a majority of the control-plane voters and returns whether any of them received a
-   * heartbeat from a store on that machine; fails with NO_QUORUM if no majority can tell.
+   * heartbeat from a store on that machine; fails with NO_QUORUM if no majority returns conclusive
+   * heartbeats.
    */
   CompletableFuture<Boolean> isKnownToMajority(String machine) {
     return heartbeatQuery
@@ -163,7 +170,8 @@
 
   /**
    * Adds the store on that machine to the list, unless too few stores would remain for the voter
-   * slots. Fails if the register cannot be changed, or if no majority can tell which stores exist.
+   * slots. Fails if the register cannot be changed, or if the heartbeats of a majority are needed
+   * and no majority returns conclusive heartbeats.
    */
   CompletableFuture<BeginResult> begin(String machine) {
     ListChange change = new ListChange(machine);
--- a/controlplane/src/main/java/elmsail/controlplane/UsageLedger.java
+++ b/controlplane/src/main/java/elmsail/controlplane/UsageLedger.java
@@ -11,14 +11,14 @@
 import java.util.function.LongFunction;
 
 /**
- * The register's value under {@link #KEY}: the newest window whose usage is decided, and the
- * decided counts of the windows that the platform is not known to have accepted. Decided counts
- * never change. The lease holder that first advances the ledger past a window sets its counts. The
- * counts are removed only when the platform has accepted them or when they are too old to be
- * reported. Immutable.
+ * The register's value under {@link #KEY}: the newest finalized window, and the counts of the
+ * finalized windows that the platform is not known to have accepted. The counts of a finalized
+ * window never change. The lease holder that first advances the ledger past a window sets the
+ * window's counts. The counts are removed only when the platform has accepted them or when they are
+ * too old to be reported. Immutable.
  *
- * @param lastFinalizedWindow number of the newest decided window; every older window is decided as well or
- *     is never reported
+ * @param lastFinalizedWindow number of the newest finalized window; every older window is finalized
+ *     as well or is never reported
  * @param unsent counts by tenant of the windows that are still to be sent, by window number
  */
 record UsageLedger(long lastFinalizedWindow, SortedMap<Long, SortedMap<String, Long>> unsent) {
@@ -30,14 +30,14 @@
   private static final int MAX_TENANTS = 100_000;
 
   /**
-   * Returns a ledger without counts whose first window to decide is the one after {@code window}.
+   * Returns a ledger without counts whose first window to finalize is the one after {@code window}.
    */
   static UsageLedger startingAfter(long window) {
     return new UsageLedger(window, Collections.emptySortedMap());
   }
 
   /**
-   * Returns this ledger with all windows up to {@code last} decided.
+   * Returns this ledger with the counts of all windows up to {@code last} finalized.
    *
    * @param first oldest window to report; older windows are skipped, because gateways no longer
    *     keep their counts
--- a/controlplane/src/main/java/elmsail/controlplane/UsageReporter.java
+++ b/controlplane/src/main/java/elmsail/controlplane/UsageReporter.java
@@ -16,16 +16,16 @@
 /**
  * Reports each window's usage to the platform while this node holds the singleton lease.
  *
- * <p>A window's counts are first decided: one compare-and-set in the register advances the {@link
- * UsageLedger} past the window, so that exactly one node decides the window, once. Only committed
+ * <p>A window's counts are first finalized: one compare-and-set in the register advances the {@link
+ * UsageLedger} past the window, so that exactly one node finalizes the window, once. Only committed
  * counts are sent, oldest window first, and repeatedly until the platform accepts them. The
  * platform therefore receives the same content for a window from every sender. A new holder reads
  * the ledger, sends the remaining windows in it, and continues with the windows after the last
- * decided one.
+ * finalized one.
  *
- * <p>A window is decided some time after its close, when the gateways' reports have arrived. A new
- * holder also waits until the gateways have sent it the counts of the last windows. Counts that a
- * killed gateway had not reported are lost. A window that closed so long ago that gateways no
+ * <p>A window is finalized some time after its close, when the gateways' reports have arrived. A
+ * new holder also waits until the gateways have sent it the counts of the last windows. Counts that
+ * a killed gateway had not reported are lost. A window that closed so long ago that gateways no
  * longer keep its counts is never reported. Runs on the event loop.
  */
 final class UsageReporter {
@@ -35,12 +35,12 @@
   private static final long TICK_INTERVAL_MS = 100;
   private static final long REGISTER_TIMEOUT_MS = 800;
 
-  /** Share of the allowed reporting time after which a closed window is decided. */
+  /** Share of the allowed reporting time after which a closed window is finalized. */
   private static final double DECISION_DELAY_SHARE = 0.3;
 
   /**
-   * How long a new holder collects reports before it decides. Gateways report once a second, and
-   * report to all nodes while no holder is known to them.
+   * How long a new holder collects reports before it finalizes windows. Gateways report once a
+   * second, and report to all nodes while no holder is known to them.
    */
   private static final long REPORT_GATHERING_MS = 1_500;
 
@@ -256,7 +256,7 @@
       send();
     }
 
-    /** Sends the oldest decided window that the platform has not accepted. */
+    /** Sends the oldest finalized window that the platform has not accepted. */
     private void send() {
       if (ledger == null || platformCallInFlight || timers.now() < nextCallAtMs || !isCurrent()) {
         return;
--- a/controlplane/src/test/java/elmsail/controlplane/SplitPartitionTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/SplitPartitionTest.java
@@ -9,10 +9,10 @@
 
 /**
  * For some seconds a partition splits the control-plane nodes and the stores into two halves, while
- * operators and gateways reach both halves. Changes race in both halves, the configuration is read
- * from all nodes, jobs are written and read, and stores are decommissioned, while a voter change
- * may be in progress. Acknowledged state and the invariants on leases and slots must hold
- * throughout, and all voters must vote again soon after the heal.
+ * operators and gateways reach both halves. Changes are sent to both halves concurrently, the
+ * configuration is read from all nodes, jobs are written and read, and stores are decommissioned,
+ * while a voter change may be in progress. Acknowledged state and the invariants on leases and
+ * slots must hold throughout, and all voters must vote again soon after the heal.
  */
 class SplitPartitionTest {
   private static final int SEED_COUNT = 6;
@@ -56,7 +56,7 @@
       }
     }
     System.out.printf(
-        "%d nodes, %d stores, %s: %d changes and %d reads answered during partitions, %d delivered,"
+        "%d nodes, %d stores, %s: %d changes and %d reads answered during partitions, %d stores decommissioned,"
             + " all voters vote at most %d ms after the heal, a change committed after %d%n",
         nodeCount,
         storeCount,
--- a/gateway/src/main/java/elmsail/gateway/frontend/ClientTimeouts.java
+++ b/gateway/src/main/java/elmsail/gateway/frontend/ClientTimeouts.java
@@ -11,8 +11,9 @@
   private static final int MIN_BODY_BYTES_PER_SECOND = 64 * 1024;
 
   /**
-   * An idle connection is closed this much later than announced, so that no request is sent while
-   * the connection closes.
+   * An idle connection is closed this long after the configured idle timeout. The timeout that is
+   * announced to the client ({@link #keepAliveSeconds}) ends earlier, so that the client sends no
+   * request while the connection closes.
    */
   private static final long KEEP_ALIVE_GRACE_MS = 1_000;
 
@@ -44,7 +45,11 @@
     return idleSince + limits.idleTimeoutMs() + KEEP_ALIVE_GRACE_MS - now;
   }
 
-  /** The delay of the first check and the maximum: a request may begin right after a check. */
+  /**
+   * The delay before the first check, and the maximum delay between checks. The delay equals the
+   * header timeout, so that a request that begins right after a check is checked again when its
+   * timeout ends.
+   */
   long maxCheckIntervalMs() {
     return limits.headerTimeoutMs();
   }
--- a/gateway/src/main/java/elmsail/gateway/http/Headers.java
+++ b/gateway/src/main/java/elmsail/gateway/http/Headers.java
@@ -11,7 +11,13 @@
   public static final String REQUEST_ID = "Elmsail-Request-Id";
   public static final String DEADLINE_MS = "Elmsail-Deadline-Ms";
   public static final String EXPECT_SERVER = "Elmsail-Expect-Server";
+
+  /**
+   * A server sets this header on its responses. The gateway relays its value, and does not set this
+   * header on local replies. The outcome of a 2xx response without this header is unknown.
+   */
   public static final String POSTMARK = "Elmsail-Postmark";
+
   public static final String NOT_RUN = "Elmsail-Not-Run";
   public static final String SERVER_LOAD = "Elmsail-Server-Load";
   public static final String PROMPT_PREFIX = "Elmsail-Prompt-Prefix";
--- a/gateway/src/main/java/elmsail/gateway/load/LoadAggregator.java
+++ b/gateway/src/main/java/elmsail/gateway/load/LoadAggregator.java
@@ -48,7 +48,8 @@
    *
    * @param ownLoads this gateway's own load by server id
    * @param send sends a report to an address; the report may be lost
-   * @param hasRecentLoadActivity whether any load was seen recently; otherwise nothing is aggregated
+   * @param hasRecentLoadActivity whether this gateway's load has changed recently, or a report with
+   *     a load was received recently; otherwise nothing is aggregated
    */
   LoadAggregator(
       Timers timers,
--- a/gateway/src/main/java/elmsail/gateway/load/LoadExchange.java
+++ b/gateway/src/main/java/elmsail/gateway/load/LoadExchange.java
@@ -14,8 +14,8 @@
  * the sum of its zone to other zones, and the total to all gateways of its zone. So the number of
  * datagrams that a gateway sends and receives does not grow with the number of gateways. While no
  * gateway has a load to report, for example because all servers report their load themselves,
- * gateways only introduce themselves periodically ({@link PeriodicReportSender}). Owned by the
- * event loop; all times in ms on the loop's clock.
+ * gateways only send the periodic reports of {@link PeriodicReportSender}. Owned by the event loop;
+ * all times in ms on the loop's clock.
  */
 public final class LoadExchange implements PeerLoads {
   private static final String FOREIGN = "load_reports_foreign";
@@ -24,7 +24,10 @@
   /** An unchanged report is repeated after this time, as datagrams may be lost. */
   private static final long REPORT_REPEAT_INTERVAL_MS = 350;
 
-  /** After this time without any load, neither reports nor totals are sent. */
+  /**
+   * After this time without a change of this gateway's load and without a received report with a
+   * load, neither reports nor totals are sent.
+   */
   private static final long ACTIVITY_TIMEOUT_MS = 2_000;
 
   private final Timers timers;
--- a/gateway/src/main/java/elmsail/gateway/load/PeriodicReportSender.java
+++ b/gateway/src/main/java/elmsail/gateway/load/PeriodicReportSender.java
@@ -11,9 +11,9 @@
 import java.util.function.Supplier;
 
 /**
- * Introduces this gateway and its zone to the other gateways by sending a report to each listed
- * gateway periodically. A gateway that did not know this gateway replies with a report of its own.
- * Owned by the event loop; all times in ms.
+ * Periodically sends a load report of this gateway to each listed gateway, so that the receivers
+ * record the address and the zone of this gateway. A gateway that receives the first report of this
+ * process replies with its own report. Owned by the event loop; all times in ms.
  */
 final class PeriodicReportSender {
   private static final long FIRST_REPORT_DELAY_MS = 10;
@@ -21,7 +21,7 @@
   private static final long UNKNOWN_PEER_INTERVAL_MS = 500;
   private static final long ZONE_PEER_INTERVAL_MS = 3_000;
 
-  /** For gateways of other zones, and for all gateways while no load was seen recently. */
+  /** For gateways of other zones, and for all gateways while there was no recent load activity. */
   private static final long OTHER_PEER_INTERVAL_MS = 8_000;
 
   private final Timers timers;
@@ -38,7 +38,8 @@
    *
    * @param ownReport creates a report of this gateway's own load
    * @param send sends a report to an address; the report may be lost
-   * @param hasRecentLoadActivity whether any load was seen recently
+   * @param hasRecentLoadActivity whether this gateway's load has changed recently, or a report with
+   *     a load was received recently
    */
   PeriodicReportSender(
       Timers timers,
--- a/gateway/src/main/java/elmsail/gateway/requests/AttemptOutcome.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/AttemptOutcome.java
@@ -41,7 +41,8 @@
    * Returns the outcome of an attempt by the head of its response.
    *
    * @param notRun whether the response has the header {@code Elmsail-Not-Run}
-   * @param hasPostmark whether the response has the header {@code Elmsail-Postmark}
+   * @param hasPostmark whether the response has the header {@code Elmsail-Postmark}; without this
+   *     header, the outcome of a 2xx response is {@link #UNKNOWN}
    */
   public static AttemptOutcome ofResponse(int status, boolean notRun, boolean hasPostmark) {
     if (status == 421) {
--- a/gateway/src/main/java/elmsail/gateway/requests/PeriodicCheck.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/PeriodicCheck.java
@@ -3,9 +3,9 @@
 import elmsail.runtime.Timers;
 
 /**
- * Runs a check at an interval until cancelled. A check that is late is skipped: the process was
- * stalled, and bytes that its connections received meanwhile are not read yet. Owned by the event
- * loop.
+ * Runs a check at an interval until cancelled. A check that runs more than {@link #MAX_DELAY_MS}
+ * late is skipped: the process was probably stalled, so bytes that arrived during the stall may not
+ * have been read, and a server could wrongly look unresponsive. Owned by the event loop.
  */
 final class PeriodicCheck {
   /** A check that is later than this is skipped. */
--- a/gateway/src/main/java/elmsail/gateway/requests/RequestForwarder.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/RequestForwarder.java
@@ -15,8 +15,9 @@
 /**
  * Forwards one client request: makes one attempt after the other, each at a server that is picked
  * for it, and ends with exactly one response, that of a server or a local reply. A request that may
- * have run is retried only on idempotent routes, and never gets a status that reports that it has
- * not run. {@link RetryPolicy} decides about retries. Owned by the gateway's event loop.
+ * have run is retried only on idempotent routes, and its reply never has a status that tells the
+ * client that the request has not run, such as 503. {@link RetryPolicy} decides about retries.
+ * Owned by the gateway's event loop.
  */
 final class RequestForwarder implements RequestHandle, AttemptListener {
   private static final long CHECK_INTERVAL_MS = 200;
@@ -95,7 +96,7 @@
 
   /**
    * Whether the key and the route allow one more attempt and a healthy server is available for it.
-   * The pick counts as a turn in the route's round robin.
+   * Like each pick, this call advances the route's round robin.
    */
   private boolean hasRetryTarget() {
     return !(authenticate() instanceof Authentication.Refused)
@@ -283,7 +284,10 @@
     }
   }
 
-  /** Handles a response that must not be relayed as a failure of an attempt that was sent. */
+  /**
+   * Called when the response must not be relayed. Cancels the attempt and treats it as a failed
+   * attempt that was sent.
+   */
   private void onUnusableResponse() {
     if (attempt != null) {
       attempt.cancel();
--- a/gateway/src/main/java/elmsail/gateway/requests/ResponseRelay.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/ResponseRelay.java
@@ -210,8 +210,8 @@
   }
 
   /**
-   * Handles the end of an attempt's complete response: relays what has not been relayed yet, if its
-   * outcome allows, and returns the outcome.
+   * Handles the end of an attempt's complete response. If the outcome of the response allows,
+   * relays the part that has not been relayed yet. Returns the outcome.
    */
   AttemptOutcome onComplete() {
     if (mode == Mode.EVENTS && splitter.hasPartialEvent()) {
@@ -225,7 +225,7 @@
       return outcome;
     }
     if (hasStarted) {
-      return AttemptOutcome.UNKNOWN; // a response that is not an event stream cannot resume one
+      return AttemptOutcome.UNKNOWN; // only an event stream can resume an event stream
     }
     ByteBuf body = buffered == null ? Unpooled.EMPTY_BUFFER : buffered;
     buffered = null;
--- a/gateway/src/main/java/elmsail/gateway/servers/ErrorBackoff.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ErrorBackoff.java
@@ -91,7 +91,8 @@
   }
 
   /**
-   * Whether such a request must avoid the server because of the ejection; see {@link #mayProbe}.
+   * Whether a request must not be sent to the server because the server is ejected and the request
+   * may not be its probe; see {@link #mayProbe}.
    */
   boolean isAvoided(boolean retryable, long now) {
     return isEjected && !mayProbe(retryable, now);
--- a/gateway/src/main/java/elmsail/gateway/servers/SelectionMode.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/SelectionMode.java
@@ -1,8 +1,8 @@
 package elmsail.gateway.servers;
 
 /**
- * What an error of the picked server would cost the request, which decides whether servers that
- * returned errors may be picked.
+ * What happens if the picked server returns an error: the error reaches the client, or the request
+ * is retried. This decides whether servers that returned errors may be picked.
  */
 public enum SelectionMode {
   /** An error reaches the client: a half-open server is avoided until long after its backoff. */
--- a/gateway/src/main/java/elmsail/gateway/servers/ServerHealth.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ServerHealth.java
@@ -4,9 +4,9 @@
 
 /**
  * Health of one server as this gateway observes it, without active health checks: connection
- * failures (backoff), error responses (outlier ejection), inactivity while requests are open, and
- * responses of another server at the address. Owned by the gateway's event loop; all times in ms on
- * that loop's monotonic clock.
+ * failures (backoff), error responses (outlier ejection), inactivity while requests are open, and a
+ * 421 response, which shows that a different server uses the address now. Owned by the gateway's
+ * event loop; all times in ms on that loop's monotonic clock.
  */
 final class ServerHealth {
   /** A server with open requests that has sent nothing for longer than this is suspect. */
@@ -73,13 +73,17 @@
   }
 
   /**
-   * Records that another server responds at this address; no further request is sent to the server.
+   * Records a response with status 421 (Misdirected Request): a different server uses this server's
+   * address now. No further request is sent to the server.
    */
   void recordMisdirected() {
     hasReturnedMisdirected = true;
   }
 
-  /** Whether another server responds at this address. */
+  /**
+   * Whether a response had the status 421, so that a different server uses this server's address
+   * now.
+   */
   boolean hasReturnedMisdirected() {
     return hasReturnedMisdirected;
   }
@@ -99,7 +103,7 @@
     }
   }
 
-  /** Whether the ejection time is over and no probe has been sent yet. */
+  /** Whether the ejection time is over and no probe is in flight. */
   boolean isProbeDue(long now) {
     return errors.mayProbe(true, now);
   }
@@ -115,9 +119,10 @@
   }
 
   /**
-   * Whether such a request must avoid the server because it is ejected.
+   * Whether a request must not be sent to the server because the server is ejected and the request
+   * may not be its probe.
    *
-   * @param retryable whether an error of the server would be retried elsewhere
+   * @param retryable whether an error of this request would be retried at another server
    */
   boolean mustBeAvoided(boolean retryable, long now) {
     return errors.isAvoided(retryable, now);
--- a/gateway/src/main/java/elmsail/gateway/servers/ServerLoadTracker.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ServerLoadTracker.java
@@ -55,7 +55,7 @@
   }
 
   /**
-   * Called when the first byte of the attempt's response is received: the server has read the
+   * Called when the first byte of the attempt's response is received: the server has processed the
    * prompt.
    */
   void onResponseStarted(Attempt attempt) {
@@ -83,7 +83,8 @@
   }
 
   /**
-   * Records the value of a load header, {@code RUNNING,WAITING,SLOTS}; malformed ones are not used.
+   * Records the value of a load header, {@code RUNNING,WAITING,SLOTS}; a malformed value is
+   * ignored.
    */
   void recordReport(String headerValue, long now) {
     reportedLoad.update(headerValue, openAttempts, now);
--- a/gateway/src/main/java/elmsail/gateway/servers/ServerPicker.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ServerPicker.java
@@ -61,7 +61,8 @@
    * Picks a server for the next attempt of a request. Each call advances the route's round robin.
    *
    * @param excluded servers that must not be picked, such as those of earlier attempts
-   * @param mode what an error of the server would cost the request
+   * @param mode what happens if the picked server returns an error: the error reaches the client,
+   *     or the request is retried
    * @return the server; empty if no service of the route has a usable one
    */
   public Optional<Server> pick(
--- a/gateway/src/main/java/elmsail/gateway/usage/UsageMeter.java
+++ b/gateway/src/main/java/elmsail/gateway/usage/UsageMeter.java
@@ -28,8 +28,9 @@
   private static final long CALL_TIMEOUT_MS = 1_000;
 
   /**
-   * Windows are kept, and reported, for up to this many times the period in which the control plane
-   * accepts reports of a closed window.
+   * The counts of a window are kept and reported for about this number of late periods after the
+   * window ends. A late period is the time in which the control plane accepts reports of a closed
+   * window ({@code usageLateMs}).
    */
   private static final int LATE_PERIODS_KEPT = 2;
 
@@ -44,7 +45,9 @@
   private final Map<String, ReportedCounts> reportedByAddress = new HashMap<>();
   private final Set<String> callsInFlight = new HashSet<>();
 
-  /** The address of the last node that reported to hold the lease; null if no holder is known. */
+  /**
+   * The address of the node that last reported that it holds the lease; null if no holder is known.
+   */
   private String holder;
 
   private boolean closed;
@@ -81,7 +84,10 @@
         && settings.bounds().usageWindowMs() > 0;
   }
 
-  /** Starts the periodic reports, which continue until the meter is closed. */
+  /**
+   * Sends a report now and then periodically until the meter is closed. The timer of the next
+   * report calls this method again.
+   */
   public void start() {
     if (!closed) {
       timers.schedule(REPORT_INTERVAL_MS, this::start);
--- a/policy/src/main/java/willowdoor/policy/CustomerQuota.java
+++ b/policy/src/main/java/willowdoor/policy/CustomerQuota.java
@@ -38,8 +38,8 @@
   private static final double EXTRA_REFILL = 0.06;
 
   /**
-   * Factors for the share of requests that call the counter after a refusal and after an admission;
-   * with them, about nine in ten calls admit a request.
+   * Factors by which {@link #callShare} is multiplied after a confirmed refusal and after a
+   * confirmed admission; with them, about nine in ten calls admit a request.
    */
   private static final double CALL_SHARE_DECREASE = 0.5, CALL_SHARE_INCREASE = 1.1;
 
@@ -164,10 +164,10 @@
   }
 
   /**
-   * Whether no further request may be open at this gateway: its part of the limit, in proportion to
-   * the customer's use, is taken, and so is the part that other gateways leave unused, if the
-   * shared count is current. Fixed parts alone waste a limit that is small for the number of
-   * gateways.
+   * Whether this gateway has reached its part of the customer's limit on open requests. The part is
+   * proportional to this gateway's share of the customer's recent use. While the shared count is
+   * current, the part is at least the limit minus the estimated number of requests that are open at
+   * other gateways. Fixed parts alone waste a limit that is small for the number of gateways.
    */
   boolean openLimitReached() {
     double ownPart = Math.max(1, Math.round(plan.maxOpen() * ownUseShare()));
@@ -212,8 +212,9 @@
   }
 
   /**
-   * Share of the ceiling that is split among the gateways: all of it for two gateways, for more
-   * enough for one request of the maximum size at each.
+   * Share of the ceiling that is split evenly into the gateways' own parts. With one or two
+   * gateways the whole ceiling is split. With more gateways the share is 2 / gateways, or as much
+   * more as each own part needs to cover one request of the maximum size.
    */
   private double ownCeilingShare() {
     return Math.min(
@@ -255,9 +256,10 @@
   }
 
   /**
-   * Units in the bucket by a window's total, without the limit of the burst: exceeds the burst if
-   * the customer used less than its rate. Units that were counted but not used lose their effect
-   * over time.
+   * The bucket level that follows from the total of a window. The result is not limited to the
+   * burst, so it is above the burst if the customer used less than its rate. The refill is faster
+   * than the rate by {@link #EXTRA_REFILL}, which gradually compensates for units that were counted
+   * but not used.
    */
   double levelFromTotal(double total, long window) {
     return plan.burst()
@@ -275,9 +277,10 @@
   }
 
   /**
-   * Share of the customer's requests that call the counter. Most requests of a customer far over
-   * its quota are refused at any gateway, and each refused call causes a second one. The share
-   * recovers while no answers arrive.
+   * Share of the customer's requests that call the counter. If a customer is far over its quota,
+   * most calls lead to a refusal, and each such refusal causes a second call, which subtracts the
+   * added units again. Fewer calls are therefore made for such a customer. The share recovers while
+   * no answers arrive.
    */
   double callShare() {
     return Double.isNaN(syncedAt)
@@ -351,6 +354,10 @@
     unreportedUnits += difference;
   }
 
+  /**
+   * Replaces the use by other gateways that {@link #refill} assumed since the last answer by the
+   * use that the counter's total shows.
+   */
   void applyOthersUse(double others, double sinceMs) {
     double refilled =
         Double.isNaN(syncedAt)
--- a/policy/src/test/java/willowdoor/policy/RetryRulesTest.java
+++ b/policy/src/test/java/willowdoor/policy/RetryRulesTest.java
@@ -15,8 +15,9 @@
 import willowdoor.policy.GatewayApi.Status;
 
 /**
- * Which retries may follow an attempt that may have run, by the class's retry safety (rule 2 of
- * WIRE).
+ * Which retries may follow an attempt that may have run, by the retry safety of the request class:
+ * an unsafe request is not retried, a keyed request is retried only within its deduplication scope
+ * and window.
  */
 class RetryRulesTest {
 
@@ -53,7 +54,7 @@
       assertTrue(
           status.provesNotRun() || sends.size() == 1 && count(Refuse.class) == 0,
           status.toString());
-      assertTrue(sends.size() <= 4, "MaxAttempts");
+      assertTrue(sends.size() <= 4, "more attempts than the maximum");
     }
   }
 
--- a/runtime/src/main/java/elmsail/runtime/Invariant.java
+++ b/runtime/src/main/java/elmsail/runtime/Invariant.java
@@ -27,6 +27,6 @@
    */
   FITTING_JOB_IS_NOT_REFUSED_AT_ONCE,
 
-  /** The bytes that a gateway accounts as buffered are those of the jobs that it runs. */
+  /** The bytes of unrecorded results that a gateway counts belong to the jobs that it runs. */
   HELD_BYTES_BELONG_TO_JOBS
 }
--- a/runtime/src/test/java/elmsail/runtime/ManualTimers.java
+++ b/runtime/src/test/java/elmsail/runtime/ManualTimers.java
@@ -47,7 +47,10 @@
     now = end;
   }
 
-  /** Moves the clock at one go: what fell due on the way runs late, at the end. */
+  /**
+   * Advances the clock in one step. Tasks that became due in between run afterwards, at the new
+   * time.
+   */
   public void advanceRunningLate(long millis) {
     now += millis;
     advance(0);
