--- a/batch/src/main/java/elmsail/batch/messages/WaitingTokens.java
+++ b/batch/src/main/java/elmsail/batch/messages/WaitingTokens.java
@@ -52,8 +52,8 @@
     }
 
     /**
-     * Returns this reservation with 0 tokens. A gateway sends it only to obtain the waiting tokens
-     * of the quota key; the store adds nothing to its count.
+     * Returns this reservation with 0 tokens. A gateway sends such a reservation only to obtain the
+     * waiting tokens of the quota key; the reservation adds no tokens to the store's count.
      */
     public Reservation withoutTokens() {
       return new Reservation(quotaKey, jobId, 0, attemptId);
--- a/batch/src/main/java/elmsail/batch/run/JobRunner.java
+++ b/batch/src/main/java/elmsail/batch/run/JobRunner.java
@@ -302,8 +302,8 @@
     BatchItem item = job.items.get(itemRun.itemIndex);
     Optional<Route> matched = dispatch.config().match(job.record.host(), item.path());
     if (matched.isEmpty() && dispatch.config().version() <= job.record.configVersion()) {
-      return false; // the job was accepted under this or a newer configuration, which may have the
-      // route
+      // The job was accepted under this configuration or a newer one, which may have the route.
+      return false;
     }
     if (matched.isEmpty() || job.isExpired(dispatch.now())) {
       job.readyItems.poll();
--- a/controlplane/src/main/java/elmsail/controlplane/DecommissionManager.java
+++ b/controlplane/src/main/java/elmsail/controlplane/DecommissionManager.java
@@ -48,8 +48,8 @@
   private static final long MAX_VOTER_HEARTBEAT_AGE_MS = 1_500;
 
   /**
-   * A store whose last heartbeat is older than this is assumed to be lost; another store may still
-   * return by itself.
+   * A store whose last heartbeat is older than this is assumed to be lost; a store with a newer
+   * heartbeat may still return by itself.
    */
   private static final long MAX_RETURNING_HEARTBEAT_AGE_MS = 30_000;
 
--- a/controlplane/src/test/java/elmsail/controlplane/SplitPartitionScenario.java
+++ b/controlplane/src/test/java/elmsail/controlplane/SplitPartitionScenario.java
@@ -379,7 +379,7 @@
   private void checkInvariants() {
     for (Voter voter : jobs.newestVoterSet().voters) {
       assertThat(
-          scenario + ": delivered stores that still hold a slot",
+          scenario + ": stores reported as decommissioned that still hold a slot",
           storesReportedAsDecommissioned,
           not(hasItem(voter.machine)));
     }
@@ -458,7 +458,10 @@
     return state.toString();
   }
 
-  /** Asserts that all decommissioned stores are delivered and everything acknowledged is there. */
+  /**
+   * Asserts that all stores to decommission are reported as decommissioned and that no acknowledged
+   * state is lost.
+   */
   private void finish() {
     long deadlineMs = cluster.timers.now() + MAX_RECOVERY_MS;
     while (!(unacceptedDecommissions.isEmpty()
@@ -470,7 +473,7 @@
         scenario
             + ": decommissioning "
             + decommissioning
-            + ", delivered "
+            + ", reported as decommissioned "
             + storesReportedAsDecommissioned
             + describeState();
     assertThat(
--- a/controlplane/src/test/java/elmsail/controlplane/SplitPartitionTest.java
+++ b/controlplane/src/test/java/elmsail/controlplane/SplitPartitionTest.java
@@ -56,8 +56,9 @@
       }
     }
     System.out.printf(
-        "%d nodes, %d stores, %s: %d changes and %d reads answered during partitions, %d stores decommissioned,"
-            + " all voters vote at most %d ms after the heal, a change committed after %d%n",
+        "%d nodes, %d stores, %s: %d changes and %d reads answered during partitions,"
+            + " %d stores decommissioned, all voters vote at most %d ms after the heal,"
+            + " a change committed after %d%n",
         nodeCount,
         storeCount,
         concurrentChange,
