--- a/batch/src/main/java/elmsail/batch/messages/WaitingTokens.java
+++ b/batch/src/main/java/elmsail/batch/messages/WaitingTokens.java
@@ -51,7 +51,10 @@
       this(new QuotaKey(routeName, TenantName.NONE), jobId, tokens, attemptId);
     }
 
-    /** A reservation of 0 tokens, which only reads the waiting tokens of its quota key. */
+    /**
+     * Returns this reservation with 0 tokens. A gateway sends such a reservation only to obtain the
+     * waiting tokens of the quota key; the reservation adds no tokens to the store's count.
+     */
     public Reservation withoutTokens() {
       return new Reservation(quotaKey, jobId, 0, attemptId);
     }
@@ -144,16 +147,16 @@
 
   /** The tokens of the accepted jobs except this job; a part of {@link #totalExcept}. */
   public long acceptedExcept(String jobId) {
-    return totalExcept(jobId) - pendingExcept(jobId);
+    return totalExcept(jobId) - reservedExcept(jobId);
   }
 
   /** The tokens of the reserved jobs except this job; a part of {@link #totalExcept}. */
-  public long pendingExcept(String jobId) {
+  public long reservedExcept(String jobId) {
     long ownDigest = ContentDigest.of(jobId);
     long sum = 0;
     for (Map.Entry<Long, Entry> entry : entries.entrySet()) {
-      boolean pending = entry.getValue().isReservation() && entry.getKey() != ownDigest;
-      sum += pending ? entry.getValue().tokens() : 0;
+      boolean reserved = entry.getValue().isReservation() && entry.getKey() != ownDigest;
+      sum += reserved ? entry.getValue().tokens() : 0;
     }
     return sum;
   }
--- a/batch/src/main/java/elmsail/batch/run/JobRunner.java
+++ b/batch/src/main/java/elmsail/batch/run/JobRunner.java
@@ -38,7 +38,8 @@
 
   /**
    * Once the last confirmation of the lease is older than this number of tenths of {@code
-   * cancel_ms}, runs that may not have reached a server are cancelled.
+   * cancel_ms}, the runs without any event from a server are cancelled; it is unknown whether such
+   * a run has reached a server.
    */
   private static final long CANCEL_AFTER_TENTHS = 8;
 
@@ -180,8 +181,8 @@
   }
 
   /**
-   * Cancels the job's runs that have received no event, and so may not have reached a server, if
-   * the lease was not confirmed recently enough.
+   * If the lease was not confirmed recently enough, cancels the job's runs that have received no
+   * event. It is unknown whether such a run has reached a server.
    */
   void cancelUnansweredRuns(RunningJob job) {
     if (context.timers().now() - job.leaseConfirmedAt <= cancelAfterMs) {
@@ -203,8 +204,8 @@
 
   /**
    * Applies the failed attempts that the record now contains. A failed item may run again only once
-   * its failed attempt is recorded: the next runner continues the recorded count, so a takeover
-   * loses at most one failed attempt.
+   * its failed attempt is recorded: after a takeover the new runner starts from the recorded number
+   * of failed attempts, so at most one failed attempt of each item is not counted.
    */
   void onFailuresRecorded(RunningJob job) {
     for (ItemRun itemRun : job.applyRecordedFailedAttempts()) {
@@ -238,7 +239,7 @@
     }
     CapacityBudget budget = new CapacityBudget(servers);
     List<RunningJob> runningJobs = jobsByDueTime();
-    new TenantShares(runningJobs).giveTurns(job -> dispatchNextItem(job, config, budget));
+    new TenantShares(runningJobs).dispatchFairly(job -> dispatchNextItem(job, config, budget));
     if (runningJobs.stream().anyMatch(RunningJob::hasReadyItems)) {
       scheduleDispatch(CAPACITY_POLL_INTERVAL_MS);
     }
@@ -301,7 +302,8 @@
     BatchItem item = job.items.get(itemRun.itemIndex);
     Optional<Route> matched = dispatch.config().match(job.record.host(), item.path());
     if (matched.isEmpty() && dispatch.config().version() <= job.record.configVersion()) {
-      return false; // this configuration may be older than the job's and lack the route
+      // The job was accepted under this configuration or a newer one, which may have the route.
+      return false;
     }
     if (matched.isEmpty() || job.isExpired(dispatch.now())) {
       job.readyItems.poll();
--- a/batch/src/main/java/elmsail/batch/run/TenantShares.java
+++ b/batch/src/main/java/elmsail/batch/run/TenantShares.java
@@ -53,11 +53,11 @@
   }
 
   /**
-   * Gives turns to the jobs until no job can start another item.
+   * Lets the jobs start items, one item in each turn, until no job can start another item.
    *
    * @param turn starts an item of the job; returns false if the job can start no further item
    */
-  void giveTurns(Predicate<RunningJob> turn) {
+  void dispatchFairly(Predicate<RunningJob> turn) {
     while (!waiting.isEmpty()) {
       TenantQueue tenant = waiting.poll();
       if (turn.test(tenant.jobs.peek())) {
--- a/controlplane/src/main/java/elmsail/controlplane/ConfigChangeHandler.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ConfigChangeHandler.java
@@ -79,7 +79,8 @@
   }
 
   /**
-   * A reply that a committed value proves.
+   * The status and the reason of the reply, decided on the basis of the value that the last attempt
+   * read from the register.
    *
    * @param status 200 or an HTTP error status
    * @param reason of the error; empty for status 200
@@ -191,7 +192,7 @@
       case SUPERSEDED -> pending.decline(new Decision(412, "current: " + current.version()));
       case BASE_NOT_COMMITTED ->
           pending.decline(new Decision(503, "not in force yet; current: " + current.version()));
-      case BASE_FORGOTTEN ->
+      case BASE_DROPPED_FROM_HISTORY ->
           pending.decline(new Decision(503, "too old to tell; current: " + current.version()));
     };
   }
--- a/gateway/src/main/java/elmsail/gateway/servers/ServerLoadTracker.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ServerLoadTracker.java
@@ -50,16 +50,16 @@
       openItems++;
       lastItemStartedAt = attempt.startedAt();
     }
-    ownPendingPrefillTokens += uncachedTokens(attempt);
+    ownPendingPrefillTokens += tokensAfterSharedPrefix(attempt);
     notifyLoadChanged();
   }
 
   /**
-   * Called when the first byte of the attempt's response is received: the server has read the
+   * Called when the first byte of the attempt's response is received: the server has processed the
    * prompt.
    */
   void onResponseStarted(Attempt attempt) {
-    ownPendingPrefillTokens -= uncachedTokens(attempt);
+    ownPendingPrefillTokens -= tokensAfterSharedPrefix(attempt);
     notifyLoadChanged();
   }
 
@@ -67,7 +67,7 @@
   void onAttemptEnded(Attempt attempt) {
     openAttempts--;
     openItems -= attempt.request().isBatchItem() ? 1 : 0;
-    ownPendingPrefillTokens -= attempt.hasResponse() ? 0 : uncachedTokens(attempt);
+    ownPendingPrefillTokens -= attempt.hasResponse() ? 0 : tokensAfterSharedPrefix(attempt);
     notifyLoadChanged();
   }
 
@@ -77,13 +77,14 @@
     }
   }
 
-  private static int uncachedTokens(Attempt attempt) {
+  private static int tokensAfterSharedPrefix(Attempt attempt) {
     Prompt prompt = attempt.request().prompt();
     return prompt.totalTokens() - prompt.sharedPrefixTokens();
   }
 
   /**
-   * Records the value of a load header, {@code RUNNING,WAITING,SLOTS}; malformed ones are not used.
+   * Records the value of a load header, {@code RUNNING,WAITING,SLOTS}; a malformed value is
+   * ignored.
    */
   void recordReport(String headerValue, long now) {
     reportedLoad.update(headerValue, openAttempts, now);
--- a/gateway/src/main/java/elmsail/gateway/servers/ServerPicker.java
+++ b/gateway/src/main/java/elmsail/gateway/servers/ServerPicker.java
@@ -61,7 +61,8 @@
    * Picks a server for the next attempt of a request. Each call advances the route's round robin.
    *
    * @param excluded servers that must not be picked, such as those of earlier attempts
-   * @param mode what an error of the server would cost the request
+   * @param mode what happens if the picked server returns an error: the error reaches the client,
+   *     or the request is retried
    * @return the server; empty if no service of the route has a usable one
    */
   public Optional<Server> pick(
@@ -89,7 +90,7 @@
     for (Server server : servers) {
       if (!excluded.contains(server)
           && !server.isRemoved()
-          && !server.health().isMisdirected()
+          && !server.health().hasReturnedMisdirected()
           && pool.hasCapacity(server)) {
         usable.add(server);
       }
@@ -101,7 +102,7 @@
 
   private static Optional<Server> firstAwaitingProbe(List<Server> usable, long now) {
     for (Server server : usable) {
-      if (server.health().awaitsProbe(now) && !server.health().isSuspect(now)) {
+      if (server.health().isProbeDue(now) && !server.health().isSuspect(now)) {
         return Optional.of(server);
       }
     }
@@ -153,7 +154,7 @@
   private static boolean isAvoided(Server server, SelectionMode mode, long now) {
     ServerHealth health = server.health();
     return health.isSuspect(now)
-        || health.isEjected(mode.probesEarly(), now)
+        || health.mustBeAvoided(mode.probesEarly(), now)
         || mode == SelectionMode.AFTER_ERROR && !health.servedRecently(now);
   }
 
@@ -174,11 +175,11 @@
   /** Whether the server is suspect or ejected. */
   public boolean isUnhealthy(Server server) {
     long now = clock.now();
-    return server.health().isSuspect(now) || server.health().isEjected(false, now);
+    return server.health().isSuspect(now) || server.health().mustBeAvoided(false, now);
   }
 
   /** Whether the server may be picked and is healthy. */
   public boolean isAvailable(Server server) {
-    return !server.isRemoved() && !server.health().isMisdirected() && !isUnhealthy(server);
+    return !server.isRemoved() && !server.health().hasReturnedMisdirected() && !isUnhealthy(server);
   }
 }
