--- a/purge/src/main/java/willowdoor/purge/Codec.java
+++ b/purge/src/main/java/willowdoor/purge/Codec.java
@@ -11,17 +11,17 @@
 import willowdoor.purge.Message.Accepted;
 import willowdoor.purge.Message.Applied;
 import willowdoor.purge.Message.Apply;
-import willowdoor.purge.Message.Ask;
-import willowdoor.purge.Message.Claim;
 import willowdoor.purge.Message.Done;
+import willowdoor.purge.Message.DoneAck;
 import willowdoor.purge.Message.Grant;
-import willowdoor.purge.Message.Noted;
-import willowdoor.purge.Message.Outstanding;
+import willowdoor.purge.Message.OutstandingLease;
 import willowdoor.purge.Message.Purge;
+import willowdoor.purge.Message.PurgeRequest;
 import willowdoor.purge.Message.Refused;
 import willowdoor.purge.Message.Renew;
 import willowdoor.purge.Message.Result;
-import willowdoor.purge.Message.Told;
+import willowdoor.purge.Message.StatusQuery;
+import willowdoor.purge.Message.StatusReply;
 
 /**
  * Messages as datagrams of CBOR (RFC 8949): one array of the version, the digest of the fleet's
@@ -30,7 +30,7 @@
  */
 final class Codec {
   /** What fits in a datagram that no network cuts up. */
-  static final int MOST_BYTES = 1_400;
+  static final int MAX_DATAGRAM_BYTES = 1_400;
 
   private static final int VERSION = 1;
 
@@ -41,11 +41,11 @@
   }
 
   /** Why a datagram is dropped. */
-  static final class Dropped extends Exception {
+  static final class DroppedDatagramException extends Exception {
     private static final long serialVersionUID = 1;
     final Fault fault;
 
-    Dropped(Fault fault) {
+    DroppedDatagramException(Fault fault) {
       super(fault.name(), null, false, false);
       this.fault = fault;
     }
@@ -57,7 +57,7 @@
   /** Keepers and times of other front doors must be the same, or neither understands the other. */
   Codec(String name, Fleet fleet) {
     digest =
-        ByteBuffer.wrap(PurgeId.sha256(name + ' ' + fleet.keepers() + ' ' + fleet.timing()))
+        ByteBuffer.wrap(PurgeId.sha256(name + ' ' + fleet.acceptors() + ' ' + fleet.timing()))
             .getLong();
   }
 
@@ -67,7 +67,7 @@
       out.writeStartArray();
       out.writeNumber(VERSION);
       out.writeNumber(digest);
-      fields(message, out);
+      writeFields(message, out);
       out.writeEndArray();
     } catch (IOException e) {
       throw new UncheckedIOException(e);
@@ -75,111 +75,114 @@
     return bytes.toByteArray();
   }
 
-  Message decode(byte[] datagram) throws Dropped {
-    if (datagram.length > MOST_BYTES) {
-      throw new Dropped(Fault.UNREADABLE);
+  Message decode(byte[] datagram) throws DroppedDatagramException {
+    if (datagram.length > MAX_DATAGRAM_BYTES) {
+      throw new DroppedDatagramException(Fault.UNREADABLE);
     }
     try (CBORParser parser = factory.createParser(datagram)) {
-      Fields in = new Fields(parser);
-      in.open();
+      MessageReader in = new MessageReader(parser);
+      in.openArray();
       if (in.number(0, Integer.MAX_VALUE) != VERSION) {
-        throw new Dropped(Fault.OTHER_VERSION);
+        throw new DroppedDatagramException(Fault.OTHER_VERSION);
       }
       if (in.number(Long.MIN_VALUE, Long.MAX_VALUE) != digest) {
-        throw new Dropped(Fault.OTHER_CONFIGURATION);
+        throw new DroppedDatagramException(Fault.OTHER_CONFIGURATION);
       }
       Message message = in.message();
-      in.end();
+      in.expectEnd();
       return message;
     } catch (IOException | IllegalArgumentException e) {
-      throw new Dropped(Fault.UNREADABLE);
+      throw new DroppedDatagramException(Fault.UNREADABLE);
     }
   }
 
-  private static void fields(Message message, CBORGenerator out) throws IOException {
+  private static void writeFields(Message message, CBORGenerator out) throws IOException {
     if (message instanceof Renew renew) {
-      numbers(out, 1, renew.boot(), renew.number(), renew.heard());
+      writeNumbers(out, 1, renew.boot(), renew.number(), renew.lastGrantNumber());
       out.writeStartArray();
       for (long run : renew.applied()) {
         out.writeNumber(run);
       }
       out.writeEndArray();
     } else if (message instanceof Grant grant) {
-      numbers(out, 2, grant.boot(), grant.number(), grant.more() ? 1 : 0);
+      writeNumbers(out, 2, grant.boot(), grant.number(), grant.moreRuns() ? 1 : 0);
       out.writeStartArray();
       for (Purge purge : grant.purges()) {
-        purge(out, purge);
+        writePurge(out, purge);
       }
       out.writeEndArray();
     } else if (message instanceof Accept accept) {
-      numbers(out, 3, accept.number());
-      purge(out, accept.purge());
-      claims(out, accept.claims());
+      writeNumbers(out, 3, accept.number());
+      writePurge(out, accept.purge());
+      writeRequests(out, accept.requests());
     } else if (message instanceof Accepted accepted) {
-      numbers(out, 4, accepted.run(), accepted.number(), accepted.acceptance(), accepted.page());
+      writeNumbers(
+          out, 4, accepted.run(), accepted.number(), accepted.acceptance(), accepted.page());
       out.writeStartArray();
-      for (Outstanding lease : accepted.outstanding()) {
-        int place = lease.holder().member() - accepted.page() * Fleet.PAGE;
-        numbers(out, place, lease.holder().boot(), lease.leftMs());
+      for (OutstandingLease lease : accepted.outstanding()) {
+        int offset = lease.holder().member() - accepted.page() * Fleet.MEMBERS_PER_PAGE;
+        writeNumbers(out, offset, lease.holder().boot(), lease.remainingMs());
       }
       out.writeEndArray();
     } else if (message instanceof Refused refused) {
-      numbers(out, 5, refused.run(), refused.reason().ordinal());
+      writeNumbers(out, 5, refused.run(), refused.reason().ordinal());
       if (refused.id() != null) {
-        numbers(out, refused.id().high(), refused.id().low());
+        writeNumbers(out, refused.id().high(), refused.id().low());
       }
     } else if (message instanceof Apply apply) {
-      numbers(out, 6);
-      purge(out, apply.purge());
+      writeNumbers(out, 6);
+      writePurge(out, apply.purge());
     } else if (message instanceof Applied applied) {
-      numbers(out, 7, applied.run(), applied.boot());
+      writeNumbers(out, 7, applied.run(), applied.boot());
     } else if (message instanceof Done done) {
-      numbers(out, 8);
-      purge(out, done.purge());
-      claims(out, done.claims());
-      result(out, done.result());
-    } else if (message instanceof Noted noted) {
-      numbers(out, 9, noted.run());
-    } else if (message instanceof Ask ask) {
-      numbers(out, 10, ask.number(), ask.id().high(), ask.id().low());
-    } else if (message instanceof Told told) {
-      numbers(out, 11, told.number(), told.id().high(), told.id().low(), told.state().ordinal());
-      if (told.scope() != null) {
-        scope(out, told.scope());
-        numbers(out, told.mark());
+      writeNumbers(out, 8);
+      writePurge(out, done.purge());
+      writeRequests(out, done.requests());
+      writeResult(out, done.result());
+    } else if (message instanceof DoneAck ack) {
+      writeNumbers(out, 9, ack.run());
+    } else if (message instanceof StatusQuery query) {
+      writeNumbers(out, 10, query.number(), query.id().high(), query.id().low());
+    } else if (message instanceof StatusReply reply) {
+      writeNumbers(
+          out, 11, reply.number(), reply.id().high(), reply.id().low(), reply.state().ordinal());
+      if (reply.scope() != null) {
+        writeScope(out, reply.scope());
+        writeNumbers(out, reply.prefixHash());
       }
-      if (told.result() != null) {
-        result(out, told.result());
+      if (reply.result() != null) {
+        writeResult(out, reply.result());
       }
     }
   }
 
-  private static void numbers(CBORGenerator out, long... numbers) throws IOException {
+  private static void writeNumbers(CBORGenerator out, long... numbers) throws IOException {
     for (long number : numbers) {
       out.writeNumber(number);
     }
   }
 
-  private static void purge(CBORGenerator out, Purge purge) throws IOException {
-    numbers(out, purge.run(), purge.from());
-    scope(out, purge.scope());
+  private static void writePurge(CBORGenerator out, Purge purge) throws IOException {
+    writeNumbers(out, purge.run(), purge.coordinator());
+    writeScope(out, purge.scope());
   }
 
-  private static void scope(CBORGenerator out, Scope scope) throws IOException {
+  private static void writeScope(CBORGenerator out, Scope scope) throws IOException {
     out.writeString(scope.customer());
     out.writeString(scope.prefix());
   }
 
-  private static void claims(CBORGenerator out, Iterable<Claim> claims) throws IOException {
+  private static void writeRequests(CBORGenerator out, Iterable<PurgeRequest> requests)
+      throws IOException {
     out.writeStartArray();
-    for (Claim claim : claims) {
-      numbers(out, claim.id().high(), claim.id().low(), claim.mark());
+    for (PurgeRequest request : requests) {
+      writeNumbers(out, request.id().high(), request.id().low(), request.prefixHash());
     }
     out.writeEndArray();
   }
 
-  private static void result(CBORGenerator out, Result result) throws IOException {
-    numbers(out, result.confirmed());
+  private static void writeResult(CBORGenerator out, Result result) throws IOException {
+    writeNumbers(out, result.confirmed());
     out.writeStartArray();
     for (int member : result.ranOut()) {
       out.writeNumber(member);
--- a/purge/src/main/java/willowdoor/purge/Holder.java
+++ b/purge/src/main/java/willowdoor/purge/LeaseHolder.java
@@ -15,7 +15,7 @@
  * monotonic time in ms, not negative, read after the message or request at hand was read and before
  * anything is sent.
  */
-final class Holder {
+final class LeaseHolder {
   /** Renewals whose time of sending is remembered; grants for older ones are of no use. */
   private static final int RENEWALS = 16;
 
@@ -26,9 +26,9 @@
    *
    * @param term of the lease
    * @param count of purges carried out
-   * @param beganMs that moment
+   * @param takenAtMs that moment
    */
-  public record Point(long term, long count, long beganMs) {}
+  public record Snapshot(long term, long count, long takenAtMs) {}
 
   private final Fleet fleet;
   private final long boot;
@@ -40,43 +40,43 @@
    * By the keeper's place: until when its last grant counts, the runs that came with its last word,
    * and the number of its latest.
    */
-  private final long[] until;
+  private final long[] grantedUntil;
 
-  private final List<List<Long>> carried;
-  private final long[] heard;
+  private final List<List<Long>> lastGrantRuns;
+  private final long[] lastGrantNumbers;
 
   /** Until when a majority of grants counts. */
-  private long end;
+  private long leaseEnd;
 
   private long term;
   private final PurgeLog log;
   private final LinkedHashSet<Long> applied;
 
-  Holder(Fleet fleet, long boot, Rules rules) {
+  LeaseHolder(Fleet fleet, long boot, Rules rules) {
     this.fleet = fleet;
     this.boot = boot;
     this.rules = rules;
     sentAt = new long[RENEWALS];
-    until = new long[fleet.keepers().size()];
-    carried = new ArrayList<>();
-    for (int i = 0; i < until.length; i++) {
-      carried.add(List.of());
+    grantedUntil = new long[fleet.acceptors().size()];
+    lastGrantRuns = new ArrayList<>();
+    for (int i = 0; i < grantedUntil.length; i++) {
+      lastGrantRuns.add(List.of());
     }
-    heard = new long[until.length];
+    lastGrantNumbers = new long[grantedUntil.length];
     log = new PurgeLog();
     applied = new LinkedHashSet<>();
   }
 
-  Holder(Holder other) {
+  LeaseHolder(LeaseHolder other) {
     fleet = other.fleet;
     boot = other.boot;
     rules = other.rules;
     number = other.number;
     sentAt = other.sentAt.clone();
-    until = other.until.clone();
-    carried = new ArrayList<>(other.carried);
-    heard = other.heard.clone();
-    end = other.end;
+    grantedUntil = other.grantedUntil.clone();
+    lastGrantRuns = new ArrayList<>(other.lastGrantRuns);
+    lastGrantNumbers = other.lastGrantNumbers.clone();
+    leaseEnd = other.leaseEnd;
     term = other.term;
     log = new PurgeLog(other.log);
     applied = new LinkedHashSet<>(other.applied);
@@ -87,49 +87,52 @@
     number++;
     sentAt[(int) (number % RENEWALS)] = now;
     List<Effect> effects = new ArrayList<>();
-    for (int i = 0; i < until.length; i++) {
+    for (int i = 0; i < grantedUntil.length; i++) {
       effects.add(
           new Effect.Send(
-              fleet.keepers().get(i), new Renew(boot, number, heard[i], carried.get(i))));
+              fleet.acceptors().get(i),
+              new Renew(boot, number, lastGrantNumbers[i], lastGrantRuns.get(i))));
     }
     return effects;
   }
 
-  List<Effect> on(long now, int from, Message message) {
+  List<Effect> onMessage(long now, int from, Message message) {
     List<Effect> effects = new ArrayList<>();
     if (message instanceof Apply apply) {
       apply(apply.purge(), effects);
     } else if (message instanceof Grant grant
         && grant.boot() == boot
-        && fleet.keepers().contains(from)) {
-      granted(now, from, grant, effects);
+        && fleet.acceptors().contains(from)) {
+      onGrant(now, from, grant, effects);
     }
     return effects;
   }
 
-  private void granted(long now, int from, Grant grant, List<Effect> effects) {
-    int keeper = fleet.keepers().indexOf(from);
+  private void onGrant(long now, int from, Grant grant, List<Effect> effects) {
+    int index = fleet.acceptors().indexOf(from);
     List<Long> runs = new ArrayList<>();
     for (Purge purge : grant.purges()) {
       apply(purge, effects);
       runs.add(purge.run());
     }
-    carried.set(keeper, List.copyOf(runs));
+    lastGrantRuns.set(index, List.copyOf(runs));
     if (grant.number() < 1 || grant.number() > number || grant.number() <= number - RENEWALS) {
       return;
     }
-    heard[keeper] = Math.max(heard[keeper], grant.number());
-    if (grant.more()) {
-      effects.add(new Effect.Send(from, new Renew(boot, grant.number(), heard[keeper], runs)));
+    lastGrantNumbers[index] = Math.max(lastGrantNumbers[index], grant.number());
+    if (grant.moreRuns()) {
+      effects.add(
+          new Effect.Send(from, new Renew(boot, grant.number(), lastGrantNumbers[index], runs)));
       return;
     }
-    boolean held = now < end;
+    boolean hadLease = now < leaseEnd;
     long sent = sentAt[(int) (grant.number() % RENEWALS)];
-    until[keeper] = Math.max(until[keeper], rules.countedUntil(fleet.timing(), sent, now));
-    long[] sorted = until.clone();
+    grantedUntil[index] =
+        Math.max(grantedUntil[index], rules.grantCountedUntil(fleet.timing(), sent, now));
+    long[] sorted = grantedUntil.clone();
     Arrays.sort(sorted);
-    end = sorted[sorted.length - fleet.majority()];
-    if (!held && now < end) {
+    leaseEnd = sorted[sorted.length - fleet.majority()];
+    if (!hadLease && now < leaseEnd) {
       term++;
       effects.add(new Effect.DropAll());
     }
@@ -143,30 +146,30 @@
         applied.remove(applied.iterator().next());
       }
     }
-    effects.add(new Effect.Send(purge.from(), new Applied(purge.run(), boot)));
+    effects.add(new Effect.Send(purge.coordinator(), new Applied(purge.run(), boot)));
   }
 
   /**
    * To be taken before a server is asked; null where there is no lease, and then the answer is not
    * kept.
    */
-  Point begin(long now) {
-    return now < end ? new Point(term, log.count(), now) : null;
+  Snapshot snapshot(long now) {
+    return now < leaseEnd ? new Snapshot(term, log.count(), now) : null;
   }
 
   /**
    * Whether an answer that was begun at a point may be served now. The one check that all serving
    * goes through.
    */
-  boolean mayServe(long now, String customer, String target, Point point) {
-    long seen = rules.lookedAt(now, sentAt[(int) (number % RENEWALS)]);
-    return seen + fleet.timing().guardMs() < end
-        && rules.sameTerm(point.term(), term)
-        && rules.clean(log, customer, target, point.count());
+  boolean mayServe(long now, String customer, String target, Snapshot snapshot) {
+    long checkTime = rules.leaseCheckTime(now, sentAt[(int) (number % RENEWALS)]);
+    return checkTime + fleet.timing().guardMs() < leaseEnd
+        && rules.sameTerm(snapshot.term(), term)
+        && rules.notPurgedSince(log, customer, target, snapshot.count());
   }
 
   /** Whether there is a lease. */
-  boolean held(long now) {
-    return now < end;
+  boolean hasLease(long now) {
+    return now < leaseEnd;
   }
 }
--- a/purge/src/main/java/willowdoor/purge/Message.java
+++ b/purge/src/main/java/willowdoor/purge/Message.java
@@ -16,20 +16,20 @@
   }
 
   /** A run of a purge; {@code from} is the member that coordinates it. */
-  record Purge(long run, int from, Scope scope) {}
+  record Purge(long run, int coordinator, Scope scope) {}
 
-  /** An id that a run serves, with {@link Scope#mark} of what was asked under it. */
-  record Claim(PurgeId id, int mark) {}
+  /** An id that a run serves, with {@link Scope#prefixHash} of what was asked under it. */
+  record PurgeRequest(PurgeId id, int prefixHash) {}
 
   /**
    * How a purge ended.
    *
    * @param confirmed how many holders carried it out
-   * @param ranOut members of which a lease had to run out, in order; the first {@value #TOLD} of
-   *     them
+   * @param ranOut members of which a lease had to run out, in order; the first {@value
+   *     #MAX_REPORTED} of them
    */
   record Result(int confirmed, List<Integer> ranOut) {
-    static final int TOLD = 64;
+    static final int MAX_REPORTED = 64;
 
     public Result {
       ranOut = List.copyOf(ranOut);
@@ -40,7 +40,7 @@
    * A lease that a keeper granted before it accepted a run, and how long its record of it still
    * runs.
    */
-  record Outstanding(HolderId holder, long leftMs) {}
+  record OutstandingLease(HolderId holder, long remainingMs) {}
 
   enum Reason {
     NOT_READY,
@@ -59,7 +59,8 @@
    * Holder to keeper. {@code heard}: the number of this keeper's latest answer, 0 before any;
    * {@code applied}: the runs of its last grant, which are carried out.
    */
-  record Renew(long boot, long number, long heard, List<Long> applied) implements Message {
+  record Renew(long boot, long number, long lastGrantNumber, List<Long> applied)
+      implements Message {
     public Renew {
       applied = List.copyOf(applied);
     }
@@ -69,16 +70,16 @@
    * Keeper to holder. With {@code more} it is no lease yet: further runs are to be carried out
    * first.
    */
-  record Grant(long boot, long number, boolean more, List<Purge> purges) implements Message {
+  record Grant(long boot, long number, boolean moreRuns, List<Purge> purges) implements Message {
     public Grant {
       purges = List.copyOf(purges);
     }
   }
 
   /** Coordinator to keeper; {@code number} counts the sendings of this run. */
-  record Accept(Purge purge, int number, List<Claim> claims) implements Message {
+  record Accept(Purge purge, int number, List<PurgeRequest> requests) implements Message {
     public Accept {
-      claims = List.copyOf(claims);
+      requests = List.copyOf(requests);
     }
   }
 
@@ -86,7 +87,8 @@
    * Keeper to coordinator: it holds the run since {@code acceptance}, a number used once, and of
    * the members of {@code page} these have leases that do not carry it.
    */
-  record Accepted(long run, int number, long acceptance, int page, List<Outstanding> outstanding)
+  record Accepted(
+      long run, int number, long acceptance, int page, List<OutstandingLease> outstanding)
       implements Message {
     public Accepted {
       outstanding = List.copyOf(outstanding);
@@ -105,22 +107,23 @@
   record Applied(long run, long boot) implements Message {}
 
   /** Coordinator to keeper: the run is complete. */
-  record Done(Purge purge, List<Claim> claims, Result result) implements Message {
+  record Done(Purge purge, List<PurgeRequest> requests, Result result) implements Message {
     public Done {
-      claims = List.copyOf(claims);
+      requests = List.copyOf(requests);
     }
   }
 
   /** Keeper to coordinator: it has noted that the run is done. */
-  record Noted(long run) implements Message {}
+  record DoneAck(long run) implements Message {}
 
   /** Any front door to keeper: what is known of an id? */
-  record Ask(long number, PurgeId id) implements Message {}
+  record StatusQuery(long number, PurgeId id) implements Message {}
 
   /**
    * The answer; scope and mark come with {@code DONE} and {@code OPEN}, the result with {@code
    * DONE}, else null.
    */
-  record Told(long number, PurgeId id, State state, Scope scope, int mark, Result result)
+  record StatusReply(
+      long number, PurgeId id, State state, Scope scope, int prefixHash, Result result)
       implements Message {}
 }
--- a/purge/src/main/java/willowdoor/purge/Fields.java
+++ b/purge/src/main/java/willowdoor/purge/MessageReader.java
@@ -10,57 +10,57 @@
 import willowdoor.purge.Message.Accepted;
 import willowdoor.purge.Message.Applied;
 import willowdoor.purge.Message.Apply;
-import willowdoor.purge.Message.Ask;
-import willowdoor.purge.Message.Claim;
 import willowdoor.purge.Message.Done;
+import willowdoor.purge.Message.DoneAck;
 import willowdoor.purge.Message.Grant;
 import willowdoor.purge.Message.HolderId;
-import willowdoor.purge.Message.Noted;
-import willowdoor.purge.Message.Outstanding;
+import willowdoor.purge.Message.OutstandingLease;
 import willowdoor.purge.Message.Purge;
+import willowdoor.purge.Message.PurgeRequest;
 import willowdoor.purge.Message.Reason;
 import willowdoor.purge.Message.Refused;
 import willowdoor.purge.Message.Renew;
 import willowdoor.purge.Message.Result;
 import willowdoor.purge.Message.State;
-import willowdoor.purge.Message.Told;
+import willowdoor.purge.Message.StatusQuery;
+import willowdoor.purge.Message.StatusReply;
 
 /**
  * The fields of one datagram, one behind the other; {@link IllegalArgumentException} for any that
  * is not right.
  */
-final class Fields {
+final class MessageReader {
   private static final long MAX_BOOT = 0xffff_ffffL;
   private static final long MAX_LEFT_MS = 0xffff;
   private static final int MAX_LIST = 128;
 
-  private interface Element<T> {
+  private interface ElementReader<T> {
     T read() throws IOException;
   }
 
   private final CBORParser parser;
   private JsonToken token;
 
-  Fields(CBORParser parser) {
+  MessageReader(CBORParser parser) {
     this.parser = parser;
   }
 
-  void open() throws IOException {
+  void openArray() throws IOException {
     expect(parser.nextToken() == JsonToken.START_ARRAY);
     token = parser.nextToken();
   }
 
   /** The array ends, and the datagram with it. */
-  void end() throws IOException {
+  void expectEnd() throws IOException {
     expect(token == JsonToken.END_ARRAY && parser.nextToken() == null);
   }
 
-  long number(long least, long most) throws IOException {
+  long number(long min, long max) throws IOException {
     expect(
         token == JsonToken.VALUE_NUMBER_INT
             && parser.getNumberType() != JsonParser.NumberType.BIG_INTEGER);
     long number = parser.getLongValue();
-    expect(number >= least && number <= most);
+    expect(number >= min && number <= max);
     token = parser.nextToken();
     return number;
   }
@@ -69,38 +69,38 @@
     int kind = (int) number(1, 11);
     switch (kind) {
       case 1:
-        return new Renew(boot(), whole(), whole(), list(this::whole));
+        return new Renew(boot(), nonNegative(), nonNegative(), list(this::nonNegative));
       case 2:
-        return new Grant(boot(), whole(), number(0, 1) == 1, list(this::purge));
+        return new Grant(boot(), nonNegative(), number(0, 1) == 1, list(this::purge));
       case 3:
         int number = count();
-        return new Accept(purge(), number, list(this::claim));
+        return new Accept(purge(), number, list(this::request));
       case 4:
         return accepted();
       case 5:
-        long refused = whole();
+        long refused = nonNegative();
         Reason reason = Reason.values()[(int) number(0, Reason.values().length - 1)];
         return new Refused(refused, reason, reason == Reason.KEY_USED ? id() : null);
       case 6:
         return new Apply(purge());
       case 7:
-        return new Applied(whole(), boot());
+        return new Applied(nonNegative(), boot());
       case 8:
-        return new Done(purge(), list(this::claim), result());
+        return new Done(purge(), list(this::request), result());
       case 9:
-        return new Noted(whole());
+        return new DoneAck(nonNegative());
       case 10:
-        return new Ask(whole(), id());
+        return new StatusQuery(nonNegative(), id());
       default:
-        return told();
+        return statusReply();
     }
   }
 
   private Accepted accepted() throws IOException {
-    long run = whole();
+    long run = nonNegative();
     int number = count();
-    long acceptance = whole();
-    int page = (int) number(0, Fleet.MAX_MEMBER / Fleet.PAGE);
+    long acceptance = nonNegative();
+    int page = (int) number(0, Fleet.MAX_MEMBER / Fleet.MEMBERS_PER_PAGE);
     return new Accepted(
         run,
         number,
@@ -108,24 +108,26 @@
         page,
         list(
             () -> {
-              int member = page * Fleet.PAGE + (int) number(0, Fleet.PAGE - 1);
-              return new Outstanding(new HolderId(member, boot()), number(0, MAX_LEFT_MS));
+              int member =
+                  page * Fleet.MEMBERS_PER_PAGE + (int) number(0, Fleet.MEMBERS_PER_PAGE - 1);
+              return new OutstandingLease(new HolderId(member, boot()), number(0, MAX_LEFT_MS));
             }));
   }
 
-  private Told told() throws IOException {
-    long number = whole();
+  private StatusReply statusReply() throws IOException {
+    long number = nonNegative();
     PurgeId id = id();
     State state = State.values()[(int) number(0, State.values().length - 1)];
     if (state != State.DONE && state != State.OPEN) {
-      return new Told(number, id, state, null, 0, null);
+      return new StatusReply(number, id, state, null, 0, null);
     }
     Scope scope = scope();
-    int mark = mark();
-    return new Told(number, id, state, scope, mark, state == State.DONE ? result() : null);
+    int prefixHash = prefixHash();
+    return new StatusReply(
+        number, id, state, scope, prefixHash, state == State.DONE ? result() : null);
   }
 
-  private <T> List<T> list(Element<T> element) throws IOException {
+  private <T> List<T> list(ElementReader<T> element) throws IOException {
     expect(token == JsonToken.START_ARRAY);
     token = parser.nextToken();
     List<T> list = new ArrayList<>();
@@ -138,15 +140,15 @@
   }
 
   private Purge purge() throws IOException {
-    return new Purge(whole(), member(), scope());
+    return new Purge(nonNegative(), member(), scope());
   }
 
   private Scope scope() throws IOException {
     return new Scope(text(), text());
   }
 
-  private Claim claim() throws IOException {
-    return new Claim(id(), mark());
+  private PurgeRequest request() throws IOException {
+    return new PurgeRequest(id(), prefixHash());
   }
 
   private PurgeId id() throws IOException {
@@ -157,7 +159,7 @@
   private Result result() throws IOException {
     int confirmed = count();
     List<Integer> ranOut = list(this::member);
-    expect(ranOut.size() <= Result.TOLD);
+    expect(ranOut.size() <= Result.MAX_REPORTED);
     return new Result(confirmed, ranOut);
   }
 
@@ -172,7 +174,7 @@
     return (int) number(0, Fleet.MAX_MEMBER);
   }
 
-  private int mark() throws IOException {
+  private int prefixHash() throws IOException {
     return (int) number(Integer.MIN_VALUE, Integer.MAX_VALUE);
   }
 
@@ -184,12 +186,12 @@
     return number(1, MAX_BOOT);
   }
 
-  private long whole() throws IOException {
+  private long nonNegative() throws IOException {
     return number(0, Long.MAX_VALUE);
   }
 
-  private static void expect(boolean right) {
-    if (!right) {
+  private static void expect(boolean valid) {
+    if (!valid) {
       throw new IllegalArgumentException("not a message");
     }
   }
--- a/purge/src/main/java/willowdoor/purge/Outcome.java
+++ b/purge/src/main/java/willowdoor/purge/Outcome.java
@@ -4,7 +4,7 @@
 
 /** How a call about a purge ends. */
 public sealed interface Outcome {
-  enum Why {
+  enum FailureReason {
     NO_MAJORITY,
     TOO_MANY,
     BUSY,
@@ -21,10 +21,10 @@
   record Pending(PurgeId id) implements Outcome {}
 
   /** It was not taken; {@code NO_MAJORITY} or {@code BUSY}. */
-  record Unavailable(PurgeId id, Why why) implements Outcome {}
+  record Unavailable(PurgeId id, FailureReason reason) implements Outcome {}
 
   /** It is not begun; {@code KEY_USED} or {@code TOO_MANY}. */
-  record Rejected(PurgeId id, Why why) implements Outcome {}
+  record Rejected(PurgeId id, FailureReason reason) implements Outcome {}
 
   /** A majority of keepers does not know this id of this customer. */
   record Unknown(PurgeId id) implements Outcome {}
--- a/purge/src/main/java/willowdoor/purge/PurgeApi.java
+++ b/purge/src/main/java/willowdoor/purge/PurgeApi.java
@@ -19,28 +19,28 @@
  */
 public final class PurgeApi {
   public static final String PATH = "/-/purge";
-  public static final int MOST_BODY_BYTES = 4_096;
-  private static final int MOST_KEY = 128;
-  private static final long MOST_TIMEOUT_MS = 60_000;
+  public static final int MAX_BODY_BYTES = 4_096;
+  private static final int MAX_KEY_LENGTH = 128;
+  private static final long MAX_TIMEOUT_MS = 60_000;
   private static final JsonFactory JSON =
       JsonFactory.builder().enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION).build();
 
   /** What a request asks for. */
   public sealed interface Call {}
 
-  public record Take(PurgeId id, Scope scope, long timeoutMs) implements Call {}
+  public record PurgeCall(PurgeId id, Scope scope, long timeoutMs) implements Call {}
 
-  public record Ask(PurgeId id, String customer, long timeoutMs) implements Call {}
+  public record StatusCall(PurgeId id, String customer, long timeoutMs) implements Call {}
 
   /** An answer whole; the body is JSON in UTF-8. */
-  public record Answer(int status, Map<String, String> headers, byte[] body) implements Call {}
+  public record Response(int status, Map<String, String> headers, byte[] body) implements Call {}
 
-  private static final class Wrong extends Exception {
+  private static final class InvalidRequestException extends Exception {
     private static final long serialVersionUID = 1;
     final int status;
 
-    Wrong(int status, String words) {
-      super(words, null, false, false);
+    InvalidRequestException(int status, String message) {
+      super(message, null, false, false);
       this.status = status;
     }
   }
@@ -48,7 +48,7 @@
   private PurgeApi() {}
 
   /** Whether a path is this part's to answer. */
-  public static boolean serves(String path) {
+  public static boolean handles(String path) {
     return path.equals(PATH) || path.startsWith(PATH + "/");
   }
 
@@ -57,21 +57,22 @@
    *
    * @param path without the query
    * @param header gives a header's value by its name in lower case, or null
-   * @param body up to {@value #MOST_BODY_BYTES} bytes are read; of a longer one at least one byte
+   * @param body up to {@value #MAX_BODY_BYTES} bytes are read; of a longer one at least one byte
    *     more is given
    */
   public static Call read(String method, String path, UnaryOperator<String> header, byte[] body) {
     try {
-      return path.equals(PATH) ? take(method, header, body) : ask(method, path, header);
-    } catch (Wrong wrong) {
+      return path.equals(PATH) ? readPurge(method, header, body) : readStatus(method, path, header);
+    } catch (InvalidRequestException e) {
       return error(
-          wrong.status,
-          wrong.getMessage(),
-          wrong.status == 405 ? Map.of("Allow", path.equals(PATH) ? "POST" : "GET") : Map.of());
+          e.status,
+          e.getMessage(),
+          e.status == 405 ? Map.of("Allow", path.equals(PATH) ? "POST" : "GET") : Map.of());
     }
   }
 
-  private static Call take(String method, UnaryOperator<String> header, byte[] body) throws Wrong {
+  private static Call readPurge(String method, UnaryOperator<String> header, byte[] body)
+      throws InvalidRequestException {
     require(
         method.equals("POST"),
         405,
@@ -80,24 +81,25 @@
     long timeoutMs = timeoutMs(header);
     String key = header.apply("idempotency-key");
     require(
-        key != null && Scope.visible(key, MOST_KEY),
+        key != null && Scope.isVisibleAscii(key, MAX_KEY_LENGTH),
         400,
         "Idempotency-Key must name this purge: 1 to "
-            + MOST_KEY
+            + MAX_KEY_LENGTH
             + " visible characters, new for each purge");
-    require(body.length <= MOST_BODY_BYTES, 413, "the body is over " + MOST_BODY_BYTES + " bytes");
-    return new Take(PurgeId.of(customer, key), new Scope(customer, prefix(body)), timeoutMs);
+    require(body.length <= MAX_BODY_BYTES, 413, "the body is over " + MAX_BODY_BYTES + " bytes");
+    return new PurgeCall(PurgeId.of(customer, key), new Scope(customer, prefix(body)), timeoutMs);
   }
 
-  private static Call ask(String method, String path, UnaryOperator<String> header) throws Wrong {
+  private static Call readStatus(String method, String path, UnaryOperator<String> header)
+      throws InvalidRequestException {
     PurgeId id =
         path.startsWith(PATH + "/") ? PurgeId.parse(path.substring(PATH.length() + 1)) : null;
     require(id != null, 404, "a purge is named by 32 hex digits: " + PATH + "/ID");
     require(method.equals("GET"), 405, "ask how a purge goes with GET");
-    return new Ask(id, customer(header), timeoutMs(header));
+    return new StatusCall(id, customer(header), timeoutMs(header));
   }
 
-  private static String customer(UnaryOperator<String> header) throws Wrong {
+  private static String customer(UnaryOperator<String> header) throws InvalidRequestException {
     String customer = header.apply("x-customer");
     require(
         customer != null && customer.matches("[0-9a-f]{16}"),
@@ -106,20 +108,20 @@
     return customer;
   }
 
-  private static long timeoutMs(UnaryOperator<String> header) throws Wrong {
+  private static long timeoutMs(UnaryOperator<String> header) throws InvalidRequestException {
     String timeout = header.apply("request-timeout-ms");
     require(
         timeout != null && timeout.matches("0*[1-9][0-9]{0,8}"),
         400,
         "Request-Timeout-Ms must be a whole number above nought");
-    return Math.min(Long.parseLong(timeout), MOST_TIMEOUT_MS);
+    return Math.min(Long.parseLong(timeout), MAX_TIMEOUT_MS);
   }
 
   /**
    * {@code {"all":true}} or {@code {"prefix":"/preview/"}}, nothing else: all is never purged by a
    * slip.
    */
-  private static String prefix(byte[] body) throws Wrong {
+  private static String prefix(byte[] body) throws InvalidRequestException {
     String form = "the body must be {\"all\":true} or {\"prefix\":\"/...\"}";
     String prefix;
     try (JsonParser parser = JSON.createParser(body)) {
@@ -138,28 +140,29 @@
       prefix = name.equals("all") ? "/" : parser.getText();
       require(parser.nextToken() == JsonToken.END_OBJECT && parser.nextToken() == null, 400, form);
     } catch (IOException e) {
-      throw new Wrong(400, form);
+      throw new InvalidRequestException(400, form);
     }
     require(
-        Scope.visible(prefix, Scope.MAX_PREFIX) && prefix.charAt(0) == '/',
+        Scope.isVisibleAscii(prefix, Scope.MAX_PREFIX) && prefix.charAt(0) == '/',
         400,
         "the prefix must begin with / and have up to "
             + Scope.MAX_PREFIX
             + " visible ASCII characters");
     require(
-        Targets.kept(prefix),
+        Targets.isCacheable(prefix),
         400,
         "no answer is kept of paths with %, \\ or #, or with empty, . or .. parts: it purges nothing");
     return prefix;
   }
 
-  private static void require(boolean right, int status, String words) throws Wrong {
-    if (!right) {
-      throw new Wrong(status, words);
+  private static void require(boolean valid, int status, String message)
+      throws InvalidRequestException {
+    if (!valid) {
+      throw new InvalidRequestException(status, message);
     }
   }
 
-  public static Answer answer(Outcome outcome) {
+  public static Response response(Outcome outcome) {
     if (outcome instanceof Outcome.Complete complete) {
       return json(
           200,
@@ -187,28 +190,28 @@
     if (outcome instanceof Outcome.Unavailable unavailable) {
       return error(
           503,
-          unavailable.why() == Outcome.Why.BUSY
+          unavailable.reason() == Outcome.FailureReason.BUSY
               ? "nothing is promised: too many purges are out; try again with the same key"
               : "nothing is promised: too few keepers answered; try again with the same key",
           Map.of("Retry-After", "1"));
     }
     if (outcome instanceof Outcome.Rejected rejected) {
-      return rejected.why() == Outcome.Why.KEY_USED
+      return rejected.reason() == Outcome.FailureReason.KEY_USED
           ? error(409, "this Idempotency-Key was used for another purge", Map.of())
           : error(429, "too many purges of this customer are waiting", Map.of("Retry-After", "1"));
     }
     return error(404, "no purge of this customer has this id, or it is forgotten", Map.of());
   }
 
-  private interface Body {
+  private interface BodyWriter {
     void write(JsonGenerator out) throws IOException;
   }
 
-  private static Answer error(int status, String words, Map<String, String> headers) {
-    return json(status, headers, out -> out.writeStringField("error", words));
+  private static Response error(int status, String message, Map<String, String> headers) {
+    return json(status, headers, out -> out.writeStringField("error", message));
   }
 
-  private static Answer json(int status, Map<String, String> headers, Body body) {
+  private static Response json(int status, Map<String, String> headers, BodyWriter body) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (JsonGenerator out = JSON.createGenerator(bytes)) {
       out.writeStartObject();
@@ -219,6 +222,6 @@
     }
     Map<String, String> all = new TreeMap<>(headers);
     all.put("Content-Type", "application/json; charset=" + StandardCharsets.UTF_8);
-    return new Answer(status, all, bytes.toByteArray());
+    return new Response(status, all, bytes.toByteArray());
   }
 }
--- a/purge/src/main/java/willowdoor/purge/PurgeLog.java
+++ b/purge/src/main/java/willowdoor/purge/PurgeLog.java
@@ -12,22 +12,22 @@
   private static final int MAX_PREFIXES = 16;
   private static final int MAX_CUSTOMERS = 4_096;
 
-  private record Line(String prefix, long count) {}
+  private record PurgedPrefix(String prefix, long count) {}
 
   private long count;
-  private long forgotten;
+  private long evictedCount;
 
   /** By customer, the one purged last at the end. The lists are never changed. */
-  private final LinkedHashMap<String, List<Line>> lines;
+  private final LinkedHashMap<String, List<PurgedPrefix>> prefixesByCustomer;
 
   PurgeLog() {
-    lines = new LinkedHashMap<>();
+    prefixesByCustomer = new LinkedHashMap<>();
   }
 
   PurgeLog(PurgeLog other) {
     count = other.count;
-    forgotten = other.forgotten;
-    lines = new LinkedHashMap<>(other.lines);
+    evictedCount = other.evictedCount;
+    prefixesByCustomer = new LinkedHashMap<>(other.prefixesByCustomer);
   }
 
   long count() {
@@ -36,32 +36,33 @@
 
   void add(Scope scope) {
     count++;
-    List<Line> kept = new ArrayList<>();
-    for (Line line : lines.getOrDefault(scope.customer(), List.of())) {
+    List<PurgedPrefix> kept = new ArrayList<>();
+    for (PurgedPrefix line : prefixesByCustomer.getOrDefault(scope.customer(), List.of())) {
       if (!line.prefix.startsWith(scope.prefix())) {
         kept.add(line);
       }
     }
     if (kept.size() == MAX_PREFIXES) {
       kept.clear();
-      kept.add(new Line("/", count));
+      kept.add(new PurgedPrefix("/", count));
     } else {
-      kept.add(new Line(scope.prefix(), count));
+      kept.add(new PurgedPrefix(scope.prefix(), count));
     }
-    lines.remove(scope.customer());
-    lines.put(scope.customer(), kept);
-    if (lines.size() > MAX_CUSTOMERS) {
-      List<Line> eldest = lines.remove(lines.keySet().iterator().next());
-      forgotten = eldest.get(eldest.size() - 1).count;
+    prefixesByCustomer.remove(scope.customer());
+    prefixesByCustomer.put(scope.customer(), kept);
+    if (prefixesByCustomer.size() > MAX_CUSTOMERS) {
+      List<PurgedPrefix> eldest =
+          prefixesByCustomer.remove(prefixesByCustomer.keySet().iterator().next());
+      evictedCount = eldest.get(eldest.size() - 1).count;
     }
   }
 
   /** Whether no purge of this target came after the first {@code since} ones. */
-  boolean clean(String customer, String target, long since) {
-    if (since < forgotten) {
+  boolean notPurgedSince(String customer, String target, long since) {
+    if (since < evictedCount) {
       return false;
     }
-    for (Line line : lines.getOrDefault(customer, List.of())) {
+    for (PurgedPrefix line : prefixesByCustomer.getOrDefault(customer, List.of())) {
       if (line.count > since && target.startsWith(line.prefix)) {
         return false;
       }
--- a/purge/src/main/java/willowdoor/purge/PurgeNode.java
+++ b/purge/src/main/java/willowdoor/purge/PurgeNode.java
@@ -27,12 +27,12 @@
    * @param fleet who is there, and the times
    * @param name of the fleet: those of another name are not heard
    * @param self this front door's number
-   * @param keptBytes of memory for kept answers, about
-   * @param keptMs how long an answer is served at most
+   * @param cacheBytes of memory for kept answers, about
+   * @param cacheTtlMs how long an answer is served at most
    */
-  public record Settings(Fleet fleet, String name, int self, long keptBytes, long keptMs) {
+  public record Settings(Fleet fleet, String name, int self, long cacheBytes, long cacheTtlMs) {
     public Settings {
-      if (!fleet.members().contains(self) || keptBytes < 1 || keptMs < 1) {
+      if (!fleet.members().contains(self) || cacheBytes < 1 || cacheTtlMs < 1) {
         throw new IllegalArgumentException(
             "a member of the fleet, and something to keep for some time");
       }
@@ -44,13 +44,13 @@
   private final LongSupplier clock;
   private final Datagrams datagrams;
   private final Codec codec;
-  private final Holder holder;
+  private final LeaseHolder holder;
 
   /** Null where this front door is none. */
-  private final Keeper keeper;
+  private final Acceptor acceptor;
 
   private final Coordinator coordinator;
-  private final KeptAnswers<A> kept;
+  private final AnswerCache<A> cache;
   private final Map<Long, Consumer<Outcome>> callers = new HashMap<>();
   private long lastCaller;
   private long renewAt;
@@ -75,18 +75,18 @@
     codec = new Codec(settings.name, settings.fleet);
     long boot = random.nextLong(1, 1L << 32);
     renewAt = clock.getAsLong();
-    holder = new Holder(settings.fleet, boot, Rules.NORMAL);
-    keeper =
-        settings.fleet.keepers().contains(self)
-            ? new Keeper(settings.fleet, boot, renewAt, Rules.NORMAL)
+    holder = new LeaseHolder(settings.fleet, boot, Rules.NORMAL);
+    acceptor =
+        settings.fleet.acceptors().contains(self)
+            ? new Acceptor(settings.fleet, boot, renewAt, Rules.NORMAL)
             : null;
     coordinator = new Coordinator(settings.fleet, self, boot, Rules.NORMAL);
-    kept = new KeptAnswers<>(holder, settings.keptBytes, settings.keptMs, bytes);
+    cache = new AnswerCache<>(holder, settings.cacheBytes, settings.cacheTtlMs, bytes);
   }
 
   /** What is kept; the times that it asks for are this node's {@link #now}. */
-  public KeptAnswers<A> kept() {
-    return kept;
+  public AnswerCache<A> cache() {
+    return cache;
   }
 
   public long now() {
@@ -94,8 +94,8 @@
   }
 
   /** Whether answers may be served from what is kept. */
-  public boolean leased() {
-    return holder.held(now());
+  public boolean hasLease() {
+    return holder.hasLease(now());
   }
 
   /** Datagrams that were dropped, by why. */
@@ -108,8 +108,8 @@
   public void onDatagram(int from, byte[] datagram) {
     try {
       deliver(from, codec.decode(datagram));
-      drain();
-    } catch (Codec.Dropped e) {
+      deliverToSelf();
+    } catch (Codec.DroppedDatagramException e) {
       dropped.merge(e.fault, 1L, Long::sum);
     }
   }
@@ -118,69 +118,69 @@
     long now = now();
     if (now >= renewAt) {
       renewAt = now + timing.renewMs();
-      carryOut(holder.renew(now));
+      execute(holder.renew(now));
     }
     if (coordinator.busy()) {
-      carryOut(coordinator.tick(now()));
+      execute(coordinator.tick(now()));
     }
-    drain();
+    deliverToSelf();
   }
 
   /**
    * A customer's purge.
    *
    * @param timeoutMs the caller's time from now, above nought
-   * @param answer called once, on this thread, unless {@link #leave} comes first
-   * @return for {@link #leave}
+   * @param answer called once, on this thread, unless {@link #removeCaller} comes first
+   * @return for {@link #removeCaller}
    */
-  public long take(PurgeId id, Scope scope, long timeoutMs, Consumer<Outcome> answer) {
+  public long purge(PurgeId id, Scope scope, long timeoutMs, Consumer<Outcome> answer) {
     long now = now();
     callers.put(++lastCaller, answer);
     long caller = lastCaller;
-    carryOut(coordinator.take(now, caller, id, scope, now + timeoutMs));
-    drain();
+    execute(coordinator.purge(now, caller, id, scope, now + timeoutMs));
+    deliverToSelf();
     return caller;
   }
 
-  /** How a purge of this customer goes; otherwise as {@link #take}. */
-  public long ask(PurgeId id, String customer, long timeoutMs, Consumer<Outcome> answer) {
+  /** How a purge of this customer goes; otherwise as {@link #purge}. */
+  public long queryStatus(PurgeId id, String customer, long timeoutMs, Consumer<Outcome> answer) {
     long now = now();
     callers.put(++lastCaller, answer);
     long caller = lastCaller;
-    carryOut(coordinator.ask(now, caller, id, customer, now + timeoutMs));
-    drain();
+    execute(coordinator.queryStatus(now, caller, id, customer, now + timeoutMs));
+    deliverToSelf();
     return caller;
   }
 
   /** The caller has gone. */
-  public void leave(long caller) {
+  public void removeCaller(long caller) {
     callers.remove(caller);
-    coordinator.leave(caller);
+    coordinator.removeCaller(caller);
   }
 
   /** Each part takes what is meant for it; the clock is read when the message is there. */
   private void deliver(int from, Message message) {
-    List<Effect> effects = new ArrayList<>(holder.on(now(), from, message));
-    if (keeper != null) {
-      effects.addAll(keeper.on(now(), from, message));
+    List<Effect> effects = new ArrayList<>(holder.onMessage(now(), from, message));
+    if (acceptor != null) {
+      effects.addAll(acceptor.onMessage(now(), from, message));
     }
-    effects.addAll(coordinator.on(now(), from, message));
-    carryOut(effects);
+    effects.addAll(coordinator.onMessage(now(), from, message));
+    execute(effects);
   }
 
   /** What this front door sends to itself does not go through the network. */
-  private void drain() {
+  private void deliverToSelf() {
     while (!toSelf.isEmpty()) {
       deliver(self, toSelf.poll());
     }
   }
 
-  private void carryOut(List<Effect> effects) {
+  private void execute(List<Effect> effects) {
     for (Effect effect : effects) {
       if (effect instanceof Effect.Drop drop) {
-        kept.drop(drop.scope());
+        cache.drop(drop.scope());
       } else if (effect instanceof Effect.DropAll) {
-        kept.dropAll();
+        cache.dropAll();
       } else if (effect instanceof Effect.Send send && send.to() == self) {
         toSelf.add(send.message());
       } else if (effect instanceof Effect.Send send) {
--- a/purge/src/main/java/willowdoor/purge/Round.java
+++ b/purge/src/main/java/willowdoor/purge/PurgeRun.java
@@ -11,47 +11,47 @@
 import willowdoor.purge.Message.Accepted;
 import willowdoor.purge.Message.Applied;
 import willowdoor.purge.Message.Apply;
-import willowdoor.purge.Message.Claim;
 import willowdoor.purge.Message.HolderId;
-import willowdoor.purge.Message.Outstanding;
+import willowdoor.purge.Message.OutstandingLease;
 import willowdoor.purge.Message.Purge;
+import willowdoor.purge.Message.PurgeRequest;
 import willowdoor.purge.Message.Result;
 
 /** One run of a purge at its coordinator: whom it reached, and when the promise holds. */
-final class Round {
-  private static final int MAX_CLAIMS = 32;
-  private static final int MAX_GAP = 8;
+final class PurgeRun {
+  private static final int MAX_REQUESTS = 32;
+  private static final int MAX_GAP_FACTOR = 8;
 
   /**
    * What one keeper said of one acceptance. {@code waits}: by the coordinator's clock, until when a
    * lease may run.
    */
-  private static final class Witness {
+  private static final class AcceptorState {
     final long acceptance;
     int number;
 
     /** By page: when the latest sending that it answers was sent, -1 before any. */
     final long[] sentAt;
 
-    final TreeMap<HolderId, Long> waits;
+    final TreeMap<HolderId, Long> leaseEnds;
 
-    Witness(long acceptance, int pages) {
+    AcceptorState(long acceptance, int pages) {
       this.acceptance = acceptance;
       sentAt = new long[pages];
       Arrays.fill(sentAt, -1);
-      waits = new TreeMap<>();
+      leaseEnds = new TreeMap<>();
     }
 
-    Witness(Witness other) {
+    AcceptorState(AcceptorState other) {
       acceptance = other.acceptance;
       number = other.number;
       sentAt = other.sentAt.clone();
-      waits = new TreeMap<>(other.waits);
+      leaseEnds = new TreeMap<>(other.leaseEnds);
     }
 
-    boolean counts(long now, long countMs) {
+    boolean isValid(long now, long validMs) {
       for (long sent : sentAt) {
-        if (sent < 0 || now >= sent + countMs) {
+        if (sent < 0 || now >= sent + validMs) {
           return false;
         }
       }
@@ -62,56 +62,57 @@
   private final Fleet fleet;
   private final Rules rules;
   private Purge purge;
-  private final LinkedHashMap<PurgeId, Claim> claims;
+  private final LinkedHashMap<PurgeId, PurgeRequest> requests;
 
   /** When each sending was made; empty while it waits for a place. */
   private final List<Long> sentAt;
 
   private long resendAt;
-  private long gap;
+  private long gapMs;
   private boolean committed;
   private boolean full;
-  private final TreeMap<Integer, Witness> witnesses;
+  private final TreeMap<Integer, AcceptorState> acceptorStates;
   private final TreeSet<HolderId> applied;
 
   /** Holders that a keeper has named and that have not confirmed. */
-  private final TreeSet<HolderId> pending;
+  private final TreeSet<HolderId> unconfirmed;
 
-  Round(Fleet fleet, Rules rules, Purge purge, Claim claim) {
+  PurgeRun(Fleet fleet, Rules rules, Purge purge, PurgeRequest request) {
     this.fleet = fleet;
     this.rules = rules;
     this.purge = purge;
-    claims = new LinkedHashMap<>();
-    claims.put(claim.id(), claim);
+    requests = new LinkedHashMap<>();
+    requests.put(request.id(), request);
     sentAt = new ArrayList<>();
-    gap = fleet.timing().resendMs();
-    witnesses = new TreeMap<>();
+    gapMs = fleet.timing().resendMs();
+    acceptorStates = new TreeMap<>();
     applied = new TreeSet<>();
-    pending = new TreeSet<>();
+    unconfirmed = new TreeSet<>();
   }
 
-  Round(Round other) {
+  PurgeRun(PurgeRun other) {
     fleet = other.fleet;
     rules = other.rules;
     purge = other.purge;
-    claims = new LinkedHashMap<>(other.claims);
+    requests = new LinkedHashMap<>(other.requests);
     sentAt = new ArrayList<>(other.sentAt);
     resendAt = other.resendAt;
-    gap = other.gap;
+    gapMs = other.gapMs;
     committed = other.committed;
     full = other.full;
-    witnesses = new TreeMap<>();
-    other.witnesses.forEach((keeper, witness) -> witnesses.put(keeper, new Witness(witness)));
+    acceptorStates = new TreeMap<>();
+    other.acceptorStates.forEach(
+        (acceptor, state) -> acceptorStates.put(acceptor, new AcceptorState(state)));
     applied = new TreeSet<>(other.applied);
-    pending = new TreeSet<>(other.pending);
+    unconfirmed = new TreeSet<>(other.unconfirmed);
   }
 
   Purge purge() {
     return purge;
   }
 
-  Map<PurgeId, Claim> claims() {
-    return claims;
+  Map<PurgeId, PurgeRequest> requests() {
+    return requests;
   }
 
   boolean started() {
@@ -128,7 +129,7 @@
     return full;
   }
 
-  void refusedForRoom() {
+  void markFull() {
     full = true;
   }
 
@@ -137,34 +138,34 @@
   }
 
   /** Takes a purge into this run, which is not sent yet, where one covers the other. */
-  boolean join(Claim claim, Scope scope) {
+  boolean join(PurgeRequest request, Scope scope) {
     boolean wider = scope.covers(purge.scope());
-    if (started() || claims.size() >= MAX_CLAIMS || !wider && !purge.scope().covers(scope)) {
+    if (started() || requests.size() >= MAX_REQUESTS || !wider && !purge.scope().covers(scope)) {
       return false;
     }
     if (wider) {
-      purge = new Purge(purge.run(), purge.from(), scope);
+      purge = new Purge(purge.run(), purge.coordinator(), scope);
     }
-    claims.put(claim.id(), claim);
+    requests.put(request.id(), request);
     return true;
   }
 
   /** First to all; then, when it is due, to the keepers and those that are still waited for. */
-  List<Effect> due(long now) {
+  List<Effect> sendIfDue(long now) {
     List<Effect> effects = new ArrayList<>();
     if (now < resendAt) {
       return effects;
     }
     boolean first = !started();
-    Accept accept = new Accept(purge, sentAt.size(), List.copyOf(claims.values()));
+    Accept accept = new Accept(purge, sentAt.size(), List.copyOf(requests.values()));
     sentAt.add(now);
-    resendAt = now + gap;
-    gap = Math.min(2 * gap, MAX_GAP * fleet.timing().resendMs());
-    for (int keeper : fleet.keepers()) {
-      effects.add(new Effect.Send(keeper, accept));
+    resendAt = now + gapMs;
+    gapMs = Math.min(2 * gapMs, MAX_GAP_FACTOR * fleet.timing().resendMs());
+    for (int acceptor : fleet.acceptors()) {
+      effects.add(new Effect.Send(acceptor, accept));
     }
     TreeSet<Integer> members = new TreeSet<>(first ? fleet.members() : List.of());
-    for (HolderId holder : pending) {
+    for (HolderId holder : unconfirmed) {
       members.add(holder.member());
     }
     for (int member : members) {
@@ -173,52 +174,55 @@
     return effects;
   }
 
-  void on(int from, Applied message) {
+  void onMessage(int from, Applied message) {
     HolderId holder = new HolderId(from, message.boot());
     if (applied.size() < 4 * fleet.members().size() && fleet.members().contains(from)) {
       applied.add(holder);
-      pending.remove(holder);
+      unconfirmed.remove(holder);
     }
   }
 
-  void on(long now, int from, Accepted message) {
+  void onMessage(long now, int from, Accepted message) {
     int page = message.page();
     if (message.number() < 0
         || message.number() >= sentAt.size()
         || page < 0
         || page >= fleet.pages()
-        || !fleet.keepers().contains(from)) {
+        || !fleet.acceptors().contains(from)) {
       return;
     }
-    Witness witness = witnesses.get(from);
-    if (witness == null
-        || witness.acceptance != message.acceptance() && message.number() >= witness.number) {
-      witness = new Witness(message.acceptance(), fleet.pages());
-      witnesses.put(from, witness);
-    } else if (witness.acceptance != message.acceptance()) {
+    AcceptorState state = acceptorStates.get(from);
+    if (state == null
+        || state.acceptance != message.acceptance() && message.number() >= state.number) {
+      state = new AcceptorState(message.acceptance(), fleet.pages());
+      acceptorStates.put(from, state);
+    } else if (state.acceptance != message.acceptance()) {
       return;
     }
-    witness.number = Math.max(witness.number, message.number());
+    state.number = Math.max(state.number, message.number());
     // What one answer of an acceptance does not name any more is settled for good, whatever order
     // they come
     // in.
-    boolean first = witness.sentAt[page] < 0;
-    witness.sentAt[page] = Math.max(witness.sentAt[page], sentAt.get(message.number()));
+    boolean first = state.sentAt[page] < 0;
+    state.sentAt[page] = Math.max(state.sentAt[page], sentAt.get(message.number()));
     TreeMap<HolderId, Long> named = new TreeMap<>();
-    for (Outstanding lease : message.outstanding()) {
-      named.put(lease.holder(), now + lease.leftMs() + fleet.timing().roundMs());
+    for (OutstandingLease lease : message.outstanding()) {
+      named.put(lease.holder(), now + lease.remainingMs() + fleet.timing().roundMs());
     }
     if (!first) {
-      named.keySet().retainAll(witness.waits.keySet());
-      witness
-          .waits
+      named.keySet().retainAll(state.leaseEnds.keySet());
+      state
+          .leaseEnds
           .keySet()
-          .removeIf(holder -> holder.member() / Fleet.PAGE == page && !named.containsKey(holder));
+          .removeIf(
+              holder ->
+                  holder.member() / Fleet.MEMBERS_PER_PAGE == page && !named.containsKey(holder));
     }
-    named.forEach((holder, wait) -> witnesses.get(from).waits.merge(holder, wait, Math::min));
+    named.forEach(
+        (holder, wait) -> acceptorStates.get(from).leaseEnds.merge(holder, wait, Math::min));
     for (HolderId holder : named.keySet()) {
       if (!applied.contains(holder)) {
-        pending.add(holder);
+        unconfirmed.add(holder);
       }
     }
   }
@@ -227,22 +231,22 @@
    * Whether no front door serves what was begun before: the rule that {@code docs/purge.md} proves.
    */
   boolean complete(long now) {
-    List<Witness> counted = new ArrayList<>();
-    for (Witness witness : witnesses.values()) {
-      if (witness.counts(now, rules.countMs(fleet.timing()))) {
-        counted.add(witness);
+    List<AcceptorState> counted = new ArrayList<>();
+    for (AcceptorState state : acceptorStates.values()) {
+      if (state.isValid(now, rules.acceptanceValidMs(fleet.timing()))) {
+        counted.add(state);
       }
     }
     if (counted.size() < rules.majority(fleet)) {
       return false;
     }
     committed = true;
-    for (HolderId holder : pending) {
-      int bare = fleet.keepers().size() - counted.size();
-      for (Witness witness : counted) {
-        bare += witness.waits.getOrDefault(holder, now) > now ? 1 : 0;
+    for (HolderId holder : unconfirmed) {
+      int uncovered = fleet.acceptors().size() - counted.size();
+      for (AcceptorState state : counted) {
+        uncovered += state.leaseEnds.getOrDefault(holder, now) > now ? 1 : 0;
       }
-      if (bare >= fleet.majority()) {
+      if (uncovered >= fleet.majority()) {
         return false;
       }
     }
@@ -251,9 +255,9 @@
 
   Result result() {
     TreeSet<Integer> ranOut = new TreeSet<>();
-    for (HolderId holder : pending) {
+    for (HolderId holder : unconfirmed) {
       ranOut.add(holder.member());
     }
-    return new Result(applied.size(), ranOut.stream().limit(Result.TOLD).toList());
+    return new Result(applied.size(), ranOut.stream().limit(Result.MAX_REPORTED).toList());
   }
 }
--- a/purge/src/main/java/willowdoor/purge/Rules.java
+++ b/purge/src/main/java/willowdoor/purge/Rules.java
@@ -16,23 +16,23 @@
   }
 
   /** A holder counts a grant from the sending of its request, as the keeper granted no earlier. */
-  long countedUntil(Timing timing, long sentAt, long receivedAt) {
+  long grantCountedUntil(Timing timing, long sentAt, long receivedAt) {
     return sentAt + timing.leaseMs();
   }
 
   /** A lease is looked at on the clock at each use, not when the timer last fired. */
-  long lookedAt(long now, long lastTimer) {
+  long leaseCheckTime(long now, long lastTimer) {
     return now;
   }
 
   /** A grant carries each run that the holder has not confirmed to this keeper. */
-  boolean carries() {
+  boolean grantsCarryRuns() {
     return true;
   }
 
   /** What was begun before a purge was carried out is not served after it. */
-  boolean clean(PurgeLog log, String customer, String target, long count) {
-    return log.clean(customer, target, count);
+  boolean notPurgedSince(PurgeLog log, String customer, String target, long count) {
+    return log.notPurgedSince(customer, target, count);
   }
 
   /** What was kept or begun before a lapse is not served after it. */
@@ -46,7 +46,7 @@
   }
 
   /** An acceptance counts so long from the sending of what it answers. */
-  long countMs(Timing timing) {
+  long acceptanceValidMs(Timing timing) {
     return timing.boundMs();
   }
 
@@ -54,7 +54,7 @@
    * A keeper takes a grant to be counted until that is over on any clock, also on those of
    * coordinators.
    */
-  long recordMs(Timing timing) {
+  long leaseRecordMs(Timing timing) {
     return timing.stretch(timing.leaseMs());
   }
 }
--- a/purge/src/main/java/willowdoor/purge/Scope.java
+++ b/purge/src/main/java/willowdoor/purge/Scope.java
@@ -12,8 +12,8 @@
   static final int MAX_PREFIX = 256;
 
   public Scope {
-    if (!visible(customer, MAX_CUSTOMER)
-        || !visible(prefix, MAX_PREFIX)
+    if (!isVisibleAscii(customer, MAX_CUSTOMER)
+        || !isVisibleAscii(prefix, MAX_PREFIX)
         || prefix.charAt(0) != '/') {
       throw new IllegalArgumentException("a customer, and a prefix that begins with /");
     }
@@ -28,14 +28,14 @@
   }
 
   /** Tells one prefix asked for under a key from another; the same in each process. */
-  int mark() {
+  int prefixHash() {
     return prefix.hashCode();
   }
 
-  /** Whether it is 1 to {@code most} characters that ASCII shows, without spaces. */
-  static boolean visible(String text, int most) {
+  /** Whether it is 1 to {@code maxLength} characters that ASCII shows, without spaces. */
+  static boolean isVisibleAscii(String text, int maxLength) {
     return !text.isEmpty()
-        && text.length() <= most
+        && text.length() <= maxLength
         && text.chars().allMatch(c -> c > ' ' && c < 127);
   }
 }
--- a/purge/src/main/java/willowdoor/purge/Targets.java
+++ b/purge/src/main/java/willowdoor/purge/Targets.java
@@ -4,18 +4,18 @@
 
 /** Which targets can be kept: those with one spelling only, as purges go by the text. */
 final class Targets {
-  static final int MOST = 2_048;
+  static final int MAX_LENGTH = 2_048;
 
   /** Percent signs, back slashes, empty parts, and parts of one or two dots. */
-  private static final Pattern SPELT_OTHERWISE = Pattern.compile("[%\\\\#]|//|/\\.\\.?(/|$)");
+  private static final Pattern AMBIGUOUS_PATH = Pattern.compile("[%\\\\#]|//|/\\.\\.?(/|$)");
 
   private Targets() {}
 
-  static boolean kept(String target) {
+  static boolean isCacheable(String target) {
     int query = target.indexOf('?');
     String path = query < 0 ? target : target.substring(0, query);
-    return Scope.visible(target, MOST)
+    return Scope.isVisibleAscii(target, MAX_LENGTH)
         && target.charAt(0) == '/'
-        && !SPELT_OTHERWISE.matcher(path).find();
+        && !AMBIGUOUS_PATH.matcher(path).find();
   }
 }
--- a/purge/src/main/java/willowdoor/purge/UdpDatagrams.java
+++ b/purge/src/main/java/willowdoor/purge/UdpDatagrams.java
@@ -23,7 +23,7 @@
   private final Map<Integer, InetSocketAddress> addresses;
   private final Map<InetSocketAddress, Integer> members = new HashMap<>();
   private Channel channel;
-  private long strangers;
+  private long unknownSenders;
   private long unsent;
 
   /** {@code addresses}: by member, resolved. */
@@ -49,7 +49,7 @@
                       ChannelHandlerContext context, DatagramPacket packet) {
                     Integer member = members.get(packet.sender());
                     if (member == null) {
-                      strangers++;
+                      unknownSenders++;
                     } else {
                       receiver.accept(member, ByteBufUtil.getBytes(packet.content()));
                     }
@@ -79,8 +79,8 @@
   }
 
   /** Datagrams from addresses that are not in the roster, which are dropped. */
-  public long strangers() {
-    return strangers;
+  public long unknownSenders() {
+    return unknownSenders;
   }
 
   /** Datagrams that could not be handed to the kernel. */
--- a/purge/src/main/java/willowdoor/purge/Callers.java
+++ b/purge/src/main/java/willowdoor/purge/WaitingCallers.java
@@ -6,33 +6,33 @@
 import java.util.Map;
 
 /** Those that wait for the end of a purge, by its id. */
-final class Callers {
-  static final int MOST = 4_096;
+final class WaitingCallers {
+  static final int MAX_CALLERS = 4_096;
 
   /** {@code asks}: it only asks how the purge goes. */
-  record Caller(long caller, String customer, boolean asks, long deadline) {}
+  record Caller(long number, String customer, boolean statusOnly, long deadline) {}
 
   /** The lists are never changed. */
   private final LinkedHashMap<PurgeId, List<Caller>> byId = new LinkedHashMap<>();
 
   private int size;
 
-  Callers() {}
+  WaitingCallers() {}
 
-  Callers(Callers other) {
+  WaitingCallers(WaitingCallers other) {
     byId.putAll(other.byId);
     size = other.size;
   }
 
   boolean full() {
-    return size >= MOST;
+    return size >= MAX_CALLERS;
   }
 
   boolean isEmpty() {
     return byId.isEmpty();
   }
 
-  boolean waitFor(PurgeId id) {
+  boolean hasCallersFor(PurgeId id) {
     return byId.containsKey(id);
   }
 
@@ -44,15 +44,15 @@
   }
 
   /** Takes all out that wait for an id. */
-  List<Caller> take(PurgeId id) {
+  List<Caller> removeAll(PurgeId id) {
     List<Caller> list = byId.remove(id);
     size -= list == null ? 0 : list.size();
     return list == null ? List.of() : list;
   }
 
-  void leave(long caller) {
+  void remove(long caller) {
     for (Map.Entry<PurgeId, List<Caller>> entry : byId.entrySet()) {
-      List<Caller> rest = entry.getValue().stream().filter(one -> one.caller != caller).toList();
+      List<Caller> rest = entry.getValue().stream().filter(one -> one.number != caller).toList();
       size -= entry.getValue().size() - rest.size();
       entry.setValue(rest);
     }
@@ -60,7 +60,7 @@
   }
 
   /** The ids for which somebody waits whose time is over. */
-  List<PurgeId> late(long now) {
+  List<PurgeId> overdueIds(long now) {
     List<PurgeId> ids = new ArrayList<>();
     byId.forEach(
         (id, list) -> {
--- a/purge/src/test/java/willowdoor/purge/KeptAnswersTest.java
+++ b/purge/src/test/java/willowdoor/purge/AnswerCacheTest.java
@@ -7,42 +7,42 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import willowdoor.purge.KeptAnswers.Alone;
-import willowdoor.purge.KeptAnswers.Found;
-import willowdoor.purge.KeptAnswers.Hit;
-import willowdoor.purge.KeptAnswers.Lead;
-import willowdoor.purge.KeptAnswers.Waits;
+import willowdoor.purge.AnswerCache.Bypass;
+import willowdoor.purge.AnswerCache.Hit;
+import willowdoor.purge.AnswerCache.Lookup;
+import willowdoor.purge.AnswerCache.Miss;
+import willowdoor.purge.AnswerCache.Queued;
 import willowdoor.purge.Message.Apply;
 import willowdoor.purge.Message.Grant;
 import willowdoor.purge.Message.Purge;
 
-class KeptAnswersTest {
-  private final Holder holder =
-      new Holder(
+class AnswerCacheTest {
+  private final LeaseHolder holder =
+      new LeaseHolder(
           new Fleet(List.of(0), List.of(0), new Timing(60_000, 50_000, 10, 100, 50, 1, 1)),
           5,
           Rules.NORMAL);
-  private final KeptAnswers<byte[]> kept =
-      new KeptAnswers<>(holder, 100_000, 10_000, answer -> answer.length);
-  private final List<Found<byte[]>> waited = new ArrayList<>();
+  private final AnswerCache<byte[]> kept =
+      new AnswerCache<>(holder, 100_000, 10_000, answer -> answer.length);
+  private final List<Lookup<byte[]>> waited = new ArrayList<>();
   private long runs;
 
   private void lease(long now) {
     holder.renew(now);
-    holder.on(now, 0, new Grant(5, now == 0 ? 1 : 2, false, List.of()));
+    holder.onMessage(now, 0, new Grant(5, now == 0 ? 1 : 2, false, List.of()));
   }
 
-  private Found<byte[]> find(long now, String target, long endMs) {
+  private Lookup<byte[]> find(long now, String target, long endMs) {
     return kept.find(now, "c", target, endMs, waited::add);
   }
 
-  private KeptAnswers.Fill<byte[]> lead(long now, String target) {
-    return ((Lead<byte[]>) find(now, target, now + 1_000)).fill();
+  private AnswerCache.Fill<byte[]> lead(long now, String target) {
+    return ((Miss<byte[]>) find(now, target, now + 1_000)).fill();
   }
 
   private void purge(long now, String prefix) {
     holder
-        .on(now, 0, new Apply(new Purge(++runs, 0, new Scope("c", prefix))))
+        .onMessage(now, 0, new Apply(new Purge(++runs, 0, new Scope("c", prefix))))
         .forEach(
             effect -> {
               if (effect instanceof Effect.Drop drop) {
@@ -53,40 +53,40 @@
 
   @Test
   void keepsForItsTimeAndDropsByPrefix() {
-    assertInstanceOf(Alone.class, find(0, "/a/1", 9), "no lease");
+    assertInstanceOf(Bypass.class, find(0, "/a/1", 9), "no lease");
     lease(0);
     for (String target : List.of("/a/1", "/a/2?q=%20", "/b/1")) {
       lead(0, target).done(5, new byte[9]);
       assertInstanceOf(Hit.class, find(6, target, 99));
     }
     for (String odd : List.of("/a/%31", "/a//1", "/a/./1", "/a/..", "/a\\1", "a")) {
-      assertInstanceOf(Alone.class, find(6, odd, 99), odd);
+      assertInstanceOf(Bypass.class, find(6, odd, 99), odd);
     }
     purge(7, "/a/");
     assertEquals(1, kept.size());
-    assertInstanceOf(Lead.class, find(8, "/a/2?q=%20", 99));
+    assertInstanceOf(Miss.class, find(8, "/a/2?q=%20", 99));
     assertInstanceOf(Hit.class, find(9_999, "/b/1", 99_999));
     assertInstanceOf(
-        Lead.class, find(10_000, "/b/1", 99_999), "counted from when the server was asked");
+        Miss.class, find(10_000, "/b/1", 99_999), "counted from when the server was asked");
   }
 
   @Test
   void oneAsksForAllAndEachWaitsForItsOwnTimeAtMost() {
     lease(0);
-    KeptAnswers.Fill<byte[]> fill = lead(0, "/a");
-    KeptAnswers.Waiter<byte[]> gone = found -> waited.add(null);
-    assertInstanceOf(Waits.class, kept.find(1, "c", "/a", 500, gone));
-    kept.leave("c", "/a", gone);
+    AnswerCache.Fill<byte[]> fill = lead(0, "/a");
+    AnswerCache.Waiter<byte[]> gone = found -> waited.add(null);
+    assertInstanceOf(Queued.class, kept.find(1, "c", "/a", 500, gone));
+    kept.removeWaiter("c", "/a", gone);
     for (long end : new long[] {50, 400, 410, 420}) {
-      assertInstanceOf(Waits.class, find(1, "/a", end));
+      assertInstanceOf(Queued.class, find(1, "/a", end));
     }
     fill.failed(100);
     assertEquals(1, waited.size(), "the first that still waits asks next");
-    KeptAnswers.Fill<byte[]> second = ((Lead<byte[]>) waited.remove(0)).fill();
+    AnswerCache.Fill<byte[]> second = ((Miss<byte[]>) waited.remove(0)).fill();
     purge(150, "/a");
     second.done(200, new byte[1]);
     assertEquals(1, waited.size(), "begun before the purge: not for those that wait");
-    KeptAnswers.Fill<byte[]> third = ((Lead<byte[]>) waited.remove(0)).fill();
+    AnswerCache.Fill<byte[]> third = ((Miss<byte[]>) waited.remove(0)).fill();
     assertEquals(0, kept.size());
     third.done(300, new byte[2]);
     assertInstanceOf(Hit.class, waited.remove(0));
@@ -94,8 +94,8 @@
     for (int i = 0; i < 100; i++) {
       find(300, "/new", 900);
     }
-    assertInstanceOf(Alone.class, find(300, "/new", 900), "64 wait at most");
-    assertInstanceOf(Lead.class, find(900, "/new", 999), "who asked has had its time");
+    assertInstanceOf(Bypass.class, find(300, "/new", 900), "64 wait at most");
+    assertInstanceOf(Miss.class, find(900, "/new", 999), "who asked has had its time");
   }
 
   @Test
@@ -113,12 +113,12 @@
   void aLapseEndsWhatWasKeptAndWhatWaits() {
     lease(0);
     lead(0, "/a").done(1, new byte[1]);
-    KeptAnswers.Fill<byte[]> fill = lead(49_000, "/b");
+    AnswerCache.Fill<byte[]> fill = lead(49_000, "/b");
     find(49_000, "/b", 99_000);
-    assertInstanceOf(Alone.class, find(50_000, "/a", 60_000));
+    assertInstanceOf(Bypass.class, find(50_000, "/a", 60_000));
     fill.done(50_000, new byte[1]);
-    assertInstanceOf(Alone.class, waited.remove(0));
+    assertInstanceOf(Bypass.class, waited.remove(0));
     lease(50_001);
-    assertInstanceOf(Lead.class, find(50_002, "/a", 60_000));
+    assertInstanceOf(Miss.class, find(50_002, "/a", 60_000));
   }
 }
--- a/purge/src/test/java/willowdoor/purge/Bent.java
+++ b/purge/src/test/java/willowdoor/purge/BrokenRule.java
@@ -1,9 +1,9 @@
 package willowdoor.purge;
 
 /** Each rule bent by itself, with the play that tells. */
-enum Bent {
+enum BrokenRule {
   NO_SILENCE_AFTER_A_START(
-      Plays.KEEPER_RESTARTS,
+      Scenario.KEEPER_RESTARTS,
       new Rules() {
         @Override
         long silenceMs(Timing timing) {
@@ -11,39 +11,39 @@
         }
       }),
   LEASE_LONGER_THAN_GRANTED(
-      Plays.ONE_PURGE,
+      Scenario.ONE_PURGE,
       new Rules() {
         @Override
-        long countedUntil(Timing timing, long sentAt, long receivedAt) {
+        long grantCountedUntil(Timing timing, long sentAt, long receivedAt) {
           return sentAt + 2 * timing.boundMs();
         }
       }),
   LEASE_COUNTED_FROM_THE_ANSWER(
-      Plays.ONE_PURGE,
+      Scenario.ONE_PURGE,
       new Rules() {
         @Override
-        long countedUntil(Timing timing, long sentAt, long receivedAt) {
+        long grantCountedUntil(Timing timing, long sentAt, long receivedAt) {
           return receivedAt + timing.leaseMs();
         }
       }),
   LEASE_BY_TIMER(
-      Plays.ONE_PURGE,
+      Scenario.ONE_PURGE,
       new Rules() {
         @Override
-        long lookedAt(long now, long lastTimer) {
+        long leaseCheckTime(long now, long lastTimer) {
           return lastTimer;
         }
       }),
   FILL_KEPT_ACROSS_A_PURGE(
-      Plays.ONE_PURGE,
+      Scenario.ONE_PURGE,
       new Rules() {
         @Override
-        boolean clean(PurgeLog log, String customer, String target, long count) {
+        boolean notPurgedSince(PurgeLog log, String customer, String target, long count) {
           return true;
         }
       }),
   KEPT_ACROSS_A_LAPSE(
-      Plays.ONE_PURGE,
+      Scenario.ONE_PURGE,
       new Rules() {
         @Override
         boolean sameTerm(long term, long now) {
@@ -51,7 +51,7 @@
         }
       }),
   MINORITY_COMMITS(
-      Plays.ONE_PURGE,
+      Scenario.ONE_PURGE,
       new Rules() {
         @Override
         int majority(Fleet fleet) {
@@ -59,35 +59,35 @@
         }
       }),
   RENEWALS_WITHOUT_PURGES(
-      Plays.ONE_PURGE,
+      Scenario.ONE_PURGE,
       new Rules() {
         @Override
-        boolean carries() {
+        boolean grantsCarryRuns() {
           return false;
         }
       }),
   NO_ROOM_FOR_DRIFT(
-      Plays.DRIFT_SLOW_DOOR,
+      Scenario.DRIFT_SLOW_DOOR,
       new Rules() {
         @Override
-        long recordMs(Timing timing) {
+        long leaseRecordMs(Timing timing) {
           return timing.leaseMs();
         }
       }),
   ACCEPTANCE_COUNTS_FOR_EVER(
-      Plays.OLD_ACCEPTANCE,
+      Scenario.OLD_ACCEPTANCE,
       new Rules() {
         @Override
-        long countMs(Timing timing) {
+        long acceptanceValidMs(Timing timing) {
           return Integer.MAX_VALUE;
         }
       });
 
-  final Plays play;
+  final Scenario scenario;
   final Rules rules;
 
-  Bent(Plays play, Rules rules) {
-    this.play = play;
+  BrokenRule(Scenario play, Rules rules) {
+    this.scenario = play;
     this.rules = rules;
   }
 }
--- a/purge/src/test/java/willowdoor/purge/CodecTest.java
+++ b/purge/src/test/java/willowdoor/purge/CodecTest.java
@@ -10,10 +10,10 @@
 import java.util.function.Supplier;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
-import willowdoor.purge.Message.Claim;
 import willowdoor.purge.Message.HolderId;
-import willowdoor.purge.Message.Outstanding;
+import willowdoor.purge.Message.OutstandingLease;
 import willowdoor.purge.Message.Purge;
+import willowdoor.purge.Message.PurgeRequest;
 import willowdoor.purge.Message.Reason;
 import willowdoor.purge.Message.Result;
 import willowdoor.purge.Message.State;
@@ -25,13 +25,14 @@
   private final Random random = new Random(7);
 
   @Test
-  void readsWhatItWritesAndTheLargestFit() throws Codec.Dropped {
+  void readsWhatItWritesAndTheLargestFit() throws Codec.DroppedDatagramException {
     for (int i = 0; i < 300; i++) {
       boolean most = i % 2 == 0;
       for (Message message : messages(most)) {
         byte[] datagram = codec.encode(message);
         assertTrue(
-            datagram.length <= Codec.MOST_BYTES, message.getClass() + " of " + datagram.length);
+            datagram.length <= Codec.MAX_DATAGRAM_BYTES,
+            message.getClass() + " of " + datagram.length);
         assertEquals(message, codec.decode(datagram));
       }
     }
@@ -44,9 +45,10 @@
       for (Message message : messages(false)) {
         byte[] datagram = codec.encode(message);
         byte[] cut = Arrays.copyOf(datagram, random.nextInt(datagram.length));
-        assertThrows(Codec.Dropped.class, () -> codec.decode(cut));
+        assertThrows(Codec.DroppedDatagramException.class, () -> codec.decode(cut));
         assertThrows(
-            Codec.Dropped.class, () -> codec.decode(Arrays.copyOf(datagram, datagram.length + 1)));
+            Codec.DroppedDatagramException.class,
+            () -> codec.decode(Arrays.copyOf(datagram, datagram.length + 1)));
         for (int flips = 0; flips < 3; flips++) {
           datagram[random.nextInt(datagram.length)] = (byte) random.nextInt();
           unreadable += read(datagram) ? 0 : 1;
@@ -59,8 +61,10 @@
     assertTrue(unreadable > 5_000, "unreadable " + unreadable);
     Fleet others = new Fleet(List.of(0, 1, 2), List.of(0, 1), FLEET.timing());
     for (Codec other : List.of(new Codec("two", FLEET), new Codec("one", others))) {
-      Codec.Dropped dropped =
-          assertThrows(Codec.Dropped.class, () -> codec.decode(other.encode(new Message.Noted(1))));
+      Codec.DroppedDatagramException dropped =
+          assertThrows(
+              Codec.DroppedDatagramException.class,
+              () -> codec.decode(other.encode(new Message.DoneAck(1))));
       assertEquals(Codec.Fault.OTHER_CONFIGURATION, dropped.fault);
     }
   }
@@ -70,7 +74,7 @@
     try {
       codec.decode(datagram);
       return true;
-    } catch (Codec.Dropped e) {
+    } catch (Codec.DroppedDatagramException e) {
       return false;
     }
   }
@@ -79,16 +83,16 @@
     Scope scope =
         new Scope("c".repeat(most ? 64 : 1), "/" + "p".repeat(most ? 255 : random.nextInt(9)));
     Purge purge = new Purge(number(), random.nextInt(4_096), scope);
-    List<Claim> claims = list(32, most, () -> new Claim(id(), random.nextInt()));
+    List<PurgeRequest> claims = list(32, most, () -> new PurgeRequest(id(), random.nextInt()));
     Result result =
         new Result(random.nextInt(5_000), list(64, most, () -> 4_095 - random.nextInt(9)));
     int page = random.nextInt(64);
-    List<Outstanding> leases =
+    List<OutstandingLease> leases =
         list(
             128,
             most,
             () ->
-                new Outstanding(
+                new OutstandingLease(
                     new HolderId(page * 64 + random.nextInt(64), boot()), random.nextInt(65_536)));
     return List.of(
         new Message.Renew(boot(), number(), number(), list(50, most, this::number)),
@@ -100,11 +104,11 @@
         new Message.Apply(purge),
         new Message.Applied(number(), boot()),
         new Message.Done(purge, claims, result),
-        new Message.Noted(number()),
-        new Message.Ask(number(), id()),
-        new Message.Told(number(), id(), State.DONE, scope, random.nextInt(), result),
-        new Message.Told(number(), id(), State.OPEN, scope, random.nextInt(), null),
-        new Message.Told(number(), id(), State.UNKNOWN, null, 0, null));
+        new Message.DoneAck(number()),
+        new Message.StatusQuery(number(), id()),
+        new Message.StatusReply(number(), id(), State.DONE, scope, random.nextInt(), result),
+        new Message.StatusReply(number(), id(), State.OPEN, scope, random.nextInt(), null),
+        new Message.StatusReply(number(), id(), State.UNKNOWN, null, 0, null));
   }
 
   private <T> List<T> list(int size, boolean most, Supplier<T> element) {
--- a/purge/src/test/java/willowdoor/purge/DeepModel.java
+++ b/purge/src/test/java/willowdoor/purge/DeepModel.java
@@ -10,7 +10,7 @@
   private DeepModel() {}
 
   public static void main(String[] args) {
-    for (Plays play : Plays.values()) {
+    for (Scenario play : Scenario.values()) {
       if (args.length == 1 || List.of(args).contains(play.name())) {
         long began = System.nanoTime();
         Explorer.Report report = play.explorer(Rules.NORMAL).run(99, Integer.parseInt(args[0]));
--- a/purge/src/test/java/willowdoor/purge/Explorer.java
+++ b/purge/src/test/java/willowdoor/purge/Explorer.java
@@ -5,7 +5,7 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Looks at every state of a {@link World} that so many actions lead to, the nearest first. */
+/** Looks at every state of a {@link FleetModel} that so many actions lead to, the nearest first. */
 final class Explorer {
   /**
    * A state of a level that was not gone on from, by its number: the trace goes back over these.
@@ -14,7 +14,7 @@
 
   private int[] by = new int[1 << 16];
   private final LongMap seen = new LongMap();
-  private final World world;
+  private final FleetModel world;
   private List<int[]> level = new ArrayList<>();
   private List<int[]> later = new ArrayList<>();
   private int at;
@@ -33,7 +33,7 @@
       String broken,
       List<String> trace) {}
 
-  Explorer(World world, List<String> script) {
+  Explorer(FleetModel world, List<String> script) {
     this.world = world;
     int[] state = world.start();
     for (String words : script) {
--- a/purge/src/test/java/willowdoor/purge/World.java
+++ b/purge/src/test/java/willowdoor/purge/FleetModel.java
@@ -3,8 +3,8 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import willowdoor.purge.Parts.Act;
-import willowdoor.purge.Parts.Step;
+import willowdoor.purge.ModelParts.Act;
+import willowdoor.purge.ModelParts.Step;
 
 /**
  * Three keepers and two front doors (holder and coordinator) of the real classes, and all that may
@@ -16,8 +16,8 @@
  * numbers: the time, the number of each part's state, the purges taken and complete, what was used
  * of the budgets, the net.
  */
-final class World {
-  private static final int TAKEN = Parts.PLACES;
+final class FleetModel {
+  private static final int TAKEN = ModelParts.PLACES;
   private static final int COMPLETE = TAKEN + 1;
   private static final int TAKES = TAKEN + 2;
   private static final int RESTARTS = TAKEN + 3;
@@ -72,7 +72,7 @@
   }
 
   private final Setup setup;
-  final Parts parts;
+  final ModelParts parts;
 
   /**
    * How often a coordinator told that a purge is complete, and a door wrote a purged answer after
@@ -85,14 +85,14 @@
   /** How the promise was broken, if it was. */
   String broken;
 
-  World(Setup setup) {
+  FleetModel(Setup setup) {
     this.setup = setup;
-    parts = new Parts(setup);
+    parts = new ModelParts(setup);
   }
 
   int[] start() {
     int[] state = new int[NET];
-    for (int place = 1; place < Parts.PLACES; place++) {
+    for (int place = 1; place < ModelParts.PLACES; place++) {
       state[place] = parts.started(place, 0, 1);
     }
     return state;
@@ -112,24 +112,24 @@
         act(state, parts.sent(state[i]).place(), Act.AGAIN, state[i], next);
       }
     }
-    for (int door = 0; door < Parts.DOORS; door++) {
+    for (int door = 0; door < ModelParts.DOORS; door++) {
       if (door < setup.doors) {
-        act(state, Parts.DOOR + door, Act.RENEW, 0, next);
-        act(state, Parts.DOOR + door, Act.CHECK, 0, next);
-        act(state, Parts.DOOR + door, Act.WRITE, state[COMPLETE], next);
-        act(state, Parts.DOOR + door, Act.RESTART, 0, next);
+        act(state, ModelParts.DOOR + door, Act.RENEW, 0, next);
+        act(state, ModelParts.DOOR + door, Act.CHECK, 0, next);
+        act(state, ModelParts.DOOR + door, Act.WRITE, state[COMPLETE], next);
+        act(state, ModelParts.DOOR + door, Act.RESTART, 0, next);
       }
       if (!setup.prompt) {
-        act(state, Parts.COORDINATOR + door, Act.TICK, 0, next);
+        act(state, ModelParts.COORDINATOR + door, Act.TICK, 0, next);
       }
-      for (int purge = 0; purge < Parts.SCOPES.length; purge++) {
+      for (int purge = 0; purge < ModelParts.SCOPES.length; purge++) {
         int bit = 1 << purge + 2 * door;
         if ((setup.takes & bit) != 0 && (state[TAKES] & bit) == 0) {
-          act(state, Parts.COORDINATOR + door, Act.TAKE, purge, next);
+          act(state, ModelParts.COORDINATOR + door, Act.TAKE, purge, next);
         }
       }
     }
-    for (int keeper = 0; keeper < Parts.KEEPERS; keeper++) {
+    for (int keeper = 0; keeper < ModelParts.KEEPERS; keeper++) {
       act(state, 1 + keeper, Act.RESTART, 0, next);
     }
   }
@@ -137,10 +137,10 @@
   private int[] later(int[] state) {
     int[] later = state.clone();
     later[0]++;
-    for (int place = 1; place < Parts.PLACES; place++) {
+    for (int place = 1; place < ModelParts.PLACES; place++) {
       later[place] = parts.step(state[place], place, Act.TIME, 0, clock(later, place), 0, 0).part();
     }
-    for (int place = Parts.COORDINATOR; place < Parts.PLACES && setup.prompt; place++) {
+    for (int place = ModelParts.COORDINATOR; place < ModelParts.PLACES && setup.prompt; place++) {
       Step tick = parts.step(later[place], place, Act.TICK, 0, clock(later, place), 0, 0);
       later = tick.complete() == 0 ? later : send(later, place, tick, -1);
     }
@@ -149,8 +149,8 @@
   }
 
   private void act(int[] state, int place, Act act, int argument, Next next) {
-    boolean atDoor = place >= Parts.DOOR;
-    int door = (place - Parts.DOOR) % Parts.DOORS;
+    boolean atDoor = place >= ModelParts.DOOR;
+    int door = (place - ModelParts.DOOR) % ModelParts.DOORS;
     int budget = state[RESTARTS + (atDoor ? 1 : 0)];
     if (act == Act.RESTART && budget >= (atDoor ? setup.doorRestarts : setup.keeperRestarts)) {
       return;
@@ -159,14 +159,14 @@
     if (atDoor
         && act != Act.WRITE
         && act != Act.RESTART
-        && parts.checked(state[Parts.DOOR + door])) {
+        && parts.checked(state[ModelParts.DOOR + door])) {
       return;
     }
     Act does = act == Act.AGAIN ? Act.DELIVER : act;
     Step step =
         parts.step(state[place], place, does, argument, clock(state, place), state[TAKEN], budget);
     boolean same = step.part() == state[place] && step.sent().length == 0 && step.complete() == 0;
-    if (step == Parts.NONE || same && act != Act.DELIVER) {
+    if (step == ModelParts.NONE || same && act != Act.DELIVER) {
       return;
     }
     int[] after = send(state, place, step, act == Act.DELIVER ? argument : -1);
@@ -178,7 +178,7 @@
     if (act == Act.RESTART) {
       after[RESTARTS + (atDoor ? 1 : 0)]++;
       if (atDoor) {
-        int coordinator = Parts.COORDINATOR + door;
+        int coordinator = ModelParts.COORDINATOR + door;
         after[coordinator] = parts.started(coordinator, clock(state, place), 2 + budget);
       }
     }
@@ -191,16 +191,20 @@
   }
 
   private long clock(int[] state, int place) {
-    int whose = place < Parts.DOOR ? place - 1 : Parts.KEEPERS + (place - Parts.DOOR) % Parts.DOORS;
+    int whose =
+        place < ModelParts.DOOR
+            ? place - 1
+            : ModelParts.KEEPERS + (place - ModelParts.DOOR) % ModelParts.DOORS;
     return (long) state[0] * setup.rates[whose];
   }
 
   private void check(int[] after) {
-    for (int place = Parts.DOOR; place < Parts.COORDINATOR && broken == null; place++) {
+    for (int place = ModelParts.DOOR; place < ModelParts.COORDINATOR && broken == null; place++) {
       if (parts
           .step(after[place], place, Act.SERVES, after[COMPLETE], clock(after, place), 0, 0)
           .broken()) {
-        broken = "door " + (place - Parts.DOOR) + " would serve a purged answer after \"complete\"";
+        broken =
+            "door " + (place - ModelParts.DOOR) + " would serve a purged answer after \"complete\"";
       }
     }
   }
@@ -219,7 +223,7 @@
     }
     List<Integer> heard = new ArrayList<>();
     for (int id : step.sent()) {
-      if (setup.prompt && parts.sent(id).place() >= Parts.COORDINATOR) {
+      if (setup.prompt && parts.sent(id).place() >= ModelParts.COORDINATOR) {
         heard.add(id);
       } else if (Arrays.binarySearch(state, NET, state.length, id) < 0 || id == delivered) {
         after[to++] = id;
@@ -242,10 +246,10 @@
    */
   long print(int[] state) {
     long least = Long.MAX_VALUE;
-    for (int order = 0; order < Parts.ORDERS.length; order++) {
+    for (int order = 0; order < ModelParts.ORDERS.length; order++) {
       long hash = state[0];
       for (int place = 1; place < TAKEN; place++) {
-        int at = place < Parts.DOOR ? 1 + Parts.ORDERS[order][place - 1] : place;
+        int at = place < ModelParts.DOOR ? 1 + ModelParts.ORDERS[order][place - 1] : place;
         hash += LongMap.mix(parts.partPrint(state[place], order) + at);
       }
       for (int place = TAKEN; place < NET; place++) {
--- a/purge/src/test/java/willowdoor/purge/Parts.java
+++ b/purge/src/test/java/willowdoor/purge/ModelParts.java
@@ -5,6 +5,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import willowdoor.purge.FleetModel.Setup;
 import willowdoor.purge.Message.Accept;
 import willowdoor.purge.Message.Accepted;
 import willowdoor.purge.Message.Applied;
@@ -12,13 +13,12 @@
 import willowdoor.purge.Message.Done;
 import willowdoor.purge.Message.Grant;
 import willowdoor.purge.Message.Renew;
-import willowdoor.purge.World.Setup;
 
 /**
  * The states of keepers, doors and coordinators, each numbered once, and their steps, each worked
  * out once.
  */
-final class Parts {
+final class ModelParts {
   static final int KEEPERS = 3;
   static final int DOORS = 2;
 
@@ -52,10 +52,10 @@
    * Answers may have begun at this point; bits of the purges that were not taken when the first
    * could.
    */
-  private record Kept(Holder.Point point, int before) {}
+  private record Kept(LeaseHolder.Snapshot point, int before) {}
 
   static final class Door {
-    final Holder holder;
+    final LeaseHolder holder;
     final List<Kept> kept = new ArrayList<>();
 
     /**
@@ -69,12 +69,12 @@
     long renewedAt = -1;
     int renews;
 
-    Door(Holder holder) {
+    Door(LeaseHolder holder) {
       this.holder = holder;
     }
 
     Door(Door other) {
-      this(new Holder(other.holder));
+      this(new LeaseHolder(other.holder));
       kept.addAll(other.kept);
       checked = other.checked;
       checkedAt = other.checkedAt;
@@ -94,12 +94,12 @@
 
     /** Notes what may begin now, and lets go of what will never be served again. */
     void note(long now, int taken) {
-      Holder.Point point = holder.begin(now);
+      LeaseHolder.Snapshot point = holder.snapshot(now);
       if (point != null
           && kept.stream()
               .noneMatch(
                   one -> one.point.term() == point.term() && one.point.count() == point.count())) {
-        kept.add(new Kept(new Holder.Point(point.term(), point.count(), 0), ~taken & 3));
+        kept.add(new Kept(new LeaseHolder.Snapshot(point.term(), point.count(), 0), ~taken & 3));
       }
       kept.removeIf(one -> !holder.mayServe(Integer.MIN_VALUE, "c", TARGET, one.point));
     }
@@ -141,7 +141,7 @@
   private final LongMap known = new LongMap();
   private final List<Step> steps = new ArrayList<>();
 
-  Parts(Setup setup) {
+  ModelParts(Setup setup) {
     this.setup = setup;
     fleet = new Fleet(List.of(0, 1, 2), List.of(0, 1, 2), setup.timing());
   }
@@ -170,10 +170,11 @@
   int started(int place, long now, int boot) {
     if (place < DOOR) {
       return part(
-          new Keeper(fleet, boot, boot == 1 ? -setup.timing().keepMs() : now, setup.rules()), now);
+          new Acceptor(fleet, boot, boot == 1 ? -setup.timing().keepMs() : now, setup.rules()),
+          now);
     }
     return place < COORDINATOR
-        ? part(new Door(new Holder(fleet, boot, setup.rules())), now)
+        ? part(new Door(new LeaseHolder(fleet, boot, setup.rules())), now)
         : part(new Coordinator(fleet, place - COORDINATOR, boot, setup.rules()), now);
   }
 
@@ -191,9 +192,9 @@
       step = new Step(started(place, now, 2 + budget), new int[0], 0, false, false);
     } else if (place < DOOR) {
       // With time a keeper hears something that tells it nothing, and lets go of what is over.
-      Sent sent = act == Act.TIME ? new Sent(0, 0, new Message.Noted(0)) : sents.get(argument);
-      Keeper keeper = new Keeper((Keeper) parts.get(part));
-      step = after(keeper, place - 1, keeper.on(now, sent.from, sent.message), now);
+      Sent sent = act == Act.TIME ? new Sent(0, 0, new Message.DoneAck(0)) : sents.get(argument);
+      Acceptor keeper = new Acceptor((Acceptor) parts.get(part));
+      step = after(keeper, place - 1, keeper.onMessage(now, sent.from, sent.message), now);
     } else if (place < COORDINATOR) {
       step = door(new Door((Door) parts.get(part)), place - DOOR, act, argument, now, taken);
     } else {
@@ -212,12 +213,12 @@
       return List.of();
     }
     if (act == Act.TAKE) {
-      return coordinator.take(
+      return coordinator.purge(
           now, argument, new PurgeId(0, argument), SCOPES[argument], Long.MAX_VALUE);
     }
     return act == Act.TICK
         ? coordinator.tick(now)
-        : coordinator.on(now, sents.get(argument).from, sents.get(argument).message);
+        : coordinator.onMessage(now, sents.get(argument).from, sents.get(argument).message);
   }
 
   private Step door(Door door, int self, Act act, int argument, long now, int taken) {
@@ -252,7 +253,7 @@
         return new Step(part(door, now), new int[0], 0, stale && within, stale);
       default:
         List<Effect> effects =
-            door.holder.on(now, sents.get(argument).from, sents.get(argument).message);
+            door.holder.onMessage(now, sents.get(argument).from, sents.get(argument).message);
         door.note(now, taken);
         return after(door, self, effects, now);
     }
@@ -280,14 +281,14 @@
    * that done is noted.
    */
   private boolean heard(Effect.Send send) {
-    return !(send.message() instanceof Message.Noted)
+    return !(send.message() instanceof Message.DoneAck)
         && (!(send.message() instanceof Apply) || send.to() < setup.doors());
   }
 
   /** Who is told to have confirmed makes no difference. */
   private static Message plain(Message message) {
     return message instanceof Done done
-        ? new Done(done.purge(), done.claims(), new Message.Result(0, List.of()))
+        ? new Done(done.purge(), done.requests(), new Message.Result(0, List.of()))
         : message;
   }
 
@@ -307,11 +308,11 @@
     // Rules that are bent may look at what is over.
     long over = setup.rules() == Rules.NORMAL ? now : -1;
     return partIds.computeIfAbsent(
-        new Image(over, ORDERS[0]).of(part),
+        new StateImage(over, ORDERS[0]).of(part),
         image -> {
           long[] prints = new long[ORDERS.length];
           for (int i = 0; i < prints.length; i++) {
-            prints[i] = print(new Image(over, ORDERS[i]).of(part).toString());
+            prints[i] = print(new StateImage(over, ORDERS[i]).of(part).toString());
           }
           partPrints.add(prints);
           parts.add(part);
@@ -341,7 +342,7 @@
           + sent.to
           + number(sent.message);
     }
-    String whose = place < DOOR ? " keeper " + (place - 1) : " door " + (place - DOOR) % DOORS;
+    String whose = place < DOOR ? " acceptor " + (place - 1) : " door " + (place - DOOR) % DOORS;
     return act.name().toLowerCase(Locale.ROOT)
         + (act == Act.TIME ? "" : (act == Act.TAKE ? " purge " + argument : "") + whose);
   }
--- a/purge/src/test/java/willowdoor/purge/PurgeApiTest.java
+++ b/purge/src/test/java/willowdoor/purge/PurgeApiTest.java
@@ -33,17 +33,18 @@
   @Test
   void readsCalls() {
     assertEquals(
-        new PurgeApi.Take(ID, new Scope("00000000b4d65521", "/"), 480),
+        new PurgeApi.PurgeCall(ID, new Scope("00000000b4d65521", "/"), 480),
         read("POST", "/-/purge", " {\"all\":true} "));
     assertEquals(
-        new PurgeApi.Take(ID, new Scope("00000000b4d65521", "/preview/a?x=%20"), 60_000),
+        new PurgeApi.PurgeCall(ID, new Scope("00000000b4d65521", "/preview/a?x=%20"), 60_000),
         read(
             "POST",
             "/-/purge",
             "{\"prefix\":\"/preview/a?x=%20\"}",
             "request-timeout-ms",
             "900000"));
-    assertEquals(new PurgeApi.Ask(ID, "00000000b4d65521", 480), read("GET", "/-/purge/" + ID, ""));
+    assertEquals(
+        new PurgeApi.StatusCall(ID, "00000000b4d65521", 480), read("GET", "/-/purge/" + ID, ""));
   }
 
   @ParameterizedTest
@@ -63,8 +64,8 @@
         "400, POST, `{\"prefix\":\"/%61\"}`, purges nothing"
       })
   void saysWhatIsWrong(int status, String method, String body, String words) {
-    PurgeApi.Answer answer =
-        assertInstanceOf(PurgeApi.Answer.class, read(method, "/-/purge", body));
+    PurgeApi.Response answer =
+        assertInstanceOf(PurgeApi.Response.class, read(method, "/-/purge", body));
     String text = new String(answer.body(), StandardCharsets.UTF_8);
     assertEquals(status + " true", answer.status() + " " + text.contains(words), text);
   }
@@ -79,11 +80,11 @@
             read("POST", "/-/purge", all, "idempotency-key", "a b"),
             read("POST", "/-/purge", all, "request-timeout-ms", "0"),
             read("GET", "/-/purge/" + ID, "", "request-timeout-ms", "-1"))) {
-      assertEquals(400, assertInstanceOf(PurgeApi.Answer.class, call).status());
+      assertEquals(400, assertInstanceOf(PurgeApi.Response.class, call).status());
     }
-    assertEquals(413, ((PurgeApi.Answer) read("POST", "/-/purge", " ".repeat(5_000))).status());
-    assertEquals(404, ((PurgeApi.Answer) read("GET", "/-/purge/12", "")).status());
-    assertEquals(405, ((PurgeApi.Answer) read("POST", "/-/purge/" + ID, "")).status());
+    assertEquals(413, ((PurgeApi.Response) read("POST", "/-/purge", " ".repeat(5_000))).status());
+    assertEquals(404, ((PurgeApi.Response) read("GET", "/-/purge/12", "")).status());
+    assertEquals(405, ((PurgeApi.Response) read("POST", "/-/purge/" + ID, "")).status());
   }
 
   @Test
@@ -96,20 +97,20 @@
                 + "\",\"state\":\"complete\",\"confirmed\":97,\"ran_out\":[3,17]}",
             new Outcome.Pending(ID),
             "202 {\"id\":\"" + ID + "\",\"state\":\"pending\"}",
-            new Outcome.Unavailable(ID, Outcome.Why.NO_MAJORITY),
+            new Outcome.Unavailable(ID, Outcome.FailureReason.NO_MAJORITY),
             "503 {\"error\":\"nothing is promised: too few keepers answered; try again with the same key\"}",
-            new Outcome.Rejected(ID, Outcome.Why.KEY_USED),
+            new Outcome.Rejected(ID, Outcome.FailureReason.KEY_USED),
             "409 {\"error\":\"this Idempotency-Key was used for another purge\"}",
-            new Outcome.Rejected(ID, Outcome.Why.TOO_MANY),
+            new Outcome.Rejected(ID, Outcome.FailureReason.TOO_MANY),
             "429 {\"error\":\"too many purges of this customer are waiting\"}");
     answers.forEach(
         (outcome, expected) -> {
-          PurgeApi.Answer answer = PurgeApi.answer(outcome);
+          PurgeApi.Response answer = PurgeApi.response(outcome);
           assertEquals(
               expected, answer.status() + " " + new String(answer.body(), StandardCharsets.UTF_8));
         });
     assertEquals(
-        "/-/purge/" + ID, PurgeApi.answer(new Outcome.Pending(ID)).headers().get("Location"));
-    assertEquals(404, PurgeApi.answer(new Outcome.Unknown(ID)).status());
+        "/-/purge/" + ID, PurgeApi.response(new Outcome.Pending(ID)).headers().get("Location"));
+    assertEquals(404, PurgeApi.response(new Outcome.Unknown(ID)).status());
   }
 }
--- a/purge/src/test/java/willowdoor/purge/Plays.java
+++ b/purge/src/test/java/willowdoor/purge/Scenario.java
@@ -3,10 +3,10 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import willowdoor.purge.World.Setup;
+import willowdoor.purge.FleetModel.Setup;
 
 /** The beginnings and the bounds of what the model checker plays. */
-enum Plays {
+enum Scenario {
   /**
    * One front door serves, the other purges: leases run out, are renewed before, during and after.
    */
@@ -44,7 +44,7 @@
 
   private final Setup setup;
 
-  Plays(
+  Scenario(
       Timing timing,
       int steps,
       int doors,
@@ -87,7 +87,7 @@
           List.of(
               "take",
               "Accept 1>1",
-              "restart keeper 1",
+              "restart acceptor 1",
               "time",
               "renew",
               "Renew 0>0 #2",
@@ -100,13 +100,13 @@
               "Renew 0>2 #3",
               "Grant 0>0 #3"));
     }
-    return new Explorer(new World(setup.with(rules)), script);
+    return new Explorer(new FleetModel(setup.with(rules)), script);
   }
 
-  private static List<String> warm(int door, int... keepers) {
+  private static List<String> warm(int door, int... acceptors) {
     List<String> script = new ArrayList<>(List.of("renew door " + door));
-    Arrays.stream(keepers).forEach(keeper -> script.add("Renew " + door + ">" + keeper));
-    Arrays.stream(keepers).forEach(keeper -> script.add("Grant " + keeper + ">" + door));
+    Arrays.stream(acceptors).forEach(acceptor -> script.add("Renew " + door + ">" + acceptor));
+    Arrays.stream(acceptors).forEach(acceptor -> script.add("Grant " + acceptor + ">" + door));
     return script;
   }
 }
--- a/purge/src/test/java/willowdoor/purge/Doors.java
+++ b/purge/src/test/java/willowdoor/purge/SimulatedFleet.java
@@ -10,7 +10,7 @@
  * Front doors on a hand-moved clock, with a network between them that can delay, lose, double and
  * cut.
  */
-final class Doors {
+final class SimulatedFleet {
   private record Flying(long at, long order, int from, int to, byte[] datagram) {}
 
   interface Cut {
@@ -35,7 +35,7 @@
   long sent;
   int largest;
 
-  Doors(int doors, int keepers, long boundMs, long seed) {
+  SimulatedFleet(int doors, int keepers, long boundMs, long seed) {
     List<Integer> members = IntStream.range(0, doors).boxed().toList();
     fleet = new Fleet(members, members.subList(0, keepers), Timing.of(boundMs));
     random = new Random(seed);
@@ -94,7 +94,7 @@
   }
 
   /** Runs until keepers have been silent and all doors hold leases. */
-  Doors warm() {
+  SimulatedFleet warm() {
     run(fleet.timing().keepMs() + 2 * fleet.timing().renewMs());
     return this;
   }
@@ -110,7 +110,7 @@
 
   Call start(int door, String key, String prefix, long timeoutMs) {
     Call call = new Call(now, prefix);
-    nodes.get(door).take(PurgeId.of("c", key), new Scope("c", prefix), timeoutMs, call::answer);
+    nodes.get(door).purge(PurgeId.of("c", key), new Scope("c", prefix), timeoutMs, call::answer);
     return call;
   }
 
--- a/purge/src/test/java/willowdoor/purge/DoorsTest.java
+++ b/purge/src/test/java/willowdoor/purge/SimulatedFleetTest.java
@@ -12,51 +12,53 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import willowdoor.purge.Doors.Call;
+import willowdoor.purge.SimulatedFleet.Call;
 
 /** Whole front doors over a network without sockets. */
-class DoorsTest {
+class SimulatedFleetTest {
   private static final long L = 3_000;
 
   @ParameterizedTest
   @ValueSource(ints = {3, 20, 300})
   void isCompleteInARoundTripWhereAllAnswer(int count) {
-    Doors doors = new Doors(count, Math.min(5, count), L, 1).warm();
+    SimulatedFleet doors = new SimulatedFleet(count, Math.min(5, count), L, 1).warm();
     Call call = doors.purge(count - 1, "k", "/", L);
     assertEquals(new Outcome.Complete(PurgeId.of("c", "k"), count, List.of()), call.outcome);
     assertTrue(call.ms <= 4, "1 ms each way, took " + call.ms);
-    assertTrue(doors.largest <= Codec.MOST_BYTES, "datagrams of " + doors.largest);
+    assertTrue(doors.largest <= Codec.MAX_DATAGRAM_BYTES, "datagrams of " + doors.largest);
   }
 
   @Test
   void waitsForTheLeasesOfThoseThatAreCutOff() {
-    for (Doors.Cut cut :
-        List.<Doors.Cut>of(
+    for (SimulatedFleet.Cut cut :
+        List.<SimulatedFleet.Cut>of(
             (from, to) -> from == 6 || to == 6, (from, to) -> from == 6, (from, to) -> to == 6)) {
-      Doors doors = new Doors(8, 5, L, 2).warm();
+      SimulatedFleet doors = new SimulatedFleet(8, 5, L, 2).warm();
       doors.cut = cut;
       Call call = doors.purge(7, "k", "/", 2 * L);
       assertEquals(List.of(6), assertInstanceOf(Outcome.Complete.class, call.outcome).ranOut());
       assertTrue(call.ms > 1_000 && call.ms <= L, "took " + call.ms);
     }
-    Doors doors = new Doors(8, 5, L, 2).warm();
+    SimulatedFleet doors = new SimulatedFleet(8, 5, L, 2).warm();
     doors.cut = (from, to) -> from + to == 13;
     assertTrue(doors.purge(7, "k", "/", 2 * L).ms < L / 2, "door 6 confirms to the keepers");
   }
 
   @Test
   void promisesNothingWithoutAMajority() {
-    Doors doors = new Doors(8, 5, L, 3).warm();
+    SimulatedFleet doors = new SimulatedFleet(8, 5, L, 3).warm();
     doors.cut = (from, to) -> to < 3;
     Call call = doors.purge(7, "k", "/", L);
     assertEquals(
-        new Outcome.Unavailable(PurgeId.of("c", "k"), Outcome.Why.NO_MAJORITY), call.outcome);
+        new Outcome.Unavailable(PurgeId.of("c", "k"), Outcome.FailureReason.NO_MAJORITY),
+        call.outcome);
     Call other = doors.start(7, "k3", "/", L);
     List<Outcome> told = new ArrayList<>();
-    doors.nodes.get(7).ask(PurgeId.of("c", "k3"), "c", 50, told::add);
+    doors.nodes.get(7).queryStatus(PurgeId.of("c", "k3"), "c", 50, told::add);
     doors.run(100);
     assertEquals(
-        new Outcome.Unavailable(PurgeId.of("c", "k3"), Outcome.Why.NO_MAJORITY), told.get(0));
+        new Outcome.Unavailable(PurgeId.of("c", "k3"), Outcome.FailureReason.NO_MAJORITY),
+        told.get(0));
     assertEquals(null, other.outcome, "who asks and goes ends nothing");
     doors.cut = (from, to) -> to < 2;
     doors.run(L);
@@ -74,21 +76,22 @@
 
   @Test
   void anotherDoorTakesUpWhatADeadOneBegan() {
-    Doors doors = new Doors(8, 5, L, 4).warm();
+    SimulatedFleet doors = new SimulatedFleet(8, 5, L, 4).warm();
     PurgeId id = PurgeId.of("c", "k");
     doors.cut = (from, to) -> to == 6;
     assertEquals(new Outcome.Pending(id), doors.purge(7, "k", "/a", 200).outcome);
     doors.restart(7);
     List<Outcome> told = new ArrayList<>();
-    doors.nodes.get(5).ask(id, "c", 2 * L, told::add);
-    doors.nodes.get(4).ask(id, "another", 2 * L, told::add);
-    doors.nodes.get(4).ask(PurgeId.of("c", "no such"), "c", 2 * L, told::add);
+    doors.nodes.get(5).queryStatus(id, "c", 2 * L, told::add);
+    doors.nodes.get(4).queryStatus(id, "another", 2 * L, told::add);
+    doors.nodes.get(4).queryStatus(PurgeId.of("c", "no such"), "c", 2 * L, told::add);
     doors.run(100);
     assertEquals(
         Set.of(new Outcome.Unknown(id), new Outcome.Unknown(PurgeId.of("c", "no such"))),
         Set.copyOf(told));
     assertEquals(
-        new Outcome.Rejected(id, Outcome.Why.KEY_USED), doors.purge(3, "k", "/other", L).outcome);
+        new Outcome.Rejected(id, Outcome.FailureReason.KEY_USED),
+        doors.purge(3, "k", "/other", L).outcome);
     doors.run(L);
     assertInstanceOf(Outcome.Complete.class, told.get(2));
     Call again = doors.purge(2, "k", "/a", L);
@@ -98,7 +101,7 @@
 
   @Test
   void joinsWhatWaitsAndBoundsWhatIsOut() {
-    Doors doors = new Doors(8, 5, L, 5).warm();
+    SimulatedFleet doors = new SimulatedFleet(8, 5, L, 5).warm();
     assertEquals(Map.of(Outcome.Complete.class, 1_000), thousand(doors, 20, "calm"));
     doors.cut = (from, to) -> to == 6;
     Map<Class<?>, Integer> ends = thousand(doors, 2 * L, "cut");
@@ -114,7 +117,7 @@
    * A thousand purges of one customer in a second, of fifty prefixes, and how they have ended
    * later.
    */
-  private static Map<Class<?>, Integer> thousand(Doors doors, long later, String key) {
+  private static Map<Class<?>, Integer> thousand(SimulatedFleet doors, long later, String key) {
     List<Call> calls = new ArrayList<>();
     for (int i = 0; i < 1_000; i++) {
       calls.add(doors.start(7, key + i, "/" + i % 50, 2 * L));
@@ -129,7 +132,7 @@
   /** More runs than a datagram holds, to a door that hears keepers only. */
   @Test
   void carriesManyRunsInSeveralGrants() {
-    Doors doors = new Doors(80, 5, L, 6).warm();
+    SimulatedFleet doors = new SimulatedFleet(80, 5, L, 6).warm();
     doors.cut = (from, to) -> to == 6 && from > 5;
     List<Call> calls = new ArrayList<>();
     for (int i = 0; i < 30; i++) {
@@ -139,15 +142,15 @@
     for (Call call : calls) {
       assertEquals(80, assertInstanceOf(Outcome.Complete.class, call.outcome).confirmed());
     }
-    assertTrue(doors.nodes.get(6).leased());
-    assertTrue(doors.largest <= Codec.MOST_BYTES);
+    assertTrue(doors.nodes.get(6).hasLease());
+    assertTrue(doors.largest <= Codec.MAX_DATAGRAM_BYTES);
   }
 
   /** Everything at random; an answer is the moment at which its server began. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void servesNothingStaleAfterComplete(long seed) {
-    Doors doors = new Doors(7, 5, 600, seed);
+    SimulatedFleet doors = new SimulatedFleet(7, 5, 600, seed);
     for (int door = 0; door < 7; door++) {
       doors.rates[door] = 991 + doors.random.nextInt(19);
     }
@@ -175,7 +178,7 @@
     assertTrue(counts[0] > 1_000 && complete > 50, "hits " + counts[0] + ", complete " + complete);
   }
 
-  private static void trouble(Doors doors) {
+  private static void trouble(SimulatedFleet doors) {
     int door = doors.random.nextInt(7);
     int other = doors.random.nextInt(7);
     doors.loss = doors.random.nextInt(3) * 0.15;
@@ -189,7 +192,7 @@
   }
 
   private static void request(
-      Doors doors,
+      SimulatedFleet doors,
       int door,
       List<Call> calls,
       Map<Integer, List<Runnable>> servers,
@@ -198,10 +201,10 @@
     PurgeNode<Object> node = doors.nodes.get(door);
     String target = "/p" + doors.random.nextInt(3) + "/x";
     long asked = doors.now;
-    KeptAnswers.Waiter<Object> waiter = found -> {};
-    KeptAnswers.Found<Object> found =
-        node.kept().find(node.now(), "c", target, node.now() + 500, waiter);
-    if (found instanceof KeptAnswers.Hit<Object> hit) {
+    AnswerCache.Waiter<Object> waiter = found -> {};
+    AnswerCache.Lookup<Object> found =
+        node.cache().find(node.now(), "c", target, node.now() + 500, waiter);
+    if (found instanceof AnswerCache.Hit<Object> hit) {
       counts[0]++;
       for (Call call : calls) {
         boolean before = call.outcome instanceof Outcome.Complete && call.taken + call.ms <= asked;
@@ -209,7 +212,7 @@
             !before || (long) hit.answer() >= call.taken || !call.covers(target),
             () -> "begun " + hit.answer() + ", purge taken " + call.taken + ", served " + asked);
       }
-    } else if (found instanceof KeptAnswers.Lead<Object> lead) {
+    } else if (found instanceof AnswerCache.Miss<Object> lead) {
       int end = step + 1 + doors.random.nextInt(300);
       servers
           .computeIfAbsent(end, at -> new ArrayList<>())
--- a/purge/src/test/java/willowdoor/purge/Image.java
+++ b/purge/src/test/java/willowdoor/purge/StateImage.java
@@ -16,14 +16,17 @@
  * told to have confirmed. Keepers can be given other numbers, as it makes none which of them is
  * which.
  */
-final class Image {
+final class StateImage {
   private final long now;
-  private final int[] keepers;
+  private final int[] acceptorNumbers;
 
-  /** {@code now}: what ended before is over; {@code keepers}: the number that stands for each. */
-  Image(long now, int... keepers) {
+  /**
+   * {@code now}: what ended before is over; {@code acceptorNumbers}: the number that stands for
+   * each.
+   */
+  StateImage(long now, int... acceptorNumbers) {
     this.now = now;
-    this.keepers = keepers;
+    this.acceptorNumbers = acceptorNumbers;
   }
 
   Object of(Object value) {
@@ -43,11 +46,11 @@
     if (value == null
         || value instanceof Result
         || value instanceof Rules
-        || value instanceof Repeat
+        || value instanceof Retransmission
         || value instanceof Fleet) {
       return type;
     }
-    if (type.isRecord() && !type.getName().endsWith("Fact")
+    if (type.isRecord() && !type.getName().endsWith("TimedValue")
         || !type.getName().startsWith("willowdoor.")) {
       return value;
     }
@@ -67,37 +70,37 @@
 
   private Object field(String name, Object value) {
     switch (name) {
-      case "heard":
-      case "until":
+      case "lastGrantNumbers":
+      case "grantedUntil":
         long[] until = (long[]) value;
         Object[] ends = new Object[until.length];
         for (int i = 0; i < ends.length; i++) {
-          ends[keepers[i]] = name.equals("until") && until[i] <= now ? 0 : until[i];
+          ends[acceptorNumbers[i]] = name.equals("grantedUntil") && until[i] <= now ? 0 : until[i];
         }
         return Arrays.asList(ends);
-      case "carried":
-        Object[] runs = new Object[keepers.length];
+      case "lastGrantRuns":
+        Object[] runs = new Object[acceptorNumbers.length];
         for (int i = 0; i < runs.length; i++) {
-          runs[keepers[i]] = ((List<?>) value).get(i);
+          runs[acceptorNumbers[i]] = ((List<?>) value).get(i);
         }
         return Arrays.asList(runs);
-      case "witnesses":
-        TreeMap<Integer, Object> witnesses = new TreeMap<>();
+      case "acceptorStates":
+        TreeMap<Integer, Object> states = new TreeMap<>();
         ((Map<?, ?>) value)
-            .forEach((keeper, witness) -> witnesses.put(keepers[(Integer) keeper], witness));
-        return of(witnesses);
-      case "waits":
-      case "bare":
+            .forEach((acceptor, state) -> states.put(acceptorNumbers[(Integer) acceptor], state));
+        return of(states);
+      case "leaseEnds":
+      case "uncoveredLeases":
         return ((Map<?, ?>) value)
             .entrySet().stream()
                 .filter(wait -> (Long) wait.getValue() > now)
                 .map(Object::toString)
                 .toList();
-      case "end":
+      case "leaseEnd":
         return (Long) value <= now ? 0 : value;
       case "renewedAt":
         return (Long) value < now ? -1 : value;
-      case "since":
+      case "storedAt":
         return 0;
       case "sentAt":
         return value instanceof long[] numbers ? Arrays.toString(numbers) : value.toString();
--- a/purge/src/test/java/willowdoor/purge/UdpDatagramsTest.java
+++ b/purge/src/test/java/willowdoor/purge/UdpDatagramsTest.java
@@ -59,7 +59,7 @@
       Outcome.Complete complete =
           assertInstanceOf(Outcome.Complete.class, outcome.get(20, TimeUnit.SECONDS));
       assertEquals(List.of(), complete.ranOut());
-      assertEquals(1L, loop.submit(() -> sockets.get(0).strangers()).get());
+      assertEquals(1L, loop.submit(() -> sockets.get(0).unknownSenders()).get());
     } finally {
       loop.submit(() -> sockets.values().forEach(UdpDatagrams::close)).get();
       group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
@@ -68,7 +68,7 @@
 
   /** Keepers are silent at first: 503, and again. */
   private static void again(PurgeNode<byte[]> node, CompletableFuture<Outcome> outcome) {
-    node.take(
+    node.purge(
         PurgeId.of("c", "k"),
         new Scope("c", "/"),
         5_000,
