--- a/purge/src/main/java/willowdoor/purge/Acceptor.java
+++ b/purge/src/main/java/willowdoor/purge/Acceptor.java
@@ -24,25 +24,33 @@
 import willowdoor.purge.Message.StatusReply;
 
 /**
- * One of the few front doors that grant leases and hold purges, in memory only. Times are this
- * process's monotonic ms, read after the message at hand was read.
+ * One of the few gateways that grant leases and store the runs of purges, in memory only. Responses
+ * of the HTTP API call acceptors "keepers". Times are in ms on this process's monotonic clock, read
+ * after the current message was received.
  */
 final class Acceptor {
   private static final int MAX_RUNS = 256;
   private static final int MAX_RUNS_PER_CUSTOMER = 32;
   private static final int MAX_LEASES_PER_MEMBER = 2;
 
-  /** Whoever has missed more answers than this gets no lease until it hears one: it may be deaf. */
+  /**
+   * A holder that has missed more grants than this gets no lease until it confirms a grant: it may
+   * be unable to receive datagrams.
+   */
   private static final int MAX_MISSED_GRANTS = 3;
 
-  /** What the runs of one grant may take of a datagram, and what each takes beside its text. */
+  /**
+   * The bytes that the runs of one grant may take in a datagram, and the bytes that each run takes
+   * in addition to its text.
+   */
   private static final int MAX_GRANT_RUN_BYTES = 1_300;
 
   private static final int RUN_OVERHEAD_BYTES = 24;
 
   /**
-   * A run that is heldRun. {@code bare}: until when the leases run that were granted before it was
-   * accepted.
+   * A run that this acceptor holds. {@code uncoveredLeases}: the leases that were granted before
+   * the run was accepted and whose holders have not confirmed the run, with the time at which each
+   * lease ends.
    */
   private static final class HeldRun {
     final Purge purge;
@@ -67,7 +75,7 @@
     }
   }
 
-  /** What is known of an id; no result while it is open. */
+  /** What is known about a purge id; the result is null while the purge is open. */
   private record KnownPurge(Scope scope, int prefixHash, Result result) {}
 
   private final Fleet fleet;
@@ -123,7 +131,10 @@
     return effects;
   }
 
-  /** Lets go of what is over: leases by their record, runs of which nothing was heard. */
+  /**
+   * Removes leases whose record has ended, and runs for which no {@link Accept} has arrived for
+   * {@link Timing#keepMs}.
+   */
   private void removeExpired(long now) {
     leases.values().removeIf(until -> until <= now);
     heldRuns.values().removeIf(heldRun -> heldRun.lastAcceptAt + fleet.timing().keepMs() <= now);
--- a/purge/src/main/java/willowdoor/purge/AnswerCache.java
+++ b/purge/src/main/java/willowdoor/purge/AnswerCache.java
@@ -14,51 +14,56 @@
 import java.util.function.ToIntFunction;
 
 /**
- * Answers of template servers by customer and target, served only where the {@link LeaseHolder}
- * lets it, and one request to a server for many that ask the same at once. Of one thread; times are
- * its process's monotonic ms, not negative.
+ * Caches answers of template servers by customer and target. An answer is served only while the
+ * {@link LeaseHolder} permits this. Concurrent requests for the same target share one request to a
+ * server. Used by one thread; times are in ms on this process's monotonic clock, not negative.
  *
- * @param <A> an answer, which is not changed any more
+ * @param <A> an answer, which is not modified any more
  */
 public final class AnswerCache<A> {
   static final int MAX_FILLS = 4_096;
   static final int MAX_WAITING = 4_096;
   static final int MAX_WAITING_PER_FILL = 64;
 
-  /** What an entry takes beside its answer and its text, about. */
+  /** The approximate size of an entry in addition to its answer and its text. */
   private static final int ENTRY_BYTES = 300;
 
   private record Key(String customer, String target) {}
 
   private record Entry<A>(A answer, LeaseHolder.Snapshot snapshot) {}
 
-  /** What is to be done with a request. */
+  /** How a request is to be handled. */
   public sealed interface Lookup<A> {}
 
-  /** Answer it so. */
+  /** Respond with this cached answer. */
   public record Hit<A>(A answer) implements Lookup<A> {}
 
-  /** Ask a server, and tell the fill how that ended, whatever happens. */
+  /**
+   * Send the request to a server, and report the result to the fill in every case, also on failure.
+   */
   public record Miss<A>(Fill<A> fill) implements Lookup<A> {}
 
-  /** Its {@link Waiter} will be called, unless {@link AnswerCache#removeWaiter} comes first. */
+  /**
+   * The request's {@link Waiter} will be called, unless {@link AnswerCache#removeWaiter} is called
+   * first.
+   */
   public record Queued<A>() implements Lookup<A> {}
 
-  /** Ask a server and tell nobody. */
+  /** Send the request to a server and report the result to nothing. */
   public record Bypass<A>() implements Lookup<A> {}
 
   /**
-   * A request that waits for what another one is asking. One of the two is called, once, and none
-   * after its time.
+   * A request that waits for the answer to another request for the same target. It is called at
+   * most once, and not after the time of the request is over.
    */
   public interface Waiter<A> {
-    /** {@code Hit} or {@code Lead}. */
+    /** The result is a {@link Hit}, a {@link Miss} or, if there is no lease, a {@link Bypass}. */
     void onResult(Lookup<A> result);
   }
 
   private record QueuedWaiter<A>(Waiter<A> waiter, long endMs) {}
 
-  /** A request to a server whose answer may be kept. */
+  /** A request to a server whose answer may be cached. */
   public static final class Fill<A> {
     private final AnswerCache<A> cache;
     private final Key key;
@@ -79,12 +84,15 @@
       this.waiting = waiting;
     }
 
-    /** The server's answer with status 200 is here, whole. */
+    /** Reports that the complete answer of the server has arrived, with status 200. */
     public void done(long now, A answer) {
       cache.done(now, this, answer);
     }
 
-    /** There is none that may be kept. The next that waits asks. */
+    /**
+     * Reports that there is no answer that may be cached. The next waiting request is sent to a
+     * server.
+     */
     public void failed(long now) {
       cache.failed(now, this);
     }
@@ -95,16 +103,17 @@
   private final Cache<Key, Entry<A>> entries;
   private final Map<Key, Fill<A>> fills = new HashMap<>();
 
-  /** By customer, what is kept. */
+  /** By customer, the targets that are cached. */
   private final Map<String, TreeSet<String>> targetsByCustomer = new HashMap<>();
 
   private int waiting;
   private long nowMs;
 
   /**
-   * @param maxBytes of all that is kept, from 1
-   * @param ttlMs how long an answer is served, from when its server was asked; from 1
-   * @param bytes how many an answer takes
+   * @param maxBytes the largest total size of the cached answers, at least 1
+   * @param ttlMs how long an answer is served, counted from the snapshot before its request to the
+   *     server; at least 1
+   * @param bytes the size of an answer in bytes
    */
   AnswerCache(LeaseHolder holder, long maxBytes, long ttlMs, ToIntFunction<A> bytes) {
     this.holder = holder;
@@ -126,11 +135,11 @@
   }
 
   /**
-   * A request of a kind that may be kept.
+   * Looks up the answer to a request that may be served from the cache.
    *
-   * @param endMs when its client stops waiting
-   * @param waiter used where the answer is {@link Queued}; {@link #removeWaiter} is due when the
-   *     request ends otherwise
+   * @param endMs when the client stops waiting
+   * @param waiter called later if the result is {@link Queued}; {@link #removeWaiter} must be
+   *     called if the request ends earlier
    */
   public Lookup<A> find(long now, String customer, String target, long endMs, Waiter<A> waiter) {
     nowMs = now;
@@ -158,7 +167,10 @@
     return new Queued<>();
   }
 
-  /** A request that waits has ended, for instance as its time is over or its client has gone. */
+  /**
+   * Removes a waiting request that has ended, for instance because its time is over or its client
+   * has disconnected.
+   */
   public void removeWaiter(String customer, String target, Waiter<A> waiter) {
     Fill<A> fill = fills.get(new Key(customer, target));
     if (fill != null && fill.waiting.removeIf(queued -> queued.waiter == waiter)) {
@@ -166,7 +178,7 @@
     }
   }
 
-  /** Lets go of what a purge covers. */
+  /** Removes the answers that a purge covers. */
   void drop(Scope scope) {
     List<Key> covered = new ArrayList<>();
     for (String target :
@@ -183,7 +195,7 @@
     entries.invalidateAll();
   }
 
-  /** Targets that are kept, and whether or not they may be served. */
+  /** The number of cached targets, whether or not they may be served. */
   int size() {
     return targetsByCustomer.values().stream().mapToInt(TreeSet::size).sum();
   }
@@ -206,7 +218,7 @@
       failed(now, fill);
       return;
     }
-    // One that a later one took over brings nothing, and nobody waits for it.
+    // A later fill has replaced this one and has taken over its waiting requests.
     if (!fills.remove(fill.key, fill)) {
       return;
     }
@@ -241,7 +253,7 @@
       next.waiter.onResult(startFill(fill.key, snapshot, next.endMs, fill.waiting));
       return;
     }
-    // Without a lease nothing is kept: each asks for itself.
+    // Nothing is cached without a lease: each waiting request goes to a server by itself.
     waiting -= fill.waiting.size();
     next.waiter.onResult(new Bypass<>());
     for (QueuedWaiter<A> queued : fill.waiting) {
--- a/purge/src/main/java/willowdoor/purge/Codec.java
+++ b/purge/src/main/java/willowdoor/purge/Codec.java
@@ -24,12 +24,13 @@
 import willowdoor.purge.Message.StatusReply;
 
 /**
- * Messages as datagrams of CBOR (RFC 8949): one array of the version, the digest of the fleet's
- * configuration, the kind and its fields in order, without names. Read strictly: another kind of
- * value, one out of its range or anything behind the end makes the datagram unreadable.
+ * Encodes messages as CBOR datagrams (RFC 8949): one array of the protocol version, the digest of
+ * the fleet's configuration, the message kind and its fields in order, without field names.
+ * Decoding is strict: a value of another type, a value out of its range or bytes after the end of
+ * the array make the datagram unreadable.
  */
 final class Codec {
-  /** What fits in a datagram that no network cuts up. */
+  /** The largest datagram; networks do not fragment datagrams of this size. */
   static final int MAX_DATAGRAM_BYTES = 1_400;
 
   private static final int VERSION = 1;
@@ -40,7 +41,7 @@
     OTHER_CONFIGURATION
   }
 
-  /** Why a datagram is dropped. */
+  /** Thrown for a datagram that is dropped, with the reason. */
   static final class DroppedDatagramException extends Exception {
     private static final long serialVersionUID = 1;
     final Fault fault;
@@ -54,7 +55,11 @@
   private final CBORFactory factory = new CBORFactory();
   private final long digest;
 
-  /** Keepers and times of other front doors must be the same, or neither understands the other. */
+  /**
+   * The digest covers the fleet's name, acceptors and timing, which must be the same at every
+   * gateway: gateways with different digests drop each other's datagrams. The digest includes the
+   * text of {@link Timing}, so the names of that record and its components must not change.
+   */
   Codec(String name, Fleet fleet) {
     digest =
         ByteBuffer.wrap(PurgeId.sha256(name + ' ' + fleet.acceptors() + ' ' + fleet.timing()))
--- a/purge/src/main/java/willowdoor/purge/Coordinator.java
+++ b/purge/src/main/java/willowdoor/purge/Coordinator.java
@@ -17,8 +17,8 @@
 import willowdoor.purge.WaitingCallers.Caller;
 
 /**
- * Carries out the purges that one front door is called for. Times are this process's monotonic ms,
- * read after the call or message at hand was read and before anything is sent.
+ * Carries out the purges that are requested at one gateway. Times are in ms on this process's
+ * monotonic clock, read after the current call or message was received and before anything is sent.
  */
 final class Coordinator {
   private static final int MAX_STATUS_QUERIES = 256;
@@ -35,7 +35,7 @@
   private final RecentPurges<CompletedPurge> completed;
   private final LinkedHashMap<PurgeId, Retransmission> statusQueries;
 
-  /** By run, the notice to the keepers that it is done. */
+  /** By run number: the {@link Done} message that is being sent to the acceptors. */
   private final LinkedHashMap<Long, Retransmission> doneNotices;
 
   Coordinator(Fleet fleet, int self, long boot, Rules rules) {
@@ -64,16 +64,16 @@
     doneNotices = new LinkedHashMap<>();
   }
 
-  /** Whether {@link #tick} is needed, each few ms. */
+  /** Whether {@link #tick} must be called every few ms. */
   boolean busy() {
     return !runs.isEmpty() || !callers.isEmpty() || !doneNotices.isEmpty();
   }
 
   /**
-   * A customer's call for a purge.
+   * Handles a customer's request for a purge.
    *
-   * @param caller a number that its {@link Effect.Answer} carries, used once
-   * @param deadline when the caller's time is over
+   * @param caller a number, used once, that the {@link Effect.Answer} to this caller carries
+   * @param deadline when the caller stops waiting
    */
   List<Effect> purge(long now, long caller, PurgeId id, Scope scope, long deadline) {
     List<Effect> effects = new ArrayList<>();
@@ -107,8 +107,8 @@
   }
 
   /**
-   * A customer's query how a purge goes; an unfinished one that this front door does not know is
-   * taken up.
+   * Handles a customer's status query. If the purge is unfinished and this gateway does not know
+   * it, this gateway starts a run for it.
    */
   List<Effect> queryStatus(long now, long caller, PurgeId id, String customer, long deadline) {
     List<Effect> effects = new ArrayList<>();
@@ -138,7 +138,7 @@
     return effects;
   }
 
-  /** The caller has gone; what it called for goes on. */
+  /** Removes a caller that has disconnected; the purge that it requested continues. */
   void removeCaller(long caller) {
     callers.remove(caller);
     statusQueries.keySet().removeIf(id -> !callers.hasCallersFor(id));
@@ -213,7 +213,10 @@
     effects.addAll(runs.startWaiting(now));
   }
 
-  /** The purge is complete, here or by a keeper's notice. */
+  /**
+   * Records that the purge is complete, as determined here or as reported by an acceptor, and
+   * answers all callers that wait for it.
+   */
   private void recordCompleted(
       long now, PurgeRequest request, Scope scope, Result result, List<Effect> effects) {
     CompletedPurge end = new CompletedPurge(request, scope.customer(), result);
@@ -237,7 +240,10 @@
     }
   }
 
-  /** The id is taken out of its run, so that a further call with its key begins a new one. */
+  /**
+   * Removes the request from its run and answers its callers, so that a further call with its key
+   * begins a new run.
+   */
   private void fail(PurgeId id, Outcome.FailureReason reason, List<Effect> effects) {
     runs.removeRequest(id);
     statusQueries.remove(id);
@@ -245,8 +251,9 @@
   }
 
   /**
-   * A caller's time is over. Where it called for a purge that is not committed, all that wait for
-   * the id are told that it is not taken; any other goes alone.
+   * Handles the callers of one purge whose deadline has passed. If one of them requested the purge
+   * and the run is not committed, or if there is no run, the purge fails for all callers that wait
+   * for the id. Otherwise only the callers whose deadline has passed are answered.
    */
   private void onDeadline(long now, PurgeId id, List<Effect> effects) {
     PurgeRun run = runs.find(id);
--- a/purge/src/main/java/willowdoor/purge/Datagrams.java
+++ b/purge/src/main/java/willowdoor/purge/Datagrams.java
@@ -1,6 +1,6 @@
 package willowdoor.purge;
 
-/** The way to the other front doors: unsure, unordered, and never waiting. */
+/** Sends datagrams to the other gateways: unreliable, unordered and non-blocking. */
 public interface Datagrams {
   /** Sends up to 1,400 bytes to a member of the roster, or drops them. */
   void send(int member, byte[] datagram);
--- a/purge/src/main/java/willowdoor/purge/Effect.java
+++ b/purge/src/main/java/willowdoor/purge/Effect.java
@@ -1,18 +1,19 @@
 package willowdoor.purge;
 
-/** What a state machine wants done, in this order. */
+/** An action that a state machine requests; the actions of a list are executed in order. */
 sealed interface Effect {
-  /** To oneself too: that is delivered like any other. */
+  /** Sends a message; a message to this gateway itself is delivered like any other. */
   record Send(int to, Message message) implements Effect {}
 
   /**
-   * Let go of what was kept and is covered. It is not served any more, so this only frees memory.
+   * Removes the answers that the scope covers from the cache. They are not served any more, so this
+   * only frees memory.
    */
   record Drop(Scope scope) implements Effect {}
 
-  /** Let go of all that was kept, likewise. */
+  /** Removes all answers from the cache, which also only frees memory. */
   record DropAll() implements Effect {}
 
-  /** The caller's answer; it is the only one. */
+  /** The answer to a caller; each caller gets only one answer. */
   record Answer(long caller, Outcome outcome) implements Effect {}
 }
--- a/purge/src/main/java/willowdoor/purge/LeaseHolder.java
+++ b/purge/src/main/java/willowdoor/purge/LeaseHolder.java
@@ -11,22 +11,25 @@
 import willowdoor.purge.Message.Renew;
 
 /**
- * Tells at one front door whether what it kept may be served. Every method takes that process's
- * monotonic time in ms, not negative, read after the message or request at hand was read and before
- * anything is sent.
+ * Determines at one gateway whether cached answers may be served. Every method takes the time in ms
+ * on this process's monotonic clock, not negative, read after the current message or request was
+ * received and before anything is sent.
  */
 final class LeaseHolder {
-  /** Renewals whose time of sending is remembered; grants for older ones are of no use. */
+  /**
+   * The number of renewals whose send time is stored; grants for older renewals do not extend the
+   * lease.
+   */
   private static final int RENEWALS = 16;
 
   private static final int MAX_REMEMBERED = 4_096;
 
   /**
-   * What was known when a server was about to be asked.
+   * The state of the lease and of the purge log immediately before a request is sent to a server.
    *
-   * @param term of the lease
-   * @param count of purges carried out
-   * @param takenAtMs that moment
+   * @param term the term of the lease
+   * @param count the number of purges that were carried out
+   * @param takenAtMs the time of this snapshot
    */
   public record Snapshot(long term, long count, long takenAtMs) {}
 
@@ -37,15 +40,15 @@
   private final long[] sentAt;
 
   /**
-   * By the keeper's place: until when its last grant counts, the runs that came with its last word,
-   * and the number of its latest.
+   * By the acceptor's index in {@link Fleet#acceptors}: the time until which its grants count, the
+   * runs that its latest grant carried, and the highest number of its grants.
    */
   private final long[] grantedUntil;
 
   private final List<List<Long>> lastGrantRuns;
   private final long[] lastGrantNumbers;
 
-  /** Until when a majority of grants counts. */
+  /** The time until which the grants of a majority count. */
   private long leaseEnd;
 
   private long term;
@@ -82,7 +85,7 @@
     applied = new LinkedHashSet<>(other.applied);
   }
 
-  /** Due each {@link Timing#renewMs}. */
+  /** Sends a renewal to each acceptor; due every {@link Timing#renewMs}. */
   List<Effect> renew(long now) {
     number++;
     sentAt[(int) (number % RENEWALS)] = now;
@@ -150,16 +153,16 @@
   }
 
   /**
-   * To be taken before a server is asked; null where there is no lease, and then the answer is not
-   * kept.
+   * Takes the snapshot that is needed before a request is sent to a server. Returns null if there
+   * is no lease; the answer is not cached then.
    */
   Snapshot snapshot(long now) {
     return now < leaseEnd ? new Snapshot(term, log.count(), now) : null;
   }
 
   /**
-   * Whether an answer that was begun at a point may be served now. The one check that all serving
-   * goes through.
+   * Whether an answer that was requested at the time of a snapshot may be served now. Everything
+   * that is served from the cache passes this check.
    */
   boolean mayServe(long now, String customer, String target, Snapshot snapshot) {
     long checkTime = rules.leaseCheckTime(now, sentAt[(int) (number % RENEWALS)]);
--- a/purge/src/main/java/willowdoor/purge/Message.java
+++ b/purge/src/main/java/willowdoor/purge/Message.java
@@ -2,10 +2,13 @@
 
 import java.util.List;
 
-/** What front doors say to each other about leases and purges. */
+/** Messages between gateways about leases and purges. */
 sealed interface Message {
 
-  /** One process of a front door; {@code boot} is drawn at its start, 1 to 2^32 - 1. */
+  /**
+   * One process of a gateway; {@code boot} is a number from 1 to 2^32 - 1 that the process draws at
+   * its start.
+   */
   record HolderId(int member, long boot) implements Comparable<HolderId> {
     @Override
     public int compareTo(HolderId other) {
@@ -15,17 +18,17 @@
     }
   }
 
-  /** A run of a purge; {@code from} is the member that coordinates it. */
+  /** A run of a purge; {@code coordinator} is the member that coordinates the run. */
   record Purge(long run, int coordinator, Scope scope) {}
 
-  /** An id that a run serves, with {@link Scope#prefixHash} of what was asked under it. */
+  /** A purge id that a run serves, with the {@link Scope#prefixHash} of the requested scope. */
   record PurgeRequest(PurgeId id, int prefixHash) {}
 
   /**
    * How a purge ended.
    *
-   * @param confirmed how many holders carried it out
-   * @param ranOut members of which a lease had to run out, in order; the first {@value
+   * @param confirmed the number of holders that carried out the purge
+   * @param ranOut the members whose lease had to expire, in ascending order; the first {@value
    *     #MAX_REPORTED} of them
    */
   record Result(int confirmed, List<Integer> ranOut) {
@@ -37,8 +40,8 @@
   }
 
   /**
-   * A lease that a keeper granted before it accepted a run, and how long its record of it still
-   * runs.
+   * A lease that an acceptor granted before it accepted a run, and the time for which the
+   * acceptor's record of this lease still runs.
    */
   record OutstandingLease(HolderId holder, long remainingMs) {}
 
@@ -56,8 +59,9 @@
   }
 
   /**
-   * Holder to keeper. {@code heard}: the number of this keeper's latest answer, 0 before any;
-   * {@code applied}: the runs of its last grant, which are carried out.
+   * Holder to acceptor. {@code lastGrantNumber}: the number of the latest grant that the holder has
+   * received from this acceptor, 0 before the first; {@code applied}: the runs of that acceptor's
+   * last grant, which the holder has carried out.
    */
   record Renew(long boot, long number, long lastGrantNumber, List<Long> applied)
       implements Message {
@@ -67,8 +71,8 @@
   }
 
   /**
-   * Keeper to holder. With {@code more} it is no lease yet: further runs are to be carried out
-   * first.
+   * Acceptor to holder. With {@code moreRuns} this message does not grant a lease yet: the holder
+   * must first carry out further runs, or confirm that it receives grants.
    */
   record Grant(long boot, long number, boolean moreRuns, List<Purge> purges) implements Message {
     public Grant {
@@ -76,7 +80,7 @@
     }
   }
 
-  /** Coordinator to keeper; {@code number} counts the sendings of this run. */
+  /** Coordinator to acceptor; {@code number} counts the transmissions of this run. */
   record Accept(Purge purge, int number, List<PurgeRequest> requests) implements Message {
     public Accept {
       requests = List.copyOf(requests);
@@ -84,8 +88,9 @@
   }
 
   /**
-   * Keeper to coordinator: it holds the run since {@code acceptance}, a number used once, and of
-   * the members of {@code page} these have leases that do not carry it.
+   * Acceptor to coordinator: the acceptor holds the run since {@code acceptance}, a number that is
+   * used once. {@code outstanding} lists the leases of the members of {@code page} that do not
+   * cover the run.
    */
   record Accepted(
       long run, int number, long acceptance, int page, List<OutstandingLease> outstanding)
@@ -95,33 +100,33 @@
     }
   }
 
-  /**
-   * Keeper to coordinator; {@code id} is null except for a key that was used with another prefix.
-   */
+  /** Acceptor to coordinator; {@code id} is null unless the key was used with another prefix. */
   record Refused(long run, Reason reason, PurgeId id) implements Message {}
 
-  /** Coordinator to front door. */
+  /** Coordinator to gateway: requests that the run is carried out. */
   record Apply(Purge purge) implements Message {}
 
-  /** Holder to coordinator: nothing that it kept before and the run covers is served any more. */
+  /** Holder to coordinator: the holder does not serve any earlier answer that the run covers. */
   record Applied(long run, long boot) implements Message {}
 
-  /** Coordinator to keeper: the run is complete. */
+  /** Coordinator to acceptor: the run is complete. */
   record Done(Purge purge, List<PurgeRequest> requests, Result result) implements Message {
     public Done {
       requests = List.copyOf(requests);
     }
   }
 
-  /** Keeper to coordinator: it has noted that the run is done. */
+  /** Acceptor to coordinator: the acceptor has recorded that the run is complete. */
   record DoneAck(long run) implements Message {}
 
-  /** Any front door to keeper: what is known of an id? */
+  /** Any gateway to acceptor: queries the status of a purge id. */
   record StatusQuery(long number, PurgeId id) implements Message {}
 
   /**
-   * The answer; scope and mark come with {@code DONE} and {@code OPEN}, the result with {@code
-   * DONE}, else null.
+   * Acceptor to gateway: the reply to a {@link StatusQuery}. Scope and prefix hash are set for
+   * {@code DONE} and {@code OPEN}, the result for {@code DONE}; otherwise they are null or 0. An
+   * acceptor also sends this message, with number 0, if it receives an {@link Accept} for a purge
+   * id that is done.
    */
   record StatusReply(
       long number, PurgeId id, State state, Scope scope, int prefixHash, Result result)
--- a/purge/src/main/java/willowdoor/purge/MessageReader.java
+++ b/purge/src/main/java/willowdoor/purge/MessageReader.java
@@ -26,8 +26,8 @@
 import willowdoor.purge.Message.StatusReply;
 
 /**
- * The fields of one datagram, one behind the other; {@link IllegalArgumentException} for any that
- * is not right.
+ * Reads the fields of one datagram in order; throws {@link IllegalArgumentException} for a field
+ * that is not valid.
  */
 final class MessageReader {
   private static final long MAX_BOOT = 0xffff_ffffL;
@@ -50,7 +50,7 @@
     token = parser.nextToken();
   }
 
-  /** The array ends, and the datagram with it. */
+  /** Expects the end of the array and of the datagram. */
   void expectEnd() throws IOException {
     expect(token == JsonToken.END_ARRAY && parser.nextToken() == null);
   }
@@ -192,7 +192,8 @@
 
   private static void expect(boolean valid) {
     if (!valid) {
-      throw new IllegalArgumentException("not a message");
+      throw new IllegalArgumentException(
+          "a message field is missing, has another type or is out of its range");
     }
   }
 }
--- a/purge/src/main/java/willowdoor/purge/Outcome.java
+++ b/purge/src/main/java/willowdoor/purge/Outcome.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** How a call about a purge ends. */
+/** The outcome of a purge request or of a status query. */
 public sealed interface Outcome {
   enum FailureReason {
     NO_MAJORITY,
@@ -12,20 +12,23 @@
   }
 
   /**
-   * The promise holds from now on. {@code ranOut}: members of which a lease had to run out, the
-   * first 64.
+   * From now on no gateway serves a covered answer that was requested before the purge. {@code
+   * ranOut}: the members whose lease had to expire, the first 64 of them.
    */
   record Complete(PurgeId id, int confirmed, List<Integer> ranOut) implements Outcome {}
 
-  /** A majority of keepers holds it and it goes on; the caller's time is over. */
+  /**
+   * A majority of acceptors holds the purge and the purge continues; the caller's deadline has
+   * passed.
+   */
   record Pending(PurgeId id) implements Outcome {}
 
-  /** It was not taken; {@code NO_MAJORITY} or {@code BUSY}. */
+  /** The purge was not accepted; the reason is {@code NO_MAJORITY} or {@code BUSY}. */
   record Unavailable(PurgeId id, FailureReason reason) implements Outcome {}
 
-  /** It is not begun; {@code KEY_USED} or {@code TOO_MANY}. */
+  /** The purge is not started; the reason is {@code KEY_USED} or {@code TOO_MANY}. */
   record Rejected(PurgeId id, FailureReason reason) implements Outcome {}
 
-  /** A majority of keepers does not know this id of this customer. */
+  /** A majority of acceptors does not know this purge id of this customer. */
   record Unknown(PurgeId id) implements Outcome {}
 }
--- a/purge/src/main/java/willowdoor/purge/PurgeApi.java
+++ b/purge/src/main/java/willowdoor/purge/PurgeApi.java
@@ -14,8 +14,9 @@
 import java.util.function.UnaryOperator;
 
 /**
- * {@code POST /-/purge} and {@code GET /-/purge/ID} as plain values: a request to a call or to an
- * answer that says in words what is wrong with it, and an outcome to an answer.
+ * Reads requests for {@code POST /-/purge} and {@code GET /-/purge/ID} into plain values, and
+ * writes outcomes as responses. A request that is not valid yields a response that states what is
+ * wrong with the request.
  */
 public final class PurgeApi {
   public static final String PATH = "/-/purge";
@@ -25,14 +26,14 @@
   private static final JsonFactory JSON =
       JsonFactory.builder().enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION).build();
 
-  /** What a request asks for. */
+  /** The call that a request makes, or the error response to the request. */
   public sealed interface Call {}
 
   public record PurgeCall(PurgeId id, Scope scope, long timeoutMs) implements Call {}
 
   public record StatusCall(PurgeId id, String customer, long timeoutMs) implements Call {}
 
-  /** An answer whole; the body is JSON in UTF-8. */
+  /** A complete response; the body is JSON in UTF-8. */
   public record Response(int status, Map<String, String> headers, byte[] body) implements Call {}
 
   private static final class InvalidRequestException extends Exception {
@@ -47,7 +48,7 @@
 
   private PurgeApi() {}
 
-  /** Whether a path is this part's to answer. */
+  /** Whether this API handles a path. */
   public static boolean handles(String path) {
     return path.equals(PATH) || path.startsWith(PATH + "/");
   }
@@ -55,10 +56,10 @@
   /**
    * Reads a request.
    *
-   * @param path without the query
-   * @param header gives a header's value by its name in lower case, or null
-   * @param body up to {@value #MAX_BODY_BYTES} bytes are read; of a longer one at least one byte
-   *     more is given
+   * @param path the path without the query
+   * @param header returns a header's value for its name in lower case, or null
+   * @param body up to {@value #MAX_BODY_BYTES} bytes are accepted; of a longer body at least one
+   *     byte more must be passed, so that the body is rejected
    */
   public static Call read(String method, String path, UnaryOperator<String> header, byte[] body) {
     try {
@@ -118,8 +119,8 @@
   }
 
   /**
-   * {@code {"all":true}} or {@code {"prefix":"/preview/"}}, nothing else: all is never purged by a
-   * slip.
+   * Accepts {@code {"all":true}} or {@code {"prefix":"/preview/"}} only, so that a mistake in the
+   * body never purges everything.
    */
   private static String prefix(byte[] body) throws InvalidRequestException {
     String form = "the body must be {\"all\":true} or {\"prefix\":\"/...\"}";
--- a/purge/src/main/java/willowdoor/purge/PurgeId.java
+++ b/purge/src/main/java/willowdoor/purge/PurgeId.java
@@ -7,7 +7,7 @@
 import java.util.HexFormat;
 
 /**
- * The name of a purge, which every front door works out alike from its customer and the caller's
+ * The id of a purge, which every gateway computes identically from the customer and the caller's
  * key.
  */
 public record PurgeId(long high, long low) {
@@ -17,7 +17,7 @@
     return new PurgeId(hash.getLong(), hash.getLong());
   }
 
-  /** Reads what {@link #toString} writes; null where it is anything else. */
+  /** Parses the text that {@link #toString} returns; returns null for any other text. */
   static PurgeId parse(String text) {
     if (text.length() != 32
         || !text.chars().allMatch(c -> c >= '0' && c <= '9' || c >= 'a' && c <= 'f')) {
@@ -31,7 +31,8 @@
     try {
       return MessageDigest.getInstance("SHA-256").digest(text.getBytes(StandardCharsets.UTF_8));
     } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException("every Java has SHA-256", e);
+      throw new IllegalStateException(
+          "SHA-256 is not available, but every Java platform must provide it", e);
     }
   }
 
--- a/purge/src/main/java/willowdoor/purge/PurgeLog.java
+++ b/purge/src/main/java/willowdoor/purge/PurgeLog.java
@@ -5,8 +5,9 @@
 import java.util.List;
 
 /**
- * The purges that a holder has carried out, counted from 1. Bounded: what it forgets it takes to be
- * covered, so it may call clean things unclean and never the other way round.
+ * The purges that a holder has carried out, counted from 1. The log is bounded. Evicted purges are
+ * taken to cover every target, so the log may report a target as purged that was not, but never the
+ * reverse.
  */
 final class PurgeLog {
   private static final int MAX_PREFIXES = 16;
@@ -17,7 +18,7 @@
   private long count;
   private long evictedCount;
 
-  /** By customer, the one purged last at the end. The lists are never changed. */
+  /** By customer, the customer purged last at the end. The lists are never modified. */
   private final LinkedHashMap<String, List<PurgedPrefix>> prefixesByCustomer;
 
   PurgeLog() {
@@ -57,7 +58,7 @@
     }
   }
 
-  /** Whether no purge of this target came after the first {@code since} ones. */
+  /** Whether no purge that covers this target came after the first {@code since} purges. */
   boolean notPurgedSince(String customer, String target, long since) {
     if (since < evictedCount) {
       return false;
--- a/purge/src/main/java/willowdoor/purge/PurgeNode.java
+++ b/purge/src/main/java/willowdoor/purge/PurgeNode.java
@@ -12,29 +12,30 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One front door's part in keeping answers and purging them. All methods are called on one thread,
- * on which answers are written too, so that nothing comes between a check and its write.
+ * Caches answers at one gateway and takes part in purges. All methods are called on one thread.
+ * Answers are written on this thread too, so that nothing happens between a check and the write of
+ * the answer.
  *
- * @param <A> an answer that may be kept
+ * @param <A> an answer that may be cached
  */
 public final class PurgeNode<A> {
-  /** How often {@link #tick} is due. */
+  /** The interval in ms at which {@link #tick} is due. */
   public static final long TICK_MS = 5;
 
   /**
    * The settings of a node.
    *
-   * @param fleet who is there, and the times
-   * @param name of the fleet: those of another name are not heard
-   * @param self this front door's number
-   * @param cacheBytes of memory for kept answers, about
-   * @param cacheTtlMs how long an answer is served at most
+   * @param fleet the members of the fleet and the times
+   * @param name the name of the fleet; datagrams of fleets with another name are dropped
+   * @param self the number of this gateway
+   * @param cacheBytes the approximate memory for cached answers
+   * @param cacheTtlMs the longest time for which an answer is served
    */
   public record Settings(Fleet fleet, String name, int self, long cacheBytes, long cacheTtlMs) {
     public Settings {
       if (!fleet.members().contains(self) || cacheBytes < 1 || cacheTtlMs < 1) {
         throw new IllegalArgumentException(
-            "a member of the fleet, and something to keep for some time");
+            "self must be a member of the fleet, cacheBytes and cacheTtlMs at least 1");
       }
     }
   }
@@ -46,7 +47,7 @@
   private final Codec codec;
   private final LeaseHolder holder;
 
-  /** Null where this front door is none. */
+  /** Null if this gateway is not an acceptor. */
   private final Acceptor acceptor;
 
   private final Coordinator coordinator;
@@ -58,9 +59,10 @@
   private final Map<Codec.Fault, Long> dropped = new EnumMap<>(Codec.Fault.class);
 
   /**
-   * @param random draws the number of this process; not seeded alike in two of them
-   * @param clock monotonic ms of this process, not negative, that go on while it is stopped
-   * @param bytes how many an answer takes
+   * @param random draws the number of this process; must not have the same seed in two processes
+   * @param clock the monotonic clock of this process in ms, not negative, which goes on while the
+   *     process is stopped
+   * @param bytes the size of an answer in bytes
    */
   public PurgeNode(
       Settings settings,
@@ -84,7 +86,7 @@
     cache = new AnswerCache<>(holder, settings.cacheBytes, settings.cacheTtlMs, bytes);
   }
 
-  /** What is kept; the times that it asks for are this node's {@link #now}. */
+  /** The cache; the times that its methods take come from this node's {@link #now}. */
   public AnswerCache<A> cache() {
     return cache;
   }
@@ -93,12 +95,12 @@
     return clock.getAsLong();
   }
 
-  /** Whether answers may be served from what is kept. */
+  /** Whether answers may be served from the cache. */
   public boolean hasLease() {
     return holder.hasLease(now());
   }
 
-  /** Datagrams that were dropped, by why. */
+  /** The number of dropped datagrams by reason. */
   public Map<String, Long> dropped() {
     Map<String, Long> counts = new HashMap<>();
     dropped.forEach((fault, count) -> counts.put(fault.name(), count));
@@ -127,11 +129,11 @@
   }
 
   /**
-   * A customer's purge.
+   * Starts a purge of a customer.
    *
-   * @param timeoutMs the caller's time from now, above nought
-   * @param answer called once, on this thread, unless {@link #removeCaller} comes first
-   * @return for {@link #removeCaller}
+   * @param timeoutMs how long the caller waits from now on, above 0
+   * @param answer called once, on this thread, unless {@link #removeCaller} is called first
+   * @return the number of the caller for {@link #removeCaller}
    */
   public long purge(PurgeId id, Scope scope, long timeoutMs, Consumer<Outcome> answer) {
     long now = now();
@@ -142,7 +144,9 @@
     return caller;
   }
 
-  /** How a purge of this customer goes; otherwise as {@link #purge}. */
+  /**
+   * Queries the status of a purge of this customer; parameters and result as for {@link #purge}.
+   */
   public long queryStatus(PurgeId id, String customer, long timeoutMs, Consumer<Outcome> answer) {
     long now = now();
     callers.put(++lastCaller, answer);
@@ -152,13 +156,16 @@
     return caller;
   }
 
-  /** The caller has gone. */
+  /** Removes a caller that has disconnected. */
   public void removeCaller(long caller) {
     callers.remove(caller);
     coordinator.removeCaller(caller);
   }
 
-  /** Each part takes what is meant for it; the clock is read when the message is there. */
+  /**
+   * Passes a message to each component, which ignores messages of other components. The clock is
+   * read after the message has arrived.
+   */
   private void deliver(int from, Message message) {
     List<Effect> effects = new ArrayList<>(holder.onMessage(now(), from, message));
     if (acceptor != null) {
@@ -168,7 +175,7 @@
     execute(effects);
   }
 
-  /** What this front door sends to itself does not go through the network. */
+  /** Delivers the messages that this gateway has sent to itself; these do not pass the network. */
   private void deliverToSelf() {
     while (!toSelf.isEmpty()) {
       deliver(self, toSelf.poll());
--- a/purge/src/main/java/willowdoor/purge/PurgeRun.java
+++ b/purge/src/main/java/willowdoor/purge/PurgeRun.java
@@ -17,20 +17,26 @@
 import willowdoor.purge.Message.PurgeRequest;
 import willowdoor.purge.Message.Result;
 
-/** One run of a purge at its coordinator: whom it reached, and when the promise holds. */
+/**
+ * One run of a purge at its coordinator: which members have confirmed the run, and whether the
+ * purge is complete.
+ */
 final class PurgeRun {
   private static final int MAX_REQUESTS = 32;
   private static final int MAX_GAP_FACTOR = 8;
 
   /**
-   * What one keeper said of one acceptance. {@code waits}: by the coordinator's clock, until when a
-   * lease may run.
+   * What one acceptor has reported for one acceptance of the run. {@code leaseEnds}: by holder, the
+   * time on the coordinator's clock until which its lease may run.
    */
   private static final class AcceptorState {
     final long acceptance;
     int number;
 
-    /** By page: when the latest sending that it answers was sent, -1 before any. */
+    /**
+     * By page: the send time of the latest transmission that the acceptor has answered, -1 before
+     * the first answer.
+     */
     final long[] sentAt;
 
     final TreeMap<HolderId, Long> leaseEnds;
@@ -64,7 +70,7 @@
   private Purge purge;
   private final LinkedHashMap<PurgeId, PurgeRequest> requests;
 
-  /** When each sending was made; empty while it waits for a place. */
+  /** The time of each transmission; empty while the run waits to be started. */
   private final List<Long> sentAt;
 
   private long resendAt;
@@ -74,7 +80,7 @@
   private final TreeMap<Integer, AcceptorState> acceptorStates;
   private final TreeSet<HolderId> applied;
 
-  /** Holders that a keeper has named and that have not confirmed. */
+  /** Holders that an acceptor has listed and that have not confirmed the run. */
   private final TreeSet<HolderId> unconfirmed;
 
   PurgeRun(Fleet fleet, Rules rules, Purge purge, PurgeRequest request) {
@@ -119,12 +125,12 @@
     return !sentAt.isEmpty();
   }
 
-  /** Whether a majority of keepers has held it at once. */
+  /** Whether a majority of acceptors has held the run at the same time. */
   boolean committed() {
     return committed;
   }
 
-  /** Whether a keeper had no room for it. */
+  /** Whether an acceptor has refused the run because it holds too many runs. */
   boolean full() {
     return full;
   }
@@ -137,7 +143,10 @@
     return sentAt.get(0);
   }
 
-  /** Takes a purge into this run, which is not sent yet, where one covers the other. */
+  /**
+   * Adds a request to this run if the run is not sent yet and one of the two scopes covers the
+   * other.
+   */
   boolean join(PurgeRequest request, Scope scope) {
     boolean wider = scope.covers(purge.scope());
     if (started() || requests.size() >= MAX_REQUESTS || !wider && !purge.scope().covers(scope)) {
@@ -150,7 +159,10 @@
     return true;
   }
 
-  /** First to all; then, when it is due, to the keepers and those that are still waited for. */
+  /**
+   * Sends the run to all members first; later, when it is due, to the acceptors and to the members
+   * with unconfirmed holders.
+   */
   List<Effect> sendIfDue(long now) {
     List<Effect> effects = new ArrayList<>();
     if (now < resendAt) {
@@ -200,9 +212,8 @@
       return;
     }
     state.number = Math.max(state.number, message.number());
-    // What one answer of an acceptance does not name any more is settled for good, whatever order
-    // they come
-    // in.
+    // A holder that one reply of an acceptance does not list any more stays settled, in whatever
+    // order the replies arrive.
     boolean first = state.sentAt[page] < 0;
     state.sentAt[page] = Math.max(state.sentAt[page], sentAt.get(message.number()));
     TreeMap<HolderId, Long> named = new TreeMap<>();
@@ -228,7 +239,8 @@
   }
 
   /**
-   * Whether no front door serves what was begun before: the rule that {@code docs/purge.md} proves.
+   * Whether no gateway serves a covered answer that was requested before the purge. {@code
+   * docs/purge.md} proves this rule.
    */
   boolean complete(long now) {
     List<AcceptorState> counted = new ArrayList<>();
--- a/purge/src/main/java/willowdoor/purge/PurgeRuns.java
+++ b/purge/src/main/java/willowdoor/purge/PurgeRuns.java
@@ -9,7 +9,10 @@
 import willowdoor.purge.Message.Purge;
 import willowdoor.purge.Message.PurgeRequest;
 
-/** The runs of one coordinator: those that are out, and those that wait for a place. */
+/**
+ * The runs of one coordinator: the active runs, which have been sent, and the runs that wait to be
+ * sent.
+ */
 final class PurgeRuns {
   static final int MAX_ACTIVE = 128;
   static final int MAX_ACTIVE_PER_CUSTOMER = 4;
@@ -46,12 +49,12 @@
     return List.copyOf(active.values());
   }
 
-  /** Null where it is not out. */
+  /** Returns null if the run is not active. */
   PurgeRun active(long run) {
     return active.get(run);
   }
 
-  /** The one that serves an id, out or waiting, or null. */
+  /** The run that serves a purge id, active or waiting, or null. */
   PurgeRun find(PurgeId id) {
     for (PurgeRun run : active.values()) {
       if (run.requests().containsKey(id)) {
@@ -66,7 +69,10 @@
     return null;
   }
 
-  /** Finds the purge a run that is not sent yet, or says why there is none. */
+  /**
+   * Adds the request to a run that is not sent yet. Returns null, or the outcome if there is no
+   * capacity.
+   */
   Outcome enqueue(PurgeRequest request, Scope scope) {
     int waitingOfCustomer = 0;
     for (PurgeRun run : waiting) {
@@ -81,14 +87,14 @@
     if (waitingOfCustomer >= MAX_WAITING_PER_CUSTOMER) {
       return new Outcome.Rejected(request.id(), Outcome.FailureReason.TOO_MANY);
     }
-    // 12 bits, 32 and 19: used once, unless one process makes half a million runs while the first
-    // is known.
+    // 12 bits of the member, 32 of the boot number and 19 of a counter. The number is unique unless
+    // one process starts half a million runs while the first run is still known.
     long run = (long) self << 51 | boot << 19 | ++lastRunNumber & 0x7ffff;
     waiting.add(new PurgeRun(fleet, rules, new Purge(run, self, scope), request));
     return null;
   }
 
-  /** Sends those for which there is a place. */
+  /** Sends the waiting runs for which there is capacity. */
   List<Effect> startWaiting(long now) {
     List<Effect> effects = new ArrayList<>();
     if (waiting.isEmpty()) {
@@ -117,7 +123,7 @@
     waiting.remove(run);
   }
 
-  /** Takes an id out of its run, and the run away if it serves no other. */
+  /** Removes a purge id from its run, and removes the run if it serves no other id. */
   void removeRequest(PurgeId id) {
     PurgeRun run = find(id);
     if (run != null) {
--- a/purge/src/main/java/willowdoor/purge/RecentPurges.java
+++ b/purge/src/main/java/willowdoor/purge/RecentPurges.java
@@ -3,14 +3,14 @@
 import java.util.Iterator;
 import java.util.LinkedHashMap;
 
-/** What is known of ids: the {@value #MAX_ENTRIES} newest facts, each for ten minutes. */
+/** Values by purge id: the {@value #MAX_ENTRIES} newest values, each for ten minutes. */
 final class RecentPurges<V> {
   private static final int MAX_ENTRIES = 8_192;
   private static final long RETENTION_MS = 600_000;
 
   private record TimedValue<V>(V value, long storedAt) {}
 
-  /** The oldest first. */
+  /** The oldest value first. */
   private final LinkedHashMap<PurgeId, TimedValue<V>> values = new LinkedHashMap<>();
 
   RecentPurges() {}
@@ -19,7 +19,7 @@
     values.putAll(other.values);
   }
 
-  /** Null where nothing is known. */
+  /** Returns null if there is no value for the id. */
   V get(PurgeId id) {
     TimedValue<V> fact = values.get(id);
     return fact == null ? null : fact.value;
--- a/purge/src/main/java/willowdoor/purge/Retransmission.java
+++ b/purge/src/main/java/willowdoor/purge/Retransmission.java
@@ -5,7 +5,10 @@
 import java.util.List;
 import java.util.TreeSet;
 
-/** A message that is sent again, with growing gaps, to those that have not answered it. */
+/**
+ * A message that is sent repeatedly, with growing intervals, to the members that have not answered
+ * it.
+ */
 final class Retransmission {
   private static final int MAX_GAP_FACTOR = 8;
 
@@ -31,7 +34,7 @@
     sendsLeft = other.sendsLeft;
   }
 
-  /** Whether there is nothing more to send. */
+  /** Whether nothing more is to be sent. */
   boolean isFinished() {
     return sendsLeft == 0 || recipients.isEmpty();
   }
--- a/purge/src/main/java/willowdoor/purge/Rules.java
+++ b/purge/src/main/java/willowdoor/purge/Rules.java
@@ -1,58 +1,67 @@
 package willowdoor.purge;
 
 /**
- * The rules that the promise stands on, each in one place. The model checker shows that each of
- * them is needed.
+ * The rules on which the correctness of purges depends, each in one method. The model checker shows
+ * that each rule is needed.
  */
 class Rules {
   static final Rules NORMAL = new Rules();
 
   /**
-   * A keeper that starts remembers nothing: it is silent until what it may have granted and
-   * accepted is over.
+   * An acceptor has no state after a start. It is silent until everything is over that it may have
+   * granted and accepted before.
    */
   long silenceMs(Timing timing) {
     return timing.keepMs();
   }
 
-  /** A holder counts a grant from the sending of its request, as the keeper granted no earlier. */
+  /**
+   * A holder counts a grant from the send time of its request, because the acceptor did not grant
+   * the lease earlier.
+   */
   long grantCountedUntil(Timing timing, long sentAt, long receivedAt) {
     return sentAt + timing.leaseMs();
   }
 
-  /** A lease is looked at on the clock at each use, not when the timer last fired. */
+  /**
+   * A lease is checked against the current time at each use, not against the time at which the
+   * timer last fired.
+   */
   long leaseCheckTime(long now, long lastTimer) {
     return now;
   }
 
-  /** A grant carries each run that the holder has not confirmed to this keeper. */
+  /** A grant carries each run that the holder has not confirmed to this acceptor. */
   boolean grantsCarryRuns() {
     return true;
   }
 
-  /** What was begun before a purge was carried out is not served after it. */
+  /** An answer that was requested before a purge was carried out is not served after the purge. */
   boolean notPurgedSince(PurgeLog log, String customer, String target, long count) {
     return log.notPurgedSince(customer, target, count);
   }
 
-  /** What was kept or begun before a lapse is not served after it. */
+  /**
+   * An answer that was cached or requested before a lease expired is not served under a later
+   * lease.
+   */
   boolean sameTerm(long term, long now) {
     return term == now;
   }
 
-  /** So many keepers commit. */
+  /** The number of acceptors that commit a run. */
   int majority(Fleet fleet) {
     return fleet.majority();
   }
 
-  /** An acceptance counts so long from the sending of what it answers. */
+  /** How long an acceptance counts, from the send time of the message that it answers. */
   long acceptanceValidMs(Timing timing) {
     return timing.boundMs();
   }
 
   /**
-   * A keeper takes a grant to be counted until that is over on any clock, also on those of
-   * coordinators.
+   * How long an acceptor assumes that a grant is counted: until the lease is over on every clock,
+   * also on the clocks of coordinators.
    */
   long leaseRecordMs(Timing timing) {
     return timing.stretch(timing.leaseMs());
--- a/purge/src/main/java/willowdoor/purge/Scope.java
+++ b/purge/src/main/java/willowdoor/purge/Scope.java
@@ -3,9 +3,9 @@
 /**
  * What a purge covers.
  *
- * @param customer 1 to {@value #MAX_CUSTOMER} characters of ASCII
- * @param prefix of a target, that is path and query as text: begins with {@code /}, which alone is
- *     all; up to {@value #MAX_PREFIX} characters of ASCII
+ * @param customer 1 to {@value #MAX_CUSTOMER} ASCII characters
+ * @param prefix the prefix of a target, that is, of path and query as text; begins with {@code /},
+ *     and {@code /} alone covers all targets; up to {@value #MAX_PREFIX} ASCII characters
  */
 public record Scope(String customer, String prefix) {
   static final int MAX_CUSTOMER = 64;
@@ -15,7 +15,8 @@
     if (!isVisibleAscii(customer, MAX_CUSTOMER)
         || !isVisibleAscii(prefix, MAX_PREFIX)
         || prefix.charAt(0) != '/') {
-      throw new IllegalArgumentException("a customer, and a prefix that begins with /");
+      throw new IllegalArgumentException(
+          "customer and prefix must be visible ASCII text within their limits; prefix must begin with /");
     }
   }
 
@@ -27,12 +28,15 @@
     return customer.equals(otherCustomer) && target.startsWith(prefix);
   }
 
-  /** Tells one prefix asked for under a key from another; the same in each process. */
+  /**
+   * Distinguishes the prefixes that are requested under one key; the value is the same in each
+   * process.
+   */
   int prefixHash() {
     return prefix.hashCode();
   }
 
-  /** Whether it is 1 to {@code maxLength} characters that ASCII shows, without spaces. */
+  /** Whether the text has 1 to {@code maxLength} visible ASCII characters, without spaces. */
   static boolean isVisibleAscii(String text, int maxLength) {
     return !text.isEmpty()
         && text.length() <= maxLength
--- a/purge/src/main/java/willowdoor/purge/Targets.java
+++ b/purge/src/main/java/willowdoor/purge/Targets.java
@@ -2,11 +2,14 @@
 
 import java.util.regex.Pattern;
 
-/** Which targets can be kept: those with one spelling only, as purges go by the text. */
+/**
+ * Determines which targets can be cached: those with a single spelling only, because purges compare
+ * targets as text.
+ */
 final class Targets {
   static final int MAX_LENGTH = 2_048;
 
-  /** Percent signs, back slashes, empty parts, and parts of one or two dots. */
+  /** Percent signs, backslashes, number signs, empty segments, and segments of one or two dots. */
   private static final Pattern AMBIGUOUS_PATH = Pattern.compile("[%\\\\#]|//|/\\.\\.?(/|$)");
 
   private Targets() {}
--- a/purge/src/main/java/willowdoor/purge/Timing.java
+++ b/purge/src/main/java/willowdoor/purge/Timing.java
@@ -1,20 +1,23 @@
 package willowdoor.purge;
 
 /**
- * The times of one fleet in whole milliseconds, the same at each front door. Every one is counted
- * on the monotonic clock of the process that counts it; {@link #stretch} covers the difference
- * between two such clocks.
+ * The times of one fleet in whole milliseconds, the same at each gateway. Each time is measured on
+ * the monotonic clock of the process that uses the time; {@link #stretch} covers the difference
+ * between two such clocks. The names of this record and its components are part of the digest of
+ * {@link Codec} and must not change.
  *
- * @param boundMs L: within which a purge is complete while a majority of keepers is there; above
- *     {@code stretch(leaseMs)}
- * @param leaseMs how long a holder counts a grant, from the sending of its request; above {@code
+ * @param boundMs L: the time within which a purge is complete while a majority of acceptors is
+ *     available; above {@code stretch(leaseMs)}
+ * @param leaseMs how long a holder counts a grant, from the send time of its request; above {@code
  *     guardMs}
- * @param guardMs how long a lease must still run at a use, so that a short pause behind the check
+ * @param guardMs how long a lease must still run at a use, so that a short pause after the check
  *     does no harm
- * @param renewMs between two renewals
- * @param resendMs before a message without an answer is sent again the first time
- * @param driftPercent each clock's rate is within so many hundredths of the true one; 0 to 50
- * @param roundMs what whole milliseconds can hide; 1, or 0 where clocks move in whole milliseconds
+ * @param renewMs the time between two renewals
+ * @param resendMs the time before a message without an answer is sent again for the first time
+ * @param driftPercent the largest difference between the rate of a clock and the true rate, in
+ *     percent; 0 to 50
+ * @param roundMs the largest error of rounding to whole milliseconds; 1, or 0 where clocks advance
+ *     in whole milliseconds
  */
 public record Timing(
     long boundMs,
@@ -28,33 +31,36 @@
   public Timing {
     if (driftPercent < 0 || driftPercent > 50 || roundMs < 0 || guardMs < 0) {
       throw new IllegalArgumentException(
-          "drift is 0 to 50 percent, round and guard are not negative");
+          "driftPercent must be 0 to 50, roundMs and guardMs not negative");
     }
     if (renewMs < 1 || resendMs < 1 || leaseMs <= guardMs) {
       throw new IllegalArgumentException(
-          "renewals and resends need 1 ms, a lease more than its guard");
+          "renewMs and resendMs must be at least 1, leaseMs above guardMs");
     }
     if (boundMs > 60_000 || boundMs <= stretch(leaseMs, driftPercent, roundMs) + roundMs) {
       throw new IllegalArgumentException(
-          "the bound is up to 60,000 ms and above a stretched lease");
+          "boundMs must be at most 60,000 and above stretch(leaseMs) + roundMs");
     }
   }
 
-  /** The usual parts of a bound. {@code boundMs}: 300 to 60,000. */
+  /** The usual proportions for a bound. {@code boundMs}: 300 to 60,000. */
   public static Timing of(long boundMs) {
     if (boundMs < 300) {
-      throw new IllegalArgumentException("the bound is 300 to 60,000 ms");
+      throw new IllegalArgumentException("boundMs must be 300 to 60,000");
     }
     return new Timing(
         boundMs, boundMs * 4 / 5, boundMs / 15, boundMs * 2 / 15, Math.min(50, boundMs / 10), 1, 1);
   }
 
-  /** So long that another process's {@code ms} are over by its clock too. */
+  /** A time after which {@code ms} of another process are over on that process's clock too. */
   public long stretch(long ms) {
     return stretch(ms, driftPercent, roundMs);
   }
 
-  /** A keeper's silence after its start, and how long it holds a run after the last word of it. */
+  /**
+   * How long an acceptor is silent after its start, and how long it holds a run after the last
+   * message about the run.
+   */
   public long keepMs() {
     return stretch(boundMs);
   }
--- a/purge/src/main/java/willowdoor/purge/UdpDatagrams.java
+++ b/purge/src/main/java/willowdoor/purge/UdpDatagrams.java
@@ -16,8 +16,8 @@
 import java.util.function.BiConsumer;
 
 /**
- * UDP between the addresses of a roster, on one event loop; all methods are called on it, but for
- * the start.
+ * UDP datagrams between the addresses of a roster, on one event loop. All methods are called on
+ * this loop, except the constructor and {@link #listen}.
  */
 public final class UdpDatagrams implements Datagrams, AutoCloseable {
   private final Map<Integer, InetSocketAddress> addresses;
@@ -26,13 +26,16 @@
   private long unknownSenders;
   private long unsent;
 
-  /** {@code addresses}: by member, resolved. */
+  /** {@code addresses}: the resolved addresses by member. */
   public UdpDatagrams(Map<Integer, InetSocketAddress> addresses) {
     this.addresses = Map.copyOf(addresses);
     addresses.forEach((member, address) -> members.put(address, member));
   }
 
-  /** Listens at its own address; {@code receiver} gets the member and the bytes, on the loop. */
+  /**
+   * Listens at the member's own address; {@code receiver} gets the sender's number and the bytes,
+   * on the loop.
+   */
   public ChannelFuture listen(
       EventLoop loop,
       Class<? extends DatagramChannel> type,
@@ -57,8 +60,8 @@
 
                   @Override
                   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-                    // A port that nobody listens at any more is told here: no more than a datagram
-                    // that is lost.
+                    // The kernel reports a closed destination port here, which is equivalent to a
+                    // lost datagram.
                     unsent++;
                   }
                 });
@@ -78,12 +81,12 @@
         new DatagramPacket(Unpooled.wrappedBuffer(datagram), to), channel.voidPromise());
   }
 
-  /** Datagrams from addresses that are not in the roster, which are dropped. */
+  /** The number of datagrams from addresses that are not in the roster; these are dropped. */
   public long unknownSenders() {
     return unknownSenders;
   }
 
-  /** Datagrams that could not be handed to the kernel. */
+  /** The number of datagrams that could not be passed to the kernel. */
   public long unsent() {
     return unsent;
   }
--- a/purge/src/main/java/willowdoor/purge/WaitingCallers.java
+++ b/purge/src/main/java/willowdoor/purge/WaitingCallers.java
@@ -5,14 +5,14 @@
 import java.util.List;
 import java.util.Map;
 
-/** Those that wait for the end of a purge, by its id. */
+/** Callers that wait for the outcome of a purge, by purge id. */
 final class WaitingCallers {
   static final int MAX_CALLERS = 4_096;
 
-  /** {@code asks}: it only asks how the purge goes. */
+  /** {@code statusOnly}: the caller queries the status and has not requested the purge. */
   record Caller(long number, String customer, boolean statusOnly, long deadline) {}
 
-  /** The lists are never changed. */
+  /** The lists are never modified; copies of the map share them. */
   private final LinkedHashMap<PurgeId, List<Caller>> byId = new LinkedHashMap<>();
 
   private int size;
@@ -43,7 +43,7 @@
     size++;
   }
 
-  /** Takes all out that wait for an id. */
+  /** Removes and returns all callers that wait for the id. */
   List<Caller> removeAll(PurgeId id) {
     List<Caller> list = byId.remove(id);
     size -= list == null ? 0 : list.size();
@@ -59,7 +59,7 @@
     byId.values().removeIf(List::isEmpty);
   }
 
-  /** The ids for which somebody waits whose time is over. */
+  /** The ids that have at least one caller whose deadline has passed. */
   List<PurgeId> overdueIds(long now) {
     List<PurgeId> ids = new ArrayList<>();
     byId.forEach(
