--- a/purge/src/main/java/willowdoor/purge/Acceptor.java
+++ b/purge/src/main/java/willowdoor/purge/Acceptor.java
@@ -182,13 +182,13 @@
   private void accept(long now, int from, Accept accept, List<Effect> effects) {
     long run = accept.purge().run();
     for (PurgeRequest request : accept.requests()) {
-      KnownPurge before = known.get(request.id());
-      if (before != null && before.prefixHash() != request.prefixHash()) {
+      KnownPurge knownPurge = known.get(request.id());
+      if (knownPurge != null && knownPurge.prefixHash() != request.prefixHash()) {
         effects.add(new Effect.Send(from, new Refused(run, Reason.KEY_USED, request.id())));
         return;
       }
-      if (before != null && before.result() != null) {
-        effects.add(new Effect.Send(from, statusReply(0, request.id(), before)));
+      if (knownPurge != null && knownPurge.result() != null) {
+        effects.add(new Effect.Send(from, statusReply(0, request.id(), knownPurge)));
       }
     }
     HeldRun heldRun = heldRuns.get(run);
--- a/purge/src/main/java/willowdoor/purge/Coordinator.java
+++ b/purge/src/main/java/willowdoor/purge/Coordinator.java
@@ -78,14 +78,14 @@
   List<Effect> purge(long now, long caller, PurgeId id, Scope scope, long deadline) {
     List<Effect> effects = new ArrayList<>();
     PurgeRequest request = new PurgeRequest(id, scope.prefixHash());
-    CompletedPurge before = completed.get(id);
+    CompletedPurge completedPurge = completed.get(id);
     PurgeRun run = runs.find(id);
-    if (before != null) {
+    if (completedPurge != null) {
       effects.add(
           new Effect.Answer(
               caller,
-              before.request.equals(request)
-                  ? completeOutcome(before)
+              completedPurge.request.equals(request)
+                  ? completeOutcome(completedPurge)
                   : new Outcome.Rejected(id, Outcome.FailureReason.KEY_USED)));
     } else if (run != null && !run.requests().containsValue(request)) {
       effects.add(
@@ -112,15 +112,15 @@
    */
   List<Effect> queryStatus(long now, long caller, PurgeId id, String customer, long deadline) {
     List<Effect> effects = new ArrayList<>();
-    CompletedPurge before = completed.get(id);
+    CompletedPurge completedPurge = completed.get(id);
     PurgeRun run = runs.find(id);
     boolean ownedByOther =
-        before != null && !before.customer.equals(customer)
+        completedPurge != null && !completedPurge.customer.equals(customer)
             || run != null && !run.purge().scope().customer().equals(customer);
     if (ownedByOther) {
       effects.add(new Effect.Answer(caller, new Outcome.Unknown(id)));
-    } else if (before != null) {
-      effects.add(new Effect.Answer(caller, completeOutcome(before)));
+    } else if (completedPurge != null) {
+      effects.add(new Effect.Answer(caller, completeOutcome(completedPurge)));
     } else if (callers.full() || run == null && statusQueries.size() >= MAX_STATUS_QUERIES) {
       effects.add(
           new Effect.Answer(caller, new Outcome.Unavailable(id, Outcome.FailureReason.BUSY)));
@@ -219,24 +219,28 @@
    */
   private void recordCompleted(
       long now, PurgeRequest request, Scope scope, Result result, List<Effect> effects) {
-    CompletedPurge end = new CompletedPurge(request, scope.customer(), result);
-    completed.put(now, request.id(), end);
+    CompletedPurge completedPurge = new CompletedPurge(request, scope.customer(), result);
+    completed.put(now, request.id(), completedPurge);
     statusQueries.remove(request.id());
-    for (Caller one : callers.removeAll(request.id())) {
-      boolean owns = one.customer().equals(scope.customer());
+    for (Caller caller : callers.removeAll(request.id())) {
+      boolean owns = caller.customer().equals(scope.customer());
       effects.add(
           new Effect.Answer(
-              one.number(), owns ? completeOutcome(end) : new Outcome.Unknown(request.id())));
+              caller.number(),
+              owns ? completeOutcome(completedPurge) : new Outcome.Unknown(request.id())));
     }
   }
 
-  private static Outcome completeOutcome(CompletedPurge end) {
-    return new Outcome.Complete(end.request.id(), end.result.confirmed(), end.result.ranOut());
+  private static Outcome completeOutcome(CompletedPurge completedPurge) {
+    return new Outcome.Complete(
+        completedPurge.request.id(),
+        completedPurge.result.confirmed(),
+        completedPurge.result.ranOut());
   }
 
   private void answerCallers(PurgeId id, Outcome outcome, List<Effect> effects) {
-    for (Caller one : callers.removeAll(id)) {
-      effects.add(new Effect.Answer(one.number(), outcome));
+    for (Caller caller : callers.removeAll(id)) {
+      effects.add(new Effect.Answer(caller.number(), outcome));
     }
   }
 
@@ -261,8 +265,8 @@
     List<Caller> list = callers.removeAll(id);
     if (run == null
         || !committed
-            && list.stream().anyMatch(one -> !one.statusOnly() && one.deadline() <= now)) {
-      list.forEach(one -> callers.add(id, one));
+            && list.stream().anyMatch(caller -> !caller.statusOnly() && caller.deadline() <= now)) {
+      list.forEach(caller -> callers.add(id, caller));
       fail(
           id,
           run != null && !run.started()
@@ -271,13 +275,13 @@
           effects);
       return;
     }
-    for (Caller one : list) {
-      if (one.deadline() > now) {
-        callers.add(id, one);
+    for (Caller caller : list) {
+      if (caller.deadline() > now) {
+        callers.add(id, caller);
       } else {
         effects.add(
             new Effect.Answer(
-                one.number(),
+                caller.number(),
                 committed
                     ? new Outcome.Pending(id)
                     : new Outcome.Unavailable(id, Outcome.FailureReason.NO_MAJORITY)));
@@ -312,11 +316,11 @@
       recordCompleted(now, request, reply.scope(), reply.result(), effects);
       effects.addAll(runs.startWaiting(now));
     } else if (reply.state() == State.OPEN && expected) {
-      for (Caller one : callers.removeAll(reply.id())) {
-        if (one.customer().equals(reply.scope().customer())) {
-          callers.add(reply.id(), one);
+      for (Caller caller : callers.removeAll(reply.id())) {
+        if (caller.customer().equals(reply.scope().customer())) {
+          callers.add(reply.id(), caller);
         } else {
-          effects.add(new Effect.Answer(one.number(), new Outcome.Unknown(reply.id())));
+          effects.add(new Effect.Answer(caller.number(), new Outcome.Unknown(reply.id())));
         }
       }
       Outcome refused =
--- a/purge/src/main/java/willowdoor/purge/WaitingCallers.java
+++ b/purge/src/main/java/willowdoor/purge/WaitingCallers.java
@@ -52,7 +52,8 @@
 
   void remove(long caller) {
     for (Map.Entry<PurgeId, List<Caller>> entry : byId.entrySet()) {
-      List<Caller> rest = entry.getValue().stream().filter(one -> one.number != caller).toList();
+      List<Caller> rest =
+          entry.getValue().stream().filter(other -> other.number != caller).toList();
       size -= entry.getValue().size() - rest.size();
       entry.setValue(rest);
     }
@@ -64,7 +65,7 @@
     List<PurgeId> ids = new ArrayList<>();
     byId.forEach(
         (id, list) -> {
-          if (list.stream().anyMatch(one -> one.deadline <= now)) {
+          if (list.stream().anyMatch(other -> other.deadline <= now)) {
             ids.add(id);
           }
         });
--- a/purge/src/test/java/willowdoor/purge/AnswerCacheTest.java
+++ b/purge/src/test/java/willowdoor/purge/AnswerCacheTest.java
@@ -22,9 +22,9 @@
           new Fleet(List.of(0), List.of(0), new Timing(60_000, 50_000, 10, 100, 50, 1, 1)),
           5,
           Rules.NORMAL);
-  private final AnswerCache<byte[]> kept =
+  private final AnswerCache<byte[]> cache =
       new AnswerCache<>(holder, 100_000, 10_000, answer -> answer.length);
-  private final List<Lookup<byte[]>> waited = new ArrayList<>();
+  private final List<Lookup<byte[]>> results = new ArrayList<>();
   private long runs;
 
   private void lease(long now) {
@@ -33,7 +33,7 @@
   }
 
   private Lookup<byte[]> find(long now, String target, long endMs) {
-    return kept.find(now, "c", target, endMs, waited::add);
+    return cache.find(now, "c", target, endMs, results::add);
   }
 
   private AnswerCache.Fill<byte[]> lead(long now, String target) {
@@ -46,13 +46,13 @@
         .forEach(
             effect -> {
               if (effect instanceof Effect.Drop drop) {
-                kept.drop(drop.scope());
+                cache.drop(drop.scope());
               }
             });
   }
 
   @Test
-  void keepsForItsTimeAndDropsByPrefix() {
+  void servesUntilTtlEndsAndDropsByPrefix() {
     assertInstanceOf(Bypass.class, find(0, "/a/1", 9), "no lease");
     lease(0);
     for (String target : List.of("/a/1", "/a/2?q=%20", "/b/1")) {
@@ -63,61 +63,63 @@
       assertInstanceOf(Bypass.class, find(6, odd, 99), odd);
     }
     purge(7, "/a/");
-    assertEquals(1, kept.size());
+    assertEquals(1, cache.size());
     assertInstanceOf(Miss.class, find(8, "/a/2?q=%20", 99));
     assertInstanceOf(Hit.class, find(9_999, "/b/1", 99_999));
     assertInstanceOf(
-        Miss.class, find(10_000, "/b/1", 99_999), "counted from when the server was asked");
+        Miss.class, find(10_000, "/b/1", 99_999), "the TTL counts from the request to the server");
   }
 
   @Test
-  void oneAsksForAllAndEachWaitsForItsOwnTimeAtMost() {
+  void sharesOneRequestAndBoundsEachWait() {
     lease(0);
     AnswerCache.Fill<byte[]> fill = lead(0, "/a");
-    AnswerCache.Waiter<byte[]> gone = found -> waited.add(null);
-    assertInstanceOf(Queued.class, kept.find(1, "c", "/a", 500, gone));
-    kept.removeWaiter("c", "/a", gone);
+    AnswerCache.Waiter<byte[]> gone = found -> results.add(null);
+    assertInstanceOf(Queued.class, cache.find(1, "c", "/a", 500, gone));
+    cache.removeWaiter("c", "/a", gone);
     for (long end : new long[] {50, 400, 410, 420}) {
       assertInstanceOf(Queued.class, find(1, "/a", end));
     }
     fill.failed(100);
-    assertEquals(1, waited.size(), "the first that still waits asks next");
-    AnswerCache.Fill<byte[]> second = ((Miss<byte[]>) waited.remove(0)).fill();
+    assertEquals(1, results.size(), "the first request that still waits is sent next");
+    AnswerCache.Fill<byte[]> second = ((Miss<byte[]>) results.remove(0)).fill();
     purge(150, "/a");
     second.done(200, new byte[1]);
-    assertEquals(1, waited.size(), "begun before the purge: not for those that wait");
-    AnswerCache.Fill<byte[]> third = ((Miss<byte[]>) waited.remove(0)).fill();
-    assertEquals(0, kept.size());
+    assertEquals(
+        1, results.size(), "an answer requested before the purge must not reach waiting requests");
+    AnswerCache.Fill<byte[]> third = ((Miss<byte[]>) results.remove(0)).fill();
+    assertEquals(0, cache.size());
     third.done(300, new byte[2]);
-    assertInstanceOf(Hit.class, waited.remove(0));
-    assertTrue(waited.isEmpty());
+    assertInstanceOf(Hit.class, results.remove(0));
+    assertTrue(results.isEmpty());
     for (int i = 0; i < 100; i++) {
       find(300, "/new", 900);
     }
-    assertInstanceOf(Bypass.class, find(300, "/new", 900), "64 wait at most");
-    assertInstanceOf(Miss.class, find(900, "/new", 999), "who asked has had its time");
+    assertInstanceOf(Bypass.class, find(300, "/new", 900), "at most 64 requests wait");
+    assertInstanceOf(
+        Miss.class, find(900, "/new", 999), "the time of the request in flight is over");
   }
 
   @Test
-  void holdsABoundedNumberOfBytes() {
+  void boundsTheCacheSize() {
     lease(0);
     for (int i = 0; i < 2_000; i++) {
       lead(i, "/flood/" + i).done(i, new byte[1_000]);
     }
-    assertTrue(kept.size() <= 100 && kept.size() >= 50, "kept " + kept.size());
-    kept.dropAll();
-    assertEquals(0, kept.size());
+    assertTrue(cache.size() <= 100 && cache.size() >= 50, "kept " + cache.size());
+    cache.dropAll();
+    assertEquals(0, cache.size());
   }
 
   @Test
-  void aLapseEndsWhatWasKeptAndWhatWaits() {
+  void expiredLeaseInvalidatesAnswersAndReleasesWaiters() {
     lease(0);
     lead(0, "/a").done(1, new byte[1]);
     AnswerCache.Fill<byte[]> fill = lead(49_000, "/b");
     find(49_000, "/b", 99_000);
     assertInstanceOf(Bypass.class, find(50_000, "/a", 60_000));
     fill.done(50_000, new byte[1]);
-    assertInstanceOf(Bypass.class, waited.remove(0));
+    assertInstanceOf(Bypass.class, results.remove(0));
     lease(50_001);
     assertInstanceOf(Miss.class, find(50_002, "/a", 60_000));
   }
--- a/purge/src/test/java/willowdoor/purge/BrokenRule.java
+++ b/purge/src/test/java/willowdoor/purge/BrokenRule.java
@@ -3,7 +3,7 @@
 /** Each rule bent by itself, with the play that tells. */
 enum BrokenRule {
   NO_SILENCE_AFTER_A_START(
-      Scenario.KEEPER_RESTARTS,
+      Scenario.ACCEPTOR_RESTARTS,
       new Rules() {
         @Override
         long silenceMs(Timing timing) {
@@ -67,7 +67,7 @@
         }
       }),
   NO_ROOM_FOR_DRIFT(
-      Scenario.DRIFT_SLOW_DOOR,
+      Scenario.DRIFT_SLOW_GATEWAY,
       new Rules() {
         @Override
         long leaseRecordMs(Timing timing) {
@@ -86,8 +86,8 @@
   final Scenario scenario;
   final Rules rules;
 
-  BrokenRule(Scenario play, Rules rules) {
-    this.scenario = play;
+  BrokenRule(Scenario scenario, Rules rules) {
+    this.scenario = scenario;
     this.rules = rules;
   }
 }
--- a/purge/src/test/java/willowdoor/purge/CodecTest.java
+++ b/purge/src/test/java/willowdoor/purge/CodecTest.java
@@ -25,10 +25,10 @@
   private final Random random = new Random(7);
 
   @Test
-  void readsWhatItWritesAndTheLargestFit() throws Codec.DroppedDatagramException {
+  void decodesEveryEncodedMessageWithinTheDatagramLimit() throws Codec.DroppedDatagramException {
     for (int i = 0; i < 300; i++) {
-      boolean most = i % 2 == 0;
-      for (Message message : messages(most)) {
+      boolean largest = i % 2 == 0;
+      for (Message message : messages(largest)) {
         byte[] datagram = codec.encode(message);
         assertTrue(
             datagram.length <= Codec.MAX_DATAGRAM_BYTES,
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void dropsAllElseWithoutHarm() {
+  void dropsMalformedAndForeignDatagrams() {
     int unreadable = 0;
     for (int i = 0; i < 300; i++) {
       for (Message message : messages(false)) {
@@ -51,12 +51,12 @@
             () -> codec.decode(Arrays.copyOf(datagram, datagram.length + 1)));
         for (int flips = 0; flips < 3; flips++) {
           datagram[random.nextInt(datagram.length)] = (byte) random.nextInt();
-          unreadable += read(datagram) ? 0 : 1;
+          unreadable += decodes(datagram) ? 0 : 1;
         }
       }
       byte[] noise = new byte[random.nextInt(200)];
       random.nextBytes(noise);
-      unreadable += read(noise) ? 0 : 1;
+      unreadable += decodes(noise) ? 0 : 1;
     }
     assertTrue(unreadable > 5_000, "unreadable " + unreadable);
     Fleet others = new Fleet(List.of(0, 1, 2), List.of(0, 1), FLEET.timing());
@@ -70,7 +70,7 @@
   }
 
   /** Anything but {@code Dropped} fails the test. */
-  private boolean read(byte[] datagram) {
+  private boolean decodes(byte[] datagram) {
     try {
       codec.decode(datagram);
       return true;
@@ -79,24 +79,25 @@
     }
   }
 
-  private List<Message> messages(boolean most) {
+  private List<Message> messages(boolean largest) {
     Scope scope =
-        new Scope("c".repeat(most ? 64 : 1), "/" + "p".repeat(most ? 255 : random.nextInt(9)));
+        new Scope(
+            "c".repeat(largest ? 64 : 1), "/" + "p".repeat(largest ? 255 : random.nextInt(9)));
     Purge purge = new Purge(number(), random.nextInt(4_096), scope);
-    List<PurgeRequest> claims = list(32, most, () -> new PurgeRequest(id(), random.nextInt()));
+    List<PurgeRequest> claims = list(32, largest, () -> new PurgeRequest(id(), random.nextInt()));
     Result result =
-        new Result(random.nextInt(5_000), list(64, most, () -> 4_095 - random.nextInt(9)));
+        new Result(random.nextInt(5_000), list(64, largest, () -> 4_095 - random.nextInt(9)));
     int page = random.nextInt(64);
     List<OutstandingLease> leases =
         list(
             128,
-            most,
+            largest,
             () ->
                 new OutstandingLease(
                     new HolderId(page * 64 + random.nextInt(64), boot()), random.nextInt(65_536)));
     return List.of(
-        new Message.Renew(boot(), number(), number(), list(50, most, this::number)),
-        new Message.Grant(boot(), number(), most, list(most ? 3 : 50, most, () -> purge)),
+        new Message.Renew(boot(), number(), number(), list(50, largest, this::number)),
+        new Message.Grant(boot(), number(), largest, list(largest ? 3 : 50, largest, () -> purge)),
         new Message.Accept(purge, random.nextInt(999), claims),
         new Message.Accepted(number(), random.nextInt(99), number(), page, leases),
         new Message.Refused(number(), Reason.KEY_USED, id()),
@@ -111,8 +112,8 @@
         new Message.StatusReply(number(), id(), State.UNKNOWN, null, 0, null));
   }
 
-  private <T> List<T> list(int size, boolean most, Supplier<T> element) {
-    return Stream.generate(element).limit(most ? size : random.nextInt(4)).toList();
+  private <T> List<T> list(int size, boolean largest, Supplier<T> element) {
+    return Stream.generate(element).limit(largest ? size : random.nextInt(4)).toList();
   }
 
   private long number() {
--- a/purge/src/test/java/willowdoor/purge/DeepModel.java
+++ b/purge/src/test/java/willowdoor/purge/DeepModel.java
@@ -10,12 +10,12 @@
   private DeepModel() {}
 
   public static void main(String[] args) {
-    for (Scenario play : Scenario.values()) {
-      if (args.length == 1 || List.of(args).contains(play.name())) {
+    for (Scenario scenario : Scenario.values()) {
+      if (args.length == 1 || List.of(args).contains(scenario.name())) {
         long began = System.nanoTime();
-        Explorer.Report report = play.explorer(Rules.NORMAL).run(99, Integer.parseInt(args[0]));
+        Explorer.Report report = scenario.explorer(Rules.NORMAL).run(99, Integer.parseInt(args[0]));
         System.out.println(
-            play + " " + report + " in " + (System.nanoTime() - began) / 1_000_000 + " ms");
+            scenario + " " + report + " in " + (System.nanoTime() - began) / 1_000_000 + " ms");
       }
     }
   }
--- a/purge/src/test/java/willowdoor/purge/Explorer.java
+++ b/purge/src/test/java/willowdoor/purge/Explorer.java
@@ -10,13 +10,13 @@
   /**
    * A state of a level that was not gone on from, by its number: the trace goes back over these.
    */
-  private int[] cameFrom = new int[1 << 16];
+  private int[] parents = new int[1 << 16];
 
-  private int[] by = new int[1 << 16];
+  private int[] actions = new int[1 << 16];
   private final LongMap seen = new LongMap();
   private final FleetModel world;
   private List<int[]> level = new ArrayList<>();
-  private List<int[]> later = new ArrayList<>();
+  private List<int[]> nextLevel = new ArrayList<>();
   private int at;
   private boolean last;
   private int brokenAt = -1;
@@ -36,40 +36,40 @@
   Explorer(FleetModel world, List<String> script) {
     this.world = world;
     int[] state = world.start();
-    for (String words : script) {
+    for (String prefix : script) {
       int[][] found = new int[1][];
       world.next(
           state,
           (after, action) -> {
-            if (found[0] == null && world.words(action).startsWith(words)) {
+            if (found[0] == null && world.describe(action).startsWith(prefix)) {
               found[0] = after;
             }
           });
       if (found[0] == null) {
-        throw new IllegalArgumentException("nothing like \"" + words + "\" can happen now");
+        throw new IllegalArgumentException("nothing like \"" + prefix + "\" can happen now");
       }
       state = found[0];
     }
     visit(state, 0);
-    level = later;
+    level = nextLevel;
   }
 
   /** To so many actions, or to the last whole level of so many states. */
-  Report run(int most, int states) {
+  Report run(int maxDepth, int maxStates) {
     int next = 0;
-    while (depth < most && !level.isEmpty() && brokenAt < 0) {
+    while (depth < maxDepth && !level.isEmpty() && brokenAt < 0) {
       depth++;
-      last = depth == most;
-      later = new ArrayList<>();
+      last = depth == maxDepth;
+      nextLevel = new ArrayList<>();
       for (int i = 0; i < level.size() && brokenAt < 0; i++) {
         at = next++;
         world.next(level.get(i), this::visit);
         level.set(i, null);
-        if (seen.size() > states) {
+        if (seen.size() > maxStates) {
           return report(depth - 1, false);
         }
       }
-      level = later;
+      level = nextLevel;
     }
     return report(depth, !last && level.isEmpty());
   }
@@ -91,24 +91,24 @@
     if (brokenAt >= 0 || !seen.add(world.print(state), number) && world.broken == null) {
       return;
     }
-    if (number == by.length) {
-      cameFrom = Arrays.copyOf(cameFrom, 2 * number);
-      by = Arrays.copyOf(by, 2 * number);
+    if (number == actions.length) {
+      parents = Arrays.copyOf(parents, 2 * number);
+      actions = Arrays.copyOf(actions, 2 * number);
     }
-    cameFrom[number] = at;
-    by[number] = action;
+    parents[number] = at;
+    actions[number] = action;
     if (world.broken != null) {
       brokenAt = number;
     }
     if (!last) {
-      later.add(state);
+      nextLevel.add(state);
     }
   }
 
   private List<String> trace() {
     ArrayDeque<String> words = new ArrayDeque<>();
-    for (int i = brokenAt; i > 0; i = cameFrom[i]) {
-      words.addFirst(world.words(by[i]));
+    for (int i = brokenAt; i > 0; i = parents[i]) {
+      words.addFirst(world.describe(actions[i]));
     }
     return List.copyOf(words);
   }
--- a/purge/src/test/java/willowdoor/purge/FleetModel.java
+++ b/purge/src/test/java/willowdoor/purge/FleetModel.java
@@ -7,12 +7,12 @@
 import willowdoor.purge.ModelParts.Step;
 
 /**
- * Three keepers and two front doors (holder and coordinator) of the real classes, and all that may
+ * Three acceptors and two gateways (holder and coordinator) of the real classes, and all that may
  * happen to them next. Whoever is not asked to act while time passes is stopped; what is sent may
- * be delivered at any time, in any order, again, or never. A door may begin an answer at any moment
- * and keep it at any later one: of each point that it had a lease at, the purges that were not
- * taken yet are remembered, and an answer of that point must not be served after such a purge is
- * complete, nor may a check that a guard's time ago said yes. A state of the whole is a few
+ * be delivered at any time, in any order, again, or never. A gateway may begin an answer at any
+ * moment and keep it at any later one: of each point that it had a lease at, the purges that were
+ * not taken yet are remembered, and an answer of that point must not be served after such a purge
+ * is complete, nor may a check that a guard's time ago said yes. A state of the whole is a few
  * numbers: the time, the number of each part's state, the purges taken and complete, what was used
  * of the budgets, the net.
  */
@@ -27,25 +27,25 @@
   /**
    * What may happen, each so many times.
    *
-   * @param rates how far the clocks go in a step of time: three keepers, two doors
-   * @param doors with kept answers: the first, or both
-   * @param renews of each door
-   * @param takes bits of purge + 2 * door: which purge may be called for where
+   * @param rates how far the clocks go in a step of time: three acceptors, two gateways
+   * @param gateways with kept answers: the first, or both
+   * @param renews of each gateway
+   * @param takes bits of purge + 2 * gateway: which purge may be called for where
    * @param again how many messages are delivered twice
-   * @param checks whether a door may be stopped between its check and its write
-   * @param prompt whether a coordinator hears at once what is sent to it, and looks at once whether
-   *     a purge is complete: the sooner it does the worse for the promise, as long as each message
-   *     is sent once
+   * @param checks whether a gateway may be stopped between its check and its write
+   * @param prompt whether a coordinator received at once what is sent to it, and looks at once
+   *     whether a purge is complete: the sooner it does the worse for the promise, as long as each
+   *     message is sent once
    */
   record Setup(
       Timing timing,
       int[] rates,
       int steps,
-      int doors,
+      int gateways,
       int renews,
       int takes,
-      int keeperRestarts,
-      int doorRestarts,
+      int acceptorRestarts,
+      int gatewayRestarts,
       int again,
       boolean checks,
       boolean prompt,
@@ -55,11 +55,11 @@
           timing,
           rates,
           steps,
-          doors,
+          gateways,
           renews,
           takes,
-          keeperRestarts,
-          doorRestarts,
+          acceptorRestarts,
+          gatewayRestarts,
           again,
           checks,
           prompt,
@@ -75,8 +75,8 @@
   final ModelParts parts;
 
   /**
-   * How often a coordinator told that a purge is complete, and a door wrote a purged answer after
-   * that.
+   * How often a coordinator told that a purge is complete, and a gateway wrote a purged answer
+   * after that.
    */
   long completes;
 
@@ -112,25 +112,25 @@
         act(state, parts.sent(state[i]).place(), Act.AGAIN, state[i], next);
       }
     }
-    for (int door = 0; door < ModelParts.DOORS; door++) {
-      if (door < setup.doors) {
-        act(state, ModelParts.DOOR + door, Act.RENEW, 0, next);
-        act(state, ModelParts.DOOR + door, Act.CHECK, 0, next);
-        act(state, ModelParts.DOOR + door, Act.WRITE, state[COMPLETE], next);
-        act(state, ModelParts.DOOR + door, Act.RESTART, 0, next);
+    for (int gateway = 0; gateway < ModelParts.GATEWAYS; gateway++) {
+      if (gateway < setup.gateways) {
+        act(state, ModelParts.GATEWAY + gateway, Act.RENEW, 0, next);
+        act(state, ModelParts.GATEWAY + gateway, Act.CHECK, 0, next);
+        act(state, ModelParts.GATEWAY + gateway, Act.WRITE, state[COMPLETE], next);
+        act(state, ModelParts.GATEWAY + gateway, Act.RESTART, 0, next);
       }
       if (!setup.prompt) {
-        act(state, ModelParts.COORDINATOR + door, Act.TICK, 0, next);
+        act(state, ModelParts.COORDINATOR + gateway, Act.TICK, 0, next);
       }
       for (int purge = 0; purge < ModelParts.SCOPES.length; purge++) {
-        int bit = 1 << purge + 2 * door;
+        int bit = 1 << purge + 2 * gateway;
         if ((setup.takes & bit) != 0 && (state[TAKES] & bit) == 0) {
-          act(state, ModelParts.COORDINATOR + door, Act.TAKE, purge, next);
+          act(state, ModelParts.COORDINATOR + gateway, Act.TAKE, purge, next);
         }
       }
     }
-    for (int keeper = 0; keeper < ModelParts.KEEPERS; keeper++) {
-      act(state, 1 + keeper, Act.RESTART, 0, next);
+    for (int acceptor = 0; acceptor < ModelParts.ACCEPTORS; acceptor++) {
+      act(state, 1 + acceptor, Act.RESTART, 0, next);
     }
   }
 
@@ -149,17 +149,18 @@
   }
 
   private void act(int[] state, int place, Act act, int argument, Next next) {
-    boolean atDoor = place >= ModelParts.DOOR;
-    int door = (place - ModelParts.DOOR) % ModelParts.DOORS;
-    int budget = state[RESTARTS + (atDoor ? 1 : 0)];
-    if (act == Act.RESTART && budget >= (atDoor ? setup.doorRestarts : setup.keeperRestarts)) {
+    boolean atGateway = place >= ModelParts.GATEWAY;
+    int gateway = (place - ModelParts.GATEWAY) % ModelParts.GATEWAYS;
+    int budget = state[RESTARTS + (atGateway ? 1 : 0)];
+    if (act == Act.RESTART
+        && budget >= (atGateway ? setup.gatewayRestarts : setup.acceptorRestarts)) {
       return;
     }
-    // A door that stands between its check and its write does nothing else.
-    if (atDoor
+    // A gateway that stands between its check and its write does nothing else.
+    if (atGateway
         && act != Act.WRITE
         && act != Act.RESTART
-        && parts.checked(state[ModelParts.DOOR + door])) {
+        && parts.checked(state[ModelParts.GATEWAY + gateway])) {
       return;
     }
     Act does = act == Act.AGAIN ? Act.DELIVER : act;
@@ -173,12 +174,12 @@
     after[AGAIN] += act == Act.AGAIN ? 1 : 0;
     if (act == Act.TAKE) {
       after[TAKEN] |= 1 << argument;
-      after[TAKES] |= 1 << argument + 2 * door;
+      after[TAKES] |= 1 << argument + 2 * gateway;
     }
     if (act == Act.RESTART) {
-      after[RESTARTS + (atDoor ? 1 : 0)]++;
-      if (atDoor) {
-        int coordinator = ModelParts.COORDINATOR + door;
+      after[RESTARTS + (atGateway ? 1 : 0)]++;
+      if (atGateway) {
+        int coordinator = ModelParts.COORDINATOR + gateway;
         after[coordinator] = parts.started(coordinator, clock(state, place), 2 + budget);
       }
     }
@@ -192,19 +193,23 @@
 
   private long clock(int[] state, int place) {
     int whose =
-        place < ModelParts.DOOR
+        place < ModelParts.GATEWAY
             ? place - 1
-            : ModelParts.KEEPERS + (place - ModelParts.DOOR) % ModelParts.DOORS;
+            : ModelParts.ACCEPTORS + (place - ModelParts.GATEWAY) % ModelParts.GATEWAYS;
     return (long) state[0] * setup.rates[whose];
   }
 
   private void check(int[] after) {
-    for (int place = ModelParts.DOOR; place < ModelParts.COORDINATOR && broken == null; place++) {
+    for (int place = ModelParts.GATEWAY;
+        place < ModelParts.COORDINATOR && broken == null;
+        place++) {
       if (parts
           .step(after[place], place, Act.SERVES, after[COMPLETE], clock(after, place), 0, 0)
           .broken()) {
         broken =
-            "door " + (place - ModelParts.DOOR) + " would serve a purged answer after \"complete\"";
+            "gateway "
+                + (place - ModelParts.GATEWAY)
+                + " would serve a purged answer after \"complete\"";
       }
     }
   }
@@ -221,35 +226,35 @@
         after[to++] = state[i];
       }
     }
-    List<Integer> heard = new ArrayList<>();
+    List<Integer> promptIds = new ArrayList<>();
     for (int id : step.sent()) {
       if (setup.prompt && parts.sent(id).place() >= ModelParts.COORDINATOR) {
-        heard.add(id);
+        promptIds.add(id);
       } else if (Arrays.binarySearch(state, NET, state.length, id) < 0 || id == delivered) {
         after[to++] = id;
       }
     }
     Arrays.sort(after, NET, to);
     after = Arrays.copyOf(after, to);
-    for (int id : heard) {
+    for (int id : promptIds) {
       int coordinator = parts.sent(id).place();
       long now = clock(state, coordinator);
-      Step hears = parts.step(after[coordinator], coordinator, Act.DELIVER, id, now, 0, 0);
-      after = send(after, coordinator, hears, -1);
+      Step received = parts.step(after[coordinator], coordinator, Act.DELIVER, id, now, 0, 0);
+      after = send(after, coordinator, received, -1);
     }
     return after;
   }
 
   /**
-   * 64 bits that stand for a state, and for all those that differ from it in the keepers' numbers
+   * 64 bits that stand for a state, and for all those that differ from it in the acceptors' numbers
    * only. Among 10^7 states two are alike by chance once in 300,000 runs.
    */
   long print(int[] state) {
-    long least = Long.MAX_VALUE;
+    long min = Long.MAX_VALUE;
     for (int order = 0; order < ModelParts.ORDERS.length; order++) {
       long hash = state[0];
       for (int place = 1; place < TAKEN; place++) {
-        int at = place < ModelParts.DOOR ? 1 + ModelParts.ORDERS[order][place - 1] : place;
+        int at = place < ModelParts.GATEWAY ? 1 + ModelParts.ORDERS[order][place - 1] : place;
         hash += LongMap.mix(parts.partPrint(state[place], order) + at);
       }
       for (int place = TAKEN; place < NET; place++) {
@@ -259,12 +264,12 @@
       for (int i = NET; i < state.length; i++) {
         net += parts.sentPrint(state[i], order);
       }
-      least = Math.min(least, LongMap.mix(hash + LongMap.mix(net)));
+      min = Math.min(min, LongMap.mix(hash + LongMap.mix(net)));
     }
-    return least;
+    return min;
   }
 
-  String words(int action) {
-    return parts.words(Act.ALL[action >> 24], action >> 20 & 15, action & 0xfffff);
+  String describe(int action) {
+    return parts.describe(Act.ALL[action >> 24], action >> 20 & 15, action & 0xfffff);
   }
 }
--- a/purge/src/test/java/willowdoor/purge/LongMap.java
+++ b/purge/src/test/java/willowdoor/purge/LongMap.java
@@ -15,17 +15,17 @@
 
   /** The value, or -1. */
   int get(long key) {
-    return values[place(key)] - 1;
+    return values[slot(key)] - 1;
   }
 
   /** Whether it was not there. */
   boolean add(long key, int value) {
-    int place = place(key);
-    if (values[place] != 0) {
+    int slot = slot(key);
+    if (values[slot] != 0) {
       return false;
     }
-    keys[place] = key;
-    values[place] = value + 1;
+    keys[slot] = key;
+    values[slot] = value + 1;
     if (++size > keys.length / 2) {
       long[] oldKeys = keys;
       int[] oldValues = values;
@@ -33,7 +33,7 @@
       values = new int[2 * oldKeys.length];
       for (int i = 0; i < oldKeys.length; i++) {
         if (oldValues[i] != 0) {
-          int to = place(oldKeys[i]);
+          int to = slot(oldKeys[i]);
           keys[to] = oldKeys[i];
           values[to] = oldValues[i];
         }
@@ -42,12 +42,12 @@
     return true;
   }
 
-  private int place(long key) {
-    int place = (int) (mix(key) >>> 20) & keys.length - 1;
-    while (values[place] != 0 && keys[place] != key) {
-      place = place + 1 & keys.length - 1;
+  private int slot(long key) {
+    int slot = (int) (mix(key) >>> 20) & keys.length - 1;
+    while (values[slot] != 0 && keys[slot] != key) {
+      slot = slot + 1 & keys.length - 1;
     }
-    return place;
+    return slot;
   }
 
   static long mix(long value) {
--- a/purge/src/test/java/willowdoor/purge/ModelParts.java
+++ b/purge/src/test/java/willowdoor/purge/ModelParts.java
@@ -15,22 +15,22 @@
 import willowdoor.purge.Message.Renew;
 
 /**
- * The states of keepers, doors and coordinators, each numbered once, and their steps, each worked
- * out once.
+ * The states of acceptors, gateways and coordinators, each numbered once, and their steps, each
+ * worked out once.
  */
 final class ModelParts {
-  static final int KEEPERS = 3;
-  static final int DOORS = 2;
+  static final int ACCEPTORS = 3;
+  static final int GATEWAYS = 2;
 
-  /** Places: 0 is the time, then the keepers, the doors and their coordinators. */
-  static final int DOOR = 1 + KEEPERS;
+  /** Places: 0 is the time, then the acceptors, the gateways and their coordinators. */
+  static final int GATEWAY = 1 + ACCEPTORS;
 
-  static final int COORDINATOR = DOOR + DOORS;
-  static final int PLACES = COORDINATOR + DOORS;
+  static final int COORDINATOR = GATEWAY + GATEWAYS;
+  static final int PLACES = COORDINATOR + GATEWAYS;
   static final Scope[] SCOPES = {new Scope("c", "/a"), new Scope("c", "/")};
   private static final String TARGET = "/a/x";
 
-  /** Ways to number the keepers, the first of which leaves them as they are. */
+  /** Ways to number the acceptors, the first of which leaves them as they are. */
   static final int[][] ORDERS = {{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}};
 
   enum Act {
@@ -52,11 +52,11 @@
    * Answers may have begun at this point; bits of the purges that were not taken when the first
    * could.
    */
-  private record Kept(LeaseHolder.Snapshot point, int before) {}
+  private record CachedAnswer(LeaseHolder.Snapshot snapshot, int notTaken) {}
 
-  static final class Door {
+  static final class Gateway {
     final LeaseHolder holder;
-    final List<Kept> kept = new ArrayList<>();
+    final List<CachedAnswer> cachedAnswers = new ArrayList<>();
 
     /**
      * Between a check and its write: bits of the purges that the answer is older than, else -1; and
@@ -69,13 +69,13 @@
     long renewedAt = -1;
     int renews;
 
-    Door(LeaseHolder holder) {
+    Gateway(LeaseHolder holder) {
       this.holder = holder;
     }
 
-    Door(Door other) {
+    Gateway(Gateway other) {
       this(new LeaseHolder(other.holder));
-      kept.addAll(other.kept);
+      cachedAnswers.addAll(other.cachedAnswers);
       checked = other.checked;
       checkedAt = other.checkedAt;
       wasChecked = other.wasChecked;
@@ -86,22 +86,27 @@
     /** The purges that an answer served at this time may be older than. */
     int serves(long now) {
       int before = 0;
-      for (Kept one : kept) {
-        before |= holder.mayServe(now, "c", TARGET, one.point) ? one.before : 0;
+      for (CachedAnswer answer : cachedAnswers) {
+        before |= holder.mayServe(now, "c", TARGET, answer.snapshot) ? answer.notTaken : 0;
       }
       return before;
     }
 
     /** Notes what may begin now, and lets go of what will never be served again. */
     void note(long now, int taken) {
-      LeaseHolder.Snapshot point = holder.snapshot(now);
-      if (point != null
-          && kept.stream()
+      LeaseHolder.Snapshot snapshot = holder.snapshot(now);
+      if (snapshot != null
+          && cachedAnswers.stream()
               .noneMatch(
-                  one -> one.point.term() == point.term() && one.point.count() == point.count())) {
-        kept.add(new Kept(new LeaseHolder.Snapshot(point.term(), point.count(), 0), ~taken & 3));
+                  answer ->
+                      answer.snapshot.term() == snapshot.term()
+                          && answer.snapshot.count() == snapshot.count())) {
+        cachedAnswers.add(
+            new CachedAnswer(
+                new LeaseHolder.Snapshot(snapshot.term(), snapshot.count(), 0), ~taken & 3));
       }
-      kept.removeIf(one -> !holder.mayServe(Integer.MIN_VALUE, "c", TARGET, one.point));
+      cachedAnswers.removeIf(
+          answer -> !holder.mayServe(Integer.MIN_VALUE, "c", TARGET, answer.snapshot));
     }
   }
 
@@ -111,11 +116,11 @@
       if (message instanceof Renew || message instanceof Accept || message instanceof Done) {
         return 1 + to;
       }
-      return (message instanceof Grant || message instanceof Apply ? DOOR : COORDINATOR) + to;
+      return (message instanceof Grant || message instanceof Apply ? GATEWAY : COORDINATOR) + to;
     }
 
-    private boolean fromKeeper() {
-      return place() >= DOOR && !(message instanceof Apply) && !(message instanceof Applied);
+    private boolean fromAcceptor() {
+      return place() >= GATEWAY && !(message instanceof Apply) && !(message instanceof Applied);
     }
   }
 
@@ -134,7 +139,7 @@
   private final List<Sent> sents = new ArrayList<>();
   private final Map<Sent, Integer> sentIds = new HashMap<>();
 
-  /** By part and by message, a number that stands for it in each order of keepers. */
+  /** By part and by message, a number that stands for it in each order of acceptors. */
   private final List<long[]> partPrints = new ArrayList<>();
 
   private final List<long[]> sentPrints = new ArrayList<>();
@@ -162,19 +167,19 @@
     return sentPrints.get(id)[order];
   }
 
-  boolean checked(int door) {
-    return ((Door) parts.get(door)).checked >= 0;
+  boolean checked(int gateway) {
+    return ((Gateway) parts.get(gateway)).checked >= 0;
   }
 
   /** What stands at a place after a start, the so manyth. */
   int started(int place, long now, int boot) {
-    if (place < DOOR) {
+    if (place < GATEWAY) {
       return part(
           new Acceptor(fleet, boot, boot == 1 ? -setup.timing().keepMs() : now, setup.rules()),
           now);
     }
     return place < COORDINATOR
-        ? part(new Door(new LeaseHolder(fleet, boot, setup.rules())), now)
+        ? part(new Gateway(new LeaseHolder(fleet, boot, setup.rules())), now)
         : part(new Coordinator(fleet, place - COORDINATOR, boot, setup.rules()), now);
   }
 
@@ -190,13 +195,15 @@
     Step step;
     if (act == Act.RESTART) {
       step = new Step(started(place, now, 2 + budget), new int[0], 0, false, false);
-    } else if (place < DOOR) {
-      // With time a keeper hears something that tells it nothing, and lets go of what is over.
+    } else if (place < GATEWAY) {
+      // With time a acceptor hears something that tells it nothing, and lets go of what is over.
       Sent sent = act == Act.TIME ? new Sent(0, 0, new Message.DoneAck(0)) : sents.get(argument);
-      Acceptor keeper = new Acceptor((Acceptor) parts.get(part));
-      step = after(keeper, place - 1, keeper.onMessage(now, sent.from, sent.message), now);
+      Acceptor acceptor = new Acceptor((Acceptor) parts.get(part));
+      step = after(acceptor, place - 1, acceptor.onMessage(now, sent.from, sent.message), now);
     } else if (place < COORDINATOR) {
-      step = door(new Door((Door) parts.get(part)), place - DOOR, act, argument, now, taken);
+      step =
+          gateway(
+              new Gateway((Gateway) parts.get(part)), place - GATEWAY, act, argument, now, taken);
     } else {
       Coordinator coordinator = new Coordinator((Coordinator) parts.get(part));
       step =
@@ -221,41 +228,41 @@
         : coordinator.onMessage(now, sents.get(argument).from, sents.get(argument).message);
   }
 
-  private Step door(Door door, int self, Act act, int argument, long now, int taken) {
+  private Step gateway(Gateway gateway, int self, Act act, int argument, long now, int taken) {
     switch (act) {
       case TIME:
-        return after(door, self, List.of(), now);
+        return after(gateway, self, List.of(), now);
       case SERVES:
-        boolean broken = (door.serves(now - setup.timing().guardMs()) & argument) != 0;
+        boolean broken = (gateway.serves(now - setup.timing().guardMs()) & argument) != 0;
         return new Step(0, new int[0], 0, broken, false);
       case RENEW:
-        if (door.renewedAt == now || door.renews == setup.renews()) {
+        if (gateway.renewedAt == now || gateway.renews == setup.renews()) {
           return NONE;
         }
-        door.renewedAt = now;
-        door.renews++;
-        return after(door, self, door.holder.renew(now), now);
+        gateway.renewedAt = now;
+        gateway.renews++;
+        return after(gateway, self, gateway.holder.renew(now), now);
       case CHECK:
-        if (!setup.checks() || door.wasChecked || door.serves(now) == 0) {
+        if (!setup.checks() || gateway.wasChecked || gateway.serves(now) == 0) {
           return NONE;
         }
-        door.wasChecked = true;
-        door.checked = door.serves(now);
-        door.checkedAt = now;
-        return after(door, self, List.of(), now);
+        gateway.wasChecked = true;
+        gateway.checked = gateway.serves(now);
+        gateway.checkedAt = now;
+        return after(gateway, self, List.of(), now);
       case WRITE:
-        if (door.checked < 0) {
+        if (gateway.checked < 0) {
           return NONE;
         }
-        boolean stale = (door.checked & argument) != 0;
-        boolean within = now - door.checkedAt <= setup.timing().guardMs();
-        door.checked = -1;
-        return new Step(part(door, now), new int[0], 0, stale && within, stale);
+        boolean stale = (gateway.checked & argument) != 0;
+        boolean within = now - gateway.checkedAt <= setup.timing().guardMs();
+        gateway.checked = -1;
+        return new Step(part(gateway, now), new int[0], 0, stale && within, stale);
       default:
         List<Effect> effects =
-            door.holder.onMessage(now, sents.get(argument).from, sents.get(argument).message);
-        door.note(now, taken);
-        return after(door, self, effects, now);
+            gateway.holder.onMessage(now, sents.get(argument).from, sents.get(argument).message);
+        gateway.note(now, taken);
+        return after(gateway, self, effects, now);
     }
   }
 
@@ -263,10 +270,10 @@
     int complete = 0;
     List<Integer> sent = new ArrayList<>();
     for (Effect effect : effects) {
-      if (effect instanceof Effect.Send send && heard(send)) {
+      if (effect instanceof Effect.Send send && isModelled(send)) {
         sent.add(
             sentIds.computeIfAbsent(
-                new Sent(self, send.to(), plain(send.message())), this::number));
+                new Sent(self, send.to(), withoutResult(send.message())), this::number));
       } else if (effect instanceof Effect.Answer answer
           && answer.outcome() instanceof Outcome.Complete) {
         complete |= 1 << answer.caller();
@@ -280,13 +287,13 @@
    * Some messages concern nothing that is modelled: to a member that keeps nothing, and the word
    * that done is noted.
    */
-  private boolean heard(Effect.Send send) {
+  private boolean isModelled(Effect.Send send) {
     return !(send.message() instanceof Message.DoneAck)
-        && (!(send.message() instanceof Apply) || send.to() < setup.doors());
+        && (!(send.message() instanceof Apply) || send.to() < setup.gateways());
   }
 
   /** Who is told to have confirmed makes no difference. */
-  private static Message plain(Message message) {
+  private static Message withoutResult(Message message) {
     return message instanceof Done done
         ? new Done(done.purge(), done.requests(), new Message.Result(0, List.of()))
         : message;
@@ -295,8 +302,8 @@
   private int number(Sent sent) {
     long[] prints = new long[ORDERS.length];
     for (int i = 0; i < prints.length; i++) {
-      int from = sent.fromKeeper() ? ORDERS[i][sent.from] : sent.from;
-      int to = sent.place() < DOOR ? ORDERS[i][sent.to] : sent.to;
+      int from = sent.fromAcceptor() ? ORDERS[i][sent.from] : sent.from;
+      int to = sent.place() < GATEWAY ? ORDERS[i][sent.to] : sent.to;
       prints[i] = print(sent.message.toString() + from + '>' + to);
     }
     sentPrints.add(prints);
@@ -329,9 +336,9 @@
   }
 
   /**
-   * An action in words, such as {@code Accept 1>0}, {@code take purge 0 door 1} or {@code time}.
+   * An action in words, such as {@code Accept 1>0}, {@code take purge 0 gateway 1} or {@code time}.
    */
-  String words(Act act, int place, int argument) {
+  String describe(Act act, int place, int argument) {
     if (act == Act.DELIVER || act == Act.AGAIN) {
       Sent sent = sents.get(argument);
       return (act == Act.AGAIN ? "once more " : "")
@@ -342,7 +349,8 @@
           + sent.to
           + number(sent.message);
     }
-    String whose = place < DOOR ? " acceptor " + (place - 1) : " door " + (place - DOOR) % DOORS;
+    String whose =
+        place < GATEWAY ? " acceptor " + (place - 1) : " gateway " + (place - GATEWAY) % GATEWAYS;
     return act.name().toLowerCase(Locale.ROOT)
         + (act == Act.TIME ? "" : (act == Act.TAKE ? " purge " + argument : "") + whose);
   }
--- a/purge/src/test/java/willowdoor/purge/ModelTest.java
+++ b/purge/src/test/java/willowdoor/purge/ModelTest.java
@@ -17,24 +17,24 @@
 
   @ParameterizedTest
   @EnumSource
-  void keepsThePromiseInEveryInterleaving(Scenario play) {
-    Report report = play.explorer(Rules.NORMAL).run(99, 400_000);
+  void servesNoPurgedAnswerInAnyInterleaving(Scenario scenario) {
+    Report report = scenario.explorer(Rules.NORMAL).run(99, 400_000);
     System.out.println(
-        "model " + play + ": " + report.states() + " states, all to depth " + report.depth());
+        "model " + scenario + ": " + report.states() + " states, all to depth " + report.depth());
     assertNull(report.broken(), () -> report.trace().toString());
     assertTrue(report.depth() >= 6 && report.completes() > 100, report::toString);
     assertEquals(
-        play == Scenario.STOPPED_BEFORE_THE_WRITE,
+        scenario == Scenario.STOPPED_BEFORE_THE_WRITE,
         report.lateWrites() > 0,
-        "only a door stopped behind its check for longer than the guard writes late");
+        "only a gateway stopped behind its check for longer than the guard writes late");
   }
 
   @ParameterizedTest
   @EnumSource
-  void findsWhatEachRuleIsFor(BrokenRule bent) {
-    Report report = bent.scenario.explorer(bent.rules).run(99, 2_000_000);
+  void findsAViolationWithoutEachRule(BrokenRule rule) {
+    Report report = rule.scenario.explorer(rule.rules).run(99, 2_000_000);
     assertNotNull(report.broken(), report::toString);
-    System.out.println("model " + bent + ": " + report.broken() + ": " + report.trace());
+    System.out.println("model " + rule + ": " + report.broken() + ": " + report.trace());
     assertTrue(report.trace().size() <= 12, report::toString);
   }
 }
--- a/purge/src/test/java/willowdoor/purge/PurgeApiTest.java
+++ b/purge/src/test/java/willowdoor/purge/PurgeApiTest.java
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void readsCalls() {
+  void readsPurgeAndStatusCalls() {
     assertEquals(
         new PurgeApi.PurgeCall(ID, new Scope("00000000b4d65521", "/"), 480),
         read("POST", "/-/purge", " {\"all\":true} "));
@@ -63,7 +63,7 @@
         "400, POST, `{\"prefix\":\"/a/../b\"}`, it purges nothing",
         "400, POST, `{\"prefix\":\"/%61\"}`, purges nothing"
       })
-  void saysWhatIsWrong(int status, String method, String body, String words) {
+  void reportsWhyARequestIsInvalid(int status, String method, String body, String words) {
     PurgeApi.Response answer =
         assertInstanceOf(PurgeApi.Response.class, read(method, "/-/purge", body));
     String text = new String(answer.body(), StandardCharsets.UTF_8);
@@ -71,7 +71,7 @@
   }
 
   @Test
-  void refusesHeadersAndPathsThatAreNotRight() {
+  void rejectsInvalidHeadersBodiesAndPaths() {
     String all = "{\"all\":true}";
     for (PurgeApi.Call call :
         List.of(
@@ -88,7 +88,7 @@
   }
 
   @Test
-  void writesOutcomes() {
+  void writesOneResponsePerOutcome() {
     Map<Outcome, String> answers =
         Map.of(
             new Outcome.Complete(ID, 97, List.of(3, 17)),
--- a/purge/src/test/java/willowdoor/purge/Scenario.java
+++ b/purge/src/test/java/willowdoor/purge/Scenario.java
@@ -7,29 +7,27 @@
 
 /** The beginnings and the bounds of what the model checker plays. */
 enum Scenario {
-  /**
-   * One front door serves, the other purges: leases run out, are renewed before, during and after.
-   */
+  /** One gateway serves, the other purges: leases run out, are renewed before, during and after. */
   ONE_PURGE(Timings.SHORT, 4, 1, 1, 0b0100, 0, 0, 0, false, true),
-  KEEPER_RESTARTS(Timings.SHORT, 5, 1, 1, 0b0100, 1, 0, 0, false, true),
-  TWO_KEEPERS_RESTART(Timings.SHORT, 5, 1, 1, 0b0100, 2, 0, 0, false, true),
+  ACCEPTOR_RESTARTS(Timings.SHORT, 5, 1, 1, 0b0100, 1, 0, 0, false, true),
+  TWO_ACCEPTORS_RESTART(Timings.SHORT, 5, 1, 1, 0b0100, 2, 0, 0, false, true),
   /** Both of one customer, one within the other. */
   TWO_PURGES(Timings.SHORT, 4, 1, 1, 0b1100, 0, 0, 0, false, true),
-  /** Each front door serves and purges. */
-  TWO_DOORS(Timings.SHORT, 4, 2, 1, 0b1001, 1, 0, 0, false, true),
+  /** Each gateway serves and purges. */
+  TWO_GATEWAYS(Timings.SHORT, 4, 2, 1, 0b1001, 1, 0, 0, false, true),
   /** One key at both, one of which may die. */
   RETRY_ELSEWHERE(Timings.SHORT, 4, 2, 1, 0b0101, 0, 1, 0, false, true),
   /** Answers to the coordinator too are late, lost or doubled. */
-  LATE_WORDS(Timings.SHORT, 5, 1, 1, 0b1100, 1, 0, 2, false, false),
+  LATE_REPLIES(Timings.SHORT, 5, 1, 1, 0b1100, 1, 0, 2, false, false),
   /**
-   * A keeper has accepted and restarted; the other one accepts when its lease would outlast the
+   * A acceptor has accepted and restarted; the other one accepts when its lease would outlast the
    * first's silence.
    */
   OLD_ACCEPTANCE(Timings.SHORT, 5, 1, 3, 0b0100, 1, 0, 0, false, true),
   STOPPED_BEFORE_THE_WRITE(Timings.GUARDED, 5, 1, 1, 0b0100, 0, 0, 0, true, true),
-  DRIFT_SLOW_DOOR(Timings.DRIFTING, 6, 1, 1, 0b0100, 1, 0, 0, false, true, 3, 3, 3, 2, 3),
-  DRIFT_FAST_DOOR(Timings.DRIFTING, 6, 1, 1, 0b0100, 1, 0, 0, false, true, 2, 3, 2, 3, 2),
-  DRIFT_SLOW_KEEPER(Timings.DRIFTING, 6, 1, 1, 0b0100, 1, 0, 0, false, true, 2, 2, 3, 2, 3);
+  DRIFT_SLOW_GATEWAY(Timings.DRIFTING, 6, 1, 1, 0b0100, 1, 0, 0, false, true, 3, 3, 3, 2, 3),
+  DRIFT_FAST_GATEWAY(Timings.DRIFTING, 6, 1, 1, 0b0100, 1, 0, 0, false, true, 2, 3, 2, 3, 2),
+  DRIFT_SLOW_ACCEPTOR(Timings.DRIFTING, 6, 1, 1, 0b0100, 1, 0, 0, false, true, 2, 2, 3, 2, 3);
 
   private static final class Timings {
     /** Leases of two steps, a bound of three. */
@@ -47,11 +45,11 @@
   Scenario(
       Timing timing,
       int steps,
-      int doors,
+      int gateways,
       int renews,
       int takes,
-      int keeperRestarts,
-      int doorRestarts,
+      int acceptorRestarts,
+      int gatewayRestarts,
       int again,
       boolean checks,
       boolean prompt,
@@ -62,11 +60,11 @@
             timing,
             clocks,
             steps,
-            doors,
+            gateways,
             1 + renews,
             takes,
-            keeperRestarts,
-            doorRestarts,
+            acceptorRestarts,
+            gatewayRestarts,
             again,
             checks,
             prompt,
@@ -74,12 +72,12 @@
   }
 
   /**
-   * From leases of two keepers at each door, the request to the third being on the way, unless it
-   * says more.
+   * From leases of two acceptors at each gateway, the request to the third being on the way, unless
+   * it says more.
    */
   Explorer explorer(Rules rules) {
     List<String> script = new ArrayList<>(warm(0, 0, 1));
-    if (setup.doors() == 2) {
+    if (setup.gateways() == 2) {
       script.addAll(warm(1, 0, 1));
     }
     if (this == OLD_ACCEPTANCE) {
@@ -103,10 +101,10 @@
     return new Explorer(new FleetModel(setup.with(rules)), script);
   }
 
-  private static List<String> warm(int door, int... acceptors) {
-    List<String> script = new ArrayList<>(List.of("renew door " + door));
-    Arrays.stream(acceptors).forEach(acceptor -> script.add("Renew " + door + ">" + acceptor));
-    Arrays.stream(acceptors).forEach(acceptor -> script.add("Grant " + acceptor + ">" + door));
+  private static List<String> warm(int gateway, int... acceptors) {
+    List<String> script = new ArrayList<>(List.of("renew gateway " + gateway));
+    Arrays.stream(acceptors).forEach(acceptor -> script.add("Renew " + gateway + ">" + acceptor));
+    Arrays.stream(acceptors).forEach(acceptor -> script.add("Grant " + acceptor + ">" + gateway));
     return script;
   }
 }
--- a/purge/src/test/java/willowdoor/purge/SimulatedFleet.java
+++ b/purge/src/test/java/willowdoor/purge/SimulatedFleet.java
@@ -7,11 +7,10 @@
 import java.util.stream.IntStream;
 
 /**
- * Front doors on a hand-moved clock, with a network between them that can delay, lose, double and
- * cut.
+ * gateways on a hand-moved clock, with a network between them that can delay, lose, double and cut.
  */
 final class SimulatedFleet {
-  private record Flying(long at, long order, int from, int to, byte[] datagram) {}
+  private record InFlight(long at, long order, int from, int to, byte[] datagram) {}
 
   interface Cut {
     boolean between(int from, int to);
@@ -21,13 +20,13 @@
   final List<PurgeNode<Object>> nodes = new ArrayList<>();
   final Random random;
 
-  /** By door: until when it is stopped, and how fast its clock goes, in thousandths. */
+  /** By gateway: until when it is stopped, and how fast its clock goes, in thousandths. */
   final long[] stoppedUntil;
 
   final int[] rates;
-  private final PriorityQueue<Flying> net =
+  private final PriorityQueue<InFlight> network =
       new PriorityQueue<>(
-          java.util.Comparator.comparingLong(Flying::at).thenComparingLong(Flying::order));
+          java.util.Comparator.comparingLong(InFlight::at).thenComparingLong(InFlight::order));
   Cut cut = (from, to) -> false;
   double loss;
   int jitterMs = 1;
@@ -35,28 +34,28 @@
   long sent;
   int largest;
 
-  SimulatedFleet(int doors, int keepers, long boundMs, long seed) {
-    List<Integer> members = IntStream.range(0, doors).boxed().toList();
-    fleet = new Fleet(members, members.subList(0, keepers), Timing.of(boundMs));
+  SimulatedFleet(int gateways, int acceptors, long boundMs, long seed) {
+    List<Integer> members = IntStream.range(0, gateways).boxed().toList();
+    fleet = new Fleet(members, members.subList(0, acceptors), Timing.of(boundMs));
     random = new Random(seed);
-    stoppedUntil = new long[doors];
-    rates = new int[doors];
-    for (int door = 0; door < doors; door++) {
-      rates[door] = 1_000;
+    stoppedUntil = new long[gateways];
+    rates = new int[gateways];
+    for (int gateway = 0; gateway < gateways; gateway++) {
+      rates[gateway] = 1_000;
       nodes.add(null);
-      restart(door);
+      restart(gateway);
     }
   }
 
-  void restart(int door) {
-    PurgeNode.Settings settings = new PurgeNode.Settings(fleet, "test", door, 1_000_000, 60_000);
+  void restart(int gateway) {
+    PurgeNode.Settings settings = new PurgeNode.Settings(fleet, "test", gateway, 1_000_000, 60_000);
     nodes.set(
-        door,
+        gateway,
         new PurgeNode<>(
             settings,
             random,
-            () -> now * rates[door] / 1_000,
-            (to, datagram) -> send(door, to, datagram),
+            () -> now * rates[gateway] / 1_000,
+            (to, datagram) -> send(gateway, to, datagram),
             answer -> 100));
   }
 
@@ -64,7 +63,7 @@
     sent++;
     largest = Math.max(largest, datagram.length);
     while (random.nextDouble() >= loss) {
-      net.add(new Flying(now + 1 + random.nextInt(jitterMs), sent, from, to, datagram));
+      network.add(new InFlight(now + 1 + random.nextInt(jitterMs), sent, from, to, datagram));
       if (loss == 0 || random.nextDouble() >= 0.05) {
         return;
       }
@@ -74,43 +73,45 @@
   /** One datagram after the other, and ticks of those that are not stopped. */
   void run(long ms) {
     for (long end = now + ms; now < end; now++) {
-      while (!net.isEmpty() && net.peek().at <= now) {
-        Flying one = net.poll();
-        if (cut.between(one.from, one.to)) {
+      while (!network.isEmpty() && network.peek().at <= now) {
+        InFlight packet = network.poll();
+        if (cut.between(packet.from, packet.to)) {
           continue;
         }
-        if (now < stoppedUntil[one.to]) {
-          net.add(new Flying(stoppedUntil[one.to], one.order, one.from, one.to, one.datagram));
+        if (now < stoppedUntil[packet.to]) {
+          network.add(
+              new InFlight(
+                  stoppedUntil[packet.to], packet.order, packet.from, packet.to, packet.datagram));
         } else {
-          nodes.get(one.to).onDatagram(one.from, one.datagram);
+          nodes.get(packet.to).onDatagram(packet.from, packet.datagram);
         }
       }
-      for (int door = 0; door < nodes.size(); door++) {
-        if (now >= stoppedUntil[door] && now % PurgeNode.TICK_MS == 0) {
-          nodes.get(door).tick();
+      for (int gateway = 0; gateway < nodes.size(); gateway++) {
+        if (now >= stoppedUntil[gateway] && now % PurgeNode.TICK_MS == 0) {
+          nodes.get(gateway).tick();
         }
       }
     }
   }
 
-  /** Runs until keepers have been silent and all doors hold leases. */
-  SimulatedFleet warm() {
+  /** Runs until acceptors have been silent and all gateways hold leases. */
+  SimulatedFleet warmUp() {
     run(fleet.timing().keepMs() + 2 * fleet.timing().renewMs());
     return this;
   }
 
   /** Calls for a purge and waits for its answer; how long that took is {@link Call#ms}. */
-  Call purge(int door, String key, String prefix, long timeoutMs) {
-    Call call = start(door, key, prefix, timeoutMs);
+  Call purge(int gateway, String key, String prefix, long timeoutMs) {
+    Call call = start(gateway, key, prefix, timeoutMs);
     while (call.outcome == null) {
       run(1);
     }
     return call;
   }
 
-  Call start(int door, String key, String prefix, long timeoutMs) {
+  Call start(int gateway, String key, String prefix, long timeoutMs) {
     Call call = new Call(now, prefix);
-    nodes.get(door).purge(PurgeId.of("c", key), new Scope("c", prefix), timeoutMs, call::answer);
+    nodes.get(gateway).purge(PurgeId.of("c", key), new Scope("c", prefix), timeoutMs, call::answer);
     return call;
   }
 
--- a/purge/src/test/java/willowdoor/purge/StateImage.java
+++ b/purge/src/test/java/willowdoor/purge/StateImage.java
@@ -13,7 +13,7 @@
 /**
  * All that a state machine holds as plain values, so that two of them can be told to be the same.
  * What can make no difference any more is alike: times that are over, when a fact was noted, who is
- * told to have confirmed. Keepers can be given other numbers, as it makes none which of them is
+ * told to have confirmed. Acceptors can be given other numbers, as it makes none which of them is
  * which.
  */
 final class StateImage {
--- a/purge/src/test/java/willowdoor/purge/UdpDatagramsTest.java
+++ b/purge/src/test/java/willowdoor/purge/UdpDatagramsTest.java
@@ -20,9 +20,9 @@
 import org.junit.jupiter.api.Test;
 
 class UdpDatagramsTest {
-  /** Three keepers on real sockets; a datagram from elsewhere is not heard. */
+  /** Three acceptors on real sockets; a datagram from elsewhere is not heard. */
   @Test
-  void purgesOverSockets() throws Exception {
+  void completesAPurgeOverSocketsAndDropsUnknownSenders() throws Exception {
     Fleet fleet = new Fleet(List.of(0, 1, 2), List.of(0, 1, 2), Timing.of(300));
     Map<Integer, InetSocketAddress> addresses = new HashMap<>();
     for (int member : fleet.members()) {
@@ -50,7 +50,7 @@
         udp.listen(loop, NioDatagramChannel.class, member, node::onDatagram).sync();
         loop.scheduleAtFixedRate(node::tick, 0, PurgeNode.TICK_MS, TimeUnit.MILLISECONDS);
         if (member == 2) {
-          loop.execute(() -> again(node, outcome));
+          loop.execute(() -> purgeUntilAvailable(node, outcome));
         }
       }
       try (DatagramSocket stranger = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
@@ -66,15 +66,16 @@
     }
   }
 
-  /** Keepers are silent at first: 503, and again. */
-  private static void again(PurgeNode<byte[]> node, CompletableFuture<Outcome> outcome) {
+  /** Acceptors are silent at first: 503, and again. */
+  private static void purgeUntilAvailable(
+      PurgeNode<byte[]> node, CompletableFuture<Outcome> outcome) {
     node.purge(
         PurgeId.of("c", "k"),
         new Scope("c", "/"),
         5_000,
         end -> {
           if (end instanceof Outcome.Unavailable) {
-            again(node, outcome);
+            purgeUntilAvailable(node, outcome);
           } else {
             outcome.complete(end);
           }
