--- a/purge/src/test/java/willowdoor/purge/BrokenRule.java
+++ b/purge/src/test/java/willowdoor/purge/BrokenRule.java
@@ -1,6 +1,9 @@
 package willowdoor.purge;
 
-/** Each rule bent by itself, with the play that tells. */
+/**
+ * Each rule of {@link Rules} replaced by a broken variant, with the scenario in which the model
+ * checker finds the violation.
+ */
 enum BrokenRule {
   NO_SILENCE_AFTER_A_START(
       Scenario.ACCEPTOR_RESTARTS,
--- a/purge/src/test/java/willowdoor/purge/CodecTest.java
+++ b/purge/src/test/java/willowdoor/purge/CodecTest.java
@@ -69,7 +69,10 @@
     }
   }
 
-  /** Anything but {@code Dropped} fails the test. */
+  /**
+   * Whether the datagram is decoded. An exception other than {@code DroppedDatagramException} fails
+   * the test.
+   */
   private boolean decodes(byte[] datagram) {
     try {
       codec.decode(datagram);
--- a/purge/src/test/java/willowdoor/purge/DeepModel.java
+++ b/purge/src/test/java/willowdoor/purge/DeepModel.java
@@ -3,8 +3,9 @@
 import java.util.List;
 
 /**
- * The model checker as deep as memory allows, some 150 bytes a state: {@code java -Xmx12g -cp
- * purge/target/classes:purge/target/test-classes willowdoor.purge.DeepModel STATES [PLAY]...}.
+ * Runs the model checker as deep as memory allows, at about 150 bytes a state: {@code java -Xmx12g
+ * -cp purge/target/classes:purge/target/test-classes willowdoor.purge.DeepModel STATES
+ * [SCENARIO]...}.
  */
 final class DeepModel {
   private DeepModel() {}
--- a/purge/src/test/java/willowdoor/purge/Explorer.java
+++ b/purge/src/test/java/willowdoor/purge/Explorer.java
@@ -5,10 +5,14 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Looks at every state of a {@link FleetModel} that so many actions lead to, the nearest first. */
+/**
+ * Visits all states of a {@link FleetModel} that can be reached with a number of actions, in
+ * breadth-first order.
+ */
 final class Explorer {
   /**
-   * A state of a level that was not gone on from, by its number: the trace goes back over these.
+   * By state number: the number of the expanded state from which it was reached. The trace follows
+   * these numbers back.
    */
   private int[] parents = new int[1 << 16];
 
@@ -22,7 +26,9 @@
   private int brokenAt = -1;
   private int depth;
 
-  /** Every state to {@code depth}; {@code exhausted}: there is none beyond these at all. */
+  /**
+   * All states up to {@code depth} were visited; {@code exhausted}: there are no further states.
+   */
   record Report(
       int states,
       int depth,
@@ -54,7 +60,7 @@
     level = nextLevel;
   }
 
-  /** To so many actions, or to the last whole level of so many states. */
+  /** Explores up to a depth, or up to the last level that is complete within a number of states. */
   Report run(int maxDepth, int maxStates) {
     int next = 0;
     while (depth < maxDepth && !level.isEmpty() && brokenAt < 0) {
--- a/purge/src/test/java/willowdoor/purge/FleetModel.java
+++ b/purge/src/test/java/willowdoor/purge/FleetModel.java
@@ -7,14 +7,15 @@
 import willowdoor.purge.ModelParts.Step;
 
 /**
- * Three acceptors and two gateways (holder and coordinator) of the real classes, and all that may
- * happen to them next. Whoever is not asked to act while time passes is stopped; what is sent may
- * be delivered at any time, in any order, again, or never. A gateway may begin an answer at any
- * moment and keep it at any later one: of each point that it had a lease at, the purges that were
- * not taken yet are remembered, and an answer of that point must not be served after such a purge
- * is complete, nor may a check that a guard's time ago said yes. A state of the whole is a few
- * numbers: the time, the number of each part's state, the purges taken and complete, what was used
- * of the budgets, the net.
+ * A model of three acceptors and two gateways (lease holder and coordinator) that uses the
+ * production classes, and all actions that can happen next. A component that takes no action while
+ * time passes is stopped. A message may be delivered at any time, in any order, repeatedly or
+ * never. A gateway may request an answer at any moment and cache it at any later moment. For each
+ * snapshot of a lease the model stores the purges that were not requested yet. An answer of that
+ * snapshot must not be served after such a purge is complete, and must not be written within the
+ * guard time after a check that permitted it. A state consists of a few numbers: the time, the
+ * number of each component's state, the purges requested and complete, the used parts of the
+ * budgets, and the messages in flight.
  */
 final class FleetModel {
   private static final int TAKEN = ModelParts.PLACES;
@@ -25,17 +26,17 @@
   private static final int NET = TAKEN + 6;
 
   /**
-   * What may happen, each so many times.
+   * What may happen, and how often.
    *
-   * @param rates how far the clocks go in a step of time: three acceptors, two gateways
-   * @param gateways with kept answers: the first, or both
-   * @param renews of each gateway
-   * @param takes bits of purge + 2 * gateway: which purge may be called for where
-   * @param again how many messages are delivered twice
+   * @param rates the progress of each clock in a step of time: three acceptors, two gateways
+   * @param gateways the number of gateways with cached answers: the first, or both
+   * @param renews the number of renewals of each gateway
+   * @param takes bits of purge + 2 * gateway: which purge may be requested at which gateway
+   * @param again the number of messages that may be delivered twice
    * @param checks whether a gateway may be stopped between its check and its write
-   * @param prompt whether a coordinator received at once what is sent to it, and looks at once
-   *     whether a purge is complete: the sooner it does the worse for the promise, as long as each
-   *     message is sent once
+   * @param prompt whether a coordinator receives its messages at once and checks at once whether a
+   *     purge is complete. The earlier a purge is complete, the more likely a violation is, as long
+   *     as each message is sent once.
    */
   record Setup(
       Timing timing,
@@ -75,14 +76,14 @@
   final ModelParts parts;
 
   /**
-   * How often a coordinator told that a purge is complete, and a gateway wrote a purged answer
-   * after that.
+   * How often a coordinator reported a purge as complete, and how often a gateway wrote a purged
+   * answer after that.
    */
   long completes;
 
   long lateWrites;
 
-  /** How the promise was broken, if it was. */
+  /** A description of the violation, or null. */
   String broken;
 
   FleetModel(Setup setup) {
@@ -99,8 +100,8 @@
   }
 
   /**
-   * All next states with the action that leads there; {@link #broken} is set before one that breaks
-   * the promise.
+   * Enumerates all next states with the action that leads there; {@link #broken} is set before a
+   * state that is a violation.
    */
   void next(int[] state, Next next) {
     if (state[0] < setup.steps) {
@@ -156,7 +157,7 @@
         && budget >= (atGateway ? setup.gatewayRestarts : setup.acceptorRestarts)) {
       return;
     }
-    // A gateway that stands between its check and its write does nothing else.
+    // A gateway that is stopped between its check and its write does nothing else.
     if (atGateway
         && act != Act.WRITE
         && act != Act.RESTART
@@ -214,7 +215,10 @@
     }
   }
 
-  /** The state after one part's step: with what it sends, and without what was delivered to it. */
+  /**
+   * The state after the step of one component: with the messages that it sends, without the message
+   * that was delivered to it.
+   */
   private int[] send(int[] state, int place, Step step, int delivered) {
     int[] after = Arrays.copyOf(state, state.length + step.sent().length);
     after[place] = step.part();
@@ -246,8 +250,8 @@
   }
 
   /**
-   * 64 bits that stand for a state, and for all those that differ from it in the acceptors' numbers
-   * only. Among 10^7 states two are alike by chance once in 300,000 runs.
+   * A hash of 64 bits of a state. States that differ only in the numbering of the acceptors have
+   * the same hash. Among 10^7 states two have the same hash by chance once in 300,000 runs.
    */
   long print(int[] state) {
     long min = Long.MAX_VALUE;
--- a/purge/src/test/java/willowdoor/purge/LongMap.java
+++ b/purge/src/test/java/willowdoor/purge/LongMap.java
@@ -1,8 +1,8 @@
 package willowdoor.purge;
 
 /**
- * Numbers by numbers, without boxes: the model checker holds tens of millions. Values are not
- * negative.
+ * A map from long to int without boxing, because the model checker stores tens of millions of
+ * entries. Values are not negative.
  */
 final class LongMap {
   private long[] keys = new long[1 << 16];
@@ -13,12 +13,12 @@
     return size;
   }
 
-  /** The value, or -1. */
+  /** The value, or -1 if the key is absent. */
   int get(long key) {
     return values[slot(key)] - 1;
   }
 
-  /** Whether it was not there. */
+  /** Adds a key; returns false if it was present. */
   boolean add(long key, int value) {
     int slot = slot(key);
     if (values[slot] != 0) {
--- a/purge/src/test/java/willowdoor/purge/ModelParts.java
+++ b/purge/src/test/java/willowdoor/purge/ModelParts.java
@@ -15,14 +15,14 @@
 import willowdoor.purge.Message.Renew;
 
 /**
- * The states of acceptors, gateways and coordinators, each numbered once, and their steps, each
- * worked out once.
+ * The states of acceptors, gateways and coordinators, each with a number, and their steps. Each
+ * step is computed once.
  */
 final class ModelParts {
   static final int ACCEPTORS = 3;
   static final int GATEWAYS = 2;
 
-  /** Places: 0 is the time, then the acceptors, the gateways and their coordinators. */
+  /** Places: 0 is the time, followed by the acceptors, the gateways and their coordinators. */
   static final int GATEWAY = 1 + ACCEPTORS;
 
   static final int COORDINATOR = GATEWAY + GATEWAYS;
@@ -30,7 +30,7 @@
   static final Scope[] SCOPES = {new Scope("c", "/a"), new Scope("c", "/")};
   private static final String TARGET = "/a/x";
 
-  /** Ways to number the acceptors, the first of which leaves them as they are. */
+  /** All numberings of the acceptors; the first leaves the numbers unchanged. */
   static final int[][] ORDERS = {{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}};
 
   enum Act {
@@ -49,8 +49,8 @@
   }
 
   /**
-   * Answers may have begun at this point; bits of the purges that were not taken when the first
-   * could.
+   * A snapshot at which answers may have been requested, and the bits of the purges that were not
+   * requested yet at its first use.
    */
   private record CachedAnswer(LeaseHolder.Snapshot snapshot, int notTaken) {}
 
@@ -59,8 +59,8 @@
     final List<CachedAnswer> cachedAnswers = new ArrayList<>();
 
     /**
-     * Between a check and its write: bits of the purges that the answer is older than, else -1; and
-     * since when.
+     * Between a check and its write: the bits of the purges that are newer than the answer, else
+     * -1; and the time of the check.
      */
     int checked = -1;
 
@@ -83,7 +83,7 @@
       renews = other.renews;
     }
 
-    /** The purges that an answer served at this time may be older than. */
+    /** The purges that may be newer than an answer served at this time. */
     int serves(long now) {
       int before = 0;
       for (CachedAnswer answer : cachedAnswers) {
@@ -92,7 +92,10 @@
       return before;
     }
 
-    /** Notes what may begin now, and lets go of what will never be served again. */
+    /**
+     * Stores the snapshot of answers that may be requested now, and removes snapshots whose answers
+     * will never be served again.
+     */
     void note(long now, int taken) {
       LeaseHolder.Snapshot snapshot = holder.snapshot(now);
       if (snapshot != null
@@ -111,7 +114,7 @@
   }
 
   record Sent(int from, int to, Message message) {
-    /** Where it goes. */
+    /** The place of the receiver. */
     int place() {
       if (message instanceof Renew || message instanceof Accept || message instanceof Done) {
         return 1 + to;
@@ -125,8 +128,8 @@
   }
 
   /**
-   * A part's next state, what it sends, the purges that it tells complete, and whether it broke the
-   * promise.
+   * A component's next state, the messages that it sends, the purges that it reports complete, and
+   * whether the step is a violation.
    */
   record Step(int part, int[] sent, int complete, boolean broken, boolean late) {}
 
@@ -139,7 +142,7 @@
   private final List<Sent> sents = new ArrayList<>();
   private final Map<Sent, Integer> sentIds = new HashMap<>();
 
-  /** By part and by message, a number that stands for it in each order of acceptors. */
+  /** By component and by message, a hash for each numbering of the acceptors. */
   private final List<long[]> partPrints = new ArrayList<>();
 
   private final List<long[]> sentPrints = new ArrayList<>();
@@ -171,7 +174,7 @@
     return ((Gateway) parts.get(gateway)).checked >= 0;
   }
 
-  /** What stands at a place after a start, the so manyth. */
+  /** The state of a component after a start with this boot number. */
   int started(int place, long now, int boot) {
     if (place < GATEWAY) {
       return part(
@@ -196,7 +199,7 @@
     if (act == Act.RESTART) {
       step = new Step(started(place, now, 2 + budget), new int[0], 0, false, false);
     } else if (place < GATEWAY) {
-      // With time a acceptor hears something that tells it nothing, and lets go of what is over.
+      // As time passes, a message without effect makes the acceptor remove expired state.
       Sent sent = act == Act.TIME ? new Sent(0, 0, new Message.DoneAck(0)) : sents.get(argument);
       Acceptor acceptor = new Acceptor((Acceptor) parts.get(part));
       step = after(acceptor, place - 1, acceptor.onMessage(now, sent.from, sent.message), now);
@@ -284,15 +287,15 @@
   }
 
   /**
-   * Some messages concern nothing that is modelled: to a member that keeps nothing, and the word
-   * that done is noted.
+   * Messages to a member without a cache, and acknowledgements of {@link Done}, have no effect in
+   * the model.
    */
   private boolean isModelled(Effect.Send send) {
     return !(send.message() instanceof Message.DoneAck)
         && (!(send.message() instanceof Apply) || send.to() < setup.gateways());
   }
 
-  /** Who is told to have confirmed makes no difference. */
+  /** Removes the members that confirmed, which make no difference in the model. */
   private static Message withoutResult(Message message) {
     return message instanceof Done done
         ? new Done(done.purge(), done.requests(), new Message.Result(0, List.of()))
@@ -312,7 +315,7 @@
   }
 
   private int part(Object part, long now) {
-    // Rules that are bent may look at what is over.
+    // Broken rules may depend on times that are over.
     long over = setup.rules() == Rules.NORMAL ? now : -1;
     return partIds.computeIfAbsent(
         new StateImage(over, ORDERS[0]).of(part),
@@ -336,7 +339,8 @@
   }
 
   /**
-   * An action in words, such as {@code Accept 1>0}, {@code take purge 0 gateway 1} or {@code time}.
+   * Describes an action, for example {@code Accept 1>0}, {@code take purge 0 gateway 1} or {@code
+   * time}.
    */
   String describe(Act act, int place, int argument) {
     if (act == Act.DELIVER || act == Act.AGAIN) {
--- a/purge/src/test/java/willowdoor/purge/ModelTest.java
+++ b/purge/src/test/java/willowdoor/purge/ModelTest.java
@@ -10,8 +10,9 @@
 import willowdoor.purge.Explorer.Report;
 
 /**
- * The promise of {@code docs/purge.md} in every interleaving, and that each of its rules is needed
- * for it.
+ * Guards the guarantee that {@code docs/purge.md} proves: no answer that a complete purge covers is
+ * served. The first test checks all interleavings up to a number of states; the second checks that
+ * a violation is found if one of the rules is broken.
  */
 class ModelTest {
 
@@ -26,7 +27,7 @@
     assertEquals(
         scenario == Scenario.STOPPED_BEFORE_THE_WRITE,
         report.lateWrites() > 0,
-        "only a gateway stopped behind its check for longer than the guard writes late");
+        "only a gateway that is stopped after its check for longer than the guard writes late");
   }
 
   @ParameterizedTest
--- a/purge/src/test/java/willowdoor/purge/Scenario.java
+++ b/purge/src/test/java/willowdoor/purge/Scenario.java
@@ -5,23 +5,26 @@
 import java.util.List;
 import willowdoor.purge.FleetModel.Setup;
 
-/** The beginnings and the bounds of what the model checker plays. */
+/** The initial states and the bounds of the model checker's runs. */
 enum Scenario {
-  /** One gateway serves, the other purges: leases run out, are renewed before, during and after. */
+  /**
+   * One gateway serves and the other purges. Leases expire, and are renewed before, during and
+   * after the purge.
+   */
   ONE_PURGE(Timings.SHORT, 4, 1, 1, 0b0100, 0, 0, 0, false, true),
   ACCEPTOR_RESTARTS(Timings.SHORT, 5, 1, 1, 0b0100, 1, 0, 0, false, true),
   TWO_ACCEPTORS_RESTART(Timings.SHORT, 5, 1, 1, 0b0100, 2, 0, 0, false, true),
-  /** Both of one customer, one within the other. */
+  /** Two purges of one customer; the scope of one covers the other. */
   TWO_PURGES(Timings.SHORT, 4, 1, 1, 0b1100, 0, 0, 0, false, true),
   /** Each gateway serves and purges. */
   TWO_GATEWAYS(Timings.SHORT, 4, 2, 1, 0b1001, 1, 0, 0, false, true),
-  /** One key at both, one of which may die. */
+  /** The same key is used at both gateways, one of which may restart. */
   RETRY_ELSEWHERE(Timings.SHORT, 4, 2, 1, 0b0101, 0, 1, 0, false, true),
-  /** Answers to the coordinator too are late, lost or doubled. */
+  /** Replies to the coordinator may be late, lost or duplicated too. */
   LATE_REPLIES(Timings.SHORT, 5, 1, 1, 0b1100, 1, 0, 2, false, false),
   /**
-   * A acceptor has accepted and restarted; the other one accepts when its lease would outlast the
-   * first's silence.
+   * An acceptor has accepted the run and has restarted. Another acceptor accepts the run when its
+   * lease would outlast the silence of the first one.
    */
   OLD_ACCEPTANCE(Timings.SHORT, 5, 1, 3, 0b0100, 1, 0, 0, false, true),
   STOPPED_BEFORE_THE_WRITE(Timings.GUARDED, 5, 1, 1, 0b0100, 0, 0, 0, true, true),
@@ -30,13 +33,13 @@
   DRIFT_SLOW_ACCEPTOR(Timings.DRIFTING, 6, 1, 1, 0b0100, 1, 0, 0, false, true, 2, 2, 3, 2, 3);
 
   private static final class Timings {
-    /** Leases of two steps, a bound of three. */
+    /** Leases of two steps and a bound of three steps. */
     static final Timing SHORT = new Timing(3, 2, 0, 1, 100, 0, 0);
 
-    /** Leases of three, of which one is the guard. */
+    /** Leases of three steps, one of which is the guard. */
     static final Timing GUARDED = new Timing(4, 3, 1, 1, 100, 0, 0);
 
-    /** Clocks that differ by half: slow ones go 2 in a step and fast ones 3. */
+    /** Clocks whose rates differ by half: slow clocks advance by 2 in a step, fast clocks by 3. */
     static final Timing DRIFTING = new Timing(10, 5, 0, 1, 100, 20, 0);
   }
 
@@ -72,8 +75,8 @@
   }
 
   /**
-   * From leases of two acceptors at each gateway, the request to the third being on the way, unless
-   * it says more.
+   * Creates an explorer. In the initial state each gateway has leases of two acceptors and a
+   * request to the third one in flight; some scenarios add further actions.
    */
   Explorer explorer(Rules rules) {
     List<String> script = new ArrayList<>(warm(0, 0, 1));
--- a/purge/src/test/java/willowdoor/purge/SimulatedFleet.java
+++ b/purge/src/test/java/willowdoor/purge/SimulatedFleet.java
@@ -7,7 +7,8 @@
 import java.util.stream.IntStream;
 
 /**
- * gateways on a hand-moved clock, with a network between them that can delay, lose, double and cut.
+ * Gateways on a simulated clock, with a network between them that can delay, lose, duplicate and
+ * block datagrams.
  */
 final class SimulatedFleet {
   private record InFlight(long at, long order, int from, int to, byte[] datagram) {}
@@ -20,7 +21,7 @@
   final List<PurgeNode<Object>> nodes = new ArrayList<>();
   final Random random;
 
-  /** By gateway: until when it is stopped, and how fast its clock goes, in thousandths. */
+  /** By gateway: the time until which it is stopped, and the rate of its clock in thousandths. */
   final long[] stoppedUntil;
 
   final int[] rates;
@@ -70,7 +71,10 @@
     }
   }
 
-  /** One datagram after the other, and ticks of those that are not stopped. */
+  /**
+   * Delivers the datagrams one after the other, and calls tick on the gateways that are not
+   * stopped.
+   */
   void run(long ms) {
     for (long end = now + ms; now < end; now++) {
       while (!network.isEmpty() && network.peek().at <= now) {
@@ -94,13 +98,13 @@
     }
   }
 
-  /** Runs until acceptors have been silent and all gateways hold leases. */
+  /** Runs until the silence of the acceptors is over and all gateways hold leases. */
   SimulatedFleet warmUp() {
     run(fleet.timing().keepMs() + 2 * fleet.timing().renewMs());
     return this;
   }
 
-  /** Calls for a purge and waits for its answer; how long that took is {@link Call#ms}. */
+  /** Requests a purge and waits for its outcome; {@link Call#ms} is the time that this took. */
   Call purge(int gateway, String key, String prefix, long timeoutMs) {
     Call call = start(gateway, key, prefix, timeoutMs);
     while (call.outcome == null) {
--- a/purge/src/test/java/willowdoor/purge/SimulatedFleetTest.java
+++ b/purge/src/test/java/willowdoor/purge/SimulatedFleetTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import willowdoor.purge.SimulatedFleet.Call;
 
-/** Whole gateways over a network without sockets. */
+/** Tests complete gateways over a simulated network, without sockets. */
 class SimulatedFleetTest {
   private static final long L = 3_000;
 
@@ -117,8 +117,8 @@
   }
 
   /**
-   * A thousand purges of one customer in a second, of fifty prefixes, and how they have ended
-   * later.
+   * Requests a thousand purges of fifty prefixes for one customer within a second, and returns the
+   * number of each outcome after a delay.
    */
   private static Map<Class<?>, Integer> startThousand(
       SimulatedFleet gateways, long later, String key) {
@@ -133,7 +133,10 @@
     return ends;
   }
 
-  /** More runs than a datagram holds, to a gateway that hears acceptors only. */
+  /**
+   * Guards against a lost run: there are more runs than a datagram can carry, and one gateway
+   * receives messages from acceptors only.
+   */
   @Test
   void carriesManyRunsInSeveralGrants() {
     SimulatedFleet gateways = new SimulatedFleet(80, 5, L, 6).warmUp();
@@ -150,7 +153,10 @@
     assertTrue(gateways.largest <= Codec.MAX_DATAGRAM_BYTES);
   }
 
-  /** Everything at random; an answer is the moment at which its server began. */
+  /**
+   * Guards against a purged answer that is served after the purge is complete, under random loss,
+   * stops, restarts and cuts. Each answer is the time at which it was requested.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void servesNoPurgedAnswerAfterComplete(long seed) {
--- a/purge/src/test/java/willowdoor/purge/StateImage.java
+++ b/purge/src/test/java/willowdoor/purge/StateImage.java
@@ -11,18 +11,17 @@
 import willowdoor.purge.Message.Result;
 
 /**
- * All that a state machine holds as plain values, so that two of them can be told to be the same.
- * What can make no difference any more is alike: times that are over, when a fact was noted, who is
- * told to have confirmed. Acceptors can be given other numbers, as it makes none which of them is
- * which.
+ * Converts the fields of a state machine to plain values, so that two state machines can be
+ * compared. Differences without effect are removed: times that are over, the time at which a value
+ * was stored, and the members that confirmed. The acceptors can be renumbered, because their
+ * numbers make no difference. Fields are selected by name: rename them here too.
  */
 final class StateImage {
   private final long now;
   private final int[] acceptorNumbers;
 
   /**
-   * {@code now}: what ended before is over; {@code acceptorNumbers}: the number that stands for
-   * each.
+   * {@code now}: earlier times are over; {@code acceptorNumbers}: the new number of each acceptor.
    */
   StateImage(long now, int... acceptorNumbers) {
     this.now = now;
--- a/purge/src/test/java/willowdoor/purge/UdpDatagramsTest.java
+++ b/purge/src/test/java/willowdoor/purge/UdpDatagramsTest.java
@@ -20,7 +20,10 @@
 import org.junit.jupiter.api.Test;
 
 class UdpDatagramsTest {
-  /** Three acceptors on real sockets; a datagram from elsewhere is not heard. */
+  /**
+   * Three acceptors complete a purge over real sockets; a datagram from an unknown address is
+   * dropped and counted.
+   */
   @Test
   void completesAPurgeOverSocketsAndDropsUnknownSenders() throws Exception {
     Fleet fleet = new Fleet(List.of(0, 1, 2), List.of(0, 1, 2), Timing.of(300));
@@ -66,7 +69,7 @@
     }
   }
 
-  /** Acceptors are silent at first: 503, and again. */
+  /** Repeats the purge while it is unavailable, because acceptors are silent after their start. */
   private static void purgeUntilAvailable(
       PurgeNode<byte[]> node, CompletableFuture<Outcome> outcome) {
     node.purge(
