--- a/purge/src/main/java/willowdoor/purge/AnswerCache.java
+++ b/purge/src/main/java/willowdoor/purge/AnswerCache.java
@@ -49,7 +49,7 @@
    */
   public record Queued<A>() implements Lookup<A> {}
 
-  /** Send the request to a server and report the result to nothing. */
+  /** Send the request to a server; the result is not reported to the cache. */
   public record Bypass<A>() implements Lookup<A> {}
 
   /**
--- a/purge/src/test/java/willowdoor/purge/Explorer.java
+++ b/purge/src/test/java/willowdoor/purge/Explorer.java
@@ -18,10 +18,10 @@
 
   private int[] actions = new int[1 << 16];
   private final LongMap seen = new LongMap();
-  private final FleetModel world;
+  private final FleetModel model;
   private List<int[]> level = new ArrayList<>();
   private List<int[]> nextLevel = new ArrayList<>();
-  private int at;
+  private int expandedState;
   private boolean last;
   private int brokenAt = -1;
   private int depth;
@@ -39,20 +39,21 @@
       String broken,
       List<String> trace) {}
 
-  Explorer(FleetModel world, List<String> script) {
-    this.world = world;
-    int[] state = world.start();
+  Explorer(FleetModel model, List<String> script) {
+    this.model = model;
+    int[] state = model.start();
     for (String prefix : script) {
       int[][] found = new int[1][];
-      world.next(
+      model.next(
           state,
           (after, action) -> {
-            if (found[0] == null && world.describe(action).startsWith(prefix)) {
+            if (found[0] == null && model.describe(action).startsWith(prefix)) {
               found[0] = after;
             }
           });
       if (found[0] == null) {
-        throw new IllegalArgumentException("nothing like \"" + prefix + "\" can happen now");
+        throw new IllegalArgumentException(
+            "no action that starts with \"" + prefix + "\" is possible in this state");
       }
       state = found[0];
     }
@@ -68,8 +69,8 @@
       last = depth == maxDepth;
       nextLevel = new ArrayList<>();
       for (int i = 0; i < level.size() && brokenAt < 0; i++) {
-        at = next++;
-        world.next(level.get(i), this::visit);
+        expandedState = next++;
+        model.next(level.get(i), this::visit);
         level.set(i, null);
         if (seen.size() > maxStates) {
           return report(depth - 1, false);
@@ -85,25 +86,25 @@
         seen.size(),
         whole,
         exhausted,
-        world.parts.size(),
-        world.completes,
-        world.lateWrites,
-        world.broken,
+        model.parts.size(),
+        model.completes,
+        model.lateWrites,
+        model.broken,
         trace());
   }
 
   private void visit(int[] state, int action) {
     int number = seen.size();
-    if (brokenAt >= 0 || !seen.add(world.print(state), number) && world.broken == null) {
+    if (brokenAt >= 0 || !seen.add(model.print(state), number) && model.broken == null) {
       return;
     }
     if (number == actions.length) {
       parents = Arrays.copyOf(parents, 2 * number);
       actions = Arrays.copyOf(actions, 2 * number);
     }
-    parents[number] = at;
+    parents[number] = expandedState;
     actions[number] = action;
-    if (world.broken != null) {
+    if (model.broken != null) {
       brokenAt = number;
     }
     if (!last) {
@@ -114,7 +115,7 @@
   private List<String> trace() {
     ArrayDeque<String> words = new ArrayDeque<>();
     for (int i = brokenAt; i > 0; i = parents[i]) {
-      words.addFirst(world.describe(actions[i]));
+      words.addFirst(model.describe(actions[i]));
     }
     return List.copyOf(words);
   }
