--- a/purge/src/main/java/willowdoor/purge/Scope.java
+++ b/purge/src/main/java/willowdoor/purge/Scope.java
@@ -3,19 +3,20 @@
 /**
  * What a purge covers.
  *
- * @param customer 1 to {@value #MAX_CUSTOMER} characters of ASCII
- * @param prefix of a target, that is path and query as text: begins with {@code /}, which alone is
- *     all; up to {@value #MAX_PREFIX} characters of ASCII
+ * @param customer 1 to {@value #MAX_CUSTOMER} ASCII characters
+ * @param prefix the prefix of a target, that is, of path and query as text; begins with {@code /},
+ *     and {@code /} alone covers all targets; up to {@value #MAX_PREFIX} ASCII characters
  */
 public record Scope(String customer, String prefix) {
   static final int MAX_CUSTOMER = 64;
   static final int MAX_PREFIX = 256;
 
   public Scope {
-    if (!visible(customer, MAX_CUSTOMER)
-        || !visible(prefix, MAX_PREFIX)
+    if (!isVisibleAscii(customer, MAX_CUSTOMER)
+        || !isVisibleAscii(prefix, MAX_PREFIX)
         || prefix.charAt(0) != '/') {
-      throw new IllegalArgumentException("a customer, and a prefix that begins with /");
+      throw new IllegalArgumentException(
+          "customer and prefix must be visible ASCII text within their limits; prefix must begin with /");
     }
   }
 
@@ -27,15 +28,18 @@
     return customer.equals(otherCustomer) && target.startsWith(prefix);
   }
 
-  /** Tells one prefix asked for under a key from another; the same in each process. */
-  int mark() {
+  /**
+   * Distinguishes the prefixes that are requested under one key; the value is the same in each
+   * process.
+   */
+  int prefixHash() {
     return prefix.hashCode();
   }
 
-  /** Whether it is 1 to {@code most} characters that ASCII shows, without spaces. */
-  static boolean visible(String text, int most) {
+  /** Whether the text has 1 to {@code maxLength} visible ASCII characters, without spaces. */
+  static boolean isVisibleAscii(String text, int maxLength) {
     return !text.isEmpty()
-        && text.length() <= most
+        && text.length() <= maxLength
         && text.chars().allMatch(c -> c > ' ' && c < 127);
   }
 }
--- a/purge/src/main/java/willowdoor/purge/Callers.java
+++ b/purge/src/main/java/willowdoor/purge/WaitingCallers.java
@@ -5,34 +5,34 @@
 import java.util.List;
 import java.util.Map;
 
-/** Those that wait for the end of a purge, by its id. */
-final class Callers {
-  static final int MOST = 4_096;
+/** Callers that wait for the outcome of a purge, by purge id. */
+final class WaitingCallers {
+  static final int MAX_CALLERS = 4_096;
 
-  /** {@code asks}: it only asks how the purge goes. */
-  record Caller(long caller, String customer, boolean asks, long deadline) {}
+  /** {@code statusOnly}: the caller queries the status and has not requested the purge. */
+  record Caller(long number, String customer, boolean statusOnly, long deadline) {}
 
-  /** The lists are never changed. */
+  /** The lists are never modified; copies of the map share them. */
   private final LinkedHashMap<PurgeId, List<Caller>> byId = new LinkedHashMap<>();
 
   private int size;
 
-  Callers() {}
+  WaitingCallers() {}
 
-  Callers(Callers other) {
+  WaitingCallers(WaitingCallers other) {
     byId.putAll(other.byId);
     size = other.size;
   }
 
   boolean full() {
-    return size >= MOST;
+    return size >= MAX_CALLERS;
   }
 
   boolean isEmpty() {
     return byId.isEmpty();
   }
 
-  boolean waitFor(PurgeId id) {
+  boolean hasCallersFor(PurgeId id) {
     return byId.containsKey(id);
   }
 
@@ -43,28 +43,29 @@
     size++;
   }
 
-  /** Takes all out that wait for an id. */
-  List<Caller> take(PurgeId id) {
+  /** Removes and returns all callers that wait for the id. */
+  List<Caller> removeAll(PurgeId id) {
     List<Caller> list = byId.remove(id);
     size -= list == null ? 0 : list.size();
     return list == null ? List.of() : list;
   }
 
-  void leave(long caller) {
+  void remove(long caller) {
     for (Map.Entry<PurgeId, List<Caller>> entry : byId.entrySet()) {
-      List<Caller> rest = entry.getValue().stream().filter(one -> one.caller != caller).toList();
+      List<Caller> rest =
+          entry.getValue().stream().filter(other -> other.number != caller).toList();
       size -= entry.getValue().size() - rest.size();
       entry.setValue(rest);
     }
     byId.values().removeIf(List::isEmpty);
   }
 
-  /** The ids for which somebody waits whose time is over. */
-  List<PurgeId> late(long now) {
+  /** The ids that have at least one caller whose deadline has passed. */
+  List<PurgeId> overdueIds(long now) {
     List<PurgeId> ids = new ArrayList<>();
     byId.forEach(
         (id, list) -> {
-          if (list.stream().anyMatch(one -> one.deadline <= now)) {
+          if (list.stream().anyMatch(other -> other.deadline <= now)) {
             ids.add(id);
           }
         });
--- a/purge/src/test/java/willowdoor/purge/Explorer.java
+++ b/purge/src/test/java/willowdoor/purge/Explorer.java
@@ -5,24 +5,30 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Looks at every state of a {@link World} that so many actions lead to, the nearest first. */
+/**
+ * Visits all states of a {@link FleetModel} that can be reached with a number of actions, in
+ * breadth-first order.
+ */
 final class Explorer {
   /**
-   * A state of a level that was not gone on from, by its number: the trace goes back over these.
+   * By state number: the number of the expanded state from which it was reached. The trace follows
+   * these numbers back.
    */
-  private int[] cameFrom = new int[1 << 16];
+  private int[] parents = new int[1 << 16];
 
-  private int[] by = new int[1 << 16];
+  private int[] actions = new int[1 << 16];
   private final LongMap seen = new LongMap();
-  private final World world;
+  private final FleetModel model;
   private List<int[]> level = new ArrayList<>();
-  private List<int[]> later = new ArrayList<>();
-  private int at;
+  private List<int[]> nextLevel = new ArrayList<>();
+  private int expandedState;
   private boolean last;
   private int brokenAt = -1;
   private int depth;
 
-  /** Every state to {@code depth}; {@code exhausted}: there is none beyond these at all. */
+  /**
+   * All states up to {@code depth} were visited; {@code exhausted}: there are no further states.
+   */
   record Report(
       int states,
       int depth,
@@ -33,43 +39,44 @@
       String broken,
       List<String> trace) {}
 
-  Explorer(World world, List<String> script) {
-    this.world = world;
-    int[] state = world.start();
-    for (String words : script) {
+  Explorer(FleetModel model, List<String> script) {
+    this.model = model;
+    int[] state = model.start();
+    for (String prefix : script) {
       int[][] found = new int[1][];
-      world.next(
+      model.next(
           state,
           (after, action) -> {
-            if (found[0] == null && world.words(action).startsWith(words)) {
+            if (found[0] == null && model.describe(action).startsWith(prefix)) {
               found[0] = after;
             }
           });
       if (found[0] == null) {
-        throw new IllegalArgumentException("nothing like \"" + words + "\" can happen now");
+        throw new IllegalArgumentException(
+            "no action that starts with \"" + prefix + "\" is possible in this state");
       }
       state = found[0];
     }
     visit(state, 0);
-    level = later;
+    level = nextLevel;
   }
 
-  /** To so many actions, or to the last whole level of so many states. */
-  Report run(int most, int states) {
+  /** Explores up to a depth, or up to the last level that is complete within a number of states. */
+  Report run(int maxDepth, int maxStates) {
     int next = 0;
-    while (depth < most && !level.isEmpty() && brokenAt < 0) {
+    while (depth < maxDepth && !level.isEmpty() && brokenAt < 0) {
       depth++;
-      last = depth == most;
-      later = new ArrayList<>();
+      last = depth == maxDepth;
+      nextLevel = new ArrayList<>();
       for (int i = 0; i < level.size() && brokenAt < 0; i++) {
-        at = next++;
-        world.next(level.get(i), this::visit);
+        expandedState = next++;
+        model.next(level.get(i), this::visit);
         level.set(i, null);
-        if (seen.size() > states) {
+        if (seen.size() > maxStates) {
           return report(depth - 1, false);
         }
       }
-      level = later;
+      level = nextLevel;
     }
     return report(depth, !last && level.isEmpty());
   }
@@ -79,36 +86,36 @@
         seen.size(),
         whole,
         exhausted,
-        world.parts.size(),
-        world.completes,
-        world.lateWrites,
-        world.broken,
+        model.parts.size(),
+        model.completes,
+        model.lateWrites,
+        model.broken,
         trace());
   }
 
   private void visit(int[] state, int action) {
     int number = seen.size();
-    if (brokenAt >= 0 || !seen.add(world.print(state), number) && world.broken == null) {
+    if (brokenAt >= 0 || !seen.add(model.print(state), number) && model.broken == null) {
       return;
     }
-    if (number == by.length) {
-      cameFrom = Arrays.copyOf(cameFrom, 2 * number);
-      by = Arrays.copyOf(by, 2 * number);
+    if (number == actions.length) {
+      parents = Arrays.copyOf(parents, 2 * number);
+      actions = Arrays.copyOf(actions, 2 * number);
     }
-    cameFrom[number] = at;
-    by[number] = action;
-    if (world.broken != null) {
+    parents[number] = expandedState;
+    actions[number] = action;
+    if (model.broken != null) {
       brokenAt = number;
     }
     if (!last) {
-      later.add(state);
+      nextLevel.add(state);
     }
   }
 
   private List<String> trace() {
     ArrayDeque<String> words = new ArrayDeque<>();
-    for (int i = brokenAt; i > 0; i = cameFrom[i]) {
-      words.addFirst(world.words(by[i]));
+    for (int i = brokenAt; i > 0; i = parents[i]) {
+      words.addFirst(model.describe(actions[i]));
     }
     return List.copyOf(words);
   }
--- a/purge/src/test/java/willowdoor/purge/ModelTest.java
+++ b/purge/src/test/java/willowdoor/purge/ModelTest.java
@@ -10,31 +10,32 @@
 import willowdoor.purge.Explorer.Report;
 
 /**
- * The promise of {@code docs/purge.md} in every interleaving, and that each of its rules is needed
- * for it.
+ * Guards the guarantee that {@code docs/purge.md} proves: no answer that a complete purge covers is
+ * served. The first test checks all interleavings up to a number of states; the second checks that
+ * a violation is found if one of the rules is broken.
  */
 class ModelTest {
 
   @ParameterizedTest
   @EnumSource
-  void keepsThePromiseInEveryInterleaving(Plays play) {
-    Report report = play.explorer(Rules.NORMAL).run(99, 400_000);
+  void servesNoPurgedAnswerInAnyInterleaving(Scenario scenario) {
+    Report report = scenario.explorer(Rules.NORMAL).run(99, 400_000);
     System.out.println(
-        "model " + play + ": " + report.states() + " states, all to depth " + report.depth());
+        "model " + scenario + ": " + report.states() + " states, all to depth " + report.depth());
     assertNull(report.broken(), () -> report.trace().toString());
     assertTrue(report.depth() >= 6 && report.completes() > 100, report::toString);
     assertEquals(
-        play == Plays.STOPPED_BEFORE_THE_WRITE,
+        scenario == Scenario.STOPPED_BEFORE_THE_WRITE,
         report.lateWrites() > 0,
-        "only a door stopped behind its check for longer than the guard writes late");
+        "only a gateway that is stopped after its check for longer than the guard writes late");
   }
 
   @ParameterizedTest
   @EnumSource
-  void findsWhatEachRuleIsFor(Bent bent) {
-    Report report = bent.play.explorer(bent.rules).run(99, 2_000_000);
+  void findsAViolationWithoutEachRule(BrokenRule rule) {
+    Report report = rule.scenario.explorer(rule.rules).run(99, 2_000_000);
     assertNotNull(report.broken(), report::toString);
-    System.out.println("model " + bent + ": " + report.broken() + ": " + report.trace());
+    System.out.println("model " + rule + ": " + report.broken() + ": " + report.trace());
     assertTrue(report.trace().size() <= 12, report::toString);
   }
 }
