--- a/storage/src/main/java/elmsail/storage/LocalFileSystem.java
+++ b/storage/src/main/java/elmsail/storage/LocalFileSystem.java
@@ -39,10 +39,10 @@
   @Override
   public void createDirectories(Path directory) throws IOException {
     Deque<Path> missing = new ArrayDeque<>();
-    Path at = directory.toAbsolutePath();
-    while (at != null && !java.nio.file.Files.isDirectory(at)) {
-      missing.push(at);
-      at = at.getParent();
+    Path current = directory.toAbsolutePath();
+    while (current != null && !java.nio.file.Files.isDirectory(current)) {
+      missing.push(current);
+      current = current.getParent();
     }
     for (Path path : missing) {
       java.nio.file.Files.createDirectories(path);
--- a/storage/src/main/java/elmsail/storage/RecordIndex.java
+++ b/storage/src/main/java/elmsail/storage/RecordIndex.java
@@ -40,12 +40,12 @@
 
   /** The entry of a name, made if there is none. */
   IndexEntry entryFor(String name) {
-    IndexEntry known = entries.get(name);
-    if (known == null) {
-      known = new IndexEntry(name);
-      entries.put(name, known);
+    IndexEntry entry = entries.get(name);
+    if (entry == null) {
+      entry = new IndexEntry(name);
+      entries.put(name, entry);
     }
-    return known;
+    return entry;
   }
 
   /** A file was written and synced, or found in the directory. */
--- a/storage/src/test/java/elmsail/storage/LevelStorageTest.java
+++ b/storage/src/test/java/elmsail/storage/LevelStorageTest.java
@@ -89,7 +89,7 @@
   }
 
   /** Changes as a voter writes them: a promise and an accept of each configuration. */
-  private PeakUsage configurations(DirectoryRecordStore records, Path dir, int from, int to)
+  private PeakUsage writeConfigurations(DirectoryRecordStore records, Path dir, int from, int to)
       throws IOException {
     PeakUsage peak = new PeakUsage();
     for (int i = from; i < to; i++) {
@@ -107,8 +107,8 @@
   void repeatedChangesKeepTheDirectorySizeLevel() throws IOException {
     Path dir = temp.resolve("keys");
     DirectoryRecordStore records = open(dir);
-    PeakUsage early = configurations(records, dir, 0, 200);
-    PeakUsage late = configurations(records, dir, 200, 1_200);
+    PeakUsage early = writeConfigurations(records, dir, 0, 200);
+    PeakUsage late = writeConfigurations(records, dir, 200, 1_200);
     System.out.println("changes 1 to 200: " + early);
     System.out.println("changes 201 to 1,200: " + late);
     long live = CONFIG_BYTES + 1_000;
@@ -116,11 +116,11 @@
     assertThat(late.files, lessThanOrEqualTo(MAX_FILES));
     assertThat(late.indexed, is(early.indexed));
     assertThat(records.compactionSteps(), greaterThan(10));
-    reopened(dir, records, "head/k/timetable", filled(CONFIG_BYTES, 1_199));
+    assertReopens(dir, records, "head/k/timetable", filled(CONFIG_BYTES, 1_199));
   }
 
   /** Checks that a new store reads the same records from no more files than there were. */
-  private void reopened(Path dir, DirectoryRecordStore before, String name, byte[] newest)
+  private void assertReopens(Path dir, DirectoryRecordStore before, String name, byte[] newest)
       throws IOException {
     before.close();
     Usage usage = usage(dir);
@@ -134,7 +134,7 @@
 
   /** Batch jobs are stored and dropped: their keys and blobs leave nothing behind. */
   @Test
-  void removedKeysLeaveNothingBehind() throws IOException {
+  void removedKeysFreeTheirDiskSpaceAndIndexEntries() throws IOException {
     Path dir = temp.resolve("jobs");
     DirectoryRecordStore records = open(dir);
     int open = 40;
@@ -168,6 +168,6 @@
     }
     // The index keeps the names of removals while a file has an old value of them.
     assertThat(peaks.get(3).indexed, lessThanOrEqualTo(peaks.get(1).indexed + open));
-    reopened(dir, records, "shelf/b/lot%2F1199/body", filled(6_000, 1_199));
+    assertReopens(dir, records, "shelf/b/lot%2F1199/body", filled(6_000, 1_199));
   }
 }
--- a/storage/src/test/java/elmsail/storage/PendingWriteTest.java
+++ b/storage/src/test/java/elmsail/storage/PendingWriteTest.java
@@ -42,12 +42,12 @@
   }
 
   private static ErrorCode code(CompletableFuture<Void> failed) {
-    Throwable why = failed.handle((done, e) -> e).join();
-    return why == null ? null : ElmsailException.codeOf(why);
+    Throwable failure = failed.handle((done, e) -> e).join();
+    return failure == null ? null : ElmsailException.codeOf(failure);
   }
 
   @Test
-  void writesToAHangingDiskArePendingAndBounded() {
+  void writesStayPendingAndBoundedWhileTheDiskHangs() {
     DirectoryRecordStore records = open(1L << 40);
     byte[] big = new byte[8 << 20];
     List<CompletableFuture<Void>> waiting = new ArrayList<>();
@@ -80,11 +80,11 @@
     CompletableFuture<Void> before = records.write(put("a", 1));
     records.runOnce();
     CompletableFuture<Void> first = records.write(put("a", 2));
-    fileSystem.refusalRate = 1;
+    fileSystem.failureRate = 1;
     // The turn takes it as one batch, with nothing queued behind it.
     records.runOnce();
     CompletableFuture<Void> duringFailure = records.write(put("b", 3));
-    fileSystem.refusalRate = 0;
+    fileSystem.failureRate = 0;
     assertThat(records.runOnce(), is(false));
     assertThat(records.read("a").length, is(1));
     assertThat(records.read("b"), nullValue());
@@ -105,9 +105,9 @@
     DirectoryRecordStore records = open(1L << 30);
     CompletableFuture<Void> first = records.write(put("a", 3 << 20));
     CompletableFuture<Void> behind = records.write(put("b", 3 << 20));
-    fileSystem.refusalRate = 1;
+    fileSystem.failureRate = 1;
     records.runOnce();
-    fileSystem.refusalRate = 0;
+    fileSystem.failureRate = 0;
     assertThat(records.runOnce(), is(false));
     runCompletions();
     assertThat(code(first), is(ErrorCode.STORAGE_FAILURE));
@@ -117,8 +117,8 @@
 
   @Test
   void fullDiskRejectsValuesAndAcceptsRemovals() {
-    long most = 1 << 20;
-    DirectoryRecordStore records = open(most);
+    long maxBytes = 1 << 20;
+    DirectoryRecordStore records = open(maxBytes);
     int kept = 0;
     while (true) {
       CompletableFuture<Void> done = records.write(put("r/" + kept, 10_000));
@@ -130,11 +130,11 @@
       records.runOnce();
       runCompletions();
       assertThat(code(done), nullValue());
-      assertThat(records.bytesOnDisk(), lessThanOrEqualTo(most));
+      assertThat(records.bytesOnDisk(), lessThanOrEqualTo(maxBytes));
     }
     assertThat(kept, greaterThan(85));
-    List<Change> gone = List.of(new Change("r/0", null), new Change("r/1", null));
-    CompletableFuture<Void> removal = records.write(gone);
+    List<Change> removals = List.of(new Change("r/0", null), new Change("r/1", null));
+    CompletableFuture<Void> removal = records.write(removals);
     records.runOnce();
     runCompletions();
     assertThat(code(removal), nullValue());
@@ -144,12 +144,12 @@
       records.runOnce();
       runCompletions();
       assertThat(code(again), nullValue());
-      assertThat(records.bytesOnDisk(), lessThanOrEqualTo(most));
+      assertThat(records.bytesOnDisk(), lessThanOrEqualTo(maxBytes));
     }
   }
 
   @Test
-  void removalsLeaveNothingBehind() {
+  void removedRecordsFreeTheirDiskSpaceAndIndexEntries() {
     DirectoryRecordStore records = open(1 << 20);
     for (int i = 0; i < 2_000; i++) {
       records.write(put("lot/" + i, 500));
--- a/storage/src/test/java/elmsail/storage/PinnedDirectory.java
+++ b/storage/src/test/java/elmsail/storage/PinnedDirectory.java
@@ -24,7 +24,7 @@
   /** More than a record that is kept in memory. */
   static final int BIG_BYTES = RecordIndex.MAX_IN_MEMORY_BYTES + 500;
 
-  private static final long MOST_BYTES = 1 << 24;
+  private static final long MAX_BYTES = 1 << 24;
 
   private PinnedDirectory() {}
 
@@ -46,19 +46,19 @@
 
   /** Writes the directory by the present code. */
   static void write(Path directory) throws IOException {
-    FailingRenames files = new FailingRenames();
+    FailingRenames fileSystem = new FailingRenames();
     ArrayDeque<Runnable> completions = new ArrayDeque<>();
     DirectoryRecordStore store =
         DirectoryRecordStore.openWithoutThread(
-            directory, MOST_BYTES, completions::add, files, INSTANCE_ID);
+            directory, MAX_BYTES, completions::add, fileSystem, INSTANCE_ID);
     Map<String, byte[]> last = records();
     write(store, completions, change(last, "set/k/n\u00e4me%2F1"), change(last, "empty"));
     write(store, completions, change(last, "big"), new Change("gone", filled(SMALL_BYTES, 2)));
     write(store, completions, new Change("set/k/twice", filled(SMALL_BYTES, 4)));
     write(store, completions, change(last, "set/k/twice"), new Change("gone", null));
-    files.renamesFail = true;
+    fileSystem.renamesFail = true;
     write(store, completions, new Change("spoiled", filled(SMALL_BYTES, 8)));
-    files.renamesFail = false;
+    fileSystem.renamesFail = false;
     write(store, completions, change(last, "spoiled"));
     store.close();
   }
@@ -66,7 +66,7 @@
   /** Opens a directory without a thread. */
   static DirectoryRecordStore open(Path directory) {
     return DirectoryRecordStore.openWithoutThread(
-        directory, MOST_BYTES, Runnable::run, new LocalFileSystem(), INSTANCE_ID + 1);
+        directory, MAX_BYTES, Runnable::run, new LocalFileSystem(), INSTANCE_ID + 1);
   }
 
   /** The names of the files of a folder, and their bytes. */
--- a/storage/src/test/java/elmsail/storage/PinnedDirectoryTest.java
+++ b/storage/src/test/java/elmsail/storage/PinnedDirectoryTest.java
@@ -24,7 +24,7 @@
   }
 
   @Test
-  void filesHaveTheseNames() throws Exception {
+  void versionFileNamesAreUnchanged() throws Exception {
     assertThat(
         PinnedDirectory.files(pinned()).keySet(),
         contains(
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void theDirectoryIsReadAsItWasWritten() throws Exception {
+  void pinnedDirectoryIsReadAsItWasWritten() throws Exception {
     for (Map.Entry<String, byte[]> file : PinnedDirectory.files(pinned()).entrySet()) {
       java.nio.file.Files.write(temp.resolve(file.getKey()), file.getValue());
     }
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void theSameChangesAreWrittenInTheSameBytes() throws Exception {
+  void sameChangesProduceTheSameFiles() throws Exception {
     PinnedDirectory.write(temp);
     Map<String, byte[]> expected = PinnedDirectory.files(pinned());
     Map<String, byte[]> written = PinnedDirectory.files(temp);
@@ -67,7 +67,7 @@
   }
 
   @Test
-  void theLastFileCallsTheFailedVersionVoid() throws IOException, URISyntaxException {
+  void newestFileListsTheFailedVersionAsVoid() throws IOException, URISyntaxException {
     VersionReader reader =
         new VersionReader(new LocalFileSystem(), pinned().resolve("v-0000000000000007"));
     assertThat(reader.voids, equalTo(new long[] {6}));
--- a/storage/src/test/java/elmsail/storage/PinnedNamesTest.java
+++ b/storage/src/test/java/elmsail/storage/PinnedNamesTest.java
@@ -21,7 +21,7 @@
   }
 
   @Test
-  void metrics() {
+  void exportedMetricNamesAreUnchanged() {
     Counters counters = new Counters();
     new StorageCounters(counters);
     assertThat(
--- a/storage/src/test/java/elmsail/storage/PowerLossFileSystem.java
+++ b/storage/src/test/java/elmsail/storage/PowerLossFileSystem.java
@@ -49,7 +49,7 @@
   int powerLossAt = Integer.MAX_VALUE;
 
   /** The probability that an operation fails. */
-  double refusalRate;
+  double failureRate;
 
   boolean skipFileSyncs;
   boolean skipDirectorySyncs;
@@ -63,35 +63,35 @@
     if (++operations >= powerLossAt) {
       throw new PowerLost();
     }
-    if (refusalRate > 0 && random.nextDouble() < refusalRate) {
+    if (failureRate > 0 && random.nextDouble() < failureRate) {
       throw new IOException("refused");
     }
   }
 
   private void end() throws IOException {
-    if (refusalRate > 0 && random.nextDouble() < refusalRate) {
+    if (failureRate > 0 && random.nextDouble() < failureRate) {
       throw new IOException("refused after it was done");
     }
   }
 
   /** Loses the power, and restores it. */
   synchronized void losePower(UnsyncedFate unsynced) {
-    Map<String, Inode> left = new TreeMap<>(durableNames);
+    Map<String, Inode> remaining = new TreeMap<>(durableNames);
     for (NameChange change : unsyncedChanges) {
       if (unsynced == UnsyncedFate.LOST || unsynced == UnsyncedFate.TORN && random.nextBoolean()) {
         continue;
       }
       if (change.created != null) {
-        left.put(change.to, change.created);
+        remaining.put(change.to, change.created);
       } else {
-        Inode moved = left.remove(change.from);
+        Inode moved = remaining.remove(change.from);
         if (moved != null && change.to != null) {
-          left.put(change.to, moved);
+          remaining.put(change.to, moved);
         }
       }
     }
     unsyncedChanges.clear();
-    for (Inode inode : left.values()) {
+    for (Inode inode : remaining.values()) {
       if (unsynced == UnsyncedFate.LOST) {
         inode.bytes = Arrays.copyOf(inode.bytes, inode.synced);
       } else if (unsynced == UnsyncedFate.TORN) {
@@ -100,8 +100,8 @@
       inode.synced = inode.bytes.length;
       inode.unsynced.clear();
     }
-    names = left;
-    durableNames = new TreeMap<>(left);
+    names = remaining;
+    durableNames = new TreeMap<>(remaining);
     powerLossAt = Integer.MAX_VALUE;
     operations = 0;
   }
@@ -139,14 +139,14 @@
     directoryExists = true;
   }
 
-  private static String plain(Path file) {
+  private static String fileName(Path file) {
     return file.getFileName().toString();
   }
 
   private Inode inode(Path file) throws IOException {
-    Inode inode = names.get(plain(file));
+    Inode inode = names.get(fileName(file));
     if (inode == null) {
-      throw new NoSuchFileException(plain(file));
+      throw new NoSuchFileException(fileName(file));
     }
     return inode;
   }
@@ -170,8 +170,8 @@
   public synchronized Appender create(Path file) throws IOException {
     begin();
     Inode inode = new Inode();
-    names.put(plain(file), inode);
-    unsyncedChanges.add(new NameChange(null, plain(file), inode));
+    names.put(fileName(file), inode);
+    unsyncedChanges.add(new NameChange(null, fileName(file), inode));
     end();
     return new InodeAppender(inode);
   }
@@ -180,17 +180,17 @@
   public synchronized void rename(Path from, Path to) throws IOException {
     begin();
     Inode inode = inode(from);
-    names.remove(plain(from));
-    names.put(plain(to), inode);
-    unsyncedChanges.add(new NameChange(plain(from), plain(to), null));
+    names.remove(fileName(from));
+    names.put(fileName(to), inode);
+    unsyncedChanges.add(new NameChange(fileName(from), fileName(to), null));
     end();
   }
 
   @Override
   public synchronized void delete(Path file) throws IOException {
     begin();
-    if (names.remove(plain(file)) != null) {
-      unsyncedChanges.add(new NameChange(plain(file), null, null));
+    if (names.remove(fileName(file)) != null) {
+      unsyncedChanges.add(new NameChange(fileName(file), null, null));
     }
     end();
   }
--- a/storage/src/test/java/elmsail/storage/PowerLossTest.java
+++ b/storage/src/test/java/elmsail/storage/PowerLossTest.java
@@ -19,8 +19,8 @@
 
   /** Writes, loses the power and reopens; returns whether it was lost before the last write. */
   private static boolean writeUntilPowerLoss(
-      Script script, int powerLossAt, UnsyncedFate unsynced, long chance, Totals totals) {
-    PowerLossFileSystem fileSystem = new PowerLossFileSystem(script.seed * 31 + chance);
+      Script script, int powerLossAt, UnsyncedFate unsynced, long variant, Totals totals) {
+    PowerLossFileSystem fileSystem = new PowerLossFileSystem(script.seed * 31 + variant);
     script.defect.accept(fileSystem);
     fileSystem.powerLossAt = powerLossAt;
     RandomWrites writes =
@@ -75,8 +75,8 @@
     for (int powerLossAt = from; ; powerLossAt++) {
       boolean lost = writeUntilPowerLoss(script, powerLossAt, UnsyncedFate.KEPT, 0, totals);
       writeUntilPowerLoss(script, powerLossAt, UnsyncedFate.LOST, 0, totals);
-      for (int chance = 0; chance < TORN_VARIANTS; chance++) {
-        writeUntilPowerLoss(script, powerLossAt, UnsyncedFate.TORN, chance, totals);
+      for (int variant = 0; variant < TORN_VARIANTS; variant++) {
+        writeUntilPowerLoss(script, powerLossAt, UnsyncedFate.TORN, variant, totals);
       }
       if (!lost) {
         return totals;
@@ -107,13 +107,13 @@
   void skippedSyncIsDetected() {
     assertThrows(
         AssertionError.class,
-        () -> assertNoticed(fileSystem -> fileSystem.skipDirectorySyncs = true));
+        () -> assertDetected(fileSystem -> fileSystem.skipDirectorySyncs = true));
     assertThrows(
-        AssertionError.class, () -> assertNoticed(fileSystem -> fileSystem.skipFileSyncs = true));
+        AssertionError.class, () -> assertDetected(fileSystem -> fileSystem.skipFileSyncs = true));
   }
 
   /** A torn file under its final name is reported as such, which counts as detected too. */
-  private static void assertNoticed(Consumer<PowerLossFileSystem> defect) {
+  private static void assertDetected(Consumer<PowerLossFileSystem> defect) {
     try {
       losePowerAtEachOperation(1, new Script(3, 20, 6, 200_000, 6, defect));
     } catch (ElmsailException e) {
@@ -122,7 +122,7 @@
   }
 
   @Test
-  void refusedWritesAreNotAcknowledgedAndDoNotBlock() {
+  void failedWritesAreNotAcknowledgedAndDoNotBlockLaterWrites() {
     int failures = 0;
     int acknowledgements = 0;
     for (long seed = 1; seed <= 400; seed++) {
@@ -133,13 +133,13 @@
         fileSystem.powerLossAt = fileSystem.operations + 20 + (int) (seed * 7 % 300);
         try {
           for (int i = 0; i < 60; i++) {
-            fileSystem.refusalRate = i / 8 % 2 == 1 ? 0.15 : 0;
+            fileSystem.failureRate = i / 8 % 2 == 1 ? 0.15 : 0;
             writes.step();
           }
         } catch (PowerLost e) {
           writes.runCompletions();
         }
-        fileSystem.refusalRate = 0;
+        fileSystem.failureRate = 0;
         if ((seed + run) % 4 == 0) {
           fileSystem.powerLossAt = Integer.MAX_VALUE;
         } else {
@@ -171,18 +171,18 @@
       for (int at = 0; at < intact.length; at += stride) {
         byte[] flipped = intact.clone();
         flipped[at] ^= 4;
-        refused(fileSystem, file.getKey(), flipped);
-        refused(fileSystem, file.getKey(), java.util.Arrays.copyOf(intact, at));
+        assertRejected(fileSystem, file.getKey(), flipped);
+        assertRejected(fileSystem, file.getKey(), java.util.Arrays.copyOf(intact, at));
         tried += 2;
       }
-      refused(fileSystem, file.getKey(), java.util.Arrays.copyOf(intact, intact.length + 1));
+      assertRejected(fileSystem, file.getKey(), java.util.Arrays.copyOf(intact, intact.length + 1));
       fileSystem.put(file.getKey(), intact);
     }
     assertThat(tried, greaterThan(500));
     writes.reopen();
   }
 
-  private static void refused(PowerLossFileSystem fileSystem, String name, byte[] bytes) {
+  private static void assertRejected(PowerLossFileSystem fileSystem, String name, byte[] bytes) {
     fileSystem.put(name, bytes);
     ElmsailException e =
         assertThrows(
--- a/storage/src/test/java/elmsail/storage/RandomWrites.java
+++ b/storage/src/test/java/elmsail/storage/RandomWrites.java
@@ -66,13 +66,13 @@
     Write write = new Write(changes, store.write(changes));
     pending.add(write);
     if (!write.completion.isDone()) {
-      assertReads(written(write), store, "read at once");
+      assertReads(valuesOf(write), store, "read at once");
     }
     runWorker(random.nextInt(3));
     runCompletions();
   }
 
-  private Map<String, byte[]> written(Write write) {
+  private Map<String, byte[]> valuesOf(Write write) {
     Map<String, byte[]> seen = new TreeMap<>();
     apply(seen, write);
     return seen;
@@ -96,14 +96,14 @@
     while (!completions.isEmpty()) {
       completions.poll().run();
     }
-    List<Write> fell = new ArrayList<>();
+    List<Write> failedTogether = new ArrayList<>();
     while (!pending.isEmpty() && pending.get(0).completion.isDone()) {
       Write write = pending.remove(0);
       if (write.completion.isCompletedExceptionally()) {
-        fell.add(write);
+        failedTogether.add(write);
         failures++;
       } else {
-        if (!fell.isEmpty()) {
+        if (!failedTogether.isEmpty()) {
           throw new AssertionError("acknowledged behind a failed write before that was reported");
         }
         failed.clear();
@@ -111,8 +111,8 @@
         acknowledgements++;
       }
     }
-    if (!fell.isEmpty()) {
-      failed.add(fell);
+    if (!failedTogether.isEmpty()) {
+      failed.add(failedTogether);
     }
   }
 
@@ -137,8 +137,8 @@
   }
 
   private static void assertReads(
-      Map<String, byte[]> wanted, DirectoryRecordStore records, String when) {
-    for (Map.Entry<String, byte[]> e : wanted.entrySet()) {
+      Map<String, byte[]> expected, DirectoryRecordStore records, String when) {
+    for (Map.Entry<String, byte[]> e : expected.entrySet()) {
       if (!Arrays.equals(e.getValue(), records.read(e.getKey()))) {
         throw new AssertionError(when + ": " + e.getKey() + " is not as it was written");
       }
@@ -147,29 +147,30 @@
 
   /** Opens the store after a power loss or the end of the process, and checks its content. */
   void reopen() {
-    long before = instanceId;
+    long previousInstanceId = instanceId;
     open();
     instanceId = store.instanceId();
-    if (before != 0 && before != instanceId) {
+    if (previousInstanceId != 0 && previousInstanceId != instanceId) {
       throw new AssertionError("another instance id");
     }
     Map<String, byte[]> found = new TreeMap<>();
     for (String name : store.names("")) {
       found.put(name, store.read(name));
     }
-    boolean good = matches(found, pending);
-    for (List<Write> fell : failed) {
-      good |= matches(found, fell);
+    boolean matched = matches(found, pending);
+    for (List<Write> failedTogether : failed) {
+      matched |= matches(found, failedTogether);
     }
-    if (!good) {
-      throw new AssertionError("found " + shown(found) + ", acknowledged " + shown(acknowledged));
+    if (!matched) {
+      throw new AssertionError(
+          "found " + describe(found) + ", acknowledged " + describe(acknowledged));
     }
     acknowledged = found;
     pending.clear();
     failed.clear();
   }
 
-  private static String shown(Map<String, byte[]> state) {
+  private static String describe(Map<String, byte[]> state) {
     StringBuilder text = new StringBuilder();
     state.forEach(
         (name, bytes) ->
