--- a/storage/src/main/java/elmsail/storage/ByteCache.java
+++ b/storage/src/main/java/elmsail/storage/ByteCache.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * A cache of the large values used last, by their sequence numbers, with a limit on its bytes.
- * Guarded by the lock of {@link DirectoryRecordStore}.
+ * An LRU cache of large values, keyed by sequence number, with a limit on its total bytes. Guarded
+ * by the lock of {@link DirectoryRecordStore}.
  */
 final class ByteCache {
   static final int MAX_BYTES = 4 * 1024 * 1024;
@@ -14,12 +14,12 @@
   private final LinkedHashMap<Long, byte[]> values = new LinkedHashMap<>(16, 0.75f, true);
   private int bytes;
 
-  /** The value, which then counts as used last; null if it isn't cached. */
+  /** Returns the value and marks it as most recently used; null if it isn't cached. */
   byte[] get(long seq) {
     return values.get(seq);
   }
 
-  /** Adds a value, unless it is over half the limit, and evicts those unused the longest. */
+  /** Adds a value, unless it is over half the limit, and evicts the least recently used values. */
   void put(long seq, byte[] value) {
     if (value.length > MAX_BYTES / 2) {
       return;
@@ -41,7 +41,7 @@
     }
   }
 
-  /** The bytes of all cached values. */
+  /** The total size of the cached values in bytes. */
   int bytes() {
     return bytes;
   }
--- a/storage/src/main/java/elmsail/storage/Compaction.java
+++ b/storage/src/main/java/elmsail/storage/Compaction.java
@@ -9,20 +9,25 @@
  * small files while there are too many files. Called with the lock of the store; changes nothing.
  */
 final class Compaction {
-  /** So many files, and one for each {@link #LIVE_BYTES_PER_FILE}, are left as they are. */
+  /**
+   * The number of files, beside one for each {@link #LIVE_BYTES_PER_FILE} of live records, up to
+   * which small files are not merged.
+   */
   static final int BASE_FILES = 48;
 
   private static final int MAX_STEP_BYTES = 2 * 1024 * 1024;
   private static final int MAX_DEAD_BYTES = 1024 * 1024;
   private static final long LIVE_BYTES_PER_FILE = 1024 * 1024;
 
-  /** Header and end of a file, which no rewriting saves. */
+  /** Size of the header and the end of a file, which rewriting doesn't free. */
   private static final int FRAME_BYTES = 128;
 
   private final long maxStepBytes;
   private final long maxDeadBytes;
 
-  /** A step moves, and the dead bytes reach, at most a twentieth of the limit. */
+  /**
+   * Limits the bytes moved by a step, and the tolerated dead bytes, to a twentieth of the limit.
+   */
   Compaction(long maxBytes) {
     maxStepBytes = Math.min(MAX_STEP_BYTES, maxBytes / 20);
     maxDeadBytes = Math.min(MAX_DEAD_BYTES, maxBytes / 20);
@@ -31,7 +36,7 @@
   /**
    * Records to be copied into one new file; after that, files without live records are deleted.
    *
-   * @param movedBytes the size of the records
+   * @param movedBytes the total size of the records in bytes
    */
   record Step(List<IndexEntry> moved, long movedBytes) {}
 
@@ -53,7 +58,9 @@
         : null;
   }
 
-  /** The live records of the files with the smallest live part, as many as fit into a step. */
+  /**
+   * The live records of the files with the lowest share of live bytes, as many as fit in a step.
+   */
   private Step stepOfEmptiestFiles(RecordIndex index) {
     List<VersionFile> files = candidates(index);
     files.removeIf(file -> file.deadBytes() - FRAME_BYTES <= file.bytes / 20);
@@ -81,7 +88,10 @@
     return new Step(moved, bytes);
   }
 
-  /** All records of the smallest files that fit, if they are at least two or one is empty. */
+  /**
+   * All live records of the smallest files that fit in a step; null if fewer than two files fit and
+   * none of them is empty.
+   */
   private Step stepOfSmallestFiles(RecordIndex index) {
     List<VersionFile> files = candidates(index);
     files.sort(
@@ -103,7 +113,10 @@
     return completeFiles >= 2 || empty ? new Step(moved, bytes) : null;
   }
 
-  /** All but the newest file, which has the next sequence number and the void versions. */
+  /**
+   * All readable files but the newest, which must stay: it holds the next sequence number and the
+   * list of void versions.
+   */
   private static List<VersionFile> candidates(RecordIndex index) {
     List<VersionFile> files = new ArrayList<>();
     for (VersionFile file : index.files.headMap(index.files.lastKey()).values()) {
--- a/storage/src/main/java/elmsail/storage/DirectoryRecordStore.java
+++ b/storage/src/main/java/elmsail/storage/DirectoryRecordStore.java
@@ -16,17 +16,19 @@
 /**
  * A {@link RecordStore} in a directory of version files.
  *
- * <p>Threads: one thread, that of the caller's event loop, calls the methods, and the {@link
- * DiskThread} writes. What both know, the index, the queue and the next sequence number, is guarded
- * by {@code lock}, under which no I/O is done. Only {@link #open} and the {@link #read} of a large
- * record wait for the disk.
+ * <p>Threads: the thread of the caller's event loop calls the methods, and the {@link DiskThread}
+ * writes. The state shared by both threads (the index, the queue and the next sequence number) is
+ * guarded by {@code lock}, which is not held during I/O. Only {@link #open}, {@link #close} and the
+ * {@link #read} of a large record wait for the disk.
  *
- * <p>After a failed batch, all that is queued fails too, and so does all that is written until the
- * failure has been reported on the executor: it may have been made from values that were read while
- * they were pending. Later writes are accepted.
+ * <p>After a failed batch, all queued writes fail too, and so do all writes made until the failure
+ * has been reported on the executor: these writes may be based on pending values that were read
+ * before the batch failed. Later writes are accepted.
  */
 public final class DirectoryRecordStore implements RecordStore {
-  /** A record may move to another file while it is read; so often, it is looked up again. */
+  /**
+   * Limit on the attempts to read a record, which compaction may move to another file meanwhile.
+   */
   private static final int MAX_READ_ATTEMPTS = 4;
 
   private final Object lock = new Object();
@@ -37,7 +39,7 @@
   private final WriteCompletions completions;
   private final DiskWorker worker;
 
-  /** Null in tests that do the thread's work themselves. */
+  /** Null in tests, which call {@link #runOnce} in place of the thread. */
   private DiskThread thread;
 
   /** The sequence number of the next change; guarded by {@code lock}. */
@@ -56,11 +58,12 @@
   }
 
   /**
-   * Opens a directory, which is created if it does not exist, and starts the disk's thread. Waits
-   * for the disk.
+   * Opens a directory, which is created if it does not exist, and starts the disk thread. Waits for
+   * the disk.
    *
-   * @param maxBytes of the version files together; a tenth is kept free for compaction
-   * @param executor runs what completes the futures, in order: the caller's event loop
+   * @param maxBytes limit on the total size of the version files; a tenth is kept free for
+   *     compaction
+   * @param executor completes the futures, in order: the caller's event loop
    * @throws ElmsailException of code {@code STORAGE_FAILURE} if an I/O operation fails or a file is
    *     corrupt
    */
@@ -68,7 +71,7 @@
     return open(path, maxBytes, executor, new LocalFileSystem());
   }
 
-  /** As {@link #open(Path, long, Executor)}, on another file system than the local one. */
+  /** As {@link #open(Path, long, Executor)}, on the given file system. */
   public static DirectoryRecordStore open(
       Path path, long maxBytes, Executor executor, FileSystem fileSystem) {
     DirectoryRecordStore store =
@@ -78,18 +81,18 @@
     return store;
   }
 
-  /** Opens a directory without a thread: {@link #runOnce} does its work. */
+  /** Opens a directory without a disk thread: {@link #runOnce} does the work of that thread. */
   static DirectoryRecordStore openWithoutThread(
       Path path, long maxBytes, Executor executor, FileSystem fileSystem, long newInstanceId) {
     return new DirectoryRecordStore(path, maxBytes, executor, fileSystem, newInstanceId);
   }
 
-  /** Does one turn of the disk thread's work; false if there was nothing to do. */
+  /** Does one iteration of the disk thread's work; returns false if there was nothing to do. */
   boolean runOnce() {
     return worker.runOnce();
   }
 
-  /** Sets the counters used from now on, which are touched on the executor alone. */
+  /** Replaces the counters, which are updated only on the executor. */
   public void setCounters(StorageCounters counters) {
     completions.setCounters(counters);
   }
@@ -134,12 +137,12 @@
     return write.completion;
   }
 
-  /** Whether the live records fit into nine tenths of the limit with this write. */
+  /** Whether the live records and all pending writes, with this one, fit in 9/10 of the limit. */
   private boolean hasSpaceFor(PendingWrite write) {
     return index.liveBytes() + queue.pendingBytesWith(write) <= maxBytes / 10 * 9;
   }
 
-  /** {@inheritDoc} The array must not be changed, like those given to {@link #write}. */
+  /** {@inheritDoc} The array must not be modified, like the arrays given to {@link #write}. */
   @Override
   public byte[] read(String name) {
     for (int attempt = 1; ; attempt++) {
@@ -209,7 +212,7 @@
     return page;
   }
 
-  /** {@inheritDoc} A copy: later changes are not seen in it. */
+  /** {@inheritDoc} Returns a copy, which later changes don't affect. */
   @Override
   public Iterable<String> names(String prefix) {
     List<String> found = new ArrayList<>();
@@ -233,7 +236,7 @@
     }
   }
 
-  /** Waits until all earlier writes are on disk, 2 s at most; later ones fail. */
+  /** Waits up to 2 s until all earlier writes are on disk; later writes fail. */
   @Override
   public void close() {
     synchronized (lock) {
@@ -245,12 +248,12 @@
     }
   }
 
-  /** Steps of compaction done since the store was opened. */
+  /** The number of compaction steps done since the store was opened. */
   int compactionSteps() {
     return worker.compactionSteps();
   }
 
-  /** Names in the index, those of removals that are still needed included. */
+  /** The number of names in the index, including names of removals that are still needed. */
   int indexedNames() {
     synchronized (lock) {
       return index.entries.size();
--- a/storage/src/main/java/elmsail/storage/DiskThread.java
+++ b/storage/src/main/java/elmsail/storage/DiskThread.java
@@ -21,7 +21,7 @@
   /**
    * A thread that is not started yet.
    *
-   * @param lock guards the queue, and is notified when that changes
+   * @param lock guards the queue, and is notified when the queue changes
    */
   DiskThread(DiskWorker worker, WriteCompletions completions, Object lock, WriteQueue queue) {
     this.worker = worker;
@@ -35,7 +35,7 @@
     thread.start();
   }
 
-  /** Waits for the thread to end, 2 s at most. */
+  /** Waits up to 2 s for the thread to end. */
   void join() {
     try {
       thread.join(CLOSE_TIMEOUT_MS);
@@ -51,7 +51,8 @@
       LOG.info("disk thread ended: the event loop is closed");
     } catch (Error e) {
       completions.onBatchFailed(
-          List.of(), new ElmsailException(ErrorCode.INTERNAL, "the disk's thread ended", e));
+          List.of(),
+          new ElmsailException(ErrorCode.INTERNAL, "the disk thread ended by an error", e));
       throw e;
     }
   }
@@ -62,7 +63,7 @@
     }
   }
 
-  /** Waits for writes; false if there will be none any more. */
+  /** Waits for writes; returns false once the queue is closed and empty, or on interruption. */
   private boolean awaitWrites() {
     synchronized (lock) {
       while (queue.isEmpty()) {
--- a/storage/src/main/java/elmsail/storage/DiskWorker.java
+++ b/storage/src/main/java/elmsail/storage/DiskWorker.java
@@ -13,14 +13,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The work of the disk's thread: in each turn it writes a batch of what is queued, then does at
- * most one step of compaction. Used by that thread alone; it takes the lock of the store to read
- * and change the index, never during I/O.
+ * The work of the disk thread: each iteration writes one batch of queued writes, then does at most
+ * one step of compaction. Used by the disk thread alone. Takes the lock of the store to read and
+ * change the index, but doesn't hold the lock during I/O.
  */
 final class DiskWorker {
   private static final Logger LOG = LoggerFactory.getLogger(DiskWorker.class);
 
-  /** Steps of compaction done to make space for one batch, at most. */
+  /** Limit on the compaction steps done to make space for one batch. */
   private static final int MAX_STEPS_PER_BATCH = 64;
 
   private final WriteCompletions completions;
@@ -32,17 +32,15 @@
   private final LongSupplier nextSeq;
   private final MonotonicClock clock;
 
-  /** From a failed step of compaction until a batch was written again. */
+  /** Set from a failed compaction step until a batch is written again. */
   private boolean compactionSuspended;
 
   private int compactionSteps;
 
-  /** Whether the last I/O of a write failed: only changes of that are logged. */
+  /** Whether the last write to disk failed; only changes of this state are logged. */
   private boolean diskFailing;
 
   /**
-   * A worker without state of its own but for its log.
-   *
    * @param lock guards the index
    * @param nextSeq the next sequence number of the store, stored in each file
    */
@@ -64,7 +62,7 @@
     compaction = new Compaction(maxBytes);
   }
 
-  /** One turn; returns whether there was anything to do. */
+  /** Does one iteration; returns whether there was anything to do. */
   boolean runOnce() {
     List<PendingWrite> batch = completions.nextBatch();
     if (batch.isEmpty()) {
@@ -84,7 +82,7 @@
       completions.onBatchFailed(batch, e);
       return true;
     } catch (RuntimeException e) {
-      // The thread goes on: a fault in one batch fails that batch, and what was queued behind it.
+      // The thread goes on: a fault in one batch fails that batch and the writes queued behind it.
       LOG.error("batch not written: directory={}", directory, e);
       completions.onBatchFailed(
           batch, new ElmsailException(ErrorCode.INTERNAL, "batch not written: " + e, e));
@@ -134,7 +132,7 @@
     }
   }
 
-  /** The record is on disk: it is pending no more, unless a newer change of its name is. */
+  /** Adds a durable record; its name stays pending if there is a newer change of that name. */
   private void addToIndex(PendingWrite.Item item, VersionFile file, long offset) {
     byte[] bytes = item.bytes();
     boolean large = bytes != null && bytes.length > RecordIndex.MAX_IN_MEMORY_BYTES;
@@ -157,10 +155,10 @@
   }
 
   /**
-   * Compacts until a tenth of the space is free besides this write.
+   * Compacts until a tenth of the space would be free after this write.
    *
-   * @throws ElmsailException of code {@code RESOURCE_EXHAUSTED} if values don't fit even so;
-   *     removals are written in any case
+   * @throws ElmsailException of code {@code RESOURCE_EXHAUSTED} if the batch has values and still
+   *     doesn't fit; a batch of removals alone is always written
    */
   private void reclaimSpace(long bytes, boolean hasValues) {
     int maxCompactionSteps = compactionSteps + MAX_STEPS_PER_BATCH;
@@ -183,7 +181,7 @@
     }
   }
 
-  /** Does one step of compaction; false if there is none to do, or it failed. */
+  /** Does one compaction step; returns false if none is worthwhile or possible, or if it failed. */
   private boolean compact(boolean spaceNeeded) {
     if (compactionSuspended) {
       return false;
@@ -196,7 +194,7 @@
         return false;
       }
     }
-    // Until the step is known to have succeeded.
+    // Reset below if the step succeeds.
     compactionSuspended = true;
     try {
       if (!step.moved().isEmpty()) {
@@ -266,7 +264,7 @@
     }
   }
 
-  /** Deletes the files without live records, but for the newest. */
+  /** Deletes the files without live records, except the newest file. */
   private void deleteEmptyFiles() throws IOException {
     List<VersionFile> empty = new ArrayList<>();
     synchronized (lock) {
@@ -284,7 +282,7 @@
     }
   }
 
-  /** Steps of compaction done, read by tests. */
+  /** The number of compaction steps done; for tests. */
   int compactionSteps() {
     return compactionSteps;
   }
--- a/storage/src/main/java/elmsail/storage/FileSystem.java
+++ b/storage/src/main/java/elmsail/storage/FileSystem.java
@@ -10,18 +10,16 @@
  */
 public interface FileSystem {
 
-  /**
-   * Creates a directory and those above it, if they don't exist, so that a power loss keeps them.
-   */
+  /** Creates a directory and its missing parents, and makes them durable. */
   void createDirectories(Path directory) throws IOException;
 
   /** The names of the files in a directory, without its path, in any order. */
   List<String> list(Path directory) throws IOException;
 
-  /** Opens an empty file for appending; one of that name is truncated. */
+  /** Creates a file for appending; an existing file of that name is truncated. */
   Appender create(Path file) throws IOException;
 
-  /** Renames a file atomically; a file of the new name is replaced. */
+  /** Renames a file atomically; an existing file of the new name is replaced. */
   void rename(Path from, Path to) throws IOException;
 
   /** Deletes a file, if it exists. */
@@ -31,11 +29,11 @@
   void syncDirectory(Path directory) throws IOException;
 
   /**
-   * Reads part of a file. Called by two threads at a time.
+   * Reads part of a file. Two threads may call this method concurrently.
    *
    * @param offset in the file, in bytes
    * @param from index in {@code to}
-   * @return the bytes read: less than {@code length} only if the file ends before
+   * @return the number of bytes read: less than {@code length} only if the file ends before
    */
   int read(Path file, long offset, byte[] to, int from, int length) throws IOException;
 
@@ -47,7 +45,7 @@
     /** Appends bytes; until {@link #sync} a power loss may lose them. */
     void append(byte[] bytes, int from, int length) throws IOException;
 
-    /** Returns once all that was appended is durable. */
+    /** Returns once all appended bytes are durable. */
     void sync() throws IOException;
   }
 }
--- a/storage/src/main/java/elmsail/storage/IndexEntry.java
+++ b/storage/src/main/java/elmsail/storage/IndexEntry.java
@@ -1,6 +1,6 @@
 package elmsail.storage;
 
-/** What the index knows of one name. Guarded by the lock of {@link DirectoryRecordStore}. */
+/** The index entry of one record name. Guarded by the lock of {@link DirectoryRecordStore}. */
 final class IndexEntry {
   final String name;
 
@@ -10,10 +10,16 @@
   /** The sequence number of the newest pending change; 0 if none is pending. */
   long pendingSeq;
 
-  /** The value of the newest pending change; null if that is a removal, or none is pending. */
+  /**
+   * The value of the newest pending change; null if that change is a removal, or no change is
+   * pending.
+   */
   byte[] pendingBytes;
 
-  /** How many values, old ones included, are in files that may exist after a power loss. */
+  /**
+   * The number of values of this name, old values included, in files that may exist after a power
+   * loss.
+   */
   int valuesOnDisk;
 
   IndexEntry(String name) {
--- a/storage/src/main/java/elmsail/storage/LocalFileSystem.java
+++ b/storage/src/main/java/elmsail/storage/LocalFileSystem.java
@@ -15,14 +15,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The local file system. Bytes pass through one small direct buffer for each thread, so that the
- * memory outside the heap stays bounded. Thread-safe.
+ * The local file system. Uses one small direct buffer for each thread, so that the memory outside
+ * the heap stays bounded. Thread-safe.
  */
 final class LocalFileSystem implements FileSystem {
   private static final Logger LOG = LoggerFactory.getLogger(LocalFileSystem.class);
   private static final int CHUNK_BYTES = 64 * 1024;
 
-  // One buffer for each thread of this file system, freed with it.
+  // One buffer for each thread that uses this file system; freed with the file system.
   @SuppressWarnings("ThreadLocalUsage")
   private final ThreadLocal<ByteBuffer> chunks = new ThreadLocal<>();
 
@@ -49,8 +49,8 @@
       try {
         syncDirectory(path.getParent());
       } catch (IOException e) {
-        // The parent directory isn't ours, and may not be readable. A data directory that is lost
-        // with it counts as a lost disk.
+        // The parent directory doesn't belong to the store, and may not be readable. A data
+        // directory that is lost with its parent counts as a lost disk.
         LOG.info("parent directory cannot be synced: directory={} cause={}", path, e.toString());
       }
     }
--- a/storage/src/main/java/elmsail/storage/PendingWrite.java
+++ b/storage/src/main/java/elmsail/storage/PendingWrite.java
@@ -14,13 +14,13 @@
   /** Completes, on the executor of the store, once the changes are on disk or have failed. */
   final CompletableFuture<Void> completion = new CompletableFuture<>();
 
-  /** The changes in their order; empty until the write was queued. */
+  /** The changes in their order; empty until the write is queued. */
   final List<Item> records = new ArrayList<>();
 
-  /** The bytes that the changes take as records of a file. */
+  /** The size of the changes as records of a file, in bytes. */
   final long bytes;
 
-  /** Whether any of the changes sets a value, not only removes. */
+  /** Whether at least one change sets a value; false if all are removals. */
   final boolean hasValues;
 
   private final List<Change> changes;
@@ -58,13 +58,14 @@
     if (utf8.length == 0 || utf8.length > MAX_NAME_BYTES) {
       throw new ElmsailException(
           ErrorCode.INTERNAL,
-          "name of a record: expected 1 to " + MAX_NAME_BYTES + " bytes, found " + utf8.length);
+          "record name: expected 1 to " + MAX_NAME_BYTES + " bytes, found " + utf8.length);
     }
     return utf8;
   }
 
   /**
-   * Makes the changes those that are read from now on. Called with the lock of the store.
+   * Adds the changes to the index as pending, so that later reads return them. Called with the lock
+   * of the store.
    *
    * @param firstSeq the sequence number of the first change
    * @return the sequence number after the last change
@@ -81,7 +82,7 @@
     return seq;
   }
 
-  /** Undoes {@link #addTo}, after the write failed. Called with the lock of the store. */
+  /** Undoes {@link #addTo} after the write has failed. Called with the lock of the store. */
   void removeFrom(RecordIndex index) {
     for (Item item : records) {
       item.entry().pendingSeq = 0;
--- a/storage/src/main/java/elmsail/storage/RecordIndex.java
+++ b/storage/src/main/java/elmsail/storage/RecordIndex.java
@@ -5,11 +5,12 @@
 import java.util.TreeMap;
 
 /**
- * The index of all records: their names, and where their bytes are. Guarded by the lock of {@link
- * DirectoryRecordStore}.
+ * The index of all records: their names, and the locations of their bytes. Guarded by the lock of
+ * {@link DirectoryRecordStore}.
  *
- * <p>A removal is kept, on disk too, as long as a value of its name is in a file that exists or
- * could exist again after a power loss: deleted files count until their directory was synced.
+ * <p>A removal is kept, in memory and on disk, as long as an older value of its name is in a file
+ * that exists or could reappear after a power loss. A deleted file can reappear until the directory
+ * is synced.
  */
 final class RecordIndex {
   /** Values up to this size are kept in memory. */
@@ -22,23 +23,23 @@
 
   final ByteCache cache = new ByteCache();
 
-  /** Files that were deleted since the directory was synced last. */
+  /** Files that were deleted since the last sync of the directory. */
   private final List<VersionFile> removedUnsynced = new ArrayList<>();
 
   private long diskBytes;
   private long liveBytes;
 
-  /** The bytes of all files. */
+  /** The total size of all files in bytes. */
   long diskBytes() {
     return diskBytes;
   }
 
-  /** The bytes of the records that are the newest of their names. */
+  /** The total size in bytes of the live records, each the newest of its name. */
   long liveBytes() {
     return liveBytes;
   }
 
-  /** The entry of a name, made if there is none. */
+  /** Returns the entry of a name; creates it if there is none. */
   IndexEntry entryFor(String name) {
     IndexEntry entry = entries.get(name);
     if (entry == null) {
@@ -48,14 +49,15 @@
     return entry;
   }
 
-  /** A file was written and synced, or found in the directory. */
+  /** Adds a file that was written and synced, or found in the directory. */
   void addFile(VersionFile file) {
     files.put(file.version, file);
     diskBytes += file.bytes;
   }
 
   /**
-   * Adds a record of a durable file: it is live unless one of a higher sequence number is known.
+   * Adds a record of a durable file: it is live unless the index has a record of the same name with
+   * a higher sequence number.
    */
   void addRecord(IndexEntry entry, RecordLocation location) {
     VersionFile file = location.file();
@@ -80,14 +82,14 @@
     liveBytes += location.length();
   }
 
-  /** A file was deleted, and the directory was not synced yet. */
+  /** Removes a file that was deleted; the directory is not synced yet. */
   void removeFile(VersionFile file) {
     files.remove(file.version);
     diskBytes -= file.bytes;
     removedUnsynced.add(file);
   }
 
-  /** The directory was synced: what was deleted before cannot come back. */
+  /** Called after a sync of the directory: the files deleted before can't reappear. */
   void onDirectorySynced() {
     for (VersionFile file : removedUnsynced) {
       for (IndexEntry entry : file.values) {
@@ -98,7 +100,9 @@
     removedUnsynced.clear();
   }
 
-  /** Drops a removal that is needed no more, and then an entry of which nothing is left. */
+  /**
+   * Drops the removal of an entry if it isn't needed any more, and then the entry if it is empty.
+   */
   void prune(IndexEntry entry) {
     if (entry.valuesOnDisk > 0) {
       return;
@@ -112,7 +116,7 @@
     }
   }
 
-  /** Prunes all entries, after the directory was read. */
+  /** Prunes all entries, after all files were read. */
   void pruneAll() {
     for (IndexEntry entry : new ArrayList<>(entries.values())) {
       prune(entry);
--- a/storage/src/main/java/elmsail/storage/RecordLocation.java
+++ b/storage/src/main/java/elmsail/storage/RecordLocation.java
@@ -1,13 +1,13 @@
 package elmsail.storage;
 
 /**
- * Where a record is in a file.
+ * The location of a record in a file.
  *
  * @param seq the sequence number of the change
- * @param isValue whether it is a value; else a removal
+ * @param isValue true for a value, false for a removal
  * @param bytes the value; null for a removal, and for a value of more than {@link
  *     RecordIndex#MAX_IN_MEMORY_BYTES}, which is read from its file
- * @param offset in the file, in bytes
+ * @param offset of the record in the file, in bytes
  * @param length of the whole record with its checksum, in bytes
  */
 record RecordLocation(
--- a/storage/src/main/java/elmsail/storage/RecordStore.java
+++ b/storage/src/main/java/elmsail/storage/RecordStore.java
@@ -16,18 +16,19 @@
    * A change of one record.
    *
    * @param name not empty
-   * @param bytes the new value, which must not be changed any more; null removes the record
+   * @param bytes the new value, which must not be modified afterwards; null removes the record
    */
   record Change(String name, byte[] bytes) {}
 
-  /** The id of this content: drawn at random when the store was new, and stored in it. */
+  /** A random id, generated when the store was created and kept in it. */
   long instanceId();
 
-  /** Whether the store was empty when it was opened, so that its instance id is a new one. */
+  /** Whether this opening created the store, and so generated a new instance id. */
   boolean isNew();
 
   /**
-   * Writes changes as one unit. They are read at once, and no more if the write fails.
+   * Writes changes atomically. Reads return the new values at once, and the durable values again if
+   * the write fails.
    *
    * @return completes once these and all earlier changes are durable; fails with {@code
    *     STORAGE_FAILURE}, or with {@code RESOURCE_EXHAUSTED} if there is no space
@@ -43,7 +44,7 @@
   byte[] read(String name);
 
   /**
-   * The records behind a name, in the order of their names.
+   * The records whose names follow a name, in the order of their names.
    *
    * @param after null to begin with the first record
    * @param maxBytes the page ends with the record that reaches this size
@@ -62,7 +63,7 @@
     return count;
   }
 
-  /** The bytes that the store uses on disk. */
+  /** The size of the store on disk in bytes. */
   long bytesOnDisk();
 
   @Override
--- a/storage/src/main/java/elmsail/storage/StorageCounters.java
+++ b/storage/src/main/java/elmsail/storage/StorageCounters.java
@@ -20,9 +20,9 @@
   }
 
   /**
-   * A batch was written as one file and synced.
+   * Counts a batch that was written as one file and synced.
    *
-   * @param durationMs from the first write until its directory was synced
+   * @param durationMs from the start of the write until the directory was synced
    */
   void written(List<PendingWrite> batch, long durationMs) {
     syncs.add(1);
@@ -32,7 +32,7 @@
     }
   }
 
-  /** A batch could not be written. */
+  /** Counts a batch that could not be written. */
   void failed() {
     failures.add(1);
   }
--- a/storage/src/main/java/elmsail/storage/StorageDirectory.java
+++ b/storage/src/main/java/elmsail/storage/StorageDirectory.java
@@ -13,14 +13,16 @@
 import java.util.TreeSet;
 
 /**
- * The version files of a directory: reads them when it is opened, and writes new ones. Used by one
- * thread at a time: the opening one, then the disk's thread; only {@link #read} is called by both.
+ * The version files of a directory: reads the existing files when the directory is opened, and
+ * writes new files. Used by one thread at a time: the opening thread, then the disk thread; only
+ * {@link #read} is called by both.
  *
- * <p>What a power loss may leave behind, and why it is safe: a file gets its final name only after
- * all of it was synced, so a file under its final name that fails its check means a broken disk,
- * also if it is the newest; the directory is then not opened. A rename that was not synced may be
- * there or not: nothing in such a file was acknowledged. A version whose write failed may appear
- * later; until its deletion is durable, every later version lists it as void.
+ * <p>States that a power loss may leave, and why they are safe: a file gets its final name only
+ * after its content was synced. So a file under its final name whose checksum is wrong means a
+ * faulty disk, even if it is the newest file; the directory is then not opened. A rename that was
+ * not synced may be kept or lost: no write in such a file was acknowledged. The file of a version
+ * whose write failed may reappear; until its deletion is durable, every later version lists it as
+ * void.
  */
 final class StorageDirectory {
   private static final String NAME_PREFIX = "v-";
@@ -30,13 +32,13 @@
   private final Path directory;
   private final FileSystem fileSystem;
 
-  /** Gathers small records, so that they are written by one system call. */
+  /** Collects small records, so that one system call writes many of them. */
   private final ByteBuffer writeBuffer = ByteBuffer.allocate(VersionWriter.CHUNK_BYTES);
 
-  /** Versions whose write failed, and whose deletion may not be durable. */
+  /** Versions whose write failed and whose deletion may not be durable yet. */
   private final TreeSet<Long> voids = new TreeSet<>();
 
-  /** Those of them that were deleted before the write under way, whose sync makes that durable. */
+  /** Void versions whose files are deleted; the sync of the current write makes this durable. */
   private final List<Long> deletedVoidVersions = new ArrayList<>();
 
   private long instanceId;
@@ -49,7 +51,7 @@
     this.fileSystem = fileSystem;
   }
 
-  /** The path, as log lines name the directory. */
+  /** The path, for log lines. */
   @Override
   public String toString() {
     return directory.toString();
@@ -65,7 +67,7 @@
     return isNew;
   }
 
-  /** A sequence number above all that were ever acknowledged here. */
+  /** A sequence number above those of all acknowledged changes. */
   long nextSeq() {
     return nextSeq;
   }
@@ -86,7 +88,7 @@
     try {
       fileSystem.createDirectories(directory);
       List<Long> versions = listVersions();
-      // The directory is synced before anything that was found in it is relied on.
+      // The directory is synced before its content is used.
       if (versions.isEmpty()) {
         fileSystem.syncDirectory(directory);
         isNew = true;
@@ -117,7 +119,7 @@
    * Writes and syncs a file of the next version.
    *
    * @param nextSeqOfStore the sequence number of the next change, stored in the file
-   * @throws IOException if the file may not be durable; its version is void then
+   * @throws IOException if the file may not be durable; its version is then void
    */
   VersionFile write(long nextSeqOfStore, RecordSource source) throws IOException {
     long version = nextVersion++;
@@ -145,12 +147,12 @@
     return new VersionFile(version, bytes);
   }
 
-  /** Deletes a file; durable once another one was written. */
+  /** Deletes a file; the deletion is durable once the next file is written. */
   void delete(VersionFile file) throws IOException {
     fileSystem.delete(pathOf(file.version));
   }
 
-  /** Reads a value from its file; called by the caller's thread and the disk's. */
+  /** Reads a value from its file; called by the caller's thread and the disk thread. */
   byte[] read(String name, RecordLocation location) throws IOException {
     return VersionReader.readRecord(
         fileSystem,
@@ -169,7 +171,7 @@
         fileSystem.delete(pathOf(version));
         deletedVoidVersions.add(version);
       } catch (IOException e) {
-        // It stays void; deleting it is retried before the next file.
+        // The version stays void; the deletion is retried before the next file is written.
         return;
       }
     }
--- a/storage/src/main/java/elmsail/storage/VersionFile.java
+++ b/storage/src/main/java/elmsail/storage/VersionFile.java
@@ -3,21 +3,21 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One durable file of the directory. Guarded by the lock of {@link DirectoryRecordStore}. */
+/** A durable version file of the directory. Guarded by the lock of {@link DirectoryRecordStore}. */
 final class VersionFile {
   final long version;
   final long bytes;
 
-  /** The names of the values in this file, be they the newest of their names or not. */
+  /** The entries of all values in this file, live or not. */
   final List<IndexEntry> values = new ArrayList<>();
 
-  /** The names of the removals in this file, likewise. */
+  /** The entries of all removals in this file, live or not. */
   final List<IndexEntry> removals = new ArrayList<>();
 
-  /** The bytes of the records that are the newest of their names. */
+  /** The size in bytes of the live records, each the newest of its name. */
   long liveBytes;
 
-  /** Whether a record of it could not be read: the file is then left as it is. */
+  /** Whether a record of this file could not be read; compaction then skips the file. */
   boolean unreadable;
 
   VersionFile(long version, long bytes) {
@@ -25,7 +25,7 @@
     this.bytes = bytes;
   }
 
-  /** The bytes that compaction would free. */
+  /** The number of bytes in this file that belong to no live record. */
   long deadBytes() {
     return bytes - liveBytes;
   }
--- a/storage/src/main/java/elmsail/storage/VersionReader.java
+++ b/storage/src/main/java/elmsail/storage/VersionReader.java
@@ -10,8 +10,8 @@
 import java.util.zip.CRC32C;
 
 /**
- * Reads a version file in chunks of 64 kB, and checks every byte of it; {@link VersionWriter} has
- * the format. Used by one thread.
+ * Reads a version file in chunks of 64 kB, and verifies all checksums; {@link VersionWriter}
+ * describes the format. Used by one thread.
  */
 final class VersionReader {
   private static final int CHUNK_BYTES = 64 * 1024;
@@ -23,7 +23,7 @@
   private final CRC32C recordCrc = new CRC32C();
   private final CRC32C fileCrc = new CRC32C();
 
-  /** The offset in the file behind the chunk. */
+  /** The file offset of the end of the chunk. */
   private long chunkEnd;
 
   private int chunkLength;
@@ -34,13 +34,13 @@
   final long nextSeq;
   final long[] voids;
 
-  /** Is called for each record of the file, in the order written. */
+  /** Receives each record of the file, in the order written. */
   interface RecordVisitor {
     /**
-     * A record.
+     * Receives one record.
      *
-     * @param isValue whether it is a value; else a removal
-     * @param bytes null for a removal, and for a value over the limit given
+     * @param isValue true for a value, false for a removal
+     * @param bytes null for a removal, and for a value over the given limit
      * @param offset of the record in the file
      * @param length of the record with its checksum
      */
@@ -50,7 +50,7 @@
   /**
    * Reads the header of a file.
    *
-   * @throws ElmsailException of code {@code STORAGE_FAILURE} if it is corrupt
+   * @throws ElmsailException of code {@code STORAGE_FAILURE} if the header is corrupt
    */
   VersionReader(FileSystem fileSystem, Path file) throws IOException {
     this.fileSystem = fileSystem;
@@ -78,9 +78,9 @@
   }
 
   /**
-   * Reads all records. The file is checked completely only once this has returned.
+   * Reads all records. The checksum of the whole file is verified only when this method returns.
    *
-   * @param maxBytes larger values are checked, but not given to the visitor
+   * @param maxBytes values above this size are verified, but not passed to the visitor
    */
   void readRecords(int maxBytes, RecordVisitor visitor) throws IOException {
     int count = 0;
@@ -118,7 +118,7 @@
     check(position() == size);
   }
 
-  /** Reads the value of one record, and checks it again. */
+  /** Reads the value of one record, and verifies its checksum again. */
   static byte[] readRecord(
       FileSystem fileSystem, Path file, long offset, int length, String name, long seq)
       throws IOException {
@@ -184,7 +184,7 @@
     }
   }
 
-  /** Makes at least one byte available in the chunk; returns how many of {@code length} are. */
+  /** Makes at least one byte available in the chunk; returns the number available, up to length. */
   private int fillChunk(int length) throws IOException {
     if (chunkPosition == chunkLength) {
       chunkLength = fileSystem.read(file, chunkEnd, chunk, 0, chunk.length);
@@ -195,7 +195,7 @@
     return Math.min(length, chunkLength - chunkPosition);
   }
 
-  /** Reads a checksum, and compares it with that of the bytes since the last one. */
+  /** Reads a checksum, and compares it with that of the bytes since the previous checksum. */
   private void verifyChecksum() throws IOException {
     int computed = (int) recordCrc.getValue();
     recordCrc.reset();
--- a/storage/src/main/java/elmsail/storage/VersionWriter.java
+++ b/storage/src/main/java/elmsail/storage/VersionWriter.java
@@ -10,11 +10,11 @@
  *
  * <ul>
  *   <li>a header: magic, format, version, instance id, next sequence number, the number of void
- *       versions and these, a checksum (CRC-32C);
+ *       versions, the void versions, a checksum (CRC-32C);
  *   <li>the records: kind, sequence number, length of the name, length of the value, the name in
  *       UTF-8, the value, a checksum of the record;
- *   <li>an end: its kind, the number of records, a checksum of all checksums, which so covers every
- *       byte of the file.
+ *   <li>an end: its kind, the number of records, a checksum of all checksums, which so protects
+ *       every byte of the file.
  * </ul>
  */
 final class VersionWriter {
@@ -70,7 +70,7 @@
     putChecksum();
   }
 
-  /** The bytes that a record takes in a file. */
+  /** The size of a record in a file, in bytes. */
   static int recordBytes(byte[] name, byte[] bytes) {
     return RECORD_HEADER_BYTES + name.length + (bytes == null ? 0 : bytes.length) + 4;
   }
--- a/storage/src/main/java/elmsail/storage/WriteCompletions.java
+++ b/storage/src/main/java/elmsail/storage/WriteCompletions.java
@@ -6,8 +6,9 @@
 import java.util.concurrent.Executor;
 
 /**
- * Hands batches of writes to the disk's thread, and reports their outcome on the executor of the
- * store. The methods are called by the disk's thread; futures are completed without the lock.
+ * Passes batches of writes to the disk thread, and reports their outcome on the executor of the
+ * store. The disk thread calls all methods but {@link #setCounters}; futures are completed without
+ * holding the lock.
  */
 final class WriteCompletions {
   private final Object lock;
@@ -15,12 +16,12 @@
   private final RecordIndex index;
   private final Executor executor;
 
-  /** Replaced by the caller's thread; counted in on the executor alone. */
+  /** Replaced by the caller's thread; updated only on the executor. */
   private volatile StorageCounters counters = new StorageCounters(new Counters());
 
   /**
    * @param lock guards the queue and the index
-   * @param executor runs what completes the futures, in order
+   * @param executor completes the futures, in order
    */
   WriteCompletions(Object lock, WriteQueue queue, RecordIndex index, Executor executor) {
     this.lock = lock;
@@ -41,9 +42,9 @@
   }
 
   /**
-   * The batch is on disk.
+   * Completes the writes of a batch that is on disk.
    *
-   * @param durationMs from the first write until its directory was synced
+   * @param durationMs from the start of the write until the directory was synced
    */
   void onBatchWritten(List<PendingWrite> batch, long durationMs) {
     synchronized (lock) {
@@ -58,7 +59,7 @@
         });
   }
 
-  /** The batch could not be written: what is queued behind it fails too. */
+  /** Fails a batch that could not be written, and all writes queued behind it. */
   void onBatchFailed(List<PendingWrite> batch, ElmsailException cause) {
     List<PendingWrite> failed;
     synchronized (lock) {
--- a/storage/src/main/java/elmsail/storage/WriteQueue.java
+++ b/storage/src/main/java/elmsail/storage/WriteQueue.java
@@ -5,21 +5,21 @@
 import java.util.List;
 
 /**
- * The writes that wait for the disk, and those that fail because a batch before them failed.
+ * The writes that wait for the disk, and the writes that fail because an earlier batch failed.
  * Guarded by the lock of {@link DirectoryRecordStore}.
  *
- * <p>From the failure of a batch until {@link #endFailure()} all writes fail: they may have been
- * made from values that were read while they were pending, and are now void.
+ * <p>From the failure of a batch until {@link #endFailure()} all writes fail: they may be based on
+ * pending values of the failed batch, which are now void.
  */
 final class WriteQueue {
-  /** Limit on the bytes that wait for a disk that hangs. */
+  /** Limit on the pending bytes, which bounds the memory used while the disk hangs. */
   static final long MAX_PENDING_BYTES = 64L * 1024 * 1024;
 
   private static final long MAX_BATCH_BYTES = 4L * 1024 * 1024;
 
   private final ArrayDeque<PendingWrite> queue = new ArrayDeque<>();
 
-  /** The bytes of all writes that are queued or being written. */
+  /** The total size of the writes that are queued or being written. */
   private long pendingBytes;
 
   private boolean failing;
@@ -30,7 +30,7 @@
     return queue.isEmpty();
   }
 
-  /** Ends the queue: what is queued is written still. */
+  /** Closes the queue to new writes; the queued writes are still written. */
   void close() {
     closed = true;
   }
@@ -39,14 +39,14 @@
     return closed;
   }
 
-  /** The bytes that would be pending with this write. */
+  /** The number of pending bytes if this write is added. */
   long pendingBytesWith(PendingWrite write) {
     return pendingBytes + write.bytes;
   }
 
   /**
-   * Whether there is room for this write. Removals have a little more of it than values, as they
-   * are what frees space.
+   * Whether there is room for this write. The limit for removals is higher by one batch, as
+   * removals free space.
    */
   boolean hasCapacity(PendingWrite write) {
     long limit = write.hasValues ? MAX_PENDING_BYTES : MAX_PENDING_BYTES + MAX_BATCH_BYTES;
@@ -75,7 +75,7 @@
     }
   }
 
-  /** Fails a batch and all that is queued behind it; returns them. */
+  /** Starts a failure: returns the writes of the batch and all queued writes, which fail. */
   List<PendingWrite> failBatch(List<PendingWrite> batch) {
     failing = true;
     List<PendingWrite> all = new ArrayList<>(batch);
@@ -85,17 +85,17 @@
     return all;
   }
 
-  /** Whether a batch failed and that has not been reported yet. */
+  /** Whether a batch failed and its failure has not been reported yet. */
   boolean isFailing() {
     return failing;
   }
 
-  /** Lets a write fail with the batch that failed before it. */
+  /** Adds a write that fails together with the batch that failed before it. */
   void addToFailed(PendingWrite write) {
     failedSinceBatch.add(write);
   }
 
-  /** The failure is being reported: returns what failed since, and accepts writes again. */
+  /** Ends a failure: returns the writes added since it began, and accepts writes again. */
   List<PendingWrite> endFailure() {
     failing = false;
     List<PendingWrite> since = failedSinceBatch;
--- a/storage/src/main/java/elmsail/storage/package-info.java
+++ b/storage/src/main/java/elmsail/storage/package-info.java
@@ -1,10 +1,10 @@
 /**
  * Named records in a directory that survive the end of the process and a power loss. Each batch of
- * changes makes one file of a new version: written under a temporary name, synced, renamed, its
- * directory synced. Files are merged as they become many ({@code Compaction}). A corrupt file is
- * reported by its name, and its content is never used.
+ * changes becomes one file with a new version number: the file is written under a temporary name,
+ * synced and renamed, then the directory is synced. {@code Compaction} merges files as their number
+ * grows. A corrupt file is reported by its name, and its content is never used.
  *
- * <p>{@link elmsail.storage.RecordStore} is what the other modules use; {@link
- * elmsail.storage.DirectoryRecordStore} implements it, with a thread that does all writing.
+ * <p>{@link elmsail.storage.RecordStore} is the interface for other modules; {@link
+ * elmsail.storage.DirectoryRecordStore} implements it with one writer thread.
  */
 package elmsail.storage;
--- a/storage/src/test/java/elmsail/storage/DirectoryRecordStoreTest.java
+++ b/storage/src/test/java/elmsail/storage/DirectoryRecordStoreTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A store in a directory of the local file system, with its thread. */
+/** Tests a store on the local file system, with its disk thread. */
 class DirectoryRecordStoreTest {
   @TempDir Path temp;
 
--- a/storage/src/test/java/elmsail/storage/LevelStorageTest.java
+++ b/storage/src/test/java/elmsail/storage/LevelStorageTest.java
@@ -18,14 +18,14 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The size of the storage directory, and so what a start has to read, stays level however many
- * changes are made. Measured by listing the directory.
+ * Guards against a storage directory that grows with the number of changes, and so makes each start
+ * read more. Its size is measured by listing the files.
  */
 class LevelStorageTest {
   private static final long MAX_BYTES = 64L << 20;
   private static final int CONFIG_BYTES = 24_000;
 
-  /** Allowed beside twice the live records and the file that is being written. */
+  /** Bytes allowed in addition to twice the live records and the file that is being written. */
   private static final long DEAD_BYTES = 1L << 20;
 
   private static final int MAX_FILES = Compaction.BASE_FILES + 4;
@@ -33,7 +33,7 @@
   @TempDir Path temp;
   private final ArrayDeque<Runnable> completions = new ArrayDeque<>();
 
-  /** The largest size of the directory and of the index during some changes. */
+  /** The largest size of the directory and of the index during a series of changes. */
   private static final class PeakUsage {
     long bytes;
     int files;
@@ -52,7 +52,7 @@
     }
   }
 
-  /** The files of a directory. */
+  /** The number and total size of the files of a directory. */
   private record Usage(int files, long bytes) {}
 
   private static Usage usage(Path dir) throws IOException {
@@ -88,7 +88,7 @@
     return filled;
   }
 
-  /** Changes as a voter writes them: a promise and an accept of each configuration. */
+  /** Writes the changes that a voter writes: a promise and an accept of each configuration. */
   private PeakUsage writeConfigurations(DirectoryRecordStore records, Path dir, int from, int to)
       throws IOException {
     PeakUsage peak = new PeakUsage();
@@ -119,7 +119,7 @@
     assertReopens(dir, records, "head/k/timetable", filled(CONFIG_BYTES, 1_199));
   }
 
-  /** Checks that a new store reads the same records from no more files than there were. */
+  /** Checks the newest value of a record, and the limits on files and names, after reopening. */
   private void assertReopens(Path dir, DirectoryRecordStore before, String name, byte[] newest)
       throws IOException {
     before.close();
@@ -132,7 +132,7 @@
     assertThat(records.read(name), is(newest));
   }
 
-  /** Batch jobs are stored and dropped: their keys and blobs leave nothing behind. */
+  /** Stores and removes batch jobs: their keys and blobs must not accumulate. */
   @Test
   void removedKeysFreeTheirDiskSpaceAndIndexEntries() throws IOException {
     Path dir = temp.resolve("jobs");
@@ -166,7 +166,7 @@
       assertThat(each.bytes, lessThan(2 * live + DEAD_BYTES + 20_000));
       assertThat(each.files, lessThanOrEqualTo(MAX_FILES));
     }
-    // The index keeps the names of removals while a file has an old value of them.
+    // The index keeps the name of a removal while a file holds an old value of that name.
     assertThat(peaks.get(3).indexed, lessThanOrEqualTo(peaks.get(1).indexed + open));
     assertReopens(dir, records, "shelf/b/lot%2F1199/body", filled(6_000, 1_199));
   }
--- a/storage/src/test/java/elmsail/storage/PendingWriteTest.java
+++ b/storage/src/test/java/elmsail/storage/PendingWriteTest.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Writes to a disk that hangs, fails or is full, and the hand-over between the two threads. */
+/** Writes to a disk that hangs, fails or is full, and the concurrency of the two threads. */
 class PendingWriteTest {
   private static final Path DIR = Path.of("records");
 
@@ -81,7 +81,7 @@
     records.runOnce();
     CompletableFuture<Void> first = records.write(put("a", 2));
     fileSystem.failureRate = 1;
-    // The turn takes it as one batch, with nothing queued behind it.
+    // The worker takes the write as one batch, with nothing queued behind it.
     records.runOnce();
     CompletableFuture<Void> duringFailure = records.write(put("b", 3));
     fileSystem.failureRate = 0;
@@ -167,7 +167,7 @@
     assertThat(records.indexedNames(), lessThan(100));
   }
 
-  /** One caller and the disk's thread, with compaction: each read returns the last write. */
+  /** One caller and the disk thread, with compaction: each read returns the last write. */
   @Test
   void callerReadsItsOwnWritesDuringCompaction() throws Exception {
     PowerLossFileSystem fileSystem = new PowerLossFileSystem(3);
--- a/storage/src/test/java/elmsail/storage/PinnedDirectory.java
+++ b/storage/src/test/java/elmsail/storage/PinnedDirectory.java
@@ -10,30 +10,30 @@
 import java.util.Map;
 
 /**
- * A storage directory with one of each thing that the file format knows: small and big values,
- * names beyond ASCII, an empty value, a value written anew, a removal, several records of one
- * write, and a version that is void as its file could not be renamed.
+ * A storage directory with one example of each feature of the file format: small and large values,
+ * a non-ASCII name, an empty value, an overwritten value, a removal, several records of one write,
+ * and a version that is void because its file could not be renamed.
  *
- * <p>{@link #main} wrote the directory that the tests' resources hold. That is never written anew:
- * it stands for the disks of processes that ran before.
+ * <p>{@link #main} wrote the directory in the test resources. That directory is never regenerated:
+ * it represents data that earlier versions of the program left on disk.
  */
 final class PinnedDirectory {
   static final long INSTANCE_ID = 0x1122334455667788L;
   static final int SMALL_BYTES = 300;
 
-  /** More than a record that is kept in memory. */
+  /** Larger than the values that are kept in memory. */
   static final int BIG_BYTES = RecordIndex.MAX_IN_MEMORY_BYTES + 500;
 
   private static final long MAX_BYTES = 1 << 24;
 
   private PinnedDirectory() {}
 
-  /** Writes the directory into the folder given. */
+  /** Writes the directory to the path given as the first argument. */
   public static void main(String[] args) throws IOException {
     write(Path.of(args[0]));
   }
 
-  /** The records that the directory holds in the end. */
+  /** The records that the directory holds after all changes. */
   static Map<String, byte[]> records() {
     Map<String, byte[]> records = new LinkedHashMap<>();
     records.put("big", filled(BIG_BYTES, 3));
@@ -44,7 +44,7 @@
     return records;
   }
 
-  /** Writes the directory by the present code. */
+  /** Writes the directory with the current code. */
   static void write(Path directory) throws IOException {
     FailingRenames fileSystem = new FailingRenames();
     ArrayDeque<Runnable> completions = new ArrayDeque<>();
@@ -69,7 +69,7 @@
         directory, MAX_BYTES, Runnable::run, new LocalFileSystem(), INSTANCE_ID + 1);
   }
 
-  /** The names of the files of a folder, and their bytes. */
+  /** The files of a directory: their names and contents. */
   static Map<String, byte[]> files(Path directory) throws IOException {
     LocalFileSystem local = new LocalFileSystem();
     List<String> names = new ArrayList<>(local.list(directory));
@@ -104,7 +104,7 @@
     return bytes;
   }
 
-  /** The local files, whose renames can be made to fail. */
+  /** The local file system with renames that can be made to fail. */
   private static final class FailingRenames implements FileSystem {
     private final FileSystem local = new LocalFileSystem();
     private boolean renamesFail;
@@ -127,7 +127,7 @@
     @Override
     public void rename(Path from, Path to) throws IOException {
       if (renamesFail) {
-        throw new IOException("no renames");
+        throw new IOException("simulated failure of a rename");
       }
       local.rename(from, to);
     }
--- a/storage/src/test/java/elmsail/storage/PinnedDirectoryTest.java
+++ b/storage/src/test/java/elmsail/storage/PinnedDirectoryTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What earlier versions left on disk is read, and the same bytes are written today. */
+/** Checks that the current code reads files of earlier versions and writes the same bytes. */
 class PinnedDirectoryTest {
   @TempDir Path temp;
 
--- a/storage/src/test/java/elmsail/storage/PinnedNamesTest.java
+++ b/storage/src/test/java/elmsail/storage/PinnedNamesTest.java
@@ -8,10 +8,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Names that are known outside of the program: in dashboards, scripts, settings and clients. */
+/** Guards the names that dashboards and scripts use. */
 class PinnedNamesTest {
 
-  /** The families as they are exported, each with its type. */
+  /** The exported metric families, each with its type. */
   private static List<String> exported(Counters counters) {
     return PrometheusText.format(counters)
         .lines()
--- a/storage/src/test/java/elmsail/storage/PowerLossFileSystem.java
+++ b/storage/src/test/java/elmsail/storage/PowerLossFileSystem.java
@@ -11,13 +11,13 @@
 import java.util.TreeMap;
 
 /**
- * A file system in memory that loses its power before operation {@code powerLossAt}. Afterwards it
- * has what was synced; each other write and each name is kept, lost or torn. It can fail
- * operations, with or without having done them, and skip its syncs (a defect that tests have to
- * detect).
+ * An in-memory file system that simulates a power loss before operation {@code powerLossAt}. Synced
+ * content survives the power loss; each unsynced write or change of a name is kept, lost or, for
+ * writes, torn. The file system can also fail operations, before or after they take effect, and
+ * skip syncs (a defect that tests have to detect).
  */
 final class PowerLossFileSystem implements FileSystem {
-  /** The machine has lost its power; an error, so that the store doesn't handle it. */
+  /** Simulates the power loss; an {@code Error}, so that the store doesn't handle it. */
   static final class PowerLost extends Error {
     private static final long serialVersionUID = 1;
 
@@ -26,7 +26,7 @@
     }
   }
 
-  /** What becomes of all that was not synced. */
+  /** What a power loss does to unsynced writes and changes of names. */
   enum UnsyncedFate {
     KEPT,
     LOST,
@@ -64,17 +64,17 @@
       throw new PowerLost();
     }
     if (failureRate > 0 && random.nextDouble() < failureRate) {
-      throw new IOException("refused");
+      throw new IOException("simulated failure before the operation");
     }
   }
 
   private void end() throws IOException {
     if (failureRate > 0 && random.nextDouble() < failureRate) {
-      throw new IOException("refused after it was done");
+      throw new IOException("simulated failure after the operation");
     }
   }
 
-  /** Loses the power, and restores it. */
+  /** Simulates a power loss and a restart. */
   synchronized void losePower(UnsyncedFate unsynced) {
     Map<String, Inode> remaining = new TreeMap<>(durableNames);
     for (NameChange change : unsyncedChanges) {
--- a/storage/src/test/java/elmsail/storage/PowerLossTest.java
+++ b/storage/src/test/java/elmsail/storage/PowerLossTest.java
@@ -13,11 +13,11 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-/** Power losses at every operation; what was not synced is then kept, lost or torn. */
+/** Simulates a power loss at each operation; unsynced content is then kept, lost or torn. */
 class PowerLossTest {
   private static final int TORN_VARIANTS = 4;
 
-  /** Writes, loses the power and reopens; returns whether it was lost before the last write. */
+  /** Writes, simulates a power loss and reopens; returns whether it interrupted the writes. */
   private static boolean writeUntilPowerLoss(
       Script script, int powerLossAt, UnsyncedFate unsynced, long variant, Totals totals) {
     PowerLossFileSystem fileSystem = new PowerLossFileSystem(script.seed * 31 + variant);
@@ -36,14 +36,14 @@
       writes.checkReads();
     } catch (PowerLost e) {
       lost = true;
-      // Completions before the power loss count, be they run or not.
+      // Completions queued before the power loss count as acknowledgements, even if not run yet.
       writes.runCompletions();
     }
     totals.compactions += writes.compactions();
     totals.acknowledgements += writes.acknowledgements;
     fileSystem.losePower(unsynced);
     writes.reopen();
-    // The store goes on, and a later end of the process loses nothing at all.
+    // The reopened store accepts writes, and a second power loss loses none of them.
     for (int i = 0; i < 5; i++) {
       writes.step();
     }
@@ -112,7 +112,7 @@
         AssertionError.class, () -> assertDetected(fileSystem -> fileSystem.skipFileSyncs = true));
   }
 
-  /** A torn file under its final name is reported as such, which counts as detected too. */
+  /** A torn file under its final name is reported as corrupt, which counts as detected too. */
   private static void assertDetected(Consumer<PowerLossFileSystem> defect) {
     try {
       losePowerAtEachOperation(1, new Script(3, 20, 6, 200_000, 6, defect));
--- a/storage/src/test/java/elmsail/storage/RandomWrites.java
+++ b/storage/src/test/java/elmsail/storage/RandomWrites.java
@@ -12,9 +12,9 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Random writes to a store on a file system that loses its power. What is found afterwards is
- * compared with what was acknowledged: it must be exactly that, possibly with the first few of the
- * pending writes, or of one failed batch behind which nothing was acknowledged.
+ * Random writes to a store on a file system that simulates power losses. The reopened store must
+ * contain exactly the acknowledged writes, possibly followed by the first few of the pending
+ * writes, or of one group of failed writes after which no write was acknowledged.
  */
 final class RandomWrites {
   private static final int[] SIZES = {
@@ -29,7 +29,7 @@
   private final ArrayDeque<Runnable> completions = new ArrayDeque<>();
   private final List<Write> pending = new ArrayList<>();
 
-  /** The writes that failed since the last acknowledgement, one list for each failure. */
+  /** The writes that failed since the last acknowledged write, one list for each failure. */
   private final List<List<Write>> failed = new ArrayList<>();
 
   private Map<String, byte[]> acknowledged = new TreeMap<>();
@@ -56,7 +56,7 @@
             Path.of("records"), maxBytes, completions::add, fileSystem, random.nextLong() | 1);
   }
 
-  /** Makes one random write, and runs the disk's worker some turns. */
+  /** Makes one random write, and runs up to two iterations of the disk worker. */
   void step() {
     List<Change> changes = new ArrayList<>();
     for (int i = random.nextInt(3); i >= 0; i--) {
@@ -104,7 +104,8 @@
         failures++;
       } else {
         if (!failedTogether.isEmpty()) {
-          throw new AssertionError("acknowledged behind a failed write before that was reported");
+          throw new AssertionError(
+              "a write was acknowledged before the failure of an earlier write was reported");
         }
         failed.clear();
         apply(acknowledged, write);
@@ -126,13 +127,13 @@
     }
   }
 
-  /** Checks all reads, with nothing pending. */
+  /** Checks that all reads return the acknowledged values; no write may be pending. */
   void checkReads() {
     assertReads(acknowledged, store, "read");
     Map<String, byte[]> paged = new TreeMap<>();
     store.page(null, Integer.MAX_VALUE).forEach(paged::put);
     if (!equal(acknowledged, paged)) {
-      throw new AssertionError("pages show other records");
+      throw new AssertionError("pages differ from the acknowledged records");
     }
   }
 
@@ -140,7 +141,7 @@
       Map<String, byte[]> expected, DirectoryRecordStore records, String when) {
     for (Map.Entry<String, byte[]> e : expected.entrySet()) {
       if (!Arrays.equals(e.getValue(), records.read(e.getKey()))) {
-        throw new AssertionError(when + ": " + e.getKey() + " is not as it was written");
+        throw new AssertionError(when + ": " + e.getKey() + " differs from the written value");
       }
     }
   }
@@ -151,7 +152,7 @@
     open();
     instanceId = store.instanceId();
     if (previousInstanceId != 0 && previousInstanceId != instanceId) {
-      throw new AssertionError("another instance id");
+      throw new AssertionError("the instance id has changed after reopening");
     }
     Map<String, byte[]> found = new TreeMap<>();
     for (String name : store.names("")) {
