--- a/storage/src/main/java/elmsail/storage/Compaction.java
+++ b/storage/src/main/java/elmsail/storage/Compaction.java
@@ -10,8 +10,8 @@
  */
 final class Compaction {
   /**
-   * The number of files, beside one for each {@link #LIVE_BYTES_PER_FILE} of live records, up to
-   * which small files are not merged.
+   * Small files are merged only if there are more files than this number, plus one for each {@link
+   * #LIVE_BYTES_PER_FILE} of live records.
    */
   static final int BASE_FILES = 48;
 
--- a/storage/src/main/java/elmsail/storage/DiskThread.java
+++ b/storage/src/main/java/elmsail/storage/DiskThread.java
@@ -52,7 +52,7 @@
     } catch (Error e) {
       completions.onBatchFailed(
           List.of(),
-          new ElmsailException(ErrorCode.INTERNAL, "the disk thread ended by an error", e));
+          new ElmsailException(ErrorCode.INTERNAL, "the disk thread ended with an error", e));
       throw e;
     }
   }
--- a/storage/src/main/java/elmsail/storage/VersionReader.java
+++ b/storage/src/main/java/elmsail/storage/VersionReader.java
@@ -78,7 +78,7 @@
   }
 
   /**
-   * Reads all records. The checksum of the whole file is verified only when this method returns.
+   * Reads all records. The file as a whole is verified only once this method has returned.
    *
    * @param maxBytes values above this size are verified, but not passed to the visitor
    */
