--- a/storage/src/test/java/elmsail/storage/PowerLossFileSystem.java
+++ b/storage/src/test/java/elmsail/storage/PowerLossFileSystem.java
@@ -11,13 +11,13 @@
 import java.util.TreeMap;
 
 /**
- * A file system in memory that loses its power before operation {@code powerLossAt}. Afterwards it
- * has what was synced; each other write and each name is kept, lost or torn. It can fail
- * operations, with or without having done them, and skip its syncs (a defect that tests have to
- * detect).
+ * An in-memory file system that simulates a power loss before operation {@code powerLossAt}. Synced
+ * content survives the power loss; each unsynced write or change of a name is kept, lost or, for
+ * writes, torn. The file system can also fail operations, before or after they take effect, and
+ * skip syncs (a defect that tests have to detect).
  */
 final class PowerLossFileSystem implements FileSystem {
-  /** The machine has lost its power; an error, so that the store doesn't handle it. */
+  /** Simulates the power loss; an {@code Error}, so that the store doesn't handle it. */
   static final class PowerLost extends Error {
     private static final long serialVersionUID = 1;
 
@@ -26,7 +26,7 @@
     }
   }
 
-  /** What becomes of all that was not synced. */
+  /** What a power loss does to unsynced writes and changes of names. */
   enum UnsyncedFate {
     KEPT,
     LOST,
@@ -49,7 +49,7 @@
   int powerLossAt = Integer.MAX_VALUE;
 
   /** The probability that an operation fails. */
-  double refusalRate;
+  double failureRate;
 
   boolean skipFileSyncs;
   boolean skipDirectorySyncs;
@@ -63,35 +63,35 @@
     if (++operations >= powerLossAt) {
       throw new PowerLost();
     }
-    if (refusalRate > 0 && random.nextDouble() < refusalRate) {
-      throw new IOException("refused");
+    if (failureRate > 0 && random.nextDouble() < failureRate) {
+      throw new IOException("simulated failure before the operation");
     }
   }
 
   private void end() throws IOException {
-    if (refusalRate > 0 && random.nextDouble() < refusalRate) {
-      throw new IOException("refused after it was done");
+    if (failureRate > 0 && random.nextDouble() < failureRate) {
+      throw new IOException("simulated failure after the operation");
     }
   }
 
-  /** Loses the power, and restores it. */
+  /** Simulates a power loss and a restart. */
   synchronized void losePower(UnsyncedFate unsynced) {
-    Map<String, Inode> left = new TreeMap<>(durableNames);
+    Map<String, Inode> remaining = new TreeMap<>(durableNames);
     for (NameChange change : unsyncedChanges) {
       if (unsynced == UnsyncedFate.LOST || unsynced == UnsyncedFate.TORN && random.nextBoolean()) {
         continue;
       }
       if (change.created != null) {
-        left.put(change.to, change.created);
+        remaining.put(change.to, change.created);
       } else {
-        Inode moved = left.remove(change.from);
+        Inode moved = remaining.remove(change.from);
         if (moved != null && change.to != null) {
-          left.put(change.to, moved);
+          remaining.put(change.to, moved);
         }
       }
     }
     unsyncedChanges.clear();
-    for (Inode inode : left.values()) {
+    for (Inode inode : remaining.values()) {
       if (unsynced == UnsyncedFate.LOST) {
         inode.bytes = Arrays.copyOf(inode.bytes, inode.synced);
       } else if (unsynced == UnsyncedFate.TORN) {
@@ -100,8 +100,8 @@
       inode.synced = inode.bytes.length;
       inode.unsynced.clear();
     }
-    names = left;
-    durableNames = new TreeMap<>(left);
+    names = remaining;
+    durableNames = new TreeMap<>(remaining);
     powerLossAt = Integer.MAX_VALUE;
     operations = 0;
   }
@@ -139,14 +139,14 @@
     directoryExists = true;
   }
 
-  private static String plain(Path file) {
+  private static String fileName(Path file) {
     return file.getFileName().toString();
   }
 
   private Inode inode(Path file) throws IOException {
-    Inode inode = names.get(plain(file));
+    Inode inode = names.get(fileName(file));
     if (inode == null) {
-      throw new NoSuchFileException(plain(file));
+      throw new NoSuchFileException(fileName(file));
     }
     return inode;
   }
@@ -170,8 +170,8 @@
   public synchronized Appender create(Path file) throws IOException {
     begin();
     Inode inode = new Inode();
-    names.put(plain(file), inode);
-    unsyncedChanges.add(new NameChange(null, plain(file), inode));
+    names.put(fileName(file), inode);
+    unsyncedChanges.add(new NameChange(null, fileName(file), inode));
     end();
     return new InodeAppender(inode);
   }
@@ -180,17 +180,17 @@
   public synchronized void rename(Path from, Path to) throws IOException {
     begin();
     Inode inode = inode(from);
-    names.remove(plain(from));
-    names.put(plain(to), inode);
-    unsyncedChanges.add(new NameChange(plain(from), plain(to), null));
+    names.remove(fileName(from));
+    names.put(fileName(to), inode);
+    unsyncedChanges.add(new NameChange(fileName(from), fileName(to), null));
     end();
   }
 
   @Override
   public synchronized void delete(Path file) throws IOException {
     begin();
-    if (names.remove(plain(file)) != null) {
-      unsyncedChanges.add(new NameChange(plain(file), null, null));
+    if (names.remove(fileName(file)) != null) {
+      unsyncedChanges.add(new NameChange(fileName(file), null, null));
     }
     end();
   }
--- a/storage/src/test/java/elmsail/storage/RandomWrites.java
+++ b/storage/src/test/java/elmsail/storage/RandomWrites.java
@@ -12,9 +12,9 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Random writes to a store on a file system that loses its power. What is found afterwards is
- * compared with what was acknowledged: it must be exactly that, possibly with the first few of the
- * pending writes, or of one failed batch behind which nothing was acknowledged.
+ * Random writes to a store on a file system that simulates power losses. The reopened store must
+ * contain exactly the acknowledged writes, possibly followed by the first few of the pending
+ * writes, or of one group of failed writes after which no write was acknowledged.
  */
 final class RandomWrites {
   private static final int[] SIZES = {
@@ -29,7 +29,7 @@
   private final ArrayDeque<Runnable> completions = new ArrayDeque<>();
   private final List<Write> pending = new ArrayList<>();
 
-  /** The writes that failed since the last acknowledgement, one list for each failure. */
+  /** The writes that failed since the last acknowledged write, one list for each failure. */
   private final List<List<Write>> failed = new ArrayList<>();
 
   private Map<String, byte[]> acknowledged = new TreeMap<>();
@@ -56,7 +56,7 @@
             Path.of("records"), maxBytes, completions::add, fileSystem, random.nextLong() | 1);
   }
 
-  /** Makes one random write, and runs the disk's worker some turns. */
+  /** Makes one random write, and runs up to two iterations of the disk worker. */
   void step() {
     List<Change> changes = new ArrayList<>();
     for (int i = random.nextInt(3); i >= 0; i--) {
@@ -66,13 +66,13 @@
     Write write = new Write(changes, store.write(changes));
     pending.add(write);
     if (!write.completion.isDone()) {
-      assertReads(written(write), store, "read at once");
+      assertReads(valuesOf(write), store, "read at once");
     }
     runWorker(random.nextInt(3));
     runCompletions();
   }
 
-  private Map<String, byte[]> written(Write write) {
+  private Map<String, byte[]> valuesOf(Write write) {
     Map<String, byte[]> seen = new TreeMap<>();
     apply(seen, write);
     return seen;
@@ -96,23 +96,24 @@
     while (!completions.isEmpty()) {
       completions.poll().run();
     }
-    List<Write> fell = new ArrayList<>();
+    List<Write> failedTogether = new ArrayList<>();
     while (!pending.isEmpty() && pending.get(0).completion.isDone()) {
       Write write = pending.remove(0);
       if (write.completion.isCompletedExceptionally()) {
-        fell.add(write);
+        failedTogether.add(write);
         failures++;
       } else {
-        if (!fell.isEmpty()) {
-          throw new AssertionError("acknowledged behind a failed write before that was reported");
+        if (!failedTogether.isEmpty()) {
+          throw new AssertionError(
+              "a write was acknowledged before the failure of an earlier write was reported");
         }
         failed.clear();
         apply(acknowledged, write);
         acknowledgements++;
       }
     }
-    if (!fell.isEmpty()) {
-      failed.add(fell);
+    if (!failedTogether.isEmpty()) {
+      failed.add(failedTogether);
     }
   }
 
@@ -126,50 +127,51 @@
     }
   }
 
-  /** Checks all reads, with nothing pending. */
+  /** Checks that all reads return the acknowledged values; no write may be pending. */
   void checkReads() {
     assertReads(acknowledged, store, "read");
     Map<String, byte[]> paged = new TreeMap<>();
     store.page(null, Integer.MAX_VALUE).forEach(paged::put);
     if (!equal(acknowledged, paged)) {
-      throw new AssertionError("pages show other records");
+      throw new AssertionError("pages differ from the acknowledged records");
     }
   }
 
   private static void assertReads(
-      Map<String, byte[]> wanted, DirectoryRecordStore records, String when) {
-    for (Map.Entry<String, byte[]> e : wanted.entrySet()) {
+      Map<String, byte[]> expected, DirectoryRecordStore records, String when) {
+    for (Map.Entry<String, byte[]> e : expected.entrySet()) {
       if (!Arrays.equals(e.getValue(), records.read(e.getKey()))) {
-        throw new AssertionError(when + ": " + e.getKey() + " is not as it was written");
+        throw new AssertionError(when + ": " + e.getKey() + " differs from the written value");
       }
     }
   }
 
   /** Opens the store after a power loss or the end of the process, and checks its content. */
   void reopen() {
-    long before = instanceId;
+    long previousInstanceId = instanceId;
     open();
     instanceId = store.instanceId();
-    if (before != 0 && before != instanceId) {
-      throw new AssertionError("another instance id");
+    if (previousInstanceId != 0 && previousInstanceId != instanceId) {
+      throw new AssertionError("the instance id has changed after reopening");
     }
     Map<String, byte[]> found = new TreeMap<>();
     for (String name : store.names("")) {
       found.put(name, store.read(name));
     }
-    boolean good = matches(found, pending);
-    for (List<Write> fell : failed) {
-      good |= matches(found, fell);
+    boolean matched = matches(found, pending);
+    for (List<Write> failedTogether : failed) {
+      matched |= matches(found, failedTogether);
     }
-    if (!good) {
-      throw new AssertionError("found " + shown(found) + ", acknowledged " + shown(acknowledged));
+    if (!matched) {
+      throw new AssertionError(
+          "found " + describe(found) + ", acknowledged " + describe(acknowledged));
     }
     acknowledged = found;
     pending.clear();
     failed.clear();
   }
 
-  private static String shown(Map<String, byte[]> state) {
+  private static String describe(Map<String, byte[]> state) {
     StringBuilder text = new StringBuilder();
     state.forEach(
         (name, bytes) ->
