--- a/front/src/main/java/willowdoor/front/Config.java
+++ b/front/src/main/java/willowdoor/front/Config.java
@@ -11,7 +11,7 @@
 import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
 import java.util.Map;
-import willowdoor.front.discovery.RosterNews;
+import willowdoor.front.discovery.BackendListUpdate;
 import willowdoor.front.loop.Descriptors;
 import willowdoor.front.loop.Transport;
 import willowdoor.policy.GatewayApi.Settings;
@@ -31,10 +31,10 @@
     Settings settings,
     double connectLimitMs,
     double idleLimitMs,
-    RosterNews known) {
+    BackendListUpdate known) {
 
   /** Where no limit is told: the platform's largest. */
-  private static final int MOST_SOCKETS = 1_024;
+  private static final int DEFAULT_SOCKETS = 1_024;
 
   /**
    * Reads the file; anything that keeps the front door from serving is an IOException in plain
@@ -92,7 +92,7 @@
   }
 
   /** The same front door among other peers, without operators and discovery. */
-  Config among(SocketAddress listen, SocketAddress counter, RosterNews servers) {
+  Config withPeers(SocketAddress listen, SocketAddress counter, BackendListUpdate servers) {
     return new Config(
         name,
         listen,
@@ -159,12 +159,12 @@
     if (sockets != null && !(sockets instanceof Number)) {
       throw new IOException("limits.sockets is not a number: " + sockets);
     }
-    return Descriptors.of((int) JsonFields.number(limits, "sockets", MOST_SOCKETS));
+    return Descriptors.of((int) JsonFields.number(limits, "sockets", DEFAULT_SOCKETS));
   }
 
-  private static RosterNews known(Map<String, Object> list) throws IOException {
+  private static BackendListUpdate known(Map<String, Object> list) throws IOException {
     try {
-      return RosterNews.of(list);
+      return BackendListUpdate.of(list);
     } catch (IOException e) {
       throw new IOException("known: " + e.getMessage(), e);
     }
--- a/front/src/main/java/willowdoor/front/FrontDoor.java
+++ b/front/src/main/java/willowdoor/front/FrontDoor.java
@@ -21,9 +21,9 @@
 import willowdoor.front.discovery.DiscoveryClient;
 import willowdoor.front.loop.Clock;
 import willowdoor.front.loop.Descriptors;
-import willowdoor.front.loop.Looks;
+import willowdoor.front.loop.EventCounters;
 import willowdoor.front.loop.LoopGroup;
-import willowdoor.front.loop.Tally;
+import willowdoor.front.loop.PollTimes;
 import willowdoor.front.loop.Transport;
 import willowdoor.front.operators.Management;
 import willowdoor.front.operators.OperatorFile;
@@ -42,15 +42,15 @@
    * SIGKILL comes no sooner after SIGTERM than the longest deadline, counted as 3 s where it is
    * longer, and 0.7 s: all is answered by then, and the answers are on their way.
    */
-  private static final long MOST_DEADLINE_MS = 3_000;
+  private static final long MAX_DEADLINE_MS = 3_000;
 
-  private static final double ANSWER_MS = 300;
-  private static final double LEAVE_MS = 275;
+  private static final double ANSWER_MARGIN_MS = 300;
+  private static final double CLOSE_MARGIN_MS = 275;
 
   /** How often a drain goes on: idle connections are closed and the end is looked for. */
   private static final long DRAIN_STEP_MS = 10;
 
-  private static final long TALLY_S = 10;
+  private static final long COUNTERS_LOG_INTERVAL_S = 10;
 
   /** Requests of a warm-up, and how long it may take on a busy core: a new process is given 6 s. */
   private static final int WARM_UP_REQUESTS = 80;
@@ -58,10 +58,10 @@
   private static final long WARM_UP_MS = 1_500;
 
   /** How often the operators' file is looked at, for what the other process was told. */
-  private static final long LOOK_MS = 50;
+  private static final long OPERATOR_FILE_CHECK_MS = 50;
 
   private final Clock clock = new Clock();
-  private final Looks looks = new Looks(clock.now());
+  private final PollTimes pollTimes = new PollTimes(clock.now());
   private final Transport transport;
   private final EventLoopGroup group;
   private final EventLoop loop;
@@ -82,19 +82,19 @@
   private OperatorFile file;
 
   /** How long after the process is told to end all is answered. */
-  private double endMs;
+  private double drainMs;
 
   /** The configuration that came with a SIGHUP before anything was wired. */
-  private Config replacing;
+  private Config reloadedConfig;
 
   /** Whether clients can come, and whether the process was told to end. */
-  private boolean listens;
+  private boolean listenStarted;
 
-  private boolean ending;
+  private boolean shuttingDown;
 
   private FrontDoor(Transport transport) {
     this.transport = transport;
-    group = new LoopGroup(transport.ioHandler(), clock, looks);
+    group = new LoopGroup(transport.ioHandler(), clock, pollTimes);
     loop = group.next();
   }
 
@@ -112,13 +112,13 @@
     // Either signal may come at any time: SIGHUP would end the process, SIGTERM with clients
     // waiting.
     door.reloadOnHangUp(path);
-    Runtime.getRuntime().addShutdownHook(new Thread(door::end, "end"));
+    Runtime.getRuntime().addShutdownHook(new Thread(door::shutDown, "end"));
     Config config = Config.read(path);
     Path operators =
         Path.of(System.getProperty("java.io.tmpdir"), "willowdoor-" + config.name() + ".json");
-    door.begin(
+    door.startListening(
         config, Config.inherited(), operators, () -> warmUp(config, WARM_UP_REQUESTS, WARM_UP_MS));
-    door.open();
+    door.startServing();
   }
 
   /**
@@ -128,8 +128,8 @@
   static FrontDoor start(Config config, ServerSocketChannel inherited, Path operators)
       throws IOException, InterruptedException {
     FrontDoor door = new FrontDoor(Transport.BEST);
-    door.begin(config, inherited, operators, () -> {});
-    door.open();
+    door.startListening(config, inherited, operators, () -> {});
+    door.startServing();
     return door;
   }
 
@@ -138,7 +138,7 @@
    * Nothing is sent by the configuration's list while the agent may have a newer one, which counts
    * as told by now: clients that took the process before this one for alive would have it sent.
    */
-  private void begin(
+  private void startListening(
       Config config, ServerSocketChannel inherited, Path operators, Runnable preparation)
       throws IOException, InterruptedException {
     try {
@@ -147,7 +147,7 @@
       }
       file = new OperatorFile(operators);
       preparation.run();
-      loop.submit(() -> wire(config)).sync();
+      loop.submit(() -> createComponents(config)).sync();
       if (discovery != null && inherited == null) {
         discovery.caughtUp().sync();
       }
@@ -162,18 +162,18 @@
   }
 
   private ChannelFuture listen(Config config, ServerSocketChannel inherited) {
-    if (ending) {
+    if (shuttingDown) {
       throw new IllegalStateException("told to end before it was ready");
     }
-    listens = true;
+    listenStarted = true;
     return inherited == null
         ? clients.listen(group, config.listen())
         : clients.adopt(group, inherited);
   }
 
   /** From here on it says that it is ready where it is. */
-  private void open() throws InterruptedException {
-    loop.submit(this::serving).sync();
+  private void startServing() throws InterruptedException {
+    loop.submit(this::onServing).sync();
   }
 
   /**
@@ -182,12 +182,12 @@
    * Tells how many were answered.
    */
   static int warmUp(Config config, int requests, long limitMs) {
-    FrontDoor door = new FrontDoor(Transport.INSIDE);
+    FrontDoor door = new FrontDoor(Transport.IN_PROCESS);
     try {
       WarmUp warmUp = new WarmUp(config.settings(), door.group);
-      Config inside = config.among(warmUp.door(), warmUp.counter(), warmUp.servers());
-      door.begin(inside, null, Path.of(""), () -> {});
-      door.open();
+      Config inside = config.withPeers(warmUp.door(), warmUp.counter(), warmUp.servers());
+      door.startListening(inside, null, Path.of(""), () -> {});
+      door.startServing();
       int answered = warmUp.play(requests, limitMs);
       LOG.info(() -> "warmed up with " + answered + " requests inside the process");
       return answered;
@@ -229,7 +229,7 @@
   }
 
   @Override
-  public Future<Boolean> ban(String host, boolean out) {
+  public Future<Boolean> setExcluded(String host, boolean out) {
     return change(host, state -> state.excluded(host, out));
   }
 
@@ -243,44 +243,44 @@
           if (host != null && !driver.knows(host)) {
             return false;
           }
-          follow(file.change(change));
+          applyOperatorState(file.change(change));
           return true;
         });
   }
 
   /** Puts in force what is new in it: the other process may have been told. */
-  private void follow(OperatorFile.State told) {
+  private void applyOperatorState(OperatorFile.State requested) {
     OperatorFile.State before = operators;
-    if (told == before) {
+    if (requested == before) {
       return;
     }
-    operators = told;
-    told.excluded().stream()
+    operators = requested;
+    requested.excluded().stream()
         .filter(h -> !before.excluded().contains(h))
         .forEach(h -> driver.ban(h, true));
     before.excluded().stream()
-        .filter(h -> !told.excluded().contains(h))
+        .filter(h -> !requested.excluded().contains(h))
         .forEach(h -> driver.ban(h, false));
-    if (told.drained() != before.drained()) {
-      clients.evacuate(told.drained());
+    if (requested.drained() != before.drained()) {
+      clients.evacuate(requested.drained());
     }
     LOG.info(
         () ->
             "operators' drain is "
-                + (told.drained() ? "on" : "off")
+                + (requested.drained() ? "on" : "off")
                 + ", taken out are "
-                + told.excluded());
+                + requested.excluded());
   }
 
-  private void wire(Config config) {
-    endMs =
-        ANSWER_MS
+  private void createComponents(Config config) {
+    drainMs =
+        ANSWER_MARGIN_MS
             + config.settings().classes().stream()
                 .mapToDouble(RequestClass::deadlineMs)
-                .map(ms -> ms > 0 ? Math.min(ms, MOST_DEADLINE_MS) : MOST_DEADLINE_MS)
+                .map(ms -> ms > 0 ? Math.min(ms, MAX_DEADLINE_MS) : MAX_DEADLINE_MS)
                 .max()
-                .orElse(MOST_DEADLINE_MS);
-    Tally tally = new Tally();
+                .orElse(MAX_DEADLINE_MS);
+    EventCounters counters = new EventCounters();
     Descriptors descriptors = config.descriptors();
     QuotaPolicy policy = new QuotaPolicy(config.settings(), config.seed());
     BackendPool backends =
@@ -288,23 +288,23 @@
             loop,
             transport,
             clock,
-            tally,
+            counters,
             policy::isExcluded,
             descriptors.backends(),
             config.connectLimitMs(),
             config.idleLimitMs());
-    driver = new ModuleDriver(loop, clock, policy, backends, tally);
+    driver = new ModuleDriver(loop, clock, policy, backends, counters);
     clients =
         new ClientServer(
             transport,
             clock,
-            looks,
+            pollTimes,
             driver,
             new RequestReader(config.settings()),
             descriptors,
-            tally,
-            () -> (discovery == null || discovery.caughtUp().isDone()) && backends.knowsAny());
-    Config newest = replacing == null ? config : replacing;
+            counters,
+            () -> (discovery == null || discovery.caughtUp().isDone()) && backends.hasBackends());
+    Config newest = reloadedConfig == null ? config : reloadedConfig;
     counter =
         new CounterClient(
             loop,
@@ -312,7 +312,7 @@
             clock,
             newest.counter(),
             config.settings().options().counterTimeoutMs(),
-            tally,
+            counters,
             driver::onCounted);
     if (newest.counter() != null) {
       counter.start();
@@ -322,9 +322,12 @@
       LOG.info(config::describe);
     }
     if (management != null) {
-      follow(file.look());
+      applyOperatorState(file.refresh());
       loop.scheduleWithFixedDelay(
-          () -> follow(file.look()), LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
+          () -> applyOperatorState(file.refresh()),
+          OPERATOR_FILE_CHECK_MS,
+          OPERATOR_FILE_CHECK_MS,
+          TimeUnit.MILLISECONDS);
     }
     if (newest.discovery() != null) {
       discovery =
@@ -334,13 +337,13 @@
               clock,
               newest.discovery(),
               config.known().version(),
-              tally,
+              counters,
               driver::onRoster);
       discovery.start();
     }
     loop.scheduleWithFixedDelay(
         () ->
-            tally.log(
+            counters.log(
                 "clients="
                     + clients.open()
                     + " backends="
@@ -349,8 +352,8 @@
                     + driver.held()
                     + ' '
                     + driver.figures()),
-        TALLY_S,
-        TALLY_S,
+        COUNTERS_LOG_INTERVAL_S,
+        COUNTERS_LOG_INTERVAL_S,
         TimeUnit.SECONDS);
   }
 
@@ -358,12 +361,12 @@
    * SIGHUP tells that the configuration was replaced; without a handler it would end the process.
    */
   void reloadOnHangUp(Path file) {
-    HangUp.reload(file, config -> loop.execute(() -> moveTo(config)));
+    SighupHandler.reload(file, config -> loop.execute(() -> moveTo(config)));
   }
 
   /** Moves to the addresses that a configuration names which came with a SIGHUP. */
   private void moveTo(Config config) {
-    replacing = config;
+    reloadedConfig = config;
     if (discovery != null) {
       discovery.moveTo(config.discovery());
     }
@@ -374,14 +377,15 @@
         () -> "discovery is at " + config.discovery() + " now, the counter at " + config.counter());
   }
 
-  private void serving() {
+  private void onServing() {
     clients.serve();
-    watch();
-    loop.scheduleWithFixedDelay(this::watch, DRAIN_STEP_MS, DRAIN_STEP_MS, TimeUnit.MILLISECONDS);
+    updateState();
+    loop.scheduleWithFixedDelay(
+        this::updateState, DRAIN_STEP_MS, DRAIN_STEP_MS, TimeUnit.MILLISECONDS);
   }
 
   /** Goes on with a drain, and keeps what operators are told up to date. */
-  private void watch() {
+  private void updateState() {
     clients.acceptIfReady();
     canServe = clients.canServe();
     clients.partWithIdle();
@@ -393,10 +397,10 @@
   /**
    * The planned end: accept a little longer, answer all that was taken, then let the process go.
    */
-  void end() {
+  void shutDown() {
     try {
-      Future<Double> begun = loop.submit(this::beginEnd);
-      if (begun.await(MOST_DEADLINE_MS, TimeUnit.MILLISECONDS)) {
+      Future<Double> begun = loop.submit(this::beginShutdown);
+      if (begun.await(MAX_DEADLINE_MS, TimeUnit.MILLISECONDS)) {
         ended.await(begun.getNow().longValue(), TimeUnit.MILLISECONDS);
       }
     } catch (InterruptedException e) {
@@ -408,14 +412,14 @@
   }
 
   /** How long the rest may take, in milliseconds: nothing where no client can have come yet. */
-  private double beginEnd() {
-    ending = true;
-    if (!listens) {
+  private double beginShutdown() {
+    shuttingDown = true;
+    if (!listenStarted) {
       return 0;
     }
     clients.end();
-    driver.endWithin(endMs);
-    return endMs + LEAVE_MS;
+    driver.endWithin(drainMs);
+    return drainMs + CLOSE_MARGIN_MS;
   }
 
   void stop() {
--- a/front/src/main/java/willowdoor/front/HangUp.java
+++ b/front/src/main/java/willowdoor/front/SighupHandler.java
@@ -12,11 +12,11 @@
  * Hears SIGHUP, which would end the process otherwise. The only interface to signals is one that
  * the compiler warns of wherever it is named, so it is looked up by name.
  */
-final class HangUp {
+final class SighupHandler {
 
-  private static final Logger LOG = Logger.getLogger(HangUp.class.getName());
+  private static final Logger LOG = Logger.getLogger(SighupHandler.class.getName());
 
-  private HangUp() {}
+  private SighupHandler() {}
 
   /**
    * Reads the file anew at each SIGHUP from now on; one that cannot be read is logged and changes
@@ -51,7 +51,7 @@
       Object hangUp = signal.getConstructor(String.class).newInstance("HUP");
       Object run =
           Proxy.newProxyInstance(
-              HangUp.class.getClassLoader(),
+              SighupHandler.class.getClassLoader(),
               new Class<?>[] {handler},
               (proxy, method, args) -> {
                 if (method.equals(handled)) {
--- a/front/src/main/java/willowdoor/front/clients/Arrival.java
+++ b/front/src/main/java/willowdoor/front/clients/Arrival.java
@@ -1,6 +1,6 @@
 package willowdoor.front.clients;
 
-import willowdoor.front.loop.Looks;
+import willowdoor.front.loop.PollTimes;
 
 /**
  * When the bytes that were last read from a client can have come at the earliest, as far as it was
@@ -10,7 +10,7 @@
  */
 final class Arrival {
 
-  private final Looks looks;
+  private final PollTimes looks;
 
   /** Nothing that is still unread came before this. */
   private double emptyAt;
@@ -20,9 +20,9 @@
   private long askedAt;
 
   /** A connection that was accepted now, and made no earlier than what this look finds. */
-  Arrival(Looks looks) {
+  Arrival(PollTimes looks) {
     this.looks = looks;
-    emptyAt = looks.since();
+    emptyAt = looks.earliestArrival();
     cameAt = emptyAt;
   }
 
@@ -37,8 +37,8 @@
   /** Bytes were read; drained, where that left none behind. */
   void read(boolean drained) {
     boolean watched = asked && looks.count() - askedAt >= 2;
-    cameAt = watched ? Math.max(emptyAt, looks.since()) : emptyAt;
-    emptyAt = drained ? looks.begunAt() : cameAt;
+    cameAt = watched ? Math.max(emptyAt, looks.earliestArrival()) : emptyAt;
+    emptyAt = drained ? looks.lastPollStartedAt() : cameAt;
     asked = false;
   }
 
--- a/front/src/main/java/willowdoor/front/clients/ClientConnection.java
+++ b/front/src/main/java/willowdoor/front/clients/ClientConnection.java
@@ -13,8 +13,8 @@
 import io.netty.handler.timeout.IdleStateEvent;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import willowdoor.front.loop.Looks;
-import willowdoor.front.loop.Tally;
+import willowdoor.front.loop.EventCounters;
+import willowdoor.front.loop.PollTimes;
 
 /**
  * One client's connection: a request at a time, each with the one final answer. Requests written
@@ -48,7 +48,7 @@
   /** How many requests have come to their turn. */
   private long heads;
 
-  ClientConnection(ClientServer server, Looks looks) {
+  ClientConnection(ClientServer server, PollTimes looks) {
     this.server = server;
     arrival = new Arrival(looks);
     input = new ReadAhead(looks, arrival, this::receiving, server::keeps);
@@ -68,7 +68,7 @@
 
   private void overdue() {
     if (!closing.begun() && (!exchange.open() || exchange.receiving())) {
-      server.count(Tally.Event.CLIENT_SLOW);
+      server.count(EventCounters.Event.CLIENT_SLOW);
       endWith(HttpResponseStatus.REQUEST_TIMEOUT, "request did not come in time");
     }
   }
@@ -265,7 +265,7 @@
   public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
     if (event instanceof IdleStateEvent) {
       if (exchange.answering() || exchange.receiving()) {
-        server.count(Tally.Event.STREAM_IDLE);
+        server.count(EventCounters.Event.STREAM_IDLE);
       }
       if (!unasked() || full) {
         closing.outright();
--- a/front/src/main/java/willowdoor/front/clients/ClientServer.java
+++ b/front/src/main/java/willowdoor/front/clients/ClientServer.java
@@ -25,8 +25,8 @@
 import willowdoor.front.clients.RequestReader.BadRequest;
 import willowdoor.front.loop.Clock;
 import willowdoor.front.loop.Descriptors;
-import willowdoor.front.loop.Looks;
-import willowdoor.front.loop.Tally;
+import willowdoor.front.loop.EventCounters;
+import willowdoor.front.loop.PollTimes;
 import willowdoor.front.loop.Transport;
 import willowdoor.front.requests.Asked;
 import willowdoor.front.requests.ModuleDriver;
@@ -66,11 +66,11 @@
 
   private final Transport transport;
   private final Clock clock;
-  private final Looks looks;
+  private final PollTimes looks;
   private final ModuleDriver driver;
   private final RequestReader reader;
   private final Descriptors descriptors;
-  private final Tally tally;
+  private final EventCounters tally;
 
   /** Whether the list of template servers is as new as can be had, and names any. */
   private final BooleanSupplier listed;
@@ -110,11 +110,11 @@
   public ClientServer(
       Transport transport,
       Clock clock,
-      Looks looks,
+      PollTimes looks,
       ModuleDriver driver,
       RequestReader reader,
       Descriptors descriptors,
-      Tally tally,
+      EventCounters tally,
       BooleanSupplier listed) {
     this.transport = transport;
     this.clock = clock;
@@ -147,8 +147,8 @@
     return transport
         .server(group)
         .childOption(ChannelOption.AUTO_READ, false)
-        .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, Transport.QUEUE)
-        .childOption(ChannelOption.RECVBUF_ALLOCATOR, Transport.piece())
+        .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, Transport.WRITE_BUFFER_LIMITS)
+        .childOption(ChannelOption.RECVBUF_ALLOCATOR, Transport.readBufferAllocator())
         .childHandler(
             new ChannelInitializer<Channel>() {
               @Override
@@ -258,7 +258,7 @@
       connection.closeOutright();
     }
     if (over) {
-      tally.count(Tally.Event.CLIENT_REFUSED);
+      tally.count(EventCounters.Event.CLIENT_REFUSED);
     }
     return over;
   }
@@ -271,7 +271,7 @@
     ClientConnection spare = spare();
     for (int i = 0; i < MOST_TRIED && spare != null; i++) {
       if (spare.closeIfIdle()) {
-        tally.count(Tally.Event.CLIENT_EVICTED);
+        tally.count(EventCounters.Event.CLIENT_EVICTED);
         return;
       }
       begun = begun == null && spare.unasked() ? spare : begun;
@@ -280,7 +280,7 @@
     }
     if (begun != null) {
       begun.closeIfUnasked();
-      tally.count(Tally.Event.CLIENT_EVICTED);
+      tally.count(EventCounters.Event.CLIENT_EVICTED);
     }
   }
 
@@ -314,7 +314,7 @@
   }
 
   /** Counts what a client's connection ended of. */
-  void count(Tally.Event event) {
+  void count(EventCounters.Event event) {
     tally.count(event);
   }
 
--- a/front/src/main/java/willowdoor/front/clients/ReadAhead.java
+++ b/front/src/main/java/willowdoor/front/clients/ReadAhead.java
@@ -9,7 +9,7 @@
 import java.io.IOException;
 import java.util.function.BooleanSupplier;
 import java.util.function.IntConsumer;
-import willowdoor.front.loop.Looks;
+import willowdoor.front.loop.PollTimes;
 
 /**
  * Reads a client's connection, also while nobody asks for more: only what is read to its end shows
@@ -26,7 +26,7 @@
 
   private static final int LAST_READ = 16 * 1024;
 
-  private final Looks looks;
+  private final PollTimes looks;
   private final Arrival arrival;
 
   /** Whether the rest of a body comes next, which waits in the socket until it is asked for. */
@@ -46,7 +46,7 @@
   private long lastLook = -1;
 
   /** Bytes that are kept, and those no longer kept, are told to the last one. */
-  ReadAhead(Looks looks, Arrival arrival, BooleanSupplier insideBody, IntConsumer counts) {
+  ReadAhead(PollTimes looks, Arrival arrival, BooleanSupplier insideBody, IntConsumer counts) {
     this.looks = looks;
     this.arrival = arrival;
     this.insideBody = insideBody;
--- a/front/src/main/java/willowdoor/front/counter/CounterClient.java
+++ b/front/src/main/java/willowdoor/front/counter/CounterClient.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import willowdoor.front.loop.Clock;
-import willowdoor.front.loop.Tally;
+import willowdoor.front.loop.EventCounters;
 import willowdoor.front.loop.Transport;
 import willowdoor.front.requests.ModuleDriver;
 import willowdoor.policy.GatewayApi.CounterResult;
@@ -36,30 +36,30 @@
   private static final int CONNECTIONS = 12;
 
   /** Answers that one connection may owe; beyond that a call is turned away here. */
-  private static final int MOST_OWED = 256;
+  private static final int MAX_OUTSTANDING = 256;
 
-  private static final int MOST_LINE = 256;
+  private static final int MAX_LINE_BYTES = 256;
   private static final long SWEEP_MS = 100;
 
   /**
    * A connection silent for so many limits of a call, though it owes an answer, is taken for dead.
    */
-  private static final double SILENT_LIMITS = 12;
+  private static final double SILENCE_TIMEOUTS = 12;
 
   /** An idle connection is pinged this often: it stays open, and a dead one shows. */
   private static final double PING_MS = 3_000;
 
   /** A timer so much late shows that this process was held up. */
-  private static final double HELD_UP_MS = 5;
+  private static final double LATE_TIMER_MS = 5;
 
-  private static final double LEAST_BACKOFF_MS = 50;
-  private static final double MOST_BACKOFF_MS = 400;
+  private static final double MIN_BACKOFF_MS = 50;
+  private static final double MAX_BACKOFF_MS = 400;
 
   /** One call, or a ping where the name is null; it keeps its place when it is given up. */
   private static final class Call {
     final String name;
     final double startedAt;
-    Link link;
+    Connection connection;
     boolean written;
     boolean done;
 
@@ -72,50 +72,50 @@
   private final EventLoop loop;
   private SocketAddress counter;
   private final Clock clock;
-  private final double limitMs;
-  private final Tally tally;
+  private final double timeoutMs;
+  private final EventCounters counters;
   private final Consumer<CounterResult> listener;
   private final Bootstrap bootstrap;
-  private Link[] links = {};
+  private Connection[] connections = {};
 
   /**
    * Connections to the address before: they end once those to the new one are up and nothing is
    * owed.
    */
-  private Link[] leaving = {};
+  private Connection[] previousConnections = {};
 
   /** Calls in the order of their starts, and so of their limits. */
   private final ArrayDeque<Call> pending = new ArrayDeque<>();
 
   private final Map<String, Call> lastOfName = new HashMap<>();
-  private boolean watching;
+  private boolean timerScheduled;
 
   public CounterClient(
       EventLoop loop,
       Transport transport,
       Clock clock,
       SocketAddress counter,
-      double limitMs,
-      Tally tally,
+      double timeoutMs,
+      EventCounters counters,
       Consumer<CounterResult> listener) {
     this.loop = loop;
     this.counter = counter;
     this.clock = clock;
-    this.limitMs = limitMs;
-    this.tally = tally;
+    this.timeoutMs = timeoutMs;
+    this.counters = counters;
     this.listener = listener;
     bootstrap = transport.client(loop).option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 250);
   }
 
   public void start() {
-    links = open();
+    connections = open();
     loop.scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
   }
 
-  private Link[] open() {
-    Link[] opened = new Link[CONNECTIONS];
+  private Connection[] open() {
+    Connection[] opened = new Connection[CONNECTIONS];
     for (int i = 0; i < CONNECTIONS; i++) {
-      opened[i] = new Link();
+      opened[i] = new Connection();
       opened[i].connect();
     }
     return opened;
@@ -130,45 +130,47 @@
       return;
     }
     this.counter = counter;
-    for (Link l : leaving) {
+    for (Connection l : previousConnections) {
       l.close();
     }
-    leaving = links;
-    for (Link l : leaving) {
-      l.left = true;
+    previousConnections = connections;
+    for (Connection l : previousConnections) {
+      l.retired = true;
     }
-    links = open();
+    connections = open();
   }
 
   @Override
   public void add(String name, double amount, double ttlMs) {
     Call call = new Call(name, clock.now());
     Call before = lastOfName.get(name);
-    Link link = before != null && before.link.open() ? before.link : leastOwing(links);
-    link = link != null ? link : leastOwing(leaving);
-    if (link == null || link.owed.size() >= MOST_OWED) {
+    Connection link =
+        before != null && before.connection.open() ? before.connection : leastLoaded(connections);
+    link = link != null ? link : leastLoaded(previousConnections);
+    if (link == null || link.outstanding.size() >= MAX_OUTSTANDING) {
       listener.accept(new CounterResult(name, Status.UNREACHABLE, 0, 0));
       return;
     }
     lastOfName.put(name, call);
     pending.add(call);
     link.send(
-        call, "incr " + name + ' ' + plain(amount) + ' ' + Math.max(1, (long) ttlMs) + "\r\n");
-    watchLimit();
+        call,
+        "incr " + name + ' ' + formatAmount(amount) + ' ' + Math.max(1, (long) ttlMs) + "\r\n");
+    scheduleTimeout();
   }
 
   /** Decimal digits without an exponent, which the counter does not read. */
-  static String plain(double amount) {
+  static String formatAmount(double amount) {
     if (amount == Math.rint(amount) && Math.abs(amount) < 1e9) {
       return Long.toString((long) amount);
     }
     return BigDecimal.valueOf(amount).setScale(6, RoundingMode.HALF_UP).toPlainString();
   }
 
-  private static Link leastOwing(Link[] among) {
-    Link best = null;
-    for (Link l : among) {
-      if (l.open() && (best == null || l.owed.size() < best.owed.size())) {
+  private static Connection leastLoaded(Connection[] among) {
+    Connection best = null;
+    for (Connection l : among) {
+      if (l.open() && (best == null || l.outstanding.size() < best.outstanding.size())) {
         best = l;
       }
     }
@@ -187,13 +189,12 @@
   }
 
   /** One timer for all calls: their limits come in the order of their starts. */
-  private void watchLimit() {
-    if (!watching && !pending.isEmpty()) {
-      watching = true;
-      double dueAt = pending.peekFirst().startedAt + limitMs;
+  private void scheduleTimeout() {
+    if (!timerScheduled && !pending.isEmpty()) {
+      timerScheduled = true;
+      double dueAt = pending.peekFirst().startedAt + timeoutMs;
       double left = Math.max(0, dueAt - clock.now());
-      loop.schedule(
-          () -> limitReached(dueAt), (long) Math.ceil(left * 1000), TimeUnit.MICROSECONDS);
+      loop.schedule(() -> onTimeout(dueAt), (long) Math.ceil(left * 1000), TimeUnit.MICROSECONDS);
     }
   }
 
@@ -201,33 +202,33 @@
    * A process that was held up itself reads first what came meanwhile: a limit that passed unseen
    * tells nothing of the counter.
    */
-  private void limitReached(double dueAt) {
-    if (clock.now() - dueAt > HELD_UP_MS) {
-      loop.schedule(this::giveUpOverdue, 1, TimeUnit.MILLISECONDS);
+  private void onTimeout(double dueAt) {
+    if (clock.now() - dueAt > LATE_TIMER_MS) {
+      loop.schedule(this::timeOutOverdue, 1, TimeUnit.MILLISECONDS);
     } else {
-      giveUpOverdue();
+      timeOutOverdue();
     }
   }
 
-  private void giveUpOverdue() {
-    watching = false;
+  private void timeOutOverdue() {
+    timerScheduled = false;
     double now = clock.now();
     for (Call c = pending.peekFirst();
-        c != null && (c.done || c.startedAt + limitMs <= now);
+        c != null && (c.done || c.startedAt + timeoutMs <= now);
         c = pending.peekFirst()) {
       finish(pending.pollFirst(), Status.TIMED_OUT, 0);
     }
-    watchLimit();
+    scheduleTimeout();
   }
 
   private void sweep() {
     double now = clock.now();
-    for (Link l : links) {
+    for (Connection l : connections) {
       l.check(now);
     }
-    boolean moved = leastOwing(links) != null;
-    for (Link l : leaving) {
-      if (moved && l.owed.isEmpty()) {
+    boolean moved = leastLoaded(connections) != null;
+    for (Connection l : previousConnections) {
+      if (moved && l.outstanding.isEmpty()) {
         l.close();
       } else {
         l.check(now);
@@ -236,18 +237,18 @@
   }
 
   /** One kept connection and the answers that it owes, in order. */
-  private final class Link extends ChannelInitializer<Channel> {
-    private final ArrayDeque<Call> owed = new ArrayDeque<>();
+  private final class Connection extends ChannelInitializer<Channel> {
+    private final ArrayDeque<Call> outstanding = new ArrayDeque<>();
     private Channel channel;
-    private double heardAt;
+    private double lastReceivedAt;
 
     /** Junk came: lines that were read with it are not answers to what is owed. */
-    private boolean outOfStep;
+    private boolean outOfSync;
 
-    private double backoffMs = LEAST_BACKOFF_MS;
+    private double backoffMs = MIN_BACKOFF_MS;
 
     /** The counter has moved: this connection is not opened again. */
-    private boolean left;
+    private boolean retired;
 
     boolean open() {
       return channel != null && channel.isActive();
@@ -260,32 +261,32 @@
     }
 
     void connect() {
-      if (left) {
+      if (retired) {
         return;
       }
       Transport.whenConnected(
           bootstrap.clone().handler(this).connect(counter),
           f -> {
-            if (f.isSuccess() && left) {
+            if (f.isSuccess() && retired) {
               f.channel().close();
             } else if (f.isSuccess()) {
               channel = f.channel();
-              heardAt = clock.now();
+              lastReceivedAt = clock.now();
             } else {
-              later();
+              scheduleReconnect();
             }
           });
     }
 
-    private void later() {
+    private void scheduleReconnect() {
       double wait = backoffMs * (0.5 + ThreadLocalRandom.current().nextDouble());
-      backoffMs = Math.min(MOST_BACKOFF_MS, 2 * backoffMs);
+      backoffMs = Math.min(MAX_BACKOFF_MS, 2 * backoffMs);
       loop.schedule(this::connect, (long) wait, TimeUnit.MILLISECONDS);
     }
 
     void send(Call call, String line) {
-      call.link = this;
-      owed.add(call);
+      call.connection = this;
+      outstanding.add(call);
       ByteBuf bytes = channel.alloc().buffer(line.length());
       bytes.writeCharSequence(line, StandardCharsets.US_ASCII);
       channel.writeAndFlush(bytes).addListener(f -> call.written = f.isSuccess());
@@ -296,11 +297,12 @@
       if (!open()) {
         return;
       }
-      if (owed.isEmpty()) {
-        if (now - heardAt > PING_MS) {
+      if (outstanding.isEmpty()) {
+        if (now - lastReceivedAt > PING_MS) {
           send(new Call(null, now), "ping\r\n");
         }
-      } else if (now - Math.max(heardAt, owed.peekFirst().startedAt) > SILENT_LIMITS * limitMs) {
+      } else if (now - Math.max(lastReceivedAt, outstanding.peekFirst().startedAt)
+          > SILENCE_TIMEOUTS * timeoutMs) {
         channel.close();
       }
     }
@@ -309,16 +311,16 @@
     protected void initChannel(Channel ch) {
       ch.pipeline()
           .addLast(
-              new LineBasedFrameDecoder(MOST_LINE),
+              new LineBasedFrameDecoder(MAX_LINE_BYTES),
               new SimpleChannelInboundHandler<ByteBuf>() {
                 @Override
                 protected void channelRead0(ChannelHandlerContext ctx, ByteBuf line) {
-                  answered(line.toString(StandardCharsets.US_ASCII));
+                  onLine(line.toString(StandardCharsets.US_ASCII));
                 }
 
                 @Override
                 public void channelInactive(ChannelHandlerContext ctx) {
-                  lost();
+                  onConnectionLost();
                 }
 
                 @Override
@@ -328,12 +330,12 @@
               });
     }
 
-    private void answered(String line) {
-      if (outOfStep) {
+    private void onLine(String line) {
+      if (outOfSync) {
         return;
       }
-      heardAt = clock.now();
-      Call call = owed.poll();
+      lastReceivedAt = clock.now();
+      Call call = outstanding.poll();
       if (call != null && line.startsWith("ok ") && call.name != null) {
         double total;
         try {
@@ -342,7 +344,7 @@
           total = Double.NaN;
         }
         if (Double.isFinite(total)) {
-          backoffMs = LEAST_BACKOFF_MS;
+          backoffMs = MIN_BACKOFF_MS;
           finish(call, Status.OK, total);
           return;
         }
@@ -350,27 +352,27 @@
         finish(call, Status.REJECTED, 0);
         return;
       } else if (call != null && line.equals("pong") && call.name == null) {
-        backoffMs = LEAST_BACKOFF_MS;
+        backoffMs = MIN_BACKOFF_MS;
         return;
       }
       // Junk: answers and calls are out of step, and nothing that follows can be trusted.
-      outOfStep = true;
-      tally.count(Tally.Event.COUNTER_UNREADABLE);
+      outOfSync = true;
+      counters.count(EventCounters.Event.COUNTER_UNREADABLE);
       if (call != null) {
-        owed.addFirst(call);
+        outstanding.addFirst(call);
       }
       channel.close();
     }
 
     /** What was not written whole added nothing; anything else may have been added. */
-    private void lost() {
+    private void onConnectionLost() {
       channel = null;
-      outOfStep = false;
-      while (!owed.isEmpty()) {
-        Call call = owed.poll();
+      outOfSync = false;
+      while (!outstanding.isEmpty()) {
+        Call call = outstanding.poll();
         finish(call, call.written ? Status.RESET : Status.UNREACHABLE, 0);
       }
-      later();
+      scheduleReconnect();
     }
   }
 }
--- a/front/src/main/java/willowdoor/front/discovery/RosterNews.java
+++ b/front/src/main/java/willowdoor/front/discovery/BackendListUpdate.java
@@ -19,14 +19,14 @@
  * One message of discovery: the entries for the module, and where each backend listens, seen from
  * here.
  */
-public record RosterNews(
-    long version, boolean full, List<BackendEntry> entries, Map<Long, SocketAddress> places) {
+public record BackendListUpdate(
+    long version, boolean full, List<BackendEntry> entries, Map<Long, SocketAddress> addresses) {
 
   private static final JsonFactory JSON = new JsonFactory();
-  private static final int MOST_BACKENDS = 10_000;
+  private static final int MAX_BACKENDS = 10_000;
 
   /** Every machine reads the same clock, and each a little differently. */
-  private static final double MOST_AHEAD_MS = 60_000;
+  private static final double MAX_CLOCK_SKEW_MS = 60_000;
 
   /**
    * Reads what discovery has told.
@@ -35,7 +35,7 @@
    * @throws IOException where it is not as the protocol has it in any part: then none of it is to
    *     be believed
    */
-  public static RosterNews parse(byte[] line, double now) throws IOException {
+  public static BackendListUpdate parse(byte[] line, double now) throws IOException {
     try (JsonParser in = JSON.createParser(line)) {
       in.nextToken();
       Map<String, Object> message = JsonFields.object(in);
@@ -47,19 +47,19 @@
       if (!(message.getOrDefault("full", false) instanceof Boolean)) {
         throw new IOException("a message that may be the whole list or not");
       }
-      RosterNews news = of(message);
-      for (BackendEntry e : news.entries) {
-        if (e.startedMs() > now + MOST_AHEAD_MS) {
+      BackendListUpdate update = of(message);
+      for (BackendEntry e : update.entries) {
+        if (e.startedMs() > now + MAX_CLOCK_SKEW_MS) {
           throw new IOException("a backend that is yet to start");
         }
       }
-      return news;
+      return update;
     }
   }
 
-  public static RosterNews of(Map<String, Object> message) throws IOException {
+  public static BackendListUpdate of(Map<String, Object> message) throws IOException {
     List<Map<String, Object>> servers = JsonFields.children(message, "servers");
-    if (servers.size() > MOST_BACKENDS) {
+    if (servers.size() > MAX_BACKENDS) {
       throw new IOException("a list of " + servers.size() + " backends");
     }
     if (message.get("servers") instanceof List<?> all && all.size() > servers.size()) {
@@ -77,7 +77,7 @@
       }
       entries.add(entry);
     }
-    return new RosterNews(
+    return new BackendListUpdate(
         (long) JsonFields.number(message, "version"),
         Boolean.TRUE.equals(message.get("full")),
         entries,
@@ -100,7 +100,7 @@
       throw new IOException("a backend with a weight below nothing: " + id);
     }
     return new BackendEntry(
-        number(id),
+        hashId(id),
         JsonFields.text(fields, "zone"),
         (int) amount(fields, "cell", 0),
         phase,
@@ -110,10 +110,10 @@
 
   private static double amount(Map<String, Object> fields, String name, double absent)
       throws IOException {
-    Object told = fields.get(name);
+    Object value = fields.get(name);
     double amount = JsonFields.number(fields, name, absent);
-    if (told != null && !(told instanceof Number) || !Double.isFinite(amount)) {
-      throw new IOException("a backend with a " + name + " of " + told);
+    if (value != null && !(value instanceof Number) || !Double.isFinite(amount)) {
+      throw new IOException("a backend with a " + name + " of " + value);
     }
     return amount;
   }
@@ -121,7 +121,7 @@
   /**
    * A backend's name as the number that the module knows it by: FNV-1a, alike at every front door.
    */
-  public static long number(String id) {
+  public static long hashId(String id) {
     long hash = 0xcbf29ce484222325L;
     for (byte b : id.getBytes(StandardCharsets.UTF_8)) {
       hash = (hash ^ b & 0xff) * 0x100000001b3L;
--- a/front/src/main/java/willowdoor/front/discovery/DiscoveryClient.java
+++ b/front/src/main/java/willowdoor/front/discovery/DiscoveryClient.java
@@ -29,24 +29,24 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 import willowdoor.front.loop.Clock;
-import willowdoor.front.loop.Tally;
+import willowdoor.front.loop.EventCounters;
 import willowdoor.front.loop.Transport;
 
 /**
- * The sockets of the watch of the list, which {@link Watch} decides on; while there is none the
- * last list stays in use. All on the event loop's thread.
+ * The sockets of the watch of the list, which {@link WatchStateMachine} decides on; while there is
+ * none the last list stays in use. All on the event loop's thread.
  */
 public final class DiscoveryClient {
 
   private static final Logger LOG = Logger.getLogger(DiscoveryClient.class.getName());
-  private static final long LOOK_MS = 25;
+  private static final long CHECK_INTERVAL_MS = 25;
 
   private final EventLoop loop;
   private final Clock clock;
-  private final Tally tally;
-  private final Consumer<RosterNews> listener;
+  private final EventCounters tally;
+  private final Consumer<BackendListUpdate> listener;
   private final Bootstrap bootstrap;
-  private final Watch watch;
+  private final WatchStateMachine watch;
   private final Promise<Void> caughtUp;
   private InetSocketAddress agent;
 
@@ -59,15 +59,15 @@
       Clock clock,
       InetSocketAddress agent,
       long version,
-      Tally tally,
-      Consumer<RosterNews> listener) {
+      EventCounters tally,
+      Consumer<BackendListUpdate> listener) {
     this.loop = loop;
     this.clock = clock;
     this.agent = agent;
     this.tally = tally;
     this.listener = listener;
     caughtUp = loop.newPromise();
-    watch = new Watch(version, () -> ThreadLocalRandom.current().nextDouble());
+    watch = new WatchStateMachine(version, () -> ThreadLocalRandom.current().nextDouble());
     bootstrap =
         transport
             .client(loop)
@@ -75,15 +75,18 @@
                 new ChannelInitializer<Channel>() {
                   @Override
                   protected void initChannel(Channel opened) {
-                    opened.pipeline().addLast(new HttpClientCodec(), new Answer());
+                    opened.pipeline().addLast(new HttpClientCodec(), new ResponseHandler());
                   }
                 });
   }
 
   public void start() {
-    take(() -> watch.start(clock.now()));
+    apply(() -> watch.start(clock.now()));
     loop.scheduleWithFixedDelay(
-        () -> take(() -> watch.look(clock.now())), LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
+        () -> apply(() -> watch.check(clock.now())),
+        CHECK_INTERVAL_MS,
+        CHECK_INTERVAL_MS,
+        TimeUnit.MILLISECONDS);
   }
 
   /** Comes to pass once the list is as new as can be had. */
@@ -94,33 +97,33 @@
   /** From now on the list comes from another address. */
   public void moveTo(InetSocketAddress next) {
     agent = next;
-    take(() -> watch.moved(clock.now()));
+    apply(() -> watch.onAddressChanged(clock.now()));
   }
 
   /**
    * Carries out what the watch decides on; a fault in that costs the present try, and never the
    * looks.
    */
-  private void take(Supplier<List<Watch.Effect>> decision) {
+  private void apply(Supplier<List<WatchStateMachine.Effect>> decision) {
     try {
       decision.get().forEach(this::execute);
-      if (watch.caughtUp() != null && caughtUp.trySuccess(null)) {
-        LOG.info(watch.caughtUp());
+      if (watch.caughtUpReason() != null && caughtUp.trySuccess(null)) {
+        LOG.info(watch.caughtUpReason());
       }
     } catch (RuntimeException e) {
       LOG.log(Level.SEVERE, "the watch failed", e);
-      watch.ended(clock.now()).forEach(this::execute);
+      watch.onClosed(clock.now()).forEach(this::execute);
     }
   }
 
-  private void execute(Watch.Effect effect) {
-    if (effect instanceof Watch.Effect.Open open) {
+  private void execute(WatchStateMachine.Effect effect) {
+    if (effect instanceof WatchStateMachine.Effect.Open open) {
       connect(open.version());
-    } else if (effect instanceof Watch.Effect.Deliver deliver) {
-      listener.accept(deliver.news());
-    } else if (effect instanceof Watch.Effect.Close close) {
+    } else if (effect instanceof WatchStateMachine.Effect.Deliver deliver) {
+      listener.accept(deliver.update());
+    } else if (effect instanceof WatchStateMachine.Effect.Close close) {
       if (close.unreadable()) {
-        tally.count(Tally.Event.DISCOVERY_UNREADABLE);
+        tally.count(EventCounters.Event.DISCOVERY_UNREADABLE);
       }
       Channel ending = channel;
       channel = null;
@@ -141,7 +144,7 @@
           if (opened != channel) {
             opened.close();
           } else if (!f.isSuccess()) {
-            take(() -> watch.ended(clock.now()));
+            apply(() -> watch.onClosed(clock.now()));
           } else {
             opened.closeFuture().addListener(closed -> ended(opened));
             DefaultFullHttpRequest request =
@@ -154,7 +157,7 @@
                 .set(
                     HttpHeaderNames.HOST,
                     agent.getAddress().getHostAddress() + ":" + agent.getPort());
-            watch.connected(clock.now());
+            watch.onConnected(clock.now());
             opened.writeAndFlush(request);
           }
         });
@@ -163,7 +166,7 @@
   /** A try that was given up ends without consequence. */
   private void ended(Channel ending) {
     if (ending == channel) {
-      take(() -> watch.ended(clock.now()));
+      apply(() -> watch.onClosed(clock.now()));
     }
   }
 
@@ -171,7 +174,7 @@
    * Passes on the bytes of the answer's body, in which lines, objects and chunks end where they
    * like.
    */
-  private final class Answer extends SimpleChannelInboundHandler<HttpObject> {
+  private final class ResponseHandler extends SimpleChannelInboundHandler<HttpObject> {
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
       if (ctx.channel() != channel) {
@@ -183,11 +186,11 @@
         return;
       }
       if (part instanceof HttpResponse) {
-        watch.answered(clock.now());
+        watch.onResponseHead(clock.now());
       }
       if (part instanceof HttpContent content && content.content().isReadable()) {
         byte[] bytes = ByteBufUtil.getBytes(content.content());
-        take(() -> watch.body(clock.now(), bytes));
+        apply(() -> watch.onBody(clock.now(), bytes));
       }
       if (part instanceof LastHttpContent) {
         ended(ctx.channel());
--- a/front/src/main/java/willowdoor/front/discovery/ListScanner.java
+++ b/front/src/main/java/willowdoor/front/discovery/JsonObjectScanner.java
@@ -8,21 +8,21 @@
  * Cuts what a watch brings into whole JSON objects, however they are laid out over lines and over
  * reads. What stands between them is white space: the empty lines that show that the watch lives.
  */
-final class ListScanner {
+final class JsonObjectScanner {
 
-  private static final int MOST_BYTES = 4 << 20;
+  private static final int MAX_OBJECT_BYTES = 4 << 20;
 
   private ByteArrayOutputStream object = new ByteArrayOutputStream();
   private int depth;
   private boolean inString;
   private boolean escaped;
-  private boolean junk;
+  private boolean malformed;
 
   /** The objects that end with these bytes, in order. */
   List<byte[]> read(byte[] bytes) {
     List<byte[]> whole = new ArrayList<>(1);
     int from = 0;
-    for (int i = 0; i < bytes.length && !junk; i++) {
+    for (int i = 0; i < bytes.length && !malformed; i++) {
       boolean between = depth == 0;
       step(bytes[i]);
       if (between) {
@@ -35,7 +35,7 @@
     }
     if (depth > 0) {
       object.write(bytes, from, bytes.length - from);
-      junk |= object.size() > MOST_BYTES;
+      malformed |= object.size() > MAX_OBJECT_BYTES;
     }
     return whole;
   }
@@ -51,12 +51,12 @@
     } else if (depth > 0) {
       inString = b == '"';
     } else {
-      junk = b != '\n' && b != '\r' && b != ' ' && b != '\t';
+      malformed = b != '\n' && b != '\r' && b != ' ' && b != '\t';
     }
   }
 
   /** Whether an object has begun and not ended. */
-  boolean inside() {
+  boolean insideObject() {
     return depth > 0;
   }
 
@@ -64,7 +64,7 @@
    * Whether something came that is neither an object nor white space, or an object beyond all
    * bounds.
    */
-  boolean junk() {
-    return junk;
+  boolean malformed() {
+    return malformed;
   }
 }
--- a/front/src/main/java/willowdoor/front/loop/Descriptors.java
+++ b/front/src/main/java/willowdoor/front/loop/Descriptors.java
@@ -18,18 +18,18 @@
    * discovery, which are there twice for a moment when their addresses change; and the operators'
    * share.
    */
-  private static final int OWN = 48 + OPERATORS;
+  private static final int RESERVED = 48 + OPERATORS;
 
   /** Connections over the clients' bound that are still told so. */
   private static final int REFUSED = 16;
 
-  private static final int LEAST = 96;
+  private static final int MIN_SOCKETS = 96;
 
   public static Descriptors of(int sockets) throws IOException {
-    if (sockets < LEAST) {
-      throw new IOException("limits.sockets is under " + LEAST + ": " + sockets);
+    if (sockets < MIN_SOCKETS) {
+      throw new IOException("limits.sockets is under " + MIN_SOCKETS + ": " + sockets);
     }
-    int left = sockets - OWN - REFUSED;
+    int left = sockets - RESERVED - REFUSED;
     return new Descriptors(left / 2, REFUSED, left / 2);
   }
 }
--- a/front/src/main/java/willowdoor/front/loop/Tally.java
+++ b/front/src/main/java/willowdoor/front/loop/EventCounters.java
@@ -6,9 +6,9 @@
  * Counts what is worth knowing on a bad day, and writes one line of it now and then: what did not
  * happen since the last line is left out. On the event loop's thread.
  */
-public final class Tally {
+public final class EventCounters {
 
-  private static final Logger LOG = Logger.getLogger(Tally.class.getName());
+  private static final Logger LOG = Logger.getLogger(EventCounters.class.getName());
 
   /** What is counted. */
   public enum Event {
@@ -36,26 +36,26 @@
   private static final Event[] EVENTS = Event.values();
 
   /** Attempts are told apart by how many of these parts of the request's time were left. */
-  private static final int PARTS = 4;
+  private static final int TIME_BUCKETS = 4;
 
   private final long[] counts = new long[EVENTS.length];
-  private final long[] began = new long[PARTS];
+  private final long[] attemptsByTimeLeft = new long[TIME_BUCKETS];
 
   public void count(Event event) {
     counts[event.ordinal()]++;
   }
 
   /** Counts an attempt that began with so much of the request's time left, from 0 to 1. */
-  public void began(double shareLeft) {
-    began[(int) Math.min(PARTS - 1, shareLeft * PARTS)]++;
+  public void countAttempt(double shareLeft) {
+    attemptsByTimeLeft[(int) Math.min(TIME_BUCKETS - 1, shareLeft * TIME_BUCKETS)]++;
   }
 
   /** Writes what was counted since the last line behind the caller's present figures. */
   public void log(String present) {
-    LOG.info(line(present));
+    LOG.info(formatLine(present));
   }
 
-  public String line(String present) {
+  public String formatLine(String present) {
     StringBuilder line = new StringBuilder(present);
     for (Event e : EVENTS) {
       if (counts[e.ordinal()] > 0) {
@@ -63,10 +63,13 @@
         counts[e.ordinal()] = 0;
       }
     }
-    for (int i = PARTS - 1; i >= 0; i--) {
-      if (began[i] > 0) {
-        line.append(" began_with_").append(100 * i / PARTS).append("%=").append(began[i]);
-        began[i] = 0;
+    for (int i = TIME_BUCKETS - 1; i >= 0; i--) {
+      if (attemptsByTimeLeft[i] > 0) {
+        line.append(" began_with_")
+            .append(100 * i / TIME_BUCKETS)
+            .append("%=")
+            .append(attemptsByTimeLeft[i]);
+        attemptsByTimeLeft[i] = 0;
       }
     }
     return line.toString();
--- a/front/src/main/java/willowdoor/front/loop/Transport.java
+++ b/front/src/main/java/willowdoor/front/loop/Transport.java
@@ -50,14 +50,15 @@
               true);
 
   /** Channels within the process, for a warm-up: no socket is opened. */
-  public static final Transport INSIDE =
+  public static final Transport IN_PROCESS =
       new Transport(
           LocalIoHandler.newFactory(), LocalChannel.class, LocalServerChannel.class, false);
 
   private static final int BACKLOG = 512;
 
   /** How much may wait to be written to a peer before nothing more is read for it. */
-  public static final WriteBufferWaterMark QUEUE = new WriteBufferWaterMark(8 * 1024, 16 * 1024);
+  public static final WriteBufferWaterMark WRITE_BUFFER_LIMITS =
+      new WriteBufferWaterMark(8 * 1024, 16 * 1024);
 
   /** For connections from here: what is written goes out at once. */
   public Bootstrap client(EventLoop loop) {
@@ -77,7 +78,7 @@
   }
 
   /** Reads 32 KiB at most at once. */
-  public static RecvByteBufAllocator piece() {
+  public static RecvByteBufAllocator readBufferAllocator() {
     return new AdaptiveRecvByteBufAllocator(512, 2_048, 32 * 1024);
   }
 
--- a/front/src/main/java/willowdoor/front/operators/Management.java
+++ b/front/src/main/java/willowdoor/front/operators/Management.java
@@ -48,19 +48,19 @@
 public final class Management {
 
   /** Of its descriptors the rest is for one that is about to be turned away, and its own. */
-  private static final int MOST_CALLERS = Descriptors.OPERATORS - 6;
+  private static final int MAX_CONNECTIONS = Descriptors.OPERATORS - 6;
 
   /**
    * A caller without a whole call loses its connection after this, or sooner where room is needed.
    */
-  private static final long CALL_MS = 4_500;
+  private static final long REQUEST_TIMEOUT_MS = 4_500;
 
   /** An answer is due within 1 s. */
-  private static final long ANSWER_MS = 850;
+  private static final long CHANGE_TIMEOUT_MS = 850;
 
-  private static final int MOST_LINE = 1_024;
-  private static final int MOST_HEADERS = 4_096;
-  private static final int MOST_BODY = 4_096;
+  private static final int MAX_LINE_BYTES = 1_024;
+  private static final int MAX_HEADER_BYTES = 4_096;
+  private static final int MAX_BODY_BYTES = 4_096;
 
   private static final JsonFactory JSON =
       JsonFactory.builder().enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION).build();
@@ -74,7 +74,7 @@
     Future<Boolean> drain(boolean on);
 
     /** Takes a template server out or puts it back; false where it is not known. */
-    Future<Boolean> ban(String host, boolean out);
+    Future<Boolean> setExcluded(String host, boolean out);
   }
 
   private final EventLoopGroup group =
@@ -110,8 +110,8 @@
                       channel
                           .pipeline()
                           .addLast(
-                              new HttpServerCodec(MOST_LINE, MOST_HEADERS, MOST_BODY),
-                              new HttpObjectAggregator(MOST_BODY),
+                              new HttpServerCodec(MAX_LINE_BYTES, MAX_HEADER_BYTES, MAX_BODY_BYTES),
+                              new HttpObjectAggregator(MAX_BODY_BYTES),
                               management.new Caller());
                     }
                   })
@@ -149,7 +149,7 @@
     public void channelActive(ChannelHandlerContext ctx) {
       channel = ctx.channel();
       callers++;
-      if (callers > MOST_CALLERS) {
+      if (callers > MAX_CONNECTIONS) {
         Caller oldest = incomplete.isEmpty() ? this : incomplete.iterator().next();
         oldest.channel.close();
       }
@@ -157,8 +157,8 @@
         incomplete.add(this);
         Future<?> limit =
             loop.schedule(
-                () -> incomplete(HttpResponseStatus.REQUEST_TIMEOUT),
-                CALL_MS,
+                () -> onIncomplete(HttpResponseStatus.REQUEST_TIMEOUT),
+                REQUEST_TIMEOUT_MS,
                 TimeUnit.MILLISECONDS);
         channel.closeFuture().addListener(f -> limit.cancel(false));
       }
@@ -172,7 +172,7 @@
       ctx.fireChannelInactive();
     }
 
-    private void incomplete(HttpResponseStatus status) {
+    private void onIncomplete(HttpResponseStatus status) {
       if (incomplete.contains(this)) {
         answer(status, status.reasonPhrase());
       }
@@ -189,7 +189,7 @@
       }
       switch (call.uri()) {
         case "/api/ready" -> {
-          if (uses(HttpMethod.GET, call)) {
+          if (checkMethod(HttpMethod.GET, call)) {
             boolean ready = operator.ready();
             answer(
                 ready ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
@@ -197,21 +197,23 @@
           }
         }
         case "/api/evacuate", "/api/rejoin" -> {
-          if (uses(HttpMethod.PUT, call)) {
-            changed(call.uri(), operator.drain(call.uri().equals("/api/evacuate")));
+          if (checkMethod(HttpMethod.PUT, call)) {
+            answerChange(call.uri(), operator.drain(call.uri().equals("/api/evacuate")));
           }
         }
         case "/api/exclude", "/api/include" -> {
-          String host = uses(HttpMethod.PUT, call) ? host(call) : null;
+          String host = checkMethod(HttpMethod.PUT, call) ? host(call) : null;
           if (host != null) {
-            changed(call.uri() + ' ' + host, operator.ban(host, call.uri().equals("/api/exclude")));
+            answerChange(
+                call.uri() + ' ' + host,
+                operator.setExcluded(host, call.uri().equals("/api/exclude")));
           }
         }
         default -> answer(HttpResponseStatus.NOT_FOUND, "no such call");
       }
     }
 
-    private boolean uses(HttpMethod method, FullHttpRequest call) {
+    private boolean checkMethod(HttpMethod method, FullHttpRequest call) {
       boolean uses = call.method().equals(method);
       if (!uses) {
         answer(HttpResponseStatus.METHOD_NOT_ALLOWED, "use " + method);
@@ -241,10 +243,10 @@
     }
 
     /** Answers a change once it is in force, or in time that it is not yet. */
-    private void changed(String name, Future<Boolean> change) {
+    private void answerChange(String name, Future<Boolean> change) {
       loop.schedule(
           () -> answer(HttpResponseStatus.SERVICE_UNAVAILABLE, "not in force yet: call again"),
-          ANSWER_MS,
+          CHANGE_TIMEOUT_MS,
           TimeUnit.MILLISECONDS);
       change.addListener(
           f ->
--- a/front/src/main/java/willowdoor/front/operators/OperatorFile.java
+++ b/front/src/main/java/willowdoor/front/operators/OperatorFile.java
@@ -65,7 +65,7 @@
   }
 
   /** What is in the file now if that changed since it was last looked at, else what it was. */
-  public State look() {
+  public State refresh() {
     Object found = version();
     if (!Objects.equals(found, version)) {
       version = found;
@@ -80,7 +80,7 @@
             FileChannel.open(beside(".lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         FileLock held = channel.lock()) {
       Objects.requireNonNull(held);
-      State changed = change.apply(look());
+      State changed = change.apply(refresh());
       Path whole = beside(".new");
       try (OutputStream out = Files.newOutputStream(whole);
           JsonGenerator json = JSON.createGenerator(out)) {
--- a/front/src/main/java/willowdoor/front/requests/ModuleDriver.java
+++ b/front/src/main/java/willowdoor/front/requests/ModuleDriver.java
@@ -10,9 +10,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import willowdoor.front.discovery.RosterNews;
+import willowdoor.front.discovery.BackendListUpdate;
 import willowdoor.front.loop.Clock;
-import willowdoor.front.loop.Tally;
+import willowdoor.front.loop.EventCounters;
 import willowdoor.policy.GatewayApi.Action;
 import willowdoor.policy.GatewayApi.AddToCounter;
 import willowdoor.policy.GatewayApi.BackendExclusion;
@@ -45,7 +45,7 @@
 
   /** Where attempts go, each to its one end. */
   public interface Servers {
-    void onRoster(RosterNews news);
+    void onRoster(BackendListUpdate news);
 
     /** Ends all that has not reached the backend yet. */
     void cut(long backend);
@@ -88,7 +88,7 @@
   private final Clock clock;
   private final QuotaPolicy policy;
   private final Servers backends;
-  private final Tally tally;
+  private final EventCounters tally;
   private Calls counter;
   private final Map<String, Live> live = new HashMap<>();
   private final Inbox inbox;
@@ -96,7 +96,7 @@
   private double processEndsAt = Double.POSITIVE_INFINITY;
 
   public ModuleDriver(
-      EventLoop loop, Clock clock, QuotaPolicy policy, Servers backends, Tally tally) {
+      EventLoop loop, Clock clock, QuotaPolicy policy, Servers backends, EventCounters tally) {
     this.tally = tally;
     this.loop = loop;
     this.clock = clock;
@@ -105,7 +105,7 @@
     inbox = new Inbox(loop, clock, this::step);
   }
 
-  public void start(Calls counter, RosterNews known) {
+  public void start(Calls counter, BackendListUpdate known) {
     this.counter = counter;
     policy.start(clock.now()).forEach(this::execute);
     backends.onRoster(known);
@@ -181,7 +181,7 @@
    * before it hears of the attempts that the list ends, or it would send them to the same places
    * again.
    */
-  public void onRoster(RosterNews news) {
+  public void onRoster(BackendListUpdate news) {
     inbox.addList(
         new BackendList(
             news.full() ? BackendListKind.COMPLETE : BackendListKind.CHANGES, news.entries()),
@@ -190,12 +190,12 @@
 
   /** Whether operators may name this backend. */
   public boolean knows(String host) {
-    return policy.isKnown(RosterNews.number(host));
+    return policy.isKnown(BackendListUpdate.hashId(host));
   }
 
   /** Takes a backend out or puts it back. */
   public void ban(String host, boolean out) {
-    long id = RosterNews.number(host);
+    long id = BackendListUpdate.hashId(host);
     deliver(new BackendExclusion(id, out));
     if (out) {
       backends.cut(id);
@@ -213,7 +213,7 @@
   }
 
   void lastCall(Live r) {
-    tally.count(Tally.Event.LAST_CALL);
+    tally.count(EventCounters.Event.LAST_CALL);
     fail(r);
   }
 
@@ -325,7 +325,7 @@
     double now = clock.now();
     double own = a.timeoutMs() > 0 ? a.timeoutMs() : Double.POSITIVE_INFINITY;
     double limit = r.budget.limitMs(own, now);
-    tally.began(r.budget.shareLeft(now));
+    tally.countAttempt(r.budget.shareLeft(now));
     Sent attempt = new Sent(r, number, a.backend(), now + limit, a.writtenByMs());
     attempt.startTimer(after(limit, () -> attempt.abandon(attempt.overdue())));
     r.attempts.add(attempt);
--- a/front/src/main/java/willowdoor/front/servers/BackendConnection.java
+++ b/front/src/main/java/willowdoor/front/servers/BackendConnection.java
@@ -20,7 +20,7 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import java.io.IOException;
 import java.nio.ByteBuffer;
-import willowdoor.front.loop.Tally;
+import willowdoor.front.loop.EventCounters;
 import willowdoor.front.requests.Attempt;
 import willowdoor.front.requests.Headers;
 import willowdoor.policy.GatewayApi.Status;
@@ -33,13 +33,13 @@
    * Answers that tell a length up to this are passed on when whole, so that a cut one can be tried
    * again.
    */
-  private static final int MOST_HELD = 64 * 1024;
+  private static final int MAX_BUFFERED_BYTES = 64 * 1024;
 
   /** So much of an answer that tells no length is held before it is passed on as it comes. */
-  private static final int HELD_UNTOLD = 16 * 1024;
+  private static final int MAX_BUFFERED_UNKNOWN_LENGTH_BYTES = 16 * 1024;
 
   /** What a look reads is of no use: the connection is closed behind it. */
-  private static final ByteBuffer LOOK = ByteBuffer.allocateDirect(1);
+  private static final ByteBuffer PROBE_BUFFER = ByteBuffer.allocateDirect(1);
 
   private final BackendPool pool;
   final BackendPool.Backend backend;
@@ -47,13 +47,13 @@
   /** The backend's as this connection was begun. */
   final int generation;
 
-  private final Tally tally;
-  private final AnswerDecoder decoder = new AnswerDecoder();
+  private final EventCounters counters;
+  private final ResponseDecoder decoder = new ResponseDecoder();
   private Channel channel;
   private Attempt current;
 
   /** The one that was carried last, also when it has ended. */
-  private Attempt latest;
+  private Attempt lastAttempt;
 
   /**
    * The answer that is being read: its head, what is held of its body, whether it is passed on
@@ -61,26 +61,27 @@
    */
   private HttpResponse head;
 
-  private ByteBuf held;
-  private boolean begun;
+  private ByteBuf bufferedBody;
+  private boolean forwarding;
 
   /** Answered in full, but what else the backend sent with that answer is not looked at yet. */
-  private boolean answered;
+  private boolean responseComplete;
 
   /** It has carried a request before the one that it carries. */
-  private boolean used;
+  private boolean reused;
 
   double idleSince;
 
-  BackendConnection(BackendPool pool, BackendPool.Backend backend, int generation, Tally tally) {
+  BackendConnection(
+      BackendPool pool, BackendPool.Backend backend, int generation, EventCounters counters) {
     this.pool = pool;
     this.backend = backend;
     this.generation = generation;
-    this.tally = tally;
+    this.counters = counters;
   }
 
   /** Reads answers; to be put into the channel's pipeline ahead of this. */
-  AnswerDecoder decoder() {
+  ResponseDecoder decoder() {
     return decoder;
   }
 
@@ -90,17 +91,17 @@
   }
 
   boolean usable() {
-    return channel.isActive() && !decoder.holdsRest();
+    return channel.isActive() && !decoder.hasUnconsumedData();
   }
 
   /**
    * Whether the kernel has neither bytes nor an end of it: the loop may not have looked since they
    * came.
    */
-  boolean silent() {
+  boolean nothingToRead() {
     try {
       return !(channel instanceof UnixChannel u && u.fd() instanceof Socket socket)
-          || socket.recv(LOOK, 0, LOOK.capacity()) == 0;
+          || socket.recv(PROBE_BUFFER, 0, PROBE_BUFFER.capacity()) == 0;
     } catch (IOException e) {
       return false;
     }
@@ -116,7 +117,7 @@
    */
   @Override
   public void abort() {
-    if (latest != null && latest.written() && !latest.message().leavesAtOnce()) {
+    if (lastAttempt != null && lastAttempt.written() && !lastAttempt.message().leavesAtOnce()) {
       try {
         channel.config().setOption(ChannelOption.SO_LINGER, 0);
       } catch (ChannelException e) {
@@ -132,9 +133,9 @@
   }
 
   /** Writes the attempt's request; nothing below the module ever writes it again. */
-  void carry(Attempt attempt) {
+  void send(Attempt attempt) {
     current = attempt;
-    latest = attempt;
+    lastAttempt = attempt;
     attempt.carriedBy(this);
     HttpRequest request = attempt.message().message(pool.leftMs(attempt));
     if (attempt.message().whole()) {
@@ -156,13 +157,13 @@
   private void written(Attempt attempt, ChannelFuture write, boolean last) {
     if (write
         .isDone()) { // listeners may be called later, and what ends the attempt meanwhile must know
-      writeEnded(attempt, write, last);
+      onWriteComplete(attempt, write, last);
     } else {
-      write.addListener((ChannelFuture f) -> writeEnded(attempt, f, last));
+      write.addListener((ChannelFuture f) -> onWriteComplete(attempt, f, last));
     }
   }
 
-  private void writeEnded(Attempt attempt, ChannelFuture write, boolean last) {
+  private void onWriteComplete(Attempt attempt, ChannelFuture write, boolean last) {
     attempt.written(last && write.isSuccess());
     if (!write.isSuccess()) {
       attempt.abandon(Status.UNREACHABLE);
@@ -197,28 +198,30 @@
   @Override
   protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
     if (part.decoderResult().isFailure()) {
-      junk(Tally.Event.ANSWER_UNREADABLE);
+      onProtocolError(EventCounters.Event.ANSWER_UNREADABLE);
       return;
     }
     if (part instanceof HttpResponse response) {
       if (current == null) {
-        junk(Tally.Event.ANSWER_UNASKED);
+        onProtocolError(EventCounters.Event.ANSWER_UNASKED);
         return;
       }
       head = response;
       if (head.status().codeClass() != HttpStatusClass.INFORMATIONAL) {
         current.onHead();
       }
-      if (served() && !current.written() && (used || current.message().whole())) {
-        junk(Tally.Event.ANSWER_UNASKED); // a backend begins a request once its last byte has come
+      if (isOk() && !current.written() && (reused || current.message().whole())) {
+        onProtocolError(
+            EventCounters.Event
+                .ANSWER_UNASKED); // a backend begins a request once its last byte has come
         return;
       }
-      if (served() && !framed(head) && HttpUtil.isKeepAlive(head)) {
-        junk(Tally.Event.ANSWER_UNREADABLE);
+      if (isOk() && !hasFraming(head) && HttpUtil.isKeepAlive(head)) {
+        onProtocolError(EventCounters.Event.ANSWER_UNREADABLE);
         return;
       }
-      if (served() && Headers.bodyLength(head) > MOST_HELD) {
-        begin();
+      if (isOk() && Headers.bodyLength(head) > MAX_BUFFERED_BYTES) {
+        startForwarding();
       }
     }
     if (part instanceof HttpContent content && head != null) {
@@ -226,7 +229,7 @@
     }
   }
 
-  private boolean served() {
+  private boolean isOk() {
     return head.status().equals(HttpResponseStatus.OK);
   }
 
@@ -236,70 +239,71 @@
       head = last ? null : head;
       return;
     }
-    if (served() && content.content().isReadable()) {
-      if (begun) {
+    if (isOk() && content.content().isReadable()) {
+      if (forwarding) {
         current.onPiece(content.content().retain());
       } else {
-        hold(content.content());
+        buffer(content.content());
       }
     }
     if (last && head != null) {
-      finish();
+      completeResponse();
     }
   }
 
-  private void hold(ByteBuf piece) {
-    if (held == null) {
-      held = channel.alloc().buffer(piece.readableBytes());
+  private void buffer(ByteBuf piece) {
+    if (bufferedBody == null) {
+      bufferedBody = channel.alloc().buffer(piece.readableBytes());
     }
-    held.writeBytes(piece);
-    if (Headers.bodyLength(head) < 0 && held.readableBytes() > HELD_UNTOLD) {
-      begin();
+    bufferedBody.writeBytes(piece);
+    if (Headers.bodyLength(head) < 0
+        && bufferedBody.readableBytes() > MAX_BUFFERED_UNKNOWN_LENGTH_BYTES) {
+      startForwarding();
     }
   }
 
   /** Passes the answer on from here on as it comes. */
-  private void begin() {
+  private void startForwarding() {
     if (!current.onBegin(head)) {
       Attempt attempt = current;
-      forget();
+      clearCurrent();
       attempt.abandon(Status.CANCELLED);
       abort();
       return;
     }
-    begun = true;
-    if (held != null) {
-      ByteBuf piece = held;
-      held = null;
+    forwarding = true;
+    if (bufferedBody != null) {
+      ByteBuf piece = bufferedBody;
+      bufferedBody = null;
       current.onPiece(piece);
     }
   }
 
   /** An answer that nobody asked for, or one that does not parse: nothing behind it can be read. */
-  private void junk(Tally.Event what) {
-    tally.count(what);
-    pool.unasked(this);
-    broken();
+  private void onProtocolError(EventCounters.Event what) {
+    counters.count(what);
+    pool.onUnsolicitedData(this);
+    fail();
   }
 
-  private void finish() {
+  private void completeResponse() {
     Attempt attempt = current;
     HttpResponse answer = head;
-    ByteBuf body = held;
-    held = null;
-    forget();
-    used = true;
+    ByteBuf body = bufferedBody;
+    bufferedBody = null;
+    clearCurrent();
+    reused = true;
     // An answer ahead of the request's end leaves the connection out of step.
-    answered =
-        attempt.written() && !attempt.ended() && HttpUtil.isKeepAlive(answer) && framed(answer);
-    Status status = AnswerDecoder.status(answer);
-    HttpResponse told = status == Status.OK ? answer : null;
+    responseComplete =
+        attempt.written() && !attempt.ended() && HttpUtil.isKeepAlive(answer) && hasFraming(answer);
+    Status status = ResponseDecoder.status(answer);
+    HttpResponse forwarded = status == Status.OK ? answer : null;
     try {
-      if (answered) {
+      if (responseComplete) {
         read(true);
-        attempt.end(status, told, body);
+        attempt.end(status, forwarded, body);
       } else {
-        attempt.endClosed(status, told, body);
+        attempt.endClosed(status, forwarded, body);
         abort();
       }
     } finally {
@@ -309,14 +313,14 @@
     }
   }
 
-  private void forget() {
+  private void clearCurrent() {
     current = null;
     head = null;
-    begun = false;
-    answered = false;
-    if (held != null) {
-      held.release();
-      held = null;
+    forwarding = false;
+    responseComplete = false;
+    if (bufferedBody != null) {
+      bufferedBody.release();
+      bufferedBody = null;
     }
   }
 
@@ -324,7 +328,7 @@
    * Whether a cut of the answer can be seen. Where the connection's end is the body's end, only a
    * reset tells of one, so the backend must have said that it closes.
    */
-  private static boolean framed(HttpResponse head) {
+  private static boolean hasFraming(HttpResponse head) {
     return HttpUtil.isContentLengthSet(head) || HttpUtil.isTransferEncodingChunked(head);
   }
 
@@ -334,34 +338,34 @@
    */
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
-    if (answered) {
-      answered = false;
+    if (responseComplete) {
+      responseComplete = false;
       if (usable()) {
         pool.release(this);
       } else {
         ctx.close();
       }
-    } else if (current == null && decoder.holdsRest()) {
-      junk(Tally.Event.ANSWER_UNASKED);
+    } else if (current == null && decoder.hasUnconsumedData()) {
+      onProtocolError(EventCounters.Event.ANSWER_UNASKED);
     }
     ctx.fireChannelReadComplete();
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    pool.closed(this);
-    broken();
+    pool.onClosed(this);
+    fail();
   }
 
   /** A reset, or a fault of ours: this connection is of no more use, and its end ends no answer. */
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-    broken();
+    fail();
   }
 
-  private void broken() {
+  private void fail() {
     Attempt attempt = current;
-    forget();
+    clearCurrent();
     if (attempt != null) {
       attempt.abandon(attempt.broken());
     }
--- a/front/src/main/java/willowdoor/front/servers/BackendPool.java
+++ b/front/src/main/java/willowdoor/front/servers/BackendPool.java
@@ -17,9 +17,9 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongPredicate;
-import willowdoor.front.discovery.RosterNews;
+import willowdoor.front.discovery.BackendListUpdate;
 import willowdoor.front.loop.Clock;
-import willowdoor.front.loop.Tally;
+import willowdoor.front.loop.EventCounters;
 import willowdoor.front.loop.Transport;
 import willowdoor.front.requests.Attempt;
 import willowdoor.front.requests.ModuleDriver;
@@ -37,7 +37,7 @@
    * An idle connection is retired at this share of the backends' own limit, well before they close
    * it.
    */
-  private static final double RETIRE_AT = 0.6;
+  private static final double RETIRE_SHARE = 0.6;
 
   private static final long SWEEP_MS = 500;
 
@@ -52,18 +52,18 @@
    * nothing in the protocol ties an answer to its request, and a second one may come some
    * milliseconds late.
    */
-  static final double REST_MS = 20;
+  static final double REUSE_DELAY_MS = 20;
 
   /**
    * What comes unasked on a connection that rested longer is no late answer, but word of its
    * closing.
    */
-  private static final double LATE_MS = 200;
+  private static final double MAX_LATE_RESPONSE_MS = 200;
 
   /** One backend's place and connections. */
   static final class Backend {
     private final long id;
-    private SocketAddress place;
+    private SocketAddress address;
     private double startedMs;
 
     /**
@@ -73,16 +73,16 @@
     private int generation;
 
     /** Twice as long as anything of it was late, if that was seen. */
-    private double restMs;
+    private double reuseDelayMs;
 
     /** The last one in was used last, and is used next: the others grow old and are retired. */
     private final ArrayDeque<BackendConnection> idle = new ArrayDeque<>();
 
     private final Set<Attempt> connecting = new HashSet<>();
 
-    Backend(long id, double restMs) {
+    Backend(long id, double reuseDelayMs) {
       this.id = id;
-      this.restMs = restMs;
+      this.reuseDelayMs = reuseDelayMs;
     }
   }
 
@@ -90,45 +90,45 @@
   private final Bootstrap bootstrap;
 
   /** Within a process nothing is late. */
-  private final double restMs;
+  private final double reuseDelayMs;
 
   private final double connectLimitMs;
   private final double idleLimitMs;
   private final Map<Long, Backend> backends = new HashMap<>();
-  private final Tally tally;
+  private final EventCounters counters;
 
   /**
    * All connections to backends, idle ones too: their part of the descriptors that the process may
    * hold.
    */
-  private final int most;
+  private final int maxConnections;
 
   private int connections;
 
   /** The module's word on backends that get nothing new. */
-  private final LongPredicate banned;
+  private final LongPredicate excluded;
 
   public BackendPool(
       EventLoop loop,
       Transport transport,
       Clock clock,
-      Tally tally,
-      LongPredicate banned,
-      int most,
+      EventCounters counters,
+      LongPredicate excluded,
+      int maxConnections,
       double connectLimitMs,
       double idleLimitMs) {
     this.clock = clock;
-    this.tally = tally;
-    this.banned = banned;
-    this.most = most;
-    restMs = transport.tcp() ? REST_MS : 0;
+    this.counters = counters;
+    this.excluded = excluded;
+    this.maxConnections = maxConnections;
+    reuseDelayMs = transport.tcp() ? REUSE_DELAY_MS : 0;
     this.connectLimitMs = connectLimitMs;
-    this.idleLimitMs = idleLimitMs * RETIRE_AT;
+    this.idleLimitMs = idleLimitMs * RETIRE_SHARE;
     bootstrap =
         transport
             .client(loop)
-            .option(ChannelOption.WRITE_BUFFER_WATER_MARK, Transport.QUEUE)
-            .option(ChannelOption.RECVBUF_ALLOCATOR, Transport.piece());
+            .option(ChannelOption.WRITE_BUFFER_WATER_MARK, Transport.WRITE_BUFFER_LIMITS)
+            .option(ChannelOption.RECVBUF_ALLOCATOR, Transport.readBufferAllocator());
     loop.scheduleWithFixedDelay(this::retireIdle, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
   }
 
@@ -137,25 +137,25 @@
    * connections.
    */
   @Override
-  public void onRoster(RosterNews news) {
-    Set<Long> named = new HashSet<>();
-    for (BackendEntry e : news.entries()) {
-      named.add(e.id());
+  public void onRoster(BackendListUpdate update) {
+    Set<Long> listed = new HashSet<>();
+    for (BackendEntry e : update.entries()) {
+      listed.add(e.id());
       if (e.phase() != Phase.SERVING) {
         remove(e.id());
         continue;
       }
-      Backend b = backends.computeIfAbsent(e.id(), id -> new Backend(id, restMs));
-      SocketAddress place = news.places().get(e.id());
-      if (!place.equals(b.place) || b.startedMs != e.startedMs()) {
-        b.place = place;
+      Backend b = backends.computeIfAbsent(e.id(), id -> new Backend(id, reuseDelayMs));
+      SocketAddress address = update.addresses().get(e.id());
+      if (!address.equals(b.address) || b.startedMs != e.startedMs()) {
+        b.address = address;
         b.startedMs = e.startedMs();
         cut(e.id());
       }
     }
-    if (news.full()) {
+    if (update.full()) {
       List.copyOf(backends.keySet()).stream()
-          .filter(id -> !named.contains(id))
+          .filter(id -> !listed.contains(id))
           .forEach(this::remove);
     }
   }
@@ -185,7 +185,7 @@
     return connections;
   }
 
-  public boolean knowsAny() {
+  public boolean hasBackends() {
     return !backends.isEmpty();
   }
 
@@ -193,15 +193,15 @@
   @Override
   public void start(long id, Attempt attempt) {
     Backend b = backends.get(id);
-    if (b == null || banned.test(id) || tooLate(attempt)) {
+    if (b == null || excluded.test(id) || tooLate(attempt)) {
       attempt.end(Status.UNREACHABLE, null, null);
       return;
     }
-    BackendConnection c = idle(b);
+    BackendConnection c = takeIdle(b);
     if (c != null) {
-      c.carry(attempt);
-    } else if (connections >= most && !dropIdle()) {
-      tally.count(Tally.Event.BACKENDS_FULL);
+      c.send(attempt);
+    } else if (connections >= maxConnections && !closeOneIdle()) {
+      counters.count(EventCounters.Event.BACKENDS_FULL);
       attempt.end(Status.UNREACHABLE, null, null);
     } else {
       connect(b, attempt);
@@ -228,13 +228,13 @@
    * Of those that have rested the one used last, unless the backend may be closing it after so
    * long.
    */
-  private BackendConnection idle(Backend b) {
+  private BackendConnection takeIdle(Backend b) {
     double now = clock.now();
     for (Iterator<BackendConnection> all = b.idle.descendingIterator(); all.hasNext(); ) {
       BackendConnection c = all.next();
-      if (now - c.idleSince >= b.restMs) {
+      if (now - c.idleSince >= b.reuseDelayMs) {
         all.remove();
-        if (now - c.idleSince <= idleLimitMs && c.usable() && c.silent()) {
+        if (now - c.idleSince <= idleLimitMs && c.usable() && c.nothingToRead()) {
           return c;
         }
         c.close();
@@ -244,19 +244,19 @@
   }
 
   /** Something came on it that nobody asked for. */
-  void unasked(BackendConnection c) {
+  void onUnsolicitedData(BackendConnection c) {
     double late = clock.now() - c.idleSince;
-    if (c.backend.idle.remove(c) && late <= LATE_MS) {
-      c.backend.restMs = Math.max(c.backend.restMs, 2 * late);
+    if (c.backend.idle.remove(c) && late <= MAX_LATE_RESPONSE_MS) {
+      c.backend.reuseDelayMs = Math.max(c.backend.reuseDelayMs, 2 * late);
     }
   }
 
   private void connect(Backend b, Attempt attempt) {
     b.connecting.add(attempt);
-    BackendConnection c = new BackendConnection(this, b, b.generation, tally);
+    BackendConnection c = new BackendConnection(this, b, b.generation, counters);
     double left = Math.min(leftMs(attempt), attempt.writtenBy() - clock.now());
     int limit = (int) Math.ceil(Math.min(connectLimitMs, Math.max(1, left)));
-    double upBy = clock.now() + limit + CONNECT_SLACK_MS;
+    double connectDeadline = clock.now() + limit + CONNECT_SLACK_MS;
     Bootstrap limited = bootstrap.clone().option(ChannelOption.CONNECT_TIMEOUT_MILLIS, limit);
     ChannelFuture connected =
         limited
@@ -269,7 +269,7 @@
                     channel.pipeline().addLast(c.decoder(), new HttpRequestEncoder(), c);
                   }
                 })
-            .connect(b.place);
+            .connect(b.address);
     attempt.connecting(connected.channel());
     Transport.whenConnected(
         connected,
@@ -278,11 +278,14 @@
           // Guards against writing what has timed out, was cancelled or must not reach a drained
           // backend, also
           // one of whose drain the loop has still to read behind a pause.
-          if (attempt.ended() || banned.test(b.id) || tooLate(attempt) || clock.now() > upBy) {
+          if (attempt.ended()
+              || excluded.test(b.id)
+              || tooLate(attempt)
+              || clock.now() > connectDeadline) {
             f.channel().close();
             attempt.end(Status.UNREACHABLE, null, null);
           } else if (f.isSuccess()) {
-            c.carry(attempt);
+            c.send(attempt);
           } else {
             attempt.end(Status.UNREACHABLE, null, null);
           }
@@ -291,7 +294,7 @@
 
   void release(BackendConnection c) {
     Backend b = c.backend;
-    if (backends.get(b.id) == b && c.generation == b.generation && !banned.test(b.id)) {
+    if (backends.get(b.id) == b && c.generation == b.generation && !excluded.test(b.id)) {
       c.idleSince = clock.now();
       b.idle.addLast(c);
     } else {
@@ -299,7 +302,7 @@
     }
   }
 
-  void closed(BackendConnection c) {
+  void onClosed(BackendConnection c) {
     c.backend.idle.remove(c);
   }
 
@@ -312,7 +315,7 @@
     }
   }
 
-  private boolean dropIdle() {
+  private boolean closeOneIdle() {
     for (Backend b : backends.values()) {
       BackendConnection c = b.idle.pollFirst();
       if (c != null) {
--- a/front/src/main/java/willowdoor/front/servers/AnswerDecoder.java
+++ b/front/src/main/java/willowdoor/front/servers/ResponseDecoder.java
@@ -12,7 +12,7 @@
 import willowdoor.policy.GatewayApi.Status;
 
 /** Takes no line without a colon for a header: the library lets one pass that holds a space. */
-final class AnswerDecoder extends HttpResponseDecoder {
+final class ResponseDecoder extends HttpResponseDecoder {
   private boolean insideMessage;
 
   @Override
@@ -32,7 +32,7 @@
   }
 
   /** Whether more has come than whole answers. */
-  boolean holdsRest() {
+  boolean hasUnconsumedData() {
     return insideMessage || actualReadableBytes() > 0;
   }
 
@@ -42,10 +42,10 @@
     if (code.equals(HttpResponseStatus.OK)) {
       return Status.OK;
     }
-    boolean turnedAway =
+    boolean notStarted =
         (code.equals(HttpResponseStatus.SERVICE_UNAVAILABLE)
                 || code.equals(HttpResponseStatus.GATEWAY_TIMEOUT))
             && "1".equals(answer.headers().get(Headers.NOT_STARTED));
-    return turnedAway ? Status.REJECTED : Status.ERROR;
+    return notStarted ? Status.REJECTED : Status.ERROR;
   }
 }
--- a/front/src/main/java/willowdoor/front/start/WarmUp.java
+++ b/front/src/main/java/willowdoor/front/start/WarmUp.java
@@ -7,7 +7,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import willowdoor.front.discovery.RosterNews;
+import willowdoor.front.discovery.BackendListUpdate;
 import willowdoor.front.requests.Headers;
 import willowdoor.policy.GatewayApi.BackendEntry;
 import willowdoor.policy.GatewayApi.Phase;
@@ -49,14 +49,14 @@
   }
 
   /** The template servers that it is to use. */
-  public RosterNews servers() {
+  public BackendListUpdate servers() {
     List<BackendEntry> entries = new ArrayList<>();
     Map<Long, SocketAddress> places = new HashMap<>();
     for (long id = 0; id < SERVERS; id++) {
       entries.add(new BackendEntry(id, settings.zone(), 0, Phase.SERVING, 1, 0));
       places.put(id, peers.server());
     }
-    return new RosterNews(0, true, entries, places);
+    return new BackendListUpdate(0, true, entries, places);
   }
 
   /** How many requests of all classes and plans were answered, of so many, within the time. */
--- a/front/src/test/java/willowdoor/front/ClientEndTest.java
+++ b/front/src/test/java/willowdoor/front/ClientEndTest.java
@@ -177,7 +177,7 @@
     Client client = peers.client();
     client.send(Peers.get("r1", 3000) + Peers.get("r2", 3000) + Peers.get("r3", 3000));
     Peers.next(peers.atBackend);
-    Thread end = new Thread(door::end);
+    Thread end = new Thread(door::shutDown);
     end.start();
     told.countDown();
     for (int i = 0; i < 3; i++) {
--- a/front/src/test/java/willowdoor/front/ClientLeavesTest.java
+++ b/front/src/test/java/willowdoor/front/ClientLeavesTest.java
@@ -131,7 +131,7 @@
   })
   void noAttemptBeginsForAClientThatLeftDuringAConnect(Way way, boolean body, int bytes)
       throws Exception {
-    try (HeldPort port = HeldPort.any();
+    try (ReservedPort port = ReservedPort.any();
         ServerSocket full = new ServerSocket(port.port(), 1, InetAddress.getLoopbackAddress())) {
       List<SocketChannel> fill = Peers.fill(full);
       peers.start(peers.configWithWideLimits(Peers.entry("s-1", full.getLocalPort(), "active")));
--- a/front/src/test/java/willowdoor/front/DescriptorsTest.java
+++ b/front/src/test/java/willowdoor/front/DescriptorsTest.java
@@ -92,8 +92,8 @@
             }
           });
   @TempDir private Path folder;
-  private HeldPort clientPort;
-  private HeldPort operatorPort;
+  private ReservedPort clientPort;
+  private ReservedPort operatorPort;
   private Process door;
   private InetSocketAddress address;
   private InetSocketAddress operators;
@@ -126,8 +126,8 @@
 
   /** Starts it, and waits until it says that it is up. */
   private void launch() throws Exception {
-    clientPort = HeldPort.any();
-    operatorPort = HeldPort.any();
+    clientPort = ReservedPort.any();
+    operatorPort = ReservedPort.any();
     address = clientPort.address();
     operators = operatorPort.address();
     Path config = folder.resolve("config.json");
--- a/front/src/test/java/willowdoor/front/DiscoveryTest.java
+++ b/front/src/test/java/willowdoor/front/DiscoveryTest.java
@@ -28,10 +28,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import willowdoor.front.Peers.Client;
+import willowdoor.front.discovery.BackendListUpdate;
 import willowdoor.front.discovery.DiscoveryClient;
-import willowdoor.front.discovery.RosterNews;
 import willowdoor.front.loop.Clock;
-import willowdoor.front.loop.Tally;
+import willowdoor.front.loop.EventCounters;
 import willowdoor.front.loop.Transport;
 
 /** The list of backends: how changes arrive, and what follows from them. */
@@ -307,7 +307,7 @@
   void junkIsCounted() throws Exception {
     MultiThreadIoEventLoopGroup group =
         new MultiThreadIoEventLoopGroup(1, Transport.BEST.ioHandler());
-    Logger logger = Logger.getLogger(Tally.class.getName());
+    Logger logger = Logger.getLogger(EventCounters.class.getName());
     BlockingQueue<String> logged = new LinkedBlockingQueue<>();
     Handler handler =
         new StreamHandler() {
@@ -318,8 +318,8 @@
         };
     logger.addHandler(handler);
     try {
-      Tally tally = new Tally();
-      BlockingQueue<RosterNews> told = new LinkedBlockingQueue<>();
+      EventCounters tally = new EventCounters();
+      BlockingQueue<BackendListUpdate> told = new LinkedBlockingQueue<>();
       DiscoveryClient client =
           new DiscoveryClient(
               group.next(),
--- a/front/src/test/java/willowdoor/front/FrontDoorTest.java
+++ b/front/src/test/java/willowdoor/front/FrontDoorTest.java
@@ -402,7 +402,7 @@
     Client busy = peers.client();
     busy.send(Peers.get("r1", 3000));
     Peers.next(peers.atBackend);
-    Thread end = new Thread(door::end);
+    Thread end = new Thread(door::shutDown);
     end.start();
     assertTrue(idle.ended());
     told.countDown();
--- a/front/src/test/java/willowdoor/front/Peers.java
+++ b/front/src/test/java/willowdoor/front/Peers.java
@@ -50,7 +50,7 @@
   private static final int RETIRED_KEPT = 200;
 
   /** Ports of earlier tests, the oldest first. */
-  private static final Queue<HeldPort> RETIRED = new ArrayDeque<>();
+  private static final Queue<ReservedPort> RETIRED = new ArrayDeque<>();
 
   /** What a test waits for comes well within this time unless something hangs. */
   static final long HANG_S = 60;
@@ -101,7 +101,7 @@
 
   private final Map<String, Double> counts = new ConcurrentHashMap<>();
   private final List<Closeable> open = new CopyOnWriteArrayList<>();
-  private final List<HeldPort> heldPorts = new CopyOnWriteArrayList<>();
+  private final List<ReservedPort> heldPorts = new CopyOnWriteArrayList<>();
   public final ServerSocket backend = listen(50, this::serveBackend);
   public final ServerSocket counter = listen(50, this::serveCounter);
   public final ServerSocket discovery = listen(50, this::serveDiscovery);
@@ -119,7 +119,7 @@
   /** Listens on a port of its own and runs the script for each connection. */
   public ServerSocket listen(int backlog, Script script) {
     try {
-      HeldPort port = HeldPort.any();
+      ReservedPort port = ReservedPort.any();
       heldPorts.add(port);
       ServerSocket server =
           new ServerSocket(port.port(), backlog, InetAddress.getLoopbackAddress());
@@ -471,7 +471,7 @@
    * A front door that was told to stop may still connect to its peers for a moment: their ports are
    * given to nobody else until many tests later.
    */
-  private static void retire(List<HeldPort> ports) throws IOException {
+  private static void retire(List<ReservedPort> ports) throws IOException {
     synchronized (RETIRED) {
       RETIRED.addAll(ports);
       while (RETIRED.size() > RETIRED_KEPT) {
--- a/front/src/test/java/willowdoor/front/ReloadTest.java
+++ b/front/src/test/java/willowdoor/front/ReloadTest.java
@@ -70,7 +70,7 @@
 
     Files.writeString(file, "{\"listen\":");
     CountDownLatch unread = new CountDownLatch(1);
-    Logger log = Logger.getLogger(HangUp.class.getName());
+    Logger log = Logger.getLogger(SighupHandler.class.getName());
     Handler handler = on(Level.SEVERE, line -> unread.countDown());
     log.addHandler(handler);
     hangUp();
@@ -104,7 +104,7 @@
     door.reloadOnHangUp(file);
     BlockingQueue<String> logged = new LinkedBlockingQueue<>();
     Handler handler = on(Level.SEVERE, logged::add);
-    Logger log = Logger.getLogger(HangUp.class.getName());
+    Logger log = Logger.getLogger(SighupHandler.class.getName());
     log.addHandler(handler);
     try {
       Files.writeString(file, after.config().replace(right, wrong));
--- a/front/src/test/java/willowdoor/front/ReplaceTest.java
+++ b/front/src/test/java/willowdoor/front/ReplaceTest.java
@@ -67,7 +67,7 @@
   private final Peers peers = new Peers();
   private final BlockingQueue<String> said = new LinkedBlockingQueue<>();
   private final List<Long> processes = new ArrayList<>();
-  private final List<HeldPort> heldPorts = new ArrayList<>();
+  private final List<ReservedPort> heldPorts = new ArrayList<>();
   @TempDir private Path folder;
   private Process holder;
   private InetSocketAddress clients;
@@ -78,7 +78,7 @@
     if (holder != null) {
       holder.destroyForcibly().waitFor();
     }
-    for (HeldPort port : heldPorts) {
+    for (ReservedPort port : heldPorts) {
       port.close();
     }
     peers.close();
@@ -126,7 +126,7 @@
   }
 
   private InetSocketAddress begin(String told) throws Exception {
-    HeldPort held = HeldPort.any();
+    ReservedPort held = ReservedPort.any();
     heldPorts.add(held);
     int port = held.port();
     Path config = Files.createTempFile(folder, "config", ".json");
--- a/front/src/test/java/willowdoor/front/HeldPort.java
+++ b/front/src/test/java/willowdoor/front/ReservedPort.java
@@ -13,11 +13,11 @@
  * that is told to listen at it can (with SO_REUSEADDR, as servers set it). A port that is found and
  * let go of is sooner or later another process's.
  */
-public final class HeldPort implements Closeable {
+public final class ReservedPort implements Closeable {
   private final SocketChannel holder;
   private final InetSocketAddress address;
 
-  private HeldPort(int port) throws IOException {
+  private ReservedPort(int port) throws IOException {
     holder = SocketChannel.open();
     try {
       holder.setOption(StandardSocketOptions.SO_REUSEADDR, true);
@@ -30,8 +30,8 @@
   }
 
   /** A port that was free. */
-  public static HeldPort any() throws IOException {
-    return new HeldPort(0);
+  public static ReservedPort any() throws IOException {
+    return new ReservedPort(0);
   }
 
   /** The address, on loopback. */
--- a/front/src/test/java/willowdoor/front/SettingsShapesTest.java
+++ b/front/src/test/java/willowdoor/front/SettingsShapesTest.java
@@ -267,7 +267,7 @@
       isServed(
           client, type, JsonFields.text(JsonFields.children(settings, "Tariffs").get(0), "Name"));
       idle.add(client);
-      ends.add(new Thread(door::end, shape.name()));
+      ends.add(new Thread(door::shutDown, shape.name()));
     }
     ends.forEach(Thread::start);
     for (Shape shape : Shape.values()) {
--- a/front/src/test/java/willowdoor/front/SignalTest.java
+++ b/front/src/test/java/willowdoor/front/SignalTest.java
@@ -35,7 +35,7 @@
   private final Peers before = new Peers();
   private final Peers after = new Peers();
   private final BlockingQueue<String> said = new LinkedBlockingQueue<>();
-  private final List<HeldPort> held = new ArrayList<>();
+  private final List<ReservedPort> held = new ArrayList<>();
   @TempDir private Path folder;
   private Process process;
 
@@ -44,7 +44,7 @@
     if (process != null) {
       process.destroyForcibly().waitFor();
     }
-    for (HeldPort port : held) {
+    for (ReservedPort port : held) {
       port.close();
     }
     before.close();
@@ -91,7 +91,7 @@
   }
 
   private InetSocketAddress free() throws IOException {
-    HeldPort port = HeldPort.any();
+    ReservedPort port = ReservedPort.any();
     held.add(port);
     return port.address();
   }
--- a/front/src/test/java/willowdoor/front/clients/ArrivalTest.java
+++ b/front/src/test/java/willowdoor/front/clients/ArrivalTest.java
@@ -3,17 +3,17 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import org.junit.jupiter.api.Test;
-import willowdoor.front.loop.Looks;
+import willowdoor.front.loop.PollTimes;
 
 /** From when a request's time is counted, with the looks of the loop moved by hand. */
 class ArrivalTest {
 
-  private final Looks looks = new Looks(1_000);
+  private final PollTimes looks = new PollTimes(1_000);
 
   private Arrival accepted() {
-    looks.begins(1_010);
-    looks.foundNothing(1_020);
-    looks.begins(1_020);
+    looks.onPollStart(1_010);
+    looks.onEmptyPoll(1_020);
+    looks.onPollStart(1_020);
     return new Arrival(looks);
   }
 
@@ -21,9 +21,9 @@
   void whatComesToAnIdleLoopIsNoOlderThanTheLastLook() {
     Arrival arrival = accepted();
     arrival.asked();
-    looks.begins(1_030);
-    looks.foundNothing(1_040);
-    looks.begins(1_041);
+    looks.onPollStart(1_030);
+    looks.onEmptyPoll(1_040);
+    looks.onPollStart(1_041);
     arrival.read(true);
     assertEquals(1_040, arrival.cameAt());
   }
@@ -32,8 +32,8 @@
   void whatComesWhileTheLoopStandsStillIsAsOldAsThat() {
     Arrival arrival = accepted();
     arrival.asked();
-    looks.begins(1_030);
-    looks.begins(1_600);
+    looks.onPollStart(1_030);
+    looks.onPollStart(1_600);
     arrival.read(true);
     assertEquals(1_030, arrival.cameAt());
   }
@@ -41,11 +41,11 @@
   /** A connection may have waited with its request to be accepted. */
   @Test
   void whatComesWithAConnectionIsAsOldAsThatCanBe() {
-    looks.begins(1_010);
-    looks.begins(1_700);
+    looks.onPollStart(1_010);
+    looks.onPollStart(1_700);
     Arrival arrival = new Arrival(looks);
     arrival.asked();
-    looks.begins(1_701);
+    looks.onPollStart(1_701);
     arrival.read(true);
     assertEquals(1_010, arrival.cameAt());
   }
@@ -55,9 +55,9 @@
     Arrival arrival = accepted();
     for (int at = 1_100; at < 1_500; at += 100) {
       arrival.asked();
-      looks.begins(at);
-      looks.foundNothing(at + 50);
-      looks.begins(at + 60);
+      looks.onPollStart(at);
+      looks.onEmptyPoll(at + 50);
+      looks.onPollStart(at + 60);
       arrival.read(true);
     }
     assertEquals(1_450, arrival.cameAt());
@@ -68,12 +68,12 @@
   void whatIsReadUnwatchedCameAfterTheAnswerBefore() {
     Arrival arrival = accepted();
     arrival.asked();
-    looks.begins(1_100);
+    looks.onPollStart(1_100);
     arrival.read(true);
-    looks.begins(1_300);
+    looks.onPollStart(1_300);
     arrival.answered(1_301);
     arrival.asked();
-    looks.begins(1_400);
+    looks.onPollStart(1_400);
     arrival.read(true);
     assertEquals(1_301, arrival.cameAt());
   }
@@ -83,11 +83,11 @@
   void whatWasLeftBehindIsAsOldAsWhatWasRead() {
     Arrival arrival = accepted();
     arrival.asked();
-    looks.begins(1_100);
-    looks.foundNothing(1_110);
-    looks.begins(1_120);
+    looks.onPollStart(1_100);
+    looks.onEmptyPoll(1_110);
+    looks.onPollStart(1_120);
     arrival.read(false);
-    looks.begins(1_500);
+    looks.onPollStart(1_500);
     arrival.asked();
     arrival.read(true);
     assertEquals(1_110, arrival.cameAt());
--- a/front/src/test/java/willowdoor/front/clients/ClientCrossingTest.java
+++ b/front/src/test/java/willowdoor/front/clients/ClientCrossingTest.java
@@ -34,9 +34,9 @@
 import org.junit.jupiter.api.Timeout;
 import willowdoor.front.loop.Clock;
 import willowdoor.front.loop.Descriptors;
-import willowdoor.front.loop.Looks;
+import willowdoor.front.loop.EventCounters;
 import willowdoor.front.loop.LoopGroup;
-import willowdoor.front.loop.Tally;
+import willowdoor.front.loop.PollTimes;
 import willowdoor.front.loop.Transport;
 
 /**
@@ -50,7 +50,7 @@
 
   private final AtomicLong nanos = new AtomicLong();
   private final Clock clock = new Clock(Instant.EPOCH, nanos::get);
-  private final Looks looks = new Looks(0);
+  private final PollTimes looks = new PollTimes(0);
   private EventLoopGroup group;
 
   /** Holds the listening socket that is adopted. */
@@ -73,7 +73,14 @@
     loop = group.next();
     server =
         new ClientServer(
-            transport, clock, looks, null, null, Descriptors.of(128), new Tally(), () -> true);
+            transport,
+            clock,
+            looks,
+            null,
+            null,
+            Descriptors.of(128),
+            new EventCounters(),
+            () -> true);
   }
 
   private Channel listen(Transport transport) throws Exception {
--- a/front/src/test/java/willowdoor/front/clients/ClientDrainTest.java
+++ b/front/src/test/java/willowdoor/front/clients/ClientDrainTest.java
@@ -12,18 +12,19 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import willowdoor.front.loop.Clock;
-import willowdoor.front.loop.Looks;
+import willowdoor.front.loop.PollTimes;
 import willowdoor.front.loop.Transport;
 
 /** How long a drain takes new connections, on a clock moved by hand. */
 class ClientDrainTest {
 
   private final EventLoopGroup group =
-      new MultiThreadIoEventLoopGroup(1, Transport.INSIDE.ioHandler());
+      new MultiThreadIoEventLoopGroup(1, Transport.IN_PROCESS.ioHandler());
   private long nanos;
   private final Clock clock = new Clock(Instant.EPOCH, () -> nanos);
   private final ClientServer server =
-      new ClientServer(Transport.INSIDE, clock, new Looks(0), null, null, null, null, () -> true);
+      new ClientServer(
+          Transport.IN_PROCESS, clock, new PollTimes(0), null, null, null, null, () -> true);
 
   @BeforeEach
   void listen() throws Exception {
--- a/front/src/test/java/willowdoor/front/clients/ReadAheadTest.java
+++ b/front/src/test/java/willowdoor/front/clients/ReadAheadTest.java
@@ -26,8 +26,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import willowdoor.front.loop.Clock;
-import willowdoor.front.loop.Looks;
 import willowdoor.front.loop.LoopGroup;
+import willowdoor.front.loop.PollTimes;
 import willowdoor.front.loop.Transport;
 
 /**
@@ -40,7 +40,7 @@
       new Transport(
           NioIoHandler.newFactory(), NioSocketChannel.class, NioServerSocketChannel.class, true);
 
-  private final Looks looks = new Looks(0);
+  private final PollTimes looks = new PollTimes(0);
   private final CountDownLatch ended = new CountDownLatch(1);
   private final StringBuilder taken = new StringBuilder();
   private volatile boolean insideBody;
--- a/front/src/test/java/willowdoor/front/counter/CounterClientTest.java
+++ b/front/src/test/java/willowdoor/front/counter/CounterClientTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Timeout;
 import willowdoor.front.Peers;
 import willowdoor.front.loop.Clock;
-import willowdoor.front.loop.Tally;
+import willowdoor.front.loop.EventCounters;
 import willowdoor.front.loop.Transport;
 import willowdoor.policy.GatewayApi.CounterResult;
 import willowdoor.policy.GatewayApi.Status;
@@ -31,7 +31,7 @@
       new MultiThreadIoEventLoopGroup(1, Transport.BEST.ioHandler());
   private final BlockingQueue<CounterResult> ends = new LinkedBlockingQueue<>();
   private volatile Consumer<CounterResult> listener = ends::add;
-  private final Tally tally = new Tally();
+  private final EventCounters tally = new EventCounters();
   private CounterClient client;
 
   @AfterEach
@@ -126,7 +126,7 @@
     peers.counting = line -> "what?";
     add("a", 1);
     assertEquals(Status.RESET, Peers.next(ends).status());
-    String line = group.next().submit(() -> tally.line("figures")).sync().getNow();
+    String line = group.next().submit(() -> tally.formatLine("figures")).sync().getNow();
     assertEquals("figures COUNTER_UNREADABLE=1", line);
     peers.counting = peers::count;
     add("b", 1);
--- a/front/src/test/java/willowdoor/front/discovery/RosterNewsTest.java
+++ b/front/src/test/java/willowdoor/front/discovery/BackendListUpdateTest.java
@@ -11,12 +11,12 @@
 import willowdoor.front.Peers;
 
 /** What of a list is believed: all of it or nothing. */
-class RosterNewsTest {
+class BackendListUpdateTest {
 
   private static final double NOW = 1.8e12;
 
-  private static RosterNews parse(String list) throws IOException {
-    return RosterNews.parse(list.getBytes(StandardCharsets.UTF_8), NOW);
+  private static BackendListUpdate parse(String list) throws IOException {
+    return BackendListUpdate.parse(list.getBytes(StandardCharsets.UTF_8), NOW);
   }
 
   private static String entry(String more) {
@@ -59,7 +59,7 @@
 
   @Test
   void whatIsNotSaidHasItsDefault() throws IOException {
-    RosterNews news = parse(Peers.list(9, false, entry(""), Peers.entry("s-2", 80, "left")));
+    BackendListUpdate news = parse(Peers.list(9, false, entry(""), Peers.entry("s-2", 80, "left")));
     assertEquals(2, news.entries().size());
     assertEquals(1, news.entries().get(0).capacity());
     assertEquals(0, news.entries().get(0).startedMs());
--- a/front/src/test/java/willowdoor/front/discovery/DiscoveryClientTest.java
+++ b/front/src/test/java/willowdoor/front/discovery/DiscoveryClientTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.api.Timeout;
 import willowdoor.front.Peers;
 import willowdoor.front.loop.Clock;
-import willowdoor.front.loop.Tally;
+import willowdoor.front.loop.EventCounters;
 import willowdoor.front.loop.Transport;
 
 /** The sockets of the watch: what each try opens, and what becomes of it. */
@@ -55,7 +55,7 @@
   private final Peers peers = new Peers();
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-  private final BlockingQueue<RosterNews> told = new LinkedBlockingQueue<>();
+  private final BlockingQueue<BackendListUpdate> told = new LinkedBlockingQueue<>();
   private final BlockingQueue<String> severe = new LinkedBlockingQueue<>();
   private final Logger log = Logger.getLogger(DiscoveryClient.class.getName());
   private final Handler handler =
@@ -85,7 +85,8 @@
   private void start(ServerSocket agent) throws InterruptedException {
     InetSocketAddress address = (InetSocketAddress) agent.getLocalSocketAddress();
     DiscoveryClient client =
-        new DiscoveryClient(group.next(), NOTED, new Clock(), address, 7, new Tally(), told::add);
+        new DiscoveryClient(
+            group.next(), NOTED, new Clock(), address, 7, new EventCounters(), told::add);
     group.next().submit(client::start).sync();
   }
 
--- a/front/src/test/java/willowdoor/front/discovery/ListScannerTest.java
+++ b/front/src/test/java/willowdoor/front/discovery/JsonObjectScannerTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import willowdoor.front.Peers;
 
-class ListScannerTest {
+class JsonObjectScannerTest {
 
   private static final String INDENTED =
       "{\n  \"version\": 8,\n  \"full\": true,\n  \"servers\": [\n"
@@ -28,31 +28,32 @@
   void anIndentedListIsWholeWhereverItIsCut() throws Exception {
     byte[] all = bytes("\n" + INDENTED + "\r\n\n" + Peers.list(9, false) + "\n");
     for (int cut = 0; cut <= all.length; cut++) {
-      ListScanner scanner = new ListScanner();
+      JsonObjectScanner scanner = new JsonObjectScanner();
       List<byte[]> found = new ArrayList<>(scanner.read(Arrays.copyOf(all, cut)));
       found.addAll(scanner.read(Arrays.copyOfRange(all, cut, all.length)));
       assertEquals(2, found.size());
       assertEquals(
-          RosterNews.number("s-{\"}]\\"), RosterNews.parse(found.get(0), 0).entries().get(0).id());
-      assertEquals(9, RosterNews.parse(found.get(1), 0).version());
-      assertFalse(scanner.inside() || scanner.junk());
+          BackendListUpdate.hashId("s-{\"}]\\"),
+          BackendListUpdate.parse(found.get(0), 0).entries().get(0).id());
+      assertEquals(9, BackendListUpdate.parse(found.get(1), 0).version());
+      assertFalse(scanner.insideObject() || scanner.malformed());
     }
   }
 
   @Test
   void whatIsNoObjectIsJunkBehindWhatWasWhole() {
-    ListScanner scanner = new ListScanner();
+    JsonObjectScanner scanner = new JsonObjectScanner();
     assertEquals(1, scanner.read(bytes("{}\n]{}")).size());
-    assertTrue(scanner.junk());
+    assertTrue(scanner.malformed());
   }
 
   @Test
   void anObjectWithoutAnEndIsJunkBeyondItsBound() {
-    ListScanner scanner = new ListScanner();
+    JsonObjectScanner scanner = new JsonObjectScanner();
     for (int mb = 0; mb < 4; mb++) {
-      assertFalse(scanner.junk());
+      assertFalse(scanner.malformed());
       scanner.read(bytes("{" + " ".repeat(1 << 20)));
     }
-    assertTrue(scanner.junk());
+    assertTrue(scanner.malformed());
   }
 }
--- a/front/src/test/java/willowdoor/front/discovery/ModelAgent.java
+++ b/front/src/test/java/willowdoor/front/discovery/ModelAgent.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Queue;
 import willowdoor.front.Peers;
-import willowdoor.front.discovery.Watch.Effect;
+import willowdoor.front.discovery.WatchStateMachine.Effect;
 
 /**
  * An agent on a clock moved by hand, in milliseconds from the start of the process: it treats the
@@ -57,7 +57,7 @@
   /** How long after the change SIGHUPs come. */
   private final Queue<Double> hangUps;
 
-  private final Watch watch;
+  private final WatchStateMachine watch;
   private double now;
   private Try present;
 
@@ -73,7 +73,11 @@
   double toldAt = Double.POSITIVE_INFINITY;
   double caughtUpAt = Double.POSITIVE_INFINITY;
 
-  ModelAgent(List<Treatment> treatments, int badBeforeChange, List<Double> hangUps, Watch watch) {
+  ModelAgent(
+      List<Treatment> treatments,
+      int badBeforeChange,
+      List<Double> hangUps,
+      WatchStateMachine watch) {
     this.treatments = new ArrayDeque<>(treatments);
     this.badBeforeChange = badBeforeChange;
     this.hangUps = new ArrayDeque<>(hangUps);
@@ -92,12 +96,12 @@
       }
       if (!hangUps.isEmpty() && now >= changeAt + hangUps.peek()) {
         hangUps.poll();
-        execute(watch.moved(now));
+        execute(watch.onAddressChanged(now));
       }
       if (now % LOOK_MS == 0) {
-        execute(watch.look(now));
+        execute(watch.check(now));
       }
-      if (watch.caughtUp() != null) {
+      if (watch.caughtUpReason() != null) {
         caughtUpAt = Math.min(caughtUpAt, now);
       }
     }
@@ -115,7 +119,7 @@
       } else if (effect instanceof Effect.Close) {
         present = null;
       } else if (effect instanceof Effect.Deliver deliver) {
-        had = deliver.news().version();
+        had = deliver.update().version();
         toldAt = had == CHANGED ? Math.min(toldAt, now) : toldAt;
       }
     }
@@ -144,7 +148,7 @@
 
     void step() {
       if (before(Fault.REFUSED)) {
-        execute(watch.ended(now));
+        execute(watch.onClosed(now));
         return;
       }
       if (!connected
@@ -152,7 +156,7 @@
           && now >= openedAt + (treatment == null ? 0 : treatment.connectMs)) {
         connected = true;
         lastAt = now;
-        watch.connected(now);
+        watch.onConnected(now);
       }
       if (connected
           && !answered
@@ -161,7 +165,7 @@
         answered = true;
         headAt = now;
         lastAt = now;
-        watch.answered(now);
+        watch.onResponseHead(now);
       }
       if (answered && (treatment == null || now < headAt + treatment.goodMs)) {
         good();
@@ -202,14 +206,14 @@
           }
         }
         case JUNK -> say("junk\n");
-        case RESET -> execute(watch.ended(now));
+        case RESET -> execute(watch.onClosed(now));
         default -> {}
       }
     }
 
     private void say(String text) {
       lastAt = now;
-      execute(watch.body(now, text.getBytes(StandardCharsets.UTF_8)));
+      execute(watch.onBody(now, text.getBytes(StandardCharsets.UTF_8)));
     }
   }
 }
--- a/front/src/test/java/willowdoor/front/discovery/WatchPropertyTest.java
+++ b/front/src/test/java/willowdoor/front/discovery/WatchStateMachinePropertyTest.java
@@ -17,7 +17,7 @@
 import willowdoor.front.discovery.ModelAgent.Treatment;
 
 /** The terms on the list's clock, for whatever sequence of faults the tries meet. */
-class WatchPropertyTest {
+class WatchStateMachinePropertyTest {
 
   /**
    * From when the agent has a change and a call could have got it, or from SIGHUP if it has it by
@@ -127,7 +127,8 @@
   private static ModelAgent agent(
       List<Treatment> treatments, int before, List<Double> hangUps, int chance) {
     Random random = new Random(chance);
-    return new ModelAgent(treatments, before, hangUps, new Watch(7, random::nextDouble));
+    return new ModelAgent(
+        treatments, before, hangUps, new WatchStateMachine(7, random::nextDouble));
   }
 
   private static double due(ModelAgent agent, double from, double within) {
--- a/front/src/test/java/willowdoor/front/discovery/WatchTest.java
+++ b/front/src/test/java/willowdoor/front/discovery/WatchStateMachineTest.java
@@ -12,13 +12,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import willowdoor.front.Peers;
-import willowdoor.front.discovery.Watch.Effect;
-import willowdoor.front.discovery.Watch.Effect.Close;
-import willowdoor.front.discovery.Watch.Effect.Deliver;
-import willowdoor.front.discovery.Watch.Effect.Open;
+import willowdoor.front.discovery.WatchStateMachine.Effect;
+import willowdoor.front.discovery.WatchStateMachine.Effect.Close;
+import willowdoor.front.discovery.WatchStateMachine.Effect.Deliver;
+import willowdoor.front.discovery.WatchStateMachine.Effect.Open;
 
 /** The rows of the table "The list's clock" in docs/design.md, on a clock moved by hand. */
-class WatchTest {
+class WatchStateMachineTest {
 
   /**
    * What a silent watch misses counts as told after this, what the next address has after a SIGHUP.
@@ -33,7 +33,7 @@
   private static final double LOOK_MS = 25;
 
   /** The longest waits that chance can bring. */
-  private final Watch watch = new Watch(7, () -> 1.0);
+  private final WatchStateMachine watch = new WatchStateMachine(7, () -> 1.0);
 
   private final List<Effect> done = new ArrayList<>();
   private double now = 1e12;
@@ -49,7 +49,7 @@
     while (done.stream().noneMatch(kind::isInstance)) {
       assertTrue(now - from < 60_000, "nothing more is done");
       now += LOOK_MS;
-      does(watch.look(now));
+      does(watch.check(now));
     }
     return now - from;
   }
@@ -57,19 +57,19 @@
   private void pass(double ms) {
     for (double end = now + ms; now < end; ) {
       now = Math.min(end, now + LOOK_MS);
-      does(watch.look(now));
+      does(watch.check(now));
     }
   }
 
   private void body(String text) {
-    does(watch.body(now, text.getBytes(StandardCharsets.UTF_8)));
+    does(watch.onBody(now, text.getBytes(StandardCharsets.UTF_8)));
   }
 
   /** A watch that has brought its first list. */
   private void living() {
     does(watch.start(now));
-    watch.connected(now);
-    watch.answered(now);
+    watch.onConnected(now);
+    watch.onResponseHead(now);
     body(Peers.list(8, true) + "\n");
     done.clear();
   }
@@ -77,10 +77,10 @@
   /** How far a try comes before it falls silent. */
   private void goesSilent(String at) {
     if (!at.equals("connect")) {
-      watch.connected(now);
+      watch.onConnected(now);
     }
     if (at.equals("head") || at.equals("half")) {
-      watch.answered(now);
+      watch.onResponseHead(now);
     }
     if (at.equals("half")) {
       body("{\"version\":9,\n");
@@ -90,9 +90,9 @@
   @Test
   void silenceJustUnderTheLimitIsNoneAndJustOverItEndsTheWatch() {
     living();
-    pass(Watch.SILENT_MS - 1);
+    pass(WatchStateMachine.SILENCE_TIMEOUT_MS - 1);
     body("\n");
-    pass(Watch.SILENT_MS - 1);
+    pass(WatchStateMachine.SILENCE_TIMEOUT_MS - 1);
     assertEquals(List.of(), done);
     pass(1 + LOOK_MS);
     assertEquals(List.of(new Close(false)), done);
@@ -172,8 +172,8 @@
     until(Open.class);
     for (int i = 0; i < 6; i++) {
       final double from = now;
-      watch.connected(now);
-      watch.answered(now);
+      watch.onConnected(now);
+      watch.onResponseHead(now);
       body("{");
       done.clear();
       for (int looks = 1; done.stream().noneMatch(Open.class::isInstance); looks++) {
@@ -191,13 +191,13 @@
   void aListThatAlwaysDripsComesThrough() {
     living();
     pass(2_000);
-    does(watch.ended(now));
+    does(watch.onClosed(now));
     int tries = 0;
     while (done.stream().noneMatch(Deliver.class::isInstance)) {
       until(Open.class);
       assertTrue(++tries <= 3, "it is cut for ever");
-      watch.connected(now);
-      watch.answered(now);
+      watch.onConnected(now);
+      watch.onResponseHead(now);
       done.clear();
       String list = Peers.list(9, true);
       for (int i = 0; i < list.length() && done.isEmpty(); i++) {
@@ -216,7 +216,7 @@
     living();
     body(Peers.list(3, true) + "\n" + Peers.list(4, false) + "\n");
     assertEquals(2, done.size());
-    does(watch.ended(now));
+    does(watch.onClosed(now));
     until(Open.class);
     assertEquals(new Open(3), done.get(done.size() - 1));
   }
@@ -253,7 +253,7 @@
       body(String.valueOf(c));
     }
     assertEquals(1, done.size());
-    assertEquals(9, ((Deliver) done.get(0)).news().version());
+    assertEquals(9, ((Deliver) done.get(0)).update().version());
   }
 
   /**
@@ -280,10 +280,10 @@
   void triesThatFailAtOnceKeepTheirDistanceAndBeingUsefulSavesIt() {
     living();
     pass(2_000);
-    does(watch.ended(now));
-    assertTrue(until(Open.class) <= 2 * Watch.AGAIN_MS);
+    does(watch.onClosed(now));
+    assertTrue(until(Open.class) <= 2 * WatchStateMachine.RECONNECT_DELAY_MS);
     for (int i = 0; i < 20; i++) {
-      does(watch.ended(now));
+      does(watch.onClosed(now));
       double apart = until(Open.class);
       assertTrue(apart >= 200 && apart <= GRACE_MS - 300, "" + apart);
     }
@@ -295,9 +295,9 @@
     does(watch.start(now));
     goesSilent(at);
     pass(999);
-    assertNull(watch.caughtUp());
+    assertNull(watch.caughtUpReason());
     pass(1 + LOOK_MS);
-    assertNotNull(watch.caughtUp());
+    assertNotNull(watch.caughtUpReason());
     assertTrue(until(Open.class) <= GRACE_MS - 300);
   }
 
@@ -308,24 +308,24 @@
   @Test
   void itIsCaughtUpOnceNothingFollowsTheHead() {
     does(watch.start(now));
-    watch.connected(now);
-    watch.answered(now);
+    watch.onConnected(now);
+    watch.onResponseHead(now);
     now += 500;
-    does(watch.look(now));
-    assertNull(watch.caughtUp());
+    does(watch.check(now));
+    assertNull(watch.caughtUpReason());
     body("{\"version\":8,\"full\":false,");
-    pass(Watch.NEWS_MS + 4 * LOOK_MS);
-    assertNull(watch.caughtUp());
+    pass(WatchStateMachine.FIRST_UPDATE_WAIT_MS + 4 * LOOK_MS);
+    assertNull(watch.caughtUpReason());
     body("\"servers\":[]}\n");
-    assertEquals("discovery's first list has come", watch.caughtUp());
+    assertEquals("discovery's first list has come", watch.caughtUpReason());
 
-    Watch other = new Watch(7, () -> 0.0);
+    WatchStateMachine other = new WatchStateMachine(7, () -> 0.0);
     other.start(0);
-    other.connected(0);
-    other.answered(0);
-    other.look(Watch.NEWS_MS);
-    other.look(Watch.NEWS_MS + LOOK_MS);
-    assertEquals("discovery has nothing new", other.caughtUp());
+    other.onConnected(0);
+    other.onResponseHead(0);
+    other.check(WatchStateMachine.FIRST_UPDATE_WAIT_MS);
+    other.check(WatchStateMachine.FIRST_UPDATE_WAIT_MS + LOOK_MS);
+    assertEquals("discovery has nothing new", other.caughtUpReason());
   }
 
   /** A watch that has been silent for a while, and the next address silent at first. */
@@ -333,8 +333,8 @@
   @ValueSource(strings = {"connect", "request", "head", "half"})
   void silenceAcrossAHangUpIsSeenInTime(String at) {
     living();
-    pass(Watch.SILENT_MS - 1);
-    does(watch.moved(now));
+    pass(WatchStateMachine.SILENCE_TIMEOUT_MS - 1);
+    does(watch.onAddressChanged(now));
     assertEquals(List.of(new Close(false), new Open(7)), done);
     goesSilent(at);
     assertTrue(until(Open.class) <= TOLD_AFTER_HANG_UP_MS - 1_000);
@@ -343,9 +343,9 @@
   @Test
   void aHangUpBetweenTwoTriesOpensAtOnce() {
     living();
-    does(watch.ended(now));
+    does(watch.onClosed(now));
     done.clear();
-    does(watch.moved(now));
+    does(watch.onAddressChanged(now));
     assertEquals(List.of(new Open(7)), done);
   }
 
@@ -354,9 +354,9 @@
   void aPauseOfThisProcessIsNotTheAgentsSilence() {
     living();
     now += 20_000;
-    does(watch.look(now));
+    does(watch.check(now));
     body("\n");
-    pass(Watch.SILENT_MS - 1);
+    pass(WatchStateMachine.SILENCE_TIMEOUT_MS - 1);
     assertEquals(List.of(), done);
   }
 
--- a/front/src/test/java/willowdoor/front/operators/OperatorFileTest.java
+++ b/front/src/test/java/willowdoor/front/operators/OperatorFileTest.java
@@ -19,15 +19,15 @@
     Path file = folder.resolve("operators.json");
     OperatorFile one = new OperatorFile(file);
     OperatorFile other = new OperatorFile(file);
-    assertEquals(State.NONE, other.look());
+    assertEquals(State.NONE, other.refresh());
     one.change(s -> s.excluded("s-1", true));
-    assertEquals(new State(false, Set.of("s-1")), other.look());
+    assertEquals(new State(false, Set.of("s-1")), other.refresh());
     other.change(s -> s.excluded("s-\"2\"", true));
     one.change(s -> s.drained(true));
-    assertEquals(new State(true, Set.of("s-1", "s-\"2\"")), other.look());
+    assertEquals(new State(true, Set.of("s-1", "s-\"2\"")), other.refresh());
     other.change(s -> s.excluded("s-1", false).drained(false));
-    assertEquals(new State(false, Set.of("s-\"2\"")), one.look());
-    assertEquals(one.look(), new OperatorFile(file).look());
+    assertEquals(new State(false, Set.of("s-\"2\"")), one.refresh());
+    assertEquals(one.refresh(), new OperatorFile(file).refresh());
   }
 
   @Test
@@ -46,12 +46,12 @@
           "{\"drained\":1,\"excluded\":[]}"
         }) {
       Files.writeString(file, damaged);
-      assertEquals(told, one.look(), damaged);
-      assertEquals(State.NONE, new OperatorFile(file).look(), damaged);
+      assertEquals(told, one.refresh(), damaged);
+      assertEquals(State.NONE, new OperatorFile(file).refresh(), damaged);
     }
     Files.delete(file);
-    assertEquals(told, one.look());
+    assertEquals(told, one.refresh());
     one.change(s -> s.drained(true));
-    assertEquals(told.drained(true), new OperatorFile(file).look());
+    assertEquals(told.drained(true), new OperatorFile(file).refresh());
   }
 }
--- a/front/src/test/java/willowdoor/front/requests/WaitLimitsTest.java
+++ b/front/src/test/java/willowdoor/front/requests/WaitLimitsTest.java
@@ -29,9 +29,9 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import willowdoor.front.Peers;
-import willowdoor.front.discovery.RosterNews;
+import willowdoor.front.discovery.BackendListUpdate;
 import willowdoor.front.loop.Clock;
-import willowdoor.front.loop.Tally;
+import willowdoor.front.loop.EventCounters;
 import willowdoor.policy.GatewayApi.CounterResult;
 import willowdoor.policy.GatewayApi.Status;
 import willowdoor.policy.QuotaPolicy;
@@ -60,7 +60,7 @@
   private final List<Attempt> started = new ArrayList<>();
   private Consumer<Attempt> server = a -> {};
   private boolean counterAnswers = true;
-  private final Tally tally = new Tally();
+  private final EventCounters tally = new EventCounters();
   private QuotaPolicy policy;
   private ModuleDriver driver;
 
@@ -122,7 +122,7 @@
 
   private final class Servers implements ModuleDriver.Servers {
     @Override
-    public void onRoster(RosterNews news) {
+    public void onRoster(BackendListUpdate news) {
       List.copyOf(started).forEach(a -> a.abandon(Status.UNREACHABLE));
     }
 
@@ -158,7 +158,7 @@
                           + "\"Value\":5},"));
       policy = new QuotaPolicy(WireSettings.read(JsonFields.child(config, "settings")), 7);
       driver = new ModuleDriver(channel.eventLoop(), clock, policy, new Servers(), tally);
-      driver.start(this::count, RosterNews.of(JsonFields.child(config, "known")));
+      driver.start(this::count, BackendListUpdate.of(JsonFields.child(config, "known")));
     }
   }
 
@@ -273,8 +273,8 @@
       take("r" + age + started.size(), "quote", 1_000, age);
       channel.runPendingTasks();
     }
-    assertEquals("now began_with_75%=2 began_with_50%=1 began_with_25%=2", tally.line("now"));
-    assertEquals("then", tally.line("then"));
+    assertEquals("now began_with_75%=2 began_with_50%=1 began_with_25%=2", tally.formatLine("now"));
+    assertEquals("then", tally.formatLine("then"));
   }
 
   /** A body beyond what is kept has no end while it comes; its time begins with its last byte. */
@@ -376,7 +376,7 @@
     Heard client = take("r1", "quote", 2_000, 0);
     channel.runPendingTasks();
     String news = Peers.list(8, true, Peers.entry("s-9", 7009, "leaving"));
-    driver.onRoster(RosterNews.parse(news.getBytes(StandardCharsets.UTF_8), clock.now()));
+    driver.onRoster(BackendListUpdate.parse(news.getBytes(StandardCharsets.UTF_8), clock.now()));
     assertEquals(1, started.size());
     pass(2_000);
     assertEquals(1, started.size());
--- a/front/src/test/java/willowdoor/front/servers/GivenUpTest.java
+++ b/front/src/test/java/willowdoor/front/servers/AbandonedAttemptTest.java
@@ -25,7 +25,7 @@
  * it.
  */
 @Timeout(value = 40, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-class GivenUpTest {
+class AbandonedAttemptTest {
 
   private PoolPeers peers;
 
@@ -61,7 +61,7 @@
   void theConnectionIsClosedBeforeTheModuleHears(String why) throws Exception {
     ServerSocket server = peers.listen(50, 0);
     long id = peers.tell(PoolPeers.entry(server, "active"));
-    NotedAttempt attempt = peers.attempt(10);
+    RecordingAttempt attempt = peers.attempt(10);
     BlockingQueue<String> found = new LinkedBlockingQueue<>();
     peers.start(id, attempt);
     Socket socket = peers.accept(server);
@@ -94,7 +94,7 @@
     ServerSocket server = peers.listen(50, 4_096);
     long id = peers.tell(PoolPeers.entry(server, "active"));
     int length = 64_000;
-    NotedAttempt attempt = peers.start(id, peers.attempt(length));
+    RecordingAttempt attempt = peers.start(id, peers.attempt(length));
     Socket socket = peers.accept(server);
     peers.awaitWritten(attempt);
     peers.run(() -> attempt.abandon(Status.TIMED_OUT));
@@ -110,7 +110,7 @@
   void whatWaitsForItsConnectionIsNeverWritten() throws Exception {
     ServerSocket server = peers.listen(50, 0);
     long id = peers.tell(PoolPeers.entry(server, "active"));
-    NotedAttempt attempt = peers.attempt(10);
+    RecordingAttempt attempt = peers.attempt(10);
     attempt.next = status -> attempt.ends.add("heard");
     // The kernel has connected, and the loop looks for its word only after the attempt was given
     // up.
@@ -147,7 +147,7 @@
     ServerSocket server = peers.listen(50, 0);
     long id = peers.tell(PoolPeers.entry(server, "active"));
     for (boolean reset : new boolean[] {true, false}) {
-      NotedAttempt attempt = peers.start(id, peers.attempt());
+      RecordingAttempt attempt = peers.start(id, peers.attempt());
       Socket socket = peers.accept(server);
       PoolPeers.read(socket);
       String body = "x".repeat(length);
@@ -171,7 +171,7 @@
   void aConnectThatIsToldLongAfterItsLimitIsNotUsed(int laterMs) throws Exception {
     ServerSocket server = peers.listen(50, 0);
     long id = peers.tell(PoolPeers.entry(server, "active"));
-    NotedAttempt attempt = peers.attempt();
+    RecordingAttempt attempt = peers.attempt();
     peers.run(
         () -> {
           peers.pool.start(id, attempt);
--- a/front/src/test/java/willowdoor/front/servers/LateAnswerTest.java
+++ b/front/src/test/java/willowdoor/front/servers/LateAnswerTest.java
@@ -18,7 +18,7 @@
 @Timeout(value = 40, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class LateAnswerTest {
 
-  private static final int REST_MS = (int) BackendPool.REST_MS;
+  private static final int REST_MS = (int) BackendPool.REUSE_DELAY_MS;
 
   private PoolPeers peers;
   private ServerSocket server;
@@ -31,7 +31,7 @@
     peers = new PoolPeers();
     server = peers.listen(50, 0);
     id = peers.tell(PoolPeers.entry(server, "active"));
-    NotedAttempt first = peers.start(id, peers.attempt());
+    RecordingAttempt first = peers.start(id, peers.attempt());
     used = peers.accept(server);
     assertEquals("OK fine", PoolPeers.serve(used, first));
     rests();
@@ -50,7 +50,7 @@
     peers.close();
   }
 
-  private void isServedOn(Socket socket, NotedAttempt attempt) throws Exception {
+  private void isServedOn(Socket socket, RecordingAttempt attempt) throws Exception {
     PoolPeers.read(socket);
     PoolPeers.write(socket, PoolPeers.OK.replace("fine", "next"));
     assertEquals("OK next", Peers.next(attempt.ends));
@@ -60,7 +60,7 @@
   @Test
   void aConnectionRestsBeforeItCarriesTheNextRequest() throws Exception {
     peers.pass(REST_MS - 1);
-    NotedAttempt early = peers.start(id, peers.attempt());
+    RecordingAttempt early = peers.start(id, peers.attempt());
     isServedOn(peers.accept(server), early);
     peers.pass(1);
     isServedOn(used, peers.start(id, peers.attempt()));
@@ -70,7 +70,7 @@
   @ParameterizedTest
   @ValueSource(strings = {"answer", "half a line", "end", "reset"})
   void whatTheLoopHasNotReadYetIsSeenBeforeTheConnectionIsUsed(String what) throws Exception {
-    NotedAttempt next = peers.attempt();
+    RecordingAttempt next = peers.attempt();
     peers.run(
         () -> {
           send(what);
@@ -104,11 +104,11 @@
     peers.pass(lateMs);
     send(what);
     assertEquals(0, PoolPeers.drain(used));
-    NotedAttempt second = peers.start(id, peers.attempt());
+    RecordingAttempt second = peers.start(id, peers.attempt());
     Socket fresh = peers.accept(server);
     isServedOn(fresh, second);
     peers.pass(restMs - 1);
-    NotedAttempt third = peers.start(id, peers.attempt());
+    RecordingAttempt third = peers.start(id, peers.attempt());
     isServedOn(peers.accept(server), third);
     peers.pass(1);
     isServedOn(fresh, peers.start(id, peers.attempt()));
@@ -118,7 +118,7 @@
   @Test
   void anAnswerBeforeTheRequestsLastByteIsNotBelieved() throws Exception {
     peers.pass(REST_MS);
-    NotedAttempt next = peers.start(id, peers.attempt(32 << 20));
+    RecordingAttempt next = peers.start(id, peers.attempt(32 << 20));
     PoolPeers.read(used, 10);
     PoolPeers.write(used, PoolPeers.OK);
     assertEquals("UNREACHABLE", Peers.next(next.ends));
--- a/front/src/test/java/willowdoor/front/servers/MovedServerTest.java
+++ b/front/src/test/java/willowdoor/front/servers/MovedServerTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import willowdoor.front.Peers;
-import willowdoor.front.discovery.RosterNews;
+import willowdoor.front.discovery.BackendListUpdate;
 import willowdoor.policy.GatewayApi.Status;
 
 /** The list says something new of a server while a connection to it is busy or coming up. */
@@ -45,25 +45,25 @@
   }
 
   /** The messages that tell it, one after another. */
-  private RosterNews[] told(News news) throws IOException {
+  private BackendListUpdate[] told(News news) throws IOException {
     String entry = PoolPeers.entry(before, "active");
     switch (news) {
       case MOVED -> {
         after = peers.listen(50, 0);
-        return new RosterNews[] {peers.news(false, PoolPeers.entry(after, "active"))};
+        return new BackendListUpdate[] {peers.news(false, PoolPeers.entry(after, "active"))};
       }
       case STARTED_ANEW -> {
-        return new RosterNews[] {
+        return new BackendListUpdate[] {
           peers.news(false, entry.replace("started_ms\":0", "started_ms\":5"))
         };
       }
       case DRAINED_AND_BACK -> {
-        return new RosterNews[] {
+        return new BackendListUpdate[] {
           peers.news(false, PoolPeers.entry(before, "leaving")), peers.news(false, entry)
         };
       }
       default -> {
-        return new RosterNews[] {
+        return new BackendListUpdate[] {
           peers.news(true, entry.replace("s-1", "s-2")), peers.news(true, entry)
         };
       }
@@ -71,13 +71,13 @@
   }
 
   /** Tells it, on the loop. */
-  private void tell(News news, RosterNews... messages) {
+  private void tell(News news, BackendListUpdate... messages) {
     if (news == News.TAKEN_OUT_AND_BACK) {
       peers.banned.add(id);
       peers.pool.cut(id);
       peers.banned.remove(id);
     } else {
-      for (RosterNews message : messages) {
+      for (BackendListUpdate message : messages) {
         peers.pool.onRoster(message);
       }
     }
@@ -97,21 +97,21 @@
   }
 
   private void oneRequestOnly(News news, boolean busy) throws Exception {
-    NotedAttempt first = peers.start(id, peers.attempt());
+    RecordingAttempt first = peers.start(id, peers.attempt());
     Socket old = peers.accept(before);
     PoolPeers.read(old);
     if (!busy) {
       PoolPeers.write(old, PoolPeers.OK);
       assertEquals("OK fine", Peers.next(first.ends));
     }
-    RosterNews[] messages = told(news);
+    BackendListUpdate[] messages = told(news);
     peers.run(() -> tell(news, messages));
     if (busy) {
       PoolPeers.write(old, PoolPeers.OK);
       assertEquals("OK fine", Peers.next(first.ends));
     }
     peers.pass(1_000);
-    NotedAttempt next = peers.start(id, peers.attempt());
+    RecordingAttempt next = peers.start(id, peers.attempt());
     assertEquals("OK fine", PoolPeers.serve(peers.accept(after), next));
     assertEquals(0, PoolPeers.drain(old));
   }
@@ -120,8 +120,8 @@
   @ParameterizedTest
   @EnumSource
   void aConnectionThatWasComingUpMeanwhileCarriesNothing(News news) throws Exception {
-    RosterNews[] messages = told(news);
-    NotedAttempt attempt = peers.attempt();
+    BackendListUpdate[] messages = told(news);
+    RecordingAttempt attempt = peers.attempt();
     peers.run(
         () -> {
           peers.pool.start(id, attempt);
--- a/front/src/test/java/willowdoor/front/servers/PoolPeers.java
+++ b/front/src/test/java/willowdoor/front/servers/PoolPeers.java
@@ -21,9 +21,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import willowdoor.front.Peers;
-import willowdoor.front.discovery.RosterNews;
+import willowdoor.front.discovery.BackendListUpdate;
 import willowdoor.front.loop.Clock;
-import willowdoor.front.loop.Tally;
+import willowdoor.front.loop.EventCounters;
 import willowdoor.front.loop.Transport;
 import willowdoor.front.requests.Attempt;
 
@@ -43,7 +43,7 @@
       new MultiThreadIoEventLoopGroup(1, Transport.BEST.ioHandler());
   final EventLoop loop = group.next();
   final Set<Long> banned = new HashSet<>();
-  final Tally tally = new Tally();
+  final EventCounters tally = new EventCounters();
   final BackendPool pool;
   private final List<Closeable> open = new ArrayList<>();
   private int version = 7;
@@ -75,13 +75,13 @@
 
   /** Tells the pool a whole list, and gives the number of its first backend. */
   long tell(String... entries) throws Exception {
-    RosterNews news = news(true, entries);
+    BackendListUpdate news = news(true, entries);
     run(() -> pool.onRoster(news));
     return news.entries().get(0).id();
   }
 
-  RosterNews news(boolean full, String... entries) throws IOException {
-    return RosterNews.parse(
+  BackendListUpdate news(boolean full, String... entries) throws IOException {
+    return BackendListUpdate.parse(
         Peers.list(version++, full, entries).getBytes(StandardCharsets.UTF_8), clock.now());
   }
 
@@ -102,18 +102,18 @@
     }
   }
 
-  NotedAttempt attempt() {
-    return attempt(NotedAttempt.LENGTH);
+  RecordingAttempt attempt() {
+    return attempt(RecordingAttempt.LENGTH);
   }
 
-  NotedAttempt attempt(int length) {
-    return new NotedAttempt(NotedAttempt.message(length), clock.now() + 5_000);
+  RecordingAttempt attempt(int length) {
+    return new RecordingAttempt(RecordingAttempt.message(length), clock.now() + 5_000);
   }
 
   /** A repeat, whose last byte must be written within so long. */
-  NotedAttempt repeat(int length, double withinMs) {
-    return new NotedAttempt(
-        NotedAttempt.message(length), clock.now() + 5_000, clock.now() + withinMs);
+  RecordingAttempt repeat(int length, double withinMs) {
+    return new RecordingAttempt(
+        RecordingAttempt.message(length), clock.now() + 5_000, clock.now() + withinMs);
   }
 
   /** Runs on the loop behind so many rounds of its tasks, before it looks at its sockets. */
@@ -121,7 +121,7 @@
     loop.execute(rounds == 0 ? task : () -> behind(rounds - 1, task));
   }
 
-  NotedAttempt start(long backend, NotedAttempt attempt) throws InterruptedException {
+  RecordingAttempt start(long backend, RecordingAttempt attempt) throws InterruptedException {
     run(() -> pool.start(backend, attempt));
     return attempt;
   }
@@ -133,8 +133,8 @@
   }
 
   /** Has the attempt's request come on the connection and answered; its end. */
-  static String serve(Socket socket, NotedAttempt attempt) throws Exception {
-    read(socket, NotedAttempt.LENGTH);
+  static String serve(Socket socket, RecordingAttempt attempt) throws Exception {
+    read(socket, RecordingAttempt.LENGTH);
     write(socket, OK);
     return Peers.next(attempt.ends);
   }
@@ -157,7 +157,7 @@
   }
 
   static String read(Socket socket) throws IOException {
-    return read(socket, NotedAttempt.LENGTH);
+    return read(socket, RecordingAttempt.LENGTH);
   }
 
   static void write(Socket socket, String text) throws IOException {
--- a/front/src/test/java/willowdoor/front/servers/NotedAttempt.java
+++ b/front/src/test/java/willowdoor/front/servers/RecordingAttempt.java
@@ -14,7 +14,7 @@
 import willowdoor.policy.GatewayApi.Status;
 
 /** An attempt that notes its end, without the table of requests above it. */
-final class NotedAttempt extends Attempt {
+final class RecordingAttempt extends Attempt {
 
   /** Bytes of body of an ordinary request. */
   static final int LENGTH = 10;
@@ -25,11 +25,11 @@
   /** What the module does on its end. */
   Consumer<Status> next = status -> {};
 
-  NotedAttempt(Outgoing message, double endsAt) {
+  RecordingAttempt(Outgoing message, double endsAt) {
     this(message, endsAt, Double.POSITIVE_INFINITY);
   }
 
-  NotedAttempt(Outgoing message, double endsAt, double writtenBy) {
+  RecordingAttempt(Outgoing message, double endsAt, double writtenBy) {
     super(message, endsAt, writtenBy);
   }
 
--- a/front/src/test/java/willowdoor/front/servers/RepeatWriteTest.java
+++ b/front/src/test/java/willowdoor/front/servers/RepeatWriteTest.java
@@ -40,7 +40,7 @@
   @ParameterizedTest
   @ValueSource(ints = {0, WITHIN_MS, WITHIN_MS + 1, 1_500})
   void aSlowConnectDoesNotCarryItPastItsTime(int tookMs) throws Exception {
-    NotedAttempt repeat = peers.repeat(10, WITHIN_MS);
+    RecordingAttempt repeat = peers.repeat(10, WITHIN_MS);
     peers.run(
         () -> {
           peers.pool.start(id, repeat);
@@ -60,12 +60,12 @@
   @ParameterizedTest
   @ValueSource(ints = {0, 1})
   void anOpenConnectionDoesNotTakeItPastItsTime(int overMs) throws Exception {
-    NotedAttempt first = peers.start(id, peers.attempt(10));
+    RecordingAttempt first = peers.start(id, peers.attempt(10));
     Socket socket = peers.accept(server);
     PoolPeers.read(socket, 10);
     PoolPeers.write(socket, PoolPeers.OK);
     assertEquals("OK fine", Peers.next(first.ends));
-    NotedAttempt repeat = peers.repeat(10, WITHIN_MS);
+    RecordingAttempt repeat = peers.repeat(10, WITHIN_MS);
     peers.pass(WITHIN_MS + overMs);
     peers.start(id, repeat);
     if (overMs > 0) {
@@ -81,7 +81,7 @@
     ServerSocket slow = peers.listen(50, 4_096);
     long slowId = peers.tell(PoolPeers.entry(slow, "active"));
     int length = 32 << 20;
-    NotedAttempt repeat = peers.start(slowId, peers.repeat(length, WITHIN_MS));
+    RecordingAttempt repeat = peers.start(slowId, peers.repeat(length, WITHIN_MS));
     Socket socket = peers.accept(slow);
     assertEquals("UNREACHABLE", Peers.next(repeat.ends));
     int came = PoolPeers.drain(socket);
@@ -91,9 +91,9 @@
   /** When its last byte comes is the client's to say. */
   @Test
   void aRepeatWhoseEndHasStillToComeIsNotBegun() throws Exception {
-    NotedAttempt repeat =
-        new NotedAttempt(
-            NotedAttempt.inPieces(), peers.clock.now() + 5_000, peers.clock.now() + WITHIN_MS);
+    RecordingAttempt repeat =
+        new RecordingAttempt(
+            RecordingAttempt.inPieces(), peers.clock.now() + 5_000, peers.clock.now() + WITHIN_MS);
     peers.start(id, repeat);
     assertEquals("UNREACHABLE", Peers.next(repeat.ends));
     peers.run(() -> assertEquals(0, peers.pool.connections()));
