--- a/front/src/main/java/willowdoor/benchlink/BenchLink.java
+++ b/front/src/main/java/willowdoor/benchlink/BenchLink.java
@@ -42,7 +42,10 @@
 import willowdoor.wire.JsonFields;
 import willowdoor.wire.WireSettings;
 
-/** Turns the bench's wire into the policy's events and its actions back into the wire; no more. */
+/**
+ * Translates messages of the bench protocol into events of the policy module, and the module's
+ * actions into messages.
+ */
 public final class BenchLink {
 
   private static final Map<String, Status> STATUSES =
@@ -77,7 +80,7 @@
     out.disable(JsonGenerator.Feature.FLUSH_PASSED_TO_STREAM);
   }
 
-  /** Answers batches until the input ends. */
+  /** Processes batches of messages until the input ends. */
   public void run() throws IOException {
     double now = 0;
     long number = 0;
--- a/front/src/main/java/willowdoor/discovery/ChangeLog.java
+++ b/front/src/main/java/willowdoor/discovery/ChangeLog.java
@@ -19,11 +19,11 @@
 import willowdoor.discovery.ListJson.Message;
 
 /**
- * The list on disk: a snapshot, and behind it each change, one line of text each: the checksum in
- * eight hexadecimal digits, a space, the message. A change is synced before it counts. A version
- * that may have been written is never given to anything else: after a line that was cut off, or a
- * write that failed, it is passed over, and a snapshot says so before any change follows. One
- * process holds the folder at a time.
+ * Stores the list on disk as a snapshot followed by a log of changes, one line of text each: the
+ * checksum in eight hexadecimal digits, a space, the message. A change takes effect only after it
+ * is synced. A version that may have been written is never used for a different change: after a
+ * truncated line or a failed write that version is skipped, and a snapshot records the skip before
+ * any change follows. Only one process can hold the folder at a time.
  */
 class ChangeLog implements Closeable {
 
@@ -31,8 +31,8 @@
   private static final int SUM = 8;
 
   /**
-   * A snapshot is due once the log holds so many bytes, or as many as the snapshot where that is
-   * more.
+   * A snapshot is written once the log exceeds this size or the size of the snapshot, whichever is
+   * larger.
    */
   private static final long LEAST_BOUND = 1 << 20;
 
@@ -46,10 +46,10 @@
   private long bound;
   private HostList list;
 
-  /** A write failed: what is on disk behind the last good line is not known. */
+  /** A write failed: the content on disk after the last valid line is unknown. */
   private boolean unsure;
 
-  /** Takes the folder, which is made where there is none, and reads what is in it. */
+  /** Locks the folder, creates it if absent, and reads its content. */
   ChangeLog(Path dir) throws IOException {
     this(dir, LEAST_BOUND);
   }
@@ -75,14 +75,14 @@
     }
   }
 
-  /** The list as it is on disk. */
+  /** The list as stored on disk. */
   HostList list() {
     return list;
   }
 
   /**
-   * The list after these changes, which together are its next version and are on disk when this
-   * returns; where it throws, the list is as it was.
+   * Appends the changes, which together form the list's next version, and returns the new list. The
+   * changes are on disk when this method returns; if it throws, the list is unchanged.
    */
   HostList append(List<Entry> changes) throws IOException {
     if (unsure) {
@@ -107,19 +107,20 @@
   }
 
   /**
-   * The changes are safe without a snapshot: where none can be put, the next change asks for it
-   * again.
+   * Writes a snapshot to limit the log's size. The changes are durable without the snapshot: if the
+   * snapshot cannot be written, the next change tries again.
    */
   private void boundLog() {
     try {
       putSnapshot(list);
     } catch (IOException e) {
-      LOG.log(Level.SEVERE, "no snapshot can be put into " + dir, e);
+      LOG.log(Level.SEVERE, "cannot write a snapshot into " + dir, e);
     }
   }
 
   /**
-   * Puts a snapshot of the list in place, and begins the log anew; each by a rename, in this order.
+   * Replaces the snapshot by one of the given list, then starts a new log. Each step is a rename,
+   * in this order.
    */
   private void putSnapshot(HostList whole) throws IOException {
     unsure = true;
@@ -146,7 +147,10 @@
     unsure = false;
   }
 
-  /** The next version may be on the disk, or may even have been told: the same list, beyond it. */
+  /**
+   * Returns the same list with the next version skipped: that version may be on disk or may even
+   * have been published.
+   */
   private HostList passingNextVersion() {
     return HostList.whole(list.version() + 2, list.present());
   }
@@ -175,14 +179,17 @@
     syncFolder();
   }
 
-  /** A file's name counts once its folder is synced. */
+  /** Syncs the folder: a new or renamed file is durable only after its folder is synced. */
   private void syncFolder() throws IOException {
     try (FileChannel folder = FileChannel.open(dir, StandardOpenOption.READ)) {
       folder.force(true);
     }
   }
 
-  /** Where the bytes go to the disk; a test ends the process, or fails, at any of these. */
+  /**
+   * Marks a step of writing to disk; a test terminates the process, or throws, at any of these
+   * steps.
+   */
   void step(String name) throws IOException {}
 
   private static void write(FileChannel file, ByteBuffer bytes) throws IOException {
@@ -206,15 +213,14 @@
     int good = replay(lines);
     if (good < lines.length) {
       int cut = lines.length - good;
-      LOG.warning(
-          () -> log + ": its last line was not written whole, and " + cut + " bytes are cut off");
+      LOG.warning(() -> log + ": the last line is incomplete; discarding its " + cut + " bytes");
       putSnapshot(passingNextVersion());
       return;
     }
     openLog();
   }
 
-  /** Takes the changes up to a last line that is not whole; how many bytes those are. */
+  /** Applies the changes up to an incomplete last line. Returns the number of bytes applied. */
   private int replay(byte[] lines) throws IOException {
     int from = 0;
     for (int number = 1; from < lines.length; number++) {
@@ -230,7 +236,8 @@
         throw new IOException(
             log + " is damaged in line " + number + ": put a backup in its place");
       }
-      // What a snapshot holds already: the process ended before the log was begun anew.
+      // Skip changes that the snapshot contains already: the process ended before the new log was
+      // started.
       if (change.version() > list.version()) {
         list = list.with(change.version(), change.servers());
       }
@@ -252,7 +259,7 @@
     return sum(text) + ' ' + new String(text, StandardCharsets.UTF_8) + '\n';
   }
 
-  /** The message of a line, or null where the line is damaged. */
+  /** Returns the message of a line, or null if the line is damaged. */
   private static Message message(byte[] lines, int from, int end) {
     if (end - from <= SUM) {
       return null;
--- a/front/src/main/java/willowdoor/discovery/Entry.java
+++ b/front/src/main/java/willowdoor/discovery/Entry.java
@@ -1,6 +1,6 @@
 package willowdoor.discovery;
 
-/** One template server as the list holds it; a lease of nought does not end. */
+/** One template server of the list; a lease of 0 does not expire. */
 record Entry(
     String id,
     String addr,
@@ -12,7 +12,7 @@
     long startedMs,
     long leaseMs) {
 
-  /** As the list words it. */
+  /** The state; the list contains its name in lower case. */
   enum State {
     ACTIVE,
     LEAVING,
--- a/front/src/main/java/willowdoor/discovery/HostList.java
+++ b/front/src/main/java/willowdoor/discovery/HostList.java
@@ -10,24 +10,24 @@
 import willowdoor.discovery.Entry.State;
 
 /**
- * The list of template servers at one version, and what changed on the way there. It does not
- * change: each change gives the next list. Entries that have left are kept as news for those who
- * watch, a bounded number of them; who knows less than that is told the whole list.
+ * The list of template servers at one version, with the changes since earlier versions. Immutable:
+ * each change returns a new list. A limited number of entries that have left are kept, so that
+ * watchers can be notified of them; a watcher with an older version receives the whole list.
  */
 final class HostList {
 
-  /** Entries that have left and are still told. */
+  /** Maximum kept entries that have left. */
   private static final int MOST_LEFT = 1_000;
 
-  /** An entry, and the version that changed it last. */
+  /** An entry, and the version of its last change. */
   private record Held(Entry entry, long version) {}
 
   private final long version;
 
-  /** What changed after this version is known. */
+  /** The changes after this version are known. */
   private final long knownFrom;
 
-  /** By id, those changed last at the end. */
+  /** By id; the entries changed last are at the end. */
   private final Map<String, Held> held;
 
   private HostList(long version, long knownFrom, Map<String, Held> held) {
@@ -36,7 +36,7 @@
     this.held = held;
   }
 
-  /** A list that was not followed up to this version. */
+  /** Creates a list without known changes before this version. */
   static HostList whole(long version, Collection<Entry> entries) {
     Map<String, Held> held = new LinkedHashMap<>();
     entries.forEach(e -> held.put(e.id(), new Held(e, version)));
@@ -47,24 +47,24 @@
     return version;
   }
 
-  /** The entry with this id, one that has left too, or null. */
+  /** Returns the entry with this id, including one that has left, or null. */
   Entry entry(String id) {
     Held found = held.get(id);
     return found == null ? null : found.entry();
   }
 
-  /** The version that changed this entry last, or 0 where there is none. */
+  /** Returns the version of the last change to this entry, or 0 if there is no such entry. */
   long changedAt(String id) {
     Held found = held.get(id);
     return found == null ? 0 : found.version();
   }
 
-  /** All that have not left. */
+  /** Returns all entries that have not left. */
   List<Entry> present() {
     return held.values().stream().map(Held::entry).filter(e -> e.state() != State.LEFT).toList();
   }
 
-  /** The list after these changes, at a version that is greater than this one's. */
+  /** Returns the list after these changes, at a version greater than this list's version. */
   HostList with(long next, List<Entry> changes) {
     if (next <= version) {
       throw new IllegalArgumentException("version " + next + " does not follow " + version);
@@ -77,7 +77,10 @@
     return new HostList(next, forget(then), then);
   }
 
-  /** Drops those that left first; from which version on changes are known then. */
+  /**
+   * Drops the entries that left earliest, beyond the limit. Returns the version after which changes
+   * are still known.
+   */
   private long forget(Map<String, Held> then) {
     List<Held> left =
         then.values().stream()
@@ -93,8 +96,8 @@
   }
 
   /**
-   * What changed after the version, in order; empty where that is not known, and the whole list is
-   * owed.
+   * Returns the changes after the given version, in order, or empty if they are not known and the
+   * whole list must be sent.
    */
   Optional<List<Entry>> since(long since) {
     if (since < knownFrom || since > version) {
--- a/front/src/main/java/willowdoor/discovery/ListJson.java
+++ b/front/src/main/java/willowdoor/discovery/ListJson.java
@@ -21,7 +21,8 @@
 import willowdoor.wire.JsonFields;
 
 /**
- * The list as discovery words it, read strictly: what is missing or wrong is told in plain words.
+ * Reads and writes the list in discovery's JSON format. Reading is strict: the error names the
+ * missing or invalid field.
  */
 final class ListJson {
 
@@ -31,7 +32,7 @@
   private static final int MOST_TEXT = 128;
   private static final long MOST_LEASE_MS = 24 * 3_600_000;
 
-  /** A message that is none, and why. */
+  /** An invalid message, with the reason. */
   static final class BadList extends Exception {
     private static final long serialVersionUID = 1;
 
@@ -40,12 +41,12 @@
     }
   }
 
-  /** A list or a change of one, with the version after it. */
+  /** A complete list or a change of a list, with the version that results. */
   record Message(long version, boolean full, List<Entry> servers) {}
 
   private ListJson() {}
 
-  /** As it is told; leases concern the service alone, and are written for its own log. */
+  /** Writes a message. Leases are internal to the service and are written only to its own log. */
   static byte[] write(Message message, boolean leases) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (JsonGenerator json = JSON.createGenerator(bytes)) {
@@ -92,7 +93,7 @@
     return new Message(version, full, servers(fields));
   }
 
-  /** Reads what is to be registered: the servers alone. */
+  /** Reads the servers of a registration. */
   static List<Entry> readServers(byte[] bytes) throws BadList {
     return servers(object(bytes));
   }
@@ -100,16 +101,17 @@
   private static Map<String, Object> object(byte[] bytes) throws BadList {
     try (JsonParser in = JSON.createParser(bytes)) {
       if (in.nextToken() != JsonToken.START_OBJECT) {
-        throw new BadList("it is not a JSON object");
+        throw new BadList("message is not a JSON object");
       }
       Map<String, Object> fields = JsonFields.object(in);
       if (in.nextToken() != null) {
-        throw new BadList("something follows the object");
+        throw new BadList("content follows the JSON object");
       }
       return fields;
     } catch (IOException e) {
       throw new BadList(
-          "it is not JSON: " + String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
+          "message is not valid JSON: "
+              + String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
     }
   }
 
@@ -118,7 +120,7 @@
       throw new BadList("servers is not a list");
     }
     if (items.size() > MOST_ENTRIES) {
-      throw new BadList("servers holds more than " + MOST_ENTRIES);
+      throw new BadList("servers has more entries than " + MOST_ENTRIES);
     }
     List<Entry> entries = new ArrayList<>();
     Set<String> ids = new HashSet<>();
@@ -129,7 +131,7 @@
       }
       Entry e = entry(server, where + '.');
       if (!ids.add(e.id())) {
-        throw new BadList(where + ".id is there twice: " + e.id());
+        throw new BadList(where + ".id is not unique: " + e.id());
       }
       entries.add(e);
     }
@@ -153,7 +155,7 @@
     }
     Object weight = server.get("weight") == null ? Double.valueOf(1) : server.get("weight");
     if (!(weight instanceof Number n) || !(n.doubleValue() > 0 && n.doubleValue() <= 1e6)) {
-      throw new BadList(where + "weight is not a number above nought");
+      throw new BadList(where + "weight is not a number above 0");
     }
     return new Entry(
         id,
@@ -167,7 +169,10 @@
         whole(server, where, "lease_ms", MOST_LEASE_MS));
   }
 
-  /** Plain text of some length; null for absent makes it required. */
+  /**
+   * Returns a printable text of limited length without spaces. The field is required if the default
+   * is null.
+   */
   private static String text(Map<?, ?> server, String where, String name, String absent)
       throws BadList {
     Object found = server.get(name) == null ? absent : server.get(name);
--- a/front/src/main/java/willowdoor/front/Config.java
+++ b/front/src/main/java/willowdoor/front/Config.java
@@ -19,7 +19,7 @@
 import willowdoor.wire.JsonFields;
 import willowdoor.wire.WireSettings;
 
-/** What a front door is told: the file that {@code GW_CONFIG} names. */
+/** The configuration of a gateway process, read from the file that {@code GW_CONFIG} names. */
 record Config(
     String name,
     SocketAddress listen,
@@ -33,12 +33,12 @@
     double idleLimitMs,
     BackendListUpdate known) {
 
-  /** Where no limit is told: the platform's largest. */
+  /** The default if the configuration names no limit: the platform's largest. */
   private static final int DEFAULT_SOCKETS = 1_024;
 
   /**
-   * Reads the file; anything that keeps the front door from serving is an IOException in plain
-   * words.
+   * Reads the file. Throws an IOException with a readable message if the configuration does not
+   * allow the gateway to serve.
    */
   static Config read(Path file) throws IOException {
     Map<String, Object> fields;
@@ -50,7 +50,9 @@
     return of(fields);
   }
 
-  /** The clients' listening socket where the platform holds it, else null. */
+  /**
+   * Returns the listening socket for clients if the platform passes one to the process, else null.
+   */
   static ServerSocketChannel inherited() throws IOException {
     String descriptor = System.getenv("GW_ACCEPT_FD");
     try {
@@ -66,7 +68,7 @@
     Map<String, Object> settings = JsonFields.child(fields, "settings");
     Settings parsed = WireSettings.read(settings);
     if (parsed.classes().isEmpty() || parsed.plans().isEmpty()) {
-      throw new IOException("settings name no classes or no plans");
+      throw new IOException("settings contain no request classes or no plans");
     }
     requireNames(settings, "Profiles");
     requireNames(settings, "Tariffs");
@@ -91,7 +93,10 @@
         known(JsonFields.child(fields, "known")));
   }
 
-  /** The same front door among other peers, without operators and discovery. */
+  /**
+   * Returns this configuration with other peers, without a management address and without
+   * discovery.
+   */
   Config withPeers(SocketAddress listen, SocketAddress counter, BackendListUpdate servers) {
     return new Config(
         name,
@@ -108,8 +113,8 @@
   }
 
   /**
-   * What the front door goes by, in a line; times in milliseconds, quotas in units a second and a
-   * burst.
+   * Describes the effective settings in one line: times in milliseconds, quotas in units per second
+   * and burst.
    */
   String describe() {
     StringBuilder text =
--- a/front/src/main/java/willowdoor/front/FrontDoor.java
+++ b/front/src/main/java/willowdoor/front/FrontDoor.java
@@ -33,31 +33,39 @@
 import willowdoor.policy.GatewayApi.RequestClass;
 import willowdoor.policy.QuotaPolicy;
 
-/** One real front door: its wiring, its start and its planned end. */
+/**
+ * One gateway process: creates its components, starts them and shuts them down in an orderly way.
+ */
 final class FrontDoor implements Management.Operator {
 
   private static final Logger LOG = Logger.getLogger(FrontDoor.class.getName());
 
   /**
-   * SIGKILL comes no sooner after SIGTERM than the longest deadline, counted as 3 s where it is
-   * longer, and 0.7 s: all is answered by then, and the answers are on their way.
+   * The platform sends SIGKILL no sooner after SIGTERM than the longest deadline, counted as 3 s
+   * where it is longer, plus 0.7 s. By then all requests are answered and the responses are sent.
    */
   private static final long MAX_DEADLINE_MS = 3_000;
 
   private static final double ANSWER_MARGIN_MS = 300;
   private static final double CLOSE_MARGIN_MS = 275;
 
-  /** How often a drain goes on: idle connections are closed and the end is looked for. */
+  /**
+   * Interval of the drain's steps: each step closes idle connections and checks whether the drain
+   * is complete.
+   */
   private static final long DRAIN_STEP_MS = 10;
 
   private static final long COUNTERS_LOG_INTERVAL_S = 10;
 
-  /** Requests of a warm-up, and how long it may take on a busy core: a new process is given 6 s. */
+  /**
+   * The number of warm-up requests, and the limit of the warm-up's duration on a busy core: a new
+   * process must be ready within 6 s.
+   */
   private static final int WARM_UP_REQUESTS = 80;
 
   private static final long WARM_UP_MS = 1_500;
 
-  /** How often the operators' file is looked at, for what the other process was told. */
+  /** Interval at which the operators' file is checked for calls that the other process received. */
   private static final long OPERATOR_FILE_CHECK_MS = 50;
 
   private final Clock clock = new Clock();
@@ -73,21 +81,21 @@
   private Channel listening;
   private Management management;
 
-  /** Whether the process could serve, as the management's thread is told. */
+  /** Whether the process can serve; read by the management thread. */
   private volatile boolean canServe;
 
-  /** What operators have asked for as it is in force, and where it is kept. */
+  /** The operators' requests as they are in force, and the file that stores them. */
   private OperatorFile.State operators = OperatorFile.State.NONE;
 
   private OperatorFile file;
 
-  /** How long after the process is told to end all is answered. */
+  /** How long after the start of the shutdown all requests are answered, in milliseconds. */
   private double drainMs;
 
-  /** The configuration that came with a SIGHUP before anything was wired. */
+  /** A configuration reloaded on SIGHUP before the components were created. */
   private Config reloadedConfig;
 
-  /** Whether clients can come, and whether the process was told to end. */
+  /** Whether the process has started to listen for clients, and whether its shutdown has begun. */
   private boolean listenStarted;
 
   private boolean shuttingDown;
@@ -99,8 +107,7 @@
   }
 
   /**
-   * Reads the configuration that the environment names, and serves until the process is told to
-   * end.
+   * Reads the configuration that the environment names, and serves until the process is terminated.
    */
   static void serve() throws IOException, InterruptedException {
     String file = System.getenv("GW_CONFIG");
@@ -109,8 +116,8 @@
     }
     Path path = Path.of(file);
     FrontDoor door = new FrontDoor(Transport.BEST);
-    // Either signal may come at any time: SIGHUP would end the process, SIGTERM with clients
-    // waiting.
+    // Both signals may arrive at any time and need handlers first: SIGHUP would terminate the
+    // process, and SIGTERM would terminate it while clients are waiting.
     door.reloadOnHangUp(path);
     Runtime.getRuntime().addShutdownHook(new Thread(door::shutDown, "end"));
     Config config = Config.read(path);
@@ -122,8 +129,8 @@
   }
 
   /**
-   * Listens on the configured address where no socket is inherited; the file is what its processes
-   * share.
+   * Listens on the configured address if no socket is inherited. The operators' file is shared by
+   * the processes of one gateway.
    */
   static FrontDoor start(Config config, ServerSocketChannel inherited, Path operators)
       throws IOException, InterruptedException {
@@ -134,9 +141,10 @@
   }
 
   /**
-   * Operators are answered from the first; clients, servers and discovery come once it is prepared.
-   * Nothing is sent by the configuration's list while the agent may have a newer one, which counts
-   * as told by now: clients that took the process before this one for alive would have it sent.
+   * Starts the management address first; clients, servers and discovery are started after the
+   * preparation. No request is sent by the configuration's list while the agent may have a newer
+   * list. That newer list counts as delivered by now, because clients that still regard the
+   * previous process as alive would have their requests sent by it.
    */
   private void startListening(
       Config config, ServerSocketChannel inherited, Path operators, Runnable preparation)
@@ -163,7 +171,7 @@
 
   private ChannelFuture listen(Config config, ServerSocketChannel inherited) {
     if (shuttingDown) {
-      throw new IllegalStateException("told to end before it was ready");
+      throw new IllegalStateException("shutdown was requested before the process was ready");
     }
     listenStarted = true;
     return inherited == null
@@ -171,15 +179,15 @@
         : clients.adopt(group, inherited);
   }
 
-  /** From here on it says that it is ready where it is. */
+  /** Starts serving: from here on the process reports that it is ready if it is. */
   private void startServing() throws InterruptedException {
     loop.submit(this::onServing).sync();
   }
 
   /**
-   * Serves made-up requests inside the process, so that the runtime has loaded and compiled the way
-   * of a request before the first one comes. What goes wrong costs time later, and nothing else.
-   * Tells how many were answered.
+   * Serves synthetic requests inside the process, so that the Java runtime has loaded and compiled
+   * the request path before the first real request arrives. A failure only makes the first requests
+   * slower. Returns the number of answered requests.
    */
   static int warmUp(Config config, int requests, long limitMs) {
     FrontDoor door = new FrontDoor(Transport.IN_PROCESS);
@@ -213,7 +221,7 @@
     return loop;
   }
 
-  /** What the module tells the log, asked for on the loop. */
+  /** Returns the policy module's figures for the log, read on the event loop. */
   String figures() throws InterruptedException {
     return loop.submit(driver::figures).sync().getNow();
   }
@@ -233,7 +241,10 @@
     return change(host, state -> state.excluded(host, out));
   }
 
-  /** Writes a change down, then puts it in force; false where it names no known template server. */
+  /**
+   * Stores a change, then applies it. The result is false if the change names an unknown template
+   * server.
+   */
   private Future<Boolean> change(String host, UnaryOperator<OperatorFile.State> change) {
     return loop.submit(
         () -> {
@@ -248,7 +259,7 @@
         });
   }
 
-  /** Puts in force what is new in it: the other process may have been told. */
+  /** Applies changes of the operators' file, which the other process may have written. */
   private void applyOperatorState(OperatorFile.State requested) {
     OperatorFile.State before = operators;
     if (requested == before) {
@@ -268,7 +279,7 @@
         () ->
             "operators' drain is "
                 + (requested.drained() ? "on" : "off")
-                + ", taken out are "
+                + ", excluded template servers are "
                 + requested.excluded());
   }
 
@@ -358,13 +369,14 @@
   }
 
   /**
-   * SIGHUP tells that the configuration was replaced; without a handler it would end the process.
+   * Reloads the configuration on SIGHUP, which signals that the file was replaced. Without a
+   * handler SIGHUP would terminate the process.
    */
   void reloadOnHangUp(Path file) {
     SighupHandler.reload(file, config -> loop.execute(() -> moveTo(config)));
   }
 
-  /** Moves to the addresses that a configuration names which came with a SIGHUP. */
+  /** Switches to the addresses of a configuration that was reloaded on SIGHUP. */
   private void moveTo(Config config) {
     reloadedConfig = config;
     if (discovery != null) {
@@ -384,7 +396,7 @@
         this::updateState, DRAIN_STEP_MS, DRAIN_STEP_MS, TimeUnit.MILLISECONDS);
   }
 
-  /** Goes on with a drain, and keeps what operators are told up to date. */
+  /** Continues a drain, and updates the state that management reports. */
   private void updateState() {
     clients.acceptIfReady();
     canServe = clients.canServe();
@@ -395,7 +407,8 @@
   }
 
   /**
-   * The planned end: accept a little longer, answer all that was taken, then let the process go.
+   * Shuts down in an orderly way: accepts connections a little longer, answers all accepted
+   * requests, then lets the process terminate.
    */
   void shutDown() {
     try {
@@ -406,12 +419,15 @@
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } catch (RejectedExecutionException e) {
-      LOG.log(Level.FINE, "it has ended already", e);
+      LOG.log(Level.FINE, "event loop is already shut down", e);
     }
     stop();
   }
 
-  /** How long the rest may take, in milliseconds: nothing where no client can have come yet. */
+  /**
+   * Begins the shutdown. Returns how long the rest may take, in milliseconds: 0 if no client can
+   * have connected yet.
+   */
   private double beginShutdown() {
     shuttingDown = true;
     if (!listenStarted) {
--- a/front/src/main/java/willowdoor/front/Main.java
+++ b/front/src/main/java/willowdoor/front/Main.java
@@ -3,7 +3,10 @@
 import java.io.IOException;
 import willowdoor.benchlink.BenchLink;
 
-/** Runs the module as a real front door, or on the bench's wire over standard input and output. */
+/**
+ * Runs the gateway as a server, or runs the policy module on the bench protocol over standard input
+ * and output.
+ */
 public final class Main {
 
   private Main() {}
--- a/front/src/main/java/willowdoor/front/SighupHandler.java
+++ b/front/src/main/java/willowdoor/front/SighupHandler.java
@@ -9,8 +9,8 @@
 import java.util.logging.Logger;
 
 /**
- * Hears SIGHUP, which would end the process otherwise. The only interface to signals is one that
- * the compiler warns of wherever it is named, so it is looked up by name.
+ * Handles SIGHUP, which would otherwise terminate the process. The compiler warns wherever the
+ * JDK's only signal API is named, so the API is accessed by reflection.
  */
 final class SighupHandler {
 
@@ -19,11 +19,11 @@
   private SighupHandler() {}
 
   /**
-   * Reads the file anew at each SIGHUP from now on; one that cannot be read is logged and changes
-   * nothing. Each signal comes on a thread of its own: they read one at a time, so the last passed
-   * on is the newest.
+   * Rereads the file at each SIGHUP from now on. A file that cannot be read is logged and changes
+   * nothing. Each signal is handled on a thread of its own. The threads read one at a time, so the
+   * configuration passed on last is the newest.
    *
-   * @param next is given each configuration in the order of their reading, and is not to wait
+   * @param next receives the configurations in the order in which they were read; must not block
    */
   static void reload(Path file, Consumer<Config> next) {
     Object reading = new Object();
@@ -35,14 +35,15 @@
             } catch (IOException | RuntimeException e) {
               LOG.log(
                   Level.SEVERE,
-                  "the configuration cannot be read again, and stays as it was: " + e.getMessage(),
+                  "cannot reread the configuration after SIGHUP; the current one stays in force: "
+                      + e.getMessage(),
                   e);
             }
           }
         });
   }
 
-  /** Runs the action, on a thread of the runtime's, at each SIGHUP from now on. */
+  /** Runs the action on a thread of the Java runtime at each SIGHUP from now on. */
   static void handle(Runnable action) {
     try {
       Class<?> signal = Class.forName("sun.misc.Signal");
@@ -62,7 +63,7 @@
               });
       signal.getMethod("handle", signal, handler).invoke(null, hangUp, run);
     } catch (ReflectiveOperationException e) {
-      throw new IllegalStateException("this Java runtime does not tell of SIGHUP", e);
+      throw new IllegalStateException("this Java runtime does not support SIGHUP handlers", e);
     }
   }
 }
--- a/front/src/main/java/willowdoor/front/counter/CounterClient.java
+++ b/front/src/main/java/willowdoor/front/counter/CounterClient.java
@@ -27,35 +27,39 @@
 import willowdoor.policy.GatewayApi.Status;
 
 /**
- * Calls to the counter, pipelined on a few kept connections. A call goes to the connection with the
- * fewest answers owed, so that one slow part of the counter holds up only what already waits behind
- * it; calls for one name keep their order.
+ * Client of the shared counter. Calls are pipelined on a few persistent connections. A call goes to
+ * the connection with the fewest outstanding responses, so that one slow part of the counter delays
+ * only the calls already queued behind it. Calls for one name keep their order.
  */
 public final class CounterClient implements ModuleDriver.Calls {
 
   private static final int CONNECTIONS = 12;
 
-  /** Answers that one connection may owe; beyond that a call is turned away here. */
+  /** Maximum outstanding responses of one connection. Further calls are rejected locally. */
   private static final int MAX_OUTSTANDING = 256;
 
   private static final int MAX_LINE_BYTES = 256;
   private static final long SWEEP_MS = 100;
 
   /**
-   * A connection silent for so many limits of a call, though it owes an answer, is taken for dead.
+   * A connection with outstanding responses that receives nothing for this many call timeouts is
+   * considered dead.
    */
   private static final double SILENCE_TIMEOUTS = 12;
 
-  /** An idle connection is pinged this often: it stays open, and a dead one shows. */
+  /** An idle connection is pinged at this interval, which keeps it open and detects a dead one. */
   private static final double PING_MS = 3_000;
 
-  /** A timer so much late shows that this process was held up. */
+  /** A timer that fires this late indicates that this process was stalled. */
   private static final double LATE_TIMER_MS = 5;
 
   private static final double MIN_BACKOFF_MS = 50;
   private static final double MAX_BACKOFF_MS = 400;
 
-  /** One call, or a ping where the name is null; it keeps its place when it is given up. */
+  /**
+   * One call, or a ping if the name is null. A call that timed out keeps its position in the queue
+   * of outstanding responses.
+   */
   private static final class Call {
     final String name;
     final double startedAt;
@@ -79,12 +83,12 @@
   private Connection[] connections = {};
 
   /**
-   * Connections to the address before: they end once those to the new one are up and nothing is
-   * owed.
+   * Connections to the previous address. They are closed once a connection to the new address is
+   * open and they have no outstanding responses.
    */
   private Connection[] previousConnections = {};
 
-  /** Calls in the order of their starts, and so of their limits. */
+  /** Calls in the order of their starts, and therefore of their timeouts. */
   private final ArrayDeque<Call> pending = new ArrayDeque<>();
 
   private final Map<String, Call> lastOfName = new HashMap<>();
@@ -122,7 +126,7 @@
   }
 
   /**
-   * From now on the counter is at another address. What is owed at the old one may still be
+   * Switches to another address of the counter. Calls outstanding at the old address may still be
    * answered.
    */
   public void moveTo(SocketAddress counter) {
@@ -159,7 +163,7 @@
     scheduleTimeout();
   }
 
-  /** Decimal digits without an exponent, which the counter does not read. */
+  /** Formats an amount as decimal digits without an exponent, which the counter does not parse. */
   static String formatAmount(double amount) {
     if (amount == Math.rint(amount) && Math.abs(amount) < 1e9) {
       return Long.toString((long) amount);
@@ -188,7 +192,7 @@
     }
   }
 
-  /** One timer for all calls: their limits come in the order of their starts. */
+  /** Schedules one timer for all calls: their timeouts expire in the order of their starts. */
   private void scheduleTimeout() {
     if (!timerScheduled && !pending.isEmpty()) {
       timerScheduled = true;
@@ -199,8 +203,8 @@
   }
 
   /**
-   * A process that was held up itself reads first what came meanwhile: a limit that passed unseen
-   * tells nothing of the counter.
+   * Handles an expired timeout. After a stall of this process, the responses received meanwhile are
+   * read first: a timeout that expired during the stall does not show a slow counter.
    */
   private void onTimeout(double dueAt) {
     if (clock.now() - dueAt > LATE_TIMER_MS) {
@@ -236,18 +240,21 @@
     }
   }
 
-  /** One kept connection and the answers that it owes, in order. */
+  /** One persistent connection and its outstanding calls, in order. */
   private final class Connection extends ChannelInitializer<Channel> {
     private final ArrayDeque<Call> outstanding = new ArrayDeque<>();
     private Channel channel;
     private double lastReceivedAt;
 
-    /** Junk came: lines that were read with it are not answers to what is owed. */
+    /**
+     * A malformed or unexpected line arrived: further lines read with it are not responses to
+     * outstanding calls.
+     */
     private boolean outOfSync;
 
     private double backoffMs = MIN_BACKOFF_MS;
 
-    /** The counter has moved: this connection is not opened again. */
+    /** The counter has moved to another address: this connection is not reopened. */
     private boolean retired;
 
     boolean open() {
@@ -292,7 +299,10 @@
       channel.writeAndFlush(bytes).addListener(f -> call.written = f.isSuccess());
     }
 
-    /** Replaces the connection when it is silent: a vanished machine resets nothing. */
+    /**
+     * Closes a connection that receives nothing for too long, so that it is replaced: a machine
+     * that vanishes sends no reset.
+     */
     void check(double now) {
       if (!open()) {
         return;
@@ -355,7 +365,8 @@
         backoffMs = MIN_BACKOFF_MS;
         return;
       }
-      // Junk: answers and calls are out of step, and nothing that follows can be trusted.
+      // Unexpected line: responses and calls are out of sync, and no following line can be matched
+      // to a call.
       outOfSync = true;
       counters.count(EventCounters.Event.COUNTER_UNREADABLE);
       if (call != null) {
@@ -364,7 +375,10 @@
       channel.close();
     }
 
-    /** What was not written whole added nothing; anything else may have been added. */
+    /**
+     * Fails the outstanding calls. A call that was not written completely has added nothing; any
+     * other call may have been added.
+     */
     private void onConnectionLost() {
       channel = null;
       outOfSync = false;
--- a/front/src/main/java/willowdoor/front/discovery/BackendListUpdate.java
+++ b/front/src/main/java/willowdoor/front/discovery/BackendListUpdate.java
@@ -16,8 +16,8 @@
 import willowdoor.wire.JsonFields;
 
 /**
- * One message of discovery: the entries for the module, and where each backend listens, seen from
- * here.
+ * One message from discovery: the entries for the policy module, and the address of each backend as
+ * reachable from this machine.
  */
 public record BackendListUpdate(
     long version, boolean full, List<BackendEntry> entries, Map<Long, SocketAddress> addresses) {
@@ -25,15 +25,15 @@
   private static final JsonFactory JSON = new JsonFactory();
   private static final int MAX_BACKENDS = 10_000;
 
-  /** Every machine reads the same clock, and each a little differently. */
+  /** Tolerance for clock differences between machines. */
   private static final double MAX_CLOCK_SKEW_MS = 60_000;
 
   /**
-   * Reads what discovery has told.
+   * Parses a message from discovery.
    *
-   * @param now Unix time in milliseconds: a backend cannot have started much later than that
-   * @throws IOException where it is not as the protocol has it in any part: then none of it is to
-   *     be believed
+   * @param now Unix time in milliseconds: a backend cannot have started much later than this
+   * @throws IOException if any part of the message violates the protocol; then the whole message is
+   *     rejected
    */
   public static BackendListUpdate parse(byte[] line, double now) throws IOException {
     try (JsonParser in = JSON.createParser(line)) {
@@ -42,15 +42,15 @@
       if (!(message.get("version") instanceof Long version)
           || version < 0
           || !(message.get("servers") instanceof List)) {
-        throw new IOException("a message without a version or a list of servers");
+        throw new IOException("message without a version or a list of servers");
       }
       if (!(message.getOrDefault("full", false) instanceof Boolean)) {
-        throw new IOException("a message that may be the whole list or not");
+        throw new IOException("message whose full field is neither true nor false");
       }
       BackendListUpdate update = of(message);
       for (BackendEntry e : update.entries) {
         if (e.startedMs() > now + MAX_CLOCK_SKEW_MS) {
-          throw new IOException("a backend that is yet to start");
+          throw new IOException("backend whose start time is in the future");
         }
       }
       return update;
@@ -63,7 +63,7 @@
       throw new IOException("a list of " + servers.size() + " backends");
     }
     if (message.get("servers") instanceof List<?> all && all.size() > servers.size()) {
-      throw new IOException("a list of backends with what is none");
+      throw new IOException("list of backends contains an item that is not an object");
     }
     List<BackendEntry> entries = new ArrayList<>();
     Map<Long, SocketAddress> places = new HashMap<>();
@@ -73,7 +73,7 @@
       if (address != null) {
         places.put(entry.id(), address);
       } else if (entry.phase() == Phase.SERVING) {
-        throw new IOException("a backend without an address: " + s.get("id"));
+        throw new IOException("backend without an address: " + s.get("id"));
       }
       entries.add(entry);
     }
@@ -87,7 +87,7 @@
   private static BackendEntry entry(Map<String, Object> fields) throws IOException {
     String id = JsonFields.text(fields, "id");
     if (id.isEmpty()) {
-      throw new IOException("a backend without an id");
+      throw new IOException("backend without an id");
     }
     Phase phase =
         switch (JsonFields.text(fields, "state")) {
@@ -97,7 +97,7 @@
         };
     double weight = amount(fields, "weight", 1);
     if (weight < 0) {
-      throw new IOException("a backend with a weight below nothing: " + id);
+      throw new IOException("backend with a negative weight: " + id);
     }
     return new BackendEntry(
         hashId(id),
@@ -113,13 +113,14 @@
     Object value = fields.get(name);
     double amount = JsonFields.number(fields, name, absent);
     if (value != null && !(value instanceof Number) || !Double.isFinite(amount)) {
-      throw new IOException("a backend with a " + name + " of " + value);
+      throw new IOException("backend with an invalid " + name + ": " + value);
     }
     return amount;
   }
 
   /**
-   * A backend's name as the number that the module knows it by: FNV-1a, alike at every front door.
+   * Maps a backend's name to the number that the policy module uses: FNV-1a, the same at every
+   * gateway process.
    */
   public static long hashId(String id) {
     long hash = 0xcbf29ce484222325L;
--- a/front/src/main/java/willowdoor/front/discovery/DiscoveryClient.java
+++ b/front/src/main/java/willowdoor/front/discovery/DiscoveryClient.java
@@ -33,8 +33,9 @@
 import willowdoor.front.loop.Transport;
 
 /**
- * The sockets of the watch of the list, which {@link WatchStateMachine} decides on; while there is
- * none the last list stays in use. All on the event loop's thread.
+ * Performs the network I/O of the watch on the backend list, as decided by {@link
+ * WatchStateMachine}. While no watch is open, the last list stays in use. All methods run on the
+ * event loop's thread.
  */
 public final class DiscoveryClient {
 
@@ -50,7 +51,7 @@
   private final Promise<Void> caughtUp;
   private InetSocketAddress agent;
 
-  /** The present try's; null between tries. */
+  /** The channel of the current attempt; null between attempts. */
   private Channel channel;
 
   public DiscoveryClient(
@@ -89,20 +90,20 @@
         TimeUnit.MILLISECONDS);
   }
 
-  /** Comes to pass once the list is as new as can be had. */
+  /** Completes once the list is as recent as can be obtained. */
   public Future<Void> caughtUp() {
     return caughtUp;
   }
 
-  /** From now on the list comes from another address. */
+  /** Switches the watch to another address of the discovery agent. */
   public void moveTo(InetSocketAddress next) {
     agent = next;
     apply(() -> watch.onAddressChanged(clock.now()));
   }
 
   /**
-   * Carries out what the watch decides on; a fault in that costs the present try, and never the
-   * looks.
+   * Executes the effects that the state machine returns. An exception ends the current attempt but
+   * never the periodic checks.
    */
   private void apply(Supplier<List<WatchStateMachine.Effect>> decision) {
     try {
@@ -111,7 +112,10 @@
         LOG.info(watch.caughtUpReason());
       }
     } catch (RuntimeException e) {
-      LOG.log(Level.SEVERE, "the watch failed", e);
+      LOG.log(
+          Level.SEVERE,
+          "discovery watch failed with an exception; the current attempt is closed",
+          e);
       watch.onClosed(clock.now()).forEach(this::execute);
     }
   }
@@ -127,7 +131,8 @@
       }
       Channel ending = channel;
       channel = null;
-      // Without a descriptor left there was none, and its stand-in cannot be closed.
+      // If no file descriptor was available there is no real channel, and Netty's placeholder
+      // cannot be closed.
       if (ending != null && ending.isOpen()) {
         ending.close();
       }
@@ -163,7 +168,7 @@
         });
   }
 
-  /** A try that was given up ends without consequence. */
+  /** Reports the end of the current attempt. The end of an abandoned attempt has no effect. */
   private void ended(Channel ending) {
     if (ending == channel) {
       apply(() -> watch.onClosed(clock.now()));
@@ -171,8 +176,8 @@
   }
 
   /**
-   * Passes on the bytes of the answer's body, in which lines, objects and chunks end where they
-   * like.
+   * Forwards the bytes of the response body. Lines, objects and chunks may end at arbitrary
+   * positions.
    */
   private final class ResponseHandler extends SimpleChannelInboundHandler<HttpObject> {
     @Override
@@ -199,7 +204,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      LOG.log(Level.FINE, "watch ended", cause);
+      LOG.log(Level.FINE, "discovery watch connection failed", cause);
       ctx.close();
     }
   }
--- a/front/src/main/java/willowdoor/front/discovery/JsonObjectScanner.java
+++ b/front/src/main/java/willowdoor/front/discovery/JsonObjectScanner.java
@@ -5,8 +5,9 @@
 import java.util.List;
 
 /**
- * Cuts what a watch brings into whole JSON objects, however they are laid out over lines and over
- * reads. What stands between them is white space: the empty lines that show that the watch lives.
+ * Splits the bytes of a watch into complete JSON objects, regardless of how the objects are spread
+ * over lines and reads. Only white space is allowed between objects: the agent sends empty lines as
+ * heartbeats.
  */
 final class JsonObjectScanner {
 
@@ -18,7 +19,7 @@
   private boolean escaped;
   private boolean malformed;
 
-  /** The objects that end with these bytes, in order. */
+  /** Returns the objects that are completed by these bytes, in order. */
   List<byte[]> read(byte[] bytes) {
     List<byte[]> whole = new ArrayList<>(1);
     int from = 0;
@@ -55,14 +56,14 @@
     }
   }
 
-  /** Whether an object has begun and not ended. */
+  /** Whether an object has started and is not complete. */
   boolean insideObject() {
     return depth > 0;
   }
 
   /**
-   * Whether something came that is neither an object nor white space, or an object beyond all
-   * bounds.
+   * Whether the input contained something other than objects and white space, or an object that
+   * exceeds the size limit.
    */
   boolean malformed() {
     return malformed;
--- a/front/src/main/java/willowdoor/front/discovery/WatchStateMachine.java
+++ b/front/src/main/java/willowdoor/front/discovery/WatchStateMachine.java
@@ -9,78 +9,87 @@
 import willowdoor.front.discovery.WatchStateMachine.Effect.Open;
 
 /**
- * When the watch of the list is opened, taken for broken and opened anew: one try at a time. Times
- * are milliseconds on one clock that never goes back; it reads none, and does nothing but tell what
- * to do, in order.
+ * Decides when the watch on the backend list is opened, considered broken and reopened, with one
+ * attempt at a time. Times are milliseconds of one monotonic clock. The class reads no clock and
+ * performs no I/O: it only returns the effects to execute, in order.
  *
- * <p>The platform's terms: what a silent watch misses counts as told 6 s after it fell silent, what
- * the agent has counts at once otherwise, and 4 s after SIGHUP what the next address has. The table
- * "The list's clock" in docs/design.md adds up what is spent of that.
+ * <p>The platform's rules: a change missed by a silent watch counts as delivered 6 s after the
+ * watch fell silent; otherwise a change counts as delivered as soon as the agent has it; and after
+ * SIGHUP the data of the new address counts as delivered after 4 s. The table "The list's clock" in
+ * docs/design.md adds up how this time is spent.
  *
- * <p>A limit ends a try only at the second look in a row that finds it passed: between two looks
- * all that has come is read, so a pause of this process is not taken for the agent's silence.
+ * <p>A timeout ends an attempt only when two consecutive checks find it expired. All received data
+ * is read between two checks, so a pause of this process is not mistaken for silence of the agent.
  */
 final class WatchStateMachine {
 
   /**
-   * The agent is on this machine and answers at once: a connect, the answer's head, and each
-   * further part of an object that has begun or is owed follow within this.
+   * The agent runs on this machine and responds at once. The connect, the response head, and each
+   * further part of an object that has started or is expected must follow within this time.
    */
   static final double RESPONSE_TIMEOUT_MS = 500;
 
-  /** Empty lines come every 2 s: a watch on which nothing came for so long is broken. */
+  /**
+   * The agent sends an empty line every 2 s: a watch that receives nothing for this long is broken.
+   */
   static final double SILENCE_TIMEOUT_MS = 2_500;
 
   /**
-   * An object that drips in is waited for no longer than this after the last whole line of the
-   * watch.
+   * An incomplete object is awaited no longer than this after the last complete object or line of
+   * the watch.
    */
   static final double MAX_INCOMPLETE_MS = 4_200;
 
-  /** An object that is owed is to be whole so long after its try began. */
+  /** An expected object must be complete this long after its attempt started. */
   static final double FIRST_OBJECT_TIMEOUT_MS = 1_500;
 
-  /** The same where objects have dripped in for two tries in a row: this agent may be that slow. */
+  /**
+   * The same limit after two consecutive attempts with slowly arriving objects: this agent may be
+   * that slow.
+   */
   static final double SLOW_FIRST_OBJECT_TIMEOUT_MS = 3_500;
 
-  /** A watch that broke is opened again after about this. */
+  /** Approximate delay before a broken watch is reopened. */
   static final double RECONNECT_DELAY_MS = 50;
 
-  /** Tries that fail follow each other at about this distance, from one opening to the next. */
+  /** Approximate interval between the starts of consecutive failing attempts. */
   static final double ATTEMPT_INTERVAL_MS = 400;
 
   /**
-   * Before the first word the list may be as old as the configuration's. The agent tells what
-   * changed since right behind its answer's head, if anything did.
+   * Before the first update, the list may be as old as the configuration's list. The agent sends
+   * the changes since then, if any, directly after its response head.
    */
   static final double FIRST_UPDATE_WAIT_MS = 75;
 
-  /** Where nobody answers at the start, the configuration's list has to do after this. */
+  /** If the agent does not respond at startup, the configuration's list is used after this time. */
   static final double STARTUP_WAIT_MS = 1_000;
 
   /**
-   * After so many tries in a row that owed an object and brought none behind the head, one does not
-   * owe any: this agent may have none for an old version. One only, so that an outage's end is seen
-   * all the same.
+   * After this many consecutive attempts on which an expected object did not start, the next
+   * attempt expects none: this agent may send no object for an old version. Only that one attempt
+   * does so, so that the end of an outage is still detected.
    */
   private static final int MAX_EMPTY_ATTEMPTS = 3;
 
   private static final int MAX_SLOW_ATTEMPTS = 2;
 
-  /** What is to be done. */
+  /** An effect that the caller executes. */
   sealed interface Effect {
 
     /**
-     * Connect to the agent, and ask for what changed after this version. On a further try that is
-     * the version before the last known one, so that an object is owed: a head with nothing behind
-     * it is then silence.
+     * Connect to the agent and request the changes since this version. On a repeated attempt the
+     * version is one below the last known version, so that an object is expected: a response head
+     * with nothing after it then counts as silence.
      */
     record Open(long version) implements Effect {}
 
-    /** End the present try; an object that could not be read may be the reason. */
+    /**
+     * Close the current attempt. The flag states whether an unreadable or incomplete object was the
+     * reason.
+     */
     record Close(boolean unreadable) implements Effect {}
 
-    /** Act on these news. */
+    /** Apply this update. */
     record Deliver(BackendListUpdate update) implements Effect {}
   }
 
@@ -91,45 +100,49 @@
     STREAMING
   }
 
-  /** From nought to one, drawn anew each time. */
+  /** Returns a new random number from 0 to 1 on each call. */
   private final DoubleSupplier random;
 
   private long version;
   private Stage stage = Stage.IDLE;
 
-  /** When the next try begins, between tries. */
+  /** When the next attempt starts; used between attempts. */
   private double openAt = Double.POSITIVE_INFINITY;
 
   private double startedAt;
   private double openedAt;
   private double responseHeadAt;
 
-  /** The present try's last sign of life, and its last whole object or line. */
+  /**
+   * When the current attempt last received data, and when it last received a complete object or
+   * line.
+   */
   private double lastReceivedAt;
 
   private double lastCompleteAt;
 
   /**
-   * Whether the agent owes an object right behind the present try's head, as it was asked for an
-   * old one.
+   * Whether an object is expected directly after the response head of the current attempt, because
+   * an old version was requested.
    */
   private boolean objectExpected;
 
   /**
-   * Whether the present try has brought what it had to first: the object owed, or else any sign of
-   * life.
+   * Whether the current attempt has received what it must receive first: the expected object, or
+   * else any data.
    */
   private boolean confirmed;
 
   /**
-   * Tries in a row on which an owed object did not begin, and on which one dripped in for too long.
+   * Consecutive attempts on which an expected object did not start, and on which an object arrived
+   * too slowly.
    */
   private int emptyAttempts;
 
   private int slowAttempts;
   private JsonObjectScanner scanner = new JsonObjectScanner();
 
-  /** What the look before found. */
+  /** Whether the previous check found the deadline expired. */
   private boolean overdue;
 
   private boolean noUpdate;
@@ -146,12 +159,12 @@
     return open(now);
   }
 
-  /** How it is known that the list is as new as can be had; null while it is not. */
+  /** Why the list is considered as recent as can be obtained; null until then. */
   String caughtUpReason() {
     return caughtUpReason;
   }
 
-  /** To be called every 25 ms or so. */
+  /** Must be called about every 25 ms. */
   List<Effect> check(double now) {
     List<Effect> effects = List.of();
     if (stage == Stage.IDLE) {
@@ -187,7 +200,7 @@
         next, openedAt + (objectExpected ? first : RESPONSE_TIMEOUT_MS + SILENCE_TIMEOUT_MS));
   }
 
-  /** Ends a try that a limit has passed on. */
+  /** Ends an attempt whose deadline has expired. */
   private Close timeOut(double now) {
     boolean inside = scanner.insideObject();
     if (inside && now < lastReceivedAt + RESPONSE_TIMEOUT_MS) {
@@ -234,20 +247,20 @@
     return new Close(unreadable);
   }
 
-  /** The present try's connection has come up, and the agent was asked on it. */
+  /** The current attempt's connection is open and the request was sent on it. */
   void onConnected(double now) {
     stage = Stage.REQUESTED;
     lastReceivedAt = now;
   }
 
-  /** The head of a good answer has come. */
+  /** The head of a successful response was received. */
   void onResponseHead(double now) {
     stage = Stage.STREAMING;
     responseHeadAt = now;
     lastReceivedAt = now;
   }
 
-  /** A part of the answer's body has come. */
+  /** A part of the response body was received. */
   List<Effect> onBody(double now, byte[] part) {
     List<Effect> effects = new ArrayList<>(1);
     for (byte[] object : scanner.read(part)) {
@@ -258,7 +271,7 @@
         confirmed = true;
         lastCompleteAt = now;
         caughtUpReason =
-            caughtUpReason == null ? "discovery's first list has come" : caughtUpReason;
+            caughtUpReason == null ? "discovery's first list was received" : caughtUpReason;
         effects.add(new Deliver(update));
       } catch (IOException e) {
         effects.add(endAttempt(now, true));
@@ -276,13 +289,13 @@
     return effects;
   }
 
-  /** The present try's connection has failed or ended, or carries what is no good answer. */
+  /** The current attempt's connection has failed or ended, or carries an invalid response. */
   List<Effect> onClosed(double now) {
     return stage == Stage.IDLE ? List.of() : List.of(endAttempt(now, scanner.insideObject()));
   }
 
   /**
-   * The agent is at another address from now on: what changed since the last version is asked
+   * The agent has another address from now on: the changes since the last version are requested
    * there.
    */
   List<Effect> onAddressChanged(double now) {
--- a/front/src/main/java/willowdoor/front/loop/Clock.java
+++ b/front/src/main/java/willowdoor/front/loop/Clock.java
@@ -4,9 +4,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * Unix time in milliseconds that never goes back: the system's time once, and the monotonic clock
- * since. The names of the shared counts' windows come from it, so a step of the system's time must
- * not reach them.
+ * Unix time in milliseconds that never goes back: reads the system time once and adds the elapsed
+ * time of the monotonic clock. The names of the shared counters' windows derive from this clock, so
+ * a step of the system time must not affect them.
  */
 public final class Clock {
 
--- a/front/src/main/java/willowdoor/front/loop/Descriptors.java
+++ b/front/src/main/java/willowdoor/front/loop/Descriptors.java
@@ -3,24 +3,27 @@
 import java.io.IOException;
 
 /**
- * How the descriptors that the process may hold are dealt out. Without a bound of its own each side
- * could take all: then no client is accepted, no backend is reached, and no lost connection comes
- * back. Clients hold a third of all for their requests at most, and each of those needs one
- * connection to a backend.
+ * Divides the process's file descriptors between clients and backends. Without a limit of its own,
+ * each side could use all descriptors: then no client is accepted, no backend is reached, and no
+ * lost connection is reopened. Client requests hold at most a third of all descriptors, and each
+ * such request needs one connection to a backend.
  */
 public record Descriptors(int clients, int refused, int backends) {
 
-  /** For the operators' address: its callers, one that is about to be turned away, its own. */
+  /**
+   * For the management address: its callers, one connection about to be rejected, and the
+   * descriptors of its own event loop and listener.
+   */
   public static final int OPERATORS = 16;
 
   /**
-   * The Java runtime's files and pollers, the listener, and the connections to the counter and to
-   * discovery, which are there twice for a moment when their addresses change; and the operators'
-   * share.
+   * The Java runtime's files and pollers, the listener, the connections to the counter and to
+   * discovery, which exist twice for a moment when their addresses change, and the management
+   * address's share.
    */
   private static final int RESERVED = 48 + OPERATORS;
 
-  /** Connections over the clients' bound that are still told so. */
+  /** Connections beyond the client limit that still receive a rejection response. */
   private static final int REFUSED = 16;
 
   private static final int MIN_SOCKETS = 96;
--- a/front/src/main/java/willowdoor/front/loop/EventCounters.java
+++ b/front/src/main/java/willowdoor/front/loop/EventCounters.java
@@ -3,39 +3,40 @@
 import java.util.logging.Logger;
 
 /**
- * Counts what is worth knowing on a bad day, and writes one line of it now and then: what did not
- * happen since the last line is left out. On the event loop's thread.
+ * Counts abnormal events and periodically logs one line of them; events that did not occur since
+ * the last line are omitted. Used on the event loop's thread.
  */
 public final class EventCounters {
 
   private static final Logger LOG = Logger.getLogger(EventCounters.class.getName());
 
-  /** What is counted. */
+  /** The counted events. */
   public enum Event {
-    /** Answers of backends that do not parse, and that nobody asked for. */
+    /** Backend responses that cannot be parsed, and unsolicited ones. */
     ANSWER_UNREADABLE,
     ANSWER_UNASKED,
-    /** Lines of discovery that do not parse: the list stays as it was. */
+    /** Discovery messages that cannot be parsed: the list stays unchanged. */
     DISCOVERY_UNREADABLE,
-    /** Lines of the counter that answer nothing: their connection ends. */
+    /** Counter lines that match no call: their connection is closed. */
     COUNTER_UNREADABLE,
-    /** Attempts without a connection as all are in use. */
+    /** Attempts without a connection because all connections are in use. */
     BACKENDS_FULL,
     /**
-     * Clients: idle ones that made room, refused as all are in use, and too slow with a request.
+     * Client connections: idle ones closed to free capacity, ones refused because all are in use,
+     * and ones closed for a slow request.
      */
     CLIENT_EVICTED,
     CLIENT_REFUSED,
     CLIENT_SLOW,
-    /** Bodies and answers on their way on which nothing moved any more. */
+    /** Request and response bodies in transfer that made no progress for too long. */
     STREAM_IDLE,
-    /** Requests failed at the last moment of their time, as no other answer had come. */
+    /** Requests failed just before their deadline because no other response had arrived. */
     LAST_CALL
   }
 
   private static final Event[] EVENTS = Event.values();
 
-  /** Attempts are told apart by how many of these parts of the request's time were left. */
+  /** Attempts are grouped into this many buckets by the remaining share of the request's time. */
   private static final int TIME_BUCKETS = 4;
 
   private final long[] counts = new long[EVENTS.length];
@@ -45,12 +46,12 @@
     counts[event.ordinal()]++;
   }
 
-  /** Counts an attempt that began with so much of the request's time left, from 0 to 1. */
+  /** Counts an attempt that started with this share of the request's time left, from 0 to 1. */
   public void countAttempt(double shareLeft) {
     attemptsByTimeLeft[(int) Math.min(TIME_BUCKETS - 1, shareLeft * TIME_BUCKETS)]++;
   }
 
-  /** Writes what was counted since the last line behind the caller's present figures. */
+  /** Logs the given current figures followed by the events counted since the last line. */
   public void log(String present) {
     LOG.info(formatLine(present));
   }
--- a/front/src/main/java/willowdoor/front/loop/LoopGroup.java
+++ b/front/src/main/java/willowdoor/front/loop/LoopGroup.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.Executor;
 import java.util.concurrent.ThreadFactory;
 
-/** The front door's one event loop, which notes when it looks at its sockets. */
+/** The gateway's single event loop, which records when it polls its sockets. */
 public final class LoopGroup extends MultiThreadIoEventLoopGroup {
 
   public LoopGroup(IoHandlerFactory ioHandler, Clock clock, PollTimes pollTimes) {
--- a/front/src/main/java/willowdoor/front/loop/PollTimes.java
+++ b/front/src/main/java/willowdoor/front/loop/PollTimes.java
@@ -1,16 +1,16 @@
 package willowdoor.front.loop;
 
 /**
- * When the event loop looked at its sockets. What it reads now was not there at the look before:
- * that one would have found it. So however long the process stood still, what came meanwhile is no
- * older than that.
+ * Records when the event loop polled its sockets. Data read by the current poll was not available
+ * at the previous one, which would have found it. So the data arrived after the previous poll,
+ * however long the process was paused since.
  */
 public final class PollTimes {
 
   private long count;
   private double lastPollStartedAt;
 
-  /** When the last look that found nothing ended. */
+  /** When the last poll that found nothing ended. */
   private double lastEmptyPollEndedAt;
 
   private double earliestArrival;
@@ -27,12 +27,12 @@
     lastPollStartedAt = now;
   }
 
-  /** The look that began last ended now, and found nothing. */
+  /** The current poll ended at this time and found nothing. */
   public void onEmptyPoll(double now) {
     lastEmptyPollEndedAt = now;
   }
 
-  /** How many have begun. */
+  /** The number of polls started. */
   public long count() {
     return count;
   }
@@ -41,7 +41,7 @@
     return lastPollStartedAt;
   }
 
-  /** The earliest moment at which that can have come which the present look finds. */
+  /** The earliest time at which the data found by the current poll can have arrived. */
   public double earliestArrival() {
     return earliestArrival;
   }
--- a/front/src/main/java/willowdoor/front/loop/Transport.java
+++ b/front/src/main/java/willowdoor/front/loop/Transport.java
@@ -27,8 +27,8 @@
 import java.util.function.Consumer;
 
 /**
- * The sockets that the event loop drives: native epoll, which took a quarter less CPU on a calm
- * day, or NIO where its library cannot be loaded.
+ * The socket implementation of the event loop: native epoll, which took a quarter less CPU under
+ * calm load, or NIO where the native library cannot be loaded.
  */
 public record Transport(
     IoHandlerFactory ioHandler,
@@ -49,24 +49,27 @@
               NioServerSocketChannel.class,
               true);
 
-  /** Channels within the process, for a warm-up: no socket is opened. */
+  /** In-process channels for the warm-up: no socket is opened. */
   public static final Transport IN_PROCESS =
       new Transport(
           LocalIoHandler.newFactory(), LocalChannel.class, LocalServerChannel.class, false);
 
   private static final int BACKLOG = 512;
 
-  /** How much may wait to be written to a peer before nothing more is read for it. */
+  /**
+   * Limits of the bytes queued for writing to a peer: above the limit, no more data is read for
+   * that peer.
+   */
   public static final WriteBufferWaterMark WRITE_BUFFER_LIMITS =
       new WriteBufferWaterMark(8 * 1024, 16 * 1024);
 
-  /** For connections from here: what is written goes out at once. */
+  /** Bootstrap for outbound connections, with TCP_NODELAY: written data is sent at once. */
   public Bootstrap client(EventLoop loop) {
     Bootstrap client = new Bootstrap().group(loop).channel(socket);
     return tcp ? client.option(ChannelOption.TCP_NODELAY, true) : client;
   }
 
-  /** For connections to here, likewise. */
+  /** Bootstrap for inbound connections, likewise with TCP_NODELAY. */
   public ServerBootstrap server(EventLoopGroup group) {
     ServerBootstrap server = new ServerBootstrap().group(group);
     return !tcp
@@ -77,21 +80,21 @@
             .childOption(ChannelOption.TCP_NODELAY, true);
   }
 
-  /** Reads 32 KiB at most at once. */
+  /** Allocates read buffers of at most 32 KiB. */
   public static RecvByteBufAllocator readBufferAllocator() {
     return new AdaptiveRecvByteBufAllocator(512, 2_048, 32 * 1024);
   }
 
   /**
-   * A channel on the listening socket that the process has inherited as the descriptor. A blocking
-   * one would hold the loop in accept whenever another process is quicker; the runtime's view of it
-   * is the only way to change that, and is kept open, since closing it would redirect the standard
-   * streams.
+   * Opens a channel on the listening socket that the process inherited as this descriptor. A
+   * blocking socket would block the loop in accept whenever another process accepts the connection
+   * first. The Java runtime's view of the socket is the only way to make it non-blocking; the view
+   * stays open, since closing it would redirect the standard streams.
    */
   public static ServerSocketChannel adopt(int descriptor) throws IOException {
     if (descriptor != 0
         || !(System.inheritedChannel() instanceof java.nio.channels.ServerSocketChannel view)) {
-      throw new IOException("descriptor " + descriptor + " is no inherited listening socket");
+      throw new IOException("descriptor " + descriptor + " is not an inherited listening socket");
     }
     view.configureBlocking(false);
     return Epoll.isAvailable()
@@ -100,9 +103,10 @@
   }
 
   /**
-   * Calls back on the event loop's thread, this one, once the connect has ended. Without a
-   * descriptor left no channel is made: the future has failed by now, its listeners would be called
-   * on a thread of the library's own, and its stand-in for a channel never closes.
+   * Runs the callback on the event loop's thread, which must be the calling thread, once the
+   * connect has completed. If no file descriptor is available, Netty creates no real channel: the
+   * future has already failed, its listeners would run on a thread of Netty's own, and the
+   * placeholder channel never closes.
    */
   public static void whenConnected(ChannelFuture connect, Consumer<ChannelFuture> ended) {
     if (connect.isDone()) {
--- a/front/src/main/java/willowdoor/front/operators/Management.java
+++ b/front/src/main/java/willowdoor/front/operators/Management.java
@@ -42,20 +42,25 @@
 import willowdoor.wire.JsonFields;
 
 /**
- * The operators' address: one call a connection. It has an event loop of its own, so that calls are
- * answered in time whatever the clients' side does. All on that loop's thread.
+ * The management address for operators, with one call per connection. It has an event loop of its
+ * own, so that calls are answered in time regardless of the load of client requests. All code runs
+ * on that loop's thread.
  */
 public final class Management {
 
-  /** Of its descriptors the rest is for one that is about to be turned away, and its own. */
+  /**
+   * Maximum concurrent callers. The remaining descriptors of the management address are for a
+   * connection about to be rejected, and for its own listener and event loop.
+   */
   private static final int MAX_CONNECTIONS = Descriptors.OPERATORS - 6;
 
   /**
-   * A caller without a whole call loses its connection after this, or sooner where room is needed.
+   * A connection without a complete call is closed after this time, or sooner when its capacity is
+   * needed.
    */
   private static final long REQUEST_TIMEOUT_MS = 4_500;
 
-  /** An answer is due within 1 s. */
+  /** Callers expect a response within 1 s. */
   private static final long CHANGE_TIMEOUT_MS = 850;
 
   private static final int MAX_LINE_BYTES = 1_024;
@@ -66,14 +71,20 @@
       JsonFactory.builder().enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION).build();
   private static final Logger LOG = Logger.getLogger(Management.class.getName());
 
-  /** What operators may ask of the front door; a change ends once it is in force. */
+  /**
+   * The operations that operators can call. The future of a change completes once the change is in
+   * force.
+   */
   public interface Operator {
     /** Whether this process is ready to serve. */
     boolean ready();
 
     Future<Boolean> drain(boolean on);
 
-    /** Takes a template server out or puts it back; false where it is not known. */
+    /**
+     * Excludes a template server or includes it again. The result is false if the server is
+     * unknown.
+     */
     Future<Boolean> setExcluded(String host, boolean out);
   }
 
@@ -82,9 +93,7 @@
   private final EventLoop loop = group.next();
   private final Operator operator;
 
-  /**
-   * Those without a whole call, the first to come ahead, and how many connections there are in all.
-   */
+  /** Connections without a complete call, oldest first, and the number of all connections. */
   private final LinkedHashSet<Caller> incomplete = new LinkedHashSet<>();
 
   private int callers;
@@ -136,15 +145,13 @@
     group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
   }
 
-  /** One connection and its one call. */
+  /** One connection and its single call. */
   private final class Caller extends SimpleChannelInboundHandler<FullHttpRequest> {
 
     private Channel channel;
     private boolean answered;
 
-    /**
-     * Callers that never finish their call give way to those that come, the first to come first.
-     */
+    /** Closes the oldest connection without a complete call when there are too many connections. */
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
       channel = ctx.channel();
@@ -222,7 +229,8 @@
     }
 
     /**
-     * The template server that the call names; anything but {@code {"host":"ID"}} is answered here.
+     * Returns the template server that the call names. A body other than {@code {"host":"ID"}} is
+     * answered with an error here, and null is returned.
      */
     private String host(FullHttpRequest call) {
       try (JsonParser in =
@@ -236,13 +244,13 @@
           return host;
         }
       } catch (IOException e) {
-        // Falls through to the one message for all that is not the object.
+        // Falls through to the common error response for an invalid body.
       }
       answer(HttpResponseStatus.BAD_REQUEST, "expected {\"host\":\"ID\"}");
       return null;
     }
 
-    /** Answers a change once it is in force, or in time that it is not yet. */
+    /** Responds once a change is in force, or reports in time that it is not in force yet. */
     private void answerChange(String name, Future<Boolean> change) {
       loop.schedule(
           () -> answer(HttpResponseStatus.SERVICE_UNAVAILABLE, "not in force yet: call again"),
@@ -257,7 +265,7 @@
                     } else if (f.isSuccess()) {
                       answer(HttpResponseStatus.OK, "done");
                     } else {
-                      LOG.log(Level.SEVERE, "could not do " + name, f.cause());
+                      LOG.log(Level.SEVERE, "management call failed: " + name, f.cause());
                       answer(HttpResponseStatus.INTERNAL_SERVER_ERROR, "failed: see the log");
                     }
                   }));
--- a/front/src/main/java/willowdoor/front/operators/OperatorFile.java
+++ b/front/src/main/java/willowdoor/front/operators/OperatorFile.java
@@ -24,16 +24,15 @@
 import willowdoor.wire.JsonFields;
 
 /**
- * What operators have asked for, in a small file that a front door's processes share: the one that
- * serves and the one that replaces it. A file that cannot be read is logged, and leaves things as
- * they are.
+ * The operators' requests, in a small file that the processes of one gateway share: the serving
+ * process and its replacement. A file that cannot be read is logged and changes nothing.
  */
 public final class OperatorFile {
 
   private static final Logger LOG = Logger.getLogger(OperatorFile.class.getName());
   private static final JsonFactory JSON = new JsonFactory();
 
-  /** The operators' drain, and the template servers that they have taken out. */
+  /** Whether operators drain the gateway, and the template servers that they exclude. */
   public record State(boolean drained, Set<String> excluded) {
 
     public static final State NONE = new State(false, Set.of());
@@ -55,7 +54,7 @@
 
   private final Path file;
 
-  /** What was last read or written, and what the file system said of the file then. */
+  /** The state last read or written, and the file's attributes at that time. */
   private State state = State.NONE;
 
   private Object version;
@@ -64,7 +63,7 @@
     this.file = file;
   }
 
-  /** What is in the file now if that changed since it was last looked at, else what it was. */
+  /** Returns the file's state: rereads the file if its attributes have changed. */
   public State refresh() {
     Object found = version();
     if (!Objects.equals(found, version)) {
@@ -74,7 +73,7 @@
     return state;
   }
 
-  /** Changes the file, whole or not at all; what the other process wrote meanwhile is kept. */
+  /** Changes the file atomically and keeps what the other process wrote meanwhile. */
   public State change(UnaryOperator<State> change) throws IOException {
     try (FileChannel channel =
             FileChannel.open(beside(".lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
@@ -111,7 +110,7 @@
     } catch (NoSuchFileException e) {
       return null;
     } catch (IOException e) {
-      LOG.log(Level.SEVERE, "cannot look at " + file, e);
+      LOG.log(Level.SEVERE, "cannot read the attributes of operators' file " + file, e);
       return null;
     }
   }
@@ -122,18 +121,19 @@
       Map<String, Object> fields = JsonFields.object(in);
       if (!(fields.get("drained") instanceof Boolean drained)
           || !(fields.get("excluded") instanceof List<?> hosts)) {
-        throw new IOException("it lacks 'drained' or 'excluded'");
+        throw new IOException("field 'drained' or 'excluded' is missing or invalid");
       }
       Set<String> excluded = new TreeSet<>();
       for (Object host : hosts) {
         if (!(host instanceof String name)) {
-          throw new IOException("'excluded' holds what is no name");
+          throw new IOException("'excluded' contains an item that is not a string");
         }
         excluded.add(name);
       }
       return new State(drained, excluded);
     } catch (IOException e) {
-      LOG.severe(() -> "operators' calls stay as they were, as " + file + " cannot be read: " + e);
+      LOG.severe(
+          () -> "operators' settings stay unchanged because " + file + " cannot be read: " + e);
       return otherwise;
     }
   }
--- a/front/src/main/java/willowdoor/front/servers/BackendConnection.java
+++ b/front/src/main/java/willowdoor/front/servers/BackendConnection.java
@@ -25,26 +25,35 @@
 import willowdoor.front.requests.Headers;
 import willowdoor.policy.GatewayApi.Status;
 
-/** One connection to a backend: at most one attempt at a time, and what its answer means. */
+/**
+ * One connection to a backend. Carries at most one attempt at a time and maps the response to the
+ * attempt's result.
+ */
 final class BackendConnection extends SimpleChannelInboundHandler<HttpObject>
     implements Attempt.Carrier {
 
   /**
-   * Answers that tell a length up to this are passed on when whole, so that a cut one can be tried
-   * again.
+   * A response with a known length up to this size is buffered and forwarded when complete, so that
+   * a truncated response can be retried.
    */
   private static final int MAX_BUFFERED_BYTES = 64 * 1024;
 
-  /** So much of an answer that tells no length is held before it is passed on as it comes. */
+  /**
+   * This much of a response without a known length is buffered before the response is forwarded as
+   * it arrives.
+   */
   private static final int MAX_BUFFERED_UNKNOWN_LENGTH_BYTES = 16 * 1024;
 
-  /** What a look reads is of no use: the connection is closed behind it. */
+  /**
+   * Receives the byte that a probe reads. The byte is discarded, because the connection is closed
+   * after the probe has read anything.
+   */
   private static final ByteBuffer PROBE_BUFFER = ByteBuffer.allocateDirect(1);
 
   private final BackendPool pool;
   final BackendPool.Backend backend;
 
-  /** The backend's as this connection was begun. */
+  /** The backend's generation when this connection was opened. */
   final int generation;
 
   private final EventCounters counters;
@@ -52,22 +61,25 @@
   private Channel channel;
   private Attempt current;
 
-  /** The one that was carried last, also when it has ended. */
+  /** The last attempt on this connection, including one that has ended. */
   private Attempt lastAttempt;
 
   /**
-   * The answer that is being read: its head, what is held of its body, whether it is passed on
-   * already.
+   * The response being read: its head, the buffered part of its body, and whether the response is
+   * already being forwarded.
    */
   private HttpResponse head;
 
   private ByteBuf bufferedBody;
   private boolean forwarding;
 
-  /** Answered in full, but what else the backend sent with that answer is not looked at yet. */
+  /**
+   * The response is complete, but other bytes that the backend sent with the response are not read
+   * yet.
+   */
   private boolean responseComplete;
 
-  /** It has carried a request before the one that it carries. */
+  /** This connection carried another request before the current one. */
   private boolean reused;
 
   double idleSince;
@@ -80,7 +92,7 @@
     this.counters = counters;
   }
 
-  /** Reads answers; to be put into the channel's pipeline ahead of this. */
+  /** Decodes responses. Must precede this handler in the channel's pipeline. */
   ResponseDecoder decoder() {
     return decoder;
   }
@@ -95,8 +107,8 @@
   }
 
   /**
-   * Whether the kernel has neither bytes nor an end of it: the loop may not have looked since they
-   * came.
+   * Whether the kernel has received neither bytes nor an end of stream for this connection. The
+   * event loop may not have polled since they arrived.
    */
   boolean nothingToRead() {
     try {
@@ -112,8 +124,8 @@
   }
 
   /**
-   * What the kernel holds of a long request would leave behind an ordinary close, at any later
-   * time.
+   * Aborts the connection. After an ordinary close, the kernel would still send the buffered part
+   * of a long request at any later time, so the connection is reset in that case.
    */
   @Override
   public void abort() {
@@ -121,7 +133,7 @@
       try {
         channel.config().setOption(ChannelOption.SO_LINGER, 0);
       } catch (ChannelException e) {
-        // It is closed already, or the system knows no such close.
+        // The channel is closed already, or the system does not support SO_LINGER.
       }
     }
     channel.close();
@@ -132,7 +144,9 @@
     channel.config().setAutoRead(on);
   }
 
-  /** Writes the attempt's request; nothing below the module ever writes it again. */
+  /**
+   * Writes the attempt's request. No layer below the policy module writes the same attempt again.
+   */
   void send(Attempt attempt) {
     current = attempt;
     lastAttempt = attempt;
@@ -140,7 +154,8 @@
     HttpRequest request = attempt.message().message(pool.leftMs(attempt));
     if (attempt.message().whole()) {
       written(attempt, channel.writeAndFlush(request), true);
-      // What the kernel takes later would be written at a time that nobody looks at.
+      // A write that the kernel accepts later would happen unobserved, past the attempt's write
+      // deadline.
       if (!attempt.written() && attempt.writtenBy() < Double.POSITIVE_INFINITY) {
         attempt.abandon(Status.UNREACHABLE);
       }
@@ -155,8 +170,8 @@
   }
 
   private void written(Attempt attempt, ChannelFuture write, boolean last) {
-    if (write
-        .isDone()) { // listeners may be called later, and what ends the attempt meanwhile must know
+    // Listeners may run later, and code that ends the attempt must see the result.
+    if (write.isDone()) {
       onWriteComplete(attempt, write, last);
     } else {
       write.addListener((ChannelFuture f) -> onWriteComplete(attempt, f, last));
@@ -211,9 +226,8 @@
         current.onHead();
       }
       if (isOk() && !current.written() && (reused || current.message().whole())) {
-        onProtocolError(
-            EventCounters.Event
-                .ANSWER_UNASKED); // a backend begins a request once its last byte has come
+        // A backend starts a request only after its last byte.
+        onProtocolError(EventCounters.Event.ANSWER_UNASKED);
         return;
       }
       if (isOk() && !hasFraming(head) && HttpUtil.isKeepAlive(head)) {
@@ -262,7 +276,7 @@
     }
   }
 
-  /** Passes the answer on from here on as it comes. */
+  /** From here on, forwards the response as it arrives. */
   private void startForwarding() {
     if (!current.onBegin(head)) {
       Attempt attempt = current;
@@ -279,7 +293,10 @@
     }
   }
 
-  /** An answer that nobody asked for, or one that does not parse: nothing behind it can be read. */
+  /**
+   * Handles an unsolicited or malformed response: nothing that follows can be parsed reliably, so
+   * the connection is aborted.
+   */
   private void onProtocolError(EventCounters.Event what) {
     counters.count(what);
     pool.onUnsolicitedData(this);
@@ -293,7 +310,7 @@
     bufferedBody = null;
     clearCurrent();
     reused = true;
-    // An answer ahead of the request's end leaves the connection out of step.
+    // A response before the end of the request leaves the connection out of sync.
     responseComplete =
         attempt.written() && !attempt.ended() && HttpUtil.isKeepAlive(answer) && hasFraming(answer);
     Status status = ResponseDecoder.status(answer);
@@ -325,16 +342,18 @@
   }
 
   /**
-   * Whether a cut of the answer can be seen. Where the connection's end is the body's end, only a
-   * reset tells of one, so the backend must have said that it closes.
+   * Whether a truncated response can be detected. Where the end of the connection marks the end of
+   * the body, only a reset indicates truncation, so the backend must have announced that it closes
+   * the connection.
    */
   private static boolean hasFraming(HttpResponse head) {
     return HttpUtil.isContentLengthSet(head) || HttpUtil.isTransferEncodingChunked(head);
   }
 
   /**
-   * The connection is free only once all that came with the answer is read: whatever follows it was
-   * sent before the next request, and would be taken for that one's answer.
+   * Releases the connection only after all bytes received with the response are read. Any bytes
+   * that follow the response were sent before the next request and would be mistaken for its
+   * response.
    */
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
@@ -357,7 +376,10 @@
     fail();
   }
 
-  /** A reset, or a fault of ours: this connection is of no more use, and its end ends no answer. */
+  /**
+   * Handles a reset or an internal error: the connection is unusable, and its end does not complete
+   * a response.
+   */
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
     fail();
--- a/front/src/main/java/willowdoor/front/servers/BackendPool.java
+++ b/front/src/main/java/willowdoor/front/servers/BackendPool.java
@@ -28,54 +28,60 @@
 import willowdoor.policy.GatewayApi.Status;
 
 /**
- * The connections to the backends, and the attempts on them. It picks no backend and repeats
- * nothing.
+ * Holds the connections to the backends and starts attempts on them. The pool neither selects
+ * backends nor retries attempts.
  */
 public final class BackendPool implements ModuleDriver.Servers {
 
   /**
-   * An idle connection is retired at this share of the backends' own limit, well before they close
-   * it.
+   * An idle connection is closed at this share of the backends' idle timeout, well before the
+   * backends close it.
    */
   private static final double RETIRE_SHARE = 0.6;
 
   private static final long SWEEP_MS = 500;
 
   /**
-   * A connect that is told so long after its limit waited for this process: the list may be a new
-   * one.
+   * A connect that completes this long after its timeout was delayed by this process. The backend
+   * list may have changed meanwhile.
    */
   private static final double CONNECT_SLACK_MS = 50;
 
   /**
-   * A connection rests so long behind an answer before it carries another request, in milliseconds:
-   * nothing in the protocol ties an answer to its request, and a second one may come some
+   * The minimum idle time of a connection between a response and the next request, in milliseconds.
+   * The protocol does not tie a response to its request, and a duplicate response may arrive some
    * milliseconds late.
    */
   static final double REUSE_DELAY_MS = 20;
 
   /**
-   * What comes unasked on a connection that rested longer is no late answer, but word of its
-   * closing.
+   * Unsolicited data on a connection idle for longer than this is not a late response but a notice
+   * that the backend closes the connection.
    */
   private static final double MAX_LATE_RESPONSE_MS = 200;
 
-  /** One backend's place and connections. */
+  /** The address and connections of one backend. */
   static final class Backend {
     private final long id;
     private SocketAddress address;
     private double startedMs;
 
     /**
-     * Goes up whenever what is open ends its use: a connection of an earlier one carries nothing
-     * new.
+     * Incremented whenever the open connections must not be used any more: a connection of an
+     * earlier generation carries no new request.
      */
     private int generation;
 
-    /** Twice as long as anything of it was late, if that was seen. */
+    /**
+     * The minimum idle time before reuse: raised to twice the longest delay seen of a late
+     * response.
+     */
     private double reuseDelayMs;
 
-    /** The last one in was used last, and is used next: the others grow old and are retired. */
+    /**
+     * Used as a stack: the connection used last is used next, so the other connections age and are
+     * closed.
+     */
     private final ArrayDeque<BackendConnection> idle = new ArrayDeque<>();
 
     private final Set<Attempt> connecting = new HashSet<>();
@@ -89,7 +95,7 @@
   private final Clock clock;
   private final Bootstrap bootstrap;
 
-  /** Within a process nothing is late. */
+  /** Zero for in-process channels, where no response arrives late. */
   private final double reuseDelayMs;
 
   private final double connectLimitMs;
@@ -98,14 +104,14 @@
   private final EventCounters counters;
 
   /**
-   * All connections to backends, idle ones too: their part of the descriptors that the process may
-   * hold.
+   * The limit of connections to backends, including idle ones: the pool's share of the process's
+   * file descriptors.
    */
   private final int maxConnections;
 
   private int connections;
 
-  /** The module's word on backends that get nothing new. */
+  /** The policy module's decision which backends receive no new requests. */
   private final LongPredicate excluded;
 
   public BackendPool(
@@ -133,8 +139,8 @@
   }
 
   /**
-   * Takes the places that discovery tells; backends that drain or are gone lose their unused
-   * connections.
+   * Applies the backend addresses from discovery. Backends that are draining or removed lose their
+   * unused connections.
    */
   @Override
   public void onRoster(BackendListUpdate update) {
@@ -161,15 +167,15 @@
   }
 
   /**
-   * Guards the rule on drains: an attempt that still waits for its connection is not written any
-   * more.
+   * Removes a backend. Enforces the drain rule: an attempt that is still waiting for its connection
+   * is not written any more.
    */
   private void remove(long id) {
     cut(id);
     backends.remove(id);
   }
 
-  /** Ends all that has not reached the backend yet; what is under way goes on. */
+  /** Ends all attempts that have not reached the backend yet. Attempts already written continue. */
   @Override
   public void cut(long id) {
     Backend b = backends.get(id);
@@ -180,7 +186,7 @@
     }
   }
 
-  /** Open and opening connections, idle ones too. */
+  /** The number of open and opening connections, including idle ones. */
   public int connections() {
     return connections;
   }
@@ -208,14 +214,14 @@
     }
   }
 
-  /** What is left of an attempt's time. */
+  /** The remaining time of an attempt. */
   double leftMs(Attempt attempt) {
     return Math.max(0, attempt.endsAt() - clock.now());
   }
 
   /**
-   * Whether it must not be written any more; one whose end has still to come from its client can be
-   * late.
+   * Whether the attempt must not be written any more. An attempt with a write deadline is also too
+   * late while its client has still to send the rest of the body.
    */
   private boolean tooLate(Attempt attempt) {
     boolean bound = attempt.writtenBy() < Double.POSITIVE_INFINITY;
@@ -225,8 +231,8 @@
   }
 
   /**
-   * Of those that have rested the one used last, unless the backend may be closing it after so
-   * long.
+   * Takes the most recently used connection that was idle for the minimum time, unless the
+   * connection was idle so long that the backend may be closing it.
    */
   private BackendConnection takeIdle(Backend b) {
     double now = clock.now();
@@ -243,7 +249,7 @@
     return null;
   }
 
-  /** Something came on it that nobody asked for. */
+  /** Handles unsolicited data on a connection. */
   void onUnsolicitedData(BackendConnection c) {
     double late = clock.now() - c.idleSince;
     if (c.backend.idle.remove(c) && late <= MAX_LATE_RESPONSE_MS) {
@@ -275,9 +281,8 @@
         connected,
         f -> {
           b.connecting.remove(attempt);
-          // Guards against writing what has timed out, was cancelled or must not reach a drained
-          // backend, also
-          // one of whose drain the loop has still to read behind a pause.
+          // Do not write an attempt that has timed out, was cancelled or must not reach a drained
+          // backend. This includes a backend whose drain the loop has not read yet after a pause.
           if (attempt.ended()
               || excluded.test(b.id)
               || tooLate(attempt)
--- a/front/src/main/java/willowdoor/front/servers/ResponseDecoder.java
+++ b/front/src/main/java/willowdoor/front/servers/ResponseDecoder.java
@@ -11,7 +11,10 @@
 import willowdoor.front.requests.Headers;
 import willowdoor.policy.GatewayApi.Status;
 
-/** Takes no line without a colon for a header: the library lets one pass that holds a space. */
+/**
+ * Decodes responses and rejects header lines without a colon: Netty's decoder accepts such a line
+ * when the line contains a space.
+ */
 final class ResponseDecoder extends HttpResponseDecoder {
   private boolean insideMessage;
 
@@ -26,17 +29,17 @@
   @Override
   protected AsciiString splitHeaderName(byte[] line, int start, int length) {
     if (line[start + length] != ':') {
-      throw new IllegalArgumentException("no colon behind a header's name");
+      throw new IllegalArgumentException("header name is not followed by a colon");
     }
     return super.splitHeaderName(line, start, length);
   }
 
-  /** Whether more has come than whole answers. */
+  /** Whether the decoder holds input beyond the last complete response. */
   boolean hasUnconsumedData() {
     return insideMessage || actualReadableBytes() > 0;
   }
 
-  /** What a whole answer says of its attempt. */
+  /** Maps a complete response to the status of its attempt. */
   static Status status(HttpResponse answer) {
     HttpResponseStatus code = answer.status();
     if (code.equals(HttpResponseStatus.OK)) {
--- a/front/src/main/java/willowdoor/front/start/WarmUp.java
+++ b/front/src/main/java/willowdoor/front/start/WarmUp.java
@@ -16,15 +16,12 @@
 import willowdoor.policy.GatewayApi.RetrySafety;
 import willowdoor.policy.GatewayApi.Settings;
 
-/**
- * What a front door serves within the process before it says ready: its peers there, and their
- * requests.
- */
+/** The in-process peers and synthetic requests that a gateway serves before it reports ready. */
 public final class WarmUp {
 
   private static final int SERVERS = 8;
 
-  /** Few enough that some spend their quota, so that refusals are warmed up too. */
+  /** Few enough customers that some exhaust their quota, so that rejections are warmed up too. */
   private static final int CUSTOMERS = 24;
 
   private static final String BODY = "{\"template\":\"lease\",\"fields\":{\"name\":\"warm-up\"}}";
@@ -33,13 +30,13 @@
   private final WarmUpPeers peers;
   private final SocketAddress door = new LocalAddress(WarmUp.class);
 
-  /** The peers are on the front door's own loop: no thread waits for another. */
+  /** Creates the peers on the gateway's own event loop, so that no thread waits for another. */
   public WarmUp(Settings settings, EventLoopGroup group) throws InterruptedException {
     this.settings = settings;
     peers = new WarmUpPeers(group);
   }
 
-  /** Where the front door is to listen. */
+  /** The address at which the gateway listens. */
   public SocketAddress door() {
     return door;
   }
@@ -48,7 +45,7 @@
     return peers.counter();
   }
 
-  /** The template servers that it is to use. */
+  /** The template servers that the gateway uses. */
   public BackendListUpdate servers() {
     List<BackendEntry> entries = new ArrayList<>();
     Map<Long, SocketAddress> places = new HashMap<>();
@@ -59,7 +56,9 @@
     return new BackendListUpdate(0, true, entries, places);
   }
 
-  /** How many requests of all classes and plans were answered, of so many, within the time. */
+  /**
+   * Sends requests of all classes and plans. Returns how many were answered within the time limit.
+   */
   public int play(int requests, long limitMs) throws InterruptedException {
     return peers.play(door, this::request, requests, limitMs);
   }
--- a/front/src/main/java/willowdoor/front/start/WarmUpPeers.java
+++ b/front/src/main/java/willowdoor/front/start/WarmUpPeers.java
@@ -36,9 +36,8 @@
 import java.util.function.Supplier;
 
 /**
- * The peers of a front door that warms up: one template server that answers at once, a counter and
- * clients, on channels within the process. They open no socket, and nothing that they are sent
- * leaves the process.
+ * The peers of a gateway during its warm-up: one template server that responds at once, a counter,
+ * and clients, on in-process channels. They open no socket, and no data leaves the process.
  */
 final class WarmUpPeers {
 
@@ -46,7 +45,7 @@
   private static final int MOST_BODY = 64 * 1024;
   private static final int CLIENTS = 3;
 
-  /** As a rendered template: long enough that it is copied in pieces. */
+  /** Stands for a rendered template: long enough to be copied in pieces. */
   private static final byte[] ANSWER = new byte[2_000];
 
   private final EventLoopGroup group;
@@ -54,7 +53,7 @@
   private final SocketAddress server;
   private final SocketAddress counter;
 
-  /** The peers live on a loop for channels within the process, and end with it. */
+  /** Creates the peers on an event loop for in-process channels; they end with the loop. */
   public WarmUpPeers(EventLoopGroup group) throws InterruptedException {
     this.group = group;
     server =
@@ -67,7 +66,7 @@
         listen(() -> new ChannelHandler[] {new LineBasedFrameDecoder(MOST_LINE), new Counter()});
   }
 
-  /** Where the template server listens. */
+  /** The address of the template server. */
   public SocketAddress server() {
     return server;
   }
@@ -97,12 +96,12 @@
   }
 
   /**
-   * Sends requests to a front door from a few clients, each the next once it has the answer to the
-   * last.
+   * Sends requests to a gateway from a few clients. Each client sends its next request once it has
+   * received the previous response.
    *
-   * @param request the n-th one, from 0, as it goes over the connection
-   * @param limitMs after which no more is waited for, in milliseconds
-   * @return how many were answered, with whatever status
+   * @param request returns the n-th request, from 0, as its text on the connection
+   * @param limitMs the time limit for all responses, in milliseconds
+   * @return the number of requests answered, with any status
    */
   public int play(SocketAddress door, IntFunction<String> request, int requests, long limitMs)
       throws InterruptedException {
@@ -151,7 +150,7 @@
     }
   }
 
-  /** Keeps totals by name for as long as it runs. */
+  /** Keeps the totals by name in memory. */
   private final class Counter extends SimpleChannelInboundHandler<ByteBuf> {
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf line) {
--- a/front/src/main/java/willowdoor/wire/Address.java
+++ b/front/src/main/java/willowdoor/wire/Address.java
@@ -5,12 +5,15 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Addresses as they are written in lists and configurations: numeric ones, as there is no DNS. */
+/**
+ * Parses addresses in lists and configurations. Only numeric addresses are valid, as there is no
+ * DNS.
+ */
 public final class Address {
 
   private Address() {}
 
-  /** A numeric address and port, or null. */
+  /** Parses a numeric address and port; returns null if the text is invalid. */
   public static InetSocketAddress parse(String text) {
     int colon = text.lastIndexOf(':');
     byte[] ip =
--- a/front/src/main/java/willowdoor/wire/JsonFields.java
+++ b/front/src/main/java/willowdoor/wire/JsonFields.java
@@ -10,17 +10,18 @@
 import java.util.Map;
 
 /**
- * JSON objects as plain maps, and lenient looks into them: what is missing or of another kind is
- * absent.
+ * Reads JSON objects into plain maps and provides lenient access to their fields: a field that is
+ * missing or of another type counts as absent.
  */
 public final class JsonFields {
 
   private JsonFields() {}
 
   /**
-   * Reads the one object that a text holds.
+   * Reads a document that consists of one object.
    *
-   * @throws IOException where it breaks off, is malformed or has more behind it; tells at which key
+   * @throws IOException if the text is truncated, malformed or has content after the object; the
+   *     message names the key
    */
   public static Map<String, Object> document(JsonParser in) throws IOException {
     Map<String, Object> fields;
@@ -37,7 +38,7 @@
           e);
     }
     if (hasMore(in)) {
-      throw new IOException("there is more behind the object's end");
+      throw new IOException("content follows the end of the object");
     }
     return fields;
   }
@@ -50,7 +51,7 @@
     }
   }
 
-  /** Reads the object at the parser's place; anything else is malformed. */
+  /** Reads the object at the parser's position. Any other token is malformed input. */
   public static Map<String, Object> object(JsonParser in) throws IOException {
     if (in.currentToken() != JsonToken.START_OBJECT) {
       throw new IOException("expected an object, found " + in.currentToken());
@@ -62,7 +63,7 @@
       fields.put(field, value(in));
     }
     if (in.currentToken() != JsonToken.END_OBJECT) {
-      throw new IOException("input ends inside a message");
+      throw new IOException("input ends inside an object");
     }
     return fields;
   }
--- a/front/src/main/java/willowdoor/wire/WireSettings.java
+++ b/front/src/main/java/willowdoor/wire/WireSettings.java
@@ -18,7 +18,8 @@
 import willowdoor.policy.GatewayApi.Settings;
 
 /**
- * The settings object as the wire names it; the adapter and the real front door read the same one.
+ * Reads the settings object by its names on the wire. The bench adapter and the gateway use the
+ * same format.
  */
 public final class WireSettings {
 
--- a/front/src/test/java/willowdoor/discovery/HostListTest.java
+++ b/front/src/test/java/willowdoor/discovery/HostListTest.java
@@ -129,11 +129,11 @@
   @CsvSource(
       delimiter = '|',
       value = {
-        "{\"servers\":[{\"id\":\"s\" | it is not JSON",
-        "[] | it is not a JSON object",
-        "{\"servers\":[]} x | it is not JSON",
-        "{\"servers\":[]}{} | something follows the object",
-        "{\"servers\":[],\"servers\":[]} | it is not JSON: Duplicate field 'servers'",
+        "{\"servers\":[{\"id\":\"s\" | message is not valid JSON",
+        "[] | message is not a JSON object",
+        "{\"servers\":[]} x | message is not valid JSON",
+        "{\"servers\":[]}{} | content follows the JSON object",
+        "{\"servers\":[],\"servers\":[]} | message is not valid JSON: Duplicate field 'servers'",
         "{} | servers is not a list",
         "{\"servers\":[7]} | servers[0] is not an object",
         "{\"servers\":[{\"addr\":\"127.0.0.1:1\"}]} | servers[0].id is not a short word",
@@ -152,7 +152,7 @@
         "{\"servers\":[{\"id\":\"s\",\"addr\":\"127.0.0.1:1\",\"lease_ms\":1e3}]}"
             + " | servers[0].lease_ms is not",
         "{\"servers\":[{\"id\":\"s\",\"addr\":\"127.0.0.1:1\"},{\"id\":\"s\",\"addr\":\"127.0.0.1:2\"}]}"
-            + " | servers[1].id is there twice: s"
+            + " | servers[1].id is not unique: s"
       })
   void whatIsNoListIsToldWhy(String text, String reason) {
     BadList bad =
--- a/front/src/test/java/willowdoor/front/discovery/WatchStateMachineTest.java
+++ b/front/src/test/java/willowdoor/front/discovery/WatchStateMachineTest.java
@@ -317,7 +317,7 @@
     pass(WatchStateMachine.FIRST_UPDATE_WAIT_MS + 4 * LOOK_MS);
     assertNull(watch.caughtUpReason());
     body("\"servers\":[]}\n");
-    assertEquals("discovery's first list has come", watch.caughtUpReason());
+    assertEquals("discovery's first list was received", watch.caughtUpReason());
 
     WatchStateMachine other = new WatchStateMachine(7, () -> 0.0);
     other.start(0);
