--- a/front/src/test/java/willowdoor/benchlink/BenchLinkTest.java
+++ b/front/src/test/java/willowdoor/benchlink/BenchLinkTest.java
@@ -10,7 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** Plays short scripts of the wire and checks the exact replies. */
+/** Plays short scripts of the bench protocol and checks the exact replies. */
 class BenchLinkTest {
 
   private static final String ATTACH =
--- a/front/src/test/java/willowdoor/discovery/ChangeLogTest.java
+++ b/front/src/test/java/willowdoor/discovery/ChangeLogTest.java
@@ -22,7 +22,7 @@
 import willowdoor.discovery.Entry.State;
 
 /**
- * The list on disk, with processes that end at each step, disks that fail, and files that are
+ * The list on disk when the process ends at any step, when disk writes fail, and when files are
  * damaged.
  */
 @Timeout(60)
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void whatWasAppendedIsThereAgain() throws IOException {
+  void appendedChangesAreRecovered() throws IOException {
     write(3);
     HostList list = reopened();
     assertEquals(3, list.version());
@@ -58,8 +58,8 @@
   }
 
   /**
-   * Ended at every step, again and again on the same folder: nothing told is lost or told in two
-   * ways.
+   * The process is ended at every step, repeatedly on the same folder: no published version is lost
+   * or published with two contents.
    */
   @ParameterizedTest
   @ValueSource(
@@ -74,7 +74,7 @@
         "log begun",
         "log in place"
       })
-  void aProcessThatEndsAtAStepLosesNothingItTold(String step) throws Exception {
+  void processEndingAtAnyStepLosesNoPublishedVersion(String step) throws Exception {
     Map<String, String> contents = new HashMap<>();
     for (int passes : new int[] {0, 1, 3}) {
       Process process =
@@ -113,9 +113,12 @@
         contents.computeIfAbsent(parts[0], v -> parts[1]), parts[1], "version " + parts[0]);
   }
 
-  /** Cut anywhere, the last line is dropped, and its version is not used for anything else. */
+  /**
+   * A last line truncated at any position is dropped, and its version is not used for a different
+   * change.
+   */
   @Test
-  void aLastLineThatIsTornIsCutOff() throws IOException {
+  void truncatedLastLineIsDropped() throws IOException {
     write(2);
     byte[] two = Files.readAllBytes(dir.resolve("log"));
     try (ChangeLog log = new ChangeLog(dir)) {
@@ -134,7 +137,7 @@
   }
 
   @Test
-  void aLineThatIsDamagedFurtherBackStopsTheStart() throws IOException {
+  void damagedEarlierLineFailsTheStart() throws IOException {
     write(3);
     byte[] lines = Files.readAllBytes(dir.resolve("log"));
     for (int at : new int[] {0, 8, 20, 60}) {
@@ -149,7 +152,7 @@
   }
 
   @Test
-  void aLineThatIsMissingStopsTheStart() throws IOException {
+  void missingLineFailsTheStart() throws IOException {
     write(3);
     List<String> lines = Files.readAllLines(dir.resolve("log"));
     Files.write(dir.resolve("log"), List.of(lines.get(0), lines.get(2)));
@@ -158,7 +161,7 @@
   }
 
   @Test
-  void aSnapshotThatIsDamagedStopsTheStart() throws IOException {
+  void damagedSnapshotFailsTheStart() throws IOException {
     try (ChangeLog log = new ChangeLog(dir, 10)) {
       log.append(List.of(active(1)));
     }
@@ -173,7 +176,7 @@
   }
 
   @Test
-  void theFolderBelongsToOneProcess() throws IOException {
+  void folderIsLockedByOneProcess() throws IOException {
     try (ChangeLog log = new ChangeLog(dir)) {
       log.append(List.of(active(1)));
       assertThrows(Exception.class, this::reopened);
@@ -182,7 +185,8 @@
   }
 
   /**
-   * A disk that fails at a step: the change is refused, later ones are taken, no version means two.
+   * A write fails at one step: that change is rejected, later changes are accepted, and no version
+   * has two meanings.
    */
   @ParameterizedTest
   @ValueSource(
@@ -196,7 +200,7 @@
         "log begun",
         "log in place"
       })
-  void afterAWriteThatFailedTheListGoesOn(String failing) throws IOException {
+  void laterChangesSucceedAfterAFailedWrite(String failing) throws IOException {
     boolean[] fails = {false};
     HostList before;
     HostList after;
@@ -233,9 +237,9 @@
     assertEquals(after.present(), found.present());
   }
 
-  /** A log of many changes is bounded by snapshots, and recovery takes what those leave. */
+  /** Snapshots limit the size of a log with many changes, and recovery reads what remains. */
   @Test
-  void recoveryOfManyChangesAgainstASnapshotOfThem() throws IOException {
+  void manyChangesAreRecoveredFromTheLogAndFromASnapshot() throws IOException {
     StringBuilder lines = new StringBuilder();
     int changes = 100_000;
     Path many = Files.createDirectory(dir.resolve("many"));
--- a/front/src/test/java/willowdoor/discovery/HostListTest.java
+++ b/front/src/test/java/willowdoor/discovery/HostListTest.java
@@ -19,7 +19,7 @@
 import willowdoor.discovery.ListJson.BadList;
 import willowdoor.discovery.ListJson.Message;
 
-/** The versioned list and its words, without sockets or disk. */
+/** The versioned list and its JSON format, without sockets or disk. */
 class HostListTest {
 
   static Entry entry(String id, State state, long startedMs) {
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void eachChangeIsTheNextListAndLeavesTheOneBefore() {
+  void changeReturnsANewListAndKeepsTheOldOne() {
     HostList one = list(1, "s-1");
     HostList two = one.with(2, List.of(active("s-1").in(State.LEAVING)));
     assertEquals(State.ACTIVE, one.entry("s-1").state());
@@ -51,7 +51,7 @@
   }
 
   @Test
-  void whatLeftIsNewsAndNoPartOfTheWholeList() {
+  void entryThatLeftIsAChangeButNotInTheWholeList() {
     HostList list = list(2, "s-1", "s-2").with(3, List.of(active("s-1").in(State.LEFT)));
     assertEquals(List.of(active("s-2")), list.present());
     assertEquals(Optional.of(List.of(active("s-1").in(State.LEFT))), list.since(2));
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void changesAreJoinedToTheLastStateInTheOrderOfTheLastChanges() {
+  void changesAreMergedInTheOrderOfTheLastChanges() {
     HostList list =
         list(3, "s-1", "s-2", "s-3")
             .with(4, List.of(active("s-1").in(State.LEAVING)))
@@ -69,16 +69,16 @@
         list.since(1));
   }
 
-  /** Too old, ahead, or of another history. */
+  /** The version is too old, in the future, or of another history. */
   @ParameterizedTest
   @ValueSource(longs = {-1, 0, 49, 60, Long.MAX_VALUE})
-  void aVersionThatIsNotKnownIsOwedTheWholeList(long since) {
+  void unknownVersionRequiresTheWholeList(long since) {
     HostList list = HostList.whole(50, List.of(active("s-1"))).with(51, List.of(active("s-2")));
     assertEquals(Optional.empty(), list.since(since));
   }
 
   @Test
-  void oldNewsOfThoseThatLeftAreForgotten() {
+  void oldEntriesThatLeftAreDropped() {
     HostList list = list(1, "s-0");
     for (int i = 1; i <= 1_001; i++) {
       list = list.with(2L * i, List.of(active("s-" + i)));
@@ -89,9 +89,11 @@
     assertEquals(1_000, list.since(3).orElseThrow().size());
   }
 
-  /** Whoever follows by changes, from any version on, has what the whole list says. */
+  /**
+   * A watcher that applies the changes from any version on has the same entries as the whole list.
+   */
   @Test
-  void followingIsTheSameAsAskingAgain() {
+  void applyingChangesEqualsTheWholeList() {
     Random random = new Random(3);
     HostList list = HostList.whole(0, List.of());
     Map<String, Entry> followed = new LinkedHashMap<>();
@@ -114,7 +116,7 @@
   }
 
   @Test
-  void theListIsWordedAsThePlatformsIs() throws BadList {
+  void jsonMatchesThePlatformsFormat() throws BadList {
     Entry e = new Entry("s-5be2a07c", "10.1.0.18:7070", "a", "m2", 3, State.ACTIVE, 1, 0, 9_000);
     String text =
         "{\"version\":41,\"full\":true,\"servers\":[{\"id\":\"s-5be2a07c\","
@@ -154,7 +156,7 @@
         "{\"servers\":[{\"id\":\"s\",\"addr\":\"127.0.0.1:1\"},{\"id\":\"s\",\"addr\":\"127.0.0.1:2\"}]}"
             + " | servers[1].id is not unique: s"
       })
-  void whatIsNoListIsToldWhy(String text, String reason) {
+  void invalidListIsRejectedWithAReason(String text, String reason) {
     BadList bad =
         assertThrows(
             BadList.class, () -> ListJson.readServers(text.getBytes(StandardCharsets.UTF_8)));
--- a/front/src/test/java/willowdoor/discovery/LogWriter.java
+++ b/front/src/test/java/willowdoor/discovery/LogWriter.java
@@ -8,8 +8,8 @@
 import willowdoor.discovery.ListJson.Message;
 
 /**
- * A process of its own for tests: changes the list, tells each version that holds, and ends at a
- * step.
+ * A separate process for tests: changes the list, prints each durable version, and terminates at a
+ * given step.
  */
 final class LogWriter {
 
@@ -17,15 +17,15 @@
 
   private LogWriter() {}
 
-  /** What a list says, to compare lists by. */
+  /** Returns a list's version and content hash, to compare lists. */
   static String told(HostList list) {
     byte[] text = ListJson.write(new Message(0, true, list.present()), true);
     return list.version() + " " + Arrays.hashCode(text);
   }
 
   /**
-   * Folder, step, and how often that is passed before the process ends there, without a further
-   * act.
+   * Arguments: the folder, the step, and how often that step is passed before the process halts
+   * there without further action.
    */
   public static void main(String[] args) throws IOException {
     int[] left = {Integer.parseInt(args[2])};
--- a/front/src/test/java/willowdoor/front/ConfigTest.java
+++ b/front/src/test/java/willowdoor/front/ConfigTest.java
@@ -16,7 +16,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A configuration that cannot be read is told so in plain words, with the key at fault. */
+/**
+ * A configuration that cannot be read is rejected with a readable message that names the invalid
+ * key.
+ */
 class ConfigTest {
 
   private final Peers peers = new Peers();
@@ -44,7 +47,7 @@
   }
 
   @Test
-  void aGoodOneIsRead() throws IOException {
+  void validConfigurationIsRead() throws IOException {
     Config config = read(good + "\n");
     assertEquals("n0", config.name());
     assertEquals(1, config.known().entries().size());
@@ -73,34 +76,36 @@
         "\"DeadlineMs\":4000 | \"DeadlineMs\":4,000 | /settings/Profiles/0",
         "\"CountLimitMs\":50 | \"CountLimitMs\":0x50 | /settings/Extra/CountLimitMs"
       })
-  void theKeyAtFaultIsNamed(String part, String bad, String key) {
+  void invalidKeyIsNamed(String part, String bad, String key) {
     assertTrue(good.contains(part), part);
     String message = refused(good.replace(part, bad));
     assertTrue(message.contains(key), message);
   }
 
-  /** As a file is that is being written, or that a shorter one was written over. */
+  /**
+   * A file that is still being written, or that was overwritten by a shorter one, looks like this.
+   */
   @Test
-  void oneThatBreaksOffOrHasARestIsRefused() {
+  void truncatedConfigurationOrTrailingContentIsRejected() {
     for (int end = 0; end < good.length(); end++) {
       refused(good.substring(0, end));
     }
     assertTrue(refused(good.substring(0, good.indexOf("4000"))).contains("/settings/Profiles/0"));
-    assertTrue(refused(good + good.substring(good.length() - 9)).contains("behind"));
-    assertTrue(refused(good + "{}").contains("behind"));
+    assertTrue(refused(good + good.substring(good.length() - 9)).contains("content follows"));
+    assertTrue(refused(good + "{}").contains("content follows"));
   }
 
   @Test
-  void oneThatIsNestedWithoutAnEndIsRefused() {
+  void endlesslyNestedConfigurationIsRejected() {
     assertTrue(refused("{\"name\":" + "[".repeat(100_000)).contains("/name"));
   }
 
   /**
-   * Whatever a byte of it turns into, it is read or refused; anything else would be a crash at
-   * start.
+   * With any bytes changed, the configuration is read or rejected with an IOException; anything
+   * else would crash the process at startup.
    */
   @Test
-  void garbledOnesAreReadOrRefused() throws IOException {
+  void corruptedConfigurationIsReadOrRejected() throws IOException {
     Random random = new Random(28);
     int refused = 0;
     for (int i = 0; i < 2_000; i++) {
--- a/front/src/test/java/willowdoor/front/counter/CounterClientTest.java
+++ b/front/src/test/java/willowdoor/front/counter/CounterClientTest.java
@@ -22,7 +22,7 @@
 import willowdoor.policy.GatewayApi.CounterResult;
 import willowdoor.policy.GatewayApi.Status;
 
-/** The counter's client against a scripted counter. */
+/** The counter client against a scripted counter. */
 @Timeout(30)
 class CounterClientTest {
 
@@ -31,7 +31,7 @@
       new MultiThreadIoEventLoopGroup(1, Transport.BEST.ioHandler());
   private final BlockingQueue<CounterResult> ends = new LinkedBlockingQueue<>();
   private volatile Consumer<CounterResult> listener = ends::add;
-  private final EventCounters tally = new EventCounters();
+  private final EventCounters counters = new EventCounters();
   private CounterClient client;
 
   @AfterEach
@@ -40,16 +40,16 @@
     peers.close();
   }
 
-  /** Calls until one gets through, as the connections come up on their own. */
-  private void start(double limitMs) throws Exception {
+  /** Calls until one succeeds, as the connections are opened asynchronously. */
+  private void start(double timeoutMs) throws Exception {
     client =
         new CounterClient(
             group.next(),
             Transport.BEST,
             new Clock(),
             new InetSocketAddress("127.0.0.1", peers.counter.getLocalPort()),
-            limitMs,
-            tally,
+            timeoutMs,
+            counters,
             c -> listener.accept(c));
     group.next().submit(client::start).sync();
     do {
@@ -63,7 +63,7 @@
   }
 
   @Test
-  void writesPlainNumbersAndReadsTotals() throws Exception {
+  void writesPlainDecimalsAndReadsTotals() throws Exception {
     start(5_000);
     add("a", 2);
     assertEquals("incr a 2 4000", Peers.next(peers.atCounter));
@@ -76,9 +76,9 @@
     assertEquals(Status.REJECTED, Peers.next(ends).status());
   }
 
-  /** A call that its part holds up delays no call for another name. */
+  /** A call delayed by one slow part of the counter delays no call for another name. */
   @Test
-  void oneSlowNameDoesNotHoldUpOthers() throws Exception {
+  void slowNameDoesNotDelayOthers() throws Exception {
     CountDownLatch go = new CountDownLatch(1);
     peers.counting =
         line -> {
@@ -95,9 +95,9 @@
     assertEquals("slow", Peers.next(ends).name());
   }
 
-  /** The late answer to a call that was given up is not taken for that of the call behind it. */
+  /** The late response to a call that timed out is not taken for the response to the next call. */
   @Test
-  void aCallGivenUpKeepsItsPlace() throws Exception {
+  void timedOutCallKeepsItsPosition() throws Exception {
     start(1_500);
     CountDownLatch go = new CountDownLatch(1);
     peers.counting =
@@ -121,21 +121,21 @@
   }
 
   @Test
-  void junkEndsTheConnectionAndMayHaveBeenAdded() throws Exception {
+  void unexpectedLineClosesTheConnectionAndTheCallMayHaveBeenAdded() throws Exception {
     start(5_000);
     peers.counting = line -> "what?";
     add("a", 1);
     assertEquals(Status.RESET, Peers.next(ends).status());
-    String line = group.next().submit(() -> tally.formatLine("figures")).sync().getNow();
+    String line = group.next().submit(() -> counters.formatLine("figures")).sync().getNow();
     assertEquals("figures COUNTER_UNREADABLE=1", line);
     peers.counting = peers::count;
     add("b", 1);
     assertEquals(Status.OK, Peers.next(ends).status());
   }
 
-  /** An answer that came while this process was held up is read before its call is given up. */
+  /** A response that arrived while this process was paused is read before its call times out. */
   @Test
-  void aPauseOfThisProcessIsNotTheCounters() throws Exception {
+  void pauseOfThisProcessDoesNotTimeOutCalls() throws Exception {
     start(500);
     CountDownLatch heldUp = new CountDownLatch(1);
     listener =
@@ -172,9 +172,12 @@
     }
   }
 
-  /** What comes in the same read behind junk is out of step, so it answers nothing. */
+  /**
+   * Lines received in the same read after an unexpected line are out of sync, so they match no
+   * call.
+   */
   @Test
-  void nothingBehindJunkIsTakenForAnAnswer() throws Exception {
+  void nothingAfterAnUnexpectedLineIsTakenForAResponse() throws Exception {
     start(5_000);
     peers.counting = line -> line.contains(" 1 ") ? null : "ok what?\r\nok 99";
     add("a", 1);
@@ -184,7 +187,8 @@
   }
 
   /**
-   * A silent connection is replaced: calls get through again though no old one was ever answered.
+   * A silent connection is replaced: calls succeed again although no call on the old connections
+   * was ever answered.
    */
   @Test
   void silentConnectionsAreReplaced() throws Exception {
@@ -200,9 +204,9 @@
     } while (Peers.next(ends).status() != Status.OK);
   }
 
-  /** What was cut is no answer, though it reads as one: "ok 12" may have been to be "ok 120". */
+  /** A truncated line is not a response even if it parses: "ok 12" may be the start of "ok 120". */
   @Test
-  void halfALineAndThenTheEndIsNoAnswer() throws Exception {
+  void truncatedLineIsNotAResponse() throws Exception {
     start(5_000);
     InetSocketAddress cutting =
         (InetSocketAddress)
@@ -225,8 +229,8 @@
     }
   }
 
-  /** A call for "a" that is at the counter, and answered once the latch is open. */
-  private CountDownLatch owesOneAnswer() throws InterruptedException {
+  /** Sends a call for "a" that has reached the counter, and is answered once the latch is open. */
+  private CountDownLatch oneOutstandingCall() throws InterruptedException {
     CountDownLatch go = new CountDownLatch(1);
     peers.counting =
         line -> {
@@ -240,11 +244,13 @@
     return go;
   }
 
-  /** What is owed at the old address is still answered there; its connections end with that. */
+  /**
+   * Outstanding calls are still answered by the old address; its connections are closed afterwards.
+   */
   @Test
-  void aMoveLetsTheOldAddressAnswerWhatItOwes() throws Exception {
+  void outstandingCallsAreAnsweredByTheOldAddressAfterAMove() throws Exception {
     start(20_000);
-    CountDownLatch go = owesOneAnswer();
+    CountDownLatch go = oneOutstandingCall();
     CountDownLatch ended = new CountDownLatch(1);
     try (Peers next = new Peers()) {
       InetSocketAddress address = (InetSocketAddress) next.counter.getLocalSocketAddress();
@@ -264,11 +270,11 @@
     }
   }
 
-  /** Two SIGHUPs that name the same address, an old one or a new one, cost no call that is out. */
+  /** Two SIGHUPs with the same address, old or new, cost no outstanding call. */
   @Test
-  void aMoveToTheSameAddressLeavesWhatIsOwed() throws Exception {
+  void moveToTheSameAddressKeepsOutstandingCalls() throws Exception {
     start(5_000);
-    CountDownLatch go = owesOneAnswer();
+    CountDownLatch go = oneOutstandingCall();
     InetSocketAddress same = (InetSocketAddress) peers.counter.getLocalSocketAddress();
     group
         .next()
--- a/front/src/test/java/willowdoor/front/discovery/BackendListUpdateTest.java
+++ b/front/src/test/java/willowdoor/front/discovery/BackendListUpdateTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import willowdoor.front.Peers;
 
-/** What of a list is believed: all of it or nothing. */
+/** A list is accepted completely or not at all. */
 class BackendListUpdateTest {
 
   private static final double NOW = 1.8e12;
@@ -23,7 +23,7 @@
     return "{\"id\":\"s-1\",\"addr\":\"127.0.0.1:80\",\"state\":\"active\"" + more + "}";
   }
 
-  /** Anything but this in a list costs the try, and changes nothing. */
+  /** An invalid list ends the attempt and changes nothing. */
   @ParameterizedTest
   @ValueSource(
       strings = {
@@ -37,7 +37,7 @@
         "{\"version\":99999999999999999999,\"full\":true,\"servers\":[]}",
         "{\"version\":-1,\"full\":true,\"servers\":[]}"
       })
-  void aMessageThatIsNotAsAgreedIsNotBelieved(String list) {
+  void invalidMessageIsRejected(String list) {
     assertThrows(IOException.class, () -> parse(list));
   }
 
@@ -52,17 +52,18 @@
         "\"started_ms\":1800000070000",
         "\"started_ms\":\"now\""
       })
-  void anEntryThatIsNotAsAgreedIsNotBelieved(String field) {
+  void invalidEntryIsRejected(String field) {
     String list = Peers.list(9, true, entry("," + field));
     assertThrows(IOException.class, () -> parse(list));
   }
 
   @Test
-  void whatIsNotSaidHasItsDefault() throws IOException {
-    BackendListUpdate news = parse(Peers.list(9, false, entry(""), Peers.entry("s-2", 80, "left")));
-    assertEquals(2, news.entries().size());
-    assertEquals(1, news.entries().get(0).capacity());
-    assertEquals(0, news.entries().get(0).startedMs());
+  void absentFieldHasItsDefault() throws IOException {
+    BackendListUpdate update =
+        parse(Peers.list(9, false, entry(""), Peers.entry("s-2", 80, "left")));
+    assertEquals(2, update.entries().size());
+    assertEquals(1, update.entries().get(0).capacity());
+    assertEquals(0, update.entries().get(0).startedMs());
     assertEquals(
         NOW + 5_000,
         parse(Peers.list(9, false, entry(",\"started_ms\":1800000005000")))
--- a/front/src/test/java/willowdoor/front/discovery/DiscoveryClientTest.java
+++ b/front/src/test/java/willowdoor/front/discovery/DiscoveryClientTest.java
@@ -30,32 +30,33 @@
 import willowdoor.front.loop.EventCounters;
 import willowdoor.front.loop.Transport;
 
-/** The sockets of the watch: what each try opens, and what becomes of it. */
+/** Checks the sockets that the watch opens, and how each attempt ends. */
 @Timeout(30)
 class DiscoveryClientTest {
 
-  private static final BlockingQueue<Noted> MADE = new LinkedBlockingQueue<>();
+  private static final BlockingQueue<RecordedSocket> CREATED = new LinkedBlockingQueue<>();
   private static final AtomicInteger FAILING = new AtomicInteger();
 
-  /** A socket of which the test knows, which cannot be opened a given number of times. */
-  public static final class Noted extends NioSocketChannel {
-    public Noted() {
+  /** A socket that the test records, and whose opening fails a given number of times. */
+  public static final class RecordedSocket extends NioSocketChannel {
+    public RecordedSocket() {
       if (FAILING.getAndDecrement() > 0) {
         throw new ChannelException("Too many open files");
       }
-      // The library's own default is on.
+      // Netty's default is true.
       config().setTcpNoDelay(false);
-      MADE.add(this);
+      CREATED.add(this);
     }
   }
 
-  private static final Transport NOTED =
-      new Transport(NioIoHandler.newFactory(), Noted.class, NioServerSocketChannel.class, true);
+  private static final Transport RECORDED =
+      new Transport(
+          NioIoHandler.newFactory(), RecordedSocket.class, NioServerSocketChannel.class, true);
 
   private final Peers peers = new Peers();
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-  private final BlockingQueue<BackendListUpdate> told = new LinkedBlockingQueue<>();
+  private final BlockingQueue<BackendListUpdate> updates = new LinkedBlockingQueue<>();
   private final BlockingQueue<String> severe = new LinkedBlockingQueue<>();
   private final Logger log = Logger.getLogger(DiscoveryClient.class.getName());
   private final Handler handler =
@@ -70,7 +71,7 @@
 
   @BeforeEach
   void listen() {
-    MADE.clear();
+    CREATED.clear();
     FAILING.set(0);
     log.addHandler(handler);
   }
@@ -86,40 +87,41 @@
     InetSocketAddress address = (InetSocketAddress) agent.getLocalSocketAddress();
     DiscoveryClient client =
         new DiscoveryClient(
-            group.next(), NOTED, new Clock(), address, 7, new EventCounters(), told::add);
+            group.next(), RECORDED, new Clock(), address, 7, new EventCounters(), updates::add);
     group.next().submit(client::start).sync();
   }
 
   /**
-   * Where no descriptor is left each try ends as one that was refused, and no fault of the watch's.
+   * If no file descriptor is available, each attempt ends like a refused connect, without an
+   * exception in the watch.
    */
   @Test
-  void aTryWithoutADescriptorIsOneThatFailed() throws Exception {
+  void attemptWithoutADescriptorFails() throws Exception {
     FAILING.set(3);
     start(peers.discovery);
     assertTrue(Peers.next(peers.watches).contains("index=6 "));
-    assertEquals(7, Peers.next(told).version());
+    assertEquals(7, Peers.next(updates).version());
     assertTrue(severe.isEmpty(), () -> "logged: " + severe);
   }
 
   @Test
-  void whatIsAskedGoesOutAtOnce() throws Exception {
+  void requestIsSentWithoutDelay() throws Exception {
     start(peers.discovery);
     Peers.next(peers.watches);
-    assertTrue(Peers.next(MADE).config().isTcpNoDelay());
+    assertTrue(Peers.next(CREATED).config().isTcpNoDelay());
   }
 
   /**
-   * A connect that never came up is closed once its try is given up: it cannot come up behind the
-   * next.
+   * A pending connect is closed once its attempt times out, so that it cannot complete after the
+   * next attempt.
    */
   @Test
-  void aConnectThatDoesNotComeUpIsClosed() throws Exception {
+  void pendingConnectIsClosedAfterItsTimeout() throws Exception {
     try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       var queued = Peers.fill(full);
       start(full);
-      Noted first = Peers.next(MADE);
-      Noted second = Peers.next(MADE);
+      RecordedSocket first = Peers.next(CREATED);
+      RecordedSocket second = Peers.next(CREATED);
       assertTrue(!first.isOpen() && second.isOpen());
       for (var channel : queued) {
         channel.close();
--- a/front/src/test/java/willowdoor/front/discovery/JsonObjectScannerTest.java
+++ b/front/src/test/java/willowdoor/front/discovery/JsonObjectScannerTest.java
@@ -23,9 +23,12 @@
     return text.getBytes(StandardCharsets.UTF_8);
   }
 
-  /** Over several lines, with braces and quotes inside a name, and cut at each place in turn. */
+  /**
+   * The list spans several lines, has braces and quotes inside a name, and is split at each
+   * position in turn.
+   */
   @Test
-  void anIndentedListIsWholeWhereverItIsCut() throws Exception {
+  void indentedListIsCompleteWhereverItIsSplit() throws Exception {
     byte[] all = bytes("\n" + INDENTED + "\r\n\n" + Peers.list(9, false) + "\n");
     for (int cut = 0; cut <= all.length; cut++) {
       JsonObjectScanner scanner = new JsonObjectScanner();
@@ -41,14 +44,14 @@
   }
 
   @Test
-  void whatIsNoObjectIsJunkBehindWhatWasWhole() {
+  void inputThatIsNotAnObjectIsMalformedAfterACompleteObject() {
     JsonObjectScanner scanner = new JsonObjectScanner();
     assertEquals(1, scanner.read(bytes("{}\n]{}")).size());
     assertTrue(scanner.malformed());
   }
 
   @Test
-  void anObjectWithoutAnEndIsJunkBeyondItsBound() {
+  void endlessObjectIsMalformedBeyondTheSizeLimit() {
     JsonObjectScanner scanner = new JsonObjectScanner();
     for (int mb = 0; mb < 4; mb++) {
       assertFalse(scanner.malformed());
--- a/front/src/test/java/willowdoor/front/discovery/ModelAgent.java
+++ b/front/src/test/java/willowdoor/front/discovery/ModelAgent.java
@@ -9,39 +9,44 @@
 import willowdoor.front.discovery.WatchStateMachine.Effect;
 
 /**
- * An agent on a clock moved by hand, in milliseconds from the start of the process: it treats the
- * first tries as it is told to, and all that follow well, that is at once.
+ * A simulated discovery agent with a manually advanced clock, in milliseconds from the start of the
+ * process. The agent treats the first attempts as scripted, and serves all further attempts without
+ * fault or delay.
  */
 final class ModelAgent {
 
-  /** What becomes of a try, at some time after its head, or before. */
+  /** The fault of an attempt, which occurs before its response head or at some time after it. */
   enum Fault {
     REFUSED,
     NO_CONNECT,
     NO_HEAD,
     /**
-     * From then on nothing comes, or half an object and nothing more, or an object in drops for
-     * ever.
+     * From then on the agent sends nothing; or half an object and nothing more; or an object a few
+     * bytes at a time without end.
      */
     SILENT,
     HALF,
     DRIPPING,
-    /** Empty lines for a try that asked for the last change once more: an object is owed. */
+    /**
+     * The agent sends empty lines to an attempt that requested the last change again, so that an
+     * object is expected.
+     */
     EMPTY_LINES,
     JUNK,
     RESET
   }
 
   /**
-   * @param connectMs how long the connect takes, and likewise the answer's head
-   * @param goodMs how long behind its head the try is as it should be: nought is a head without a
+   * @param connectMs duration of the connect
+   * @param headMs time until the response head is sent
+   * @param goodMs how long after its head the attempt is served correctly: 0 is a head without a
    *     body
-   * @param gapMs between that and the first byte of an object that never ends
+   * @param gapMs time from there until the first byte of an object that never ends
    */
   record Treatment(Fault fault, int connectMs, int headMs, int goodMs, int gapMs) {}
 
   private static final double STEP_MS = 12.5;
-  private static final double LOOK_MS = 25;
+  private static final double CHECK_MS = 25;
   private static final double LINE_MS = 2_000;
   private static final double DROP_MS = 400;
   private static final int BEFORE = 8;
@@ -49,28 +54,31 @@
 
   private final Queue<Treatment> treatments;
 
-  /** The agent gets the change when so many tries have gone bad, or all that are to. */
+  /**
+   * The agent receives the change when this many attempts have failed, or all that are scripted to
+   * fail.
+   */
   private int badBeforeChange;
 
   double changeAt = Double.POSITIVE_INFINITY;
 
-  /** How long after the change SIGHUPs come. */
+  /** The delays of the SIGHUPs after the change. */
   private final Queue<Double> hangUps;
 
   private final WatchStateMachine watch;
   private double now;
-  private Try present;
+  private AgentConnection present;
 
   /**
-   * What the watch has, and so asks for what changed since; or for that and the last change once
-   * more.
+   * The version that the watch has. The watch requests the changes since this version, or also the
+   * last change once more.
    */
-  private long had = 7;
+  private long deliveredVersion = 7;
 
-  /** When the tries that were treated badly began, the earliest one first. */
-  final List<Double> badly = new ArrayList<>();
+  /** The start times of the scripted attempts, earliest first. */
+  final List<Double> faultyAttemptStarts = new ArrayList<>();
 
-  double toldAt = Double.POSITIVE_INFINITY;
+  double deliveredAt = Double.POSITIVE_INFINITY;
   double caughtUpAt = Double.POSITIVE_INFINITY;
 
   ModelAgent(
@@ -84,10 +92,10 @@
     this.watch = watch;
   }
 
-  /** Until the change is told and the start is over, or that time. */
+  /** Runs until the change is delivered and the startup is over, or until the given time. */
   void run(double untilMs) {
     execute(watch.start(now));
-    for (; now < untilMs && Math.max(toldAt, caughtUpAt) > now; now += STEP_MS) {
+    for (; now < untilMs && Math.max(deliveredAt, caughtUpAt) > now; now += STEP_MS) {
       if (present != null) {
         present.step();
       }
@@ -98,7 +106,7 @@
         hangUps.poll();
         execute(watch.onAddressChanged(now));
       }
-      if (now % LOOK_MS == 0) {
+      if (now % CHECK_MS == 0) {
         execute(watch.check(now));
       }
       if (watch.caughtUpReason() != null) {
@@ -112,15 +120,15 @@
       if (effect instanceof Effect.Open open) {
         Treatment treatment = treatments.poll();
         if (treatment != null) {
-          badly.add(now);
+          faultyAttemptStarts.add(now);
           badBeforeChange -= treatment.goodMs == 0 ? 1 : 0;
         }
-        present = new Try(treatment, open.version());
+        present = new AgentConnection(treatment, open.version());
       } else if (effect instanceof Effect.Close) {
         present = null;
       } else if (effect instanceof Effect.Deliver deliver) {
-        had = deliver.update().version();
-        toldAt = had == CHANGED ? Math.min(toldAt, now) : toldAt;
+        deliveredVersion = deliver.update().version();
+        deliveredAt = deliveredVersion == CHANGED ? Math.min(deliveredAt, now) : deliveredAt;
       }
     }
   }
@@ -129,19 +137,19 @@
     return now >= changeAt ? CHANGED : BEFORE;
   }
 
-  /** One try: each step does what is due, until the watch ends it. */
-  private final class Try {
+  /** One attempt: each step does what is due, until the watch ends the attempt. */
+  private final class AgentConnection {
     private final Treatment treatment;
     private final double openedAt = now;
     private long told;
     private boolean connected;
     private boolean answered;
     private boolean bad;
-    private boolean spoilt;
+    private boolean objectStarted;
     private double headAt = Double.POSITIVE_INFINITY;
     private double lastAt;
 
-    Try(Treatment treatment, long version) {
+    AgentConnection(Treatment treatment, long version) {
       this.treatment = treatment;
       told = version;
     }
@@ -183,9 +191,9 @@
     private void good() {
       if (told < version()) {
         told = version();
-        say(Peers.list(version(), false) + "\n");
+        send(Peers.list(version(), false) + "\n");
       } else if (now >= lastAt + LINE_MS) {
-        say("\n");
+        send("\n");
       }
     }
 
@@ -193,25 +201,25 @@
       switch (treatment.fault) {
         case HALF, DRIPPING -> {
           boolean due =
-              now >= headAt + treatment.goodMs + treatment.gapMs && !spoilt
-                  || spoilt && treatment.fault == Fault.DRIPPING && now >= lastAt + DROP_MS;
+              now >= headAt + treatment.goodMs + treatment.gapMs && !objectStarted
+                  || objectStarted && treatment.fault == Fault.DRIPPING && now >= lastAt + DROP_MS;
           if (due) {
-            say(spoilt ? " " : "{");
-            spoilt = true;
+            send(objectStarted ? " " : "{");
+            objectStarted = true;
           }
         }
         case EMPTY_LINES -> {
-          if (told < had && now >= lastAt + DROP_MS) {
-            say("\n");
+          if (told < deliveredVersion && now >= lastAt + DROP_MS) {
+            send("\n");
           }
         }
-        case JUNK -> say("junk\n");
+        case JUNK -> send("junk\n");
         case RESET -> execute(watch.onClosed(now));
         default -> {}
       }
     }
 
-    private void say(String text) {
+    private void send(String text) {
       lastAt = now;
       execute(watch.onBody(now, text.getBytes(StandardCharsets.UTF_8)));
     }
--- a/front/src/test/java/willowdoor/front/discovery/WatchStateMachinePropertyTest.java
+++ b/front/src/test/java/willowdoor/front/discovery/WatchStateMachinePropertyTest.java
@@ -16,31 +16,32 @@
 import willowdoor.front.discovery.ModelAgent.Fault;
 import willowdoor.front.discovery.ModelAgent.Treatment;
 
-/** The terms on the list's clock, for whatever sequence of faults the tries meet. */
+/** Checks the time limits for the backend list, for random sequences of faulty attempts. */
 class WatchStateMachinePropertyTest {
 
   /**
-   * From when the agent has a change and a call could have got it, or from SIGHUP if it has it by
-   * then.
+   * Counted from when the agent has a change that an attempt could have fetched, or from SIGHUP if
+   * the agent has the change by then.
    */
-  private static final double TOLD_MS = 6_000;
+  private static final double DELIVERED_MS = 6_000;
 
-  private static final double TOLD_AFTER_HANG_UP_MS = 4_000;
+  private static final double DELIVERED_AFTER_SIGHUP_MS = 4_000;
 
   /**
-   * A process is to be ready 10 s after its start, of which the runtime and the warm-up take most.
+   * A process must be ready 10 s after its start. The Java runtime and the warm-up take most of
+   * that time.
    */
   private static final double CAUGHT_UP_MS = 3_200;
 
   private static final double END_MS = 90_000;
 
-  /** Bad tries that count against us. */
-  private static final int WASTED = 1;
+  /** Faulty attempts that do not extend the limit. */
+  private static final int TOLERATED_FAULTS = 1;
 
   private static final int TRIES = 3_000;
 
   /**
-   * The corners more often than what lies between: no delay or nearly too much, the moment behind a
+   * Prefers boundary values to values between: no delay or nearly too much, and the moment after a
    * line.
    */
   @Provide
@@ -79,15 +80,16 @@
   }
 
   /**
-   * The open watch and one further try may be bad for what the agent could have told all the while;
-   * whoever meets more bad tries than that could not reach it before the last of them.
+   * The open watch and one further attempt may be faulty although the agent has the change. After
+   * more faulty attempts than that, the limit counts from the last of them, since the change could
+   * not be fetched earlier.
    */
   @Property(
       tries = TRIES,
       seed = "28",
       edgeCases = EdgeCasesMode.NONE,
       shrinking = ShrinkingMode.OFF)
-  void aChangeIsToldInTime(
+  void changeIsDeliveredInTime(
       @ForAll("treatments") List<Treatment> treatments,
       @ForAll("before") int before,
       @ForAll("hangUps") List<Double> hangUps,
@@ -95,29 +97,29 @@
     ModelAgent agent = agent(treatments, before, hangUps, chance);
     agent.run(END_MS);
 
-    double due = due(agent, agent.changeAt, TOLD_MS);
+    double due = due(agent, agent.changeAt, DELIVERED_MS);
     for (double hangUp : hangUps) {
-      due = Math.min(due, due(agent, agent.changeAt + hangUp, TOLD_AFTER_HANG_UP_MS));
+      due = Math.min(due, due(agent, agent.changeAt + hangUp, DELIVERED_AFTER_SIGHUP_MS));
     }
     assertTrue(
-        agent.toldAt <= due,
+        agent.deliveredAt <= due,
         "changed at "
             + agent.changeAt
             + ", told at "
-            + agent.toldAt
+            + agent.deliveredAt
             + ", due at "
             + due
             + ", bad tries began at "
-            + agent.badly);
+            + agent.faultyAttemptStarts);
   }
 
-  /** The start waits for the list, but not for long. */
+  /** The startup waits for the list, but only for a limited time. */
   @Property(
       tries = TRIES / 4,
       seed = "28",
       edgeCases = EdgeCasesMode.NONE,
       shrinking = ShrinkingMode.OFF)
-  void theStartIsHeldUpForALimitedTimeOnly(
+  void startupWaitsForALimitedTimeOnly(
       @ForAll("treatments") List<Treatment> treatments, @ForAll int chance) {
     ModelAgent agent = agent(treatments, 0, List.of(), chance);
     agent.run(2 * CAUGHT_UP_MS);
@@ -132,7 +134,7 @@
   }
 
   private static double due(ModelAgent agent, double from, double within) {
-    List<Double> since = agent.badly.stream().filter(t -> t > from).toList();
-    return (since.size() <= WASTED ? from : since.get(since.size() - 1)) + within;
+    List<Double> since = agent.faultyAttemptStarts.stream().filter(t -> t > from).toList();
+    return (since.size() <= TOLERATED_FAULTS ? from : since.get(since.size() - 1)) + within;
   }
 }
--- a/front/src/test/java/willowdoor/front/discovery/WatchStateMachineTest.java
+++ b/front/src/test/java/willowdoor/front/discovery/WatchStateMachineTest.java
@@ -17,65 +17,69 @@
 import willowdoor.front.discovery.WatchStateMachine.Effect.Deliver;
 import willowdoor.front.discovery.WatchStateMachine.Effect.Open;
 
-/** The rows of the table "The list's clock" in docs/design.md, on a clock moved by hand. */
+/**
+ * Checks the rows of the table "The list's clock" in docs/design.md, with a manually advanced
+ * clock.
+ */
 class WatchStateMachineTest {
 
   /**
-   * What a silent watch misses counts as told after this, what the next address has after a SIGHUP.
+   * A change missed by a silent watch counts as delivered after this time; the data of a new
+   * address counts as delivered this long after SIGHUP.
    */
-  private static final double TOLD_MS = 6_000;
+  private static final double DELIVERED_MS = 6_000;
 
-  private static final double TOLD_AFTER_HANG_UP_MS = 4_000;
+  private static final double DELIVERED_AFTER_SIGHUP_MS = 4_000;
 
-  /** A drain is kept within this of its being told. */
+  /** A drain must be obeyed within this time after it counts as delivered. */
   private static final double GRACE_MS = 1_000;
 
-  private static final double LOOK_MS = 25;
+  private static final double CHECK_MS = 25;
 
-  /** The longest waits that chance can bring. */
+  /** The random value that gives the longest delays. */
   private final WatchStateMachine watch = new WatchStateMachine(7, () -> 1.0);
 
   private final List<Effect> done = new ArrayList<>();
   private double now = 1e12;
 
-  private void does(List<Effect> effects) {
+  private void record(List<Effect> effects) {
     done.addAll(effects);
   }
 
-  /** Looks on until one of this kind is done, and gives the time that took. */
+  /** Runs checks until an effect of this kind is returned, and returns the elapsed time. */
   private double until(Class<? extends Effect> kind) {
     double from = now;
     done.clear();
     while (done.stream().noneMatch(kind::isInstance)) {
       assertTrue(now - from < 60_000, "nothing more is done");
-      now += LOOK_MS;
-      does(watch.check(now));
+      now += CHECK_MS;
+      record(watch.check(now));
     }
     return now - from;
   }
 
   private void pass(double ms) {
     for (double end = now + ms; now < end; ) {
-      now = Math.min(end, now + LOOK_MS);
-      does(watch.check(now));
+      now = Math.min(end, now + CHECK_MS);
+      record(watch.check(now));
     }
   }
 
   private void body(String text) {
-    does(watch.onBody(now, text.getBytes(StandardCharsets.UTF_8)));
+    record(watch.onBody(now, text.getBytes(StandardCharsets.UTF_8)));
   }
 
-  /** A watch that has brought its first list. */
-  private void living() {
-    does(watch.start(now));
+  /** Brings the watch into the state after its first list. */
+  private void openWatch() {
+    record(watch.start(now));
     watch.onConnected(now);
     watch.onResponseHead(now);
     body(Peers.list(8, true) + "\n");
     done.clear();
   }
 
-  /** How far a try comes before it falls silent. */
-  private void goesSilent(String at) {
+  /** Lets an attempt progress to the given stage, after which the agent is silent. */
+  private void progressUntilSilent(String at) {
     if (!at.equals("connect")) {
       watch.onConnected(now);
     }
@@ -88,60 +92,61 @@
   }
 
   @Test
-  void silenceJustUnderTheLimitIsNoneAndJustOverItEndsTheWatch() {
-    living();
+  void watchEndsOnlyAfterSilenceExceedsTheTimeout() {
+    openWatch();
     pass(WatchStateMachine.SILENCE_TIMEOUT_MS - 1);
     body("\n");
     pass(WatchStateMachine.SILENCE_TIMEOUT_MS - 1);
     assertEquals(List.of(), done);
-    pass(1 + LOOK_MS);
+    pass(1 + CHECK_MS);
     assertEquals(List.of(new Close(false)), done);
   }
 
   /**
-   * Open or cut by the far end, and though the next try falls silent as well, wherever that does.
+   * The silent watch is reopened in time even if the next attempt falls silent too, at any stage.
    */
   @ParameterizedTest
   @ValueSource(strings = {"connect", "request", "head", "half"})
-  void aSilentWatchIsOpenAgainInTimeThoughOneTryIsSilentToo(String at) {
-    living();
+  void silentWatchIsReopenedInTimeIfOneAttemptIsSilentToo(String at) {
+    openWatch();
     double taken = until(Open.class);
-    goesSilent(at);
+    progressUntilSilent(at);
     taken += until(Open.class);
     assertEquals(new Open(7), done.get(done.size() - 1));
-    assertTrue(taken <= TOLD_MS - 800, at + ": " + taken);
+    assertTrue(taken <= DELIVERED_MS - 800, at + ": " + taken);
   }
 
   /**
-   * A head with nothing behind it is silence where an object is owed; so two tries may be silent.
+   * A response head with nothing after it counts as silence if an object is expected, so two
+   * consecutive attempts may be silent.
    */
   @ParameterizedTest
   @ValueSource(strings = {"connect", "request", "head", "half"})
-  void aSilentWatchIsOpenAgainInTimeThoughTwoTriesAreSilentToo(String at) {
-    living();
+  void silentWatchIsReopenedInTimeIfTwoAttemptsAreSilentToo(String at) {
+    openWatch();
     double taken = until(Open.class);
-    goesSilent(at);
+    progressUntilSilent(at);
     taken += until(Open.class);
-    goesSilent(at);
+    progressUntilSilent(at);
     taken += until(Open.class);
-    assertTrue(taken < TOLD_MS, at + ": " + taken);
+    assertTrue(taken < DELIVERED_MS, at + ": " + taken);
   }
 
   /**
-   * It breaks its word, but need not cost a connection each second: one try in a while owes
-   * nothing.
+   * An agent that sends no object for an old version violates the protocol, but must not cost a
+   * connection each second: after several such attempts one attempt expects no object.
    */
   @Test
-  void anAgentThatHasNothingForAnOldVersionIsWatchedAllTheSame() {
-    living();
+  void agentWithoutAnObjectForAnOldVersionIsStillWatched() {
+    openWatch();
     until(Open.class);
     for (int i = 0; i < 3; i++) {
       assertEquals(new Open(7), done.get(done.size() - 1));
-      goesSilent("head");
+      progressUntilSilent("head");
       until(Open.class);
     }
     assertEquals(new Open(8), done.get(done.size() - 1));
-    goesSilent("head");
+    progressUntilSilent("head");
     pass(2_000);
     body("\n");
     done.clear();
@@ -150,25 +155,28 @@
   }
 
   /**
-   * Nor does an agent that answers with heads in an outage hide its end: that one try is not made
-   * again.
+   * An agent that sends only response heads during an outage must not hide the end of the outage:
+   * the attempt that expects no object is not repeated.
    */
   @Test
-  void headsWithoutABodyInAnOutageHoldUpOneTryOnly() {
-    living();
+  void headsWithoutABodyDelayOnlyOneAttemptInAnOutage() {
+    openWatch();
     until(Open.class);
     int slow = 0;
     for (int i = 0; i < 30; i++) {
-      goesSilent("head");
+      progressUntilSilent("head");
       slow += until(Open.class) > GRACE_MS - 300 ? 1 : 0;
     }
     assertEquals(1, slow);
   }
 
-  /** However patient it has become: what comes after the last bad try is due soon enough. */
+  /**
+   * Even after slow attempts have raised the limit, no attempt may take longer than the time
+   * allowed after SIGHUP.
+   */
   @Test
-  void noTryDripsForLongerThanAHangUpAllows() {
-    living();
+  void slowObjectEndsTheAttemptWithinTheLimitAfterSighup() {
+    openWatch();
     until(Open.class);
     for (int i = 0; i < 6; i++) {
       final double from = now;
@@ -177,21 +185,21 @@
       body("{");
       done.clear();
       for (int looks = 1; done.stream().noneMatch(Open.class::isInstance); looks++) {
-        pass(LOOK_MS);
+        pass(CHECK_MS);
         if (done.isEmpty() && looks % 16 == 0) {
           body(" ");
         }
       }
-      assertTrue(now - from < TOLD_AFTER_HANG_UP_MS, "" + (now - from));
+      assertTrue(now - from < DELIVERED_AFTER_SIGHUP_MS, "" + (now - from));
     }
   }
 
-  /** A list that takes longer than the first tries are given comes through in the end. */
+  /** A list that takes longer than the first attempts allow is delivered in the end. */
   @Test
-  void aListThatAlwaysDripsComesThrough() {
-    living();
+  void listThatAlwaysArrivesSlowlyIsDelivered() {
+    openWatch();
     pass(2_000);
-    does(watch.onClosed(now));
+    record(watch.onClosed(now));
     int tries = 0;
     while (done.stream().noneMatch(Deliver.class::isInstance)) {
       until(Open.class);
@@ -209,21 +217,22 @@
   }
 
   /**
-   * Discovery was put back to an older state, or another one took its place: its list is the list.
+   * Discovery was restored to an older state or replaced: its list is accepted although its version
+   * is lower.
    */
   @Test
-  void theListOfAnotherHistoryIsTakenAndGoneOnFrom() {
-    living();
+  void listWithALowerVersionIsAcceptedAndWatchedFromThere() {
+    openWatch();
     body(Peers.list(3, true) + "\n" + Peers.list(4, false) + "\n");
     assertEquals(2, done.size());
-    does(watch.onClosed(now));
+    record(watch.onClosed(now));
     until(Open.class);
     assertEquals(new Open(3), done.get(done.size() - 1));
   }
 
   @Test
-  void halfALineAndThenSilenceIsCountedAndAskedForAgain() {
-    living();
+  void incompleteLineThenSilenceIsCountedAndRequestedAgain() {
+    openWatch();
     body("{\"version\":9,\"full\":false,\n");
     double taken = until(Open.class);
     assertEquals(List.of(new Close(true), new Open(7)), done);
@@ -231,8 +240,8 @@
   }
 
   @Test
-  void anObjectThatDripsIsGivenUpInTime() {
-    living();
+  void slowObjectEndsTheAttemptInTime() {
+    openWatch();
     body("{");
     double from = now;
     while (done.isEmpty()) {
@@ -240,13 +249,13 @@
       body(done.isEmpty() ? " " : "");
     }
     assertTrue(done.contains(new Close(true)));
-    assertTrue(now - from < TOLD_MS, "" + (now - from));
+    assertTrue(now - from < DELIVERED_MS, "" + (now - from));
   }
 
-  /** Indented and in pieces as small as can be: no try ends over it. */
+  /** An indented list in the smallest pieces record not end the attempt. */
   @Test
-  void aListThatComesIndentedAndCutAnywhereIsDelivered() {
-    living();
+  void indentedListInSmallPiecesIsDelivered() {
+    openWatch();
     for (char c :
         "\n{\n  \"version\": 9,\n  \"full\": true,\n  \"servers\": [\n  ]\n}\n".toCharArray()) {
       pass(50);
@@ -257,16 +266,16 @@
   }
 
   /**
-   * The outage is over longer than the watches are silent: what the agent is told then counts at
-   * once.
+   * Data that the agent has after an outage counts as delivered at once if the watches were silent
+   * for less time than the outage lasted, so attempts must be frequent during an outage.
    */
   @ParameterizedTest
   @ValueSource(strings = {"connect", "request"})
-  void inAnOutageItAsksSoOftenThatItsEndIsSeenWithinTheGrace(String at) {
-    living();
+  void attemptsInAnOutageAreFrequentEnoughToSeeItsEndInTime(String at) {
+    openWatch();
     until(Open.class);
     for (int i = 0; i < 20; i++) {
-      goesSilent(at);
+      progressUntilSilent(at);
       double apart = until(Open.class);
       assertTrue(apart <= GRACE_MS - 300, "" + apart);
       assertTrue(apart >= 200, "" + apart);
@@ -274,16 +283,17 @@
   }
 
   /**
-   * Refused or answered with junk at once: all front doors may be, so tries keep their distance.
+   * Attempts that fail at once keep their interval, since all gateways may be refused at the same
+   * time. A watch that was useful before is reopened without that delay.
    */
   @Test
-  void triesThatFailAtOnceKeepTheirDistanceAndBeingUsefulSavesIt() {
-    living();
+  void attemptsThatFailAtOnceKeepTheirIntervalUnlessTheWatchWasUseful() {
+    openWatch();
     pass(2_000);
-    does(watch.onClosed(now));
+    record(watch.onClosed(now));
     assertTrue(until(Open.class) <= 2 * WatchStateMachine.RECONNECT_DELAY_MS);
     for (int i = 0; i < 20; i++) {
-      does(watch.onClosed(now));
+      record(watch.onClosed(now));
       double apart = until(Open.class);
       assertTrue(apart >= 200 && apart <= GRACE_MS - 300, "" + apart);
     }
@@ -291,30 +301,30 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"connect", "request"})
-  void silenceAtTheStartIsTakenForAnOutageAfterAWholeTryAndASecond(String at) {
-    does(watch.start(now));
-    goesSilent(at);
+  void silenceAtStartupCountsAsAnOutageAfterOneAttemptAndASecond(String at) {
+    record(watch.start(now));
+    progressUntilSilent(at);
     pass(999);
     assertNull(watch.caughtUpReason());
-    pass(1 + LOOK_MS);
+    pass(1 + CHECK_MS);
     assertNotNull(watch.caughtUpReason());
     assertTrue(until(Open.class) <= GRACE_MS - 300);
   }
 
   /**
-   * Nothing behind the head is nothing new, unless an object has begun, or this process stood
-   * still.
+   * Nothing after the response head means no news, unless an object has started or this process was
+   * paused.
    */
   @Test
-  void itIsCaughtUpOnceNothingFollowsTheHead() {
-    does(watch.start(now));
+  void caughtUpOnceNothingFollowsTheResponseHead() {
+    record(watch.start(now));
     watch.onConnected(now);
     watch.onResponseHead(now);
     now += 500;
-    does(watch.check(now));
+    record(watch.check(now));
     assertNull(watch.caughtUpReason());
     body("{\"version\":8,\"full\":false,");
-    pass(WatchStateMachine.FIRST_UPDATE_WAIT_MS + 4 * LOOK_MS);
+    pass(WatchStateMachine.FIRST_UPDATE_WAIT_MS + 4 * CHECK_MS);
     assertNull(watch.caughtUpReason());
     body("\"servers\":[]}\n");
     assertEquals("discovery's first list was received", watch.caughtUpReason());
@@ -324,45 +334,45 @@
     other.onConnected(0);
     other.onResponseHead(0);
     other.check(WatchStateMachine.FIRST_UPDATE_WAIT_MS);
-    other.check(WatchStateMachine.FIRST_UPDATE_WAIT_MS + LOOK_MS);
+    other.check(WatchStateMachine.FIRST_UPDATE_WAIT_MS + CHECK_MS);
     assertEquals("discovery has nothing new", other.caughtUpReason());
   }
 
-  /** A watch that has been silent for a while, and the next address silent at first. */
+  /** The watch was silent for a while, and the next address is silent at first. */
   @ParameterizedTest
   @ValueSource(strings = {"connect", "request", "head", "half"})
-  void silenceAcrossAHangUpIsSeenInTime(String at) {
-    living();
+  void silenceAcrossASighupIsDetectedInTime(String at) {
+    openWatch();
     pass(WatchStateMachine.SILENCE_TIMEOUT_MS - 1);
-    does(watch.onAddressChanged(now));
+    record(watch.onAddressChanged(now));
     assertEquals(List.of(new Close(false), new Open(7)), done);
-    goesSilent(at);
-    assertTrue(until(Open.class) <= TOLD_AFTER_HANG_UP_MS - 1_000);
+    progressUntilSilent(at);
+    assertTrue(until(Open.class) <= DELIVERED_AFTER_SIGHUP_MS - 1_000);
   }
 
   @Test
-  void aHangUpBetweenTwoTriesOpensAtOnce() {
-    living();
-    does(watch.onClosed(now));
+  void sighupBetweenTwoAttemptsOpensTheWatchAtOnce() {
+    openWatch();
+    record(watch.onClosed(now));
     done.clear();
-    does(watch.onAddressChanged(now));
+    record(watch.onAddressChanged(now));
     assertEquals(List.of(new Open(7)), done);
   }
 
-  /** What came meanwhile is read between two looks. */
+  /** Data that arrived during a pause is read between two checks. */
   @Test
-  void aPauseOfThisProcessIsNotTheAgentsSilence() {
-    living();
+  void pauseOfThisProcessIsNotTakenForSilence() {
+    openWatch();
     now += 20_000;
-    does(watch.check(now));
+    record(watch.check(now));
     body("\n");
     pass(WatchStateMachine.SILENCE_TIMEOUT_MS - 1);
     assertEquals(List.of(), done);
   }
 
   @Test
-  void junkEndsTheTryBehindWhatCouldBeRead() {
-    living();
+  void malformedDataEndsTheAttemptAfterDeliveringValidObjects() {
+    openWatch();
     body(Peers.list(9, false) + "\n{\"version\":10}\n");
     assertEquals(2, done.size());
     assertEquals(new Close(true), done.get(1));
--- a/front/src/test/java/willowdoor/front/operators/OperatorFileTest.java
+++ b/front/src/test/java/willowdoor/front/operators/OperatorFileTest.java
@@ -9,13 +9,13 @@
 import org.junit.jupiter.api.io.TempDir;
 import willowdoor.front.operators.OperatorFile.State;
 
-/** What operators have asked for, as the processes of one front door share it. */
+/** Operators' requests, as shared by the processes of one gateway. */
 class OperatorFileTest {
 
   @TempDir private Path folder;
 
   @Test
-  void whatOneWroteTheOtherReadsAndAddsTo() throws Exception {
+  void processReadsAndExtendsWhatTheOtherWrote() throws Exception {
     Path file = folder.resolve("operators.json");
     OperatorFile one = new OperatorFile(file);
     OperatorFile other = new OperatorFile(file);
@@ -31,10 +31,10 @@
   }
 
   @Test
-  void aDamagedOrMissingFileLeavesThingsAsTheyAreAndIsWrittenAnew() throws Exception {
+  void damagedOrMissingFileKeepsTheStateAndIsRewritten() throws Exception {
     Path file = folder.resolve("operators.json");
     OperatorFile one = new OperatorFile(file);
-    State told = one.change(s -> s.excluded("s-1", true));
+    State stored = one.change(s -> s.excluded("s-1", true));
     for (String damaged :
         new String[] {
           "",
@@ -46,12 +46,12 @@
           "{\"drained\":1,\"excluded\":[]}"
         }) {
       Files.writeString(file, damaged);
-      assertEquals(told, one.refresh(), damaged);
+      assertEquals(stored, one.refresh(), damaged);
       assertEquals(State.NONE, new OperatorFile(file).refresh(), damaged);
     }
     Files.delete(file);
-    assertEquals(told, one.refresh());
+    assertEquals(stored, one.refresh());
     one.change(s -> s.drained(true));
-    assertEquals(told.drained(true), new OperatorFile(file).refresh());
+    assertEquals(stored.drained(true), new OperatorFile(file).refresh());
   }
 }
--- a/front/src/test/java/willowdoor/front/servers/AbandonedAttemptTest.java
+++ b/front/src/test/java/willowdoor/front/servers/AbandonedAttemptTest.java
@@ -21,8 +21,8 @@
 import willowdoor.policy.GatewayApi.Status;
 
 /**
- * Attempts that are given up: their connection is closed on the wire first, and nothing follows on
- * it.
+ * The connection of an abandoned attempt is closed on the network before the attempt's end is
+ * reported, and nothing is sent on it afterwards.
  */
 @Timeout(value = 40, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class AbandonedAttemptTest {
@@ -39,7 +39,7 @@
     peers.close();
   }
 
-  /** Whether the connection has ended for the server, told while the loop stands still. */
+  /** Returns whether the connection has ended for the server, checked while the loop is blocked. */
   private static String seen(Socket socket) {
     try {
       socket.setSoTimeout(500);
@@ -54,11 +54,12 @@
   }
 
   /**
-   * As the module may send the request again at once, a copy would be out on an open connection.
+   * The policy module may retry at once, so an open connection could still deliver a second copy of
+   * the request.
    */
   @ParameterizedTest
   @ValueSource(strings = {"time", "junk", "chunk", "closing"})
-  void theConnectionIsClosedBeforeTheModuleHears(String why) throws Exception {
+  void connectionIsClosedBeforeTheEndIsReported(String why) throws Exception {
     ServerSocket server = peers.listen(50, 0);
     long id = peers.tell(PoolPeers.entry(server, "active"));
     RecordingAttempt attempt = peers.attempt(10);
@@ -86,11 +87,11 @@
   }
 
   /**
-   * What the kernel holds of a long request would reach the server behind a close, whenever that
-   * reads.
+   * After an ordinary close the kernel would still deliver the buffered part of a long request
+   * whenever the server reads it.
    */
   @Test
-  void whatTheSystemStillHoldsOfARequestNeverArrives() throws Exception {
+  void bufferedRestOfAnAbandonedRequestIsNeverDelivered() throws Exception {
     ServerSocket server = peers.listen(50, 4_096);
     long id = peers.tell(PoolPeers.entry(server, "active"));
     int length = 64_000;
@@ -103,17 +104,17 @@
   }
 
   /**
-   * A connection that is being opened for it is closed too, and nothing is written should it come
-   * up.
+   * A connection that is being opened for the attempt is closed too, and nothing is written if the
+   * connect completes.
    */
   @Test
-  void whatWaitsForItsConnectionIsNeverWritten() throws Exception {
+  void abandonedAttemptWaitingForItsConnectionIsNeverWritten() throws Exception {
     ServerSocket server = peers.listen(50, 0);
     long id = peers.tell(PoolPeers.entry(server, "active"));
     RecordingAttempt attempt = peers.attempt(10);
     attempt.next = status -> attempt.ends.add("heard");
-    // The kernel has connected, and the loop looks for its word only after the attempt was given
-    // up.
+    // The kernel has connected, but the loop polls for the result only after the attempt is
+    // abandoned.
     peers.run(
         () -> {
           peers.pool.start(id, attempt);
@@ -140,10 +141,10 @@
     }
   }
 
-  /** The body's bytes and the reset are both with the kernel before the loop reads. */
+  /** The body and the reset have both reached the kernel before the loop reads. */
   @ParameterizedTest
   @ValueSource(ints = {0, 4, 10_000})
-  void aResetIsNoEndOfABodyWithoutALength(int length) throws Exception {
+  void resetDoesNotCompleteABodyWithoutALength(int length) throws Exception {
     ServerSocket server = peers.listen(50, 0);
     long id = peers.tell(PoolPeers.entry(server, "active"));
     for (boolean reset : new boolean[] {true, false}) {
@@ -165,10 +166,12 @@
     }
   }
 
-  /** It came up in time, and the process stood still before it had the kernel's word. */
+  /**
+   * The connect completed in time, but the process was paused before the loop received the result.
+   */
   @ParameterizedTest
   @ValueSource(ints = {PoolPeers.CONNECT_MS, PoolPeers.CONNECT_MS + 51})
-  void aConnectThatIsToldLongAfterItsLimitIsNotUsed(int laterMs) throws Exception {
+  void connectReportedLongAfterItsTimeoutIsNotUsed(int laterMs) throws Exception {
     ServerSocket server = peers.listen(50, 0);
     long id = peers.tell(PoolPeers.entry(server, "active"));
     RecordingAttempt attempt = peers.attempt();
--- a/front/src/test/java/willowdoor/front/servers/LateAnswerTest.java
+++ b/front/src/test/java/willowdoor/front/servers/LateAnswerTest.java
@@ -14,18 +14,21 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import willowdoor.front.Peers;
 
-/** What comes behind an answer never becomes the answer of the next request on that connection. */
+/**
+ * Data received after a response must never be taken for the response to the next request on the
+ * same connection.
+ */
 @Timeout(value = 40, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class LateAnswerTest {
 
-  private static final int REST_MS = (int) BackendPool.REUSE_DELAY_MS;
+  private static final int DELAY_MS = (int) BackendPool.REUSE_DELAY_MS;
 
   private PoolPeers peers;
   private ServerSocket server;
   private long id;
   private Socket used;
 
-  /** A connection that has just carried its first request. */
+  /** Opens a connection that has just completed its first request. */
   @BeforeEach
   void open() throws Exception {
     peers = new PoolPeers();
@@ -34,14 +37,14 @@
     RecordingAttempt first = peers.start(id, peers.attempt());
     used = peers.accept(server);
     assertEquals("OK fine", PoolPeers.serve(used, first));
-    rests();
+    awaitReleased();
   }
 
   /**
-   * The connection is given back in the round that ends its attempt: the clock moves only behind
-   * that.
+   * Waits until the connection is back in the pool. The pool takes it back in the loop's round that
+   * ends the attempt, so the clock may be advanced only after that round.
    */
-  private void rests() throws InterruptedException {
+  private void awaitReleased() throws InterruptedException {
     peers.run(() -> {});
   }
 
@@ -54,27 +57,30 @@
     PoolPeers.read(socket);
     PoolPeers.write(socket, PoolPeers.OK.replace("fine", "next"));
     assertEquals("OK next", Peers.next(attempt.ends));
-    rests();
+    awaitReleased();
   }
 
   @Test
-  void aConnectionRestsBeforeItCarriesTheNextRequest() throws Exception {
-    peers.pass(REST_MS - 1);
+  void connectionIsReusedOnlyAfterTheReuseDelay() throws Exception {
+    peers.pass(DELAY_MS - 1);
     RecordingAttempt early = peers.start(id, peers.attempt());
     isServedOn(peers.accept(server), early);
     peers.pass(1);
     isServedOn(used, peers.start(id, peers.attempt()));
   }
 
-  /** It is with the kernel as the next request comes, and the loop has not looked since. */
+  /**
+   * The data has reached the kernel when the next request starts, and the loop has not polled
+   * since.
+   */
   @ParameterizedTest
   @ValueSource(strings = {"answer", "half a line", "end", "reset"})
-  void whatTheLoopHasNotReadYetIsSeenBeforeTheConnectionIsUsed(String what) throws Exception {
+  void unreadDataIsDetectedBeforeTheConnectionIsReused(String what) throws Exception {
     RecordingAttempt next = peers.attempt();
     peers.run(
         () -> {
           send(what);
-          peers.pass(REST_MS);
+          peers.pass(DELAY_MS);
           peers.pool.start(id, next);
         });
     isServedOn(peers.accept(server), next);
@@ -96,11 +102,13 @@
     }
   }
 
-  /** A server whose second answer was late has its connections rest twice as long from then on. */
+  /**
+   * After a late duplicate response, connections to that server stay idle for twice the delay
+   * before reuse.
+   */
   @ParameterizedTest
   @CsvSource({"60, 120, answer", "60, 120, half a line", "1000, 20, answer"})
-  void aConnectionRestsLongerWhereSomethingWasLater(int lateMs, int restMs, String what)
-      throws Exception {
+  void reuseDelayGrowsAfterALateResponse(int lateMs, int restMs, String what) throws Exception {
     peers.pass(lateMs);
     send(what);
     assertEquals(0, PoolPeers.drain(used));
@@ -114,10 +122,13 @@
     isServedOn(fresh, peers.start(id, peers.attempt()));
   }
 
-  /** A server begins a request once its last byte has come: what comes before is not its answer. */
+  /**
+   * A server starts a request only after its last byte, so an earlier response does not belong to
+   * the request.
+   */
   @Test
-  void anAnswerBeforeTheRequestsLastByteIsNotBelieved() throws Exception {
-    peers.pass(REST_MS);
+  void responseBeforeTheRequestsLastByteIsRejected() throws Exception {
+    peers.pass(DELAY_MS);
     RecordingAttempt next = peers.start(id, peers.attempt(32 << 20));
     PoolPeers.read(used, 10);
     PoolPeers.write(used, PoolPeers.OK);
--- a/front/src/test/java/willowdoor/front/servers/MovedServerTest.java
+++ b/front/src/test/java/willowdoor/front/servers/MovedServerTest.java
@@ -14,11 +14,14 @@
 import willowdoor.front.discovery.BackendListUpdate;
 import willowdoor.policy.GatewayApi.Status;
 
-/** The list says something new of a server while a connection to it is busy or coming up. */
+/**
+ * Discovery changes a server's entry while a connection to the server is busy, idle or being
+ * opened. Such a connection must not carry a new request.
+ */
 @Timeout(value = 40, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class MovedServerTest {
 
-  private enum News {
+  private enum ListChange {
     MOVED,
     STARTED_ANEW,
     GONE_AND_BACK,
@@ -44,8 +47,8 @@
     peers.close();
   }
 
-  /** The messages that tell it, one after another. */
-  private BackendListUpdate[] told(News news) throws IOException {
+  /** Returns the messages that report the change, in order. */
+  private BackendListUpdate[] updates(ListChange news) throws IOException {
     String entry = PoolPeers.entry(before, "active");
     switch (news) {
       case MOVED -> {
@@ -70,9 +73,9 @@
     }
   }
 
-  /** Tells it, on the loop. */
-  private void tell(News news, BackendListUpdate... messages) {
-    if (news == News.TAKEN_OUT_AND_BACK) {
+  /** Applies the change; runs on the loop. */
+  private void tell(ListChange news, BackendListUpdate... messages) {
+    if (news == ListChange.TAKEN_OUT_AND_BACK) {
       peers.banned.add(id);
       peers.pool.cut(id);
       peers.banned.remove(id);
@@ -83,20 +86,20 @@
     }
   }
 
-  /** What was under way goes on, and its connection carries nothing after that. */
+  /** The current request continues, and its connection carries nothing afterwards. */
   @ParameterizedTest
   @EnumSource
-  void aConnectionThatWasBusyMeanwhileCarriesNothingMore(News news) throws Exception {
+  void connectionBusyDuringTheChangeIsNotReused(ListChange news) throws Exception {
     oneRequestOnly(news, true);
   }
 
   @ParameterizedTest
   @EnumSource
-  void aConnectionThatWasIdleMeanwhileCarriesNothingMore(News news) throws Exception {
+  void connectionIdleDuringTheChangeIsNotReused(ListChange news) throws Exception {
     oneRequestOnly(news, false);
   }
 
-  private void oneRequestOnly(News news, boolean busy) throws Exception {
+  private void oneRequestOnly(ListChange news, boolean busy) throws Exception {
     RecordingAttempt first = peers.start(id, peers.attempt());
     Socket old = peers.accept(before);
     PoolPeers.read(old);
@@ -104,7 +107,7 @@
       PoolPeers.write(old, PoolPeers.OK);
       assertEquals("OK fine", Peers.next(first.ends));
     }
-    BackendListUpdate[] messages = told(news);
+    BackendListUpdate[] messages = updates(news);
     peers.run(() -> tell(news, messages));
     if (busy) {
       PoolPeers.write(old, PoolPeers.OK);
@@ -116,11 +119,11 @@
     assertEquals(0, PoolPeers.drain(old));
   }
 
-  /** The kernel has connected, and the news is read before the loop has its word. */
+  /** The kernel has connected, and the update is applied before the loop receives the result. */
   @ParameterizedTest
   @EnumSource
-  void aConnectionThatWasComingUpMeanwhileCarriesNothing(News news) throws Exception {
-    BackendListUpdate[] messages = told(news);
+  void connectionOpeningDuringTheChangeIsNotUsed(ListChange news) throws Exception {
+    BackendListUpdate[] messages = updates(news);
     RecordingAttempt attempt = peers.attempt();
     peers.run(
         () -> {
--- a/front/src/test/java/willowdoor/front/servers/PoolPeers.java
+++ b/front/src/test/java/willowdoor/front/servers/PoolPeers.java
@@ -28,8 +28,8 @@
 import willowdoor.front.requests.Attempt;
 
 /**
- * A pool on a loop of its own with a clock moved by hand, and backends that the test plays by
- * itself.
+ * A pool on an event loop of its own with a manually advanced clock, and backends that the test
+ * plays itself.
  */
 final class PoolPeers implements Closeable {
 
@@ -73,7 +73,7 @@
     return socket;
   }
 
-  /** Tells the pool a whole list, and gives the number of its first backend. */
+  /** Passes a complete list to the pool, and returns the id of its first backend. */
   long tell(String... entries) throws Exception {
     BackendListUpdate news = news(true, entries);
     run(() -> pool.onRoster(news));
@@ -93,7 +93,7 @@
     loop.submit(onLoop).sync();
   }
 
-  /** Moves the clock once the loop has done what it is at. */
+  /** Advances the clock after the loop has finished its current task. */
   void pass(long ms) {
     if (loop.inEventLoop()) {
       nanos.addAndGet(TimeUnit.MILLISECONDS.toNanos(ms));
@@ -110,13 +110,13 @@
     return new RecordingAttempt(RecordingAttempt.message(length), clock.now() + 5_000);
   }
 
-  /** A repeat, whose last byte must be written within so long. */
+  /** A retry whose last byte must be written within this time. */
   RecordingAttempt repeat(int length, double withinMs) {
     return new RecordingAttempt(
         RecordingAttempt.message(length), clock.now() + 5_000, clock.now() + withinMs);
   }
 
-  /** Runs on the loop behind so many rounds of its tasks, before it looks at its sockets. */
+  /** Runs on the loop after this many rounds of its tasks, before it polls its sockets. */
   void behind(int rounds, Runnable task) {
     loop.execute(rounds == 0 ? task : () -> behind(rounds - 1, task));
   }
@@ -132,14 +132,14 @@
     }
   }
 
-  /** Has the attempt's request come on the connection and answered; its end. */
+  /** Receives the attempt's request on the connection, responds, and returns the attempt's end. */
   static String serve(Socket socket, RecordingAttempt attempt) throws Exception {
     read(socket, RecordingAttempt.LENGTH);
     write(socket, OK);
     return Peers.next(attempt.ends);
   }
 
-  /** Reads a request of that many bytes of body; its head. */
+  /** Reads a request with a body of this length; returns its head. */
   static String read(Socket socket, int length) throws IOException {
     InputStream in = socket.getInputStream();
     ByteArrayOutputStream head = new ByteArrayOutputStream();
@@ -164,7 +164,7 @@
     socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
   }
 
-  /** Bytes that come until the connection ends, in whichever way. */
+  /** Returns the number of bytes received until the connection ends in any way. */
   static int drain(Socket socket) throws IOException {
     int count = 0;
     byte[] piece = new byte[16 * 1024];
--- a/front/src/test/java/willowdoor/front/servers/RecordingAttempt.java
+++ b/front/src/test/java/willowdoor/front/servers/RecordingAttempt.java
@@ -13,16 +13,16 @@
 import willowdoor.front.requests.Outgoing;
 import willowdoor.policy.GatewayApi.Status;
 
-/** An attempt that notes its end, without the table of requests above it. */
+/** An attempt that records its end, without the table of requests above it. */
 final class RecordingAttempt extends Attempt {
 
-  /** Bytes of body of an ordinary request. */
+  /** The body length of an ordinary request, in bytes. */
   static final int LENGTH = 10;
 
-  /** Each end, with the answer's body behind it where there is one. */
+  /** Each end, followed by the response body if there is one. */
   final BlockingQueue<String> ends = new LinkedBlockingQueue<>();
 
-  /** What the module does on its end. */
+  /** The policy module's reaction to the end. */
   Consumer<Status> next = status -> {};
 
   RecordingAttempt(Outgoing message, double endsAt) {
@@ -33,12 +33,12 @@
     super(message, endsAt, writtenBy);
   }
 
-  /** A request that is whole, with so many bytes of body. */
+  /** A complete request with a body of this length. */
   static Outgoing message(int length) {
     return message(length, true);
   }
 
-  /** A request of which the rest has still to come. */
+  /** A request whose remaining body has still to arrive. */
   static Outgoing inPieces() {
     return message(10, false);
   }
--- a/front/src/test/java/willowdoor/front/servers/RepeatWriteTest.java
+++ b/front/src/test/java/willowdoor/front/servers/RepeatWriteTest.java
@@ -14,7 +14,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import willowdoor.front.Peers;
 
-/** A repeat's last byte is written by its time or never, whatever its connection waited for. */
+/**
+ * The last byte of a retry is written by its deadline or never, whatever delayed its connection.
+ */
 @Timeout(value = 40, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class RepeatWriteTest {
 
@@ -36,10 +38,13 @@
     peers.close();
   }
 
-  /** The connect is up for the kernel, and the clock moves before the loop has its word. */
+  /**
+   * The kernel has completed the connect, and the clock advances before the loop receives the
+   * result.
+   */
   @ParameterizedTest
   @ValueSource(ints = {0, WITHIN_MS, WITHIN_MS + 1, 1_500})
-  void aSlowConnectDoesNotCarryItPastItsTime(int tookMs) throws Exception {
+  void retryIsNotWrittenAfterASlowConnect(int tookMs) throws Exception {
     RecordingAttempt repeat = peers.repeat(10, WITHIN_MS);
     peers.run(
         () -> {
@@ -59,7 +64,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {0, 1})
-  void anOpenConnectionDoesNotTakeItPastItsTime(int overMs) throws Exception {
+  void retryIsNotWrittenPastItsDeadlineOnAnOpenConnection(int overMs) throws Exception {
     RecordingAttempt first = peers.start(id, peers.attempt(10));
     Socket socket = peers.accept(server);
     PoolPeers.read(socket, 10);
@@ -75,9 +80,12 @@
     }
   }
 
-  /** The kernel takes a part at most: the rest would go whenever the server reads. */
+  /**
+   * The kernel accepts at most a part of the request; the rest would be sent whenever the server
+   * reads.
+   */
   @Test
-  void aWriteThatIsHeldBackIsGivenUp() throws Exception {
+  void blockedWriteOfARetryIsAbandoned() throws Exception {
     ServerSocket slow = peers.listen(50, 4_096);
     long slowId = peers.tell(PoolPeers.entry(slow, "active"));
     int length = 32 << 20;
@@ -88,9 +96,9 @@
     assertTrue(came < length, came + " bytes came");
   }
 
-  /** When its last byte comes is the client's to say. */
+  /** The client determines when the last byte arrives. */
   @Test
-  void aRepeatWhoseEndHasStillToComeIsNotBegun() throws Exception {
+  void retryWithAnIncompleteBodyIsNotStarted() throws Exception {
     RecordingAttempt repeat =
         new RecordingAttempt(
             RecordingAttempt.inPieces(), peers.clock.now() + 5_000, peers.clock.now() + WITHIN_MS);
