--- a/front/src/main/java/willowdoor/front/discovery/DiscoveryClient.java
+++ b/front/src/main/java/willowdoor/front/discovery/DiscoveryClient.java
@@ -44,7 +44,7 @@
 
   private final EventLoop loop;
   private final Clock clock;
-  private final EventCounters tally;
+  private final EventCounters counters;
   private final Consumer<BackendListUpdate> listener;
   private final Bootstrap bootstrap;
   private final WatchStateMachine watch;
@@ -60,12 +60,12 @@
       Clock clock,
       InetSocketAddress agent,
       long version,
-      EventCounters tally,
+      EventCounters counters,
       Consumer<BackendListUpdate> listener) {
     this.loop = loop;
     this.clock = clock;
     this.agent = agent;
-    this.tally = tally;
+    this.counters = counters;
     this.listener = listener;
     caughtUp = loop.newPromise();
     watch = new WatchStateMachine(version, () -> ThreadLocalRandom.current().nextDouble());
@@ -127,7 +127,7 @@
       listener.accept(deliver.update());
     } else if (effect instanceof WatchStateMachine.Effect.Close close) {
       if (close.unreadable()) {
-        tally.count(EventCounters.Event.DISCOVERY_UNREADABLE);
+        counters.count(EventCounters.Event.DISCOVERY_UNREADABLE);
       }
       Channel ending = channel;
       channel = null;
--- a/front/src/main/java/willowdoor/front/start/WarmUp.java
+++ b/front/src/main/java/willowdoor/front/start/WarmUp.java
@@ -48,12 +48,12 @@
   /** The template servers that the gateway uses. */
   public BackendListUpdate servers() {
     List<BackendEntry> entries = new ArrayList<>();
-    Map<Long, SocketAddress> places = new HashMap<>();
+    Map<Long, SocketAddress> addresses = new HashMap<>();
     for (long id = 0; id < SERVERS; id++) {
       entries.add(new BackendEntry(id, settings.zone(), 0, Phase.SERVING, 1, 0));
-      places.put(id, peers.server());
+      addresses.put(id, peers.server());
     }
-    return new BackendListUpdate(0, true, entries, places);
+    return new BackendListUpdate(0, true, entries, addresses);
   }
 
   /**
--- a/front/src/test/java/willowdoor/front/BodyWithoutLengthTest.java
+++ b/front/src/test/java/willowdoor/front/BodyWithoutLengthTest.java
@@ -15,7 +15,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import willowdoor.front.Peers.Client;
 
-/** An answer whose end is its connection's: an end of sending ends it, a reset never does. */
+/**
+ * A response whose body ends with the connection: an end of stream completes the body, a reset
+ * never does.
+ */
 @Timeout(value = 40, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class BodyWithoutLengthTest {
 
@@ -38,11 +41,12 @@
   }
 
   /**
-   * The first answer is cut, and the request sent again; what was begun to be passed on is cut too.
+   * The first response is truncated by a reset, and the request is retried. A response that is
+   * already being forwarded is truncated for the client too.
    */
   @ParameterizedTest
   @ValueSource(ints = {0, 4, 10_000, 200_000})
-  void aResetIsNoEnd(int length) throws Exception {
+  void resetDoesNotCompleteTheBody(int length) throws Exception {
     for (int i = 0; i < 20; i++) {
       AtomicInteger asked = new AtomicInteger();
       int port =
@@ -67,9 +71,9 @@
     }
   }
 
-  /** Its client reads nothing meanwhile, so the front door has stopped reading it. */
+  /** The client reads nothing meanwhile, so the gateway has stopped reading the response. */
   @Test
-  void aResetWhileTheAnswerIsHeldBackIsNoEnd() throws Exception {
+  void resetDoesNotCompleteAResponseThatTheClientDoesNotRead() throws Exception {
     AtomicInteger sent = new AtomicInteger();
     int port =
         peers
@@ -79,7 +83,7 @@
                   Peers.read(in);
                   Peers.write(out, HEAD);
                   byte[] piece = new byte[64 * 1024];
-                  Thread stop = new Thread(() -> awaitStill(sent, socket));
+                  Thread stop = new Thread(() -> resetOnceWritesStall(sent, socket));
                   stop.start();
                   try {
                     while (true) {
@@ -87,7 +91,7 @@
                       sent.addAndGet(piece.length);
                     }
                   } catch (IOException e) {
-                    return; // ended by the other thread
+                    return; // closed by the other thread
                   }
                 })
             .getLocalPort();
@@ -103,8 +107,8 @@
         });
   }
 
-  /** Ends the connection in the middle of a write that the other side holds back. */
-  private void awaitStill(AtomicInteger sent, Socket socket) {
+  /** Resets the connection in the middle of a write that the gateway does not read. */
+  private void resetOnceWritesStall(AtomicInteger sent, Socket socket) {
     try {
       for (int before = -1; before != sent.get(); ) {
         before = sent.get();
--- a/front/src/test/java/willowdoor/front/DescriptorsTest.java
+++ b/front/src/test/java/willowdoor/front/DescriptorsTest.java
@@ -25,30 +25,30 @@
 import willowdoor.front.Peers.Client;
 
 /**
- * A process that may hold so many descriptors and no more, with more clients at once than it can
- * hold while discovery and the counter are down: it stays ready, serves who asks, and reaches both
- * once they are back. That the clients come at once is forced: they come while the process is
- * stopped.
+ * A process with a limit of file descriptors meets more clients at once than the limit allows,
+ * while discovery and the counter are down. The process must stay ready, serve clients, and
+ * reconnect to both once they are back. The process is stopped while the clients connect, so that
+ * all of them arrive at once.
  */
 @Timeout(value = 600, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class DescriptorsTest {
 
   private static final int LIMIT = 256;
 
-  /** More clients than the process may hold descriptors, and fewer than may wait to be accepted. */
+  /** More clients than the descriptor limit, and fewer than the accept queue holds. */
   private static final int CROWD = 350;
 
   private static final String UP = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
   private static final String READY = "GET /api/ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
-  /** The shell sets the limit for itself, and goes on as the front door. */
+  /** The shell sets the limit for itself, then executes the gateway. */
   private static final String LAUNCH =
       "ulimit -n "
           + LIMIT
           + " && exec \"$JAVA\" -cp \"$CLASSES\" "
           + "-Xshare:auto -XX:TieredStopAtLevel=1 -Djava.io.tmpdir=\"$TMPDIR\" willowdoor.front.Main serve";
 
-  /** What a client does that holds a connection and has no more to ask. */
+  /** How a client behaves that holds a connection and sends no further request. */
   private enum Kind {
     IDLE,
     SILENT,
@@ -64,7 +64,7 @@
   private final BlockingQueue<Boolean> told = new LinkedBlockingQueue<>();
   private final List<Client> clients = new ArrayList<>();
   private final ServerSocket old = server("old");
-  private final ServerSocket replacing = server("new");
+  private final ServerSocket replacement = server("new");
   private volatile boolean down;
   private final ServerSocket agent =
       peers.listen(
@@ -75,7 +75,8 @@
               String list =
                   watches.isEmpty()
                       ? "\n"
-                      : Peers.list(8, true, Peers.entry("s-2", replacing.getLocalPort(), "active"))
+                      : Peers.list(
+                              8, true, Peers.entry("s-2", replacement.getLocalPort(), "active"))
                           + "\n";
               watches.add(socket);
               Peers.write(
@@ -124,7 +125,7 @@
     peers.close();
   }
 
-  /** Starts it, and waits until it says that it is up. */
+  /** Starts the process, and waits until it reports that it can serve. */
   private void launch() throws Exception {
     clientPort = ReservedPort.any();
     operatorPort = ReservedPort.any();
@@ -168,8 +169,8 @@
   }
 
   /**
-   * New clients' requests, until this server answers one: while the counter is down some are
-   * refused.
+   * Sends requests from new clients until this server answers one. Some are rejected while the
+   * counter is down.
    */
   private void askUntilServedBy(String name) throws IOException {
     String text = "";
@@ -182,7 +183,7 @@
 
   @ParameterizedTest
   @EnumSource
-  void clientsTakeNoDescriptorFromAnybodyElse(Kind kind) throws Exception {
+  void clientsLeaveDescriptorsForAllOtherConnections(Kind kind) throws Exception {
     launch();
     askUntilServedBy("old");
     Peers.next(told);
@@ -198,7 +199,7 @@
       }
       signal("CONT");
       if (kind == Kind.HALF_A_BODY) {
-        whileTheyAreWaitedFor();
+        awaitTimeoutsOfTheCrowd();
       }
       assertTrue(up(), "not up");
       most = Math.max(most, descriptors());
@@ -227,10 +228,10 @@
   }
 
   /**
-   * A request that has begun gives way to nobody, until its client has taken too long over it: all
-   * of them are answered by then, or were closed as there was no room.
+   * A request that has started is not displaced until its client takes too long to send it. By then
+   * all such requests are answered, or were closed for lack of capacity.
    */
-  private void whileTheyAreWaitedFor() throws IOException {
+  private void awaitTimeoutsOfTheCrowd() throws IOException {
     List<Client> crowd = clients.subList(clients.size() - CROWD, clients.size());
     assertEquals(408, crowd.get(0).receive().status());
     for (Client client : crowd.subList(1, CROWD)) {
@@ -239,7 +240,7 @@
       } catch (SocketTimeoutException e) {
         throw e;
       } catch (IOException e) {
-        // It was one too many.
+        // This connection exceeded the limit.
       }
     }
   }
@@ -249,7 +250,7 @@
         0, new ProcessBuilder("kill", "-" + name, Long.toString(door.pid())).start().waitFor());
   }
 
-  /** All that the process holds, its own files and pollers as well. */
+  /** Counts all descriptors of the process, including its own files and pollers. */
   private int descriptors() throws IOException {
     try (Stream<Path> held = Files.list(Path.of("/proc", Long.toString(door.pid()), "fd"))) {
       return (int) held.count();
@@ -277,7 +278,7 @@
         default -> {}
       }
     } catch (IOException e) {
-      // It was told to go, or found no place: the others are what counts.
+      // The connection was refused or closed; only the other clients matter here.
       client.close();
     }
   }
--- a/front/src/test/java/willowdoor/front/DiscoveryTest.java
+++ b/front/src/test/java/willowdoor/front/DiscoveryTest.java
@@ -34,7 +34,7 @@
 import willowdoor.front.loop.EventCounters;
 import willowdoor.front.loop.Transport;
 
-/** The list of backends: how changes arrive, and what follows from them. */
+/** The backend list: how changes arrive, and their effects. */
 @Timeout(40)
 class DiscoveryTest {
 
@@ -91,9 +91,9 @@
     }
   }
 
-  /** A watch that is opened again is told the last change once more: nothing is lost over that. */
+  /** A reopened watch receives the last change once more, which must not close any connection. */
   @Test
-  void theSameChangeOnceMoreCostsNoConnection() throws Exception {
+  void repeatedChangeClosesNoConnection() throws Exception {
     AtomicInteger connections = new AtomicInteger();
     int port =
         peers
@@ -120,19 +120,19 @@
       peers.tell(list);
     }
     peers.tell("junk");
-    // The front door has read all that by the time at which it asks again.
+    // The gateway has read all of it by the time it requests the list again.
     assertTrue(Peers.next(peers.watches).contains("index=8 "));
     door.loop().submit(() -> {}).sync();
     for (int i = 2; i < 10; i++) {
-      Thread.sleep(100); // the connection rests behind an answer, far shorter than this
+      Thread.sleep(100); // far longer than the connection's reuse delay
       assertEquals(200, client.ask(Peers.get("r" + i, 3000)).status());
     }
     assertEquals(1, connections.get());
   }
 
-  /** An object may be laid out over many lines, and cut anywhere. */
+  /** An object may span many lines and be split at any position. */
   @Test
-  void takesAnIndentedListThatIsCutAnywhere() throws Exception {
+  void takesAnIndentedListThatIsSplitAnywhere() throws Exception {
     int second = namedBackend("2").getLocalPort();
     peers.start();
     Peers.next(peers.watches);
@@ -146,10 +146,11 @@
   }
 
   /**
-   * An attempt whose connection is still coming up when its backend drains is not written any more.
+   * An attempt whose connection is still being opened when its backend drains is not written any
+   * more.
    */
   @Test
-  void whatWaitsForAConnectionIsNotWrittenToADrainedBackend() throws Exception {
+  void attemptWaitingForItsConnectionIsNotWrittenToADrainedBackend() throws Exception {
     List<SocketChannel> filling = new ArrayList<>();
     try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       for (int i = 0; i < 8; i++) {
@@ -169,7 +170,8 @@
       client.send(
           Peers.post("r1", "b").replace("Request-Timeout-Ms: 3000", "Request-Timeout-Ms: 15000"));
       Peers.next(peers.atCounter);
-      // The next call follows the first one's answer, so the first attempt is under way.
+      // The next counter call follows the first one's response, so the first attempt is already
+      // started.
       peers.client().send(Peers.post("r2", "b"));
       Peers.next(peers.atCounter);
       peers.tell(Peers.list(8, false, Peers.entry("s-1", full.getLocalPort(), "leaving")) + "\n");
@@ -183,7 +185,7 @@
   }
 
   @Test
-  void junkEndsTheWatchAndTheNextAsksForTheLastChangeOnceMore() throws Exception {
+  void malformedDataEndsTheWatchAndTheNextRequestsTheLastChangeAgain() throws Exception {
     peers.start();
     Peers.next(peers.watches);
     peers.tell(Peers.list(9, false) + "\n");
@@ -193,11 +195,11 @@
   }
 
   /**
-   * The configuration's list may be old: clients, also those that hold on to the process before
-   * this one, come only once discovery has told what changed since.
+   * The configuration's list may be outdated. Clients, including those still connected to the
+   * previous process, are accepted only after discovery has sent the changes since.
    */
   @Test
-  void nothingIsSentByAnOldListWhileDiscoveryIsAboutToTellTheNews() throws Exception {
+  void nothingIsSentByAnOldListBeforeDiscoverySendsItsChanges() throws Exception {
     int agent =
         peers
             .listen(
@@ -246,10 +248,10 @@
     assertEquals(200, client.ask(UP).status());
   }
 
-  /** Where discovery is silent, or says that nothing is new, the configuration's list has to do. */
+  /** If discovery is silent or reports no change, the configuration's list is used. */
   @ParameterizedTest
   @ValueSource(strings = {"", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"})
-  void itIsUpWithoutNewsAfterAWhile(String answer) throws Exception {
+  void isUpWithoutAnUpdateAfterAWhile(String answer) throws Exception {
     int agent =
         peers
             .listen(
@@ -266,10 +268,13 @@
     assertEquals(200, client.ask(Peers.get("r1", 3000)).status());
   }
 
-  /** Nobody at home in discovery, nor at the counter: the start is held up for a while only. */
+  /**
+   * Neither discovery nor the counter accepts connections: startup is delayed for a limited time
+   * only.
+   */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void itIsUpThoughConnectsAreRefusedOrNeverComeUp(boolean refused) throws Exception {
+  void isUpAlthoughConnectsAreRefusedOrNeverComplete(boolean refused) throws Exception {
     ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
     int port = full.getLocalPort();
     List<SocketChannel> queued = Peers.fill(full);
@@ -301,10 +306,11 @@
   }
 
   /**
-   * Junk is counted for the log, changes nothing, and is not what makes the next watch come sooner.
+   * Malformed data is counted for the log, changes nothing, and does not cause the next watch to
+   * open sooner.
    */
   @Test
-  void junkIsCounted() throws Exception {
+  void malformedDataIsCounted() throws Exception {
     MultiThreadIoEventLoopGroup group =
         new MultiThreadIoEventLoopGroup(1, Transport.BEST.ioHandler());
     Logger logger = Logger.getLogger(EventCounters.class.getName());
@@ -344,9 +350,9 @@
     }
   }
 
-  /** A message that names no servers is not a list of none. */
+  /** A message without a servers field is not an empty list. */
   @Test
-  void aMessageWithoutAListIsJunkToo() throws Exception {
+  void messageWithoutAListIsMalformed() throws Exception {
     peers.start();
     Peers.next(peers.watches);
     peers.tell("{\"version\":9,\"full\":true}\n");
@@ -354,16 +360,16 @@
     assertEquals(200, peers.client().ask(Peers.get("r1", 3000)).status());
   }
 
-  /** A machine that vanished resets nothing: the watch is replaced for its silence alone. */
+  /** A vanished machine sends no reset: the watch is replaced because of its silence alone. */
   @Test
-  void aSilentWatchIsReplaced() throws Exception {
+  void silentWatchIsReplaced() throws Exception {
     peers.start();
     Peers.next(peers.watches);
     assertTrue(Peers.next(peers.watches).contains("index=6 "));
   }
 
   @Test
-  void saysWhatIsWrongWithAConfiguration() throws IOException {
+  void configurationErrorNamesTheInvalidPart() throws IOException {
     String good = peers.config();
     assertEquals(50, Peers.parse(good).settings().options().counterTimeoutMs());
     for (String[] bad :
--- a/front/src/test/java/willowdoor/front/FrontDoorTest.java
+++ b/front/src/test/java/willowdoor/front/FrontDoorTest.java
@@ -25,11 +25,11 @@
 import willowdoor.front.Peers.Message;
 import willowdoor.front.loop.Descriptors;
 
-/** The real front door between small peers on loopback. */
+/** The complete gateway between small peers on loopback. */
 @Timeout(300)
 class FrontDoorTest {
 
-  /** For requests of which only the outcome counts. */
+  /** Timeout for requests of which only the outcome matters. */
   private static final int UNHURRIED_MS = 100_000;
 
   private final Peers peers = new Peers();
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void passesRequestAndAnswerOnUnchanged() throws Exception {
+  void forwardsRequestAndResponseUnchanged() throws Exception {
     peers.start();
     String body = "x".repeat(60_000) + "\u00e9\0\r\n";
     peers.answer =
@@ -82,13 +82,13 @@
     for (int i = 0; i < 5; i++) {
       assertEquals("fine", client.ask(Peers.get("r" + i, 3000)).text());
       assertEquals("GET /quote/17?a=%20b&c HTTP/1.1", Peers.next(peers.atBackend).firstLine());
-      Thread.sleep(100); // it rests behind an answer, far shorter than this
+      Thread.sleep(100); // far longer than the connection's reuse delay
     }
     assertEquals(1, connections.get());
   }
 
   @Test
-  void answersRequestsWrittenBehindEachOtherInTheirOrder() throws Exception {
+  void answersPipelinedRequestsInOrder() throws Exception {
     peers.start();
     peers.answer =
         (request, out) ->
@@ -102,7 +102,7 @@
   }
 
   @Test
-  void aRejectionHasNotRunAndIsTriedAgain() throws Exception {
+  void rejectedRequestIsRetried() throws Exception {
     peers.startWithWideLimits();
     AtomicInteger asked = new AtomicInteger();
     peers.answer =
@@ -112,9 +112,12 @@
     assertEquals(2, asked.get());
   }
 
-  /** A repeat of what may have run carries the same id and key; nothing but the module sends it. */
+  /**
+   * A retry of a request that may have run carries the same id and key; only the policy module
+   * retries.
+   */
   @Test
-  void aBrokenConnectionAfterTheRequestIsAResetAndTheModuleRepeatsIt() throws Exception {
+  void connectionLostAfterTheRequestIsAResetAndIsRetried() throws Exception {
     peers.start();
     AtomicInteger asked = new AtomicInteger();
     peers.answer = (request, out) -> asked.incrementAndGet() > 1 && Peers.write(out, Peers.OK);
@@ -124,7 +127,7 @@
   }
 
   @Test
-  void aCutAnswerIsNotServed() throws Exception {
+  void truncatedResponseIsNotServed() throws Exception {
     peers.start();
     peers.answer =
         (request, out) -> {
@@ -135,7 +138,7 @@
   }
 
   @Test
-  void junkFromABackendEndsItsConnectionAndServingGoesOn() throws Exception {
+  void malformedResponseClosesTheConnectionAndServingContinues() throws Exception {
     peers.start();
     AtomicInteger asked = new AtomicInteger();
     peers.answer =
@@ -146,10 +149,11 @@
   }
 
   /**
-   * A line without a colon is no header, and what follows it cannot be told apart from the body.
+   * A line without a colon is not a header, and the data after it cannot be told apart from the
+   * body.
    */
   @Test
-  void anAnswerWithALineThatIsNoHeaderIsNotServed() throws Exception {
+  void responseWithAnInvalidHeaderLineIsNotServed() throws Exception {
     peers.start();
     peers.answer =
         (request, out) ->
@@ -158,10 +162,11 @@
   }
 
   /**
-   * Where the end of the connection ends the body, nobody can tell a whole answer from a cut one.
+   * If the end of the connection ends the body, a complete response cannot be distinguished from a
+   * truncated one.
    */
   @Test
-  void anAnswerWithoutALengthIsNotServed() throws Exception {
+  void responseWithoutALengthIsNotServed() throws Exception {
     peers.start();
     peers.answer =
         (request, out) -> {
@@ -172,10 +177,11 @@
   }
 
   /**
-   * The module sends again at the moment of the first outcome, before the rest of the read is seen.
+   * The policy module retries at the first outcome, before the rest of the received data is
+   * processed.
    */
   @Test
-  void aSecondAnswerIsNotTakenForThatOfTheFurtherAttempt() throws Exception {
+  void secondResponseIsNotTakenForThatOfTheNextAttempt() throws Exception {
     peers.start();
     AtomicInteger asked = new AtomicInteger();
     peers.answer =
@@ -190,10 +196,11 @@
   }
 
   /**
-   * Bytes behind an answer that are no whole message yet would become the start of the next answer.
+   * Bytes after a response that are not yet a complete message would become the start of the next
+   * response.
    */
   @Test
-  void aConnectionWithBytesBehindItsAnswerIsNotUsedAgain() throws Exception {
+  void connectionWithBytesAfterItsResponseIsNotReused() throws Exception {
     peers.start();
     peers.answer =
         (request, out) ->
@@ -208,15 +215,15 @@
   }
 
   @Test
-  void aRefusedConnectionMeansARefusalThatIsHarmlessToRepeat() throws Exception {
+  void refusedConnectionIsReportedAsSafeToRetry() throws Exception {
     peers.backend.close();
     peers.start();
     assertEquals(503, peers.client().ask(Peers.post("r1", "b")).status());
   }
 
-  /** Vanished hosts are silent: a connect has its own limit, far below the client's time. */
+  /** Vanished hosts are silent: a connect has its own timeout, far below the client's timeout. */
   @Test
-  void aConnectThatNeverComesUpEndsByItsOwnLimit() throws Exception {
+  void connectThatNeverCompletesEndsAtItsOwnTimeout() throws Exception {
     try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       List<SocketChannel> fill = Peers.fill(full);
       peers.start(peers.config(Peers.entry("s-1", full.getLocalPort(), "active")));
@@ -230,7 +237,7 @@
   }
 
   @Test
-  void aSilentBackendCostsTheAttemptItsConnectionAndTheClientHearsInTime() throws Exception {
+  void silentBackendLosesItsConnectionAndTheClientIsAnsweredInTime() throws Exception {
     CountDownLatch closed = new CountDownLatch(1);
     int port =
         peers
@@ -251,7 +258,7 @@
   }
 
   @Test
-  void refusesBrokenRequestsWithoutAskingABackend() throws Exception {
+  void rejectsInvalidRequestsWithoutContactingABackend() throws Exception {
     peers.start();
     Client client = peers.client();
     String good = Peers.get("r1", 3000);
@@ -276,7 +283,7 @@
   }
 
   @Test
-  void endsTheConnectionOverMalformedAndOversizedMessages() throws Exception {
+  void closesTheConnectionOnMalformedAndOversizedMessages() throws Exception {
     peers.start();
     Client malformed = peers.client();
     assertEquals(400, malformed.ask("GET /quote HTTP/1.1\r\nbroken header\r\n\r\n").status());
@@ -292,9 +299,12 @@
     assertEquals(200, peers.client().ask(Peers.get("r1", 3000)).status());
   }
 
-  /** Idle connections do not use up the descriptors: the longest idle makes room for a new one. */
+  /**
+   * Idle connections must not exhaust the descriptors: the connection idle for the longest time is
+   * closed for a new one.
+   */
   @Test
-  void theClientThatIsIdleTheLongestMakesRoom() throws Exception {
+  void longestIdleClientIsClosedForANewOne() throws Exception {
     peers.start(withSockets(128));
     Client first = peers.client();
     assertEquals(200, first.ask(Peers.get("r0", 3000)).status());
@@ -305,13 +315,16 @@
     assertTrue(first.ended());
   }
 
-  /** Descriptors run out without a bound; over it one connection is refused, not all of them. */
+  /**
+   * Without a limit descriptors would run out; beyond the limit one connection is rejected, not all
+   * of them.
+   */
   @Test
-  void oneConnectionTooManyIsRefusedAndTheOthersAreServed() throws Exception {
-    CountDownLatch told = new CountDownLatch(1);
+  void connectionBeyondTheLimitIsRejectedAndTheOthersAreServed() throws Exception {
+    CountDownLatch release = new CountDownLatch(1);
     peers.answer =
         (request, out) -> {
-          await(told);
+          await(release);
           return Peers.write(out, Peers.OK);
         };
     peers.start(withSockets(128, peers::configWithWideLimits));
@@ -324,14 +337,14 @@
     Client tooMany = peers.client();
     assertEquals(503, tooMany.ask(Peers.get("more", UNHURRIED_MS)).status());
     assertTrue(tooMany.ended());
-    told.countDown();
+    release.countDown();
     for (Client c : busy) {
       assertEquals(200, c.receive().status());
     }
   }
 
   @Test
-  void tooFewDescriptorsAreAClearError() {
+  void tooFewDescriptorsAreAConfigurationError() {
     IOException e = assertThrows(IOException.class, () -> Peers.parse(withSockets(20)));
     assertTrue(e.getMessage().contains("limits.sockets"), e.getMessage());
   }
@@ -347,7 +360,7 @@
   }
 
   @Test
-  void tellsWhetherItCanServe() throws Exception {
+  void upReportsWhetherTheGatewayCanServe() throws Exception {
     peers.start();
     String up = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
     assertEquals(200, peers.client().ask(up).status());
@@ -355,7 +368,7 @@
   }
 
   @Test
-  void withoutBackendsItIsNotUpUntilDiscoveryNamesOne() throws Exception {
+  void isNotUpUntilDiscoveryNamesABackend() throws Exception {
     peers.start(peers.config());
     String up = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
     Client client = peers.client();
@@ -369,10 +382,11 @@
   }
 
   /**
-   * A client that has gone gets nothing; its attempt still ends at the module, and serving goes on.
+   * A client that has disconnected receives nothing. Its attempt still ends in the policy module,
+   * and serving continues.
    */
   @Test
-  void aClientThatLeavesIsForgotten() throws Exception {
+  void servingContinuesAfterAClientDisconnects() throws Exception {
     peers.start();
     CountDownLatch left = new CountDownLatch(1);
     peers.answer =
@@ -388,14 +402,17 @@
     assertEquals(200, peers.client().ask(Peers.get("r2", 3000)).status());
   }
 
-  /** A planned end: what was taken is answered, and the answer ends the connection. */
+  /**
+   * During an orderly shutdown accepted requests are answered, and the response closes the
+   * connection.
+   */
   @Test
-  void drainsWithoutLosingARequest() throws Exception {
+  void shutdownLosesNoRequest() throws Exception {
     FrontDoor door = peers.start();
-    CountDownLatch told = new CountDownLatch(1);
+    CountDownLatch release = new CountDownLatch(1);
     peers.answer =
         (request, out) -> {
-          await(told);
+          await(release);
           return Peers.write(out, Peers.OK);
         };
     Client idle = peers.client();
@@ -405,7 +422,7 @@
     Thread end = new Thread(door::shutDown);
     end.start();
     assertTrue(idle.ended());
-    told.countDown();
+    release.countDown();
     Message answer = busy.receive();
     assertEquals(200, answer.status());
     assertEquals("close", answer.header("Connection"));
--- a/front/src/test/java/willowdoor/front/ManagementTest.java
+++ b/front/src/test/java/willowdoor/front/ManagementTest.java
@@ -16,7 +16,7 @@
 import willowdoor.front.Peers.Client;
 import willowdoor.front.Peers.Message;
 
-/** The calls of operators. */
+/** The management calls of operators. */
 @Timeout(30)
 class ManagementTest {
 
@@ -60,7 +60,7 @@
   }
 
   @Test
-  void saysReadyOnceItKnowsABackend() throws Exception {
+  void isReadyOnceABackendIsKnown() throws Exception {
     start(new String[0]);
     assertEquals(503, call("GET /api/ready"));
     Peers.next(peers.watches);
@@ -72,7 +72,7 @@
   }
 
   @Test
-  void saysNoToWhatIsNoCall() throws Exception {
+  void invalidCallIsRejected() throws Exception {
     start();
     assertEquals(404, call("GET /api/other"));
     assertEquals(404, call("GET /up"));
@@ -86,7 +86,7 @@
   }
 
   @Test
-  void aTemplateServerMustBeNamedAndKnown() throws Exception {
+  void unnamedOrUnknownTemplateServerIsRejected() throws Exception {
     start();
     assertEquals(404, call("PUT /api/exclude", "{\"host\":\"s-9\"}"));
     assertEquals(404, call("PUT /api/include", "{\"host\":\"s-9\"}"));
@@ -109,10 +109,11 @@
   }
 
   /**
-   * A ban holds for kept connections and for one that is still coming up, and ends with one call.
+   * An exclusion applies to persistent connections and to one that is being opened, and is removed
+   * by one call.
    */
   @Test
-  void aTemplateServerThatIsTakenOutGetsNothingNew() throws Exception {
+  void excludedTemplateServerReceivesNoNewRequest() throws Exception {
     AtomicInteger other = new AtomicInteger();
     int port =
         peers
@@ -154,9 +155,12 @@
     }
   }
 
-  /** Two processes share what either was told; the one that starts later starts with it. */
+  /**
+   * Two processes share the operators' requests; a process that starts later applies them at
+   * startup.
+   */
   @Test
-  void whatOneProcessIsToldBindsTheOther() throws Exception {
+  void operatorCallToOneProcessAppliesToTheOther() throws Exception {
     Path file = folder.resolve("operators.json");
     String config =
         peers
@@ -175,11 +179,11 @@
   }
 
   /**
-   * Neither silent callers nor those with half a call keep others from theirs; the first to come
-   * go.
+   * Silent connections and those with an incomplete call do not block other callers; the oldest are
+   * closed.
    */
   @Test
-  void callersWithoutAWholeCallGiveWay() throws Exception {
+  void connectionsWithoutACompleteCallAreClosedForOthers() throws Exception {
     start();
     List<Client> silent = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
@@ -190,7 +194,10 @@
     assertTrue(silent.get(0).ended());
   }
 
-  /** The drain: no more clients wanted, those that come are served, and idle connections end. */
+  /**
+   * During a drain the gateway reports that it accepts no more clients, still serves those that
+   * connect, and closes idle connections.
+   */
   @Test
   void drainsAndRejoins() throws Exception {
     start();
@@ -219,9 +226,9 @@
     assertEquals(200, after.ask(Peers.get("r4", 3000)).status());
   }
 
-  /** Where the configuration names no address for operators there is none. */
+  /** Without a management address in the configuration there is no management listener. */
   @Test
-  void withoutAnAddressThereIsNoManagement() throws Exception {
+  void noManagementWithoutAnAddress() throws Exception {
     FrontDoor door = peers.start();
     assertNull(door.managementAddress());
     assertEquals(200, peers.client().ask(UP).status());
--- a/front/src/test/java/willowdoor/front/PackagesTest.java
+++ b/front/src/test/java/willowdoor/front/PackagesTest.java
@@ -13,7 +13,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Who may use whom, as {@code docs/design.md} lists it: arrows run one way. */
+/**
+ * The allowed dependencies between packages, as listed in {@code docs/design.md}. There are no
+ * cycles.
+ */
 class PackagesTest {
 
   private static final JavaClasses CLASSES =
@@ -21,7 +24,7 @@
           .withImportOption(new ImportOption.DoNotIncludeTests())
           .importPackages("willowdoor");
 
-  /** Beside these the decision module and {@code wire} are open to all. */
+  /** In addition, all packages may use the policy module and {@code wire}. */
   @ParameterizedTest
   @CsvSource({
     "wire, ''",
@@ -36,7 +39,7 @@
     "discovery, ''",
     "benchlink, ''"
   })
-  void aPackageUsesNoneButThoseListed(String name, String used) {
+  void packageUsesOnlyTheListedPackages(String name, String used) {
     String[] may =
         Stream.concat(
                 Stream.of("willowdoor.policy", "willowdoor.wire", "willowdoor." + name),
@@ -53,7 +56,7 @@
   }
 
   @Test
-  void noArrowRunsBack() {
+  void packagesAreFreeOfCycles() {
     slices().matching("willowdoor.(**)").should().beFreeOfCycles().check(CLASSES);
   }
 }
--- a/front/src/test/java/willowdoor/front/Peers.java
+++ b/front/src/test/java/willowdoor/front/Peers.java
@@ -31,10 +31,7 @@
 import java.util.function.UnaryOperator;
 import willowdoor.wire.JsonFields;
 
-/**
- * Small peers of a front door on loopback, each with its script: backends, counter, discovery,
- * clients.
- */
+/** Small scripted peers of a gateway on loopback: backends, counter, discovery, clients. */
 public final class Peers implements Closeable {
 
   static final String OK = "HTTP/1.1 200 OK\r\nX-Units-Charged: 2\r\nContent-Length: 4\r\n\r\nfine";
@@ -42,20 +39,20 @@
       "HTTP/1.1 503 Service Unavailable\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
 
   /**
-   * The version of the configuration's list, and of discovery's: whoever asks from before is told
-   * so.
+   * The version of the configuration's list and of discovery's list; a watch from an earlier
+   * version receives this one.
    */
   private static final int KNOWN = 7;
 
   private static final int RETIRED_KEPT = 200;
 
-  /** Ports of earlier tests, the oldest first. */
+  /** Ports of earlier tests, oldest first. */
   private static final Queue<ReservedPort> RETIRED = new ArrayDeque<>();
 
-  /** What a test waits for comes well within this time unless something hangs. */
+  /** Anything a test waits for happens well within this time unless something hangs. */
   static final long HANG_S = 60;
 
-  /** A message as it came: first line with headers, and body. */
+  /** A received message: first line with headers, and body. */
   record Message(String head, byte[] body) {
     String firstLine() {
       return head.substring(0, head.indexOf("\r\n"));
@@ -79,12 +76,12 @@
     }
   }
 
-  /** What a peer does with a connection. */
+  /** How a peer handles a connection. */
   public interface Script {
     void run(InputStream in, OutputStream out, Socket socket) throws IOException;
   }
 
-  /** What a backend does with a request: true keeps the connection. */
+  /** How a backend handles a request; true keeps the connection open. */
   interface Answer {
     boolean to(Message request, OutputStream out) throws IOException;
   }
@@ -96,7 +93,7 @@
   volatile Answer answer = (request, out) -> write(out, OK);
   public volatile UnaryOperator<String> counting = this::count;
 
-  /** Called for each connection to the counter that the front door ends. */
+  /** Called for each connection to the counter that the gateway closes. */
   public volatile Runnable onCounterEnd = () -> {};
 
   private final Map<String, Double> counts = new ConcurrentHashMap<>();
@@ -107,7 +104,7 @@
   public final ServerSocket discovery = listen(50, this::serveDiscovery);
   private final List<FrontDoor> doors = new ArrayList<>();
 
-  /** The newest. */
+  /** The gateway started last. */
   private FrontDoor door;
 
   public static boolean write(OutputStream out, String text) throws IOException {
@@ -143,7 +140,10 @@
     }
   }
 
-  /** Fills a listener's queue, so that no further connect comes up until these are closed. */
+  /**
+   * Fills a listener's accept queue, so that no further connect completes until these channels are
+   * closed.
+   */
   public static List<SocketChannel> fill(ServerSocket listener) throws IOException {
     List<SocketChannel> queued = new ArrayList<>();
     for (int i = 0; i < 8; i++) {
@@ -269,9 +269,9 @@
   }
 
   /**
-   * As {@link #config}, with limits of time so wide that only a hang reaches them: for tests of
-   * what is done rather than when, which then hold on a machine that runs them slowly. A backend is
-   * taken to need a tenth of the mean aim, so classes that nothing uses keep that at 0.6 s.
+   * As {@link #config}, with time limits so wide that only a hang reaches them: for tests of
+   * outcomes rather than timing, so that they also hold on a slow machine. The policy assumes that
+   * a backend needs a tenth of the mean aim, so unused classes keep that value at 0.6 s.
    */
   String configWithWideLimits(String... entries) {
     String unused = "";
@@ -289,12 +289,12 @@
         .replace("\"Profiles\":[", "\"Profiles\":[" + unused);
   }
 
-  /** Starts the front door with this test's one backend, and with wide limits of time. */
+  /** Starts the gateway with this test's single backend and wide time limits. */
   FrontDoor startWithWideLimits() throws Exception {
     return start(configWithWideLimits(entry("s-1", backend.getLocalPort(), "active")));
   }
 
-  /** Starts the front door with this test's one backend. */
+  /** Starts the gateway with this test's single backend. */
   FrontDoor start() throws Exception {
     return start(config(entry("s-1", backend.getLocalPort(), "active")));
   }
@@ -303,7 +303,7 @@
     return start(config, Files.createTempDirectory("willowdoor").resolve("operators.json"));
   }
 
-  /** Starts a front door, and waits until it can serve where its configuration names a backend. */
+  /** Starts a gateway, and waits until it can serve if its configuration names a backend. */
   FrontDoor start(String config, Path operators) throws Exception {
     begin(config, operators);
     while (config.contains("\"active\"") && !door.ready()) {
@@ -401,7 +401,7 @@
     return new Message(bare.head(), body);
   }
 
-  /** The size of the next chunk; behind the last one its trailers are read too. */
+  /** Returns the size of the next chunk; after the last chunk also reads its trailers. */
   private static int chunk(InputStream in) throws IOException {
     int size = Integer.parseInt(line(in), 16);
     while (size == 0 && !line(in).isEmpty()) {
@@ -447,7 +447,7 @@
       return receive();
     }
 
-    /** True when nothing more comes and the connection ends. */
+    /** Returns true if the connection ends without further data. */
     boolean ended() throws IOException {
       return in.read() < 0;
     }
@@ -468,8 +468,8 @@
   }
 
   /**
-   * A front door that was told to stop may still connect to its peers for a moment: their ports are
-   * given to nobody else until many tests later.
+   * A stopped gateway may still connect to its peers for a moment: their ports are not reused until
+   * many tests later.
    */
   private static void retire(List<ReservedPort> ports) throws IOException {
     synchronized (RETIRED) {
--- a/front/src/test/java/willowdoor/front/ReloadTest.java
+++ b/front/src/test/java/willowdoor/front/ReloadTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A configuration that is replaced while the front door serves. */
+/** The configuration is replaced while the gateway serves. */
 @Timeout(30)
 class ReloadTest {
 
@@ -39,7 +39,7 @@
     after.close();
   }
 
-  private static void hangUp() throws Exception {
+  private static void sendSighup() throws Exception {
     String self = Long.toString(ProcessHandle.current().pid());
     assertEquals(0, new ProcessBuilder("kill", "-HUP", self).start().waitFor());
   }
@@ -62,7 +62,7 @@
   }
 
   @Test
-  void aHangUpMovesToTheNewAddressesAndServingGoesOn() throws Exception {
+  void sighupMovesToTheNewAddressesAndServingContinues() throws Exception {
     Path file = folder.resolve("config.json");
     FrontDoor door = before.start();
     Peers.next(before.watches);
@@ -73,13 +73,13 @@
     Logger log = Logger.getLogger(SighupHandler.class.getName());
     Handler handler = on(Level.SEVERE, line -> unread.countDown());
     log.addHandler(handler);
-    hangUp();
-    // Else both signals may find the whole file, and the second moves away from the first one's
-    // watch.
+    sendSighup();
+    // Otherwise both signals may find the complete file, and the second would move away from the
+    // watch that the first opened.
     assertTrue(unread.await(10, TimeUnit.SECONDS));
     log.removeHandler(handler);
     Files.writeString(file, after.config());
-    hangUp();
+    sendSighup();
     assertTrue(Peers.next(after.watches).contains("index=6 "));
     after.tell(
         Peers.list(8, true, Peers.entry("s-2", after.backend.getLocalPort(), "active")) + "\n");
@@ -88,7 +88,7 @@
     }
   }
 
-  /** What was there stays in force, and the log says which key is wrong. */
+  /** The previous configuration stays in force, and the log names the invalid key. */
   @ParameterizedTest
   @CsvSource({
     "discovery, other",
@@ -96,7 +96,7 @@
     "'\"counter\":\"127.0.0.1:', '\"counter\":\"nowhere:'",
     "'\"discovery\":\"127.0.0.1:', '\"discovery\":\"127.0.0.1:x'"
   })
-  void aConfigurationThatNamesNoAddressLeavesTheOldOneAndItsKeyIsLogged(String right, String wrong)
+  void invalidAddressKeepsTheOldConfigurationAndItsKeyIsLogged(String right, String wrong)
       throws Exception {
     Path file = folder.resolve("config.json");
     FrontDoor door = before.start();
@@ -108,7 +108,7 @@
     log.addHandler(handler);
     try {
       Files.writeString(file, after.config().replace(right, wrong));
-      hangUp();
+      sendSighup();
       String key = right.contains("discovery") ? "discovery" : "counter";
       assertTrue(Peers.next(logged).contains(key + " is not an address and port"));
     } finally {
@@ -121,11 +121,11 @@
   }
 
   /**
-   * The first signal's read is held up, the second one's file is there by then: the newer one
-   * holds.
+   * The read for the first signal is blocked until the file for the second one exists: the newer
+   * file must win.
    */
   @Test
-  void theNewerOfTwoHangUpsWins() throws Exception {
+  void newerOfTwoSighupsWins() throws Exception {
     Path file = folder.resolve("config.json");
     assertEquals(0, new ProcessBuilder("mkfifo", file.toString()).start().waitFor());
     FrontDoor door = before.start();
@@ -142,13 +142,13 @@
             });
     Logger log = Logger.getLogger(FrontDoor.class.getName());
     log.addHandler(handler);
-    hangUp();
+    sendSighup();
     try (OutputStream older = Files.newOutputStream(file)) {
       Path newer = folder.resolve("newer.json");
       Files.writeString(newer, after.config());
       Files.move(newer, file, StandardCopyOption.REPLACE_EXISTING);
-      hangUp();
-      // The second signal is at work: it waits for the first, or has moved already.
+      sendSighup();
+      // The second signal is being handled: its thread waits for the first, or has already moved.
       while (after.watches.isEmpty()
           && handlers().noneMatch(t -> t.getState() == Thread.State.BLOCKED)) {
         Thread.onSpinWait();
@@ -165,7 +165,7 @@
     assertTrue(Peers.next(after.watches).contains("index=6 "));
   }
 
-  /** The runtime's threads that carry out a SIGHUP. */
+  /** The Java runtime's threads that handle SIGHUP. */
   private static Stream<Thread> handlers() {
     return Thread.getAllStackTraces().keySet().stream()
         .filter(t -> t.getName().equals("SIGHUP handler"));
--- a/front/src/test/java/willowdoor/front/ReplaceTest.java
+++ b/front/src/test/java/willowdoor/front/ReplaceTest.java
@@ -32,13 +32,13 @@
 import willowdoor.front.Peers.Client;
 import willowdoor.front.Peers.Message;
 
-/** One process replaces another, both on the one listening socket that a third holds. */
+/** One process replaces another; both use a listening socket that a third process holds. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class ReplaceTest {
 
   /**
-   * Holds a listening socket as descriptor 0, and goes on as the shell, which has its input
-   * elsewhere.
+   * Holds a listening socket as descriptor 0, then executes the shell, which reads its commands
+   * from another descriptor.
    */
   private static final String HOLDER =
       """
@@ -52,7 +52,7 @@
       exec("/bin/sh", "-c", $ARGV[0], "sh", fileno($lines)) or die;
       """;
 
-  /** Starts a front door for each configuration that it reads a line of. */
+  /** Starts a gateway process for each configuration path that it reads. */
   private static final String STARTER =
       """
       exec 9<&0
@@ -65,7 +65,7 @@
       """;
 
   private final Peers peers = new Peers();
-  private final BlockingQueue<String> said = new LinkedBlockingQueue<>();
+  private final BlockingQueue<String> output = new LinkedBlockingQueue<>();
   private final List<Long> processes = new ArrayList<>();
   private final List<ReservedPort> heldPorts = new ArrayList<>();
   @TempDir private Path folder;
@@ -94,29 +94,27 @@
     holder = builder.redirectErrorStream(true).start();
     BufferedReader lines =
         new BufferedReader(new InputStreamReader(holder.getInputStream(), UTF_8));
-    Thread reader = new Thread(() -> lines.lines().forEach(said::add));
+    Thread reader = new Thread(() -> lines.lines().forEach(output::add));
     reader.setDaemon(true);
     reader.start();
     clients = new InetSocketAddress(InetAddress.getLoopbackAddress(), (int) await("port "));
   }
 
   private long await(String start) throws InterruptedException {
-    String line = Peers.next(said);
+    String line = Peers.next(output);
     while (!line.startsWith(start)) {
-      line = Peers.next(said);
+      line = Peers.next(output);
     }
     return Long.parseLong(line.substring(start.length()));
   }
 
   private void awaitLog(String part) throws InterruptedException {
-    while (!Peers.next(said).contains(part)) {
+    while (!Peers.next(output).contains(part)) {
       Thread.onSpinWait();
     }
   }
 
-  /**
-   * Starts a process and waits until it says that it is ready; gives the address for its operators.
-   */
+  /** Starts a process and waits until it reports ready; returns its management address. */
   private InetSocketAddress launch(String... entries) throws Exception {
     InetSocketAddress operators = begin(peers.config(entries));
     while (!ready(operators)) {
@@ -160,7 +158,10 @@
     }
   }
 
-  /** Asks on one connection for as long as it is kept, then on the next, until told to stop. */
+  /**
+   * Sends requests on one connection for as long as it is kept open, then on the next, until told
+   * to stop.
+   */
   private Thread client(
       String name, AtomicBoolean enough, AtomicReference<String> wrong, AtomicInteger served) {
     Thread thread =
@@ -174,7 +175,7 @@
                       Message answer = client.ask(Peers.get(name + '-' + i++, 3000));
                       kept = !"close".equals(answer.header("Connection"));
                       served.addAndGet(answer.status() == 200 ? 1 : 0);
-                      // Under pressure, as at the start, it may refuse; a request must not go
+                      // Under load, as at startup, a request may be rejected; no request may go
                       // unanswered.
                       if (answer.status() != 200 && answer.status() != 503) {
                         wrong.set(answer.head());
@@ -191,7 +192,7 @@
   }
 
   @Test
-  void noRequestIsLostAndOperatorsCallsHold() throws Exception {
+  void replacementLosesNoRequestAndKeepsOperatorsCalls() throws Exception {
     AtomicInteger banned = new AtomicInteger();
     int port =
         peers
@@ -220,9 +221,10 @@
     for (int i = 0; i < 4; i++) {
       asking.add(client("c" + i, enough, wrong, served));
     }
-    InetSocketAddress replacing = launch(entries);
-    assertEquals(200, call(replacing, "PUT /api/exclude", "{\"host\":\"s-3\"}"));
-    // Both log what is in force. What was under way by then is answered with the next ones.
+    InetSocketAddress replacement = launch(entries);
+    assertEquals(200, call(replacement, "PUT /api/exclude", "{\"host\":\"s-3\"}"));
+    // Both processes log the state in force. Requests in progress by then are answered among the
+    // next ones.
     awaitLog("[s-2, s-3]");
     awaitLog("[s-2, s-3]");
     awaitServed(served, 200);
@@ -240,17 +242,17 @@
     }
     assertNull(wrong.get());
     assertEquals(before, banned.get());
-    assertEquals(200, call(replacing, "PUT /api/include", "{\"host\":\"s-2\"}"));
+    assertEquals(200, call(replacement, "PUT /api/include", "{\"host\":\"s-2\"}"));
     assertTrue(Files.readString(folder.resolve("willowdoor-n0.json")).contains("[\"s-3\"]"));
   }
 
   /**
-   * The next process knows no template server before discovery tells it of one: until then it takes
-   * nobody from the shared socket. What the old one has accepted by its SIGTERM it serves, and the
-   * socket stays open.
+   * The next process knows no template server before discovery sends one: until then it accepts no
+   * connection from the shared socket. The old process serves what it has accepted by its SIGTERM,
+   * and the socket stays open.
    */
   @Test
-  void theNextProcessTakesNobodyBeforeItCanServe() throws Exception {
+  void nextProcessAcceptsNoClientBeforeItCanServe() throws Exception {
     String entry = Peers.entry("s-1", peers.backend.getLocalPort(), "active");
     hold();
     final InetSocketAddress old = launch(entry);
@@ -275,7 +277,7 @@
                   in.read();
                 })
             .getLocalPort();
-    InetSocketAddress replacing =
+    InetSocketAddress replacement =
         begin(
             peers
                 .config()
@@ -291,10 +293,10 @@
         assertEquals(200, client.ask(Peers.get("n" + i, 3000)).status());
       }
     }
-    assertFalse(ready(replacing));
+    assertFalse(ready(replacement));
 
     go.countDown();
-    while (!ready(replacing)) {
+    while (!ready(replacement)) {
       Thread.onSpinWait();
     }
     String ending = Long.toString(processes.get(0));
@@ -318,9 +320,9 @@
   }
 
   /**
-   * Until nobody listens there: a process that has ended is there until its parent takes note. A
-   * listener that closes resets the connections that it has not accepted, so a connection may be
-   * reset right before the first one is refused.
+   * Waits until nothing listens at the address: a process that has ended still exists until its
+   * parent reaps it. A closing listener resets the connections that it has not accepted, so a
+   * connection may be reset right before the first one is refused.
    */
   private static void awaitEnd(InetSocketAddress operators) throws IOException {
     while (true) {
--- a/front/src/test/java/willowdoor/front/ReservedPort.java
+++ b/front/src/test/java/willowdoor/front/ReservedPort.java
@@ -8,10 +8,10 @@
 import java.nio.channels.SocketChannel;
 
 /**
- * A port on loopback for a process that is yet to start, held until it is closed: bound by a socket
- * that never listens, so that the system gives it to no other process of its own accord, while one
- * that is told to listen at it can (with SO_REUSEADDR, as servers set it). A port that is found and
- * let go of is sooner or later another process's.
+ * Reserves a loopback port for a process that is started later, until closed. The port is bound by
+ * a socket that never listens, so the system assigns the port to no other process, while a process
+ * configured to listen on the port can do so with SO_REUSEADDR, as servers set it. A free port that
+ * is found and then released is sooner or later assigned to another process.
  */
 public final class ReservedPort implements Closeable {
   private final SocketChannel holder;
@@ -29,17 +29,17 @@
     address = (InetSocketAddress) holder.getLocalAddress();
   }
 
-  /** A port that was free. */
+  /** Reserves a free port. */
   public static ReservedPort any() throws IOException {
     return new ReservedPort(0);
   }
 
-  /** The address, on loopback. */
+  /** Returns the loopback address with the port. */
   public InetSocketAddress address() {
     return address;
   }
 
-  /** The port's number. */
+  /** Returns the port number. */
   public int port() {
     return address.getPort();
   }
--- a/front/src/test/java/willowdoor/front/SettingsShapesTest.java
+++ b/front/src/test/java/willowdoor/front/SettingsShapesTest.java
@@ -30,9 +30,10 @@
 import willowdoor.wire.JsonFields;
 
 /**
- * The front door with settings as other customers may have them: it starts, serves each class on
- * each plan, answers what is malformed and what cannot be served, ends in time, and logs no
- * failure. No shape fits one customer: classes, plans, limits and times are what the settings say.
+ * The gateway with settings as other customers may use them: it starts, serves each class on each
+ * plan, answers malformed and unservable requests, shuts down in time, and logs no failure. The
+ * code must not be tailored to one customer: classes, plans, limits and times come from the
+ * settings.
  */
 @Timeout(60)
 class SettingsShapesTest {
@@ -45,13 +46,14 @@
           + "'Value':5,'Group':'all','RepeatWindowMs':5000}";
 
   /**
-   * Requests of the warm-up, so that each class on each plan comes, and a limit for a slow machine.
+   * The number of warm-up requests, enough for each class on each plan, and a limit for a slow
+   * machine.
    */
   private static final int WARM_UP_REQUESTS = 16;
 
   private static final long WARM_UP_MS = 30_000;
 
-  /** What a shape changes in the configuration of {@link Peers}; null takes a key away. */
+  /** The changes that a shape makes to the configuration of {@link Peers}; null removes a key. */
   private enum Shape {
     ONE_SAFE_CLASS(profiles(SAFE)),
     ONE_CLASS_KEYED_ANYWHERE(profiles(keyed("all", "'RepeatWindowMs':2500,"))),
@@ -149,7 +151,7 @@
   private final Peers peers = new Peers();
   private volatile boolean away;
 
-  /** What reached the template server. */
+  /** The requests that reached the template server. */
   private final List<Message> atServer = new CopyOnWriteArrayList<>();
 
   private final List<Closeable> serverSide = new CopyOnWriteArrayList<>();
@@ -158,8 +160,8 @@
           50,
           (in, out, socket) -> {
             serverSide.add(socket);
-            // A thread that is in accept or read while its socket is closed may still get what
-            // comes by then.
+            // A thread blocked in accept or read while its socket is closed may still receive data
+            // that arrived before.
             while (!away) {
               atServer.add(Peers.read(in));
               Peers.write(out, Peers.OK);
@@ -185,7 +187,7 @@
   private Map<String, Object> settings;
   private final List<FrontDoor> doors = new ArrayList<>();
 
-  /** The newest. */
+  /** The gateway started last. */
   private FrontDoor door;
 
   private int asked;
@@ -220,7 +222,7 @@
     return Config.of(all);
   }
 
-  /** Tells whether anything is another than before. */
+  /** Applies the changes; returns whether any value differs from before. */
   @SuppressWarnings("unchecked")
   private static boolean change(Map<String, Object> fields, Map<String, Object> by) {
     boolean changed = false;
@@ -239,7 +241,7 @@
 
   @ParameterizedTest
   @EnumSource
-  void isServedAsTheSettingsSay(Shape shape) throws Exception {
+  void requestsAreServedAccordingToTheSettings(Shape shape) throws Exception {
     start(shape);
     try (Client client = new Client((InetSocketAddress) door.address())) {
       assertEquals(200, client.ask("GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status());
@@ -254,9 +256,12 @@
     assertEquals(List.of(), failures);
   }
 
-  /** All of them side by side, as each waits for its clients; none of those asks any more. */
+  /**
+   * All shapes shut down concurrently, as each waits for its clients; none of the clients sends
+   * another request.
+   */
   @Test
-  void eachComesToItsEnd() throws Exception {
+  void eachGatewayShutsDown() throws Exception {
     List<Client> idle = new ArrayList<>();
     List<Thread> ends = new ArrayList<>();
     for (Shape shape : Shape.values()) {
@@ -288,10 +293,7 @@
     }
   }
 
-  /**
-   * A refusal is no fault, so a client comes again; a further one comes for as long as the test may
-   * take.
-   */
+  /** Retries after a rejection, which is not an error, for as long as the test may take. */
   private void isServed(Client client, Map<String, Object> type, String plan) throws Exception {
     String id;
     Message answer;
@@ -354,7 +356,7 @@
     assertEquals(List.of(), sent(id));
   }
 
-  /** Each request gets its answer, and none is told that it was served. */
+  /** Each request is answered, and none with success. */
   private void serverIsAway(Client client) throws Exception {
     away = true;
     server.close();
@@ -371,10 +373,10 @@
     }
   }
 
-  /** What is served inside the process before it says ready fits the settings as well. */
+  /** The warm-up inside the process works with the settings as well. */
   @ParameterizedTest
   @EnumSource
-  void isWarmedUp(Shape shape) throws Exception {
+  void warmUpServesAllItsRequests(Shape shape) throws Exception {
     Config config = config(shape);
     assertEquals(WARM_UP_REQUESTS, FrontDoor.warmUp(config, WARM_UP_REQUESTS, WARM_UP_MS));
     assertEquals(List.of(), failures);
--- a/front/src/test/java/willowdoor/front/SignalTest.java
+++ b/front/src/test/java/willowdoor/front/SignalTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import willowdoor.front.Peers.Client;
 
-/** Signals at whatever moment of a process's life, which is one of its own. */
+/** Signals at any time of the life of a gateway, which runs as a separate process. */
 @Timeout(value = 300, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class SignalTest {
 
@@ -34,7 +34,7 @@
 
   private final Peers before = new Peers();
   private final Peers after = new Peers();
-  private final BlockingQueue<String> said = new LinkedBlockingQueue<>();
+  private final BlockingQueue<String> output = new LinkedBlockingQueue<>();
   private final List<ReservedPort> held = new ArrayList<>();
   @TempDir private Path folder;
   private Process process;
@@ -68,7 +68,7 @@
     process = builder.redirectErrorStream(true).start();
     BufferedReader lines =
         new BufferedReader(new InputStreamReader(process.getInputStream(), UTF_8));
-    Thread reader = new Thread(() -> lines.lines().forEach(said::add));
+    Thread reader = new Thread(() -> lines.lines().forEach(output::add));
     reader.setDaemon(true);
     reader.start();
   }
@@ -79,7 +79,7 @@
   }
 
   private void awaitLog(String part) throws InterruptedException {
-    while (!Peers.next(said).contains(part)) {
+    while (!Peers.next(output).contains(part)) {
       Thread.onSpinWait();
     }
   }
@@ -111,11 +111,11 @@
   }
 
   /**
-   * It comes while the process is about to read the old file: the new one is in force from the
-   * start.
+   * SIGHUP arrives while the process is about to read the old file: the new file is in force from
+   * the start.
    */
   @Test
-  void aHangUpBeforeTheStartIsOverCounts() throws Exception {
+  void sighupDuringStartupTakesEffect() throws Exception {
     InetSocketAddress clients = free();
     Path file = folder.resolve("config.json");
     assertEquals(0, new ProcessBuilder("mkfifo", file.toString()).start().waitFor());
@@ -136,9 +136,9 @@
     assertEquals(1, after.atCounter.size());
   }
 
-  /** Nobody can have come by then, so there is nothing to wait for. */
+  /** No client can have connected by then, so the shutdown has nothing to wait for. */
   @Test
-  void aTermWhileTheListIsFirstAskedForEndsTheProcess() throws Exception {
+  void sigtermDuringTheFirstListRequestEndsTheProcess() throws Exception {
     CountDownLatch asked = new CountDownLatch(1);
     int agent =
         before
@@ -167,9 +167,11 @@
     assertEquals(ENDED_BY_TERM, process.exitValue());
   }
 
-  /** A request that is with its server then is answered, and the process ends as told. */
+  /**
+   * A request that its server is processing is answered, and the process terminates as requested.
+   */
   @Test
-  void aRequestUnderWayIsAnsweredWhateverSignalsCome() throws Exception {
+  void requestInProgressIsAnsweredDespiteSignals() throws Exception {
     CountDownLatch go = new CountDownLatch(1);
     before.answer =
         (request, out) -> {
--- a/front/src/test/java/willowdoor/front/WarmUpTest.java
+++ b/front/src/test/java/willowdoor/front/WarmUpTest.java
@@ -7,11 +7,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The made-up requests that a process serves inside before it says ready. */
+/** The synthetic requests that a process serves internally before it reports ready. */
 @Timeout(30)
 class WarmUpTest {
 
-  /** However slow the machine is. */
+  /** Enough for a slow machine. */
   private static final long LIMIT_MS = 20_000;
 
   private final Peers peers = new Peers();
@@ -22,7 +22,7 @@
   }
 
   @Test
-  void isServedInsideAndReachesNobody() throws Exception {
+  void warmUpIsServedInsideTheProcessOnly() throws Exception {
     Config config =
         Peers.parse(peers.config(Peers.entry("s-1", peers.backend.getLocalPort(), "active")));
     assertEquals(100, FrontDoor.warmUp(config, 100, LIMIT_MS));
@@ -32,13 +32,13 @@
   }
 
   @Test
-  void isOverWhenItsTimeIs() throws Exception {
+  void warmUpEndsAtItsTimeLimit() throws Exception {
     assertTrue(FrontDoor.warmUp(Peers.parse(peers.config()), 1_000_000, 1) < 1_000_000);
   }
 
-  /** Nothing of it is left in the way of the front door proper. */
+  /** The warm-up leaves nothing behind that affects the gateway started afterwards. */
   @Test
-  void leavesTheFrontDoorAsItWouldBe() throws Exception {
+  void warmUpDoesNotAffectTheGatewayStartedAfterwards() throws Exception {
     Config config =
         Peers.parse(peers.config(Peers.entry("s-1", peers.backend.getLocalPort(), "active")));
     FrontDoor.warmUp(config, 20, LIMIT_MS);
--- a/front/src/test/java/willowdoor/front/discovery/WatchStateMachineTest.java
+++ b/front/src/test/java/willowdoor/front/discovery/WatchStateMachineTest.java
@@ -252,7 +252,7 @@
     assertTrue(now - from < DELIVERED_MS, "" + (now - from));
   }
 
-  /** An indented list in the smallest pieces record not end the attempt. */
+  /** An indented list in the smallest pieces does not end the attempt. */
   @Test
   void indentedListInSmallPiecesIsDelivered() {
     openWatch();
@@ -266,8 +266,8 @@
   }
 
   /**
-   * Data that the agent has after an outage counts as delivered at once if the watches were silent
-   * for less time than the outage lasted, so attempts must be frequent during an outage.
+   * An outage may last longer than the time granted to a silent watch. Data that the agent has
+   * after the outage counts as delivered at once, so attempts must be frequent during an outage.
    */
   @ParameterizedTest
   @ValueSource(strings = {"connect", "request"})
