--- a/front/src/main/java/willowdoor/front/clients/ArrivalTime.java
+++ b/front/src/main/java/willowdoor/front/clients/ArrivalTime.java
@@ -1,6 +1,6 @@
 package willowdoor.front.clients;
 
-import willowdoor.front.loop.Looks;
+import willowdoor.front.loop.PollTimes;
 
 /**
  * The earliest time at which the bytes last read from a client can have arrived, as far as the
@@ -11,7 +11,7 @@
  */
 final class ArrivalTime {
 
-  private final Looks polls;
+  private final PollTimes polls;
 
   /** No byte that is still unread arrived before this time. */
   private double emptyAt;
@@ -24,9 +24,9 @@
    * For a connection that is accepted now. It was opened no earlier than the earliest time that the
    * present poll covers.
    */
-  ArrivalTime(Looks polls) {
+  ArrivalTime(PollTimes polls) {
     this.polls = polls;
-    emptyAt = polls.since();
+    emptyAt = polls.earliestArrival();
     arrivedAt = emptyAt;
   }
 
@@ -46,8 +46,8 @@
    */
   void onRead(boolean drained) {
     boolean polled = readRequested && polls.count() - requestedAtPoll >= 2;
-    arrivedAt = polled ? Math.max(emptyAt, polls.since()) : emptyAt;
-    emptyAt = drained ? polls.begunAt() : arrivedAt;
+    arrivedAt = polled ? Math.max(emptyAt, polls.earliestArrival()) : emptyAt;
+    emptyAt = drained ? polls.lastPollStartedAt() : arrivedAt;
     readRequested = false;
   }
 
--- a/front/src/main/java/willowdoor/front/clients/ClientConnection.java
+++ b/front/src/main/java/willowdoor/front/clients/ClientConnection.java
@@ -13,8 +13,8 @@
 import io.netty.handler.timeout.IdleStateEvent;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import willowdoor.front.loop.Looks;
-import willowdoor.front.loop.Tally;
+import willowdoor.front.loop.PollTimes;
+import willowdoor.front.loop.EventCounters;
 
 /**
  * One client's connection. It handles one request at a time, and each gets exactly one final
@@ -52,7 +52,7 @@
   /** The number of requests whose handling has begun. */
   private long requestsStarted;
 
-  ClientConnection(ClientServer server, Looks polls) {
+  ClientConnection(ClientServer server, PollTimes polls) {
     this.server = server;
     arrivalTime = new ArrivalTime(polls);
     input = new ReadAhead(polls, arrivalTime, this::receiving, server::addBufferedBytes);
@@ -72,7 +72,7 @@
 
   private void onReceiveTimeout() {
     if (!closing.begun() && (!exchange.isOpen() || exchange.receiving())) {
-      server.count(Tally.Event.CLIENT_SLOW);
+      server.count(EventCounters.Event.CLIENT_SLOW);
       endWithError(HttpResponseStatus.REQUEST_TIMEOUT, "request did not come in time");
     }
   }
@@ -283,7 +283,7 @@
   public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
     if (event instanceof IdleStateEvent) {
       if (exchange.answering() || exchange.receiving()) {
-        server.count(Tally.Event.STREAM_IDLE);
+        server.count(EventCounters.Event.STREAM_IDLE);
       }
       if (!hasNoRequest() || writeBlocked) {
         closing.closeNow();
--- a/front/src/main/java/willowdoor/front/clients/ReadAhead.java
+++ b/front/src/main/java/willowdoor/front/clients/ReadAhead.java
@@ -9,7 +9,7 @@
 import java.io.IOException;
 import java.util.function.BooleanSupplier;
 import java.util.function.IntConsumer;
-import willowdoor.front.loop.Looks;
+import willowdoor.front.loop.PollTimes;
 
 /**
  * Reads a client's connection even while the pipeline requests no input, because the client's close
@@ -27,7 +27,7 @@
 
   private static final int DIRECT_READ_BYTES = 16 * 1024;
 
-  private final Looks polls;
+  private final PollTimes polls;
   private final ArrivalTime arrivalTime;
 
   /**
@@ -55,7 +55,7 @@
    * those no longer kept.
    */
   ReadAhead(
-      Looks polls,
+      PollTimes polls,
       ArrivalTime arrivalTime,
       BooleanSupplier insideBody,
       IntConsumer onBufferedChange) {
--- a/front/src/main/java/willowdoor/front/requests/PolicyDriver.java
+++ b/front/src/main/java/willowdoor/front/requests/PolicyDriver.java
@@ -10,9 +10,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import willowdoor.front.discovery.RosterNews;
+import willowdoor.front.discovery.BackendListUpdate;
 import willowdoor.front.loop.Clock;
-import willowdoor.front.loop.Tally;
+import willowdoor.front.loop.EventCounters;
 import willowdoor.policy.GatewayApi.Action;
 import willowdoor.policy.GatewayApi.AddToCounter;
 import willowdoor.policy.GatewayApi.BackendExclusion;
@@ -46,7 +46,7 @@
 
   /** Starts attempts at backends. Each attempt ends exactly once. */
   public interface Backends {
-    void onRoster(RosterNews news);
+    void onRoster(BackendListUpdate news);
 
     /** Ends the attempts that have not been written to the backend yet. */
     void cancelUnsent(long backend);
@@ -92,7 +92,7 @@
   private final Clock clock;
   private final QuotaPolicy policy;
   private final Backends backends;
-  private final Tally tally;
+  private final EventCounters tally;
   private Counter counter;
   private final Map<String, PendingRequest> requests = new HashMap<>();
   private final EventQueue eventQueue;
@@ -100,7 +100,7 @@
   private double processDeadlineMs = Double.POSITIVE_INFINITY;
 
   public PolicyDriver(
-      EventLoop loop, Clock clock, QuotaPolicy policy, Backends backends, Tally tally) {
+      EventLoop loop, Clock clock, QuotaPolicy policy, Backends backends, EventCounters tally) {
     this.tally = tally;
     this.loop = loop;
     this.clock = clock;
@@ -109,7 +109,7 @@
     eventQueue = new EventQueue(loop, clock, this::handle);
   }
 
-  public void start(Counter counter, RosterNews known) {
+  public void start(Counter counter, BackendListUpdate known) {
     this.counter = counter;
     policy.start(clock.now()).forEach(this::execute);
     backends.onRoster(known);
@@ -185,7 +185,7 @@
    * uses it for sending at once. The policy gets the list before the outcomes of the attempts that
    * the list ends; otherwise it would send those requests to the same backends again.
    */
-  public void onRoster(RosterNews news) {
+  public void onRoster(BackendListUpdate news) {
     eventQueue.addList(
         new BackendList(
             news.full() ? BackendListKind.COMPLETE : BackendListKind.CHANGES, news.entries()),
@@ -194,12 +194,12 @@
 
   /** Whether the policy knows this backend, so that operators may name it. */
   public boolean isKnownBackend(String host) {
-    return policy.isKnown(RosterNews.number(host));
+    return policy.isKnown(BackendListUpdate.hashId(host));
   }
 
   /** Excludes a backend or includes it again. */
   public void setExcluded(String host, boolean excluded) {
-    long id = RosterNews.number(host);
+    long id = BackendListUpdate.hashId(host);
     deliver(new BackendExclusion(id, excluded));
     if (excluded) {
       backends.cancelUnsent(id);
@@ -217,7 +217,7 @@
   }
 
   void failAtDeadline(PendingRequest r) {
-    tally.count(Tally.Event.LAST_CALL);
+    tally.count(EventCounters.Event.LAST_CALL);
     fail(r);
   }
 
@@ -328,7 +328,7 @@
     double now = clock.now();
     double ownLimitMs = a.timeoutMs() > 0 ? a.timeoutMs() : Double.POSITIVE_INFINITY;
     double limitMs = r.budget.limitMs(ownLimitMs, now);
-    tally.began(r.budget.fractionLeft(now));
+    tally.countAttempt(r.budget.fractionLeft(now));
     RequestAttempt attempt =
         new RequestAttempt(r, number, a.backend(), now + limitMs, a.writtenByMs());
     attempt.startTimer(schedule(limitMs, () -> attempt.abandon(attempt.statusIfTimedOut())));
--- a/front/src/main/java/willowdoor/front/servers/BackendConnection.java
+++ b/front/src/main/java/willowdoor/front/servers/BackendConnection.java
@@ -20,67 +20,80 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import java.io.IOException;
 import java.nio.ByteBuffer;
-import willowdoor.front.loop.Tally;
+import willowdoor.front.loop.EventCounters;
 import willowdoor.front.requests.Attempt;
 import willowdoor.front.requests.Headers;
 import willowdoor.policy.GatewayApi.Status;
 
-/** One connection to a backend: at most one attempt at a time, and what its answer means. */
+/**
+ * One connection to a backend. Carries at most one attempt at a time and maps the response to the
+ * attempt's result.
+ */
 final class BackendConnection extends SimpleChannelInboundHandler<HttpObject>
     implements Attempt.Connection {
 
   /**
-   * Answers that tell a length up to this are passed on when whole, so that a cut one can be tried
-   * again.
+   * A response with a known length up to this size is buffered and forwarded when complete, so that
+   * a truncated response can be retried.
    */
-  private static final int MOST_HELD = 64 * 1024;
+  private static final int MAX_BUFFERED_BYTES = 64 * 1024;
 
-  /** So much of an answer that tells no length is held before it is passed on as it comes. */
-  private static final int HELD_UNTOLD = 16 * 1024;
+  /**
+   * This much of a response without a known length is buffered before the response is forwarded as
+   * it arrives.
+   */
+  private static final int MAX_BUFFERED_UNKNOWN_LENGTH_BYTES = 16 * 1024;
 
-  /** What a look reads is of no use: the connection is closed behind it. */
-  private static final ByteBuffer LOOK = ByteBuffer.allocateDirect(1);
+  /**
+   * Receives the byte that a probe reads. The byte is discarded, because the connection is closed
+   * after the probe has read anything.
+   */
+  private static final ByteBuffer PROBE_BUFFER = ByteBuffer.allocateDirect(1);
 
   private final BackendPool pool;
   final BackendPool.Backend backend;
 
-  /** The backend's as this connection was begun. */
+  /** The backend's generation when this connection was opened. */
   final int generation;
 
-  private final Tally tally;
-  private final AnswerDecoder decoder = new AnswerDecoder();
+  private final EventCounters counters;
+  private final ResponseDecoder decoder = new ResponseDecoder();
   private Channel channel;
   private Attempt current;
 
-  /** The one that was carried last, also when it has ended. */
-  private Attempt latest;
+  /** The last attempt on this connection, including one that has ended. */
+  private Attempt lastAttempt;
 
   /**
-   * The answer that is being read: its head, what is held of its body, whether it is passed on
-   * already.
+   * The response being read: its head, the buffered part of its body, and whether the response is
+   * already being forwarded.
    */
   private HttpResponse head;
 
-  private ByteBuf held;
-  private boolean begun;
+  private ByteBuf bufferedBody;
+  private boolean forwarding;
 
-  /** Answered in full, but what else the backend sent with that answer is not looked at yet. */
-  private boolean answered;
+  /**
+   * The response is complete, but other bytes that the backend sent with the response are not read
+   * yet.
+   */
+  private boolean responseComplete;
 
-  /** It has carried a request before the one that it carries. */
-  private boolean used;
+  /** This connection carried another request before the current one. */
+  private boolean reused;
 
   double idleSince;
 
-  BackendConnection(BackendPool pool, BackendPool.Backend backend, int generation, Tally tally) {
+  BackendConnection(
+      BackendPool pool, BackendPool.Backend backend, int generation, EventCounters counters) {
     this.pool = pool;
     this.backend = backend;
     this.generation = generation;
-    this.tally = tally;
+    this.counters = counters;
   }
 
-  /** Reads answers; to be put into the channel's pipeline ahead of this. */
-  AnswerDecoder decoder() {
+  /** Decodes responses. Must precede this handler in the channel's pipeline. */
+  ResponseDecoder decoder() {
     return decoder;
   }
 
@@ -90,17 +103,17 @@
   }
 
   boolean usable() {
-    return channel.isActive() && !decoder.holdsRest();
+    return channel.isActive() && !decoder.hasUnconsumedData();
   }
 
   /**
-   * Whether the kernel has neither bytes nor an end of it: the loop may not have looked since they
-   * came.
+   * Whether the kernel has received neither bytes nor an end of stream for this connection. The
+   * event loop may not have polled since they arrived.
    */
-  boolean silent() {
+  boolean nothingToRead() {
     try {
       return !(channel instanceof UnixChannel u && u.fd() instanceof Socket socket)
-          || socket.recv(LOOK, 0, LOOK.capacity()) == 0;
+          || socket.recv(PROBE_BUFFER, 0, PROBE_BUFFER.capacity()) == 0;
     } catch (IOException e) {
       return false;
     }
@@ -111,16 +124,16 @@
   }
 
   /**
-   * What the kernel holds of a long request would leave behind an ordinary close, at any later
-   * time.
+   * Aborts the connection. After an ordinary close, the kernel would still send the buffered part
+   * of a long request at any later time, so the connection is reset in that case.
    */
   @Override
   public void abort() {
-    if (latest != null && latest.written() && !latest.message().fitsInitialWindow()) {
+    if (lastAttempt != null && lastAttempt.written() && !lastAttempt.message().fitsInitialWindow()) {
       try {
         channel.config().setOption(ChannelOption.SO_LINGER, 0);
       } catch (ChannelException e) {
-        // It is closed already, or the system knows no such close.
+        // The channel is closed already, or the system does not support SO_LINGER.
       }
     }
     channel.close();
@@ -131,15 +144,18 @@
     channel.config().setAutoRead(on);
   }
 
-  /** Writes the attempt's request; nothing below the module ever writes it again. */
-  void carry(Attempt attempt) {
+  /**
+   * Writes the attempt's request. No layer below the policy module writes the same attempt again.
+   */
+  void send(Attempt attempt) {
     current = attempt;
-    latest = attempt;
+    lastAttempt = attempt;
     attempt.assignConnection(this);
     HttpRequest request = attempt.message().message(pool.leftMs(attempt));
     if (attempt.message().whole()) {
       written(attempt, channel.writeAndFlush(request), true);
-      // What the kernel takes later would be written at a time that nobody looks at.
+      // A write that the kernel accepts later would happen unobserved, past the attempt's write
+      // deadline.
       if (!attempt.written() && attempt.writeDeadlineMs() < Double.POSITIVE_INFINITY) {
         attempt.abandon(Status.UNREACHABLE);
       }
@@ -154,15 +170,15 @@
   }
 
   private void written(Attempt attempt, ChannelFuture write, boolean last) {
-    if (write
-        .isDone()) { // listeners may be called later, and what ends the attempt meanwhile must know
-      writeEnded(attempt, write, last);
+    // Listeners may run later, and code that ends the attempt must see the result.
+    if (write.isDone()) {
+      onWriteComplete(attempt, write, last);
     } else {
-      write.addListener((ChannelFuture f) -> writeEnded(attempt, f, last));
+      write.addListener((ChannelFuture f) -> onWriteComplete(attempt, f, last));
     }
   }
 
-  private void writeEnded(Attempt attempt, ChannelFuture write, boolean last) {
+  private void onWriteComplete(Attempt attempt, ChannelFuture write, boolean last) {
     attempt.written(last && write.isSuccess());
     if (!write.isSuccess()) {
       attempt.abandon(Status.UNREACHABLE);
@@ -197,28 +213,29 @@
   @Override
   protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
     if (part.decoderResult().isFailure()) {
-      junk(Tally.Event.ANSWER_UNREADABLE);
+      onProtocolError(EventCounters.Event.ANSWER_UNREADABLE);
       return;
     }
     if (part instanceof HttpResponse response) {
       if (current == null) {
-        junk(Tally.Event.ANSWER_UNASKED);
+        onProtocolError(EventCounters.Event.ANSWER_UNASKED);
         return;
       }
       head = response;
       if (head.status().codeClass() != HttpStatusClass.INFORMATIONAL) {
         current.onResponseHead();
       }
-      if (served() && !current.written() && (used || current.message().whole())) {
-        junk(Tally.Event.ANSWER_UNASKED); // a backend begins a request once its last byte has come
+      if (isOk() && !current.written() && (reused || current.message().whole())) {
+        // A backend starts a request only after its last byte.
+        onProtocolError(EventCounters.Event.ANSWER_UNASKED);
         return;
       }
-      if (served() && !framed(head) && HttpUtil.isKeepAlive(head)) {
-        junk(Tally.Event.ANSWER_UNREADABLE);
+      if (isOk() && !hasFraming(head) && HttpUtil.isKeepAlive(head)) {
+        onProtocolError(EventCounters.Event.ANSWER_UNREADABLE);
         return;
       }
-      if (served() && Headers.bodyLength(head) > MOST_HELD) {
-        begin();
+      if (isOk() && Headers.bodyLength(head) > MAX_BUFFERED_BYTES) {
+        startForwarding();
       }
     }
     if (part instanceof HttpContent content && head != null) {
@@ -226,7 +243,7 @@
     }
   }
 
-  private boolean served() {
+  private boolean isOk() {
     return head.status().equals(HttpResponseStatus.OK);
   }
 
@@ -236,70 +253,74 @@
       head = last ? null : head;
       return;
     }
-    if (served() && content.content().isReadable()) {
-      if (begun) {
+    if (isOk() && content.content().isReadable()) {
+      if (forwarding) {
         current.onResponsePiece(content.content().retain());
       } else {
-        hold(content.content());
+        buffer(content.content());
       }
     }
     if (last && head != null) {
-      finish();
+      completeResponse();
     }
   }
 
-  private void hold(ByteBuf piece) {
-    if (held == null) {
-      held = channel.alloc().buffer(piece.readableBytes());
+  private void buffer(ByteBuf piece) {
+    if (bufferedBody == null) {
+      bufferedBody = channel.alloc().buffer(piece.readableBytes());
     }
-    held.writeBytes(piece);
-    if (Headers.bodyLength(head) < 0 && held.readableBytes() > HELD_UNTOLD) {
-      begin();
+    bufferedBody.writeBytes(piece);
+    if (Headers.bodyLength(head) < 0
+        && bufferedBody.readableBytes() > MAX_BUFFERED_UNKNOWN_LENGTH_BYTES) {
+      startForwarding();
     }
   }
 
-  /** Passes the answer on from here on as it comes. */
-  private void begin() {
+  /** From here on, forwards the response as it arrives. */
+  private void startForwarding() {
     if (!current.onStreamedResponse(head)) {
       Attempt attempt = current;
-      forget();
+      clearCurrent();
       attempt.abandon(Status.CANCELLED);
       abort();
       return;
     }
-    begun = true;
-    if (held != null) {
-      ByteBuf piece = held;
-      held = null;
+    forwarding = true;
+    if (bufferedBody != null) {
+      ByteBuf piece = bufferedBody;
+      bufferedBody = null;
       current.onResponsePiece(piece);
     }
   }
 
-  /** An answer that nobody asked for, or one that does not parse: nothing behind it can be read. */
-  private void junk(Tally.Event what) {
-    tally.count(what);
-    pool.unasked(this);
-    broken();
+  /**
+   * Handles an unsolicited or malformed response: nothing that follows can be parsed reliably, so
+   * the connection is aborted.
+   */
+  private void onProtocolError(EventCounters.Event what) {
+    counters.count(what);
+    pool.onUnsolicitedData(this);
+    fail();
   }
 
-  private void finish() {
+  private void completeResponse() {
     Attempt attempt = current;
     HttpResponse answer = head;
-    ByteBuf body = held;
-    held = null;
-    forget();
-    used = true;
-    // An answer ahead of the request's end leaves the connection out of step.
-    answered =
-        attempt.written() && !attempt.ended() && HttpUtil.isKeepAlive(answer) && framed(answer);
-    Status status = AnswerDecoder.status(answer);
-    HttpResponse told = status == Status.OK ? answer : null;
+    ByteBuf body = bufferedBody;
+    bufferedBody = null;
+    clearCurrent();
+    reused = true;
+    // A response before the end of the request leaves the connection out of sync.
+    responseComplete =
+        attempt.written() && !attempt.ended() && HttpUtil.isKeepAlive(answer) && hasFraming(answer);
+    Status status = ResponseDecoder.status(answer);
+    HttpResponse forwarded = status == Status.OK ? answer : null;
     try {
-      if (answered) {
+      if (responseComplete) {
         setReading(true);
-        attempt.end(status, told, body);
+        attempt.end(status, forwarded, body);
       } else {
-        attempt.endAndClose(status, told, body);
+        attempt.endAndClose(status, forwarded, body);
         abort();
       }
     } finally {
@@ -309,59 +330,64 @@
     }
   }
 
-  private void forget() {
+  private void clearCurrent() {
     current = null;
     head = null;
-    begun = false;
-    answered = false;
-    if (held != null) {
-      held.release();
-      held = null;
+    forwarding = false;
+    responseComplete = false;
+    if (bufferedBody != null) {
+      bufferedBody.release();
+      bufferedBody = null;
     }
   }
 
   /**
-   * Whether a cut of the answer can be seen. Where the connection's end is the body's end, only a
-   * reset tells of one, so the backend must have said that it closes.
+   * Whether a truncated response can be detected. Where the end of the connection marks the end of
+   * the body, only a reset indicates truncation, so the backend must have announced that it closes
+   * the connection.
    */
-  private static boolean framed(HttpResponse head) {
+  private static boolean hasFraming(HttpResponse head) {
     return HttpUtil.isContentLengthSet(head) || HttpUtil.isTransferEncodingChunked(head);
   }
 
   /**
-   * The connection is free only once all that came with the answer is read: whatever follows it was
-   * sent before the next request, and would be taken for that one's answer.
+   * Releases the connection only after all bytes received with the response are read. Any bytes
+   * that follow the response were sent before the next request and would be mistaken for its
+   * response.
    */
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
-    if (answered) {
-      answered = false;
+    if (responseComplete) {
+      responseComplete = false;
       if (usable()) {
         pool.release(this);
       } else {
         ctx.close();
       }
-    } else if (current == null && decoder.holdsRest()) {
-      junk(Tally.Event.ANSWER_UNASKED);
+    } else if (current == null && decoder.hasUnconsumedData()) {
+      onProtocolError(EventCounters.Event.ANSWER_UNASKED);
     }
     ctx.fireChannelReadComplete();
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    pool.closed(this);
-    broken();
+    pool.onClosed(this);
+    fail();
   }
 
-  /** A reset, or a fault of ours: this connection is of no more use, and its end ends no answer. */
+  /**
+   * Handles a reset or an internal error: the connection is unusable, and its end does not complete
+   * a response.
+   */
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-    broken();
+    fail();
   }
 
-  private void broken() {
+  private void fail() {
     Attempt attempt = current;
-    forget();
+    clearCurrent();
     if (attempt != null) {
       attempt.abandon(attempt.statusIfBroken());
     }
--- a/front/src/test/java/willowdoor/front/clients/ArrivalTimeTest.java
+++ b/front/src/test/java/willowdoor/front/clients/ArrivalTimeTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import org.junit.jupiter.api.Test;
-import willowdoor.front.loop.Looks;
+import willowdoor.front.loop.PollTimes;
 
 /**
  * Tests the time from which a request's time is counted. The test drives the polls of the loop
@@ -11,12 +11,12 @@
  */
 class ArrivalTimeTest {
 
-  private final Looks polls = new Looks(1_000);
+  private final PollTimes polls = new PollTimes(1_000);
 
   private ArrivalTime accepted() {
-    polls.begins(1_010);
-    polls.foundNothing(1_020);
-    polls.begins(1_020);
+    polls.onPollStart(1_010);
+    polls.onEmptyPoll(1_020);
+    polls.onPollStart(1_020);
     return new ArrivalTime(polls);
   }
 
@@ -24,9 +24,9 @@
   void inputOfAnIdleLoopIsNoOlderThanTheLastPoll() {
     ArrivalTime arrivalTime = accepted();
     arrivalTime.onReadRequested();
-    polls.begins(1_030);
-    polls.foundNothing(1_040);
-    polls.begins(1_041);
+    polls.onPollStart(1_030);
+    polls.onEmptyPoll(1_040);
+    polls.onPollStart(1_041);
     arrivalTime.onRead(true);
     assertEquals(1_040, arrivalTime.arrivedAt());
   }
@@ -35,8 +35,8 @@
   void inputDuringAPauseIsDatedToTheStartOfThePause() {
     ArrivalTime arrivalTime = accepted();
     arrivalTime.onReadRequested();
-    polls.begins(1_030);
-    polls.begins(1_600);
+    polls.onPollStart(1_030);
+    polls.onPollStart(1_600);
     arrivalTime.onRead(true);
     assertEquals(1_030, arrivalTime.arrivedAt());
   }
@@ -44,11 +44,11 @@
   /** A connection may have waited with its request before it was accepted. */
   @Test
   void inputOfANewConnectionHasTheConnectionsEarliestTime() {
-    polls.begins(1_010);
-    polls.begins(1_700);
+    polls.onPollStart(1_010);
+    polls.onPollStart(1_700);
     ArrivalTime arrivalTime = new ArrivalTime(polls);
     arrivalTime.onReadRequested();
-    polls.begins(1_701);
+    polls.onPollStart(1_701);
     arrivalTime.onRead(true);
     assertEquals(1_010, arrivalTime.arrivedAt());
   }
@@ -58,9 +58,9 @@
     ArrivalTime arrivalTime = accepted();
     for (int at = 1_100; at < 1_500; at += 100) {
       arrivalTime.onReadRequested();
-      polls.begins(at);
-      polls.foundNothing(at + 50);
-      polls.begins(at + 60);
+      polls.onPollStart(at);
+      polls.onEmptyPoll(at + 50);
+      polls.onPollStart(at + 60);
       arrivalTime.onRead(true);
     }
     assertEquals(1_450, arrivalTime.arrivedAt());
@@ -74,12 +74,12 @@
   void inputThatWasNotPolledForIsDatedToThePreviousResponse() {
     ArrivalTime arrivalTime = accepted();
     arrivalTime.onReadRequested();
-    polls.begins(1_100);
+    polls.onPollStart(1_100);
     arrivalTime.onRead(true);
-    polls.begins(1_300);
+    polls.onPollStart(1_300);
     arrivalTime.onAnswered(1_301);
     arrivalTime.onReadRequested();
-    polls.begins(1_400);
+    polls.onPollStart(1_400);
     arrivalTime.onRead(true);
     assertEquals(1_301, arrivalTime.arrivedAt());
   }
@@ -92,11 +92,11 @@
   void leftoverInputIsAsOldAsTheInputReadBeforeIt() {
     ArrivalTime arrivalTime = accepted();
     arrivalTime.onReadRequested();
-    polls.begins(1_100);
-    polls.foundNothing(1_110);
-    polls.begins(1_120);
+    polls.onPollStart(1_100);
+    polls.onEmptyPoll(1_110);
+    polls.onPollStart(1_120);
     arrivalTime.onRead(false);
-    polls.begins(1_500);
+    polls.onPollStart(1_500);
     arrivalTime.onReadRequested();
     arrivalTime.onRead(true);
     assertEquals(1_110, arrivalTime.arrivedAt());
--- a/front/src/test/java/willowdoor/front/clients/DrainRaceTest.java
+++ b/front/src/test/java/willowdoor/front/clients/DrainRaceTest.java
@@ -34,9 +34,9 @@
 import org.junit.jupiter.api.Timeout;
 import willowdoor.front.loop.Clock;
 import willowdoor.front.loop.Descriptors;
-import willowdoor.front.loop.Looks;
+import willowdoor.front.loop.PollTimes;
 import willowdoor.front.loop.LoopGroup;
-import willowdoor.front.loop.Tally;
+import willowdoor.front.loop.EventCounters;
 import willowdoor.front.loop.Transport;
 
 /**
@@ -51,7 +51,7 @@
 
   private final AtomicLong nanos = new AtomicLong();
   private final Clock clock = new Clock(Instant.EPOCH, nanos::get);
-  private final Looks polls = new Looks(0);
+  private final PollTimes polls = new PollTimes(0);
   private EventLoopGroup group;
 
   /** The loop of the platform's listening socket, which the server adopts. */
@@ -74,7 +74,7 @@
     loop = group.next();
     server =
         new ClientServer(
-            transport, clock, polls, null, null, Descriptors.of(128), new Tally(), () -> true);
+            transport, clock, polls, null, null, Descriptors.of(128), new EventCounters(), () -> true);
   }
 
   private Channel listen(Transport transport) throws Exception {
