--- a/front/src/main/java/willowdoor/front/FrontDoor.java
+++ b/front/src/main/java/willowdoor/front/FrontDoor.java
@@ -21,9 +21,9 @@
 import willowdoor.front.discovery.DiscoveryClient;
 import willowdoor.front.loop.Clock;
 import willowdoor.front.loop.Descriptors;
-import willowdoor.front.loop.Looks;
+import willowdoor.front.loop.EventCounters;
 import willowdoor.front.loop.LoopGroup;
-import willowdoor.front.loop.Tally;
+import willowdoor.front.loop.PollTimes;
 import willowdoor.front.loop.Transport;
 import willowdoor.front.operators.Management;
 import willowdoor.front.operators.OperatorFile;
@@ -33,35 +33,43 @@
 import willowdoor.policy.GatewayApi.RequestClass;
 import willowdoor.policy.QuotaPolicy;
 
-/** One real front door: its wiring, its start and its planned end. */
+/**
+ * One gateway process: creates its components, starts them and shuts them down in an orderly way.
+ */
 final class FrontDoor implements Management.Operator {
 
   private static final Logger LOG = Logger.getLogger(FrontDoor.class.getName());
 
   /**
-   * SIGKILL comes no sooner after SIGTERM than the longest deadline, counted as 3 s where it is
-   * longer, and 0.7 s: all is answered by then, and the answers are on their way.
+   * The platform sends SIGKILL no sooner after SIGTERM than the longest deadline, counted as 3 s
+   * where it is longer, plus 0.7 s. By then all requests are answered and the responses are sent.
    */
-  private static final long MOST_DEADLINE_MS = 3_000;
+  private static final long MAX_DEADLINE_MS = 3_000;
 
-  private static final double ANSWER_MS = 300;
-  private static final double LEAVE_MS = 275;
+  private static final double ANSWER_MARGIN_MS = 300;
+  private static final double CLOSE_MARGIN_MS = 275;
 
-  /** How often a drain goes on: idle connections are closed and the end is looked for. */
+  /**
+   * Interval of the drain's steps: each step closes idle connections and checks whether the drain
+   * is complete.
+   */
   private static final long DRAIN_STEP_MS = 10;
 
-  private static final long TALLY_S = 10;
+  private static final long COUNTERS_LOG_INTERVAL_S = 10;
 
-  /** Requests of a warm-up, and how long it may take on a busy core: a new process is given 6 s. */
+  /**
+   * The number of warm-up requests, and the limit of the warm-up's duration on a busy core: a new
+   * process must be ready within 6 s.
+   */
   private static final int WARM_UP_REQUESTS = 80;
 
   private static final long WARM_UP_MS = 1_500;
 
-  /** How often the operators' file is looked at, for what the other process was told. */
-  private static final long LOOK_MS = 50;
+  /** Interval at which the operators' file is checked for calls that the other process received. */
+  private static final long OPERATOR_FILE_CHECK_MS = 50;
 
   private final Clock clock = new Clock();
-  private final Looks looks = new Looks(clock.now());
+  private final PollTimes pollTimes = new PollTimes(clock.now());
   private final Transport transport;
   private final EventLoopGroup group;
   private final EventLoop loop;
@@ -73,34 +81,33 @@
   private Channel listening;
   private Management management;
 
-  /** Whether the process could serve, as the management's thread is told. */
+  /** Whether the process can serve; read by the management thread. */
   private volatile boolean canServe;
 
-  /** What operators have asked for as it is in force, and where it is kept. */
+  /** The operators' requests as they are in force, and the file that stores them. */
   private OperatorFile.State operators = OperatorFile.State.NONE;
 
   private OperatorFile file;
 
-  /** How long after the process is told to end all is answered. */
-  private double endMs;
+  /** How long after the start of the shutdown all requests are answered, in milliseconds. */
+  private double drainMs;
 
-  /** The configuration that came with a SIGHUP before anything was wired. */
-  private Config replacing;
+  /** A configuration reloaded on SIGHUP before the components were created. */
+  private Config reloadedConfig;
 
-  /** Whether clients can come, and whether the process was told to end. */
-  private boolean listens;
+  /** Whether the process has started to listen for clients, and whether its shutdown has begun. */
+  private boolean listenStarted;
 
-  private boolean ending;
+  private boolean shuttingDown;
 
   private FrontDoor(Transport transport) {
     this.transport = transport;
-    group = new LoopGroup(transport.ioHandler(), clock, looks);
+    group = new LoopGroup(transport.ioHandler(), clock, pollTimes);
     loop = group.next();
   }
 
   /**
-   * Reads the configuration that the environment names, and serves until the process is told to
-   * end.
+   * Reads the configuration that the environment names, and serves until the process is terminated.
    */
   static void serve() throws IOException, InterruptedException {
     String file = System.getenv("GW_CONFIG");
@@ -109,36 +116,37 @@
     }
     Path path = Path.of(file);
     FrontDoor door = new FrontDoor(Transport.BEST);
-    // Either signal may come at any time: SIGHUP would end the process, SIGTERM with clients
-    // waiting.
+    // Both signals may arrive at any time and need handlers first: SIGHUP would terminate the
+    // process, and SIGTERM would terminate it while clients are waiting.
     door.reloadOnHangUp(path);
-    Runtime.getRuntime().addShutdownHook(new Thread(door::end, "end"));
+    Runtime.getRuntime().addShutdownHook(new Thread(door::shutDown, "end"));
     Config config = Config.read(path);
     Path operators =
         Path.of(System.getProperty("java.io.tmpdir"), "willowdoor-" + config.name() + ".json");
-    door.begin(
+    door.startListening(
         config, Config.inherited(), operators, () -> warmUp(config, WARM_UP_REQUESTS, WARM_UP_MS));
-    door.open();
+    door.startServing();
   }
 
   /**
-   * Listens on the configured address where no socket is inherited; the file is what its processes
-   * share.
+   * Listens on the configured address if no socket is inherited. The operators' file is shared by
+   * the processes of one gateway.
    */
   static FrontDoor start(Config config, ServerSocketChannel inherited, Path operators)
       throws IOException, InterruptedException {
     FrontDoor door = new FrontDoor(Transport.BEST);
-    door.begin(config, inherited, operators, () -> {});
-    door.open();
+    door.startListening(config, inherited, operators, () -> {});
+    door.startServing();
     return door;
   }
 
   /**
-   * Operators are answered from the first; clients, servers and discovery come once it is prepared.
-   * Nothing is sent by the configuration's list while the agent may have a newer one, which counts
-   * as told by now: clients that took the process before this one for alive would have it sent.
+   * Starts the management address first; clients, servers and discovery are started after the
+   * preparation. No request is sent by the configuration's list while the agent may have a newer
+   * list. That newer list counts as delivered by now, because clients that still regard the
+   * previous process as alive would have their requests sent by it.
    */
-  private void begin(
+  private void startListening(
       Config config, ServerSocketChannel inherited, Path operators, Runnable preparation)
       throws IOException, InterruptedException {
     try {
@@ -147,7 +155,7 @@
       }
       file = new OperatorFile(operators);
       preparation.run();
-      loop.submit(() -> wire(config)).sync();
+      loop.submit(() -> createComponents(config)).sync();
       if (discovery != null && inherited == null) {
         discovery.caughtUp().sync();
       }
@@ -162,32 +170,32 @@
   }
 
   private ChannelFuture listen(Config config, ServerSocketChannel inherited) {
-    if (ending) {
-      throw new IllegalStateException("told to end before it was ready");
+    if (shuttingDown) {
+      throw new IllegalStateException("shutdown was requested before the process was ready");
     }
-    listens = true;
+    listenStarted = true;
     return inherited == null
         ? clients.listen(group, config.listen())
         : clients.adopt(group, inherited);
   }
 
-  /** From here on it says that it is ready where it is. */
-  private void open() throws InterruptedException {
-    loop.submit(this::serving).sync();
+  /** Starts serving: from here on the process reports that it is ready if it is. */
+  private void startServing() throws InterruptedException {
+    loop.submit(this::onServing).sync();
   }
 
   /**
-   * Serves made-up requests inside the process, so that the runtime has loaded and compiled the way
-   * of a request before the first one comes. What goes wrong costs time later, and nothing else.
-   * Tells how many were answered.
+   * Serves synthetic requests inside the process, so that the Java runtime has loaded and compiled
+   * the request path before the first real request arrives. A failure only makes the first requests
+   * slower. Returns the number of answered requests.
    */
   static int warmUp(Config config, int requests, long limitMs) {
-    FrontDoor door = new FrontDoor(Transport.INSIDE);
+    FrontDoor door = new FrontDoor(Transport.IN_PROCESS);
     try {
       WarmUp warmUp = new WarmUp(config.settings(), door.group);
-      Config inside = config.among(warmUp.door(), warmUp.counter(), warmUp.servers());
-      door.begin(inside, null, Path.of(""), () -> {});
-      door.open();
+      Config inside = config.withPeers(warmUp.door(), warmUp.counter(), warmUp.servers());
+      door.startListening(inside, null, Path.of(""), () -> {});
+      door.startServing();
       int answered = warmUp.play(requests, limitMs);
       LOG.info(() -> "warmed up with " + answered + " requests inside the process");
       return answered;
@@ -213,7 +221,7 @@
     return loop;
   }
 
-  /** What the module tells the log, asked for on the loop. */
+  /** Returns the policy module's figures for the log, read on the event loop. */
   String figures() throws InterruptedException {
     return loop.submit(driver::policyStats).sync().getNow();
   }
@@ -229,11 +237,14 @@
   }
 
   @Override
-  public Future<Boolean> ban(String host, boolean out) {
+  public Future<Boolean> setExcluded(String host, boolean out) {
     return change(host, state -> state.excluded(host, out));
   }
 
-  /** Writes a change down, then puts it in force; false where it names no known template server. */
+  /**
+   * Stores a change, then applies it. The result is false if the change names an unknown template
+   * server.
+   */
   private Future<Boolean> change(String host, UnaryOperator<OperatorFile.State> change) {
     return loop.submit(
         () -> {
@@ -243,44 +254,44 @@
           if (host != null && !driver.isKnownBackend(host)) {
             return false;
           }
-          follow(file.change(change));
+          applyOperatorState(file.change(change));
           return true;
         });
   }
 
-  /** Puts in force what is new in it: the other process may have been told. */
-  private void follow(OperatorFile.State told) {
+  /** Applies changes of the operators' file, which the other process may have written. */
+  private void applyOperatorState(OperatorFile.State requested) {
     OperatorFile.State before = operators;
-    if (told == before) {
+    if (requested == before) {
       return;
     }
-    operators = told;
-    told.excluded().stream()
+    operators = requested;
+    requested.excluded().stream()
         .filter(h -> !before.excluded().contains(h))
         .forEach(h -> driver.setExcluded(h, true));
     before.excluded().stream()
-        .filter(h -> !told.excluded().contains(h))
+        .filter(h -> !requested.excluded().contains(h))
         .forEach(h -> driver.setExcluded(h, false));
-    if (told.drained() != before.drained()) {
-      clients.setOperatorDrain(told.drained());
+    if (requested.drained() != before.drained()) {
+      clients.setOperatorDrain(requested.drained());
     }
     LOG.info(
         () ->
             "operators' drain is "
-                + (told.drained() ? "on" : "off")
-                + ", taken out are "
-                + told.excluded());
+                + (requested.drained() ? "on" : "off")
+                + ", excluded template servers are "
+                + requested.excluded());
   }
 
-  private void wire(Config config) {
-    endMs =
-        ANSWER_MS
+  private void createComponents(Config config) {
+    drainMs =
+        ANSWER_MARGIN_MS
             + config.settings().classes().stream()
                 .mapToDouble(RequestClass::deadlineMs)
-                .map(ms -> ms > 0 ? Math.min(ms, MOST_DEADLINE_MS) : MOST_DEADLINE_MS)
+                .map(ms -> ms > 0 ? Math.min(ms, MAX_DEADLINE_MS) : MAX_DEADLINE_MS)
                 .max()
-                .orElse(MOST_DEADLINE_MS);
-    Tally tally = new Tally();
+                .orElse(MAX_DEADLINE_MS);
+    EventCounters counters = new EventCounters();
     Descriptors descriptors = config.descriptors();
     QuotaPolicy policy = new QuotaPolicy(config.settings(), config.seed());
     BackendPool backends =
@@ -288,23 +299,23 @@
             loop,
             transport,
             clock,
-            tally,
+            counters,
             policy::isExcluded,
             descriptors.backends(),
             config.connectLimitMs(),
             config.idleLimitMs());
-    driver = new PolicyDriver(loop, clock, policy, backends, tally);
+    driver = new PolicyDriver(loop, clock, policy, backends, counters);
     clients =
         new ClientServer(
             transport,
             clock,
-            looks,
+            pollTimes,
             driver,
             new RequestReader(config.settings()),
             descriptors,
-            tally,
-            () -> (discovery == null || discovery.caughtUp().isDone()) && backends.knowsAny());
-    Config newest = replacing == null ? config : replacing;
+            counters,
+            () -> (discovery == null || discovery.caughtUp().isDone()) && backends.hasBackends());
+    Config newest = reloadedConfig == null ? config : reloadedConfig;
     counter =
         new CounterClient(
             loop,
@@ -312,7 +323,7 @@
             clock,
             newest.counter(),
             config.settings().options().counterTimeoutMs(),
-            tally,
+            counters,
             driver::onCounterResult);
     if (newest.counter() != null) {
       counter.start();
@@ -322,9 +333,12 @@
       LOG.info(config::describe);
     }
     if (management != null) {
-      follow(file.look());
+      applyOperatorState(file.refresh());
       loop.scheduleWithFixedDelay(
-          () -> follow(file.look()), LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
+          () -> applyOperatorState(file.refresh()),
+          OPERATOR_FILE_CHECK_MS,
+          OPERATOR_FILE_CHECK_MS,
+          TimeUnit.MILLISECONDS);
     }
     if (newest.discovery() != null) {
       discovery =
@@ -334,13 +348,13 @@
               clock,
               newest.discovery(),
               config.known().version(),
-              tally,
+              counters,
               driver::onRoster);
       discovery.start();
     }
     loop.scheduleWithFixedDelay(
         () ->
-            tally.log(
+            counters.log(
                 "clients="
                     + clients.openConnections()
                     + " backends="
@@ -349,21 +363,22 @@
                     + driver.requestCount()
                     + ' '
                     + driver.policyStats()),
-        TALLY_S,
-        TALLY_S,
+        COUNTERS_LOG_INTERVAL_S,
+        COUNTERS_LOG_INTERVAL_S,
         TimeUnit.SECONDS);
   }
 
   /**
-   * SIGHUP tells that the configuration was replaced; without a handler it would end the process.
+   * Reloads the configuration on SIGHUP, which signals that the file was replaced. Without a
+   * handler SIGHUP would terminate the process.
    */
   void reloadOnHangUp(Path file) {
-    HangUp.reload(file, config -> loop.execute(() -> moveTo(config)));
+    SighupHandler.reload(file, config -> loop.execute(() -> moveTo(config)));
   }
 
-  /** Moves to the addresses that a configuration names which came with a SIGHUP. */
+  /** Switches to the addresses of a configuration that was reloaded on SIGHUP. */
   private void moveTo(Config config) {
-    replacing = config;
+    reloadedConfig = config;
     if (discovery != null) {
       discovery.moveTo(config.discovery());
     }
@@ -374,14 +389,15 @@
         () -> "discovery is at " + config.discovery() + " now, the counter at " + config.counter());
   }
 
-  private void serving() {
+  private void onServing() {
     clients.markReady();
-    watch();
-    loop.scheduleWithFixedDelay(this::watch, DRAIN_STEP_MS, DRAIN_STEP_MS, TimeUnit.MILLISECONDS);
+    updateState();
+    loop.scheduleWithFixedDelay(
+        this::updateState, DRAIN_STEP_MS, DRAIN_STEP_MS, TimeUnit.MILLISECONDS);
   }
 
-  /** Goes on with a drain, and keeps what operators are told up to date. */
-  private void watch() {
+  /** Continues a drain, and updates the state that management reports. */
+  private void updateState() {
     clients.acceptIfReady();
     canServe = clients.canServe();
     clients.closeIdleConnections();
@@ -391,31 +407,35 @@
   }
 
   /**
-   * The planned end: accept a little longer, answer all that was taken, then let the process go.
+   * Shuts down in an orderly way: accepts connections a little longer, answers all accepted
+   * requests, then lets the process terminate.
    */
-  void end() {
+  void shutDown() {
     try {
-      Future<Double> begun = loop.submit(this::beginEnd);
-      if (begun.await(MOST_DEADLINE_MS, TimeUnit.MILLISECONDS)) {
+      Future<Double> begun = loop.submit(this::beginShutdown);
+      if (begun.await(MAX_DEADLINE_MS, TimeUnit.MILLISECONDS)) {
         ended.await(begun.getNow().longValue(), TimeUnit.MILLISECONDS);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } catch (RejectedExecutionException e) {
-      LOG.log(Level.FINE, "it has ended already", e);
+      LOG.log(Level.FINE, "event loop is already shut down", e);
     }
     stop();
   }
 
-  /** How long the rest may take, in milliseconds: nothing where no client can have come yet. */
-  private double beginEnd() {
-    ending = true;
-    if (!listens) {
+  /**
+   * Begins the shutdown. Returns how long the rest may take, in milliseconds: 0 if no client can
+   * have connected yet.
+   */
+  private double beginShutdown() {
+    shuttingDown = true;
+    if (!listenStarted) {
       return 0;
     }
     clients.shutDown();
-    driver.shutDownWithin(endMs);
-    return endMs + LEAVE_MS;
+    driver.shutDownWithin(drainMs);
+    return drainMs + CLOSE_MARGIN_MS;
   }
 
   void stop() {
--- a/front/src/main/java/willowdoor/front/clients/ClientServer.java
+++ b/front/src/main/java/willowdoor/front/clients/ClientServer.java
@@ -25,8 +25,8 @@
 import willowdoor.front.clients.RequestReader.BadRequestException;
 import willowdoor.front.loop.Clock;
 import willowdoor.front.loop.Descriptors;
-import willowdoor.front.loop.Looks;
-import willowdoor.front.loop.Tally;
+import willowdoor.front.loop.PollTimes;
+import willowdoor.front.loop.EventCounters;
 import willowdoor.front.loop.Transport;
 import willowdoor.front.requests.ParsedRequest;
 import willowdoor.front.requests.PolicyDriver;
@@ -74,11 +74,11 @@
 
   private final Transport transport;
   private final Clock clock;
-  private final Looks polls;
+  private final PollTimes polls;
   private final PolicyDriver driver;
   private final RequestReader reader;
   private final Descriptors descriptors;
-  private final Tally tally;
+  private final EventCounters tally;
 
   /** Whether the list of template servers is as recent as possible and not empty. */
   private final BooleanSupplier hasBackends;
@@ -121,11 +121,11 @@
   public ClientServer(
       Transport transport,
       Clock clock,
-      Looks polls,
+      PollTimes polls,
       PolicyDriver driver,
       RequestReader reader,
       Descriptors descriptors,
-      Tally tally,
+      EventCounters tally,
       BooleanSupplier hasBackends) {
     this.transport = transport;
     this.clock = clock;
@@ -158,8 +158,8 @@
     return transport
         .server(group)
         .childOption(ChannelOption.AUTO_READ, false)
-        .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, Transport.QUEUE)
-        .childOption(ChannelOption.RECVBUF_ALLOCATOR, Transport.piece())
+        .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, Transport.WRITE_BUFFER_LIMITS)
+        .childOption(ChannelOption.RECVBUF_ALLOCATOR, Transport.readBufferAllocator())
         .childHandler(
             new ChannelInitializer<Channel>() {
               @Override
@@ -277,7 +277,7 @@
       connection.closeNow();
     }
     if (overLimit) {
-      tally.count(Tally.Event.CLIENT_REFUSED);
+      tally.count(EventCounters.Event.CLIENT_REFUSED);
     }
     return overLimit;
   }
@@ -291,7 +291,7 @@
     ClientConnection candidate = evictionCandidate();
     for (int i = 0; i < MAX_EVICTION_TRIES && candidate != null; i++) {
       if (candidate.closeIfIdle()) {
-        tally.count(Tally.Event.CLIENT_EVICTED);
+        tally.count(EventCounters.Event.CLIENT_EVICTED);
         return;
       }
       withPartialRequest =
@@ -301,7 +301,7 @@
     }
     if (withPartialRequest != null) {
       withPartialRequest.closeIfNoRequest();
-      tally.count(Tally.Event.CLIENT_EVICTED);
+      tally.count(EventCounters.Event.CLIENT_EVICTED);
     }
   }
 
@@ -338,7 +338,7 @@
   }
 
   /** Counts the reason for which a client's connection ended. */
-  void count(Tally.Event event) {
+  void count(EventCounters.Event event) {
     tally.count(event);
   }
 
--- a/front/src/main/java/willowdoor/front/discovery/RosterNews.java
+++ b/front/src/main/java/willowdoor/front/discovery/BackendListUpdate.java
@@ -16,54 +16,54 @@
 import willowdoor.wire.JsonFields;
 
 /**
- * One message of discovery: the entries for the module, and where each backend listens, seen from
- * here.
+ * One message from discovery: the entries for the policy module, and the address of each backend as
+ * reachable from this machine.
  */
-public record RosterNews(
-    long version, boolean full, List<BackendEntry> entries, Map<Long, SocketAddress> places) {
+public record BackendListUpdate(
+    long version, boolean full, List<BackendEntry> entries, Map<Long, SocketAddress> addresses) {
 
   private static final JsonFactory JSON = new JsonFactory();
-  private static final int MOST_BACKENDS = 10_000;
+  private static final int MAX_BACKENDS = 10_000;
 
-  /** Every machine reads the same clock, and each a little differently. */
-  private static final double MOST_AHEAD_MS = 60_000;
+  /** Tolerance for clock differences between machines. */
+  private static final double MAX_CLOCK_SKEW_MS = 60_000;
 
   /**
-   * Reads what discovery has told.
+   * Parses a message from discovery.
    *
-   * @param now Unix time in milliseconds: a backend cannot have started much later than that
-   * @throws IOException where it is not as the protocol has it in any part: then none of it is to
-   *     be believed
+   * @param now Unix time in milliseconds: a backend cannot have started much later than this
+   * @throws IOException if any part of the message violates the protocol; then the whole message is
+   *     rejected
    */
-  public static RosterNews parse(byte[] line, double now) throws IOException {
+  public static BackendListUpdate parse(byte[] line, double now) throws IOException {
     try (JsonParser in = JSON.createParser(line)) {
       in.nextToken();
       Map<String, Object> message = JsonFields.object(in);
       if (!(message.get("version") instanceof Long version)
           || version < 0
           || !(message.get("servers") instanceof List)) {
-        throw new IOException("a message without a version or a list of servers");
+        throw new IOException("message without a version or a list of servers");
       }
       if (!(message.getOrDefault("full", false) instanceof Boolean)) {
-        throw new IOException("a message that may be the whole list or not");
+        throw new IOException("message whose full field is neither true nor false");
       }
-      RosterNews news = of(message);
-      for (BackendEntry e : news.entries) {
-        if (e.startedMs() > now + MOST_AHEAD_MS) {
-          throw new IOException("a backend that is yet to start");
+      BackendListUpdate update = of(message);
+      for (BackendEntry e : update.entries) {
+        if (e.startedMs() > now + MAX_CLOCK_SKEW_MS) {
+          throw new IOException("backend whose start time is in the future");
         }
       }
-      return news;
+      return update;
     }
   }
 
-  public static RosterNews of(Map<String, Object> message) throws IOException {
+  public static BackendListUpdate of(Map<String, Object> message) throws IOException {
     List<Map<String, Object>> servers = JsonFields.children(message, "servers");
-    if (servers.size() > MOST_BACKENDS) {
+    if (servers.size() > MAX_BACKENDS) {
       throw new IOException("a list of " + servers.size() + " backends");
     }
     if (message.get("servers") instanceof List<?> all && all.size() > servers.size()) {
-      throw new IOException("a list of backends with what is none");
+      throw new IOException("list of backends contains an item that is not an object");
     }
     List<BackendEntry> entries = new ArrayList<>();
     Map<Long, SocketAddress> places = new HashMap<>();
@@ -73,11 +73,11 @@
       if (address != null) {
         places.put(entry.id(), address);
       } else if (entry.phase() == Phase.SERVING) {
-        throw new IOException("a backend without an address: " + s.get("id"));
+        throw new IOException("backend without an address: " + s.get("id"));
       }
       entries.add(entry);
     }
-    return new RosterNews(
+    return new BackendListUpdate(
         (long) JsonFields.number(message, "version"),
         Boolean.TRUE.equals(message.get("full")),
         entries,
@@ -87,7 +87,7 @@
   private static BackendEntry entry(Map<String, Object> fields) throws IOException {
     String id = JsonFields.text(fields, "id");
     if (id.isEmpty()) {
-      throw new IOException("a backend without an id");
+      throw new IOException("backend without an id");
     }
     Phase phase =
         switch (JsonFields.text(fields, "state")) {
@@ -97,10 +97,10 @@
         };
     double weight = amount(fields, "weight", 1);
     if (weight < 0) {
-      throw new IOException("a backend with a weight below nothing: " + id);
+      throw new IOException("backend with a negative weight: " + id);
     }
     return new BackendEntry(
-        number(id),
+        hashId(id),
         JsonFields.text(fields, "zone"),
         (int) amount(fields, "cell", 0),
         phase,
@@ -110,18 +110,19 @@
 
   private static double amount(Map<String, Object> fields, String name, double absent)
       throws IOException {
-    Object told = fields.get(name);
+    Object value = fields.get(name);
     double amount = JsonFields.number(fields, name, absent);
-    if (told != null && !(told instanceof Number) || !Double.isFinite(amount)) {
-      throw new IOException("a backend with a " + name + " of " + told);
+    if (value != null && !(value instanceof Number) || !Double.isFinite(amount)) {
+      throw new IOException("backend with an invalid " + name + ": " + value);
     }
     return amount;
   }
 
   /**
-   * A backend's name as the number that the module knows it by: FNV-1a, alike at every front door.
+   * Maps a backend's name to the number that the policy module uses: FNV-1a, the same at every
+   * gateway process.
    */
-  public static long number(String id) {
+  public static long hashId(String id) {
     long hash = 0xcbf29ce484222325L;
     for (byte b : id.getBytes(StandardCharsets.UTF_8)) {
       hash = (hash ^ b & 0xff) * 0x100000001b3L;
--- a/front/src/main/java/willowdoor/front/discovery/ListScanner.java
+++ b/front/src/main/java/willowdoor/front/discovery/JsonObjectScanner.java
@@ -5,24 +5,25 @@
 import java.util.List;
 
 /**
- * Cuts what a watch brings into whole JSON objects, however they are laid out over lines and over
- * reads. What stands between them is white space: the empty lines that show that the watch lives.
+ * Splits the bytes of a watch into complete JSON objects, regardless of how the objects are spread
+ * over lines and reads. Only white space is allowed between objects: the agent sends empty lines as
+ * heartbeats.
  */
-final class ListScanner {
+final class JsonObjectScanner {
 
-  private static final int MOST_BYTES = 4 << 20;
+  private static final int MAX_OBJECT_BYTES = 4 << 20;
 
   private ByteArrayOutputStream object = new ByteArrayOutputStream();
   private int depth;
   private boolean inString;
   private boolean escaped;
-  private boolean junk;
+  private boolean malformed;
 
-  /** The objects that end with these bytes, in order. */
+  /** Returns the objects that are completed by these bytes, in order. */
   List<byte[]> read(byte[] bytes) {
     List<byte[]> whole = new ArrayList<>(1);
     int from = 0;
-    for (int i = 0; i < bytes.length && !junk; i++) {
+    for (int i = 0; i < bytes.length && !malformed; i++) {
       boolean between = depth == 0;
       step(bytes[i]);
       if (between) {
@@ -35,7 +36,7 @@
     }
     if (depth > 0) {
       object.write(bytes, from, bytes.length - from);
-      junk |= object.size() > MOST_BYTES;
+      malformed |= object.size() > MAX_OBJECT_BYTES;
     }
     return whole;
   }
@@ -51,20 +52,20 @@
     } else if (depth > 0) {
       inString = b == '"';
     } else {
-      junk = b != '\n' && b != '\r' && b != ' ' && b != '\t';
+      malformed = b != '\n' && b != '\r' && b != ' ' && b != '\t';
     }
   }
 
-  /** Whether an object has begun and not ended. */
-  boolean inside() {
+  /** Whether an object has started and is not complete. */
+  boolean insideObject() {
     return depth > 0;
   }
 
   /**
-   * Whether something came that is neither an object nor white space, or an object beyond all
-   * bounds.
+   * Whether the input contained something other than objects and white space, or an object that
+   * exceeds the size limit.
    */
-  boolean junk() {
-    return junk;
+  boolean malformed() {
+    return malformed;
   }
 }
--- a/front/src/main/java/willowdoor/front/operators/Management.java
+++ b/front/src/main/java/willowdoor/front/operators/Management.java
@@ -42,39 +42,50 @@
 import willowdoor.wire.JsonFields;
 
 /**
- * The operators' address: one call a connection. It has an event loop of its own, so that calls are
- * answered in time whatever the clients' side does. All on that loop's thread.
+ * The management address for operators, with one call per connection. It has an event loop of its
+ * own, so that calls are answered in time regardless of the load of client requests. All code runs
+ * on that loop's thread.
  */
 public final class Management {
 
-  /** Of its descriptors the rest is for one that is about to be turned away, and its own. */
-  private static final int MOST_CALLERS = Descriptors.OPERATORS - 6;
+  /**
+   * Maximum concurrent callers. The remaining descriptors of the management address are for a
+   * connection about to be rejected, and for its own listener and event loop.
+   */
+  private static final int MAX_CONNECTIONS = Descriptors.OPERATORS - 6;
 
   /**
-   * A caller without a whole call loses its connection after this, or sooner where room is needed.
+   * A connection without a complete call is closed after this time, or sooner when its capacity is
+   * needed.
    */
-  private static final long CALL_MS = 4_500;
+  private static final long REQUEST_TIMEOUT_MS = 4_500;
 
-  /** An answer is due within 1 s. */
-  private static final long ANSWER_MS = 850;
+  /** Callers expect a response within 1 s. */
+  private static final long CHANGE_TIMEOUT_MS = 850;
 
-  private static final int MOST_LINE = 1_024;
-  private static final int MOST_HEADERS = 4_096;
-  private static final int MOST_BODY = 4_096;
+  private static final int MAX_LINE_BYTES = 1_024;
+  private static final int MAX_HEADER_BYTES = 4_096;
+  private static final int MAX_BODY_BYTES = 4_096;
 
   private static final JsonFactory JSON =
       JsonFactory.builder().enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION).build();
   private static final Logger LOG = Logger.getLogger(Management.class.getName());
 
-  /** What operators may ask of the front door; a change ends once it is in force. */
+  /**
+   * The operations that operators can call. The future of a change completes once the change is in
+   * force.
+   */
   public interface Operator {
     /** Whether this process is ready to serve. */
     boolean ready();
 
     Future<Boolean> drain(boolean on);
 
-    /** Takes a template server out or puts it back; false where it is not known. */
-    Future<Boolean> ban(String host, boolean out);
+    /**
+     * Excludes a template server or includes it again. The result is false if the server is
+     * unknown.
+     */
+    Future<Boolean> setExcluded(String host, boolean out);
   }
 
   private final EventLoopGroup group =
@@ -82,9 +93,7 @@
   private final EventLoop loop = group.next();
   private final Operator operator;
 
-  /**
-   * Those without a whole call, the first to come ahead, and how many connections there are in all.
-   */
+  /** Connections without a complete call, oldest first, and the number of all connections. */
   private final LinkedHashSet<Caller> incomplete = new LinkedHashSet<>();
 
   private int callers;
@@ -110,8 +119,8 @@
                       channel
                           .pipeline()
                           .addLast(
-                              new HttpServerCodec(MOST_LINE, MOST_HEADERS, MOST_BODY),
-                              new HttpObjectAggregator(MOST_BODY),
+                              new HttpServerCodec(MAX_LINE_BYTES, MAX_HEADER_BYTES, MAX_BODY_BYTES),
+                              new HttpObjectAggregator(MAX_BODY_BYTES),
                               management.new Caller());
                     }
                   })
@@ -136,20 +145,18 @@
     group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
   }
 
-  /** One connection and its one call. */
+  /** One connection and its single call. */
   private final class Caller extends SimpleChannelInboundHandler<FullHttpRequest> {
 
     private Channel channel;
     private boolean answered;
 
-    /**
-     * Callers that never finish their call give way to those that come, the first to come first.
-     */
+    /** Closes the oldest connection without a complete call when there are too many connections. */
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
       channel = ctx.channel();
       callers++;
-      if (callers > MOST_CALLERS) {
+      if (callers > MAX_CONNECTIONS) {
         Caller oldest = incomplete.isEmpty() ? this : incomplete.iterator().next();
         oldest.channel.close();
       }
@@ -157,8 +164,8 @@
         incomplete.add(this);
         Future<?> limit =
             loop.schedule(
-                () -> incomplete(HttpResponseStatus.REQUEST_TIMEOUT),
-                CALL_MS,
+                () -> onIncomplete(HttpResponseStatus.REQUEST_TIMEOUT),
+                REQUEST_TIMEOUT_MS,
                 TimeUnit.MILLISECONDS);
         channel.closeFuture().addListener(f -> limit.cancel(false));
       }
@@ -172,7 +179,7 @@
       ctx.fireChannelInactive();
     }
 
-    private void incomplete(HttpResponseStatus status) {
+    private void onIncomplete(HttpResponseStatus status) {
       if (incomplete.contains(this)) {
         answer(status, status.reasonPhrase());
       }
@@ -189,7 +196,7 @@
       }
       switch (call.uri()) {
         case "/api/ready" -> {
-          if (uses(HttpMethod.GET, call)) {
+          if (checkMethod(HttpMethod.GET, call)) {
             boolean ready = operator.ready();
             answer(
                 ready ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
@@ -197,21 +204,23 @@
           }
         }
         case "/api/evacuate", "/api/rejoin" -> {
-          if (uses(HttpMethod.PUT, call)) {
-            changed(call.uri(), operator.drain(call.uri().equals("/api/evacuate")));
+          if (checkMethod(HttpMethod.PUT, call)) {
+            answerChange(call.uri(), operator.drain(call.uri().equals("/api/evacuate")));
           }
         }
         case "/api/exclude", "/api/include" -> {
-          String host = uses(HttpMethod.PUT, call) ? host(call) : null;
+          String host = checkMethod(HttpMethod.PUT, call) ? host(call) : null;
           if (host != null) {
-            changed(call.uri() + ' ' + host, operator.ban(host, call.uri().equals("/api/exclude")));
+            answerChange(
+                call.uri() + ' ' + host,
+                operator.setExcluded(host, call.uri().equals("/api/exclude")));
           }
         }
         default -> answer(HttpResponseStatus.NOT_FOUND, "no such call");
       }
     }
 
-    private boolean uses(HttpMethod method, FullHttpRequest call) {
+    private boolean checkMethod(HttpMethod method, FullHttpRequest call) {
       boolean uses = call.method().equals(method);
       if (!uses) {
         answer(HttpResponseStatus.METHOD_NOT_ALLOWED, "use " + method);
@@ -220,7 +229,8 @@
     }
 
     /**
-     * The template server that the call names; anything but {@code {"host":"ID"}} is answered here.
+     * Returns the template server that the call names. A body other than {@code {"host":"ID"}} is
+     * answered with an error here, and null is returned.
      */
     private String host(FullHttpRequest call) {
       try (JsonParser in =
@@ -234,17 +244,17 @@
           return host;
         }
       } catch (IOException e) {
-        // Falls through to the one message for all that is not the object.
+        // Falls through to the common error response for an invalid body.
       }
       answer(HttpResponseStatus.BAD_REQUEST, "expected {\"host\":\"ID\"}");
       return null;
     }
 
-    /** Answers a change once it is in force, or in time that it is not yet. */
-    private void changed(String name, Future<Boolean> change) {
+    /** Responds once a change is in force, or reports in time that it is not in force yet. */
+    private void answerChange(String name, Future<Boolean> change) {
       loop.schedule(
           () -> answer(HttpResponseStatus.SERVICE_UNAVAILABLE, "not in force yet: call again"),
-          ANSWER_MS,
+          CHANGE_TIMEOUT_MS,
           TimeUnit.MILLISECONDS);
       change.addListener(
           f ->
@@ -255,7 +265,7 @@
                     } else if (f.isSuccess()) {
                       answer(HttpResponseStatus.OK, "done");
                     } else {
-                      LOG.log(Level.SEVERE, "could not do " + name, f.cause());
+                      LOG.log(Level.SEVERE, "management call failed: " + name, f.cause());
                       answer(HttpResponseStatus.INTERNAL_SERVER_ERROR, "failed: see the log");
                     }
                   }));
--- a/front/src/main/java/willowdoor/front/servers/BackendPool.java
+++ b/front/src/main/java/willowdoor/front/servers/BackendPool.java
@@ -17,9 +17,9 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongPredicate;
-import willowdoor.front.discovery.RosterNews;
+import willowdoor.front.discovery.BackendListUpdate;
 import willowdoor.front.loop.Clock;
-import willowdoor.front.loop.Tally;
+import willowdoor.front.loop.EventCounters;
 import willowdoor.front.loop.Transport;
 import willowdoor.front.requests.Attempt;
 import willowdoor.front.requests.PolicyDriver;
@@ -28,148 +28,154 @@
 import willowdoor.policy.GatewayApi.Status;
 
 /**
- * The connections to the backends, and the attempts on them. It picks no backend and repeats
- * nothing.
+ * Holds the connections to the backends and starts attempts on them. The pool neither selects
+ * backends nor retries attempts.
  */
 public final class BackendPool implements PolicyDriver.Backends {
 
   /**
-   * An idle connection is retired at this share of the backends' own limit, well before they close
-   * it.
+   * An idle connection is closed at this share of the backends' idle timeout, well before the
+   * backends close it.
    */
-  private static final double RETIRE_AT = 0.6;
+  private static final double RETIRE_SHARE = 0.6;
 
   private static final long SWEEP_MS = 500;
 
   /**
-   * A connect that is told so long after its limit waited for this process: the list may be a new
-   * one.
+   * A connect that completes this long after its timeout was delayed by this process. The backend
+   * list may have changed meanwhile.
    */
   private static final double CONNECT_SLACK_MS = 50;
 
   /**
-   * A connection rests so long behind an answer before it carries another request, in milliseconds:
-   * nothing in the protocol ties an answer to its request, and a second one may come some
+   * The minimum idle time of a connection between a response and the next request, in milliseconds.
+   * The protocol does not tie a response to its request, and a duplicate response may arrive some
    * milliseconds late.
    */
-  static final double REST_MS = 20;
+  static final double REUSE_DELAY_MS = 20;
 
   /**
-   * What comes unasked on a connection that rested longer is no late answer, but word of its
-   * closing.
+   * Unsolicited data on a connection idle for longer than this is not a late response but a notice
+   * that the backend closes the connection.
    */
-  private static final double LATE_MS = 200;
+  private static final double MAX_LATE_RESPONSE_MS = 200;
 
-  /** One backend's place and connections. */
+  /** The address and connections of one backend. */
   static final class Backend {
     private final long id;
-    private SocketAddress place;
+    private SocketAddress address;
     private double startedMs;
 
     /**
-     * Goes up whenever what is open ends its use: a connection of an earlier one carries nothing
-     * new.
+     * Incremented whenever the open connections must not be used any more: a connection of an
+     * earlier generation carries no new request.
      */
     private int generation;
 
-    /** Twice as long as anything of it was late, if that was seen. */
-    private double restMs;
+    /**
+     * The minimum idle time before reuse: raised to twice the longest delay seen of a late
+     * response.
+     */
+    private double reuseDelayMs;
 
-    /** The last one in was used last, and is used next: the others grow old and are retired. */
+    /**
+     * Used as a stack: the connection used last is used next, so the other connections age and are
+     * closed.
+     */
     private final ArrayDeque<BackendConnection> idle = new ArrayDeque<>();
 
     private final Set<Attempt> connecting = new HashSet<>();
 
-    Backend(long id, double restMs) {
+    Backend(long id, double reuseDelayMs) {
       this.id = id;
-      this.restMs = restMs;
+      this.reuseDelayMs = reuseDelayMs;
     }
   }
 
   private final Clock clock;
   private final Bootstrap bootstrap;
 
-  /** Within a process nothing is late. */
-  private final double restMs;
+  /** Zero for in-process channels, where no response arrives late. */
+  private final double reuseDelayMs;
 
   private final double connectLimitMs;
   private final double idleLimitMs;
   private final Map<Long, Backend> backends = new HashMap<>();
-  private final Tally tally;
+  private final EventCounters counters;
 
   /**
-   * All connections to backends, idle ones too: their part of the descriptors that the process may
-   * hold.
+   * The limit of connections to backends, including idle ones: the pool's share of the process's
+   * file descriptors.
    */
-  private final int most;
+  private final int maxConnections;
 
   private int connections;
 
-  /** The module's word on backends that get nothing new. */
-  private final LongPredicate banned;
+  /** The policy module's decision which backends receive no new requests. */
+  private final LongPredicate excluded;
 
   public BackendPool(
       EventLoop loop,
       Transport transport,
       Clock clock,
-      Tally tally,
-      LongPredicate banned,
-      int most,
+      EventCounters counters,
+      LongPredicate excluded,
+      int maxConnections,
       double connectLimitMs,
       double idleLimitMs) {
     this.clock = clock;
-    this.tally = tally;
-    this.banned = banned;
-    this.most = most;
-    restMs = transport.tcp() ? REST_MS : 0;
+    this.counters = counters;
+    this.excluded = excluded;
+    this.maxConnections = maxConnections;
+    reuseDelayMs = transport.tcp() ? REUSE_DELAY_MS : 0;
     this.connectLimitMs = connectLimitMs;
-    this.idleLimitMs = idleLimitMs * RETIRE_AT;
+    this.idleLimitMs = idleLimitMs * RETIRE_SHARE;
     bootstrap =
         transport
             .client(loop)
-            .option(ChannelOption.WRITE_BUFFER_WATER_MARK, Transport.QUEUE)
-            .option(ChannelOption.RECVBUF_ALLOCATOR, Transport.piece());
+            .option(ChannelOption.WRITE_BUFFER_WATER_MARK, Transport.WRITE_BUFFER_LIMITS)
+            .option(ChannelOption.RECVBUF_ALLOCATOR, Transport.readBufferAllocator());
     loop.scheduleWithFixedDelay(this::retireIdle, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
   }
 
   /**
-   * Takes the places that discovery tells; backends that drain or are gone lose their unused
-   * connections.
+   * Applies the backend addresses from discovery. Backends that are draining or removed lose their
+   * unused connections.
    */
   @Override
-  public void onRoster(RosterNews news) {
-    Set<Long> named = new HashSet<>();
-    for (BackendEntry e : news.entries()) {
-      named.add(e.id());
+  public void onRoster(BackendListUpdate update) {
+    Set<Long> listed = new HashSet<>();
+    for (BackendEntry e : update.entries()) {
+      listed.add(e.id());
       if (e.phase() != Phase.SERVING) {
         remove(e.id());
         continue;
       }
-      Backend b = backends.computeIfAbsent(e.id(), id -> new Backend(id, restMs));
-      SocketAddress place = news.places().get(e.id());
-      if (!place.equals(b.place) || b.startedMs != e.startedMs()) {
-        b.place = place;
+      Backend b = backends.computeIfAbsent(e.id(), id -> new Backend(id, reuseDelayMs));
+      SocketAddress address = update.addresses().get(e.id());
+      if (!address.equals(b.address) || b.startedMs != e.startedMs()) {
+        b.address = address;
         b.startedMs = e.startedMs();
         cancelUnsent(e.id());
       }
     }
-    if (news.full()) {
+    if (update.full()) {
       List.copyOf(backends.keySet()).stream()
-          .filter(id -> !named.contains(id))
+          .filter(id -> !listed.contains(id))
           .forEach(this::remove);
     }
   }
 
   /**
-   * Guards the rule on drains: an attempt that still waits for its connection is not written any
-   * more.
+   * Removes a backend. Enforces the drain rule: an attempt that is still waiting for its connection
+   * is not written any more.
    */
   private void remove(long id) {
     cancelUnsent(id);
     backends.remove(id);
   }
 
-  /** Ends all that has not reached the backend yet; what is under way goes on. */
+  /** Ends all attempts that have not reached the backend yet. Attempts already written continue. */
   @Override
   public void cancelUnsent(long id) {
     Backend b = backends.get(id);
@@ -180,12 +186,12 @@
     }
   }
 
-  /** Open and opening connections, idle ones too. */
+  /** The number of open and opening connections, including idle ones. */
   public int connections() {
     return connections;
   }
 
-  public boolean knowsAny() {
+  public boolean hasBackends() {
     return !backends.isEmpty();
   }
 
@@ -193,29 +199,29 @@
   @Override
   public void start(long id, Attempt attempt) {
     Backend b = backends.get(id);
-    if (b == null || banned.test(id) || tooLate(attempt)) {
+    if (b == null || excluded.test(id) || tooLate(attempt)) {
       attempt.end(Status.UNREACHABLE, null, null);
       return;
     }
-    BackendConnection c = idle(b);
+    BackendConnection c = takeIdle(b);
     if (c != null) {
-      c.carry(attempt);
-    } else if (connections >= most && !dropIdle()) {
-      tally.count(Tally.Event.BACKENDS_FULL);
+      c.send(attempt);
+    } else if (connections >= maxConnections && !closeOneIdle()) {
+      counters.count(EventCounters.Event.BACKENDS_FULL);
       attempt.end(Status.UNREACHABLE, null, null);
     } else {
       connect(b, attempt);
     }
   }
 
-  /** What is left of an attempt's time. */
+  /** The remaining time of an attempt. */
   double leftMs(Attempt attempt) {
     return Math.max(0, attempt.deadlineMs() - clock.now());
   }
 
   /**
-   * Whether it must not be written any more; one whose end has still to come from its client can be
-   * late.
+   * Whether the attempt must not be written any more. An attempt with a write deadline is also too
+   * late while its client has still to send the rest of the body.
    */
   private boolean tooLate(Attempt attempt) {
     boolean bound = attempt.writeDeadlineMs() < Double.POSITIVE_INFINITY;
@@ -225,16 +231,16 @@
   }
 
   /**
-   * Of those that have rested the one used last, unless the backend may be closing it after so
-   * long.
+   * Takes the most recently used connection that was idle for the minimum time, unless the
+   * connection was idle so long that the backend may be closing it.
    */
-  private BackendConnection idle(Backend b) {
+  private BackendConnection takeIdle(Backend b) {
     double now = clock.now();
     for (Iterator<BackendConnection> all = b.idle.descendingIterator(); all.hasNext(); ) {
       BackendConnection c = all.next();
-      if (now - c.idleSince >= b.restMs) {
+      if (now - c.idleSince >= b.reuseDelayMs) {
         all.remove();
-        if (now - c.idleSince <= idleLimitMs && c.usable() && c.silent()) {
+        if (now - c.idleSince <= idleLimitMs && c.usable() && c.nothingToRead()) {
           return c;
         }
         c.close();
@@ -243,20 +249,20 @@
     return null;
   }
 
-  /** Something came on it that nobody asked for. */
-  void unasked(BackendConnection c) {
+  /** Handles unsolicited data on a connection. */
+  void onUnsolicitedData(BackendConnection c) {
     double late = clock.now() - c.idleSince;
-    if (c.backend.idle.remove(c) && late <= LATE_MS) {
-      c.backend.restMs = Math.max(c.backend.restMs, 2 * late);
+    if (c.backend.idle.remove(c) && late <= MAX_LATE_RESPONSE_MS) {
+      c.backend.reuseDelayMs = Math.max(c.backend.reuseDelayMs, 2 * late);
     }
   }
 
   private void connect(Backend b, Attempt attempt) {
     b.connecting.add(attempt);
-    BackendConnection c = new BackendConnection(this, b, b.generation, tally);
+    BackendConnection c = new BackendConnection(this, b, b.generation, counters);
     double left = Math.min(leftMs(attempt), attempt.writeDeadlineMs() - clock.now());
     int limit = (int) Math.ceil(Math.min(connectLimitMs, Math.max(1, left)));
-    double upBy = clock.now() + limit + CONNECT_SLACK_MS;
+    double connectDeadline = clock.now() + limit + CONNECT_SLACK_MS;
     Bootstrap limited = bootstrap.clone().option(ChannelOption.CONNECT_TIMEOUT_MILLIS, limit);
     ChannelFuture connected =
         limited
@@ -269,20 +275,22 @@
                     channel.pipeline().addLast(c.decoder(), new HttpRequestEncoder(), c);
                   }
                 })
-            .connect(b.place);
+            .connect(b.address);
     attempt.connectingChannel(connected.channel());
     Transport.whenConnected(
         connected,
         f -> {
           b.connecting.remove(attempt);
-          // Guards against writing what has timed out, was cancelled or must not reach a drained
-          // backend, also
-          // one of whose drain the loop has still to read behind a pause.
-          if (attempt.ended() || banned.test(b.id) || tooLate(attempt) || clock.now() > upBy) {
+          // Do not write an attempt that has timed out, was cancelled or must not reach a drained
+          // backend. This includes a backend whose drain the loop has not read yet after a pause.
+          if (attempt.ended()
+              || excluded.test(b.id)
+              || tooLate(attempt)
+              || clock.now() > connectDeadline) {
             f.channel().close();
             attempt.end(Status.UNREACHABLE, null, null);
           } else if (f.isSuccess()) {
-            c.carry(attempt);
+            c.send(attempt);
           } else {
             attempt.end(Status.UNREACHABLE, null, null);
           }
@@ -291,7 +299,7 @@
 
   void release(BackendConnection c) {
     Backend b = c.backend;
-    if (backends.get(b.id) == b && c.generation == b.generation && !banned.test(b.id)) {
+    if (backends.get(b.id) == b && c.generation == b.generation && !excluded.test(b.id)) {
       c.idleSince = clock.now();
       b.idle.addLast(c);
     } else {
@@ -299,7 +307,7 @@
     }
   }
 
-  void closed(BackendConnection c) {
+  void onClosed(BackendConnection c) {
     c.backend.idle.remove(c);
   }
 
@@ -312,7 +320,7 @@
     }
   }
 
-  private boolean dropIdle() {
+  private boolean closeOneIdle() {
     for (Backend b : backends.values()) {
       BackendConnection c = b.idle.pollFirst();
       if (c != null) {
--- a/front/src/test/java/willowdoor/front/requests/RequestDeadlineTest.java
+++ b/front/src/test/java/willowdoor/front/requests/RequestDeadlineTest.java
@@ -29,9 +29,9 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import willowdoor.front.Peers;
-import willowdoor.front.discovery.RosterNews;
+import willowdoor.front.discovery.BackendListUpdate;
 import willowdoor.front.loop.Clock;
-import willowdoor.front.loop.Tally;
+import willowdoor.front.loop.EventCounters;
 import willowdoor.policy.GatewayApi.CounterResult;
 import willowdoor.policy.GatewayApi.Status;
 import willowdoor.policy.QuotaPolicy;
@@ -61,7 +61,7 @@
   private final List<Attempt> started = new ArrayList<>();
   private Consumer<Attempt> server = a -> {};
   private boolean counterAnswers = true;
-  private final Tally tally = new Tally();
+  private final EventCounters tally = new EventCounters();
   private QuotaPolicy policy;
   private PolicyDriver driver;
 
@@ -123,7 +123,7 @@
 
   private final class RecordingBackends implements PolicyDriver.Backends {
     @Override
-    public void onRoster(RosterNews news) {
+    public void onRoster(BackendListUpdate news) {
       List.copyOf(started).forEach(a -> a.abandon(Status.UNREACHABLE));
     }
 
@@ -159,7 +159,7 @@
                           + "\"Value\":5},"));
       policy = new QuotaPolicy(WireSettings.read(JsonFields.child(config, "settings")), 7);
       driver = new PolicyDriver(channel.eventLoop(), clock, policy, new RecordingBackends(), tally);
-      driver.start(this::count, RosterNews.of(JsonFields.child(config, "known")));
+      driver.start(this::count, BackendListUpdate.of(JsonFields.child(config, "known")));
     }
   }
 
@@ -278,8 +278,8 @@
       submit("r" + age + started.size(), "quote", 1_000, age);
       channel.runPendingTasks();
     }
-    assertEquals("now began_with_75%=2 began_with_50%=1 began_with_25%=2", tally.line("now"));
-    assertEquals("then", tally.line("then"));
+    assertEquals("now began_with_75%=2 began_with_50%=1 began_with_25%=2", tally.formatLine("now"));
+    assertEquals("then", tally.formatLine("then"));
   }
 
   /** The time of a request whose body exceeds the kept prefix begins when the last byte arrives. */
@@ -387,7 +387,7 @@
     RecordingClient client = submit("r1", "quote", 2_000, 0);
     channel.runPendingTasks();
     String news = Peers.list(8, true, Peers.entry("s-9", 7009, "leaving"));
-    driver.onRoster(RosterNews.parse(news.getBytes(StandardCharsets.UTF_8), clock.now()));
+    driver.onRoster(BackendListUpdate.parse(news.getBytes(StandardCharsets.UTF_8), clock.now()));
     assertEquals(1, started.size());
     advance(2_000);
     assertEquals(1, started.size());
--- a/front/src/test/java/willowdoor/front/servers/MovedServerTest.java
+++ b/front/src/test/java/willowdoor/front/servers/MovedServerTest.java
@@ -11,14 +11,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import willowdoor.front.Peers;
-import willowdoor.front.discovery.RosterNews;
+import willowdoor.front.discovery.BackendListUpdate;
 import willowdoor.policy.GatewayApi.Status;
 
-/** The list says something new of a server while a connection to it is busy or coming up. */
+/**
+ * Discovery changes a server's entry while a connection to the server is busy, idle or being
+ * opened. Such a connection must not carry a new request.
+ */
 @Timeout(value = 40, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class MovedServerTest {
 
-  private enum News {
+  private enum ListChange {
     MOVED,
     STARTED_ANEW,
     GONE_AND_BACK,
@@ -44,84 +47,84 @@
     peers.close();
   }
 
-  /** The messages that tell it, one after another. */
-  private RosterNews[] told(News news) throws IOException {
+  /** Returns the messages that report the change, in order. */
+  private BackendListUpdate[] updates(ListChange news) throws IOException {
     String entry = PoolPeers.entry(before, "active");
     switch (news) {
       case MOVED -> {
         after = peers.listen(50, 0);
-        return new RosterNews[] {peers.news(false, PoolPeers.entry(after, "active"))};
+        return new BackendListUpdate[] {peers.news(false, PoolPeers.entry(after, "active"))};
       }
       case STARTED_ANEW -> {
-        return new RosterNews[] {
+        return new BackendListUpdate[] {
           peers.news(false, entry.replace("started_ms\":0", "started_ms\":5"))
         };
       }
       case DRAINED_AND_BACK -> {
-        return new RosterNews[] {
+        return new BackendListUpdate[] {
           peers.news(false, PoolPeers.entry(before, "leaving")), peers.news(false, entry)
         };
       }
       default -> {
-        return new RosterNews[] {
+        return new BackendListUpdate[] {
           peers.news(true, entry.replace("s-1", "s-2")), peers.news(true, entry)
         };
       }
     }
   }
 
-  /** Tells it, on the loop. */
-  private void tell(News news, RosterNews... messages) {
-    if (news == News.TAKEN_OUT_AND_BACK) {
+  /** Applies the change; runs on the loop. */
+  private void tell(ListChange news, BackendListUpdate... messages) {
+    if (news == ListChange.TAKEN_OUT_AND_BACK) {
       peers.banned.add(id);
       peers.pool.cancelUnsent(id);
       peers.banned.remove(id);
     } else {
-      for (RosterNews message : messages) {
+      for (BackendListUpdate message : messages) {
         peers.pool.onRoster(message);
       }
     }
   }
 
-  /** What was under way goes on, and its connection carries nothing after that. */
+  /** The current request continues, and its connection carries nothing afterwards. */
   @ParameterizedTest
   @EnumSource
-  void aConnectionThatWasBusyMeanwhileCarriesNothingMore(News news) throws Exception {
+  void connectionBusyDuringTheChangeIsNotReused(ListChange news) throws Exception {
     oneRequestOnly(news, true);
   }
 
   @ParameterizedTest
   @EnumSource
-  void aConnectionThatWasIdleMeanwhileCarriesNothingMore(News news) throws Exception {
+  void connectionIdleDuringTheChangeIsNotReused(ListChange news) throws Exception {
     oneRequestOnly(news, false);
   }
 
-  private void oneRequestOnly(News news, boolean busy) throws Exception {
-    NotedAttempt first = peers.start(id, peers.attempt());
+  private void oneRequestOnly(ListChange news, boolean busy) throws Exception {
+    RecordingAttempt first = peers.start(id, peers.attempt());
     Socket old = peers.accept(before);
     PoolPeers.read(old);
     if (!busy) {
       PoolPeers.write(old, PoolPeers.OK);
       assertEquals("OK fine", Peers.next(first.ends));
     }
-    RosterNews[] messages = told(news);
+    BackendListUpdate[] messages = updates(news);
     peers.run(() -> tell(news, messages));
     if (busy) {
       PoolPeers.write(old, PoolPeers.OK);
       assertEquals("OK fine", Peers.next(first.ends));
     }
     peers.pass(1_000);
-    NotedAttempt next = peers.start(id, peers.attempt());
+    RecordingAttempt next = peers.start(id, peers.attempt());
     assertEquals("OK fine", PoolPeers.serve(peers.accept(after), next));
     assertEquals(0, PoolPeers.drain(old));
   }
 
-  /** The kernel has connected, and the news is read before the loop has its word. */
+  /** The kernel has connected, and the update is applied before the loop receives the result. */
   @ParameterizedTest
   @EnumSource
-  void aConnectionThatWasComingUpMeanwhileCarriesNothing(News news) throws Exception {
-    RosterNews[] messages = told(news);
-    NotedAttempt attempt = peers.attempt();
+  void connectionOpeningDuringTheChangeIsNotUsed(ListChange news) throws Exception {
+    BackendListUpdate[] messages = updates(news);
+    RecordingAttempt attempt = peers.attempt();
     peers.run(
         () -> {
           peers.pool.start(id, attempt);
