--- a/front/src/main/java/willowdoor/front/clients/ClientConnection.java
+++ b/front/src/main/java/willowdoor/front/clients/ClientConnection.java
@@ -13,8 +13,8 @@
 import io.netty.handler.timeout.IdleStateEvent;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import willowdoor.front.loop.PollTimes;
 import willowdoor.front.loop.EventCounters;
+import willowdoor.front.loop.PollTimes;
 
 /**
  * One client's connection. It handles one request at a time, and each gets exactly one final
--- a/front/src/main/java/willowdoor/front/servers/BackendConnection.java
+++ b/front/src/main/java/willowdoor/front/servers/BackendConnection.java
@@ -129,7 +129,9 @@
    */
   @Override
   public void abort() {
-    if (lastAttempt != null && lastAttempt.written() && !lastAttempt.message().fitsInitialWindow()) {
+    if (lastAttempt != null
+        && lastAttempt.written()
+        && !lastAttempt.message().fitsInitialWindow()) {
       try {
         channel.config().setOption(ChannelOption.SO_LINGER, 0);
       } catch (ChannelException e) {
--- a/front/src/test/java/willowdoor/front/clients/ClientDrainTest.java
+++ b/front/src/test/java/willowdoor/front/clients/ClientDrainTest.java
@@ -23,7 +23,8 @@
   private long nanos;
   private final Clock clock = new Clock(Instant.EPOCH, () -> nanos);
   private final ClientServer server =
-      new ClientServer(Transport.IN_PROCESS, clock, new PollTimes(0), null, null, null, null, () -> true);
+      new ClientServer(
+          Transport.IN_PROCESS, clock, new PollTimes(0), null, null, null, null, () -> true);
 
   @BeforeEach
   void listen() throws Exception {
--- a/front/src/test/java/willowdoor/front/clients/DrainRaceTest.java
+++ b/front/src/test/java/willowdoor/front/clients/DrainRaceTest.java
@@ -34,9 +34,9 @@
 import org.junit.jupiter.api.Timeout;
 import willowdoor.front.loop.Clock;
 import willowdoor.front.loop.Descriptors;
-import willowdoor.front.loop.PollTimes;
-import willowdoor.front.loop.LoopGroup;
 import willowdoor.front.loop.EventCounters;
+import willowdoor.front.loop.LoopGroup;
+import willowdoor.front.loop.PollTimes;
 import willowdoor.front.loop.Transport;
 
 /**
@@ -74,7 +74,14 @@
     loop = group.next();
     server =
         new ClientServer(
-            transport, clock, polls, null, null, Descriptors.of(128), new EventCounters(), () -> true);
+            transport,
+            clock,
+            polls,
+            null,
+            null,
+            Descriptors.of(128),
+            new EventCounters(),
+            () -> true);
   }
 
   private Channel listen(Transport transport) throws Exception {
--- a/front/src/test/java/willowdoor/front/clients/ReadAheadTest.java
+++ b/front/src/test/java/willowdoor/front/clients/ReadAheadTest.java
@@ -26,8 +26,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import willowdoor.front.loop.Clock;
-import willowdoor.front.loop.PollTimes;
 import willowdoor.front.loop.LoopGroup;
+import willowdoor.front.loop.PollTimes;
 import willowdoor.front.loop.Transport;
 
 /**
