--- a/notices/src/main/java/willowdoor/notices/Assignment.java
+++ b/notices/src/main/java/willowdoor/notices/Assignment.java
@@ -15,18 +15,18 @@
   private final int self;
   private final Limits limits;
   private FleetView view = FleetView.none();
-  private Places places = new Places(view.members());
+  private SlowReaderPlacement placement = new SlowReaderPlacement(view.members());
   private long changedMs;
-  private double room;
-  private long roomMs;
+  private double moveTokens;
+  private long refilledMs;
 
   /** The highest count seen of each reader; whose is forgotten first came longest ago. */
-  private final Map<Long, Long> counts = new LinkedHashMap<>();
+  private final Map<Long, Long> highestCounts = new LinkedHashMap<>();
 
   Assignment(int self, Limits limits) {
     this.self = self;
     this.limits = limits;
-    this.room = limits.movesPerSecond() / 2.0;
+    this.moveTokens = limits.movesPerSecond() / 2.0;
   }
 
   /**
@@ -36,7 +36,7 @@
   void view(FleetView now, long nowMs) {
     if (!now.equals(view)) {
       changedMs = nowMs;
-      places = new Places(now.members());
+      placement = new SlowReaderPlacement(now.members());
     }
     view = now;
   }
@@ -46,17 +46,17 @@
   }
 
   /** Whether anybody may be moved now. */
-  boolean settled(long nowMs) {
-    return allowed() && nowMs - changedMs >= limits.settleMs();
+  boolean isSettled(long nowMs) {
+    return mayMoveReaders() && nowMs - changedMs >= limits.settleMs();
   }
 
   /** Whether this front door may move readers in such a view. */
-  boolean allowed() {
+  boolean mayMoveReaders() {
     return !view.cutOff() && view.member(self) != null;
   }
 
   /** Whether an order was decided under the view that holds here. */
-  boolean current(MoveOrder order) {
+  boolean matchesView(MoveOrder order) {
     return order.epoch() == view.epoch() && order.digest() == view.digest();
   }
 
@@ -64,37 +64,41 @@
    * Decides where a reader goes.
    *
    * @param pace the class it goes as; null: back home
-   * @param away whether this front door itself is the slow one, so that it must not be the target
+   * @param selfSlow whether this front door itself is slow and therefore must not be the target
    * @param count of the reader's orders so far
-   * @param restedMs since its last move
+   * @param sinceLastMoveMs time since the last move of the reader
    * @return the order; null where nobody may be moved now, or the reader stays
    */
   MoveOrder decide(
       long key,
       long customer,
       PaceClass pace,
-      boolean away,
+      boolean selfSlow,
       int home,
       long count,
-      long restedMs,
+      long sinceLastMoveMs,
       long nowMs) {
-    long rest = count == 0 ? 0 : limits.restMs() << Math.min(count - 1, MAX_DOUBLINGS);
-    if (!settled(nowMs) || restedMs < rest) {
+    long minIntervalMs =
+        count == 0 ? 0 : limits.moveIntervalMs() << Math.min(count - 1, MAX_DOUBLINGS);
+    if (!isSettled(nowMs) || sinceLastMoveMs < minIntervalMs) {
       return null;
     }
-    int target = away ? elsewhere(key) : pace == null ? home : places.of(customer, pace);
+    int target =
+        selfSlow ? otherMember(key) : pace == null ? home : placement.memberFor(customer, pace);
     if (target < 0 || target == self || view.member(target) == null) {
       return null;
     }
     return new MoveOrder(view.epoch(), view.digest(), count + 1, key, customer, target, home, pace);
   }
 
-  private int elsewhere(long key) {
+  private int otherMember(long key) {
     int best = -1;
     for (FleetView.Member member : view.members()) {
       if (member.number() != self
           && (best < 0
-              || Long.compareUnsigned(Places.score(member.number(), key), Places.score(best, key))
+              || Long.compareUnsigned(
+                      SlowReaderPlacement.score(member.number(), key),
+                      SlowReaderPlacement.score(best, key))
                   > 0)) {
         best = member.number();
       }
@@ -103,39 +107,40 @@
   }
 
   /** Whether this front door is where such readers go by the view. */
-  boolean here(long customer, PaceClass pace) {
-    return places.of(customer, pace) == self;
+  boolean isTargetHere(long customer, PaceClass pace) {
+    return placement.memberFor(customer, pace) == self;
   }
 
-  boolean isHere(int member) {
+  boolean isSelf(int member) {
     return member == self;
   }
 
   /** Whether an order that was decided a while ago still holds. */
-  boolean stands(MoveOrder order, long nowMs) {
-    return settled(nowMs) && current(order) && fresh(order);
+  boolean isValid(MoveOrder order, long nowMs) {
+    return isSettled(nowMs) && matchesView(order) && isNewest(order);
   }
 
   /** Whether a reader may be told its order now; takes from what may be moved in all. */
-  boolean tell(MoveOrder order, long nowMs) {
-    if (!stands(order, nowMs)) {
+  boolean tryIssue(MoveOrder order, long nowMs) {
+    if (!isValid(order, nowMs)) {
       return false;
     }
-    room =
+    moveTokens =
         Math.min(
-            limits.movesPerSecond() / 2.0, room + (nowMs - roomMs) * limits.movesPerSecond() / 1e3);
-    roomMs = nowMs;
-    if (room < 1) {
+            limits.movesPerSecond() / 2.0,
+            moveTokens + (nowMs - refilledMs) * limits.movesPerSecond() / 1e3);
+    refilledMs = nowMs;
+    if (moveTokens < 1) {
       return false;
     }
-    room--;
+    moveTokens--;
     remember(order);
     return true;
   }
 
   /** Whether a reader that comes with an order is taken in as one that was sent here. */
-  boolean arrive(MoveOrder order, long nowMs) {
-    if (order.target() != self || !stands(order, nowMs)) {
+  boolean accept(MoveOrder order, long nowMs) {
+    if (order.target() != self || !isValid(order, nowMs)) {
       return false;
     }
     remember(order);
@@ -143,15 +148,15 @@
   }
 
   /** Whether an order is newer than all that were seen of that reader. */
-  boolean fresh(MoveOrder order) {
-    return order.count() > counts.getOrDefault(order.key(), 0L);
+  boolean isNewest(MoveOrder order) {
+    return order.count() > highestCounts.getOrDefault(order.key(), 0L);
   }
 
   private void remember(MoveOrder order) {
-    counts.remove(order.key());
-    counts.put(order.key(), order.count());
-    if (counts.size() > REMEMBERED) {
-      counts.remove(counts.keySet().iterator().next());
+    highestCounts.remove(order.key());
+    highestCounts.put(order.key(), order.count());
+    if (highestCounts.size() > REMEMBERED) {
+      highestCounts.remove(highestCounts.keySet().iterator().next());
     }
   }
 }
--- a/notices/src/main/java/willowdoor/notices/Effect.java
+++ b/notices/src/main/java/willowdoor/notices/Effect.java
@@ -2,20 +2,20 @@
 
 /** What a front door's notices want done. */
 public sealed interface Effect {
-  /** Open a link to that front door; {@link NoticesDoor#linkUp} tells when it stands. */
+  /** Open a link to that front door; {@link NoticesService#linkUp} tells when it stands. */
   record Connect(int peer) implements Effect {}
 
   /** End the link to it. */
   record Disconnect(int peer) implements Effect {}
 
   /**
-   * {@link PeerMessage.Back} goes on the link that the peer opened, all else on the one opened to
+   * {@link PeerMessage.Reply} goes on the link that the peer opened, all else on the one opened to
    * it.
    */
   record Send(int peer, PeerMessage message) implements Effect {}
 
   /**
-   * Write to a reader; bytes shared with other readers. {@link NoticesDoor#taken} tells what its
+   * Write to a reader; bytes shared with other readers. {@link NoticesService#taken} tells what its
    * socket took.
    */
   record Write(long reader, byte[] bytes) implements Effect {}
--- a/notices/src/main/java/willowdoor/notices/Group.java
+++ b/notices/src/main/java/willowdoor/notices/Group.java
@@ -11,11 +11,11 @@
  * up all once the window is full.
  */
 final class Group {
-  private static final long HELD_MS = 500;
+  private static final long HELD_UP_MS = 500;
 
   private final Limits limits;
   private final ServerSentEvents events;
-  private final Ring<Reader.Piece> window = new Ring<>(0);
+  private final Ring<Reader.Chunk> window = new Ring<>(0);
   private final List<Reader> readers = new ArrayList<>();
   private long bytes;
 
@@ -23,15 +23,15 @@
   private long fullMs = -1;
 
   /** The next event of the front door's order to encode, and the position before it. */
-  private long order;
+  private long nextEvent;
 
-  private Position at;
+  private Position position;
 
-  Group(Limits limits, ServerSentEvents events, long order, Position at) {
+  Group(Limits limits, ServerSentEvents events, long nextEvent, Position position) {
     this.limits = limits;
     this.events = events;
-    this.order = order;
-    this.at = at;
+    this.nextEvent = nextEvent;
+    this.position = position;
   }
 
   List<Reader> readers() {
@@ -43,34 +43,34 @@
   }
 
   /** The next event of the front door's order that it has not in its window. */
-  long order() {
-    return order;
+  long nextEvent() {
+    return nextEvent;
   }
 
   /** Whether its window has been full for a while. */
   boolean heldUp(long nowMs) {
-    return fullMs >= 0 && nowMs - fullMs >= HELD_MS;
+    return fullMs >= 0 && nowMs - fullMs >= HELD_UP_MS;
   }
 
   /** Encodes what fits into the window. @return whether anything came in */
-  boolean fill(Retained retained, long nowMs) {
+  boolean fill(RetainedNotices retained, long nowMs) {
     long before = window.end();
     if (readers.isEmpty()) {
-      order = retained.end();
-      at = retained.seen();
+      nextEvent = retained.end();
+      position = retained.latestPosition();
       fullMs = -1;
       return false;
     }
-    if (order < retained.first() && bytes < limits.windowBytes()) {
-      skip(retained, nowMs);
+    if (nextEvent < retained.first() && bytes < limits.windowBytes()) {
+      reportEvicted(retained, nowMs);
     }
-    while (bytes < limits.windowBytes() && order < retained.end()) {
-      Entry entry = retained.get(order++);
-      at = entry.after();
+    while (bytes < limits.windowBytes() && nextEvent < retained.end()) {
+      Entry entry = retained.get(nextEvent++);
+      position = entry.after();
       add(
           entry.notice() != null
-              ? events.notice(entry.notice(), at)
-              : events.gap(entry.stream(), entry.from(), entry.to(), at),
+              ? events.notice(entry.notice(), position)
+              : events.gap(entry.stream(), entry.from(), entry.to(), position),
           nowMs);
     }
     fullMs = bytes < limits.windowBytes() ? -1 : fullMs < 0 ? nowMs : fullMs;
@@ -81,42 +81,43 @@
    * Tells what the front door had to let go of before the group came to it: one piece, since a
    * reader between two of them would be neither before nor after what is gone.
    */
-  private void skip(Retained retained, long nowMs) {
+  private void reportEvicted(RetainedNotices retained, long nowMs) {
     ByteArrayOutputStream gaps = new ByteArrayOutputStream();
-    for (Alone.Lack lack : Alone.lacks(at, retained)) {
-      at = at.with(lack.stream(), lack.to());
-      gaps.writeBytes(events.gap(lack.stream(), lack.from(), lack.to(), at));
+    for (IndividualDelivery.MissingRange range :
+        IndividualDelivery.missingRanges(position, retained)) {
+      position = position.with(range.stream(), range.to());
+      gaps.writeBytes(events.gap(range.stream(), range.from(), range.to(), position));
     }
-    order = retained.first();
+    nextEvent = retained.first();
     if (gaps.size() > 0) {
       add(gaps.toByteArray(), nowMs);
     }
   }
 
   private void add(byte[] encoded, long nowMs) {
-    Reader.Piece piece = new Reader.Piece(encoded, at, this, order, nowMs);
-    piece.left = readers.size();
+    Reader.Chunk chunk = new Reader.Chunk(encoded, position, this, nextEvent, nowMs);
+    chunk.pendingReaders = readers.size();
     bytes += encoded.length;
-    window.add(piece);
+    window.add(chunk);
   }
 
   /** Writes to a reader what it may have under way. */
-  void feed(Reader reader, Consumer<Effect> effects) {
+  void writeTo(Reader reader, Consumer<Effect> effects) {
     while (!reader.closing
-        && reader.next < window.end()
-        && reader.outBytes() < limits.inflightBytes()) {
-      reader.write(window.get(reader.next++), effects);
+        && reader.nextToWrite < window.end()
+        && reader.inFlightBytes() < limits.inflightBytes()) {
+      reader.write(window.get(reader.nextToWrite++), effects);
     }
   }
 
   /** A reader has taken its next piece. */
-  void done(Reader reader) {
-    window.get(reader.done++).left--;
+  void chunkTaken(Reader reader) {
+    window.get(reader.nextToTake++).pendingReaders--;
     trim();
   }
 
   private void trim() {
-    while (!window.isEmpty() && window.get(window.first()).left == 0) {
+    while (!window.isEmpty() && window.get(window.first()).pendingReaders == 0) {
       bytes -= window.removeFirst().bytes.length;
     }
   }
@@ -126,31 +127,31 @@
    *
    * @return whether it did
    */
-  boolean join(Reader reader, long readerOrder) {
+  boolean join(Reader reader, long readerNextEvent) {
     if (readers.isEmpty()) {
-      order = readerOrder;
-      at = reader.at;
-    } else if (readerOrder > order) {
+      nextEvent = readerNextEvent;
+      position = reader.position;
+    } else if (readerNextEvent > nextEvent) {
       return false;
     }
-    long place = window.end();
-    while (place > window.first() && window.get(place - 1).order > readerOrder) {
-      place--;
+    long index = window.end();
+    while (index > window.first() && window.get(index - 1).nextEvent > readerNextEvent) {
+      index--;
     }
     // It is at the window where it has had all before it; what the window holds and it has had
     // would come
     // twice.
     boolean joins =
         window.isEmpty()
-            ? order == readerOrder
-            : place > window.first() || readerOrder >= window.get(place).order - 1;
+            ? nextEvent == readerNextEvent
+            : index > window.first() || readerNextEvent >= window.get(index).nextEvent - 1;
     if (joins) {
-      for (long n = place; n < window.end(); n++) {
-        window.get(n).left++;
+      for (long n = index; n < window.end(); n++) {
+        window.get(n).pendingReaders++;
       }
       reader.group = this;
-      reader.next = place;
-      reader.done = place;
+      reader.nextToWrite = index;
+      reader.nextToTake = index;
       readers.add(reader);
     }
     return joins;
@@ -159,30 +160,30 @@
   /** A reader leaves; what is under way to it stays its own. @return the next event it lacks */
   long leave(Reader reader) {
     readers.remove(reader);
-    for (long n = reader.done; n < window.end(); n++) {
-      window.get(n).left--;
+    for (long n = reader.nextToTake; n < window.end(); n++) {
+      window.get(n).pendingReaders--;
     }
     long next =
-        reader.next < window.end() && reader.next > window.first()
-            ? window.get(reader.next - 1).order
-            : reader.next == window.end() ? order : orderBefore(reader.next);
+        reader.nextToWrite < window.end() && reader.nextToWrite > window.first()
+            ? window.get(reader.nextToWrite - 1).nextEvent
+            : reader.nextToWrite == window.end() ? nextEvent : eventOf(reader.nextToWrite);
     reader.group = null;
     trim();
     return next;
   }
 
   /** The event that a piece was made of, where the piece before it is not held any more. */
-  private long orderBefore(long number) {
-    return window.get(number).order - 1;
+  private long eventOf(long number) {
+    return window.get(number).nextEvent - 1;
   }
 
   long lagMs(Reader reader, long nowMs) {
-    return reader.done < window.end() ? nowMs - window.get(reader.done).atMs : 0;
+    return reader.nextToTake < window.end() ? nowMs - window.get(reader.nextToTake).atMs : 0;
   }
 
   long lagBytes(Reader reader) {
     long lag = 0;
-    for (long n = reader.done; n < window.end(); n++) {
+    for (long n = reader.nextToTake; n < window.end(); n++) {
       lag += window.get(n).bytes.length;
     }
     return lag;
--- a/notices/src/main/java/willowdoor/notices/Interest.java
+++ b/notices/src/main/java/willowdoor/notices/Interest.java
@@ -35,7 +35,7 @@
     }
   }
 
-  private static final class Known {
+  private static final class MemberInterest {
     private long generation;
     private long version;
     private final Set<Long> customers = new HashSet<>();
@@ -49,12 +49,12 @@
   private final TreeMap<Long, Long> changes = new TreeMap<>();
 
   private final Map<Long, Long> changedAt = new HashMap<>();
-  private final TreeSet<Long> own = new TreeSet<>();
+  private final TreeSet<Long> ownCustomers = new TreeSet<>();
 
   /** Removals up to this version are forgotten: whoever is behind it begins anew. */
-  private long forgotten;
+  private long forgottenVersion;
 
-  private final Map<Integer, Known> members = new HashMap<>();
+  private final Map<Integer, MemberInterest> members = new HashMap<>();
 
   Interest(int self, long generation) {
     this.self = self;
@@ -62,12 +62,12 @@
   }
 
   /** Whether there is room for a customer that is not known yet. */
-  boolean room(long customer) {
-    return own.contains(customer) || own.size() < Limits.MAX_CUSTOMERS;
+  boolean hasRoomFor(long customer) {
+    return ownCustomers.contains(customer) || ownCustomers.size() < Limits.MAX_CUSTOMERS;
   }
 
   void set(long customer, boolean has) {
-    if (has ? !own.add(customer) : !own.remove(customer)) {
+    if (has ? !ownCustomers.add(customer) : !ownCustomers.remove(customer)) {
       return;
     }
     Long before = changedAt.put(customer, ++version);
@@ -82,10 +82,10 @@
 
   private void forgetOldestRemoval() {
     for (Map.Entry<Long, Long> change : changes.entrySet()) {
-      if (!own.contains(change.getValue())) {
+      if (!ownCustomers.contains(change.getValue())) {
         changedAt.remove(change.getValue());
         changes.remove(change.getKey());
-        forgotten = Math.max(forgotten, change.getKey());
+        forgottenVersion = Math.max(forgottenVersion, change.getKey());
         return;
       }
     }
@@ -99,13 +99,13 @@
    * What changed here after that version, as much as goes into one message; empty changes where
    * nothing did.
    */
-  public Delta since(long known) {
-    long from = known < forgotten || known > version ? 0 : known;
+  public Delta changesSince(long knownVersion) {
+    long from = knownVersion < forgottenVersion || knownVersion > version ? 0 : knownVersion;
     List<Long> added = new ArrayList<>();
     List<Long> removed = new ArrayList<>();
     long to = from;
     for (Map.Entry<Long, Long> change : changes.tailMap(from, false).entrySet()) {
-      boolean has = own.contains(change.getValue());
+      boolean has = ownCustomers.contains(change.getValue());
       if (added.size() + removed.size() == MAX_CHANGES) {
         return new Delta(self, generation, from, to, added, removed);
       }
@@ -118,61 +118,62 @@
   }
 
   /** What is known of a member's interest; 0 where nothing of that generation. */
-  public long known(int member, long memberGeneration) {
-    Known known = members.get(member);
-    return known == null || known.generation != memberGeneration ? 0 : known.version;
+  public long knownVersion(int member, long memberGeneration) {
+    MemberInterest state = members.get(member);
+    return state == null || state.generation != memberGeneration ? 0 : state.version;
   }
 
   /**
    * Takes in what a member says.
    *
    * @return the customers that changed; empty where nothing did. Where the changes do not join on
-   *     to what is known, {@link #known} stays as it was, and the member is to be asked from there
+   *     to what is known, {@link #knownVersion} stays as it was, and the member is to be asked from
+   *     there
    */
   public Set<Long> apply(Delta delta) {
     Set<Long> changed = new HashSet<>();
     if (delta.member() == self) {
       return changed;
     }
-    Known known = members.computeIfAbsent(delta.member(), m -> new Known());
-    if (delta.generation() < known.generation) {
+    MemberInterest state = members.computeIfAbsent(delta.member(), m -> new MemberInterest());
+    if (delta.generation() < state.generation) {
       return changed;
     }
-    if (delta.generation() > known.generation) {
-      changed.addAll(known.customers);
-      known.customers.clear();
-      known.generation = delta.generation();
-      known.version = 0;
+    if (delta.generation() > state.generation) {
+      changed.addAll(state.customers);
+      state.customers.clear();
+      state.generation = delta.generation();
+      state.version = 0;
     }
-    if (delta.to() <= known.version || delta.from() > known.version) {
+    if (delta.to() <= state.version || delta.from() > state.version) {
       return changed;
     }
     if (delta.from() == 0) {
-      changed.addAll(known.customers);
-      known.customers.clear();
+      changed.addAll(state.customers);
+      state.customers.clear();
     }
     for (long customer : delta.added()) {
-      if (known.customers.size() < Limits.MAX_CUSTOMERS && known.customers.add(customer)) {
+      if (state.customers.size() < Limits.MAX_CUSTOMERS && state.customers.add(customer)) {
         changed.add(customer);
       }
     }
     for (long customer : delta.removed()) {
-      if (known.customers.remove(customer)) {
+      if (state.customers.remove(customer)) {
         changed.add(customer);
       }
     }
-    known.version = delta.to();
+    state.version = delta.to();
     return changed;
   }
 
   /** Forgets members that are in the view no more. */
-  void keep(FleetView view) {
+  void retainMembers(FleetView view) {
     members.keySet().removeIf(member -> view.member(member) == null);
   }
 
   /** Whether that member has readers of that customer. */
-  boolean has(int member, long customer) {
-    Known known = members.get(member);
-    return known != null && known.customers.contains(customer);
+  boolean hasReaders(int member, long customer) {
+    MemberInterest state = members.get(member);
+    return state != null && state.customers.contains(customer);
   }
 }
--- a/notices/src/main/java/willowdoor/notices/Limits.java
+++ b/notices/src/main/java/willowdoor/notices/Limits.java
@@ -1,31 +1,32 @@
 package willowdoor.notices;
 
 /**
- * Bounds, in bytes and ms.
+ * Limits of the notices service, in bytes and milliseconds.
  *
- * @param retainBytes what a door keeps of one customer's notices
- * @param retainMs for how long
- * @param doorBytes what a door keeps in all
- * @param windowBytes a group's window: what its last reader may be behind its first
- * @param inflightBytes what is under way to one reader
- * @param linkBytes what is under way to one front door without being confirmed
- * @param regroup whether slow readers are looked for at all
- * @param settleMs for how long the view must have stood before a reader is moved
- * @param restMs the least time between a reader's moves; doubles with each, up to 16 times
- * @param keepPaceMs how long a reader keeps pace before it goes back
- * @param movesPerSecond of a front door, over all its readers
+ * @param retainBytes size of the notices that a front door retains for one customer
+ * @param retainMs how long a front door retains a notice
+ * @param totalBytes size of the notices that a front door retains for all customers
+ * @param windowBytes a group's window: how far its slowest reader may be behind its fastest
+ * @param inflightBytes bytes written to one reader that its socket has not taken yet
+ * @param linkBytes bytes sent to one front door that it has not confirmed yet
+ * @param regroup whether slow readers are detected and moved
+ * @param settleMs how long the view must be unchanged before a reader is moved
+ * @param moveIntervalMs minimum time between two moves of a reader; doubles with each move, up to
+ *     16 times
+ * @param keepUpMs how long a slow reader must keep up before it returns to its home front door
+ * @param movesPerSecond moves that a front door orders, over all its readers
  */
 public record Limits(
     int retainBytes,
     long retainMs,
-    long doorBytes,
+    long totalBytes,
     int windowBytes,
     int inflightBytes,
     int linkBytes,
     boolean regroup,
     long settleMs,
-    long restMs,
-    long keepPaceMs,
+    long moveIntervalMs,
+    long keepUpMs,
     int movesPerSecond) {
   static final int MAX_BODY = 16 * 1024;
   static final int MAX_CUSTOMERS = 4_096;
@@ -35,14 +36,14 @@
   static final long FETCH_MS = 2_000;
 
   /**
-   * A stream on which nothing came for so long is closed by its door; others forget it after twice
-   * that.
+   * Idle time after which the front door that owns a stream closes it. Other front doors forget the
+   * stream after twice this time.
    */
   static final long IDLE_STREAM_MS = 6 * 3_600_000L;
 
-  static final long HOPELESS_MS = 20_000;
+  static final long STALLED_MS = 20_000;
 
-  /** How often {@link NoticesDoor#tick} is to be called. */
+  /** Interval at which {@link NoticesService#tick} must be called. */
   public static final long TICK_MS = 100;
 
   public static Limits standard() {
@@ -64,14 +65,14 @@
     return new Limits(
         retainBytes,
         retainMs,
-        doorBytes,
+        totalBytes,
         windowBytes,
         inflightBytes,
         linkBytes,
         on,
         settleMs,
-        restMs,
-        keepPaceMs,
+        moveIntervalMs,
+        keepUpMs,
         movesPerSecond);
   }
 
@@ -79,14 +80,14 @@
     return new Limits(
         bytes,
         ms,
-        doorBytes,
+        totalBytes,
         windowBytes,
         inflightBytes,
         linkBytes,
         regroup,
         settleMs,
-        restMs,
-        keepPaceMs,
+        moveIntervalMs,
+        keepUpMs,
         movesPerSecond);
   }
 }
--- a/notices/src/main/java/willowdoor/notices/Publishing.java
+++ b/notices/src/main/java/willowdoor/notices/NoticePublisher.java
@@ -7,29 +7,29 @@
 import java.util.function.Consumer;
 
 /** The notices that this front door takes: each answered when a second front door holds it. */
-final class Publishing {
-  private record Pending(long call, StreamId stream, long seq, long untilMs) {}
+final class NoticePublisher {
+  private record Pending(long call, StreamId stream, long seq, long deadlineMs) {}
 
   private final int self;
   private final long generation;
-  private final Passing passing;
+  private final StreamRelay relay;
   private final Consumer<Effect> effects;
-  private final Passing.Watcher watcher;
+  private final StreamRelay.Listener listener;
   private final Map<Long, StreamId> own = new HashMap<>();
   private final ArrayDeque<Pending> pending = new ArrayDeque<>();
   private int serial;
 
-  Publishing(
+  NoticePublisher(
       int self,
       long generation,
-      Passing passing,
+      StreamRelay relay,
       Consumer<Effect> effects,
-      Passing.Watcher watcher) {
+      StreamRelay.Listener listener) {
     this.self = self;
     this.generation = generation;
-    this.passing = passing;
+    this.relay = relay;
     this.effects = effects;
-    this.watcher = watcher;
+    this.listener = listener;
   }
 
   /**
@@ -38,42 +38,42 @@
    * @param call named in the {@link Effect.Answer}
    */
   void publish(long call, long customer, byte[] body, long nowMs) {
-    Retained retained = passing.retained(customer);
+    RetainedNotices retained = relay.retained(customer);
     if (retained == null || pending.size() >= Limits.MAX_PENDING) {
       refuse(call, "too many notices are under way here");
       return;
     }
     Stream stream = stream(retained, customer, nowMs);
-    if (stream.keeper.member() < 0) {
+    if (stream.replicaHolder.member() < 0) {
       refuse(call, "no second front door is there to keep the notice");
       return;
     }
     Notice notice = new Notice(customer, stream.id, stream.last() + 1, body);
     stream.append(notice, nowMs);
     pending.add(new Pending(call, stream.id, notice.seq(), nowMs + Limits.CONFIRM_MS));
-    passing.more(stream, nowMs);
+    relay.moreAvailable(stream, nowMs);
   }
 
   private void refuse(long call, String why) {
     effects.accept(new Effect.Answer(call, 503, null, why + "; nothing was kept, try again"));
   }
 
-  private Stream stream(Retained retained, long customer, long nowMs) {
+  private Stream stream(RetainedNotices retained, long customer, long nowMs) {
     StreamId id = own.get(customer);
-    Stream stream = id == null ? null : passing.stream(id);
+    Stream stream = id == null ? null : relay.stream(id);
     // Others forget a stream after twice this time: one that is used again is another.
-    if (stream == null || nowMs - stream.lastMs > Limits.IDLE_STREAM_MS) {
-      stream = passing.open(retained, new StreamId(self, generation, ++serial), 0, true, nowMs);
+    if (stream == null || nowMs - stream.lastAppendMs > Limits.IDLE_STREAM_MS) {
+      stream = relay.open(retained, new StreamId(self, generation, ++serial), 0, true, nowMs);
       own.put(customer, stream.id);
-      passing.refresh(stream, nowMs);
+      relay.updatePeers(stream, nowMs);
     }
     return stream;
   }
 
   /** A peer holds a stream up to a count; if it keeps it, that is confirmed. */
   void have(int peer, PeerMessage.Have have, long nowMs) {
-    Stream stream = passing.stream(have.stream());
-    if (stream == null || !stream.own || stream.keeper.member() != peer) {
+    Stream stream = relay.stream(have.stream());
+    if (stream == null || !stream.own || stream.replicaHolder.member() != peer) {
       return;
     }
     long upTo = Math.min(have.upTo(), stream.last());
@@ -81,11 +81,11 @@
       return;
     }
     long bytes = 0;
-    Retained retained = passing.retained(stream.customer);
+    RetainedNotices retained = relay.retained(stream.customer);
     while (stream.committed < upTo) {
       Notice notice = stream.get(++stream.committed);
       bytes += notice.cost();
-      retained.list(notice, nowMs);
+      retained.append(notice, nowMs);
     }
     for (Iterator<Pending> all = pending.iterator(); all.hasNext(); ) {
       Pending call = all.next();
@@ -94,8 +94,8 @@
         effects.accept(new Effect.Answer(call.call(), 200, id(call), "published"));
       }
     }
-    passing.more(stream, nowMs);
-    watcher.appended(stream.customer, bytes, nowMs);
+    relay.moreAvailable(stream, nowMs);
+    listener.appended(stream.customer, bytes, nowMs);
   }
 
   private static String id(Pending call) {
@@ -103,7 +103,7 @@
   }
 
   void tick(long nowMs) {
-    while (!pending.isEmpty() && pending.peek().untilMs() <= nowMs) {
+    while (!pending.isEmpty() && pending.peek().deadlineMs() <= nowMs) {
       Pending call = pending.remove();
       effects.accept(
           new Effect.Answer(
@@ -112,7 +112,7 @@
               id(call),
               "not confirmed by a second front door yet; it may still come, under this id"));
     }
-    own.values().removeIf(id -> passing.stream(id) == null);
+    own.values().removeIf(id -> relay.stream(id) == null);
   }
 
   int pending() {
--- a/notices/src/main/java/willowdoor/notices/NoticesDoor.java
+++ b/notices/src/main/java/willowdoor/notices/NoticesService.java
@@ -13,7 +13,7 @@
  * of a monotonic clock and never fall. Called by one thread; what it wants done is given to {@code
  * effects} during the call, which must not call back into it.
  */
-public final class NoticesDoor {
+public final class NoticesService {
   /**
    * The front door is slow while over half of its readers lag, of two customers at least, for so
    * long.
@@ -27,13 +27,13 @@
   private final ServerSentEvents events;
   private final Interest interest;
   private final Assignment assignment;
-  private final Passing passing;
-  private final Publishing publishing;
-  private final Receiving receiving;
-  private final Map<Long, Readers> customers = new HashMap<>();
+  private final StreamRelay relay;
+  private final NoticePublisher publisher;
+  private final PeerMessageHandler peerMessages;
+  private final Map<Long, CustomerReaders> customers = new HashMap<>();
   private final Map<Long, Reader> readers = new HashMap<>();
   private long nowMs;
-  private long lagsSinceMs = -1;
+  private long laggingSinceMs = -1;
 
   /**
    * Makes the notices of a process that has just started.
@@ -42,7 +42,7 @@
    * @param generation of this process
    * @param random 64 random bits at each call, for the readers' keys
    */
-  public NoticesDoor(
+  public NoticesService(
       int self, long generation, Limits limits, LongSupplier random, Consumer<Effect> effects) {
     this(
         self,
@@ -54,7 +54,7 @@
         new ServerSentEvents());
   }
 
-  NoticesDoor(
+  NoticesService(
       int self,
       long generation,
       Limits limits,
@@ -69,11 +69,11 @@
     this.events = events;
     this.assignment = assignment;
     this.interest = new Interest(self, generation);
-    Passing.Watcher watcher =
-        new Passing.Watcher() {
+    StreamRelay.Listener listener =
+        new StreamRelay.Listener() {
           @Override
           public void appended(long customer, long bytes, long now) {
-            Readers of = customers.get(customer);
+            CustomerReaders of = customers.get(customer);
             if (of != null) {
               of.appended(bytes, now);
             }
@@ -81,16 +81,16 @@
 
           @Override
           public void fetched(long customer, PeerMessage.Fetched answer, long now) {
-            Readers of = customers.get(customer);
+            CustomerReaders of = customers.get(customer);
             if (of != null) {
               of.fetched(answer, now);
             }
           }
         };
-    Keeper keeper = new Keeper(self, generation);
-    this.passing = new Passing(keeper, limits, interest, effects, watcher);
-    this.publishing = new Publishing(self, generation, passing, effects, watcher);
-    this.receiving = new Receiving(keeper, passing, publishing, effects, watcher);
+    ReplicaHolder process = new ReplicaHolder(self, generation);
+    this.relay = new StreamRelay(process, limits, interest, effects, listener);
+    this.publisher = new NoticePublisher(self, generation, relay, effects, listener);
+    this.peerMessages = new PeerMessageHandler(process, relay, publisher, effects, listener);
   }
 
   /**
@@ -104,34 +104,34 @@
   /** The view of the members has changed. */
   public void view(FleetView view, long now) {
     nowMs = now;
-    interest.keep(view);
+    interest.retainMembers(view);
     assignment.view(view, now);
-    passing.view(view, now);
+    relay.view(view, now);
   }
 
   /** Another member's interest has come with the members' exchange. */
   public void interest(Interest.Delta delta, long now) {
     nowMs = now;
     Set<Long> changed = interest.apply(delta);
-    passing.interested(changed, now);
+    relay.interestChanged(changed, now);
   }
 
   /** A link that {@link Effect.Connect} asked for stands. */
   public void linkUp(int peer, long now) {
     nowMs = now;
-    passing.linkUp(peer, now);
+    relay.linkUp(peer, now);
   }
 
   /** It does not any more. */
   public void linkDown(int peer, long now) {
     nowMs = now;
-    passing.linkDown(peer);
+    relay.linkDown(peer);
   }
 
   /** A peer has said something, on either link. */
   public void message(int peer, PeerMessage message, long now) {
     nowMs = now;
-    receiving.message(peer, message, now);
+    peerMessages.message(peer, message, now);
   }
 
   /**
@@ -140,7 +140,7 @@
    */
   public void publish(long call, NoticesApi.Publish notice, long now) {
     nowMs = now;
-    publishing.publish(call, notice.customer(), notice.body(), now);
+    publisher.publish(call, notice.customer(), notice.body(), now);
   }
 
   /**
@@ -150,8 +150,8 @@
    */
   public String read(long id, NoticesApi.Read read, long now) {
     nowMs = now;
-    Retained retained = passing.retained(read.customer());
-    if (retained == null || !interest.room(read.customer())) {
+    RetainedNotices retained = relay.retained(read.customer());
+    if (retained == null || !interest.hasRoomFor(read.customer())) {
       return "too many customers have readers here";
     }
     Position resume = read.lastEventId() == null ? null : Position.parse(read.lastEventId());
@@ -166,35 +166,36 @@
             order == null ? random.getAsLong() : order.key(),
             order == null ? self : order.home(),
             order == null ? 0 : order.count(),
-            resume == null ? retained.seen() : resume,
+            resume == null ? retained.latestPosition() : resume,
             now);
-    if (order != null && assignment.arrive(order, now) && order.pace() != null) {
-      reader.slow = order.pace();
-      reader.guest = true;
+    if (order != null && assignment.accept(order, now) && order.pace() != null) {
+      reader.slowClass = order.pace();
+      reader.movedHere = true;
     }
-    Readers of =
+    CustomerReaders of =
         customers.computeIfAbsent(
             read.customer(),
-            c -> new Readers(retained, limits, events, assignment, around, effects, now));
+            c ->
+                new CustomerReaders(retained, limits, events, assignment, callbacks, effects, now));
     readers.put(id, reader);
     of.add(reader, resume, now);
-    retained.reader(resume, now);
+    retained.readerArrived(resume, now);
     interest.set(read.customer(), true);
     return null;
   }
 
   /** A reader's connection has ended. */
-  public void gone(long id, long now) {
+  public void readerGone(long id, long now) {
     nowMs = now;
     Reader reader = readers.remove(id);
     if (reader == null) {
       return;
     }
-    Readers of = customers.get(reader.customer);
+    CustomerReaders of = customers.get(reader.customer);
     of.remove(reader, now);
     if (of.isEmpty()) {
       customers.remove(reader.customer);
-      of.retained.noReaders();
+      of.retained.lastReaderLeft();
       interest.set(reader.customer, false);
     }
   }
@@ -211,58 +212,58 @@
   /** To be called every {@link Limits#TICK_MS}. */
   public void tick(long now) {
     nowMs = now;
-    publishing.tick(now);
-    passing.tick(now);
-    boolean slow = slow(now);
+    publisher.tick(now);
+    relay.tick(now);
+    boolean frontDoorSlow = isSlow(now);
     int all = 0;
     int lagging = 0;
-    int lagAlike = 0;
-    for (Readers of : new ArrayList<>(customers.values())) {
-      Readers.Look look = of.look(slow, now);
+    int laggingCustomers = 0;
+    for (CustomerReaders of : new ArrayList<>(customers.values())) {
+      CustomerReaders.LagSample look = of.sample(frontDoorSlow, now);
       all += look.readers();
       lagging += look.lagging();
-      lagAlike += look.readers() > 1 && look.lagging() > look.readers() / 2 ? 1 : 0;
+      laggingCustomers += look.readers() > 1 && look.lagging() > look.readers() / 2 ? 1 : 0;
     }
-    boolean lags = lagging > all / 2 && lagAlike > 1;
-    lagsSinceMs = !lags ? -1 : lagsSinceMs < 0 ? now : lagsSinceMs;
+    boolean mostLag = lagging > all / 2 && laggingCustomers > 1;
+    laggingSinceMs = !mostLag ? -1 : laggingSinceMs < 0 ? now : laggingSinceMs;
   }
 
   /** Whether this front door itself is what holds its readers up. */
-  public boolean slow(long now) {
-    return lagsSinceMs >= 0 && now - lagsSinceMs >= DOOR_SLOW_MS;
+  public boolean isSlow(long now) {
+    return laggingSinceMs >= 0 && now - laggingSinceMs >= DOOR_SLOW_MS;
   }
 
   /** Peers that leave notices unconfirmed for over a second. */
   public List<Integer> slowLinks(long now) {
-    return passing.slowLinks(now);
+    return relay.slowLinks(now);
   }
 
   /** Readers here; those that read alone; bytes that groups hold; notices not confirmed yet. */
-  public record Figures(int readers, int alone, long groupBytes, int pending) {}
+  public record Stats(int readers, int individualReaders, long groupBytes, int pending) {}
 
-  public Figures figures() {
+  public Stats stats() {
     int alone = 0;
     long held = 0;
-    for (Readers of : customers.values()) {
-      alone += of.alone();
-      held += of.held();
+    for (CustomerReaders of : customers.values()) {
+      alone += of.individualReaders();
+      held += of.groupBytes();
     }
-    return new Figures(readers.size(), alone, held, publishing.pending());
+    return new Stats(readers.size(), alone, held, publisher.pending());
   }
 
-  private final Readers.Around around =
-      new Readers.Around() {
+  private final CustomerReaders.Callbacks callbacks =
+      new CustomerReaders.Callbacks() {
         @Override
-        public boolean fetch(Alone.Lack lack) {
-          return passing.fetch(lack, nowMs);
+        public boolean fetch(IndividualDelivery.MissingRange lack) {
+          return relay.fetch(lack, nowMs);
         }
 
         @Override
         public void close(Reader reader, String reason) {
           reader.closing = true;
           if (!reason.equals("moved")) {
-            byte[] bytes = events.closed(reason, reader.at);
-            reader.write(new Reader.Piece(bytes, reader.at, null, 0, nowMs), effects);
+            byte[] bytes = events.closed(reason, reader.position);
+            reader.write(new Reader.Chunk(bytes, reader.position, null, 0, nowMs), effects);
           }
           effects.accept(new Effect.Close(reader.id, reason));
         }
--- a/notices/src/main/java/willowdoor/notices/PeerChannel.java
+++ b/notices/src/main/java/willowdoor/notices/PeerChannel.java
@@ -15,62 +15,62 @@
  * s, or says nothing for 15 s later on, is cut off. An empty frame says that a side is there.
  */
 final class PeerChannel extends SimpleChannelInboundHandler<ByteBuf> {
-  private static final long HELLO_MS = 3_000;
-  private static final byte[] HERE = new byte[0];
+  private static final long HELLO_TIMEOUT_MS = 3_000;
+  private static final byte[] KEEP_ALIVE = new byte[0];
 
   private final Peers peers;
 
   /** Whom this side has dialled, -1 where the other has. */
-  private final int dialled;
+  private final int dialledPeer;
 
   private int peer = -1;
-  private boolean greeted;
-  private Future<?> wait;
+  private boolean helloReceived;
+  private Future<?> helloTimeout;
 
-  PeerChannel(Peers peers, int dialled) {
+  PeerChannel(Peers peers, int dialledPeer) {
     this.peers = peers;
-    this.dialled = dialled;
+    this.dialledPeer = dialledPeer;
   }
 
   @Override
   public void channelActive(ChannelHandlerContext context) {
-    if (!peers.opened(context.channel(), dialled)) {
+    if (!peers.opened(context.channel(), dialledPeer)) {
       context.close();
       return;
     }
-    wait =
+    helloTimeout =
         context
             .executor()
             .schedule(
                 () -> {
-                  if (!greeted) {
+                  if (!helloReceived) {
                     context.close();
                   }
                 },
-                HELLO_MS,
+                HELLO_TIMEOUT_MS,
                 TimeUnit.MILLISECONDS);
-    if (dialled >= 0) {
+    if (dialledPeer >= 0) {
       peers.write(context.channel(), PeerCodec.encode(peers.self()));
     }
   }
 
   @Override
   protected void channelRead0(ChannelHandlerContext context, ByteBuf frame) throws IOException {
-    if (frame.readableBytes() == 0 && greeted) {
+    if (frame.readableBytes() == 0 && helloReceived) {
       return;
     }
     byte[] bytes = ByteBufUtil.getBytes(frame);
-    if (greeted) {
+    if (helloReceived) {
       peers.listener().message(peer, message(bytes));
       return;
     }
     PeerCodec.Hello hello = PeerCodec.hello(bytes);
-    greeted = true;
+    helloReceived = true;
     peer = hello.member();
-    if (dialled < 0) {
+    if (dialledPeer < 0) {
       peers.write(context.channel(), PeerCodec.encode(peers.self()));
     }
-    if (!peers.greeted(context.channel(), dialled, hello)) {
+    if (!peers.helloReceived(context.channel(), dialledPeer, hello)) {
       context.close();
     }
   }
@@ -78,7 +78,7 @@
   /** What goes back comes on links that this side has dialled, all else on those it has not. */
   private PeerMessage message(byte[] bytes) throws IOException {
     PeerMessage message = PeerCodec.decode(bytes);
-    if (message instanceof PeerMessage.Back != dialled >= 0) {
+    if (message instanceof PeerMessage.Reply != dialledPeer >= 0) {
       throw new IOException("a message on the wrong link");
     }
     return message;
@@ -89,8 +89,8 @@
     if (event instanceof IdleStateEvent idle) {
       if (idle.state() == IdleState.READER_IDLE) {
         context.close();
-      } else if (greeted) {
-        peers.write(context.channel(), HERE);
+      } else if (helloReceived) {
+        peers.write(context.channel(), KEEP_ALIVE);
       }
     }
   }
@@ -100,16 +100,16 @@
     // A connection that breaks is an IOException as well; it is no message, so there is nothing to
     // tell.
     if (!(cause instanceof java.net.SocketException)) {
-      peers.listener().spoilt(peer, String.valueOf(cause.getMessage()));
+      peers.listener().invalidMessage(peer, String.valueOf(cause.getMessage()));
     }
     context.close();
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext context) {
-    if (wait != null) {
-      wait.cancel(false);
+    if (helloTimeout != null) {
+      helloTimeout.cancel(false);
     }
-    peers.ended(context.channel(), dialled, peer);
+    peers.ended(context.channel(), dialledPeer, peer);
   }
 }
--- a/notices/src/main/java/willowdoor/notices/PeerCodec.java
+++ b/notices/src/main/java/willowdoor/notices/PeerCodec.java
@@ -62,12 +62,18 @@
   /** A frame for a message. */
   public static byte[] encode(PeerMessage message) {
     if (message instanceof PeerMessage.Offer m) {
-      return numbers(1, m.customer(), m.stream(), m.keeper().member(), m.keeper().generation());
+      return numbers(
+          1, m.customer(), m.stream(), m.replicaHolder().member(), m.replicaHolder().generation());
     } else if (message instanceof PeerMessage.Want m) {
       return numbers(2, m.stream(), m.after(), m.ageMs());
     } else if (message instanceof PeerMessage.Begin m) {
       return numbers(
-          3, m.customer(), m.stream(), m.after(), m.keeper().member(), m.keeper().generation());
+          3,
+          m.customer(),
+          m.stream(),
+          m.after(),
+          m.replicaHolder().member(),
+          m.replicaHolder().generation());
     } else if (message instanceof PeerMessage.Pass m) {
       return array(
           6 + 1,
@@ -169,10 +175,10 @@
       }
     }
 
-    long number(long least, long most) throws IOException {
+    long number(long min, long max) throws IOException {
       expect(in.nextToken() == JsonToken.VALUE_NUMBER_INT, "a whole number");
       long number = in.getLongValue();
-      expect(number >= least && number <= most, "a number from " + least + " to " + most);
+      expect(number >= min && number <= max, "a number from " + min + " to " + max);
       return number;
     }
 
@@ -189,8 +195,8 @@
           (int) number(0, StreamId.MAX_MEMBER), count(), (int) number(1, Integer.MAX_VALUE));
     }
 
-    Keeper keeper() throws IOException {
-      return new Keeper((int) number(-1, StreamId.MAX_MEMBER), count());
+    ReplicaHolder keeper() throws IOException {
+      return new ReplicaHolder((int) number(-1, StreamId.MAX_MEMBER), count());
     }
 
     /** The rest of a notice whose customer was read. */
--- a/notices/src/main/java/willowdoor/notices/PeerLink.java
+++ b/notices/src/main/java/willowdoor/notices/PeerLink.java
@@ -24,9 +24,9 @@
     /** The next count to pass, -1 until the peer has said what it wants. */
     private long next = -1;
 
-    private boolean endSaid;
+    private boolean endSent;
     private long offeredMs;
-    private final ArrayDeque<Sent> out = new ArrayDeque<>();
+    private final ArrayDeque<Sent> unacknowledged = new ArrayDeque<>();
 
     private Cursor(Stream stream) {
       this.stream = stream;
@@ -34,7 +34,7 @@
   }
 
   private final int peer;
-  private final Keeper self;
+  private final ReplicaHolder self;
   private final Limits limits;
   private final Consumer<Effect> effects;
   private final Map<StreamId, Cursor> cursors = new LinkedHashMap<>();
@@ -46,7 +46,7 @@
   private long unconfirmed;
   private long neededMs;
 
-  PeerLink(int peer, Keeper self, Limits limits, Consumer<Effect> effects, long nowMs) {
+  PeerLink(int peer, ReplicaHolder self, Limits limits, Consumer<Effect> effects, long nowMs) {
     this.peer = peer;
     this.self = self;
     this.limits = limits;
@@ -58,7 +58,7 @@
     return up;
   }
 
-  boolean passes(StreamId id) {
+  boolean hasStream(StreamId id) {
     return cursors.containsKey(id);
   }
 
@@ -68,20 +68,20 @@
     neededMs = nowMs;
     if (up) {
       cursor.offeredMs = nowMs;
-      send(new PeerMessage.Offer(stream.customer, stream.id, keeper(stream)));
+      send(new PeerMessage.Offer(stream.customer, stream.id, replicaHolder(stream)));
     }
   }
 
-  private Keeper keeper(Stream stream) {
-    return stream.own ? stream.keeper : self;
+  private ReplicaHolder replicaHolder(Stream stream) {
+    return stream.own ? stream.replicaHolder : self;
   }
 
   void drop(StreamId id) {
     Cursor cursor = cursors.remove(id);
     if (cursor != null) {
-      cursor.out.forEach(sent -> unconfirmed -= sent.cost());
+      cursor.unacknowledged.forEach(sent -> unconfirmed -= sent.cost());
       ready.remove(cursor);
-      pump(cursor.offeredMs);
+      sendReady(cursor.offeredMs);
     }
   }
 
@@ -100,8 +100,8 @@
     ready.clear();
     for (Cursor cursor : cursors.values()) {
       cursor.next = -1;
-      cursor.endSaid = false;
-      cursor.out.clear();
+      cursor.endSent = false;
+      cursor.unacknowledged.clear();
     }
   }
 
@@ -110,26 +110,26 @@
     if (cursor == null || !up) {
       return;
     }
-    cursor.out.forEach(sent -> unconfirmed -= sent.cost());
-    cursor.out.clear();
-    cursor.endSaid = false;
+    cursor.unacknowledged.forEach(sent -> unconfirmed -= sent.cost());
+    cursor.unacknowledged.clear();
+    cursor.endSent = false;
     Stream stream = cursor.stream;
-    if (want.ageMs() != PeerMessage.Want.NO_MATTER) {
+    if (want.ageMs() != PeerMessage.Want.UNSPECIFIED) {
       // Its reader came at the earliest that long before the offer went out, whatever the way took.
       long since = cursor.offeredMs - want.ageMs();
-      long after = Math.min(stream.before(since), stream.sendable(peer));
+      long after = Math.min(stream.lastBefore(since), stream.sendable(peer));
       // Where what is kept no more may have come since then, the last of it is begun with, and told
       // as a gap.
       boolean lacks = stream.droppedMs() >= since && after == stream.first() - 1;
       after = lacks ? after - 1 : after;
-      after = want.after() == PeerMessage.Want.NO_MATTER ? after : Math.min(after, want.after());
-      send(new PeerMessage.Begin(stream.customer, stream.id, after, keeper(stream)));
+      after = want.after() == PeerMessage.Want.UNSPECIFIED ? after : Math.min(after, want.after());
+      send(new PeerMessage.Begin(stream.customer, stream.id, after, replicaHolder(stream)));
       cursor.next = after + 1;
     } else {
       cursor.next = want.after() + 1;
     }
     ready.add(cursor);
-    pump(nowMs);
+    sendReady(nowMs);
   }
 
   void have(PeerMessage.Have have, long nowMs) {
@@ -137,10 +137,10 @@
     if (cursor == null) {
       return;
     }
-    while (!cursor.out.isEmpty() && cursor.out.peek().seq() <= have.upTo()) {
-      unconfirmed -= cursor.out.remove().cost();
+    while (!cursor.unacknowledged.isEmpty() && cursor.unacknowledged.peek().seq() <= have.upTo()) {
+      unconfirmed -= cursor.unacknowledged.remove().cost();
     }
-    pump(nowMs);
+    sendReady(nowMs);
   }
 
   /** A stream has more to pass. */
@@ -148,11 +148,11 @@
     Cursor cursor = cursors.get(id);
     if (cursor != null && cursor.next >= 0) {
       ready.add(cursor);
-      pump(nowMs);
+      sendReady(nowMs);
     }
   }
 
-  private void pump(long nowMs) {
+  private void sendReady(long nowMs) {
     while (up && unconfirmed < limits.linkBytes() && !ready.isEmpty()) {
       Cursor cursor = ready.iterator().next();
       ready.remove(cursor);
@@ -165,12 +165,12 @@
         Notice notice = stream.get(cursor.next++);
         send(new PeerMessage.Pass(notice));
         unconfirmed += notice.cost();
-        cursor.out.add(new Sent(notice.seq(), notice.cost(), nowMs));
+        cursor.unacknowledged.add(new Sent(notice.seq(), notice.cost(), nowMs));
         ready.add(cursor);
       } else if (!stream.own
-          && !cursor.endSaid
-          && (stream.keeper.equals(self) || stream.complete)) {
-        cursor.endSaid = true;
+          && !cursor.endSent
+          && (stream.replicaHolder.equals(self) || stream.endConfirmed)) {
+        cursor.endSent = true;
         send(new PeerMessage.End(stream.id, stream.last()));
       }
     }
@@ -183,7 +183,8 @@
   /** Whether the peer has left something unconfirmed for over a second. */
   boolean slow(long nowMs) {
     for (Cursor cursor : cursors.values()) {
-      if (!cursor.out.isEmpty() && nowMs - cursor.out.peek().atMs() > SLOW_MS) {
+      if (!cursor.unacknowledged.isEmpty()
+          && nowMs - cursor.unacknowledged.peek().atMs() > SLOW_MS) {
         return true;
       }
     }
@@ -197,7 +198,7 @@
   }
 
   /** A fetch needs it. */
-  void needed(long nowMs) {
+  void markNeeded(long nowMs) {
     neededMs = nowMs;
   }
 
--- a/notices/src/main/java/willowdoor/notices/PeerMessage.java
+++ b/notices/src/main/java/willowdoor/notices/PeerMessage.java
@@ -8,21 +8,23 @@
  */
 public sealed interface PeerMessage {
   /** What goes back on the link that the other front door opened. */
-  sealed interface Back extends PeerMessage {}
+  sealed interface Reply extends PeerMessage {}
 
   /** I have this stream, and that process keeps a copy. */
-  record Offer(long customer, StreamId stream, Keeper keeper) implements PeerMessage {}
+  record Offer(long customer, StreamId stream, ReplicaHolder replicaHolder)
+      implements PeerMessage {}
 
   /**
    * Pass me what comes after that count, and what you took in that many ms before you offered it;
-   * either may be {@link #NO_MATTER}. Where an age is given the answer is a {@code Begin}.
+   * either may be {@link #UNSPECIFIED}. Where an age is given the answer is a {@code Begin}.
    */
-  record Want(StreamId stream, long after, long ageMs) implements Back {
-    static final long NO_MATTER = -1;
+  record Want(StreamId stream, long after, long ageMs) implements Reply {
+    static final long UNSPECIFIED = -1;
   }
 
   /** To a {@code Want} with an age: the stream begins for you after this count. */
-  record Begin(long customer, StreamId stream, long after, Keeper keeper) implements PeerMessage {}
+  record Begin(long customer, StreamId stream, long after, ReplicaHolder replicaHolder)
+      implements PeerMessage {}
 
   record Pass(Notice notice) implements PeerMessage {}
 
@@ -33,7 +35,7 @@
   record End(StreamId stream, long last) implements PeerMessage {}
 
   /** I hold all up to this count. */
-  record Have(StreamId stream, long upTo) implements Back {}
+  record Have(StreamId stream, long upTo) implements Reply {}
 
   /** One of my readers lacks these: after one count, up to the other. */
   record Fetch(StreamId stream, long after, long upTo) implements PeerMessage {}
@@ -42,7 +44,7 @@
    * Some of what was fetched: what lies up to {@code gapTo} is not kept any more, then these in
    * their order.
    */
-  record Fetched(StreamId stream, long after, long gapTo, List<Notice> notices) implements Back {
+  record Fetched(StreamId stream, long after, long gapTo, List<Notice> notices) implements Reply {
     public Fetched {
       notices = List.copyOf(notices);
     }
--- a/notices/src/main/java/willowdoor/notices/Receiving.java
+++ b/notices/src/main/java/willowdoor/notices/PeerMessageHandler.java
@@ -3,24 +3,24 @@
 import java.util.function.Consumer;
 
 /** What other front doors say of their streams, and what they answer to this one's. */
-final class Receiving {
-  private final Keeper self;
-  private final Passing passing;
+final class PeerMessageHandler {
+  private final ReplicaHolder self;
+  private final StreamRelay relay;
   private final Consumer<Effect> effects;
-  private final Passing.Watcher watcher;
-  private final Publishing publishing;
+  private final StreamRelay.Listener listener;
+  private final NoticePublisher publishing;
 
-  Receiving(
-      Keeper self,
-      Passing passing,
-      Publishing publishing,
+  PeerMessageHandler(
+      ReplicaHolder self,
+      StreamRelay relay,
+      NoticePublisher publishing,
       Consumer<Effect> effects,
-      Passing.Watcher watcher) {
+      StreamRelay.Listener listener) {
     this.self = self;
-    this.passing = passing;
+    this.relay = relay;
     this.publishing = publishing;
     this.effects = effects;
-    this.watcher = watcher;
+    this.listener = listener;
   }
 
   void message(int peer, PeerMessage message, long nowMs) {
@@ -31,28 +31,28 @@
     } else if (message instanceof PeerMessage.Pass pass) {
       pass(peer, pass.notice(), nowMs);
     } else if (message instanceof PeerMessage.Gap gap) {
-      Stream stream = others(gap.stream());
+      Stream stream = remoteStream(gap.stream());
       if (stream != null && gap.to() > stream.last()) {
-        passing.retained(stream.customer).gap(stream, gap.to(), nowMs);
-        watcher.appended(stream.customer, Notice.OVERHEAD, nowMs);
+        relay.retained(stream.customer).gap(stream, gap.to(), nowMs);
+        listener.appended(stream.customer, Notice.OVERHEAD, nowMs);
       }
     } else if (message instanceof PeerMessage.End end) {
-      Stream stream = others(end.stream());
+      Stream stream = remoteStream(end.stream());
       if (stream != null
-          && (stream.keeper.member() == peer || !stream.keeper.there(passing.view()))
+          && (stream.replicaHolder.member() == peer || !stream.replicaHolder.isAlive(relay.view()))
           && stream.last() >= end.last()) {
-        stream.ended = true;
-        stream.complete = true;
+        stream.endKnown = true;
+        stream.endConfirmed = true;
       }
     } else if (message instanceof PeerMessage.Fetch fetch) {
-      reply(peer, passing.answer(fetch));
+      reply(peer, relay.answer(fetch));
     } else {
-      back(peer, message, nowMs);
+      handleReply(peer, message, nowMs);
     }
   }
 
-  private void back(int peer, PeerMessage message, long nowMs) {
-    PeerLink link = passing.linkTo(peer);
+  private void handleReply(int peer, PeerMessage message, long nowMs) {
+    PeerLink link = relay.linkTo(peer);
     if (link == null) {
       return;
     }
@@ -63,42 +63,43 @@
       link.have(have, nowMs);
       publishing.have(peer, have, nowMs);
     } else if (message instanceof PeerMessage.Fetched fetched) {
-      Stream stream = passing.stream(fetched.stream());
+      Stream stream = relay.stream(fetched.stream());
       if (stream != null) {
-        watcher.fetched(stream.customer, fetched, nowMs);
+        listener.fetched(stream.customer, fetched, nowMs);
       }
     }
   }
 
   /** A stream that is another's; null where it is not known, or this front door's own. */
-  private Stream others(StreamId id) {
-    Stream stream = passing.stream(id);
+  private Stream remoteStream(StreamId id) {
+    Stream stream = relay.stream(id);
     return stream == null || stream.own ? null : stream;
   }
 
   private void offer(int peer, PeerMessage.Offer offer, long nowMs) {
-    Stream stream = passing.stream(offer.stream());
-    Retained retained =
-        stream != null || offer.keeper().equals(self) || readers(offer.customer())
-            ? passing.retained(offer.customer())
+    Stream stream = relay.stream(offer.stream());
+    RetainedNotices retained =
+        stream != null || offer.replicaHolder().equals(self) || hasReaders(offer.customer())
+            ? relay.retained(offer.customer())
             : null;
     if (retained == null
-        || own(offer.stream())
+        || isOwn(offer.stream())
         || stream != null && stream.customer != offer.customer()) {
       return;
     }
-    boolean fromTaker = peer == offer.stream().member();
+    boolean fromOrigin = peer == offer.stream().member();
     if (stream == null) {
-      PeerMessage.Want want = retained.want(offer.stream(), offer.keeper().equals(self), nowMs);
-      if (want.ageMs() == PeerMessage.Want.NO_MATTER) {
-        stream = passing.open(retained, offer.stream(), want.after(), false, nowMs);
+      PeerMessage.Want want =
+          retained.wantFor(offer.stream(), offer.replicaHolder().equals(self), nowMs);
+      if (want.ageMs() == PeerMessage.Want.UNSPECIFIED) {
+        stream = relay.open(retained, offer.stream(), want.after(), false, nowMs);
       }
       reply(peer, want);
     } else {
-      reply(peer, new PeerMessage.Want(stream.id, stream.last(), PeerMessage.Want.NO_MATTER));
+      reply(peer, new PeerMessage.Want(stream.id, stream.last(), PeerMessage.Want.UNSPECIFIED));
     }
-    if (stream != null && (fromTaker || stream.keeper.member() < 0)) {
-      stream.keeper = offer.keeper();
+    if (stream != null && (fromOrigin || stream.replicaHolder.member() < 0)) {
+      stream.replicaHolder = offer.replicaHolder();
     }
   }
 
@@ -106,26 +107,27 @@
    * Whether a stream is this process's, whoever speaks of it; one of a process before it is
    * another's.
    */
-  private boolean own(StreamId id) {
+  private boolean isOwn(StreamId id) {
     return id.member() == self.member() && id.generation() == self.generation();
   }
 
-  private boolean readers(long customer) {
-    Retained retained = passing.retained(customer);
+  private boolean hasReaders(long customer) {
+    RetainedNotices retained = relay.retained(customer);
     return retained != null && retained.hasReaders();
   }
 
   private void begin(int peer, PeerMessage.Begin begin, long nowMs) {
-    Retained retained = passing.retained(begin.customer());
+    RetainedNotices retained = relay.retained(begin.customer());
     if (retained == null
-        || own(begin.stream())
-        || passing.stream(begin.stream()) != null
+        || isOwn(begin.stream())
+        || relay.stream(begin.stream()) != null
         || !retained.hasReaders()) {
       return;
     }
-    PeerMessage.Want want = retained.want(begin.stream(), false, nowMs);
-    if (want.after() == PeerMessage.Want.NO_MATTER || want.after() >= begin.after()) {
-      passing.open(retained, begin.stream(), begin.after(), false, nowMs).keeper = begin.keeper();
+    PeerMessage.Want want = retained.wantFor(begin.stream(), false, nowMs);
+    if (want.after() == PeerMessage.Want.UNSPECIFIED || want.after() >= begin.after()) {
+      relay.open(retained, begin.stream(), begin.after(), false, nowMs).replicaHolder =
+          begin.replicaHolder();
     } else {
       // A reader has resumed here since this was asked for, and needs more.
       reply(peer, want);
@@ -133,17 +135,17 @@
   }
 
   private void pass(int peer, Notice notice, long nowMs) {
-    Stream stream = others(notice.stream());
+    Stream stream = remoteStream(notice.stream());
     if (stream == null || stream.customer != notice.customer()) {
       return;
     }
     if (notice.seq() == stream.last() + 1) {
       stream.append(notice, nowMs);
-      passing.retained(stream.customer).list(notice, nowMs);
-      watcher.appended(stream.customer, notice.cost(), nowMs);
+      relay.retained(stream.customer).append(notice, nowMs);
+      listener.appended(stream.customer, notice.cost(), nowMs);
     } else if (notice.seq() > stream.last() + 1) {
       // Something on the way went missing: begin again from what is here.
-      reply(peer, new PeerMessage.Want(stream.id, stream.last(), PeerMessage.Want.NO_MATTER));
+      reply(peer, new PeerMessage.Want(stream.id, stream.last(), PeerMessage.Want.UNSPECIFIED));
       return;
     }
     reply(peer, new PeerMessage.Have(stream.id, stream.last()));
--- a/notices/src/main/java/willowdoor/notices/Peers.java
+++ b/notices/src/main/java/willowdoor/notices/Peers.java
@@ -24,9 +24,9 @@
  * same link. It owns its channels and closes all of them in {@link #close}.
  */
 public final class Peers implements AutoCloseable {
-  private static final int CONNECT_MS = 2_000;
-  private static final int QUIET_S = 5;
-  private static final int SILENT_S = 15;
+  private static final int CONNECT_TIMEOUT_MS = 2_000;
+  private static final int KEEP_ALIVE_S = 5;
+  private static final int READ_TIMEOUT_S = 15;
   private static final long RETRY_MS = 100;
   private static final long MAX_RETRY_MS = 5_000;
 
@@ -34,7 +34,8 @@
    * What may wait to be written to a peer; one that leaves more is cut off, and begins anew from
    * what it has.
    */
-  private static final WriteBufferWaterMark WAITING = new WriteBufferWaterMark(1 << 19, 1 << 20);
+  private static final WriteBufferWaterMark WRITE_BUFFER =
+      new WriteBufferWaterMark(1 << 19, 1 << 20);
 
   /** Front doors and whoever else connects. */
   private static final int MAX_INCOMING = 1_024;
@@ -50,7 +51,7 @@
     /**
      * Something that no front door would send; {@code peer} is -1 where it did not say who it is.
      */
-    void spoilt(int peer, String why);
+    void invalidMessage(int peer, String why);
   }
 
   /** One link that this front door opens, for as long as it is wanted. */
@@ -73,9 +74,9 @@
       new Bootstrap()
           .group(loop)
           .channel(client)
-          .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+          .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
           .option(ChannelOption.TCP_NODELAY, true)
-          .option(ChannelOption.WRITE_BUFFER_WATER_MARK, WAITING)
+          .option(ChannelOption.WRITE_BUFFER_WATER_MARK, WRITE_BUFFER)
           .handler(initializer(this))
           .connect(address)
           .addListener(
@@ -91,17 +92,19 @@
      * all at once.
      */
     private void ended() {
-      boolean was = up;
+      boolean wasUp = up;
       up = false;
       channel = null;
-      if (was) {
+      if (wasUp) {
         failures = 0;
         listener.linkDown(peer);
       }
       if (wanted && !closed) {
-        long most = Math.min(MAX_RETRY_MS, RETRY_MS << Math.min(failures++, 6));
+        long maxDelayMs = Math.min(MAX_RETRY_MS, RETRY_MS << Math.min(failures++, 6));
         loop.schedule(
-            this::connect, (long) (most * (0.5 + random.getAsDouble() / 2)), TimeUnit.MILLISECONDS);
+            this::connect,
+            (long) (maxDelayMs * (0.5 + random.getAsDouble() / 2)),
+            TimeUnit.MILLISECONDS);
       }
     }
   }
@@ -115,7 +118,7 @@
   private final Map<Integer, Outgoing> outgoing = new HashMap<>();
   private final Map<Integer, Channel> incoming = new HashMap<>();
   private Channel server;
-  private int open;
+  private int incomingCount;
   private boolean closed;
 
   /**
@@ -151,7 +154,7 @@
             .group(loop)
             .channel(kind)
             .childOption(ChannelOption.TCP_NODELAY, true)
-            .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WAITING)
+            .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WRITE_BUFFER)
             .childHandler(initializer(null))
             .bind(address)
             .sync()
@@ -166,7 +169,7 @@
         channel
             .pipeline()
             .addLast(
-                new IdleStateHandler(SILENT_S, QUIET_S, 0),
+                new IdleStateHandler(READ_TIMEOUT_S, KEEP_ALIVE_S, 0),
                 new LengthFieldBasedFrameDecoder(PeerCodec.MAX_FRAME, 0, 4, 0, 4),
                 new LengthFieldPrepender(4),
                 new PeerChannel(Peers.this, link == null ? -1 : link.peer));
@@ -190,7 +193,7 @@
     } else if (effect instanceof Effect.Send send) {
       Outgoing link = outgoing.get(send.peer());
       Channel channel =
-          send.message() instanceof PeerMessage.Back
+          send.message() instanceof PeerMessage.Reply
               ? incoming.get(send.peer())
               : link != null && link.up ? link.channel : null;
       if (channel != null) {
@@ -216,53 +219,54 @@
   }
 
   /** A channel has come up. @return whether there is room for it */
-  boolean opened(Channel channel, int dialled) {
-    Outgoing link = outgoing.get(dialled);
-    if (dialled >= 0) {
+  boolean opened(Channel channel, int dialledPeer) {
+    Outgoing link = outgoing.get(dialledPeer);
+    if (dialledPeer >= 0) {
       if (closed || link == null || link.channel != null) {
         return false;
       }
       link.channel = channel;
       return true;
     }
-    open++;
-    return !closed && open <= MAX_INCOMING;
+    incomingCount++;
+    return !closed && incomingCount <= MAX_INCOMING;
   }
 
   /** The other side has said who it is. @return whether it may stay */
-  boolean greeted(Channel channel, int dialled, PeerCodec.Hello hello) {
+  boolean helloReceived(Channel channel, int dialledPeer, PeerCodec.Hello hello) {
     boolean known =
         hello.fleet().equals(self.fleet())
             && hello.member() != self.member()
             && roster.containsKey(hello.member())
-            && (dialled < 0 || dialled == hello.member());
+            && (dialledPeer < 0 || dialledPeer == hello.member());
     if (!known) {
-      listener.spoilt(hello.member(), "a front door of another fleet, or under another number");
+      listener.invalidMessage(
+          hello.member(), "a front door of another fleet, or under another number");
       return false;
     }
-    if (dialled < 0) {
+    if (dialledPeer < 0) {
       Channel before = incoming.put(hello.member(), channel);
       if (before != null) {
         before.close();
       }
       return true;
     }
-    Outgoing link = outgoing.get(dialled);
+    Outgoing link = outgoing.get(dialledPeer);
     if (link == null || link.channel != channel) {
       return false;
     }
     link.up = true;
-    listener.linkUp(dialled);
+    listener.linkUp(dialledPeer);
     return true;
   }
 
-  void ended(Channel channel, int dialled, int peer) {
-    if (dialled < 0) {
-      open--;
+  void ended(Channel channel, int dialledPeer, int peer) {
+    if (dialledPeer < 0) {
+      incomingCount--;
       incoming.remove(peer, channel);
       return;
     }
-    Outgoing link = outgoing.get(dialled);
+    Outgoing link = outgoing.get(dialledPeer);
     if (link != null && link.channel == channel) {
       link.ended();
     }
--- a/notices/src/main/java/willowdoor/notices/Position.java
+++ b/notices/src/main/java/willowdoor/notices/Position.java
@@ -81,7 +81,7 @@
    * The lesser count of each stream; a stream that one of the two lacks is left out, which means
    * from its start.
    */
-  Position least(Position other) {
+  Position min(Position other) {
     Position both = NONE;
     for (int i = 0; i < ids.length; i++) {
       if (other.has(ids[i])) {
--- a/notices/src/main/java/willowdoor/notices/Reader.java
+++ b/notices/src/main/java/willowdoor/notices/Reader.java
@@ -6,7 +6,7 @@
 /** One reader at this front door: in a group, or alone. */
 final class Reader {
   /** Bytes that are written to a reader, and how far it is with them. */
-  static final class Piece {
+  static final class Chunk {
     final byte[] bytes;
     final Position after;
 
@@ -16,16 +16,16 @@
     final long atMs;
 
     /** The number of the next event in the front door's order. */
-    final long order;
+    final long nextEvent;
 
     /** Readers of the group that have not taken it. */
-    int left;
+    int pendingReaders;
 
-    Piece(byte[] bytes, Position after, Group group, long order, long atMs) {
+    Chunk(byte[] bytes, Position after, Group group, long order, long atMs) {
       this.bytes = bytes;
       this.after = after;
       this.group = group;
-      this.order = order;
+      this.nextEvent = order;
       this.atMs = atMs;
     }
   }
@@ -43,73 +43,73 @@
   final long moves;
 
   final long sinceMs;
-  final Pace pace;
+  final ReaderProgress progress;
   Group group;
 
   /** In the group's window: the next piece to write, and the next that it has to take. */
-  long next;
+  long nextToWrite;
 
-  long done;
-  Alone alone;
+  long nextToTake;
+  IndividualDelivery individual;
 
   /** After all that was written. */
-  Position at;
+  Position position;
 
   /** The class it is among the slow as, null for one that is not. */
-  PaceClass slow;
+  PaceClass slowClass;
 
   /** Whether it was sent here as that. */
-  boolean guest;
+  boolean movedHere;
 
   /**
    * Streams it has had something of and this front door does not know, at the position it came
    * with.
    */
-  Position unproven = Position.NONE;
+  Position unknownStreams = Position.NONE;
 
-  MoveOrder order;
-  long orderMs;
+  MoveOrder pendingMove;
+  long pendingMoveMs;
   boolean closing;
-  private final ArrayDeque<Piece> out = new ArrayDeque<>();
-  private long outBytes;
+  private final ArrayDeque<Chunk> inFlight = new ArrayDeque<>();
+  private long inFlightBytes;
 
   /** Pieces under way that are a group's, perhaps of one it has left. */
-  private int outShared;
+  private int inFlightShared;
 
   private long offset;
 
-  Reader(long id, long customer, long key, int home, long moves, Position at, long nowMs) {
+  Reader(long id, long customer, long key, int home, long moves, Position position, long nowMs) {
     this.id = id;
     this.customer = customer;
     this.key = key;
     this.home = home;
     this.moves = moves;
-    this.at = at;
+    this.position = position;
     this.sinceMs = nowMs;
-    this.pace = new Pace(nowMs);
+    this.progress = new ReaderProgress(nowMs);
   }
 
-  void write(Piece piece, Consumer<Effect> effects) {
-    out.add(piece);
-    outBytes += piece.bytes.length;
-    outShared += piece.group == null ? 0 : 1;
-    at = piece.after;
-    effects.accept(new Effect.Write(id, piece.bytes));
+  void write(Chunk chunk, Consumer<Effect> effects) {
+    inFlight.add(chunk);
+    inFlightBytes += chunk.bytes.length;
+    inFlightShared += chunk.group == null ? 0 : 1;
+    position = chunk.after;
+    effects.accept(new Effect.Write(id, chunk.bytes));
   }
 
   /** Its socket took so many bytes. @return whether it finished a piece of its group */
-  boolean took(long written) {
-    long bytes = Math.min(written, outBytes);
-    pace.took(bytes);
-    outBytes -= bytes;
+  boolean onTaken(long written) {
+    long bytes = Math.min(written, inFlightBytes);
+    progress.recordTaken(bytes);
+    inFlightBytes -= bytes;
     offset += bytes;
     boolean finished = false;
-    while (!out.isEmpty() && offset >= out.peek().bytes.length) {
-      Piece piece = out.remove();
-      offset -= piece.bytes.length;
-      outShared -= piece.group == null ? 0 : 1;
-      if (piece.group != null && piece.group == group) {
-        group.done(this);
+    while (!inFlight.isEmpty() && offset >= inFlight.peek().bytes.length) {
+      Chunk chunk = inFlight.remove();
+      offset -= chunk.bytes.length;
+      inFlightShared -= chunk.group == null ? 0 : 1;
+      if (chunk.group != null && chunk.group == group) {
+        group.chunkTaken(this);
         finished = true;
       }
     }
@@ -120,12 +120,12 @@
    * Whether it could be in a group: nothing of an earlier one is under way, which would count for
    * this one.
    */
-  boolean joinable() {
-    return outShared == 0;
+  boolean canJoinGroup() {
+    return inFlightShared == 0;
   }
 
   /** Bytes that are under way to it. */
-  long outBytes() {
-    return outBytes;
+  long inFlightBytes() {
+    return inFlightBytes;
   }
 }
--- a/notices/src/main/java/willowdoor/notices/Keeper.java
+++ b/notices/src/main/java/willowdoor/notices/ReplicaHolder.java
@@ -6,10 +6,10 @@
  *
  * @param member its number in the roster, -1 where nobody keeps one
  */
-public record Keeper(int member, long generation) {
-  static final Keeper NONE = new Keeper(-1, 0);
+public record ReplicaHolder(int member, long generation) {
+  static final ReplicaHolder NONE = new ReplicaHolder(-1, 0);
 
-  boolean there(FleetView view) {
+  boolean isAlive(FleetView view) {
     return view.alive(member, generation);
   }
 }
--- a/notices/src/main/java/willowdoor/notices/Retained.java
+++ b/notices/src/main/java/willowdoor/notices/RetainedNotices.java
@@ -10,25 +10,25 @@
  * What a front door keeps of one customer's notices: the streams, and one order over them in which
  * its readers get them. Bounded in bytes and time; the oldest go first.
  */
-final class Retained {
+final class RetainedNotices {
   final long customer;
   private final Limits limits;
   private final Map<StreamId, Stream> streams = new LinkedHashMap<>();
-  private final Ring<Entry> order = new Ring<>(0);
-  private Position seen = Position.NONE;
-  private Position dropped = Position.NONE;
+  private final Ring<Entry> events = new Ring<>(0);
+  private Position latestPosition = Position.NONE;
+  private Position evictedPosition = Position.NONE;
   private long bytes;
 
   /**
    * The least that readers which resumed here need of streams that are yet to be offered; null
    * where none did.
    */
-  private Position needed;
+  private Position neededPosition;
 
   /** Since when the customer has readers here, -1 while it has none. */
-  private long readersMs = -1;
+  private long readersSinceMs = -1;
 
-  Retained(long customer, Limits limits) {
+  RetainedNotices(long customer, Limits limits) {
     this.customer = customer;
     this.limits = limits;
   }
@@ -47,67 +47,74 @@
    * @return the one that had to go for it, or null
    */
   Stream open(StreamId id, long after, boolean own, long nowMs) {
-    Stream gone = null;
+    Stream evicted = null;
     if (streams.size() >= Position.MAX_STREAMS) {
       for (Stream stream : streams.values()) {
-        if (gone == null || stream.lastMs < gone.lastMs) {
-          gone = stream;
+        if (evicted == null || stream.lastAppendMs < evicted.lastAppendMs) {
+          evicted = stream;
         }
       }
-      forget(gone);
+      forget(evicted);
     }
     streams.put(id, new Stream(customer, id, after, own, nowMs));
-    seen = seen.with(id, after);
-    return gone;
+    latestPosition = latestPosition.with(id, after);
+    return evicted;
   }
 
   /** Puts a notice in the order of this front door's readers. */
-  void list(Notice notice, long nowMs) {
-    seen = seen.with(notice.stream(), notice.seq());
-    add(new Entry(nowMs, notice.stream(), notice.seq(), notice.seq(), notice, seen), nowMs);
+  void append(Notice notice, long nowMs) {
+    latestPosition = latestPosition.with(notice.stream(), notice.seq());
+    add(
+        new Entry(nowMs, notice.stream(), notice.seq(), notice.seq(), notice, latestPosition),
+        nowMs);
   }
 
   /**
    * Puts a gap there.
    *
-   * @param to its last count, or {@link Entry#OPEN}
+   * @param to its last count, or {@link Entry#OPEN_ENDED}
    */
   void gap(Stream stream, long to, long nowMs) {
     long from = stream.last() + 1;
-    if (to != Entry.OPEN) {
+    if (to != Entry.OPEN_ENDED) {
       stream.skipTo(to);
-      seen = seen.with(stream.id, to);
+      latestPosition = latestPosition.with(stream.id, to);
     }
-    add(new Entry(nowMs, stream.id, from, to, null, seen), nowMs);
+    add(new Entry(nowMs, stream.id, from, to, null, latestPosition), nowMs);
   }
 
   private void add(Entry entry, long nowMs) {
-    order.add(entry);
+    events.add(entry);
     bytes += entry.cost();
     evict(nowMs);
   }
 
   void evict(long nowMs) {
-    while (!order.isEmpty()
+    while (!events.isEmpty()
         && (bytes > limits.retainBytes()
-            || nowMs - order.get(order.first()).atMs() > limits.retainMs())) {
+            || nowMs - events.get(events.first()).atMs() > limits.retainMs())) {
       evictOldest();
     }
   }
 
   /** Lets go of the oldest event, where there is one. */
   void evictOldest() {
-    if (order.isEmpty()) {
+    if (events.isEmpty()) {
       return;
     }
-    Entry entry = order.removeFirst();
+    Entry entry = events.removeFirst();
     bytes -= entry.cost();
     for (int i = 0; i < entry.after().size(); i++) {
-      dropped = dropped.with(entry.after().id(i), entry.after().count(i));
+      evictedPosition = evictedPosition.with(entry.after().id(i), entry.after().count(i));
     }
-    for (int i = 0; i < dropped.size() && dropped.size() > 2 * Position.MAX_STREAMS; i++) {
+    for (int i = 0;
+        i < evictedPosition.size() && evictedPosition.size() > 2 * Position.MAX_STREAMS;
+        i++) {
       // Of a stream that is forgotten; whoever still reads it is a minute behind at least.
-      dropped = streams.containsKey(dropped.id(i)) ? dropped : dropped.without(dropped.id(i));
+      evictedPosition =
+          streams.containsKey(evictedPosition.id(i))
+              ? evictedPosition
+              : evictedPosition.without(evictedPosition.id(i));
     }
     Stream stream = streams.get(entry.stream());
     if (stream != null && entry.notice() != null) {
@@ -120,7 +127,7 @@
     List<Stream> idle = new ArrayList<>();
     for (Stream stream : streams.values()) {
       long after = Limits.IDLE_STREAM_MS * (stream.own ? 1 : 2);
-      if (nowMs - stream.lastMs > after && stream.last() < stream.first()) {
+      if (nowMs - stream.lastAppendMs > after && stream.last() < stream.first()) {
         idle.add(stream);
       }
     }
@@ -130,31 +137,31 @@
 
   private void forget(Stream stream) {
     streams.remove(stream.id);
-    seen = seen.without(stream.id);
+    latestPosition = latestPosition.without(stream.id);
   }
 
   /** The number of the oldest event held. */
   long first() {
-    return order.first();
+    return events.first();
   }
 
   /** The number that the next event gets. */
   long end() {
-    return order.end();
+    return events.end();
   }
 
   Entry get(long number) {
-    return order.get(number);
+    return events.get(number);
   }
 
   /** How far a reader is that has had all. */
-  Position seen() {
-    return seen;
+  Position latestPosition() {
+    return latestPosition;
   }
 
   /** How far a reader is that has had all that is not held any more. */
-  Position dropped() {
-    return dropped;
+  Position evictedPosition() {
+    return evictedPosition;
   }
 
   long bytes() {
@@ -166,31 +173,31 @@
    *
    * @param resume from where, null where it begins now
    */
-  void reader(Position resume, long nowMs) {
-    if (readersMs < 0) {
-      readersMs = nowMs;
+  void readerArrived(Position resume, long nowMs) {
+    if (readersSinceMs < 0) {
+      readersSinceMs = nowMs;
     }
     if (resume != null) {
-      needed = needed == null ? resume : needed.least(resume);
+      neededPosition = neededPosition == null ? resume : neededPosition.min(resume);
     }
   }
 
   /** The last reader has gone. */
-  void noReaders() {
-    readersMs = -1;
-    needed = null;
+  void lastReaderLeft() {
+    readersSinceMs = -1;
+    neededPosition = null;
   }
 
   boolean hasReaders() {
-    return readersMs >= 0;
+    return readersSinceMs >= 0;
   }
 
   /** What to ask for of a stream that is offered for the first time. */
-  PeerMessage.Want want(StreamId id, boolean keeper, long nowMs) {
-    if (keeper) {
-      return new PeerMessage.Want(id, 0, PeerMessage.Want.NO_MATTER);
+  PeerMessage.Want wantFor(StreamId id, boolean asReplicaHolder, long nowMs) {
+    if (asReplicaHolder) {
+      return new PeerMessage.Want(id, 0, PeerMessage.Want.UNSPECIFIED);
     }
-    long after = needed == null ? PeerMessage.Want.NO_MATTER : needed.of(id);
-    return new PeerMessage.Want(id, after, nowMs - readersMs);
+    long after = neededPosition == null ? PeerMessage.Want.UNSPECIFIED : neededPosition.of(id);
+    return new PeerMessage.Want(id, after, nowMs - readersSinceMs);
   }
 }
--- a/notices/src/main/java/willowdoor/notices/ServerSentEvents.java
+++ b/notices/src/main/java/willowdoor/notices/ServerSentEvents.java
@@ -10,7 +10,7 @@
   }
 
   /**
-   * @param to the last count that is lacking, or {@link Entry#OPEN} where nobody knows
+   * @param to the last count that is lacking, or {@link Entry#OPEN_ENDED} where nobody knows
    */
   byte[] gap(StreamId stream, long from, long to, Position after) {
     return event(
@@ -21,7 +21,7 @@
             + "\",\"from\":"
             + from
             + ",\"to\":"
-            + (to == Entry.OPEN ? "null" : Long.toString(to))
+            + (to == Entry.OPEN_ENDED ? "null" : Long.toString(to))
             + "}");
   }
 
@@ -29,17 +29,20 @@
    * The first event: what to say as {@code Last-Event-ID} when the answer ends before another
    * comes.
    */
-  byte[] open(long key, Position at) {
-    return event("open", at.text(null), "{\"reader\":\"" + Long.toUnsignedString(key, 36) + "\"}");
+  byte[] open(long key, Position position) {
+    return event(
+        "open", position.text(null), "{\"reader\":\"" + Long.toUnsignedString(key, 36) + "\"}");
   }
 
-  byte[] move(String address, MoveOrder order, Position at) {
+  byte[] move(String address, MoveOrder order, Position position) {
     return event(
-        "move", at.text(null), "{\"to\":\"" + address + "\",\"order\":\"" + order.text() + "\"}");
+        "move",
+        position.text(null),
+        "{\"to\":\"" + address + "\",\"order\":\"" + order.text() + "\"}");
   }
 
-  byte[] closed(String reason, Position at) {
-    return event("closed", at.text(null), "{\"reason\":\"" + reason + "\"}");
+  byte[] closed(String reason, Position position) {
+    return event("closed", position.text(null), "{\"reason\":\"" + reason + "\"}");
   }
 
   private static byte[] event(String type, String id, String data) {
--- a/notices/src/main/java/willowdoor/notices/Places.java
+++ b/notices/src/main/java/willowdoor/notices/SlowReaderPlacement.java
@@ -8,26 +8,26 @@
  * so all members with the same view name the same one, and a view without one member leaves most
  * places where they were.
  */
-final class Places {
-  static final int COUNT = 256;
-  private final int[] owner = new int[COUNT];
+final class SlowReaderPlacement {
+  static final int SLOT_COUNT = 256;
+  private final int[] owner = new int[SLOT_COUNT];
 
-  Places(List<FleetView.Member> members) {
-    int bound = members.isEmpty() ? 0 : (int) Math.ceil(1.25 * COUNT / members.size());
+  SlowReaderPlacement(List<FleetView.Member> members) {
+    int bound = members.isEmpty() ? 0 : (int) Math.ceil(1.25 * SLOT_COUNT / members.size());
     int[] load = new int[members.size()];
-    for (int place = 0; place < COUNT; place++) {
+    for (int slot = 0; slot < SLOT_COUNT; slot++) {
       int best = -1;
       for (int i = 0; i < members.size(); i++) {
         if (load[i] < bound
             && (best < 0
                 || Long.compareUnsigned(
-                        score(members.get(i).number(), place),
-                        score(members.get(best).number(), place))
+                        score(members.get(i).number(), slot),
+                        score(members.get(best).number(), slot))
                     > 0)) {
           best = i;
         }
       }
-      owner[place] = best < 0 ? -1 : members.get(best).number();
+      owner[slot] = best < 0 ? -1 : members.get(best).number();
       if (best >= 0) {
         load[best]++;
       }
@@ -35,17 +35,17 @@
   }
 
   /** The member that a customer's readers of that pace go to, -1 where there is none. */
-  int of(long customer, PaceClass pace) {
-    return owner[(int) (hash(hash(customer) + pace.ordinal()) & (COUNT - 1))];
+  int memberFor(long customer, PaceClass pace) {
+    return owner[(int) (hash(hash(customer) + pace.ordinal()) & (SLOT_COUNT - 1))];
   }
 
-  int of(int place) {
-    return owner[place];
+  int memberFor(int slot) {
+    return owner[slot];
   }
 
   /** A member's score for a thing; the highest has it. */
-  static long score(int member, long thing) {
-    return hash(hash(thing) ^ (member + 1));
+  static long score(int member, long item) {
+    return hash(hash(item) ^ (member + 1));
   }
 
   /**
--- a/notices/src/main/java/willowdoor/notices/Stream.java
+++ b/notices/src/main/java/willowdoor/notices/Stream.java
@@ -14,21 +14,21 @@
   final boolean own;
 
   /** Who keeps a copy. */
-  Keeper keeper = Keeper.NONE;
+  ReplicaHolder replicaHolder = ReplicaHolder.NONE;
 
   /** Of an own stream: the last that a second front door holds. */
   long committed;
 
-  long lastMs;
+  long lastAppendMs;
 
   /** Since when its front door is gone, -1 while it is there. */
-  long orphanMs = -1;
+  long originLostMs = -1;
 
   /** Whether its keeper has said that this was the last. */
-  boolean complete;
+  boolean endConfirmed;
 
   /** Whether it is known here how it ended, or the readers were told that it is not. */
-  boolean ended;
+  boolean endKnown;
 
   private final Ring<Held> held;
   private long droppedMs = Long.MIN_VALUE;
@@ -41,7 +41,7 @@
     this.base = base;
     this.own = own;
     this.committed = base;
-    this.lastMs = nowMs;
+    this.lastAppendMs = nowMs;
     this.held = new Ring<>(base + 1);
   }
 
@@ -63,7 +63,7 @@
       throw new IllegalStateException("notice " + notice.seq() + " after " + last());
     }
     held.add(new Held(notice, nowMs));
-    lastMs = nowMs;
+    lastAppendMs = nowMs;
   }
 
   /** Lets go of a notice where it is the oldest held. */
@@ -89,11 +89,11 @@
 
   /** What others may be passed: of an own stream only what a second front door holds. */
   long sendable(int peer) {
-    return own && peer != keeper.member() ? committed : last();
+    return own && peer != replicaHolder.member() ? committed : last();
   }
 
   /** The count before the first notice taken at that time or later, as far as they are held. */
-  long before(long sinceMs) {
+  long lastBefore(long sinceMs) {
     long seq = held.end();
     while (seq > held.first() && held.get(seq - 1).atMs() >= sinceMs) {
       seq--;
--- a/notices/src/main/java/willowdoor/notices/Passing.java
+++ b/notices/src/main/java/willowdoor/notices/StreamRelay.java
@@ -12,41 +12,45 @@
  * The streams that a front door holds: its own, and what others pass it; and to whom it passes them
  * on.
  */
-final class Passing {
+final class StreamRelay {
   private static final int FETCH_BYTES = 64 * 1024;
 
   /** Told when events have come into a customer's order, or a fetch was answered. */
-  interface Watcher {
+  interface Listener {
     void appended(long customer, long bytes, long nowMs);
 
     void fetched(long customer, PeerMessage.Fetched answer, long nowMs);
   }
 
-  private final Keeper self;
+  private final ReplicaHolder self;
   private final Limits limits;
   private final Interest interest;
   private final Consumer<Effect> effects;
-  private final Watcher watcher;
-  private final Map<Long, Retained> kept = new HashMap<>();
+  private final Listener listener;
+  private final Map<Long, RetainedNotices> byCustomer = new HashMap<>();
   private final Map<StreamId, Stream> streams = new HashMap<>();
   private final Map<Integer, PeerLink> links = new TreeMap<>();
   private FleetView view = FleetView.none();
 
-  Passing(
-      Keeper self, Limits limits, Interest interest, Consumer<Effect> effects, Watcher watcher) {
+  StreamRelay(
+      ReplicaHolder self,
+      Limits limits,
+      Interest interest,
+      Consumer<Effect> effects,
+      Listener listener) {
     this.self = self;
     this.limits = limits;
     this.interest = interest;
     this.effects = effects;
-    this.watcher = watcher;
+    this.listener = listener;
   }
 
   /** What is kept of a customer; null where there is no room for another. */
-  Retained retained(long customer) {
-    Retained retained = kept.get(customer);
-    if (retained == null && kept.size() < Limits.MAX_CUSTOMERS) {
-      retained = new Retained(customer, limits);
-      kept.put(customer, retained);
+  RetainedNotices retained(long customer) {
+    RetainedNotices retained = byCustomer.get(customer);
+    if (retained == null && byCustomer.size() < Limits.MAX_CUSTOMERS) {
+      retained = new RetainedNotices(customer, limits);
+      byCustomer.put(customer, retained);
     }
     return retained;
   }
@@ -56,7 +60,7 @@
    *
    * @param after what came up to this count is not to be had here
    */
-  Stream open(Retained retained, StreamId id, long after, boolean own, long nowMs) {
+  Stream open(RetainedNotices retained, StreamId id, long after, boolean own, long nowMs) {
     forget(retained.open(id, after, own, nowMs));
     Stream stream = retained.stream(id);
     streams.put(id, stream);
@@ -81,11 +85,12 @@
   void view(FleetView now, long nowMs) {
     view = now;
     for (Stream stream : new ArrayList<>(streams.values())) {
-      boolean there = stream.own || view.alive(stream.id.member(), stream.id.generation());
-      stream.orphanMs = there ? -1 : stream.orphanMs < 0 ? nowMs : stream.orphanMs;
-      stream.ended &= !there;
-      stream.complete &= !there;
-      refresh(stream, nowMs);
+      boolean originAlive = stream.own || view.alive(stream.id.member(), stream.id.generation());
+      stream.originLostMs =
+          originAlive ? -1 : stream.originLostMs < 0 ? nowMs : stream.originLostMs;
+      stream.endKnown &= !originAlive;
+      stream.endConfirmed &= !originAlive;
+      updatePeers(stream, nowMs);
     }
     for (int peer : new ArrayList<>(links.keySet())) {
       if (view.member(peer) == null) {
@@ -95,33 +100,34 @@
   }
 
   /** Interest in these customers has changed. */
-  void interested(Set<Long> customers, long nowMs) {
+  void interestChanged(Set<Long> customers, long nowMs) {
     for (long customer : customers) {
-      Retained retained = kept.get(customer);
+      RetainedNotices retained = byCustomer.get(customer);
       if (retained != null) {
-        new ArrayList<>(retained.streams()).forEach(stream -> refresh(stream, nowMs));
+        new ArrayList<>(retained.streams()).forEach(stream -> updatePeers(stream, nowMs));
       }
     }
   }
 
   /** Sees to it that a stream goes to those it concerns, and to nobody else. */
-  void refresh(Stream stream, long nowMs) {
+  void updatePeers(Stream stream, long nowMs) {
     // Where its keeper is gone too, all that hold it pass it on: whoever comes anew may know
     // nothing of it.
-    boolean keeping =
-        stream.orphanMs >= 0 && (stream.keeper.equals(self) || !stream.keeper.there(view));
-    boolean renamed = stream.own && nameKeeper(stream);
+    boolean replacesOrigin =
+        stream.originLostMs >= 0
+            && (stream.replicaHolder.equals(self) || !stream.replicaHolder.isAlive(view));
+    boolean holderChanged = stream.own && chooseReplicaHolder(stream);
     for (FleetView.Member member : view.members()) {
       int peer = member.number();
-      boolean gets =
+      boolean shouldReceive =
           peer != self.member()
-              && (stream.own || keeping)
-              && (interest.has(peer, stream.customer)
-                  || stream.own && stream.keeper.member() == peer);
+              && (stream.own || replacesOrigin)
+              && (interest.hasReaders(peer, stream.customer)
+                  || stream.own && stream.replicaHolder.member() == peer);
       PeerLink link = links.get(peer);
-      if (gets && (link == null || !link.passes(stream.id) || renamed)) {
+      if (shouldReceive && (link == null || !link.hasStream(stream.id) || holderChanged)) {
         link(peer, nowMs).offer(stream, nowMs);
-      } else if (!gets && link != null) {
+      } else if (!shouldReceive && link != null) {
         link.drop(stream.id);
       }
     }
@@ -132,27 +138,30 @@
    *
    * @return whether it is another
    */
-  private boolean nameKeeper(Stream stream) {
-    if (stream.keeper.there(view)) {
+  private boolean chooseReplicaHolder(Stream stream) {
+    if (stream.replicaHolder.isAlive(view)) {
       return false;
     }
-    Keeper best = Keeper.NONE;
+    ReplicaHolder best = ReplicaHolder.NONE;
     for (FleetView.Member member : view.members()) {
       int number = member.number();
       if (number != self.member()
-          && (best.member() < 0 || better(number, best.member(), stream.customer))) {
-        best = new Keeper(number, member.generation());
+          && (best.member() < 0 || isBetterHolder(number, best.member(), stream.customer))) {
+        best = new ReplicaHolder(number, member.generation());
       }
     }
-    boolean changed = !best.equals(stream.keeper);
-    stream.keeper = best;
+    boolean changed = !best.equals(stream.replicaHolder);
+    stream.replicaHolder = best;
     return changed;
   }
 
-  private boolean better(int one, int other, long customer) {
-    boolean oneReads = interest.has(one, customer);
-    return oneReads == interest.has(other, customer)
-        ? Long.compareUnsigned(Places.score(one, customer), Places.score(other, customer)) > 0
+  private boolean isBetterHolder(int one, int other, long customer) {
+    boolean oneReads = interest.hasReaders(one, customer);
+    return oneReads == interest.hasReaders(other, customer)
+        ? Long.compareUnsigned(
+                SlowReaderPlacement.score(one, customer),
+                SlowReaderPlacement.score(other, customer))
+            > 0
         : oneReads;
   }
 
@@ -181,7 +190,7 @@
   }
 
   /** An own stream has more, for its keeper or for all. */
-  void more(Stream stream, long nowMs) {
+  void moreAvailable(Stream stream, long nowMs) {
     for (PeerLink link : links.values()) {
       link.more(stream.id, nowMs);
     }
@@ -192,19 +201,21 @@
    *
    * @return false where nobody is there; what is lost is to be asked again
    */
-  boolean fetch(Alone.Lack lack, long nowMs) {
-    Stream stream = streams.get(lack.stream());
+  boolean fetch(IndividualDelivery.MissingRange range, long nowMs) {
+    Stream stream = streams.get(range.stream());
     int from =
-        view.alive(lack.stream().member(), lack.stream().generation())
-            ? lack.stream().member()
-            : stream == null || !stream.keeper.there(view) ? -1 : stream.keeper.member();
+        view.alive(range.stream().member(), range.stream().generation())
+            ? range.stream().member()
+            : stream == null || !stream.replicaHolder.isAlive(view)
+                ? -1
+                : stream.replicaHolder.member();
     if (from == self.member() || view.member(from) == null) {
       return false;
     }
     PeerLink link = link(from, nowMs);
-    link.needed(nowMs);
+    link.markNeeded(nowMs);
     if (link.isUp()) {
-      link.send(new PeerMessage.Fetch(lack.stream(), lack.from() - 1, lack.to()));
+      link.send(new PeerMessage.Fetch(range.stream(), range.from() - 1, range.to()));
     }
     return true;
   }
@@ -248,25 +259,26 @@
   /** What takes place with time alone. */
   void tick(long nowMs) {
     long bytes = 0;
-    for (Retained retained : new ArrayList<>(kept.values())) {
+    for (RetainedNotices retained : new ArrayList<>(byCustomer.values())) {
       retained.evict(nowMs);
       bytes += retained.bytes();
       retained.forgetIdle(nowMs).forEach(this::forget);
       if (retained.streams().isEmpty() && !retained.hasReaders()) {
-        kept.remove(retained.customer);
+        byCustomer.remove(retained.customer);
       }
     }
     trim(bytes);
     for (Stream stream : new ArrayList<>(streams.values())) {
-      Retained retained = kept.get(stream.customer);
-      if (stream.orphanMs >= 0
-          && !stream.ended
-          && !stream.keeper.equals(self)
-          && (nowMs - stream.orphanMs >= Limits.END_WAIT_MS || !stream.keeper.there(view))) {
-        stream.ended = true;
+      RetainedNotices retained = byCustomer.get(stream.customer);
+      if (stream.originLostMs >= 0
+          && !stream.endKnown
+          && !stream.replicaHolder.equals(self)
+          && (nowMs - stream.originLostMs >= Limits.END_WAIT_MS
+              || !stream.replicaHolder.isAlive(view))) {
+        stream.endKnown = true;
         if (retained.hasReaders()) {
-          retained.gap(stream, Entry.OPEN, nowMs);
-          watcher.appended(stream.customer, Notice.OVERHEAD, nowMs);
+          retained.gap(stream, Entry.OPEN_ENDED, nowMs);
+          listener.appended(stream.customer, Notice.OVERHEAD, nowMs);
         }
       }
     }
@@ -284,9 +296,9 @@
 
   private void trim(long held) {
     long bytes = held;
-    while (bytes > limits.doorBytes()) {
-      Retained largest = null;
-      for (Retained retained : kept.values()) {
+    while (bytes > limits.totalBytes()) {
+      RetainedNotices largest = null;
+      for (RetainedNotices retained : byCustomer.values()) {
         largest = largest == null || retained.bytes() > largest.bytes() ? retained : largest;
       }
       long before = largest.bytes();
--- a/notices/src/test/java/willowdoor/notices/AssignmentModelTest.java
+++ b/notices/src/test/java/willowdoor/notices/AssignmentModelTest.java
@@ -45,7 +45,7 @@
           .orElseThrow();
 
   private static int target(FleetView view, long customer) {
-    return new Places(view.members()).of(customer, PaceClass.SLOW);
+    return new SlowReaderPlacement(view.members()).memberFor(customer, PaceClass.SLOW);
   }
 
   private static FleetView view(long epoch, boolean cutOff, int... members) {
@@ -118,7 +118,7 @@
       if (at < 0 || pending != null || guest) {
         return false;
       }
-      long rested = LIMITS.restMs() * 16;
+      long rested = LIMITS.moveIntervalMs() * 16;
       pending = member[at].decide(KEY, CUSTOMER, PaceClass.SLOW, false, 0, count, rested, nowMs);
       return pending != null;
     }
@@ -129,7 +129,7 @@
       }
       MoveOrder order = pending;
       pending = null;
-      if (member[at].tell(order, nowMs)) {
+      if (member[at].tryIssue(order, nowMs)) {
         check("tells", at, order);
         told.add(order);
         at = -1;
@@ -146,7 +146,7 @@
         return false;
       }
       MoveOrder order = told.get(which);
-      boolean taken = member[order.target()].arrive(order, nowMs);
+      boolean taken = member[order.target()].accept(order, nowMs);
       if (taken) {
         check("takes in", order.target(), order);
         if (accepted.contains(order.target() * 100L + order.count())) {
@@ -232,7 +232,7 @@
   }
 
   @Test
-  void noOrderIsActedOnOutOfItsView() {
+  void noOrderIsExecutedOutsideItsView() {
     Found found = search(i -> new Assignment(i, LIMITS));
     System.out.println(
         "assignments: " + found.states() + " states, every interleaving to depth " + DEPTH);
@@ -241,58 +241,58 @@
   }
 
   @Test
-  void findsThatTheNumberIsIgnored() {
-    caught(
+  void detectsAnIgnoredViewNumber() {
+    assertDetected(
         search(
             i ->
                 new Assignment(i, LIMITS) {
                   @Override
-                  boolean current(MoveOrder order) {
+                  boolean matchesView(MoveOrder order) {
                     return true;
                   }
                 }));
   }
 
   @Test
-  void findsThatACutOffSideMovesReaders() {
-    caught(
+  void detectsMovesByACutOffMember() {
+    assertDetected(
         search(
             i ->
                 new Assignment(i, LIMITS) {
                   @Override
-                  boolean allowed() {
+                  boolean mayMoveReaders() {
                     return true;
                   }
                 }));
   }
 
   @Test
-  void findsThatAnOrderIsTakenTwice() {
-    caught(
+  void detectsAnOrderAcceptedTwice() {
+    assertDetected(
         search(
             i ->
                 new Assignment(i, LIMITS) {
                   @Override
-                  boolean fresh(MoveOrder order) {
+                  boolean isNewest(MoveOrder order) {
                     return true;
                   }
                 }));
   }
 
   @Test
-  void findsThatTheViewHasNotSettled() {
-    caught(
+  void detectsMovesInAnUnsettledView() {
+    assertDetected(
         search(
             i ->
                 new Assignment(i, LIMITS) {
                   @Override
-                  boolean settled(long nowMs) {
-                    return allowed();
+                  boolean isSettled(long nowMs) {
+                    return mayMoveReaders();
                   }
                 }));
   }
 
-  private static void caught(Found found) {
+  private static void assertDetected(Found found) {
     System.out.println("found: " + found.broken() + ", by " + found.trace());
     assertNotNull(found.broken());
     assertTrue(found.trace().size() <= DEPTH);
--- a/notices/src/test/java/willowdoor/notices/WordsTest.java
+++ b/notices/src/test/java/willowdoor/notices/NoticesEncodingTest.java
@@ -17,13 +17,13 @@
 import org.junit.jupiter.api.Test;
 
 /** What is said: ids, calls, events, messages between front doors, and who has which readers. */
-class WordsTest {
+class NoticesEncodingTest {
   private static final StreamId ONE = new StreamId(3, 1_700_000, 12);
   private static final StreamId TWO = new StreamId(40, 7, 1);
   private static final Notice NOTICE = new Notice(5, ONE, 9, "a".getBytes(StandardCharsets.UTF_8));
 
   @Test
-  void readsBackIdsAndNothingElse() {
+  void parsesOnlyIdsThatItWrites() {
     Position position = Position.NONE.with(ONE, 99).with(TWO, 1);
     assertEquals("14.7.1.1_3.10fq8.c.2r", position.text(TWO));
     assertEquals(99, Position.parse(position.text(TWO)).of(ONE));
@@ -69,7 +69,7 @@
   }
 
   @Test
-  void readsCallsStrictly() {
+  void rejectsMalformedRequests() {
     String path = NoticesApi.PATH;
     String five = "0000000000000005";
     Map<String, String> who = Map.of("x-customer", five);
@@ -95,7 +95,7 @@
   }
 
   @Test
-  void rendersEachLineOfANoticeAsAField() {
+  void writesEachLineOfANoticeAsADataField() {
     Notice lines = new Notice(5, TWO, 1, "a\r\nb\rc\n".getBytes(StandardCharsets.UTF_8));
     assertEquals(
         "id: 14.7.1.1\ndata: a\ndata: b\ndata: c\ndata: \n\n",
@@ -105,40 +105,40 @@
   }
 
   @Test
-  void interestJoinsOnOrBeginsAnew() {
+  void appliesInterestOnlyWhenContiguousOrComplete() {
     Interest one = new Interest(1, 1);
     Interest other = new Interest(2, 1);
     LongStream.rangeClosed(1, 250).forEach(c -> one.set(c, true));
     for (int i = 0; i < 3; i++) {
-      other.apply(one.since(other.known(1, 1)));
+      other.apply(one.changesSince(other.knownVersion(1, 1)));
     }
-    assertTrue(other.has(1, 250));
-    Interest.Delta before = one.since(250);
+    assertTrue(other.hasReaders(1, 250));
+    Interest.Delta before = one.changesSince(250);
     one.set(7, false);
-    Interest.Delta removal = one.since(250);
+    Interest.Delta removal = one.changesSince(250);
     one.set(8, false);
-    assertTrue(other.apply(one.since(251)).isEmpty(), "does not join on");
+    assertTrue(other.apply(one.changesSince(251)).isEmpty(), "does not join on");
     assertEquals(List.of(7L), List.copyOf(other.apply(removal)));
     assertTrue(other.apply(removal).isEmpty(), "twice");
     assertTrue(other.apply(before).isEmpty(), "late");
-    other.apply(new Interest(1, 2).since(0));
+    other.apply(new Interest(1, 2).changesSince(0));
     Interest anew = new Interest(1, 2);
     anew.set(9, true);
-    assertTrue(other.apply(anew.since(0)).contains(9L));
-    assertFalse(other.has(1, 250), "what an older process said is void");
+    assertTrue(other.apply(anew.changesSince(0)).contains(9L));
+    assertFalse(other.hasReaders(1, 250), "what an older process said is void");
   }
 
   @Test
-  void placesAreBoundedAndMostlyStay() {
+  void slotsAreBoundedAndMostlyStayWhenAMemberLeaves() {
     List<FleetView.Member> ten =
         IntStream.range(0, 10).mapToObj(i -> new FleetView.Member(i, 1, "d")).toList();
-    Places all = new Places(ten);
-    Places fewer = new Places(ten.subList(0, 9));
+    SlowReaderPlacement all = new SlowReaderPlacement(ten);
+    SlowReaderPlacement fewer = new SlowReaderPlacement(ten.subList(0, 9));
     int[] load = new int[10];
     int moved = 0;
-    for (int place = 0; place < Places.COUNT; place++) {
-      load[all.of(place)]++;
-      moved += all.of(place) != 9 && all.of(place) != fewer.of(place) ? 1 : 0;
+    for (int place = 0; place < SlowReaderPlacement.SLOT_COUNT; place++) {
+      load[all.memberFor(place)]++;
+      moved += all.memberFor(place) != 9 && all.memberFor(place) != fewer.memberFor(place) ? 1 : 0;
     }
     assertTrue(IntStream.of(load).max().orElse(0) <= 32 && IntStream.of(load).min().orElse(0) > 0);
     assertTrue(moved < 64, "moved without need " + moved);
@@ -146,9 +146,9 @@
 
   private static final List<PeerMessage> MESSAGES =
       List.of(
-          new PeerMessage.Offer(5, ONE, new Keeper(2, 3)),
+          new PeerMessage.Offer(5, ONE, new ReplicaHolder(2, 3)),
           new PeerMessage.Want(ONE, -1, 17),
-          new PeerMessage.Begin(5, ONE, 4, Keeper.NONE),
+          new PeerMessage.Begin(5, ONE, 4, ReplicaHolder.NONE),
           new PeerMessage.Gap(ONE, 8),
           new PeerMessage.End(TWO, 8),
           new PeerMessage.Have(ONE, 9),
@@ -157,7 +157,7 @@
           new PeerMessage.Fetched(ONE, 7, 8, List.of(NOTICE, NOTICE)));
 
   @Test
-  void readsBackMessagesAndSurvivesSpoiltOnes() throws IOException {
+  void decodesMessagesAndRejectsCorruptedOnes() throws IOException {
     Random random = new Random(1);
     int refused = 0;
     for (PeerMessage message : MESSAGES) {
--- a/notices/src/test/java/willowdoor/notices/NoticesFigures.java
+++ b/notices/src/test/java/willowdoor/notices/NoticesFigures.java
@@ -76,7 +76,7 @@
           moves,
           gaps,
           repeats,
-          sim.wrong(r -> !sim.unhealthy.contains(r)).size());
+          sim.violations(r -> !sim.unhealthy.contains(r)).size());
     }
   }
 }
--- a/notices/src/test/java/willowdoor/notices/NoticesDoorTest.java
+++ b/notices/src/test/java/willowdoor/notices/NoticesServiceTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Whole front doors, their readers and faults between them, on a hand-moved clock. */
-class NoticesDoorTest {
+class NoticesServiceTest {
   private static final long CUSTOMER = 7;
 
   private static Sim five(Limits limits, long seed) {
@@ -24,16 +24,17 @@
           sim.nowMs + ms,
           () -> {
             int to = sim.random.nextInt(sim.doors);
-            if (sim.door[to] != null) {
+            if (sim.services[to] != null) {
               sim.publish(to, CUSTOMER, bytes);
             }
           });
     }
   }
 
-  private static void nothingWrong(Sim sim) {
-    assertEquals(List.of(), sim.wrong(r -> !sim.unhealthy.contains(r)).stream().limit(5).toList());
-    assertTrue(sim.taken.size() > 0);
+  private static void assertNoViolations(Sim sim) {
+    assertEquals(
+        List.of(), sim.violations(r -> !sim.unhealthy.contains(r)).stream().limit(5).toList());
+    assertTrue(sim.accepted.size() > 0);
   }
 
   @Test
@@ -41,9 +42,9 @@
     Sim calm = NoticesFigures.play(500, 2, 0, true, 30_000, 3);
     Sim regrouped = NoticesFigures.play(500, 2, 0.02, true, 30_000, 3);
     Sim not = NoticesFigures.play(500, 2, 0.02, false, 30_000, 3);
-    nothingWrong(calm);
-    nothingWrong(regrouped);
-    assertEquals(List.of(), not.wrong(r -> false));
+    assertNoViolations(calm);
+    assertNoViolations(regrouped);
+    assertEquals(List.of(), not.violations(r -> false));
     assertTrue(regrouped.quantile(0.99) <= 1.2 * calm.quantile(0.99));
     assertTrue(
         not.quantile(0.99) > 5 * calm.quantile(0.99),
@@ -52,7 +53,7 @@
   }
 
   @Test
-  void closesReadersThatStopOrTakeAByteASecond() {
+  void closesReadersThatStopOrTakeOneBytePerSecond() {
     Sim sim = five(Limits.standard(), 1);
     List<SimReader> hopeless = List.of(sim.reader(CUSTOMER, 0), sim.reader(CUSTOMER, 0.001));
     for (int i = 0; i < 20; i++) {
@@ -61,13 +62,13 @@
     sim.unhealthy.addAll(hopeless);
     publishFor(sim, 40_000, 20, 500);
     sim.run(45_000);
-    nothingWrong(sim);
+    assertNoViolations(sim);
     assertTrue(hopeless.stream().allMatch(r -> r.connection > 22), "closed, and came again");
     assertTrue(sim.quantile(1) < 100, "nobody waited for them: " + sim.quantile(1));
   }
 
   @Test
-  void bringsSlowReadersTogetherAndBackOnceTheyKeepPace() {
+  void groupsSlowReadersAndReturnsThemOnceTheyKeepUp() {
     Sim sim = five(Limits.standard(), 2);
     for (int i = 0; i < 60; i++) {
       sim.reader(CUSTOMER, 200);
@@ -86,11 +87,11 @@
     sim.run(60_000);
     assertTrue(
         slow.stream().mapToInt(r -> r.door).distinct().count() > 1, "back where they came first");
-    assertEquals(List.of(), sim.wrong(r -> true).stream().limit(5).toList());
+    assertEquals(List.of(), sim.violations(r -> true).stream().limit(5).toList());
   }
 
   @Test
-  void movesNobodyWhereAllAreSlowAndTellsWhatTheyMiss() {
+  void movesNoReaderWhenAllAreSlowAndReportsGaps() {
     Sim sim = five(Limits.standard().withRetained(100_000, 60_000), 3);
     for (int i = 0; i < 30; i++) {
       sim.unhealthy.add(sim.reader(CUSTOMER, 2));
@@ -99,12 +100,12 @@
     sim.run(80_000);
     assertEquals(0, sim.readers.stream().mapToInt(r -> r.moves).sum());
     assertTrue(sim.readers.stream().allMatch(r -> r.gaps > 0));
-    assertEquals(List.of(), sim.wrong(r -> false).stream().limit(5).toList());
+    assertEquals(List.of(), sim.violations(r -> false).stream().limit(5).toList());
     assertTrue(sim.mostHeld < 2L * Limits.standard().windowBytes());
   }
 
   @Test
-  void tellsASlowDoorAndABurstAndASlowLinkApartFromSlowReaders() {
+  void distinguishesSlowFrontDoorBurstAndSlowLinkFromSlowReaders() {
     Sim sim = five(Limits.standard(), 8);
     for (int i = 0; i < 100; i++) {
       sim.reader(CUSTOMER + i % 2, 200);
@@ -124,8 +125,8 @@
         sim.readers.stream().mapToInt(r -> r.moves).sum(),
         "a burst and a slow link move nobody");
     assertTrue(
-        sim.door[3].slowLinks(sim.nowMs).size() > 0
-            && sim.door[1].slowLinks(sim.nowMs).contains(3));
+        sim.services[3].slowLinks(sim.nowMs).size() > 0
+            && sim.services[1].slowLinks(sim.nowMs).contains(3));
     java.util.Arrays.fill(sim.linkMs[3], 1);
     List<SimReader> there = sim.readers.stream().filter(r -> r.door == 0).toList();
     for (int ms = 0; ms < 30_000; ms++) {
@@ -138,19 +139,20 @@
         0, sim.readers.stream().filter(r -> !there.contains(r)).mapToInt(r -> r.moves).sum());
     there.forEach(r -> r.bytesPerMs = 200);
     sim.run(20_000);
-    nothingWrong(sim);
+    assertNoViolations(sim);
   }
 
   @Test
-  void losesNothingWhereTheTargetOfMovesDies() {
+  void losesNothingWhenTheTargetOfMovesCrashes() {
     Sim sim = five(Limits.standard(), 4);
     for (int i = 0; i < 40; i++) {
       sim.reader(CUSTOMER, i < 8 ? 1.5 : 200);
     }
     publishFor(sim, 40_000, 50, 500);
     int target =
-        new Places(IntStream.range(0, 5).mapToObj(i -> new FleetView.Member(i, 1, "d")).toList())
-            .of(CUSTOMER, PaceClass.SLOW);
+        new SlowReaderPlacement(
+                IntStream.range(0, 5).mapToObj(i -> new FleetView.Member(i, 1, "d")).toList())
+            .memberFor(CUSTOMER, PaceClass.SLOW);
     while (sim.readers.stream().noneMatch(r -> r.order != null)) {
       sim.run(1);
     }
@@ -158,12 +160,12 @@
     sim.run(20_000);
     sim.readers.forEach(r -> r.bytesPerMs = 200);
     sim.run(40_000);
-    nothingWrong(sim);
+    assertNoViolations(sim);
   }
 
   /** The door dies n ms after the POST came: what was answered 200 is got, what was not may be. */
   @Test
-  void keepsWhatItAcknowledgedWhereTheDoorDiesAtOnce() {
+  void keepsAcknowledgedNoticesWhenTheFrontDoorCrashesAtOnce() {
     int acknowledged = 0;
     for (int ms = 0; ms < 8; ms++) {
       Sim sim = five(Limits.standard(), 5);
@@ -173,22 +175,22 @@
       publishFor(sim, 2_000, 100, 300);
       sim.run(2_500);
       java.util.Arrays.fill(sim.linkMs[0], 2);
-      int before = sim.taken.size();
+      int before = sim.accepted.size();
       for (int n = 0; n < 10; n++) {
         sim.publish(0, CUSTOMER, 300);
       }
       sim.run(ms);
       sim.kill(0, 500);
-      acknowledged += sim.taken.size() - before;
+      acknowledged += sim.accepted.size() - before;
       sim.run(10_000);
-      nothingWrong(sim);
+      assertNoViolations(sim);
     }
     assertTrue(
         acknowledged > 0 && acknowledged < 80, "some died before, some after: " + acknowledged);
   }
 
   @Test
-  void tellsAGapWithoutAnEndWhereKeeperAndTakerDie() {
+  void reportsOpenEndedGapWhenOriginAndReplicaHolderCrash() {
     Sim sim = five(Limits.standard(), 6);
     SimReader reader = sim.reader(CUSTOMER, 200);
     int at = reader.door;
@@ -211,18 +213,18 @@
   }
 
   @Test
-  void refusesWhereNoSecondDoorIsThere() {
+  void refusesNoticeWithoutASecondFrontDoor() {
     Sim sim = new Sim(1, Limits.standard(), 1).start();
     sim.publish(0, CUSTOMER, 100);
     assertEquals(1, sim.refused);
   }
 
   @Test
-  void getsEveryNoticeOverThirtyRandomHistories() {
+  void deliversEveryNoticeInThirtyRandomHistories() {
     for (int seed = 1; seed <= 30; seed++) {
       Sim sim = history(new Sim(5, Limits.standard().withRetained(200_000, 20_000), seed));
-      assertEquals(List.of(), sim.wrong(r -> true).stream().limit(3).toList(), "seed " + seed);
-      assertTrue(sim.taken.size() > 500, "taken " + sim.taken.size());
+      assertEquals(List.of(), sim.violations(r -> true).stream().limit(3).toList(), "seed " + seed);
+      assertTrue(sim.accepted.size() > 500, "taken " + sim.accepted.size());
     }
   }
 
@@ -248,7 +250,7 @@
   }
 
   @Test
-  void findsThatAGapIsNotTold() {
+  void detectsAnUnreportedGap() {
     Sim sim = new Sim(5, Limits.standard().withRetained(200_000, 20_000), 2);
     sim.events =
         new ServerSentEvents() {
@@ -257,13 +259,13 @@
             return new byte[0];
           }
         };
-    List<String> wrong = history(sim).wrong(r -> true);
+    List<String> wrong = history(sim).violations(r -> true);
     System.out.println("found: " + wrong.get(0));
     assertTrue(wrong.get(0).contains(" lost "));
   }
 
   private static void fault(Sim sim, int kind, int one, int other) {
-    if (kind == 0 && sim.door[one] != null) {
+    if (kind == 0 && sim.services[one] != null) {
       sim.kill(one, 600);
       sim.at(
           sim.nowMs + 1_000 + sim.random.nextInt(4_000),
--- a/notices/src/test/java/willowdoor/notices/PeersTest.java
+++ b/notices/src/test/java/willowdoor/notices/PeersTest.java
@@ -52,7 +52,7 @@
           }
 
           @Override
-          public void spoilt(int peer, String why) {
+          public void invalidMessage(int peer, String why) {
             heard.add(self + " spoilt " + peer);
           }
         });
@@ -78,7 +78,7 @@
   }
 
   @Test
-  void carriesMessagesBothWaysAndComesUpAnew() throws Exception {
+  void deliversMessagesBothWaysAndReconnects() throws Exception {
     Peers one = peers(1, "f");
     Peers two = peers(2, "f");
     roster.put(1, new InetSocketAddress(InetAddress.getLoopbackAddress(), listens(one, 0)));
@@ -103,7 +103,7 @@
   }
 
   @Test
-  void turnsAwayWhatNoFrontDoorWouldSend() throws Exception {
+  void rejectsFramesThatNoFrontDoorSends() throws Exception {
     Peers one = peers(1, "f");
     int port = listens(one, 0);
     roster.put(2, new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
--- a/notices/src/test/java/willowdoor/notices/Sim.java
+++ b/notices/src/test/java/willowdoor/notices/Sim.java
@@ -22,7 +22,7 @@
   final int doors;
   final Limits limits;
   final Random random;
-  final NoticesDoor[] door;
+  final NoticesService[] services;
   final long[] generation;
   final boolean[][] cut;
   final long[][] linkMs;
@@ -60,7 +60,7 @@
     this.doors = doors;
     this.limits = limits;
     this.random = new Random(seed);
-    this.door = new NoticesDoor[doors];
+    this.services = new NoticesService[doors];
     this.generation = new long[doors];
     this.views = new FleetView[doors];
     this.cut = new boolean[doors][doors];
@@ -82,8 +82,8 @@
   void restart(int i) {
     generation[i]++;
     views[i] = null;
-    door[i] =
-        new NoticesDoor(
+    services[i] =
+        new NoticesService(
             i,
             generation[i],
             limits,
@@ -99,7 +99,7 @@
 
   /** A process dies without a word; others see it after so many ms, each at its own moment. */
   void kill(int i, long seenMs) {
-    door[i] = null;
+    services[i] = null;
     for (int j = 0; j < doors; j++) {
       down(i, j);
       down(j, i);
@@ -116,13 +116,13 @@
   void views(long inMs) {
     epoch++;
     for (int i = 0; i < doors; i++) {
-      if (door[i] == null) {
+      if (services[i] == null) {
         continue;
       }
       List<FleetView.Member> members = new ArrayList<>();
       long digest = 0;
       for (int j = 0; j < doors; j++) {
-        if (door[j] != null && !cut[i][j]) {
+        if (services[j] != null && !cut[i][j]) {
           members.add(new FleetView.Member(j, generation[j], "d" + j));
           digest = digest * 31 + j * 7L + generation[j];
         }
@@ -132,9 +132,10 @@
       at(
           nowMs + inMs + (inMs == 0 ? 0 : random.nextInt(200)),
           () -> {
-            if (door[self] != null && (views[self] == null || views[self].epoch() < view.epoch())) {
+            if (services[self] != null
+                && (views[self] == null || views[self].epoch() < view.epoch())) {
               views[self] = view;
-              door[self].view(view, nowMs);
+              services[self].view(view, nowMs);
               drain();
             }
           });
@@ -144,8 +145,8 @@
   private void down(int from, int to) {
     if (session[from][to] != 0) {
       session[from][to] = 0;
-      if (door[from] != null) {
-        door[from].linkDown(to, nowMs);
+      if (services[from] != null) {
+        services[from].linkDown(to, nowMs);
       }
       connect(from, to);
     }
@@ -155,14 +156,14 @@
     at(
         nowMs + 20 + random.nextInt(20),
         () -> {
-          if (!wanted[from][to] || door[from] == null || session[from][to] != 0) {
+          if (!wanted[from][to] || services[from] == null || session[from][to] != 0) {
             return;
           }
-          if (door[to] == null || cut[from][to] || cut[to][from]) {
+          if (services[to] == null || cut[from][to] || cut[to][from]) {
             connect(from, to);
           } else {
             session[from][to] = ++orders;
-            door[from].linkUp(to, nowMs);
+            services[from].linkUp(to, nowMs);
             drain();
           }
         });
@@ -196,9 +197,9 @@
     } else if (effect instanceof Effect.Answer answer) {
       int dot = answer.id() == null ? -1 : answer.id().lastIndexOf('.');
       if (answer.status() == 200) {
-        taken.put(
+        accepted.put(
             answer.call(),
-            new Taken(
+            new Accepted(
                 customerOf.get(answer.call()),
                 answer.id().substring(0, dot),
                 Long.parseLong(answer.id().substring(dot + 1), 36),
@@ -210,7 +211,7 @@
   }
 
   private void send(int from, int to, PeerMessage message) {
-    boolean back = message instanceof PeerMessage.Back;
+    boolean back = message instanceof PeerMessage.Reply;
     int opener = back ? to : from;
     int other = back ? from : to;
     long sent = session[opener][other];
@@ -218,8 +219,8 @@
       at(
           nowMs + linkMs[from][to],
           () -> {
-            if (session[opener][other] == sent && door[to] != null) {
-              door[to].message(from, message, nowMs);
+            if (session[opener][other] == sent && services[to] != null) {
+              services[to].message(from, message, nowMs);
               drain();
             }
           });
@@ -244,8 +245,8 @@
   private void end(SimReader reader, int i) {
     long connection = reader.connection;
     away(reader, reader.order != null ? 5 : 3_000);
-    if (door[i] != null) {
-      door[i].gone(connection, nowMs);
+    if (services[i] != null) {
+      services[i].readerGone(connection, nowMs);
       drain();
     }
   }
@@ -262,8 +263,9 @@
   void come(SimReader reader) {
     MoveOrder order = reader.order;
     reader.order = null;
-    int to = order != null && door[order.target()] != null ? order.target() : random.nextInt(doors);
-    if (door[to] == null) {
+    int to =
+        order != null && services[order.target()] != null ? order.target() : random.nextInt(doors);
+    if (services[to] == null) {
       at(nowMs + 20, () -> come(reader));
       return;
     }
@@ -271,7 +273,7 @@
     reader.connected(to, ++connections);
     byConnection.put(reader.connection, reader);
     NoticesApi.Read read = new NoticesApi.Read(reader.customer, reader.lastId, told);
-    String refusal = door[to].read(reader.connection, read, nowMs);
+    String refusal = services[to].read(reader.connection, read, nowMs);
     if (refusal != null) {
       throw new IllegalStateException(refusal);
     }
@@ -293,7 +295,7 @@
     StringBuilder text = new StringBuilder(nowMs + " " + call + " ");
     text.append("x".repeat(Math.max(0, bytes - text.length())));
     byte[] body = text.toString().getBytes(StandardCharsets.UTF_8);
-    door[to].publish(call, new NoticesApi.Publish(customer, body), nowMs);
+    services[to].publish(call, new NoticesApi.Publish(customer, body), nowMs);
     drain();
     return call;
   }
@@ -315,10 +317,10 @@
         step(reader);
       }
       for (int i = 0; i < doors; i++) {
-        if (door[i] != null && nowMs % Limits.TICK_MS == i) {
-          door[i].tick(nowMs);
+        if (services[i] != null && nowMs % Limits.TICK_MS == i) {
+          services[i].tick(nowMs);
           drain();
-          mostHeld = Math.max(mostHeld, door[i].figures().groupBytes());
+          mostHeld = Math.max(mostHeld, services[i].stats().groupBytes());
         }
       }
       if (nowMs % 50 == 0) {
@@ -330,9 +332,12 @@
   private void exchange() {
     for (int i = 0; i < doors; i++) {
       for (int j = 0; j < doors; j++) {
-        if (i != j && door[i] != null && door[j] != null && !cut[i][j]) {
-          door[j].interest(
-              door[i].interest().since(door[j].interest().known(i, generation[i])), nowMs);
+        if (i != j && services[i] != null && services[j] != null && !cut[i][j]) {
+          services[j].interest(
+              services[i]
+                  .interest()
+                  .changesSince(services[j].interest().knownVersion(i, generation[i])),
+              nowMs);
           drain();
         }
       }
@@ -344,7 +349,7 @@
     int at = reader.door;
     long bytes = reader.read(event -> see(reader, event));
     if (bytes > 0 && reader.door == at && at >= 0) {
-      door[at].taken(connection, bytes, nowMs);
+      services[at].taken(connection, bytes, nowMs);
       drain();
     }
     if (reader.idle()) {
--- a/notices/src/test/java/willowdoor/notices/SimReader.java
+++ b/notices/src/test/java/willowdoor/notices/SimReader.java
@@ -52,7 +52,7 @@
             id,
             quoted[3],
             Long.parseLong(data.replaceAll(".*\"from\":|,.*", "")),
-            to.equals("null") ? Entry.OPEN : Long.parseLong(to),
+            to.equals("null") ? Entry.OPEN_ENDED : Long.parseLong(to),
             0,
             -1,
             null);
@@ -75,7 +75,7 @@
    * What a reader knows of one stream: it has, or was told that it lacks, all from the first to the
    * last.
    */
-  static final class Known {
+  static final class ReceivedRange {
     long first;
     long last;
     boolean openEnd;
@@ -96,9 +96,9 @@
   int closes;
   long lacking;
   long highestCount;
-  final Map<String, Known> streams = new HashMap<>();
-  final List<String> wrong = new ArrayList<>();
-  private final ArrayDeque<byte[]> under = new ArrayDeque<>();
+  final Map<String, ReceivedRange> streams = new HashMap<>();
+  final List<String> violations = new ArrayList<>();
+  private final ArrayDeque<byte[]> inFlight = new ArrayDeque<>();
   private double credit;
   private int offset;
   boolean closing;
@@ -112,32 +112,32 @@
   void connected(int to, long number) {
     door = to;
     connection = number;
-    under.clear();
+    inFlight.clear();
     credit = 0;
     offset = 0;
     closing = false;
   }
 
   void write(byte[] bytes) {
-    under.add(bytes);
+    inFlight.add(bytes);
   }
 
   boolean idle() {
-    return under.isEmpty();
+    return inFlight.isEmpty();
   }
 
   /** One ms of reading. @return bytes taken; what is whole goes to {@code seen} */
   long read(java.util.function.Consumer<byte[]> seen) {
     credit = Math.min(credit + bytesPerMs, Math.max(1, 2 * bytesPerMs));
     long taken = 0;
-    while (!under.isEmpty() && credit >= 1) {
-      int part = (int) Math.min(credit, under.peek().length - offset);
+    while (!inFlight.isEmpty() && credit >= 1) {
+      int part = (int) Math.min(credit, inFlight.peek().length - offset);
       offset += part;
       credit -= part;
       taken += part;
-      if (offset == under.peek().length) {
+      if (offset == inFlight.peek().length) {
         offset = 0;
-        seen.accept(under.remove());
+        seen.accept(inFlight.remove());
       }
     }
     return taken;
@@ -153,11 +153,11 @@
     if (event.stream() == null) {
       return;
     }
-    Known known =
+    ReceivedRange known =
         streams.computeIfAbsent(
             event.stream(),
             s -> {
-              Known begun = new Known();
+              ReceivedRange begun = new ReceivedRange();
               begun.first = event.from();
               begun.last = event.from() - 1;
               return begun;
@@ -165,7 +165,7 @@
     boolean gap = event.type().equals("gap");
     gaps += gap ? 1 : 0;
     if (event.from() > known.last + 1) {
-      wrong.add(
+      violations.add(
           index
               + " lost "
               + (known.last + 1)
@@ -174,7 +174,7 @@
               + " of "
               + event.stream());
     }
-    if (gap && event.to() == Entry.OPEN) {
+    if (gap && event.to() == Entry.OPEN_ENDED) {
       known.openEnd = true;
     } else if (event.to() <= known.last) {
       repeats++;
--- a/notices/src/test/java/willowdoor/notices/SimRecords.java
+++ b/notices/src/test/java/willowdoor/notices/SimRecords.java
@@ -11,10 +11,10 @@
 /** What a simulation has seen, and what is wrong with it. */
 abstract class SimRecords {
   /** A notice that was taken. */
-  record Taken(long customer, String stream, long seq, long begunMs) {}
+  record Accepted(long customer, String stream, long seq, long begunMs) {}
 
   final List<SimReader> readers = new ArrayList<>();
-  final Map<Long, Taken> taken = new LinkedHashMap<>();
+  final Map<Long, Accepted> accepted = new LinkedHashMap<>();
   long nowMs;
 
   /** Deliveries to readers that are not slow, by ms. */
@@ -24,9 +24,9 @@
 
   /** Counts what healthy readers are still owed as if it came now. */
   void countOwed() {
-    for (Taken notice : taken.values()) {
+    for (Accepted notice : accepted.values()) {
       for (SimReader reader : readers) {
-        SimReader.Known known = reader.streams.get(notice.stream());
+        SimReader.ReceivedRange known = reader.streams.get(notice.stream());
         if (reader.customer == notice.customer()
             && !unhealthy.contains(reader)
             && reader.openedMs >= 0
@@ -58,16 +58,16 @@
    *
    * @param complete who must have had all
    */
-  List<String> wrong(java.util.function.Predicate<SimReader> complete) {
+  List<String> violations(java.util.function.Predicate<SimReader> complete) {
     List<String> wrong = new ArrayList<>();
-    Map<Long, List<Taken>> byCustomer = new HashMap<>();
-    taken
+    Map<Long, List<Accepted>> byCustomer = new HashMap<>();
+    accepted
         .values()
         .forEach(t -> byCustomer.computeIfAbsent(t.customer(), c -> new ArrayList<>()).add(t));
     for (SimReader reader : readers) {
-      wrong.addAll(reader.wrong);
-      for (Taken notice : byCustomer.getOrDefault(reader.customer, List.of())) {
-        SimReader.Known known = reader.streams.get(notice.stream());
+      wrong.addAll(reader.violations);
+      for (Accepted notice : byCustomer.getOrDefault(reader.customer, List.of())) {
+        SimReader.ReceivedRange known = reader.streams.get(notice.stream());
         boolean owed = reader.openedMs >= 0 && notice.begunMs() >= reader.openedMs;
         if (owed
             && complete.test(reader)
