--- a/notices/src/main/java/willowdoor/notices/Assignment.java
+++ b/notices/src/main/java/willowdoor/notices/Assignment.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 
 /**
- * Who may be told to move, where to, and whether an order still counts. An order is good only under
- * the very view it was decided in, at a member that is not cut off, once that view has stood for a
- * while, and once for each reader.
+ * Decides which readers move, to which member, and whether a move order is still valid. An order is
+ * valid only under the view in which it was decided, at a member that is not cut off, once that
+ * view has been unchanged for a while, and once per reader.
  */
 class Assignment {
   private static final int REMEMBERED = 16_384;
@@ -20,7 +20,10 @@
   private double moveTokens;
   private long refilledMs;
 
-  /** The highest count seen of each reader; whose is forgotten first came longest ago. */
+  /**
+   * Highest order count seen per reader, in the order of the last update; the reader whose entry
+   * was updated longest ago is removed first.
+   */
   private final Map<Long, Long> highestCounts = new LinkedHashMap<>();
 
   Assignment(int self, Limits limits) {
@@ -30,8 +33,8 @@
   }
 
   /**
-   * Takes in the view of the members; anything that differs from the one before begins the wait
-   * anew.
+   * Applies a view of the members. Any difference from the previous view restarts the settling
+   * time.
    */
   void view(FleetView now, long nowMs) {
     if (!now.equals(view)) {
@@ -45,29 +48,30 @@
     return view;
   }
 
-  /** Whether anybody may be moved now. */
+  /** Returns whether readers may be moved now. */
   boolean isSettled(long nowMs) {
     return mayMoveReaders() && nowMs - changedMs >= limits.settleMs();
   }
 
-  /** Whether this front door may move readers in such a view. */
+  /** Returns whether this front door may move readers in the current view. */
   boolean mayMoveReaders() {
     return !view.cutOff() && view.member(self) != null;
   }
 
-  /** Whether an order was decided under the view that holds here. */
+  /** Returns whether an order was decided under the view that is current here. */
   boolean matchesView(MoveOrder order) {
     return order.epoch() == view.epoch() && order.digest() == view.digest();
   }
 
   /**
-   * Decides where a reader goes.
+   * Decides where a reader moves.
    *
-   * @param pace the class it goes as; null: back home
+   * @param pace the pace class of the slow reader; null if the reader returns to its home front
+   *     door
    * @param selfSlow whether this front door itself is slow and therefore must not be the target
-   * @param count of the reader's orders so far
+   * @param count number of the reader's move orders so far
    * @param sinceLastMoveMs time since the last move of the reader
-   * @return the order; null where nobody may be moved now, or the reader stays
+   * @return the order; null if no reader may be moved now or the reader stays
    */
   MoveOrder decide(
       long key,
@@ -106,7 +110,7 @@
     return best;
   }
 
-  /** Whether this front door is where such readers go by the view. */
+  /** Returns whether this front door is the target for such readers under the current view. */
   boolean isTargetHere(long customer, PaceClass pace) {
     return placement.memberFor(customer, pace) == self;
   }
@@ -115,12 +119,15 @@
     return member == self;
   }
 
-  /** Whether an order that was decided a while ago still holds. */
+  /** Returns whether an order that was decided earlier is still valid. */
   boolean isValid(MoveOrder order, long nowMs) {
     return isSettled(nowMs) && matchesView(order) && isNewest(order);
   }
 
-  /** Whether a reader may be told its order now; takes from what may be moved in all. */
+  /**
+   * Returns whether a move order may be sent to its reader now. If so, takes one move from the rate
+   * limit and records the order.
+   */
   boolean tryIssue(MoveOrder order, long nowMs) {
     if (!isValid(order, nowMs)) {
       return false;
@@ -138,7 +145,7 @@
     return true;
   }
 
-  /** Whether a reader that comes with an order is taken in as one that was sent here. */
+  /** Returns whether a reader that connects with an order is accepted as moved here. */
   boolean accept(MoveOrder order, long nowMs) {
     if (order.target() != self || !isValid(order, nowMs)) {
       return false;
@@ -147,7 +154,7 @@
     return true;
   }
 
-  /** Whether an order is newer than all that were seen of that reader. */
+  /** Returns whether an order is newer than all orders seen of its reader. */
   boolean isNewest(MoveOrder order) {
     return order.count() > highestCounts.getOrDefault(order.key(), 0L);
   }
--- a/notices/src/main/java/willowdoor/notices/CustomerReaders.java
+++ b/notices/src/main/java/willowdoor/notices/CustomerReaders.java
@@ -9,27 +9,31 @@
 import java.util.function.Consumer;
 
 /**
- * A customer's readers at this front door: the group that keeps pace, the groups of slow ones, and
- * those alone.
+ * A customer's readers at this front door: the main group, which keeps up, the groups of slow
+ * readers, and the readers that are served individually.
  */
 final class CustomerReaders {
   private static final long MOVE_ORDER_TTL_MS = 10_000;
 
   /**
-   * Of a customer at a slow front door; those that are to go are not written to until they can be
-   * told.
+   * Readers of one customer that may wait for a move at a slow front door at a time. Nothing is
+   * written to a waiting reader until its move event can be sent.
    */
   private static final int MAX_LEAVING = 5;
 
-  /** A customer's readers count as lagging alike above this median, ms. */
+  /** A reader counts as lagging above this lag, in ms. */
   private static final long LAGGING_MS = 1_000;
 
-  /** What the readers of a customer say of the front door. */
+  /** Number of a customer's readers, and how many of them lag. */
   record LagSample(int readers, int lagging) {}
 
-  /** What readers need of the front door around them. */
+  /** Operations of the enclosing front door. */
   interface Callbacks {
-    /** Asks who may have it. @return whether there is anybody */
+    /**
+     * Requests the range from a front door that may hold it.
+     *
+     * @return whether there is such a front door
+     */
     boolean fetch(IndividualDelivery.MissingRange range);
 
     void close(Reader reader, String reason);
@@ -80,15 +84,15 @@
     return individualReaders.size();
   }
 
-  /** Bytes that groups hold. */
+  /** Returns the bytes in the windows of all groups. */
   long groupBytes() {
     return mainGroup.bytes() + slowGroups.values().stream().mapToLong(Group::bytes).sum();
   }
 
   /**
-   * A reader has come.
+   * Adds a reader.
    *
-   * @param resume from where, null where it begins now
+   * @param resume the position to resume from, or null if the reader begins now
    */
   void add(Reader reader, Position resume, long nowMs) {
     all.add(reader);
@@ -118,7 +122,7 @@
     }
   }
 
-  /** Events have come into the order. */
+  /** Handles events that were added to the front door's order. */
   void appended(long bytes, long nowMs) {
     arrivedBytes += bytes;
     advance(mainGroup, nowMs);
@@ -158,9 +162,13 @@
     }
   }
 
-  /** Writes to a reader that reads alone, and puts it into its group once it is where that is. */
+  /**
+   * Writes to a reader that is served individually, and adds the reader to its group once it has
+   * caught up with the group.
+   */
   private void deliver(Reader reader, long nowMs) {
-    // What is under way to a slow one is kept little, so it can be told soon that it is to move.
+    // The limit of bytes in flight is lower for slow readers, so that a move event reaches them
+    // soon.
     int maxInFlight =
         reader.slowClass == null ? limits.inflightBytes() : limits.inflightBytes() / 8;
     while (reader.individual != null
@@ -202,7 +210,7 @@
     return true;
   }
 
-  /** Puts a reader out of its group, so that it holds up nobody. */
+  /** Removes a reader from its group, so that it does not hold up the others. */
   private void detach(Reader reader, long nowMs) {
     Group group = reader.group;
     if (group != null) {
@@ -214,11 +222,11 @@
   }
 
   /**
-   * Looks at every reader.
+   * Samples the progress of every reader, and regroups or moves slow readers.
    *
-   * @param doorSlow whether the front door itself is the slow one
+   * @param frontDoorSlow whether the front door itself is slow
    */
-  LagSample sample(boolean doorSlow, long nowMs) {
+  LagSample sample(boolean frontDoorSlow, long nowMs) {
     double span = Math.max(1, nowMs - sampledMs);
     shortTermRate += (arrivedBytes * 1e3 / span - shortTermRate) * Math.min(1, span / 1_000);
     longTermRate += (arrivedBytes * 1e3 / span - longTermRate) * Math.min(1, span / 30_000);
@@ -234,13 +242,13 @@
       }
     }
     if (limits.regroup()) {
-      if (!doorSlow) {
+      if (!frontDoorSlow) {
         detachSlowReaders(mainGroup, nowMs);
         slowGroups.values().forEach(group -> detachSlowReaders(group, nowMs));
       }
       leaving = (int) all.stream().filter(reader -> reader.pendingMove != null).count();
       for (Reader reader : new ArrayList<>(all)) {
-        regroup(reader, doorSlow, nowMs);
+        regroup(reader, frontDoorSlow, nowMs);
       }
     }
     for (Reader reader : new ArrayList<>(individualReaders)) {
@@ -251,8 +259,8 @@
   }
 
   /**
-   * Tells a reader of streams that nobody has offered here: what came on them since is not to be
-   * had.
+   * Reports streams that no peer has offered here as open-ended gaps: notices published on them
+   * since the reader's position are not available.
    */
   private void reportUnknownStreams(Reader reader, long nowMs) {
     for (int i = 0; i < reader.unknownStreams.size() && !reader.closing; i++) {
@@ -273,9 +281,9 @@
   }
 
   private void detachSlowReaders(Group group, long nowMs) {
-    // Beside its members, those that read alone without being slow: one that is ahead, as the group
-    // is held
-    // up, tells what pace is possible; one that is behind is judged like a member.
+    // Compare the group's members with the individually served readers that are not marked slow. A
+    // reader that is ahead because the group is held up shows which rate is possible; a reader
+    // that is behind is checked like a member.
     List<Reader> measured = new ArrayList<>(group.readers());
     int members = measured.size();
     for (Reader reader : individualReaders) {
@@ -306,7 +314,7 @@
         reader.movedHere = false;
         leave.add(reader);
       } else if (heldUp && lagMs[i] == 0 && i < members) {
-        // Most of its group are slow: it goes ahead of them, by itself.
+        // Most readers of the group are slow, so the reader continues individually, ahead of them.
         leave.add(reader);
       }
     }
@@ -314,7 +322,7 @@
     leave.forEach(reader -> deliver(reader, nowMs));
   }
 
-  private void regroup(Reader reader, boolean doorSlow, long nowMs) {
+  private void regroup(Reader reader, boolean frontDoorSlow, long nowMs) {
     if (reader.closing) {
       return;
     }
@@ -333,17 +341,18 @@
       reader.movedHere = false;
       detach(reader, nowMs);
     } else if (back
-        || doorSlow
+        || frontDoorSlow
         || reader.slowClass != null && reader.group == null && !reader.movedHere) {
-      // Little is kept under way to one that reads alone, and a piece may have gone over that.
+      // Few bytes are in flight to an individually served reader, but a single chunk may exceed
+      // the limit.
       if (reader.inFlightBytes() <= limits.inflightBytes() / 8 + Limits.MAX_BODY / 4
-          || doorSlow && leaving < MAX_LEAVING) {
+          || frontDoorSlow && leaving < MAX_LEAVING) {
         reader.pendingMove =
             assignment.decide(
                 reader.key,
                 retained.customer,
                 back ? null : reader.slowClass,
-                doorSlow,
+                frontDoorSlow,
                 reader.home,
                 reader.moves,
                 nowMs - reader.sinceMs,
@@ -358,8 +367,8 @@
   }
 
   /**
-   * Tells a reader its order once it has taken what was under way; an order that does not hold any
-   * more is dropped.
+   * Sends a reader its move order once all bytes in flight are taken. Drops an order that is no
+   * longer valid.
    */
   private void sendMove(Reader reader, long nowMs) {
     MoveOrder order = reader.pendingMove;
--- a/notices/src/main/java/willowdoor/notices/Effect.java
+++ b/notices/src/main/java/willowdoor/notices/Effect.java
@@ -1,28 +1,32 @@
 package willowdoor.notices;
 
-/** What a front door's notices want done. */
+/** An action that the {@link NoticesService} requests from its environment. */
 public sealed interface Effect {
-  /** Open a link to that front door; {@link NoticesService#linkUp} tells when it stands. */
+  /**
+   * Opens a link to that front door; {@link NoticesService#linkUp} must be called once the link is
+   * established.
+   */
   record Connect(int peer) implements Effect {}
 
-  /** End the link to it. */
+  /** Closes the link to that front door. */
   record Disconnect(int peer) implements Effect {}
 
   /**
-   * {@link PeerMessage.Reply} goes on the link that the peer opened, all else on the one opened to
-   * it.
+   * Sends a message: a {@link PeerMessage.Reply} on the link that the peer opened, any other
+   * message on the link opened to the peer.
    */
   record Send(int peer, PeerMessage message) implements Effect {}
 
   /**
-   * Write to a reader; bytes shared with other readers. {@link NoticesService#taken} tells what its
-   * socket took.
+   * Writes to a reader. The bytes are shared with other readers and must not be changed. {@link
+   * NoticesService#taken} must be called with the number of bytes that the reader's socket has
+   * taken.
    */
   record Write(long reader, byte[] bytes) implements Effect {}
 
-  /** End the reader's answer once all is written, at the latest 2 s from now. */
+  /** Ends the reader's response once all bytes are written, at the latest 2 s from now. */
   record Close(long reader, String reason) implements Effect {}
 
-  /** Answer a POST. */
+  /** Answers a POST. */
   record Answer(long call, int status, String id, String text) implements Effect {}
 }
--- a/notices/src/main/java/willowdoor/notices/FleetView.java
+++ b/notices/src/main/java/willowdoor/notices/FleetView.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * Who is there, as one member sees it.
+ * The alive members of the fleet, as one member sees them.
  *
- * @param epoch never falls at a member; equal at all members whose digest is equal
+ * @param epoch never decreases at a member; equal at all members whose digest is equal
  * @param digest of the view
  * @param cutOff whether this member reaches less than a majority of the roster
- * @param members those that are alive, this one included, in order of their numbers
+ * @param members alive members, this one included, in the order of their numbers
  */
 public record FleetView(long epoch, long digest, boolean cutOff, List<Member> members) {
   /**
@@ -28,7 +28,7 @@
     return new FleetView(0, 0, true, List.of());
   }
 
-  /** The member of that number, or null where it is not alive. */
+  /** Returns the member with that number, or null if it is not alive. */
   Member member(int number) {
     for (Member member : members) {
       if (member.number() == number) {
--- a/notices/src/main/java/willowdoor/notices/Group.java
+++ b/notices/src/main/java/willowdoor/notices/Group.java
@@ -6,9 +6,9 @@
 import java.util.function.Consumer;
 
 /**
- * Readers of one customer that share one encoded copy: a window of pieces that all but the slowest
- * have taken. It moves on when the last reader has taken its oldest piece, so one slow reader holds
- * up all once the window is full.
+ * Readers of one customer that share one encoded copy of the events: a window of chunks that the
+ * slowest reader has not taken yet. The window moves on when the last reader has taken its oldest
+ * chunk, so one slow reader holds up all readers once the window is full.
  */
 final class Group {
   private static final long HELD_UP_MS = 500;
@@ -19,10 +19,10 @@
   private final List<Reader> readers = new ArrayList<>();
   private long bytes;
 
-  /** Since when the window is full, -1 while it is not. */
+  /** Time since which the window is full, or -1 if it is not. */
   private long fullMs = -1;
 
-  /** The next event of the front door's order to encode, and the position before it. */
+  /** The next event of the front door's order to encode, and the position before that event. */
   private long nextEvent;
 
   private Position position;
@@ -42,17 +42,24 @@
     return bytes;
   }
 
-  /** The next event of the front door's order that it has not in its window. */
+  /**
+   * Returns the number of the first event of the front door's order that the group has not encoded
+   * yet.
+   */
   long nextEvent() {
     return nextEvent;
   }
 
-  /** Whether its window has been full for a while. */
+  /** Returns whether the window has been full for at least {@link #HELD_UP_MS}. */
   boolean heldUp(long nowMs) {
     return fullMs >= 0 && nowMs - fullMs >= HELD_UP_MS;
   }
 
-  /** Encodes what fits into the window. @return whether anything came in */
+  /**
+   * Encodes the events that fit into the window.
+   *
+   * @return whether the window got a new chunk
+   */
   boolean fill(RetainedNotices retained, long nowMs) {
     long before = window.end();
     if (readers.isEmpty()) {
@@ -78,8 +85,9 @@
   }
 
   /**
-   * Tells what the front door had to let go of before the group came to it: one piece, since a
-   * reader between two of them would be neither before nor after what is gone.
+   * Reports the events that the front door evicted before the group encoded them. All gaps form one
+   * chunk, since a reader between two gap events would be neither before nor after the evicted
+   * events.
    */
   private void reportEvicted(RetainedNotices retained, long nowMs) {
     ByteArrayOutputStream gaps = new ByteArrayOutputStream();
@@ -101,7 +109,7 @@
     window.add(chunk);
   }
 
-  /** Writes to a reader what it may have under way. */
+  /** Writes chunks to a reader, up to the limit of bytes in flight. */
   void writeTo(Reader reader, Consumer<Effect> effects) {
     while (!reader.closing
         && reader.nextToWrite < window.end()
@@ -110,7 +118,7 @@
     }
   }
 
-  /** A reader has taken its next piece. */
+  /** Records that a reader's socket has taken its next chunk. */
   void chunkTaken(Reader reader) {
     window.get(reader.nextToTake++).pendingReaders--;
     trim();
@@ -123,9 +131,10 @@
   }
 
   /**
-   * Takes in a reader that has had all before that event, where the window is at it.
+   * Adds a reader that has received all events before {@code readerNextEvent}, if the window
+   * reaches back to that event.
    *
-   * @return whether it did
+   * @return whether the reader was added
    */
   boolean join(Reader reader, long readerNextEvent) {
     if (readers.isEmpty()) {
@@ -138,9 +147,8 @@
     while (index > window.first() && window.get(index - 1).nextEvent > readerNextEvent) {
       index--;
     }
-    // It is at the window where it has had all before it; what the window holds and it has had
-    // would come
-    // twice.
+    // A reader that is behind the window would miss events and is not added. Chunks that the
+    // reader has already received are skipped, since they would be delivered twice.
     boolean joins =
         window.isEmpty()
             ? nextEvent == readerNextEvent
@@ -157,7 +165,11 @@
     return joins;
   }
 
-  /** A reader leaves; what is under way to it stays its own. @return the next event it lacks */
+  /**
+   * Removes a reader. Chunks in flight to the reader stay in its own queue.
+   *
+   * @return the number of the next event that the reader lacks
+   */
   long leave(Reader reader) {
     readers.remove(reader);
     for (long n = reader.nextToTake; n < window.end(); n++) {
@@ -172,7 +184,7 @@
     return next;
   }
 
-  /** The event that a piece was made of, where the piece before it is not held any more. */
+  /** Returns the number of the event in a chunk whose predecessor is no longer in the window. */
   private long eventOf(long number) {
     return window.get(number).nextEvent - 1;
   }
--- a/notices/src/main/java/willowdoor/notices/IndividualDelivery.java
+++ b/notices/src/main/java/willowdoor/notices/IndividualDelivery.java
@@ -7,11 +7,11 @@
 import java.util.Map;
 
 /**
- * A reader that reads by itself: one that resumes, until it is where its group is, or a slow one.
- * It holds its position and at most one answer to a fetch.
+ * Delivers events to one reader outside a group: a reader that resumes, until it has caught up with
+ * its group, or a slow reader. Holds the reader's position and at most one result of a fetch.
  */
 final class IndividualDelivery {
-  /** What a stream lacks for a reader. */
+  /** A range of notices of a stream that a reader has not received. */
   record MissingRange(StreamId stream, long from, long to) {}
 
   private static final long RETRY_MS = 500;
@@ -20,28 +20,33 @@
   private Position position;
   private long nextEvent;
 
-  /** What this front door never had and another may have: up to the stream's base here. */
+  /**
+   * Ranges that this front door never held and another may hold: per stream, up to the stream's
+   * base here.
+   */
   private final Map<StreamId, MissingRange> toFetch = new LinkedHashMap<>();
 
   private final ArrayDeque<Notice> fetched = new ArrayDeque<>();
   private MissingRange fetchedGap;
 
-  /** When it last asked, and since when it has waited; -1 where it does not. */
+  /**
+   * Time of the last fetch request, and start of the wait for a result; -1 if none is outstanding.
+   */
   private long requestedMs = -1;
 
   private long waitingSinceMs = -1;
 
-  /** One that goes on from a group, or begins now. */
+  /** Continues after the reader left a group, or begins with the current position. */
   IndividualDelivery(ServerSentEvents events, Position position, long nextEvent) {
     this.events = events;
     this.position = position;
     this.nextEvent = nextEvent;
   }
 
-  /** One that resumes from what it says. */
+  /** Resumes from the position that the reader sent. */
   static IndividualDelivery resume(
       ServerSentEvents events, Position position, RetainedNotices retained) {
-    // Before the first event held, so that what is held no more is looked at first.
+    // Start before the first retained event, so that evicted events are reported first.
     IndividualDelivery delivery = new IndividualDelivery(events, position, retained.first() - 1);
     for (Stream stream : retained.streams()) {
       if (position.of(stream.id) < stream.base) {
@@ -52,7 +57,7 @@
     return delivery;
   }
 
-  /** What was kept here once and is not any more, for a reader at that position. */
+  /** Returns the ranges that were evicted here and that a reader at this position lacks. */
   static List<MissingRange> missingRanges(Position position, RetainedNotices retained) {
     List<MissingRange> ranges = new ArrayList<>();
     for (int i = 0; i < retained.evictedPosition().size(); i++) {
@@ -66,7 +71,7 @@
     return ranges;
   }
 
-  /** The next event, null where there is none now. */
+  /** Returns the next event, or null if there is none now. */
   Reader.Chunk next(RetainedNotices retained, long nowMs) {
     if (fetchedGap != null) {
       MissingRange gap = fetchedGap;
@@ -101,7 +106,7 @@
             nowMs);
   }
 
-  /** Goes over what the reader has had already. */
+  /** Skips events that the reader has already received. */
   void skip(RetainedNotices retained) {
     while (nextEvent >= retained.first()
         && nextEvent < retained.end()
@@ -128,7 +133,8 @@
   }
 
   /**
-   * What to ask another front door for now, null where nothing is lacking or an answer is awaited.
+   * Returns the range to request from another front door now, or null if nothing is missing or a
+   * result is awaited.
    */
   MissingRange nextRequest(long nowMs) {
     if (waitingSinceMs >= 0 && nowMs - waitingSinceMs >= Limits.FETCH_MS) {
@@ -146,7 +152,8 @@
   }
 
   /**
-   * Another front door's answer; one to another question, or that brings nothing, is passed over.
+   * Handles a fetch result of another front door. Ignores a result that belongs to another request
+   * or brings nothing new.
    */
   void fetched(PeerMessage.Fetched answer) {
     MissingRange range = toFetch.isEmpty() ? null : toFetch.values().iterator().next();
@@ -179,7 +186,7 @@
     }
   }
 
-  /** What is asked for cannot be had. */
+  /** Reports the requested range as a gap, because no front door can provide it. */
   void markUnavailable() {
     MissingRange range = toFetch.values().iterator().next();
     toFetch.remove(range.stream());
@@ -192,7 +199,7 @@
     return !toFetch.isEmpty() || !fetched.isEmpty() || fetchedGap != null;
   }
 
-  /** The next event of the front door's order. */
+  /** Returns the number of the next event in the front door's order. */
   long nextEvent() {
     return nextEvent;
   }
--- a/notices/src/main/java/willowdoor/notices/Interest.java
+++ b/notices/src/main/java/willowdoor/notices/Interest.java
@@ -10,19 +10,19 @@
 import java.util.TreeSet;
 
 /**
- * Which member has readers of which customer. Each member says so of itself, in changes that carry
- * versions, so that they may go any way: with the members' exchange, twice, late. What does not
- * join on to what is known is asked for again from there.
+ * Tracks which member has readers of which customer. Each member publishes its own interest as
+ * versioned changes, so that changes may arrive late, twice or by any route of the members'
+ * exchange. Changes that do not follow the known version are requested again from that version.
  */
 public final class Interest {
-  /** In one message: about 1,000 bytes. */
+  /** Maximum number of changes in one message, about 1,000 bytes. */
   static final int MAX_CHANGES = 100;
 
   /**
-   * The changes of a member's interest after one version, up to another; from 0 they are all that
-   * holds.
+   * Changes of a member's interest after version {@code from}, up to version {@code to}. If {@code
+   * from} is 0, the changes are the complete interest.
    *
-   * @param generation of the member's process; what an older one said is void
+   * @param generation of the member's process; interest of an older generation is void
    */
   public record Delta(
       int member, long generation, long from, long to, List<Long> added, List<Long> removed) {
@@ -30,7 +30,7 @@
       added = List.copyOf(added);
       removed = List.copyOf(removed);
       if (from < 0 || to < from || added.size() + removed.size() > MAX_CHANGES) {
-        throw new IllegalArgumentException("not a change of interest");
+        throw new IllegalArgumentException("invalid interest delta");
       }
     }
   }
@@ -45,13 +45,16 @@
   private final long generation;
   private long version;
 
-  /** The own changes by their versions, the last of each customer only. */
+  /** This member's changes by version; only the last change of each customer. */
   private final TreeMap<Long, Long> changes = new TreeMap<>();
 
   private final Map<Long, Long> changedAt = new HashMap<>();
   private final TreeSet<Long> ownCustomers = new TreeSet<>();
 
-  /** Removals up to this version are forgotten: whoever is behind it begins anew. */
+  /**
+   * Removals up to this version are no longer kept: a member that knows an older version gets the
+   * complete interest.
+   */
   private long forgottenVersion;
 
   private final Map<Integer, MemberInterest> members = new HashMap<>();
@@ -61,7 +64,7 @@
     this.generation = generation;
   }
 
-  /** Whether there is room for a customer that is not known yet. */
+  /** Returns whether the customer is known or another customer can be added. */
   boolean hasRoomFor(long customer) {
     return ownCustomers.contains(customer) || ownCustomers.size() < Limits.MAX_CUSTOMERS;
   }
@@ -96,8 +99,8 @@
   }
 
   /**
-   * What changed here after that version, as much as goes into one message; empty changes where
-   * nothing did.
+   * Returns the changes here after that version, as many as fit into one message; no changes if
+   * nothing changed.
    */
   public Delta changesSince(long knownVersion) {
     long from = knownVersion < forgottenVersion || knownVersion > version ? 0 : knownVersion;
@@ -117,18 +120,18 @@
     return new Delta(self, generation, from, version, added, removed);
   }
 
-  /** What is known of a member's interest; 0 where nothing of that generation. */
+  /** Returns the known version of a member's interest, or 0 if none of that generation is known. */
   public long knownVersion(int member, long memberGeneration) {
     MemberInterest state = members.get(member);
     return state == null || state.generation != memberGeneration ? 0 : state.version;
   }
 
   /**
-   * Takes in what a member says.
+   * Applies the changes that a member published.
    *
-   * @return the customers that changed; empty where nothing did. Where the changes do not join on
-   *     to what is known, {@link #knownVersion} stays as it was, and the member is to be asked from
-   *     there
+   * @return the customers whose interest changed; empty if none did. If the changes do not follow
+   *     the known version, {@link #knownVersion} stays as it was, and the changes after that
+   *     version must be requested from the member
    */
   public Set<Long> apply(Delta delta) {
     Set<Long> changed = new HashSet<>();
@@ -166,12 +169,12 @@
     return changed;
   }
 
-  /** Forgets members that are in the view no more. */
+  /** Removes members that are not in the view. */
   void retainMembers(FleetView view) {
     members.keySet().removeIf(member -> view.member(member) == null);
   }
 
-  /** Whether that member has readers of that customer. */
+  /** Returns whether that member has readers of that customer. */
   boolean hasReaders(int member, long customer) {
     MemberInterest state = members.get(member);
     return state != null && state.customers.contains(customer);
--- a/notices/src/main/java/willowdoor/notices/MoveOrder.java
+++ b/notices/src/main/java/willowdoor/notices/MoveOrder.java
@@ -3,14 +3,15 @@
 import java.util.Locale;
 
 /**
- * Where a reader is to go. Its number is the view under which it was decided (epoch and digest) and
- * the count of this reader's orders; it travels with the reader, in the address it is told.
+ * An order for a reader to move to another member. The order is identified by the view under which
+ * it was decided (epoch and digest) and by the count of the reader's orders. The reader sends it in
+ * the query of its request to the target.
  *
- * @param count of this reader's orders, from 1
- * @param key the reader's, the same at every front door
- * @param target the member it is to go to
- * @param home the member it came to first, where it goes back to
- * @param pace the class it goes there as; null for one that goes back home
+ * @param count number of this order among the reader's orders, from 1
+ * @param key of the reader, the same at every front door
+ * @param target the member to connect to
+ * @param home the member to which the reader connected first and to which it returns
+ * @param pace pace class in which the reader moves; null if it returns home
  */
 public record MoveOrder(
     long epoch,
@@ -23,8 +24,8 @@
     PaceClass pace) {
 
   /**
-   * As in the address: numbers to the base 36, joined by dots, the class by its first letter or
-   * {@code -}.
+   * Returns the order as it appears in the query: numbers in base 36, joined by dots, and the pace
+   * class by its first letter, or {@code -} if there is none.
    */
   public String text() {
     return String.join(
@@ -44,7 +45,9 @@
   }
 
   /**
-   * @throws IllegalArgumentException for anything that {@link #text} does not give
+   * Parses an order.
+   *
+   * @throws IllegalArgumentException for any text that {@link #text} does not return
    */
   static MoveOrder parse(String text) {
     String[] parts = text.length() > 120 ? new String[0] : text.split("\\.", 9);
--- a/notices/src/main/java/willowdoor/notices/NoticePublisher.java
+++ b/notices/src/main/java/willowdoor/notices/NoticePublisher.java
@@ -6,7 +6,10 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** The notices that this front door takes: each answered when a second front door holds it. */
+/**
+ * Publishes the notices that customers post to this front door. A call is answered with success
+ * once a second front door holds the notice.
+ */
 final class NoticePublisher {
   private record Pending(long call, StreamId stream, long seq, long deadlineMs) {}
 
@@ -33,9 +36,9 @@
   }
 
   /**
-   * Takes a notice.
+   * Accepts a notice.
    *
-   * @param call named in the {@link Effect.Answer}
+   * @param call number of the call for the {@link Effect.Answer}
    */
   void publish(long call, long customer, byte[] body, long nowMs) {
     RetainedNotices retained = relay.retained(customer);
@@ -61,7 +64,8 @@
   private Stream stream(RetainedNotices retained, long customer, long nowMs) {
     StreamId id = own.get(customer);
     Stream stream = id == null ? null : relay.stream(id);
-    // Others forget a stream after twice this time: one that is used again is another.
+    // Other front doors forget a stream after twice this time, so a later notice gets a new
+    // stream.
     if (stream == null || nowMs - stream.lastAppendMs > Limits.IDLE_STREAM_MS) {
       stream = relay.open(retained, new StreamId(self, generation, ++serial), 0, true, nowMs);
       own.put(customer, stream.id);
@@ -70,7 +74,10 @@
     return stream;
   }
 
-  /** A peer holds a stream up to a count; if it keeps it, that is confirmed. */
+  /**
+   * Handles a peer's confirmation that it holds a stream up to a count. If the peer is the replica
+   * holder, the notices up to the count are confirmed.
+   */
   void have(int peer, PeerMessage.Have have, long nowMs) {
     Stream stream = relay.stream(have.stream());
     if (stream == null || !stream.own || stream.replicaHolder.member() != peer) {
--- a/notices/src/main/java/willowdoor/notices/NoticesApi.java
+++ b/notices/src/main/java/willowdoor/notices/NoticesApi.java
@@ -6,25 +6,25 @@
 import java.util.List;
 import java.util.function.Function;
 
-/** What clients ask of notices, read strictly. */
+/** Parses and validates the clients' requests to the notices service. */
 public final class NoticesApi {
   public static final String PATH = "/-/notices";
   private static final String MOVE = "?move=";
   private static final long CUSTOMERS = 1L << 33;
 
-  /** What a request is. */
+  /** A parsed request. */
   public sealed interface Call {}
 
   /**
-   * A reader.
+   * A request to read notices.
    *
-   * @param lastEventId as it was sent, null where it begins now;
-   * @param order with which it comes, or null
+   * @param lastEventId as sent, or null if the reader begins now
+   * @param order move order that the reader sent, or null
    */
   public record Read(long customer, String lastEventId, MoveOrder order) implements Call {}
 
   /**
-   * A customer publishes a notice.
+   * A request of a customer to publish a notice.
    *
    * @param body UTF-8, 1 to 16,384 bytes
    */
@@ -40,10 +40,11 @@
   private NoticesApi() {}
 
   /**
-   * Reads a request.
+   * Parses a request.
    *
    * @param target path and query, as sent
-   * @param headers all values of a header by its name in lower case, empty where there is none
+   * @param headers returns all values of a header by its name in lower case, empty if the header is
+   *     absent
    */
   public static Call parse(
       String method, String target, Function<String, List<String>> headers, byte[] body) {
--- a/notices/src/main/java/willowdoor/notices/NoticesService.java
+++ b/notices/src/main/java/willowdoor/notices/NoticesService.java
@@ -9,16 +9,16 @@
 import java.util.function.LongSupplier;
 
 /**
- * The notices of one front door: a state machine without sockets, threads or a clock. Times are ms
- * of a monotonic clock and never fall. Called by one thread; what it wants done is given to {@code
- * effects} during the call, which must not call back into it.
+ * Notices service of one front door: a state machine without sockets, threads or a clock. Times are
+ * ms of a monotonic clock and never decrease. One thread calls the service. The service passes its
+ * effects to {@code effects} during the call; {@code effects} must not call back into the service.
  */
 public final class NoticesService {
   /**
-   * The front door is slow while over half of its readers lag, of two customers at least, for so
-   * long.
+   * The front door counts as slow once, for this time, over half of all its readers and over half
+   * of the readers of at least two customers have lagged.
    */
-  private static final long DOOR_SLOW_MS = 2_000;
+  private static final long FRONT_DOOR_SLOW_MS = 2_000;
 
   private final Limits limits;
   private final int self;
@@ -36,11 +36,11 @@
   private long laggingSinceMs = -1;
 
   /**
-   * Makes the notices of a process that has just started.
+   * Creates the service of a process that has just started.
    *
    * @param self this front door's number in the roster
    * @param generation of this process
-   * @param random 64 random bits at each call, for the readers' keys
+   * @param random returns 64 random bits at each call, for the readers' keys
    */
   public NoticesService(
       int self, long generation, Limits limits, LongSupplier random, Consumer<Effect> effects) {
@@ -73,17 +73,17 @@
         new StreamRelay.Listener() {
           @Override
           public void appended(long customer, long bytes, long now) {
-            CustomerReaders of = customers.get(customer);
-            if (of != null) {
-              of.appended(bytes, now);
+            CustomerReaders customerReaders = customers.get(customer);
+            if (customerReaders != null) {
+              customerReaders.appended(bytes, now);
             }
           }
 
           @Override
           public void fetched(long customer, PeerMessage.Fetched answer, long now) {
-            CustomerReaders of = customers.get(customer);
-            if (of != null) {
-              of.fetched(answer, now);
+            CustomerReaders customerReaders = customers.get(customer);
+            if (customerReaders != null) {
+              customerReaders.fetched(answer, now);
             }
           }
         };
@@ -94,14 +94,14 @@
   }
 
   /**
-   * Which customers have readers here, for the members' exchange; to be changed by this class
-   * alone.
+   * Returns which customers have readers here, for the members' exchange. Only this class may
+   * change the result.
    */
   public Interest interest() {
     return interest;
   }
 
-  /** The view of the members has changed. */
+  /** Handles a new view of the members. */
   public void view(FleetView view, long now) {
     nowMs = now;
     interest.retainMembers(view);
@@ -109,34 +109,34 @@
     relay.view(view, now);
   }
 
-  /** Another member's interest has come with the members' exchange. */
+  /** Handles another member's interest, received through the members' exchange. */
   public void interest(Interest.Delta delta, long now) {
     nowMs = now;
     Set<Long> changed = interest.apply(delta);
     relay.interestChanged(changed, now);
   }
 
-  /** A link that {@link Effect.Connect} asked for stands. */
+  /** Handles the establishment of a link that {@link Effect.Connect} requested. */
   public void linkUp(int peer, long now) {
     nowMs = now;
     relay.linkUp(peer, now);
   }
 
-  /** It does not any more. */
+  /** Handles the loss of a link that {@link Effect.Connect} requested. */
   public void linkDown(int peer, long now) {
     nowMs = now;
     relay.linkDown(peer);
   }
 
-  /** A peer has said something, on either link. */
+  /** Handles a message of a peer, received on either link. */
   public void message(int peer, PeerMessage message, long now) {
     nowMs = now;
     peerMessages.message(peer, message, now);
   }
 
   /**
-   * A customer publishes; {@link Effect.Answer} with this call's number answers it, at most 2 s
-   * later.
+   * Publishes a notice of a customer. {@link Effect.Answer} with this call's number answers the
+   * call at most 2 s later.
    */
   public void publish(long call, NoticesApi.Publish notice, long now) {
     nowMs = now;
@@ -144,9 +144,9 @@
   }
 
   /**
-   * A reader has come, and its answer's head is written.
+   * Handles a reader whose response head is written.
    *
-   * @return null, or why it cannot be taken, for a 503
+   * @return null, or the reason for a 503 if the reader is refused
    */
   public String read(long id, NoticesApi.Read read, long now) {
     nowMs = now;
@@ -156,9 +156,8 @@
     }
     Position resume = read.lastEventId() == null ? null : Position.parse(read.lastEventId());
     MoveOrder order = read.order();
-    // The order tells who the reader is; where it goes by it is another question, and the order's
-    // number
-    // answers that.
+    // The order identifies the reader, whether or not the order is still valid; its number decides
+    // that.
     Reader reader =
         new Reader(
             id,
@@ -172,13 +171,13 @@
       reader.slowClass = order.pace();
       reader.movedHere = true;
     }
-    CustomerReaders of =
+    CustomerReaders customerReaders =
         customers.computeIfAbsent(
             read.customer(),
             c ->
                 new CustomerReaders(retained, limits, events, assignment, callbacks, effects, now));
     readers.put(id, reader);
-    of.add(reader, resume, now);
+    customerReaders.add(reader, resume, now);
     retained.readerArrived(resume, now);
     interest.set(read.customer(), true);
     return null;
@@ -191,16 +190,16 @@
     if (reader == null) {
       return;
     }
-    CustomerReaders of = customers.get(reader.customer);
-    of.remove(reader, now);
-    if (of.isEmpty()) {
+    CustomerReaders customerReaders = customers.get(reader.customer);
+    customerReaders.remove(reader, now);
+    if (customerReaders.isEmpty()) {
       customers.remove(reader.customer);
-      of.retained.lastReaderLeft();
+      customerReaders.retained.lastReaderLeft();
       interest.set(reader.customer, false);
     }
   }
 
-  /** A reader's socket has taken so many bytes of what was written. */
+  /** Records bytes that a reader's socket has taken. */
   public void taken(long id, long bytes, long now) {
     nowMs = now;
     Reader reader = readers.get(id);
@@ -209,7 +208,7 @@
     }
   }
 
-  /** To be called every {@link Limits#TICK_MS}. */
+  /** Must be called every {@link Limits#TICK_MS}. */
   public void tick(long now) {
     nowMs = now;
     publisher.tick(now);
@@ -218,35 +217,38 @@
     int all = 0;
     int lagging = 0;
     int laggingCustomers = 0;
-    for (CustomerReaders of : new ArrayList<>(customers.values())) {
-      CustomerReaders.LagSample look = of.sample(frontDoorSlow, now);
-      all += look.readers();
-      lagging += look.lagging();
-      laggingCustomers += look.readers() > 1 && look.lagging() > look.readers() / 2 ? 1 : 0;
+    for (CustomerReaders customerReaders : new ArrayList<>(customers.values())) {
+      CustomerReaders.LagSample sample = customerReaders.sample(frontDoorSlow, now);
+      all += sample.readers();
+      lagging += sample.lagging();
+      laggingCustomers += sample.readers() > 1 && sample.lagging() > sample.readers() / 2 ? 1 : 0;
     }
     boolean mostLag = lagging > all / 2 && laggingCustomers > 1;
     laggingSinceMs = !mostLag ? -1 : laggingSinceMs < 0 ? now : laggingSinceMs;
   }
 
-  /** Whether this front door itself is what holds its readers up. */
+  /** Returns whether this front door itself holds up its readers. */
   public boolean isSlow(long now) {
-    return laggingSinceMs >= 0 && now - laggingSinceMs >= DOOR_SLOW_MS;
+    return laggingSinceMs >= 0 && now - laggingSinceMs >= FRONT_DOOR_SLOW_MS;
   }
 
-  /** Peers that leave notices unconfirmed for over a second. */
+  /** Returns the peers that have left notices unconfirmed for over a second. */
   public List<Integer> slowLinks(long now) {
     return relay.slowLinks(now);
   }
 
-  /** Readers here; those that read alone; bytes that groups hold; notices not confirmed yet. */
+  /**
+   * Number of readers here, number of readers served individually, bytes in the groups' windows,
+   * and number of notices not confirmed yet.
+   */
   public record Stats(int readers, int individualReaders, long groupBytes, int pending) {}
 
   public Stats stats() {
     int alone = 0;
     long held = 0;
-    for (CustomerReaders of : customers.values()) {
-      alone += of.individualReaders();
-      held += of.groupBytes();
+    for (CustomerReaders customerReaders : customers.values()) {
+      alone += customerReaders.individualReaders();
+      held += customerReaders.groupBytes();
     }
     return new Stats(readers.size(), alone, held, publisher.pending());
   }
@@ -254,8 +256,8 @@
   private final CustomerReaders.Callbacks callbacks =
       new CustomerReaders.Callbacks() {
         @Override
-        public boolean fetch(IndividualDelivery.MissingRange lack) {
-          return relay.fetch(lack, nowMs);
+        public boolean fetch(IndividualDelivery.MissingRange range) {
+          return relay.fetch(range, nowMs);
         }
 
         @Override
--- a/notices/src/main/java/willowdoor/notices/PaceClass.java
+++ b/notices/src/main/java/willowdoor/notices/PaceClass.java
@@ -1,12 +1,12 @@
 package willowdoor.notices;
 
-/** Slow readers of like pace go together. */
+/** Class of a slow reader. Slow readers of the same class share a group. */
 enum PaceClass {
   /** Under 512 bytes a second. */
   TRICKLE,
   /** Under 8,192 bytes a second. */
   SLOW,
-  /** Faster than that, and still behind its group. */
+  /** Faster than {@link #SLOW}, but still behind its group. */
   NEAR;
 
   static PaceClass of(double bytesPerSecond) {
--- a/notices/src/main/java/willowdoor/notices/PeerChannel.java
+++ b/notices/src/main/java/willowdoor/notices/PeerChannel.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One connection between two front doors. Each side says who it is first; whoever has not after 3
- * s, or says nothing for 15 s later on, is cut off. An empty frame says that a side is there.
+ * One connection between two front doors. Each side sends a hello first. A side that sends no hello
+ * within 3 s, or nothing for 15 s later on, is disconnected. An empty frame is a keep-alive.
  */
 final class PeerChannel extends SimpleChannelInboundHandler<ByteBuf> {
   private static final long HELLO_TIMEOUT_MS = 3_000;
@@ -20,7 +20,9 @@
 
   private final Peers peers;
 
-  /** Whom this side has dialled, -1 where the other has. */
+  /**
+   * Number of the peer that this side connected to, or -1 if the other side opened the connection.
+   */
   private final int dialledPeer;
 
   private int peer = -1;
@@ -75,11 +77,14 @@
     }
   }
 
-  /** What goes back comes on links that this side has dialled, all else on those it has not. */
+  /**
+   * Decodes a message. Replies come on links that this side opened, all other messages on links
+   * that the peer opened.
+   */
   private PeerMessage message(byte[] bytes) throws IOException {
     PeerMessage message = PeerCodec.decode(bytes);
     if (message instanceof PeerMessage.Reply != dialledPeer >= 0) {
-      throw new IOException("a message on the wrong link");
+      throw new IOException("message type is not allowed in this direction of the link");
     }
     return message;
   }
@@ -97,8 +102,7 @@
 
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-    // A connection that breaks is an IOException as well; it is no message, so there is nothing to
-    // tell.
+    // A broken connection is an IOException too, but no invalid message, so it is not reported.
     if (!(cause instanceof java.net.SocketException)) {
       peers.listener().invalidMessage(peer, String.valueOf(cause.getMessage()));
     }
--- a/notices/src/main/java/willowdoor/notices/PeerCodec.java
+++ b/notices/src/main/java/willowdoor/notices/PeerCodec.java
@@ -10,12 +10,11 @@
 import java.util.List;
 
 /**
- * What front doors say to each other as CBOR (RFC 8949): one array for each message, its kind
- * first. Whatever is not exactly that is an {@link IOException}, and costs no more memory than the
- * frame's bound.
+ * Encodes the messages between front doors as CBOR (RFC 8949): one array for each message, its kind
+ * first. Anything else is an {@link IOException} and costs no more memory than the maximum frame.
  */
 public final class PeerCodec {
-  /** A frame's most bytes: the answer to a fetch, 64 KiB and a notice over it. */
+  /** Maximum size of a frame: the result of a fetch has up to 64 KiB and one more notice. */
   public static final int MAX_FRAME = 128 * 1024;
 
   private static final int MAX_FLEET = 64;
@@ -23,7 +22,7 @@
   private static final CBORFactory FACTORY = new CBORFactory();
 
   /**
-   * The first frame each way: who speaks.
+   * The first frame in each direction, which identifies the sender.
    *
    * @param fleet the fleet's name, 1 to 64 characters of ASCII
    */
@@ -42,12 +41,12 @@
       writing.to(out);
       out.writeEndArray();
     } catch (IOException e) {
-      throw new IllegalStateException("writing to memory", e);
+      throw new IllegalStateException("cannot encode a message into memory", e);
     }
     return bytes.toByteArray();
   }
 
-  /** A frame for the first message of a link. */
+  /** Encodes the first message of a link. */
   public static byte[] encode(Hello hello) {
     return array(
         4,
@@ -59,7 +58,7 @@
         });
   }
 
-  /** A frame for a message. */
+  /** Encodes a message. */
   public static byte[] encode(PeerMessage message) {
     if (message instanceof PeerMessage.Offer m) {
       return numbers(
@@ -104,7 +103,7 @@
         });
   }
 
-  /** An array of numbers, in which a stream takes three. */
+  /** Encodes an array of numbers; a stream id takes three of them. */
   private static byte[] numbers(int kind, Object... values) {
     int size = 1;
     for (Object value : values) {
@@ -137,7 +136,7 @@
     out.writeBinary(notice.body());
   }
 
-  /** A member's interest, for the members' exchange. */
+  /** Encodes a member's interest for the members' exchange. */
   public static byte[] encode(Interest.Delta delta) {
     return array(
         6 + delta.added().size() + delta.removed().size(),
@@ -157,13 +156,13 @@
         });
   }
 
-  /** Reads an array item by item, each within its bounds. */
+  /** Reads an array item by item and checks the bounds of each item. */
   private static final class In implements AutoCloseable {
     private final CBORParser in;
 
     In(byte[] frame) throws IOException {
       if (frame.length > MAX_FRAME) {
-        throw new IOException("a frame of " + frame.length + " bytes");
+        throw new IOException("frame is too long: " + frame.length + " bytes");
       }
       in = FACTORY.createParser(frame);
       expect(in.nextToken() == JsonToken.START_ARRAY, "an array");
@@ -195,11 +194,11 @@
           (int) number(0, StreamId.MAX_MEMBER), count(), (int) number(1, Integer.MAX_VALUE));
     }
 
-    ReplicaHolder keeper() throws IOException {
+    ReplicaHolder replicaHolder() throws IOException {
       return new ReplicaHolder((int) number(-1, StreamId.MAX_MEMBER), count());
     }
 
-    /** The rest of a notice whose customer was read. */
+    /** Reads the rest of a notice after its customer. */
     Notice notice(long customer) throws IOException {
       StreamId stream = stream();
       long seq = number(1, StreamId.MAX_NUMBER);
@@ -219,7 +218,7 @@
       return text;
     }
 
-    /** Notices up to the end of the array. */
+    /** Reads notices up to the end of the array. */
     List<Notice> notices() throws IOException {
       List<Notice> notices = new ArrayList<>();
       while (in.nextToken() == JsonToken.VALUE_NUMBER_INT) {
@@ -295,14 +294,15 @@
           int kind = (int) in.number(1, 9);
           PeerMessage message =
               switch (kind) {
-                case 1 -> new PeerMessage.Offer(in.customer(), in.stream(), in.keeper());
+                case 1 -> new PeerMessage.Offer(in.customer(), in.stream(), in.replicaHolder());
                 case 2 ->
                     new PeerMessage.Want(
                         in.stream(),
                         in.number(-1, StreamId.MAX_NUMBER),
                         in.number(-1, StreamId.MAX_NUMBER));
                 case 3 ->
-                    new PeerMessage.Begin(in.customer(), in.stream(), in.count(), in.keeper());
+                    new PeerMessage.Begin(
+                        in.customer(), in.stream(), in.count(), in.replicaHolder());
                 case 4 -> new PeerMessage.Pass(in.notice(in.customer()));
                 case 5 -> new PeerMessage.Gap(in.stream(), in.count());
                 case 6 -> new PeerMessage.End(in.stream(), in.count());
--- a/notices/src/main/java/willowdoor/notices/PeerLink.java
+++ b/notices/src/main/java/willowdoor/notices/PeerLink.java
@@ -8,9 +8,9 @@
 import java.util.function.Consumer;
 
 /**
- * What goes to one other front door: for each stream how far it is. Nothing is queued: notices are
- * taken from what is kept when the peer has confirmed enough of what is under way. A link that
- * comes up anew offers all its streams again.
+ * Sends streams to one other front door and tracks how far each stream is sent. Nothing is queued:
+ * notices are read from the retained streams when the peer has confirmed enough of the notices in
+ * flight. After a reconnect, all streams are offered again.
  */
 final class PeerLink {
   private static final long IDLE_MS = 30_000;
@@ -21,7 +21,7 @@
   private static final class Cursor {
     private final Stream stream;
 
-    /** The next count to pass, -1 until the peer has said what it wants. */
+    /** Next count to send, or -1 until the peer has requested the stream. */
     private long next = -1;
 
     private boolean endSent;
@@ -39,7 +39,7 @@
   private final Consumer<Effect> effects;
   private final Map<StreamId, Cursor> cursors = new LinkedHashMap<>();
 
-  /** Streams that may have something to pass, in the order of their turns. */
+  /** Streams that may have notices to send, in round-robin order. */
   private final Set<Cursor> ready = new LinkedHashSet<>();
 
   private boolean up;
@@ -62,7 +62,7 @@
     return cursors.containsKey(id);
   }
 
-  /** Begins to pass a stream, or says anew who keeps it. */
+  /** Offers a stream to the peer, or announces a new replica holder. */
   void offer(Stream stream, long nowMs) {
     Cursor cursor = cursors.computeIfAbsent(stream.id, id -> new Cursor(stream));
     neededMs = nowMs;
@@ -93,7 +93,9 @@
     }
   }
 
-  /** What was under way is sent again from where the peer says it is. */
+  /**
+   * Resets all streams. Unconfirmed notices are sent again from the count that the peer requests.
+   */
   void down() {
     up = false;
     unconfirmed = 0;
@@ -115,11 +117,12 @@
     cursor.endSent = false;
     Stream stream = cursor.stream;
     if (want.ageMs() != PeerMessage.Want.UNSPECIFIED) {
-      // Its reader came at the earliest that long before the offer went out, whatever the way took.
+      // The peer's first reader connected at most {@code ageMs} before the offer was sent,
+      // whatever the network delay.
       long since = cursor.offeredMs - want.ageMs();
       long after = Math.min(stream.lastBefore(since), stream.sendable(peer));
-      // Where what is kept no more may have come since then, the last of it is begun with, and told
-      // as a gap.
+      // If notices appended since then may have been removed, start at the last removed notice,
+      // which is then reported as a gap.
       boolean lacks = stream.droppedMs() >= since && after == stream.first() - 1;
       after = lacks ? after - 1 : after;
       after = want.after() == PeerMessage.Want.UNSPECIFIED ? after : Math.min(after, want.after());
@@ -143,7 +146,7 @@
     sendReady(nowMs);
   }
 
-  /** A stream has more to pass. */
+  /** Handles further notices of a stream. */
   void more(StreamId id, long nowMs) {
     Cursor cursor = cursors.get(id);
     if (cursor != null && cursor.next >= 0) {
@@ -180,7 +183,7 @@
     effects.accept(new Effect.Send(peer, message));
   }
 
-  /** Whether the peer has left something unconfirmed for over a second. */
+  /** Returns whether the peer has left a notice unconfirmed for over a second. */
   boolean slow(long nowMs) {
     for (Cursor cursor : cursors.values()) {
       if (!cursor.unacknowledged.isEmpty()
@@ -191,13 +194,13 @@
     return false;
   }
 
-  /** Whether nothing has needed it for a while. */
+  /** Returns whether the link has been unused for over 30 s. */
   boolean idle(long nowMs) {
     neededMs = cursors.isEmpty() ? neededMs : nowMs;
     return nowMs - neededMs > IDLE_MS;
   }
 
-  /** A fetch needs it. */
+  /** Records that a fetch uses the link. */
   void markNeeded(long nowMs) {
     neededMs = nowMs;
   }
--- a/notices/src/main/java/willowdoor/notices/PeerMessageHandler.java
+++ b/notices/src/main/java/willowdoor/notices/PeerMessageHandler.java
@@ -2,7 +2,10 @@
 
 import java.util.function.Consumer;
 
-/** What other front doors say of their streams, and what they answer to this one's. */
+/**
+ * Handles the messages of other front doors: about their streams, and in reply to messages about
+ * the streams of this front door.
+ */
 final class PeerMessageHandler {
   private final ReplicaHolder self;
   private final StreamRelay relay;
@@ -70,7 +73,10 @@
     }
   }
 
-  /** A stream that is another's; null where it is not known, or this front door's own. */
+  /**
+   * Returns a stream of another front door, or null if the stream is unknown or this front door's
+   * own.
+   */
   private Stream remoteStream(StreamId id) {
     Stream stream = relay.stream(id);
     return stream == null || stream.own ? null : stream;
@@ -104,8 +110,8 @@
   }
 
   /**
-   * Whether a stream is this process's, whoever speaks of it; one of a process before it is
-   * another's.
+   * Returns whether a stream belongs to this process, whichever peer mentions it. A stream of an
+   * earlier process under the same number does not.
    */
   private boolean isOwn(StreamId id) {
     return id.member() == self.member() && id.generation() == self.generation();
@@ -129,7 +135,7 @@
       relay.open(retained, begin.stream(), begin.after(), false, nowMs).replicaHolder =
           begin.replicaHolder();
     } else {
-      // A reader has resumed here since this was asked for, and needs more.
+      // A reader has resumed here since the first request and needs earlier notices.
       reply(peer, want);
     }
   }
@@ -144,7 +150,7 @@
       relay.retained(stream.customer).append(notice, nowMs);
       listener.appended(stream.customer, notice.cost(), nowMs);
     } else if (notice.seq() > stream.last() + 1) {
-      // Something on the way went missing: begin again from what is here.
+      // A notice was lost on the way: request the stream again after the last notice held here.
       reply(peer, new PeerMessage.Want(stream.id, stream.last(), PeerMessage.Want.UNSPECIFIED));
       return;
     }
--- a/notices/src/main/java/willowdoor/notices/Peers.java
+++ b/notices/src/main/java/willowdoor/notices/Peers.java
@@ -19,9 +19,9 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * The links between front doors over TCP, on one event loop, which is also the thread of what
- * listens. Each front door opens a link to those it has something for; answers come back on the
- * same link. It owns its channels and closes all of them in {@link #close}.
+ * The links between front doors over TCP. All run on one event loop, on which the listener is
+ * called too. Each front door opens a link to each peer that it sends messages to; replies come
+ * back on the same link. This class owns its channels and closes all of them in {@link #close}.
  */
 public final class Peers implements AutoCloseable {
   private static final int CONNECT_TIMEOUT_MS = 2_000;
@@ -31,16 +31,16 @@
   private static final long MAX_RETRY_MS = 5_000;
 
   /**
-   * What may wait to be written to a peer; one that leaves more is cut off, and begins anew from
-   * what it has.
+   * Bytes that may wait to be written to a peer. A peer that reads more slowly is disconnected and
+   * resumes from what it has.
    */
   private static final WriteBufferWaterMark WRITE_BUFFER =
       new WriteBufferWaterMark(1 << 19, 1 << 20);
 
-  /** Front doors and whoever else connects. */
+  /** Maximum number of incoming connections, from front doors or any other client. */
   private static final int MAX_INCOMING = 1_024;
 
-  /** Told what happens, on the event loop. */
+  /** Notified of link events, on the event loop. */
   public interface Listener {
     void linkUp(int peer);
 
@@ -49,12 +49,13 @@
     void message(int peer, PeerMessage message);
 
     /**
-     * Something that no front door would send; {@code peer} is -1 where it did not say who it is.
+     * Handles data that no front door sends; {@code peer} is -1 if the other side has not sent a
+     * valid hello.
      */
     void invalidMessage(int peer, String why);
   }
 
-  /** One link that this front door opens, for as long as it is wanted. */
+  /** One link that this front door opens, and reopens while it is needed. */
   private final class Outgoing {
     private final int peer;
     private Channel channel;
@@ -88,8 +89,8 @@
     }
 
     /**
-     * Waits twice as long after each failure, and a part of it by chance, so that peers do not come
-     * all at once.
+     * Reconnects after an exponential delay with jitter, so that peers do not reconnect all at
+     * once.
      */
     private void ended() {
       boolean wasUp = up;
@@ -122,12 +123,12 @@
   private boolean closed;
 
   /**
-   * Makes the links of a front door.
+   * Creates the links of a front door.
    *
-   * @param client the kind of channel to connect with
-   * @param self who this is
-   * @param roster where the others listen, by their numbers
-   * @param random from 0 to 1 at each call
+   * @param client channel class for outgoing connections
+   * @param self hello of this front door
+   * @param roster addresses of the other front doors by number
+   * @param random returns a number from 0 to 1 at each call
    */
   public Peers(
       EventLoop loop,
@@ -145,7 +146,10 @@
   }
 
   /**
-   * Listens for the others. @return the port; @throws InterruptedException while it waits for that
+   * Listens for connections of other front doors.
+   *
+   * @return the port
+   * @throws InterruptedException if interrupted while binding
    */
   public int listen(Class<? extends ServerChannel> kind, InetSocketAddress address)
       throws InterruptedException {
@@ -177,7 +181,10 @@
     };
   }
 
-  /** Does what {@link Effect.Connect}, {@link Effect.Disconnect} and {@link Effect.Send} say. */
+  /**
+   * Executes {@link Effect.Connect}, {@link Effect.Disconnect} and {@link Effect.Send}; ignores all
+   * other effects.
+   */
   public void apply(Effect effect) {
     if (effect instanceof Effect.Connect connect) {
       outgoing.computeIfAbsent(connect.peer(), Outgoing::new).connect();
@@ -218,7 +225,11 @@
     return listener;
   }
 
-  /** A channel has come up. @return whether there is room for it */
+  /**
+   * Handles a new channel.
+   *
+   * @return whether the channel is accepted
+   */
   boolean opened(Channel channel, int dialledPeer) {
     Outgoing link = outgoing.get(dialledPeer);
     if (dialledPeer >= 0) {
@@ -232,7 +243,11 @@
     return !closed && incomingCount <= MAX_INCOMING;
   }
 
-  /** The other side has said who it is. @return whether it may stay */
+  /**
+   * Handles the hello of the other side.
+   *
+   * @return whether the connection is accepted
+   */
   boolean helloReceived(Channel channel, int dialledPeer, PeerCodec.Hello hello) {
     boolean known =
         hello.fleet().equals(self.fleet())
@@ -241,7 +256,7 @@
             && (dialledPeer < 0 || dialledPeer == hello.member());
     if (!known) {
       listener.invalidMessage(
-          hello.member(), "a front door of another fleet, or under another number");
+          hello.member(), "hello names another fleet or an unexpected member number");
       return false;
     }
     if (dialledPeer < 0) {
@@ -272,7 +287,7 @@
     }
   }
 
-  /** Ends all links; on the event loop. */
+  /** Closes all links. Must be called on the event loop. */
   @Override
   public void close() {
     closed = true;
--- a/notices/src/main/java/willowdoor/notices/Position.java
+++ b/notices/src/main/java/willowdoor/notices/Position.java
@@ -3,9 +3,9 @@
 import java.util.Arrays;
 
 /**
- * How far a reader is in each stream of its customer: a vector, never changed. As text it is an
- * event's id: {@code member.generation.serial.count} for each stream to the base 36, joined by
- * {@code _}; the event's own stream comes first, the others in order.
+ * A reader's position in each stream of its customer: an immutable vector. Its text is an event id:
+ * {@code member.generation.serial.count} for each stream in base 36, joined by {@code _}; the
+ * event's own stream comes first, the others in order.
  */
 final class Position {
   static final int MAX_STREAMS = 64;
@@ -20,7 +20,7 @@
     this.counts = counts;
   }
 
-  /** The count of the last notice seen of a stream; 0 where none is. */
+  /** Returns the count of the last notice received of a stream, or 0 if there is none. */
   long of(StreamId id) {
     int at = Arrays.binarySearch(ids, id);
     return at < 0 ? 0 : counts[at];
@@ -78,8 +78,8 @@
   }
 
   /**
-   * The lesser count of each stream; a stream that one of the two lacks is left out, which means
-   * from its start.
+   * Returns the lesser count of each stream. A stream that one of the two positions lacks is left
+   * out, which means from its start.
    */
   Position min(Position other) {
     Position both = NONE;
@@ -92,9 +92,9 @@
   }
 
   /**
-   * As an event's id.
+   * Returns the position as an event id.
    *
-   * @param own the event's own stream, or null where it has none
+   * @param own the event's own stream, or null if it has none
    */
   String text(StreamId own) {
     StringBuilder text = new StringBuilder(24 * Math.max(1, ids.length));
@@ -112,10 +112,9 @@
   }
 
   /**
-   * Reads an event's id, exactly as {@link #text} writes it.
+   * Parses an event id, exactly as {@link #text} writes it.
    *
-   * @throws IllegalArgumentException where it is anything else; the message is fit for the one who
-   *     sent it
+   * @throws IllegalArgumentException for any other text; the message can be sent to the client
    */
   static Position parse(String text) {
     if (text.length() > MAX_TEXT) {
@@ -152,7 +151,8 @@
     } catch (IllegalArgumentException e) {
       throw new IllegalArgumentException("the event id is not one that a front door gave", e);
     }
-    // One text for one position: no sign, no leading zero, no capital letters, no other order.
+    // A position has exactly one text: no sign, no leading zero, no capital letters, no other
+    // order.
     if (!position.text(own).equals(text)) {
       throw new IllegalArgumentException("the event id is not one that a front door gave");
     }
--- a/notices/src/main/java/willowdoor/notices/Reader.java
+++ b/notices/src/main/java/willowdoor/notices/Reader.java
@@ -3,22 +3,22 @@
 import java.util.ArrayDeque;
 import java.util.function.Consumer;
 
-/** One reader at this front door: in a group, or alone. */
+/** One reader at this front door, served through a group or individually. */
 final class Reader {
-  /** Bytes that are written to a reader, and how far it is with them. */
+  /** Bytes that are written to a reader, and the reader's position after them. */
   static final class Chunk {
     final byte[] bytes;
     final Position after;
 
-    /** The group that shares it, null for a reader's own. */
+    /** The group that shares the chunk, or null if the chunk is for one reader only. */
     final Group group;
 
     final long atMs;
 
-    /** The number of the next event in the front door's order. */
+    /** Number of the next event in the front door's order. */
     final long nextEvent;
 
-    /** Readers of the group that have not taken it. */
+    /** Number of readers of the group that have not taken the chunk yet. */
     int pendingReaders;
 
     Chunk(byte[] bytes, Position after, Group group, long order, long atMs) {
@@ -33,37 +33,40 @@
   final long id;
   final long customer;
 
-  /** The same at every front door. */
+  /** Identifies the reader; the same at every front door. */
   final long key;
 
-  /** The member it came to first. */
+  /** Member to which the reader connected first. */
   final int home;
 
-  /** Its orders to move so far. */
+  /** Number of move orders that the reader has received so far. */
   final long moves;
 
   final long sinceMs;
   final ReaderProgress progress;
   Group group;
 
-  /** In the group's window: the next piece to write, and the next that it has to take. */
+  /**
+   * Numbers in the group's window of the next chunk to write and of the next chunk that the socket
+   * has to take.
+   */
   long nextToWrite;
 
   long nextToTake;
   IndividualDelivery individual;
 
-  /** After all that was written. */
+  /** Position after all written chunks. */
   Position position;
 
-  /** The class it is among the slow as, null for one that is not. */
+  /** Class of a slow reader, or null if the reader is not slow. */
   PaceClass slowClass;
 
-  /** Whether it was sent here as that. */
+  /** Whether the reader was moved here as a slow reader. */
   boolean movedHere;
 
   /**
-   * Streams it has had something of and this front door does not know, at the position it came
-   * with.
+   * Streams that the reader has received notices of and that this front door does not know, at the
+   * position from which the reader resumed.
    */
   Position unknownStreams = Position.NONE;
 
@@ -73,7 +76,7 @@
   private final ArrayDeque<Chunk> inFlight = new ArrayDeque<>();
   private long inFlightBytes;
 
-  /** Pieces under way that are a group's, perhaps of one it has left. */
+  /** Number of chunks in flight that belong to a group, possibly one that the reader has left. */
   private int inFlightShared;
 
   private long offset;
@@ -97,7 +100,11 @@
     effects.accept(new Effect.Write(id, chunk.bytes));
   }
 
-  /** Its socket took so many bytes. @return whether it finished a piece of its group */
+  /**
+   * Records bytes that the reader's socket has taken.
+   *
+   * @return whether the reader finished a chunk of its group
+   */
   boolean onTaken(long written) {
     long bytes = Math.min(written, inFlightBytes);
     progress.recordTaken(bytes);
@@ -117,14 +124,14 @@
   }
 
   /**
-   * Whether it could be in a group: nothing of an earlier one is under way, which would count for
-   * this one.
+   * Returns whether the reader can join a group. Chunks in flight of an earlier group would be
+   * counted for the new one.
    */
   boolean canJoinGroup() {
     return inFlightShared == 0;
   }
 
-  /** Bytes that are under way to it. */
+  /** Returns the bytes in flight to the reader. */
   long inFlightBytes() {
     return inFlightBytes;
   }
--- a/notices/src/main/java/willowdoor/notices/ReaderProgress.java
+++ b/notices/src/main/java/willowdoor/notices/ReaderProgress.java
@@ -3,8 +3,8 @@
 import java.util.Arrays;
 
 /**
- * How one reader keeps pace with its group. Slow is told relative to the group, with hysteresis, so
- * a burst, by which all lag, counts against nobody.
+ * Tracks how a reader keeps up with its group. Slowness is relative to the group and has
+ * hysteresis, so a burst that makes all readers lag marks none of them slow.
  */
 final class ReaderProgress {
   private static final long SLOW_HOLD_MS = 500;
@@ -12,12 +12,14 @@
   private static final long KEEP_UP_LAG_MS = 200;
   private static final long KEEP_UP_BYTES = 4_096;
 
-  /** Bytes a second under which a reader is not worth its socket. */
+  /** Rate in bytes per second below which a reader counts as stalled and is disconnected. */
   private static final double STALLED_RATE = 16;
 
   private static final double RATE_HALF_LIFE_MS = 1_000;
 
-  /** What a group's readers are like in the middle; of two, what the better one is like. */
+  /**
+   * Median lag and rate of a group's readers; of two readers, the lower lag and the higher rate.
+   */
   record Median(long lagMs, long lagBytes, double rate) {
     static Median of(long[] lagMs, long[] lagBytes, double[] rate) {
       Arrays.sort(lagMs);
@@ -46,9 +48,9 @@
   }
 
   /**
-   * One look at the reader.
+   * Samples the reader.
    *
-   * @param waiting whether anything was under way to it or unread since the look before
+   * @param waiting whether any bytes were in flight to the reader since the previous sample
    */
   void sample(boolean waiting, long lagMs, long nowMs) {
     double span = Math.max(1, nowMs - lastMs);
@@ -70,12 +72,12 @@
     lastMs = nowMs;
   }
 
-  /** Bytes a second while there was something to take. */
+  /** Returns the bytes per second taken while there was something to take. */
   double rate() {
     return rate;
   }
 
-  /** Whether it is to leave its group. */
+  /** Returns whether the reader must leave its group. */
   boolean isSlow(long lagMs, long lagBytes, Median middle, int windowBytes, long nowMs) {
     if (lagBytes >= windowBytes / 2 && middle.lagBytes() < windowBytes / 8) {
       return true;
@@ -85,17 +87,17 @@
     return behind && nowMs - behindSinceMs >= SLOW_HOLD_MS;
   }
 
-  /** Whether it has kept pace for so long, and had something to keep it with. */
+  /** Returns whether the reader has kept up for that long and took enough bytes to show it. */
   boolean keepsUp(long forMs, long nowMs) {
     return keepsUpSinceMs >= 0 && nowMs - keepsUpSinceMs >= forMs && keepUpBytes >= KEEP_UP_BYTES;
   }
 
-  /** For how long it has taken next to nothing of what is under way to it, ms. */
+  /** Returns for how many ms the reader has taken next to nothing of the bytes in flight to it. */
   long stalledForMs(long nowMs) {
     return stalledSinceMs < 0 ? 0 : nowMs - stalledSinceMs;
   }
 
-  /** A new group, a new judgement; the rate stays. */
+  /** Restarts the comparison for a new group; the measured rate stays. */
   void startNewGroup() {
     behindSinceMs = -1;
     keepsUpSinceMs = -1;
--- a/notices/src/main/java/willowdoor/notices/ReplicaHolder.java
+++ b/notices/src/main/java/willowdoor/notices/ReplicaHolder.java
@@ -1,10 +1,10 @@
 package willowdoor.notices;
 
 /**
- * The process that keeps a copy of a stream: one that was started anew under the same number keeps
- * nothing.
+ * The process that holds the replica of a stream. A process that was restarted under the same
+ * number holds nothing.
  *
- * @param member its number in the roster, -1 where nobody keeps one
+ * @param member number in the roster, or -1 if no process holds a replica
  */
 public record ReplicaHolder(int member, long generation) {
   static final ReplicaHolder NONE = new ReplicaHolder(-1, 0);
--- a/notices/src/main/java/willowdoor/notices/RetainedNotices.java
+++ b/notices/src/main/java/willowdoor/notices/RetainedNotices.java
@@ -7,8 +7,9 @@
 import java.util.Map;
 
 /**
- * What a front door keeps of one customer's notices: the streams, and one order over them in which
- * its readers get them. Bounded in bytes and time; the oldest go first.
+ * The retained notices of one customer at a front door: the streams, and one order over all streams
+ * in which the readers get the events. Bounded in bytes and time; the oldest events are evicted
+ * first.
  */
 final class RetainedNotices {
   final long customer;
@@ -20,12 +21,12 @@
   private long bytes;
 
   /**
-   * The least that readers which resumed here need of streams that are yet to be offered; null
-   * where none did.
+   * Minimum position of readers that resumed here, for streams that peers have not offered yet;
+   * null if no reader resumed.
    */
   private Position neededPosition;
 
-  /** Since when the customer has readers here, -1 while it has none. */
+  /** Time since which the customer has readers here, or -1 if it has none. */
   private long readersSinceMs = -1;
 
   RetainedNotices(long customer, Limits limits) {
@@ -42,9 +43,9 @@
   }
 
   /**
-   * A stream of which all up to {@code after} is not to be had here.
+   * Opens a stream of which notices up to {@code after} are not available here.
    *
-   * @return the one that had to go for it, or null
+   * @return the stream that was removed to make room, or null
    */
   Stream open(StreamId id, long after, boolean own, long nowMs) {
     Stream evicted = null;
@@ -61,7 +62,7 @@
     return evicted;
   }
 
-  /** Puts a notice in the order of this front door's readers. */
+  /** Appends a notice to the order of this front door's readers. */
   void append(Notice notice, long nowMs) {
     latestPosition = latestPosition.with(notice.stream(), notice.seq());
     add(
@@ -70,9 +71,9 @@
   }
 
   /**
-   * Puts a gap there.
+   * Appends a gap to the order of this front door's readers.
    *
-   * @param to its last count, or {@link Entry#OPEN_ENDED}
+   * @param to last count of the gap, or {@link Entry#OPEN_ENDED}
    */
   void gap(Stream stream, long to, long nowMs) {
     long from = stream.last() + 1;
@@ -97,7 +98,7 @@
     }
   }
 
-  /** Lets go of the oldest event, where there is one. */
+  /** Evicts the oldest event, if there is one. */
   void evictOldest() {
     if (events.isEmpty()) {
       return;
@@ -110,7 +111,8 @@
     for (int i = 0;
         i < evictedPosition.size() && evictedPosition.size() > 2 * Position.MAX_STREAMS;
         i++) {
-      // Of a stream that is forgotten; whoever still reads it is a minute behind at least.
+      // Removes a stream that is no longer known here. A reader that still needs the entry is at
+      // least a minute behind.
       evictedPosition =
           streams.containsKey(evictedPosition.id(i))
               ? evictedPosition
@@ -122,7 +124,11 @@
     }
   }
 
-  /** Forgets the streams on which nothing has come for long. @return them */
+  /**
+   * Removes the streams that have been idle for long.
+   *
+   * @return the removed streams
+   */
   List<Stream> forgetIdle(long nowMs) {
     List<Stream> idle = new ArrayList<>();
     for (Stream stream : streams.values()) {
@@ -140,12 +146,12 @@
     latestPosition = latestPosition.without(stream.id);
   }
 
-  /** The number of the oldest event held. */
+  /** Returns the number of the oldest retained event. */
   long first() {
     return events.first();
   }
 
-  /** The number that the next event gets. */
+  /** Returns the number that the next event gets. */
   long end() {
     return events.end();
   }
@@ -154,12 +160,12 @@
     return events.get(number);
   }
 
-  /** How far a reader is that has had all. */
+  /** Returns the position of a reader that has received all events. */
   Position latestPosition() {
     return latestPosition;
   }
 
-  /** How far a reader is that has had all that is not held any more. */
+  /** Returns the position of a reader that has received all evicted events. */
   Position evictedPosition() {
     return evictedPosition;
   }
@@ -169,9 +175,9 @@
   }
 
   /**
-   * A reader has come.
+   * Records that a reader has connected.
    *
-   * @param resume from where, null where it begins now
+   * @param resume the position to resume from, or null if the reader begins now
    */
   void readerArrived(Position resume, long nowMs) {
     if (readersSinceMs < 0) {
@@ -182,7 +188,7 @@
     }
   }
 
-  /** The last reader has gone. */
+  /** Records that the last reader has disconnected. */
   void lastReaderLeft() {
     readersSinceMs = -1;
     neededPosition = null;
@@ -192,7 +198,7 @@
     return readersSinceMs >= 0;
   }
 
-  /** What to ask for of a stream that is offered for the first time. */
+  /** Returns the request for a stream that is offered for the first time. */
   PeerMessage.Want wantFor(StreamId id, boolean asReplicaHolder, long nowMs) {
     if (asReplicaHolder) {
       return new PeerMessage.Want(id, 0, PeerMessage.Want.UNSPECIFIED);
--- a/notices/src/main/java/willowdoor/notices/Ring.java
+++ b/notices/src/main/java/willowdoor/notices/Ring.java
@@ -1,6 +1,8 @@
 package willowdoor.notices;
 
-/** A queue whose items keep the number they were added under, so they can be reached by it. */
+/**
+ * A queue whose items keep the number under which they were added and can be read by that number.
+ */
 final class Ring<T> {
   private Object[] items = new Object[8];
   private long first;
@@ -11,12 +13,12 @@
     this.end = first;
   }
 
-  /** The number of the oldest item, or that of the next to come where there is none. */
+  /** Returns the number of the oldest item, or of the next item if the queue is empty. */
   long first() {
     return first;
   }
 
-  /** The number that the next item gets. */
+  /** Returns the number that the next item gets. */
   long end() {
     return end;
   }
@@ -51,7 +53,7 @@
     return item;
   }
 
-  /** Drops all; the next item gets this number. */
+  /** Removes all items; the next item gets this number. */
   void restart(long number) {
     items = new Object[8];
     first = number;
--- a/notices/src/main/java/willowdoor/notices/ServerSentEvents.java
+++ b/notices/src/main/java/willowdoor/notices/ServerSentEvents.java
@@ -2,7 +2,7 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** A reader's events as bytes of {@code text/event-stream} (WHATWG, server-sent events). */
+/** Encodes a reader's events as {@code text/event-stream} (WHATWG, server-sent events). */
 class ServerSentEvents {
   byte[] notice(Notice notice, Position after) {
     String body = new String(notice.body(), StandardCharsets.UTF_8);
@@ -10,7 +10,9 @@
   }
 
   /**
-   * @param to the last count that is lacking, or {@link Entry#OPEN_ENDED} where nobody knows
+   * Encodes a gap.
+   *
+   * @param to the last missing count, or {@link Entry#OPEN_ENDED} if the end is unknown
    */
   byte[] gap(StreamId stream, long from, long to, Position after) {
     return event(
@@ -26,8 +28,8 @@
   }
 
   /**
-   * The first event: what to say as {@code Last-Event-ID} when the answer ends before another
-   * comes.
+   * Encodes the first event. Its id is the {@code Last-Event-ID} for a reader whose response ends
+   * before another event comes.
    */
   byte[] open(long key, Position position) {
     return event(
@@ -51,8 +53,8 @@
       text.append("event: ").append(type).append('\n');
     }
     text.append("id: ").append(id).append('\n');
-    // A line break of any kind ends a field, so each line is a field of its own; readers join them
-    // by \n.
+    // Any kind of line break ends a field, so each line gets its own data field. Readers join the
+    // lines with \n.
     int from = 0;
     for (int i = 0; i <= data.length(); i++) {
       char c = i < data.length() ? data.charAt(i) : '\n';
--- a/notices/src/main/java/willowdoor/notices/SlowReaderPlacement.java
+++ b/notices/src/main/java/willowdoor/notices/SlowReaderPlacement.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * Which member slow readers go to: 256 places dealt out by rendezvous hashing with bounded load
- * (each place to the member with the highest score for it that has fewer than 1.25 times its part),
- * so all members with the same view name the same one, and a view without one member leaves most
- * places where they were.
+ * Chooses the member to which slow readers are moved. 256 slots are assigned by rendezvous hashing
+ * with bounded load: each slot goes to the member with the highest score for the slot that has
+ * fewer than 1.25 times its share. All members with the same view choose the same member, and a
+ * view without one member leaves most slots where they were.
  */
 final class SlowReaderPlacement {
   static final int SLOT_COUNT = 256;
@@ -34,7 +34,7 @@
     }
   }
 
-  /** The member that a customer's readers of that pace go to, -1 where there is none. */
+  /** Returns the member for a customer's readers of that pace class, or -1 if there is none. */
   int memberFor(long customer, PaceClass pace) {
     return owner[(int) (hash(hash(customer) + pace.ordinal()) & (SLOT_COUNT - 1))];
   }
@@ -43,14 +43,14 @@
     return owner[slot];
   }
 
-  /** A member's score for a thing; the highest has it. */
+  /** Returns a member's score for an item; the member with the highest score gets the item. */
   static long score(int member, long item) {
     return hash(hash(item) ^ (member + 1));
   }
 
   /**
-   * The finisher of MurmurHash3 (Austin Appleby, public domain), after a step that takes 0
-   * elsewhere.
+   * The finalizer of MurmurHash3 (Austin Appleby, public domain), after an addition that maps 0 to
+   * a nonzero value.
    */
   static long hash(long value) {
     long mixed = value + 0x9E3779B97F4A7C15L;
--- a/notices/src/main/java/willowdoor/notices/Stream.java
+++ b/notices/src/main/java/willowdoor/notices/Stream.java
@@ -1,33 +1,37 @@
 package willowdoor.notices;
 
 /**
- * One stream as one front door holds it: the last stretch of its notices, and who else keeps it.
+ * One stream as one front door holds it: its most recent notices, and the process that holds the
+ * replica.
  */
 final class Stream {
   final long customer;
   final StreamId id;
 
-  /** What came up to this count was never here. */
+  /** Notices up to this count were never here. */
   final long base;
 
-  /** Whether this front door takes its notices. */
+  /** Whether this front door accepts the stream's notices from publishers. */
   final boolean own;
 
-  /** Who keeps a copy. */
+  /** Process that holds the replica. */
   ReplicaHolder replicaHolder = ReplicaHolder.NONE;
 
-  /** Of an own stream: the last that a second front door holds. */
+  /** Of an own stream: count of the last notice that a second front door holds. */
   long committed;
 
   long lastAppendMs;
 
-  /** Since when its front door is gone, -1 while it is there. */
+  /** Time since which the stream's front door is gone, or -1 while it is alive. */
   long originLostMs = -1;
 
-  /** Whether its keeper has said that this was the last. */
+  /** Whether the replica holder has reported that the stream's last notice is held here. */
   boolean endConfirmed;
 
-  /** Whether it is known here how it ended, or the readers were told that it is not. */
+  /**
+   * Whether the end of the stream is known here, or the readers got an open-ended gap because it is
+   * not.
+   */
   boolean endKnown;
 
   private final Ring<Held> held;
@@ -45,7 +49,7 @@
     this.held = new Ring<>(base + 1);
   }
 
-  /** The count of the oldest notice held, or of the next to come where none is. */
+  /** Returns the count of the oldest notice held, or of the next notice if none is held. */
   long first() {
     return held.first();
   }
@@ -66,7 +70,7 @@
     lastAppendMs = nowMs;
   }
 
-  /** Lets go of a notice where it is the oldest held. */
+  /** Removes a notice if it is the oldest one held. */
   void drop(long seq) {
     if (!held.isEmpty() && held.first() == seq) {
       droppedMs = held.removeFirst().atMs();
@@ -74,25 +78,31 @@
   }
 
   /**
-   * When the last notice came that is held no more: the least number where all are, the greatest
-   * where unknown.
+   * Returns the time at which the last removed notice was appended: {@code Long.MIN_VALUE} if none
+   * was removed, {@code Long.MAX_VALUE} if unknown.
    */
   long droppedMs() {
     return droppedMs;
   }
 
-  /** All up to this count is lost to this front door. */
+  /** Skips all notices up to this count, which are lost to this front door. */
   void skipTo(long count) {
     held.restart(count + 1);
     droppedMs = Long.MAX_VALUE;
   }
 
-  /** What others may be passed: of an own stream only what a second front door holds. */
+  /**
+   * Returns the count up to which a peer may get notices. Peers other than the replica holder get
+   * only those notices of an own stream that a second front door holds.
+   */
   long sendable(int peer) {
     return own && peer != replicaHolder.member() ? committed : last();
   }
 
-  /** The count before the first notice taken at that time or later, as far as they are held. */
+  /**
+   * Returns the count before the first notice appended at that time or later, among the notices
+   * held.
+   */
   long lastBefore(long sinceMs) {
     long seq = held.end();
     while (seq > held.first() && held.get(seq - 1).atMs() >= sinceMs) {
--- a/notices/src/main/java/willowdoor/notices/StreamId.java
+++ b/notices/src/main/java/willowdoor/notices/StreamId.java
@@ -1,18 +1,19 @@
 package willowdoor.notices;
 
 /**
- * One stream of notices: all that one front door took for one customer, without a hole. A front
- * door numbers its streams over all customers, so this names the customer too.
+ * Identifies a stream of notices: all notices that one front door accepted for one customer,
+ * without a gap. A front door numbers its streams over all customers, so the id determines the
+ * customer too.
  *
  * @param member the front door's number in the roster, 0 to 9,999
- * @param generation the front door's generation: a process started anew under the same number has a
+ * @param generation the front door's generation: a process restarted under the same number has a
  *     higher one
- * @param serial the stream's number there, from 1
+ * @param serial number of the stream at the front door, from 1
  */
 public record StreamId(int member, long generation, int serial) implements Comparable<StreamId> {
   public static final int MAX_MEMBER = 9_999;
 
-  /** As far as a number is exact in every reader's language. */
+  /** Largest integer that is exact in the number types of all clients' languages. */
   public static final long MAX_NUMBER = (1L << 53) - 1;
 
   public StreamId {
@@ -22,7 +23,7 @@
         || generation > MAX_NUMBER
         || serial < 1) {
       throw new IllegalArgumentException(
-          "not a stream: " + member + "." + generation + "." + serial);
+          "invalid stream id: " + member + "." + generation + "." + serial);
     }
   }
 
@@ -34,7 +35,7 @@
     return byMember != 0 ? byMember : byGeneration != 0 ? byGeneration : bySerial;
   }
 
-  /** As in an event's id: numbers to the base 36. */
+  /** Returns the id as in an event id: numbers in base 36. */
   String text() {
     return Integer.toString(member, 36)
         + '.'
--- a/notices/src/main/java/willowdoor/notices/StreamRelay.java
+++ b/notices/src/main/java/willowdoor/notices/StreamRelay.java
@@ -9,13 +9,13 @@
 import java.util.function.Consumer;
 
 /**
- * The streams that a front door holds: its own, and what others pass it; and to whom it passes them
- * on.
+ * Holds the streams of a front door, its own and those relayed by peers, and decides to which peers
+ * a stream is relayed.
  */
 final class StreamRelay {
   private static final int FETCH_BYTES = 64 * 1024;
 
-  /** Told when events have come into a customer's order, or a fetch was answered. */
+  /** Notified when events were added to a customer's order or a fetch was answered. */
   interface Listener {
     void appended(long customer, long bytes, long nowMs);
 
@@ -45,7 +45,7 @@
     this.listener = listener;
   }
 
-  /** What is kept of a customer; null where there is no room for another. */
+  /** Returns the retained notices of a customer, or null if no further customer can be added. */
   RetainedNotices retained(long customer) {
     RetainedNotices retained = byCustomer.get(customer);
     if (retained == null && byCustomer.size() < Limits.MAX_CUSTOMERS) {
@@ -58,7 +58,7 @@
   /**
    * Opens a stream here.
    *
-   * @param after what came up to this count is not to be had here
+   * @param after notices up to this count are not available here
    */
   Stream open(RetainedNotices retained, StreamId id, long after, boolean own, long nowMs) {
     forget(retained.open(id, after, own, nowMs));
@@ -99,7 +99,7 @@
     }
   }
 
-  /** Interest in these customers has changed. */
+  /** Handles a change of the interest in these customers. */
   void interestChanged(Set<Long> customers, long nowMs) {
     for (long customer : customers) {
       RetainedNotices retained = byCustomer.get(customer);
@@ -109,10 +109,10 @@
     }
   }
 
-  /** Sees to it that a stream goes to those it concerns, and to nobody else. */
+  /** Offers a stream to each peer that needs the stream, and stops relaying it to the others. */
   void updatePeers(Stream stream, long nowMs) {
-    // Where its keeper is gone too, all that hold it pass it on: whoever comes anew may know
-    // nothing of it.
+    // If the replica holder is gone too, every front door that holds the stream relays it: a
+    // member that joins later may not have the stream.
     boolean replacesOrigin =
         stream.originLostMs >= 0
             && (stream.replicaHolder.equals(self) || !stream.replicaHolder.isAlive(view));
@@ -134,9 +134,9 @@
   }
 
   /**
-   * Names who keeps a copy: stays with the one that does as long as it is there.
+   * Chooses the replica holder of a stream. The current holder stays while its process is alive.
    *
-   * @return whether it is another
+   * @return whether the holder changed
    */
   private boolean chooseReplicaHolder(Stream stream) {
     if (stream.replicaHolder.isAlive(view)) {
@@ -189,7 +189,7 @@
     }
   }
 
-  /** An own stream has more, for its keeper or for all. */
+  /** Handles further notices of an own stream that its replica holder or all peers can get. */
   void moreAvailable(Stream stream, long nowMs) {
     for (PeerLink link : links.values()) {
       link.more(stream.id, nowMs);
@@ -197,9 +197,9 @@
   }
 
   /**
-   * Asks who may have what a reader lacks.
+   * Requests a range that a reader lacks from a front door that may hold it.
    *
-   * @return false where nobody is there; what is lost is to be asked again
+   * @return false if no such front door is alive. A request that is lost must be repeated
    */
   boolean fetch(IndividualDelivery.MissingRange range, long nowMs) {
     Stream stream = streams.get(range.stream());
@@ -243,7 +243,8 @@
   }
 
   /**
-   * Peers that leave notices unconfirmed for over a second: the link to them is slow, or they are.
+   * Returns the peers that have left notices unconfirmed for over a second, because the link or the
+   * peer is slow.
    */
   List<Integer> slowLinks(long nowMs) {
     List<Integer> slow = new ArrayList<>();
@@ -256,7 +257,10 @@
     return slow;
   }
 
-  /** What takes place with time alone. */
+  /**
+   * Runs the periodic work: eviction, the end of streams whose origin is gone, and the closing of
+   * idle links.
+   */
   void tick(long nowMs) {
     long bytes = 0;
     for (RetainedNotices retained : new ArrayList<>(byCustomer.values())) {
@@ -302,7 +306,7 @@
         largest = largest == null || retained.bytes() > largest.bytes() ? retained : largest;
       }
       long before = largest.bytes();
-      // A sixteenth at once, so this does not look at all customers for each notice.
+      // Evict a sixteenth at once, so that the customers are not scanned for each notice.
       while (largest.bytes() > before - before / 16 - 1 && largest.bytes() > 0) {
         largest.evictOldest();
       }
