--- a/notices/src/test/java/willowdoor/notices/AssignmentModelTest.java
+++ b/notices/src/test/java/willowdoor/notices/AssignmentModelTest.java
@@ -15,9 +15,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Every interleaving, to a stated depth, of what three members and a reader can do while the view
- * changes, over the real {@link Assignment}: views arrive at each member when they will, one of
- * them cut off; orders are decided, told later, followed late or twice; time passes.
+ * Model check of the real {@link Assignment}: runs every interleaving, to a stated depth, of the
+ * actions of three members and a reader while the view changes. Each member gets a new view at any
+ * time, and one member may be cut off. Orders are decided, sent later, followed late or twice; time
+ * passes.
  */
 class AssignmentModelTest {
   private static final int DEPTH = 9;
@@ -25,8 +26,8 @@
   private static final FleetView ALL = view(1, false, 0, 1, 2);
 
   /**
-   * What each member sees later: 2 is cut off; or 1 and 2 are, and 0 goes on with others that play
-   * no part.
+   * Later view of each member: either member 2 is cut off, or members 1 and 2 are cut off while
+   * member 0 remains in the majority with members that are not modeled.
    */
   private static final FleetView[][] LATER = {
     {view(2, false, 0, 1), view(2, false, 0, 1), view(2, true, 2)},
@@ -35,7 +36,10 @@
 
   private static final long KEY = 99;
 
-  /** One whose slow readers go to 2, but to 1 where 0 and 1 are left. */
+  /**
+   * A customer whose slow readers are moved to member 2, but to member 1 if only members 0 and 1
+   * are left.
+   */
   private static final long CUSTOMER =
       LongStream.range(1, 1_000)
           .filter(
@@ -57,7 +61,7 @@
         Arrays.stream(members).mapToObj(i -> new FleetView.Member(i, 1, "d" + i)).toList());
   }
 
-  /** One state, reached by its actions from the start. */
+  /** One state, reached by a sequence of actions from the start. */
   private static final class World {
     final Assignment[] member = new Assignment[3];
     final FleetView[] later;
@@ -65,15 +69,18 @@
     final long[] changedMs = new long[3];
     long nowMs = LIMITS.settleMs();
 
-    /** Where the reader is; -1 while it is under way. */
+    /** Member to which the reader is connected, or -1 while it moves. */
     int at;
 
     long count;
     boolean guest;
     MoveOrder pending;
 
-    /** What it was told, newest last: it may follow any of them, also an old one again. */
-    final List<MoveOrder> told = new ArrayList<>();
+    /**
+     * Move orders that the reader has received, newest last. It may follow any of them, also an old
+     * one again.
+     */
+    final List<MoveOrder> received = new ArrayList<>();
 
     final List<Long> accepted = new ArrayList<>();
     String broken;
@@ -86,7 +93,11 @@
       }
     }
 
-    /** Does an action. @return whether it could be done */
+    /**
+     * Executes an action.
+     *
+     * @return whether the action was possible
+     */
     boolean act(int action) {
       if (action < 3) {
         if (view[action] != ALL) {
@@ -106,7 +117,7 @@
         case 5:
           return tell();
         case 6:
-          return follow(told.size() - 1);
+          return follow(received.size() - 1);
         case 7:
           return follow(0);
         default:
@@ -130,27 +141,27 @@
       MoveOrder order = pending;
       pending = null;
       if (member[at].tryIssue(order, nowMs)) {
-        check("tells", at, order);
-        told.add(order);
+        check("sends", at, order);
+        received.add(order);
         at = -1;
       }
       return true;
     }
 
     /**
-     * The reader goes where it was told; it may be late, or do so again though it is somewhere by
-     * now.
+     * The reader follows an order, possibly late, or again although it has connected elsewhere
+     * since.
      */
     private boolean follow(int which) {
-      if (which < 0 || which >= told.size() || told.size() > 3) {
+      if (which < 0 || which >= received.size() || received.size() > 3) {
         return false;
       }
-      MoveOrder order = told.get(which);
+      MoveOrder order = received.get(which);
       boolean taken = member[order.target()].accept(order, nowMs);
       if (taken) {
-        check("takes in", order.target(), order);
+        check("accepts", order.target(), order);
         if (accepted.contains(order.target() * 100L + order.count())) {
-          broken = "member " + order.target() + " takes in order " + order.count() + " twice";
+          broken = "member " + order.target() + " accepts order " + order.count() + " twice";
         }
         accepted.add(order.target() * 100L + order.count());
       }
@@ -161,7 +172,7 @@
       return true;
     }
 
-    /** Without an order, as after a connection that broke. */
+    /** The reader connects without an order, as after a broken connection. */
     private boolean come(int to) {
       at = to;
       count = 0;
@@ -182,16 +193,16 @@
     }
 
     String state() {
-      StringBuilder told = new StringBuilder();
-      this.told.forEach(
-          order -> told.append(order.epoch()).append(order.count()).append(order.target()));
+      StringBuilder received = new StringBuilder();
+      this.received.forEach(
+          order -> received.append(order.epoch()).append(order.count()).append(order.target()));
       return nowMs
           + ","
           + at
           + count
           + guest
           + (pending == null ? "" : pending.epoch())
-          + told
+          + received
           + accepted
           + Arrays.stream(view).map(FleetView::digest).toList()
           + Arrays.toString(changedMs);
--- a/notices/src/test/java/willowdoor/notices/NoticesEncodingTest.java
+++ b/notices/src/test/java/willowdoor/notices/NoticesEncodingTest.java
@@ -16,7 +16,10 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
-/** What is said: ids, calls, events, messages between front doors, and who has which readers. */
+/**
+ * Tests the encodings (event ids, requests, events, messages between front doors), the exchange of
+ * interest and the assignment of slots.
+ */
 class NoticesEncodingTest {
   private static final StreamId ONE = new StreamId(3, 1_700_000, 12);
   private static final StreamId TWO = new StreamId(40, 7, 1);
@@ -117,15 +120,15 @@
     one.set(7, false);
     Interest.Delta removal = one.changesSince(250);
     one.set(8, false);
-    assertTrue(other.apply(one.changesSince(251)).isEmpty(), "does not join on");
+    assertTrue(other.apply(one.changesSince(251)).isEmpty(), "does not follow the known version");
     assertEquals(List.of(7L), List.copyOf(other.apply(removal)));
-    assertTrue(other.apply(removal).isEmpty(), "twice");
-    assertTrue(other.apply(before).isEmpty(), "late");
+    assertTrue(other.apply(removal).isEmpty(), "duplicate");
+    assertTrue(other.apply(before).isEmpty(), "outdated");
     other.apply(new Interest(1, 2).changesSince(0));
-    Interest anew = new Interest(1, 2);
-    anew.set(9, true);
-    assertTrue(other.apply(anew.changesSince(0)).contains(9L));
-    assertFalse(other.hasReaders(1, 250), "what an older process said is void");
+    Interest restarted = new Interest(1, 2);
+    restarted.set(9, true);
+    assertTrue(other.apply(restarted.changesSince(0)).contains(9L));
+    assertFalse(other.hasReaders(1, 250), "interest of an older process is void");
   }
 
   @Test
@@ -141,7 +144,7 @@
       moved += all.memberFor(place) != 9 && all.memberFor(place) != fewer.memberFor(place) ? 1 : 0;
     }
     assertTrue(IntStream.of(load).max().orElse(0) <= 32 && IntStream.of(load).min().orElse(0) > 0);
-    assertTrue(moved < 64, "moved without need " + moved);
+    assertTrue(moved < 64, "slots moved unnecessarily: " + moved);
   }
 
   private static final List<PeerMessage> MESSAGES =
@@ -165,18 +168,18 @@
       assertArrayEquals(frame, PeerCodec.encode(PeerCodec.decode(frame)));
       for (int n = 0; n < 5_000; n++) {
         int cut = n % 3 == 0 ? random.nextInt(frame.length) : 0;
-        byte[] spoilt = Arrays.copyOf(frame, frame.length - cut);
-        for (int i = 0; i < 1 + n % 4 && spoilt.length > 0; i++) {
-          spoilt[random.nextInt(spoilt.length)] = (byte) random.nextInt();
+        byte[] corrupted = Arrays.copyOf(frame, frame.length - cut);
+        for (int i = 0; i < 1 + n % 4 && corrupted.length > 0; i++) {
+          corrupted[random.nextInt(corrupted.length)] = (byte) random.nextInt();
         }
         try {
-          PeerCodec.decode(spoilt);
+          PeerCodec.decode(corrupted);
         } catch (IOException e) {
           refused++;
         }
       }
     }
-    assertTrue(refused > 20_000, "refused " + refused);
+    assertTrue(refused > 20_000, "frames refused: " + refused);
     PeerCodec.Hello hello = new PeerCodec.Hello("fleet", 3, 9);
     assertEquals(hello, PeerCodec.hello(PeerCodec.encode(hello)));
     Interest.Delta delta = new Interest.Delta(1, 2, 3, 9, List.of(4L), List.of(5L, 6L));
--- a/notices/src/test/java/willowdoor/notices/NoticesFigures.java
+++ b/notices/src/test/java/willowdoor/notices/NoticesFigures.java
@@ -3,12 +3,16 @@
 import java.util.List;
 
 /**
- * Measures delivery to healthy readers with and without slow ones among them, and prints a table.
+ * Measures delivery to healthy readers with and without slow readers among them, and prints a
+ * table.
  */
 final class NoticesFigures {
   private NoticesFigures() {}
 
-  /** One day: every fifth notice of a customer comes at another door, and each 4 s one bursts. */
+  /**
+   * Simulates the traffic: each notice is published at a random front door, and each customer has a
+   * burst every 4 s.
+   */
   static Sim play(
       int readers, int customers, double slowShare, boolean regroup, long forMs, long seed) {
     Sim sim = new Sim(5, Limits.standard().withRegroup(regroup), seed).start();
--- a/notices/src/test/java/willowdoor/notices/NoticesServiceTest.java
+++ b/notices/src/test/java/willowdoor/notices/NoticesServiceTest.java
@@ -8,7 +8,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Whole front doors, their readers and faults between them, on a hand-moved clock. */
+/** Runs whole front doors with readers and injected faults on a simulated clock. */
 class NoticesServiceTest {
   private static final long CUSTOMER = 7;
 
@@ -41,14 +41,14 @@
   void healthyReadersDoNotWaitForSlowOnes() {
     Sim calm = NoticesFigures.play(500, 2, 0, true, 30_000, 3);
     Sim regrouped = NoticesFigures.play(500, 2, 0.02, true, 30_000, 3);
-    Sim not = NoticesFigures.play(500, 2, 0.02, false, 30_000, 3);
+    Sim ungrouped = NoticesFigures.play(500, 2, 0.02, false, 30_000, 3);
     assertNoViolations(calm);
     assertNoViolations(regrouped);
-    assertEquals(List.of(), not.violations(r -> false));
+    assertEquals(List.of(), ungrouped.violations(r -> false));
     assertTrue(regrouped.quantile(0.99) <= 1.2 * calm.quantile(0.99));
     assertTrue(
-        not.quantile(0.99) > 5 * calm.quantile(0.99),
-        not.quantile(0.99) + " " + calm.quantile(0.99));
+        ungrouped.quantile(0.99) > 5 * calm.quantile(0.99),
+        ungrouped.quantile(0.99) + " " + calm.quantile(0.99));
     assertTrue(regrouped.readers.stream().anyMatch(r -> r.moves > 0));
   }
 
@@ -63,8 +63,8 @@
     publishFor(sim, 40_000, 20, 500);
     sim.run(45_000);
     assertNoViolations(sim);
-    assertTrue(hopeless.stream().allMatch(r -> r.connection > 22), "closed, and came again");
-    assertTrue(sim.quantile(1) < 100, "nobody waited for them: " + sim.quantile(1));
+    assertTrue(hopeless.stream().allMatch(r -> r.connection > 22), "closed and reconnected");
+    assertTrue(sim.quantile(1) < 100, "a healthy reader was delayed, ms: " + sim.quantile(1));
   }
 
   @Test
@@ -81,12 +81,15 @@
     publishFor(sim, 80_000, 50, 500);
     sim.run(25_000);
     assertEquals(
-        1, slow.stream().mapToInt(r -> r.door).distinct().count(), "all at one front door");
+        1,
+        slow.stream().mapToInt(r -> r.door).distinct().count(),
+        "all slow readers at one front door");
     assertTrue(slow.stream().mapToInt(r -> r.moves).sum() >= 4);
     slow.forEach(r -> r.bytesPerMs = 200);
     sim.run(60_000);
     assertTrue(
-        slow.stream().mapToInt(r -> r.door).distinct().count() > 1, "back where they came first");
+        slow.stream().mapToInt(r -> r.door).distinct().count() > 1,
+        "back at their first front doors");
     assertEquals(List.of(), sim.violations(r -> true).stream().limit(5).toList());
   }
 
@@ -123,7 +126,7 @@
     assertEquals(
         0,
         sim.readers.stream().mapToInt(r -> r.moves).sum(),
-        "a burst and a slow link move nobody");
+        "a burst and a slow link move no reader");
     assertTrue(
         sim.services[3].slowLinks(sim.nowMs).size() > 0
             && sim.services[1].slowLinks(sim.nowMs).contains(3));
@@ -134,7 +137,8 @@
       sim.run(1);
     }
     assertTrue(
-        there.stream().filter(r -> r.moves > 0).count() > there.size() / 4, "moved away from it");
+        there.stream().filter(r -> r.moves > 0).count() > there.size() / 4,
+        "readers moved away from the slow front door");
     assertEquals(
         0, sim.readers.stream().filter(r -> !there.contains(r)).mapToInt(r -> r.moves).sum());
     there.forEach(r -> r.bytesPerMs = 200);
@@ -163,7 +167,10 @@
     assertNoViolations(sim);
   }
 
-  /** The door dies n ms after the POST came: what was answered 200 is got, what was not may be. */
+  /**
+   * The front door crashes n ms after the POST: notices that were answered with 200 must be
+   * delivered, all others may be.
+   */
   @Test
   void keepsAcknowledgedNoticesWhenTheFrontDoorCrashesAtOnce() {
     int acknowledged = 0;
@@ -186,7 +193,8 @@
       assertNoViolations(sim);
     }
     assertTrue(
-        acknowledged > 0 && acknowledged < 80, "some died before, some after: " + acknowledged);
+        acknowledged > 0 && acknowledged < 80,
+        "some crashes before the answer, some after: " + acknowledged);
   }
 
   @Test
@@ -198,7 +206,8 @@
     sim.run(200);
     sim.publish(taker, CUSTOMER, 100);
     sim.run(500);
-    // The reader's own door is the keeper, as it has readers; another one comes to a third door.
+    // The first reader's front door holds the replica, as it has readers. Another reader connects
+    // to a third front door.
     SimReader other = null;
     while (other == null || other.door == at || other.door == taker) {
       other = sim.reader(CUSTOMER, 200);
@@ -224,11 +233,14 @@
     for (int seed = 1; seed <= 30; seed++) {
       Sim sim = history(new Sim(5, Limits.standard().withRetained(200_000, 20_000), seed));
       assertEquals(List.of(), sim.violations(r -> true).stream().limit(3).toList(), "seed " + seed);
-      assertTrue(sim.accepted.size() > 500, "taken " + sim.accepted.size());
+      assertTrue(sim.accepted.size() > 500, "accepted notices: " + sim.accepted.size());
     }
   }
 
-  /** 60 readers, four of them slow for a while, and six faults in 30 s, then calm. */
+  /**
+   * Runs 60 readers, four of them slow for a while, with six faults within 30 s, followed by a time
+   * without faults.
+   */
   static Sim history(Sim sim) {
     sim.start().run(2_500);
     for (int i = 0; i < 60; i++) {
--- a/notices/src/test/java/willowdoor/notices/Sim.java
+++ b/notices/src/test/java/willowdoor/notices/Sim.java
@@ -13,8 +13,8 @@
 import java.util.WeakHashMap;
 
 /**
- * Front doors, what lies between them, publishers and readers, on a hand-moved clock with steps of
- * 1 ms.
+ * Simulates front doors, the links between them, publishers and readers, on a simulated clock with
+ * steps of 1 ms.
  */
 final class Sim extends SimRecords {
   private record Due(long atMs, long order, Runnable what) {}
@@ -31,7 +31,7 @@
   int refused;
   long mostHeld;
 
-  /** Another kind of assignment or rendering, for deliberate defects. */
+  /** Creates the assignment of a front door; replaced, like {@link #events}, to inject defects. */
   java.util.function.IntFunction<Assignment> assignments;
 
   ServerSentEvents events = new ServerSentEvents();
@@ -51,7 +51,7 @@
   private final Map<Long, SimReader> byConnection = new HashMap<>();
   private final Set<SimReader> active = new LinkedHashSet<>();
 
-  /** By identity: arrays have no other equality. */
+  /** Parsed events by array identity, since arrays have no other equality. */
   private final Map<byte[], List<SimReader.Seen>> parsed = new WeakHashMap<>();
 
   private final ArrayDeque<Runnable> effects = new ArrayDeque<>();
@@ -97,7 +97,10 @@
     due.add(new Due(ms, orders++, what));
   }
 
-  /** A process dies without a word; others see it after so many ms, each at its own moment. */
+  /**
+   * Crashes a process. Other front doors detect the crash after {@code seenMs}, each with its own
+   * random delay.
+   */
   void kill(int i, long seenMs) {
     services[i] = null;
     for (int j = 0; j < doors; j++) {
@@ -112,7 +115,7 @@
     views(seenMs);
   }
 
-  /** Tells each door who is there as it can know it: those that it is not cut off from. */
+  /** Gives each front door its view of the members: those from which it is not cut off. */
   void views(long inMs) {
     epoch++;
     for (int i = 0; i < doors; i++) {
@@ -169,7 +172,7 @@
         });
   }
 
-  /** Cuts or mends the way between two doors, both ways. */
+  /** Cuts or restores the network between two front doors, in both directions. */
   void cut(int a, int b, boolean off) {
     cut[a][b] = off;
     cut[b][a] = off;
@@ -259,7 +262,7 @@
     at(nowMs + forMs, () -> come(reader));
   }
 
-  /** A reader comes: to where it was told to, or to any door. */
+  /** Connects a reader: to the target of its move order, or else to a random front door. */
   void come(SimReader reader) {
     MoveOrder order = reader.order;
     reader.order = null;
@@ -269,10 +272,10 @@
       at(nowMs + 20, () -> come(reader));
       return;
     }
-    MoveOrder told = order != null && to == order.target() ? order : null;
+    MoveOrder followed = order != null && to == order.target() ? order : null;
     reader.connected(to, ++connections);
     byConnection.put(reader.connection, reader);
-    NoticesApi.Read read = new NoticesApi.Read(reader.customer, reader.lastId, told);
+    NoticesApi.Read read = new NoticesApi.Read(reader.customer, reader.lastId, followed);
     String refusal = services[to].read(reader.connection, read, nowMs);
     if (refusal != null) {
       throw new IllegalStateException(refusal);
@@ -287,7 +290,7 @@
     return reader;
   }
 
-  /** A POST to a door; the notice tells when. */
+  /** Posts a notice to a front door. Its text begins with the time of publication. */
   long publish(int to, long customer, int bytes) {
     long call = ++calls;
     begun.put(call, nowMs);
--- a/notices/src/test/java/willowdoor/notices/SimReader.java
+++ b/notices/src/test/java/willowdoor/notices/SimReader.java
@@ -9,11 +9,11 @@
 import java.util.Map;
 
 /**
- * A customer's system that reads: takes bytes at its rate, follows moves, comes back, and checks
- * what it gets.
+ * A simulated reader: takes bytes at its rate, follows move orders, reconnects, and checks the
+ * events that it receives.
  */
 final class SimReader {
-  /** An event as a reader sees it; of those that many share one is made. */
+  /** An event as a reader receives it. An event that many readers share is parsed once. */
   record Seen(
       String type,
       String id,
@@ -72,8 +72,8 @@
   }
 
   /**
-   * What a reader knows of one stream: it has, or was told that it lacks, all from the first to the
-   * last.
+   * The counts of one stream that a reader has received or that were reported as gaps: all from the
+   * first to the last.
    */
   static final class ReceivedRange {
     long first;
@@ -126,7 +126,11 @@
     return inFlight.isEmpty();
   }
 
-  /** One ms of reading. @return bytes taken; what is whole goes to {@code seen} */
+  /**
+   * Reads for 1 ms. Whole events are passed to {@code seen}.
+   *
+   * @return bytes taken
+   */
   long read(java.util.function.Consumer<byte[]> seen) {
     credit = Math.min(credit + bytesPerMs, Math.max(1, 2 * bytesPerMs));
     long taken = 0;
@@ -143,7 +147,9 @@
     return taken;
   }
 
-  /** Checks an event against all before: nothing missing that was not told. */
+  /**
+   * Checks an event against all earlier events: no notice may be missing without a reported gap.
+   */
   void see(Seen event, long nowMs) {
     lastId = event.id();
     openedMs = event.type().equals("open") && openedMs < 0 ? nowMs : openedMs;
--- a/notices/src/test/java/willowdoor/notices/SimRecords.java
+++ b/notices/src/test/java/willowdoor/notices/SimRecords.java
@@ -8,21 +8,21 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What a simulation has seen, and what is wrong with it. */
+/** The events of a simulation, and the violations found in them. */
 abstract class SimRecords {
-  /** A notice that was taken. */
+  /** A notice that was answered with 200. */
   record Accepted(long customer, String stream, long seq, long begunMs) {}
 
   final List<SimReader> readers = new ArrayList<>();
   final Map<Long, Accepted> accepted = new LinkedHashMap<>();
   long nowMs;
 
-  /** Deliveries to readers that are not slow, by ms. */
+  /** Number of deliveries to healthy readers, by delay in ms. */
   final long[] delivered = new long[200_001];
 
   final Set<SimReader> unhealthy = new LinkedHashSet<>();
 
-  /** Counts what healthy readers are still owed as if it came now. */
+  /** Counts each notice that healthy readers still lack as if it were delivered now. */
   void countOwed() {
     for (Accepted notice : accepted.values()) {
       for (SimReader reader : readers) {
@@ -54,9 +54,9 @@
   }
 
   /**
-   * All that is wrong with what readers got, of notices that were taken.
+   * Returns all violations in the deliveries of accepted notices.
    *
-   * @param complete who must have had all
+   * @param complete selects the readers that must have received all notices
    */
   List<String> violations(java.util.function.Predicate<SimReader> complete) {
     List<String> wrong = new ArrayList<>();
