--- a/notices/src/main/java/willowdoor/notices/Interest.java
+++ b/notices/src/main/java/willowdoor/notices/Interest.java
@@ -10,19 +10,19 @@
 import java.util.TreeSet;
 
 /**
- * Which member has readers of which customer. Each member says so of itself, in changes that carry
- * versions, so that they may go any way: with the members' exchange, twice, late. What does not
- * join on to what is known is asked for again from there.
+ * Tracks which member has readers of which customer. Each member publishes its own interest as
+ * versioned changes, so that changes may arrive late, twice or by any route of the members'
+ * exchange. Changes that do not follow the known version are requested again from that version.
  */
 public final class Interest {
-  /** In one message: about 1,000 bytes. */
+  /** Maximum number of changes in one message, about 1,000 bytes. */
   static final int MAX_CHANGES = 100;
 
   /**
-   * The changes of a member's interest after one version, up to another; from 0 they are all that
-   * holds.
+   * Changes of a member's interest after version {@code from}, up to version {@code to}. If {@code
+   * from} is 0, the changes are the complete interest.
    *
-   * @param generation of the member's process; what an older one said is void
+   * @param generation of the member's process; interest of an older generation is void
    */
   public record Delta(
       int member, long generation, long from, long to, List<Long> added, List<Long> removed) {
@@ -30,12 +30,12 @@
       added = List.copyOf(added);
       removed = List.copyOf(removed);
       if (from < 0 || to < from || added.size() + removed.size() > MAX_CHANGES) {
-        throw new IllegalArgumentException("not a change of interest");
+        throw new IllegalArgumentException("invalid interest delta");
       }
     }
   }
 
-  private static final class Known {
+  private static final class MemberInterest {
     private long generation;
     private long version;
     private final Set<Long> customers = new HashSet<>();
@@ -45,29 +45,32 @@
   private final long generation;
   private long version;
 
-  /** The own changes by their versions, the last of each customer only. */
+  /** This member's changes by version; only the last change of each customer. */
   private final TreeMap<Long, Long> changes = new TreeMap<>();
 
   private final Map<Long, Long> changedAt = new HashMap<>();
-  private final TreeSet<Long> own = new TreeSet<>();
+  private final TreeSet<Long> ownCustomers = new TreeSet<>();
 
-  /** Removals up to this version are forgotten: whoever is behind it begins anew. */
-  private long forgotten;
+  /**
+   * Removals up to this version are no longer kept: a member that knows an older version gets the
+   * complete interest.
+   */
+  private long forgottenVersion;
 
-  private final Map<Integer, Known> members = new HashMap<>();
+  private final Map<Integer, MemberInterest> members = new HashMap<>();
 
   Interest(int self, long generation) {
     this.self = self;
     this.generation = generation;
   }
 
-  /** Whether there is room for a customer that is not known yet. */
-  boolean room(long customer) {
-    return own.contains(customer) || own.size() < Limits.MAX_CUSTOMERS;
+  /** Returns whether the customer is known or another customer can be added. */
+  boolean hasRoomFor(long customer) {
+    return ownCustomers.contains(customer) || ownCustomers.size() < Limits.MAX_CUSTOMERS;
   }
 
   void set(long customer, boolean has) {
-    if (has ? !own.add(customer) : !own.remove(customer)) {
+    if (has ? !ownCustomers.add(customer) : !ownCustomers.remove(customer)) {
       return;
     }
     Long before = changedAt.put(customer, ++version);
@@ -82,10 +85,10 @@
 
   private void forgetOldestRemoval() {
     for (Map.Entry<Long, Long> change : changes.entrySet()) {
-      if (!own.contains(change.getValue())) {
+      if (!ownCustomers.contains(change.getValue())) {
         changedAt.remove(change.getValue());
         changes.remove(change.getKey());
-        forgotten = Math.max(forgotten, change.getKey());
+        forgottenVersion = Math.max(forgottenVersion, change.getKey());
         return;
       }
     }
@@ -96,16 +99,16 @@
   }
 
   /**
-   * What changed here after that version, as much as goes into one message; empty changes where
-   * nothing did.
+   * Returns the changes here after that version, as many as fit into one message; no changes if
+   * nothing changed.
    */
-  public Delta since(long known) {
-    long from = known < forgotten || known > version ? 0 : known;
+  public Delta changesSince(long knownVersion) {
+    long from = knownVersion < forgottenVersion || knownVersion > version ? 0 : knownVersion;
     List<Long> added = new ArrayList<>();
     List<Long> removed = new ArrayList<>();
     long to = from;
     for (Map.Entry<Long, Long> change : changes.tailMap(from, false).entrySet()) {
-      boolean has = own.contains(change.getValue());
+      boolean has = ownCustomers.contains(change.getValue());
       if (added.size() + removed.size() == MAX_CHANGES) {
         return new Delta(self, generation, from, to, added, removed);
       }
@@ -117,62 +120,63 @@
     return new Delta(self, generation, from, version, added, removed);
   }
 
-  /** What is known of a member's interest; 0 where nothing of that generation. */
-  public long known(int member, long memberGeneration) {
-    Known known = members.get(member);
-    return known == null || known.generation != memberGeneration ? 0 : known.version;
+  /** Returns the known version of a member's interest, or 0 if none of that generation is known. */
+  public long knownVersion(int member, long memberGeneration) {
+    MemberInterest state = members.get(member);
+    return state == null || state.generation != memberGeneration ? 0 : state.version;
   }
 
   /**
-   * Takes in what a member says.
+   * Applies the changes that a member published.
    *
-   * @return the customers that changed; empty where nothing did. Where the changes do not join on
-   *     to what is known, {@link #known} stays as it was, and the member is to be asked from there
+   * @return the customers whose interest changed; empty if none did. If the changes do not follow
+   *     the known version, {@link #knownVersion} stays as it was, and the changes after that
+   *     version must be requested from the member
    */
   public Set<Long> apply(Delta delta) {
     Set<Long> changed = new HashSet<>();
     if (delta.member() == self) {
       return changed;
     }
-    Known known = members.computeIfAbsent(delta.member(), m -> new Known());
-    if (delta.generation() < known.generation) {
+    MemberInterest state = members.computeIfAbsent(delta.member(), m -> new MemberInterest());
+    if (delta.generation() < state.generation) {
       return changed;
     }
-    if (delta.generation() > known.generation) {
-      changed.addAll(known.customers);
-      known.customers.clear();
-      known.generation = delta.generation();
-      known.version = 0;
+    if (delta.generation() > state.generation) {
+      changed.addAll(state.customers);
+      state.customers.clear();
+      state.generation = delta.generation();
+      state.version = 0;
     }
-    if (delta.to() <= known.version || delta.from() > known.version) {
+    if (delta.to() <= state.version || delta.from() > state.version) {
       return changed;
     }
     if (delta.from() == 0) {
-      changed.addAll(known.customers);
-      known.customers.clear();
+      changed.addAll(state.customers);
+      state.customers.clear();
     }
     for (long customer : delta.added()) {
-      if (known.customers.size() < Limits.MAX_CUSTOMERS && known.customers.add(customer)) {
+      if (state.customers.size() < Limits.MAX_CUSTOMERS && state.customers.add(customer)) {
         changed.add(customer);
       }
     }
     for (long customer : delta.removed()) {
-      if (known.customers.remove(customer)) {
+      if (state.customers.remove(customer)) {
         changed.add(customer);
       }
     }
-    known.version = delta.to();
+    state.version = delta.to();
     return changed;
   }
 
-  /** Forgets members that are in the view no more. */
-  void keep(FleetView view) {
+  /** Removes members that are not in the view. */
+  void retainMembers(FleetView view) {
     members.keySet().removeIf(member -> view.member(member) == null);
   }
 
-  /** Whether that member has readers of that customer. */
-  boolean has(int member, long customer) {
-    Known known = members.get(member);
-    return known != null && known.customers.contains(customer);
+  /** Returns whether that member has readers of that customer. */
+  boolean hasReaders(int member, long customer) {
+    MemberInterest state = members.get(member);
+    return state != null && state.customers.contains(customer);
   }
 }
--- a/notices/src/main/java/willowdoor/notices/PeerLink.java
+++ b/notices/src/main/java/willowdoor/notices/PeerLink.java
@@ -8,9 +8,9 @@
 import java.util.function.Consumer;
 
 /**
- * What goes to one other front door: for each stream how far it is. Nothing is queued: notices are
- * taken from what is kept when the peer has confirmed enough of what is under way. A link that
- * comes up anew offers all its streams again.
+ * Sends streams to one other front door and tracks how far each stream is sent. Nothing is queued:
+ * notices are read from the retained streams when the peer has confirmed enough of the notices in
+ * flight. After a reconnect, all streams are offered again.
  */
 final class PeerLink {
   private static final long IDLE_MS = 30_000;
@@ -21,12 +21,12 @@
   private static final class Cursor {
     private final Stream stream;
 
-    /** The next count to pass, -1 until the peer has said what it wants. */
+    /** Next count to send, or -1 until the peer has requested the stream. */
     private long next = -1;
 
-    private boolean endSaid;
+    private boolean endSent;
     private long offeredMs;
-    private final ArrayDeque<Sent> out = new ArrayDeque<>();
+    private final ArrayDeque<Sent> unacknowledged = new ArrayDeque<>();
 
     private Cursor(Stream stream) {
       this.stream = stream;
@@ -34,19 +34,19 @@
   }
 
   private final int peer;
-  private final Keeper self;
+  private final ReplicaHolder self;
   private final Limits limits;
   private final Consumer<Effect> effects;
   private final Map<StreamId, Cursor> cursors = new LinkedHashMap<>();
 
-  /** Streams that may have something to pass, in the order of their turns. */
+  /** Streams that may have notices to send, in round-robin order. */
   private final Set<Cursor> ready = new LinkedHashSet<>();
 
   private boolean up;
   private long unconfirmed;
   private long neededMs;
 
-  PeerLink(int peer, Keeper self, Limits limits, Consumer<Effect> effects, long nowMs) {
+  PeerLink(int peer, ReplicaHolder self, Limits limits, Consumer<Effect> effects, long nowMs) {
     this.peer = peer;
     this.self = self;
     this.limits = limits;
@@ -58,30 +58,30 @@
     return up;
   }
 
-  boolean passes(StreamId id) {
+  boolean hasStream(StreamId id) {
     return cursors.containsKey(id);
   }
 
-  /** Begins to pass a stream, or says anew who keeps it. */
+  /** Offers a stream to the peer, or announces a new replica holder. */
   void offer(Stream stream, long nowMs) {
     Cursor cursor = cursors.computeIfAbsent(stream.id, id -> new Cursor(stream));
     neededMs = nowMs;
     if (up) {
       cursor.offeredMs = nowMs;
-      send(new PeerMessage.Offer(stream.customer, stream.id, keeper(stream)));
+      send(new PeerMessage.Offer(stream.customer, stream.id, replicaHolder(stream)));
     }
   }
 
-  private Keeper keeper(Stream stream) {
-    return stream.own ? stream.keeper : self;
+  private ReplicaHolder replicaHolder(Stream stream) {
+    return stream.own ? stream.replicaHolder : self;
   }
 
   void drop(StreamId id) {
     Cursor cursor = cursors.remove(id);
     if (cursor != null) {
-      cursor.out.forEach(sent -> unconfirmed -= sent.cost());
+      cursor.unacknowledged.forEach(sent -> unconfirmed -= sent.cost());
       ready.remove(cursor);
-      pump(cursor.offeredMs);
+      sendReady(cursor.offeredMs);
     }
   }
 
@@ -93,15 +93,17 @@
     }
   }
 
-  /** What was under way is sent again from where the peer says it is. */
+  /**
+   * Resets all streams. Unconfirmed notices are sent again from the count that the peer requests.
+   */
   void down() {
     up = false;
     unconfirmed = 0;
     ready.clear();
     for (Cursor cursor : cursors.values()) {
       cursor.next = -1;
-      cursor.endSaid = false;
-      cursor.out.clear();
+      cursor.endSent = false;
+      cursor.unacknowledged.clear();
     }
   }
 
@@ -110,26 +112,27 @@
     if (cursor == null || !up) {
       return;
     }
-    cursor.out.forEach(sent -> unconfirmed -= sent.cost());
-    cursor.out.clear();
-    cursor.endSaid = false;
+    cursor.unacknowledged.forEach(sent -> unconfirmed -= sent.cost());
+    cursor.unacknowledged.clear();
+    cursor.endSent = false;
     Stream stream = cursor.stream;
-    if (want.ageMs() != PeerMessage.Want.NO_MATTER) {
-      // Its reader came at the earliest that long before the offer went out, whatever the way took.
+    if (want.ageMs() != PeerMessage.Want.UNSPECIFIED) {
+      // The peer's first reader connected at most {@code ageMs} before the offer was sent,
+      // whatever the network delay.
       long since = cursor.offeredMs - want.ageMs();
-      long after = Math.min(stream.before(since), stream.sendable(peer));
-      // Where what is kept no more may have come since then, the last of it is begun with, and told
-      // as a gap.
+      long after = Math.min(stream.lastBefore(since), stream.sendable(peer));
+      // If notices appended since then may have been removed, start at the last removed notice,
+      // which is then reported as a gap.
       boolean lacks = stream.droppedMs() >= since && after == stream.first() - 1;
       after = lacks ? after - 1 : after;
-      after = want.after() == PeerMessage.Want.NO_MATTER ? after : Math.min(after, want.after());
-      send(new PeerMessage.Begin(stream.customer, stream.id, after, keeper(stream)));
+      after = want.after() == PeerMessage.Want.UNSPECIFIED ? after : Math.min(after, want.after());
+      send(new PeerMessage.Begin(stream.customer, stream.id, after, replicaHolder(stream)));
       cursor.next = after + 1;
     } else {
       cursor.next = want.after() + 1;
     }
     ready.add(cursor);
-    pump(nowMs);
+    sendReady(nowMs);
   }
 
   void have(PeerMessage.Have have, long nowMs) {
@@ -137,22 +140,22 @@
     if (cursor == null) {
       return;
     }
-    while (!cursor.out.isEmpty() && cursor.out.peek().seq() <= have.upTo()) {
-      unconfirmed -= cursor.out.remove().cost();
+    while (!cursor.unacknowledged.isEmpty() && cursor.unacknowledged.peek().seq() <= have.upTo()) {
+      unconfirmed -= cursor.unacknowledged.remove().cost();
     }
-    pump(nowMs);
+    sendReady(nowMs);
   }
 
-  /** A stream has more to pass. */
+  /** Handles further notices of a stream. */
   void more(StreamId id, long nowMs) {
     Cursor cursor = cursors.get(id);
     if (cursor != null && cursor.next >= 0) {
       ready.add(cursor);
-      pump(nowMs);
+      sendReady(nowMs);
     }
   }
 
-  private void pump(long nowMs) {
+  private void sendReady(long nowMs) {
     while (up && unconfirmed < limits.linkBytes() && !ready.isEmpty()) {
       Cursor cursor = ready.iterator().next();
       ready.remove(cursor);
@@ -165,12 +168,12 @@
         Notice notice = stream.get(cursor.next++);
         send(new PeerMessage.Pass(notice));
         unconfirmed += notice.cost();
-        cursor.out.add(new Sent(notice.seq(), notice.cost(), nowMs));
+        cursor.unacknowledged.add(new Sent(notice.seq(), notice.cost(), nowMs));
         ready.add(cursor);
       } else if (!stream.own
-          && !cursor.endSaid
-          && (stream.keeper.equals(self) || stream.complete)) {
-        cursor.endSaid = true;
+          && !cursor.endSent
+          && (stream.replicaHolder.equals(self) || stream.endConfirmed)) {
+        cursor.endSent = true;
         send(new PeerMessage.End(stream.id, stream.last()));
       }
     }
@@ -180,24 +183,25 @@
     effects.accept(new Effect.Send(peer, message));
   }
 
-  /** Whether the peer has left something unconfirmed for over a second. */
+  /** Returns whether the peer has left a notice unconfirmed for over a second. */
   boolean slow(long nowMs) {
     for (Cursor cursor : cursors.values()) {
-      if (!cursor.out.isEmpty() && nowMs - cursor.out.peek().atMs() > SLOW_MS) {
+      if (!cursor.unacknowledged.isEmpty()
+          && nowMs - cursor.unacknowledged.peek().atMs() > SLOW_MS) {
         return true;
       }
     }
     return false;
   }
 
-  /** Whether nothing has needed it for a while. */
+  /** Returns whether the link has been unused for over 30 s. */
   boolean idle(long nowMs) {
     neededMs = cursors.isEmpty() ? neededMs : nowMs;
     return nowMs - neededMs > IDLE_MS;
   }
 
-  /** A fetch needs it. */
-  void needed(long nowMs) {
+  /** Records that a fetch uses the link. */
+  void markNeeded(long nowMs) {
     neededMs = nowMs;
   }
 
--- a/notices/src/main/java/willowdoor/notices/Peers.java
+++ b/notices/src/main/java/willowdoor/notices/Peers.java
@@ -19,27 +19,28 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * The links between front doors over TCP, on one event loop, which is also the thread of what
- * listens. Each front door opens a link to those it has something for; answers come back on the
- * same link. It owns its channels and closes all of them in {@link #close}.
+ * The links between front doors over TCP. All run on one event loop, on which the listener is
+ * called too. Each front door opens a link to each peer that it sends messages to; replies come
+ * back on the same link. This class owns its channels and closes all of them in {@link #close}.
  */
 public final class Peers implements AutoCloseable {
-  private static final int CONNECT_MS = 2_000;
-  private static final int QUIET_S = 5;
-  private static final int SILENT_S = 15;
+  private static final int CONNECT_TIMEOUT_MS = 2_000;
+  private static final int KEEP_ALIVE_S = 5;
+  private static final int READ_TIMEOUT_S = 15;
   private static final long RETRY_MS = 100;
   private static final long MAX_RETRY_MS = 5_000;
 
   /**
-   * What may wait to be written to a peer; one that leaves more is cut off, and begins anew from
-   * what it has.
+   * Bytes that may wait to be written to a peer. A peer that reads more slowly is disconnected and
+   * resumes from what it has.
    */
-  private static final WriteBufferWaterMark WAITING = new WriteBufferWaterMark(1 << 19, 1 << 20);
+  private static final WriteBufferWaterMark WRITE_BUFFER =
+      new WriteBufferWaterMark(1 << 19, 1 << 20);
 
-  /** Front doors and whoever else connects. */
+  /** Maximum number of incoming connections, from front doors or any other client. */
   private static final int MAX_INCOMING = 1_024;
 
-  /** Told what happens, on the event loop. */
+  /** Notified of link events, on the event loop. */
   public interface Listener {
     void linkUp(int peer);
 
@@ -48,12 +49,13 @@
     void message(int peer, PeerMessage message);
 
     /**
-     * Something that no front door would send; {@code peer} is -1 where it did not say who it is.
+     * Handles data that no front door sends; {@code peer} is -1 if the other side has not sent a
+     * valid hello.
      */
-    void spoilt(int peer, String why);
+    void invalidMessage(int peer, String why);
   }
 
-  /** One link that this front door opens, for as long as it is wanted. */
+  /** One link that this front door opens, and reopens while it is needed. */
   private final class Outgoing {
     private final int peer;
     private Channel channel;
@@ -73,9 +75,9 @@
       new Bootstrap()
           .group(loop)
           .channel(client)
-          .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+          .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
           .option(ChannelOption.TCP_NODELAY, true)
-          .option(ChannelOption.WRITE_BUFFER_WATER_MARK, WAITING)
+          .option(ChannelOption.WRITE_BUFFER_WATER_MARK, WRITE_BUFFER)
           .handler(initializer(this))
           .connect(address)
           .addListener(
@@ -87,21 +89,23 @@
     }
 
     /**
-     * Waits twice as long after each failure, and a part of it by chance, so that peers do not come
-     * all at once.
+     * Reconnects after an exponential delay with jitter, so that peers do not reconnect all at
+     * once.
      */
     private void ended() {
-      boolean was = up;
+      boolean wasUp = up;
       up = false;
       channel = null;
-      if (was) {
+      if (wasUp) {
         failures = 0;
         listener.linkDown(peer);
       }
       if (wanted && !closed) {
-        long most = Math.min(MAX_RETRY_MS, RETRY_MS << Math.min(failures++, 6));
+        long maxDelayMs = Math.min(MAX_RETRY_MS, RETRY_MS << Math.min(failures++, 6));
         loop.schedule(
-            this::connect, (long) (most * (0.5 + random.getAsDouble() / 2)), TimeUnit.MILLISECONDS);
+            this::connect,
+            (long) (maxDelayMs * (0.5 + random.getAsDouble() / 2)),
+            TimeUnit.MILLISECONDS);
       }
     }
   }
@@ -115,16 +119,16 @@
   private final Map<Integer, Outgoing> outgoing = new HashMap<>();
   private final Map<Integer, Channel> incoming = new HashMap<>();
   private Channel server;
-  private int open;
+  private int incomingCount;
   private boolean closed;
 
   /**
-   * Makes the links of a front door.
+   * Creates the links of a front door.
    *
-   * @param client the kind of channel to connect with
-   * @param self who this is
-   * @param roster where the others listen, by their numbers
-   * @param random from 0 to 1 at each call
+   * @param client channel class for outgoing connections
+   * @param self hello of this front door
+   * @param roster addresses of the other front doors by number
+   * @param random returns a number from 0 to 1 at each call
    */
   public Peers(
       EventLoop loop,
@@ -142,7 +146,10 @@
   }
 
   /**
-   * Listens for the others. @return the port; @throws InterruptedException while it waits for that
+   * Listens for connections of other front doors.
+   *
+   * @return the port
+   * @throws InterruptedException if interrupted while binding
    */
   public int listen(Class<? extends ServerChannel> kind, InetSocketAddress address)
       throws InterruptedException {
@@ -151,7 +158,7 @@
             .group(loop)
             .channel(kind)
             .childOption(ChannelOption.TCP_NODELAY, true)
-            .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WAITING)
+            .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WRITE_BUFFER)
             .childHandler(initializer(null))
             .bind(address)
             .sync()
@@ -166,7 +173,7 @@
         channel
             .pipeline()
             .addLast(
-                new IdleStateHandler(SILENT_S, QUIET_S, 0),
+                new IdleStateHandler(READ_TIMEOUT_S, KEEP_ALIVE_S, 0),
                 new LengthFieldBasedFrameDecoder(PeerCodec.MAX_FRAME, 0, 4, 0, 4),
                 new LengthFieldPrepender(4),
                 new PeerChannel(Peers.this, link == null ? -1 : link.peer));
@@ -174,7 +181,10 @@
     };
   }
 
-  /** Does what {@link Effect.Connect}, {@link Effect.Disconnect} and {@link Effect.Send} say. */
+  /**
+   * Executes {@link Effect.Connect}, {@link Effect.Disconnect} and {@link Effect.Send}; ignores all
+   * other effects.
+   */
   public void apply(Effect effect) {
     if (effect instanceof Effect.Connect connect) {
       outgoing.computeIfAbsent(connect.peer(), Outgoing::new).connect();
@@ -190,7 +200,7 @@
     } else if (effect instanceof Effect.Send send) {
       Outgoing link = outgoing.get(send.peer());
       Channel channel =
-          send.message() instanceof PeerMessage.Back
+          send.message() instanceof PeerMessage.Reply
               ? incoming.get(send.peer())
               : link != null && link.up ? link.channel : null;
       if (channel != null) {
@@ -215,60 +225,69 @@
     return listener;
   }
 
-  /** A channel has come up. @return whether there is room for it */
-  boolean opened(Channel channel, int dialled) {
-    Outgoing link = outgoing.get(dialled);
-    if (dialled >= 0) {
+  /**
+   * Handles a new channel.
+   *
+   * @return whether the channel is accepted
+   */
+  boolean opened(Channel channel, int dialledPeer) {
+    Outgoing link = outgoing.get(dialledPeer);
+    if (dialledPeer >= 0) {
       if (closed || link == null || link.channel != null) {
         return false;
       }
       link.channel = channel;
       return true;
     }
-    open++;
-    return !closed && open <= MAX_INCOMING;
+    incomingCount++;
+    return !closed && incomingCount <= MAX_INCOMING;
   }
 
-  /** The other side has said who it is. @return whether it may stay */
-  boolean greeted(Channel channel, int dialled, PeerCodec.Hello hello) {
+  /**
+   * Handles the hello of the other side.
+   *
+   * @return whether the connection is accepted
+   */
+  boolean helloReceived(Channel channel, int dialledPeer, PeerCodec.Hello hello) {
     boolean known =
         hello.fleet().equals(self.fleet())
             && hello.member() != self.member()
             && roster.containsKey(hello.member())
-            && (dialled < 0 || dialled == hello.member());
+            && (dialledPeer < 0 || dialledPeer == hello.member());
     if (!known) {
-      listener.spoilt(hello.member(), "a front door of another fleet, or under another number");
+      listener.invalidMessage(
+          hello.member(), "hello names another fleet or an unexpected member number");
       return false;
     }
-    if (dialled < 0) {
+    if (dialledPeer < 0) {
       Channel before = incoming.put(hello.member(), channel);
       if (before != null) {
         before.close();
       }
       return true;
     }
-    Outgoing link = outgoing.get(dialled);
+    Outgoing link = outgoing.get(dialledPeer);
     if (link == null || link.channel != channel) {
       return false;
     }
     link.up = true;
-    listener.linkUp(dialled);
+    listener.linkUp(dialledPeer);
     return true;
   }
 
-  void ended(Channel channel, int dialled, int peer) {
-    if (dialled < 0) {
-      open--;
+  void ended(Channel channel, int dialledPeer, int peer) {
+    if (dialledPeer < 0) {
+      incomingCount--;
       incoming.remove(peer, channel);
       return;
     }
-    Outgoing link = outgoing.get(dialled);
+    Outgoing link = outgoing.get(dialledPeer);
     if (link != null && link.channel == channel) {
       link.ended();
     }
   }
 
-  /** Ends all links; on the event loop. */
+  /** Closes all links. Must be called on the event loop. */
   @Override
   public void close() {
     closed = true;
--- a/notices/src/test/java/willowdoor/notices/Sim.java
+++ b/notices/src/test/java/willowdoor/notices/Sim.java
@@ -13,8 +13,8 @@
 import java.util.WeakHashMap;
 
 /**
- * Front doors, what lies between them, publishers and readers, on a hand-moved clock with steps of
- * 1 ms.
+ * Simulates front doors, the links between them, publishers and readers, on a simulated clock with
+ * steps of 1 ms.
  */
 final class Sim extends SimRecords {
   private record Due(long atMs, long order, Runnable what) {}
@@ -22,7 +22,7 @@
   final int doors;
   final Limits limits;
   final Random random;
-  final NoticesDoor[] door;
+  final NoticesService[] services;
   final long[] generation;
   final boolean[][] cut;
   final long[][] linkMs;
@@ -31,7 +31,7 @@
   int refused;
   long mostHeld;
 
-  /** Another kind of assignment or rendering, for deliberate defects. */
+  /** Creates the assignment of a front door; replaced, like {@link #events}, to inject defects. */
   java.util.function.IntFunction<Assignment> assignments;
 
   ServerSentEvents events = new ServerSentEvents();
@@ -51,7 +51,7 @@
   private final Map<Long, SimReader> byConnection = new HashMap<>();
   private final Set<SimReader> active = new LinkedHashSet<>();
 
-  /** By identity: arrays have no other equality. */
+  /** Parsed events by array identity, since arrays have no other equality. */
   private final Map<byte[], List<SimReader.Seen>> parsed = new WeakHashMap<>();
 
   private final ArrayDeque<Runnable> effects = new ArrayDeque<>();
@@ -60,7 +60,7 @@
     this.doors = doors;
     this.limits = limits;
     this.random = new Random(seed);
-    this.door = new NoticesDoor[doors];
+    this.services = new NoticesService[doors];
     this.generation = new long[doors];
     this.views = new FleetView[doors];
     this.cut = new boolean[doors][doors];
@@ -82,8 +82,8 @@
   void restart(int i) {
     generation[i]++;
     views[i] = null;
-    door[i] =
-        new NoticesDoor(
+    services[i] =
+        new NoticesService(
             i,
             generation[i],
             limits,
@@ -97,9 +97,12 @@
     due.add(new Due(ms, orders++, what));
   }
 
-  /** A process dies without a word; others see it after so many ms, each at its own moment. */
+  /**
+   * Crashes a process. Other front doors detect the crash after {@code seenMs}, each with its own
+   * random delay.
+   */
   void kill(int i, long seenMs) {
-    door[i] = null;
+    services[i] = null;
     for (int j = 0; j < doors; j++) {
       down(i, j);
       down(j, i);
@@ -112,17 +115,17 @@
     views(seenMs);
   }
 
-  /** Tells each door who is there as it can know it: those that it is not cut off from. */
+  /** Gives each front door its view of the members: those from which it is not cut off. */
   void views(long inMs) {
     epoch++;
     for (int i = 0; i < doors; i++) {
-      if (door[i] == null) {
+      if (services[i] == null) {
         continue;
       }
       List<FleetView.Member> members = new ArrayList<>();
       long digest = 0;
       for (int j = 0; j < doors; j++) {
-        if (door[j] != null && !cut[i][j]) {
+        if (services[j] != null && !cut[i][j]) {
           members.add(new FleetView.Member(j, generation[j], "d" + j));
           digest = digest * 31 + j * 7L + generation[j];
         }
@@ -132,9 +135,10 @@
       at(
           nowMs + inMs + (inMs == 0 ? 0 : random.nextInt(200)),
           () -> {
-            if (door[self] != null && (views[self] == null || views[self].epoch() < view.epoch())) {
+            if (services[self] != null
+                && (views[self] == null || views[self].epoch() < view.epoch())) {
               views[self] = view;
-              door[self].view(view, nowMs);
+              services[self].view(view, nowMs);
               drain();
             }
           });
@@ -144,8 +148,8 @@
   private void down(int from, int to) {
     if (session[from][to] != 0) {
       session[from][to] = 0;
-      if (door[from] != null) {
-        door[from].linkDown(to, nowMs);
+      if (services[from] != null) {
+        services[from].linkDown(to, nowMs);
       }
       connect(from, to);
     }
@@ -155,20 +159,20 @@
     at(
         nowMs + 20 + random.nextInt(20),
         () -> {
-          if (!wanted[from][to] || door[from] == null || session[from][to] != 0) {
+          if (!wanted[from][to] || services[from] == null || session[from][to] != 0) {
             return;
           }
-          if (door[to] == null || cut[from][to] || cut[to][from]) {
+          if (services[to] == null || cut[from][to] || cut[to][from]) {
             connect(from, to);
           } else {
             session[from][to] = ++orders;
-            door[from].linkUp(to, nowMs);
+            services[from].linkUp(to, nowMs);
             drain();
           }
         });
   }
 
-  /** Cuts or mends the way between two doors, both ways. */
+  /** Cuts or restores the network between two front doors, in both directions. */
   void cut(int a, int b, boolean off) {
     cut[a][b] = off;
     cut[b][a] = off;
@@ -196,9 +200,9 @@
     } else if (effect instanceof Effect.Answer answer) {
       int dot = answer.id() == null ? -1 : answer.id().lastIndexOf('.');
       if (answer.status() == 200) {
-        taken.put(
+        accepted.put(
             answer.call(),
-            new Taken(
+            new Accepted(
                 customerOf.get(answer.call()),
                 answer.id().substring(0, dot),
                 Long.parseLong(answer.id().substring(dot + 1), 36),
@@ -210,7 +214,7 @@
   }
 
   private void send(int from, int to, PeerMessage message) {
-    boolean back = message instanceof PeerMessage.Back;
+    boolean back = message instanceof PeerMessage.Reply;
     int opener = back ? to : from;
     int other = back ? from : to;
     long sent = session[opener][other];
@@ -218,8 +222,8 @@
       at(
           nowMs + linkMs[from][to],
           () -> {
-            if (session[opener][other] == sent && door[to] != null) {
-              door[to].message(from, message, nowMs);
+            if (session[opener][other] == sent && services[to] != null) {
+              services[to].message(from, message, nowMs);
               drain();
             }
           });
@@ -244,8 +248,8 @@
   private void end(SimReader reader, int i) {
     long connection = reader.connection;
     away(reader, reader.order != null ? 5 : 3_000);
-    if (door[i] != null) {
-      door[i].gone(connection, nowMs);
+    if (services[i] != null) {
+      services[i].readerGone(connection, nowMs);
       drain();
     }
   }
@@ -258,20 +262,21 @@
     at(nowMs + forMs, () -> come(reader));
   }
 
-  /** A reader comes: to where it was told to, or to any door. */
+  /** Connects a reader: to the target of its move order, or else to a random front door. */
   void come(SimReader reader) {
     MoveOrder order = reader.order;
     reader.order = null;
-    int to = order != null && door[order.target()] != null ? order.target() : random.nextInt(doors);
-    if (door[to] == null) {
+    int to =
+        order != null && services[order.target()] != null ? order.target() : random.nextInt(doors);
+    if (services[to] == null) {
       at(nowMs + 20, () -> come(reader));
       return;
     }
-    MoveOrder told = order != null && to == order.target() ? order : null;
+    MoveOrder followed = order != null && to == order.target() ? order : null;
     reader.connected(to, ++connections);
     byConnection.put(reader.connection, reader);
-    NoticesApi.Read read = new NoticesApi.Read(reader.customer, reader.lastId, told);
-    String refusal = door[to].read(reader.connection, read, nowMs);
+    NoticesApi.Read read = new NoticesApi.Read(reader.customer, reader.lastId, followed);
+    String refusal = services[to].read(reader.connection, read, nowMs);
     if (refusal != null) {
       throw new IllegalStateException(refusal);
     }
@@ -285,7 +290,7 @@
     return reader;
   }
 
-  /** A POST to a door; the notice tells when. */
+  /** Posts a notice to a front door. Its text begins with the time of publication. */
   long publish(int to, long customer, int bytes) {
     long call = ++calls;
     begun.put(call, nowMs);
@@ -293,7 +298,7 @@
     StringBuilder text = new StringBuilder(nowMs + " " + call + " ");
     text.append("x".repeat(Math.max(0, bytes - text.length())));
     byte[] body = text.toString().getBytes(StandardCharsets.UTF_8);
-    door[to].publish(call, new NoticesApi.Publish(customer, body), nowMs);
+    services[to].publish(call, new NoticesApi.Publish(customer, body), nowMs);
     drain();
     return call;
   }
@@ -315,10 +320,10 @@
         step(reader);
       }
       for (int i = 0; i < doors; i++) {
-        if (door[i] != null && nowMs % Limits.TICK_MS == i) {
-          door[i].tick(nowMs);
+        if (services[i] != null && nowMs % Limits.TICK_MS == i) {
+          services[i].tick(nowMs);
           drain();
-          mostHeld = Math.max(mostHeld, door[i].figures().groupBytes());
+          mostHeld = Math.max(mostHeld, services[i].stats().groupBytes());
         }
       }
       if (nowMs % 50 == 0) {
@@ -330,9 +335,12 @@
   private void exchange() {
     for (int i = 0; i < doors; i++) {
       for (int j = 0; j < doors; j++) {
-        if (i != j && door[i] != null && door[j] != null && !cut[i][j]) {
-          door[j].interest(
-              door[i].interest().since(door[j].interest().known(i, generation[i])), nowMs);
+        if (i != j && services[i] != null && services[j] != null && !cut[i][j]) {
+          services[j].interest(
+              services[i]
+                  .interest()
+                  .changesSince(services[j].interest().knownVersion(i, generation[i])),
+              nowMs);
           drain();
         }
       }
@@ -344,7 +352,7 @@
     int at = reader.door;
     long bytes = reader.read(event -> see(reader, event));
     if (bytes > 0 && reader.door == at && at >= 0) {
-      door[at].taken(connection, bytes, nowMs);
+      services[at].taken(connection, bytes, nowMs);
       drain();
     }
     if (reader.idle()) {
