--- a/gateway/src/main/java/elmsail/gateway/requests/RequestForwarder.java
+++ b/gateway/src/main/java/elmsail/gateway/requests/RequestForwarder.java
@@ -284,10 +284,7 @@
     }
   }
 
-  /**
-   * Called when the response must not be relayed. Cancels the attempt and treats it as a failed
-   * attempt that was sent.
-   */
+  /** The response must not be relayed: the attempt counts as sent and failed. */
   private void onUnusableResponse() {
     if (attempt != null) {
       attempt.cancel();
