--- a/controlplane/src/main/java/elmsail/controlplane/ControlPlaneNode.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ControlPlaneNode.java
@@ -251,8 +251,7 @@
   }
 
   /**
-   * The newest committed register value of the configuration that this node has read or received;
-   * null before the first.
+   * The newest committed register value of the configuration at this node; null before the first.
    */
   byte[] committedConfigBytes() {
     return configurationManager.committedValue();
