--- a/front/src/test/java/willowdoor/front/ClientDisconnectTest.java
+++ b/front/src/test/java/willowdoor/front/ClientDisconnectTest.java
@@ -141,7 +141,7 @@
   })
   void noAttemptBeginsForAClientThatDisconnectedDuringTheConnect(
       DisconnectKind kind, boolean body, int bytes) throws Exception {
-    try (HeldPort port = HeldPort.any();
+    try (ReservedPort port = ReservedPort.any();
         ServerSocket full = new ServerSocket(port.port(), 1, InetAddress.getLoopbackAddress())) {
       List<SocketChannel> fill = Peers.fill(full);
       peers.start(peers.configWithWideLimits(Peers.entry("s-1", full.getLocalPort(), "active")));
