--- a/notices/src/main/java/willowdoor/notices/CustomerReaders.java
+++ b/notices/src/main/java/willowdoor/notices/CustomerReaders.java
@@ -16,7 +16,7 @@
   private static final long MOVE_ORDER_TTL_MS = 10_000;
 
   /**
-   * Readers of one customer that may wait for a move at a slow front door at a time. Nothing is
+   * Maximum number of a customer's readers that wait for a move at a slow front door. Nothing is
    * written to a waiting reader until its move event can be sent.
    */
   private static final int MAX_LEAVING = 5;
@@ -142,7 +142,7 @@
     }
   }
 
-  void taken(Reader reader, long bytes, long nowMs) {
+  void bytesTaken(Reader reader, long bytes, long nowMs) {
     Group group = reader.group;
     boolean finished = reader.onTaken(bytes);
     if (group == null) {
@@ -157,7 +157,7 @@
 
   void fetched(PeerMessage.Fetched answer, long nowMs) {
     for (Reader reader : new ArrayList<>(individualReaders)) {
-      reader.individual.fetched(answer);
+      reader.individual.onFetched(answer);
       deliver(reader, nowMs);
     }
   }
--- a/notices/src/main/java/willowdoor/notices/Effect.java
+++ b/notices/src/main/java/willowdoor/notices/Effect.java
@@ -19,7 +19,7 @@
 
   /**
    * Writes to a reader. The bytes are shared with other readers and must not be changed. {@link
-   * NoticesService#taken} must be called with the number of bytes that the reader's socket has
+   * NoticesService#bytesTaken} must be called with the number of bytes that the reader's socket has
    * taken.
    */
   record Write(long reader, byte[] bytes) implements Effect {}
--- a/notices/src/main/java/willowdoor/notices/IndividualDelivery.java
+++ b/notices/src/main/java/willowdoor/notices/IndividualDelivery.java
@@ -26,7 +26,7 @@
    */
   private final Map<StreamId, MissingRange> toFetch = new LinkedHashMap<>();
 
-  private final ArrayDeque<Notice> fetched = new ArrayDeque<>();
+  private final ArrayDeque<Notice> onFetched = new ArrayDeque<>();
   private MissingRange fetchedGap;
 
   /**
@@ -78,8 +78,8 @@
       fetchedGap = null;
       return gap(gap, nowMs);
     }
-    if (!fetched.isEmpty()) {
-      return notice(fetched.remove(), nowMs);
+    if (!onFetched.isEmpty()) {
+      return notice(onFetched.remove(), nowMs);
     }
     if (!toFetch.isEmpty()) {
       return null;
@@ -142,7 +142,7 @@
     }
     if (toFetch.isEmpty()
         || fetchedGap != null
-        || !fetched.isEmpty()
+        || !onFetched.isEmpty()
         || requestedMs >= 0 && nowMs - requestedMs < RETRY_MS) {
       return null;
     }
@@ -155,7 +155,7 @@
    * Handles a fetch result of another front door. Ignores a result that belongs to another request
    * or brings nothing new.
    */
-  void fetched(PeerMessage.Fetched answer) {
+  void onFetched(PeerMessage.Fetched answer) {
     MissingRange range = toFetch.isEmpty() ? null : toFetch.values().iterator().next();
     if (waitingSinceMs < 0
         || range == null
@@ -171,7 +171,7 @@
       if (notice.seq() == upTo + 1
           && notice.seq() <= range.to()
           && notice.stream().equals(range.stream())) {
-        fetched.add(notice);
+        onFetched.add(notice);
         upTo++;
       }
     }
@@ -196,7 +196,7 @@
   }
 
   boolean hasPendingFetch() {
-    return !toFetch.isEmpty() || !fetched.isEmpty() || fetchedGap != null;
+    return !toFetch.isEmpty() || !onFetched.isEmpty() || fetchedGap != null;
   }
 
   /** Returns the number of the next event in the front door's order. */
--- a/notices/src/main/java/willowdoor/notices/NoticePublisher.java
+++ b/notices/src/main/java/willowdoor/notices/NoticePublisher.java
@@ -18,7 +18,7 @@
   private final StreamRelay relay;
   private final Consumer<Effect> effects;
   private final StreamRelay.Listener listener;
-  private final Map<Long, StreamId> own = new HashMap<>();
+  private final Map<Long, StreamId> ownStreams = new HashMap<>();
   private final ArrayDeque<Pending> pending = new ArrayDeque<>();
   private int serial;
 
@@ -62,13 +62,13 @@
   }
 
   private Stream stream(RetainedNotices retained, long customer, long nowMs) {
-    StreamId id = own.get(customer);
+    StreamId id = ownStreams.get(customer);
     Stream stream = id == null ? null : relay.stream(id);
     // Other front doors forget a stream after twice this time, so a later notice gets a new
     // stream.
     if (stream == null || nowMs - stream.lastAppendMs > Limits.IDLE_STREAM_MS) {
       stream = relay.open(retained, new StreamId(self, generation, ++serial), 0, true, nowMs);
-      own.put(customer, stream.id);
+      ownStreams.put(customer, stream.id);
       relay.updatePeers(stream, nowMs);
     }
     return stream;
@@ -78,7 +78,7 @@
    * Handles a peer's confirmation that it holds a stream up to a count. If the peer is the replica
    * holder, the notices up to the count are confirmed.
    */
-  void have(int peer, PeerMessage.Have have, long nowMs) {
+  void onHave(int peer, PeerMessage.Have have, long nowMs) {
     Stream stream = relay.stream(have.stream());
     if (stream == null || !stream.own || stream.replicaHolder.member() != peer) {
       return;
@@ -119,7 +119,7 @@
               id(call),
               "not confirmed by a second front door yet; it may still come, under this id"));
     }
-    own.values().removeIf(id -> relay.stream(id) == null);
+    ownStreams.values().removeIf(id -> relay.stream(id) == null);
   }
 
   int pending() {
--- a/notices/src/main/java/willowdoor/notices/NoticesService.java
+++ b/notices/src/main/java/willowdoor/notices/NoticesService.java
@@ -15,8 +15,8 @@
  */
 public final class NoticesService {
   /**
-   * The front door counts as slow once, for this time, over half of all its readers and over half
-   * of the readers of at least two customers have lagged.
+   * Time for which readers must lag before the front door counts as slow: over half of all readers,
+   * and over half of the readers of at least two customers.
    */
   private static final long FRONT_DOOR_SLOW_MS = 2_000;
 
@@ -156,8 +156,8 @@
     }
     Position resume = read.lastEventId() == null ? null : Position.parse(read.lastEventId());
     MoveOrder order = read.order();
-    // The order identifies the reader, whether or not the order is still valid; its number decides
-    // that.
+    // The order identifies the reader even if the order is no longer valid. Assignment.accept
+    // checks the validity.
     Reader reader =
         new Reader(
             id,
@@ -200,11 +200,11 @@
   }
 
   /** Records bytes that a reader's socket has taken. */
-  public void taken(long id, long bytes, long now) {
+  public void bytesTaken(long id, long bytes, long now) {
     nowMs = now;
     Reader reader = readers.get(id);
     if (reader != null) {
-      customers.get(reader.customer).taken(reader, bytes, now);
+      customers.get(reader.customer).bytesTaken(reader, bytes, now);
     }
   }
 
--- a/notices/src/main/java/willowdoor/notices/PeerLink.java
+++ b/notices/src/main/java/willowdoor/notices/PeerLink.java
@@ -107,7 +107,7 @@
     }
   }
 
-  void want(PeerMessage.Want want, long nowMs) {
+  void onWant(PeerMessage.Want want, long nowMs) {
     Cursor cursor = cursors.get(want.stream());
     if (cursor == null || !up) {
       return;
@@ -135,7 +135,7 @@
     sendReady(nowMs);
   }
 
-  void have(PeerMessage.Have have, long nowMs) {
+  void onHave(PeerMessage.Have have, long nowMs) {
     Cursor cursor = cursors.get(have.stream());
     if (cursor == null) {
       return;
@@ -147,7 +147,7 @@
   }
 
   /** Handles further notices of a stream. */
-  void more(StreamId id, long nowMs) {
+  void moreAvailable(StreamId id, long nowMs) {
     Cursor cursor = cursors.get(id);
     if (cursor != null && cursor.next >= 0) {
       ready.add(cursor);
@@ -184,7 +184,7 @@
   }
 
   /** Returns whether the peer has left a notice unconfirmed for over a second. */
-  boolean slow(long nowMs) {
+  boolean isSlow(long nowMs) {
     for (Cursor cursor : cursors.values()) {
       if (!cursor.unacknowledged.isEmpty()
           && nowMs - cursor.unacknowledged.peek().atMs() > SLOW_MS) {
@@ -195,7 +195,7 @@
   }
 
   /** Returns whether the link has been unused for over 30 s. */
-  boolean idle(long nowMs) {
+  boolean isIdle(long nowMs) {
     neededMs = cursors.isEmpty() ? neededMs : nowMs;
     return nowMs - neededMs > IDLE_MS;
   }
--- a/notices/src/main/java/willowdoor/notices/PeerMessageHandler.java
+++ b/notices/src/main/java/willowdoor/notices/PeerMessageHandler.java
@@ -60,11 +60,11 @@
       return;
     }
     if (message instanceof PeerMessage.Want want) {
-      link.want(want, nowMs);
-      publishing.have(peer, new PeerMessage.Have(want.stream(), want.after()), nowMs);
+      link.onWant(want, nowMs);
+      publishing.onHave(peer, new PeerMessage.Have(want.stream(), want.after()), nowMs);
     } else if (message instanceof PeerMessage.Have have) {
-      link.have(have, nowMs);
-      publishing.have(peer, have, nowMs);
+      link.onHave(have, nowMs);
+      publishing.onHave(peer, have, nowMs);
     } else if (message instanceof PeerMessage.Fetched fetched) {
       Stream stream = relay.stream(fetched.stream());
       if (stream != null) {
--- a/notices/src/main/java/willowdoor/notices/StreamRelay.java
+++ b/notices/src/main/java/willowdoor/notices/StreamRelay.java
@@ -192,7 +192,7 @@
   /** Handles further notices of an own stream that its replica holder or all peers can get. */
   void moreAvailable(Stream stream, long nowMs) {
     for (PeerLink link : links.values()) {
-      link.more(stream.id, nowMs);
+      link.moreAvailable(stream.id, nowMs);
     }
   }
 
@@ -250,7 +250,7 @@
     List<Integer> slow = new ArrayList<>();
     links.forEach(
         (peer, link) -> {
-          if (link.slow(nowMs)) {
+          if (link.isSlow(nowMs)) {
             slow.add(peer);
           }
         });
@@ -287,7 +287,7 @@
       }
     }
     for (int peer : new ArrayList<>(links.keySet())) {
-      if (links.get(peer).idle(nowMs)) {
+      if (links.get(peer).isIdle(nowMs)) {
         disconnect(peer);
       }
     }
--- a/notices/src/test/java/willowdoor/notices/AssignmentModelTest.java
+++ b/notices/src/test/java/willowdoor/notices/AssignmentModelTest.java
@@ -17,8 +17,8 @@
 /**
  * Model check of the real {@link Assignment}: runs every interleaving, to a stated depth, of the
  * actions of three members and a reader while the view changes. Each member gets a new view at any
- * time, and one member may be cut off. Orders are decided, sent later, followed late or twice; time
- * passes.
+ * time, and one or two members may be cut off. Orders are decided, sent later, followed late or
+ * twice; time passes.
  */
 class AssignmentModelTest {
   private static final int DEPTH = 9;
@@ -62,7 +62,7 @@
   }
 
   /** One state, reached by a sequence of actions from the start. */
-  private static final class World {
+  private static final class ModelState {
     final Assignment[] member = new Assignment[3];
     final FleetView[] later;
     final FleetView[] view = {ALL, ALL, ALL};
@@ -73,7 +73,7 @@
     int at;
 
     long count;
-    boolean guest;
+    boolean movedHere;
     MoveOrder pending;
 
     /**
@@ -83,12 +83,12 @@
     final List<MoveOrder> received = new ArrayList<>();
 
     final List<Long> accepted = new ArrayList<>();
-    String broken;
+    String violation;
 
-    World(IntFunction<Assignment> made, FleetView[] later) {
+    ModelState(IntFunction<Assignment> factory, FleetView[] later) {
       this.later = later;
       for (int i = 0; i < 3; i++) {
-        member[i] = made.apply(i);
+        member[i] = factory.apply(i);
         member[i].view(ALL, 0);
       }
     }
@@ -98,7 +98,7 @@
      *
      * @return whether the action was possible
      */
-    boolean act(int action) {
+    boolean execute(int action) {
       if (action < 3) {
         if (view[action] != ALL) {
           return false;
@@ -115,18 +115,18 @@
         case 4:
           return decide();
         case 5:
-          return tell();
+          return send();
         case 6:
           return follow(received.size() - 1);
         case 7:
           return follow(0);
         default:
-          return come(action - 8);
+          return connect(action - 8);
       }
     }
 
     private boolean decide() {
-      if (at < 0 || pending != null || guest) {
+      if (at < 0 || pending != null || movedHere) {
         return false;
       }
       long rested = LIMITS.moveIntervalMs() * 16;
@@ -134,7 +134,7 @@
       return pending != null;
     }
 
-    private boolean tell() {
+    private boolean send() {
       if (pending == null) {
         return false;
       }
@@ -161,22 +161,22 @@
       if (taken) {
         check("accepts", order.target(), order);
         if (accepted.contains(order.target() * 100L + order.count())) {
-          broken = "member " + order.target() + " accepts order " + order.count() + " twice";
+          violation = "member " + order.target() + " accepts order " + order.count() + " twice";
         }
         accepted.add(order.target() * 100L + order.count());
       }
       at = order.target();
       count = order.count();
-      guest = taken;
+      movedHere = taken;
       pending = null;
       return true;
     }
 
     /** The reader connects without an order, as after a broken connection. */
-    private boolean come(int to) {
+    private boolean connect(int to) {
       at = to;
       count = 0;
-      guest = false;
+      movedHere = false;
       pending = null;
       return true;
     }
@@ -184,11 +184,11 @@
     private void check(String what, int by, MoveOrder order) {
       String who = "member " + by + " " + what + " an order of view " + order.epoch();
       if (view[by].cutOff()) {
-        broken = who + ", and is cut off";
+        violation = who + ", and is cut off";
       } else if (order.epoch() != view[by].epoch() || order.digest() != view[by].digest()) {
-        broken = who + ", and is in view " + view[by].epoch();
+        violation = who + ", and is in view " + view[by].epoch();
       } else if (view[by] != ALL && nowMs - changedMs[by] < LIMITS.settleMs()) {
-        broken = who + ", which is not settled";
+        violation = who + ", which is not settled";
       }
     }
 
@@ -200,7 +200,7 @@
           + ","
           + at
           + count
-          + guest
+          + movedHere
           + (pending == null ? "" : pending.epoch())
           + received
           + accepted
@@ -209,46 +209,46 @@
     }
   }
 
-  private record Found(int states, List<Integer> trace, String broken) {}
+  private record SearchResult(int states, List<Integer> trace, String violation) {}
 
-  private static Found search(IntFunction<Assignment> made) {
-    Found first = search(made, LATER[0]);
-    Found second = first.broken() != null ? first : search(made, LATER[1]);
-    return new Found(first.states() + second.states(), second.trace(), second.broken());
+  private static SearchResult search(IntFunction<Assignment> factory) {
+    SearchResult first = search(factory, LATER[0]);
+    SearchResult second = first.violation() != null ? first : search(factory, LATER[1]);
+    return new SearchResult(first.states() + second.states(), second.trace(), second.violation());
   }
 
-  private static Found search(IntFunction<Assignment> made, FleetView[] later) {
+  private static SearchResult search(IntFunction<Assignment> factory, FleetView[] later) {
     Set<String> known = new HashSet<>();
     ArrayDeque<List<Integer>> open = new ArrayDeque<>();
     open.add(List.of());
     while (!open.isEmpty()) {
       List<Integer> path = open.remove();
       for (int action = 0; action < 11; action++) {
-        World world = new World(made, later);
-        path.forEach(world::act);
-        if (!world.act(action)) {
+        ModelState world = new ModelState(factory, later);
+        path.forEach(world::execute);
+        if (!world.execute(action)) {
           continue;
         }
         List<Integer> longer = new ArrayList<>(path);
         longer.add(action);
-        if (world.broken != null) {
-          return new Found(known.size(), longer, world.broken);
+        if (world.violation != null) {
+          return new SearchResult(known.size(), longer, world.violation);
         }
         if (known.add(world.state()) && longer.size() < DEPTH) {
           open.add(longer);
         }
       }
     }
-    return new Found(known.size(), List.of(), null);
+    return new SearchResult(known.size(), List.of(), null);
   }
 
   @Test
   void noOrderIsExecutedOutsideItsView() {
-    Found found = search(i -> new Assignment(i, LIMITS));
+    SearchResult result = search(i -> new Assignment(i, LIMITS));
     System.out.println(
-        "assignments: " + found.states() + " states, every interleaving to depth " + DEPTH);
-    assertEquals(null, found.broken(), () -> "by " + found.trace());
-    assertTrue(found.states() > 1_000, "states " + found.states());
+        "assignments: " + result.states() + " states, every interleaving to depth " + DEPTH);
+    assertEquals(null, result.violation(), () -> "by " + result.trace());
+    assertTrue(result.states() > 1_000, "states " + result.states());
   }
 
   @Test
@@ -303,9 +303,9 @@
                 }));
   }
 
-  private static void assertDetected(Found found) {
-    System.out.println("found: " + found.broken() + ", by " + found.trace());
-    assertNotNull(found.broken());
-    assertTrue(found.trace().size() <= DEPTH);
+  private static void assertDetected(SearchResult result) {
+    System.out.println("found: " + result.violation() + ", by " + result.trace());
+    assertNotNull(result.violation());
+    assertTrue(result.trace().size() <= DEPTH);
   }
 }
--- a/notices/src/test/java/willowdoor/notices/NoticesFigures.java
+++ b/notices/src/test/java/willowdoor/notices/NoticesFigures.java
@@ -16,7 +16,7 @@
   static Sim play(
       int readers, int customers, double slowShare, boolean regroup, long forMs, long seed) {
     Sim sim = new Sim(5, Limits.standard().withRegroup(regroup), seed).start();
-    sim.run(2_500);
+    sim.runFor(2_500);
     for (int i = 0; i < readers; i++) {
       double healthy = 100 + sim.random.nextInt(400);
       boolean slow = sim.random.nextDouble() < slowShare;
@@ -45,7 +45,7 @@
             });
       }
     }
-    sim.run(forMs + 3_000);
+    sim.runFor(forMs + 3_000);
     sim.countOwed();
     return sim;
   }
@@ -76,7 +76,7 @@
           sim.quantile(0.5),
           sim.quantile(0.99),
           sim.quantile(0.999),
-          sim.mostHeld / 1_000,
+          sim.maxGroupBytes / 1_000,
           moves,
           gaps,
           repeats,
--- a/notices/src/test/java/willowdoor/notices/NoticesServiceTest.java
+++ b/notices/src/test/java/willowdoor/notices/NoticesServiceTest.java
@@ -14,7 +14,7 @@
 
   private static Sim five(Limits limits, long seed) {
     Sim sim = new Sim(5, limits, seed).start();
-    sim.run(2_500);
+    sim.runFor(2_500);
     return sim;
   }
 
@@ -55,15 +55,15 @@
   @Test
   void closesReadersThatStopOrTakeOneBytePerSecond() {
     Sim sim = five(Limits.standard(), 1);
-    List<SimReader> hopeless = List.of(sim.reader(CUSTOMER, 0), sim.reader(CUSTOMER, 0.001));
+    List<SimReader> stalled = List.of(sim.reader(CUSTOMER, 0), sim.reader(CUSTOMER, 0.001));
     for (int i = 0; i < 20; i++) {
       sim.reader(CUSTOMER, 200);
     }
-    sim.unhealthy.addAll(hopeless);
+    sim.unhealthy.addAll(stalled);
     publishFor(sim, 40_000, 20, 500);
-    sim.run(45_000);
+    sim.runFor(45_000);
     assertNoViolations(sim);
-    assertTrue(hopeless.stream().allMatch(r -> r.connection > 22), "closed and reconnected");
+    assertTrue(stalled.stream().allMatch(r -> r.connection > 22), "closed and reconnected");
     assertTrue(sim.quantile(1) < 100, "a healthy reader was delayed, ms: " + sim.quantile(1));
   }
 
@@ -79,14 +79,14 @@
     }
     sim.unhealthy.addAll(slow);
     publishFor(sim, 80_000, 50, 500);
-    sim.run(25_000);
+    sim.runFor(25_000);
     assertEquals(
         1,
         slow.stream().mapToInt(r -> r.door).distinct().count(),
         "all slow readers at one front door");
     assertTrue(slow.stream().mapToInt(r -> r.moves).sum() >= 4);
     slow.forEach(r -> r.bytesPerMs = 200);
-    sim.run(60_000);
+    sim.runFor(60_000);
     assertTrue(
         slow.stream().mapToInt(r -> r.door).distinct().count() > 1,
         "back at their first front doors");
@@ -100,11 +100,11 @@
       sim.unhealthy.add(sim.reader(CUSTOMER, 2));
     }
     publishFor(sim, 30_000, 20, 500);
-    sim.run(80_000);
+    sim.runFor(80_000);
     assertEquals(0, sim.readers.stream().mapToInt(r -> r.moves).sum());
     assertTrue(sim.readers.stream().allMatch(r -> r.gaps > 0));
     assertEquals(List.of(), sim.violations(r -> false).stream().limit(5).toList());
-    assertTrue(sim.mostHeld < 2L * Limits.standard().windowBytes());
+    assertTrue(sim.maxGroupBytes < 2L * Limits.standard().windowBytes());
   }
 
   @Test
@@ -117,12 +117,12 @@
     for (long ms = 1; ms < 60_000; ms += 40) {
       sim.at(sim.nowMs + ms, () -> sim.publish(1, CUSTOMER + 1, 500));
     }
-    sim.run(20_000);
+    sim.runFor(20_000);
     for (int n = 0; n < 400; n++) {
       sim.publish(2, CUSTOMER, 500);
     }
     java.util.Arrays.fill(sim.linkMs[3], 2_000);
-    sim.run(5_000);
+    sim.runFor(5_000);
     assertEquals(
         0,
         sim.readers.stream().mapToInt(r -> r.moves).sum(),
@@ -134,7 +134,7 @@
     List<SimReader> there = sim.readers.stream().filter(r -> r.door == 0).toList();
     for (int ms = 0; ms < 30_000; ms++) {
       there.forEach(r -> r.bytesPerMs = r.door == 0 ? 4 : 200);
-      sim.run(1);
+      sim.runFor(1);
     }
     assertTrue(
         there.stream().filter(r -> r.moves > 0).count() > there.size() / 4,
@@ -142,7 +142,7 @@
     assertEquals(
         0, sim.readers.stream().filter(r -> !there.contains(r)).mapToInt(r -> r.moves).sum());
     there.forEach(r -> r.bytesPerMs = 200);
-    sim.run(20_000);
+    sim.runFor(20_000);
     assertNoViolations(sim);
   }
 
@@ -158,12 +158,12 @@
                 IntStream.range(0, 5).mapToObj(i -> new FleetView.Member(i, 1, "d")).toList())
             .memberFor(CUSTOMER, PaceClass.SLOW);
     while (sim.readers.stream().noneMatch(r -> r.order != null)) {
-      sim.run(1);
+      sim.runFor(1);
     }
     sim.kill(target, 1_500);
-    sim.run(20_000);
+    sim.runFor(20_000);
     sim.readers.forEach(r -> r.bytesPerMs = 200);
-    sim.run(40_000);
+    sim.runFor(40_000);
     assertNoViolations(sim);
   }
 
@@ -180,16 +180,16 @@
         sim.reader(CUSTOMER, 200);
       }
       publishFor(sim, 2_000, 100, 300);
-      sim.run(2_500);
+      sim.runFor(2_500);
       java.util.Arrays.fill(sim.linkMs[0], 2);
       int before = sim.accepted.size();
       for (int n = 0; n < 10; n++) {
         sim.publish(0, CUSTOMER, 300);
       }
-      sim.run(ms);
+      sim.runFor(ms);
       sim.kill(0, 500);
       acknowledged += sim.accepted.size() - before;
-      sim.run(10_000);
+      sim.runFor(10_000);
       assertNoViolations(sim);
     }
     assertTrue(
@@ -202,22 +202,22 @@
     Sim sim = five(Limits.standard(), 6);
     SimReader reader = sim.reader(CUSTOMER, 200);
     int at = reader.door;
-    int taker = (at + 1) % 5;
-    sim.run(200);
-    sim.publish(taker, CUSTOMER, 100);
-    sim.run(500);
+    int origin = (at + 1) % 5;
+    sim.runFor(200);
+    sim.publish(origin, CUSTOMER, 100);
+    sim.runFor(500);
     // The first reader's front door holds the replica, as it has readers. Another reader connects
     // to a third front door.
     SimReader other = null;
-    while (other == null || other.door == at || other.door == taker) {
+    while (other == null || other.door == at || other.door == origin) {
       other = sim.reader(CUSTOMER, 200);
     }
-    sim.run(500);
-    sim.publish(taker, CUSTOMER, 100);
-    sim.run(500);
-    sim.kill(taker, 300);
+    sim.runFor(500);
+    sim.publish(origin, CUSTOMER, 100);
+    sim.runFor(500);
+    sim.kill(origin, 300);
     sim.kill(at, 300);
-    sim.run(6_000);
+    sim.runFor(6_000);
     assertTrue(other.streams.values().stream().anyMatch(k -> k.openEnd));
   }
 
@@ -225,7 +225,7 @@
   void refusesNoticeWithoutASecondFrontDoor() {
     Sim sim = new Sim(1, Limits.standard(), 1).start();
     sim.publish(0, CUSTOMER, 100);
-    assertEquals(1, sim.refused);
+    assertEquals(1, sim.refusedCalls);
   }
 
   @Test
@@ -242,7 +242,7 @@
    * without faults.
    */
   static Sim history(Sim sim) {
-    sim.start().run(2_500);
+    sim.start().runFor(2_500);
     for (int i = 0; i < 60; i++) {
       boolean slow = i % 15 == 0;
       SimReader reader = sim.reader(CUSTOMER + i % 2, slow ? 1 : 200);
@@ -257,7 +257,7 @@
       int kind = sim.random.nextInt(3);
       sim.at(3_000 + sim.random.nextInt(20_000), () -> fault(sim, kind, one, other));
     }
-    sim.run(70_000);
+    sim.runFor(70_000);
     return sim;
   }
 
@@ -271,9 +271,9 @@
             return new byte[0];
           }
         };
-    List<String> wrong = history(sim).violations(r -> true);
-    System.out.println("found: " + wrong.get(0));
-    assertTrue(wrong.get(0).contains(" lost "));
+    List<String> violations = history(sim).violations(r -> true);
+    System.out.println("found: " + violations.get(0));
+    assertTrue(violations.get(0).contains(" lost "));
   }
 
   private static void fault(Sim sim, int kind, int one, int other) {
@@ -283,16 +283,16 @@
           sim.nowMs + 1_000 + sim.random.nextInt(4_000),
           () -> {
             sim.restart(one);
-            sim.views(100);
+            sim.publishViews(100);
           });
     } else if (kind == 1) {
       sim.cut(one, other, true);
-      sim.views(800);
+      sim.publishViews(800);
       sim.at(
           sim.nowMs + 3_000,
           () -> {
             sim.cut(one, other, false);
-            sim.views(100);
+            sim.publishViews(100);
           });
     } else if (kind == 2) {
       sim.linkMs[one][other] = 300;
--- a/notices/src/test/java/willowdoor/notices/Sim.java
+++ b/notices/src/test/java/willowdoor/notices/Sim.java
@@ -17,7 +17,7 @@
  * steps of 1 ms.
  */
 final class Sim extends SimRecords {
-  private record Due(long atMs, long order, Runnable what) {}
+  private record ScheduledAction(long atMs, long order, Runnable action) {}
 
   final int doors;
   final Limits limits;
@@ -26,33 +26,33 @@
   final long[] generation;
   final boolean[][] cut;
   final long[][] linkMs;
-  private final Map<Long, Long> begun = new HashMap<>();
+  private final Map<Long, Long> publishedMs = new HashMap<>();
   private final Map<Long, Long> customerOf = new HashMap<>();
-  int refused;
-  long mostHeld;
+  int refusedCalls;
+  long maxGroupBytes;
 
   /** Creates the assignment of a front door; replaced, like {@link #events}, to inject defects. */
   java.util.function.IntFunction<Assignment> assignments;
 
   ServerSentEvents events = new ServerSentEvents();
-  private final FleetView[] views;
+  private final FleetView[] publishViews;
   private final long[][] session;
   private final boolean[][] wanted;
   private long epoch = 1;
   private long calls;
   private long connections;
   private long orders;
-  private final PriorityQueue<Due> due =
+  private final PriorityQueue<ScheduledAction> scheduled =
       new PriorityQueue<>(
           (a, b) ->
               a.atMs() != b.atMs()
                   ? Long.compare(a.atMs(), b.atMs())
                   : Long.compare(a.order(), b.order()));
-  private final Map<Long, SimReader> byConnection = new HashMap<>();
+  private final Map<Long, SimReader> readersByConnection = new HashMap<>();
   private final Set<SimReader> active = new LinkedHashSet<>();
 
   /** Parsed events by array identity, since arrays have no other equality. */
-  private final Map<byte[], List<SimReader.Seen>> parsed = new WeakHashMap<>();
+  private final Map<byte[], List<SimReader.ReceivedEvent>> parsed = new WeakHashMap<>();
 
   private final ArrayDeque<Runnable> effects = new ArrayDeque<>();
 
@@ -62,7 +62,7 @@
     this.random = new Random(seed);
     this.services = new NoticesService[doors];
     this.generation = new long[doors];
-    this.views = new FleetView[doors];
+    this.publishViews = new FleetView[doors];
     this.cut = new boolean[doors][doors];
     this.linkMs = new long[doors][doors];
     this.session = new long[doors][doors];
@@ -75,13 +75,13 @@
       java.util.Arrays.fill(linkMs[i], 1);
       restart(i);
     }
-    views(0);
+    publishViews(0);
     return this;
   }
 
   void restart(int i) {
     generation[i]++;
-    views[i] = null;
+    publishViews[i] = null;
     services[i] =
         new NoticesService(
             i,
@@ -94,7 +94,7 @@
   }
 
   void at(long ms, Runnable what) {
-    due.add(new Due(ms, orders++, what));
+    scheduled.add(new ScheduledAction(ms, orders++, what));
   }
 
   /**
@@ -109,14 +109,14 @@
     }
     for (SimReader reader : readers) {
       if (reader.door == i) {
-        away(reader, 100 + random.nextInt(100));
+        disconnectReader(reader, 100 + random.nextInt(100));
       }
     }
-    views(seenMs);
+    publishViews(seenMs);
   }
 
   /** Gives each front door its view of the members: those from which it is not cut off. */
-  void views(long inMs) {
+  void publishViews(long inMs) {
     epoch++;
     for (int i = 0; i < doors; i++) {
       if (services[i] == null) {
@@ -136,8 +136,8 @@
           nowMs + inMs + (inMs == 0 ? 0 : random.nextInt(200)),
           () -> {
             if (services[self] != null
-                && (views[self] == null || views[self].epoch() < view.epoch())) {
-              views[self] = view;
+                && (publishViews[self] == null || publishViews[self].epoch() < view.epoch())) {
+              publishViews[self] = view;
               services[self].view(view, nowMs);
               drain();
             }
@@ -190,7 +190,7 @@
     } else if (effect instanceof Effect.Send send) {
       send(i, send.peer(), send.message());
     } else if (effect instanceof Effect.Write write) {
-      SimReader reader = byConnection.get(write.reader());
+      SimReader reader = readersByConnection.get(write.reader());
       if (reader != null) {
         reader.write(write.bytes());
         active.add(reader);
@@ -206,9 +206,9 @@
                 customerOf.get(answer.call()),
                 answer.id().substring(0, dot),
                 Long.parseLong(answer.id().substring(dot + 1), 36),
-                begun.get(answer.call())));
+                publishedMs.get(answer.call())));
       } else {
-        refused++;
+        refusedCalls++;
       }
     }
   }
@@ -231,7 +231,7 @@
   }
 
   private void close(int i, long connection) {
-    SimReader reader = byConnection.get(connection);
+    SimReader reader = readersByConnection.get(connection);
     if (reader == null) {
       return;
     }
@@ -240,41 +240,41 @@
         nowMs + 2_000,
         () -> {
           if (reader.connection == connection && reader.closing) {
-            end(reader, i);
+            endConnection(reader, i);
           }
         });
   }
 
-  private void end(SimReader reader, int i) {
+  private void endConnection(SimReader reader, int i) {
     long connection = reader.connection;
-    away(reader, reader.order != null ? 5 : 3_000);
+    disconnectReader(reader, reader.order != null ? 5 : 3_000);
     if (services[i] != null) {
       services[i].readerGone(connection, nowMs);
       drain();
     }
   }
 
-  private void away(SimReader reader, long forMs) {
-    byConnection.remove(reader.connection);
+  private void disconnectReader(SimReader reader, long forMs) {
+    readersByConnection.remove(reader.connection);
     active.remove(reader);
     reader.door = -1;
     reader.closing = false;
-    at(nowMs + forMs, () -> come(reader));
+    at(nowMs + forMs, () -> connectReader(reader));
   }
 
   /** Connects a reader: to the target of its move order, or else to a random front door. */
-  void come(SimReader reader) {
+  void connectReader(SimReader reader) {
     MoveOrder order = reader.order;
     reader.order = null;
     int to =
         order != null && services[order.target()] != null ? order.target() : random.nextInt(doors);
     if (services[to] == null) {
-      at(nowMs + 20, () -> come(reader));
+      at(nowMs + 20, () -> connectReader(reader));
       return;
     }
     MoveOrder followed = order != null && to == order.target() ? order : null;
     reader.connected(to, ++connections);
-    byConnection.put(reader.connection, reader);
+    readersByConnection.put(reader.connection, reader);
     NoticesApi.Read read = new NoticesApi.Read(reader.customer, reader.lastId, followed);
     String refusal = services[to].read(reader.connection, read, nowMs);
     if (refusal != null) {
@@ -286,14 +286,14 @@
   SimReader reader(long customer, double bytesPerMs) {
     SimReader reader = new SimReader(readers.size(), customer, bytesPerMs);
     readers.add(reader);
-    come(reader);
+    connectReader(reader);
     return reader;
   }
 
   /** Posts a notice to a front door. Its text begins with the time of publication. */
   long publish(int to, long customer, int bytes) {
     long call = ++calls;
-    begun.put(call, nowMs);
+    publishedMs.put(call, nowMs);
     customerOf.put(call, customer);
     StringBuilder text = new StringBuilder(nowMs + " " + call + " ");
     text.append("x".repeat(Math.max(0, bytes - text.length())));
@@ -309,11 +309,11 @@
     }
   }
 
-  void run(long forMs) {
+  void runFor(long forMs) {
     for (long until = nowMs + forMs; nowMs < until; ) {
       nowMs++;
-      while (!due.isEmpty() && due.peek().atMs() <= nowMs) {
-        due.remove().what().run();
+      while (!scheduled.isEmpty() && scheduled.peek().atMs() <= nowMs) {
+        scheduled.remove().action().run();
         drain();
       }
       for (SimReader reader : new ArrayList<>(active)) {
@@ -323,7 +323,7 @@
         if (services[i] != null && nowMs % Limits.TICK_MS == i) {
           services[i].tick(nowMs);
           drain();
-          mostHeld = Math.max(mostHeld, services[i].stats().groupBytes());
+          maxGroupBytes = Math.max(maxGroupBytes, services[i].stats().groupBytes());
         }
       }
       if (nowMs % 50 == 0) {
@@ -350,30 +350,33 @@
   private void step(SimReader reader) {
     long connection = reader.connection;
     int at = reader.door;
-    long bytes = reader.read(event -> see(reader, event));
+    long bytes = reader.read(event -> onEvent(reader, event));
     if (bytes > 0 && reader.door == at && at >= 0) {
-      services[at].taken(connection, bytes, nowMs);
+      services[at].bytesTaken(connection, bytes, nowMs);
       drain();
     }
     if (reader.idle()) {
       active.remove(reader);
       if (reader.closing) {
-        end(reader, at);
+        endConnection(reader, at);
       }
     }
   }
 
-  private void see(SimReader reader, byte[] bytes) {
-    for (SimReader.Seen event : parsed.computeIfAbsent(bytes, SimReader.Seen::all)) {
-      see(reader, event);
+  private void onEvent(SimReader reader, byte[] bytes) {
+    for (SimReader.ReceivedEvent event :
+        parsed.computeIfAbsent(bytes, SimReader.ReceivedEvent::all)) {
+      onEvent(reader, event);
     }
   }
 
-  private void see(SimReader reader, SimReader.Seen event) {
-    reader.see(event, nowMs);
+  private void onEvent(SimReader reader, SimReader.ReceivedEvent event) {
+    reader.onEvent(event, nowMs);
     if (event.type().equals("notice") && !unhealthy.contains(reader)) {
-      delivered[
-          (int) Math.min(delivered.length - 1, nowMs + reader.latencyMs - event.publishedMs())]++;
+      deliveriesByMs[
+          (int)
+              Math.min(
+                  deliveriesByMs.length - 1, nowMs + reader.latencyMs - event.publishedMs())]++;
     }
     if (event.order() != null) {
       reader.moves++;
--- a/notices/src/test/java/willowdoor/notices/SimReader.java
+++ b/notices/src/test/java/willowdoor/notices/SimReader.java
@@ -14,7 +14,7 @@
  */
 final class SimReader {
   /** An event as a reader receives it. An event that many readers share is parsed once. */
-  record Seen(
+  record ReceivedEvent(
       String type,
       String id,
       String stream,
@@ -23,12 +23,12 @@
       long publishedMs,
       int target,
       MoveOrder order) {
-    static List<Seen> all(byte[] bytes) {
+    static List<ReceivedEvent> all(byte[] bytes) {
       String[] events = new String(bytes, StandardCharsets.UTF_8).split("\n\n");
-      return Arrays.stream(events).filter(e -> !e.isEmpty()).map(Seen::of).toList();
+      return Arrays.stream(events).filter(e -> !e.isEmpty()).map(ReceivedEvent::of).toList();
     }
 
-    private static Seen of(String text) {
+    private static ReceivedEvent of(String text) {
       Map<String, String> fields = new HashMap<>();
       for (String line : text.split("\n")) {
         String[] parts = line.split(": ", 2);
@@ -42,12 +42,12 @@
         int dot = own.lastIndexOf('.');
         long seq = Long.parseLong(own.substring(dot + 1), 36);
         long publishedMs = Long.parseLong(data.split(" ")[0]);
-        return new Seen(type, id, own.substring(0, dot), seq, seq, publishedMs, -1, null);
+        return new ReceivedEvent(type, id, own.substring(0, dot), seq, seq, publishedMs, -1, null);
       }
       String[] quoted = data.split("\"");
       if (type.equals("gap")) {
         String to = data.replaceAll(".*\"to\":|}", "");
-        return new Seen(
+        return new ReceivedEvent(
             type,
             id,
             quoted[3],
@@ -58,7 +58,7 @@
             null);
       }
       return type.equals("move")
-          ? new Seen(
+          ? new ReceivedEvent(
               type,
               id,
               null,
@@ -67,7 +67,7 @@
               0,
               Integer.parseInt(quoted[3].substring(1)),
               MoveOrder.parse(quoted[7]))
-          : new Seen(type, id, null, 0, 0, 0, -1, null);
+          : new ReceivedEvent(type, id, null, 0, 0, 0, -1, null);
     }
   }
 
@@ -94,7 +94,7 @@
   int gaps;
   int moves;
   int closes;
-  long lacking;
+  long missing;
   long highestCount;
   final Map<String, ReceivedRange> streams = new HashMap<>();
   final List<String> violations = new ArrayList<>();
@@ -150,7 +150,7 @@
   /**
    * Checks an event against all earlier events: no notice may be missing without a reported gap.
    */
-  void see(Seen event, long nowMs) {
+  void onEvent(ReceivedEvent event, long nowMs) {
     lastId = event.id();
     openedMs = event.type().equals("open") && openedMs < 0 ? nowMs : openedMs;
     if (event.type().equals("closed")) {
@@ -185,7 +185,7 @@
     } else if (event.to() <= known.last) {
       repeats++;
     } else {
-      lacking += gap ? event.to() - known.last : 0;
+      missing += gap ? event.to() - known.last : 0;
       known.last = event.to();
     }
   }
--- a/notices/src/test/java/willowdoor/notices/SimRecords.java
+++ b/notices/src/test/java/willowdoor/notices/SimRecords.java
@@ -11,14 +11,14 @@
 /** The events of a simulation, and the violations found in them. */
 abstract class SimRecords {
   /** A notice that was answered with 200. */
-  record Accepted(long customer, String stream, long seq, long begunMs) {}
+  record Accepted(long customer, String stream, long seq, long publishedMs) {}
 
   final List<SimReader> readers = new ArrayList<>();
   final Map<Long, Accepted> accepted = new LinkedHashMap<>();
   long nowMs;
 
   /** Number of deliveries to healthy readers, by delay in ms. */
-  final long[] delivered = new long[200_001];
+  final long[] deliveriesByMs = new long[200_001];
 
   final Set<SimReader> unhealthy = new LinkedHashSet<>();
 
@@ -30,9 +30,9 @@
         if (reader.customer == notice.customer()
             && !unhealthy.contains(reader)
             && reader.openedMs >= 0
-            && notice.begunMs() >= reader.openedMs
+            && notice.publishedMs() >= reader.openedMs
             && (known == null || known.last < notice.seq())) {
-          delivered[(int) Math.min(delivered.length - 1, nowMs - notice.begunMs())]++;
+          deliveriesByMs[(int) Math.min(deliveriesByMs.length - 1, nowMs - notice.publishedMs())]++;
         }
       }
     }
@@ -40,17 +40,17 @@
 
   long quantile(double q) {
     long all = 0;
-    for (long n : delivered) {
+    for (long n : deliveriesByMs) {
       all += n;
     }
     long left = (long) Math.ceil(all * q);
-    for (int ms = 0; ms < delivered.length; ms++) {
-      left -= delivered[ms];
+    for (int ms = 0; ms < deliveriesByMs.length; ms++) {
+      left -= deliveriesByMs[ms];
       if (left <= 0) {
         return ms;
       }
     }
-    return delivered.length;
+    return deliveriesByMs.length;
   }
 
   /**
@@ -59,25 +59,25 @@
    * @param complete selects the readers that must have received all notices
    */
   List<String> violations(java.util.function.Predicate<SimReader> complete) {
-    List<String> wrong = new ArrayList<>();
+    List<String> violations = new ArrayList<>();
     Map<Long, List<Accepted>> byCustomer = new HashMap<>();
     accepted
         .values()
         .forEach(t -> byCustomer.computeIfAbsent(t.customer(), c -> new ArrayList<>()).add(t));
     for (SimReader reader : readers) {
-      wrong.addAll(reader.violations);
+      violations.addAll(reader.violations);
       for (Accepted notice : byCustomer.getOrDefault(reader.customer, List.of())) {
         SimReader.ReceivedRange known = reader.streams.get(notice.stream());
-        boolean owed = reader.openedMs >= 0 && notice.begunMs() >= reader.openedMs;
+        boolean owed = reader.openedMs >= 0 && notice.publishedMs() >= reader.openedMs;
         if (owed
             && complete.test(reader)
             && (known == null
                 || known.first > notice.seq()
                 || known.last < notice.seq() && !known.openEnd)) {
-          wrong.add(reader.index + " never got " + notice);
+          violations.add(reader.index + " never got " + notice);
         }
       }
     }
-    return wrong;
+    return violations;
   }
 }
