--- a/controlplane/src/main/java/elmsail/controlplane/ControlPlaneNode.java
+++ b/controlplane/src/main/java/elmsail/controlplane/ControlPlaneNode.java
@@ -40,10 +40,7 @@
 final class ControlPlaneNode {
   private static final long TICK_INTERVAL_MS = 200;
 
-  /**
-   * Limits the wait of a store's pull, so that the store sends a heartbeat at least this often. A
-   * change ends the wait at once.
-   */
+  /** Bounds a store's pull wait, hence its heartbeat interval; a change ends the wait at once. */
   private static final long MAX_STORE_PULL_WAIT_MS = 400;
 
   private final NodeEnvironment environment;
@@ -137,10 +134,7 @@
         null);
   }
 
-  /**
-   * Whether neither an earlier process on this disk nor an earlier start of this cluster can have
-   * granted a lease.
-   */
+  /** Whether no earlier process on this disk or earlier cluster start can have granted a lease. */
   private boolean isFirstProcess() {
     return environment.hasDisk()
         && environment.settings().firstStart()
@@ -237,10 +231,7 @@
     configWatcher.setJoinListener(voters::join);
   }
 
-  /**
-   * Adopts the seed addresses of the new settings for pulling. The voters do not depend on the
-   * settings.
-   */
+  /** Adopts the new settings' seed addresses for pulling; the voters do not depend on settings. */
   void onSettingsChanged(Settings settings) {
     configWatcher.onSettingsChanged(settings);
   }
@@ -250,9 +241,7 @@
     return operatorApi;
   }
 
-  /**
-   * The newest committed register value of the configuration at this node; null before the first.
-   */
+  /** This node's newest committed register value of the configuration; null before the first. */
   byte[] committedConfigBytes() {
     return configurationManager.committedValue();
   }
@@ -282,9 +271,7 @@
     return voterSetManager.controlPlaneRedundancy();
   }
 
-  /**
-   * Answers a pull only if this node is in contact with a majority both before and after the wait.
-   */
+  /** Answers a pull only if in contact with a majority both before and after the wait. */
   private CompletableFuture<PullResponse> onPull(PullRequest request) {
     voterSetManager.onHeartbeat(request);
     fleetSizeManager.ifPresent(manager -> manager.onPull(request));
@@ -318,10 +305,7 @@
     (failure == null ? counters.pullsAnswered : counters.pullsRefused).add(1);
   }
 
-  /**
-   * Adopts and publishes the state that other control-plane nodes have published, where it is
-   * newer.
-   */
+  /** Adopts and publishes what other control-plane nodes have published, where it is newer. */
   private void relayFromPeers() {
     configurationManager.relayFromPeers();
     serverListManager.relayFromPeers();
@@ -329,10 +313,7 @@
     voterSetManager.learn(configWatcher.view());
   }
 
-  /**
-   * Gives up the lease if a server list was published under a higher term, which proves that
-   * another process has acquired the lease after this process.
-   */
+  /** A server list published in a higher term proves that another process got the lease later. */
   private void giveUpLeaseIfServerListHasHigherTerm() {
     long term = lease.term();
     if (term > 0 && configWatcher.serverListEpoch() > term) {
